--- a/crates/amqp/src/broken.rs
+++ b/crates/amqp/src/broken.rs
@@ -42,7 +42,9 @@
         match self {
             Broken::Stuck | Broken::NoReply | Broken::Silent => FORCED,
             Broken::NoPlain => NOT_ALLOWED,
-            Broken::NoFrame { .. } | Broken::TooLarge { .. } | Broken::NoEnd | Broken::TooLong => FRAME_ERROR,
+            Broken::NoFrame { .. } | Broken::TooLarge { .. } | Broken::NoEnd | Broken::TooLong => {
+                FRAME_ERROR
+            }
             Broken::Unreadable => COMMAND_INVALID,
             Broken::OutOfTurn { .. } => UNEXPECTED_FRAME,
         }
--- a/crates/amqp/src/connection.rs
+++ b/crates/amqp/src/connection.rs
@@ -40,7 +40,10 @@
 
 impl Fault {
     pub fn new(code: u16, text: impl Into<String>) -> Self {
-        Fault { code, text: text.into() }
+        Fault {
+            code,
+            text: text.into(),
+        }
     }
 }
 
@@ -176,7 +179,11 @@
 
 impl Connection {
     pub fn new(now: Micros, role: Role, login: Login) -> Self {
-        let prefetch = if let Role::Answers { prefetch, .. } = &role { (*prefetch).max(1) } else { 0 };
+        let prefetch = if let Role::Answers { prefetch, .. } = &role {
+            (*prefetch).max(1)
+        } else {
+            0
+        };
         let mut out = Vec::new();
         let version = amq_protocol::frame::ProtocolVersion::amqp_0_9_1();
         write(&mut out, &AMQPFrame::ProtocolHeader(version));
@@ -230,7 +237,12 @@
         self.out.len() + self.batch.len()
     }
 
-    pub fn receive(&mut self, now: Micros, bytes: &[u8], events: &mut Vec<Event>) -> Result<(), Fault> {
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        bytes: &[u8],
+        events: &mut Vec<Event>,
+    ) -> Result<(), Fault> {
         self.heard = now;
         self.reader.feed(bytes);
         while let Some(frame) = self.reader.next_frame()? {
@@ -269,12 +281,16 @@
             h => (self.spoke + h / 2).min(self.heard + DEAD_AFTER * h),
         };
         let reply = self.waiting_since.map_or(Micros::MAX, |t| t + REPLY_WITHIN);
-        handshake.min(beat).min(if self.blocked { Micros::MAX } else { reply })
+        handshake
+            .min(beat)
+            .min(if self.blocked { Micros::MAX } else { reply })
     }
 
     /// How many deliveries may be out; 0 stops consuming altogether.
     pub fn set_prefetch(&mut self, most: u16) {
-        let Role::Answers { queue, .. } = &self.role else { return };
+        let Role::Answers { queue, .. } = &self.role else {
+            return;
+        };
         let queue = short(queue);
         if most > 0 {
             self.prefetch = most;
@@ -285,10 +301,16 @@
         if most == 0 && self.consuming {
             self.consuming = false;
             self.cancelling = true;
-            let cancel = basic::Cancel { consumer_tag: short("cedarpulley"), nowait: false };
+            let cancel = basic::Cancel {
+                consumer_tag: short("cedarpulley"),
+                nowait: false,
+            };
             self.method(AMQPClass::Basic(basic::AMQPMethod::Cancel(cancel)));
         } else if most > 0 {
-            let qos = basic::Qos { prefetch_count: most, global: true };
+            let qos = basic::Qos {
+                prefetch_count: most,
+                global: true,
+            };
             self.method(AMQPClass::Basic(basic::AMQPMethod::Qos(qos)));
             if !self.consuming {
                 self.consume(queue, false);
@@ -310,9 +332,19 @@
                 mandatory: false,
                 immediate: false,
             });
-            write_message(&mut self.batch, CHANNEL, publish, properties, body, self.frame_max);
+            write_message(
+                &mut self.batch,
+                CHANNEL,
+                publish,
+                properties,
+                body,
+                self.frame_max,
+            );
         }
-        let ack = basic::AMQPMethod::Ack(basic::Ack { delivery_tag: tag, multiple: false });
+        let ack = basic::AMQPMethod::Ack(basic::Ack {
+            delivery_tag: tag,
+            multiple: false,
+        });
         write_method(&mut self.batch, CHANNEL, AMQPClass::Basic(ack));
         self.batch_tags.push(tag);
     }
@@ -322,7 +354,10 @@
         if self.stage != Stage::Ready {
             return;
         }
-        let reject = basic::AMQPMethod::Reject(basic::Reject { delivery_tag: tag, requeue: false });
+        let reject = basic::AMQPMethod::Reject(basic::Reject {
+            delivery_tag: tag,
+            requeue: false,
+        });
         write_method(&mut self.batch, CHANNEL, AMQPClass::Basic(reject));
         self.batch_tags.push(tag);
     }
@@ -350,7 +385,14 @@
             mandatory: false,
             immediate: false,
         });
-        write_message(&mut self.out, CHANNEL, publish, properties, body, self.frame_max);
+        write_message(
+            &mut self.out,
+            CHANNEL,
+            publish,
+            properties,
+            body,
+            self.frame_max,
+        );
         true
     }
 
@@ -377,8 +419,12 @@
 
     fn send_close(&mut self, now: Micros, code: u16, text: &str) {
         let text: String = text.chars().take(80).collect();
-        let close =
-            connection::Close { reply_code: code, reply_text: short(&text), class_id: 0, method_id: 0 };
+        let close = connection::Close {
+            reply_code: code,
+            reply_text: short(&text),
+            class_id: 0,
+            method_id: 0,
+        };
         let close = AMQPClass::Connection(connection::AMQPMethod::Close(close));
         write_method(&mut self.out, 0, close);
         self.stage = Stage::Closing;
@@ -390,7 +436,9 @@
     }
 
     fn open_channel(&mut self) {
-        self.method(AMQPClass::Channel(channel::AMQPMethod::Open(channel::Open {})));
+        self.method(AMQPClass::Channel(channel::AMQPMethod::Open(
+            channel::Open {},
+        )));
         self.stage = Stage::AwaitChannel;
     }
 
@@ -419,22 +467,37 @@
         self.cancelling = false;
     }
 
-    fn frame(&mut self, now: Micros, frame: AMQPFrame, events: &mut Vec<Event>) -> Result<(), Broken> {
+    fn frame(
+        &mut self,
+        now: Micros,
+        frame: AMQPFrame,
+        events: &mut Vec<Event>,
+    ) -> Result<(), Broken> {
         match frame {
             AMQPFrame::Heartbeat => Ok(()),
             AMQPFrame::Method(0, AMQPClass::Connection(method)) => {
                 self.connection_method(now, method, events)
             }
             // After the channel was lost or on closing, what was still on its way is let pass.
-            _ if matches!(self.stage, Stage::NoChannel | Stage::Closing | Stage::Closed) => Ok(()),
+            _ if matches!(
+                self.stage,
+                Stage::NoChannel | Stage::Closing | Stage::Closed
+            ) =>
+            {
+                Ok(())
+            }
             AMQPFrame::Method(CHANNEL, method) => self.channel_method(now, method, events),
-            AMQPFrame::Header(CHANNEL, header) => self.header(header.body_size, header.properties, events),
+            AMQPFrame::Header(CHANNEL, header) => {
+                self.header(header.body_size, header.properties, events)
+            }
             AMQPFrame::Body(CHANNEL, part) => self.body(&part, events),
             AMQPFrame::Method(..)
             | AMQPFrame::Header(..)
             | AMQPFrame::Body(..)
             | AMQPFrame::InvalidHeartbeat(_)
-            | AMQPFrame::ProtocolHeader(_) => Err(out_of_turn("a frame on a channel that was not opened")),
+            | AMQPFrame::ProtocolHeader(_) => {
+                Err(out_of_turn("a frame on a channel that was not opened"))
+            }
         }
     }
 
@@ -484,9 +547,15 @@
                 };
                 self.heartbeat = Micros::from(heartbeat) * 1_000_000;
                 self.reader.limit(self.frame_max);
-                let ok = connection::TuneOk { channel_max: 1, frame_max: self.frame_max, heartbeat };
+                let ok = connection::TuneOk {
+                    channel_max: 1,
+                    frame_max: self.frame_max,
+                    heartbeat,
+                };
                 write_method(&mut self.out, 0, reply(M::TuneOk(ok)));
-                let open = connection::Open { virtual_host: short(&self.login.virtual_host) };
+                let open = connection::Open {
+                    virtual_host: short(&self.login.virtual_host),
+                };
                 write_method(&mut self.out, 0, reply(M::Open(open)));
                 self.stage = Stage::AwaitOpen;
             }
@@ -496,12 +565,18 @@
                 self.channel_gone();
                 self.stage = Stage::Closed;
                 let text = close.reply_text.as_str().to_owned();
-                events.push(Event::Closed { code: close.reply_code, text });
+                events.push(Event::Closed {
+                    code: close.reply_code,
+                    text,
+                });
             }
             (Stage::Closing, M::CloseOk(_)) => {
                 self.channel_gone();
                 self.stage = Stage::Closed;
-                events.push(Event::Closed { code: REPLY_SUCCESS, text: "closed".into() });
+                events.push(Event::Closed {
+                    code: REPLY_SUCCESS,
+                    text: "closed".into(),
+                });
             }
             (Stage::Closing | Stage::Closed, _) => {}
             (_, M::Blocked(_)) => {
@@ -535,29 +610,37 @@
                 self.channel_gone();
                 self.stage = Stage::NoChannel;
                 let text = close.reply_text.as_str().to_owned();
-                events.push(Event::ChannelLost { code: close.reply_code, text });
+                events.push(Event::ChannelLost {
+                    code: close.reply_code,
+                    text,
+                });
             }
-            (Stage::AwaitChannel, AMQPClass::Channel(channel::AMQPMethod::OpenOk(_))) => match &self.role {
-                Role::Answers { .. } => {
-                    self.method(AMQPClass::Tx(tx::AMQPMethod::Select(tx::Select {})));
-                    self.stage = Stage::AwaitSelect;
+            (Stage::AwaitChannel, AMQPClass::Channel(channel::AMQPMethod::OpenOk(_))) => {
+                match &self.role {
+                    Role::Answers { .. } => {
+                        self.method(AMQPClass::Tx(tx::AMQPMethod::Select(tx::Select {})));
+                        self.stage = Stage::AwaitSelect;
+                    }
+                    Role::Calls { reply_queue } => {
+                        let declare = queue::Declare {
+                            queue: short(reply_queue),
+                            passive: false,
+                            durable: false,
+                            exclusive: false,
+                            auto_delete: false,
+                            nowait: false,
+                            arguments: FieldTable::default(),
+                        };
+                        self.method(AMQPClass::Queue(queue::AMQPMethod::Declare(declare)));
+                        self.stage = Stage::AwaitDeclare;
+                    }
                 }
-                Role::Calls { reply_queue } => {
-                    let declare = queue::Declare {
-                        queue: short(reply_queue),
-                        passive: false,
-                        durable: false,
-                        exclusive: false,
-                        auto_delete: false,
-                        nowait: false,
-                        arguments: FieldTable::default(),
-                    };
-                    self.method(AMQPClass::Queue(queue::AMQPMethod::Declare(declare)));
-                    self.stage = Stage::AwaitDeclare;
-                }
-            },
+            }
             (Stage::AwaitSelect, AMQPClass::Tx(tx::AMQPMethod::SelectOk(_))) => {
-                let qos = basic::Qos { prefetch_count: self.prefetch, global: true };
+                let qos = basic::Qos {
+                    prefetch_count: self.prefetch,
+                    global: true,
+                };
                 self.method(AMQPClass::Basic(B::Qos(qos)));
                 self.stage = Stage::AwaitQos;
             }
@@ -599,7 +682,9 @@
                 self.consuming = false;
                 events.push(Event::Cancelled);
             }
-            (Stage::Ready, AMQPClass::Tx(tx::AMQPMethod::CommitOk(_))) if !self.committing.is_empty() => {
+            (Stage::Ready, AMQPClass::Tx(tx::AMQPMethod::CommitOk(_)))
+                if !self.committing.is_empty() =>
+            {
                 self.waiting_since = None;
                 events.push(Event::Committed(std::mem::take(&mut self.committing)));
                 self.commit(now);
@@ -628,7 +713,10 @@
 
     fn body(&mut self, part: &[u8], events: &mut Vec<Event>) -> Result<(), Broken> {
         let most = self.login.most_body;
-        let Some((size, incoming)) = self.incoming.as_mut().and_then(|i| Some((i.header.as_ref()?.0, i)))
+        let Some((size, incoming)) = self
+            .incoming
+            .as_mut()
+            .and_then(|i| Some((i.header.as_ref()?.0, i)))
         else {
             return Err(out_of_turn("a body without its header"));
         };
@@ -645,8 +733,12 @@
 
     fn delivered(&mut self, events: &mut Vec<Event>) {
         let whole = |i: &mut Incoming| i.header.as_ref().is_some_and(|(size, _)| i.got >= *size);
-        let Some(i) = self.incoming.take_if(whole) else { return };
-        let Some((size, properties)) = i.header else { return };
+        let Some(i) = self.incoming.take_if(whole) else {
+            return;
+        };
+        let Some((size, properties)) = i.header else {
+            return;
+        };
         events.push(Event::Delivered(Box::new(Message {
             tag: i.tag,
             redelivered: i.redelivered,
--- a/crates/amqp/src/frames.rs
+++ b/crates/amqp/src/frames.rs
@@ -27,7 +27,11 @@
 
 impl Reader {
     pub fn new(frame_max: u32) -> Self {
-        Reader { buffer: Vec::new(), at: 0, most: frame_max.max(LEAST_FRAME) as usize }
+        Reader {
+            buffer: Vec::new(),
+            at: 0,
+            most: frame_max.max(LEAST_FRAME) as usize,
+        }
     }
 
     pub fn limit(&mut self, frame_max: u32) {
@@ -54,7 +58,10 @@
         }
         let size = u32::from_be_bytes([rest[3], rest[4], rest[5], rest[6]]) as usize;
         if size + HEAD + 1 > self.most {
-            return Err(Broken::TooLarge { size, most: self.most });
+            return Err(Broken::TooLarge {
+                size,
+                most: self.most,
+            });
         }
         let whole = HEAD + size + 1;
         if rest.len() < whole {
--- a/crates/amqp/src/meaning.rs
+++ b/crates/amqp/src/meaning.rs
@@ -67,7 +67,10 @@
 }
 
 fn wrong(field: &'static str, cause: impl Into<String>) -> Misunderstood {
-    Misunderstood { field, cause: cause.into() }
+    Misunderstood {
+        field,
+        cause: cause.into(),
+    }
 }
 
 pub fn whole_number(value: &AMQPValue) -> Option<i64> {
@@ -96,7 +99,10 @@
 
 impl<'a> Headers<'a> {
     fn get(&self, name: &str) -> Option<&'a AMQPValue> {
-        self.0?.inner().get(name).filter(|v| !matches!(v, AMQPValue::Void))
+        self.0?
+            .inner()
+            .get(name)
+            .filter(|v| !matches!(v, AMQPValue::Void))
     }
 
     fn flag(&self, name: &str) -> bool {
@@ -105,7 +111,9 @@
 
     /// An empty id, or 0, means none.
     fn session(&self) -> Result<Option<(String, bool, bool)>, Misunderstood> {
-        let Some(value) = self.get(SEQUENCE_ID) else { return Ok(None) };
+        let Some(value) = self.get(SEQUENCE_ID) else {
+            return Ok(None);
+        };
         let id = match (text(value), whole_number(value)) {
             (Some(text), _) => text.to_owned(),
             (None, Some(0)) => String::new(),
@@ -119,7 +127,9 @@
     }
 
     fn number(&self, name: &'static str, most: i64) -> Result<Option<i64>, Misunderstood> {
-        let Some(value) = self.get(name) else { return Ok(None) };
+        let Some(value) = self.get(name) else {
+            return Ok(None);
+        };
         match whole_number(value) {
             Some(n) if (0..=most).contains(&n) => Ok(Some(n)),
             Some(n) => Err(wrong(name, format!("{n} is not within 0 to {most}"))),
@@ -131,7 +141,11 @@
 /// `wall_us`: microseconds since 1970 by this router's clock.
 pub fn read(message: &Message, wall_us: i64) -> Result<Trigger, Misunderstood> {
     let p = &message.properties;
-    let own = |s: &Option<ShortString>| s.as_ref().map(|s| s.as_str().to_owned()).filter(|s| !s.is_empty());
+    let own = |s: &Option<ShortString>| {
+        s.as_ref()
+            .map(|s| s.as_str().to_owned())
+            .filter(|s| !s.is_empty())
+    };
     let headers = Headers(p.headers().as_ref());
     let kind = own(p.kind()).ok_or_else(|| wrong("type", "no trigger type is named"))?;
     let function = match headers.get(FUNCTION).map(text) {
@@ -143,21 +157,39 @@
         None => None,
         Some(ms) => match ms.parse::<i64>() {
             Ok(ms) if (0..=LONGEST_US / 1000).contains(&ms) => Some(ms * 1000),
-            _ => return Err(wrong("expiration", "not a number of milliseconds up to a day")),
+            _ => {
+                return Err(wrong(
+                    "expiration",
+                    "not a number of milliseconds up to a day",
+                ));
+            }
         },
     };
     // The timestamp counts in whole seconds: the earliest moment within it is meant.
     let sent = match headers.number(SENT_AT_US, i64::MAX)? {
         Some(us) => Some(us),
-        None => p.timestamp().map(|s| i64::try_from(s).unwrap_or(i64::MAX).saturating_mul(1_000_000)),
+        None => p.timestamp().map(|s| {
+            i64::try_from(s)
+                .unwrap_or(i64::MAX)
+                .saturating_mul(1_000_000)
+        }),
     };
     let waited_us = sent.map_or(0, |s| wall_us.saturating_sub(s).clamp(0, LONGEST_US));
     let copy_mb = headers.number(COPY_MB, 1 << 30)?.unwrap_or(0) as f64;
-    let (token, correlation, reply_to) = (own(p.message_id()), own(p.correlation_id()), own(p.reply_to()));
+    let (token, correlation, reply_to) = (
+        own(p.message_id()),
+        own(p.correlation_id()),
+        own(p.reply_to()),
+    );
     // A message without marks cannot be told from another: then only the broker's word counts.
     let identity = (token.is_some() || correlation.is_some()).then(|| {
         let part = |s: &Option<String>| s.clone().unwrap_or_default();
-        format!("{}\n{}\n{}\n{kind}\n{function}", part(&token), part(&correlation), part(&reply_to))
+        format!(
+            "{}\n{}\n{}\n{kind}\n{function}",
+            part(&token),
+            part(&correlation),
+            part(&reply_to)
+        )
     });
     Ok(Trigger {
         kind,
@@ -171,7 +203,9 @@
         load_hint_us: headers.number(LOAD_HINT_US, LONGEST_US)?,
         copy_mb,
         lanes: headers.number(LANES, MOST_LANES)?.unwrap_or(1).max(1) as u32,
-        first_part: headers.number(FIRST_PART, message.body.len() as i64)?.map(|n| n as u32),
+        first_part: headers
+            .number(FIRST_PART, message.body.len() as i64)?
+            .map(|n| n as u32),
         repeat: headers.flag(REPEAT),
         session: headers.session()?,
     })
@@ -188,7 +222,10 @@
 ) -> AMQPProperties {
     let mut headers = FieldTable::default();
     let mut put = |name: &str, value: &str| {
-        headers.insert(ShortString::from(name), AMQPValue::LongString(LongString::from(value)));
+        headers.insert(
+            ShortString::from(name),
+            AMQPValue::LongString(LongString::from(value)),
+        );
     };
     put(FATE, fate);
     put(REASON, reason);
@@ -196,10 +233,16 @@
         put(FIELD, field);
     }
     if let Some(us) = return_after_us {
-        headers.insert(ShortString::from(RETURN_AFTER_US), AMQPValue::LongLongInt(us));
+        headers.insert(
+            ShortString::from(RETURN_AFTER_US),
+            AMQPValue::LongLongInt(us),
+        );
     }
     if let Some(n) = first_part {
-        headers.insert(ShortString::from(FIRST_PART), AMQPValue::LongLongInt(i64::from(n)));
+        headers.insert(
+            ShortString::from(FIRST_PART),
+            AMQPValue::LongLongInt(i64::from(n)),
+        );
     }
     let mut properties = AMQPProperties::default().with_headers(headers);
     if let Some(id) = to.correlation_id() {
--- a/crates/amqp/tests/hostile.rs
+++ b/crates/amqp/tests/hostile.rs
@@ -19,7 +19,14 @@
         name: "test".into(),
         most_body: 1_000,
     };
-    Connection::new(0, Role::Answers { queue: "q".into(), prefetch: 5 }, login)
+    Connection::new(
+        0,
+        Role::Answers {
+            queue: "q".into(),
+            prefetch: 5,
+        },
+        login,
+    )
 }
 
 fn method(channel: u16, m: AMQPClass) -> Vec<u8> {
@@ -50,15 +57,24 @@
 fn ready() -> (Connection, Vec<Event>) {
     let mut c = new();
     let mut events = Vec::new();
-    let tune = connection::Tune { channel_max: 0, frame_max: 8192, heartbeat: 10 };
+    let tune = connection::Tune {
+        channel_max: 0,
+        frame_max: 8192,
+        heartbeat: 10,
+    };
     let steps = [
         start(),
         conn(connection::AMQPMethod::Tune(tune)),
         conn(connection::AMQPMethod::OpenOk(connection::OpenOk {})),
-        method(1, AMQPClass::Channel(channel::AMQPMethod::OpenOk(channel::OpenOk {}))),
+        method(
+            1,
+            AMQPClass::Channel(channel::AMQPMethod::OpenOk(channel::OpenOk {})),
+        ),
         method(1, AMQPClass::Tx(tx::AMQPMethod::SelectOk(tx::SelectOk {}))),
         base(basic::AMQPMethod::QosOk(basic::QosOk {})),
-        base(basic::AMQPMethod::ConsumeOk(basic::ConsumeOk { consumer_tag: ShortString::from("c") })),
+        base(basic::AMQPMethod::ConsumeOk(basic::ConsumeOk {
+            consumer_tag: ShortString::from("c"),
+        })),
     ];
     // Byte by byte: frames come in whatever pieces the network makes.
     for byte in steps.concat() {
@@ -78,7 +94,14 @@
         routing_key: ShortString::from("q"),
     });
     let mut bytes = Vec::new();
-    write_message(&mut bytes, 1, deliver, AMQPProperties::default(), body, 8192);
+    write_message(
+        &mut bytes,
+        1,
+        deliver,
+        AMQPProperties::default(),
+        body,
+        8192,
+    );
     bytes
 }
 
@@ -122,13 +145,23 @@
     c.answer(1, Some(("r", AMQPProperties::default(), b"x")));
     c.commit(0);
     c.answer(2, None);
-    let close =
-        channel::Close { reply_code: 541, reply_text: ShortString::from("no"), class_id: 0, method_id: 0 };
+    let close = channel::Close {
+        reply_code: 541,
+        reply_text: ShortString::from("no"),
+        class_id: 0,
+        method_id: 0,
+    };
     let mut bytes = method(1, AMQPClass::Channel(channel::AMQPMethod::Close(close)));
     // What was on its way behind it is let pass.
     bytes.extend(delivery(3, b"late"));
     c.receive(0, &bytes, &mut events).expect("a good broker");
-    assert_eq!(events, [Event::ChannelLost { code: 541, text: "no".into() }]);
+    assert_eq!(
+        events,
+        [Event::ChannelLost {
+            code: 541,
+            text: "no".into()
+        }]
+    );
     // Whoever hears of it only now may still answer what came before.
     c.answer(1, Some(("r", AMQPProperties::default(), b"x")));
     c.reject(2);
@@ -143,8 +176,15 @@
 #[test]
 fn a_blocked_broker_is_sent_no_answers_until_it_takes_them() {
     let (mut c, mut events) = ready();
-    let blocked = connection::Blocked { reason: ShortString::from("memory") };
-    c.receive(0, &conn(connection::AMQPMethod::Blocked(blocked)), &mut events).expect("good");
+    let blocked = connection::Blocked {
+        reason: ShortString::from("memory"),
+    };
+    c.receive(
+        0,
+        &conn(connection::AMQPMethod::Blocked(blocked)),
+        &mut events,
+    )
+    .expect("good");
     c.answer(1, None);
     c.commit(0);
     assert!(c.output(0).is_empty());
@@ -160,7 +200,8 @@
     let mut beat = Vec::new();
     write(&mut beat, &frames::heartbeat());
     for s in 0..4 {
-        c.receive(s * SECOND, &beat, &mut Vec::new()).expect("allowed");
+        c.receive(s * SECOND, &beat, &mut Vec::new())
+            .expect("allowed");
         assert!(c.tick(s * SECOND).is_ok());
     }
     assert!(c.tick(6 * SECOND).is_err());
@@ -181,7 +222,8 @@
     let (mut c, _) = ready();
     c.answer(1, None);
     c.commit(0);
-    c.receive(4 * SECOND, &delivery(2, b"x"), &mut Vec::new()).expect("good");
+    c.receive(4 * SECOND, &delivery(2, b"x"), &mut Vec::new())
+        .expect("good");
     assert!(c.tick(6 * SECOND).is_err());
 }
 
@@ -189,33 +231,66 @@
 fn frames_beyond_the_agreed_size_and_unknown_things_end_the_connection() {
     let (mut c, mut events) = ready();
     let head = [3, 0, 1, 0, 1, 0, 0];
-    assert_eq!(c.receive(0, &head, &mut events).expect_err("65,536 bytes").code, 501);
+    assert_eq!(
+        c.receive(0, &head, &mut events)
+            .expect_err("65,536 bytes")
+            .code,
+        501
+    );
     let (mut c, _) = ready();
     let unknown = [1, 0, 1, 0, 0, 0, 4, 0, 60, 0, 200, 0xCE];
-    assert_eq!(c.receive(0, &unknown, &mut events).expect_err("method 60.200").code, 503);
+    assert_eq!(
+        c.receive(0, &unknown, &mut events)
+            .expect_err("method 60.200")
+            .code,
+        503
+    );
     let (mut c, _) = ready();
-    assert!(c.receive(0, b"HTTP/1.1 400 Bad Request\r\n", &mut events).is_err());
+    assert!(
+        c.receive(0, b"HTTP/1.1 400 Bad Request\r\n", &mut events)
+            .is_err()
+    );
     let (mut c, _) = ready();
     let mut cut = delivery(1, b"abc");
     let end = cut.len() - 1;
     cut[end] = 0;
-    assert_eq!(c.receive(0, &cut, &mut events).expect_err("no end mark").code, 501);
+    assert_eq!(
+        c.receive(0, &cut, &mut events)
+            .expect_err("no end mark")
+            .code,
+        501
+    );
     let (mut c, _) = ready();
     let body = [3, 0, 1, 0, 0, 0, 1, 7, 0xCE];
-    assert_eq!(c.receive(0, &body, &mut events).expect_err("a body alone").code, 505);
+    assert_eq!(
+        c.receive(0, &body, &mut events)
+            .expect_err("a body alone")
+            .code,
+        505
+    );
 }
 
 #[test]
 fn a_body_beyond_the_bound_is_let_pass_without_being_kept() {
     let (mut c, mut events) = ready();
-    c.receive(0, &delivery(1, &vec![0; 50_000]), &mut events).expect("good");
-    let Some(Event::Delivered(m)) = events.pop() else { panic!("not delivered") };
+    c.receive(0, &delivery(1, &vec![0; 50_000]), &mut events)
+        .expect("good");
+    let Some(Event::Delivered(m)) = events.pop() else {
+        panic!("not delivered")
+    };
     assert!(m.oversized && m.body.is_empty());
 }
 
 fn message(properties: AMQPProperties) -> Message {
     let routing_key = "q".to_owned();
-    Message { tag: 1, redelivered: false, routing_key, properties, body: Vec::new(), oversized: false }
+    Message {
+        tag: 1,
+        redelivered: false,
+        routing_key,
+        properties,
+        body: Vec::new(),
+        oversized: false,
+    }
 }
 
 fn headers(pairs: &[(&str, AMQPValue)]) -> FieldTable {
@@ -230,21 +305,44 @@
 fn a_message_that_cannot_be_understood_names_its_field() {
     let text = |s: &str| AMQPValue::LongString(LongString::from(s));
     let typed = || AMQPProperties::default().with_type(ShortString::from("t"));
-    let field = |p: AMQPProperties| meaning::read(&message(p), 0).expect_err("not understood").field;
+    let field = |p: AMQPProperties| {
+        meaning::read(&message(p), 0)
+            .expect_err("not understood")
+            .field
+    };
     assert_eq!(field(AMQPProperties::default()), "type");
     assert_eq!(field(typed()), "function");
-    assert_eq!(field(typed().with_headers(headers(&[("function", AMQPValue::Boolean(true))]))), "function");
+    assert_eq!(
+        field(typed().with_headers(headers(&[("function", AMQPValue::Boolean(true))]))),
+        "function"
+    );
     let good = [("function", text("f"))];
     assert_eq!(
-        field(typed().with_headers(headers(&good)).with_expiration(ShortString::from("soon"))),
+        field(
+            typed()
+                .with_headers(headers(&good))
+                .with_expiration(ShortString::from("soon"))
+        ),
         "expiration"
     );
-    let lanes = [("function", text("f")), ("lanes", AMQPValue::LongLongInt(-1))];
+    let lanes = [
+        ("function", text("f")),
+        ("lanes", AMQPValue::LongLongInt(-1)),
+    ];
     assert_eq!(field(typed().with_headers(headers(&lanes))), "lanes");
-    let all = [("function", text("f")), ("sent-at-us", AMQPValue::LongLongInt(3_000_000))];
-    let p = typed().with_headers(headers(&all)).with_expiration(ShortString::from("1500")).with_timestamp(9);
+    let all = [
+        ("function", text("f")),
+        ("sent-at-us", AMQPValue::LongLongInt(3_000_000)),
+    ];
+    let p = typed()
+        .with_headers(headers(&all))
+        .with_expiration(ShortString::from("1500"))
+        .with_timestamp(9);
     let t = meaning::read(&message(p), 5_000_000).expect("understood");
-    assert_eq!((t.waited_us, t.client_timeout_us, t.identity), (2_000_000, Some(1_500_000), None));
+    assert_eq!(
+        (t.waited_us, t.client_timeout_us, t.identity),
+        (2_000_000, Some(1_500_000), None)
+    );
 }
 
 proptest! {
--- a/crates/audit/src/judge.rs
+++ b/crates/audit/src/judge.rs
@@ -99,7 +99,10 @@
     /// It surely was out all the time between the two.
     fn surely_out(&self, since: i64, until: i64, leeway: i64) -> bool {
         let unseen = self.unseen_since.unwrap_or(i64::MAX);
-        let open = self.left.as_ref().is_none_or(|(t, _)| (*t).min(unseen) > until + CLOSE_SEEN_US + leeway);
+        let open = self
+            .left
+            .as_ref()
+            .is_none_or(|(t, _)| (*t).min(unseen) > until + CLOSE_SEEN_US + leeway);
         self.at <= since && open
     }
 
@@ -151,18 +154,33 @@
     /// The line that a run ends on.
     pub fn last_line(&self) -> String {
         let answers: u64 = self.answers.values().sum();
-        format!("audit: {} invocations, {answers} answers, {} breaks", self.invocations, self.broken())
+        format!(
+            "audit: {} invocations, {answers} answers, {} breaks",
+            self.invocations,
+            self.broken()
+        )
     }
 
     pub fn table(&self) -> String {
         let mut t = String::new();
-        let part = |n: u64, of: u64| if of == 0 { 0.0 } else { 100.0 * n as f64 / of as f64 };
+        let part = |n: u64, of: u64| {
+            if of == 0 {
+                0.0
+            } else {
+                100.0 * n as f64 / of as f64
+            }
+        };
         let _ = writeln!(
             t,
             "{:<18} {:>8} {:>9} {:>9} {:>8} {:>12}",
             "", "taken", "succeeded", "throttled", "errored", "in objective"
         );
-        for (name, s) in self.by_type.iter().chain(&self.by_account).chain(&self.by_front) {
+        for (name, s) in self
+            .by_type
+            .iter()
+            .chain(&self.by_account)
+            .chain(&self.by_front)
+        {
             let _ = writeln!(
                 t,
                 "{name:<18} {:>8} {:>9} {:>9} {:>8} {:>11.1}%",
@@ -176,9 +194,18 @@
         let _ = writeln!(
             t,
             "\ndispatches {}, effects {}, repeats dropped {}, loads {}, fetches {}, redelivered {}",
-            self.dispatches, self.effects, self.repeats_dropped, self.loads, self.fetches, self.redelivered
+            self.dispatches,
+            self.effects,
+            self.repeats_dropped,
+            self.loads,
+            self.fetches,
+            self.redelivered
         );
-        let reasons: Vec<String> = self.by_reason.iter().map(|(r, n)| format!("{r} {n}")).collect();
+        let reasons: Vec<String> = self
+            .by_reason
+            .iter()
+            .map(|(r, n)| format!("{r} {n}"))
+            .collect();
         let _ = writeln!(t, "answers by reason: {}", reasons.join(", "));
         let _ = writeln!(
             t,
@@ -192,11 +219,24 @@
                 "sessions {}, prefixes begun {}, found {}, rebuilt {}, floors lost {}",
                 self.sessions, p.begun, p.found, p.rebuilt, self.floor_lost
             );
-            let _ = writeln!(t, "rebuilt by cause: {:?}; astray: {}", p.by, p.astray.join(", "));
-            let promises: Vec<String> = self.promises.iter().map(|(p, n)| format!("{p}: {n}")).collect();
+            let _ = writeln!(
+                t,
+                "rebuilt by cause: {:?}; astray: {}",
+                p.by,
+                p.astray.join(", ")
+            );
+            let promises: Vec<String> = self
+                .promises
+                .iter()
+                .map(|(p, n)| format!("{p}: {n}"))
+                .collect();
             let _ = writeln!(t, "promises broken: {}", promises.join(", "));
         }
-        let rules: Vec<String> = self.rules.iter().map(|(r, n)| format!("rule {r}: {n}")).collect();
+        let rules: Vec<String> = self
+            .rules
+            .iter()
+            .map(|(r, n)| format!("rule {r}: {n}"))
+            .collect();
         let _ = writeln!(t, "breaks: {}", rules.join(", "));
         for why in &self.breaks {
             let _ = writeln!(t, "  {why}");
@@ -209,9 +249,14 @@
 pub fn judge(folder: &Path) -> Result<Verdict, Unjudged> {
     let path = folder.join("terms.json");
     let file = || path.display().to_string();
-    let text = std::fs::read_to_string(&path).map_err(|source| Unjudged::Unread { file: file(), source })?;
-    let terms: Terms =
-        serde_json::from_str(&text).map_err(|source| Unjudged::NoTerms { file: file(), source })?;
+    let text = std::fs::read_to_string(&path).map_err(|source| Unjudged::Unread {
+        file: file(),
+        source,
+    })?;
+    let terms: Terms = serde_json::from_str(&text).map_err(|source| Unjudged::NoTerms {
+        file: file(),
+        source,
+    })?;
     let lines = read(&folder.join("traffic"))?;
     let mut v = Verdict::default();
     for rule in 1..=5 {
@@ -225,7 +270,14 @@
     }
     let kept = Kept::read(&lines);
     let invs = gather(&lines, &kept, &mut v);
-    answers(&invs, &blocked(&lines), &killed(&lines), &kept, &terms, &mut v);
+    answers(
+        &invs,
+        &blocked(&lines),
+        &killed(&lines),
+        &kept,
+        &terms,
+        &mut v,
+    );
     effects(&invs, &terms, &mut v);
     drains(&lines, &kept, &terms, &mut v);
     cold(&lines, &terms, &mut v);
@@ -239,7 +291,13 @@
 
 /// A cut held it back, as the stand-in saw or the rig says: it may have been sent since then.
 fn held_since(l: &Line, kept: &Kept) -> Option<i64> {
-    [l.number("held_since"), kept.held_since(l.text("from"), &l.of, l.t)].into_iter().flatten().min()
+    [
+        l.number("held_since"),
+        kept.held_since(l.text("from"), &l.of, l.t),
+    ]
+    .into_iter()
+    .flatten()
+    .min()
 }
 
 fn gather(lines: &[Line], kept: &Kept, v: &mut Verdict) -> BTreeMap<String, Inv> {
@@ -263,7 +321,10 @@
             // Answers are delivered too, to their clients.
             "delivered" if !l.text("queue").starts_with("replies") => {
                 v.redelivered += u64::from(l.flag("redelivered"));
-                invs.entry(id).or_default().delivered.push((l.t, l.text("to").to_owned()));
+                invs.entry(id)
+                    .or_default()
+                    .delivered
+                    .push((l.t, l.text("to").to_owned()));
             }
             "expired" => invs.entry(id).or_default().expired = true,
             "lost" => invs.entry(id).or_default().lost = Some((l.t, l.text("to").to_owned())),
@@ -291,7 +352,10 @@
                 if let Some(d) = inv.dispatches.iter_mut().find(same) {
                     d.left = Some((l.t, l.text("how").to_owned()));
                     let unseen = kept.unseen_since(l.text("from"), &l.of, l.t);
-                    d.unseen_since = [l.number("unseen_since"), unseen].into_iter().flatten().min();
+                    d.unseen_since = [l.number("unseen_since"), unseen]
+                        .into_iter()
+                        .flatten()
+                        .min();
                 }
             }
             "ran" => {
@@ -348,9 +412,14 @@
         };
         v.invocations += 1;
         let gives_up = inv.timeout.map_or(i64::MAX, |t| inv.published + t);
-        let objective = terms.kinds.get(&inv.kind).map_or(i64::MAX, |k| k.objective_us);
-        let good =
-            inv.answers.first().is_some_and(|a| a.1 == "succeeded" && a.0 - inv.published <= objective);
+        let objective = terms
+            .kinds
+            .get(&inv.kind)
+            .map_or(i64::MAX, |k| k.objective_us);
+        let good = inv
+            .answers
+            .first()
+            .is_some_and(|a| a.1 == "succeeded" && a.0 - inv.published <= objective);
         v.within_objective += u64::from(good);
         let kinds = v.by_type.entry(inv.kind.clone()).or_default();
         count(kinds, inv, good);
@@ -359,10 +428,18 @@
         let front = v.by_front.entry(inv.front.clone()).or_default();
         count(front, inv, good);
         if let Some(answer) = inv.answers.first()
-            && let Some(d) =
-                inv.dispatches.iter().find(|d| d.sent_since() > answer.0 + APART_US + terms.leeway_us)
+            && let Some(d) = inv
+                .dispatches
+                .iter()
+                .find(|d| d.sent_since() > answer.0 + APART_US + terms.leeway_us)
         {
-            v.breaks(1, format!("{id} was dispatched {} ms after its answer", (d.at - answer.0) / 1000));
+            v.breaks(
+                1,
+                format!(
+                    "{id} was dispatched {} ms after its answer",
+                    (d.at - answer.0) / 1000
+                ),
+            );
         }
         match inv.answers.len() {
             // The broker took it back, from a router that was killed or lost its channel, and no one had it
@@ -389,13 +466,23 @@
             1 => {
                 let last = inv.delivered.last().map_or(*first, |d| d.0);
                 let late = inv.answers[0].0 - gives_up - terms.answer_slack_us;
-                let held = blocked.iter().any(|b| b.0 < gives_up && b.1 > gives_up - ANSWERABLE_US);
+                let held = blocked
+                    .iter()
+                    .any(|b| b.0 < gives_up && b.1 > gives_up - ANSWERABLE_US);
                 if late > 0 && held {
                     v.held_by_broker += 1;
-                } else if late > 0 && kept.kept_from_answering(&inv.answered_by, gives_up, ANSWERABLE_US) {
+                } else if late > 0
+                    && kept.kept_from_answering(&inv.answered_by, gives_up, ANSWERABLE_US)
+                {
                     v.held_by_rig += 1;
                 } else if late > terms.leeway_us && last < gives_up - ANSWERABLE_US {
-                    v.breaks(1, format!("{id} was answered {} ms after its client gave up", late / 1000));
+                    v.breaks(
+                        1,
+                        format!(
+                            "{id} was answered {} ms after its client gave up",
+                            late / 1000
+                        ),
+                    );
                 }
             }
             n => {
@@ -420,10 +507,15 @@
 /// Rule 2: no effect twice, and no dispatch or throttling reply that could lead to it.
 fn effects(invs: &BTreeMap<String, Inv>, terms: &Terms, v: &mut Verdict) {
     for (id, inv) in invs {
-        let Some(kind) = terms.kinds.get(&inv.kind) else { continue };
+        let Some(kind) = terms.kinds.get(&inv.kind) else {
+            continue;
+        };
         let ran = inv.dispatches.iter().find(|d| d.may_have_run());
         if kind.effect != Effect::Idempotent && inv.ran.len() > 1 {
-            v.breaks(2, format!("{id} ({}) took effect {} times", inv.kind, inv.ran.len()));
+            v.breaks(
+                2,
+                format!("{id} ({}) took effect {} times", inv.kind, inv.ran.len()),
+            );
         }
         if let Some(first) = ran {
             let later = inv.dispatches.iter().filter(|d| d.at > first.at);
@@ -433,11 +525,23 @@
                 Effect::Tokened => later.filter(|d| d.at - first.at > kind.window_us).count(),
             };
             if wrong > 0 {
-                v.breaks(2, format!("{id} ({}) was dispatched again though it may have run", inv.kind));
+                v.breaks(
+                    2,
+                    format!(
+                        "{id} ({}) was dispatched again though it may have run",
+                        inv.kind
+                    ),
+                );
             }
-            let throttled = inv.answers.iter().any(|a| a.1 == "throttled" && a.0 > first.at);
+            let throttled = inv
+                .answers
+                .iter()
+                .any(|a| a.1 == "throttled" && a.0 > first.at);
             if kind.effect == Effect::NonIdempotent && throttled {
-                v.breaks(2, format!("{id} ({}) was throttled though it may have run", inv.kind));
+                v.breaks(
+                    2,
+                    format!("{id} ({}) was throttled though it may have run", inv.kind),
+                );
             }
         }
         if terms.second_copies {
@@ -475,13 +579,16 @@
             "listed" => {
                 let all = l.texts("workers");
                 for worker in address.values().filter(|a| !all.contains(&a.as_str())) {
-                    told.entry((l.text("to").to_owned(), worker.clone())).or_insert(l.t);
+                    told.entry((l.text("to").to_owned(), worker.clone()))
+                        .or_insert(l.t);
                 }
             }
             // When it was sent is not known: a cut held it back.
             "received" | "ordered" if held_since(l, kept).is_some() => {}
             "received" | "ordered" => {
-                let Some(worker) = address.get(l.of.as_str()) else { continue };
+                let Some(worker) = address.get(l.of.as_str()) else {
+                    continue;
+                };
                 let since = told.get(&(l.text("from").to_owned(), worker.clone()));
                 let grace = terms.drain_grace_us + APART_US + terms.leeway_us;
                 let since = since.map(|told| kept.heard(l.text("from"), *told, grace));
@@ -489,7 +596,11 @@
                     let late = (l.t - since) / 1000;
                     v.breaks(
                         3,
-                        format!("{} got something from {} {late} ms after it was told", l.of, l.text("from")),
+                        format!(
+                            "{} got something from {} {late} ms after it was told",
+                            l.of,
+                            l.text("from")
+                        ),
                     );
                 }
             }
@@ -505,14 +616,26 @@
         match l.what.as_str() {
             "up" => {
                 let cold_since = l.flag("cold").then_some(l.t);
-                let process = Process { cores: l.real("cores"), cold_since, ..Process::default() };
+                let process = Process {
+                    cores: l.real("cores"),
+                    cold_since,
+                    ..Process::default()
+                };
                 processes.insert(&l.of, process);
             }
             "received" => {
-                let Some(p) = processes.get_mut(l.of.as_str()) else { continue };
-                let Some(since) = p.cold_since.filter(|s| l.t - s < terms.cold_for_us) else { continue };
+                let Some(p) = processes.get_mut(l.of.as_str()) else {
+                    continue;
+                };
+                let Some(since) = p.cold_since.filter(|s| l.t - s < terms.cold_for_us) else {
+                    continue;
+                };
                 p.sent.push_back((l.t, l.real("work")));
-                while p.sent.front().is_some_and(|s| l.t - s.0 > terms.overload_window_us) {
+                while p
+                    .sent
+                    .front()
+                    .is_some_and(|s| l.t - s.0 > terms.overload_window_us)
+                {
                     p.sent.pop_front();
                 }
                 let age = (l.t - since) as f64 / terms.cold_for_us.max(1) as f64;
@@ -521,7 +644,10 @@
                 let sent: f64 = p.sent.iter().map(|s| s.1).sum();
                 if sent > terms.overload_multiple * can && !p.over {
                     p.over = true;
-                    v.breaks(4, format!("{} was sent {:.1} times what it could do", l.of, sent / can));
+                    v.breaks(
+                        4,
+                        format!("{} was sent {:.1} times what it could do", l.of, sent / can),
+                    );
                 }
             }
             _ => {}
@@ -546,9 +672,11 @@
             "router-up" => {
                 routers.remove(l.text("address"));
             }
-            "delivered" => {
-                routers.entry(l.text("to")).or_default().taken.push_back(kept.seen(l.text("to"), l.t))
-            }
+            "delivered" => routers
+                .entry(l.text("to"))
+                .or_default()
+                .taken
+                .push_back(kept.seen(l.text("to"), l.t)),
             "ordered" if held_since(l, kept).is_some() => {}
             "ordered" => {
                 let r = routers.entry(l.text("from")).or_default();
@@ -564,7 +692,13 @@
                 let most = terms.ration_few + terms.ration_part * r.taken.len() as f64;
                 if r.ordered.len() as f64 > most {
                     let n = r.ordered.len();
-                    v.breaks(5, format!("{} gave {n} orders where {most:.1} are allowed", l.text("from")));
+                    v.breaks(
+                        5,
+                        format!(
+                            "{} gave {n} orders where {most:.1} are allowed",
+                            l.text("from")
+                        ),
+                    );
                 }
             }
             _ => {}
--- a/crates/audit/src/kept.rs
+++ b/crates/audit/src/kept.rs
@@ -49,7 +49,11 @@
             last.most = last.most.zip(most).map(|(a, b)| a.max(b));
             last.ended = i64::MAX;
         }
-        (true, _) => times.push(Time { began: at, ended: i64::MAX, most }),
+        (true, _) => times.push(Time {
+            began: at,
+            ended: i64::MAX,
+            most,
+        }),
         (false, Some(last)) if last.ended == i64::MAX => last.ended = at,
         (false, _) => {}
     }
@@ -68,12 +72,20 @@
                 ),
                 "link" => {
                     let link = link(l.text("from"), l.text("to"), l.text("why"));
-                    note(kept.links.entry(link).or_default(), l.t, l.flag("on"), l.number("most_us"));
+                    note(
+                        kept.links.entry(link).or_default(),
+                        l.t,
+                        l.flag("on"),
+                        l.number("most_us"),
+                    );
                 }
                 // A fresh process stands still no more.
-                "router-up" => {
-                    note(kept.paused.entry(l.text("address").to_owned()).or_default(), l.t, false, None)
-                }
+                "router-up" => note(
+                    kept.paused.entry(l.text("address").to_owned()).or_default(),
+                    l.t,
+                    false,
+                    None,
+                ),
                 _ => {}
             }
         }
@@ -81,26 +93,42 @@
     }
 
     fn times(&self, from: &str, to: &str, why: &str) -> &[Time] {
-        self.links.get(&link(from, to, why)).map_or(&[], Vec::as_slice)
+        self.links
+            .get(&link(from, to, why))
+            .map_or(&[], Vec::as_slice)
     }
 
     /// What came there at this time may have been sent since then.
     pub fn held_since(&self, from: &str, to: &str, t: i64) -> Option<i64> {
         let held = self.times(from, to, "held").iter().filter(|h| h.covers(t));
-        held.map(|h| h.most.map_or(h.began, |m| h.began.max(t - m))).min()
+        held.map(|h| h.most.map_or(h.began, |m| h.began.max(t - m)))
+            .min()
     }
 
     /// Since when the one may have hung up without the other's having seen it at this time.
     pub fn unseen_since(&self, from: &str, to: &str, t: i64) -> Option<i64> {
-        let half = self.times(from, to, "half-open").iter().filter(|h| h.covers(t)).map(|h| h.began).min();
-        [self.held_since(from, to, t), half].into_iter().flatten().min()
+        let half = self
+            .times(from, to, "half-open")
+            .iter()
+            .filter(|h| h.covers(t))
+            .map(|h| h.began)
+            .min();
+        [self.held_since(from, to, t), half]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// It could not give an answer that fell due then: it stood still, or did not reach the broker or hear it.
     pub fn kept_from_answering(&self, router: &str, due: i64, answerable: i64) -> bool {
-        let ways = [self.times(router, BROKER, "held"), self.times(BROKER, router, "held")];
+        let ways = [
+            self.times(router, BROKER, "held"),
+            self.times(BROKER, router, "held"),
+        ];
         let times = ways.into_iter().chain([self.stood_still(router)]).flatten();
-        times.into_iter().any(|h| h.began < due && h.ended.saturating_add(answerable) > due)
+        times
+            .into_iter()
+            .any(|h| h.began < due && h.ended.saturating_add(answerable) > due)
     }
 
     fn stood_still(&self, router: &str) -> &[Time] {
@@ -108,14 +136,20 @@
     }
 
     pub fn stood_still_at(&self, router: &str, t: i64) -> bool {
-        self.stood_still(router).iter().any(|p| p.began <= t && t <= p.ended)
+        self.stood_still(router)
+            .iter()
+            .any(|p| p.began <= t && t <= p.ended)
     }
 
     /// When the router has heard what the list told it then, and has had the grace without standing still.
     pub fn heard(&self, router: &str, told: i64, grace: i64) -> i64 {
         let held = self.times(LIST, router, "held").iter();
         // It came through when that was over.
-        let came = held.filter(|h| h.began <= told && told <= h.ended).map(|h| h.ended).max().unwrap_or(told);
+        let came = held
+            .filter(|h| h.began <= told && told <= h.ended)
+            .map(|h| h.ended)
+            .max()
+            .unwrap_or(told);
         // A grace that it stood still in begins again.
         let paused = self.stood_still(router).iter();
         paused
@@ -127,6 +161,9 @@
     /// When it saw what was given to it then: a router that stood still did so when it went on.
     pub fn seen(&self, router: &str, given: i64) -> i64 {
         let paused = self.stood_still(router).iter();
-        paused.filter(|p| p.began <= given && given <= p.ended).map(|p| p.ended).fold(given, i64::max)
+        paused
+            .filter(|p| p.began <= given && given <= p.ended)
+            .map(|p| p.ended)
+            .fold(given, i64::max)
     }
 }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -17,11 +17,21 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Unjudged {
     #[error("{file} cannot be read")]
-    Unread { file: String, source: std::io::Error },
+    Unread {
+        file: String,
+        source: std::io::Error,
+    },
     #[error("{file} does not hold the figures of the rules")]
-    NoTerms { file: String, source: serde_json::Error },
+    NoTerms {
+        file: String,
+        source: serde_json::Error,
+    },
     #[error("{file}:{line} is not a line of a log")]
-    NoLine { file: String, line: usize, source: serde_json::Error },
+    NoLine {
+        file: String,
+        line: usize,
+        source: serde_json::Error,
+    },
     #[error("{file}:{line} has no time")]
     NoTime { file: String, line: usize },
     #[error("{folder} has no traffic to judge")]
--- a/crates/audit/src/log.rs
+++ b/crates/audit/src/log.rs
@@ -34,7 +34,12 @@
     }
 
     pub fn texts(&self, name: &str) -> Vec<&str> {
-        self.fields[name].as_array().into_iter().flatten().filter_map(Value::as_str).collect()
+        self.fields[name]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .filter_map(Value::as_str)
+            .collect()
     }
 }
 
@@ -45,28 +50,54 @@
         move |source| Unjudged::Unread { file, source }
     };
     let mut lines = Vec::new();
-    let mut files: Vec<_> =
-        std::fs::read_dir(folder).map_err(unread(folder))?.flatten().map(|f| f.path()).collect();
+    let mut files: Vec<_> = std::fs::read_dir(folder)
+        .map_err(unread(folder))?
+        .flatten()
+        .map(|f| f.path())
+        .collect();
     files.sort();
-    for path in files.into_iter().filter(|p| p.extension().is_some_and(|e| e == "ndjson")) {
-        let of = path.file_stem().map(|s| s.to_string_lossy().into_owned()).unwrap_or_default();
-        let texts: Vec<String> =
-            BufReader::new(File::open(&path).map_err(unread(&path))?).lines().map_while(Result::ok).collect();
+    for path in files
+        .into_iter()
+        .filter(|p| p.extension().is_some_and(|e| e == "ndjson"))
+    {
+        let of = path
+            .file_stem()
+            .map(|s| s.to_string_lossy().into_owned())
+            .unwrap_or_default();
+        let texts: Vec<String> = BufReader::new(File::open(&path).map_err(unread(&path))?)
+            .lines()
+            .map_while(Result::ok)
+            .collect();
         let file = || path.display().to_string();
         for (line, text) in (1..).zip(&texts) {
             match serde_json::from_str::<Value>(text) {
                 Ok(fields) => {
-                    let t = fields["t"].as_i64().ok_or_else(|| Unjudged::NoTime { file: file(), line })?;
+                    let t = fields["t"]
+                        .as_i64()
+                        .ok_or_else(|| Unjudged::NoTime { file: file(), line })?;
                     let what = fields["what"].as_str().unwrap_or("").to_owned();
-                    lines.push(Line { t, what, of: of.clone(), fields });
+                    lines.push(Line {
+                        t,
+                        what,
+                        of: of.clone(),
+                        fields,
+                    });
                 }
                 Err(_) if line == texts.len() => {}
-                Err(source) => return Err(Unjudged::NoLine { file: file(), line, source }),
+                Err(source) => {
+                    return Err(Unjudged::NoLine {
+                        file: file(),
+                        line,
+                        source,
+                    });
+                }
             }
         }
     }
     if lines.is_empty() {
-        return Err(Unjudged::NoTraffic { folder: folder.display().to_string() });
+        return Err(Unjudged::NoTraffic {
+            folder: folder.display().to_string(),
+        });
     }
     lines.sort_by_key(|l| l.t);
     Ok(lines)
--- a/crates/audit/src/warm.rs
+++ b/crates/audit/src/warm.rs
@@ -75,7 +75,9 @@
 pub const TERMS: &str = "terms";
 
 fn model(function: &str) -> &str {
-    function.split_once("/versions/").map_or(function, |(model, _)| model)
+    function
+        .split_once("/versions/")
+        .map_or(function, |(model, _)| model)
 }
 
 /// Taken by a fault of the test's, not by an order or for want of room.
@@ -86,11 +88,17 @@
 /// No session runs on two versions of a model.
 pub fn sessions(lines: &[Line], v: &mut Verdict) {
     let mut ran: HashMap<(&str, &str), HashSet<&str>> = HashMap::new();
-    for l in lines.iter().filter(|l| l.what == "ran" && !l.text("session").is_empty()) {
+    for l in lines
+        .iter()
+        .filter(|l| l.what == "ran" && !l.text("session").is_empty())
+    {
         let (session, function) = (l.text("session"), l.text("function"));
         let versions = ran.entry((session, model(function))).or_default();
         if versions.insert(function) && versions.len() > 1 {
-            v.fails(SESSIONS, format!("session {session} ran on {function} as well, at {}", l.of));
+            v.fails(
+                SESSIONS,
+                format!("session {session} ran on {function} as well, at {}", l.of),
+            );
         }
     }
     v.sessions = ran.len() as u64;
@@ -99,7 +107,10 @@
 /// Orders of one term about one model are of one router.
 pub fn one_planner(lines: &[Line], v: &mut Verdict) {
     let mut planners: HashMap<(&str, &str), HashSet<&str>> = HashMap::new();
-    for l in lines.iter().filter(|l| matches!(l.what.as_str(), "ordered" | "unloaded")) {
+    for l in lines
+        .iter()
+        .filter(|l| matches!(l.what.as_str(), "ordered" | "unloaded"))
+    {
         let (router, term, model) = (l.text("router"), l.text("term"), model(l.text("function")));
         if router.is_empty() || term.is_empty() {
             continue;
@@ -186,13 +197,19 @@
         // A router knows of an answer once it has given it on.
         let before = |a: &&Answered| a.told <= came;
         let all = self.sessions.get(id).and_then(known);
-        let Some(last) = all.and_then(|all| all.iter().rev().find(before)).filter(|a| !a.ends) else {
+        let Some(last) = all
+            .and_then(|all| all.iter().rev().find(before))
+            .filter(|a| !a.ends)
+        else {
             return (Why::OutOfTurn, "");
         };
         // It went where it should. What is not found there was let go by the session's last turn.
         let stays = last.worker == l.of;
         let of = |function| self.copies.get(&(last.worker, function));
-        let gone = [of(""), of(function)].into_iter().flatten().filter_map(|c| c.gone);
+        let gone = [of(""), of(function)]
+            .into_iter()
+            .flatten()
+            .filter_map(|c| c.gone);
         let copy = of(function);
         let why = if let Some(gone) = gone.filter(|(t, _)| *t > last.at).max() {
             gone.1
@@ -235,16 +252,23 @@
         let (router, id) = (l.text("from"), id_of(l.text("id")));
         let since = came.get(&(router, id)).copied().unwrap_or(l.t);
         let until = answered.get(id).copied().unwrap_or(i64::MAX);
-        work.entry((router, &*l.of)).or_default().push((id, since, until));
+        work.entry((router, &*l.of))
+            .or_default()
+            .push((id, since, until));
     }
     (work, answered)
 }
 
 pub fn prefixes(lines: &[Line], kept: &Kept, v: &mut Verdict) {
     let (work, told) = work(lines);
-    let mut it = Prefixed { work, told, ..Prefixed::default() };
+    let mut it = Prefixed {
+        work,
+        told,
+        ..Prefixed::default()
+    };
     for l in lines.iter().filter(|l| l.what == "prefix") {
-        it.sessions.insert(id_of(l.text("id")), (l.text("session"), l.flag("end")));
+        it.sessions
+            .insert(id_of(l.text("id")), (l.text("session"), l.flag("end")));
     }
     for l in lines {
         let (worker, function, id) = (l.of.as_str(), l.text("function"), id_of(l.text("id")));
@@ -270,16 +294,35 @@
                 it.why.insert((worker, id), (why, wanted));
                 it.tried.insert((worker, id));
                 it.out.insert(dispatch, function);
-                it.copies.entry((worker, function)).or_default().takes(l.t, 1);
+                it.copies
+                    .entry((worker, function))
+                    .or_default()
+                    .takes(l.t, 1);
             }
             "left" => {
-                let Some(function) = it.out.remove(&dispatch) else { continue };
-                it.copies.entry((worker, function)).or_default().takes(l.t, -1);
-                if let Some((session, ends)) = it.sessions.get(id).filter(|_| l.text("how") == "answered") {
+                let Some(function) = it.out.remove(&dispatch) else {
+                    continue;
+                };
+                it.copies
+                    .entry((worker, function))
+                    .or_default()
+                    .takes(l.t, -1);
+                if let Some((session, ends)) =
+                    it.sessions.get(id).filter(|_| l.text("how") == "answered")
+                {
                     let told = it.told.get(id).copied().unwrap_or(i64::MAX);
                     let (at, router, ends) = (l.t, l.text("from"), *ends);
-                    let answered = Answered { at, told, worker, router, ends };
-                    it.answered.entry((session, function)).or_default().push(answered);
+                    let answered = Answered {
+                        at,
+                        told,
+                        worker,
+                        router,
+                        ends,
+                    };
+                    it.answered
+                        .entry((session, function))
+                        .or_default()
+                        .push(answered);
                 }
             }
             "prefix" => match l.text("how") {
@@ -291,7 +334,9 @@
                     let (why, wanted) = why.unwrap_or((Why::OutOfTurn, ""));
                     *v.prefixes.by.entry(why).or_default() += 1;
                     if why == Why::Astray && v.prefixes.astray.len() < TOLD {
-                        v.prefixes.astray.push(format!("{id} at {worker}, not {wanted}"));
+                        v.prefixes
+                            .astray
+                            .push(format!("{id} at {worker}, not {wanted}"));
                     }
                 }
             },
@@ -323,7 +368,11 @@
 
     fn comes(&mut self, lanes: i64) {
         self.lanes += lanes;
-        if !self.holds && self.lowest.is_none() && self.floor > 0.0 && self.lanes as f64 >= self.floor {
+        if !self.holds
+            && self.lowest.is_none()
+            && self.floor > 0.0
+            && self.lanes as f64 >= self.floor
+        {
             self.holds_from_now(self.floor);
         }
     }
@@ -339,8 +388,12 @@
             return None;
         }
         self.lowest = self.lowest.map(|n| n.min(self.lanes));
-        let unknown =
-            self.taken.iter().filter(|(t, _)| l.t - t < known_us).map(|(_, lanes)| lanes).sum::<i64>();
+        let unknown = self
+            .taken
+            .iter()
+            .filter(|(t, _)| l.t - t < known_us)
+            .map(|(_, lanes)| lanes)
+            .sum::<i64>();
         match is_taken(l) {
             true => *lost += u64::from(self.falls_short(self.lanes) && !self.falls_short(before)),
             false if self.falls_short(self.lanes + unknown) => {
@@ -372,14 +425,19 @@
             "loaded" if l.flag("stands") => {
                 let lanes = l.number("lanes").unwrap_or(1);
                 let before = stands.insert((worker, function), lanes).unwrap_or(0);
-                all.entry((region(worker), model(function))).or_default().comes(lanes - before);
+                all.entry((region(worker), model(function)))
+                    .or_default()
+                    .comes(lanes - before);
             }
             "unloaded" | "evicted" | "down" | "fell" => {
-                let of = |k: &(&str, &str)| k.0 == worker && (function.is_empty() || k.1 == function);
+                let of =
+                    |k: &(&str, &str)| k.0 == worker && (function.is_empty() || k.1 == function);
                 for (key, lanes) in stands.extract_if(.., |k, _| of(k)) {
                     let place = (region(worker), model(key.1));
                     let standing = all.entry(place).or_default();
-                    if let Some(why) = standing.goes(l, lanes, terms.floor_known_us, &mut v.floor_lost) {
+                    if let Some(why) =
+                        standing.goes(l, lanes, terms.floor_known_us, &mut v.floor_lost)
+                    {
                         v.fails(FLOOR, format!("{} in {:?}: {why}", place.1, place.0));
                     }
                 }
@@ -400,8 +458,12 @@
     }
     for ((region, model), s) in all {
         if let Some(lowest) = s.lowest.filter(|_| s.floor > 0.0) {
-            let stood = Stood { floor: s.floor, lowest: lowest.max(0) as u64 };
-            v.floors.insert(format!("{model} {region}").trim_end().to_owned(), stood);
+            let stood = Stood {
+                floor: s.floor,
+                lowest: lowest.max(0) as u64,
+            };
+            v.floors
+                .insert(format!("{model} {region}").trim_end().to_owned(), stood);
         }
     }
 }
--- a/crates/audit/tests/judged.rs
+++ b/crates/audit/tests/judged.rs
@@ -27,8 +27,7 @@
     ];
     for (number, dispatch) in [first, second].into_iter().enumerate() {
         let merged = |what: &str, part: &str| {
-            let mut line =
-                json!({"what": what, "id": "i1", "from": "127.0.10.1", "dispatch": number.to_string()});
+            let mut line = json!({"what": what, "id": "i1", "from": "127.0.10.1", "dispatch": number.to_string()});
             for (name, value) in dispatch[part].as_object().into_iter().flatten() {
                 line[name] = value.clone();
             }
@@ -60,13 +59,21 @@
     // Its router timed it out; the worker behind the cut went on.
     let behind = |since: i64| json!({"came": {"t": 1_100_000}, "went": {"t": 3_000_000, "how": "answered", "unseen_since": since}});
     let second = json!({"came": {"t": 1_500_000}, "went": {"t": 1_600_000, "how": "answered"}});
-    assert_eq!(judged("hidden", behind(1_200_000), second.clone()).rules["2"], 0);
-    assert_eq!(judged("before-the-cut", behind(2_400_000), second).rules["2"], 1);
+    assert_eq!(
+        judged("hidden", behind(1_200_000), second.clone()).rules["2"],
+        0
+    );
+    assert_eq!(
+        judged("before-the-cut", behind(2_400_000), second).rules["2"],
+        1
+    );
     // A second one that the cut held back may have been sent before the first.
     let long = |at: i64| json!({"came": {"t": at}, "went": {"t": 3_900_000, "how": "answered"}});
-    let held =
-        json!({"came": {"t": 2_000_000, "held_since": 1_400_000}, "went": {"t": 2_100_000, "how": "repeat"}});
-    assert_eq!(judged("held-back", long(1_600_000), held.clone()).rules["2"], 0);
+    let held = json!({"came": {"t": 2_000_000, "held_since": 1_400_000}, "went": {"t": 2_100_000, "how": "repeat"}});
+    assert_eq!(
+        judged("held-back", long(1_600_000), held.clone()).rules["2"],
+        0
+    );
     assert_eq!(judged("out-all-along", long(1_100_000), held).rules["2"], 1);
 }
 
@@ -76,10 +83,16 @@
     let first = json!({"came": {"t": 1_100_000}, "went": {"t": 1_200_000, "how": "answered"}});
     // The answer leaves at 4 s.
     let late = |since: Value| json!({"came": {"t": 5_000_000, "held_since": since}, "went": {"t": 5_100_000, "how": "repeat"}});
-    for (name, since, broken) in
-        [("cut-before", json!(3_000_000), 0), ("cut-after", json!(4_900_000), 1), ("no-cut", Value::Null, 1)]
-    {
-        assert_eq!(judged(name, first.clone(), late(since)).rules["1"], broken, "{name}");
+    for (name, since, broken) in [
+        ("cut-before", json!(3_000_000), 0),
+        ("cut-after", json!(4_900_000), 1),
+        ("no-cut", Value::Null, 1),
+    ] {
+        assert_eq!(
+            judged(name, first.clone(), late(since)).rules["1"],
+            broken,
+            "{name}"
+        );
     }
 }
 
@@ -98,18 +111,40 @@
 fn a_link_that_the_rig_holds_hides_what_a_cut_hides() {
     let first = json!({"came": {"t": 1_100_000}, "went": {"t": 3_000_000, "how": "answered"}});
     let second = json!({"came": {"t": 1_500_000}, "went": {"t": 1_600_000, "how": "answered"}});
-    let broken =
-        |name: &str, cut: Vec<Value>| judged_with(name, first.clone(), second.clone(), cut).rules["2"];
+    let broken = |name: &str, cut: Vec<Value>| {
+        judged_with(name, first.clone(), second.clone(), cut).rules["2"]
+    };
     assert_eq!(broken("rig-none", Vec::new()), 1);
-    assert_eq!(broken("rig-hidden", vec![link(1_200_000, ROUTER, "worker-00", true)]), 0);
-    assert_eq!(broken("rig-back", vec![link(1_200_000, "worker-00", ROUTER, true)]), 1);
-    assert_eq!(broken("rig-other", vec![link(1_200_000, ROUTER, "worker-01", true)]), 1);
-    let short = vec![link(1_200_000, ROUTER, "worker-00", true), link(1_300_000, ROUTER, "worker-00", false)];
+    assert_eq!(
+        broken(
+            "rig-hidden",
+            vec![link(1_200_000, ROUTER, "worker-00", true)]
+        ),
+        0
+    );
+    assert_eq!(
+        broken("rig-back", vec![link(1_200_000, "worker-00", ROUTER, true)]),
+        1
+    );
+    assert_eq!(
+        broken(
+            "rig-other",
+            vec![link(1_200_000, ROUTER, "worker-01", true)]
+        ),
+        1
+    );
+    let short = vec![
+        link(1_200_000, ROUTER, "worker-00", true),
+        link(1_300_000, ROUTER, "worker-00", false),
+    ];
     assert_eq!(broken("rig-ended", short), 1);
     // After the answer at 4 s.
     let late = json!({"came": {"t": 5_000_000}, "went": {"t": 5_100_000, "how": "repeat"}});
     let after = |name: &str, began: i64, ended: i64| {
-        let cut = vec![link(began, ROUTER, "worker-00", true), link(ended, ROUTER, "worker-00", false)];
+        let cut = vec![
+            link(began, ROUTER, "worker-00", true),
+            link(ended, ROUTER, "worker-00", false),
+        ];
         judged_with(name, second.clone(), late.clone(), cut).rules["1"]
     };
     assert_eq!(after("rig-after", 3_000_000, 4_950_000), 0);
@@ -137,20 +172,53 @@
     let judged = |name: &str, more: Vec<Value>| told(name, vec![answer.clone()], more);
     let called = |name: &str, more: Vec<Value>| told(name, Vec::new(), more);
     assert_eq!(judged("late", Vec::new()), (1, 0));
-    assert_eq!(judged("late-paused", vec![paused(7_000_000, true), paused(11_900_000, false)]), (0, 1));
-    assert_eq!(judged("late-after", vec![paused(7_000_000, true), paused(8_500_000, false)]), (1, 0));
-    assert_eq!(judged("late-before", vec![paused(9_100_000, true), paused(11_900_000, false)]), (1, 0));
+    assert_eq!(
+        judged(
+            "late-paused",
+            vec![paused(7_000_000, true), paused(11_900_000, false)]
+        ),
+        (0, 1)
+    );
+    assert_eq!(
+        judged(
+            "late-after",
+            vec![paused(7_000_000, true), paused(8_500_000, false)]
+        ),
+        (1, 0)
+    );
+    assert_eq!(
+        judged(
+            "late-before",
+            vec![paused(9_100_000, true), paused(11_900_000, false)]
+        ),
+        (1, 0)
+    );
     for (from, to) in [(ROUTER, "broker"), ("broker", ROUTER)] {
-        let cut = vec![link(7_000_000, from, to, true), link(11_900_000, from, to, false)];
+        let cut = vec![
+            link(7_000_000, from, to, true),
+            link(11_900_000, from, to, false),
+        ];
         assert_eq!(judged("late-cut", cut), (0, 1));
     }
     // A caller's, who listened for a second more.
     let lost = |at: i64| json!({"t": at, "what": "lost", "id": "i1", "to": ROUTER});
     assert_eq!(called("lost", vec![lost(10_000_000)]), (1, 0));
-    let stood = |until: i64| vec![paused(7_000_000, true), paused(until, false), lost(10_000_000)];
+    let stood = |until: i64| {
+        vec![
+            paused(7_000_000, true),
+            paused(until, false),
+            lost(10_000_000),
+        ]
+    };
     assert_eq!(called("lost-paused", stood(9_900_000)), (0, 1));
     assert_eq!(called("lost-after", stood(9_500_000)), (1, 0));
-    assert_eq!(judged("late-elsewhere", vec![link(7_000_000, ROUTER, "worker-00", true)]), (1, 0));
+    assert_eq!(
+        judged(
+            "late-elsewhere",
+            vec![link(7_000_000, ROUTER, "worker-00", true)]
+        ),
+        (1, 0)
+    );
 }
 
 /// Told at 2 s with a grace of half a second; the dispatch at 4 s breaks the rule, unless it was heard later.
@@ -167,10 +235,33 @@
         judged_with(name, once, late, lines).rules["3"]
     };
     assert_eq!(broken("drain", Vec::new()), 1);
-    assert_eq!(broken("drain-paused", vec![paused(2_200_000, true), paused(3_800_000, false)]), 0);
-    assert_eq!(broken("drain-earlier", vec![paused(2_200_000, true), paused(3_000_000, false)]), 1);
-    assert_eq!(broken("drain-later", vec![paused(2_700_000, true), paused(3_800_000, false)]), 1);
-    let cut = |ended: i64| vec![link(1_900_000, "list", ROUTER, true), link(ended, "list", ROUTER, false)];
+    assert_eq!(
+        broken(
+            "drain-paused",
+            vec![paused(2_200_000, true), paused(3_800_000, false)]
+        ),
+        0
+    );
+    assert_eq!(
+        broken(
+            "drain-earlier",
+            vec![paused(2_200_000, true), paused(3_000_000, false)]
+        ),
+        1
+    );
+    assert_eq!(
+        broken(
+            "drain-later",
+            vec![paused(2_700_000, true), paused(3_800_000, false)]
+        ),
+        1
+    );
+    let cut = |ended: i64| {
+        vec![
+            link(1_900_000, "list", ROUTER, true),
+            link(ended, "list", ROUTER, false),
+        ]
+    };
     assert_eq!(broken("drain-unheard", cut(3_800_000)), 0);
     assert_eq!(broken("drain-heard", cut(3_000_000)), 1);
 }
--- a/crates/audit/tests/warm.rs
+++ b/crates/audit/tests/warm.rs
@@ -42,7 +42,10 @@
 #[test]
 fn a_session_on_two_versions_of_a_model_is_seen() {
     let broken = |name: &str, second: (&str, &str)| {
-        let lines = [("w0", ran("s1", "m:1/versions/1")), ("w1", ran(second.0, second.1))];
+        let lines = [
+            ("w0", ran("s1", "m:1/versions/1")),
+            ("w1", ran(second.0, second.1)),
+        ];
         let v = judged(name, json!({}), &lines);
         assert_eq!(v.broken(), v.promises["sessions"]);
         (v.promises["sessions"], v.sessions)
@@ -62,13 +65,28 @@
         judged(name, json!({}), &[("w0", first), ("w1", second)]).promises["terms"]
     };
     let one = |function, router, term| order("ordered", function, router, term);
-    assert_eq!(broken("two-planners", one("m:1/versions/2", Some("r1"), Some("7"))), 1);
+    assert_eq!(
+        broken("two-planners", one("m:1/versions/2", Some("r1"), Some("7"))),
+        1
+    );
     let unloads = order("unloaded", "m:1/versions/1", Some("r1"), Some("7"));
     assert_eq!(broken("an-unload", unloads), 1);
-    assert_eq!(broken("next-term", one("m:1/versions/2", Some("r1"), Some("8"))), 0);
-    assert_eq!(broken("same-planner", one("m:1/versions/2", Some("r0"), Some("7"))), 0);
-    assert_eq!(broken("other-model", one("m:2/versions/2", Some("r1"), Some("7"))), 0);
-    assert_eq!(broken("no-plan", one("m:1/versions/2", Some("r1"), None)), 0);
+    assert_eq!(
+        broken("next-term", one("m:1/versions/2", Some("r1"), Some("8"))),
+        0
+    );
+    assert_eq!(
+        broken("same-planner", one("m:1/versions/2", Some("r0"), Some("7"))),
+        0
+    );
+    assert_eq!(
+        broken("other-model", one("m:2/versions/2", Some("r1"), Some("7"))),
+        0
+    );
+    assert_eq!(
+        broken("no-plan", one("m:1/versions/2", Some("r1"), None)),
+        0
+    );
 }
 
 /// A turn comes to a router, goes to a worker and is answered there, or is not.
@@ -88,7 +106,10 @@
         ("broker", told),
     ];
     // What is not met there did not run.
-    lines.into_iter().filter(|(_, l)| l["what"] != "prefix" || !how.is_empty()).collect()
+    lines
+        .into_iter()
+        .filter(|(_, l)| l["what"] != "prefix" || !how.is_empty())
+        .collect()
 }
 
 #[test]
@@ -99,47 +120,104 @@
         lines.extend(between);
         lines.extend(turn("w1", "z", "rebuilt", false, "answered"));
         let p = judged(name, json!({}), &lines).prefixes;
-        assert_eq!((p.begun, p.rebuilt, p.by.len(), p.by.values().sum::<u64>()), (1, 1, 1, 1));
-        assert_eq!(p.astray, Vec::from_iter((p.why(Why::Astray) > 0).then(|| "z at w1, not w0".to_owned())));
+        assert_eq!(
+            (p.begun, p.rebuilt, p.by.len(), p.by.values().sum::<u64>()),
+            (1, 1, 1, 1)
+        );
+        assert_eq!(
+            p.astray,
+            Vec::from_iter((p.why(Why::Astray) > 0).then(|| "z at w1, not w0".to_owned()))
+        );
         p.by.into_keys().next().expect("one")
     };
-    let evicted = |function: &str, why: &str| json!({"what": "evicted", "function": function, "why": why});
-    let held =
-        json!({"what": "link", "from": "127.0.10.1", "to": "w0", "why": "held", "on": true, "most_us": null});
+    let evicted =
+        |function: &str, why: &str| json!({"what": "evicted", "function": function, "why": why});
+    let held = json!({"what": "link", "from": "127.0.10.1", "to": "w0", "why": "held", "on": true, "most_us": null});
     assert_eq!(of("gave-up", vec![]), Why::Astray);
     assert_eq!(of("died", vec![("w0", json!({"what": "down"}))]), Why::Died);
-    assert_eq!(of("another-died", vec![("w2", json!({"what": "down"}))]), Why::Astray);
-    assert_eq!(of("was-evicted", vec![("w0", evicted("m:1", "unseen"))]), Why::Died);
-    assert_eq!(of("another-evicted", vec![("w0", evicted("m:2", "unseen"))]), Why::Astray);
-    assert_eq!(of("for-room", vec![("w0", evicted("m:1", "room"))]), Why::Room);
-    assert_eq!(of("unloaded", vec![("w0", json!({"what": "unloaded", "function": "m:1"}))]), Why::Unloaded);
+    assert_eq!(
+        of("another-died", vec![("w2", json!({"what": "down"}))]),
+        Why::Astray
+    );
+    assert_eq!(
+        of("was-evicted", vec![("w0", evicted("m:1", "unseen"))]),
+        Why::Died
+    );
+    assert_eq!(
+        of("another-evicted", vec![("w0", evicted("m:2", "unseen"))]),
+        Why::Astray
+    );
+    assert_eq!(
+        of("for-room", vec![("w0", evicted("m:1", "room"))]),
+        Why::Room
+    );
+    assert_eq!(
+        of(
+            "unloaded",
+            vec![("w0", json!({"what": "unloaded", "function": "m:1"}))]
+        ),
+        Why::Unloaded
+    );
     let again = [("w0", evicted("m:1", "room")), ("w0", loaded("m:1"))];
     assert_eq!(of("loaded-again", again.to_vec()), Why::Room);
     assert_eq!(of("cut-off", vec![("day", held.clone())]), Why::Cut);
-    assert_eq!(of("cut-off-and-died", vec![("day", held), ("w0", json!({"what": "down"}))]), Why::Died);
-    assert_eq!(of("ended", turn("w0", "b", "found", true, "answered")), Why::OutOfTurn);
+    assert_eq!(
+        of(
+            "cut-off-and-died",
+            vec![("day", held), ("w0", json!({"what": "down"}))]
+        ),
+        Why::Died
+    );
+    assert_eq!(
+        of("ended", turn("w0", "b", "found", true, "answered")),
+        Why::OutOfTurn
+    );
     // Lines of two others that the same router has out there, of another function.
     let other = |id: &str| {
         [
-            ("broker", json!({"what": "delivered", "id": id, "to": "127.0.10.1"})),
-            ("w0", json!({"what": "received", "id": id, "function": "m:2", "from": "127.0.10.1"})),
+            (
+                "broker",
+                json!({"what": "delivered", "id": id, "to": "127.0.10.1"}),
+            ),
+            (
+                "w0",
+                json!({"what": "received", "id": id, "function": "m:2", "from": "127.0.10.1"}),
+            ),
         ]
     };
     assert_eq!(of("one-other", other("x").to_vec()), Why::Astray);
-    assert_eq!(of("two-others", [other("x"), other("y")].concat()), Why::Crowded);
-    let over = ("broker", json!({"what": "published", "id": "x", "fate": "succeeded"}));
     assert_eq!(
-        of("two-others-one-over", [&other("x")[..], &other("y"), std::slice::from_ref(&over)].concat()),
+        of("two-others", [other("x"), other("y")].concat()),
+        Why::Crowded
+    );
+    let over = (
+        "broker",
+        json!({"what": "published", "id": "x", "fate": "succeeded"}),
+    );
+    assert_eq!(
+        of(
+            "two-others-one-over",
+            [&other("x")[..], &other("y"), std::slice::from_ref(&over)].concat()
+        ),
         Why::Astray
     );
     // The copy has two lanes.
     let one = |id| turn("w0", id, "", false, "").into_iter().take(2);
     assert_eq!(of("one-lane-taken", one("x").collect()), Why::Astray);
-    assert_eq!(of("all-lanes-taken", one("x").chain(one("y")).collect()), Why::Busy);
+    assert_eq!(
+        of("all-lanes-taken", one("x").chain(one("y")).collect()),
+        Why::Busy
+    );
     let free = json!({"what": "left", "id": "x", "how": "answered"});
-    let freed = one("x").chain(one("y")).chain([("w0", free), over]).collect();
+    let freed = one("x")
+        .chain(one("y"))
+        .chain([("w0", free), over])
+        .collect();
     assert_eq!(of("a-lane-was-free-again", freed), Why::Astray);
-    assert_eq!(of("refused", turn("w0", "z", "", false, "refused")), Why::Tried);
+    assert_eq!(
+        of("refused", turn("w0", "z", "", false, "refused")),
+        Why::Tried
+    );
 }
 
 #[test]
@@ -152,15 +230,28 @@
         let p = judged(name, json!({}), &lines).prefixes;
         (p.why(Why::OutOfTurn), p.astray)
     };
-    assert_eq!(of("moved", "answered", "answered"), (0, vec!["z at w2, not w1".to_owned()]));
-    assert_eq!(of("moved-unanswered", "answered", "closed"), (0, vec!["z at w2, not w0".to_owned()]));
+    assert_eq!(
+        of("moved", "answered", "answered"),
+        (0, vec!["z at w2, not w1".to_owned()])
+    );
+    assert_eq!(
+        of("moved-unanswered", "answered", "closed"),
+        (0, vec!["z at w2, not w0".to_owned()])
+    );
     assert_eq!(of("never-answered", "closed", "closed"), (1, vec![]));
     let mut lines = vec![("w0", loaded("m:1"))];
     lines.extend(turn("w0", "a", "begun", false, "answered"));
     let mut after = turn("w1", "z", "rebuilt", false, "answered");
-    after.iter_mut().for_each(|(_, l)| l["from"] = "127.0.10.2".into());
+    after
+        .iter_mut()
+        .for_each(|(_, l)| l["from"] = "127.0.10.2".into());
     lines.extend(after);
-    assert_eq!(judged("another-router", json!({}), &lines).prefixes.why(Why::Elsewhere), 1);
+    assert_eq!(
+        judged("another-router", json!({}), &lines)
+            .prefixes
+            .why(Why::Elsewhere),
+        1
+    );
 }
 
 fn loaded(function: &str) -> Value {
@@ -187,39 +278,92 @@
     let half = json!({"floor_part": 0.75});
     let of = |name: &str, then: &[(&str, Value)]| {
         let v = upgraded(name, half.clone(), then);
-        (v.promises["floor"], v.floor_lost, v.floors["m:1 east"].lowest)
+        (
+            v.promises["floor"],
+            v.floor_lost,
+            v.floors["m:1 east"].lowest,
+        )
     };
     let unloads = |w: &'static str| (w, gone("unloaded", OLD, ""));
     assert_eq!(of("none", &[]), (0, 0, 4));
     assert_eq!(of("too-early", &[unloads("w0")]), (1, 0, 2));
     assert_eq!(
-        of("in-turn", &[("w0", loaded(NEW)), unloads("w0"), ("w1", loaded(NEW)), unloads("w1")]),
+        of(
+            "in-turn",
+            &[
+                ("w0", loaded(NEW)),
+                unloads("w0"),
+                ("w1", loaded(NEW)),
+                unloads("w1")
+            ]
+        ),
         (0, 0, 4)
     );
     // What is loaded elsewhere, or of another model, is no help.
-    assert_eq!(of("elsewhere", &[("w2", loaded(NEW)), unloads("w0")]), (1, 0, 2));
-    assert_eq!(of("another", &[("w0", loaded("m:2")), unloads("w0")]), (1, 0, 2));
     assert_eq!(
-        of("failed", &[("w0", json!({"what": "loaded", "function": NEW, "stands": false})), unloads("w0")]),
+        of("elsewhere", &[("w2", loaded(NEW)), unloads("w0")]),
+        (1, 0, 2)
+    );
+    assert_eq!(
+        of("another", &[("w0", loaded("m:2")), unloads("w0")]),
+        (1, 0, 2)
+    );
+    assert_eq!(
+        of(
+            "failed",
+            &[
+                (
+                    "w0",
+                    json!({"what": "loaded", "function": NEW, "stands": false})
+                ),
+                unloads("w0")
+            ]
+        ),
+        (1, 0, 2)
+    );
+    assert_eq!(
+        of("for-want-of-room", &[("w0", gone("evicted", OLD, "room"))]),
         (1, 0, 2)
     );
-    assert_eq!(of("for-want-of-room", &[("w0", gone("evicted", OLD, "room"))]), (1, 0, 2));
     // A fault's doing is no break, but what is taken after it is.
-    assert_eq!(of("unseen", &[("w0", gone("evicted", OLD, "unseen"))]), (0, 1, 2));
+    assert_eq!(
+        of("unseen", &[("w0", gone("evicted", OLD, "unseen"))]),
+        (0, 1, 2)
+    );
     assert_eq!(of("dead", &[("w0", json!({"what": "down"}))]), (0, 1, 2));
-    assert_eq!(of("dead-and-more", &[("w0", json!({"what": "down"})), unloads("w1")]), (1, 1, 0));
+    assert_eq!(
+        of(
+            "dead-and-more",
+            &[("w0", json!({"what": "down"})), unloads("w1")]
+        ),
+        (1, 1, 0)
+    );
     let over = ("day", json!({"what": "upgrade-over", "models": ["m:1"]}));
     assert_eq!(of("over", &[over, unloads("w0")]), (0, 0, 4));
     let second = ("day", json!({"what": "upgrade", "models": ["m:1"]}));
-    assert_eq!(of("second-order", &[("w0", loaded(NEW)), second, unloads("w0"), unloads("w1")]), (1, 0, 2));
+    assert_eq!(
+        of(
+            "second-order",
+            &[("w0", loaded(NEW)), second, unloads("w0"), unloads("w1")]
+        ),
+        (1, 0, 2)
+    );
 }
 
 #[test]
 fn a_loss_that_nobody_can_know_of_yet_is_no_break_of_the_one_that_orders() {
     let evicted = ("w0", gone("evicted", NEW, "unseen"));
-    let then = [("w0", loaded(NEW)), evicted, ("w1", gone("unloaded", OLD, ""))];
+    let then = [
+        ("w0", loaded(NEW)),
+        evicted,
+        ("w1", gone("unloaded", OLD, "")),
+    ];
     let of = |name: &str, known_us: i64| {
-        let v = upgraded(name, json!({"floor_part": 1.0, "floor_known_us": known_us}), &then);
+        let v = upgraded(
+            name,
+            json!({"floor_part": 1.0, "floor_known_us": known_us}),
+            &then,
+        );
         (v.promises["floor"], v.floor_lost)
     };
     assert_eq!(of("known-at-once", 0), (1, 0));
@@ -229,10 +373,17 @@
 
 #[test]
 fn a_floor_in_lanes_holds_from_when_it_is_reached() {
-    let floor = |lanes: u32| json!({"floors": [{"region": "east", "model": "m:1", "lanes": lanes}]});
+    let floor =
+        |lanes: u32| json!({"floors": [{"region": "east", "model": "m:1", "lanes": lanes}]});
     let of = |name: &str, lanes: u32| {
-        let then = [("w0", gone("unloaded", OLD, "")), ("w1", gone("unloaded", OLD, ""))];
+        let then = [
+            ("w0", gone("unloaded", OLD, "")),
+            ("w1", gone("unloaded", OLD, "")),
+        ];
         upgraded(name, floor(lanes), &then).promises["floor"]
     };
-    assert_eq!((of("lanes-6", 6), of("lanes-4", 4), of("lanes-2", 2)), (0, 2, 1));
+    assert_eq!(
+        (of("lanes-6", 6), of("lanes-4", 4), of("lanes-2", 2)),
+        (0, 2, 1)
+    );
 }
--- a/crates/benchlink/src/codec.rs
+++ b/crates/benchlink/src/codec.rs
@@ -15,11 +15,17 @@
 }
 
 fn misread(what: &'static str, value: &str) -> Refused {
-    Refused::Misread { what, value: value.to_owned() }
+    Refused::Misread {
+        what,
+        value: value.to_owned(),
+    }
 }
 
 pub fn unknown(what: &'static str, word: &str) -> Refused {
-    Refused::Unknown { what, word: word.to_owned() }
+    Refused::Unknown {
+        what,
+        word: word.to_owned(),
+    }
 }
 
 /// The values of one line, in order.
@@ -72,7 +78,11 @@
     }
 
     pub fn end(mut self) -> Result<()> {
-        if self.0.next().is_some() { Err(Refused::TooMany) } else { Ok(()) }
+        if self.0.next().is_some() {
+            Err(Refused::TooMany)
+        } else {
+            Ok(())
+        }
     }
 }
 
@@ -143,7 +153,9 @@
         return Ok(report);
     }
     for pair in text.split(',') {
-        let (name, value) = pair.split_once(':').ok_or_else(|| misread("report", pair))?;
+        let (name, value) = pair
+            .split_once(':')
+            .ok_or_else(|| misread("report", pair))?;
         let value: f64 = value.parse().map_err(|_| misread("report", pair))?;
         ReportField::tell(&mut report, fields, name, value);
     }
@@ -161,8 +173,17 @@
 pub fn write(out: &mut Vec<u8>, router: u32, action: &Action, names: &impl Names) -> Result<()> {
     let nanos = |t: Micros| t.saturating_mul(NANOS_PER_MICRO);
     match *action {
-        Action::Dispatch { inv, worker, time_out } => {
-            write!(out, "try {router} {} {} ", names.inv(inv)?, names.worker(worker)?)?;
+        Action::Dispatch {
+            inv,
+            worker,
+            time_out,
+        } => {
+            write!(
+                out,
+                "try {router} {} {} ",
+                names.inv(inv)?,
+                names.worker(worker)?
+            )?;
             // Nothing left must expire at once: a zero would mean no limit.
             match time_out {
                 None => writeln!(out, "-")?,
@@ -181,14 +202,26 @@
             }
         }
         Action::Error { inv } => writeln!(out, "drop_request {router} {}", names.inv(inv)?)?,
-        Action::Order { worker, func, copies } => {
-            writeln!(out, "pin_up {router} {} {} {copies}", names.worker(worker)?, names.func(func)?)?
-        }
-        Action::Unload { worker, func } => {
-            writeln!(out, "take_down {router} {} {}", names.worker(worker)?, names.func(func)?)?
-        }
+        Action::Order {
+            worker,
+            func,
+            copies,
+        } => writeln!(
+            out,
+            "pin_up {router} {} {} {copies}",
+            names.worker(worker)?,
+            names.func(func)?
+        )?,
+        Action::Unload { worker, func } => writeln!(
+            out,
+            "take_down {router} {} {}",
+            names.worker(worker)?,
+            names.func(func)?
+        )?,
         Action::Probe { worker } => writeln!(out, "test {router} {}", names.worker(worker)?)?,
-        Action::Timer { token, after } => writeln!(out, "sleep {router} {token} {}", nanos(after.max(0)))?,
+        Action::Timer { token, after } => {
+            writeln!(out, "sleep {router} {token} {}", nanos(after.max(0)))?
+        }
         Action::AskList { follow: true } => writeln!(out, "listen {router} 1")?,
         Action::AskList { follow: false } => writeln!(out, "query_all {router}")?,
         Action::Forget { .. } => {}
--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -30,13 +30,22 @@
 
 impl Names for Instance {
     fn inv(&self, ix: InvIx) -> Result<&str> {
-        self.invs.id(ix).map(String::as_str).ok_or(Refused::Unnamed { what: "invocation" })
+        self.invs
+            .id(ix)
+            .map(String::as_str)
+            .ok_or(Refused::Unnamed { what: "invocation" })
     }
     fn func(&self, ix: FnIx) -> Result<&str> {
-        self.funcs.id(ix).map(String::as_str).ok_or(Refused::Unnamed { what: "function" })
+        self.funcs
+            .id(ix)
+            .map(String::as_str)
+            .ok_or(Refused::Unnamed { what: "function" })
     }
     fn worker(&self, ix: WorkerIx) -> Result<&str> {
-        self.workers.id(ix).map(String::as_str).ok_or(Refused::Unnamed { what: "worker" })
+        self.workers
+            .id(ix)
+            .map(String::as_str)
+            .ok_or(Refused::Unnamed { what: "worker" })
     }
 }
 
@@ -61,7 +70,9 @@
             codec::write(reply, router, action, self)?;
             match *action {
                 Action::Dispatch { inv, .. } => self.open[inv as usize].out += 1,
-                Action::Throttle { inv, .. } | Action::Error { inv } => self.open[inv as usize].ended = true,
+                Action::Throttle { inv, .. } | Action::Error { inv } => {
+                    self.open[inv as usize].ended = true
+                }
                 _ => {}
             }
         }
@@ -87,12 +98,17 @@
     }
 
     fn known_worker(&self, id: &str) -> Result<WorkerIx> {
-        self.workers.find(id).ok_or_else(|| Refused::Unlisted { id: id.to_owned() })
+        self.workers
+            .find(id)
+            .ok_or_else(|| Refused::Unlisted { id: id.to_owned() })
     }
 }
 
 fn out_of_place(word: &str, place: &'static str) -> Refused {
-    Refused::OutOfPlace { word: word.to_owned(), place }
+    Refused::OutOfPlace {
+        word: word.to_owned(),
+        place,
+    }
 }
 
 /// A list whose entries are still coming in.
@@ -113,7 +129,11 @@
 impl Host {
     /// Input may end between batches only.
     pub fn at_end(&self) -> Result<()> {
-        if self.now.is_some() { Err(Refused::EndsEarly) } else { Ok(()) }
+        if self.now.is_some() {
+            Err(Refused::EndsEarly)
+        } else {
+            Ok(())
+        }
     }
 
     /// Takes one line; true when it closed a batch and the reply is whole.
@@ -135,7 +155,9 @@
             v.end()?;
             return Ok(false);
         }
-        let Some(now) = self.now else { return Err(out_of_place(word, "outside a batch")) };
+        let Some(now) = self.now else {
+            return Err(out_of_place(word, "outside a batch"));
+        };
         if word == "commit" {
             v.end()?;
             self.now = None;
@@ -184,16 +206,28 @@
         }
         if word == "power_off" {
             v.end()?;
-            return self.instances.remove(&router).map(|_| ()).ok_or(Refused::NotAlive { router });
+            return self
+                .instances
+                .remove(&router)
+                .map(|_| ())
+                .ok_or(Refused::NotAlive { router });
         }
-        let it = self.instances.get_mut(&router).ok_or(Refused::NotAlive { router })?;
+        let it = self
+            .instances
+            .get_mut(&router)
+            .ok_or(Refused::NotAlive { router })?;
         match word {
             "sync" => {
                 let _epoch: Option<i64> = v.maybe("epoch")?;
                 let mode = codec::mode(v.text("mode")?)?;
                 let left = v.maybe("membersList")?.unwrap_or(0);
                 v.end()?;
-                let list = List { router, mode, left, entries: Vec::new() };
+                let list = List {
+                    router,
+                    mode,
+                    left,
+                    entries: Vec::new(),
+                };
                 match left {
                     0 => it.tell(now, router, &Event::List { mode, entries: &[] }, reply)?,
                     _ => self.list = Some(list),
@@ -254,7 +288,16 @@
                 v.time("lag")?;
                 v.end()?;
                 if let Some(inv) = it.invs.find(id) {
-                    it.tell(now, router, &Event::Answering { inv, dispatch, worker }, reply)?;
+                    it.tell(
+                        now,
+                        router,
+                        &Event::Answering {
+                            inv,
+                            dispatch,
+                            worker,
+                        },
+                        reply,
+                    )?;
                 }
             }
             "datagram" => {
@@ -276,7 +319,18 @@
                 let worker = it.known_worker(v.text("worker")?)?;
                 v.end()?;
                 if let Some(func) = it.funcs.find(name) {
-                    it.tell(now, router, &Event::OrderEnded { worker, func, result, took, copies }, reply)?;
+                    it.tell(
+                        now,
+                        router,
+                        &Event::OrderEnded {
+                            worker,
+                            func,
+                            result,
+                            took,
+                            copies,
+                        },
+                        reply,
+                    )?;
                 }
             }
             "response" => {
@@ -291,8 +345,17 @@
                 v.end()?;
                 let (note, crowd) = codec::remark(remark, outcome, it.crowds);
                 if let Some(inv) = it.invs.find(id) {
-                    let ending =
-                        Ending { inv, dispatch, worker, outcome, took, concluded, note, crowd, report };
+                    let ending = Ending {
+                        inv,
+                        dispatch,
+                        worker,
+                        outcome,
+                        took,
+                        concluded,
+                        note,
+                        crowd,
+                        report,
+                    };
                     it.tell(now, router, &Event::DispatchEnded(ending), reply)?;
                 }
             }
@@ -302,7 +365,17 @@
                 let took = v.time("lag")?;
                 let report = codec::report(v.text("serverStats")?, &it.fields)?;
                 v.end()?;
-                it.tell(now, router, &Event::Probed { worker, outcome, took, report }, reply)?;
+                it.tell(
+                    now,
+                    router,
+                    &Event::Probed {
+                        worker,
+                        outcome,
+                        took,
+                        report,
+                    },
+                    reply,
+                )?;
             }
             _ => unreachable!("checked against the words above"),
         }
@@ -314,7 +387,10 @@
             return Err(out_of_place("m", "outside a list"));
         };
         let router = list.router;
-        let it = self.instances.get_mut(&router).ok_or(Refused::NotAlive { router })?;
+        let it = self
+            .instances
+            .get_mut(&router)
+            .ok_or(Refused::NotAlive { router })?;
         let id = v.text("worker")?;
         let entry = ListEntry {
             worker: it.workers.enter(id),
@@ -330,9 +406,22 @@
         list.entries.push(entry);
         list.left -= 1;
         if list.left == 0
-            && let Some(List { router, mode, entries, .. }) = self.list.take()
+            && let Some(List {
+                router,
+                mode,
+                entries,
+                ..
+            }) = self.list.take()
         {
-            it.tell(now, router, &Event::List { mode, entries: &entries }, reply)?;
+            it.tell(
+                now,
+                router,
+                &Event::List {
+                    mode,
+                    entries: &entries,
+                },
+                reply,
+            )?;
         }
         Ok(())
     }
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -15,7 +15,10 @@
 const KEPT_BYTES: usize = 1 << 20;
 
 fn at(line: u64, why: Refused) -> Refused {
-    Refused::At { line, why: Box::new(why) }
+    Refused::At {
+        line,
+        why: Box::new(why),
+    }
 }
 
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<()> {
--- a/crates/benchlink/src/tests.rs
+++ b/crates/benchlink/src/tests.rs
@@ -35,9 +35,18 @@
         ("clock 1\nshout 3\n", "event 'shout' is unknown"),
         ("clock 1\nbell 3 77\n", "instance 3 is not alive"),
         (&format!("{born}bell 3\n"), "token is missing"),
-        (&format!("{born}query 3 r-1 - - 0 384 1500000000 0 app:x 9 2\n"), "category '9' is unknown"),
-        (&format!("{born}echo 3 10.9.9.9:1 success 5 -\n"), "was on no list"),
-        (&format!("{born}sync 3 1 SAVED 2\nbell 3 77\n"), "where a list entry is due"),
+        (
+            &format!("{born}query 3 r-1 - - 0 384 1500000000 0 app:x 9 2\n"),
+            "category '9' is unknown",
+        ),
+        (
+            &format!("{born}echo 3 10.9.9.9:1 success 5 -\n"),
+            "was on no list",
+        ),
+        (
+            &format!("{born}sync 3 1 SAVED 2\nbell 3 77\n"),
+            "where a list entry is due",
+        ),
         ("clock 1\n", "ends within a batch"),
     ] {
         let e = run(input).expect_err(input).line();
--- a/crates/certificates/src/lib.rs
+++ b/crates/certificates/src/lib.rs
@@ -72,9 +72,10 @@
     pub fn which(&self) -> Which {
         match self {
             Unfit::NoPem(which) | Unfit::Empty(which) => *which,
-            Unfit::Unread | Unfit::Garbled { .. } | Unfit::Expired { .. } | Unfit::NotYet { .. } => {
-                Which::Certificate
-            }
+            Unfit::Unread
+            | Unfit::Garbled { .. }
+            | Unfit::Expired { .. }
+            | Unfit::NotYet { .. } => Which::Certificate,
             Unfit::Open { .. } | Unfit::NoKey | Unfit::SignsNothing | Unfit::Stranger => Which::Key,
         }
     }
@@ -83,7 +84,9 @@
 impl Remedy for Unfit {
     fn remedy(&self) -> &'static str {
         match self {
-            Unfit::Unread => "put both files back where the settings name them, readable for the router",
+            Unfit::Unread => {
+                "put both files back where the settings name them, readable for the router"
+            }
             Unfit::NoPem(_) | Unfit::Empty(_) => {
                 "write certificates into it as PEM, of a chain the own one first"
             }
@@ -107,7 +110,10 @@
 
 impl From<Unfit> for Refused {
     fn from(why: Unfit) -> Self {
-        Refused { which: why.which(), cause: why.line() }
+        Refused {
+            which: why.which(),
+            cause: why.line(),
+        }
     }
 }
 
@@ -133,15 +139,19 @@
 pub fn judge(certificate: &Read, key: &Read, wall: Micros) -> Result<Served, Unfit> {
     let chain = chain(Which::Certificate, &certificate.bytes)?;
     if key.mode & OTHERS != 0 {
-        return Err(Unfit::Open { mode: key.mode & 0o777 });
+        return Err(Unfit::Open {
+            mode: key.mode & 0o777,
+        });
     }
     let key = PrivateKeyDer::from_pem_slice(&key.bytes).map_err(|_| Unfit::NoKey)?;
     let mut ends = Micros::MAX;
     for (number, one) in (1..).zip(&chain) {
         let (_, it) = X509Certificate::from_der(one).map_err(|_| Unfit::Garbled { number })?;
         let seconds = |s: i64| s.saturating_mul(1_000_000);
-        let (from, until) =
-            (seconds(it.validity().not_before.timestamp()), seconds(it.validity().not_after.timestamp()));
+        let (from, until) = (
+            seconds(it.validity().not_before.timestamp()),
+            seconds(it.validity().not_after.timestamp()),
+        );
         if wall > until {
             return Err(Unfit::Expired { number });
         }
@@ -151,7 +161,10 @@
         ends = ends.min(until);
     }
     let provider = rustls::crypto::ring::default_provider();
-    let signs = provider.key_provider.load_private_key(key.clone_key()).map_err(|_| Unfit::SignsNothing)?;
+    let signs = provider
+        .key_provider
+        .load_private_key(key.clone_key())
+        .map_err(|_| Unfit::SignsNothing)?;
     match rustls::sign::CertifiedKey::new(chain.clone(), signs).keys_match() {
         // Kinds of keys that do not tell their public half are taken at their word.
         Ok(()) | Err(rustls::Error::InconsistentKeys(rustls::InconsistentKeys::Unknown)) => {}
@@ -183,7 +196,12 @@
 
 impl Keeper {
     pub fn new(certificate: Read, key: Read, ends: Micros) -> Self {
-        Keeper { served: (certificate, key), ends, offered: None, looks: 0 }
+        Keeper {
+            served: (certificate, key),
+            ends,
+            offered: None,
+            looks: 0,
+        }
     }
 
     /// The files as they are now; absent if one could not be read, as while it is being replaced.
@@ -248,6 +266,10 @@
         let mut names = it.subject().iter_common_name();
         let (name, more) = (names.next()?.as_str().ok()?, names.next());
         // Two names in one subject: which is meant nobody can say.
-        if more.is_some() { None } else { self.accounts.get(name).copied() }
+        if more.is_some() {
+            None
+        } else {
+            self.accounts.get(name).copied()
+        }
     }
 }
--- a/crates/cli/benches/three_ways.rs
+++ b/crates/cli/benches/three_ways.rs
@@ -69,7 +69,10 @@
 ];
 
 fn from_environment(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(usual)
+    std::env::var(name)
+        .ok()
+        .and_then(|v| v.parse().ok())
+        .unwrap_or(usual)
 }
 
 fn compared(seed: u64, way: Way) -> Day {
@@ -90,7 +93,9 @@
 
 fn is_over(worker: &Worker) -> bool {
     let stands = |f: &str| held(worker, f).is_some_and(|h| h.state == "READY");
-    MODELS.iter().all(|m| held(worker, m).is_none() && stands(&new(m)))
+    MODELS
+        .iter()
+        .all(|m| held(worker, m).is_none() && stands(&new(m)))
 }
 
 fn goes_over(worker: &Worker) {
@@ -104,10 +109,15 @@
 
 /// Until nothing old has come back for a while: by a miss, or by a router that did not expect the copy to go.
 fn by_hand(f: &Fleet, way: Way) {
-    f.log.write("upgrade", serde_json::json!({"models": MODELS}));
+    f.log
+        .write("upgrade", serde_json::json!({"models": MODELS}));
     let since = Instant::now();
     if way == Way::AllAtOnce {
-        thread::scope(|s| f.workers.iter().for_each(|w| drop(s.spawn(move || goes_over(w)))));
+        thread::scope(|s| {
+            f.workers
+                .iter()
+                .for_each(|w| drop(s.spawn(move || goes_over(w))))
+        });
     } else {
         f.workers.iter().for_each(goes_over);
     }
@@ -124,7 +134,10 @@
 
 /// By what stands; while nothing does, by what is being loaded.
 fn by_what_stands(f: &Fleet, seed: u64) -> Asks {
-    let (workers, of) = (f.workers.clone(), Mutex::new(HashMap::<String, bool>::new()));
+    let (workers, of) = (
+        f.workers.clone(),
+        Mutex::new(HashMap::<String, bool>::new()),
+    );
     Arc::new(move |a: &Arrival| {
         let all: Vec<Held> = workers.iter().flat_map(Worker::held).collect();
         let (old, new) = (a.function.clone(), new(&a.function));
@@ -134,7 +147,8 @@
         };
         let any = count(&old, true) + count(&new, true) > 0;
         let (was, is) = (count(&old, any), count(&new, any));
-        let draw = BuildHasherDefault::<DefaultHasher>::default().hash_one((seed, &a.id)) % (was + is).max(1);
+        let draw = BuildHasherDefault::<DefaultHasher>::default().hash_one((seed, &a.id))
+            % (was + is).max(1);
         let mut of = lock(&of);
         let session = a.turn.as_ref().map(|t| t.session.clone());
         let known = session.as_ref().and_then(|s| of.get(s).copied());
@@ -155,7 +169,10 @@
     let mut all = Vec::new();
     let of_models = |f: &str| MODELS.iter().any(|m| f == *m || f == new(m));
     for worker in (0..played.fleet.workers.len()).map(|w| played.fleet.worker(w)) {
-        let file = played.fleet.folder().join(format!("traffic/{worker}.ndjson"));
+        let file = played
+            .fleet
+            .folder()
+            .join(format!("traffic/{worker}.ndjson"));
         for line in std::fs::read_to_string(file).expect("a log").lines() {
             let line: Value = serde_json::from_str(line).expect("JSON");
             let text = |key: &str| line[key].as_str().unwrap_or_default().to_owned();
@@ -176,9 +193,14 @@
 }
 
 fn ordered_at(played: &Played) -> i64 {
-    let log = std::fs::read_to_string(played.fleet.folder().join("traffic/day.ndjson")).expect("a log");
-    let lines = log.lines().map(|l| serde_json::from_str::<Value>(l).expect("JSON"));
-    let at = lines.filter(|l| l["what"] == "upgrade").find_map(|l| l["t"].as_i64());
+    let log =
+        std::fs::read_to_string(played.fleet.folder().join("traffic/day.ndjson")).expect("a log");
+    let lines = log
+        .lines()
+        .map(|l| serde_json::from_str::<Value>(l).expect("JSON"));
+    let at = lines
+        .filter(|l| l["what"] == "upgrade")
+        .find_map(|l| l["t"].as_i64());
     at.expect("it was ordered")
 }
 
@@ -215,9 +237,13 @@
 fn figures(seed: u64, way: Way) -> [f64; FIGURES.len()] {
     let day = compared(seed, way);
     let script = match way {
-        Way::Planner => Script::new(seed).at(ORDERED_MS, |f| order(f, DRAIN_MS)).at(ORDERED_MS + 1, ends),
+        Way::Planner => Script::new(seed)
+            .at(ORDERED_MS, |f| order(f, DRAIN_MS))
+            .at(ORDERED_MS + 1, ends),
         // What `order` waits for comes first here, too.
-        _ => Script::new(seed).at(ORDERED_MS, settles).at(ORDERED_MS + 1, move |f| by_hand(f, way)),
+        _ => Script::new(seed)
+            .at(ORDERED_MS, settles)
+            .at(ORDERED_MS + 1, move |f| by_hand(f, way)),
     };
     let asks = |f: &Fleet| (way != Way::Planner).then(|| by_what_stands(f, seed));
     let played = play_asking(&day, None, stands_everywhere, asks, script, PATIENCE);
@@ -227,8 +253,11 @@
     }
     let promise = |name: &str| v.promises.get(name).copied().unwrap_or(0) as f64;
     let reason = |name: &str| v.by_reason.get(name).copied().unwrap_or(0) as f64;
-    let lowest =
-        v.floors.values().map(|s| 100.0 * FLOOR * s.lowest as f64 / s.floor).fold(f64::NAN, f64::min);
+    let lowest = v
+        .floors
+        .values()
+        .map(|s| 100.0 * FLOOR * s.lowest as f64 / s.floor)
+        .fold(f64::NAN, f64::min);
     let p = &v.prefixes;
     let [loads, of_old, orders, took] = copies_went(&played);
     let row = [
@@ -258,7 +287,8 @@
     let played: Vec<[[f64; FIGURES.len()]; WAYS.len()]> = (first..first + plays)
         .map(|seed| {
             let rows = thread::scope(|s| {
-                WAYS.map(|way| s.spawn(move || figures(seed, way))).map(|p| p.join().expect("it was played"))
+                WAYS.map(|way| s.spawn(move || figures(seed, way)))
+                    .map(|p| p.join().expect("it was played"))
             });
             eprintln!("seed {seed}, load of the machine {}", load().trim());
             rows
@@ -269,13 +299,19 @@
     for (n, name) in FIGURES.iter().enumerate() {
         // Of plays that came to an end, both of them where they are compared.
         let of = |way: usize, beside: bool| -> Vec<f64> {
-            let pairs = played.iter().map(|rows| rows[way][n] - if beside { rows[0][n] } else { 0.0 });
+            let pairs = played
+                .iter()
+                .map(|rows| rows[way][n] - if beside { rows[0][n] } else { 0.0 });
             pairs.filter(|x| x.is_finite()).collect()
         };
         let told = |way: usize, beside: bool| {
             let of = of(way, beside);
             let (mean, half) = interval(&of);
-            let some = if of.len() < played.len() { format!(", {} plays", of.len()) } else { String::new() };
+            let some = if of.len() < played.len() {
+                format!(", {} plays", of.len())
+            } else {
+                String::new()
+            };
             if beside {
                 format!("{mean:+.2} +- {half:.2}{some}")
             } else {
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -48,11 +48,22 @@
 ) -> Result<bool, Wrong> {
     let mut day = plan::read(path)?;
     day.seed = seed.unwrap_or(day.seed);
-    let out =
-        out.unwrap_or_else(|| std::env::temp_dir().join(format!("cedarpulley-day-{}", std::process::id())));
+    let out = out.unwrap_or_else(|| {
+        std::env::temp_dir().join(format!("cedarpulley-day-{}", std::process::id()))
+    });
     let trace = program.is_none();
-    let program = program.map_or_else(std::env::current_exe, Ok).map_err(Wrong::Router)?;
-    let fleet = Arc::new(Fleet::prepare(&day, Launch { out: out.clone(), program, tamper, trace })?);
+    let program = program
+        .map_or_else(std::env::current_exe, Ok)
+        .map_err(Wrong::Router)?;
+    let fleet = Arc::new(Fleet::prepare(
+        &day,
+        Launch {
+            out: out.clone(),
+            program,
+            tamper,
+            trace,
+        },
+    )?);
     let stopped = async_io::block_on(run(&day, &fleet))?;
     let verdict = fleet.verdict()?;
     let text = serde_json::to_string_pretty(&verdict)?;
@@ -61,9 +72,17 @@
         std::fs::write(&file, text).map_err(Wrong::file(&file))
     };
     write("audit.json", text)?;
-    write("summary.txt", format!("{}{}\n", verdict.table(), verdict.last_line()))?;
+    write(
+        "summary.txt",
+        format!("{}{}\n", verdict.table(), verdict.last_line()),
+    )?;
     if !json {
-        say!("{} (seed {}), left in {}\n", path.display(), day.seed, out.display());
+        say!(
+            "{} (seed {}), left in {}\n",
+            path.display(),
+            day.seed,
+            out.display()
+        );
     }
     show(&verdict, json)?;
     if !stopped && verdict.broken() == 0 {
@@ -89,7 +108,12 @@
         tasks.push(executor.spawn(task));
     }
     Timer::at(began + Duration::from_secs_f64(day.seconds)).await;
-    let longest = day.triggers.iter().map(|t| t.client_timeout_ms).max().unwrap_or(0);
+    let longest = day
+        .triggers
+        .iter()
+        .map(|t| t.client_timeout_ms)
+        .max()
+        .unwrap_or(0);
     Timer::after(Duration::from_millis(longest)).await;
     let stopped = fleet.stop(Duration::from_millis(longest) + STOP_WITHIN);
     drop((tasks, traffic));
@@ -98,7 +122,10 @@
 
 async fn bring(fleet: &Arc<Fleet>, t: &Trouble, zones: &[String], mut random: Pcg64Mcg) {
     let lasts = Duration::from_secs_f64(t.for_s);
-    let zone = t.zone.as_ref().and_then(|z| zones.iter().position(|n| n == z));
+    let zone = t
+        .zone
+        .as_ref()
+        .and_then(|z| zones.iter().position(|n| n == z));
     let chosen: Vec<usize> = (0..fleet.workers.len())
         .filter(|w| t.which.contains(w) || t.which.is_empty() && random.random::<f64>() < t.part)
         .collect();
@@ -185,7 +212,9 @@
         }
         What::ConnectionDrop => {
             let hit: Vec<bool> = (0..256).map(|_| random.random::<f64>() < t.part).collect();
-            fleet.broker.drop_connections(|from| from.starts_with("127.0.1") && hit[last_octet(from)]);
+            fleet
+                .broker
+                .drop_connections(|from| from.starts_with("127.0.1") && hit[last_octet(from)]);
         }
         What::BrokerRestart => {
             if let Err(e) = fleet.broker.restart(lasts).await {
@@ -200,12 +229,18 @@
         What::RouterKill => {
             t.which.iter().for_each(|r| fleet.kill_router(*r));
             Timer::after(lasts).await;
-            t.which.iter().for_each(|r| well(fleet.start_router(*r, State::Kept)));
+            t.which
+                .iter()
+                .for_each(|r| well(fleet.start_router(*r, State::Kept)));
         }
         What::RouterPause => {
-            t.which.iter().for_each(|r| well(fleet.pause_router(*r, true)));
+            t.which
+                .iter()
+                .for_each(|r| well(fleet.pause_router(*r, true)));
             Timer::after(lasts).await;
-            t.which.iter().for_each(|r| well(fleet.pause_router(*r, false)));
+            t.which
+                .iter()
+                .for_each(|r| well(fleet.pause_router(*r, false)));
         }
         What::StaleState => {
             // Copied as the trouble begins, killed half of its time later.
@@ -217,7 +252,9 @@
             Timer::after(lasts / 2).await;
             t.which.iter().for_each(|r| fleet.kill_router(*r));
             Timer::after(lasts / 2).await;
-            t.which.iter().for_each(|r| well(fleet.start_router(*r, State::Older(&copy(*r)))));
+            t.which
+                .iter()
+                .for_each(|r| well(fleet.start_router(*r, State::Older(&copy(*r)))));
         }
         What::PeerCut | What::RegionCut => {
             let cut = |fault: Fault| match (t.what, &t.region) {
@@ -239,7 +276,10 @@
 }
 
 fn last_octet(from: &str) -> usize {
-    from.rsplit('.').next().and_then(|o| o.parse::<u8>().ok()).unwrap_or(0) as usize
+    from.rsplit('.')
+        .next()
+        .and_then(|o| o.parse::<u8>().ok())
+        .unwrap_or(0) as usize
 }
 
 /// A trouble that could not be brought shows in the log; the day goes on and is judged.
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -138,7 +138,9 @@
     let Ok(filter) = EnvFilter::try_new(&line.level) else {
         return fail(&Wrong::Level { level: line.level });
     };
-    let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    let log = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr);
     // Symptom: the disk of the log is full, saying so on the same log fails too, and the process ends by a panic.
     let log = log.log_internal_errors(false);
     if json {
@@ -147,19 +149,47 @@
         log.init()
     }
     let done = match line.command {
-        Command::Serve { settings, tamper, rig } => serve(&settings, tamper, rig),
-        Command::Node => cedarpulley_platform_node::run().map(|()| true).map_err(Wrong::Node),
+        Command::Serve {
+            settings,
+            tamper,
+            rig,
+        } => serve(&settings, tamper, rig),
+        Command::Node => cedarpulley_platform_node::run()
+            .map(|()| true)
+            .map_err(Wrong::Node),
         Command::Check { settings } => read(&settings, false).map(|_| {
             say!("{}: good", settings.display());
             true
         }),
         Command::Standin { kind } => standin::run(kind).map(|()| true),
-        Command::Day { day, out, seed, tamper, router, json } => {
+        Command::Day {
+            day,
+            out,
+            seed,
+            tamper,
+            router,
+            json,
+        } => {
             let known = named(&tamper);
             known.and_then(|_| day::play(&day, out, seed, tamper, router, json))
         }
-        Command::Measure { rate, seconds, work_ms, lanes, folder, trace, effect, peers } => {
-            let what = measure::What { work_ms, lanes, trace, effect: &effect, peers };
+        Command::Measure {
+            rate,
+            seconds,
+            work_ms,
+            lanes,
+            folder,
+            trace,
+            effect,
+            peers,
+        } => {
+            let what = measure::What {
+                work_ms,
+                lanes,
+                trace,
+                effect: &effect,
+                peers,
+            };
             measure::run(rate, seconds, &what, &folder).map(|()| true)
         }
         Command::Trace { what } => trace::run(what),
@@ -190,16 +220,22 @@
 fn named(tamper: &Option<String>) -> Result<Option<InjectedFault>, Wrong> {
     match tamper {
         None => Ok(None),
-        Some(name) => {
-            InjectedFault::from_name(name).map(Some).ok_or_else(|| Wrong::Tamper { name: name.clone() })
-        }
+        Some(name) => InjectedFault::from_name(name)
+            .map(Some)
+            .ok_or_else(|| Wrong::Tamper { name: name.clone() }),
     }
 }
 
 fn serve(path: &Path, tamper: Option<String>, rig: bool) -> Result<bool, Wrong> {
     let (settings, fault) = (read(path, rig)?, named(&tamper)?);
-    let name = path.file_stem().map(|s| s.to_string_lossy().into_owned()).unwrap_or_default();
-    let wrong = |source| Wrong::Serve { file: path.display().to_string(), source };
+    let name = path
+        .file_stem()
+        .map(|s| s.to_string_lossy().into_owned())
+        .unwrap_or_default();
+    let wrong = |source| Wrong::Serve {
+        file: path.display().to_string(),
+        source,
+    };
     cedarpulley_gateway::serve::run(&name, settings, fault).map_err(wrong)
 }
 
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -37,7 +37,8 @@
 /// Longer than any of them waits here.
 const WAITS_MS: u64 = 5_000;
 const KEPT_MS: u64 = 6_000;
-const BODY: &str = r#"{"inputs":[{"name":"x","shape":[4],"datatype":"FP32","data":[0.1,0.2,0.3,0.4]}]}"#;
+const BODY: &str =
+    r#"{"inputs":[{"name":"x","shape":[4],"datatype":"FP32","data":[0.1,0.2,0.3,0.4]}]}"#;
 
 struct Ended(Child);
 
@@ -68,7 +69,9 @@
 
 /// Processor time in microseconds and resident kilobytes of a process.
 fn used(pid: u32) -> Option<(u64, u64)> {
-    let stat = procfs::process::Process::new(pid as i32).and_then(|p| p.stat()).ok()?;
+    let stat = procfs::process::Process::new(pid as i32)
+        .and_then(|p| p.stat())
+        .ok()?;
     let ticks = (stat.utime + stat.stime) * 1_000_000 / procfs::ticks_per_second();
     Some((ticks, stat.rss * procfs::page_size() / 1024))
 }
@@ -77,7 +80,9 @@
 fn sent(group: &[SocketAddr]) -> (u64, u64) {
     let states = group.iter().filter_map(|at| state(*at).ok());
     let count = |s: &Value, name: &str| s["counts"][name].as_u64().unwrap_or(0);
-    states.fold((0, 0), |(bytes, posts), s| (bytes + count(&s, "bytes_sent"), posts + count(&s, "posts")))
+    states.fold((0, 0), |(bytes, posts), s| {
+        (bytes + count(&s, "bytes_sent"), posts + count(&s, "posts"))
+    })
 }
 
 /// What a group of the router under measure is told; its other members are witnesses, at the addresses after its own.
@@ -108,14 +113,24 @@
          latency_objective_ms = {WAITS_MS}\nclient_timeout_ms = {WAITS_MS}\n\n"
     );
     if front {
-        t.push_str(&format!("[[amqp]]\nbroker = \"{broker}\"\nqueue = \"triggers\"\n\n"));
+        t.push_str(&format!(
+            "[[amqp]]\nbroker = \"{broker}\"\nqueue = \"triggers\"\n\n"
+        ));
     }
     for (way, at) in callers {
-        let way = if *way == Protocol::Grpc { "grpc" } else { "rest" };
-        t.push_str(&format!("[[kserve]]\nlisten = \"{at}\"\nprotocol = \"{way}\"\nmost_streams = 1000\n\n"));
+        let way = if *way == Protocol::Grpc {
+            "grpc"
+        } else {
+            "rest"
+        };
+        t.push_str(&format!(
+            "[[kserve]]\nlisten = \"{at}\"\nprotocol = \"{way}\"\nmost_streams = 1000\n\n"
+        ));
     }
     t.push_str("[workers]\nlist = [\n");
-    workers.iter().for_each(|w| t.push_str(&format!("  {{ address = \"{}\" }},\n", w.address)));
+    workers
+        .iter()
+        .for_each(|w| t.push_str(&format!("  {{ address = \"{}\" }},\n", w.address)));
     t + "]\n"
 }
 
@@ -132,13 +147,23 @@
 
 /// At this rate for so long; prints one JSON object.
 pub fn run(rate: f64, seconds: f64, what: &What, folder: &Path) -> Result<(), Wrong> {
-    let What { work_ms, lanes, trace, effect, peers: members } = *what;
+    let What {
+        work_ms,
+        lanes,
+        trace,
+        effect,
+        peers: members,
+    } = *what;
     std::fs::create_dir_all(folder).map_err(Wrong::file(folder))?;
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let ground = Ground::new(THREADS, None).map_err(Wrong::Standin)?;
     let broker = Broker::start(&ground, "broker", any).map_err(Wrong::Standin)?;
     broker.declare("triggers");
-    let nature = store::Nature { mb_per_s: 1e6, abreast: 100, most: 1000 };
+    let nature = store::Nature {
+        mb_per_s: 1e6,
+        abreast: 100,
+        most: 1000,
+    };
     let store = Store::start(&ground, "store", any, nature).map_err(Wrong::Standin)?;
     let mut workers = Vec::new();
     for n in 0..WORKERS {
@@ -153,7 +178,16 @@
         };
         let programs = HashMap::from([("warm".to_owned(), program)]);
         let (name, memory) = (format!("worker-{n}"), Memory::default());
-        let worker = Worker::start(&ground, &name, any, 1, nature, store.server.address, programs, memory);
+        let worker = Worker::start(
+            &ground,
+            &name,
+            any,
+            1,
+            nature,
+            store.server.address,
+            programs,
+            memory,
+        );
         workers.push(worker.map_err(Wrong::Standin)?);
     }
     // Ports that are free now.
@@ -173,13 +207,19 @@
         let log = std::fs::File::create(log).map_err(Wrong::file(log))?;
         let program = std::env::current_exe().map_err(Wrong::Router)?;
         let mut command = Command::new(program);
-        command.arg("serve").arg(file).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        command
+            .arg("serve")
+            .arg(file)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
         command.spawn().map(Ended).map_err(Wrong::Router)
     };
     let mut witnesses = Vec::new();
     for n in 1..members {
         let file = folder.join(format!("witness-{n}.toml"));
-        let text = settings(broker.address, &workers, &[], effect, false) + "\n" + &peers(&group, n);
+        let text =
+            settings(broker.address, &workers, &[], effect, false) + "\n" + &peers(&group, n);
         std::fs::write(&file, text).map_err(Wrong::file(&file))?;
         witnesses.push(serve(&file, &folder.join(format!("witness-{n}.log")))?);
     }
@@ -233,20 +273,34 @@
             clients.push(ground.executor.spawn(client.run()));
         }
         Timer::at(began + WARM_UP).await;
-        let others_used = || witnesses.iter().filter_map(|w| used(w.0.id())).map(|u| u.0).sum::<u64>();
+        let others_used = || {
+            witnesses
+                .iter()
+                .filter_map(|w| used(w.0.id()))
+                .map(|u| u.0)
+                .sum::<u64>()
+        };
         let sent_before = sent(&group);
         let others_before = others_used();
         let (before, own) = (used(pid), used(std::process::id()));
         let direct = direct(workers[0].address, seconds).await;
         Timer::at(began + WARM_UP + Duration::from_secs_f64(seconds)).await;
         let (after, waiting) = (used(pid), broker.waiting("triggers"));
-        let own = own.zip(used(std::process::id())).map_or(0, |(b, a)| a.0 - b.0);
+        let own = own
+            .zip(used(std::process::id()))
+            .map_or(0, |(b, a)| a.0 - b.0);
         let others_cpu = others_used() - others_before;
         let sent_after = sent(&group);
         let taken = broker.unacked();
         Timer::after(Duration::from_secs(1)).await;
         let h = lock(&times).0.clone();
-        let per = |n: u64| if h.is_empty() { 0.0 } else { n as f64 / h.len() as f64 };
+        let per = |n: u64| {
+            if h.is_empty() {
+                0.0
+            } else {
+                n as f64 / h.len() as f64
+            }
+        };
         let cpu = before.zip(after).map_or(0, |(b, a)| a.0 - b.0);
         let added = |q| h.value_at_quantile(q) as i64 - direct.value_at_quantile(q) as i64;
         // The callers' fronts in turn, on the same router.
@@ -254,14 +308,20 @@
         for (way, at) in &callers {
             let all = Arc::new(Callers::new(*way, *at, rate, lanes, BODY, &ground.executor));
             let counted = Instant::now() + WARM_UP;
-            let running = ground.executor.spawn(all.run(WARM_UP + Duration::from_secs_f64(seconds), counted));
+            let running = ground
+                .executor
+                .spawn(all.run(WARM_UP + Duration::from_secs_f64(seconds), counted));
             Timer::at(counted).await;
             let before = used(pid);
             Timer::after(Duration::from_secs_f64(seconds)).await;
             let after = used(pid);
             let (h, failed) = running.await;
             let cpu = before.zip(after).map_or(0, |(b, a)| a.0 - b.0);
-            let per = if h.is_empty() { 0.0 } else { cpu as f64 / h.len() as f64 };
+            let per = if h.is_empty() {
+                0.0
+            } else {
+                cpu as f64 / h.len() as f64
+            };
             let added = |q| h.value_at_quantile(q) as i64 - direct.value_at_quantile(q) as i64;
             let figures = json!({
                 "through": quantiles(&h), "without_success": failed, "added_p50_us": added(0.5),
@@ -295,7 +355,9 @@
         let stream = Async::<std::net::TcpStream>::connect(address).await.ok()?;
         stream.get_ref().set_nodelay(true).ok()?;
         let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(FuturesIo::new(stream)).await.ok()?;
+            hyper::client::conn::http1::handshake(FuturesIo::new(stream))
+                .await
+                .ok()?;
         let calling = async {
             let pause = Duration::from_secs_f64(seconds / DIRECT_CALLS as f64 * 0.8);
             for n in 0..DIRECT_CALLS {
--- a/crates/cli/src/meter.rs
+++ b/crates/cli/src/meter.rs
@@ -54,7 +54,12 @@
 
 pub fn run(what: Meter) -> Result<bool, Wrong> {
     match what {
-        Meter::Report { files, by, json, csv } => report(&all(&files)?, &by, json, csv),
+        Meter::Report {
+            files,
+            by,
+            json,
+            csv,
+        } => report(&all(&files)?, &by, json, csv),
         Meter::Merge { files, out } => merge(&all(&files)?, &out),
         Meter::Reconcile { folder, json } => reconcile(&folder, json),
     }
@@ -69,15 +74,24 @@
         }
         let entries = std::fs::read_dir(file).map_err(Wrong::file(file))?;
         let ledgers = entries.flatten().map(|e| e.path());
-        let mut ledgers: Vec<_> = ledgers.filter(|p| p.extension().is_some_and(|e| e == "ledger")).collect();
+        let mut ledgers: Vec<_> = ledgers
+            .filter(|p| p.extension().is_some_and(|e| e == "ledger"))
+            .collect();
         ledgers.sort();
         found.extend(ledgers);
     }
-    if found.is_empty() { Err(Wrong::NoFile { what: "ledger" }) } else { Ok(found) }
+    if found.is_empty() {
+        Err(Wrong::NoFile { what: "ledger" })
+    } else {
+        Ok(found)
+    }
 }
 
 fn ledger(file: &Path) -> impl FnOnce(Failed) -> Wrong {
-    move |source| Wrong::Ledger { file: file.display().to_string(), source }
+    move |source| Wrong::Ledger {
+        file: file.display().to_string(),
+        source,
+    }
 }
 
 fn book(files: &[PathBuf]) -> Result<Book, Wrong> {
@@ -85,9 +99,15 @@
     for file in files {
         // A ledger that is not there would be begun.
         if !file.is_file() {
-            return Err(Wrong::Absent { file: file.display().to_string() });
+            return Err(Wrong::Absent {
+                file: file.display().to_string(),
+            });
         }
-        book.join(Ledger::open(file).and_then(|l| l.book()).map_err(ledger(file))?);
+        book.join(
+            Ledger::open(file)
+                .and_then(|l| l.book())
+                .map_err(ledger(file))?,
+        );
     }
     Ok(book)
 }
@@ -112,31 +132,48 @@
         .collect();
     let total = sums.total();
     if json {
-        let rows: Vec<Value> = rows.iter().map(|(row, sum)| line(&names, row, sum)).collect();
+        let rows: Vec<Value> = rows
+            .iter()
+            .map(|(row, sum)| line(&names, row, sum))
+            .collect();
         let all = json!({"rows": rows, "total": line(&[], &[], &total)});
         say!("{}", serde_json::to_string_pretty(&all)?);
     } else if csv {
         let mut table = csv::Writer::from_writer(Vec::new());
-        table.write_record(names.iter().chain(&["mb_seconds", "byte_microseconds", "count"]))?;
+        table.write_record(
+            names
+                .iter()
+                .chain(&["mb_seconds", "byte_microseconds", "count"]),
+        )?;
         for (row, sum) in &rows {
-            let figures =
-                [format!("{:.6}", sum.mb_seconds()), sum.byte_us.to_string(), sum.count.to_string()];
+            let figures = [
+                format!("{:.6}", sum.mb_seconds()),
+                sum.byte_us.to_string(),
+                sum.count.to_string(),
+            ];
             table.write_record(row.iter().chain(&figures))?;
         }
-        say!("{}", String::from_utf8_lossy(&table.into_inner().unwrap_or_default()).trim_end());
+        say!(
+            "{}",
+            String::from_utf8_lossy(&table.into_inner().unwrap_or_default()).trim_end()
+        );
     } else {
         let wide = |r: &[String]| r.iter().map(|c| format!("{c:<20}")).collect::<String>();
         let head: Vec<String> = names.iter().map(|n| n.to_string()).collect();
         say!("{}{:>16} {:>10}", wide(&head), "MB-s", "count");
-        rows.iter().for_each(|(r, s)| say!("{}{:>16.3} {:>10}", wide(r), s.mb_seconds(), s.count));
+        rows.iter()
+            .for_each(|(r, s)| say!("{}{:>16.3} {:>10}", wide(r), s.mb_seconds(), s.count));
         say!("{:.3} MB-s in all", total.mb_seconds());
     }
     Ok(true)
 }
 
 fn line(names: &[&str], row: &[String], sum: &Sum) -> Value {
-    let mut line: serde_json::Map<String, Value> =
-        names.iter().zip(row).map(|(n, v)| ((*n).to_owned(), json!(v))).collect();
+    let mut line: serde_json::Map<String, Value> = names
+        .iter()
+        .zip(row)
+        .map(|(n, v)| ((*n).to_owned(), json!(v)))
+        .collect();
     // Beyond what a float keeps to the last digit: as text.
     line.insert("byte_microseconds".into(), json!(sum.byte_us.to_string()));
     line.insert("mb_seconds".into(), json!(sum.mb_seconds()));
@@ -146,8 +183,14 @@
 
 fn merge(files: &[PathBuf], out: &Path) -> Result<bool, Wrong> {
     let book = book(files)?;
-    Ledger::open(out).and_then(|l| l.join(&book)).map_err(ledger(out))?;
-    say!("{} lives of routers in {}", book.measured.len(), out.display());
+    Ledger::open(out)
+        .and_then(|l| l.join(&book))
+        .map_err(ledger(out))?;
+    say!(
+        "{} lives of routers in {}",
+        book.measured.len(),
+        out.display()
+    );
     Ok(true)
 }
 
@@ -161,12 +204,18 @@
         let path = entry.map_err(Wrong::file(folder))?.path();
         let file = File::open(&path).map_err(Wrong::file(&path))?;
         for text in BufReader::new(file).lines().map_while(Result::ok) {
-            let Ok(line) = serde_json::from_str::<Value>(&text) else { continue };
+            let Ok(line) = serde_json::from_str::<Value>(&text) else {
+                continue;
+            };
             if line["what"] != "held" {
                 continue;
             }
             let bytes = u128::from(line["bytes"].as_u64().unwrap_or(0));
-            let kinds = [("running", Kind::Running), ("loading", Kind::Loading), ("idle", Kind::Idle)];
+            let kinds = [
+                ("running", Kind::Running),
+                ("loading", Kind::Loading),
+                ("idle", Kind::Idle),
+            ];
             for (name, kind) in kinds {
                 let byte_us = bytes * u128::from(line[name].as_u64().unwrap_or(0));
                 if line["reported"] != true {
@@ -189,8 +238,12 @@
     let mut rows = Vec::new();
     let mut good = true;
     let keys = [Kind::Running, Kind::Loading, Kind::Idle];
-    let mut all: Vec<_> =
-        metered.keys().filter(|k| keys.contains(&k.1)).chain(held.keys()).cloned().collect();
+    let mut all: Vec<_> = metered
+        .keys()
+        .filter(|k| keys.contains(&k.1))
+        .chain(held.keys())
+        .cloned()
+        .collect();
     all.sort();
     all.dedup();
     for key in all {
@@ -214,12 +267,27 @@
         say!("{}", serde_json::to_string_pretty(&all)?);
         return Ok(good);
     }
-    say!("{:<16} {:<10} {:>14} {:>14} {:>8}", "tenant", "kind", "metered MB-s", "held MB-s", "apart");
+    say!(
+        "{:<16} {:<10} {:>14} {:>14} {:>8}",
+        "tenant",
+        "kind",
+        "metered MB-s",
+        "held MB-s",
+        "apart"
+    );
     for ((tenant, kind), metered, held, apart) in rows {
         let tenant = if tenant.is_empty() { "(none)" } else { &tenant };
-        say!("{tenant:<16} {:<10} {metered:>14.3} {held:>14.3} {:>7.2}%", kind.name(), apart * 100.0);
+        say!(
+            "{tenant:<16} {:<10} {metered:>14.3} {held:>14.3} {:>7.2}%",
+            kind.name(),
+            apart * 100.0
+        );
     }
-    let much = if uncertain > MOST_UNCERTAIN * total { ", above the aim of 1%" } else { "" };
+    let much = if uncertain > MOST_UNCERTAIN * total {
+        ", above the aim of 1%"
+    } else {
+        ""
+    };
     say!(
         "uncertain {uncertain:.3} MB-s, {:.2}% of what was held{much}; told late or never {untold:.3} MB-s",
         100.0 * uncertain / total.max(1e-9)
--- a/crates/cli/src/open_loop.rs
+++ b/crates/cli/src/open_loop.rs
@@ -59,7 +59,16 @@
         on: &Arc<Executor<'static>>,
     ) -> Self {
         let times = Mutex::new((histogram(), 0));
-        Callers { way, at, rate, lanes, body, executor: on.clone(), idle: Mutex::default(), times }
+        Callers {
+            way,
+            at,
+            rate,
+            lanes,
+            body,
+            executor: on.clone(),
+            idle: Mutex::default(),
+            times,
+        }
     }
 
     /// Sends for so long, from this call's number on; counts only from `counted` on.
@@ -97,13 +106,18 @@
         match self.way {
             Way::Rest => {
                 let (sender, connection) = http1::handshake(io).await.ok()?;
-                self.executor.spawn(async move { drop(connection.await) }).detach();
+                self.executor
+                    .spawn(async move { drop(connection.await) })
+                    .detach();
                 Some(Sender::Rest(sender))
             }
             Way::Grpc => {
                 let mut builder = http2::Builder::new(Tasks(self.executor.clone()));
-                let (sender, connection) = builder.timer(SmolTimer::new()).handshake(io).await.ok()?;
-                self.executor.spawn(async move { drop(connection.await) }).detach();
+                let (sender, connection) =
+                    builder.timer(SmolTimer::new()).handshake(io).await.ok()?;
+                self.executor
+                    .spawn(async move { drop(connection.await) })
+                    .detach();
                 Some(Sender::Grpc(sender))
             }
         }
@@ -146,8 +160,10 @@
         match &mut sender {
             Sender::Rest(s) => {
                 let path = format!("/v2/models/{}/infer", function.replace(':', "%3A"));
-                let answer =
-                    s.send_request(request(path, "application/json", self.body.into())?).await.ok()?;
+                let answer = s
+                    .send_request(request(path, "application/json", self.body.into())?)
+                    .await
+                    .ok()?;
                 let good = answer.status() == 200;
                 answer.into_body().collect().await.ok()?;
                 s.ready().await.ok()?;
@@ -165,13 +181,24 @@
                     }),
                     ..Default::default()
                 };
-                let message =
-                    ModelInferRequest { model_name: function, inputs: vec![input], ..Default::default() };
-                let path = format!("http://{}/inference.GRPCInferenceService/ModelInfer", self.at);
-                let answer =
-                    s.send_request(request(path, "application/grpc", frame(&message))?).await.ok()?;
+                let message = ModelInferRequest {
+                    model_name: function,
+                    inputs: vec![input],
+                    ..Default::default()
+                };
+                let path = format!(
+                    "http://{}/inference.GRPCInferenceService/ModelInfer",
+                    self.at
+                );
+                let answer = s
+                    .send_request(request(path, "application/grpc", frame(&message))?)
+                    .await
+                    .ok()?;
                 let whole = answer.into_body().collect().await.ok()?;
-                let good = whole.trailers().and_then(|t| t.get("grpc-status")).is_some_and(|s| s == "0");
+                let good = whole
+                    .trailers()
+                    .and_then(|t| t.get("grpc-status"))
+                    .is_some_and(|s| s == "0");
                 good.then_some(())
             }
         }
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -69,19 +69,35 @@
 }
 
 pub fn loopback(address: SocketAddr) -> Result<SocketAddr, Wrong> {
-    if address.ip().is_loopback() { Ok(address) } else { Err(Wrong::Outside { address }) }
+    if address.ip().is_loopback() {
+        Ok(address)
+    } else {
+        Err(Wrong::Outside { address })
+    }
 }
 
 pub fn run(kind: Kind) -> Result<(), Wrong> {
     let ground = |logs: Option<PathBuf>| Ground::new(2, logs.as_deref()).map_err(Wrong::Standin);
     match kind {
-        Kind::Broker { listen, queue, logs } => {
-            let broker =
-                Broker::start(&ground(logs)?, "broker", loopback(listen)?).map_err(Wrong::Standin)?;
+        Kind::Broker {
+            listen,
+            queue,
+            logs,
+        } => {
+            let broker = Broker::start(&ground(logs)?, "broker", loopback(listen)?)
+                .map_err(Wrong::Standin)?;
             queue.iter().for_each(|q| broker.declare(q));
             forever("broker", broker.address)
         }
-        Kind::Worker { listen, store, trigger, work_ms, lanes, cores, logs } => {
+        Kind::Worker {
+            listen,
+            store,
+            trigger,
+            work_ms,
+            lanes,
+            cores,
+            logs,
+        } => {
             let nature = Nature::roomy(cores);
             let program = Program {
                 work: Duration::from_secs_f64(work_ms / 1e3),
@@ -93,18 +109,35 @@
             };
             let programs = HashMap::from([(trigger, program)]);
             let (listen, store, ground) = (loopback(listen)?, loopback(store)?, ground(logs)?);
-            let worker =
-                Worker::start(&ground, "worker", listen, 1, nature, store, programs, Memory::default());
+            let worker = Worker::start(
+                &ground,
+                "worker",
+                listen,
+                1,
+                nature,
+                store,
+                programs,
+                Memory::default(),
+            );
             forever("worker", worker.map_err(Wrong::Standin)?.address)
         }
         Kind::Store { listen, logs } => {
-            let nature = store::Nature { mb_per_s: 1000.0, abreast: 8, most: 1000 };
-            let store =
-                Store::start(&ground(logs)?, "store", loopback(listen)?, nature).map_err(Wrong::Standin)?;
+            let nature = store::Nature {
+                mb_per_s: 1000.0,
+                abreast: 8,
+                most: 1000,
+            };
+            let store = Store::start(&ground(logs)?, "store", loopback(listen)?, nature)
+                .map_err(Wrong::Standin)?;
             forever("store", store.server.address)
         }
-        Kind::List { listen, worker, logs } => {
-            let list = List::start(&ground(logs)?, "list", loopback(listen)?).map_err(Wrong::Standin)?;
+        Kind::List {
+            listen,
+            worker,
+            logs,
+        } => {
+            let list =
+                List::start(&ground(logs)?, "list", loopback(listen)?).map_err(Wrong::Standin)?;
             for (n, address) in worker.into_iter().enumerate() {
                 list.put(
                     &format!("worker-{n}"),
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -133,7 +133,11 @@
             false => found.push(file.clone()),
         }
     }
-    if found.is_empty() { Err(Wrong::NoFile { what: "trace file" }) } else { Ok(found) }
+    if found.is_empty() {
+        Err(Wrong::NoFile { what: "trace file" })
+    } else {
+        Ok(found)
+    }
 }
 
 fn open(file: &Path) -> Result<Opened, Wrong> {
@@ -147,30 +151,70 @@
         Trace::Summary { files, json } => summary(&all(&files)?, json),
         Trace::Chart { files, out } => chart(&all(&files)?, &out),
         Trace::Show { mark, files } => show(&mark, &all(&files)?),
-        Trace::Explain { files, from, until, json } => {
+        Trace::Explain {
+            files,
+            from,
+            until,
+            json,
+        } => {
             let micros = |s: f64| (s * 1e6) as i64;
-            let span = (from.map_or(i64::MIN, micros), until.map_or(i64::MAX, micros));
+            let span = (
+                from.map_or(i64::MIN, micros),
+                until.map_or(i64::MAX, micros),
+            );
             explained(&all(&files)?, span, json)
         }
         Trace::Rules { files, json } => judged(&all(&files)?, json),
         Trace::Merge { files, out, as_is } => merged(&all(&files)?, &out, as_is),
-        Trace::Cut { file, out, from, until, function, account, worker, invocation } => {
+        Trace::Cut {
+            file,
+            out,
+            from,
+            until,
+            function,
+            account,
+            worker,
+            invocation,
+        } => {
             let micros = |s: f64| (s * 1e6) as i64;
             let (from, until) = (from.map(micros), until.map(micros));
-            let wanted = Wanted { from, until, function, account, worker, mark: invocation };
+            let wanted = Wanted {
+                from,
+                until,
+                function,
+                account,
+                worker,
+                mark: invocation,
+            };
             rewritten(&file, &out, |reader, to| rewrite::cut(reader, &wanted, to))
         }
         Trace::Strip { file, out, key } => {
             let secret = std::fs::read(&key).map_err(Wrong::file(&key))?;
             if secret.len() < LEAST_SECRET {
                 let (file, size) = (key.display().to_string(), secret.len());
-                return Err(Wrong::ShortSecret { file, size, least: LEAST_SECRET });
+                return Err(Wrong::ShortSecret {
+                    file,
+                    size,
+                    least: LEAST_SECRET,
+                });
             }
             let mut strip = Strip::new(&secret);
-            rewritten(&file, &out, |reader, to| rewrite::strip(reader, &mut strip, to))
+            rewritten(&file, &out, |reader, to| {
+                rewrite::strip(reader, &mut strip, to)
+            })
         }
-        Trace::Replay { files, all: false, against: None, .. } => replayed(&all(&files)?),
-        Trace::Replay { files, against, json, .. } => compared(&all(&files)?, against.as_deref(), json),
+        Trace::Replay {
+            files,
+            all: false,
+            against: None,
+            ..
+        } => replayed(&all(&files)?),
+        Trace::Replay {
+            files,
+            against,
+            json,
+            ..
+        } => compared(&all(&files)?, against.as_deref(), json),
         Trace::Redo { files, out } => redone(&all(&files)?, &out),
     }
 }
@@ -184,7 +228,9 @@
         while let Some(found) = reader.next().map_err(Wrong::trace(file.display()))? {
             if let Found::Block { records, place } = found {
                 let source = &sources[place.source as usize];
-                records.iter().for_each(|(at, x)| explain.record(base + place.source, source, span, *at, x));
+                records
+                    .iter()
+                    .for_each(|(at, x)| explain.record(base + place.source, source, span, *at, x));
             }
         }
         base += sources.len() as u32;
@@ -194,11 +240,22 @@
         say!("{}", serde_json::to_string_pretty(&ranked)?);
         return Ok(true);
     }
-    say!("{:<52} {:>9} {:>7} {:>7}  span (wall, s)", "cause", "cost", "lost", "late");
+    say!(
+        "{:<52} {:>9} {:>7} {:>7}  span (wall, s)",
+        "cause",
+        "cost",
+        "lost",
+        "late"
+    );
     for r in ranked {
         let (from, until) = (r.from_us / 1_000_000, r.until_us / 1_000_000);
         let cause = format!("{:?}", r.cause);
-        say!("{cause:<52} {:>9.1} {:>7} {:>7}  {from} to {until}", r.cost, r.lost, r.late);
+        say!(
+            "{cause:<52} {:>9.1} {:>7} {:>7}  {from} to {until}",
+            r.cost,
+            r.lost,
+            r.late
+        );
     }
     Ok(true)
 }
@@ -211,7 +268,9 @@
         while let Some(found) = reader.next().map_err(Wrong::trace(file.display()))? {
             if let Found::Block { records, place } = found {
                 let source = &sources[place.source as usize];
-                records.iter().for_each(|(at, x)| rules.record(base + place.source, source, *at, x));
+                records
+                    .iter()
+                    .for_each(|(at, x)| rules.record(base + place.source, source, *at, x));
             }
         }
         all.extend((base..).zip(sources));
@@ -226,7 +285,9 @@
         say!(
             "{n} invocations, {broken} breaks of rules 1, 2, 3 and 5; {open} still open where their trace ends"
         );
-        say!("not seen here: rule 4, and what became of answers and dispatches on the sockets (see audit)");
+        say!(
+            "not seen here: rule 4, and what became of answers and dispatches on the sockets (see audit)"
+        );
     }
     Ok(broken == 0)
 }
@@ -235,12 +296,17 @@
 const LEAST_SECRET: usize = 16;
 
 /// Written beside its name and put there when it is whole.
-fn make<T>(out: &Path, write: impl FnOnce(&mut BufWriter<File>) -> Result<T, Wrong>) -> Result<T, Wrong> {
+fn make<T>(
+    out: &Path,
+    write: impl FnOnce(&mut BufWriter<File>) -> Result<T, Wrong>,
+) -> Result<T, Wrong> {
     let beside = out.with_extension("part");
     let mut to = BufWriter::new(File::create(&beside).map_err(Wrong::file(out))?);
     let done = write(&mut to).and_then(|done| to.flush().map(|()| done).map_err(Wrong::file(out)));
     match done {
-        Ok(done) => std::fs::rename(&beside, out).map(|()| done).map_err(Wrong::file(out)),
+        Ok(done) => std::fs::rename(&beside, out)
+            .map(|()| done)
+            .map_err(Wrong::file(out)),
         Err(why) => {
             let _ = std::fs::remove_file(&beside);
             Err(why)
@@ -254,8 +320,15 @@
     how: impl FnOnce(&mut Opened, &mut BufWriter<File>) -> Result<Rewritten, Error>,
 ) -> Result<bool, Wrong> {
     let mut reader = open(file)?;
-    let done = make(out, |to| how(&mut reader, to).map_err(Wrong::trace(file.display())))?;
-    say!("{} records of {} blocks read, {} damaged", done.records, done.blocks_read, done.damaged);
+    let done = make(out, |to| {
+        how(&mut reader, to).map_err(Wrong::trace(file.display()))
+    })?;
+    say!(
+        "{} records of {} blocks read, {} damaged",
+        done.records,
+        done.blocks_read,
+        done.damaged
+    );
     Ok(done.damaged == 0)
 }
 
@@ -274,13 +347,19 @@
             match found {
                 Some((by, changes)) => {
                     *ahead = by;
-                    say!("{}: {:.1} ms ahead, by {changes} changes", file.display(), by as f64 / 1e3);
+                    say!(
+                        "{}: {:.1} ms ahead, by {changes} changes",
+                        file.display(),
+                        by as f64 / 1e3
+                    );
                 }
                 None => say!("{}: offset unknown, taken as it is", file.display()),
             }
         }
     }
-    let damaged = make(out, |to| merge(&mut readers, &ahead, to).map_err(Wrong::trace(out.display())))?;
+    let damaged = make(out, |to| {
+        merge(&mut readers, &ahead, to).map_err(Wrong::trace(out.display()))
+    })?;
     if damaged > 0 {
         say!("{damaged} damaged blocks were left out");
     }
@@ -316,7 +395,10 @@
             _ => "ended well".to_owned(),
         };
         good &= lost == 0 && reader.ended == Some(Ended::Well);
-        say!("{}: {blocks} blocks, {records} records, {lost} damaged, {ended}", file.display());
+        say!(
+            "{}: {blocks} blocks, {records} records, {lost} damaged, {ended}",
+            file.display()
+        );
     }
     Ok(good)
 }
@@ -360,13 +442,26 @@
 
 fn chart(files: &[PathBuf], out: &Path) -> Result<bool, Wrong> {
     let (mut counter, mut course) = (Counter::default(), Course::default());
-    each(files, &mut counter, |source, at, record| course.record(source, at, record))?;
+    each(files, &mut counter, |source, at, record| {
+        course.record(source, at, record)
+    })?;
     let summary = counter.finish();
-    let routers = if summary.routers == 1 { "router life" } else { "router lives" };
-    let title = format!("{} invocations, {} {routers}", summary.invocations, summary.routers);
-    let worst = summary.worst.map(|(s, _)| (s * 1_000_000, (s + SPAN_S) * 1_000_000));
+    let routers = if summary.routers == 1 {
+        "router life"
+    } else {
+        "router lives"
+    };
+    let title = format!(
+        "{} invocations, {} {routers}",
+        summary.invocations, summary.routers
+    );
+    let worst = summary
+        .worst
+        .map(|(s, _)| (s * 1_000_000, (s + SPAN_S) * 1_000_000));
     let svg = chart::svg(&course, &title, worst).map_err(Wrong::trace(out.display()))?;
-    make(out, |to| to.write_all(svg.as_bytes()).map_err(Wrong::file(out)))?;
+    make(out, |to| {
+        to.write_all(svg.as_bytes()).map_err(Wrong::file(out))
+    })?;
     say!("{}", out.display());
     Ok(true)
 }
@@ -379,15 +474,26 @@
         let mut follows: Vec<Follow> = sources.iter().map(|_| Follow::new(mark)).collect();
         while let Some(found) = reader.next().map_err(Wrong::trace(file.display()))? {
             if let Found::Block { records, place } = found {
-                let (follow, source) = (&mut follows[place.source as usize], &sources[place.source as usize]);
-                records.iter().for_each(|(at, record)| follow.record(source, *at, record));
+                let (follow, source) = (
+                    &mut follows[place.source as usize],
+                    &sources[place.source as usize],
+                );
+                records
+                    .iter()
+                    .for_each(|(at, record)| follow.record(source, *at, record));
             }
         }
         follows.iter_mut().for_each(|f| lines.append(&mut f.lines));
     }
     lines.sort();
     lines.iter().for_each(|l| say!("{l}"));
-    if lines.is_empty() { Err(Wrong::NoMark { mark: mark.to_owned() }) } else { Ok(true) }
+    if lines.is_empty() {
+        Err(Wrong::NoMark {
+            mark: mark.to_owned(),
+        })
+    } else {
+        Ok(true)
+    }
 }
 
 /// A router's life, whose files are a row.
@@ -412,7 +518,11 @@
     }
     let life = |((_, router, wall_at_zero), mut row): (_, Vec<(u64, Opened)>)| {
         row.sort_by_key(|(file, _)| *file);
-        Life { router, wall_at_zero, row: row.into_iter().map(|(_, reader)| reader).collect() }
+        Life {
+            router,
+            wall_at_zero,
+            row: row.into_iter().map(|(_, reader)| reader).collect(),
+        }
     };
     Ok(rows.into_iter().map(life).collect())
 }
@@ -421,9 +531,19 @@
     std::fs::create_dir_all(out).map_err(Wrong::file(out))?;
     for (n, mut life) in lives(files)?.into_iter().enumerate() {
         let file = out.join(format!("{n:05}.trace"));
-        let done = make(&file, |to| redo(&mut life.row, to).map_err(Wrong::trace(&life.router)))?;
-        let stopped = done.stopped.map(|why| format!("; stopped: {why}")).unwrap_or_default();
-        say!("{}: {} decisions, in {}{stopped}", life.router, done.decisions, file.display());
+        let done = make(&file, |to| {
+            redo(&mut life.row, to).map_err(Wrong::trace(&life.router))
+        })?;
+        let stopped = done
+            .stopped
+            .map(|why| format!("; stopped: {why}"))
+            .unwrap_or_default();
+        say!(
+            "{}: {} decisions, in {}{stopped}",
+            life.router,
+            done.decisions,
+            file.display()
+        );
     }
     Ok(true)
 }
@@ -431,14 +551,20 @@
 /// What another build's module decides about the same events, a file for each life.
 fn asked(other: &Path, files: &[PathBuf], into: &Path) -> Result<(), Wrong> {
     let mut command = std::process::Command::new(other);
-    command.args(["trace", "redo", "--out"]).arg(into).args(files);
+    command
+        .args(["trace", "redo", "--out"])
+        .arg(into)
+        .args(files);
     let done = command.output().map_err(Wrong::file(other))?;
     if done.status.success() {
         return Ok(());
     }
     let said = String::from_utf8_lossy(&done.stderr);
     let said = said.lines().next().unwrap_or("it said nothing").to_owned();
-    Err(Wrong::NotRedone { program: other.display().to_string(), said })
+    Err(Wrong::NotRedone {
+        program: other.display().to_string(),
+        said,
+    })
 }
 
 fn compared(files: &[PathBuf], against: Option<&Path>, json: bool) -> Result<bool, Wrong> {
@@ -482,23 +608,38 @@
             None => None,
         };
         let done = drive(&mut life.row, |step| {
-            let Step::Decided { at, happened, recorded, replayed } = step else { return Ok(true) };
+            let Step::Decided {
+                at,
+                happened,
+                recorded,
+                replayed,
+            } = step
+            else {
+                return Ok(true);
+            };
             let Some(theirs) = &mut theirs else {
                 compare.decision(&recorded, &replayed);
                 return Ok(true);
             };
             let Some((their_at, their_event, their_actions)) = theirs.next()? else {
-                return Err(Error::Other { how: "went less far" });
+                return Err(Error::Other {
+                    how: "went less far",
+                });
             };
             if their_at != at || told(&their_event) != told(&happened) {
-                return Err(Error::Other { how: "was not told the same" });
+                return Err(Error::Other {
+                    how: "was not told the same",
+                });
             }
             compare.decision(&their_actions, &replayed);
             Ok(true)
         });
         let done = done.map_err(Wrong::trace(&life.router))?;
         if let Some(why) = &done.stopped {
-            say!("{}", json!({"router": life.router, "wall_at_zero": life.wall_at_zero, "stopped": why}));
+            say!(
+                "{}",
+                json!({"router": life.router, "wall_at_zero": life.wall_at_zero, "stopped": why})
+            );
         }
     }
     Ok(compare.finish())
@@ -506,17 +647,31 @@
 
 fn replayed(files: &[PathBuf]) -> Result<bool, Wrong> {
     let mut same = true;
-    for Life { router, mut row, .. } in lives(files)? {
+    for Life {
+        router, mut row, ..
+    } in lives(files)?
+    {
         let result = replay(&mut row).map_err(Wrong::trace(&router))?;
         let seconds = result.span as f64 / 1e6;
-        let module = if result.same_module { "the same module" } else { "another module" };
+        let module = if result.same_module {
+            "the same module"
+        } else {
+            "another module"
+        };
         match &result.difference {
             None => {
-                say!("{router}: {} decisions over {seconds:.1} s, none differs; {module}", result.decisions)
+                say!(
+                    "{router}: {} decisions over {seconds:.1} s, none differs; {module}",
+                    result.decisions
+                )
             }
             Some(d) => {
                 same = false;
-                say!("{router}: decision {} at {} us differs; {module}", d.decision, d.at);
+                say!(
+                    "{router}: decision {} at {} us differs; {module}",
+                    d.decision,
+                    d.at
+                );
                 say!("  told:     {}", told(&d.happened));
                 say!("  recorded: {:?}", d.recorded);
                 say!("  replayed: {:?}", d.replayed);
--- a/crates/cli/src/wrong.rs
+++ b/crates/cli/src/wrong.rs
@@ -25,7 +25,10 @@
     #[error("{0}")]
     Settings(cedarpulley_gateway::config_reader::ConfigErrors),
     #[error("{file}: the router cannot run")]
-    Serve { file: String, source: cedarpulley_gateway::serve::StartError },
+    Serve {
+        file: String,
+        source: cedarpulley_gateway::serve::StartError,
+    },
     #[error(transparent)]
     Node(#[from] cedarpulley_platform_node::StartError),
     #[error(transparent)]
@@ -39,11 +42,21 @@
     #[error(transparent)]
     Audit(#[from] cedarpulley_audit::Unjudged),
     #[error("{of}")]
-    Trace { of: String, source: cedarpulley_trace::Error },
+    Trace {
+        of: String,
+        source: cedarpulley_trace::Error,
+    },
     #[error("{file}")]
-    Ledger { file: String, source: cedarpulley_ledger::Failed },
+    Ledger {
+        file: String,
+        source: cedarpulley_ledger::Failed,
+    },
     #[error("{file}: a secret of {size} bytes, where {least} are the least")]
-    ShortSecret { file: String, size: usize, least: usize },
+    ShortSecret {
+        file: String,
+        size: usize,
+        least: usize,
+    },
     #[error("'{mark}' is in none of the files")]
     NoMark { mark: String },
     #[error("{program}: it could not redo these files: {said}")]
@@ -56,25 +69,39 @@
 
 impl Wrong {
     pub fn file(file: &Path) -> impl FnOnce(io::Error) -> Wrong {
-        move |source| Wrong::File { file: file.display().to_string(), source }
+        move |source| Wrong::File {
+            file: file.display().to_string(),
+            source,
+        }
     }
 
     /// Of this file, or of the row of this router.
     pub fn trace(of: impl ToString) -> impl FnOnce(cedarpulley_trace::Error) -> Wrong {
-        move |source| Wrong::Trace { of: of.to_string(), source }
+        move |source| Wrong::Trace {
+            of: of.to_string(),
+            source,
+        }
     }
 }
 
 impl Remedy for Wrong {
     fn remedy(&self) -> &'static str {
         match self {
-            Wrong::Level { .. } => "give one as in RUST_LOG, such as info or cedarpulley_gateway=debug",
+            Wrong::Level { .. } => {
+                "give one as in RUST_LOG, such as info or cedarpulley_gateway=debug"
+            }
             Wrong::Tamper { .. } => "give one that `cedarpulley day --help` names",
-            Wrong::Outside { .. } => "give an address in 127.0.0.0/8: stand-ins listen on loopback only",
+            Wrong::Outside { .. } => {
+                "give an address in 127.0.0.0/8: stand-ins listen on loopback only"
+            }
             Wrong::NoFile { .. } => "name at least one, or a folder that holds some",
             Wrong::Absent { .. } => "name a file that is there, or a folder that holds some",
-            Wrong::File { .. } => "see that its path is right, may be read or written, and has room",
-            Wrong::Settings(_) => "mend each of these lines; docs/operate/settings.md has all settings",
+            Wrong::File { .. } => {
+                "see that its path is right, may be read or written, and has room"
+            }
+            Wrong::Settings(_) => {
+                "mend each of these lines; docs/operate/settings.md has all settings"
+            }
             Wrong::Serve { source, .. } => source.remedy(),
             Wrong::Node(why) => why.remedy(),
             Wrong::Day(why) => why.remedy(),
@@ -87,8 +114,12 @@
             Wrong::Trace { source, .. } => source.remedy(),
             Wrong::Ledger { source, .. } => source.remedy(),
             Wrong::ShortSecret { .. } => "write more random bytes into it",
-            Wrong::NoMark { .. } => "give the mark as its client gave it, and the files of that time",
-            Wrong::NotRedone { .. } => "see that it is a build of cedarpulley that knows `trace redo`",
+            Wrong::NoMark { .. } => {
+                "give the mark as its client gave it, and the files of that time"
+            }
+            Wrong::NotRedone { .. } => {
+                "see that it is a build of cedarpulley that knows `trace redo`"
+            }
             Wrong::Json(_) => "ask without --json, and report it",
             Wrong::Csv(_) => "ask without --csv, and report it",
         }
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -10,11 +10,18 @@
 }
 
 fn cedarpulley(args: &[&str]) -> Output {
-    Command::new(PROGRAM).current_dir(root()).args(args).output().expect("the program starts")
+    Command::new(PROGRAM)
+        .current_dir(root())
+        .args(args)
+        .output()
+        .expect("the program starts")
 }
 
 fn out(name: &str) -> String {
-    Path::new(env!("CARGO_TARGET_TMPDIR")).join(name).display().to_string()
+    Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join(name)
+        .display()
+        .to_string()
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -22,11 +29,16 @@
 }
 
 fn last_line(o: &Output) -> String {
-    text(&o.stdout).lines().last().unwrap_or_default().to_owned()
+    text(&o.stdout)
+        .lines()
+        .last()
+        .unwrap_or_default()
+        .to_owned()
 }
 
 fn verdict(folder: &str) -> serde_json::Value {
-    let text = std::fs::read_to_string(Path::new(folder).join("audit.json")).expect("a verdict is left");
+    let text =
+        std::fs::read_to_string(Path::new(folder).join("audit.json")).expect("a verdict is left");
     serde_json::from_str(&text).expect("JSON")
 }
 
@@ -55,13 +67,26 @@
                     let o = cedarpulley(&args);
                     let v = verdict(&folder);
                     if kind.is_empty() {
-                        assert_eq!(o.status.code(), Some(0), "{}{}", text(&o.stdout), text(&o.stderr));
+                        assert_eq!(
+                            o.status.code(),
+                            Some(0),
+                            "{}{}",
+                            text(&o.stdout),
+                            text(&o.stderr)
+                        );
                         let n = &v["invocations"];
-                        assert_eq!(last_line(&o), format!("audit: {n} invocations, {n} answers, 0 breaks"));
+                        assert_eq!(
+                            last_line(&o),
+                            format!("audit: {n} invocations, {n} answers, 0 breaks")
+                        );
                         assert!(n.as_u64() > Some(500));
                     } else {
                         assert_eq!(o.status.code(), Some(1), "{kind}: {}", text(&o.stdout));
-                        assert!(v["rules"][rule.to_string()].as_u64() > Some(0), "{kind}: {}", v["rules"]);
+                        assert!(
+                            v["rules"][rule.to_string()].as_u64() > Some(0),
+                            "{kind}: {}",
+                            v["rules"]
+                        );
                     }
                     if kind == "lost" {
                         assert!(v["unanswered"].as_u64() > Some(0));
@@ -114,28 +139,48 @@
     let expected = [
         (3, "router.memory: is unknown"),
         (5, "rules.cold_part: 1.5 is not within 0 to 1"),
-        (9, "trigger[0].latency_objective_ms: is above the client timeout"),
+        (
+            9,
+            "trigger[0].latency_objective_ms: is above the client timeout",
+        ),
         (11, "trigger[0].second_copies: what must never run twice"),
         (12, "account: the shares sum to 1.5"),
-        (19, "amqp[0].broker: 10.0.0.1:5672 is not a loopback address"),
+        (
+            19,
+            "amqp[0].broker: 10.0.0.1:5672 is not a loopback address",
+        ),
         (21, "amqp[0].share_of: there is no account 'z'"),
     ];
     assert_eq!(lines.len(), expected.len(), "{said}");
     for (line, (number, cause)) in lines.iter().zip(expected) {
-        assert!(line.starts_with(&format!("{file}:{number}: {cause}")), "{line}");
+        assert!(
+            line.starts_with(&format!("{file}:{number}: {cause}")),
+            "{line}"
+        );
     }
     assert_eq!(cedarpulley(&["serve", &file]).status.code(), Some(2));
     std::fs::write(&file, "[router\n").expect("written");
     let o = cedarpulley(&["check", &file]);
-    assert_eq!((o.status.code(), text(&o.stderr).lines().count()), (Some(2), 1));
+    assert_eq!(
+        (o.status.code(), text(&o.stderr).lines().count()),
+        (Some(2), 1)
+    );
 }
 
 #[test]
 fn bad_input_ends_with_two_and_one_line() {
-    for args in [["day", "days/none.toml"], ["audit", "days"], ["check", "README.md"], ["day", "Cargo.toml"]]
-    {
+    for args in [
+        ["day", "days/none.toml"],
+        ["audit", "days"],
+        ["check", "README.md"],
+        ["day", "Cargo.toml"],
+    ] {
         let o = cedarpulley(&args);
-        assert_eq!((o.status.code(), text(&o.stderr).lines().count()), (Some(2), 1), "{args:?}");
+        assert_eq!(
+            (o.status.code(), text(&o.stderr).lines().count()),
+            (Some(2), 1),
+            "{args:?}"
+        );
     }
 }
 
@@ -149,13 +194,30 @@
     for (source, router) in [(1, "one"), (2, "other")] {
         let mut sums = Sums::default();
         let (account, function) = ("amber, inc".into(), "f".into());
-        let key = Key { hour: 480_000, account, function, kind: Kind::Running };
-        sums.add(key, Sum { byte_us: 3_000_000_000_000, count: source as u64 });
+        let key = Key {
+            hour: 480_000,
+            account,
+            function,
+            kind: Kind::Running,
+        };
+        sums.add(
+            key,
+            Sum {
+                byte_us: 3_000_000_000_000,
+                count: source as u64,
+            },
+        );
         let ledger = Ledger::open(&folder.join(format!("{router}.ledger"))).expect("it opens");
-        let part = cedarpulley_meter::Part { sums, ..Default::default() };
+        let part = cedarpulley_meter::Part {
+            sums,
+            ..Default::default()
+        };
         ledger.add(source, router, &part).expect("written");
     }
-    let (all, merged) = (folder.display().to_string(), folder.join("all").display().to_string());
+    let (all, merged) = (
+        folder.display().to_string(),
+        folder.join("all").display().to_string(),
+    );
     let csv = |file: &str| {
         let o = cedarpulley(&["meter", "report", file, "--by", "tenant,hour", "--csv"]);
         assert_eq!(o.status.code(), Some(0), "{}", text(&o.stderr));
@@ -165,13 +227,23 @@
     assert!(csv(&all).lines().any(|l| l == line), "{}", csv(&all));
     // Twice into the same: nothing changes.
     for _ in 0..2 {
-        assert_eq!(cedarpulley(&["meter", "merge", &all, "--out", &merged]).status.code(), Some(0));
+        assert_eq!(
+            cedarpulley(&["meter", "merge", &all, "--out", &merged])
+                .status
+                .code(),
+            Some(0)
+        );
         assert_eq!(csv(&merged), csv(&all));
     }
     std::fs::write(folder.join("bad"), "no ledger").expect("written");
     let bad = folder.join("bad").display().to_string();
     for wrong in [bad.as_str(), "/none"] {
         let o = cedarpulley(&["meter", "report", wrong]);
-        assert_eq!((o.status.code(), text(&o.stderr).lines().count()), (Some(2), 1), "{}", text(&o.stderr));
+        assert_eq!(
+            (o.status.code(), text(&o.stderr).lines().count()),
+            (Some(2), 1),
+            "{}",
+            text(&o.stderr)
+        );
     }
 }
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -24,10 +24,16 @@
 /// Every source file of every package without its tests, with its package's name.
 fn sources() -> Vec<(String, String)> {
     let mut found = Vec::new();
-    for package in std::fs::read_dir(root().join("crates")).expect("packages").flatten() {
+    for package in std::fs::read_dir(root().join("crates"))
+        .expect("packages")
+        .flatten()
+    {
         let name = package.file_name().to_string_lossy().into_owned();
         let files = files_below(&package.path().join("src"));
-        for file in files.iter().filter(|file| file.extension().is_some_and(|e| e == "rs")) {
+        for file in files
+            .iter()
+            .filter(|file| file.extension().is_some_and(|e| e == "rs"))
+        {
             let source = std::fs::read_to_string(file).expect("a source");
             let before_tests = source.split("#[cfg(test)]").next().unwrap_or_default();
             found.push((name.clone(), before_tests.to_owned()));
@@ -50,7 +56,9 @@
 
 /// It says something beside what it was about.
 fn speaks(text: &str) -> bool {
-    let said = text.split('{').flat_map(|part| part.split_once('}').map_or([part, ""], |(_, s)| [s, ""]));
+    let said = text
+        .split('{')
+        .flat_map(|part| part.split_once('}').map_or([part, ""], |(_, s)| [s, ""]));
     said.flat_map(str::chars).any(char::is_alphabetic)
 }
 
@@ -58,7 +66,11 @@
 fn in_code() -> (BTreeSet<(String, String)>, BTreeSet<String>) {
     let (mut texts, mut remedies) = (BTreeSet::new(), BTreeSet::new());
     for (package, source) in sources() {
-        let said = source.split("#[error(").skip(1).filter_map(literal).filter(|t| speaks(t));
+        let said = source
+            .split("#[error(")
+            .skip(1)
+            .filter_map(literal)
+            .filter(|t| speaks(t));
         texts.extend(said.map(|text| (package.clone(), text)));
         for body in source.split("fn remedy(&self) -> &'static str {").skip(1) {
             let body = body.split("\n    }\n").next().unwrap_or_default();
@@ -76,9 +88,15 @@
 /// Rows of four cells: package and what it says.
 fn in_page() -> BTreeSet<(String, String)> {
     let rows = page();
-    let rows = rows.lines().map(|l| l.trim_matches('|').split(" | ").map(str::trim).collect::<Vec<_>>());
+    let rows = rows.lines().map(|l| {
+        l.trim_matches('|')
+            .split(" | ")
+            .map(str::trim)
+            .collect::<Vec<_>>()
+    });
     let rows = rows.filter(|cells| cells.len() == 4 && cells[1].starts_with('`'));
-    rows.map(|cells| (cells[0].to_owned(), cells[1].trim_matches('`').to_owned())).collect()
+    rows.map(|cells| (cells[0].to_owned(), cells[1].trim_matches('`').to_owned()))
+        .collect()
 }
 
 #[test]
@@ -88,7 +106,10 @@
     let missing: Vec<_> = code.difference(&page).collect();
     assert!(missing.is_empty(), "not in the page: {missing:#?}");
     let gone: Vec<_> = page.difference(&code).collect();
-    assert!(gone.is_empty(), "in the page, and no package says it: {gone:#?}");
+    assert!(
+        gone.is_empty(),
+        "in the page, and no package says it: {gone:#?}"
+    );
 }
 
 #[test]
@@ -96,7 +117,11 @@
     let (remedies, page) = (in_code().1, page());
     // A sentence outside a table may be broken into lines.
     let page = page.split_whitespace().collect::<Vec<_>>().join(" ");
-    assert!(remedies.len() > 50, "{} remedies were found", remedies.len());
+    assert!(
+        remedies.len() > 50,
+        "{} remedies were found",
+        remedies.len()
+    );
     // A cell of its own, or the end of a sentence.
     let has = |r: &&String| page.contains(&format!("| {r} |")) || page.contains(&format!(": {r}."));
     let missing: Vec<_> = remedies.iter().filter(|r| !has(r)).collect();
--- a/crates/cli/tests/fleets/mod.rs
+++ b/crates/cli/tests/fleets/mod.rs
@@ -34,19 +34,30 @@
     (day.seed, day.seconds, day.rate_per_s, day.routers) = (5, 6.0, 25.0, 3);
     day.troubles.clear();
     day.peers = false;
-    day.workers.iter_mut().for_each(|w| (w.count, w.cores) = (2, 8.0));
+    day.workers
+        .iter_mut()
+        .for_each(|w| (w.count, w.cores) = (2, 8.0));
     for t in &mut day.triggers {
-        (t.latency_objective_ms, t.client_timeout_ms, t.work_ms, t.functions) = (1000, GIVES_UP_MS, 40.0, 3);
+        (
+            t.latency_objective_ms,
+            t.client_timeout_ms,
+            t.work_ms,
+            t.functions,
+        ) = (1000, GIVES_UP_MS, 40.0, 3);
         (t.lanes, t.copy_mb) = (8, 50.0);
         // Longer than any cut keeps a dispatch.
         t.window_ms = if t.window_ms > 0 { 30_000 } else { 0 };
     }
     // Nothing is turned away for want of room.
     (day.nature.most_waiting, day.nature.most_loads) = (1000, 100);
-    day.settings.loads.insert("order_answered_within_ms".into(), 20_000.into());
+    day.settings
+        .loads
+        .insert("order_answered_within_ms".into(), 20_000.into());
     // Counts are judged, whatever a busy machine adds to the times.
     day.leeway_ms = 10_000;
-    day.settings.router.insert("answer_margin_ms".into(), 500.into());
+    day.settings
+        .router
+        .insert("answer_margin_ms".into(), 500.into());
     change(&mut day);
     day
 }
@@ -98,7 +109,12 @@
     let _turn = TURNS.acquire_blocking();
     let folder = tempfile::tempdir().expect("a folder");
     let (out, tamper) = (folder.path().to_owned(), tamper.map(str::to_owned));
-    let launch = Launch { out, program: PROGRAM.into(), tamper, trace: true };
+    let launch = Launch {
+        out,
+        program: PROGRAM.into(),
+        tamper,
+        trace: true,
+    };
     let fleet = Fleet::prepare(day, launch).expect("a fleet");
     before(&fleet);
     fleet.start_routers().expect("they come up");
@@ -109,7 +125,15 @@
     let stopped = fleet.stop(PATIENCE);
     let verdict = fleet.verdict().expect("a verdict");
     let answers = lock(&traffic.answers).clone();
-    Played { fleet, verdict, answers, sent: traffic.sent.len(), stopped, states, folder }
+    Played {
+        fleet,
+        verdict,
+        answers,
+        sent: traffic.sent.len(),
+        stopped,
+        states,
+        folder,
+    }
 }
 
 impl Played {
@@ -117,11 +141,15 @@
     pub fn effects(&self, kind: &str) -> HashMap<String, usize> {
         let mut ran = HashMap::new();
         for w in 0..self.fleet.workers.len() {
-            let file = self.fleet.folder().join(format!("traffic/{}.ndjson", self.fleet.worker(w)));
+            let file = self
+                .fleet
+                .folder()
+                .join(format!("traffic/{}.ndjson", self.fleet.worker(w)));
             for line in std::fs::read_to_string(file).expect("a log").lines() {
                 let line: serde_json::Value = serde_json::from_str(line).expect("JSON");
                 if line["what"] == "ran" && line["type"] == kind {
-                    *ran.entry(line["id"].as_str().expect("an id").to_owned()).or_default() += 1;
+                    *ran.entry(line["id"].as_str().expect("an id").to_owned())
+                        .or_default() += 1;
                 }
             }
         }
@@ -132,7 +160,10 @@
     pub fn logged(&self, of: &str, what: &str) -> usize {
         let file = self.fleet.folder().join(format!("traffic/{of}.ndjson"));
         let what = format!(r#""what":"{what}""#);
-        std::fs::read_to_string(file).expect("a log").matches(&what).count()
+        std::fs::read_to_string(file)
+            .expect("a log")
+            .matches(&what)
+            .count()
     }
 
     pub fn holds(&self) {
@@ -140,17 +171,27 @@
         assert_eq!(self.verdict.broken(), 0, "{table}");
         // Of what was sent, some may have expired at the broker before or between routers.
         let most = self.answers.len() + self.logged(BROKER, "expired");
-        assert!(!self.answers.is_empty() && most >= self.sent, "{most} of {}: {table}", self.sent);
+        assert!(
+            !self.answers.is_empty() && most >= self.sent,
+            "{most} of {}: {table}",
+            self.sent
+        );
         let twice: Vec<_> = self.answers.iter().filter(|(_, a)| a.len() != 1).collect();
         assert!(twice.is_empty(), "{twice:?}");
         let reserved = self.effects("reserve");
-        assert!(!reserved.is_empty() && reserved.values().all(|n| *n == 1), "{reserved:?}");
+        assert!(
+            !reserved.is_empty() && reserved.values().all(|n| *n == 1),
+            "{reserved:?}"
+        );
         assert!(self.stopped, "the routers end in good order");
     }
 }
 
 pub const PASS: Fault = Fault::Pass;
-pub const LATE: Fault = Fault::Late { by: Duration::from_millis(50), spread: Duration::from_millis(100) };
+pub const LATE: Fault = Fault::Late {
+    by: Duration::from_millis(50),
+    spread: Duration::from_millis(100),
+};
 pub const SLOW: Fault = Fault::Throttled { bytes_per_s: 3000 };
 
 /// Of router 1's links, but for a region's.
@@ -178,13 +219,18 @@
 
 /// Mostly of what must not run twice.
 pub fn once(day: &mut Day) {
-    day.triggers.iter_mut().for_each(|t| t.part = if t.name == "reserve" { 0.9 } else { 0.05 });
+    day.triggers
+        .iter_mut()
+        .for_each(|t| t.part = if t.name == "reserve" { 0.9 } else { 0.05 });
 }
 
 /// Handed out in turn: each router has some, which have run and are not answered.
 pub fn hold_unanswered(f: &Fleet) {
     f.workers.iter().for_each(|w| w.hang(true));
-    assert!(until(PATIENCE, || f.broker.unacked() >= 12), "they have work");
+    assert!(
+        until(PATIENCE, || f.broker.unacked() >= 12),
+        "they have work"
+    );
 }
 
 pub fn answer_again(f: &Fleet) {
