--- a/crates/cli/tests/group.rs
+++ b/crates/cli/tests/group.rs
@@ -30,7 +30,8 @@
 
 /// So many of its records stand so far.
 fn records(f: &Fleet, n: usize, advanced: &str) -> u64 {
-    f.state(n).map_or(0, |s| s["records"][advanced].as_u64().unwrap_or(0))
+    f.state(n)
+        .map_or(0, |s| s["records"][advanced].as_u64().unwrap_or(0))
 }
 
 fn comes(what: &str, come: impl Fn() -> bool) {
@@ -47,20 +48,26 @@
 
 /// How many a router has taken that stand so.
 fn claims(f: &Fleet, n: usize, how: &str) -> u64 {
-    f.state(n).map_or(0, |s| s["claims"][how].as_u64().unwrap_or(0))
+    f.state(n)
+        .map_or(0, |s| s["claims"][how].as_u64().unwrap_or(0))
 }
 
 /// What one router sent of what must not run twice has begun at a worker.
 fn ran_of(f: &Fleet, n: usize) -> usize {
     f.workers.iter().for_each(|w| w.flush());
-    let logs = (0..f.workers.len()).map(|w| f.folder().join(format!("traffic/{}.ndjson", f.worker(w))));
+    let logs =
+        (0..f.workers.len()).map(|w| f.folder().join(format!("traffic/{}.ndjson", f.worker(w))));
     let lines = logs.flat_map(|log| {
         let text = std::fs::read_to_string(log).expect("a log");
-        text.lines().filter_map(|l| serde_json::from_str::<Value>(l).ok()).collect::<Vec<_>>()
+        text.lines()
+            .filter_map(|l| serde_json::from_str::<Value>(l).ok())
+            .collect::<Vec<_>>()
     });
     let (mut came, mut ran) = (HashSet::new(), HashSet::new());
     for line in lines {
-        let Some(id) = line["id"].as_str().map(str::to_owned) else { continue };
+        let Some(id) = line["id"].as_str().map(str::to_owned) else {
+            continue;
+        };
         match line["what"].as_str() {
             Some("received") if line["from"] == f.router(n) => came.insert(id),
             Some("ran") if line["type"] == "reserve" => ran.insert(id),
@@ -83,11 +90,16 @@
 const STILL: f64 = 1e6;
 /// So long an owner does not hear of votes. What it asks meanwhile must not count as late: that is after a sixteenth of
 /// what is kept.
-const UNTOLD: Fault = Fault::Late { by: Duration::from_millis(300), spread: Duration::ZERO };
+const UNTOLD: Fault = Fault::Late {
+    by: Duration::from_millis(300),
+    spread: Duration::ZERO,
+};
 
 /// No copy is loaded yet, and no worker loads by itself: all that is taken waits until the store goes on.
 fn stalled(d: &mut Day) {
-    d.settings.loads.insert("loads_when_absent".into(), false.into());
+    d.settings
+        .loads
+        .insert("loads_when_absent".into(), false.into());
     d.store.mb_per_s /= STILL;
 }
 
@@ -98,7 +110,10 @@
 /// Longer than a crowded machine takes for any step, where the fault must come about.
 fn patient(d: &mut Day) {
     waits(d, 2 * WAITS_MS);
-    d.settings.peers.insert("copied_within_ms".into(), (2 * WAITS_MS as i64 - 1000).into());
+    d.settings.peers.insert(
+        "copied_within_ms".into(),
+        (2 * WAITS_MS as i64 - 1000).into(),
+    );
 }
 
 /// All comes within a second, and there is time for each step.
@@ -109,14 +124,19 @@
 
 /// It has nothing in hand.
 fn idle(f: &Fleet, n: usize) -> bool {
-    f.state(n).is_some_and(|s| s["claims"].as_object().is_some_and(|c| c.is_empty()))
+    f.state(n)
+        .is_some_and(|s| s["claims"].as_object().is_some_and(|c| c.is_empty()))
 }
 
 /// So many are taken by the one, and nothing of it is asked for yet; the others have heard of them.
 fn taken(f: &Fleet, owner: usize) {
     comes("messages are taken", || claims(f, owner, "mine") >= SOME);
     let known = records(f, owner, "taken");
-    comes("others hear of them", || others(f, owner).iter().all(|n| records(f, *n, "taken") >= known));
+    comes("others hear of them", || {
+        others(f, owner)
+            .iter()
+            .all(|n| records(f, *n, "taken") >= known)
+    });
     assert_eq!(count(f, owner, "intents"), 0);
 }
 
@@ -149,11 +169,17 @@
         hang(f, true);
         before.set(ran_of(f, owner) as u64);
     };
-    let sent = || comes("dispatches run", || ran_of(f, owner) as u64 >= before.get() + SOME);
+    let sent = || {
+        comes("dispatches run", || {
+            ran_of(f, owner) as u64 >= before.get() + SOME
+        })
+    };
     match after {
         After::TakenUntold => {
             towards(f, owner, &all, Fault::Lost);
-            comes("messages are taken", || claims(f, owner, "mine") >= 2 * SOME);
+            comes("messages are taken", || {
+                claims(f, owner, "mine") >= 2 * SOME
+            });
         }
         After::Taken => taken(f, owner),
         After::Intended => {
@@ -165,7 +191,16 @@
         After::SentUnheld | After::CopiedToOne => {
             taken(f, owner);
             hangs();
-            towards(f, owner, if after == After::SentUnheld { &all } else { &all[..1] }, Fault::Lost);
+            towards(
+                f,
+                owner,
+                if after == After::SentUnheld {
+                    &all
+                } else {
+                    &all[..1]
+                },
+                Fault::Lost,
+            );
             store_goes_on(f);
             sent();
         }
@@ -176,14 +211,19 @@
             all.iter().for_each(|m| towards(f, *m, &[owner], UNTOLD));
             store_goes_on(f);
             let open = |n: usize| {
-                f.state(n).map_or(0, |s| s["open"][NAMES[owner]]["intended"].as_u64().unwrap_or(0))
+                f.state(n).map_or(0, |s| {
+                    s["open"][NAMES[owner]]["intended"].as_u64().unwrap_or(0)
+                })
             };
             let copied = || all.iter().map(|n| open(*n)).min().unwrap_or(0);
             comes("others hold intents", || copied() >= SOME);
             let copied = copied();
             f.kill_router(owner);
             let ran = ran_of(f, owner) as u64;
-            assert!(ran < copied, "its owner had heard of each: {copied} were copied, {ran} ran");
+            assert!(
+                ran < copied,
+                "its owner had heard of each: {copied} were copied, {ran} ran"
+            );
         }
         After::Dispatched => {
             hangs();
@@ -196,12 +236,16 @@
             for w in 0..f.workers.len() {
                 f.links.set(&f.router(owner), &f.worker(w), Fault::Reset);
             }
-            comes("endings are told", || records(f, all[0], "may-have-run") >= 1);
+            comes("endings are told", || {
+                records(f, all[0], "may-have-run") >= 1
+            });
         }
         After::Answered => {
             f.links.set(&f.router(owner), BROKER, Fault::Lost);
             comes("answers", || claims(f, owner, "answered") >= SOME);
-            comes("answers are told", || records(f, all[0], "answered") >= SOME);
+            comes("answers are told", || {
+                records(f, all[0], "answered") >= SOME
+            });
         }
         After::Acknowledged => {
             // Something is out as the link goes, however fast the machine is.
@@ -216,7 +260,10 @@
 
 fn waits_for_loads(after: After) -> bool {
     use After::*;
-    matches!(after, TakenUntold | Taken | Intended | SentUnheld | CopiedToOne | CopiedUntold)
+    matches!(
+        after,
+        TakenUntold | Taken | Intended | SentUnheld | CopiedToOne | CopiedUntold
+    )
 }
 
 /// The owner dies there, for good until nothing is to be judged by it any more.
@@ -228,7 +275,9 @@
         change(d);
     });
     let script = Script::new(1)
-        .at(if after == After::TakenUntold { 0 } else { 1000 }, |f| bring(f, after, owner))
+        .at(if after == After::TakenUntold { 0 } else { 1000 }, |f| {
+            bring(f, after, owner)
+        })
         .at(1000, |f| f.kill_router(owner))
         .at(1000, |f| {
             store_goes_on(f);
@@ -236,7 +285,16 @@
             f.links.heal();
         })
         .at(6000, |f| back(f, owner, State::Kept));
-    play(&day, tamper, script, if tamper.is_some() { Duration::from_secs(6) } else { PATIENCE })
+    play(
+        &day,
+        tamper,
+        script,
+        if tamper.is_some() {
+            Duration::from_secs(6)
+        } else {
+            PATIENCE
+        },
+    )
 }
 
 fn nothing(_: &mut Day) {}
@@ -256,15 +314,32 @@
 #[case(After::Ended, UNSURE)]
 #[case(After::Answered, KNOWN)]
 #[case(After::Acknowledged, ANSWERED)]
-fn an_owner_that_dies_between_two_steps_runs_nothing_twice(#[case] after: After, #[case] shown: Shown) {
-    let change = if after == After::CopiedUntold { patient } else { nothing };
+fn an_owner_that_dies_between_two_steps_runs_nothing_twice(
+    #[case] after: After,
+    #[case] shown: Shown,
+) {
+    let change = if after == After::CopiedUntold {
+        patient
+    } else {
+        nothing
+    };
     let played = owner_dies(after, OWNER, None, change);
     played.holds();
-    assert!(shown(&played), "it came about: {}\n{:?}", played.verdict.table(), played.states);
+    assert!(
+        shown(&played),
+        "it came about: {}\n{:?}",
+        played.verdict.table(),
+        played.states
+    );
 }
 
 fn breaks_rule_2(played: &Played) {
-    assert!(played.verdict.rules["2"] > 0, "{}\n{:?}", played.verdict.table(), played.states);
+    assert!(
+        played.verdict.rules["2"] > 0,
+        "{}\n{:?}",
+        played.verdict.table(),
+        played.states
+    );
 }
 
 /// One router sends before a majority holds the intent, takes over by what it knows itself, or takes an owner that is
@@ -288,7 +363,11 @@
 const POSTS_LOST: Shown = |p| p.counted("posts_failed") > 0 && p.counted("letters_dropped") > 0;
 
 fn all_unruly(f: &Fleet) {
-    let fault = Fault::Unruly { drop: 0.2, twice: 0.2, after: 0.2 };
+    let fault = Fault::Unruly {
+        drop: 0.2,
+        twice: 0.2,
+        after: 0.2,
+    };
     (0..f.routers.len()).for_each(|n| towards(f, n, &others(f, n), fault));
 }
 
@@ -304,7 +383,9 @@
 fn cut(f: &Fleet, cut: Cut) {
     match cut {
         Cut::OneWayOut => towards(f, OWNER, &others(f, OWNER), Fault::Held),
-        Cut::OneWayIn => others(f, OWNER).iter().for_each(|m| towards(f, *m, &[OWNER], Fault::Held)),
+        Cut::OneWayIn => others(f, OWNER)
+            .iter()
+            .for_each(|m| towards(f, *m, &[OWNER], Fault::Held)),
         Cut::BothWays(fault) => both_ways(f, fault),
         Cut::West(fault) => f.cut_region("west", fault),
         Cut::AllUnruly => all_unruly(f),
@@ -319,11 +400,22 @@
 #[case::minority_with_the_owner(3, Cut::West(Fault::Held), LACKING)]
 #[case::equal_regions(4, Cut::West(Fault::Lost), LACKING)]
 #[case::unruly(3, Cut::AllUnruly, POSTS_LOST)]
-fn rules_hold_while_routers_are_cut_apart(#[case] routers: u32, #[case] how: Cut, #[case] shown: Shown) {
-    let script = Script::new(1).at(1000, |f| cut(f, how)).at(CUT_MS, |f| f.links.heal());
+fn rules_hold_while_routers_are_cut_apart(
+    #[case] routers: u32,
+    #[case] how: Cut,
+    #[case] shown: Shown,
+) {
+    let script = Script::new(1)
+        .at(1000, |f| cut(f, how))
+        .at(CUT_MS, |f| f.links.heal());
     let played = play(&shared(routers, nothing), None, script, PATIENCE);
     played.holds();
-    assert!(shown(&played), "it came about: {}\n{:?}", played.verdict.table(), played.states);
+    assert!(
+        shown(&played),
+        "it came about: {}\n{:?}",
+        played.verdict.table(),
+        played.states
+    );
 }
 
 /// All hold all for alive again, and those that were cut off have intents held.
@@ -347,7 +439,11 @@
         .at(CUT_MS, |f| f.links.heal());
     let played = play(&shared(3, nothing), None, script, PATIENCE);
     played.holds();
-    assert!(POSTS_LOST(&played) || LACKING(&played), "its links were slow: {:?}", played.states);
+    assert!(
+        POSTS_LOST(&played) || LACKING(&played),
+        "its links were slow: {:?}",
+        played.states
+    );
 }
 
 /// Its folder grows old while its disk is full, and is written again once there is room.
@@ -355,18 +451,29 @@
 fn a_full_disk_of_its_folder_stops_no_member() {
     let file = |f: &Fleet| f.folder().join(format!("routers/state-{OWNER}/group.redb"));
     let script = Script::new(1)
-        .at(500, |f| lock(&f.routers[OWNER]).limit_files(Some(0)).expect("set"))
+        .at(500, |f| {
+            lock(&f.routers[OWNER]).limit_files(Some(0)).expect("set")
+        })
         .at(1500, |f| {
             let before = count(f, OWNER, "held");
-            comes("intents are held", || count(f, OWNER, "held") > before + SOME);
-            let full = || lock(&f.routers[OWNER]).log().contains("the group's file cannot be written");
+            comes("intents are held", || {
+                count(f, OWNER, "held") > before + SOME
+            });
+            let full = || {
+                lock(&f.routers[OWNER])
+                    .log()
+                    .contains("the group's file cannot be written")
+            };
             comes("it was full", full);
         })
         .at(2500, |f| {
             let lifted = std::time::SystemTime::now();
             lock(&f.routers[OWNER]).limit_files(None).expect("lifted");
-            let written =
-                || std::fs::metadata(file(f)).and_then(|m| m.modified()).is_ok_and(|at| at > lifted);
+            let written = || {
+                std::fs::metadata(file(f))
+                    .and_then(|m| m.modified())
+                    .is_ok_and(|at| at > lifted)
+            };
             comes("it is written again", written);
         })
         .at(3500, |f| {
@@ -395,7 +502,10 @@
     played.holds();
     assert!(LACKING(&played), "{}", played.verdict.table());
     let witness = played.states[4].as_ref().expect("a state");
-    assert!(witness["counts"]["taken"] == 0 && witness["members"][4]["witness"] == true, "{witness}");
+    assert!(
+        witness["counts"]["taken"] == 0 && witness["members"][4]["witness"] == true,
+        "{witness}"
+    );
 }
 
 #[test]
@@ -426,13 +536,20 @@
         .at(1000, |f| {
             workers(f, Fault::Held);
             let before = count(f, OWNER, "held");
-            comes("leave is given", || count(f, OWNER, "held") >= before + SOME);
+            comes("leave is given", || {
+                count(f, OWNER, "held") >= before + SOME
+            });
             f.pause_router(OWNER, true).expect("it stands still");
             f.broker.drop_connections(|from| from == f.router(OWNER));
             comes("others take over", || of_others(f, "takeovers") > 0);
-            let dead = |n: &usize| f.state(*n).is_some_and(|s| s["members"][OWNER]["standing"] == "dead");
+            let dead = |n: &usize| {
+                f.state(*n)
+                    .is_some_and(|s| s["members"][OWNER]["standing"] == "dead")
+            };
             comes("its owner is gone", || others(f, OWNER).iter().all(dead));
-            comes("what it had leave for may have run", || of_others(f, "may_have_run") > 0);
+            comes("what it had leave for may have run", || {
+                of_others(f, "may_have_run") > 0
+            });
             workers(f, Fault::Pass);
         })
         .at(1000, |f| f.pause_router(OWNER, false).expect("it goes on"));
@@ -453,7 +570,9 @@
 /// The broker sees it gone, and it does not see that.
 fn unheard(f: &Fleet) {
     f.links.set(&f.router(OWNER), BROKER, Fault::HalfOpen);
-    comes("others run what never left", || of_others(f, "proven_unsent") >= SOME);
+    comes("others run what never left", || {
+        of_others(f, "proven_unsent") >= SOME
+    });
 }
 
 #[test]
@@ -476,13 +595,23 @@
         overtaken(f, Fault::Held);
         unheard(f);
         // They say nothing more of it by themselves.
-        comes("others are done", || others(f, OWNER).iter().all(|n| idle(f, *n)));
-        others(f, OWNER).iter().for_each(|m| towards(f, *m, &[OWNER], Fault::Pass));
+        comes("others are done", || {
+            others(f, OWNER).iter().all(|n| idle(f, *n))
+        });
+        others(f, OWNER)
+            .iter()
+            .for_each(|m| towards(f, *m, &[OWNER], Fault::Pass));
         towards(f, OWNER, &others(f, OWNER), Fault::Pass);
-        comes("it hears of it", || count(f, OWNER, "lost_to_others") + count(f, OWNER, "held") > 0);
+        comes("it hears of it", || {
+            count(f, OWNER, "lost_to_others") + count(f, OWNER, "held") > 0
+        });
         f.links.heal();
     });
-    let patience = if tamper.is_some() { Duration::from_secs(6) } else { PATIENCE };
+    let patience = if tamper.is_some() {
+        Duration::from_secs(6)
+    } else {
+        PATIENCE
+    };
     let day = shared(3, |d| {
         stalled(d);
         all_at_once(d);
@@ -513,12 +642,17 @@
     });
     let played = play(&shared(3, slow), None, script, PATIENCE);
     played.holds();
-    assert!(played.counted("joined") > 0 && KNOWN(&played), "{:?}", played.states);
+    assert!(
+        played.counted("joined") > 0 && KNOWN(&played),
+        "{:?}",
+        played.states
+    );
 }
 
 /// Of an owner and one other that hold the intents, the other starts anew with nothing, and then the owner dies.
 fn both_holders_die(tamper: Option<&str>) -> Played {
-    let process = |f: &Fleet, n: usize, of: usize| f.state(n).map(|s| s["members"][of]["process"].clone());
+    let process =
+        |f: &Fleet, n: usize, of: usize| f.state(n).map(|s| s["members"][of]["process"].clone());
     let script = Script::new(1)
         .at(1000, |f| {
             taken(f, OWNER);
@@ -537,7 +671,11 @@
             f.links.heal();
         })
         .at(6000, |f| back(f, OWNER, State::Removed));
-    let patience = if tamper.is_some() { Duration::from_secs(6) } else { PATIENCE };
+    let patience = if tamper.is_some() {
+        Duration::from_secs(6)
+    } else {
+        PATIENCE
+    };
     let day = shared(3, |d| {
         stalled(d);
         if tamper.is_some() {
@@ -551,7 +689,11 @@
 fn a_record_whose_holders_both_die_is_not_run_again() {
     let played = both_holders_die(None);
     played.holds();
-    assert!(LACKING(&played) || UNSURE(&played), "{}", played.verdict.table());
+    assert!(
+        LACKING(&played) || UNSURE(&played),
+        "{}",
+        played.verdict.table()
+    );
 }
 
 /// One that remembers nothing votes.
@@ -581,25 +723,35 @@
         (Found::Lost, _) | (Found::Mixed, 1) => back(f, n, State::Removed),
         _ => back(f, n, State::Older(&older(f, n))),
     };
-    let script = Script::new(1).at(700, |f| taken(f, OWNER)).at(700 + WRITTEN_MS, |f| {
-        (0..3).for_each(|n| lock(&f.routers[n]).copy_state(&older(f, n)).expect("copied"));
-        hang(f, true);
-        store_goes_on(f);
-        comes("dispatches run", || ran_of(f, OWNER) as u64 >= SOME);
-        (0..3).for_each(|n| f.kill_router(n));
-        hang(f, false);
-        // What remembers something may vote before it is given what was requeued.
-        let waits = matches!(found, Found::Kept | Found::Older);
-        if waits {
-            (0..3).for_each(|n| f.links.set(&f.router(n), BROKER, Fault::Held));
-        }
-        (0..3).for_each(|n| start(f, n));
-        if waits {
-            comes("they may vote", || f.all_remember());
-            f.links.heal();
-        }
-    });
-    let patience = if tamper.is_some() { Duration::from_secs(6) } else { PATIENCE };
+    let script = Script::new(1)
+        .at(700, |f| taken(f, OWNER))
+        .at(700 + WRITTEN_MS, |f| {
+            (0..3).for_each(|n| {
+                lock(&f.routers[n])
+                    .copy_state(&older(f, n))
+                    .expect("copied")
+            });
+            hang(f, true);
+            store_goes_on(f);
+            comes("dispatches run", || ran_of(f, OWNER) as u64 >= SOME);
+            (0..3).for_each(|n| f.kill_router(n));
+            hang(f, false);
+            // What remembers something may vote before it is given what was requeued.
+            let waits = matches!(found, Found::Kept | Found::Older);
+            if waits {
+                (0..3).for_each(|n| f.links.set(&f.router(n), BROKER, Fault::Held));
+            }
+            (0..3).for_each(|n| start(f, n));
+            if waits {
+                comes("they may vote", || f.all_remember());
+                f.links.heal();
+            }
+        });
+    let patience = if tamper.is_some() {
+        Duration::from_secs(6)
+    } else {
+        PATIENCE
+    };
     let day = shared(3, |d| {
         stalled(d);
         if tamper.is_some() {
@@ -633,7 +785,9 @@
     let copy = |f: &Fleet| f.folder().join("older");
     let script = Script::new(1)
         .at(1500, |f| {
-            lock(&f.routers[OWNER]).copy_state(&copy(f)).expect("copied");
+            lock(&f.routers[OWNER])
+                .copy_state(&copy(f))
+                .expect("copied");
             // One start alone takes the turn that the copy takes, too.
             for _ in 0..2 {
                 f.kill_router(OWNER);
@@ -649,14 +803,20 @@
         });
     let played = play(&shared(3, nothing), None, script, PATIENCE);
     played.holds();
-    let older: Vec<bool> = played.states.iter().flatten().map(|s| s["folder_was_older"] == true).collect();
+    let older: Vec<bool> = played
+        .states
+        .iter()
+        .flatten()
+        .map(|s| s["folder_was_older"] == true)
+        .collect();
     assert_eq!(older, [false, true, false]);
 }
 
 /// A file that is none, and another member's: both are put aside, and the member catches up with the others.
 #[test]
 fn damaged_and_foreign_folders_are_set_aside() {
-    let file = |f: &Fleet, n: usize, name: &str| f.folder().join(format!("routers/state-{n}/{name}"));
+    let file =
+        |f: &Fleet, n: usize, name: &str| f.folder().join(format!("routers/state-{n}/{name}"));
     let script = Script::new(1)
         .at(1500, |f| {
             f.kill_router(OWNER);
@@ -677,7 +837,10 @@
     let played = play(&shared(3, nothing), None, script, PATIENCE);
     played.holds();
     let log = lock(&played.fleet.routers[OWNER]).log();
-    assert!(log.contains("set aside as damaged") && log.contains(r#""why":"foreign""#), "{log}");
+    assert!(
+        log.contains("set aside as damaged") && log.contains(r#""why":"foreign""#),
+        "{log}"
+    );
 }
 
 #[test]
@@ -691,7 +854,11 @@
     let played = play(&shared(3, apart), None, script, PATIENCE);
     played.holds();
     let requeued = played.logged(BROKER, "requeued") > 0;
-    assert!(requeued && played.verdict.by_reason.contains_key("expired"), "{}", played.verdict.table());
+    assert!(
+        requeued && played.verdict.by_reason.contains_key("expired"),
+        "{}",
+        played.verdict.table()
+    );
 }
 
 /// Cut off, a router does by type what its operator wants, and says so in answers, counts and log.
@@ -704,16 +871,29 @@
     #[case] counted: &str,
 ) {
     let chosen = |d: &mut Day| {
-        d.triggers.iter_mut().for_each(|t| t.without_majority = Some(how.into()));
-        d.settings.peers.insert("copied_within_ms".into(), 300.into());
+        d.triggers
+            .iter_mut()
+            .for_each(|t| t.without_majority = Some(how.into()));
+        d.settings
+            .peers
+            .insert("copied_within_ms".into(), 300.into());
     };
-    let script =
-        Script::new(1).at(1000, |f| both_ways(f, Fault::Lost)).at(CUT_MS, |f| both_ways(f, Fault::Pass));
+    let script = Script::new(1)
+        .at(1000, |f| both_ways(f, Fault::Lost))
+        .at(CUT_MS, |f| both_ways(f, Fault::Pass));
     let played = play(&shared(3, chosen), None, script, PATIENCE);
     played.holds();
-    assert!(played.verdict.by_reason.contains_key(reason), "{}", played.verdict.table());
+    assert!(
+        played.verdict.by_reason.contains_key(reason),
+        "{}",
+        played.verdict.table()
+    );
     assert!(played.counted(counted) > 0, "{:?}", played.states);
-    assert!(lock(&played.fleet.routers[OWNER]).log().contains("group: no majority"));
+    assert!(
+        lock(&played.fleet.routers[OWNER])
+            .log()
+            .contains("group: no majority")
+    );
 }
 
 /// One that sent alone dies, and nobody else had heard of it.
@@ -722,8 +902,13 @@
         if tamper.is_some() {
             patient(d);
         }
-        d.triggers.iter_mut().for_each(|t| t.without_majority = Some("alone".into()));
-        d.settings.peers.insert("copied_within_ms".into(), if tamper.is_some() { 3000 } else { 1000 }.into());
+        d.triggers
+            .iter_mut()
+            .for_each(|t| t.without_majority = Some("alone".into()));
+        d.settings.peers.insert(
+            "copied_within_ms".into(),
+            if tamper.is_some() { 3000 } else { 1000 }.into(),
+        );
         d.seconds = 4.0;
     };
     let script = Script::new(1)
@@ -731,13 +916,19 @@
         .at(1000, |f| {
             hang(f, true);
             let before = ran_of(f, OWNER) as u64;
-            comes("dispatches run", || ran_of(f, OWNER) as u64 >= before + SOME);
+            comes("dispatches run", || {
+                ran_of(f, OWNER) as u64 >= before + SOME
+            });
             f.kill_router(OWNER);
             hang(f, false);
             f.links.heal();
         })
         .at(5000, |f| back(f, OWNER, State::Kept));
-    let patience = if tamper.is_some() { Duration::from_secs(6) } else { PATIENCE };
+    let patience = if tamper.is_some() {
+        Duration::from_secs(6)
+    } else {
+        PATIENCE
+    };
     play(&shared(3, alone), tamper, script, patience)
 }
 
@@ -791,5 +982,9 @@
     let more = shared(routers, |d| d.rate_per_s = 40.0);
     let played = play(&more, None, script, PATIENCE);
     played.holds();
-    assert!(played.logged(BROKER, "requeued") >= SOME as usize, "{:?}", played.states);
+    assert!(
+        played.logged(BROKER, "requeued") >= SOME as usize,
+        "{:?}",
+        played.states
+    );
 }
--- a/crates/cli/tests/grpc.rs
+++ b/crates/cli/tests/grpc.rs
@@ -40,17 +40,36 @@
 }
 
 async fn connect(local: &Local, r: &Running) -> Sender {
-    let stream = Async::<TcpStream>::connect(r.address).await.expect("it listens");
+    let stream = Async::<TcpStream>::connect(r.address)
+        .await
+        .expect("it listens");
     let mut builder = http2::Builder::new(local.clone());
     let io = FuturesIo::new(stream);
-    let (sender, connection) = builder.timer(SmolTimer::new()).handshake(io).await.expect("HTTP/2");
-    local.0.spawn(async move { drop(connection.await) }).detach();
+    let (sender, connection) = builder
+        .timer(SmolTimer::new())
+        .handshake(io)
+        .await
+        .expect("HTTP/2");
+    local
+        .0
+        .spawn(async move { drop(connection.await) })
+        .detach();
     sender
 }
 
-fn request(r: &Running, method: &str, headers: &[(&str, &str)], body: Bytes) -> Request<Full<Bytes>> {
-    let uri = format!("http://{}/inference.GRPCInferenceService/{method}", r.address);
-    let mut request = Request::post(uri).header("content-type", "application/grpc").header("te", "trailers");
+fn request(
+    r: &Running,
+    method: &str,
+    headers: &[(&str, &str)],
+    body: Bytes,
+) -> Request<Full<Bytes>> {
+    let uri = format!(
+        "http://{}/inference.GRPCInferenceService/{method}",
+        r.address
+    );
+    let mut request = Request::post(uri)
+        .header("content-type", "application/grpc")
+        .header("te", "trailers");
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
@@ -78,21 +97,31 @@
 }
 
 fn said<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
-    headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("")
+    headers
+        .get(name)
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or("")
 }
 
 /// For what must not end by the client's time, however long a machine takes.
-const PATIENT: [(&str, &str); 2] = [("cedarpulley-trigger-type", "patient"), ("cedarpulley-lanes", "50")];
-const ONCE: [(&str, &str); 2] = [("cedarpulley-trigger-type", "once"), ("cedarpulley-lanes", "50")];
+const PATIENT: [(&str, &str); 2] = [
+    ("cedarpulley-trigger-type", "patient"),
+    ("cedarpulley-lanes", "50"),
+];
+const ONCE: [(&str, &str); 2] = [
+    ("cedarpulley-trigger-type", "once"),
+    ("cedarpulley-lanes", "50"),
+];
 
 fn ask(raw: Option<&'static [u8]>) -> Bytes {
     let input = InferInputTensor {
         name: "x".into(),
         datatype: "FP32".into(),
         shape: vec![1],
-        contents: raw
-            .is_none()
-            .then(|| InferTensorContents { fp32_contents: vec![0.5], ..Default::default() }),
+        contents: raw.is_none().then(|| InferTensorContents {
+            fp32_contents: vec![0.5],
+            ..Default::default()
+        }),
         ..Default::default()
     };
     frame(&ModelInferRequest {
@@ -109,45 +138,106 @@
     let r = start_with("grpc-plain", Duration::from_millis(5), 64, 1, GRPC);
     run(async |local| {
         let mut s = connect(&local, &r).await;
-        let (body, _) =
-            call(&mut s, request(&r, "ServerReady", &[], frame(&ServerReadyRequest {}))).await.unwrap();
-        assert!(ServerReadyResponse::decode(unframe(body).unwrap()).unwrap().ready);
+        let (body, _) = call(
+            &mut s,
+            request(&r, "ServerReady", &[], frame(&ServerReadyRequest {})),
+        )
+        .await
+        .unwrap();
+        assert!(
+            ServerReadyResponse::decode(unframe(body).unwrap())
+                .unwrap()
+                .ready
+        );
         // Typed and raw tensors.
-        let (body, h) = call(&mut s, request(&r, "ModelInfer", &ONCE, ask(None))).await.unwrap();
-        assert_eq!((said(&h, "grpc-status"), said(&h, "cedarpulley-fate")), ("0", "succeeded"), "{h:?}");
-        assert_eq!(ModelInferResponse::decode(unframe(body).unwrap()).unwrap().model_name, "once:f");
-        let (body, h) =
-            call(&mut s, request(&r, "ModelInfer", &ONCE, ask(Some(&[1, 2, 3, 255])))).await.unwrap();
+        let (body, h) = call(&mut s, request(&r, "ModelInfer", &ONCE, ask(None)))
+            .await
+            .unwrap();
+        assert_eq!(
+            (said(&h, "grpc-status"), said(&h, "cedarpulley-fate")),
+            ("0", "succeeded"),
+            "{h:?}"
+        );
+        assert_eq!(
+            ModelInferResponse::decode(unframe(body).unwrap())
+                .unwrap()
+                .model_name,
+            "once:f"
+        );
+        let (body, h) = call(
+            &mut s,
+            request(&r, "ModelInfer", &ONCE, ask(Some(&[1, 2, 3, 255]))),
+        )
+        .await
+        .unwrap();
         assert_eq!(said(&h, "grpc-status"), "0", "{h:?}");
         let answer = ModelInferResponse::decode(unframe(body).unwrap()).unwrap();
-        assert_eq!(answer.raw_output_contents, [Bytes::from_static(&[1, 2, 3, 255])]);
+        assert_eq!(
+            answer.raw_output_contents,
+            [Bytes::from_static(&[1, 2, 3, 255])]
+        );
         assert_eq!(answer.outputs[0].name, "x");
-        let index = request(&r, "RepositoryIndex", &[], frame(&RepositoryIndexRequest::default()));
+        let index = request(
+            &r,
+            "RepositoryIndex",
+            &[],
+            frame(&RepositoryIndexRequest::default()),
+        );
         let (body, _) = call(&mut s, index).await.unwrap();
         let index = RepositoryIndexResponse::decode(unframe(body).unwrap()).unwrap();
         assert_eq!(index.models[0].name, "once:f");
-        let metadata = frame(&ModelMetadataRequest { name: "m".into(), version: "3".into() });
-        let (body, _) = call(&mut s, request(&r, "ModelMetadata", &[], metadata)).await.unwrap();
-        assert_eq!(ModelMetadataResponse::decode(unframe(body).unwrap()).unwrap().versions, ["3"]);
+        let metadata = frame(&ModelMetadataRequest {
+            name: "m".into(),
+            version: "3".into(),
+        });
+        let (body, _) = call(&mut s, request(&r, "ModelMetadata", &[], metadata))
+            .await
+            .unwrap();
+        assert_eq!(
+            ModelMetadataResponse::decode(unframe(body).unwrap())
+                .unwrap()
+                .versions,
+            ["3"]
+        );
         // What is wrong is named, and nothing of it reaches a worker.
         let before = r.received();
         let long = Bytes::from([&[0, 0, 0, 0, 1], [7u8; 9].as_slice()].concat());
         let packed = Bytes::from_static(&[1, 0, 0, 0, 1, 7]);
         for (headers, body, cause) in [
             (&[][..], ask(None), "no trigger type"),
-            (&[("cedarpulley-trigger-type", "no")], ask(None), "'no' is unknown"),
-            (&[ONCE[0], ("grpc-timeout", "5x")], ask(None), "grpc-timeout"),
+            (
+                &[("cedarpulley-trigger-type", "no")],
+                ask(None),
+                "'no' is unknown",
+            ),
+            (
+                &[ONCE[0], ("grpc-timeout", "5x")],
+                ask(None),
+                "grpc-timeout",
+            ),
             (&ONCE, long, "too large"),
             (&ONCE, packed, "compressed"),
-            (&ONCE, Bytes::from_static(&[0, 0, 0, 0, 1, 255]), "cannot be read"),
+            (
+                &ONCE,
+                Bytes::from_static(&[0, 0, 0, 0, 1, 255]),
+                "cannot be read",
+            ),
             (&ONCE, frame(&ModelInferRequest::default()), "model_name"),
-            (&ONCE, Bytes::from_static(&[0, 255, 255, 255, 255, 0]), "larger"),
+            (
+                &ONCE,
+                Bytes::from_static(&[0, 255, 255, 255, 255, 0]),
+                "larger",
+            ),
         ] {
-            let (_, h) = call(&mut s, request(&r, "ModelInfer", headers, body)).await.unwrap();
+            let (_, h) = call(&mut s, request(&r, "ModelInfer", headers, body))
+                .await
+                .unwrap();
             assert_eq!(said(&h, "grpc-status"), "3", "{h:?}");
             assert!(said(&h, "grpc-message").contains(cause), "{h:?}");
         }
-        let (_, h) = call(&mut s, request(&r, "ModelStream", &ONCE, ask(None))).await.unwrap();
+        let (_, h) = call(&mut s, request(&r, "ModelStream", &ONCE, ask(None)))
+            .await
+            .unwrap();
         assert_eq!(said(&h, "grpc-status"), "12");
         assert_eq!(r.received(), before);
     });
@@ -160,10 +250,18 @@
     run(async |local| {
         let mut s = connect(&local, &r).await;
         let late = [ONCE[0], ONCE[1], ("cedarpulley-sent-at-us", "1000")];
-        let (_, h) = call(&mut s, request(&r, "ModelInfer", &late, ask(None))).await.unwrap();
-        assert_eq!((said(&h, "grpc-status"), said(&h, "cedarpulley-reason")), ("8", "expired"), "{h:?}");
+        let (_, h) = call(&mut s, request(&r, "ModelInfer", &late, ask(None)))
+            .await
+            .unwrap();
+        assert_eq!(
+            (said(&h, "grpc-status"), said(&h, "cedarpulley-reason")),
+            ("8", "expired"),
+            "{h:?}"
+        );
         let short = [ONCE[0], ONCE[1], ("grpc-timeout", "600m")];
-        let (_, h) = call(&mut s, request(&r, "ModelInfer", &short, ask(None))).await.unwrap();
+        let (_, h) = call(&mut s, request(&r, "ModelInfer", &short, ask(None)))
+            .await
+            .unwrap();
         assert_eq!(said(&h, "cedarpulley-fate"), "errored", "{h:?}");
         assert!(["2", "4"].contains(&said(&h, "grpc-status")), "{h:?}");
         assert!(h.get("grpc-retry-pushback-ms").is_none());
@@ -191,11 +289,16 @@
             reset += usize::from(done.is_none());
         }
         let mut other = connect(&local, &r).await;
-        let (_, h) = call(&mut other, request(&r, "ModelInfer", &ONCE, ask(None))).await.unwrap();
+        let (_, h) = call(&mut other, request(&r, "ModelInfer", &ONCE, ask(None)))
+            .await
+            .unwrap();
         assert_eq!(said(&h, "grpc-status"), "0", "{h:?}");
         let received = r.received();
         println!("{reset} resets, {received} dispatches");
-        assert!(reset > 200 && received < 100, "{reset} resets, {received} dispatches");
+        assert!(
+            reset > 200 && received < 100,
+            "{reset} resets, {received} dispatches"
+        );
     });
 }
 
@@ -216,8 +319,11 @@
         // As soon as the connection has been told to go away, nothing new begins on it.
         let late = async || {
             let mut late = s.clone();
-            let refused =
-                async { call(&mut late, request(&r, "ModelInfer", &PATIENT, ask(None))).await.is_none() };
+            let refused = async {
+                call(&mut late, request(&r, "ModelInfer", &PATIENT, ask(None)))
+                    .await
+                    .is_none()
+            };
             let taken = async {
                 Timer::after(Duration::from_millis(100)).await;
                 false
@@ -226,7 +332,10 @@
         };
         until("it takes nothing new", late).await;
         // Not only because all was answered and it has ended.
-        assert!(calls.iter().any(|c| !c.is_finished()), "it refused only after its work was done");
+        assert!(
+            calls.iter().any(|c| !c.is_finished()),
+            "it refused only after its work was done"
+        );
         for answer in calls {
             let (_, h) = answer.await.expect("answered");
             assert_eq!(said(&h, "grpc-status"), "0", "{h:?}");
@@ -240,25 +349,37 @@
 fn slow_bytes_hold_nobody_up() {
     let r = start_with("grpc-slow", Duration::from_millis(5), 64, 1, GRPC);
     run(async |local| {
-        let stream = Async::<TcpStream>::connect(r.address).await.expect("it listens");
+        let stream = Async::<TcpStream>::connect(r.address)
+            .await
+            .expect("it listens");
         let io = FuturesIo::new(stream);
         let (s, connection) = http2::handshake(local.clone(), io).await.expect("HTTP/2");
-        local.0.spawn(async move { drop(connection.await) }).detach();
+        local
+            .0
+            .spawn(async move { drop(connection.await) })
+            .detach();
         let slow: Vec<_> = (0..50)
             .map(|_| {
                 let bytes = futures_lite::stream::unfold(0u8, |n| async move {
                     Timer::after(Duration::from_millis(50)).await;
-                    Some((Ok::<_, Infallible>(Frame::data(Bytes::copy_from_slice(&[0]))), n))
+                    Some((
+                        Ok::<_, Infallible>(Frame::data(Bytes::copy_from_slice(&[0]))),
+                        n,
+                    ))
                 });
                 let request = request(&r, "ModelInfer", &ONCE, Bytes::new());
                 let request = request.map(|_| StreamBody::new(Box::pin(bytes)));
                 let mut s = s.clone();
-                local.0.spawn(async move { s.send_request(request).await.is_ok() })
+                local
+                    .0
+                    .spawn(async move { s.send_request(request).await.is_ok() })
             })
             .collect();
         Timer::after(Duration::from_millis(300)).await;
         let mut other = connect(&local, &r).await;
-        let (_, h) = call(&mut other, request(&r, "ModelInfer", &ONCE, ask(None))).await.unwrap();
+        let (_, h) = call(&mut other, request(&r, "ModelInfer", &ONCE, ask(None)))
+            .await
+            .unwrap();
         assert_eq!(said(&h, "grpc-status"), "0", "{h:?}");
         drop(slow);
     });
@@ -279,8 +400,12 @@
     for flood in floods {
         for before in [&b""[..], preface] {
             let mut stream = TcpStream::connect(r.address).expect("it listens");
-            stream.set_read_timeout(Some(Duration::from_secs(5))).expect("set");
-            let _ = stream.write_all(before).and_then(|()| stream.write_all(flood));
+            stream
+                .set_read_timeout(Some(Duration::from_secs(5)))
+                .expect("set");
+            let _ = stream
+                .write_all(before)
+                .and_then(|()| stream.write_all(flood));
             let _ = stream.shutdown(std::net::Shutdown::Write);
             let mut answer = Vec::new();
             let _ = stream.read_to_end(&mut answer);
@@ -288,7 +413,9 @@
     }
     run(async |local| {
         let mut s = connect(&local, &r).await;
-        let (_, h) = call(&mut s, request(&r, "ModelInfer", &ONCE, ask(None))).await.unwrap();
+        let (_, h) = call(&mut s, request(&r, "ModelInfer", &ONCE, ask(None)))
+            .await
+            .unwrap();
         assert_eq!(said(&h, "grpc-status"), "0", "{h:?}");
     });
     // Over REST the same router type does the same.
@@ -297,5 +424,7 @@
         let mut stream = TcpStream::connect(plain.address).expect("it listens");
         let _ = stream.write_all(flood);
     }
-    assert!(comes(|| plain.ask("GET", "/v2/health/live", "", b"").0 == 200));
+    assert!(comes(
+        || plain.ask("GET", "/v2/health/live", "", b"").0 == 200
+    ));
 }
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -20,13 +20,16 @@
     let stream = w.connect();
     let mut answers = BufReader::new(stream.try_clone().expect("clone"));
     let mut out = stream;
-    let ahead: String = (0..8).map(|n| call(&id(n), "plain", GOOD, "", &format!("body {n}"))).collect();
+    let ahead: String = (0..8)
+        .map(|n| call(&id(n), "plain", GOOD, "", &format!("body {n}")))
+        .collect();
     out.write_all(ahead.as_bytes()).expect("sent");
     for n in 0..8 {
         let a = answer(&mut answers).expect("an answer");
         assert_eq!((a.0, a.2), (200, format!("body {n}").into_bytes()));
     }
-    out.write_all(call(&id(9), "once", GOOD, "Connection: close\r\n", "last").as_bytes()).expect("sent");
+    out.write_all(call(&id(9), "once", GOOD, "Connection: close\r\n", "last").as_bytes())
+        .expect("sent");
     let a = answer(&mut answers).expect("an answer");
     assert_eq!((a.0, a.1.contains("Connection: close")), (200, true));
     assert!(answer(&mut answers).is_none());
@@ -40,7 +43,9 @@
 #[test]
 fn where_workers_load_on_a_miss_the_first_call_needs_no_order() {
     let w = World::with(14, |c| c.replace("\"miss\"", "\"load\""));
-    let a = w.ask(&call(&id(1), "plain", GOOD, "", "first")).expect("an answer");
+    let a = w
+        .ask(&call(&id(1), "plain", GOOD, "", "first"))
+        .expect("an answer");
     assert_eq!((a.0, a.2, w.calls(&id(1))), (200, b"first".to_vec(), 1));
     assert!(w.seen.lock().expect("seen").orders.is_empty());
 }
@@ -49,7 +54,13 @@
 fn rude_clients_get_a_refusal_and_nothing_of_theirs_reaches_a_worker() {
     let w = World::new(2);
     let rude = [
-        call(&id(1), "plain", GOOD, "Transfer-Encoding: chunked\r\n", "0\r\n\r\nPOST /"),
+        call(
+            &id(1),
+            "plain",
+            GOOD,
+            "Transfer-Encoding: chunked\r\n",
+            "0\r\n\r\nPOST /",
+        ),
         call(&id(2), "nobody", GOOD, "", ""),
         call("xyz", "plain", GOOD, "", ""),
         call(&id(3), "plain", "nothex", "", ""),
@@ -60,16 +71,22 @@
         format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(20_000)),
     ];
     for text in &rude {
-        let a = w.ask(text).unwrap_or_else(|| panic!("no answer to {}", &text[..text.len().min(200)]));
+        let a = w
+            .ask(text)
+            .unwrap_or_else(|| panic!("no answer to {}", &text[..text.len().min(200)]));
         assert!((400..500).contains(&a.0) && a.0 != 429, "{a:?}");
     }
     // A large body is refused by its head, and the refusal is not lost while the rest is still being sent.
     let mut stream = w.connect();
-    let head = call(&id(6), "plain", GOOD, "", "").replace("Content-Length: 0", "Content-Length: 8000000");
+    let head =
+        call(&id(6), "plain", GOOD, "", "").replace("Content-Length: 0", "Content-Length: 8000000");
     stream.write_all(head.as_bytes()).expect("sent");
     let mut sender = stream.try_clone().expect("clone");
     let sending = thread::spawn(move || sender.write_all(&vec![b'z'; 8_000_000]).is_ok());
-    assert_eq!(answer(&mut BufReader::new(stream)).expect("an answer").0, 413);
+    assert_eq!(
+        answer(&mut BufReader::new(stream)).expect("an answer").0,
+        413
+    );
     let _ = sending.join();
     // Silent ones are closed by the router; half a request is refused first, as its rest may be on its way.
     for (text, refusals) in [("", 0), ("POST /api/v2/00000000000000a0/call HT", 1)] {
@@ -78,7 +95,10 @@
         let mut answers = BufReader::new(stream.try_clone().expect("clone"));
         for _ in 0..refusals {
             let (status, head, _) = answer(&mut answers).expect("a refusal");
-            assert!(status == 503 && head.contains("Connection: close"), "{head}");
+            assert!(
+                status == 503 && head.contains("Connection: close"),
+                "{head}"
+            );
         }
         assert_eq!(answers.read(&mut [0; 16]).expect("closed, not silent"), 0);
     }
@@ -97,20 +117,39 @@
             stream.write_all(text.as_bytes()).expect("sent");
             kept.push(stream);
         }
-        assert_eq!(w.ask(&call(&id(n), "plain", GOOD, "", "still")).expect("an answer").0, 200);
-        let fds = std::fs::read_dir(format!("/proc/{}/fd", w.node.id())).expect("listed").count();
+        assert_eq!(
+            w.ask(&call(&id(n), "plain", GOOD, "", "still"))
+                .expect("an answer")
+                .0,
+            200
+        );
+        let fds = std::fs::read_dir(format!("/proc/{}/fd", w.node.id()))
+            .expect("listed")
+            .count();
         assert!(fds < 128, "{fds} descriptors");
     }
-    assert_eq!(w.ask(&call(&id(3), "plain", GOOD, "", "again")).expect("an answer").0, 200);
+    assert_eq!(
+        w.ask(&call(&id(3), "plain", GOOD, "", "again"))
+            .expect("an answer")
+            .0,
+        200
+    );
 }
 
 #[test]
 fn an_open_id_is_refused_to_a_second_and_the_first_unharmed() {
     let w = World::new(4);
     let mut first = w.connect();
-    first.write_all(call(&id(1), "once", KEPT, "", "mine").as_bytes()).expect("sent");
+    first
+        .write_all(call(&id(1), "once", KEPT, "", "mine").as_bytes())
+        .expect("sent");
     w.until("the first is out", |w| w.calls(&id(1)) == 1);
-    assert_eq!(w.ask(&call(&id(1), "once", GOOD, "", "not mine")).expect("an answer").0, 409);
+    assert_eq!(
+        w.ask(&call(&id(1), "once", GOOD, "", "not mine"))
+            .expect("an answer")
+            .0,
+        409
+    );
     w.free(&id(1));
     let a = answer(&mut BufReader::new(first)).expect("an answer");
     assert_eq!((a.0, a.2), (200, b"mine".to_vec()));
@@ -124,17 +163,25 @@
     for (n, function) in [(2, NOISE), (3, HUGE), (4, HALF)] {
         let w = World::new(10 + n as u16);
         // Good, with more beside it that is not its own.
-        let a = w.ask(&call(&id(1), "plain", TWICE, "", "one")).expect("an answer");
+        let a = w
+            .ask(&call(&id(1), "plain", TWICE, "", "one"))
+            .expect("an answer");
         assert_eq!((a.0, a.2), (200, b"one".to_vec()));
         // Out at the same time as a spoilt one, a good one comes through.
         let mut slow = w.connect();
-        slow.write_all(call(&id(5), "once", KEPT, "", "kept").as_bytes()).expect("sent");
+        slow.write_all(call(&id(5), "once", KEPT, "", "kept").as_bytes())
+            .expect("sent");
         w.until("it is out", |w| w.calls(&id(5)) == 1);
-        let a = w.ask(&call(&id(n), "once", function, "", "x")).expect("an answer");
+        let a = w
+            .ask(&call(&id(n), "once", function, "", "x"))
+            .expect("an answer");
         assert!(a.0 >= 500 && a.0 != 503, "{a:?}");
         assert_eq!(w.calls(&id(n)), 1);
         w.free(&id(5));
-        assert_eq!(answer(&mut BufReader::new(slow)).expect("an answer").2, b"kept");
+        assert_eq!(
+            answer(&mut BufReader::new(slow)).expect("an answer").2,
+            b"kept"
+        );
     }
 }
 
@@ -145,12 +192,18 @@
     let w = World::new(6);
     for (n, resets) in [(1, false), (2, true)] {
         let mut stream = w.connect();
-        stream.write_all(call(&id(n), "plain", KEPT, "", "x").as_bytes()).expect("sent");
+        stream
+            .write_all(call(&id(n), "plain", KEPT, "", "x").as_bytes())
+            .expect("sent");
         w.until("it is out", |w| w.calls(&id(n)) == 1);
         let linger = resets.then_some(Duration::ZERO);
-        socket2::SockRef::from(&stream).set_linger(linger).expect("set");
+        socket2::SockRef::from(&stream)
+            .set_linger(linger)
+            .expect("set");
         drop(stream);
-        w.until("it is called back", |w| w.seen.lock().expect("seen").killed.contains(&id(n)));
+        w.until("it is called back", |w| {
+            w.seen.lock().expect("seen").killed.contains(&id(n))
+        });
     }
 }
 
@@ -162,33 +215,45 @@
         let w = World::new(15);
         let mut stream = w.connect();
         let client = stream.local_addr().expect("an address");
-        stream.write_all(call(&id(1), "once", KEPT, "", "x").as_bytes()).expect("sent");
+        stream
+            .write_all(call(&id(1), "once", KEPT, "", "x").as_bytes())
+            .expect("sent");
         w.until("it is out", |w| w.calls(&id(1)) == 1);
         w.turns();
         w.halt();
         let answers = |w: &World| {
             w.free(&id(1));
-            w.until("it lies there", |w| rows(None, Some(w.workers)).iter().any(|r| r.rx_queue > 0));
+            w.until("it lies there", |w| {
+                rows(None, Some(w.workers)).iter().any(|r| r.rx_queue > 0)
+            });
         };
         if answered_first {
             answers(&w);
         }
         stream.shutdown(Shutdown::Write).expect("shut");
         w.until("its end is there", |w| {
-            rows(Some(w.address), Some(client)).iter().any(|r| r.state == CloseWait)
+            rows(Some(w.address), Some(client))
+                .iter()
+                .any(|r| r.state == CloseWait)
         });
         if !answered_first {
             answers(&w);
         }
         w.goes_on();
-        assert_eq!(answer(&mut BufReader::new(stream)).expect("an answer").0, 200);
+        assert_eq!(
+            answer(&mut BufReader::new(stream)).expect("an answer").0,
+            200
+        );
     }
 }
 
 /// Its client's time runs from its last byte, also while it waits behind another.
 #[test]
 fn what_waits_behind_another_counts_its_time() {
-    let quick = |c: String| c.replace(":2000000000,", ":1000000,").replace(":8000000000,", ":400000000,");
+    let quick = |c: String| {
+        c.replace(":2000000000,", ":1000000,")
+            .replace(":8000000000,", ":400000000,")
+    };
     let w = World::with(16, quick);
     let stream = w.connect();
     let mut answers = BufReader::new(stream.try_clone().expect("clone"));
@@ -200,7 +265,10 @@
     thread::sleep(Duration::from_millis(400));
     w.free(&id(1));
     assert_eq!(answer(&mut answers).expect("an answer").0, 200);
-    assert_eq!((answer(&mut answers).expect("an answer").0, w.calls(&id(2))), (503, 0));
+    assert_eq!(
+        (answer(&mut answers).expect("an answer").0, w.calls(&id(2))),
+        (503, 0)
+    );
 }
 
 /// No answer would be a lost invocation.
@@ -209,7 +277,9 @@
     let w = World::new(17);
     let text = call(&id(1), "once", KEPT, "", "x").replace("Wait-Ms: 60000", "Wait-Ms: 4000");
     assert_eq!(w.ask(&text).expect("an answer").0, 500);
-    w.until("it is called back", |w| w.seen.lock().expect("seen").killed.contains(&id(1)));
+    w.until("it is called back", |w| {
+        w.seen.lock().expect("seen").killed.contains(&id(1))
+    });
 }
 
 /// Symptom: connecting takes longer than the grace of a worker that drains meanwhile, and what waits for the
@@ -217,7 +287,10 @@
 #[test]
 fn nothing_leaves_for_a_worker_past_its_grace_however_late_the_connection() {
     for absent in ["\"load\"", "\"miss\""] {
-        let patient = |c: String| c.replace("\"miss\"", absent).replace("250000000", "30000000000");
+        let patient = |c: String| {
+            c.replace("\"miss\"", absent)
+                .replace("250000000", "30000000000")
+        };
         let (w, at, seen) = (World::with(18, patient), own(18), Shared::default());
         // It has room for one connection, and takes none: the next one comes up once that is taken.
         let (listener, _first) = full_listener(at);
@@ -226,12 +299,19 @@
         let mut stream = w.connect();
         let text = call(&id(1), "plain", GOOD, "", "x").replace("Wait-Ms: 60000", "Wait-Ms: 12000");
         stream.write_all(text.as_bytes()).expect("sent");
-        w.until("it connects", |_| rows(None, Some(at)).iter().any(|r| r.state == SynSent));
+        w.until("it connects", |_| {
+            rows(None, Some(at)).iter().any(|r| r.state == SynSent)
+        });
         w.tell(4, "s-2", at, "leaving");
         thread::sleep(Duration::from_millis(600));
         worker(listener, seen.clone());
-        w.until("it is connected", |_| seen.lock().expect("seen").connections == 2);
-        assert_eq!(answer(&mut BufReader::new(stream)).expect("an answer").0, 503);
+        w.until("it is connected", |_| {
+            seen.lock().expect("seen").connections == 2
+        });
+        assert_eq!(
+            answer(&mut BufReader::new(stream)).expect("an answer").0,
+            503
+        );
         let seen = seen.lock().expect("seen");
         assert_eq!((seen.calls.len(), seen.orders.len()), (0, 0), "{absent}");
     }
@@ -242,29 +322,52 @@
 fn a_channel_that_falls_silent_is_asked_anew() {
     let w = World::new(19);
     w.channel.lock().expect("channel").silent = true;
-    w.until("it is silent", |w| !w.channel.lock().expect("channel").silent);
-    w.channel.lock().expect("channel").events.push(event(2, w.workers, "s-1", "leaving"));
-    w.until("the change is told", |w| w.channel.lock().expect("channel").asked.contains(&2));
+    w.until("it is silent", |w| {
+        !w.channel.lock().expect("channel").silent
+    });
+    w.channel
+        .lock()
+        .expect("channel")
+        .events
+        .push(event(2, w.workers, "s-1", "leaving"));
+    w.until("the change is told", |w| {
+        w.channel.lock().expect("channel").asked.contains(&2)
+    });
 }
 
 /// Symptom: a worker drains while the channel is away; that was told then, not when it is heard at last.
 #[test]
 fn a_drain_heard_late_has_no_grace_left() {
     let patient = |c: String| {
-        c.replace("\"stopSendingWithin\":500000000", "\"stopSendingWithin\":600000000000")
-            .replace("\"staysLoaded\":5000000000", "\"staysLoaded\":600000000000")
+        c.replace(
+            "\"stopSendingWithin\":500000000",
+            "\"stopSendingWithin\":600000000000",
+        )
+        .replace("\"staysLoaded\":5000000000", "\"staysLoaded\":600000000000")
     };
     for late in [false, true] {
         let (w, other, seen) = (World::with(22, patient), own(22), Shared::default());
         worker(TcpListener::bind(other).expect("bind"), seen.clone());
-        assert_eq!(w.ask(&call(&id(1), "plain", GOOD, "", "x")).expect("an answer").0, 200);
+        assert_eq!(
+            w.ask(&call(&id(1), "plain", GOOD, "", "x"))
+                .expect("an answer")
+                .0,
+            200
+        );
         w.tell(2, "s-2", other, "active");
         if late {
             w.channel.lock().expect("channel").silent = true;
-            w.until("it is silent", |w| !w.channel.lock().expect("channel").silent);
+            w.until("it is silent", |w| {
+                !w.channel.lock().expect("channel").silent
+            });
         }
         w.tell(3, "s-1", w.workers, "leaving");
-        assert_eq!(w.ask(&call(&id(2), "plain", GOOD, "", "x")).expect("an answer").0, 200);
+        assert_eq!(
+            w.ask(&call(&id(2), "plain", GOOD, "", "x"))
+                .expect("an answer")
+                .0,
+            200
+        );
         let other = seen.lock().expect("seen").calls.len();
         assert_eq!((w.calls(&id(2)), other), if late { (0, 1) } else { (1, 0) });
     }
@@ -275,18 +378,28 @@
 #[test]
 fn a_worker_that_reads_nothing_holds_up_nobody() {
     // One connection for all that is out; small segments, so that its buffers are small.
-    let shared = |c: String| c.replace("\"sockets\":256", "\"sockets\":66").replace("\"miss\"", "\"load\"");
+    let shared = |c: String| {
+        c.replace("\"sockets\":256", "\"sockets\":66")
+            .replace("\"miss\"", "\"load\"")
+    };
     let (w, at) = (World::with(23, shared), own(23));
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.set_tcp_mss(88).expect("set");
     socket.set_recv_buffer_size(2 << 10).expect("set");
     socket.bind(&at.into()).expect("bind");
     socket.listen(8).expect("listens");
     let listener = TcpListener::from(socket);
     for (n, id, at, state) in [(2, "s-2", at, "active"), (3, "s-1", w.workers, "left")] {
-        w.channel.lock().expect("channel").events.push(event(n, at, id, state));
+        w.channel
+            .lock()
+            .expect("channel")
+            .events
+            .push(event(n, at, id, state));
     }
-    w.until("it is told", |w| w.channel.lock().expect("channel").asked.contains(&3));
+    w.until("it is told", |w| {
+        w.channel.lock().expect("channel").asked.contains(&3)
+    });
     let send = |n, body: &str| {
         let mut stream = w.connect();
         let text = call(&id(n), "once", GOOD, "X-Extras: lanes:16\r\n", body);
@@ -298,14 +411,29 @@
     let (mut to, _) = listener.accept().expect("it comes");
     let mut line = [0; 256];
     assert!(to.read(&mut line).expect("read") > 0);
-    to.write_all(format!("{} ok - 0\r\n\r\n", id(1)).as_bytes()).expect("written");
-    assert_eq!(answer(&mut BufReader::new(first)).expect("an answer").0, 200);
+    to.write_all(format!("{} ok - 0\r\n\r\n", id(1)).as_bytes())
+        .expect("written");
+    assert_eq!(
+        answer(&mut BufReader::new(first)).expect("an answer").0,
+        200
+    );
     let body = "x".repeat(16 << 10);
     let _kept: Vec<TcpStream> = (2..12).map(|n| send(n, &body)).collect();
     let mut waits = (0, 0);
     w.until("no more finds room", |_| {
-        let most = rows(None, Some(at)).iter().map(|r| r.tx_queue).max().unwrap_or(0);
-        waits = (most, if most > 16 << 10 && most == waits.0 { waits.1 + 1 } else { 0 });
+        let most = rows(None, Some(at))
+            .iter()
+            .map(|r| r.tx_queue)
+            .max()
+            .unwrap_or(0);
+        waits = (
+            most,
+            if most > 16 << 10 && most == waits.0 {
+                waits.1 + 1
+            } else {
+                0
+            },
+        );
         waits.1 == 20
     });
     w.turns();
@@ -322,10 +450,18 @@
         w.until("it is out", |w| w.calls(&id(n)) == 1);
         stream
     });
-    assert_eq!(w.ask(&call(&id(3), "plain", GOOD, "", "x")).expect("an answer").0, 503);
+    assert_eq!(
+        w.ask(&call(&id(3), "plain", GOOD, "", "x"))
+            .expect("an answer")
+            .0,
+        503
+    );
     for (n, stream) in [1, 2].into_iter().zip(open) {
         w.free(&id(n));
-        assert_eq!(answer(&mut BufReader::new(stream)).expect("an answer").0, 200);
+        assert_eq!(
+            answer(&mut BufReader::new(stream)).expect("an answer").0,
+            200
+        );
     }
 }
 
@@ -337,11 +473,29 @@
     worker(TcpListener::bind(address).expect("bind"), second.clone());
     // The event breaks off in the middle and comes again.
     w.channel.lock().expect("channel").breaks = true;
-    w.channel.lock().expect("channel").events.push(event(2, w.workers, "s-1", "left"));
-    w.channel.lock().expect("channel").events.push(event(3, address, "s-2", "active"));
-    w.until("the change is told", |w| w.channel.lock().expect("channel").asked.contains(&3));
-    assert_eq!(w.ask(&call(&id(1), "plain", GOOD, "", "x")).expect("an answer").0, 200);
-    assert_eq!((w.calls(&id(1)), second.lock().expect("seen").calls.len()), (0, 1));
+    w.channel
+        .lock()
+        .expect("channel")
+        .events
+        .push(event(2, w.workers, "s-1", "left"));
+    w.channel
+        .lock()
+        .expect("channel")
+        .events
+        .push(event(3, address, "s-2", "active"));
+    w.until("the change is told", |w| {
+        w.channel.lock().expect("channel").asked.contains(&3)
+    });
+    assert_eq!(
+        w.ask(&call(&id(1), "plain", GOOD, "", "x"))
+            .expect("an answer")
+            .0,
+        200
+    );
+    assert_eq!(
+        (w.calls(&id(1)), second.lock().expect("seen").calls.len()),
+        (0, 1)
+    );
     // The configuration names another channel: the numbers go on there.
     let moved = Arc::new(Mutex::new(Channel::default()));
     moved.lock().expect("channel").events = w.channel.lock().expect("channel").events.clone();
@@ -350,35 +504,65 @@
     let text = std::fs::read_to_string(&w.file).expect("read");
     std::fs::write(&w.file, "not json").expect("written");
     w.signal(Signal::HUP);
-    assert_eq!(w.ask(&call(&id(2), "plain", GOOD, "", "x")).expect("an answer").0, 200);
+    assert_eq!(
+        w.ask(&call(&id(2), "plain", GOOD, "", "x"))
+            .expect("an answer")
+            .0,
+        200
+    );
     let old = format!(r#""channel":"{}""#, w.first_channel);
     std::fs::write(&w.file, text.replace(&old, &format!(r#""channel":"{to}""#))).expect("written");
     w.signal(Signal::HUP);
-    w.until("the new channel is asked", |_| moved.lock().expect("channel").asked.first() == Some(&3));
+    w.until("the new channel is asked", |_| {
+        moved.lock().expect("channel").asked.first() == Some(&3)
+    });
     // A new worker at the address of one that has gone is another worker.
-    moved.lock().expect("channel").events.push(event(4, address, "s-2", "left"));
-    moved.lock().expect("channel").events.push(event(5, address, "s-3", "active"));
-    w.until("it is told", |_| moved.lock().expect("channel").asked.contains(&5));
+    moved
+        .lock()
+        .expect("channel")
+        .events
+        .push(event(4, address, "s-2", "left"));
+    moved
+        .lock()
+        .expect("channel")
+        .events
+        .push(event(5, address, "s-3", "active"));
+    w.until("it is told", |_| {
+        moved.lock().expect("channel").asked.contains(&5)
+    });
     let before = second.lock().expect("seen").connections;
-    assert_eq!(w.ask(&call(&id(3), "plain", GOOD, "", "x")).expect("an answer").0, 200);
-    assert!(second.lock().expect("seen").connections > before, "an old connection was used");
+    assert_eq!(
+        w.ask(&call(&id(3), "plain", GOOD, "", "x"))
+            .expect("an answer")
+            .0,
+        200
+    );
+    assert!(
+        second.lock().expect("seen").connections > before,
+        "an old connection was used"
+    );
 }
 
 #[test]
 fn an_order_to_stop_leaves_nothing_unanswered() {
     let mut w = World::new(8);
     let (mut first, mut open) = (w.connect(), w.connect());
-    first.write_all(call(&id(1), "once", KEPT, "", "x").as_bytes()).expect("sent");
+    first
+        .write_all(call(&id(1), "once", KEPT, "", "x").as_bytes())
+        .expect("sent");
     w.until("it is out", |w| w.calls(&id(1)) == 1);
-    open.write_all(b"GET /-/healthy HTTP/1.1\r\n\r\n").expect("sent");
+    open.write_all(b"GET /-/healthy HTTP/1.1\r\n\r\n")
+        .expect("sent");
     let mut answers = BufReader::new(open.try_clone().expect("clone"));
     assert_eq!(answer(&mut answers).expect("an answer").0, 200);
     // What crosses the order is served still, on open connections and new ones, and told that they close.
     w.halt();
     w.signal(Signal::TERM);
     let mut new = w.connect();
-    open.write_all(call(&id(2), "plain", GOOD, "", "crossed").as_bytes()).expect("sent");
-    new.write_all(call(&id(3), "plain", GOOD, "", "crossed").as_bytes()).expect("sent");
+    open.write_all(call(&id(2), "plain", GOOD, "", "crossed").as_bytes())
+        .expect("sent");
+    new.write_all(call(&id(3), "plain", GOOD, "", "crossed").as_bytes())
+        .expect("sent");
     w.goes_on();
     for mut answers in [answers, BufReader::new(new)] {
         let a = answer(&mut answers).expect("an answer");
@@ -386,7 +570,12 @@
     }
     // Then idle connections close, and what comes all the same is refused.
     assert_eq!(w.connect().read(&mut [0; 16]).expect("closed"), 0);
-    assert_eq!(w.ask(&call(&id(4), "plain", GOOD, "", "late")).expect("an answer").0, 503);
+    assert_eq!(
+        w.ask(&call(&id(4), "plain", GOOD, "", "late"))
+            .expect("an answer")
+            .0,
+        503
+    );
     assert_eq!(w.calls(&id(4)), 0);
     // Long enough for it to leave, did it not owe the first its answer.
     thread::sleep(Duration::from_millis(300));
@@ -396,8 +585,16 @@
     assert!(w.node.wait().expect("ended").success());
     // It starts again from nothing on the same address at once.
     w.node = start(&w.file, &w.folder, w.address);
-    w.until("it serves again", |w| w.ask("GET /-/healthy HTTP/1.1\r\n\r\n").is_some_and(|a| a.0 == 200));
-    assert_eq!(w.ask(&call(&id(5), "plain", GOOD, "", "x")).expect("an answer").0, 200);
+    w.until("it serves again", |w| {
+        w.ask("GET /-/healthy HTTP/1.1\r\n\r\n")
+            .is_some_and(|a| a.0 == 200)
+    });
+    assert_eq!(
+        w.ask(&call(&id(5), "plain", GOOD, "", "x"))
+            .expect("an answer")
+            .0,
+        200
+    );
 }
 
 /// Symptom: the router's process is held up while it stops, until past the time in which it takes requests. What
@@ -409,12 +606,16 @@
     for _ in 0..10 {
         let mut w = World::new(20);
         let mut open = w.connect();
-        open.write_all(b"GET /-/healthy HTTP/1.1\r\n\r\n").expect("sent");
+        open.write_all(b"GET /-/healthy HTTP/1.1\r\n\r\n")
+            .expect("sent");
         let mut answers = BufReader::new(open.try_clone().expect("clone"));
         assert_eq!(answer(&mut answers).expect("an answer").0, 200);
         let began = Instant::now();
         w.signal(Signal::TERM);
-        let stops = |w: &World| w.ask("GET /-/healthy HTTP/1.1\r\n\r\n").is_none_or(|a| a.0 == 503);
+        let stops = |w: &World| {
+            w.ask("GET /-/healthy HTTP/1.1\r\n\r\n")
+                .is_none_or(|a| a.0 == 503)
+        };
         w.until("it stops", stops);
         w.signal(Signal::STOP);
         let new = TcpStream::connect(w.address);
@@ -447,36 +648,61 @@
 #[test]
 fn it_listens_at_its_own_address_alone_and_keeps_no_file() {
     let mut w = World::new(21);
-    assert_eq!(w.ask(&call(&id(1), "plain", GOOD, "", "x")).expect("an answer").0, 200);
+    assert_eq!(
+        w.ask(&call(&id(1), "plain", GOOD, "", "x"))
+            .expect("an answer")
+            .0,
+        200
+    );
     w.signal(Signal::HUP);
     let mut open = w.connect();
-    open.write_all(call(&id(2), "plain", KEPT, "", "x").as_bytes()).expect("sent");
+    open.write_all(call(&id(2), "plain", KEPT, "", "x").as_bytes())
+        .expect("sent");
     w.until("it is out", |w| w.calls(&id(2)) == 1);
     let of = |what: &str| format!("/proc/{}/{what}", w.node.id());
     // Its log goes where whoever starts it wants.
-    let fds = std::fs::read_dir(of("fd")).expect("listed").flatten().map(|fd| fd.path());
+    let fds = std::fs::read_dir(of("fd"))
+        .expect("listed")
+        .flatten()
+        .map(|fd| fd.path());
     let held: Vec<String> = fds
         .filter(|fd| !["0", "1", "2"].iter().any(|n| fd.ends_with(n)))
         .filter_map(|fd| Some(std::fs::read_link(fd).ok()?.display().to_string()))
         .collect();
-    let files: Vec<&String> = held.iter().filter(|f| f.starts_with('/') && *f != "/dev/null").collect();
+    let files: Vec<&String> = held
+        .iter()
+        .filter(|f| f.starts_with('/') && *f != "/dev/null")
+        .collect();
     assert!(files.is_empty(), "{files:?}");
     // This process's rows of a table of sockets, which names a socket in this column.
     let own = |table: &str, column: usize| -> Vec<Vec<String>> {
         let text = std::fs::read_to_string(of(&format!("net/{table}"))).unwrap_or_default();
-        let rows = text.lines().skip(1).map(|l| l.split_whitespace().map(str::to_owned).collect());
-        rows.filter(|r: &Vec<String>| r.get(column).is_some_and(|n| held.contains(&format!("socket:[{n}]"))))
-            .collect()
+        let rows = text
+            .lines()
+            .skip(1)
+            .map(|l| l.split_whitespace().map(str::to_owned).collect());
+        rows.filter(|r: &Vec<String>| {
+            r.get(column)
+                .is_some_and(|n| held.contains(&format!("socket:[{n}]")))
+        })
+        .collect()
     };
     let tcp = own("tcp", 9);
     let (listening, others): (Vec<_>, Vec<_>) = tcp.iter().partition(|row| row[3] == "0A");
-    assert!(listening.len() == 1 && listening[0][1].ends_with(&format!(":{:04X}", w.address.port())));
+    assert!(
+        listening.len() == 1 && listening[0][1].ends_with(&format!(":{:04X}", w.address.port()))
+    );
     // A client's, one to the worker, one to the channel.
     assert!(others.len() >= 3, "{others:?}");
-    assert!(["tcp6", "udp", "udp6", "raw", "packet"].iter().all(|table| own(table, 9).is_empty()));
+    assert!(
+        ["tcp6", "udp", "udp6", "raw", "packet"]
+            .iter()
+            .all(|table| own(table, 9).is_empty())
+    );
     // A pair without a name wakes it for signals.
     assert!(own("unix", 6).iter().all(|row| row.len() == 7));
-    let children = std::fs::read_to_string(of(&format!("task/{}/children", w.node.id()))).expect("a list");
+    let children =
+        std::fs::read_to_string(of(&format!("task/{}/children", w.node.id()))).expect("a list");
     assert_eq!(children, "");
     w.free(&id(2));
     assert_eq!(answer(&mut BufReader::new(open)).expect("an answer").0, 200);
@@ -490,13 +716,27 @@
 #[test]
 fn it_rests_on_no_package_of_a_group() {
     let tree = |of: &str| {
-        let args =
-            ["tree", "--package", of, "--edges", "normal", "--prefix", "none", "--locked", "--offline"];
+        let args = [
+            "tree",
+            "--package",
+            of,
+            "--edges",
+            "normal",
+            "--prefix",
+            "none",
+            "--locked",
+            "--offline",
+        ];
         let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
-        let out = Command::new(env!("CARGO")).args(args).current_dir(folder).output().expect("run");
+        let out = Command::new(env!("CARGO"))
+            .args(args)
+            .current_dir(folder)
+            .output()
+            .expect("run");
         String::from_utf8(out.stdout).expect("text")
     };
-    let has = |tree: &str, package: &str| tree.lines().any(|l| l.starts_with(&format!("{package} v")));
+    let has =
+        |tree: &str, package: &str| tree.lines().any(|l| l.starts_with(&format!("{package} v")));
     let shared = [
         "cedarpulley-membership",
         "cedarpulley-reconcile",
@@ -511,20 +751,30 @@
         assert!(has(&tree, "cedarpulley-router"), "{tree}");
         assert!(shared.iter().all(|package| !has(&tree, package)), "{tree}");
     }
-    assert!(shared.iter().all(|package| has(&tree("cedarpulley-gateway"), package)));
+    assert!(
+        shared
+            .iter()
+            .all(|package| has(&tree("cedarpulley-gateway"), package))
+    );
 }
 
 #[test]
 fn a_bad_start_is_one_line_with_the_cause() {
     let run = |config: Option<&str>, listen: &str| {
         let mut it = Command::new(env!("CARGO_BIN_EXE_cedarpulley"));
-        it.arg("node").env("BALANCER_LISTEN", listen).env_remove("BALANCER_CONFIG");
+        it.arg("node")
+            .env("BALANCER_LISTEN", listen)
+            .env_remove("BALANCER_CONFIG");
         if let Some(config) = config {
             it.env("BALANCER_CONFIG", config);
         }
         let out = it.output().expect("run");
         let text = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert_eq!((out.status.code(), text.lines().count()), (Some(2), 1), "{text}");
+        assert_eq!(
+            (out.status.code(), text.lines().count()),
+            (Some(2), 1),
+            "{text}"
+        );
         text
     };
     assert!(run(None, "127.0.0.1:1").contains("BALANCER_CONFIG"));
--- a/crates/cli/tests/node_bad_input.rs
+++ b/crates/cli/tests/node_bad_input.rs
@@ -18,7 +18,9 @@
 }
 
 fn descriptors(w: &World) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", w.node.id())).expect("listed").count()
+    std::fs::read_dir(format!("/proc/{}/fd", w.node.id()))
+        .expect("listed")
+        .count()
 }
 
 fn memory_kb(w: &World) -> u64 {
@@ -27,7 +29,13 @@
 }
 
 fn is_served(w: &World, n: u32) {
-    assert_eq!(w.ask(&call(&id(n), "plain", GOOD, "", "good")).expect("an answer").0, 200, "{n}");
+    assert_eq!(
+        w.ask(&call(&id(n), "plain", GOOD, "", "good"))
+            .expect("an answer")
+            .0,
+        200,
+        "{n}"
+    );
 }
 
 /// A router that owes nothing exits by itself, well before it gives up on what it owes.
@@ -48,26 +56,57 @@
     let good = call(&id(1), "plain", GOOD, "", "body");
     let with = |from: &str, to: &str| good.replace(from, to);
     let chunked = with("Content-Length: 4", "Transfer-Encoding: chunked");
-    let kind = |name, text: String, answered| Rude { name, text, answered };
+    let kind = |name, text: String, answered| Rude {
+        name,
+        text,
+        answered,
+    };
     vec![
         kind("nothing", String::new(), false),
         kind("half a head", good[..40].to_owned(), true),
         kind("half a body", good[..good.len() - 2].to_owned(), true),
-        kind("no request", "\u{16}\u{3}\u{1} hello\r\n\r\n".to_owned(), true),
-        kind("an endless head", format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(20_000)), true),
-        kind("a huge length", with("Content-Length: 4", "Content-Length: 60000000"), true),
-        kind("a negative length", with("Content-Length: 4", "Content-Length: -4"), true),
+        kind(
+            "no request",
+            "\u{16}\u{3}\u{1} hello\r\n\r\n".to_owned(),
+            true,
+        ),
+        kind(
+            "an endless head",
+            format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(20_000)),
+            true,
+        ),
+        kind(
+            "a huge length",
+            with("Content-Length: 4", "Content-Length: 60000000"),
+            true,
+        ),
+        kind(
+            "a negative length",
+            with("Content-Length: 4", "Content-Length: -4"),
+            true,
+        ),
         kind(
             "both lengths",
-            with("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"),
+            with(
+                "Content-Length: 4",
+                "Content-Length: 4\r\nTransfer-Encoding: chunked",
+            ),
+            true,
+        ),
+        kind(
+            "odd chunks",
+            chunked.replace("body", "zz\r\nbody\r\n0\r\n\r\n"),
             true,
         ),
-        kind("odd chunks", chunked.replace("body", "zz\r\nbody\r\n0\r\n\r\n"), true),
         kind("an unknown class", with("plain", "strange"), true),
         kind("an unknown tenant", with("acme", "nobody"), true),
         kind("no id", with("Req-Id", "Req-No"), true),
         kind("a wait beyond all bounds", with("60000", "1e99"), true),
-        kind("far more ahead than is kept", call(&id(2), "strange", GOOD, "", "").repeat(200), true),
+        kind(
+            "far more ahead than is kept",
+            call(&id(2), "strange", GOOD, "", "").repeat(200),
+            true,
+        ),
     ]
 }
 
@@ -95,21 +134,50 @@
         let last = kept.pop().expect("one");
         let mut answers = BufReader::new(last);
         let answered = answer(&mut answers);
-        assert_eq!(answered.is_some(), rude.answered, "{}: {answered:?}", rude.name);
-        assert!(answered.is_none_or(|a| (400..=503).contains(&a.0)), "{}", rude.name);
-        assert_eq!(answers.read(&mut [0]).unwrap_or(0), 0, "{}: it closes", rude.name);
+        assert_eq!(
+            answered.is_some(),
+            rude.answered,
+            "{}: {answered:?}",
+            rude.name
+        );
+        assert!(
+            answered.is_none_or(|a| (400..=503).contains(&a.0)),
+            "{}",
+            rude.name
+        );
+        assert_eq!(
+            answers.read(&mut [0]).unwrap_or(0),
+            0,
+            "{}: it closes",
+            rude.name
+        );
     }
     // Those that still linger go by themselves.
     w.until("all descriptors are free", |w| descriptors(w) <= before);
-    assert!(memory_kb(&w) < memory + (16 << 10), "{} kB before, {} after", memory, memory_kb(&w));
-    assert!(w.seen.lock().expect("seen").calls.iter().all(|c| c.0 >= id(1_000)));
+    assert!(
+        memory_kb(&w) < memory + (16 << 10),
+        "{} kB before, {} after",
+        memory,
+        memory_kb(&w)
+    );
+    assert!(
+        w.seen
+            .lock()
+            .expect("seen")
+            .calls
+            .iter()
+            .all(|c| c.0 >= id(1_000))
+    );
     exits_owing_nothing(&mut w);
 }
 
 /// Clients wait briefly: a worker whose answers are broken is passed over, and what is held for it is given up in its time.
 #[test]
 fn storms_of_broken_answers_leave_nothing_behind() {
-    let brief = |c: String| c.replace(":2000000000,", ":1000000,").replace(":8000000000,", ":200000000,");
+    let brief = |c: String| {
+        c.replace(":2000000000,", ":1000000,")
+            .replace(":8000000000,", ":200000000,")
+    };
     let mut w = World::with(31, |c| brief(c.replace("\"sockets\":256", SOCKETS)));
     is_served(&w, 1_000);
     let before = descriptors(&w);
@@ -117,11 +185,15 @@
     for (n, function) in [TWICE, NOISE, HALF, HUGE].into_iter().enumerate() {
         for m in 0..8 {
             let number = (n * 100 + m) as u32;
-            let text =
-                call(&id(number), "plain", function, "", "x").replace("Wait-Ms: 60000", "Wait-Ms: 300");
+            let text = call(&id(number), "plain", function, "", "x")
+                .replace("Wait-Ms: 60000", "Wait-Ms: 300");
             let a = w.ask(&text).expect("an answer");
             assert!(a.0 == 503 || a.0 == 200 && function == TWICE, "{a:?}");
-            broken += if function == TWICE { 0 } else { w.calls(&id(number)) };
+            broken += if function == TWICE {
+                0
+            } else {
+                w.calls(&id(number))
+            };
         }
     }
     assert!(broken >= 3, "{broken} of them came to the worker");
@@ -135,9 +207,13 @@
     let mut w = world(32);
     is_served(&w, 1_000);
     let before = descriptors(&w);
-    let ok = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    let odd_state =
-        r#"{"cursor":2,"cmds":[{"cursor":2,"nodes":{"servers":[{"id":"s-1","addr":"x","state":"odd"}]}}]}"#;
+    let ok = |body: &str| {
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
+    };
+    let odd_state = r#"{"cursor":2,"cmds":[{"cursor":2,"nodes":{"servers":[{"id":"s-1","addr":"x","state":"odd"}]}}]}"#;
     let answers = [
         "garbage\r\n\r\n".to_owned(),
         "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n".to_owned(),
@@ -153,7 +229,10 @@
     let listener = TcpListener::bind(odd).expect("bind");
     let text = std::fs::read_to_string(&w.file).expect("read");
     let at = |address| {
-        text.replace(&format!(r#""channel":"{}""#, w.first_channel), &format!(r#""channel":"{address}""#))
+        text.replace(
+            &format!(r#""channel":"{}""#, w.first_channel),
+            &format!(r#""channel":"{address}""#),
+        )
     };
     std::fs::write(&w.file, at(odd)).expect("written");
     w.signal(Signal::HUP);
@@ -181,14 +260,25 @@
     let moved = own(33);
     let text = std::fs::read_to_string(&w.file).expect("read");
     let old = format!(r#""channel":"{}""#, w.first_channel);
-    std::fs::write(&w.file, text.replace(&old, &format!(r#""channel":"{moved}""#))).expect("written");
+    std::fs::write(
+        &w.file,
+        text.replace(&old, &format!(r#""channel":"{moved}""#)),
+    )
+    .expect("written");
     // Nobody listens there yet.
     w.signal(Signal::HUP);
     let idle: Vec<TcpStream> = (0..STORM)
         .map(|_| {
             let mut stream = w.connect();
-            stream.write_all(b"GET /-/healthy HTTP/1.1\r\n\r\n").expect("sent");
-            assert_eq!(answer(&mut BufReader::new(stream.try_clone().expect("clone"))).expect("one").0, 200);
+            stream
+                .write_all(b"GET /-/healthy HTTP/1.1\r\n\r\n")
+                .expect("sent");
+            assert_eq!(
+                answer(&mut BufReader::new(stream.try_clone().expect("clone")))
+                    .expect("one")
+                    .0,
+                200
+            );
             stream
         })
         .collect();
--- a/crates/cli/tests/node_endings.rs
+++ b/crates/cli/tests/node_endings.rs
@@ -37,18 +37,30 @@
 /// A connection on which the router has answered once.
 fn open(w: &World) -> TcpStream {
     let stream = send(w, HEALTH);
-    assert_eq!(answer(&mut BufReader::new(stream.try_clone().expect("clone"))).expect("an answer").0, 200);
+    assert_eq!(
+        answer(&mut BufReader::new(stream.try_clone().expect("clone")))
+            .expect("an answer")
+            .0,
+        200
+    );
     stream
 }
 
 /// The function has a copy and the worker an idle connection: a request for it leaves as soon as it is read.
 fn warm_up(w: &World) {
-    assert_eq!(w.ask(&call(&id(1_000), "plain", GOOD, "", "x")).expect("an answer").0, 200);
+    assert_eq!(
+        w.ask(&call(&id(1_000), "plain", GOOD, "", "x"))
+            .expect("an answer")
+            .0,
+        200
+    );
 }
 
 fn told_to_stop(w: &World) {
     w.signal(Signal::TERM);
-    w.until("it shuts down", |w| w.ask(HEALTH).is_none_or(|a| a.0 == 503));
+    w.until("it shuts down", |w| {
+        w.ask(HEALTH).is_none_or(|a| a.0 == 503)
+    });
 }
 
 /// The router ends well, and a new one takes its place.
@@ -63,24 +75,33 @@
     told.lock().expect("channel").events = w.channel.lock().expect("channel").events.clone();
     channel(TcpListener::bind(to).expect("bind"), told.clone());
     let text = std::fs::read_to_string(&w.file).expect("read");
-    let (old, new) = (format!(r#""channel":"{}""#, w.first_channel), format!(r#""channel":"{to}""#));
+    let (old, new) = (
+        format!(r#""channel":"{}""#, w.first_channel),
+        format!(r#""channel":"{to}""#),
+    );
     (told, text.replace(&old, &new))
 }
 
 fn is_asked(w: &World, told: &Mutex<Channel>) {
-    w.until("the new channel is asked", |_| !told.lock().expect("channel").asked.is_empty());
+    w.until("the new channel is asked", |_| {
+        !told.lock().expect("channel").asked.is_empty()
+    });
 }
 
 /// With as much sent ahead as is kept, nothing more was read, and the client's closing went unnoticed.
 #[test]
 fn a_client_that_sent_far_ahead_and_left_has_nothing_more_begun() {
     let w = World::new(30);
-    let ahead: String = (2..30).map(|n| call(&id(n), "once", GOOD, "", "x")).collect();
+    let ahead: String = (2..30)
+        .map(|n| call(&id(n), "once", GOOD, "", "x"))
+        .collect();
     let stream = send(&w, &(call(&id(1), "once", KEPT, "", "x") + &ahead));
     w.until("the first is out", |w| w.calls(&id(1)) == 1);
     w.turns();
     drop(stream);
-    w.until("it is called back", |w| w.seen.lock().expect("seen").killed.contains(&id(1)));
+    w.until("it is called back", |w| {
+        w.seen.lock().expect("seen").killed.contains(&id(1))
+    });
     w.free(&id(1));
     w.turns();
     assert!((2..30).all(|n| w.calls(&id(n)) == 0));
@@ -90,15 +111,22 @@
 #[test]
 fn each_request_sent_far_ahead_is_answered() {
     let w = World::new(31);
-    let ahead: String = (2..30).map(|n| call(&id(n), "plain", GOOD, "", "x")).collect();
+    let ahead: String = (2..30)
+        .map(|n| call(&id(n), "plain", GOOD, "", "x"))
+        .collect();
     let stream = send(&w, &(call(&id(1), "once", KEPT, "", "x") + &ahead));
     w.until("the first is out", |w| w.calls(&id(1)) == 1);
     w.turns();
     w.free(&id(1));
     let mut answers = BufReader::new(stream);
-    let statuses: Vec<u16> = (1..30).map(|_| answer(&mut answers).expect("an answer").0).collect();
+    let statuses: Vec<u16> = (1..30)
+        .map(|_| answer(&mut answers).expect("an answer").0)
+        .collect();
     let served = statuses.iter().take_while(|s| **s == 200).count();
-    assert!(served >= 8 && statuses[served..].iter().all(|s| *s == 503), "{statuses:?}");
+    assert!(
+        served >= 8 && statuses[served..].iter().all(|s| *s == 503),
+        "{statuses:?}"
+    );
     assert!((1..30).all(|n| w.calls(&id(n)) == usize::from((n as usize) <= served)));
 }
 
@@ -111,7 +139,9 @@
         let kept = on_open_connection.then(|| open(&w));
         w.halt();
         let mut stream = kept.unwrap_or_else(|| w.connect());
-        stream.write_all(call(&id(1), "once", GOOD, "", "x").as_bytes()).expect("sent");
+        stream
+            .write_all(call(&id(1), "once", GOOD, "", "x").as_bytes())
+            .expect("sent");
         let client = address(&stream);
         drop(stream);
         w.closing_arrived(client);
@@ -157,13 +187,20 @@
 fn whoever_finds_no_room_reads_its_refusal_and_no_reset() {
     let w = World::with(34, |c| c.replace("\"sockets\":256", "\"sockets\":4"));
     let busy = [1, 2].map(|n| {
-        let stream = send(&w, &call(&id(n), "once", KEPT, "X-Extras: lanes:8\r\n", "x"));
+        let stream = send(
+            &w,
+            &call(&id(n), "once", KEPT, "X-Extras: lanes:8\r\n", "x"),
+        );
         w.until("it is out", |w| w.calls(&id(n)) == 1);
         stream
     });
     w.halt();
-    let refused: Vec<TcpStream> = (10..16).map(|n| send(&w, &call(&id(n), "plain", GOOD, "", "x"))).collect();
-    refused.iter().for_each(|stream| w.lies_unread(address(stream)));
+    let refused: Vec<TcpStream> = (10..16)
+        .map(|n| send(&w, &call(&id(n), "plain", GOOD, "", "x")))
+        .collect();
+    refused
+        .iter()
+        .for_each(|stream| w.lies_unread(address(stream)));
     w.goes_on();
     for stream in refused {
         let mut answers = BufReader::new(stream);
@@ -189,11 +226,17 @@
             stream
         };
         let first = new_comes_first.then(come);
-        idle[0].write_all(call(&id(1), "plain", GOOD, "", "x").as_bytes()).expect("sent");
+        idle[0]
+            .write_all(call(&id(1), "plain", GOOD, "", "x").as_bytes())
+            .expect("sent");
         w.lies_unread(address(&idle[0]));
         let new = first.unwrap_or_else(come);
         w.goes_on();
-        assert_eq!((status(idle.remove(0)), status(new)), (200, 200), "{new_comes_first}");
+        assert_eq!(
+            (status(idle.remove(0)), status(new)),
+            (200, 200),
+            "{new_comes_first}"
+        );
     }
 }
 
@@ -209,7 +252,12 @@
             stream
         })
         .collect();
-    assert_eq!(w.ask(&call(&id(2), "plain", GOOD, "", "x")).expect("an answer").0, 200);
+    assert_eq!(
+        w.ask(&call(&id(2), "plain", GOOD, "", "x"))
+            .expect("an answer")
+            .0,
+        200
+    );
     let mut statuses = half.into_iter().map(status);
     assert!(statuses.all(|s| s == 503));
 }
@@ -220,7 +268,9 @@
     let w = World::new(37);
     let mut stream = open(&w);
     w.halt();
-    stream.write_all(call(&id(1), "plain", GOOD, "", "x").as_bytes()).expect("sent");
+    stream
+        .write_all(call(&id(1), "plain", GOOD, "", "x").as_bytes())
+        .expect("sent");
     w.lies_unread(address(&stream));
     thread::sleep(IDLE_KEPT);
     w.goes_on();
@@ -232,10 +282,17 @@
 fn a_worker_is_given_no_more_time_than_the_client_has_left() {
     let w = World::new(38);
     warm_up(&w);
-    assert_eq!(w.ask(&call(&id(1), "once", GOOD, "", "x")).expect("an answer").0, 200);
+    assert_eq!(
+        w.ask(&call(&id(1), "once", GOOD, "", "x"))
+            .expect("an answer")
+            .0,
+        200
+    );
     let mut stream = open(&w);
     w.halt();
-    stream.write_all(call(&id(2), "once", GOOD, "", "x").as_bytes()).expect("sent");
+    stream
+        .write_all(call(&id(2), "once", GOOD, "", "x").as_bytes())
+        .expect("sent");
     w.lies_unread(address(&stream));
     thread::sleep(Duration::from_secs(1));
     w.goes_on();
@@ -248,7 +305,10 @@
 /// A worker moves while a connection to its old address is coming up: another worker may listen there by then.
 #[test]
 fn nothing_goes_to_the_old_address_of_a_worker_that_has_moved() {
-    let patient = |c: String| c.replace("\"miss\"", "\"load\"").replace("250000000", "30000000000");
+    let patient = |c: String| {
+        c.replace("\"miss\"", "\"load\"")
+            .replace("250000000", "30000000000")
+    };
     let (w, old, new) = (World::with(39, patient), own(39), own(39));
     let (at_old, at_new) = (Shared::default(), Shared::default());
     let (listener, _first) = full_listener(old);
@@ -256,12 +316,20 @@
     w.tell(2, "s-2", old, "active");
     w.tell(3, "s-1", w.workers, "left");
     let stream = send(&w, &call(&id(1), "plain", GOOD, "", "x"));
-    w.until("it connects", |_| rows(None, Some(old)).iter().any(|r| r.state == SynSent));
+    w.until("it connects", |_| {
+        rows(None, Some(old)).iter().any(|r| r.state == SynSent)
+    });
     w.tell(4, "s-2", new, "active");
     assert_eq!(status(stream), 200);
     worker(listener, at_old.clone());
     w.turns();
-    assert_eq!((at_old.lock().expect("seen").calls.len(), at_new.lock().expect("seen").calls.len()), (0, 1));
+    assert_eq!(
+        (
+            at_old.lock().expect("seen").calls.len(),
+            at_new.lock().expect("seen").calls.len()
+        ),
+        (0, 1)
+    );
 }
 
 /// A request comes in pieces, and the router is told to stop between them.
@@ -291,7 +359,9 @@
         w.signal(Signal::STOP);
         let came = TcpStream::connect(w.address).and_then(|mut stream| {
             stream.set_read_timeout(Some(PATIENCE))?;
-            stream.write_all(call(&id(1), "plain", GOOD, "", "x").as_bytes()).map(|()| stream)
+            stream
+                .write_all(call(&id(1), "plain", GOOD, "", "x").as_bytes())
+                .map(|()| stream)
         });
         let in_time = began.elapsed() < STILL_ACCEPTS;
         if in_time {
@@ -306,7 +376,9 @@
         if in_time {
             return;
         }
-        w.until("it serves again", |w| w.ask(HEALTH).is_some_and(|a| a.0 == 200));
+        w.until("it serves again", |w| {
+            w.ask(HEALTH).is_some_and(|a| a.0 == 200)
+        });
     }
     panic!("the machine is too slow");
 }
@@ -337,5 +409,10 @@
     w.turns();
     std::fs::write(&w.file, text).expect("written");
     is_asked(&w, &told);
-    assert_eq!(w.ask(&call(&id(1), "plain", GOOD, "", "x")).expect("an answer").0, 200);
+    assert_eq!(
+        w.ask(&call(&id(1), "plain", GOOD, "", "x"))
+            .expect("an answer")
+            .0,
+        200
+    );
 }
--- a/crates/cli/tests/platform/mod.rs
+++ b/crates/cli/tests/platform/mod.rs
@@ -31,7 +31,10 @@
     static LAST: AtomicU16 = AtomicU16::new(0);
     let pid = std::process::id();
     let n = LAST.fetch_add(1, Ordering::Relaxed);
-    SocketAddr::from(([127, 100 + part as u8, (pid >> 8) as u8, pid as u8], 5050 + n))
+    SocketAddr::from((
+        [127, 100 + part as u8, (pid >> 8) as u8, pid as u8],
+        5050 + n,
+    ))
 }
 
 /// What crossed the worker's sockets.
@@ -70,10 +73,21 @@
                 let mut body = vec![0; length.parse::<usize>().expect("a length") + 2];
                 lines.read_exact(&mut body).expect("the body");
                 body.truncate(body.len() - 2);
-                let field = |name| fields.split(',').find_map(|f| f.strip_prefix(name)).expect("a field");
+                let field = |name| {
+                    fields
+                        .split(',')
+                        .find_map(|f| f.strip_prefix(name))
+                        .expect("a field")
+                };
                 let (function, deadline) = (field("obj="), field("ms=").parse().expect("a number"));
-                seen.lock().expect("seen").calls.push((id.to_owned(), function.to_owned()));
-                seen.lock().expect("seen").deadlines.insert(id.to_owned(), deadline);
+                seen.lock()
+                    .expect("seen")
+                    .calls
+                    .push((id.to_owned(), function.to_owned()));
+                seen.lock()
+                    .expect("seen")
+                    .deadlines
+                    .insert(id.to_owned(), deadline);
                 let mut good = format!("{id} ok same=0 {}\r\n", body.len()).into_bytes();
                 good.extend_from_slice(&body);
                 good.extend_from_slice(b"\r\n");
@@ -102,7 +116,8 @@
             ["KILL", id] => seen.lock().expect("seen").killed.push(id.to_owned()),
             ["SPAWN", tag, fields] => {
                 seen.lock().expect("seen").orders.push(fields.to_owned());
-                out.write_all(format!("{tag} ok n=1 0\r\n\r\n").as_bytes()).expect("an answer");
+                out.write_all(format!("{tag} ok n=1 0\r\n\r\n").as_bytes())
+                    .expect("an answer");
             }
             ["REAP", _] => {}
             _ => panic!("the worker was told {line:?}"),
@@ -137,10 +152,17 @@
     let mut line = String::new();
     while lines.read_line(&mut line).is_ok_and(|n| n > 0) {
         if let Some(from) = line.strip_prefix("GET /cmd/next?resume=") {
-            let from: u64 = from.split('&').next().expect("a number").parse().expect("a number");
+            let from: u64 = from
+                .split('&')
+                .next()
+                .expect("a number")
+                .parse()
+                .expect("a number");
             shared.lock().expect("channel").asked.push(from);
             let until = Instant::now() + Duration::from_millis(400);
-            while Instant::now() < until && shared.lock().expect("channel").events.len() as u64 <= from {
+            while Instant::now() < until
+                && shared.lock().expect("channel").events.len() as u64 <= from
+            {
                 thread::sleep(Duration::from_millis(5));
             }
             let mut it = shared.lock().expect("channel");
@@ -149,8 +171,15 @@
                 continue;
             }
             let new = &it.events[(from as usize).min(it.events.len())..];
-            let body = format!(r#"{{"cursor":{},"cmds":[{}]}}"#, from + new.len() as u64, new.join(","));
-            let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            let body = format!(
+                r#"{{"cursor":{},"cmds":[{}]}}"#,
+                from + new.len() as u64,
+                new.join(",")
+            );
+            let text = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            );
             if std::mem::take(&mut it.breaks) {
                 let _ = out.write_all(&text.as_bytes()[..text.len() - 5]);
                 return;
@@ -195,9 +224,18 @@
         let (seen, told) = (Shared::default(), Arc::new(Mutex::new(Channel::default())));
         let (workers, address, first_channel) = (own(part), own(part), own(part));
         worker(TcpListener::bind(workers).expect("bind"), seen.clone());
-        channel(TcpListener::bind(first_channel).expect("bind"), told.clone());
-        told.lock().expect("channel").events.push(event(1, workers, "s-1", "active"));
-        let known = format!(r#"{{"cursor":1,"cmds":[{}]}}"#, event(1, workers, "s-1", "active"));
+        channel(
+            TcpListener::bind(first_channel).expect("bind"),
+            told.clone(),
+        );
+        told.lock()
+            .expect("channel")
+            .events
+            .push(event(1, workers, "s-1", "active"));
+        let known = format!(
+            r#"{{"cursor":1,"cmds":[{}]}}"#,
+            event(1, workers, "s-1", "active")
+        );
         let config = format!(
             r#"{{"name":"n0","listen":"{address}","seed":"00000000000000ff",
             "channel":"{first_channel}","known":{known},
@@ -220,9 +258,21 @@
         std::fs::create_dir_all(&folder).expect("a folder");
         std::fs::write(&file, edit(config)).expect("written");
         let node = start(&file, &folder, address);
-        let mut world = World { node, address, seen, channel: told, workers, file, folder, first_channel };
+        let mut world = World {
+            node,
+            address,
+            seen,
+            channel: told,
+            workers,
+            file,
+            folder,
+            first_channel,
+        };
         let until = Instant::now() + PATIENCE;
-        while world.ask("GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n").is_none_or(|a| a.0 != 200) {
+        while world
+            .ask("GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n")
+            .is_none_or(|a| a.0 != 200)
+        {
             assert!(
                 Instant::now() < until && world.node.try_wait().expect("a state").is_none(),
                 "it does not serve"
@@ -247,29 +297,50 @@
 
     /// Waits until the router has accepted the connection from this address.
     pub fn accepted(&self, client: SocketAddr) {
-        self.until("it is accepted", |w| rows(Some(w.address), Some(client)).iter().any(|r| r.inode != 0));
+        self.until("it is accepted", |w| {
+            rows(Some(w.address), Some(client))
+                .iter()
+                .any(|r| r.inode != 0)
+        });
     }
 
     /// Waits until the client's closing has arrived on the router's side, read or not.
     pub fn closing_arrived(&self, client: SocketAddr) {
-        let arrived =
-            |w: &World| rows(Some(w.address), Some(client)).iter().any(|r| r.state == TcpState::CloseWait);
+        let arrived = |w: &World| {
+            rows(Some(w.address), Some(client))
+                .iter()
+                .any(|r| r.state == TcpState::CloseWait)
+        };
         self.until("its closing has arrived", arrived);
     }
 
     /// Waits until bytes from this address lie unread on the router's side.
     pub fn lies_unread(&self, from: SocketAddr) {
-        self.until("it lies unread", |_| rows(None, Some(from)).iter().any(|r| r.rx_queue > 0));
+        self.until("it lies unread", |_| {
+            rows(None, Some(from)).iter().any(|r| r.rx_queue > 0)
+        });
     }
 
     /// The channel tells of a worker, and the router has heard it.
     pub fn tell(&self, number: u64, id: &str, at: SocketAddr, state: &str) {
-        self.channel.lock().expect("channel").events.push(event(number, at, id, state));
-        self.until("it is told", |w| w.channel.lock().expect("channel").asked.contains(&number));
+        self.channel
+            .lock()
+            .expect("channel")
+            .events
+            .push(event(number, at, id, state));
+        self.until("it is told", |w| {
+            w.channel.lock().expect("channel").asked.contains(&number)
+        });
     }
 
     pub fn calls(&self, id: &str) -> usize {
-        self.seen.lock().expect("seen").calls.iter().filter(|c| c.0 == id).count()
+        self.seen
+            .lock()
+            .expect("seen")
+            .calls
+            .iter()
+            .filter(|c| c.0 == id)
+            .count()
     }
 
     /// What is kept at the worker under this id is answered.
@@ -281,7 +352,9 @@
     pub fn halt(&self) {
         self.signal(Signal::STOP);
         let process = procfs::process::Process::new(self.node.id() as i32).expect("it runs");
-        self.until("it stands", |_| process.stat().expect("a state").state == 'T');
+        self.until("it stands", |_| {
+            process.stat().expect("a state").state == 'T'
+        });
     }
 
     pub fn goes_on(&self) {
@@ -290,7 +363,12 @@
 
     /// It has gone through all that had come, and waits for what comes next.
     pub fn turns(&self) {
-        assert_eq!(self.ask("GET /-/healthy HTTP/1.1\r\n\r\n").expect("an answer").0, 200);
+        assert_eq!(
+            self.ask("GET /-/healthy HTTP/1.1\r\n\r\n")
+                .expect("an answer")
+                .0,
+            200
+        );
     }
 
     pub fn signal(&self, signal: Signal) {
@@ -335,12 +413,16 @@
 
 /// A listener whose backlog is full: whoever connects waits until the returned connection is accepted.
 pub fn full_listener(at: SocketAddr) -> (TcpListener, TcpStream) {
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&at.into()).expect("bind");
     socket.listen(0).expect("listens");
     let first = TcpStream::connect(at).expect("room for one");
     let until = Instant::now() + PATIENCE;
-    while !rows(Some(at), None).iter().any(|r| r.state == TcpState::Listen && r.rx_queue == 1) {
+    while !rows(Some(at), None)
+        .iter()
+        .any(|r| r.state == TcpState::Listen && r.rx_queue == 1)
+    {
         assert!(Instant::now() < until, "no room is left");
         thread::sleep(Duration::from_millis(10));
     }
@@ -351,7 +433,9 @@
 /// any.
 pub fn rows(from: Option<SocketAddr>, to: Option<SocketAddr>) -> Vec<TcpNetEntry> {
     let mut table = procfs::net::tcp().expect("a table");
-    table.retain(|r| from.is_none_or(|f| f == r.local_address) && to.is_none_or(|t| t == r.remote_address));
+    table.retain(|r| {
+        from.is_none_or(|f| f == r.local_address) && to.is_none_or(|t| t == r.remote_address)
+    });
     table
 }
 
@@ -361,7 +445,9 @@
     while !head.ends_with("\r\n\r\n") {
         stream.read_line(&mut head).ok().filter(|n| *n > 0)?;
     }
-    let length = head.lines().find_map(|l| l.strip_prefix("Content-Length: "))?;
+    let length = head
+        .lines()
+        .find_map(|l| l.strip_prefix("Content-Length: "))?;
     let mut body = vec![0; length.parse().ok()?];
     stream.read_exact(&mut body).ok()?;
     Some((head.split(' ').nth(1)?.parse().ok()?, head, body))
--- a/crates/cli/tests/processes.rs
+++ b/crates/cli/tests/processes.rs
@@ -47,8 +47,9 @@
 #[case::region_cut(On::Region("west"), Fault::Held, Fault::Held, UNSURE)]
 #[case::region_lost(On::Region("east"), Fault::Lost, Fault::Lost, UNSURE)]
 fn rules_hold_under(#[case] on: On, #[case] out: Fault, #[case] back: Fault, #[case] shown: Shown) {
-    let script =
-        Script::new(1).at(1000, |f| set(f, on, out, back)).at(1000 + LONG_MS, |f| set(f, on, PASS, PASS));
+    let script = Script::new(1)
+        .at(1000, |f| set(f, on, out, back))
+        .at(1000 + LONG_MS, |f| set(f, on, PASS, PASS));
     let played = play(&day(once), None, script, PATIENCE);
     played.holds();
     assert!(shown(&played), "it came about: {}", played.verdict.table());
@@ -60,7 +61,9 @@
         .at(1000, hold_unanswered)
         .at(1000, |f| f.kill_router(1))
         .at(1000, answer_again)
-        .at(2500, |f| f.start_router(1, State::Removed).expect("it starts"));
+        .at(2500, |f| {
+            f.start_router(1, State::Removed).expect("it starts")
+        });
     let played = play(&day(once), None, script, PATIENCE);
     played.holds();
     assert!(REQUEUED(&played), "{}", played.verdict.table());
@@ -85,7 +88,9 @@
 fn a_router_that_stands_still_for_longer_than_clients_wait_goes_on() {
     let script = Script::new(1)
         .at(1000, |f| f.pause_router(1, true).expect("paused"))
-        .at(1000 + LONG_MS, |f| f.pause_router(1, false).expect("goes on"));
+        .at(1000 + LONG_MS, |f| {
+            f.pause_router(1, false).expect("goes on")
+        });
     let played = play(&day(|d| d.kserve_part = 0.5), None, script, PATIENCE);
     played.holds();
     assert!(HELD(&played), "{}", played.verdict.table());
@@ -117,8 +122,11 @@
 #[test]
 fn a_full_disk_stops_no_router() {
     let lifted = |f: &Fleet| lock(&f.routers[1]).limit_files(None).expect("lifted");
-    let script =
-        Script::new(1).at(500, |f| lock(&f.routers[1]).limit_files(Some(0)).expect("set")).at(4000, lifted);
+    let script = Script::new(1)
+        .at(500, |f| {
+            lock(&f.routers[1]).limit_files(Some(0)).expect("set")
+        })
+        .at(4000, lifted);
     let played = play(&day(|_| {}), None, script, PATIENCE);
     played.holds();
     let log = lock(&played.fleet.routers[1]).log();
@@ -140,13 +148,22 @@
     let log = std::fs::File::create(folder.path().join("log")).expect("a log");
     let shell = r#"trap "" XFSZ; ulimit -f 0; exec "$0" serve "$1""#;
     let mut command = Command::new("/bin/sh");
-    let mut router = command.args(["-c", shell, PROGRAM]).arg(&file).stderr(log).spawn().expect("started");
+    let mut router = command
+        .args(["-c", shell, PROGRAM])
+        .arg(&file)
+        .stderr(log)
+        .spawn()
+        .expect("started");
     let mut ended = || router.try_wait().expect("waited").map(|s| s.code());
     // Answered, it hears signals too.
     let live = || {
-        let Ok(mut stream) = TcpStream::connect(at.address) else { return false };
+        let Ok(mut stream) = TcpStream::connect(at.address) else {
+            return false;
+        };
         let mut answer = [0; 12];
-        stream.write_all(b"GET /v2/health/live HTTP/1.1\r\nhost: x\r\n\r\n").is_ok()
+        stream
+            .write_all(b"GET /v2/health/live HTTP/1.1\r\nhost: x\r\n\r\n")
+            .is_ok()
             && stream.read_exact(&mut answer).is_ok()
             && answer.ends_with(b"200")
     };
@@ -157,7 +174,12 @@
     let mut ended = || router.try_wait().expect("waited").map(|s| s.code());
     assert!(until(PATIENCE, || ended().is_some()));
     assert_eq!(ended(), Some(Some(0)));
-    assert_eq!(std::fs::metadata(folder.path().join("log")).expect("a log").len(), 0);
+    assert_eq!(
+        std::fs::metadata(folder.path().join("log"))
+            .expect("a log")
+            .len(),
+        0
+    );
 }
 
 /// Its clock an hour ahead, one router takes all that comes for expired; without the flag it is refused.
@@ -166,14 +188,25 @@
     let off = day(|d| (d.clock_offsets_ms, d.seconds) = (vec![0, 3_600_000], 2.0));
     let played = play(&off, None, Script::new(1), PATIENCE);
     played.holds();
-    assert!(played.verdict.by_reason.contains_key("expired"), "{}", played.verdict.table());
+    assert!(
+        played.verdict.by_reason.contains_key("expired"),
+        "{}",
+        played.verdict.table()
+    );
     let file = played.fleet.folder().join("routers/router-1.toml");
     for command in ["serve", "check"] {
-        let said = Command::new(PROGRAM).arg(command).arg(&file).output().expect("it runs");
+        let said = Command::new(PROGRAM)
+            .arg(command)
+            .arg(&file)
+            .output()
+            .expect("it runs");
         let text = String::from_utf8_lossy(&said.stderr).into_owned();
         let lines: Vec<&str> = text.lines().collect();
         assert!(said.status.code() == Some(2) && lines.len() == 1, "{text}");
-        assert!(lines[0].contains("rig: is for tests only; take it out, or start with --rig"), "{text}");
+        assert!(
+            lines[0].contains("rig: is for tests only; take it out, or start with --rig"),
+            "{text}"
+        );
     }
 }
 
@@ -201,12 +234,17 @@
 #[test]
 fn an_undisturbed_fleet_is_unsure_of_nothing() {
     let mixed = day(|d| {
-        d.triggers.iter_mut().for_each(|t| t.client_timeout_ms = 20_000);
+        d.triggers
+            .iter_mut()
+            .for_each(|t| t.client_timeout_ms = 20_000);
         d.kserve_part = 0.3;
     });
     let played = play(&mixed, None, Script::new(1), PATIENCE);
     played.holds();
     let (v, table) = (&played.verdict, played.verdict.table());
-    assert!(v.answers["succeeded"] > 0 && v.answers["errored"] == 0 && !REQUEUED(&played), "{table}");
+    assert!(
+        v.answers["succeeded"] > 0 && v.answers["errored"] == 0 && !REQUEUED(&played),
+        "{table}"
+    );
     assert_eq!(v.held_by_rig, 0, "{table}");
 }
--- a/crates/cli/tests/reconciled.rs
+++ b/crates/cli/tests/reconciled.rs
@@ -26,7 +26,9 @@
 fn reconciled(kept_ms: u64, change: impl FnOnce(&mut Day)) -> Day {
     day(|d| {
         (d.peers, d.seconds) = (true, 4.0);
-        d.settings.loads.insert("idle_kept_ms".into(), (kept_ms as i64).into());
+        d.settings
+            .loads
+            .insert("idle_kept_ms".into(), (kept_ms as i64).into());
         for (key, value) in [("every_ms", 300), ("grace_ms", 1000)] {
             d.settings.reconcile.insert(key.into(), value.into());
         }
@@ -36,7 +38,9 @@
 
 /// All copies are ordered, and so have somebody's name.
 fn ordered(day: &mut Day) {
-    day.settings.loads.insert("loads_when_absent".into(), false.into());
+    day.settings
+        .loads
+        .insert("loads_when_absent".into(), false.into());
 }
 
 /// Played to the end of its traffic; what happens next is up to the test.
@@ -57,18 +61,29 @@
 ) -> After {
     let folder = tempfile::tempdir().expect("a folder");
     let (out, tamper) = (folder.path().to_owned(), tamper.map(str::to_owned));
-    let launch = Launch { out, program: PROGRAM.into(), tamper, trace: false };
+    let launch = Launch {
+        out,
+        program: PROGRAM.into(),
+        tamper,
+        trace: false,
+    };
     let fleet = Fleet::prepare(day, launch).expect("a fleet");
     before(&fleet);
     fleet.start_routers().expect("they come up");
     let traffic = Traffic::begin(day, &fleet);
     meanwhile(&fleet);
     traffic.is_answered(PATIENCE);
-    After { fleet, _folder: folder }
+    After {
+        fleet,
+        _folder: folder,
+    }
 }
 
 fn ready(held: Vec<Held>) -> BTreeSet<String> {
-    held.into_iter().filter(|h| h.state == "READY").map(|h| h.function).collect()
+    held.into_iter()
+        .filter(|h| h.state == "READY")
+        .map(|h| h.function)
+        .collect()
 }
 
 impl After {
@@ -77,28 +92,43 @@
         let id = format!("{}-", self.fleet.worker(worker));
         let state = self.fleet.state(router)?;
         let all = state["reconcile"]["workers"].as_array()?.clone();
-        all.into_iter().find(|w| w["id"].as_str().is_some_and(|i| i.starts_with(&id)))
+        all.into_iter()
+            .find(|w| w["id"].as_str().is_some_and(|i| i.starts_with(&id)))
     }
 
     fn believes(&self, router: usize, worker: usize) -> Option<BTreeSet<String>> {
         let said = self.of_worker(router, worker)?;
-        Some(said["believes"].as_array()?.iter().filter_map(Value::as_str).map(str::to_owned).collect())
+        Some(
+            said["believes"]
+                .as_array()?
+                .iter()
+                .filter_map(Value::as_str)
+                .map(str::to_owned)
+                .collect(),
+        )
     }
 
     /// All that these routers believe in stands, at these workers.
     fn all_true(&self, routers: &[usize], workers: &[usize]) -> bool {
         routers.iter().all(|r| {
             workers.iter().all(|w| {
-                self.believes(*r, *w).is_some_and(|b| b.is_subset(&ready(self.fleet.workers[*w].held())))
+                self.believes(*r, *w)
+                    .is_some_and(|b| b.is_subset(&ready(self.fleet.workers[*w].held())))
             })
         })
     }
 
     fn comes_true(&self, routers: &[usize], workers: &[usize]) {
         if !until(PATIENCE, || self.all_true(routers, workers)) {
-            for (r, w) in routers.iter().flat_map(|r| workers.iter().map(move |w| (*r, *w))) {
+            for (r, w) in routers
+                .iter()
+                .flat_map(|r| workers.iter().map(move |w| (*r, *w)))
+            {
                 let holds = ready(self.fleet.workers[w].held());
-                eprintln!("router {r}, worker {w}: {:?}, it holds {holds:?}", self.of_worker(r, w));
+                eprintln!(
+                    "router {r}, worker {w}: {:?}, it holds {holds:?}",
+                    self.of_worker(r, w)
+                );
             }
             panic!("belief does not come to be what workers hold");
         }
@@ -111,12 +141,17 @@
     /// Of all routers that answer.
     fn count(&self, name: &str) -> u64 {
         let states = (0..self.fleet.routers.len()).filter_map(|r| self.fleet.state(r));
-        states.filter_map(|s| s["reconcile"]["counts"][name].as_u64()).sum()
+        states
+            .filter_map(|s| s["reconcile"]["counts"][name].as_u64())
+            .sum()
     }
 
     fn metrics(&self, router: usize) -> String {
-        let mut stream = TcpStream::connect(self.fleet.peer(router).expect("a member")).expect("it listens");
-        stream.write_all(b"GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").expect("sent");
+        let mut stream =
+            TcpStream::connect(self.fleet.peer(router).expect("a member")).expect("it listens");
+        stream
+            .write_all(b"GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
+            .expect("sent");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).expect("an answer");
         answer
@@ -128,26 +163,43 @@
             (0..3).any(|r| self.believes(r, *w).is_some_and(|b| !b.is_empty()))
                 && !ready(self.fleet.workers[*w].held()).is_empty()
         };
-        assert!(until(PATIENCE, || workers.iter().all(in_any)), "there is something to be wrong about");
+        assert!(
+            until(PATIENCE, || workers.iter().all(in_any)),
+            "there is something to be wrong about"
+        );
     }
 
     fn log(&self, worker: usize) -> Vec<Value> {
         self.fleet.workers[worker].flush();
-        lines(&self.fleet.folder().join(format!("traffic/{}.ndjson", self.fleet.worker(worker))))
+        lines(
+            &self
+                .fleet
+                .folder()
+                .join(format!("traffic/{}.ndjson", self.fleet.worker(worker))),
+        )
     }
 
     fn logged(&self, worker: usize, what: &str) -> usize {
-        self.log(worker).iter().filter(|l| l["what"] == what).count()
+        self.log(worker)
+            .iter()
+            .filter(|l| l["what"] == what)
+            .count()
     }
 
     /// Answers of each worker that each router had taken in, where it knows it.
     fn answers(&self) -> BTreeMap<(usize, usize), u64> {
-        let all = ROUTERS.iter().flat_map(|r| self.all().into_iter().map(move |w| (*r, w)));
-        all.filter_map(|(r, w)| Some(((r, w), self.of_worker(r, w)?["answers"].as_u64()?))).collect()
+        let all = ROUTERS
+            .iter()
+            .flat_map(|r| self.all().into_iter().map(move |w| (*r, w)));
+        all.filter_map(|(r, w)| Some(((r, w), self.of_worker(r, w)?["answers"].as_u64()?)))
+            .collect()
     }
 
     fn untimely(&self) -> Vec<String> {
-        self.all().iter().flat_map(|w| untimely(&self.log(*w))).collect()
+        self.all()
+            .iter()
+            .flat_map(|w| untimely(&self.log(*w)))
+            .collect()
     }
 
     fn holds(self) {
@@ -163,7 +215,9 @@
 fn lines(file: &Path) -> Vec<Value> {
     let text = std::fs::read_to_string(file).expect("a log");
     // The last line may be half written.
-    text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect()
+    text.lines()
+        .filter_map(|l| serde_json::from_str(l).ok())
+        .collect()
 }
 
 /// By a worker's log: a router that has a load of its own under way there orders no second one, and nobody orders an
@@ -178,7 +232,9 @@
             "ordered" if !stands.contains(function) => {
                 let by = ordered.entry(function).or_default();
                 if by.contains(&from) {
-                    wrong.push(format!("{from} orders {function} again while its load is under way: {l}"));
+                    wrong.push(format!(
+                        "{from} orders {function} again while its load is under way: {l}"
+                    ));
                 }
                 by.push(from);
             }
@@ -189,7 +245,9 @@
             }
             "loading" => drop(loads.insert(function)),
             "unload" if loads.contains(function) => {
-                wrong.push(format!("{from} has {function} unloaded while it loads: {l}"));
+                wrong.push(format!(
+                    "{from} has {function} unloaded while it loads: {l}"
+                ));
             }
             "loaded" => {
                 loads.remove(function);
@@ -232,7 +290,11 @@
     let mut open = BTreeMap::<(String, String), (u64, i64, u64)>::new();
     for l in log.iter().map(|l| &l["fields"]) {
         let text = |key: &str| l[key].as_str().unwrap_or_default().to_owned();
-        let (message, key, at) = (text("message"), (text("worker"), text("function")), l["at"].as_i64());
+        let (message, key, at) = (
+            text("message"),
+            (text("worker"), text("function")),
+            l["at"].as_i64(),
+        );
         match message.as_str() {
             "meddled: spoilt" => {
                 let copies = l["copies"].as_u64().expect("a number");
@@ -243,19 +305,23 @@
             "meddled: heard" => {
                 let said: Vec<(String, u64, bool)> =
                     serde_json::from_str(&text("said")).expect("what it said");
-                let of_worker =
-                    open.iter_mut().filter(|((w, _), o)| *w == key.0 && o.1 < at.expect("a time"));
+                let of_worker = open
+                    .iter_mut()
+                    .filter(|((w, _), o)| *w == key.0 && o.1 < at.expect("a time"));
                 for ((w, f), o) in of_worker {
                     let said = said.iter().find(|s| s.0 == *f);
                     if said.map_or(0, |s| s.1) != o.0 && said.is_none_or(|s| !s.2) {
                         o.2 += 1;
                         if o.2 > ROUNDS {
-                            it.late.push(format!("{f} at {w}: {} are believed, {said:?}: {l}", o.0));
+                            it.late
+                                .push(format!("{f} at {w}: {} are believed, {said:?}: {l}", o.0));
                         }
                     }
                 }
                 let true_now = |f: &str| said.iter().find(|s| s.0 == f).map_or(0, |s| s.1);
-                open.retain(|(w, f), o| *w != key.0 || o.1 >= at.unwrap_or(0) || true_now(f) != o.0);
+                open.retain(|(w, f), o| {
+                    *w != key.0 || o.1 >= at.unwrap_or(0) || true_now(f) != o.0
+                });
             }
             "reconcile: drift" => {
                 if let Some((.., rounds)) = open.remove(&key) {
@@ -274,14 +340,21 @@
     let _turn = TURNS.acquire_blocking();
     let it = after_tampered(&reconciled(KEPT_MS, |_| {}), Some("spoilt"), |_| {}, |_| {});
     let file = it.fleet.folder().join("routers/router-0.log");
-    assert!(until(PATIENCE, || spoilt(&lines(&file)).over), "it is spoilt to the end");
+    assert!(
+        until(PATIENCE, || spoilt(&lines(&file)).over),
+        "it is spoilt to the end"
+    );
     it.comes_true(&ROUTERS, &it.all());
     let found = spoilt(&lines(&file));
     eprintln!("{found:?}");
     assert_eq!((found.late, found.most_rounds), (Vec::new(), ROUNDS));
     // Copies believed that are not there, of a version nobody has too, copies forgotten, and wrong numbers.
     for kind in ["Phantom", "Unseen", "Miscounted"] {
-        assert!(found.found.get(kind).is_some_and(|n| *n >= 5), "{:?}", found.found);
+        assert!(
+            found.found.get(kind).is_some_and(|n| *n >= 5),
+            "{:?}",
+            found.found
+        );
     }
     it.holds();
 }
@@ -289,7 +362,12 @@
 #[test]
 fn repairs_under_a_load_are_seen_in_the_logs() {
     let _turn = TURNS.acquire_blocking();
-    let it = after_tampered(&reconciled(KEPT_MS, ordered), Some("orders"), |_| {}, |_| {});
+    let it = after_tampered(
+        &reconciled(KEPT_MS, ordered),
+        Some("orders"),
+        |_| {},
+        |_| {},
+    );
     assert!(!it.untimely().is_empty(), "many orders for one are noticed");
     assert!(it.fleet.stop(PATIENCE));
 }
@@ -299,7 +377,9 @@
     let _turn = TURNS.acquire_blocking();
     // Most sessions have turns left when the traffic ends: their prefixes are believed in.
     let sessions = |d: &mut Day| {
-        d.triggers.iter_mut().for_each(|t| (t.sessions, t.turns, t.pause_ms) = (0.5, 30, 400));
+        d.triggers
+            .iter_mut()
+            .for_each(|t| (t.sessions, t.turns, t.pause_ms) = (0.5, 30, 400));
     };
     let it = after(&reconciled(KEPT_MS, sessions), |_| {}, |_| {});
     let all = it.all();
@@ -308,7 +388,9 @@
     // Nothing was wrong, and nothing was taken for it.
     let before = (it.count("phantom"), it.count("other_incarnation"));
     it.fleet.workers[0].flush_copies();
-    let evicted: usize = (1..3).map(|w| it.fleet.workers[w].evict_idle(7, 2).len()).sum();
+    let evicted: usize = (1..3)
+        .map(|w| it.fleet.workers[w].evict_idle(7, 2).len())
+        .sum();
     let answers = it.answers();
     it.fleet.workers[3].crash();
     it.fleet.workers[3].start_again().expect("it starts");
@@ -319,11 +401,17 @@
     for ((r, w), before) in answers.into_iter().filter(|a| a.0.1 < 3) {
         let said = it.of_worker(r, w).expect("it knows it");
         let by = said["found_by"]["phantom"].as_u64().unwrap_or(0);
-        assert!(by <= before + ROUNDS + UNDER_WAY, "router {r}, worker {w}: after {before}: {said}");
+        assert!(
+            by <= before + ROUNDS + UNDER_WAY,
+            "router {r}, worker {w}: after {before}: {said}"
+        );
     }
     assert!(it.count("prefix_lost") > 0 && it.count("sessions_let_go") > 0);
     let metrics = it.metrics(0);
-    assert!(metrics.contains("cedarpulley_reconcile_answers_total"), "{metrics}");
+    assert!(
+        metrics.contains("cedarpulley_reconcile_answers_total"),
+        "{metrics}"
+    );
     // Most of it by one that asked, the rest by its notes.
     assert!(it.count("notes") > 0 && it.count("corrected") > 0);
     it.holds();
@@ -337,7 +425,11 @@
         for n in 0..12u64 {
             std::thread::sleep(std::time::Duration::from_millis(250));
             let w = &f.workers[n as usize % f.workers.len()];
-            if n % 3 == 0 { w.flush_copies() } else { drop(w.evict_idle(n, 1)) }
+            if n % 3 == 0 {
+                w.flush_copies()
+            } else {
+                drop(w.evict_idle(n, 1))
+            }
         }
     };
     let it = after(&reconciled(KEPT_MS, ordered), lose, meanwhile);
@@ -354,14 +446,19 @@
     let it = after(&reconciled(SHORT_KEPT_MS, ordered), |_| {}, |_| {});
     let by = |name: &str| {
         let held = it.fleet.workers.iter().flat_map(|w| w.held());
-        held.filter(|h| h.by.router.as_deref() == Some(name)).count()
+        held.filter(|h| h.by.router.as_deref() == Some(name))
+            .count()
     };
     let (dead, others) = (by("r1"), by("r0") + by("r2"));
     let all: Vec<_> = it.fleet.workers.iter().map(|w| w.held()).collect();
     assert!(dead > 0, "it had copies ordered: {all:?}");
     it.fleet.workers.iter().for_each(|w| w.lose_orders(0, 1));
     it.fleet.kill_router(1);
-    assert!(until(PATIENCE * 2, || by("r1") == 0), "{} of {dead} are left", by("r1"));
+    assert!(
+        until(PATIENCE * 2, || by("r1") == 0),
+        "{} of {dead} are left",
+        by("r1")
+    );
     assert_eq!(by("r0") + by("r2"), others, "nothing else was touched");
     let lost: usize = it.all().iter().map(|w| it.logged(*w, "order-lost")).sum();
     assert!(it.count("orphan") >= dead as u64 && it.count("unloaded") >= (dead + lost) as u64);
@@ -391,18 +488,31 @@
     let lie = |on: bool| {
         move |f: &Fleet| {
             for (n, w) in f.workers.iter().enumerate() {
-                let lies =
-                    Lies { seed: n as u64, dropped: 0.3, added: 0.2, miscounted: 0.3, contradicted: 0.3 };
+                let lies = Lies {
+                    seed: n as u64,
+                    dropped: 0.3,
+                    added: 0.2,
+                    miscounted: 0.3,
+                    contradicted: 0.3,
+                };
                 w.lies(on.then_some(lies));
             }
         }
     };
     let it = after(&reconciled(KEPT_MS, |_| {}), lie(true), |_| {});
     let lied: usize = it.all().iter().map(|w| it.logged(*w, "lied")).sum();
-    assert!(lied > 0 && until(PATIENCE, || it.count("contradictions") > 0 && it.count("left_doubted") > 0));
+    assert!(
+        lied > 0
+            && until(PATIENCE, || it.count("contradictions") > 0
+                && it.count("left_doubted") > 0)
+    );
     lie(false)(&it.fleet);
     it.comes_true(&ROUTERS, &it.all());
-    assert_eq!(it.count("unloaded"), 0, "nobody's copies are unloaded for a lie");
+    assert_eq!(
+        it.count("unloaded"),
+        0,
+        "nobody's copies are unloaded for a lie"
+    );
     it.holds();
 }
 
@@ -411,10 +521,21 @@
 fn it_works_alone_and_is_off_without_its_section() {
     let _turn = TURNS.acquire_blocking();
     let alone = after(&reconciled(KEPT_MS, |d| d.peers = false), |_| {}, |_| {});
-    assert!(until(PATIENCE, || alone.all().iter().all(|w| alone.logged(*w, "index") >= 6)));
+    assert!(until(PATIENCE, || alone
+        .all()
+        .iter()
+        .all(|w| alone.logged(*w, "index") >= 6)));
     alone.holds();
-    let off = after(&reconciled(KEPT_MS, |d| d.settings.reconcile.clear()), |_| {}, |_| {});
+    let off = after(
+        &reconciled(KEPT_MS, |d| d.settings.reconcile.clear()),
+        |_| {},
+        |_| {},
+    );
     assert!(off.all().iter().all(|w| off.logged(*w, "index") == 0));
-    assert!(off.fleet.state(0).is_some_and(|s| s.get("reconcile").is_none()));
+    assert!(
+        off.fleet
+            .state(0)
+            .is_some_and(|s| s.get("reconcile").is_none())
+    );
     off.holds();
 }
--- a/crates/cli/tests/running/mod.rs
+++ b/crates/cli/tests/running/mod.rs
@@ -46,7 +46,9 @@
     let next = || FIRST_PORT + first.wrapping_add(GIVEN.fetch_add(1, Ordering::Relaxed)) % PORTS;
     let mut addresses = (0..PORTS).map(|_| SocketAddr::from(([127, 0, 0, 1], next())));
     // Not bound to see: a router that another test starts just then holds a copy of that listener until it runs.
-    addresses.find(|a| TcpStream::connect(a).is_err()).expect("a free port")
+    addresses
+        .find(|a| TcpStream::connect(a).is_err())
+        .expect("a free port")
 }
 
 /// A router with one worker whose invocations take so long.
@@ -55,7 +57,13 @@
 }
 
 /// With bodies up to `body_kb`, so many megabytes for all of them, and more lines for its front.
-pub fn start_with(name: &str, work: Duration, body_kb: usize, memory_mb: usize, front: &str) -> Running {
+pub fn start_with(
+    name: &str,
+    work: Duration,
+    body_kb: usize,
+    memory_mb: usize,
+    front: &str,
+) -> Running {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     // What an earlier run left must not be read as this one's.
     let _ = std::fs::remove_dir_all(folder.join("traces"));
@@ -63,15 +71,35 @@
     let logs = folder.join("traffic");
     let ground = Ground::new(2, Some(&logs)).expect("a ground");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let nature = store::Nature { mb_per_s: 1e6, abreast: 8, most: 100 };
+    let nature = store::Nature {
+        mb_per_s: 1e6,
+        abreast: 8,
+        most: 100,
+    };
     let store = Store::start(&ground, "store", any, nature).expect("a store");
     let nature = Nature::roomy(100.0);
     let (start_up, prefix) = (Duration::from_millis(1), Duration::ZERO);
-    let program = Program { work, copy_mb: 1.0, start_up, lanes: 50, window: None, prefix };
+    let program = Program {
+        work,
+        copy_mb: 1.0,
+        start_up,
+        lanes: 50,
+        window: None,
+        prefix,
+    };
     let programs = ["once", "again", "patient"].map(|k| (k.to_owned(), program.clone()));
     let (at, programs) = (store.server.address, HashMap::from(programs));
-    let worker =
-        Worker::start(&ground, "worker", any, 1, nature, at, programs, Memory::default()).expect("a worker");
+    let worker = Worker::start(
+        &ground,
+        "worker",
+        any,
+        1,
+        nature,
+        at,
+        programs,
+        Memory::default(),
+    )
+    .expect("a worker");
     let address = free_address();
     let file = folder.join("router.toml");
     let settings = format!(
@@ -90,7 +118,14 @@
         .stdout(Stdio::null())
         .spawn()
         .expect("the program starts");
-    let running = Running { router, address, folder, logs, worker, _store: store };
+    let running = Running {
+        router,
+        address,
+        folder,
+        logs,
+        worker,
+        _store: store,
+    };
     let until = Instant::now() + Duration::from_secs(10);
     while Instant::now() < until && TcpStream::connect(address).is_err() {
         std::thread::sleep(Duration::from_millis(20));
@@ -106,7 +141,9 @@
 
     pub fn send(&self, method: &str, path: &str, headers: &str, body: &[u8]) -> TcpStream {
         let mut stream = TcpStream::connect(self.address).expect("it listens");
-        stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .expect("set");
         let length = body.len();
         let head = format!(
             "{method} {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {length}\r\n{headers}\r\n"
@@ -133,7 +170,13 @@
     let mut text = Vec::new();
     let _ = stream.read_to_end(&mut text);
     let text = String::from_utf8_lossy(&text).into_owned();
-    (text.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0), text)
+    (
+        text.split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .unwrap_or(0),
+        text,
+    )
 }
 
 /// Waits for it to hold; false if it does not within ten seconds.
--- a/crates/cli/tests/sharing/mod.rs
+++ b/crates/cli/tests/sharing/mod.rs
@@ -31,14 +31,17 @@
         (d.routers, d.peers) = (routers, true);
         waits(d, WAITS_MS);
         // Longer than any step that is held.
-        d.settings.peers.insert("copied_within_ms".into(), 3_000.into());
+        d.settings
+            .peers
+            .insert("copied_within_ms".into(), 3_000.into());
         change(d);
     })
 }
 
 /// A count in what a router says of its group; 0 while it says nothing.
 pub fn count(f: &Fleet, n: usize, name: &str) -> u64 {
-    f.state(n).map_or(0, |s| s["counts"][name].as_u64().unwrap_or(0))
+    f.state(n)
+        .map_or(0, |s| s["counts"][name].as_u64().unwrap_or(0))
 }
 
 /// All others than the one.
@@ -48,12 +51,15 @@
 
 /// On what goes from one router to others, by itself.
 pub fn towards(f: &Fleet, from: usize, to: &[usize], fault: Fault) {
-    to.iter().for_each(|m| f.links.set(&f.router(from), &f.router(*m), fault));
+    to.iter()
+        .for_each(|m| f.links.set(&f.router(from), &f.router(*m), fault));
 }
 
 /// For so long clients wait, and what is late for them is not given up before.
 pub fn waits(d: &mut Day, ms: u64) {
-    d.triggers.iter_mut().for_each(|t| (t.client_timeout_ms, t.latency_objective_ms) = (ms, ms - 1000));
+    d.triggers
+        .iter_mut()
+        .for_each(|t| (t.client_timeout_ms, t.latency_objective_ms) = (ms, ms - 1000));
     d.settings.peers.insert("kept_ms".into(), kept(ms).into());
 }
 
@@ -84,28 +90,40 @@
     let all = f.routers.len();
     let holds_one_for_dead = |n: &usize| {
         let state = f.state(*n).unwrap_or_default();
-        state["members"].as_array().is_some_and(|members| members.iter().any(|m| m["standing"] == "dead"))
+        state["members"]
+            .as_array()
+            .is_some_and(|members| members.iter().any(|m| m["standing"] == "dead"))
     };
-    assert!(until(PATIENCE, || cut_off.iter().all(holds_one_for_dead)), "the cut came about");
+    assert!(
+        until(PATIENCE, || cut_off.iter().all(holds_one_for_dead)),
+        "the cut came about"
+    );
     let before: Vec<u64> = cut_off.iter().map(|n| count(f, *n, "held")).collect();
     let began = Instant::now();
     f.links.heal();
     let (mut healed, mut seen) = (Healed::default(), [false; 3]);
     let whole = until(PATIENCE, || {
-        let Some(states) = (0..all).map(|n| f.state(n)).collect::<Option<Vec<Value>>>() else { return false };
+        let Some(states) = (0..all).map(|n| f.state(n)).collect::<Option<Vec<Value>>>() else {
+            return false;
+        };
         let at = began.elapsed().as_secs_f64() * 1e3;
         let of_all = |holds: &dyn Fn(&Value) -> bool| {
-            states
-                .iter()
-                .all(|s| s["members"].as_array().is_some_and(|m| m.len() == all && m.iter().all(holds)))
+            states.iter().all(|s| {
+                s["members"]
+                    .as_array()
+                    .is_some_and(|m| m.len() == all && m.iter().all(holds))
+            })
         };
-        let holds = |(n, before): (&usize, &u64)| states[*n]["counts"]["held"].as_u64() > Some(*before);
+        let holds =
+            |(n, before): (&usize, &u64)| states[*n]["counts"]["held"].as_u64() > Some(*before);
         let now = [
             of_all(&|m| m["standing"] == "alive"),
             of_all(&|m| m["believed_alive"] == true),
             cut_off.iter().zip(&before).all(holds),
         ];
-        for (n, place) in [&mut healed.alive, &mut healed.believed, &mut healed.holds].into_iter().enumerate()
+        for (n, place) in [&mut healed.alive, &mut healed.believed, &mut healed.holds]
+            .into_iter()
+            .enumerate()
         {
             if now[n] && !seen[n] {
                 (*place, seen[n]) = (at, true);
@@ -113,7 +131,10 @@
         }
         seen.iter().all(|s| *s)
     });
-    assert!(whole, "alive, believed, holding again: {seen:?}, {healed:?}");
+    assert!(
+        whole,
+        "alive, believed, holding again: {seen:?}, {healed:?}"
+    );
     healed
 }
 
@@ -125,23 +146,51 @@
     pub region: bool,
 }
 
-pub const ONE_OF_THREE: CutOff = CutOff { routers: 3, cut_off: &[OWNER], region: false };
-pub const REGION_OF_THREE: CutOff = CutOff { routers: 3, cut_off: &[OWNER], region: true };
-pub const ONE_OF_FIVE: CutOff = CutOff { routers: 5, cut_off: &[OWNER], region: false };
-pub const REGION_OF_FIVE: CutOff = CutOff { routers: 5, cut_off: &[1, 3], region: true };
+pub const ONE_OF_THREE: CutOff = CutOff {
+    routers: 3,
+    cut_off: &[OWNER],
+    region: false,
+};
+pub const REGION_OF_THREE: CutOff = CutOff {
+    routers: 3,
+    cut_off: &[OWNER],
+    region: true,
+};
+pub const ONE_OF_FIVE: CutOff = CutOff {
+    routers: 5,
+    cut_off: &[OWNER],
+    region: false,
+};
+pub const REGION_OF_FIVE: CutOff = CutOff {
+    routers: 5,
+    cut_off: &[1, 3],
+    region: true,
+};
 
 impl CutOff {
     /// Under traffic, with the rules judged.
     pub fn plays(self, seed: u64) -> Healed {
-        let day = shared(self.routers, |d| (d.seed, d.seconds, d.rate_per_s) = (seed, 12.0, 60.0));
+        let day = shared(self.routers, |d| {
+            (d.seed, d.seconds, d.rate_per_s) = (seed, 12.0, 60.0)
+        });
         let healed = Cell::new(Healed::default());
         let cut = |f: &Fleet| {
-            if self.region { f.cut_region("west", Fault::Lost) } else { both_ways(f, Fault::Lost) }
+            if self.region {
+                f.cut_region("west", Fault::Lost)
+            } else {
+                both_ways(f, Fault::Lost)
+            }
         };
-        let script = Script::new(seed).at(1000, cut).at(CUT_MS, |f| healed.set(heals(f, self.cut_off)));
+        let script = Script::new(seed)
+            .at(1000, cut)
+            .at(CUT_MS, |f| healed.set(heals(f, self.cut_off)));
         let played = play(&day, None, script, PATIENCE);
         played.holds();
-        assert!(LACKING(&played), "the cut was felt: {}", played.verdict.table());
+        assert!(
+            LACKING(&played),
+            "the cut was felt: {}",
+            played.verdict.table()
+        );
         healed.get()
     }
 }
--- a/crates/cli/tests/tls.rs
+++ b/crates/cli/tests/tls.rs
@@ -41,7 +41,10 @@
         let mut params = CertificateParams::new(Vec::new()).expect("no names");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         let pem = params.self_signed(&key).expect("signed").pem();
-        Authority { issuer: Issuer::new(params, key), pem }
+        Authority {
+            issuer: Issuer::new(params, key),
+            pem,
+        }
     }
 
     fn pair(&self, name: &str, last_year: i32) -> Pair {
@@ -50,12 +53,17 @@
         params.not_after = date_time_ymd(last_year, 1, 1);
         params.distinguished_name.push(DnType::CommonName, name);
         let certificate = params.signed_by(&key, &self.issuer).expect("signed").pem();
-        Pair { certificate, key: key.serialize_pem() }
+        Pair {
+            certificate,
+            key: key.serialize_pem(),
+        }
     }
 
     fn client(&self, own: Option<&Pair>) -> TlsConnector {
         let mut roots = RootCertStore::empty();
-        roots.add(CertificateDer::from_pem_slice(self.pem.as_bytes()).expect("PEM")).expect("an authority");
+        roots
+            .add(CertificateDer::from_pem_slice(self.pem.as_bytes()).expect("PEM"))
+            .expect("an authority");
         let builder = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
             .with_safe_default_protocol_versions()
             .expect("versions")
@@ -63,7 +71,8 @@
         let config = match own {
             None => builder.with_no_client_auth(),
             Some(pair) => {
-                let chain = vec![CertificateDer::from_pem_slice(pair.certificate.as_bytes()).expect("PEM")];
+                let chain =
+                    vec![CertificateDer::from_pem_slice(pair.certificate.as_bytes()).expect("PEM")];
                 let key = PrivateKeyDer::from_pem_slice(pair.key.as_bytes()).expect("PEM");
                 builder.with_client_auth_cert(chain, key).expect("a pair")
             }
@@ -92,25 +101,45 @@
 
 const FILES: &str = "certificate = \"certificate.pem\"\nkey = \"key.pem\"\n";
 
-async fn connect(connector: &TlsConnector, at: SocketAddr) -> std::io::Result<TlsStream<Async<TcpStream>>> {
+async fn connect(
+    connector: &TlsConnector,
+    at: SocketAddr,
+) -> std::io::Result<TlsStream<Async<TcpStream>>> {
     let stream = Async::<TcpStream>::connect(at).await?;
-    connector.connect(ServerName::try_from("localhost").expect("a name"), stream).await
+    connector
+        .connect(ServerName::try_from("localhost").expect("a name"), stream)
+        .await
 }
 
 fn shown(stream: &TlsStream<Async<TcpStream>>) -> Vec<u8> {
-    stream.get_ref().1.peer_certificates().expect("one is shown")[0].to_vec()
+    stream
+        .get_ref()
+        .1
+        .peer_certificates()
+        .expect("one is shown")[0]
+        .to_vec()
 }
 
-async fn ask(stream: TlsStream<Async<TcpStream>>, headers: &[(&str, &str)]) -> Option<(u16, String)> {
-    let (mut sender, connection) =
-        hyper::client::conn::http1::handshake(FuturesIo::new(stream)).await.ok()?;
+async fn ask(
+    stream: TlsStream<Async<TcpStream>>,
+    headers: &[(&str, &str)],
+) -> Option<(u16, String)> {
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(FuturesIo::new(stream))
+        .await
+        .ok()?;
     let mut request = Request::post("/v2/models/f/infer").header("host", "x");
-    for (name, value) in
-        [("cedarpulley-trigger-type", "once"), ("cedarpulley-lanes", "50")].iter().chain(headers)
+    for (name, value) in [
+        ("cedarpulley-trigger-type", "once"),
+        ("cedarpulley-lanes", "50"),
+    ]
+    .iter()
+    .chain(headers)
     {
         request = request.header(*name, *value);
     }
-    let request = request.body(Full::new(Bytes::from_static(b"{}"))).expect("a request");
+    let request = request
+        .body(Full::new(Bytes::from_static(b"{}")))
+        .expect("a request");
     let asking = async {
         let answer = sender.send_request(request).await.ok()?;
         let status = answer.status().as_u16();
@@ -141,12 +170,19 @@
             write(&here, "key.pem", &new.key, 0o644);
             write(&here, "certificate.pem", &new.certificate, 0o644);
             Timer::after(Duration::from_millis(1300)).await;
-            assert_eq!(shown(&connect(&connector, r.address).await.expect("a handshake")), first);
+            assert_eq!(
+                shown(&connect(&connector, r.address).await.expect("a handshake")),
+                first
+            );
             put(&here, &new);
             Timer::after(Duration::from_millis(200)).await;
         };
         let (answer, ()) = futures_lite::future::zip(standing, replacing).await;
-        assert_eq!(answer.map(|a| a.0), Some(200), "the stream that stood was answered");
+        assert_eq!(
+            answer.map(|a| a.0),
+            Some(200),
+            "the stream that stood was answered"
+        );
         let mut changed = false;
         for _ in 0..40 {
             changed = shown(&connect(&connector, r.address).await.expect("a handshake")) != first;
@@ -180,8 +216,12 @@
         })
     };
     assert_eq!(asked(by(Some("a")), &[]).map(|a| a.0), Some(200));
-    assert_eq!(asked(by(Some("a")), &[("cedarpulley-account", "amber")]).map(|a| a.0), Some(200));
-    let (status, text) = asked(by(Some("a")), &[("cedarpulley-account", "birch")]).expect("answered");
+    assert_eq!(
+        asked(by(Some("a")), &[("cedarpulley-account", "amber")]).map(|a| a.0),
+        Some(200)
+    );
+    let (status, text) =
+        asked(by(Some("a")), &[("cedarpulley-account", "birch")]).expect("answered");
     assert!(status == 400 && text.contains("certificate"), "{text}");
     // Given to no account; none shown; from another authority.
     assert_eq!(asked(by(Some("b")), &[]), None);
@@ -207,17 +247,29 @@
             .arg(&file)
             .output()
             .expect("it runs");
-        (out.status.code(), String::from_utf8_lossy(&out.stderr).into_owned())
+        (
+            out.status.code(),
+            String::from_utf8_lossy(&out.stderr).into_owned(),
+        )
     };
     put(&here, &good);
     assert_eq!(check().0, Some(0), "{}", check().1);
     let refused = |line: &str, cause: &str| {
         let (code, text) = check();
-        assert!(code == Some(2) && text.contains(line) && text.contains(cause), "{code:?} {text}");
+        assert!(
+            code == Some(2) && text.contains(line) && text.contains(cause),
+            "{code:?} {text}"
+        );
     };
     write(&here, "key.pem", &good.key, 0o644);
     refused("router.toml:9: kserve[0].key", "may be read by others");
-    put(&here, &Pair { key: authority.pair("x", 2100).key, ..good });
+    put(
+        &here,
+        &Pair {
+            key: authority.pair("x", 2100).key,
+            ..good
+        },
+    );
     refused("router.toml:9: kserve[0].key", "does not belong");
     put(&here, &authority.pair("server", 2001));
     refused("router.toml:8: kserve[0].certificate", "expired");
@@ -244,15 +296,22 @@
     let ground = Ground::new(2, Some(&here.join("broker"))).expect("a ground");
     let broker = Broker::start(&ground, "broker", any).expect("a broker");
     broker.declare("q");
-    let (inner, listener) = (broker.address, Async::<std::net::TcpListener>::bind(any).expect("bound"));
+    let (inner, listener) = (
+        broker.address,
+        Async::<std::net::TcpListener>::bind(any).expect("bound"),
+    );
     let outer = listener.get_ref().local_addr().expect("an address");
     let executor = ground.executor.clone();
     let relay = async move {
         while let Ok((stream, _)) = listener.accept().await {
             let acceptor = acceptor.clone();
             let pass = async move {
-                let Ok(tls) = acceptor.accept(stream).await else { return };
-                let Ok(plain) = Async::<TcpStream>::connect(inner).await else { return };
+                let Ok(tls) = acceptor.accept(stream).await else {
+                    return;
+                };
+                let Ok(plain) = Async::<TcpStream>::connect(inner).await else {
+                    return;
+                };
                 let (reads, writes) = smol::io::split(tls);
                 let there = smol::io::copy(reads, &plain);
                 let back = smol::io::copy(&plain, writes);
@@ -267,12 +326,24 @@
             "[[amqp]]\nbroker = \"{outer}\"\nqueue = \"q\"\nauthorities = \"authorities.pem\"\nserver_name = \"{name}\"\n"
         )
     };
-    let r = start_with("tls-broker", Duration::from_millis(5), 64, 1, &more("localhost"));
+    let r = start_with(
+        "tls-broker",
+        Duration::from_millis(5),
+        64,
+        1,
+        &more("localhost"),
+    );
     assert!(comes(|| broker.consumers() == 1));
     drop(r);
     assert!(comes(|| broker.consumers() == 0));
     // A broker that goes by another name is not spoken to.
-    let _r = start_with("tls-broker", Duration::from_millis(5), 64, 1, &more("elsewhere"));
+    let _r = start_with(
+        "tls-broker",
+        Duration::from_millis(5),
+        64,
+        1,
+        &more("elsewhere"),
+    );
     std::thread::sleep(Duration::from_millis(800));
     assert_eq!(broker.consumers(), 0);
 }
--- a/crates/cli/tests/upgraded.rs
+++ b/crates/cli/tests/upgraded.rs
@@ -44,8 +44,9 @@
     /// Of all routers that answered at the end.
     fn ended_as(&self, phase: &str) {
         let states: Vec<_> = self.states.iter().flatten().map(plans).collect();
-        let all =
-            |plans: &Vec<(String, String)>| plans.len() == MODELS.len() && plans.iter().all(|p| p.1 == phase);
+        let all = |plans: &Vec<(String, String)>| {
+            plans.len() == MODELS.len() && plans.iter().all(|p| p.1 == phase)
+        };
         assert!(!states.is_empty() && states.iter().all(all), "{states:?}");
     }
 }
@@ -53,13 +54,20 @@
 /// A region of the first plan is there, at this router.
 fn stage(f: &Fleet, n: usize, stage: &str) -> bool {
     let state = f.state(n).unwrap_or_default();
-    let regions = state["upgrade"]["plans"][0]["regions"].as_array().cloned().unwrap_or_default();
+    let regions = state["upgrade"]["plans"][0]["regions"]
+        .as_array()
+        .cloned()
+        .unwrap_or_default();
     state["upgrade"]["plans"][0]["phase"] == stage || regions.iter().any(|r| r["stage"] == stage)
 }
 
 /// A step of a plan, as its state calls it, at which something befalls it.
 fn reaches(f: &Fleet, step: &str) {
-    assert!(until(PLANNED, || stage(f, 1, step)), "it comes to {step}: {:#}", f.state(1).unwrap_or_default());
+    assert!(
+        until(PLANNED, || stage(f, 1, step)),
+        "it comes to {step}: {:#}",
+        f.state(1).unwrap_or_default()
+    );
 }
 
 const DRAIN_LIMIT_MS: u64 = 5_000;
@@ -67,7 +75,9 @@
 
 #[test]
 fn sessions_stay_and_the_new_version_stands_everywhere() {
-    let script = Script::new(1).at(ORDERED_MS, |f| order(f, DRAIN_LIMIT_MS)).at(LATER, ends);
+    let script = Script::new(1)
+        .at(ORDERED_MS, |f| order(f, DRAIN_LIMIT_MS))
+        .at(LATER, ends);
     let played = played(&upgrading(|_| {}), script);
     played.ended_as("Done");
     // Nothing died, was cut off or short of room. What the operator's limit cuts short is built again elsewhere.
@@ -84,9 +94,17 @@
 /// The planner's way of `benches/three_ways.rs`, with the limit on draining that the other tests have.
 #[test]
 fn promises_hold_where_models_load_slowly() {
-    let script = Script::new(1).at(ORDERED_MS, |f| order(f, DRAIN_LIMIT_MS)).at(LATER, ends);
+    let script = Script::new(1)
+        .at(ORDERED_MS, |f| order(f, DRAIN_LIMIT_MS))
+        .at(LATER, ends);
     let _busy = BUSY.acquire_blocking();
-    let played = play_from(&slow_to_load(1, 32.0), None, stands_everywhere, script, PATIENCE);
+    let played = play_from(
+        &slow_to_load(1, 32.0),
+        None,
+        stands_everywhere,
+        script,
+        PATIENCE,
+    );
     assert_eq!(played.verdict.broken(), 0, "{}", played.verdict.table());
     played.ended_as("Done");
 }
@@ -188,10 +206,19 @@
         .at(LATER, bind)
         .at(LATER, all_die);
     let _busy = BUSY.acquire_blocking();
-    let played = play_from(&many_sessions(24.0, 3), None, orders_nothing, script, PATIENCE);
+    let played = play_from(
+        &many_sessions(24.0, 3),
+        None,
+        orders_nothing,
+        script,
+        PATIENCE,
+    );
     let (v, table) = (&played.verdict, played.verdict.table());
     assert_eq!(v.broken(), 0, "{table}");
-    assert!(v.sessions > 50 && played.logged(BROKER, "requeued") > 0, "{table}");
+    assert!(
+        v.sessions > 50 && played.logged(BROKER, "requeued") > 0,
+        "{table}"
+    );
 }
 
 /// Sessions of which a turn has run on a new version.
@@ -202,12 +229,20 @@
         let file = f.folder().join(format!("traffic/{}.ndjson", f.worker(n)));
         let text = std::fs::read_to_string(file).expect("a log");
         // The last line may be half written.
-        let lines = text.lines().filter_map(|l| serde_json::from_str::<Value>(l).ok());
+        let lines = text
+            .lines()
+            .filter_map(|l| serde_json::from_str::<Value>(l).ok());
         let on_new = |l: &Value| {
             l["what"] == "ran"
-                && l["function"].as_str().is_some_and(|function| function.ends_with("/versions/2"))
+                && l["function"]
+                    .as_str()
+                    .is_some_and(|function| function.ends_with("/versions/2"))
         };
-        sessions.extend(lines.filter(on_new).filter_map(|l| l["session"].as_str().map(str::to_owned)));
+        sessions.extend(
+            lines
+                .filter(on_new)
+                .filter_map(|l| l["session"].as_str().map(str::to_owned)),
+        );
     }
     sessions
 }
@@ -222,31 +257,51 @@
     let new_sessions_begin = |f: &Fleet| {
         let before = sessions_on_new_versions(f);
         let begun = || sessions_on_new_versions(f).difference(&before).count();
-        assert!(until(PLANNED, || begun() >= BOUND_UNKEPT), "{} sessions began", begun());
+        assert!(
+            until(PLANNED, || begun() >= BOUND_UNKEPT),
+            "{} sessions began",
+            begun()
+        );
     };
     let script = Script::new(1)
         .at(ORDERED_MS, |f| order(f, DRAIN_LIMIT_MS))
         .at(LATER, |f| reaches(f, "Canary"))
         .at(LATER, |f| {
-            assert!(until(PLANNED, || !sessions_on_new_versions(f).is_empty()), "canaries have a part")
+            assert!(
+                until(PLANNED, || !sessions_on_new_versions(f).is_empty()),
+                "canaries have a part"
+            )
         })
         .at(LATER, disks_are_full)
         .at(LATER, new_sessions_begin)
         .at(LATER, all_die);
     let _busy = BUSY.acquire_blocking();
-    let played = play_from(&many_sessions(40.0, 8), Some("unkept"), orders_nothing, script, PATIENCE);
-    assert!(played.verdict.promises["sessions"] > 0, "{}", played.verdict.table());
+    let played = play_from(
+        &many_sessions(40.0, 8),
+        Some("unkept"),
+        orders_nothing,
+        script,
+        PATIENCE,
+    );
+    assert!(
+        played.verdict.promises["sessions"] > 0,
+        "{}",
+        played.verdict.table()
+    );
 }
 
 /// Sessions wait at a router for a majority that does not come, and its front is lost: what waited comes again, and is
 /// not taken twice.
 #[test]
 fn what_waits_for_a_majority_as_its_front_is_lost_runs_once() {
-    let others =
-        |f: &Fleet, on| (1..3).for_each(|n| f.pause_router(n, on).expect("it stands still or goes on"));
+    let others = |f: &Fleet, on| {
+        (1..3).for_each(|n| f.pause_router(n, on).expect("it stands still or goes on"))
+    };
     let script = Script::new(1)
         .at(3_000, move |f| others(f, true))
-        .at(4_000, |f| f.broker.drop_channels(|from| from == f.router(0)))
+        .at(4_000, |f| {
+            f.broker.drop_channels(|from| from == f.router(0))
+        })
         .at(4_200, move |f| others(f, false));
     let _busy = BUSY.acquire_blocking();
     let day = upgrading(|day| day.seconds = 8.0);
@@ -273,15 +328,26 @@
 /// Who had this function unloaded at a worker since it was ordered straight there, once for each order.
 fn unload_orders(f: &Fleet, worker: usize, function: &str) -> Vec<String> {
     f.workers[worker].flush();
-    let file = f.folder().join(format!("traffic/{}.ndjson", f.worker(worker)));
+    let file = f
+        .folder()
+        .join(format!("traffic/{}.ndjson", f.worker(worker)));
     let text = std::fs::read_to_string(file).expect("a log");
     // The last line may be half written.
-    let lines: Vec<Value> = text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
+    let lines: Vec<Value> = text
+        .lines()
+        .filter_map(|l| serde_json::from_str(l).ok())
+        .collect();
     let of = |l: &&Value| l["function"] == function;
-    let straight = |l: &Value| l["what"] == "ordered" && l["router"].is_null() && l["function"] == function;
+    let straight =
+        |l: &Value| l["what"] == "ordered" && l["router"].is_null() && l["function"] == function;
     let since = lines.iter().rposition(straight).expect("it was ordered");
-    let unloads = lines[since..].iter().filter(of).filter(|l| l["what"] == "unload");
-    unloads.map(|l| l["router"].as_str().expect("a name").to_owned()).collect()
+    let unloads = lines[since..]
+        .iter()
+        .filter(of)
+        .filter(|l| l["what"] == "unload");
+    unloads
+        .map(|l| l["router"].as_str().expect("a name").to_owned())
+        .collect()
 }
 
 /// A version that its plan has taken out of service stands again: what is idle goes, by one router, though the first
@@ -297,7 +363,10 @@
         f.workers[0].lose_orders(0, 1);
         let unloaded = until(PLANNED, || !held(f, 0));
         let (idle, used) = (unload_orders(f, 0, OLD), unload_orders(f, 1, OLD));
-        assert!(unloaded && idle.len() == 2 && idle[0] == idle[1], "{idle:?}");
+        assert!(
+            unloaded && idle.len() == 2 && idle[0] == idle[1],
+            "{idle:?}"
+        );
         assert!(used.is_empty() && held(f, 1), "in use: {used:?}");
         assert!(f.workers[1].use_unseen(OLD, false));
         assert!(until(PLANNED, || !held(f, 1)), "idle by now");
@@ -306,10 +375,14 @@
     };
     let day = upgrading(|day| {
         (day.seconds, day.rate_per_s) = (20.0, 15.0);
-        day.settings.loads.insert("idle_kept_ms".into(), 4_000.into());
+        day.settings
+            .loads
+            .insert("idle_kept_ms".into(), 4_000.into());
     });
-    let script =
-        Script::new(1).at(ORDERED_MS, |f| order(f, DRAIN_LIMIT_MS)).at(LATER, ends).at(LATER + 1, left);
+    let script = Script::new(1)
+        .at(ORDERED_MS, |f| order(f, DRAIN_LIMIT_MS))
+        .at(LATER, ends)
+        .at(LATER + 1, left);
     let played = played(&day, script);
     let found = |s: &Value| s["reconcile"]["counts"]["older_version"].as_u64();
     let found: u64 = played.states.iter().flatten().filter_map(found).sum();
@@ -318,7 +391,10 @@
     for w in 0..played.fleet.workers.len() {
         let held = played.fleet.workers[w].held();
         eprintln!("{w}: {held:?}");
-        let file = played.fleet.folder().join(format!("traffic/{}.ndjson", played.fleet.worker(w)));
+        let file = played
+            .fleet
+            .folder()
+            .join(format!("traffic/{}.ndjson", played.fleet.worker(w)));
         let text = std::fs::read_to_string(file).expect("a log");
         let unload = |l: &&str| l.contains(r#""what":"unload""#) && l.contains("/versions/2");
         assert_eq!(text.lines().filter(unload).count(), 0);
@@ -336,14 +412,37 @@
         format!("[[order]]\nmodel = {model:?}\nto = {to:?}\nserial = 1\ndrain_limit_ms = 1\n")
     };
     let known = |f: &Fleet| f.state(0).unwrap_or_default()["upgrade"]["orders"].clone();
-    let log =
-        |f: &Fleet| std::fs::read_to_string(f.folder().join("routers/router-0.log")).unwrap_or_default();
+    let log = |f: &Fleet| {
+        std::fs::read_to_string(f.folder().join("routers/router-0.log")).unwrap_or_default()
+    };
     let script = Script::new(1)
         .at(100, |f| write(f, &order("unasked", "2")))
-        .at(101, |f| assert!(until(PLANNED, || known(f)[0]["model"] == "unasked"), "{}", known(f)))
-        .at(102, |f| write(f, &format!("{}{}", order("other", "2"), order("wrong", "2/3"))))
-        .at(103, |f| assert!(until(PLANNED, || log(f).contains("orders refused")), "it is told"))
-        .at(104, |f| assert!(known(f)[0]["model"] == "unasked" && known(f)[1].is_null(), "{}", known(f)));
+        .at(101, |f| {
+            assert!(
+                until(PLANNED, || known(f)[0]["model"] == "unasked"),
+                "{}",
+                known(f)
+            )
+        })
+        .at(102, |f| {
+            write(
+                f,
+                &format!("{}{}", order("other", "2"), order("wrong", "2/3")),
+            )
+        })
+        .at(103, |f| {
+            assert!(
+                until(PLANNED, || log(f).contains("orders refused")),
+                "it is told"
+            )
+        })
+        .at(104, |f| {
+            assert!(
+                known(f)[0]["model"] == "unasked" && known(f)[1].is_null(),
+                "{}",
+                known(f)
+            )
+        });
     let day = upgrading(|day| day.seconds = 3.0);
     play_from(&day, None, orders_nothing, script, PATIENCE).holds();
 }
@@ -352,7 +451,11 @@
 #[test]
 fn a_bad_version_goes_back() {
     let script = Script::new(1)
-        .at(0, |f| f.workers.iter().for_each(|w| w.ail("/versions/2", 0.5, 1.0)))
+        .at(0, |f| {
+            f.workers
+                .iter()
+                .for_each(|w| w.ail("/versions/2", 0.5, 1.0))
+        })
         .at(ORDERED_MS, |f| order(f, DRAIN_LIMIT_MS))
         .at(LATER, ends);
     played(&upgrading(|_| {}), script).ended_as("RolledBack");
--- a/crates/cli/tests/upgrading/mod.rs
+++ b/crates/cli/tests/upgrading/mod.rs
@@ -44,7 +44,8 @@
              load_within_ms = 10000\nsession_kept_ms = 60000\n",
         );
         // A crowded machine answers late, and is not to be taken for a fault.
-        day.settings.peers = table("answer_ms = 500\nsuspected_ms = 3000\ncopied_within_ms = 2000\n");
+        day.settings.peers =
+            table("answer_ms = 500\nsuspected_ms = 3000\ncopied_within_ms = 2000\n");
         day.settings.reconcile = table("every_ms = 400\ngrace_ms = 3000\nasks_per_s = 100\n");
         change(day);
     })
@@ -52,7 +53,11 @@
 
 /// What stands at all workers.
 pub fn copies(f: &Fleet) -> usize {
-    f.workers.iter().flat_map(|w| w.held()).map(|h| h.copies).sum()
+    f.workers
+        .iter()
+        .flat_map(|w| w.held())
+        .map(|h| h.copies)
+        .sum()
 }
 
 /// What stands then the floor is of: nothing is loaded any more, and routers have heard of all.
@@ -85,7 +90,11 @@
 pub fn plans(state: &Value) -> Vec<(String, String)> {
     let text = |p: &Value, key: &str| p[key].as_str().unwrap_or_default().to_owned();
     let plans = state["upgrade"]["plans"].as_array();
-    plans.into_iter().flatten().map(|p| (text(p, "model"), text(p, "phase"))).collect()
+    plans
+        .into_iter()
+        .flatten()
+        .map(|p| (text(p, "model"), text(p, "phase")))
+        .collect()
 }
 
 pub fn all(f: &Fleet, n: usize, phase: impl Fn(&str) -> bool) -> bool {
@@ -114,7 +123,9 @@
 pub fn slow_to_load(seed: u64, seconds: f64) -> Day {
     upgrading(|day| {
         (day.seed, day.seconds) = (seed, seconds);
-        day.triggers.iter_mut().for_each(|t| t.start_up_ms = SLOW_START_UP_MS);
+        day.triggers
+            .iter_mut()
+            .for_each(|t| t.start_up_ms = SLOW_START_UP_MS);
     })
 }
 
--- a/crates/errors/src/lib.rs
+++ b/crates/errors/src/lib.rs
@@ -23,7 +23,11 @@
             beneath = cause.source();
         }
         // Symptom: a library's text has several lines, and each looks like a cause of its own.
-        text.split('\n').map(str::trim).filter(|l| !l.is_empty()).collect::<Vec<_>>().join(", ")
+        text.split('\n')
+            .map(str::trim)
+            .filter(|l| !l.is_empty())
+            .collect::<Vec<_>>()
+            .join(", ")
     }
 
     fn line(&self) -> String {
@@ -59,6 +63,9 @@
     #[test]
     fn causes_and_remedy_are_one_line() {
         let beneath = Told("it broke\n\n  at byte 3", None);
-        assert_eq!(Told("a.toml", Some(beneath.into())).line(), "a.toml: it broke, at byte 3; mend it");
+        assert_eq!(
+            Told("a.toml", Some(beneath.into())).line(),
+            "a.toml: it broke, at byte 3; mend it"
+        );
     }
 }
--- a/crates/fuzz/src/lib.rs
+++ b/crates/fuzz/src/lib.rs
@@ -24,7 +24,10 @@
 pub fn rest_body(bytes: &[u8], split: Option<u16>) {
     let bytes = Bytes::copy_from_slice(bytes);
     let size = bytes.len();
-    if let Ok(message) = response(&Rest { bytes, json: split.map(u32::from) }) {
+    if let Ok(message) = response(&Rest {
+        bytes,
+        json: split.map(u32::from),
+    }) {
         let raw: usize = message.raw_output_contents.iter().map(Bytes::len).sum();
         // Texts get four bytes of length each, whole numbers up to eight for one digit and its comma.
         assert!(raw <= 8 * size, "{raw} raw bytes from {size}");
@@ -34,24 +37,32 @@
 /// Of a worker that is asked what it holds: whatever it says, no more is kept than came.
 pub fn worker_index(bytes: &[u8]) {
     if let Ok(index) = index::of(200, &HeaderMap::new(), bytes) {
-        let kept = index
-            .models
-            .iter()
-            .map(|m| m.function.len() + m.sequences.iter().flatten().map(String::len).sum::<usize>());
+        let kept = index.models.iter().map(|m| {
+            m.function.len() + m.sequences.iter().flatten().map(String::len).sum::<usize>()
+        });
         assert!(kept.sum::<usize>() <= 2 * bytes.len(), "more than it said");
     }
 }
 
 /// Any body of a call; what can be read of it has a form for workers that reads back as JSON.
 pub fn grpc_body(bytes: &[u8]) {
-    let Ok(message) = rpc::unframe(Bytes::copy_from_slice(bytes)) else { return };
-    let told = bytes[1..rpc::FRAME].iter().fold(0, |n, b| n << 8 | usize::from(*b));
-    assert_eq!((message.len(), message.len() + rpc::FRAME), (told, bytes.len()));
+    let Ok(message) = rpc::unframe(Bytes::copy_from_slice(bytes)) else {
+        return;
+    };
+    let told = bytes[1..rpc::FRAME]
+        .iter()
+        .fold(0, |n, b| n << 8 | usize::from(*b));
+    assert_eq!(
+        (message.len(), message.len() + rpc::FRAME),
+        (told, bytes.len())
+    );
     grpc_message(&message);
 }
 
 pub fn grpc_message(bytes: &[u8]) {
-    let Ok(message) = ModelInferRequest::decode(bytes) else { return };
+    let Ok(message) = ModelInferRequest::decode(bytes) else {
+        return;
+    };
     if let Ok(rest) = request(&message) {
         let json = rest.json.map_or(rest.bytes.len(), |n| n as usize);
         assert_eq!(rest.bytes[..json].first(), Some(&b'{'));
@@ -77,7 +88,10 @@
     let mut map = HeaderMap::new();
     for (n, value) in headers {
         if let Ok(value) = HeaderValue::from_bytes(value) {
-            map.insert(HeaderName::from_static(NAMES[*n as usize % NAMES.len()]), value);
+            map.insert(
+                HeaderName::from_static(NAMES[*n as usize % NAMES.len()]),
+                value,
+            );
         }
     }
     if let Ok(w) = serving::wanted(&map, 1_000_000) {
@@ -127,10 +141,20 @@
         name: "fuzz".into(),
         most_body: 1_000,
     };
-    let mut connection = Connection::new(0, Role::Answers { queue: "q".into(), prefetch: 5 }, login);
+    let mut connection = Connection::new(
+        0,
+        Role::Answers {
+            queue: "q".into(),
+            prefetch: 5,
+        },
+        login,
+    );
     for (n, piece) in pieces.iter().enumerate() {
         let mut events = Vec::new();
-        if connection.receive(n as i64, &framed(piece), &mut events).is_err() {
+        if connection
+            .receive(n as i64, &framed(piece), &mut events)
+            .is_err()
+        {
             return;
         }
         let _ = connection.output(n as i64);
@@ -142,14 +166,23 @@
     let file = match head {
         None => bytes.to_vec(),
         Some(start) => {
-            let Ok(mut sheet) = Sheet::begin(Vec::new(), std::slice::from_ref(start)) else { return };
-            let raw = Raw { bytes: bytes.to_vec(), records: 1 + bytes.len() as u32 / 8, first: 0, last: 9 };
+            let Ok(mut sheet) = Sheet::begin(Vec::new(), std::slice::from_ref(start)) else {
+                return;
+            };
+            let raw = Raw {
+                bytes: bytes.to_vec(),
+                records: 1 + bytes.len() as u32 / 8,
+                first: 0,
+                last: 9,
+            };
             let _ = sheet.block(0, &raw);
             sheet.end().unwrap_or_default()
         }
     };
     let size = file.len();
-    let Ok(mut reader) = Reader::open(Cursor::new(file)) else { return };
+    let Ok(mut reader) = Reader::open(Cursor::new(file)) else {
+        return;
+    };
     let mut found = 0;
     while let Ok(Some(block)) = reader.next() {
         found += 1;
@@ -165,9 +198,20 @@
 /// Of a client of the platform, in pieces: nothing comes after a request that cannot be read, and what is kept is bounded
 /// however much is sent ahead.
 pub fn platform_client(pieces: &[Vec<u8>]) {
-    let names = Names { triggers: vec!["a".into()], accounts: vec!["b".into()], ..Names::default() };
-    let triggers = vec![TriggerRules { longest_wait: 1_000_000, needs_token: false }];
-    let rules = RequestRules { names, triggers, largest_mb: 1e3 };
+    let names = Names {
+        triggers: vec!["a".into()],
+        accounts: vec!["b".into()],
+        ..Names::default()
+    };
+    let triggers = vec![TriggerRules {
+        longest_wait: 1_000_000,
+        needs_token: false,
+    }];
+    let rules = RequestRules {
+        names,
+        triggers,
+        largest_mb: 1e3,
+    };
     let mut queue = RequestQueue::default();
     for piece in pieces.iter().take_while(|p| p.len() < 1 << 16) {
         queue.put(0, piece, &rules);
@@ -177,7 +221,9 @@
     let mut ended = false;
     while let Some(next) = queue.take() {
         assert!(!ended);
-        ended = next.request.is_err_and(|error| !error.leaves_stream_readable());
+        ended = next
+            .request
+            .is_err_and(|error| !error.leaves_stream_readable());
     }
 }
 
@@ -199,7 +245,11 @@
     let (mut follower, names) = (WorkerListFollower::default(), Names::default());
     while let Ok(Some(batch)) = answers.whole() {
         if follower.batch(&batch, &names, 0, 0).is_ok() {
-            assert!(follower.batch(&batch, &names, 0, 0).is_ok_and(|again| again.is_empty()));
+            assert!(
+                follower
+                    .batch(&batch, &names, 0, 0)
+                    .is_ok_and(|again| again.is_empty())
+            );
         }
     }
     let _ = config::Start::read(&String::from_utf8_lossy(bytes));
--- a/crates/fuzz/tests/targets.rs
+++ b/crates/fuzz/tests/targets.rs
@@ -50,12 +50,18 @@
 
 #[test]
 fn fuzz_grpc_frame() {
-    check!().with_type::<Vec<u8>>().with_iterations(INPUTS).for_each(|b| grpc_body(b));
+    check!()
+        .with_type::<Vec<u8>>()
+        .with_iterations(INPUTS)
+        .for_each(|b| grpc_body(b));
 }
 
 #[test]
 fn fuzz_grpc_message() {
-    check!().with_type::<Vec<u8>>().with_iterations(INPUTS).for_each(|b| grpc_message(b));
+    check!()
+        .with_type::<Vec<u8>>()
+        .with_iterations(INPUTS)
+        .for_each(|b| grpc_message(b));
 }
 
 #[test]
@@ -68,21 +74,33 @@
 
 #[test]
 fn fuzz_amqp_frame() {
-    check!().with_type::<Vec<Vec<u8>>>().with_iterations(INPUTS).for_each(|p| amqp_frames(p));
+    check!()
+        .with_type::<Vec<Vec<u8>>>()
+        .with_iterations(INPUTS)
+        .for_each(|p| amqp_frames(p));
 }
 
 #[test]
 fn fuzz_amqp_connection() {
-    check!().with_type::<Vec<Vec<u8>>>().with_iterations(INPUTS).for_each(|p| amqp_connection(p));
+    check!()
+        .with_type::<Vec<Vec<u8>>>()
+        .with_iterations(INPUTS)
+        .for_each(|p| amqp_connection(p));
 }
 
 #[test]
 fn fuzz_trace_file() {
     let kept = std::io::Cursor::new(include_bytes!("../../trace/tests/kept/format-1.trace"));
-    let start = cedarpulley_trace::reader::Reader::open(kept).expect("a trace").sources.swap_remove(0);
-    check!().with_type::<(Vec<u8>, bool)>().with_iterations(INPUTS / 4).for_each(|(bytes, inside)| {
-        trace_file(bytes, inside.then_some(&start));
-    });
+    let start = cedarpulley_trace::reader::Reader::open(kept)
+        .expect("a trace")
+        .sources
+        .swap_remove(0);
+    check!()
+        .with_type::<(Vec<u8>, bool)>()
+        .with_iterations(INPUTS / 4)
+        .for_each(|(bytes, inside)| {
+            trace_file(bytes, inside.then_some(&start));
+        });
 }
 
 /// Drawn bytes seldom are requests: pieces of one, cut and joined as drawn.
@@ -102,22 +120,28 @@
         b"abc",
         b"Content-Length: -3\r\n",
     ];
-    check!().with_type::<Vec<(u8, Vec<u8>)>>().with_iterations(INPUTS).for_each(|drawn| {
-        let piece = |(n, own): &(u8, Vec<u8>)| match PARTS.get(*n as usize % 14) {
-            Some(part) => part.to_vec(),
-            None => own.clone(),
-        };
-        platform_client(&drawn.iter().map(piece).collect::<Vec<_>>());
-    });
+    check!()
+        .with_type::<Vec<(u8, Vec<u8>)>>()
+        .with_iterations(INPUTS)
+        .for_each(|drawn| {
+            let piece = |(n, own): &(u8, Vec<u8>)| match PARTS.get(*n as usize % 14) {
+                Some(part) => part.to_vec(),
+                None => own.clone(),
+            };
+            platform_client(&drawn.iter().map(piece).collect::<Vec<_>>());
+        });
 }
 
 #[test]
 fn fuzz_platform_worker() {
-    check!().with_type::<(Vec<u8>, u16, Vec<u8>)>().with_iterations(INPUTS).for_each(|(id, length, rest)| {
-        platform_worker(rest);
-        let head = format!(" ok same=1 {}\r\n", length % 64);
-        platform_worker(&[id, head.as_bytes(), rest].concat());
-    });
+    check!()
+        .with_type::<(Vec<u8>, u16, Vec<u8>)>()
+        .with_iterations(INPUTS)
+        .for_each(|(id, length, rest)| {
+            platform_worker(rest);
+            let head = format!(" ok same=1 {}\r\n", length % 64);
+            platform_worker(&[id, head.as_bytes(), rest].concat());
+        });
 }
 
 #[test]
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -64,7 +64,10 @@
 
 /// The placement that a note encodes in its version and value.
 fn placement_of_note(note: &replica::Note) -> Placed {
-    Placed { number: note.version.0, worker: Name::from(&*String::from_utf8_lossy(&note.value)) }
+    Placed {
+        number: note.version.0,
+        worker: Name::from(&*String::from_utf8_lossy(&note.value)),
+    }
 }
 
 impl Admission {
@@ -95,7 +98,9 @@
         if let Some(shared) = &admission.shared {
             let admission = Rc::downgrade(&admission);
             shared.subscribe(sessions::BOUND, move |event| {
-                if let (Some(admission), PeerEvent::Decided(key, outcome)) = (admission.upgrade(), event) {
+                if let (Some(admission), PeerEvent::Decided(key, outcome)) =
+                    (admission.upgrade(), event)
+                {
                     admission.decided(key, outcome);
                 }
             });
@@ -117,7 +122,11 @@
     }
 
     fn id(&self, worker: &str) -> Name {
-        let id = self.worker_ids.borrow().as_ref().and_then(|(id, _)| id(worker));
+        let id = self
+            .worker_ids
+            .borrow()
+            .as_ref()
+            .and_then(|(id, _)| id(worker));
         id.unwrap_or_else(|| Name::from(worker))
     }
 
@@ -132,10 +141,15 @@
     pub fn filter(&self, input: Input) -> Option<Input> {
         match &input {
             Input::Departed(delivery) => self.drop_waiting(|d| d == *delivery),
-            Input::Front { front, state: FrontState::Down } => self.drop_waiting(|d| d.front == *front),
+            Input::Front {
+                front,
+                state: FrontState::Down,
+            } => self.drop_waiting(|d| d.front == *front),
             Input::List { mode, workers } => self.update_workers(*mode, workers),
             Input::Taken(taken) if taken.refused.is_none() => {
-                let Input::Taken(taken) = input else { return None };
+                let Input::Taken(taken) = input else {
+                    return None;
+                };
                 return self.admit(taken).map(Input::Taken);
             }
             _ => {}
@@ -151,7 +165,9 @@
     /// Handles the completions recorded while the core was running.
     pub fn process_completed(&self) {
         loop {
-            let Some(input) = self.completed.borrow_mut().pop_front() else { break };
+            let Some(input) = self.completed.borrow_mut().pop_front() else {
+                break;
+            };
             self.apply(input);
         }
         if let Some(upgrades) = &self.upgrades {
@@ -169,7 +185,11 @@
         let model = Name::from(serving::model(of).0);
         for session in sessions {
             let (model, worker, session) = (model.clone(), self.id(worker), session.clone());
-            self.apply(sessions::Input::Lost { model, session, worker });
+            self.apply(sessions::Input::Lost {
+                model,
+                session,
+                worker,
+            });
         }
     }
 
@@ -217,11 +237,23 @@
         self.next_ticket.set(ticket + 1);
         let proposes = upgrades.map(|u| u.propose_version(model, self.draw(&taken), session.start));
         let place_key = sessions::place_key(model, &session.id);
-        let placed =
-            self.shared.as_ref().and_then(|s| s.latest_note(&place_key)).as_ref().map(placement_of_note);
+        let placed = self
+            .shared
+            .as_ref()
+            .and_then(|s| s.latest_note(&place_key))
+            .as_ref()
+            .map(placement_of_note);
         let (model, session) = (Name::from(model), session.id.clone());
-        self.waiting.borrow_mut().insert(ticket, (taken, self.context.clock.now()));
-        self.apply(sessions::Input::Arrives { ticket, model, session, proposes, placed });
+        self.waiting
+            .borrow_mut()
+            .insert(ticket, (taken, self.context.clock.now()));
+        self.apply(sessions::Input::Arrives {
+            ticket,
+            model,
+            session,
+            proposes,
+            placed,
+        });
         None
     }
 
@@ -241,7 +273,12 @@
                         shared.choose(key, Bytes::copy_from_slice(version.as_bytes()), kept);
                     }
                 }
-                sessions::Output::Goes { ticket, version, prefers, anew } => {
+                sessions::Output::Goes {
+                    ticket,
+                    version,
+                    prefers,
+                    anew,
+                } => {
                     self.forward(ticket, version, prefers, anew);
                 }
                 sessions::Output::Refused { ticket, why } => {
@@ -271,36 +308,60 @@
 
     fn release(&self, ticket: u64) -> Option<Taken> {
         let (mut taken, since) = self.waiting.borrow_mut().remove(&ticket)?;
-        taken.waited = taken.waited.saturating_add(self.context.clock.now() - since);
+        taken.waited = taken
+            .waited
+            .saturating_add(self.context.clock.now() - since);
         Some(taken)
     }
 
     fn forward(&self, ticket: u64, version: Option<Name>, prefers: Option<Name>, anew: bool) {
-        let Some(mut taken) = self.release(ticket) else { return };
+        let Some(mut taken) = self.release(ticket) else {
+            return;
+        };
         taken.prefers = prefers.and_then(|id| self.worker(id));
         if let Some(version) = version {
             let model = taken.function.clone();
-            if self.upgrades.as_ref().is_some_and(|u| u.sessions_ended(&model, &version)) {
+            if self
+                .upgrades
+                .as_ref()
+                .is_some_and(|u| u.sessions_ended(&model, &version))
+            {
                 taken.refused = Some((Fate::Errored, Reason::SessionOver));
             }
-            taken.named = Some(std::mem::replace(&mut taken.function, function(&model, &version)));
+            taken.named = Some(std::mem::replace(
+                &mut taken.function,
+                function(&model, &version),
+            ));
         }
         // Guards against a warm copy being passed over: the session comes from another router and this one
         // has not heard of the copy that served it; or the module has forgotten all about a function as its
         // homes moved, and would use a new home.
         let used = |worker: &Name| {
-            self.recently_used.borrow().as_ref().is_some_and(|used| used(worker, &taken.function))
+            self.recently_used
+                .borrow()
+                .as_ref()
+                .is_some_and(|used| used(worker, &taken.function))
         };
         if let Some(worker) = taken.prefers.clone().filter(|w| anew || used(w)) {
-            (self.forward_to_core)(Input::Held { worker, function: taken.function.clone(), copies: 1 });
+            (self.forward_to_core)(Input::Held {
+                worker,
+                function: taken.function.clone(),
+                copies: 1,
+            });
         }
         (self.forward_to_core)(Input::Taken(taken));
     }
 
     /// Nothing has been sent from here; for a redelivered message that is not known of its earlier delivery.
     fn reject(&self, ticket: u64, reason: Reason) {
-        let Some(mut taken) = self.release(ticket) else { return };
-        let fate = if taken.redelivered { Fate::Errored } else { Fate::Throttled };
+        let Some(mut taken) = self.release(ticket) else {
+            return;
+        };
+        let fate = if taken.redelivered {
+            Fate::Errored
+        } else {
+            Fate::Throttled
+        };
         taken.refused = Some((fate, reason));
         (self.forward_to_core)(Input::Taken(taken));
     }
@@ -343,7 +404,10 @@
                 }
             }
             for name in &gone {
-                if workers.iter().all(|w| *w.address != **name || w.standing == Standing::Gone) {
+                if workers
+                    .iter()
+                    .all(|w| *w.address != **name || w.standing == Standing::Gone)
+                {
                     known.remove(name);
                 }
             }
@@ -373,12 +437,15 @@
             upgrades.record_use(&used);
         }
         if let (By::Dispatch(Outcome::Succeeded, _), Some(session)) = (used.by, used.session) {
-            admission.completed.borrow_mut().push_back(sessions::Input::Answered {
-                model: Name::from(serving::model(used.function).0),
-                session: Name::from(session),
-                worker: admission.id(used.worker_name),
-                ends: used.ends,
-            });
+            admission
+                .completed
+                .borrow_mut()
+                .push_back(sessions::Input::Answered {
+                    model: Name::from(serving::model(used.function).0),
+                    session: Name::from(session),
+                    worker: admission.id(used.worker_name),
+                    ends: used.ends,
+                });
         }
     }
 }
--- a/crates/gateway/src/amqp_front.rs
+++ b/crates/gateway/src/amqp_front.rs
@@ -56,8 +56,12 @@
 impl Default for AnswerTimes {
     fn default() -> Self {
         // From a microsecond to ten minutes with three digits; these bounds are always valid.
-        let times = || RefCell::new(Histogram::new_with_bounds(1, 600_000_000, 3).expect("valid bounds"));
-        AnswerTimes { answered: times(), committed: times() }
+        let times =
+            || RefCell::new(Histogram::new_with_bounds(1, 600_000_000, 3).expect("valid bounds"));
+        AnswerTimes {
+            answered: times(),
+            committed: times(),
+        }
     }
 }
 
@@ -119,13 +123,22 @@
             return;
         }
         let pending = self.pending.borrow();
-        let Some((to, taken)) = pending.get(&delivery.tag) else { return };
-        self.times.answered.borrow_mut().saturating_record((self.context.clock.now() - taken).max(0) as u64);
+        let Some((to, taken)) = pending.get(&delivery.tag) else {
+            return;
+        };
+        self.times
+            .answered
+            .borrow_mut()
+            .saturating_record((self.context.clock.now() - taken).max(0) as u64);
         if let Some(c) = self.connection.borrow_mut().as_mut() {
             let (f, r) = (fate_name(answer.fate), reason_name(answer.reason));
-            let properties = meaning::answer(to, f, r, None, answer.return_after, answer.body.first);
+            let properties =
+                meaning::answer(to, f, r, None, answer.return_after, answer.body.first);
             let reply_to = to.reply_to().as_ref().map(|r| r.as_str());
-            c.answer(delivery.tag, reply_to.map(|to| (to, properties, answer.body.bytes.as_ref())));
+            c.answer(
+                delivery.tag,
+                reply_to.map(|to| (to, properties, answer.body.bytes.as_ref())),
+            );
         }
         self.bell.ring();
     }
@@ -143,7 +156,10 @@
     /// Nothing more is delivered, and all answers are committed.
     pub fn is_drained(&self) -> bool {
         let connection = self.connection.borrow();
-        !self.is_up.get() || connection.as_ref().is_none_or(|c| c.is_quiet() && c.unsafe_answers() == 0)
+        !self.is_up.get()
+            || connection
+                .as_ref()
+                .is_none_or(|c| c.is_quiet() && c.unsafe_answers() == 0)
     }
 
     /// Closes the connection and does not reconnect.
@@ -160,7 +176,13 @@
         let mut backoff = Backoff::new(self.context.seed ^ u64::from(self.ix) << 32);
         while !self.closing.get() {
             let began = self.context.clock.now();
-            match connect(self.source.broker, self.context.local_address, CONNECT_TIMEOUT).await {
+            match connect(
+                self.source.broker,
+                self.context.local_address,
+                CONNECT_TIMEOUT,
+            )
+            .await
+            {
                 Ok(stream) => match BrokerStream::connect(stream, self.source.tls.as_ref()).await {
                     Ok(wire) => {
                         let fault = self.run_connection(wire, &mut backoff).await;
@@ -188,7 +210,10 @@
         self.pending.borrow_mut().clear();
         self.reopen_at.set(None);
         if self.is_up.replace(false) {
-            self.context.feed(Input::Front { front: self.ix, state: FrontState::Down });
+            self.context.feed(Input::Front {
+                front: self.ix,
+                state: FrontState::Down,
+            });
         }
     }
 
@@ -202,8 +227,12 @@
             most_body: self.max_body_bytes,
         };
         let prefetch = self.granted.get().clamp(1, u32::from(u16::MAX)) as u16;
-        let role = Role::Answers { queue: self.source.queue.clone(), prefetch };
-        *self.connection.borrow_mut() = Some(Connection::new(self.context.clock.now(), role, login));
+        let role = Role::Answers {
+            queue: self.source.queue.clone(),
+            prefetch,
+        };
+        *self.connection.borrow_mut() =
+            Some(Connection::new(self.context.clock.now(), role, login));
         let ready_since = Cell::new(self.context.clock.now());
         let backoff = RefCell::new(backoff);
         let (mut reads, mut writes) = split(wire);
@@ -256,7 +285,10 @@
                         self.is_up.set(true);
                         ready_since.set(now);
                         tracing::info!(front = %self.source.name, queue = %self.source.queue, "consuming");
-                        self.context.feed(Input::Front { front: self.ix, state: FrontState::Up });
+                        self.context.feed(Input::Front {
+                            front: self.ix,
+                            state: FrontState::Up,
+                        });
                     }
                     Event::Delivered(message) => self.delivered(*message),
                     Event::Committed(tags) => {
@@ -267,15 +299,26 @@
                                     .committed
                                     .borrow_mut()
                                     .saturating_record((now - taken).max(0) as u64);
-                                let delivery = Delivery { front: self.ix, life: self.life.get(), tag };
+                                let delivery = Delivery {
+                                    front: self.ix,
+                                    life: self.life.get(),
+                                    tag,
+                                };
                                 self.context.feed(Input::Safe(delivery));
                             }
                         }
                     }
                     Event::Blocked(blocked) => {
                         tracing::warn!(front = %self.source.name, blocked, "the broker takes no publishes");
-                        let state = if blocked { FrontState::Blocked } else { FrontState::Up };
-                        self.context.feed(Input::Front { front: self.ix, state });
+                        let state = if blocked {
+                            FrontState::Blocked
+                        } else {
+                            FrontState::Up
+                        };
+                        self.context.feed(Input::Front {
+                            front: self.ix,
+                            state,
+                        });
                     }
                     Event::ChannelLost { code, text } => {
                         tracing::warn!(front = %self.source.name, code, text, "the broker closed the channel");
@@ -292,7 +335,12 @@
             }
             self.bell.ring();
             // Guards against a broker that keeps sending but reads nothing: its output must not pile up here.
-            while self.connection.borrow().as_ref().is_some_and(|c| c.waiting() > MAX_OUTPUT_BYTES) {
+            while self
+                .connection
+                .borrow()
+                .as_ref()
+                .is_some_and(|c| c.waiting() > MAX_OUTPUT_BYTES)
+            {
                 Timer::after(std::time::Duration::from_millis(1)).await;
             }
         }
@@ -303,7 +351,9 @@
             let now = self.context.clock.now();
             let (bytes, due) = {
                 let mut connection = self.connection.borrow_mut();
-                let Some(c) = connection.as_mut() else { return Fault::new(320, "closed") };
+                let Some(c) = connection.as_mut() else {
+                    return Fault::new(320, "closed");
+                };
                 if let Err(fault) = c.tick(now) {
                     return fault;
                 }
@@ -312,7 +362,11 @@
                     c.reopen(now);
                 }
                 c.commit(now);
-                (c.output(now), c.next_due().min(self.reopen_at.get().unwrap_or(Micros::MAX)))
+                (
+                    c.output(now),
+                    c.next_due()
+                        .min(self.reopen_at.get().unwrap_or(Micros::MAX)),
+                )
             };
             if !bytes.is_empty() {
                 let sent = async {
@@ -337,17 +391,30 @@
     }
 
     fn delivered(&self, message: Message) {
-        let delivery = Delivery { front: self.ix, life: self.life.get(), tag: message.tag };
+        let delivery = Delivery {
+            front: self.ix,
+            life: self.life.get(),
+            tag: message.tag,
+        };
         let understood = if message.oversized {
             let cause = format!("larger than {} bytes", self.max_body_bytes);
-            Err(meaning::Misunderstood { field: "body", cause })
+            Err(meaning::Misunderstood {
+                field: "body",
+                cause,
+            })
         } else {
-            meaning::read(&message, self.context.clock.wall()).and_then(|t| self.parse(&message, t, delivery))
+            meaning::read(&message, self.context.clock.wall())
+                .and_then(|t| self.parse(&message, t, delivery))
         };
         match understood {
             Ok(mut taken) => {
-                taken.body = Payload { bytes: Bytes::from(message.body), first: taken.body.first };
-                self.pending.borrow_mut().insert(message.tag, (message.properties, self.context.clock.now()));
+                taken.body = Payload {
+                    bytes: Bytes::from(message.body),
+                    first: taken.body.first,
+                };
+                self.pending
+                    .borrow_mut()
+                    .insert(message.tag, (message.properties, self.context.clock.now()));
                 self.context.feed(Input::Taken(taken));
             }
             Err(wrong) => {
@@ -355,13 +422,24 @@
                 tracing::debug!(front = %self.source.name, field = wrong.field, cause = %wrong.cause, "not understood");
                 self.context.count_malformed();
                 if let Some(c) = self.connection.borrow_mut().as_mut() {
-                    match message.properties.reply_to().as_ref().map(|r| r.as_str()).filter(|r| !r.is_empty())
+                    match message
+                        .properties
+                        .reply_to()
+                        .as_ref()
+                        .map(|r| r.as_str())
+                        .filter(|r| !r.is_empty())
                     {
                         Some(to) => {
                             let p = &message.properties;
                             let field = format!("{}: {}", wrong.field, wrong.cause);
-                            let answer =
-                                meaning::answer(p, "errored", "not-understood", Some(&field), None, None);
+                            let answer = meaning::answer(
+                                p,
+                                "errored",
+                                "not-understood",
+                                Some(&field),
+                                None,
+                                None,
+                            );
                             c.answer(message.tag, Some((to, answer, b"")));
                         }
                         None => c.reject(message.tag),
@@ -377,8 +455,10 @@
         trigger_message: meaning::Trigger,
         delivery: Delivery,
     ) -> Result<Taken, meaning::Misunderstood> {
-        let unknown =
-            |field, name: &str| meaning::Misunderstood { field, cause: format!("'{name}' is unknown") };
+        let unknown = |field, name: &str| meaning::Misunderstood {
+            field,
+            cause: format!("'{name}' is unknown"),
+        };
         let trigger = self
             .context
             .names
@@ -414,7 +494,10 @@
             named: None,
             prefers: None,
             refused: None,
-            body: Payload { bytes: Bytes::new(), first: trigger_message.first_part },
+            body: Payload {
+                bytes: Bytes::new(),
+                first: trigger_message.first_part,
+            },
         })
     }
 }
--- a/crates/gateway/src/client_listener.rs
+++ b/crates/gateway/src/client_listener.rs
@@ -55,7 +55,10 @@
 
 impl<S> StallGuard<S> {
     pub fn new(stream: S) -> Self {
-        StallGuard { stream, stall_timer: None }
+        StallGuard {
+            stream,
+            stall_timer: None,
+        }
     }
 
     fn watch<T>(&mut self, cx: &mut Context, polled: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
@@ -63,7 +66,9 @@
             self.stall_timer = None;
             return polled;
         }
-        let timer = self.stall_timer.get_or_insert_with(|| Timer::after(micros(WRITE_STALL_TIMEOUT)));
+        let timer = self
+            .stall_timer
+            .get_or_insert_with(|| Timer::after(micros(WRITE_STALL_TIMEOUT)));
         match Pin::new(timer).poll(cx) {
             Poll::Ready(_) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
@@ -72,13 +77,21 @@
 }
 
 impl<S: AsyncRead + Unpin> AsyncRead for StallGuard<S> {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
 impl<S: AsyncWrite + Unpin> AsyncWrite for StallGuard<S> {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
         self.watch(cx, polled)
     }
@@ -115,7 +128,8 @@
         tls: Option<Rc<ServerTls>>,
         certificate_accounts: Rc<Speakers>,
     ) -> Self {
-        let (connections, over_limit, refused_handshakes) = (RefCell::default(), Cell::new(0), Cell::new(0));
+        let (connections, over_limit, refused_handshakes) =
+            (RefCell::default(), Cell::new(0), Cell::new(0));
         ClientListener {
             handler,
             settings,
@@ -137,10 +151,16 @@
     /// Accepts connections until the router ends.
     pub async fn run(self: Rc<Self>, listener: Async<TcpListener>) {
         let context = &self.handler.context;
-        context.feed(Input::Front { front: self.handler.ix, state: FrontState::Up });
+        context.feed(Input::Front {
+            front: self.handler.ix,
+            state: FrontState::Up,
+        });
         tracing::info!(front = %self.settings.name, address = %self.settings.address, "listening");
         if let Some(tls) = self.tls.clone() {
-            context.executor.spawn(tls.watch(context.clock, self.settings.name.clone())).detach();
+            context
+                .executor
+                .spawn(tls.watch(context.clock, self.settings.name.clone()))
+                .detach();
         }
         let mut serial = 0;
         loop {
@@ -166,8 +186,11 @@
                 let Some(tls) = listening.tls.clone() else {
                     return Box::pin(listening.serve(client, StallGuard::new(stream), stop)).await;
                 };
-                let Some(stream) = Box::pin(listening.handshake(&client, &tls, stream)).await else {
-                    return listening.refused_handshakes.set(listening.refused_handshakes.get() + 1);
+                let Some(stream) = Box::pin(listening.handshake(&client, &tls, stream)).await
+                else {
+                    return listening
+                        .refused_handshakes
+                        .set(listening.refused_handshakes.get() + 1);
                 };
                 Box::pin(listening.serve(client, StallGuard::new(stream), stop)).await;
             });
@@ -185,7 +208,9 @@
         let stream = tls.accept(stream).await.ok()?;
         if tls.requires_client_certificate() && !self.certificate_accounts.is_empty() {
             let (_, session) = stream.get_ref();
-            let account = self.certificate_accounts.account(session.peer_certificates()?.first()?)?;
+            let account = self
+                .certificate_accounts
+                .account(session.peer_certificates()?.first()?)?;
             client.bind_account(account);
         }
         Some(stream)
@@ -199,8 +224,12 @@
         stop: Bell,
     ) {
         match self.settings.protocol {
-            Protocol::Rest => Box::pin(rest::serve(self.handler.clone(), client, stream, stop)).await,
-            Protocol::Grpc => Box::pin(grpc::serve(self.handler.clone(), client, stream, stop)).await,
+            Protocol::Rest => {
+                Box::pin(rest::serve(self.handler.clone(), client, stream, stop)).await
+            }
+            Protocol::Grpc => {
+                Box::pin(grpc::serve(self.handler.clone(), client, stream, stop)).await
+            }
         }
     }
 }
