--- a/crates/gateway/src/config_reader.rs
+++ b/crates/gateway/src/config_reader.rs
@@ -27,8 +27,15 @@
 
 impl<'i> ConfigDocument<'i> {
     /// Parses the text; `file_name` is used in messages. A syntax error is the only one returned at once.
-    pub fn parse(file_name: &'i str, text: &'i str) -> Result<(Self, Spanned<DeTable<'i>>), ConfigErrors> {
-        let document = ConfigDocument { file_name, text, errors: RefCell::default() };
+    pub fn parse(
+        file_name: &'i str,
+        text: &'i str,
+    ) -> Result<(Self, Spanned<DeTable<'i>>), ConfigErrors> {
+        let document = ConfigDocument {
+            file_name,
+            text,
+            errors: RefCell::default(),
+        };
         match DeTable::parse(text) {
             Ok(table) => Ok((document, table)),
             Err(e) => {
@@ -40,13 +47,25 @@
     }
 
     fn line(&self, offset: usize) -> usize {
-        self.text.as_bytes().iter().take(offset).filter(|&&b| b == b'\n').count() + 1
+        self.text
+            .as_bytes()
+            .iter()
+            .take(offset)
+            .filter(|&&b| b == b'\n')
+            .count()
+            + 1
     }
 
     fn error(&self, offset: usize, key: &str, cause: &str) {
         let line = self.line(offset);
-        let key = if key.is_empty() { String::new() } else { format!("{key}: ") };
-        self.errors.borrow_mut().insert((line, format!("{}:{line}: {key}{cause}", self.file_name)));
+        let key = if key.is_empty() {
+            String::new()
+        } else {
+            format!("{key}: ")
+        };
+        self.errors
+            .borrow_mut()
+            .insert((line, format!("{}:{line}: {key}{cause}", self.file_name)));
     }
 
     /// The errors found so far, in the order of their lines.
@@ -56,7 +75,11 @@
 
     /// The value, if no error was found.
     pub fn finish<T>(self, value: T) -> Result<T, ConfigErrors> {
-        if self.errors.borrow().is_empty() { Ok(value) } else { Err(self.into_errors()) }
+        if self.errors.borrow().is_empty() {
+            Ok(value)
+        } else {
+            Err(self.into_errors())
+        }
     }
 }
 
@@ -82,12 +105,19 @@
     }
 
     fn key(&self, name: &str) -> String {
-        if self.path.is_empty() { name.to_owned() } else { format!("{}.{name}", self.path) }
+        if self.path.is_empty() {
+            name.to_owned()
+        } else {
+            format!("{}.{name}", self.path)
+        }
     }
 
     fn find(&self, name: &str) -> Option<(&'a DeValue<'i>, Range<usize>)> {
         self.known_keys.borrow_mut().insert(name.to_owned());
-        let (_, value) = self.table?.iter().find(|(k, _)| k.get_ref().as_ref() == name)?;
+        let (_, value) = self
+            .table?
+            .iter()
+            .find(|(k, _)| k.get_ref().as_ref() == name)?;
         Some((value.get_ref(), value.span()))
     }
 
@@ -112,7 +142,8 @@
         let (table, offset) = match self.find(name) {
             Some((DeValue::Table(table), span)) => (Some(table), span.start),
             Some((_, span)) => {
-                self.document.error(span.start, &self.key(name), "is not a table");
+                self.document
+                    .error(span.start, &self.key(name), "is not a table");
                 (None, span.start)
             }
             None => (None, self.offset),
@@ -147,7 +178,8 @@
                 sections
             }
             Some((_, span)) => {
-                self.document.error(span.start, &self.key(name), "is not a list of tables");
+                self.document
+                    .error(span.start, &self.key(name), "is not a list of tables");
                 Vec::new()
             }
             None => Vec::new(),
@@ -176,7 +208,9 @@
     pub fn strings(&self, name: &str) -> Vec<String> {
         match self.find(name) {
             Some((DeValue::Array(items), _)) => {
-                let strings = items.iter().filter_map(|i| i.get_ref().as_str().map(str::to_owned));
+                let strings = items
+                    .iter()
+                    .filter_map(|i| i.get_ref().as_str().map(str::to_owned));
                 let strings: Vec<String> = strings.collect();
                 if strings.len() < items.len() {
                     self.error(name, "holds something that is not a text");
@@ -208,7 +242,10 @@
         match value {
             Some(v) if v >= range.start && v <= range.end => v,
             Some(v) => {
-                self.error(name, &format!("{v} is not within {} to {}", range.start, range.end));
+                self.error(
+                    name,
+                    &format!("{v} is not within {} to {}", range.start, range.end),
+                );
                 range.start
             }
             None => {
@@ -220,7 +257,11 @@
 
     /// A whole number within `range`, both ends included. Without a default the key is required.
     pub fn integer(&self, name: &str, range: Range<u64>, default: Option<u64>) -> u64 {
-        let value = self.number(name, range.start as f64..range.end as f64, default.map(|a| a as f64));
+        let value = self.number(
+            name,
+            range.start as f64..range.end as f64,
+            default.map(|a| a as f64),
+        );
         if value.fract() != 0.0 {
             self.error(name, "is not a whole number");
         }
@@ -273,7 +314,8 @@
             if !known_keys.contains(key.get_ref().as_ref()) {
                 let known: Vec<&str> = known_keys.iter().map(String::as_str).collect();
                 let cause = format!("is unknown here; known are {}", known.join(", "));
-                self.document.error(key.span().start, &self.key(key.get_ref()), &cause);
+                self.document
+                    .error(key.span().start, &self.key(key.get_ref()), &cause);
             }
         }
     }
--- a/crates/gateway/src/core_settings.rs
+++ b/crates/gateway/src/core_settings.rs
@@ -27,7 +27,9 @@
 
 /// Reads `[router]`; the zones go into `names`.
 pub(crate) fn router(section: &Section, names: &mut Names) -> RouterSection {
-    let seed = section.has("seed").then(|| section.integer("seed", 0..1 << 53, None));
+    let seed = section
+        .has("seed")
+        .then(|| section.integer("seed", 0..1 << 53, None));
     names.zones = section.strings("zones");
     let zone = zone_index(section, "zone", &names.zones);
     let fleet = FleetPosition {
@@ -55,11 +57,22 @@
     let max_body_bytes = section.integer("most_body_kb", 1..1 << 20, Some(16 * 1024)) << 10;
     section.check_unknown_keys();
 
-    RouterSection { seed, fleet, local_address, answer_margin, clock_margin, memory_bytes, max_body_bytes }
+    RouterSection {
+        seed,
+        fleet,
+        local_address,
+        answer_margin,
+        clock_margin,
+        memory_bytes,
+        max_body_bytes,
+    }
 }
 
 /// Reads `[dispatch]`: the limits of dispatches, and the connections to workers.
-pub(crate) fn dispatch(section: &Section, local_address: Option<IpAddr>) -> (DispatchLimits, PoolSettings) {
+pub(crate) fn dispatch(
+    section: &Section,
+    local_address: Option<IpAddr>,
+) -> (DispatchLimits, PoolSettings) {
     let limits = DispatchLimits {
         max_dispatches: section.integer("max_dispatches", 1..100, Some(4)) as u32,
         second_copies: section.boolean("second_copies", Some(false)),
@@ -73,7 +86,8 @@
         connect_timeout: limits.connect_within,
         max_connections: section.integer("most_connections", 1..10_000, Some(128)) as usize,
         idle_timeout: section.millis_as_micros("connection_kept_ms", 1..DAY_MS, Some(30_000)),
-        max_answer_bytes: (section.integer("most_answer_kb", 1..1 << 20, Some(16 * 1024)) << 10) as usize,
+        max_answer_bytes: (section.integer("most_answer_kb", 1..1 << 20, Some(16 * 1024)) << 10)
+            as usize,
     };
     section.check_unknown_keys();
     (limits, pool)
@@ -112,7 +126,11 @@
         idle_kept: section.millis_as_micros("idle_kept_ms", 1..DAY_MS, Some(30_000)),
         orders: section.boolean("orders", Some(false)),
         loads_when_absent: section.boolean("loads_when_absent", Some(true)),
-        order_answered_within: section.millis_as_micros("order_answered_within_ms", 1..DAY_MS, Some(10_000)),
+        order_answered_within: section.millis_as_micros(
+            "order_answered_within_ms",
+            1..DAY_MS,
+            Some(10_000),
+        ),
         ration_window: section.millis_as_micros("ration_window_ms", 0..DAY_MS, Some(0)),
         ration_few: section.number("ration_few", 0.0..MAX_NUMBER, Some(0.0)),
         ration_part: section.number("ration_part", 0.0..1.0, Some(0.0)),
@@ -121,7 +139,10 @@
         memory_mb,
     };
     if !loads.orders && !loads.loads_when_absent {
-        section.error("loads_when_absent", "without it and without orders nothing is ever loaded");
+        section.error(
+            "loads_when_absent",
+            "without it and without orders nothing is ever loaded",
+        );
     }
     section.check_unknown_keys();
     loads
@@ -173,7 +194,10 @@
         if a.has("certificate_names") {
             for name in a.strings("certificate_names") {
                 if !certificate_accounts.give(name.clone(), accounts.len() as u32) {
-                    a.error("certificate_names", &format!("'{name}' speaks for another account"));
+                    a.error(
+                        "certificate_names",
+                        &format!("'{name}' speaks for another account"),
+                    );
                 }
             }
         }
@@ -216,7 +240,10 @@
     };
     let effect = match t.string("effect", None).as_str() {
         "idempotent" => Effect::Idempotent,
-        "tokened" => Effect::Tokened { group, window: t.millis_as_micros("window_ms", 0..DAY_MS, None) },
+        "tokened" => Effect::Tokened {
+            group,
+            window: t.millis_as_micros("window_ms", 0..DAY_MS, None),
+        },
         "non-idempotent" => Effect::NonIdempotent,
         "" => Effect::NonIdempotent,
         _ => {
@@ -226,9 +253,15 @@
     };
     if t.boolean("second_copies", Some(false)) {
         if effect == Effect::NonIdempotent {
-            t.error("second_copies", "what must never run twice may have no second copy");
+            t.error(
+                "second_copies",
+                "what must never run twice may have no second copy",
+            );
         } else if !limits.second_copies {
-            t.error("second_copies", "second copies are not allowed under [dispatch]");
+            t.error(
+                "second_copies",
+                "second copies are not allowed under [dispatch]",
+            );
         }
     }
     let latency_objective = t.millis_as_micros("latency_objective_ms", 1..DAY_MS, None);
--- a/crates/gateway/src/fault_injection.rs
+++ b/crates/gateway/src/fault_injection.rs
@@ -158,12 +158,21 @@
         let mut spoilt = 0;
         while spoilt < MAX_CORRUPTIONS {
             Timer::after(micros(CORRUPTION_INTERVAL)).await;
-            let Some((worker, function, copies)) = self.wrong_belief(&mut chance) else { continue };
-            if reconciliation.as_ref().is_some_and(|f| !f.corrupt_belief(&worker, &function, copies)) {
+            let Some((worker, function, copies)) = self.wrong_belief(&mut chance) else {
+                continue;
+            };
+            if reconciliation
+                .as_ref()
+                .is_some_and(|f| !f.corrupt_belief(&worker, &function, copies))
+            {
                 continue;
             }
             spoilt += 1;
-            self.context.feed(Input::Held { worker: worker.into(), function: function.into(), copies });
+            self.context.feed(Input::Held {
+                worker: worker.into(),
+                function: function.into(),
+                copies,
+            });
         }
         tracing::info!(spoilt, "meddled: no more is spoilt");
     }
@@ -172,7 +181,11 @@
     /// has.
     fn wrong_belief(&self, chance: &mut Chance) -> Option<(String, String, u32)> {
         let sent = self.sent.borrow();
-        let mut one = || sent.iter().nth((chance.draw() * sent.len() as f64) as usize).cloned();
+        let mut one = || {
+            sent.iter()
+                .nth((chance.draw() * sent.len() as f64) as usize)
+                .cloned()
+        };
         let ((worker, function), (_, another)) = (one()?, one()?);
         Some(match (chance.draw() * 4.0) as u32 {
             0 => (worker, function, 0),
@@ -215,9 +228,15 @@
     /// Sees each output of the core, and sends more than the core asked for.
     pub fn observe(&self, output: &Output) {
         match (self.fault, output) {
-            (Some(InjectedFault::CorruptedBelief), Output::Send { worker, function, .. }) => {
+            (
+                Some(InjectedFault::CorruptedBelief),
+                Output::Send {
+                    worker, function, ..
+                },
+            ) => {
                 let mut sent = self.sent.borrow_mut();
-                if let Some(address) = (self.address)(*worker).filter(|_| sent.len() < MAX_TARGETS) {
+                if let Some(address) = (self.address)(*worker).filter(|_| sent.len() < MAX_TARGETS)
+                {
                     sent.insert((address.to_string(), function.to_string()));
                 }
             }
@@ -230,14 +249,22 @@
                     self.send_copies(output, OVERLOAD_COPIES);
                 }
             }
-            (Some(InjectedFault::ExcessOrders), Output::Order { ticket, function, copies, .. })
-                if *copies > 0 =>
-            {
+            (
+                Some(InjectedFault::ExcessOrders),
+                Output::Order {
+                    ticket,
+                    function,
+                    copies,
+                    ..
+                },
+            ) if *copies > 0 => {
                 for _ in 0..EXCESS_ORDERS {
                     let (pool, address_of) = (self.pool.clone(), self.address.clone());
                     let (worker, function) = (ticket.worker, function.clone());
                     let order = async move {
-                        let Some(address) = address_of(worker) else { return };
+                        let Some(address) = address_of(worker) else {
+                            return;
+                        };
                         let request = requests::load(
                             &address.to_string(),
                             &function,
@@ -255,13 +282,28 @@
     }
 
     fn send_copies(&self, output: &Output, times: usize) {
-        let Output::Send { worker, function, trigger, call, .. } = output else { return };
+        let Output::Send {
+            worker,
+            function,
+            trigger,
+            call,
+            ..
+        } = output
+        else {
+            return;
+        };
         for _ in 0..times {
-            let (context, pool, address_of) = (self.context.clone(), self.pool.clone(), self.address.clone());
+            let (context, pool, address_of) = (
+                self.context.clone(),
+                self.pool.clone(),
+                self.address.clone(),
+            );
             let (worker, function) = (*worker, function.clone());
             let (trigger, call) = (*trigger as usize, call.clone());
             let send = async move {
-                let Some(address) = address_of(worker) else { return };
+                let Some(address) = address_of(worker) else {
+                    return;
+                };
                 let marks = requests::Marks {
                     invocation: call.mark.as_deref(),
                     dispatch: 99,
@@ -271,8 +313,13 @@
                     time_left: call.time_left,
                     session: None,
                 };
-                let request =
-                    requests::infer(&address.to_string(), &function, marks, call.body.bytes, call.body.first);
+                let request = requests::infer(
+                    &address.to_string(),
+                    &function,
+                    marks,
+                    call.body.bytes,
+                    call.body.first,
+                );
                 let _ = pool.exchange(address, request, false, || true).await;
             };
             self.context.executor.spawn(send).detach();
@@ -286,7 +333,11 @@
             News::Changed(slice) => std::slice::from_mut(slice),
             _ => return event,
         };
-        for worker in slices.iter_mut().flat_map(|s| &mut s.entries).map(|e| &mut e.worker) {
+        for worker in slices
+            .iter_mut()
+            .flat_map(|s| &mut s.entries)
+            .map(|e| &mut e.worker)
+        {
             match self.fault {
                 Some(InjectedFault::IgnoredDrains) => worker.standing = Standing::InService,
                 Some(InjectedFault::OverloadedColdWorker) if worker.started.is_some() => {
@@ -297,7 +348,9 @@
             }
         }
         match (self.fault, &event) {
-            (Some(InjectedFault::IgnoredDrains), News::Removed { version, .. }) => News::Bookmark(*version),
+            (Some(InjectedFault::IgnoredDrains), News::Removed { version, .. }) => {
+                News::Bookmark(*version)
+            }
             _ => event,
         }
     }
--- a/crates/gateway/src/front_settings.rs
+++ b/crates/gateway/src/front_settings.rs
@@ -21,7 +21,11 @@
 }
 
 /// Reads the queues to consume from; their weights are appended to `weights`.
-pub(crate) fn amqp_sources(root: &Section, to: &References, weights: &mut Vec<f64>) -> Vec<AmqpSource> {
+pub(crate) fn amqp_sources(
+    root: &Section,
+    to: &References,
+    weights: &mut Vec<f64>,
+) -> Vec<AmqpSource> {
     let mut amqp_sources = Vec::new();
     for s in root.sections("amqp") {
         weights.push(front_weight(&s, to));
@@ -65,7 +69,10 @@
             max_streams: s.integer("most_streams", 1..10_000, Some(100)) as u32,
             max_connections: s.integer("most_connections", 1..1_000_000, Some(10_000)) as usize,
         };
-        if listeners.iter().any(|l| l.address == listen.address && l.address.port() != 0) {
+        if listeners
+            .iter()
+            .any(|l| l.address == listen.address && l.address.port() != 0)
+        {
             s.error("listen", "is given twice");
         }
         listeners.push(listen);
@@ -75,7 +82,9 @@
 }
 
 fn wall_time() -> Micros {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as Micros)
 }
 
 fn report_certificate(s: &Section, why: &certificates::Refused, clients: &str) {
@@ -94,12 +103,24 @@
         (Some(certificate), Some(key)) => (certificate, key),
         (None, None) if clients.is_none() => return None,
         _ => {
-            s.error("certificate", "certificate and key belong together, and clients need both");
+            s.error(
+                "certificate",
+                "certificate and key belong together, and clients need both",
+            );
             return None;
         }
     };
-    let alpn: &[u8] = if protocol == Protocol::Grpc { b"h2" } else { b"http/1.1" };
-    let files = TlsFiles { certificate, key, clients, alpn };
+    let alpn: &[u8] = if protocol == Protocol::Grpc {
+        b"h2"
+    } else {
+        b"http/1.1"
+    };
+    let files = TlsFiles {
+        certificate,
+        key,
+        clients,
+        alpn,
+    };
     if let Err(why) = ServerTls::open(files.clone(), wall_time()) {
         report_certificate(s, &why, "clients");
     }
@@ -112,7 +133,10 @@
     let name = s.string("server_name", Some("localhost"));
     let Some(roots) = roots else {
         if certificate.is_some() || key.is_some() || s.has("server_name") {
-            s.error("authorities", "TLS needs the authorities that the broker's certificate is from");
+            s.error(
+                "authorities",
+                "TLS needs the authorities that the broker's certificate is from",
+            );
         }
         return None;
     };
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -86,7 +86,12 @@
 
     /// The KServe front of this index; absent for an AMQP front.
     pub(crate) fn handler(&self, front: FrontIx) -> Option<&Rc<RequestHandler>> {
-        Some(&self.client_listeners.get((front as usize).checked_sub(self.fronts.len())?)?.handler)
+        Some(
+            &self
+                .client_listeners
+                .get((front as usize).checked_sub(self.fronts.len())?)?
+                .handler,
+        )
     }
 
     /// The address of a worker, while the core knows it.
--- a/crates/gateway/src/group_settings.rs
+++ b/crates/gateway/src/group_settings.rs
@@ -25,8 +25,12 @@
 
 /// Defaults for sessions: retention for three pauses of a person who reads; more sessions than a router has
 /// invocations in a minute; as many waiting as a majority answers in some tens of milliseconds.
-pub(crate) const DEFAULT_SESSION_TERMS: sessions::Terms =
-    sessions::Terms { kept: 600_000_000, patience: 1_000_000, most_known: 100_000, most_waiting: 1_000 };
+pub(crate) const DEFAULT_SESSION_TERMS: sessions::Terms = sessions::Terms {
+    kept: 600_000_000,
+    patience: 1_000_000,
+    most_known: 100_000,
+    most_waiting: 1_000,
+};
 
 /// The group, if there is one. `longest`: the longest client timeout.
 pub(crate) fn peers(p: &Section, folder: &Path, longest: Micros) -> Option<PeerSettings> {
@@ -37,7 +41,11 @@
     let listen = p.loopback_address("listen");
     let state_folder = path_of(p, "state", folder);
     let usual = kept_for(longest + RETENTION_MARGIN);
-    let retention = p.millis_as_micros("kept_ms", 1..DAY_MS, Some((usual as u64 / 1_000).min(DAY_MS)));
+    let retention = p.millis_as_micros(
+        "kept_ms",
+        1..DAY_MS,
+        Some((usual as u64 / 1_000).min(DAY_MS)),
+    );
     if retention < longest {
         p.error(
             "kept_ms",
@@ -55,8 +63,11 @@
     p.check_unknown_keys();
     match Group::new(&name, members, &me) {
         Ok(group) => {
-            let addresses =
-                group.members.iter().map(|m| addresses.get(&m.name).copied().unwrap_or(listen)).collect();
+            let addresses = group
+                .members
+                .iter()
+                .map(|m| addresses.get(&m.name).copied().unwrap_or(listen))
+                .collect();
             Some(PeerSettings {
                 listen,
                 group,
@@ -120,10 +131,16 @@
     }
     let copied_within = peers.map_or(0, |p| p.replication_timeout);
     if !reconciles {
-        u.error("order", "upgrades need to know what workers hold; give [reconcile]");
+        u.error(
+            "order",
+            "upgrades need to know what workers hold; give [reconcile]",
+        );
     }
     if peers.is_none() {
-        u.error("order", "upgrades need a group that agrees on them; give [peers]");
+        u.error(
+            "order",
+            "upgrades need a group that agrees on them; give [peers]",
+        );
     }
     let file = folder.join(u.string("order", None));
     let orders = upgrades::read(&file).unwrap_or_else(|errors| {
@@ -131,10 +148,15 @@
         Vec::new()
     });
     let usual = cedarpulley_upgrade::Terms::default();
-    let time = |key, usual: Micros| u.millis_as_micros(key, 0..DAY_MS, Some((usual / 1_000) as u64));
+    let time =
+        |key, usual: Micros| u.millis_as_micros(key, 0..DAY_MS, Some((usual / 1_000) as u64));
     let terms = cedarpulley_upgrade::Terms {
         lease: u.millis_as_micros("lease_ms", 500..DAY_MS, Some((usual.lease / 1_000) as u64)),
-        loads_at_once: u.integer("loads_at_once", 1..1_000, Some(u64::from(usual.loads_at_once))) as u32,
+        loads_at_once: u.integer(
+            "loads_at_once",
+            1..1_000,
+            Some(u64::from(usual.loads_at_once)),
+        ) as u32,
         load_within: time("load_within_ms", usual.load_within),
         hold_back: time("hold_back_ms", usual.hold_back),
         shown_for: time("shown_ms", usual.shown_for),
@@ -148,7 +170,14 @@
     let regions = regions(u);
     u.check_unknown_keys();
     let (latency_objectives, memory_mb) = (Vec::new(), Vec::new());
-    let ordered = UpgradeSettings { file, orders, terms, regions, latency_objectives, memory_mb };
+    let ordered = UpgradeSettings {
+        file,
+        orders,
+        terms,
+        regions,
+        latency_objectives,
+        memory_mb,
+    };
     (Some(ordered), Some(sessions))
 }
 
@@ -159,16 +188,33 @@
         10..DAY_MS,
         Some((2 * copied_within).max(DEFAULT_SESSION_TERMS.patience) as u64 / 1_000),
     );
-    let kept =
-        u.millis_as_micros("session_kept_ms", 1_000..DAY_MS, Some(DEFAULT_SESSION_TERMS.kept as u64 / 1_000));
+    let kept = u.millis_as_micros(
+        "session_kept_ms",
+        1_000..DAY_MS,
+        Some(DEFAULT_SESSION_TERMS.kept as u64 / 1_000),
+    );
     if kept < MIN_WAITS_IN_RETENTION * patience.max(copied_within) {
-        u.error("session_kept_ms", "is below ten times what an invocation waits for a majority");
+        u.error(
+            "session_kept_ms",
+            "is below ten times what an invocation waits for a majority",
+        );
+    }
+    let most_known = u.integer(
+        "most_sessions",
+        100..10_000_000,
+        Some(DEFAULT_SESSION_TERMS.most_known as u64),
+    ) as usize;
+    let most_waiting = u.integer(
+        "most_waiting",
+        1..1_000_000,
+        Some(DEFAULT_SESSION_TERMS.most_waiting as u64),
+    ) as usize;
+    sessions::Terms {
+        kept,
+        patience,
+        most_known,
+        most_waiting,
     }
-    let most_known =
-        u.integer("most_sessions", 100..10_000_000, Some(DEFAULT_SESSION_TERMS.most_known as u64)) as usize;
-    let most_waiting =
-        u.integer("most_waiting", 1..1_000_000, Some(DEFAULT_SESSION_TERMS.most_waiting as u64)) as usize;
-    sessions::Terms { kept, patience, most_known, most_waiting }
 }
 
 /// Region by zone.
--- a/crates/gateway/src/grpc.rs
+++ b/crates/gateway/src/grpc.rs
@@ -29,8 +29,8 @@
 
 use crate::outcome_names::{fate_name, reason_name, rejection_name};
 use crate::request_handling::{
-    AnswerBody, BodyError, ClientConnection, Reply, RequestHandler, UnreadAnswer, parse_head, parse_session,
-    read_body, serve_until_closed, with_body_timeout,
+    AnswerBody, BodyError, ClientConnection, Reply, RequestHandler, UnreadAnswer, parse_head,
+    parse_session, read_body, serve_until_closed, with_body_timeout,
 };
 
 const MAX_HEADER_BYTES: u32 = 32 * 1024;
@@ -68,11 +68,19 @@
 ) {
     let mut builder = http2::Builder::new(LocalTasks(handler.context.executor.clone()));
     builder.timer(SmolTimer::new());
-    builder.max_concurrent_streams(handler.max_streams).max_header_list_size(MAX_HEADER_BYTES);
-    builder.initial_stream_window_size(STREAM_WINDOW).initial_connection_window_size(CONNECTION_WINDOW);
+    builder
+        .max_concurrent_streams(handler.max_streams)
+        .max_header_list_size(MAX_HEADER_BYTES);
+    builder
+        .initial_stream_window_size(STREAM_WINDOW)
+        .initial_connection_window_size(CONNECTION_WINDOW);
     builder.max_send_buf_size(MAX_SEND_BYTES);
-    builder.max_pending_accept_reset_streams(MAX_RESETS).max_local_error_reset_streams(MAX_RESETS);
-    builder.keep_alive_interval(micros(PING_INTERVAL)).keep_alive_timeout(micros(PING_TIMEOUT));
+    builder
+        .max_pending_accept_reset_streams(MAX_RESETS)
+        .max_local_error_reset_streams(MAX_RESETS);
+    builder
+        .keep_alive_interval(micros(PING_INTERVAL))
+        .keep_alive_timeout(micros(PING_TIMEOUT));
     let service = service_fn(|request| {
         let handled = handle(handler.clone(), client.clone(), request);
         async move { Ok::<_, Infallible>(handled.await) }
@@ -90,7 +98,9 @@
     } else {
         Response::new(AnswerBody::new(body, Some(trailers), unread))
     };
-    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(rpc::CONTENT));
+    reply
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static(rpc::CONTENT));
     reply
 }
 
@@ -103,7 +113,12 @@
 }
 
 /// Ends a call without a message, with fate and reason beside the code.
-fn status_response(code: Code, fate: &'static str, why: &'static str, come_back: Option<Micros>) -> Reply {
+fn status_response(
+    code: Code,
+    fate: &'static str,
+    why: &'static str,
+    come_back: Option<Micros>,
+) -> Reply {
     let mut trailers = rpc::trailers(code, why, come_back);
     trailers.insert(serving::FATE, HeaderValue::from_static(fate));
     trailers.insert(serving::REASON, HeaderValue::from_static(why));
@@ -115,7 +130,11 @@
     client: Rc<ClientConnection>,
     request: Request<Incoming>,
 ) -> Reply {
-    let content = request.headers().get(CONTENT_TYPE).and_then(|v| v.to_str().ok()).unwrap_or_default();
+    let content = request
+        .headers()
+        .get(CONTENT_TYPE)
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or_default();
     if !content.starts_with(rpc::CONTENT) || request.method() != hyper::Method::POST {
         let mut reply = Response::new(AnswerBody::new(Bytes::new(), None, None));
         *reply.status_mut() = StatusCode::UNSUPPORTED_MEDIA_TYPE;
@@ -127,7 +146,13 @@
         None => return error_response(Code::Unimplemented, "no such method"),
     };
     // None of these requests carries more than a name.
-    let body = match read_body(request.into_body(), Bytes::new(), u64::from(MAX_HEADER_BYTES)).await {
+    let body = match read_body(
+        request.into_body(),
+        Bytes::new(),
+        u64::from(MAX_HEADER_BYTES),
+    )
+    .await
+    {
         Ok(body) => body,
         Err(why) => return body_error_response(why),
     };
@@ -141,7 +166,9 @@
     };
     match method {
         Method::ServerLive => message_response(&wire::ServerLiveResponse { live: true }),
-        Method::ServerReady => message_response(&wire::ServerReadyResponse { ready: handler.is_ready() }),
+        Method::ServerReady => message_response(&wire::ServerReadyResponse {
+            ready: handler.is_ready(),
+        }),
         Method::ServerMetadata => message_response(&wire::ServerMetadataResponse {
             name: "cedarpulley".into(),
             version: env!("CARGO_PKG_VERSION").into(),
@@ -156,9 +183,17 @@
         Method::ModelMetadata => match named(message) {
             Ok(function) => {
                 let (name, version) = serving::model(&function);
-                let versions = if version.is_empty() { vec![] } else { vec![version.to_owned()] };
+                let versions = if version.is_empty() {
+                    vec![]
+                } else {
+                    vec![version.to_owned()]
+                };
                 let name = name.to_owned();
-                message_response(&wire::ModelMetadataResponse { name, versions, ..Default::default() })
+                message_response(&wire::ModelMetadataResponse {
+                    name,
+                    versions,
+                    ..Default::default()
+                })
             }
             Err(why) => error_response(Code::InvalidArgument, why),
         },
@@ -172,7 +207,9 @@
                     reason: String::new(),
                 }
             });
-            message_response(&wire::RepositoryIndexResponse { models: models.collect() })
+            message_response(&wire::RepositoryIndexResponse {
+                models: models.collect(),
+            })
         }
         Method::ModelInfer => error_response(Code::Internal, "not here"),
     }
@@ -182,7 +219,9 @@
     match why {
         BodyError::TooLarge => error_response(Code::InvalidArgument, "the message is too large"),
         BodyError::Interrupted => error_response(Code::InvalidArgument, "the message broke off"),
-        BodyError::TimedOut => error_response(Code::InvalidArgument, "the message was not whole in time"),
+        BodyError::TimedOut => {
+            error_response(Code::InvalidArgument, "the message was not whole in time")
+        }
     }
 }
 
@@ -267,7 +306,10 @@
         Err(cause) => return misunderstood(&cause.to_string()),
     };
     taken.function = Arc::from(function);
-    taken.body = Payload { bytes: rest.bytes, first: rest.json };
+    taken.body = Payload {
+        bytes: rest.bytes,
+        first: rest.json,
+    };
     taken.session = match parse_session(&handler, &taken.body) {
         Ok(session) => session,
         Err(why) => return misunderstood(&why.to_string()),
@@ -282,19 +324,32 @@
     let why = reason_name(answer.reason);
     match answer.fate {
         Fate::Succeeded => {
-            let rest = tensors::Rest { bytes: answer.body.bytes, json: answer.body.first };
+            let rest = tensors::Rest {
+                bytes: answer.body.bytes,
+                json: answer.body.first,
+            };
             match tensors::response(&rest) {
                 Ok(message) => {
                     let mut trailers = rpc::trailers(Code::Ok, "", None);
-                    trailers.insert(serving::FATE, HeaderValue::from_static(fate_name(answer.fate)));
+                    trailers.insert(
+                        serving::FATE,
+                        HeaderValue::from_static(fate_name(answer.fate)),
+                    );
                     trailers.insert(serving::REASON, HeaderValue::from_static(why));
                     response(rpc::frame(&message), trailers, Some(unread))
                 }
                 // It has run, but its result cannot be expressed here.
-                Err(cause) => error_response(Code::Unknown, &format!("the worker's answer: {cause}")),
+                Err(cause) => {
+                    error_response(Code::Unknown, &format!("the worker's answer: {cause}"))
+                }
             }
         }
-        Fate::Throttled => status_response(Code::ResourceExhausted, "throttled", why, answer.return_after),
+        Fate::Throttled => status_response(
+            Code::ResourceExhausted,
+            "throttled",
+            why,
+            answer.return_after,
+        ),
         Fate::Errored if answer.reason == Reason::Overdue => {
             status_response(Code::DeadlineExceeded, "errored", why, None)
         }
--- a/crates/gateway/src/metering.rs
+++ b/crates/gateway/src/metering.rs
@@ -85,7 +85,10 @@
     ) -> std::io::Result<Metering> {
         std::fs::create_dir_all(&folder)?;
         let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '_' };
-        let file = folder.join(format!("{}.ledger", name.chars().map(plain).take(64).collect::<String>()));
+        let file = folder.join(format!(
+            "{}.ledger",
+            name.chars().map(plain).take(64).collect::<String>()
+        ));
         let (parts, received) = sync_channel(1);
         let (told, done) = sync_channel(1);
         let router = name.to_owned();
@@ -134,7 +137,9 @@
 
 impl Inner {
     fn collect_result(&mut self, now: Micros) {
-        let Ok(done) = self.done.try_recv() else { return };
+        let Ok(done) = self.done.try_recv() else {
+            return;
+        };
         self.in_flight = false;
         match done {
             Ok(()) => self.writing.wrote(now),
@@ -153,7 +158,9 @@
             return true;
         }
         let part = self.meter.take();
-        let Some(parts) = self.parts.as_ref().filter(|_| !part.is_empty()) else { return false };
+        let Some(parts) = self.parts.as_ref().filter(|_| !part.is_empty()) else {
+            return false;
+        };
         match parts.try_send(part) {
             Ok(()) => self.in_flight = true,
             Err(e) => {
@@ -180,7 +187,14 @@
         let wall = inner.wall_at_zero + now;
         let account = inner.accounts.get(u.account as usize).cloned();
         let account = account.as_deref().unwrap_or(UNKNOWN_ACCOUNT);
-        let Used { worker, function, took, lanes, held, .. } = u;
+        let Used {
+            worker,
+            function,
+            took,
+            lanes,
+            held,
+            ..
+        } = u;
         let copy_bytes = (u.copy_mb.max(0.0) * 1e6) as u64;
         match u.by {
             By::Dispatch(outcome, note) => {
--- a/crates/gateway/src/outputs.rs
+++ b/crates/gateway/src/outputs.rs
@@ -53,19 +53,60 @@
                 }
             }
             Output::Grant { front, most } => self.grant(front, most),
-            Output::Send { ticket, worker, function, trigger, account, call } => {
-                self.begin_dispatch(Dispatch { ticket, worker, function, trigger, account, call });
+            Output::Send {
+                ticket,
+                worker,
+                function,
+                trigger,
+                account,
+                call,
+            } => {
+                self.begin_dispatch(Dispatch {
+                    ticket,
+                    worker,
+                    function,
+                    trigger,
+                    account,
+                    call,
+                });
             }
             Output::Withdraw(ticket) => self.pool.cancel(ticket),
-            Output::Order { ticket, function, account, copies, within, term } => {
-                let order = LoadOrder { ticket, function, account, copies, within, term };
-                self.context.executor.spawn(self.clone().order_load(order)).detach();
+            Output::Order {
+                ticket,
+                function,
+                account,
+                copies,
+                within,
+                term,
+            } => {
+                let order = LoadOrder {
+                    ticket,
+                    function,
+                    account,
+                    copies,
+                    within,
+                    term,
+                };
+                self.context
+                    .executor
+                    .spawn(self.clone().order_load(order))
+                    .detach();
             }
-            Output::Unload { worker, function, term } => {
-                self.context.executor.spawn(self.clone().order_unload(worker, function, term)).detach();
+            Output::Unload {
+                worker,
+                function,
+                term,
+            } => {
+                self.context
+                    .executor
+                    .spawn(self.clone().order_unload(worker, function, term))
+                    .detach();
             }
             Output::Probe { worker } => {
-                self.context.executor.spawn(self.clone().probe(worker)).detach();
+                self.context
+                    .executor
+                    .spawn(self.clone().probe(worker))
+                    .detach();
             }
             // The watch retries by itself, with spread-out delays.
             Output::AskList => {}
@@ -82,7 +123,9 @@
         if let Some(front) = self.fronts.get(delivery.front as usize) {
             return self.fault_injector.answer(front, delivery, answer);
         }
-        let handler = self.handler(delivery.front).filter(|_| !self.fault_injector.loses_answer());
+        let handler = self
+            .handler(delivery.front)
+            .filter(|_| !self.fault_injector.loses_answer());
         if let Some(handler) = handler {
             handler.deliver(delivery, answer);
         }
@@ -106,7 +149,8 @@
     }
 
     async fn dispatch(self: Rc<Self>, dispatch: Dispatch) {
-        let (ticket, worker, function) = (dispatch.ticket, dispatch.worker, dispatch.function.clone());
+        let (ticket, worker, function) =
+            (dispatch.ticket, dispatch.worker, dispatch.function.clone());
         let result = self.exchange(dispatch).await;
         let read = endings::infer(&ending_of(&result, &function));
         let held = result.as_ref().ok().and_then(|r| reports::held(&r.headers));
@@ -114,7 +158,10 @@
             Ok(reply) if read.outcome == Outcome::Succeeded => {
                 let json = endings::json_length(&reply.headers, &reply.body);
                 let first = json.filter(|n| *n < reply.body.len()).map(|n| n as u32);
-                Payload { bytes: reply.body, first }
+                Payload {
+                    bytes: reply.body,
+                    first,
+                }
             }
             _ => Payload::default(),
         };
@@ -132,44 +179,96 @@
     }
 
     async fn exchange(&self, dispatch: Dispatch) -> Result<Reply, ExchangeError> {
-        let Dispatch { ticket, worker, function, trigger, account, call } = dispatch;
+        let Dispatch {
+            ticket,
+            worker,
+            function,
+            trigger,
+            account,
+            call,
+        } = dispatch;
         let names = &self.context.names;
         let marks = requests::Marks {
             invocation: call.mark.as_deref(),
             dispatch: ticket.dispatch,
             token: call.token.as_deref(),
-            trigger: names.triggers.get(trigger as usize).map_or("", String::as_str),
+            trigger: names
+                .triggers
+                .get(trigger as usize)
+                .map_or("", String::as_str),
             account: names.accounts.get(account as usize).map(String::as_str),
             time_left: call.time_left,
             session: call.session.as_ref().map(|s| (&*s.id, s.start, s.end)),
         };
-        let Some(address) = self.address(worker) else { return Err(ExchangeError::NoConnection) };
+        let Some(address) = self.address(worker) else {
+            return Err(ExchangeError::NoConnection);
+        };
         let (host, body) = (address.to_string(), call.body);
         let request = requests::infer(&host, &function, marks, body.bytes, body.first);
-        let may_send = || self.router.borrow().may_leave(self.context.clock.now(), ticket);
+        let may_send = || {
+            self.router
+                .borrow()
+                .may_leave(self.context.clock.now(), ticket)
+        };
         self.pool.exchange(address, request, false, may_send).await
     }
 
     async fn order_load(self: Rc<Self>, order: LoadOrder) {
-        let LoadOrder { ticket, function, account, copies, within, term } = order;
-        let Some(address) = self.address(ticket.worker) else { return };
+        let LoadOrder {
+            ticket,
+            function,
+            account,
+            copies,
+            within,
+            term,
+        } = order;
+        let Some(address) = self.address(ticket.worker) else {
+            return;
+        };
         let host = address.to_string();
         let request = match copies {
             0 => requests::ready(&host, &function),
             copies => {
-                let account = self.context.names.accounts.get(account as usize).map(String::as_str);
-                requests::load(&host, &function, copies, account, self.orderer(term.as_deref()))
+                let account = self
+                    .context
+                    .names
+                    .accounts
+                    .get(account as usize)
+                    .map(String::as_str);
+                requests::load(
+                    &host,
+                    &function,
+                    copies,
+                    account,
+                    self.orderer(term.as_deref()),
+                )
             }
         };
         let result = self.pool.order(address, request, within).await;
         let held = result.as_ref().ok().and_then(|r| reports::held(&r.headers));
         let (result, copies) = endings::order(&ending_of(&result, &function));
-        self.feed(Input::OrderEnded { ticket, result, copies, held });
+        self.feed(Input::OrderEnded {
+            ticket,
+            result,
+            copies,
+            held,
+        });
     }
 
-    async fn order_unload(self: Rc<Self>, worker: WorkerIx, function: Arc<str>, term: Option<Arc<str>>) {
-        let Some(address) = self.address(worker) else { return };
-        let request = requests::unload(&address.to_string(), &function, self.orderer(term.as_deref()));
+    async fn order_unload(
+        self: Rc<Self>,
+        worker: WorkerIx,
+        function: Arc<str>,
+        term: Option<Arc<str>>,
+    ) {
+        let Some(address) = self.address(worker) else {
+            return;
+        };
+        let request = requests::unload(
+            &address.to_string(),
+            &function,
+            self.orderer(term.as_deref()),
+        );
         // No one waits for the answer; the order only has to arrive.
         let _ = self.pool.order(address, request, CONTROL_TIMEOUT).await;
     }
@@ -185,11 +284,19 @@
             None => (Outcome::Unreachable, Report::default()),
         };
         let took = self.context.clock.now() - began;
-        self.feed(Input::Probed { worker, outcome, took, report });
+        self.feed(Input::Probed {
+            worker,
+            outcome,
+            took,
+            report,
+        });
     }
 
     /// What load orders tell workers of their origin, if routers are to be told apart.
     fn orderer<'a>(&'a self, term: Option<&'a str>) -> requests::Orderer<'a> {
-        requests::Orderer { router: self.peer_group.as_ref().map(PeerGroup::name), term }
+        requests::Orderer {
+            router: self.peer_group.as_ref().map(PeerGroup::name),
+            term,
+        }
     }
 }
--- a/crates/gateway/src/peer_events.rs
+++ b/crates/gateway/src/peer_events.rs
@@ -33,7 +33,9 @@
     /// Queues an event for the listeners; without listeners it is dropped.
     pub(crate) fn queue_event(&self, event: PeerEvent) {
         if !self.listeners.borrow().is_empty() {
-            self.notifications.borrow_mut().push_back(Notification::Listeners(event));
+            self.notifications
+                .borrow_mut()
+                .push_back(Notification::Listeners(event));
         }
     }
 
@@ -44,12 +46,16 @@
             return;
         }
         loop {
-            let Some(next) = self.notifications.borrow_mut().pop_front() else { break };
+            let Some(next) = self.notifications.borrow_mut().pop_front() else {
+                break;
+            };
             match next {
                 Notification::Core(message) => self.context.feed(Input::Group(message)),
                 Notification::Listeners(event) => {
                     let subscribed = |prefix: &str| match &event {
-                        PeerEvent::Decided(key, _) | PeerEvent::Updated(key) => key.starts_with(prefix),
+                        PeerEvent::Decided(key, _) | PeerEvent::Updated(key) => {
+                            key.starts_with(prefix)
+                        }
                         PeerEvent::BelievedMembersChanged => true,
                     };
                     let listeners = self.listeners.borrow().clone();
--- a/crates/gateway/src/peer_group.rs
+++ b/crates/gateway/src/peer_group.rs
@@ -30,7 +30,10 @@
 #[derive(Debug, Error)]
 pub enum PeerGroupError {
     #[error("the group's listener at {address}: {source}")]
-    Listen { address: SocketAddr, source: std::io::Error },
+    Listen {
+        address: SocketAddr,
+        source: std::io::Error,
+    },
     #[error(transparent)]
     Store(#[from] StoreError),
 }
@@ -63,17 +66,27 @@
         clock: &Clock,
         disabled_guard: Option<Guard>,
     ) -> Result<PeerGroupResources, PeerGroupError> {
-        let listen_error = |source| PeerGroupError::Listen { address: settings.listen, source };
+        let listen_error = |source| PeerGroupError::Listen {
+            address: settings.listen,
+            source,
+        };
         let listener = listen(settings.listen).map_err(listen_error)?;
         let (store, restored) = match &settings.state_folder {
             None => (None, None),
             Some(path) => {
                 let identity = settings.group.mark ^ u64::from(settings.group.me);
-                let (store, restored) = PeerStore::open(path, identity, clock.wall(), settings.retention)?;
+                let (store, restored) =
+                    PeerStore::open(path, identity, clock.wall(), settings.retention)?;
                 (Some(store), restored)
             }
         };
-        Ok(PeerGroupResources { settings, listener, store, restored, disabled_guard })
+        Ok(PeerGroupResources {
+            settings,
+            listener,
+            store,
+            restored,
+            disabled_guard,
+        })
     }
 }
 
@@ -90,7 +103,13 @@
 impl PeerGroup {
     /// Connects the group's parts; nothing runs before [`PeerGroup::run`].
     pub fn new(context: &Rc<GatewayContext>, resources: PeerGroupResources) -> PeerGroup {
-        let PeerGroupResources { settings, listener, store, restored, disabled_guard } = resources;
+        let PeerGroupResources {
+            settings,
+            listener,
+            store,
+            restored,
+            disabled_guard,
+        } = resources;
         // Above 0, and unique among processes with all but certainty.
         let nonce = uuid::Uuid::new_v4().as_u64_pair().0 | 1;
         let transport = Rc::new(PeerTransport::new(
@@ -108,8 +127,17 @@
             transport_handle,
         ));
         let (store, listener) = (store.map(Rc::new), RefCell::new(Some(listener)));
-        let name = settings.group.members[settings.group.me as usize].name.clone();
-        PeerGroup { peers, transport, store, listener, own_index: settings.group.me, name }
+        let name = settings.group.members[settings.group.me as usize]
+            .name
+            .clone();
+        PeerGroup {
+            peers,
+            transport,
+            store,
+            listener,
+            own_index: settings.group.me,
+            name,
+        }
     }
 
     /// Takes a request of the core to the group.
@@ -129,11 +157,17 @@
 
     /// Starts the tasks; does nothing when called again.
     pub fn run(&self, context: &Rc<GatewayContext>) {
-        let Some(listener) = self.listener.borrow_mut().take() else { return };
+        let Some(listener) = self.listener.borrow_mut().take() else {
+            return;
+        };
         let executor = &context.executor;
         self.transport.run(&self.peers, self.own_index);
         executor
-            .spawn(peer_transport::accept_connections(self.peers.clone(), self.transport.clone(), listener))
+            .spawn(peer_transport::accept_connections(
+                self.peers.clone(),
+                self.transport.clone(),
+                listener,
+            ))
             .detach();
         let peers = self.peers.clone();
         let tick_task = async move {
@@ -146,7 +180,8 @@
         if let Some(store) = self.store.clone() {
             let (peers, clock) = (self.peers.clone(), context.clock);
             let write_task = async move {
-                let (mut interval, mut reported_serial) = (Timer::interval(STORE_WRITE_INTERVAL), 0);
+                let (mut interval, mut reported_serial) =
+                    (Timer::interval(STORE_WRITE_INTERVAL), 0);
                 loop {
                     let due = async { interval.next().await.is_some() };
                     let requested = async {
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -50,12 +50,19 @@
         first: answer.body.first,
         body: answer.body.bytes.clone(),
     };
-    postcard::to_stdvec(&encode_answer).map(Bytes::from).unwrap_or_default()
+    postcard::to_stdvec(&encode_answer)
+        .map(Bytes::from)
+        .unwrap_or_default()
 }
 
 /// Absent if the bytes are of another form.
 pub(crate) fn decode_answer(bytes: &[u8]) -> Option<Answer> {
     let SharedAnswer { alone, first, body } = postcard::from_bytes(bytes).ok()?;
     let reason = if alone { Reason::Alone } else { Reason::Worker };
-    Some(Answer { fate: Fate::Succeeded, reason, return_after: None, body: Payload { bytes: body, first } })
+    Some(Answer {
+        fate: Fate::Succeeded,
+        reason,
+        return_after: None,
+        body: Payload { bytes: body, first },
+    })
 }
--- a/crates/gateway/src/peer_store.rs
+++ b/crates/gateway/src/peer_store.rs
@@ -41,11 +41,17 @@
 #[derive(Debug, Error)]
 pub enum StoreError {
     #[error("the group's folder {folder}: {source}")]
-    Folder { folder: String, source: std::io::Error },
+    Folder {
+        folder: String,
+        source: std::io::Error,
+    },
     #[error("the group's file {file} is open in another process")]
     InUse { file: String },
     #[error("the group's file {file} cannot be begun: {source}")]
-    Create { file: String, source: Box<redb::Error> },
+    Create {
+        file: String,
+        source: Box<redb::Error>,
+    },
 }
 
 impl Remedy for StoreError {
@@ -54,8 +60,12 @@
             StoreError::Folder { .. } => {
                 "see that the folder named by peers.state can be made and written to"
             }
-            StoreError::InUse { .. } => "give each router a folder of its own, or end the other process",
-            StoreError::Create { .. } => "make room on the disk, or take peers.state out of the settings",
+            StoreError::InUse { .. } => {
+                "give each router a folder of its own, or end the other process"
+            }
+            StoreError::Create { .. } => {
+                "make room on the disk, or take peers.state out of the settings"
+            }
         }
     }
 }
@@ -122,8 +132,15 @@
 ) -> Result<RestoredState, SetAsideCause> {
     let damaged = |_: redb::Error| SetAsideCause::Damaged;
     let snapshot = database.begin_read().map_err(|e| damaged(e.into()))?;
-    let metadata = snapshot.open_table(METADATA).map_err(|e| damaged(e.into()))?;
-    let number = |name: &str| Ok(metadata.get(name).map_err(|e| damaged(e.into()))?.map(|v| v.value()));
+    let metadata = snapshot
+        .open_table(METADATA)
+        .map_err(|e| damaged(e.into()))?;
+    let number = |name: &str| {
+        Ok(metadata
+            .get(name)
+            .map_err(|e| damaged(e.into()))?
+            .map(|v| v.value()))
+    };
     match number("format")? {
         None => return Err(SetAsideCause::Damaged),
         Some(format) if format < FORMAT => return Err(SetAsideCause::EarlierFormat),
@@ -135,7 +152,9 @@
     }
     let turn = number("turn")?.unwrap_or(0);
     let mut records = Vec::new();
-    let table = snapshot.open_table(RECORDS).map_err(|e| damaged(e.into()))?;
+    let table = snapshot
+        .open_table(RECORDS)
+        .map_err(|e| damaged(e.into()))?;
     for row in table.iter().map_err(|e| damaged(e.into()))? {
         let (key, value) = row.map_err(|e| damaged(e.into()))?;
         let (until, bytes) = value.value();
@@ -160,7 +179,10 @@
 
 fn set_aside(file: &Path, why: SetAsideCause) -> std::io::Result<PathBuf> {
     let name = |n| file.with_extension(format!("{}-{n}", why.name()));
-    let to = (1..MAX_SET_ASIDE).map(name).find(|p| !p.exists()).unwrap_or_else(|| name(MAX_SET_ASIDE));
+    let to = (1..MAX_SET_ASIDE)
+        .map(name)
+        .find(|p| !p.exists())
+        .unwrap_or_else(|| name(MAX_SET_ASIDE));
     std::fs::rename(file, &to)?;
     Ok(to)
 }
@@ -175,11 +197,17 @@
         wall: Micros,
         retention: Micros,
     ) -> Result<(PeerStore, Option<RestoredState>), StoreError> {
-        let folder_error = |source| StoreError::Folder { folder: folder.display().to_string(), source };
+        let folder_error = |source| StoreError::Folder {
+            folder: folder.display().to_string(),
+            source,
+        };
         std::fs::create_dir_all(folder).map_err(folder_error)?;
         let file = folder.join(FILE);
         let named = || file.display().to_string();
-        let create_error = |e: redb::Error| StoreError::Create { file: named(), source: Box::new(e) };
+        let create_error = |e: redb::Error| StoreError::Create {
+            file: named(),
+            source: Box::new(e),
+        };
         let opened = match file.exists() {
             false => None,
             true => match Database::open(&file) {
@@ -213,7 +241,10 @@
                 create_tables(&database, identity).map_err(create_error)?;
                 drop(database);
                 std::fs::rename(&new_file, &file).map_err(folder_error)?;
-                (Database::open(&file).map_err(|e| create_error(e.into()))?, None)
+                (
+                    Database::open(&file).map_err(|e| create_error(e.into()))?,
+                    None,
+                )
             }
         };
         let (batches, incoming) = sync_channel(1);
@@ -227,8 +258,19 @@
                 let _ = report.try_send(());
             })
         };
-        std::thread::Builder::new().name("group".into()).spawn(run).map_err(folder_error)?;
-        Ok((PeerStore { batches, submitted: Cell::new(0), persisted, written }, restored))
+        std::thread::Builder::new()
+            .name("group".into())
+            .spawn(run)
+            .map_err(folder_error)?;
+        Ok((
+            PeerStore {
+                batches,
+                submitted: Cell::new(0),
+                persisted,
+                written,
+            },
+            restored,
+        ))
     }
 
     /// Everything up to this serial is on disk.
@@ -254,7 +296,12 @@
         if !records.is_empty() {
             // If the thread has ended, the store never becomes idle again and reports nothing more as
             // persisted.
-            let _ = self.batches.try_send(WriteBatch { turn, serial, wall, records });
+            let _ = self.batches.try_send(WriteBatch {
+                turn,
+                serial,
+                wall,
+                records,
+            });
             self.submitted.set(serial);
         }
     }
@@ -263,7 +310,12 @@
 /// Delay after a failed write.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-fn write_loop(file: &Path, database: Database, incoming: &Receiver<WriteBatch>, report: impl Fn(u64)) {
+fn write_loop(
+    file: &Path,
+    database: Database,
+    incoming: &Receiver<WriteBatch>,
+    report: impl Fn(u64),
+) {
     let mut open = Some(database);
     while let Ok(batch) = incoming.recv() {
         let mut failing = false;
@@ -300,8 +352,13 @@
                     records.remove(&**key)?;
                 }
                 Some(shared) => {
-                    let Ok(bytes) = postcard::to_stdvec(shared) else { continue };
-                    records.insert(&**key, (batch.wall.saturating_add(shared.left), bytes.as_slice()))?;
+                    let Ok(bytes) = postcard::to_stdvec(shared) else {
+                        continue;
+                    };
+                    records.insert(
+                        &**key,
+                        (batch.wall.saturating_add(shared.left), bytes.as_slice()),
+                    )?;
                 }
             }
         }
@@ -318,13 +375,26 @@
 
     use super::*;
 
-    const RECORD: [u8; 26] = [0, 0, 0, 0, 0, 1, 1, 1, 5, 6, 7, 2, 8, 1, 0, 1, 57, 0, 0, 0, 0, 2, 1, 4, 1, 6];
+    const RECORD: [u8; 26] = [
+        0, 0, 0, 0, 0, 1, 1, 1, 5, 6, 7, 2, 8, 1, 0, 1, 57, 0, 0, 0, 0, 2, 1, 4, 1, 6,
+    ];
 
     /// Fails when a record's encoding changes: raise [`FORMAT`], then record the new bytes.
     #[test]
     fn a_records_bytes_are_those_of_the_format() {
-        let mut effect = Effect { taken: true, doubtful: true, ..Effect::default() };
-        effect.sendings.insert((5, 6), Sending { member: 7, state: Sent::MayHaveRun, place: 8 });
+        let mut effect = Effect {
+            taken: true,
+            doubtful: true,
+            ..Effect::default()
+        };
+        effect.sendings.insert(
+            (5, 6),
+            Sending {
+                member: 7,
+                state: Sent::MayHaveRun,
+                place: 8,
+            },
+        );
         effect.answer = Some(Answered::Kept(Bytes::from_static(b"9")));
         let shared = Shared {
             record: Record::Effect(effect),
@@ -339,16 +409,26 @@
 
     #[test]
     fn a_file_of_another_format_is_set_aside_by_its_name() {
-        for (format, name) in [(FORMAT - 1, "group.earlier-format-1"), (FORMAT + 1, "group.later-format-1")] {
+        for (format, name) in [
+            (FORMAT - 1, "group.earlier-format-1"),
+            (FORMAT + 1, "group.later-format-1"),
+        ] {
             let folder = tempfile::tempdir().expect("a folder");
             let database = Database::create(folder.path().join(FILE)).expect("begun");
             create_tables(&database, 1).expect("written");
             let write = database.begin_write().expect("begun");
-            write.open_table(METADATA).expect("opened").insert("format", format).expect("written");
+            write
+                .open_table(METADATA)
+                .expect("opened")
+                .insert("format", format)
+                .expect("written");
             write.commit().expect("written");
             drop(database);
             let (_, kept) = PeerStore::open(folder.path(), 1, 0, 1).expect("opened");
-            assert!(kept.is_none() && folder.path().join(name).exists(), "{name}");
+            assert!(
+                kept.is_none() && folder.path().join(name).exists(),
+                "{name}"
+            );
         }
     }
 
@@ -356,7 +436,10 @@
     fn what_was_kept_has_grown_older_by_the_time_that_nobody_ran() {
         const S: Micros = 1_000_000;
         let folder = tempfile::tempdir().expect("a folder");
-        let record = Record::Effect(Effect { taken: true, ..Effect::default() });
+        let record = Record::Effect(Effect {
+            taken: true,
+            ..Effect::default()
+        });
         let shared = Shared {
             record,
             origin: Default::default(),
@@ -366,9 +449,23 @@
         };
         // Choices are retained for longer than any invocation.
         let record = Record::Choice(Choice::default());
-        let choice = Shared { record, left: 600 * S, first_ago: None, proves_left: None, ..shared.clone() };
+        let choice = Shared {
+            record,
+            left: 600 * S,
+            first_ago: None,
+            proves_left: None,
+            ..shared.clone()
+        };
         let (store, _) = PeerStore::open(folder.path(), 1, 0, 60 * S).expect("opened");
-        store.write(1, 1, 1_000 * S, vec![(Key::from("t"), Some(shared)), (Key::from("c"), Some(choice))]);
+        store.write(
+            1,
+            1,
+            1_000 * S,
+            vec![
+                (Key::from("t"), Some(shared)),
+                (Key::from("c"), Some(choice)),
+            ],
+        );
         smol::block_on(store.write_finished());
         assert!(store.is_idle() && store.persisted_serial() == 1);
         // The writing thread holds the file until everything is written.
@@ -379,8 +476,13 @@
                 opened => break opened.expect("opened").1.expect("it was kept"),
             }
         };
-        let [(_, choice), (_, at)] = &restored.records[..] else { panic!("both records") };
+        let [(_, choice), (_, at)] = &restored.records[..] else {
+            panic!("both records")
+        };
         assert_eq!(choice.left, 600 * S - 20 * S);
-        assert_eq!((at.left, at.first_ago, at.proves_left), (30 * S, Some(21 * S), Some(10 * S)));
+        assert_eq!(
+            (at.left, at.first_ago, at.proves_left),
+            (30 * S, Some(21 * S), Some(10 * S))
+        );
     }
 }
--- a/crates/gateway/src/peer_transport.rs
+++ b/crates/gateway/src/peer_transport.rs
@@ -95,7 +95,9 @@
         while self.bytes.get() > MAX_QUEUED_BYTES {
             // Guards against a member that reads nothing, or is gone and not yet considered dead.
             let at = waiting.iter().position(|w| w.1).unwrap_or(0);
-            let Some((message, _)) = waiting.remove(at) else { break };
+            let Some((message, _)) = waiting.remove(at) else {
+                break;
+            };
             self.bytes.set(self.bytes.get() - message.len());
             self.count(|counts| counts.messages_dropped += 1);
         }
@@ -143,8 +145,16 @@
         local_address: Option<IpAddr>,
         addresses: Vec<SocketAddr>,
     ) -> Self {
-        let queues = addresses.iter().map(|_| [SendQueue::new(), SendQueue::new()]).collect();
-        PeerTransport { executor, local_address, addresses, queues }
+        let queues = addresses
+            .iter()
+            .map(|_| [SendQueue::new(), SendQueue::new()])
+            .collect();
+        PeerTransport {
+            executor,
+            local_address,
+            addresses,
+            queues,
+        }
     }
 
     /// The sums over all queues.
@@ -163,7 +173,9 @@
     pub fn run(self: &Rc<Self>, peers: &Rc<Peers>, own_index: MemberIx) {
         for to in (0..self.queues.len() as MemberIx).filter(|m| *m != own_index) {
             for queue_index in 0..2 {
-                self.executor.spawn(self.clone().send_loop(peers.clone(), to, queue_index)).detach();
+                self.executor
+                    .spawn(self.clone().send_loop(peers.clone(), to, queue_index))
+                    .detach();
             }
         }
     }
@@ -178,13 +190,18 @@
                 continue;
             }
             let count = messages.len() as u64;
-            if connection.as_ref().is_none_or(|(sender, _)| !sender.is_ready()) {
+            if connection
+                .as_ref()
+                .is_none_or(|(sender, _)| !sender.is_ready())
+            {
                 connection = self.open_connection(self.addresses[to as usize]).await;
             }
             let answered = match &mut connection {
                 None => None,
                 Some((sender, _)) => {
-                    let Ok(body) = postcard::to_stdvec(&peers.envelope(to, messages)).map(Bytes::from) else {
+                    let Ok(body) =
+                        postcard::to_stdvec(&peers.envelope(to, messages)).map(Bytes::from)
+                    else {
                         continue;
                     };
                     queue.count(|counts| {
@@ -199,7 +216,10 @@
                     // Refused envelopes are counted and logged by `Peers`.
                     let from = Some(self.addresses[to as usize].ip());
                     let _ = peers.receive(from, &answer).map(|replies| {
-                        replies.messages.into_iter().for_each(|message| queue.enqueue(message, false));
+                        replies
+                            .messages
+                            .into_iter()
+                            .for_each(|message| queue.enqueue(message, false));
                     });
                 }
                 None => {
@@ -214,8 +234,13 @@
         }
     }
 
-    async fn open_connection(&self, address: SocketAddr) -> Option<(SendRequest<Full<Bytes>>, Task<()>)> {
-        let stream = connect(address, self.local_address, CONNECT_TIMEOUT).await.ok()?;
+    async fn open_connection(
+        &self,
+        address: SocketAddr,
+    ) -> Option<(SendRequest<Full<Bytes>>, Task<()>)> {
+        let stream = connect(address, self.local_address, CONNECT_TIMEOUT)
+            .await
+            .ok()?;
         let (sender, connection) = handshake(FuturesIo::new(stream)).await.ok()?;
         let driver = self.executor.spawn(async move {
             // A failure shows in the next POST.
@@ -225,12 +250,23 @@
     }
 }
 
-async fn exchange(sender: &mut SendRequest<Full<Bytes>>, to: SocketAddr, body: Bytes) -> Option<Bytes> {
-    let request = Request::post(PATH).header("host", to.to_string()).body(Full::new(body)).ok()?;
+async fn exchange(
+    sender: &mut SendRequest<Full<Bytes>>,
+    to: SocketAddr,
+    body: Bytes,
+) -> Option<Bytes> {
+    let request = Request::post(PATH)
+        .header("host", to.to_string())
+        .body(Full::new(body))
+        .ok()?;
     let exchanged = async {
         let answer = sender.send_request(request).await.ok()?;
         let ok = answer.status() == StatusCode::OK;
-        let body = Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await.ok()?.to_bytes();
+        let body = Limited::new(answer.into_body(), MAX_BODY_BYTES)
+            .collect()
+            .await
+            .ok()?
+            .to_bytes();
         sender.ready().await.ok()?;
         ok.then_some(body)
     };
@@ -258,16 +294,27 @@
 ) -> Response<Full<Bytes>> {
     match (request.method(), request.uri().path()) {
         (&Method::POST, PATH) => {
-            let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await;
+            let body = Limited::new(request.into_body(), MAX_BODY_BYTES)
+                .collect()
+                .await;
             let Ok(body) = body.map(|b| b.to_bytes()) else {
-                return reply(StatusCode::PAYLOAD_TOO_LARGE, "text/plain", "larger than members say at once");
+                return reply(
+                    StatusCode::PAYLOAD_TOO_LARGE,
+                    "text/plain",
+                    "larger than members say at once",
+                );
             };
-            match peers.receive(from, &body).map(|answer| postcard::to_stdvec(&answer)) {
+            match peers
+                .receive(from, &body)
+                .map(|answer| postcard::to_stdvec(&answer))
+            {
                 Ok(Ok(answer)) => reply(StatusCode::OK, "application/octet-stream", answer),
                 Ok(Err(_)) => reply(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", ""),
-                Err(RefusalCause::Unreadable) => {
-                    reply(StatusCode::BAD_REQUEST, "text/plain", RefusalCause::Unreadable.to_string())
-                }
+                Err(RefusalCause::Unreadable) => reply(
+                    StatusCode::BAD_REQUEST,
+                    "text/plain",
+                    RefusalCause::Unreadable.to_string(),
+                ),
                 Err(cause) => reply(StatusCode::FORBIDDEN, "text/plain", cause.to_string()),
             }
         }
@@ -280,7 +327,9 @@
             "text/plain; version=0.0.4",
             state_endpoint::metrics(peers, transport.counts()),
         ),
-        (_, PATH | "/state" | "/metrics") => reply(StatusCode::METHOD_NOT_ALLOWED, "text/plain", ""),
+        (_, PATH | "/state" | "/metrics") => {
+            reply(StatusCode::METHOD_NOT_ALLOWED, "text/plain", "")
+        }
         _ => reply(StatusCode::NOT_FOUND, "text/plain", ""),
     }
 }
@@ -303,7 +352,8 @@
         }
         open_connections.set(open_connections.get() + 1);
         let _ = stream.get_ref().set_nodelay(true);
-        let (peers, serving, open_connections) = (peers.clone(), transport.clone(), open_connections.clone());
+        let (peers, serving, open_connections) =
+            (peers.clone(), transport.clone(), open_connections.clone());
         let served = async move {
             serve(stream, peers, serving).await;
             open_connections.set(open_connections.get() - 1);
@@ -319,7 +369,11 @@
         async move { Ok::<_, Infallible>(handle(&peers, &transport, from, request).await) }
     });
     let mut builder = http1::Builder::new();
-    builder.timer(SmolTimer::new()).header_read_timeout(micros(HEADER_TIMEOUT));
+    builder
+        .timer(SmolTimer::new())
+        .header_read_timeout(micros(HEADER_TIMEOUT));
     // However the connection ends, the other side notices it by itself.
-    let _ = builder.serve_connection(FuturesIo::new(stream), service).await;
+    let _ = builder
+        .serve_connection(FuturesIo::new(stream), service)
+        .await;
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -115,16 +115,29 @@
             suspected_for: settings.suspicion_timeout,
             seed: context.seed,
         };
-        let (turn, was_restored) = (restored.as_ref().map_or(0, |state| state.turn), restored.is_some());
+        let (turn, was_restored) = (
+            restored.as_ref().map_or(0, |state| state.turn),
+            restored.is_some(),
+        );
         let membership = Membership::new(now, group.clone(), terms, nonce, turn);
         let terms = replica::Terms {
             most_records: settings.max_records,
             catch_up_bytes_per_s: settings.catch_up_bytes_per_s,
             written: settings.state_folder.is_some(),
             without: disabled_guard,
-            ..replica::Terms::usual(settings.retention, settings.replication_timeout, context.seed)
+            ..replica::Terms::usual(
+                settings.retention,
+                settings.replication_timeout,
+                context.seed,
+            )
         };
-        let replica = Replica::new(now, group, terms, nonce, restored.map(|state| state.records));
+        let replica = Replica::new(
+            now,
+            group,
+            terms,
+            nonce,
+            restored.map(|state| state.records),
+        );
         let state = State {
             membership,
             believed: Believed::new(now, member_count, settings.belief_delay),
@@ -156,19 +169,54 @@
     /// Takes a request of the core to its group.
     pub fn request(&self, request: Ask) {
         let input = match request {
-            Ask::Take { key, need, redelivered } => {
+            Ask::Take {
+                key,
+                need,
+                redelivered,
+            } => {
                 let need = match need {
                     group::Need::Known => Need::Known,
                     group::Need::Held => Need::Held,
                 };
-                replica::Input::Take { key, need, redelivered }
-            }
-            Ask::Leave { key, sending, place, alone } => {
-                replica::Input::Intend { key, sending, place, alone }
+                replica::Input::Take {
+                    key,
+                    need,
+                    redelivered,
+                }
             }
-            Ask::Left { key, sending, place } => replica::Input::Left { key, sending, place },
-            Ask::Ended { key, sending, may_have_run } => replica::Input::Ended { key, sending, may_have_run },
-            Ask::Answered { key, answer } => replica::Input::Answered { key, answer: encode_answer(&answer) },
+            Ask::Leave {
+                key,
+                sending,
+                place,
+                alone,
+            } => replica::Input::Intend {
+                key,
+                sending,
+                place,
+                alone,
+            },
+            Ask::Left {
+                key,
+                sending,
+                place,
+            } => replica::Input::Left {
+                key,
+                sending,
+                place,
+            },
+            Ask::Ended {
+                key,
+                sending,
+                may_have_run,
+            } => replica::Input::Ended {
+                key,
+                sending,
+                may_have_run,
+            },
+            Ask::Answered { key, answer } => replica::Input::Answered {
+                key,
+                answer: encode_answer(&answer),
+            },
             Ask::Closed { key } => replica::Input::Closed { key },
             Ask::Dropped { key } => replica::Input::Dropped { key },
         };
@@ -187,7 +235,10 @@
     pub fn tick(&self) {
         let now = self.context.clock.now();
         let mut out = Vec::new();
-        self.state.borrow_mut().membership.handle(now, membership::Input::Tick, &mut out);
+        self.state
+            .borrow_mut()
+            .membership
+            .handle(now, membership::Input::Tick, &mut out);
         self.apply_membership(out);
         self.apply_replica(replica::Input::Tick);
     }
@@ -219,7 +270,10 @@
             }
         };
         let mut out = Vec::new();
-        self.state.borrow_mut().membership.came_from(now, from, process, &mut out);
+        self.state
+            .borrow_mut()
+            .membership
+            .came_from(now, from, process, &mut out);
         self.apply_membership(out);
         for message in envelope.messages {
             let Ok(message) = postcard::from_bytes::<PeerMessage>(&message) else {
@@ -229,8 +283,15 @@
             match message {
                 PeerMessage::Membership(message) => {
                     let mut out = Vec::new();
-                    let input = membership::Input::Heard { from, process, message };
-                    self.state.borrow_mut().membership.handle(now, input, &mut out);
+                    let input = membership::Input::Heard {
+                        from,
+                        process,
+                        message,
+                    };
+                    self.state
+                        .borrow_mut()
+                        .membership
+                        .handle(now, input, &mut out);
                     self.apply_membership(out);
                 }
                 PeerMessage::Replica(message) => {
@@ -243,19 +304,32 @@
                 }
             }
         }
-        let messages = self.state.borrow_mut().replies.take().map(|r| r.1).unwrap_or_default();
+        let messages = self
+            .state
+            .borrow_mut()
+            .replies
+            .take()
+            .map(|r| r.1)
+            .unwrap_or_default();
         Ok(self.envelope(from, messages))
     }
 
     /// Decodes an envelope that is of this group and for this member.
     fn decode(&self, bytes: &[u8]) -> Result<Envelope, Refusal> {
-        let unidentified =
-            Refusal { why: RefusalCause::Unreadable, version: None, from: None, address: None };
+        let unidentified = Refusal {
+            why: RefusalCause::Unreadable,
+            version: None,
+            from: None,
+            address: None,
+        };
         // All versions have the version in front, whatever follows it.
-        let Ok((version, _)) = postcard::take_from_bytes::<u16>(bytes) else { return Err(unidentified) };
+        let Ok((version, _)) = postcard::take_from_bytes::<u16>(bytes) else {
+            return Err(unidentified);
+        };
         let read = postcard::from_bytes::<Envelope>(bytes).ok();
         let of_group = read.as_ref().filter(|e| e.group == self.group_fingerprint);
-        let from = of_group.filter(|e| e.from != self.own_index && (e.from as usize) < self.members);
+        let from =
+            of_group.filter(|e| e.from != self.own_index && (e.from as usize) < self.members);
         let from = from.map(|e| (e.from, e.process.nonce));
         let why = match &read {
             _ if version != replica::VERSION => RefusalCause::Version,
@@ -264,7 +338,12 @@
             Some(e) if e.to != self.own_index || from.is_none() => RefusalCause::Member,
             Some(_) => return read.ok_or(unidentified),
         };
-        Err(Refusal { why, version: Some(version), from, address: None })
+        Err(Refusal {
+            why,
+            version: Some(version),
+            from,
+            address: None,
+        })
     }
 
     fn record_refusal(&self, now: Micros, refused: Refusal) {
@@ -280,7 +359,13 @@
             let members = &state.membership.group().members;
             let member = refused.from.map(|(m, _)| members[m as usize].name.as_str());
             let (version, address) = (refused.version, refused.address.map(|a| a.to_string()));
-            tracing::warn!(member, version, address, "group: refused: {}", refused.why.line());
+            tracing::warn!(
+                member,
+                version,
+                address,
+                "group: refused: {}",
+                refused.why.line()
+            );
         }
     }
 
@@ -325,18 +410,28 @@
             (
                 known,
                 state.membership.lives(member),
-                state.membership.group().members[member as usize].name.clone(),
+                state.membership.group().members[member as usize]
+                    .name
+                    .clone(),
             )
         };
         tracing::info!(member = name, standing = ?known.standing, why = ?known.why, turn = known.process.turn, "group");
-        self.apply_replica(replica::Input::Member { member, nonce: known.process.nonce, alive });
+        self.apply_replica(replica::Input::Member {
+            member,
+            nonce: known.process.nonce,
+            alive,
+        });
         self.update_believed(now);
     }
 
     fn update_believed(&self, now: Micros) {
         let changed = {
             let mut state = self.state.borrow_mut();
-            let State { membership, believed, .. } = &mut *state;
+            let State {
+                membership,
+                believed,
+                ..
+            } = &mut *state;
             let changed = believed.see(now, |m| membership.lives(m));
             if changed {
                 tracing::info!(alive = ?believed.alive(), version = believed.version(), "group: believed alive");
@@ -351,7 +446,9 @@
 
     fn send(&self, to: MemberIx, message: PeerMessage, bulk: bool, recoverable: bool) {
         // Encoding these types cannot fail.
-        let Ok(message) = postcard::to_stdvec(&message).map(Bytes::from) else { return };
+        let Ok(message) = postcard::to_stdvec(&message).map(Bytes::from) else {
+            return;
+        };
         if let Some((asker, replies)) = self.state.borrow_mut().replies.as_mut()
             && *asker == to
         {
@@ -382,7 +479,9 @@
                         .borrow_mut()
                         .push_back(Notification::Core(Told::Leave { sending, left }));
                 }
-                replica::Output::Whole => tracing::info!("group: this router remembers enough to vote"),
+                replica::Output::Whole => {
+                    tracing::info!("group: this router remembers enough to vote")
+                }
                 replica::Output::Decided { key, outcome } => {
                     self.queue_event(PeerEvent::Decided(key, outcome))
                 }
@@ -392,7 +491,10 @@
         let (due, urgent) = {
             let state = self.state.borrow();
             let members = state.membership.next_due().min(state.believed.next_due());
-            (members.min(state.replica.next_due()), state.replica.awaits_folder())
+            (
+                members.min(state.replica.next_due()),
+                state.replica.awaits_folder(),
+            )
         };
         self.alarm.set(due);
         if urgent {
@@ -409,7 +511,11 @@
 
     /// The sections added with [`Peers::add_state_provider`], evaluated now.
     pub fn provided_state(&self) -> Vec<(&'static str, serde_json::Value)> {
-        self.state_providers.borrow().iter().map(|(name, provider)| (*name, provider())).collect()
+        self.state_providers
+            .borrow()
+            .iter()
+            .map(|(name, provider)| (*name, provider()))
+            .collect()
     }
 
     fn convert_verdict(&self, verdict: replica::Verdict) -> group::Verdict {
@@ -456,7 +562,10 @@
     /// Refused envelopes in the name of this member or, without one, of all senders that cannot be
     /// identified. JSON null if there are none.
     pub fn refusals(&self, member: Option<MemberIx>) -> serde_json::Value {
-        self.state.borrow().unknown_members.state(self.context.clock.now(), member)
+        self.state
+            .borrow()
+            .unknown_members
+            .state(self.context.clock.now(), member)
     }
 
     /// Gives access to the state for reading: time, membership, believed members, records, counts, and
@@ -466,7 +575,21 @@
         inspect: impl FnOnce(Micros, &Membership, &Believed, &Replica, &Counts, bool) -> R,
     ) -> R {
         let state = self.state.borrow();
-        let State { membership, believed, replica, counts, store_was_older, .. } = &*state;
-        inspect(self.context.clock.now(), membership, believed, replica, counts, *store_was_older)
+        let State {
+            membership,
+            believed,
+            replica,
+            counts,
+            store_was_older,
+            ..
+        } = &*state;
+        inspect(
+            self.context.clock.now(),
+            membership,
+            believed,
+            replica,
+            counts,
+            *store_was_older,
+        )
     }
 }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -47,13 +47,21 @@
 }
 
 impl AsyncRead for CountingStream {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
 impl AsyncWrite for CountingStream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(n)) = polled {
             self.written.set(self.written.get() + n as u64);
@@ -108,7 +116,12 @@
 /// The input of the ending table for an exchange about this function.
 pub fn ending_of<'a>(result: &'a Result<Reply, ExchangeError>, function: &'a str) -> Ended<'a> {
     match result {
-        Ok(r) => Ended::Answered { status: r.status, headers: &r.headers, body: &r.body, function },
+        Ok(r) => Ended::Answered {
+            status: r.status,
+            headers: &r.headers,
+            body: &r.body,
+            function,
+        },
         Err(ExchangeError::NoConnection) => Ended::NoConnection,
         Err(ExchangeError::NoRoom) => Ended::NoRoom,
         Err(ExchangeError::HeldBack) => Ended::Broke { left: false },
@@ -147,14 +160,22 @@
             return None;
         }
         *count += 1;
-        Some(RequestSlot { pool, worker, is_order })
+        Some(RequestSlot {
+            pool,
+            worker,
+            is_order,
+        })
     }
 }
 
 impl Drop for RequestSlot<'_> {
     fn drop(&mut self) {
         if let Some(connections) = self.pool.workers.borrow_mut().get_mut(&self.worker) {
-            let count = if self.is_order { &mut connections.orders } else { &mut connections.requests };
+            let count = if self.is_order {
+                &mut connections.orders
+            } else {
+                &mut connections.requests
+            };
             *count = count.saturating_sub(1);
         }
     }
@@ -163,7 +184,13 @@
 impl Pool {
     /// A pool without connections.
     pub fn new(executor: Rc<LocalExecutor<'static>>, clock: Clock, settings: PoolSettings) -> Self {
-        Pool { executor, clock, settings, workers: RefCell::default(), dispatches: RefCell::default() }
+        Pool {
+            executor,
+            clock,
+            settings,
+            workers: RefCell::default(),
+            dispatches: RefCell::default(),
+        }
     }
 
     /// Keeps the task of a dispatch, so that it can be cancelled.
@@ -191,27 +218,45 @@
         let mut closed = Vec::new();
         for connections in self.workers.borrow_mut().values_mut() {
             closed.extend(
-                connections.idle.extract_if(.., |(c, since)| *since < cutoff || c.sender.is_closed()),
+                connections
+                    .idle
+                    .extract_if(.., |(c, since)| *since < cutoff || c.sender.is_closed()),
             );
         }
         drop(closed);
         let in_use = |l: &WorkerConnections| !l.idle.is_empty() || l.requests > 0 || l.orders > 0;
-        self.workers.borrow_mut().retain(|_, connections| in_use(connections));
+        self.workers
+            .borrow_mut()
+            .retain(|_, connections| in_use(connections));
     }
 
     async fn open(&self, address: SocketAddr) -> Option<Connection> {
-        let stream =
-            connect(address, self.settings.local_address, self.settings.connect_timeout).await.ok()?;
+        let stream = connect(
+            address,
+            self.settings.local_address,
+            self.settings.connect_timeout,
+        )
+        .await
+        .ok()?;
         let written = Rc::new(Cell::new(0));
-        let io = FuturesIo::new(CountingStream { stream, written: written.clone() });
+        let io = FuturesIo::new(CountingStream {
+            stream,
+            written: written.clone(),
+        });
         let mut builder = Builder::new();
-        builder.max_buf_size(MAX_HEAD_BYTES).max_headers(MAX_HEADERS);
+        builder
+            .max_buf_size(MAX_HEAD_BYTES)
+            .max_headers(MAX_HEADERS);
         let (sender, connection) = builder.handshake(io).await.ok()?;
         let _driver = self.executor.spawn(async move {
             // A failure is reported to whoever waits on the sender.
             let _ = connection.await;
         });
-        Some(Connection { sender, _driver, written })
+        Some(Connection {
+            sender,
+            _driver,
+            written,
+        })
     }
 
     /// Sends one request and reads its whole answer. `may_send` is asked last, right before the first byte:
@@ -226,7 +271,10 @@
         let _slot = RequestSlot::acquire(self, address, is_order).ok_or(ExchangeError::NoRoom)?;
         let mut connection = match self.take_idle(address) {
             Some(connection) => connection,
-            None => self.open(address).await.ok_or(ExchangeError::NoConnection)?,
+            None => self
+                .open(address)
+                .await
+                .ok_or(ExchangeError::NoConnection)?,
         };
         if !may_send() {
             return Err(ExchangeError::HeldBack);
@@ -250,7 +298,9 @@
         let mut chunks: Vec<Bytes> = Vec::new();
         let mut size = 0;
         while let Some(frame) = body.frame().await {
-            let Ok(frame) = frame else { return Err(ExchangeError::Garbled) };
+            let Ok(frame) = frame else {
+                return Err(ExchangeError::Garbled);
+            };
             if let Ok(data) = frame.into_data() {
                 size += data.len();
                 if size > max_bytes {
@@ -259,13 +309,21 @@
                 chunks.push(data);
             }
         }
-        let body = if chunks.len() == 1 { chunks.swap_remove(0) } else { Bytes::from(chunks.concat()) };
+        let body = if chunks.len() == 1 {
+            chunks.swap_remove(0)
+        } else {
+            Bytes::from(chunks.concat())
+        };
         if connection.sender.ready().await.is_ok()
             && let Some(connections) = self.workers.borrow_mut().get_mut(&address)
         {
             connections.idle.push((connection, self.clock.now()));
         }
-        Ok(Reply { status: head.status, headers: head.headers, body })
+        Ok(Reply {
+            status: head.status,
+            headers: head.headers,
+            body,
+        })
     }
 
     /// The connection used last, as it is the least likely to have been closed.
@@ -295,6 +353,8 @@
             async_io::Timer::after(micros(within)).await;
             Err(ExchangeError::Interrupted { sent: true })
         };
-        self.exchange(address, request, true, || true).or(timeout).await
+        self.exchange(address, request, true, || true)
+            .or(timeout)
+            .await
     }
 }
--- a/crates/gateway/src/reconciliation.rs
+++ b/crates/gateway/src/reconciliation.rs
@@ -18,8 +18,8 @@
 use cedarpulley_kserve::{index, requests};
 use cedarpulley_net::Alarm;
 use cedarpulley_reconcile::{
-    Cause, Change, Claims, Entry, Input as ReconcilerInput, Kind, Observation, Output as ReconcilerOutput,
-    Reconciler, Seat, Terms,
+    Cause, Change, Claims, Entry, Input as ReconcilerInput, Kind, Observation,
+    Output as ReconcilerOutput, Reconciler, Seat, Terms,
 };
 use cedarpulley_router::Input;
 use cedarpulley_router::roster::{Listed, News as ListNews};
@@ -67,12 +67,17 @@
 impl State {
     /// Logs reports just taken in, for tests that count rounds.
     fn log_observations(&mut self) {
-        let Some(logged) = &mut self.logged_words else { return };
+        let Some(logged) = &mut self.logged_words else {
+            return;
+        };
         for (worker, began, said) in self.reconciler.observed() {
             if logged.insert(worker.clone(), began) == Some(began) {
                 continue;
             }
-            let said = said.entries.iter().map(|e| (&*e.function, e.copies, e.loading));
+            let said = said
+                .entries
+                .iter()
+                .map(|e| (&*e.function, e.copies, e.loading));
             let said = Value::from_iter(said.map(|(f, n, loading)| json!([f, n, loading])));
             tracing::info!(worker = &**worker, at = began, said = %said, "meddled: heard");
         }
@@ -117,10 +122,18 @@
         kinds_mb: Vec<f64>,
     ) -> Rc<Reconciliation> {
         // The name within the group, if there is one: load orders carry the same name.
-        let member =
-            shared.as_ref().and_then(|s| s.members().get(s.own_index() as usize).map(|f| f.name.clone()));
+        let member = shared.as_ref().and_then(|s| {
+            s.members()
+                .get(s.own_index() as usize)
+                .map(|f| f.name.clone())
+        });
         let me: Arc<str> = Arc::from(member.unwrap_or_else(|| context.name.clone()));
-        let ReconcileSettings { interval, grace_period, queries_per_s, repairs_per_s } = settings;
+        let ReconcileSettings {
+            interval,
+            grace_period,
+            queries_per_s,
+            repairs_per_s,
+        } = settings;
         let now = context.clock.now();
         // A separate seed: the module's draws are the same with and without reconciliation.
         let seed = context.seed ^ 0x7ec0;
@@ -194,11 +207,20 @@
 
     /// Calls `each` for the last report of each worker: since when it holds (microseconds), and the worker's
     /// memory in MB, 0 if unknown.
-    pub fn observed<R>(&self, mut each: impl FnMut(&Arc<str>, Micros, f64, &Observation) -> R) -> Vec<R> {
+    pub fn observed<R>(
+        &self,
+        mut each: impl FnMut(&Arc<str>, Micros, f64, &Observation) -> R,
+    ) -> Vec<R> {
         let state = self.state.borrow();
         let seen = state.reconciler.observed();
-        let seen =
-            seen.map(|(w, at, said)| each(w, at, state.memory_mb.get(&**w).copied().unwrap_or(0.0), said));
+        let seen = seen.map(|(w, at, said)| {
+            each(
+                w,
+                at,
+                state.memory_mb.get(&**w).copied().unwrap_or(0.0),
+                said,
+            )
+        });
         seen.collect()
     }
 
@@ -210,7 +232,11 @@
         if state.reconciler.under_way(worker, function) {
             return false;
         }
-        let input = ReconcilerInput::Believes { worker, function, change: Change::Spoilt { copies } };
+        let input = ReconcilerInput::Believes {
+            worker,
+            function,
+            change: Change::Spoilt { copies },
+        };
         state.reconciler.handle(now, input, &mut Vec::new());
         tracing::info!(worker, function, copies, at = now, "meddled: spoilt");
         true
@@ -228,7 +254,10 @@
 
     /// This router has recently used copies there, and has not heard since that they are gone.
     pub fn used_lately(&self, worker: &str, function: &str) -> bool {
-        self.state.borrow().reconciler.used_lately(self.context.clock.now(), worker, function)
+        self.state
+            .borrow()
+            .reconciler
+            .used_lately(self.context.clock.now(), worker, function)
     }
 
     /// An event of the worker list, before the core receives it.
@@ -243,7 +272,9 @@
             _ => &[],
         };
         for entry in slices.iter().flat_map(|s| &s.entries) {
-            state.start_marks.insert(entry.worker.address.clone(), entry.start_mark.clone());
+            state
+                .start_marks
+                .insert(entry.worker.address.clone(), entry.start_mark.clone());
         }
     }
 
@@ -268,7 +299,10 @@
         self.forget_departed_workers();
         let seats = self.seats();
         let ids = seats.iter().map(|s| &s.id);
-        let new: Vec<Arc<str>> = ids.filter(|id| self.worker_of(id).is_none()).cloned().collect();
+        let new: Vec<Arc<str>> = ids
+            .filter(|id| self.worker_of(id).is_none())
+            .cloned()
+            .collect();
         self.apply(ReconcilerInput::Workers(seats));
         // Notes of other members from before these workers were on the list here.
         for key in new.iter().map(|id| format!("{NOTE_PREFIX}{id}")) {
@@ -282,9 +316,13 @@
     /// names here.
     fn forget_departed_workers(&self) {
         let (listing, mut state) = (self.listing.borrow(), self.state.borrow_mut());
-        state.memory_mb.retain(|address, _| listing.contains_key(&**address));
+        state
+            .memory_mb
+            .retain(|address, _| listing.contains_key(&**address));
         if state.start_marks.len() > 2 * listing.len().max(MAX_DEPARTED_MARKS) {
-            state.start_marks.retain(|address, _| listing.contains_key(&**address));
+            state
+                .start_marks
+                .retain(|address, _| listing.contains_key(&**address));
         }
     }
 
@@ -293,9 +331,17 @@
         let seat = |(address, worker): (&Arc<str>, &Listed)| {
             let mark = state.start_marks.get(&**address).filter(|m| !m.is_empty());
             let id = mark.map_or(address.clone(), |m| Arc::from(m.as_str()));
-            let by_kind = self.kinds_mb.get(worker.kind as usize).copied().unwrap_or(0.0);
+            let by_kind = self
+                .kinds_mb
+                .get(worker.kind as usize)
+                .copied()
+                .unwrap_or(0.0);
             let memory_mb = state.memory_mb.get(&**address).copied().unwrap_or(by_kind);
-            Seat { worker: address.clone(), id, memory_mb }
+            Seat {
+                worker: address.clone(),
+                id,
+                memory_mb,
+            }
         };
         self.listing.borrow().iter().map(seat).collect()
     }
@@ -343,7 +389,9 @@
         let mut out = Vec::new();
         let due = {
             let mut state = self.state.borrow_mut();
-            state.reconciler.handle(self.context.clock.now(), input, &mut out);
+            state
+                .reconciler
+                .handle(self.context.clock.now(), input, &mut out);
             state.log_observations();
             let clock = if self.shared.is_some() {
                 state.last_published_at.saturating_add(self.interval)
@@ -363,26 +411,55 @@
                 let query = async move { this.query(&worker).await };
                 self.context.executor.spawn(query).detach();
             }
-            ReconcilerOutput::Held { worker, function, copies } => {
-                self.context.feed(Input::Held { worker, function, copies });
+            ReconcilerOutput::Held {
+                worker,
+                function,
+                copies,
+            } => {
+                self.context.feed(Input::Held {
+                    worker,
+                    function,
+                    copies,
+                });
             }
             // Guards against a loop: a copy unloaded by an upgrade plan must not be taken for lost and loaded
             // again.
             ReconcilerOutput::Want { function, .. }
-                if self.plan_check.borrow().as_ref().is_some_and(|t| t(&function)) => {}
+                if self
+                    .plan_check
+                    .borrow()
+                    .as_ref()
+                    .is_some_and(|t| t(&function)) => {}
             ReconcilerOutput::Want { worker, function } => {
                 let like = function.clone();
-                self.context.feed(Input::Wanted { worker, function, like, term: None });
+                self.context.feed(Input::Wanted {
+                    worker,
+                    function,
+                    like,
+                    term: None,
+                });
             }
-            ReconcilerOutput::Unload { worker, function, term } => {
+            ReconcilerOutput::Unload {
+                worker,
+                function,
+                term,
+            } => {
                 tracing::info!(
                     worker = &*worker,
                     function = &*function,
                     "reconcile: unloaded, as nobody claims it"
                 );
-                self.context.feed(Input::Unwanted { worker, function, term });
+                self.context.feed(Input::Unwanted {
+                    worker,
+                    function,
+                    term,
+                });
             }
-            ReconcilerOutput::PrefixLost { worker, function, sessions } => {
+            ReconcilerOutput::PrefixLost {
+                worker,
+                function,
+                sessions,
+            } => {
                 if let Some(listener) = &*self.prefix_loss_listener.borrow() {
                     listener(&worker, &function, &sessions);
                 }
@@ -420,17 +497,34 @@
         match read {
             Ok(index) => {
                 if index.memory_mb > 0.0 {
-                    let before = self.state.borrow_mut().memory_mb.insert(worker.to_owned(), index.memory_mb);
+                    let before = self
+                        .state
+                        .borrow_mut()
+                        .memory_mb
+                        .insert(worker.to_owned(), index.memory_mb);
                     if before != Some(index.memory_mb) {
                         self.apply(ReconcilerInput::Workers(self.seats()));
                     }
                 }
                 let observation = observation_of(index);
-                let functions: Vec<Arc<str>> =
-                    observation.entries.iter().map(|e| e.function.clone()).collect();
-                let claims = self.claims_provider.borrow().as_ref().map(|claimed| claimed(&functions));
-                claims.into_iter().for_each(|claims| self.apply(ReconcilerInput::Claims(claims)));
-                self.apply(ReconcilerInput::Said { worker, began, observation });
+                let functions: Vec<Arc<str>> = observation
+                    .entries
+                    .iter()
+                    .map(|e| e.function.clone())
+                    .collect();
+                let claims = self
+                    .claims_provider
+                    .borrow()
+                    .as_ref()
+                    .map(|claimed| claimed(&functions));
+                claims
+                    .into_iter()
+                    .for_each(|claims| self.apply(ReconcilerInput::Claims(claims)));
+                self.apply(ReconcilerInput::Said {
+                    worker,
+                    began,
+                    observation,
+                });
             }
             Err(no) => {
                 tracing::warn!(worker, cause = no.line(), "reconcile");
@@ -452,5 +546,9 @@
         term: m.term.map(arc),
         sequences: m.sequences.map(|ids| ids.into_iter().map(arc).collect()),
     };
-    Observation { life: index.life, entries: index.models.into_iter().map(entry).collect(), cut: index.cut }
+    Observation {
+        life: index.life,
+        entries: index.models.into_iter().map(entry).collect(),
+        cut: index.cut,
+    }
 }
--- a/crates/gateway/src/reconciliation_notes.rs
+++ b/crates/gateway/src/reconciliation_notes.rs
@@ -58,7 +58,9 @@
     pub(crate) fn update_members(self: &Rc<Self>) {
         let Some(shared) = &self.shared else { return };
         let alive = shared.members().into_iter().filter(|m| m.alive);
-        self.apply(ReconcilerInput::Members(alive.map(|m| Arc::from(m.name)).collect()));
+        self.apply(ReconcilerInput::Members(
+            alive.map(|m| Arc::from(m.name)).collect(),
+        ));
     }
 
     pub(crate) fn publish(&self, key: String, version: (u64, u64), payload: Vec<u8>) {
@@ -67,29 +69,57 @@
         let note = {
             let mut state = self.state.borrow_mut();
             state.last_published_at = now;
-            let clocks = state.clocks.iter().map(|(m, c)| (m.clone(), c.process, c.remote, now - c.local));
+            let clocks = state
+                .clocks
+                .iter()
+                .map(|(m, c)| (m.clone(), c.process, c.remote, now - c.local));
             let (from, clocks) = (self.me.to_string(), clocks.collect());
-            Note { from, process: self.process, sent_at: now, clocks, payload }
+            Note {
+                from,
+                process: self.process,
+                sent_at: now,
+                clocks,
+                payload,
+            }
+        };
+        let Ok(value) = postcard::to_stdvec(&note) else {
+            return;
         };
-        let Ok(value) = postcard::to_stdvec(&note) else { return };
-        shared.note(Arc::from(key), version, Bytes::from(value), self.interval * RETENTION_INTERVALS);
+        shared.note(
+            Arc::from(key),
+            version,
+            Bytes::from(value),
+            self.interval * RETENTION_INTERVALS,
+        );
     }
 
     /// A member that queries nobody publishes nothing else, and would never learn how old the notes of others
     /// can be.
     pub(crate) fn publish_clock_if_due(&self) {
         let now = self.context.clock.now();
-        if self.shared.is_some() && self.state.borrow().last_published_at.saturating_add(self.interval) <= now
+        if self.shared.is_some()
+            && self
+                .state
+                .borrow()
+                .last_published_at
+                .saturating_add(self.interval)
+                <= now
         {
             let key = format!("{CLOCK_PREFIX}{}", self.me);
             // Above that of an earlier process, whatever its clock was.
-            let before = self.shared.as_ref().and_then(|s| s.latest_note(&key)).map_or(0, |n| n.version.0);
+            let before = self
+                .shared
+                .as_ref()
+                .and_then(|s| s.latest_note(&key))
+                .map_or(0, |n| n.version.0);
             self.publish(key, (before + 1, 0), Vec::new());
         }
     }
 
     pub(crate) fn note_received(self: &Rc<Self>, key: &str, version: (u64, u64), value: &[u8]) {
-        let Ok(note) = postcard::from_bytes::<Note>(value) else { return };
+        let Ok(note) = postcard::from_bytes::<Note>(value) else {
+            return;
+        };
         if *note.from == *self.me && note.process == self.process {
             return;
         }
@@ -97,20 +127,37 @@
         let mut transit = UNKNOWN_TRANSIT;
         {
             let mut state = self.state.borrow_mut();
-            if let Some((_, _, local, ago)) =
-                note.clocks.iter().find(|c| *c.0 == *self.me && c.1 == self.process)
+            if let Some((_, _, local, ago)) = note
+                .clocks
+                .iter()
+                .find(|c| *c.0 == *self.me && c.1 == self.process)
             {
-                transit = now.saturating_sub(*local).saturating_sub(*ago).clamp(0, UNKNOWN_TRANSIT);
+                transit = now
+                    .saturating_sub(*local)
+                    .saturating_sub(*ago)
+                    .clamp(0, UNKNOWN_TRANSIT);
             }
             let known = state.clocks.get(&note.from);
             let newer = known.is_none_or(|c| c.process != note.process || c.remote < note.sent_at);
             if newer && (known.is_some() || state.clocks.len() < MAX_CLOCKS) {
-                let clock = PeerClock { process: note.process, remote: note.sent_at, local: now };
+                let clock = PeerClock {
+                    process: note.process,
+                    remote: note.sent_at,
+                    local: now,
+                };
                 state.clocks.insert(note.from, clock);
             }
         }
-        if let Some(id) = key.strip_prefix(NOTE_PREFIX).filter(|_| !note.payload.is_empty()) {
-            self.apply(ReconcilerInput::Noted { id, version, transit, value: &note.payload });
+        if let Some(id) = key
+            .strip_prefix(NOTE_PREFIX)
+            .filter(|_| !note.payload.is_empty())
+        {
+            self.apply(ReconcilerInput::Noted {
+                id,
+                version,
+                transit,
+                value: &note.payload,
+            });
         }
     }
 }
--- a/crates/gateway/src/reconciliation_observer.rs
+++ b/crates/gateway/src/reconciliation_observer.rs
@@ -20,12 +20,19 @@
 
 impl CoreObserver {
     pub(crate) fn new(reconciliation: Rc<Reconciliation>) -> Self {
-        CoreObserver { reconciliation, open: Vec::new() }
+        CoreObserver {
+            reconciliation,
+            open: Vec::new(),
+        }
     }
 
     fn change(&self, now: Micros, worker: Option<&str>, function: Option<&str>, change: Change) {
         if let (Some(worker), Some(function)) = (worker, function) {
-            let input = ReconcilerInput::Believes { worker, function, change };
+            let input = ReconcilerInput::Believes {
+                worker,
+                function,
+                change,
+            };
             let mut state = self.reconciliation.state.borrow_mut();
             if state.logged_words.is_some() {
                 tracing::info!(worker, function, "meddled: changed");
@@ -36,7 +43,10 @@
     }
 
     fn function(&self, inv: InvIx) -> (u32, f64) {
-        self.open.get(inv as usize).copied().unwrap_or((u32::MAX, 0.0))
+        self.open
+            .get(inv as usize)
+            .copied()
+            .unwrap_or((u32::MAX, 0.0))
     }
 }
 
@@ -63,23 +73,38 @@
             Event::DispatchEnded(e) => {
                 let (func, copy_mb) = self.function(e.inv);
                 let (stands, found) = copy_evidence(e.outcome, e.note);
-                let ended = Change::Ended { stands, found, copy_mb };
+                let ended = Change::Ended {
+                    stands,
+                    found,
+                    copy_mb,
+                };
                 self.change(now, names.worker(e.worker), names.function(func), ended);
             }
-            Event::OrderEnded { worker, func, result, copies, .. } => {
+            Event::OrderEnded {
+                worker,
+                func,
+                result,
+                copies,
+                ..
+            } => {
                 let stands = match result {
                     OrderResult::Stand => Some(*copies > 0),
                     OrderResult::NoRoom | OrderResult::LoadErrored => Some(*copies > 0),
                     OrderResult::Broken | OrderResult::Unreachable | OrderResult::TimedOut => None,
                 };
-                let ended = Change::OrderEnded { stands, copies: (*copies > 0).then_some(*copies) };
+                let ended = Change::OrderEnded {
+                    stands,
+                    copies: (*copies > 0).then_some(*copies),
+                };
                 self.change(now, names.worker(*worker), names.function(*func), ended);
             }
             _ => {}
         }
         for action in actions {
             let (worker, func, change) = match action {
-                Action::Dispatch { inv, worker, .. } => (*worker, self.function(*inv).0, Change::Sent),
+                Action::Dispatch { inv, worker, .. } => {
+                    (*worker, self.function(*inv).0, Change::Sent)
+                }
                 Action::Order { worker, func, .. } => (*worker, *func, Change::Ordered),
                 Action::Unload { worker, func } => (*worker, *func, Change::Unloaded),
                 _ => continue,
@@ -96,7 +121,10 @@
 
     fn used(&mut self, now: Micros, u: Used) {
         if let (Some(id), By::Dispatch(Outcome::Succeeded, _)) = (u.session, u.by) {
-            let change = Change::Session { id: Arc::from(id), over: u.ends };
+            let change = Change::Session {
+                id: Arc::from(id),
+                over: u.ends,
+            };
             self.change(now, Some(u.worker_name), Some(u.function), change);
         }
     }
--- a/crates/gateway/src/request_handling.rs
+++ b/crates/gateway/src/request_handling.rs
@@ -97,13 +97,19 @@
 impl Drop for OpenRequest {
     fn drop(&mut self) {
         let (handler, client) = (&self.handler, &self.client);
-        handler.open_requests.set(handler.open_requests.get().saturating_sub(1));
+        handler
+            .open_requests
+            .set(handler.open_requests.get().saturating_sub(1));
         client.open.set(client.open.get().saturating_sub(1));
         if client.open.get() == 0 {
-            handler.connections.set(handler.connections.get().saturating_sub(1));
+            handler
+                .connections
+                .set(handler.connections.get().saturating_sub(1));
         }
         handler.waiting.borrow_mut().remove(&self.delivery.tag);
-        client.abandoned.set(client.abandoned.get() << 1 | u32::from(!self.answered));
+        client
+            .abandoned
+            .set(client.abandoned.get() << 1 | u32::from(!self.answered));
         if !self.answered {
             client.last_abandoned_at.set(handler.context.clock.now());
         }
@@ -113,7 +119,11 @@
         };
         // Not called directly: a drop may happen while the core is running.
         let context = handler.context.clone();
-        handler.context.executor.spawn(async move { context.feed(input) }).detach();
+        handler
+            .context
+            .executor
+            .spawn(async move { context.feed(input) })
+            .detach();
     }
 }
 
@@ -136,7 +146,11 @@
 }
 
 /// Reads a whole body of up to `limit` bytes; `first` are the bytes already read.
-pub(crate) async fn read_body(mut body: Incoming, first: Bytes, max_bytes: u64) -> Result<Bytes, BodyError> {
+pub(crate) async fn read_body(
+    mut body: Incoming,
+    first: Bytes,
+    max_bytes: u64,
+) -> Result<Bytes, BodyError> {
     with_body_timeout(async {
         let mut size = first.len() as u64;
         let mut chunks = vec![first];
@@ -156,7 +170,10 @@
             }
         }
         Ok(match chunks.iter().filter(|p| !p.is_empty()).count() {
-            1 => chunks.into_iter().find(|p| !p.is_empty()).unwrap_or_default(),
+            1 => chunks
+                .into_iter()
+                .find(|p| !p.is_empty())
+                .unwrap_or_default(),
             _ => Bytes::from(chunks.concat()),
         })
     })
@@ -193,24 +210,37 @@
 ) -> Result<Taken, Misunderstood> {
     let context = &handler.context;
     let metadata = serving::wanted(headers, context.clock.wall())?;
-    let unknown = |field, what: &str| Misunderstood { field, cause: format!("'{what}' is unknown") };
+    let unknown = |field, what: &str| Misunderstood {
+        field,
+        cause: format!("'{what}' is unknown"),
+    };
     let trigger = context.names.trigger(&metadata.kind);
     let trigger = trigger.ok_or_else(|| unknown("cedarpulley-trigger-type", &metadata.kind))?;
     let claimed = context.names.account(metadata.account.as_deref());
-    let claimed = claimed
-        .ok_or_else(|| unknown("cedarpulley-account", metadata.account.as_deref().unwrap_or_default()))?;
+    let claimed = claimed.ok_or_else(|| {
+        unknown(
+            "cedarpulley-account",
+            metadata.account.as_deref().unwrap_or_default(),
+        )
+    })?;
     let account = match client.account() {
         None => claimed,
         Some(own) if metadata.account.is_none() || claimed == own => own,
         Some(_) => {
             let cause = "is not the one that the client's certificate speaks for".to_owned();
-            return Err(Misunderstood { field: "cedarpulley-account", cause });
+            return Err(Misunderstood {
+                field: "cedarpulley-account",
+                cause,
+            });
         }
     };
     Ok(Taken {
         delivery: handler.delivery(),
         identity: None,
-        mark: headers.get(REQUEST_ID).and_then(|v| v.to_str().ok()).map(Arc::from),
+        mark: headers
+            .get(REQUEST_ID)
+            .and_then(|v| v.to_str().ok())
+            .map(Arc::from),
         redelivered: false,
         repeat: metadata.repeat,
         trigger,
@@ -227,7 +257,10 @@
         named: None,
         prefers: None,
         refused: None,
-        body: Payload { bytes: Bytes::new(), first: metadata.json },
+        body: Payload {
+            bytes: Bytes::new(),
+            first: metadata.json,
+        },
     })
 }
 
@@ -239,8 +272,14 @@
     if !handler.context.tracks_sessions {
         return Ok(None);
     }
-    let json = body.first.map_or(&body.bytes[..], |n| body.bytes.get(..n as usize).unwrap_or_default());
-    let of = |s: sequences::Sequence| Session { id: Arc::from(s.id), start: s.start, end: s.end };
+    let json = body.first.map_or(&body.bytes[..], |n| {
+        body.bytes.get(..n as usize).unwrap_or_default()
+    });
+    let of = |s: sequences::Sequence| Session {
+        id: Arc::from(s.id),
+        start: s.start,
+        end: s.end,
+    };
     Ok(sequences::of(json)?.map(of))
 }
 
@@ -248,7 +287,10 @@
     /// Hands the request to the core and waits for its answer; absent only by a defect of the core.
     pub async fn answer(mut self, mut taken: Taken) -> Option<(Answer, UnreadAnswer)> {
         let (answers, answered) = bounded(1);
-        self.handler.waiting.borrow_mut().insert(self.delivery.tag, answers);
+        self.handler
+            .waiting
+            .borrow_mut()
+            .insert(self.delivery.tag, answers);
         taken.waited += self.handler.context.clock.now() - self.began;
         self.handler.context.feed(Input::Taken(taken));
         let answer = answered.recv().await.ok()?;
@@ -267,22 +309,33 @@
 
 impl UnreadAnswer {
     fn begin(handler: &Rc<RequestHandler>, client: &Rc<ClientConnection>, bytes: usize) -> Self {
-        handler.resources.unread_bytes.set(handler.resources.unread_bytes.get() + bytes as u64);
+        handler
+            .resources
+            .unread_bytes
+            .set(handler.resources.unread_bytes.get() + bytes as u64);
         client.unread.set(client.unread.get() + 1);
-        UnreadAnswer { resources: handler.resources.clone(), client: client.clone(), bytes: bytes as u64 }
+        UnreadAnswer {
+            resources: handler.resources.clone(),
+            client: client.clone(),
+            bytes: bytes as u64,
+        }
     }
 
     fn delivered(&mut self, bytes: usize) {
         let delivered = self.bytes.min(bytes as u64);
         self.bytes -= delivered;
-        self.resources.unread_bytes.set(self.resources.unread_bytes.get().saturating_sub(delivered));
+        self.resources
+            .unread_bytes
+            .set(self.resources.unread_bytes.get().saturating_sub(delivered));
     }
 }
 
 impl Drop for UnreadAnswer {
     fn drop(&mut self) {
         self.delivered(usize::MAX);
-        self.client.unread.set(self.client.unread.get().saturating_sub(1));
+        self.client
+            .unread
+            .set(self.client.unread.get().saturating_sub(1));
     }
 }
 
@@ -297,7 +350,11 @@
 
 impl AnswerBody {
     pub fn new(body: Bytes, trailers: Option<HeaderMap>, unread: Option<UnreadAnswer>) -> Self {
-        AnswerBody { remaining: body, trailers, unread }
+        AnswerBody {
+            remaining: body,
+            trailers,
+            unread,
+        }
     }
 }
 
@@ -385,7 +442,11 @@
     pub fn delivery(&self) -> Delivery {
         let tag = self.next_tag.get();
         self.next_tag.set(tag + 1);
-        Delivery { front: self.ix, life: 1, tag }
+        Delivery {
+            front: self.ix,
+            life: 1,
+            tag,
+        }
     }
 
     /// Asks the core to admit a request with a body of up to `bytes`; otherwise returns the rejection.
@@ -423,6 +484,12 @@
         client.open.set(client.open.get() + 1);
         let (handler, client) = (self.clone(), client.clone());
         let began = self.context.clock.now();
-        Ok(OpenRequest { handler, client, delivery, began, answered: false })
+        Ok(OpenRequest {
+            handler,
+            client,
+            delivery,
+            began,
+            answered: false,
+        })
     }
 }
--- a/crates/gateway/src/resources.rs
+++ b/crates/gateway/src/resources.rs
@@ -66,7 +66,9 @@
     ) -> Result<Resources, StartError> {
         let clock = Clock::off_by(settings.clock_offset);
         // Without a configured seed each start draws differently.
-        let seed = settings.seed.unwrap_or_else(|| clock.wall() as u64 ^ u64::from(std::process::id()) << 40);
+        let seed = settings
+            .seed
+            .unwrap_or_else(|| clock.wall() as u64 ^ u64::from(std::process::id()) << 40);
         let trace_recorder = begin_trace(name, &settings, &clock, seed)?;
         let disabled_guard = fault.and_then(InjectedFault::guard);
         let peer_group = match settings.peers {
@@ -74,9 +76,16 @@
             None => None,
         };
         let control = settings.startup.control(seed);
-        let sockets = settings.listeners.iter().map(|l| listen(l.address)).collect::<Result<_, _>>()?;
+        let sockets = settings
+            .listeners
+            .iter()
+            .map(|l| listen(l.address))
+            .collect::<Result<_, _>>()?;
         let listeners = with_tls(settings.listeners, &clock)?;
-        let (idle_kept, kinds_mb) = (settings.startup.loads.idle_kept, settings.startup.loads.memory_mb);
+        let (idle_kept, kinds_mb) = (
+            settings.startup.loads.idle_kept,
+            settings.startup.loads.memory_mb,
+        );
         let mut router = Router::new(control, settings.startup.triggers, settings.core_terms);
         let metering = begin_metering(name, settings.ledger_folder, &settings.names, &clock)?;
         if let Some(trace_recorder) = &trace_recorder {
@@ -116,7 +125,9 @@
     clock: &Clock,
     seed: u64,
 ) -> std::io::Result<Option<TraceRecorder>> {
-    let Some(trace) = settings.trace.clone() else { return Ok(None) };
+    let Some(trace) = settings.trace.clone() else {
+        return Ok(None);
+    };
     let sources = settings.amqp_sources.iter().map(|s| s.name.clone());
     let start = Start {
         router: name.to_owned(),
@@ -126,14 +137,19 @@
         wall_at_zero: clock.wall() - clock.now(),
         triggers_named: settings.names.triggers.clone(),
         accounts_named: settings.names.accounts.clone(),
-        fronts_named: sources.chain(settings.listeners.iter().map(|l| l.name.clone())).collect(),
+        fronts_named: sources
+            .chain(settings.listeners.iter().map(|l| l.name.clone()))
+            .collect(),
         seed,
         startup: settings.startup.clone(),
     };
     TraceRecorder::begin(trace, name, start).map(Some)
 }
 
-fn with_tls(listeners: Vec<ListenerSettings>, clock: &Clock) -> std::io::Result<Vec<ListenerWithTls>> {
+fn with_tls(
+    listeners: Vec<ListenerSettings>,
+    clock: &Clock,
+) -> std::io::Result<Vec<ListenerWithTls>> {
     let mut all = Vec::new();
     for listener in listeners {
         let tls = match &listener.tls {
@@ -154,7 +170,9 @@
     names: &Names,
     clock: &Clock,
 ) -> std::io::Result<Option<Metering>> {
-    let Some(folder) = folder else { return Ok(None) };
+    let Some(folder) = folder else {
+        return Ok(None);
+    };
     // Unique among processes with all but certainty.
     let source = uuid::Uuid::new_v4().as_u128();
     let wall_at_zero = clock.wall() - clock.now();
--- a/crates/gateway/src/rest.rs
+++ b/crates/gateway/src/rest.rs
@@ -22,8 +22,8 @@
 
 use crate::outcome_names::{fate_name, reason_name, rejection_name};
 use crate::request_handling::{
-    AnswerBody, BodyError, ClientConnection, Reply, RequestHandler, UnreadAnswer, parse_head, parse_session,
-    read_body, serve_until_closed,
+    AnswerBody, BodyError, ClientConnection, Reply, RequestHandler, UnreadAnswer, parse_head,
+    parse_session, read_body, serve_until_closed,
 };
 
 /// Time limit for a head, and for the next one on a kept-alive connection. In microseconds.
@@ -34,7 +34,9 @@
 fn reply(status: StatusCode, body: impl Into<Bytes>, unread: Option<UnreadAnswer>) -> Reply {
     let mut reply = Response::new(AnswerBody::new(body.into(), None, unread));
     *reply.status_mut() = status;
-    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    reply
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     reply
 }
 
@@ -53,8 +55,12 @@
         async move { Ok::<_, Infallible>(handled.await) }
     });
     let mut builder = http1::Builder::new();
-    builder.timer(SmolTimer::new()).header_read_timeout(micros(HEADER_TIMEOUT));
-    builder.max_headers(MAX_HEADERS).max_buf_size(MAX_HEAD_BYTES);
+    builder
+        .timer(SmolTimer::new())
+        .header_read_timeout(micros(HEADER_TIMEOUT));
+    builder
+        .max_headers(MAX_HEADERS)
+        .max_buf_size(MAX_HEAD_BYTES);
     let connection = pin!(builder.serve_connection(FuturesIo::new(stream), service));
     serve_until_closed(connection, stop, |c| c.graceful_shutdown()).await;
 }
@@ -66,22 +72,29 @@
 ) -> Reply {
     match serving::asked(request.method(), request.uri().path()) {
         Asked::ServerLive => reply(StatusCode::OK, r#"{"live":true}"#, None),
-        Asked::ServerReady if handler.is_ready() => reply(StatusCode::OK, r#"{"ready":true}"#, None),
+        Asked::ServerReady if handler.is_ready() => {
+            reply(StatusCode::OK, r#"{"ready":true}"#, None)
+        }
         Asked::ServerReady => reply(StatusCode::SERVICE_UNAVAILABLE, r#"{"ready":false}"#, None),
         Asked::ServerMetadata => {
             let extensions = serving::EXTENSIONS;
             let version = env!("CARGO_PKG_VERSION");
-            let body =
-                serde_json::json!({"name": "cedarpulley", "version": version, "extensions": extensions});
+            let body = serde_json::json!({"name": "cedarpulley", "version": version, "extensions": extensions});
             reply(StatusCode::OK, body.to_string(), None)
         }
         // Functions are loaded on demand: any may be asked for.
         Asked::ModelReady(_) => reply(StatusCode::OK, "", None),
         Asked::ModelMetadata(function) => reply(StatusCode::OK, serving::metadata(&function), None),
-        Asked::Index => reply(StatusCode::OK, serving::index(&(handler.resources.functions)()), None),
+        Asked::Index => reply(
+            StatusCode::OK,
+            serving::index(&(handler.resources.functions)()),
+            None,
+        ),
         Asked::Infer(function) => infer(handler, client, function, request).await,
         Asked::Unknown => error_response(StatusCode::NOT_FOUND, "no such path"),
-        Asked::WrongMethod => error_response(StatusCode::METHOD_NOT_ALLOWED, "another method is wanted"),
+        Asked::WrongMethod => {
+            error_response(StatusCode::METHOD_NOT_ALLOWED, "another method is wanted")
+        }
     }
 }
 
@@ -96,7 +109,10 @@
         Ok(taken) => taken,
         Err(e) => {
             handler.context.count_malformed();
-            return error_response(StatusCode::BAD_REQUEST, &format!("{}: {}", e.field, e.cause));
+            return error_response(
+                StatusCode::BAD_REQUEST,
+                &format!("{}: {}", e.field, e.cause),
+            );
         }
     };
     if body.size_hint().lower() > handler.max_body_bytes {
@@ -120,14 +136,26 @@
                 &format!("larger than {} bytes", handler.max_body_bytes),
             );
         }
-        Err(BodyError::Interrupted) => return error_response(StatusCode::BAD_REQUEST, "the body broke off"),
+        Err(BodyError::Interrupted) => {
+            return error_response(StatusCode::BAD_REQUEST, "the body broke off");
+        }
         Err(BodyError::TimedOut) => {
-            return error_response(StatusCode::REQUEST_TIMEOUT, "the body was not whole in time");
+            return error_response(
+                StatusCode::REQUEST_TIMEOUT,
+                "the body was not whole in time",
+            );
         }
     };
-    if taken.body.first.is_some_and(|json| json as usize > taken.body.len()) {
+    if taken
+        .body
+        .first
+        .is_some_and(|json| json as usize > taken.body.len())
+    {
         handler.context.count_malformed();
-        return error_response(StatusCode::BAD_REQUEST, &format!("{JSON_LENGTH}: is beyond the body's end"));
+        return error_response(
+            StatusCode::BAD_REQUEST,
+            &format!("{JSON_LENGTH}: is beyond the body's end"),
+        );
     }
     taken.session = match parse_session(&handler, &taken.body) {
         Ok(session) => session,
@@ -150,8 +178,14 @@
     let mut reply = error_response(StatusCode::TOO_MANY_REQUESTS, rejection_name(why));
     let headers = reply.headers_mut();
     headers.insert(serving::FATE, HeaderValue::from_static("throttled"));
-    headers.insert(serving::REASON, HeaderValue::from_static(rejection_name(why)));
-    headers.insert(RETRY_AFTER, HeaderValue::from(serving::retry_after(come_back)));
+    headers.insert(
+        serving::REASON,
+        HeaderValue::from_static(rejection_name(why)),
+    );
+    headers.insert(
+        RETRY_AFTER,
+        HeaderValue::from(serving::retry_after(come_back)),
+    );
     reply
 }
 
@@ -163,18 +197,30 @@
             if let Some(json) = json {
                 let headers = reply.headers_mut();
                 headers.insert(JSON_LENGTH, HeaderValue::from(json));
-                headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/octet-stream"));
+                headers.insert(
+                    CONTENT_TYPE,
+                    HeaderValue::from_static("application/octet-stream"),
+                );
             }
             reply
         }
         other => {
             let is_safe_to_retry = other == Fate::Throttled;
-            error_response(serving::status(is_safe_to_retry), reason_name(answer.reason))
+            error_response(
+                serving::status(is_safe_to_retry),
+                reason_name(answer.reason),
+            )
         }
     };
     let headers = reply.headers_mut();
-    headers.insert(serving::FATE, HeaderValue::from_static(fate_name(answer.fate)));
-    headers.insert(serving::REASON, HeaderValue::from_static(reason_name(answer.reason)));
+    headers.insert(
+        serving::FATE,
+        HeaderValue::from_static(fate_name(answer.fate)),
+    );
+    headers.insert(
+        serving::REASON,
+        HeaderValue::from_static(reason_name(answer.reason)),
+    );
     if let Some(advice) = answer.return_after {
         headers.insert(RETRY_AFTER, HeaderValue::from(serving::retry_after(advice)));
     }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -38,15 +38,27 @@
 impl Remedy for StartError {
     fn remedy(&self) -> &'static str {
         match self {
-            StartError::System(_) => "see that its addresses are free and its folders can be written to",
+            StartError::System(_) => {
+                "see that its addresses are free and its folders can be written to"
+            }
             StartError::Group(failed) => failed.remedy(),
         }
     }
 }
 
 /// Runs one router until a signal to end. True if everything taken was answered.
-pub fn run(name: &str, settings: RouterSettings, fault: Option<InjectedFault>) -> Result<bool, StartError> {
-    let longest = settings.startup.triggers.iter().map(|t| t.client_timeout).max().unwrap_or(0);
+pub fn run(
+    name: &str,
+    settings: RouterSettings,
+    fault: Option<InjectedFault>,
+) -> Result<bool, StartError> {
+    let longest = settings
+        .startup
+        .triggers
+        .iter()
+        .map(|t| t.client_timeout)
+        .max()
+        .unwrap_or(0);
     let workers = settings.workers.clone();
     let mut resources = Resources::acquire(name, settings, fault)?;
     let sockets = std::mem::take(&mut resources.sockets);
@@ -72,27 +84,41 @@
         executor.spawn(client_listener.clone().run(socket)).detach();
     }
     executor.spawn(close_idle(gateway.clone())).detach();
-    gateway.peer_group.iter().for_each(|peer_group| peer_group.run(&gateway.context));
-    gateway.admission.iter().for_each(|admission| executor.spawn(admission.clone().run()).detach());
+    gateway
+        .peer_group
+        .iter()
+        .for_each(|peer_group| peer_group.run(&gateway.context));
+    gateway
+        .admission
+        .iter()
+        .for_each(|admission| executor.spawn(admission.clone().run()).detach());
     if let Some(upgrades) = &gateway.upgrades {
         executor.spawn(upgrades.clone().run()).detach();
         executor.spawn(upgrades.clone().reload_on_sighup()).detach();
     }
     gateway.reconciliation.iter().for_each(|r| r.run());
-    let corrupting = gateway.fault_injector.clone().corrupt_beliefs(gateway.reconciliation.clone());
+    let corrupting = gateway
+        .fault_injector
+        .clone()
+        .corrupt_beliefs(gateway.reconciliation.clone());
     executor.spawn(corrupting).detach();
     executor.spawn(flush(gateway.clone())).detach();
 }
 
 fn start_worker_list(gateway: &Rc<Gateway>, workers: WorkerList) {
     match workers {
-        WorkerList::Fixed(workers) => gateway.feed(Input::List { mode: ListMode::Complete, workers }),
+        WorkerList::Fixed(workers) => gateway.feed(Input::List {
+            mode: ListMode::Complete,
+            workers,
+        }),
         WorkerList::Watched(address) => {
             let fault_injector = gateway.fault_injector.clone();
             let reconciliation = gateway.reconciliation.clone();
             let filter = move |event| {
                 let event = fault_injector.filter_list_event(event);
-                reconciliation.iter().for_each(|r| r.observe_list_event(&event));
+                reconciliation
+                    .iter()
+                    .for_each(|r| r.observe_list_event(&event));
                 event
             };
             let watch = worker_list::watch(gateway.context.clone(), address, filter);
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -99,33 +99,72 @@
     let loads = core_settings::loads(&root.section("loads"), memory_mb);
     let prices = core_settings::prices(&root.section("prices"));
     let (triggers, alone) = core_settings::triggers(root, &limits, &mut names);
-    let shortest = triggers.iter().map(|t| t.client_timeout).min().unwrap_or(NEVER);
+    let shortest = triggers
+        .iter()
+        .map(|t| t.client_timeout)
+        .min()
+        .unwrap_or(NEVER);
     if router.answer_margin >= shortest {
-        root.section("router").error("answer_margin_ms", "is not below the shortest client timeout");
+        root.section("router").error(
+            "answer_margin_ms",
+            "is not below the shortest client timeout",
+        );
     }
     let (accounts, certificate_accounts) = core_settings::accounts(root, &mut names);
 
     let mut front_weights = Vec::new();
-    let references = References { folder, names: &names, accounts: &accounts };
+    let references = References {
+        folder,
+        names: &names,
+        accounts: &accounts,
+    };
     let amqp_sources = front_settings::amqp_sources(root, &references, &mut front_weights);
     let listeners = front_settings::kserve_listeners(root, &references, &mut front_weights);
     let longest = triggers.iter().map(|t| t.client_timeout).max().unwrap_or(0);
     let peers = group_settings::peers(&root.section("peers"), folder, longest);
-    check_fronts(root, amqp_sources.is_empty() && listeners.is_empty(), peers.as_ref());
-    let Shared { upgrade, reconcile, sessions } = shared(root, folder, peers.as_ref(), &triggers, &loads);
-    let sharing = peers.as_ref().map(|p| Sharing { alone, leave_kept: p.send_lease() });
+    check_fronts(
+        root,
+        amqp_sources.is_empty() && listeners.is_empty(),
+        peers.as_ref(),
+    );
+    let Shared {
+        upgrade,
+        reconcile,
+        sessions,
+    } = shared(root, folder, peers.as_ref(), &triggers, &loads);
+    let sharing = peers.as_ref().map(|p| Sharing {
+        alone,
+        leave_kept: p.send_lease(),
+    });
     let workers = workers(&root.section("workers"), &names);
     let trace = trace(&root.section("trace"), folder);
     let ledger_folder = ledger_folder(&root.section("meter"), folder);
     let reports = core_settings::reports(root);
-    let core_terms = core_terms(&router, &accounts, &loads, front_weights, sharing, rules.drain_grace);
-    for known in
-        ["router", "dispatch", "rules", "loads", "prices", "workers", "kind", "trace", "meter", "rig"]
-    {
+    let core_terms = core_terms(
+        &router,
+        &accounts,
+        &loads,
+        front_weights,
+        sharing,
+        rules.drain_grace,
+    );
+    for known in [
+        "router", "dispatch", "rules", "loads", "prices", "workers", "kind", "trace", "meter",
+        "rig",
+    ] {
         root.has(known);
     }
     let fleet = router.fleet;
-    let startup = StartupSettings { fleet, limits, rules, triggers, accounts, loads, prices, reports };
+    let startup = StartupSettings {
+        fleet,
+        limits,
+        rules,
+        triggers,
+        accounts,
+        loads,
+        prices,
+        reports,
+    };
     RouterSettings {
         seed: router.seed,
         startup,
@@ -172,10 +211,14 @@
 fn check_fronts(root: &Section, no_front: bool, peers: Option<&PeerSettings>) {
     let witness = peers.is_some_and(|p| p.group.members[p.group.me as usize].witness);
     match (no_front, witness) {
-        (true, false) => root.error("amqp", "neither a broker's queue nor an address to listen on is given"),
-        (false, true) => {
-            root.error("peers", "a witness takes no invocations; it needs no amqp and no kserve")
-        }
+        (true, false) => root.error(
+            "amqp",
+            "neither a broker's queue nor an address to listen on is given",
+        ),
+        (false, true) => root.error(
+            "peers",
+            "a witness takes no invocations; it needs no amqp and no kserve",
+        ),
         _ => {}
     }
 }
@@ -194,8 +237,12 @@
     triggers: &[TriggerType],
     loads: &LoadTerms,
 ) -> Shared {
-    let (upgrade, sessions) =
-        group_settings::upgrade(&root.section("upgrade"), folder, peers, root.has("reconcile"));
+    let (upgrade, sessions) = group_settings::upgrade(
+        &root.section("upgrade"),
+        folder,
+        peers,
+        root.has("reconcile"),
+    );
     let reconcile = group_settings::reconcile(&root.section("reconcile"));
     let asked_within = reconcile.map_or(0, |r| slowest(r.interval));
     let upgrade = upgrade.map(|ordered| UpgradeSettings {
@@ -206,7 +253,11 @@
     });
     // Without upgrades, sessions are tracked only for their workers.
     let sessions = sessions.or(reconcile.map(|_| DEFAULT_SESSION_TERMS));
-    Shared { upgrade, reconcile, sessions }
+    Shared {
+        upgrade,
+        reconcile,
+        sessions,
+    }
 }
 
 fn workers(section: &Section, names: &Names) -> WorkerList {
@@ -226,20 +277,26 @@
     let trace = section.is_present().then(|| {
         let bounds = Bounds {
             file_bytes: section.integer("file_mb", 1..1 << 16, Some(64)) << 20,
-            file_age: section.millis_as_micros("file_minutes", 1..DAY_MS / 60_000 + 1, Some(60)) * 60_000,
+            file_age: section.millis_as_micros("file_minutes", 1..DAY_MS / 60_000 + 1, Some(60))
+                * 60_000,
             budget: section.integer("budget_mb", 2..1 << 24, Some(1024)) << 20,
         };
         if bounds.budget < bounds.file_bytes * 2 {
             section.error("budget_mb", "is below two files");
         }
-        TraceSettings { folder: folder.join(section.string("folder", None)), bounds }
+        TraceSettings {
+            folder: folder.join(section.string("folder", None)),
+            bounds,
+        }
     });
     section.check_unknown_keys();
     trace
 }
 
 fn ledger_folder(section: &Section, folder: &Path) -> Option<PathBuf> {
-    let ledger_folder = section.is_present().then(|| folder.join(section.string("folder", None)));
+    let ledger_folder = section
+        .is_present()
+        .then(|| folder.join(section.string("folder", None)));
     section.check_unknown_keys();
     ledger_folder
 }
--- a/crates/gateway/src/shared_state.rs
+++ b/crates/gateway/src/shared_state.rs
@@ -39,41 +39,60 @@
     /// Publishes an observation; a later observation of the same thing needs a higher version. It is
     /// forgotten after `retention` (microseconds).
     pub fn note(&self, key: Key, version: (u64, u64), value: Bytes, retention: Micros) {
-        self.0.apply_replica(Input::Noted { key, version, value, kept: retention });
+        self.0.apply_replica(Input::Noted {
+            key,
+            version,
+            value,
+            kept: retention,
+        });
     }
 
     /// Has a majority decide the value of a key, one proposal at a time. The value decided, whoever proposed
     /// it, comes as [`PeerEvent::Decided`].
     pub fn choose(&self, key: Key, value: Bytes, retention: Micros) {
-        self.0.apply_replica(Input::Choose { key, value, kept: retention });
+        self.0.apply_replica(Input::Choose {
+            key,
+            value,
+            kept: retention,
+        });
     }
 
     /// Asks for the leadership of a key; [`PeerEvent::Decided`] tells whether this member may write in a
     /// term.
     pub fn lead(&self, key: Key, retention: Micros) {
-        self.0.apply_replica(Input::Lead { key, kept: retention });
+        self.0.apply_replica(Input::Lead {
+            key,
+            kept: retention,
+        });
     }
 
     /// Writes a value in a term that this member leads. Within a term, each value extends the previous one
     /// byte by byte.
     pub fn write(&self, key: Key, ballot: Ballot, value: Bytes, retention: Micros) {
-        self.0.apply_replica(Input::Write { key, ballot, value, kept: retention });
+        self.0.apply_replica(Input::Write {
+            key,
+            ballot,
+            value,
+            kept: retention,
+        });
     }
 
     /// The latest note that this member knows under a key.
     pub fn latest_note(&self, key: &str) -> Option<Note> {
-        self.0.inspect(|_, _, _, replica, _, _| match replica.record(key) {
-            Some(Record::Note(note)) => Some(note.clone()),
-            _ => None,
-        })
+        self.0
+            .inspect(|_, _, _, replica, _, _| match replica.record(key) {
+                Some(Record::Note(note)) => Some(note.clone()),
+                _ => None,
+            })
     }
 
     /// The value that this member knows to have been accepted last; a majority may know a later one.
     pub fn accepted(&self, key: &str) -> Option<(Ballot, Bytes)> {
-        self.0.inspect(|_, _, _, replica, _, _| match replica.record(key) {
-            Some(Record::Choice(choice)) => choice.accepted.clone(),
-            _ => None,
-        })
+        self.0
+            .inspect(|_, _, _, replica, _, _| match replica.record(key) {
+                Some(Record::Choice(choice)) => choice.accepted.clone(),
+                _ => None,
+            })
     }
 
     /// The same for all keys with this prefix.
@@ -81,9 +100,10 @@
         self.0.inspect(|_, _, _, replica, _, _| {
             let matching = replica.records().filter(|(key, _)| key.starts_with(prefix));
             let accepted = matching.filter_map(|(key, slot)| match &slot.record {
-                Record::Choice(choice) => {
-                    choice.accepted.clone().map(|(ballot, value)| (key.clone(), ballot, value))
-                }
+                Record::Choice(choice) => choice
+                    .accepted
+                    .clone()
+                    .map(|(ballot, value)| (key.clone(), ballot, value)),
                 _ => None,
             });
             accepted.collect()
@@ -91,7 +111,11 @@
     }
 
     /// Adds a section of this name to `GET /state`.
-    pub fn add_state_provider(&self, name: &'static str, provider: impl Fn() -> serde_json::Value + 'static) {
+    pub fn add_state_provider(
+        &self,
+        name: &'static str,
+        provider: impl Fn() -> serde_json::Value + 'static,
+    ) {
         self.0.add_state_provider(name, Box::new(provider));
     }
 
@@ -109,7 +133,8 @@
 
     /// This router's index among the members.
     pub fn own_index(&self) -> MemberIx {
-        self.0.inspect(|_, membership, _, _, _, _| membership.group().me)
+        self.0
+            .inspect(|_, membership, _, _, _, _| membership.group().me)
     }
 
     /// All members by index. `alive` is as believed, so that a flapping link does not show.
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -29,7 +29,9 @@
             Timer::after(STOP_POLL_INTERVAL).await;
         }
         let clean = self.is_drained();
-        self.fronts.iter().for_each(|f| f.close(self.context.clock.now()));
+        self.fronts
+            .iter()
+            .for_each(|f| f.close(self.context.clock.now()));
         Timer::after(STOP_POLL_INTERVAL * 5).await;
         self.log_times();
         self.close_files();
@@ -48,7 +50,10 @@
     }
 
     fn log_times(&self) {
-        for (name, times) in [("answered", &self.times.answered), ("safe", &self.times.committed)] {
+        for (name, times) in [
+            ("answered", &self.times.answered),
+            ("safe", &self.times.committed),
+        ] {
             let t = times.borrow();
             let (p50_us, p99_us) = (t.value_at_quantile(0.5), t.value_at_quantile(0.99));
             tracing::info!(p50_us, p99_us, max_us = t.max(), "time until {name}");
@@ -58,7 +63,11 @@
     fn close_files(&self) {
         if let Some(trace_recorder) = &self.trace_recorder {
             let ended = trace_recorder.close();
-            tracing::info!(ended, lost_records = trace_recorder.lost_records(), "the trace was closed");
+            tracing::info!(
+                ended,
+                lost_records = trace_recorder.lost_records(),
+                "the trace was closed"
+            );
         }
         if let Some(metering) = &self.metering {
             let written = metering.close(self.context.clock.now());
--- a/crates/gateway/src/state_endpoint.rs
+++ b/crates/gateway/src/state_endpoint.rs
@@ -27,8 +27,16 @@
         Record::Effect(e) if e.closed => "closed",
         Record::Effect(e) if e.fault => "fault",
         Record::Effect(e) if e.answer.is_some() => "answered",
-        Record::Effect(e) if e.sendings.values().any(|s| s.state == SentState::MayHaveRun) => "may-have-run",
-        Record::Effect(e) if e.sendings.values().any(|s| s.state == SentState::Intended) => "intended",
+        Record::Effect(e)
+            if e.sendings
+                .values()
+                .any(|s| s.state == SentState::MayHaveRun) =>
+        {
+            "may-have-run"
+        }
+        Record::Effect(e) if e.sendings.values().any(|s| s.state == SentState::Intended) => {
+            "intended"
+        }
         Record::Effect(e) if e.taken => "taken",
         Record::Effect(_) => "fenced",
         Record::Choice(_) => "choice",
@@ -61,7 +69,12 @@
 pub fn state(peers: &Peers, transport: TransportCounts) -> Value {
     let mut state = group_state(peers, transport);
     if let Value::Object(state) = &mut state {
-        state.extend(peers.provided_state().into_iter().map(|(name, state)| (name.to_owned(), state)));
+        state.extend(
+            peers
+                .provided_state()
+                .into_iter()
+                .map(|(name, state)| (name.to_owned(), state)),
+        );
     }
     state
 }
@@ -123,7 +136,11 @@
             let name = format!("cedarpulley_group_{name}_total");
             metrics::counter!(name).absolute(value.as_u64().unwrap_or(0));
         }
-        for (name, value) in state["reconcile"]["counts"].as_object().into_iter().flatten() {
+        for (name, value) in state["reconcile"]["counts"]
+            .as_object()
+            .into_iter()
+            .flatten()
+        {
             let name = format!("cedarpulley_reconcile_{name}_total");
             metrics::counter!(name).absolute(value.as_u64().unwrap_or(0));
         }
@@ -133,8 +150,10 @@
         }
         for member in state["members"].as_array().into_iter().flatten() {
             let (name, standing) = (member["name"].as_str(), member["standing"].as_str());
-            let labels =
-                [("member", name.unwrap_or("").to_owned()), ("standing", standing.unwrap_or("").to_owned())];
+            let labels = [
+                ("member", name.unwrap_or("").to_owned()),
+                ("standing", standing.unwrap_or("").to_owned()),
+            ];
             metrics::gauge!("cedarpulley_group_member", &labels).set(1.0);
         }
         let faults = state["conflicts"].as_u64().unwrap_or(0);
--- a/crates/gateway/src/tls.rs
+++ b/crates/gateway/src/tls.rs
@@ -15,7 +15,9 @@
 
 use async_io::Timer;
 use cedarpulley::interface::Micros;
-use cedarpulley_certificates::{self as certificates, Keeper, MOST_FILE, Read, Refused, Served, Step, Which};
+use cedarpulley_certificates::{
+    self as certificates, Keeper, MOST_FILE, Read, Refused, Served, Step, Which,
+};
 use cedarpulley_net::{Clock, Stream, micros};
 use futures_lite::{AsyncRead, AsyncWrite, FutureExt};
 use futures_rustls::rustls::pki_types::ServerName;
@@ -56,24 +58,42 @@
     }
     let mut bytes = Vec::new();
     file.take(MOST_FILE).read_to_end(&mut bytes)?;
-    Ok(Read { bytes, mode: metadata.permissions().mode() })
+    Ok(Read {
+        bytes,
+        mode: metadata.permissions().mode(),
+    })
 }
 
 fn unreadable(which: Which, e: &io::Error) -> Refused {
-    Refused { which, cause: e.to_string() }
+    Refused {
+        which,
+        cause: e.to_string(),
+    }
 }
 
 fn authorities(bytes: &[u8]) -> Result<RootCertStore, Refused> {
     let mut roots = RootCertStore::empty();
     for one in certificates::chain(Which::Clients, bytes)? {
-        let cause = |_| Refused { which: Which::Clients, cause: "is no authority's certificate".into() };
+        let cause = |_| Refused {
+            which: Which::Clients,
+            cause: "is no authority's certificate".into(),
+        };
         roots.add(one).map_err(cause)?;
     }
     Ok(roots)
 }
 
-fn server_config(served: Served, clients: Option<&[u8]>, alpn: &[u8]) -> Result<Arc<ServerConfig>, Refused> {
-    let wrong = |which| move |e: &dyn std::fmt::Display| Refused { which, cause: e.to_string() };
+fn server_config(
+    served: Served,
+    clients: Option<&[u8]>,
+    alpn: &[u8],
+) -> Result<Arc<ServerConfig>, Refused> {
+    let wrong = |which| {
+        move |e: &dyn std::fmt::Display| Refused {
+            which,
+            cause: e.to_string(),
+        }
+    };
     let provider = Arc::new(ring::default_provider());
     let builder = ServerConfig::builder_with_provider(provider.clone())
         .with_safe_default_protocol_versions()
@@ -81,12 +101,17 @@
     let builder = match clients {
         None => builder.with_no_client_auth(),
         Some(bytes) => {
-            let verifier =
-                WebPkiClientVerifier::builder_with_provider(Arc::new(authorities(bytes)?), provider).build();
+            let verifier = WebPkiClientVerifier::builder_with_provider(
+                Arc::new(authorities(bytes)?),
+                provider,
+            )
+            .build();
             builder.with_client_cert_verifier(verifier.map_err(|e| wrong(Which::Clients)(&e))?)
         }
     };
-    let mut config = builder.with_single_cert(served.chain, served.key).map_err(|e| wrong(Which::Key)(&e))?;
+    let mut config = builder
+        .with_single_cert(served.chain, served.key)
+        .map_err(|e| wrong(Which::Key)(&e))?;
     config.alpn_protocols = vec![alpn.to_vec()];
     Ok(Arc::new(config))
 }
@@ -108,10 +133,15 @@
 impl ServerTls {
     /// Reads and validates the files at `wall`, in microseconds since 1970.
     pub fn open(files: TlsFiles, wall: Micros) -> Result<Rc<ServerTls>, Refused> {
-        let certificate = read_file(&files.certificate).map_err(|e| unreadable(Which::Certificate, &e))?;
+        let certificate =
+            read_file(&files.certificate).map_err(|e| unreadable(Which::Certificate, &e))?;
         let key = read_file(&files.key).map_err(|e| unreadable(Which::Key, &e))?;
         let clients = match &files.clients {
-            Some(path) => Some(read_file(path).map_err(|e| unreadable(Which::Clients, &e))?.bytes),
+            Some(path) => Some(
+                read_file(path)
+                    .map_err(|e| unreadable(Which::Clients, &e))?
+                    .bytes,
+            ),
             None => None,
         };
         let served = certificates::judge(&certificate, &key, wall)?;
@@ -148,9 +178,13 @@
             Timer::after(POLL_INTERVAL).await;
             let wall = clock.wall();
             // A disk that hangs must not block the router's one thread.
-            let TlsFiles { certificate, key, .. } = self.files.clone();
-            let pair =
-                smol::unblock(move || Ok::<_, io::Error>((read_file(&certificate)?, read_file(&key)?))).await;
+            let TlsFiles {
+                certificate, key, ..
+            } = self.files.clone();
+            let pair = smol::unblock(move || {
+                Ok::<_, io::Error>((read_file(&certificate)?, read_file(&key)?))
+            })
+            .await;
             let step = self.keeper.borrow_mut().offered(wall, pair.ok());
             match step {
                 Step::Keep | Step::LookAgain => {}
@@ -174,7 +208,11 @@
                 left.filter(|_| clock.now().saturating_sub(last_warned) > EXPIRY_WARNING_INTERVAL)
             {
                 last_warned = clock.now();
-                tracing::warn!(front, hours = left / 3_600_000_000, "the certificate ends soon");
+                tracing::warn!(
+                    front,
+                    hours = left / 3_600_000_000,
+                    "the certificate ends soon"
+                );
             }
         }
     }
@@ -190,21 +228,34 @@
     let clients = read_file(roots).map_err(|e| unreadable(Which::Clients, &e))?;
     let builder = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
         .with_safe_default_protocol_versions()
-        .map_err(|e| Refused { which: Which::Clients, cause: e.to_string() })?
+        .map_err(|e| Refused {
+            which: Which::Clients,
+            cause: e.to_string(),
+        })?
         .with_root_certificates(authorities(&clients.bytes)?);
     let config = match own {
         None => builder.with_no_client_auth(),
         Some((certificate, key)) => {
-            let certificate = read_file(certificate).map_err(|e| unreadable(Which::Certificate, &e))?;
+            let certificate =
+                read_file(certificate).map_err(|e| unreadable(Which::Certificate, &e))?;
             let key = read_file(key).map_err(|e| unreadable(Which::Key, &e))?;
             let served = certificates::judge(&certificate, &key, wall)?;
             builder
                 .with_client_auth_cert(served.chain, served.key)
-                .map_err(|e| Refused { which: Which::Key, cause: e.to_string() })?
+                .map_err(|e| Refused {
+                    which: Which::Key,
+                    cause: e.to_string(),
+                })?
         }
     };
-    let cause = |_| Refused { which: Which::Clients, cause: format!("'{name}' is no server's name") };
-    Ok(ClientTls { config: Arc::new(config), name: ServerName::try_from(name.to_owned()).map_err(cause)? })
+    let cause = |_| Refused {
+        which: Which::Clients,
+        cause: format!("'{name}' is no server's name"),
+    };
+    Ok(ClientTls {
+        config: Arc::new(config),
+        name: ServerName::try_from(name.to_owned()).map_err(cause)?,
+    })
 }
 
 /// A connection to a broker, with or without TLS.
@@ -216,13 +267,18 @@
 impl BrokerStream {
     /// Performs a handshake within its time limit, if TLS is configured.
     pub async fn connect(stream: Stream, tls: Option<&ClientTls>) -> io::Result<BrokerStream> {
-        let Some(tls) = tls else { return Ok(BrokerStream::Plain(stream)) };
+        let Some(tls) = tls else {
+            return Ok(BrokerStream::Plain(stream));
+        };
         let connector = TlsConnector::from(tls.config.clone());
         let timeout = async {
             Timer::after(micros(HANDSHAKE_TIMEOUT)).await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        let stream = connector.connect(tls.name.clone(), stream).or(timeout).await?;
+        let stream = connector
+            .connect(tls.name.clone(), stream)
+            .or(timeout)
+            .await?;
         Ok(BrokerStream::Tls(Box::new(stream)))
     }
 }
@@ -237,7 +293,11 @@
 }
 
 impl AsyncRead for BrokerStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         either!(self, s => Pin::new(s).poll_read(cx, buf))
     }
 }
--- a/crates/gateway/src/trace_recorder.rs
+++ b/crates/gateway/src/trace_recorder.rs
@@ -53,16 +53,30 @@
 
 impl TraceRecorder {
     /// Starts the writer's thread. Fails if the folder cannot be created or the thread cannot start.
-    pub fn begin(settings: TraceSettings, name: &str, start: Start) -> std::io::Result<TraceRecorder> {
+    pub fn begin(
+        settings: TraceSettings,
+        name: &str,
+        start: Start,
+    ) -> std::io::Result<TraceRecorder> {
         std::fs::create_dir_all(&settings.folder)?;
-        let name: String =
-            name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '_' }).take(64).collect();
+        let name: String = name
+            .chars()
+            .map(|c| if c.is_ascii_alphanumeric() { c } else { '_' })
+            .take(64)
+            .collect();
         let own = Own::take(&settings.folder, &name)?;
         if own.name != name {
-            tracing::warn!(name, writes_as = own.name, "another router of this name writes its trace here");
+            tracing::warn!(
+                name,
+                writes_as = own.name,
+                "another router of this name writes its trace here"
+            );
         }
-        let row =
-            Row { folder: settings.folder, name: own.name.clone(), run: (start.wall_at_zero / 1000) as u64 };
+        let row = Row {
+            folder: settings.folder,
+            name: own.name.clone(),
+            run: (start.wall_at_zero / 1000) as u64,
+        };
         let (notes, received) = sync_channel(MAX_QUEUED_BLOCKS);
         let log_failure = |why: &str| tracing::error!(why, "trace");
         let writer = std::thread::Builder::new()
@@ -103,7 +117,9 @@
                 Err(_) => return false,
             }
         }
-        let Some(writer) = inner.writer.take() else { return true };
+        let Some(writer) = inner.writer.take() else {
+            return true;
+        };
         while !writer.is_finished() {
             if Instant::now() >= until {
                 return false;
@@ -144,7 +160,14 @@
         if self.block.is_empty()
             && let Some((records, from, until)) = self.lost.take()
         {
-            self.block.record(now, &Record::Gap { records, from, until });
+            self.block.record(
+                now,
+                &Record::Gap {
+                    records,
+                    from,
+                    until,
+                },
+            );
         }
     }
 }
@@ -165,24 +188,66 @@
         inner.block.decided(now, event, actions);
     }
 
-    fn taken(&mut self, now: Micros, inv: InvIx, front: FrontIx, mark: Option<&str>, redelivered: bool) {
+    fn taken(
+        &mut self,
+        now: Micros,
+        inv: InvIx,
+        front: FrontIx,
+        mark: Option<&str>,
+        redelivered: bool,
+    ) {
         let mut inner = self.0.borrow_mut();
         inner.prepare(now);
         let mark = mark.map(fingerprint);
-        inner.block.record(now, &Record::Taken { inv, front, mark, redelivered });
+        inner.block.record(
+            now,
+            &Record::Taken {
+                inv,
+                front,
+                mark,
+                redelivered,
+            },
+        );
     }
 
     fn answered(&mut self, now: Micros, g: Given) {
         let mut inner = self.0.borrow_mut();
         inner.prepare(now);
-        let Given { inv, front, fate, reason, trigger, account, took } = g;
-        inner.block.record(now, &Record::Answered { inv, front, fate, reason, trigger, account, took });
+        let Given {
+            inv,
+            front,
+            fate,
+            reason,
+            trigger,
+            account,
+            took,
+        } = g;
+        inner.block.record(
+            now,
+            &Record::Answered {
+                inv,
+                front,
+                fate,
+                reason,
+                trigger,
+                account,
+                took,
+            },
+        );
     }
 
     fn turned_away(&mut self, now: Micros, front: FrontIx, trigger: u32, account: u32, why: Short) {
         let mut inner = self.0.borrow_mut();
         inner.prepare(now);
-        inner.block.record(now, &Record::TurnedAway { front, trigger, account, why });
+        inner.block.record(
+            now,
+            &Record::TurnedAway {
+                front,
+                trigger,
+                account,
+                why,
+            },
+        );
     }
 
     /// Not part of the format: the module does not learn what a worker reports it held.
--- a/crates/gateway/src/unknown_members.rs
+++ b/crates/gateway/src/unknown_members.rs
@@ -33,7 +33,9 @@
         match self {
             RefusalCause::Version => "run one build in all routers of the group",
             RefusalCause::Group => "give all routers of the group the same [[peers.member]] list",
-            RefusalCause::Member => "see that each member's address in the settings leads to that member",
+            RefusalCause::Member => {
+                "see that each member's address in the settings leads to that member"
+            }
             RefusalCause::Unreadable => "see what else connects to peers.listen",
         }
     }
@@ -74,7 +76,9 @@
 impl UnknownMembers {
     /// `members`: how many the group has.
     pub fn new(members: usize) -> Self {
-        UnknownMembers { records: (0..=members).map(|_| None).collect() }
+        UnknownMembers {
+            records: (0..=members).map(|_| None).collect(),
+        }
     }
 
     fn index(&self, from: Option<(MemberIx, u64)>) -> usize {
@@ -84,17 +88,30 @@
 
     /// Records a refusal at `now` (microseconds); true if it is to be logged.
     pub fn record(&mut self, now: Micros, last: Refusal) -> bool {
-        let (index, logged) = (self.index(last.from), (last.why, last.from.map_or(0, |f| f.1)));
+        let (index, logged) = (
+            self.index(last.from),
+            (last.why, last.from.map_or(0, |f| f.1)),
+        );
         let record = &mut self.records[index];
         let (should_log, times) = match record {
             None => (true, 0),
-            Some(p) => (p.logged != logged && now - p.logged_at >= LOG_INTERVAL, p.times),
+            Some(p) => (
+                p.logged != logged && now - p.logged_at >= LOG_INTERVAL,
+                p.times,
+            ),
         };
         let (logged, logged_at) = match record {
             Some(p) if !should_log => (p.logged, p.logged_at),
             _ => (logged, now),
         };
-        *record = Some(RefusalRecord { last, at: now, times: times + 1, is_active: true, logged, logged_at });
+        *record = Some(RefusalRecord {
+            last,
+            at: now,
+            times: times + 1,
+            is_active: true,
+            logged,
+            logged_at,
+        });
         should_log
     }
 
@@ -125,16 +142,28 @@
     #[test]
     fn each_process_and_cause_is_said_once_and_two_under_one_name_do_not_fill_a_log() {
         let mut members = UnknownMembers::new(3);
-        let of = |why, process| Refusal { why, version: Some(1), from: Some((1, process)), address: None };
+        let of = |why, process| Refusal {
+            why,
+            version: Some(1),
+            from: Some((1, process)),
+            address: None,
+        };
         let mut logged = |now, why, process| members.record(now, of(why, process));
         assert!(logged(0, RefusalCause::Version, 7));
         // Once, however long it continues.
         assert!((1..1000).all(|n| !logged(n * LOG_INTERVAL, RefusalCause::Version, 7)));
         assert!(logged(1000 * LOG_INTERVAL, RefusalCause::Version, 8));
-        assert!((1..1000).all(|n| !logged(1000 * LOG_INTERVAL + n, RefusalCause::Version, 7 + n as u64 % 2)));
+        assert!((1..1000).all(|n| !logged(
+            1000 * LOG_INTERVAL + n,
+            RefusalCause::Version,
+            7 + n as u64 % 2
+        )));
         assert!(logged(1001 * LOG_INTERVAL, RefusalCause::Group, 8));
         assert_eq!(
-            (members.state(0, Some(1))["times"].as_u64(), members.state(0, Some(2))),
+            (
+                members.state(0, Some(1))["times"].as_u64(),
+                members.state(0, Some(2))
+            ),
             (Some(2001), Value::Null)
         );
         members.accepted(1);
--- a/crates/gateway/src/upgrades.rs
+++ b/crates/gateway/src/upgrades.rs
@@ -20,7 +20,9 @@
 use cedarpulley_router::roster::Listed;
 use cedarpulley_router::watch::{By, Used};
 use cedarpulley_upgrade::orders::{self, Asked, MOST_DRAIN_MS};
-use cedarpulley_upgrade::{self as upgrade, Ballot, Count, GoesBy, Name, Order, Output, Planner, WorkerSeen};
+use cedarpulley_upgrade::{
+    self as upgrade, Ballot, Count, GoesBy, Name, Order, Output, Planner, WorkerSeen,
+};
 use futures_lite::{FutureExt, StreamExt};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -65,7 +67,8 @@
 /// Reads an operator's orders; on any error all are refused, with one line for each cause.
 pub fn read(file: &Path) -> Result<Vec<Order>, ConfigErrors> {
     let name = file.display().to_string();
-    let text = std::fs::read_to_string(file).map_err(|e| ConfigErrors(vec![format!("{name}: {e}")]))?;
+    let text =
+        std::fs::read_to_string(file).map_err(|e| ConfigErrors(vec![format!("{name}: {e}")]))?;
     let (document, table) = ConfigDocument::parse(&name, &text)?;
     let root = Section::root(&document, &table);
     let mut all: Vec<Order> = Vec::new();
@@ -83,7 +86,11 @@
             withdrawn: s.boolean("withdrawn", Some(false)),
         };
         match Order::try_from(asked) {
-            Ok(order) if all.iter().any(|o| o.model == order.model && o.serial == order.serial) => {
+            Ok(order)
+                if all
+                    .iter()
+                    .any(|o| o.model == order.model && o.serial == order.serial) =>
+            {
                 s.error("serial", "is given to two orders for one model");
             }
             Ok(order) => all.push(order),
@@ -92,7 +99,10 @@
         s.finish();
     }
     if all.len() > orders::MOST_ORDERS {
-        root.error("order", &format!("there are more than {}", orders::MOST_ORDERS));
+        root.error(
+            "order",
+            &format!("there are more than {}", orders::MOST_ORDERS),
+        );
     }
     root.finish();
     document.finish(all)
@@ -145,18 +155,34 @@
 pub type WorkerMap = Rc<RefCell<BTreeMap<Name, Listed>>>;
 
 fn from_replica(b: replica::Ballot) -> Ballot {
-    Ballot { number: b.number, member: b.member, nonce: b.nonce }
+    Ballot {
+        number: b.number,
+        member: b.member,
+        nonce: b.nonce,
+    }
 }
 
 fn to_replica(b: Ballot) -> replica::Ballot {
-    replica::Ballot { number: b.number, member: b.member, nonce: b.nonce }
+    replica::Ballot {
+        number: b.number,
+        member: b.member,
+        nonce: b.nonce,
+    }
 }
 
 impl Upgrades {
     /// The upgrades of a router in this group; nothing runs before [`Upgrades::run`].
-    pub fn new(context: Rc<GatewayContext>, shared: SharedState, settings: UpgradeSettings) -> Rc<Upgrades> {
+    pub fn new(
+        context: Rc<GatewayContext>,
+        shared: SharedState,
+        settings: UpgradeSettings,
+    ) -> Rc<Upgrades> {
         let me = shared.own_index();
-        let region = shared.members().get(me as usize).map(|f| f.region.clone()).unwrap_or_default();
+        let region = shared
+            .members()
+            .get(me as usize)
+            .map(|f| f.region.clone())
+            .unwrap_or_default();
         let planner = RefCell::new(Planner::new(settings.terms.clone()));
         let started_at = context.clock.wall().max(0) as u64;
         let orders = RefCell::new(settings.orders.clone());
@@ -203,15 +229,23 @@
     pub fn route(&self, model: &str, draw: impl FnOnce() -> u64) -> Option<Name> {
         let planner = self.planner.borrow();
         planner.models().any(|m| **m == *model).then_some(())?;
-        planner.goes_to(model, &self.region, draw(), false).map(|way| way.function)
+        planner
+            .goes_to(model, &self.region, draw(), false)
+            .map(|way| way.function)
     }
 
     /// The version to propose for a session. Without a plan known here, the one in service.
     pub fn propose_version(&self, model: &str, draw: u64, begins: bool) -> Name {
-        let planned = self.planner.borrow().proposes(model, &self.region, draw, begins);
+        let planned = self
+            .planner
+            .borrow()
+            .proposes(model, &self.region, draw, begins);
         planned.unwrap_or_else(|| {
             let orders = self.orders.borrow();
-            let first = orders.iter().filter(|o| *o.model == *model).min_by_key(|o| o.serial);
+            let first = orders
+                .iter()
+                .filter(|o| *o.model == *model)
+                .min_by_key(|o| o.serial);
             first.map(|o| o.from.clone()).unwrap_or_default()
         })
     }
@@ -230,7 +264,10 @@
     pub fn manages(&self, function: &str) -> bool {
         let (model, claims) = (serving::model(function).0, self.claims());
         // A completed plan claims only one of its versions.
-        let of_model = claims.iter().filter(|c| serving::model(&c.function).0 == model).count();
+        let of_model = claims
+            .iter()
+            .filter(|c| serving::model(&c.function).0 == model)
+            .count();
         of_model > 1 && claims.iter().any(|c| *c.function == *function)
     }
 
@@ -254,20 +291,38 @@
             By::Order(result) => {
                 let (worker, function) = (Name::from(used.worker_name), Name::from(used.function));
                 let ok = result == OrderResult::Stand;
-                self.completed.borrow_mut().push_back(upgrade::Input::LoadEnded { worker, function, ok });
+                self.completed
+                    .borrow_mut()
+                    .push_back(upgrade::Input::LoadEnded {
+                        worker,
+                        function,
+                        ok,
+                    });
             }
             // Failures of a connection, or of a full worker, say nothing about the version.
-            By::Dispatch(outcome @ (Outcome::Succeeded | Outcome::Errored | Outcome::TimedOut), note) => {
+            By::Dispatch(
+                outcome @ (Outcome::Succeeded | Outcome::Errored | Outcome::TimedOut),
+                note,
+            ) => {
                 let (version, trigger) = (Name::from(version), used.trigger);
                 let mut counts = self.counts.borrow_mut();
-                let count =
-                    counts.entry((Name::from(model), version.clone(), trigger)).or_insert_with(|| {
+                let count = counts
+                    .entry((Name::from(model), version.clone(), trigger))
+                    .or_insert_with(|| {
                         let trigger = self.context.names.triggers.get(trigger as usize);
                         let trigger = Name::from(trigger.map_or("", String::as_str));
-                        Count { version, trigger, ..Count::default() }
+                        Count {
+                            version,
+                            trigger,
+                            ..Count::default()
+                        }
                     });
-                let objective =
-                    self.settings.latency_objectives.get(trigger as usize).copied().unwrap_or(Micros::MAX);
+                let objective = self
+                    .settings
+                    .latency_objectives
+                    .get(trigger as usize)
+                    .copied()
+                    .unwrap_or(Micros::MAX);
                 // A dispatch that waited for a load is late because of the load.
                 let late = note != CopyNote::Began && used.took > objective;
                 count.ended += 1;
@@ -281,7 +336,9 @@
     /// Handles what was recorded while the core was running.
     pub fn process_completed(&self) {
         loop {
-            let Some(input) = self.completed.borrow_mut().pop_front() else { break };
+            let Some(input) = self.completed.borrow_mut().pop_front() else {
+                break;
+            };
             self.apply(input);
         }
     }
@@ -294,7 +351,8 @@
     /// For the state endpoint; `sessions` is included as is.
     pub fn state(&self, sessions: Value) -> Value {
         let orders = self.orders.borrow();
-        let order = |o: &Order| json!({"model": o.model, "serial": o.serial, "from": o.from, "to": o.to});
+        let order =
+            |o: &Order| json!({"model": o.model, "serial": o.serial, "from": o.from, "to": o.to});
         json!({
             "orders": orders.iter().map(order).collect::<Vec<_>>(),
             "plans": self.planner.borrow().shown(),
@@ -338,7 +396,10 @@
                 }
                 // The previous orders stay in force.
                 Err(errors) => {
-                    errors.0.iter().for_each(|line| tracing::error!("upgrade: orders refused: {line}"));
+                    errors
+                        .0
+                        .iter()
+                        .for_each(|line| tracing::error!("upgrade: orders refused: {line}"));
                 }
             }
         }
@@ -356,13 +417,32 @@
             match output {
                 Output::Lead { key } => self.shared.lead(key, PLAN_RETENTION),
                 Output::Write { key, ballot, value } => {
-                    self.shared.write(key, to_replica(ballot), value, PLAN_RETENTION);
+                    self.shared
+                        .write(key, to_replica(ballot), value, PLAN_RETENTION);
                 }
-                Output::Want { worker, function, like, term } => {
-                    self.context.feed(Input::Wanted { worker, function, like, term: Some(term) });
+                Output::Want {
+                    worker,
+                    function,
+                    like,
+                    term,
+                } => {
+                    self.context.feed(Input::Wanted {
+                        worker,
+                        function,
+                        like,
+                        term: Some(term),
+                    });
                 }
-                Output::Unwant { worker, function, term } => {
-                    self.context.feed(Input::Unwanted { worker, function, term: Some(term) });
+                Output::Unwant {
+                    worker,
+                    function,
+                    term,
+                } => {
+                    self.context.feed(Input::Unwanted {
+                        worker,
+                        function,
+                        term: Some(term),
+                    });
                 }
                 Output::Log(line) => tracing::info!("upgrade: {line}"),
             }
@@ -388,13 +468,16 @@
             }
             PeerEvent::Decided(key, outcome) => {
                 let outcome = match outcome {
-                    replica::Outcome::Leads { ballot, last } => {
-                        upgrade::Outcome::Leads { ballot: from_replica(ballot), last }
-                    }
-                    replica::Outcome::Written { ballot } => {
-                        upgrade::Outcome::Written { ballot: from_replica(ballot) }
+                    replica::Outcome::Leads { ballot, last } => upgrade::Outcome::Leads {
+                        ballot: from_replica(ballot),
+                        last,
+                    },
+                    replica::Outcome::Written { ballot } => upgrade::Outcome::Written {
+                        ballot: from_replica(ballot),
+                    },
+                    replica::Outcome::Overtaken | replica::Outcome::Chosen(_) => {
+                        upgrade::Outcome::Overtaken
                     }
-                    replica::Outcome::Overtaken | replica::Outcome::Chosen(_) => upgrade::Outcome::Overtaken,
                     replica::Outcome::NoMajority(_) => upgrade::Outcome::NoMajority,
                 };
                 self.apply(upgrade::Input::Decided { key, outcome });
@@ -415,16 +498,29 @@
     fn plan_received(&self, key: &str, ballot: replica::Ballot, bytes: Bytes) {
         if let Some(model) = upgrade::model_of(key) {
             let (model, ballot) = (Name::from(model), from_replica(ballot));
-            self.apply(upgrade::Input::PlanHeard { model, ballot, bytes });
+            self.apply(upgrade::Input::PlanHeard {
+                model,
+                ballot,
+                bytes,
+            });
         }
     }
 
     fn stats_received(&self, key: &str, note: &replica::Note) {
-        let of = key.strip_prefix(STATS_PREFIX).and_then(|rest| rest.rsplit_once('\n'));
-        let Some((model, Ok(member))) = of.map(|(model, member)| (model, member.parse())) else { return };
+        let of = key
+            .strip_prefix(STATS_PREFIX)
+            .and_then(|rest| rest.rsplit_once('\n'));
+        let Some((model, Ok(member))) = of.map(|(model, member)| (model, member.parse())) else {
+            return;
+        };
         // What another release encoded differently is ignored.
         if let Ok(VersionStats { goes_by, counts }) = postcard::from_bytes(&note.value) {
-            self.apply(upgrade::Input::Counted { member, model: Name::from(model), goes_by, counts });
+            self.apply(upgrade::Input::Counted {
+                member,
+                model: Name::from(model),
+                goes_by,
+                counts,
+            });
         }
     }
 
@@ -440,20 +536,35 @@
                 of_model.map(|(_, count)| count.clone()).collect()
             };
             let stats = VersionStats { goes_by, counts };
-            let Ok(value) = postcard::to_stdvec(&stats).map(Bytes::from) else { continue };
+            let Ok(value) = postcard::to_stdvec(&stats).map(Bytes::from) else {
+                continue;
+            };
             {
                 let mut published = self.published.borrow_mut();
                 let last = published.entry(model.clone()).or_default();
                 if last.value == value && now - last.at < STATS_REPEAT_AFTER {
                     continue;
                 }
-                *last = PublishedStats { value: value.clone(), at: now };
+                *last = PublishedStats {
+                    value: value.clone(),
+                    at: now,
+                };
             }
             self.serial.set(self.serial.get() + 1);
             let key = replica::Key::from(format!("{STATS_PREFIX}{model}\n{me}"));
-            self.shared.note(key, (self.started_at, self.serial.get()), value, STATS_RETENTION);
+            self.shared.note(
+                key,
+                (self.started_at, self.serial.get()),
+                value,
+                STATS_RETENTION,
+            );
             let VersionStats { goes_by, counts } = stats;
-            self.apply(upgrade::Input::Counted { member: me, model, goes_by, counts });
+            self.apply(upgrade::Input::Counted {
+                member: me,
+                model,
+                goes_by,
+                counts,
+            });
         }
     }
 
@@ -461,16 +572,31 @@
     fn observed_workers(&self) -> Vec<WorkerSeen> {
         let workers = self.workers.borrow().clone().unwrap_or_default();
         let (workers, sizes) = (workers.borrow(), self.sizes.borrow());
-        let held = self.holdings.borrow().as_ref().map(|source| source()).unwrap_or_default();
-        let mut held: BTreeMap<Name, WorkerSeen> = held.into_iter().map(|w| (w.name.clone(), w)).collect();
+        let held = self
+            .holdings
+            .borrow()
+            .as_ref()
+            .map(|source| source())
+            .unwrap_or_default();
+        let mut held: BTreeMap<Name, WorkerSeen> =
+            held.into_iter().map(|w| (w.name.clone(), w)).collect();
         let describe = |(name, worker): (&Name, &Listed)| {
-            let zone = self.context.names.zones.get(worker.zone as usize).map_or("", String::as_str);
+            let zone = self
+                .context
+                .names
+                .zones
+                .get(worker.zone as usize)
+                .map_or("", String::as_str);
             let region = self.settings.regions.get(zone).map_or(zone, String::as_str);
             let mut w = held.remove(name)?;
             w.region = Name::from(region);
             w.takes_new = worker.standing == Standing::InService;
             if w.memory_mb == 0 {
-                w.memory_mb = self.settings.memory_mb.get(worker.kind as usize).map_or(0, |mb| *mb as u32);
+                w.memory_mb = self
+                    .settings
+                    .memory_mb
+                    .get(worker.kind as usize)
+                    .map_or(0, |mb| *mb as u32);
             }
             for h in &mut w.holds {
                 if let Some((lanes, mb)) = sizes.get(serving::model(&h.function).0) {
--- a/crates/gateway/src/wiring.rs
+++ b/crates/gateway/src/wiring.rs
@@ -33,7 +33,11 @@
     Rc::new_cyclic(|gateway| assemble(resources, executor, gateway))
 }
 
-fn assemble(resources: Resources, executor: &Rc<LocalExecutor<'static>>, gateway: &Weak<Gateway>) -> Gateway {
+fn assemble(
+    resources: Resources,
+    executor: &Rc<LocalExecutor<'static>>,
+    gateway: &Weak<Gateway>,
+) -> Gateway {
     let context = context(&resources, executor, gateway.clone());
     let times = Rc::new(AnswerTimes::default());
     let router = Rc::new(RefCell::new(resources.router));
@@ -45,18 +49,37 @@
         max_body_bytes: resources.max_body_bytes,
         certificate_accounts: resources.certificate_accounts,
     };
-    let fronts = resources.amqp_sources.into_iter().enumerate().map(|(index, source)| {
-        let max_body_bytes = resources.max_body_bytes;
-        Rc::new(AmqpFront::new(index as u32, source, max_body_bytes, context.clone(), times.clone()))
-    });
+    let fronts = resources
+        .amqp_sources
+        .into_iter()
+        .enumerate()
+        .map(|(index, source)| {
+            let max_body_bytes = resources.max_body_bytes;
+            Rc::new(AmqpFront::new(
+                index as u32,
+                source,
+                max_body_bytes,
+                context.clone(),
+                times.clone(),
+            ))
+        });
     let fronts = fronts.collect();
-    let peer_group = resources.peer_group.map(|group| PeerGroup::new(&context, group));
+    let peer_group = resources
+        .peer_group
+        .map(|group| PeerGroup::new(&context, group));
     let shared = peer_group.as_ref().map(PeerGroup::shared_state);
     let upgrades = shared.clone().zip(resources.upgrade);
-    let upgrades = upgrades.map(|(shared, settings)| Upgrades::new(context.clone(), shared, settings));
+    let upgrades =
+        upgrades.map(|(shared, settings)| Upgrades::new(context.clone(), shared, settings));
     let admission = resources.sessions.map(|terms| {
         let (shared, upgrades) = (shared.clone(), upgrades.clone());
-        Admission::new(context.clone(), terms, shared, upgrades, core_past_admission(gateway.clone()))
+        Admission::new(
+            context.clone(),
+            terms,
+            shared,
+            upgrades,
+            core_past_admission(gateway.clone()),
+        )
     });
     let reconciliation = resources.reconcile.map(|settings| {
         let (context, pool) = (context.clone(), pool.clone());
@@ -66,7 +89,12 @@
     let address_router = router.clone();
     let address = Rc::new(move |worker| worker_address(&address_router, worker));
     let gateway = Gateway {
-        fault_injector: Rc::new(FaultInjector::new(resources.fault, context.clone(), pool.clone(), address)),
+        fault_injector: Rc::new(FaultInjector::new(
+            resources.fault,
+            context.clone(),
+            pool.clone(),
+            address,
+        )),
         router,
         times,
         trace_recorder: resources.trace_recorder,
@@ -138,10 +166,20 @@
         let listener = |(n, (settings, tls)): (usize, ListenerWithTls)| {
             let index = (self.first_index + n) as u32;
             let (context, shared) = (self.context.clone(), self.shared.clone());
-            let handler =
-                RequestHandler::new(index, context, shared, self.max_body_bytes, settings.max_streams);
+            let handler = RequestHandler::new(
+                index,
+                context,
+                shared,
+                self.max_body_bytes,
+                settings.max_streams,
+            );
             let accounts = self.certificate_accounts.clone();
-            Rc::new(ClientListener::new(Rc::new(handler), settings, tls, accounts))
+            Rc::new(ClientListener::new(
+                Rc::new(handler),
+                settings,
+                tls,
+                accounts,
+            ))
         };
         listeners.into_iter().enumerate().map(listener).collect()
     }
@@ -149,7 +187,13 @@
 
 /// Registers the parts with the core, the state endpoint and each other.
 fn connect(gateway: &Gateway, shared: Option<&SharedState>) {
-    let Gateway { router, upgrades, admission, reconciliation, .. } = gateway;
+    let Gateway {
+        router,
+        upgrades,
+        admission,
+        reconciliation,
+        ..
+    } = gateway;
     if let Some(admission) = admission {
         router.borrow_mut().watched_by(admission.observer());
     }
@@ -188,7 +232,10 @@
 
 fn connect_admission(reconciliation: &Rc<Reconciliation>, admission: &Rc<Admission>) {
     let (ids, workers) = (reconciliation.clone(), reconciliation.clone());
-    let (id_of, worker_of) = (move |worker: &str| ids.id_of(worker), move |id: &str| workers.worker_of(id));
+    let (id_of, worker_of) = (
+        move |worker: &str| ids.id_of(worker),
+        move |id: &str| workers.worker_of(id),
+    );
     admission.set_worker_ids(Box::new(id_of), Box::new(worker_of));
     let uses = reconciliation.clone();
     let used_lately = move |worker: &str, function: &str| uses.used_lately(worker, function);
@@ -218,7 +265,12 @@
 
 /// A worker's last report in the planner's form; the worker's region and state and the copies' sizes are not
 /// known here.
-fn to_worker_seen(worker: &Arc<str>, seen_at: Micros, memory_mb: f64, said: &Observation) -> WorkerSeen {
+fn to_worker_seen(
+    worker: &Arc<str>,
+    seen_at: Micros,
+    memory_mb: f64,
+    said: &Observation,
+) -> WorkerSeen {
     let held = |e: &Entry| Held {
         function: e.function.clone(),
         copies: e.copies,
--- a/crates/gateway/src/worker_list.rs
+++ b/crates/gateway/src/worker_list.rs
@@ -34,14 +34,20 @@
 
 /// Watches for as long as the router runs. `filter` sees and may change each event; it does so only in tests
 /// of the auditor.
-pub async fn watch(context: Rc<GatewayContext>, address: SocketAddr, filter: impl Fn(News) -> News) {
+pub async fn watch(
+    context: Rc<GatewayContext>,
+    address: SocketAddr,
+    filter: impl Fn(News) -> News,
+) {
     let mut roster = Roster::default();
     let mut backoff = Backoff::new(context.seed ^ 0x11_57);
     let mut next = Step::List;
     loop {
         let began = context.clock.now();
         let event = match &next {
-            Step::Watch(version) => follow_watch(&context, address, *version, &mut roster, &filter).await,
+            Step::Watch(version) => {
+                follow_watch(&context, address, *version, &mut roster, &filter).await
+            }
             _ => fetch_list(&context, address).await,
         };
         let failed = matches!(event, News::Broken { .. });
@@ -72,21 +78,33 @@
     _driver: Task<()>,
 }
 
-async fn get(context: &GatewayContext, address: SocketAddr, path: &str) -> Option<StreamingResponse> {
-    let stream = connect(address, context.local_address, CONNECT_TIMEOUT).await.ok()?;
+async fn get(
+    context: &GatewayContext,
+    address: SocketAddr,
+    path: &str,
+) -> Option<StreamingResponse> {
+    let stream = connect(address, context.local_address, CONNECT_TIMEOUT)
+        .await
+        .ok()?;
     let (mut sender, connection) = http1::handshake(FuturesIo::new(stream)).await.ok()?;
     let _driver = context.executor.spawn(async move {
         // A failure shows in the body.
         let _ = connection.await;
     });
-    let request = Request::get(path).header("host", address.to_string()).header("accept", "application/json");
+    let request = Request::get(path)
+        .header("host", address.to_string())
+        .header("accept", "application/json");
     let asked = sender.send_request(request.body(Empty::<Bytes>::new()).ok()?);
     let timeout = async {
         Timer::after(micros(LIST_TIMEOUT)).await;
         None
     };
     let answer = async { asked.await.ok() }.or(timeout).await?;
-    Some(StreamingResponse { status: answer.status().as_u16(), body: answer.into_body(), _driver })
+    Some(StreamingResponse {
+        status: answer.status().as_u16(),
+        body: answer.into_body(),
+        _driver,
+    })
 }
 
 impl StreamingResponse {
@@ -109,19 +127,31 @@
 
 async fn fetch_list(context: &GatewayContext, address: SocketAddr) -> News {
     let broken = News::Broken { too_old: false };
-    let Some(mut response) = get(context, address, PATH).await.filter(|r| r.status == 200) else {
+    let Some(mut response) = get(context, address, PATH)
+        .await
+        .filter(|r| r.status == 200)
+    else {
         return broken;
     };
     let mut buffer = Vec::new();
     while buffer.len() < MAX_LISTING_BYTES && response.read_more(&mut buffer, LIST_TIMEOUT).await {}
     // A listing that broke off is not a complete value.
-    let Ok(value) = serde_json::from_slice::<Value>(&buffer) else { return broken };
+    let Ok(value) = serde_json::from_slice::<Value>(&buffer) else {
+        return broken;
+    };
     let version = resource_version(&value);
-    let items = value["items"].as_array().map(Vec::as_slice).unwrap_or_default();
+    let items = value["items"]
+        .as_array()
+        .map(Vec::as_slice)
+        .unwrap_or_default();
     match version {
-        Some(version) => {
-            News::Listing { version, slices: items.iter().filter_map(|i| parse_slice(context, i)).collect() }
-        }
+        Some(version) => News::Listing {
+            version,
+            slices: items
+                .iter()
+                .filter_map(|i| parse_slice(context, i))
+                .collect(),
+        },
         None => broken,
     }
 }
@@ -135,7 +165,9 @@
 ) -> News {
     let broken = |too_old| News::Broken { too_old };
     let path = format!("{PATH}?watch=1&allowWatchBookmarks=true&resourceVersion={from}");
-    let Some(mut response) = get(context, address, &path).await else { return broken(false) };
+    let Some(mut response) = get(context, address, &path).await else {
+        return broken(false);
+    };
     if response.status != 200 {
         return broken(response.status == 410);
     }
@@ -143,14 +175,19 @@
     while response.read_more(&mut buffer, WATCH_IDLE_TIMEOUT).await {
         while let Some(end) = buffer.iter().position(|&b| b == b'\n') {
             let line: Vec<u8> = buffer.drain(..=end).collect();
-            let Ok(value) = serde_json::from_slice::<Value>(&line) else { return broken(false) };
+            let Ok(value) = serde_json::from_slice::<Value>(&line) else {
+                return broken(false);
+            };
             let object = &value["object"];
             let event = match value["type"].as_str() {
                 Some("ADDED" | "MODIFIED") => parse_slice(context, object).map(News::Changed),
                 Some("DELETED") => object["metadata"]["name"]
                     .as_str()
                     .zip(resource_version(object))
-                    .map(|(name, version)| News::Removed { name: name.to_owned(), version }),
+                    .map(|(name, version)| News::Removed {
+                        name: name.to_owned(),
+                        version,
+                    }),
                 Some("BOOKMARK") => resource_version(object).map(News::Bookmark),
                 // A status object; 410: the requested version is no longer kept.
                 _ => return broken(object["code"].as_u64() == Some(410)),
@@ -177,15 +214,26 @@
     let port = object["ports"].as_array()?.first()?["port"].as_u64()?;
     let annotation = |key: &str| object["metadata"]["annotations"][key].as_str();
     let index = |names: &[String], name: Option<&str>| {
-        name.and_then(|n| names.iter().position(|k| k == n)).unwrap_or(0) as u32
+        name.and_then(|n| names.iter().position(|k| k == n))
+            .unwrap_or(0) as u32
     };
     // The start by the wall clock, converted to the router's clock.
     let started = annotation("cedarpulley/started-at-us").and_then(|t| t.parse::<Micros>().ok());
-    let started = started.filter(|&s| s > 0).map(|s| context.clock.now() - (context.clock.wall() - s));
+    let started = started
+        .filter(|&s| s > 0)
+        .map(|s| context.clock.now() - (context.clock.wall() - s));
     let mut entries = Vec::new();
-    for endpoint in object["endpoints"].as_array().map(Vec::as_slice).unwrap_or_default() {
-        let Some(ip) = endpoint["addresses"][0].as_str() else { continue };
-        let Ok(address) = format!("{ip}:{port}").parse::<SocketAddr>() else { continue };
+    for endpoint in object["endpoints"]
+        .as_array()
+        .map(Vec::as_slice)
+        .unwrap_or_default()
+    {
+        let Some(ip) = endpoint["addresses"][0].as_str() else {
+            continue;
+        };
+        let Ok(address) = format!("{ip}:{port}").parse::<SocketAddr>() else {
+            continue;
+        };
         if !address.ip().is_loopback() {
             continue;
         }
@@ -197,13 +245,26 @@
             address: address.to_string(),
             zone: index(&context.names.zones, endpoint["zone"].as_str()),
             kind: index(&context.names.kinds, annotation("cedarpulley/kind")),
-            cell: annotation("cedarpulley/cell").and_then(|c| c.parse().ok()).unwrap_or(0),
-            standing: if draining { Standing::Draining } else { Standing::InService },
+            cell: annotation("cedarpulley/cell")
+                .and_then(|c| c.parse().ok())
+                .unwrap_or(0),
+            standing: if draining {
+                Standing::Draining
+            } else {
+                Standing::InService
+            },
             weight: 1.0,
             started,
         };
-        let start_mark = endpoint["targetRef"]["uid"].as_str().unwrap_or_default().to_owned();
+        let start_mark = endpoint["targetRef"]["uid"]
+            .as_str()
+            .unwrap_or_default()
+            .to_owned();
         entries.push(Entry { worker, start_mark });
     }
-    Some(Slice { name, version, entries })
+    Some(Slice {
+        name,
+        version,
+        entries,
+    })
 }
