--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -16,7 +16,11 @@
 
 fn turn(tag: u64) -> Taken {
     Taken {
-        delivery: Delivery { front: 0, life: 0, tag },
+        delivery: Delivery {
+            front: 0,
+            life: 0,
+            tag,
+        },
         identity: None,
         mark: None,
         redelivered: false,
@@ -31,7 +35,11 @@
         load_hint: None,
         copy_mb: 1.0,
         lanes: 1,
-        session: Some(Session { id: "s".into(), start: false, end: false }),
+        session: Some(Session {
+            id: "s".into(),
+            start: false,
+            end: false,
+        }),
         named: None,
         prefers: None,
         refused: None,
@@ -50,16 +58,31 @@
         name: "r0".into(),
         seed: 1,
         local_address: None,
-        names: Names { triggers: vec!["t".into()], accounts: vec![], zones: vec![], kinds: vec![] },
+        names: Names {
+            triggers: vec!["t".into()],
+            accounts: vec![],
+            zones: vec![],
+            kinds: vec![],
+        },
         tracks_sessions: true,
         malformed_inputs: Cell::new(0),
         core_input: Box::new(|_| {}),
     });
     let minute: Micros = 60_000_000;
-    let terms = Terms { kept: 10 * minute, patience: minute, most_known: 10, most_waiting: 10 };
+    let terms = Terms {
+        kept: 10 * minute,
+        patience: minute,
+        most_known: 10,
+        most_waiting: 10,
+    };
     let core = passed.clone();
-    let admission =
-        Admission::new(context, terms, None, None, Box::new(move |input| core.borrow_mut().push(input)));
+    let admission = Admission::new(
+        context,
+        terms,
+        None,
+        None,
+        Box::new(move |input| core.borrow_mut().push(input)),
+    );
     let stands = Rc::new(Cell::new(true));
     let used = stands.clone();
     admission.set_recent_use_check(Box::new(move |worker, function| {
@@ -69,9 +92,12 @@
     let told = |tag| {
         assert!(admission.filter(Input::Taken(turn(tag))).is_none());
         let passed = std::mem::take(&mut *passed.borrow_mut());
-        let held =
-            passed.iter().any(|i| matches!(i, Input::Held { worker, copies: 1, .. } if **worker == *WORKER));
-        let Some(Input::Taken(taken)) = passed.into_iter().last() else { panic!("it goes on") };
+        let held = passed
+            .iter()
+            .any(|i| matches!(i, Input::Held { worker, copies: 1, .. } if **worker == *WORKER));
+        let Some(Input::Taken(taken)) = passed.into_iter().last() else {
+            panic!("it goes on")
+        };
         (held, taken.prefers)
     };
     assert_eq!(told(1), (false, None));
@@ -94,7 +120,10 @@
         },
     );
     admission.process_completed();
-    assert_eq!((told(2), told(3)), ((true, Some(WORKER.into())), (true, Some(WORKER.into()))));
+    assert_eq!(
+        (told(2), told(3)),
+        ((true, Some(WORKER.into())), (true, Some(WORKER.into())))
+    );
     // The copy is not known to be in use any more: nothing is told.
     stands.set(false);
     assert_eq!(told(4), (false, Some(WORKER.into())));
--- a/crates/gateway/tests/metering.rs
+++ b/crates/gateway/tests/metering.rs
@@ -26,7 +26,12 @@
 fn use_it(m: &Metering, times: std::ops::Range<u128>) {
     let by = By::Dispatch(Outcome::Succeeded, CopyNote::Found);
     for n in times {
-        let held = Some(Held { life: 9, running: 30 * (n + 1), loading: 0, idle: 0 });
+        let held = Some(Held {
+            life: 9,
+            running: 30 * (n + 1),
+            loading: 0,
+            idle: 0,
+        });
         let used = Used {
             worker: 0,
             worker_name: "w",
@@ -51,14 +56,20 @@
     while !until() {
         m.flush_due(now);
         now += 400 * SECOND;
-        assert!(began.elapsed() < Duration::from_secs(20), "nothing came of it");
+        assert!(
+            began.elapsed() < Duration::from_secs(20),
+            "nothing came of it"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 fn kept(file: &Path) -> Sum {
     let book = Ledger::open(file).expect("it opens").book().expect("read");
-    book.sums().by(|k| k.kind).remove(&Kind::Running).unwrap_or_default()
+    book.sums()
+        .by(|k| k.kind)
+        .remove(&Kind::Running)
+        .unwrap_or_default()
 }
 
 #[test]
@@ -79,7 +90,13 @@
     looked(&metering, 40_000 * SECOND, || file.is_file());
     // Closing waits for the thread that writes; the file alone may still be empty.
     assert!(metering.close(80_000_000 * SECOND), "written in the end");
-    assert_eq!(kept(&file), Sum { byte_us: 5 * 30, count: 5 });
+    assert_eq!(
+        kept(&file),
+        Sum {
+            byte_us: 5 * 30,
+            count: 5
+        }
+    );
 }
 
 #[test]
@@ -93,5 +110,11 @@
     looked(&metering, 0, aside);
     looked(&metering, 40_000_000 * SECOND, || file.is_file());
     assert!(metering.close(80_000_000 * SECOND));
-    assert_eq!(kept(&file), Sum { byte_us: 120, count: 4 });
+    assert_eq!(
+        kept(&file),
+        Sum {
+            byte_us: 120,
+            count: 4
+        }
+    );
 }
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -61,7 +61,13 @@
         time_left: 1_000_000,
         session: None,
     };
-    requests::infer(&address.to_string(), "f", marks, Bytes::from_static(b"{}"), None)
+    requests::infer(
+        &address.to_string(),
+        "f",
+        marks,
+        Bytes::from_static(b"{}"),
+        None,
+    )
 }
 
 /// So many exchanges one after the other, within a time.
@@ -75,7 +81,10 @@
                 async_io::Timer::after(Duration::from_secs(5)).await;
                 panic!("no end to the exchange")
             };
-            let result = pool.exchange(address, infer(address), false, || true).or(late).await;
+            let result = pool
+                .exchange(address, infer(address), false, || true)
+                .or(late)
+                .await;
             all.push(endings::infer(&ending_of(&result, "f")).outcome);
             async_io::Timer::after(Duration::from_millis(30)).await;
         }
@@ -106,8 +115,12 @@
     });
     let executor = Rc::new(LocalExecutor::new());
     let pool = Pool::new(executor.clone(), Clock::start(), pool_settings(1));
-    let result = async_io::block_on(executor.run(pool.exchange(address, infer(address), false, || false)));
-    assert_eq!(endings::infer(&ending_of(&result, "f")).outcome, Outcome::NotSent);
+    let result =
+        async_io::block_on(executor.run(pool.exchange(address, infer(address), false, || false)));
+    assert_eq!(
+        endings::infer(&ending_of(&result, "f")).outcome,
+        Outcome::NotSent
+    );
 }
 
 #[test]
@@ -148,7 +161,10 @@
 
 #[test]
 fn a_hundred_megabytes_are_not_read() {
-    for head in ["content-length: 104857600\r\n\r\n", "transfer-encoding: chunked\r\n\r\n"] {
+    for head in [
+        "content-length: 104857600\r\n\r\n",
+        "transfer-encoding: chunked\r\n\r\n",
+    ] {
         let address = worker(move |mut s, _| {
             request(&mut s);
             let _ = s.write_all(format!("HTTP/1.1 200 OK\r\n{head}").as_bytes());
@@ -167,7 +183,11 @@
         let _ = s.write_all(GOOD);
     });
     let seen = outcomes(address, 4, 20);
-    assert!(seen.iter().all(|o| matches!(o, Outcome::Succeeded | Outcome::NotSent)), "{seen:?}");
+    assert!(
+        seen.iter()
+            .all(|o| matches!(o, Outcome::Succeeded | Outcome::NotSent)),
+        "{seen:?}"
+    );
 }
 
 #[test]
@@ -181,19 +201,32 @@
         });
     });
     let executor = Rc::new(LocalExecutor::new());
-    let pool = Rc::new(Pool::new(executor.clone(), Clock::start(), pool_settings(1)));
+    let pool = Rc::new(Pool::new(
+        executor.clone(),
+        Clock::start(),
+        pool_settings(1),
+    ));
     async_io::block_on(executor.run(async {
-        let ticket = Ticket { inv: 0, dispatch: 0, generation: 0 };
+        let ticket = Ticket {
+            inv: 0,
+            dispatch: 0,
+            generation: 0,
+        };
         let first = pool.clone();
         pool.track(
             ticket,
             executor.spawn(async move {
-                let _ = first.exchange(address, infer(address), false, || true).await;
+                let _ = first
+                    .exchange(address, infer(address), false, || true)
+                    .await;
             }),
         );
         async_io::Timer::after(Duration::from_millis(100)).await;
         let result = pool.exchange(address, infer(address), false, || true).await;
-        assert_eq!(endings::infer(&ending_of(&result, "f")).outcome, Outcome::Throttled);
+        assert_eq!(
+            endings::infer(&ending_of(&result, "f")).outcome,
+            Outcome::Throttled
+        );
         pool.cancel(ticket);
         async_io::Timer::after(Duration::from_millis(20)).await;
         let late = async {
@@ -201,8 +234,9 @@
             None
         };
         // There is room again: the exchange goes out and waits for this silent worker.
-        let again =
-            async { Some(pool.exchange(address, infer(address), false, || true).await) }.or(late).await;
+        let again = async { Some(pool.exchange(address, infer(address), false, || true).await) }
+            .or(late)
+            .await;
         assert!(again.is_none());
     }));
 }
--- a/crates/gateway/tests/unknown_members.rs
+++ b/crates/gateway/tests/unknown_members.rs
@@ -18,8 +18,8 @@
 }
 
 fn peers(name: &str) -> Peers {
-    let members =
-        ["r0", "r1", "r2"].map(|m| format!("[[peers.member]]\nname = {m:?}\naddress = \"127.0.0.1:7101\"\n"));
+    let members = ["r0", "r1", "r2"]
+        .map(|m| format!("[[peers.member]]\nname = {m:?}\naddress = \"127.0.0.1:7101\"\n"));
     let text = format!(
         "[[trigger]]\nname = \"t\"\neffect = \"idempotent\"\nlatency_objective_ms = 100\nclient_timeout_ms = 1000\n\
          [[kserve]]\nlisten = \"127.0.0.1:7100\"\n[workers]\nwatch = \"127.0.0.1:7102\"\n\
@@ -38,7 +38,14 @@
         malformed_inputs: Cell::new(0),
         core_input: Box::new(|_| {}),
     };
-    Peers::new(Rc::new(context), &parts.peers.expect("peers"), 1, None, None, Box::new(Nowhere))
+    Peers::new(
+        Rc::new(context),
+        &parts.peers.expect("peers"),
+        1,
+        None,
+        None,
+        Box::new(Nowhere),
+    )
 }
 
 #[test]
@@ -59,11 +66,22 @@
         assert_eq!(here.receive(None, said).err(), Some(why));
     }
     let s = state();
-    assert_eq!((&s["counts"]["other_version"], &s["counts"]["unreadable"]), (&2.into(), &1.into()), "{s}");
+    assert_eq!(
+        (&s["counts"]["other_version"], &s["counts"]["unreadable"]),
+        (&2.into(), &1.into()),
+        "{s}"
+    );
     let refused = &s["members"][1]["refused"];
-    assert_eq!((&refused["version"], &refused["times"]), (&(version - 1).into(), &1.into()), "{s}");
+    assert_eq!(
+        (&refused["version"], &refused["times"]),
+        (&(version - 1).into(), &1.into()),
+        "{s}"
+    );
     assert_eq!(refused["do"], "run one build in all routers of the group");
-    assert!(s["members"][2]["refused"].is_null() && s["strangers"]["times"] == 2, "{s}");
+    assert!(
+        s["members"][2]["refused"].is_null() && s["strangers"]["times"] == 2,
+        "{s}"
+    );
     assert!(here.receive(None, &bytes).is_ok());
     assert!(state()["members"][1]["refused"].is_null(), "{}", state());
 }
--- a/crates/gateway/tests/upgrades.rs
+++ b/crates/gateway/tests/upgrades.rs
@@ -38,7 +38,9 @@
 fn orders(folder: &Path, text: &str) -> Result<usize, Vec<String>> {
     let file = folder.join("orders.toml");
     std::fs::write(&file, text).expect("written");
-    upgrades::read(&file).map(|orders| orders.len()).map_err(|errors| errors.0)
+    upgrades::read(&file)
+        .map(|orders| orders.len())
+        .map_err(|errors| errors.0)
 }
 
 const GOOD: &str = "[[order]]\nmodel = \"m\"\nto = \"2\"\nserial = 1\ndrain_limit_ms = 9000\n";
@@ -49,7 +51,13 @@
     let at = folder.path();
     assert_eq!(orders(at, ""), Ok(0));
     assert_eq!(orders(at, GOOD), Ok(1));
-    assert_eq!(orders(at, &format!("{GOOD}{}", GOOD.replace("serial = 1", "serial = 2"))), Ok(2));
+    assert_eq!(
+        orders(
+            at,
+            &format!("{GOOD}{}", GOOD.replace("serial = 1", "serial = 2"))
+        ),
+        Ok(2)
+    );
     let wrong = orders(
         at,
         "[[order]]\nmodel = \"m\"\nto = \"2/3\"\nserial = 1\ndrain_limit_ms = 1\n\
@@ -57,7 +65,11 @@
     )
     .expect_err("three causes");
     assert_eq!(wrong.len(), 3, "{wrong:?}");
-    for (line, says) in wrong.iter().zip(["orders.toml:2: order[0].model", ":11: order[1].floor", ":12: "]) {
+    for (line, says) in wrong.iter().zip([
+        "orders.toml:2: order[0].model",
+        ":11: order[1].floor",
+        ":12: ",
+    ]) {
         assert!(line.contains(says), "{line}");
     }
     let twice = orders(at, &format!("{GOOD}{GOOD}")).expect_err("one serial for two");
@@ -73,20 +85,31 @@
     let section = "[reconcile]\n[upgrade]\norder = \"orders.toml\"\n";
     let plain = read(at, PEERS).unwrap_or_else(|e| panic!("{e:?}"));
     assert!(plain.upgrade.is_none() && plain.sessions.is_none());
-    let no_file = read(at, &format!("{PEERS}{section}")).err().expect("no file");
+    let no_file = read(at, &format!("{PEERS}{section}"))
+        .err()
+        .expect("no file");
     assert!(no_file[0].contains("orders.toml"), "{no_file:?}");
     std::fs::write(at.join("orders.toml"), GOOD).expect("written");
     let alone = read(at, section).err().expect("no group");
     assert!(alone[0].contains("[peers]"), "{alone:?}");
-    let parts = read(at, &format!("{PEERS}{section}lease_ms = 900\n")).unwrap_or_else(|e| panic!("{e:?}"));
+    let parts =
+        read(at, &format!("{PEERS}{section}lease_ms = 900\n")).unwrap_or_else(|e| panic!("{e:?}"));
     let upgrade = parts.upgrade.expect("upgrades");
     assert_eq!(
-        (upgrade.orders.len(), upgrade.terms.lease, upgrade.latency_objectives),
+        (
+            upgrade.orders.len(),
+            upgrade.terms.lease,
+            upgrade.latency_objectives
+        ),
         (1, 900_000, vec![100_000])
     );
     assert!(parts.sessions.is_some());
-    let short = read(at, &format!("{PEERS}{section}session_kept_ms = 2000\n")).err().expect("too short");
+    let short = read(at, &format!("{PEERS}{section}session_kept_ms = 2000\n"))
+        .err()
+        .expect("too short");
     assert!(short[0].contains("session_kept_ms"), "{short:?}");
-    let unknown = read(at, &format!("{PEERS}{section}lease = 1\n")).err().expect("unknown");
+    let unknown = read(at, &format!("{PEERS}{section}lease = 1\n"))
+        .err()
+        .expect("unknown");
     assert!(unknown[0].contains("lease"), "{unknown:?}");
 }
--- a/crates/kserve/src/endings.rs
+++ b/crates/kserve/src/endings.rs
@@ -19,9 +19,7 @@
     /// As many connections as are allowed to this worker are in use.
     NoRoom,
     /// The connection failed; `left`: a byte of the request had gone out.
-    Broke {
-        left: bool,
-    },
+    Broke { left: bool },
     /// A head without end or that is no HTTP, or a body that broke off.
     Garbled,
     /// The answer was beyond the bound and was not read to its end.
@@ -45,7 +43,12 @@
 
 impl Reading {
     fn bare(outcome: Outcome) -> Self {
-        Reading { outcome, note: CopyNote::Untold, crowd: None, report: Report::default() }
+        Reading {
+            outcome,
+            note: CopyNote::Untold,
+            crowd: None,
+            report: Report::default(),
+        }
     }
 }
 
@@ -58,7 +61,12 @@
         Ended::Broke { left: false } => Reading::bare(Outcome::NotSent),
         Ended::Broke { left: true } | Ended::Garbled => Reading::bare(Outcome::Broken),
         Ended::TooLarge => Reading::bare(Outcome::Errored),
-        Ended::Answered { status, headers, body, function } => {
+        Ended::Answered {
+            status,
+            headers,
+            body,
+            function,
+        } => {
             let refused = reports::text(headers, reports::RAN) == Some("no");
             let outcome = match status.as_u16() {
                 // Symptom: raw tensors are told of that are not there.
@@ -83,7 +91,9 @@
 pub fn json_length(headers: &HeaderMap, body: &[u8]) -> Option<usize> {
     match headers.get(JSON_LENGTH) {
         None => Some(body.len()),
-        Some(_) => reports::number(headers, JSON_LENGTH).map(|n| n as usize).filter(|n| *n <= body.len()),
+        Some(_) => reports::number(headers, JSON_LENGTH)
+            .map(|n| n as usize)
+            .filter(|n| *n <= body.len()),
     }
 }
 
@@ -91,8 +101,12 @@
 pub fn order(ended: &Ended) -> (OrderResult, u32) {
     match ended {
         Ended::NoConnection => (OrderResult::Unreachable, 0),
-        Ended::NoRoom | Ended::Broke { .. } | Ended::Garbled | Ended::TooLarge => (OrderResult::Broken, 0),
-        Ended::Answered { status, headers, .. } => {
+        Ended::NoRoom | Ended::Broke { .. } | Ended::Garbled | Ended::TooLarge => {
+            (OrderResult::Broken, 0)
+        }
+        Ended::Answered {
+            status, headers, ..
+        } => {
             let copies = reports::number(headers, reports::COPIES);
             match status.as_u16() {
                 200 => (OrderResult::Stand, copies.unwrap_or(1)),
@@ -107,8 +121,14 @@
 
 pub fn probe(ended: &Ended) -> (Outcome, Report) {
     match ended {
-        Ended::Answered { status, headers, .. } => {
-            let outcome = if status.is_success() { Outcome::Succeeded } else { Outcome::Errored };
+        Ended::Answered {
+            status, headers, ..
+        } => {
+            let outcome = if status.is_success() {
+                Outcome::Succeeded
+            } else {
+                Outcome::Errored
+            };
             (outcome, reports::load(headers))
         }
         other => (infer(other).outcome, Report::default()),
@@ -128,9 +148,13 @@
     if body.len() > LOOKED_INTO || body.first() != Some(&b'{') {
         return false;
     }
-    let named = serde_json::from_slice::<Named>(body).ok().and_then(|n| n.model_name);
+    let named = serde_json::from_slice::<Named>(body)
+        .ok()
+        .and_then(|n| n.model_name);
     // A versioned one is named without its version.
-    let asked = function.split_once(VERSIONS).map_or(function, |(name, _)| name);
+    let asked = function
+        .split_once(VERSIONS)
+        .map_or(function, |(name, _)| name);
     named.is_some_and(|name| name != function && name != asked)
 }
 
@@ -144,7 +168,13 @@
             headers.insert(*name, value.parse().expect("a header value"));
         }
         let status = StatusCode::from_u16(status).expect("a status");
-        infer(&Ended::Answered { status, headers: &headers, body, function: "f" }).outcome
+        infer(&Ended::Answered {
+            status,
+            headers: &headers,
+            body,
+            function: "f",
+        })
+        .outcome
     }
 
     #[test]
@@ -157,9 +187,18 @@
         assert_eq!(outcome(Ended::Garbled), Outcome::Broken);
         assert_eq!(outcome(Ended::TooLarge), Outcome::Errored);
         assert_eq!(answered(200, &[], b"{}"), Outcome::Succeeded);
-        assert_eq!(answered(404, &[("cedarpulley-ran", "no")], b""), Outcome::Missed);
-        assert_eq!(answered(503, &[("cedarpulley-ran", "no")], b""), Outcome::Throttled);
-        assert_eq!(answered(500, &[("cedarpulley-ran", "no")], b""), Outcome::Errored);
+        assert_eq!(
+            answered(404, &[("cedarpulley-ran", "no")], b""),
+            Outcome::Missed
+        );
+        assert_eq!(
+            answered(503, &[("cedarpulley-ran", "no")], b""),
+            Outcome::Throttled
+        );
+        assert_eq!(
+            answered(500, &[("cedarpulley-ran", "no")], b""),
+            Outcome::Errored
+        );
     }
 
     /// A refusal that does not say that it came before the work proves nothing.
@@ -172,10 +211,25 @@
 
     #[test]
     fn an_answer_for_another_model_is_no_success() {
-        assert_eq!(answered(200, &[("cedarpulley-model", "g")], b""), Outcome::Errored);
-        assert_eq!(answered(200, &[], br#"{"model_name":"g","outputs":[]}"#), Outcome::Errored);
-        assert_eq!(answered(200, &[], br#"{"model_name":"f","outputs":[]}"#), Outcome::Succeeded);
-        let raw = |n| answered(200, &[("inference-header-content-length", n)], b"{\"model_name\":\"f\"}\x01");
+        assert_eq!(
+            answered(200, &[("cedarpulley-model", "g")], b""),
+            Outcome::Errored
+        );
+        assert_eq!(
+            answered(200, &[], br#"{"model_name":"g","outputs":[]}"#),
+            Outcome::Errored
+        );
+        assert_eq!(
+            answered(200, &[], br#"{"model_name":"f","outputs":[]}"#),
+            Outcome::Succeeded
+        );
+        let raw = |n| {
+            answered(
+                200,
+                &[("inference-header-content-length", n)],
+                b"{\"model_name\":\"f\"}\x01",
+            )
+        };
         assert_eq!(
             (raw("18"), raw("30"), raw("x")),
             (Outcome::Succeeded, Outcome::Errored, Outcome::Errored)
--- a/crates/kserve/src/index.rs
+++ b/crates/kserve/src/index.rs
@@ -92,14 +92,25 @@
     let mut entries = serde_json::from_slice::<Vec<Entry>>(body).map_err(|_| NoIndex::Form)?;
     let cut = entries.len() > MOST_ENTRIES;
     entries.truncate(MOST_ENTRIES);
-    let models = entries.into_iter().enumerate().map(|(n, e)| model(e).ok_or(NoIndex::Name(n)));
+    let models = entries
+        .into_iter()
+        .enumerate()
+        .map(|(n, e)| model(e).ok_or(NoIndex::Name(n)));
     let life = text(headers, LIFE).map(|t| t.trim().parse().unwrap_or_else(|_| fingerprint(t)));
     let memory_mb = number(headers, MEMORY_MB).map_or(0.0, f64::from);
-    Ok(Index { life, memory_mb, models: models.collect::<Result<_, _>>()?, cut })
+    Ok(Index {
+        life,
+        memory_mb,
+        models: models.collect::<Result<_, _>>()?,
+        cut,
+    })
 }
 
 fn named(value: &Value) -> Option<String> {
-    value.as_str().filter(|name| !name.is_empty() && name.len() <= MOST_NAME).map(str::to_owned)
+    value
+        .as_str()
+        .filter(|name| !name.is_empty() && name.len() <= MOST_NAME)
+        .map(str::to_owned)
 }
 
 fn model(e: Entry) -> Option<Model> {
@@ -110,15 +121,23 @@
         Some(version) => format!("{}{VERSIONS}{version}", e.name),
         None => e.name,
     };
-    let count =
-        |key: &str| e.parameters.get(key).and_then(Value::as_u64).map(|n| n.min(u64::from(u32::MAX)) as u32);
+    let count = |key: &str| {
+        e.parameters
+            .get(key)
+            .and_then(Value::as_u64)
+            .map(|n| n.min(u64::from(u32::MAX)) as u32)
+    };
     // A worker that names no state says that the model is there.
     let state = e.state.as_deref().unwrap_or("READY");
     let ready = state == "READY";
     let sequences = e.parameters.get("sequences").and_then(Value::as_array);
     Some(Model {
         function,
-        copies: if ready { count("copies").unwrap_or(1) } else { 0 },
+        copies: if ready {
+            count("copies").unwrap_or(1)
+        } else {
+            0
+        },
         loading: state == "LOADING",
         busy: count("busy"),
         idle: e.parameters.get("idle_us").and_then(Value::as_i64),
@@ -148,7 +167,10 @@
             {"name":"plain","state":"READY"}, {"name":"coming","state":"LOADING","parameters":{"copies":1}},
             {"name":"gone","state":"UNAVAILABLE","reason":"unloaded"}]"#;
         let index = read(body).expect("an index");
-        assert_eq!((index.life, index.models.len(), index.cut), (Some(7), 4, false));
+        assert_eq!(
+            (index.life, index.models.len(), index.cut),
+            (Some(7), 4, false)
+        );
         let whole = Model {
             function: "resize:3/versions/2".into(),
             copies: 2,
@@ -165,7 +187,11 @@
             loading,
             ..Model::default()
         };
-        let others = [bare("plain", 1, false), bare("coming", 0, true), bare("gone", 0, false)];
+        let others = [
+            bare("plain", 1, false),
+            bare("coming", 0, true),
+            bare("gone", 0, false),
+        ];
         assert_eq!(index.models[0], whole);
         assert_eq!(index.models[1..], others);
     }
@@ -176,14 +202,22 @@
         for body in ["", "{}", "[3]", r#"[{"name":3}]"#, "[[]", "nul"] {
             assert_eq!(read(body), Err(NoIndex::Form), "{body}");
         }
-        assert_eq!(read(r#"[{"name":"a"},{"state":"READY"}]"#), Err(NoIndex::Name(1)));
-        assert_eq!(read(&format!(r#"[{{"name":"{}"}}]"#, "x".repeat(600))), Err(NoIndex::Name(0)));
+        assert_eq!(
+            read(r#"[{"name":"a"},{"state":"READY"}]"#),
+            Err(NoIndex::Name(1))
+        );
+        assert_eq!(
+            read(&format!(r#"[{{"name":"{}"}}]"#, "x".repeat(600))),
+            Err(NoIndex::Name(0))
+        );
         let many = vec![r#"{"name":"a"}"#; MOST_ENTRIES + 1].join(",");
         let index = read(&format!("[{many}]")).expect("an index");
         assert_eq!((index.models.len(), index.cut), (MOST_ENTRIES, true));
         let ids = vec![r#""s""#; MOST_SEQUENCES + 1].join(",");
-        let index =
-            read(&format!(r#"[{{"name":"a","parameters":{{"sequences":[{ids}]}}}}]"#)).expect("an index");
+        let index = read(&format!(
+            r#"[{{"name":"a","parameters":{{"sequences":[{ids}]}}}}]"#
+        ))
+        .expect("an index");
         assert_eq!(index.models[0].sequences, None);
     }
 }
--- a/crates/kserve/src/reports.rs
+++ b/crates/kserve/src/reports.rs
@@ -45,8 +45,15 @@
 /// Absent unless all four are told.
 pub fn held(headers: &HeaderMap) -> Option<Held> {
     let (mut life, mut told) = (None, [None; 3]);
-    for (name, value) in text(headers, HELD)?.split(',').filter_map(|p| p.trim().split_once('=')) {
-        let total = value.trim().parse::<u128>().ok().filter(|v| *v <= MOST_TOLD);
+    for (name, value) in text(headers, HELD)?
+        .split(',')
+        .filter_map(|p| p.trim().split_once('='))
+    {
+        let total = value
+            .trim()
+            .parse::<u128>()
+            .ok()
+            .filter(|v| *v <= MOST_TOLD);
         match name.trim() {
             "life" => life = value.trim().parse().ok(),
             "running" => told[0] = total,
@@ -55,16 +62,29 @@
             _ => {}
         }
     }
-    let [Some(running), Some(loading), Some(idle)] = told else { return None };
-    Some(Held { life: life?, running, loading, idle })
+    let [Some(running), Some(loading), Some(idle)] = told else {
+        return None;
+    };
+    Some(Held {
+        life: life?,
+        running,
+        loading,
+        idle,
+    })
 }
 
 /// `TEXT cpu_utilization=0.3, mem_utilization=0.5, named_metrics.held=4`; what cannot be read is absent.
 pub fn load(headers: &HeaderMap) -> Report {
     let mut report = Report::default();
-    let Some(list) = text(headers, LOAD_METRICS).and_then(|t| t.strip_prefix("TEXT ")) else { return report };
+    let Some(list) = text(headers, LOAD_METRICS).and_then(|t| t.strip_prefix("TEXT ")) else {
+        return report;
+    };
     for (name, value) in list.split(',').filter_map(|p| p.trim().split_once('=')) {
-        let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
+        let value = value
+            .trim()
+            .parse::<f64>()
+            .ok()
+            .filter(|v| v.is_finite() && *v >= 0.0);
         match name.trim() {
             "cpu_utilization" => report.busy = value,
             "mem_utilization" => report.memory_part = value,
--- a/crates/kserve/src/requests.rs
+++ b/crates/kserve/src/requests.rs
@@ -25,7 +25,11 @@
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Unreserved characters of a URI stay as they are.
-const PART: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'.').remove(b'_').remove(b'~');
+const PART: &AsciiSet = &NON_ALPHANUMERIC
+    .remove(b'-')
+    .remove(b'.')
+    .remove(b'_')
+    .remove(b'~');
 
 /// What an infer request bears beside its body.
 #[derive(Clone, Copy, Debug)]
@@ -66,18 +70,33 @@
 }
 
 /// `json`: where raw tensors follow in the body, the length of what is JSON.
-pub fn infer(host: &str, function: &str, marks: Marks, body: Bytes, json: Option<u32>) -> Request<Bytes> {
+pub fn infer(
+    host: &str,
+    function: &str,
+    marks: Marks,
+    body: Bytes,
+    json: Option<u32>,
+) -> Request<Bytes> {
     let path = format!("/v2/models/{}/infer", model(function));
     let mut r = request(Method::POST, host, &path, body);
-    let kind = if json.is_some() { "application/octet-stream" } else { "application/json" };
-    r.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    let kind = if json.is_some() {
+        "application/octet-stream"
+    } else {
+        "application/json"
+    };
+    r.headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static(kind));
     if let Some(json) = json {
         r.headers_mut().insert(JSON_LENGTH, HeaderValue::from(json));
     }
     put(&mut r, DISPATCH, &marks.dispatch.to_string());
     put(&mut r, TRIGGER_TYPE, marks.trigger);
     put(&mut r, TIME_LEFT_US, &marks.time_left.to_string());
-    let maybe = [(INVOCATION, marks.invocation), (IDEMPOTENCY_KEY, marks.token), (ACCOUNT, marks.account)];
+    let maybe = [
+        (INVOCATION, marks.invocation),
+        (IDEMPOTENCY_KEY, marks.token),
+        (ACCOUNT, marks.account),
+    ];
     for (name, value) in maybe {
         if let Some(value) = value {
             // Line ends part an identity's fields; no header may carry them.
@@ -112,11 +131,18 @@
 
 /// Hold at least so many copies.
 /// `account`: for whose invocation.
-pub fn load(host: &str, function: &str, copies: u32, account: Option<&str>, by: Orderer) -> Request<Bytes> {
+pub fn load(
+    host: &str,
+    function: &str,
+    copies: u32,
+    account: Option<&str>,
+    by: Orderer,
+) -> Request<Bytes> {
     let path = format!("/v2/repository/models/{}/load", model(function));
     let body = format!("{{\"parameters\":{{\"copies\":{copies}}}}}");
     let mut r = request(Method::POST, host, &path, Bytes::from(body));
-    r.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    r.headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(account) = account.and_then(|a| HeaderValue::from_str(a).ok()) {
         r.headers_mut().insert(ACCOUNT, account);
     }
@@ -133,14 +159,25 @@
 
 /// What is loaded there.
 pub fn index(host: &str) -> Request<Bytes> {
-    let mut r = request(Method::POST, host, "/v2/repository/index", Bytes::from_static(b"{}"));
-    r.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    let mut r = request(
+        Method::POST,
+        host,
+        "/v2/repository/index",
+        Bytes::from_static(b"{}"),
+    );
+    r.headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     r
 }
 
 /// Whether copies stand, and how many.
 pub fn ready(host: &str, function: &str) -> Request<Bytes> {
-    request(Method::GET, host, &format!("/v2/models/{}/ready", model(function)), Bytes::new())
+    request(
+        Method::GET,
+        host,
+        &format!("/v2/models/{}/ready", model(function)),
+        Bytes::new(),
+    )
 }
 
 pub fn live(host: &str) -> Request<Bytes> {
--- a/crates/kserve/src/rpc.rs
+++ b/crates/kserve/src/rpc.rs
@@ -121,7 +121,9 @@
 
 /// A message within its frame; nothing for one that no frame can tell the length of.
 pub fn frame(message: &impl Message) -> Bytes {
-    let Ok(length) = u32::try_from(message.encoded_len()) else { return Bytes::new() };
+    let Ok(length) = u32::try_from(message.encoded_len()) else {
+        return Bytes::new();
+    };
     let mut out = BytesMut::with_capacity(FRAME + length as usize);
     out.put_u8(0);
     out.put_u32(length);
@@ -132,9 +134,13 @@
 
 /// `grpc-timeout`: up to eight digits and a unit; absent if there is none.
 pub fn timeout(headers: &HeaderMap) -> Result<Option<Micros>, Misframed> {
-    let Some(value) = headers.get(TIMEOUT) else { return Ok(None) };
+    let Some(value) = headers.get(TIMEOUT) else {
+        return Ok(None);
+    };
     let text = value.to_str().map_err(|_| Misframed::Timeout)?;
-    let Some(unit) = text.chars().last() else { return Err(Misframed::Timeout) };
+    let Some(unit) = text.chars().last() else {
+        return Err(Misframed::Timeout);
+    };
     let digits = &text[..text.len() - unit.len_utf8()];
     if digits.is_empty() || digits.len() > 8 || !digits.bytes().all(|b| b.is_ascii_digit()) {
         return Err(Misframed::Timeout);
@@ -165,14 +171,26 @@
     }
     if let Some(wait) = come_back {
         let wait = wait.max(0);
-        map.insert(PUSHBACK, (wait.div_euclid(1_000) + i64::from(wait % 1_000 > 0)).into());
-        let delay = details::Span { seconds: wait / 1_000_000, nanos: (wait % 1_000_000 * 1_000) as i32 };
-        let info = details::RetryInfo { retry_delay: Some(delay) };
+        map.insert(
+            PUSHBACK,
+            (wait.div_euclid(1_000) + i64::from(wait % 1_000 > 0)).into(),
+        );
+        let delay = details::Span {
+            seconds: wait / 1_000_000,
+            nanos: (wait % 1_000_000 * 1_000) as i32,
+        };
+        let info = details::RetryInfo {
+            retry_delay: Some(delay),
+        };
         let any = details::Any {
             type_url: "type.googleapis.com/google.rpc.RetryInfo".to_owned(),
             value: info.encode_to_vec().into(),
         };
-        let status = details::Status { code: code as i32, message: message.to_owned(), details: vec![any] };
+        let status = details::Status {
+            code: code as i32,
+            message: message.to_owned(),
+            details: vec![any],
+        };
         if let Ok(value) = STANDARD_NO_PAD.encode(status.encode_to_vec()).parse() {
             map.insert(DETAILS, value);
         }
--- a/crates/kserve/src/sequences.rs
+++ b/crates/kserve/src/sequences.rs
@@ -50,7 +50,9 @@
 
 /// Of a request's JSON. What is no JSON belongs to no sequence: whether a worker can read it is the worker's matter.
 pub fn of(json: &[u8]) -> Result<Option<Sequence>, NoSequence> {
-    let Ok(Body { parameters }) = serde_json::from_slice::<Body>(json) else { return Ok(None) };
+    let Ok(Body { parameters }) = serde_json::from_slice::<Body>(json) else {
+        return Ok(None);
+    };
     let flag = |value: &serde_json::Value| match value {
         serde_json::Value::Null => Ok(false),
         serde_json::Value::Bool(on) => Ok(*on),
@@ -67,7 +69,11 @@
         },
         _ => return Err(NoSequence::Id),
     };
-    sequence(&id, flag(&parameters.sequence_start)?, flag(&parameters.sequence_end)?)
+    sequence(
+        &id,
+        flag(&parameters.sequence_start)?,
+        flag(&parameters.sequence_end)?,
+    )
 }
 
 /// An empty id means none.
@@ -75,7 +81,11 @@
     match id.len() {
         0 => Ok(None),
         n if n > MOST_ID || id.chars().any(char::is_control) => Err(NoSequence::Id),
-        _ => Ok(Some(Sequence { id: id.to_owned(), start, end })),
+        _ => Ok(Some(Sequence {
+            id: id.to_owned(),
+            start,
+            end,
+        })),
     }
 }
 
@@ -86,7 +96,13 @@
     #[test]
     fn parameters_say_which_sequence_it_is() {
         let of = |text: &str| of(text.as_bytes());
-        let is = |id: &str, start, end| Ok(Some(Sequence { id: id.into(), start, end }));
+        let is = |id: &str, start, end| {
+            Ok(Some(Sequence {
+                id: id.into(),
+                start,
+                end,
+            }))
+        };
         assert_eq!(
             of(r#"{"inputs":[],"parameters":{"sequence_id":"s1","sequence_start":true}}"#),
             is("s1", true, false)
@@ -95,13 +111,25 @@
             of(r#"{"parameters":{"sequence_id":7,"sequence_end":true,"other":[1]}}"#),
             is("7", false, true)
         );
-        for none in
-            ["{}", "no json", r#"{"parameters":{"sequence_id":0}}"#, r#"{"parameters":{"sequence_id":""}}"#]
-        {
+        for none in [
+            "{}",
+            "no json",
+            r#"{"parameters":{"sequence_id":0}}"#,
+            r#"{"parameters":{"sequence_id":""}}"#,
+        ] {
             assert_eq!(of(none), Ok(None), "{none}");
         }
-        assert_eq!(of(r#"{"parameters":{"sequence_id":-1}}"#), Err(NoSequence::Id));
-        assert_eq!(of(r#"{"parameters":{"sequence_id":"a\nb"}}"#), Err(NoSequence::Id));
-        assert_eq!(of(r#"{"parameters":{"sequence_id":1,"sequence_end":"yes"}}"#), Err(NoSequence::Flag));
+        assert_eq!(
+            of(r#"{"parameters":{"sequence_id":-1}}"#),
+            Err(NoSequence::Id)
+        );
+        assert_eq!(
+            of(r#"{"parameters":{"sequence_id":"a\nb"}}"#),
+            Err(NoSequence::Id)
+        );
+        assert_eq!(
+            of(r#"{"parameters":{"sequence_id":1,"sequence_end":"yes"}}"#),
+            Err(NoSequence::Flag)
+        );
     }
 }
--- a/crates/kserve/src/serving.rs
+++ b/crates/kserve/src/serving.rs
@@ -60,13 +60,21 @@
 
 pub fn asked(method: &Method, path: &str) -> Asked {
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
-    let text = |raw: &str| percent_decode_str(raw).decode_utf8().ok().map(|n| n.into_owned());
+    let text = |raw: &str| {
+        percent_decode_str(raw)
+            .decode_utf8()
+            .ok()
+            .map(|n| n.into_owned())
+    };
     let named = |raw: &str, of: fn(String) -> Asked| {
-        text(raw).and_then(|name| function(&name, "")).map_or(Asked::Unknown, of)
+        text(raw)
+            .and_then(|name| function(&name, ""))
+            .map_or(Asked::Unknown, of)
     };
     let versioned = |raw: &str, version: &str, of: fn(String) -> Asked| {
         let both = text(raw).zip(text(version)).filter(|(_, v)| !v.is_empty());
-        both.and_then(|(name, version)| function(&name, &version)).map_or(Asked::Unknown, of)
+        both.and_then(|(name, version)| function(&name, &version))
+            .map_or(Asked::Unknown, of)
     };
     let found = match parts.as_slice() {
         ["v2"] => Asked::ServerMetadata,
@@ -127,18 +135,26 @@
         None => Ok(None),
         Some(_) => match text(headers, name).filter(|t| !t.is_empty() && t.len() <= MOST_NAME) {
             Some(t) => Ok(Some(t.to_owned())),
-            None => Err(Misunderstood { field: name, cause: "not a text of 1 to 255 bytes".into() }),
+            None => Err(Misunderstood {
+                field: name,
+                cause: "not a text of 1 to 255 bytes".into(),
+            }),
         },
     };
     let number = |name: &'static str, most: i64| match own(name)? {
         None => Ok(None),
         Some(t) => match t.parse::<i64>() {
             Ok(n) if (0..=most).contains(&n) => Ok(Some(n)),
-            _ => Err(Misunderstood { field: name, cause: format!("'{t}' is not within 0 to {most}") }),
+            _ => Err(Misunderstood {
+                field: name,
+                cause: format!("'{t}' is not within 0 to {most}"),
+            }),
         },
     };
-    let kind = own(TRIGGER_TYPE)?
-        .ok_or_else(|| Misunderstood { field: TRIGGER_TYPE, cause: "no trigger type is named".into() })?;
+    let kind = own(TRIGGER_TYPE)?.ok_or_else(|| Misunderstood {
+        field: TRIGGER_TYPE,
+        cause: "no trigger type is named".into(),
+    })?;
     let sent = number(SENT_AT_US, i64::MAX)?;
     Ok(Wanted {
         kind,
@@ -157,7 +173,11 @@
 
 /// How an answer without success is told: harmless to try again, or nothing promised.
 pub fn status(harmless: bool) -> StatusCode {
-    if harmless { StatusCode::TOO_MANY_REQUESTS } else { StatusCode::BAD_GATEWAY }
+    if harmless {
+        StatusCode::TOO_MANY_REQUESTS
+    } else {
+        StatusCode::BAD_GATEWAY
+    }
 }
 
 /// Whole seconds, as the header has it; never sooner than advised.
@@ -171,8 +191,13 @@
 /// Shapes are the workers' matter; a router knows a model by name alone.
 pub fn metadata(function: &str) -> String {
     let (name, version) = model(function);
-    let versions: Vec<&str> = if version.is_empty() { vec![] } else { vec![version] };
-    json!({"name": name, "versions": versions, "platform": "", "inputs": [], "outputs": []}).to_string()
+    let versions: Vec<&str> = if version.is_empty() {
+        vec![]
+    } else {
+        vec![version]
+    };
+    json!({"name": name, "versions": versions, "platform": "", "inputs": [], "outputs": []})
+        .to_string()
 }
 
 /// The functions asked for of late; each is loaded on demand, and so counts as ready.
@@ -197,15 +222,30 @@
         let get = |path| asked(&Method::GET, path);
         assert_eq!(get("/v2/health/live"), Asked::ServerLive);
         assert_eq!(get("/v2"), Asked::ServerMetadata);
-        assert_eq!(get("/v2/models/a%2Fb/ready"), Asked::ModelReady("a/b".into()));
+        assert_eq!(
+            get("/v2/models/a%2Fb/ready"),
+            Asked::ModelReady("a/b".into())
+        );
         assert_eq!(get("/v2/models/a/infer"), Asked::WrongMethod);
-        assert_eq!(asked(&Method::POST, "/v2/models/a/infer"), Asked::Infer("a".into()));
+        assert_eq!(
+            asked(&Method::POST, "/v2/models/a/infer"),
+            Asked::Infer("a".into())
+        );
         assert_eq!(asked(&Method::POST, "/v2/repository/index"), Asked::Index);
-        assert_eq!(get("/v2/models/a/versions/2/ready"), Asked::ModelReady("a/versions/2".into()));
-        let tricks = ["/v2/models/a%2Fversions%2F2", "/v2/models/a/versions//ready"];
-        for path in
-            tricks.into_iter().chain(["/", "/v1/models/a", "/v2/models/%FF/ready", "/v2/models//infer"])
-        {
+        assert_eq!(
+            get("/v2/models/a/versions/2/ready"),
+            Asked::ModelReady("a/versions/2".into())
+        );
+        let tricks = [
+            "/v2/models/a%2Fversions%2F2",
+            "/v2/models/a/versions//ready",
+        ];
+        for path in tricks.into_iter().chain([
+            "/",
+            "/v1/models/a",
+            "/v2/models/%FF/ready",
+            "/v2/models//infer",
+        ]) {
             assert_eq!(get(path), Asked::Unknown, "{path}");
         }
     }
@@ -220,10 +260,22 @@
             wanted(&headers, 10_000_000)
         };
         assert_eq!(of(&[]).expect_err("no type").field, TRIGGER_TYPE);
-        assert_eq!(of(&[(TRIGGER_TYPE, "t"), (LANES, "-1")]).expect_err("lanes").field, LANES);
-        let w =
-            of(&[(TRIGGER_TYPE, "t"), (SENT_AT_US, "4000000"), (CLIENT_TIMEOUT_MS, "1500")]).expect("good");
-        assert_eq!((w.waited, w.client_timeout, w.lanes), (6_000_000, Some(1_500_000), 1));
+        assert_eq!(
+            of(&[(TRIGGER_TYPE, "t"), (LANES, "-1")])
+                .expect_err("lanes")
+                .field,
+            LANES
+        );
+        let w = of(&[
+            (TRIGGER_TYPE, "t"),
+            (SENT_AT_US, "4000000"),
+            (CLIENT_TIMEOUT_MS, "1500"),
+        ])
+        .expect("good");
+        assert_eq!(
+            (w.waited, w.client_timeout, w.lanes),
+            (6_000_000, Some(1_500_000), 1)
+        );
         assert_eq!((retry_after(1), retry_after(2_000_000)), (1, 2));
     }
 }
--- a/crates/kserve/src/tensors.rs
+++ b/crates/kserve/src/tensors.rs
@@ -10,7 +10,9 @@
 
 use crate::rpc::inference::infer_parameter::ParameterChoice;
 use crate::rpc::inference::model_infer_response::InferOutputTensor;
-use crate::rpc::inference::{InferParameter, InferTensorContents, ModelInferRequest, ModelInferResponse};
+use crate::rpc::inference::{
+    InferParameter, InferTensorContents, ModelInferRequest, ModelInferResponse,
+};
 
 /// Of a tensor's parameters: so many of the raw bytes are its.
 const BINARY_SIZE: &str = "binary_data_size";
@@ -87,11 +89,15 @@
 }
 
 fn finite(d: f64) -> Result<Value, NoForm> {
-    serde_json::Number::from_f64(d).map(Value::Number).ok_or(NoForm::NoNumber { number: d })
+    serde_json::Number::from_f64(d)
+        .map(Value::Number)
+        .ok_or(NoForm::NoNumber { number: d })
 }
 
 fn parameters(from: &BTreeMap<String, InferParameter>) -> Result<Map<String, Value>, NoForm> {
-    from.iter().map(|(name, p)| Ok((name.clone(), parameter(p)?))).collect()
+    from.iter()
+        .map(|(name, p)| Ok((name.clone(), parameter(p)?)))
+        .collect()
 }
 
 /// The typed contents that the type calls for.
@@ -106,12 +112,29 @@
         "INT64" => json!(c.int64_contents),
         "UINT8" | "UINT16" | "UINT32" => json!(c.uint_contents),
         "UINT64" => json!(c.uint64_contents),
-        "FP32" => {
-            c.fp32_contents.iter().map(|f| finite(f64::from(*f))).collect::<Result<Vec<_>, _>>()?.into()
+        "FP32" => c
+            .fp32_contents
+            .iter()
+            .map(|f| finite(f64::from(*f)))
+            .collect::<Result<Vec<_>, _>>()?
+            .into(),
+        "FP64" => c
+            .fp64_contents
+            .iter()
+            .map(|f| finite(*f))
+            .collect::<Result<Vec<_>, _>>()?
+            .into(),
+        "BYTES" => c
+            .bytes_contents
+            .iter()
+            .map(texts)
+            .collect::<Result<Vec<_>, _>>()?
+            .into(),
+        other => {
+            return Err(NoForm::RawOnly {
+                datatype: other.to_owned(),
+            });
         }
-        "FP64" => c.fp64_contents.iter().map(|f| finite(*f)).collect::<Result<Vec<_>, _>>()?.into(),
-        "BYTES" => c.bytes_contents.iter().map(texts).collect::<Result<Vec<_>, _>>()?.into(),
-        other => return Err(NoForm::RawOnly { datatype: other.to_owned() }),
     })
 }
 
@@ -123,7 +146,10 @@
     }
     let mut inputs = Vec::with_capacity(r.inputs.len());
     for (n, input) in r.inputs.iter().enumerate() {
-        let of = |why| NoForm::Input { name: input.name.clone(), why: Box::new(why) };
+        let of = |why| NoForm::Input {
+            name: input.name.clone(),
+            why: Box::new(why),
+        };
         let mut tensor = Map::new();
         tensor.insert("name".into(), json!(input.name));
         tensor.insert("datatype".into(), json!(input.datatype));
@@ -166,18 +192,27 @@
             }
             Ok(Value::Object(output))
         });
-        whole.insert("outputs".into(), Value::Array(outputs.collect::<Result<_, NoForm>>()?));
+        whole.insert(
+            "outputs".into(),
+            Value::Array(outputs.collect::<Result<_, NoForm>>()?),
+        );
     }
     let head = Value::Object(whole).to_string();
     if !raw {
-        return Ok(Rest { bytes: head.into(), json: None });
+        return Ok(Rest {
+            bytes: head.into(),
+            json: None,
+        });
     }
     let json = u32::try_from(head.len()).map_err(|_| NoForm::TooLarge)?;
     let size = head.len() + r.raw_input_contents.iter().map(Bytes::len).sum::<usize>();
     let mut bytes = BytesMut::with_capacity(size);
     bytes.put_slice(head.as_bytes());
     r.raw_input_contents.iter().for_each(|c| bytes.put_slice(c));
-    Ok(Rest { bytes: bytes.freeze(), json: Some(json) })
+    Ok(Rest {
+        bytes: bytes.freeze(),
+        json: Some(json),
+    })
 }
 
 fn choice(value: &Value) -> InferParameter {
@@ -198,7 +233,11 @@
 
 fn choices(of: &Value) -> BTreeMap<String, InferParameter> {
     let object = of.get("parameters").and_then(Value::as_object);
-    object.into_iter().flatten().map(|(name, value)| (name.clone(), choice(value))).collect()
+    object
+        .into_iter()
+        .flatten()
+        .map(|(name, value)| (name.clone(), choice(value)))
+        .collect()
 }
 
 /// Elements of an array in row order, however deeply nested; the walk is bounded by the parser's own depth.
@@ -212,9 +251,13 @@
 fn contents(datatype: &str, data: &Value) -> Result<InferTensorContents, NoForm> {
     let mut all = Vec::new();
     flat(data, &mut all);
-    let wrong = || NoForm::Element { datatype: datatype.to_owned() };
+    let wrong = || NoForm::Element {
+        datatype: datatype.to_owned(),
+    };
     let whole = |v: &Value, least: i64, most: i64| {
-        v.as_i64().filter(|n| (least..=most).contains(n)).ok_or_else(wrong)
+        v.as_i64()
+            .filter(|n| (least..=most).contains(n))
+            .ok_or_else(wrong)
     };
     let mut c = InferTensorContents::default();
     for v in all {
@@ -222,16 +265,26 @@
             "BOOL" => c.bool_contents.push(v.as_bool().ok_or_else(wrong)?),
             "INT8" => c.int_contents.push(whole(v, -128, 127)? as i32),
             "INT16" => c.int_contents.push(whole(v, -32_768, 32_767)? as i32),
-            "INT32" => c.int_contents.push(whole(v, i64::from(i32::MIN), i64::from(i32::MAX))? as i32),
+            "INT32" => c
+                .int_contents
+                .push(whole(v, i64::from(i32::MIN), i64::from(i32::MAX))? as i32),
             "INT64" => c.int64_contents.push(v.as_i64().ok_or_else(wrong)?),
             "UINT8" => c.uint_contents.push(whole(v, 0, 255)? as u32),
             "UINT16" => c.uint_contents.push(whole(v, 0, 65_535)? as u32),
-            "UINT32" => c.uint_contents.push(whole(v, 0, i64::from(u32::MAX))? as u32),
+            "UINT32" => c
+                .uint_contents
+                .push(whole(v, 0, i64::from(u32::MAX))? as u32),
             "UINT64" => c.uint64_contents.push(v.as_u64().ok_or_else(wrong)?),
             "FP32" => c.fp32_contents.push(v.as_f64().ok_or_else(wrong)? as f32),
             "FP64" => c.fp64_contents.push(v.as_f64().ok_or_else(wrong)?),
-            "BYTES" => c.bytes_contents.push(v.as_str().ok_or_else(wrong)?.to_owned().into()),
-            other => return Err(NoForm::RawOnly { datatype: other.to_owned() }),
+            "BYTES" => c
+                .bytes_contents
+                .push(v.as_str().ok_or_else(wrong)?.to_owned().into()),
+            other => {
+                return Err(NoForm::RawOnly {
+                    datatype: other.to_owned(),
+                });
+            }
         }
     }
     Ok(c)
@@ -240,15 +293,23 @@
 /// Typed elements as raw ones: little endian, texts with their length before them.
 fn rawed(datatype: &str, c: &InferTensorContents) -> Bytes {
     let mut out = BytesMut::new();
-    c.bool_contents.iter().for_each(|b| out.put_u8(u8::from(*b)));
+    c.bool_contents
+        .iter()
+        .for_each(|b| out.put_u8(u8::from(*b)));
     match datatype {
         "INT8" => c.int_contents.iter().for_each(|n| out.put_i8(*n as i8)),
-        "INT16" => c.int_contents.iter().for_each(|n| out.put_i16_le(*n as i16)),
+        "INT16" => c
+            .int_contents
+            .iter()
+            .for_each(|n| out.put_i16_le(*n as i16)),
         _ => c.int_contents.iter().for_each(|n| out.put_i32_le(*n)),
     }
     match datatype {
         "UINT8" => c.uint_contents.iter().for_each(|n| out.put_u8(*n as u8)),
-        "UINT16" => c.uint_contents.iter().for_each(|n| out.put_u16_le(*n as u16)),
+        "UINT16" => c
+            .uint_contents
+            .iter()
+            .for_each(|n| out.put_u16_le(*n as u16)),
         _ => c.uint_contents.iter().for_each(|n| out.put_u32_le(*n)),
     }
     c.int64_contents.iter().for_each(|n| out.put_i64_le(*n));
@@ -269,15 +330,31 @@
         return Err(NoForm::JsonLength);
     }
     let head: Value = serde_json::from_slice(&rest.bytes[..json])?;
-    let text = |of: &Value, name: &str| of.get(name).and_then(Value::as_str).unwrap_or_default().to_owned();
+    let text = |of: &Value, name: &str| {
+        of.get(name)
+            .and_then(Value::as_str)
+            .unwrap_or_default()
+            .to_owned()
+    };
     let (mut outputs, mut raws, mut at) = (Vec::new(), Vec::new(), json);
-    for o in head.get("outputs").and_then(Value::as_array).into_iter().flatten() {
+    for o in head
+        .get("outputs")
+        .and_then(Value::as_array)
+        .into_iter()
+        .flatten()
+    {
         let datatype = text(o, "datatype");
-        let shape = o.get("shape").and_then(Value::as_array).into_iter().flatten();
+        let shape = o
+            .get("shape")
+            .and_then(Value::as_array)
+            .into_iter()
+            .flatten();
         let shape = shape.map(|n| n.as_i64().ok_or(NoForm::Shape));
         let mut given = choices(o);
         let size = match given.remove(BINARY_SIZE).and_then(|p| p.parameter_choice) {
-            Some(ParameterChoice::Int64Param(n)) => Some(usize::try_from(n).map_err(|_| NoForm::RawSize)?),
+            Some(ParameterChoice::Int64Param(n)) => {
+                Some(usize::try_from(n).map_err(|_| NoForm::RawSize)?)
+            }
             Some(_) => return Err(NoForm::RawSize),
             None => None,
         };
@@ -289,7 +366,10 @@
                 at = end;
                 (None, Some(raw))
             }
-            None => (Some(contents(&datatype, o.get("data").unwrap_or(&json!([])))?), None),
+            None => (
+                Some(contents(&datatype, o.get("data").unwrap_or(&json!([])))?),
+                None,
+            ),
         };
         raws.push(raw);
         outputs.push(InferOutputTensor {
@@ -307,7 +387,11 @@
     if raws.iter().any(Option::is_some) {
         for (output, raw) in outputs.iter_mut().zip(raws) {
             let typed = output.contents.take();
-            let typed = || typed.map(|c| rawed(&output.datatype, &c)).unwrap_or_default();
+            let typed = || {
+                typed
+                    .map(|c| rawed(&output.datatype, &c))
+                    .unwrap_or_default()
+            };
             raw_output_contents.push(raw.unwrap_or_else(typed));
         }
     }
--- a/crates/kserve/tests/codec.rs
+++ b/crates/kserve/tests/codec.rs
@@ -16,25 +16,72 @@
 fn contents() -> impl Strategy<Value = (&'static str, InferTensorContents)> {
     let c = InferTensorContents::default;
     prop_oneof![
-        prop::collection::vec(any::<bool>(), 0..5)
-            .prop_map(move |v| ("BOOL", InferTensorContents { bool_contents: v, ..c() })),
+        prop::collection::vec(any::<bool>(), 0..5).prop_map(move |v| (
+            "BOOL",
+            InferTensorContents {
+                bool_contents: v,
+                ..c()
+            }
+        )),
         prop::collection::vec(any::<i8>(), 0..5).prop_map(move |v| {
-            ("INT8", InferTensorContents { int_contents: v.into_iter().map(i32::from).collect(), ..c() })
+            (
+                "INT8",
+                InferTensorContents {
+                    int_contents: v.into_iter().map(i32::from).collect(),
+                    ..c()
+                },
+            )
         }),
-        prop::collection::vec(any::<i32>(), 0..5)
-            .prop_map(move |v| ("INT32", InferTensorContents { int_contents: v, ..c() })),
-        prop::collection::vec(any::<i64>(), 0..5)
-            .prop_map(move |v| ("INT64", InferTensorContents { int64_contents: v, ..c() })),
-        prop::collection::vec(any::<u32>(), 0..5)
-            .prop_map(move |v| ("UINT32", InferTensorContents { uint_contents: v, ..c() })),
-        prop::collection::vec(any::<u64>(), 0..5)
-            .prop_map(move |v| ("UINT64", InferTensorContents { uint64_contents: v, ..c() })),
-        prop::collection::vec(-1e30f32..1e30, 0..5)
-            .prop_map(move |v| ("FP32", InferTensorContents { fp32_contents: v, ..c() })),
-        prop::collection::vec(-1e300f64..1e300, 0..5)
-            .prop_map(move |v| ("FP64", InferTensorContents { fp64_contents: v, ..c() })),
+        prop::collection::vec(any::<i32>(), 0..5).prop_map(move |v| (
+            "INT32",
+            InferTensorContents {
+                int_contents: v,
+                ..c()
+            }
+        )),
+        prop::collection::vec(any::<i64>(), 0..5).prop_map(move |v| (
+            "INT64",
+            InferTensorContents {
+                int64_contents: v,
+                ..c()
+            }
+        )),
+        prop::collection::vec(any::<u32>(), 0..5).prop_map(move |v| (
+            "UINT32",
+            InferTensorContents {
+                uint_contents: v,
+                ..c()
+            }
+        )),
+        prop::collection::vec(any::<u64>(), 0..5).prop_map(move |v| (
+            "UINT64",
+            InferTensorContents {
+                uint64_contents: v,
+                ..c()
+            }
+        )),
+        prop::collection::vec(-1e30f32..1e30, 0..5).prop_map(move |v| (
+            "FP32",
+            InferTensorContents {
+                fp32_contents: v,
+                ..c()
+            }
+        )),
+        prop::collection::vec(-1e300f64..1e300, 0..5).prop_map(move |v| (
+            "FP64",
+            InferTensorContents {
+                fp64_contents: v,
+                ..c()
+            }
+        )),
         prop::collection::vec("[a-zé\"\\\\]{0,6}", 0..5).prop_map(move |v| {
-            ("BYTES", InferTensorContents { bytes_contents: v.into_iter().map(Bytes::from).collect(), ..c() })
+            (
+                "BYTES",
+                InferTensorContents {
+                    bytes_contents: v.into_iter().map(Bytes::from).collect(),
+                    ..c()
+                },
+            )
         }),
     ]
 }
@@ -47,7 +94,9 @@
         "[a-z]{0,8}".prop_map(ParameterChoice::StringParam),
         (0.1f64..0.9).prop_map(ParameterChoice::DoubleParam),
     ]
-    .prop_map(|p| InferParameter { parameter_choice: Some(p) })
+    .prop_map(|p| InferParameter {
+        parameter_choice: Some(p),
+    })
 }
 
 fn parameters() -> impl Strategy<Value = BTreeMap<String, InferParameter>> {
@@ -62,7 +111,10 @@
         "outputs": head["inputs"]})
     .to_string();
     let bytes = Bytes::from([whole.as_bytes(), &rest.bytes[json..]].concat());
-    Rest { bytes, json: rest.json.map(|_| whole.len() as u32) }
+    Rest {
+        bytes,
+        json: rest.json.map(|_| whole.len() as u32),
+    }
 }
 
 proptest! {
@@ -127,40 +179,92 @@
             contents: Some(c),
             ..Default::default()
         };
-        let message = ModelInferRequest { inputs: vec![input], ..Default::default() };
+        let message = ModelInferRequest {
+            inputs: vec![input],
+            ..Default::default()
+        };
         request(&message).expect_err("not sayable").to_string()
     };
     let c = InferTensorContents::default;
-    assert!(one("FP32", InferTensorContents { fp32_contents: vec![f32::NAN], ..c() }).contains("inputs 'x'"));
     assert!(
-        one("BYTES", InferTensorContents { bytes_contents: vec![Bytes::from_static(&[0xff])], ..c() })
-            .contains("raw")
+        one(
+            "FP32",
+            InferTensorContents {
+                fp32_contents: vec![f32::NAN],
+                ..c()
+            }
+        )
+        .contains("inputs 'x'")
+    );
+    assert!(
+        one(
+            "BYTES",
+            InferTensorContents {
+                bytes_contents: vec![Bytes::from_static(&[0xff])],
+                ..c()
+            }
+        )
+        .contains("raw")
     );
     assert!(one("FP16", c()).contains("FP16"));
-    let rest =
-        |text: &'static str, json| response(&Rest { bytes: Bytes::from_static(text.as_bytes()), json });
-    let raw =
-        r#"{"outputs":[{"name":"y","datatype":"INT8","shape":[2],"parameters":{"binary_data_size":2}}]}"#;
-    assert!(rest(raw, None).expect_err("nothing raw is there").to_string().contains("beyond"));
-    assert!(rest("{}xx", Some(2)).expect_err("two bytes over").to_string().contains("left over"));
-    assert!(rest("{}", Some(9)).expect_err("nine of two").to_string().contains("longer"));
+    let rest = |text: &'static str, json| {
+        response(&Rest {
+            bytes: Bytes::from_static(text.as_bytes()),
+            json,
+        })
+    };
+    let raw = r#"{"outputs":[{"name":"y","datatype":"INT8","shape":[2],"parameters":{"binary_data_size":2}}]}"#;
+    assert!(
+        rest(raw, None)
+            .expect_err("nothing raw is there")
+            .to_string()
+            .contains("beyond")
+    );
+    assert!(
+        rest("{}xx", Some(2))
+            .expect_err("two bytes over")
+            .to_string()
+            .contains("left over")
+    );
+    assert!(
+        rest("{}", Some(9))
+            .expect_err("nine of two")
+            .to_string()
+            .contains("longer")
+    );
     let large = r#"{"outputs":[{"name":"y","datatype":"INT8","shape":[1],"data":[300]}]}"#;
-    assert!(rest(large, None).expect_err("300 is no INT8").to_string().contains("INT8"));
+    assert!(
+        rest(large, None)
+            .expect_err("300 is no INT8")
+            .to_string()
+            .contains("INT8")
+    );
     // Where one output is raw, the typed ones become raw too.
     let mixed = r#"{"outputs":[{"datatype":"INT16","shape":[1],"data":[-2]},{"datatype":"UINT8","shape":[1],"parameters":{"binary_data_size":1}}]}"#;
     let bytes = Bytes::from([mixed.as_bytes(), &[7]].concat());
-    let both = response(&Rest { bytes, json: Some(mixed.len() as u32) }).expect("readable");
+    let both = response(&Rest {
+        bytes,
+        json: Some(mixed.len() as u32),
+    })
+    .expect("readable");
     assert_eq!(both.raw_output_contents, [&[0xfe, 0xff][..], &[7]]);
 }
 
 #[test]
 fn only_harmless_ends_say_when_to_come_back() {
-    let said = |h: &HeaderMap, name: &str| h.get(name).map(|v| v.to_str().expect("text").to_owned());
+    let said =
+        |h: &HeaderMap, name: &str| h.get(name).map(|v| v.to_str().expect("text").to_owned());
     let t = trailers(Code::ResourceExhausted, "voll, später", Some(1_500_001));
     assert_eq!(said(&t, "grpc-status").as_deref(), Some("8"));
-    assert_eq!(said(&t, "grpc-message").as_deref(), Some("voll, sp%C3%A4ter"));
+    assert_eq!(
+        said(&t, "grpc-message").as_deref(),
+        Some("voll, sp%C3%A4ter")
+    );
     assert_eq!(said(&t, "grpc-retry-pushback-ms").as_deref(), Some("1501"));
     assert!(said(&t, "grpc-status-details-bin").is_some_and(|d| d.len() > 40 && !d.ends_with('=')));
     let t = trailers(Code::Unknown, "x", None);
-    assert!(said(&t, "grpc-status-details-bin").is_none() && said(&t, "grpc-retry-pushback-ms").is_none());
+    assert!(
+        said(&t, "grpc-status-details-bin").is_none()
+            && said(&t, "grpc-retry-pushback-ms").is_none()
+    );
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -28,7 +28,8 @@
 const SUMS: TableDefinition<Row, (u128, u64)> = TableDefinition::new("sums");
 
 /// By life of a worker, hour, account, function and kind: the largest total that was read, in byte-microseconds.
-const READINGS: TableDefinition<(u64, u32, &str, &str, u8), u128> = TableDefinition::new("readings");
+const READINGS: TableDefinition<(u64, u32, &str, &str, u8), u128> =
+    TableDefinition::new("readings");
 
 /// Why a ledger could not be read or written.
 #[derive(Debug, Error)]
@@ -65,7 +66,9 @@
                 "put a copy in its place; a router sets it aside by itself and begins a new one"
             }
             Failed::InUse => "stop the other, or read a copy of the file",
-            Failed::Unwritten(_) => "make room, and see that the folder is there and may be written to",
+            Failed::Unwritten(_) => {
+                "make room, and see that the folder is there and may be written to"
+            }
         }
     }
 }
@@ -79,7 +82,10 @@
     match &why {
         redb::DatabaseError::DatabaseAlreadyOpen => Failed::InUse,
         redb::DatabaseError::Storage(redb::StorageError::Io(e))
-            if !matches!(e.kind(), std::io::ErrorKind::InvalidData | std::io::ErrorKind::UnexpectedEof) =>
+            if !matches!(
+                e.kind(),
+                std::io::ErrorKind::InvalidData | std::io::ErrorKind::UnexpectedEof
+            ) =>
         {
             unwritten(why)
         }
@@ -115,10 +121,17 @@
             {
                 return Err(untouched(e));
             }
-            drop(Ledger::begun(Database::create(&beside).map_err(unwritten)?)?);
+            drop(Ledger::begun(
+                Database::create(&beside).map_err(unwritten)?,
+            )?);
             std::fs::rename(&beside, path).map_err(untouched)?;
-            let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-            std::fs::File::open(folder).and_then(|f| f.sync_all()).map_err(untouched)?;
+            let folder = path
+                .parent()
+                .filter(|p| !p.as_os_str().is_empty())
+                .unwrap_or(Path::new("."));
+            std::fs::File::open(folder)
+                .and_then(|f| f.sync_all())
+                .map_err(untouched)?;
         }
         // Symptom: a flipped bit in the middle, at which the store's own checks end in a panic.
         let checked = std::panic::catch_unwind(|| {
@@ -165,18 +178,33 @@
         let number;
         {
             let mut sources = writing.open_table(SOURCES).map_err(unwritten)?;
-            number = sources.get(source).map_err(unwritten)?.map_or(0, |s| s.value().0) + 1;
-            sources.insert(source, (number, router)).map_err(unwritten)?;
+            number = sources
+                .get(source)
+                .map_err(unwritten)?
+                .map_or(0, |s| s.value().0)
+                + 1;
+            sources
+                .insert(source, (number, router))
+                .map_err(unwritten)?;
             let mut sums = writing.open_table(SUMS).map_err(unwritten)?;
             for (key, more) in &more.sums.0 {
-                let row =
-                    (source, key.hour, key.account.as_ref(), key.function.as_ref(), kind_byte(key.kind));
+                let row = (
+                    source,
+                    key.hour,
+                    key.account.as_ref(),
+                    key.function.as_ref(),
+                    kind_byte(key.kind),
+                );
                 let mut sum = match sums.get(row).map_err(unwritten)? {
-                    Some(was) => Sum { byte_us: was.value().0, count: was.value().1 },
+                    Some(was) => Sum {
+                        byte_us: was.value().0,
+                        count: was.value().1,
+                    },
                     None => Sum::default(),
                 };
                 sum.add(*more);
-                sums.insert(row, (sum.byte_us, sum.count)).map_err(unwritten)?;
+                sums.insert(row, (sum.byte_us, sum.count))
+                    .map_err(unwritten)?;
             }
             read(&writing, &more.readings)?;
         }
@@ -192,28 +220,46 @@
         for row in sources.iter().map_err(unreadable)? {
             let (source, about) = row.map_err(unreadable)?;
             let (number, router) = about.value();
-            let measured = Measured { number, router: router.to_owned(), sums: Sums::default() };
+            let measured = Measured {
+                number,
+                router: router.to_owned(),
+                sums: Sums::default(),
+            };
             book.measured.insert(source.value(), measured);
         }
         let sums = reading.open_table(SUMS).map_err(unreadable)?;
         for row in sums.iter().map_err(unreadable)? {
             let (row, sum) = row.map_err(unreadable)?;
             let (source, hour, account, function, kind) = row.value();
-            let kind =
-                *Kind::ALL.get(usize::from(kind)).ok_or_else(|| Failed::Unreadable(Unreadable::NoKind))?;
-            let key = Key { hour, account: Arc::from(account), function: Arc::from(function), kind };
+            let kind = *Kind::ALL
+                .get(usize::from(kind))
+                .ok_or_else(|| Failed::Unreadable(Unreadable::NoKind))?;
+            let key = Key {
+                hour,
+                account: Arc::from(account),
+                function: Arc::from(function),
+                kind,
+            };
             let (byte_us, count) = sum.value();
-            let measured =
-                book.measured.get_mut(&source).ok_or_else(|| Failed::Unreadable(Unreadable::NoSource))?;
+            let measured = book
+                .measured
+                .get_mut(&source)
+                .ok_or_else(|| Failed::Unreadable(Unreadable::NoSource))?;
             measured.sums.0.insert(key, Sum { byte_us, count });
         }
         let readings = reading.open_table(READINGS).map_err(unreadable)?;
         for row in readings.iter().map_err(unreadable)? {
             let (row, total) = row.map_err(unreadable)?;
             let (life, hour, account, function, kind) = row.value();
-            let kind =
-                *Kind::ALL.get(usize::from(kind)).ok_or_else(|| Failed::Unreadable(Unreadable::NoKind))?;
-            let key = Key { hour, account: Arc::from(account), function: Arc::from(function), kind };
+            let kind = *Kind::ALL
+                .get(usize::from(kind))
+                .ok_or_else(|| Failed::Unreadable(Unreadable::NoKind))?;
+            let key = Key {
+                hour,
+                account: Arc::from(account),
+                function: Arc::from(function),
+                kind,
+            };
             book.readings.0.insert((life, key), total.value());
         }
         Ok(book)
@@ -228,12 +274,24 @@
         {
             let mut sources = writing.open_table(SOURCES).map_err(unwritten)?;
             let mut sums = writing.open_table(SUMS).map_err(unwritten)?;
-            for (source, m) in all.measured.iter().filter(|(s, m)| before.measured.get(s) != Some(m)) {
-                sources.insert(source, (m.number, m.router.as_str())).map_err(unwritten)?;
+            for (source, m) in all
+                .measured
+                .iter()
+                .filter(|(s, m)| before.measured.get(s) != Some(m))
+            {
+                sources
+                    .insert(source, (m.number, m.router.as_str()))
+                    .map_err(unwritten)?;
                 for (key, sum) in &m.sums.0 {
-                    let row =
-                        (*source, key.hour, key.account.as_ref(), key.function.as_ref(), kind_byte(key.kind));
-                    sums.insert(row, (sum.byte_us, sum.count)).map_err(unwritten)?;
+                    let row = (
+                        *source,
+                        key.hour,
+                        key.account.as_ref(),
+                        key.function.as_ref(),
+                        kind_byte(key.kind),
+                    );
+                    sums.insert(row, (sum.byte_us, sum.count))
+                        .map_err(unwritten)?;
                 }
             }
             read(&writing, &other.readings)?;
@@ -245,7 +303,13 @@
 fn read(writing: &WriteTransaction, readings: &Readings) -> Result<(), Failed> {
     let mut known = writing.open_table(READINGS).map_err(unwritten)?;
     for ((life, key), total) in &readings.0 {
-        let row = (*life, key.hour, key.account.as_ref(), key.function.as_ref(), kind_byte(key.kind));
+        let row = (
+            *life,
+            key.hour,
+            key.account.as_ref(),
+            key.function.as_ref(),
+            kind_byte(key.kind),
+        );
         let before = known.get(row).map_err(unwritten)?.map_or(0, |t| t.value());
         if *total > before {
             known.insert(row, *total).map_err(unwritten)?;
--- a/crates/ledger/tests/kept.rs
+++ b/crates/ledger/tests/kept.rs
@@ -21,11 +21,27 @@
 
 fn one(n: u64) -> Part {
     let mut part = Part::default();
-    let key = Key { hour: 7, account: "a".into(), function: "g".into(), kind: Kind::Loading };
+    let key = Key {
+        hour: 7,
+        account: "a".into(),
+        function: "g".into(),
+        kind: Kind::Loading,
+    };
     part.readings.read(5, key, u128::from(n + 1));
     for kind in [Kind::Running, Kind::Idle] {
         let function = format!("f{}", n % 50).into();
-        part.sums.add(Key { hour: 7, account: "a".into(), function, kind }, Sum { byte_us: 1_000, count: 1 });
+        part.sums.add(
+            Key {
+                hour: 7,
+                account: "a".into(),
+                function,
+                kind,
+            },
+            Sum {
+                byte_us: 1_000,
+                count: 1,
+            },
+        );
     }
     part
 }
@@ -33,7 +49,9 @@
 /// Only with its file set, as the process to be killed: says each number that was acknowledged.
 #[test]
 fn writes_until_it_is_killed() {
-    let Some(file) = std::env::var_os(FILE) else { return };
+    let Some(file) = std::env::var_os(FILE) else {
+        return;
+    };
     let ledger = Ledger::open(Path::new(&file)).expect("it opens");
     for n in 0..100_000 {
         let number = ledger.add(1, "r", &one(n)).expect("written");
@@ -54,24 +72,45 @@
             .stdout(Stdio::piped())
             .spawn()
             .expect("started");
-        let said = BufReader::new(child.stdout.take().expect("piped")).lines().map_while(Result::ok);
+        let said = BufReader::new(child.stdout.take().expect("piped"))
+            .lines()
+            .map_while(Result::ok);
         let mut told = said.filter_map(|l| l.split("acknowledged ").nth(1)?.parse::<u64>().ok());
         // After so many writings, or before the first, and a moment: so it dies within one, however slow the disk.
-        let first = (0..random.next_u64() % 4).filter_map(|_| told.next()).last();
+        let first = (0..random.next_u64() % 4)
+            .filter_map(|_| told.next())
+            .last();
         std::thread::sleep(Duration::from_micros(random.next_u64() % 3_000));
         child.kill().expect("killed");
         let told = told.last().or(first);
         child.wait().expect("gone");
         let book = Ledger::open(&file).expect("it opens").book().expect("read");
         // Nothing was begun, if it was killed before the file was.
-        let Some(m) = book.measured.get(&1) else { continue };
-        assert!(m.number >= told.unwrap_or(last).max(last), "{} after {told:?} and {last}", m.number);
+        let Some(m) = book.measured.get(&1) else {
+            continue;
+        };
+        assert!(
+            m.number >= told.unwrap_or(last).max(last),
+            "{} after {told:?} and {last}",
+            m.number
+        );
         // Whole writings only: both kinds alike, and as many as the number says.
         let by = m.sums.by(|k| k.kind);
-        assert_eq!(by[&Kind::Running], Sum { byte_us: u128::from(m.number) * 1_000, count: m.number });
+        assert_eq!(
+            by[&Kind::Running],
+            Sum {
+                byte_us: u128::from(m.number) * 1_000,
+                count: m.number
+            }
+        );
         assert_eq!(by[&Kind::Running], by[&Kind::Idle]);
         // The largest reading of a life: the one of its longest writer.
-        assert!(book.readings.0.values().all(|total| *total >= 1 && *total <= u128::from(m.number)));
+        assert!(
+            book.readings
+                .0
+                .values()
+                .all(|total| *total >= 1 && *total <= u128::from(m.number))
+        );
         last = m.number;
     }
     assert!(last > 100, "{last} writings in 200 lives");
@@ -117,7 +156,9 @@
         .map(|source| {
             let ledger = Ledger::open(&at.join(format!("{source}.ledger"))).expect("it opens");
             (0..=source as u64).for_each(|n| {
-                ledger.add(source, &format!("r{source}"), &one(n)).expect("written");
+                ledger
+                    .add(source, &format!("r{source}"), &one(n))
+                    .expect("written");
             });
             ledger.book().expect("read")
         })
@@ -144,7 +185,10 @@
         assert!(!w.is_due(now + wait * 1_000_000 - 1) && w.is_due(now + wait * 1_000_000));
         now += wait * 1_000_000;
     }
-    assert_eq!((w.failures, w.sets_aside(), w.sets_aside()), (4, true, false));
+    assert_eq!(
+        (w.failures, w.sets_aside(), w.sets_aside()),
+        (4, true, false)
+    );
 }
 
 #[test]
@@ -153,5 +197,8 @@
     let _one = Ledger::open(&file).expect("it opens");
     // Another's is not damaged, and must not be set aside.
     assert!(matches!(Ledger::open(&file), Err(Failed::InUse)));
-    assert!(matches!(Ledger::open(Path::new("/proc/none/meter.ledger")), Err(Failed::Unwritten(_))));
+    assert!(matches!(
+        Ledger::open(Path::new("/proc/none/meter.ledger")),
+        Err(Failed::Unwritten(_))
+    ));
 }
--- a/crates/membership/src/alive.rs
+++ b/crates/membership/src/alive.rs
@@ -26,14 +26,18 @@
 const STOPPED: Micros = 4;
 
 /// One process of a member. `nonce` is unlike that of any other process; `turn` only grows, over restarts too.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub struct Process {
     pub turn: u64,
     pub nonce: u64,
 }
 
 /// The order is that of caution.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub enum Standing {
     /// Nothing was heard of it yet.
     #[default]
@@ -103,7 +107,11 @@
 
 #[derive(Debug)]
 pub enum Input {
-    Heard { from: MemberIx, process: Process, message: Message },
+    Heard {
+        from: MemberIx,
+        process: Process,
+        message: Message,
+    },
     Tick,
 }
 
@@ -171,9 +179,18 @@
 impl Membership {
     /// `before`: the turn that this member is known to have had, from a kept folder.
     pub fn new(now: Micros, group: Group, terms: Terms, nonce: u64, before: u64) -> Self {
-        let mut known = vec![Known { since: now, ..Known::default() }; group.len()];
+        let mut known = vec![
+            Known {
+                since: now,
+                ..Known::default()
+            };
+            group.len()
+        ];
         known[group.me as usize] = Known {
-            process: Process { turn: before + 1, nonce },
+            process: Process {
+                turn: before + 1,
+                nonce,
+            },
             standing: Standing::Alive,
             since: now,
             why: Why::Itself,
@@ -196,17 +213,29 @@
 
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Heard { from, process, message } => self.heard(now, from, process, message, out),
+            Input::Heard {
+                from,
+                process,
+                message,
+            } => self.heard(now, from, process, message, out),
             Input::Tick => {}
         }
         self.pass(now, out);
     }
 
     pub fn next_due(&self) -> Micros {
-        let dead =
-            |k: &Known| (k.standing == Standing::Suspected).then_some(k.since + self.terms.suspected_for);
-        let deaths = self.known.iter().filter_map(dead).min().unwrap_or(Micros::MAX);
-        self.probing.map_or(self.next_probe, |p| p.due.min(self.next_probe)).min(deaths)
+        let dead = |k: &Known| {
+            (k.standing == Standing::Suspected).then_some(k.since + self.terms.suspected_for)
+        };
+        let deaths = self
+            .known
+            .iter()
+            .filter_map(dead)
+            .min()
+            .unwrap_or(Micros::MAX);
+        self.probing
+            .map_or(self.next_probe, |p| p.due.min(self.next_probe))
+            .min(deaths)
     }
 
     pub fn group(&self) -> &Group {
@@ -223,7 +252,10 @@
 
     /// Suspected ones still count: suspicion is often refuted.
     pub fn lives(&self, member: MemberIx) -> bool {
-        matches!(self.known(member).standing, Standing::Alive | Standing::Suspected)
+        matches!(
+            self.known(member).standing,
+            Standing::Alive | Standing::Suspected
+        )
     }
 
     /// Of the table; grows with each change that this member saw.
@@ -232,12 +264,27 @@
     }
 
     /// Something came from this member by another way.
-    pub fn came_from(&mut self, now: Micros, from: MemberIx, process: Process, out: &mut Vec<Output>) {
+    pub fn came_from(
+        &mut self,
+        now: Micros,
+        from: MemberIx,
+        process: Process,
+        out: &mut Vec<Output>,
+    ) {
         if from == self.group.me || from as usize >= self.known.len() {
             return;
         }
         self.known[from as usize].heard = Some(now);
-        self.take(now, Row { member: from, process, standing: Standing::Alive }, Why::Answered, out);
+        self.take(
+            now,
+            Row {
+                member: from,
+                process,
+                standing: Standing::Alive,
+            },
+            Why::Answered,
+            out,
+        );
     }
 
     fn heard(
@@ -253,23 +300,49 @@
         }
         self.came_from(now, from, process, out);
         match message {
-            Message::Probe { serial, table, rows } => {
+            Message::Probe {
+                serial,
+                table,
+                rows,
+            } => {
                 let differ = table != self.table();
                 self.learn(now, &rows, out);
-                let rows = if differ || table != self.table() { self.rows() } else { Vec::new() };
-                let message = Message::Answer { serial, of: self.group.me, table: self.table(), rows };
+                let rows = if differ || table != self.table() {
+                    self.rows()
+                } else {
+                    Vec::new()
+                };
+                let message = Message::Answer {
+                    serial,
+                    of: self.group.me,
+                    table: self.table(),
+                    rows,
+                };
                 out.push(Output::Send { to: from, message });
             }
-            Message::Answer { serial, of, table, rows } => {
+            Message::Answer {
+                serial,
+                of,
+                table,
+                rows,
+            } => {
                 self.learn(now, &rows, out);
                 if let Some((asker, their, whom, _)) = self.asked.remove(&serial)
                     && whom == of
                 {
                     let rows = self.row(whom).into_iter().collect();
-                    let message = Message::Answer { serial: their, of, table: 0, rows };
+                    let message = Message::Answer {
+                        serial: their,
+                        of,
+                        table: 0,
+                        rows,
+                    };
                     out.push(Output::Send { to: asker, message });
                 }
-                if self.probing.is_some_and(|p| p.serial == serial && p.whom == of) {
+                if self
+                    .probing
+                    .is_some_and(|p| p.serial == serial && p.whom == of)
+                {
                     self.probing = None;
                     if of != from {
                         self.answered_others(now, of, out);
@@ -279,7 +352,14 @@
                 if of == from && table != 0 && table != self.table() {
                     self.serial += 1;
                     let (serial, table, rows) = (self.serial, self.table(), self.rows());
-                    out.push(Output::Send { to: from, message: Message::Probe { serial, table, rows } });
+                    out.push(Output::Send {
+                        to: from,
+                        message: Message::Probe {
+                            serial,
+                            table,
+                            rows,
+                        },
+                    });
                 }
             }
             Message::AskFor { serial, whom } => {
@@ -294,7 +374,14 @@
                 let until = now + self.terms.probe_every.max(self.terms.answer_within);
                 self.asked.insert(self.serial, (from, serial, whom, until));
                 let (serial, table, rows) = (self.serial, self.table(), self.rows());
-                out.push(Output::Send { to: whom, message: Message::Probe { serial, table, rows } });
+                out.push(Output::Send {
+                    to: whom,
+                    message: Message::Probe {
+                        serial,
+                        table,
+                        rows,
+                    },
+                });
             }
         }
     }
@@ -316,7 +403,11 @@
             self.counts.woken += 1;
             self.probing = None;
             self.next_probe = now;
-            for k in self.known.iter_mut().filter(|k| k.standing == Standing::Suspected) {
+            for k in self
+                .known
+                .iter_mut()
+                .filter(|k| k.standing == Standing::Suspected)
+            {
                 k.since = now;
             }
         }
@@ -324,7 +415,14 @@
             let k = self.known[m];
             if k.standing == Standing::Suspected && now >= k.since + self.terms.suspected_for {
                 self.counts.deaths += 1;
-                self.becomes(now, m as MemberIx, k.process, Standing::Dead, Why::SilentTooLong, out);
+                self.becomes(
+                    now,
+                    m as MemberIx,
+                    k.process,
+                    Standing::Dead,
+                    Why::SilentTooLong,
+                    out,
+                );
             }
         }
         if let Some(p) = self.probing.filter(|p| now >= p.due) {
@@ -335,7 +433,14 @@
                 let k = self.known(p.whom);
                 if k.standing == Standing::Alive {
                     self.counts.suspected += 1;
-                    self.becomes(now, p.whom, k.process, Standing::Suspected, Why::Silent, out);
+                    self.becomes(
+                        now,
+                        p.whom,
+                        k.process,
+                        Standing::Suspected,
+                        Why::Silent,
+                        out,
+                    );
                 }
             }
         }
@@ -359,11 +464,27 @@
         self.serial += 1;
         self.counts.probes += 1;
         let due = now + self.terms.answer_within;
-        self.probing = Some(Probing { whom, serial: self.serial, through_others: false, due });
+        self.probing = Some(Probing {
+            whom,
+            serial: self.serial,
+            through_others: false,
+            due,
+        });
         let (serial, table) = (self.serial, self.table());
         // Who is not known to be alive has to learn what is held of it.
-        let rows = if self.known(whom).standing == Standing::Alive { Vec::new() } else { self.rows() };
-        out.push(Output::Send { to: whom, message: Message::Probe { serial, table, rows } });
+        let rows = if self.known(whom).standing == Standing::Alive {
+            Vec::new()
+        } else {
+            self.rows()
+        };
+        out.push(Output::Send {
+            to: whom,
+            message: Message::Probe {
+                serial,
+                table,
+                rows,
+            },
+        });
     }
 
     fn ask_others(&mut self, now: Micros, p: Probing, out: &mut Vec<Output>) {
@@ -377,11 +498,21 @@
         others.sort_by_cached_key(|m| hashed((draw, *m)));
         for to in others.into_iter().take(ASKED_THROUGH) {
             self.counts.asked_for += 1;
-            out.push(Output::Send { to, message: Message::AskFor { serial: p.serial, whom: p.whom } });
+            out.push(Output::Send {
+                to,
+                message: Message::AskFor {
+                    serial: p.serial,
+                    whom: p.whom,
+                },
+            });
         }
         // Two more ways than the direct one.
         let due = now + 2 * self.terms.answer_within;
-        self.probing = Some(Probing { through_others: true, due, ..p });
+        self.probing = Some(Probing {
+            through_others: true,
+            due,
+            ..p
+        });
     }
 
     fn learn(&mut self, now: Micros, rows: &[Row], out: &mut Vec<Output>) {
@@ -391,7 +522,9 @@
     }
 
     fn take(&mut self, now: Micros, row: Row, why: Why, out: &mut Vec<Output>) {
-        let Some(k) = self.known.get(row.member as usize).copied() else { return };
+        let Some(k) = self.known.get(row.member as usize).copied() else {
+            return;
+        };
         if row.standing == Standing::Unknown {
             return;
         }
@@ -402,7 +535,10 @@
             if row.process.turn >= k.process.turn && wrong {
                 self.counts.refuted += 1;
                 self.counts.outdated += u64::from(row.process.nonce != k.process.nonce);
-                let process = Process { turn: row.process.turn + 1, nonce: k.process.nonce };
+                let process = Process {
+                    turn: row.process.turn + 1,
+                    nonce: k.process.nonce,
+                };
                 self.becomes(now, row.member, process, Standing::Alive, Why::Itself, out);
             }
             return;
@@ -424,18 +560,30 @@
         out: &mut Vec<Output>,
     ) {
         let k = &mut self.known[member as usize];
-        *k = Known { process, standing, since: now, why, heard: k.heard };
+        *k = Known {
+            process,
+            standing,
+            since: now,
+            why,
+            heard: k.heard,
+        };
         self.version += 1;
         out.push(Output::Changed(member));
     }
 
     fn row(&self, member: MemberIx) -> Option<Row> {
         let k = self.known(member);
-        (k.standing != Standing::Unknown).then_some(Row { member, process: k.process, standing: k.standing })
+        (k.standing != Standing::Unknown).then_some(Row {
+            member,
+            process: k.process,
+            standing: k.standing,
+        })
     }
 
     fn rows(&self) -> Vec<Row> {
-        (0..self.known.len() as MemberIx).filter_map(|m| self.row(m)).collect()
+        (0..self.known.len() as MemberIx)
+            .filter_map(|m| self.row(m))
+            .collect()
     }
 
     /// The same at two members that hold all for the same; never 0.
--- a/crates/membership/src/believed.rs
+++ b/crates/membership/src/believed.rs
@@ -34,8 +34,17 @@
 impl Believed {
     /// `hold`: a change of who never flapped is believed after this time. At first everybody is believed alive.
     pub fn new(now: Micros, members: usize, hold: Micros) -> Self {
-        let place = Place { believed: true, seen: true, since: now, flaps: 0 };
-        Believed { hold, places: vec![place; members], version: 1 }
+        let place = Place {
+            believed: true,
+            seen: true,
+            since: now,
+            flaps: 0,
+        };
+        Believed {
+            hold,
+            places: vec![place; members],
+            version: 1,
+        }
     }
 
     /// The first change of all is held once, the next twice as long, and so on.
@@ -50,7 +59,8 @@
             let (seen, mut p) = (alive(m as MemberIx), self.places[m]);
             if seen != p.seen {
                 let quiet = (now - p.since) / (self.hold.max(1) * FORGIVEN_AFTER);
-                p.flaps = (p.flaps.saturating_sub(quiet.min(64) as u32) + 1).min(MOST_DOUBLINGS + 1);
+                p.flaps =
+                    (p.flaps.saturating_sub(quiet.min(64) as u32) + 1).min(MOST_DOUBLINGS + 1);
                 (p.seen, p.since) = (seen, now);
             }
             if p.seen != p.believed && now >= self.settles(&p) {
@@ -65,11 +75,17 @@
 
     pub fn next_due(&self) -> Micros {
         let due = |p: &Place| (p.seen != p.believed).then(|| self.settles(p));
-        self.places.iter().filter_map(due).min().unwrap_or(Micros::MAX)
+        self.places
+            .iter()
+            .filter_map(due)
+            .min()
+            .unwrap_or(Micros::MAX)
     }
 
     pub fn alive(&self) -> Vec<MemberIx> {
-        (0..self.places.len() as MemberIx).filter(|m| self.places[*m as usize].believed).collect()
+        (0..self.places.len() as MemberIx)
+            .filter(|m| self.places[*m as usize].believed)
+            .collect()
     }
 
     pub fn is_alive(&self, member: MemberIx) -> bool {
--- a/crates/membership/src/group.rs
+++ b/crates/membership/src/group.rs
@@ -79,7 +79,12 @@
             return Err(Unfit::Stranger(me.to_owned()));
         };
         let mark = BuildHasherDefault::<DefaultHasher>::default().hash_one((name, &members));
-        Ok(Group { name: name.to_owned(), members, me: at as MemberIx, mark })
+        Ok(Group {
+            name: name.to_owned(),
+            members,
+            me: at as MemberIx,
+            mark,
+        })
     }
 
     pub fn len(&self) -> usize {
@@ -96,7 +101,10 @@
     }
 
     pub fn weight(&self, of: impl IntoIterator<Item = MemberIx>) -> u32 {
-        of.into_iter().filter_map(|m| self.members.get(m as usize)).map(|m| m.weight).sum()
+        of.into_iter()
+            .filter_map(|m| self.members.get(m as usize))
+            .map(|m| m.weight)
+            .sum()
     }
 
     fn all(&self) -> u32 {
@@ -122,7 +130,10 @@
                 .filter(|m| self.members[*m as usize].region == r)
                 .collect::<Vec<_>>()
         };
-        regions.into_iter().filter(|r| self.is_majority(of(r))).collect()
+        regions
+            .into_iter()
+            .filter(|r| self.is_majority(of(r)))
+            .collect()
     }
 }
 
@@ -142,16 +153,30 @@
 
     #[test]
     fn two_majorities_meet_and_what_meets_all_misses_none() {
-        for weights in [&[1, 1, 1][..], &[1, 1, 1, 1], &[2, 1, 1, 1], &[1, 1, 1, 1, 1], &[3, 1, 0, 1]] {
+        for weights in [
+            &[1, 1, 1][..],
+            &[1, 1, 1, 1],
+            &[2, 1, 1, 1],
+            &[1, 1, 1, 1, 1],
+            &[3, 1, 0, 1],
+        ] {
             let g = group(weights);
             let n = weights.len() as MemberIx;
-            let set = |bits: u32| (0..n).filter(|m| bits & 1 << m != 0).collect::<BTreeSet<_>>();
+            let set = |bits: u32| {
+                (0..n)
+                    .filter(|m| bits & 1 << m != 0)
+                    .collect::<BTreeSet<_>>()
+            };
             for a in 0..1 << n {
                 for b in 0..1 << n {
                     let meet = !set(a).is_disjoint(&set(b));
-                    assert!(meet || !g.is_majority(set(a)) || !g.is_majority(set(b)), "{weights:?}");
+                    assert!(
+                        meet || !g.is_majority(set(a)) || !g.is_majority(set(b)),
+                        "{weights:?}"
+                    );
                     for beside in 0..n {
-                        let without: BTreeSet<_> = set(b).into_iter().filter(|m| *m != beside).collect();
+                        let without: BTreeSet<_> =
+                            set(b).into_iter().filter(|m| *m != beside).collect();
                         let met = !set(a).is_disjoint(&without);
                         assert!(met || !g.meets_all(&set(a), beside) || !g.is_majority(set(b)));
                     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -12,6 +12,8 @@
 pub mod believed;
 pub mod group;
 
-pub use alive::{Counts, Input, Known, Membership, Message, Output, Process, Row, Standing, Terms, Why};
+pub use alive::{
+    Counts, Input, Known, Membership, Message, Output, Process, Row, Standing, Terms, Why,
+};
 pub use believed::Believed;
 pub use group::{Group, Member, MemberIx, Unfit};
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -62,8 +62,13 @@
             seed: self.starts,
         };
         // A lost folder: the turn begins anew.
-        self.members[m] =
-            Some(Membership::new(self.now, group(self.members.len(), m), terms, self.starts, 0));
+        self.members[m] = Some(Membership::new(
+            self.now,
+            group(self.members.len(), m),
+            terms,
+            self.starts,
+            0,
+        ));
     }
 
     fn draw(&mut self, below: u64) -> u64 {
@@ -75,11 +80,15 @@
 
     fn feed(&mut self, m: usize, input: Input) {
         let mut out = Vec::new();
-        let Some(member) = self.members[m].as_mut() else { return };
+        let Some(member) = self.members[m].as_mut() else {
+            return;
+        };
         member.handle(self.now, input, &mut out);
         let process = member.me();
         for output in out {
-            let Output::Send { to, message } = output else { continue };
+            let Output::Send { to, message } = output else {
+                continue;
+            };
             self.sent += 1;
             if self.draw(1000) < self.lost || self.cut.contains(&(m as u16, to)) {
                 continue;
@@ -87,7 +96,8 @@
             for _ in 0..1 + u64::from(self.draw(1000) < self.lost / 4) {
                 let at = self.now + MS + self.draw(15 * MS as u64) as i64;
                 self.serial += 1;
-                self.on_the_way.insert((at, self.serial), (m as u16, to, process, message.clone()));
+                self.on_the_way
+                    .insert((at, self.serial), (m as u16, to, process, message.clone()));
             }
         }
     }
@@ -96,7 +106,9 @@
         let until = self.now + time;
         loop {
             let due = (0..self.members.len())
-                .filter_map(|m| Some((self.members[m].as_ref()?.next_due().max(self.stopped[m]), m)))
+                .filter_map(|m| {
+                    Some((self.members[m].as_ref()?.next_due().max(self.stopped[m]), m))
+                })
                 .min();
             let next = self.on_the_way.first_key_value().map(|(k, _)| k.0);
             let at = due.map_or(i64::MAX, |d| d.0).min(next.unwrap_or(i64::MAX));
@@ -111,7 +123,14 @@
                     let later = (self.stopped[to as usize], self.serial);
                     self.on_the_way.insert(later, (from, to, process, message));
                 } else {
-                    self.feed(to as usize, Input::Heard { from, process, message });
+                    self.feed(
+                        to as usize,
+                        Input::Heard {
+                            from,
+                            process,
+                            message,
+                        },
+                    );
                 }
             } else if let Some((_, m)) = due {
                 self.feed(m, Input::Tick);
@@ -121,12 +140,18 @@
     }
 
     fn standing(&self, at: usize, of: usize) -> Standing {
-        self.members[at].as_ref().expect("it runs").known(of as u16).standing
+        self.members[at]
+            .as_ref()
+            .expect("it runs")
+            .known(of as u16)
+            .standing
     }
 
     /// All that run hold all that run for alive, each in its process of now, and the others for dead.
     fn agreed(&self) -> bool {
-        let up: Vec<usize> = (0..self.members.len()).filter(|m| self.members[*m].is_some()).collect();
+        let up: Vec<usize> = (0..self.members.len())
+            .filter(|m| self.members[*m].is_some())
+            .collect();
         up.iter().all(|&a| {
             (0..self.members.len()).all(|b| match &self.members[b] {
                 Some(it) => {
@@ -164,7 +189,11 @@
     // Cut from all, in one direction only, it hears everybody and nobody hears it.
     w.cut = vec![(1, 0), (1, 2), (1, 3)];
     w.run(6 * SECOND);
-    assert!([0, 2, 3].iter().all(|a| w.standing(*a, 1) == Standing::Dead));
+    assert!(
+        [0, 2, 3]
+            .iter()
+            .all(|a| w.standing(*a, 1) == Standing::Dead)
+    );
     w.cut.clear();
     w.run(4 * SECOND);
     assert!(w.agreed());
@@ -219,11 +248,18 @@
 
 #[test]
 fn an_unfit_group_is_refused_with_what_to_do() {
-    let member =
-        |name: &str, weight| Member { name: name.to_owned(), region: String::new(), weight, witness: false };
+    let member = |name: &str, weight| Member {
+        name: name.to_owned(),
+        region: String::new(),
+        weight,
+        witness: false,
+    };
     let of = |members, me| Group::new("g", members, me).expect_err("unfit");
     assert_eq!(of(vec![], "a"), Unfit::Empty);
-    assert_eq!(of(vec![member("a", 1), member("a", 1)], "a"), Unfit::Twice("a".into()));
+    assert_eq!(
+        of(vec![member("a", 1), member("a", 1)], "a"),
+        Unfit::Twice("a".into())
+    );
     assert_eq!(of(vec![member("a", 1)], "b"), Unfit::Stranger("b".into()));
     assert_eq!(of(vec![member("a", 0)], "a"), Unfit::Weightless);
     let many = (0..65).map(|n| member(&n.to_string(), 1)).collect();
@@ -231,7 +267,10 @@
     assert!(!Unfit::Empty.remedy().is_empty());
     // The order in the file does not matter, what is in it does.
     let mark = |members| Group::new("g", members, "a").expect("fit").mark;
-    let (one, other) = (vec![member("a", 1), member("b", 1)], vec![member("b", 1), member("a", 1)]);
+    let (one, other) = (
+        vec![member("a", 1), member("b", 1)],
+        vec![member("b", 1), member("a", 1)],
+    );
     assert_eq!(mark(one.clone()), mark(other));
     assert_ne!(mark(one), mark(vec![member("a", 1), member("b", 2)]));
 }
--- a/crates/meter/src/accounting.rs
+++ b/crates/meter/src/accounting.rs
@@ -106,7 +106,11 @@
             Some(held) => {
                 self.heard(e.wall, &line, held);
                 // A repeat that the worker dropped has no copy to tell of.
-                let kind = if e.note == CopyNote::Untold { Kind::Nothing } else { Kind::Running };
+                let kind = if e.note == CopyNote::Untold {
+                    Kind::Nothing
+                } else {
+                    Kind::Running
+                };
                 self.add(hour(e.wall), &line, kind, 0);
                 if e.note == CopyNote::Waited {
                     self.add(hour(e.wall), &line, Kind::Shared, 0);
@@ -145,16 +149,27 @@
 
     fn heard(&mut self, wall: Micros, line: &Line, held: Held) {
         self.lives.insert(line.0, held.life);
-        let totals = [(Kind::Running, held.running), (Kind::Loading, held.loading), (Kind::Idle, held.idle)];
+        let totals = [
+            (Kind::Running, held.running),
+            (Kind::Loading, held.loading),
+            (Kind::Idle, held.idle),
+        ];
         for (kind, total) in totals.into_iter().filter(|(_, total)| *total > 0) {
-            let key = Key { hour: hour(wall), account: line.1.clone(), function: line.2.clone(), kind };
+            let key = Key {
+                hour: hour(wall),
+                account: line.1.clone(),
+                function: line.2.clone(),
+                kind,
+            };
             self.left_out += u64::from(!self.part.readings.read(held.life, key, total));
         }
         // Symptom: a worker that was silent for a while, or whose answer was lost, is charged for twice.
         if let Some((life, hours)) = self.waiting.remove(line)
             && life == Some(held.life)
         {
-            hours.into_iter().for_each(|(hour, sum)| self.put(hour, line, Kind::Settled, sum));
+            hours
+                .into_iter()
+                .for_each(|(hour, sum)| self.put(hour, line, Kind::Settled, sum));
         }
     }
 
@@ -177,7 +192,12 @@
     }
 
     fn put(&mut self, hour: u32, line: &Line, kind: Kind, sum: Sum) {
-        let key = Key { hour, account: line.1.clone(), function: line.2.clone(), kind };
+        let key = Key {
+            hour,
+            account: line.1.clone(),
+            function: line.2.clone(),
+            kind,
+        };
         self.part.sums.add(key, sum);
     }
 }
--- a/crates/meter/src/sums.rs
+++ b/crates/meter/src/sums.rs
@@ -91,14 +91,20 @@
 impl Sums {
     pub fn add(&mut self, key: Key, sum: Sum) {
         if self.0.len() >= MOST_KEYS && !self.0.contains_key(&key) {
-            let key = Key { function: Arc::from(OTHERS), ..key };
+            let key = Key {
+                function: Arc::from(OTHERS),
+                ..key
+            };
             return self.0.entry(key).or_default().add(sum);
         }
         self.0.entry(key).or_default().add(sum);
     }
 
     pub fn add_all(&mut self, other: &Sums) {
-        other.0.iter().for_each(|(key, sum)| self.add(key.clone(), *sum));
+        other
+            .0
+            .iter()
+            .for_each(|(key, sum)| self.add(key.clone(), *sum));
     }
 
     pub fn is_empty(&self) -> bool {
@@ -108,7 +114,9 @@
     /// By whatever the key says, in its order.
     pub fn by<K: Ord>(&self, of: impl Fn(&Key) -> K) -> BTreeMap<K, Sum> {
         let mut out: BTreeMap<K, Sum> = BTreeMap::new();
-        self.0.iter().for_each(|(key, sum)| out.entry(of(key)).or_default().add(*sum));
+        self.0
+            .iter()
+            .for_each(|(key, sum)| out.entry(of(key)).or_default().add(*sum));
         out
     }
 
@@ -118,7 +126,10 @@
         for (key, sum) in self.0.iter().filter(|(key, _)| key.kind != Kind::Settled) {
             let mut sum = *sum;
             if key.kind == Kind::Uncertain
-                && let Some(off) = self.0.get(&Key { kind: Kind::Settled, ..key.clone() })
+                && let Some(off) = self.0.get(&Key {
+                    kind: Kind::Settled,
+                    ..key.clone()
+                })
             {
                 sum.byte_us = sum.byte_us.saturating_sub(off.byte_us);
                 sum.count = sum.count.saturating_sub(off.count);
@@ -170,8 +181,19 @@
         for ((_, account, function, kind), hours) in by_line {
             let mut before = 0;
             for (hour, total) in hours {
-                let key = Key { hour, account: account.clone(), function: function.clone(), kind };
-                sums.add(key, Sum { byte_us: total.saturating_sub(before), count: 0 });
+                let key = Key {
+                    hour,
+                    account: account.clone(),
+                    function: function.clone(),
+                    kind,
+                };
+                sums.add(
+                    key,
+                    Sum {
+                        byte_us: total.saturating_sub(before),
+                        count: 0,
+                    },
+                );
                 before = total.max(before);
             }
         }
--- a/crates/meter/tests/metered.rs
+++ b/crates/meter/tests/metered.rs
@@ -8,26 +8,54 @@
 use cedarpulley_meter::{Ended, Held, Load, Meter};
 use proptest::prelude::*;
 
-const HELD: Held = Held { life: 9, running: 700, loading: 0, idle: 300 };
+const HELD: Held = Held {
+    life: 9,
+    running: 700,
+    loading: 0,
+    idle: 300,
+};
 
 fn ended(outcome: Outcome, note: CopyNote, held: Option<Held>) -> Ended<'static> {
     let (worker, account, function) = (1, "amber", "f");
     let wall = 5 * HOUR + 1;
-    Ended { wall, worker, account, function, outcome, note, took: 50, copy_bytes: 100, lanes: 2, held }
+    Ended {
+        wall,
+        worker,
+        account,
+        function,
+        outcome,
+        note,
+        took: 50,
+        copy_bytes: 100,
+        lanes: 2,
+        held,
+    }
 }
 
 /// What came of it: sums and readings together.
 fn booked(meter: &mut Meter) -> Book {
     let part = meter.take();
     assert!(meter.take().is_empty());
-    let measured = Measured { number: 1, router: "r".into(), sums: part.sums };
-    Book { measured: [(1, measured)].into(), readings: part.readings }
+    let measured = Measured {
+        number: 1,
+        router: "r".into(),
+        sums: part.sums,
+    };
+    Book {
+        measured: [(1, measured)].into(),
+        readings: part.readings,
+    }
 }
 
 fn kinds(act: impl FnOnce(&mut Meter)) -> Vec<(Kind, u128)> {
     let mut meter = Meter::default();
     act(&mut meter);
-    booked(&mut meter).sums().0.iter().map(|(k, s)| (k.kind, s.byte_us)).collect()
+    booked(&mut meter)
+        .sums()
+        .0
+        .iter()
+        .map(|(k, s)| (k.kind, s.byte_us))
+        .collect()
 }
 
 #[test]
@@ -41,12 +69,26 @@
     let waited = [(Kind::Running, 700), (Kind::Idle, 300), (Kind::Shared, 0)];
     assert_eq!(of(Outcome::Succeeded, CopyNote::Waited, Some(HELD)), waited);
     // A repeat that the worker dropped.
-    let repeat = Some(Held { life: 9, ..Held::default() });
-    assert_eq!(of(Outcome::Succeeded, CopyNote::Untold, repeat), [(Kind::Nothing, 0)]);
+    let repeat = Some(Held {
+        life: 9,
+        ..Held::default()
+    });
+    assert_eq!(
+        of(Outcome::Succeeded, CopyNote::Untold, repeat),
+        [(Kind::Nothing, 0)]
+    );
     for silent in [Outcome::TimedOut, Outcome::Broken, Outcome::Withdrawn] {
-        assert_eq!(of(silent, CopyNote::Untold, None), [(Kind::Uncertain, 50 * 100 / 2)]);
+        assert_eq!(
+            of(silent, CopyNote::Untold, None),
+            [(Kind::Uncertain, 50 * 100 / 2)]
+        );
     }
-    for never in [Outcome::Throttled, Outcome::Unreachable, Outcome::NotSent, Outcome::Missed] {
+    for never in [
+        Outcome::Throttled,
+        Outcome::Unreachable,
+        Outcome::NotSent,
+        Outcome::Missed,
+    ] {
         assert_eq!(of(never, CopyNote::Untold, None), [(Kind::Nothing, 0)]);
     }
 }
@@ -55,10 +97,23 @@
 fn a_load_is_charged_once_to_who_caused_it() {
     let load = |never_began, held| {
         let (worker, account, function) = (1, "birch", "f");
-        let load = Load { wall: 1, worker, account, function, took: 9, copy_bytes: 10, never_began, held };
+        let load = Load {
+            wall: 1,
+            worker,
+            account,
+            function,
+            took: 9,
+            copy_bytes: 10,
+            never_began,
+            held,
+        };
         kinds(|m| m.loaded(load))
     };
-    let held = Held { life: 9, loading: 80, ..Held::default() };
+    let held = Held {
+        life: 9,
+        loading: 80,
+        ..Held::default()
+    };
     assert_eq!(load(true, Some(held)), [(Kind::Loading, 80)]);
     assert_eq!(load(true, None), []);
     assert_eq!(load(false, None), [(Kind::Uncertain, 90)]);
@@ -67,7 +122,13 @@
 /// Symptom: an answer is lost, or the router that heard it killed; the next one tells all, to whomever.
 #[test]
 fn a_lost_answer_is_made_good_by_the_next_and_two_routers_count_it_once() {
-    let told = |running| Some(Held { running, idle: 0, ..HELD });
+    let told = |running| {
+        Some(Held {
+            running,
+            idle: 0,
+            ..HELD
+        })
+    };
     let answer = |running| ended(Outcome::Succeeded, CopyNote::Found, told(running));
     let (mut one, mut other) = (Meter::default(), Meter::default());
     one.ended(answer(700));
@@ -79,37 +140,74 @@
     theirs.measured = theirs.measured.into_values().map(|m| (2, m)).collect();
     book.join(theirs.clone());
     book.join(theirs);
-    assert_eq!(book.sums().by(|k| k.kind)[&Kind::Running], Sum { byte_us: 2_100, count: 3 });
+    assert_eq!(
+        book.sums().by(|k| k.kind)[&Kind::Running],
+        Sum {
+            byte_us: 2_100,
+            count: 3
+        }
+    );
 }
 
 #[test]
 fn what_is_read_in_a_later_hour_counts_there_and_only_the_rest() {
     let mut meter = Meter::default();
     for (hour, running) in [(5, 700), (7, 1_000), (7, 1_100), (8, 1_100)] {
-        let told = Some(Held { running, idle: 0, ..HELD });
-        meter.ended(Ended { wall: hour * HOUR, ..ended(Outcome::Succeeded, CopyNote::Found, told) });
+        let told = Some(Held {
+            running,
+            idle: 0,
+            ..HELD
+        });
+        meter.ended(Ended {
+            wall: hour * HOUR,
+            ..ended(Outcome::Succeeded, CopyNote::Found, told)
+        });
     }
-    let by: Vec<_> =
-        booked(&mut meter).sums().by(|k| k.hour).into_iter().map(|(h, s)| (h, s.byte_us)).collect();
+    let by: Vec<_> = booked(&mut meter)
+        .sums()
+        .by(|k| k.hour)
+        .into_iter()
+        .map(|(h, s)| (h, s.byte_us))
+        .collect();
     assert_eq!(by, [(5, 700), (7, 400), (8, 0)]);
 }
 
 #[test]
 fn an_uncertain_line_is_settled_by_the_same_life_and_stays_with_another() {
     let silent = ended(Outcome::TimedOut, CopyNote::Untold, None);
-    let heard = |life| ended(Outcome::Succeeded, CopyNote::Found, Some(Held { life, ..HELD }));
+    let heard = |life| {
+        ended(
+            Outcome::Succeeded,
+            CopyNote::Found,
+            Some(Held { life, ..HELD }),
+        )
+    };
     let uncertain = |events: &[Ended<'static>]| {
         let mut meter = Meter::default();
         events.iter().for_each(|e| meter.ended(*e));
-        booked(&mut meter).sums().by(|k| k.kind).get(&Kind::Uncertain).map(|s| (s.byte_us, s.count))
+        booked(&mut meter)
+            .sums()
+            .by(|k| k.kind)
+            .get(&Kind::Uncertain)
+            .map(|s| (s.byte_us, s.count))
     };
     assert_eq!(uncertain(&[heard(9), silent, silent]), Some((5_000, 2)));
-    assert_eq!(uncertain(&[heard(9), silent, silent, heard(9)]), Some((0, 0)));
+    assert_eq!(
+        uncertain(&[heard(9), silent, silent, heard(9)]),
+        Some((0, 0))
+    );
     // A worker that restarted took with it what it had not told.
     assert_eq!(uncertain(&[heard(9), silent, heard(10)]), Some((2_500, 1)));
-    assert_eq!(uncertain(&[silent, heard(9)]), Some((2_500, 1)), "of which life it was is not known");
+    assert_eq!(
+        uncertain(&[silent, heard(9)]),
+        Some((2_500, 1)),
+        "of which life it was is not known"
+    );
     // In another function's line nothing is settled.
-    let other = Ended { function: "g", ..heard(9) };
+    let other = Ended {
+        function: "g",
+        ..heard(9)
+    };
     assert_eq!(uncertain(&[heard(9), silent, other]), Some((2_500, 1)));
 }
 
@@ -119,8 +217,19 @@
         let mut sums = Sums::default();
         for ((hour, account, function, kind), byte_us, count) in all {
             let name = |n: usize| Arc::from(["a", "b", "c"][n]);
-            let key = Key { hour, account: name(account), function: name(function), kind: Kind::ALL[kind] };
-            sums.add(key, Sum { byte_us: byte_us.into(), count });
+            let key = Key {
+                hour,
+                account: name(account),
+                function: name(function),
+                kind: Kind::ALL[kind],
+            };
+            sums.add(
+                key,
+                Sum {
+                    byte_us: byte_us.into(),
+                    count,
+                },
+            );
         }
         sums
     })
@@ -172,15 +281,26 @@
         let part = meter.take();
         for n in 0..60_000u64 {
             let name = format!("f{round}-{n}");
-            let e = ended(Outcome::Succeeded, CopyNote::Found, Some(Held { idle: 0, ..HELD }));
-            meter.ended(Ended { function: &name, ..e });
+            let e = ended(
+                Outcome::Succeeded,
+                CopyNote::Found,
+                Some(Held { idle: 0, ..HELD }),
+            );
+            meter.ended(Ended {
+                function: &name,
+                ..e
+            });
             tried += 1;
         }
         meter.give_back(&part);
     }
     let left_out = meter.left_out;
     let book = booked(&mut meter);
-    assert!(book.readings.0.len() <= 100_000, "{}", book.readings.0.len());
+    assert!(
+        book.readings.0.len() <= 100_000,
+        "{}",
+        book.readings.0.len()
+    );
     assert_eq!(book.readings.0.len() as u64 + left_out, tried);
 }
 
@@ -188,9 +308,26 @@
 fn too_many_functions_lose_their_names_and_nothing_else() {
     let mut sums = Sums::default();
     for n in 0..100_010u64 {
-        let key = Key { hour: 1, account: "a".into(), function: format!("f{n}").into(), kind: Kind::Idle };
-        sums.add(key, Sum { byte_us: n.into(), count: 1 });
+        let key = Key {
+            hour: 1,
+            account: "a".into(),
+            function: format!("f{n}").into(),
+            kind: Kind::Idle,
+        };
+        sums.add(
+            key,
+            Sum {
+                byte_us: n.into(),
+                count: 1,
+            },
+        );
     }
-    assert_eq!(sums.total(), Sum { byte_us: 100_010 * 100_009 / 2, count: 100_010 });
+    assert_eq!(
+        sums.total(),
+        Sum {
+            byte_us: 100_010 * 100_009 / 2,
+            count: 100_010
+        }
+    );
     assert_eq!(sums.by(|k| k.function.clone())[OTHERS].count, 10);
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -36,7 +36,10 @@
     }
 
     pub fn off_by(offset: Micros) -> Self {
-        Clock { zero: Instant::now(), offset }
+        Clock {
+            zero: Instant::now(),
+            offset,
+        }
     }
 
     pub fn now(&self) -> Micros {
@@ -48,7 +51,10 @@
     }
 
     pub fn wall(&self) -> Micros {
-        SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros) + self.offset
+        SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_micros() as Micros)
+            + self.offset
     }
 }
 
@@ -57,7 +63,11 @@
 const BACKLOG: i32 = 4096;
 
 pub fn listen(at: SocketAddr) -> io::Result<Async<TcpListener>> {
-    let domain = if at.is_ipv4() { Domain::IPV4 } else { Domain::IPV6 };
+    let domain = if at.is_ipv4() {
+        Domain::IPV4
+    } else {
+        Domain::IPV6
+    };
     let socket = Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
     // A router that restarts takes its address again while old connections fade.
     socket.set_reuse_address(true)?;
@@ -68,7 +78,11 @@
 
 pub async fn connect(to: SocketAddr, from: Option<IpAddr>, within: Micros) -> io::Result<Stream> {
     let connecting = async {
-        let domain = if to.is_ipv4() { Domain::IPV4 } else { Domain::IPV6 };
+        let domain = if to.is_ipv4() {
+            Domain::IPV4
+        } else {
+            Domain::IPV6
+        };
         let socket = Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
@@ -77,7 +91,9 @@
         }
         match socket.connect(&to.into()) {
             Ok(()) => {}
-            Err(e) if e.raw_os_error() == Some(IN_PROGRESS) || e.kind() == io::ErrorKind::WouldBlock => {}
+            Err(e)
+                if e.raw_os_error() == Some(IN_PROGRESS)
+                    || e.kind() == io::ErrorKind::WouldBlock => {}
             Err(e) => return Err(e),
         }
         let stream = Async::new_nonblocking(TcpStream::from(socket))?;
@@ -128,7 +144,10 @@
 
 impl Default for Alarm {
     fn default() -> Self {
-        Alarm { due: Cell::new(Micros::MAX), moved: Bell::default() }
+        Alarm {
+            due: Cell::new(Micros::MAX),
+            moved: Bell::default(),
+        }
     }
 }
 
--- a/crates/platform-node/src/client_connections/accept.rs
+++ b/crates/platform-node/src/client_connections/accept.rs
@@ -38,7 +38,10 @@
 /// Accepts what the kernel has accepted for this listener by now; false if some of it had to be left there.
 pub fn accept_backlog(node: &Rc<Node>, listener: &Async<TcpListener>) -> bool {
     loop {
-        let accepted = listener.get_ref().accept().and_then(|(stream, _)| Async::new(stream));
+        let accepted = listener
+            .get_ref()
+            .accept()
+            .and_then(|(stream, _)| Async::new(stream));
         match accepted {
             Ok(stream) => {
                 node.clients.admit(node, stream);
--- a/crates/platform-node/src/client_connections/connection.rs
+++ b/crates/platform-node/src/client_connections/connection.rs
@@ -68,7 +68,11 @@
             if self.client_left.get() {
                 return;
             }
-            let put = |bytes: &[u8]| self.requests.borrow_mut().put(arrived, bytes, node.clients.rules());
+            let put = |bytes: &[u8]| {
+                self.requests
+                    .borrow_mut()
+                    .put(arrived, bytes, node.clients.rules())
+            };
             match node.read(&self.stream, put) {
                 ReadResult::Bytes(()) => {}
                 ReadResult::Nothing => return,
--- a/crates/platform-node/src/client_connections/mod.rs
+++ b/crates/platform-node/src/client_connections/mod.rs
@@ -43,7 +43,13 @@
 
 impl Response {
     fn bare(status: u16, close: bool) -> Self {
-        Response { status, retry_after: None, body: Bytes::new(), close, deadline: None }
+        Response {
+            status,
+            retry_after: None,
+            body: Bytes::new(),
+            close,
+            deadline: None,
+        }
     }
 }
 
@@ -92,8 +98,11 @@
 
     /// Nobody is reading or writing its tables.
     pub fn is_unborrowed(&self) -> bool {
-        let tables =
-            (self.pending.try_borrow_mut(), self.tags.try_borrow_mut(), self.limiter.try_borrow_mut());
+        let tables = (
+            self.pending.try_borrow_mut(),
+            self.tags.try_borrow_mut(),
+            self.limiter.try_borrow_mut(),
+        );
         tables.0.is_ok() && tables.1.is_ok() && tables.2.is_ok()
     }
 
@@ -109,28 +118,42 @@
 
     /// A request is unanswered or partly received, or bytes of one lie unread in the kernel.
     pub fn has_unfinished(&self) -> bool {
-        let unread = || self.connections.borrow().values().any(|connection| connection.has_unread());
+        let unread = || {
+            self.connections
+                .borrow()
+                .values()
+                .any(|connection| connection.has_unread())
+        };
         self.limiter.borrow().has_unfinished() || unread()
     }
 
     /// Whether a new connection would find room.
     pub fn has_room(&self, node: &Node) -> bool {
         let has_request = |id| self.has_request(node, id);
-        self.limiter.borrow().has_room(node.clock.now(), has_request)
+        self.limiter
+            .borrow()
+            .has_room(node.clock.now(), has_request)
     }
 
     /// Takes a new connection; true if another one has to close for it.
     pub fn admit(&self, node: &Rc<Node>, stream: Stream) -> bool {
         let _ = stream.get_ref().set_nodelay(true);
         let has_request = |id| self.has_request(node, id);
-        let admission = self.limiter.borrow_mut().connected(node.clock.now(), has_request);
+        let admission = self
+            .limiter
+            .borrow_mut()
+            .connected(node.clock.now(), has_request);
         let connection = Rc::new(ClientConnection::new(admission.id, stream));
-        self.connections.borrow_mut().insert(admission.id, connection.clone());
+        self.connections
+            .borrow_mut()
+            .insert(admission.id, connection.clone());
         let (owner, refused) = (node.clone(), admission.refused);
         let attended = async move {
             let (node, clients) = (&owner, &owner.clients);
             if refused {
-                clients.respond(node, &connection, Response::bare(REFUSED, true)).await;
+                clients
+                    .respond(node, &connection, Response::bare(REFUSED, true))
+                    .await;
             } else {
                 clients.attend(node, &connection).await;
             }
@@ -138,14 +161,18 @@
             clients.connections.borrow_mut().remove(&connection.id);
         };
         node.executor.spawn(attended).detach();
-        let Some(evicted) = admission.evicts else { return false };
+        let Some(evicted) = admission.evicts else {
+            return false;
+        };
         self.end(evicted, CloseReason::Evicted);
         true
     }
 
     /// Whether a whole request of this client has arrived, read so far or not.
     fn has_request(&self, node: &Node, id: ClientId) -> bool {
-        let Some(connection) = self.connections.borrow().get(&id).cloned() else { return false };
+        let Some(connection) = self.connections.borrow().get(&id).cloned() else {
+            return false;
+        };
         connection.read_available(node);
         if connection.has_request() || connection.client_left.get() {
             // Its own task waits for bytes that are read already.
@@ -168,7 +195,9 @@
         if !node.shutdown.borrow().accepts(now) {
             ending.extend(self.limiter.borrow().without_request(has_request));
         }
-        ending.into_iter().for_each(|id| self.end(id, CloseReason::TimedOut));
+        ending
+            .into_iter()
+            .for_each(|id| self.end(id, CloseReason::TimedOut));
     }
 
     /// The core's answer, for whoever waits for it.
@@ -190,8 +219,15 @@
     /// Whether the client of this pending request has closed its connection, asked right before an attempt begins: its
     /// closing may have arrived since this process last looked. If so, the core is told.
     pub fn has_left(&self, node: &Rc<Node>, request_id: &str) -> bool {
-        let Some(tag) = self.tags.borrow().get(request_id).copied() else { return true };
-        let Some(connection) = self.pending.borrow().get(&tag).map(|p| p.connection.clone()) else {
+        let Some(tag) = self.tags.borrow().get(request_id).copied() else {
+            return true;
+        };
+        let Some(connection) = self
+            .pending
+            .borrow()
+            .get(&tag)
+            .map(|p| p.connection.clone())
+        else {
             return true;
         };
         connection.read_available(node);
@@ -221,8 +257,12 @@
                 connection.close.set(None);
             }
             if let Some(queued) = connection.take_request() {
-                self.limiter.borrow_mut().pending(node.clock.now(), connection.id);
-                let Some(response) = self.process(node, connection, queued.request, queued.arrived).await
+                self.limiter
+                    .borrow_mut()
+                    .pending(node.clock.now(), connection.id);
+                let Some(response) = self
+                    .process(node, connection, queued.request, queued.arrived)
+                    .await
                 else {
                     return;
                 };
@@ -235,7 +275,9 @@
                 return;
             }
             if connection.is_receiving() {
-                self.limiter.borrow_mut().receiving(node.clock.now(), connection.id);
+                self.limiter
+                    .borrow_mut()
+                    .receiving(node.clock.now(), connection.id);
             }
             connection.wait().await;
             connection.read_available(node);
@@ -243,7 +285,12 @@
     }
 
     /// The connection has to end. A request that has arrived meanwhile, or a part of one, gets a refusal.
-    async fn refuse_rest(&self, node: &Rc<Node>, connection: &ClientConnection, reason: CloseReason) {
+    async fn refuse_rest(
+        &self,
+        node: &Rc<Node>,
+        connection: &ClientConnection,
+        reason: CloseReason,
+    ) {
         let owed = connection.has_request() || connection.is_receiving();
         if connection.client_left.get() || !owed {
             return;
@@ -275,11 +322,10 @@
         arrived: Micros,
     ) -> Option<Response> {
         let request = match request {
-            Ok(Request { kind: RequestKind::Call(call), .. })
-                if self.tags.borrow().contains_key(&call.id) =>
-            {
-                Err(RequestError::IdInUse)
-            }
+            Ok(Request {
+                kind: RequestKind::Call(call),
+                ..
+            }) if self.tags.borrow().contains_key(&call.id) => Err(RequestError::IdInUse),
             other => other,
         };
         let response = match request {
@@ -288,15 +334,23 @@
                 let more = error.leaves_stream_readable() && connection.has_request();
                 return Some(Response::bare(error.status(), !more));
             }
-            Ok(Request { kind: RequestKind::Health, close }) => {
-                Response::bare(client_protocol::health_status(node.shutdown.borrow().begun()), close)
-            }
+            Ok(Request {
+                kind: RequestKind::Health,
+                close,
+            }) => Response::bare(
+                client_protocol::health_status(node.shutdown.borrow().begun()),
+                close,
+            ),
             // Its client is gone: nothing is begun for it.
             Ok(_) if connection.client_left.get() => return None,
-            Ok(Request { kind: RequestKind::Call(_), close }) if !node.shutdown.borrow().accepts(arrived) => {
-                Response::bare(REFUSED, close)
-            }
-            Ok(Request { kind: RequestKind::Call(call), close }) => {
+            Ok(Request {
+                kind: RequestKind::Call(_),
+                close,
+            }) if !node.shutdown.borrow().accepts(arrived) => Response::bare(REFUSED, close),
+            Ok(Request {
+                kind: RequestKind::Call(call),
+                close,
+            }) => {
                 let deadline = Some(arrived + call.wait);
                 let answer = self.serve(node, connection, call, arrived).await?;
                 Response {
@@ -310,7 +364,10 @@
         };
         // What was sent ahead is owed an answer, too.
         let shuts_down = node.shutdown.borrow().begun() && !connection.has_request();
-        Some(Response { close: response.close || shuts_down, ..response })
+        Some(Response {
+            close: response.close || shuts_down,
+            ..response
+        })
     }
 
     /// Hands one request to the core; its answer, or none once the client is gone.
@@ -325,9 +382,16 @@
         self.last_tag.set(tag);
         let id = call.id.clone();
         self.tags.borrow_mut().insert(id.clone(), tag);
-        let pending = PendingRequest { connection: connection.clone(), id: id.clone() };
+        let pending = PendingRequest {
+            connection: connection.clone(),
+            id: id.clone(),
+        };
         self.pending.borrow_mut().insert(tag, pending);
-        node.feed(Input::Taken(taken(delivery(tag), call, node.clock.now() - arrived)));
+        node.feed(Input::Taken(taken(
+            delivery(tag),
+            call,
+            node.clock.now() - arrived,
+        )));
         loop {
             if let Some(answer) = connection.answer.take() {
                 return Some(answer);
@@ -347,9 +411,16 @@
 
     /// Writes a response; true if the connection goes on. After the last one, what the client still sends is read away
     /// for a while: closing with bytes unread would reset the connection, and the response might be lost.
-    async fn respond(&self, node: &Node, connection: &ClientConnection, response: Response) -> bool {
+    async fn respond(
+        &self,
+        node: &Node,
+        connection: &ClientConnection,
+        response: Response,
+    ) -> bool {
         let (id, close) = (connection.id, response.close);
-        self.limiter.borrow_mut().responding(node.clock.now(), id, response.deadline);
+        self.limiter
+            .borrow_mut()
+            .responding(node.clock.now(), id, response.deadline);
         if !connection.write(&encode(&response)).await {
             return false;
         }
@@ -358,7 +429,11 @@
             return true;
         }
         self.limiter.borrow_mut().closing(node.clock.now(), id);
-        let shut = connection.stream.get_ref().shutdown(Shutdown::Write).is_ok();
+        let shut = connection
+            .stream
+            .get_ref()
+            .shutdown(Shutdown::Write)
+            .is_ok();
         let mut left = if shut { MOST_READ_AWAY } else { 0 };
         while left > 0 && connection.close.get().is_none() && !connection.client_left.get() {
             connection.wait().await;
@@ -375,12 +450,22 @@
 }
 
 fn delivery(tag: u64) -> Delivery {
-    Delivery { front: 0, life: 0, tag }
+    Delivery {
+        front: 0,
+        life: 0,
+        tag,
+    }
 }
 
 fn encode(response: &Response) -> Vec<u8> {
     let mut bytes = Vec::new();
-    let Response { status, retry_after, body, close, .. } = response;
+    let Response {
+        status,
+        retry_after,
+        body,
+        close,
+        ..
+    } = response;
     client_protocol::write_response(&mut bytes, *status, *retry_after, body, *close);
     bytes
 }
--- a/crates/platform-node/src/discovery.rs
+++ b/crates/platform-node/src/discovery.rs
@@ -78,7 +78,10 @@
     }
 }
 
-async fn read_answer(stream: &mut Stream, answers: &mut Answers) -> Result<EventBatch, ChannelError> {
+async fn read_answer(
+    stream: &mut Stream,
+    answers: &mut Answers,
+) -> Result<EventBatch, ChannelError> {
     let mut piece = [0; PIECE];
     loop {
         if let Some(batch) = answers.whole()? {
--- a/crates/platform-node/src/node.rs
+++ b/crates/platform-node/src/node.rs
@@ -71,7 +71,9 @@
         }
         let mut outputs = Vec::new();
         loop {
-            let Some(input) = self.inputs.borrow_mut().pop_front() else { break };
+            let Some(input) = self.inputs.borrow_mut().pop_front() else {
+                break;
+            };
             let due = {
                 let mut router = self.router.borrow_mut();
                 router.handle(self.clock.now(), input, &mut outputs);
@@ -88,14 +90,30 @@
     fn carry_out(self: &Rc<Self>, output: Output) {
         match output {
             Output::Answer { delivery, answer } => self.clients.answer(self, delivery, answer),
-            Output::Send { ticket, worker, function, trigger, call, .. } => {
-                self.workers.call(self, ticket, worker, function, trigger, call);
+            Output::Send {
+                ticket,
+                worker,
+                function,
+                trigger,
+                call,
+                ..
+            } => {
+                self.workers
+                    .call(self, ticket, worker, function, trigger, call);
             }
             Output::Withdraw(ticket) => self.workers.withdraw(self, ticket),
-            Output::Order { ticket, function, copies, within, .. } => {
+            Output::Order {
+                ticket,
+                function,
+                copies,
+                within,
+                ..
+            } => {
                 self.workers.order(self, ticket, &function, copies, within);
             }
-            Output::Unload { worker, function, .. } => self.workers.unload(self, worker, &function),
+            Output::Unload {
+                worker, function, ..
+            } => self.workers.unload(self, worker, &function),
             Output::Probe { worker } => self.workers.probe(self, worker),
             // Discovery is followed all the time; nothing here asks at the door, no front is granted anything, and routers
             // of the platform share nothing.
@@ -114,12 +132,16 @@
 
     /// The same for an order to load.
     pub(crate) fn may_order(&self, ticket: OrderTicket) -> bool {
-        self.router.borrow().order_may_leave(self.clock.now(), ticket)
+        self.router
+            .borrow()
+            .order_may_leave(self.clock.now(), ticket)
     }
 
     /// Where a worker listens, if it is listed.
     pub(crate) fn address(&self, worker: WorkerIx) -> Option<SocketAddr> {
-        self.worker_list.borrow().address(self.router.borrow().worker_name(worker)?)
+        self.worker_list
+            .borrow()
+            .address(self.router.borrow().worker_name(worker)?)
     }
 
     /// What discovery tells. `unheard_for`: it may have been told so many microseconds ago.
@@ -129,7 +151,10 @@
         unheard_for: Micros,
     ) -> Result<(), DiscoveryError> {
         let wall_at_zero = self.clock.wall() - self.clock.now();
-        let updates = self.worker_list.borrow_mut().batch(batch, &self.names, wall_at_zero, unheard_for)?;
+        let updates =
+            self.worker_list
+                .borrow_mut()
+                .batch(batch, &self.names, wall_at_zero, unheard_for)?;
         updates.into_iter().for_each(|update| self.apply(update));
         Ok(())
     }
@@ -140,7 +165,10 @@
                 self.workers.retire(worker);
             }
         }
-        self.feed(Input::List { mode: update.mode, workers: update.workers });
+        self.feed(Input::List {
+            mode: update.mode,
+            workers: update.workers,
+        });
     }
 
     /// Reads once from a connection that is ready.
@@ -179,7 +207,8 @@
     /// The event loop has only now begun to run.
     pub(crate) fn caught_up(&self) {
         let now = self.clock.now();
-        self.event_loop_lag.set(EventLoopLag::new(SWEEP_PERIOD.as_micros() as Micros, now));
+        self.event_loop_lag
+            .set(EventLoopLag::new(SWEEP_PERIOD.as_micros() as Micros, now));
     }
 
     /// What is read now may have arrived this many microseconds ago, beyond what the time limits allow for.
@@ -202,10 +231,18 @@
         let (router, list) = (self.router.borrow(), self.worker_list.borrow());
         tracing::info!(counts = ?router.counts, "requests");
         let clients = self.clients.counts();
-        tracing::info!(clients.open, clients.evicted, clients.refused_connections, "client connections");
+        tracing::info!(
+            clients.open,
+            clients.evicted,
+            clients.refused_connections,
+            "client connections"
+        );
         tracing::info!(refused = ?clients.refused_requests, "requests that did not reach the core");
         let without_connection = self.workers.without_connection();
-        tracing::info!(without_connection, "exchanges without a connection to their worker");
+        tracing::info!(
+            without_connection,
+            "exchanges without a connection to their worker"
+        );
         tracing::info!(list.repeated, list.left_out, "worker list");
     }
 }
--- a/crates/platform-node/src/shutdown.rs
+++ b/crates/platform-node/src/shutdown.rs
@@ -22,8 +22,13 @@
         // not. So the listener's backlog is emptied and every connection's buffer is looked into, in one step that no
         // other task comes between; the process exits in the same step.
         let backlog_empty = accept_backlog(node, listener);
-        let unfinished = !backlog_empty || node.has_open_requests() || node.clients.has_unfinished();
-        if node.shutdown.borrow().may_exit(node.clock.now(), unfinished) {
+        let unfinished =
+            !backlog_empty || node.has_open_requests() || node.clients.has_unfinished();
+        if node
+            .shutdown
+            .borrow()
+            .may_exit(node.clock.now(), unfinished)
+        {
             return;
         }
     }
--- a/crates/platform-node/src/signals.rs
+++ b/crates/platform-node/src/signals.rs
@@ -53,7 +53,10 @@
                 node.discovery_moved.ring();
                 return;
             }
-            Err(error) => tracing::warn!(why = error.line(), "the configuration could not be read again"),
+            Err(error) => tracing::warn!(
+                why = error.line(),
+                "the configuration could not be read again"
+            ),
         }
         Timer::after(micros(RELOAD_PAUSE)).await;
     }
--- a/crates/platform-node/src/startup.rs
+++ b/crates/platform-node/src/startup.rs
@@ -40,13 +40,19 @@
     #[error("BALANCER_LISTEN '{at}' is not an address")]
     Address { at: String },
     #[error("BALANCER_LISTEN {address}: it cannot be listened at")]
-    Listen { address: SocketAddr, source: io::Error },
+    Listen {
+        address: SocketAddr,
+        source: io::Error,
+    },
     #[error("{path}: it cannot be read")]
     File { path: String, source: io::Error },
     #[error("{path}")]
     Config { path: String, source: ConfigError },
     #[error("{path}: known")]
-    Known { path: String, source: DiscoveryError },
+    Known {
+        path: String,
+        source: DiscoveryError,
+    },
 }
 
 impl Remedy for StartError {
@@ -84,11 +90,17 @@
     }
 
     fn text(&self) -> Result<String> {
-        std::fs::read_to_string(&self.path).map_err(|source| StartError::File { path: self.name(), source })
+        std::fs::read_to_string(&self.path).map_err(|source| StartError::File {
+            path: self.name(),
+            source,
+        })
     }
 
     fn error(&self, source: ConfigError) -> StartError {
-        StartError::Config { path: self.name(), source }
+        StartError::Config {
+            path: self.name(),
+            source,
+        }
     }
 
     fn read(&self) -> Result<Start> {
@@ -104,8 +116,11 @@
 /// Runs one router until it is told to stop.
 pub fn run() -> Result<()> {
     // Before anything else: a signal that comes while the router starts must not end it.
-    let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(StartError::Signals)?;
-    let file = ConfigFile { path: PathBuf::from(variable("BALANCER_CONFIG")?) };
+    let signals =
+        Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(StartError::Signals)?;
+    let file = ConfigFile {
+        path: PathBuf::from(variable("BALANCER_CONFIG")?),
+    };
     let at = variable("BALANCER_LISTEN")?;
     let address: SocketAddr = at.parse().map_err(|_| StartError::Address { at })?;
     let start = file.read()?;
@@ -113,14 +128,24 @@
     let node = new_node(start);
     follow_known(&node, &known, &file)?;
     let listener = listen(address).map_err(|source| StartError::Listen { address, source })?;
-    async_io::block_on(node.executor.clone().run(serve(node, Rc::new(listener), signals, file, seed)));
+    async_io::block_on(node.executor.clone().run(serve(
+        node,
+        Rc::new(listener),
+        signals,
+        file,
+        seed,
+    )));
     Ok(())
 }
 
 fn follow_known(node: &Rc<Node>, known: &EventBatch, file: &ConfigFile) -> Result<()> {
     // What the configuration knew may have been told long ago.
     let unheard_for = cedarpulley::interface::Micros::MAX;
-    node.follow(known, unheard_for).map_err(|source| StartError::Known { path: file.name(), source })
+    node.follow(known, unheard_for)
+        .map_err(|source| StartError::Known {
+            path: file.name(),
+            source,
+        })
 }
 
 async fn serve(
@@ -135,9 +160,18 @@
     node.caught_up();
     executor.spawn(node.clone().timers()).detach();
     executor.spawn(node.clone().sweep()).detach();
-    executor.spawn(discovery::follow(node.clone(), seed)).detach();
-    executor.spawn(client_connections::accept_clients(node.clone(), listener.clone())).detach();
-    executor.spawn(signals::listen(node.clone(), signals, file, stop.clone())).detach();
+    executor
+        .spawn(discovery::follow(node.clone(), seed))
+        .detach();
+    executor
+        .spawn(client_connections::accept_clients(
+            node.clone(),
+            listener.clone(),
+        ))
+        .detach();
+    executor
+        .spawn(signals::listen(node.clone(), signals, file, stop.clone()))
+        .detach();
     tracing::info!("running");
     stop.heard().await;
     shutdown::shut_down(&node, &listener).await;
@@ -150,7 +184,11 @@
         clock_margin: 0,
         memory_bytes: limits.body_bytes,
         front_weights: vec![1.0],
-        account_shares: settings.accounts.iter().map(|account| account.share).collect(),
+        account_shares: settings
+            .accounts
+            .iter()
+            .map(|account| account.share)
+            .collect(),
         order_answered_within: settings.loads.order_answered_within,
         module_alone: true,
         sharing: None,
@@ -168,16 +206,33 @@
 fn new_node(start: Start) -> Rc<Node> {
     let settings = start.settings;
     let limits = ResourceLimits::of(start.limits);
-    let longest_deadline = settings.triggers.iter().map(|t| t.client_timeout).max().unwrap_or(0);
+    let longest_deadline = settings
+        .triggers
+        .iter()
+        .map(|t| t.client_timeout)
+        .max()
+        .unwrap_or(0);
     let rules = RequestRules {
         names: start.names.clone(),
-        triggers: settings.triggers.iter().map(|t| trigger_rules(t, &settings)).collect(),
+        triggers: settings
+            .triggers
+            .iter()
+            .map(|t| trigger_rules(t, &settings))
+            .collect(),
         largest_mb: start.largest_mb,
     };
     let links = start.links;
-    let pool = ConnectionPool::new(limits.workers, links.streams, links.idle_kept, links.connect_within);
-    let router =
-        Router::new(settings.control(start.seed), settings.triggers.clone(), router_terms(&settings, limits));
+    let pool = ConnectionPool::new(
+        limits.workers,
+        links.streams,
+        links.idle_kept,
+        links.connect_within,
+    );
+    let router = Router::new(
+        settings.control(start.seed),
+        settings.triggers.clone(),
+        router_terms(&settings, limits),
+    );
     let clock = Clock::start();
     let sweep_period = SWEEP_PERIOD.as_micros() as cedarpulley::interface::Micros;
     Rc::new(Node {
--- a/crates/platform-node/src/worker_connections/mod.rs
+++ b/crates/platform-node/src/worker_connections/mod.rs
@@ -58,8 +58,11 @@
 
     /// Nobody is reading or writing its tables.
     pub fn is_unborrowed(&self) -> bool {
-        let tables =
-            (self.pool.try_borrow_mut(), self.connections.try_borrow_mut(), self.attempts.try_borrow_mut());
+        let tables = (
+            self.pool.try_borrow_mut(),
+            self.connections.try_borrow_mut(),
+            self.attempts.try_borrow_mut(),
+        );
         tables.0.is_ok() && tables.1.is_ok() && tables.2.is_ok()
     }
 
@@ -84,18 +87,46 @@
     ) {
         let id = call.mark.as_deref().unwrap_or("").to_owned();
         let waited_until = node.clock.now() + call.waited_for;
-        let message = Message::Call(OutgoingCall { trigger, function, waited_until, call });
-        let exchange = Exchange { purpose: Purpose::Attempt(ticket), whole_at: None, until: Micros::MAX };
+        let message = Message::Call(OutgoingCall {
+            trigger,
+            function,
+            waited_until,
+            call,
+        });
+        let exchange = Exchange {
+            purpose: Purpose::Attempt(ticket),
+            whole_at: None,
+            until: Micros::MAX,
+        };
         self.post(node, worker, exchange, QueuedMessage { id, message });
     }
 
     /// Orders a worker to load copies.
-    pub fn order(&self, node: &Rc<Node>, ticket: OrderTicket, function: &str, copies: u32, within: Micros) {
+    pub fn order(
+        &self,
+        node: &Rc<Node>,
+        ticket: OrderTicket,
+        function: &str,
+        copies: u32,
+        within: Micros,
+    ) {
         let (id, mut bytes) = (self.new_tag(), Vec::new());
         worker_protocol::load(&mut bytes, &id, function, copies);
         let until = node.clock.now() + within;
-        let exchange = Exchange { purpose: Purpose::Order(ticket), whole_at: None, until };
-        self.post(node, ticket.worker, exchange, QueuedMessage { id, message: Message::Bytes(bytes) });
+        let exchange = Exchange {
+            purpose: Purpose::Order(ticket),
+            whole_at: None,
+            until,
+        };
+        self.post(
+            node,
+            ticket.worker,
+            exchange,
+            QueuedMessage {
+                id,
+                message: Message::Bytes(bytes),
+            },
+        );
     }
 
     /// Asks a worker how it does.
@@ -103,8 +134,20 @@
         let (id, mut bytes, asked_at) = (self.new_tag(), Vec::new(), node.clock.now());
         worker_protocol::probe(&mut bytes, &id);
         let until = asked_at + self.connect_within;
-        let exchange = Exchange { purpose: Purpose::Probe { worker, asked_at }, whole_at: None, until };
-        self.post(node, worker, exchange, QueuedMessage { id, message: Message::Bytes(bytes) });
+        let exchange = Exchange {
+            purpose: Purpose::Probe { worker, asked_at },
+            whole_at: None,
+            until,
+        };
+        self.post(
+            node,
+            worker,
+            exchange,
+            QueuedMessage {
+                id,
+                message: Message::Bytes(bytes),
+            },
+        );
     }
 
     /// Has a worker unload idle copies. No answer comes, and nobody waits for one.
@@ -112,10 +155,15 @@
         let mut bytes = Vec::new();
         worker_protocol::unload(&mut bytes, function);
         if let Ok(connection) = self.place(node, worker) {
-            let message = QueuedMessage { id: String::new(), message: Message::Bytes(bytes) };
+            let message = QueuedMessage {
+                id: String::new(),
+                message: Message::Bytes(bytes),
+            };
             connection.queue.borrow_mut().push_back(message);
             self.push(node, &connection);
-            self.pool.borrow_mut().ended(node.clock.now(), connection.id, true);
+            self.pool
+                .borrow_mut()
+                .ended(node.clock.now(), connection.id, true);
         }
     }
 
@@ -125,10 +173,16 @@
             Err(end) => return tell(node, exchange.purpose, end, None),
         };
         if let Purpose::Attempt(ticket) = exchange.purpose {
-            let place = AttemptPlace { connection: connection.id, request_id: message.id.clone() };
+            let place = AttemptPlace {
+                connection: connection.id,
+                request_id: message.id.clone(),
+            };
             self.attempts.borrow_mut().insert(ticket, place);
         }
-        connection.exchanges.borrow_mut().insert(message.id.clone(), exchange);
+        connection
+            .exchanges
+            .borrow_mut()
+            .insert(message.id.clone(), exchange);
         connection.queue.borrow_mut().push_back(message);
         self.push(node, &connection);
     }
@@ -143,7 +197,12 @@
         }
     }
 
-    fn open(&self, node: &Rc<Node>, id: ConnectionId, worker: WorkerIx) -> Option<Rc<WorkerConnection>> {
+    fn open(
+        &self,
+        node: &Rc<Node>,
+        id: ConnectionId,
+        worker: WorkerIx,
+    ) -> Option<Rc<WorkerConnection>> {
         let Some(address) = node.address(worker) else {
             self.pool.borrow_mut().closed(id);
             return None;
@@ -163,7 +222,11 @@
             let Some(stream) = connected.or(called_off).await else {
                 // Called off from here, it tells nothing of the worker.
                 let called_off = kept.closed_here.get();
-                let end = if called_off { AttemptEnd::HeldBack } else { AttemptEnd::Unreached };
+                let end = if called_off {
+                    AttemptEnd::HeldBack
+                } else {
+                    AttemptEnd::Unreached
+                };
                 return workers.over(&owner, &kept, end);
             };
             kept.stream.replace(Some(Rc::new(stream)));
@@ -178,7 +241,9 @@
 
     /// Reads answers until the connection ends.
     async fn listen(&self, node: &Rc<Node>, connection: &Rc<WorkerConnection>) {
-        let Some(stream) = connection.stream.borrow().clone() else { return };
+        let Some(stream) = connection.stream.borrow().clone() else {
+            return;
+        };
         while !connection.ending.get() {
             connection.wait(&stream).await;
             self.write(node, connection);
@@ -192,7 +257,12 @@
     }
 
     /// Reads one piece, if there is one.
-    fn read(&self, node: &Rc<Node>, connection: &Rc<WorkerConnection>, stream: &Stream) -> ReadResult<()> {
+    fn read(
+        &self,
+        node: &Rc<Node>,
+        connection: &Rc<WorkerConnection>,
+        stream: &Stream,
+    ) -> ReadResult<()> {
         let result = node.read(stream, |bytes| connection.answers.borrow_mut().put(bytes));
         if let ReadResult::Bytes(()) = result {
             self.process_answers(node, connection);
@@ -204,12 +274,21 @@
     /// own task to find again.
     pub fn read_answers_to(&self, node: &Rc<Node>, request_id: &str) {
         let carries = |c: &&Rc<WorkerConnection>| c.carries(request_id);
-        let carrying: Vec<_> = self.connections.borrow().values().filter(carries).cloned().collect();
+        let carrying: Vec<_> = self
+            .connections
+            .borrow()
+            .values()
+            .filter(carries)
+            .cloned()
+            .collect();
         for connection in carrying {
-            let Some(stream) = connection.stream.borrow().clone() else { continue };
+            let Some(stream) = connection.stream.borrow().clone() else {
+                continue;
+            };
             for _ in 0..MOST_PIECES {
                 let waits = !connection.ending.get() && connection.carries(request_id);
-                if !waits || !matches!(self.read(node, &connection, &stream), ReadResult::Bytes(())) {
+                if !waits || !matches!(self.read(node, &connection, &stream), ReadResult::Bytes(()))
+                {
                     break;
                 }
             }
@@ -224,13 +303,22 @@
                 Ok(Some(answer)) => {
                     let exchanges = connection.exchanges.borrow();
                     // Nobody can have answered what was not sent whole.
-                    if exchanges.get(&answer.id).is_some_and(|e| !connection.sent_whole(e)) {
+                    if exchanges
+                        .get(&answer.id)
+                        .is_some_and(|e| !connection.sent_whole(e))
+                    {
                         return connection.close();
                     }
                     drop(exchanges);
                     // Under an unknown id it is late, a second copy or ahead of its time, and is ignored.
                     let id = answer.id.clone();
-                    self.ended(node, connection, &id, AttemptEnd::Answered(answer.word), Some(answer));
+                    self.ended(
+                        node,
+                        connection,
+                        &id,
+                        AttemptEnd::Answered(answer.word),
+                        Some(answer),
+                    );
                 }
                 Ok(None) => {
                     let now = node.clock.now();
@@ -254,12 +342,18 @@
         end: AttemptEnd,
         answer: Option<Answer>,
     ) {
-        let Some(exchange) = connection.exchanges.borrow_mut().remove(id) else { return };
+        let Some(exchange) = connection.exchanges.borrow_mut().remove(id) else {
+            return;
+        };
         if let Purpose::Attempt(ticket) = exchange.purpose {
             self.attempts.borrow_mut().remove(&ticket);
         }
         let kept = answer.is_some() || end == AttemptEnd::HeldBack;
-        if self.pool.borrow_mut().ended(node.clock.now(), connection.id, kept) {
+        if self
+            .pool
+            .borrow_mut()
+            .ended(node.clock.now(), connection.id, kept)
+        {
             connection.close();
         }
         tell(node, exchange.purpose, end, answer);
@@ -269,26 +363,44 @@
     fn over(&self, node: &Rc<Node>, connection: &WorkerConnection, unsent: AttemptEnd) {
         match connection.closed_here.get() {
             true => self.pool.borrow_mut().closed(connection.id),
-            false => self.pool.borrow_mut().broke(node.clock.now(), connection.id),
+            false => self
+                .pool
+                .borrow_mut()
+                .broke(node.clock.now(), connection.id),
         }
         self.connections.borrow_mut().remove(&connection.id);
         connection.ending.set(true);
         connection.stream.replace(None);
-        let open: Vec<Exchange> = connection.exchanges.borrow_mut().drain().map(|(_, e)| e).collect();
+        let open: Vec<Exchange> = connection
+            .exchanges
+            .borrow_mut()
+            .drain()
+            .map(|(_, e)| e)
+            .collect();
         for exchange in open {
             if let Purpose::Attempt(ticket) = exchange.purpose {
                 self.attempts.borrow_mut().remove(&ticket);
             }
-            let end = if connection.sent_whole(&exchange) { AttemptEnd::Broken } else { unsent };
+            let end = if connection.sent_whole(&exchange) {
+                AttemptEnd::Broken
+            } else {
+                unsent
+            };
             tell(node, exchange.purpose, end, None);
         }
     }
 
     /// The core has given this attempt up.
     pub fn withdraw(&self, node: &Rc<Node>, ticket: Ticket) {
-        let Some(place) = self.attempts.borrow_mut().remove(&ticket) else { return };
-        let Some(connection) = self.connection(place.connection) else { return };
-        let Some(exchange) = connection.exchanges.borrow_mut().remove(&place.request_id) else { return };
+        let Some(place) = self.attempts.borrow_mut().remove(&ticket) else {
+            return;
+        };
+        let Some(connection) = self.connection(place.connection) else {
+            return;
+        };
+        let Some(exchange) = connection.exchanges.borrow_mut().remove(&place.request_id) else {
+            return;
+        };
         let begun = exchange.whole_at.is_some();
         if begun && !connection.sent_whole(&exchange) {
             // A part of it was sent: it must never become whole.
@@ -297,13 +409,23 @@
         if begun {
             let mut bytes = Vec::new();
             worker_protocol::withdraw(&mut bytes, &place.request_id);
-            let message = QueuedMessage { id: String::new(), message: Message::Bytes(bytes) };
+            let message = QueuedMessage {
+                id: String::new(),
+                message: Message::Bytes(bytes),
+            };
             connection.queue.borrow_mut().push_back(message);
             self.push(node, &connection);
         } else {
-            connection.queue.borrow_mut().retain(|message| message.id != place.request_id);
+            connection
+                .queue
+                .borrow_mut()
+                .retain(|message| message.id != place.request_id);
         }
-        if self.pool.borrow_mut().ended(node.clock.now(), place.connection, !begun) {
+        if self
+            .pool
+            .borrow_mut()
+            .ended(node.clock.now(), place.connection, !begun)
+        {
             connection.close();
         }
     }
@@ -311,20 +433,33 @@
     /// Nothing more goes to this worker's connections of now.
     pub fn retire(&self, worker: WorkerIx) {
         let connecting = self.pool.borrow_mut().retire(worker);
-        connecting.into_iter().filter_map(|id| self.connection(id)).for_each(|connection| connection.close());
+        connecting
+            .into_iter()
+            .filter_map(|id| self.connection(id))
+            .for_each(|connection| connection.close());
     }
 
     /// Closes connections whose time is over, and ends exchanges that are no longer waited for.
     pub fn sweep(&self, node: &Rc<Node>) {
         let now = node.clock.now();
-        let connections: Vec<Rc<WorkerConnection>> = self.connections.borrow().values().cloned().collect();
+        let connections: Vec<Rc<WorkerConnection>> =
+            self.connections.borrow().values().cloned().collect();
         for connection in connections {
             let late = |(id, e): (&String, &Exchange)| (now > e.until).then(|| id.clone());
-            let over: Vec<String> = connection.exchanges.borrow().iter().filter_map(late).collect();
-            over.iter().for_each(|id| self.ended(node, &connection, id, AttemptEnd::Broken, None));
+            let over: Vec<String> = connection
+                .exchanges
+                .borrow()
+                .iter()
+                .filter_map(late)
+                .collect();
+            over.iter()
+                .for_each(|id| self.ended(node, &connection, id, AttemptEnd::Broken, None));
         }
         let stale = self.pool.borrow().stale(now);
-        stale.into_iter().filter_map(|id| self.connection(id)).for_each(|connection| connection.close());
+        stale
+            .into_iter()
+            .filter_map(|id| self.connection(id))
+            .for_each(|connection| connection.close());
     }
 }
 
@@ -336,17 +471,37 @@
             let outcome = attempt_outcome::dispatch(end);
             let told = node.crowds && matches!(outcome, Outcome::Succeeded | Outcome::Throttled);
             let crowd = answer.as_ref().filter(|_| told).map(|a| a.crowd);
-            let body = answer.filter(|_| outcome == Outcome::Succeeded).map(|a| Payload::from(a.body));
+            let body = answer
+                .filter(|_| outcome == Outcome::Succeeded)
+                .map(|a| Payload::from(a.body));
             let (note, held, body) = (CopyNote::Untold, None, body.unwrap_or_default());
-            node.feed(Input::DispatchEnded { ticket, outcome, note, crowd, report, held, body });
+            node.feed(Input::DispatchEnded {
+                ticket,
+                outcome,
+                note,
+                crowd,
+                report,
+                held,
+                body,
+            });
         }
         Purpose::Order(ticket) => {
             let (result, copies) = (attempt_outcome::order(end), answer.map_or(0, |a| a.copies));
-            node.feed(Input::OrderEnded { ticket, result, copies, held: None });
+            node.feed(Input::OrderEnded {
+                ticket,
+                result,
+                copies,
+                held: None,
+            });
         }
         Purpose::Probe { worker, asked_at } => {
             let took = node.clock.now() - asked_at;
-            node.feed(Input::Probed { worker, outcome: attempt_outcome::probe(end), took, report });
+            node.feed(Input::Probed {
+                worker,
+                outcome: attempt_outcome::probe(end),
+                took,
+                report,
+            });
         }
     }
 }
--- a/crates/platform-node/src/worker_connections/sending.rs
+++ b/crates/platform-node/src/worker_connections/sending.rs
@@ -46,7 +46,9 @@
     /// The same from the connection's own task, which then waits for room. It must not wake itself: it would go round for
     /// as long as a worker reads nothing, with all else at a standstill.
     pub(super) fn write(&self, node: &Rc<Node>, connection: &Rc<WorkerConnection>) {
-        let Some(stream) = connection.stream.borrow().clone() else { return };
+        let Some(stream) = connection.stream.borrow().clone() else {
+            return;
+        };
         while !connection.ending.get() {
             let goes_on = if connection.unwritten.borrow().is_empty() {
                 self.write_next(node, connection, &stream)
@@ -75,9 +77,18 @@
 
     /// Begins the next message; false if there is none, or no room. A message that finds no room keeps its place, and is
     /// looked at once more when there is some: its deadline, its client and its worker's grace may be over by then.
-    fn write_next(&self, node: &Rc<Node>, connection: &Rc<WorkerConnection>, stream: &Stream) -> bool {
-        let Some(queued) = connection.queue.borrow_mut().pop_front() else { return false };
-        let Some(bytes) = self.encode(node, connection, &queued) else { return true };
+    fn write_next(
+        &self,
+        node: &Rc<Node>,
+        connection: &Rc<WorkerConnection>,
+        stream: &Stream,
+    ) -> bool {
+        let Some(queued) = connection.queue.borrow_mut().pop_front() else {
+            return false;
+        };
+        let Some(bytes) = self.encode(node, connection, &queued) else {
+            return true;
+        };
         match write_once(stream, &bytes) {
             Written::Taken(n) => {
                 let whole_at = connection.written.get() + bytes.len() as u64;
@@ -116,8 +127,17 @@
         }
     }
 
-    fn may_begin(&self, node: &Rc<Node>, connection: &WorkerConnection, queued: &QueuedMessage) -> bool {
-        let purpose = connection.exchanges.borrow().get(&queued.id).map(|exchange| exchange.purpose);
+    fn may_begin(
+        &self,
+        node: &Rc<Node>,
+        connection: &WorkerConnection,
+        queued: &QueuedMessage,
+    ) -> bool {
+        let purpose = connection
+            .exchanges
+            .borrow()
+            .get(&queued.id)
+            .map(|exchange| exchange.purpose);
         let in_time = match &queued.message {
             Message::Call(call) => time_left(node, call) > 0,
             Message::Bytes(_) => true,
@@ -125,7 +145,10 @@
         let retired = || self.pool.borrow().is_retired(connection.id);
         match purpose {
             Some(Purpose::Attempt(ticket)) => {
-                in_time && !retired() && node.may_send(ticket) && !node.clients.has_left(node, &queued.id)
+                in_time
+                    && !retired()
+                    && node.may_send(ticket)
+                    && !node.clients.has_left(node, &queued.id)
             }
             Some(Purpose::Order(ticket)) => !retired() && node.may_order(ticket),
             // Something is withdrawn, unloaded or asked.
@@ -139,7 +162,11 @@
 }
 
 fn encode_call(node: &Node, id: &str, outgoing: &OutgoingCall) -> Vec<u8> {
-    let trigger = node.names.triggers.get(outgoing.trigger as usize).map_or("", String::as_str);
+    let trigger = node
+        .names
+        .triggers
+        .get(outgoing.trigger as usize)
+        .map_or("", String::as_str);
     let mut bytes = Vec::new();
     let call = worker_protocol::Call {
         id,
--- a/crates/platform/src/attempt_outcome.rs
+++ b/crates/platform/src/attempt_outcome.rs
@@ -79,7 +79,9 @@
         AttemptEnd::Answered(AnswerWord::Ok) => OrderResult::Stand,
         AttemptEnd::Answered(AnswerWord::Refused) => OrderResult::NoRoom,
         AttemptEnd::Answered(AnswerWord::Error) => OrderResult::LoadErrored,
-        AttemptEnd::Unreached | AttemptEnd::Unsent | AttemptEnd::HeldBack => OrderResult::Unreachable,
+        AttemptEnd::Unreached | AttemptEnd::Unsent | AttemptEnd::HeldBack => {
+            OrderResult::Unreachable
+        }
         AttemptEnd::Answered(_) | AttemptEnd::Broken => OrderResult::Broken,
     }
 }
--- a/crates/platform/src/client_protocol/mod.rs
+++ b/crates/platform/src/client_protocol/mod.rs
@@ -125,7 +125,10 @@
     /// The status that the client gets.
     pub fn status(self) -> u16 {
         match self {
-            RequestError::Head | RequestError::Length | RequestError::Chunks | RequestError::Field => 400,
+            RequestError::Head
+            | RequestError::Length
+            | RequestError::Chunks
+            | RequestError::Field => 400,
             RequestError::HeadTooLong => 431,
             RequestError::Method => 405,
             RequestError::Path => 404,
--- a/crates/platform/src/client_protocol/parser.rs
+++ b/crates/platform/src/client_protocol/parser.rs
@@ -57,7 +57,11 @@
 
     /// Bytes kept.
     pub fn bytes(&self) -> usize {
-        let body = if let State::Chunked { body, .. } = &self.state { body.len() } else { 0 };
+        let body = if let State::Chunked { body, .. } = &self.state {
+            body.len()
+        } else {
+            0
+        };
         self.bytes.len() + body
     }
 
@@ -82,9 +86,15 @@
                 State::Refused(wrong) => return Err(wrong),
                 State::Head => {
                     // Empty lines before a request are let pass.
-                    let blank = self.bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
+                    let blank = self
+                        .bytes
+                        .iter()
+                        .take_while(|b| matches!(b, b'\r' | b'\n'))
+                        .count();
                     self.bytes.drain(..blank);
-                    let Some((state, used)) = head(&self.bytes, rules)? else { return Ok(None) };
+                    let Some((state, used)) = head(&self.bytes, rules)? else {
+                        return Ok(None);
+                    };
                     self.bytes.drain(..used);
                     self.state = state;
                 }
@@ -100,27 +110,43 @@
                     }
                     return Ok(Some(request));
                 }
-                State::Chunked { mut request, mut body, mut taken } => {
-                    match self.chunk(&mut body, &mut taken)? {
-                        Some(true) => {
-                            if let RequestKind::Call(call) = &mut request.kind {
-                                call.body = body.into();
-                            }
-                            return Ok(Some(request));
+                State::Chunked {
+                    mut request,
+                    mut body,
+                    mut taken,
+                } => match self.chunk(&mut body, &mut taken)? {
+                    Some(true) => {
+                        if let RequestKind::Call(call) = &mut request.kind {
+                            call.body = body.into();
                         }
-                        Some(false) => self.state = State::Chunked { request, body, taken },
-                        None => {
-                            self.state = State::Chunked { request, body, taken };
-                            return Ok(None);
+                        return Ok(Some(request));
+                    }
+                    Some(false) => {
+                        self.state = State::Chunked {
+                            request,
+                            body,
+                            taken,
                         }
                     }
-                }
+                    None => {
+                        self.state = State::Chunked {
+                            request,
+                            body,
+                            taken,
+                        };
+                        return Ok(None);
+                    }
+                },
             }
         }
     }
 
     /// Takes one chunk; true if it was the last one, none if it is not whole yet.
-    fn chunk(&mut self, body: &mut Vec<u8>, taken: &mut usize) -> Result<Option<bool>, RequestError> {
+    fn chunk(
+        &mut self,
+        body: &mut Vec<u8>,
+        taken: &mut usize,
+    ) -> Result<Option<bool>, RequestError> {
         let parsed = httparse::parse_chunk_size(&self.bytes).map_err(|_| RequestError::Chunks)?;
         let Status::Complete((line, size)) = parsed else {
             return if *taken + self.bytes.len() > MOST_CHUNKED {
@@ -133,7 +159,9 @@
             return Err(RequestError::BodyTooLong);
         }
         let size = size as usize;
-        let Some(end) = self.bytes.get(line + size..line + size + 2) else { return Ok(None) };
+        let Some(end) = self.bytes.get(line + size..line + size + 2) else {
+            return Ok(None);
+        };
         // After the last chunk come no further fields.
         if end != b"\r\n" {
             return Err(RequestError::Chunks);
@@ -161,7 +189,11 @@
     let length = match (sized, chunked) {
         (Some(_), Some(_)) => return Err(RequestError::Length),
         (Some(size), None) => Some(digits(size).ok_or(RequestError::Length)?),
-        (None, Some(coding)) if coding.eq_ignore_ascii_case("chunked") && head.version == Some(1) => None,
+        (None, Some(coding))
+            if coding.eq_ignore_ascii_case("chunked") && head.version == Some(1) =>
+        {
+            None
+        }
         (None, Some(_)) => return Err(RequestError::Length),
         (None, None) => Some(0),
     };
@@ -172,9 +204,13 @@
         return Err(RequestError::Expectation);
     }
     let closes = |v: &str| v.split(',').any(|v| v.trim().eq_ignore_ascii_case("close"));
-    let keeps = |v: &str| v.split(',').any(|v| v.trim().eq_ignore_ascii_case("keep-alive"));
+    let keeps = |v: &str| {
+        v.split(',')
+            .any(|v| v.trim().eq_ignore_ascii_case("keep-alive"))
+    };
     let connection = fields.once("connection")?;
-    let close = connection.is_some_and(closes) || head.version == Some(0) && !connection.is_some_and(keeps);
+    let close =
+        connection.is_some_and(closes) || head.version == Some(0) && !connection.is_some_and(keeps);
     let kind = match (head.method.unwrap_or(""), head.path.unwrap_or("")) {
         ("GET", HEALTH) => RequestKind::Health,
         ("POST", path) => {
@@ -189,7 +225,11 @@
     let request = Request { kind, close };
     let state = match length {
         Some(length) => State::Sized(request, length as usize),
-        None => State::Chunked { request, body: Vec::new(), taken: 0 },
+        None => State::Chunked {
+            request,
+            body: Vec::new(),
+            taken: 0,
+        },
     };
     Ok(Some((state, used)))
 }
@@ -200,7 +240,9 @@
     /// A field of meaning comes once and is text. Around it HTTP allows blanks and tabs; any other space is its own.
     fn once(&self, name: &str) -> Result<Option<&'b str>, RequestError> {
         let mut found = self.0.iter().filter(|h| h.name.eq_ignore_ascii_case(name));
-        let Some(field) = found.next() else { return Ok(None) };
+        let Some(field) = found.next() else {
+            return Ok(None);
+        };
         if found.next().is_some() {
             return Err(RequestError::Field);
         }
@@ -214,22 +256,41 @@
 }
 
 fn call(function: &str, fields: &Fields, rules: &RequestRules) -> Result<Call, RequestError> {
-    let id = Some(fields.needed("req-id")?).filter(|id| is_id(id)).ok_or(RequestError::Field)?;
-    let trigger = rules.names.trigger(fields.needed("x-class")?).ok_or(RequestError::Field)?;
+    let id = Some(fields.needed("req-id")?)
+        .filter(|id| is_id(id))
+        .ok_or(RequestError::Field)?;
+    let trigger = rules
+        .names
+        .trigger(fields.needed("x-class")?)
+        .ok_or(RequestError::Field)?;
     let account = account(fields, rules)?;
-    let trigger_rules = rules.triggers.get(trigger as usize).copied().ok_or(RequestError::Field)?;
+    let trigger_rules = rules
+        .triggers
+        .get(trigger as usize)
+        .copied()
+        .ok_or(RequestError::Field)?;
     let wait = (number(fields.needed("req-wait-ms")?, LONGEST_MS)? * 1e3) as Micros;
     if wait <= 0 || wait > trigger_rules.longest_wait {
         return Err(RequestError::Field);
     }
     let token = fields.once("req-token")?;
-    let fit = |t: &str| (1..=MOST_TOKEN).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_alphanumeric());
+    let fit = |t: &str| {
+        (1..=MOST_TOKEN).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_alphanumeric())
+    };
     if token.is_some_and(|t| !fit(t)) || trigger_rules.needs_token && token.is_none() {
         return Err(RequestError::Field);
     }
-    let cost = fields.once("req-cost")?.map(|v| number(v, LONGEST_MS)).transpose()?;
+    let cost = fields
+        .once("req-cost")?
+        .map(|v| number(v, LONGEST_MS))
+        .transpose()?;
     let (mut copy_mb, mut lanes, mut load) = (None, None, None);
-    for pair in fields.once("x-extras")?.unwrap_or("").split(';').filter(|p| !p.is_empty()) {
+    for pair in fields
+        .once("x-extras")?
+        .unwrap_or("")
+        .split(';')
+        .filter(|p| !p.is_empty())
+    {
         let (name, value) = pair.split_once(':').ok_or(RequestError::Field)?;
         let (figure, most) = match name {
             "memory_mb" => (&mut copy_mb, rules.largest_mb),
@@ -282,5 +343,9 @@
 /// A plain decimal figure from 0 up to `most`.
 fn number(text: &str, most: f64) -> Result<f64, RequestError> {
     let value: f64 = text.parse().map_err(|_| RequestError::Field)?;
-    if value.is_finite() && (0.0..=most).contains(&value) { Ok(value) } else { Err(RequestError::Field) }
+    if value.is_finite() && (0.0..=most).contains(&value) {
+        Ok(value)
+    } else {
+        Err(RequestError::Field)
+    }
 }
--- a/crates/platform/src/client_protocol/queue.rs
+++ b/crates/platform/src/client_protocol/queue.rs
@@ -28,7 +28,10 @@
 impl QueuedRequest {
     fn body_bytes(&self) -> usize {
         match &self.request {
-            Ok(Request { kind: RequestKind::Call(call), .. }) => call.body.len(),
+            Ok(Request {
+                kind: RequestKind::Call(call),
+                ..
+            }) => call.body.len(),
             _ => 0,
         }
     }
@@ -102,6 +105,11 @@
 
     /// Bytes kept.
     pub fn bytes(&self) -> usize {
-        self.parser.bytes() + self.kept.iter().map(QueuedRequest::body_bytes).sum::<usize>()
+        self.parser.bytes()
+            + self
+                .kept
+                .iter()
+                .map(QueuedRequest::body_bytes)
+                .sum::<usize>()
     }
 }
--- a/crates/platform/src/client_protocol/response.rs
+++ b/crates/platform/src/client_protocol/response.rs
@@ -39,13 +39,27 @@
 
 /// Writes a response. Status 200 carries the body as the worker gave it. `retry_after`: on a refusal, the microseconds
 /// for which the client is told to stay away. `close`: the connection closes after it.
-pub fn write_response(out: &mut Vec<u8>, status: u16, retry_after: Option<Micros>, body: &[u8], close: bool) {
+pub fn write_response(
+    out: &mut Vec<u8>,
+    status: u16,
+    retry_after: Option<Micros>,
+    body: &[u8],
+    close: bool,
+) {
     let reason = reason(status);
     // Writing to memory cannot fail.
-    let _ = write!(out, "HTTP/1.1 {status} {reason}\r\nContent-Length: {}\r\n", body.len());
+    let _ = write!(
+        out,
+        "HTTP/1.1 {status} {reason}\r\nContent-Length: {}\r\n",
+        body.len()
+    );
     if let Some(wait) = retry_after {
         let _ = write!(out, "Srv-Wait-Ms: {}\r\n", (wait + 999) / 1_000);
     }
-    out.extend_from_slice(if close { b"Connection: close\r\n\r\n" } else { b"\r\n" });
+    out.extend_from_slice(if close {
+        b"Connection: close\r\n\r\n"
+    } else {
+        b"\r\n"
+    });
     out.extend_from_slice(body);
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -164,7 +164,11 @@
             fields: ReportField::named(&raw),
             names,
             links,
-            largest_mb: if largest_mb > 0.0 { largest_mb } else { f64::MAX },
+            largest_mb: if largest_mb > 0.0 {
+                largest_mb
+            } else {
+                f64::MAX
+            },
         })
     }
 }
@@ -173,13 +177,18 @@
 fn names(raw: &RawSettings, list: &str, count: usize) -> Result<Vec<String>> {
     let name = |i: usize| {
         let path = format!("{list}.{i}.name");
-        raw.text(&path).map(str::to_owned).ok_or(ConfigError::Missing { path })
+        raw.text(&path)
+            .map(str::to_owned)
+            .ok_or(ConfigError::Missing { path })
     };
     (0..count).map(name).collect()
 }
 
 fn check_room(limits: &Limits) -> Result<()> {
-    let given = [("sockets", limits.sockets as f64), ("memory_mb", limits.memory_mb)];
+    let given = [
+        ("sockets", limits.sockets as f64),
+        ("memory_mb", limits.memory_mb),
+    ];
     match given.into_iter().find(|(_, n)| n.is_nan() || *n <= 0.0) {
         Some((which, _)) => Err(ConfigError::NoRoom { which }),
         None => Ok(()),
@@ -203,7 +212,9 @@
 }
 
 fn address(channel: String) -> Result<SocketAddr> {
-    channel.parse().map_err(|_| ConfigError::Channel { channel })
+    channel
+        .parse()
+        .map_err(|_| ConfigError::Channel { channel })
 }
 
 /// Hex digits, or a plain number.
@@ -213,5 +224,7 @@
         Value::Number(n) => n.as_u64(),
         _ => None,
     };
-    seed.ok_or_else(|| ConfigError::Seed { seed: value.clone() })
+    seed.ok_or_else(|| ConfigError::Seed {
+        seed: value.clone(),
+    })
 }
--- a/crates/platform/src/connection_limiter.rs
+++ b/crates/platform/src/connection_limiter.rs
@@ -87,15 +87,29 @@
 impl ConnectionLimiter {
     /// `most`: connections at once, beside at most [`MOST_REFUSED`] refused ones.
     pub fn new(most: usize) -> Self {
-        ConnectionLimiter { most, clients: BTreeMap::new(), last_id: 0, evicted: 0, refused: 0 }
+        ConnectionLimiter {
+            most,
+            clients: BTreeMap::new(),
+            last_id: 0,
+            evicted: 0,
+            refused: 0,
+        }
     }
 
     /// A new connection. `has_request`: whether a whole request of this client has arrived, read so far or not.
     pub fn connected(&mut self, now: Micros, has_request: impl Fn(ClientId) -> bool) -> Admission {
         let full = self.count() >= self.most;
-        let evicts = if full { self.eviction(now, has_request) } else { None };
+        let evicts = if full {
+            self.eviction(now, has_request)
+        } else {
+            None
+        };
         let refused = full && evicts.is_none();
-        let evicts = if refused { self.oldest_refused() } else { evicts };
+        let evicts = if refused {
+            self.oldest_refused()
+        } else {
+            evicts
+        };
         if let Some(id) = evicts {
             self.clients.remove(&id);
         }
@@ -103,8 +117,13 @@
         self.refused += u64::from(refused);
         self.last_id += 1;
         let state = if refused { State::Refused } else { State::New };
-        self.clients.insert(self.last_id, Client { state, since: now });
-        Admission { id: self.last_id, refused, evicts }
+        self.clients
+            .insert(self.last_id, Client { state, since: now });
+        Admission {
+            id: self.last_id,
+            refused,
+            evicts,
+        }
     }
 
     /// Whether a new connection would be admitted now.
@@ -120,33 +139,57 @@
             State::New | State::Receiving | State::Closing => Some(3),
             State::Pending | State::Responding { .. } | State::Refused => None,
         };
-        let ranked = self.clients.iter().filter_map(|(id, c)| Some((rank(c)?, c.since, *id)));
+        let ranked = self
+            .clients
+            .iter()
+            .filter_map(|(id, c)| Some((rank(c)?, c.since, *id)));
         let mut candidates: Vec<(u8, Micros, ClientId)> = ranked.collect();
         candidates.sort_unstable();
         // What one sends that has had its last answer is wanted no more.
-        let may_ask = |id: &ClientId| self.clients.get(id).is_some_and(|c| c.state != State::Closing);
+        let may_ask = |id: &ClientId| {
+            self.clients
+                .get(id)
+                .is_some_and(|c| c.state != State::Closing)
+        };
         let is_owed = |id: &ClientId| may_ask(id) && has_request(*id);
-        candidates.into_iter().map(|(_, _, id)| id).find(|id| !is_owed(id))
+        candidates
+            .into_iter()
+            .map(|(_, _, id)| id)
+            .find(|id| !is_owed(id))
     }
 
     fn oldest_refused(&self) -> Option<ClientId> {
-        let mut refused = self.clients.iter().filter(|(_, c)| c.state == State::Refused);
+        let mut refused = self
+            .clients
+            .iter()
+            .filter(|(_, c)| c.state == State::Refused);
         let oldest = refused.next().map(|(id, _)| *id);
         oldest.filter(|_| refused.count() + 1 >= MOST_REFUSED)
     }
 
     fn set(&mut self, id: ClientId, state: State, now: Micros) {
-        if let Some(client) = self.clients.get_mut(&id).filter(|c| c.state != State::Refused) {
+        if let Some(client) = self
+            .clients
+            .get_mut(&id)
+            .filter(|c| c.state != State::Refused)
+        {
             *client = Client { state, since: now };
         }
     }
 
     /// A part of a request came. The first request of a connection counts from the connecting.
     pub fn receiving(&mut self, now: Micros, id: ClientId) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         match client.state {
             State::New => client.state = State::Receiving,
-            State::Idle => *client = Client { state: State::Receiving, since: now },
+            State::Idle => {
+                *client = Client {
+                    state: State::Receiving,
+                    since: now,
+                }
+            }
             _ => {}
         }
     }
@@ -182,26 +225,39 @@
     /// read it.
     pub fn overdue(&self, now: Micros, has_request: impl Fn(ClientId) -> bool) -> Vec<ClientId> {
         let over = |id: ClientId, client: &Client| match client.state {
-            State::New | State::Receiving => now - client.since > REQUEST_WITHIN && !has_request(id),
+            State::New | State::Receiving => {
+                now - client.since > REQUEST_WITHIN && !has_request(id)
+            }
             State::Idle => now - client.since > IDLE_KEPT && !has_request(id),
             State::Responding { until } => now > until,
             State::Closing | State::Refused => now - client.since > LINGERS,
             State::Pending => false,
         };
-        self.clients.iter().filter(|(id, client)| over(**id, client)).map(|(id, _)| *id).collect()
+        self.clients
+            .iter()
+            .filter(|(id, client)| over(**id, client))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// Connections on which nothing is in progress: closed when no further requests are accepted.
     pub fn without_request(&self, has_request: impl Fn(ClientId) -> bool) -> Vec<ClientId> {
         let free = |client: &Client| matches!(client.state, State::New | State::Idle);
-        let ids = self.clients.iter().filter(|(_, client)| free(client)).map(|(id, _)| *id);
+        let ids = self
+            .clients
+            .iter()
+            .filter(|(_, client)| free(client))
+            .map(|(id, _)| *id);
         ids.filter(|id| !has_request(*id)).collect()
     }
 
     /// A request is partly received, unanswered, or its answer not completely written.
     pub fn has_unfinished(&self) -> bool {
         let unfinished = |client: &Client| {
-            matches!(client.state, State::Receiving | State::Pending | State::Responding { .. })
+            matches!(
+                client.state,
+                State::Receiving | State::Pending | State::Responding { .. }
+            )
         };
         self.clients.values().any(unfinished)
     }
@@ -213,7 +269,10 @@
 
     /// Refused connections that are still open.
     pub fn count_refused(&self) -> usize {
-        self.clients.values().filter(|client| client.state == State::Refused).count()
+        self.clients
+            .values()
+            .filter(|client| client.state == State::Refused)
+            .count()
     }
 
     /// Connections that were closed to make room so far.
--- a/crates/platform/src/connection_pool.rs
+++ b/crates/platform/src/connection_pool.rs
@@ -94,10 +94,18 @@
     /// Where the next exchange with this worker goes; it counts as open there from now on.
     pub fn place(&mut self, now: Micros, worker: WorkerIx) -> Placement {
         let of = self.by_worker.get(&worker).map_or(&[][..], Vec::as_slice);
-        let open = || of.iter().filter_map(|ix| Some((*ix, self.conns.get(ix)?))).filter(|(_, c)| !c.retired);
-        let idle = open().filter(|(_, c)| c.up && c.out == 0).max_by_key(|(_, c)| c.used);
+        let open = || {
+            of.iter()
+                .filter_map(|ix| Some((*ix, self.conns.get(ix)?)))
+                .filter(|(_, c)| !c.retired)
+        };
+        let idle = open()
+            .filter(|(_, c)| c.up && c.out == 0)
+            .max_by_key(|(_, c)| c.used);
         let trusted = idle.filter(|(_, c)| now - c.used <= self.trusted);
-        let shared = open().filter(|(_, c)| c.out < self.streams).min_by_key(|(_, c)| c.out);
+        let shared = open()
+            .filter(|(_, c)| c.out < self.streams)
+            .min_by_key(|(_, c)| c.out);
         let room = self.conns.len() < self.most;
         let Some((ix, _)) = trusted.or(shared.filter(|_| !room)) else {
             if !room {
@@ -135,9 +143,19 @@
 
     /// Bytes came; `midway`: the answer they belong to is not whole yet.
     pub fn heard(&mut self, now: Micros, ix: ConnectionId, midway: bool) {
-        let Some(conn) = self.conns.get_mut(&ix) else { return };
-        conn.midway = if midway { conn.midway.or(Some(now)) } else { None };
-        if conn.idle_before.take().is_some_and(|idle| idle >= self.trusted / 2) {
+        let Some(conn) = self.conns.get_mut(&ix) else {
+            return;
+        };
+        conn.midway = if midway {
+            conn.midway.or(Some(now))
+        } else {
+            None
+        };
+        if conn
+            .idle_before
+            .take()
+            .is_some_and(|idle| idle >= self.trusted / 2)
+        {
             self.trusted = (self.trusted + self.trusted / TRUST_GROWS).min(self.idle_kept);
         }
     }
@@ -145,7 +163,9 @@
     /// One exchange has ended; true if the connection is to be closed now. `answered`: by an answer, or nothing of it had
     /// been sent.
     pub fn ended(&mut self, now: Micros, ix: ConnectionId, answered: bool) -> bool {
-        let Some(conn) = self.conns.get_mut(&ix) else { return false };
+        let Some(conn) = self.conns.get_mut(&ix) else {
+            return false;
+        };
         conn.out = conn.out.saturating_sub(1);
         conn.used = now;
         // Its answer may still come, or never; nothing more is entrusted to this connection.
@@ -156,7 +176,9 @@
     /// It ended without being closed from here.
     pub fn broke(&mut self, now: Micros, ix: ConnectionId) {
         if let Some(conn) = self.conns.get(&ix)
-            && let Some(idle) = conn.idle_before.filter(|_| conn.out > 0 && now - conn.used <= AT_ONCE)
+            && let Some(idle) = conn
+                .idle_before
+                .filter(|_| conn.out > 0 && now - conn.used <= AT_ONCE)
         {
             self.trusted = self.trusted.min(idle / TRUSTED_PART).max(LEAST_TRUSTED);
         }
@@ -199,7 +221,11 @@
             let idle = c.up && c.out == 0 && (c.retired || now - c.used > self.trusted);
             idle || c.midway.is_some_and(|since| now - since > self.half_answer)
         };
-        self.conns.iter().filter(|(_, c)| stale(c)).map(|(ix, _)| *ix).collect()
+        self.conns
+            .iter()
+            .filter(|(_, c)| stale(c))
+            .map(|(ix, _)| *ix)
+            .collect()
     }
 
     /// Connections there are.
--- a/crates/platform/src/discovery/answers.rs
+++ b/crates/platform/src/discovery/answers.rs
@@ -32,12 +32,20 @@
             httparse::Status::Complete(n) => n,
         };
         if head.code != Some(200) {
-            return Err(DiscoveryError::Status { status: head.code.unwrap_or(0) });
+            return Err(DiscoveryError::Status {
+                status: head.code.unwrap_or(0),
+            });
         }
-        let field = |name: &str| head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
+        let field = |name: &str| {
+            head.headers
+                .iter()
+                .find(|h| h.name.eq_ignore_ascii_case(name))
+        };
         let body = match (field("content-length"), field("transfer-encoding")) {
             (Some(size), None) => {
-                let size = std::str::from_utf8(size.value).ok().and_then(|text| text.trim().parse().ok());
+                let size = std::str::from_utf8(size.value)
+                    .ok()
+                    .and_then(|text| text.trim().parse().ok());
                 let size: usize = size.ok_or(DiscoveryError::Length)?;
                 if size > MOST_ANSWER {
                     return Err(DiscoveryError::Large { size });
@@ -57,7 +65,9 @@
         let (body, used) = body;
         self.bytes.drain(..used);
         self.bytes.shrink_to(MOST_HEAD);
-        Ok(Some(serde_json::from_slice(&body).map_err(DiscoveryError::Events)?))
+        Ok(Some(
+            serde_json::from_slice(&body).map_err(DiscoveryError::Events)?,
+        ))
     }
 }
 
@@ -66,12 +76,16 @@
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
         let parsed = httparse::parse_chunk_size(&bytes[at..]).map_err(|_| DiscoveryError::Chunk)?;
-        let httparse::Status::Complete((head, size)) = parsed else { return Ok(None) };
+        let httparse::Status::Complete((head, size)) = parsed else {
+            return Ok(None);
+        };
         if size > (MOST_ANSWER - body.len()) as u64 {
             return Err(DiscoveryError::Endless);
         }
         let (from, size) = (at + head, size as usize);
-        let Some(end) = bytes.get(from + size..from + size + 2) else { return Ok(None) };
+        let Some(end) = bytes.get(from + size..from + size + 2) else {
+            return Ok(None);
+        };
         if end != b"\r\n" {
             return Err(DiscoveryError::Chunk);
         }
--- a/crates/platform/src/discovery/mod.rs
+++ b/crates/platform/src/discovery/mod.rs
@@ -196,13 +196,17 @@
 impl WorkerListFollower {
     /// `drain_grace`: for how long after the telling a draining worker may get new requests, in microseconds.
     pub fn new(drain_grace: Micros) -> Self {
-        WorkerListFollower { drain_grace, ..WorkerListFollower::default() }
+        WorkerListFollower {
+            drain_grace,
+            ..WorkerListFollower::default()
+        }
     }
 
     /// The question for what came after the last event.
     pub fn ask(&self, host: &str) -> Vec<u8> {
         let (last, wait) = (self.last, ASKED_WAIT / 1_000);
-        format!("GET /cmd/next?resume={last}&block={wait} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
+        format!("GET /cmd/next?resume={last}&block={wait} HTTP/1.1\r\nHost: {host}\r\n\r\n")
+            .into_bytes()
     }
 
     /// The number of the last event taken.
@@ -239,19 +243,33 @@
                     .iter()
                     .map(|s| named(s, names, wall_at_zero, late))
                     .collect::<Result<Vec<_>>>()?;
-                understood.push((if nodes.full { ListMode::Complete } else { ListMode::Changes }, workers));
+                understood.push((
+                    if nodes.full {
+                        ListMode::Complete
+                    } else {
+                        ListMode::Changes
+                    },
+                    workers,
+                ));
             }
         }
         self.last = last.max(batch.cursor);
         self.repeated += repeated;
-        Ok(understood.into_iter().map(|(mode, workers)| self.follow(mode, workers)).collect())
+        Ok(understood
+            .into_iter()
+            .map(|(mode, workers)| self.follow(mode, workers))
+            .collect())
     }
 
     fn follow(&mut self, mode: ListMode, named: Vec<(Listed, Option<SocketAddr>)>) -> ListUpdate {
         let mut retired = Vec::new();
         if mode == ListMode::Complete {
             let named = |id: &String| named.iter().any(|(w, _)| w.address == *id);
-            retired.extend(self.addresses.extract_if(.., |id, _| !named(id)).map(|(id, _)| id));
+            retired.extend(
+                self.addresses
+                    .extract_if(.., |id, _| !named(id))
+                    .map(|(id, _)| id),
+            );
         }
         let mut workers = Vec::new();
         for (worker, address) in named {
@@ -264,16 +282,21 @@
                     self.left_out += 1;
                     continue;
                 }
-                Some(address) => {
-                    self.addresses.insert(worker.address.clone(), address).filter(|b| *b != address)
-                }
+                Some(address) => self
+                    .addresses
+                    .insert(worker.address.clone(), address)
+                    .filter(|b| *b != address),
             };
             if before.is_some() {
                 retired.push(worker.address.clone());
             }
             workers.push(worker);
         }
-        ListUpdate { mode, workers, retired }
+        ListUpdate {
+            mode,
+            workers,
+            retired,
+        }
     }
 }
 
@@ -288,15 +311,25 @@
         "active" => Standing::InService,
         "leaving" if !late => Standing::Draining,
         "leaving" | "left" => Standing::Gone,
-        other => return Err(DiscoveryError::State { id: server.id.clone(), state: other.to_owned() }),
+        other => {
+            return Err(DiscoveryError::State {
+                id: server.id.clone(),
+                state: other.to_owned(),
+            });
+        }
     };
     let address = server.addr.parse().ok();
     if address.is_none() && standing != Standing::Gone {
-        return Err(DiscoveryError::Address { id: server.id.clone(), address: server.addr.clone() });
+        return Err(DiscoveryError::Address {
+            id: server.id.clone(),
+            address: server.addr.clone(),
+        });
     }
     // A zone that the settings do not name is like no other; a kind is one kind more.
     let unknown = || fingerprint(&server.zone) as u32 | 1 << 31;
-    let started = Some(server.started_ms).filter(|&ms| ms > 0).map(|ms| ms.saturating_mul(1_000));
+    let started = Some(server.started_ms)
+        .filter(|&ms| ms > 0)
+        .map(|ms| ms.saturating_mul(1_000));
     let worker = Listed {
         address: server.id.clone(),
         zone: place(&names.zones, &server.zone).unwrap_or_else(unknown),
--- a/crates/platform/src/event_loop_lag.rs
+++ b/crates/platform/src/event_loop_lag.rs
@@ -22,7 +22,11 @@
 impl EventLoopLag {
     /// `period`: time between two beats, in microseconds. The loop counts as caught up at `now`.
     pub fn new(period: Micros, now: Micros) -> Self {
-        EventLoopLag { period, last_beat: now, caught_up_at: now }
+        EventLoopLag {
+            period,
+            last_beat: now,
+            caught_up_at: now,
+        }
     }
 
     /// The periodic timer ran.
