--- a/crates/platform/src/graceful_shutdown.rs
+++ b/crates/platform/src/graceful_shutdown.rs
@@ -19,7 +19,10 @@
 impl GracefulShutdown {
     /// `longest_deadline`: the longest that any client may wait for its answer.
     pub fn new(longest_deadline: Micros) -> Self {
-        GracefulShutdown { longest_deadline, begun_at: None }
+        GracefulShutdown {
+            longest_deadline,
+            begun_at: None,
+        }
     }
 
     /// The order to stop came; a repeated order changes nothing.
@@ -34,14 +37,17 @@
 
     /// Whether a request whose last byte arrived at `arrived` is still accepted.
     pub fn accepts(&self, arrived: Micros) -> bool {
-        self.begun_at.is_none_or(|begun| arrived - begun <= STILL_ACCEPTS)
+        self.begun_at
+            .is_none_or(|begun| arrived - begun <= STILL_ACCEPTS)
     }
 
     /// Whether the process may exit now. `unfinished`: a request is unanswered, partly received, or may lie in one of the
     /// kernel's buffers. The caller must have looked into those buffers in this very moment: a request that lies there is
     /// accepted although nobody has read it. The time limit holds for clients that never finish.
     pub fn may_exit(&self, now: Micros, unfinished: bool) -> bool {
-        let Some(begun) = self.begun_at else { return false };
+        let Some(begun) = self.begun_at else {
+            return false;
+        };
         let overdue = now - begun > STILL_ACCEPTS + self.longest_deadline + EXIT_MARGIN;
         overdue || !unfinished && !self.accepts(now)
     }
--- a/crates/platform/src/resource_limits.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -30,6 +30,10 @@
         let clients = (descriptors / CLIENTS_PART).max(1);
         let workers = descriptors.saturating_sub(clients + RESERVED).max(1);
         let memory_bytes = limits.memory_mb * f64::from(1 << 20);
-        ResourceLimits { clients, workers, body_bytes: (memory_bytes / BODIES_PART) as u64 }
+        ResourceLimits {
+            clients,
+            workers,
+            body_bytes: (memory_bytes / BODIES_PART) as u64,
+        }
     }
 }
--- a/crates/platform/src/worker_protocol.rs
+++ b/crates/platform/src/worker_protocol.rs
@@ -43,7 +43,10 @@
 /// Writes a request: `FN ID FIELDS LENGTH` and the body.
 pub fn call(out: &mut Vec<u8>, c: &Call) {
     let ms = (c.time_left / 1_000).max(1);
-    put(out, format_args!("FN {} kind={},obj={},ms={ms}", c.id, c.trigger, c.function));
+    put(
+        out,
+        format_args!("FN {} kind={},obj={},ms={ms}", c.id, c.trigger, c.function),
+    );
     if let Some(token) = c.token {
         put(out, format_args!(",token={token}"));
     }
@@ -59,7 +62,10 @@
 
 /// Writes an order to hold copies: `SPAWN TAG obj=..,n=..`.
 pub fn load(out: &mut Vec<u8>, tag: &str, function: &str, copies: u32) {
-    put(out, format_args!("SPAWN {tag} obj={function},n={copies}\r\n"));
+    put(
+        out,
+        format_args!("SPAWN {tag} obj={function},n={copies}\r\n"),
+    );
 }
 
 /// Writes that idle copies are to go: `REAP FUNCTION`. No answer comes.
@@ -126,27 +132,43 @@
     /// The next whole answer, if there is one. After an error nothing of the connection can be read any more.
     pub fn next(&mut self, fields: &[ReportField]) -> Result<Option<Answer>, AnswerError> {
         let from = self.searched.min(self.bytes.len());
-        let Some(end) = self.bytes[from..].iter().position(|b| *b == b'\n').map(|n| from + n) else {
+        let Some(end) = self.bytes[from..]
+            .iter()
+            .position(|b| *b == b'\n')
+            .map(|n| from + n)
+        else {
             self.searched = self.bytes.len();
-            return if self.bytes.len() > MOST_LINE { Err(AnswerError::Endless) } else { Ok(None) };
+            return if self.bytes.len() > MOST_LINE {
+                Err(AnswerError::Endless)
+            } else {
+                Ok(None)
+            };
         };
         self.searched = end;
         if end > MOST_LINE {
             return Err(AnswerError::Endless);
         }
-        let line = self.bytes[..end].strip_suffix(b"\r").ok_or(AnswerError::Line)?;
+        let line = self.bytes[..end]
+            .strip_suffix(b"\r")
+            .ok_or(AnswerError::Line)?;
         let line = std::str::from_utf8(line).map_err(|_| AnswerError::Line)?;
         let mut words = line.split(' ');
-        let (Some(id), Some(word), Some(told), Some(length), None) =
-            (words.next(), words.next(), words.next(), words.next(), words.next())
-        else {
+        let (Some(id), Some(word), Some(told), Some(length), None) = (
+            words.next(),
+            words.next(),
+            words.next(),
+            words.next(),
+            words.next(),
+        ) else {
             return Err(AnswerError::Line);
         };
         let word = AnswerWord::read(word.as_bytes()).ok_or(AnswerError::Line)?;
         if id.is_empty() {
             return Err(AnswerError::Line);
         }
-        let length = whole(length).filter(|n| *n as usize <= MOST_BODY).ok_or(AnswerError::Length)? as usize;
+        let length = whole(length)
+            .filter(|n| *n as usize <= MOST_BODY)
+            .ok_or(AnswerError::Length)? as usize;
         let mut answer = Answer {
             id: id.to_owned(),
             word,
@@ -157,7 +179,9 @@
         };
         understand(&mut answer, told, fields)?;
         let after = end + 1;
-        let Some(tail) = self.bytes.get(after + length..after + length + 2) else { return Ok(None) };
+        let Some(tail) = self.bytes.get(after + length..after + length + 2) else {
+            return Ok(None);
+        };
         if tail != b"\r\n" {
             return Err(AnswerError::End);
         }
@@ -175,7 +199,9 @@
 
 /// Digits and nothing else.
 fn whole(text: &str) -> Option<u32> {
-    text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok())?
+    text.bytes()
+        .all(|b| b.is_ascii_digit())
+        .then(|| text.parse().ok())?
 }
 
 fn understand(answer: &mut Answer, told: &str, fields: &[ReportField]) -> Result<(), AnswerError> {
@@ -199,7 +225,11 @@
     let mut report = Report::default();
     for pair in text.split(';').filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once(':').ok_or(AnswerError::Fields)?;
-        let value: f64 = value.parse().ok().filter(|v: &f64| v.is_finite()).ok_or(AnswerError::Fields)?;
+        let value: f64 = value
+            .parse()
+            .ok()
+            .filter(|v: &f64| v.is_finite())
+            .ok_or(AnswerError::Fields)?;
         ReportField::tell(&mut report, fields, name, value);
     }
     Ok(report)
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -17,8 +17,14 @@
             ..Names::default()
         },
         triggers: vec![
-            TriggerRules { longest_wait: 2_000_000, needs_token: false },
-            TriggerRules { longest_wait: 4_000_000, needs_token: true },
+            TriggerRules {
+                longest_wait: 2_000_000,
+                needs_token: false,
+            },
+            TriggerRules {
+                longest_wait: 4_000_000,
+                needs_token: true,
+            },
         ],
         largest_mb: 8_000.0,
     }
@@ -30,7 +36,9 @@
          Req-Wait-Ms: 1500\r\nReq-Owner: acme\r\n{extra}"
     )
     .into_bytes();
-    if !extra.to_ascii_lowercase().contains("length") && !extra.to_ascii_lowercase().contains("transfer") {
+    if !extra.to_ascii_lowercase().contains("length")
+        && !extra.to_ascii_lowercase().contains("transfer")
+    {
         bytes.extend_from_slice(format!("Content-Length: {}\r\n", body.len()).as_bytes());
     }
     bytes.extend_from_slice(b"\r\n");
@@ -61,15 +69,26 @@
 /// Symptom: a name that ends in a space of another script is taken for another one, and all its requests fail.
 #[test]
 fn accounts_may_have_any_name_that_a_field_can_carry() {
-    for name in
-        ["Nord & Söhne", "a/b:c;d", "o'brien (west) #2", "~50%=half,half|", "-", "東京\u{3000}", "acme\u{a0}"]
-    {
-        let names = Names { accounts: vec!["other".to_owned(), name.to_owned()], ..rules().names };
+    for name in [
+        "Nord & Söhne",
+        "a/b:c;d",
+        "o'brien (west) #2",
+        "~50%=half,half|",
+        "-",
+        "東京\u{3000}",
+        "acme\u{a0}",
+    ] {
+        let names = Names {
+            accounts: vec!["other".to_owned(), name.to_owned()],
+            ..rules().names
+        };
         let rules = RequestRules { names, ..rules() };
         let mut queue = RequestQueue::default();
         queue.put(0, &with("Req-Owner", name), &rules);
         let request = queue.take().expect("whole").request.expect(name);
-        let RequestKind::Call(call) = request.kind else { panic!("a call") };
+        let RequestKind::Call(call) = request.kind else {
+            panic!("a call")
+        };
         assert_eq!(call.account, 1, "{name}");
     }
 }
@@ -88,31 +107,53 @@
     let call = call(read(&request("9b1f03aa5c7e2d41", extra, b"\0body\r\n")));
     assert_eq!((&*call.id, &*call.function), ("9b1f03aa5c7e2d41", FUNCTION));
     assert_eq!((call.trigger, call.account, call.wait), (0, 0, 1_500_000));
-    assert_eq!(call.token.as_deref(), Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
-    assert_eq!((call.cost_hint, call.load_hint), (Some(8_200), Some(70_500)));
-    assert_eq!((call.copy_mb, call.lanes, &call.body[..]), (512.0, 2, &b"\0body\r\n"[..]));
+    assert_eq!(
+        call.token.as_deref(),
+        Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
+    );
+    assert_eq!(
+        (call.cost_hint, call.load_hint),
+        (Some(8_200), Some(70_500))
+    );
+    assert_eq!(
+        (call.copy_mb, call.lanes, &call.body[..]),
+        (512.0, 2, &b"\0body\r\n"[..])
+    );
 }
 
 #[test]
 fn health_is_asked_without_a_body_and_closing_is_heard() {
     let found = read(b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n").expect("good");
     assert_eq!((found.kind, found.close), (RequestKind::Health, false));
-    assert!(read(&request("00000000000000aa", "Connection: close\r\n", b"")).expect("good").close);
+    assert!(
+        read(&request("00000000000000aa", "Connection: close\r\n", b""))
+            .expect("good")
+            .close
+    );
 }
 
 /// Symptom: a request with both lengths hides another one in its body.
 /// A client must be able to tell a whole answer, and on a refusal how long to stay away.
 #[test]
 fn answers_are_written_as_the_protocol_has_them() {
-    assert_eq!([Fate::Succeeded, Fate::Throttled, Fate::Errored].map(status_of), [200, REFUSED, 500]);
+    assert_eq!(
+        [Fate::Succeeded, Fate::Throttled, Fate::Errored].map(status_of),
+        [200, REFUSED, 500]
+    );
     let text = |status, wait, body: &[u8], close| {
         let mut out = Vec::new();
         write_response(&mut out, status, wait, body, close);
         String::from_utf8(out).expect("text")
     };
     let refusal = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nSrv-Wait-Ms: 3\r\n";
-    assert_eq!(text(REFUSED, Some(2_001), b"", true), format!("{refusal}Connection: close\r\n\r\n"));
-    assert_eq!(text(200, None, b"it", false), "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nit");
+    assert_eq!(
+        text(REFUSED, Some(2_001), b"", true),
+        format!("{refusal}Connection: close\r\n\r\n")
+    );
+    assert_eq!(
+        text(200, None, b"it", false),
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nit"
+    );
 }
 
 #[test]
@@ -133,7 +174,17 @@
 
 #[test]
 fn lengths_that_cannot_be_read_are_refused() {
-    for length in ["-1", "+5", "0x10", "5, 5", "5 5", "", "99999999999999999999999", "1e3", "nan"] {
+    for length in [
+        "-1",
+        "+5",
+        "0x10",
+        "5, 5",
+        "5 5",
+        "",
+        "99999999999999999999999",
+        "1e3",
+        "nan",
+    ] {
         let extra = format!("Content-Length: {length}\r\n");
         assert_eq!(
             read(&request("00000000000000aa", &extra, b"hello")),
@@ -142,32 +193,62 @@
         );
     }
     let twice = "Content-Length: 5\r\nContent-Length: 5\r\n";
-    assert_eq!(read(&request("00000000000000aa", twice, b"hello")), Err(RequestError::Length));
+    assert_eq!(
+        read(&request("00000000000000aa", twice, b"hello")),
+        Err(RequestError::Length)
+    );
     let coding = "Transfer-Encoding: gzip, chunked\r\n";
-    assert_eq!(read(&request("00000000000000aa", coding, b"0\r\n\r\n")), Err(RequestError::Length));
+    assert_eq!(
+        read(&request("00000000000000aa", coding, b"0\r\n\r\n")),
+        Err(RequestError::Length)
+    );
 }
 
 #[test]
 fn a_body_beyond_the_bound_is_refused_by_its_head() {
     for length in [MOST_BODY + 1, 60 << 20, usize::MAX] {
         let extra = format!("Content-Length: {length}\r\n");
-        assert_eq!(read(&request("00000000000000aa", &extra, b"")), Err(RequestError::BodyTooLong));
+        assert_eq!(
+            read(&request("00000000000000aa", &extra, b"")),
+            Err(RequestError::BodyTooLong)
+        );
     }
-    assert_eq!(call(read(&request("00000000000000aa", "", &[7; MOST_BODY]))).body.len(), MOST_BODY);
+    assert_eq!(
+        call(read(&request("00000000000000aa", "", &[7; MOST_BODY])))
+            .body
+            .len(),
+        MOST_BODY
+    );
 }
 
 #[test]
 fn chunks_are_put_together_within_the_bound() {
     let extra = "Transfer-Encoding: chunked\r\n";
-    let body =
-        call(read(&request("00000000000000aa", extra, b"3\r\nabc\r\nA;x=y\r\n0123456789\r\n0\r\n\r\n"))).body;
+    let body = call(read(&request(
+        "00000000000000aa",
+        extra,
+        b"3\r\nabc\r\nA;x=y\r\n0123456789\r\n0\r\n\r\n",
+    )))
+    .body;
     assert_eq!(&body[..], b"abc0123456789");
-    assert_eq!(read(&request("00000000000000aa", extra, b"zz\r\nabc\r\n")), Err(RequestError::Chunks));
-    assert_eq!(read(&request("00000000000000aa", extra, b"3\r\nabcd\r\n")), Err(RequestError::Chunks));
-    assert_eq!(read(&request("00000000000000aa", extra, b"ffffffff\r\n")), Err(RequestError::BodyTooLong));
+    assert_eq!(
+        read(&request("00000000000000aa", extra, b"zz\r\nabc\r\n")),
+        Err(RequestError::Chunks)
+    );
+    assert_eq!(
+        read(&request("00000000000000aa", extra, b"3\r\nabcd\r\n")),
+        Err(RequestError::Chunks)
+    );
+    assert_eq!(
+        read(&request("00000000000000aa", extra, b"ffffffff\r\n")),
+        Err(RequestError::BodyTooLong)
+    );
     // One byte a chunk: far more on the wire than in the body.
     let endless = b"1\r\nx\r\n".repeat(20_000);
-    assert_eq!(read(&request("00000000000000aa", extra, &endless)), Err(RequestError::BodyTooLong));
+    assert_eq!(
+        read(&request("00000000000000aa", extra, &endless)),
+        Err(RequestError::BodyTooLong)
+    );
 }
 
 #[test]
@@ -176,13 +257,27 @@
         ("X-Class", &["", "Plain", "none", "plain,keyed"][..]),
         (
             "Req-Id",
-            &["", "9b1f", "9b1f03aa5c7e2d4", "9b1f03aa5c7e2d411", "9b1f03aa5c7e2dgg", "9b1f 3aa5c7e2d41"],
+            &[
+                "",
+                "9b1f",
+                "9b1f03aa5c7e2d4",
+                "9b1f03aa5c7e2d411",
+                "9b1f03aa5c7e2dgg",
+                "9b1f 3aa5c7e2d41",
+            ],
+        ),
+        (
+            "Req-Wait-Ms",
+            &["", "0", "-5", "nan", "inf", "1e99", "2001", "soon"],
         ),
-        ("Req-Wait-Ms", &["", "0", "-5", "nan", "inf", "1e99", "2001", "soon"]),
         ("Req-Owner", &["", "ACME", "nobody"]),
     ] {
         for value in values {
-            assert_eq!(read(&with(field, value)), Err(RequestError::Field), "{field}: {value}");
+            assert_eq!(
+                read(&with(field, value)),
+                Err(RequestError::Field),
+                "{field}: {value}"
+            );
         }
     }
     for extra in [
@@ -202,7 +297,11 @@
         "Req-Id: 00000000000000ab\r\n",
         "X-Class: plain\r\n",
     ] {
-        assert_eq!(read(&request("00000000000000aa", extra, b"")), Err(RequestError::Field), "{extra}");
+        assert_eq!(
+            read(&request("00000000000000aa", extra, b"")),
+            Err(RequestError::Field),
+            "{extra}"
+        );
     }
     // Where repeats are known by a token, it must be there.
     assert_eq!(read(&with("X-Class", "keyed")), Err(RequestError::Field));
@@ -211,14 +310,30 @@
 #[test]
 fn other_methods_paths_and_endless_heads_are_refused() {
     let start = |line: &str| read(format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
-    assert_eq!(start("PUT /api/v2/7f3a9c21e0b4d655/call"), Err(RequestError::Method));
+    assert_eq!(
+        start("PUT /api/v2/7f3a9c21e0b4d655/call"),
+        Err(RequestError::Method)
+    );
     assert_eq!(start("DELETE /-/healthy"), Err(RequestError::Method));
-    for path in ["/", "/api/v2/7f3a9c21e0b4d65/call", "/api/v2/../call", "/api/v2/7f3a9c21e0b4d655/cal", "*"]
-    {
-        assert_eq!(start(&format!("POST {path}")), Err(RequestError::Path), "{path}");
+    for path in [
+        "/",
+        "/api/v2/7f3a9c21e0b4d65/call",
+        "/api/v2/../call",
+        "/api/v2/7f3a9c21e0b4d655/cal",
+        "*",
+    ] {
+        assert_eq!(
+            start(&format!("POST {path}")),
+            Err(RequestError::Path),
+            "{path}"
+        );
     }
     assert_eq!(read(b"\x16\x03\x01 hello\r\n\r\n"), Err(RequestError::Head));
-    let endless = [&b"POST /api/v2/7f3a9c21e0b4d655/call HTTP/1.1\r\nX: "[..], &[b'a'; 20_000]].concat();
+    let endless = [
+        &b"POST /api/v2/7f3a9c21e0b4d655/call HTTP/1.1\r\nX: "[..],
+        &[b'a'; 20_000],
+    ]
+    .concat();
     assert_eq!(read(&endless), Err(RequestError::HeadTooLong));
     let many = format!("GET /-/healthy HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(200));
     assert_eq!(read(many.as_bytes()), Err(RequestError::HeadTooLong));
@@ -244,9 +359,16 @@
     let mut a = queue(&good[..20]);
     assert!(a.is_receiving() && !a.has_request());
     a.put(30, &good[20..], &rules);
-    a.put(70, &[&good[..], &with("X-Class", "none"), &good].concat(), &rules);
+    a.put(
+        70,
+        &[&good[..], &with("X-Class", "none"), &good].concat(),
+        &rules,
+    );
     let next = |a: &mut RequestQueue| a.take().map(|q| (q.request.is_ok(), q.arrived));
-    assert_eq!([(); 3].map(|()| next(&mut a)), [Some((true, 30)), Some((true, 70)), Some((false, 70))]);
+    assert_eq!(
+        [(); 3].map(|()| next(&mut a)),
+        [Some((true, 30)), Some((true, 70)), Some((false, 70))]
+    );
     a.put(90, &good, &rules);
     assert!(next(&mut a).is_none() && a.bytes() == 0 && !a.is_receiving());
 }
@@ -255,8 +377,10 @@
 /// the number is kept, and each gets its refusal in its turn.
 #[test]
 fn requests_beyond_the_bounds_are_refused_one_by_one_and_not_kept() {
-    let (short, long) =
-        (request("00000000000000aa", "", b"hi"), request("00000000000000aa", "", &[7; MOST_BODY]));
+    let (short, long) = (
+        request("00000000000000aa", "", b"hi"),
+        request("00000000000000aa", "", &[7; MOST_BODY]),
+    );
     for (text, kept) in [(&short, 8), (&long, 2)] {
         let mut a = RequestQueue::default();
         for _ in 0..20 {
@@ -276,7 +400,8 @@
     }
     assert_eq!(RequestError::TooManyAhead.status(), REFUSED);
     assert!(
-        RequestError::TooManyAhead.leaves_stream_readable() && !RequestError::Length.leaves_stream_readable()
+        RequestError::TooManyAhead.leaves_stream_readable()
+            && !RequestError::Length.leaves_stream_readable()
     );
 }
 
--- a/crates/platform/tests/decisions.rs
+++ b/crates/platform/tests/decisions.rs
@@ -1,7 +1,9 @@
 //! Which connection carries what, and which clients' connections stay.
 
 use cedarpulley_platform::config::Limits;
-use cedarpulley_platform::connection_limiter::{Admission, ClientId, ConnectionLimiter, MOST_REFUSED};
+use cedarpulley_platform::connection_limiter::{
+    Admission, ClientId, ConnectionLimiter, MOST_REFUSED,
+};
 use cedarpulley_platform::connection_pool::{ConnectionPool, Placement};
 use cedarpulley_platform::event_loop_lag::EventLoopLag;
 use cedarpulley_platform::graceful_shutdown::GracefulShutdown;
@@ -137,11 +139,15 @@
 fn a_worker_that_is_gone_gets_nothing_more_on_its_connections() {
     let mut b = pool(10);
     let ix = opened(&mut b, 0, 7);
-    let Placement::New(connecting) = b.place(0, 7) else { panic!("a new one") };
+    let Placement::New(connecting) = b.place(0, 7) else {
+        panic!("a new one")
+    };
     // What has not come up yet is to be closed at once: its address may be another worker's by then.
     assert_eq!(b.retire(7), [connecting]);
     assert!(b.is_retired(ix) && b.is_retired(connecting));
-    let Placement::New(next) = b.place(1, 7) else { panic!("a new one") };
+    let Placement::New(next) = b.place(1, 7) else {
+        panic!("a new one")
+    };
     assert!(!b.is_retired(next) && b.ended(2, ix, true));
 }
 
@@ -154,7 +160,10 @@
 
 fn admitted(limiter: &mut ConnectionLimiter, now: i64) -> ClientId {
     let admission = connected(limiter, now);
-    assert!(!admission.refused && admission.evicts.is_none(), "{admission:?}");
+    assert!(
+        !admission.refused && admission.evicts.is_none(),
+        "{admission:?}"
+    );
     admission.id
 }
 
@@ -176,7 +185,10 @@
     // All are owed an answer: none goes, and the new one is refused.
     let refused = connected(&mut d, 303 * MS);
     assert_eq!((refused.refused, refused.evicts), (true, None));
-    assert_eq!((d.count(), d.count_refused(), d.evicted(), d.refused()), (3, 1, 2, 1));
+    assert_eq!(
+        (d.count(), d.count_refused(), d.evicted(), d.refused()),
+        (3, 1, 2, 1)
+    );
     d.closed(refused.id);
     assert!(d.overdue(60 * SECOND, NONE).is_empty());
 }
@@ -200,7 +212,10 @@
     let (first, second) = (admitted(&mut d, 0), admitted(&mut d, 1));
     let asks = |id| id == first;
     assert_eq!(d.connected(300 * MS, asks).evicts, Some(second));
-    assert!(!d.overdue(10 * SECOND, asks).contains(&first) && d.overdue(10 * SECOND, NONE).contains(&first));
+    assert!(
+        !d.overdue(10 * SECOND, asks).contains(&first)
+            && d.overdue(10 * SECOND, NONE).contains(&first)
+    );
     assert!(!d.without_request(asks).contains(&first) && d.without_request(NONE).contains(&first));
 }
 
@@ -220,10 +235,18 @@
     let busy = admitted(&mut d, 0);
     d.pending(0, busy);
     let refused: Vec<Admission> = (0..20).map(|n| connected(&mut d, n * MS)).collect();
-    assert!(refused.iter().all(|a| a.refused) && d.count() == 1 && d.count_refused() == MOST_REFUSED);
+    assert!(
+        refused.iter().all(|a| a.refused) && d.count() == 1 && d.count_refused() == MOST_REFUSED
+    );
     // The one refused first goes first, and none before there are too many.
     let evicted: Vec<_> = refused.iter().filter_map(|a| a.evicts).collect();
-    assert_eq!(evicted, refused[..20 - MOST_REFUSED].iter().map(|a| a.id).collect::<Vec<_>>());
+    assert_eq!(
+        evicted,
+        refused[..20 - MOST_REFUSED]
+            .iter()
+            .map(|a| a.id)
+            .collect::<Vec<_>>()
+    );
     // One that goes on sending does not become a client, and goes after a while.
     let last = refused[19].id;
     d.pending(30 * MS, last);
@@ -291,11 +314,21 @@
 #[test]
 fn clients_keep_more_than_their_third_and_workers_the_rest() {
     for sockets in [256, 384, 512, 1024] {
-        let b = ResourceLimits::of(Limits { sockets, memory_mb: 32.0 });
-        assert!(b.clients as u64 > sockets / 3 && b.clients + b.workers < sockets as usize && b.workers > 60);
+        let b = ResourceLimits::of(Limits {
+            sockets,
+            memory_mb: 32.0,
+        });
+        assert!(
+            b.clients as u64 > sockets / 3
+                && b.clients + b.workers < sockets as usize
+                && b.workers > 60
+        );
         assert_eq!(b.body_bytes, 4 << 20);
     }
-    let none = ResourceLimits::of(Limits { sockets: 0, memory_mb: 1.0 });
+    let none = ResourceLimits::of(Limits {
+        sockets: 0,
+        memory_mb: 1.0,
+    });
     assert_eq!((none.clients, none.workers), (1, 1));
 }
 
--- a/crates/platform/tests/lines.rs
+++ b/crates/platform/tests/lines.rs
@@ -43,14 +43,22 @@
 
 #[test]
 fn answers_are_read_in_any_order_with_their_figures() {
-    let found =
-        read(b"b ok same=3,gauges=busy:0.61;x1:2 2\r\n\r\n\r\na refused - 0\r\n\r\nt ok n=2 0\r\n\r\n")
-            .expect("good");
+    let found = read(
+        b"b ok same=3,gauges=busy:0.61;x1:2 2\r\n\r\n\r\na refused - 0\r\n\r\nt ok n=2 0\r\n\r\n",
+    )
+    .expect("good");
     assert_eq!(
         found.iter().map(|a| (&*a.id, a.word)).collect::<Vec<_>>(),
-        [("b", AnswerWord::Ok), ("a", AnswerWord::Refused), ("t", AnswerWord::Ok)]
+        [
+            ("b", AnswerWord::Ok),
+            ("a", AnswerWord::Refused),
+            ("t", AnswerWord::Ok)
+        ]
+    );
+    assert_eq!(
+        (found[0].crowd, &found[0].body[..], found[2].copies),
+        (3, &b"\r\n"[..], 2)
     );
-    assert_eq!((found[0].crowd, &found[0].body[..], found[2].copies), (3, &b"\r\n"[..], 2));
 }
 
 #[test]
@@ -74,7 +82,10 @@
         assert_eq!(read(bytes), Err(why), "{}", String::from_utf8_lossy(bytes));
     }
     assert_eq!(read(&[b'x'; 5_000]), Err(AnswerError::Endless));
-    assert_eq!(read(&[&[b'x'; 5_000][..], b"\r\n"].concat()), Err(AnswerError::Endless));
+    assert_eq!(
+        read(&[&[b'x'; 5_000][..], b"\r\n"].concat()),
+        Err(AnswerError::Endless)
+    );
 }
 
 #[test]
@@ -94,7 +105,10 @@
         (Broken, Outcome::Broken, false),
     ] {
         assert_eq!(
-            (attempt_outcome::dispatch(ended), attempt_outcome::dispatch(ended).never_ran()),
+            (
+                attempt_outcome::dispatch(ended),
+                attempt_outcome::dispatch(ended).never_ran()
+            ),
             (outcome, never_ran),
             "{ended:?}"
         );
@@ -109,13 +123,20 @@
     ] {
         assert_eq!(attempt_outcome::order(ended), result, "{ended:?}");
     }
-    assert_eq!(attempt_outcome::probe(Answered(AnswerWord::Yes)), Outcome::Succeeded);
+    assert_eq!(
+        attempt_outcome::probe(Answered(AnswerWord::Yes)),
+        Outcome::Succeeded
+    );
     assert_eq!(attempt_outcome::probe(Broken), Outcome::Broken);
 }
 
 fn names() -> Names {
     let list = |n: &[&str]| n.iter().map(|n| (*n).to_owned()).collect();
-    Names { zones: list(&["east", "west"]), kinds: list(&["std"]), ..Names::default() }
+    Names {
+        zones: list(&["east", "west"]),
+        kinds: list(&["std"]),
+        ..Names::default()
+    }
 }
 
 fn batch(text: &str) -> EventBatch {
@@ -135,55 +156,128 @@
 
 fn told(follower: &mut WorkerListFollower, events: &[String]) -> Vec<ListUpdate> {
     let text = format!(r#"{{"cursor":0,"cmds":[{}]}}"#, events.join(","));
-    follower.batch(&batch(&text), &names(), 3_000, 0).expect("good")
+    follower
+        .batch(&batch(&text), &names(), 3_000, 0)
+        .expect("good")
 }
 
 #[test]
 fn events_are_told_once_and_in_order() {
     let mut follower = WorkerListFollower::default();
-    let news = told(&mut follower, &[event(2, true, &[("s-1", "active", "127.0.0.9:5050")])]);
+    let news = told(
+        &mut follower,
+        &[event(2, true, &[("s-1", "active", "127.0.0.9:5050")])],
+    );
     let worker = &news[0].workers[0];
-    assert_eq!((news.len(), news[0].mode, &*worker.address), (1, ListMode::Complete, "s-1"));
-    assert_eq!((worker.zone, worker.kind, worker.cell, worker.started), (1, 0, 2, Some(4_000)));
+    assert_eq!(
+        (news.len(), news[0].mode, &*worker.address),
+        (1, ListMode::Complete, "s-1")
+    );
+    assert_eq!(
+        (worker.zone, worker.kind, worker.cell, worker.started),
+        (1, 0, 2, Some(4_000))
+    );
     let leaving = |n| event(n, false, &[("s-1", "leaving", "127.0.0.9:5050")]);
     let news = told(&mut follower, &[leaving(2), leaving(3)]);
-    assert_eq!((news.len(), news[0].mode, news[0].workers[0].standing), (1, ListMode::Changes, Draining));
+    assert_eq!(
+        (news.len(), news[0].mode, news[0].workers[0].standing),
+        (1, ListMode::Changes, Draining)
+    );
     assert!(told(&mut follower, &[leaving(2), leaving(3)]).is_empty());
     assert_eq!(follower.repeated, 3);
-    assert!(String::from_utf8_lossy(&follower.ask("x")).starts_with("GET /cmd/next?resume=3&block="));
+    assert!(
+        String::from_utf8_lossy(&follower.ask("x")).starts_with("GET /cmd/next?resume=3&block=")
+    );
 }
 
 /// Symptom: what was open to a worker that has gone or moved is used for whoever is at its address now.
 #[test]
 fn a_worker_is_known_by_its_id_and_what_is_open_to_an_old_one_retires() {
-    let (mut f, at, to) = (WorkerListFollower::default(), "127.0.0.9:5050", "127.0.0.8:5050");
-    told(&mut f, &[event(1, true, &[("s-1", "active", at), ("s-2", "active", to)])]);
-    let news = told(&mut f, &[event(2, false, &[("s-1", "left", at), ("s-3", "active", at)])]);
-    assert_eq!((&news[0].retired, f.address("s-1")), (&vec!["s-1".to_owned()], None));
+    let (mut f, at, to) = (
+        WorkerListFollower::default(),
+        "127.0.0.9:5050",
+        "127.0.0.8:5050",
+    );
+    told(
+        &mut f,
+        &[event(
+            1,
+            true,
+            &[("s-1", "active", at), ("s-2", "active", to)],
+        )],
+    );
+    let news = told(
+        &mut f,
+        &[event(
+            2,
+            false,
+            &[("s-1", "left", at), ("s-3", "active", at)],
+        )],
+    );
+    assert_eq!(
+        (&news[0].retired, f.address("s-1")),
+        (&vec!["s-1".to_owned()], None)
+    );
     assert_eq!(f.address("s-3"), at.parse().ok());
-    let news = told(&mut f, &[event(3, false, &[("s-3", "active", to), ("s-2", "leaving", to)])]);
-    assert_eq!((&news[0].retired, f.address("s-3")), (&vec!["s-3".to_owned()], to.parse().ok()));
+    let news = told(
+        &mut f,
+        &[event(
+            3,
+            false,
+            &[("s-3", "active", to), ("s-2", "leaving", to)],
+        )],
+    );
+    assert_eq!(
+        (&news[0].retired, f.address("s-3")),
+        (&vec!["s-3".to_owned()], to.parse().ok())
+    );
     let news = told(&mut f, &[event(4, true, &[("s-3", "active", to)])]);
-    assert_eq!((&news[0].retired, f.address("s-2")), (&vec!["s-2".to_owned()], None));
+    assert_eq!(
+        (&news[0].retired, f.address("s-2")),
+        (&vec!["s-2".to_owned()], None)
+    );
 }
 
 /// Symptom: a worker drained while the channel was away, and its grace began when that was heard.
 #[test]
 fn a_drain_that_may_have_been_told_a_while_ago_has_no_grace_left() {
     let (mut f, at) = (WorkerListFollower::default(), "127.0.0.9:5050");
-    told(&mut f, &[event(1, true, &[("s-1", "active", at), ("s-2", "active", at)])]);
-    let text = format!(r#"{{"cursor":2,"cmds":[{}]}}"#, event(2, false, &[("s-1", "leaving", at)]));
+    told(
+        &mut f,
+        &[event(
+            1,
+            true,
+            &[("s-1", "active", at), ("s-2", "active", at)],
+        )],
+    );
+    let text = format!(
+        r#"{{"cursor":2,"cmds":[{}]}}"#,
+        event(2, false, &[("s-1", "leaving", at)])
+    );
     let news = f.batch(&batch(&text), &names(), 0, i64::MAX).expect("good");
-    assert_eq!((news[0].workers[0].standing, &*news[0].retired[0], f.address("s-1")), (Gone, "s-1", None));
+    assert_eq!(
+        (
+            news[0].workers[0].standing,
+            &*news[0].retired[0],
+            f.address("s-1")
+        ),
+        (Gone, "s-1", None)
+    );
     let news = told(&mut f, &[event(3, false, &[("s-2", "leaving", at)])]);
-    assert_eq!((news[0].workers[0].standing, f.address("s-2")), (Draining, at.parse().ok()));
+    assert_eq!(
+        (news[0].workers[0].standing, f.address("s-2")),
+        (Draining, at.parse().ok())
+    );
 }
 
 #[test]
 fn what_the_settings_do_not_name_passes_for_nothing_that_they_do() {
     let mut f = WorkerListFollower::default();
-    let odd =
-        |n, id| event(n, true, &[(id, "active", "127.0.0.9:1")]).replace("west", id).replace("std", "odd");
+    let odd = |n, id| {
+        event(n, true, &[(id, "active", "127.0.0.9:1")])
+            .replace("west", id)
+            .replace("std", "odd")
+    };
     let news = told(&mut f, &[odd(1, "a"), odd(2, "b")]);
     let (a, b) = (&news[0].workers[0], &news[1].workers[0]);
     assert!(a.zone > 1 && b.zone > 1 && a.zone != b.zone && a.kind == 1);
@@ -192,7 +286,9 @@
 #[test]
 fn a_batch_that_cannot_be_understood_changes_nothing() {
     let mut follower = WorkerListFollower::default();
-    let odd = batch(r#"{"cursor":5,"cmds":[{"cursor":5,"nodes":{"servers":[{"id":"s-1","state":"odd"}]}}]}"#);
+    let odd = batch(
+        r#"{"cursor":5,"cmds":[{"cursor":5,"nodes":{"servers":[{"id":"s-1","state":"odd"}]}}]}"#,
+    );
     assert!(follower.batch(&odd, &names(), 0, 0).is_err());
     assert_eq!(follower.last(), 0);
 }
@@ -200,7 +296,10 @@
 #[test]
 fn answers_of_the_channel_come_whole_or_not_at_all() {
     let body = r#"{"cursor":4,"cmds":[]}"#;
-    let sized = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let sized = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     let chunked = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n",
         body.len()
@@ -209,7 +308,10 @@
         for cut in 0..text.len() {
             let mut answers = Answers::default();
             answers.put(&text.as_bytes()[..cut]);
-            assert!(answers.whole().expect("good so far").is_none(), "cut at {cut}");
+            assert!(
+                answers.whole().expect("good so far").is_none(),
+                "cut at {cut}"
+            );
             answers.put(&text.as_bytes()[cut..]);
             assert_eq!(answers.whole().expect("good").map(|b| b.cursor), Some(4));
             assert!(answers.whole().expect("nothing left").is_none());
@@ -241,13 +343,27 @@
 #[test]
 fn the_configuration_is_read_in_the_simulators_names_and_units() {
     let start = Start::read(START).expect("good");
-    assert_eq!((start.seed, start.limits.sockets, start.largest_mb), (0x6444_882f_5c62_0abb, 256, 250.5));
-    assert_eq!((start.links.streams, start.links.idle_kept), (100, 15_000_000));
+    assert_eq!(
+        (start.seed, start.limits.sockets, start.largest_mb),
+        (0x6444_882f_5c62_0abb, 256, 250.5)
+    );
+    assert_eq!(
+        (start.links.streams, start.links.idle_kept),
+        (100, 15_000_000)
+    );
     let trigger = &start.settings.triggers[0];
-    assert_eq!((trigger.latency_objective, trigger.client_timeout), (400_000, 1_000_000));
+    assert_eq!(
+        (trigger.latency_objective, trigger.client_timeout),
+        (400_000, 1_000_000)
+    );
     assert!(start.settings.loads.orders && start.settings.loads.memory_mb == [100.0, 250.5]);
     assert_eq!(start.names.accounts, ["acme"]);
-    assert_eq!(discovery_address_of(r#"{"channel":"127.0.0.2:9"}"#).expect("good").port(), 9);
+    assert_eq!(
+        discovery_address_of(r#"{"channel":"127.0.0.2:9"}"#)
+            .expect("good")
+            .port(),
+        9
+    );
 }
 
 #[test]
@@ -262,7 +378,10 @@
         ("}}}", ""),
     ] {
         let why = Start::read(&START.replace(from, to)).expect_err(to).line();
-        assert!(!why.starts_with(';') && why.contains("; ") && !why.contains('\n'), "{why}");
+        assert!(
+            !why.starts_with(';') && why.contains("; ") && !why.contains('\n'),
+            "{why}"
+        );
     }
 }
 
--- a/crates/reconcile/src/asking.rs
+++ b/crates/reconcile/src/asking.rs
@@ -26,7 +26,10 @@
 pub fn rank(id: &str, me: &str, members: &[Arc<str>]) -> u32 {
     let weight = |member: &str| (fingerprint(&format!("{id}\n{member}")), fingerprint(member));
     let own = weight(me);
-    members.iter().filter(|m| ***m != *me && weight(m) > own).count() as u32
+    members
+        .iter()
+        .filter(|m| ***m != *me && weight(m) > own)
+        .count() as u32
 }
 
 /// What an answer was like.
@@ -108,12 +111,19 @@
 impl Budget {
     pub fn new(now: Micros, per_s: f64) -> Self {
         let per_s = per_s.max(1e-3);
-        Budget { per_s, left: per_s.max(1.0), at: now }
+        Budget {
+            per_s,
+            left: per_s.max(1.0),
+            at: now,
+        }
     }
 
     fn fill(&mut self, now: Micros) {
         let gone = (now - self.at).max(0) as f64 / 1e6;
-        (self.left, self.at) = ((self.left + gone * self.per_s).min(self.per_s.max(1.0)), now.max(self.at));
+        (self.left, self.at) = (
+            (self.left + gone * self.per_s).min(self.per_s.max(1.0)),
+            now.max(self.at),
+        );
     }
 
     pub fn take(&mut self, now: Micros) -> bool {
@@ -143,7 +153,8 @@
     #[test]
     fn one_member_asks_each_worker_and_a_death_moves_only_its_own() {
         let all = members(9);
-        let first = |id: &str, of: &[Arc<str>]| of.iter().position(|m| rank(id, m, of) == 0).expect("one");
+        let first =
+            |id: &str, of: &[Arc<str>]| of.iter().position(|m| rank(id, m, of) == 0).expect("one");
         let mut had = [0; 9];
         for w in 0..900 {
             let id = format!("w{w}");
@@ -162,9 +173,19 @@
     #[test]
     fn pace_and_budget() {
         let mut pace = Pace::new(800);
-        let went =
-            [Went::Clean, Went::Clean, Went::Clean, Went::Drifted, Went::Clean, Went::Changed, Went::Silent];
-        assert_eq!(went.map(|w| pace.after(w)), [1600, 3200, 3200, 100, 200, 800, 3200]);
+        let went = [
+            Went::Clean,
+            Went::Clean,
+            Went::Clean,
+            Went::Drifted,
+            Went::Clean,
+            Went::Changed,
+            Went::Silent,
+        ];
+        assert_eq!(
+            went.map(|w| pace.after(w)),
+            [1600, 3200, 3200, 100, 200, 800, 3200]
+        );
         let mut budget = Budget::new(0, 4.0);
         assert_eq!((0..9).filter(|_| budget.take(0)).count(), 4);
         assert_eq!(budget.due(), 250_000);
--- a/crates/reconcile/src/belief.rs
+++ b/crates/reconcile/src/belief.rs
@@ -22,11 +22,18 @@
     /// An order to load left.
     Ordered,
     /// It ended: copies stand, none do, or nobody knows.
-    OrderEnded { stands: Option<bool>, copies: Option<u32> },
+    OrderEnded {
+        stands: Option<bool>,
+        copies: Option<u32>,
+    },
     /// A dispatch left for it.
     Sent,
     /// A dispatch ended; `found`: the copy stood before.
-    Ended { stands: Option<bool>, found: bool, copy_mb: f64 },
+    Ended {
+        stands: Option<bool>,
+        found: bool,
+        copy_mb: f64,
+    },
     /// The session's invocation succeeded there; `over`: it was the last one.
     Session { id: Arc<str>, over: bool },
     /// This router had it unloaded.
@@ -99,7 +106,11 @@
                 }
                 self.out = self.out.saturating_add(1);
             }
-            Change::Ended { stands, found, copy_mb } => {
+            Change::Ended {
+                stands,
+                found,
+                copy_mb,
+            } => {
                 self.out = self.out.saturating_sub(1);
                 self.cold &= self.out > 0 && stands.is_none();
                 refuted = found && self.gone_by_word && self.orders == 0;
@@ -117,7 +128,11 @@
                 self.sessions.remove(&id);
                 if !over {
                     while self.sessions.len() >= MOST_SESSIONS {
-                        let oldest = self.sessions.iter().min_by_key(|s| s.1).map(|s| s.0.clone());
+                        let oldest = self
+                            .sessions
+                            .iter()
+                            .min_by_key(|s| s.1)
+                            .map(|s| s.0.clone());
                         oldest.map(|id| self.sessions.remove(&id));
                     }
                     self.sessions.insert(id, now);
@@ -158,7 +173,11 @@
 
     /// It will be believed for so long.
     pub fn left(&self, now: Micros) -> Micros {
-        if self.believed(now) { self.until - now } else { 0 }
+        if self.believed(now) {
+            self.until - now
+        } else {
+            0
+        }
     }
 
     pub fn under_way(&self, now: Micros) -> bool {
@@ -177,6 +196,9 @@
 
     /// Nothing is lost if it is forgotten.
     pub fn is_idle(&self, now: Micros, kept: Micros) -> bool {
-        !self.believed(now) && self.orders == 0 && self.out == 0 && now.saturating_sub(self.changed) > kept
+        !self.believed(now)
+            && self.orders == 0
+            && self.out == 0
+            && now.saturating_sub(self.changed) > kept
     }
 }
--- a/crates/reconcile/src/observation.rs
+++ b/crates/reconcile/src/observation.rs
@@ -88,11 +88,18 @@
         unclear.iter().for_each(|f| {
             entries.remove(f);
         });
-        let held: f64 = entries.values().map(|e| f64::from(e.copies) * mb(&e.function)).sum();
+        let held: f64 = entries
+            .values()
+            .map(|e| f64::from(e.copies) * mb(&e.function))
+            .sum();
         if memory_mb > 0.0 && held > memory_mb * MEMORY_SLACK {
             contradictions += 1;
         }
-        Sound { entries, unclear, contradictions }
+        Sound {
+            entries,
+            unclear,
+            contradictions,
+        }
     }
 }
 
@@ -102,7 +109,10 @@
 
     #[test]
     fn what_contradicts_itself_is_left_out() {
-        let busy = Entry { busy: Some(1), ..Entry::plain("c", 0) };
+        let busy = Entry {
+            busy: Some(1),
+            ..Entry::plain("c", 0)
+        };
         let entries = vec![
             Entry::plain("a", 1),
             Entry::plain("a", 2),
@@ -110,12 +120,21 @@
             busy,
             Entry::plain("d", 99_999),
         ];
-        let said = Observation { entries, ..Observation::default() };
+        let said = Observation {
+            entries,
+            ..Observation::default()
+        };
         let sound = said.sound(|_| 1.0, 0.0);
         assert_eq!(sound.entries.keys().copied().collect::<Vec<_>>(), ["b"]);
-        assert_eq!((sound.unclear, sound.contradictions), (vec!["a", "c", "d"], 3));
+        assert_eq!(
+            (sound.unclear, sound.contradictions),
+            (vec!["a", "c", "d"], 3)
+        );
         // The same said twice is no contradiction; more than its memory is.
-        let twice = Observation { entries: vec![Entry::plain("a", 2); 2], ..Observation::default() };
+        let twice = Observation {
+            entries: vec![Entry::plain("a", 2); 2],
+            ..Observation::default()
+        };
         assert_eq!(twice.sound(|_| 50.0, 100.0).contradictions, 0);
         assert_eq!(twice.sound(|_| 80.0, 100.0).contradictions, 1);
     }
--- a/crates/reconcile/src/reconcile.rs
+++ b/crates/reconcile/src/reconcile.rs
@@ -185,10 +185,23 @@
         match input {
             Input::Workers(seats) => self.workers(&seats),
             Input::Members(members) => self.membership(members),
-            Input::Believes { worker, function, change } => return self.believes(worker, function, change),
-            Input::Said { worker, began, observation } => self.said(worker, began, &observation, out),
+            Input::Believes {
+                worker,
+                function,
+                change,
+            } => return self.believes(worker, function, change),
+            Input::Said {
+                worker,
+                began,
+                observation,
+            } => self.said(worker, began, &observation, out),
             Input::Silent { worker } => self.silent(worker, out),
-            Input::Noted { id, version, transit, value } => self.noted(id, version, transit, value, out),
+            Input::Noted {
+                id,
+                version,
+                transit,
+                value,
+            } => self.noted(id, version, transit, value, out),
             Input::Claims(claims) => self.claims = Some(claims),
             Input::Tick => {}
         }
@@ -197,13 +210,18 @@
     }
 
     pub fn next_due(&self) -> Micros {
-        let ask = self.schedule.first().map_or(Micros::MAX, |s| s.0.max(self.budget.due()));
+        let ask = self
+            .schedule
+            .first()
+            .map_or(Micros::MAX, |s| s.0.max(self.budget.due()));
         ask.min(self.repairs.next_due())
     }
 
     /// What each worker said last, and when that began to be true.
     pub fn observed(&self) -> impl Iterator<Item = (&Arc<str>, Micros, &Observation)> {
-        self.places.iter().filter_map(|(w, p)| Some((w, p.last_began, p.observed.as_ref()?)))
+        self.places
+            .iter()
+            .filter_map(|(w, p)| Some((w, p.last_began, p.observed.as_ref()?)))
     }
 
     /// As all members know a worker, and back.
@@ -221,19 +239,22 @@
 
     /// Whether this router believes that copies stand there.
     pub fn believes_in(&self, worker: &str, function: &str) -> bool {
-        self.belief(worker, function).is_some_and(|b| b.believed(self.now))
+        self.belief(worker, function)
+            .is_some_and(|b| b.believed(self.now))
     }
 
     /// Whether a load is under way there, as far as this router knows by itself.
     pub fn under_way(&self, worker: &str, function: &str) -> bool {
-        self.belief(worker, function).is_some_and(|b| b.under_way(self.now))
+        self.belief(worker, function)
+            .is_some_and(|b| b.under_way(self.now))
     }
 
     /// Whether copies are believed there that this router itself has used so lately that the module would still believe
     /// in them by that use alone: told so again, it believes in them no longer than [`BELIEVED_FOR`] allows.
     pub fn used_lately(&self, now: Micros, worker: &str, function: &str) -> bool {
         let lately = |b: &Belief| b.used.is_some_and(|at| now - at < self.terms.kept);
-        self.belief(worker, function).is_some_and(|b| b.believed(now) && lately(b))
+        self.belief(worker, function)
+            .is_some_and(|b| b.believed(now) && lately(b))
     }
 
     fn belief(&self, worker: &str, function: &str) -> Option<&Belief> {
--- a/crates/reconcile/src/reconcile/claims.rs
+++ b/crates/reconcile/src/reconcile/claims.rs
@@ -43,8 +43,15 @@
     ) {
         let (now, function) = (self.now, &e.function);
         // A use is a claim, whoever's: so long as any router may still believe in the copy, it is not touched.
-        let idle_for = self.terms.grace.max(self.terms.kept.saturating_mul(BELIEVED_FOR));
-        let used = place.beliefs.get(function).and_then(|b| b.used).is_some_and(|at| now - at < idle_for);
+        let idle_for = self
+            .terms
+            .grace
+            .max(self.terms.kept.saturating_mul(BELIEVED_FOR));
+        let used = place
+            .beliefs
+            .get(function)
+            .and_then(|b| b.used)
+            .is_some_and(|at| now - at < idle_for);
         let Some(why) = why.filter(|_| !used && e.busy.unwrap_or(0) == 0) else {
             place.unclaimed.remove(function);
             return;
@@ -53,7 +60,11 @@
             self.counts.left_doubted += 1;
             return;
         }
-        let known = place.unclaimed.get(function).filter(|(_, before)| *before == why).map(|u| u.0);
+        let known = place
+            .unclaimed
+            .get(function)
+            .filter(|(_, before)| *before == why)
+            .map(|u| u.0);
         let since = known.unwrap_or(now);
         if known.is_none() {
             let (kind, cause) = match &why {
@@ -67,7 +78,15 @@
         // Where the worker does not say for how long it was idle, it counts from when it was first seen so.
         let idle = e.idle.unwrap_or(now - since);
         if now - since >= self.terms.grace && idle >= idle_for {
-            self.wait(worker, function, What::Unload { term: e.term.clone() }, began, 0.0);
+            self.wait(
+                worker,
+                function,
+                What::Unload {
+                    term: e.term.clone(),
+                },
+                began,
+                0.0,
+            );
         }
     }
 
--- a/crates/reconcile/src/reconcile/heard.rs
+++ b/crates/reconcile/src/reconcile/heard.rs
@@ -37,12 +37,17 @@
 impl Reconciler {
     pub(super) fn believes(&mut self, worker: &str, function: &str, change: Change) {
         let (now, kept) = (self.now, self.terms.kept);
-        let Some(place) = self.places.get_mut(worker) else { return };
+        let Some(place) = self.places.get_mut(worker) else {
+            return;
+        };
         if !place.follow(function, &mut self.beliefs) {
             self.counts.beliefs_left_out += 1;
             return;
         }
-        let refuted = place.beliefs.get_mut(function).is_some_and(|b| b.change(now, kept, change));
+        let refuted = place
+            .beliefs
+            .get_mut(function)
+            .is_some_and(|b| b.change(now, kept, change));
         if refuted {
             self.counts.refuted += 1;
             place.suspect(REFUTED);
@@ -52,9 +57,14 @@
     pub(super) fn silent(&mut self, worker: &str, out: &mut Vec<Output>) {
         let now = self.now;
         let grouped = self.grouped();
-        let Some((worker, place)) = self.places.get_key_value(worker) else { return };
-        let (worker, id, version) =
-            (worker.clone(), place.id.clone(), (place.version.0, place.version.1 + 1));
+        let Some((worker, place)) = self.places.get_key_value(worker) else {
+            return;
+        };
+        let (worker, id, version) = (
+            worker.clone(),
+            place.id.clone(),
+            (place.version.0, place.version.1 + 1),
+        );
         if let Some(place) = self.places.get_mut(&worker) {
             (place.asked, place.heard, place.version) = (None, now, version);
         }
@@ -72,7 +82,9 @@
         observation: &Observation,
         out: &mut Vec<Output>,
     ) {
-        let Some((worker, mut place)) = self.places.remove_entry(worker) else { return };
+        let Some((worker, mut place)) = self.places.remove_entry(worker) else {
+            return;
+        };
         self.counts.answers += 1;
         place.asked = None;
         let mut went = Went::Changed;
@@ -99,8 +111,12 @@
         value: &[u8],
         out: &mut Vec<Output>,
     ) {
-        let Some(worker) = self.by_id.get(id).cloned() else { return };
-        let Some(mut place) = self.places.remove(&worker) else { return };
+        let Some(worker) = self.by_id.get(id).cloned() else {
+            return;
+        };
+        let Some(mut place) = self.places.remove(&worker) else {
+            return;
+        };
         self.counts.notes += 1;
         let word = postcard::from_bytes::<Word>(value);
         if version <= place.version {
@@ -108,9 +124,20 @@
         } else if let Ok(word) = word {
             (place.version, place.heard) = (version, self.now);
             if let Word::Said { ago, observation } = word {
-                let began = self.now.saturating_sub(transit.max(0)).saturating_sub(ago.max(0));
+                let began = self
+                    .now
+                    .saturating_sub(transit.max(0))
+                    .saturating_sub(ago.max(0));
                 if let Some(process) = self.taken(&mut place, began, observation.life, false) {
-                    self.compare(&worker, &mut place, began, &observation, process, false, out);
+                    self.compare(
+                        &worker,
+                        &mut place,
+                        began,
+                        &observation,
+                        process,
+                        false,
+                        out,
+                    );
                 }
             }
         } else {
@@ -120,7 +147,13 @@
     }
 
     /// Of which process an answer is, unless it is void.
-    fn taken(&mut self, place: &mut Place, began: Micros, life: Option<u64>, own: bool) -> Option<Process> {
+    fn taken(
+        &mut self,
+        place: &mut Place,
+        began: Micros,
+        life: Option<u64>,
+        own: bool,
+    ) -> Option<Process> {
         if began <= place.last_began {
             self.counts.void_older += 1;
             return None;
--- a/crates/reconcile/src/reconcile/judging.rs
+++ b/crates/reconcile/src/reconcile/judging.rs
@@ -43,16 +43,35 @@
         let sound = observation.sound(mb, place.memory_mb);
         self.counts.contradictions += sound.contradictions;
         let entries = sound.entries.values().map(|e| (*e).clone()).collect();
-        place.observed = Some(Observation { entries, ..observation.clone() });
+        place.observed = Some(Observation {
+            entries,
+            ..observation.clone()
+        });
         if sound.contradictions > 0 {
             place.suspect(CONTRADICTED);
         }
         let (first, before) = (own && place.rank == 0, out.len());
         let anew = process == Process::New;
         if anew {
-            self.found(worker, place, None, Kind::OtherIncarnation, Cause::Restarted, out);
+            self.found(
+                worker,
+                place,
+                None,
+                Kind::OtherIncarnation,
+                Cause::Restarted,
+                out,
+            );
         }
-        self.absent(worker, place, began, observation.cut, &sound, anew, first, out);
+        self.absent(
+            worker,
+            place,
+            began,
+            observation.cut,
+            &sound,
+            anew,
+            first,
+            out,
+        );
         for e in sound.entries.values().filter(|e| e.copies > 0) {
             if !place.follow(e.function.clone(), &mut self.beliefs) {
                 self.counts.beliefs_left_out += 1;
@@ -122,12 +141,18 @@
                 self.counts.left_doubted += 1;
                 continue;
             }
-            let Some(b) = place.beliefs.get_mut(&function) else { continue };
+            let Some(b) = place.beliefs.get_mut(&function) else {
+                continue;
+            };
             let sessions: Vec<Arc<str>> = b.sessions.keys().cloned().collect();
             let by_order = b.by_order;
             b.correct(now, began, kept, 0);
             let uses = b.uses_at(now, kept);
-            out.push(Output::Held { worker: worker.clone(), function: function.clone(), copies: 0 });
+            out.push(Output::Held {
+                worker: worker.clone(),
+                function: function.clone(),
+                copies: 0,
+            });
             self.counts.corrected += 1;
             self.let_go(worker, place, &function, sessions, out);
             if !anew {
@@ -159,7 +184,9 @@
         let (now, kept, function) = (self.now, self.terms.kept, &e.function);
         let slow = slowest(self.terms.every);
         let why = self.unclaimed(e);
-        let Some(b) = place.beliefs.get(function) else { return };
+        let Some(b) = place.beliefs.get(function) else {
+            return;
+        };
         if b.under_way(now) || e.loading {
             self.counts.left_under_load += 1;
             return;
@@ -170,15 +197,24 @@
         }
         let (believed, believes, renew) = (b.believed(now), b.copies, b.left(now) < slow * 2);
         // It will have left by itself before it is asked about again.
-        let leaving =
-            e.busy.unwrap_or(0) == 0 && e.idle.is_some_and(|idle| idle > (kept - slow).max(kept / 2));
+        let leaving = e.busy.unwrap_or(0) == 0
+            && e.idle
+                .is_some_and(|idle| idle > (kept - slow).max(kept / 2));
         let other = believes.is_some_and(|n| n != e.copies);
         let mut correct = |place: &mut Place, counts: &mut Counts| {
             if let Some(b) = place.beliefs.get_mut(function) {
                 b.correct(now, began, kept, e.copies);
             }
-            *(if believed && !other { &mut counts.renewed } else { &mut counts.corrected }) += 1;
-            out.push(Output::Held { worker: worker.clone(), function: function.clone(), copies: e.copies });
+            *(if believed && !other {
+                &mut counts.renewed
+            } else {
+                &mut counts.corrected
+            }) += 1;
+            out.push(Output::Held {
+                worker: worker.clone(),
+                function: function.clone(),
+                copies: e.copies,
+            });
         };
         let cause = match &e.ordered_by {
             Some(by) if *by == self.terms.me => Cause::LostLoad,
@@ -189,7 +225,14 @@
             true if other => match place.believable(function, Kind::Miscounted) {
                 true => {
                     correct(place, &mut self.counts);
-                    self.found(worker, place, Some(function), Kind::Miscounted, Cause::PartlyEvicted, out);
+                    self.found(
+                        worker,
+                        place,
+                        Some(function),
+                        Kind::Miscounted,
+                        Cause::PartlyEvicted,
+                        out,
+                    );
                 }
                 false => self.counts.left_doubted += 1,
             },
@@ -224,10 +267,15 @@
         anew: bool,
         out: &mut Vec<Output>,
     ) {
-        let Some(b) = place.beliefs.get(&e.function) else { return };
+        let Some(b) = place.beliefs.get(&e.function) else {
+            return;
+        };
         // Of a worker that says nothing of sessions it is known only that a new process has none.
         let held = |id: &Arc<str>| e.sequences.as_ref().map_or(!anew, |held| held.contains(id));
-        let lost = b.sessions.iter().filter(|(id, at)| **at < began && !held(id));
+        let lost = b
+            .sessions
+            .iter()
+            .filter(|(id, at)| **at < began && !held(id));
         let lost: Vec<Arc<str>> = lost.map(|(id, _)| id.clone()).collect();
         if lost.is_empty() {
             return;
@@ -254,8 +302,19 @@
             return;
         }
         self.counts.sessions_let_go += sessions.len() as u64;
-        out.push(Output::PrefixLost { worker: worker.clone(), function: function.clone(), sessions });
-        self.found(worker, place, Some(function), Kind::PrefixLost, Cause::Evicted, out);
+        out.push(Output::PrefixLost {
+            worker: worker.clone(),
+            function: function.clone(),
+            sessions,
+        });
+        self.found(
+            worker,
+            place,
+            Some(function),
+            Kind::PrefixLost,
+            Cause::Evicted,
+            out,
+        );
     }
 
     pub(super) fn found(
@@ -270,6 +329,11 @@
         place.found[kind.ix()] += 1;
         place.found_by[kind.ix()] = place.answers;
         self.counts.found(kind);
-        out.push(Output::Found(Drift { kind, cause, worker: worker.clone(), function: function.cloned() }));
+        out.push(Output::Found(Drift {
+            kind,
+            cause,
+            worker: worker.clone(),
+            function: function.cloned(),
+        }));
     }
 }
--- a/crates/reconcile/src/reconcile/place.rs
+++ b/crates/reconcile/src/reconcile/place.rs
@@ -98,7 +98,9 @@
 
     /// Symptom: a worker was started anew at the same address, and answers of its old process are still under way.
     pub(super) fn process(&mut self, life: Option<u64>, own: bool) -> Process {
-        let Some(life) = life else { return Process::Known };
+        let Some(life) = life else {
+            return Process::Known;
+        };
         let maybe = self.maybe_life.take();
         if self.life == Some(life) {
             return Process::Known;
@@ -119,11 +121,19 @@
         if self.former.len() > MOST_FORMER {
             self.former.remove(0);
         }
-        if before.is_some() { Process::New } else { Process::Known }
+        if before.is_some() {
+            Process::New
+        } else {
+            Process::Known
+        }
     }
 
     /// True if what is believed of it is followed; `all`: how many beliefs there are of all workers.
-    pub(super) fn follow(&mut self, function: impl AsRef<str> + Into<Arc<str>>, all: &mut usize) -> bool {
+    pub(super) fn follow(
+        &mut self,
+        function: impl AsRef<str> + Into<Arc<str>>,
+        all: &mut usize,
+    ) -> bool {
         if !self.beliefs.contains_key(function.as_ref()) {
             if *all >= MOST_BELIEFS {
                 return false;
@@ -139,7 +149,9 @@
         if self.doubt == 0 {
             return true;
         }
-        let before = self.said_once.insert((function.clone(), kind), self.answers);
+        let before = self
+            .said_once
+            .insert((function.clone(), kind), self.answers);
         before.is_some_and(|n| n + 1 == self.answers)
     }
 
--- a/crates/reconcile/src/reconcile/repairing.rs
+++ b/crates/reconcile/src/reconcile/repairing.rs
@@ -27,7 +27,13 @@
         urgency: f64,
     ) {
         let urgency = (urgency.max(0.0) * 1e3) as u64;
-        let repair = Repair { worker: worker.clone(), function: function.clone(), what, began, urgency };
+        let repair = Repair {
+            worker: worker.clone(),
+            function: function.clone(),
+            what,
+            began,
+            urgency,
+        };
         if !self.repairs.wait(self.now, &mut self.chance, repair) {
             self.counts.repairs_dropped += 1;
         }
@@ -43,25 +49,38 @@
                 let lately = gone.get(owner).is_some_and(|since| now - since < grace);
                 members.contains(owner) || lately
             }
-            Why::Plan(term) => {
-                claims.as_ref().is_some_and(|c| c.terms.contains(term) || c.functions.contains(function))
-            }
-            Why::Retired => !claims.as_ref().is_some_and(|c| c.retired.contains(function)),
+            Why::Plan(term) => claims
+                .as_ref()
+                .is_some_and(|c| c.terms.contains(term) || c.functions.contains(function)),
+            Why::Retired => !claims
+                .as_ref()
+                .is_some_and(|c| c.retired.contains(function)),
         };
         let stands = |r: &Repair| {
-            let Some(place) = places.get(&r.worker).filter(|p| p.rank == 0) else { return false };
-            let untouched = |b: &Belief| b.changed <= r.began && !b.under_way(now) && !b.believed(now);
+            let Some(place) = places.get(&r.worker).filter(|p| p.rank == 0) else {
+                return false;
+            };
+            let untouched =
+                |b: &Belief| b.changed <= r.began && !b.under_way(now) && !b.believed(now);
             let untouched = place.beliefs.get(&r.function).is_none_or(untouched);
             untouched
                 && match &r.what {
                     What::Want => true,
-                    What::Unload { .. } => {
-                        place.unclaimed.get(&r.function).is_some_and(|(_, why)| !claimed(&r.function, why))
-                    }
+                    What::Unload { .. } => place
+                        .unclaimed
+                        .get(&r.function)
+                        .is_some_and(|(_, why)| !claimed(&r.function, why)),
                 }
         };
-        let Some(repair) = self.repairs.take(now, &mut self.chance, stands) else { return };
-        let Repair { worker, function, what, .. } = repair;
+        let Some(repair) = self.repairs.take(now, &mut self.chance, stands) else {
+            return;
+        };
+        let Repair {
+            worker,
+            function,
+            what,
+            ..
+        } = repair;
         match what {
             What::Want => {
                 self.counts.wanted += 1;
@@ -76,7 +95,11 @@
                         b.change(now, kept, Change::Unloaded);
                     }
                 }
-                out.push(Output::Unload { worker, function, term });
+                out.push(Output::Unload {
+                    worker,
+                    function,
+                    term,
+                });
             }
         }
     }
--- a/crates/reconcile/src/reconcile/shown.rs
+++ b/crates/reconcile/src/reconcile/shown.rs
@@ -103,8 +103,16 @@
                 .take(MOST_SHOWN)
                 .collect(),
             answers: p.answers,
-            found: KINDS.iter().map(|k| (*k, p.found[k.ix()])).filter(|f| f.1 > 0).collect(),
-            found_by: KINDS.iter().map(|k| (*k, p.found_by[k.ix()])).filter(|f| f.1 > 0).collect(),
+            found: KINDS
+                .iter()
+                .map(|k| (*k, p.found[k.ix()]))
+                .filter(|f| f.1 > 0)
+                .collect(),
+            found_by: KINDS
+                .iter()
+                .map(|k| (*k, p.found_by[k.ix()]))
+                .filter(|f| f.1 > 0)
+                .collect(),
         })
     }
 }
--- a/crates/reconcile/src/reconcile/turns.rs
+++ b/crates/reconcile/src/reconcile/turns.rs
@@ -35,20 +35,39 @@
     pub(super) fn workers(&mut self, seats: &[Seat]) {
         let now = self.now;
         let named: BTreeSet<&str> = seats.iter().map(|s| &*s.worker).collect();
-        let gone: Vec<Arc<str>> = self.places.keys().filter(|w| !named.contains(&***w)).cloned().collect();
+        let gone: Vec<Arc<str>> = self
+            .places
+            .keys()
+            .filter(|w| !named.contains(&***w))
+            .cloned()
+            .collect();
         for worker in gone {
             self.remove(&worker);
         }
         for seat in seats {
-            if let Some(place) = self.places.get_mut(&seat.worker).filter(|p| p.id == seat.id) {
+            if let Some(place) = self
+                .places
+                .get_mut(&seat.worker)
+                .filter(|p| p.id == seat.id)
+            {
                 place.memory_mb = seat.memory_mb;
                 continue;
             }
             let before = self.remove(&seat.worker);
             // One that just started holds nothing that is worth waiting for.
-            let within = if before.is_some() { self.terms.every / 8 } else { self.terms.every };
+            let within = if before.is_some() {
+                self.terms.every / 8
+            } else {
+                self.terms.every
+            };
             let due = now + (within as f64 * self.chance.draw()) as Micros;
-            let mut place = Place::new(now, seat, self.rank(&seat.id), due, Pace::new(self.terms.every));
+            let mut place = Place::new(
+                now,
+                seat,
+                self.rank(&seat.id),
+                due,
+                Pace::new(self.terms.every),
+            );
             if let Some(before) = before {
                 place.inherit(before);
             }
@@ -75,22 +94,31 @@
         }
         self.gone.retain(|m, _| !members.contains(m));
         self.members = members;
-        let ranks: Vec<(Arc<str>, u32)> =
-            self.places.iter().map(|(w, p)| (w.clone(), self.rank(&p.id))).collect();
+        let ranks: Vec<(Arc<str>, u32)> = self
+            .places
+            .iter()
+            .map(|(w, p)| (w.clone(), self.rank(&p.id)))
+            .collect();
         for (worker, rank) in ranks {
             let soon = now + self.chance.about(self.terms.every);
             if let Some(place) = self.places.get_mut(&worker)
                 && place.rank != rank
             {
                 place.rank = rank;
-                let due = if rank == 0 { place.due.min(soon) } else { place.due.max(soon) };
+                let due = if rank == 0 {
+                    place.due.min(soon)
+                } else {
+                    place.due.max(soon)
+                };
                 self.reschedule(&worker, due);
             }
         }
     }
 
     fn reschedule(&mut self, worker: &Arc<str>, due: Micros) {
-        let Some(place) = self.places.get_mut(worker) else { return };
+        let Some(place) = self.places.get_mut(worker) else {
+            return;
+        };
         self.schedule.remove(&(place.due, worker.clone()));
         place.due = due;
         self.schedule.insert((due, worker.clone()));
@@ -107,8 +135,11 @@
             };
             let turn = place.heard + patience(every).saturating_mul(Micros::from(place.rank));
             let lost = place.asked.map(|at| at + ASK_LOST);
-            if let Some(later) =
-                lost.into_iter().chain((place.rank > 0).then_some(turn)).max().filter(|t| *t > now)
+            if let Some(later) = lost
+                .into_iter()
+                .chain((place.rank > 0).then_some(turn))
+                .max()
+                .filter(|t| *t > now)
             {
                 self.reschedule(&worker, later);
                 continue;
@@ -128,7 +159,9 @@
     /// When a worker that something was heard of is asked next.
     pub(super) fn ask_again(&mut self, worker: &Arc<str>, went: Went) {
         let now = self.now;
-        let Some(place) = self.places.get_mut(worker) else { return };
+        let Some(place) = self.places.get_mut(worker) else {
+            return;
+        };
         let after = place.pace.after(went);
         let due = now + self.chance.about(after);
         self.reschedule(worker, due);
--- a/crates/reconcile/src/repair.rs
+++ b/crates/reconcile/src/repair.rs
@@ -42,19 +42,30 @@
 
 impl Repairs {
     pub fn new(per_s: f64) -> Self {
-        Repairs { between: (1e6 / per_s.max(1e-3)) as Micros, waiting: BTreeMap::new(), next: Micros::MIN }
+        Repairs {
+            between: (1e6 / per_s.max(1e-3)) as Micros,
+            waiting: BTreeMap::new(),
+            next: Micros::MIN,
+        }
     }
 
     /// False if another one was dropped for want of room.
     pub fn wait(&mut self, now: Micros, chance: &mut Chance, repair: Repair) -> bool {
         if self.waiting.is_empty() {
-            self.next = self.next.max(now + (self.between as f64 * chance.draw()) as Micros);
+            self.next = self
+                .next
+                .max(now + (self.between as f64 * chance.draw()) as Micros);
         }
-        self.waiting.insert((repair.worker.clone(), repair.function.clone()), repair);
+        self.waiting
+            .insert((repair.worker.clone(), repair.function.clone()), repair);
         if self.waiting.len() <= MOST_WAITING {
             return true;
         }
-        let least = self.waiting.iter().min_by_key(|r| r.1.urgency).map(|r| r.0.clone());
+        let least = self
+            .waiting
+            .iter()
+            .min_by_key(|r| r.1.urgency)
+            .map(|r| r.0.clone());
         least.map(|key| self.waiting.remove(&key));
         false
     }
@@ -67,7 +78,11 @@
         mut stands: impl FnMut(&Repair) -> bool,
     ) -> Option<Repair> {
         while now >= self.next {
-            let most = self.waiting.iter().max_by_key(|r| r.1.urgency).map(|r| r.0.clone())?;
+            let most = self
+                .waiting
+                .iter()
+                .max_by_key(|r| r.1.urgency)
+                .map(|r| r.0.clone())?;
             let repair = self.waiting.remove(&most)?;
             if stands(&repair) {
                 self.next = now + (self.between as f64 * (0.5 + chance.draw())) as Micros;
@@ -78,7 +93,11 @@
     }
 
     pub fn next_due(&self) -> Micros {
-        if self.waiting.is_empty() { Micros::MAX } else { self.next }
+        if self.waiting.is_empty() {
+            Micros::MAX
+        } else {
+            self.next
+        }
     }
 
     pub fn len(&self) -> usize {
--- a/crates/reconcile/tests/kinds.rs
+++ b/crates/reconcile/tests/kinds.rs
@@ -22,10 +22,25 @@
 impl Desk {
     fn new() -> Desk {
         let (every, grace) = (2 * S, 5 * S);
-        let terms =
-            Terms { me: arc("r0"), every, grace, kept: KEPT, asks_per_s: 50.0, repairs_per_s: 10.0, seed: 3 };
-        let mut desk = Desk { it: Reconciler::new(0, terms), now: 0, out: Vec::new() };
-        let seat = |w: &str| Seat { worker: arc(w), id: arc(&format!("{w}-1")), memory_mb: 1000.0 };
+        let terms = Terms {
+            me: arc("r0"),
+            every,
+            grace,
+            kept: KEPT,
+            asks_per_s: 50.0,
+            repairs_per_s: 10.0,
+            seed: 3,
+        };
+        let mut desk = Desk {
+            it: Reconciler::new(0, terms),
+            now: 0,
+            out: Vec::new(),
+        };
+        let seat = |w: &str| Seat {
+            worker: arc(w),
+            id: arc(&format!("{w}-1")),
+            memory_mb: 1000.0,
+        };
         desk.tell(Input::Workers(vec![seat("w"), seat("v")]));
         desk.pass(S);
         desk
@@ -46,13 +61,23 @@
     }
 
     fn believes(&mut self, function: &str, change: Change) {
-        self.tell(Input::Believes { worker: "w", function, change });
+        self.tell(Input::Believes {
+            worker: "w",
+            function,
+            change,
+        });
     }
 
     /// An order ended well a while ago.
     fn loaded(&mut self, function: &str) {
         self.believes(function, Change::Ordered);
-        self.believes(function, Change::OrderEnded { stands: Some(true), copies: Some(1) });
+        self.believes(
+            function,
+            Change::OrderEnded {
+                stands: Some(true),
+                copies: Some(1),
+            },
+        );
         self.pass(S);
     }
 
@@ -62,15 +87,33 @@
 
     fn ran(&mut self, function: &str, found: bool) {
         self.believes(function, Change::Sent);
-        self.believes(function, Change::Ended { stands: Some(true), found, copy_mb: 10.0 });
+        self.believes(
+            function,
+            Change::Ended {
+                stands: Some(true),
+                found,
+                copy_mb: 10.0,
+            },
+        );
         self.pass(S);
     }
 
     fn answer(&mut self, began: Micros, life: u64, entries: &[Entry]) -> Vec<Output> {
         self.out.clear();
-        let observation = Observation { life: Some(life), entries: entries.to_vec(), cut: false };
-        self.tell(Input::Said { worker: "w", began, observation });
-        self.out.drain(..).filter(|o| !matches!(o, Output::Ask { .. })).collect()
+        let observation = Observation {
+            life: Some(life),
+            entries: entries.to_vec(),
+            cut: false,
+        };
+        self.tell(Input::Said {
+            worker: "w",
+            began,
+            observation,
+        });
+        self.out
+            .drain(..)
+            .filter(|o| !matches!(o, Output::Ask { .. }))
+            .collect()
     }
 
     /// Asked now, answered a little later.
@@ -84,12 +127,21 @@
 }
 
 fn held(function: &str, copies: u32) -> Output {
-    Output::Held { worker: arc("w"), function: arc(function), copies }
+    Output::Held {
+        worker: arc("w"),
+        function: arc(function),
+        copies,
+    }
 }
 
 fn found(kind: Kind, cause: Cause, function: &str) -> Output {
     let function = (!function.is_empty()).then(|| arc(function));
-    Output::Found(Drift { kind, cause, worker: arc("w"), function })
+    Output::Found(Drift {
+        kind,
+        cause,
+        worker: arc("w"),
+        function,
+    })
 }
 
 fn one(function: &str) -> Entry {
@@ -105,11 +157,30 @@
     d.loaded("idle");
     assert_eq!(d.says(&[one("busy"), one("idle"), one("other")]), []);
     let evicted = d.says(&[one("idle"), one("other")]);
-    assert_eq!(evicted, [held("busy", 0), found(Kind::Phantom, Cause::Evicted, "busy")]);
+    assert_eq!(
+        evicted,
+        [
+            held("busy", 0),
+            found(Kind::Phantom, Cause::Evicted, "busy")
+        ]
+    );
     d.pass(S);
-    assert!(d.out.contains(&Output::Want { worker: arc("w"), function: arc("busy") }), "{:?}", d.out);
+    assert!(
+        d.out.contains(&Output::Want {
+            worker: arc("w"),
+            function: arc("busy")
+        }),
+        "{:?}",
+        d.out
+    );
     let lost = d.says(&[one("other")]);
-    assert_eq!(lost, [held("idle", 0), found(Kind::Phantom, Cause::LostLoad, "idle")]);
+    assert_eq!(
+        lost,
+        [
+            held("idle", 0),
+            found(Kind::Phantom, Cause::LostLoad, "idle")
+        ]
+    );
     d.ran("busy", false);
     let flushed = d.says(&[]);
     let cause = |o: &&Output| **o == found(Kind::Phantom, Cause::Flushed, "busy");
@@ -142,15 +213,30 @@
 #[test]
 fn what_stands_and_is_not_believed_is_taken_up_and_kept() {
     let mut d = Desk::new();
-    let by = |who: &str| Entry { ordered_by: Some(arc(who)), ..one("b") };
-    assert_eq!(d.says(&[one("a")]), [held("a", 1), found(Kind::Unseen, Cause::LoadedOnMiss, "a")]);
-    assert!(!d.out.contains(&Output::Ask { worker: arc("w") }), "what others load makes no haste");
-    assert_eq!(d.says(&[one("a"), by("r1")])[1], found(Kind::Unseen, Cause::LoadedElsewhere, "b"));
+    let by = |who: &str| Entry {
+        ordered_by: Some(arc(who)),
+        ..one("b")
+    };
+    assert_eq!(
+        d.says(&[one("a")]),
+        [held("a", 1), found(Kind::Unseen, Cause::LoadedOnMiss, "a")]
+    );
+    assert!(
+        !d.out.contains(&Output::Ask { worker: arc("w") }),
+        "what others load makes no haste"
+    );
+    assert_eq!(
+        d.says(&[one("a"), by("r1")])[1],
+        found(Kind::Unseen, Cause::LoadedElsewhere, "b")
+    );
     d.pass(KEPT - 10 * S);
     // Renewed before the module stops believing, and no drift.
     assert_eq!(d.says(&[one("a"), by("r1")]), [held("a", 1), held("b", 1)]);
     // One that will be evicted for idleness soon is left to run out.
-    let idle = Entry { idle: Some(KEPT - S), ..one("c") };
+    let idle = Entry {
+        idle: Some(KEPT - S),
+        ..one("c")
+    };
     assert_eq!(d.says(&[one("a"), by("r1"), idle]), []);
 }
 
@@ -159,7 +245,13 @@
     let mut d = Desk::new();
     d.loaded("a");
     let many = Entry::plain("a", 3);
-    assert_eq!(d.says(&[many]), [held("a", 3), found(Kind::Miscounted, Cause::PartlyEvicted, "a")]);
+    assert_eq!(
+        d.says(&[many]),
+        [
+            held("a", 3),
+            found(Kind::Miscounted, Cause::PartlyEvicted, "a")
+        ]
+    );
     assert_eq!(d.says(&[one("a")]).len(), 2);
     assert_eq!(d.says(&[one("a")]), []);
 }
@@ -172,19 +264,35 @@
         d.believes("a", Change::Session { id: arc(id), over });
     }
     d.pass(S);
-    let with = |ids: &[&str]| Entry { sequences: Some(ids.iter().map(|i| arc(i)).collect()), ..one("a") };
+    let with = |ids: &[&str]| Entry {
+        sequences: Some(ids.iter().map(|i| arc(i)).collect()),
+        ..one("a")
+    };
     // A worker that says nothing of sessions proves nothing; one that ended is not missed.
     assert_eq!(d.says(&[one("a")]), []);
     assert_eq!(d.says(&[with(&["s1", "s2"])]), []);
     let lost = |ids: &[&str]| {
         let sessions = ids.iter().map(|i| arc(i)).collect();
-        Output::PrefixLost { worker: arc("w"), function: arc("a"), sessions }
+        Output::PrefixLost {
+            worker: arc("w"),
+            function: arc("a"),
+            sessions,
+        }
     };
-    assert_eq!(d.says(&[with(&["s2"])]), [lost(&["s1"]), found(Kind::PrefixLost, Cause::Evicted, "a")]);
+    assert_eq!(
+        d.says(&[with(&["s2"])]),
+        [lost(&["s1"]), found(Kind::PrefixLost, Cause::Evicted, "a")]
+    );
     // One that began after the ask did is not missed.
     let began = d.now;
     d.pass(S);
-    d.believes("a", Change::Session { id: arc("s4"), over: false });
+    d.believes(
+        "a",
+        Change::Session {
+            id: arc("s4"),
+            over: false,
+        },
+    );
     assert_eq!(d.answer(began, 1, &[with(&["s2"])]), []);
     d.pass(S);
     assert!(d.says(&[]).contains(&lost(&["s2", "s4"])), "with its copy");
@@ -199,13 +307,23 @@
     let began = d.now;
     d.pass(S);
     let again = d.answer(began, 2, &[one("b")]);
-    assert_eq!(again, [found(Kind::OtherIncarnation, Cause::Restarted, ""), held("a", 0)]);
+    assert_eq!(
+        again,
+        [
+            found(Kind::OtherIncarnation, Cause::Restarted, ""),
+            held("a", 0)
+        ]
+    );
     // Of the earlier process: even one that left later.
     let late = d.answer(began + 1, 1, &[one("a")]);
     assert_eq!((late, d.it.counts.void_of_earlier_process), (vec![], 1));
     assert!(!d.it.believes_in("w", "a") && d.it.believes_in("w", "b"));
     // Told by the list, it is asked in haste, and nothing is believed.
-    let seat = |w: &str, n: u32| Seat { worker: arc(w), id: arc(&format!("{w}-{n}")), memory_mb: 0.0 };
+    let seat = |w: &str, n: u32| Seat {
+        worker: arc(w),
+        id: arc(&format!("{w}-{n}")),
+        memory_mb: 0.0,
+    };
     d.tell(Input::Workers(vec![seat("w", 2), seat("v", 1)]));
     d.out.clear();
     assert!(!d.it.believes_in("w", "b"));
@@ -213,7 +331,10 @@
     assert!(d.out.contains(&Output::Ask { worker: arc("w") }));
     d.used("c");
     d.answer(d.now, 2, &[one("c"), one("z")]);
-    assert!(!d.it.believes_in("w", "z"), "the list said that this process is gone");
+    assert!(
+        !d.it.believes_in("w", "z"),
+        "the list said that this process is gone"
+    );
 }
 
 #[test]
@@ -226,7 +347,10 @@
     assert!(d.it.believes_in("w", "a") && d.it.counts.left_belief_newer == 1);
     // Nor does one that is older than what was taken already.
     assert_eq!(d.says(&[one("a"), one("b")]).len(), 2);
-    assert_eq!((d.answer(began, 1, &[]), d.it.counts.void_older), (vec![], 1));
+    assert_eq!(
+        (d.answer(began, 1, &[]), d.it.counts.void_older),
+        (vec![], 1)
+    );
 }
 
 #[test]
@@ -240,18 +364,41 @@
     // Nor is it taken up before its load has ended, though another copy stands there.
     d.believes("d", Change::Ordered);
     d.pass(S);
-    let loading = Entry { loading: true, copies: 0, ..one("b") };
-    assert_eq!(d.answer(d.now - 2, 1, &[one("a"), one("b"), one("c"), one("d")]), []);
+    let loading = Entry {
+        loading: true,
+        copies: 0,
+        ..one("b")
+    };
+    assert_eq!(
+        d.answer(d.now - 2, 1, &[one("a"), one("b"), one("c"), one("d")]),
+        []
+    );
     d.pass(S);
     let said = d.answer(d.now - 1, 1, std::slice::from_ref(&loading));
-    assert_eq!(said, [held("c", 0), found(Kind::Phantom, Cause::Evicted, "c")]);
+    assert_eq!(
+        said,
+        [held("c", 0), found(Kind::Phantom, Cause::Evicted, "c")]
+    );
     assert_eq!(d.it.counts.left_under_load, 4);
     // What was to be loaded again and is being loaded by now is not asked for.
     d.believes("c", Change::Sent);
     d.pass(5 * S);
     assert_eq!(d.it.counts.wanted, 0);
-    d.believes("c", Change::Ended { stands: None, found: false, copy_mb: 0.0 });
-    d.believes("a", Change::OrderEnded { stands: Some(true), copies: Some(1) });
+    d.believes(
+        "c",
+        Change::Ended {
+            stands: None,
+            found: false,
+            copy_mb: 0.0,
+        },
+    );
+    d.believes(
+        "a",
+        Change::OrderEnded {
+            stands: Some(true),
+            copies: Some(1),
+        },
+    );
     d.pass(S);
     assert_eq!(d.says(&[loading])[0], held("a", 0));
 }
@@ -286,7 +433,10 @@
         d.pass(S);
         d.answer(d.now, life, what).len()
     };
-    assert_eq!([say(1, &[one("a")]), say(7, &[]), say(1, &[one("a")])], [0, 2, 0]);
+    assert_eq!(
+        [say(1, &[one("a")]), say(7, &[]), say(1, &[one("a")])],
+        [0, 2, 0]
+    );
     assert_eq!(say(1, &[one("a")]), 1, "said twice: another process");
     assert_eq!(say(1, &[one("a")]), 2, "and by now what it holds, too");
 }
@@ -302,7 +452,13 @@
 
 fn orphan(function: &str, by: &str, term: Option<&str>) -> Entry {
     let (ordered_by, term) = (Some(arc(by)), term.map(arc));
-    Entry { ordered_by, term, busy: Some(0), idle: Some(2 * KEPT), ..one(function) }
+    Entry {
+        ordered_by,
+        term,
+        busy: Some(0),
+        idle: Some(2 * KEPT),
+        ..one(function)
+    }
 }
 
 #[test]
@@ -313,7 +469,9 @@
         retired: [arc("old")].into(),
     };
     // Its owner comes back later, and this router stays the first all the same.
-    let back = (0..99).map(|n| format!("x{n}")).find(|x| rank("w-1", "r0", &[arc("r0"), arc(x)]) == 0);
+    let back = (0..99)
+        .map(|n| format!("x{n}"))
+        .find(|x| rank("w-1", "r0", &[arc("r0"), arc(x)]) == 0);
     let back = back.expect("one that goes after it");
     let mut d = at_orphans(claims);
     let said = [
@@ -323,8 +481,14 @@
         orphan("wanted", "r1", None),
         orphan("planned", "r1", Some("7.1")),
         orphan("mine", "r0", None),
-        Entry { busy: Some(1), ..orphan("busy", "r1", None) },
-        Entry { idle: Some(S), ..orphan("lately", "r1", None) },
+        Entry {
+            busy: Some(1),
+            ..orphan("busy", "r1", None)
+        },
+        Entry {
+            idle: Some(S),
+            ..orphan("lately", "r1", None)
+        },
     ];
     let kinds = [
         found(Kind::Orphan, Cause::PlanEnded, "ended"),
@@ -344,7 +508,11 @@
         all
     };
     d.pass(3 * S);
-    assert_eq!((d.says(&said), unloads(&mut d)), (vec![], vec![]), "within the grace");
+    assert_eq!(
+        (d.says(&said), unloads(&mut d)),
+        (vec![], vec![]),
+        "within the grace"
+    );
     d.pass(5 * S);
     d.says(&said);
     d.pass(3 * S);
@@ -355,7 +523,10 @@
     d.answer(d.now - 1, 1, &said);
     // Meanwhile its owner came back, a plan lays claim, an invocation uses it.
     d.tell(Input::Members(vec![arc("r0"), arc(&back)]));
-    d.tell(Input::Claims(Claims { terms: [arc("6.0")].into(), ..Claims::default() }));
+    d.tell(Input::Claims(Claims {
+        terms: [arc("6.0")].into(),
+        ..Claims::default()
+    }));
     assert_eq!(d.it.repairs_waiting(), 3);
     d.pass(3 * S);
     assert_eq!(d.it.repairs_waiting(), 0);
@@ -364,7 +535,9 @@
 
 #[test]
 fn who_is_no_longer_first_leaves_a_repair_to_another() {
-    let other = (0..99).map(|n| format!("x{n}")).find(|x| rank("w-1", "r0", &[arc("r0"), arc(x)]) == 1);
+    let other = (0..99)
+        .map(|n| format!("x{n}"))
+        .find(|x| rank("w-1", "r0", &[arc("r0"), arc(x)]) == 1);
     let other = other.expect("one that goes before it");
     let mut d = at_orphans(Claims::default());
     d.says(&[orphan("gone", "r1", None)]);
@@ -393,8 +566,15 @@
         };
         d.it = Reconciler::new(0, terms);
         d.tell(Input::Members(members.clone()));
-        d.tell(Input::Workers(vec![Seat { worker: arc("w"), id: arc("w-1"), memory_mb: 0.0 }]));
-        let said = [Entry { idle: Some(KEPT), ..orphan("gone", "x", None) }];
+        d.tell(Input::Workers(vec![Seat {
+            worker: arc("w"),
+            id: arc("w-1"),
+            memory_mb: 0.0,
+        }]));
+        let said = [Entry {
+            idle: Some(KEPT),
+            ..orphan("gone", "x", None)
+        }];
         // All ask at once, as after a change of view.
         let out = (d.says(&said), d.says(&said)).0;
         let note = out.iter().find_map(|o| match o {
@@ -406,7 +586,12 @@
         let unloaded = d.it.counts.unloaded;
         unloads += u64::from(unloaded > 0);
         asks += u64::from(d.it.counts.asks > 0);
-        d.tell(Input::Noted { id: &id, version: (0, version.1 + 9), transit: 0, value: &value });
+        d.tell(Input::Noted {
+            id: &id,
+            version: (0, version.1 + 9),
+            transit: 0,
+            value: &value,
+        });
         d.pass(S);
         assert_eq!(d.it.counts.unloaded, unloaded, "a note repairs nothing");
     }
@@ -417,19 +602,41 @@
 fn a_note_is_as_old_as_it_may_have_been_under_way() {
     let mut other = Desk::new();
     other.tell(Input::Members(["r0", "r1"].map(arc).to_vec()));
-    let Some(Output::Note { id, value, .. }) = other.says(&[one("b")]).into_iter().next() else { panic!() };
+    let Some(Output::Note { id, value, .. }) = other.says(&[one("b")]).into_iter().next() else {
+        panic!()
+    };
     let mut d = Desk::new();
     d.loaded("a");
     let mut note = |version, transit, value: &[u8]| {
         d.out.clear();
-        d.tell(Input::Noted { id: &id, version: (0, version), transit, value });
-        d.out.iter().filter(|o| matches!(o, Output::Held { .. })).count()
+        d.tell(Input::Noted {
+            id: &id,
+            version: (0, version),
+            transit,
+            value,
+        });
+        d.out
+            .iter()
+            .filter(|o| matches!(o, Output::Held { .. }))
+            .count()
     };
-    assert_eq!(note(1, 5 * S, &value), 1, "of what changed since nothing is said");
+    assert_eq!(
+        note(1, 5 * S, &value),
+        1,
+        "of what changed since nothing is said"
+    );
     assert_eq!(note(2, S / 2, &value), 1, "gone since");
     assert_eq!([note(2, 0, &value), note(3, 0, &[9, 9, 9])], [0, 0]);
     let c = d.it.counts;
-    assert_eq!((c.notes, c.notes_old, c.notes_unreadable, c.left_belief_newer), (4, 1, 1, 1));
+    assert_eq!(
+        (
+            c.notes,
+            c.notes_old,
+            c.notes_unreadable,
+            c.left_belief_newer
+        ),
+        (4, 1, 1, 1)
+    );
 }
 
 #[test]
@@ -439,18 +646,43 @@
         let function = format!("f{n}");
         for _ in 0..=n % 8 {
             d.believes(&function, Change::Sent);
-            d.believes(&function, Change::Ended { stands: Some(true), found: true, copy_mb: 1.0 });
+            d.believes(
+                &function,
+                Change::Ended {
+                    stands: Some(true),
+                    found: true,
+                    copy_mb: 1.0,
+                },
+            );
         }
     }
     d.pass(S);
-    assert_eq!(d.says(&[]).iter().filter(|o| matches!(o, Output::Held { copies: 0, .. })).count(), 40);
-    let wanted = |d: &Desk| d.out.iter().filter(|o| matches!(o, Output::Want { .. })).count();
-    assert!((6..=20).contains(&wanted(&d)), "ten a second, spread by chance: {}", wanted(&d));
+    assert_eq!(
+        d.says(&[])
+            .iter()
+            .filter(|o| matches!(o, Output::Held { copies: 0, .. }))
+            .count(),
+        40
+    );
+    let wanted = |d: &Desk| {
+        d.out
+            .iter()
+            .filter(|o| matches!(o, Output::Want { .. }))
+            .count()
+    };
+    assert!(
+        (6..=20).contains(&wanted(&d)),
+        "ten a second, spread by chance: {}",
+        wanted(&d)
+    );
     let first = d.out.iter().find_map(|o| match o {
         Output::Want { function, .. } => Some(function.to_string()),
         _ => None,
     });
-    assert_eq!(first.map(|f| f[1..].parse::<u32>().expect("a number") % 8), Some(7));
+    assert_eq!(
+        first.map(|f| f[1..].parse::<u32>().expect("a number") % 8),
+        Some(7)
+    );
     d.pass(20 * S);
     assert!(d.it.counts.wanted <= 40 && d.it.repairs_waiting() == 0);
 }
@@ -480,7 +712,11 @@
         };
         d.it = Reconciler::new(0, terms);
         d.tell(Input::Members(members.to_vec()));
-        d.tell(Input::Workers(vec![Seat { worker: arc("w"), id: arc("w-1"), memory_mb: 0.0 }]));
+        d.tell(Input::Workers(vec![Seat {
+            worker: arc("w"),
+            id: arc("w-1"),
+            memory_mb: 0.0,
+        }]));
         d.out.clear();
         let began = d.now;
         while !d.out.contains(&Output::Ask { worker: arc("w") }) {
--- a/crates/reconcile/tests/simulated.rs
+++ b/crates/reconcile/tests/simulated.rs
@@ -108,8 +108,15 @@
             world.pass(150_000);
         }
         world.pass(10 * S);
-        let drift: Vec<_> = world.found.iter().filter(|d| d.kind != Kind::Unseen).collect();
-        assert!(drift.is_empty() && world.wants == 0 && world.unloads.is_empty(), "{drift:?}");
+        let drift: Vec<_> = world
+            .found
+            .iter()
+            .filter(|d| d.kind != Kind::Unseen)
+            .collect();
+        assert!(
+            drift.is_empty() && world.wants == 0 && world.unloads.is_empty(),
+            "{drift:?}"
+        );
         assert!(world.wrongs.is_empty() && world.differs().is_empty());
     }
 }
@@ -122,7 +129,11 @@
         (0..6).for_each(|w| world.load_by(w, "left", "x"));
         world.pass(2 * KEPT + GRACE + 2 * ROUND);
         assert_eq!(world.unloads.len(), 6);
-        assert!(world.unloads.values().all(|n| *n == 1) && world.wrongs.is_empty(), "{:?}", world.wrongs);
+        assert!(
+            world.unloads.values().all(|n| *n == 1) && world.wrongs.is_empty(),
+            "{:?}",
+            world.wrongs
+        );
     }
 }
 
@@ -139,8 +150,15 @@
     }
     let after: u64 = world.workers.iter().map(|w| w.asked).sum();
     assert!(world.wrongs.is_empty(), "{:?}", world.wrongs);
-    let phantoms = world.found.iter().filter(|d| d.kind == Kind::Phantom).count();
-    ((after - before) as f64 / workers as f64 / 60.0, phantoms as u64)
+    let phantoms = world
+        .found
+        .iter()
+        .filter(|d| d.kind == Kind::Phantom)
+        .count();
+    (
+        (after - before) as f64 / workers as f64 / 60.0,
+        phantoms as u64,
+    )
 }
 
 #[test]
@@ -149,7 +167,10 @@
     for routers in [9, 300] {
         let many = asks(routers, 12);
         println!("asks a worker a second: {few:?} with 3 routers, {many:?} with {routers}");
-        assert!(many.0 < few.0 * 1.5 && many.0 > few.0 / 1.5, "{few:?} {many:?}");
+        assert!(
+            many.0 < few.0 * 1.5 && many.0 > few.0 / 1.5,
+            "{few:?} {many:?}"
+        );
         assert!(many.1 > 0);
     }
 }
--- a/crates/reconcile/tests/world/mod.rs
+++ b/crates/reconcile/tests/world/mod.rs
@@ -140,8 +140,13 @@
 impl World {
     pub fn new(seed: u64, routers: usize, workers: usize, asks_per_s: f64) -> World {
         let members: Vec<Arc<str>> = (0..routers).map(|r| arc(&router(r))).collect();
-        let seats =
-            |_| (0..workers).map(|w| Seat { worker: arc(&worker(w)), id: arc(&worker(w)), memory_mb: 0.0 });
+        let seats = |_| {
+            (0..workers).map(|w| Seat {
+                worker: arc(&worker(w)),
+                id: arc(&worker(w)),
+                memory_mb: 0.0,
+            })
+        };
         let machine = |r: usize| {
             let terms = Terms {
                 me: members[r].clone(),
@@ -159,9 +164,19 @@
         };
         World {
             now: 0,
-            workers: (0..workers).map(|_| Worker { life: 1, ..Worker::default() }).collect(),
+            workers: (0..workers)
+                .map(|_| Worker {
+                    life: 1,
+                    ..Worker::default()
+                })
+                .collect(),
             routers: (0..routers).map(machine).collect(),
-            cores: (0..routers).map(|_| Core { alive: true, ..Core::default() }).collect(),
+            cores: (0..routers)
+                .map(|_| Core {
+                    alive: true,
+                    ..Core::default()
+                })
+                .collect(),
             due: BinaryHeap::new(),
             what: BTreeMap::new(),
             serial: 0,
@@ -190,7 +205,11 @@
     pub fn set(&mut self, w: usize, f: &str, copies: u32) {
         let worker = &mut self.workers[w];
         worker.holds.entry(f.to_owned()).or_default().copies = copies;
-        worker.past.entry(f.to_owned()).or_default().push((self.now, copies));
+        worker
+            .past
+            .entry(f.to_owned())
+            .or_default()
+            .push((self.now, copies));
     }
 
     pub fn flush(&mut self, w: usize) {
@@ -215,30 +234,61 @@
     pub fn order(&mut self, r: usize, w: usize, f: &str) {
         if self.cores[r].alive {
             self.believes(r, w, f, Change::Ordered);
-            *self.cores[r].under_way.entry((w, f.to_owned())).or_default() += 1;
-            self.later(LOAD / 10, Due::Loads { router: r, worker: w, function: f.to_owned(), order: true });
+            *self.cores[r]
+                .under_way
+                .entry((w, f.to_owned()))
+                .or_default() += 1;
+            self.later(
+                LOAD / 10,
+                Due::Loads {
+                    router: r,
+                    worker: w,
+                    function: f.to_owned(),
+                    order: true,
+                },
+            );
         }
     }
 
     pub fn dispatch(&mut self, r: usize, w: usize, f: &str) {
         if self.cores[r].alive {
             self.believes(r, w, f, Change::Sent);
-            *self.cores[r].under_way.entry((w, f.to_owned())).or_default() += 1;
-            self.later(LOAD / 10, Due::Loads { router: r, worker: w, function: f.to_owned(), order: false });
+            *self.cores[r]
+                .under_way
+                .entry((w, f.to_owned()))
+                .or_default() += 1;
+            self.later(
+                LOAD / 10,
+                Due::Loads {
+                    router: r,
+                    worker: w,
+                    function: f.to_owned(),
+                    order: false,
+                },
+            );
         }
     }
 
     pub fn kill(&mut self, r: usize) {
         self.cores[r].alive = false;
-        let members: Vec<Arc<str>> =
-            (0..self.routers.len()).filter(|r| self.cores[*r].alive).map(|r| arc(&router(r))).collect();
+        let members: Vec<Arc<str>> = (0..self.routers.len())
+            .filter(|r| self.cores[*r].alive)
+            .map(|r| arc(&router(r)))
+            .collect();
         for r in 0..self.routers.len() {
             self.handle(r, Input::Members(members.clone()));
         }
     }
 
     fn believes(&mut self, r: usize, w: usize, f: &str, change: Change) {
-        self.handle(r, Input::Believes { worker: &worker(w), function: f, change });
+        self.handle(
+            r,
+            Input::Believes {
+                worker: &worker(w),
+                function: f,
+                change,
+            },
+        );
     }
 
     fn handle(&mut self, r: usize, input: Input) {
@@ -256,9 +306,20 @@
             Output::Ask { worker } => {
                 let (w, now) = (ix(&worker), self.now);
                 self.workers[w].asked += 1;
-                self.later(LOAD / 10, Due::Looked { router: r, worker: w, began: now });
+                self.later(
+                    LOAD / 10,
+                    Due::Looked {
+                        router: r,
+                        worker: w,
+                        began: now,
+                    },
+                );
             }
-            Output::Held { worker, function, copies } => {
+            Output::Held {
+                worker,
+                function,
+                copies,
+            } => {
                 let w = ix(&worker);
                 self.is_true(r, w, &function, copies);
                 let (core, key) = (&mut self.cores[r], (w, function.to_string()));
@@ -271,20 +332,32 @@
                 self.wants += 1;
                 let (w, f) = (ix(&worker), function.to_string());
                 if self.cores[r].under_way.contains_key(&(w, f.clone())) {
-                    self.wrongs.push(format!("{f} at {w} is wanted while it is under way"));
+                    self.wrongs
+                        .push(format!("{f} at {w} is wanted while it is under way"));
                 }
                 self.order(r, w, &f);
             }
-            Output::Unload { worker, function, .. } => {
+            Output::Unload {
+                worker, function, ..
+            } => {
                 let (w, f) = (ix(&worker), function.to_string());
                 *self.unloads.entry((w, f.clone())).or_default() += 1;
                 let (now, key) = (self.now, (w, f.clone()));
-                let used = |c: &Core| c.alive && c.believes.get(&key).is_some_and(|until| now < *until);
+                let used =
+                    |c: &Core| c.alive && c.believes.get(&key).is_some_and(|until| now < *until);
                 if self.cores.iter().any(used) {
-                    self.wrongs.push(format!("{f} at {w} is unloaded while a router believes in it"));
+                    self.wrongs.push(format!(
+                        "{f} at {w} is unloaded while a router believes in it"
+                    ));
                 }
-                if self.cores.iter().any(|c| c.alive && c.under_way.contains_key(&key)) {
-                    self.wrongs.push(format!("{f} at {w} is unloaded while its load is under way"));
+                if self
+                    .cores
+                    .iter()
+                    .any(|c| c.alive && c.under_way.contains_key(&key))
+                {
+                    self.wrongs.push(format!(
+                        "{f} at {w} is unloaded while its load is under way"
+                    ));
                 }
                 self.set(w, &f, 0);
             }
@@ -295,7 +368,17 @@
                         continue;
                     }
                     let (id, value) = (id.clone(), Arc::clone(&value));
-                    self.later(LOAD / 10, Due::Noted { router: to, id, version, left, began, value });
+                    self.later(
+                        LOAD / 10,
+                        Due::Noted {
+                            router: to,
+                            id,
+                            version,
+                            left,
+                            began,
+                            value,
+                        },
+                    );
                 }
             }
             Output::PrefixLost { .. } => {}
@@ -311,16 +394,26 @@
         let before = past.iter().rev().find(|p| p.0 <= began).map_or(0, |p| p.1);
         let was = before == copies || past.iter().any(|p| p.0 >= began && p.1 == copies);
         if !was && !self.workers[w].lied {
-            self.wrongs.push(format!("{f} at {w}: {copies} were never there since {began}"));
+            self.wrongs.push(format!(
+                "{f} at {w}: {copies} were never there since {began}"
+            ));
         }
-        if self.cores[r].evidence.get(&key).is_some_and(|at| *at >= began) {
-            self.wrongs.push(format!("{f} at {w}: an older observation overturned a newer belief"));
+        if self.cores[r]
+            .evidence
+            .get(&key)
+            .is_some_and(|at| *at >= began)
+        {
+            self.wrongs.push(format!(
+                "{f} at {w}: an older observation overturned a newer belief"
+            ));
         }
         if self.cores[r].under_way.contains_key(&key)
             && copies == 0
             && !self.cores[r].believes.contains_key(&key)
         {
-            self.wrongs.push(format!("{f} at {w} is repaired while its load is under way"));
+            self.wrongs.push(format!(
+                "{f} at {w} is repaired while its load is under way"
+            ));
         }
     }
 
@@ -336,10 +429,18 @@
     ) {
         let shown = |it: &World| {
             let name = worker(w);
-            it.routers[r].shown().find(|s| s.worker == name).map(|s| (s.doubt, s.life)).expect("it knows it")
+            it.routers[r]
+                .shown()
+                .find(|s| s.worker == name)
+                .map(|s| (s.doubt, s.life))
+                .expect("it knows it")
         };
         let began_of = |it: &World| {
-            it.routers[r].observed().find(|o| **o.0 == *worker(w)).map(|o| o.1).unwrap_or(Micros::MIN)
+            it.routers[r]
+                .observed()
+                .find(|o| **o.0 == *worker(w))
+                .map(|o| o.1)
+                .unwrap_or(Micros::MIN)
         };
         let (before, doubted) = (began_of(self), shown(self).0 > 0);
         take(self);
@@ -350,9 +451,14 @@
         if life != said.life {
             return;
         }
-        let believed = self.cores[r].believes.keys().filter(|k| k.0 == w).map(|k| k.1.clone());
-        let all: BTreeSet<String> =
-            believed.chain(said.entries.iter().map(|e| e.function.to_string())).collect();
+        let believed = self.cores[r]
+            .believes
+            .keys()
+            .filter(|k| k.0 == w)
+            .map(|k| k.1.clone());
+        let all: BTreeSet<String> = believed
+            .chain(said.entries.iter().map(|e| e.function.to_string()))
+            .collect();
         for f in all {
             let key = (w, f.clone());
             let entry = said.entries.iter().find(|e| *e.function == *f);
@@ -362,20 +468,30 @@
                 && entry.is_none_or(|e| !e.loading)
                 && core.evidence.get(&key).is_none_or(|at| *at < began);
             // It may leave before it is asked about again, or is not for use.
-            let member = |by: &str| (0..self.cores.len()).any(|r| self.cores[r].alive && router(r) == by);
+            let member =
+                |by: &str| (0..self.cores.len()).any(|r| self.cores[r].alive && router(r) == by);
             let left_alone = entry.is_some_and(|e| {
                 e.ordered_by.as_deref().is_some_and(|by| !member(by))
                     || e.idle.is_some_and(|idle| idle > KEPT / 2)
             });
-            let believes = core.believes.get(&key).is_some_and(|until| self.now < *until);
+            let believes = core
+                .believes
+                .get(&key)
+                .is_some_and(|until| self.now < *until);
             let at = (r, w, f.clone());
-            let before = self.apart.remove(&at).filter(|a| a.1 == believes).map_or(0, |a| a.0);
+            let before = self
+                .apart
+                .remove(&at)
+                .filter(|a| a.1 == believes)
+                .map_or(0, |a| a.0);
             if !free || left_alone || believes == stands {
                 continue;
             }
             let (rounds, most) = (before + 1, if doubted { DOUBTED_ROUNDS } else { ROUNDS });
             if rounds >= most {
-                self.wrongs.push(format!("{f} at {w}: {r} has not found it in {rounds} rounds"));
+                self.wrongs.push(format!(
+                    "{f} at {w}: {r} has not found it in {rounds} rounds"
+                ));
             }
             self.apart.insert(at, (rounds, believes));
         }
@@ -385,11 +501,20 @@
         let now = self.now;
         let spoilt = self.workers[w].spoilt;
         let mut entries = Vec::new();
-        for (name, c) in self.workers[w].holds.clone().iter().filter(|(_, c)| c.copies > 0 || c.loading > 0) {
+        for (name, c) in self.workers[w]
+            .holds
+            .clone()
+            .iter()
+            .filter(|(_, c)| c.copies > 0 || c.loading > 0)
+        {
             let mut copies = c.copies;
             if spoilt.is_some_and(|n| self.chance.draw() * (n as f64) < 1.0) {
                 self.workers[w].lied = true;
-                copies = if self.chance.draw() < 0.5 { 0 } else { copies + 1 };
+                copies = if self.chance.draw() < 0.5 {
+                    0
+                } else {
+                    copies + 1
+                };
             }
             let (busy, idle, loading) = (Some(0), Some(now - c.used), c.loading > 0);
             entries.push(Entry {
@@ -400,33 +525,80 @@
                 ..Entry::plain(name, copies)
             });
         }
-        Observation { life: Some(self.workers[w].life), entries, cut: false }
+        Observation {
+            life: Some(self.workers[w].life),
+            entries,
+            cut: false,
+        }
     }
 
     fn happens(&mut self, due: Due) {
         match due {
-            Due::Looked { router, worker, began } => {
+            Due::Looked {
+                router,
+                worker,
+                began,
+            } => {
                 let answer = match self.workers[worker].silent {
                     true => Due::Silent { router, worker },
-                    false => Due::Said { router, worker, began, observation: self.look(worker) },
+                    false => Due::Said {
+                        router,
+                        worker,
+                        began,
+                        observation: self.look(worker),
+                    },
                 };
                 self.later(LOAD / 10, answer);
             }
-            Due::Said { router, worker: w, began, observation } => {
+            Due::Said {
+                router,
+                worker: w,
+                began,
+                observation,
+            } => {
                 self.began = began;
                 self.rounds(router, w, began, &observation, |it| {
                     let observation = observation.clone();
-                    it.handle(router, Input::Said { worker: &worker(w), began, observation });
+                    it.handle(
+                        router,
+                        Input::Said {
+                            worker: &worker(w),
+                            began,
+                            observation,
+                        },
+                    );
                 });
             }
-            Due::Silent { router, worker: w } => self.handle(router, Input::Silent { worker: &worker(w) }),
-            Due::Noted { router, id, version, left, began, value } => {
+            Due::Silent { router, worker: w } => {
+                self.handle(router, Input::Silent { worker: &worker(w) })
+            }
+            Due::Noted {
+                router,
+                id,
+                version,
+                left,
+                began,
+                value,
+            } => {
                 // Known is only that it was under way for no longer than this.
                 let transit = self.now - left + (self.chance.draw() * LOAD as f64) as Micros;
                 self.began = began;
-                self.handle(router, Input::Noted { id: &id, version, transit, value: &value });
+                self.handle(
+                    router,
+                    Input::Noted {
+                        id: &id,
+                        version,
+                        transit,
+                        value: &value,
+                    },
+                );
             }
-            Due::Loads { router: r, worker: w, function: f, order } => {
+            Due::Loads {
+                router: r,
+                worker: w,
+                function: f,
+                order,
+            } => {
                 let life = self.workers[w].life;
                 let stands = self.holds(w, &f) > 0;
                 if let Some(c) = self.workers[w].holds.get_mut(&f).filter(|c| c.copies > 0) {
@@ -435,16 +607,37 @@
                         c.by = Some(arc(&router(r)));
                     }
                 }
-                let over =
-                    Due::Over { router: r, worker: w, function: f.clone(), order, found: stands, well: true };
+                let over = Due::Over {
+                    router: r,
+                    worker: w,
+                    function: f.clone(),
+                    order,
+                    found: stands,
+                    well: true,
+                };
                 if stands {
                     self.later(LOAD / 10, over);
                 } else {
                     self.workers[w].holds.entry(f.clone()).or_default().loading += 1;
-                    self.later(LOAD, Due::Loaded { router: r, worker: w, function: f, life, order });
+                    self.later(
+                        LOAD,
+                        Due::Loaded {
+                            router: r,
+                            worker: w,
+                            function: f,
+                            life,
+                            order,
+                        },
+                    );
                 }
             }
-            Due::Loaded { router: r, worker: w, function: f, life, order } => {
+            Due::Loaded {
+                router: r,
+                worker: w,
+                function: f,
+                life,
+                order,
+            } => {
                 let well = self.workers[w].life == life;
                 if well {
                     let copies = self.holds(w, &f).max(1);
@@ -452,12 +645,30 @@
                     let now = self.now;
                     let c = self.workers[w].holds.entry(f.clone()).or_default();
                     (c.loading, c.used) = (c.loading.saturating_sub(1), now);
-                    c.by = if order { Some(arc(&router(r))) } else { c.by.clone() };
+                    c.by = if order {
+                        Some(arc(&router(r)))
+                    } else {
+                        c.by.clone()
+                    };
                 }
-                let over = Due::Over { router: r, worker: w, function: f, order, found: false, well };
+                let over = Due::Over {
+                    router: r,
+                    worker: w,
+                    function: f,
+                    order,
+                    found: false,
+                    well,
+                };
                 self.later(LOAD / 10, over);
             }
-            Due::Over { router: r, worker: w, function: f, order, found, well } => {
+            Due::Over {
+                router: r,
+                worker: w,
+                function: f,
+                order,
+                found,
+                well,
+            } => {
                 let key = (w, f.clone());
                 let core = &mut self.cores[r];
                 if let Some(n) = core.under_way.get_mut(&key) {
@@ -483,8 +694,15 @@
                     None
                 };
                 let change = match order {
-                    true => Change::OrderEnded { stands, copies: None },
-                    false => Change::Ended { stands, found, copy_mb: 10.0 },
+                    true => Change::OrderEnded {
+                        stands,
+                        copies: None,
+                    },
+                    false => Change::Ended {
+                        stands,
+                        found,
+                        copy_mb: 10.0,
+                    },
                 };
                 self.believes(r, w, &f, change);
             }
@@ -519,13 +737,22 @@
     pub fn differs(&self) -> Vec<String> {
         let mut all = Vec::new();
         for (r, core) in self.cores.iter().enumerate().filter(|(_, c)| c.alive) {
-            let believed =
-                |w: usize, f: &str| core.believes.get(&(w, f.to_owned())).is_some_and(|u| self.now < *u);
+            let believed = |w: usize, f: &str| {
+                core.believes
+                    .get(&(w, f.to_owned()))
+                    .is_some_and(|u| self.now < *u)
+            };
             for (w, worker) in self.workers.iter().enumerate() {
-                let phantom = core.believes.iter().filter(|(k, u)| k.0 == w && self.now < **u);
+                let phantom = core
+                    .believes
+                    .iter()
+                    .filter(|(k, u)| k.0 == w && self.now < **u);
                 let phantom = phantom.filter(|(k, _)| self.holds(w, &k.1) == 0);
                 all.extend(phantom.map(|(k, _)| format!("{r} believes in {} at {w}", k.1)));
-                let fresh = worker.holds.iter().filter(|(_, c)| c.copies > 0 && self.now - c.used < KEPT / 2);
+                let fresh = worker
+                    .holds
+                    .iter()
+                    .filter(|(_, c)| c.copies > 0 && self.now - c.used < KEPT / 2);
                 // What is ordered by one that is gone is not for use.
                 let fresh = fresh.filter(|(_, c)| c.by.as_deref().is_none_or(|by| by != "x"));
                 let unseen = fresh.filter(|(f, _)| !believed(w, f));
--- a/crates/replica/benches/sharing_cost.rs
+++ b/crates/replica/benches/sharing_cost.rs
@@ -12,8 +12,18 @@
 fn print_catch_up() {
     const ALL: u64 = 100_000;
     for answer in [0, 200] {
-        for (lacking, folder) in [(1, true), (100, true), (1_000, true), (10_000, true), (ALL, false)] {
-            let CatchUp { waited_ms, work_ms, sent_mb } = catch_up(ALL, lacking, folder, answer);
+        for (lacking, folder) in [
+            (1, true),
+            (100, true),
+            (1_000, true),
+            (10_000, true),
+            (ALL, false),
+        ] {
+            let CatchUp {
+                waited_ms,
+                work_ms,
+                sent_mb,
+            } = catch_up(ALL, lacking, folder, answer);
             println!(
                 "{ALL} records with {answer} bytes of answer, {lacking} lacking: {waited_ms:.0} ms of virtual time, \
                  {work_ms:.0} ms of work, {sent_mb:.2} MB"
@@ -35,19 +45,28 @@
     }
     for members in [3, 5, 9, 15] {
         let (idle, busy) = (bytes_sent(members, 1, 1), bytes_sent(members, 1, 11));
-        println!("groups of {members}: {:.0} bytes an invocation", (busy - idle) / 10.0);
+        println!(
+            "groups of {members}: {:.0} bytes an invocation",
+            (busy - idle) / 10.0
+        );
     }
 }
 
 fn print_work_beside_open() {
     for open in [0, 100, 1_000, 10_000] {
-        println!("{open} open: {:.0} us of all members' work an invocation", work_beside_open(open));
+        println!(
+            "{open} open: {:.0} us of all members' work an invocation",
+            work_beside_open(open)
+        );
     }
 }
 
 fn main() {
-    let measurements: [(&str, fn()); 3] =
-        [("catch_up", print_catch_up), ("bytes_sent", print_bytes_sent), ("open", print_work_beside_open)];
+    let measurements: [(&str, fn()); 3] = [
+        ("catch_up", print_catch_up),
+        ("bytes_sent", print_bytes_sent),
+        ("open", print_work_beside_open),
+    ];
     // `cargo bench` adds options of its own.
     let named = std::env::args().skip(1).find(|a| !a.starts_with("--"));
     for (name, print) in measurements {
--- a/crates/replica/src/catchup.rs
+++ b/crates/replica/src/catchup.rs
@@ -73,7 +73,12 @@
 }
 
 /// Of leaves, each with a list of what is known of it or without, and after which record.
-type Wanted = (MemberIx, u64, Vec<(Leaf, Option<BTreeMap<u64, u64>>)>, Option<(Leaf, Key)>);
+type Wanted = (
+    MemberIx,
+    u64,
+    Vec<(Leaf, Option<BTreeMap<u64, u64>>)>,
+    Option<(Leaf, Key)>,
+);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CatchUp {
@@ -104,7 +109,10 @@
     }
 
     pub fn next_due(&self) -> Micros {
-        let session = self.session.as_ref().map_or(self.next, |s| s.at.unwrap_or(s.due).min(s.due));
+        let session = self
+            .session
+            .as_ref()
+            .map_or(self.next, |s| s.at.unwrap_or(s.due).min(s.due));
         session.min(self.give_at)
     }
 }
@@ -114,7 +122,11 @@
     EACH + key.len()
         + match record {
             Record::Effect(e) => {
-                let answer = if let Some(Answered::Kept(a)) = &e.answer { a.len() } else { 0 };
+                let answer = if let Some(Answered::Kept(a)) = &e.answer {
+                    a.len()
+                } else {
+                    0
+                };
                 answer + e.sendings.len() * EACH_SENDING
             }
             Record::Choice(c) => c.accepted.as_ref().map_or(0, |a| a.1.len()),
@@ -161,7 +173,8 @@
             _ => self.terms.resend_every,
         };
         // Spread, so that not all of a group compare at once.
-        let spread = hashed((self.terms.seed, self.catch_up.serial)) % (soon.max(1) as u64 / 4).max(1);
+        let spread =
+            hashed((self.terms.seed, self.catch_up.serial)) % (soon.max(1) as u64 / 4).max(1);
         self.catch_up.next = now.saturating_add(soon).saturating_add(spread as Micros);
         let Some(with) = self.partner() else { return };
         self.counts.comparisons += 1;
@@ -180,7 +193,10 @@
             after: None,
             at: None,
         });
-        let message = Message::Compare { serial, groups: self.store.group_digests() };
+        let message = Message::Compare {
+            serial,
+            groups: self.store.group_digests(),
+        };
         out.push(Output::Send { to: with, message });
     }
 
@@ -199,7 +215,12 @@
         let differ = (0..GROUPS).filter(|g| ours[*g as usize] != groups[*g as usize]);
         let groups = differ.map(|g| (g, self.store.leaf_digests(g))).collect();
         let you = short(self.nonces[from as usize]);
-        let message = Message::Differ { serial, memory: self.memory(), you, groups };
+        let message = Message::Differ {
+            serial,
+            memory: self.memory(),
+            you,
+            groups,
+        };
         out.push(Output::Send { to: from, message });
     }
 
@@ -216,16 +237,28 @@
     ) {
         let meant = you == short(self.nonce);
         let store = &self.store;
-        let Some(s) = self.catch_up.session.as_mut().filter(|s| s.with == from && s.serial == serial) else {
+        let Some(s) = self
+            .catch_up
+            .session
+            .as_mut()
+            .filter(|s| s.with == from && s.serial == serial)
+        else {
             return;
         };
         s.memory = Some((memory, meant));
         for (group, digests) in groups.iter().filter(|(g, _)| **g < GROUPS) {
             let first = group * IN_GROUP;
-            let leaves =
-                digests.iter().take(IN_GROUP as usize).enumerate().map(|(n, d)| (first + n as Leaf, d));
+            let leaves = digests
+                .iter()
+                .take(IN_GROUP as usize)
+                .enumerate()
+                .map(|(n, d)| (first + n as Leaf, d));
             // What only this one has, the other one asks for itself.
-            s.leaves.extend(leaves.filter(|(l, d)| **d != 0 && store.leaf_digest(*l) != **d).map(|(l, _)| l));
+            s.leaves.extend(
+                leaves
+                    .filter(|(l, d)| **d != 0 && store.leaf_digest(*l) != **d)
+                    .map(|(l, _)| l),
+            );
         }
         // Symptom: with a tenth of the records lacking nearly all leaves differ, and everything was sent once more. What
         // is listed costs a fraction of what it saves.
@@ -236,9 +269,14 @@
 
     /// Asks for the next piece, or is done.
     fn fetch(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let Some(mut s) = self.catch_up.session.take() else { return };
+        let Some(mut s) = self.catch_up.session.take() else {
+            return;
+        };
         if s.asked.is_empty() {
-            s.asked = s.leaves.drain(..s.leaves.len().min(LEAVES_AT_ONCE)).collect();
+            s.asked = s
+                .leaves
+                .drain(..s.leaves.len().min(LEAVES_AT_ONCE))
+                .collect();
             s.after = None;
         }
         if s.asked.is_empty() {
@@ -256,8 +294,15 @@
         s.serial = self.catch_up.serial;
         let list = |l: &Leaf| (*l, (!s.snapshot).then(|| self.store.entries(*l)));
         let leaves = s.asked.iter().map(list).collect();
-        let message = Message::Want { serial: s.serial, leaves, after: s.after.clone() };
-        out.push(Output::Send { to: s.with, message });
+        let message = Message::Want {
+            serial: s.serial,
+            leaves,
+            after: s.after.clone(),
+        };
+        out.push(Output::Send {
+            to: s.with,
+            message,
+        });
         (s.at, s.due) = (None, now.saturating_add(self.terms.compared_within));
         self.catch_up.session = Some(s);
     }
@@ -277,7 +322,9 @@
         }
         // A later question of the same member takes the place of an earlier one.
         self.catch_up.waiting.retain(|w| w.0 != from);
-        self.catch_up.waiting.push_back((from, serial, leaves, after));
+        self.catch_up
+            .waiting
+            .push_back((from, serial, leaves, after));
         if self.catch_up.give_at == Micros::MAX {
             self.give(now, out);
         }
@@ -307,8 +354,18 @@
                     }
                 }
             }
-            out.push(Output::Send { to, message: Message::Have { serial, records, more } });
-            let next = self.catch_up.given.take(now, self.terms.catch_up_bytes_per_s, bytes);
+            out.push(Output::Send {
+                to,
+                message: Message::Have {
+                    serial,
+                    records,
+                    more,
+                },
+            });
+            let next = self
+                .catch_up
+                .given
+                .take(now, self.terms.catch_up_bytes_per_s, bytes);
             if next > now {
                 self.catch_up.give_at = next;
                 return;
@@ -327,7 +384,11 @@
         transit: Micros,
         out: &mut Vec<Output>,
     ) {
-        let current = self.catch_up.session.as_ref().is_some_and(|s| s.with == from && s.serial == serial);
+        let current = self
+            .catch_up
+            .session
+            .as_ref()
+            .is_some_and(|s| s.with == from && s.serial == serial);
         let (mut bytes, mut lacks) = (0, self.comes_late(transit));
         self.counts.records_fetched += records.len() as u64;
         for (key, shared) in records {
@@ -337,7 +398,10 @@
         if !current {
             return;
         }
-        let at = self.catch_up.fetched.take(now, self.terms.catch_up_bytes_per_s, bytes);
+        let at = self
+            .catch_up
+            .fetched
+            .take(now, self.terms.catch_up_bytes_per_s, bytes);
         let within = self.terms.compared_within;
         if let Some(s) = self.catch_up.session.as_mut() {
             if more.is_none() {
@@ -354,7 +418,10 @@
 
     /// Leaves that are known to differ from the member that is compared with now.
     pub fn lacking(&self) -> usize {
-        self.catch_up.session.as_ref().map_or(0, |s| s.leaves.len() + s.asked.len())
+        self.catch_up
+            .session
+            .as_ref()
+            .map_or(0, |s| s.leaves.len() + s.asked.len())
     }
 }
 
--- a/crates/replica/src/choosing.rs
+++ b/crates/replica/src/choosing.rs
@@ -70,7 +70,9 @@
     fn waits_for(&self, ballot: Ballot, accepts: Option<u64>) -> bool {
         let this = match accepts {
             None => self.stage == Stage::Preparing,
-            Some(of) => self.stage == Stage::Accepting && self.value.as_ref().map(hashed) == Some(of),
+            Some(of) => {
+                self.stage == Stage::Accepting && self.value.as_ref().map(hashed) == Some(of)
+            }
         };
         self.ballot == ballot && this
     }
@@ -85,7 +87,10 @@
 
 impl Replica {
     fn known_choice(&self, key: &str) -> Choice {
-        self.store.get(key).and_then(|s| choice(&s.record)).unwrap_or_default()
+        self.store
+            .get(key)
+            .and_then(|s| choice(&s.record))
+            .unwrap_or_default()
     }
 
     fn propose(&mut self, now: Micros, key: Key, proposal: Proposal, out: &mut Vec<Output>) {
@@ -147,8 +152,11 @@
         kept: Micros,
         out: &mut Vec<Output>,
     ) {
-        let proposal =
-            Proposal { ballot, stage: Stage::Accepting, ..self.proposal(now, Aim::Write, Some(value), kept) };
+        let proposal = Proposal {
+            ballot,
+            stage: Stage::Accepting,
+            ..self.proposal(now, Aim::Write, Some(value), kept)
+        };
         self.propose(now, key, proposal, out);
     }
 
@@ -157,23 +165,41 @@
         let accepted = known.accepted.as_ref().map_or(FIRST, |a| a.0.number);
         let number = known.promised.number.max(accepted).saturating_add(1);
         let ballot = self.ballot(number);
-        let Some(mut p) = self.proposals.remove(key) else { return };
+        let Some(mut p) = self.proposals.remove(key) else {
+            return;
+        };
         (p.ballot, p.stage, p.votes) = (ballot, Stage::Preparing, Votes::default());
         p.best = known.accepted;
         if !self.promises_choice(now, key, ballot, p.kept) {
             let outcome = Outcome::NoMajority(Lack::Full);
-            return out.push(Output::Decided { key: key.clone(), outcome });
+            return out.push(Output::Decided {
+                key: key.clone(),
+                outcome,
+            });
         }
         self.proposals.insert(key.clone(), p);
         self.ask_choice(key, &self.everybody_else(), out);
-        self.votes_on(now, key, Vote::Own { ballot, accepts: None }, out);
+        self.votes_on(
+            now,
+            key,
+            Vote::Own {
+                ballot,
+                accepts: None,
+            },
+            out,
+        );
     }
 
     fn begin_accepting(&mut self, now: Micros, key: &Key, out: &mut Vec<Output>) {
-        let Some(mut p) = self.proposals.remove(key) else { return };
+        let Some(mut p) = self.proposals.remove(key) else {
+            return;
+        };
         let Some(value) = p.value.clone() else { return };
         if !self.accepts_choice(now, key, p.ballot, value, p.kept) {
-            return out.push(Output::Decided { key: key.clone(), outcome: Outcome::Overtaken });
+            return out.push(Output::Decided {
+                key: key.clone(),
+                outcome: Outcome::Overtaken,
+            });
         }
         (p.stage, p.votes) = (Stage::Accepting, Votes::default());
         let (ballot, accepts) = (p.ballot, p.value.as_ref().map(hashed));
@@ -192,20 +218,31 @@
         out: &mut Vec<Output>,
     ) {
         let (me, process, views) = (self.group.me, short(self.nonce), self.views());
-        let Some(p) = self.proposals.get_mut(key).filter(|p| p.waits_for(ballot, accepts)) else { return };
+        let Some(p) = self
+            .proposals
+            .get_mut(key)
+            .filter(|p| p.waits_for(ballot, accepts))
+        else {
+            return;
+        };
         p.votes.put(me, process, views);
         self.weigh(now, key, out);
     }
 
     fn ask_choice(&mut self, key: &Key, whom: &[MemberIx], out: &mut Vec<Output>) {
-        let Some(p) = self.proposals.get(key) else { return };
+        let Some(p) = self.proposals.get(key) else {
+            return;
+        };
         for to in whom.iter().copied().filter(|m| !p.votes.has(*m)) {
             let (key, ballot, left) = (key.clone(), p.ballot, p.kept);
             let message = match (&p.stage, &p.value) {
                 (Stage::Preparing, _) => Message::Prepare { key, ballot, left },
-                (Stage::Accepting, Some(value)) => {
-                    Message::Accept { key, ballot, value: value.clone(), left }
-                }
+                (Stage::Accepting, Some(value)) => Message::Accept {
+                    key,
+                    ballot,
+                    value: value.clone(),
+                    left,
+                },
                 _ => return,
             };
             out.push(Output::Send { to, message });
@@ -214,7 +251,9 @@
 
     /// What the votes so far amount to.
     fn weigh(&mut self, now: Micros, key: &Key, out: &mut Vec<Output>) {
-        let Some(p) = self.proposals.get(key) else { return };
+        let Some(p) = self.proposals.get(key) else {
+            return;
+        };
         let agreed = match self.without(Guard::Views) {
             true => p.votes.voters().collect(),
             false => p.votes.agreeing(self.group.me),
@@ -224,7 +263,10 @@
         }
         let (aim, ballot, best) = (p.aim, p.ballot, p.best.clone());
         let outcome = match (&p.stage, aim) {
-            (Stage::Preparing, Aim::Lead) => Outcome::Leads { ballot, last: best.map(|b| b.1) },
+            (Stage::Preparing, Aim::Lead) => Outcome::Leads {
+                ballot,
+                last: best.map(|b| b.1),
+            },
             (Stage::Preparing, _) => {
                 if let Some((_, value)) = best.filter(|_| !self.without(Guard::Adopted))
                     && let Some(p) = self.proposals.get_mut(key)
@@ -239,7 +281,10 @@
         };
         self.proposals.remove(key);
         self.tell(now, key);
-        out.push(Output::Decided { key: key.clone(), outcome });
+        out.push(Output::Decided {
+            key: key.clone(),
+            outcome,
+        });
     }
 
     /// True if nothing below this ballot is accepted from now on.
@@ -248,8 +293,13 @@
             return false;
         }
         let (origin, until) = (self.origin(), now.saturating_add(left));
-        let absent =
-            || Slot { record: Record::Choice(Choice::default()), origin, until, first: None, proves: None };
+        let absent = || Slot {
+            record: Record::Choice(Choice::default()),
+            origin,
+            until,
+            first: None,
+            proves: None,
+        };
         self.store.change(key, absent, |slot| {
             if let Record::Choice(c) = &mut slot.record {
                 c.promised = c.promised.max(ballot);
@@ -258,11 +308,20 @@
         })
     }
 
-    fn accepts_choice(&mut self, now: Micros, key: &Key, ballot: Ballot, value: Bytes, left: Micros) -> bool {
+    fn accepts_choice(
+        &mut self,
+        now: Micros,
+        key: &Key,
+        ballot: Ballot,
+        value: Bytes,
+        left: Micros,
+    ) -> bool {
         if !self.promises_choice(now, key, ballot, left) {
             return false;
         }
-        let Some(slot) = self.store.get(key).cloned() else { return false };
+        let Some(slot) = self.store.get(key).cloned() else {
+            return false;
+        };
         self.store.change(
             key,
             || slot,
@@ -277,7 +336,12 @@
 
     pub(crate) fn overtakes(&self, key: &Key, ballot: Ballot, why: Refusal) -> Message {
         let choice = self.store.get(key).and_then(|s| choice(&s.record));
-        Message::Overtaken { key: key.clone(), ballot, choice, why }
+        Message::Overtaken {
+            key: key.clone(),
+            ballot,
+            choice,
+            why,
+        }
     }
 
     pub(crate) fn asked_to_prepare(
@@ -303,7 +367,12 @@
             return out.push(Output::Send { to: from, message });
         }
         let choice = self.known_choice(&key);
-        let message = Message::Prepared { key: key.clone(), ballot, choice, views: self.views() };
+        let message = Message::Prepared {
+            key: key.clone(),
+            ballot,
+            choice,
+            views: self.views(),
+        };
         self.votes_on(now, &key, Vote::Given { to: from, message }, out);
     }
 
@@ -331,7 +400,12 @@
             return out.push(Output::Send { to: from, message });
         }
         out.push(Output::Noticed(key.clone()));
-        let message = Message::Accepted { key: key.clone(), ballot, of, views: self.views() };
+        let message = Message::Accepted {
+            key: key.clone(),
+            ballot,
+            of,
+            views: self.views(),
+        };
         self.votes_on(now, &key, Vote::Given { to: from, message }, out);
     }
 
@@ -347,7 +421,13 @@
         views: Views,
         out: &mut Vec<Output>,
     ) {
-        let Some(p) = self.proposals.get_mut(key).filter(|p| p.waits_for(ballot, None)) else { return };
+        let Some(p) = self
+            .proposals
+            .get_mut(key)
+            .filter(|p| p.waits_for(ballot, None))
+        else {
+            return;
+        };
         p.votes.put(from, process, views);
         p.best = p.best.take().max(choice.accepted);
         self.weigh(now, key, out);
@@ -365,7 +445,13 @@
         views: Views,
         out: &mut Vec<Output>,
     ) {
-        let Some(p) = self.proposals.get_mut(key).filter(|p| p.waits_for(ballot, Some(of))) else { return };
+        let Some(p) = self
+            .proposals
+            .get_mut(key)
+            .filter(|p| p.waits_for(ballot, Some(of)))
+        else {
+            return;
+        };
         p.votes.put(from, process, views);
         self.weigh(now, key, out);
     }
@@ -381,7 +467,9 @@
         why: Refusal,
         out: &mut Vec<Output>,
     ) {
-        let Some(p) = self.proposals.get(key).filter(|p| p.ballot == ballot) else { return };
+        let Some(p) = self.proposals.get(key).filter(|p| p.ballot == ballot) else {
+            return;
+        };
         if why == Refusal::Late {
             return self.ask_choice(key, &[from], out);
         }
@@ -395,7 +483,10 @@
         }
         if aim == Aim::Write {
             self.proposals.remove(key);
-            return out.push(Output::Decided { key: key.clone(), outcome: Outcome::Overtaken });
+            return out.push(Output::Decided {
+                key: key.clone(),
+                outcome: Outcome::Overtaken,
+            });
         }
         let again = now.saturating_add(self.step_back(tries));
         if let Some(p) = self.proposals.get_mut(key) {
@@ -405,19 +496,35 @@
     }
 
     pub(crate) fn proposals_due(&self) -> Micros {
-        self.proposals.values().map(Proposal::due).min().unwrap_or(Micros::MAX)
+        self.proposals
+            .values()
+            .map(Proposal::due)
+            .min()
+            .unwrap_or(Micros::MAX)
     }
 
     pub(crate) fn pass_proposals(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let due: Vec<Key> =
-            self.proposals.iter().filter(|(_, p)| p.due() <= now).map(|(key, _)| key.clone()).collect();
+        let due: Vec<Key> = self
+            .proposals
+            .iter()
+            .filter(|(_, p)| p.due() <= now)
+            .map(|(key, _)| key.clone())
+            .collect();
         for key in due {
-            let (resend, lives) = (now.saturating_add(self.terms.resend_every), self.majority_lives());
-            let Some(p) = self.proposals.get_mut(&key) else { continue };
+            let (resend, lives) = (
+                now.saturating_add(self.terms.resend_every),
+                self.majority_lives(),
+            );
+            let Some(p) = self.proposals.get_mut(&key) else {
+                continue;
+            };
             if now >= p.give_up {
                 self.proposals.remove(&key);
                 let lack = if lives { Lack::Late } else { Lack::Unreachable };
-                out.push(Output::Decided { key, outcome: Outcome::NoMajority(lack) });
+                out.push(Output::Decided {
+                    key,
+                    outcome: Outcome::NoMajority(lack),
+                });
             } else if let Stage::StepsBack { .. } = p.stage {
                 p.resend = resend;
                 self.begin_preparing(now, &key, out);
--- a/crates/replica/src/claims.rs
+++ b/crates/replica/src/claims.rs
@@ -71,7 +71,11 @@
 
     /// Of which something is due by now.
     pub fn due(&self, now: Micros) -> Vec<Key> {
-        self.dues.iter().take_while(|d| d.0 <= now).map(|d| d.1.clone()).collect()
+        self.dues
+            .iter()
+            .take_while(|d| d.0 <= now)
+            .map(|d| d.1.clone())
+            .collect()
     }
 
     fn enlist(&mut self, key: &Key, due: Micros) {
@@ -98,8 +102,12 @@
     /// Whatever happens to claims, what is due next is what a look at all of them finds.
     #[test]
     fn the_order_is_that_of_the_claims() {
-        let member =
-            |n: usize| Member { name: format!("r{n}"), region: String::new(), weight: 1, witness: false };
+        let member = |n: usize| Member {
+            name: format!("r{n}"),
+            region: String::new(),
+            weight: 1,
+            witness: false,
+        };
         let group = Group::new("g", (0..3).map(member).collect(), "r0").expect("a group");
         let kept = 20_000_000;
         let mut r = Replica::new(0, group, Terms::usual(kept, 500_000, 1), 7, None);
@@ -112,18 +120,44 @@
             let (key, sending) = (Key::from(format!("k{}", draw % 40)), draw >> 8 & 3);
             let redelivered = draw >> 16 & 1 == 1;
             let input = match draw >> 32 & 15 {
-                0..4 => Input::Take { key, need: Need::Held, redelivered },
-                4..8 => Input::Intend { key, sending, place: 0, alone: redelivered },
-                8 => Input::Ended { key, sending, may_have_run: redelivered },
+                0..4 => Input::Take {
+                    key,
+                    need: Need::Held,
+                    redelivered,
+                },
+                4..8 => Input::Intend {
+                    key,
+                    sending,
+                    place: 0,
+                    alone: redelivered,
+                },
+                8 => Input::Ended {
+                    key,
+                    sending,
+                    may_have_run: redelivered,
+                },
                 9 => Input::Dropped { key },
                 10 => Input::Closed { key },
-                11 => Input::Member { member: 1, nonce: 8, alive: redelivered },
-                12 => Input::Member { member: 2, nonce: 9, alive: true },
+                11 => Input::Member {
+                    member: 1,
+                    nonce: 8,
+                    alive: redelivered,
+                },
+                12 => Input::Member {
+                    member: 2,
+                    nonce: 9,
+                    alive: true,
+                },
                 _ => Input::Tick,
             };
             now += (draw >> 20 & 0xffff) as Micros / 4;
             r.handle(now, input, &mut out);
-            let least = r.claims.iter().map(|(_, c)| c.due()).min().unwrap_or(Micros::MAX);
+            let least = r
+                .claims
+                .iter()
+                .map(|(_, c)| c.due())
+                .min()
+                .unwrap_or(Micros::MAX);
             assert_eq!(r.claims.next_due(), least, "after {n}");
             asked += u64::from(least < Micros::MAX);
             again += u64::from(least == Micros::MAX);
--- a/crates/replica/src/holding.rs
+++ b/crates/replica/src/holding.rs
@@ -35,8 +35,9 @@
             // Symptom: two routers were given one message. Its owner was told here before its intent came, and
             // another one's intent is held already: that one may have leave.
             Some(e) if blind => {
-                let others =
-                    |(ix, s): (&SendingIx, &Sending)| ix.0 != ballot.nonce && s.state != Sent::NeverRan;
+                let others = |(ix, s): (&SendingIx, &Sending)| {
+                    ix.0 != ballot.nonce && s.state != Sent::NeverRan
+                };
                 let over = e.closed || e.answer.is_some();
                 let alone = e.owner.ballot == ballot && !over && !e.sendings.iter().any(others);
                 alone || self.without(Guard::Blind)
@@ -57,7 +58,12 @@
             Joined::Forgotten => refuse(self, Refusal::Forgotten, out),
             Joined::Full => refuse(self, Refusal::Full, out),
             Joined::Changed | Joined::Nothing => {
-                let message = Message::Holds { key: key.clone(), ballot, sending, views: self.views() };
+                let message = Message::Holds {
+                    key: key.clone(),
+                    ballot,
+                    sending,
+                    views: self.views(),
+                };
                 out.push(Output::Send { to: from, message });
                 self.noticed(now, &key, out);
             }
@@ -77,7 +83,16 @@
     ) {
         self.counts.refusals_given += 1;
         let shared = self.store.shared(now, &key);
-        out.push(Output::Send { to, message: Message::Refused { key, ballot, sending, why, shared } });
+        out.push(Output::Send {
+            to,
+            message: Message::Refused {
+                key,
+                ballot,
+                sending,
+                why,
+                shared,
+            },
+        });
     }
 
     #[allow(clippy::too_many_arguments)] // The parts of one message.
@@ -111,7 +126,12 @@
         self.loses(now, &key, out);
         let shared = self.store.shared(now, &key);
         self.promise(now, &key, ballot, origin, left);
-        let message = Message::Fenced { key, ballot, shared, views: self.views() };
+        let message = Message::Fenced {
+            key,
+            ballot,
+            shared,
+            views: self.views(),
+        };
         out.push(Output::Send { to: from, message });
     }
 
@@ -124,12 +144,24 @@
         origin: Origin,
         left: Micros,
     ) -> bool {
-        let owner = Owner { ballot, let_go: false };
+        let owner = Owner {
+            ballot,
+            let_go: false,
+        };
         let until = now.saturating_add(left);
-        let record = Record::Effect(Effect { owner, ..Effect::default() });
+        let record = Record::Effect(Effect {
+            owner,
+            ..Effect::default()
+        });
         self.store.change(
             key,
-            || Slot { record, origin, until, first: None, proves: None },
+            || Slot {
+                record,
+                origin,
+                until,
+                first: None,
+                proves: None,
+            },
             |slot| {
                 if let Record::Effect(e) = &mut slot.record
                     && ballot > e.owner.ballot
--- a/crates/replica/src/keeping.rs
+++ b/crates/replica/src/keeping.rs
@@ -78,7 +78,12 @@
             self.counts.votes_dropped += 1;
         }
         self.counts.votes_withheld += 1;
-        waiting.push_back(Waits { needs, key: key.clone(), vote, mark });
+        waiting.push_back(Waits {
+            needs,
+            key: key.clone(),
+            vote,
+            mark,
+        });
     }
 
     fn casts(&mut self, now: Micros, key: &Key, vote: Vote, out: &mut Vec<Output>) {
@@ -91,7 +96,12 @@
     /// All takings up to this one are on disk.
     pub(crate) fn kept(&mut self, now: Micros, serial: u64, out: &mut Vec<Output>) {
         self.keeping.kept = self.keeping.kept.max(serial.min(self.keeping.taken));
-        let Keeping { kept, waiting, marks, .. } = &mut self.keeping;
+        let Keeping {
+            kept,
+            waiting,
+            marks,
+            ..
+        } = &mut self.keeping;
         let ready = waiting.partition_point(|w| w.needs <= *kept);
         let ready: Vec<Waits> = waiting.drain(..ready).collect();
         ready.iter().for_each(|w| {
@@ -104,7 +114,10 @@
 
     /// A vote waits for a taking that has not been made.
     pub fn awaits_folder(&self) -> bool {
-        self.keeping.waiting.back().is_some_and(|w| w.needs > self.keeping.taken)
+        self.keeping
+            .waiting
+            .back()
+            .is_some_and(|w| w.needs > self.keeping.taken)
     }
 
     /// What has changed since it was last asked, for a folder: the record, or that it is gone. And the serial by which
@@ -112,7 +125,10 @@
     pub fn changes(&mut self, now: Micros) -> (u64, Vec<(Key, Option<Shared>)>) {
         let dirty = self.store.take_dirty();
         self.keeping.taken += u64::from(!dirty.is_empty());
-        let changes = dirty.into_iter().map(|key| (key.clone(), self.store.shared(now, &key))).collect();
+        let changes = dirty
+            .into_iter()
+            .map(|key| (key.clone(), self.store.shared(now, &key)))
+            .collect();
         (self.keeping.taken, changes)
     }
 }
--- a/crates/replica/src/owning.rs
+++ b/crates/replica/src/owning.rs
@@ -121,7 +121,12 @@
 
 impl Claim {
     fn new(ballot: Ballot, stage: Stage) -> Self {
-        Claim { ballot, stage, tries: 0, asking: BTreeMap::new() }
+        Claim {
+            ballot,
+            stage,
+            tries: 0,
+            asking: BTreeMap::new(),
+        }
     }
 
     pub(crate) fn watches(&self) -> bool {
@@ -134,7 +139,10 @@
             Stage::StepsBack { again, give_up } => *again.min(give_up),
             _ => Micros::MAX,
         };
-        self.asking.values().map(|a| a.resend.min(a.give_up)).fold(stage, Micros::min)
+        self.asking
+            .values()
+            .map(|a| a.resend.min(a.give_up))
+            .fold(stage, Micros::min)
     }
 
     pub fn word(&self) -> &'static str {
@@ -158,20 +166,33 @@
     ) {
         self.counts.taken += 1;
         let known = self.store.effect(&key).cloned();
-        if let Some(Answered::Kept(answer)) =
-            known.as_ref().filter(|e| !e.fault).and_then(|e| e.answer.clone())
+        if let Some(Answered::Kept(answer)) = known
+            .as_ref()
+            .filter(|e| !e.fault)
+            .and_then(|e| e.answer.clone())
         {
             self.counts.answers_known += 1;
-            self.claims.insert(key.clone(), Claim::new(self.ballot(FIRST), Stage::Told));
-            return out.push(Output::Verdict { key, verdict: Verdict::Answer(answer) });
+            self.claims
+                .insert(key.clone(), Claim::new(self.ballot(FIRST), Stage::Told));
+            return out.push(Output::Verdict {
+                key,
+                verdict: Verdict::Answer(answer),
+            });
         }
         if need == Need::Known {
             let open = |e: &Effect| e.sendings.values().any(|s| s.state != Sent::NeverRan);
-            let first =
-                self.store.get(&key).and_then(|s| s.first).filter(|_| known.as_ref().is_some_and(open));
+            let first = self
+                .store
+                .get(&key)
+                .and_then(|s| s.first)
+                .filter(|_| known.as_ref().is_some_and(open));
             let first_ago = first.map(|at| now.saturating_sub(at));
-            self.claims.insert(key.clone(), Claim::new(self.ballot(FIRST), Stage::Mine));
-            return out.push(Output::Verdict { key, verdict: Verdict::Go { first_ago } });
+            self.claims
+                .insert(key.clone(), Claim::new(self.ballot(FIRST), Stage::Mine));
+            return out.push(Output::Verdict {
+                key,
+                verdict: Verdict::Go { first_ago },
+            });
         }
         if known.as_ref().is_some_and(|e| e.closed) {
             return self.conclude(now, &key, Verdict::MayHaveRun(Because::Closed), out);
@@ -189,18 +210,29 @@
             None if !redelivered => {
                 let slot = self.fresh(now, true);
                 self.change(now, &key, slot, |_| {});
-                self.claims.insert(key.clone(), Claim::new(self.ballot(FIRST), Stage::Mine));
-                out.push(Output::Verdict { key, verdict: Verdict::Go { first_ago: None } });
+                self.claims
+                    .insert(key.clone(), Claim::new(self.ballot(FIRST), Stage::Mine));
+                out.push(Output::Verdict {
+                    key,
+                    verdict: Verdict::Go { first_ago: None },
+                });
             }
             // Delivered to two at once, each for the first time: whoever has it goes on with it.
             Some(e) if !redelivered && !self.is_free(&e.owner) => {
-                self.claims.insert(key.clone(), Claim::new(self.ballot(FIRST), Stage::Watching(None)));
+                self.claims.insert(
+                    key.clone(),
+                    Claim::new(self.ballot(FIRST), Stage::Watching(None)),
+                );
                 self.counts.joined += 1;
-                out.push(Output::Verdict { key: key.clone(), verdict: Verdict::Waits });
+                out.push(Output::Verdict {
+                    key: key.clone(),
+                    verdict: Verdict::Waits,
+                });
                 self.look_again(now, &key, out);
             }
             _ => {
-                self.claims.insert(key.clone(), Claim::new(self.ballot(FIRST), Stage::Told));
+                self.claims
+                    .insert(key.clone(), Claim::new(self.ballot(FIRST), Stage::Told));
                 self.fence(now, &key, now.saturating_add(self.terms.copied_within), out);
             }
         }
@@ -212,10 +244,15 @@
     }
 
     fn fence(&mut self, now: Micros, key: &Key, give_up: Micros, out: &mut Vec<Output>) {
-        let Some(mut claim) = self.claims.remove(key) else { return };
+        let Some(mut claim) = self.claims.remove(key) else {
+            return;
+        };
         self.counts.takeovers += 1;
         let before = self.store.effect(key).cloned();
-        let highest = before.as_ref().map_or(FIRST, |e| e.owner.ballot.number).max(claim.ballot.number);
+        let highest = before
+            .as_ref()
+            .map_or(FIRST, |e| e.owner.ballot.number)
+            .max(claim.ballot.number);
         claim.ballot = self.ballot(highest.saturating_add(1));
         let (ballot, origin, left) = (claim.ballot, self.origin(), self.terms.kept);
         if self.without(Guard::Fence) {
@@ -230,7 +267,9 @@
             return self.conclude(now, key, Verdict::NoMajority(Lack::Full), out);
         }
         let mut fencing = self.fencing(now, give_up, before.as_ref());
-        fencing.votes.put(self.group.me, short(self.nonce), self.views());
+        fencing
+            .votes
+            .put(self.group.me, short(self.nonce), self.views());
         claim.stage = Stage::Fencing(fencing);
         self.claims.insert(key.clone(), claim);
         let others = self.everybody_else();
@@ -239,12 +278,26 @@
     }
 
     fn ask_fence(&self, now: Micros, key: &Key, whom: &[MemberIx], out: &mut Vec<Output>) {
-        let Some(Claim { ballot, stage: Stage::Fencing(f), .. }) = self.claims.get(key) else { return };
-        let Some(slot) = self.store.get(key) else { return };
+        let Some(Claim {
+            ballot,
+            stage: Stage::Fencing(f),
+            ..
+        }) = self.claims.get(key)
+        else {
+            return;
+        };
+        let Some(slot) = self.store.get(key) else {
+            return;
+        };
         // As long as it is kept here, and no longer.
         let (origin, left) = (slot.origin, slot.until.saturating_sub(now));
         for to in whom.iter().copied().filter(|m| !f.votes.has(*m)) {
-            let message = Message::Fence { key: key.clone(), ballot: *ballot, origin, left };
+            let message = Message::Fence {
+                key: key.clone(),
+                ballot: *ballot,
+                origin,
+                left,
+            };
             out.push(Output::Send { to, message });
         }
     }
@@ -255,7 +308,12 @@
             holders.entry(*ix).or_default().insert(self.group.me);
         }
         let resend = now.saturating_add(self.terms.resend_every);
-        Fencing { votes: Votes::default(), holders, resend, give_up }
+        Fencing {
+            votes: Votes::default(),
+            holders,
+            resend,
+            give_up,
+        }
     }
 
     #[allow(clippy::too_many_arguments)] // The parts of one message.
@@ -299,7 +357,9 @@
 
     /// Once a majority has promised: what is to become of it.
     fn settle(&mut self, now: Micros, key: &Key, unasked: bool, out: &mut Vec<Output>) {
-        let Some(claim) = self.claims.get(key) else { return };
+        let Some(claim) = self.claims.get(key) else {
+            return;
+        };
         let (fencing, waited) = match &claim.stage {
             Stage::Fencing(f) => (f.clone(), false),
             Stage::Watching(Some(f)) => (f.clone(), true),
@@ -312,10 +372,13 @@
         if !unasked && !self.group.is_majority(agreed.iter().copied()) {
             return;
         }
-        let Some(e) = self.store.effect(key).cloned() else { return };
+        let Some(e) = self.store.effect(key).cloned() else {
+            return;
+        };
         if e.owner.ballot != claim.ballot {
             // Promised to another one since.
-            self.claims.change(key, |claim| claim.stage = Stage::Watching(None));
+            self.claims
+                .change(key, |claim| claim.stage = Stage::Watching(None));
             return self.look_again(now, key, out);
         }
         let because = match &e.answer {
@@ -341,17 +404,26 @@
                 Sent::Intended if self.never_left(&fencing, &agreed, ix) => unsent.push(*ix),
                 Sent::Intended if self.gone(sending.member, ix.0) => {
                     if !self.without(Guard::Gone) {
-                        return self.conclude(now, key, Verdict::MayHaveRun(Because::OwnerGone), out);
+                        return self.conclude(
+                            now,
+                            key,
+                            Verdict::MayHaveRun(Because::OwnerGone),
+                            out,
+                        );
                     }
                 }
                 Sent::Intended => waits = true,
             }
         }
         if waits {
-            self.claims.change(key, |claim| claim.stage = Stage::Watching(Some(fencing)));
+            self.claims
+                .change(key, |claim| claim.stage = Stage::Watching(Some(fencing)));
             if !waited {
                 self.counts.joined += 1;
-                out.push(Output::Verdict { key: key.clone(), verdict: Verdict::Waits });
+                out.push(Output::Verdict {
+                    key: key.clone(),
+                    verdict: Verdict::Waits,
+                });
             }
             return;
         }
@@ -364,7 +436,9 @@
         self.counts.proven_unsent += 1;
         let slot = self.fresh(now, true);
         self.change(now, key, slot, |slot| {
-            let Record::Effect(e) = &mut slot.record else { return };
+            let Record::Effect(e) = &mut slot.record else {
+                return;
+            };
             e.taken = true;
             for ix in &unsent {
                 if let Some(sending) = e.sendings.get_mut(ix) {
@@ -373,14 +447,20 @@
             }
         });
         self.claims.change(key, |claim| claim.stage = Stage::Mine);
-        out.push(Output::Verdict { key: key.clone(), verdict: Verdict::Go { first_ago: None } });
+        out.push(Output::Verdict {
+            key: key.clone(),
+            verdict: Verdict::Go { first_ago: None },
+        });
     }
 
     /// No majority can have held it, even if all hold it that have not said otherwise.
     fn never_left(&self, fencing: &Fencing, agreed: &[MemberIx], ix: &SendingIx) -> bool {
         let holds = |m: &MemberIx| fencing.holders.get(ix).is_some_and(|h| h.contains(m));
-        let may_hold = |m: &MemberIx| holds(m) || !agreed.contains(m) && !self.without(Guard::Missing);
-        !self.group.is_majority((0..self.group.len() as MemberIx).filter(may_hold))
+        let may_hold =
+            |m: &MemberIx| holds(m) || !agreed.contains(m) && !self.without(Guard::Missing);
+        !self
+            .group
+            .is_majority((0..self.group.len() as MemberIx).filter(may_hold))
     }
 
     fn conclude(&mut self, now: Micros, key: &Key, verdict: Verdict, out: &mut Vec<Output>) {
@@ -392,10 +472,18 @@
             // Nobody is to wait for this one.
             self.let_go(now, key);
         }
-        if self.claims.change(key, |claim| claim.stage = Stage::Told).is_none() {
-            self.claims.insert(key.clone(), Claim::new(Ballot::default(), Stage::Told));
+        if self
+            .claims
+            .change(key, |claim| claim.stage = Stage::Told)
+            .is_none()
+        {
+            self.claims
+                .insert(key.clone(), Claim::new(Ballot::default(), Stage::Told));
         }
-        out.push(Output::Verdict { key: key.clone(), verdict });
+        out.push(Output::Verdict {
+            key: key.clone(),
+            verdict,
+        });
     }
 
     pub(crate) fn intend(
@@ -409,16 +497,28 @@
     ) {
         self.counts.intents += 1;
         let owner = self.store.effect(&key).map(|e| e.owner.ballot);
-        let mine = self.claims.get(&key).filter(|c| c.stage == Stage::Mine).map(|c| c.ballot);
+        let mine = self
+            .claims
+            .get(&key)
+            .filter(|c| c.stage == Stage::Mine)
+            .map(|c| c.ballot);
         let Some(ballot) = mine.filter(|b| owner == Some(*b)) else {
             let left = Err(Lack::Elsewhere);
-            out.push(Output::Leave { key: key.clone(), sending, left });
+            out.push(Output::Leave {
+                key: key.clone(),
+                sending,
+                left,
+            });
             return self.look_again(now, &key, out);
         };
         if !alone && !self.proves(now, &key) {
             // Others may have forgotten who took it: it is too late to begin.
             self.counts.lacking_majority += 1;
-            return out.push(Output::Leave { key, sending, left: Err(Lack::Late) });
+            return out.push(Output::Leave {
+                key,
+                sending,
+                left: Err(Lack::Late),
+            });
         }
         let ix = (self.nonce, sending);
         let (member, slot) = (self.group.me, self.fresh(now, true));
@@ -428,7 +528,14 @@
             |slot| {
                 slot.first.get_or_insert(now);
                 if let Record::Effect(e) = &mut slot.record {
-                    e.sendings.insert(ix, Sending { member, state: Sent::Intended, place });
+                    e.sendings.insert(
+                        ix,
+                        Sending {
+                            member,
+                            state: Sent::Intended,
+                            place,
+                        },
+                    );
                 }
             },
         );
@@ -437,22 +544,46 @@
         votes.put(self.group.me, short(self.nonce), self.views());
         let resend = now.saturating_add(self.terms.resend_every);
         let give_up = now.saturating_add(self.terms.copied_within);
-        let asking = Asking { votes, blind, alone, resend, give_up };
-        self.claims.change(&key, |claim| claim.asking.insert(sending, asking));
+        let asking = Asking {
+            votes,
+            blind,
+            alone,
+            resend,
+            give_up,
+        };
+        self.claims
+            .change(&key, |claim| claim.asking.insert(sending, asking));
         let others = self.everybody_else();
         self.ask(now, &key, sending, &others, out);
         self.look_at_votes(now, &key, sending, out);
     }
 
     /// Asks those of them that have not voted yet.
-    fn ask(&mut self, now: Micros, key: &Key, sending: u64, whom: &[MemberIx], out: &mut Vec<Output>) {
-        let Some(claim) = self.claims.get(key) else { return };
-        let (Some(asking), Some(shared)) = (claim.asking.get(&sending), self.store.shared(now, key)) else {
+    fn ask(
+        &mut self,
+        now: Micros,
+        key: &Key,
+        sending: u64,
+        whom: &[MemberIx],
+        out: &mut Vec<Output>,
+    ) {
+        let Some(claim) = self.claims.get(key) else {
+            return;
+        };
+        let (Some(asking), Some(shared)) =
+            (claim.asking.get(&sending), self.store.shared(now, key))
+        else {
             return;
         };
         for to in whom.iter().copied().filter(|m| !asking.votes.has(*m)) {
             let (key, ballot, blind) = (key.clone(), claim.ballot, asking.blind);
-            let message = Message::Intend { key, ballot, sending, blind, shared: shared.clone() };
+            let message = Message::Intend {
+                key,
+                ballot,
+                sending,
+                blind,
+                shared: shared.clone(),
+            };
             out.push(Output::Send { to, message });
         }
     }
@@ -470,7 +601,10 @@
         out: &mut Vec<Output>,
     ) {
         let counts = |claim: &mut Claim| {
-            let asking = claim.asking.get_mut(&sending).filter(|_| claim.ballot == ballot);
+            let asking = claim
+                .asking
+                .get_mut(&sending)
+                .filter(|_| claim.ballot == ballot);
             asking.map(|asking| asking.votes.put(from, process, views))
         };
         if self.claims.change(key, counts).flatten().is_some() {
@@ -480,7 +614,9 @@
 
     fn look_at_votes(&mut self, _now: Micros, key: &Key, sending: u64, out: &mut Vec<Output>) {
         let agreed = {
-            let Some(asking) = self.claims.get(key).and_then(|c| c.asking.get(&sending)) else { return };
+            let Some(asking) = self.claims.get(key).and_then(|c| c.asking.get(&sending)) else {
+                return;
+            };
             match self.without(Guard::Views) {
                 true => asking.votes.voters().collect(),
                 false => asking.votes.agreeing(self.group.me),
@@ -489,9 +625,14 @@
         if !self.group.is_majority(agreed) && !self.without(Guard::Majority) {
             return;
         }
-        self.claims.change(key, |claim| claim.asking.remove(&sending));
+        self.claims
+            .change(key, |claim| claim.asking.remove(&sending));
         self.counts.held += 1;
-        out.push(Output::Leave { key: key.clone(), sending, left: Ok(false) });
+        out.push(Output::Leave {
+            key: key.clone(),
+            sending,
+            left: Ok(false),
+        });
     }
 
     #[allow(clippy::too_many_arguments)] // The parts of one message.
@@ -510,7 +651,9 @@
         if let Some(shared) = &shared {
             self.store.join(now, key, shared, transit);
         }
-        let Some(claim) = self.claims.get(key).filter(|c| c.ballot == ballot) else { return };
+        let Some(claim) = self.claims.get(key).filter(|c| c.ballot == ballot) else {
+            return;
+        };
         // The others' reasons may pass; it is asked again until its time is over.
         if why != Refusal::Owned && why != Refusal::Late {
             return;
@@ -519,7 +662,9 @@
             // Symptom: the two had not heard of each other for a while, so that nobody knew how long it was under way.
             // Now it is known.
             (Some(sending), _) if why == Refusal::Late => self.ask(now, key, sending, &[from], out),
-            (None, Stage::Fencing(_)) if why == Refusal::Late => self.ask_fence(now, key, &[from], out),
+            (None, Stage::Fencing(_)) if why == Refusal::Late => {
+                self.ask_fence(now, key, &[from], out)
+            }
             (None, _) if why == Refusal::Late => {}
             (None, Stage::Fencing(f)) => {
                 let (tries, give_up) = (claim.tries, f.give_up);
@@ -529,7 +674,9 @@
                     claim.stage = Stage::StepsBack { again, give_up };
                 });
             }
-            (Some(sending), Stage::Mine) if claim.asking.contains_key(&sending) => self.loses(now, key, out),
+            (Some(sending), Stage::Mine) if claim.asking.contains_key(&sending) => {
+                self.loses(now, key, out)
+            }
             _ => {}
         }
     }
@@ -543,17 +690,25 @@
                 std::mem::take(&mut claim.asking)
             })
         };
-        let Some(asking) = self.claims.change(key, loses).flatten() else { return };
+        let Some(asking) = self.claims.change(key, loses).flatten() else {
+            return;
+        };
         self.counts.lost_to_others += 1;
         for sending in asking.into_keys() {
             self.end(now, key, sending, Sent::NeverRan);
-            out.push(Output::Leave { key: key.clone(), sending, left: Err(Lack::Elsewhere) });
+            out.push(Output::Leave {
+                key: key.clone(),
+                sending,
+                left: Err(Lack::Elsewhere),
+            });
         }
     }
 
     /// Something about it has changed.
     pub(crate) fn look_again(&mut self, now: Micros, key: &Key, out: &mut Vec<Output>) {
-        let (Some(claim), Some(e)) = (self.claims.get(key), self.store.effect(key).cloned()) else { return };
+        let (Some(claim), Some(e)) = (self.claims.get(key), self.store.effect(key).cloned()) else {
+            return;
+        };
         match &claim.stage {
             Stage::Mine if e.owner.ballot != claim.ballot => {
                 self.loses(now, key, out);
@@ -575,7 +730,8 @@
                     return self.conclude(now, key, Verdict::MayHaveRun(because), out);
                 }
                 // Its own older ballot, or one of somebody who is gone or has let go of it.
-                let own = e.owner.ballot.member == self.group.me && e.owner.ballot.nonce == self.nonce;
+                let own =
+                    e.owner.ballot.member == self.group.me && e.owner.ballot.nonce == self.nonce;
                 if own || self.is_free(&e.owner) {
                     self.fence(now, key, now.saturating_add(self.terms.copied_within), out);
                 }
@@ -590,14 +746,23 @@
             slot.first.get_or_insert(now);
             if let Record::Effect(e) = &mut slot.record {
                 e.taken = true;
-                e.sendings.insert(ix, Sending { member, state: Sent::Intended, place });
+                e.sendings.insert(
+                    ix,
+                    Sending {
+                        member,
+                        state: Sent::Intended,
+                        place,
+                    },
+                );
             }
         });
     }
 
     fn end(&mut self, now: Micros, key: &Key, sending: u64, state: Sent) {
         let ix = (self.nonce, sending);
-        let Some(slot) = self.store.get(key).cloned() else { return };
+        let Some(slot) = self.store.get(key).cloned() else {
+            return;
+        };
         self.change(now, key, slot, |slot| {
             if let Record::Effect(e) = &mut slot.record
                 && let Some(s) = e.sendings.get_mut(&ix)
@@ -615,14 +780,26 @@
         may_have_run: bool,
         out: &mut Vec<Output>,
     ) {
-        self.claims.change(key, |claim| claim.asking.remove(&sending));
-        self.end(now, key, sending, if may_have_run { Sent::MayHaveRun } else { Sent::NeverRan });
+        self.claims
+            .change(key, |claim| claim.asking.remove(&sending));
+        self.end(
+            now,
+            key,
+            sending,
+            if may_have_run {
+                Sent::MayHaveRun
+            } else {
+                Sent::NeverRan
+            },
+        );
         // A later claim here may have waited for it.
         self.look_again(now, key, out);
     }
 
     pub(crate) fn answered(&mut self, now: Micros, key: &Key, answer: Bytes) {
-        let Some(slot) = self.store.get(key).cloned() else { return };
+        let Some(slot) = self.store.get(key).cloned() else {
+            return;
+        };
         let answer = match answer.len() <= self.terms.most_answer {
             true => Answered::Kept(answer),
             false => {
@@ -632,7 +809,9 @@
         };
         let mut faulty = false;
         self.change(now, key, slot, |slot| {
-            let Record::Effect(e) = &mut slot.record else { return };
+            let Record::Effect(e) = &mut slot.record else {
+                return;
+            };
             match &e.answer {
                 None if !e.closed => e.answer = Some(answer),
                 // Symptom: two routers gave different answers to one message.
@@ -649,7 +828,9 @@
 
     pub(crate) fn closed(&mut self, now: Micros, key: &Key) {
         self.claims.remove(key);
-        let Some(slot) = self.store.get(key).cloned() else { return };
+        let Some(slot) = self.store.get(key).cloned() else {
+            return;
+        };
         self.change(now, key, slot, |slot| {
             if let Record::Effect(e) = &mut slot.record {
                 e.close();
@@ -658,15 +839,24 @@
     }
 
     pub(crate) fn dropped(&mut self, now: Micros, key: &Key) {
-        let asking = self.claims.change(key, |c| std::mem::take(&mut c.asking)).unwrap_or_default();
-        asking.into_keys().for_each(|sending| self.end(now, key, sending, Sent::NeverRan));
+        let asking = self
+            .claims
+            .change(key, |c| std::mem::take(&mut c.asking))
+            .unwrap_or_default();
+        asking
+            .into_keys()
+            .for_each(|sending| self.end(now, key, sending, Sent::NeverRan));
         self.let_go(now, key);
         self.claims.remove(key);
     }
 
     fn let_go(&mut self, now: Micros, key: &Key) {
-        let Some(ballot) = self.claims.get(key).map(|c| c.ballot) else { return };
-        let Some(slot) = self.store.get(key).cloned() else { return };
+        let Some(ballot) = self.claims.get(key).map(|c| c.ballot) else {
+            return;
+        };
+        let Some(slot) = self.store.get(key).cloned() else {
+            return;
+        };
         self.change(now, key, slot, |slot| {
             if let Record::Effect(e) = &mut slot.record
                 && e.owner.ballot == ballot
@@ -683,8 +873,13 @@
     }
 
     fn pass_claim(&mut self, now: Micros, key: &Key, out: &mut Vec<Output>) {
-        let (resend, lives) = (now.saturating_add(self.terms.resend_every), self.majority_lives());
-        let Some(claim) = self.claims.get(key) else { return };
+        let (resend, lives) = (
+            now.saturating_add(self.terms.resend_every),
+            self.majority_lives(),
+        );
+        let Some(claim) = self.claims.get(key) else {
+            return;
+        };
         match &claim.stage {
             Stage::Fencing(f) if now >= f.give_up => {
                 let lack = if lives { Lack::Late } else { Lack::Unreachable };
@@ -724,26 +919,39 @@
             self.ask(now, key, sending, &others, out);
         }
         for (sending, alone) in late {
-            self.claims.change(key, |claim| claim.asking.remove(&sending));
+            self.claims
+                .change(key, |claim| claim.asking.remove(&sending));
             self.counts.lacking_majority += 1;
             if alone {
                 self.counts.left_alone += 1;
-                out.push(Output::Leave { key: key.clone(), sending, left: Ok(true) });
+                out.push(Output::Leave {
+                    key: key.clone(),
+                    sending,
+                    left: Ok(true),
+                });
                 continue;
             }
             self.end(now, key, sending, Sent::NeverRan);
             let lack = if lives { Lack::Late } else { Lack::Unreachable };
-            out.push(Output::Leave { key: key.clone(), sending, left: Err(lack) });
+            out.push(Output::Leave {
+                key: key.clone(),
+                sending,
+                left: Err(lack),
+            });
         }
     }
 
     /// Whether a vote may still count here; anything else may.
     pub fn awaits(&self, message: &Message) -> bool {
-        let claim = |key: &Key, ballot: &Ballot| self.claims.get(key).filter(|c| c.ballot == *ballot);
+        let claim =
+            |key: &Key, ballot: &Ballot| self.claims.get(key).filter(|c| c.ballot == *ballot);
         match message {
-            Message::Holds { key, ballot, sending, .. } => {
-                claim(key, ballot).is_some_and(|c| c.asking.contains_key(sending))
-            }
+            Message::Holds {
+                key,
+                ballot,
+                sending,
+                ..
+            } => claim(key, ballot).is_some_and(|c| c.asking.contains_key(sending)),
             Message::Fenced { key, ballot, .. } => claim(key, ballot)
                 .is_some_and(|c| matches!(c.stage, Stage::Fencing(_) | Stage::Watching(Some(_)))),
             _ => true,
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -14,7 +14,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Under which a member acts; any two can be told apart, and there is always a higher one.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub struct Ballot {
     pub number: u32,
     pub member: MemberIx,
@@ -52,7 +54,9 @@
     TooLarge,
 }
 
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub struct Owner {
     pub ballot: Ballot,
     /// It holds it no more: its client or its front has left it.
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -39,7 +39,9 @@
 
 /// How long things are to be kept, so that for so long new dispatches may leave and silence is a proof.
 pub fn kept_for(wanted: Micros) -> Micros {
-    wanted.saturating_add(wanted / (DRIFT_PART - 1)).saturating_add(1_000)
+    wanted
+        .saturating_add(wanted / (DRIFT_PART - 1))
+        .saturating_add(1_000)
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -284,7 +286,11 @@
         nonce: u64,
         folder: Option<Vec<(Key, Shared)>>,
     ) -> Self {
-        let memory = if folder.is_some() { Memory::Kept } else { Memory::Lost };
+        let memory = if folder.is_some() {
+            Memory::Kept
+        } else {
+            Memory::Lost
+        };
         let mut store = Store::new(terms.most_records, terms.written);
         for (key, shared) in folder.into_iter().flatten() {
             store.join(now, &key, &shared, 0);
@@ -319,18 +325,46 @@
             self.ended_for_good(&key);
         }
         match input {
-            Input::Take { key, need, redelivered } => self.take(now, key, need, redelivered, out),
-            Input::Intend { key, sending, place, alone } => self.intend(now, key, sending, place, alone, out),
-            Input::Left { key, sending, place } => self.left(now, &key, sending, place),
-            Input::Ended { key, sending, may_have_run } => self.ended(now, &key, sending, may_have_run, out),
+            Input::Take {
+                key,
+                need,
+                redelivered,
+            } => self.take(now, key, need, redelivered, out),
+            Input::Intend {
+                key,
+                sending,
+                place,
+                alone,
+            } => self.intend(now, key, sending, place, alone, out),
+            Input::Left {
+                key,
+                sending,
+                place,
+            } => self.left(now, &key, sending, place),
+            Input::Ended {
+                key,
+                sending,
+                may_have_run,
+            } => self.ended(now, &key, sending, may_have_run, out),
             Input::Answered { key, answer } => self.answered(now, &key, answer),
             Input::Closed { key } => self.closed(now, &key),
             Input::Dropped { key } => self.dropped(now, &key),
-            Input::Noted { key, version, value, kept } => {
+            Input::Noted {
+                key,
+                version,
+                value,
+                kept,
+            } => {
                 let note = Record::Note(Note { version, value });
                 let origin = self.origin();
                 let until = now.saturating_add(kept);
-                let slot = Slot { record: note.clone(), origin, until, first: None, proves: None };
+                let slot = Slot {
+                    record: note.clone(),
+                    origin,
+                    until,
+                    first: None,
+                    proves: None,
+                };
                 let changed = |slot: &mut Slot| {
                     slot.record.join(&note);
                     (slot.origin, slot.until) = (origin, until.max(slot.until));
@@ -339,13 +373,27 @@
             }
             Input::Choose { key, value, kept } => self.choose(now, key, value, kept, out),
             Input::Lead { key, kept } => self.lead(now, key, kept, out),
-            Input::Write { key, ballot, value, kept } => self.write(now, key, ballot, value, kept, out),
-            Input::Heard { from, nonce, transit, message } => {
+            Input::Write {
+                key,
+                ballot,
+                value,
+                kept,
+            } => self.write(now, key, ballot, value, kept, out),
+            Input::Heard {
+                from,
+                nonce,
+                transit,
+                message,
+            } => {
                 if from != self.group.me && (from as usize) < self.group.len() {
                     self.heard(now, from, nonce, transit, message, out);
                 }
             }
-            Input::Member { member, nonce, alive } => self.member(now, member, nonce, alive, out),
+            Input::Member {
+                member,
+                nonce,
+                alive,
+            } => self.member(now, member, nonce, alive, out),
             Input::Kept { serial } => self.kept(now, serial, out),
             Input::Tick => {}
         }
@@ -366,7 +414,12 @@
             // Symptom: one that was stopped reads what others asked it long ago, or what comes back to it shows only now
             // that it is heard. A promise kept from then on would end before what it is for.
             match message {
-                Message::Intend { key, ballot, sending, .. } => {
+                Message::Intend {
+                    key,
+                    ballot,
+                    sending,
+                    ..
+                } => {
                     return self.refuses(now, from, key, ballot, Some(sending), Refusal::Late, out);
                 }
                 Message::Fence { key, ballot, .. } => {
@@ -380,45 +433,125 @@
             }
         }
         match message {
-            Message::Intend { key, ballot, sending, blind, shared } => {
+            Message::Intend {
+                key,
+                ballot,
+                sending,
+                blind,
+                shared,
+            } => {
                 self.asked_to_hold(now, from, key, ballot, sending, blind, shared, transit, out);
             }
-            Message::Fence { key, ballot, origin, left } => {
-                self.asked_to_fence(now, from, key, ballot, origin, left.saturating_sub(transit), out);
+            Message::Fence {
+                key,
+                ballot,
+                origin,
+                left,
+            } => {
+                self.asked_to_fence(
+                    now,
+                    from,
+                    key,
+                    ballot,
+                    origin,
+                    left.saturating_sub(transit),
+                    out,
+                );
             }
-            Message::Holds { key, ballot, sending, views } => {
+            Message::Holds {
+                key,
+                ballot,
+                sending,
+                views,
+            } => {
                 self.holds(now, from, process, &key, ballot, sending, views, out);
             }
-            Message::Fenced { key, ballot, shared, views } => {
-                self.fenced(now, from, process, &key, ballot, shared, views, transit, out);
+            Message::Fenced {
+                key,
+                ballot,
+                shared,
+                views,
+            } => {
+                self.fenced(
+                    now, from, process, &key, ballot, shared, views, transit, out,
+                );
             }
-            Message::Refused { key, ballot, sending, why, shared } => {
+            Message::Refused {
+                key,
+                ballot,
+                sending,
+                why,
+                shared,
+            } => {
                 self.refused(now, from, &key, ballot, sending, why, shared, transit, out);
             }
             Message::Prepare { key, ballot, left } => {
                 self.asked_to_prepare(now, from, key, ballot, left.saturating_sub(transit), out);
             }
-            Message::Accept { key, ballot, value, left } => {
-                self.asked_to_accept(now, from, key, ballot, value, left.saturating_sub(transit), out);
+            Message::Accept {
+                key,
+                ballot,
+                value,
+                left,
+            } => {
+                self.asked_to_accept(
+                    now,
+                    from,
+                    key,
+                    ballot,
+                    value,
+                    left.saturating_sub(transit),
+                    out,
+                );
             }
-            Message::Prepared { key, ballot, choice, views } => {
+            Message::Prepared {
+                key,
+                ballot,
+                choice,
+                views,
+            } => {
                 self.prepared(now, from, process, &key, ballot, choice, views, out);
             }
-            Message::Accepted { key, ballot, of, views } => {
+            Message::Accepted {
+                key,
+                ballot,
+                of,
+                views,
+            } => {
                 self.accepted(now, from, process, &key, ballot, of, views, out);
             }
-            Message::Overtaken { key, ballot, choice, why } => {
+            Message::Overtaken {
+                key,
+                ballot,
+                choice,
+                why,
+            } => {
                 self.overtaken(now, from, &key, ballot, choice, why, out);
             }
             Message::Tell { key, shared } => {
                 self.learn(now, key, &shared, transit, out);
             }
-            Message::Compare { serial, groups } => self.asked_to_compare(from, serial, &groups, out),
-            Message::Differ { serial, memory, you, groups } => {
+            Message::Compare { serial, groups } => {
+                self.asked_to_compare(from, serial, &groups, out)
+            }
+            Message::Differ {
+                serial,
+                memory,
+                you,
+                groups,
+            } => {
                 self.differ(now, from, serial, memory, you, &groups, out);
             }
-            Message::Want { serial, leaves, after } => self.wanted(now, from, serial, leaves, after, out),
-            Message::Have { serial, records, more } => {
+            Message::Want {
+                serial,
+                leaves,
+                after,
+            } => self.wanted(now, from, serial, leaves, after, out),
+            Message::Have {
+                serial,
+                records,
+                more,
+            } => {
                 self.have(now, from, serial, records, more, transit, out);
             }
         }
@@ -447,19 +580,34 @@
         if self.claims.contains_key(key) {
             self.look_again(now, key, out);
         }
-        if self.store.get(key).is_some_and(|s| !matches!(s.record, Record::Effect(_))) {
+        if self
+            .store
+            .get(key)
+            .is_some_and(|s| !matches!(s.record, Record::Effect(_)))
+        {
             out.push(Output::Noticed(key.clone()));
         }
     }
 
-    fn member(&mut self, now: Micros, member: MemberIx, nonce: u64, alive: bool, out: &mut Vec<Output>) {
+    fn member(
+        &mut self,
+        now: Micros,
+        member: MemberIx,
+        nonce: u64,
+        alive: bool,
+        out: &mut Vec<Output>,
+    ) {
         let m = member as usize;
         if m >= self.group.len() || member == self.group.me {
             return;
         }
         (self.nonces[m], self.alive[m]) = (nonce, alive);
-        let watching: Vec<Key> =
-            self.claims.iter().filter(|(_, c)| c.watches()).map(|(key, _)| key.clone()).collect();
+        let watching: Vec<Key> = self
+            .claims
+            .iter()
+            .filter(|(_, c)| c.watches())
+            .map(|(key, _)| key.clone())
+            .collect();
         for key in watching {
             self.look_again(now, &key, out);
         }
@@ -473,10 +621,15 @@
         if now >= self.tell_at {
             self.tell_at = Micros::MAX;
             for key in std::mem::take(&mut self.tells) {
-                let Some(shared) = self.store.shared(now, &key) else { continue };
+                let Some(shared) = self.store.shared(now, &key) else {
+                    continue;
+                };
                 for to in self.group.others().filter(|m| self.alive[*m as usize]) {
                     self.counts.told += 1;
-                    let message = Message::Tell { key: key.clone(), shared: shared.clone() };
+                    let message = Message::Tell {
+                        key: key.clone(),
+                        shared: shared.clone(),
+                    };
                     out.push(Output::Send { to, message });
                 }
             }
@@ -519,20 +672,40 @@
 
     pub(crate) fn origin(&mut self) -> Origin {
         self.serial += 1;
-        Origin { nonce: self.nonce, serial: self.serial }
+        Origin {
+            nonce: self.nonce,
+            serial: self.serial,
+        }
     }
 
     pub(crate) fn ballot(&self, number: u32) -> Ballot {
-        Ballot { number, member: self.group.me, nonce: self.nonce }
+        Ballot {
+            number,
+            member: self.group.me,
+            nonce: self.nonce,
+        }
     }
 
     /// A record of its own, as it is at first.
     pub(crate) fn fresh(&mut self, now: Micros, taken: bool) -> Slot {
-        let owner = crate::record::Owner { ballot: self.ballot(FIRST), let_go: false };
-        let record = Record::Effect(Effect { owner, taken, ..Effect::default() });
+        let owner = crate::record::Owner {
+            ballot: self.ballot(FIRST),
+            let_go: false,
+        };
+        let record = Record::Effect(Effect {
+            owner,
+            taken,
+            ..Effect::default()
+        });
         let until = now.saturating_add(self.terms.kept);
         let proves = taken.then(|| until.saturating_sub(self.terms.kept / DRIFT_PART));
-        Slot { record, origin: self.origin(), until, first: None, proves }
+        Slot {
+            record,
+            origin: self.origin(),
+            until,
+            first: None,
+            proves,
+        }
     }
 
     pub(crate) fn everybody_else(&self) -> Vec<MemberIx> {
@@ -565,7 +738,8 @@
 
     /// Without a majority alive it need not be tried.
     pub(crate) fn majority_lives(&self) -> bool {
-        self.group.is_majority((0..self.group.len() as MemberIx).filter(|m| self.alive[*m as usize]))
+        self.group
+            .is_majority((0..self.group.len() as MemberIx).filter(|m| self.alive[*m as usize]))
     }
 
     /// That process is over, as far as is known: what only it knew will not be told any more.
@@ -579,7 +753,11 @@
         self.draws += 1;
         let draw = hashed((self.terms.seed, self.nonce, self.draws));
         let most = self.terms.step_back << tries.min(6);
-        if most == 0 { 0 } else { (draw % most as u64) as Micros }
+        if most == 0 {
+            0
+        } else {
+            (draw % most as u64) as Micros
+        }
     }
 
     fn ended_for_good(&mut self, key: &Key) {
--- a/crates/replica/src/returning.rs
+++ b/crates/replica/src/returning.rs
@@ -27,7 +27,11 @@
 
 impl Returning {
     pub fn new(now: Micros, memory: Memory) -> Self {
-        Returning { since: now, memory, compared: BTreeMap::new() }
+        Returning {
+            since: now,
+            memory,
+            compared: BTreeMap::new(),
+        }
     }
 
     pub fn memory(&self) -> Memory {
@@ -41,7 +45,9 @@
     pub fn next_due(&self, kept: Micros) -> Micros {
         match self.memory {
             Memory::Whole => Micros::MAX,
-            _ => self.since.saturating_add(kept.saturating_add(kept / DRIFT_PART)),
+            _ => self
+                .since
+                .saturating_add(kept.saturating_add(kept / DRIFT_PART)),
         }
     }
 }
@@ -69,16 +75,26 @@
         if !self.group.meets_all(&with, self.group.me) {
             return true;
         }
-        let all_had_gone = self.returning.compared.values().any(|m| *m != Memory::Whole);
+        let all_had_gone = self
+            .returning
+            .compared
+            .values()
+            .any(|m| *m != Memory::Whole);
         if all_had_gone && !self.without(Guard::Doubt) {
             let open = |record: &Record| match record {
                 Record::Effect(e) => !e.closed && e.answer.is_none() && !e.doubtful,
                 _ => false,
             };
-            let doubtful: Vec<Key> =
-                self.store.all().filter(|(_, s)| open(&s.record)).map(|(key, _)| key.clone()).collect();
+            let doubtful: Vec<Key> = self
+                .store
+                .all()
+                .filter(|(_, s)| open(&s.record))
+                .map(|(key, _)| key.clone())
+                .collect();
             for key in doubtful {
-                let Some(slot) = self.store.get(&key).cloned() else { continue };
+                let Some(slot) = self.store.get(&key).cloned() else {
+                    continue;
+                };
                 self.change(now, &key, slot, |slot| {
                     if let Record::Effect(e) = &mut slot.record {
                         e.doubtful = true;
