--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -29,7 +29,9 @@
 const MOST_FORGOTTEN: usize = 4096;
 
 /// Which record of which process: they are made in this order.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub struct Origin {
     pub nonce: u64,
     pub serial: u64,
@@ -97,7 +99,11 @@
 impl Store {
     /// `most`: records at once; `written`: whether changes are gathered for a folder.
     pub fn new(most: usize, written: bool) -> Self {
-        Store { most, dirty: written.then(BTreeSet::new), ..Store::default() }
+        Store {
+            most,
+            dirty: written.then(BTreeSet::new),
+            ..Store::default()
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -129,14 +135,22 @@
     }
 
     /// The rest of a leaf after this key, or of the leaves behind it.
-    pub fn from(&self, leaf: Leaf, after: Option<&Key>) -> impl Iterator<Item = (&(Leaf, Key), &Slot)> {
+    pub fn from(
+        &self,
+        leaf: Leaf,
+        after: Option<&Key>,
+    ) -> impl Iterator<Item = (&(Leaf, Key), &Slot)> {
         let from = (leaf, after.cloned().unwrap_or_else(|| Key::from("")));
         let skipped = from.clone();
-        self.slots.range(from..).filter(move |(at, _)| **at != skipped)
+        self.slots
+            .range(from..)
+            .filter(move |(at, _)| **at != skipped)
     }
 
     pub fn was_forgotten(&self, origin: Origin) -> bool {
-        self.forgotten.get(&origin.nonce).is_some_and(|(last, _)| origin.serial <= *last)
+        self.forgotten
+            .get(&origin.nonce)
+            .is_some_and(|(last, _)| origin.serial <= *last)
     }
 
     pub fn shared(&self, now: Micros, key: &str) -> Option<Shared> {
@@ -146,8 +160,12 @@
     /// `transit`: it has been under way for no longer.
     pub fn join(&mut self, now: Micros, key: &Key, theirs: &Shared, transit: Micros) -> Joined {
         let until = now.saturating_add(theirs.left.saturating_sub(transit));
-        let first = theirs.first_ago.map(|ago| now.saturating_sub(ago.saturating_add(transit)));
-        let proves = theirs.proves_left.map(|left| now.saturating_add(left.saturating_sub(transit)));
+        let first = theirs
+            .first_ago
+            .map(|ago| now.saturating_sub(ago.saturating_add(transit)));
+        let proves = theirs
+            .proves_left
+            .map(|left| now.saturating_add(left.saturating_sub(transit)));
         // Symptom: a member that was cut off never hears of a plan that began long ago, as what was taken after that
         // is over. Only effects are forgotten in the order in which they were made.
         let over = matches!(theirs.record, Record::Effect(_)) && self.was_forgotten(theirs.origin);
@@ -159,7 +177,13 @@
             if self.is_full() {
                 return Joined::Full;
             }
-            let slot = Slot { record: theirs.record.clone(), origin: theirs.origin, until, first, proves };
+            let slot = Slot {
+                record: theirs.record.clone(),
+                origin: theirs.origin,
+                until,
+                first,
+                proves,
+            };
             self.put(at, slot);
             return Joined::Changed;
         };
@@ -172,10 +196,15 @@
         } else if theirs.record.owner() == owner {
             slot.until = slot.until.max(until);
         }
-        let (after, now_fault, until) = (digest(key, &slot.record), fault(&slot.record), slot.until);
+        let (after, now_fault, until) =
+            (digest(key, &slot.record), fault(&slot.record), slot.until);
         self.faults += u64::from(now_fault && !had_fault);
         self.moved(at, before ^ after, ended, until, changed);
-        if changed { Joined::Changed } else { Joined::Nothing }
+        if changed {
+            Joined::Changed
+        } else {
+            Joined::Nothing
+        }
     }
 
     /// Changes a record here, or makes one. False if there is no room for it.
@@ -192,7 +221,9 @@
             }
             self.put(at.clone(), absent());
         }
-        let Some(slot) = self.slots.get_mut(&at) else { return false };
+        let Some(slot) = self.slots.get_mut(&at) else {
+            return false;
+        };
         let (before, ended, was) = (digest(key, &slot.record), slot.until, slot.clone());
         change(slot);
         let (after, until, changed) = (digest(key, &slot.record), slot.until, *slot != was);
@@ -250,7 +281,9 @@
 
     pub fn leaf_digests(&self, group: Leaf) -> Vec<u64> {
         let first = group * IN_GROUP;
-        (first..first + IN_GROUP).map(|l| self.leaf_digest(l)).collect()
+        (first..first + IN_GROUP)
+            .map(|l| self.leaf_digest(l))
+            .collect()
     }
 
     pub fn leaf_digest(&self, leaf: Leaf) -> u64 {
@@ -260,7 +293,10 @@
     /// What stands in a leaf: of each key its hash, and a digest of its record.
     pub fn entries(&self, leaf: Leaf) -> BTreeMap<u64, u64> {
         let within = (leaf, Key::from(""))..(leaf + 1, Key::from(""));
-        self.slots.range(within).map(|((_, k), s)| (hashed(&**k), digest(k, &s.record))).collect()
+        self.slots
+            .range(within)
+            .map(|((_, k), s)| (hashed(&**k), digest(k, &s.record)))
+            .collect()
     }
 
     /// The hash and digest under which [`Store::entries`] lists this one.
@@ -275,7 +311,14 @@
         self.touch(&at, digest, true);
     }
 
-    fn moved(&mut self, at: (Leaf, Key), digests: u64, ended: Micros, until: Micros, changed: bool) {
+    fn moved(
+        &mut self,
+        at: (Leaf, Key),
+        digests: u64,
+        ended: Micros,
+        until: Micros,
+        changed: bool,
+    ) {
         if ended != until {
             self.ends.remove(&(ended, at.0, at.1.clone()));
             self.ends.insert((until, at.0, at.1.clone()));
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -14,7 +14,9 @@
 pub const VERSION: u16 = 3;
 
 /// How much a member remembers.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 #[serde(rename_all = "kebab-case")]
 pub enum Memory {
     /// It began with nothing: what it once promised it does not know.
@@ -148,7 +150,10 @@
     pub fn is_bulk(&self) -> bool {
         matches!(
             self,
-            Message::Compare { .. } | Message::Differ { .. } | Message::Want { .. } | Message::Have { .. }
+            Message::Compare { .. }
+                | Message::Differ { .. }
+                | Message::Want { .. }
+                | Message::Have { .. }
         )
     }
 
--- a/crates/replica/tests/cases.rs
+++ b/crates/replica/tests/cases.rs
@@ -25,17 +25,24 @@
     w.ended(0, "x", s, true);
     w.answered(0, "x", "done");
     w.pass(20 * MS);
-    assert_eq!(w.verdict(2, "x"), Some(Verdict::Answer(Bytes::from_static(b"done"))));
+    assert_eq!(
+        w.verdict(2, "x"),
+        Some(Verdict::Answer(Bytes::from_static(b"done")))
+    );
     // A third delivery is answered at once.
-    assert_eq!(w.take(1, "x", true), Some(Verdict::Answer(Bytes::from_static(b"done"))));
+    assert_eq!(
+        w.take(1, "x", true),
+        Some(Verdict::Answer(Bytes::from_static(b"done")))
+    );
 }
 
 #[test]
 fn what_never_left_is_sent_by_the_next_one_and_what_may_have_run_is_not() {
     let mut w = World::new(3, None);
-    for (key, ends, want) in
-        [("never", Some(false), GO), ("ran", Some(true), Verdict::MayHaveRun(Because::Ended))]
-    {
+    for (key, ends, want) in [
+        ("never", Some(false), GO),
+        ("ran", Some(true), Verdict::MayHaveRun(Because::Ended)),
+    ] {
         w.take(0, key, false);
         let s = w.intend(0, key);
         w.deliver(|_, _, _| true);
@@ -72,7 +79,10 @@
     // Not known to be gone yet, it is waited for.
     assert_eq!(w.verdict(1, "x"), Some(Verdict::Waits));
     w.sees(1, 0, false);
-    assert_eq!(w.verdict(1, "x"), Some(Verdict::MayHaveRun(Because::OwnerGone)));
+    assert_eq!(
+        w.verdict(1, "x"),
+        Some(Verdict::MayHaveRun(Because::OwnerGone))
+    );
 }
 
 #[test]
@@ -85,17 +95,38 @@
     w.take(0, "y", false);
     w.last += 1;
     let s = w.last;
-    w.feed(0, Input::Intend { key: "y".into(), sending: s, place: 0, alone: true });
+    w.feed(
+        0,
+        Input::Intend {
+            key: "y".into(),
+            sending: s,
+            place: 0,
+            alone: true,
+        },
+    );
     w.pass_where(1_000 * MS, |_, _, _| false);
     assert_eq!(w.leaves[0][&s], Ok(true));
     // Known to be alone, it is told at once; and one that has just started does not take it either.
     w.sees(0, 1, false);
     w.sees(0, 2, false);
-    assert_eq!(w.take(0, "z", false), Some(Verdict::NoMajority(Lack::Unreachable)));
+    assert_eq!(
+        w.take(0, "z", false),
+        Some(Verdict::NoMajority(Lack::Unreachable))
+    );
     let mut w = World::fresh(3, None);
-    assert_eq!(w.take(0, "z", false), Some(Verdict::NoMajority(Lack::Returning)));
+    assert_eq!(
+        w.take(0, "z", false),
+        Some(Verdict::NoMajority(Lack::Returning))
+    );
     // Tokened ones that need no copy are taken all the same.
-    w.feed(0, Input::Take { key: "t".into(), need: Need::Known, redelivered: false });
+    w.feed(
+        0,
+        Input::Take {
+            key: "t".into(),
+            need: Need::Known,
+            redelivered: false,
+        },
+    );
     assert_eq!(w.verdict(0, "t"), Some(GO));
 }
 
@@ -103,19 +134,48 @@
 fn of_a_token_the_first_sending_counts_wherever_its_retry_comes() {
     let mut w = World::new(3, None);
     let take = |w: &mut World, r| {
-        w.feed(r, Input::Take { key: "t".into(), need: Need::Known, redelivered: false });
+        w.feed(
+            r,
+            Input::Take {
+                key: "t".into(),
+                need: Need::Known,
+                redelivered: false,
+            },
+        );
         w.verdict(r, "t")
     };
     assert_eq!(take(&mut w, 0), Some(GO));
-    w.feed(0, Input::Left { key: "t".into(), sending: 7, place: 0 });
+    w.feed(
+        0,
+        Input::Left {
+            key: "t".into(),
+            sending: 7,
+            place: 0,
+        },
+    );
     w.pass(300 * MS);
-    w.feed(1, Input::Left { key: "t".into(), sending: 8, place: 0 });
+    w.feed(
+        1,
+        Input::Left {
+            key: "t".into(),
+            sending: 8,
+            place: 0,
+        },
+    );
     w.pass(200 * MS);
-    let Some(Verdict::Go { first_ago: Some(ago) }) = take(&mut w, 2) else { panic!("it may have run") };
+    let Some(Verdict::Go {
+        first_ago: Some(ago),
+    }) = take(&mut w, 2)
+    else {
+        panic!("it may have run")
+    };
     assert!((500 * MS..520 * MS).contains(&ago), "{ago}");
     w.answered(0, "t", "done");
     w.pass(10 * MS);
-    assert_eq!(take(&mut w, 2), Some(Verdict::Answer(Bytes::from_static(b"done"))));
+    assert_eq!(
+        take(&mut w, 2),
+        Some(Verdict::Answer(Bytes::from_static(b"done")))
+    );
 }
 
 #[test]
@@ -164,7 +224,9 @@
         assert_ne!(old, w.nonces[2]);
         w.net = net;
         // The intent is held by the new process and one more; the fence is promised by that one after.
-        w.deliver(|from, to, m| matches!(m, Message::Intend { .. }) && from == 0 && (to == 2 || to == 4));
+        w.deliver(|from, to, m| {
+            matches!(m, Message::Intend { .. }) && from == 0 && (to == 2 || to == 4)
+        });
         w.deliver(|from, _, m| matches!(m, Message::Holds { .. }) && (from == 2 || from == 4));
         let one = w.left(0, s);
         w.deliver(|from, to, m| matches!(m, Message::Fence { .. }) && (from, to) == (1, 3));
@@ -233,22 +295,41 @@
         let mut w = World::new(3, without);
         let choose = |w: &mut World, r: usize, value: &'static str| {
             let value = Bytes::from_static(value.as_bytes());
-            w.feed(r, Input::Choose { key: "s".into(), value, kept: KEPT });
+            w.feed(
+                r,
+                Input::Choose {
+                    key: "s".into(),
+                    value,
+                    kept: KEPT,
+                },
+            );
             w.deliver(|_, _, _| true);
             w.decided[r].get("s").and_then(|d| d.last()).cloned()
         };
-        assert_eq!(choose(&mut w, 0, "v1"), Some(Outcome::Chosen(Bytes::from_static(b"v1"))));
+        assert_eq!(
+            choose(&mut w, 0, "v1"),
+            Some(Outcome::Chosen(Bytes::from_static(b"v1")))
+        );
         choose(&mut w, 1, "v2")
     };
     assert_eq!(play(None), Some(Outcome::Chosen(Bytes::from_static(b"v1"))));
-    assert_eq!(play(Some(Guard::Adopted)), Some(Outcome::Chosen(Bytes::from_static(b"v2"))));
+    assert_eq!(
+        play(Some(Guard::Adopted)),
+        Some(Outcome::Chosen(Bytes::from_static(b"v2")))
+    );
 }
 
 #[test]
 fn who_leads_goes_on_from_the_last_step_and_an_older_term_writes_no_more() {
     let mut w = World::new(3, None);
     let lead = |w: &mut World, r: usize| {
-        w.feed(r, Input::Lead { key: "plan".into(), kept: KEPT });
+        w.feed(
+            r,
+            Input::Lead {
+                key: "plan".into(),
+                kept: KEPT,
+            },
+        );
         w.deliver(|_, _, _| true);
         match w.decided[r].get("plan").and_then(|d| d.last()).cloned() {
             Some(Outcome::Leads { ballot, last }) => (ballot, last),
@@ -257,18 +338,35 @@
     };
     let write = |w: &mut World, r: usize, ballot, step: &'static str| {
         let value = Bytes::from_static(step.as_bytes());
-        w.feed(r, Input::Write { key: "plan".into(), ballot, value, kept: KEPT });
+        w.feed(
+            r,
+            Input::Write {
+                key: "plan".into(),
+                ballot,
+                value,
+                kept: KEPT,
+            },
+        );
         w.deliver(|_, _, _| true);
         w.decided[r]["plan"].last().cloned()
     };
     let (first, last) = lead(&mut w, 0);
     assert_eq!(last, None);
-    assert_eq!(write(&mut w, 0, first, "1"), Some(Outcome::Written { ballot: first }));
-    assert_eq!(write(&mut w, 0, first, "2"), Some(Outcome::Written { ballot: first }));
+    assert_eq!(
+        write(&mut w, 0, first, "1"),
+        Some(Outcome::Written { ballot: first })
+    );
+    assert_eq!(
+        write(&mut w, 0, first, "2"),
+        Some(Outcome::Written { ballot: first })
+    );
     let (second, last) = lead(&mut w, 2);
     assert!(second > first && last == Some(Bytes::from_static(b"2")));
     assert_eq!(write(&mut w, 0, first, "3"), Some(Outcome::Overtaken));
-    assert_eq!(write(&mut w, 2, second, "3"), Some(Outcome::Written { ballot: second }));
+    assert_eq!(
+        write(&mut w, 2, second, "3"),
+        Some(Outcome::Written { ballot: second })
+    );
 }
 
 #[test]
@@ -276,7 +374,15 @@
     let mut w = World::new(3, None);
     let note = |w: &mut World, r: usize, n: u64| {
         let (key, value) = (format!("n{n}").into(), Bytes::from(n.to_string()));
-        w.feed(r, Input::Noted { key, version: (1, n), value, kept: 10 * KEPT });
+        w.feed(
+            r,
+            Input::Noted {
+                key,
+                version: (1, n),
+                value,
+                kept: 10 * KEPT,
+            },
+        );
     };
     (0..3_000).for_each(|n| note(&mut w, 0, n));
     w.pass(100 * MS);
@@ -286,12 +392,22 @@
     // With its folder, a few pieces; without, a snapshot.
     w.start(2, Some(folder));
     w.pass(600 * MS);
-    assert_eq!((w.at(2).memory(), w.at(2).records().count()), (Memory::Whole, 3_100));
-    assert!(w.at(2).counts.snapshots == 0 && w.at(2).counts.records_fetched < 1_000, "{:?}", w.at(2).counts);
+    assert_eq!(
+        (w.at(2).memory(), w.at(2).records().count()),
+        (Memory::Whole, 3_100)
+    );
+    assert!(
+        w.at(2).counts.snapshots == 0 && w.at(2).counts.records_fetched < 1_000,
+        "{:?}",
+        w.at(2).counts
+    );
     w.crash(2);
     w.start(2, None);
     w.pass(900 * MS);
-    assert_eq!((w.at(2).memory(), w.at(2).records().count()), (Memory::Whole, 3_100));
+    assert_eq!(
+        (w.at(2).memory(), w.at(2).records().count()),
+        (Memory::Whole, 3_100)
+    );
     assert_eq!(w.at(2).counts.snapshots, 1);
     // All without memory: only time helps.
     (0..3).for_each(|r| {
@@ -324,8 +440,17 @@
 #[test]
 fn a_full_store_refuses_what_is_new_and_says_so() {
     let mut w = World::new(3, None);
-    let few = Terms { most_records: 2, ..terms(None, 800 * MS) };
-    w.replicas[1] = Some(cedarpulley_replica::Replica::new(w.now, group(3, 1), few, 99, None));
+    let few = Terms {
+        most_records: 2,
+        ..terms(None, 800 * MS)
+    };
+    w.replicas[1] = Some(cedarpulley_replica::Replica::new(
+        w.now,
+        group(3, 1),
+        few,
+        99,
+        None,
+    ));
     w.nonces[1] = 99;
     (0..3).for_each(|m| w.sees(1, m, true));
     w.sees(0, 1, true);
@@ -340,6 +465,11 @@
     let s = w.intend(0, "d");
     w.deliver(|_, _, _| true);
     assert!(w.left(0, s));
-    let held = |r: usize| w.at(r).records().filter(|(_, s)| matches!(s.record, Record::Effect(_))).count();
+    let held = |r: usize| {
+        w.at(r)
+            .records()
+            .filter(|(_, s)| matches!(s.record, Record::Effect(_)))
+            .count()
+    };
     assert_eq!(held(1), 2);
 }
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -14,7 +14,10 @@
 pub const KEPT: i64 = 6_000 * MS;
 
 pub fn terms(without: Option<Guard>, patience: i64) -> Terms {
-    Terms { without, ..Terms::usual(KEPT, patience, 1) }
+    Terms {
+        without,
+        ..Terms::usual(KEPT, patience, 1)
+    }
 }
 
 pub fn group(n: usize, me: usize) -> Group {
@@ -102,7 +105,10 @@
         let n = self.replicas.len();
         self.last += 1;
         self.nonces[r] = self.last;
-        let terms = Terms { written: self.written, ..terms(self.without, self.patience) };
+        let terms = Terms {
+            written: self.written,
+            ..terms(self.without, self.patience)
+        };
         let group = group(n, r);
         self.replicas[r] = Some(Replica::new(self.now, group, terms, self.last, folder));
         (self.verdicts[r], self.leaves[r]) = (BTreeMap::new(), BTreeMap::new());
@@ -121,12 +127,19 @@
     /// What has changed is on its way to the disk, if nothing is.
     pub fn takes(&mut self, r: usize) {
         let now = self.clock(r);
-        let Some(it) = self.replicas[r].as_mut().filter(|_| self.takings[r].is_none()) else { return };
+        let Some(it) = self.replicas[r]
+            .as_mut()
+            .filter(|_| self.takings[r].is_none())
+        else {
+            return;
+        };
         self.takings[r] = Some(it.changes(now));
     }
 
     pub fn commits(&mut self, r: usize) {
-        let Some((serial, changes)) = self.takings[r].take() else { return };
+        let Some((serial, changes)) = self.takings[r].take() else {
+            return;
+        };
         for (key, shared) in changes {
             match shared {
                 Some(shared) => self.disks[r].insert(key, shared),
@@ -139,12 +152,18 @@
     /// It dies and starts from what is on its disk.
     pub fn loses_power(&mut self, r: usize) {
         (self.replicas[r], self.takings[r]) = (None, None);
-        let folder = self.disks[r].iter().map(|(key, shared)| (key.clone(), shared.clone())).collect();
+        let folder = self.disks[r]
+            .iter()
+            .map(|(key, shared)| (key.clone(), shared.clone()))
+            .collect();
         self.start(r, Some(folder));
     }
 
     pub fn folder(&self, r: usize) -> Vec<(Key, Shared)> {
-        self.at(r).records().map(|(k, s)| (k.clone(), s.shared(self.now))).collect()
+        self.at(r)
+            .records()
+            .map(|(k, s)| (k.clone(), s.shared(self.now)))
+            .collect()
     }
 
     /// What a member's own clock says.
@@ -162,24 +181,38 @@
 
     pub fn sees(&mut self, r: usize, m: usize, alive: bool) {
         let (member, nonce) = (m as MemberIx, self.nonces[m]);
-        self.feed(r, Input::Member { member, nonce, alive });
+        self.feed(
+            r,
+            Input::Member {
+                member,
+                nonce,
+                alive,
+            },
+        );
     }
 
     pub fn feed(&mut self, r: usize, input: Input) {
         let now = self.clock(r);
-        let Some(it) = self.replicas[r].as_mut() else { return };
+        let Some(it) = self.replicas[r].as_mut() else {
+            return;
+        };
         let mut out = Vec::new();
         it.handle(now, input, &mut out);
         for output in out {
             match output {
                 Output::Send { to, message } => {
-                    self.net.push((r as MemberIx, to, self.nonces[r], self.now, message));
+                    self.net
+                        .push((r as MemberIx, to, self.nonces[r], self.now, message));
+                }
+                Output::Verdict { key, verdict } => {
+                    self.verdicts[r].entry(key).or_default().push(verdict)
                 }
-                Output::Verdict { key, verdict } => self.verdicts[r].entry(key).or_default().push(verdict),
                 Output::Leave { sending, left, .. } => {
                     self.leaves[r].insert(sending, left);
                 }
-                Output::Decided { key, outcome } => self.decided[r].entry(key).or_default().push(outcome),
+                Output::Decided { key, outcome } => {
+                    self.decided[r].entry(key).or_default().push(outcome)
+                }
                 Output::Noticed(_) | Output::Whole => {}
             }
         }
@@ -190,7 +223,15 @@
         while let Some(n) = self.net.iter().position(|(f, t, _, _, m)| fits(*f, *t, m)) {
             let (from, to, nonce, sent, message) = self.net.remove(n);
             let transit = self.now - sent;
-            self.feed(to as usize, Input::Heard { from, nonce, transit, message });
+            self.feed(
+                to as usize,
+                Input::Heard {
+                    from,
+                    nonce,
+                    transit,
+                    message,
+                },
+            );
         }
     }
 
@@ -211,7 +252,14 @@
     }
 
     pub fn take(&mut self, r: usize, key: &str, redelivered: bool) -> Option<Verdict> {
-        self.feed(r, Input::Take { key: key.into(), need: Need::Held, redelivered });
+        self.feed(
+            r,
+            Input::Take {
+                key: key.into(),
+                need: Need::Held,
+                redelivered,
+            },
+        );
         self.verdict(r, key)
     }
 
@@ -222,7 +270,15 @@
     pub fn intend(&mut self, r: usize, key: &str) -> u64 {
         self.last += 1;
         let sending = self.last;
-        self.feed(r, Input::Intend { key: key.into(), sending, place: 0, alone: false });
+        self.feed(
+            r,
+            Input::Intend {
+                key: key.into(),
+                sending,
+                place: 0,
+                alone: false,
+            },
+        );
         sending
     }
 
@@ -231,10 +287,23 @@
     }
 
     pub fn ended(&mut self, r: usize, key: &str, sending: u64, may_have_run: bool) {
-        self.feed(r, Input::Ended { key: key.into(), sending, may_have_run });
+        self.feed(
+            r,
+            Input::Ended {
+                key: key.into(),
+                sending,
+                may_have_run,
+            },
+        );
     }
 
     pub fn answered(&mut self, r: usize, key: &str, answer: &'static str) {
-        self.feed(r, Input::Answered { key: key.into(), answer: Bytes::from_static(answer.as_bytes()) });
+        self.feed(
+            r,
+            Input::Answered {
+                key: key.into(),
+                answer: Bytes::from_static(answer.as_bytes()),
+            },
+        );
     }
 }
--- a/crates/replica/tests/explore.rs
+++ b/crates/replica/tests/explore.rs
@@ -12,7 +12,9 @@
 
 use bytes::Bytes;
 use cedarpulley_membership::{Group, Member, MemberIx};
-use cedarpulley_replica::{Guard, Input, Key, Lack, Message, Need, Output, Replica, Shared, Terms, Verdict};
+use cedarpulley_replica::{
+    Guard, Input, Key, Lack, Message, Need, Output, Replica, Shared, Terms, Verdict,
+};
 
 const N: usize = 3;
 const KEPT: i64 = 1_000_000;
@@ -85,7 +87,13 @@
     fn new(from: usize, to: MemberIx, nonce: u64, message: Message) -> Sent {
         let (from, to) = (from as u8, to as u8);
         let mark = [1u64, 2].map(|salt| hashed((salt, from, to, nonce, &message)));
-        Sent { from, to, nonce, message: Arc::new(message), mark }
+        Sent {
+            from,
+            to,
+            nonce,
+            message: Arc::new(message),
+            mark,
+        }
     }
 }
 
@@ -133,8 +141,12 @@
 }
 
 fn group(me: usize) -> Group {
-    let member =
-        |n: usize| Member { name: format!("r{n}"), region: String::new(), weight: 1, witness: false };
+    let member = |n: usize| Member {
+        name: format!("r{n}"),
+        region: String::new(),
+        weight: 1,
+        witness: false,
+    };
     Group::new("g", (0..N).map(member).collect(), &format!("r{me}")).expect("a group")
 }
 
@@ -161,7 +173,11 @@
             replica.handle(NOW, Input::Tick, &mut Vec::new());
             for m in 0..N {
                 w.views[r][m] = (w.nonces[m], true);
-                let input = Input::Member { member: m as MemberIx, nonce: w.nonces[m], alive: true };
+                let input = Input::Member {
+                    member: m as MemberIx,
+                    nonce: w.nonces[m],
+                    alive: true,
+                };
                 replica.handle(NOW, input, &mut Vec::new());
             }
             assert!(replica.votes());
@@ -177,7 +193,11 @@
         let of = |salt: u64| {
             let mut h = DefaultHasher::new();
             salt.hash(&mut h);
-            self.replicas[r].as_ref().map(|it| it.imprint(&mut h)).is_some().hash(&mut h);
+            self.replicas[r]
+                .as_ref()
+                .map(|it| it.imprint(&mut h))
+                .is_some()
+                .hash(&mut h);
             h.finish()
         };
         self.marks[r] = [of(1), of(2)];
@@ -185,7 +205,10 @@
 
     fn mark(&self) -> u128 {
         let half = |n: usize| {
-            let net = self.net.iter().fold(0u64, |sum, sent| sum.wrapping_add(sent.mark[n]));
+            let net = self
+                .net
+                .iter()
+                .fold(0u64, |sum, sent| sum.wrapping_add(sent.mark[n]));
             let rest = (
                 self.nonces,
                 self.views,
@@ -195,7 +218,14 @@
                 self.left,
                 (self.intents, self.last),
             );
-            hashed((n, self.marks.map(|m| m[n]), &self.folders, &self.routers, net, rest))
+            hashed((
+                n,
+                self.marks.map(|m| m[n]),
+                &self.folders,
+                &self.routers,
+                net,
+                rest,
+            ))
         };
         u128::from(half(0)) << 64 | u128::from(half(1))
     }
@@ -208,7 +238,9 @@
     }
 
     fn feed(&mut self, r: usize, now: i64, input: Input) -> Result<(), String> {
-        let Some(replica) = self.replicas[r].as_mut() else { return Ok(()) };
+        let Some(replica) = self.replicas[r].as_mut() else {
+            return Ok(());
+        };
         let mut out = Vec::new();
         Arc::make_mut(replica).handle(now, input, &mut out);
         self.marked(r);
@@ -226,7 +258,11 @@
                     }
                 }
                 Output::Verdict { verdict, .. } => self.verdict(r, verdict)?,
-                Output::Leave { sending, left: Ok(_), .. } => {
+                Output::Leave {
+                    sending,
+                    left: Ok(_),
+                    ..
+                } => {
                     if self.routers[r].out.get(&sending) != Some(&Out::Asking) {
                         continue;
                     }
@@ -235,7 +271,11 @@
                     }
                     self.routers[r].out.insert(sending, Out::Buffered);
                 }
-                Output::Leave { sending, left: Err(lack), .. } => {
+                Output::Leave {
+                    sending,
+                    left: Err(lack),
+                    ..
+                } => {
                     self.routers[r].out.remove(&sending);
                     self.routers[r].goes = false;
                     if lack != Lack::Elsewhere {
@@ -249,7 +289,8 @@
         }
         // A vote for what is over counts for nothing, whenever it comes.
         if let Some(it) = self.replicas[r].clone() {
-            self.net.retain(|s| s.to as usize != r || it.awaits(&s.message));
+            self.net
+                .retain(|s| s.to as usize != r || it.awaits(&s.message));
         }
         Ok(())
     }
@@ -286,8 +327,16 @@
             self.answered = Some(success);
         }
         (self.routers[r].holds, self.routers[r].goes) = (false, false);
-        let end = if success { Input::Closed { key: X.into() } } else { Input::Dropped { key: X.into() } };
-        if self.routers[r].out.is_empty() { self.feed(r, NOW, end) } else { Ok(()) }
+        let end = if success {
+            Input::Closed { key: X.into() }
+        } else {
+            Input::Dropped { key: X.into() }
+        };
+        if self.routers[r].out.is_empty() {
+            self.feed(r, NOW, end)
+        } else {
+            Ok(())
+        }
     }
 
     fn steps(&self, without: Option<Guard>, found: &mut dyn FnMut(Label, Result<World, String>)) {
@@ -300,11 +349,17 @@
         for r in (0..N).filter(|r| runs(*r)) {
             // All are alike at first, but for the order of their ballots: from the one in the middle it goes up and down.
             let first = |again: bool| again || r == 1;
-            if let Some(again) = self.ready.filter(|again| !self.routers[r].holds && first(*again)) {
-                step(("delivered, and whether again", r, usize::from(again), 0), &|w| {
-                    w.ready = None;
-                    w.taken(r, again)
-                });
+            if let Some(again) = self
+                .ready
+                .filter(|again| !self.routers[r].holds && first(*again))
+            {
+                step(
+                    ("delivered, and whether again", r, usize::from(again), 0),
+                    &|w| {
+                        w.ready = None;
+                        w.taken(r, again)
+                    },
+                );
                 if !again && self.left.twins > 0 {
                     for other in (0..N).filter(|o| *o != r && runs(*o)) {
                         step(("delivered to both", r, other, 0), &|w| {
@@ -322,7 +377,16 @@
                     let sending = w.last;
                     w.intents -= 1;
                     w.routers[r].out.insert(sending, Out::Asking);
-                    w.feed(r, NOW, Input::Intend { key: X.into(), sending, place: 0, alone: false })
+                    w.feed(
+                        r,
+                        NOW,
+                        Input::Intend {
+                            key: X.into(),
+                            sending,
+                            place: 0,
+                            alone: false,
+                        },
+                    )
                 });
             }
             for (&sending, &o) in &router.out {
@@ -330,19 +394,31 @@
                     Out::Asking => {}
                     Out::Buffered => {
                         for ran in [true, false] {
-                            step(("sends, and whether it ran", r, usize::from(ran), sending), &|w| {
-                                w.routers[r].out.insert(sending, Out::Sent { ran });
-                                w.effects += u8::from(ran);
-                                if w.effects > 1 { Err("a second effect".into()) } else { Ok(()) }
-                            });
+                            step(
+                                ("sends, and whether it ran", r, usize::from(ran), sending),
+                                &|w| {
+                                    w.routers[r].out.insert(sending, Out::Sent { ran });
+                                    w.effects += u8::from(ran);
+                                    if w.effects > 1 {
+                                        Err("a second effect".into())
+                                    } else {
+                                        Ok(())
+                                    }
+                                },
+                            );
                         }
-                        step(("holds back", r, r, sending), &|w| w.ends(r, sending, false, false));
+                        step(("holds back", r, r, sending), &|w| {
+                            w.ends(r, sending, false, false)
+                        });
                     }
                     Out::Sent { ran } => {
-                        step(("ends, and whether well", r, usize::from(ran), sending), &|w| {
-                            w.ends(r, sending, ran, ran)
+                        step(
+                            ("ends, and whether well", r, usize::from(ran), sending),
+                            &|w| w.ends(r, sending, ran, ran),
+                        );
+                        step(("breaks", r, r, sending), &|w| {
+                            w.ends(r, sending, true, false)
                         });
-                        step(("breaks", r, r, sending), &|w| w.ends(r, sending, true, false));
                     }
                 }
             }
@@ -354,7 +430,11 @@
                     (w.routers[r].holds, w.routers[r].goes) = (false, false);
                     let out = w.routers[r].out.values().any(|o| *o != Out::Asking);
                     w.routers[r].out.retain(|_, o| *o != Out::Asking);
-                    if out { Ok(()) } else { w.feed(r, NOW, Input::Dropped { key: X.into() }) }
+                    if out {
+                        Ok(())
+                    } else {
+                        w.feed(r, NOW, Input::Dropped { key: X.into() })
+                    }
                 });
             }
             if self.left.stops > 0 {
@@ -414,40 +494,72 @@
                         w.last_words(r, to);
                     }
                     let replica = w.replicas[r].take().ok_or("it runs")?;
-                    let held = replica.records().map(|(k, s)| (k.clone(), s.shared(NOW))).collect();
+                    let held = replica
+                        .records()
+                        .map(|(k, s)| (k.clone(), s.shared(NOW)))
+                        .collect();
                     w.folders[r] = Some(Arc::new(held));
                     w.marked(r);
                     Ok(())
                 });
             }
             if self.replicas[r].is_none() {
-                let ways: &[bool] = if self.left.kept > 0 { &[true, false] } else { &[false] };
+                let ways: &[bool] = if self.left.kept > 0 {
+                    &[true, false]
+                } else {
+                    &[false]
+                };
                 for &kept in ways {
-                    step(("starts anew, and whether with its memory", r, usize::from(kept), 0), &|w| {
-                        w.left.kept -= u8::from(kept);
-                        w.last += 1;
-                        w.nonces[r] = w.last;
-                        let folder = w.folders[r].take().filter(|_| kept).map(|f| f.to_vec());
-                        let replica = Replica::new(NOW, group(r), terms(without), w.nonces[r], folder);
-                        w.replicas[r] = Some(Arc::new(replica));
-                        w.marked(r);
-                        w.views[r] = [(0, false); N];
-                        let others: Vec<usize> =
-                            (0..N).filter(|m| *m != r && w.replicas[*m].is_some()).collect();
-                        for m in others {
-                            w.view(r, m, (w.nonces[m], true))?;
-                        }
-                        Ok(())
-                    });
+                    step(
+                        (
+                            "starts anew, and whether with its memory",
+                            r,
+                            usize::from(kept),
+                            0,
+                        ),
+                        &|w| {
+                            w.left.kept -= u8::from(kept);
+                            w.last += 1;
+                            w.nonces[r] = w.last;
+                            let folder = w.folders[r].take().filter(|_| kept).map(|f| f.to_vec());
+                            let replica =
+                                Replica::new(NOW, group(r), terms(without), w.nonces[r], folder);
+                            w.replicas[r] = Some(Arc::new(replica));
+                            w.marked(r);
+                            w.views[r] = [(0, false); N];
+                            let others: Vec<usize> = (0..N)
+                                .filter(|m| *m != r && w.replicas[*m].is_some())
+                                .collect();
+                            for m in others {
+                                w.view(r, m, (w.nonces[m], true))?;
+                            }
+                            Ok(())
+                        },
+                    );
                 }
             }
         }
         for n in 0..self.net.len() {
-            let Sent { from, to, nonce, ref message, .. } = self.net[n];
+            let Sent {
+                from,
+                to,
+                nonce,
+                ref message,
+                ..
+            } = self.net[n];
             if runs(to as usize) {
                 let heard = |w: &mut World| {
                     let (from, message) = (MemberIx::from(from), Message::clone(message));
-                    w.feed(to as usize, NOW, Input::Heard { from, nonce, transit: 0, message })
+                    w.feed(
+                        to as usize,
+                        NOW,
+                        Input::Heard {
+                            from,
+                            nonce,
+                            transit: 0,
+                            message,
+                        },
+                    )
                 };
                 step((word(message), to as usize, from as usize, 0), &|w| {
                     w.net.swap_remove(n);
@@ -465,14 +577,43 @@
 
     fn taken(&mut self, r: usize, redelivered: bool) -> Result<(), String> {
         self.routers[r].holds = true;
-        self.feed(r, NOW, Input::Take { key: X.into(), need: Need::Held, redelivered })
+        self.feed(
+            r,
+            NOW,
+            Input::Take {
+                key: X.into(),
+                need: Need::Held,
+                redelivered,
+            },
+        )
     }
 
-    fn ends(&mut self, r: usize, sending: u64, may_have_run: bool, well: bool) -> Result<(), String> {
+    fn ends(
+        &mut self,
+        r: usize,
+        sending: u64,
+        may_have_run: bool,
+        well: bool,
+    ) -> Result<(), String> {
         self.routers[r].out.remove(&sending);
-        self.feed(r, NOW, Input::Ended { key: X.into(), sending, may_have_run })?;
+        self.feed(
+            r,
+            NOW,
+            Input::Ended {
+                key: X.into(),
+                sending,
+                may_have_run,
+            },
+        )?;
         if well {
-            self.feed(r, NOW, Input::Answered { key: X.into(), answer: Bytes::from_static(b"done") })?;
+            self.feed(
+                r,
+                NOW,
+                Input::Answered {
+                    key: X.into(),
+                    answer: Bytes::from_static(b"done"),
+                },
+            )?;
         }
         match self.routers[r].holds {
             true if well || may_have_run => self.answers(r, well),
@@ -483,25 +624,48 @@
 
     fn told_by(&self, m: usize) -> Option<Message> {
         let shared = self.replicas[m].as_ref()?.held(NOW, X)?;
-        Some(Message::Tell { key: X.into(), shared })
+        Some(Message::Tell {
+            key: X.into(),
+            shared,
+        })
     }
 
     fn tells(&mut self, m: usize, r: usize) -> Result<(), String> {
-        let Some(message) = self.told_by(m) else { return Ok(()) };
+        let Some(message) = self.told_by(m) else {
+            return Ok(());
+        };
         let (from, nonce) = (m as MemberIx, self.nonces[m]);
-        self.feed(r, NOW, Input::Heard { from, nonce, transit: 0, message })
+        self.feed(
+            r,
+            NOW,
+            Input::Heard {
+                from,
+                nonce,
+                transit: 0,
+                message,
+            },
+        )
     }
 
     /// What it told before it crashed may come after.
     fn last_words(&mut self, r: usize, to: usize) {
         if let Some(message) = self.told_by(r) {
-            self.net.push(Sent::new(r, to as MemberIx, self.nonces[r], message));
+            self.net
+                .push(Sent::new(r, to as MemberIx, self.nonces[r], message));
         }
     }
 
     fn view(&mut self, r: usize, m: usize, view: (u64, bool)) -> Result<(), String> {
         self.views[r][m] = view;
-        self.feed(r, NOW, Input::Member { member: m as MemberIx, nonce: view.0, alive: view.1 })
+        self.feed(
+            r,
+            NOW,
+            Input::Member {
+                member: m as MemberIx,
+                nonce: view.0,
+                alive: view.1,
+            },
+        )
     }
 }
 
@@ -540,7 +704,10 @@
             for (ix, world) in part {
                 world.steps(without, &mut |label, result| {
                     let marked = result.map(|w| (w.mark(), w));
-                    if marked.as_ref().map_or(true, |(mark, _)| !seen.contains(mark)) {
+                    if marked
+                        .as_ref()
+                        .map_or(true, |(mark, _)| !seen.contains(mark))
+                    {
                         steps.push((*ix, label, marked));
                     }
                 });
@@ -550,7 +717,10 @@
         let parts: Vec<_> = std::thread::scope(|scope| {
             let chunks = level.chunks(level.len().div_ceil(THREADS).max(1));
             let running: Vec<_> = chunks.map(|part| scope.spawn(|| expand(part))).collect();
-            running.into_iter().map(|t| t.join().expect("explored")).collect()
+            running
+                .into_iter()
+                .map(|t| t.join().expect("explored"))
+                .collect()
         });
         let mut next = Vec::new();
         for (ix, label, result) in parts.into_iter().flatten() {
@@ -568,16 +738,28 @@
                         ix = trail[ix].0;
                     }
                     path.reverse();
-                    return Found { states: seen.len(), depth: at, broken: Some(path) };
+                    return Found {
+                        states: seen.len(),
+                        depth: at,
+                        broken: Some(path),
+                    };
                 }
             }
         }
         if next.is_empty() || seen.len() >= most {
-            return Found { states: seen.len(), depth: at, broken: None };
+            return Found {
+                states: seen.len(),
+                depth: at,
+                broken: None,
+            };
         }
         level = next;
     }
-    Found { states: seen.len(), depth, broken: None }
+    Found {
+        states: seen.len(),
+        depth,
+        broken: None,
+    }
 }
 
 /// Where these steps lead, each named as it is found.
@@ -599,23 +781,64 @@
 
 fn sound(what: &str, troubles: Troubles, path: &[(&str, usize, usize)], most: usize) {
     let found = explore(after(troubles, None, path), None, DEEPEST, most);
-    println!("{what}: {} states, {} steps deep", found.states, found.depth);
+    println!(
+        "{what}: {} states, {} steps deep",
+        found.states, found.depth
+    );
     assert!(found.broken.is_none(), "{what}: {:#?}", found.broken);
 }
 
 fn broken(guard: Guard, troubles: Troubles, path: &[(&str, usize, usize)], most: usize) {
-    let found = explore(after(troubles, Some(guard), path), Some(guard), DEEPEST, most);
-    println!("without {guard:?}: {} states, {} steps", found.states, found.depth);
-    assert!(found.broken.is_some(), "without {guard:?} nothing is found in {} states", found.states);
+    let found = explore(
+        after(troubles, Some(guard), path),
+        Some(guard),
+        DEEPEST,
+        most,
+    );
+    println!(
+        "without {guard:?}: {} states, {} steps",
+        found.states, found.depth
+    );
+    assert!(
+        found.broken.is_some(),
+        "without {guard:?} nothing is found in {} states",
+        found.states
+    );
 }
 
-const CHANNEL: Troubles = Troubles { drops: 1, told: 1, ..NONE };
-const TWINS: Troubles = Troubles { twins: 1, told: 1, ..NONE };
-const STOPPED: Troubles = Troubles { stops: 1, suspicions: 1, told: 1, ..NONE };
-const WOKEN: Troubles = Troubles { stops: 1, told: 1, ..NONE };
-const LATE_STOP: Troubles = Troubles { stops: 1, late: 1, ..NONE };
+const CHANNEL: Troubles = Troubles {
+    drops: 1,
+    told: 1,
+    ..NONE
+};
+const TWINS: Troubles = Troubles {
+    twins: 1,
+    told: 1,
+    ..NONE
+};
+const STOPPED: Troubles = Troubles {
+    stops: 1,
+    suspicions: 1,
+    told: 1,
+    ..NONE
+};
+const WOKEN: Troubles = Troubles {
+    stops: 1,
+    told: 1,
+    ..NONE
+};
+const LATE_STOP: Troubles = Troubles {
+    stops: 1,
+    late: 1,
+    ..NONE
+};
 const CRASH: Troubles = Troubles { crashes: 1, ..NONE };
-const AMNESIA: Troubles = Troubles { crashes: 1, stops: 1, told: 1, ..NONE };
+const AMNESIA: Troubles = Troubles {
+    crashes: 1,
+    stops: 1,
+    told: 1,
+    ..NONE
+};
 
 /// Its owner is stopped while its intent is on the way, and somebody else has it.
 const ASKING: &[(&str, usize, usize)] = &[
@@ -641,7 +864,12 @@
 ];
 
 /// The same with both holders of the intent started anew, one of them with what it had.
-const BOTH_ANEW: Troubles = Troubles { crashes: 2, kept: 1, told: 1, ..NONE };
+const BOTH_ANEW: Troubles = Troubles {
+    crashes: 2,
+    kept: 1,
+    told: 1,
+    ..NONE
+};
 const BOTH: &[(&str, usize, usize)] = &[
     ("delivered, and whether again", 1, 0),
     ("hears what it holds", 0, 1),
@@ -679,11 +907,23 @@
 
 #[test]
 fn doubled_messages() {
-    sound("doubled", Troubles { doubled: 1, stops: 1, ..NONE }, ASKING_UNTOLD, 100_000);
+    sound(
+        "doubled",
+        Troubles {
+            doubled: 1,
+            stops: 1,
+            ..NONE
+        },
+        ASKING_UNTOLD,
+        100_000,
+    );
 }
 
-const ASKING_UNTOLD: &[(&str, usize, usize)] =
-    &[("delivered, and whether again", 1, 0), ("intends", 1, 1), ("hears an intent from", 2, 1)];
+const ASKING_UNTOLD: &[(&str, usize, usize)] = &[
+    ("delivered, and whether again", 1, 0),
+    ("intends", 1, 1),
+    ("hears an intent from", 2, 1),
+];
 
 #[test]
 fn each_guard_taken_out_is_found() {
--- a/crates/replica/tests/kept.rs
+++ b/crates/replica/tests/kept.rs
@@ -13,7 +13,14 @@
 
 fn choose(w: &mut World, r: usize, key: &str, value: u64) {
     let value = Bytes::from(format!("{value:08}"));
-    w.feed(r, Input::Choose { key: key.into(), value, kept: LONG });
+    w.feed(
+        r,
+        Input::Choose {
+            key: key.into(),
+            value,
+            kept: LONG,
+        },
+    );
 }
 
 fn chosen(w: &World, r: usize, key: &str) -> Option<Bytes> {
@@ -63,17 +70,35 @@
     (0..5_000).for_each(|n| choose(&mut w, 0, &format!("s{n}"), 1));
     w.deliver(|_, to, _| to == 1);
     let counts = w.at(1).counts;
-    assert_eq!((counts.votes_withheld, counts.votes_dropped), (5_000, 5_000 - 4_096));
+    assert_eq!(
+        (counts.votes_withheld, counts.votes_dropped),
+        (5_000, 5_000 - 4_096)
+    );
     // The same question again takes nobody's room.
-    let last = Message::Prepare { key: "s4999".into(), ballot: ballot(&w, "s4999"), left: LONG };
-    w.feed(1, Input::Heard { from: 0, nonce: w.nonces[0], transit: 0, message: last });
+    let last = Message::Prepare {
+        key: "s4999".into(),
+        ballot: ballot(&w, "s4999"),
+        left: LONG,
+    };
+    w.feed(
+        1,
+        Input::Heard {
+            from: 0,
+            nonce: w.nonces[0],
+            transit: 0,
+            message: last,
+        },
+    );
     assert_eq!(w.at(1).counts.votes_withheld, 5_000);
     w.take(0, "x", false);
     let s = w.intend(0, "x");
     w.deliver(|_, to, _| to != 2);
     assert!(w.left(0, s));
     w.pass_where(1_000 * MS, |_, _, _| false);
-    assert!(matches!(w.decided[0]["s4999"][..], [Outcome::NoMajority(_)]));
+    assert!(matches!(
+        w.decided[0]["s4999"][..],
+        [Outcome::NoMajority(_)]
+    ));
     // It goes on: those that were not dropped are asked again, and decided.
     choose(&mut w, 0, "s4999", 1);
     for _ in 0..4 {
@@ -93,11 +118,25 @@
 #[test]
 fn a_late_acceptance_of_one_value_is_none_of_the_next() {
     let mut w = World::new(3, None);
-    w.feed(0, Input::Lead { key: "plan".into(), kept: LONG });
+    w.feed(
+        0,
+        Input::Lead {
+            key: "plan".into(),
+            kept: LONG,
+        },
+    );
     w.deliver(|_, _, _| true);
     let ballot = ballot(&w, "plan");
     let write = |w: &mut World, value| {
-        w.feed(0, Input::Write { key: "plan".into(), ballot, value: Bytes::from_static(value), kept: LONG });
+        w.feed(
+            0,
+            Input::Write {
+                key: "plan".into(),
+                ballot,
+                value: Bytes::from_static(value),
+                kept: LONG,
+            },
+        );
     };
     write(&mut w, b"1");
     w.deliver(|_, to, _| to == 1);
@@ -125,7 +164,10 @@
             {
                 match outcome {
                     Outcome::Chosen(value) => {
-                        let first = self.chosen.entry(key.clone()).or_insert_with(|| value.clone());
+                        let first = self
+                            .chosen
+                            .entry(key.clone())
+                            .or_insert_with(|| value.clone());
                         if *first != value {
                             return Err(format!("two choices of {key}"));
                         }
@@ -133,7 +175,9 @@
                     Outcome::Leads { ballot, last } => {
                         let before = self.written.range(..ballot).next_back();
                         if before.is_some_and(|(_, value)| last.as_ref() < Some(value)) {
-                            return Err(format!("{ballot:?} goes on from {last:?}, not {before:?}"));
+                            return Err(format!(
+                                "{ballot:?} goes on from {last:?}, not {before:?}"
+                            ));
                         }
                         self.leads[r] = Some(ballot);
                     }
@@ -154,13 +198,20 @@
 fn play(without: Option<Guard>, seed: u64) -> Result<(usize, usize), String> {
     let mut dice = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut draw = move |most: usize| {
-        dice = dice.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        dice = dice
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (dice >> 33) as usize % most
     };
     let n = 3 + draw(3);
     let mut w = World::written(n, without);
     let (chosen, written, asked) = Default::default();
-    let mut seen = Seen { chosen, written, asked, leads: vec![None; n] };
+    let mut seen = Seen {
+        chosen,
+        written,
+        asked,
+        leads: vec![None; n],
+    };
     let mut values = 0;
     for _ in 0..400 {
         let r = draw(n);
@@ -169,13 +220,27 @@
                 values += 1;
                 choose(&mut w, r, &format!("s{}", draw(4)), values);
             }
-            3 => w.feed(r, Input::Lead { key: "plan".into(), kept: LONG }),
+            3 => w.feed(
+                r,
+                Input::Lead {
+                    key: "plan".into(),
+                    kept: LONG,
+                },
+            ),
             4..6 => {
                 if let Some(ballot) = seen.leads[r] {
                     values += 1;
                     let value = Bytes::from(format!("{values:08}"));
                     seen.asked.insert(ballot, value.clone());
-                    w.feed(r, Input::Write { key: "plan".into(), ballot, value, kept: LONG });
+                    w.feed(
+                        r,
+                        Input::Write {
+                            key: "plan".into(),
+                            ballot,
+                            value,
+                            kept: LONG,
+                        },
+                    );
                 }
             }
             6..9 => (0..n).filter(|_| draw(2) > 0).for_each(|r| w.takes(r)),
@@ -184,7 +249,15 @@
                 for _ in 0..w.net.len() {
                     let (from, to, nonce, _, message) = w.net.swap_remove(draw(w.net.len()));
                     if draw(10) > 0 {
-                        w.feed(to as usize, Input::Heard { from, nonce, transit: 0, message });
+                        w.feed(
+                            to as usize,
+                            Input::Heard {
+                                from,
+                                nonce,
+                                transit: 0,
+                                message,
+                            },
+                        );
                     }
                 }
             }
@@ -216,7 +289,10 @@
 
 #[test]
 fn no_choice_is_made_twice_over_power_cuts_of_all() {
-    let runs = std::env::var("RUNS").ok().and_then(|r| r.parse().ok()).unwrap_or(300);
+    let runs = std::env::var("RUNS")
+        .ok()
+        .and_then(|r| r.parse().ok())
+        .unwrap_or(300);
     let (mut chosen, mut written) = (0, 0);
     for seed in 0..runs {
         let (c, w) = play(None, seed).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
@@ -224,7 +300,16 @@
     }
     println!("{runs} runs: {chosen} chosen, {written} terms written");
     assert!(chosen > 0 && written > 0);
-    let found = (0..runs).filter_map(|seed| play(Some(Guard::Kept), seed).err()).collect::<Vec<_>>();
-    println!("without the guard: {} of {runs}, {:?}", found.len(), found.first());
-    assert!(!found.is_empty(), "votes that do not wait for the folder are found");
+    let found = (0..runs)
+        .filter_map(|seed| play(Some(Guard::Kept), seed).err())
+        .collect::<Vec<_>>();
+    println!(
+        "without the guard: {} of {runs}, {:?}",
+        found.len(),
+        found.first()
+    );
+    assert!(
+        !found.is_empty(),
+        "votes that do not wait for the folder are found"
+    );
 }
--- a/crates/replica/tests/merging.rs
+++ b/crates/replica/tests/merging.rs
@@ -6,11 +6,19 @@
 use proptest::prelude::*;
 
 fn ballot() -> impl Strategy<Value = Ballot> {
-    (0u32..3, 0u16..3, 1u64..3).prop_map(|(number, member, nonce)| Ballot { number, member, nonce })
+    (0u32..3, 0u16..3, 1u64..3).prop_map(|(number, member, nonce)| Ballot {
+        number,
+        member,
+        nonce,
+    })
 }
 
 fn value() -> impl Strategy<Value = Bytes> {
-    prop::sample::select(vec![Bytes::from_static(b"a"), Bytes::from_static(b"b"), Bytes::new()])
+    prop::sample::select(vec![
+        Bytes::from_static(b"a"),
+        Bytes::from_static(b"b"),
+        Bytes::new(),
+    ])
 }
 
 fn sent() -> impl Strategy<Value = Sent> {
@@ -18,14 +26,28 @@
 }
 
 fn effect() -> impl Strategy<Value = Record> {
-    let sending = sent().prop_map(|state| Sending { member: 0, state, place: 0 });
+    let sending = sent().prop_map(|state| Sending {
+        member: 0,
+        state,
+        place: 0,
+    });
     let sendings = prop::collection::btree_map((1u64..3, 0u64..3), sending, 0..4);
-    let answer = prop::option::of(prop_oneof![value().prop_map(Answered::Kept), Just(Answered::TooLarge)]);
+    let answer = prop::option::of(prop_oneof![
+        value().prop_map(Answered::Kept),
+        Just(Answered::TooLarge)
+    ]);
     let flags = (any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>());
     (ballot(), flags, sendings, answer).prop_map(
         |(ballot, (let_go, taken, doubtful, closed), sendings, answer)| {
             let owner = Owner { ballot, let_go };
-            let mut e = Effect { owner, taken, doubtful, sendings, answer, ..Effect::default() };
+            let mut e = Effect {
+                owner,
+                taken,
+                doubtful,
+                sendings,
+                answer,
+                ..Effect::default()
+            };
             if closed {
                 e.close();
             }
@@ -39,9 +61,15 @@
         (ballot(), prop::option::of((ballot(), value())))
             .prop_map(|(promised, accepted)| Record::Choice(Choice { promised, accepted }))
     };
-    let note =
-        || ((0u64..3, 0u64..3), value()).prop_map(|(version, value)| Record::Note(Note { version, value }));
-    prop_oneof![[effect(), effect(), effect()], [choice(), choice(), choice()], [note(), note(), note()],]
+    let note = || {
+        ((0u64..3, 0u64..3), value())
+            .prop_map(|(version, value)| Record::Note(Note { version, value }))
+    };
+    prop_oneof![
+        [effect(), effect(), effect()],
+        [choice(), choice(), choice()],
+        [note(), note(), note()],
+    ]
 }
 
 fn joined(a: &Record, b: &Record) -> Record {
@@ -81,13 +109,28 @@
     use cedarpulley_replica::store::{Joined, Origin, Store};
     let shared = |record: Record, serial, left| {
         let origin = Origin { nonce: 7, serial };
-        Shared { record, origin, left, first_ago: None, proves_left: None }
+        Shared {
+            record,
+            origin,
+            left,
+            first_ago: None,
+            proves_left: None,
+        }
     };
     let mut store = Store::new(10, false);
     let effect = || Record::Effect(Effect::default());
-    assert_eq!(store.join(0, &"i".into(), &shared(effect(), 5, 10), 0), Joined::Changed);
+    assert_eq!(
+        store.join(0, &"i".into(), &shared(effect(), 5, 10), 0),
+        Joined::Changed
+    );
     store.expire(20);
-    assert_eq!(store.join(20, &"j".into(), &shared(effect(), 4, 10), 0), Joined::Forgotten);
+    assert_eq!(
+        store.join(20, &"j".into(), &shared(effect(), 4, 10), 0),
+        Joined::Forgotten
+    );
     let choice = Record::Choice(Choice::default());
-    assert_eq!(store.join(20, &"u".into(), &shared(choice, 3, 10), 0), Joined::Changed);
+    assert_eq!(
+        store.join(20, &"u".into(), &shared(choice, 3, 10), 0),
+        Joined::Changed
+    );
 }
--- a/crates/replica/tests/random.rs
+++ b/crates/replica/tests/random.rs
@@ -13,7 +13,9 @@
 
 use bytes::Bytes;
 use cedarpulley_membership::MemberIx;
-use cedarpulley_replica::{Ballot, Guard, Input, Key, Lack, Need, Outcome, Record, Replica, Shared, Verdict};
+use cedarpulley_replica::{
+    Ballot, Guard, Input, Key, Lack, Need, Outcome, Record, Replica, Shared, Verdict,
+};
 use common::{KEPT, MS, World, group, terms};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
@@ -216,7 +218,9 @@
 impl Run {
     fn new(n: usize) -> Run {
         let w = World::patient(n, WITHOUT.get(), PATIENCE);
-        let drift = (0..n as i64).map(|r| (r * 17 % (2 * DRIFT + 1)) - DRIFT).collect();
+        let drift = (0..n as i64)
+            .map(|r| (r * 17 % (2 * DRIFT + 1)) - DRIFT)
+            .collect();
         let views = vec![w.nonces.clone(); n];
         let mut run = Run {
             n,
@@ -257,7 +261,9 @@
         }
         self.w.feed(r, input);
         for (name, verdicts) in std::mem::take(&mut self.w.verdicts[r]) {
-            let Some(k) = (0..KEYS).find(|k| *key(*k) == *name) else { continue };
+            let Some(k) = (0..KEYS).find(|k| *key(*k) == *name) else {
+                continue;
+            };
             verdicts.into_iter().for_each(|v| self.verdict(r, k, v));
         }
         for (sending, left) in std::mem::take(&mut self.w.leaves[r]) {
@@ -283,17 +289,26 @@
 
     fn may_run(&self, k: usize, beside: u64) -> bool {
         let may = |d: &Dispatch| matches!(d.state, State::Buffered | State::Sent { ran: true });
-        self.effects[k] > 0 || self.dispatches.iter().any(|d| d.key == k && d.sending != beside && may(d))
+        self.effects[k] > 0
+            || self
+                .dispatches
+                .iter()
+                .any(|d| d.key == k && d.sending != beside && may(d))
     }
 
     fn leave(&mut self, r: usize, sending: u64, left: Result<bool, Lack>) {
         let asks = |d: &Dispatch| d.r == r && d.sending == sending && d.state == State::Asking;
-        let Some(at) = self.dispatches.iter().position(asks) else { return };
+        let Some(at) = self.dispatches.iter().position(asks) else {
+            return;
+        };
         let k = self.dispatches[at].key;
         match left {
             Ok(_) => {
                 counted(0);
-                assert!(!self.may_run(k, sending), "leave for {sending} of {k} at {r} beside another");
+                assert!(
+                    !self.may_run(k, sending),
+                    "leave for {sending} of {k} at {r} beside another"
+                );
                 self.dispatches[at].state = State::Buffered;
             }
             Err(lack) => {
@@ -315,7 +330,9 @@
     }
 
     fn answers(&mut self, r: usize, k: usize, success: Option<Bytes>) {
-        let Some(held) = self.held[r].remove(&k) else { return };
+        let Some(held) = self.held[r].remove(&k) else {
+            return;
+        };
         if let Some(answer) = &success {
             assert!(self.effects[k] > 0, "a success of {k} without an effect");
             let first = self.success[k].get_or_insert_with(|| answer.clone());
@@ -335,7 +352,10 @@
     fn decided(&mut self, r: usize, name: &Key, outcome: Outcome) {
         match outcome {
             Outcome::Chosen(value) => {
-                let first = self.chosen.entry(name.clone()).or_insert_with(|| value.clone());
+                let first = self
+                    .chosen
+                    .entry(name.clone())
+                    .or_insert_with(|| value.clone());
                 assert_eq!(*first, value, "two choices of {name}");
                 counted(2);
             }
@@ -344,13 +364,21 @@
                 if let Some((term, (_, value))) = before {
                     let last = last.expect("something was written");
                     let of = self.terms[&last];
-                    assert!((of, &last) >= (*term, value), "{ballot:?} goes on from {last:?}, not {value:?}");
+                    assert!(
+                        (of, &last) >= (*term, value),
+                        "{ballot:?} goes on from {last:?}, not {value:?}"
+                    );
                 }
                 self.leads[r] = Some(ballot);
             }
             Outcome::Written { ballot } => {
                 // What is written here is the last that was asked for.
-                let value = self.terms.iter().filter(|(_, of)| **of == ballot).map(|(v, _)| v.clone()).max();
+                let value = self
+                    .terms
+                    .iter()
+                    .filter(|(_, of)| **of == ballot)
+                    .map(|(v, _)| v.clone())
+                    .max();
                 let value = value.expect("it was asked for");
                 let (writer, last) = self.written.entry(ballot).or_insert((r, value.clone()));
                 assert_eq!(*writer, r, "two writers in one term");
@@ -364,7 +392,14 @@
 
     fn take(&mut self, r: usize, k: usize, redelivered: bool) {
         self.held[r].insert(k, Held::default());
-        self.feed(r, Input::Take { key: key(k), need: Need::Held, redelivered });
+        self.feed(
+            r,
+            Input::Take {
+                key: key(k),
+                need: Need::Held,
+                redelivered,
+            },
+        );
     }
 
     fn lost(&mut self, r: usize, k: usize) {
@@ -377,10 +412,23 @@
         let d = self.dispatches.remove(at);
         let ran = d.state == State::Sent { ran: true };
         let may_have_run = d.state != State::Buffered && (ran || !heard);
-        self.feed(d.r, Input::Ended { key: key(d.key), sending: d.sending, may_have_run });
+        self.feed(
+            d.r,
+            Input::Ended {
+                key: key(d.key),
+                sending: d.sending,
+                may_have_run,
+            },
+        );
         let answer = Bytes::from(d.sending.to_string());
         if ran && heard {
-            self.feed(d.r, Input::Answered { key: key(d.key), answer: answer.clone() });
+            self.feed(
+                d.r,
+                Input::Answered {
+                    key: key(d.key),
+                    answer: answer.clone(),
+                },
+            );
         }
         match self.held[d.r].contains_key(&d.key) {
             true if ran && heard => self.answers(d.r, d.key, Some(answer)),
@@ -393,14 +441,23 @@
     fn view(&mut self, r: usize, m: usize, nonce: u64, alive: bool) {
         if r != m && nonce >= self.views[r][m] && self.runs(r) {
             self.views[r][m] = nonce;
-            self.feed(r, Input::Member { member: m as MemberIx, nonce, alive });
+            self.feed(
+                r,
+                Input::Member {
+                    member: m as MemberIx,
+                    nonce,
+                    alive,
+                },
+            );
         }
     }
 
     fn flow(&mut self, seed: u64, [lost, doubled, held]: [u8; 3]) {
         let mut dice = seed | 1;
         let mut draw = || {
-            dice = dice.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            dice = dice
+                .wrapping_mul(6_364_136_223_846_793_005)
+                .wrapping_add(1_442_695_040_888_963_407);
             dice >> 33
         };
         let mut on_their_way = std::mem::take(&mut self.w.net);
@@ -419,7 +476,15 @@
                     self.view(to, from as usize, nonce, true);
                 }
                 let transit = self.w.clock(to) - self.w.clock_at(to, at);
-                self.feed(to, Input::Heard { from, nonce, transit, message });
+                self.feed(
+                    to,
+                    Input::Heard {
+                        from,
+                        nonce,
+                        transit,
+                        message,
+                    },
+                );
             }
             if ((draw() % 100) as u8) < doubled {
                 self.w.net.push(sent);
@@ -448,13 +513,23 @@
                 (s.left, s.proves_left) = (s.left - since, s.proves_left.map(|left| left - since));
                 (key, s)
             };
-            records.into_iter().map(older).filter(|(_, s)| s.left > 0).collect()
+            records
+                .into_iter()
+                .map(older)
+                .filter(|(_, s)| s.left > 0)
+                .collect()
         });
         self.w.last += 1;
         let nonce = self.w.last;
         self.w.nonces[r] = nonce;
         let terms = terms(WITHOUT.get(), PATIENCE);
-        self.w.replicas[r] = Some(Replica::new(self.w.clock(r), group(self.n, r), terms, nonce, records));
+        self.w.replicas[r] = Some(Replica::new(
+            self.w.clock(r),
+            group(self.n, r),
+            terms,
+            nonce,
+            records,
+        ));
         (self.views[r], self.views[r][r]) = (vec![0; self.n], nonce);
         (self.stopped[r], self.leads[r]) = (false, None);
         (self.w.verdicts[r], self.w.leaves[r], self.w.decided[r]) = Default::default();
@@ -463,7 +538,12 @@
     fn step(&mut self, op: Op) {
         let within = |r: usize| r % self.n;
         match op {
-            Op::Flow { seed, lost, doubled, held } => self.flow(seed, [lost, doubled, held]),
+            Op::Flow {
+                seed,
+                lost,
+                doubled,
+                held,
+            } => self.flow(seed, [lost, doubled, held]),
             Op::Pass(time) => self.pass(time),
             Op::Give { r, key } => {
                 let r = within(r);
@@ -477,7 +557,8 @@
             }
             Op::Twins { r, other, key } => {
                 let (r, other) = (within(r), within(other));
-                if self.ready[key] == Some(false) && r != other && self.runs(r) && self.runs(other) {
+                if self.ready[key] == Some(false) && r != other && self.runs(r) && self.runs(other)
+                {
                     self.ready[key] = None;
                     self.take(r, key, false);
                     self.take(other, key, false);
@@ -485,13 +566,27 @@
             }
             Op::Intend { which } => {
                 let may = |(r, k): &(usize, usize)| self.runs(*r) && !self.is_out(*r, *k);
-                let all = (0..self.n).flat_map(|r| self.held[r].iter().map(move |(k, h)| ((r, *k), h.goes)));
+                let all = (0..self.n)
+                    .flat_map(|r| self.held[r].iter().map(move |(k, h)| ((r, *k), h.goes)));
                 let going: Vec<_> = all.filter(|g| g.1).map(|g| g.0).filter(may).collect();
                 if let Some((r, k)) = going.get(which % going.len().max(1)).copied() {
                     self.w.last += 1;
                     let sending = self.w.last;
-                    self.dispatches.push(Dispatch { r, key: k, sending, state: State::Asking });
-                    self.feed(r, Input::Intend { key: key(k), sending, place: 0, alone: false });
+                    self.dispatches.push(Dispatch {
+                        r,
+                        key: k,
+                        sending,
+                        state: State::Asking,
+                    });
+                    self.feed(
+                        r,
+                        Input::Intend {
+                            key: key(k),
+                            sending,
+                            place: 0,
+                            alone: false,
+                        },
+                    );
                 }
             }
             Op::Send { which, ran } => {
@@ -506,8 +601,9 @@
             }
             Op::End { which, heard } => {
                 let fit = |d: &Dispatch| d.state != State::Asking && !self.stopped[d.r];
-                let fitting: Vec<usize> =
-                    (0..self.dispatches.len()).filter(|n| fit(&self.dispatches[*n])).collect();
+                let fitting: Vec<usize> = (0..self.dispatches.len())
+                    .filter(|n| fit(&self.dispatches[*n]))
+                    .collect();
                 if let Some(at) = fitting.get(which % fitting.len().max(1)) {
                     self.ends(*at, heard);
                 }
@@ -522,7 +618,8 @@
                     }
                 } else if self.held[r].contains_key(&k) {
                     self.lost(r, k);
-                    self.dispatches.retain(|d| (d.r, d.key, d.state) != (r, k, State::Asking));
+                    self.dispatches
+                        .retain(|d| (d.r, d.key, d.state) != (r, k, State::Asking));
                     if !self.is_out(r, k) {
                         self.feed(r, Input::Dropped { key: key(k) });
                     }
@@ -564,31 +661,67 @@
             }
             Op::Choose { r, key } => {
                 self.values += 1;
-                let (key, value) = (format!("c{key}").into(), Bytes::from(self.values.to_string()));
-                self.feed(within(r), Input::Choose { key, value, kept: LONG });
+                let (key, value) = (
+                    format!("c{key}").into(),
+                    Bytes::from(self.values.to_string()),
+                );
+                self.feed(
+                    within(r),
+                    Input::Choose {
+                        key,
+                        value,
+                        kept: LONG,
+                    },
+                );
             }
-            Op::Lead(r) => self.feed(within(r), Input::Lead { key: "plan".into(), kept: LONG }),
+            Op::Lead(r) => self.feed(
+                within(r),
+                Input::Lead {
+                    key: "plan".into(),
+                    kept: LONG,
+                },
+            ),
             Op::Write(r) => {
                 let r = within(r);
                 if let Some(ballot) = self.leads[r].filter(|_| self.runs(r)) {
                     self.values += 1;
                     let value = Bytes::from(format!("{:08}", self.values));
                     self.terms.insert(value.clone(), ballot);
-                    self.feed(r, Input::Write { key: "plan".into(), ballot, value, kept: LONG });
+                    self.feed(
+                        r,
+                        Input::Write {
+                            key: "plan".into(),
+                            ballot,
+                            value,
+                            kept: LONG,
+                        },
+                    );
                 }
             }
             Op::Note { r, key } => {
                 self.values += 1;
                 let (key, version) = (format!("n{key}").into(), (1, self.values));
                 let value = Bytes::from(self.values.to_string());
-                self.feed(within(r), Input::Noted { key, version, value, kept: LONG });
+                self.feed(
+                    within(r),
+                    Input::Noted {
+                        key,
+                        version,
+                        value,
+                        kept: LONG,
+                    },
+                );
             }
         }
     }
 
     fn folder(&self, r: usize) -> Vec<(Key, Shared)> {
         let now = self.w.clock(r);
-        self.w.at(r).records().map(|(k, s)| (k.clone(), s.shared(now))).collect()
+        self.w
+            .at(r)
+            .records()
+            .map(|(k, s)| (k.clone(), s.shared(now)))
+            .collect()
     }
 
     /// Nothing outlives its time, at however many it stays.
@@ -599,10 +732,16 @@
             }
             for (key, slot) in self.w.replicas[r].iter().flat_map(|it| it.records()) {
                 if let Record::Effect(_) = slot.record {
-                    let made =
-                        *self.made.entry((slot.origin.nonce, slot.origin.serial)).or_insert(self.w.now);
+                    let made = *self
+                        .made
+                        .entry((slot.origin.nonce, slot.origin.serial))
+                        .or_insert(self.w.now);
                     let over = made + KEPT + KEPT / 8;
-                    assert!(self.w.now <= over, "{key} at {r} is {} old", self.w.now - made);
+                    assert!(
+                        self.w.now <= over,
+                        "{key} at {r} is {} old",
+                        self.w.now - made
+                    );
                 }
             }
         }
@@ -618,7 +757,8 @@
             let long = |r: usize| {
                 let lasting = |s: &Record| !matches!(s, Record::Effect(_));
                 let all = it.w.at(r).records().filter(|(_, s)| lasting(&s.record));
-                all.map(|(k, s)| (k.clone(), s.record.clone())).collect::<BTreeMap<_, _>>()
+                all.map(|(k, s)| (k.clone(), s.record.clone()))
+                    .collect::<BTreeMap<_, _>>()
             };
             (1..it.n).all(|r| long(r) == long(0)) && (0..it.n).all(|r| it.w.at(r).votes())
         };
@@ -674,7 +814,10 @@
         if let Err(why) = played {
             let text = why.downcast_ref::<String>().cloned();
             let text = text.or_else(|| why.downcast_ref::<&str>().map(|s| s.to_string()));
-            return Err(format!("seed {seed}, run {case}: {}", text.unwrap_or_default()));
+            return Err(format!(
+                "seed {seed}, run {case}: {}",
+                text.unwrap_or_default()
+            ));
         }
     }
     Ok(COUNTS.get())
@@ -682,15 +825,27 @@
 
 #[test]
 fn groups_of_three_to_nine_keep_what_they_promise() {
-    let cases = std::env::var("CASES").ok().and_then(|c| c.parse().ok()).unwrap_or(150);
-    let seed = std::env::var("SEED").ok().and_then(|s| s.parse().ok()).unwrap_or(1);
+    let cases = std::env::var("CASES")
+        .ok()
+        .and_then(|c| c.parse().ok())
+        .unwrap_or(150);
+    let seed = std::env::var("SEED")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(1);
     let counts = play(None, seed, cases).unwrap_or_else(|e| panic!("{e}"));
     println!("{cases} runs: left, succeeded, chosen, written {counts:?}");
     assert!(counts.iter().all(|c| *c > 0), "{counts:?}");
 }
 
 /// Each of the others needs a longer chain than chance makes in so few runs; the explorer and `returning.rs` have them.
-const FOUND: [Guard; 5] = [Guard::Majority, Guard::Promise, Guard::Gone, Guard::Missing, Guard::Adopted];
+const FOUND: [Guard; 5] = [
+    Guard::Majority,
+    Guard::Promise,
+    Guard::Gone,
+    Guard::Missing,
+    Guard::Adopted,
+];
 
 #[test]
 fn a_guard_taken_out_is_found_by_chance() {
--- a/crates/replica/tests/returning.rs
+++ b/crates/replica/tests/returning.rs
@@ -11,16 +11,35 @@
 
 fn note(w: &mut World, r: usize, n: u64) {
     let (key, value) = (format!("n{n}").into(), Bytes::from(n.to_string()));
-    w.feed(r, Input::Noted { key, version: (1, n), value, kept: 10 * KEPT });
+    w.feed(
+        r,
+        Input::Noted {
+            key,
+            version: (1, n),
+            value,
+            kept: 10 * KEPT,
+        },
+    );
 }
 
 /// Delivers the first that fits, as one that was under way for so long.
 fn late(w: &mut World, to: usize, transit: i64, fits: impl Fn(MemberIx, &Message) -> bool) {
-    let fitting =
-        |sent: &(MemberIx, MemberIx, u64, i64, Message)| sent.1 == to as u16 && fits(sent.0, &sent.4);
-    let Some(n) = w.net.iter().position(fitting) else { panic!("it is on its way") };
+    let fitting = |sent: &(MemberIx, MemberIx, u64, i64, Message)| {
+        sent.1 == to as u16 && fits(sent.0, &sent.4)
+    };
+    let Some(n) = w.net.iter().position(fitting) else {
+        panic!("it is on its way")
+    };
     let (from, _, nonce, _, message) = w.net.remove(n);
-    w.feed(to, Input::Heard { from, nonce, transit, message });
+    w.feed(
+        to,
+        Input::Heard {
+            from,
+            nonce,
+            transit,
+            message,
+        },
+    );
 }
 
 #[test]
@@ -47,11 +66,22 @@
                     Some(_) => {}
                 }
             }
-            w.feed(to as usize, Input::Heard { from, nonce, transit: 0, message });
+            w.feed(
+                to as usize,
+                Input::Heard {
+                    from,
+                    nonce,
+                    transit: 0,
+                    message,
+                },
+            );
         }
     }
     assert!(lost);
-    assert_eq!((w.at(2).memory(), w.at(2).records().count()), (Memory::Whole, 3_000));
+    assert_eq!(
+        (w.at(2).memory(), w.at(2).records().count()),
+        (Memory::Whole, 3_000)
+    );
 }
 
 #[test]
@@ -62,13 +92,19 @@
     }
     w.pass(20 * MS);
     w.crash(2);
-    let few = Terms { most_records: 2, ..terms(None, 800 * MS) };
+    let few = Terms {
+        most_records: 2,
+        ..terms(None, 800 * MS)
+    };
     w.replicas[2] = Some(Replica::new(w.now, group(3, 2), few, 99, None));
     w.nonces[2] = 99;
     (0..3).for_each(|m| w.sees(2, m, true));
     (0..2).for_each(|r| w.sees(r, 2, true));
     w.pass(1_000 * MS);
-    assert_eq!((w.at(2).memory(), w.at(2).records().count()), (Memory::Lost, 2));
+    assert_eq!(
+        (w.at(2).memory(), w.at(2).records().count()),
+        (Memory::Lost, 2)
+    );
     w.pass(2 * KEPT);
     assert_eq!(w.at(2).memory(), Memory::Whole);
 }
@@ -104,7 +140,9 @@
     w.take(0, "y", false);
     w.now += 2 * MS;
     w.feed(0, Input::Tick);
-    late(&mut w, 2, KEPT * 2 / 3, |_, m| matches!(m, Message::Tell { .. }));
+    late(&mut w, 2, KEPT * 2 / 3, |_, m| {
+        matches!(m, Message::Tell { .. })
+    });
     assert!(sent_beside(&mut w, 0));
     let verdict = comes_again(&mut w, KEPT / 2);
     assert_eq!(verdict, Some(Verdict::MayHaveRun(Because::OwnerGone)));
@@ -147,13 +185,17 @@
     let mut w = World::new(3, None);
     w.take(0, "x", false);
     let s = w.intend(0, "x");
-    late(&mut w, 1, KEPT / 2, |_, m| matches!(m, Message::Intend { .. }));
+    late(&mut w, 1, KEPT / 2, |_, m| {
+        matches!(m, Message::Intend { .. })
+    });
     w.deliver(|from, to, _| from + to == 1);
     assert!(w.left(0, s));
     w.feed(0, Input::Dropped { key: "x".into() });
     w.pass(10 * MS);
     w.take(2, "x", true);
-    late(&mut w, 1, KEPT / 2, |_, m| matches!(m, Message::Fence { .. }));
+    late(&mut w, 1, KEPT / 2, |_, m| {
+        matches!(m, Message::Fence { .. })
+    });
     w.deliver(|from, to, _| from + to == 3);
     assert_eq!(w.verdict(2, "x"), Some(Verdict::Waits));
 }
--- a/crates/replica/tests/sharing_cost.rs
+++ b/crates/replica/tests/sharing_cost.rs
@@ -26,5 +26,8 @@
 #[test]
 fn what_a_router_sends_does_not_grow_with_the_fleet() {
     let (one_group, two_groups) = (bytes_sent(3, 1, 10), bytes_sent(3, 2, 10));
-    assert!(one_group > 0.0 && (two_groups / one_group - 1.0).abs() < 0.01, "{one_group} and {two_groups}");
+    assert!(
+        one_group > 0.0 && (two_groups / one_group - 1.0).abs() < 0.01,
+        "{one_group} and {two_groups}"
+    );
 }
--- a/crates/replica/tests/virtual_time/mod.rs
+++ b/crates/replica/tests/virtual_time/mod.rs
@@ -63,7 +63,8 @@
                 suspected_for: 1_500 * MS,
                 seed: seed + r as u64,
             };
-            net.members.push(Membership::new(0, group(n, r), terms, r as u64 + 1, 0));
+            net.members
+                .push(Membership::new(0, group(n, r), terms, r as u64 + 1, 0));
         }
         for r in 0..n {
             net.sees(r);
@@ -74,16 +75,31 @@
     fn sees(&mut self, r: usize) {
         for m in 0..self.replicas.len() {
             let nonce = self.members[m].me().nonce;
-            self.feed(r, Input::Member { member: m as MemberIx, nonce, alive: true });
+            self.feed(
+                r,
+                Input::Member {
+                    member: m as MemberIx,
+                    nonce,
+                    alive: true,
+                },
+            );
             let nonce = self.members[r].me().nonce;
-            self.feed(m, Input::Member { member: r as MemberIx, nonce, alive: true });
+            self.feed(
+                m,
+                Input::Member {
+                    member: r as MemberIx,
+                    nonce,
+                    alive: true,
+                },
+            );
         }
     }
 
     fn send(&mut self, from: usize, to: MemberIx, letter: Letter) {
         self.serial += 1;
         self.way.push(Reverse((self.now + LINK, self.serial)));
-        self.letters.insert(self.serial, (from as MemberIx, to, letter));
+        self.letters
+            .insert(self.serial, (from as MemberIx, to, letter));
     }
 
     fn feed(&mut self, r: usize, input: Input) {
@@ -95,7 +111,11 @@
                     self.bytes += bytes(&message);
                     self.send(r, to, Letter::Replica(message));
                 }
-                Output::Leave { key, sending, left: Ok(_) } => self.leaves.push((r, key, sending)),
+                Output::Leave {
+                    key,
+                    sending,
+                    left: Ok(_),
+                } => self.leaves.push((r, key, sending)),
                 _ => {}
             }
         }
@@ -114,21 +134,46 @@
 
     /// The next thing that is due before this time.
     fn step(&mut self, until: i64) -> bool {
-        let due = |r: usize| self.replicas[r].next_due().min(self.members[r].next_due()).max(self.now);
-        let (at, r) = (0..self.replicas.len()).map(|r| (due(r), r)).min().expect("members");
+        let due = |r: usize| {
+            self.replicas[r]
+                .next_due()
+                .min(self.members[r].next_due())
+                .max(self.now)
+        };
+        let (at, r) = (0..self.replicas.len())
+            .map(|r| (due(r), r))
+            .min()
+            .expect("members");
         match self.way.peek().map(|w| w.0) {
             Some((arrives, serial)) if arrives <= at && arrives <= until => {
                 self.way.pop();
                 self.now = arrives;
-                let Some((from, to, letter)) = self.letters.remove(&serial) else { return true };
+                let Some((from, to, letter)) = self.letters.remove(&serial) else {
+                    return true;
+                };
                 let process = self.members[from as usize].me();
                 let Process { nonce, .. } = process;
                 match letter {
                     Letter::Replica(message) => {
-                        self.feed(to as usize, Input::Heard { from, nonce, transit: LINK, message });
+                        self.feed(
+                            to as usize,
+                            Input::Heard {
+                                from,
+                                nonce,
+                                transit: LINK,
+                                message,
+                            },
+                        );
                     }
                     Letter::Membership(message) => {
-                        self.member(to as usize, membership::Input::Heard { from, process, message });
+                        self.member(
+                            to as usize,
+                            membership::Input::Heard {
+                                from,
+                                process,
+                                message,
+                            },
+                        );
                     }
                 }
                 true
@@ -171,20 +216,32 @@
     let mut net = Net::new(3, 1);
     net.pass(2 * S);
     assert!(net.replicas.iter().all(|r| r.votes()));
-    let take =
-        |n: u64| Input::Take { key: format!("i\norder-{n:08}").into(), need: Need::Held, redelivered: false };
+    let take = |n: u64| Input::Take {
+        key: format!("i\norder-{n:08}").into(),
+        need: Need::Held,
+        redelivered: false,
+    };
     let (mut held, mut cut): (Vec<(Key, Shared)>, u64) = (Vec::new(), 0);
     for n in 0..all {
         if n == all - lacking {
             net.pass(S);
-            held = net.replicas[2].records().map(|(k, s)| (k.clone(), s.shared(net.now))).collect();
+            held = net.replicas[2]
+                .records()
+                .map(|(k, s)| (k.clone(), s.shared(net.now)))
+                .collect();
             cut = n;
         }
         net.feed(0, take(n));
         let key: Key = format!("i\norder-{n:08}").into();
         if answer > 0 {
             let answer = bytes::Bytes::from(vec![7; answer]);
-            net.feed(0, Input::Answered { key: key.clone(), answer });
+            net.feed(
+                0,
+                Input::Answered {
+                    key: key.clone(),
+                    answer,
+                },
+            );
             net.feed(0, Input::Dropped { key });
         } else {
             net.feed(0, Input::Closed { key });
@@ -213,8 +270,12 @@
     }
 }
 
-const TERMS: &membership::Terms =
-    &membership::Terms { probe_every: 250 * MS, answer_within: 100 * MS, suspected_for: 1_500 * MS, seed: 9 };
+const TERMS: &membership::Terms = &membership::Terms {
+    probe_every: 250 * MS,
+    answer_within: 100 * MS,
+    suspected_for: 1_500 * MS,
+    seed: 9,
+};
 
 /// Bytes that a router sends a second, with `a_second` non-idempotent invocations at each.
 pub fn bytes_sent(members: usize, groups: usize, a_second: i64) -> f64 {
@@ -229,14 +290,42 @@
             for r in 0..members {
                 serial += 1;
                 let key: Key = format!("i\norder-{serial:08}").into();
-                net.feed(r, Input::Take { key: key.clone(), need: Need::Held, redelivered: false });
-                net.feed(r, Input::Intend { key, sending: serial, place: 0, alone: false });
+                net.feed(
+                    r,
+                    Input::Take {
+                        key: key.clone(),
+                        need: Need::Held,
+                        redelivered: false,
+                    },
+                );
+                net.feed(
+                    r,
+                    Input::Intend {
+                        key,
+                        sending: serial,
+                        place: 0,
+                        alone: false,
+                    },
+                );
             }
             net.pass(S / a_second / 2);
             for (r, key, sending) in std::mem::take(&mut net.leaves) {
                 let answer = bytes::Bytes::from_static(b"done");
-                net.feed(r, Input::Ended { key: key.clone(), sending, may_have_run: true });
-                net.feed(r, Input::Answered { key: key.clone(), answer });
+                net.feed(
+                    r,
+                    Input::Ended {
+                        key: key.clone(),
+                        sending,
+                        may_have_run: true,
+                    },
+                );
+                net.feed(
+                    r,
+                    Input::Answered {
+                        key: key.clone(),
+                        answer,
+                    },
+                );
                 net.feed(r, Input::Closed { key });
             }
             net.pass(S / a_second - S / a_second / 2);
@@ -255,8 +344,23 @@
     net.pass(2 * S);
     let key = |n: u64| -> Key { format!("i\norder-{n:08}").into() };
     let begin = |net: &mut Net, n: u64| {
-        net.feed(0, Input::Take { key: key(n), need: Need::Held, redelivered: false });
-        net.feed(0, Input::Intend { key: key(n), sending: n, place: 0, alone: false });
+        net.feed(
+            0,
+            Input::Take {
+                key: key(n),
+                need: Need::Held,
+                redelivered: false,
+            },
+        );
+        net.feed(
+            0,
+            Input::Intend {
+                key: key(n),
+                sending: n,
+                place: 0,
+                alone: false,
+            },
+        );
     };
     for n in 0..open {
         begin(&mut net, n);
@@ -272,8 +376,21 @@
             let n = open + round * EACH + n;
             begin(&mut net, n);
             net.pass(MS);
-            net.feed(0, Input::Ended { key: key(n), sending: n, may_have_run: true });
-            net.feed(0, Input::Answered { key: key(n), answer: bytes::Bytes::from_static(b"done") });
+            net.feed(
+                0,
+                Input::Ended {
+                    key: key(n),
+                    sending: n,
+                    may_have_run: true,
+                },
+            );
+            net.feed(
+                0,
+                Input::Answered {
+                    key: key(n),
+                    answer: bytes::Bytes::from_static(b"done"),
+                },
+            );
             net.feed(0, Input::Closed { key: key(n) });
             net.pass(MS);
         }
--- a/crates/rig/src/client.rs
+++ b/crates/rig/src/client.rs
@@ -79,12 +79,24 @@
     let text = |s: &str| AMQPValue::LongString(LongString::from(s));
     let function = asks.map_or_else(|| a.function.clone(), |asks| asks(a));
     headers.insert(short(meaning::FUNCTION), text(&function));
-    headers.insert(short(meaning::SENT_AT_US), AMQPValue::LongLongInt(wall_us()));
-    headers.insert(short(meaning::COPY_MB), AMQPValue::LongLongInt(a.copy_mb as i64));
-    headers.insert(short(meaning::LANES), AMQPValue::LongLongInt(i64::from(a.lanes)));
+    headers.insert(
+        short(meaning::SENT_AT_US),
+        AMQPValue::LongLongInt(wall_us()),
+    );
+    headers.insert(
+        short(meaning::COPY_MB),
+        AMQPValue::LongLongInt(a.copy_mb as i64),
+    );
+    headers.insert(
+        short(meaning::LANES),
+        AMQPValue::LongLongInt(i64::from(a.lanes)),
+    );
     if let Some(turn) = &a.turn {
         headers.insert(short(meaning::SEQUENCE_ID), text(&turn.session));
-        headers.insert(short(meaning::SEQUENCE_START), AMQPValue::Boolean(turn.start));
+        headers.insert(
+            short(meaning::SEQUENCE_START),
+            AMQPValue::Boolean(turn.start),
+        );
         headers.insert(short(meaning::SEQUENCE_END), AMQPValue::Boolean(turn.end));
     }
     AMQPProperties::default()
@@ -115,10 +127,13 @@
                 name: self.replies.clone(),
                 most_body: 1 << 20,
             };
-            let role = Role::Calls { reply_queue: self.replies.clone() };
+            let role = Role::Calls {
+                reply_queue: self.replies.clone(),
+            };
             let mut connection = Connection::new(now(), role, login);
             if let Ok(mut stream) = connect(self.broker, Some(self.from), CONNECT_WITHIN).await {
-                self.converse(&mut connection, &mut stream, &now, &mut next, &mut open).await;
+                self.converse(&mut connection, &mut stream, &now, &mut next, &mut open)
+                    .await;
             }
             Timer::after(AGAIN).await;
             // What fell due while there was no broker was never sent.
@@ -166,9 +181,14 @@
             if !bytes.is_empty() && stream.write_all(&bytes).await.is_err() {
                 return;
             }
-            let due = self.arrivals.get(*next).map_or(Duration::from_millis(500), |a| {
-                (self.began + a.at).saturating_duration_since(Instant::now()).max(Duration::from_micros(200))
-            });
+            let due = self
+                .arrivals
+                .get(*next)
+                .map_or(Duration::from_millis(500), |a| {
+                    (self.began + a.at)
+                        .saturating_duration_since(Instant::now())
+                        .max(Duration::from_micros(200))
+                });
             let wait = async {
                 Timer::after(due).await;
                 None
@@ -177,7 +197,10 @@
             match read.or(wait).await {
                 None => continue,
                 Some(Ok(n)) if n > 0 => {
-                    if connection.receive(now(), &buffer[..n], &mut events).is_err() {
+                    if connection
+                        .receive(now(), &buffer[..n], &mut events)
+                        .is_err()
+                    {
                         return;
                     }
                 }
@@ -187,15 +210,24 @@
                 match event {
                     Event::Delivered(message) => {
                         let p = &message.properties;
-                        let Some(id) = p.correlation_id().as_ref().map(|i| i.as_str().to_owned()) else {
+                        let Some(id) = p.correlation_id().as_ref().map(|i| i.as_str().to_owned())
+                        else {
                             continue;
                         };
-                        let fate = p.headers().as_ref().and_then(|h| h.inner().get(meaning::FATE));
+                        let fate = p
+                            .headers()
+                            .as_ref()
+                            .and_then(|h| h.inner().get(meaning::FATE));
                         let fate = fate.and_then(meaning::text).unwrap_or_default();
                         if let Some(answers) = &self.answers {
-                            lock(answers).entry(id.clone()).or_default().push(fate.to_owned());
+                            lock(answers)
+                                .entry(id.clone())
+                                .or_default()
+                                .push(fate.to_owned());
                         }
-                        let Some(mut a) = open.remove(&id) else { continue };
+                        let Some(mut a) = open.remove(&id) else {
+                            continue;
+                        };
                         if let Some(times) = &self.times {
                             let mut times = lock(times);
                             let due = self.began + a.at;
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -99,14 +99,30 @@
 
 pub fn terms(day: &Day) -> Terms {
     let (rules, loads) = (&day.settings.rules, &day.settings.loads);
-    let us = |table: &toml::Table, key: &str, absent: f64| (figure(table, key, absent) * 1e3) as i64;
+    let us =
+        |table: &toml::Table, key: &str, absent: f64| (figure(table, key, absent) * 1e3) as i64;
     let mut kinds = BTreeMap::new();
     for t in &day.triggers {
-        let (window_us, objective_us) = (t.window_ms as i64 * 1000, t.latency_objective_ms as i64 * 1000);
-        kinds.insert(t.name.clone(), Kind { effect: t.effect, window_us, objective_us });
-    }
-    let each = day.workers.iter().flat_map(|w| (0..w.count).map(|_| day.region_of(&w.zone)));
-    let region_of = each.enumerate().map(|(n, region)| (name_of_worker(n), region.to_owned()));
+        let (window_us, objective_us) = (
+            t.window_ms as i64 * 1000,
+            t.latency_objective_ms as i64 * 1000,
+        );
+        kinds.insert(
+            t.name.clone(),
+            Kind {
+                effect: t.effect,
+                window_us,
+                objective_us,
+            },
+        );
+    }
+    let each = day
+        .workers
+        .iter()
+        .flat_map(|w| (0..w.count).map(|_| day.region_of(&w.zone)));
+    let region_of = each
+        .enumerate()
+        .map(|(n, region)| (name_of_worker(n), region.to_owned()));
     Terms {
         kinds,
         answer_slack_us: us(rules, "answer_slack_ms", 0.0),
@@ -118,7 +134,11 @@
         ration_window_us: us(loads, "ration_window_ms", 0.0),
         ration_few: figure(loads, "ration_few", 0.0),
         ration_part: figure(loads, "ration_part", 0.0),
-        second_copies: day.settings.dispatch.get("second_copies").and_then(toml::Value::as_bool)
+        second_copies: day
+            .settings
+            .dispatch
+            .get("second_copies")
+            .and_then(toml::Value::as_bool)
             == Some(true),
         leeway_us: day.leeway_ms as i64 * 1000,
         regions: region_of.collect(),
@@ -168,8 +188,12 @@
             (t.name.clone(), program)
         })
         .collect();
-    let loads_when_absent =
-        day.settings.loads.get("loads_when_absent").and_then(toml::Value::as_bool).unwrap_or(true);
+    let loads_when_absent = day
+        .settings
+        .loads
+        .get("loads_when_absent")
+        .and_then(toml::Value::as_bool)
+        .unwrap_or(true);
     let (memory, mut workers, mut rows) = (Memory::default(), Vec::new(), Vec::new());
     for w in &day.workers {
         for _ in 0..w.count {
@@ -186,8 +210,16 @@
             };
             let (name, programs) = (name_of_worker(workers.len()), programs.clone());
             let any = SocketAddr::from(([127, 0, 0, 1], 0));
-            let worker =
-                Worker::start(ground, &name, any, day.seed, nature, store, programs, memory.clone())?;
+            let worker = Worker::start(
+                ground,
+                &name,
+                any,
+                day.seed,
+                nature,
+                store,
+                programs,
+                memory.clone(),
+            )?;
             rows.push(Row {
                 address: worker.address,
                 zone: w.zone.clone(),
@@ -221,20 +253,35 @@
         day.seed + u64::from(n),
         day.routers
     );
-    let _ = writeln!(t, "zone = {:?}\nzones = {:?}", day.zones[zone as usize], day.zones);
-    let _ = writeln!(t, "from = \"{}\"\n{}", address_of(day, n), day.settings.router);
+    let _ = writeln!(
+        t,
+        "zone = {:?}\nzones = {:?}",
+        day.zones[zone as usize], day.zones
+    );
+    let _ = writeln!(
+        t,
+        "from = \"{}\"\n{}",
+        address_of(day, n),
+        day.settings.router
+    );
     if let Some(offset) = day.clock_offsets_ms.get(n as usize) {
         let _ = writeln!(t, "[rig]\nclock_offset_ms = {offset}\n");
     }
     // Each day leaves its routers' ledgers and traces, those of killed ones cut as the kill left them.
     // An earlier build may know nothing of them.
     if trace {
-        let _ = writeln!(t, "[trace]\nfolder = \"../traces\"\n\n[meter]\nfolder = \"../meter\"\n");
+        let _ = writeln!(
+            t,
+            "[trace]\nfolder = \"../traces\"\n\n[meter]\nfolder = \"../meter\"\n"
+        );
     }
     let s = &day.settings;
-    for (name, table) in
-        [("rules", &s.rules), ("dispatch", &s.dispatch), ("loads", &s.loads), ("prices", &s.prices)]
-    {
+    for (name, table) in [
+        ("rules", &s.rules),
+        ("dispatch", &s.dispatch),
+        ("loads", &s.loads),
+        ("prices", &s.prices),
+    ] {
         let _ = writeln!(t, "[{name}]\n{table}");
     }
     let mut kinds: Vec<(&str, f64)> = Vec::new();
@@ -247,7 +294,12 @@
         let _ = writeln!(t, "[[kind]]\nname = {name:?}\nmemory_mb = {mb:?}\n");
     }
     for g in &day.triggers {
-        let _ = writeln!(t, "[[trigger]]\nname = {:?}\neffect = {:?}", g.name, word(g.effect));
+        let _ = writeln!(
+            t,
+            "[[trigger]]\nname = {:?}\neffect = {:?}",
+            g.name,
+            word(g.effect)
+        );
         if g.window_ms > 0 {
             let _ = writeln!(t, "window_ms = {}", g.window_ms);
         }
@@ -272,12 +324,28 @@
     }
     let _ = writeln!(t, "[workers]\nwatch = \"{list}\"");
     if let Some(own) = members.get(n as usize) {
-        let _ = writeln!(t, "\n[peers]\nlisten = \"{}\"\ngroup = \"{GROUP}\"", own.address);
-        let _ = writeln!(t, "name = {:?}\nstate = \"state-{n}\"\n{}", own.name, s.peers);
+        let _ = writeln!(
+            t,
+            "\n[peers]\nlisten = \"{}\"\ngroup = \"{GROUP}\"",
+            own.address
+        );
+        let _ = writeln!(
+            t,
+            "name = {:?}\nstate = \"state-{n}\"\n{}",
+            own.name, s.peers
+        );
         for (k, m) in members.iter().enumerate() {
             let witness = day.witness && k + 1 == members.len();
-            let _ = writeln!(t, "\n[[peers.member]]\nname = {:?}\naddress = \"{}\"", m.name, m.address);
-            let _ = writeln!(t, "region = {:?}\nweight = 1\nwitness = {witness}", m.region);
+            let _ = writeln!(
+                t,
+                "\n[[peers.member]]\nname = {:?}\naddress = \"{}\"",
+                m.name, m.address
+            );
+            let _ = writeln!(
+                t,
+                "region = {:?}\nweight = 1\nwitness = {witness}",
+                m.region
+            );
         }
     }
     for (name, table) in [("upgrade", &s.upgrade), ("reconcile", &s.reconcile)] {
@@ -293,12 +361,20 @@
     /// All is up but the routers. What an earlier run left in the folder is removed.
     pub fn prepare(day: &Day, launch: Launch) -> Result<Fleet, Wrong> {
         let out = launch.out.clone();
-        let wrong = |source| Wrong::NoFleet { folder: out.display().to_string(), source };
+        let wrong = |source| Wrong::NoFleet {
+            folder: out.display().to_string(),
+            source,
+        };
         Self::set_up(day, &terms(day), launch).map_err(wrong)
     }
 
     fn set_up(day: &Day, terms: &Terms, launch: Launch) -> std::io::Result<Fleet> {
-        let Launch { out, program, tamper, trace } = launch;
+        let Launch {
+            out,
+            program,
+            tamper,
+            trace,
+        } = launch;
         for old in ["traffic", "routers", "traces", "meter"] {
             if out.join(old).exists() {
                 std::fs::remove_dir_all(out.join(old))?;
@@ -310,20 +386,38 @@
         let ground = Ground::new(THREADS, Some(&out.join("traffic")))?;
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let broker = Broker::start(&ground, BROKER, any)?;
-        day.accounts.iter().for_each(|a| broker.declare(&queue(&a.name)));
-        let nature =
-            store::Nature { mb_per_s: day.store.mb_per_s, abreast: day.store.abreast, most: day.store.most };
+        day.accounts
+            .iter()
+            .for_each(|a| broker.declare(&queue(&a.name)));
+        let nature = store::Nature {
+            mb_per_s: day.store.mb_per_s,
+            abreast: day.store.abreast,
+            most: day.store.most,
+        };
         let store = Store::start(&ground, "store", any, nature)?;
         let list = List::start(&ground, LIST, any)?;
         let (workers, rows) = workers(day, terms, &ground, store.server.address)?;
-        rows.iter().enumerate().for_each(|(w, row)| list.put(&name_of_worker(w), row.clone()));
+        rows.iter()
+            .enumerate()
+            .for_each(|(w, row)| list.put(&name_of_worker(w), row.clone()));
 
         let log = ground.log("day")?;
         let links = Links::new(Some(log.clone()));
         let addresses: Vec<IpAddr> = (0..day.routers).map(|n| address_of(day, n)).collect();
-        let reserved = || addresses.iter().map(|ip| Reserved::at(*ip)).collect::<std::io::Result<Vec<_>>>();
-        let (listens, peers) = (reserved()?, if day.peers { reserved()? } else { Vec::new() });
-        let region = |n: u32| day.region_of(&day.zones[day.zone_of(n) as usize]).to_owned();
+        let reserved = || {
+            addresses
+                .iter()
+                .map(|ip| Reserved::at(*ip))
+                .collect::<std::io::Result<Vec<_>>>()
+        };
+        let (listens, peers) = (
+            reserved()?,
+            if day.peers { reserved()? } else { Vec::new() },
+        );
+        let region = |n: u32| {
+            day.region_of(&day.zones[day.zone_of(n) as usize])
+                .to_owned()
+        };
         let regions: Vec<String> = (0..day.routers).map(region).collect();
         let (mut relays, mut seen, mut routers) = (Vec::new(), HashMap::new(), Vec::new());
         for (n, own) in addresses.iter().enumerate() {
@@ -349,14 +443,29 @@
                     true => peer.address,
                     false => relay(&addresses[m].to_string(), peer.address, Form::Messages)?,
                 };
-                members.push(Member { name: format!("r{m}"), region: regions[m].clone(), address });
+                members.push(Member {
+                    name: format!("r{m}"),
+                    region: regions[m].clone(),
+                    address,
+                });
             }
             let file = folder.join(format!("router-{n}.toml"));
-            let text = router_file(day, n as u32, broker, list, listens[n].address, &members, trace);
+            let text = router_file(
+                day,
+                n as u32,
+                broker,
+                list,
+                listens[n].address,
+                &members,
+                trace,
+            );
             std::fs::write(&file, text)?;
             let mut args = vec!["--log".to_owned(), "json".to_owned()];
             // One meddler is enough to be caught, except where all of them together break the rule.
-            if let Some(kind) = tamper.as_ref().filter(|k| n == 0 || TOGETHER.contains(&k.as_str())) {
+            if let Some(kind) = tamper
+                .as_ref()
+                .filter(|k| n == 0 || TOGETHER.contains(&k.as_str()))
+            {
                 args.extend(["--tamper".to_owned(), kind.clone()]);
             }
             if n < day.clock_offsets_ms.len() {
@@ -368,7 +477,11 @@
         if !day.regions.is_empty() {
             list.seen_as(move |to, worker| seen.get(&(to, worker)).copied().unwrap_or(worker));
         }
-        let zone_regions = day.zones.iter().map(|z| (z.clone(), day.region_of(z).to_owned())).collect();
+        let zone_regions = day
+            .zones
+            .iter()
+            .map(|z| (z.clone(), day.region_of(z).to_owned()))
+            .collect();
         Ok(Fleet {
             ground,
             broker,
@@ -441,14 +554,18 @@
         if router.is_up() {
             return Ok(());
         }
-        self.log.write("router-up", json!({"address": self.router(n)}));
-        router.start(state).map_err(|source| Wrong::Router { number: n, source })
+        self.log
+            .write("router-up", json!({"address": self.router(n)}));
+        router
+            .start(state)
+            .map_err(|source| Wrong::Router { number: n, source })
     }
 
     pub fn kill_router(&self, n: usize) {
         let mut router = lock(&self.routers[n]);
         if router.is_up() {
-            self.log.write("router-down", json!({"address": self.router(n)}));
+            self.log
+                .write("router-down", json!({"address": self.router(n)}));
             router.kill();
         }
     }
@@ -459,7 +576,12 @@
         if !router.is_up() || router.is_paused() == on {
             return Ok(());
         }
-        let tell = || self.log.write("router-paused", json!({"address": self.router(n), "on": on}));
+        let tell = || {
+            self.log.write(
+                "router-paused",
+                json!({"address": self.router(n), "on": on}),
+            )
+        };
         let wrong = |source| Wrong::Router { number: n, source };
         if on {
             tell();
@@ -477,7 +599,10 @@
 
     /// A new order, whole at once, in the place of what was there. Routers read it at their start, or when told.
     pub fn write_upgrade(&self, text: &str) -> Result<(), Wrong> {
-        let (file, new) = (self.upgrade_file(), self.upgrade_file().with_extension("new"));
+        let (file, new) = (
+            self.upgrade_file(),
+            self.upgrade_file().with_extension("new"),
+        );
         let written = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, &file));
         written.map_err(Wrong::file(&file))
     }
@@ -486,7 +611,9 @@
     pub fn hang_up(&self, n: usize) -> Result<(), Wrong> {
         let router = lock(&self.routers[n]);
         match router.is_up() {
-            true => router.hang_up().map_err(|source| Wrong::Router { number: n, source }),
+            true => router
+                .hang_up()
+                .map_err(|source| Wrong::Router { number: n, source }),
             false => Ok(()),
         }
     }
@@ -521,7 +648,10 @@
         let rows = lock(&self.rows).clone();
         for (n, own) in self.regions.iter().enumerate() {
             for (w, row) in rows.iter().enumerate() {
-                let there = self.zone_regions.get(&row.zone).is_some_and(|r| r == region);
+                let there = self
+                    .zone_regions
+                    .get(&row.zone)
+                    .is_some_and(|r| r == region);
                 if there != (own == region) {
                     self.links.both(&self.router(n), &name_of_worker(w), fault);
                 }
@@ -549,7 +679,9 @@
             return;
         }
         let (start, started_us) = (self.workers[w].starts(), began_us(&self.workers[w]));
-        self.row(w, |r| (r.draining, r.start, r.started_us) = (false, start, started_us));
+        self.row(w, |r| {
+            (r.draining, r.start, r.started_us) = (false, start, started_us)
+        });
     }
 
     /// Links whole, nobody paused, all routers told to end; true if each did so in good order and in time.
--- a/crates/rig/src/links.rs
+++ b/crates/rig/src/links.rs
@@ -84,7 +84,10 @@
 
 impl Links {
     pub fn new(log: Option<Log>) -> Self {
-        Links { log, ..Links::default() }
+        Links {
+            log,
+            ..Links::default()
+        }
     }
 
     /// From now on, whatever stood there before. New connections are refused, or taken, when this returns.
@@ -99,7 +102,13 @@
         }
         let before = {
             let mut table = lock(&self.table);
-            for port in table.ports.get(&pair).into_iter().flatten().filter_map(Weak::upgrade) {
+            for port in table
+                .ports
+                .get(&pair)
+                .into_iter()
+                .flatten()
+                .filter_map(Weak::upgrade)
+            {
                 port.open(fault != Fault::Refused);
             }
             if fault == Fault::Reset {
@@ -124,18 +133,26 @@
     /// All links are whole again.
     pub fn heal(&self) {
         let pairs: Vec<Pair> = lock(&self.table).faults.keys().cloned().collect();
-        pairs.iter().for_each(|(from, to)| self.set(from, to, Fault::Pass));
+        pairs
+            .iter()
+            .for_each(|(from, to)| self.set(from, to, Fault::Pass));
     }
 
     fn tell(&self, from: &str, to: &str, why: &str, on: bool, most: Option<Duration>) {
         if let Some(log) = &self.log {
             let most = most.map(|m| m.as_micros() as u64);
-            log.write("link", json!({"from": from, "to": to, "why": why, "on": on, "most_us": most}));
+            log.write(
+                "link",
+                json!({"from": from, "to": to, "why": why, "on": on, "most_us": most}),
+            );
         }
     }
 
     pub(crate) fn way(&self, from: &str, to: &str) -> Way {
-        Way { links: self.clone(), pair: (from.to_owned(), to.to_owned()) }
+        Way {
+            links: self.clone(),
+            pair: (from.to_owned(), to.to_owned()),
+        }
     }
 
     /// Its new connections follow what is set for the direction.
@@ -143,7 +160,11 @@
         let pair = (from.to_owned(), to.to_owned());
         let mut table = lock(&self.table);
         port.open(table.faults.get(&pair) != Some(&Fault::Refused));
-        table.ports.entry(pair).or_default().push(Arc::downgrade(port));
+        table
+            .ports
+            .entry(pair)
+            .or_default()
+            .push(Arc::downgrade(port));
     }
 }
 
@@ -156,11 +177,19 @@
 
 impl Way {
     pub fn fault(&self) -> Fault {
-        lock(&self.links.table).faults.get(&self.pair).copied().unwrap_or_default()
+        lock(&self.links.table)
+            .faults
+            .get(&self.pair)
+            .copied()
+            .unwrap_or_default()
     }
 
     pub fn resets(&self) -> u64 {
-        lock(&self.links.table).resets.get(&self.pair).copied().unwrap_or_default()
+        lock(&self.links.table)
+            .resets
+            .get(&self.pair)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// To be taken before the fault is looked at, so that no change is missed.
--- a/crates/rig/src/messages.rs
+++ b/crates/rig/src/messages.rs
@@ -78,7 +78,8 @@
 impl Link {
     /// No connection onwards stands any more.
     pub fn is_broken(&self) -> bool {
-        matches!(self.out.fault(), Fault::Reset | Fault::HalfOpen) || self.back.fault() == Fault::Reset
+        matches!(self.out.fault(), Fault::Reset | Fault::HalfOpen)
+            || self.back.fault() == Fault::Reset
     }
 
     async fn breaks(&self) {
@@ -96,7 +97,10 @@
     async fn passes(&self, way: &Way, size: usize) -> bool {
         Timer::after(self.late(way)).await;
         if let Fault::Throttled { bytes_per_s } = way.fault() {
-            Timer::after(Duration::from_secs_f64(size as f64 / bytes_per_s.max(1) as f64)).await;
+            Timer::after(Duration::from_secs_f64(
+                size as f64 / bytes_per_s.max(1) as f64,
+            ))
+            .await;
         }
         way.lets().await
     }
@@ -104,24 +108,42 @@
     async fn open(self: &Arc<Self>) -> io::Result<Far> {
         let stream = self.connect().await?;
         let handle = stream.get_ref().try_clone()?;
-        let (sender, driver) = handshake(FuturesIo::new(stream)).await.map_err(io::Error::other)?;
+        let (sender, driver) = handshake(FuturesIo::new(stream))
+            .await
+            .map_err(io::Error::other)?;
         let _driver = self.ground.executor.spawn(async move {
             // How it ended is told to whoever waits on the sender.
             let _ = driver.await;
         });
-        Ok(Far { sender, _driver, handle, link: self.clone() })
+        Ok(Far {
+            sender,
+            _driver,
+            handle,
+            link: self.clone(),
+        })
     }
 
-    async fn exchange(self: &Arc<Self>, onward: &Onward, request: Request<Bytes>) -> io::Result<Answer> {
+    async fn exchange(
+        self: &Arc<Self>,
+        onward: &Onward,
+        request: Request<Bytes>,
+    ) -> io::Result<Answer> {
         let asking = async {
             let mut kept = onward.lock().await;
             let mut far = match kept.take().filter(|far| !far.sender.is_closed()) {
                 Some(far) => far,
                 None => self.open().await?,
             };
-            let answer = far.sender.send_request(request.map(Full::new)).await.map_err(io::Error::other)?;
+            let answer = far
+                .sender
+                .send_request(request.map(Full::new))
+                .await
+                .map_err(io::Error::other)?;
             let (mut head, body) = answer.into_parts();
-            let body = Limited::new(body, MOST_BODY).collect().await.map_err(io::Error::other)?;
+            let body = Limited::new(body, MOST_BODY)
+                .collect()
+                .await
+                .map_err(io::Error::other)?;
             plain(&mut head.headers);
             if far.sender.ready().await.is_ok() {
                 *kept = Some(far);
@@ -144,12 +166,16 @@
 
 pub(crate) async fn connection(near: Async<TcpStream>, link: Arc<Link>) {
     let born = link.resets();
-    let Ok(handle) = near.get_ref().try_clone() else { return };
+    let Ok(handle) = near.get_ref().try_clone() else {
+        return;
+    };
     let (onward, lost) = (Onward::default(), Lost::default());
     let service = service_fn(|request| carry(link.clone(), onward.clone(), lost.clone(), request));
     let serving = async {
         // However it ends, the near side has seen it.
-        let _ = http1::Builder::new().serve_connection(FuturesIo::new(near), service).await;
+        let _ = http1::Builder::new()
+            .serve_connection(FuturesIo::new(near), service)
+            .await;
         false
     };
     let broken = async {
@@ -181,11 +207,23 @@
     request: Request<Incoming>,
 ) -> io::Result<Answer> {
     let (mut head, body) = request.into_parts();
-    let body = Limited::new(body, MOST_BODY).collect().await.map_err(io::Error::other)?.to_bytes();
+    let body = Limited::new(body, MOST_BODY)
+        .collect()
+        .await
+        .map_err(io::Error::other)?
+        .to_bytes();
     plain(&mut head.headers);
     let (tell, told) = bounded(1);
     let executor = link.ground.executor.clone();
-    executor.spawn(on_its_way(link, onward, lost, Request::from_parts(head, body), tell)).detach();
+    executor
+        .spawn(on_its_way(
+            link,
+            onward,
+            lost,
+            Request::from_parts(head, body),
+            tell,
+        ))
+        .detach();
     match told.recv().await {
         Ok(answer) => answer,
         // It or its answer was dropped: what the near side waits for does not come.
--- a/crates/rig/src/operator.rs
+++ b/crates/rig/src/operator.rs
@@ -21,7 +21,12 @@
 
 fn order(worker: SocketAddr, function: &str, what: &str) -> Result<(), Wrong> {
     // `m/versions/2` parts model and version as paths do.
-    let path = format!("/v2/repository/models/{}/{what}", function.replace(':', "%3A"));
-    let request = Request::post(path).header("host", worker.to_string()).body(Full::<Bytes>::default());
+    let path = format!(
+        "/v2/repository/models/{}/{what}",
+        function.replace(':', "%3A")
+    );
+    let request = Request::post(path)
+        .header("host", worker.to_string())
+        .body(Full::<Bytes>::default());
     asked(worker, request).map(drop)
 }
--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -233,7 +233,9 @@
 pub fn parse(file: &str, text: &str) -> Result<Day, Wrong> {
     let day: Day = toml::from_str(text).map_err(|e| Wrong::NoDay {
         file: file.to_owned(),
-        line: e.span().map_or(1, |s| text[..s.start].matches('\n').count() + 1),
+        line: e
+            .span()
+            .map_or(1, |s| text[..s.start].matches('\n').count() + 1),
         said: e.message().replace('\n', ", "),
     })?;
     Check { file, day: &day }.all()?;
@@ -241,10 +243,13 @@
 }
 
 const PART: (RangeInclusive<f64>, &str) = (0.0..=1.0, "0 to 1");
-const RATE: (RangeInclusive<f64>, &str) = (f64::MIN_POSITIVE..=1e5, "more than 0 and at most 100000");
-const SECONDS: (RangeInclusive<f64>, &str) = (f64::MIN_POSITIVE..=3600.0, "more than 0 and at most 3600");
+const RATE: (RangeInclusive<f64>, &str) =
+    (f64::MIN_POSITIVE..=1e5, "more than 0 and at most 100000");
+const SECONDS: (RangeInclusive<f64>, &str) =
+    (f64::MIN_POSITIVE..=3600.0, "more than 0 and at most 3600");
 const ROUTERS: (RangeInclusive<f64>, &str) = (1.0..=100.0, "1 to 100");
-const TIMES: (RangeInclusive<f64>, &str) = (f64::MIN_POSITIVE..=1000.0, "more than 0 and at most 1000");
+const TIMES: (RangeInclusive<f64>, &str) =
+    (f64::MIN_POSITIVE..=1000.0, "more than 0 and at most 1000");
 /// A zone cut tells them by bits.
 const MOST_ZONES: f64 = 60.0;
 
@@ -264,14 +269,23 @@
     ) -> Result<(), Wrong> {
         match range.contains(&value) {
             true => Ok(()),
-            false => Err(Wrong::OutOfRange { file: self.file.into(), key: key.to_string(), value, within }),
+            false => Err(Wrong::OutOfRange {
+                file: self.file.into(),
+                key: key.to_string(),
+                value,
+                within,
+            }),
         }
     }
 
     fn needs(&self, key: impl ToString, holds: bool, what: &'static str) -> Result<(), Wrong> {
         match holds {
             true => Ok(()),
-            false => Err(Wrong::Needs { file: self.file.into(), key: key.to_string(), what }),
+            false => Err(Wrong::Needs {
+                file: self.file.into(),
+                key: key.to_string(),
+                what,
+            }),
         }
     }
 
@@ -286,7 +300,11 @@
             None => Ok(()),
             Some(name) => {
                 let (key, name) = (key.to_string(), name.to_string());
-                Err(Wrong::Absent { file: self.file.into(), key, name })
+                Err(Wrong::Absent {
+                    file: self.file.into(),
+                    key,
+                    name,
+                })
             }
         }
     }
@@ -300,59 +318,105 @@
             ("zones", day.zones.len()),
         ];
         if let Some((key, _)) = counts.into_iter().find(|c| c.1 == 0) {
-            return Err(Wrong::Empty { file: self.file.into(), key });
+            return Err(Wrong::Empty {
+                file: self.file.into(),
+                key,
+            });
         }
         self.within("seconds", day.seconds, SECONDS)?;
         self.within("rate_per_s", day.rate_per_s, RATE)?;
         self.within("routers", day.routers.into(), ROUTERS)?;
         self.within("floor", day.floor, PART)?;
         self.within("kserve_part", day.kserve_part, PART)?;
-        self.within("zones: their number", day.zones.len() as f64, (1.0..=MOST_ZONES, "1 to 60"))?;
+        self.within(
+            "zones: their number",
+            day.zones.len() as f64,
+            (1.0..=MOST_ZONES, "1 to 60"),
+        )?;
         for (n, t) in day.triggers.iter().enumerate() {
             let key = format!("trigger[{n}].sessions");
             self.within(&key, t.sessions, PART)?;
             self.needs(key, t.sessions == 0.0 || t.turns > 0, "turns above 0")?;
         }
         for (n, w) in day.workers.iter().enumerate() {
-            self.has(format!("worker[{n}].zone"), Some(&w.zone), |z| day.zones.contains(z))?;
+            self.has(format!("worker[{n}].zone"), Some(&w.zone), |z| {
+                day.zones.contains(z)
+            })?;
         }
         if !day.regions.is_empty() {
             let inside = |z: &String| day.regions.iter().any(|r| belongs(z, r));
             let stray = day.zones.iter().position(|z| !inside(z)).unwrap_or(0);
-            self.needs(format!("zones[{stray}]"), inside(&day.zones[stray]), "a region of its name")?;
+            self.needs(
+                format!("zones[{stray}]"),
+                inside(&day.zones[stray]),
+                "a region of its name",
+            )?;
             for (n, r) in day.regions.iter().enumerate() {
                 let held = day.zones.iter().any(|z| belongs(z, r));
                 self.needs(format!("regions[{n}]"), held, "a zone of its name")?;
             }
         }
-        self.needs("peers", !day.peers || !day.regions.is_empty(), "regions: peers' links are relayed")?;
-        self.needs("witness", !day.witness || day.peers && day.routers > 1, "peers, and another router")?;
-        day.troubles.iter().enumerate().try_for_each(|(n, t)| self.trouble(n, t))
+        self.needs(
+            "peers",
+            !day.peers || !day.regions.is_empty(),
+            "regions: peers' links are relayed",
+        )?;
+        self.needs(
+            "witness",
+            !day.witness || day.peers && day.routers > 1,
+            "peers, and another router",
+        )?;
+        day.troubles
+            .iter()
+            .enumerate()
+            .try_for_each(|(n, t)| self.trouble(n, t))
     }
 
     fn trouble(&self, n: usize, t: &Trouble) -> Result<(), Wrong> {
         let day = self.day;
         let key = |part: &str| format!("trouble[{n}].{part}");
         let count: u32 = day.workers.iter().map(|w| w.count).sum();
-        let routers = [What::RouterKill, What::RouterPause, What::StaleState, What::PeerCut];
-        let most = if routers.contains(&t.what) { day.routers } else { count } as usize;
+        let routers = [
+            What::RouterKill,
+            What::RouterPause,
+            What::StaleState,
+            What::PeerCut,
+        ];
+        let most = if routers.contains(&t.what) {
+            day.routers
+        } else {
+            count
+        } as usize;
         self.has(key("which"), t.which.iter().max(), |w| **w < most)?;
         self.within(key("part"), t.part, PART)?;
         if t.what == What::Flood {
             self.needs(key("what"), t.front.is_some(), "a front: amqp or kserve")?;
             self.within(key("size"), t.size, TIMES)?;
         }
-        self.has(key("region"), t.region.as_ref(), |r| day.regions.contains(r))?;
-        self.needs(key("what"), t.what != What::RegionCut || t.region.is_some(), "a region")?;
+        self.has(key("region"), t.region.as_ref(), |r| {
+            day.regions.contains(r)
+        })?;
+        self.needs(
+            key("what"),
+            t.what != What::RegionCut || t.region.is_some(),
+            "a region",
+        )?;
         let two = day.peers && t.which.len() > 1;
-        self.needs(key("what"), t.what != What::PeerCut || two, "peers, and two routers in which")?;
-        self.has(key("account"), t.account.as_ref(), |a| day.accounts.iter().any(|d| d.name == **a))?;
+        self.needs(
+            key("what"),
+            t.what != What::PeerCut || two,
+            "peers, and two routers in which",
+        )?;
+        self.has(key("account"), t.account.as_ref(), |a| {
+            day.accounts.iter().any(|d| d.name == **a)
+        })?;
         self.has(key("zone"), t.zone.as_ref(), |z| day.zones.contains(z))
     }
 }
 
 fn belongs(zone: &str, region: &str) -> bool {
-    zone.strip_prefix(region).is_some_and(|rest| rest.is_empty() || rest.starts_with('-'))
+    zone.strip_prefix(region)
+        .is_some_and(|rest| rest.is_empty() || rest.starts_with('-'))
 }
 
 impl Day {
@@ -363,13 +427,19 @@
         }
         let count = self.regions.len();
         let region = &self.regions[router as usize % count];
-        let own: Vec<u32> =
-            (0..).zip(&self.zones).filter(|(_, z)| belongs(z, region)).map(|(n, _)| n).collect();
+        let own: Vec<u32> = (0..)
+            .zip(&self.zones)
+            .filter(|(_, z)| belongs(z, region))
+            .map(|(n, _)| n)
+            .collect();
         own[router as usize / count % own.len()]
     }
 
     /// The region of a zone; empty where there are none.
     pub fn region_of(&self, zone: &str) -> &str {
-        self.regions.iter().find(|r| belongs(zone, r)).map_or("", String::as_str)
+        self.regions
+            .iter()
+            .find(|r| belongs(zone, r))
+            .map_or("", String::as_str)
     }
 }
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -43,7 +43,14 @@
         let mut all = vec!["serve".to_owned(), settings.display().to_string()];
         all.extend_from_slice(args);
         let log = settings.with_extension("log");
-        Process { program: program.into(), args: all, log, state: state.into(), child: None, paused: false }
+        Process {
+            program: program.into(),
+            args: all,
+            log,
+            state: state.into(),
+            child: None,
+            paused: false,
+        }
     }
 
     pub fn is_up(&self) -> bool {
@@ -65,10 +72,20 @@
         if let State::Older(copy) = state {
             copy_folder(copy, &self.state)?;
         }
-        let mut log = std::fs::File::options().create(true).append(true).open(&self.log)?;
+        let mut log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(&self.log)?;
         let mut command = Command::new("/bin/sh");
-        command.args(["-c", SHELL]).arg(&self.program).args(&self.args);
-        let mut child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).spawn()?;
+        command
+            .args(["-c", SHELL])
+            .arg(&self.program)
+            .args(&self.args);
+        let mut child = command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()?;
         let said = child.stderr.take();
         self.child = Some(child);
         self.paused = false;
@@ -131,9 +148,13 @@
     }
 
     fn stands_still(&self) -> bool {
-        let Some(child) = &self.child else { return true };
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
-        stat.rsplit_once(") ").is_some_and(|(_, rest)| rest.starts_with('T'))
+        let Some(child) = &self.child else {
+            return true;
+        };
+        let stat =
+            std::fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
+        stat.rsplit_once(") ")
+            .is_some_and(|(_, rest)| rest.starts_with('T'))
     }
 
     fn signal(&self, signal: Signal) -> io::Result<()> {
@@ -165,7 +186,14 @@
     pub fn limit_files(&self, bytes: Option<u64>) -> io::Result<()> {
         let pid = self.pid().ok_or(io::ErrorKind::NotFound)?;
         let maximum = rustix::process::getrlimit(Resource::Fsize).maximum;
-        prlimit(Some(pid), Resource::Fsize, Rlimit { current: bytes.or(maximum), maximum })?;
+        prlimit(
+            Some(pid),
+            Resource::Fsize,
+            Rlimit {
+                current: bytes.or(maximum),
+                maximum,
+            },
+        )?;
         Ok(())
     }
 
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -42,7 +42,11 @@
 const ACCEPT_AGAIN: Duration = Duration::from_millis(10);
 
 fn bound(address: SocketAddr) -> io::Result<Socket> {
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    let socket = Socket::new(
+        Domain::for_address(address),
+        Type::STREAM,
+        Some(Protocol::TCP),
+    )?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
     Ok(socket)
@@ -58,8 +62,14 @@
 impl Reserved {
     pub fn at(ip: IpAddr) -> io::Result<Reserved> {
         let socket = bound(SocketAddr::new(ip, 0))?;
-        let address = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
-        Ok(Reserved { address, _socket: socket })
+        let address = socket
+            .local_addr()?
+            .as_socket()
+            .ok_or(io::ErrorKind::AddrNotAvailable)?;
+        Ok(Reserved {
+            address,
+            _socket: socket,
+        })
     }
 }
 
@@ -177,7 +187,11 @@
     ) -> io::Result<Relay> {
         let reserved = Reserved::at([127, 0, 0, 1].into())?;
         let address = reserved.address;
-        let port = Arc::new(Port { reserved, listener: Mutex::default(), opened: Event::new() });
+        let port = Arc::new(Port {
+            reserved,
+            listener: Mutex::default(),
+            opened: Event::new(),
+        });
         links.register(near, far, &port);
         let (out, back) = (links.way(near, far), links.way(far, near));
         let random = Mutex::new(Pcg64Mcg::seed_from_u64(seed));
@@ -214,7 +228,12 @@
                 tasks.push(task);
             }
         };
-        Ok(Relay { address, link: its_link, _accepting: ground.executor.spawn(accepting), _served: served })
+        Ok(Relay {
+            address,
+            link: its_link,
+            _accepting: ground.executor.spawn(accepting),
+            _served: served,
+        })
     }
 }
 
@@ -285,7 +304,9 @@
     ) -> Result<(), End> {
         let mut gone = false;
         loop {
-            let Ok((due, piece)) = pieces.recv().await else { return future::pending().await };
+            let Ok((due, piece)) = pieces.recv().await else {
+                return future::pending().await;
+            };
             Timer::at(due).await;
             if !self.way.lets().await || self.lost.load(Ordering::SeqCst) {
                 self.lost.store(true, Ordering::SeqCst);
@@ -312,11 +333,16 @@
     async fn put(&self, bytes: &[u8]) -> io::Result<()> {
         let (mut to, mut left) = (self.to, bytes);
         while !left.is_empty() {
-            let Fault::Throttled { bytes_per_s } = self.way.fault() else { return to.write_all(left).await };
+            let Fault::Throttled { bytes_per_s } = self.way.fault() else {
+                return to.write_all(left).await;
+            };
             let n = left.len().min((bytes_per_s / SLICES_PER_S).max(1) as usize);
             to.write_all(&left[..n]).await?;
             left = &left[n..];
-            Timer::after(Duration::from_secs_f64(n as f64 / bytes_per_s.max(1) as f64)).await;
+            Timer::after(Duration::from_secs_f64(
+                n as f64 / bytes_per_s.max(1) as f64,
+            ))
+            .await;
         }
         Ok(())
     }
@@ -325,7 +351,11 @@
 /// Onwards as soon as something gets there; none if the connection is lost instead.
 async fn onwards(link: &Link) -> Option<Async<TcpStream>> {
     if link.out.lets().await {
-        return if link.is_broken() { None } else { link.connect().await.ok() };
+        return if link.is_broken() {
+            None
+        } else {
+            link.connect().await.ok()
+        };
     }
     loop {
         let change = link.out.change();
@@ -338,13 +368,24 @@
 
 async fn connection(near: Async<TcpStream>, link: &Link) {
     let born = link.resets();
-    let Some(far) = onwards(link).await else { return reset(near.get_ref()) };
-    let line = |way, from, to| Line { link, way, from, to, lost: AtomicBool::new(false) };
+    let Some(far) = onwards(link).await else {
+        return reset(near.get_ref());
+    };
+    let line = |way, from, to| Line {
+        link,
+        way,
+        from,
+        to,
+        lost: AtomicBool::new(false),
+    };
     let end = {
         let (out, back) = (line(&link.out, &near, &far), line(&link.back, &far, &near));
         let ((out_end, out_read), (back_end, back_read)) = (bounded(LINE), bounded(LINE));
         let reading = future::zip(out.read(out_end.clone()), back.read(back_end.clone()));
-        let writing = future::try_zip(out.write(out_read, back_end), back.write(back_read, out_end));
+        let writing = future::try_zip(
+            out.write(out_read, back_end),
+            back.write(back_read, out_end),
+        );
         let carrying = async {
             match writing.or(async { reading.await.0 }).await {
                 Ok(_) => End::Closed,
@@ -361,7 +402,9 @@
                     return End::Reset;
                 }
                 if faults.contains(&Fault::HalfOpen) {
-                    return End::HalfOpen { far: faults[0] == Fault::HalfOpen };
+                    return End::HalfOpen {
+                        far: faults[0] == Fault::HalfOpen,
+                    };
                 }
                 change.await;
             }
--- a/crates/rig/src/rest_client.rs
+++ b/crates/rig/src/rest_client.rs
@@ -24,7 +24,9 @@
 fn body(a: &Arrival) -> Bytes {
     let plain = Bytes::copy_from_slice(a.body.as_bytes());
     let Some(turn) = &a.turn else { return plain };
-    let Ok(mut body) = serde_json::from_slice::<serde_json::Value>(&plain) else { return plain };
+    let Ok(mut body) = serde_json::from_slice::<serde_json::Value>(&plain) else {
+        return plain;
+    };
     body["parameters"] = json!({
         "sequence_id": turn.session, "sequence_start": turn.start, "sequence_end": turn.end,
     });
@@ -53,8 +55,19 @@
 
     async fn call(self: Arc<Self>, mut a: Arrival, n: usize) {
         loop {
-            let function = self.asks.as_ref().map_or_else(|| a.function.clone(), |asks| asks(&a));
-            let fate = self.once(&Arrival { function, ..a.clone() }, n).await;
+            let function = self
+                .asks
+                .as_ref()
+                .map_or_else(|| a.function.clone(), |asks| asks(&a));
+            let fate = self
+                .once(
+                    &Arrival {
+                        function,
+                        ..a.clone()
+                    },
+                    n,
+                )
+                .await;
             if fate.as_deref() == Some("succeeded") || a.retries == 0 {
                 return;
             }
@@ -77,7 +90,9 @@
         let until = Instant::now() + patience;
         for k in 0..self.routers.len() {
             let router = self.routers[(n + k) % self.routers.len()];
-            let Ok(stream) = connect(router, Some(self.from), CONNECT_WITHIN).await else { continue };
+            let Ok(stream) = connect(router, Some(self.from), CONNECT_WITHIN).await else {
+                continue;
+            };
             let to = router.ip().to_string();
             let late = async {
                 Timer::at(until).await;
@@ -86,11 +101,13 @@
             let told = self.exchange(a, stream, router).or(late).await;
             match told {
                 Some((fate, reason)) => {
-                    let answer =
-                        json!({"queue": "answers", "id": a.id, "from": to, "fate": fate, "reason": reason});
+                    let answer = json!({"queue": "answers", "id": a.id, "from": to, "fate": fate, "reason": reason});
                     self.log.write("published", answer);
                     if let Some(answers) = &self.answers {
-                        lock(answers).entry(a.id.clone()).or_default().push(fate.clone());
+                        lock(answers)
+                            .entry(a.id.clone())
+                            .or_default()
+                            .push(fate.clone());
                     }
                     return Some(fate);
                 }
@@ -110,7 +127,9 @@
         router: SocketAddr,
     ) -> Option<(String, String)> {
         let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(FuturesIo::new(stream)).await.ok()?;
+            hyper::client::conn::http1::handshake(FuturesIo::new(stream))
+                .await
+                .ok()?;
         let path = format!("/v2/models/{}/infer", a.function.replace(':', "%3A"));
         let request = Request::post(path)
             .header("host", router.to_string())
@@ -125,7 +144,10 @@
             .body(Full::new(body(a)))
             .ok()?;
         let to = router.ip().to_string();
-        self.log.write("delivered", json!({"queue": "calls", "id": a.id, "to": to, "redelivered": false}));
+        self.log.write(
+            "delivered",
+            json!({"queue": "calls", "id": a.id, "to": to, "redelivered": false}),
+        );
         let asking = async {
             let answer = sender.send_request(request).await.ok()?;
             let said = |name: &str| {
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -19,11 +19,16 @@
 
 impl<'a> Script<'a> {
     pub fn new(seed: u64) -> Self {
-        Script { random: Pcg64Mcg::seed_from_u64(seed), steps: Vec::new(), acts: Vec::new() }
+        Script {
+            random: Pcg64Mcg::seed_from_u64(seed),
+            steps: Vec::new(),
+            acts: Vec::new(),
+        }
     }
 
     pub fn at(mut self, ms: u64, mut act: impl FnMut(&Fleet) + 'a) -> Self {
-        self.steps.push((Duration::from_millis(ms), self.acts.len()));
+        self.steps
+            .push((Duration::from_millis(ms), self.acts.len()));
         self.acts.push(Box::new(move |fleet, _| act(fleet)));
         self
     }
@@ -41,7 +46,8 @@
             if at >= ms.end as f64 {
                 break;
             }
-            self.steps.push((Duration::from_millis(at as u64), self.acts.len()));
+            self.steps
+                .push((Duration::from_millis(at as u64), self.acts.len()));
         }
         self.acts.push(Box::new(act));
         self
--- a/crates/rig/src/traffic.rs
+++ b/crates/rig/src/traffic.rs
@@ -71,7 +71,12 @@
             };
             tasks.push(executor.spawn(client.run()));
         }
-        Traffic { began, sent, answers, _tasks: tasks }
+        Traffic {
+            began,
+            sent,
+            answers,
+            _tasks: tasks,
+        }
     }
 
     /// Until each of the invocations is answered; false if some are not in this time.
@@ -90,7 +95,8 @@
     let mut all = Vec::new();
     let mut at = 0.0;
     let body: Arc<str> =
-        r#"{"inputs":[{"name":"drawing","shape":[4],"datatype":"FP32","data":[0.1,0.2,0.3,0.4]}]}"#.into();
+        r#"{"inputs":[{"name":"drawing","shape":[4],"datatype":"FP32","data":[0.1,0.2,0.3,0.4]}]}"#
+            .into();
     let pick = |random: &mut Pcg64Mcg, parts: &[f64]| {
         let mut left = random.random::<f64>() * parts.iter().sum::<f64>();
         parts.iter().position(|p| {
@@ -103,15 +109,22 @@
     let mut ways = Pcg64Mcg::seed_from_u64(day.seed ^ CALLS);
     loop {
         let now = |what: What| {
-            day.troubles.iter().find(|t| t.what == what && (t.at_s..t.at_s + t.for_s).contains(&at))
+            day.troubles
+                .iter()
+                .find(|t| t.what == what && (t.at_s..t.at_s + t.for_s).contains(&at))
         };
         let rate = day.rate_per_s * now(What::TrafficShift).map_or(1.0, |t| t.size);
         let Ok(gap) = Exp::new(rate) else { break };
-        let (hot, scan, abuse) = (now(What::HotFunction), now(What::Scan), now(What::RetryAbuse));
+        let (hot, scan, abuse) = (
+            now(What::HotFunction),
+            now(What::Scan),
+            now(What::RetryAbuse),
+        );
         let retries = abuse.map_or(0, |t| t.size as u32);
         let t = &day.triggers[pick(&mut random, &triggers).unwrap_or(0)];
         let account = &day.accounts[pick(&mut random, &accounts).unwrap_or(0)];
-        let rank = Zipf::new(f64::from(t.functions), t.skew).map_or(1.0, |z| z.sample(&mut random)) as u64;
+        let rank =
+            Zipf::new(f64::from(t.functions), t.skew).map_or(1.0, |z| z.sample(&mut random)) as u64;
         let draw: f64 = random.random();
         let number = match (hot, scan) {
             (Some(h), _) if draw < h.part => 1,
@@ -143,12 +156,23 @@
     }
     // Floods have draws of their own: taken away, the rest of the day stays as it is.
     let usual = all.clone();
-    for (n, flood) in day.troubles.iter().enumerate().filter(|(_, t)| t.what == What::Flood) {
+    for (n, flood) in day
+        .troubles
+        .iter()
+        .enumerate()
+        .filter(|(_, t)| t.what == What::Flood)
+    {
         let mut random = Pcg64Mcg::seed_from_u64(day.seed ^ FLOODS ^ n as u64);
         let calls = flood.front == Some(Way::Kserve);
-        let part = if calls { day.kserve_part } else { 1.0 - day.kserve_part };
+        let part = if calls {
+            day.kserve_part
+        } else {
+            1.0 - day.kserve_part
+        };
         // Its share is there already.
-        let Ok(gap) = Exp::new(day.rate_per_s * part * (flood.size - 1.0)) else { continue };
+        let Ok(gap) = Exp::new(day.rate_per_s * part * (flood.size - 1.0)) else {
+            continue;
+        };
         let mut at = flood.at_s;
         loop {
             at += gap.sample(&mut random);
@@ -195,12 +219,22 @@
             if at.as_secs_f64() >= day.seconds {
                 break;
             }
-            let turn = Turn { session: session.clone(), start: turn == 0, end: turn + 1 == turns };
-            all.push(Arrival { at, turn: Some(turn), ..first.clone() });
+            let turn = Turn {
+                session: session.clone(),
+                start: turn == 0,
+                end: turn + 1 == turns,
+            };
+            all.push(Arrival {
+                at,
+                turn: Some(turn),
+                ..first.clone()
+            });
             at += Duration::from_millis(t.pause_ms).mul_f64(random.random_range(0.5..1.5));
         }
     }
     all.sort_by_key(|a| a.at);
-    (0..).zip(&mut all).for_each(|(n, a)| a.id = format!("i{n:06}"));
+    (0..)
+        .zip(&mut all)
+        .for_each(|(n, a)| a.id = format!("i{n:06}"));
     all
 }
--- a/crates/rig/src/verdict.rs
+++ b/crates/rig/src/verdict.rs
@@ -20,9 +20,14 @@
 
 /// `GET /state` of a router's listener for its peers.
 pub fn state(address: SocketAddr) -> Result<Value, Wrong> {
-    let request = Request::get("/state").header("host", address.to_string()).body(Full::default());
+    let request = Request::get("/state")
+        .header("host", address.to_string())
+        .body(Full::default());
     let body = asked(address, request)?;
-    serde_json::from_slice(&body).map_err(|e| Wrong::Asked { address, source: e.into() })
+    serde_json::from_slice(&body).map_err(|e| Wrong::Asked {
+        address,
+        source: e.into(),
+    })
 }
 
 /// One request on a connection of its own; the body of a good answer.
@@ -35,14 +40,19 @@
     let asking = async {
         let request = request.map_err(|e| wrong(io::Error::other(e)))?;
         let stream = Async::<TcpStream>::connect(address).await.map_err(wrong)?;
-        let (mut sender, connection) = http1::handshake(FuturesIo::new(stream)).await.map_err(other)?;
+        let (mut sender, connection) = http1::handshake(FuturesIo::new(stream))
+            .await
+            .map_err(other)?;
         let asked = async {
             let answer = sender.send_request(request).await.map_err(other)?;
             let status = answer.status();
             let body = Limited::new(answer.into_body(), MOST_BODY).collect().await;
             let body = body.map_err(|e| wrong(io::Error::other(e)))?;
             if !status.is_success() {
-                return Err(Wrong::Status { address, status: status.as_u16() });
+                return Err(Wrong::Status {
+                    address,
+                    status: status.as_u16(),
+                });
             }
             Ok(body.to_bytes())
         };
--- a/crates/rig/src/wrong.rs
+++ b/crates/rig/src/wrong.rs
@@ -13,15 +13,32 @@
     #[error("{file}: the day cannot be read, or its part not be written")]
     File { file: String, source: io::Error },
     #[error("{file}:{line}: it is not written as a day is: {said}")]
-    NoDay { file: String, line: usize, said: String },
+    NoDay {
+        file: String,
+        line: usize,
+        said: String,
+    },
     #[error("{file}: {key}: {value} is out of its range, {within}")]
-    OutOfRange { file: String, key: String, value: f64, within: &'static str },
+    OutOfRange {
+        file: String,
+        key: String,
+        value: f64,
+        within: &'static str,
+    },
     #[error("{file}: {key}: there must be one at least")]
     Empty { file: String, key: &'static str },
     #[error("{file}: {key}: the day has no '{name}'")]
-    Absent { file: String, key: String, name: String },
+    Absent {
+        file: String,
+        key: String,
+        name: String,
+    },
     #[error("{file}: {key} needs {what}")]
-    Needs { file: String, key: String, what: &'static str },
+    Needs {
+        file: String,
+        key: String,
+        what: &'static str,
+    },
     #[error("{folder}: no fleet can be set up here")]
     NoFleet { folder: String, source: io::Error },
     #[error("router {number} cannot be started or told")]
@@ -31,7 +48,10 @@
     #[error("the routers' group does not remember enough to vote")]
     NotWhole,
     #[error("{address} cannot be asked, or its answer not be read")]
-    Asked { address: SocketAddr, source: io::Error },
+    Asked {
+        address: SocketAddr,
+        source: io::Error,
+    },
     #[error("{address} answers with status {status}")]
     Status { address: SocketAddr, status: u16 },
     #[error(transparent)]
@@ -40,14 +60,19 @@
 
 impl Wrong {
     pub(crate) fn file(file: &Path) -> impl FnOnce(io::Error) -> Wrong {
-        move |source| Wrong::File { file: file.display().to_string(), source }
+        move |source| Wrong::File {
+            file: file.display().to_string(),
+            source,
+        }
     }
 }
 
 impl Remedy for Wrong {
     fn remedy(&self) -> &'static str {
         match self {
-            Wrong::File { .. } => "see that its path is right, may be read or written, and has room",
+            Wrong::File { .. } => {
+                "see that its path is right, may be read or written, and has room"
+            }
             Wrong::NoDay { .. } => "write that line as the files in days/ have it",
             Wrong::OutOfRange { .. } => "give that key a value within its range",
             Wrong::Empty { .. } => "give the day one of them",
@@ -56,7 +81,9 @@
             Wrong::NoFleet { .. } => {
                 "give --out a folder that may be written to, and see that loopback is free"
             }
-            Wrong::Router { .. } | Wrong::NotUp | Wrong::NotWhole => "see the routers' logs under routers/",
+            Wrong::Router { .. } | Wrong::NotUp | Wrong::NotWhole => {
+                "see the routers' logs under routers/"
+            }
             Wrong::Asked { .. } | Wrong::Status { .. } => {
                 "see that the router or worker runs, and that the address is a router's peers.listen or a worker's"
             }
--- a/crates/rig/tests/process.rs
+++ b/crates/rig/tests/process.rs
@@ -84,17 +84,26 @@
     s.process.kill();
     let last = size(&s.process.state);
     std::fs::write(s.process.state.join("newer"), "x").expect("written");
-    for (state, least, most) in
-        [(State::Kept, last, u64::MAX), (State::Older(&s.older()), older, last), (State::Removed, 0, older)]
-    {
+    for (state, least, most) in [
+        (State::Kept, last, u64::MAX),
+        (State::Older(&s.older()), older, last),
+        (State::Removed, 0, older),
+    ] {
         // Without a program that could write before it is looked at.
-        let mut process =
-            Process::new(Path::new("/bin/true"), &s.folder.path().join("t.toml"), &s.process.state, &[]);
+        let mut process = Process::new(
+            Path::new("/bin/true"),
+            &s.folder.path().join("t.toml"),
+            &s.process.state,
+            &[],
+        );
         process.start(state).expect("started");
         process.wait(PATIENCE);
         let size = size(&s.process.state);
         assert!(size >= least && size < most, "{state:?}: {size}");
-        assert_eq!(s.process.state.join("newer").exists(), matches!(state, State::Kept));
+        assert_eq!(
+            s.process.state.join("newer").exists(),
+            matches!(state, State::Kept)
+        );
     }
 }
 
@@ -104,7 +113,10 @@
     s.process.start(State::Kept).expect("started");
     assert!(s.grows());
     s.process.limit_files(Some(1)).expect("set");
-    assert!(until(PATIENCE, || s.process.log().contains("full")), "it is told");
+    assert!(
+        until(PATIENCE, || s.process.log().contains("full")),
+        "it is told"
+    );
     let full = size(&s.process.state);
     assert!(s.process.is_up() && s.process.ended().is_none());
     std::thread::sleep(Duration::from_millis(100));
--- a/crates/rig/tests/relays.rs
+++ b/crates/rig/tests/relays.rs
@@ -50,7 +50,12 @@
                 let (seen, tell) = (seen.clone(), tell.clone());
                 async move {
                     seen.lock().expect("ends").push((from, None));
-                    let body = request.into_body().collect().await.expect("a body").to_bytes();
+                    let body = request
+                        .into_body()
+                        .collect()
+                        .await
+                        .expect("a body")
+                        .to_bytes();
                     let _ = tell.send(String::from_utf8_lossy(&body).into_owned());
                     full(StatusCode::OK, body)
                 }
@@ -62,7 +67,14 @@
     let links = Links::new(None);
     let from = Some([127, 0, 10, 1].into());
     let relay = Relay::start(&ground, &links, form, "near", "far", from, to, 7).expect("a relay");
-    Setting { links, relay, ends, bodies, _server: server, _ground: ground }
+    Setting {
+        links,
+        relay,
+        ends,
+        bodies,
+        _server: server,
+        _ground: ground,
+    }
 }
 
 fn echoes(listener: &TcpListener, seen: &Ends, tell: &Sender<String>) {
@@ -113,7 +125,8 @@
     /// The body comes back.
     fn post(&self, stream: &mut TcpStream, body: &str) -> Result<String, ErrorKind> {
         let length = body.len();
-        let text = format!("POST /x HTTP/1.1\r\nhost: far\r\ncontent-length: {length}\r\n\r\n{body}");
+        let text =
+            format!("POST /x HTTP/1.1\r\nhost: far\r\ncontent-length: {length}\r\n\r\n{body}");
         stream.write_all(text.as_bytes()).map_err(|e| e.kind())?;
         let mut answer = String::new();
         while !answer.ends_with(&format!("\r\n\r\n{body}")) {
@@ -151,10 +164,16 @@
 fn bytes_pass_from_the_near_side_s_own_address_and_ends_are_told() {
     let s = setting(Form::Bytes);
     let stream = s.through();
-    assert_eq!(s.ends.lock().expect("ends")[0].0.ip().to_string(), "127.0.10.1");
+    assert_eq!(
+        s.ends.lock().expect("ends")[0].0.ip().to_string(),
+        "127.0.10.1"
+    );
     assert_eq!(s.ended(0), None);
     drop(stream);
-    assert!(until(PATIENCE, || s.ended(0) == Some(ErrorKind::Other)), "a plain close");
+    assert!(
+        until(PATIENCE, || s.ended(0) == Some(ErrorKind::Other)),
+        "a plain close"
+    );
 }
 
 #[test]
@@ -185,7 +204,11 @@
     assert_eq!(s.ended(count), None, "its end is held too");
     s.links.heal();
     assert!(until(PATIENCE, || s.ended(count).is_some()));
-    assert_eq!(s.bodies.try_iter().last(), Some("last words".into()), "they came before it");
+    assert_eq!(
+        s.bodies.try_iter().last(),
+        Some("last words".into()),
+        "they came before it"
+    );
 }
 
 #[test]
@@ -199,7 +222,11 @@
     assert!(is_reset(&mut speaks));
     assert!(until(PATIENCE, || s.ended(0) == Some(ErrorKind::ConnectionReset)));
     idle.write_all(b"idle").expect("written");
-    assert_eq!(said(&mut idle, 4), Ok("idle".into()), "nothing of it was lost");
+    assert_eq!(
+        said(&mut idle, 4),
+        Ok("idle".into()),
+        "nothing of it was lost"
+    );
 }
 
 #[test]
@@ -207,7 +234,9 @@
     let s = setting(Form::Bytes);
     let mut stream = s.through();
     s.links.set("near", "far", Fault::Refused);
-    let refused = TcpStream::connect(s.relay.address).map(drop).map_err(|e| e.kind());
+    let refused = TcpStream::connect(s.relay.address)
+        .map(drop)
+        .map_err(|e| e.kind());
     assert_eq!(refused, Err(ErrorKind::ConnectionRefused));
     stream.write_all(b"stands").expect("written");
     assert_eq!(said(&mut stream, 6), Ok("stands".into()));
@@ -255,7 +284,13 @@
     }
     assert_eq!(said(&mut stream, 12), Ok("one,two,six.".into()));
     assert!(began.elapsed() >= by);
-    s.links.set("near", "far", Fault::Throttled { bytes_per_s: 10_000 });
+    s.links.set(
+        "near",
+        "far",
+        Fault::Throttled {
+            bytes_per_s: 10_000,
+        },
+    );
     let began = Instant::now();
     stream.write_all(&[b'x'; 2000]).expect("written");
     assert_eq!(said(&mut stream, 2000).map(|t| t.len()), Ok(2000));
@@ -271,15 +306,24 @@
         assert_eq!(s.post(&mut stream, body), Ok(body.into()));
     }
     let from: Vec<_> = s.ends.lock().expect("ends").iter().map(|e| e.0).collect();
-    assert!(from.len() == 2 && from[0] == from[1], "one connection is kept: {from:?}");
+    assert!(
+        from.len() == 2 && from[0] == from[1],
+        "one connection is kept: {from:?}"
+    );
     s.links.set("near", "far", Fault::Held);
     let gone = "POST /x HTTP/1.1\r\nhost: far\r\ncontent-length: 4\r\n\r\nheld";
     stream.write_all(gone.as_bytes()).expect("written");
     assert!(until(PATIENCE, || s.relay.on_the_way() == 1) && silent(&mut stream));
     drop(stream);
     s.links.heal();
-    let got: Vec<String> = (0..3).map(|_| s.bodies.recv_timeout(PATIENCE).expect("it comes")).collect();
-    assert_eq!(got, ["a", "b", "held"], "it arrives though its sender has gone");
+    let got: Vec<String> = (0..3)
+        .map(|_| s.bodies.recv_timeout(PATIENCE).expect("it comes"))
+        .collect();
+    assert_eq!(
+        got,
+        ["a", "b", "held"],
+        "it arrives though its sender has gone"
+    );
     // Answers lost: the far side has acted, the near side waits, until the link is whole.
     let mut stream = s.connect();
     s.links.set("far", "near", Fault::Lost);
@@ -306,16 +350,40 @@
         stream.write_all(text.as_bytes()).expect("written");
         stream
     };
-    s.links.set("near", "far", Fault::Unruly { drop: 0.0, twice: 1.0, after: 0.0 });
+    s.links.set(
+        "near",
+        "far",
+        Fault::Unruly {
+            drop: 0.0,
+            twice: 1.0,
+            after: 0.0,
+        },
+    );
     let kept = ask(1, &s);
     let twice = [(); 2].map(|()| s.bodies.recv_timeout(PATIENCE).expect("it comes"));
     assert_eq!(twice, ["01", "01"]);
-    s.links.set("near", "far", Fault::Unruly { drop: 1.0, twice: 0.0, after: 0.0 });
+    s.links.set(
+        "near",
+        "far",
+        Fault::Unruly {
+            drop: 1.0,
+            twice: 0.0,
+            after: 0.0,
+        },
+    );
     let mut dropped = ask(2, &s);
     assert!(silent(&mut dropped));
     // One waits for a later one but for a bounded time, which a busy machine may let pass: then once more.
     assert!(until(PATIENCE, || {
-        s.links.set("near", "far", Fault::Unruly { drop: 0.0, twice: 0.0, after: 1.0 });
+        s.links.set(
+            "near",
+            "far",
+            Fault::Unruly {
+                drop: 0.0,
+                twice: 0.0,
+                after: 1.0,
+            },
+        );
         let _first = ask(3, &s);
         let waits = s.bodies.recv_timeout(QUIET).is_err();
         s.links.heal();
@@ -323,7 +391,15 @@
         let order = [(); 2].map(|()| s.bodies.recv_timeout(PATIENCE).unwrap_or_default());
         waits && order == ["04", "03"]
     }));
-    s.links.set("far", "near", Fault::Unruly { drop: 1.0, twice: 0.0, after: 0.0 });
+    s.links.set(
+        "far",
+        "near",
+        Fault::Unruly {
+            drop: 1.0,
+            twice: 0.0,
+            after: 0.0,
+        },
+    );
     let mut unheard = ask(5, &s);
     assert_eq!(s.bodies.recv_timeout(PATIENCE), Ok("05".into()));
     assert!(silent(&mut unheard));
--- a/crates/rig/tests/sessions.rs
+++ b/crates/rig/tests/sessions.rs
@@ -17,11 +17,25 @@
 fn a_session_begins_once_goes_on_with_one_function_and_ends_with_its_last_turn() {
     let (with, without) = (arrivals(&day(0.6)), arrivals(&day(0.0)));
     assert!(without.iter().all(|a| a.turn.is_none()));
-    let of = |kind: &str| with.iter().filter(|a| a.kind == kind && a.turn.is_some()).count();
-    let (some, all) = (of("resize"), with.iter().filter(|a| a.kind == "resize").count());
-    assert!(of("quote") == 0 && (2 * all..5 * all).contains(&(some * 5)), "{some} of {all}");
+    let of = |kind: &str| {
+        with.iter()
+            .filter(|a| a.kind == kind && a.turn.is_some())
+            .count()
+    };
+    let (some, all) = (
+        of("resize"),
+        with.iter().filter(|a| a.kind == "resize").count(),
+    );
+    assert!(
+        of("quote") == 0 && (2 * all..5 * all).contains(&(some * 5)),
+        "{some} of {all}"
+    );
     // About as many in all as without sessions.
-    assert!((without.len() * 3 / 4..without.len() * 5 / 4).contains(&with.len()), "{}", with.len());
+    assert!(
+        (without.len() * 3 / 4..without.len() * 5 / 4).contains(&with.len()),
+        "{}",
+        with.len()
+    );
     let ids: std::collections::BTreeSet<_> = with.iter().map(|a| &a.id).collect();
     assert_eq!(ids.len(), with.len());
 
@@ -33,10 +47,14 @@
     }
     assert!(sessions.len() > 20);
     for turns in sessions.values() {
-        let alike = |a: &cedarpulley_rig::client::Arrival| (a.function.clone(), a.account.clone(), a.calls);
+        let alike =
+            |a: &cedarpulley_rig::client::Arrival| (a.function.clone(), a.account.clone(), a.calls);
         assert!(turns.iter().all(|t| alike(t.0) == alike(turns[0].0)));
         assert!((1..10).contains(&turns.len()));
-        let (first, last) = (turns.first().expect("a turn"), turns.last().expect("a turn"));
+        let (first, last) = (
+            turns.first().expect("a turn"),
+            turns.last().expect("a turn"),
+        );
         assert!(first.1.start && turns.iter().skip(1).all(|t| !t.1.start));
         assert!(turns.iter().rev().skip(1).all(|t| !t.1.end));
         // But for one that the day's end cuts off.
@@ -48,7 +66,16 @@
 fn sessions_without_turns_are_refused() {
     let text = include_str!("../../../days/regions.toml");
     let bad = text.replacen("work_ms = 60\n", "work_ms = 60\nsessions = 0.5\n", 1);
-    assert!(plan::parse("bad", &bad).expect_err("refused").to_string().ends_with("turns above 0"));
-    let good = text.replacen("work_ms = 60\n", "work_ms = 60\nsessions = 0.5\nturns = 4\n", 1);
+    assert!(
+        plan::parse("bad", &bad)
+            .expect_err("refused")
+            .to_string()
+            .ends_with("turns above 0")
+    );
+    let good = text.replacen(
+        "work_ms = 60\n",
+        "work_ms = 60\nsessions = 0.5\nturns = 4\n",
+        1,
+    );
     assert!(plan::parse("good", &good).is_ok());
 }
--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -204,7 +204,8 @@
             _ => Felt::Neither,
         };
         let usual = self.usual as Micros;
-        self.fronts.ended(now, front as usize, self.limit, usual, felt);
+        self.fronts
+            .ended(now, front as usize, self.limit, usual, felt);
         self.accounts[front as usize].ended(now, account as usize, self.limit, usual, felt);
         // What the module gives up in a burst says nothing about how much may be taken.
         if matches!(pace, Pace::GivenUp | Pace::Neither) {
@@ -243,7 +244,8 @@
             return;
         }
         let room = if self.body >= 1.0 {
-            f64::from(self.out()) + (self.memory_bytes - self.bytes.min(self.memory_bytes)) as f64 / self.body
+            f64::from(self.out())
+                + (self.memory_bytes - self.bytes.min(self.memory_bytes)) as f64 / self.body
         } else {
             MOST
         };
--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -27,7 +27,12 @@
 
     /// With another longest wait.
     pub fn up_to(seed: u64, longest: Micros) -> Self {
-        Backoff { seed, draws: 0, wait: FIRST, longest }
+        Backoff {
+            seed,
+            draws: 0,
+            wait: FIRST,
+            longest,
+        }
     }
 
     /// The wait after a try that ended, having stood for so long. Drawn from the upper half of the present step.
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -103,7 +103,9 @@
         let record = match self.claims[ix as usize].as_ref().map(|c| &c.state) {
             Some(State::Open(_)) => Record::Open,
             Some(State::Given(_)) => Record::Answered,
-            Some(State::Ended { may_have_run: false }) => Record::NeverRan,
+            Some(State::Ended {
+                may_have_run: false,
+            }) => Record::NeverRan,
             Some(State::Ended { may_have_run: true }) => Record::MayHaveRun,
             None => return (Record::Nothing, None),
         };
@@ -120,9 +122,17 @@
         if let Some(&ix) = identity.as_deref().and_then(|i| self.by_identity.get(i)) {
             self.forget(ix);
         }
-        let holders = vec![Holder { delivery: holder, joined: false }];
-        let claim =
-            Claim { identity: identity.clone(), shared: None, holders, state: State::Open(inv), until };
+        let holders = vec![Holder {
+            delivery: holder,
+            joined: false,
+        }];
+        let claim = Claim {
+            identity: identity.clone(),
+            shared: None,
+            holders,
+            state: State::Open(inv),
+            until,
+        };
         let ix = self.free.pop().unwrap_or(self.claims.len() as ClaimIx);
         if ix as usize == self.claims.len() {
             self.claims.push(None);
@@ -145,11 +155,16 @@
     /// The same message has come again and takes the claim over. False if another delivery still holds it: then
     /// the message was published twice, and the one answer goes to the first.
     pub fn rejoin(&mut self, ix: ClaimIx, holder: Delivery) -> bool {
-        let Some(claim) = self.claims[ix as usize].as_mut() else { return false };
+        let Some(claim) = self.claims[ix as usize].as_mut() else {
+            return false;
+        };
         if claim.holders.iter().any(|h| !h.joined) {
             return false;
         }
-        claim.holders.push(Holder { delivery: holder, joined: false });
+        claim.holders.push(Holder {
+            delivery: holder,
+            joined: false,
+        });
         self.orphans.remove(&(claim.until, ix));
         self.by_holder.insert(holder, ix);
         true
@@ -158,8 +173,13 @@
     /// Another message with the same token waits for the same answer. False if too many do already.
     pub fn join(&mut self, ix: ClaimIx, holder: Delivery) -> bool {
         let claim = self.claims.get_mut(ix as usize).and_then(Option::as_mut);
-        let Some(claim) = claim.filter(|c| c.holders.len() < MOST_HOLDERS) else { return false };
-        claim.holders.push(Holder { delivery: holder, joined: true });
+        let Some(claim) = claim.filter(|c| c.holders.len() < MOST_HOLDERS) else {
+            return false;
+        };
+        claim.holders.push(Holder {
+            delivery: holder,
+            joined: true,
+        });
         self.orphans.remove(&(claim.until, ix));
         self.by_holder.insert(holder, ix);
         true
@@ -167,7 +187,9 @@
 
     /// Whether this delivery holds a claim that has no answer yet.
     pub fn waits(&self, delivery: Delivery) -> bool {
-        self.by_holder.get(&delivery).is_some_and(|&ix| self.inv(ix).is_some())
+        self.by_holder
+            .get(&delivery)
+            .is_some_and(|&ix| self.inv(ix).is_some())
     }
 
     /// This delivery waits no more. The claim it held and whether nobody holds that now.
@@ -224,7 +246,11 @@
     /// was the last that waited.
     pub fn safe(&mut self, delivery: Delivery) -> Option<Arc<str>> {
         let (ix, last) = self.let_go(delivery)?;
-        let shared = self.claims.get_mut(ix as usize).and_then(Option::as_mut).and_then(|c| c.shared.take());
+        let shared = self
+            .claims
+            .get_mut(ix as usize)
+            .and_then(Option::as_mut)
+            .and_then(|c| c.shared.take());
         if last {
             self.forget(ix);
         }
@@ -237,8 +263,11 @@
         let (mut open, mut forgotten) = (Vec::new(), Vec::new());
         for (i, slot) in self.claims.iter_mut().enumerate() {
             let Some(claim) = slot else { continue };
-            let lost: Vec<Delivery> =
-                claim.holders.extract_if(.., |h| h.delivery.front == front).map(|h| h.delivery).collect();
+            let lost: Vec<Delivery> = claim
+                .holders
+                .extract_if(.., |h| h.delivery.front == front)
+                .map(|h| h.delivery)
+                .collect();
             lost.iter().for_each(|d| {
                 self.by_holder.remove(d);
             });
@@ -270,7 +299,9 @@
     }
 
     pub fn forget(&mut self, ix: ClaimIx) {
-        let Some(claim) = self.claims.get_mut(ix as usize).and_then(Option::take) else { return };
+        let Some(claim) = self.claims.get_mut(ix as usize).and_then(Option::take) else {
+            return;
+        };
         if let Some(identity) = &claim.identity
             && self.by_identity.get(identity) == Some(&ix)
         {
--- a/crates/router/src/core/decisions.rs
+++ b/crates/router/src/core/decisions.rs
@@ -21,7 +21,10 @@
     pub(super) fn decide(&mut self, event: &Event, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         self.control.decide(self.now, event, &mut actions);
-        let names = Names { functions: self.functions.names(), workers: &self.workers };
+        let names = Names {
+            functions: self.functions.names(),
+            workers: &self.workers,
+        };
         for watch in &mut self.watch {
             watch.decided(self.now, event, &actions, names);
         }
@@ -36,20 +39,34 @@
 
     fn carry_out(&mut self, action: Action, ended: &mut Vec<EndedAtOnce>, out: &mut Vec<Output>) {
         match action {
-            Action::Dispatch { inv, worker, time_out } => self.dispatch(inv, worker, time_out, ended, out),
+            Action::Dispatch {
+                inv,
+                worker,
+                time_out,
+            } => self.dispatch(inv, worker, time_out, ended, out),
             Action::Withdraw { inv, dispatch } => self.withdraw(inv, dispatch, ended, out),
             Action::Throttle { inv, return_after } => self.throttle(inv, return_after, out),
             Action::Error { inv } => {
                 self.give_answer(inv, Answer::bare(Fate::Errored, Reason::GivenUp), out);
                 self.release(inv, out);
             }
-            Action::Order { worker, func, copies } => self.order(worker, func, copies, out),
+            Action::Order {
+                worker,
+                func,
+                copies,
+            } => self.order(worker, func, copies, out),
             Action::Unload { worker, func } => {
                 let function = self.functions.name(func);
-                out.push(Output::Unload { worker, function, term: self.plan_term.clone() });
+                out.push(Output::Unload {
+                    worker,
+                    function,
+                    term: self.plan_term.clone(),
+                });
             }
             Action::Probe { worker } => out.push(Output::Probe { worker }),
-            Action::Timer { token, after } => self.set_timer(self.now + after, Timer::Module(token)),
+            Action::Timer { token, after } => {
+                self.set_timer(self.now + after, Timer::Module(token))
+            }
             Action::AskList { .. } => out.push(Output::AskList),
             Action::Forget { func } => {
                 self.waits.forget(func);
@@ -58,23 +75,47 @@
         }
     }
 
-    fn withdraw(&mut self, inv: InvIx, dispatch: u32, ended: &mut Vec<EndedAtOnce>, out: &mut Vec<Output>) {
+    fn withdraw(
+        &mut self,
+        inv: InvIx,
+        dispatch: u32,
+        ended: &mut Vec<EndedAtOnce>,
+        out: &mut Vec<Output>,
+    ) {
         let ticket = self.handle_of(inv).ticket(dispatch);
-        let Some(sent) = self.dispatch_out(ticket) else { return };
+        let Some(sent) = self.dispatch_out(ticket) else {
+            return;
+        };
         let waits_for_leave = sent.leave == Leave::Asked;
         self.counts.withdrawn += 1;
         if waits_for_leave {
-            return ended.push(EndedAtOnce { ticket, outcome: Outcome::NotSent });
+            return ended.push(EndedAtOnce {
+                ticket,
+                outcome: Outcome::NotSent,
+            });
         }
         out.push(Output::Withdraw(ticket));
-        ended.push(EndedAtOnce { ticket, outcome: Outcome::Withdrawn });
+        ended.push(EndedAtOnce {
+            ticket,
+            outcome: Outcome::Withdrawn,
+        });
     }
 
     fn throttle(&mut self, inv: InvIx, return_after: Option<Micros>, out: &mut Vec<Output>) {
         // A redelivered invocation may have run elsewhere, which the module cannot know.
-        let elsewhere = self.invocations.get(inv).is_some_and(|i| i.dispatch_until.is_some());
-        let fate = if elsewhere { Fate::Errored } else { Fate::Throttled };
-        let answer = Answer { return_after, ..Answer::bare(fate, Reason::GivenUp) };
+        let elsewhere = self
+            .invocations
+            .get(inv)
+            .is_some_and(|i| i.dispatch_until.is_some());
+        let fate = if elsewhere {
+            Fate::Errored
+        } else {
+            Fate::Throttled
+        };
+        let answer = Answer {
+            return_after,
+            ..Answer::bare(fate, Reason::GivenUp)
+        };
         self.give_answer(inv, answer, out);
         self.release(inv, out);
     }
--- a/crates/router/src/core/dispatching.rs
+++ b/crates/router/src/core/dispatching.rs
@@ -1,6 +1,8 @@
 //! The life of a dispatch: decided, permitted by the group where that is needed, sent, and ended.
 
-use cedarpulley::interface::{CopyNote, Effect, Ending, Event, InvIx, Micros, Outcome, Report, WorkerIx};
+use cedarpulley::interface::{
+    CopyNote, Effect, Ending, Event, InvIx, Micros, Outcome, Report, WorkerIx,
+};
 use cedarpulley_meter::Held;
 
 use super::decisions::EndedAtOnce;
@@ -55,7 +57,10 @@
             return None;
         }
         let invocation = self.invocations.get_mut(ticket.inv)?;
-        invocation.dispatches.get_mut(ticket.dispatch as usize).filter(|dispatch| dispatch.is_out())
+        invocation
+            .dispatches
+            .get_mut(ticket.dispatch as usize)
+            .filter(|dispatch| dispatch.is_out())
     }
 
     /// The module wants the invocation sent to a worker.
@@ -67,13 +72,24 @@
         ended: &mut Vec<EndedAtOnce>,
         out: &mut Vec<Output>,
     ) {
-        let Some(ticket) = self.add_dispatch(inv, worker, time_out) else { return };
+        let Some(ticket) = self.add_dispatch(inv, worker, time_out) else {
+            return;
+        };
         self.tenure.hold(worker);
-        let Some(invocation) = self.invocations.get(inv) else { return };
+        let Some(invocation) = self.invocations.get(inv) else {
+            return;
+        };
         // An answer is out, or the workers no longer recognise repeats: the module is told that it did not
         // leave.
-        if invocation.concluded || invocation.dispatch_until.is_some_and(|until| self.now >= until) {
-            return ended.push(EndedAtOnce { ticket, outcome: Outcome::NotSent });
+        if invocation.concluded
+            || invocation
+                .dispatch_until
+                .is_some_and(|until| self.now >= until)
+        {
+            return ended.push(EndedAtOnce {
+                ticket,
+                outcome: Outcome::NotSent,
+            });
         }
         // Without a time-out of its own the dispatch ends when the answer is due.
         let time_left = invocation.gives_up_at - self.now;
@@ -87,7 +103,12 @@
     }
 
     /// Adds a dispatch to the invocation; nothing if there is no such invocation.
-    fn add_dispatch(&mut self, inv: InvIx, worker: WorkerIx, time_out: Option<Micros>) -> Option<Ticket> {
+    fn add_dispatch(
+        &mut self,
+        inv: InvIx,
+        worker: WorkerIx,
+        time_out: Option<Micros>,
+    ) -> Option<Ticket> {
         let needs_leave = needs_leave(self.invocations.get(inv)?);
         let dispatch = Dispatch {
             worker,
@@ -95,7 +116,11 @@
             state: Sent::Out,
             time_out,
             sending: self.next_serial(),
-            leave: if needs_leave { Leave::Asked } else { Leave::NotNeeded },
+            leave: if needs_leave {
+                Leave::Asked
+            } else {
+                Leave::NotNeeded
+            },
         };
         let handle = self.handle_of(inv);
         let dispatches = &mut self.invocations.get_mut(inv)?.dispatches;
@@ -106,26 +131,47 @@
     /// Tells the group of a new dispatch, if it has to know. True if the dispatch must wait for the group's
     /// permission.
     fn ask_group_for_leave(&mut self, ticket: Ticket, out: &mut Vec<Output>) -> bool {
-        let Some(invocation) = self.invocations.get(ticket.inv) else { return false };
-        let Some(dispatch) = invocation.dispatches.get(ticket.dispatch as usize) else { return false };
-        let Some(part) = &invocation.group_part else { return false };
+        let Some(invocation) = self.invocations.get(ticket.inv) else {
+            return false;
+        };
+        let Some(dispatch) = invocation.dispatches.get(ticket.dispatch as usize) else {
+            return false;
+        };
+        let Some(part) = &invocation.group_part else {
+            return false;
+        };
         let trigger = invocation.trigger as usize;
         let (key, sending) = (part.key.clone(), dispatch.sending);
         let place = self.repeat_place(trigger, dispatch.worker);
         if !dispatch.waits_for_leave() {
-            out.push(Output::Group(Ask::Left { key, sending, place }));
+            out.push(Output::Group(Ask::Left {
+                key,
+                sending,
+                place,
+            }));
             return false;
         }
         let alone = self.may_go_alone(trigger);
-        self.group_requests.waiting_for_leave.insert(sending, ticket);
-        out.push(Output::Group(Ask::Leave { key, sending, place, alone }));
+        self.group_requests
+            .waiting_for_leave
+            .insert(sending, ticket);
+        out.push(Output::Group(Ask::Leave {
+            key,
+            sending,
+            place,
+            alone,
+        }));
         true
     }
 
     /// Sends the dispatch now.
     pub(super) fn send(&mut self, ticket: Ticket, out: &mut Vec<Output>) {
-        let Some(invocation) = self.invocations.get(ticket.inv) else { return };
-        let Some(dispatch) = invocation.dispatches.get(ticket.dispatch as usize) else { return };
+        let Some(invocation) = self.invocations.get(ticket.inv) else {
+            return;
+        };
+        let Some(dispatch) = invocation.dispatches.get(ticket.dispatch as usize) else {
+            return;
+        };
         out.push(Output::Send {
             ticket,
             worker: dispatch.worker,
@@ -144,41 +190,62 @@
         let open = found.filter(|invocation| !invocation.concluded && now < invocation.gives_up_at);
         let Some(invocation) = open else { return false };
         let dispatch = invocation.dispatches.get(ticket.dispatch as usize);
-        dispatch.filter(|dispatch| dispatch.state == Sent::Out).is_some_and(|dispatch| {
-            self.service.takes_new(now, dispatch.worker)
-                && self.has_leave(now, dispatch.leave)
-                && self.within_repeat_window(now, invocation)
-        })
+        dispatch
+            .filter(|dispatch| dispatch.state == Sent::Out)
+            .is_some_and(|dispatch| {
+                self.service.takes_new(now, dispatch.worker)
+                    && self.has_leave(now, dispatch.leave)
+                    && self.within_repeat_window(now, invocation)
+            })
     }
 
     /// Rule 2 at the moment of sending: workers drop repeats of a tokened invocation only within their window, counted from
     /// each attempt that may have run. Connecting may take longer than what was left of it when the attempt was decided.
     fn within_repeat_window(&self, now: Micros, invocation: &Invocation) -> bool {
-        let Effect::Tokened { window, .. } = self.triggers[invocation.trigger as usize].effect else {
+        let Effect::Tokened { window, .. } = self.triggers[invocation.trigger as usize].effect
+        else {
             return true;
         };
-        let mut may_have_run = invocation.dispatches.iter().filter(|d| d.state == Sent::MayHaveRun);
+        let mut may_have_run = invocation
+            .dispatches
+            .iter()
+            .filter(|d| d.state == Sent::MayHaveRun);
         may_have_run.all(|dispatch| now - dispatch.decided_at < window)
     }
 
     /// The dispatch has its time-out, or its invocation's answer is due.
     pub(super) fn dispatch_timed_out(&mut self, ticket: Ticket, out: &mut Vec<Output>) {
-        let Some(dispatch) = self.dispatch_out(ticket) else { return };
+        let Some(dispatch) = self.dispatch_out(ticket) else {
+            return;
+        };
         if dispatch.waits_for_leave() {
             // It waited for permission all the time: nothing can have run.
             return self.dispatch_not_sent(ticket, out);
         }
         out.push(Output::Withdraw(ticket));
-        self.dispatch_ended(ticket, DispatchResult::without_answer(Outcome::TimedOut), out);
+        self.dispatch_ended(
+            ticket,
+            DispatchResult::without_answer(Outcome::TimedOut),
+            out,
+        );
     }
 
     /// The dispatch ended before it left.
     pub(super) fn dispatch_not_sent(&mut self, ticket: Ticket, out: &mut Vec<Output>) {
-        self.dispatch_ended(ticket, DispatchResult::without_answer(Outcome::NotSent), out);
+        self.dispatch_ended(
+            ticket,
+            DispatchResult::without_answer(Outcome::NotSent),
+            out,
+        );
     }
 
     /// Ends a dispatch. A success is the invocation's answer; anything else the module decides upon.
-    pub(super) fn dispatch_ended(&mut self, ticket: Ticket, result: DispatchResult, out: &mut Vec<Output>) {
+    pub(super) fn dispatch_ended(
+        &mut self,
+        ticket: Ticket,
+        result: DispatchResult,
+        out: &mut Vec<Output>,
+    ) {
         let Some(ended) = self.end_dispatch(ticket, result.outcome) else {
             // A worker may answer after the dispatch timed out or was withdrawn; that ending was told then.
             self.counts.too_late += 1;
@@ -193,7 +260,12 @@
         }
         if succeeded {
             let body = result.body;
-            let answer = Answer { fate: Fate::Succeeded, reason: Reason::Worker, return_after: None, body };
+            let answer = Answer {
+                fate: Fate::Succeeded,
+                reason: Reason::Worker,
+                return_after: None,
+                body,
+            };
             self.give_answer(inv, answer, out);
         } else {
             self.conclude_orphaned(inv);
@@ -217,7 +289,11 @@
     fn end_dispatch(&mut self, ticket: Ticket, outcome: Outcome) -> Option<EndedDispatch> {
         let now = self.now;
         let dispatch = self.dispatch_out(ticket)?;
-        dispatch.state = if outcome.never_ran() { Sent::NeverRan } else { Sent::MayHaveRun };
+        dispatch.state = if outcome.never_ran() {
+            Sent::NeverRan
+        } else {
+            Sent::MayHaveRun
+        };
         dispatch.leave = Leave::NotNeeded;
         let ended = EndedDispatch {
             worker: dispatch.worker,
@@ -230,15 +306,29 @@
     }
 
     fn tell_group_of_ending(&self, inv: InvIx, ended: EndedDispatch, out: &mut Vec<Output>) {
-        let EndedDispatch { sending, may_have_run, .. } = ended;
-        if let Some(part) = self.invocations.get(inv).and_then(|i| i.group_part.as_ref()) {
-            out.push(Output::Group(Ask::Ended { key: part.key.clone(), sending, may_have_run }));
+        let EndedDispatch {
+            sending,
+            may_have_run,
+            ..
+        } = ended;
+        if let Some(part) = self
+            .invocations
+            .get(inv)
+            .and_then(|i| i.group_part.as_ref())
+        {
+            out.push(Output::Group(Ask::Ended {
+                key: part.key.clone(),
+                sending,
+                may_have_run,
+            }));
         }
     }
 
     /// Tells the watchers what the dispatch used of its worker.
     fn report_dispatch_use(&mut self, inv: InvIx, ended: EndedDispatch, result: &DispatchResult) {
-        let Some(invocation) = self.invocations.get(inv) else { return };
+        let Some(invocation) = self.invocations.get(inv) else {
+            return;
+        };
         let session = invocation.session.as_ref();
         let used = Used {
             worker: ended.worker,
@@ -254,7 +344,9 @@
             lanes: invocation.lanes,
             held: result.held,
         };
-        self.watch.iter_mut().for_each(|watch| watch.used(self.now, used));
+        self.watch
+            .iter_mut()
+            .for_each(|watch| watch.used(self.now, used));
     }
 
     fn note_copy_found(&mut self, inv: InvIx) {
@@ -266,7 +358,11 @@
     /// Nobody waits here for an orphaned invocation whose dispatch failed; whoever has the message now
     /// decides what comes next.
     fn conclude_orphaned(&mut self, inv: InvIx) {
-        let Some(invocation) = self.invocations.get(inv).filter(|i| i.orphaned && !i.concluded) else {
+        let Some(invocation) = self
+            .invocations
+            .get(inv)
+            .filter(|i| i.orphaned && !i.concluded)
+        else {
             return;
         };
         let claim = invocation.claim;
--- a/crates/router/src/core/entering.rs
+++ b/crates/router/src/core/entering.rs
@@ -29,7 +29,9 @@
 
     /// The request's body is here. Whether this delivery is such a request at all.
     pub(super) fn body_arrived(&mut self, delivery: Delivery) -> bool {
-        let Some(request) = self.requests.get_mut(&delivery) else { return false };
+        let Some(request) = self.requests.get_mut(&delivery) else {
+            return false;
+        };
         self.pending_bytes -= std::mem::take(&mut request.pending_bytes);
         true
     }
@@ -43,21 +45,36 @@
 
 impl Router {
     /// Decides whether a request may enter.
-    pub(super) fn entry_requested(&mut self, delivery: Delivery, knock: &Knock, out: &mut Vec<Output>) {
+    pub(super) fn entry_requested(
+        &mut self,
+        delivery: Delivery,
+        knock: &Knock,
+        out: &mut Vec<Output>,
+    ) {
         let trigger = &self.triggers[knock.trigger as usize];
         self.admission.came(self.now, delivery.front, knock.account);
         let pending_bytes = self.entered.pending_bytes;
-        let fill = self.admission.fill(self.now, delivery.front, knock.account, pending_bytes);
+        let fill = self
+            .admission
+            .fill(self.now, delivery.front, knock.account, pending_bytes);
         let worth = entry::worth(trigger, knock.waited, fill.usual);
         let entry = self.door.decide(self.now, knock, worth, &fill);
         match entry {
             Entry::Enter => {
-                self.admission.entered(self.now, delivery.front, knock.account);
-                let request = EnteredRequest { account: knock.account, pending_bytes: knock.bytes };
+                self.admission
+                    .entered(self.now, delivery.front, knock.account);
+                let request = EnteredRequest {
+                    account: knock.account,
+                    pending_bytes: knock.bytes,
+                };
                 self.entered.enter(delivery, request);
             }
             Entry::TurnedAway { why, .. } => {
-                *self.counts.turned_away.entry((delivery.front, why)).or_default() += 1;
+                *self
+                    .counts
+                    .turned_away
+                    .entry((delivery.front, why))
+                    .or_default() += 1;
                 for watch in &mut self.watch {
                     watch.turned_away(self.now, delivery.front, knock.trigger, knock.account, why);
                 }
