--- a/crates/router/src/core/finishing.rs
+++ b/crates/router/src/core/finishing.rs
@@ -23,7 +23,11 @@
 impl AnswerSubject {
     /// Of a delivery of which nothing is known any more.
     pub(super) fn unknown(now: Micros) -> Self {
-        AnswerSubject { trigger: u32::MAX, account: u32::MAX, taken_at: now }
+        AnswerSubject {
+            trigger: u32::MAX,
+            account: u32::MAX,
+            taken_at: now,
+        }
     }
 }
 
@@ -47,15 +51,23 @@
             account: subject.account,
             took: self.now - subject.taken_at,
         };
-        self.watch.iter_mut().for_each(|watch| watch.answered(self.now, given));
-        *self.counts.answers.entry((answer.fate, answer.reason)).or_default() += 1;
+        self.watch
+            .iter_mut()
+            .for_each(|watch| watch.answered(self.now, given));
+        *self
+            .counts
+            .answers
+            .entry((answer.fate, answer.reason))
+            .or_default() += 1;
         out.push(Output::Answer { delivery, answer });
     }
 
     /// Gives the invocation its final answer. All deliveries that hold its claim get it; only the first call
     /// has an effect.
     pub(super) fn give_answer(&mut self, inv: InvIx, answer: Answer, out: &mut Vec<Output>) {
-        let Some(invocation) = self.invocations.get(inv).filter(|i| !i.concluded) else { return };
+        let Some(invocation) = self.invocations.get(inv).filter(|i| !i.concluded) else {
+            return;
+        };
         let claim = invocation.claim;
         let subject = AnswerSubject {
             trigger: invocation.trigger,
@@ -75,7 +87,11 @@
             self.end_claim(inv, claim);
         }
         // An invocation that the module does not know, or no longer, counts as answered at once.
-        let known = self.invocations.get(inv).is_some_and(|i| i.known_to_module).then_some(inv);
+        let known = self
+            .invocations
+            .get(inv)
+            .is_some_and(|i| i.known_to_module)
+            .then_some(inv);
         for delivery in holders {
             self.answer(delivery, answer.clone(), known, subject, out);
         }
@@ -101,42 +117,62 @@
 
     /// Remembers a success under its token, for its client's retries.
     fn remember_answer(&mut self, inv: InvIx, answer: &Answer) {
-        let Some(invocation) = self.invocations.get(inv) else { return };
+        let Some(invocation) = self.invocations.get(inv) else {
+            return;
+        };
         let effect = self.triggers[invocation.trigger as usize].effect;
         if let Some(key) = &invocation.token_key
             && answer.fate == Fate::Succeeded
             && let Effect::Tokened { window, .. } = effect
         {
-            self.tokens.ended(self.now, key, Some((answer.clone(), self.now + window)));
+            self.tokens
+                .ended(self.now, key, Some((answer.clone(), self.now + window)));
         }
     }
 
     /// What is told instead of this answer, as the group was lost or not asked.
     fn adjust_answer(&self, inv: InvIx, answer: Answer) -> Answer {
-        let Some(invocation) = self.invocations.get(inv) else { return answer };
+        let Some(invocation) = self.invocations.get(inv) else {
+            return answer;
+        };
         // While it was away from here another router may have run it: nobody can promise that it did not run.
         if answer.fate == Fate::Throttled && invocation.was_away {
             return Answer::bare(Fate::Errored, Reason::MayHaveRun);
         }
         if answer.reason == Reason::Worker && invocation.group_stage() == Some(Stage::Alone) {
-            return Answer { reason: Reason::Alone, ..answer };
+            return Answer {
+                reason: Reason::Alone,
+                ..answer
+            };
         }
         answer
     }
 
     /// Tells the group of a success, once: other routers may be delivered the same message, and answer alike.
     fn share_answer(&mut self, inv: InvIx, answer: &Answer, out: &mut Vec<Output>) {
-        let part = self.invocations.get_mut(inv).and_then(|i| i.group_part.as_mut());
+        let part = self
+            .invocations
+            .get_mut(inv)
+            .and_then(|i| i.group_part.as_mut());
         if answer.fate == Fate::Succeeded
             && let Some(part) = part.filter(|part| !part.answered)
         {
             part.answered = true;
-            out.push(Output::Group(Ask::Answered { key: part.key.clone(), answer: answer.clone() }));
+            out.push(Output::Group(Ask::Answered {
+                key: part.key.clone(),
+                answer: answer.clone(),
+            }));
         }
     }
 
     /// A final answer that the core itself decides; the module is told that the invocation departed.
-    pub(super) fn final_answer(&mut self, inv: InvIx, fate: Fate, reason: Reason, out: &mut Vec<Output>) {
+    pub(super) fn final_answer(
+        &mut self,
+        inv: InvIx,
+        fate: Fate,
+        reason: Reason,
+        out: &mut Vec<Output>,
+    ) {
         self.give_answer(inv, Answer::bare(fate, reason), out);
         self.withdraw_from_module(inv, out);
         self.release(inv, out);
@@ -147,16 +183,25 @@
     /// of the module's timers.
     pub(super) fn answer_overdue(&mut self, handle: InvocationHandle, out: &mut Vec<Output>) {
         let inv = handle.inv;
-        let dispatches = self.invocations.get(inv).map(|i| i.dispatches_where(Dispatch::is_out));
+        let dispatches = self
+            .invocations
+            .get(inv)
+            .map(|i| i.dispatches_where(Dispatch::is_out));
         for dispatch in dispatches.unwrap_or_default() {
             self.dispatch_timed_out(handle.ticket(dispatch), out);
         }
         if !self.is_current(handle) {
             return;
         }
-        let Some(invocation) = self.invocations.get(inv).filter(|i| !i.concluded) else { return };
+        let Some(invocation) = self.invocations.get(inv).filter(|i| !i.concluded) else {
+            return;
+        };
         let harmless = self.may_be_tried_again(invocation) && !may_run_elsewhere(invocation);
-        let fate = if harmless { Fate::Throttled } else { Fate::Errored };
+        let fate = if harmless {
+            Fate::Throttled
+        } else {
+            Fate::Errored
+        };
         self.final_answer(inv, fate, Reason::Overdue, out);
     }
 
@@ -168,7 +213,9 @@
 
     /// Marks the invocation as over, and tells the limits; true the first time.
     pub(super) fn conclude(&mut self, inv: InvIx, pace: Pace) -> bool {
-        let Some(invocation) = self.invocations.get_mut(inv).filter(|i| !i.concluded) else { return false };
+        let Some(invocation) = self.invocations.get_mut(inv).filter(|i| !i.concluded) else {
+            return false;
+        };
         invocation.concluded = true;
         if let Some(key) = invocation.token_key.take() {
             self.tokens.ended(self.now, &key, None);
@@ -179,12 +226,17 @@
     }
 
     fn report_to_limits(&mut self, inv: InvIx, pace: Pace) {
-        let Some(invocation) = self.invocations.get(inv) else { return };
+        let Some(invocation) = self.invocations.get(inv) else {
+            return;
+        };
         let (front, account) = (invocation.front, invocation.account);
         let bytes = invocation.body.len();
         let taken_at = invocation.taken_at;
         let took = self.now - taken_at;
-        let held = invocation.dispatches.first().map_or(took, |first| first.decided_at - taken_at);
+        let held = invocation
+            .dispatches
+            .first()
+            .map_or(took, |first| first.decided_at - taken_at);
         let objective = self.triggers[invocation.trigger as usize].latency_objective;
         // What waited for a load was not crowded out: otherwise a slow store makes all invocations wait, and
         // whoever has more of them open is limited for it.
@@ -197,15 +249,22 @@
         if !invocation.entered {
             self.admission.left(front, account);
         }
-        self.admission.ended(self.now, front, account, bytes, took, held, objective, pace);
+        self.admission
+            .ended(self.now, front, account, bytes, took, held, objective, pace);
     }
 
     /// Frees the index of an invocation that is over and whose dispatches have all ended.
     pub(super) fn release(&mut self, inv: InvIx, out: &mut Vec<Output>) {
-        if !self.invocations.get(inv).is_some_and(|i| i.concluded && !i.has_dispatch_out()) {
+        if !self
+            .invocations
+            .get(inv)
+            .is_some_and(|i| i.concluded && !i.has_dispatch_out())
+        {
             return;
         }
-        let Some(invocation) = self.invocations.remove(inv) else { return };
+        let Some(invocation) = self.invocations.remove(inv) else {
+            return;
+        };
         for dispatch in &invocation.dispatches {
             self.tenure.let_go(dispatch.worker);
         }
--- a/crates/router/src/core/functions.rs
+++ b/crates/router/src/core/functions.rs
@@ -23,10 +23,17 @@
 
 impl FunctionProfile {
     /// Of an index that was never given to a function.
-    const UNUSED: FunctionProfile = FunctionProfile { account: 0, copy_mb: 0.0, lanes: 1, trigger: 0 };
+    const UNUSED: FunctionProfile = FunctionProfile {
+        account: 0,
+        copy_mb: 0.0,
+        lanes: 1,
+        trigger: 0,
+    };
     /// Of a function that nobody has asked for.
-    pub(super) const UNKNOWN: FunctionProfile =
-        FunctionProfile { account: u32::MAX, ..FunctionProfile::UNUSED };
+    pub(super) const UNKNOWN: FunctionProfile = FunctionProfile {
+        account: u32::MAX,
+        ..FunctionProfile::UNUSED
+    };
 }
 
 /// Functions by index; the index of a forgotten function is given out again.
--- a/crates/router/src/core/holders.rs
+++ b/crates/router/src/core/holders.rs
@@ -34,10 +34,22 @@
 
     /// A client's own retry joins the open invocation that has its token: it waits for the same answer, until
     /// its own is due.
-    pub(super) fn join(&mut self, claim: ClaimIx, delivery: Delivery, due: Micros, out: &mut Vec<Output>) {
+    pub(super) fn join(
+        &mut self,
+        claim: ClaimIx,
+        delivery: Delivery,
+        due: Micros,
+        out: &mut Vec<Output>,
+    ) {
         if due <= self.now || !self.claims.join(claim, delivery) {
             let answer = Answer::bare(Fate::Errored, Reason::MayHaveRun);
-            return self.answer(delivery, answer, None, AnswerSubject::unknown(self.now), out);
+            return self.answer(
+                delivery,
+                answer,
+                None,
+                AnswerSubject::unknown(self.now),
+                out,
+            );
         }
         self.counts.joined_by_token += 1;
         self.set_timer(due, Timer::JoinedAnswerDue(delivery));
@@ -59,7 +71,9 @@
     /// answer.
     pub(super) fn client_departed(&mut self, delivery: Delivery, out: &mut Vec<Output>) {
         self.request_left(delivery);
-        let Some((claim, true)) = self.claims.let_go(delivery) else { return };
+        let Some((claim, true)) = self.claims.let_go(delivery) else {
+            return;
+        };
         let inv = self.claims.inv(claim);
         self.claims.forget(claim);
         if let Some(inv) = inv {
@@ -70,7 +84,12 @@
     /// A front's connection changed its state. As it drops, its broker gives what was open to whoever is
     /// next, perhaps to this router again. What may be under way is waited for, in case it comes back here;
     /// what is not under way is over, and known never to have run.
-    pub(super) fn front_changed(&mut self, front: FrontIx, state: FrontState, out: &mut Vec<Output>) {
+    pub(super) fn front_changed(
+        &mut self,
+        front: FrontIx,
+        state: FrontState,
+        out: &mut Vec<Output>,
+    ) {
         self.admission.front(front, state);
         if state != FrontState::Down {
             return;
@@ -86,7 +105,9 @@
 
     /// There was no room for the invocation's claim.
     fn claim_forgotten(&mut self, inv: InvIx) {
-        let Some(invocation) = self.invocations.get_mut(inv) else { return };
+        let Some(invocation) = self.invocations.get_mut(inv) else {
+            return;
+        };
         invocation.claim = NO_CLAIM;
         if let Some(key) = invocation.token_key.take() {
             self.tokens.ended(self.now, &key, None);
@@ -95,7 +116,9 @@
 
     /// No delivery waits for the invocation any more, and its message may be delivered again.
     fn orphan(&mut self, inv: InvIx, out: &mut Vec<Output>) {
-        let Some(invocation) = self.invocations.get_mut(inv) else { return };
+        let Some(invocation) = self.invocations.get_mut(inv) else {
+            return;
+        };
         invocation.orphaned = true;
         let claim = invocation.claim;
         let under_way = invocation.has_dispatch_under_way();
--- a/crates/router/src/core/intake.rs
+++ b/crates/router/src/core/intake.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 
 use cedarpulley::ids::fingerprint;
-use cedarpulley::interface::{Arrival, Asked, Effect, Event, FnIx, InvIx, Micros, TriggerType, WorkerIx};
+use cedarpulley::interface::{
+    Arrival, Asked, Effect, Event, FnIx, InvIx, Micros, TriggerType, WorkerIx,
+};
 
 use super::finishing::AnswerSubject;
 use super::functions::FunctionProfile;
@@ -68,12 +70,18 @@
         let timeout = message.client_timeout.min(trigger.client_timeout);
         let gives_up_at = self.now + timeout - waited - self.terms.answer_margin;
         let group_need = self.group_need(message, &trigger);
-        let dispatch_within = self.check_redelivery(message, &trigger, waited, group_need.is_some())?;
+        let dispatch_within =
+            self.check_redelivery(message, &trigger, waited, group_need.is_some())?;
         let token_key = self.check_token(message, gives_up_at)?;
         self.check_expiry(message, &trigger, gives_up_at)?;
         self.check_functions(message)?;
         self.check_limits(message, entered)?;
-        let part = |(key, need)| Part { key, need, stage: Stage::Asked, answered: false };
+        let part = |(key, need)| Part {
+            key,
+            need,
+            stage: Stage::Asked,
+            answered: false,
+        };
         Ok(Acceptance {
             entered,
             waited,
@@ -103,11 +111,15 @@
         let margin = self.terms.clock_margin;
         let verdict = match record {
             // The group may know more than is known here.
-            Record::Nothing | Record::NeverRan if shared => Verdict::Take { dispatch_within: None },
+            Record::Nothing | Record::NeverRan if shared => Verdict::Take {
+                dispatch_within: None,
+            },
             // It was throttled here after its channel was lost. Before it came here again it may have run at
             // another router, which the group knows: the old answer must not be repeated.
             Record::Answered if shared && claim.is_some_and(|c| self.claims.withdrawn(c)) => {
-                Verdict::Take { dispatch_within: None }
+                Verdict::Take {
+                    dispatch_within: None,
+                }
             }
             _ => redelivery::decide(record, message.redelivered, trigger.effect, waited, margin),
         };
@@ -124,8 +136,15 @@
 
     /// The key of the message's token, unless it is a retry of what is open or was answered under the same
     /// one.
-    fn check_token(&mut self, message: &Taken, due: Micros) -> Result<Option<tokens::Key>, Resolution> {
-        let token = message.token.as_deref().filter(|_| !self.terms.module_alone);
+    fn check_token(
+        &mut self,
+        message: &Taken,
+        due: Micros,
+    ) -> Result<Option<tokens::Key>, Resolution> {
+        let token = message
+            .token
+            .as_deref()
+            .filter(|_| !self.terms.module_alone);
         let Some(token) = token else { return Ok(None) };
         let key = tokens::key(message.account, message.trigger, message.called(), token);
         match self.tokens.seen(self.now, &key) {
@@ -150,7 +169,11 @@
             return Ok(());
         }
         let may_have_run = message.redelivered && trigger.effect != Effect::Idempotent;
-        let fate = if may_have_run { Fate::Errored } else { Fate::Throttled };
+        let fate = if may_have_run {
+            Fate::Errored
+        } else {
+            Fate::Throttled
+        };
         Err(Resolution::bare(fate, Reason::Expired))
     }
 
@@ -174,7 +197,11 @@
             return Err(Resolution::bare(Fate::Throttled, Reason::Share));
         }
         if !self.admission.kept(message.body.len()) {
-            let fate = if message.redelivered { Fate::Errored } else { Fate::Throttled };
+            let fate = if message.redelivered {
+                Fate::Errored
+            } else {
+                Fate::Throttled
+            };
             return Err(Resolution::bare(fate, Reason::Size));
         }
         if !entered {
@@ -186,8 +213,11 @@
     fn resolve(&mut self, message: &Taken, resolution: Resolution, out: &mut Vec<Output>) {
         match resolution {
             Resolution::Answer(answer) => {
-                let subject =
-                    AnswerSubject { trigger: message.trigger, account: message.account, taken_at: self.now };
+                let subject = AnswerSubject {
+                    trigger: message.trigger,
+                    account: message.account,
+                    taken_at: self.now,
+                };
                 self.answer(message.delivery, answer, None, subject, out);
             }
             Resolution::SameMessage(claim) => self.rejoin(claim, message.delivery, out),
@@ -208,19 +238,32 @@
         let identity = message.identity.clone();
         let redelivered = message.redelivered;
         let group_part = acceptance.group_part.clone();
-        let inv = self.invocations.insert(new_invocation(message, acceptance, func, self.now));
+        let inv = self
+            .invocations
+            .insert(new_invocation(message, acceptance, func, self.now));
         let claim = self.open_claim(inv, identity, delivery);
         self.set_invocation_timers(inv);
-        let Some(part) = group_part else { return self.admit(inv, out) };
+        let Some(part) = group_part else {
+            return self.admit(inv, out);
+        };
         self.claims.share(claim, part.key.clone());
         self.announce(inv, &part, redelivered, out);
     }
 
     /// Opens the claim under which the invocation's answer is given, and notes its token.
-    fn open_claim(&mut self, inv: InvIx, identity: Option<Arc<str>>, delivery: Delivery) -> ClaimIx {
-        let Some(invocation) = self.invocations.get_mut(inv) else { return NO_CLAIM };
+    fn open_claim(
+        &mut self,
+        inv: InvIx,
+        identity: Option<Arc<str>>,
+        delivery: Delivery,
+    ) -> ClaimIx {
+        let Some(invocation) = self.invocations.get_mut(inv) else {
+            return NO_CLAIM;
+        };
         let client_gives_up_at = invocation.gives_up_at + self.terms.answer_margin;
-        let claim = self.claims.open(identity, delivery, inv, client_gives_up_at);
+        let claim = self
+            .claims
+            .open(identity, delivery, inv, client_gives_up_at);
         invocation.claim = claim;
         if let Some(key) = invocation.token_key.clone() {
             self.tokens.began(key, claim);
@@ -230,7 +273,9 @@
 
     fn set_invocation_timers(&mut self, inv: InvIx) {
         let handle = self.handle_of(inv);
-        let Some(invocation) = self.invocations.get(inv) else { return };
+        let Some(invocation) = self.invocations.get(inv) else {
+            return;
+        };
         let (gives_up_at, dispatch_until) = (invocation.gives_up_at, invocation.dispatch_until);
         self.set_timer(gives_up_at, Timer::AnswerDue(handle));
         if let Some(until) = dispatch_until.filter(|&until| until < gives_up_at) {
@@ -241,20 +286,27 @@
     /// Tells the module of the invocation.
     pub(super) fn admit(&mut self, inv: InvIx, out: &mut Vec<Output>) {
         let now = self.now;
-        let Some(invocation) = self.invocations.get_mut(inv) else { return };
+        let Some(invocation) = self.invocations.get_mut(inv) else {
+            return;
+        };
         invocation.known_to_module = true;
         for watch in &mut self.watch {
             let mark = invocation.mark.as_deref();
             watch.taken(now, inv, invocation.front, mark, invocation.redelivered);
         }
-        let Some(arrival) = self.arrival(inv) else { return };
+        let Some(arrival) = self.arrival(inv) else {
+            return;
+        };
         if self.functions.meet(arrival.func)
             && let Some(worker) = arrival.prefers
         {
             self.introduce_warm_function(worker, &arrival, out);
         }
         self.decide(&Event::Invocation(arrival), out);
-        let held = self.invocations.get(inv).is_some_and(|i| !i.concluded && i.dispatches.is_empty());
+        let held = self
+            .invocations
+            .get(inv)
+            .is_some_and(|i| !i.concluded && i.dispatches.is_empty());
         self.counts.held += u64::from(held);
         self.release(inv, out);
     }
@@ -275,7 +327,10 @@
             client_gives_up_in: invocation.gives_up_at - self.now,
             waited: invocation.waited + self.now - invocation.taken_at,
             repeat: invocation.repeat,
-            prefers: invocation.prefers.as_deref().and_then(|name| self.workers.find(name)),
+            prefers: invocation
+                .prefers
+                .as_deref()
+                .and_then(|name| self.workers.find(name)),
         })
     }
 
@@ -284,7 +339,12 @@
     /// that it has not met, sends the invocation to another worker. It meets the function as wanted at that
     /// worker; the order that it gives for it does not leave, as another router has just told that the copy
     /// stands.
-    fn introduce_warm_function(&mut self, worker: WorkerIx, arrival: &Arrival, out: &mut Vec<Output>) {
+    fn introduce_warm_function(
+        &mut self,
+        worker: WorkerIx,
+        arrival: &Arrival,
+        out: &mut Vec<Output>,
+    ) {
         let asked = Asked {
             func: arrival.func,
             fingerprint: arrival.fingerprint,
@@ -300,7 +360,14 @@
             }
         }
         // The module may have given no order, and then does not believe the copy to stand yet.
-        self.decide(&Event::Held { worker, func: arrival.func, copies: 1 }, out);
+        self.decide(
+            &Event::Held {
+                worker,
+                func: arrival.func,
+                copies: 1,
+            },
+            out,
+        );
     }
 }
 
--- a/crates/router/src/core/invocation.rs
+++ b/crates/router/src/core/invocation.rs
@@ -23,13 +23,20 @@
 impl InvocationHandle {
     /// The ticket of one of the invocation's dispatches.
     pub(super) fn ticket(self, dispatch: u32) -> Ticket {
-        Ticket { inv: self.inv, dispatch, generation: self.generation }
+        Ticket {
+            inv: self.inv,
+            dispatch,
+            generation: self.generation,
+        }
     }
 }
 
 impl From<Ticket> for InvocationHandle {
     fn from(ticket: Ticket) -> Self {
-        InvocationHandle { inv: ticket.inv, generation: ticket.generation }
+        InvocationHandle {
+            inv: ticket.inv,
+            generation: ticket.generation,
+        }
     }
 }
 
@@ -129,12 +136,16 @@
 
     /// A dispatch has not ended and may be on its way to a worker.
     pub(super) fn has_dispatch_under_way(&self) -> bool {
-        self.dispatches.iter().any(|d| d.is_out() && !d.waits_for_leave())
+        self.dispatches
+            .iter()
+            .any(|d| d.is_out() && !d.waits_for_leave())
     }
 
     /// A dispatch may have run at a worker, or may run yet.
     pub(super) fn may_have_run(&self) -> bool {
-        self.dispatches.iter().any(|d| d.state != Sent::NeverRan && d.leave != Leave::Asked)
+        self.dispatches
+            .iter()
+            .any(|d| d.state != Sent::NeverRan && d.leave != Leave::Asked)
     }
 
     pub(super) fn group_stage(&self) -> Option<Stage> {
@@ -144,6 +155,9 @@
     /// Indices of the dispatches for which this holds, in the order in which they were decided.
     pub(super) fn dispatches_where(&self, holds: fn(&Dispatch) -> bool) -> Vec<u32> {
         let indices = 0..self.dispatches.len();
-        indices.filter(|&index| holds(&self.dispatches[index])).map(|index| index as u32).collect()
+        indices
+            .filter(|&index| holds(&self.dispatches[index]))
+            .map(|index| index as u32)
+            .collect()
     }
 }
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -12,7 +12,9 @@
 use crate::entry::{Entry, Knock, Short};
 use crate::group::{Ask, Sharing, Told};
 use crate::roster::Listed;
-use crate::{Answer, Delivery, Fate, FrontIx, OrderTicket, Payload, Reason, Session, Taken, Ticket};
+use crate::{
+    Answer, Delivery, Fate, FrontIx, OrderTicket, Payload, Reason, Session, Taken, Ticket,
+};
 
 /// Settings of the core beside those that the decision module is created with.
 #[derive(Clone, Debug)]
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -97,8 +97,11 @@
     /// A router without workers and fronts. `triggers` are the trigger types that the decision module knows,
     /// too.
     pub fn new(control: Control, triggers: Vec<TriggerType>, terms: Terms) -> Self {
-        let admission =
-            Admission::new(terms.front_weights.clone(), &terms.account_shares, terms.memory_bytes);
+        let admission = Admission::new(
+            terms.front_weights.clone(),
+            &terms.account_shares,
+            terms.memory_bytes,
+        );
         Router {
             service: Service::new(terms.drain_grace),
             control,
@@ -139,7 +142,8 @@
         self.run_timers(out);
         self.release_gone_workers();
         self.claims.tidy(self.now);
-        self.admission.grants(|front, most| out.push(Output::Grant { front, most }));
+        self.admission
+            .grants(|front, most| out.push(Output::Grant { front, most }));
     }
 
     fn apply(&mut self, input: Input, out: &mut Vec<Output>) {
@@ -150,24 +154,70 @@
             Input::Safe(delivery) => self.answer_delivered(delivery, out),
             Input::Departed(delivery) => self.client_departed(delivery, out),
             Input::List { mode, workers } => self.worker_list(mode, &workers, out),
-            Input::DispatchEnded { ticket, outcome, note, crowd, report, held, body } => {
-                let result = DispatchResult { outcome, note, crowd, report, held, body };
+            Input::DispatchEnded {
+                ticket,
+                outcome,
+                note,
+                crowd,
+                report,
+                held,
+                body,
+            } => {
+                let result = DispatchResult {
+                    outcome,
+                    note,
+                    crowd,
+                    report,
+                    held,
+                    body,
+                };
                 self.dispatch_ended(ticket, result, out);
             }
-            Input::OrderEnded { ticket, result, copies, held } => {
+            Input::OrderEnded {
+                ticket,
+                result,
+                copies,
+                held,
+            } => {
                 self.order_ended(ticket, result, copies, held, out);
             }
-            Input::Probed { worker, outcome, took, report } => {
-                self.decide(&Event::Probed { worker, outcome, took, report }, out);
+            Input::Probed {
+                worker,
+                outcome,
+                took,
+                report,
+            } => {
+                self.decide(
+                    &Event::Probed {
+                        worker,
+                        outcome,
+                        took,
+                        report,
+                    },
+                    out,
+                );
             }
             Input::Group(told) => self.group_told(told, out),
-            Input::Wanted { worker, function, like, term } => {
+            Input::Wanted {
+                worker,
+                function,
+                like,
+                term,
+            } => {
                 self.copy_wanted(&worker, function, &like, term, out);
             }
-            Input::Unwanted { worker, function, term } => {
+            Input::Unwanted {
+                worker,
+                function,
+                term,
+            } => {
                 self.copy_unwanted(&worker, function, term, out);
             }
-            Input::Held { worker, function, copies } => self.copies_held(&worker, &function, copies, out),
+            Input::Held {
+                worker,
+                function,
+                copies,
+            } => self.copies_held(&worker, &function, copies, out),
             Input::Tick => {}
             Input::Stop => self.admission.stop(),
         }
@@ -196,7 +246,11 @@
 
     /// Names of the functions that are known at present.
     pub fn functions(&self) -> impl Iterator<Item = &str> {
-        self.functions.names().iter().map(|name| name.as_ref()).filter(|name| !name.is_empty())
+        self.functions
+            .names()
+            .iter()
+            .map(|name| name.as_ref())
+            .filter(|name| !name.is_empty())
     }
 
     /// How many invocations may be open at present.
@@ -222,6 +276,9 @@
 
     /// A handle of the invocation that has this index now.
     fn handle_of(&self, inv: InvIx) -> InvocationHandle {
-        InvocationHandle { inv, generation: self.invocations.generation(inv) }
+        InvocationHandle {
+            inv,
+            generation: self.invocations.generation(inv),
+        }
     }
 }
--- a/crates/router/src/core/orders.rs
+++ b/crates/router/src/core/orders.rs
@@ -26,14 +26,36 @@
 
 impl Router {
     /// The module wants so many copies to stand at a worker; 0 only asks how many do.
-    pub(super) fn order(&mut self, worker: WorkerIx, func: FnIx, copies: u32, out: &mut Vec<Output>) {
-        let ticket = OrderTicket { worker, func, serial: self.next_serial() };
-        let FunctionProfile { account, copy_mb, .. } =
-            self.functions.profile(func).unwrap_or(FunctionProfile::UNKNOWN);
+    pub(super) fn order(
+        &mut self,
+        worker: WorkerIx,
+        func: FnIx,
+        copies: u32,
+        out: &mut Vec<Output>,
+    ) {
+        let ticket = OrderTicket {
+            worker,
+            func,
+            serial: self.next_serial(),
+        };
+        let FunctionProfile {
+            account, copy_mb, ..
+        } = self
+            .functions
+            .profile(func)
+            .unwrap_or(FunctionProfile::UNKNOWN);
         let loads = copies > 0;
         let within = self.terms.order_answered_within;
         self.tenure.hold(worker);
-        self.orders.insert(ticket, OpenOrder { sent_at: self.now, loads, account, copy_mb });
+        self.orders.insert(
+            ticket,
+            OpenOrder {
+                sent_at: self.now,
+                loads,
+                account,
+                copy_mb,
+            },
+        );
         self.set_timer(self.now + within, Timer::OrderTimeOut(ticket));
         if loads {
             self.counts.orders += 1;
@@ -41,7 +63,14 @@
         }
         let function = self.functions.name(func);
         let term = self.plan_term.clone();
-        out.push(Output::Order { ticket, function, account, copies, within, term });
+        out.push(Output::Order {
+            ticket,
+            function,
+            account,
+            copies,
+            within,
+            term,
+        });
     }
 
     /// Whether an order may still leave, as [`Router::may_leave`] for dispatches.
@@ -58,7 +87,9 @@
         held: Option<Held>,
         out: &mut Vec<Output>,
     ) {
-        let Some(order) = self.orders.remove(&ticket) else { return };
+        let Some(order) = self.orders.remove(&ticket) else {
+            return;
+        };
         self.tenure.let_go(ticket.worker);
         if order.loads {
             self.report_order_use(ticket, order, result, held);
@@ -66,7 +97,16 @@
         }
         let OrderTicket { worker, func, .. } = ticket;
         let took = self.now - order.sent_at;
-        self.decide(&Event::OrderEnded { worker, func, result, took, copies }, out);
+        self.decide(
+            &Event::OrderEnded {
+                worker,
+                func,
+                result,
+                took,
+                copies,
+            },
+            out,
+        );
     }
 
     /// Tells the watchers what the load used of its worker.
@@ -77,7 +117,9 @@
         result: OrderResult,
         held: Option<Held>,
     ) {
-        let Some(function) = self.functions.names().get(ticket.func as usize) else { return };
+        let Some(function) = self.functions.names().get(ticket.func as usize) else {
+            return;
+        };
         let profile = self.functions.profile(ticket.func);
         let used = Used {
             worker: ticket.worker,
@@ -93,7 +135,9 @@
             lanes: 1,
             held,
         };
-        self.watch.iter_mut().for_each(|watch| watch.used(self.now, used));
+        self.watch
+            .iter_mut()
+            .for_each(|watch| watch.used(self.now, used));
     }
 
     /// Ends an order that need not leave, as the copy is known to stand.
@@ -112,15 +156,27 @@
         term: Option<Arc<str>>,
         out: &mut Vec<Output>,
     ) {
-        let Some(worker) = self.workers.find(worker) else { return };
-        let known = self.functions.find(&function).or_else(|| self.functions.find(like));
-        let Some(profile) = known.and_then(|func| self.functions.profile(func)) else { return };
+        let Some(worker) = self.workers.find(worker) else {
+            return;
+        };
+        let known = self
+            .functions
+            .find(&function)
+            .or_else(|| self.functions.find(like));
+        let Some(profile) = known.and_then(|func| self.functions.profile(func)) else {
+            return;
+        };
         if !self.functions.has_room_for(&function) {
             return;
         }
         let func = self.functions.register(&function, profile);
         let FunctionProfile { trigger, lanes, .. } = profile;
-        let asked = Asked { func, fingerprint: fingerprint(&function), trigger, lanes };
+        let asked = Asked {
+            func,
+            fingerprint: fingerprint(&function),
+            trigger,
+            lanes,
+        };
         self.plan_term = term;
         self.decide(&Event::Wanted { worker, asked }, out);
         self.plan_term = None;
@@ -135,14 +191,35 @@
         out: &mut Vec<Output>,
     ) {
         if let Some(worker) = self.workers.find(worker) {
-            out.push(Output::Unload { worker, function, term });
+            out.push(Output::Unload {
+                worker,
+                function,
+                term,
+            });
         }
     }
 
     /// A worker reports the copies that it holds of a function.
-    pub(super) fn copies_held(&mut self, worker: &str, function: &str, copies: u32, out: &mut Vec<Output>) {
-        let Some(worker) = self.workers.find(worker) else { return };
-        let Some(func) = self.functions.find(function) else { return };
-        self.decide(&Event::Held { worker, func, copies }, out);
+    pub(super) fn copies_held(
+        &mut self,
+        worker: &str,
+        function: &str,
+        copies: u32,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(worker) = self.workers.find(worker) else {
+            return;
+        };
+        let Some(func) = self.functions.find(function) else {
+            return;
+        };
+        self.decide(
+            &Event::Held {
+                worker,
+                func,
+                copies,
+            },
+            out,
+        );
     }
 }
--- a/crates/router/src/core/peer_group.rs
+++ b/crates/router/src/core/peer_group.rs
@@ -28,7 +28,9 @@
         match told {
             Told::Leave { sending, left } => self.leave_answered(sending, left, out),
             Told::Verdict { key, verdict } => {
-                let Some(&handle) = self.group_requests.announced.get(&key) else { return };
+                let Some(&handle) = self.group_requests.announced.get(&key) else {
+                    return;
+                };
                 let invocation = self.invocations.get(handle.inv);
                 if self.is_current(handle) && invocation.is_some_and(awaits_verdict) {
                     self.apply_verdict(handle.inv, verdict, out);
@@ -38,18 +40,31 @@
     }
 
     /// Announces a new invocation to the group, upon which a verdict follows.
-    pub(super) fn announce(&mut self, inv: InvIx, part: &Part, redelivered: bool, out: &mut Vec<Output>) {
+    pub(super) fn announce(
+        &mut self,
+        inv: InvIx,
+        part: &Part,
+        redelivered: bool,
+        out: &mut Vec<Output>,
+    ) {
         let handle = self.handle_of(inv);
         let key = part.key.clone();
         self.group_requests.announced.insert(key.clone(), handle);
-        out.push(Output::Group(Ask::Take { key, need: part.need, redelivered }));
+        out.push(Output::Group(Ask::Take {
+            key,
+            need: part.need,
+            redelivered,
+        }));
     }
 
     /// Tells the group that nobody waits for the invocation here any more, unless a success was shared.
     pub(super) fn leave_group(&mut self, inv: InvIx, part: Part, out: &mut Vec<Output>) {
         // A later invocation may have been announced under its key by now.
         let announced = &mut self.group_requests.announced;
-        if announced.get(&part.key).is_none_or(|handle| handle.inv != inv) {
+        if announced
+            .get(&part.key)
+            .is_none_or(|handle| handle.inv != inv)
+        {
             return;
         }
         announced.remove(&part.key);
@@ -59,7 +74,11 @@
     }
 
     fn set_group_stage(&mut self, inv: InvIx, stage: Stage) {
-        if let Some(part) = self.invocations.get_mut(inv).and_then(|i| i.group_part.as_mut()) {
+        if let Some(part) = self
+            .invocations
+            .get_mut(inv)
+            .and_then(|i| i.group_part.as_mut())
+        {
             part.stage = stage;
         }
     }
@@ -79,7 +98,9 @@
 
     /// It may go. `first_ago` as in [`Verdict::Go`].
     fn verdict_go(&mut self, inv: InvIx, first_ago: Option<Micros>, out: &mut Vec<Output>) {
-        let Some(invocation) = self.invocations.get(inv) else { return };
+        let Some(invocation) = self.invocations.get(inv) else {
+            return;
+        };
         let window_left = self.repeat_window_left(invocation, first_ago);
         if window_left.is_some_and(|left| left <= 0) {
             return self.refuse_as_may_have_run(inv, out);
@@ -92,8 +113,13 @@
     }
 
     /// For how long workers surely recognise repeats of it; absent where they need not.
-    fn repeat_window_left(&self, invocation: &Invocation, first_ago: Option<Micros>) -> Option<Micros> {
-        let Effect::Tokened { window, .. } = self.triggers[invocation.trigger as usize].effect else {
+    fn repeat_window_left(
+        &self,
+        invocation: &Invocation,
+        first_ago: Option<Micros>,
+    ) -> Option<Micros> {
+        let Effect::Tokened { window, .. } = self.triggers[invocation.trigger as usize].effect
+        else {
             return None;
         };
         // The group's clocks tell how long ago the first sending was.
@@ -116,7 +142,11 @@
 
     fn answered_elsewhere(&mut self, inv: InvIx, answer: Answer, out: &mut Vec<Output>) {
         self.counts.answered_elsewhere += 1;
-        if let Some(part) = self.invocations.get_mut(inv).and_then(|i| i.group_part.as_mut()) {
+        if let Some(part) = self
+            .invocations
+            .get_mut(inv)
+            .and_then(|i| i.group_part.as_mut())
+        {
             part.answered = true;
         }
         self.give_answer(inv, answer, out);
@@ -131,7 +161,9 @@
     /// The group has no majority: the invocation goes alone if its operator accepts that and no other router
     /// can have had it; otherwise not at all.
     fn without_majority(&mut self, inv: InvIx, out: &mut Vec<Output>) {
-        let Some(invocation) = self.invocations.get(inv) else { return };
+        let Some(invocation) = self.invocations.get(inv) else {
+            return;
+        };
         let first_here = !invocation.redelivered && invocation.group_stage() == Some(Stage::Asked);
         if first_here && self.may_go_alone(invocation.trigger as usize) {
             self.set_group_stage(inv, Stage::Alone);
@@ -144,13 +176,24 @@
 
     /// Whether invocations of this trigger type go without a majority, as the operator accepts.
     pub(super) fn may_go_alone(&self, trigger: usize) -> bool {
-        let alone = self.terms.sharing.as_ref().and_then(|sharing| sharing.alone.get(trigger));
+        let alone = self
+            .terms
+            .sharing
+            .as_ref()
+            .and_then(|sharing| sharing.alone.get(trigger));
         alone == Some(&true)
     }
 
     /// The group's answer to [`Ask::Leave`].
-    fn leave_answered(&mut self, sending: u64, answer: Result<bool, Refusal>, out: &mut Vec<Output>) {
-        let Some(ticket) = self.group_requests.waiting_for_leave.remove(&sending) else { return };
+    fn leave_answered(
+        &mut self,
+        sending: u64,
+        answer: Result<bool, Refusal>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(ticket) = self.group_requests.waiting_for_leave.remove(&sending) else {
+            return;
+        };
         if self.dispatch_out(ticket).is_none() {
             return;
         }
@@ -166,7 +209,10 @@
         if let Some(dispatch) = self.dispatch_out(ticket) {
             dispatch.leave = Leave::Given(now);
         }
-        let stage = self.invocations.get(ticket.inv).and_then(Invocation::group_stage);
+        let stage = self
+            .invocations
+            .get(ticket.inv)
+            .and_then(Invocation::group_stage);
         if alone && stage == Some(Stage::Goes) {
             self.set_group_stage(ticket.inv, Stage::Alone);
         }
@@ -189,13 +235,18 @@
 
     /// Tells the module that the invocation departed. Dispatches that wait for permission never left.
     pub(super) fn withdraw_from_module(&mut self, inv: InvIx, out: &mut Vec<Output>) {
-        let Some(invocation) = self.invocations.get_mut(inv) else { return };
+        let Some(invocation) = self.invocations.get_mut(inv) else {
+            return;
+        };
         if !std::mem::take(&mut invocation.known_to_module) {
             return;
         }
         self.decide(&Event::Departed { inv }, out);
         let handle = self.handle_of(inv);
-        let waiting = self.invocations.get(inv).map(|i| i.dispatches_where(Dispatch::waits_for_leave));
+        let waiting = self
+            .invocations
+            .get(inv)
+            .map(|i| i.dispatches_where(Dispatch::waits_for_leave));
         for dispatch in waiting.unwrap_or_default() {
             self.dispatch_not_sent(handle.ticket(dispatch), out);
         }
@@ -207,9 +258,11 @@
         match leave {
             Leave::NotNeeded => true,
             Leave::Asked => false,
-            Leave::Given(at) => {
-                self.terms.sharing.as_ref().is_some_and(|sharing| now - at <= sharing.leave_kept)
-            }
+            Leave::Given(at) => self
+                .terms
+                .sharing
+                .as_ref()
+                .is_some_and(|sharing| now - at <= sharing.leave_kept),
         }
     }
 }
--- a/crates/router/src/core/timers.rs
+++ b/crates/router/src/core/timers.rs
@@ -46,7 +46,8 @@
 impl TimerQueue {
     /// `serial` must be larger than that of any timer set before.
     fn push(&mut self, due: Micros, serial: u64, timer: Timer) {
-        self.heap.push(Reverse(ScheduledTimer { due, serial, timer }));
+        self.heap
+            .push(Reverse(ScheduledTimer { due, serial, timer }));
     }
 
     /// When the next timer is due.
@@ -113,7 +114,13 @@
         if self.claims.waits(delivery) {
             self.claims.let_go(delivery);
             let answer = Answer::bare(Fate::Errored, Reason::Overdue);
-            self.answer(delivery, answer, None, AnswerSubject::unknown(self.now), out);
+            self.answer(
+                delivery,
+                answer,
+                None,
+                AnswerSubject::unknown(self.now),
+                out,
+            );
         }
     }
 }
--- a/crates/router/src/core/worker_list.rs
+++ b/crates/router/src/core/worker_list.rs
@@ -15,14 +15,28 @@
 
 impl Router {
     /// Gives each worker its index, and passes the news on to all who follow the list.
-    pub(super) fn worker_list(&mut self, mode: ListMode, workers: &[Listed], out: &mut Vec<Output>) {
-        let entries: Vec<ListEntry> = workers.iter().map(|worker| self.list_entry(worker)).collect();
+    pub(super) fn worker_list(
+        &mut self,
+        mode: ListMode,
+        workers: &[Listed],
+        out: &mut Vec<Output>,
+    ) {
+        let entries: Vec<ListEntry> = workers
+            .iter()
+            .map(|worker| self.list_entry(worker))
+            .collect();
         for entry in &entries {
             self.note_place(entry);
         }
         self.service.follow(self.now, mode, &entries);
         self.tenure.follow(mode, &entries);
-        self.decide(&Event::List { mode, entries: &entries }, out);
+        self.decide(
+            &Event::List {
+                mode,
+                entries: &entries,
+            },
+            out,
+        );
     }
 
     fn list_entry(&mut self, listed: &Listed) -> ListEntry {
@@ -43,15 +57,28 @@
         if self.places.len() <= index {
             self.places.resize(index + 1, WorkerPlace::default());
         }
-        self.places[index] = WorkerPlace { zone: entry.zone, cell: entry.cell };
+        self.places[index] = WorkerPlace {
+            zone: entry.zone,
+            cell: entry.cell,
+        };
     }
 
     /// The group of workers that recognise repeats of what goes to this one; 0 where there is only one group.
     pub(super) fn repeat_place(&self, trigger: usize, worker: WorkerIx) -> u32 {
-        let place = self.places.get(worker as usize).copied().unwrap_or_default();
+        let place = self
+            .places
+            .get(worker as usize)
+            .copied()
+            .unwrap_or_default();
         match self.triggers[trigger].effect {
-            Effect::Tokened { group: RepeatGroup::Zone, .. } => place.zone,
-            Effect::Tokened { group: RepeatGroup::Cell, .. } => place.cell,
+            Effect::Tokened {
+                group: RepeatGroup::Zone,
+                ..
+            } => place.zone,
+            Effect::Tokened {
+                group: RepeatGroup::Cell,
+                ..
+            } => place.cell,
             _ => 0,
         }
     }
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -139,7 +139,10 @@
             None => Entry::Enter,
             Some(why) => {
                 self.turned[0] += 1;
-                Entry::TurnedAway { why, come_back: self.come_back(fill.usual) }
+                Entry::TurnedAway {
+                    why,
+                    come_back: self.come_back(fill.usual),
+                }
             }
         }
     }
--- a/crates/router/src/group.rs
+++ b/crates/router/src/group.rs
@@ -43,7 +43,8 @@
         Effect::Tokened { group, window } => {
             let token = t.token.as_deref()?;
             let key = tokens::key(t.account, t.trigger, t.called(), token);
-            let covered = group == RepeatGroup::All && trigger.client_timeout + clock_margin < window;
+            let covered =
+                group == RepeatGroup::All && trigger.client_timeout + clock_margin < window;
             let need = if covered { Need::Known } else { Need::Held };
             Some((Arc::from(format!("t\n{key}")), need))
         }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -148,7 +148,12 @@
 
 impl Answer {
     pub fn bare(fate: Fate, reason: Reason) -> Self {
-        Answer { fate, reason, return_after: None, body: Payload::default() }
+        Answer {
+            fate,
+            reason,
+            return_after: None,
+            body: Payload::default(),
+        }
     }
 }
 
--- a/crates/router/src/redelivery.rs
+++ b/crates/router/src/redelivery.rs
@@ -46,18 +46,33 @@
     match record {
         Record::Open => return Verdict::Join,
         Record::Answered => return Verdict::Repeat,
-        Record::NeverRan | Record::Nothing if !redelivered => return Verdict::Take { dispatch_within: None },
+        Record::NeverRan | Record::Nothing if !redelivered => {
+            return Verdict::Take {
+                dispatch_within: None,
+            };
+        }
         // Only the router that took it first, undelivered before, may ever dispatch one that must not run twice
         // (every other refuses it, below). So a record here that it never left is proof for all routers.
-        Record::NeverRan if only_first_taker(effect) => return Verdict::Take { dispatch_within: None },
+        Record::NeverRan if only_first_taker(effect) => {
+            return Verdict::Take {
+                dispatch_within: None,
+            };
+        }
         Record::Nothing | Record::NeverRan | Record::MayHaveRun => {}
     }
     match effect {
-        Effect::Idempotent => Verdict::Take { dispatch_within: None },
+        Effect::Idempotent => Verdict::Take {
+            dispatch_within: None,
+        },
         // Symptom: a router died with it out. The first dispatch left after the client sent it, so the window
         // is surely open until the time of sending plus the window.
-        Effect::Tokened { group: RepeatGroup::All, window } => match window - waited - clock_margin {
-            left if left > 0 => Verdict::Take { dispatch_within: Some(left) },
+        Effect::Tokened {
+            group: RepeatGroup::All,
+            window,
+        } => match window - waited - clock_margin {
+            left if left > 0 => Verdict::Take {
+                dispatch_within: Some(left),
+            },
             _ => Verdict::Refuse,
         },
         // Which workers dropped repeats of it is not known here.
@@ -66,5 +81,12 @@
 }
 
 fn only_first_taker(effect: Effect) -> bool {
-    !matches!(effect, Effect::Idempotent | Effect::Tokened { group: RepeatGroup::All, .. })
+    !matches!(
+        effect,
+        Effect::Idempotent
+            | Effect::Tokened {
+                group: RepeatGroup::All,
+                ..
+            }
+    )
 }
--- a/crates/router/src/roster.rs
+++ b/crates/router/src/roster.rs
@@ -68,7 +68,10 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Tell the core.
-    Tell { mode: ListMode, workers: Vec<Listed> },
+    Tell {
+        mode: ListMode,
+        workers: Vec<Listed>,
+    },
     /// Ask for a whole listing.
     List,
     /// Watch for changes after this version.
@@ -107,7 +110,13 @@
                 let view = self.view(now);
                 self.told = view.clone();
                 let workers = view.into_values().collect();
-                vec![Step::Tell { mode: ListMode::Complete, workers }, Step::Watch(version)]
+                vec![
+                    Step::Tell {
+                        mode: ListMode::Complete,
+                        workers,
+                    },
+                    Step::Watch(version),
+                ]
             }
             News::Changed(slice) => {
                 let known = self.slices.get(&slice.name).map_or(0, |s| s.version);
@@ -133,7 +142,10 @@
                 Vec::new()
             }
             News::Broken { too_old } => {
-                let failed = Step::Tell { mode: ListMode::Failed, workers: Vec::new() };
+                let failed = Step::Tell {
+                    mode: ListMode::Failed,
+                    workers: Vec::new(),
+                };
                 match self.listed && !too_old {
                     true => vec![failed, Step::Watch(self.version)],
                     false => vec![failed, Step::List],
@@ -144,12 +156,25 @@
 
     fn tell_changes(&mut self, now: Micros) -> Vec<Step> {
         let view = self.view(now);
-        let mut workers: Vec<Listed> =
-            view.iter().filter(|(a, w)| self.told.get(*a) != Some(w)).map(|(_, w)| w.clone()).collect();
+        let mut workers: Vec<Listed> = view
+            .iter()
+            .filter(|(a, w)| self.told.get(*a) != Some(w))
+            .map(|(_, w)| w.clone())
+            .collect();
         let gone = self.told.iter().filter(|(a, _)| !view.contains_key(*a));
-        workers.extend(gone.map(|(_, w)| Listed { standing: Standing::Gone, ..w.clone() }));
+        workers.extend(gone.map(|(_, w)| Listed {
+            standing: Standing::Gone,
+            ..w.clone()
+        }));
         self.told = view;
-        if workers.is_empty() { Vec::new() } else { vec![Step::Tell { mode: ListMode::Changes, workers }] }
+        if workers.is_empty() {
+            Vec::new()
+        } else {
+            vec![Step::Tell {
+                mode: ListMode::Changes,
+                workers,
+            }]
+        }
     }
 
     /// Every worker once.
@@ -164,7 +189,8 @@
             for entry in &slice.entries {
                 let known = newest.get(entry.worker.address.as_str());
                 let better = known.is_none_or(|(v, e)| {
-                    (slice.version, caution(entry.worker.standing)) > (*v, caution(e.worker.standing))
+                    (slice.version, caution(entry.worker.standing))
+                        > (*v, caution(e.worker.standing))
                 });
                 if better {
                     newest.insert(&entry.worker.address, (slice.version, entry));
@@ -182,13 +208,25 @@
                 // Symptom: a restarted worker whose clock is off looks old and is pushed over cold.
                 Some(_) => Some(now),
                 // One that joins later and does not say since when has just come up, for all that is known.
-                None => entry.worker.started.map(|s| s.min(now)).or(self.joined.then_some(now)),
+                None => entry
+                    .worker
+                    .started
+                    .map(|s| s.min(now))
+                    .or(self.joined.then_some(now)),
             };
-            self.marks.insert(address.to_owned(), (entry.start_mark.clone(), started));
-            view.insert(address.to_owned(), Listed { started, ..entry.worker.clone() });
+            self.marks
+                .insert(address.to_owned(), (entry.start_mark.clone(), started));
+            view.insert(
+                address.to_owned(),
+                Listed {
+                    started,
+                    ..entry.worker.clone()
+                },
+            );
         }
         self.joined = true;
-        self.marks.retain(|a, _| view.contains_key(a) || self.told.contains_key(a));
+        self.marks
+            .retain(|a, _| view.contains_key(a) || self.told.contains_key(a));
         view
     }
 }
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -12,7 +12,10 @@
 
 impl Service {
     pub fn new(grace: Micros) -> Self {
-        Service { grace, until: Vec::new() }
+        Service {
+            grace,
+            until: Vec::new(),
+        }
     }
 
     pub fn follow(&mut self, now: Micros, mode: ListMode, entries: &[ListEntry]) {
@@ -23,7 +26,9 @@
         if mode != ListMode::Changes {
             // Whoever is not named any more is gone, like one that is told to be gone.
             let named = |w: usize| entries.iter().any(|e| e.worker as usize == w);
-            (0..self.until.len()).filter(|&w| !named(w)).for_each(|w| self.until[w] = self.until[w].min(now));
+            (0..self.until.len())
+                .filter(|&w| !named(w))
+                .for_each(|w| self.until[w] = self.until[w].min(now));
         }
         for e in entries {
             let w = e.worker as usize;
@@ -50,6 +55,8 @@
     }
 
     pub fn takes_new(&self, now: Micros, worker: WorkerIx) -> bool {
-        self.until.get(worker as usize).is_some_and(|until| now < *until)
+        self.until
+            .get(worker as usize)
+            .is_some_and(|until| now < *until)
     }
 }
--- a/crates/router/src/shares.rs
+++ b/crates/router/src/shares.rs
@@ -75,7 +75,9 @@
     /// `weights`: one for each party; one of 0 counts as next to nothing.
     pub fn new(weights: &[f64]) -> Self {
         let n = weights.len().max(1);
-        let weight = (0..n).map(|p| weights.get(p).map_or(1.0, |w| w.max(1e-6))).collect();
+        let weight = (0..n)
+            .map(|p| weights.get(p).map_or(1.0, |w| w.max(1e-6)))
+            .collect();
         Shares {
             weight,
             out: vec![0; n],
@@ -154,7 +156,10 @@
         // Symptom: one front's flood fills the lanes, and the other's few wait behind it.
         for q in (0..self.weight.len()).filter(|&q| q != party) {
             let part = self.weight[q] / self.weight[party];
-            let (often, comes) = (faded(self.came[party], now) * part, faded(self.came[q], now));
+            let (often, comes) = (
+                faded(self.came[party], now) * part,
+                faded(self.came[q], now),
+            );
             let floods = comes > OFTENER * often.max(1.0);
             // Symptom: all come alike and wait for the first loads, and one of them pays for it. Who does not come
             // more often has to have much more out.
--- a/crates/router/src/table.rs
+++ b/crates/router/src/table.rs
@@ -8,7 +8,10 @@
 
 impl<T> Default for Table<T> {
     fn default() -> Self {
-        Table { slots: Vec::new(), free: Vec::new() }
+        Table {
+            slots: Vec::new(),
+            free: Vec::new(),
+        }
     }
 }
 
--- a/crates/router/src/waits.rs
+++ b/crates/router/src/waits.rs
@@ -41,7 +41,9 @@
 
     /// One that was taken then and is over now.
     pub fn for_load(&self, func: FnIx, taken: Micros) -> bool {
-        self.loading.get(&func).is_some_and(|(out, ended)| *out > 0 || *ended >= taken)
+        self.loading
+            .get(&func)
+            .is_some_and(|(out, ended)| *out > 0 || *ended >= taken)
             && self.found.get(&func).is_none_or(|at| *at < taken)
     }
 }
--- a/crates/router/src/watch.rs
+++ b/crates/router/src/watch.rs
@@ -17,7 +17,10 @@
 
 impl<'a> Names<'a> {
     pub fn function(&self, ix: u32) -> Option<&'a str> {
-        self.functions.get(ix as usize).map(|n| n.as_ref()).filter(|n| !n.is_empty())
+        self.functions
+            .get(ix as usize)
+            .map(|n| n.as_ref())
+            .filter(|n| !n.is_empty())
     }
 
     pub fn worker(&self, ix: u32) -> Option<&'a str> {
@@ -71,7 +74,14 @@
     /// The module was told this and asked for that.
     fn decided(&mut self, now: Micros, event: &Event, actions: &[Action], names: Names);
     /// The next arrival that the module is told of; `mark` as its client gave it.
-    fn taken(&mut self, now: Micros, inv: InvIx, front: FrontIx, mark: Option<&str>, redelivered: bool);
+    fn taken(
+        &mut self,
+        now: Micros,
+        inv: InvIx,
+        front: FrontIx,
+        mark: Option<&str>,
+        redelivered: bool,
+    );
     fn answered(&mut self, now: Micros, given: Given);
     fn turned_away(&mut self, now: Micros, front: FrontIx, trigger: u32, account: u32, why: Short);
     fn used(&mut self, now: Micros, used: Used);
--- a/crates/router/tests/alone.rs
+++ b/crates/router/tests/alone.rs
@@ -11,15 +11,30 @@
 use world::*;
 
 fn entry(worker: WorkerIx, standing: Standing) -> ListEntry {
-    ListEntry { worker, fingerprint: 1, zone: 0, kind: 0, cell: 0, standing, weight: 1.0, started: None }
+    ListEntry {
+        worker,
+        fingerprint: 1,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        standing,
+        weight: 1.0,
+        started: None,
+    }
 }
 
 /// Symptom: a retry with the same token is given an answer that no worker made for it.
 #[test]
 fn a_retry_with_the_same_token_is_an_invocation_of_its_own() {
     let mut w = World::alone(2);
-    let first = Taken { identity: None, ..w.message("t", TOKENED, 0, 1) };
-    let retry = Taken { identity: None, ..w.message("t", TOKENED, 0, 2) };
+    let first = Taken {
+        identity: None,
+        ..w.message("t", TOKENED, 0, 1)
+    };
+    let retry = Taken {
+        identity: None,
+        ..w.message("t", TOKENED, 0, 2)
+    };
     w.feed(Input::Taken(first));
     let sent = w.sent();
     w.feed(Input::Taken(retry.clone()));
@@ -27,10 +42,19 @@
     w.end(sent[0], Outcome::Succeeded);
     assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
     // And one after the answer is given nothing from memory.
-    let late = Taken { delivery: Delivery { tag: 3, ..retry.delivery }, ..retry };
+    let late = Taken {
+        delivery: Delivery {
+            tag: 3,
+            ..retry.delivery
+        },
+        ..retry
+    };
     w.feed(Input::Taken(late));
     assert!(w.answers().is_empty());
-    assert_eq!((w.router.counts.joined_by_token, w.router.counts.remembered), (0, 0));
+    assert_eq!(
+        (w.router.counts.joined_by_token, w.router.counts.remembered),
+        (0, 0)
+    );
 }
 
 /// Symptom: an account floods, and the core holds it back though the module would not.
@@ -38,7 +62,11 @@
 fn an_account_that_floods_is_the_modules_concern() {
     let mut w = World::alone(2);
     for tag in 0..3_000 {
-        let message = Taken { identity: None, token: None, ..w.message("f", IDEMPOTENT, 0, tag) };
+        let message = Taken {
+            identity: None,
+            token: None,
+            ..w.message("f", IDEMPOTENT, 0, tag)
+        };
         w.feed(Input::Taken(message));
         assert!(w.answers().iter().all(|a| a.2 != Reason::Share));
         if let Some(ticket) = w.sent().first().copied().filter(|_| tag % 2 == 0) {
@@ -58,7 +86,11 @@
     assert!(w.router.may_leave(w.now + 999 * MS, ticket));
     assert!(!w.router.may_leave(w.now + SECOND, ticket));
     assert!(!w.router.may_leave(w.now + TIMEOUT, ticket));
-    w.feed(Input::Departed(Delivery { front: 0, life: 0, tag: 1 }));
+    w.feed(Input::Departed(Delivery {
+        front: 0,
+        life: 0,
+        tag: 1,
+    }));
     assert!(!w.router.may_leave(w.now, ticket));
 }
 
@@ -68,25 +100,49 @@
     assert!(!service.takes_new(0, 0));
     service.follow(0, ListMode::Complete, &[entry(0, Standing::InService)]);
     service.follow(SECOND, ListMode::Changes, &[entry(0, Standing::Draining)]);
-    service.follow(SECOND + 300 * MS, ListMode::Changes, &[entry(0, Standing::Draining)]);
-    service.follow(SECOND + 400 * MS, ListMode::Complete, &[entry(0, Standing::Draining)]);
+    service.follow(
+        SECOND + 300 * MS,
+        ListMode::Changes,
+        &[entry(0, Standing::Draining)],
+    );
+    service.follow(
+        SECOND + 400 * MS,
+        ListMode::Complete,
+        &[entry(0, Standing::Draining)],
+    );
     assert!(service.takes_new(SECOND + 499 * MS, 0) && !service.takes_new(SECOND + 500 * MS, 0));
     service.follow(3 * SECOND, ListMode::Failed, &[]);
-    service.follow(3 * SECOND, ListMode::Changes, &[entry(0, Standing::InService)]);
+    service.follow(
+        3 * SECOND,
+        ListMode::Changes,
+        &[entry(0, Standing::InService)],
+    );
     assert!(service.takes_new(9 * SECOND, 0));
     service.forget(0);
     assert!(!service.takes_new(9 * SECOND, 0));
     // One first heard of as it drains was told so now.
-    service.follow(10 * SECOND, ListMode::Changes, &[entry(0, Standing::Draining)]);
+    service.follow(
+        10 * SECOND,
+        ListMode::Changes,
+        &[entry(0, Standing::Draining)],
+    );
     assert!(service.takes_new(10 * SECOND + 499 * MS, 0) && !service.takes_new(11 * SECOND, 0));
 }
 
 #[test]
 fn what_waits_for_a_worker_that_is_gone_does_not_leave() {
     let mut service = Service::new(500 * MS);
-    service.follow(0, ListMode::Complete, &[entry(0, Standing::InService), entry(1, Standing::Draining)]);
+    service.follow(
+        0,
+        ListMode::Complete,
+        &[entry(0, Standing::InService), entry(1, Standing::Draining)],
+    );
     assert!(service.takes_new(MS, 0) && service.takes_new(MS, 1));
-    service.follow(MS, ListMode::Changes, &[entry(0, Standing::Gone), entry(1, Standing::Gone)]);
+    service.follow(
+        MS,
+        ListMode::Changes,
+        &[entry(0, Standing::Gone), entry(1, Standing::Gone)],
+    );
     assert!(!service.takes_new(MS, 0) && !service.takes_new(MS, 1));
 }
 
@@ -95,7 +151,11 @@
 #[test]
 fn nothing_leaves_for_a_worker_that_a_whole_list_does_not_name() {
     let mut service = Service::new(500 * MS);
-    service.follow(0, ListMode::Complete, &[entry(0, Standing::InService), entry(1, Standing::Draining)]);
+    service.follow(
+        0,
+        ListMode::Complete,
+        &[entry(0, Standing::InService), entry(1, Standing::Draining)],
+    );
     assert!(service.takes_new(MS, 0) && service.takes_new(MS, 1));
     service.follow(MS, ListMode::Complete, &[entry(2, Standing::InService)]);
     assert!(!service.takes_new(MS, 0) && !service.takes_new(MS, 1) && service.takes_new(MS, 2));
@@ -118,7 +178,11 @@
         w.end(first, outcome);
         let again = w.sent()[0];
         assert!(w.router.may_leave(w.now, again) && w.router.may_leave(began + WINDOW - 1, again));
-        assert_eq!(w.router.may_leave(began + WINDOW, again), still_leaves, "{outcome:?}");
+        assert_eq!(
+            w.router.may_leave(began + WINDOW, again),
+            still_leaves,
+            "{outcome:?}"
+        );
     }
 }
 
@@ -129,7 +193,10 @@
     let mut w = World::alone(1);
     w.take("a", IDEMPOTENT, 0, 1);
     let (ticket, old) = (w.sent()[0], w.router.worker_ix("127.0.0.1:9000"));
-    w.list(&[("127.0.0.1:9000", Standing::Gone), ("s-1", Standing::InService)]);
+    w.list(&[
+        ("127.0.0.1:9000", Standing::Gone),
+        ("s-1", Standing::InService),
+    ]);
     // A dispatch is still out there.
     assert_eq!(w.router.worker_ix("127.0.0.1:9000"), old);
     assert_ne!(w.router.worker_ix("s-1"), old);
@@ -148,7 +215,10 @@
 #[test]
 fn a_whole_list_frees_whoever_it_does_not_name() {
     let mut t = Tenure::default();
-    t.follow(ListMode::Complete, &[entry(0, Standing::InService), entry(1, Standing::InService)]);
+    t.follow(
+        ListMode::Complete,
+        &[entry(0, Standing::InService), entry(1, Standing::InService)],
+    );
     t.hold(1);
     t.hold(1);
     t.follow(ListMode::Complete, &[]);
@@ -169,7 +239,10 @@
 fn bytes_are_bounded_all_the_same() {
     let mut w = World::alone(1);
     let body = Bytes::from(vec![0; 2 << 20]).into();
-    let large = Taken { body, ..w.message("l", IDEMPOTENT, 0, 1) };
+    let large = Taken {
+        body,
+        ..w.message("l", IDEMPOTENT, 0, 1)
+    };
     w.feed(Input::Taken(large));
     assert_eq!(w.answers(), [(1, Fate::Throttled, Reason::Size)]);
 }
--- a/crates/router/tests/group.rs
+++ b/crates/router/tests/group.rs
@@ -26,11 +26,26 @@
 fn goes(w: &mut World, id: &str, tag: u64) -> (Key, u64) {
     w.take(id, NON_IDEMPOTENT, 1, tag);
     let asked = w.asked();
-    assert!(matches!(&asked[..], [Ask::Take { need: Need::Held, redelivered: false, .. }]), "{asked:?}");
+    assert!(
+        matches!(
+            &asked[..],
+            [Ask::Take {
+                need: Need::Held,
+                redelivered: false,
+                ..
+            }]
+        ),
+        "{asked:?}"
+    );
     let key = key(&asked[0]);
-    w.told(Told::Verdict { key: key.clone(), verdict: Verdict::Go { first_ago: None } });
+    w.told(Told::Verdict {
+        key: key.clone(),
+        verdict: Verdict::Go { first_ago: None },
+    });
     assert!(w.sent().is_empty(), "it has no leave yet");
-    let Some(Ask::Leave { sending, .. }) = w.asked().pop() else { panic!("{:?}", w.out) };
+    let Some(Ask::Leave { sending, .. }) = w.asked().pop() else {
+        panic!("{:?}", w.out)
+    };
     (key, sending)
 }
 
@@ -38,7 +53,10 @@
 fn it_leaves_with_leave_and_the_group_hears_how_it_went() {
     let mut w = World::shared(2, REFUSING);
     let (key, sending) = goes(&mut w, "a", 1);
-    w.told(Told::Leave { sending, left: Ok(false) });
+    w.told(Told::Leave {
+        sending,
+        left: Ok(false),
+    });
     let ticket = w.sent()[0];
     assert!(w.router.may_leave(w.now, ticket));
     // Stopped and woken: the leave is too old.
@@ -46,9 +64,20 @@
     w.end(ticket, Outcome::Succeeded);
     assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
     let asked = w.asked();
-    assert_eq!(asked[0], Ask::Ended { key: key.clone(), sending, may_have_run: true });
+    assert_eq!(
+        asked[0],
+        Ask::Ended {
+            key: key.clone(),
+            sending,
+            may_have_run: true
+        }
+    );
     assert!(matches!(&asked[1], Ask::Answered { answer, .. } if answer.fate == Fate::Succeeded));
-    w.feed(Input::Safe(Delivery { front: 0, life: 1, tag: 1 }));
+    w.feed(Input::Safe(Delivery {
+        front: 0,
+        life: 1,
+        tag: 1,
+    }));
     assert_eq!(w.asked(), [Ask::Closed { key }]);
     assert_eq!(w.router.open(), 0);
 }
@@ -60,20 +89,32 @@
     assert!(w.asked().is_empty() && w.sent().len() == 1);
     // The workers' window of 8 s does not cover the client's 10 s: leave is needed.
     w.take("b", TOKENED, 1, 2);
-    assert!(matches!(&w.asked()[..], [Ask::Take { need: Need::Held, .. }]));
+    assert!(matches!(
+        &w.asked()[..],
+        [Ask::Take {
+            need: Need::Held,
+            ..
+        }]
+    ));
 }
 
 #[test]
 fn without_a_majority_it_is_throttled_or_goes_alone_as_its_operator_says() {
     let mut w = World::shared(2, REFUSING);
     let (_, sending) = goes(&mut w, "a", 1);
-    w.told(Told::Leave { sending, left: Err(Refusal::NoMajority) });
+    w.told(Told::Leave {
+        sending,
+        left: Err(Refusal::NoMajority),
+    });
     assert_eq!(w.answers(), [(1, Fate::Throttled, Reason::NoMajority)]);
     assert!(w.sent().is_empty() && w.asked().iter().any(|a| matches!(a, Ask::Dropped { .. })));
     let mut w = World::shared(2, [false, false, true]);
     w.take("a", NON_IDEMPOTENT, 1, 1);
     let k = key(&w.asked()[0]);
-    w.told(Told::Verdict { key: k, verdict: Verdict::NoMajority });
+    w.told(Told::Verdict {
+        key: k,
+        verdict: Verdict::NoMajority,
+    });
     let ticket = w.sent()[0];
     assert!(w.asked().iter().any(|a| matches!(a, Ask::Left { .. })));
     w.end(ticket, Outcome::Succeeded);
@@ -81,7 +122,10 @@
     // One that came again goes nowhere without the group.
     w.again("b", NON_IDEMPOTENT, 1, 2, SECOND);
     let k = key(&w.asked()[0]);
-    w.told(Told::Verdict { key: k, verdict: Verdict::NoMajority });
+    w.told(Told::Verdict {
+        key: k,
+        verdict: Verdict::NoMajority,
+    });
     assert_eq!(w.answers(), [(2, Fate::Errored, Reason::NoMajority)]);
 }
 
@@ -99,7 +143,10 @@
     for (tag, (verdict, fate, reason)) in (1..).zip(cases) {
         w.again(&tag.to_string(), NON_IDEMPOTENT, 1, tag, 100 * MS);
         let key = key(&w.asked()[0]);
-        w.told(Told::Verdict { key: key.clone(), verdict: Verdict::Waits });
+        w.told(Told::Verdict {
+            key: key.clone(),
+            verdict: Verdict::Waits,
+        });
         assert!(w.answers().is_empty() && w.sent().is_empty());
         w.told(Told::Verdict { key, verdict });
         assert_eq!(w.answers(), [(tag, fate, reason)]);
@@ -107,11 +154,18 @@
     // Nobody says more of it: its client is told before it gives up, and no promise is made.
     w.again("late", NON_IDEMPOTENT, 1, 9, 100 * MS);
     let key = key(&w.asked()[0]);
-    w.told(Told::Verdict { key, verdict: Verdict::Waits });
+    w.told(Told::Verdict {
+        key,
+        verdict: Verdict::Waits,
+    });
     w.pass(TIMEOUT);
     assert_eq!(w.answers(), [(9, Fate::Errored, Reason::Overdue)]);
     for tag in [1, 2, 9] {
-        w.feed(Input::Safe(Delivery { front: 0, life: 1, tag }));
+        w.feed(Input::Safe(Delivery {
+            front: 0,
+            life: 1,
+            tag,
+        }));
         assert!(matches!(&w.asked()[..], [Ask::Closed { .. }]));
     }
     assert_eq!(w.router.open(), 0);
@@ -121,14 +175,25 @@
 fn one_that_is_lost_to_another_router_before_it_left_is_the_module_s_no_more() {
     let mut w = World::shared(2, REFUSING);
     let (key, sending) = goes(&mut w, "a", 1);
-    w.told(Told::Leave { sending, left: Err(Refusal::Elsewhere) });
+    w.told(Told::Leave {
+        sending,
+        left: Err(Refusal::Elsewhere),
+    });
     assert!(w.sent().is_empty() && w.answers().is_empty());
     w.pass(SECOND);
     assert!(w.sent().is_empty() && w.asked().is_empty());
     // The other one never sent it: here it may go after all.
-    w.told(Told::Verdict { key, verdict: Verdict::Go { first_ago: None } });
-    let Some(Ask::Leave { sending, .. }) = w.asked().pop() else { panic!("{:?}", w.out) };
-    w.told(Told::Leave { sending, left: Ok(false) });
+    w.told(Told::Verdict {
+        key,
+        verdict: Verdict::Go { first_ago: None },
+    });
+    let Some(Ask::Leave { sending, .. }) = w.asked().pop() else {
+        panic!("{:?}", w.out)
+    };
+    w.told(Told::Leave {
+        sending,
+        left: Ok(false),
+    });
     let ticket = w.sent()[0];
     w.end(ticket, Outcome::Succeeded);
     assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
@@ -140,10 +205,20 @@
     let (key, sending) = goes(&mut w, "a", 1);
     w.front(FrontState::Down);
     let asked = w.asked();
-    assert!(asked.contains(&Ask::Ended { key: key.clone(), sending, may_have_run: false }), "{asked:?}");
+    assert!(
+        asked.contains(&Ask::Ended {
+            key: key.clone(),
+            sending,
+            may_have_run: false
+        }),
+        "{asked:?}"
+    );
     assert!(asked.contains(&Ask::Dropped { key }));
     // Leave that comes after is of no use.
-    w.told(Told::Leave { sending, left: Ok(false) });
+    w.told(Told::Leave {
+        sending,
+        left: Ok(false),
+    });
     assert!(w.sent().is_empty());
     assert_eq!(w.router.open(), 0);
 }
@@ -153,15 +228,31 @@
 fn what_was_throttled_and_comes_again_is_asked_about_anew() {
     let mut w = World::shared(2, REFUSING);
     let (_, sending) = goes(&mut w, "a", 1);
-    w.told(Told::Leave { sending, left: Err(Refusal::NoMajority) });
+    w.told(Told::Leave {
+        sending,
+        left: Err(Refusal::NoMajority),
+    });
     assert_eq!(w.answers(), [(1, Fate::Throttled, Reason::NoMajority)]);
     w.front(FrontState::Down);
     w.front(FrontState::Up);
     w.again("a", NON_IDEMPOTENT, 2, 1, 100 * MS);
     assert!(w.answers().is_empty(), "{:?}", w.out);
     let asked = w.asked();
-    assert!(matches!(&asked[..], [Ask::Take { need: Need::Held, redelivered: true, .. }]), "{asked:?}");
-    w.told(Told::Verdict { key: key(&asked[0]), verdict: Verdict::MayHaveRun });
+    assert!(
+        matches!(
+            &asked[..],
+            [Ask::Take {
+                need: Need::Held,
+                redelivered: true,
+                ..
+            }]
+        ),
+        "{asked:?}"
+    );
+    w.told(Told::Verdict {
+        key: key(&asked[0]),
+        verdict: Verdict::MayHaveRun,
+    });
     assert_eq!(w.answers(), [(1, Fate::Errored, Reason::MayHaveRun)]);
 }
 
@@ -169,7 +260,10 @@
 fn one_that_was_away_while_it_was_out_is_not_throttled() {
     let mut w = World::shared(2, REFUSING);
     let (_, sending) = goes(&mut w, "a", 1);
-    w.told(Told::Leave { sending, left: Ok(false) });
+    w.told(Told::Leave {
+        sending,
+        left: Ok(false),
+    });
     let ticket = w.sent()[0];
     w.front(FrontState::Down);
     w.front(FrontState::Up);
@@ -189,7 +283,11 @@
     w.pass(TIMEOUT);
     let answers = w.answers();
     assert_eq!(answers.len(), 1);
-    assert_eq!((answers[0].0, answers[0].1), (1, Fate::Throttled), "{answers:?}");
+    assert_eq!(
+        (answers[0].0, answers[0].1),
+        (1, Fate::Throttled),
+        "{answers:?}"
+    );
     assert!(!w.out.iter().any(|o| matches!(o, Output::Withdraw(_))));
 }
 
@@ -199,7 +297,12 @@
     for (tag, ago, sends) in [(1, 7 * SECOND, true), (2, 9 * SECOND, false)] {
         w.take(&tag.to_string(), TOKENED, 1, tag);
         let key = key(&w.asked()[0]);
-        w.told(Told::Verdict { key, verdict: Verdict::Go { first_ago: Some(ago) } });
+        w.told(Told::Verdict {
+            key,
+            verdict: Verdict::Go {
+                first_ago: Some(ago),
+            },
+        });
         let asks = w.asked().iter().any(|a| matches!(a, Ask::Leave { .. }));
         assert_eq!(asks, sends);
         assert_eq!(w.answers().is_empty(), sends, "{:?}", w.answers());
--- a/crates/router/tests/hard.rs
+++ b/crates/router/tests/hard.rs
@@ -16,7 +16,11 @@
     assert_eq!(sent.len(), 1);
     w.end(sent[0], Outcome::Succeeded);
     assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
-    w.feed(Input::Safe(Delivery { front: 0, life: 1, tag: 1 }));
+    w.feed(Input::Safe(Delivery {
+        front: 0,
+        life: 1,
+        tag: 1,
+    }));
     assert_eq!((w.router.open(), w.router.body_bytes()), (0, 0));
 }
 
@@ -108,7 +112,10 @@
     w.again("c", TOKENED, 1, 3, WINDOW - 100 * MS);
     assert_eq!(w.sent().len(), 1, "at 7.9 s the workers still know it");
     w.again("d", TOKENED, 1, 4, WINDOW + 100 * MS);
-    assert_eq!((w.sent().len(), w.answers()), (0, vec![(4, Fate::Errored, Reason::MayHaveRun)]));
+    assert_eq!(
+        (w.sent().len(), w.answers()),
+        (0, vec![(4, Fate::Errored, Reason::MayHaveRun)])
+    );
 }
 
 /// Taken inside the window and held past it: it must not leave any more, and no one may call it harmless.
@@ -124,10 +131,20 @@
 #[test]
 fn one_older_than_its_clients_patience_is_answered_at_once() {
     let mut w = World::new(2);
-    let old = Taken { waited: TIMEOUT, ..w.message("a", IDEMPOTENT, 1, 1) };
+    let old = Taken {
+        waited: TIMEOUT,
+        ..w.message("a", IDEMPOTENT, 1, 1)
+    };
     w.feed(Input::Taken(old));
-    assert_eq!((w.sent().len(), w.answers()), (0, vec![(1, Fate::Throttled, Reason::Expired)]));
-    let old = Taken { redelivered: true, waited: TIMEOUT, ..w.message("b", TOKENED, 1, 2) };
+    assert_eq!(
+        (w.sent().len(), w.answers()),
+        (0, vec![(1, Fate::Throttled, Reason::Expired)])
+    );
+    let old = Taken {
+        redelivered: true,
+        waited: TIMEOUT,
+        ..w.message("b", TOKENED, 1, 2)
+    };
     w.feed(Input::Taken(old));
     assert_eq!(w.answers()[0].1, Fate::Errored, "it may have run elsewhere");
 }
@@ -139,7 +156,14 @@
     w.take("a", NON_IDEMPOTENT, 1, 1);
     let ticket = w.sent()[0];
     w.take("a", NON_IDEMPOTENT, 1, 2);
-    assert!(w.sent().is_empty() && w.out.contains(&Output::Discard(Delivery { front: 0, life: 1, tag: 2 })));
+    assert!(
+        w.sent().is_empty()
+            && w.out.contains(&Output::Discard(Delivery {
+                front: 0,
+                life: 1,
+                tag: 2
+            }))
+    );
     w.end(ticket, Outcome::Succeeded);
     assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
 }
@@ -190,11 +214,20 @@
     }
     for _ in 0..200 {
         w.out = out;
-        w.answers().into_iter().for_each(|(tag, ..)| *answered.entry(tag).or_insert(0) += 1);
+        w.answers()
+            .into_iter()
+            .for_each(|(tag, ..)| *answered.entry(tag).or_insert(0) += 1);
         let sent = w.sent();
         out = Vec::new();
         for ticket in sent {
-            w.end(ticket, if ticket.inv % 5 == 0 { Outcome::Throttled } else { Outcome::Succeeded });
+            w.end(
+                ticket,
+                if ticket.inv % 5 == 0 {
+                    Outcome::Throttled
+                } else {
+                    Outcome::Succeeded
+                },
+            );
             out.append(&mut w.out);
         }
         w.pass(100 * MS);
@@ -320,7 +353,10 @@
 
 fn sent_by(w: &World, life: u32, tag: u64, id: &str, trigger: u32) -> Taken {
     // Another message with the same token.
-    Taken { identity: Some(format!("{id}-{tag}").into()), ..w.message(id, trigger, life, tag) }
+    Taken {
+        identity: Some(format!("{id}-{tag}").into()),
+        ..w.message(id, trigger, life, tag)
+    }
 }
 
 /// The same token while the first is out: one dispatch, the same answer to both.
@@ -336,10 +372,17 @@
         w.feed(Input::Taken(second));
         assert!(w.sent().is_empty() && w.answers().is_empty());
         w.end(ticket, Outcome::Succeeded);
-        let both = [(10, Fate::Succeeded, Reason::Worker), (11, Fate::Succeeded, Reason::Worker)];
+        let both = [
+            (10, Fate::Succeeded, Reason::Worker),
+            (11, Fate::Succeeded, Reason::Worker),
+        ];
         assert_eq!(w.answers(), both);
         for tag in [10, 11] {
-            w.feed(Input::Safe(Delivery { front: 0, life: 1, tag }));
+            w.feed(Input::Safe(Delivery {
+                front: 0,
+                life: 1,
+                tag,
+            }));
         }
         assert_eq!(w.router.open(), 0);
     }
@@ -353,17 +396,27 @@
     w.feed(Input::Taken(first));
     let ticket = w.sent()[0];
     w.end(ticket, Outcome::Succeeded);
-    w.feed(Input::Safe(Delivery { front: 0, life: 1, tag: 1 }));
+    w.feed(Input::Safe(Delivery {
+        front: 0,
+        life: 1,
+        tag: 1,
+    }));
     w.pass(WINDOW - SECOND);
     let again = sent_by(&w, 1, 2, "a", TOKENED);
     w.feed(Input::Taken(again));
-    assert_eq!((w.sent().len(), w.answers()), (0, vec![(2, Fate::Succeeded, Reason::Worker)]));
+    assert_eq!(
+        (w.sent().len(), w.answers()),
+        (0, vec![(2, Fate::Succeeded, Reason::Worker)])
+    );
     w.pass(2 * SECOND);
     let again = sent_by(&w, 1, 3, "a", TOKENED);
     w.feed(Input::Taken(again));
     assert_eq!(w.sent().len(), 1);
     // Another account, trigger type or function is another token.
-    let other = Taken { function: "g".into(), ..sent_by(&w, 1, 4, "a", TOKENED) };
+    let other = Taken {
+        function: "g".into(),
+        ..sent_by(&w, 1, 4, "a", TOKENED)
+    };
     w.feed(Input::Taken(other));
     assert_eq!(w.sent().len(), 1);
 }
@@ -377,9 +430,17 @@
     let ticket = w.sent()[0];
     let second = sent_by(&w, 1, 2, "a", NON_IDEMPOTENT);
     w.feed(Input::Taken(second));
-    w.feed(Input::Departed(Delivery { front: 0, life: 1, tag: 1 }));
+    w.feed(Input::Departed(Delivery {
+        front: 0,
+        life: 1,
+        tag: 1,
+    }));
     assert!(w.out.iter().all(|o| !matches!(o, Output::Withdraw(_))));
-    w.feed(Input::Departed(Delivery { front: 0, life: 1, tag: 2 }));
+    w.feed(Input::Departed(Delivery {
+        front: 0,
+        life: 1,
+        tag: 2,
+    }));
     assert!(w.out.contains(&Output::Withdraw(ticket)));
     assert_eq!(w.router.open(), 0);
 }
@@ -391,7 +452,10 @@
     let first = sent_by(&w, 1, 1, "a", NON_IDEMPOTENT);
     w.feed(Input::Taken(first));
     let ticket = w.sent()[0];
-    let hasty = Taken { client_timeout: SECOND, ..sent_by(&w, 1, 2, "a", NON_IDEMPOTENT) };
+    let hasty = Taken {
+        client_timeout: SECOND,
+        ..sent_by(&w, 1, 2, "a", NON_IDEMPOTENT)
+    };
     w.feed(Input::Taken(hasty));
     w.pass(SECOND);
     assert_eq!(w.answers(), [(2, Fate::Errored, Reason::Overdue)]);
@@ -403,15 +467,33 @@
 #[test]
 fn a_redelivered_one_finds_its_place_beside_a_retry() {
     let mut w = World::new(2);
-    let first = Taken { identity: Some("m".into()), ..w.message("a", NON_IDEMPOTENT, 1, 1) };
+    let first = Taken {
+        identity: Some("m".into()),
+        ..w.message("a", NON_IDEMPOTENT, 1, 1)
+    };
     w.feed(Input::Taken(first.clone()));
     let ticket = w.sent()[0];
-    let elsewhere = Delivery { front: 1, life: 1, tag: 2 };
-    let retry = Taken { delivery: elsewhere, ..sent_by(&w, 1, 2, "a", NON_IDEMPOTENT) };
+    let elsewhere = Delivery {
+        front: 1,
+        life: 1,
+        tag: 2,
+    };
+    let retry = Taken {
+        delivery: elsewhere,
+        ..sent_by(&w, 1, 2, "a", NON_IDEMPOTENT)
+    };
     w.feed(Input::Taken(retry));
     w.front(FrontState::Down);
     w.front(FrontState::Up);
-    let again = Taken { redelivered: true, delivery: Delivery { front: 0, life: 2, tag: 1 }, ..first };
+    let again = Taken {
+        redelivered: true,
+        delivery: Delivery {
+            front: 0,
+            life: 2,
+            tag: 1,
+        },
+        ..first
+    };
     w.feed(Input::Taken(again));
     assert!(w.out.is_empty(), "neither sent nor put out of the way");
     w.end(ticket, Outcome::Succeeded);
@@ -424,15 +506,28 @@
     for warm in 0..6 {
         let mut w = World::ordering(6);
         let prefers = Some(format!("127.0.0.1:{}", 9000 + warm).into());
-        let first = Taken { prefers, ..w.message("a", IDEMPOTENT, 0, 1) };
+        let first = Taken {
+            prefers,
+            ..w.message("a", IDEMPOTENT, 0, 1)
+        };
         w.feed(Input::Taken(first.clone()));
         let went = |w: &World| {
-            let send = |o: &Output| if let Output::Send { worker, .. } = o { Some(*worker) } else { None };
+            let send = |o: &Output| {
+                if let Output::Send { worker, .. } = o {
+                    Some(*worker)
+                } else {
+                    None
+                }
+            };
             w.out.iter().filter_map(send).collect::<Vec<_>>()
         };
         assert_eq!(went(&w), [warm], "{:?}", w.out);
         // Nothing is ordered for it, and nothing is thought to be under way.
-        assert!(!w.out.iter().any(|o| matches!(o, Output::Order { .. })), "{:?}", w.out);
+        assert!(
+            !w.out.iter().any(|o| matches!(o, Output::Order { .. })),
+            "{:?}",
+            w.out
+        );
         assert_eq!(w.router.counts.orders, 0);
         // What is of no session goes there, too, rather than load one more.
         w.take("b", IDEMPOTENT, 0, 2);
--- a/crates/router/tests/parts.rs
+++ b/crates/router/tests/parts.rs
@@ -17,11 +17,18 @@
 
 fn worker(port: u16, standing: Standing, mark: &str) -> Entry {
     let worker = world::listed(&format!("127.0.0.1:{port}"), standing);
-    Entry { worker, start_mark: mark.into() }
+    Entry {
+        worker,
+        start_mark: mark.into(),
+    }
 }
 
 fn slice(name: &str, version: u64, entries: Vec<Entry>) -> Slice {
-    Slice { name: name.into(), version, entries }
+    Slice {
+        name: name.into(),
+        version,
+        entries,
+    }
 }
 
 fn listing(version: u64, slices: Vec<Slice>) -> News {
@@ -30,9 +37,13 @@
 
 fn told(steps: &[Step]) -> Vec<(ListMode, Vec<(String, Standing)>)> {
     let tell = |s: &Step| match s {
-        Step::Tell { mode, workers } => {
-            Some((*mode, workers.iter().map(|w| (w.address.clone(), w.standing)).collect()))
-        }
+        Step::Tell { mode, workers } => Some((
+            *mode,
+            workers
+                .iter()
+                .map(|w| (w.address.clone(), w.standing))
+                .collect(),
+        )),
         _ => None,
     };
     steps.iter().filter_map(tell).collect()
@@ -46,7 +57,10 @@
     let a = slice("a", 5, vec![worker(1, InService, "x")]);
     let b = slice("b", 7, vec![worker(1, Draining, "x")]);
     let steps = r.news(0, listing(7, vec![a, b]));
-    assert_eq!(told(&steps), [(ListMode::Complete, vec![("127.0.0.1:1".into(), Draining)])]);
+    assert_eq!(
+        told(&steps),
+        [(ListMode::Complete, vec![("127.0.0.1:1".into(), Draining)])]
+    );
     assert_eq!(steps[1], Step::Watch(7));
     // Equally new: the most cautious.
     let a = slice("a", 9, vec![worker(1, Draining, "x")]);
@@ -58,19 +72,43 @@
 #[test]
 fn an_empty_list_is_believed() {
     let mut r = Roster::default();
-    r.news(0, listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]));
-    assert_eq!(told(&r.news(0, listing(6, vec![]))), [(ListMode::Complete, vec![])]);
+    r.news(
+        0,
+        listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]),
+    );
+    assert_eq!(
+        told(&r.news(0, listing(6, vec![]))),
+        [(ListMode::Complete, vec![])]
+    );
 }
 
 #[test]
 fn what_repeats_or_goes_back_in_time_changes_nothing() {
     let mut r = Roster::default();
-    r.news(0, listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]));
+    r.news(
+        0,
+        listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]),
+    );
     let drains = News::Changed(slice("a", 8, vec![worker(1, Draining, "x")]));
     assert_eq!(told(&r.news(0, drains.clone()))[0].1[0].1, Draining);
     assert!(r.news(0, drains).is_empty());
-    assert!(r.news(0, News::Changed(slice("a", 6, vec![worker(1, InService, "x")]))).is_empty());
-    assert!(r.news(0, News::Removed { name: "a".into(), version: 7 }).is_empty());
+    assert!(
+        r.news(
+            0,
+            News::Changed(slice("a", 6, vec![worker(1, InService, "x")]))
+        )
+        .is_empty()
+    );
+    assert!(
+        r.news(
+            0,
+            News::Removed {
+                name: "a".into(),
+                version: 7
+            }
+        )
+        .is_empty()
+    );
     // A lagging publisher lists an old state: asked again, and believed only when it insists.
     let old = || listing(4, vec![slice("a", 4, vec![worker(1, InService, "x")])]);
     assert_eq!(r.news(0, old()), [Step::List]);
@@ -82,27 +120,51 @@
 #[test]
 fn a_restart_is_seen_by_its_mark_whatever_the_clock_says() {
     let mut r = Roster::default();
-    r.news(0, listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]));
+    r.news(
+        0,
+        listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]),
+    );
     let mut again = worker(1, InService, "y");
     again.worker.started = Some(-100 * SECOND);
     let steps = r.news(9 * SECOND, News::Changed(slice("a", 6, vec![again])));
-    assert!(matches!(&steps[0], Step::Tell { workers, .. } if workers[0].started == Some(9 * SECOND)));
+    assert!(
+        matches!(&steps[0], Step::Tell { workers, .. } if workers[0].started == Some(9 * SECOND))
+    );
 }
 
 #[test]
 fn a_broken_watch_goes_on_from_where_it_was_and_lists_anew_when_too_old() {
     let mut r = Roster::default();
     assert_eq!(r.news(0, News::Broken { too_old: false })[1], Step::List);
-    r.news(0, listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]));
+    r.news(
+        0,
+        listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]),
+    );
     r.news(0, News::Bookmark(40));
-    assert_eq!(r.news(0, News::Broken { too_old: false })[1], Step::Watch(40));
+    assert_eq!(
+        r.news(0, News::Broken { too_old: false })[1],
+        Step::Watch(40)
+    );
     assert_eq!(r.news(0, News::Broken { too_old: true })[1], Step::List);
-    let gone = r.news(0, News::Removed { name: "a".into(), version: 41 });
-    assert_eq!(told(&gone), [(ListMode::Changes, vec![("127.0.0.1:1".into(), Gone)])]);
+    let gone = r.news(
+        0,
+        News::Removed {
+            name: "a".into(),
+            version: 41,
+        },
+    );
+    assert_eq!(
+        told(&gone),
+        [(ListMode::Changes, vec![("127.0.0.1:1".into(), Gone)])]
+    );
 }
 
 fn delivery(front: u32, tag: u64) -> Delivery {
-    Delivery { front, life: 1, tag }
+    Delivery {
+        front,
+        life: 1,
+        tag,
+    }
 }
 
 #[test]
@@ -111,7 +173,10 @@
     let claim = c.open(Some(Arc::from("a")), delivery(0, 1), 5, SECOND);
     let first = Answer::bare(Fate::Succeeded, Reason::Worker);
     assert_eq!(c.give(claim, &first), [delivery(0, 1)]);
-    assert!(c.give(claim, &Answer::bare(Fate::Errored, Reason::Overdue)).is_empty());
+    assert!(
+        c.give(claim, &Answer::bare(Fate::Errored, Reason::Overdue))
+            .is_empty()
+    );
     assert_eq!(c.answer(claim), Some(&first));
     assert!(c.safe(delivery(0, 1)).is_none() && c.is_empty());
 }
@@ -120,7 +185,12 @@
 fn claims_without_holder_are_bounded_and_name_what_was_forgotten() {
     let mut c = Claims::bounded(2);
     for n in 0..4 {
-        c.open(Some(Arc::from(format!("{n}"))), delivery(0, n), n as u32, SECOND * n as Micros);
+        c.open(
+            Some(Arc::from(format!("{n}"))),
+            delivery(0, n),
+            n as u32,
+            SECOND * n as Micros,
+        );
     }
     let (open, forgotten) = c.front_lost(0);
     assert_eq!((open.len(), forgotten), (4, vec![0, 1]));
@@ -215,7 +285,11 @@
     s.ended(1, 1, limit, 1, Felt::Crowded);
     assert_eq!(caps(&s), (72.0, limit));
     (1..20).for_each(|n| s.ended(n * SECOND, 1, limit, 1, Felt::Crowded));
-    assert_eq!(s.cap(0, limit), 10.0, "as much, for its weight, as the one that suffers");
+    assert_eq!(
+        s.cap(0, limit),
+        10.0,
+        "as much, for its weight, as the one that suffers"
+    );
     // It comes back with timely answers, and at last is free.
     (0..6000).for_each(|_| s.ended(20 * SECOND, 0, limit, 1, Felt::InTime));
     assert_eq!(caps(&s), (limit, limit));
@@ -250,7 +324,11 @@
             s.entered(now, 0);
             s.left(0);
             entered += 1;
-            let felt = if entered % 5 == 0 { Felt::InTime } else { Felt::Crowded };
+            let felt = if entered % 5 == 0 {
+                Felt::InTime
+            } else {
+                Felt::Crowded
+            };
             s.ended(now, 0, 100.0, ms, felt);
         }
         if n % 50 == 0 {
@@ -258,12 +336,19 @@
             assert!(!s.spent(now, 1), "who comes seldom waits for nothing");
             s.entered(now, 1);
             s.left(1);
-            let felt = if n < 2_000 && n % 200 == 0 { Felt::Crowded } else { Felt::InTime };
+            let felt = if n < 2_000 && n % 200 == 0 {
+                Felt::Crowded
+            } else {
+                Felt::InTime
+            };
             s.ended(now, 1, 100.0, ms, felt);
         }
     }
     // With a fifth of successes, what each lets in fades to the few of each second.
-    assert!(turned > 3_000 && entered > 20, "{entered} entered, {turned} did not");
+    assert!(
+        turned > 3_000 && entered > 20,
+        "{entered} entered, {turned} did not"
+    );
     // Nobody has suffered for two seconds: all is free again.
     assert!(!s.spent(4_100 * ms, 0));
 }
@@ -364,39 +449,145 @@
     let mut ask = |knock: Knock, fill: Fill| turned(d.decide(0, &knock, 1.0, &fill));
     let (knock, fill) = at_the_door(60);
     assert_eq!(ask(knock, fill), None);
-    assert_eq!(ask(knock, Fill { stopping: true, ..fill }), Some(Short::Stopping));
-    assert_eq!(ask(knock, Fill { free_bytes: 9, ..fill }), Some(Short::Memory));
-    assert_eq!(ask(Knock { unread_bytes: 991, ..knock }, fill), Some(Short::Memory));
+    assert_eq!(
+        ask(
+            knock,
+            Fill {
+                stopping: true,
+                ..fill
+            }
+        ),
+        Some(Short::Stopping)
+    );
+    assert_eq!(
+        ask(
+            knock,
+            Fill {
+                free_bytes: 9,
+                ..fill
+            }
+        ),
+        Some(Short::Memory)
+    );
+    assert_eq!(
+        ask(
+            Knock {
+                unread_bytes: 991,
+                ..knock
+            },
+            fill
+        ),
+        Some(Short::Memory)
+    );
     assert_eq!(ask(knock, Fill { out: 100, ..fill }), Some(Short::All));
-    assert_eq!(ask(knock, Fill { front: (50, 50.0), ..fill }), Some(Short::Front));
-    assert_eq!(ask(knock, Fill { account: (50, 50.0), ..fill }), Some(Short::Account));
-    assert_eq!(ask(knock, Fill { spent: (true, false), ..fill }), Some(Short::Front));
-    assert_eq!(ask(knock, Fill { spent: (false, true), ..fill }), Some(Short::Account));
+    assert_eq!(
+        ask(
+            knock,
+            Fill {
+                front: (50, 50.0),
+                ..fill
+            }
+        ),
+        Some(Short::Front)
+    );
+    assert_eq!(
+        ask(
+            knock,
+            Fill {
+                account: (50, 50.0),
+                ..fill
+            }
+        ),
+        Some(Short::Account)
+    );
+    assert_eq!(
+        ask(
+            knock,
+            Fill {
+                spent: (true, false),
+                ..fill
+            }
+        ),
+        Some(Short::Front)
+    );
+    assert_eq!(
+        ask(
+            knock,
+            Fill {
+                spent: (false, true),
+                ..fill
+            }
+        ),
+        Some(Short::Account)
+    );
     // Half of all is used: of 10 connections each may have 20; one that reads nothing gets nothing.
-    let many = Knock { connections: 10, here: 20, ..knock };
+    let many = Knock {
+        connections: 10,
+        here: 20,
+        ..knock
+    };
     assert_eq!(ask(many, fill), Some(Short::Connection));
     assert_eq!(ask(many, Fill { out: 40, ..fill }), None);
-    assert_eq!(ask(Knock { unread: 32, ..knock }, fill), Some(Short::Connection));
-    assert_eq!(ask(Knock { left: 24, ..knock }, fill), Some(Short::Connection));
-    assert_eq!(ask(Knock { left: 24, left_ago: SECOND, ..knock }, fill), None);
+    assert_eq!(
+        ask(
+            Knock {
+                unread: 32,
+                ..knock
+            },
+            fill
+        ),
+        Some(Short::Connection)
+    );
+    assert_eq!(
+        ask(Knock { left: 24, ..knock }, fill),
+        Some(Short::Connection)
+    );
+    assert_eq!(
+        ask(
+            Knock {
+                left: 24,
+                left_ago: SECOND,
+                ..knock
+            },
+            fill
+        ),
+        None
+    );
     assert_eq!(ask(Knock { left: 23, ..knock }, fill), None);
 }
 
 #[test]
 fn the_cheaper_and_the_lost_are_turned_away_first() {
     let mut d = Door::default();
-    let dear = TriggerType { billed_value: 5.0, ..world::triggers()[0] };
+    let dear = TriggerType {
+        billed_value: 5.0,
+        ..world::triggers()[0]
+    };
     let cheap = world::triggers()[0];
     let (knock, fill) = at_the_door(80);
     let worth = |t: &TriggerType, waited| entry::worth(t, waited, 0);
     (0..100).for_each(|n| {
-        d.decide(0, &knock, worth(if n % 2 == 0 { &dear } else { &cheap }, 0), &at_the_door(10).1);
+        d.decide(
+            0,
+            &knock,
+            worth(if n % 2 == 0 { &dear } else { &cheap }, 0),
+            &at_the_door(10).1,
+        );
     });
     assert_eq!(turned(d.decide(0, &knock, worth(&dear, 0), &fill)), None);
-    assert_eq!(turned(d.decide(0, &knock, worth(&cheap, 0), &at_the_door(90).1)), Some(Short::Worth));
+    assert_eq!(
+        turned(d.decide(0, &knock, worth(&cheap, 0), &at_the_door(90).1)),
+        Some(Short::Worth)
+    );
     // The dear one that comes too late earns a tenth: less than the cheap one in time.
-    assert_eq!(turned(d.decide(0, &knock, worth(&dear, SECOND), &at_the_door(90).1)), Some(Short::Worth));
-    assert_eq!(turned(d.decide(0, &knock, worth(&dear, 0), &at_the_door(99).1)), None);
+    assert_eq!(
+        turned(d.decide(0, &knock, worth(&dear, SECOND), &at_the_door(90).1)),
+        Some(Short::Worth)
+    );
+    assert_eq!(
+        turned(d.decide(0, &knock, worth(&dear, 0), &at_the_door(99).1)),
+        None
+    );
 }
 
 #[test]
@@ -429,7 +620,10 @@
     w.ordered(1);
     w.ordered(1);
     w.order_ended(10, 1);
-    assert!(w.for_load(1, 20) && !w.for_load(2, 0), "another is still out, of this function");
+    assert!(
+        w.for_load(1, 20) && !w.for_load(2, 0),
+        "another is still out, of this function"
+    );
     w.order_ended(30, 1);
     assert!(w.for_load(1, 30) && !w.for_load(1, 31));
     // A copy stood while it waited: more copies were on order, but lanes were short.
--- a/crates/router/tests/world.rs
+++ b/crates/router/tests/world.rs
@@ -28,7 +28,14 @@
 
 pub fn triggers() -> Vec<TriggerType> {
     let group = RepeatGroup::All;
-    let effects = [Effect::Idempotent, Effect::Tokened { group, window: WINDOW }, Effect::NonIdempotent];
+    let effects = [
+        Effect::Idempotent,
+        Effect::Tokened {
+            group,
+            window: WINDOW,
+        },
+        Effect::NonIdempotent,
+    ];
     let kind = |effect| TriggerType {
         effect,
         latency_objective: 800 * MS,
@@ -57,15 +64,46 @@
         overload_window: SECOND,
         ..RuleTerms::default()
     };
-    let loads = LoadTerms { idle_kept: 30 * SECOND, loads_when_absent: true, orders, ..LoadTerms::default() };
-    let fleet = FleetPosition { routers: 1, position: 0, zone: 0, granularity: MS };
-    let accounts = vec![Account { allowance_per_s: 1e9, share: 1.0 }];
+    let loads = LoadTerms {
+        idle_kept: 30 * SECOND,
+        loads_when_absent: true,
+        orders,
+        ..LoadTerms::default()
+    };
+    let fleet = FleetPosition {
+        routers: 1,
+        position: 0,
+        zone: 0,
+        granularity: MS,
+    };
+    let accounts = vec![Account {
+        allowance_per_s: 1e9,
+        share: 1.0,
+    }];
     let prices = Prices::default();
-    Control::new(1, fleet, limits, rules, triggers(), accounts, loads, prices, ReportsIn::Nothing)
+    Control::new(
+        1,
+        fleet,
+        limits,
+        rules,
+        triggers(),
+        accounts,
+        loads,
+        prices,
+        ReportsIn::Nothing,
+    )
 }
 
 pub fn listed(id: &str, standing: Standing) -> Listed {
-    Listed { address: id.into(), zone: 0, kind: 0, cell: 0, standing, weight: 1.0, started: None }
+    Listed {
+        address: id.into(),
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        standing,
+        weight: 1.0,
+        started: None,
+    }
 }
 
 impl World {
@@ -76,7 +114,10 @@
 
     /// One of a group; types that go alone are named.
     pub fn shared(workers: u32, alone: [bool; 3]) -> World {
-        let sharing = group::Sharing { alone: alone.to_vec(), leave_kept: SECOND };
+        let sharing = group::Sharing {
+            alone: alone.to_vec(),
+            leave_kept: SECOND,
+        };
         World::with(workers, [false; 2], Some(sharing))
     }
 
@@ -90,7 +131,11 @@
         World::with(workers, [false, true], None)
     }
 
-    fn with(workers: u32, [module_alone, orders]: [bool; 2], sharing: Option<group::Sharing>) -> World {
+    fn with(
+        workers: u32,
+        [module_alone, orders]: [bool; 2],
+        sharing: Option<group::Sharing>,
+    ) -> World {
         let terms = Terms {
             answer_margin: MARGIN,
             clock_margin: 50 * MS,
@@ -102,11 +147,22 @@
             drain_grace: SECOND,
             sharing,
         };
-        let mut w =
-            World { router: Router::new(control(orders), triggers(), terms), now: SECOND, out: Vec::new() };
-        let ids: Vec<String> = (0..workers).map(|n| format!("127.0.0.1:{}", 9000 + n)).collect();
-        let workers = ids.iter().map(|id| listed(id, Standing::InService)).collect();
-        w.feed(Input::List { mode: ListMode::Complete, workers });
+        let mut w = World {
+            router: Router::new(control(orders), triggers(), terms),
+            now: SECOND,
+            out: Vec::new(),
+        };
+        let ids: Vec<String> = (0..workers)
+            .map(|n| format!("127.0.0.1:{}", 9000 + n))
+            .collect();
+        let workers = ids
+            .iter()
+            .map(|id| listed(id, Standing::InService))
+            .collect();
+        w.feed(Input::List {
+            mode: ListMode::Complete,
+            workers,
+        });
         w.front(FrontState::Up);
         w
     }
@@ -118,8 +174,14 @@
 
     /// Changes of the list.
     pub fn list(&mut self, workers: &[(&str, Standing)]) {
-        let workers = workers.iter().map(|(id, standing)| listed(id, *standing)).collect();
-        self.feed(Input::List { mode: ListMode::Changes, workers });
+        let workers = workers
+            .iter()
+            .map(|(id, standing)| listed(id, *standing))
+            .collect();
+        self.feed(Input::List {
+            mode: ListMode::Changes,
+            workers,
+        });
     }
 
     pub fn front(&mut self, state: FrontState) {
@@ -141,7 +203,11 @@
 
     pub fn message(&self, id: &str, trigger: u32, life: u32, tag: u64) -> Taken {
         Taken {
-            delivery: Delivery { front: 0, life, tag },
+            delivery: Delivery {
+                front: 0,
+                life,
+                tag,
+            },
             identity: Some(Arc::from(id)),
             mark: Some(Arc::from(id)),
             redelivered: false,
@@ -170,14 +236,24 @@
     }
 
     pub fn again(&mut self, id: &str, trigger: u32, life: u32, tag: u64, waited: Micros) {
-        let message = Taken { redelivered: true, waited, ..self.message(id, trigger, life, tag) };
+        let message = Taken {
+            redelivered: true,
+            waited,
+            ..self.message(id, trigger, life, tag)
+        };
         self.feed(Input::Taken(message));
     }
 
     pub fn sent(&self) -> Vec<Ticket> {
         self.out
             .iter()
-            .filter_map(|o| if let Output::Send { ticket, .. } = o { Some(*ticket) } else { None })
+            .filter_map(|o| {
+                if let Output::Send { ticket, .. } = o {
+                    Some(*ticket)
+                } else {
+                    None
+                }
+            })
             .collect()
     }
 
@@ -192,7 +268,13 @@
     pub fn asked(&self) -> Vec<Ask> {
         self.out
             .iter()
-            .filter_map(|o| if let Output::Group(a) = o { Some(a.clone()) } else { None })
+            .filter_map(|o| {
+                if let Output::Group(a) = o {
+                    Some(a.clone())
+                } else {
+                    None
+                }
+            })
             .collect()
     }
 
--- a/crates/standins/src/broker.rs
+++ b/crates/standins/src/broker.rs
@@ -93,13 +93,22 @@
 }
 
 fn id_of(p: &AMQPProperties) -> String {
-    let part = |s: &Option<ShortString>| s.as_ref().map(|s| s.as_str().to_owned()).unwrap_or_default();
+    let part = |s: &Option<ShortString>| {
+        s.as_ref()
+            .map(|s| s.as_str().to_owned())
+            .unwrap_or_default()
+    };
     part(p.correlation_id())
 }
 
 impl Broker {
     pub fn start(ground: &Ground, name: &str, address: SocketAddr) -> std::io::Result<Broker> {
-        let state = State { queues: HashMap::new(), peers: HashMap::new(), next: 0, frame_max: FRAME_MAX };
+        let state = State {
+            queues: HashMap::new(),
+            peers: HashMap::new(),
+            next: 0,
+            frame_max: FRAME_MAX,
+        };
         let mut broker = Broker {
             ground: ground.clone(),
             log: ground.log(name)?,
@@ -123,7 +132,11 @@
                     let mut state = lock(&it.state);
                     state.next += 1;
                     let id = state.next;
-                    let peer = Peer { from: from.ip().to_string(), bell: Some(ring), ..Peer::default() };
+                    let peer = Peer {
+                        from: from.ip().to_string(),
+                        bell: Some(ring),
+                        ..Peer::default()
+                    };
                     state.peers.insert(id, peer);
                     id
                 };
@@ -144,12 +157,18 @@
     }
 
     pub fn declare(&self, queue: &str) {
-        lock(&self.state).queues.entry(queue.to_owned()).or_default();
+        lock(&self.state)
+            .queues
+            .entry(queue.to_owned())
+            .or_default();
     }
 
     /// Messages ready in a queue.
     pub fn waiting(&self, queue: &str) -> usize {
-        lock(&self.state).queues.get(queue).map_or(0, |q| q.ready.len())
+        lock(&self.state)
+            .queues
+            .get(queue)
+            .map_or(0, |q| q.ready.len())
     }
 
     /// Consumers that acknowledge.
@@ -162,18 +181,33 @@
     }
 
     pub fn unacked(&self) -> usize {
-        lock(&self.state).peers.values().map(|p| p.unacked.len()).sum()
+        lock(&self.state)
+            .peers
+            .values()
+            .map(|p| p.unacked.len())
+            .sum()
     }
 
     /// Closes the channels of consumers from these addresses; what they held is delivered again.
     pub fn drop_channels(&self, from: impl Fn(&str) -> bool) {
         let mut state = lock(&self.state);
-        let ids: Vec<u64> =
-            state.peers.iter().filter(|(_, p)| p.open && p.tx && from(&p.from)).map(|(id, _)| *id).collect();
+        let ids: Vec<u64> = state
+            .peers
+            .iter()
+            .filter(|(_, p)| p.open && p.tx && from(&p.from))
+            .map(|(id, _)| *id)
+            .collect();
         for id in ids {
-            let Some(peer) = state.peers.get_mut(&id) else { continue };
+            let Some(peer) = state.peers.get_mut(&id) else {
+                continue;
+            };
             let text = short("the channel is dropped");
-            let close = channel::Close { reply_code: 541, reply_text: text, class_id: 0, method_id: 0 };
+            let close = channel::Close {
+                reply_code: 541,
+                reply_text: text,
+                class_id: 0,
+                method_id: 0,
+            };
             peer.method(AMQPClass::Channel(channel::AMQPMethod::Close(close)));
             peer.open = false;
             self.requeue(&mut state, id);
@@ -183,8 +217,12 @@
 
     /// Breaks the connections from these addresses off.
     pub fn drop_connections(&self, from: impl Fn(&str) -> bool) {
-        let ids: Vec<u64> =
-            lock(&self.state).peers.iter().filter(|(_, p)| from(&p.from)).map(|(id, _)| *id).collect();
+        let ids: Vec<u64> = lock(&self.state)
+            .peers
+            .iter()
+            .filter(|(_, p)| from(&p.from))
+            .map(|(id, _)| *id)
+            .collect();
         for id in ids {
             drop(lock(&self.served).remove(&id));
             self.forget(id);
@@ -204,9 +242,9 @@
         self.log.write("blocked", json!({"on": blocked}));
         for peer in state.peers.values_mut().filter(|p| p.open) {
             let method = match blocked {
-                true => {
-                    connection::AMQPMethod::Blocked(connection::Blocked { reason: short("low on memory") })
-                }
+                true => connection::AMQPMethod::Blocked(connection::Blocked {
+                    reason: short("low on memory"),
+                }),
                 false => connection::AMQPMethod::Unblocked(connection::Unblocked {}),
             };
             write_method(&mut peer.out, 0, AMQPClass::Connection(method));
@@ -246,7 +284,8 @@
                 }
                 reader.feed(bytes);
                 if let Err(fault) = self.frames(id, &mut reader) {
-                    self.log.write("refused", json!({"peer": id, "why": fault.to_string()}));
+                    self.log
+                        .write("refused", json!({"peer": id, "why": fault.to_string()}));
                     self.log.flush();
                     break;
                 }
@@ -293,7 +332,9 @@
 
     fn greet(&self, id: u64) {
         let mut state = lock(&self.state);
-        let Some(peer) = state.peers.get_mut(&id) else { return };
+        let Some(peer) = state.peers.get_mut(&id) else {
+            return;
+        };
         let start = connection::Start {
             version_major: 0,
             version_minor: 9,
@@ -301,7 +342,11 @@
             mechanisms: LongString::from("PLAIN"),
             locales: LongString::from("en_US"),
         };
-        write_method(&mut peer.out, 0, AMQPClass::Connection(connection::AMQPMethod::Start(start)));
+        write_method(
+            &mut peer.out,
+            0,
+            AMQPClass::Connection(connection::AMQPMethod::Start(start)),
+        );
         ring(peer);
     }
 
@@ -314,7 +359,9 @@
 
     /// What a peer held goes back to where it was in its queue, marked.
     fn requeue(&self, state: &mut State, id: u64) {
-        let Some(peer) = state.peers.get_mut(&id) else { return };
+        let Some(peer) = state.peers.get_mut(&id) else {
+            return;
+        };
         let held = std::mem::take(&mut peer.unacked);
         let from = peer.from.clone();
         (peer.ops, peer.incoming, peer.consumes) = (Vec::new(), None, None);
@@ -322,7 +369,10 @@
             queue.consumers.retain(|c| *c != id);
         }
         for (_, mut stored) in held.into_iter().rev() {
-            self.log.write("requeued", json!({"id": id_of(&stored.properties), "from": from}));
+            self.log.write(
+                "requeued",
+                json!({"id": id_of(&stored.properties), "from": from}),
+            );
             stored.redelivered = true;
             if let Some(queue) = state.queues.get_mut(&stored.queue) {
                 let at = queue.ready.partition_point(|s| s.id < stored.id);
@@ -336,16 +386,22 @@
         while let Some(frame) = reader.next_frame()? {
             use cedarpulley_amqp::frames::AMQPFrame as F;
             match frame {
-                F::Method(0, AMQPClass::Connection(method)) => self.connection(&mut state, id, method)?,
+                F::Method(0, AMQPClass::Connection(method)) => {
+                    self.connection(&mut state, id, method)?
+                }
                 F::Method(CHANNEL, method) => self.channel(&mut state, id, method)?,
                 F::Header(CHANNEL, h) => {
-                    if let Some((_, header, _)) = state.peers.get_mut(&id).and_then(|p| p.incoming.as_mut()) {
+                    if let Some((_, header, _)) =
+                        state.peers.get_mut(&id).and_then(|p| p.incoming.as_mut())
+                    {
                         *header = Some((h.body_size, h.properties));
                     }
                     self.published(&mut state, id);
                 }
                 F::Body(CHANNEL, part) => {
-                    if let Some((_, _, body)) = state.peers.get_mut(&id).and_then(|p| p.incoming.as_mut()) {
+                    if let Some((_, _, body)) =
+                        state.peers.get_mut(&id).and_then(|p| p.incoming.as_mut())
+                    {
                         body.extend_from_slice(&part);
                     }
                     self.published(&mut state, id);
@@ -358,12 +414,23 @@
         Ok(())
     }
 
-    fn connection(&self, state: &mut State, id: u64, method: connection::AMQPMethod) -> Result<(), Fault> {
+    fn connection(
+        &self,
+        state: &mut State,
+        id: u64,
+        method: connection::AMQPMethod,
+    ) -> Result<(), Fault> {
         use connection::AMQPMethod as M;
         let frame_max = state.frame_max;
-        let Some(peer) = state.peers.get_mut(&id) else { return Ok(()) };
+        let Some(peer) = state.peers.get_mut(&id) else {
+            return Ok(());
+        };
         let reply = match method {
-            M::StartOk(_) => M::Tune(connection::Tune { channel_max: 8, frame_max, heartbeat: HEARTBEAT_S }),
+            M::StartOk(_) => M::Tune(connection::Tune {
+                channel_max: 8,
+                frame_max,
+                heartbeat: HEARTBEAT_S,
+            }),
             M::TuneOk(_) => return Ok(()),
             M::Open(_) => M::OpenOk(connection::OpenOk {}),
             M::Close(_) => {
@@ -380,17 +447,29 @@
 
     fn channel(&self, state: &mut State, id: u64, method: AMQPClass) -> Result<(), Fault> {
         use basic::AMQPMethod as B;
-        let Some(peer) = state.peers.get_mut(&id) else { return Ok(()) };
+        let Some(peer) = state.peers.get_mut(&id) else {
+            return Ok(());
+        };
         match method {
             AMQPClass::Channel(channel::AMQPMethod::Open(_)) => {
                 let from = peer.from.clone();
                 let (out, bell) = (std::mem::take(&mut peer.out), peer.bell.take());
-                *peer = Peer { from, out, bell, open: true, ..Peer::default() };
-                peer.method(AMQPClass::Channel(channel::AMQPMethod::OpenOk(channel::OpenOk {})));
+                *peer = Peer {
+                    from,
+                    out,
+                    bell,
+                    open: true,
+                    ..Peer::default()
+                };
+                peer.method(AMQPClass::Channel(channel::AMQPMethod::OpenOk(
+                    channel::OpenOk {},
+                )));
             }
             AMQPClass::Channel(channel::AMQPMethod::CloseOk(_)) => {}
             AMQPClass::Channel(channel::AMQPMethod::Close(_)) => {
-                peer.method(AMQPClass::Channel(channel::AMQPMethod::CloseOk(channel::CloseOk {})));
+                peer.method(AMQPClass::Channel(channel::AMQPMethod::CloseOk(
+                    channel::CloseOk {},
+                )));
                 peer.open = false;
                 self.requeue(state, id);
             }
@@ -411,7 +490,11 @@
                     "" => format!("replies-of-{id}"),
                     name => name.to_owned(),
                 };
-                let ok = queue::DeclareOk { queue: short(&name), message_count: 0, consumer_count: 0 };
+                let ok = queue::DeclareOk {
+                    queue: short(&name),
+                    message_count: 0,
+                    consumer_count: 0,
+                };
                 peer.method(AMQPClass::Queue(queue::AMQPMethod::DeclareOk(ok)));
                 state.queues.entry(name).or_default();
             }
@@ -419,8 +502,12 @@
                 let name = c.queue.as_str().to_owned();
                 let Some(queue) = state.queues.get_mut(&name) else {
                     let text = short("no such queue");
-                    let close =
-                        channel::Close { reply_code: 404, reply_text: text, class_id: 60, method_id: 20 };
+                    let close = channel::Close {
+                        reply_code: 404,
+                        reply_text: text,
+                        class_id: 60,
+                        method_id: 20,
+                    };
                     peer.method(AMQPClass::Channel(channel::AMQPMethod::Close(close)));
                     peer.open = false;
                     return Ok(());
@@ -431,12 +518,19 @@
                     _ => c.consumer_tag,
                 };
                 peer.consumes = Some((c.no_ack, consumer_tag.clone()));
-                peer.method(AMQPClass::Basic(B::ConsumeOk(basic::ConsumeOk { consumer_tag })));
+                peer.method(AMQPClass::Basic(B::ConsumeOk(basic::ConsumeOk {
+                    consumer_tag,
+                })));
             }
             AMQPClass::Basic(B::Cancel(c)) => {
                 peer.consumes = None;
-                peer.method(AMQPClass::Basic(B::CancelOk(basic::CancelOk { consumer_tag: c.consumer_tag })));
-                state.queues.values_mut().for_each(|q| q.consumers.retain(|c| *c != id));
+                peer.method(AMQPClass::Basic(B::CancelOk(basic::CancelOk {
+                    consumer_tag: c.consumer_tag,
+                })));
+                state
+                    .queues
+                    .values_mut()
+                    .for_each(|q| q.consumers.retain(|c| *c != id));
             }
             AMQPClass::Basic(B::Publish(p)) => {
                 peer.incoming = Some((p.routing_key.as_str().to_owned(), None, Vec::new()));
@@ -452,23 +546,46 @@
     }
 
     fn published(&self, state: &mut State, id: u64) {
-        let Some(peer) = state.peers.get_mut(&id) else { return };
-        let whole = |i: &mut Incoming| i.1.as_ref().is_some_and(|(size, _)| i.2.len() as u64 >= *size);
-        let Some((key, Some((_, properties)), body)) = peer.incoming.take_if(whole) else { return };
+        let Some(peer) = state.peers.get_mut(&id) else {
+            return;
+        };
+        let whole = |i: &mut Incoming| {
+            i.1.as_ref()
+                .is_some_and(|(size, _)| i.2.len() as u64 >= *size)
+        };
+        let Some((key, Some((_, properties)), body)) = peer.incoming.take_if(whole) else {
+            return;
+        };
         if peer.tx {
-            return peer.ops.push(Op::Publish(Box::new((key, properties, body))));
+            return peer
+                .ops
+                .push(Op::Publish(Box::new((key, properties, body))));
         }
         let from = peer.from.clone();
         self.enqueue(state, &from, key, properties, body);
     }
 
-    fn enqueue(&self, state: &mut State, from: &str, key: String, properties: AMQPProperties, body: Vec<u8>) {
-        let text = |s: &Option<ShortString>| s.as_ref().map(|s| s.as_str().to_owned()).unwrap_or_default();
+    fn enqueue(
+        &self,
+        state: &mut State,
+        from: &str,
+        key: String,
+        properties: AMQPProperties,
+        body: Vec<u8>,
+    ) {
+        let text = |s: &Option<ShortString>| {
+            s.as_ref()
+                .map(|s| s.as_str().to_owned())
+                .unwrap_or_default()
+        };
         let header = |name: &str| {
             let table = properties.headers().as_ref()?;
             meaning::text(table.inner().get(name)?).map(str::to_owned)
         };
-        let timeout = text(properties.expiration()).parse::<i64>().ok().map(|ms| ms * 1000);
+        let timeout = text(properties.expiration())
+            .parse::<i64>()
+            .ok()
+            .map(|ms| ms * 1000);
         self.log.write(
             "published",
             json!({
@@ -495,21 +612,40 @@
 
     /// All that gathered since the last commit takes effect at once.
     fn commit(&self, state: &mut State, id: u64) {
-        let Some(peer) = state.peers.get_mut(&id) else { return };
+        let Some(peer) = state.peers.get_mut(&id) else {
+            return;
+        };
         let (ops, from) = (std::mem::take(&mut peer.ops), peer.from.clone());
         for op in ops {
             match op {
                 Op::Publish(message) => self.enqueue(state, &from, message.0, message.1, message.2),
                 Op::Ack(tag) => {
-                    if let Some(done) = state.peers.get_mut(&id).and_then(|p| p.unacked.remove(&tag)) {
-                        self.log.write("acked", json!({"id": id_of(&done.properties), "from": from}));
+                    if let Some(done) = state
+                        .peers
+                        .get_mut(&id)
+                        .and_then(|p| p.unacked.remove(&tag))
+                    {
+                        self.log.write(
+                            "acked",
+                            json!({"id": id_of(&done.properties), "from": from}),
+                        );
                     }
                 }
                 Op::Reject(tag) => {
-                    if let Some(mut dead) = state.peers.get_mut(&id).and_then(|p| p.unacked.remove(&tag)) {
-                        self.log.write("dead", json!({"id": id_of(&dead.properties), "from": from}));
+                    if let Some(mut dead) = state
+                        .peers
+                        .get_mut(&id)
+                        .and_then(|p| p.unacked.remove(&tag))
+                    {
+                        self.log
+                            .write("dead", json!({"id": id_of(&dead.properties), "from": from}));
                         dead.queue = DEAD.to_owned();
-                        state.queues.entry(DEAD.to_owned()).or_default().ready.push_back(dead);
+                        state
+                            .queues
+                            .entry(DEAD.to_owned())
+                            .or_default()
+                            .ready
+                            .push_back(dead);
                     }
                 }
             }
@@ -521,23 +657,37 @@
 
     /// Hands out what is ready to consumers with room, in turn.
     fn pump(&self, state: &mut State) {
-        let State { queues, peers, frame_max, .. } = state;
+        let State {
+            queues,
+            peers,
+            frame_max,
+            ..
+        } = state;
         let now = wall_us();
         for queue in queues.values_mut() {
             let mut full = 0;
             while !queue.ready.is_empty() && full < queue.consumers.len() {
-                let Some(id) = queue.consumers.pop_front() else { break };
+                let Some(id) = queue.consumers.pop_front() else {
+                    break;
+                };
                 queue.consumers.push_back(id);
-                let Some(peer) = peers.get_mut(&id) else { break };
-                let Some((no_ack, consumer_tag)) = peer.consumes.clone() else { break };
+                let Some(peer) = peers.get_mut(&id) else {
+                    break;
+                };
+                let Some((no_ack, consumer_tag)) = peer.consumes.clone() else {
+                    break;
+                };
                 if !no_ack && peer.prefetch > 0 && peer.unacked.len() >= peer.prefetch {
                     full += 1;
                     continue;
                 }
                 full = 0;
-                let Some(stored) = queue.ready.pop_front() else { break };
+                let Some(stored) = queue.ready.pop_front() else {
+                    break;
+                };
                 if stored.expires.is_some_and(|e| e <= now) {
-                    self.log.write("expired", json!({"id": id_of(&stored.properties)}));
+                    self.log
+                        .write("expired", json!({"id": id_of(&stored.properties)}));
                     continue;
                 }
                 peer.next_tag += 1;
@@ -557,7 +707,14 @@
                     routing_key: short(&stored.queue),
                 });
                 let properties = stored.properties.clone();
-                write_message(&mut peer.out, CHANNEL, deliver, properties, &stored.body, *frame_max);
+                write_message(
+                    &mut peer.out,
+                    CHANNEL,
+                    deliver,
+                    properties,
+                    &stored.body,
+                    *frame_max,
+                );
                 if !no_ack {
                     peer.unacked.insert(tag, stored);
                 }
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -54,7 +54,9 @@
         let before = self.0.swap(zones, Ordering::SeqCst);
         let mut held = lock(&self.1);
         for zone in (0..u64::BITS).filter(|z| (before ^ zones) & 1 << z != 0) {
-            let last = held.get(&zone).filter(|h| h.healed.is_none_or(|at| at.elapsed() < COMES_THROUGH));
+            let last = held
+                .get(&zone)
+                .filter(|h| h.healed.is_none_or(|at| at.elapsed() < COMES_THROUGH));
             // What a cut held back may not be through yet when the next one begins.
             let began = last.map_or_else(wall_us, |h| h.began);
             let healed = (zones & 1 << zone == 0).then(Instant::now);
@@ -65,13 +67,17 @@
     /// Since when what comes from there now may have been on its way: a cut has just ended.
     pub fn held_since(&self, from: IpAddr) -> Option<i64> {
         let held = *lock(&self.1).get(&zone_of(from)?)?;
-        held.healed.filter(|at| at.elapsed() < COMES_THROUGH).map(|_| held.began)
+        held.healed
+            .filter(|at| at.elapsed() < COMES_THROUGH)
+            .map(|_| held.began)
     }
 
     /// Since when it may have hung up unseen: a cut stands, or has just ended.
     pub fn unseen_since(&self, from: IpAddr) -> Option<i64> {
         let held = *lock(&self.1).get(&zone_of(from)?)?;
-        held.healed.is_none_or(|at| at.elapsed() < COMES_THROUGH).then_some(held.began)
+        held.healed
+            .is_none_or(|at| at.elapsed() < COMES_THROUGH)
+            .then_some(held.began)
     }
 
     fn holds(&self, from: IpAddr) -> bool {
@@ -101,14 +107,30 @@
 }
 
 impl AsyncRead for Gate {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut [u8]) -> Poll<io::Result<usize>> {
-        if self.shut(cx) { Poll::Pending } else { Pin::new(&mut self.stream).poll_read(cx, buf) }
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
+        if self.shut(cx) {
+            Poll::Pending
+        } else {
+            Pin::new(&mut self.stream).poll_read(cx, buf)
+        }
     }
 }
 
 impl AsyncWrite for Gate {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        if self.shut(cx) { Poll::Pending } else { Pin::new(&mut self.stream).poll_write(cx, buf) }
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        if self.shut(cx) {
+            Poll::Pending
+        } else {
+            Pin::new(&mut self.stream).poll_write(cx, buf)
+        }
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
@@ -128,7 +150,12 @@
 }
 
 impl Server {
-    pub fn start<F, R>(ground: &Ground, address: SocketAddr, cut: Cut, handle: F) -> io::Result<Server>
+    pub fn start<F, R>(
+        ground: &Ground,
+        address: SocketAddr,
+        cut: Cut,
+        handle: F,
+    ) -> io::Result<Server>
     where
         F: Fn(SocketAddr, Request<Incoming>) -> R + Clone + Send + Sync + 'static,
         R: Future<Output = Response<Body>> + Send + 'static,
@@ -142,13 +169,20 @@
                 let _ = stream.get_ref().set_nodelay(true);
                 let (handle, cut) = (handle.clone(), cut.clone());
                 let task = executor.spawn(async move {
-                    let gate = Gate { stream, from: from.ip(), cut, look: None };
+                    let gate = Gate {
+                        stream,
+                        from: from.ip(),
+                        cut,
+                        look: None,
+                    };
                     let service = service_fn(|request| {
                         let answer = handle(from, request);
                         async move { Ok::<_, Infallible>(answer.await) }
                     });
                     // However it ends, the peer has seen it.
-                    let _ = http1::Builder::new().serve_connection(FuturesIo::new(gate), service).await;
+                    let _ = http1::Builder::new()
+                        .serve_connection(FuturesIo::new(gate), service)
+                        .await;
                 });
                 let mut tasks = lock(&tasks);
                 tasks.retain(|t| !t.is_finished());
@@ -156,6 +190,10 @@
             }
         };
         let _listener = ground.executor.spawn(accept);
-        Ok(Server { address, _listener, _served: served })
+        Ok(Server {
+            address,
+            _listener,
+            _served: served,
+        })
     }
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -26,7 +26,9 @@
 }
 
 pub fn wall_us() -> i64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as i64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as i64)
 }
 
 /// Where the threads of all stand-ins run, and where their logs go.
@@ -49,15 +51,22 @@
         if let Some(folder) = logs {
             std::fs::create_dir_all(folder)?;
         }
-        Ok(Ground { executor, logs: logs.map(Path::to_owned) })
+        Ok(Ground {
+            executor,
+            logs: logs.map(Path::to_owned),
+        })
     }
 
     pub fn log(&self, name: &str) -> std::io::Result<Log> {
         let file = match &self.logs {
-            Some(folder) => Some(BufWriter::new(File::create(folder.join(format!("{name}.ndjson")))?)),
+            Some(folder) => Some(BufWriter::new(File::create(
+                folder.join(format!("{name}.ndjson")),
+            )?)),
             None => None,
         };
-        Ok(Log { file: Arc::new(Mutex::new(file)) })
+        Ok(Log {
+            file: Arc::new(Mutex::new(file)),
+        })
     }
 }
 
@@ -78,7 +87,8 @@
             map.insert("what".into(), what.into());
             // A log that cannot be written ends the day: nothing could be judged.
             serde_json::to_writer(&mut *file, &fields).expect("the traffic log can be written");
-            file.write_all(b"\n").expect("the traffic log can be written");
+            file.write_all(b"\n")
+                .expect("the traffic log can be written");
         }
     }
 
--- a/crates/standins/src/list.rs
+++ b/crates/standins/src/list.rs
@@ -78,8 +78,13 @@
     pub fn start(ground: &Ground, name: &str, address: SocketAddr) -> std::io::Result<List> {
         let log = ground.log(name)?;
         let late = Duration::ZERO;
-        let state =
-            State { version: FIRST_VERSION, rows: BTreeMap::new(), changes: Vec::new(), late, seen_as: None };
+        let state = State {
+            version: FIRST_VERSION,
+            rows: BTreeMap::new(),
+            changes: Vec::new(),
+            late,
+            seen_as: None,
+        };
         let state = Arc::new(Mutex::new(state));
         let (its_state, its_log) = (state.clone(), log.clone());
         let handle = move |from: SocketAddr, request: Request<Incoming>| {
@@ -102,7 +107,9 @@
 
     pub fn remove(&self, name: &str) {
         let mut state = lock(&self.state);
-        let Some((_, row)) = state.rows.remove(name) else { return };
+        let Some((_, row)) = state.rows.remove(name) else {
+            return;
+        };
         state.version += 1;
         let object = slice(name, state.version, &row);
         changed(&mut state, "DELETED", object);
@@ -114,7 +121,10 @@
     }
 
     /// Watchers are told of other addresses than the workers' own, which the log keeps naming.
-    pub fn seen_as(&self, address: impl Fn(IpAddr, SocketAddr) -> SocketAddr + Send + Sync + 'static) {
+    pub fn seen_as(
+        &self,
+        address: impl Fn(IpAddr, SocketAddr) -> SocketAddr + Send + Sync + 'static,
+    ) {
         lock(&self.state).seen_as = Some(Arc::new(address));
     }
 
@@ -125,7 +135,9 @@
 
 fn changed(state: &mut State, what: &'static str, object: Value) {
     let version = state.version;
-    state.changes.push((version, std::time::Instant::now(), what, object));
+    state
+        .changes
+        .push((version, std::time::Instant::now(), what, object));
     if state.changes.len() > KEPT {
         state.changes.remove(0);
     }
@@ -133,8 +145,11 @@
 
 fn tell(log: &Log, to: IpAddr, what: &str, object: &Value) {
     let endpoint = &object["endpoints"][0];
-    let address =
-        format!("{}:{}", endpoint["addresses"][0].as_str().unwrap_or(""), object["ports"][0]["port"]);
+    let address = format!(
+        "{}:{}",
+        endpoint["addresses"][0].as_str().unwrap_or(""),
+        object["ports"][0]["port"]
+    );
     log.write(
         "told",
         json!({
@@ -146,8 +161,12 @@
 
 impl State {
     fn seen(&self, to: IpAddr, mut object: Value) -> Value {
-        let Some(seen_as) = &self.seen_as else { return object };
-        let ip = object["endpoints"][0]["addresses"][0].as_str().and_then(|ip| ip.parse().ok());
+        let Some(seen_as) = &self.seen_as else {
+            return object;
+        };
+        let ip = object["endpoints"][0]["addresses"][0]
+            .as_str()
+            .and_then(|ip| ip.parse().ok());
         let port = object["ports"][0]["port"].as_u64();
         if let (Some(ip), Some(port)) = (ip, port) {
             let address = seen_as(to, SocketAddr::new(ip, port as u16));
@@ -158,19 +177,33 @@
     }
 }
 
-fn answer(state: Arc<Mutex<State>>, log: Log, to: IpAddr, request: Request<Incoming>) -> Response<Body> {
+fn answer(
+    state: Arc<Mutex<State>>,
+    log: Log,
+    to: IpAddr,
+    request: Request<Incoming>,
+) -> Response<Body> {
     let query = request.uri().query().unwrap_or("").to_owned();
-    let seen = query.split('&').find_map(|p| p.strip_prefix("resourceVersion=")?.parse::<u64>().ok());
+    let seen = query
+        .split('&')
+        .find_map(|p| p.strip_prefix("resourceVersion=")?.parse::<u64>().ok());
     let locked = lock(&state);
     if !query.contains("watch=1") {
-        let items: Vec<Value> = locked.rows.iter().map(|(n, (v, r))| slice(n, *v, r)).collect();
+        let items: Vec<Value> = locked
+            .rows
+            .iter()
+            .map(|(n, (v, r))| slice(n, *v, r))
+            .collect();
         items.iter().for_each(|i| tell(&log, to, "ADDED", i));
-        let all: Vec<String> = locked.rows.values().map(|(_, r)| r.address.to_string()).collect();
+        let all: Vec<String> = locked
+            .rows
+            .values()
+            .map(|(_, r)| r.address.to_string())
+            .collect();
         log.write("listed", json!({"to": to.to_string(), "workers": all}));
         let items: Vec<Value> = items.into_iter().map(|i| locked.seen(to, i)).collect();
         let version = locked.version.to_string();
-        let list =
-            json!({"kind": "EndpointSliceList", "metadata": {"resourceVersion": version}, "items": items});
+        let list = json!({"kind": "EndpointSliceList", "metadata": {"resourceVersion": version}, "items": items});
         return full(StatusCode::OK, list.to_string());
     }
     let oldest = locked.changes.first().map_or(locked.version + 1, |c| c.0);
@@ -182,7 +215,10 @@
         let (state, log) = (state.clone(), log.clone());
         async move {
             let (version, line) = next_line(&state, &log, to, at).await;
-            Some((Ok::<_, Infallible>(Frame::data(Bytes::from(format!("{line}\n")))), version))
+            Some((
+                Ok::<_, Infallible>(Frame::data(Bytes::from(format!("{line}\n")))),
+                version,
+            ))
         }
     });
     Response::new(StreamBody::new(lines).boxed())
@@ -194,10 +230,16 @@
     loop {
         {
             let state = lock(state);
-            let due = state.changes.iter().find(|c| c.0 > at && c.1.elapsed() >= state.late);
+            let due = state
+                .changes
+                .iter()
+                .find(|c| c.0 > at && c.1.elapsed() >= state.late);
             if let Some((version, _, what, object)) = due {
                 tell(log, to, what, object);
-                return (*version, json!({"type": what, "object": state.seen(to, object.clone())}));
+                return (
+                    *version,
+                    json!({"type": what, "object": state.seen(to, object.clone())}),
+                );
             }
             if quiet.elapsed() >= BOOKMARK {
                 let object = json!({"metadata": {"resourceVersion": at.to_string()}});
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -35,20 +35,36 @@
 const STEP: Duration = Duration::from_millis(50);
 
 impl Store {
-    pub fn start(ground: &Ground, name: &str, address: SocketAddr, nature: Nature) -> std::io::Result<Store> {
+    pub fn start(
+        ground: &Ground,
+        name: &str,
+        address: SocketAddr,
+        nature: Nature,
+    ) -> std::io::Result<Store> {
         let log = ground.log(name)?;
         let slow = Arc::new(Mutex::new(1.0));
         let (now, fetches) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicU64::new(0)));
         let (its_log, its_slow, count) = (log.clone(), slow.clone(), fetches.clone());
         let handle = move |from: SocketAddr, request: hyper::Request<hyper::body::Incoming>| {
-            let (log, slow, now, count) = (its_log.clone(), its_slow.clone(), now.clone(), count.clone());
+            let (log, slow, now, count) = (
+                its_log.clone(),
+                its_slow.clone(),
+                now.clone(),
+                count.clone(),
+            );
             async move {
                 let crowd = now.fetch_add(1, Ordering::SeqCst) + 1;
-                let mb: f64 =
-                    request.uri().query().and_then(|q| q.strip_prefix("mb=")?.parse().ok()).unwrap_or(1.0);
+                let mb: f64 = request
+                    .uri()
+                    .query()
+                    .and_then(|q| q.strip_prefix("mb=")?.parse().ok())
+                    .unwrap_or(1.0);
                 let turned_away = crowd > nature.most;
                 let path = request.uri().path().to_owned();
-                log.write("fetch", json!({"path": path, "from": from.ip().to_string(), "away": turned_away}));
+                log.write(
+                    "fetch",
+                    json!({"path": path, "from": from.ip().to_string(), "away": turned_away}),
+                );
                 if !turned_away {
                     count.fetch_add(1, Ordering::SeqCst);
                     let share = (crowd as f64 / nature.abreast as f64).max(1.0);
@@ -69,7 +85,12 @@
             }
         };
         let server = Server::start(ground, address, Cut::default(), handle)?;
-        Ok(Store { server, log, slow, fetches })
+        Ok(Store {
+            server,
+            log,
+            slow,
+            fetches,
+        })
     }
 
     /// So many times its usual time.
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -238,7 +238,10 @@
             programs,
             memory,
             cut: Cut::default(),
-            faults: Mutex::new(Faults { slow: 1.0, ..Faults::default() }),
+            faults: Mutex::new(Faults {
+                slow: 1.0,
+                ..Faults::default()
+            }),
             drift: Mutex::default(),
             life: Mutex::new(None),
             server: Mutex::new(None),
@@ -264,8 +267,13 @@
         let weak = Arc::downgrade(&self.inner);
         let handle = move |from: SocketAddr, request| serve(weak.clone(), from, request);
         *lock(&self.inner.life) = Some(life);
-        let server = Server::start(&self.inner.ground, self.address, self.inner.cut.clone(), handle)
-            .inspect_err(|_| *lock(&self.inner.life) = None)?;
+        let server = Server::start(
+            &self.inner.ground,
+            self.address,
+            self.inner.cut.clone(),
+            handle,
+        )
+        .inspect_err(|_| *lock(&self.inner.life) = None)?;
         let address = server.address;
         *lock(&self.inner.server) = Some(server);
         *lock(&self.inner.starts) += 1;
@@ -335,7 +343,8 @@
 
     /// Idle copies are gone.
     pub fn flush_copies(&self) {
-        self.inner.remove("evicted", |_| true, json!({"why": "flush"}));
+        self.inner
+            .remove("evicted", |_| true, json!({"why": "flush"}));
     }
 
     pub fn flush(&self) {
@@ -344,40 +353,73 @@
 }
 
 async fn serve(inner: Weak<Inner>, from: SocketAddr, request: Request<Incoming>) -> Response<Body> {
-    let Some(it) = inner.upgrade() else { return full(StatusCode::SERVICE_UNAVAILABLE, "") };
+    let Some(it) = inner.upgrade() else {
+        return full(StatusCode::SERVICE_UNAVAILABLE, "");
+    };
     let path = request.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     let model = |name: &str| percent_decode_str(name).decode_utf8_lossy().into_owned();
-    let versioned = |name: &str, version: &str| format!("{}{VERSIONS}{}", model(name), model(version));
+    let versioned =
+        |name: &str, version: &str| format!("{}{VERSIONS}{}", model(name), model(version));
     match parts.as_slice() {
         ["v2", "health", "live" | "ready"] => full(StatusCode::OK, ""),
-        ["v2", "models", name, "ready"] => {
-            full(if it.stands(&model(name)) { StatusCode::OK } else { StatusCode::NOT_FOUND }, "")
-        }
+        ["v2", "models", name, "ready"] => full(
+            if it.stands(&model(name)) {
+                StatusCode::OK
+            } else {
+                StatusCode::NOT_FOUND
+            },
+            "",
+        ),
         ["v2", "models", name, "versions", version, "ready"] => {
             let stands = it.stands(&versioned(name, version));
-            full(if stands { StatusCode::OK } else { StatusCode::NOT_FOUND }, "")
+            full(
+                if stands {
+                    StatusCode::OK
+                } else {
+                    StatusCode::NOT_FOUND
+                },
+                "",
+            )
         }
         ["v2", "models", name, "infer"] => infer(it, from, model(name), request).await,
         ["v2", "models", name, "versions", version, "infer"] => {
             infer(it, from, versioned(name, version), request).await
         }
         ["v2", "repository", "index"] => index::answer(it, from.ip().to_string(), request).await,
-        ["v2", "repository", "models", name, "load"] => load(it, from.ip(), model(name), request).await,
-        ["v2", "repository", "models", name, "versions", version, "load"] => {
-            load(it, from.ip(), versioned(name, version), request).await
+        ["v2", "repository", "models", name, "load"] => {
+            load(it, from.ip(), model(name), request).await
         }
-        ["v2", "repository", "models", name, "unload"] => unload(&it, from.ip(), &model(name), &request),
-        ["v2", "repository", "models", name, "versions", version, "unload"] => {
-            unload(&it, from.ip(), &versioned(name, version), &request)
+        [
+            "v2",
+            "repository",
+            "models",
+            name,
+            "versions",
+            version,
+            "load",
+        ] => load(it, from.ip(), versioned(name, version), request).await,
+        ["v2", "repository", "models", name, "unload"] => {
+            unload(&it, from.ip(), &model(name), &request)
         }
+        [
+            "v2",
+            "repository",
+            "models",
+            name,
+            "versions",
+            version,
+            "unload",
+        ] => unload(&it, from.ip(), &versioned(name, version), &request),
         _ => full(StatusCode::NOT_FOUND, ""),
     }
 }
 
 fn refuse(status: StatusCode) -> Response<Body> {
     let mut response = full(status, "");
-    response.headers_mut().insert("cedarpulley-ran", HeaderValue::from_static("no"));
+    response
+        .headers_mut()
+        .insert("cedarpulley-ran", HeaderValue::from_static("no"));
     response
 }
 
@@ -404,10 +446,16 @@
     /// True if this one pushes it over.
     fn pushed(&self, work: Duration) -> bool {
         let mut life = lock(&self.life);
-        let Some(life) = life.as_mut() else { return false };
+        let Some(life) = life.as_mut() else {
+            return false;
+        };
         let (now, n) = (Instant::now(), &self.nature);
         life.sent.push_back((now, work));
-        while life.sent.front().is_some_and(|(at, _)| now - *at > n.overload_window) {
+        while life
+            .sent
+            .front()
+            .is_some_and(|(at, _)| now - *at > n.overload_window)
+        {
             life.sent.pop_front();
         }
         if life.warm || life.began.elapsed() >= n.cold_for {
@@ -418,14 +466,29 @@
     }
 
     /// The copy to run on, and, where its load is to be begun now, the number of the process to load it into.
-    fn find(&self, function: &str, program: &Program, may_load: bool, copies: usize) -> (Found, Option<u64>) {
+    fn find(
+        &self,
+        function: &str,
+        program: &Program,
+        may_load: bool,
+        copies: usize,
+    ) -> (Found, Option<u64>) {
         let mut life = lock(&self.life);
-        let Some(life) = life.as_mut() else { return (Found::NoRoom, None) };
+        let Some(life) = life.as_mut() else {
+            return (Found::NoRoom, None);
+        };
         if let Some(copy) = life.copies.get_mut(function) {
             copy.used = Instant::now();
             let waited = copy.stands.is_none();
             if copy.stands != Some(false) {
-                return (Found::Copy { lanes: copy.lanes.clone(), began: false, waited }, None);
+                return (
+                    Found::Copy {
+                        lanes: copy.lanes.clone(),
+                        began: false,
+                        waited,
+                    },
+                    None,
+                );
             }
         }
         if !may_load {
@@ -437,16 +500,24 @@
             return (Found::NoRoom, None);
         }
         while used + needed > self.nature.memory_mb {
-            let idle = life.copies.iter().filter(|(_, c)| c.busy == 0 && c.stands.is_some());
+            let idle = life
+                .copies
+                .iter()
+                .filter(|(_, c)| c.busy == 0 && c.stands.is_some());
             let Some(oldest) = idle.min_by_key(|(_, c)| c.used).map(|(n, _)| n.clone()) else {
                 return (Found::NoRoom, None);
             };
             used -= life.copies.remove(&oldest).map_or(0.0, |c| c.mb);
-            self.log.write("evicted", json!({"function": oldest, "why": "room"}));
+            self.log
+                .write("evicted", json!({"function": oldest, "why": "room"}));
         }
         let lanes = Arc::new(Semaphore::new(0));
         let used = Instant::now();
-        let use_of = Use { parted: 0.0, at_work: 0, since: used };
+        let use_of = Use {
+            parted: 0.0,
+            at_work: 0,
+            since: used,
+        };
         let copy = Copy {
             lanes: lanes.clone(),
             copies,
@@ -460,11 +531,24 @@
         };
         life.copies.insert(function.to_owned(), copy);
         life.loads += 1;
-        (Found::Copy { lanes, began: true, waited: false }, Some(life.number))
+        (
+            Found::Copy {
+                lanes,
+                began: true,
+                waited: false,
+            },
+            Some(life.number),
+        )
     }
 
     /// Fetches from the store and starts up; wakes whoever waits.
-    async fn load(self: Arc<Self>, into: u64, function: String, program: Program, holds: Arc<Mutex<Holds>>) {
+    async fn load(
+        self: Arc<Self>,
+        into: u64,
+        function: String,
+        program: Program,
+        holds: Arc<Mutex<Holds>>,
+    ) {
         let began = Instant::now();
         self.log.write("loading", json!({"function": function}));
         let fetched = fetch(self.store, &function, program.copy_mb).await;
@@ -473,15 +557,23 @@
         }
         let mut life = lock(&self.life);
         // Symptom: a load of a process that crashed made the next one's copy stand before it was there.
-        let Some(life) = life.as_mut().filter(|l| l.number == into) else { return };
+        let Some(life) = life.as_mut().filter(|l| l.number == into) else {
+            return;
+        };
         life.loads = life.loads.saturating_sub(1);
         lock(&holds).add(life, 0.0, began.elapsed().as_secs_f64(), 0.0);
-        let Some(copy) = life.copies.get_mut(&function) else { return };
+        let Some(copy) = life.copies.get_mut(&function) else {
+            return;
+        };
         copy.stands = Some(fetched);
         copy.use_of.since = Instant::now();
         // A failed one lets all that wait go, to be told.
         let lanes = program.lanes * copy.copies;
-        copy.lanes.add_permits(if fetched { lanes } else { self.nature.most_waiting });
+        copy.lanes.add_permits(if fetched {
+            lanes
+        } else {
+            self.nature.most_waiting
+        });
         let by = copy.by.clone();
         if !fetched {
             life.copies.remove(&function);
@@ -516,7 +608,10 @@
     }
 
     fn stands(&self, function: &str) -> bool {
-        lock(&self.life).as_ref().and_then(|l| l.copies.get(function)?.stands) == Some(true)
+        lock(&self.life)
+            .as_ref()
+            .and_then(|l| l.copies.get(function)?.stands)
+            == Some(true)
     }
 
     /// Idle copies of these functions go, each with such a line in the log; how many went.
@@ -556,10 +651,14 @@
     let fetching = async {
         let stream = Async::<std::net::TcpStream>::connect(store).await.ok()?;
         let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(FuturesIo::new(stream)).await.ok()?;
+            hyper::client::conn::http1::handshake(FuturesIo::new(stream))
+                .await
+                .ok()?;
         let path = format!("/{}?mb={mb}", function.replace(['/', '?', ' '], "_"));
-        let request =
-            Request::get(path).header("host", store.to_string()).body(Empty::<Bytes>::new()).ok()?;
+        let request = Request::get(path)
+            .header("host", store.to_string())
+            .body(Empty::<Bytes>::new())
+            .ok()?;
         let answer = async {
             let answer = sender.send_request(request).await.ok()?;
             let ok = answer.status().is_success();
@@ -576,33 +675,58 @@
 }
 
 fn header(request: &Request<Incoming>, name: &str) -> String {
-    request.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned()
+    request
+        .headers()
+        .get(name)
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or_default()
+        .to_owned()
 }
 
 /// Functions begin with their trigger type.
 fn kind_of(function: &str) -> &str {
-    let name = function.split_once(VERSIONS).map_or(function, |(name, _)| name);
+    let name = function
+        .split_once(VERSIONS)
+        .map_or(function, |(name, _)| name);
     name.split(':').next().unwrap_or("")
 }
 
 fn loaded() -> Response<Body> {
     let mut response = full(StatusCode::OK, "");
-    response.headers_mut().insert("cedarpulley-copies", HeaderValue::from_static("1"));
+    response
+        .headers_mut()
+        .insert("cedarpulley-copies", HeaderValue::from_static("1"));
     response
 }
 
-fn unload(it: &Arc<Inner>, from: IpAddr, function: &str, request: &Request<Incoming>) -> Response<Body> {
+fn unload(
+    it: &Arc<Inner>,
+    from: IpAddr,
+    function: &str,
+    request: &Request<Incoming>,
+) -> Response<Body> {
     let by = Orderer::of(request);
     let fields = json!({"from": from.to_string(), "router": by.router, "term": by.term});
-    it.log.write("unload", json!({"function": function, "from": from.to_string(), "router": by.router}));
+    it.log.write(
+        "unload",
+        json!({"function": function, "from": from.to_string(), "router": by.router}),
+    );
     if !it.loses(function, false) {
         it.remove("unloaded", |name| name == function, fields);
     }
     full(StatusCode::OK, "")
 }
 
-async fn load(it: Arc<Inner>, from: IpAddr, function: String, request: Request<Incoming>) -> Response<Body> {
-    let (by, account) = (Orderer::of(&request), header(&request, "cedarpulley-account"));
+async fn load(
+    it: Arc<Inner>,
+    from: IpAddr,
+    function: String,
+    request: Request<Incoming>,
+) -> Response<Body> {
+    let (by, account) = (
+        Orderer::of(&request),
+        header(&request, "cedarpulley-account"),
+    );
     it.log.write(
         "ordered",
         json!({
@@ -611,7 +735,10 @@
         }),
     );
     let refused = |status| {
-        it.log.write("order-refused", json!({"function": function, "from": from.to_string()}));
+        it.log.write(
+            "order-refused",
+            json!({"function": function, "from": from.to_string()}),
+        );
         full(status, "")
     };
     if lock(&it.faults).draining {
@@ -626,15 +753,25 @@
     }
     let (found, begin) = it.find(&function, &program, true, 1);
     if by != Orderer::default()
-        && let Some(copy) = lock(&it.life).as_mut().and_then(|l| l.copies.get_mut(&function))
+        && let Some(copy) = lock(&it.life)
+            .as_mut()
+            .and_then(|l| l.copies.get_mut(&function))
     {
         copy.by = by;
     }
     let holds = it.holds("", &account, &function, &program);
     if let Some(into) = begin {
-        it.ground.executor.spawn(it.clone().load(into, function.clone(), program, holds.clone())).detach();
+        it.ground
+            .executor
+            .spawn(
+                it.clone()
+                    .load(into, function.clone(), program, holds.clone()),
+            )
+            .detach();
     }
-    let Found::Copy { lanes, .. } = found else { return refused(StatusCode::INSUFFICIENT_STORAGE) };
+    let Found::Copy { lanes, .. } = found else {
+        return refused(StatusCode::INSUFFICIENT_STORAGE);
+    };
     // Taken and given back at once: then it stands, or its load failed.
     drop(lanes.acquire().await);
     let mut response = match it.stands(&function) {
@@ -652,15 +789,23 @@
     request: Request<Incoming>,
 ) -> Response<Body> {
     let header = |name: &str| header(&request, name);
-    let (id, dispatch) = (header("cedarpulley-invocation"), header("cedarpulley-dispatch"));
-    let (kind, token) = (header("cedarpulley-trigger-type"), header("idempotency-key"));
+    let (id, dispatch) = (
+        header("cedarpulley-invocation"),
+        header("cedarpulley-dispatch"),
+    );
+    let (kind, token) = (
+        header("cedarpulley-trigger-type"),
+        header("idempotency-key"),
+    );
     let account = header("cedarpulley-account");
     let json_length = header(JSON_LENGTH).parse::<usize>().ok();
     let held_since = it.cut.held_since(from.ip());
     let peer = from.ip();
     let from = peer.to_string();
     let program = it.programs.get(&kind).cloned();
-    let work = program.as_ref().map_or(Duration::ZERO, |p| drawn(it.seed, &id, p.work));
+    let work = program
+        .as_ref()
+        .map_or(Duration::ZERO, |p| drawn(it.seed, &id, p.work));
     it.log.write(
         "received",
         json!({
@@ -669,7 +814,14 @@
         }),
     );
     let (log, cut) = (it.log.clone(), it.cut.clone());
-    let mut leaves = Leaves { log, cut, peer, id: id.clone(), dispatch, how: "closed" };
+    let mut leaves = Leaves {
+        log,
+        cut,
+        peer,
+        id: id.clone(),
+        dispatch,
+        how: "closed",
+    };
     let (parts, body) = request.into_parts();
     let body = Limited::new(body, MOST_BODY).collect().await;
     let (Some(program), Ok(body)) = (program, body) else {
@@ -692,7 +844,9 @@
     }
     let (faults, full_up) = {
         let life = lock(&it.life);
-        let full_up = life.as_ref().is_none_or(|l| l.waiting >= it.nature.most_waiting);
+        let full_up = life
+            .as_ref()
+            .is_none_or(|l| l.waiting >= it.nature.most_waiting);
         (lock(&it.faults).clone(), full_up)
     };
     if faults.draining || full_up {
@@ -715,7 +869,9 @@
     }
     let crowd = {
         let mut life = lock(&it.life);
-        let Some(life) = life.as_mut() else { return refuse(StatusCode::SERVICE_UNAVAILABLE) };
+        let Some(life) = life.as_mut() else {
+            return refuse(StatusCode::SERVICE_UNAVAILABLE);
+        };
         life.waiting += 1;
         let crowd = life.copies.get(&function).map_or(0, |c| c.busy);
         if let Some(copy) = life.copies.get_mut(&function) {
@@ -723,13 +879,20 @@
         }
         crowd
     };
-    let waits = Part(it.clone(), |l: &mut Life| l.waiting = l.waiting.saturating_sub(1));
+    let waits = Part(it.clone(), |l: &mut Life| {
+        l.waiting = l.waiting.saturating_sub(1)
+    });
     let (found, begin) = it.find(&function, &program, it.nature.loads_when_absent, 1);
     let holds = it.holds(&id, &account, &function, &program);
     if let Some(into) = begin {
-        let loading = it.clone().load(into, function.clone(), program.clone(), holds.clone());
+        let loading = it
+            .clone()
+            .load(into, function.clone(), program.clone(), holds.clone());
         it.ground.executor.spawn(loading).detach();
-        if let Some(copy) = lock(&it.life).as_mut().and_then(|l| l.copies.get_mut(&function)) {
+        if let Some(copy) = lock(&it.life)
+            .as_mut()
+            .and_then(|l| l.copies.get_mut(&function))
+        {
             copy.busy += 1;
         }
     }
@@ -741,7 +904,11 @@
         }
     });
     let (lanes, note) = match found {
-        Found::Copy { lanes, began, waited } => (
+        Found::Copy {
+            lanes,
+            began,
+            waited,
+        } => (
             lanes,
             if began {
                 "began"
@@ -764,7 +931,9 @@
     if note != "found" && !it.stands(&function) {
         leaves.how = "refused";
         let mut response = refuse(StatusCode::NOT_FOUND);
-        response.headers_mut().insert("cedarpulley-copy", HeaderValue::from_static("load-errored"));
+        response
+            .headers_mut()
+            .insert("cedarpulley-copy", HeaderValue::from_static("load-errored"));
         return response;
     }
     drop(waits);
@@ -776,7 +945,11 @@
     leaves.how = "ran";
     // As it is when this one's work begins.
     let met = sequence.as_ref().and_then(|s| {
-        let how = lock(&it.life).as_ref()?.copies.get(&function).map_or("rebuilt", |c| c.prefixes.meet(s));
+        let how = lock(&it.life)
+            .as_ref()?
+            .copies
+            .get(&function)
+            .map_or("rebuilt", |c| c.prefixes.meet(s));
         it.log.write(
             "prefix",
             json!({
@@ -786,7 +959,11 @@
         );
         Some(how)
     });
-    let again = if met == Some("rebuilt") { program.prefix } else { Duration::ZERO };
+    let again = if met == Some("rebuilt") {
+        program.prefix
+    } else {
+        Duration::ZERO
+    };
     let (errs, times) = it.ails(&function, &id);
     if let Some(entered) = entered.as_mut() {
         entered.ran = true;
@@ -794,7 +971,9 @@
     if let Some(life) = lock(&it.life).as_mut() {
         life.running += 1;
     }
-    let running = Part(it.clone(), |l: &mut Life| l.running = l.running.saturating_sub(1));
+    let running = Part(it.clone(), |l: &mut Life| {
+        l.running = l.running.saturating_sub(1)
+    });
     let at_work = {
         let mut life = lock(&it.life);
         let joined = life.as_mut().and_then(|life| {
@@ -802,12 +981,19 @@
             lock(&holds).add(life, 0.0, 0.0, idle);
             Some(began)
         });
-        joined.map(|began| AtWork { it: it.clone(), function: function.clone(), began, holds: holds.clone() })
+        joined.map(|began| AtWork {
+            it: it.clone(),
+            function: function.clone(),
+            began,
+            holds: holds.clone(),
+        })
     };
     run(&it, (work + again).mul_f64(times)).await;
     drop(at_work);
     if let Some(sequence) = &sequence
-        && let Some(copy) = lock(&it.life).as_mut().and_then(|l| l.copies.get_mut(&function))
+        && let Some(copy) = lock(&it.life)
+            .as_mut()
+            .and_then(|l| l.copies.get_mut(&function))
     {
         copy.prefixes.ran(sequence);
     }
@@ -831,15 +1017,23 @@
         let life = lock(&it.life);
         let life = life.as_ref();
         let held = life.map_or(0, |l| l.running + l.waiting);
-        (life.map_or(0.0, |l| (l.running as f64 / it.nature.cores).min(1.0)), held)
+        (
+            life.map_or(0.0, |l| (l.running as f64 / it.nature.cores).min(1.0)),
+            held,
+        )
     };
     let metrics = format!("TEXT cpu_utilization={busy:.2}, named_metrics.held={held}");
     let mut response = match errs {
-        true => full(StatusCode::INTERNAL_SERVER_ERROR, r#"{"error":"this version errs"}"#),
+        true => full(
+            StatusCode::INTERNAL_SERVER_ERROR,
+            r#"{"error":"this version errs"}"#,
+        ),
         false => told(answer),
     };
     if let Some(how) = met {
-        response.headers_mut().insert("cedarpulley-prefix", HeaderValue::from_static(how));
+        response
+            .headers_mut()
+            .insert("cedarpulley-prefix", HeaderValue::from_static(how));
     }
     let headers = response.headers_mut();
     headers.insert("content-type", HeaderValue::from_static("application/json"));
@@ -855,7 +1049,9 @@
 /// Raw tensors come back as they came; of others only the name is told.
 fn echoed(function: &str, id: &str, json_length: Option<usize>, body: &Bytes) -> Told {
     let mut outputs = json!([]);
-    let raw = json_length.filter(|n| n < &body.len()).map(|n| body.slice(n..));
+    let raw = json_length
+        .filter(|n| n < &body.len())
+        .map(|n| body.slice(n..));
     if let (Some(n), Some(_)) = (json_length, &raw) {
         let head = serde_json::from_slice::<serde_json::Value>(&body[..n]).unwrap_or_default();
         outputs = head.get("inputs").cloned().unwrap_or(outputs);
@@ -863,14 +1059,19 @@
     let head = json!({"model_name": function, "id": id, "outputs": outputs}).to_string();
     match raw {
         None => (Bytes::from(head), None),
-        Some(raw) => (Bytes::from([head.as_bytes(), &raw].concat()), Some(head.len())),
+        Some(raw) => (
+            Bytes::from([head.as_bytes(), &raw].concat()),
+            Some(head.len()),
+        ),
     }
 }
 
 fn told((body, json): Told) -> Response<Body> {
     let mut response = full(StatusCode::OK, body);
     if let Some(json) = json {
-        response.headers_mut().insert(JSON_LENGTH, HeaderValue::from(json));
+        response
+            .headers_mut()
+            .insert(JSON_LENGTH, HeaderValue::from(json));
     }
     response
 }
@@ -883,7 +1084,11 @@
         return None;
     }
     memory.insert(token.to_owned(), (Instant::now(), None));
-    Some(Entered { memory: it.memory.clone(), token: token.to_owned(), ran: false })
+    Some(Entered {
+        memory: it.memory.clone(),
+        token: token.to_owned(),
+        ran: false,
+    })
 }
 
 /// The answer to a token that is known.
@@ -891,14 +1096,20 @@
     it.log.write("repeat", json!({"id": id, "token": token}));
     let until = Instant::now() + REPEAT_WAITS;
     while Instant::now() < until {
-        let seen = lock(&it.memory.0).get(token).filter(|(at, _)| at.elapsed() < window).cloned();
+        let seen = lock(&it.memory.0)
+            .get(token)
+            .filter(|(at, _)| at.elapsed() < window)
+            .cloned();
         match seen {
             Some((_, Some(answer))) => return told(answer),
             Some((_, None)) => Timer::after(STEP).await,
             None => break,
         };
     }
-    full(StatusCode::INTERNAL_SERVER_ERROR, "the first one has not ended")
+    full(
+        StatusCode::INTERNAL_SERVER_ERROR,
+        "the first one has not ended",
+    )
 }
 
 /// Advances with its part of the cores until the work is done.
@@ -914,7 +1125,11 @@
             }
             None => 0.0,
         };
-        let step = if pace > 0.0 { STEP.as_secs_f64().min(left / pace) } else { STEP.as_secs_f64() };
+        let step = if pace > 0.0 {
+            STEP.as_secs_f64().min(left / pace)
+        } else {
+            STEP.as_secs_f64()
+        };
         let began = Instant::now();
         Timer::after(Duration::from_secs_f64(step)).await;
         left -= began.elapsed().as_secs_f64() * pace;
--- a/crates/standins/src/worker/drift.rs
+++ b/crates/standins/src/worker/drift.rs
@@ -45,24 +45,39 @@
 impl Worker {
     /// Gone without a word, if it stands there idle.
     pub fn evict(&self, function: &str) -> bool {
-        self.inner.remove("evicted", |name| name == function, json!({"why": "unseen"})) > 0
+        self.inner
+            .remove("evicted", |name| name == function, json!({"why": "unseen"}))
+            > 0
     }
 
     /// Of the idle copies so many, drawn; their functions.
     pub fn evict_idle(&self, seed: u64, most: usize) -> Vec<String> {
-        let idle = self.held().into_iter().filter(|h| h.busy == 0 && h.state == "READY");
+        let idle = self
+            .held()
+            .into_iter()
+            .filter(|h| h.busy == 0 && h.state == "READY");
         let idle: Vec<String> = idle.map(|h| h.function).collect();
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let drawn = idle.sample(&mut random, most);
-        drawn.filter(|function| self.evict(function)).cloned().collect()
+        drawn
+            .filter(|function| self.evict(function))
+            .cloned()
+            .collect()
     }
 
     /// Somebody whom no router knows uses it, or no more. False if it does not stand there.
     pub fn use_unseen(&self, function: &str, on: bool) -> bool {
         let mut life = lock(&self.inner.life);
-        let copy = life.as_mut().and_then(|l| l.copies.get_mut(function)).filter(|c| c.stands == Some(true));
+        let copy = life
+            .as_mut()
+            .and_then(|l| l.copies.get_mut(function))
+            .filter(|c| c.stands == Some(true));
         let Some(copy) = copy else { return false };
-        copy.busy = if on { copy.busy + 1 } else { copy.busy.saturating_sub(1) };
+        copy.busy = if on {
+            copy.busy + 1
+        } else {
+            copy.busy.saturating_sub(1)
+        };
         copy.used = Instant::now();
         true
     }
@@ -84,7 +99,11 @@
         let mut drift = lock(&self.inner.drift);
         drift.ails.retain(|a| a.suffix != suffix);
         if errored_part > 0.0 || slow_times != 1.0 {
-            drift.ails.push(Ail { suffix: suffix.to_owned(), errored_part, slow_times });
+            drift.ails.push(Ail {
+                suffix: suffix.to_owned(),
+                errored_part,
+                slow_times,
+            });
         }
     }
 }
@@ -93,12 +112,17 @@
     /// Whether this order is lost.
     pub(super) fn loses(&self, function: &str, load: bool) -> bool {
         let mut drift = lock(&self.drift);
-        let left = if load { &mut drift.lost_loads } else { &mut drift.lost_unloads };
+        let left = if load {
+            &mut drift.lost_loads
+        } else {
+            &mut drift.lost_unloads
+        };
         if *left == 0 {
             return false;
         }
         *left -= 1;
-        self.log.write("order-lost", json!({"function": function, "load": load}));
+        self.log
+            .write("order-lost", json!({"function": function, "load": load}));
         true
     }
 
@@ -109,7 +133,8 @@
         let Some(ail) = drift.ails.iter().find(|a| function.ends_with(&a.suffix)) else {
             return (false, 1.0);
         };
-        let hash = BuildHasherDefault::<DefaultHasher>::default().hash_one((self.seed, id, &ail.suffix));
+        let hash =
+            BuildHasherDefault::<DefaultHasher>::default().hash_one((self.seed, id, &ail.suffix));
         let draw: f64 = Pcg64Mcg::seed_from_u64(hash).random();
         (draw < ail.errored_part, ail.slow_times)
     }
@@ -128,7 +153,10 @@
     let mut all = Vec::new();
     let lied = |how: &str, entry: &Value| {
         let (name, version) = (&entry["name"], &entry["version"]);
-        it.log.write("lied", json!({"how": how, "name": name, "version": version}));
+        it.log.write(
+            "lied",
+            json!({"how": how, "name": name, "version": version}),
+        );
     };
     for mut entry in entries {
         let mut draws = |part: f64| random.random::<f64>() < part;
@@ -136,7 +164,8 @@
         let (miscounted, contradicted) = (draws(lies.miscounted), draws(lies.contradicted));
         if miscounted {
             lied("miscounted", &entry);
-            entry["parameters"]["copies"] = (entry["parameters"]["copies"].as_u64().unwrap_or(0) + 1).into();
+            entry["parameters"]["copies"] =
+                (entry["parameters"]["copies"].as_u64().unwrap_or(0) + 1).into();
         }
         let (mut other, mut again) = (entry.clone(), entry.clone());
         match dropped {
--- a/crates/standins/src/worker/held.rs
+++ b/crates/standins/src/worker/held.rs
@@ -63,8 +63,15 @@
 impl Holds {
     /// Into the totals of this process's life for its account and function.
     pub(super) fn add(&mut self, life: &mut Life, running: f64, loading: f64, idle: f64) {
-        let totals = life.totals.entry((self.account.clone(), self.function.clone())).or_default();
-        let parts = [(running, &mut self.running), (loading, &mut self.loading), (idle, &mut self.idle)];
+        let totals = life
+            .totals
+            .entry((self.account.clone(), self.function.clone()))
+            .or_default();
+        let parts = [
+            (running, &mut self.running),
+            (loading, &mut self.loading),
+            (idle, &mut self.idle),
+        ];
         for ((seconds, own), total) in parts.into_iter().zip(totals) {
             let time = (seconds * 1e6) as u64;
             *own += time;
@@ -112,11 +119,17 @@
 pub(super) fn report(response: &mut Response<Body>, holds: &Mutex<Holds>) {
     let (it, key) = {
         let holds = lock(holds);
-        (holds.it.clone(), (holds.account.clone(), holds.function.clone()))
+        (
+            holds.it.clone(),
+            (holds.account.clone(), holds.function.clone()),
+        )
     };
     let told = lock(&it.life).as_ref().map(|life| {
         let [running, loading, idle] = life.totals.get(&key).copied().unwrap_or_default();
-        format!("life={}, running={running}, loading={loading}, idle={idle}", life.number)
+        format!(
+            "life={}, running={running}, loading={loading}, idle={idle}",
+            life.number
+        )
     });
     if let Some(held) = told.and_then(|h| HeaderValue::from_str(&h).ok()) {
         response.headers_mut().insert(HELD, held);
--- a/crates/standins/src/worker/index.rs
+++ b/crates/standins/src/worker/index.rs
@@ -30,7 +30,10 @@
 impl Orderer {
     pub(super) fn of(request: &Request<Incoming>) -> Self {
         let said = |name: &str| Some(header(request, name)).filter(|v| !v.is_empty());
-        Orderer { router: said("cedarpulley-router"), term: said("cedarpulley-term") }
+        Orderer {
+            router: said("cedarpulley-router"),
+            term: said("cedarpulley-term"),
+        }
     }
 }
 
@@ -74,7 +77,10 @@
 impl Worker {
     /// What it holds in truth, by name.
     pub fn held(&self) -> Vec<Held> {
-        lock(&self.inner.life).as_ref().map(held).unwrap_or_default()
+        lock(&self.inner.life)
+            .as_ref()
+            .map(held)
+            .unwrap_or_default()
     }
 
     /// The number of its present process; 0 while there is none.
@@ -95,7 +101,11 @@
             },
             copies: c.copies,
             busy: c.busy,
-            idle_us: if c.busy > 0 { 0 } else { c.used.elapsed().as_micros() as u64 },
+            idle_us: if c.busy > 0 {
+                0
+            } else {
+                c.used.elapsed().as_micros() as u64
+            },
             by: c.by.clone(),
             sequences: c.prefixes.ids(),
         });
@@ -104,22 +114,46 @@
     all
 }
 
-pub(super) async fn answer(it: Arc<Inner>, from: String, request: Request<Incoming>) -> Response<Body> {
-    let body = Limited::new(request.into_body(), MOST_QUESTION).collect().await;
-    let Ok(body) = body else { return full(StatusCode::BAD_REQUEST, "") };
+pub(super) async fn answer(
+    it: Arc<Inner>,
+    from: String,
+    request: Request<Incoming>,
+) -> Response<Body> {
+    let body = Limited::new(request.into_body(), MOST_QUESTION)
+        .collect()
+        .await;
+    let Ok(body) = body else {
+        return full(StatusCode::BAD_REQUEST, "");
+    };
     let asked: Value = serde_json::from_slice(&body.to_bytes()).unwrap_or_default();
     it.while_still().await;
     // All of one moment.
-    let moment =
-        lock(&it.life).as_ref().map(|l| (l.number, l.copies.values().map(|c| c.mb).sum::<f64>(), held(l)));
-    let Some((life, used, held)) = moment else { return full(StatusCode::SERVICE_UNAVAILABLE, "") };
-    let held = held.iter().filter(|h| asked["ready"] != true || h.state == "READY");
+    let moment = lock(&it.life).as_ref().map(|l| {
+        (
+            l.number,
+            l.copies.values().map(|c| c.mb).sum::<f64>(),
+            held(l),
+        )
+    });
+    let Some((life, used, held)) = moment else {
+        return full(StatusCode::SERVICE_UNAVAILABLE, "");
+    };
+    let held = held
+        .iter()
+        .filter(|h| asked["ready"] != true || h.state == "READY");
     let entries = told(&it, held.map(Held::entry).collect());
-    it.log.write("index", json!({"from": from, "entries": entries.len()}));
+    it.log
+        .write("index", json!({"from": from, "entries": entries.len()}));
     let mut response = full(StatusCode::OK, Value::from(entries).to_string());
-    let figures = [(LIFE, life), (MEMORY, it.nature.memory_mb as u64), (MEMORY_USED, used.ceil() as u64)];
+    let figures = [
+        (LIFE, life),
+        (MEMORY, it.nature.memory_mb as u64),
+        (MEMORY_USED, used.ceil() as u64),
+    ];
     for (name, figure) in figures {
-        response.headers_mut().insert(name, HeaderValue::from(figure));
+        response
+            .headers_mut()
+            .insert(name, HeaderValue::from(figure));
     }
     response
 }
--- a/crates/standins/src/worker/sequences.rs
+++ b/crates/standins/src/worker/sequences.rs
@@ -17,7 +17,12 @@
 
 /// As the headers say it, else as the JSON's `parameters` do; what is neither belongs to none.
 pub(super) fn of(headers: &HeaderMap, json: &[u8]) -> Option<Sequence> {
-    let text = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default();
+    let text = |name: &str| {
+        headers
+            .get(name)
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or_default()
+    };
     if !text("cedarpulley-sequence-id").is_empty() {
         let flag = |name: &str| text(name) == "true";
         return Some(Sequence {
@@ -41,7 +46,11 @@
     let flag = |name: &str| parameters[name].as_bool() == Some(true);
     // An empty one, or 0, means none.
     let none = id.is_empty() || id == "0";
-    (!none).then(|| Sequence { id, start: flag("sequence_start"), end: flag("sequence_end") })
+    (!none).then(|| Sequence {
+        id,
+        start: flag("sequence_start"),
+        end: flag("sequence_end"),
+    })
 }
 
 #[derive(Default)]
--- a/crates/standins/tests/worker.rs
+++ b/crates/standins/tests/worker.rs
@@ -19,7 +19,11 @@
 fn standing(copies: f64) -> Standing {
     let ground = Ground::new(2, None).expect("threads");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let nature = store::Nature { mb_per_s: 1e6, abreast: 8, most: 64 };
+    let nature = store::Nature {
+        mb_per_s: 1e6,
+        abreast: 8,
+        most: 64,
+    };
     let store = Store::start(&ground, "store", any, nature).expect("a store");
     let program = Program {
         work: Duration::from_millis(1),
@@ -29,11 +33,26 @@
         window: None,
         prefix: Duration::from_millis(1),
     };
-    let nature = Nature { memory_mb: copies * 10.0, ..Nature::roomy(4.0) };
+    let nature = Nature {
+        memory_mb: copies * 10.0,
+        ..Nature::roomy(4.0)
+    };
     let programs = HashMap::from([("chat".to_owned(), program)]);
     let at = store.server.address;
-    let worker = Worker::start(&ground, "worker", any, 1, nature, at, programs, Memory::default());
-    Standing { worker: worker.expect("a worker"), _store: store }
+    let worker = Worker::start(
+        &ground,
+        "worker",
+        any,
+        1,
+        nature,
+        at,
+        programs,
+        Memory::default(),
+    );
+    Standing {
+        worker: worker.expect("a worker"),
+        _store: store,
+    }
 }
 
 struct Answer {
@@ -44,7 +63,10 @@
 
 impl Answer {
     fn header(&self, name: &str) -> &str {
-        let line = self.head.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(": "));
+        let line = self
+            .head
+            .lines()
+            .find_map(|l| l.strip_prefix(name)?.strip_prefix(": "));
         line.unwrap_or_default()
     }
 }
@@ -53,18 +75,34 @@
     let mut stream = TcpStream::connect(worker.address).expect("a worker");
     let body = body.to_string();
     let mut request = format!("POST {path} HTTP/1.1\r\nhost: w\r\nconnection: close\r\n");
-    headers.iter().for_each(|(name, value)| request += &format!("{name}: {value}\r\n"));
+    headers
+        .iter()
+        .for_each(|(name, value)| request += &format!("{name}: {value}\r\n"));
     request += &format!("content-length: {}\r\n\r\n{body}", body.len());
     stream.write_all(request.as_bytes()).expect("sent");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
     let (head, body) = answer.split_once("\r\n\r\n").expect("a whole answer");
-    let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
-    Answer { status, head: head.to_owned(), body: serde_json::from_str(body).unwrap_or_default() }
+    let status = head
+        .split(' ')
+        .nth(1)
+        .and_then(|s| s.parse().ok())
+        .expect("a status");
+    Answer {
+        status,
+        head: head.to_owned(),
+        body: serde_json::from_str(body).unwrap_or_default(),
+    }
 }
 
 fn order(worker: &Worker, function: &str, what: &str, headers: &[(&str, &str)]) -> u16 {
-    post(worker, &format!("/v2/repository/models/{function}/{what}"), headers, &json!({})).status
+    post(
+        worker,
+        &format!("/v2/repository/models/{function}/{what}"),
+        headers,
+        &json!({}),
+    )
+    .status
 }
 
 fn index(worker: &Worker) -> Answer {
@@ -72,12 +110,23 @@
 }
 
 /// An invocation's prefix as the answer says it.
-fn infer(worker: &Worker, function: &str, headers: &[(&str, &str)], parameters: &Value) -> (u16, String) {
-    let mut all = vec![("cedarpulley-trigger-type", "chat"), ("cedarpulley-invocation", "i1")];
+fn infer(
+    worker: &Worker,
+    function: &str,
+    headers: &[(&str, &str)],
+    parameters: &Value,
+) -> (u16, String) {
+    let mut all = vec![
+        ("cedarpulley-trigger-type", "chat"),
+        ("cedarpulley-invocation", "i1"),
+    ];
     all.extend(headers);
     let body = json!({"inputs": [], "parameters": parameters});
     let answer = post(worker, &format!("/v2/models/{function}/infer"), &all, &body);
-    (answer.status, answer.header("cedarpulley-prefix").to_owned())
+    (
+        answer.status,
+        answer.header("cedarpulley-prefix").to_owned(),
+    )
 }
 
 fn functions(worker: &Worker) -> Vec<String> {
@@ -95,7 +144,10 @@
     let told = index(worker);
     assert_eq!(told.header("cedarpulley-life"), worker.life().to_string());
     assert_eq!(
-        (told.header("cedarpulley-memory-mb"), told.header("cedarpulley-memory-used-mb")),
+        (
+            told.header("cedarpulley-memory-mb"),
+            told.header("cedarpulley-memory-used-mb")
+        ),
         ("40", "30")
     );
     let entries = told.body.as_array().expect("entries");
@@ -109,7 +161,10 @@
     assert_eq!(said(2, keys), is("chat:4", None));
     let of = &entries[1]["parameters"];
     assert_eq!((&of["copies"], &of["busy"]), (&json!(1), &json!(0)));
-    assert_eq!((&of["ordered_by"], &of["term"]), (&json!("r1"), &json!("7.0")));
+    assert_eq!(
+        (&of["ordered_by"], &of["term"]),
+        (&json!("r1"), &json!("7.0"))
+    );
     assert_eq!(entries[0]["parameters"].get("ordered_by"), None);
 
     // A later order's name and term are kept instead.
@@ -134,18 +189,39 @@
     let (old, new) = ("chat%3A1/versions/1", "chat%3A1/versions/2");
     let on = json!({"sequence_id": "s1"});
     let none = json!({});
-    assert_eq!(infer(worker, old, &[], &json!({"sequence_id": "s1", "sequence_start": true})).1, "begun");
+    assert_eq!(
+        infer(
+            worker,
+            old,
+            &[],
+            &json!({"sequence_id": "s1", "sequence_start": true})
+        )
+        .1,
+        "begun"
+    );
     assert_eq!(infer(worker, old, &[], &on).1, "found");
     // Headers say it as well.
     let headers = [("cedarpulley-sequence-id", "s1")];
     assert_eq!(infer(worker, old, &headers, &none).1, "found");
     // Another copy has nothing of it; nor has another sequence.
     assert_eq!(infer(worker, new, &[], &on).1, "rebuilt");
-    assert_eq!(infer(worker, old, &[], &json!({"sequence_id": 7})).1, "rebuilt");
+    assert_eq!(
+        infer(worker, old, &[], &json!({"sequence_id": 7})).1,
+        "rebuilt"
+    );
     assert_eq!(infer(worker, old, &[], &none).1, "");
     assert_eq!(worker.held()[0].sequences, ["s1", "7"]);
     // An end frees it, an eviction loses all.
-    assert_eq!(infer(worker, old, &[], &json!({"sequence_id": 7, "sequence_end": true})).1, "found");
+    assert_eq!(
+        infer(
+            worker,
+            old,
+            &[],
+            &json!({"sequence_id": 7, "sequence_end": true})
+        )
+        .1,
+        "found"
+    );
     assert_eq!(worker.held()[0].sequences, ["s1"]);
     assert!(worker.evict("chat:1/versions/1"));
     assert_eq!(infer(worker, old, &[], &on).1, "rebuilt");
@@ -160,8 +236,20 @@
     worker.lose_orders(1, 1);
     assert_eq!((load("chat%3A1"), functions(worker).len()), (200, 0));
     assert_eq!((load("chat%3A1"), functions(worker).len()), (200, 1));
-    assert_eq!((order(worker, "chat%3A1", "unload", &[]), functions(worker).len()), (200, 1));
-    assert_eq!((order(worker, "chat%3A1", "unload", &[]), functions(worker).len()), (200, 0));
+    assert_eq!(
+        (
+            order(worker, "chat%3A1", "unload", &[]),
+            functions(worker).len()
+        ),
+        (200, 1)
+    );
+    assert_eq!(
+        (
+            order(worker, "chat%3A1", "unload", &[]),
+            functions(worker).len()
+        ),
+        (200, 0)
+    );
     let _ = ["chat%3A1", "chat%3A2", "chat%3A3", "chat%3A4"].map(load);
     let drawn = worker.evict_idle(3, 2);
     assert_eq!((drawn.len(), functions(worker).len()), (2, 2));
@@ -174,10 +262,35 @@
         worker.lies(Some(lies));
         index(worker).body.as_array().expect("entries").clone()
     };
-    assert!(told(Lies { dropped: 1.0, ..Lies::default() }).is_empty());
-    assert_eq!(told(Lies { added: 1.0, ..Lies::default() }).len(), 8);
-    assert_eq!(told(Lies { contradicted: 1.0, ..Lies::default() })[1]["state"], "UNAVAILABLE");
-    assert_eq!(told(Lies { miscounted: 1.0, ..Lies::default() })[0]["parameters"]["copies"], 2);
+    assert!(
+        told(Lies {
+            dropped: 1.0,
+            ..Lies::default()
+        })
+        .is_empty()
+    );
+    assert_eq!(
+        told(Lies {
+            added: 1.0,
+            ..Lies::default()
+        })
+        .len(),
+        8
+    );
+    assert_eq!(
+        told(Lies {
+            contradicted: 1.0,
+            ..Lies::default()
+        })[1]["state"],
+        "UNAVAILABLE"
+    );
+    assert_eq!(
+        told(Lies {
+            miscounted: 1.0,
+            ..Lies::default()
+        })[0]["parameters"]["copies"],
+        2
+    );
     worker.lies(None);
     assert_eq!(index(worker).body.as_array().map(Vec::len), Some(4));
 }
@@ -191,7 +304,10 @@
         let ids = (0..40).map(|n| format!("i{n}"));
         let path = format!("/v2/models/chat%3A1/versions/{version}/infer");
         let of = |id: String| {
-            let headers = [("cedarpulley-trigger-type", "chat"), ("cedarpulley-invocation", id.as_str())];
+            let headers = [
+                ("cedarpulley-trigger-type", "chat"),
+                ("cedarpulley-invocation", id.as_str()),
+            ];
             post(worker, &path, &headers, &json!({})).status == 500
         };
         ids.filter(|id| of(id.clone())).count()
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -26,7 +26,11 @@
     #[error("setting {path} lies too deep")]
     TooDeep { path: String },
     #[error("setting {path}={value} is not {wanted}")]
-    Misread { path: String, value: String, wanted: &'static str },
+    Misread {
+        path: String,
+        value: String,
+        wanted: &'static str,
+    },
     #[error("setting {path}={value} is a word that has no meaning here")]
     Unknown { path: String, value: String },
     #[error("setting {path}={value} does not fit the settings that were given")]
@@ -38,7 +42,9 @@
         match self {
             SettingsError::NoObject => "give the settings as one JSON object",
             SettingsError::NoPair { .. } => "give each setting as PATH=VALUE, set apart by blanks",
-            SettingsError::TooDeep { .. } => "take it out: no setting that counts here nests so deep",
+            SettingsError::TooDeep { .. } => {
+                "take it out: no setting that counts here nests so deep"
+            }
             SettingsError::Misread { .. } => {
                 "give it what the cause names; times are whole nanoseconds, flags true or false"
             }
@@ -83,12 +89,16 @@
     pub fn pairs(text: &'a str) -> Result<Self> {
         let mut values = HashMap::new();
         for part in text.split(' ').filter(|p| !p.is_empty()) {
-            let (path, value) =
-                part.split_once('=').ok_or_else(|| SettingsError::NoPair { part: part.to_owned() })?;
+            let (path, value) = part.split_once('=').ok_or_else(|| SettingsError::NoPair {
+                part: part.to_owned(),
+            })?;
             let value = Some(Cow::Borrowed(value)).filter(|value| value != "-");
             values.insert(Cow::Borrowed(path), value);
         }
-        Ok(Self { values, lists: HashMap::new() })
+        Ok(Self {
+            values,
+            lists: HashMap::new(),
+        })
     }
 
     /// The same as nested JSON.
@@ -105,7 +115,13 @@
         if depth >= DEEPEST {
             return Err(SettingsError::TooDeep { path });
         }
-        let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+        let below = |name: &str| {
+            if path.is_empty() {
+                name.to_owned()
+            } else {
+                format!("{path}.{name}")
+            }
+        };
         match value {
             Value::Object(fields) => {
                 for (name, value) in fields {
@@ -113,7 +129,8 @@
                 }
             }
             Value::Array(items) if items.iter().any(|i| i.is_object() || i.is_array()) => {
-                self.values.insert(below("count").into(), Some(items.len().to_string().into()));
+                self.values
+                    .insert(below("count").into(), Some(items.len().to_string().into()));
                 for (n, item) in items.iter().enumerate() {
                     self.flatten(below(&n.to_string()), item, depth + 1)?;
                 }
@@ -121,12 +138,14 @@
             Value::Array(items) => {
                 let items: Vec<String> = items.iter().map(plain).collect();
                 // Where one value belongs a list is found, and refused.
-                self.values.insert(path.clone().into(), Some(items.join(",").into()));
+                self.values
+                    .insert(path.clone().into(), Some(items.join(",").into()));
                 self.lists.insert(path, items);
             }
             value => {
                 let value = Some(value).filter(|value| !value.is_null());
-                self.values.insert(path.into(), value.map(|value| plain(value).into()));
+                self.values
+                    .insert(path.into(), value.map(|value| plain(value).into()));
             }
         }
         Ok(())
@@ -141,8 +160,15 @@
     pub fn list(&self, path: &str) -> impl Iterator<Item = &str> {
         let nested = self.lists.get(path);
         let joined = self.text(path).filter(|_| nested.is_none());
-        let joined = joined.into_iter().flat_map(|v| v.split(',')).filter(|v| !v.is_empty());
-        nested.into_iter().flatten().map(String::as_str).chain(joined)
+        let joined = joined
+            .into_iter()
+            .flat_map(|v| v.split(','))
+            .filter(|v| !v.is_empty());
+        nested
+            .into_iter()
+            .flatten()
+            .map(String::as_str)
+            .chain(joined)
     }
 
     /// A number, or `absent` where there is none.
@@ -160,7 +186,10 @@
     pub fn time(&self, path: &str, absent: Micros) -> Result<Micros> {
         match self.text(path) {
             None => Ok(absent),
-            Some(v) => v.parse::<i64>().map(micros).map_err(|_| misread(path, v, "a time")),
+            Some(v) => v
+                .parse::<i64>()
+                .map(micros)
+                .map_err(|_| misread(path, v, "a time")),
         }
     }
 
@@ -178,7 +207,10 @@
     pub fn count(&self, list: &str) -> Result<usize> {
         let n = self.number(&format!("{list}.count"), 0.0)?;
         if n < 0.0 || n.fract() != 0.0 || n > self.values.len() as f64 {
-            return Err(SettingsError::Miscounted { path: format!("{list}.count"), value: n.to_string() });
+            return Err(SettingsError::Miscounted {
+                path: format!("{list}.count"),
+                value: n.to_string(),
+            });
         }
         Ok(n as usize)
     }
@@ -188,11 +220,18 @@
 const NEVER: Micros = i64::MAX / 8;
 
 fn misread(path: &str, value: &str, wanted: &'static str) -> SettingsError {
-    SettingsError::Misread { path: path.to_owned(), value: value.to_owned(), wanted }
+    SettingsError::Misread {
+        path: path.to_owned(),
+        value: value.to_owned(),
+        wanted,
+    }
 }
 
 fn unknown<T>(path: &str, value: &str) -> Result<T> {
-    Err(SettingsError::Unknown { path: path.to_owned(), value: value.to_owned() })
+    Err(SettingsError::Unknown {
+        path: path.to_owned(),
+        value: value.to_owned(),
+    })
 }
 
 fn plain(value: &Value) -> String {
@@ -205,7 +244,11 @@
 
 /// The longest that any client waits.
 fn longest_wait(triggers: &[TriggerType]) -> Micros {
-    triggers.iter().map(|trigger| trigger.client_timeout).max().unwrap_or(NEVER)
+    triggers
+        .iter()
+        .map(|trigger| trigger.client_timeout)
+        .max()
+        .unwrap_or(NEVER)
 }
 
 /// Names on the sockets; their places in the lists are the module's indices.
@@ -224,7 +267,10 @@
 impl Names {
     /// The index of a trigger type.
     pub fn trigger(&self, name: &str) -> Option<u32> {
-        self.triggers.iter().position(|n| n == name).map(|i| i as u32)
+        self.triggers
+            .iter()
+            .position(|n| n == name)
+            .map(|i| i as u32)
     }
 
     /// Without accounts all belong to one.
@@ -232,7 +278,11 @@
         match name {
             None => Some(0),
             Some(_) if self.accounts.is_empty() => Some(0),
-            Some(name) => self.accounts.iter().position(|n| n == name).map(|i| i as u32),
+            Some(name) => self
+                .accounts
+                .iter()
+                .position(|n| n == name)
+                .map(|i| i as u32),
         }
     }
 }
@@ -320,7 +370,10 @@
             triggers.push(TriggerType {
                 effect: match p.text(&key("effect")) {
                     Some("retryable") => Effect::Idempotent,
-                    Some("dedup") => Effect::Tokened { group, window: p.time(&key("window"), 0)? },
+                    Some("dedup") => Effect::Tokened {
+                        group,
+                        window: p.time(&key("window"), 0)?,
+                    },
                     Some("fragile") | None => Effect::NonIdempotent,
                     Some(v) => return unknown(&key("effect"), v),
                 },
@@ -343,7 +396,10 @@
         }
         let mut memory_mb = Vec::new();
         for v in p.list("familyInfo.machineMb") {
-            memory_mb.push(v.parse().map_err(|_| misread("familyInfo.machineMb", v, "a list of numbers"))?);
+            memory_mb.push(
+                v.parse()
+                    .map_err(|_| misread("familyInfo.machineMb", v, "a list of numbers"))?,
+            );
         }
         let loads = LoadTerms {
             idle_kept: p.time("familyInfo.staysLoaded", 0)?,
@@ -377,7 +433,16 @@
             Some("none") | None => ReportsIn::Nothing,
             Some(v) => return unknown("stats.how", v),
         };
-        Ok(StartupSettings { fleet, limits, rules, triggers, accounts, loads, prices, reports })
+        Ok(StartupSettings {
+            fleet,
+            limits,
+            rules,
+            triggers,
+            accounts,
+            loads,
+            prices,
+            reports,
+        })
     }
 }
 
