--- a/crates/startup/tests/settings.rs
+++ b/crates/startup/tests/settings.rs
@@ -40,7 +40,14 @@
         prefers: None,
     };
     let mut actions = Vec::new();
-    control.decide(0, &Event::List { mode: ListMode::Complete, entries: &[worker] }, &mut actions);
+    control.decide(
+        0,
+        &Event::List {
+            mode: ListMode::Complete,
+            entries: &[worker],
+        },
+        &mut actions,
+    );
     control.decide(1, &Event::Invocation(arrival), &mut actions);
     actions
 }
@@ -50,7 +57,10 @@
 fn a_name_in_a_list_may_hold_a_comma() {
     let settings = json!({"zones": ["hall a, north", "", "hall b"], "kinds": []});
     let raw = RawSettings::nested(&settings).expect("an object");
-    assert_eq!(raw.list("zones").collect::<Vec<_>>(), ["hall a, north", "", "hall b"]);
+    assert_eq!(
+        raw.list("zones").collect::<Vec<_>>(),
+        ["hall a, north", "", "hall b"]
+    );
     assert_eq!(raw.list("kinds").count() + raw.list("absent").count(), 0);
 }
 
@@ -65,10 +75,21 @@
 /// Symptom: without an aim the module takes the work of a class to be endless and gives up each of its requests at once.
 #[test]
 fn a_class_without_an_aim_is_served() {
-    let service = json!({"name": "run", "hardLimit": 2_000_000_000, "effect": "retryable", "aim": null});
-    let settings = read(&json!({"services": [service], "familyInfo": {"staysLoaded": 10_000_000_000i64}}));
+    let service =
+        json!({"name": "run", "hardLimit": 2_000_000_000, "effect": "retryable", "aim": null});
+    let settings =
+        read(&json!({"services": [service], "familyInfo": {"staysLoaded": 10_000_000_000i64}}));
     let actions = first_actions(&settings, 2 * SECOND);
-    let sent = |a: &Action| matches!(a, Action::Dispatch { inv: 0, worker: 0, .. });
+    let sent = |a: &Action| {
+        matches!(
+            a,
+            Action::Dispatch {
+                inv: 0,
+                worker: 0,
+                ..
+            }
+        )
+    };
     assert!(actions.iter().any(sent), "{actions:?}");
     assert_eq!(settings.triggers[0].latency_objective, 2 * SECOND);
 }
@@ -80,8 +101,7 @@
     let services = [service(600_000_000), service(2_000_000_000)];
     let settings = json!({"services": services, "familyInfo": {"mayLoad": true}});
     assert_eq!(read(&settings).loads.order_answered_within, 2 * SECOND);
-    let named =
-        json!({"services": services, "familyInfo": {"mayLoad": true, "answerWithin": 7_000_000_000i64}});
+    let named = json!({"services": services, "familyInfo": {"mayLoad": true, "answerWithin": 7_000_000_000i64}});
     assert_eq!(read(&named).loads.order_answered_within, 7 * SECOND);
 }
 
@@ -91,9 +111,17 @@
     let settings = json!({"orgs": [{"name": "-", "share": null}]});
     let raw = RawSettings::nested(&settings).expect("an object");
     assert_eq!(raw.text("orgs.0.name"), Some("-"));
-    assert_eq!((raw.text("orgs.0.share"), raw.text("orgs.1.name")), (None, None));
+    assert_eq!(
+        (raw.text("orgs.0.share"), raw.text("orgs.1.name")),
+        (None, None)
+    );
     // In pairs it stands for what is absent.
-    assert_eq!(RawSettings::pairs("orgs.0.name=-").expect("pairs").text("orgs.0.name"), None);
+    assert_eq!(
+        RawSettings::pairs("orgs.0.name=-")
+            .expect("pairs")
+            .text("orgs.0.name"),
+        None
+    );
 }
 
 /// Symptom: a list where one value belongs is passed over as if nothing were given.
--- a/crates/trace/src/blocks.rs
+++ b/crates/trace/src/blocks.rs
@@ -132,10 +132,21 @@
     /// Gives the index its name in this block, unless it has it.
     pub fn name(&mut self, now: Micros, space: Space, ix: u32, text: &str) {
         // An index that has gone to another is named anew.
-        if self.named.get(&(space, ix)).is_none_or(|known| known != text) {
+        if self
+            .named
+            .get(&(space, ix))
+            .is_none_or(|known| known != text)
+        {
             self.named.insert((space, ix), text.to_owned());
             self.at(now);
-            records::put(&mut self.put, &Record::Name { space, ix, text: text.to_owned() });
+            records::put(
+                &mut self.put,
+                &Record::Name {
+                    space,
+                    ix,
+                    text: text.to_owned(),
+                },
+            );
         }
     }
 
@@ -166,12 +177,21 @@
 
     /// Since its first record.
     pub fn age(&self, now: Micros) -> Micros {
-        if self.records == 0 { 0 } else { now - self.first }
+        if self.records == 0 {
+            0
+        } else {
+            now - self.first
+        }
     }
 
     pub fn close(&mut self) -> Raw {
         let it = std::mem::take(self);
-        Raw { bytes: it.put.bytes, records: it.records, first: it.first, last: it.last }
+        Raw {
+            bytes: it.put.bytes,
+            records: it.records,
+            first: it.first,
+            last: it.last,
+        }
     }
 }
 
@@ -191,7 +211,9 @@
             each(Space::Worker, *worker);
             each(Space::Function, asked.func);
         }
-        Event::Answering { worker, .. } | Event::Probed { worker, .. } => each(Space::Worker, *worker),
+        Event::Answering { worker, .. } | Event::Probed { worker, .. } => {
+            each(Space::Worker, *worker)
+        }
         Event::DispatchEnded(e) => each(Space::Worker, e.worker),
         Event::OrderEnded { worker, func, .. } | Event::Held { worker, func, .. } => {
             each(Space::Worker, *worker);
@@ -201,7 +223,9 @@
     }
     for action in actions {
         match *action {
-            Action::Dispatch { worker, .. } | Action::Probe { worker } => each(Space::Worker, worker),
+            Action::Dispatch { worker, .. } | Action::Probe { worker } => {
+                each(Space::Worker, worker)
+            }
             Action::Order { worker, func, .. } | Action::Unload { worker, func } => {
                 each(Space::Worker, worker);
                 each(Space::Function, func);
@@ -217,12 +241,24 @@
     let mut names: HashMap<u32, u64> = HashMap::new();
     let (mut now, mut out) = (first, Vec::with_capacity(count.min(1 << 16) as usize));
     while !g.is_empty() {
-        now = i64::try_from(g.u()?).ok().and_then(|step| now.checked_add(step)).ok_or(Bad::Unknown)?;
+        now = i64::try_from(g.u()?)
+            .ok()
+            .and_then(|step| now.checked_add(step))
+            .ok_or(Bad::Unknown)?;
         let record = records::get(&mut g, &|func| names.get(&func).copied().unwrap_or(0))?;
-        if let Record::Name { space: Space::Function, ix, text } = &record {
+        if let Record::Name {
+            space: Space::Function,
+            ix,
+            text,
+        } = &record
+        {
             names.insert(*ix, fingerprint(text));
         }
         out.push((now, record));
     }
-    if out.len() == count as usize { Ok(out) } else { Err(Bad::Short) }
+    if out.len() == count as usize {
+        Ok(out)
+    } else {
+        Err(Bad::Short)
+    }
 }
--- a/crates/trace/src/chart.rs
+++ b/crates/trace/src/chart.rs
@@ -23,7 +23,12 @@
     let first = bins.first().map_or(0, |b| b.0);
     // In the middle of its bin.
     bins.iter()
-        .map(|(at, b)| ((at.saturating_sub(first).saturating_add(width / 2)) as f64 / 1e6, figure(b)))
+        .map(|(at, b)| {
+            (
+                (at.saturating_sub(first).saturating_add(width / 2)) as f64 / 1e6,
+                figure(b),
+            )
+        })
         .collect()
 }
 
@@ -45,7 +50,10 @@
     let mut tops: Vec<Line> = Vec::new();
     for (_, _, line) in &of.stacked {
         let below = tops.last();
-        let top = line.iter().enumerate().map(|(n, (x, y))| (*x, y + below.map_or(0.0, |b| b[n].1)));
+        let top = line
+            .iter()
+            .enumerate()
+            .map(|(n, (x, y))| (*x, y + below.map_or(0.0, |b| b[n].1)));
         let top = top.collect();
         tops.push(top);
     }
@@ -61,7 +69,11 @@
         let marked = Rectangle::new([(from, 0.0), (until.min(length), most)], WORST.filled());
         chart.draw_series([marked])?;
     }
-    chart.configure_mesh().light_line_style(WHITE).x_desc("seconds").draw()?;
+    chart
+        .configure_mesh()
+        .light_line_style(WHITE)
+        .x_desc("seconds")
+        .draw()?;
     // The highest first: each lower one covers its part.
     for ((name, color, _), top) in of.stacked.iter().zip(&tops).rev() {
         let color = *color;
@@ -94,11 +106,17 @@
     let rate = |n: u64| n as f64 * 1e6 / width as f64;
     let of = |figure: &dyn Fn(&Bin) -> f64| line(&bins, width, figure);
     // Where nothing succeeded there is no time.
-    let timed: Vec<_> = bins.iter().filter(|(_, b)| !b.times.is_empty()).cloned().collect();
+    let timed: Vec<_> = bins
+        .iter()
+        .filter(|(_, b)| !b.times.is_empty())
+        .cloned()
+        .collect();
     let late = timed.first().map_or(0.0, |b| own(b.0));
     let quantile = |q: f64| {
         let line = line(&timed, width, |b| b.times.value_at_quantile(q) as f64 / 1e3);
-        line.into_iter().map(|(x, y)| (x + late, y)).collect::<Line>()
+        line.into_iter()
+            .map(|(x, y)| (x + late, y))
+            .collect::<Line>()
     };
     let panels = [
         Panel {
--- a/crates/trace/src/compare.rs
+++ b/crates/trace/src/compare.rs
@@ -78,8 +78,14 @@
     for action in actions {
         // Of an invocation that is called back and sent again, the sending counts.
         let (inv, did) = match *action {
-            Action::Withdraw { inv, dispatch } => (inv, (Did::CalledBack, None, Some(dispatch.into()))),
-            Action::Dispatch { inv, worker, time_out } => (inv, (Did::Sent, Some(worker), time_out)),
+            Action::Withdraw { inv, dispatch } => {
+                (inv, (Did::CalledBack, None, Some(dispatch.into())))
+            }
+            Action::Dispatch {
+                inv,
+                worker,
+                time_out,
+            } => (inv, (Did::Sent, Some(worker), time_out)),
             Action::Throttle { inv, return_after } => (inv, (Did::Throttled, None, return_after)),
             Action::Error { inv } => (inv, (Did::Errored, None, None)),
             _ => continue,
@@ -95,7 +101,12 @@
 fn ordered(actions: &[Action]) -> BTreeMap<FnIx, Vec<WorkerIx>> {
     let mut orders: BTreeMap<FnIx, Vec<WorkerIx>> = BTreeMap::new();
     for action in actions {
-        if let Action::Order { worker, func, copies: 1.. } = action {
+        if let Action::Order {
+            worker,
+            func,
+            copies: 1..,
+        } = action
+        {
             orders.entry(*func).or_default().push(*worker);
         }
     }
@@ -126,7 +137,10 @@
     invs.sort_unstable();
     invs.dedup();
     for inv in invs {
-        let (x, y) = (a.get(&inv).unwrap_or(&untouched), b.get(&inv).unwrap_or(&untouched));
+        let (x, y) = (
+            a.get(&inv).unwrap_or(&untouched),
+            b.get(&inv).unwrap_or(&untouched),
+        );
         if x.0 != y.0 {
             kinds.push(Kind::Instead(x.0, y.0));
         } else if x.1 != y.1 {
@@ -149,7 +163,13 @@
             std::cmp::Ordering::Equal => {}
         }
     }
-    let kept = |actions: &[Action]| actions.iter().filter(|a| upkeep(a)).copied().collect::<Vec<_>>();
+    let kept = |actions: &[Action]| {
+        actions
+            .iter()
+            .filter(|a| upkeep(a))
+            .copied()
+            .collect::<Vec<_>>()
+    };
     if !alike(&kept(one), &kept(other)) {
         kinds.push(Kind::Upkeep);
     }
@@ -177,7 +197,11 @@
         self.out.differing += 1;
         for kind in kinds {
             let count = self.counts.entry(kind).or_default();
-            if self.differs { count.later += 1 } else { count.first += 1 }
+            if self.differs {
+                count.later += 1
+            } else {
+                count.first += 1
+            }
         }
         if !self.differs {
             self.differs = true;
--- a/crates/trace/src/course.rs
+++ b/crates/trace/src/course.rs
@@ -80,7 +80,10 @@
 
 impl Default for Course {
     fn default() -> Self {
-        Course { width: SECOND, bins: BTreeMap::new() }
+        Course {
+            width: SECOND,
+            bins: BTreeMap::new(),
+        }
     }
 }
 
@@ -92,12 +95,18 @@
 
     /// Wall's microseconds at which each begins, those without anything among them too.
     pub fn bins(&self) -> Vec<(Micros, Bin)> {
-        let (Some((first, _)), Some((last, _))) = (self.bins.first_key_value(), self.bins.last_key_value())
+        let (Some((first, _)), Some((last, _))) =
+            (self.bins.first_key_value(), self.bins.last_key_value())
         else {
             return Vec::new();
         };
         (*first..=*last)
-            .map(|n| (n.saturating_mul(self.width), self.bins.get(&n).cloned().unwrap_or_default()))
+            .map(|n| {
+                (
+                    n.saturating_mul(self.width),
+                    self.bins.get(&n).cloned().unwrap_or_default(),
+                )
+            })
             .collect()
     }
 
@@ -137,7 +146,8 @@
             Record::Decided { happened, actions } => {
                 let bin = self.bin(wall);
                 if let Happened::Other(Event::DispatchEnded(e)) = happened {
-                    bin.failed += u64::from(e.outcome != cedarpulley::interface::Outcome::Succeeded);
+                    bin.failed +=
+                        u64::from(e.outcome != cedarpulley::interface::Outcome::Succeeded);
                 }
                 if let Happened::Other(Event::Invocation(a)) = happened {
                     let done = |x: &Action| match x {
--- a/crates/trace/src/error.rs
+++ b/crates/trace/src/error.rs
@@ -44,12 +44,16 @@
 impl Remedy for Error {
     fn remedy(&self) -> &'static str {
         match self {
-            Error::Disk(_) => "see that it is there, may be read or written, and that the disk has room",
+            Error::Disk(_) => {
+                "see that it is there, may be read or written, and that the disk has room"
+            }
             Error::NoTrace => "name a file that a router wrote, as in its [trace] folder",
             Error::TooShort => "leave it out: its writer was ended as it began it",
             Error::Later { .. } => "take a newer build",
             Error::Head { .. } => "take its copy; nothing after its head can be read without it",
-            Error::Index => "copy it without its last 20 bytes: then its blocks are found without the index",
+            Error::Index => {
+                "copy it without its last 20 bytes: then its blocks are found without the index"
+            }
             Error::Damaged { .. } => "replay up to there, or take a copy that is whole",
             Error::NoFile => "name at least one file",
             Error::NotFirst { .. } => "give the whole row from file 0 on, or the folder",
--- a/crates/trace/src/explain.rs
+++ b/crates/trace/src/explain.rs
@@ -103,16 +103,24 @@
 
 impl Side {
     fn worker(&self, ix: u32) -> String {
-        self.workers.get(&ix).cloned().unwrap_or_else(|| ix.to_string())
+        self.workers
+            .get(&ix)
+            .cloned()
+            .unwrap_or_else(|| ix.to_string())
     }
 
     /// A load of its function was out while it was held.
     fn loaded(&self, open: &Open) -> bool {
-        self.loading.get(&open.func).is_some_and(|(out, ended)| *out > 0 || *ended >= open.at)
+        self.loading
+            .get(&open.func)
+            .is_some_and(|(out, ended)| *out > 0 || *ended >= open.at)
     }
 
     fn function(&self, ix: u32) -> String {
-        self.functions.get(&ix).cloned().unwrap_or_else(|| ix.to_string())
+        self.functions
+            .get(&ix)
+            .cloned()
+            .unwrap_or_else(|| ix.to_string())
     }
 }
 
@@ -125,20 +133,38 @@
 }
 
 fn name(names: &[String], ix: u32) -> String {
-    names.get(ix as usize).cloned().unwrap_or_else(|| "unknown".into())
+    names
+        .get(ix as usize)
+        .cloned()
+        .unwrap_or_else(|| "unknown".into())
 }
 
 impl Explain {
     /// `span`: wall's microseconds; only what was answered within it counts.
-    pub fn record(&mut self, source: u32, of: &Source, span: (Micros, Micros), at: Micros, record: &Record) {
+    pub fn record(
+        &mut self,
+        source: u32,
+        of: &Source,
+        span: (Micros, Micros),
+        at: Micros,
+        record: &Record,
+    ) {
         let wall = of.wall(at);
         let inside = wall >= span.0 && wall < span.1;
         let side = self.sides.entry(source).or_default();
         match record {
-            Record::Name { space: Space::Worker, ix, text } => {
+            Record::Name {
+                space: Space::Worker,
+                ix,
+                text,
+            } => {
                 side.workers.insert(*ix, text.clone());
             }
-            Record::Name { space: Space::Function, ix, text } => {
+            Record::Name {
+                space: Space::Function,
+                ix,
+                text,
+            } => {
                 side.functions.insert(*ix, text.clone());
             }
             Record::Decided { happened, actions } => {
@@ -152,16 +178,25 @@
                                 open.sent_to = Some(*worker);
                             }
                         }
-                        Action::Order { worker, func, copies }
-                            if *copies > 0 && side.ordered.insert((*worker, *func)) =>
-                        {
+                        Action::Order {
+                            worker,
+                            func,
+                            copies,
+                        } if *copies > 0 && side.ordered.insert((*worker, *func)) => {
                             side.loading.entry(*func).or_insert((0, Micros::MIN)).0 += 1;
                         }
                         _ => {}
                     }
                 }
             }
-            Record::Answered { inv, fate, reason, trigger, account, .. } => {
+            Record::Answered {
+                inv,
+                fate,
+                reason,
+                trigger,
+                account,
+                ..
+            } => {
                 let Some(open) = inv.and_then(|inv| side.open.remove(&inv)) else {
                     if inv.is_none() && *fate != Fate::Succeeded && inside {
                         let cause = at_once(of, *reason, *account);
@@ -187,7 +222,12 @@
                     _ => {}
                 }
             }
-            Record::TurnedAway { front, trigger, account, why } if inside => {
+            Record::TurnedAway {
+                front,
+                trigger,
+                account,
+                why,
+            } if inside => {
                 let cause = match why {
                     Short::Front => Cause::BeyondShare(name(&of.start.fronts_named, *front)),
                     Short::Account => Cause::BeyondShare(name(&of.start.accounts_named, *account)),
@@ -204,10 +244,15 @@
         let side = self.sides.entry(source).or_default();
         match happened {
             Happened::Other(Event::Invocation(a)) => {
-                let objective = of.start.startup.triggers.get(a.trigger as usize).map_or(Micros::MAX, |t| {
-                    let stretch = a.cost_hint.unwrap_or(0) as f64 * t.objective_stretch;
-                    t.latency_objective.saturating_add(stretch as Micros)
-                });
+                let objective =
+                    of.start
+                        .startup
+                        .triggers
+                        .get(a.trigger as usize)
+                        .map_or(Micros::MAX, |t| {
+                            let stretch = a.cost_hint.unwrap_or(0) as f64 * t.objective_stretch;
+                            t.latency_objective.saturating_add(stretch as Micros)
+                        });
                 let open = Open {
                     trigger: a.trigger,
                     func: a.func,
@@ -231,7 +276,13 @@
             }
             Happened::Other(Event::DispatchEnded(e)) => {
                 if let Some((open, then)) = side.late.remove(&e.inv) {
-                    let cause = late(&self.usual, side, of, &open, Some((e.worker, e.took, e.note)));
+                    let cause = late(
+                        &self.usual,
+                        side,
+                        of,
+                        &open,
+                        Some((e.worker, e.took, e.note)),
+                    );
                     return self.count(of, open.trigger, of.wall(then), cause, false);
                 }
                 if let Some(trigger) = side.in_time.remove(&e.inv) {
@@ -245,8 +296,9 @@
                         Outcome::Succeeded | Outcome::Withdrawn | Outcome::NotSent => {}
                         // Refusals count only where nothing worse came.
                         failed => {
-                            let worse =
-                                open.failed.is_none_or(|(was, _)| was.never_ran() && !failed.never_ran());
+                            let worse = open
+                                .failed
+                                .is_none_or(|(was, _)| was.never_ran() && !failed.never_ran());
                             if worse {
                                 open.failed = Some((failed, e.worker));
                             }
@@ -254,7 +306,12 @@
                     }
                 }
             }
-            Happened::Other(Event::OrderEnded { worker, func, result, .. }) => {
+            Happened::Other(Event::OrderEnded {
+                worker,
+                func,
+                result,
+                ..
+            }) => {
                 if side.ordered.remove(&(*worker, *func))
                     && let Some(out) = side.loading.get_mut(func)
                 {
@@ -283,9 +340,21 @@
     fn count(&mut self, of: &Source, trigger: u32, wall: Micros, cause: Cause, lost: bool) {
         // Of a trigger type that is not known any more: counted, at no cost.
         let value = of.start.startup.triggers.get(trigger as usize);
-        let cost =
-            value.map_or(0.0, |t| if lost { t.billed_value } else { t.billed_value * (1.0 - t.late_part) });
-        let new = Ranked { cause: cause.clone(), cost: 0.0, lost: 0, late: 0, from_us: wall, until_us: wall };
+        let cost = value.map_or(0.0, |t| {
+            if lost {
+                t.billed_value
+            } else {
+                t.billed_value * (1.0 - t.late_part)
+            }
+        });
+        let new = Ranked {
+            cause: cause.clone(),
+            cost: 0.0,
+            lost: 0,
+            late: 0,
+            from_us: wall,
+            until_us: wall,
+        };
         let entry = self.causes.entry(cause).or_insert(new);
         entry.cost += cost;
         entry.lost += u64::from(lost);
@@ -296,7 +365,12 @@
 
     /// Dearest first.
     pub fn ranked(mut self) -> Vec<Ranked> {
-        let loads: Vec<Cause> = self.causes.keys().filter(|c| matches!(c, Cause::Load(_))).cloned().collect();
+        let loads: Vec<Cause> = self
+            .causes
+            .keys()
+            .filter(|c| matches!(c, Cause::Load(_)))
+            .cloned()
+            .collect();
         if loads.len() >= MANY_FUNCTIONS {
             let cause = Cause::Loads(format!("{} functions", loads.len()));
             let all: Vec<Ranked> = loads.iter().filter_map(|c| self.causes.remove(c)).collect();
@@ -311,7 +385,11 @@
             self.causes.insert(cause, sum);
         }
         let mut all: Vec<Ranked> = self.causes.into_values().collect();
-        all.sort_by(|a, b| b.cost.total_cmp(&a.cost).then_with(|| a.cause.cmp(&b.cause)));
+        all.sort_by(|a, b| {
+            b.cost
+                .total_cmp(&a.cost)
+                .then_with(|| a.cause.cmp(&b.cause))
+        });
         all
     }
 }
--- a/crates/trace/src/keeping.rs
+++ b/crates/trace/src/keeping.rs
@@ -39,7 +39,13 @@
 
 impl Keeping {
     pub fn new(bounds: Bounds) -> Self {
-        Keeping { bounds, written: 0, began: 0, wait: WAIT_FIRST, again_at: None }
+        Keeping {
+            bounds,
+            written: 0,
+            began: 0,
+            wait: WAIT_FIRST,
+            again_at: None,
+        }
     }
 
     pub fn began(&mut self, now: Micros) {
@@ -49,7 +55,8 @@
     pub fn wrote(&mut self, now: Micros, bytes: u64) -> Step {
         self.written += bytes;
         self.wait = WAIT_FIRST;
-        let full = self.written >= self.bounds.file_bytes || now - self.began >= self.bounds.file_age;
+        let full =
+            self.written >= self.bounds.file_bytes || now - self.began >= self.bounds.file_age;
         if full { Step::Next } else { Step::GoOn }
     }
 
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -59,14 +59,21 @@
         let (mut known, mut seen) = (Known::default(), HashMap::new());
         reader.rewind();
         while let Some(found) = reader.next()? {
-            let Found::Block { records, place } = found else { continue };
+            let Found::Block { records, place } = found else {
+                continue;
+            };
             for (at, record) in records {
-                let Record::Decided { happened: Happened::List { entries, .. }, .. } = record else {
+                let Record::Decided {
+                    happened: Happened::List { entries, .. },
+                    ..
+                } = record
+                else {
                     continue;
                 };
                 for change in entries.iter().filter_map(|e| known.change(e)) {
                     if seen.len() < MOST_CHANGES {
-                        seen.entry(change).or_insert(reader.sources[place.source as usize].wall(at));
+                        seen.entry(change)
+                            .or_insert(reader.sources[place.source as usize].wall(at));
                     }
                 }
             }
@@ -78,12 +85,16 @@
 
     /// By how much each file's clock is ahead of the first's, and from how many changes; absent: unknown.
     pub fn estimate(&self) -> Vec<Option<(Micros, usize)>> {
-        let Some(first) = self.seen.first() else { return Vec::new() };
+        let Some(first) = self.seen.first() else {
+            return Vec::new();
+        };
         self.seen
             .iter()
             .map(|seen| {
-                let mut apart: Vec<Micros> =
-                    seen.iter().filter_map(|(change, at)| Some(at - first.get(change)?)).collect();
+                let mut apart: Vec<Micros> = seen
+                    .iter()
+                    .filter_map(|(change, at)| Some(at - first.get(change)?))
+                    .collect();
                 apart.sort_unstable();
                 (apart.len() >= FEW).then(|| (apart[apart.len() / 2], apart.len()))
             })
@@ -103,7 +114,10 @@
     for (n, reader) in readers.iter_mut().enumerate() {
         let more = ahead.get(n).copied().unwrap_or(0);
         bases.push(sources.len() as u32);
-        sources.extend(reader.sources.iter().map(|s| Source { ahead: s.ahead + more, ..s.clone() }));
+        sources.extend(reader.sources.iter().map(|s| Source {
+            ahead: s.ahead + more,
+            ..s.clone()
+        }));
         reader.rewind();
         reader.damaged_blocks = 0;
     }
@@ -111,22 +125,32 @@
     let mut damaged = 0;
     // The next of each file; of blocks that begin together, the earlier file's first.
     let mut next = BinaryHeap::new();
-    let step = |n: usize, readers: &mut [Reader<R>]| -> Result<Option<(Micros, usize, Place)>, Error> {
-        while let Some(place) = readers[n].next_place()? {
-            if let Some(source) = sources.get((bases[n] + place.source) as usize) {
-                return Ok(Some((source.wall(place.first), n, place)));
+    let step =
+        |n: usize, readers: &mut [Reader<R>]| -> Result<Option<(Micros, usize, Place)>, Error> {
+            while let Some(place) = readers[n].next_place()? {
+                if let Some(source) = sources.get((bases[n] + place.source) as usize) {
+                    return Ok(Some((source.wall(place.first), n, place)));
+                }
             }
-        }
-        Ok(None)
-    };
+            Ok(None)
+        };
     for n in 0..readers.len() {
         next.extend(step(n, readers)?.map(Reverse));
     }
     while let Some(Reverse((_, n, place))) = next.pop() {
         match readers[n].packed(&place)? {
             Some((head, packed)) => {
-                let head = Head { source: bases[n] + place.source, ..head };
-                sheet.packed(&Head { sum: head.sum_over(FORMAT, &packed), ..head }, &packed)?;
+                let head = Head {
+                    source: bases[n] + place.source,
+                    ..head
+                };
+                sheet.packed(
+                    &Head {
+                        sum: head.sum_over(FORMAT, &packed),
+                        ..head
+                    },
+                    &packed,
+                )?;
             }
             None => damaged += 1,
         }
--- a/crates/trace/src/places.rs
+++ b/crates/trace/src/places.rs
@@ -51,8 +51,14 @@
         place.put(&mut entry);
         self.bytes += entry.bytes.len() as u64;
         self.count += 1;
-        if self.parts.last().is_none_or(|p| p.bytes.len() + MOST_ENTRY > PART) {
-            self.parts.push(Put { bytes: Vec::with_capacity(PART) });
+        if self
+            .parts
+            .last()
+            .is_none_or(|p| p.bytes.len() + MOST_ENTRY > PART)
+        {
+            self.parts.push(Put {
+                bytes: Vec::with_capacity(PART),
+            });
         }
         let before = std::mem::replace(&mut self.last, place);
         if let Some(p) = self.parts.last_mut() {
@@ -76,13 +82,21 @@
         let (mut sum, mut before) = (0, Place::default());
         for part in self.parts {
             let mut g = Get::new(&part.bytes);
-            let mut whole = Put { bytes: std::mem::take(&mut bytes) };
+            let mut whole = Put {
+                bytes: std::mem::take(&mut bytes),
+            };
             while !g.is_empty() {
                 let step = || -> Result<Place, crate::wire::Bad> {
                     let offset = before.offset + g.u()?;
                     let first = before.first.wrapping_add(g.i()?);
                     let last = first.wrapping_add(g.i()?);
-                    Ok(Place { offset, first, last, records: g.u32()?, source: g.u32()? })
+                    Ok(Place {
+                        offset,
+                        first,
+                        last,
+                        records: g.u32()?,
+                        source: g.u32()?,
+                    })
                 };
                 // Written above, by this very code.
                 before = { step }().map_err(io::Error::other)?;
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -30,10 +30,7 @@
         records: Vec<(Micros, Record)>,
     },
     /// Damaged, from this offset on, and why.
-    Damaged {
-        offset: u64,
-        cause: String,
-    },
+    Damaged { offset: u64, cause: String },
 }
 
 /// How the file ended.
@@ -77,11 +74,19 @@
         }
         let size = u32::from_le_bytes([fixed[12], fixed[13], fixed[14], fixed[15]]);
         if size > MOST_HEAD {
-            return Err(Error::Head { cause: Bad::Unknown });
+            return Err(Error::Head {
+                cause: Bad::Unknown,
+            });
         }
         let mut body = Vec::new();
-        input.by_ref().take(u64::from(size) + 4).read_to_end(&mut body)?;
-        let Some((body, sum)) = body.split_at_checked(size as usize).filter(|(_, sum)| sum.len() == 4) else {
+        input
+            .by_ref()
+            .take(u64::from(size) + 4)
+            .read_to_end(&mut body)?;
+        let Some((body, sum)) = body
+            .split_at_checked(size as usize)
+            .filter(|(_, sum)| sum.len() == 4)
+        else {
             return Err(Error::Head { cause: Bad::Short });
         };
         let whole = crc32c::crc32c_append(crc32c::crc32c(&fixed), body);
@@ -154,13 +159,21 @@
         let mut told = [0; 4];
         self.input.read_exact(&mut told)?;
         let whole = sum.to_le_bytes() == told;
-        Ok(begins.filter(|_| whole).map(|n| (offset + 8 + n, u64::from(size) - n)))
+        Ok(begins
+            .filter(|_| whole)
+            .map(|n| (offset + 8 + n, u64::from(size) - n)))
     }
 
     fn entry(&self, g: &mut Get) -> Result<Place, Bad> {
         let (offset, first, last, records) = (g.u()?, g.i()?, g.i()?, g.u32()?);
         let source = if self.format == 1 { 0 } else { g.u32()? };
-        Ok(Place { offset, first, last, records, source })
+        Ok(Place {
+            offset,
+            first,
+            last,
+            records,
+            source,
+        })
     }
 
     pub fn has_index(&self) -> bool {
@@ -174,10 +187,16 @@
         if fill(&mut self.input, &mut head)? < head.len() {
             return Ok(None);
         }
-        let Some(head) = Head::get(self.format, &head) else { return Ok(None) };
+        let Some(head) = Head::get(self.format, &head) else {
+            return Ok(None);
+        };
         let mut packed = Vec::new();
-        self.input.by_ref().take(u64::from(head.packed)).read_to_end(&mut packed)?;
-        let whole = packed.len() == head.packed as usize && head.sum_over(self.format, &packed) == head.sum;
+        self.input
+            .by_ref()
+            .take(u64::from(head.packed))
+            .read_to_end(&mut packed)?;
+        let whole =
+            packed.len() == head.packed as usize && head.sum_over(self.format, &packed) == head.sum;
         Ok(whole.then_some((head, packed)))
     }
 
@@ -189,17 +208,26 @@
                 self.window.drain(..self.window_at);
                 self.window_at = 0;
                 let ahead = self.window.len() as u64;
-                self.input.seek(SeekFrom::Start(from + self.listed + ahead))?;
+                self.input
+                    .seek(SeekFrom::Start(from + self.listed + ahead))?;
                 let more = (size - self.listed - ahead).min(WINDOW as u64);
-                self.input.by_ref().take(more).read_to_end(&mut self.window)?;
+                self.input
+                    .by_ref()
+                    .take(more)
+                    .read_to_end(&mut self.window)?;
             }
             let mut g = Get::new(&self.window[self.window_at..]);
             if g.is_empty() {
                 return Ok(None);
             }
             let left = g.left();
-            let place = self.entry(&mut g).ok().filter(|p| (p.source as usize) < self.sources.len());
-            let Some(place) = place else { return Err(Error::Index) };
+            let place = self
+                .entry(&mut g)
+                .ok()
+                .filter(|p| (p.source as usize) < self.sources.len());
+            let Some(place) = place else {
+                return Err(Error::Index);
+            };
             let told = left - g.left();
             self.listed += told as u64;
             self.window_at += told;
@@ -265,19 +293,40 @@
         }
         self.at = offset + size as u64 + wanted;
         if place.source as usize >= self.sources.len() {
-            return Ok(Some(Found::Damaged { offset, cause: "it is of no source of this file".into() }));
+            return Ok(Some(Found::Damaged {
+                offset,
+                cause: "it is of no source of this file".into(),
+            }));
         }
 
         match zstd::bulk::decompress(&packed, place.raw as usize) {
             Ok(raw) => match unpack(&raw, place.first, place.records) {
                 Ok(records) => {
-                    let Head { first, last, records: count, source, .. } = place;
-                    let place = Place { offset, first, last, records: count, source };
+                    let Head {
+                        first,
+                        last,
+                        records: count,
+                        source,
+                        ..
+                    } = place;
+                    let place = Place {
+                        offset,
+                        first,
+                        last,
+                        records: count,
+                        source,
+                    };
                     Ok(Some(Found::Block { place, records }))
                 }
-                Err(bad) => Ok(Some(Found::Damaged { offset, cause: bad.to_string() })),
+                Err(bad) => Ok(Some(Found::Damaged {
+                    offset,
+                    cause: bad.to_string(),
+                })),
             },
-            Err(e) => Ok(Some(Found::Damaged { offset, cause: e.to_string() })),
+            Err(e) => Ok(Some(Found::Damaged {
+                offset,
+                cause: e.to_string(),
+            })),
         }
     }
 
@@ -288,11 +337,16 @@
         loop {
             self.input.seek(SeekFrom::Start(at))?;
             let got = fill(&mut self.input, &mut window)?;
-            let found = window[..got].windows(4).position(|w| w == BLOCK || w == INDEX);
+            let found = window[..got]
+                .windows(4)
+                .position(|w| w == BLOCK || w == INDEX);
             if let Some(n) = found {
                 self.at = at + n as u64;
                 if self.begins(self.at)? {
-                    return Ok(Some(Found::Damaged { offset, cause: cause.to_owned() }));
+                    return Ok(Some(Found::Damaged {
+                        offset,
+                        cause: cause.to_owned(),
+                    }));
                 }
                 at = self.at + 1;
                 continue;
@@ -314,12 +368,19 @@
         if got >= 4 && head[..4] == INDEX {
             return Ok(self.index.is_some());
         }
-        let Some(place) = (got == size).then(|| Head::get(self.format, &head)).flatten() else {
+        let Some(place) = (got == size)
+            .then(|| Head::get(self.format, &head))
+            .flatten()
+        else {
             return Ok(false);
         };
         let mut packed = Vec::new();
-        self.input.by_ref().take(u64::from(place.packed)).read_to_end(&mut packed)?;
-        Ok(packed.len() == place.packed as usize && place.sum_over(self.format, &packed) == place.sum)
+        self.input
+            .by_ref()
+            .take(u64::from(place.packed))
+            .read_to_end(&mut packed)?;
+        Ok(packed.len() == place.packed as usize
+            && place.sum_over(self.format, &packed) == place.sum)
     }
 
     /// Only the blocks that touch their source's span, in its own time; by the index if there is one.
--- a/crates/trace/src/records.rs
+++ b/crates/trace/src/records.rs
@@ -17,35 +17,76 @@
 /// An event as the module was told, owned.
 #[derive(Clone, Debug)]
 pub enum Happened {
-    List { mode: ListMode, entries: Vec<ListEntry> },
+    List {
+        mode: ListMode,
+        entries: Vec<ListEntry>,
+    },
     Other(Event<'static>),
 }
 
 impl Happened {
     pub fn of(event: &Event) -> Happened {
         match *event {
-            Event::List { mode, entries } => Happened::List { mode, entries: entries.to_vec() },
+            Event::List { mode, entries } => Happened::List {
+                mode,
+                entries: entries.to_vec(),
+            },
             Event::Invocation(a) => Happened::Other(Event::Invocation(a)),
             Event::Departed { inv } => Happened::Other(Event::Departed { inv }),
-            Event::Answering { inv, dispatch, worker } => {
-                Happened::Other(Event::Answering { inv, dispatch, worker })
-            }
+            Event::Answering {
+                inv,
+                dispatch,
+                worker,
+            } => Happened::Other(Event::Answering {
+                inv,
+                dispatch,
+                worker,
+            }),
             Event::DispatchEnded(e) => Happened::Other(Event::DispatchEnded(e)),
-            Event::OrderEnded { worker, func, result, took, copies } => {
-                Happened::Other(Event::OrderEnded { worker, func, result, took, copies })
-            }
-            Event::Probed { worker, outcome, took, report } => {
-                Happened::Other(Event::Probed { worker, outcome, took, report })
-            }
+            Event::OrderEnded {
+                worker,
+                func,
+                result,
+                took,
+                copies,
+            } => Happened::Other(Event::OrderEnded {
+                worker,
+                func,
+                result,
+                took,
+                copies,
+            }),
+            Event::Probed {
+                worker,
+                outcome,
+                took,
+                report,
+            } => Happened::Other(Event::Probed {
+                worker,
+                outcome,
+                took,
+                report,
+            }),
             Event::Timer { token } => Happened::Other(Event::Timer { token }),
             Event::Wanted { worker, asked } => Happened::Other(Event::Wanted { worker, asked }),
-            Event::Held { worker, func, copies } => Happened::Other(Event::Held { worker, func, copies }),
+            Event::Held {
+                worker,
+                func,
+                copies,
+            } => Happened::Other(Event::Held {
+                worker,
+                func,
+                copies,
+            }),
         }
     }
 
     pub fn event(&self) -> Event<'_> {
         match self {
-            Happened::List { mode, entries } => Event::List { mode: *mode, entries },
+            Happened::List { mode, entries } => Event::List {
+                mode: *mode,
+                entries,
+            },
             Happened::Other(event) => *event,
         }
     }
@@ -56,10 +97,18 @@
     /// Comes in each block before the first record that uses the index.
     Name { space: Space, ix: u32, text: String },
     /// The module was told this and asked for that.
-    Decided { happened: Happened, actions: Vec<Action> },
+    Decided {
+        happened: Happened,
+        actions: Vec<Action>,
+    },
     /// The front's part of an invocation that the next decided event tells of; `mark`: a number for the mark that
     /// its client gave it.
-    Taken { inv: InvIx, front: FrontIx, mark: Option<u64>, redelivered: bool },
+    Taken {
+        inv: InvIx,
+        front: FrontIx,
+        mark: Option<u64>,
+        redelivered: bool,
+    },
     /// A final answer left the core; `inv` absent: it was answered at once and never was the module's.
     Answered {
         inv: Option<InvIx>,
@@ -71,9 +120,18 @@
         took: Micros,
     },
     /// Turned away at the door.
-    TurnedAway { front: FrontIx, trigger: u32, account: u32, why: Short },
+    TurnedAway {
+        front: FrontIx,
+        trigger: u32,
+        account: u32,
+        why: Short,
+    },
     /// So many records were lost here, as the disk did not keep up.
-    Gap { records: u64, from: Micros, until: Micros },
+    Gap {
+        records: u64,
+        from: Micros,
+        until: Micros,
+    },
 }
 
 /// A table for a small set, and a match that stops the build where the set has grown and its table has not: a value
@@ -101,23 +159,48 @@
 
 /// The tag of a value is its place in its table: tables only grow at their end.
 fn put_of<T: PartialEq>(p: &mut Put, table: &[T], value: &T) {
-    p.byte(table.iter().position(|t| t == value).unwrap_or(usize::from(u8::MAX)) as u8);
+    p.byte(
+        table
+            .iter()
+            .position(|t| t == value)
+            .unwrap_or(usize::from(u8::MAX)) as u8,
+    );
 }
 
 fn get_of<T: Copy>(g: &mut Get, table: &[T]) -> Result<T, Bad> {
-    table.get(usize::from(g.byte()?)).copied().ok_or(Bad::Unknown)
+    table
+        .get(usize::from(g.byte()?))
+        .copied()
+        .ok_or(Bad::Unknown)
 }
 
 fn put_report(p: &mut Put, r: &Report) {
     let all = [r.held, r.waiting, r.busy, r.loads, r.memory_part];
-    p.byte(all.iter().enumerate().map(|(n, v)| u8::from(v.is_some()) << n).sum());
+    p.byte(
+        all.iter()
+            .enumerate()
+            .map(|(n, v)| u8::from(v.is_some()) << n)
+            .sum(),
+    );
     all.into_iter().flatten().for_each(|v| p.f(v));
 }
 
 fn get_report(g: &mut Get) -> Result<Report, Bad> {
     let bits = g.byte()?;
-    let mut next = |n: u8| if bits >> n & 1 == 1 { g.f().map(Some) } else { Ok(None) };
-    Ok(Report { held: next(0)?, waiting: next(1)?, busy: next(2)?, loads: next(3)?, memory_part: next(4)? })
+    let mut next = |n: u8| {
+        if bits >> n & 1 == 1 {
+            g.f().map(Some)
+        } else {
+            Ok(None)
+        }
+    };
+    Ok(Report {
+        held: next(0)?,
+        waiting: next(1)?,
+        busy: next(2)?,
+        loads: next(3)?,
+        memory_part: next(4)?,
+    })
 }
 
 fn put_event(p: &mut Put, event: &Event) {
@@ -157,13 +240,21 @@
             p.byte(2);
             p.u((*inv).into());
         }
-        Event::Answering { inv, dispatch, worker } => {
+        Event::Answering {
+            inv,
+            dispatch,
+            worker,
+        } => {
             p.byte(3);
-            [*inv, *dispatch, *worker].into_iter().for_each(|n| p.u(n.into()));
+            [*inv, *dispatch, *worker]
+                .into_iter()
+                .for_each(|n| p.u(n.into()));
         }
         Event::DispatchEnded(e) => {
             p.byte(4);
-            [e.inv, e.dispatch, e.worker].into_iter().for_each(|n| p.u(n.into()));
+            [e.inv, e.dispatch, e.worker]
+                .into_iter()
+                .for_each(|n| p.u(n.into()));
             put_of(p, OUTCOMES, &e.outcome);
             p.i(e.took);
             p.byte(u8::from(e.concluded));
@@ -171,7 +262,13 @@
             p.maybe(e.crowd, |p, n| p.u(n.into()));
             put_report(p, &e.report);
         }
-        Event::OrderEnded { worker, func, result, took, copies } => {
+        Event::OrderEnded {
+            worker,
+            func,
+            result,
+            took,
+            copies,
+        } => {
             p.byte(5);
             p.u((*worker).into());
             p.u((*func).into());
@@ -179,7 +276,12 @@
             p.i(*took);
             p.u((*copies).into());
         }
-        Event::Probed { worker, outcome, took, report } => {
+        Event::Probed {
+            worker,
+            outcome,
+            took,
+            report,
+        } => {
             p.byte(6);
             p.u((*worker).into());
             put_of(p, OUTCOMES, outcome);
@@ -192,11 +294,19 @@
         }
         Event::Wanted { worker, asked } => {
             p.byte(9);
-            [*worker, asked.func, asked.trigger, asked.lanes].into_iter().for_each(|n| p.u(n.into()));
+            [*worker, asked.func, asked.trigger, asked.lanes]
+                .into_iter()
+                .for_each(|n| p.u(n.into()));
         }
-        Event::Held { worker, func, copies } => {
+        Event::Held {
+            worker,
+            func,
+            copies,
+        } => {
             p.byte(10);
-            [*worker, *func, *copies].into_iter().for_each(|n| p.u(n.into()));
+            [*worker, *func, *copies]
+                .into_iter()
+                .for_each(|n| p.u(n.into()));
         }
     }
 }
@@ -247,12 +357,25 @@
         }
         9 => {
             let (worker, func, trigger, lanes) = (g.u32()?, g.u32()?, g.u32()?, g.u32()?);
-            let asked = Asked { func, fingerprint: fingerprint(func), trigger, lanes };
+            let asked = Asked {
+                func,
+                fingerprint: fingerprint(func),
+                trigger,
+                lanes,
+            };
             Happened::Other(Event::Wanted { worker, asked })
         }
-        10 => Happened::Other(Event::Held { worker: g.u32()?, func: g.u32()?, copies: g.u32()? }),
+        10 => Happened::Other(Event::Held {
+            worker: g.u32()?,
+            func: g.u32()?,
+            copies: g.u32()?,
+        }),
         2 => Happened::Other(Event::Departed { inv: g.u32()? }),
-        3 => Happened::Other(Event::Answering { inv: g.u32()?, dispatch: g.u32()?, worker: g.u32()? }),
+        3 => Happened::Other(Event::Answering {
+            inv: g.u32()?,
+            dispatch: g.u32()?,
+            worker: g.u32()?,
+        }),
         4 => Happened::Other(Event::DispatchEnded(Ending {
             inv: g.u32()?,
             dispatch: g.u32()?,
@@ -284,7 +407,11 @@
 
 pub fn put_action(p: &mut Put, action: &Action) {
     match *action {
-        Action::Dispatch { inv, worker, time_out } => {
+        Action::Dispatch {
+            inv,
+            worker,
+            time_out,
+        } => {
             p.byte(0);
             p.u(inv.into());
             p.u(worker.into());
@@ -304,9 +431,15 @@
             p.byte(3);
             p.u(inv.into());
         }
-        Action::Order { worker, func, copies } => {
+        Action::Order {
+            worker,
+            func,
+            copies,
+        } => {
             p.byte(4);
-            [worker, func, copies].into_iter().for_each(|n| p.u(n.into()));
+            [worker, func, copies]
+                .into_iter()
+                .for_each(|n| p.u(n.into()));
         }
         Action::Unload { worker, func } => {
             p.byte(5);
@@ -335,14 +468,34 @@
 
 fn get_action(g: &mut Get) -> Result<Action, Bad> {
     Ok(match g.byte()? {
-        0 => Action::Dispatch { inv: g.u32()?, worker: g.u32()?, time_out: g.maybe(Get::i)? },
-        1 => Action::Withdraw { inv: g.u32()?, dispatch: g.u32()? },
-        2 => Action::Throttle { inv: g.u32()?, return_after: g.maybe(Get::i)? },
+        0 => Action::Dispatch {
+            inv: g.u32()?,
+            worker: g.u32()?,
+            time_out: g.maybe(Get::i)?,
+        },
+        1 => Action::Withdraw {
+            inv: g.u32()?,
+            dispatch: g.u32()?,
+        },
+        2 => Action::Throttle {
+            inv: g.u32()?,
+            return_after: g.maybe(Get::i)?,
+        },
         3 => Action::Error { inv: g.u32()? },
-        4 => Action::Order { worker: g.u32()?, func: g.u32()?, copies: g.u32()? },
-        5 => Action::Unload { worker: g.u32()?, func: g.u32()? },
+        4 => Action::Order {
+            worker: g.u32()?,
+            func: g.u32()?,
+            copies: g.u32()?,
+        },
+        5 => Action::Unload {
+            worker: g.u32()?,
+            func: g.u32()?,
+        },
         6 => Action::Probe { worker: g.u32()? },
-        7 => Action::Timer { token: g.u()?, after: g.i()? },
+        7 => Action::Timer {
+            token: g.u()?,
+            after: g.i()?,
+        },
         8 => Action::AskList { follow: g.flag()? },
         9 => Action::Forget { func: g.u32()? },
         _ => return Err(Bad::Unknown),
@@ -374,14 +527,27 @@
             p.text(text);
         }
         Record::Decided { happened, actions } => put_decided(p, &happened.event(), actions),
-        Record::Taken { inv, front, mark, redelivered } => {
+        Record::Taken {
+            inv,
+            front,
+            mark,
+            redelivered,
+        } => {
             p.byte(TAKEN);
             p.u((*inv).into());
             p.u((*front).into());
             p.maybe(*mark, |p, m| p.bytes.extend_from_slice(&m.to_le_bytes()));
             p.byte(u8::from(*redelivered));
         }
-        Record::Answered { inv, front, fate, reason, trigger, account, took } => {
+        Record::Answered {
+            inv,
+            front,
+            fate,
+            reason,
+            trigger,
+            account,
+            took,
+        } => {
             p.byte(ANSWERED);
             p.maybe(*inv, |p, n| p.u(n.into()));
             p.u((*front).into());
@@ -391,12 +557,23 @@
             p.u((*account).into());
             p.i(*took);
         }
-        Record::TurnedAway { front, trigger, account, why } => {
+        Record::TurnedAway {
+            front,
+            trigger,
+            account,
+            why,
+        } => {
             p.byte(TURNED_AWAY);
-            [*front, *trigger, *account].into_iter().for_each(|n| p.u(n.into()));
+            [*front, *trigger, *account]
+                .into_iter()
+                .for_each(|n| p.u(n.into()));
             put_of(p, SHORTS, why);
         }
-        Record::Gap { records, from, until } => {
+        Record::Gap {
+            records,
+            from,
+            until,
+        } => {
             p.byte(GAP);
             p.u(*records);
             p.i(*from);
@@ -408,11 +585,18 @@
 pub fn get(g: &mut Get, fingerprint: &dyn Fn(u32) -> u64) -> Result<Record, Bad> {
     Ok(match g.byte()? {
         NAME => Record::Name {
-            space: if g.flag()? { Space::Worker } else { Space::Function },
+            space: if g.flag()? {
+                Space::Worker
+            } else {
+                Space::Function
+            },
             ix: g.u32()?,
             text: g.text()?.to_owned(),
         },
-        DECIDED => Record::Decided { happened: get_event(g, fingerprint)?, actions: g.many(get_action)? },
+        DECIDED => Record::Decided {
+            happened: get_event(g, fingerprint)?,
+            actions: g.many(get_action)?,
+        },
         TAKEN => Record::Taken {
             inv: g.u32()?,
             front: g.u32()?,
@@ -437,7 +621,11 @@
             account: g.u32()?,
             why: get_of(g, SHORTS)?,
         },
-        GAP => Record::Gap { records: g.u()?, from: g.i()?, until: g.i()? },
+        GAP => Record::Gap {
+            records: g.u()?,
+            from: g.i()?,
+            until: g.i()?,
+        },
         _ => return Err(Bad::Unknown),
     })
 }
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -81,15 +81,22 @@
     mut each: impl FnMut(Step) -> Result<bool, Error>,
 ) -> Result<Replayed, Error> {
     let mut out = Replayed::default();
-    let Some(first) = row.first() else { return Err(Error::NoFile) };
+    let Some(first) = row.first() else {
+        return Err(Error::NoFile);
+    };
     let first = source(first).clone();
     if !matches!(first.extent, Extent::Whole | Extent::Redone) {
-        let cause = format!("it is {:?}, and only what is whole can be replayed", first.extent);
+        let cause = format!(
+            "it is {:?}, and only what is whole can be replayed",
+            first.extent
+        );
         out.stopped = Some(cause.to_lowercase());
         return Ok(out);
     }
     if first.start.file != 0 {
-        return Err(Error::NotFirst { file: first.start.file });
+        return Err(Error::NotFirst {
+            file: first.start.file,
+        });
     }
     let mut control = first.start.control();
     out.same_module = first.start.module == module_digest();
@@ -117,7 +124,12 @@
                         control.decide(at, &happened.event(), &mut replayed);
                         out.decisions += 1;
                         out.span = at - *began.get_or_insert(at);
-                        Step::Decided { at, happened, recorded: actions, replayed }
+                        Step::Decided {
+                            at,
+                            happened,
+                            recorded: actions,
+                            replayed,
+                        }
                     }
                     Record::Gap { records, .. } => {
                         out.stopped = Some(format!("{records} records were lost at {at} us"));
@@ -142,7 +154,10 @@
 
 impl<R: Read + Seek> Decisions<R> {
     pub fn new(reader: Reader<R>) -> Self {
-        Decisions { reader, records: Vec::new().into_iter() }
+        Decisions {
+            reader,
+            records: Vec::new().into_iter(),
+        }
     }
 
     #[allow(clippy::should_implement_trait)] // An error of the disk is no decision.
@@ -156,7 +171,9 @@
             match self.reader.next()? {
                 None => return Ok(None),
                 Some(Found::Block { records, .. }) => self.records = records.into_iter(),
-                Some(Found::Damaged { offset, cause }) => return Err(Error::Damaged { offset, cause }),
+                Some(Found::Damaged { offset, cause }) => {
+                    return Err(Error::Damaged { offset, cause });
+                }
             }
         }
     }
@@ -167,11 +184,26 @@
     let mut recent: Vec<Decided> = Vec::new();
     let (mut difference, mut decision) = (None, 0);
     let mut out = drive(row, |step| {
-        let Step::Decided { at, happened, recorded, replayed } = step else { return Ok(true) };
+        let Step::Decided {
+            at,
+            happened,
+            recorded,
+            replayed,
+        } = step
+        else {
+            return Ok(true);
+        };
         decision += 1;
         if !alike(&replayed, &recorded) {
             let before = related(&recent, &happened, &recorded, &replayed);
-            difference = Some(Difference { decision, at, happened, recorded, replayed, before });
+            difference = Some(Difference {
+                decision,
+                at,
+                happened,
+                recorded,
+                replayed,
+                before,
+            });
             return Ok(false);
         }
         if recent.len() >= 4096 {
@@ -186,7 +218,9 @@
 
 /// The same row in one file, with what this build's module decides in place of what was decided.
 pub fn redo<R: Read + Seek, W: Write>(row: &mut [Reader<R>], out: W) -> Result<Replayed, Error> {
-    let Some(first) = row.first() else { return Err(Error::NoFile) };
+    let Some(first) = row.first() else {
+        return Err(Error::NoFile);
+    };
     let mut of = source(first).clone();
     (of.extent, of.start.module) = (Extent::Redone, module_digest());
     let mut sheet = Sheet::begin(out, &[of])?;
@@ -203,13 +237,24 @@
                 }
                 gather.record(at, &record);
             }
-            Step::Decided { at, happened, replayed, .. } => {
+            Step::Decided {
+                at,
+                happened,
+                replayed,
+                ..
+            } => {
                 uses(&happened, &replayed, |space, ix| {
                     if let Some(name) = names.get(&(space, ix)) {
                         gather.name(at, space, ix, name);
                     }
                 });
-                gather.record(at, &Record::Decided { happened, actions: replayed });
+                gather.record(
+                    at,
+                    &Record::Decided {
+                        happened,
+                        actions: replayed,
+                    },
+                );
             }
         }
         Ok(true)
@@ -221,7 +266,12 @@
     Ok(done)
 }
 
-fn related(recent: &[Decided], happened: &Happened, recorded: &[Action], replayed: &[Action]) -> Vec<String> {
+fn related(
+    recent: &[Decided],
+    happened: &Happened,
+    recorded: &[Action],
+    replayed: &[Action],
+) -> Vec<String> {
     let mut concerned = Vec::new();
     uses(happened, recorded, |s, ix| concerned.push((s, ix)));
     uses(happened, replayed, |s, ix| concerned.push((s, ix)));
--- a/crates/trace/src/rewrite.rs
+++ b/crates/trace/src/rewrite.rs
@@ -25,19 +25,32 @@
     wanted: &Wanted,
     out: W,
 ) -> Result<Rewritten, Error> {
-    let sources: Vec<Source> =
-        reader.sources.iter().map(|s| Source { extent: Extent::Cut, ..s.clone() }).collect();
+    let sources: Vec<Source> = reader
+        .sources
+        .iter()
+        .map(|s| Source {
+            extent: Extent::Cut,
+            ..s.clone()
+        })
+        .collect();
     let mut sheet = Sheet::begin(out, &sources)?;
     let mut selects: Vec<Option<Select>> = sources.iter().map(|s| Select::new(wanted, s)).collect();
-    let spans: Vec<_> =
-        sources.iter().zip(&selects).map(|(s, w)| w.as_ref().map_or((0, 0), |w| w.span(s))).collect();
+    let spans: Vec<_> = sources
+        .iter()
+        .zip(&selects)
+        .map(|(s, w)| w.as_ref().map_or((0, 0), |w| w.span(s)))
+        .collect();
     let mut done = Rewritten::default();
     let mut failed = None;
     // What was taken before the span may end within: followed from the file's beginning, unless only time is asked.
     let by_time = wanted.only_time();
     let reach = |source: u32| {
         let (from, until) = spans[source as usize];
-        if by_time { (from, until) } else { (i64::MIN, until) }
+        if by_time {
+            (from, until)
+        } else {
+            (i64::MIN, until)
+        }
     };
     let read = reader.within(reach, |found| {
         let Found::Block { place, records } = found else {
@@ -45,7 +58,9 @@
             return;
         };
         let source = place.source as usize;
-        let Some(select) = &mut selects[source] else { return };
+        let Some(select) = &mut selects[source] else {
+            return;
+        };
         let mut gather = Gather::default();
         for (at, record) in records {
             if !select.belongs(at, spans[source], &record) {
@@ -101,7 +116,9 @@
         }
         let raw = gather.close();
         if let Some(original) = strip.left_in(&raw.bytes) {
-            return Err(Error::Left { original: original.to_owned() });
+            return Err(Error::Left {
+                original: original.to_owned(),
+            });
         }
         sheet.block(place.source, &raw)?;
     }
--- a/crates/trace/src/rules.rs
+++ b/crates/trace/src/rules.rs
@@ -7,7 +7,9 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use cedarpulley::interface::{Action, Effect, Event, InvIx, Micros, Outcome, RepeatGroup, Standing};
+use cedarpulley::interface::{
+    Action, Effect, Event, InvIx, Micros, Outcome, RepeatGroup, Standing,
+};
 use cedarpulley_router::Fate;
 use serde::Serialize;
 
@@ -98,17 +100,37 @@
                     side.marks.insert(*inv, *mark);
                 }
             }
-            Record::Answered { inv: Some(inv), fate, .. } => {
-                let Some(open) = side.open.get_mut(inv) else { return };
+            Record::Answered {
+                inv: Some(inv),
+                fate,
+                ..
+            } => {
+                let Some(open) = side.open.get_mut(inv) else {
+                    return;
+                };
                 // Those that wait for the same answer get it with the first.
                 if std::mem::replace(&mut open.answered, true) {
                     return;
                 }
                 let late = at - open.gives_up - ANSWER_MARGIN - of.start.startup.rules.answer_slack;
-                let effect = of.start.startup.triggers.get(open.trigger as usize).map(|t| t.effect);
-                let ran = open.sent.iter().any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
+                let effect = of
+                    .start
+                    .startup
+                    .triggers
+                    .get(open.trigger as usize)
+                    .map(|t| t.effect);
+                let ran = open
+                    .sent
+                    .iter()
+                    .any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
                 if late > 0 {
-                    self.breaks(1, told(format!("answered {} ms after its client gave up", late / 1000)));
+                    self.breaks(
+                        1,
+                        told(format!(
+                            "answered {} ms after its client gave up",
+                            late / 1000
+                        )),
+                    );
                 }
                 // A tokened one's retry is dropped where it ran.
                 if *fate == Fate::Throttled && ran && effect == Some(Effect::NonIdempotent) {
@@ -146,7 +168,13 @@
                 }
                 let mark = side.marks.remove(&a.inv);
                 let gives_up = at.saturating_add(a.client_gives_up_in);
-                let open = Open { trigger: a.trigger, mark, gives_up, answered: false, sent: Vec::new() };
+                let open = Open {
+                    trigger: a.trigger,
+                    mark,
+                    gives_up,
+                    answered: false,
+                    sent: Vec::new(),
+                };
                 if let Some(before) = side.open.insert(a.inv, open) {
                     self.over(of, before, at);
                 }
@@ -157,14 +185,26 @@
                 }
             }
             Happened::Other(Event::DispatchEnded(e)) => {
-                let Some(open) = side.open.get_mut(&e.inv) else { return };
+                let Some(open) = side.open.get_mut(&e.inv) else {
+                    return;
+                };
                 // Concluded without an answer: its front was lost, and nobody waits for it here.
                 open.answered |= e.concluded;
                 let (mark, trigger) = (open.mark, open.trigger);
-                let Some(sent) = open.sent.get_mut(e.dispatch as usize) else { return };
+                let Some(sent) = open.sent.get_mut(e.dispatch as usize) else {
+                    return;
+                };
                 sent.outcome = Some(e.outcome);
-                let suspect = sent.suspect.take().filter(|_| e.outcome != Outcome::NotSent);
-                let once = of.start.startup.triggers.get(trigger as usize).map(|t| t.effect)
+                let suspect = sent
+                    .suspect
+                    .take()
+                    .filter(|_| e.outcome != Outcome::NotSent);
+                let once = of
+                    .start
+                    .startup
+                    .triggers
+                    .get(trigger as usize)
+                    .map(|t| t.effect)
                     == Some(Effect::NonIdempotent);
                 if let Some(mark) = mark.filter(|_| once && !e.outcome.never_ran()) {
                     if self.ran.len() < MOST_MARKS {
@@ -182,15 +222,22 @@
     }
 
     fn asked(&mut self, source: u32, of: &Source, at: Micros, action: &Action) {
-        let Some(side) = self.sides.get_mut(&source) else { return };
+        let Some(side) = self.sides.get_mut(&source) else {
+            return;
+        };
         let told = |why: &str| format!("{} at {} us: {why}", of.start.router, of.wall(at));
         match *action {
             Action::Dispatch { inv, worker, .. } => {
-                let Some(open) = side.open.get_mut(&inv) else { return };
+                let Some(open) = side.open.get_mut(&inv) else {
+                    return;
+                };
                 let place = side.workers.get(&worker).copied();
                 let ran = |s: &Sent| s.outcome.is_none_or(|o| !o.never_ran());
                 let trigger = of.start.startup.triggers.get(open.trigger as usize);
-                let elsewhere = open.mark.and_then(|m| self.ran.get(&m)).is_some_and(|who| *who != source);
+                let elsewhere = open
+                    .mark
+                    .and_then(|m| self.ran.get(&m))
+                    .is_some_and(|who| *who != source);
                 let mut suspect = None;
                 match trigger.map(|t| t.effect) {
                     Some(Effect::NonIdempotent) if open.sent.iter().any(ran) || elsewhere => {
@@ -205,24 +252,35 @@
                                 RepeatGroup::Cell => before.map(|w| w.1) == place.map(|w| w.1),
                             };
                             if !same || at - s.at > window {
-                                suspect = Some((2, told("a repeat outside of its group or window")));
+                                suspect =
+                                    Some((2, told("a repeat outside of its group or window")));
                             }
                         }
                     }
                     _ => {}
                 }
-                if !of.start.startup.limits.second_copies && open.sent.iter().any(|s| s.outcome.is_none()) {
+                if !of.start.startup.limits.second_copies
+                    && open.sent.iter().any(|s| s.outcome.is_none())
+                {
                     suspect = Some((2, told("a second copy where none is allowed")));
                 }
                 if let Some((_, _, Some(since))) = place
                     && at - since > of.start.startup.rules.drain_grace
                 {
-                    suspect = Some((3, told("sent to one that is draining or gone, past the grace")));
+                    suspect = Some((
+                        3,
+                        told("sent to one that is draining or gone, past the grace"),
+                    ));
                 }
                 if open.answered {
                     suspect = Some((1, told("sent after its answer")));
                 }
-                open.sent.push(Sent { worker, at, outcome: None, suspect });
+                open.sent.push(Sent {
+                    worker,
+                    at,
+                    outcome: None,
+                    suspect,
+                });
             }
             Action::Order { copies, .. } if copies > 0 => {
                 let window = of.start.startup.loads.ration_window;
@@ -235,7 +293,10 @@
                 let allowed = of.start.startup.loads.ration_few
                     + of.start.startup.loads.ration_part * side.taken.len() as f64;
                 if side.orders.len() as f64 > allowed + 1e-9 {
-                    let why = format!("{} orders, and {allowed:.1} were allowed", side.orders.len());
+                    let why = format!(
+                        "{} orders, and {allowed:.1} were allowed",
+                        side.orders.len()
+                    );
                     self.breaks(5, told(&why));
                 }
             }
--- a/crates/trace/src/select.rs
+++ b/crates/trace/src/select.rs
@@ -28,7 +28,10 @@
     }
 
     fn by_invocation(&self) -> bool {
-        self.function.is_some() || self.account.is_some() || self.worker.is_some() || self.mark.is_some()
+        self.function.is_some()
+            || self.account.is_some()
+            || self.worker.is_some()
+            || self.mark.is_some()
     }
 }
 
@@ -63,7 +66,10 @@
     /// The span in the file's own time.
     pub fn span(&self, source: &Source) -> (Micros, Micros) {
         let own = |wall: Micros| wall.saturating_sub(source.wall(0));
-        (self.wanted.from.map_or(Micros::MIN, own), self.wanted.until.map_or(Micros::MAX, own))
+        (
+            self.wanted.from.map_or(Micros::MIN, own),
+            self.wanted.until.map_or(Micros::MAX, own),
+        )
     }
 
     pub fn name(&self, space: Space, ix: u32) -> Option<&str> {
@@ -71,7 +77,10 @@
     }
 
     fn is_worker(&self, ix: u32) -> bool {
-        self.wanted.worker.as_deref().is_some_and(|w| self.name(Space::Worker, ix) == Some(w))
+        self.wanted
+            .worker
+            .as_deref()
+            .is_some_and(|w| self.name(Space::Worker, ix) == Some(w))
     }
 
     /// Names are kept here and told with what uses them: a name alone never belongs.
@@ -89,7 +98,9 @@
             Record::Name { .. } => false,
             Record::Gap { .. } => true,
             Record::TurnedAway { account, .. } => {
-                self.account == Some(*account) && self.wanted.function.is_none() && self.mark.is_none()
+                self.account == Some(*account)
+                    && self.wanted.function.is_none()
+                    && self.mark.is_none()
             }
             Record::Taken { inv, mark, .. } => {
                 self.belongs.remove(inv);
@@ -100,8 +111,12 @@
                 self.marked.contains(inv)
             }
             Record::Answered { inv: Some(inv), .. } => self.belongs.contains(inv),
-            Record::Answered { inv: None, account, .. } => {
-                self.account == Some(*account) && self.wanted.function.is_none() && self.mark.is_none()
+            Record::Answered {
+                inv: None, account, ..
+            } => {
+                self.account == Some(*account)
+                    && self.wanted.function.is_none()
+                    && self.mark.is_none()
             }
             Record::Decided { happened, actions } => self.decided(happened, actions),
         };
@@ -111,14 +126,17 @@
     fn decided(&mut self, happened: &Happened, actions: &[Action]) -> bool {
         let mut any = false;
         match happened {
-            Happened::List { entries, .. } => any |= entries.iter().any(|e| self.is_worker(e.worker)),
+            Happened::List { entries, .. } => {
+                any |= entries.iter().any(|e| self.is_worker(e.worker))
+            }
             Happened::Other(Event::Invocation(a)) => {
                 let function = self.wanted.function.as_deref();
                 let fits = function.is_none_or(|f| self.name(Space::Function, a.func) == Some(f))
                     && self.account.is_none_or(|own| own == a.account)
                     && (self.mark.is_none() || self.marked.contains(&a.inv));
                 // By worker alone an invocation belongs from its dispatch there on.
-                let only_worker = function.is_none() && self.account.is_none() && self.mark.is_none();
+                let only_worker =
+                    function.is_none() && self.account.is_none() && self.mark.is_none();
                 if fits && !only_worker {
                     self.belongs.insert(a.inv);
                 }
@@ -151,10 +169,14 @@
                     }
                     any |= self.belongs.contains(inv);
                 }
-                Action::Withdraw { inv, .. } | Action::Throttle { inv, .. } | Action::Error { inv } => {
+                Action::Withdraw { inv, .. }
+                | Action::Throttle { inv, .. }
+                | Action::Error { inv } => {
                     any |= self.belongs.contains(inv);
                 }
-                Action::Order { worker, .. } | Action::Unload { worker, .. } | Action::Probe { worker } => {
+                Action::Order { worker, .. }
+                | Action::Unload { worker, .. }
+                | Action::Probe { worker } => {
                     any |= self.is_worker(*worker);
                 }
                 _ => {}
--- a/crates/trace/src/show.rs
+++ b/crates/trace/src/show.rs
@@ -32,28 +32,55 @@
     fn line(&mut self, source: &Source, at: Micros, text: String) {
         let wall = source.wall(at);
         let (s, us) = (wall.div_euclid(1_000_000), wall.rem_euclid(1_000_000));
-        self.lines.push(format!("{s}.{us:06} {}: {text}", source.start.router));
+        self.lines
+            .push(format!("{s}.{us:06} {}: {text}", source.start.router));
     }
 
     pub fn record(&mut self, source: &Source, at: Micros, record: &Record) {
         match record {
             Record::Name { space, ix, text } => {
-                let names = if *space == Space::Worker { &mut self.workers } else { &mut self.functions };
+                let names = if *space == Space::Worker {
+                    &mut self.workers
+                } else {
+                    &mut self.functions
+                };
                 names.insert(*ix, text.clone());
             }
-            Record::Taken { inv, front, mark: Some(mark), redelivered } if *mark == self.mark => {
+            Record::Taken {
+                inv,
+                front,
+                mark: Some(mark),
+                redelivered,
+            } if *mark == self.mark => {
                 self.inv = Some(*inv);
-                let front = source.start.fronts_named.get(*front as usize).map_or("?", String::as_str);
-                let again = if *redelivered { ", delivered again" } else { "" };
+                let front = source
+                    .start
+                    .fronts_named
+                    .get(*front as usize)
+                    .map_or("?", String::as_str);
+                let again = if *redelivered {
+                    ", delivered again"
+                } else {
+                    ""
+                };
                 self.line(source, at, format!("taken from {front}{again}"));
             }
             // Its index went to another.
             Record::Taken { inv, .. } if self.inv == Some(*inv) => self.inv = None,
-            Record::Answered { inv: Some(inv), fate, reason, took, .. } if self.inv == Some(*inv) => {
+            Record::Answered {
+                inv: Some(inv),
+                fate,
+                reason,
+                took,
+                ..
+            } if self.inv == Some(*inv) => {
                 self.line(
                     source,
                     at,
-                    format!("answered: {fate:?}, {reason:?}, after {:.1} ms", *took as f64 / 1e3),
+                    format!(
+                        "answered: {fate:?}, {reason:?}, after {:.1} ms",
+                        *took as f64 / 1e3
+                    ),
                 );
             }
             Record::Decided { happened, actions } => self.decided(source, at, happened, actions),
@@ -66,12 +93,21 @@
 
     fn decided(&mut self, source: &Source, at: Micros, happened: &Happened, actions: &[Action]) {
         let Some(own) = self.inv else { return };
-        let worker = |ix: &u32| self.workers.get(ix).cloned().unwrap_or_else(|| ix.to_string());
+        let worker = |ix: &u32| {
+            self.workers
+                .get(ix)
+                .cloned()
+                .unwrap_or_else(|| ix.to_string())
+        };
         let mut texts = Vec::new();
         match happened {
             Happened::Other(Event::Invocation(a)) if a.inv == own => {
                 let function = self.functions.get(&a.func).map_or("?", String::as_str);
-                let kind = source.start.triggers_named.get(a.trigger as usize).map_or("?", String::as_str);
+                let kind = source
+                    .start
+                    .triggers_named
+                    .get(a.trigger as usize)
+                    .map_or("?", String::as_str);
                 texts.push(format!(
                     "{kind} for {function}, gives up in {:.0} ms",
                     a.client_gives_up_in as f64 / 1e3
@@ -79,9 +115,14 @@
             }
             Happened::Other(Event::DispatchEnded(e)) if e.inv == own => {
                 let (name, took) = (worker(&e.worker), e.took as f64 / 1e3);
-                texts.push(format!("dispatch {} to {name}: {:?} after {took:.1} ms", e.dispatch, e.outcome));
+                texts.push(format!(
+                    "dispatch {} to {name}: {:?} after {took:.1} ms",
+                    e.dispatch, e.outcome
+                ));
+            }
+            Happened::Other(Event::Departed { inv }) if *inv == own => {
+                texts.push("its client left".into())
             }
-            Happened::Other(Event::Departed { inv }) if *inv == own => texts.push("its client left".into()),
             _ => {}
         }
         let mut acted = false;
--- a/crates/trace/src/start.rs
+++ b/crates/trace/src/start.rs
@@ -49,14 +49,21 @@
 
 impl From<Start> for Source {
     fn from(start: Start) -> Self {
-        Source { start, ahead: 0, extent: Extent::Whole }
+        Source {
+            start,
+            ahead: 0,
+            extent: Extent::Whole,
+        }
     }
 }
 
 impl Source {
     /// The common wall's time of one of its own.
     pub fn wall(&self, at: Micros) -> Micros {
-        self.start.wall_at_zero.saturating_add(at).saturating_sub(self.ahead)
+        self.start
+            .wall_at_zero
+            .saturating_add(at)
+            .saturating_sub(self.ahead)
     }
 }
 
@@ -88,9 +95,17 @@
             _ => return Err(Bad::Unknown),
         };
         let size = usize::try_from(g.u()?).map_err(|_| Bad::Short)?;
-        Ok(Source { start: Start::get(g.take(size)?)?, ahead, extent })
+        Ok(Source {
+            start: Start::get(g.take(size)?)?,
+            ahead,
+            extent,
+        })
     })?;
-    if sources.is_empty() { Err(Bad::Short) } else { Ok(sources) }
+    if sources.is_empty() {
+        Err(Bad::Short)
+    } else {
+        Ok(sources)
+    }
 }
 
 /// Of this build's module.
@@ -123,21 +138,31 @@
         p.bytes.extend_from_slice(&self.settings);
         p.u(self.file);
         p.i(self.wall_at_zero);
-        for names in [&self.triggers_named, &self.accounts_named, &self.fronts_named] {
+        for names in [
+            &self.triggers_named,
+            &self.accounts_named,
+            &self.fronts_named,
+        ] {
             p.u(names.len() as u64);
             names.iter().for_each(|n| p.text(n));
         }
         p.u(self.seed);
         let f = &self.startup.fleet;
-        [f.routers, f.position, f.zone].into_iter().for_each(|n| p.u(n.into()));
+        [f.routers, f.position, f.zone]
+            .into_iter()
+            .for_each(|n| p.u(n.into()));
         p.i(f.granularity);
         let l = &self.startup.limits;
         p.u(l.max_dispatches.into());
-        [l.second_copies, l.withdrawals, l.probes].into_iter().for_each(|b| p.byte(b.into()));
+        [l.second_copies, l.withdrawals, l.probes]
+            .into_iter()
+            .for_each(|b| p.byte(b.into()));
         p.i(l.connect_within);
         p.i(l.max_advice);
         let r = &self.startup.rules;
-        [r.answer_slack, r.drain_grace, r.ask_within].into_iter().for_each(|t| p.i(t));
+        [r.answer_slack, r.drain_grace, r.ask_within]
+            .into_iter()
+            .for_each(|t| p.i(t));
         p.byte(r.list_on_request.into());
         p.f(r.cold_part);
         p.i(r.cold_for);
@@ -171,7 +196,9 @@
         }
         let l = &self.startup.loads;
         p.i(l.idle_kept);
-        [l.orders, l.loads_when_absent, l.notes, l.crowds].into_iter().for_each(|b| p.byte(b.into()));
+        [l.orders, l.loads_when_absent, l.notes, l.crowds]
+            .into_iter()
+            .for_each(|b| p.byte(b.into()));
         p.i(l.order_answered_within);
         p.i(l.ration_window);
         p.f(l.ration_few);
@@ -179,7 +206,16 @@
         p.u(l.memory_mb.len() as u64);
         l.memory_mb.iter().for_each(|m| p.f(*m));
         let c = &self.startup.prices;
-        [c.crossing, c.fetch, c.waste, c.probe, c.late_error, c.over_share].into_iter().for_each(|x| p.f(x));
+        [
+            c.crossing,
+            c.fetch,
+            c.waste,
+            c.probe,
+            c.late_error,
+            c.over_share,
+        ]
+        .into_iter()
+        .for_each(|x| p.f(x));
         p.byte(match self.startup.reports {
             ReportsIn::Answers => 0,
             ReportsIn::Probes => 1,
@@ -196,8 +232,12 @@
         let names = |g: &mut Get| g.many(|g| g.text().map(str::to_owned));
         let (triggers_named, accounts_named, fronts_named) = (names(g)?, names(g)?, names(g)?);
         let seed = g.u()?;
-        let fleet =
-            FleetPosition { routers: g.u32()?, position: g.u32()?, zone: g.u32()?, granularity: g.i()? };
+        let fleet = FleetPosition {
+            routers: g.u32()?,
+            position: g.u32()?,
+            zone: g.u32()?,
+            granularity: g.i()?,
+        };
         let limits = DispatchLimits {
             max_dispatches: g.u32()?,
             second_copies: g.flag()?,
@@ -220,9 +260,18 @@
             let effect = match g.byte()? {
                 0 => Effect::Idempotent,
                 1 => Effect::NonIdempotent,
-                2 => Effect::Tokened { group: RepeatGroup::All, window: g.i()? },
-                3 => Effect::Tokened { group: RepeatGroup::Zone, window: g.i()? },
-                4 => Effect::Tokened { group: RepeatGroup::Cell, window: g.i()? },
+                2 => Effect::Tokened {
+                    group: RepeatGroup::All,
+                    window: g.i()?,
+                },
+                3 => Effect::Tokened {
+                    group: RepeatGroup::Zone,
+                    window: g.i()?,
+                },
+                4 => Effect::Tokened {
+                    group: RepeatGroup::Cell,
+                    window: g.i()?,
+                },
                 _ => return Err(Bad::Unknown),
             };
             Ok(TriggerType {
@@ -235,9 +284,15 @@
                 streamed: g.flag()?,
             })
         })?;
-        let accounts = g.many(|g| Ok(Account { allowance_per_s: g.f()?, share: g.f()? }))?;
+        let accounts = g.many(|g| {
+            Ok(Account {
+                allowance_per_s: g.f()?,
+                share: g.f()?,
+            })
+        })?;
         let idle_kept = g.i()?;
-        let (orders, loads_when_absent, notes, crowds) = (g.flag()?, g.flag()?, g.flag()?, g.flag()?);
+        let (orders, loads_when_absent, notes, crowds) =
+            (g.flag()?, g.flag()?, g.flag()?, g.flag()?);
         let loads = LoadTerms {
             idle_kept,
             orders,
@@ -274,7 +329,16 @@
             accounts_named,
             fronts_named,
             seed,
-            startup: StartupSettings { fleet, limits, rules, triggers, accounts, loads, prices, reports },
+            startup: StartupSettings {
+                fleet,
+                limits,
+                rules,
+                triggers,
+                accounts,
+                loads,
+                prices,
+                reports,
+            },
         })
     }
 }
--- a/crates/trace/src/strip.rs
+++ b/crates/trace/src/strip.rs
@@ -59,11 +59,23 @@
         let start = &source.start;
         let mut s = start.clone();
         s.router = self.pseudonym("R-", &start.router);
-        s.accounts_named = start.accounts_named.iter().map(|n| self.pseudonym("A-", n)).collect();
-        s.fronts_named = start.fronts_named.iter().map(|n| self.pseudonym("E-", n)).collect();
+        s.accounts_named = start
+            .accounts_named
+            .iter()
+            .map(|n| self.pseudonym("A-", n))
+            .collect();
+        s.fronts_named = start
+            .fronts_named
+            .iter()
+            .map(|n| self.pseudonym("E-", n))
+            .collect();
         s.settings = *blake3::keyed_hash(&self.key, &start.settings).as_bytes();
         s.seed = self.number(start.seed);
-        Source { start: s, ahead: source.ahead, extent: Extent::Stripped }
+        Source {
+            start: s,
+            ahead: source.ahead,
+            extent: Extent::Stripped,
+        }
     }
 
     pub fn record(&mut self, record: Record) -> Record {
@@ -73,19 +85,43 @@
                 let text = self.pseudonym(kind, &text);
                 Record::Name { space, ix, text }
             }
-            Record::Taken { inv, front, mark, redelivered } => {
+            Record::Taken {
+                inv,
+                front,
+                mark,
+                redelivered,
+            } => {
                 let mark = mark.map(|m| self.number(m));
-                Record::Taken { inv, front, mark, redelivered }
+                Record::Taken {
+                    inv,
+                    front,
+                    mark,
+                    redelivered,
+                }
             }
-            Record::Decided { happened: Happened::List { mode, mut entries }, actions } => {
+            Record::Decided {
+                happened: Happened::List { mode, mut entries },
+                actions,
+            } => {
                 // A worker's fingerprint is made of its address.
-                entries.iter_mut().for_each(|e| e.fingerprint = self.number(e.fingerprint));
-                Record::Decided { happened: Happened::List { mode, entries }, actions }
+                entries
+                    .iter_mut()
+                    .for_each(|e| e.fingerprint = self.number(e.fingerprint));
+                Record::Decided {
+                    happened: Happened::List { mode, entries },
+                    actions,
+                }
             }
-            Record::Decided { happened: Happened::Other(Event::Invocation(mut a)), actions } => {
+            Record::Decided {
+                happened: Happened::Other(Event::Invocation(mut a)),
+                actions,
+            } => {
                 // Made of the function's name again by who reads it.
                 a.fingerprint = 0;
-                Record::Decided { happened: Happened::Other(Event::Invocation(a)), actions }
+                Record::Decided {
+                    happened: Happened::Other(Event::Invocation(a)),
+                    actions,
+                }
             }
             other => other,
         }
@@ -93,6 +129,9 @@
 
     /// An original that stands in these unpacked bytes; there must be none.
     pub fn left_in(&self, bytes: &[u8]) -> Option<&str> {
-        self.originals.iter().find(|o| bytes.windows(o.len()).any(|w| w == o.as_bytes())).map(String::as_str)
+        self.originals
+            .iter()
+            .find(|o| bytes.windows(o.len()).any(|w| w == o.as_bytes()))
+            .map(String::as_str)
     }
 }
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -122,10 +122,13 @@
 }
 
 fn named(names: &[String], ix: u32) -> String {
-    names
-        .get(ix as usize)
-        .cloned()
-        .unwrap_or_else(|| if ix == u32::MAX { "?".into() } else { ix.to_string() })
+    names.get(ix as usize).cloned().unwrap_or_else(|| {
+        if ix == u32::MAX {
+            "?".into()
+        } else {
+            ix.to_string()
+        }
+    })
 }
 
 impl Counter {
@@ -133,9 +136,14 @@
     pub fn file(&mut self, sources: &[Source]) {
         for s in sources {
             self.out.files += 1;
-            let place = (s.start.startup.fleet.position, s.start.startup.fleet.routers);
+            let place = (
+                s.start.startup.fleet.position,
+                s.start.startup.fleet.routers,
+            );
             let key = (s.start.router.clone(), s.start.wall_at_zero);
-            self.routers.entry(key).or_insert(Seen { place, span: None });
+            self.routers
+                .entry(key)
+                .or_insert(Seen { place, span: None });
         }
         self.workers.clear();
     }
@@ -151,40 +159,83 @@
         if !matches!(record, Record::Name { .. }) {
             out.from_wall_us = Some(out.from_wall_us.map_or(wall, |w| w.min(wall)));
             out.until_wall_us = Some(out.until_wall_us.map_or(wall, |w| w.max(wall)));
-            if let Some(seen) = self.routers.get_mut(&(start.router.clone(), start.wall_at_zero)) {
+            if let Some(seen) = self
+                .routers
+                .get_mut(&(start.router.clone(), start.wall_at_zero))
+            {
                 let (from, until) = seen.span.unwrap_or((wall, wall));
                 seen.span = Some((from.min(wall), until.max(wall)));
             }
         }
         match record {
-            Record::Name { space: Space::Worker, ix, text } => {
+            Record::Name {
+                space: Space::Worker,
+                ix,
+                text,
+            } => {
                 self.workers.insert((source, *ix), text.clone());
             }
             Record::Name { .. } | Record::Taken { .. } => {}
             Record::Gap { records, .. } => out.lost_records += records,
-            Record::Answered { fate, reason, trigger, account, took, .. } => {
+            Record::Answered {
+                fate,
+                reason,
+                trigger,
+                account,
+                took,
+                ..
+            } => {
                 out.fates.add(*fate);
-                out.by_trigger.entry(named(&start.triggers_named, *trigger)).or_default().add(*fate);
-                out.by_account.entry(named(&start.accounts_named, *account)).or_default().add(*fate);
+                out.by_trigger
+                    .entry(named(&start.triggers_named, *trigger))
+                    .or_default()
+                    .add(*fate);
+                out.by_account
+                    .entry(named(&start.accounts_named, *account))
+                    .or_default()
+                    .add(*fate);
                 *out.by_reason.entry(format!("{reason:?}")).or_default() += 1;
                 match fate {
                     Fate::Succeeded => self.times.saturating_record((*took).max(0) as u64),
-                    _ => *self.lost_by_second.entry(wall.div_euclid(SECOND)).or_default() += 1,
+                    _ => {
+                        *self
+                            .lost_by_second
+                            .entry(wall.div_euclid(SECOND))
+                            .or_default() += 1
+                    }
                 }
             }
-            Record::TurnedAway { trigger, account, why, .. } => {
+            Record::TurnedAway {
+                trigger,
+                account,
+                why,
+                ..
+            } => {
                 out.fates.turned_away += 1;
-                out.by_trigger.entry(named(&start.triggers_named, *trigger)).or_default().turned_away += 1;
-                out.by_account.entry(named(&start.accounts_named, *account)).or_default().turned_away += 1;
+                out.by_trigger
+                    .entry(named(&start.triggers_named, *trigger))
+                    .or_default()
+                    .turned_away += 1;
+                out.by_account
+                    .entry(named(&start.accounts_named, *account))
+                    .or_default()
+                    .turned_away += 1;
                 *out.by_reason.entry(format!("door: {why:?}")).or_default() += 1;
-                *self.lost_by_second.entry(wall.div_euclid(SECOND)).or_default() += 1;
+                *self
+                    .lost_by_second
+                    .entry(wall.div_euclid(SECOND))
+                    .or_default() += 1;
             }
             Record::Decided { happened, actions } => self.decided(happened, actions),
         }
     }
 
     fn worker(&mut self, ix: u32) -> &mut AtWorker {
-        let name = self.workers.get(&(self.source, ix)).cloned().unwrap_or_else(|| ix.to_string());
+        let name = self
+            .workers
+            .get(&(self.source, ix))
+            .cloned()
+            .unwrap_or_else(|| ix.to_string());
         self.out.by_worker.entry(name).or_default()
     }
 
@@ -193,9 +244,9 @@
         if let Happened::Other(Event::Invocation(a)) = happened {
             self.out.invocations += 1;
             let done = actions.iter().any(|x| match x {
-                Action::Dispatch { inv, .. } | Action::Throttle { inv, .. } | Action::Error { inv } => {
-                    *inv == a.inv
-                }
+                Action::Dispatch { inv, .. }
+                | Action::Throttle { inv, .. }
+                | Action::Error { inv } => *inv == a.inv,
                 _ => false,
             });
             self.out.held += u64::from(!done);
@@ -228,12 +279,32 @@
         self.out.routers = self.routers.len() as u64;
         self.out.same_place = same_place(&self.routers);
         let h = &self.times;
-        let at = |q| if h.is_empty() { 0 } else { h.value_at_quantile(q) };
-        self.out.succeeded_in =
-            Times { count: h.len(), p50_us: at(0.5), p90_us: at(0.9), p99_us: at(0.99), max_us: h.max() };
-        let sum = |from: i64| self.lost_by_second.range(from..from + SPAN_S).map(|(_, n)| n).sum::<u64>();
+        let at = |q| {
+            if h.is_empty() {
+                0
+            } else {
+                h.value_at_quantile(q)
+            }
+        };
+        self.out.succeeded_in = Times {
+            count: h.len(),
+            p50_us: at(0.5),
+            p90_us: at(0.9),
+            p99_us: at(0.99),
+            max_us: h.max(),
+        };
+        let sum = |from: i64| {
+            self.lost_by_second
+                .range(from..from + SPAN_S)
+                .map(|(_, n)| n)
+                .sum::<u64>()
+        };
         // The earliest of the worst: a span that begins with a bad second.
-        self.out.worst = self.lost_by_second.keys().map(|s| (*s, sum(*s))).max_by_key(|(s, n)| (*n, -s));
+        self.out.worst = self
+            .lost_by_second
+            .keys()
+            .map(|s| (*s, sum(*s)))
+            .max_by_key(|(s, n)| (*n, -s));
         self.out
     }
 }
@@ -243,7 +314,9 @@
     let all: Vec<_> = routers.iter().collect();
     for (n, (one, a)) in all.iter().enumerate() {
         for (other, b) in all[n + 1..].iter().filter(|(_, b)| b.place == a.place) {
-            let (Some(x), Some(y)) = (a.span, b.span) else { continue };
+            let (Some(x), Some(y)) = (a.span, b.span) else {
+                continue;
+            };
             if x.1.min(y.1) - x.0.max(y.0) >= TOGETHER && pairs.len() < MOST_PAIRS {
                 pairs.push((one.0.clone(), other.0.clone()));
             }
@@ -273,7 +346,12 @@
             "", "succeeded", "throttled", "errored", "turned away"
         );
         let all = [("all".to_owned(), self.fates.clone())];
-        for (name, f) in all.iter().map(|(n, f)| (n, f)).chain(&self.by_trigger).chain(&self.by_account) {
+        for (name, f) in all
+            .iter()
+            .map(|(n, f)| (n, f))
+            .chain(&self.by_trigger)
+            .chain(&self.by_account)
+        {
             let _ = writeln!(
                 t,
                 "{name:<24} {:>10} {:>10} {:>10} {:>11}",
@@ -289,7 +367,11 @@
             s.p99_us as f64 / 1e3,
             s.max_us as f64 / 1e3
         );
-        let reasons: Vec<String> = self.by_reason.iter().map(|(r, n)| format!("{r} {n}")).collect();
+        let reasons: Vec<String> = self
+            .by_reason
+            .iter()
+            .map(|(r, n)| format!("{r} {n}"))
+            .collect();
         let _ = writeln!(t, "by reason: {}", reasons.join(", "));
         let _ = writeln!(
             t,
@@ -311,7 +393,10 @@
             );
         }
         for (one, other) in &self.same_place {
-            let _ = writeln!(t, "{one} and {other} stood at the same place at the same time");
+            let _ = writeln!(
+                t,
+                "{one} and {other} stood at the same place at the same time"
+            );
         }
         if self.lost_records + self.damaged_blocks > 0 {
             let _ = writeln!(
--- a/crates/trace/src/wire.rs
+++ b/crates/trace/src/wire.rs
@@ -126,12 +126,22 @@
         std::str::from_utf8(self.take(size)?).map_err(|_| Bad::NoText)
     }
 
-    pub fn maybe<T>(&mut self, get: impl FnOnce(&mut Self) -> Result<T, Bad>) -> Result<Option<T>, Bad> {
-        if self.flag()? { get(self).map(Some) } else { Ok(None) }
+    pub fn maybe<T>(
+        &mut self,
+        get: impl FnOnce(&mut Self) -> Result<T, Bad>,
+    ) -> Result<Option<T>, Bad> {
+        if self.flag()? {
+            get(self).map(Some)
+        } else {
+            Ok(None)
+        }
     }
 
     /// So many, each of at least one byte: a count beyond what is left is a lie.
-    pub fn many<T>(&mut self, mut get: impl FnMut(&mut Self) -> Result<T, Bad>) -> Result<Vec<T>, Bad> {
+    pub fn many<T>(
+        &mut self,
+        mut get: impl FnMut(&mut Self) -> Result<T, Bad>,
+    ) -> Result<Vec<T>, Bad> {
         let count = usize::try_from(self.u()?).map_err(|_| Bad::Short)?;
         if count > self.bytes.len() {
             return Err(Bad::Short);
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -35,7 +35,11 @@
         head.extend(&body);
         head.extend(crc32c::crc32c(&head).to_le_bytes());
         out.write_all(&head)?;
-        Ok(Sheet { out, offset: head.len() as u64, places: Places::default() })
+        Ok(Sheet {
+            out,
+            offset: head.len() as u64,
+            places: Places::default(),
+        })
     }
 
     /// In one write: a cut falls within it, or before or after.
@@ -50,8 +54,20 @@
         bytes.extend(head.put());
         bytes.extend(packed);
         self.out.write_all(&bytes)?;
-        let Head { first, last, records, source, .. } = *head;
-        self.places.push(Place { offset: self.offset, first, last, records, source });
+        let Head {
+            first,
+            last,
+            records,
+            source,
+            ..
+        } = *head;
+        self.places.push(Place {
+            offset: self.offset,
+            first,
+            last,
+            records,
+            source,
+        });
         self.offset += bytes.len() as u64;
         Ok(bytes.len() as u64)
     }
@@ -83,7 +99,8 @@
 
 impl Row {
     pub fn file(&self, number: u64) -> PathBuf {
-        self.folder.join(format!("{}-{:013}-{number:05}.trace", self.name, self.run))
+        self.folder
+            .join(format!("{}-{:013}-{number:05}.trace", self.name, self.run))
     }
 
     /// Files of this router, of this life and earlier ones, oldest first.
@@ -93,7 +110,9 @@
         for entry in std::fs::read_dir(&self.folder)? {
             let entry = entry?;
             let name = entry.file_name().to_string_lossy().into_owned();
-            let rest = name.strip_prefix(&self.name).and_then(|r| r.strip_prefix('-'));
+            let rest = name
+                .strip_prefix(&self.name)
+                .and_then(|r| r.strip_prefix('-'));
             let numbers = rest.and_then(|r| r.strip_suffix(".trace"));
             let mine = numbers.is_some_and(|n| n.bytes().all(|b| b.is_ascii_digit() || b == b'-'));
             if mine && entry.path() != own {
@@ -119,15 +138,30 @@
     /// Symptom: two routers have the same name and place, and each makes room by removing what the other writes.
     pub fn take(folder: &Path, name: &str) -> Result<Own, Error> {
         for n in 1..=MOST_OF_A_NAME {
-            let own = if n == 1 { name.to_owned() } else { format!("{name}_{n}") };
-            let lock = File::options().create(true).append(true).open(folder.join(format!("{own}.lock")))?;
+            let own = if n == 1 {
+                name.to_owned()
+            } else {
+                format!("{name}_{n}")
+            };
+            let lock = File::options()
+                .create(true)
+                .append(true)
+                .open(folder.join(format!("{own}.lock")))?;
             match lock.try_lock() {
-                Ok(()) => return Ok(Own { name: own, _lock: lock }),
+                Ok(()) => {
+                    return Ok(Own {
+                        name: own,
+                        _lock: lock,
+                    });
+                }
                 Err(std::fs::TryLockError::WouldBlock) => {}
                 Err(std::fs::TryLockError::Error(e)) => return Err(e.into()),
             }
         }
-        Err(Error::Taken { name: name.to_owned(), most: MOST_OF_A_NAME })
+        Err(Error::Taken {
+            name: name.to_owned(),
+            most: MOST_OF_A_NAME,
+        })
     }
 }
 
@@ -141,7 +175,13 @@
 }
 
 /// Writes until it is told to end, or whoever sends is gone. Failures are told through `complain`, each once.
-pub fn run(row: Row, mut start: Start, bounds: Bounds, notes: Receiver<Note>, complain: impl Fn(&str)) {
+pub fn run(
+    row: Row,
+    mut start: Start,
+    bounds: Bounds,
+    notes: Receiver<Note>,
+    complain: impl Fn(&str),
+) {
     let mut keeping = Keeping::new(bounds);
     let mut sheet: Option<Sheet<File>> = None;
     let mut lost: Option<(u64, Micros, Micros)> = None;
@@ -155,7 +195,16 @@
             lose(&mut lost, &raw);
             continue;
         }
-        let wrote = write(&row, &mut start, &mut number, &mut keeping, &mut sheet, &mut lost, now, &raw);
+        let wrote = write(
+            &row,
+            &mut start,
+            &mut number,
+            &mut keeping,
+            &mut sheet,
+            &mut lost,
+            now,
+            &raw,
+        );
         match wrote {
             Ok(Step::GoOn) => {}
             Ok(Step::Next) => {
@@ -215,11 +264,20 @@
         start.file += 1;
         keeping.began(now);
     }
-    let Some(open) = sheet.as_mut() else { return Ok(Step::GoOn) };
+    let Some(open) = sheet.as_mut() else {
+        return Ok(Step::GoOn);
+    };
     let mut bytes = 0;
     if let Some((records, from, until)) = *lost {
         let mut gather = crate::blocks::Gather::default();
-        gather.record(from, &crate::records::Record::Gap { records, from, until });
+        gather.record(
+            from,
+            &crate::records::Record::Gap {
+                records,
+                from,
+                until,
+            },
+        );
         bytes += open.block(0, &gather.close())?;
         *lost = None;
     }
--- a/crates/trace/tests/compared.rs
+++ b/crates/trace/tests/compared.rs
@@ -19,7 +19,10 @@
     let mut compare = Compare::default();
     compare.row();
     let done = drive(&mut [open(bytes)], |step| {
-        if let Step::Decided { recorded, replayed, .. } = step {
+        if let Step::Decided {
+            recorded, replayed, ..
+        } = step
+        {
             compare.decision(&recorded, &replayed);
         }
         Ok(true)
@@ -38,25 +41,60 @@
 
 #[test]
 fn each_kind_is_told() {
-    let send = |worker| Action::Dispatch { inv: 1, worker, time_out: None };
-    let order = |worker, func| Action::Order { worker, func, copies: 1 };
-    let throttle = Action::Throttle { inv: 1, return_after: Some(5) };
+    let send = |worker| Action::Dispatch {
+        inv: 1,
+        worker,
+        time_out: None,
+    };
+    let order = |worker, func| Action::Order {
+        worker,
+        func,
+        copies: 1,
+    };
+    let throttle = Action::Throttle {
+        inv: 1,
+        return_after: Some(5),
+    };
     let timer = |token| Action::Timer { token, after: 9 };
     let cases: [(&[Action], &[Action], &[Kind]); 11] = [
         (&[send(1)], &[send(1)], &[]),
         (&[send(1)], &[send(2)], &[Kind::SentElsewhere]),
         (&[send(1)], &[], &[Kind::Instead(Did::Sent, Did::Held)]),
-        (&[], &[throttle], &[Kind::Instead(Did::Held, Did::Throttled)]),
-        (&[throttle], &[Action::Throttle { inv: 1, return_after: None }], &[Kind::OtherFigures]),
+        (
+            &[],
+            &[throttle],
+            &[Kind::Instead(Did::Held, Did::Throttled)],
+        ),
+        (
+            &[throttle],
+            &[Action::Throttle {
+                inv: 1,
+                return_after: None,
+            }],
+            &[Kind::OtherFigures],
+        ),
         (&[order(1, 0)], &[order(2, 0)], &[Kind::OrderedElsewhere]),
-        (&[order(1, 0)], &[order(1, 0), order(2, 0)], &[Kind::OrderedMore]),
+        (
+            &[order(1, 0)],
+            &[order(1, 0), order(2, 0)],
+            &[Kind::OrderedMore],
+        ),
         (&[order(1, 0)], &[], &[Kind::OrderedFewer]),
         (&[timer(1)], &[timer(2)], &[Kind::Timers]),
         (&[Action::Probe { worker: 1 }], &[], &[Kind::Upkeep]),
         // Called back and sent again is a sending.
         (
-            &[Action::Withdraw { inv: 1, dispatch: 0 }, send(1)],
-            &[Action::Withdraw { inv: 1, dispatch: 0 }],
+            &[
+                Action::Withdraw {
+                    inv: 1,
+                    dispatch: 0,
+                },
+                send(1),
+            ],
+            &[Action::Withdraw {
+                inv: 1,
+                dispatch: 0,
+            }],
             &[Kind::Instead(Did::Sent, Did::CalledBack)],
         ),
     ];
@@ -71,8 +109,14 @@
     assert_eq!((same.rows_differing, same.differing), (0, 0));
     assert_eq!(same.decisions, same.decisions_exact);
     let other = with_this_build(written(5, |n, actions| elsewhere(n, actions)));
-    assert_eq!(other.by_kind, [(Kind::SentElsewhere, Count { first: 1, later: 1 })]);
-    assert_eq!((other.rows_differing, other.differing, other.decisions_exact), (1, 2, 4));
+    assert_eq!(
+        other.by_kind,
+        [(Kind::SentElsewhere, Count { first: 1, later: 1 })]
+    );
+    assert_eq!(
+        (other.rows_differing, other.differing, other.decisions_exact),
+        (1, 2, 4)
+    );
 }
 
 #[test]
@@ -81,7 +125,12 @@
     let mut anew = Vec::new();
     redo(&mut [open(changed.clone())], &mut anew).expect("redone");
     assert_eq!(open(anew.clone()).sources[0].extent, Extent::Redone);
-    assert!(replay(&mut [open(anew.clone())]).expect("replayed").difference.is_none());
+    assert!(
+        replay(&mut [open(anew.clone())])
+            .expect("replayed")
+            .difference
+            .is_none()
+    );
     let (mut one, mut other) = (Decisions::new(open(changed)), Decisions::new(open(anew)));
     let (mut decisions, mut differ) = (0, 0);
     while let Some((_, _, actions)) = one.next().expect("read") {
--- a/crates/trace/tests/coursed.rs
+++ b/crates/trace/tests/coursed.rs
@@ -13,7 +13,15 @@
 
 fn answered(fate: Fate, took: Micros) -> Record {
     let reason = Reason::Worker;
-    Record::Answered { inv: None, front: 0, fate, reason, trigger: 0, account: 0, took }
+    Record::Answered {
+        inv: None,
+        front: 0,
+        fate,
+        reason,
+        trigger: 0,
+        account: 0,
+        took,
+    }
 }
 
 #[test]
@@ -23,7 +31,11 @@
     for s in 0..seconds {
         // In any order: every other one from the end.
         let at = if s % 2 == 0 { s } else { seconds - s };
-        let fate = if s % 4 == 0 { Fate::Throttled } else { Fate::Succeeded };
+        let fate = if s % 4 == 0 {
+            Fate::Throttled
+        } else {
+            Fate::Succeeded
+        };
         course.record(&of, at * SECOND, &answered(fate, 70_000));
     }
     let bins = course.bins();
@@ -32,7 +44,10 @@
     let sum = |figure: &dyn Fn(&cedarpulley_trace::course::Bin) -> u64| {
         bins.iter().map(|b| figure(&b.1)).sum::<u64>()
     };
-    assert_eq!(sum(&|b| b.succeeded) + sum(&|b| b.throttled), seconds as u64);
+    assert_eq!(
+        sum(&|b| b.succeeded) + sum(&|b| b.throttled),
+        seconds as u64
+    );
     assert_eq!(sum(&|b| b.times.len()), sum(&|b| b.succeeded));
     // Clocks that are out of all reason are borne, too.
     course.record(&of, Micros::MAX, &answered(Fate::Errored, 1));
@@ -44,13 +59,28 @@
 #[test]
 fn a_chart_shows_what_was_there() {
     let (of, mut course): (Source, _) = (small::start().into(), Course::default());
-    assert!(svg(&course, "nothing", None).expect("drawn").contains("nothing"));
+    assert!(
+        svg(&course, "nothing", None)
+            .expect("drawn")
+            .contains("nothing")
+    );
     for s in 0..20 {
-        course.record(&of, s * SECOND, &answered(Fate::Succeeded, 70_000 + s * 1_000));
+        course.record(
+            &of,
+            s * SECOND,
+            &answered(Fate::Succeeded, 70_000 + s * 1_000),
+        );
     }
     let start = of.wall(0);
-    let drawn = svg(&course, "twenty < seconds", Some((start, start + 10 * SECOND))).expect("drawn");
-    assert!(drawn.starts_with("<svg") && drawn.contains("answers a second") && drawn.contains("p99"));
+    let drawn = svg(
+        &course,
+        "twenty < seconds",
+        Some((start, start + 10 * SECOND)),
+    )
+    .expect("drawn");
+    assert!(
+        drawn.starts_with("<svg") && drawn.contains("answers a second") && drawn.contains("p99")
+    );
     assert!(drawn.contains("twenty &lt; seconds"));
     assert!(drawn.contains("#FFECC8"), "the worst seconds are marked");
 }
--- a/crates/trace/tests/explained.rs
+++ b/crates/trace/tests/explained.rs
@@ -23,18 +23,44 @@
     fn new() -> Told {
         let kept = Cursor::new(include_bytes!("kept/format-1.trace"));
         let source = Reader::open(kept).expect("a trace").sources.swap_remove(0);
-        let mut t = Told { source, explain: Explain::default(), now: 0, inv: 0 };
-        (0..4).for_each(|w| t.record(Record::Name { space: Space::Worker, ix: w, text: format!("w{w}") }));
-        (0..4).for_each(|f| t.record(Record::Name { space: Space::Function, ix: f, text: format!("f{f}") }));
+        let mut t = Told {
+            source,
+            explain: Explain::default(),
+            now: 0,
+            inv: 0,
+        };
+        (0..4).for_each(|w| {
+            t.record(Record::Name {
+                space: Space::Worker,
+                ix: w,
+                text: format!("w{w}"),
+            })
+        });
+        (0..4).for_each(|f| {
+            t.record(Record::Name {
+                space: Space::Function,
+                ix: f,
+                text: format!("f{f}"),
+            })
+        });
         t
     }
 
     fn record(&mut self, record: Record) {
-        self.explain.record(0, &self.source, (Micros::MIN, Micros::MAX), self.now, &record);
+        self.explain.record(
+            0,
+            &self.source,
+            (Micros::MIN, Micros::MAX),
+            self.now,
+            &record,
+        );
     }
 
     fn decided(&mut self, event: Event<'static>, actions: Vec<Action>) {
-        self.record(Record::Decided { happened: Happened::Other(event), actions });
+        self.record(Record::Decided {
+            happened: Happened::Other(event),
+            actions,
+        });
     }
 
     fn comes(&mut self, func: u32, actions: impl FnOnce(u32) -> Vec<Action>) -> u32 {
@@ -61,7 +87,13 @@
 
     /// A dispatch and its end after `took`; a success is answered before the module hears of it.
     fn runs(&mut self, func: u32, worker: u32, took: Micros, outcome: Outcome, note: CopyNote) {
-        let inv = self.comes(func, |inv| vec![Action::Dispatch { inv, worker, time_out: None }]);
+        let inv = self.comes(func, |inv| {
+            vec![Action::Dispatch {
+                inv,
+                worker,
+                time_out: None,
+            }]
+        });
         self.now += took;
         let good = outcome == Outcome::Succeeded;
         if good {
@@ -115,10 +147,19 @@
     (0..5).for_each(|_| t.runs(0, 2, 900 * MS, Outcome::TimedOut, CopyNote::Untold));
     (0..3).for_each(|_| t.runs(0, 3, 900 * MS, Outcome::Succeeded, CopyNote::Found));
     let ranked = t.ranked();
-    assert_eq!((&ranked[0].cause, ranked[0].lost), (&Cause::WorkerSilent("w2".into()), 5));
-    assert_eq!((&ranked[1].cause, ranked[1].late), (&Cause::WorkerSlow("w3".into()), 3));
+    assert_eq!(
+        (&ranked[0].cause, ranked[0].lost),
+        (&Cause::WorkerSilent("w2".into()), 5)
+    );
+    assert_eq!(
+        (&ranked[1].cause, ranked[1].late),
+        (&Cause::WorkerSlow("w3".into()), 3)
+    );
     // Of a billed value of 2.5 a late answer earns a tenth.
-    assert!((ranked[0].cost - 12.5).abs() < 1e-9 && (ranked[1].cost - 6.75).abs() < 1e-9, "{ranked:?}");
+    assert!(
+        (ranked[0].cost - 12.5).abs() < 1e-9 && (ranked[1].cost - 6.75).abs() < 1e-9,
+        "{ranked:?}"
+    );
 }
 
 #[test]
@@ -128,7 +169,13 @@
     for func in 0..3 {
         t.runs(func, 1, 1_500 * MS, Outcome::Succeeded, CopyNote::Waited);
         // Held while its load was on order, and given up.
-        let inv = t.comes(func, |_| vec![Action::Order { worker: 1, func, copies: 1 }]);
+        let inv = t.comes(func, |_| {
+            vec![Action::Order {
+                worker: 1,
+                func,
+                copies: 1,
+            }]
+        });
         t.now += 900 * MS;
         t.answered(inv, Fate::Throttled, Reason::GivenUp, 900 * MS);
     }
@@ -140,37 +187,81 @@
 #[test]
 fn limits_lanes_and_places_are_told_apart() {
     let mut t = Told::new();
-    (0..4)
-        .for_each(|_| t.record(Record::TurnedAway { front: 0, trigger: 0, account: 0, why: Short::Account }));
-    t.record(Record::TurnedAway { front: 0, trigger: 0, account: 0, why: Short::Worth });
+    (0..4).for_each(|_| {
+        t.record(Record::TurnedAway {
+            front: 0,
+            trigger: 0,
+            account: 0,
+            why: Short::Account,
+        })
+    });
+    t.record(Record::TurnedAway {
+        front: 0,
+        trigger: 0,
+        account: 0,
+        why: Short::Worth,
+    });
     for _ in 0..3 {
         let inv = t.comes(0, |_| vec![]);
         t.now += 700 * MS;
         t.answered(inv, Fate::Throttled, Reason::GivenUp, 700 * MS);
     }
     let result = OrderResult::NoRoom;
-    t.decided(Event::OrderEnded { worker: 0, func: 1, result, took: 1, copies: 0 }, vec![]);
+    t.decided(
+        Event::OrderEnded {
+            worker: 0,
+            func: 1,
+            result,
+            took: 1,
+            copies: 0,
+        },
+        vec![],
+    );
     let inv = t.comes(1, |_| vec![]);
     t.answered(inv, Fate::Throttled, Reason::GivenUp, 0);
     let causes: Vec<(Cause, u64)> = t.ranked().into_iter().map(|r| (r.cause, r.lost)).collect();
     assert_eq!(causes[0], (Cause::BeyondShare("amber".into()), 4));
     assert_eq!(causes[1], (Cause::Held("quote".into()), 3));
-    assert!(causes.contains(&(Cause::NoPlace("f1".into()), 1)), "{causes:?}");
-    assert!(causes.contains(&(Cause::Door("worth".into()), 1)), "{causes:?}");
+    assert!(
+        causes.contains(&(Cause::NoPlace("f1".into()), 1)),
+        "{causes:?}"
+    );
+    assert!(
+        causes.contains(&(Cause::Door("worth".into()), 1)),
+        "{causes:?}"
+    );
 }
 
 /// A question for how many copies stand at another worker ends like an order; the load is still out.
 #[test]
 fn the_end_of_a_question_ends_no_load() {
     let mut t = Told::new();
-    let inv = t.comes(0, |_| vec![Action::Order { worker: 1, func: 0, copies: 1 }]);
+    let inv = t.comes(0, |_| {
+        vec![Action::Order {
+            worker: 1,
+            func: 0,
+            copies: 1,
+        }]
+    });
     let result = OrderResult::Stand;
-    t.decided(Event::OrderEnded { worker: 2, func: 0, result, took: 1, copies: 0 }, vec![]);
+    t.decided(
+        Event::OrderEnded {
+            worker: 2,
+            func: 0,
+            result,
+            took: 1,
+            copies: 0,
+        },
+        vec![],
+    );
     t.now += 900 * MS;
     let second = t.comes(0, |_| vec![]);
     t.now += 900 * MS;
     t.answered(inv, Fate::Throttled, Reason::GivenUp, 0);
     t.answered(second, Fate::Throttled, Reason::GivenUp, 0);
     let ranked = t.ranked();
-    assert_eq!((&ranked[0].cause, ranked[0].lost), (&Cause::Load("f0".into()), 2));
+    assert_eq!(
+        (&ranked[0].cause, ranked[0].lost),
+        (&Cause::Load("f0".into()), 2)
+    );
 }
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -40,7 +40,10 @@
             None => assert!((cut as u64) < index[0].offset, "{cut}"),
             Some((whole, damaged, ended)) => {
                 let wanted = ends.iter().filter(|e| **e <= cut as u64).count();
-                assert!(damaged == 0 && (wanted..=wanted + 1).contains(&whole), "{cut}: {whole}");
+                assert!(
+                    damaged == 0 && (wanted..=wanted + 1).contains(&whole),
+                    "{cut}: {whole}"
+                );
                 assert!(matches!(ended, Some(Ended::Cut { .. })), "{cut}: {ended:?}");
             }
         }
@@ -57,7 +60,10 @@
         match read(&flipped) {
             None => assert!(at < first, "{at}: only a damaged head makes it unreadable"),
             Some((whole, damaged, _)) => {
-                assert!(whole + damaged >= 3 && whole >= 3 && damaged <= 1, "{at}: {whole}, {damaged}");
+                assert!(
+                    whole + damaged >= 3 && whole >= 3 && damaged <= 1,
+                    "{at}: {whole}, {damaged}"
+                );
             }
         }
     }
@@ -66,7 +72,12 @@
 #[test]
 fn what_is_unknown_is_refused_in_one_line() {
     let mut bytes = written(1, |_, _| {});
-    let why = |bytes: &[u8]| Reader::open(Cursor::new(bytes)).err().expect("refused").to_string();
+    let why = |bytes: &[u8]| {
+        Reader::open(Cursor::new(bytes))
+            .err()
+            .expect("refused")
+            .to_string()
+    };
     bytes[8] = 200;
     assert!(why(&bytes).contains("format 200"));
     assert_eq!(why(b"PNG, perhaps, and long enough"), "it is no trace");
@@ -78,7 +89,9 @@
 #[test]
 fn an_index_that_goes_to_another_is_named_anew() {
     let mut g = Gather::default();
-    ["a", "a", "b", "b", "a"].iter().for_each(|name| g.name(0, records::Space::Worker, 3, name));
+    ["a", "a", "b", "b", "a"]
+        .iter()
+        .for_each(|name| g.name(0, records::Space::Worker, 3, name));
     assert_eq!(g.records(), 3);
 }
 
@@ -88,9 +101,18 @@
     let bytes = include_bytes!("kept/format-1.trace");
     assert_eq!(read(bytes), Some((4, 0, Some(Ended::Well))));
     let mut r = Reader::open(Cursor::new(bytes)).expect("a trace");
-    assert_eq!((r.format, r.sources[0].start.seed, r.sources[0].start.router.as_str()), (1, 9, "router-0"));
+    assert_eq!(
+        (
+            r.format,
+            r.sources[0].start.seed,
+            r.sources[0].start.router.as_str()
+        ),
+        (1, 9, "router-0")
+    );
     let mut seen = 0;
-    let touched = r.within(|_| (20 * MS, 21 * MS), |_| seen += 1).expect("read");
+    let touched = r
+        .within(|_| (20 * MS, 21 * MS), |_| seen += 1)
+        .expect("read");
     assert_eq!((touched, seen), (1, 1), "by its index, without the rest");
 }
 
@@ -101,13 +123,17 @@
     assert_eq!(read(bytes), Some((6, 0, Some(Ended::Well))));
     let r = Reader::open(Cursor::new(bytes)).expect("a trace");
     let names: Vec<&str> = r.sources.iter().map(|s| s.start.router.as_str()).collect();
-    assert_eq!((r.format, names, r.sources[1].ahead), (2, vec!["router-0", "router-0"], 5 * MS));
+    assert_eq!(
+        (r.format, names, r.sources[1].ahead),
+        (2, vec!["router-0", "router-0"], 5 * MS)
+    );
 }
 
 #[test]
 fn a_replay_finds_nothing_where_nothing_was_changed_and_the_first_change_else() {
-    let rerun =
-        |bytes: &[u8]| replay(&mut [Reader::open(Cursor::new(bytes)).expect("a trace")]).expect("a row");
+    let rerun = |bytes: &[u8]| {
+        replay(&mut [Reader::open(Cursor::new(bytes)).expect("a trace")]).expect("a row")
+    };
     let same = rerun(&written(5, |_, _| {}));
     assert!(same.same_module && same.difference.is_none() && same.stopped.is_none());
     assert!(same.decisions > 30, "{}", same.decisions);
@@ -117,18 +143,35 @@
         }
     }));
     let found = other.difference.expect("it was changed");
-    assert_eq!((found.decision, found.recorded.len()), (20, found.replayed.len() + 1));
+    assert_eq!(
+        (found.decision, found.recorded.len()),
+        (20, found.replayed.len() + 1)
+    );
 }
 
 #[test]
 fn files_end_by_size_and_age_and_old_ones_make_room() {
-    let bounds = Bounds { file_bytes: 100, file_age: 1000, budget: 350 };
+    let bounds = Bounds {
+        file_bytes: 100,
+        file_age: 1000,
+        budget: 350,
+    };
     let mut k = Keeping::new(bounds);
     k.began(0);
     assert_eq!((k.wrote(1, 60), k.wrote(2, 60)), (Step::GoOn, Step::Next));
     k.began(2);
-    assert_eq!((k.wrote(3, 10), k.wrote(1002, 10)), (Step::GoOn, Step::Next));
-    assert_eq!((k.looked(&[100, 100, 50]), k.looked(&[100, 100, 51]), k.looked(&[900])), (0, 1, 1));
+    assert_eq!(
+        (k.wrote(3, 10), k.wrote(1002, 10)),
+        (Step::GoOn, Step::Next)
+    );
+    assert_eq!(
+        (
+            k.looked(&[100, 100, 50]),
+            k.looked(&[100, 100, 51]),
+            k.looked(&[900])
+        ),
+        (0, 1, 1)
+    );
     // A disk that fails is left alone for a while, longer each time.
     k.failed(0);
     assert!(!k.may_write(999_999) && k.may_write(1_000_000));
@@ -142,31 +185,63 @@
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("spent");
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
-    let row = Row { folder, name: "r".into(), run: 7 };
+    let row = Row {
+        folder,
+        name: "r".into(),
+        run: 7,
+    };
     std::fs::write(row.file(0), "spent").expect("written");
     let block = |at: Micros| {
         let mut g = Gather::default();
         g.record(
             at,
-            &Record::Decided { happened: Happened::Other(Event::Timer { token: 1 }), actions: vec![] },
+            &Record::Decided {
+                happened: Happened::Other(Event::Timer { token: 1 }),
+                actions: vec![],
+            },
         );
         Note::Block(at, g.close())
     };
     let (notes, received) = std::sync::mpsc::channel();
-    for note in [block(0), block(10 * MS), block(2_000 * MS), block(2_001 * MS), Note::End] {
+    for note in [
+        block(0),
+        block(10 * MS),
+        block(2_000 * MS),
+        block(2_001 * MS),
+        Note::End,
+    ] {
         notes.send(note).expect("sent");
     }
     let complaints = std::cell::Cell::new(0);
-    let bounds = Bounds { file_bytes: 1 << 20, file_age: Micros::MAX, budget: 8 << 20 };
-    run(row.clone(), start(), bounds, received, |_| complaints.set(complaints.get() + 1));
+    let bounds = Bounds {
+        file_bytes: 1 << 20,
+        file_age: Micros::MAX,
+        budget: 8 << 20,
+    };
+    run(row.clone(), start(), bounds, received, |_| {
+        complaints.set(complaints.get() + 1)
+    });
     assert_eq!(complaints.get(), 1);
     let mut r = Reader::open(std::fs::File::open(row.file(1)).expect("there")).expect("a trace");
-    assert_eq!(r.sources[0].start.file, 0, "the first of its row all the same");
+    assert_eq!(
+        r.sources[0].start.file, 0,
+        "the first of its row all the same"
+    );
     let mut told = Vec::new();
     while let Some(Found::Block { records, .. }) = r.next().expect("read") {
         told.extend(records.into_iter().map(|(_, record)| record));
     }
-    assert!(matches!(told[0], Record::Gap { records: 2, from: 0, until: 10_000 }), "{told:?}");
+    assert!(
+        matches!(
+            told[0],
+            Record::Gap {
+                records: 2,
+                from: 0,
+                until: 10_000
+            }
+        ),
+        "{told:?}"
+    );
     assert_eq!((told.len(), r.ended), (3, Some(Ended::Well)));
 }
 
@@ -178,7 +253,11 @@
     let other = Own::take(&folder, "r").expect("another");
     assert_eq!((one.name.as_str(), other.name.as_str()), ("r", "r_2"));
     std::fs::write(folder.join("r_2-0000000000001-00000.trace"), b"theirs").expect("written");
-    let row = |own: &Own| Row { folder: folder.clone(), name: own.name.clone(), run: 5 };
+    let row = |own: &Own| Row {
+        folder: folder.clone(),
+        name: own.name.clone(),
+        run: 5,
+    };
     assert!(row(&one).earlier(0).expect("read").is_empty());
     assert_eq!(row(&other).earlier(0).expect("read").len(), 1);
     drop(one);
@@ -186,7 +265,9 @@
 }
 
 fn report() -> impl Strategy<Value = Report> {
-    let f = || prop::option::of(any::<f64>().prop_filter("no NaN, as it equals nothing", |f| !f.is_nan()));
+    let f = || {
+        prop::option::of(any::<f64>().prop_filter("no NaN, as it equals nothing", |f| !f.is_nan()))
+    };
     (f(), f(), f(), f(), f()).prop_map(|(held, waiting, busy, loads, memory_part)| Report {
         held,
         waiting,
@@ -200,29 +281,50 @@
     let n = any::<u32>;
     let t = any::<i64>;
     prop_oneof![
-        (n(), n(), n(), prop::option::of(t()), any::<f64>(), t(), t(), any::<bool>()).prop_map(
-            |(inv, trigger, lanes, cost_hint, copy_mb, client_gives_up_in, waited, repeat)| {
-                Event::Invocation(Arrival {
-                    inv,
-                    trigger,
-                    account: 3,
-                    func: 4,
-                    fingerprint: 0,
-                    cost_hint,
-                    load_hint: None,
-                    copy_mb,
-                    lanes,
-                    client_gives_up_in,
-                    waited,
-                    repeat,
-                    prefers: (inv % 3 == 0).then_some(lanes),
-                })
-            }
-        ),
+        (
+            n(),
+            n(),
+            n(),
+            prop::option::of(t()),
+            any::<f64>(),
+            t(),
+            t(),
+            any::<bool>()
+        )
+            .prop_map(
+                |(inv, trigger, lanes, cost_hint, copy_mb, client_gives_up_in, waited, repeat)| {
+                    Event::Invocation(Arrival {
+                        inv,
+                        trigger,
+                        account: 3,
+                        func: 4,
+                        fingerprint: 0,
+                        cost_hint,
+                        load_hint: None,
+                        copy_mb,
+                        lanes,
+                        client_gives_up_in,
+                        waited,
+                        repeat,
+                        prefers: (inv % 3 == 0).then_some(lanes),
+                    })
+                }
+            ),
         n().prop_map(|inv| Event::Departed { inv }),
-        (n(), n(), n()).prop_map(|(inv, dispatch, worker)| Event::Answering { inv, dispatch, worker }),
-        (n(), n(), t(), any::<bool>(), prop::option::of(n()), report()).prop_map(
-            |(inv, worker, took, concluded, crowd, report)| {
+        (n(), n(), n()).prop_map(|(inv, dispatch, worker)| Event::Answering {
+            inv,
+            dispatch,
+            worker
+        }),
+        (
+            n(),
+            n(),
+            t(),
+            any::<bool>(),
+            prop::option::of(n()),
+            report()
+        )
+            .prop_map(|(inv, worker, took, concluded, crowd, report)| {
                 let (outcome, note) = (Outcome::Missed, CopyNote::LoadErrored);
                 Event::DispatchEnded(Ending {
                     inv,
@@ -235,8 +337,7 @@
                     crowd,
                     report,
                 })
-            }
-        ),
+            }),
         (n(), n(), t()).prop_map(|(worker, func, took)| Event::OrderEnded {
             worker,
             func,
@@ -257,15 +358,21 @@
 fn action() -> impl Strategy<Value = Action> {
     let n = any::<u32>;
     prop_oneof![
-        (n(), n(), prop::option::of(any::<i64>())).prop_map(|(inv, worker, time_out)| Action::Dispatch {
-            inv,
-            worker,
-            time_out
+        (n(), n(), prop::option::of(any::<i64>())).prop_map(|(inv, worker, time_out)| {
+            Action::Dispatch {
+                inv,
+                worker,
+                time_out,
+            }
         }),
         (n(), n()).prop_map(|(inv, dispatch)| Action::Withdraw { inv, dispatch }),
         (n(), prop::option::of(any::<i64>()))
             .prop_map(|(inv, return_after)| Action::Throttle { inv, return_after }),
-        (n(), n(), n()).prop_map(|(worker, func, copies)| Action::Order { worker, func, copies }),
+        (n(), n(), n()).prop_map(|(worker, func, copies)| Action::Order {
+            worker,
+            func,
+            copies
+        }),
         (any::<u64>(), any::<i64>()).prop_map(|(token, after)| Action::Timer { token, after }),
         any::<bool>().prop_map(|follow| Action::AskList { follow }),
         n().prop_map(|func| Action::Forget { func }),
--- a/crates/trace/tests/huge.rs
+++ b/crates/trace/tests/huge.rs
@@ -44,8 +44,16 @@
     fn new(records: u64, bytes: u64) -> Sparse {
         let mut g = Gather::default();
         for token in 0..records {
-            let happened = Happened::Other(Event::Timer { token: token.wrapping_mul(0x9E37_79B9_7F4A_7C15) });
-            g.record(0, &Record::Decided { happened, actions: Vec::new() });
+            let happened = Happened::Other(Event::Timer {
+                token: token.wrapping_mul(0x9E37_79B9_7F4A_7C15),
+            });
+            g.record(
+                0,
+                &Record::Decided {
+                    happened,
+                    actions: Vec::new(),
+                },
+            );
         }
         let raw = g.close();
         let head = Sheet::begin(Vec::new(), &[small::start().into()]).expect("a head");
@@ -115,7 +123,10 @@
         } else if self.at >= end {
             from(&self.tail, (self.at - end) as usize, into)
         } else {
-            let (n, within) = ((self.at - begin) / self.size(), ((self.at - begin) % self.size()) as usize);
+            let (n, within) = (
+                (self.at - begin) / self.size(),
+                ((self.at - begin) % self.size()) as usize,
+            );
             if within < 40 {
                 self.raw.first = n as i64 * APART;
                 self.raw.last = self.raw.first;
@@ -157,7 +168,9 @@
 
 /// With no more than so much beside what is there before; whoever asks for more ends the test's process.
 fn within_memory<T>(act: impl FnOnce() -> T) -> T {
-    MEMORY.set_limit(MEMORY.allocated() + MOST).expect("a limit above what is there");
+    MEMORY
+        .set_limit(MEMORY.allocated() + MOST)
+        .expect("a limit above what is there");
     let done = act();
     MEMORY.set_limit(usize::MAX).expect("no limit");
     done
@@ -171,7 +184,11 @@
     assert!(sparse.len() > 9_900_000_000 && sparse.blocks > 1_000_000);
     let start = small::start().wall_at_zero;
     let from = start + 40 * MINUTE;
-    let wanted = Wanted { from: Some(from), until: Some(from + MINUTE), ..Wanted::default() };
+    let wanted = Wanted {
+        from: Some(from),
+        until: Some(from + MINUTE),
+        ..Wanted::default()
+    };
     let (done, size) = within_memory(|| {
         let mut reader = Reader::open(sparse).expect("a trace");
         let mut out = Vec::new();
@@ -187,7 +204,10 @@
     let (one, other) = (Sparse::new(600, TEN_GB / 2), Sparse::new(600, TEN_GB / 2));
     let blocks = one.blocks + other.blocks;
     let size = within_memory(|| {
-        let mut readers = [Reader::open(one).expect("a trace"), Reader::open(other).expect("a trace")];
+        let mut readers = [
+            Reader::open(one).expect("a trace"),
+            Reader::open(other).expect("a trace"),
+        ];
         let mut sink = Sink::default();
         assert_eq!(merge(&mut readers, &[0, 0], &mut sink).expect("merged"), 0);
         sink.0
--- a/crates/trace/tests/killed.rs
+++ b/crates/trace/tests/killed.rs
@@ -22,12 +22,23 @@
 /// Only with its folder set, as the process to be killed; it ends by itself, should nobody kill it.
 #[test]
 fn writes_until_it_is_killed() {
-    let Some(folder) = std::env::var_os(FOLDER) else { return };
-    let row = Row { folder: PathBuf::from(folder), name: "r".into(), run: 1 };
-    let bounds = Bounds { file_bytes: 20_000, file_age: i64::MAX, budget: u64::MAX };
+    let Some(folder) = std::env::var_os(FOLDER) else {
+        return;
+    };
+    let row = Row {
+        folder: PathBuf::from(folder),
+        name: "r".into(),
+        run: 1,
+    };
+    let bounds = Bounds {
+        file_bytes: 20_000,
+        file_age: i64::MAX,
+        budget: u64::MAX,
+    };
     let (notes, received) = sync_channel(4);
-    let writer =
-        std::thread::spawn(move || run(row, small::start(), bounds, received, |why| panic!("{why}")));
+    let writer = std::thread::spawn(move || {
+        run(row, small::start(), bounds, received, |why| panic!("{why}"))
+    });
     for block in 0..50_000_u64 {
         let (mut g, now) = (Gather::default(), block as i64 * 100);
         for n in 0..100 {
@@ -38,7 +49,9 @@
             let actions = vec![cedarpulley::interface::Action::Timer { token, after }];
             g.record(now + n as i64, &Record::Decided { happened, actions });
         }
-        notes.send(Note::Block(now, g.close())).expect("the writer stands");
+        notes
+            .send(Note::Block(now, g.close()))
+            .expect("the writer stands");
     }
     drop(notes);
     writer.join().expect("it ends");
@@ -55,16 +68,26 @@
             break;
         };
         while let Some(found) = reader.next().expect("read") {
-            let Found::Block { records, .. } = found else { panic!("{}: {found:?}", file.display()) };
+            let Found::Block { records, .. } = found else {
+                panic!("{}: {found:?}", file.display())
+            };
             for (_, record) in records {
-                let Record::Decided { happened: Happened::Other(Event::Timer { token }), .. } = record else {
+                let Record::Decided {
+                    happened: Happened::Other(Event::Timer { token }),
+                    ..
+                } = record
+                else {
                     panic!("{record:?}")
                 };
                 assert_eq!(token, next, "{}", file.display());
                 next += 1;
             }
         }
-        assert!(n == last || reader.ended == Some(Ended::Well), "{}", file.display());
+        assert!(
+            n == last || reader.ended == Some(Ended::Well),
+            "{}",
+            file.display()
+        );
     }
     (next, files.len())
 }
@@ -84,7 +107,9 @@
             .spawn()
             .expect("started");
         // From before its first byte to many files on, by a fixed seed.
-        std::thread::sleep(Duration::from_micros(2_000 + n.wrapping_mul(0x9E37_79B9) % 60_000));
+        std::thread::sleep(Duration::from_micros(
+            2_000 + n.wrapping_mul(0x9E37_79B9) % 60_000,
+        ));
         child.kill().expect("killed");
         child.wait().expect("gone");
         let (records, of) = left(&folder);
@@ -93,5 +118,8 @@
         std::fs::remove_dir_all(&folder).expect("removed");
     }
     // On the slowest disk too: enough to have been worth the trying.
-    assert!(some > 10 && files > 20, "{some} of a hundred had anything, in {files} files");
+    assert!(
+        some > 10 && files > 20,
+        "{some} of a hundred had anything, in {files} files"
+    );
 }
--- a/crates/trace/tests/rewriting.rs
+++ b/crates/trace/tests/rewriting.rs
@@ -51,7 +51,9 @@
         match found {
             Found::Block { place, records } => {
                 let source: &Source = &r.sources[place.source as usize];
-                records.iter().for_each(|(at, x)| counter.record(place.source, source, *at, x));
+                records
+                    .iter()
+                    .for_each(|(at, x)| counter.record(place.source, source, *at, x));
             }
             Found::Damaged { .. } => counter.damaged(),
         }
@@ -78,7 +80,11 @@
     let mut accounts: Vec<String> = s.by_account.values().map(|f| format!("{f:?}")).collect();
     workers.sort();
     accounts.sort();
-    let rest = Summary { by_worker: Default::default(), by_account: Default::default(), ..s.clone() };
+    let rest = Summary {
+        by_worker: Default::default(),
+        by_account: Default::default(),
+        ..s.clone()
+    };
     workers.push(format!("{rest:?}"));
     (workers, accounts)
 }
@@ -93,17 +99,30 @@
     assert_eq!((all.routers, all.invocations), (12, 12 * one.invocations));
     assert_eq!(all.fates.succeeded, 12 * one.fates.succeeded);
     let wall = open(KEPT).sources[0].start.wall_at_zero;
-    let span = Wanted { from: Some(wall + 20 * MS), until: Some(wall + 40 * MS), ..Wanted::default() };
+    let span = Wanted {
+        from: Some(wall + 20 * MS),
+        until: Some(wall + 40 * MS),
+        ..Wanted::default()
+    };
     let (part, read) = cut_of(&whole, &span);
     let counted = summary(&part);
-    assert!(counted.invocations > 12 && counted.invocations < all.invocations, "{counted:?}");
-    assert!(read < small::places(&whole).len() as u64, "blocks outside were not read");
+    assert!(
+        counted.invocations > 12 && counted.invocations < all.invocations,
+        "{counted:?}"
+    );
+    assert!(
+        read < small::places(&whole).len() as u64,
+        "blocks outside were not read"
+    );
     let mut out = Vec::new();
     let mut secret = Strip::new(b"a key");
     strip(&mut open(&part), &mut secret, &mut out).expect("stripped");
     assert_eq!(bare(&summary(&out)), bare(&counted));
     for original in ["quote:7", "127.0.0.1:1", "router-3", "amber"] {
-        assert!(!String::from_utf8_lossy(&out).contains(original), "{original}");
+        assert!(
+            !String::from_utf8_lossy(&out).contains(original),
+            "{original}"
+        );
         let mut r = open(&out);
         assert!(!format!("{:?}", r.sources).contains(original), "{original}");
         while let Some(Found::Block { records, .. }) = r.next().expect("read") {
@@ -131,7 +150,13 @@
         // Of an earlier module, perhaps: whatever differs, all or a first difference is told.
         assert!(done.decisions > 0 && done.stopped.is_none());
     }
-    let (part, _) = cut_of(&whole, &Wanted { mark: Some("x".into()), ..Wanted::default() });
+    let (part, _) = cut_of(
+        &whole,
+        &Wanted {
+            mark: Some("x".into()),
+            ..Wanted::default()
+        },
+    );
     assert_eq!(open(&part).sources[1].extent, Extent::Cut);
     let done = replay(&mut [open(&part)]).expect("told");
     assert!(done.stopped.is_some_and(|why| why.contains("whole")));
@@ -140,16 +165,33 @@
 #[test]
 fn a_cut_by_what_follows_its_invocations() {
     let whole = summary(KEPT);
-    let (name, at) = whole.by_worker.iter().find(|(_, w)| w.dispatches > 0).expect("one that was used");
-    let worker = Wanted { worker: Some(name.clone()), ..Wanted::default() };
+    let (name, at) = whole
+        .by_worker
+        .iter()
+        .find(|(_, w)| w.dispatches > 0)
+        .expect("one that was used");
+    let worker = Wanted {
+        worker: Some(name.clone()),
+        ..Wanted::default()
+    };
     let (part, _) = cut_of(KEPT, &worker);
     let counted = summary(&part);
     assert_eq!(&counted.by_worker[name], at);
     assert_eq!(counted.fates.succeeded, at.succeeded);
-    let nobody = Wanted { account: Some("nobody".into()), ..Wanted::default() };
+    let nobody = Wanted {
+        account: Some("nobody".into()),
+        ..Wanted::default()
+    };
     assert_eq!(summary(&cut_of(KEPT, &nobody).0).invocations, 0);
-    let all = Wanted { account: Some("amber".into()), function: Some("quote:7".into()), ..Wanted::default() };
-    assert_eq!(summary(&cut_of(KEPT, &all).0).invocations, summary(KEPT).invocations);
+    let all = Wanted {
+        account: Some("amber".into()),
+        function: Some("quote:7".into()),
+        ..Wanted::default()
+    };
+    assert_eq!(
+        summary(&cut_of(KEPT, &all).0).invocations,
+        summary(KEPT).invocations
+    );
 }
 
 /// The wall's clocks differ by minutes; what the list told both routers shows by how much.
@@ -159,12 +201,16 @@
     use cedarpulley_trace::blocks::Gather;
     let listed = |ahead: Micros, late: &[Micros]| {
         let start = open(KEPT).sources[0].start.clone();
-        let start = Start { wall_at_zero: start.wall_at_zero + ahead, ..start };
+        let start = Start {
+            wall_at_zero: start.wall_at_zero + ahead,
+            ..start
+        };
         let mut sheet = Sheet::begin(Vec::new(), &[start.into()]).expect("written");
         let mut g = Gather::default();
         for n in 0..9usize {
-            for (change, standing) in
-                [Standing::InService, Standing::Draining, Standing::Gone].into_iter().enumerate()
+            for (change, standing) in [Standing::InService, Standing::Draining, Standing::Gone]
+                .into_iter()
+                .enumerate()
             {
                 let entry = ListEntry {
                     worker: n as u32,
@@ -177,45 +223,87 @@
                     started: None,
                 };
                 let at = (n * 3 + change) as Micros * 1000 * MS + late.get(n).copied().unwrap_or(0);
-                let happened = Happened::List { mode: ListMode::Changes, entries: vec![entry] };
-                g.record(at, &Record::Decided { happened, actions: Vec::new() });
+                let happened = Happened::List {
+                    mode: ListMode::Changes,
+                    entries: vec![entry],
+                };
+                g.record(
+                    at,
+                    &Record::Decided {
+                        happened,
+                        actions: Vec::new(),
+                    },
+                );
             }
         }
         sheet.block(0, &g.close()).expect("written");
         sheet.end().expect("written")
     };
-    let files = [listed(0, &[]), listed(180_000 * MS, &[0, 400 * MS]), KEPT.to_vec()];
+    let files = [
+        listed(0, &[]),
+        listed(180_000 * MS, &[0, 400 * MS]),
+        KEPT.to_vec(),
+    ];
     let mut offsets = Offsets::default();
-    files.iter().for_each(|f| offsets.file(&mut open(f)).expect("read"));
+    files
+        .iter()
+        .for_each(|f| offsets.file(&mut open(f)).expect("read"));
     let estimate = offsets.estimate();
     assert_eq!(estimate[0], Some((0, 18)));
-    assert_eq!(estimate[1].map(|e| e.0), Some(180_000 * MS), "one late delivery moves no median");
+    assert_eq!(
+        estimate[1].map(|e| e.0),
+        Some(180_000 * MS),
+        "one late delivery moves no median"
+    );
     assert_eq!(estimate[2], None, "too few changes in common");
     let both = merged(&files[..2], &[0, 180_000 * MS]);
     let s = summary(&both);
-    assert!(s.until_wall_us.zip(s.from_wall_us).is_some_and(|(b, a)| b - a < 30_000 * MS));
+    assert!(
+        s.until_wall_us
+            .zip(s.from_wall_us)
+            .is_some_and(|(b, a)| b - a < 30_000 * MS)
+    );
 }
 
 #[test]
 fn two_at_the_same_place_are_told() {
     let start = |router: &str, position: u32| {
         let mut start = open(KEPT).sources[0].start.clone();
-        (start.router, start.startup.fleet.position, start.startup.fleet.routers) =
-            (router.into(), position, 3);
+        (
+            start.router,
+            start.startup.fleet.position,
+            start.startup.fleet.routers,
+        ) = (router.into(), position, 3);
         start
     };
     let file = |router: &str, position: u32, from: Micros, until: Micros| {
-        let mut sheet = Sheet::begin(Vec::new(), &[start(router, position).into()]).expect("written");
+        let mut sheet =
+            Sheet::begin(Vec::new(), &[start(router, position).into()]).expect("written");
         for at in [from, until] {
             let mut g = Gather::default();
-            g.record(at, &Record::Gap { records: 1, from: at, until: at });
+            g.record(
+                at,
+                &Record::Gap {
+                    records: 1,
+                    from: at,
+                    until: at,
+                },
+            );
             sheet.block(0, &g.close()).expect("written");
         }
         sheet.end().expect("written")
     };
-    let (minute, told) = (60_000 * MS, |files: &[Vec<u8>]| summary(&merged(files, &[])).same_place);
-    let (one, other) = (file("r-0", 0, 0, minute), file("r-1", 0, minute / 2, minute));
-    assert_eq!(told(&[one.clone(), other]), [("r-0".to_owned(), "r-1".to_owned())]);
+    let (minute, told) = (60_000 * MS, |files: &[Vec<u8>]| {
+        summary(&merged(files, &[])).same_place
+    });
+    let (one, other) = (
+        file("r-0", 0, 0, minute),
+        file("r-1", 0, minute / 2, minute),
+    );
+    assert_eq!(
+        told(&[one.clone(), other]),
+        [("r-0".to_owned(), "r-1".to_owned())]
+    );
     // Another place, or one after the other.
     assert!(told(&[one.clone(), file("r-1", 1, 0, minute)]).is_empty());
     assert!(told(&[one, file("r-1", 0, minute, 2 * minute)]).is_empty());
--- a/crates/trace/tests/ruled.rs
+++ b/crates/trace/tests/ruled.rs
@@ -16,7 +16,10 @@
 const KEPT: &[u8] = include_bytes!("kept/format-1.trace");
 
 fn source(effect: Effect) -> Source {
-    let mut s = Reader::open(Cursor::new(KEPT)).expect("a trace").sources.swap_remove(0);
+    let mut s = Reader::open(Cursor::new(KEPT))
+        .expect("a trace")
+        .sources
+        .swap_remove(0);
     s.start.startup.triggers[0].effect = effect;
     s.start.startup.rules.drain_grace = 500 * MS;
     (
@@ -39,7 +42,12 @@
 use Told::*;
 
 fn record(told: &Told) -> Vec<Record> {
-    let decided = |event, actions| vec![Record::Decided { happened: Happened::Other(event), actions }];
+    let decided = |event, actions| {
+        vec![Record::Decided {
+            happened: Happened::Other(event),
+            actions,
+        }]
+    };
     let timer = Event::Timer { token: 1 };
     match *told {
         Comes(inv) => {
@@ -58,10 +66,22 @@
                 repeat: false,
                 prefers: None,
             };
-            let taken = Record::Taken { inv, front: 0, mark: Some(u64::from(inv)), redelivered: false };
+            let taken = Record::Taken {
+                inv,
+                front: 0,
+                mark: Some(u64::from(inv)),
+                redelivered: false,
+            };
             [vec![taken], decided(Event::Invocation(arrival), vec![])].concat()
         }
-        Sends(inv, worker) => decided(timer, vec![Action::Dispatch { inv, worker, time_out: None }]),
+        Sends(inv, worker) => decided(
+            timer,
+            vec![Action::Dispatch {
+                inv,
+                worker,
+                time_out: None,
+            }],
+        ),
         Ends(inv, dispatch, outcome) => {
             let (took, note, report) = (MS, CopyNote::Untold, Report::default());
             let ending = Ending {
@@ -79,7 +99,15 @@
         }
         Answers(inv, fate) => {
             let (reason, took) = (Reason::GivenUp, MS);
-            vec![Record::Answered { inv: Some(inv), front: 0, fate, reason, trigger: 0, account: 0, took }]
+            vec![Record::Answered {
+                inv: Some(inv),
+                front: 0,
+                fate,
+                reason,
+                trigger: 0,
+                account: 0,
+                took,
+            }]
         }
         Leaves(inv) => decided(Event::Departed { inv }, vec![]),
         Drains(worker) => {
@@ -93,10 +121,23 @@
                 weight: 1.0,
                 started: None,
             };
-            let happened = Happened::List { mode: ListMode::Changes, entries: vec![entry] };
-            vec![Record::Decided { happened, actions: vec![] }]
+            let happened = Happened::List {
+                mode: ListMode::Changes,
+                entries: vec![entry],
+            };
+            vec![Record::Decided {
+                happened,
+                actions: vec![],
+            }]
         }
-        Orders => decided(timer, vec![Action::Order { worker: 0, func: 0, copies: 1 }]),
+        Orders => decided(
+            timer,
+            vec![Action::Order {
+                worker: 0,
+                func: 0,
+                copies: 1,
+            }],
+        ),
     }
 }
 
@@ -106,7 +147,9 @@
     for (n, told) in sides.iter().enumerate() {
         sources.insert(n as u32, of.clone());
         for (at, told) in *told {
-            record(told).iter().for_each(|r| rules.record(n as u32, &of, at * MS, r));
+            record(told)
+                .iter()
+                .for_each(|r| rules.record(n as u32, &of, at * MS, r));
         }
     }
     rules.finish(&sources)
@@ -118,17 +161,35 @@
 
 const ONCE: Effect = Effect::NonIdempotent;
 const ANY: Effect = Effect::Idempotent;
-const TOKEN: Effect = Effect::Tokened { group: RepeatGroup::Zone, window: 1_000 * MS };
+const TOKEN: Effect = Effect::Tokened {
+    group: RepeatGroup::Zone,
+    window: 1_000 * MS,
+};
 
 #[test]
 fn an_answer_is_one_and_in_time() {
     let good = (900, Answers(1, Fate::Succeeded));
     assert_eq!(broken(ANY, &[(0, Comes(1)), good, (9_000, Orders)]), NONE);
-    assert_eq!(broken(ANY, &[(0, Comes(1)), (2_200, Answers(1, Fate::Succeeded))]), [1]);
-    assert_eq!(broken(ANY, &[(0, Comes(1)), (2_200, Orders)]), [1], "never answered");
+    assert_eq!(
+        broken(ANY, &[(0, Comes(1)), (2_200, Answers(1, Fate::Succeeded))]),
+        [1]
+    );
+    assert_eq!(
+        broken(ANY, &[(0, Comes(1)), (2_200, Orders)]),
+        [1],
+        "never answered"
+    );
     let cut = judged(ANY, &[&[(0, Comes(1)), (1_000, Orders)]]);
-    assert_eq!((cut.rules.len(), cut.unseen), (0, 1), "its trace ends before");
-    assert_eq!(broken(ANY, &[(0, Comes(1)), (9, Leaves(1)), (5_000, Orders)]), NONE, "no answer is owed");
+    assert_eq!(
+        (cut.rules.len(), cut.unseen),
+        (0, 1),
+        "its trace ends before"
+    );
+    assert_eq!(
+        broken(ANY, &[(0, Comes(1)), (9, Leaves(1)), (5_000, Orders)]),
+        NONE,
+        "no answer is owed"
+    );
     let after = [
         (0, Comes(1)),
         (9, Answers(1, Fate::Succeeded)),
@@ -162,9 +223,16 @@
     assert_eq!(again(Outcome::TimedOut, ONCE), [2]);
     assert_eq!(again(Outcome::TimedOut, ANY), NONE);
     assert_eq!(again(Outcome::TimedOut, TOKEN), NONE);
-    let harmless =
-        [(0, Comes(1)), (1, Sends(1, 0)), (9, Ends(1, 0, Outcome::Broken)), (9, Answers(1, Fate::Throttled))];
-    assert_eq!((broken(ONCE, &harmless), broken(ANY, &harmless)), (vec![2], vec![]));
+    let harmless = [
+        (0, Comes(1)),
+        (1, Sends(1, 0)),
+        (9, Ends(1, 0, Outcome::Broken)),
+        (9, Answers(1, Fate::Throttled)),
+    ];
+    assert_eq!(
+        (broken(ONCE, &harmless), broken(ANY, &harmless)),
+        (vec![2], vec![])
+    );
     let two = [
         (0, Comes(1)),
         (1, Sends(1, 0)),
@@ -174,15 +242,25 @@
     ];
     assert_eq!(broken(ANY, &two), [2], "second copies are forbidden");
     // By the mark of the message: another router may have run it.
-    let first: &[(Micros, Told)] =
-        &[(0, Comes(1)), (1, Sends(1, 0)), (20, Ends(1, 0, Outcome::Broken)), (20, Leaves(1))];
+    let first: &[(Micros, Told)] = &[
+        (0, Comes(1)),
+        (1, Sends(1, 0)),
+        (20, Ends(1, 0, Outcome::Broken)),
+        (20, Leaves(1)),
+    ];
     let second: &[(Micros, Told)] = &[
         (50, Comes(1)),
         (51, Sends(1, 0)),
         (60, Ends(1, 0, Outcome::Succeeded)),
         (60, Answers(1, Fate::Succeeded)),
     ];
-    assert_eq!(judged(ONCE, &[first, second]).rules.into_keys().collect::<Vec<_>>(), [2]);
+    assert_eq!(
+        judged(ONCE, &[first, second])
+            .rules
+            .into_keys()
+            .collect::<Vec<_>>(),
+        [2]
+    );
     assert!(judged(ANY, &[first, second]).rules.is_empty());
 }
 
@@ -214,7 +292,10 @@
             (at + 1, Ends(1, 0, Outcome::Succeeded)),
             (at + 1, Answers(1, Fate::Succeeded)),
         ];
-        let told: Vec<(Micros, Told)> = [(0, Drains(0)), (0, Comes(1))].into_iter().chain(ends).collect();
+        let told: Vec<(Micros, Told)> = [(0, Drains(0)), (0, Comes(1))]
+            .into_iter()
+            .chain(ends)
+            .collect();
         broken(ANY, &told)
     };
     assert_eq!((sent(400), sent(600)), (vec![], vec![3]));
@@ -222,16 +303,27 @@
         let told: Vec<(Micros, Told)> = (0..n).map(|k| (k * apart, Orders)).collect();
         broken(ANY, &told)
     };
-    assert_eq!((orders(2, 1), orders(3, 1), orders(9, 600)), (vec![], vec![5], vec![]));
+    assert_eq!(
+        (orders(2, 1), orders(3, 1), orders(9, 600)),
+        (vec![], vec![5], vec![])
+    );
 }
 
 #[test]
 fn the_kept_file_breaks_none() {
-    let (mut r, mut rules) = (Reader::open(Cursor::new(KEPT)).expect("a trace"), Rules::default());
+    let (mut r, mut rules) = (
+        Reader::open(Cursor::new(KEPT)).expect("a trace"),
+        Rules::default(),
+    );
     let of = r.sources[0].clone();
     while let Some(Found::Block { records, .. }) = r.next().expect("read") {
-        records.iter().for_each(|(at, x)| rules.record(0, &of, *at, x));
+        records
+            .iter()
+            .for_each(|(at, x)| rules.record(0, &of, *at, x));
     }
     let judged = rules.finish(&HashMap::from([(0, of)]));
-    assert_eq!((judged.invocations, judged.rules.len(), judged.unseen), (16, 0, 0));
+    assert_eq!(
+        (judged.invocations, judged.rules.len(), judged.unseen),
+        (16, 0, 0)
+    );
 }
--- a/crates/trace/tests/small/mod.rs
+++ b/crates/trace/tests/small/mod.rs
@@ -32,7 +32,12 @@
 
 fn startup() -> StartupSettings {
     StartupSettings {
-        fleet: FleetPosition { routers: 1, position: 0, zone: 0, granularity: MS },
+        fleet: FleetPosition {
+            routers: 1,
+            position: 0,
+            zone: 0,
+            granularity: MS,
+        },
         limits: DispatchLimits {
             max_dispatches: 4,
             withdrawals: true,
@@ -46,7 +51,10 @@
             ..Default::default()
         },
         triggers: vec![TriggerType {
-            effect: Effect::Tokened { group: RepeatGroup::Zone, window: 8_000 * MS },
+            effect: Effect::Tokened {
+                group: RepeatGroup::Zone,
+                window: 8_000 * MS,
+            },
             latency_objective: 800 * MS,
             objective_stretch: 0.5,
             client_timeout: 4_000 * MS,
@@ -54,7 +62,10 @@
             late_part: 0.1,
             streamed: false,
         }],
-        accounts: vec![Account { allowance_per_s: 1e9, share: 1.0 }],
+        accounts: vec![Account {
+            allowance_per_s: 1e9,
+            share: 1.0,
+        }],
         loads: LoadTerms {
             idle_kept: 30_000 * MS,
             loads_when_absent: true,
@@ -62,7 +73,10 @@
             memory_mb: vec![4096.0],
             ..Default::default()
         },
-        prices: Prices { over_share: 1.0, ..Default::default() },
+        prices: Prices {
+            over_share: 1.0,
+            ..Default::default()
+        },
         reports: ReportsIn::Answers,
     }
 }
@@ -97,11 +111,26 @@
         });
         if block == 0 {
             (0..3).for_each(|w| g.name(now, Space::Worker, w, &format!("127.0.0.1:{w}")));
-            told(&mut g, now, Happened::List { mode: ListMode::Complete, entries: entries.collect() });
+            told(
+                &mut g,
+                now,
+                Happened::List {
+                    mode: ListMode::Complete,
+                    entries: entries.collect(),
+                },
+            );
         }
         for inv in 0..4 {
             now += 3 * MS;
-            g.record(now, &Record::Taken { inv, front: 0, mark: Some(u64::from(inv)), redelivered: false });
+            g.record(
+                now,
+                &Record::Taken {
+                    inv,
+                    front: 0,
+                    mark: Some(u64::from(inv)),
+                    redelivered: false,
+                },
+            );
             let arrival = Arrival {
                 inv,
                 trigger: 0,
@@ -120,7 +149,9 @@
             let asked = told(&mut g, now, Happened::Other(Event::Invocation(arrival)));
             now += MS;
             for action in asked {
-                let Action::Dispatch { inv, worker, .. } = action else { continue };
+                let Action::Dispatch { inv, worker, .. } = action else {
+                    continue;
+                };
                 let (fate, reason) = (Fate::Succeeded, Reason::Worker);
                 g.record(
                     now,
@@ -143,7 +174,10 @@
                     concluded: true,
                     note: CopyNote::Found,
                     crowd: Some(1),
-                    report: Report { busy: Some(0.25), ..Default::default() },
+                    report: Report {
+                        busy: Some(0.25),
+                        ..Default::default()
+                    },
                 };
                 told(&mut g, now, Happened::Other(Event::DispatchEnded(ending)));
             }
--- a/crates/upgrade/benches/three_ways.rs
+++ b/crates/upgrade/benches/three_ways.rs
@@ -10,18 +10,32 @@
 use world::*;
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=10;
-const FIGURES: [&str; 7] =
-    ["in objective, %", "rebuilt", "lost", "loads", "two versions", "sessions over", "took, s"];
+const FIGURES: [&str; 7] = [
+    "in objective, %",
+    "rebuilt",
+    "lost",
+    "loads",
+    "two versions",
+    "sessions over",
+    "took, s",
+];
 type Figures = [f64; FIGURES.len()];
 
 /// Of whom the versions are, and whether there is an upgrade at all.
-const WAYS: [(Policy, bool); 4] =
-    [(Policy::Planner, true), (Policy::Planner, false), (Policy::AllAtOnce, true), (Policy::OneByOne, true)];
+const WAYS: [(Policy, bool); 4] = [
+    (Policy::Planner, true),
+    (Policy::Planner, false),
+    (Policy::AllAtOnce, true),
+    (Policy::OneByOne, true),
+];
 const ORDERED_S: i64 = 20;
 
 /// When the planner's last step was done, in seconds.
 fn planned_until(w: &World) -> Option<i64> {
-    let done = w.log.iter().find(|l| l.ends_with("is done") && l.contains("step"))?;
+    let done = w
+        .log
+        .iter()
+        .find(|l| l.ends_with("is done") && l.contains("step"))?;
     done.split(' ').next()?.parse().ok()
 }
 
@@ -32,7 +46,12 @@
         w.orders(ORDERED_S * S, vec![order(1, "", "2")]);
     }
     w.run(500 * S, |_| false);
-    assert!(policy != Policy::Planner || w.wrong.is_empty(), "{:#?} {:#?}", w.wrong, w.log);
+    assert!(
+        policy != Policy::Planner || w.wrong.is_empty(),
+        "{:#?} {:#?}",
+        w.wrong,
+        w.log
+    );
     let done_at = w.sums.done_at.map(|at| at / S).or(planned_until(&w));
     let sums = &w.sums;
     [
@@ -50,13 +69,21 @@
     for room in [3, 1] {
         let played: Vec<Vec<Figures>> = WAYS
             .iter()
-            .map(|(policy, ordered)| SEEDS.map(|seed| play(room, seed, *policy, *ordered)).collect())
+            .map(|(policy, ordered)| {
+                SEEDS
+                    .map(|seed| play(room, seed, *policy, *ordered))
+                    .collect()
+            })
             .collect();
         for (way, of) in WAYS.iter().zip(&played) {
             println!("room {room} {way:?}");
             for (n, name) in FIGURES.iter().enumerate() {
                 let column: Vec<f64> = of.iter().map(|r| r[n]).collect();
-                let beside: Vec<f64> = of.iter().zip(&played[0]).map(|(r, p)| r[n] - p[n]).collect();
+                let beside: Vec<f64> = of
+                    .iter()
+                    .zip(&played[0])
+                    .map(|(r, p)| r[n] - p[n])
+                    .collect();
                 let ((mean, half), (d, dh)) = (interval(&column), interval(&beside));
                 println!("  {name}: {mean:.2} +- {half:.2}; beside the planner {d:+.2} +- {dh:.2}");
             }
--- a/crates/upgrade/src/acting.rs
+++ b/crates/upgrade/src/acting.rs
@@ -118,7 +118,8 @@
 }
 
 pub(crate) fn need(plan: &Plan, region: &Region) -> u32 {
-    let lanes = (u64::from(region.base) * u64::from(plan.order.floor)).div_ceil(u64::from(WHOLE)) as u32;
+    let lanes =
+        (u64::from(region.base) * u64::from(plan.order.floor)).div_ceil(u64::from(WHOLE)) as u32;
     // What had lanes has one at least: nothing is sent where nothing stands.
     lanes.max(u32::from(region.base > 0))
 }
@@ -129,7 +130,10 @@
 
 impl Doing {
     pub fn new(terms: &Terms) -> Doing {
-        Doing { loads: Loads::new(terms), ..Doing::default() }
+        Doing {
+            loads: Loads::new(terms),
+            ..Doing::default()
+        }
     }
 
     fn wait(&mut self, why: String) {
@@ -154,20 +158,44 @@
 
     fn side<'a>(&self, s: &Scene, plan: &Plan, region: &'a Region) -> Side<'a> {
         let (goes, comes) = plan.versions();
-        let (goes, comes) = (function(&plan.order.model, goes), function(&plan.order.model, comes));
-        let (went, came) = (self.stands(s, &region.name, &goes), self.stands(s, &region.name, &comes));
-        Side { region, went, came, part: to(plan, region.part), need: need(plan, region), goes, comes }
+        let (goes, comes) = (
+            function(&plan.order.model, goes),
+            function(&plan.order.model, comes),
+        );
+        let (went, came) = (
+            self.stands(s, &region.name, &goes),
+            self.stands(s, &region.name, &comes),
+        );
+        Side {
+            region,
+            went,
+            came,
+            part: to(plan, region.part),
+            need: need(plan, region),
+            goes,
+            comes,
+        }
     }
 
     /// All routers of the region go by a step of this leader that has what was changed there last. One that is away for
     /// long is over.
     fn heard(&mut self, s: &Scene, ballot: Ballot, region: &Region) -> bool {
-        let wanted = GoesBy { ballot, step: region.changed };
+        let wanted = GoesBy {
+            ballot,
+            step: region.changed,
+        };
         for m in s.members(&region.name) {
-            let has = self.goes_by.get(&(m as MemberIx)).is_some_and(|g| *g >= wanted);
-            let over = !s.lives(m) && s.now - s.away.get(m).copied().unwrap_or(s.now) >= s.terms.gone_after;
+            let has = self
+                .goes_by
+                .get(&(m as MemberIx))
+                .is_some_and(|g| *g >= wanted);
+            let over = !s.lives(m)
+                && s.now - s.away.get(m).copied().unwrap_or(s.now) >= s.terms.gone_after;
             if !has && !over {
-                self.wait(format!("{}: member {m} goes by an earlier step", region.name));
+                self.wait(format!(
+                    "{}: member {m} goes by an earlier step",
+                    region.name
+                ));
                 return false;
             }
         }
@@ -177,14 +205,24 @@
     /// Symptom: the plan was without a leader for a while, or copies were not used for a while, and what is counted on goes
     /// for idleness. What was seen after this leader's first renewals there has been renewed.
     fn renewed(&self, s: &Scene, region: &Region) -> bool {
-        let began = self.since.get(&region.name).copied().unwrap_or(s.now).max(self.acts_since);
+        let began = self
+            .since
+            .get(&region.name)
+            .copied()
+            .unwrap_or(s.now)
+            .max(self.acts_since);
         let after = began.saturating_add(s.terms.order_within);
-        s.of(&region.name).all(|w| !w.takes_new || w.seen_at > after)
+        s.of(&region.name)
+            .all(|w| !w.takes_new || w.seen_at > after)
     }
 
     /// Every router of the group goes by a step of this leader, that one or a later one.
     fn all_heard(&mut self, s: &Scene, wanted: GoesBy) -> bool {
-        let has = |m: &usize| self.goes_by.get(&(*m as MemberIx)).is_some_and(|g| *g >= wanted);
+        let has = |m: &usize| {
+            self.goes_by
+                .get(&(*m as MemberIx))
+                .is_some_and(|g| *g >= wanted)
+        };
         let lacks = (0..s.alive.len()).find(|m| !has(m));
         if let Some(m) = lacks {
             self.wait(format!("member {m} has not heard of it"));
@@ -198,14 +236,25 @@
 
     fn copy_mb(s: &Scene, plan: &Plan, function: &Name, other: &Name) -> u32 {
         let seen = |f: &Name| {
-            s.workers.iter().filter_map(|w| w.stands(f)).map(|h| h.copy_mb).max().filter(|mb| *mb > 0)
+            s.workers
+                .iter()
+                .filter_map(|w| w.stands(f))
+                .map(|h| h.copy_mb)
+                .max()
+                .filter(|mb| *mb > 0)
         };
         let said = Some(plan.order.copy_mb).filter(|mb| *mb > 0);
         seen(function).or(said).or_else(|| seen(other)).unwrap_or(0)
     }
 
     fn lanes_of(s: &Scene, function: &Name, other: &Name) -> u32 {
-        let of = |f: &Name| s.workers.iter().filter_map(|w| w.stands(f)).map(|h| h.lanes / h.copies).max();
+        let of = |f: &Name| {
+            s.workers
+                .iter()
+                .filter_map(|w| w.stands(f))
+                .map(|h| h.lanes / h.copies)
+                .max()
+        };
         of(function).or_else(|| of(other)).unwrap_or(1).max(1)
     }
 
@@ -221,13 +270,31 @@
     pub fn first(&mut self, s: &Scene, before: Option<&Plan>) -> Option<(Plan, String)> {
         let queued: Vec<Order> = before.map(|p| p.queued.clone()).unwrap_or_default();
         let serial = before.map_or(0, |p| p.order.serial);
-        let mut all: Vec<&Order> = queued.iter().chain(self.orders.iter().filter(|o| !o.withdrawn)).collect();
+        let mut all: Vec<&Order> = queued
+            .iter()
+            .chain(self.orders.iter().filter(|o| !o.withdrawn))
+            .collect();
         all.retain(|o| o.serial > serial || before.is_none());
-        all.retain(|o| !self.orders.iter().any(|f| f.serial == o.serial && f.withdrawn));
+        all.retain(|o| {
+            !self
+                .orders
+                .iter()
+                .any(|f| f.serial == o.serial && f.withdrawn)
+        });
         let order = all.into_iter().min_by_key(|o| o.serial)?.clone();
-        let stands = before.map(|p| if p.phase == Phase::Done { &p.order.to } else { &p.order.from });
+        let stands = before.map(|p| {
+            if p.phase == Phase::Done {
+                &p.order.to
+            } else {
+                &p.order.from
+            }
+        });
         if let Some(stands) = stands.filter(|v| **v != order.from) {
-            let goes = if stands.is_empty() { "copies without a version" } else { stands };
+            let goes = if stands.is_empty() {
+                "copies without a version"
+            } else {
+                stands
+            };
             self.wait(format!(
                 "order {} is from '{}', but what begins goes to {goes}",
                 order.serial, order.from
@@ -242,29 +309,74 @@
             return None;
         }
         let step = before.map_or(1, |p| p.step + 1);
-        let regions = names.into_iter().map(|name| self.region(s, &order, name, step)).collect();
-        let queued = queued.into_iter().filter(|o| o.serial > order.serial).collect();
+        let regions = names
+            .into_iter()
+            .map(|name| self.region(s, &order, name, step))
+            .collect();
+        let queued = queued
+            .into_iter()
+            .filter(|o| o.serial > order.serial)
+            .collect();
         let log = format!("order {} is taken", order.serial);
         let (phase, reason, settled) = (Phase::Waiting, String::new(), false);
         let by = Ballot::default();
-        Some((Plan { step, by, order, phase, regions, queued, reason, settled }, log))
+        Some((
+            Plan {
+                step,
+                by,
+                order,
+                phase,
+                regions,
+                queued,
+                reason,
+                settled,
+            },
+            log,
+        ))
     }
 
     fn region(&self, s: &Scene, order: &Order, name: Name, step: u64) -> Region {
-        let base = self.stands(s, &name, &function(&order.model, &order.from)).lanes;
-        Region { name, base, part: 0, stage: Stage::Before, over: false, changed: step }
+        let base = self
+            .stands(s, &name, &function(&order.model, &order.from))
+            .lanes;
+        Region {
+            name,
+            base,
+            part: 0,
+            stage: Stage::Before,
+            over: false,
+            changed: step,
+        }
     }
 
     pub fn next(&mut self, s: &Scene, ballot: Ballot, plan: &Plan) -> Option<(Plan, String)> {
         if plan.phase.is_over() && !plan.settled {
-            let settled = self.all_heard(s, GoesBy { ballot, step: plan.step });
+            let settled = self.all_heard(
+                s,
+                GoesBy {
+                    ballot,
+                    step: plan.step,
+                },
+            );
             let log = String::from("all routers know that it is over");
-            return settled.then(|| (Plan { step: plan.step + 1, settled, ..plan.clone() }, log));
+            return settled.then(|| {
+                (
+                    Plan {
+                        step: plan.step + 1,
+                        settled,
+                        ..plan.clone()
+                    },
+                    log,
+                )
+            });
         }
         if plan.phase.is_over() {
             return self.first(s, Some(plan));
         }
-        let mut new = Plan { step: plan.step + 1, ..plan.clone() };
+        let mut new = Plan {
+            step: plan.step + 1,
+            ..plan.clone()
+        };
         if let Some(log) = self.operator(s, plan, &mut new) {
             return Some((new, log));
         }
@@ -272,13 +384,18 @@
             && plan.phase != Phase::Waiting
             && let Some(w) = s.workers.iter().find(|w| plan.region(&w.region).is_none())
         {
-            new.regions.push(self.region(s, &plan.order, w.region.clone(), new.step));
+            new.regions
+                .push(self.region(s, &plan.order, w.region.clone(), new.step));
             return Some((new, format!("region {} is new", w.region)));
         }
         let log = match plan.phase {
             Phase::Waiting => self.begin(s, ballot, plan, &mut new),
-            Phase::Canary => self.worse(s, &mut new).or_else(|| self.canary(s, plan, &mut new)),
-            Phase::Rolling => self.worse(s, &mut new).or_else(|| self.roll(s, ballot, plan, &mut new)),
+            Phase::Canary => self
+                .worse(s, &mut new)
+                .or_else(|| self.canary(s, plan, &mut new)),
+            Phase::Rolling => self
+                .worse(s, &mut new)
+                .or_else(|| self.roll(s, ballot, plan, &mut new)),
             Phase::Paused => self.paused(s, plan, &mut new),
             Phase::Back => self.roll(s, ballot, plan, &mut new),
             Phase::Done | Phase::RolledBack | Phase::Ended => None,
@@ -289,15 +406,23 @@
     /// What the file says by now.
     fn operator(&self, s: &Scene, plan: &Plan, new: &mut Plan) -> Option<String> {
         let o = &plan.order;
-        let withdrawn = |serial| self.orders.iter().any(|f| f.serial == serial && f.withdrawn);
+        let withdrawn = |serial| {
+            self.orders
+                .iter()
+                .any(|f| f.serial == serial && f.withdrawn)
+        };
         new.queued.retain(|q| !withdrawn(q.serial));
         for later in self.later(plan) {
-            if new.queued.len() < MOST_QUEUED && new.queued.iter().all(|q| q.serial != later.serial) {
+            if new.queued.len() < MOST_QUEUED && new.queued.iter().all(|q| q.serial != later.serial)
+            {
                 new.queued.push(later.clone());
             }
         }
         new.queued.sort_by_key(|q| q.serial);
-        let reverse = new.queued.first().filter(|q| (&q.from, &q.to) == (&o.to, &o.from));
+        let reverse = new
+            .queued
+            .first()
+            .filter(|q| (&q.from, &q.to) == (&o.to, &o.from));
         let taken_back = match reverse {
             _ if plan.back() => None,
             _ if withdrawn(o.serial) => Some("the order was withdrawn".to_owned()),
@@ -360,11 +485,22 @@
         let mut names: Vec<Name> = s.workers.iter().map(|w| w.region.clone()).collect();
         names.sort();
         names.dedup();
-        new.regions = names.into_iter().map(|n| self.region(s, &plan.order, n, new.step)).collect();
+        new.regions = names
+            .into_iter()
+            .map(|n| self.region(s, &plan.order, n, new.step))
+            .collect();
         let plain = Name::from(&*plan.order.model);
         let lanes: u32 = new.regions.iter().map(|r| r.base).sum();
-        if lanes == 0 && new.regions.iter().any(|r| self.stands(s, &r.name, &plain).lanes > 0) {
-            self.wait(format!("no copy of version '{}' stands, but copies without one do", plan.order.from));
+        if lanes == 0
+            && new
+                .regions
+                .iter()
+                .any(|r| self.stands(s, &r.name, &plain).lanes > 0)
+        {
+            self.wait(format!(
+                "no copy of version '{}' stands, but copies without one do",
+                plan.order.from
+            ));
             return None;
         }
         new.phase = Phase::Canary;
@@ -402,7 +538,10 @@
             ));
         }
         if r.part == 0 && !stand {
-            self.wait(format!("{} of {} canaries stand", side.came.copies, plan.order.canary));
+            self.wait(format!(
+                "{} of {} canaries stand",
+                side.came.copies, plan.order.canary
+            ));
             return None;
         }
         if r.part == 0 && plan.order.canary_part > 0 {
@@ -414,16 +553,25 @@
         if long || enough && since >= s.terms.canary_least && self.verdict == Some(Verdict::Alike) {
             new.phase = Phase::Rolling;
             region.stage = Stage::Loading;
-            let because = if enough { "were as good as the old version" } else { "had long enough" };
+            let because = if enough {
+                "were as good as the old version"
+            } else {
+                "had long enough"
+            };
             return Some(format!("canaries {because}; region {} is next", r.name));
         }
-        self.wait(format!("{} of {ENOUGH} invocations of the canaries were compared", self.compared));
+        self.wait(format!(
+            "{} of {ENOUGH} invocations of the canaries were compared",
+            self.compared
+        ));
         None
     }
 
     fn paused(&mut self, s: &Scene, plan: &Plan, new: &mut Plan) -> Option<String> {
         match self.verdict {
-            Some(Verdict::Errors) => return Some(self.turn(s, new, "the new version errs more".into())),
+            Some(Verdict::Errors) => {
+                return Some(self.turn(s, new, "the new version errs more".into()));
+            }
             Some(Verdict::Alike) => {
                 let began = plan.regions.iter().any(|r| r.stage != Stage::Before);
                 new.phase = if began { Phase::Rolling } else { Phase::Canary };
@@ -440,12 +588,17 @@
     }
 
     fn roll(&mut self, s: &Scene, ballot: Ballot, plan: &Plan, new: &mut Plan) -> Option<String> {
-        let left: Vec<usize> =
-            (0..plan.regions.len()).filter(|r| plan.regions[*r].stage != Stage::Done).collect();
+        let left: Vec<usize> = (0..plan.regions.len())
+            .filter(|r| plan.regions[*r].stage != Stage::Done)
+            .collect();
         let Some(&first) = left.first() else {
             let back = plan.back();
             new.phase = if back { Phase::RolledBack } else { Phase::Done };
-            return Some(if back { "is rolled back".into() } else { "is done".into() });
+            return Some(if back {
+                "is rolled back".into()
+            } else {
+                "is done".into()
+            });
         };
         if plan.regions[first].stage == Stage::Before {
             if s.is_cut(&plan.regions[first].name) {
@@ -457,7 +610,8 @@
         }
         // One region after the other forwards; the way back is for all that is left.
         let now = if plan.back() { left } else { vec![first] };
-        now.into_iter().find_map(|r| self.advance(s, ballot, plan, new, r))
+        now.into_iter()
+            .find_map(|r| self.advance(s, ballot, plan, new, r))
     }
 
     fn advance(
@@ -501,7 +655,10 @@
                         "region {name}: the limit is past, old copies with sessions give way"
                     ));
                 }
-                self.wait(format!("region {name}: {} of {} lanes stand", side.came.lanes, side.need));
+                self.wait(format!(
+                    "region {name}: {} of {} lanes stand",
+                    side.came.lanes, side.need
+                ));
                 None
             }
             Stage::Draining => {
@@ -512,7 +669,11 @@
                 let left = side.went.copies + side.went.loading;
                 if (left == 0 || was.over && tried) && s.all_seen(name) {
                     r.stage = Stage::Done;
-                    let but = if left > 0 { " but for copies called by their name" } else { "" };
+                    let but = if left > 0 {
+                        " but for copies called by their name"
+                    } else {
+                        ""
+                    };
                     return Some(format!("region {name} is done{but}"));
                 }
                 if !was.over && self.since(s, was) >= plan.order.drain_limit {
@@ -535,8 +696,11 @@
     }
 
     fn tried(&self, s: &Scene, side: &Side) -> bool {
-        let left = s.of(&side.region.name).filter(|w| w.stands(&side.goes).is_some());
-        left.into_iter().all(|w| self.unloads.tries(&w.name, &side.goes) >= MOST_TRIES)
+        let left = s
+            .of(&side.region.name)
+            .filter(|w| w.stands(&side.goes).is_some());
+        left.into_iter()
+            .all(|w| self.unloads.tries(&w.name, &side.goes) >= MOST_TRIES)
     }
 
     // ---- orders ----
@@ -560,20 +724,35 @@
     }
 
     /// Copies in use are not let go for idleness: lanes up to those of the beginning, and all with sessions.
-    fn renew(&mut self, s: &Scene, ballot: Ballot, plan: &Plan, side: &Side, out: &mut Vec<Output>) {
+    fn renew(
+        &mut self,
+        s: &Scene,
+        ballot: Ballot,
+        plan: &Plan,
+        side: &Side,
+        out: &mut Vec<Output>,
+    ) {
         let (r, back) = (side.region, plan.back());
         let ends = r.stage == Stage::Done;
         if ends && back {
             return;
         }
         let sends = |f: &Name| {
-            if *f == side.goes { side.part < WHOLE } else { r.stage != Stage::Before || side.part > 0 }
+            if *f == side.goes {
+                side.part < WHOLE
+            } else {
+                r.stage != Stage::Before || side.part > 0
+            }
         };
         for (f, other) in [(&side.goes, &side.comes), (&side.comes, &side.goes)] {
             let canary = plan.phase == Phase::Canary;
             // Nobody knows yet which of them will be needed.
             let both = plan.phase == Phase::Paused;
-            let mut wanted = if sends(f) || both || canary && *f == side.comes { r.base.max(1) } else { 0 };
+            let mut wanted = if sends(f) || both || canary && *f == side.comes {
+                r.base.max(1)
+            } else {
+                0
+            };
             let mut copies: Vec<(&WorkerSeen, &Held)> = s
                 .of(&r.name)
                 .filter(|w| s.fresh(w) && w.takes_new)
@@ -597,13 +776,23 @@
         }
     }
 
-    fn unload(&mut self, s: &Scene, ballot: Ballot, plan: &Plan, side: &Side, out: &mut Vec<Output>) {
+    fn unload(
+        &mut self,
+        s: &Scene,
+        ballot: Ballot,
+        plan: &Plan,
+        side: &Side,
+        out: &mut Vec<Output>,
+    ) {
         let r = side.region;
         match r.stage {
             Stage::Draining if self.heard(s, ballot, r) => {
                 // Symptom: a worker dies, and its sessions come to a copy that was just seen without any; or one began there
                 // since it was seen, by a router that did not yet know better.
-                let used = self.used.entry(r.name.clone()).or_insert((r.changed, s.now));
+                let used = self
+                    .used
+                    .entry(r.name.clone())
+                    .or_insert((r.changed, s.now));
                 if side.went.sessions > 0 || used.0 != r.changed {
                     *used = (r.changed, s.now);
                 }
@@ -613,7 +802,9 @@
                     return;
                 }
                 for w in s.of(&r.name).filter(|w| s.fresh(w)) {
-                    let Some(h) = w.stands(&side.goes) else { continue };
+                    let Some(h) = w.stands(&side.goes) else {
+                        continue;
+                    };
                     if h.busy > 0 || self.unloads.is_under_way(w, &side.goes, s.terms) {
                         continue;
                     }
@@ -621,7 +812,9 @@
                     out.push(unwant(&w.name, &side.goes, ballot));
                 }
             }
-            Stage::Loading if plan.phase != Phase::Paused => self.give_way(s, ballot, plan, side, out),
+            Stage::Loading if plan.phase != Phase::Paused => {
+                self.give_way(s, ballot, plan, side, out)
+            }
             Stage::Before if self.lacking(s, plan, side) > 0 && side.part == 0 => {
                 self.give_way(s, ballot, plan, side, out);
             }
@@ -654,9 +847,14 @@
     ) -> Option<(&'a WorkerSeen, u32)> {
         let mb = Self::copy_mb(s, plan, &side.comes, &side.goes);
         let name = &side.region.name;
-        let copies = s.workers.iter().filter(|w| w.region == *name && s.fresh(w) && w.takes_new);
+        let copies = s
+            .workers
+            .iter()
+            .filter(|w| w.region == *name && s.fresh(w) && w.takes_new);
         let fits = copies.filter_map(|w| {
-            let h = w.stands(&side.goes).filter(|h| h.busy == 0 && (past || h.sessions == 0))?;
+            let h = w
+                .stands(&side.goes)
+                .filter(|h| h.busy == 0 && (past || h.sessions == 0))?;
             let kept = w.used_mb.saturating_sub(h.copies * h.copy_mb);
             let fits = w.memory_mb.saturating_sub(kept) >= mb && w.held(&side.comes).is_none();
             (fits && self.loads.may(s.now, &w.name)).then_some((w, h))
@@ -682,7 +880,14 @@
             && self.in_the_way(s, plan, side, true).is_some()
     }
 
-    fn give_way(&mut self, s: &Scene, ballot: Ballot, plan: &Plan, side: &Side, out: &mut Vec<Output>) {
+    fn give_way(
+        &mut self,
+        s: &Scene,
+        ballot: Ballot,
+        plan: &Plan,
+        side: &Side,
+        out: &mut Vec<Output>,
+    ) {
         if !self.is_full(s, plan, side) {
             return;
         }
@@ -712,8 +917,10 @@
     fn lacking(&self, s: &Scene, plan: &Plan, side: &Side) -> u32 {
         let one = Self::lanes_of(s, &side.comes, &side.goes);
         let r = side.region;
-        let on_their_way =
-            s.of(&r.name).filter(|w| self.loads.is_under_way(&w.name, &side.comes)).count() as u32;
+        let on_their_way = s
+            .of(&r.name)
+            .filter(|w| self.loads.is_under_way(&w.name, &side.comes))
+            .count() as u32;
         let goal = match (plan.phase, r.stage) {
             (Phase::Canary, _) if *r.name == *plan.regions[0].name => plan.order.canary * one,
             (Phase::Rolling, Stage::Loading | Stage::Draining | Stage::Done) => r.base,
@@ -731,13 +938,23 @@
         }
         // Symptom: a worker died or let copies go, and too few are left for what begins. They come first.
         let one = Self::lanes_of(s, &side.goes, &side.comes);
-        let coming = s.of(&r.name).filter(|w| self.loads.is_under_way(&w.name, &side.goes)).count() as u32;
+        let coming = s
+            .of(&r.name)
+            .filter(|w| self.loads.is_under_way(&w.name, &side.goes))
+            .count() as u32;
         let short = side.part == 0 && side.went.lanes + coming * one < side.need;
         let (f, other, mut lacks) = match short {
-            true => (&side.goes, &side.comes, side.need - side.went.lanes - coming * one),
+            true => (
+                &side.goes,
+                &side.comes,
+                side.need - side.went.lanes - coming * one,
+            ),
             false => (&side.comes, &side.goes, self.lacking(s, plan, side)),
         };
-        let (mb, one) = (Self::copy_mb(s, plan, f, other), Self::lanes_of(s, f, other));
+        let (mb, one) = (
+            Self::copy_mb(s, plan, f, other),
+            Self::lanes_of(s, f, other),
+        );
         while lacks > 0 {
             if !self.loads.has_room() {
                 return self.wait(format!(
@@ -771,9 +988,18 @@
 
 fn want(worker: &Name, function: &Name, like: &Name, ballot: Ballot) -> Output {
     let (worker, function, like) = (worker.clone(), function.clone(), like.clone());
-    Output::Want { worker, function, like, term: ballot.term() }
+    Output::Want {
+        worker,
+        function,
+        like,
+        term: ballot.term(),
+    }
 }
 
 fn unwant(worker: &Name, function: &Name, ballot: Ballot) -> Output {
-    Output::Unwant { worker: worker.clone(), function: function.clone(), term: ballot.term() }
+    Output::Unwant {
+        worker: worker.clone(),
+        function: function.clone(),
+        term: ballot.term(),
+    }
 }
--- a/crates/upgrade/src/health.rs
+++ b/crates/upgrade/src/health.rs
@@ -91,7 +91,11 @@
     }
 
     fn off(&self) -> f64 {
-        if self.variance > 0.0 { self.beyond / self.variance.sqrt() } else { 0.0 }
+        if self.variance > 0.0 {
+            self.beyond / self.variance.sqrt()
+        } else {
+            0.0
+        }
     }
 
     fn clear(&self, more: f64) -> bool {
@@ -112,7 +116,10 @@
 impl Health {
     /// From here on anew; what was counted before is known, and counts no more.
     pub fn anew(&mut self) {
-        *self = Health { last: std::mem::take(&mut self.last), ..Health::default() };
+        *self = Health {
+            last: std::mem::take(&mut self.last),
+            ..Health::default()
+        };
     }
 
     pub fn hear(&mut self, member: MemberIx, counts: Vec<Count>, old: &str, new: &str) {
@@ -127,7 +134,9 @@
             // A member heard of for the first time has counted before the plan, too.
             let Some(before) = before else { continue };
             let zero = Count::default();
-            let was = before.iter().find(|b| b.version == c.version && b.trigger == c.trigger);
+            let was = before
+                .iter()
+                .find(|b| b.version == c.version && b.trigger == c.trigger);
             // A process that began anew counts from nothing.
             let was = was.filter(|b| b.ended <= c.ended).unwrap_or(&zero);
             let pair = (member, c.trigger.clone());
@@ -142,15 +151,23 @@
         }
         self.last.insert(member, counts);
         for pair in touched {
-            let Some([new, old]) = self.open.get(&pair).copied() else { continue };
+            let Some([new, old]) = self.open.get(&pair).copied() else {
+                continue;
+            };
             if new.ended < IN_PAIR || old.ended < IN_PAIR {
                 continue;
             }
             self.open.remove(&pair);
             self.compared[0] += new.ended;
             self.compared[1] += old.ended;
-            self.errors.add((new.ended, new.errored.min(new.ended)), (old.ended, old.errored.min(old.ended)));
-            self.late.add((new.ended, new.late.min(new.ended)), (old.ended, old.late.min(old.ended)));
+            self.errors.add(
+                (new.ended, new.errored.min(new.ended)),
+                (old.ended, old.errored.min(old.ended)),
+            );
+            self.late.add(
+                (new.ended, new.late.min(new.ended)),
+                (old.ended, old.late.min(old.ended)),
+            );
         }
     }
 
--- a/crates/upgrade/src/loads.rs
+++ b/crates/upgrade/src/loads.rs
@@ -50,7 +50,10 @@
 
 impl Loads {
     pub fn new(terms: &Terms) -> Loads {
-        Loads { more: terms.loads_at_once.saturating_sub(1), ..Loads::default() }
+        Loads {
+            more: terms.loads_at_once.saturating_sub(1),
+            ..Loads::default()
+        }
     }
 
     pub fn has_room(&self) -> bool {
@@ -72,19 +75,31 @@
 
     /// It failed more than once in a row, and is left alone: others have to make room.
     pub fn is_broken(&self, now: Micros, worker: &str) -> bool {
-        self.holds.get(worker).is_some_and(|h| h.until > now && h.fails > 1)
+        self.holds
+            .get(worker)
+            .is_some_and(|h| h.until > now && h.fails > 1)
     }
 
     pub fn is_under_way(&self, worker: &str, function: &str) -> bool {
-        self.under_way.keys().any(|(w, f)| **w == *worker && **f == *function)
+        self.under_way
+            .keys()
+            .any(|(w, f)| **w == *worker && **f == *function)
     }
 
     pub fn begin(&mut self, now: Micros, worker: &Name, function: &Name) {
-        self.under_way.insert((worker.clone(), function.clone()), Load { since: now, ended: None });
+        self.under_way.insert(
+            (worker.clone(), function.clone()),
+            Load {
+                since: now,
+                ended: None,
+            },
+        );
     }
 
     pub fn ended(&mut self, now: Micros, worker: &Name, function: &Name, ok: bool, terms: &Terms) {
-        let Some(load) = self.under_way.get_mut(&(worker.clone(), function.clone())) else { return };
+        let Some(load) = self.under_way.get_mut(&(worker.clone(), function.clone())) else {
+            return;
+        };
         let took = now - load.since;
         if !ok {
             return self.failed(now, worker, function, terms);
@@ -123,7 +138,11 @@
     pub fn look(&mut self, now: Micros, workers: &[WorkerSeen], terms: &Terms) {
         let seen = |name: &str| workers.iter().find(|w| *w.name == *name);
         self.holds.retain(|w, h| h.until > now || seen(w).is_some());
-        let all: Vec<((Name, Name), Load)> = self.under_way.iter().map(|(k, l)| (k.clone(), *l)).collect();
+        let all: Vec<((Name, Name), Load)> = self
+            .under_way
+            .iter()
+            .map(|(k, l)| (k.clone(), *l))
+            .collect();
         for (key, load) in all {
             let (worker, function) = &key;
             let Some(w) = seen(worker) else {
@@ -142,7 +161,10 @@
                 hold.until = hold.until.max(now.saturating_add(terms.order_within));
             } else if now > load.since.saturating_add(terms.load_within) {
                 self.failed(now, worker, function, terms);
-            } else if self.usual.is_some_and(|u| now - load.since > u.saturating_mul(SLOW)) {
+            } else if self
+                .usual
+                .is_some_and(|u| now - load.since > u.saturating_mul(SLOW))
+            {
                 (self.more, self.good) = (0, 0);
             }
         }
@@ -168,7 +190,9 @@
     }
 
     pub fn tries(&self, worker: &Name, function: &Name) -> u32 {
-        self.ordered.get(&(worker.clone(), function.clone())).map_or(0, |o| o.tries)
+        self.ordered
+            .get(&(worker.clone(), function.clone()))
+            .map_or(0, |o| o.tries)
     }
 
     pub fn begin(&mut self, now: Micros, worker: &Name, function: &Name) {
--- a/crates/upgrade/src/orders.rs
+++ b/crates/upgrade/src/orders.rs
@@ -97,7 +97,9 @@
     fn remedy(&self) -> &'static str {
         match self {
             Unfit::Model(_) => "name the model as its callers do, in at most 200 bytes",
-            Unfit::Version(_) => "name the version as it stands behind /versions/; only `from` may be empty",
+            Unfit::Version(_) => {
+                "name the version as it stands behind /versions/; only `from` may be empty"
+            }
             Unfit::Same(_) => "set `to` to the version that is to come",
             Unfit::Canary(_) => "set `canary` from 1 to 64",
             Unfit::Part(_) => "set `canary_part` and `floor` between 0 and 1",
@@ -113,7 +115,9 @@
 }
 
 fn thousandths(part: f64) -> Option<u16> {
-    (0.0..=1.0).contains(&part).then(|| (part * 1000.0).round() as u16)
+    (0.0..=1.0)
+        .contains(&part)
+        .then(|| (part * 1000.0).round() as u16)
 }
 
 impl TryFrom<Asked> for Order {
@@ -136,7 +140,8 @@
         if a.drain_limit_ms > MOST_DRAIN_MS {
             return Err(Unfit::Drain(a.serial));
         }
-        let (Some(canary_part), Some(floor)) = (thousandths(a.canary_part), thousandths(a.floor)) else {
+        let (Some(canary_part), Some(floor)) = (thousandths(a.canary_part), thousandths(a.floor))
+        else {
             return Err(Unfit::Part(a.serial));
         };
         Ok(Order {
@@ -159,9 +164,15 @@
     if asked.len() > MOST_ORDERS {
         return Err(Unfit::Many);
     }
-    let orders: Vec<Order> = asked.into_iter().map(Order::try_from).collect::<Result<_, _>>()?;
+    let orders: Vec<Order> = asked
+        .into_iter()
+        .map(Order::try_from)
+        .collect::<Result<_, _>>()?;
     for (at, o) in orders.iter().enumerate() {
-        if orders[..at].iter().any(|e| e.model == o.model && e.serial == o.serial) {
+        if orders[..at]
+            .iter()
+            .any(|e| e.model == o.model && e.serial == o.serial)
+        {
             return Err(Unfit::Twice(o.model.to_string(), o.serial));
         }
     }
