--- a/crates/upgrade/src/plan.rs
+++ b/crates/upgrade/src/plan.rs
@@ -29,11 +29,17 @@
 
 /// The name under which a version's copies are loaded and called.
 pub fn function(model: &str, version: &str) -> Name {
-    if version.is_empty() { Name::from(model) } else { Name::from([model, VERSIONS, version].concat()) }
+    if version.is_empty() {
+        Name::from(model)
+    } else {
+        Name::from([model, VERSIONS, version].concat())
+    }
 }
 
 /// Under which a member writes; as the shared state has it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub struct Ballot {
     pub number: u32,
     pub member: MemberIx,
@@ -48,7 +54,9 @@
 }
 
 /// A step and whose it is: two leaders may have given the same number to different steps.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub struct GoesBy {
     pub ballot: Ballot,
     pub step: u64,
@@ -150,22 +158,39 @@
     /// The version that is to go, and the one that is to come.
     pub fn versions(&self) -> (&Name, &Name) {
         let o = &self.order;
-        if self.back() { (&o.to, &o.from) } else { (&o.from, &o.to) }
+        if self.back() {
+            (&o.to, &o.from)
+        } else {
+            (&o.from, &o.to)
+        }
     }
 
     /// What comes after this step, for an operator.
     pub fn then(&self) -> String {
-        let after = |r: &Region| self.regions.iter().find(|o| o.stage == Stage::Before && o.name != r.name);
-        let region = self.regions.iter().find(|r| !matches!(r.stage, Stage::Before | Stage::Done));
+        let after = |r: &Region| {
+            self.regions
+                .iter()
+                .find(|o| o.stage == Stage::Before && o.name != r.name)
+        };
+        let region = self
+            .regions
+            .iter()
+            .find(|r| !matches!(r.stage, Stage::Before | Stage::Done));
         match (self.phase, region) {
             (Phase::Waiting, _) => "loads canaries".into(),
             (Phase::Canary, _) => "the first region, or back".into(),
             (Phase::Paused, _) => "goes on, or back".into(),
             (Phase::Rolling | Phase::Back, Some(r)) if r.stage == Stage::Loading => {
-                format!("sends what begins in {} to the copies that have come", r.name)
+                format!(
+                    "sends what begins in {} to the copies that have come",
+                    r.name
+                )
             }
             (Phase::Rolling, Some(r)) => match after(r) {
-                Some(next) => format!("lets old copies in {} go, then loads in {}", r.name, next.name),
+                Some(next) => format!(
+                    "lets old copies in {} go, then loads in {}",
+                    r.name, next.name
+                ),
                 None => format!("lets old copies in {} go, then is done", r.name),
             },
             (Phase::Back, Some(r)) => format!("lets new copies in {} go", r.name),
@@ -187,7 +212,11 @@
             (_, None) => 0,
             (_, Some(r)) => r.part_of(session, self.back()),
         };
-        if draw % u64::from(WHOLE) < u64::from(part) { &o.to } else { &o.from }
+        if draw % u64::from(WHOLE) < u64::from(part) {
+            &o.to
+        } else {
+            &o.from
+        }
     }
 }
 
--- a/crates/upgrade/src/planner.rs
+++ b/crates/upgrade/src/planner.rs
@@ -99,9 +99,16 @@
 impl Terms {
     /// As they have to be where workers are asked that seldom at the slowest, and idle copies go after that time.
     pub fn beside(self, asked_within: Micros, idle_kept: Micros) -> Terms {
-        let fresh = self.fresh.max(asked_within.saturating_add(asked_within / HALF));
+        let fresh = self
+            .fresh
+            .max(asked_within.saturating_add(asked_within / HALF));
         let quiet = self.quiet.max(fresh.saturating_add(fresh / HALF));
-        Terms { fresh, quiet, renew: self.renew.min(idle_kept / RENEWALS).max(self.pace), ..self }
+        Terms {
+            fresh,
+            quiet,
+            renew: self.renew.min(idle_kept / RENEWALS).max(self.pace),
+            ..self
+        }
     }
 }
 
@@ -156,9 +163,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Ask a majority for the lead under this key.
-    Lead {
-        key: Name,
-    },
+    Lead { key: Name },
     Write {
         key: Name,
         ballot: Ballot,
@@ -305,16 +310,28 @@
         if known.is_some_and(|k| k >= (ballot, plan.step)) {
             return;
         }
-        let old = self.plan.as_ref().filter(|p| p.order.model == plan.order.model);
+        let old = self
+            .plan
+            .as_ref()
+            .filter(|p| p.order.model == plan.order.model);
         let same = old.filter(|p| p.order.serial == plan.order.serial || plan.back());
         if same.is_none() {
             self.health.anew();
-            let (orders, goes_by) = (mem::take(&mut self.doing.orders), mem::take(&mut self.doing.goes_by));
-            self.doing = Doing { orders, goes_by, phase_since: now, ..Doing::new(terms) };
+            let (orders, goes_by) = (
+                mem::take(&mut self.doing.orders),
+                mem::take(&mut self.doing.goes_by),
+            );
+            self.doing = Doing {
+                orders,
+                goes_by,
+                phase_since: now,
+                ..Doing::new(terms)
+            };
         }
         if let Some(p) = same.filter(|p| p.phase != plan.phase) {
             self.doing.phase_since = now;
-            if Phase::Paused == p.phase || Phase::Paused == plan.phase || p.phase == Phase::Waiting {
+            if Phase::Paused == p.phase || Phase::Paused == plan.phase || p.phase == Phase::Waiting
+            {
                 self.health.anew();
             }
         }
@@ -335,7 +352,9 @@
         };
         match &self.plan {
             None => self.doing.orders.iter().any(|o| !o.withdrawn),
-            Some(p) if p.phase.is_over() => !p.settled || later(p) || now - self.heard >= terms.keep_again,
+            Some(p) if p.phase.is_over() => {
+                !p.settled || later(p) || now - self.heard >= terms.keep_again
+            }
             Some(_) => true,
         }
     }
@@ -350,22 +369,31 @@
             (Outcome::Leads { ballot, last }, Lead::Asked { .. }) => {
                 let read = last.as_deref().map(Plan::read);
                 if let Some(None) = read {
-                    out.push(Output::Log("its record is of another release; it is left alone".into()));
+                    out.push(Output::Log(
+                        "its record is of another release; it is left alone".into(),
+                    ));
                     return self.stops_leading(now.saturating_add(STRANGE));
                 }
                 let agreed = read.flatten();
                 // Symptom: two leaders each let one copy go, and together they undercut the floor.
                 let wait = terms.lease + terms.lease / DRIFT + terms.order_within;
                 // No step of somebody else has been agreed since its own: nobody else may act.
-                let own = self.led.filter(|(ballot, _)| agreed.as_ref().is_some_and(|p| p.by == *ballot));
+                let own = self
+                    .led
+                    .filter(|(ballot, _)| agreed.as_ref().is_some_and(|p| p.by == *ballot));
                 let from = match (&agreed, own) {
                     (Some(p), None) if !p.phase.is_over() => now + wait,
                     (_, own) => own.map_or(now, |(_, from)| from),
                 };
                 self.led = Some((ballot, from));
                 self.doing.acts_since = now.max(from);
-                self.lead =
-                    Lead::Leads(Box::new(Term { ballot, from, agreed, confirmed: None, writing: None }));
+                self.lead = Lead::Leads(Box::new(Term {
+                    ballot,
+                    from,
+                    agreed,
+                    confirmed: None,
+                    writing: None,
+                }));
             }
             (Outcome::Written { ballot }, Lead::Leads(term)) if ballot == term.ballot => {
                 let Some(w) = term.writing.take() else { return };
@@ -422,16 +450,29 @@
         }
         self.doing.loads.look(now, s.workers, terms);
         self.doing.unloads.look(s.workers, terms);
-        (self.doing.verdict, self.doing.compared) = (Some(self.health.says()), self.health.compared());
+        (self.doing.verdict, self.doing.compared) =
+            (Some(self.health.says()), self.health.compared());
         let Some(plan) = term.agreed.clone() else {
             if let Some((plan, log)) = self.doing.first(s, None) {
                 write(name, now, term, plan, log, out);
             }
             return;
         };
-        let left = term.confirmed.map_or(0, |at| at.saturating_add(terms.lease) - now);
+        let left = term
+            .confirmed
+            .map_or(0, |at| at.saturating_add(terms.lease) - now);
         if left <= 0 && !plan.settled && (!plan.phase.is_over() || term.confirmed.is_none()) {
-            return write(name, now, term, Plan { step: plan.step + 1, ..plan }, String::new(), out);
+            return write(
+                name,
+                now,
+                term,
+                Plan {
+                    step: plan.step + 1,
+                    ..plan
+                },
+                String::new(),
+                out,
+            );
         }
         self.doing.waits.clear();
         if now < term.from {
@@ -441,18 +482,46 @@
         } else {
             self.doing.tend(s, term.ballot, &plan, out);
         }
-        let old =
-            if plan.phase.is_over() { now - self.heard >= terms.keep_again } else { left <= terms.lease / 2 };
+        let old = if plan.phase.is_over() {
+            now - self.heard >= terms.keep_again
+        } else {
+            left <= terms.lease / 2
+        };
         if old {
-            write(name, now, term, Plan { step: plan.step + 1, ..plan }, String::new(), out);
+            write(
+                name,
+                now,
+                term,
+                Plan {
+                    step: plan.step + 1,
+                    ..plan
+                },
+                String::new(),
+                out,
+            );
         }
     }
 }
 
-fn write(name: &Name, now: Micros, term: &mut Term, mut plan: Plan, log: String, out: &mut Vec<Output>) {
+fn write(
+    name: &Name,
+    now: Micros,
+    term: &mut Term,
+    mut plan: Plan,
+    log: String,
+    out: &mut Vec<Output>,
+) {
     plan.by = term.ballot;
-    out.push(Output::Write { key: key(name), ballot: term.ballot, value: plan.bytes() });
-    term.writing = Some(Writing { since: now, plan, log });
+    out.push(Output::Write {
+        key: key(name),
+        ballot: term.ballot,
+        value: plan.bytes(),
+    });
+    term.writing = Some(Writing {
+        since: now,
+        plan,
+        log,
+    });
 }
 
 fn is_let_go(region: &Region) -> bool {
@@ -487,10 +556,18 @@
                 (self.me, self.regions) = (me, regions);
             }
             Input::Workers(workers) => self.workers = workers,
-            Input::Counted { member, model, goes_by, counts } => {
+            Input::Counted {
+                member,
+                model,
+                goes_by,
+                counts,
+            } => {
                 if let Some(m) = self.model(now, &model) {
                     m.doing.goes_by.insert(member, goes_by);
-                    let versions = m.plan.as_ref().map(|p| (p.order.from.clone(), p.order.to.clone()));
+                    let versions = m
+                        .plan
+                        .as_ref()
+                        .map(|p| (p.order.from.clone(), p.order.to.clone()));
                     let (old, new) = versions.unwrap_or_default();
                     m.health.hear(member, counts, &old, &new);
                 }
@@ -501,15 +578,25 @@
                     m.decided(now, outcome, &terms, out);
                 }
             }
-            Input::PlanHeard { model, ballot, bytes } => {
+            Input::PlanHeard {
+                model,
+                ballot,
+                bytes,
+            } => {
                 let (terms, plan) = (self.terms.clone(), Plan::read(&bytes));
                 if let (Some(plan), Some(m)) = (plan, self.model(now, &model)) {
                     m.hear(now, ballot, plan, &terms);
                 }
             }
-            Input::LoadEnded { worker, function, ok } => {
+            Input::LoadEnded {
+                worker,
+                function,
+                ok,
+            } => {
                 for m in self.models.values_mut() {
-                    m.doing.loads.ended(now, &worker, &function, ok, &self.terms);
+                    m.doing
+                        .loads
+                        .ended(now, &worker, &function, ok, &self.terms);
                 }
             }
             Input::Tick => {}
@@ -521,7 +608,11 @@
         if self.models.len() >= MOST_MODELS && !self.models.contains_key(name) {
             return None;
         }
-        Some(self.models.entry(name.clone()).or_insert_with(|| Model::new(now, &self.terms)))
+        Some(
+            self.models
+                .entry(name.clone())
+                .or_insert_with(|| Model::new(now, &self.terms)),
+        )
     }
 
     fn ordered(&mut self, now: Micros, orders: Vec<Order>) {
@@ -561,12 +652,22 @@
     /// When [`Input::Tick`] is wanted.
     pub fn next_due(&self) -> Micros {
         let lowest = self.alive.iter().position(|a| *a) == Some(self.me as usize);
-        let works = |m: &Model| m.has_work(self.passed, &self.terms) || !matches!(m.lead, Lead::Not { .. });
+        let works =
+            |m: &Model| m.has_work(self.passed, &self.terms) || !matches!(m.lead, Lead::Not { .. });
         if lowest && self.models.values().any(works) {
             return self.passed.saturating_add(self.terms.pace);
         }
-        let over = |m: &Model| m.plan.as_ref().map(|_| m.heard.saturating_add(self.terms.keep_again));
-        let kept = self.models.values().filter_map(over).min().filter(|_| lowest);
+        let over = |m: &Model| {
+            m.plan
+                .as_ref()
+                .map(|_| m.heard.saturating_add(self.terms.keep_again))
+        };
+        let kept = self
+            .models
+            .values()
+            .filter_map(over)
+            .min()
+            .filter(|_| lowest);
         kept.unwrap_or(Micros::MAX)
     }
 
@@ -580,12 +681,20 @@
 
     /// Models with a plan here; the others are left alone.
     pub fn models(&self) -> impl Iterator<Item = &Name> {
-        self.models.iter().filter(|(_, m)| m.plan.is_some()).map(|(name, _)| name)
+        self.models
+            .iter()
+            .filter(|(_, m)| m.plan.is_some())
+            .map(|(name, _)| name)
     }
 
     /// What this router goes by, for [`Input::Counted`].
     pub fn goes_by(&self, model: &str) -> GoesBy {
-        let of = |m: &Model| Some(GoesBy { ballot: m.ballot, step: m.plan.as_ref()?.step });
+        let of = |m: &Model| {
+            Some(GoesBy {
+                ballot: m.ballot,
+                step: m.plan.as_ref()?.step,
+            })
+        };
         self.models.get(model).and_then(of).unwrap_or_default()
     }
 
@@ -593,7 +702,10 @@
     /// chance, of the whole range.
     pub fn goes_to(&self, model: &str, region: &str, draw: u64, session: bool) -> Option<Way> {
         let version = self.plan(model)?.version(region, draw, session);
-        Some(Way { function: function(model, version), version: version.clone() })
+        Some(Way {
+            function: function(model, version),
+            version: version.clone(),
+        })
     }
 
     /// A majority has to say to which version a session belongs before its first dispatch from here. Once all routers
@@ -615,7 +727,10 @@
     /// Copies of this version are let go in this member's region, whoever uses them.
     pub fn over(&self, model: &str, version: &str) -> bool {
         let here = |plan: &Plan| {
-            self.regions.get(self.me as usize).and_then(|r| plan.region(r)).is_some_and(is_let_go)
+            self.regions
+                .get(self.me as usize)
+                .and_then(|r| plan.region(r))
+                .is_some_and(is_let_go)
         };
         self.is_out(model, version, here)
     }
@@ -624,12 +739,18 @@
     /// routers take from one queue, and dispatch to all regions; sessions that had begun a moment ago where the version
     /// still served were over, as a turn came to a router of a region past its limit, or went to a worker there.
     pub fn sessions_over(&self, model: &str, version: &str) -> bool {
-        let all = |plan: &Plan| plan.regions.iter().all(|r| r.stage == Stage::Done || is_let_go(r));
+        let all = |plan: &Plan| {
+            plan.regions
+                .iter()
+                .all(|r| r.stage == Stage::Done || is_let_go(r))
+        };
         self.is_out(model, version, all)
     }
 
     fn is_out(&self, model: &str, version: &str, regions: impl Fn(&Plan) -> bool) -> bool {
-        let Some(plan) = self.plan(model).filter(|p| **p.versions().0 == *version) else { return false };
+        let Some(plan) = self.plan(model).filter(|p| **p.versions().0 == *version) else {
+            return false;
+        };
         matches!(plan.phase, Phase::Done | Phase::RolledBack) || regions(plan)
     }
 
@@ -640,8 +761,14 @@
             let Some(plan) = &m.plan else { continue };
             let (goes, comes) = plan.versions();
             let stays = !plan.phase.is_over();
-            for version in [Some(comes), Some(goes).filter(|_| stays)].into_iter().flatten() {
-                claims.push(Claim { function: function(model, version), term: Some(m.ballot.term()) });
+            for version in [Some(comes), Some(goes).filter(|_| stays)]
+                .into_iter()
+                .flatten()
+            {
+                claims.push(Claim {
+                    function: function(model, version),
+                    term: Some(m.ballot.term()),
+                });
             }
         }
         claims
@@ -649,7 +776,10 @@
 
     /// For `GET /state`.
     pub fn shown(&self) -> Vec<Shown> {
-        self.models.iter().filter_map(|(name, m)| self.shown_of(name, m)).collect()
+        self.models
+            .iter()
+            .filter_map(|(name, m)| self.shown_of(name, m))
+            .collect()
     }
 
     fn shown_of(&self, name: &Name, m: &Model) -> Option<Shown> {
--- a/crates/upgrade/src/sessions.rs
+++ b/crates/upgrade/src/sessions.rs
@@ -181,24 +181,51 @@
 
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Arrives { ticket, model, session, proposes, placed } => {
+            Input::Arrives {
+                ticket,
+                model,
+                session,
+                proposes,
+                placed,
+            } => {
                 self.arrives(now, ticket, key(&model, &session), proposes, placed, out);
             }
             Input::Leaves { ticket } => {
-                let Some(wait) = self.waits.iter().find(|w| w.1 == ticket).cloned() else { return };
+                let Some(wait) = self.waits.iter().find(|w| w.1 == ticket).cloned() else {
+                    return;
+                };
                 self.waits.remove(&wait);
                 if let Some(s) = self.known.get_mut(&wait.2) {
                     s.waiting.retain(|w| w.0 != ticket);
                 }
             }
             Input::Decided { key, version } => self.decided(key, version, out),
-            Input::Answered { model, session, worker, ends } => {
+            Input::Answered {
+                model,
+                session,
+                worker,
+                ends,
+            } => {
                 let worker = if ends { Name::default() } else { worker };
-                self.placed(now, key(&model, &session), place_key(&model, &session), worker, out);
+                self.placed(
+                    now,
+                    key(&model, &session),
+                    place_key(&model, &session),
+                    worker,
+                    out,
+                );
             }
-            Input::Lost { model, session, worker } => {
+            Input::Lost {
+                model,
+                session,
+                worker,
+            } => {
                 let key = key(&model, &session);
-                if self.known.get(&key).is_some_and(|s| s.place.worker == worker) {
+                if self
+                    .known
+                    .get(&key)
+                    .is_some_and(|s| s.place.worker == worker)
+                {
                     self.placed(now, key, place_key(&model, &session), Name::default(), out);
                 }
             }
@@ -224,7 +251,9 @@
 
     /// Bindings that are known here, by version.
     pub fn known(&self) -> impl Iterator<Item = &Name> {
-        self.known.values().filter_map(|s| s.bound.as_ref().map(|b| &b.0))
+        self.known
+            .values()
+            .filter_map(|s| s.bound.as_ref().map(|b| &b.0))
     }
 
     fn arrives(
@@ -245,25 +274,44 @@
         let prefers = Some(&s.place.worker).filter(|w| !w.is_empty()).cloned();
         let Some(proposes) = proposes else {
             let anew = std::mem::take(&mut s.anew);
-            return out.push(Output::Goes { ticket, version: None, prefers, anew });
+            return out.push(Output::Goes {
+                ticket,
+                version: None,
+                prefers,
+                anew,
+            });
         };
         let stands = s.bound.clone().filter(|(_, until)| now < *until);
         if stands.is_none() && full {
             self.counts.sessions_refused_full += 1;
-            return out.push(Output::Refused { ticket, why: Refused::Full });
+            return out.push(Output::Refused {
+                ticket,
+                why: Refused::Full,
+            });
         }
         // Half of its time is over: renewed beside what goes on.
-        let renews = stands.as_ref().is_some_and(|(_, until)| *until - now < terms.kept / 2);
+        let renews = stands
+            .as_ref()
+            .is_some_and(|(_, until)| *until - now < terms.kept / 2);
         if (stands.is_none() || renews) && (s.asked.is_none() || std::mem::take(&mut s.unheard)) {
             s.asked.get_or_insert(now);
             // Known here once: that one, whatever the plan says by now.
             let version = s.bound.as_ref().map_or(proposes, |b| b.0.clone());
-            out.push(Output::Choose { key: key.clone(), version, kept: terms.kept });
+            out.push(Output::Choose {
+                key: key.clone(),
+                version,
+                kept: terms.kept,
+            });
         }
         match stands {
             Some((version, _)) => {
                 let anew = std::mem::take(&mut s.anew);
-                out.push(Output::Goes { ticket, version: Some(version), prefers, anew });
+                out.push(Output::Goes {
+                    ticket,
+                    version: Some(version),
+                    prefers,
+                    anew,
+                });
             }
             None => {
                 let until = now.saturating_add(terms.patience);
@@ -275,7 +323,9 @@
 
     fn decided(&mut self, key: Name, version: Option<Name>, out: &mut Vec<Output>) {
         let terms = self.terms;
-        let Some(s) = self.known.get_mut(&key) else { return };
+        let Some(s) = self.known.get_mut(&key) else {
+            return;
+        };
         // Not asked from here, or forgotten meanwhile: since when it stands is not known.
         let Some(asked) = s.asked.take() else { return };
         s.unheard = false;
@@ -286,7 +336,11 @@
         let Some(version) = version else {
             self.counts.sessions_without_majority += waiting.len() as u64;
             let why = Refused::NoMajority;
-            return out.extend(waiting.into_iter().map(|(ticket, _)| Output::Refused { ticket, why }));
+            return out.extend(
+                waiting
+                    .into_iter()
+                    .map(|(ticket, _)| Output::Refused { ticket, why }),
+            );
         };
         match &s.bound {
             None => self.counts.sessions_bound += 1,
@@ -294,24 +348,45 @@
             Some(_) => self.counts.sessions_rebound += 1,
         }
         // Kept by a majority for so long since it was asked, at the least, by any clock.
-        s.bound = Some((version.clone(), asked.saturating_add(terms.kept - terms.kept / DRIFT_PART)));
+        s.bound = Some((
+            version.clone(),
+            asked.saturating_add(terms.kept - terms.kept / DRIFT_PART),
+        ));
         let prefers = Some(&s.place.worker).filter(|w| !w.is_empty()).cloned();
         let anew = std::mem::take(&mut s.anew);
-        let goes =
-            |ticket| Output::Goes { ticket, version: Some(version.clone()), prefers: prefers.clone(), anew };
+        let goes = |ticket| Output::Goes {
+            ticket,
+            version: Some(version.clone()),
+            prefers: prefers.clone(),
+            anew,
+        };
         out.extend(waiting.into_iter().map(|(ticket, _)| goes(ticket)));
     }
 
-    fn placed(&mut self, now: Micros, key: Name, place_key: Name, worker: Name, out: &mut Vec<Output>) {
+    fn placed(
+        &mut self,
+        now: Micros,
+        key: Name,
+        place_key: Name,
+        worker: Name,
+        out: &mut Vec<Output>,
+    ) {
         let kept = self.terms.kept;
         let s = self.used(now, &key);
         if s.place.worker == worker {
             return;
         }
-        s.place = Placed { number: s.place.number + 1, worker };
+        s.place = Placed {
+            number: s.place.number + 1,
+            worker,
+        };
         let placed = s.place.clone();
         self.counts.sessions_moved += 1;
-        out.push(Output::Place { key: place_key, placed, kept });
+        out.push(Output::Place {
+            key: place_key,
+            placed,
+            kept,
+        });
     }
 
     /// Marks it as used, and makes room for it.
@@ -323,7 +398,9 @@
             // Whoever is waited for is not forgotten.
             let known = &self.known;
             let idle = |o: &&(Micros, Name)| known.get(&o.1).is_none_or(|s| s.waiting.is_empty());
-            let Some(oldest) = self.order.iter().find(idle).cloned() else { break };
+            let Some(oldest) = self.order.iter().find(idle).cloned() else {
+                break;
+            };
             self.order.remove(&oldest);
             self.known.remove(&oldest.1);
             self.counts.sessions_forgotten += 1;
@@ -345,7 +422,10 @@
                 s.unheard = true;
             }
             self.counts.sessions_without_majority += 1;
-            out.push(Output::Refused { ticket, why: Refused::NoMajority });
+            out.push(Output::Refused {
+                ticket,
+                why: Refused::NoMajority,
+            });
         }
         // Nothing of it can be used any more.
         while let Some((used, key)) = self.order.first().cloned()
--- a/crates/upgrade/tests/parts.rs
+++ b/crates/upgrade/tests/parts.rs
@@ -39,7 +39,10 @@
     assert_eq!(one(|a| a.canary = 0), Err(Unfit::Canary(7)));
     assert_eq!(one(|a| a.floor = f64::NAN), Err(Unfit::Part(7)));
     assert_eq!(one(|a| a.drain_limit_ms = u64::MAX), Err(Unfit::Drain(7)));
-    assert_eq!(all(vec![asked(), asked()]), Err(Unfit::Twice("m".into(), 7)));
+    assert_eq!(
+        all(vec![asked(), asked()]),
+        Err(Unfit::Twice("m".into(), 7))
+    );
     assert_eq!(all(vec![asked(); 257]), Err(Unfit::Many));
 }
 
@@ -79,7 +82,11 @@
 
 #[test]
 fn what_begins_goes_by_the_part_and_sessions_go_to_what_stays_twice_as_often() {
-    let goes = |p: &Plan, session| (0..1000).filter(|d| &**p.version("a", *d, session) == "2").count();
+    let goes = |p: &Plan, session| {
+        (0..1000)
+            .filter(|d| &**p.version("a", *d, session) == "2")
+            .count()
+    };
     let mut p = plan(1);
     assert_eq!((goes(&p, false), goes(&p, true)), (300, 600));
     p.phase = Phase::Back;
@@ -94,23 +101,43 @@
 /// One router that leads alone, as far as its first canary; the time.
 fn leads(planner: &mut Planner) -> Micros {
     let (mut now, mut inputs) = (0, Vec::new());
-    inputs.push(Input::Members { me: 0, alive: vec![true], regions: vec!["a".into()] });
+    inputs.push(Input::Members {
+        me: 0,
+        alive: vec![true],
+        regions: vec!["a".into()],
+    });
     inputs.push(Input::Orders(vec![Order::try_from(asked()).expect("fit")]));
     loop {
         now += 200_000;
         inputs.push(Input::Workers(vec![worker(now)]));
         let goes_by = planner.goes_by("m");
-        inputs.push(Input::Counted { member: 0, model: "m".into(), goes_by, counts: Vec::new() });
+        inputs.push(Input::Counted {
+            member: 0,
+            model: "m".into(),
+            goes_by,
+            counts: Vec::new(),
+        });
         let mut out = Vec::new();
-        inputs.drain(..).for_each(|i| planner.handle(now, i, &mut out));
+        inputs
+            .drain(..)
+            .for_each(|i| planner.handle(now, i, &mut out));
         for output in out {
-            let ballot = Ballot { number: 1, ..Ballot::default() };
+            let ballot = Ballot {
+                number: 1,
+                ..Ballot::default()
+            };
             match output {
                 Output::Lead { key } => {
-                    inputs.push(Input::Decided { key, outcome: Outcome::Leads { ballot, last: None } });
+                    inputs.push(Input::Decided {
+                        key,
+                        outcome: Outcome::Leads { ballot, last: None },
+                    });
                 }
                 Output::Write { key, .. } => {
-                    inputs.push(Input::Decided { key, outcome: Outcome::Written { ballot } });
+                    inputs.push(Input::Decided {
+                        key,
+                        outcome: Outcome::Written { ballot },
+                    });
                 }
                 Output::Want { .. } => return now,
                 _ => {}
@@ -131,20 +158,46 @@
         copy_mb: 10,
     };
     let (name, region) = ("w".into(), "a".into());
-    WorkerSeen { name, region, takes_new: true, seen_at: now, memory_mb: 100, used_mb: 10, holds: vec![held] }
+    WorkerSeen {
+        name,
+        region,
+        takes_new: true,
+        seen_at: now,
+        memory_mb: 100,
+        used_mb: 10,
+        holds: vec![held],
+    }
 }
 
 #[test]
 fn a_leader_past_its_lease_orders_nothing_before_a_step_is_agreed_anew() {
-    let orders =
-        |out: &[Output]| out.iter().any(|o| matches!(o, Output::Want { .. } | Output::Unwant { .. }));
+    let orders = |out: &[Output]| {
+        out.iter()
+            .any(|o| matches!(o, Output::Want { .. } | Output::Unwant { .. }))
+    };
     let mut planner = Planner::new(Terms::default());
     let now = leads(&mut planner) + Terms::default().lease;
     let mut out = Vec::new();
     planner.handle(now, Input::Workers(vec![worker(now)]), &mut out);
-    assert!(!orders(&out) && matches!(out[..], [Output::Write { .. }]), "{out:?}");
-    let (key, ballot) = (key("m"), Ballot { number: 1, ..Ballot::default() });
-    planner.handle(now, Input::Decided { key, outcome: Outcome::Written { ballot } }, &mut out);
+    assert!(
+        !orders(&out) && matches!(out[..], [Output::Write { .. }]),
+        "{out:?}"
+    );
+    let (key, ballot) = (
+        key("m"),
+        Ballot {
+            number: 1,
+            ..Ballot::default()
+        },
+    );
+    planner.handle(
+        now,
+        Input::Decided {
+            key,
+            outcome: Outcome::Written { ballot },
+        },
+        &mut out,
+    );
     assert!(orders(&out), "{out:?}");
 }
 
@@ -169,7 +222,11 @@
     for (t, _) in types.iter().enumerate() {
         for v in ["1", "2"] {
             let (version, trigger) = (v.into(), format!("t{t}").into());
-            counts.push(Count { version, trigger, ..Count::default() });
+            counts.push(Count {
+                version,
+                trigger,
+                ..Count::default()
+            });
         }
     }
     health.hear(0, counts.clone(), "1", "2");
@@ -197,11 +254,15 @@
         (1..30).any(|n| plays(*seed, n * 20, &[(20, 2, 0.05, 0.05)]).says() == Verdict::Errors)
     });
     assert_eq!(stopped.count(), 0);
-    let found = (0..60).filter(|seed| plays(*seed, 200, &[(20, 2, 0.02, 0.2)]).says() == Verdict::Errors);
+    let found =
+        (0..60).filter(|seed| plays(*seed, 200, &[(20, 2, 0.02, 0.2)]).says() == Verdict::Errors);
     assert!(found.count() >= 59);
     // Too few, or too small a difference to matter.
     assert_eq!(plays(1, 5, &[(20, 2, 0.0, 1.0)]).says(), Verdict::Unknown);
-    assert_ne!(plays(1, 20_000, &[(20, 20, 0.01, 0.015)]).says(), Verdict::Errors);
+    assert_ne!(
+        plays(1, 20_000, &[(20, 20, 0.01, 0.015)]).says(),
+        Verdict::Errors
+    );
 }
 
 #[test]
@@ -216,9 +277,19 @@
 #[test]
 fn a_member_that_began_anew_counts_from_nothing() {
     let mut health = Health::default();
-    let count =
-        |v: &str, ended, errored| Count { version: v.into(), trigger: "t".into(), ended, errored, late: 0 };
-    health.hear(0, vec![count("1", 1000, 900), count("2", 1000, 0)], "1", "2");
+    let count = |v: &str, ended, errored| Count {
+        version: v.into(),
+        trigger: "t".into(),
+        ended,
+        errored,
+        late: 0,
+    };
+    health.hear(
+        0,
+        vec![count("1", 1000, 900), count("2", 1000, 0)],
+        "1",
+        "2",
+    );
     health.hear(0, vec![count("1", 50, 0), count("2", 50, 0)], "1", "2");
     assert_eq!((health.says(), health.compared()), (Verdict::Alike, 50));
 }
@@ -228,7 +299,10 @@
     let usual = Terms::default();
     assert_eq!(usual.clone().beside(2_000_000, 60_000_000), usual);
     let seldom = usual.clone().beside(40_000_000, 8_000_000);
-    assert_eq!((seldom.fresh, seldom.quiet, seldom.renew), (60_000_000, 90_000_000, 2_000_000));
+    assert_eq!(
+        (seldom.fresh, seldom.quiet, seldom.renew),
+        (60_000_000, 90_000_000, 2_000_000)
+    );
 }
 
 /// Takes up a plan of somebody else at 0; `heard`: members that go by whatever it goes by.
@@ -245,31 +319,72 @@
         plan.order.drain_limit = 600_000_000;
         plan.regions.truncate(1);
         let old = worker(0).holds.remove(0);
-        let mut it = Resumes { planner: Planner::new(Terms::default()), heard: 2, old };
-        let members = Input::Members { me: 0, alive: vec![true; 2], regions: vec!["a".into(); 2] };
+        let mut it = Resumes {
+            planner: Planner::new(Terms::default()),
+            heard: 2,
+            old,
+        };
+        let members = Input::Members {
+            me: 0,
+            alive: vec![true; 2],
+            regions: vec!["a".into(); 2],
+        };
         it.planner.handle(0, members, &mut Vec::new());
-        let heard = Input::PlanHeard { model: "m".into(), ballot: Ballot::default(), bytes: plan.bytes() };
+        let heard = Input::PlanHeard {
+            model: "m".into(),
+            ballot: Ballot::default(),
+            bytes: plan.bytes(),
+        };
         it.planner.handle(0, heard, &mut Vec::new());
         it.look(0);
-        let (ballot, last) = (Ballot { number: 2, ..Ballot::default() }, Some(plan.bytes()));
+        let (ballot, last) = (
+            Ballot {
+                number: 2,
+                ..Ballot::default()
+            },
+            Some(plan.bytes()),
+        );
         let outcome = Outcome::Leads { ballot, last };
-        it.planner.handle(0, Input::Decided { key: key("m"), outcome }, &mut Vec::new());
+        it.planner.handle(
+            0,
+            Input::Decided {
+                key: key("m"),
+                outcome,
+            },
+            &mut Vec::new(),
+        );
         it.planner.handle(0, it.written(), &mut Vec::new());
         it
     }
 
     fn written(&self) -> Input {
-        let outcome = Outcome::Written { ballot: Ballot { number: 2, ..Ballot::default() } };
-        Input::Decided { key: key("m"), outcome }
+        let outcome = Outcome::Written {
+            ballot: Ballot {
+                number: 2,
+                ..Ballot::default()
+            },
+        };
+        Input::Decided {
+            key: key("m"),
+            outcome,
+        }
     }
 
     /// One look at everything; what was ordered, and the last step written.
     fn look(&mut self, now: Micros) -> (usize, Option<Plan>) {
         let (mut out, goes_by) = (Vec::new(), self.planner.goes_by("m"));
-        let w = WorkerSeen { holds: vec![self.old.clone()], ..worker(now) };
+        let w = WorkerSeen {
+            holds: vec![self.old.clone()],
+            ..worker(now)
+        };
         self.planner.handle(now, Input::Workers(vec![w]), &mut out);
         for member in 0..self.heard {
-            let counted = Input::Counted { member, model: "m".into(), goes_by, counts: Vec::new() };
+            let counted = Input::Counted {
+                member,
+                model: "m".into(),
+                goes_by,
+                counts: Vec::new(),
+            };
             self.planner.handle(now, counted, &mut out);
         }
         let (mut orders, mut step) = (0, None);
@@ -295,7 +410,11 @@
     for now in (0..acts).step_by(200_000) {
         assert_eq!(it.look(now).0, 0, "at {now}");
     }
-    assert!((acts..acts + 3_000_000).step_by(200_000).any(|now| it.look(now).0 > 0));
+    assert!(
+        (acts..acts + 3_000_000)
+            .step_by(200_000)
+            .any(|now| it.look(now).0 > 0)
+    );
 }
 
 #[test]
@@ -325,9 +444,14 @@
     for now in (0..30_000_000).step_by(200_000) {
         assert!(it.look(now).1.is_none_or(|p| !p.settled));
     }
-    assert!(it.planner.wants_binding("m", true), "sessions that begin are bound meanwhile");
+    assert!(
+        it.planner.wants_binding("m", true),
+        "sessions that begin are bound meanwhile"
+    );
     it.heard = 2;
-    (30_000_000..32_000_000).step_by(200_000).for_each(|now| drop(it.look(now)));
+    (30_000_000..32_000_000)
+        .step_by(200_000)
+        .for_each(|now| drop(it.look(now)));
     assert!(!it.planner.wants_binding("m", true) && it.planner.wants_binding("m", false));
 }
 
@@ -336,17 +460,32 @@
     let mut planner = Planner::new(Terms::default());
     let mut handle = |input| planner.handle(0, input, &mut Vec::new());
     let regions = vec![Name::from("a"), Name::from("b")];
-    handle(Input::Members { me: 0, alive: vec![true; 2], regions });
+    handle(Input::Members {
+        me: 0,
+        alive: vec![true; 2],
+        regions,
+    });
     let mut plan = plan(3);
     (plan.regions[0].stage, plan.regions[0].over) = (Stage::Draining, true);
-    handle(Input::PlanHeard { model: "m".into(), ballot: plan.by, bytes: plan.bytes() });
+    handle(Input::PlanHeard {
+        model: "m".into(),
+        ballot: plan.by,
+        bytes: plan.bytes(),
+    });
     let mut later = plan.clone();
     (later.step, later.regions[0].stage) = (4, Stage::Done);
     (later.regions[1].stage, later.regions[1].over) = (Stage::Draining, true);
-    assert!(planner.over("m", "1") && !planner.sessions_over("m", "1"), "region b keeps its copies");
+    assert!(
+        planner.over("m", "1") && !planner.sessions_over("m", "1"),
+        "region b keeps its copies"
+    );
     planner.handle(
         0,
-        Input::PlanHeard { model: "m".into(), ballot: later.by, bytes: later.bytes() },
+        Input::PlanHeard {
+            model: "m".into(),
+            ballot: later.by,
+            bytes: later.bytes(),
+        },
         &mut Vec::new(),
     );
     assert!(planner.sessions_over("m", "1"));
--- a/crates/upgrade/tests/sessions.rs
+++ b/crates/upgrade/tests/sessions.rs
@@ -17,7 +17,12 @@
 const KEPT: i64 = 16_000 * MS;
 
 fn terms() -> Terms {
-    Terms { kept: KEPT, patience: 1_000 * MS, most_known: 8, most_waiting: 64 }
+    Terms {
+        kept: KEPT,
+        patience: 1_000 * MS,
+        most_known: 8,
+        most_waiting: 64,
+    }
 }
 
 struct Routers {
@@ -53,11 +58,23 @@
                 Output::Choose { key, version, kept } => {
                     self.chosen += 1;
                     let value = Bytes::copy_from_slice(version.as_bytes());
-                    self.world.feed(r, Shared::Choose { key: key.clone(), value, kept: *kept });
+                    self.world.feed(
+                        r,
+                        Shared::Choose {
+                            key: key.clone(),
+                            value,
+                            kept: *kept,
+                        },
+                    );
                 }
-                Output::Goes { ticket, version, .. } => {
+                Output::Goes {
+                    ticket, version, ..
+                } => {
                     let version = version.clone().expect("a version");
-                    self.went.entry(self.of[ticket].clone()).or_default().push((self.world.now, version));
+                    self.went
+                        .entry(self.of[ticket].clone())
+                        .or_default()
+                        .push((self.world.now, version));
                 }
                 Output::Refused { ticket, why } => self.refused.push((*ticket, *why)),
                 Output::Place { .. } => {}
@@ -73,10 +90,18 @@
             for (key, said) in std::mem::take(&mut self.world.decided[r]) {
                 for outcome in said {
                     let version = match outcome {
-                        Outcome::Chosen(v) => Some(Name::from(std::str::from_utf8(&v).expect("a text"))),
+                        Outcome::Chosen(v) => {
+                            Some(Name::from(std::str::from_utf8(&v).expect("a text")))
+                        }
                         _ => None,
                     };
-                    self.feed(r, Input::Decided { key: key.clone(), version });
+                    self.feed(
+                        r,
+                        Input::Decided {
+                            key: key.clone(),
+                            version,
+                        },
+                    );
                 }
             }
         }
@@ -87,7 +112,16 @@
         let (ticket, session) = (self.tickets, Name::from(session));
         self.of.insert(ticket, session.clone());
         let proposes = Some(Name::from(proposes));
-        self.feed(r, Input::Arrives { ticket, model: "m".into(), session, proposes, placed: None })
+        self.feed(
+            r,
+            Input::Arrives {
+                ticket,
+                model: "m".into(),
+                session,
+                proposes,
+                placed: None,
+            },
+        )
     }
 
     fn pass(&mut self, time: i64) {
@@ -158,7 +192,15 @@
                     _ => it.world.net.remove(one(n)),
                 };
                 let transit = it.world.now - sent;
-                it.world.feed(to as usize, Shared::Heard { from, nonce, transit, message });
+                it.world.feed(
+                    to as usize,
+                    Shared::Heard {
+                        from,
+                        nonce,
+                        transit,
+                        message,
+                    },
+                );
             }
             Op::Loses(n) if it.world.net.len() > one(n) => {
                 it.world.net.remove(one(n));
@@ -200,7 +242,12 @@
 /// The property is seen to fail where whoever decides next does not keep what was decided.
 #[test]
 fn without_the_guard_two_versions_are_found() {
-    let mut ops = vec![Op::Arrives(0, 0, false), Op::Settles, Op::Arrives(1, 0, true), Op::Settles];
+    let mut ops = vec![
+        Op::Arrives(0, 0, false),
+        Op::Settles,
+        Op::Arrives(1, 0, true),
+        Op::Settles,
+    ];
     assert_eq!(play(&ops, None), Ok(()));
     assert!(play(&ops, Some(Guard::Adopted)).is_err());
     // Nor does a router that forgot help itself.
@@ -221,7 +268,10 @@
     for n in 0..48 {
         it.pass(1_000 * MS);
         let out = it.arrives(0, "s", "2");
-        assert!(out.iter().any(|o| matches!(o, Output::Goes { .. })), "{n}: {out:?}");
+        assert!(
+            out.iter().any(|o| matches!(o, Output::Goes { .. })),
+            "{n}: {out:?}"
+        );
     }
     assert!((2..10).contains(&it.chosen), "{}", it.chosen);
     it.arrives(2, "s", "2");
@@ -249,22 +299,42 @@
 
 #[test]
 fn who_waits_is_bounded_in_number_and_time() {
-    let mut s = Sessions::new(Terms { most_waiting: 2, ..terms() });
+    let mut s = Sessions::new(Terms {
+        most_waiting: 2,
+        ..terms()
+    });
     let arrives = |s: &mut Sessions, ticket| {
         let mut out = Vec::new();
         let session = Name::from(format!("s{ticket}"));
-        let input =
-            Input::Arrives { ticket, model: "m".into(), session, proposes: Some("1".into()), placed: None };
+        let input = Input::Arrives {
+            ticket,
+            model: "m".into(),
+            session,
+            proposes: Some("1".into()),
+            placed: None,
+        };
         s.handle(0, input, &mut out);
         out
     };
     assert!((0..2).all(|t| matches!(arrives(&mut s, t)[..], [Output::Choose { .. }])));
-    assert_eq!(arrives(&mut s, 2), [Output::Refused { ticket: 2, why: Refused::Full }]);
+    assert_eq!(
+        arrives(&mut s, 2),
+        [Output::Refused {
+            ticket: 2,
+            why: Refused::Full
+        }]
+    );
     let mut out = Vec::new();
     s.handle(1, Input::Leaves { ticket: 0 }, &mut out);
     assert_eq!((s.waiting(), s.next_due()), (1, terms().patience));
     s.handle(s.next_due(), Input::Tick, &mut out);
-    assert_eq!(out, [Output::Refused { ticket: 1, why: Refused::NoMajority }]);
+    assert_eq!(
+        out,
+        [Output::Refused {
+            ticket: 1,
+            why: Refused::NoMajority
+        }]
+    );
     assert_eq!(s.next_due(), i64::MAX);
 }
 
@@ -275,7 +345,13 @@
         it.arrives(0, &format!("s{n}"), "1");
         it.pass(MS);
     }
-    assert_eq!((it.sessions[0].known().count(), it.sessions[0].counts.sessions_forgotten), (8, 12));
+    assert_eq!(
+        (
+            it.sessions[0].known().count(),
+            it.sessions[0].counts.sessions_forgotten
+        ),
+        (8, 12)
+    );
     assert!(it.went.len() == 20 && it.refused.is_empty());
 }
 
@@ -284,7 +360,17 @@
     let prefers = |s: &mut Sessions, placed| {
         let mut out = Vec::new();
         let (model, session) = ("m".into(), "s".into());
-        s.handle(9, Input::Arrives { ticket: 1, model, session, proposes: None, placed }, &mut out);
+        s.handle(
+            9,
+            Input::Arrives {
+                ticket: 1,
+                model,
+                session,
+                proposes: None,
+                placed,
+            },
+            &mut out,
+        );
         match out.as_slice() {
             [Output::Goes { prefers, .. }] => prefers.clone(),
             other => panic!("{other:?}"),
@@ -293,20 +379,53 @@
     let answered = |s: &mut Sessions, worker: &str, ends| {
         let mut out = Vec::new();
         let (model, session) = ("m".into(), "s".into());
-        s.handle(9, Input::Answered { model, session, worker: worker.into(), ends }, &mut out);
+        s.handle(
+            9,
+            Input::Answered {
+                model,
+                session,
+                worker: worker.into(),
+                ends,
+            },
+            &mut out,
+        );
         out.len()
     };
     let mut s = Sessions::new(terms());
     assert_eq!(prefers(&mut s, None), None);
     // Others hear of it only when it changes.
-    assert_eq!((answered(&mut s, "a", false), answered(&mut s, "a", false)), (1, 0));
+    assert_eq!(
+        (answered(&mut s, "a", false), answered(&mut s, "a", false)),
+        (1, 0)
+    );
     assert_eq!(prefers(&mut s, None), Some("a".into()));
-    let later = |number, worker: &str| Some(Placed { number, worker: worker.into() });
+    let later = |number, worker: &str| {
+        Some(Placed {
+            number,
+            worker: worker.into(),
+        })
+    };
     assert_eq!(prefers(&mut s, later(1, "b")), Some("a".into()));
     assert_eq!(prefers(&mut s, later(7, "b")), Some("b".into()));
-    s.handle(9, Input::Lost { model: "m".into(), session: "s".into(), worker: "a".into() }, &mut Vec::new());
+    s.handle(
+        9,
+        Input::Lost {
+            model: "m".into(),
+            session: "s".into(),
+            worker: "a".into(),
+        },
+        &mut Vec::new(),
+    );
     assert_eq!(prefers(&mut s, None), Some("b".into()));
-    s.handle(9, Input::Lost { model: "m".into(), session: "s".into(), worker: "b".into() }, &mut Vec::new());
+    s.handle(
+        9,
+        Input::Lost {
+            model: "m".into(),
+            session: "s".into(),
+            worker: "b".into(),
+        },
+        &mut Vec::new(),
+    );
     assert_eq!(prefers(&mut s, later(7, "b")), None);
     answered(&mut s, "c", false);
     s.handle(9, Input::Gone { worker: "c".into() }, &mut Vec::new());
--- a/crates/upgrade/tests/simulated.rs
+++ b/crates/upgrade/tests/simulated.rs
@@ -18,15 +18,29 @@
         w.orders(10 * S, vec![order(1, "", "2")]);
         let over = w.run(600 * S, settled);
         assert!(w.wrong.is_empty(), "{:#?}", w.wrong);
-        assert!(over && w.phase() == Some(Phase::Done), "{:#?} {:#?}", w.log, w.shown());
+        assert!(
+            over && w.phase() == Some(Phase::Done),
+            "{:#?} {:#?}",
+            w.log,
+            w.shown()
+        );
         w.run(w.now + 20 * S, |_| false);
         assert_eq!(w.holds(&old()), 0);
         assert!(w.sums.failed == 0 && w.wrong.is_empty());
         // Where only sessions are in the way, they are waited for until the limit.
-        let second = |l: &String| l.split(' ').next().and_then(|s| s.parse::<i64>().ok()).unwrap_or(0);
+        let second = |l: &String| {
+            l.split(' ')
+                .next()
+                .and_then(|s| s.parse::<i64>().ok())
+                .unwrap_or(0)
+        };
         let mut since = 0;
         for l in &w.log {
-            since = if l.contains("is next") || l.contains("begins with") { second(l) } else { since };
+            since = if l.contains("is next") || l.contains("begins with") {
+                second(l)
+            } else {
+                since
+            };
             let short = l.contains("the limit is past") && second(l) - since < 39;
             assert!(!short, "{:#?}", w.log);
         }
@@ -35,7 +49,10 @@
 
 /// More plays, or others, for a person who looks for faults.
 fn told(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(usual)
+    std::env::var(name)
+        .ok()
+        .and_then(|v| v.parse().ok())
+        .unwrap_or(usual)
 }
 
 fn fault() -> impl Strategy<Value = Fault> {
@@ -103,7 +120,13 @@
 
 fn ends(mut w: World, phase: Phase) -> World {
     let over = w.run(w.now + 600 * S, settled);
-    assert!(over && w.wrong.is_empty(), "{:#?} {:#?} {:#?}", w.wrong, w.log, w.shown());
+    assert!(
+        over && w.wrong.is_empty(),
+        "{:#?} {:#?} {:#?}",
+        w.wrong,
+        w.log,
+        w.shown()
+    );
     assert_eq!(w.phase(), Some(phase), "{:#?}", w.log);
     w.run(w.now + 30 * S, |_| false);
     assert!(w.wrong.is_empty(), "{:#?}", w.wrong);
@@ -125,7 +148,14 @@
     for (phase, stage) in STEPS {
         for (seed, stops) in [(5, false), (6, true)] {
             let mut w = at(seed, 2, phase, stage);
-            w.fault(w.now, if stops { Fault::Stop(0, 30 * S) } else { Fault::Crash(0, 30 * S) });
+            w.fault(
+                w.now,
+                if stops {
+                    Fault::Stop(0, 30 * S)
+                } else {
+                    Fault::Crash(0, 30 * S)
+                },
+            );
             let w = ends(w, Phase::Done);
             assert!(w.log.iter().any(|l| l.contains(" 1: ")), "{:#?}", w.log);
         }
@@ -137,11 +167,19 @@
     for (phase, stage) in STEPS {
         let mut w = at(7, 2, phase, stage);
         w.fault(w.now, Fault::Cut(40 * S));
-        let region = |w: &World| w.shown().and_then(|s| s.regions.into_iter().find(|r| &*r.region == "b"));
+        let region = |w: &World| {
+            w.shown()
+                .and_then(|s| s.regions.into_iter().find(|r| &*r.region == "b"))
+        };
         w.run(w.now + 5 * S, |_| false);
         let frozen = region(&w).map(|r| (r.stage, r.part));
         w.run(w.now + 33 * S, |_| false);
-        assert_eq!(region(&w).map(|r| (r.stage, r.part)), frozen, "{:#?}", w.log);
+        assert_eq!(
+            region(&w).map(|r| (r.stage, r.part)),
+            frozen,
+            "{:#?}",
+            w.log
+        );
         ends(w, Phase::Done);
     }
 }
@@ -155,8 +193,14 @@
             // Beyond the last region there is nothing to compare with.
             let over = w.run(w.now + 600 * S, settled);
             assert!(over && w.wrong.is_empty(), "{:#?} {:#?}", w.wrong, w.log);
-            let back = w.shown().is_some_and(|s| s.phase == Phase::RolledBack && s.reason.contains("errs"));
-            assert!(back || w.phase() == Some(Phase::Done) && *phase == Phase::Rolling, "{:#?}", w.log);
+            let back = w
+                .shown()
+                .is_some_and(|s| s.phase == Phase::RolledBack && s.reason.contains("errs"));
+            assert!(
+                back || w.phase() == Some(Phase::Done) && *phase == Phase::Rolling,
+                "{:#?}",
+                w.log
+            );
         }
     }
 }
@@ -166,7 +210,11 @@
     let mut w = at(10, 3, Phase::Canary, None);
     w.rate = 20;
     w.fault(w.now, Fault::Slow(600 * S));
-    assert!(w.run(200 * S, |w| w.phase() == Some(Phase::Paused)), "{:#?}", w.log);
+    assert!(
+        w.run(200 * S, |w| w.phase() == Some(Phase::Paused)),
+        "{:#?}",
+        w.log
+    );
     ends(w, Phase::RolledBack);
     let mut w = at(10, 3, Phase::Canary, None);
     w.rate = 20;
@@ -180,11 +228,18 @@
 #[test]
 fn orders_are_queued_taken_back_and_not_begun_twice() {
     // Withdrawn, before and after it began.
-    let withdrawn = Order { withdrawn: true, ..order(1, "", "2") };
+    let withdrawn = Order {
+        withdrawn: true,
+        ..order(1, "", "2")
+    };
     let mut w = at(11, 2, Phase::Waiting, None);
     w.orders(w.now, vec![withdrawn.clone()]);
     w.run(w.now + 60 * S, settled);
-    assert!(matches!(w.phase(), Some(Phase::Ended | Phase::RolledBack)), "{:#?}", w.log);
+    assert!(
+        matches!(w.phase(), Some(Phase::Ended | Phase::RolledBack)),
+        "{:#?}",
+        w.log
+    );
     let mut w = at(12, 2, Phase::Rolling, Some(Stage::Draining));
     w.orders(w.now, vec![withdrawn]);
     ends(w, Phase::RolledBack);
@@ -200,8 +255,16 @@
     w.orders(w.now, vec![order(1, "", "2"), order(2, "2", "3")]);
     w.run(w.now + 10 * S, |_| false);
     assert_eq!(w.shown().map(|s| s.queued), Some(vec![2]));
-    let next = |w: &World| w.shown().is_some_and(|s| &*s.to == "3" && s.phase == Phase::Done);
-    assert!(w.run(900 * S, next) && w.wrong.is_empty(), "{:#?} {:#?}", w.wrong, w.log);
+    let next = |w: &World| {
+        w.shown()
+            .is_some_and(|s| &*s.to == "3" && s.phase == Phase::Done)
+    };
+    assert!(
+        w.run(900 * S, next) && w.wrong.is_empty(),
+        "{:#?} {:#?}",
+        w.wrong,
+        w.log
+    );
 }
 
 #[test]
@@ -227,7 +290,10 @@
 /// What `benches/three_ways.rs` compares the planner's way by: no faults, more workers and more invocations.
 #[test]
 fn the_planner_breaks_nothing_without_faults() {
-    for (room, seed) in [3, 1].into_iter().flat_map(|room| (1..=10).map(move |seed| (room, seed))) {
+    for (room, seed) in [3, 1]
+        .into_iter()
+        .flat_map(|room| (1..=10).map(move |seed| (room, seed)))
+    {
         for ordered in [true, false] {
             let mut w = World::new(seed, Policy::Planner, 6, room);
             w.rate = 16;
--- a/crates/upgrade/tests/world/mod.rs
+++ b/crates/upgrade/tests/world/mod.rs
@@ -297,7 +297,10 @@
             });
         }
         for n in 0..workers * 2 {
-            let copy = Copy { used: 0, ..Copy::default() };
+            let copy = Copy {
+                used: 0,
+                ..Copy::default()
+            };
             w.workers.push(Worker {
                 name: Name::from(format!("w{n}")),
                 region: region(n),
@@ -322,9 +325,16 @@
 
     pub fn fault(&mut self, at: Micros, fault: Fault) {
         // Where orders are lost, renewals are, too, and copies go for idleness.
-        let calm =
-            [Fault::LoadsFail(0, 0), Fault::SlowStore(0), Fault::Errs(0), Fault::Slow(0), Fault::Deaf(0, 0)];
-        self.calm &= calm.iter().any(|f| std::mem::discriminant(f) == std::mem::discriminant(&fault));
+        let calm = [
+            Fault::LoadsFail(0, 0),
+            Fault::SlowStore(0),
+            Fault::Errs(0),
+            Fault::Slow(0),
+            Fault::Deaf(0, 0),
+        ];
+        self.calm &= calm
+            .iter()
+            .any(|f| std::mem::discriminant(f) == std::mem::discriminant(&fault));
         self.at(at, Ev::Script(fault));
     }
 
@@ -350,7 +360,11 @@
     }
 
     fn has_majority(&self, m: usize) -> bool {
-        (0..self.members.len()).filter(|o| self.joined(m, *o)).count() * 2 > self.members.len()
+        (0..self.members.len())
+            .filter(|o| self.joined(m, *o))
+            .count()
+            * 2
+            > self.members.len()
     }
 
     fn reaches(&self, m: usize, w: usize) -> bool {
@@ -364,7 +378,10 @@
     }
 
     fn tell(&mut self, m: usize, input: Input) {
-        let (nonce, when) = (self.members[m].nonce, self.now + 20 * MS + self.draw(300) as Micros * MS);
+        let (nonce, when) = (
+            self.members[m].nonce,
+            self.now + 20 * MS + self.draw(300) as Micros * MS,
+        );
         self.at(when, Ev::In { m, nonce, input });
     }
 
@@ -395,20 +412,39 @@
             let later = self.now + 20 * MS + self.draw(400) as Micros * MS;
             match ev {
                 Ev::Lead { m, nonce, key } => {
-                    let outcome = match self.has_majority(m) && self.runs(m) && self.members[m].nonce == nonce
+                    let outcome = match self.has_majority(m)
+                        && self.runs(m)
+                        && self.members[m].nonce == nonce
                     {
                         true => {
                             let number = self.register.0.number + 1;
-                            let ballot = Ballot { number, member: m as u16, nonce };
+                            let ballot = Ballot {
+                                number,
+                                member: m as u16,
+                                nonce,
+                            };
                             self.register.0 = ballot;
                             let last = self.register.1.as_ref().map(|(_, v)| v.clone().into());
                             Outcome::Leads { ballot, last }
                         }
                         false => Outcome::NoMajority,
                     };
-                    self.at(later, Ev::In { m, nonce, input: Input::Decided { key, outcome } });
+                    self.at(
+                        later,
+                        Ev::In {
+                            m,
+                            nonce,
+                            input: Input::Decided { key, outcome },
+                        },
+                    );
                 }
-                Ev::Write { m, nonce, key, ballot, value } => {
+                Ev::Write {
+                    m,
+                    nonce,
+                    key,
+                    ballot,
+                    value,
+                } => {
                     let outcome = match self.has_majority(m) && self.runs(m) {
                         true if ballot >= self.register.0 => {
                             self.register = (ballot, Some((ballot, value)));
@@ -420,8 +456,18 @@
                     // Now and then the answer is lost, and not what was written.
                     let lost = self.draw(50) == 0;
                     let outcome = if lost { Outcome::NoMajority } else { outcome };
-                    self.at(later, Ev::In { m, nonce, input: Input::Decided { key, outcome } });
-                    for o in (0..self.members.len()).filter(|o| self.joined(m, *o)).collect::<Vec<_>>() {
+                    self.at(
+                        later,
+                        Ev::In {
+                            m,
+                            nonce,
+                            input: Input::Decided { key, outcome },
+                        },
+                    );
+                    for o in (0..self.members.len())
+                        .filter(|o| self.joined(m, *o))
+                        .collect::<Vec<_>>()
+                    {
                         self.hear(o);
                     }
                 }
@@ -438,13 +484,23 @@
                         self.handle(m, input);
                     }
                 }
-                Ev::Order { m, worker, function, load, term, seen, strict, over } => {
+                Ev::Order {
+                    m,
+                    worker,
+                    function,
+                    load,
+                    term,
+                    seen,
+                    strict,
+                    over,
+                } => {
                     self.ordered(m, &worker, &function, load, &term, seen, strict, over);
                 }
                 Ev::Script(fault) => self.befall(fault),
                 Ev::Orders(orders) => {
                     self.file = orders.clone();
-                    (0..self.members.len()).for_each(|m| self.tell(m, Input::Orders(orders.clone())));
+                    (0..self.members.len())
+                        .for_each(|m| self.tell(m, Input::Orders(orders.clone())));
                 }
             }
         }
@@ -453,7 +509,14 @@
     fn hear(&mut self, m: usize) {
         let hears = self.members[m].deaf <= self.now;
         if let Some((ballot, bytes)) = self.register.1.clone().filter(|_| hears) {
-            self.tell(m, Input::PlanHeard { model: MODEL.into(), ballot, bytes: bytes.into() });
+            self.tell(
+                m,
+                Input::PlanHeard {
+                    model: MODEL.into(),
+                    ballot,
+                    bytes: bytes.into(),
+                },
+            );
         }
     }
 
@@ -517,7 +580,14 @@
             if alive != self.members[m].told {
                 self.members[m].told = alive.clone();
                 let regions = self.members.iter().map(|m| m.region.clone()).collect();
-                self.handle(m, Input::Members { me: m as u16, alive, regions });
+                self.handle(
+                    m,
+                    Input::Members {
+                        me: m as u16,
+                        alive,
+                        regions,
+                    },
+                );
             }
         }
     }
@@ -536,8 +606,11 @@
                 }
                 let holds = it.copies.iter().map(|(f, c)| {
                     let ready = c.stands(self.now);
-                    let sessions =
-                        c.prefixes.values().filter(|p| self.now - p.1 < SESSION_IDLE).count() as u32;
+                    let sessions = c
+                        .prefixes
+                        .values()
+                        .filter(|p| self.now - p.1 < SESSION_IDLE)
+                        .count() as u32;
                     Held {
                         function: f.clone(),
                         copies: u32::from(ready),
@@ -562,9 +635,20 @@
             self.tell(m, Input::Workers(seen));
             let goes_by = self.members[m].planner.goes_by(MODEL);
             let counts: Vec<Count> = self.members[m].counts.values().cloned().collect();
-            for o in (0..self.members.len()).filter(|o| self.joined(m, *o)).collect::<Vec<_>>() {
+            for o in (0..self.members.len())
+                .filter(|o| self.joined(m, *o))
+                .collect::<Vec<_>>()
+            {
                 let (member, model, counts) = (m as u16, MODEL.into(), counts.clone());
-                self.tell(o, Input::Counted { member, model, goes_by, counts });
+                self.tell(
+                    o,
+                    Input::Counted {
+                        member,
+                        model,
+                        goes_by,
+                        counts,
+                    },
+                );
             }
             // Records are gossiped: who missed a write hears of it.
             if self.has_majority(m) {
@@ -583,10 +667,28 @@
                 Output::Lead { key } => self.at(soon, Ev::Lead { m, nonce, key }),
                 Output::Write { key, ballot, value } => {
                     self.acts(m, &ballot.term());
-                    self.at(soon, Ev::Write { m, nonce, key, ballot, value: value.to_vec() });
+                    self.at(
+                        soon,
+                        Ev::Write {
+                            m,
+                            nonce,
+                            key,
+                            ballot,
+                            value: value.to_vec(),
+                        },
+                    );
                 }
-                Output::Want { worker, function, term, .. } => self.send(m, worker, function, true, term),
-                Output::Unwant { worker, function, term } => self.send(m, worker, function, false, term),
+                Output::Want {
+                    worker,
+                    function,
+                    term,
+                    ..
+                } => self.send(m, worker, function, true, term),
+                Output::Unwant {
+                    worker,
+                    function,
+                    term,
+                } => self.send(m, worker, function, false, term),
                 Output::Log(text) => self.log.push(format!("{} s: {m}: {text}", self.now / S)),
             }
         }
@@ -601,27 +703,58 @@
 
     fn send(&mut self, m: usize, worker: Name, function: Name, load: bool, term: Name) {
         self.acts(m, &term);
-        let mut parts = term.split('.').map(|p| u64::from_str_radix(p, 16).unwrap_or(0));
-        let number: u32 = term.split('.').next().and_then(|n| n.parse().ok()).unwrap_or(0);
-        let ballot = Ballot { number, member: m as u16, nonce: parts.nth(2).unwrap_or(0) };
+        let mut parts = term
+            .split('.')
+            .map(|p| u64::from_str_radix(p, 16).unwrap_or(0));
+        let number: u32 = term
+            .split('.')
+            .next()
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(0);
+        let ballot = Ballot {
+            number,
+            member: m as u16,
+            nonce: parts.nth(2).unwrap_or(0),
+        };
         // Orders to go of two leaders must not cross: neither knows what the other has let go.
         if !load && ballot < self.highest {
-            self.wrong.push(format!("{} s: {m} lets go in term {term} after a later one did", self.now / S));
+            self.wrong.push(format!(
+                "{} s: {m} lets go in term {term} after a later one did",
+                self.now / S
+            ));
         }
         if !load {
             self.highest = self.highest.max(ballot);
         }
-        let Some(w) = self.worker(&worker) else { return };
+        let Some(w) = self.worker(&worker) else {
+            return;
+        };
         if !self.reaches(m, w) || self.lost_orders > self.now && self.draw(2) == 0 {
             return;
         }
         let shown = self.members[m].planner.shown();
-        let region =
-            shown.first().and_then(|s| s.regions.iter().find(|r| r.region == self.workers[w].region));
-        let (strict, over) = region.map_or((false, false), |r| (r.stage == Stage::Draining, r.over));
+        let region = shown.first().and_then(|s| {
+            s.regions
+                .iter()
+                .find(|r| r.region == self.workers[w].region)
+        });
+        let (strict, over) =
+            region.map_or((false, false), |r| (r.stage == Stage::Draining, r.over));
         let when = self.now + 20 * MS + self.draw(900) as Micros * MS;
         let seen = self.now - 1500 * MS;
-        self.at(when, Ev::Order { m, worker, function, load, term, seen, strict, over });
+        self.at(
+            when,
+            Ev::Order {
+                m,
+                worker,
+                function,
+                load,
+                term,
+                seen,
+                strict,
+                over,
+            },
+        );
     }
 
     #[allow(clippy::too_many_arguments)] // The parts of one order.
@@ -636,7 +769,12 @@
         strict: bool,
         over: bool,
     ) {
-        let Some(w) = self.worker(worker).filter(|w| self.workers[*w].dead_until <= self.now) else { return };
+        let Some(w) = self
+            .worker(worker)
+            .filter(|w| self.workers[*w].dead_until <= self.now)
+        else {
+            return;
+        };
         if load {
             let declined = self.draw(10) == 0;
             if let Some(c) = self.workers[w].copies.get_mut(f) {
@@ -646,28 +784,34 @@
             }
             return;
         }
-        let Some(c) = self.workers[w].copies.get(f).filter(|c| c.busy.is_empty() && c.ready_at <= self.now)
+        let Some(c) = self.workers[w]
+            .copies
+            .get(f)
+            .filter(|c| c.busy.is_empty() && c.ready_at <= self.now)
         else {
             return;
         };
-        let lost: Vec<u64> = c
-            .prefixes
-            .iter()
-            .filter(|(id, p)| {
-                (strict || p.0 < seen)
-                    && self
-                        .sessions
-                        .get(id)
-                        .is_some_and(|s| s.worker == Some(w) && self.now - s.last < SESSION_IDLE)
-            })
-            .map(|(id, _)| *id)
-            .collect();
+        let lost: Vec<u64> =
+            c.prefixes
+                .iter()
+                .filter(|(id, p)| {
+                    (strict || p.0 < seen)
+                        && self.sessions.get(id).is_some_and(|s| {
+                            s.worker == Some(w) && self.now - s.last < SESSION_IDLE
+                        })
+                })
+                .map(|(id, _)| *id)
+                .collect();
         if !lost.is_empty() && !over {
-            self.wrong
-                .push(format!("{} s: {f} goes from {worker} by {term} with sessions {lost:?}", self.now / S));
+            self.wrong.push(format!(
+                "{} s: {f} goes from {worker} by {term} with sessions {lost:?}",
+                self.now / S
+            ));
         }
         let region = self.workers[w].region.clone();
-        let before: Vec<_> = (0..self.members.len()).map(|r| self.usable(r, &region)).collect();
+        let before: Vec<_> = (0..self.members.len())
+            .map(|r| self.usable(r, &region))
+            .collect();
         self.workers[w].copies.remove(f);
         for (r, was) in before.into_iter().enumerate() {
             if let (Some((was, need)), Some((is, _))) = (was, self.usable(r, &region))
@@ -686,13 +830,20 @@
     fn usable(&self, m: usize, region: &Name) -> Option<(u32, u32)> {
         let it = &self.members[m];
         // One that is away for as long as is counted as gone has no word in it.
-        let away = it.alone.max(if it.region.as_ref() == "b" { self.cut_until } else { 0 }) > self.now;
+        let away = it.alone.max(if it.region.as_ref() == "b" {
+            self.cut_until
+        } else {
+            0
+        }) > self.now;
         if it.region != *region || !self.runs(m) || away || !it.heard {
             return None;
         }
         let shown = it.planner.shown();
         let plan = shown.first()?;
-        if !matches!(plan.phase, Phase::Canary | Phase::Rolling | Phase::Paused | Phase::Back) {
+        if !matches!(
+            plan.phase,
+            Phase::Canary | Phase::Rolling | Phase::Paused | Phase::Back
+        ) {
             return None;
         }
         let r = plan.regions.iter().find(|r| r.region == *region)?;
@@ -722,8 +873,10 @@
             if let Some((lanes, need)) = self.usable(m, &region)
                 && lanes < need
             {
-                self.wrong
-                    .push(format!("{} s: {region}: {lanes} lanes of {need} at router {m}", self.now / S));
+                self.wrong.push(format!(
+                    "{} s: {region}: {lanes} lanes of {need} at router {m}",
+                    self.now / S
+                ));
             }
         }
     }
@@ -735,12 +888,22 @@
 
     fn load(&mut self, w: usize, f: &Name, by: usize) {
         self.sums.loads += 1;
-        let others =
-            self.workers.iter().flat_map(|w| w.copies.values()).filter(|c| c.ready_at > self.now).count();
+        let others = self
+            .workers
+            .iter()
+            .flat_map(|w| w.copies.values())
+            .filter(|c| c.ready_at > self.now)
+            .count();
         let slow = if self.slow_store > self.now { 4 } else { 1 };
         let took = (LOAD + self.draw(1000) as Micros * MS) * slow * (4 + others as Micros) / 4;
         let fails = self.workers[w].bad_until > self.now;
-        let copy = Copy { ready_at: self.now + took, fails, by, used: self.now + took, ..Copy::default() };
+        let copy = Copy {
+            ready_at: self.now + took,
+            fails,
+            by,
+            used: self.now + took,
+            ..Copy::default()
+        };
         self.workers[w].copies.insert(f.clone(), copy);
     }
 
@@ -754,11 +917,19 @@
                 }
                 c.busy.retain(|until| *until > now);
                 c.prefixes.retain(|_, p| now - p.1 < SESSION_IDLE);
-                !(just && c.fails) && (c.ready_at > now || now - c.used < IDLE_KEPT || !c.busy.is_empty())
+                !(just && c.fails)
+                    && (c.ready_at > now || now - c.used < IDLE_KEPT || !c.busy.is_empty())
             });
         }
         for (m, worker, function, ok) in ended {
-            self.tell(m, Input::LoadEnded { worker, function, ok });
+            self.tell(
+                m,
+                Input::LoadEnded {
+                    worker,
+                    function,
+                    ok,
+                },
+            );
         }
     }
 
@@ -785,11 +956,17 @@
                 }
             }
         }
-        let due: Vec<u64> =
-            self.sessions.iter().filter(|(_, s)| s.next <= self.now).map(|(id, _)| *id).collect();
+        let due: Vec<u64> = self
+            .sessions
+            .iter()
+            .filter(|(_, s)| s.next <= self.now)
+            .map(|(id, _)| *id)
+            .collect();
         for id in due {
             let again = self.now + 500 * MS + self.draw(1500) as Micros * MS;
-            let Some(s) = self.sessions.get_mut(&id) else { continue };
+            let Some(s) = self.sessions.get_mut(&id) else {
+                continue;
+            };
             (s.next, s.left) = (again, s.left.saturating_sub(1));
             let region = s.region.clone();
             if s.left == 0 {
@@ -807,7 +984,9 @@
 
     fn call(&mut self, region: Name, session: Option<u64>) {
         let near: Vec<usize> = (0..self.members.len())
-            .filter(|m| self.runs(*m) && self.members[*m].heard && self.members[*m].region == region)
+            .filter(|m| {
+                self.runs(*m) && self.members[*m].heard && self.members[*m].region == region
+            })
             .collect();
         if near.is_empty() {
             return;
@@ -830,7 +1009,9 @@
                 version
             }
             Some(_) if known.is_some() => known.unwrap_or_default(),
-            _ => p.goes_to(MODEL, &region, draw, session.is_some()).map_or(Name::from(""), |w| w.version),
+            _ => p
+                .goes_to(MODEL, &region, draw, session.is_some())
+                .map_or(Name::from(""), |w| w.version),
         };
         if let Some(id) = session {
             if self.policy == Policy::Planner && self.members[m].planner.over(MODEL, &version) {
@@ -838,14 +1019,18 @@
                 self.sessions.remove(&id);
                 return;
             }
-            let Some(s) = self.sessions.get_mut(&id) else { return };
+            let Some(s) = self.sessions.get_mut(&id) else {
+                return;
+            };
             s.began = true;
             s.last = self.now;
             if s.version.as_ref().is_some_and(|v| *v != version) {
                 self.sums.two_versions += 1;
                 if self.policy == Policy::Planner {
-                    self.wrong
-                        .push(format!("{} s: session {id} meets version '{version}', too", self.now / S));
+                    self.wrong.push(format!(
+                        "{} s: session {id} meets version '{version}', too",
+                        self.now / S
+                    ));
                 }
             }
             s.version = Some(version.clone());
@@ -868,8 +1053,9 @@
                 continue;
             }
             let m = inv.member;
-            let here =
-                |w: &usize| self.workers[*w].region == inv.region && self.workers[*w].dead_until <= self.now;
+            let here = |w: &usize| {
+                self.workers[*w].region == inv.region && self.workers[*w].dead_until <= self.now
+            };
             let near: Vec<usize> = (0..self.workers.len()).filter(here).collect();
             let free: Vec<usize> = near
                 .iter()
@@ -879,11 +1065,17 @@
                     copy.is_some_and(|c| c.stands(self.now) && c.busy.len() < LANES as usize)
                 })
                 .collect();
-            let prefers =
-                inv.session.and_then(|id| self.sessions.get(&id)?.worker).filter(|w| free.contains(w));
-            let Some(w) = prefers.or_else(|| free.get(self.draw(free.len().max(1) as u64) as usize).copied())
-            else {
-                let loads = near.iter().any(|w| self.workers[*w].copies.contains_key(&inv.function));
+            let prefers = inv
+                .session
+                .and_then(|id| self.sessions.get(&id)?.worker)
+                .filter(|w| free.contains(w));
+            let Some(w) = prefers.or_else(|| {
+                free.get(self.draw(free.len().max(1) as u64) as usize)
+                    .copied()
+            }) else {
+                let loads = near
+                    .iter()
+                    .any(|w| self.workers[*w].copies.contains_key(&inv.function));
                 // A miss: a load where there is room, and nobody else's.
                 if !loads && let Some(w) = near.iter().copied().find(|w| self.fits(*w)) {
                     self.load(w, &inv.function.clone(), m);
@@ -896,9 +1088,17 @@
             let slow = self.slow > now && inv.function == new();
             let kept = inv.session.is_some_and(|id| {
                 let before = self.sessions.get(&id).and_then(|s| s.worker);
-                before.is_some_and(|b| self.workers[b].copies.values().any(|c| c.prefixes.contains_key(&id)))
+                before.is_some_and(|b| {
+                    self.workers[b]
+                        .copies
+                        .values()
+                        .any(|c| c.prefixes.contains_key(&id))
+                })
             });
-            let copy = self.workers[w].copies.get_mut(&inv.function).expect("stands");
+            let copy = self.workers[w]
+                .copies
+                .get_mut(&inv.function)
+                .expect("stands");
             let mut took = SERVICE + if slow { OBJECTIVE } else { 0 };
             if let Some(id) = inv.session {
                 let had = copy.prefixes.get(&id).copied();
@@ -923,7 +1123,10 @@
     fn ended(&mut self, inv: &Inv, errored: bool, late: bool) {
         self.sums.failed += u64::from(errored);
         self.sums.in_objective += u64::from(!errored && !late);
-        let count = self.members[inv.member].counts.entry(inv.version.clone()).or_default();
+        let count = self.members[inv.member]
+            .counts
+            .entry(inv.version.clone())
+            .or_default();
         (count.version, count.trigger) = (inv.version.clone(), "t".into());
         count.ended += 1;
         count.errored += u64::from(errored);
@@ -933,7 +1136,9 @@
     // ---- what is compared with ----
 
     fn baseline(&mut self) {
-        let Some(began) = self.file.first().map(|_| self.now) else { return };
+        let Some(began) = self.file.first().map(|_| self.now) else {
+            return;
+        };
         let all = self.workers.len();
         if self.policy == Policy::AllAtOnce && !self.began {
             self.began = true;
@@ -953,17 +1158,33 @@
                 }
             }
         }
-        let stand = self.workers.iter().all(|w| w.copies.get(&new()).is_some_and(|c| c.stands(self.now)));
-        let done = if self.policy == Policy::OneByOne { self.one_by_one == all } else { stand };
+        let stand = self
+            .workers
+            .iter()
+            .all(|w| w.copies.get(&new()).is_some_and(|c| c.stands(self.now)));
+        let done = if self.policy == Policy::OneByOne {
+            self.one_by_one == all
+        } else {
+            stand
+        };
         if done && self.sums.done_at.is_none() {
             self.sums.done_at = Some(began);
         }
         // Nothing lets new copies go for idleness meanwhile.
-        for c in self.workers.iter_mut().filter_map(|w| w.copies.get_mut(&new())) {
+        for c in self
+            .workers
+            .iter_mut()
+            .filter_map(|w| w.copies.get_mut(&new()))
+        {
             c.used = c.used.max(self.now);
         }
         let left = self.sums.done_at.is_none();
-        for c in self.workers.iter_mut().filter_map(|w| w.copies.get_mut(&old())).filter(|_| left) {
+        for c in self
+            .workers
+            .iter_mut()
+            .filter_map(|w| w.copies.get_mut(&old()))
+            .filter(|_| left)
+        {
             c.used = c.used.max(self.now);
         }
     }
@@ -971,7 +1192,10 @@
     /// To whatever stands in the region, by the copies there; a session stays with its version while that stands.
     fn baseline_version(&self, session: Option<u64>, region: &Name, draw: u64) -> Name {
         let count = |f: &Name| {
-            self.workers.iter().filter(|w| w.region == *region && w.copies.contains_key(f)).count() as u64
+            self.workers
+                .iter()
+                .filter(|w| w.region == *region && w.copies.contains_key(f))
+                .count() as u64
         };
         let (was, is) = (count(&old()), count(&new()));
         let version = session.and_then(|id| self.sessions.get(&id)?.version.clone());
@@ -983,8 +1207,9 @@
     }
 
     pub fn shown(&self) -> Option<Shown> {
-        let plans =
-            (0..self.members.len()).filter(|m| self.runs(*m)).flat_map(|m| self.members[m].planner.shown());
+        let plans = (0..self.members.len())
+            .filter(|m| self.runs(*m))
+            .flat_map(|m| self.members[m].planner.shown());
         plans.max_by_key(|s| (s.leads, s.step))
     }
 
@@ -1004,10 +1229,17 @@
     }
 
     pub fn holds(&self, f: &Name) -> usize {
-        self.workers.iter().filter(|w| w.copies.contains_key(f)).count()
+        self.workers
+            .iter()
+            .filter(|w| w.copies.contains_key(f))
+            .count()
     }
 
     pub fn loading(&self, f: &Name) -> usize {
-        self.workers.iter().filter_map(|w| w.copies.get(f)).filter(|c| c.ready_at > self.now).count()
+        self.workers
+            .iter()
+            .filter_map(|w| w.copies.get(f))
+            .filter(|c| c.ready_at > self.now)
+            .count()
     }
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -67,7 +67,10 @@
 impl Usual {
     fn learn(&mut self, sample: Micros) {
         if self.mean == 0 {
-            *self = Usual { mean: sample.max(1), stray: sample / 2 };
+            *self = Usual {
+                mean: sample.max(1),
+                stray: sample / 2,
+            };
         } else {
             self.stray += ((sample - self.mean).abs() - self.stray) / GAIN;
             self.mean += (sample - self.mean) / GAIN;
@@ -90,13 +93,19 @@
     /// Adds something new; the sum without it.
     fn add(&mut self, now: Micros, over: f64, more: f64) -> f64 {
         let before = self.sum * (-(now - self.at) as f64 / over).exp();
-        *self = Fading { sum: before + more, at: now };
+        *self = Fading {
+            sum: before + more,
+            at: now,
+        };
         before
     }
 }
 
 fn usual(known: [Usual; 2], guess: Micros) -> Usual {
-    known.into_iter().find(|u| u.mean > 0).unwrap_or(Usual { mean: guess, stray: guess / 4 })
+    known.into_iter().find(|u| u.mean > 0).unwrap_or(Usual {
+        mean: guess,
+        stray: guess / 4,
+    })
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -177,7 +186,12 @@
     fn grow(&mut self, n: usize) {
         let counts = [&mut self.zone, &mut self.cell, &mut self.kind];
         counts.into_iter().for_each(|v| v.resize(n, 0));
-        let times = [&mut self.started, &mut self.stops_at, &mut self.bears_at, &mut self.loaded_by];
+        let times = [
+            &mut self.started,
+            &mut self.stops_at,
+            &mut self.bears_at,
+            &mut self.loaded_by,
+        ];
         times.into_iter().for_each(|v| v.resize(n, NO_TIME));
         self.fingerprint.resize(n, 0);
         self.standing.resize(n, Standing::Gone);
@@ -272,7 +286,8 @@
                 // A bad worker that succeeds starts anew, and so does one long not heard from.
                 (self.judged[slot], self.outcomes[slot]) = (0, 0);
             }
-            self.outcomes[slot] = (self.outcomes[slot] << 1 | u32::from(succeeded)) & ((1 << JUDGED) - 1);
+            self.outcomes[slot] =
+                (self.outcomes[slot] << 1 | u32::from(succeeded)) & ((1 << JUDGED) - 1);
             self.judged[slot] = (self.judged[slot] + 1).min(JUDGED);
             self.judged_at[slot] = now;
         }
@@ -280,13 +295,19 @@
 
     fn sent(&mut self, w: usize, t: usize, due: Micros) {
         for slot in self.slots(w, t) {
-            self.due[slot] = if self.own[slot] == 0 { due } else { self.due[slot].min(due) };
+            self.due[slot] = if self.own[slot] == 0 {
+                due
+            } else {
+                self.due[slot].min(due)
+            };
             self.own[slot] += 1;
         }
     }
 
     fn ended(&mut self, w: usize, t: usize) {
-        self.slots(w, t).into_iter().for_each(|slot| self.own[slot] = self.own[slot].saturating_sub(1));
+        self.slots(w, t)
+            .into_iter()
+            .for_each(|slot| self.own[slot] = self.own[slot].saturating_sub(1));
     }
 }
 
@@ -382,20 +403,30 @@
     ) -> Self {
         // What looks to be beyond a share here may be within it elsewhere: clients fall on the routers by
         // chance, the more unevenly the fewer each one's part is.
-        let part: f64 =
-            accounts.iter().map(|a| a.allowance_per_s).sum::<f64>() / f64::from(fleet.routers.max(1));
+        let part: f64 = accounts.iter().map(|a| a.allowance_per_s).sum::<f64>()
+            / f64::from(fleet.routers.max(1));
         let wrong = (part * SHARE_SECONDS).max(1.0).sqrt().recip();
         let over_worth = prices.over_share.max(0.0) * (1.0 - wrong) + wrong;
         let over = accounts.first().map(|_| over_worth);
-        let parts = triggers.iter().map(|t| t.late_part).chain(over).filter(|&p| p > 0.0);
+        let parts = triggers
+            .iter()
+            .map(|t| t.late_part)
+            .chain(over)
+            .filter(|&p| p > 0.0);
         Control {
-            pressed_over: parts.fold(GAIN as f64, |n, p| n.max(1.0 / p)).min(PRESSED_OVER),
+            pressed_over: parts
+                .fold(GAIN as f64, |n, p| n.max(1.0 / p))
+                .min(PRESSED_OVER),
             seed,
             fleet,
             limits,
             rules,
             service: vec![Usual::default(); triggers.len()],
-            health: Health { types: triggers.len(), kept: loads.idle_kept, ..Health::default() },
+            health: Health {
+                types: triggers.len(),
+                kept: loads.idle_kept,
+                ..Health::default()
+            },
             triggers,
             left: vec![(f64::MAX, 0); accounts.len()],
             accounts,
@@ -417,9 +448,19 @@
             }
             Event::Departed { inv: ix } => {
                 // Symptom: work is done for clients that have left. What still waits at a worker is dropped.
-                if let Some(inv) = self.invs[ix as usize].as_ref().filter(|_| self.limits.withdrawals) {
-                    let outs = inv.dispatches.iter().enumerate().filter(|(_, d)| d.fate == Fate::Out);
-                    out.extend(outs.map(|(n, _)| Action::Withdraw { inv: ix, dispatch: n as u32 }));
+                if let Some(inv) = self.invs[ix as usize]
+                    .as_ref()
+                    .filter(|_| self.limits.withdrawals)
+                {
+                    let outs = inv
+                        .dispatches
+                        .iter()
+                        .enumerate()
+                        .filter(|(_, d)| d.fate == Fate::Out);
+                    out.extend(outs.map(|(n, _)| Action::Withdraw {
+                        inv: ix,
+                        dispatch: n as u32,
+                    }));
                 }
                 self.conclude(ix);
             }
@@ -428,14 +469,25 @@
             Event::OrderEnded { .. } => self.order_ended(event, out),
             Event::Timer { token } if self.next_tick == Some(token as Micros) => self.tick(out),
             Event::Wanted { worker, asked } => self.wanted(worker as usize, &asked, out),
-            Event::Held { worker, func, copies } => self.held_there(worker as usize, func, copies, out),
+            Event::Held {
+                worker,
+                func,
+                copies,
+            } => self.held_there(worker as usize, func, copies, out),
             Event::Timer { .. } | Event::Probed { .. } => {}
         }
-        let pace = if self.held > 0 { RETRY_PACE } else { self.loads.idle_kept / UPKEEP_STEPS };
+        let pace = if self.held > 0 {
+            RETRY_PACE
+        } else {
+            self.loads.idle_kept / UPKEEP_STEPS
+        };
         let due = now + pace.max(self.fleet.granularity).max(RETRY_PACE);
         if self.next_tick.is_none_or(|t| due < t) {
             self.next_tick = Some(due);
-            out.push(Action::Timer { token: due as u64, after: due - now });
+            out.push(Action::Timer {
+                token: due as u64,
+                after: due - now,
+            });
         }
     }
 
@@ -446,7 +498,9 @@
 
     /// Whether one more is beyond the account's share, which comes in steadily, this router's part of it.
     fn over_share(&mut self, account: usize) -> bool {
-        let Some((left, at)) = self.left.get_mut(account) else { return false };
+        let Some((left, at)) = self.left.get_mut(account) else {
+            return false;
+        };
         let part = self.accounts[account].allowance_per_s / f64::from(self.fleet.routers.max(1));
         let come = part * (self.now - *at).max(0) as f64 / 1e6;
         *left = (*left + come).min((part * SHARE_SECONDS).max(1.0) + 1.0);
@@ -476,20 +530,30 @@
             gives_up_at,
             ..Inv::default()
         });
-        self.value += (t.billed_value - self.value) / if self.value > 0.0 { PRESSED_OVER } else { 1.0 };
+        self.value +=
+            (t.billed_value - self.value) / if self.value > 0.0 { PRESSED_OVER } else { 1.0 };
         self.taken.push_back(now);
-        self.meet(&Asked { func: a.func, fingerprint: a.fingerprint, trigger: a.trigger, lanes: a.lanes });
+        self.meet(&Asked {
+            func: a.func,
+            fingerprint: a.fingerprint,
+            trigger: a.trigger,
+            lanes: a.lanes,
+        });
         let f = &mut self.funcs[a.func as usize];
         f.open += 1;
         if let Some(hint) = a.load_hint.filter(|_| f.load.mean == 0) {
-            f.load = Usual { mean: hint.max(1), stray: hint / 4 };
+            f.load = Usual {
+                mean: hint.max(1),
+                stray: hint / 4,
+            };
         }
         self.spread(a.func);
     }
 
     fn meet(&mut self, a: &Asked) {
         if self.funcs.len() <= a.func as usize {
-            self.funcs.resize_with(a.func as usize + 1, Function::default);
+            self.funcs
+                .resize_with(a.func as usize + 1, Function::default);
         }
         let f = &mut self.funcs[a.func as usize];
         let new = !std::mem::replace(&mut f.known, true);
@@ -520,7 +584,10 @@
     /// Symptom: a copy was evicted, or another router loaded one; nothing here tells of either. What waits
     /// leaves for a copy that is there, and loads one anew where none is.
     fn held_there(&mut self, w: usize, func: FnIx, copies: u32, out: &mut Vec<Action>) {
-        let f = self.funcs.get_mut(func as usize).filter(|f| f.known && w < f.own.len());
+        let f = self
+            .funcs
+            .get_mut(func as usize)
+            .filter(|f| f.known && w < f.own.len());
         let Some(f) = f else { return };
         if f.loading.is_some_and(|l| l as usize == w) {
             return;
@@ -541,7 +608,10 @@
         let f = &mut self.funcs[func as usize];
         let before = f.asked.add(now, over, 1.0);
         let all = self.asked.add(now, over, work);
-        self.more_homes(func, (HOMES * workers as f64 * before * work / all.max(1.0)).ceil() as usize);
+        self.more_homes(
+            func,
+            (HOMES * workers as f64 * before * work / all.max(1.0)).ceil() as usize,
+        );
     }
 
     fn more_homes(&mut self, func: FnIx, wanted: usize) {
@@ -571,12 +641,15 @@
     fn rank(&mut self, func: FnIx) {
         let (workers, f) = (&self.workers, &mut self.funcs[func as usize]);
         f.order = workers.serving().map(|w| w as WorkerIx).collect();
-        f.order.sort_by_cached_key(|&w| hashed((workers.fingerprint[w as usize], f.fingerprint)));
+        f.order
+            .sort_by_cached_key(|&w| hashed((workers.fingerprint[w as usize], f.fingerprint)));
     }
 
     /// The ordinary path of an invocation, from top to bottom.
     fn route(&mut self, ix: InvIx, out: &mut Vec<Action>) {
-        let Some((inv, f)) = self.found(ix) else { return };
+        let Some((inv, f)) = self.found(ix) else {
+            return;
+        };
         let first = inv.dispatches.is_empty();
         // Symptom: tries too short for the work fill the workers with what no one waits for any more, or work
         // beyond an account's share, or too late for its objective, crowds out what is within and in time.
@@ -637,13 +710,19 @@
         if self.loads_itself(ix) {
             return self.dispatch(ix, w, true, out);
         }
-        let Some(func) = self.found(ix).map(|(inv, _)| inv.func) else { return };
+        let Some(func) = self.found(ix).map(|(inv, _)| inv.func) else {
+            return;
+        };
         self.order(w, func, true, out);
     }
 
     fn order(&mut self, w: usize, func: FnIx, load: bool, out: &mut Vec<Action>) {
         self.ordered.push_back(self.now);
-        out.push(Action::Order { worker: w as WorkerIx, func, copies: 1 });
+        out.push(Action::Order {
+            worker: w as WorkerIx,
+            func,
+            copies: 1,
+        });
         if load {
             self.load_begins(func, w);
         }
@@ -699,19 +778,35 @@
         if self.now - self.workers.started[w] >= r.cold_for {
             return true;
         }
-        let carried = self.carried.sum / CARRIED_WINDOWS / self.workers.serving().count().max(1) as f64;
-        let of = |(u, t): (&Usual, &TriggerType)| usual([*u; 2], t.latency_objective / 8).stretched();
-        let work = self.service.iter().zip(&self.triggers).map(of).max().unwrap_or(window).max(1);
+        let carried =
+            self.carried.sum / CARRIED_WINDOWS / self.workers.serving().count().max(1) as f64;
+        let of =
+            |(u, t): (&Usual, &TriggerType)| usual([*u; 2], t.latency_objective / 8).stretched();
+        let work = self
+            .service
+            .iter()
+            .zip(&self.triggers)
+            .map(of)
+            .max()
+            .unwrap_or(window)
+            .max(1);
         let core = window as f64 / work as f64 / f64::from(self.fleet.routers.max(1));
         let budget = COLD_CAUTION * r.overload_multiple * self.grown(w) * carried.max(core);
-        let sent = self.workers.recent[w].iter().filter(|&&t| t > self.now - window).count() as f64;
-        let turn = (self.workers.fingerprint[w] ^ u64::from(self.fleet.position), (self.now / window) as u64);
+        let sent = self.workers.recent[w]
+            .iter()
+            .filter(|&&t| t > self.now - window)
+            .count() as f64;
+        let turn = (
+            self.workers.fingerprint[w] ^ u64::from(self.fleet.position),
+            (self.now / window) as u64,
+        );
         sent + 1.0 <= budget || sent == 0.0 && hashed(turn) as f64 / (u64::MAX as f64) < budget
     }
 
     /// The part of its full capacity that a worker surely has at its age.
     fn grown(&self, w: usize) -> f64 {
-        let age = (self.now - self.workers.started[w]).max(0) as f64 / self.rules.cold_for.max(1) as f64;
+        let age =
+            (self.now - self.workers.started[w]).max(0) as f64 / self.rules.cold_for.max(1) as f64;
         self.rules.cold_part + (1.0 - self.rules.cold_part) * age.min(1.0)
     }
 
@@ -739,22 +834,30 @@
         }
         let safe = self.triggers[inv.trigger].effect != Effect::NonIdempotent;
         let [slot, _] = self.health.slots(w, inv.trigger);
-        safe && inv.dispatches.is_empty() && self.health.trial_at[slot] <= self.now && self.trial_due <= 0
+        safe && inv.dispatches.is_empty()
+            && self.health.trial_at[slot] <= self.now
+            && self.trial_due <= 0
     }
 
     /// Symptom: a full worker answers at once, has the fewest in flight, and is sent the same invocation
     /// again until its dispatches are used up. Its copy stands all the same.
     fn was_full(inv: &Inv, w: usize) -> bool {
-        inv.dispatches.iter().any(|d| d.fate == Fate::WasFull && d.worker as usize == w)
+        inv.dispatches
+            .iter()
+            .any(|d| d.fate == Fate::WasFull && d.worker as usize == w)
     }
 
     /// Symptom: heavy invocations, dear where value goes by work, come late from slow machines even when
     /// idle. For a while they wait for a kind on which their time suffices, if there is one.
     fn too_slow(&self, inv: &Inv, w: usize) -> bool {
-        let (left, own) =
-            ((inv.objective_at - self.now) as f64, self.slowness[self.workers.kind[w] as usize]);
+        let (left, own) = (
+            (inv.objective_at - self.now) as f64,
+            self.slowness[self.workers.kind[w] as usize],
+        );
         let best = self.slowness.iter().copied().fold(own, f64::min);
-        inv.work as f64 * own > left && inv.work as f64 * best < left && self.now - inv.arrived < inv.work
+        inv.work as f64 * own > left
+            && inv.work as f64 * best < left
+            && self.now - inv.arrived < inv.work
     }
 
     fn free_lane(&mut self, ix: InvIx) -> Option<usize> {
@@ -777,7 +880,9 @@
     }
 
     fn any_warm(&self, ix: InvIx) -> bool {
-        let Some((inv, f)) = self.found(ix) else { return false };
+        let Some((inv, f)) = self.found(ix) else {
+            return false;
+        };
         (0..f.own.len()).any(|w| f.warm(w, self.now) && self.fit(inv, w))
     }
 
@@ -785,12 +890,17 @@
     /// find each other's copies. One load under way per function and, for its usual time, per worker.
     fn load_place(&self, ix: InvIx) -> Option<usize> {
         let (inv, f) = self.found(ix)?;
-        if f.loading.is_some() || self.now < f.load_from || !self.order_left() && !self.loads_itself(ix) {
+        if f.loading.is_some()
+            || self.now < f.load_from
+            || !self.order_left() && !self.loads_itself(ix)
+        {
             return None;
         }
         let (mean, homes) = (self.mean_load(), f.homes.min(f.order.len()));
         let first = self.fleet.position as usize % f.homes.max(1);
-        let mine = (0..homes).map(|i| (first + i) % homes).chain(homes..f.order.len());
+        let mine = (0..homes)
+            .map(|i| (first + i) % homes)
+            .chain(homes..f.order.len());
         let free = |w: &usize| {
             let open = self.workers.loaded_by[*w] < self.now && !f.warm(*w, self.now);
             open && !self.crowded(*w, mean) && self.fit(inv, *w)
@@ -798,13 +908,23 @@
         let mut places = mine.map(|i| f.order[i] as usize);
         let near = |w: &usize| self.workers.zone[*w] == self.fleet.zone && free(w);
         // Those in its own zone first, where each home still has two routers or more.
-        let choice = if homes * 2 <= self.fleet.routers as usize { homes } else { 0 };
-        places.clone().take(choice).find(near).or_else(|| places.find(free))
+        let choice = if homes * 2 <= self.fleet.routers as usize {
+            homes
+        } else {
+            0
+        };
+        places
+            .clone()
+            .take(choice)
+            .find(near)
+            .or_else(|| places.find(free))
     }
 
     /// Held ones should leave within what their objective leaves beside the work itself.
     fn room_to_hold(&self, ix: InvIx) -> bool {
-        let Some((inv, f)) = self.found(ix) else { return false };
+        let Some((inv, f)) = self.found(ix) else {
+            return false;
+        };
         let service = self.usual_service(f).mean.max(1);
         let homes = (0..f.own.len()).filter(|&w| f.warm(w, self.now)).count() as Micros;
         let wait = f.held.len() as Micros * service / (homes * Micros::from(f.lanes)).max(1);
@@ -817,7 +937,9 @@
             let bears = f64::from(self.health.own_at(w)) < self.workers.bears[w];
             f.warm(w, self.now) && bears && !Self::was_full(inv, w)
         };
-        (0..f.own.len()).filter(|&w| room(w) && self.fit(inv, w)).min_by_key(|&w| f.own[w])
+        (0..f.own.len())
+            .filter(|&w| room(w) && self.fit(inv, w))
+            .min_by_key(|&w| f.own[w])
     }
 
     fn hold(&mut self, ix: InvIx) {
@@ -837,14 +959,20 @@
     fn dispatch(&mut self, ix: InvIx, w: usize, load: bool, out: &mut Vec<Action>) {
         self.unhold(ix);
         let now = self.now;
-        let Some(inv) = self.invs[ix as usize].as_ref() else { return };
+        let Some(inv) = self.invs[ix as usize].as_ref() else {
+            return;
+        };
         let (func, trigger, left) = (inv.func, inv.trigger, inv.gives_up_at - now);
         let bad = self.health.bad(w, trigger, now);
         self.trial_due -= 1;
         let f = &self.funcs[func as usize];
         let loading = load || f.loading.is_some_and(|l| l as usize == w);
         let usual = self.usual_service(f);
-        let wait = if loading { self.usual_load(f).stretched() } else { 0 };
+        let wait = if loading {
+            self.usual_load(f).stretched()
+        } else {
+            0
+        };
         // Symptom: work far shorter than this router's own pauses; each pause would look like every worker's.
         let due = usual.stretched() + wait + self.fleet.granularity;
         let (hush, patience) = (HUSH * due, PATIENCE * due);
@@ -852,8 +980,17 @@
         let again = self.triggers[trigger].effect != Effect::NonIdempotent
             && inv.dispatches.len() as u32 + 1 < self.limits.max_dispatches
             && left - patience > usual.mean;
-        out.push(Action::Dispatch { inv: ix, worker: w as WorkerIx, time_out: again.then_some(patience) });
-        let dispatch = Dispatch { worker: w as WorkerIx, at: now, fate: Fate::Out, load };
+        out.push(Action::Dispatch {
+            inv: ix,
+            worker: w as WorkerIx,
+            time_out: again.then_some(patience),
+        });
+        let dispatch = Dispatch {
+            worker: w as WorkerIx,
+            at: now,
+            fate: Fate::Out,
+            load,
+        };
         if let Some(inv) = self.invs[ix as usize].as_mut() {
             inv.dispatches.push(dispatch);
         }
@@ -865,28 +1002,57 @@
         }
         self.health.sent(w, trigger, now + hush);
         if bad {
-            let shortest = self.triggers.iter().map(|t| t.latency_objective).min().unwrap_or(0);
+            let shortest = self
+                .triggers
+                .iter()
+                .map(|t| t.latency_objective)
+                .min()
+                .unwrap_or(0);
             let [slot, _] = self.health.slots(w, trigger);
             self.health.trial_at[slot] = now + shortest / TRIAL_PART;
             self.trial_due = TRIAL_ONE_IN;
         }
-        forget_before(&mut self.workers.recent[w], now - self.rules.overload_window);
+        forget_before(
+            &mut self.workers.recent[w],
+            now - self.rules.overload_window,
+        );
         self.workers.recent[w].push_back(now);
     }
 
     fn usual_service(&self, f: &Function) -> Usual {
-        usual([f.service, self.service[f.trigger]], self.triggers[f.trigger].latency_objective / 8)
+        usual(
+            [f.service, self.service[f.trigger]],
+            self.triggers[f.trigger].latency_objective / 8,
+        )
     }
 
     fn usual_load(&self, f: &Function) -> Usual {
-        usual([f.load, self.load], self.triggers[f.trigger].latency_objective)
+        usual(
+            [f.load, self.load],
+            self.triggers[f.trigger].latency_objective,
+        )
     }
 
     fn settle(&mut self, e: &Ending, out: &mut Vec<Action>) {
-        let &Ending { inv: ix, dispatch, worker, outcome, took, concluded, note, crowd, .. } = e;
+        let &Ending {
+            inv: ix,
+            dispatch,
+            worker,
+            outcome,
+            took,
+            concluded,
+            note,
+            crowd,
+            ..
+        } = e;
         let (now, w) = (self.now, worker as usize);
-        let Some(inv) = self.invs[ix as usize].as_mut() else { return };
-        let sent = inv.dispatches.get_mut(dispatch as usize).filter(|d| d.fate == Fate::Out);
+        let Some(inv) = self.invs[ix as usize].as_mut() else {
+            return;
+        };
+        let sent = inv
+            .dispatches
+            .get_mut(dispatch as usize)
+            .filter(|d| d.fate == Fate::Out);
         let Some(d) = sent else { return };
         d.fate = match outcome {
             Outcome::Throttled => Fate::WasFull,
@@ -928,7 +1094,8 @@
                     self.health.due[slot] = loaded_by + HUSH * usual.stretched();
                 }
                 // One answered at once found the copy standing.
-                let at_once = took - usual.mean <= self.usual_load(&self.funcs[func as usize]).mean / GAIN;
+                let at_once =
+                    took - usual.mean <= self.usual_load(&self.funcs[func as usize]).mean / GAIN;
                 let f = &mut self.funcs[func as usize];
                 f.warm_until[w] = now + self.loads.idle_kept;
                 if note == CopyNote::Found || note == CopyNote::Untold && (!load || at_once) {
@@ -936,7 +1103,8 @@
                     self.service[trigger].learn(took);
                     if work > 0 {
                         let slowness = &mut self.slowness[self.workers.kind[w] as usize];
-                        *slowness += ((took as f64 / work as f64).min(SLOWEST) - *slowness) / SLOWNESS_GAIN;
+                        *slowness +=
+                            ((took as f64 / work as f64).min(SLOWEST) - *slowness) / SLOWNESS_GAIN;
                     }
                     self.workers.learn_bears(w, now, own, took, objective);
                 } else if note == CopyNote::Began || load {
@@ -945,7 +1113,9 @@
             }
             Outcome::Missed => self.funcs[func as usize].cool(w),
             // Symptom: a full worker answers fastest of all and so looks idle.
-            Outcome::Throttled => self.workers.learn_bears(w, now, own, Micros::MAX / 8, objective),
+            Outcome::Throttled => self
+                .workers
+                .learn_bears(w, now, own, Micros::MAX / 8, objective),
             Outcome::NotSent | Outcome::Withdrawn => {}
             // A load that fails, as with an order; of the worker it tells something if the function has run.
             Outcome::Errored if load => {
@@ -968,7 +1138,9 @@
 
     /// After a dispatch without success: another one, or the final answer at once.
     fn follow_up(&mut self, ix: InvIx, out: &mut Vec<Action>) {
-        let Some((inv, f)) = self.found(ix).filter(|(i, _)| !i.ended && !i.out()) else { return };
+        let Some((inv, f)) = self.found(ix).filter(|(i, _)| !i.ended && !i.out()) else {
+            return;
+        };
         let again = (0..self.workers.zone.len()).any(|w| self.allowed(inv, w));
         if again && inv.gives_up_at - self.now > self.usual_service(f).mean {
             self.route(ix, out);
@@ -979,15 +1151,24 @@
 
     /// The final answer of an invocation that gets no success.
     fn give_up(&mut self, ix: InvIx, out: &mut Vec<Action>) {
-        let Some(inv) = self.invs[ix as usize].as_ref().filter(|i| !i.ended) else { return };
+        let Some(inv) = self.invs[ix as usize].as_ref().filter(|i| !i.ended) else {
+            return;
+        };
         let harmless = match self.triggers[inv.trigger].effect {
-            Effect::Idempotent | Effect::Tokened { group: RepeatGroup::All, .. } => true,
+            Effect::Idempotent
+            | Effect::Tokened {
+                group: RepeatGroup::All,
+                ..
+            } => true,
             _ => inv.dispatches.iter().all(|d| d.fate.never_ran()),
         };
         if harmless {
             let advice = self.triggers[inv.trigger].latency_objective / 4;
             let return_after = Some(advice.min(self.limits.max_advice)).filter(|&t| t > 0);
-            out.push(Action::Throttle { inv: ix, return_after });
+            out.push(Action::Throttle {
+                inv: ix,
+                return_after,
+            });
         } else {
             out.push(Action::Error { inv: ix });
         }
@@ -1018,12 +1199,18 @@
     fn retry_held(&mut self, only: Option<FnIx>, out: &mut Vec<Action>) {
         let all = 0..self.funcs.len() as u32;
         let funcs = only.map_or(all, |f| f..f + 1);
-        let mut held: Vec<InvIx> = funcs.flat_map(|f| self.funcs[f as usize].held.iter().copied()).collect();
+        let mut held: Vec<InvIx> = funcs
+            .flat_map(|f| self.funcs[f as usize].held.iter().copied())
+            .collect();
         held.sort_by_cached_key(|&ix| {
-            self.found(ix).map_or((0, 0, ix), |(inv, f)| (-self.worth(inv, f), inv.arrived, ix))
+            self.found(ix).map_or((0, 0, ix), |(inv, f)| {
+                (-self.worth(inv, f), inv.arrived, ix)
+            })
         });
         for ix in held {
-            let Some((inv, f)) = self.found(ix) else { continue };
+            let Some((inv, f)) = self.found(ix) else {
+                continue;
+            };
             let service = self.usual_service(f);
             // While many are late, an answer that can only be late takes the place of one in time.
             let ends = match self.costs_more(inv, true) {
@@ -1059,7 +1246,10 @@
 
     /// The load of this function there, if one was under way, is over; true if so.
     fn load_ends(&mut self, func: FnIx, w: usize) -> bool {
-        let ended = self.funcs[func as usize].loading.take_if(|l| *l as usize == w).is_some();
+        let ended = self.funcs[func as usize]
+            .loading
+            .take_if(|l| *l as usize == w)
+            .is_some();
         if ended {
             self.workers.loaded_by[w] = NO_TIME;
         }
@@ -1067,7 +1257,16 @@
     }
 
     fn order_ended(&mut self, event: &Event, out: &mut Vec<Action>) {
-        let &Event::OrderEnded { worker, func, result, copies, took } = event else { return };
+        let &Event::OrderEnded {
+            worker,
+            func,
+            result,
+            copies,
+            took,
+        } = event
+        else {
+            return;
+        };
         if !self.funcs[func as usize].known {
             return;
         }
@@ -1135,13 +1334,19 @@
             return;
         }
         let known = self.workers.zone.len();
-        let most = entries.iter().map(|e| e.worker as usize + 1).fold(known, usize::max);
+        let most = entries
+            .iter()
+            .map(|e| e.worker as usize + 1)
+            .fold(known, usize::max);
         self.workers.grow(most);
         self.health.grow(most);
         self.funcs.iter_mut().for_each(|f| f.grow(most));
-        let gone = |w: &usize| mode != ListMode::Changes && !entries.iter().any(|e| e.worker as usize == *w);
+        let gone = |w: &usize| {
+            mode != ListMode::Changes && !entries.iter().any(|e| e.worker as usize == *w)
+        };
         let mut lost: Vec<usize> = (0..most).filter(gone).collect();
-        lost.iter().for_each(|&w| self.workers.standing[w] = Standing::Gone);
+        lost.iter()
+            .for_each(|&w| self.workers.standing[w] = Standing::Gone);
         for e in entries {
             let w = e.worker as usize;
             if self.workers.fingerprint[w] != e.fingerprint {
@@ -1161,7 +1366,8 @@
             if e.standing == Standing::Draining && self.workers.standing[w] == Standing::InService {
                 self.workers.stops_at[w] = self.now + self.rules.drain_grace * 3 / 4;
             }
-            self.slowness.resize(self.slowness.len().max(e.kind as usize + 1), 1.0);
+            self.slowness
+                .resize(self.slowness.len().max(e.kind as usize + 1), 1.0);
             self.workers.standing[w] = e.standing;
             self.workers.started[w] = started;
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -177,7 +177,10 @@
 
 impl Outcome {
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Throttled | Outcome::Unreachable | Outcome::NotSent | Outcome::Missed)
+        matches!(
+            self,
+            Outcome::Throttled | Outcome::Unreachable | Outcome::NotSent | Outcome::Missed
+        )
     }
 }
 
--- a/tests/decisions/cases.rs
+++ b/tests/decisions/cases.rs
@@ -15,14 +15,22 @@
 
 fn ordered(actions: &[Action]) -> Vec<WorkerIx> {
     let to = |a: &Action| match a {
-        Action::Order { worker, copies: 1.., .. } => Some(*worker),
+        Action::Order {
+            worker,
+            copies: 1..,
+            ..
+        } => Some(*worker),
         _ => None,
     };
     actions.iter().filter_map(to).collect()
 }
 
 /// Workers load on orders alone.
-const ORDERED: Site = Site { orders: true, loads_when_absent: false, ..PLAIN };
+const ORDERED: Site = Site {
+    orders: true,
+    loads_when_absent: false,
+    ..PLAIN
+};
 
 /// Has one worker loaded with the function, and tells which.
 fn warm_up(s: &mut Script, func: FnIx, lanes: u32) -> WorkerIx {
@@ -96,7 +104,14 @@
     let mut s = Script::new(6, PLAIN, 6);
     let home = warm_up(&mut s, 0, 1);
     s.pass(KEPT + SECOND);
-    let mut other = Script::new(99, Site { routers: 2, ..PLAIN }, 6);
+    let mut other = Script::new(
+        99,
+        Site {
+            routers: 2,
+            ..PLAIN
+        },
+        6,
+    );
     let (_, again) = s.arrive(0, 0, 1, 2 * SECOND);
     let (_, elsewhere) = other.arrive(0, 0, 1, 2 * SECOND);
     assert_eq!((sent(&again), sent(&elsewhere)), (vec![home], vec![home]));
@@ -121,11 +136,20 @@
 fn where_orders_are_allowed_one_copy_is_ordered_and_the_invocation_waits_for_it() {
     let mut s = Script::new(8, ORDERED, 6);
     let (inv, actions) = s.arrive(2, 0, 1, 2 * SECOND);
-    let orders: Vec<_> = actions.iter().filter(|a| matches!(a, Action::Order { .. })).collect();
+    let orders: Vec<_> = actions
+        .iter()
+        .filter(|a| matches!(a, Action::Order { .. }))
+        .collect();
     assert_eq!((orders.len(), sent(&actions).len()), (1, 0));
     let worker = ordered(&actions)[0];
     s.pass(400 * MS);
-    let stand = Event::OrderEnded { worker, func: 0, result: OrderResult::Stand, took: 400 * MS, copies: 1 };
+    let stand = Event::OrderEnded {
+        worker,
+        func: 0,
+        result: OrderResult::Stand,
+        took: 400 * MS,
+        copies: 1,
+    };
     assert_eq!(sent(&s.tell(&stand)), [worker]);
     assert!(s.owes(inv));
 }
@@ -164,9 +188,15 @@
     warm_up(&mut s, 0, 8);
     let tries: Vec<InvIx> = (0..8).map(|_| s.arrive(0, 0, 8, 2 * SECOND).0).collect();
     s.pass(1_500 * MS);
-    tries.iter().filter(|inv| s.is_out(**inv)).copied().collect::<Vec<_>>().into_iter().for_each(|inv| {
-        s.end(inv, 0, Outcome::TimedOut, CopyNote::Untold);
-    });
+    tries
+        .iter()
+        .filter(|inv| s.is_out(**inv))
+        .copied()
+        .collect::<Vec<_>>()
+        .into_iter()
+        .for_each(|inv| {
+            s.end(inv, 0, Outcome::TimedOut, CopyNote::Untold);
+        });
     // The first trial is lost too.
     let (inv, _) = s.arrive(0, 0, 8, 2 * SECOND);
     s.pass(600 * MS);
@@ -200,7 +230,10 @@
         answer(&mut s, inv, 200 * MS);
     }
     let (inv, actions) = s.arrive(2, 0, 4, 150 * MS);
-    assert!(matches!(actions[0], Action::Throttle { inv: i, .. } if i == inv), "{actions:?}");
+    assert!(
+        matches!(actions[0], Action::Throttle { inv: i, .. } if i == inv),
+        "{actions:?}"
+    );
 }
 
 /// catania-main-later: each router saw a small part of a busy function and all brought it to the same worker.
@@ -208,7 +241,15 @@
 fn many_routers_bring_a_busy_function_to_several_homes() {
     let mut homes = BTreeSet::new();
     for position in 0..16 {
-        let mut s = Script::at(position, position.into(), Site { routers: 16, ..PLAIN }, 8);
+        let mut s = Script::at(
+            position,
+            position.into(),
+            Site {
+                routers: 16,
+                ..PLAIN
+            },
+            8,
+        );
         let mut last = 0;
         for _ in 0..12 {
             let (inv, actions) = s.arrive(0, 0, 1, 2 * SECOND);
@@ -248,7 +289,8 @@
     let mut s = Script::new(16, PLAIN, 2);
     warm_up(&mut s, 0, 64);
     let burst = |s: &mut Script, took: Micros| {
-        let (invs, actions): (Vec<_>, Vec<_>) = (0..40).map(|_| s.arrive(0, 0, 64, 2 * SECOND)).unzip();
+        let (invs, actions): (Vec<_>, Vec<_>) =
+            (0..40).map(|_| s.arrive(0, 0, 64, 2 * SECOND)).unzip();
         s.pass(took);
         for inv in invs {
             if s.owes(inv) && s.is_out(inv) {
@@ -256,9 +298,17 @@
             }
         }
         s.pass(3 * SECOND);
-        actions.concat().iter().filter(|a| matches!(a, Action::Throttle { .. })).count()
+        actions
+            .concat()
+            .iter()
+            .filter(|a| matches!(a, Action::Throttle { .. }))
+            .count()
     };
-    let bursts = [burst(&mut s, 20 * MS), burst(&mut s, 900 * MS), burst(&mut s, 20 * MS)];
+    let bursts = [
+        burst(&mut s, 20 * MS),
+        burst(&mut s, 900 * MS),
+        burst(&mut s, 20 * MS),
+    ];
     assert!(bursts[0] == 0 && bursts[2] >= 10, "{bursts:?}");
 }
 
@@ -268,7 +318,13 @@
     let mut s = Script::new(17, ORDERED, 1);
     let (_, actions) = s.arrive(0, 0, 1, 2 * SECOND);
     let worker = ordered(&actions)[0];
-    let full = Event::OrderEnded { worker, func: 0, result: OrderResult::NoRoom, took: MS, copies: 0 };
+    let full = Event::OrderEnded {
+        worker,
+        func: 0,
+        result: OrderResult::NoRoom,
+        took: MS,
+        copies: 0,
+    };
     assert!(ordered(&s.tell(&full)).is_empty() && ordered(&s.pass(100 * MS)).is_empty());
     assert_eq!(ordered(&s.pass(SECOND)), [worker]);
 }
@@ -278,17 +334,26 @@
 fn a_dispatch_of_a_client_that_left_is_called_back() {
     let mut s = Script::new(18, PLAIN, 2);
     let (inv, _) = s.arrive(0, 0, 1, 2 * SECOND);
-    assert!(s.depart(inv).contains(&Action::Withdraw { inv, dispatch: 0 }));
+    assert!(
+        s.depart(inv)
+            .contains(&Action::Withdraw { inv, dispatch: 0 })
+    );
 }
 
 /// Rule 4 over all routers: each alone may send a just started worker less than one dispatch a window.
 #[test]
 fn a_cold_worker_is_not_pushed_over_by_many_routers() {
-    let site = Site { routers: 100, ..PLAIN };
+    let site = Site {
+        routers: 100,
+        ..PLAIN
+    };
     let mut sends = 0;
     for position in 0..100 {
         let mut s = Script::at(position, position.into(), site, 1);
-        s.list(ListMode::Saved, &[entry(0, Standing::InService, Some(s.now))]);
+        s.list(
+            ListMode::Saved,
+            &[entry(0, Standing::InService, Some(s.now))],
+        );
         for trigger in 0..3 {
             sends += sent(&s.arrive(trigger, trigger, 1, 500 * MS).1).len();
         }
@@ -312,13 +377,19 @@
     assert!(sent(&s.arrive(2, 0, 2, 2 * SECOND).1).is_empty());
     s.list(ListMode::Changes, &[entry(home, Standing::Gone, None)]);
     s.pass(3 * SECOND);
-    let new = ListEntry { fingerprint: 4711, ..entry(home, Standing::InService, None) };
+    let new = ListEntry {
+        fingerprint: 4711,
+        ..entry(home, Standing::InService, None)
+    };
     s.list(ListMode::Changes, &[new]);
     let (inv, actions) = s.arrive(2, 0, 2, 2 * SECOND);
     assert_eq!(sent(&actions), [home]);
     s.pass(600 * MS);
     s.end(inv, 0, Outcome::Succeeded, CopyNote::Began);
-    assert_eq!([(); 2].map(|()| sent(&s.arrive(2, 0, 2, 2 * SECOND).1)), [[home], [home]]);
+    assert_eq!(
+        [(); 2].map(|()| sent(&s.arrive(2, 0, 2, 2 * SECOND).1)),
+        [[home], [home]]
+    );
 }
 
 /// catania-main on sockets, rude clients: a function that no worker knows fails to load at once on each in
@@ -332,8 +403,13 @@
     let mut orders = 0;
     while let Some(worker) = places.pop() {
         orders += 1;
-        let failed =
-            Event::OrderEnded { worker, func: 0, result: OrderResult::LoadErrored, took: MS, copies: 0 };
+        let failed = Event::OrderEnded {
+            worker,
+            func: 0,
+            result: OrderResult::LoadErrored,
+            took: MS,
+            copies: 0,
+        };
         s.pass(MS);
         places = ordered(&s.tell(&failed));
         assert!(orders < 5, "it goes from worker to worker");
@@ -386,7 +462,9 @@
 /// How many of so many that come at once are turned away there and then.
 fn turned_away(s: &mut Script, lanes: u32, count: usize) -> usize {
     let actions = (0..count).flat_map(|_| s.arrive(0, 0, lanes, 2 * SECOND).1);
-    actions.filter(|a| matches!(a, Action::Throttle { .. })).count()
+    actions
+        .filter(|a| matches!(a, Action::Throttle { .. }))
+        .count()
 }
 
 /// kumamoto-office-later, crash+retry_abuse: half of the tries were beyond their account's share, and every
@@ -395,7 +473,14 @@
 fn what_is_beyond_a_share_is_begun_only_while_fewer_answers_are_late_than_it_is_worth() {
     // The share of two seconds comes at once, and half as much again.
     let refused = |allowance_per_s: f64, times: &[Micros]| {
-        let mut s = Script::new(25, Site { allowance_per_s, ..PLAIN }, 2);
+        let mut s = Script::new(
+            25,
+            Site {
+                allowance_per_s,
+                ..PLAIN
+            },
+            2,
+        );
         warm_up(&mut s, 0, 64);
         answered_after(&mut s, 64, &[20 * MS; 4]);
         answered_after(&mut s, 64, times);
@@ -413,7 +498,10 @@
     let mut refused = [0; 2];
     for n in (0..20).map(|n| n % 2) {
         let (_, actions) = s.arrive(types[n], 0, 64, patience[n]);
-        refused[n] += actions.iter().filter(|a| matches!(a, Action::Throttle { .. })).count();
+        refused[n] += actions
+            .iter()
+            .filter(|a| matches!(a, Action::Throttle { .. }))
+            .count();
     }
     refused
 }
@@ -423,7 +511,15 @@
 #[test]
 fn what_is_worth_little_gives_way_while_answers_are_late() {
     let refused = |dear: f64, late: Micros| {
-        let mut s = Script::new(28, Site { allowance_per_s: 1e6, dear, ..PLAIN }, 2);
+        let mut s = Script::new(
+            28,
+            Site {
+                allowance_per_s: 1e6,
+                dear,
+                ..PLAIN
+            },
+            2,
+        );
         warm_up(&mut s, 0, 64);
         for time in [20 * MS, late].repeat(32) {
             let (inv, _) = s.arrive(2, 0, 64, 2 * SECOND);
@@ -442,13 +538,24 @@
 #[test]
 fn tries_that_are_mostly_left_give_way_while_answers_are_late() {
     let refused = |late: Micros, answered: bool, heavy: Micros| {
-        let mut s = Script::new(29, Site { allowance_per_s: 1e6, ..PLAIN }, 2);
+        let mut s = Script::new(
+            29,
+            Site {
+                allowance_per_s: 1e6,
+                ..PLAIN
+            },
+            2,
+        );
         s.cost_hint = Some(heavy).filter(|&h| h > 0);
         warm_up(&mut s, 0, 64);
         for _ in 0..48 {
             let (inv, _) = s.arrive(0, 0, 64, 700 * MS + heavy);
             s.pass(if answered { 20 * MS } else { 690 * MS + heavy });
-            let outcome = if answered { Outcome::Succeeded } else { Outcome::TimedOut };
+            let outcome = if answered {
+                Outcome::Succeeded
+            } else {
+                Outcome::TimedOut
+            };
             s.end(inv, 0, outcome, CopyNote::Untold);
             answered_after(&mut s, 64, &[20 * MS]);
         }
@@ -501,7 +608,14 @@
 /// invocations, and nearly all of them stood already.
 #[test]
 fn the_first_call_of_a_function_goes_itself_where_workers_load_on_a_miss() {
-    let mut s = Script::new(27, Site { orders: true, ..PLAIN }, 4);
+    let mut s = Script::new(
+        27,
+        Site {
+            orders: true,
+            ..PLAIN
+        },
+        4,
+    );
     let (inv, actions) = s.arrive(0, 0, 1, 2 * SECOND);
     assert_eq!((sent(&actions).len(), ordered(&actions).len()), (1, 0));
     let home = sent(&actions)[0];
@@ -509,19 +623,31 @@
     answer(&mut s, inv, 20 * MS);
     assert_eq!(sent(&s.arrive(0, 0, 1, 2 * SECOND).1), [home]);
     // Its one lane is taken: the draws of one in five are orders, as nothing need wait for them.
-    let drawn: Vec<Action> = (0..20).flat_map(|_| s.arrive(0, 0, 1, 2 * SECOND).1).collect();
+    let drawn: Vec<Action> = (0..20)
+        .flat_map(|_| s.arrive(0, 0, 1, 2 * SECOND).1)
+        .collect();
     assert!(sent(&drawn).is_empty() && !ordered(&drawn).is_empty());
 }
 
 /// The same: draws had used up the ration of orders, and what needs no order was held for it.
 #[test]
 fn a_call_that_goes_itself_does_not_wait_for_the_ration_of_orders() {
-    let mut s = Script::new(29, Site { orders: true, ration: true, ..PLAIN }, 12);
+    let mut s = Script::new(
+        29,
+        Site {
+            orders: true,
+            ration: true,
+            ..PLAIN
+        },
+        12,
+    );
     for func in 0..5 {
         warm_up(&mut s, func, 1);
     }
-    let orders: usize =
-        (0..30).map(|n| s.arrive(0, n % 5, 1, 2 * SECOND).1).map(|actions| ordered(&actions).len()).sum();
+    let orders: usize = (0..30)
+        .map(|n| s.arrive(0, n % 5, 1, 2 * SECOND).1)
+        .map(|actions| ordered(&actions).len())
+        .sum();
     assert_eq!(orders, 2, "the ration is used up");
     assert_eq!(sent(&s.arrive(0, 5, 1, 2 * SECOND).1).len(), 1);
 }
@@ -556,7 +682,11 @@
     let home = warm_up(&mut s, 0, 2);
     // Another one that holds a copy, too.
     let other = (0..4).find(|w| *w != home).expect("one of four");
-    s.tell(&Event::Held { worker: other, func: 0, copies: 1 });
+    s.tell(&Event::Held {
+        worker: other,
+        func: 0,
+        copies: 1,
+    });
     for at in [home, other, home, other] {
         s.prefers = Some(at);
         let (inv, actions) = s.arrive(0, 0, 2, 2 * SECOND);
@@ -565,9 +695,13 @@
     }
     // With its lanes taken it goes to the other, and with neither warm as any other.
     s.prefers = Some(home);
-    let to: Vec<_> = (0..4).flat_map(|_| sent(&s.arrive(0, 0, 2, 2 * SECOND).1)).collect();
+    let to: Vec<_> = (0..4)
+        .flat_map(|_| sent(&s.arrive(0, 0, 2, 2 * SECOND).1))
+        .collect();
     assert_eq!((to[0], to.contains(&other)), (home, true), "{to:?}");
-    let stranger = (0..4).find(|w| *w != home && *w != other).expect("one of four");
+    let stranger = (0..4)
+        .find(|w| *w != home && *w != other)
+        .expect("one of four");
     let mut s = Script::new(1, PLAIN, 4);
     let home = warm_up(&mut s, 0, 2);
     s.prefers = Some(if home == stranger { other } else { stranger });
@@ -576,7 +710,14 @@
 
 #[test]
 fn a_wanted_copy_is_ordered_within_the_bounds_of_all_loads() {
-    let mut s = Script::new(1, Site { ration: true, ..ORDERED }, 4);
+    let mut s = Script::new(
+        1,
+        Site {
+            ration: true,
+            ..ORDERED
+        },
+        4,
+    );
     // Nobody has asked for it yet.
     assert_eq!(ordered(&s.want(2, 5)), [2]);
     // One under way for the function; the ration of the script is two in five seconds.
@@ -586,7 +727,13 @@
     s.pass(6 * SECOND);
     let ended = |s: &mut Script, worker, func| {
         let (result, took) = (OrderResult::Stand, 400 * MS);
-        s.tell(&Event::OrderEnded { worker, func, result, took, copies: 1 });
+        s.tell(&Event::OrderEnded {
+            worker,
+            func,
+            result,
+            took,
+            copies: 1,
+        });
     };
     ended(&mut s, 2, 5);
     // One that stands is renewed, though it needs no load; one that drains takes none.
@@ -595,14 +742,21 @@
     s.pass(SECOND);
     assert!(ordered(&s.want(0, 8)).is_empty());
     let mut s = Script::new(1, PLAIN, 4);
-    assert!(ordered(&s.want(2, 5)).is_empty(), "orders are not allowed there");
+    assert!(
+        ordered(&s.want(2, 5)).is_empty(),
+        "orders are not allowed there"
+    );
 }
 
 #[test]
 fn while_a_load_is_under_way_its_worker_s_word_is_not_believed() {
     let mut s = Script::new(1, PLAIN, 4);
     let home = sent(&s.arrive(0, 0, 2, 4 * SECOND).1)[0];
-    s.tell(&Event::Held { worker: home, func: 0, copies: 0 });
+    s.tell(&Event::Held {
+        worker: home,
+        func: 0,
+        copies: 0,
+    });
     // The second lane of what is being loaded.
     assert_eq!(sent(&s.arrive(0, 0, 2, 4 * SECOND).1), [home]);
 }
@@ -614,12 +768,36 @@
     let home = ordered(&actions)[0];
     // Another router has loaded it elsewhere: what waits leaves at once.
     let other = (0..4).find(|w| *w != home).expect("one of four");
-    assert_eq!(sent(&s.tell(&Event::Held { worker: other, func: 0, copies: 1 })), [other]);
+    assert_eq!(
+        sent(&s.tell(&Event::Held {
+            worker: other,
+            func: 0,
+            copies: 1
+        })),
+        [other]
+    );
     let (result, took) = (OrderResult::Stand, 400 * MS);
-    s.tell(&Event::OrderEnded { worker: home, func: 0, result, took, copies: 1 });
+    s.tell(&Event::OrderEnded {
+        worker: home,
+        func: 0,
+        result,
+        took,
+        copies: 1,
+    });
     // Gone without a word: the next one loads anew, somewhere.
-    s.tell(&Event::Held { worker: home, func: 0, copies: 0 });
-    s.tell(&Event::Held { worker: other, func: 0, copies: 0 });
+    s.tell(&Event::Held {
+        worker: home,
+        func: 0,
+        copies: 0,
+    });
+    s.tell(&Event::Held {
+        worker: other,
+        func: 0,
+        copies: 0,
+    });
     let (_, actions) = s.arrive(0, 0, 1, 2 * SECOND);
-    assert!(sent(&actions).is_empty() && ordered(&actions).len() == 1, "{actions:?}");
+    assert!(
+        sent(&actions).is_empty() && ordered(&actions).len() == 1,
+        "{actions:?}"
+    );
 }
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -13,13 +13,33 @@
 /// One step of a run: some time passes, then something happens.
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive { trigger: u32, func: FnIx, gives_up_in: Micros },
-    Leave { nth: usize },
-    Drain { worker: WorkerIx },
-    Restart { worker: WorkerIx },
-    Mood { worker: WorkerIx, mood: u32 },
-    Want { worker: WorkerIx, func: FnIx },
-    Hold { worker: WorkerIx, func: FnIx, copies: u32 },
+    Arrive {
+        trigger: u32,
+        func: FnIx,
+        gives_up_in: Micros,
+    },
+    Leave {
+        nth: usize,
+    },
+    Drain {
+        worker: WorkerIx,
+    },
+    Restart {
+        worker: WorkerIx,
+    },
+    Mood {
+        worker: WorkerIx,
+        mood: u32,
+    },
+    Want {
+        worker: WorkerIx,
+        func: FnIx,
+    },
+    Hold {
+        worker: WorkerIx,
+        func: FnIx,
+        copies: u32,
+    },
 }
 
 fn steps() -> impl Strategy<Value = Vec<(Micros, Step)>> {
@@ -54,7 +74,11 @@
 /// How a worker in this mood ends a dispatch, and after what time.
 fn ending(mood: u32, draw: u64, warm: bool) -> (Outcome, Micros, CopyNote) {
     let work = (20 + draw % 150) as Micros * MS;
-    let (note, load) = if warm { (CopyNote::Found, 0) } else { (CopyNote::Began, 500 * MS) };
+    let (note, load) = if warm {
+        (CopyNote::Found, 0)
+    } else {
+        (CopyNote::Began, 500 * MS)
+    };
     match mood {
         1 => (Outcome::TimedOut, Micros::MAX, CopyNote::Untold),
         2 => (Outcome::Throttled, 2 * MS, CopyNote::Untold),
@@ -79,26 +103,50 @@
 }
 
 impl World {
-    fn take(&mut self, s: &Script, funcs: &[FnIx], counts: &mut BTreeMap<InvIx, u32>, actions: &[Action]) {
+    fn take(
+        &mut self,
+        s: &Script,
+        funcs: &[FnIx],
+        counts: &mut BTreeMap<InvIx, u32>,
+        actions: &[Action],
+    ) {
         for action in actions {
             self.serial += 1;
             let draw = self.serial.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20;
             match *action {
-                Action::Dispatch { inv, worker, time_out } => {
+                Action::Dispatch {
+                    inv,
+                    worker,
+                    time_out,
+                } => {
                     let n = counts.entry(inv).and_modify(|n| *n += 1).or_insert(0);
                     let func = funcs[inv as usize];
-                    let (mut outcome, after, mut note) =
-                        ending(self.moods[worker as usize], draw, s.warm.contains(&(worker, func)));
+                    let (mut outcome, after, mut note) = ending(
+                        self.moods[worker as usize],
+                        draw,
+                        s.warm.contains(&(worker, func)),
+                    );
                     let mut at = s.now.saturating_add(after);
-                    let limit = time_out.map_or(s.gives_up_at(inv), |t| s.gives_up_at(inv).min(s.now + t));
+                    let limit =
+                        time_out.map_or(s.gives_up_at(inv), |t| s.gives_up_at(inv).min(s.now + t));
                     if at >= limit {
                         (at, outcome, note) = (limit, Outcome::TimedOut, CopyNote::Untold);
                     }
-                    self.due.insert((at, self.serial), Back::Dispatch(inv, *n, outcome, note, worker, func));
+                    self.due.insert(
+                        (at, self.serial),
+                        Back::Dispatch(inv, *n, outcome, note, worker, func),
+                    );
                 }
-                Action::Order { worker, func, copies } => {
+                Action::Order {
+                    worker,
+                    func,
+                    copies,
+                } => {
                     let after = (5 + draw % 900) as Micros * MS;
-                    self.due.insert((s.now + after, self.serial), Back::Order(worker, func, copies, after));
+                    self.due.insert(
+                        (s.now + after, self.serial),
+                        Back::Order(worker, func, copies, after),
+                    );
                 }
                 _ => {}
             }
@@ -114,7 +162,11 @@
     for (span, step) in steps.iter().map(|(t, s)| (*t, Some(s))).chain(quiet) {
         let until = s.now + span;
         loop {
-            let back = world.due.first_key_value().map(|(k, _)| k.0).filter(|t| *t <= until);
+            let back = world
+                .due
+                .first_key_value()
+                .map(|(k, _)| k.0)
+                .filter(|t| *t <= until);
             // Timer by timer, as what one sends may be due before the next.
             let timer = s.timers.first().map_or(until, |t| t.0).max(s.now);
             let next = back.unwrap_or(until).max(s.now).min(timer);
@@ -127,7 +179,9 @@
                 }
                 break;
             }
-            let Some((_, back)) = world.due.pop_first() else { break };
+            let Some((_, back)) = world.due.pop_first() else {
+                break;
+            };
             let actions = match back {
                 Back::Dispatch(inv, n, outcome, note, worker, func) => {
                     if outcome == Outcome::Succeeded {
@@ -141,28 +195,43 @@
                         5 => OrderResult::LoadErrored,
                         _ => OrderResult::Stand,
                     };
-                    s.tell(&Event::OrderEnded { worker, func, result, took, copies })
+                    s.tell(&Event::OrderEnded {
+                        worker,
+                        func,
+                        result,
+                        took,
+                        copies,
+                    })
                 }
             };
             world.take(&s, &funcs, &mut counts, &actions);
             log.extend(actions);
         }
         let actions = match step {
-            Some(&Step::Arrive { trigger, func, gives_up_in }) => {
+            Some(&Step::Arrive {
+                trigger,
+                func,
+                gives_up_in,
+            }) => {
                 // A function has one trigger type.
                 funcs.push(func * 3 + trigger);
-                s.arrive(trigger, func * 3 + trigger, 1 + func % 2, gives_up_in).1
+                s.arrive(trigger, func * 3 + trigger, 1 + func % 2, gives_up_in)
+                    .1
             }
             Some(&Step::Leave { nth }) => match funcs.len().checked_sub(nth + 1) {
                 Some(inv) if s.owes(inv as InvIx) => s.depart(inv as InvIx),
                 _ => Vec::new(),
             },
-            Some(&Step::Drain { worker }) => {
-                s.list(ListMode::Changes, &[entry(worker, Standing::Draining, None)])
-            }
+            Some(&Step::Drain { worker }) => s.list(
+                ListMode::Changes,
+                &[entry(worker, Standing::Draining, None)],
+            ),
             Some(&Step::Restart { worker }) => {
                 world.moods[worker as usize] = 0;
-                s.list(ListMode::Changes, &[entry(worker, Standing::InService, Some(s.now))])
+                s.list(
+                    ListMode::Changes,
+                    &[entry(worker, Standing::InService, Some(s.now))],
+                )
             }
             Some(&Step::Mood { worker, mood }) => {
                 world.moods[worker as usize] = mood;
@@ -170,9 +239,15 @@
             }
             // Of trigger type 0, as the script asks for it.
             Some(&Step::Want { worker, func }) => s.want(worker, func * 3),
-            Some(&Step::Hold { worker, func, copies }) => {
-                s.tell(&Event::Held { worker, func: func * 3, copies })
-            }
+            Some(&Step::Hold {
+                worker,
+                func,
+                copies,
+            }) => s.tell(&Event::Held {
+                worker,
+                func: func * 3,
+                copies,
+            }),
             None => Vec::new(),
         };
         world.take(&s, &funcs, &mut counts, &actions);
@@ -194,7 +269,10 @@
     let runs = (any::<u64>(), sites(), steps());
     let result = runner.run(&runs, |(seed, site, steps)| {
         let once = run(seed, site, &steps);
-        prop_assert!(once == run(seed, site, &steps), "the same events gave other actions");
+        prop_assert!(
+            once == run(seed, site, &steps),
+            "the same events gave other actions"
+        );
         Ok(())
     });
     if let Err(e) = result {
--- a/tests/decisions/script.rs
+++ b/tests/decisions/script.rs
@@ -45,24 +45,36 @@
 };
 
 pub fn triggers(site: Site) -> Vec<TriggerType> {
-    let tokened = Effect::Tokened { group: site.group, window: 1_200 * MS };
-    [(Effect::Idempotent, 1.0), (tokened, 1.0), (Effect::NonIdempotent, site.dear)]
-        .map(|(effect, billed_value)| TriggerType {
-            effect,
-            latency_objective: 800 * MS,
-            objective_stretch: 1.0,
-            client_timeout: 2 * SECOND,
-            billed_value,
-            late_part: 0.1,
-            streamed: false,
-        })
-        .to_vec()
+    let tokened = Effect::Tokened {
+        group: site.group,
+        window: 1_200 * MS,
+    };
+    [
+        (Effect::Idempotent, 1.0),
+        (tokened, 1.0),
+        (Effect::NonIdempotent, site.dear),
+    ]
+    .map(|(effect, billed_value)| TriggerType {
+        effect,
+        latency_objective: 800 * MS,
+        objective_stretch: 1.0,
+        client_timeout: 2 * SECOND,
+        billed_value,
+        late_part: 0.1,
+        streamed: false,
+    })
+    .to_vec()
 }
 
 fn router(seed: u64, position: u32, site: Site) -> Control {
     Control::new(
         seed,
-        FleetPosition { routers: site.routers, position, zone: 0, granularity: 4 * MS },
+        FleetPosition {
+            routers: site.routers,
+            position,
+            zone: 0,
+            granularity: 4 * MS,
+        },
         DispatchLimits {
             max_dispatches: 4,
             second_copies: site.second_copies,
@@ -82,7 +94,10 @@
             overload_window: WINDOW,
         },
         triggers(site),
-        vec![cedarpulley::interface::Account { allowance_per_s: site.allowance_per_s, share: 1.0 }],
+        vec![cedarpulley::interface::Account {
+            allowance_per_s: site.allowance_per_s,
+            share: 1.0,
+        }],
         LoadTerms {
             idle_kept: KEPT,
             orders: site.orders,
@@ -103,7 +118,16 @@
 pub fn entry(worker: WorkerIx, standing: Standing, started: Option<Micros>) -> ListEntry {
     let fingerprint = 0x9e37_79b9_u64.wrapping_mul(u64::from(worker) + 1);
     let zone = worker % 2;
-    ListEntry { worker, fingerprint, zone, kind: 0, cell: worker / 2, standing, weight: 1.0, started }
+    ListEntry {
+        worker,
+        fingerprint,
+        zone,
+        kind: 0,
+        cell: worker / 2,
+        standing,
+        weight: 1.0,
+        started,
+    }
 }
 
 struct Sent {
@@ -166,7 +190,9 @@
             timers: BTreeSet::new(),
             warm: BTreeSet::new(),
         };
-        let entries: Vec<_> = (0..workers).map(|w| entry(w, Standing::InService, None)).collect();
+        let entries: Vec<_> = (0..workers)
+            .map(|w| entry(w, Standing::InService, None))
+            .collect();
         script.list(ListMode::Saved, &entries);
         script
     }
@@ -199,7 +225,12 @@
         let inv = self.ledger.len() as InvIx;
         let effect = triggers(self.site)[trigger as usize].effect;
         let gives_up_at = self.now + gives_up_in;
-        self.ledger.push(Account { effect, gives_up_at, answered: false, sent: Vec::new() });
+        self.ledger.push(Account {
+            effect,
+            gives_up_at,
+            answered: false,
+            sent: Vec::new(),
+        });
         self.open.insert((gives_up_at, inv));
         self.arrivals.push(self.now);
         let arrival = Arrival {
@@ -222,7 +253,12 @@
 
     /// A copy is wanted there.
     pub fn want(&mut self, worker: WorkerIx, func: FnIx) -> Vec<Action> {
-        let asked = Asked { func, fingerprint: 77 + u64::from(func), trigger: 0, lanes: 1 };
+        let asked = Asked {
+            func,
+            fingerprint: 77 + u64::from(func),
+            trigger: 0,
+            lanes: 1,
+        };
         self.tell(&Event::Wanted { worker, asked })
     }
 
@@ -244,7 +280,13 @@
         self.tell(&Event::Departed { inv })
     }
 
-    pub fn end(&mut self, inv: InvIx, dispatch: u32, outcome: Outcome, note: CopyNote) -> Vec<Action> {
+    pub fn end(
+        &mut self,
+        inv: InvIx,
+        dispatch: u32,
+        outcome: Outcome,
+        note: CopyNote,
+    ) -> Vec<Action> {
         let account = &mut self.ledger[inv as usize];
         let sent = &mut account.sent[dispatch as usize];
         assert!(sent.out, "the script ends a dispatch twice");
@@ -292,7 +334,10 @@
                 self.open.pop_first();
                 continue;
             }
-            assert!(self.now <= gives_up_at + SLACK, "rule 1: {inv} has no answer when its client gave up");
+            assert!(
+                self.now <= gives_up_at + SLACK,
+                "rule 1: {inv} has no answer when its client gave up"
+            );
             break;
         }
         actions
@@ -303,13 +348,21 @@
         match *action {
             Action::Dispatch { inv, worker, .. } => {
                 let account = &mut self.ledger[inv as usize];
-                assert!(!account.answered, "rule 1: {inv} is dispatched after its answer");
+                assert!(
+                    !account.answered,
+                    "rule 1: {inv} is dispatched after its answer"
+                );
                 let out = account.sent.iter().filter(|s| s.out).count();
-                assert!(out == 0 || (self.site.second_copies && out == 1), "rule 2: {inv} is out twice");
+                assert!(
+                    out == 0 || (self.site.second_copies && out == 1),
+                    "rule 2: {inv} is out twice"
+                );
                 let mut ran = account.sent.iter().filter(|s| s.out || !s.never_ran);
                 match account.effect {
                     Effect::Idempotent => {}
-                    Effect::NonIdempotent => assert!(ran.next().is_none(), "rule 2: {inv} may run twice"),
+                    Effect::NonIdempotent => {
+                        assert!(ran.next().is_none(), "rule 2: {inv} may run twice")
+                    }
                     Effect::Tokened { group, window } => {
                         for s in ran {
                             let same = match group {
@@ -324,7 +377,12 @@
                         }
                     }
                 }
-                account.sent.push(Sent { worker, at: now, out: true, never_ran: false });
+                account.sent.push(Sent {
+                    worker,
+                    at: now,
+                    out: true,
+                    never_ran: false,
+                });
                 assert!(account.sent.len() <= 4, "{inv} is dispatched too often");
                 self.check_told(worker);
                 self.sends.push((now, worker));
@@ -334,13 +392,22 @@
                 assert!(self.site.orders, "an order where none may be given");
                 self.check_told(worker);
                 self.orders.push(now);
-                let within = |q: &[Micros]| q.iter().filter(|t| now - **t < 5 * SECOND).count() as f64;
+                let within =
+                    |q: &[Micros]| q.iter().filter(|t| now - **t < 5 * SECOND).count() as f64;
                 let most = 2.0 + 0.02 * within(&self.arrivals);
-                assert!(!self.site.ration || within(&self.orders) <= most, "rule 5: too many orders");
+                assert!(
+                    !self.site.ration || within(&self.orders) <= most,
+                    "rule 5: too many orders"
+                );
             }
-            Action::Throttle { inv, return_after, .. } => {
+            Action::Throttle {
+                inv, return_after, ..
+            } => {
                 let told = return_after.is_none_or(|t| (1..=MAX_ADVICE).contains(&t));
-                assert!(told, "{inv} is told to stay away for longer than the settings allow");
+                assert!(
+                    told,
+                    "{inv} is told to stay away for longer than the settings allow"
+                );
                 let account = &mut self.ledger[inv as usize];
                 assert!(!account.answered, "rule 1: {inv} is answered twice");
                 let ran = account.sent.iter().any(|s| s.out || !s.never_ran);
@@ -349,7 +416,10 @@
                     Effect::Tokened { group, .. } => group == RepeatGroup::All,
                     Effect::NonIdempotent => false,
                 };
-                assert!(!ran || harmless, "rule 2: {inv} is throttled though it may have run");
+                assert!(
+                    !ran || harmless,
+                    "rule 2: {inv} is throttled though it may have run"
+                );
                 account.answered = true;
             }
             Action::Error { inv } => {
@@ -366,25 +436,47 @@
 
     fn check_told(&self, worker: WorkerIx) {
         let late = self.told.get(&worker).is_some_and(|t| self.now - t > GRACE);
-        assert!(!late, "rule 3: worker {worker} is sent new work after the grace");
+        assert!(
+            !late,
+            "rule 3: worker {worker} is sent new work after the grace"
+        );
     }
 
     /// Rule 4, by what the busiest warm worker has been seen to carry, or one core alone does: it can do that.
     fn check_cold(&self, worker: WorkerIx) {
-        let Some(age) = self.started.get(&worker).map(|s| self.now - s).filter(|a| *a < COLD_FOR) else {
+        let Some(age) = self
+            .started
+            .get(&worker)
+            .map(|s| self.now - s)
+            .filter(|a| *a < COLD_FOR)
+        else {
             return;
         };
         let within = |q: &[(Micros, WorkerIx)], w: WorkerIx, from: Micros, to: Micros| {
-            let recent = q.iter().rev().skip_while(|(t, _)| *t > to).take_while(|(t, _)| *t > from);
+            let recent = q
+                .iter()
+                .rev()
+                .skip_while(|(t, _)| *t > to)
+                .take_while(|(t, _)| *t > from);
             recent.filter(|(_, v)| *v == w).count() as f64
         };
         let carried = (0..16)
             .flat_map(|w| (0..4).map(move |k| (w, k)))
-            .map(|(w, k)| within(&self.successes, w, self.now - (k + 1) * WINDOW, self.now - k * WINDOW))
+            .map(|(w, k)| {
+                within(
+                    &self.successes,
+                    w,
+                    self.now - (k + 1) * WINDOW,
+                    self.now - k * WINDOW,
+                )
+            })
             .fold(WINDOW as f64 / MEAN_WORK as f64, f64::max);
         let grown = COLD_PART + (1.0 - COLD_PART) * age as f64 / COLD_FOR as f64;
         let most = (MULTIPLE * grown * carried).max(1.0);
         let sent = within(&self.sends, worker, self.now - WINDOW, self.now);
-        assert!(sent <= most, "rule 4: a cold worker {worker} is sent {sent}, can bear {most}");
+        assert!(
+            sent <= most,
+            "rule 4: a cold worker {worker} is sent {sent}, can bear {most}"
+        );
     }
 }
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -40,18 +40,27 @@
     }
 
     fn work(&self) -> Micros {
-        (WINDOW as f64 * CORES as f64 / self.capacity()).clamp(MS as f64, 300.0 * MS as f64) as Micros
+        (WINDOW as f64 * CORES as f64 / self.capacity()).clamp(MS as f64, 300.0 * MS as f64)
+            as Micros
     }
 
     fn weight(&self, router: usize) -> f64 {
-        if router.is_multiple_of(5) { self.uneven } else { 1.0 }
+        if router.is_multiple_of(5) {
+            self.uneven
+        } else {
+            1.0
+        }
     }
 
     /// Calls that the worker bears in a window at this age, with the slack that the rule has for chance.
     fn allowed(&self, age: Micros) -> f64 {
         let grown = COLD_PART + (1.0 - COLD_PART) * age as f64 / COLD_FOR as f64;
         let calls = MULTIPLE * grown * self.capacity();
-        if calls < 30.0 { calls + 3.0 * calls.sqrt() + 3.0 } else { calls + 2.0 * calls.sqrt() + 2.0 }
+        if calls < 30.0 {
+            calls + 3.0 * calls.sqrt() + 3.0
+        } else {
+            calls + 2.0 * calls.sqrt() + 2.0
+        }
     }
 }
 
@@ -72,11 +81,26 @@
 
 impl Fleet {
     fn new(load: Load) -> Self {
-        let site = Site { routers: load.routers, allowance_per_s: 1e9, ..PLAIN };
-        let routers = (0..load.routers).map(|p| Script::at(p, u64::from(p), site, WARM_WORKERS)).collect();
-        let arriving = (0..load.routers).map(|p| f64::from(p) / f64::from(load.routers)).collect();
+        let site = Site {
+            routers: load.routers,
+            allowance_per_s: 1e9,
+            ..PLAIN
+        };
+        let routers = (0..load.routers)
+            .map(|p| Script::at(p, u64::from(p), site, WARM_WORKERS))
+            .collect();
+        let arriving = (0..load.routers)
+            .map(|p| f64::from(p) / f64::from(load.routers))
+            .collect();
         let free_at = vec![[0; CORES]; WARM_WORKERS as usize + 1];
-        Fleet { load, free_at, routers, out: Out::new(), sent: Vec::new(), arriving }
+        Fleet {
+            load,
+            free_at,
+            routers,
+            out: Out::new(),
+            sent: Vec::new(),
+            arriving,
+        }
     }
 
     fn now(&self) -> Micros {
@@ -86,11 +110,19 @@
     fn carry_out(&mut self, router: usize, actions: &[Action]) {
         for action in actions {
             if let Action::Dispatch { inv, worker, .. } = *action {
-                let core = self.free_at[worker as usize].iter_mut().min().expect("a core");
+                let core = self.free_at[worker as usize]
+                    .iter_mut()
+                    .min()
+                    .expect("a core");
                 *core = (*core).max(self.routers[0].now) + self.load.work();
                 let gives_up_at = self.routers[router].gives_up_at(inv);
-                let outcome = if *core < gives_up_at { Outcome::Succeeded } else { Outcome::TimedOut };
-                self.out.insert(((*core).min(gives_up_at), router, inv), outcome);
+                let outcome = if *core < gives_up_at {
+                    Outcome::Succeeded
+                } else {
+                    Outcome::TimedOut
+                };
+                self.out
+                    .insert(((*core).min(gives_up_at), router, inv), outcome);
                 if worker == COLD {
                     self.sent.push(self.now());
                 }
@@ -102,7 +134,11 @@
     fn all_hold(&mut self, workers: std::ops::Range<WorkerIx>) {
         for router in 0..self.routers.len() {
             for worker in workers.clone() {
-                let actions = self.routers[router].tell(&Event::Held { worker, func: FUNCTION, copies: 1 });
+                let actions = self.routers[router].tell(&Event::Held {
+                    worker,
+                    func: FUNCTION,
+                    copies: 1,
+                });
                 self.carry_out(router, &actions);
             }
         }
@@ -113,7 +149,11 @@
             let actions = self.routers[router].pass(STEP);
             self.carry_out(router, &actions);
         }
-        while let Some(first) = self.out.first_entry().filter(|out| out.key().0 <= self.routers[0].now) {
+        while let Some(first) = self
+            .out
+            .first_entry()
+            .filter(|out| out.key().0 <= self.routers[0].now)
+        {
             let ((_, router, inv), outcome) = first.remove_entry();
             let actions = self.routers[router].end(inv, 0, outcome, CopyNote::Found);
             self.carry_out(router, &actions);
@@ -141,7 +181,11 @@
     /// The most that the cold worker got in a window, over what it bears then.
     fn worst(&self, started: Micros) -> f64 {
         let share = |(n, at): (usize, &Micros)| {
-            let within = self.sent[..=n].iter().rev().take_while(|t| **t > at - WINDOW).count();
+            let within = self.sent[..=n]
+                .iter()
+                .rev()
+                .take_while(|t| **t > at - WINDOW)
+                .count();
             within as f64 / self.load.allowed(at - started)
         };
         self.sent.iter().enumerate().map(share).fold(0.0, f64::max)
@@ -177,7 +221,13 @@
             for (uneven, demand) in [(5.0, 1.0), (1.0, 1.3)].into_iter().take(1 + overloads) {
                 // A worker starts at any moment of the routers' windows.
                 let into_window = WINDOW * i64::from(routers % 7) / 10 + WINDOW / 2;
-                let load = Load { routers, bears, uneven, demand, restarted: false };
+                let load = Load {
+                    routers,
+                    bears,
+                    uneven,
+                    demand,
+                    restarted: false,
+                };
                 let (worst, _) = play(load, into_window);
                 assert!(worst <= 1.0, "{load:?}: {worst:.2} of what it bears");
             }
@@ -189,7 +239,13 @@
 fn a_fleet_that_has_just_restarted_keeps_to_what_a_cold_worker_bears() {
     for routers in [1, 3, 30, 300] {
         for bears in [1.0, 12.0, 100.0] {
-            let load = Load { routers, bears, uneven: 5.0, demand: 1.0, restarted: true };
+            let load = Load {
+                routers,
+                bears,
+                uneven: 5.0,
+                demand: 1.0,
+                restarted: true,
+            };
             let (worst, _) = play(load, 0);
             assert!(worst <= 1.0, "{load:?}: {worst:.2} of what it bears");
         }
@@ -200,10 +256,26 @@
 #[test]
 fn a_cold_worker_is_used_by_few_routers_and_by_many() {
     // With fewer calls to a worker than it bears for each router, a part of one call may find none to take it.
-    for (routers, bears) in [(1, 30.0), (1, 100.0), (30, 30.0), (30, 100.0), (300, 100.0), (300, 400.0)] {
-        let load = Load { routers, bears, uneven: 1.0, demand: 1.0, restarted: false };
+    for (routers, bears) in [
+        (1, 30.0),
+        (1, 100.0),
+        (30, 30.0),
+        (30, 100.0),
+        (300, 100.0),
+        (300, 400.0),
+    ] {
+        let load = Load {
+            routers,
+            bears,
+            uneven: 1.0,
+            demand: 1.0,
+            restarted: false,
+        };
         let (_, calls) = play(load, 0);
         let windows = (WATCHED / WINDOW) as f64;
-        assert!(calls as f64 > bears * windows / 4.0, "{load:?}: {calls} calls");
+        assert!(
+            calls as f64 > bears * windows / 4.0,
+            "{load:?}: {calls} calls"
+        );
     }
 }
