--- /dev/null
+++ b/crates/trace/tests/every_cause/mod.rs
@@ -0,0 +1,261 @@
+//! A file of one router in which each cause that `explain` knows costs something, and each fate and action that
+//! `show`, `summary` and `rules` tell of occurs. Invented: no module decided it.
+#![allow(dead_code)] // Each user takes its part.
+
+use cedarpulley::ids::fingerprint;
+use cedarpulley::interface::*;
+use cedarpulley_router::entry::Short;
+use cedarpulley_router::{Fate, Reason};
+use cedarpulley_trace::blocks::Gather;
+use cedarpulley_trace::records::{Happened, Record, Space};
+use cedarpulley_trace::start::Start;
+use cedarpulley_trace::writer::Sheet;
+
+const MS: Micros = 1_000;
+/// Of a dispatch that finds its copy.
+const USUAL: Micros = 60 * MS;
+const LATE: Micros = 900 * MS;
+/// Records after this time are of loads, which count as one cause if there are many.
+pub const LOADS_AT: Micros = 100_000 * MS;
+
+struct Told {
+    gather: Gather,
+    now: Micros,
+    inv: u32,
+}
+
+impl Told {
+    fn new() -> Told {
+        let mut told = Told {
+            gather: Gather::default(),
+            now: 0,
+            inv: 0,
+        };
+        let entry = |worker: u32| ListEntry {
+            worker,
+            fingerprint: u64::from(worker) + 99,
+            zone: 0,
+            kind: 0,
+            cell: 0,
+            standing: Standing::InService,
+            weight: 1.0,
+            started: None,
+        };
+        for n in 0..5 {
+            told.gather.name(0, Space::Worker, n, &format!("w{n}"));
+            told.gather.name(0, Space::Function, n, &format!("f{n}"));
+        }
+        told.record(Record::Decided {
+            happened: Happened::List {
+                mode: ListMode::Complete,
+                entries: (0..5).map(entry).collect(),
+            },
+            actions: vec![Action::AskList { follow: true }],
+        });
+        told
+    }
+
+    fn record(&mut self, record: Record) {
+        self.gather.record(self.now, &record);
+        self.now += 1;
+    }
+
+    fn decided(&mut self, event: Event<'static>, actions: Vec<Action>) {
+        self.record(Record::Decided {
+            happened: Happened::Other(event),
+            actions,
+        });
+    }
+
+    fn comes(&mut self, func: u32, waited: Micros, act: impl FnOnce(u32) -> Vec<Action>) -> u32 {
+        self.inv += 1;
+        let inv = self.inv;
+        self.record(Record::Taken {
+            inv,
+            front: inv % 2,
+            mark: Some(fingerprint(&format!("mark-{inv}"))),
+            redelivered: inv.is_multiple_of(3),
+        });
+        let arrival = Arrival {
+            inv,
+            trigger: 1,
+            account: 0,
+            func,
+            fingerprint: fingerprint(&format!("f{func}")),
+            cost_hint: None,
+            load_hint: None,
+            copy_mb: 1.0,
+            lanes: 1,
+            client_gives_up_in: 4_000 * MS,
+            waited,
+            repeat: false,
+            prefers: None,
+        };
+        self.decided(Event::Invocation(arrival), act(inv));
+        inv
+    }
+
+    fn sent(&mut self, func: u32, worker: u32, waited: Micros) -> u32 {
+        self.comes(func, waited, |inv| {
+            let time_out = Some(2_000 * MS);
+            vec![Action::Dispatch {
+                inv,
+                worker,
+                time_out,
+            }]
+        })
+    }
+
+    fn answered(&mut self, inv: Option<u32>, fate: Fate, reason: Reason) {
+        self.record(Record::Answered {
+            inv,
+            front: 0,
+            fate,
+            reason,
+            trigger: 1,
+            account: 0,
+            took: 70 * MS,
+        });
+    }
+
+    fn ended(&mut self, inv: u32, worker: u32, took: Micros, outcome: Outcome, note: CopyNote) {
+        let ending = Ending {
+            inv,
+            dispatch: 0,
+            worker,
+            outcome,
+            took,
+            concluded: outcome == Outcome::Succeeded,
+            note,
+            crowd: None,
+            report: Report::default(),
+        };
+        let act = if outcome == Outcome::Succeeded {
+            vec![]
+        } else {
+            vec![Action::Error { inv }]
+        };
+        self.decided(Event::DispatchEnded(ending), act);
+    }
+
+    fn succeeds(&mut self, inv: u32, worker: u32, took: Micros, note: CopyNote) {
+        self.now += took;
+        self.answered(Some(inv), Fate::Succeeded, Reason::Worker);
+        self.ended(inv, worker, took, Outcome::Succeeded, note);
+    }
+
+    /// Sent once, and lost as its dispatch ends so.
+    fn fails(&mut self, worker: u32, outcome: Outcome) {
+        let inv = self.sent(0, worker, 0);
+        self.now += USUAL;
+        self.ended(inv, worker, USUAL, outcome, CopyNote::Untold);
+        self.answered(Some(inv), Fate::Errored, Reason::GivenUp);
+    }
+
+    fn held(&mut self, func: u32, act: impl FnOnce(u32) -> Vec<Action>) {
+        let inv = self.comes(func, 0, act);
+        self.now += LATE;
+        self.decided(
+            Event::Timer { token: 7 },
+            vec![Action::Throttle {
+                inv,
+                return_after: None,
+            }],
+        );
+        self.answered(Some(inv), Fate::Throttled, Reason::GivenUp);
+    }
+
+    fn turned_away(&mut self, why: Short) {
+        self.record(Record::TurnedAway {
+            front: 1,
+            trigger: 1,
+            account: 1,
+            why,
+        });
+    }
+
+    fn limits(&mut self) {
+        for why in [
+            Short::Front,
+            Short::Account,
+            Short::Connection,
+            Short::Memory,
+            Short::Worth,
+        ] {
+            self.turned_away(why);
+        }
+        for reason in [
+            Reason::Share,
+            Reason::Expired,
+            Reason::MayHaveRun,
+            Reason::Size,
+            Reason::NoMajority,
+            Reason::SessionOver,
+            Reason::Functions,
+        ] {
+            self.answered(None, Fate::Throttled, reason);
+        }
+    }
+
+    fn workers(&mut self) {
+        for _ in 0..10 {
+            let inv = self.sent(0, 0, 0);
+            self.succeeds(inv, 0, USUAL, CopyNote::Found);
+        }
+        self.fails(1, Outcome::TimedOut);
+        self.fails(2, Outcome::Errored);
+        self.fails(2, Outcome::Throttled);
+        self.fails(2, Outcome::Missed);
+        let slow = self.sent(0, 3, 0);
+        self.succeeds(slow, 3, LATE, CopyNote::Found);
+        let came_late = self.sent(0, 0, LATE);
+        self.succeeds(came_late, 0, USUAL, CopyNote::Found);
+        // Late by a little more than the objective, at the usual pace of nothing else.
+        let own = self.sent(0, 0, 750 * MS);
+        self.succeeds(own, 0, USUAL, CopyNote::Found);
+        let left = self.sent(0, 0, 0);
+        self.decided(
+            Event::Departed { inv: left },
+            vec![Action::Withdraw {
+                inv: left,
+                dispatch: 0,
+            }],
+        );
+    }
+
+    fn loads(&mut self) {
+        self.now = LOADS_AT;
+        for func in 1..4 {
+            self.held(func, |_| {
+                vec![Action::Order {
+                    worker: 1,
+                    func,
+                    copies: 1,
+                }]
+            });
+        }
+    }
+}
+
+pub fn start() -> Start {
+    Start {
+        file: 0,
+        ..super::every_record::start(0)
+    }
+}
+
+pub fn file() -> Vec<u8> {
+    let mut told = Told::new();
+    told.limits();
+    told.workers();
+    told.held(0, |_| vec![]);
+    told.record(Record::Gap {
+        records: 12,
+        from: told.now,
+        until: told.now + 5,
+    });
+    told.loads();
+    let mut sheet = Sheet::begin(Vec::new(), &[start().into()]).expect("written");
+    sheet.block(0, &told.gather.close()).expect("written");
+    sheet.end().expect("written")
+}
--- /dev/null
+++ b/crates/trace/tests/printed_names.rs
@@ -0,0 +1,128 @@
+//! Names of events, actions, causes, kinds of differences and counts as `cedarpulley trace` prints them, in text and as
+//! JSON: those in `fixtures/printed-names.txt`.
+
+mod every_record;
+
+use std::fmt::Debug;
+use std::path::Path;
+
+use cedarpulley_trace::compare::{Compared, Count, Did, Kind};
+use cedarpulley_trace::explain::{Cause, Ranked};
+use cedarpulley_trace::replay::told;
+use cedarpulley_trace::rules::Judged;
+use cedarpulley_trace::summary::{AtWorker, Fates, Summary, Times};
+use serde::Serialize;
+
+/// In text as [`Debug`] has it, and as JSON.
+fn both(value: impl Serialize + Debug) -> String {
+    let json = serde_json::to_string(&value).expect("JSON");
+    format!("{value:?} {json}\n")
+}
+
+fn json(value: impl Serialize) -> String {
+    serde_json::to_string(&value).expect("JSON") + "\n"
+}
+
+fn causes() -> Vec<Cause> {
+    let causes = [
+        Cause::BeyondShare,
+        Cause::Door,
+        Cause::CameLate,
+        Cause::WorkerSilent,
+        Cause::WorkerErrored,
+        Cause::WorkerSlow,
+        Cause::WorkersFull,
+        Cause::NoPlace,
+        Cause::Load,
+        Cause::Loads,
+        Cause::Held,
+        Cause::Redelivered,
+        Cause::OwnWork,
+        Cause::Other,
+    ];
+    causes.map(|cause| cause("subject".into())).into()
+}
+
+fn kinds() -> Vec<Kind> {
+    let did = [
+        Did::Held,
+        Did::Sent,
+        Did::Throttled,
+        Did::Errored,
+        Did::CalledBack,
+    ];
+    let mut kinds: Vec<Kind> = did.map(|d| Kind::Instead(d, Did::Held)).into();
+    kinds.extend([
+        Kind::SentElsewhere,
+        Kind::OtherFigures,
+        Kind::OrderedMore,
+        Kind::OrderedFewer,
+        Kind::OrderedElsewhere,
+        Kind::Upkeep,
+        Kind::Timers,
+    ]);
+    kinds
+}
+
+fn ranked() -> Ranked {
+    Ranked {
+        cause: Cause::Held("subject".into()),
+        cost: 1.5,
+        lost: 2,
+        late: 3,
+        from_us: 4,
+        until_us: 5,
+    }
+}
+
+fn summary() -> Summary {
+    let (name, fates) = (|| "name".to_owned(), Fates::default);
+    Summary {
+        by_trigger: [(name(), fates())].into(),
+        by_account: [(name(), fates())].into(),
+        by_reason: [(name(), 1)].into(),
+        by_worker: [(name(), AtWorker::default())].into(),
+        succeeded_in: Times::default(),
+        ..Default::default()
+    }
+}
+
+fn compared() -> Compared {
+    Compared {
+        by_kind: vec![(Kind::Timers, Count::default())],
+        ..Default::default()
+    }
+}
+
+fn all() -> String {
+    let events = every_record::events();
+    let events = events.iter().map(|e| told(e) + "\n");
+    let actions = every_record::actions();
+    let actions = actions.iter().map(|a| format!("{a:?}\n"));
+    let fates = every_record::FATES.map(|f| format!("{f:?}\n"));
+    let reasons = every_record::REASONS.map(|r| format!("{r:?}\n"));
+    let shorts = every_record::SHORTS.map(|s| format!("{s:?}\n"));
+    let words = fates.into_iter().chain(reasons).chain(shorts);
+    let named = causes().into_iter().map(both);
+    let kinds = kinds().into_iter().map(both);
+    let objects = [
+        json(ranked()),
+        json(summary()),
+        json(compared()),
+        json(Judged::default()),
+    ];
+    let lines = events.chain(actions).chain(words).chain(named).chain(kinds);
+    lines.chain(objects).collect()
+}
+
+/// What was seen is left beside the other files of the build.
+#[test]
+fn printed_names_stay() {
+    let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join("printed-names.txt");
+    std::fs::write(&left, all()).expect("written");
+    let kept = include_str!("fixtures/printed-names.txt");
+    for (seen, kept) in all().lines().zip(kept.lines()) {
+        assert_eq!(seen, kept);
+    }
+    assert!(all() == kept, "see {}", left.display());
+}
