--- /dev/null
+++ b/crates/gateway/tests/state_names.rs
@@ -0,0 +1,270 @@
+//! The names in `GET /state` and `GET /metrics` are those in `fixtures/state-names.txt` and
+//! `fixtures/metric-names.txt`: every key path, every name that stands for a state, and every metric with its labels.
+//! What only a running group shows is tested in `crates/cli/tests/running_state_names.rs`.
+
+use std::cell::Cell;
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::Path;
+use std::rc::Rc;
+
+use bytes::Bytes;
+use cedarpulley_gateway::context::GatewayContext;
+use cedarpulley_gateway::peer_transport::TransportCounts;
+use cedarpulley_gateway::peers::{Peers, RestoredState, Transport};
+use cedarpulley_gateway::{settings, state_endpoint};
+use cedarpulley_membership::{Standing, Why};
+use cedarpulley_net::Clock;
+use cedarpulley_reconcile::drift::KINDS;
+use cedarpulley_replica::record::Choice;
+use cedarpulley_replica::store::Origin;
+use cedarpulley_replica::{Answered, Effect, Memory, Note, Record, Sending, Sent, Shared};
+use cedarpulley_upgrade::{Phase, Stage};
+use serde::Serialize;
+use serde_json::{Value, json};
+
+struct Nowhere;
+
+impl Transport for Nowhere {
+    fn send(&self, _: u16, _: Bytes, _: bool, _: bool) {}
+}
+
+fn context() -> Rc<GatewayContext> {
+    Rc::new(GatewayContext {
+        clock: Clock::start(),
+        executor: Rc::default(),
+        name: "r0".into(),
+        seed: 1,
+        local_address: None,
+        names: Default::default(),
+        tracks_sessions: false,
+        malformed_inputs: Cell::new(0),
+        core_input: Box::new(|_| {}),
+    })
+}
+
+fn peers(name: &str, restored: Option<RestoredState>) -> Peers {
+    let members = ["r0", "r1", "r2"]
+        .map(|m| format!("[[peers.member]]\nname = {m:?}\naddress = \"127.0.0.1:7101\"\n"));
+    let text = format!(
+        "[[trigger]]\nname = \"t\"\neffect = \"idempotent\"\nlatency_objective_ms = 100\nclient_timeout_ms = 1000\n\
+         [[kserve]]\nlisten = \"127.0.0.1:7100\"\n[workers]\nwatch = \"127.0.0.1:7102\"\n\
+         [peers]\nlisten = \"127.0.0.1:7101\"\ngroup = \"g\"\nname = {name:?}\n{}",
+        members.concat()
+    );
+    let parts = settings::read("router.toml", &text, false).unwrap_or_else(|e| panic!("{e}"));
+    let settings = parts.peers.expect("peers");
+    Peers::new(context(), &settings, 1, restored, None, Box::new(Nowhere))
+}
+
+/// One record at each stage.
+fn records() -> Vec<Record> {
+    let taken = Effect {
+        taken: true,
+        ..Default::default()
+    };
+    let sent = |state| Effect {
+        sendings: BTreeMap::from([(
+            (1, 1),
+            Sending {
+                member: 0,
+                state,
+                place: 0,
+            },
+        )]),
+        ..taken.clone()
+    };
+    let effects = [
+        Effect::default(),
+        taken.clone(),
+        sent(Sent::Intended),
+        sent(Sent::MayHaveRun),
+        Effect {
+            answer: Some(Answered::TooLarge),
+            ..taken.clone()
+        },
+        Effect {
+            fault: true,
+            ..taken.clone()
+        },
+        Effect {
+            closed: true,
+            ..taken.clone()
+        },
+    ];
+    let choice = Choice {
+        promised: Default::default(),
+        accepted: None,
+    };
+    let note = Note {
+        version: (1, 1),
+        value: Bytes::new(),
+    };
+    let others = [Record::Choice(choice), Record::Note(note)];
+    effects
+        .map(Record::Effect)
+        .into_iter()
+        .chain(others)
+        .collect()
+}
+
+fn restored() -> RestoredState {
+    let shared = |(n, record)| {
+        let shared = Shared {
+            record,
+            origin: Origin::default(),
+            left: 60_000_000,
+            first_ago: None,
+            proves_left: None,
+        };
+        (format!("key-{n}").into(), shared)
+    };
+    RestoredState {
+        turn: 1,
+        records: records().into_iter().enumerate().map(shared).collect(),
+    }
+}
+
+/// With records of all stages, a member of another version and a stranger.
+fn shown() -> (Peers, Value) {
+    let (here, there) = (peers("r0", Some(restored())), peers("r1", None));
+    let mut other = there.envelope(0, Vec::new());
+    other.version -= 1;
+    let other = postcard::to_stdvec(&other).expect("encoded");
+    assert!(here.receive(None, &other).is_err() && here.receive(None, &other[..1]).is_err());
+    let counts = json!({"counts": cedarpulley_reconcile::Counts::default()});
+    here.add_state_provider("reconcile", Box::new(move || counts.clone()));
+    let state = state_endpoint::state(&here, TransportCounts::default());
+    (here, state)
+}
+
+/// All key paths below `path`, those of all elements of an array as one.
+fn paths(value: &Value, path: &str, all: &mut BTreeSet<String>) {
+    match value {
+        Value::Object(object) => {
+            for (key, value) in object {
+                let dot = if path.is_empty() { "" } else { "." };
+                let path = format!("{path}{dot}{key}");
+                paths(value, &path, all);
+                all.insert(path);
+            }
+        }
+        Value::Array(array) => {
+            for value in array {
+                paths(value, &format!("{path}[]"), all);
+            }
+        }
+        _ => {}
+    }
+}
+
+fn names<T: Serialize>(of: &str, values: impl IntoIterator<Item = T>) -> Vec<String> {
+    let text = |value| serde_json::to_string(&value).expect("JSON");
+    let line = |value| format!("{of} = {}", text(value));
+    values.into_iter().map(line).collect()
+}
+
+/// Values whose names are shown.
+fn states() -> Vec<String> {
+    let whys = [
+        Why::NeverHeard,
+        Why::Itself,
+        Why::Answered,
+        Why::AnsweredOthers,
+        Why::Silent,
+        Why::SilentTooLong,
+        Why::Told,
+    ];
+    let phases = [
+        Phase::Waiting,
+        Phase::Canary,
+        Phase::Rolling,
+        Phase::Paused,
+        Phase::Back,
+        Phase::Done,
+        Phase::RolledBack,
+        Phase::Ended,
+    ];
+    let stages = [Stage::Before, Stage::Loading, Stage::Draining, Stage::Done];
+    let mut all = names("members[].why", whys);
+    all.extend(names("memory", [Memory::Lost, Memory::Kept, Memory::Whole]));
+    all.extend(names("upgrade.plans[].phase", phases));
+    all.extend(names("upgrade.plans[].regions[].stage", stages));
+    all.extend(names("reconcile.workers[].found", KINDS));
+    all
+}
+
+/// Compared with the file line by line; what was seen is left beside the program's other files.
+fn same_as_kept(name: &str, seen: &BTreeSet<String>) {
+    let seen: String = seen.iter().map(|line| format!("{line}\n")).collect();
+    let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&left, &seen).expect("written");
+    let file = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name);
+    let kept = std::fs::read_to_string(&file).expect("a fixture");
+    assert!(
+        seen == kept,
+        "{} differs from {}",
+        left.display(),
+        file.display()
+    );
+}
+
+#[test]
+fn state_keeps_its_names() {
+    let (_, state) = shown();
+    let mut all = BTreeSet::new();
+    paths(&state, "", &mut all);
+    all.extend(states());
+    same_as_kept("state-names.txt", &all);
+}
+
+#[test]
+fn counts_of_sessions_keep_their_names() {
+    let counts = serde_json::to_value(cedarpulley_upgrade::sessions::Counts::default());
+    let mut all = BTreeSet::new();
+    paths(&counts.expect("JSON"), "upgrade.sessions.counts", &mut all);
+    same_as_kept("session-count-names.txt", &all);
+}
+
+#[test]
+fn members_are_shown_as_one_of_four_standings() {
+    let (here, state) = shown();
+    let standing = |n: usize| {
+        state["members"][n]["standing"]
+            .as_str()
+            .expect("a name")
+            .to_owned()
+    };
+    assert_eq!([standing(0), standing(1)], ["alive", "unknown"]);
+    let known = here.inspect(|_, membership, _, _, _, _| membership.known(1).standing);
+    assert_eq!(known, Standing::Unknown);
+}
+
+/// A metric's name with its labels, without their values but those that are names of states.
+fn metric(line: &str) -> String {
+    let (name, _) = line.rsplit_once(' ').expect("a value");
+    let Some((name, labels)) = name.trim_end_matches('}').split_once('{') else {
+        return name.to_owned();
+    };
+    let label = |l: &str| match l.split_once('=') {
+        Some((key @ ("state" | "standing"), value)) => format!("{key}={value}"),
+        Some((key, _)) => format!("{key}=*"),
+        None => l.to_owned(),
+    };
+    let labels: Vec<String> = labels.split(',').map(label).collect();
+    format!("{name}{{{}}}", labels.join(","))
+}
+
+#[test]
+fn metrics_keep_their_names() {
+    let (here, _) = shown();
+    let text = state_endpoint::metrics(&here, TransportCounts::default());
+    let (kinds, values): (Vec<&str>, Vec<&str>) = text
+        .lines()
+        .filter(|line| !line.is_empty())
+        .partition(|line| line.starts_with('#'));
+    let mut all: BTreeSet<String> = values.into_iter().map(metric).collect();
+    all.extend(kinds.into_iter().map(str::to_owned));
+    same_as_kept("metric-names.txt", &all);
+}
