--- /dev/null
+++ b/crates/cli/tests/running_state_names.rs
@@ -0,0 +1,102 @@
+//! The key paths of `GET /state` and the metrics of `GET /metrics`, with their labels, of a running group with upgrades
+//! and reconciliation: those in `fixtures/running-state-names.txt` and `fixtures/running-metric-names.txt`. Objects whose
+//! keys are names of things are not followed; `crates/gateway/tests/state_names.rs` has the names of states.
+
+use std::collections::BTreeSet;
+use std::io::{Read, Write};
+use std::net::TcpStream;
+use std::time::Duration;
+
+use cedarpulley_rig::fleet::{Fleet, Launch};
+use cedarpulley_rig::traffic::Traffic;
+use cedarpulley_rig::until;
+
+mod fleets;
+mod pinned;
+mod upgrading;
+use fleets::{PATIENCE, PROGRAM, TURNS};
+use pinned::{fixtures, lines, paths, same_as_kept};
+use upgrading::{PLANNED, order, orders_nothing, upgrading};
+
+const STATE: &str = "running-state-names.txt";
+const METRICS: &str = "running-metric-names.txt";
+/// Their keys are stages of records, members, functions and kinds.
+const OPEN: [&str; 6] = [
+    "records",
+    "open",
+    "claims",
+    "upgrade.sessions.bound",
+    "reconcile.workers[].found",
+    "reconcile.workers[].found_by",
+];
+
+fn kept(name: &str) -> BTreeSet<String> {
+    let text = std::fs::read_to_string(fixtures().join(name)).expect("a fixture");
+    text.lines().map(str::to_owned).collect()
+}
+
+fn metrics(fleet: &Fleet, n: usize) -> Option<String> {
+    let mut stream = TcpStream::connect(fleet.peer(n)?).ok()?;
+    let request = b"GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+    stream.write_all(request).ok()?;
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).ok()?;
+    Some(answer.split_once("\r\n\r\n")?.1.to_owned())
+}
+
+/// The name with the names of its labels.
+fn metric(line: &str) -> Option<String> {
+    let name = line.rsplit_once(' ')?.0;
+    let Some((name, labels)) = name.trim_end_matches('}').split_once('{') else {
+        return name.starts_with("cedarpulley").then(|| name.to_owned());
+    };
+    let labels = labels.split(',').filter_map(|l| l.split_once('='));
+    let labels: Vec<&str> = labels.map(|(key, _)| key).collect();
+    Some(format!("{name}{{{}}}", labels.join(",")))
+}
+
+#[derive(Default)]
+struct Seen {
+    state: BTreeSet<String>,
+    metrics: BTreeSet<String>,
+}
+
+impl Seen {
+    fn look(&mut self, fleet: &Fleet) {
+        for n in 0..fleet.routers.len() {
+            if let Some(state) = fleet.state(n) {
+                paths(&state, "", &OPEN, &mut self.state);
+            }
+            let text = metrics(fleet, n).unwrap_or_default();
+            let values = text.lines().filter(|l| !l.starts_with('#'));
+            self.metrics.extend(values.filter_map(metric));
+        }
+    }
+}
+
+#[test]
+fn a_running_group_keeps_the_names_of_its_state_and_metrics() {
+    let _turn = TURNS.acquire_blocking();
+    let folder = tempfile::tempdir().expect("a folder");
+    let launch = Launch {
+        out: folder.path().to_owned(),
+        program: PROGRAM.into(),
+        tamper: None,
+        trace: false,
+    };
+    let day = upgrading(|day| day.seconds = 15.0);
+    let fleet = Fleet::prepare(&day, launch).expect("a fleet");
+    orders_nothing(&fleet);
+    fleet.start_routers().expect("they come up");
+    let _traffic = Traffic::begin(&day, &fleet);
+    order(&fleet, 5_000);
+    let (state, metrics, mut seen) = (kept(STATE), kept(METRICS), Seen::default());
+    until(PLANNED, || {
+        std::thread::sleep(Duration::from_millis(100));
+        seen.look(&fleet);
+        state.is_subset(&seen.state) && metrics.is_subset(&seen.metrics)
+    });
+    assert!(fleet.stop(PATIENCE), "the routers end in good order");
+    same_as_kept(STATE, &lines(&seen.state));
+    same_as_kept(METRICS, &lines(&seen.metrics));
+}
