--- /dev/null
+++ b/crates/ledger/tests/file_rows.rs
@@ -0,0 +1,168 @@
+//! The tables of a ledger's file, row by row, and a whole file that an earlier build wrote. A later build must read
+//! both, and write the same rows.
+
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
+
+use cedarpulley_ledger::{FORMAT, Ledger};
+use cedarpulley_meter::books::{Book, Measured};
+use cedarpulley_meter::{Key, Kind, Part, Sum};
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
+
+/// A whole file, as it was written once.
+const FILE: &[u8] = include_bytes!("fixtures/r7.ledger");
+const ROWS: &str = include_str!("fixtures/rows.txt");
+
+const ABOUT: TableDefinition<&str, u64> = TableDefinition::new("about");
+const SOURCES: TableDefinition<u128, (u64, &str)> = TableDefinition::new("sources");
+type SumRow<'a> = (u128, u32, &'a str, &'a str, u8);
+const SUMS: TableDefinition<SumRow, (u128, u64)> = TableDefinition::new("sums");
+type ReadingRow<'a> = (u64, u32, &'a str, &'a str, u8);
+const READINGS: TableDefinition<ReadingRow, u128> = TableDefinition::new("readings");
+
+const LARGE: u128 = 0x0102_0304_0506_0708_090A_0B0C_0D0E_0F10;
+const KINDS: [Kind; 7] = [
+    Kind::Running,
+    Kind::Loading,
+    Kind::Idle,
+    Kind::Uncertain,
+    Kind::Shared,
+    Kind::Nothing,
+    Kind::Settled,
+];
+
+fn folder(name: &str) -> PathBuf {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir_all(&folder).expect("a folder");
+    folder
+}
+
+fn key(hour: u32, kind: Kind) -> Key {
+    Key {
+        hour,
+        account: "amber".into(),
+        function: "resize".into(),
+        kind,
+    }
+}
+
+/// A sum of each kind, and readings of the kinds that workers tell.
+fn part(hour: u32) -> Part {
+    let mut part = Part::default();
+    for (kind, n) in KINDS.into_iter().zip(1..) {
+        let byte_us = LARGE + u128::from(n);
+        part.sums.add(key(hour, kind), Sum { byte_us, count: n });
+    }
+    for (kind, n) in KINDS.into_iter().zip(1..).take(3) {
+        part.readings.read(90 + n, key(hour, kind), LARGE * 2);
+    }
+    part
+}
+
+fn write(file: &Path) {
+    let ledger = Ledger::open(file).expect("it opens");
+    assert_eq!(ledger.add(7, "r7", &part(500_000)).expect("written"), 1);
+    assert_eq!(ledger.add(7, "r7", &part(500_001)).expect("written"), 2);
+    assert_eq!(ledger.add(LARGE, "r8", &part(500_000)).expect("written"), 1);
+}
+
+fn expected() -> Book {
+    let mut book = Book::default();
+    let of = |number, router: &str, hours: &[u32]| {
+        let mut measured = Measured {
+            number,
+            router: router.to_owned(),
+            ..Measured::default()
+        };
+        for hour in hours {
+            measured.sums.add_all(&part(*hour).sums);
+        }
+        measured
+    };
+    book.measured = BTreeMap::from([
+        (7, of(2, "r7", &[500_000, 500_001])),
+        (LARGE, of(1, "r8", &[500_000])),
+    ]);
+    book.readings.join(&part(500_000).readings);
+    book.readings.join(&part(500_001).readings);
+    book
+}
+
+/// All rows of a file, by tables whose names and types are those of this test.
+fn rows(file: &Path) -> String {
+    let database = Database::open(file).expect("it opens");
+    let snapshot = database.begin_read().expect("begun");
+    let mut lines = Vec::new();
+    for row in snapshot
+        .open_table(ABOUT)
+        .expect("about")
+        .iter()
+        .expect("rows")
+    {
+        let (name, value) = row.expect("a row");
+        lines.push(format!("about {} {}\n", name.value(), value.value()));
+    }
+    let sources = snapshot.open_table(SOURCES).expect("sources");
+    for row in sources.iter().expect("rows") {
+        let (source, value) = row.expect("a row");
+        lines.push(format!("sources {} {:?}\n", source.value(), value.value()));
+    }
+    for row in snapshot
+        .open_table(SUMS)
+        .expect("sums")
+        .iter()
+        .expect("rows")
+    {
+        let (row, sum) = row.expect("a row");
+        lines.push(format!("sums {:?} {:?}\n", row.value(), sum.value()));
+    }
+    let readings = snapshot.open_table(READINGS).expect("readings");
+    for row in readings.iter().expect("rows") {
+        let (row, total) = row.expect("a row");
+        lines.push(format!("readings {:?} {}\n", row.value(), total.value()));
+    }
+    lines.concat()
+}
+
+/// A copy of the pinned file.
+fn pinned_file(folder: &Path) -> PathBuf {
+    let file = folder.join("r7.ledger");
+    std::fs::write(&file, FILE).expect("written");
+    file
+}
+
+#[test]
+fn a_ledger_keeps_the_rows_of_its_tables() {
+    let file = folder("rows").join("r7.ledger");
+    write(&file);
+    assert_eq!((FORMAT, rows(&file).as_str()), (1, ROWS));
+}
+
+#[test]
+fn a_file_of_the_first_format_is_read_with_all_its_rows() {
+    let file = pinned_file(&folder("pinned"));
+    assert_eq!(rows(&file), ROWS);
+    let ledger = Ledger::open(&file).expect("it opens");
+    assert_eq!(ledger.book().expect("read"), expected());
+}
+
+#[test]
+fn a_file_of_the_first_format_is_added_to_under_the_same_rows() {
+    let file = pinned_file(&folder("added"));
+    let ledger = Ledger::open(&file).expect("it opens");
+    assert_eq!(ledger.add(7, "r7", &part(500_000)).expect("written"), 3);
+    drop(ledger);
+    let (before, after) = (ROWS.lines().count(), rows(&file).lines().count());
+    assert_eq!(before, after);
+}
+
+#[test]
+fn names_of_kinds_keep_their_places() {
+    let names = Kind::ALL.map(Kind::name).join(" ");
+    assert_eq!(
+        names,
+        "running loading idle uncertain shared nothing settled"
+    );
+    assert_eq!(Kind::ALL, KINDS);
+}
