--- /dev/null
+++ b/crates/replica/tests/message_bytes.rs
@@ -0,0 +1,388 @@
+//! The bytes of every message between members, and the digests by which they compare records. Members of one version
+//! read each other's bytes: whoever changes them raises `VERSION` and records them anew.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+use bytes::Bytes;
+use cedarpulley_replica::record::Choice;
+use cedarpulley_replica::store::{Origin, Store, leaf};
+use cedarpulley_replica::wire::{Refusal, Views};
+use cedarpulley_replica::{
+    Answered, Ballot, Effect, Key, Memory, Message, Note, Record, Sending, Sent, Shared, VERSION,
+};
+
+/// By line: a name, and the encoded message.
+const MESSAGES: &str = include_str!("fixtures/messages.hex");
+/// By line: a name, and numbers.
+const DIGESTS: &str = include_str!("fixtures/digests.txt");
+
+fn key(name: &str) -> Key {
+    Arc::from(name)
+}
+
+fn ballot(number: u32) -> Ballot {
+    Ballot {
+        number,
+        member: 513,
+        nonce: 0x1122_3344_5566_7788,
+    }
+}
+
+fn origin() -> Origin {
+    Origin {
+        nonce: 0x0102_0304_0506_0708,
+        serial: 77,
+    }
+}
+
+fn shared(record: Record) -> Shared {
+    Shared {
+        record,
+        origin: origin(),
+        left: 61_000_000,
+        first_ago: Some(1_500_000),
+        proves_left: Some(-7),
+    }
+}
+
+fn sending(member: u16, state: Sent, place: u32) -> Sending {
+    Sending {
+        member,
+        state,
+        place,
+    }
+}
+
+fn effect(answer: Option<Answered>) -> Effect {
+    let mut effect = Effect::default();
+    effect.owner.ballot = ballot(1_000);
+    effect.taken = true;
+    effect
+        .sendings
+        .insert((5, 6), sending(1, Sent::Intended, 300));
+    effect
+        .sendings
+        .insert((5, 7), sending(2, Sent::NeverRan, 301));
+    effect
+        .sendings
+        .insert((8, 1), sending(3, Sent::MayHaveRun, 302));
+    effect.answer = answer;
+    effect
+}
+
+fn open_effect() -> Record {
+    let mut effect = effect(Some(Answered::Kept(Bytes::from_static(b"yes"))));
+    effect.doubtful = true;
+    Record::Effect(effect)
+}
+
+fn faulty_effect() -> Record {
+    let mut effect = effect(Some(Answered::TooLarge));
+    effect.fault = true;
+    Record::Effect(effect)
+}
+
+fn closed_effect() -> Record {
+    let mut effect = effect(None);
+    effect.owner.let_go = true;
+    effect.close();
+    Record::Effect(effect)
+}
+
+fn chosen() -> Choice {
+    Choice {
+        promised: ballot(9),
+        accepted: Some((ballot(8), Bytes::from_static(b"plan"))),
+    }
+}
+
+fn note() -> Record {
+    Record::Note(Note {
+        version: (12, 13),
+        value: Bytes::from_static(b"seen"),
+    })
+}
+
+fn views() -> Views {
+    Views(vec![11, 4_000_000_000, 33])
+}
+
+fn refused(why: Refusal, sending: Option<u64>, shared: Option<Shared>) -> Message {
+    let (key, ballot) = (key("k"), ballot(2));
+    Message::Refused {
+        key,
+        ballot,
+        sending,
+        why,
+        shared,
+    }
+}
+
+fn overtaken(why: Refusal, choice: Option<Choice>) -> Message {
+    let (key, ballot) = (key("k"), ballot(2));
+    Message::Overtaken {
+        key,
+        ballot,
+        choice,
+        why,
+    }
+}
+
+fn tell(record: Record) -> Message {
+    let (key, shared) = (key("k"), shared(record));
+    Message::Tell { key, shared }
+}
+
+fn differ(memory: Memory) -> Message {
+    Message::Differ {
+        serial: 21,
+        memory,
+        you: 70_000,
+        groups: BTreeMap::from([(1, vec![2, 3]), (300, vec![])]),
+    }
+}
+
+fn messages_on_invocations() -> Vec<(&'static str, Message)> {
+    let (key, ballot) = (key("k"), ballot(2));
+    let intend = Message::Intend {
+        key: key.clone(),
+        ballot,
+        sending: 200,
+        blind: true,
+        shared: shared(open_effect()),
+    };
+    let holds = Message::Holds {
+        key: key.clone(),
+        ballot,
+        sending: 200,
+        views: views(),
+    };
+    let fence = Message::Fence {
+        key: key.clone(),
+        ballot,
+        origin: origin(),
+        left: -300,
+    };
+    let fenced = |shared| Message::Fenced {
+        key: key.clone(),
+        ballot,
+        shared,
+        views: views(),
+    };
+    vec![
+        ("intend", intend),
+        ("holds", holds),
+        ("fence", fence),
+        ("fenced", fenced(Some(shared(open_effect())))),
+        ("fenced-nothing", fenced(None)),
+        (
+            "refused-owned",
+            refused(Refusal::Owned, Some(200), Some(shared(open_effect()))),
+        ),
+        ("refused-full", refused(Refusal::Full, Some(200), None)),
+        (
+            "refused-returning",
+            refused(Refusal::Returning, None, Some(shared(closed_effect()))),
+        ),
+        ("refused-forgotten", refused(Refusal::Forgotten, None, None)),
+        ("refused-late", refused(Refusal::Late, Some(0), None)),
+    ]
+}
+
+fn messages_on_choices() -> Vec<(&'static str, Message)> {
+    let (key, ballot) = (key("k"), ballot(2));
+    let prepare = Message::Prepare {
+        key: key.clone(),
+        ballot,
+        left: 9_000_000,
+    };
+    let prepared = Message::Prepared {
+        key: key.clone(),
+        ballot,
+        choice: chosen(),
+        views: views(),
+    };
+    let accept = Message::Accept {
+        key: key.clone(),
+        ballot,
+        value: Bytes::from_static(b"plan"),
+        left: 9_000_001,
+    };
+    let accepted = Message::Accepted {
+        key,
+        ballot,
+        of: 0xFFEE_DDCC_BBAA_9988,
+        views: views(),
+    };
+    vec![
+        ("prepare", prepare),
+        ("prepared", prepared),
+        ("accept", accept),
+        ("accepted", accepted),
+        ("overtaken", overtaken(Refusal::Owned, Some(chosen()))),
+        ("overtaken-unknown", overtaken(Refusal::Late, None)),
+    ]
+}
+
+fn messages_on_comparing() -> Vec<(&'static str, Message)> {
+    let compare = Message::Compare {
+        serial: 20,
+        groups: vec![0, 1, u64::MAX],
+    };
+    let want = |after| Message::Want {
+        serial: 22,
+        leaves: vec![(7, None), (4_000, Some(BTreeMap::from([(1, 2), (3, 4)])))],
+        after,
+    };
+    let have = |more| Message::Have {
+        serial: 23,
+        records: vec![
+            (key("a"), shared(open_effect())),
+            (key("b"), shared(Record::Choice(chosen()))),
+            (key("c"), shared(note())),
+        ],
+        more,
+    };
+    vec![
+        ("compare", compare),
+        ("differ-lost", differ(Memory::Lost)),
+        ("differ-kept", differ(Memory::Kept)),
+        ("differ-whole", differ(Memory::Whole)),
+        ("want", want(None)),
+        ("want-after", want(Some((4_000, key("a"))))),
+        ("have", have(None)),
+        ("have-more", have(Some((4_000, key("c"))))),
+    ]
+}
+
+fn messages_on_records() -> Vec<(&'static str, Message)> {
+    let bare = Shared {
+        record: Record::Choice(Choice::default()),
+        origin: Origin::default(),
+        left: 0,
+        first_ago: None,
+        proves_left: None,
+    };
+    let tell_bare = Message::Tell {
+        key: key(""),
+        shared: bare,
+    };
+    vec![
+        ("tell-effect", tell(open_effect())),
+        ("tell-faulty-effect", tell(faulty_effect())),
+        ("tell-closed-effect", tell(closed_effect())),
+        ("tell-choice", tell(Record::Choice(chosen()))),
+        ("tell-note", tell(note())),
+        ("tell-bare", tell_bare),
+    ]
+}
+
+fn messages() -> Vec<(&'static str, Message)> {
+    [
+        messages_on_invocations(),
+        messages_on_choices(),
+        messages_on_comparing(),
+        messages_on_records(),
+    ]
+    .concat()
+}
+
+/// A further variant does not compile here until it has a name, and then needs a line among the fixtures.
+fn variant(message: &Message) -> &'static str {
+    match message {
+        Message::Intend { .. } => "intend",
+        Message::Holds { .. } => "holds",
+        Message::Fence { .. } => "fence",
+        Message::Fenced { .. } => "fenced",
+        Message::Refused { .. } => "refused",
+        Message::Prepare { .. } => "prepare",
+        Message::Prepared { .. } => "prepared",
+        Message::Accept { .. } => "accept",
+        Message::Accepted { .. } => "accepted",
+        Message::Overtaken { .. } => "overtaken",
+        Message::Tell { .. } => "tell",
+        Message::Compare { .. } => "compare",
+        Message::Differ { .. } => "differ",
+        Message::Want { .. } => "want",
+        Message::Have { .. } => "have",
+    }
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let digits = |at| &hex[at..at + 2];
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(digits(at), 16).expect("hexadecimal"))
+        .collect()
+}
+
+#[test]
+fn peer_messages_keep_their_bytes() {
+    assert_eq!(VERSION, 3);
+    let written: String = messages()
+        .iter()
+        .map(|(name, message)| {
+            let bytes = postcard::to_stdvec(message).expect("encoded");
+            format!("{name} {}\n", hex(&bytes))
+        })
+        .collect();
+    assert_eq!(written, MESSAGES);
+}
+
+#[test]
+fn pinned_bytes_are_read_as_the_messages_they_were() {
+    let messages = messages();
+    assert_eq!(MESSAGES.lines().count(), messages.len());
+    for (line, (name, message)) in MESSAGES.lines().zip(&messages) {
+        let encoded = line.strip_prefix(&format!("{name} ")).expect("its name");
+        let read: Message = postcard::from_bytes(&bytes(encoded)).expect("decoded");
+        assert_eq!(read, *message, "{name}");
+    }
+}
+
+#[test]
+fn every_variant_of_a_message_is_pinned() {
+    let messages = messages();
+    let pinned: BTreeSet<&str> = messages.iter().map(|(_, m)| variant(m)).collect();
+    assert_eq!(pinned.len(), 15);
+    for (name, message) in &messages {
+        assert_eq!(name.split('-').next(), Some(variant(message)), "{name}");
+    }
+}
+
+fn store() -> Store {
+    let mut store = Store::new(100, false);
+    let records = [
+        ("a", open_effect()),
+        ("b", faulty_effect()),
+        ("c", closed_effect()),
+        ("d", Record::Choice(chosen())),
+        ("e", note()),
+    ];
+    for (name, record) in records {
+        store.join(0, &key(name), &shared(record), 0);
+    }
+    store
+}
+
+#[test]
+fn digests_that_members_compare_keep_their_values() {
+    let store = store();
+    let groups = store.group_digests();
+    let lines = store.all().map(|(key, slot)| {
+        let leaf = leaf(key);
+        let entry = Store::entry(key, slot);
+        let (of_leaf, of_group) = (store.leaf_digest(leaf), groups[usize::from(leaf) / 64]);
+        format!(
+            "{key} {leaf} {:016x} {:016x} {of_leaf:016x} {of_group:016x}\n",
+            entry.0, entry.1
+        )
+    });
+    let written: String = lines.collect();
+    assert_eq!((groups.len(), written.as_str()), (64, DIGESTS));
+}
