--- a/crates/benchlink/src/codec.rs
+++ b/crates/benchlink/src/codec.rs
@@ -86,69 +86,77 @@
     }
 }
 
-pub fn outcome(word: &str) -> Result<Outcome> {
+pub fn outcome(word: &str) -> Result<DispatchOutcome> {
     Ok(match word {
-        "success" => Outcome::Succeeded,
-        "failure" => Outcome::Errored,
-        "overloaded" => Outcome::Throttled,
-        "timed_out" => Outcome::TimedOut,
-        "unreachable" => Outcome::Unreachable,
-        "broken" => Outcome::Broken,
-        "withdrawn" => Outcome::Withdrawn,
-        "void" => Outcome::NotSent,
-        "absent" => Outcome::Missed,
+        "success" => DispatchOutcome::Succeeded,
+        "failure" => DispatchOutcome::Errored,
+        "overloaded" => DispatchOutcome::Rejected,
+        "timed_out" => DispatchOutcome::TimedOut,
+        "unreachable" => DispatchOutcome::Unreachable,
+        "broken" => DispatchOutcome::ConnectionLost,
+        "withdrawn" => DispatchOutcome::Cancelled,
+        "void" => DispatchOutcome::NotSent,
+        "absent" => DispatchOutcome::NotLoaded,
         _ => return Err(unknown("result", word)),
     })
 }
 
-pub fn order_result(word: &str) -> Result<OrderResult> {
+pub fn order_result(word: &str) -> Result<LoadOrderResult> {
     Ok(match word {
-        "success" => OrderResult::Stand,
-        "overloaded" => OrderResult::NoRoom,
-        "failure" => OrderResult::LoadErrored,
-        "broken" => OrderResult::Broken,
-        "unreachable" => OrderResult::Unreachable,
-        "timed_out" => OrderResult::TimedOut,
+        "success" => LoadOrderResult::Loaded,
+        "overloaded" => LoadOrderResult::NoCapacity,
+        "failure" => LoadOrderResult::LoadFailed,
+        "broken" => LoadOrderResult::ConnectionLost,
+        "unreachable" => LoadOrderResult::Unreachable,
+        "timed_out" => LoadOrderResult::TimedOut,
         _ => return Err(unknown("result", word)),
     })
 }
 
-pub fn mode(word: &str) -> Result<ListMode> {
+pub fn mode(word: &str) -> Result<EndpointListKind> {
     Ok(match word {
-        "INCREMENTAL" => ListMode::Changes,
-        "FULL" => ListMode::Complete,
-        "SAVED" => ListMode::Saved,
-        "FAILED" => ListMode::Failed,
+        "INCREMENTAL" => EndpointListKind::Changes,
+        "FULL" => EndpointListKind::Complete,
+        "SAVED" => EndpointListKind::Cached,
+        "FAILED" => EndpointListKind::Failed,
         _ => return Err(unknown("mode", word)),
     })
 }
 
-pub fn standing(word: &str) -> Result<Standing> {
+pub fn standing(word: &str) -> Result<EndpointState> {
     Ok(match word {
-        "in_service" => Standing::InService,
-        "terminating" => Standing::Draining,
-        "terminated" => Standing::Gone,
+        "in_service" => EndpointState::InService,
+        "terminating" => EndpointState::Draining,
+        "terminated" => EndpointState::Gone,
         _ => return Err(unknown("readiness", word)),
     })
 }
 
 /// Splits a remark into what it tells of the copy and the crowd around it.
-pub fn remark(value: Option<u32>, outcome: Outcome, crowds: bool) -> (CopyNote, Option<u32>) {
+pub fn remark(
+    value: Option<u32>,
+    outcome: DispatchOutcome,
+    crowds: bool,
+) -> (CopyStatus, Option<u32>) {
     let value = value.unwrap_or(0);
     let note = match value % 8 {
-        1 => CopyNote::Found,
-        2 => CopyNote::Began,
-        3 => CopyNote::Waited,
-        4 => CopyNote::LoadErrored,
-        _ => CopyNote::Untold,
+        1 => CopyStatus::Warm,
+        2 => CopyStatus::LoadStarted,
+        3 => CopyStatus::LoadAwaited,
+        4 => CopyStatus::LoadFailed,
+        _ => CopyStatus::Unreported,
     };
-    let told = crowds && matches!(outcome, Outcome::Succeeded | Outcome::Throttled);
+    let told = crowds
+        && matches!(
+            outcome,
+            DispatchOutcome::Succeeded | DispatchOutcome::Rejected
+        );
     (note, told.then_some(value / 8))
 }
 
 /// name:value pairs set apart by commas.
-pub fn report(text: &str, fields: &[ReportField]) -> Result<Report> {
-    let mut report = Report::default();
+pub fn report(text: &str, fields: &[ReportField]) -> Result<LoadReport> {
+    let mut report = LoadReport::default();
     if text == "-" {
         return Ok(report);
     }
@@ -164,9 +172,9 @@
 
 /// Outside ids for an action's indices.
 pub trait Names {
-    fn inv(&self, ix: InvIx) -> Result<&str>;
-    fn func(&self, ix: FnIx) -> Result<&str>;
-    fn worker(&self, ix: WorkerIx) -> Result<&str>;
+    fn inv(&self, ix: InvocationIndex) -> Result<&str>;
+    fn func(&self, ix: FunctionIndex) -> Result<&str>;
+    fn worker(&self, ix: WorkerIndex) -> Result<&str>;
 }
 
 /// Writes one action as a line; what concerns no one outside writes none.
@@ -174,9 +182,9 @@
     let nanos = |t: Micros| t.saturating_mul(NANOS_PER_MICRO);
     match *action {
         Action::Dispatch {
-            inv,
+            invocation: inv,
             worker,
-            time_out,
+            timeout: time_out,
         } => {
             write!(
                 out,
@@ -191,20 +199,26 @@
                 Some(t) => writeln!(out, "{}", nanos(t))?,
             }
         }
-        Action::Withdraw { inv, dispatch } => {
-            writeln!(out, "withdraw {router} {} {dispatch}", names.inv(inv)?)?
-        }
-        Action::Throttle { inv, return_after } => {
+        Action::Cancel {
+            invocation: inv,
+            dispatch,
+        } => writeln!(out, "withdraw {router} {} {dispatch}", names.inv(inv)?)?,
+        Action::Reject {
+            invocation: inv,
+            retry_after: return_after,
+        } => {
             write!(out, "overload_reply {router} {} ", names.inv(inv)?)?;
             match return_after {
                 Some(t) if t > 0 => writeln!(out, "{}", nanos(t))?,
                 _ => writeln!(out, "-")?,
             }
         }
-        Action::Error { inv } => writeln!(out, "drop_request {router} {}", names.inv(inv)?)?,
-        Action::Order {
+        Action::Fail { invocation: inv } => {
+            writeln!(out, "drop_request {router} {}", names.inv(inv)?)?
+        }
+        Action::LoadOrder {
             worker,
-            func,
+            function: func,
             copies,
         } => writeln!(
             out,
@@ -212,7 +226,10 @@
             names.worker(worker)?,
             names.func(func)?
         )?,
-        Action::Unload { worker, func } => writeln!(
+        Action::Unload {
+            worker,
+            function: func,
+        } => writeln!(
             out,
             "take_down {router} {} {}",
             names.worker(worker)?,
@@ -222,9 +239,9 @@
         Action::Timer { token, after } => {
             writeln!(out, "sleep {router} {token} {}", nanos(after.max(0)))?
         }
-        Action::AskList { follow: true } => writeln!(out, "listen {router} 1")?,
-        Action::AskList { follow: false } => writeln!(out, "query_all {router}")?,
-        Action::Forget { .. } => {}
+        Action::RequestEndpointList { watch: true } => writeln!(out, "listen {router} 1")?,
+        Action::RequestEndpointList { watch: false } => writeln!(out, "query_all {router}")?,
+        Action::ReleaseFunction { .. } => {}
     }
     Ok(())
 }
--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use cedarpulley::Control;
-use cedarpulley::ids::{Ids, fingerprint};
+use cedarpulley::Balancer;
+use cedarpulley::ids::{Interner, fingerprint};
 use cedarpulley::interface::*;
 use cedarpulley_startup::{RawSettings, ReportField, StartupSettings, micros};
 
@@ -18,30 +18,30 @@
 }
 
 struct Instance {
-    control: Control,
+    control: Balancer,
     fields: Vec<ReportField>,
     crowds: bool,
     triggers: u32,
-    invs: Ids<String>,
+    invs: Interner<String>,
     open: Vec<Open>,
-    funcs: Ids<String>,
-    workers: Ids<String>,
+    funcs: Interner<String>,
+    workers: Interner<String>,
 }
 
 impl Names for Instance {
-    fn inv(&self, ix: InvIx) -> Result<&str> {
+    fn inv(&self, ix: InvocationIndex) -> Result<&str> {
         self.invs
             .id(ix)
             .map(String::as_str)
             .ok_or(Refused::Unnamed { what: "invocation" })
     }
-    fn func(&self, ix: FnIx) -> Result<&str> {
+    fn func(&self, ix: FunctionIndex) -> Result<&str> {
         self.funcs
             .id(ix)
             .map(String::as_str)
             .ok_or(Refused::Unnamed { what: "function" })
     }
-    fn worker(&self, ix: WorkerIx) -> Result<&str> {
+    fn worker(&self, ix: WorkerIndex) -> Result<&str> {
         self.workers
             .id(ix)
             .map(String::as_str)
@@ -52,10 +52,17 @@
 impl Instance {
     fn tell(&mut self, now: Micros, router: u32, event: &Event, reply: &mut Vec<u8>) -> Result<()> {
         let mut actions = Vec::new();
-        self.control.decide(now, event, &mut actions);
+        self.control.handle(now, event, &mut actions);
         let concerns = match *event {
-            Event::Invocation(Arrival { inv, .. }) | Event::Departed { inv } => Some(inv),
-            Event::DispatchEnded(Ending { inv, concluded, .. }) => {
+            Event::Invocation(Arrival {
+                invocation: inv, ..
+            })
+            | Event::ClientLeft { invocation: inv } => Some(inv),
+            Event::DispatchEnded(DispatchEnded {
+                invocation: inv,
+                answered: concluded,
+                ..
+            }) => {
                 let open = &mut self.open[inv as usize];
                 open.out = open.out.saturating_sub(1);
                 open.ended |= concluded;
@@ -63,24 +70,30 @@
             }
             _ => None,
         };
-        if let Event::Departed { inv } = *event {
+        if let Event::ClientLeft { invocation: inv } = *event {
             self.open[inv as usize].ended = true;
         }
         for action in &actions {
             codec::write(reply, router, action, self)?;
             match *action {
-                Action::Dispatch { inv, .. } => self.open[inv as usize].out += 1,
-                Action::Throttle { inv, .. } | Action::Error { inv } => {
-                    self.open[inv as usize].ended = true
+                Action::Dispatch {
+                    invocation: inv, ..
+                } => self.open[inv as usize].out += 1,
+                Action::Reject {
+                    invocation: inv, ..
                 }
+                | Action::Fail { invocation: inv } => self.open[inv as usize].ended = true,
                 _ => {}
             }
         }
         // Only once every action is written may an id go.
         for action in &actions {
             match *action {
-                Action::Throttle { inv, .. } | Action::Error { inv } => self.release(inv),
-                Action::Forget { func } => self.funcs.release(func),
+                Action::Reject {
+                    invocation: inv, ..
+                }
+                | Action::Fail { invocation: inv } => self.release(inv),
+                Action::ReleaseFunction { function: func } => self.funcs.release(func),
                 _ => {}
             }
         }
@@ -90,14 +103,14 @@
         Ok(())
     }
 
-    fn release(&mut self, inv: InvIx) {
+    fn release(&mut self, inv: InvocationIndex) {
         let open = self.open[inv as usize];
         if open.ended && open.out == 0 {
             self.invs.release(inv);
         }
     }
 
-    fn known_worker(&self, id: &str) -> Result<WorkerIx> {
+    fn known_worker(&self, id: &str) -> Result<WorkerIndex> {
         self.workers
             .find(id)
             .ok_or_else(|| Refused::Unlisted { id: id.to_owned() })
@@ -114,9 +127,9 @@
 /// A list whose entries are still coming in.
 struct List {
     router: u32,
-    mode: ListMode,
+    mode: EndpointListKind,
     left: usize,
-    entries: Vec<ListEntry>,
+    entries: Vec<Endpoint>,
 }
 
 #[derive(Default)]
@@ -192,14 +205,14 @@
             let raw = RawSettings::pairs(&text)?;
             let settings = StartupSettings::read(&raw)?;
             let instance = Instance {
-                control: settings.control(seed),
+                control: settings.balancer(seed),
                 triggers: settings.triggers.len() as u32,
-                crowds: settings.loads.crowds,
+                crowds: settings.loads.reports_function_load,
                 fields: ReportField::named(&raw),
-                invs: Ids::default(),
+                invs: Interner::default(),
                 open: Vec::new(),
-                funcs: Ids::default(),
-                workers: Ids::default(),
+                funcs: Interner::default(),
+                workers: Interner::default(),
             };
             self.instances.insert(router, instance);
             return Ok(());
@@ -229,7 +242,15 @@
                     entries: Vec::new(),
                 };
                 match left {
-                    0 => it.tell(now, router, &Event::List { mode, entries: &[] }, reply)?,
+                    0 => it.tell(
+                        now,
+                        router,
+                        &Event::EndpointList {
+                            kind: mode,
+                            endpoints: &[],
+                        },
+                        reply,
+                    )?,
                     _ => self.list = Some(list),
                 }
             }
@@ -251,26 +272,26 @@
                 if it.invs.find(id).is_some() {
                     return Err(Refused::InUse { id: id.to_owned() });
                 }
-                let inv = it.invs.enter(id);
-                let func = it.funcs.enter(name);
+                let inv = it.invs.intern(id);
+                let func = it.funcs.intern(name);
                 if it.open.len() <= inv as usize {
                     it.open.resize(inv as usize + 1, Open::default());
                 }
                 it.open[inv as usize] = Open::default();
                 let arrival = Arrival {
-                    inv,
+                    invocation: inv,
                     trigger,
                     account,
-                    func,
+                    function: func,
                     fingerprint: fingerprint(name),
                     cost_hint: cost_hint.filter(|_| bits & 1 != 0).map(micros),
                     load_hint: load_ms.map(|ms| (ms * 1e3) as Micros),
                     copy_mb,
                     lanes: lanes.unwrap_or(1.0).max(1.0) as u32,
-                    client_gives_up_in,
+                    client_timeout_in: client_gives_up_in,
                     waited: 0,
                     repeat: bits & 2 != 0,
-                    prefers: None,
+                    preferred_worker: None,
                 };
                 it.tell(now, router, &Event::Invocation(arrival), reply)?;
             }
@@ -278,7 +299,7 @@
                 let id = v.text("requestId")?;
                 v.end()?;
                 if let Some(inv) = it.invs.find(id) {
-                    it.tell(now, router, &Event::Departed { inv }, reply)?;
+                    it.tell(now, router, &Event::ClientLeft { invocation: inv }, reply)?;
                 }
             }
             "under_way" => {
@@ -291,8 +312,8 @@
                     it.tell(
                         now,
                         router,
-                        &Event::Answering {
-                            inv,
+                        &Event::AnswerStarted {
+                            invocation: inv,
                             dispatch,
                             worker,
                         },
@@ -324,7 +345,7 @@
                         router,
                         &Event::OrderEnded {
                             worker,
-                            func,
+                            function: func,
                             result,
                             took,
                             copies,
@@ -345,15 +366,15 @@
                 v.end()?;
                 let (note, crowd) = codec::remark(remark, outcome, it.crowds);
                 if let Some(inv) = it.invs.find(id) {
-                    let ending = Ending {
-                        inv,
+                    let ending = DispatchEnded {
+                        invocation: inv,
                         dispatch,
                         worker,
                         outcome,
                         took,
-                        concluded,
-                        note,
-                        crowd,
+                        answered: concluded,
+                        copy_status: note,
+                        function_load: crowd,
                         report,
                     };
                     it.tell(now, router, &Event::DispatchEnded(ending), reply)?;
@@ -368,7 +389,7 @@
                 it.tell(
                     now,
                     router,
-                    &Event::Probed {
+                    &Event::ProbeEnded {
                         worker,
                         outcome,
                         took,
@@ -392,15 +413,15 @@
             .get_mut(&router)
             .ok_or(Refused::NotAlive { router })?;
         let id = v.text("worker")?;
-        let entry = ListEntry {
-            worker: it.workers.enter(id),
+        let entry = Endpoint {
+            worker: it.workers.intern(id),
             fingerprint: fingerprint(id),
             zone: v.maybe("dc")?.unwrap_or(0),
-            kind: v.maybe("model")?.unwrap_or(0),
+            machine_kind: v.maybe("model")?.unwrap_or(0),
             cell: v.maybe("group")?.unwrap_or(0),
-            standing: codec::standing(v.text("readiness")?)?,
+            state: codec::standing(v.text("readiness")?)?,
             weight: v.maybe("powerHint")?.unwrap_or(1.0),
-            started: v.maybe::<i64>("startTime")?.filter(|t| *t != 0).map(micros),
+            started_at: v.maybe::<i64>("startTime")?.filter(|t| *t != 0).map(micros),
         };
         v.end()?;
         list.entries.push(entry);
@@ -416,9 +437,9 @@
             it.tell(
                 now,
                 router,
-                &Event::List {
-                    mode,
-                    entries: &entries,
+                &Event::EndpointList {
+                    kind: mode,
+                    endpoints: &entries,
                 },
                 reply,
             )?;
--- a/crates/cli/tests/trace_output.rs
+++ b/crates/cli/tests/trace_output.rs
@@ -88,7 +88,7 @@
             Some(1),
             vec![
                 "  told:     List Complete of 5",
-                "  recorded: [AskList { follow: true }]"
+                "  recorded: [RequestEndpointList { watch: true }]"
             ]
         ),
         "{printed}"
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -11,7 +11,9 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use cedarpulley::interface::{Action, Event, InvIx, ListMode, Micros, Outcome, Standing};
+use cedarpulley::interface::{
+    Action, DispatchOutcome, EndpointListKind, EndpointState, Event, InvocationIndex, Micros,
+};
 use cedarpulley_kserve::serving;
 use cedarpulley_net::Alarm;
 use cedarpulley_replica as replica;
@@ -19,7 +21,7 @@
 use cedarpulley_router::entry::Short;
 use cedarpulley_router::roster::Listed;
 use cedarpulley_router::watch::{By, Given, Names, Used, Watch};
-use cedarpulley_router::{Delivery, Fate, FrontIx, Input, Reason, Taken};
+use cedarpulley_router::{Delivery, Fate, FrontIndex, Input, Reason, Taken};
 use cedarpulley_upgrade::sessions::{self, Placed, Refused, Sessions};
 use cedarpulley_upgrade::{Name, function};
 use serde_json::{Value, json};
@@ -385,28 +387,28 @@
         }
     }
 
-    fn update_workers(&self, mode: ListMode, workers: &[Listed]) {
+    fn update_workers(&self, mode: EndpointListKind, workers: &[Listed]) {
         let mut gone = Vec::new();
         {
             let mut known = self.workers.borrow_mut();
-            if matches!(mode, ListMode::Complete | ListMode::Saved) {
+            if matches!(mode, EndpointListKind::Complete | EndpointListKind::Cached) {
                 let stays = |name: &Name| workers.iter().any(|w| *w.address == **name);
                 gone.extend(known.keys().filter(|n| !stays(n)).cloned());
             }
             for w in workers {
                 let name = Name::from(&*w.address);
                 let again = known.get(&name).is_some_and(|s| s.started != w.started);
-                if again || w.standing == Standing::Gone {
+                if again || w.standing == EndpointState::Gone {
                     gone.push(name.clone());
                 }
-                if w.standing != Standing::Gone {
+                if w.standing != EndpointState::Gone {
                     known.insert(name, w.clone());
                 }
             }
             for name in &gone {
                 if workers
                     .iter()
-                    .all(|w| *w.address != **name || w.standing == Standing::Gone)
+                    .all(|w| *w.address != **name || w.standing == EndpointState::Gone)
                 {
                     known.remove(name);
                 }
@@ -425,18 +427,20 @@
 impl Watch for CoreObserver {
     fn decided(&mut self, _: Micros, _: &Event, _: &[Action], _: Names) {}
 
-    fn taken(&mut self, _: Micros, _: InvIx, _: FrontIx, _: Option<&str>, _: bool) {}
+    fn taken(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {}
 
     fn answered(&mut self, _: Micros, _: Given) {}
 
-    fn turned_away(&mut self, _: Micros, _: FrontIx, _: u32, _: u32, _: Short) {}
+    fn turned_away(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: Short) {}
 
     fn used(&mut self, _: Micros, used: Used) {
         let admission = &self.0;
         if let Some(upgrades) = &admission.upgrades {
             upgrades.record_use(&used);
         }
-        if let (By::Dispatch(Outcome::Succeeded, _), Some(session)) = (used.by, used.session) {
+        if let (By::Dispatch(DispatchOutcome::Succeeded, _), Some(session)) =
+            (used.by, used.session)
+        {
             admission
                 .completed
                 .borrow_mut()
--- a/crates/gateway/src/amqp_front.rs
+++ b/crates/gateway/src/amqp_front.rs
@@ -16,7 +16,7 @@
 use cedarpulley_net::{Bell, connect};
 use cedarpulley_router::admission::FrontState;
 use cedarpulley_router::backoff::Backoff;
-use cedarpulley_router::{Answer, Delivery, FrontIx, Input, Payload, Session, Taken};
+use cedarpulley_router::{Answer, Delivery, FrontIndex, Input, Payload, Session, Taken};
 use futures_lite::io::{ReadHalf, WriteHalf, split};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use hdrhistogram::Histogram;
@@ -67,7 +67,7 @@
 
 /// The front of one consumed queue.
 pub struct AmqpFront {
-    pub ix: FrontIx,
+    pub ix: FrontIndex,
     source: AmqpSource,
     max_body_bytes: u64,
     context: Rc<GatewayContext>,
@@ -85,7 +85,7 @@
 
 impl AmqpFront {
     pub fn new(
-        ix: FrontIx,
+        ix: FrontIndex,
         source: AmqpSource,
         max_body_bytes: u64,
         context: Rc<GatewayContext>,
--- a/crates/gateway/src/core_settings.rs
+++ b/crates/gateway/src/core_settings.rs
@@ -75,15 +75,15 @@
 ) -> (DispatchLimits, PoolSettings) {
     let limits = DispatchLimits {
         max_dispatches: section.integer("max_dispatches", 1..100, Some(4)) as u32,
-        second_copies: section.boolean("second_copies", Some(false)),
-        withdrawals: section.boolean("withdrawals", Some(true)),
+        hedged_requests: section.boolean("second_copies", Some(false)),
+        cancellation: section.boolean("withdrawals", Some(true)),
         probes: section.boolean("probes", Some(false)),
-        connect_within: section.millis_as_micros("connect_within_ms", 1..DAY_MS, Some(250)),
-        max_advice: section.millis_as_micros("max_advice_ms", 0..DAY_MS, Some(0)),
+        connect_timeout: section.millis_as_micros("connect_within_ms", 1..DAY_MS, Some(250)),
+        max_retry_after: section.millis_as_micros("max_advice_ms", 0..DAY_MS, Some(0)),
     };
     let pool = PoolSettings {
         local_address,
-        connect_timeout: limits.connect_within,
+        connect_timeout: limits.connect_timeout,
         max_connections: section.integer("most_connections", 1..10_000, Some(128)) as usize,
         idle_timeout: section.millis_as_micros("connection_kept_ms", 1..DAY_MS, Some(30_000)),
         max_answer_bytes: (section.integer("most_answer_kb", 1..1 << 20, Some(16 * 1024)) << 10)
@@ -94,14 +94,14 @@
 }
 
 /// Reads `[rules]`.
-pub(crate) fn rules(section: &Section) -> RuleTerms {
-    let rules = RuleTerms {
+pub(crate) fn rules(section: &Section) -> RuleLimits {
+    let rules = RuleLimits {
         answer_slack: section.millis_as_micros("answer_slack_ms", 0..DAY_MS, Some(0)),
         drain_grace: section.millis_as_micros("drain_grace_ms", 0..DAY_MS, Some(500)),
-        ask_within: NEVER,
+        list_request_timeout: NEVER,
         list_on_request: false,
-        cold_part: section.number("cold_part", 0.0..1.0, Some(1.0)),
-        cold_for: section.millis_as_micros("cold_for_ms", 0..DAY_MS, Some(0)),
+        slow_start_fraction: section.number("cold_part", 0.0..1.0, Some(1.0)),
+        slow_start_duration: section.millis_as_micros("cold_for_ms", 0..DAY_MS, Some(0)),
         overload_multiple: section.number("overload_multiple", 0.0..MAX_NUMBER, Some(MAX_NUMBER)),
         overload_window: section.millis_as_micros("overload_window_ms", 1..DAY_MS, Some(1_000)),
     };
@@ -121,24 +121,24 @@
 }
 
 /// Reads `[loads]`. `memory_mb`: by kind of worker.
-pub(crate) fn loads(section: &Section, memory_mb: Vec<f64>) -> LoadTerms {
-    let loads = LoadTerms {
-        idle_kept: section.millis_as_micros("idle_kept_ms", 1..DAY_MS, Some(30_000)),
-        orders: section.boolean("orders", Some(false)),
+pub(crate) fn loads(section: &Section, memory_mb: Vec<f64>) -> LoadSettings {
+    let loads = LoadSettings {
+        idle_retention: section.millis_as_micros("idle_kept_ms", 1..DAY_MS, Some(30_000)),
+        load_orders: section.boolean("orders", Some(false)),
         loads_when_absent: section.boolean("loads_when_absent", Some(true)),
-        order_answered_within: section.millis_as_micros(
+        order_timeout: section.millis_as_micros(
             "order_answered_within_ms",
             1..DAY_MS,
             Some(10_000),
         ),
-        ration_window: section.millis_as_micros("ration_window_ms", 0..DAY_MS, Some(0)),
-        ration_few: section.number("ration_few", 0.0..MAX_NUMBER, Some(0.0)),
-        ration_part: section.number("ration_part", 0.0..1.0, Some(0.0)),
-        notes: section.boolean("notes", Some(true)),
-        crowds: section.boolean("crowds", Some(true)),
+        order_quota_window: section.millis_as_micros("ration_window_ms", 0..DAY_MS, Some(0)),
+        order_quota_base: section.number("ration_few", 0.0..MAX_NUMBER, Some(0.0)),
+        order_quota_per_invocation: section.number("ration_part", 0.0..1.0, Some(0.0)),
+        reports_copy_status: section.boolean("notes", Some(true)),
+        reports_function_load: section.boolean("crowds", Some(true)),
         memory_mb,
     };
-    if !loads.orders && !loads.loads_when_absent {
+    if !loads.load_orders && !loads.loads_when_absent {
         section.error(
             "loads_when_absent",
             "without it and without orders nothing is ever loaded",
@@ -156,7 +156,7 @@
         waste: section.number("waste", 0.0..MAX_NUMBER, Some(0.0)),
         probe: section.number("probe", 0.0..MAX_NUMBER, Some(0.0)),
         late_error: section.number("late_error", 0.0..MAX_NUMBER, Some(0.0)),
-        over_share: section.number("over_share", 0.0..1.0, Some(1.0)),
+        over_quota: section.number("over_share", 0.0..1.0, Some(1.0)),
     };
     section.check_unknown_keys();
     prices
@@ -202,7 +202,7 @@
             }
         }
         accounts.push(Account {
-            allowance_per_s: a.number("allowance_per_s", 0.0..MAX_NUMBER, Some(MAX_NUMBER)),
+            quota_per_s: a.number("allowance_per_s", 0.0..MAX_NUMBER, Some(MAX_NUMBER)),
             share: a.number("share", 0.0..1.0, Some(1.0)),
         });
         a.finish();
@@ -216,32 +216,32 @@
 }
 
 /// Where workers' reports come from.
-pub(crate) fn reports(root: &Section) -> ReportsIn {
+pub(crate) fn reports(root: &Section) -> ReportSource {
     match root.string("reports", Some("answers")).as_str() {
-        "answers" => ReportsIn::Answers,
-        "probes" => ReportsIn::Probes,
-        "nothing" => ReportsIn::Nothing,
+        "answers" => ReportSource::Answers,
+        "probes" => ReportSource::Probes,
+        "nothing" => ReportSource::Nothing,
         _ => {
             root.error("reports", "is none of answers, probes, nothing");
-            ReportsIn::Nothing
+            ReportSource::Nothing
         }
     }
 }
 
 fn trigger(t: &Section, limits: &DispatchLimits) -> TriggerType {
     let group = match t.string("repeats_dropped_by", Some("all")).as_str() {
-        "all" => RepeatGroup::All,
-        "zone" => RepeatGroup::Zone,
-        "cell" => RepeatGroup::Cell,
+        "all" => DeduplicationScope::All,
+        "zone" => DeduplicationScope::Zone,
+        "cell" => DeduplicationScope::Cell,
         _ => {
             t.error("repeats_dropped_by", "is none of all, zone, cell");
-            RepeatGroup::Cell
+            DeduplicationScope::Cell
         }
     };
     let effect = match t.string("effect", None).as_str() {
         "idempotent" => Effect::Idempotent,
-        "tokened" => Effect::Tokened {
-            group,
+        "tokened" => Effect::IdempotentByKey {
+            scope: group,
             window: t.millis_as_micros("window_ms", 0..DAY_MS, None),
         },
         "non-idempotent" => Effect::NonIdempotent,
@@ -257,7 +257,7 @@
                 "second_copies",
                 "what must never run twice may have no second copy",
             );
-        } else if !limits.second_copies {
+        } else if !limits.hedged_requests {
             t.error(
                 "second_copies",
                 "second copies are not allowed under [dispatch]",
@@ -272,10 +272,10 @@
     TriggerType {
         effect,
         latency_objective,
-        objective_stretch: t.number("objective_stretch", 0.0..MAX_NUMBER, Some(0.0)),
+        objective_work_multiple: t.number("objective_stretch", 0.0..MAX_NUMBER, Some(0.0)),
         client_timeout,
         billed_value: t.number("billed_value", 0.0..MAX_NUMBER, Some(1.0)),
-        late_part: t.number("late_part", 0.0..1.0, Some(0.0)),
+        late_value_fraction: t.number("late_part", 0.0..1.0, Some(0.0)),
         streamed: false,
     }
 }
--- a/crates/gateway/src/fault_injection.rs
+++ b/crates/gateway/src/fault_injection.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use async_io::Timer;
-use cedarpulley::interface::{Micros, Standing, WorkerIx};
+use cedarpulley::interface::{EndpointState, Micros, WorkerIndex};
 use cedarpulley_kserve::{requests, serving};
 use cedarpulley_net::micros;
 use cedarpulley_reconcile::asking::Chance;
@@ -115,7 +115,7 @@
 }
 
 /// The address of a worker, while it is known.
-pub type AddressLookup = Rc<dyn Fn(WorkerIx) -> Option<SocketAddr>>;
+pub type AddressLookup = Rc<dyn Fn(WorkerIndex) -> Option<SocketAddr>>;
 
 /// Sees what passes between the core and the sockets, and breaks one rule in it.
 pub struct FaultInjector {
@@ -339,7 +339,7 @@
             .map(|e| &mut e.worker)
         {
             match self.fault {
-                Some(InjectedFault::IgnoredDrains) => worker.standing = Standing::InService,
+                Some(InjectedFault::IgnoredDrains) => worker.standing = EndpointState::InService,
                 Some(InjectedFault::OverloadedColdWorker) if worker.started.is_some() => {
                     self.cold_workers.borrow_mut().push(worker.address.clone());
                     worker.started = None;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use cedarpulley::interface::{Micros, WorkerIx};
+use cedarpulley::interface::{Micros, WorkerIndex};
 use cedarpulley_net::Alarm;
-use cedarpulley_router::{FrontIx, Input, Router};
+use cedarpulley_router::{FrontIndex, Input, Router};
 
 use crate::admission::Admission;
 use crate::amqp_front::{AmqpFront, AnswerTimes};
@@ -42,7 +42,7 @@
 }
 
 /// The address of a worker, while the core knows it.
-pub(crate) fn worker_address(router: &RefCell<Router>, worker: WorkerIx) -> Option<SocketAddr> {
+pub(crate) fn worker_address(router: &RefCell<Router>, worker: WorkerIndex) -> Option<SocketAddr> {
     // Not cached by index, as the index of a departed worker is reused.
     router.borrow().worker_name(worker)?.parse().ok()
 }
@@ -85,7 +85,7 @@
     }
 
     /// The KServe front of this index; absent for an AMQP front.
-    pub(crate) fn handler(&self, front: FrontIx) -> Option<&Rc<RequestHandler>> {
+    pub(crate) fn handler(&self, front: FrontIndex) -> Option<&Rc<RequestHandler>> {
         Some(
             &self
                 .client_listeners
@@ -95,7 +95,7 @@
     }
 
     /// The address of a worker, while the core knows it.
-    pub(crate) fn address(&self, worker: WorkerIx) -> Option<SocketAddr> {
+    pub(crate) fn address(&self, worker: WorkerIndex) -> Option<SocketAddr> {
         worker_address(&self.router, worker)
     }
 
--- a/crates/gateway/src/metering.rs
+++ b/crates/gateway/src/metering.rs
@@ -8,10 +8,10 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use cedarpulley::interface::{Action, Event, InvIx, Micros, OrderResult};
+use cedarpulley::interface::{Action, Event, InvocationIndex, LoadOrderResult, Micros};
 use cedarpulley_ledger::{Failed, Ledger, Writing};
 use cedarpulley_meter::{Ended, Load, Meter, Part, Source};
-use cedarpulley_router::FrontIx;
+use cedarpulley_router::FrontIndex;
 use cedarpulley_router::entry::Short;
 use cedarpulley_router::watch::{By, Given, Names, Used, Watch};
 
@@ -176,11 +176,11 @@
 impl Watch for Metering {
     fn decided(&mut self, _: Micros, _: &Event, _: &[Action], _: Names) {}
 
-    fn taken(&mut self, _: Micros, _: InvIx, _: FrontIx, _: Option<&str>, _: bool) {}
+    fn taken(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {}
 
     fn answered(&mut self, _: Micros, _: Given) {}
 
-    fn turned_away(&mut self, _: Micros, _: FrontIx, _: u32, _: u32, _: Short) {}
+    fn turned_away(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: Short) {}
 
     fn used(&mut self, now: Micros, u: Used) {
         let mut inner = self.0.borrow_mut();
@@ -212,7 +212,10 @@
                 });
             }
             By::Order(result) => {
-                let never_began = matches!(result, OrderResult::Unreachable | OrderResult::NoRoom);
+                let never_began = matches!(
+                    result,
+                    LoadOrderResult::Unreachable | LoadOrderResult::NoCapacity
+                );
                 inner.meter.loaded(Load {
                     wall,
                     worker,
--- a/crates/gateway/src/outputs.rs
+++ b/crates/gateway/src/outputs.rs
@@ -4,10 +4,12 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use cedarpulley::interface::{Micros, Outcome, Report, WorkerIx};
+use cedarpulley::interface::{DispatchOutcome, LoadReport, Micros, WorkerIndex};
 use cedarpulley_kserve::{endings, reports, requests};
 use cedarpulley_router::core::Call;
-use cedarpulley_router::{Answer, Delivery, FrontIx, Input, OrderTicket, Output, Payload, Ticket};
+use cedarpulley_router::{
+    Answer, Delivery, FrontIndex, Input, OrderTicket, Output, Payload, Ticket,
+};
 
 use crate::gateway::Gateway;
 use crate::peer_group::PeerGroup;
@@ -19,7 +21,7 @@
 /// A dispatch to a worker.
 struct Dispatch {
     ticket: Ticket,
-    worker: WorkerIx,
+    worker: WorkerIndex,
     function: Arc<str>,
     trigger: u32,
     account: u32,
@@ -131,7 +133,7 @@
         }
     }
 
-    fn grant(&self, front: FrontIx, most: u32) {
+    fn grant(&self, front: FrontIndex, most: u32) {
         match self.fronts.get(front as usize) {
             Some(front) => front.grant(most),
             None => {
@@ -155,7 +157,7 @@
         let read = endings::infer(&ending_of(&result, &function));
         let held = result.as_ref().ok().and_then(|r| reports::held(&r.headers));
         let body = match result {
-            Ok(reply) if read.outcome == Outcome::Succeeded => {
+            Ok(reply) if read.outcome == DispatchOutcome::Succeeded => {
                 let json = endings::json_length(&reply.headers, &reply.body);
                 let first = json.filter(|n| *n < reply.body.len()).map(|n| n as u32);
                 Payload {
@@ -257,7 +259,7 @@
 
     async fn order_unload(
         self: Rc<Self>,
-        worker: WorkerIx,
+        worker: WorkerIndex,
         function: Arc<str>,
         term: Option<Arc<str>>,
     ) {
@@ -273,7 +275,7 @@
         let _ = self.pool.order(address, request, CONTROL_TIMEOUT).await;
     }
 
-    async fn probe(self: Rc<Self>, worker: WorkerIx) {
+    async fn probe(self: Rc<Self>, worker: WorkerIndex) {
         let began = self.context.clock.now();
         let (outcome, report) = match self.address(worker) {
             Some(address) => {
@@ -281,7 +283,7 @@
                 let result = self.pool.order(address, request, CONTROL_TIMEOUT).await;
                 endings::probe(&ending_of(&result, ""))
             }
-            None => (Outcome::Unreachable, Report::default()),
+            None => (DispatchOutcome::Unreachable, LoadReport::default()),
         };
         let took = self.context.clock.now() - began;
         self.feed(Input::Probed {
--- a/crates/gateway/src/peer_group.rs
+++ b/crates/gateway/src/peer_group.rs
@@ -9,7 +9,7 @@
 
 use async_io::{Async, Timer};
 use cedarpulley_errors::Remedy;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 use cedarpulley_net::{Clock, listen};
 use cedarpulley_replica::{self as replica, Guard};
 use cedarpulley_router::group::Ask;
@@ -96,7 +96,7 @@
     transport: Rc<PeerTransport>,
     store: Option<Rc<PeerStore>>,
     listener: RefCell<Option<Async<TcpListener>>>,
-    own_index: MemberIx,
+    own_index: MemberIndex,
     name: String,
 }
 
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::{self as membership, MemberIx, Process};
+use cedarpulley_membership::{self as membership, MemberIndex, Process};
 use cedarpulley_replica as replica;
 use cedarpulley_router::{Answer, Fate, Payload, Reason};
 use serde::{Deserialize, Serialize};
@@ -16,8 +16,8 @@
     /// Fingerprint of the whole group: routers of another group, or with other members configured, have
     /// another one.
     pub group: u64,
-    pub from: MemberIx,
-    pub to: MemberIx,
+    pub from: MemberIndex,
+    pub to: MemberIndex,
     pub process: Process,
     /// The sender's own clock; then the receiver's clock as the sender last saw it, and the process it
     /// belonged to. With these the receiver bounds the transit time by its own clock alone. In microseconds.
--- a/crates/gateway/src/peer_transport.rs
+++ b/crates/gateway/src/peer_transport.rs
@@ -19,7 +19,7 @@
 use async_io::{Async, Timer};
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 use cedarpulley_net::{Bell, Stream, connect, micros};
 use futures_lite::FutureExt;
 use http_body_util::{BodyExt, Full, Limited};
@@ -131,7 +131,7 @@
 pub struct TransportHandle(pub Rc<PeerTransport>);
 
 impl Transport for TransportHandle {
-    fn send(&self, to: MemberIx, message: Bytes, bulk: bool, recoverable: bool) {
+    fn send(&self, to: MemberIndex, message: Bytes, bulk: bool, recoverable: bool) {
         if let Some(queues) = self.0.queues.get(to as usize) {
             queues[usize::from(bulk)].enqueue(message, recoverable);
         }
@@ -170,8 +170,8 @@
     }
 
     /// Starts sending, for as long as the router runs.
-    pub fn run(self: &Rc<Self>, peers: &Rc<Peers>, own_index: MemberIx) {
-        for to in (0..self.queues.len() as MemberIx).filter(|m| *m != own_index) {
+    pub fn run(self: &Rc<Self>, peers: &Rc<Peers>, own_index: MemberIndex) {
+        for to in (0..self.queues.len() as MemberIndex).filter(|m| *m != own_index) {
             for queue_index in 0..2 {
                 self.executor
                     .spawn(self.clone().send_loop(peers.clone(), to, queue_index))
@@ -180,7 +180,7 @@
         }
     }
 
-    async fn send_loop(self: Rc<Self>, peers: Rc<Peers>, to: MemberIx, queue_index: usize) {
+    async fn send_loop(self: Rc<Self>, peers: Rc<Peers>, to: MemberIndex, queue_index: usize) {
         let queue = &self.queues[to as usize][queue_index];
         let mut connection: Option<(SendRequest<Full<Bytes>>, Task<()>)> = None;
         loop {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
 use cedarpulley_errors::Remedy;
-use cedarpulley_membership::{self as membership, Believed, MemberIx, Membership};
+use cedarpulley_membership::{self as membership, Believed, MemberIndex, Membership};
 use cedarpulley_net::Alarm;
 use cedarpulley_replica::{self as replica, Guard, Need, Replica};
 use cedarpulley_router::group::{self, Ask, Told};
@@ -34,7 +34,7 @@
 pub trait Transport {
     /// `bulk`: may wait behind messages that a vote waits for. `recoverable`: may be dropped if there is no
     /// room, as a later comparison of the records repairs the loss.
-    fn send(&self, to: MemberIx, message: Bytes, bulk: bool, recoverable: bool);
+    fn send(&self, to: MemberIndex, message: Bytes, bulk: bool, recoverable: bool);
 }
 
 /// Envelopes received and those refused, by cause. The names are those of the state endpoint.
@@ -58,7 +58,7 @@
     counts: Counts,
     unknown_members: UnknownMembers,
     /// While an envelope is processed: its sender and the messages that go back in the reply.
-    replies: Option<(MemberIx, Vec<Bytes>)>,
+    replies: Option<(MemberIndex, Vec<Bytes>)>,
     /// This process was started from a stored state; and that state was older than what other members know of
     /// it.
     was_restored: bool,
@@ -70,7 +70,7 @@
     pub(crate) context: Rc<GatewayContext>,
     nonce: u64,
     group_fingerprint: u64,
-    own_index: MemberIx,
+    own_index: MemberIndex,
     members: usize,
     state: RefCell<State>,
     transport: Box<dyn Transport>,
@@ -370,7 +370,7 @@
     }
 
     /// An envelope with these encoded messages for a member.
-    pub fn envelope(&self, to: MemberIx, messages: Vec<Bytes>) -> Envelope {
+    pub fn envelope(&self, to: MemberIndex, messages: Vec<Bytes>) -> Envelope {
         let state = self.state.borrow();
         let (echo, echo_of) = state.clocks.get(to as usize).copied().unwrap_or_default();
         Envelope {
@@ -399,7 +399,7 @@
         self.update_believed(now);
     }
 
-    fn member_changed(&self, now: Micros, member: MemberIx) {
+    fn member_changed(&self, now: Micros, member: MemberIndex) {
         let (known, alive, name) = {
             let mut state = self.state.borrow_mut();
             let known = state.membership.known(member);
@@ -444,7 +444,7 @@
         }
     }
 
-    fn send(&self, to: MemberIx, message: PeerMessage, bulk: bool, recoverable: bool) {
+    fn send(&self, to: MemberIndex, message: PeerMessage, bulk: bool, recoverable: bool) {
         // Encoding these types cannot fail.
         let Ok(message) = postcard::to_stdvec(&message).map(Bytes::from) else {
             return;
@@ -561,7 +561,7 @@
 
     /// Refused envelopes in the name of this member or, without one, of all senders that cannot be
     /// identified. JSON null if there are none.
-    pub fn refusals(&self, member: Option<MemberIx>) -> serde_json::Value {
+    pub fn refusals(&self, member: Option<MemberIndex>) -> serde_json::Value {
         self.state
             .borrow()
             .unknown_members
--- a/crates/gateway/src/reconciliation.rs
+++ b/crates/gateway/src/reconciliation.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use cedarpulley::interface::{ListMode, Micros, Standing};
+use cedarpulley::interface::{EndpointListKind, EndpointState, Micros};
 use cedarpulley_errors::Remedy;
 use cedarpulley_kserve::{index, requests};
 use cedarpulley_net::Alarm;
@@ -279,17 +279,17 @@
     }
 
     /// The update of the list that the core has just received.
-    pub fn list_applied(self: &Rc<Self>, mode: ListMode, workers: &[Listed]) {
+    pub fn list_applied(self: &Rc<Self>, mode: EndpointListKind, workers: &[Listed]) {
         {
             let mut listing = self.listing.borrow_mut();
             match mode {
-                ListMode::Complete | ListMode::Saved => listing.clear(),
-                ListMode::Changes => {}
-                ListMode::Failed => return,
+                EndpointListKind::Complete | EndpointListKind::Cached => listing.clear(),
+                EndpointListKind::Changes => {}
+                EndpointListKind::Failed => return,
             }
             for worker in workers {
                 match worker.standing {
-                    Standing::InService | Standing::Draining => {
+                    EndpointState::InService | EndpointState::Draining => {
                         listing.insert(Arc::from(worker.address.as_str()), worker.clone());
                     }
                     _ => drop(listing.remove(&*worker.address)),
--- a/crates/gateway/src/reconciliation_observer.rs
+++ b/crates/gateway/src/reconciliation_observer.rs
@@ -3,9 +3,11 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use cedarpulley::interface::{Action, CopyNote, Event, InvIx, Micros, OrderResult, Outcome};
+use cedarpulley::interface::{
+    Action, CopyStatus, DispatchOutcome, Event, InvocationIndex, LoadOrderResult, Micros,
+};
 use cedarpulley_reconcile::{Change, Input as ReconcilerInput};
-use cedarpulley_router::FrontIx;
+use cedarpulley_router::FrontIndex;
 use cedarpulley_router::entry::Short;
 use cedarpulley_router::watch::{By, Given, Names, Used, Watch};
 
@@ -42,7 +44,7 @@
         }
     }
 
-    fn function(&self, inv: InvIx) -> (u32, f64) {
+    fn function(&self, inv: InvocationIndex) -> (u32, f64) {
         self.open
             .get(inv as usize)
             .copied()
@@ -51,11 +53,11 @@
 }
 
 /// What the end of a dispatch shows of the copy: whether it exists now, and whether it existed before.
-fn copy_evidence(outcome: Outcome, note: CopyNote) -> (Option<bool>, bool) {
+fn copy_evidence(outcome: DispatchOutcome, note: CopyStatus) -> (Option<bool>, bool) {
     match (outcome, note) {
-        (_, CopyNote::LoadErrored) | (Outcome::Missed, _) => (Some(false), false),
-        (Outcome::Succeeded, note) => (Some(true), note == CopyNote::Found),
-        (_, CopyNote::Found) => (Some(true), true),
+        (_, CopyStatus::LoadFailed) | (DispatchOutcome::NotLoaded, _) => (Some(false), false),
+        (DispatchOutcome::Succeeded, note) => (Some(true), note == CopyStatus::Warm),
+        (_, CopyStatus::Warm) => (Some(true), true),
         _ => (None, false),
     }
 }
@@ -64,15 +66,15 @@
     fn decided(&mut self, now: Micros, event: &Event, actions: &[Action], names: Names) {
         match event {
             Event::Invocation(a) => {
-                let inv = a.inv as usize;
+                let inv = a.invocation as usize;
                 if self.open.len() <= inv {
                     self.open.resize(inv + 1, (u32::MAX, 0.0));
                 }
-                self.open[inv] = (a.func, a.copy_mb);
+                self.open[inv] = (a.function, a.copy_mb);
             }
             Event::DispatchEnded(e) => {
-                let (func, copy_mb) = self.function(e.inv);
-                let (stands, found) = copy_evidence(e.outcome, e.note);
+                let (func, copy_mb) = self.function(e.invocation);
+                let (stands, found) = copy_evidence(e.outcome, e.copy_status);
                 let ended = Change::Ended {
                     stands,
                     found,
@@ -82,15 +84,17 @@
             }
             Event::OrderEnded {
                 worker,
-                func,
+                function: func,
                 result,
                 copies,
                 ..
             } => {
                 let stands = match result {
-                    OrderResult::Stand => Some(*copies > 0),
-                    OrderResult::NoRoom | OrderResult::LoadErrored => Some(*copies > 0),
-                    OrderResult::Broken | OrderResult::Unreachable | OrderResult::TimedOut => None,
+                    LoadOrderResult::Loaded => Some(*copies > 0),
+                    LoadOrderResult::NoCapacity | LoadOrderResult::LoadFailed => Some(*copies > 0),
+                    LoadOrderResult::ConnectionLost
+                    | LoadOrderResult::Unreachable
+                    | LoadOrderResult::TimedOut => None,
                 };
                 let ended = Change::OrderEnded {
                     stands,
@@ -102,25 +106,34 @@
         }
         for action in actions {
             let (worker, func, change) = match action {
-                Action::Dispatch { inv, worker, .. } => {
-                    (*worker, self.function(*inv).0, Change::Sent)
-                }
-                Action::Order { worker, func, .. } => (*worker, *func, Change::Ordered),
-                Action::Unload { worker, func } => (*worker, *func, Change::Unloaded),
+                Action::Dispatch {
+                    invocation: inv,
+                    worker,
+                    ..
+                } => (*worker, self.function(*inv).0, Change::Sent),
+                Action::LoadOrder {
+                    worker,
+                    function: func,
+                    ..
+                } => (*worker, *func, Change::Ordered),
+                Action::Unload {
+                    worker,
+                    function: func,
+                } => (*worker, *func, Change::Unloaded),
                 _ => continue,
             };
             self.change(now, names.worker(worker), names.function(func), change);
         }
     }
 
-    fn taken(&mut self, _: Micros, _: InvIx, _: FrontIx, _: Option<&str>, _: bool) {}
+    fn taken(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {}
 
     fn answered(&mut self, _: Micros, _: Given) {}
 
-    fn turned_away(&mut self, _: Micros, _: FrontIx, _: u32, _: u32, _: Short) {}
+    fn turned_away(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: Short) {}
 
     fn used(&mut self, now: Micros, u: Used) {
-        if let (Some(id), By::Dispatch(Outcome::Succeeded, _)) = (u.session, u.by) {
+        if let (Some(id), By::Dispatch(DispatchOutcome::Succeeded, _)) = (u.session, u.by) {
             let change = Change::Session {
                 id: Arc::from(id),
                 over: u.ends,
--- a/crates/gateway/src/request_handling.rs
+++ b/crates/gateway/src/request_handling.rs
@@ -18,7 +18,7 @@
 use cedarpulley_kserve::serving::{self, Misunderstood};
 use cedarpulley_net::{Bell, micros};
 use cedarpulley_router::entry::{Entry, Knock};
-use cedarpulley_router::{Answer, Delivery, FrontIx, Input, Payload, Session, Taken};
+use cedarpulley_router::{Answer, Delivery, FrontIndex, Input, Payload, Session, Taken};
 use futures_lite::FutureExt;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -70,7 +70,7 @@
 
 /// The state of one KServe front.
 pub struct RequestHandler {
-    pub ix: FrontIx,
+    pub ix: FrontIndex,
     pub context: Rc<GatewayContext>,
     pub resources: Rc<HandlerResources>,
     pub max_body_bytes: u64,
@@ -389,7 +389,7 @@
 
 impl RequestHandler {
     pub fn new(
-        ix: FrontIx,
+        ix: FrontIndex,
         context: Rc<GatewayContext>,
         resources: Rc<HandlerResources>,
         max_body_bytes: u64,
--- a/crates/gateway/src/resources.rs
+++ b/crates/gateway/src/resources.rs
@@ -75,7 +75,7 @@
             Some(peers) => Some(PeerGroupResources::acquire(peers, &clock, disabled_guard)?),
             None => None,
         };
-        let control = settings.startup.control(seed);
+        let control = settings.startup.balancer(seed);
         let sockets = settings
             .listeners
             .iter()
@@ -83,7 +83,7 @@
             .collect::<Result<_, _>>()?;
         let listeners = with_tls(settings.listeners, &clock)?;
         let (idle_kept, kinds_mb) = (
-            settings.startup.loads.idle_kept,
+            settings.startup.loads.idle_retention,
             settings.startup.loads.memory_mb,
         );
         let mut router = Router::new(control, settings.startup.triggers, settings.core_terms);
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -7,7 +7,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
-use cedarpulley::interface::ListMode;
+use cedarpulley::interface::EndpointListKind;
 use cedarpulley_errors::Remedy;
 use cedarpulley_router::Input;
 use futures_lite::StreamExt;
@@ -108,7 +108,7 @@
 fn start_worker_list(gateway: &Rc<Gateway>, workers: WorkerList) {
     match workers {
         WorkerList::Fixed(workers) => gateway.feed(Input::List {
-            mode: ListMode::Complete,
+            mode: EndpointListKind::Complete,
             workers,
         }),
         WorkerList::Watched(address) => {
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -190,7 +190,7 @@
 fn core_terms(
     router: &RouterSection,
     accounts: &[Account],
-    loads: &LoadTerms,
+    loads: &LoadSettings,
     front_weights: Vec<f64>,
     sharing: Option<Sharing>,
     drain_grace: Micros,
@@ -201,7 +201,7 @@
         memory_bytes: router.memory_bytes,
         front_weights,
         account_shares: accounts.iter().map(|a| a.share).collect(),
-        order_answered_within: loads.order_answered_within,
+        order_answered_within: loads.order_timeout,
         module_alone: false,
         sharing,
         drain_grace,
@@ -235,7 +235,7 @@
     folder: &Path,
     peers: Option<&PeerSettings>,
     triggers: &[TriggerType],
-    loads: &LoadTerms,
+    loads: &LoadSettings,
 ) -> Shared {
     let (upgrade, sessions) = group_settings::upgrade(
         &root.section("upgrade"),
@@ -248,7 +248,7 @@
     let upgrade = upgrade.map(|ordered| UpgradeSettings {
         latency_objectives: triggers.iter().map(|t| t.latency_objective).collect(),
         memory_mb: loads.memory_mb.clone(),
-        terms: ordered.terms.beside(asked_within, loads.idle_kept),
+        terms: ordered.terms.beside(asked_within, loads.idle_retention),
         ..ordered
     });
     // Without upgrades, sessions are tracked only for their workers.
@@ -341,7 +341,7 @@
             zone: zone_index(&s, "zone", &names.zones),
             kind,
             cell: s.integer("cell", 0..1 << 30, Some(0)) as u32,
-            standing: Standing::InService,
+            standing: EndpointState::InService,
             weight: s.number("weight", 0.0..MAX_NUMBER, Some(1.0)),
             started: None,
         });
--- a/crates/gateway/src/shared_state.rs
+++ b/crates/gateway/src/shared_state.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 use cedarpulley_replica::{Ballot, Input, Key, Note, Record};
 
 use crate::peer_events::PeerEvent;
@@ -132,7 +132,7 @@
     }
 
     /// This router's index among the members.
-    pub fn own_index(&self) -> MemberIx {
+    pub fn own_index(&self) -> MemberIndex {
         self.0
             .inspect(|_, membership, _, _, _, _| membership.group().me)
     }
@@ -141,7 +141,7 @@
     pub fn members(&self) -> Vec<MemberView> {
         self.0.inspect(|_, membership, believed, _, _, _| {
             let members = membership.group().members.iter().zip(0..);
-            let view = |(member, ix): (&cedarpulley_membership::Member, MemberIx)| MemberView {
+            let view = |(member, ix): (&cedarpulley_membership::Member, MemberIndex)| MemberView {
                 name: member.name.clone(),
                 region: member.region.clone(),
                 alive: believed.is_alive(ix),
--- a/crates/gateway/src/state_endpoint.rs
+++ b/crates/gateway/src/state_endpoint.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use cedarpulley_membership::{MemberIx, Standing};
+use cedarpulley_membership::{MemberIndex, Standing};
 use cedarpulley_replica::{Record, Sent as SentState};
 use metrics_exporter_prometheus::PrometheusBuilder;
 use serde::Serialize;
@@ -82,7 +82,7 @@
 fn group_state(peers: &Peers, transport: TransportCounts) -> Value {
     peers.inspect(|now, membership, believed, replica, counts, store_was_older| {
         let group = membership.group();
-        let member = |m: MemberIx| {
+        let member = |m: MemberIndex| {
             let (known, settings) = (membership.known(m), &group.members[m as usize]);
             json!({
                 "name": settings.name, "region": settings.region, "weight": settings.weight, "witness": settings.witness,
@@ -112,9 +112,9 @@
             "memory": replica.memory(),
             "folder_was_older": store_was_older,
             "view": {"version": membership.version(), "believed": believed.version()},
-            "members": (0..group.len() as MemberIx).map(member).collect::<Vec<_>>(),
+            "members": (0..group.len() as MemberIndex).map(member).collect::<Vec<_>>(),
             "strangers": peers.refusals(None),
-            "majority_alive": group.is_majority((0..group.len() as MemberIx).filter(|m| membership.lives(*m))),
+            "majority_alive": group.is_majority((0..group.len() as MemberIndex).filter(|m| membership.lives(*m))),
             "records": records,
             // By owner: what a member that fails now would leave to the others.
             "open": open,
--- a/crates/gateway/src/trace_recorder.rs
+++ b/crates/gateway/src/trace_recorder.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use cedarpulley::ids::fingerprint;
-use cedarpulley::interface::{Action, Event, InvIx, Micros};
-use cedarpulley_router::FrontIx;
+use cedarpulley::interface::{Action, Event, InvocationIndex, Micros};
+use cedarpulley_router::FrontIndex;
 use cedarpulley_router::entry::Short;
 use cedarpulley_router::watch::{Given, Names, Used, Watch};
 use cedarpulley_trace::blocks::{Gather, event_uses};
@@ -191,8 +191,8 @@
     fn taken(
         &mut self,
         now: Micros,
-        inv: InvIx,
-        front: FrontIx,
+        inv: InvocationIndex,
+        front: FrontIndex,
         mark: Option<&str>,
         redelivered: bool,
     ) {
@@ -236,7 +236,14 @@
         );
     }
 
-    fn turned_away(&mut self, now: Micros, front: FrontIx, trigger: u32, account: u32, why: Short) {
+    fn turned_away(
+        &mut self,
+        now: Micros,
+        front: FrontIndex,
+        trigger: u32,
+        account: u32,
+        why: Short,
+    ) {
         let mut inner = self.0.borrow_mut();
         inner.prepare(now);
         inner.block.record(
--- a/crates/gateway/src/unknown_members.rs
+++ b/crates/gateway/src/unknown_members.rs
@@ -12,7 +12,7 @@
 
 use cedarpulley::interface::Micros;
 use cedarpulley_errors::Remedy;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 use serde_json::{Value, json};
 
 /// Why an envelope was refused.
@@ -52,7 +52,7 @@
     /// Wire version that it states, if any.
     pub version: Option<u16>,
     /// Its sender, if known: the member that it claims to be, and its process.
-    pub from: Option<(MemberIx, u64)>,
+    pub from: Option<(MemberIndex, u64)>,
     pub address: Option<IpAddr>,
 }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    fn index(&self, from: Option<(MemberIx, u64)>) -> usize {
+    fn index(&self, from: Option<(MemberIndex, u64)>) -> usize {
         let others = self.records.len() - 1;
         from.map_or(others, |(m, _)| (m as usize).min(others))
     }
@@ -116,7 +116,7 @@
     }
 
     /// An envelope of this member was accepted.
-    pub fn accepted(&mut self, from: MemberIx) {
+    pub fn accepted(&mut self, from: MemberIndex) {
         if let Some(Some(record)) = self.records.get_mut(from as usize) {
             record.is_active = false;
         }
@@ -124,7 +124,7 @@
 
     /// For the state endpoint: the refusals of a member or, without one, of all unidentified senders; null
     /// where nobody is refused.
-    pub fn state(&self, now: Micros, member: Option<MemberIx>) -> Value {
+    pub fn state(&self, now: Micros, member: Option<MemberIndex>) -> Value {
         let record = &self.records[self.index(member.map(|m| (m, 0)))];
         record.as_ref().filter(|p| p.is_active).map_or(Value::Null, |p| {
             json!({
--- a/crates/gateway/src/upgrades.rs
+++ b/crates/gateway/src/upgrades.rs
@@ -11,7 +11,7 @@
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use bytes::Bytes;
-use cedarpulley::interface::{CopyNote, Micros, OrderResult, Outcome, Standing};
+use cedarpulley::interface::{CopyStatus, DispatchOutcome, EndpointState, LoadOrderResult, Micros};
 use cedarpulley_errors::Remedy;
 use cedarpulley_kserve::serving;
 use cedarpulley_net::Alarm;
@@ -290,7 +290,7 @@
         match used.by {
             By::Order(result) => {
                 let (worker, function) = (Name::from(used.worker_name), Name::from(used.function));
-                let ok = result == OrderResult::Stand;
+                let ok = result == LoadOrderResult::Loaded;
                 self.completed
                     .borrow_mut()
                     .push_back(upgrade::Input::LoadEnded {
@@ -301,7 +301,9 @@
             }
             // Failures of a connection, or of a full worker, say nothing about the version.
             By::Dispatch(
-                outcome @ (Outcome::Succeeded | Outcome::Errored | Outcome::TimedOut),
+                outcome @ (DispatchOutcome::Succeeded
+                | DispatchOutcome::Errored
+                | DispatchOutcome::TimedOut),
                 note,
             ) => {
                 let (version, trigger) = (Name::from(version), used.trigger);
@@ -324,10 +326,10 @@
                     .copied()
                     .unwrap_or(Micros::MAX);
                 // A dispatch that waited for a load is late because of the load.
-                let late = note != CopyNote::Began && used.took > objective;
+                let late = note != CopyStatus::LoadStarted && used.took > objective;
                 count.ended += 1;
-                count.errored += u64::from(outcome != Outcome::Succeeded);
-                count.late += u64::from(outcome == Outcome::Succeeded && late);
+                count.errored += u64::from(outcome != DispatchOutcome::Succeeded);
+                count.late += u64::from(outcome == DispatchOutcome::Succeeded && late);
             }
             By::Dispatch(..) => {}
         }
@@ -590,7 +592,7 @@
             let region = self.settings.regions.get(zone).map_or(zone, String::as_str);
             let mut w = held.remove(name)?;
             w.region = Name::from(region);
-            w.takes_new = worker.standing == Standing::InService;
+            w.takes_new = worker.standing == EndpointState::InService;
             if w.memory_mb == 0 {
                 w.memory_mb = self
                     .settings
--- a/crates/gateway/src/worker_list.rs
+++ b/crates/gateway/src/worker_list.rs
@@ -7,7 +7,7 @@
 use async_executor::Task;
 use async_io::Timer;
 use bytes::Bytes;
-use cedarpulley::interface::{Micros, Standing};
+use cedarpulley::interface::{EndpointState, Micros};
 use cedarpulley_net::{connect, micros};
 use cedarpulley_router::Input;
 use cedarpulley_router::backoff::Backoff;
@@ -249,9 +249,9 @@
                 .and_then(|c| c.parse().ok())
                 .unwrap_or(0),
             standing: if draining {
-                Standing::Draining
+                EndpointState::Draining
             } else {
-                Standing::InService
+                EndpointState::InService
             },
             weight: 1.0,
             started,
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use cedarpulley::interface::{CopyNote, Micros, Outcome};
+use cedarpulley::interface::{CopyStatus, DispatchOutcome, Micros};
 use cedarpulley_gateway::admission::Admission;
 use cedarpulley_gateway::context::GatewayContext;
 use cedarpulley_net::Clock;
@@ -101,7 +101,7 @@
         (held, taken.prefers)
     };
     assert_eq!(told(1), (false, None));
-    let by = By::Dispatch(Outcome::Succeeded, CopyNote::Found);
+    let by = By::Dispatch(DispatchOutcome::Succeeded, CopyStatus::Warm);
     admission.observer().used(
         0,
         Used {
--- a/crates/gateway/tests/metering.rs
+++ b/crates/gateway/tests/metering.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use cedarpulley::interface::{CopyNote, Micros, Outcome};
+use cedarpulley::interface::{CopyStatus, DispatchOutcome, Micros};
 use cedarpulley_gateway::metering::Metering;
 use cedarpulley_ledger::Ledger;
 use cedarpulley_meter::{Held, Kind, Sum};
@@ -24,7 +24,7 @@
 
 /// So many more, each held 30.
 fn use_it(m: &Metering, times: std::ops::Range<u128>) {
-    let by = By::Dispatch(Outcome::Succeeded, CopyNote::Found);
+    let by = By::Dispatch(DispatchOutcome::Succeeded, CopyStatus::Warm);
     for n in times {
         let held = Some(Held {
             life: 9,
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -7,7 +7,7 @@
 
 use async_executor::LocalExecutor;
 use bytes::Bytes;
-use cedarpulley::interface::Outcome;
+use cedarpulley::interface::DispatchOutcome;
 use cedarpulley_gateway::pool::{Pool, PoolSettings, ending_of};
 use cedarpulley_kserve::{endings, requests};
 use cedarpulley_net::Clock;
@@ -71,7 +71,7 @@
 }
 
 /// So many exchanges one after the other, within a time.
-fn outcomes(address: SocketAddr, most: usize, times: usize) -> Vec<Outcome> {
+fn outcomes(address: SocketAddr, most: usize, times: usize) -> Vec<DispatchOutcome> {
     let executor = Rc::new(LocalExecutor::new());
     let pool = Pool::new(executor.clone(), Clock::start(), pool_settings(most));
     async_io::block_on(executor.run(async {
@@ -104,7 +104,7 @@
             }
         });
     });
-    assert_eq!(outcomes(address, 4, 3), [Outcome::Succeeded; 3]);
+    assert_eq!(outcomes(address, 4, 3), [DispatchOutcome::Succeeded; 3]);
 }
 
 /// Its connection came up, and meanwhile it could not leave any more: no byte of it does.
@@ -119,7 +119,7 @@
         async_io::block_on(executor.run(pool.exchange(address, infer(address), false, || false)));
     assert_eq!(
         endings::infer(&ending_of(&result, "f")).outcome,
-        Outcome::NotSent
+        DispatchOutcome::NotSent
     );
 }
 
@@ -128,7 +128,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     drop(listener);
-    assert_eq!(outcomes(address, 4, 1), [Outcome::Unreachable]);
+    assert_eq!(outcomes(address, 4, 1), [DispatchOutcome::Unreachable]);
 }
 
 #[test]
@@ -137,7 +137,7 @@
         request(&mut s);
         let _ = s.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf");
     });
-    assert_eq!(outcomes(address, 4, 1), [Outcome::Broken]);
+    assert_eq!(outcomes(address, 4, 1), [DispatchOutcome::ConnectionLost]);
 }
 
 #[test]
@@ -145,7 +145,7 @@
     let address = worker(|mut s, _| {
         request(&mut s);
     });
-    assert_eq!(outcomes(address, 4, 1), [Outcome::Broken]);
+    assert_eq!(outcomes(address, 4, 1), [DispatchOutcome::ConnectionLost]);
 }
 
 #[test]
@@ -156,7 +156,7 @@
         let line = [b"x-more: ".as_slice(), &[b'y'; 1000], b"\r\n"].concat();
         while s.write_all(&line).is_ok() {}
     });
-    assert_eq!(outcomes(address, 4, 1), [Outcome::Broken]);
+    assert_eq!(outcomes(address, 4, 1), [DispatchOutcome::ConnectionLost]);
 }
 
 #[test]
@@ -171,7 +171,7 @@
             let chunk = [b"10000\r\n".as_slice(), &[b'z'; 65_536], b"\r\n"].concat();
             while s.write_all(&chunk).is_ok() {}
         });
-        assert_eq!(outcomes(address, 4, 1), [Outcome::Errored]);
+        assert_eq!(outcomes(address, 4, 1), [DispatchOutcome::Errored]);
     }
 }
 
@@ -185,7 +185,7 @@
     let seen = outcomes(address, 4, 20);
     assert!(
         seen.iter()
-            .all(|o| matches!(o, Outcome::Succeeded | Outcome::NotSent)),
+            .all(|o| matches!(o, DispatchOutcome::Succeeded | DispatchOutcome::NotSent)),
         "{seen:?}"
     );
 }
@@ -225,7 +225,7 @@
         let result = pool.exchange(address, infer(address), false, || true).await;
         assert_eq!(
             endings::infer(&ending_of(&result, "f")).outcome,
-            Outcome::Throttled
+            DispatchOutcome::Rejected
         );
         pool.cancel(ticket);
         async_io::Timer::after(Duration::from_millis(20)).await;
--- a/crates/kserve/src/endings.rs
+++ b/crates/kserve/src/endings.rs
@@ -2,7 +2,7 @@
 //! never ran; once a byte has left, whatever breaks may have run; and a worker's own refusal counts as never run
 //! only if it says so in so many words (`cedarpulley-ran: no`), which it does before it begins.
 
-use cedarpulley::interface::{CopyNote, OrderResult, Outcome, Report};
+use cedarpulley::interface::{CopyStatus, DispatchOutcome, LoadOrderResult, LoadReport};
 use http::{HeaderMap, StatusCode};
 
 use crate::reports;
@@ -35,32 +35,34 @@
 /// What an ending means to the module.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reading {
-    pub outcome: Outcome,
-    pub note: CopyNote,
+    pub outcome: DispatchOutcome,
+    pub note: CopyStatus,
     pub crowd: Option<u32>,
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 impl Reading {
-    fn bare(outcome: Outcome) -> Self {
+    fn bare(outcome: DispatchOutcome) -> Self {
         Reading {
             outcome,
-            note: CopyNote::Untold,
+            note: CopyStatus::Unreported,
             crowd: None,
-            report: Report::default(),
+            report: LoadReport::default(),
         }
     }
 }
 
 pub fn infer(ended: &Ended) -> Reading {
     match ended {
-        Ended::NoConnection => Reading::bare(Outcome::Unreachable),
+        Ended::NoConnection => Reading::bare(DispatchOutcome::Unreachable),
         // Full for this router, as a full queue there would be.
-        Ended::NoRoom => Reading::bare(Outcome::Throttled),
+        Ended::NoRoom => Reading::bare(DispatchOutcome::Rejected),
         // Symptom: the worker closes an idle connection just as a request is written to it.
-        Ended::Broke { left: false } => Reading::bare(Outcome::NotSent),
-        Ended::Broke { left: true } | Ended::Garbled => Reading::bare(Outcome::Broken),
-        Ended::TooLarge => Reading::bare(Outcome::Errored),
+        Ended::Broke { left: false } => Reading::bare(DispatchOutcome::NotSent),
+        Ended::Broke { left: true } | Ended::Garbled => {
+            Reading::bare(DispatchOutcome::ConnectionLost)
+        }
+        Ended::TooLarge => Reading::bare(DispatchOutcome::Errored),
         Ended::Answered {
             status,
             headers,
@@ -70,12 +72,12 @@
             let refused = reports::text(headers, reports::RAN) == Some("no");
             let outcome = match status.as_u16() {
                 // Symptom: raw tensors are told of that are not there.
-                200 if json_length(headers, body).is_none() => Outcome::Errored,
-                200 if other_model(headers, body, function) => Outcome::Errored,
-                200 => Outcome::Succeeded,
-                404 if refused => Outcome::Missed,
-                429 | 503 if refused => Outcome::Throttled,
-                _ => Outcome::Errored,
+                200 if json_length(headers, body).is_none() => DispatchOutcome::Errored,
+                200 if other_model(headers, body, function) => DispatchOutcome::Errored,
+                200 => DispatchOutcome::Succeeded,
+                404 if refused => DispatchOutcome::NotLoaded,
+                429 | 503 if refused => DispatchOutcome::Rejected,
+                _ => DispatchOutcome::Errored,
             };
             Reading {
                 outcome,
@@ -98,40 +100,40 @@
 }
 
 /// An order to load or a question; with how many copies stand.
-pub fn order(ended: &Ended) -> (OrderResult, u32) {
+pub fn order(ended: &Ended) -> (LoadOrderResult, u32) {
     match ended {
-        Ended::NoConnection => (OrderResult::Unreachable, 0),
+        Ended::NoConnection => (LoadOrderResult::Unreachable, 0),
         Ended::NoRoom | Ended::Broke { .. } | Ended::Garbled | Ended::TooLarge => {
-            (OrderResult::Broken, 0)
+            (LoadOrderResult::ConnectionLost, 0)
         }
         Ended::Answered {
             status, headers, ..
         } => {
             let copies = reports::number(headers, reports::COPIES);
             match status.as_u16() {
-                200 => (OrderResult::Stand, copies.unwrap_or(1)),
+                200 => (LoadOrderResult::Loaded, copies.unwrap_or(1)),
                 // Ready: no.
-                404 => (OrderResult::Stand, 0),
-                429 | 503 | 507 => (OrderResult::NoRoom, copies.unwrap_or(0)),
-                _ => (OrderResult::LoadErrored, copies.unwrap_or(0)),
+                404 => (LoadOrderResult::Loaded, 0),
+                429 | 503 | 507 => (LoadOrderResult::NoCapacity, copies.unwrap_or(0)),
+                _ => (LoadOrderResult::LoadFailed, copies.unwrap_or(0)),
             }
         }
     }
 }
 
-pub fn probe(ended: &Ended) -> (Outcome, Report) {
+pub fn probe(ended: &Ended) -> (DispatchOutcome, LoadReport) {
     match ended {
         Ended::Answered {
             status, headers, ..
         } => {
             let outcome = if status.is_success() {
-                Outcome::Succeeded
+                DispatchOutcome::Succeeded
             } else {
-                Outcome::Errored
+                DispatchOutcome::Errored
             };
             (outcome, reports::load(headers))
         }
-        other => (infer(other).outcome, Report::default()),
+        other => (infer(other).outcome, LoadReport::default()),
     }
 }
 
@@ -162,7 +164,7 @@
 mod tests {
     use super::*;
 
-    fn answered(status: u16, pairs: &[(&'static str, &str)], body: &[u8]) -> Outcome {
+    fn answered(status: u16, pairs: &[(&'static str, &str)], body: &[u8]) -> DispatchOutcome {
         let mut headers = HeaderMap::new();
         for (name, value) in pairs {
             headers.insert(*name, value.parse().expect("a header value"));
@@ -180,24 +182,30 @@
     #[test]
     fn every_line_of_the_table() {
         let outcome = |e: Ended| infer(&e).outcome;
-        assert_eq!(outcome(Ended::NoConnection), Outcome::Unreachable);
-        assert_eq!(outcome(Ended::NoRoom), Outcome::Throttled);
-        assert_eq!(outcome(Ended::Broke { left: false }), Outcome::NotSent);
-        assert_eq!(outcome(Ended::Broke { left: true }), Outcome::Broken);
-        assert_eq!(outcome(Ended::Garbled), Outcome::Broken);
-        assert_eq!(outcome(Ended::TooLarge), Outcome::Errored);
-        assert_eq!(answered(200, &[], b"{}"), Outcome::Succeeded);
+        assert_eq!(outcome(Ended::NoConnection), DispatchOutcome::Unreachable);
+        assert_eq!(outcome(Ended::NoRoom), DispatchOutcome::Rejected);
+        assert_eq!(
+            outcome(Ended::Broke { left: false }),
+            DispatchOutcome::NotSent
+        );
+        assert_eq!(
+            outcome(Ended::Broke { left: true }),
+            DispatchOutcome::ConnectionLost
+        );
+        assert_eq!(outcome(Ended::Garbled), DispatchOutcome::ConnectionLost);
+        assert_eq!(outcome(Ended::TooLarge), DispatchOutcome::Errored);
+        assert_eq!(answered(200, &[], b"{}"), DispatchOutcome::Succeeded);
         assert_eq!(
             answered(404, &[("cedarpulley-ran", "no")], b""),
-            Outcome::Missed
+            DispatchOutcome::NotLoaded
         );
         assert_eq!(
             answered(503, &[("cedarpulley-ran", "no")], b""),
-            Outcome::Throttled
+            DispatchOutcome::Rejected
         );
         assert_eq!(
             answered(500, &[("cedarpulley-ran", "no")], b""),
-            Outcome::Errored
+            DispatchOutcome::Errored
         );
     }
 
@@ -205,7 +213,7 @@
     #[test]
     fn a_bare_refusal_may_have_run() {
         for status in [404, 429, 503] {
-            assert!(!answered(status, &[], b"").never_ran());
+            assert!(!answered(status, &[], b"").not_executed());
         }
     }
 
@@ -213,15 +221,15 @@
     fn an_answer_for_another_model_is_no_success() {
         assert_eq!(
             answered(200, &[("cedarpulley-model", "g")], b""),
-            Outcome::Errored
+            DispatchOutcome::Errored
         );
         assert_eq!(
             answered(200, &[], br#"{"model_name":"g","outputs":[]}"#),
-            Outcome::Errored
+            DispatchOutcome::Errored
         );
         assert_eq!(
             answered(200, &[], br#"{"model_name":"f","outputs":[]}"#),
-            Outcome::Succeeded
+            DispatchOutcome::Succeeded
         );
         let raw = |n| {
             answered(
@@ -232,7 +240,11 @@
         };
         assert_eq!(
             (raw("18"), raw("30"), raw("x")),
-            (Outcome::Succeeded, Outcome::Errored, Outcome::Errored)
+            (
+                DispatchOutcome::Succeeded,
+                DispatchOutcome::Errored,
+                DispatchOutcome::Errored
+            )
         );
     }
 }
--- a/crates/kserve/src/reports.rs
+++ b/crates/kserve/src/reports.rs
@@ -1,6 +1,6 @@
 //! What an answer tells of the copy it ran on and of the worker's load.
 
-use cedarpulley::interface::{CopyNote, Report};
+use cedarpulley::interface::{CopyStatus, LoadReport};
 use cedarpulley_meter::Held;
 use http::HeaderMap;
 
@@ -32,13 +32,13 @@
     text(headers, name)?.trim().parse().ok()
 }
 
-pub fn note(headers: &HeaderMap) -> CopyNote {
+pub fn note(headers: &HeaderMap) -> CopyStatus {
     match text(headers, COPY) {
-        Some("found") => CopyNote::Found,
-        Some("began") => CopyNote::Began,
-        Some("waited") => CopyNote::Waited,
-        Some("load-errored") => CopyNote::LoadErrored,
-        _ => CopyNote::Untold,
+        Some("found") => CopyStatus::Warm,
+        Some("began") => CopyStatus::LoadStarted,
+        Some("waited") => CopyStatus::LoadAwaited,
+        Some("load-errored") => CopyStatus::LoadFailed,
+        _ => CopyStatus::Unreported,
     }
 }
 
@@ -74,8 +74,8 @@
 }
 
 /// `TEXT cpu_utilization=0.3, mem_utilization=0.5, named_metrics.held=4`; what cannot be read is absent.
-pub fn load(headers: &HeaderMap) -> Report {
-    let mut report = Report::default();
+pub fn load(headers: &HeaderMap) -> LoadReport {
+    let mut report = LoadReport::default();
     let Some(list) = text(headers, LOAD_METRICS).and_then(|t| t.strip_prefix("TEXT ")) else {
         return report;
     };
@@ -86,11 +86,11 @@
             .ok()
             .filter(|v| v.is_finite() && *v >= 0.0);
         match name.trim() {
-            "cpu_utilization" => report.busy = value,
-            "mem_utilization" => report.memory_part = value,
-            "named_metrics.held" => report.held = value,
-            "named_metrics.waiting" => report.waiting = value,
-            "named_metrics.loads" => report.loads = value,
+            "cpu_utilization" => report.utilization = value,
+            "mem_utilization" => report.memory_fraction = value,
+            "named_metrics.held" => report.in_flight = value,
+            "named_metrics.waiting" => report.queued = value,
+            "named_metrics.loads" => report.loads_in_progress = value,
             _ => {}
         }
     }
--- a/crates/membership/src/alive.rs
+++ b/crates/membership/src/alive.rs
@@ -16,7 +16,7 @@
 use cedarpulley::interface::Micros;
 use serde::{Deserialize, Serialize};
 
-use crate::group::{Group, MemberIx};
+use crate::group::{Group, MemberIndex};
 
 /// Through so many others a silent member is asked for: with one, that one's own bad link would decide.
 const ASKED_THROUGH: usize = 2;
@@ -68,7 +68,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Row {
-    pub member: MemberIx,
+    pub member: MemberIndex,
     pub process: Process,
     pub standing: Standing,
 }
@@ -84,13 +84,13 @@
     /// `of` answered: the sender itself, or whom it was asked to ask.
     Answer {
         serial: u64,
-        of: MemberIx,
+        of: MemberIndex,
         table: u64,
         rows: Vec<Row>,
     },
     AskFor {
         serial: u64,
-        whom: MemberIx,
+        whom: MemberIndex,
     },
 }
 
@@ -108,7 +108,7 @@
 #[derive(Debug)]
 pub enum Input {
     Heard {
-        from: MemberIx,
+        from: MemberIndex,
         process: Process,
         message: Message,
     },
@@ -118,11 +118,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     Send {
-        to: MemberIx,
+        to: MemberIndex,
         message: Message,
     },
     /// Its standing or its process changed.
-    Changed(MemberIx),
+    Changed(MemberIndex),
 }
 
 /// What is known of one member.
@@ -153,7 +153,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Probing {
-    whom: MemberIx,
+    whom: MemberIndex,
     serial: u64,
     through_others: bool,
     due: Micros,
@@ -168,9 +168,9 @@
     version: u64,
     probing: Option<Probing>,
     next_probe: Micros,
-    round: Vec<MemberIx>,
+    round: Vec<MemberIndex>,
     /// Whom this one asks on behalf of whom, by the serial of its own probe.
-    asked: BTreeMap<u64, (MemberIx, u64, MemberIx, Micros)>,
+    asked: BTreeMap<u64, (MemberIndex, u64, MemberIndex, Micros)>,
     serial: u64,
     draws: u64,
     pub counts: Counts,
@@ -246,12 +246,12 @@
         self.known[self.group.me as usize].process
     }
 
-    pub fn known(&self, member: MemberIx) -> Known {
+    pub fn known(&self, member: MemberIndex) -> Known {
         self.known.get(member as usize).copied().unwrap_or_default()
     }
 
     /// Suspected ones still count: suspicion is often refuted.
-    pub fn lives(&self, member: MemberIx) -> bool {
+    pub fn lives(&self, member: MemberIndex) -> bool {
         matches!(
             self.known(member).standing,
             Standing::Alive | Standing::Suspected
@@ -267,7 +267,7 @@
     pub fn came_from(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         process: Process,
         out: &mut Vec<Output>,
     ) {
@@ -290,7 +290,7 @@
     fn heard(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         process: Process,
         message: Message,
         out: &mut Vec<Output>,
@@ -386,7 +386,7 @@
         }
     }
 
-    fn answered_others(&mut self, now: Micros, of: MemberIx, out: &mut Vec<Output>) {
+    fn answered_others(&mut self, now: Micros, of: MemberIndex, out: &mut Vec<Output>) {
         let k = &mut self.known[of as usize];
         if k.standing == Standing::Suspected {
             // Whoever found it alive passes its refutation on; until that comes its time does not run out.
@@ -417,7 +417,7 @@
                 self.counts.deaths += 1;
                 self.becomes(
                     now,
-                    m as MemberIx,
+                    m as MemberIndex,
                     k.process,
                     Standing::Dead,
                     Why::SilentTooLong,
@@ -488,7 +488,7 @@
     }
 
     fn ask_others(&mut self, now: Micros, p: Probing, out: &mut Vec<Output>) {
-        let mut others: Vec<MemberIx> = self
+        let mut others: Vec<MemberIndex> = self
             .group
             .others()
             .filter(|m| *m != p.whom && self.known(*m).standing == Standing::Alive)
@@ -553,7 +553,7 @@
     fn becomes(
         &mut self,
         now: Micros,
-        member: MemberIx,
+        member: MemberIndex,
         process: Process,
         standing: Standing,
         why: Why,
@@ -571,7 +571,7 @@
         out.push(Output::Changed(member));
     }
 
-    fn row(&self, member: MemberIx) -> Option<Row> {
+    fn row(&self, member: MemberIndex) -> Option<Row> {
         let k = self.known(member);
         (k.standing != Standing::Unknown).then_some(Row {
             member,
@@ -581,7 +581,7 @@
     }
 
     fn rows(&self) -> Vec<Row> {
-        (0..self.known.len() as MemberIx)
+        (0..self.known.len() as MemberIndex)
             .filter_map(|m| self.row(m))
             .collect()
     }
--- a/crates/membership/src/believed.rs
+++ b/crates/membership/src/believed.rs
@@ -8,7 +8,7 @@
 
 use cedarpulley::interface::Micros;
 
-use crate::group::MemberIx;
+use crate::group::MemberIndex;
 
 /// Doublings at most: a minute's hold for a second's.
 const MOST_DOUBLINGS: u32 = 6;
@@ -53,10 +53,10 @@
     }
 
     /// `alive`: by member. True if what is believed has changed.
-    pub fn see(&mut self, now: Micros, alive: impl Fn(MemberIx) -> bool) -> bool {
+    pub fn see(&mut self, now: Micros, alive: impl Fn(MemberIndex) -> bool) -> bool {
         let mut changed = false;
         for m in 0..self.places.len() {
-            let (seen, mut p) = (alive(m as MemberIx), self.places[m]);
+            let (seen, mut p) = (alive(m as MemberIndex), self.places[m]);
             if seen != p.seen {
                 let quiet = (now - p.since) / (self.hold.max(1) * FORGIVEN_AFTER);
                 p.flaps =
@@ -82,13 +82,13 @@
             .unwrap_or(Micros::MAX)
     }
 
-    pub fn alive(&self) -> Vec<MemberIx> {
-        (0..self.places.len() as MemberIx)
+    pub fn alive(&self) -> Vec<MemberIndex> {
+        (0..self.places.len() as MemberIndex)
             .filter(|m| self.places[*m as usize].believed)
             .collect()
     }
 
-    pub fn is_alive(&self, member: MemberIx) -> bool {
+    pub fn is_alive(&self, member: MemberIndex) -> bool {
         self.places.get(member as usize).is_some_and(|p| p.believed)
     }
 
--- a/crates/membership/src/group.rs
+++ b/crates/membership/src/group.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
-pub type MemberIx = u16;
+pub type MemberIndex = u16;
 
 /// Each asks each other one from time to time and keeps a line for each in every table: beyond, a second group is
 /// the better choice.
@@ -54,7 +54,7 @@
 pub struct Group {
     pub name: String,
     pub members: Vec<Member>,
-    pub me: MemberIx,
+    pub me: MemberIndex,
     /// A number for all of it: members with another one are strangers.
     pub mark: u64,
 }
@@ -82,7 +82,7 @@
         Ok(Group {
             name: name.to_owned(),
             members,
-            me: at as MemberIx,
+            me: at as MemberIndex,
             mark,
         })
     }
@@ -95,12 +95,12 @@
         self.members.is_empty()
     }
 
-    pub fn others(&self) -> impl Iterator<Item = MemberIx> + use<> {
+    pub fn others(&self) -> impl Iterator<Item = MemberIndex> + use<> {
         let me = self.me;
-        (0..self.members.len() as MemberIx).filter(move |m| *m != me)
+        (0..self.members.len() as MemberIndex).filter(move |m| *m != me)
     }
 
-    pub fn weight(&self, of: impl IntoIterator<Item = MemberIx>) -> u32 {
+    pub fn weight(&self, of: impl IntoIterator<Item = MemberIndex>) -> u32 {
         of.into_iter()
             .filter_map(|m| self.members.get(m as usize))
             .map(|m| m.weight)
@@ -112,13 +112,14 @@
     }
 
     /// Two such sets always have a member in common.
-    pub fn is_majority(&self, of: impl IntoIterator<Item = MemberIx>) -> bool {
+    pub fn is_majority(&self, of: impl IntoIterator<Item = MemberIndex>) -> bool {
         self.weight(of) * 2 > self.all()
     }
 
     /// Every majority has a member among these, apart from `beside`: what they all know together is known.
-    pub fn meets_all(&self, of: &BTreeSet<MemberIx>, beside: MemberIx) -> bool {
-        let rest = (0..self.members.len() as MemberIx).filter(|m| *m == beside || !of.contains(m));
+    pub fn meets_all(&self, of: &BTreeSet<MemberIndex>, beside: MemberIndex) -> bool {
+        let rest =
+            (0..self.members.len() as MemberIndex).filter(|m| *m == beside || !of.contains(m));
         !self.is_majority(rest)
     }
 
@@ -126,7 +127,7 @@
     pub fn ruling_regions(&self) -> Vec<&str> {
         let regions: BTreeSet<&str> = self.members.iter().map(|m| m.region.as_str()).collect();
         let of = |r: &str| {
-            (0..self.members.len() as MemberIx)
+            (0..self.members.len() as MemberIndex)
                 .filter(|m| self.members[*m as usize].region == r)
                 .collect::<Vec<_>>()
         };
@@ -161,7 +162,7 @@
             &[3, 1, 0, 1],
         ] {
             let g = group(weights);
-            let n = weights.len() as MemberIx;
+            let n = weights.len() as MemberIndex;
             let set = |bits: u32| {
                 (0..n)
                     .filter(|m| bits & 1 << m != 0)
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -16,4 +16,4 @@
     Counts, Input, Known, Membership, Message, Output, Process, Row, Standing, Terms, Why,
 };
 pub use believed::Believed;
-pub use group::{Group, Member, MemberIx, Unfit};
+pub use group::{Group, Member, MemberIndex, Unfit};
--- a/crates/meter/src/accounting.rs
+++ b/crates/meter/src/accounting.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use cedarpulley::interface::{CopyNote, Micros, Outcome, WorkerIx};
+use cedarpulley::interface::{CopyStatus, DispatchOutcome, Micros, WorkerIndex};
 
 use crate::sums::{HOUR, Key, Kind, Readings, Sum, Sums};
 
@@ -38,11 +38,11 @@
 pub struct Ended<'a> {
     /// Wall's clock.
     pub wall: Micros,
-    pub worker: WorkerIx,
+    pub worker: WorkerIndex,
     pub account: &'a str,
     pub function: &'a str,
-    pub outcome: Outcome,
-    pub note: CopyNote,
+    pub outcome: DispatchOutcome,
+    pub note: CopyStatus,
     pub took: Micros,
     /// Of a copy, as its client said, and invocations that one copy runs at a time.
     pub copy_bytes: u64,
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Load<'a> {
     pub wall: Micros,
-    pub worker: WorkerIx,
+    pub worker: WorkerIndex,
     /// For whose invocation it was given.
     pub account: &'a str,
     pub function: &'a str,
@@ -78,7 +78,7 @@
     }
 }
 
-type Line = (WorkerIx, Arc<str>, Arc<str>);
+type Line = (WorkerIndex, Arc<str>, Arc<str>);
 
 #[derive(Debug, Default)]
 pub struct Meter {
@@ -86,7 +86,7 @@
     pub left_out: u64,
     part: Part,
     /// The life in which each worker was heard last.
-    lives: HashMap<WorkerIx, u64>,
+    lives: HashMap<WorkerIndex, u64>,
     /// What is uncertain, by the hour it was counted in, and the life its worker was then known to have.
     waiting: HashMap<Line, (Option<u64>, BTreeMap<u32, Sum>)>,
 }
@@ -106,17 +106,17 @@
             Some(held) => {
                 self.heard(e.wall, &line, held);
                 // A repeat that the worker dropped has no copy to tell of.
-                let kind = if e.note == CopyNote::Untold {
+                let kind = if e.note == CopyStatus::Unreported {
                     Kind::Nothing
                 } else {
                     Kind::Running
                 };
                 self.add(hour(e.wall), &line, kind, 0);
-                if e.note == CopyNote::Waited {
+                if e.note == CopyStatus::LoadAwaited {
                     self.add(hour(e.wall), &line, Kind::Shared, 0);
                 }
             }
-            None if e.outcome.never_ran() => self.add(hour(e.wall), &line, Kind::Nothing, 0),
+            None if e.outcome.not_executed() => self.add(hour(e.wall), &line, Kind::Nothing, 0),
             None => {
                 let part = product(e.copy_bytes / u64::from(e.lanes.max(1)), e.took);
                 self.uncertain(e.wall, line, part);
--- a/crates/meter/tests/metered.rs
+++ b/crates/meter/tests/metered.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use cedarpulley::interface::{CopyNote, Outcome};
+use cedarpulley::interface::{CopyStatus, DispatchOutcome};
 use cedarpulley_meter::books::{Book, Measured};
 use cedarpulley_meter::sums::{HOUR, Key, Kind, OTHERS, Readings, Sum, Sums};
 use cedarpulley_meter::{Ended, Held, Load, Meter};
@@ -15,7 +15,7 @@
     idle: 300,
 };
 
-fn ended(outcome: Outcome, note: CopyNote, held: Option<Held>) -> Ended<'static> {
+fn ended(outcome: DispatchOutcome, note: CopyStatus, held: Option<Held>) -> Ended<'static> {
     let (worker, account, function) = (1, "amber", "f");
     let wall = 5 * HOUR + 1;
     Ended {
@@ -61,35 +61,52 @@
 #[test]
 fn what_is_told_counts_and_what_is_not_is_uncertain() {
     let of = |outcome, note, held| kinds(|m| m.ended(ended(outcome, note, held)));
-    let found = of(Outcome::Succeeded, CopyNote::Found, Some(HELD));
+    let found = of(DispatchOutcome::Succeeded, CopyStatus::Warm, Some(HELD));
     assert_eq!(found, [(Kind::Running, 700), (Kind::Idle, 300)]);
     // An invocation that errored held what it held.
-    assert_eq!(of(Outcome::Errored, CopyNote::Found, Some(HELD)), found);
+    assert_eq!(
+        of(DispatchOutcome::Errored, CopyStatus::Warm, Some(HELD)),
+        found
+    );
     // A load that another began: shown, and not charged again.
     let waited = [(Kind::Running, 700), (Kind::Idle, 300), (Kind::Shared, 0)];
-    assert_eq!(of(Outcome::Succeeded, CopyNote::Waited, Some(HELD)), waited);
+    assert_eq!(
+        of(
+            DispatchOutcome::Succeeded,
+            CopyStatus::LoadAwaited,
+            Some(HELD)
+        ),
+        waited
+    );
     // A repeat that the worker dropped.
     let repeat = Some(Held {
         life: 9,
         ..Held::default()
     });
     assert_eq!(
-        of(Outcome::Succeeded, CopyNote::Untold, repeat),
+        of(DispatchOutcome::Succeeded, CopyStatus::Unreported, repeat),
         [(Kind::Nothing, 0)]
     );
-    for silent in [Outcome::TimedOut, Outcome::Broken, Outcome::Withdrawn] {
+    for silent in [
+        DispatchOutcome::TimedOut,
+        DispatchOutcome::ConnectionLost,
+        DispatchOutcome::Cancelled,
+    ] {
         assert_eq!(
-            of(silent, CopyNote::Untold, None),
+            of(silent, CopyStatus::Unreported, None),
             [(Kind::Uncertain, 50 * 100 / 2)]
         );
     }
     for never in [
-        Outcome::Throttled,
-        Outcome::Unreachable,
-        Outcome::NotSent,
-        Outcome::Missed,
+        DispatchOutcome::Rejected,
+        DispatchOutcome::Unreachable,
+        DispatchOutcome::NotSent,
+        DispatchOutcome::NotLoaded,
     ] {
-        assert_eq!(of(never, CopyNote::Untold, None), [(Kind::Nothing, 0)]);
+        assert_eq!(
+            of(never, CopyStatus::Unreported, None),
+            [(Kind::Nothing, 0)]
+        );
     }
 }
 
@@ -129,7 +146,7 @@
             ..HELD
         })
     };
-    let answer = |running| ended(Outcome::Succeeded, CopyNote::Found, told(running));
+    let answer = |running| ended(DispatchOutcome::Succeeded, CopyStatus::Warm, told(running));
     let (mut one, mut other) = (Meter::default(), Meter::default());
     one.ended(answer(700));
     // The answer that told 1,400 never arrived.
@@ -160,7 +177,7 @@
         });
         meter.ended(Ended {
             wall: hour * HOUR,
-            ..ended(Outcome::Succeeded, CopyNote::Found, told)
+            ..ended(DispatchOutcome::Succeeded, CopyStatus::Warm, told)
         });
     }
     let by: Vec<_> = booked(&mut meter)
@@ -174,11 +191,11 @@
 
 #[test]
 fn an_uncertain_line_is_settled_by_the_same_life_and_stays_with_another() {
-    let silent = ended(Outcome::TimedOut, CopyNote::Untold, None);
+    let silent = ended(DispatchOutcome::TimedOut, CopyStatus::Unreported, None);
     let heard = |life| {
         ended(
-            Outcome::Succeeded,
-            CopyNote::Found,
+            DispatchOutcome::Succeeded,
+            CopyStatus::Warm,
             Some(Held { life, ..HELD }),
         )
     };
@@ -282,8 +299,8 @@
         for n in 0..60_000u64 {
             let name = format!("f{round}-{n}");
             let e = ended(
-                Outcome::Succeeded,
-                CopyNote::Found,
+                DispatchOutcome::Succeeded,
+                CopyStatus::Warm,
                 Some(Held { idle: 0, ..HELD }),
             );
             meter.ended(Ended {
--- a/crates/platform-node/src/node.rs
+++ b/crates/platform-node/src/node.rs
@@ -10,7 +10,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use cedarpulley::interface::{Micros, WorkerIx};
+use cedarpulley::interface::{Micros, WorkerIndex};
 use cedarpulley_net::{Alarm, Bell, Clock, Stream};
 use cedarpulley_platform::discovery::{DiscoveryError, EventBatch, ListUpdate, WorkerListFollower};
 use cedarpulley_platform::event_loop_lag::EventLoopLag;
@@ -138,7 +138,7 @@
     }
 
     /// Where a worker listens, if it is listed.
-    pub(crate) fn address(&self, worker: WorkerIx) -> Option<SocketAddr> {
+    pub(crate) fn address(&self, worker: WorkerIndex) -> Option<SocketAddr> {
         self.worker_list
             .borrow()
             .address(self.router.borrow().worker_name(worker)?)
--- a/crates/platform-node/src/startup.rs
+++ b/crates/platform-node/src/startup.rs
@@ -189,7 +189,7 @@
             .iter()
             .map(|account| account.share)
             .collect(),
-        order_answered_within: settings.loads.order_answered_within,
+        order_answered_within: settings.loads.order_timeout,
         module_alone: true,
         sharing: None,
         drain_grace: settings.rules.drain_grace,
@@ -199,7 +199,7 @@
 fn trigger_rules(trigger: &TriggerType, settings: &StartupSettings) -> TriggerRules {
     TriggerRules {
         longest_wait: trigger.client_timeout + settings.rules.answer_slack,
-        needs_token: matches!(trigger.effect, Effect::Tokened { .. }),
+        needs_token: matches!(trigger.effect, Effect::IdempotentByKey { .. }),
     }
 }
 
@@ -229,7 +229,7 @@
         links.connect_within,
     );
     let router = Router::new(
-        settings.control(start.seed),
+        settings.balancer(start.seed),
         settings.triggers.clone(),
         router_terms(&settings, limits),
     );
@@ -246,7 +246,7 @@
         workers: WorkerConnections::new(pool, links.connect_within),
         names: start.names,
         fields: start.fields,
-        crowds: settings.loads.crowds,
+        crowds: settings.loads.reports_function_load,
         discovery_address: Cell::new(start.channel),
         discovery_moved: Bell::default(),
         worker_list: RefCell::new(WorkerListFollower::new(settings.rules.drain_grace)),
--- a/crates/platform-node/src/worker_connections/connection.rs
+++ b/crates/platform-node/src/worker_connections/connection.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use cedarpulley::interface::{Micros, WorkerIx};
+use cedarpulley::interface::{Micros, WorkerIndex};
 use cedarpulley_net::{Bell, Stream};
 use cedarpulley_platform::connection_pool::ConnectionId;
 use cedarpulley_platform::worker_protocol::AnswerReader;
@@ -21,7 +21,10 @@
     /// An order to load copies.
     Order(OrderTicket),
     /// A question how a worker does, and when it was asked.
-    Probe { worker: WorkerIx, asked_at: Micros },
+    Probe {
+        worker: WorkerIndex,
+        asked_at: Micros,
+    },
 }
 
 /// Something that was sent, or waits to be sent, and gets an answer.
--- a/crates/platform-node/src/worker_connections/mod.rs
+++ b/crates/platform-node/src/worker_connections/mod.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use cedarpulley::interface::{CopyNote, Micros, Outcome, Report, WorkerIx};
+use cedarpulley::interface::{CopyStatus, DispatchOutcome, LoadReport, Micros, WorkerIndex};
 use cedarpulley_net::{Stream, connect};
 use cedarpulley_platform::attempt_outcome::{self, AttemptEnd};
 use cedarpulley_platform::connection_pool::{ConnectionId, ConnectionPool, Placement};
@@ -80,7 +80,7 @@
         &self,
         node: &Rc<Node>,
         ticket: Ticket,
-        worker: WorkerIx,
+        worker: WorkerIndex,
         function: Arc<str>,
         trigger: u32,
         call: Call,
@@ -130,7 +130,7 @@
     }
 
     /// Asks a worker how it does.
-    pub fn probe(&self, node: &Rc<Node>, worker: WorkerIx) {
+    pub fn probe(&self, node: &Rc<Node>, worker: WorkerIndex) {
         let (id, mut bytes, asked_at) = (self.new_tag(), Vec::new(), node.clock.now());
         worker_protocol::probe(&mut bytes, &id);
         let until = asked_at + self.connect_within;
@@ -151,7 +151,7 @@
     }
 
     /// Has a worker unload idle copies. No answer comes, and nobody waits for one.
-    pub fn unload(&self, node: &Rc<Node>, worker: WorkerIx, function: &str) {
+    pub fn unload(&self, node: &Rc<Node>, worker: WorkerIndex, function: &str) {
         let mut bytes = Vec::new();
         worker_protocol::unload(&mut bytes, function);
         if let Ok(connection) = self.place(node, worker) {
@@ -167,7 +167,13 @@
         }
     }
 
-    fn post(&self, node: &Rc<Node>, worker: WorkerIx, exchange: Exchange, message: QueuedMessage) {
+    fn post(
+        &self,
+        node: &Rc<Node>,
+        worker: WorkerIndex,
+        exchange: Exchange,
+        message: QueuedMessage,
+    ) {
         let connection = match self.place(node, worker) {
             Ok(connection) => connection,
             Err(end) => return tell(node, exchange.purpose, end, None),
@@ -188,7 +194,11 @@
     }
 
     /// The connection for one more exchange, which counts as open there; or what becomes of it without one.
-    fn place(&self, node: &Rc<Node>, worker: WorkerIx) -> Result<Rc<WorkerConnection>, AttemptEnd> {
+    fn place(
+        &self,
+        node: &Rc<Node>,
+        worker: WorkerIndex,
+    ) -> Result<Rc<WorkerConnection>, AttemptEnd> {
         let placement = self.pool.borrow_mut().place(node.clock.now(), worker);
         match placement {
             Placement::Existing(id) => self.connection(id).ok_or(AttemptEnd::Unsent),
@@ -201,7 +211,7 @@
         &self,
         node: &Rc<Node>,
         id: ConnectionId,
-        worker: WorkerIx,
+        worker: WorkerIndex,
     ) -> Option<Rc<WorkerConnection>> {
         let Some(address) = node.address(worker) else {
             self.pool.borrow_mut().closed(id);
@@ -431,7 +441,7 @@
     }
 
     /// Nothing more goes to this worker's connections of now.
-    pub fn retire(&self, worker: WorkerIx) {
+    pub fn retire(&self, worker: WorkerIndex) {
         let connecting = self.pool.borrow_mut().retire(worker);
         connecting
             .into_iter()
@@ -465,16 +475,20 @@
 
 /// Tells the core how an exchange ended.
 fn tell(node: &Rc<Node>, purpose: Purpose, end: AttemptEnd, answer: Option<Answer>) {
-    let report = answer.as_ref().map_or(Report::default(), |a| a.report);
+    let report = answer.as_ref().map_or(LoadReport::default(), |a| a.report);
     match purpose {
         Purpose::Attempt(ticket) => {
             let outcome = attempt_outcome::dispatch(end);
-            let told = node.crowds && matches!(outcome, Outcome::Succeeded | Outcome::Throttled);
+            let told = node.crowds
+                && matches!(
+                    outcome,
+                    DispatchOutcome::Succeeded | DispatchOutcome::Rejected
+                );
             let crowd = answer.as_ref().filter(|_| told).map(|a| a.crowd);
             let body = answer
-                .filter(|_| outcome == Outcome::Succeeded)
+                .filter(|_| outcome == DispatchOutcome::Succeeded)
                 .map(|a| Payload::from(a.body));
-            let (note, held, body) = (CopyNote::Untold, None, body.unwrap_or_default());
+            let (note, held, body) = (CopyStatus::Unreported, None, body.unwrap_or_default());
             node.feed(Input::DispatchEnded {
                 ticket,
                 outcome,
--- a/crates/platform/src/attempt_outcome.rs
+++ b/crates/platform/src/attempt_outcome.rs
@@ -1,7 +1,7 @@
 //! What the end of an exchange with a worker proves: the one table. Never-ran is claimed only where it is
 //! proven.
 
-use cedarpulley::interface::{OrderResult, Outcome};
+use cedarpulley::interface::{DispatchOutcome, LoadOrderResult};
 
 /// The words of a worker's answer; on the wire they are in lower case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,43 +55,45 @@
 }
 
 /// What the end of an attempt proves of its request.
-pub fn dispatch(end: AttemptEnd) -> Outcome {
+pub fn dispatch(end: AttemptEnd) -> DispatchOutcome {
     match end {
-        AttemptEnd::Answered(AnswerWord::Ok) => Outcome::Succeeded,
-        AttemptEnd::Answered(AnswerWord::Nothing) => Outcome::Missed,
-        AttemptEnd::Answered(AnswerWord::Refused) => Outcome::Throttled,
-        AttemptEnd::Answered(AnswerWord::Error) => Outcome::Errored,
+        AttemptEnd::Answered(AnswerWord::Ok) => DispatchOutcome::Succeeded,
+        AttemptEnd::Answered(AnswerWord::Nothing) => DispatchOutcome::NotLoaded,
+        AttemptEnd::Answered(AnswerWord::Refused) => DispatchOutcome::Rejected,
+        AttemptEnd::Answered(AnswerWord::Error) => DispatchOutcome::Errored,
         // Over before it began there.
-        AttemptEnd::Answered(AnswerWord::Stale) => Outcome::NotSent,
+        AttemptEnd::Answered(AnswerWord::Stale) => DispatchOutcome::NotSent,
         // No word for an invocation: it may have run.
-        AttemptEnd::Answered(AnswerWord::Yes | AnswerWord::No) => Outcome::Broken,
-        AttemptEnd::Unreached => Outcome::Unreachable,
+        AttemptEnd::Answered(AnswerWord::Yes | AnswerWord::No) => DispatchOutcome::ConnectionLost,
+        AttemptEnd::Unreached => DispatchOutcome::Unreachable,
         // Nothing ran. A connection that is reset while idle or just after it came up says nothing about the worker;
         // whether another one comes up is seen next.
-        AttemptEnd::Unsent | AttemptEnd::HeldBack => Outcome::NotSent,
-        AttemptEnd::Broken => Outcome::Broken,
+        AttemptEnd::Unsent | AttemptEnd::HeldBack => DispatchOutcome::NotSent,
+        AttemptEnd::Broken => DispatchOutcome::ConnectionLost,
     }
 }
 
 /// What the end of an order to load proves.
-pub fn order(end: AttemptEnd) -> OrderResult {
+pub fn order(end: AttemptEnd) -> LoadOrderResult {
     match end {
-        AttemptEnd::Answered(AnswerWord::Ok) => OrderResult::Stand,
-        AttemptEnd::Answered(AnswerWord::Refused) => OrderResult::NoRoom,
-        AttemptEnd::Answered(AnswerWord::Error) => OrderResult::LoadErrored,
+        AttemptEnd::Answered(AnswerWord::Ok) => LoadOrderResult::Loaded,
+        AttemptEnd::Answered(AnswerWord::Refused) => LoadOrderResult::NoCapacity,
+        AttemptEnd::Answered(AnswerWord::Error) => LoadOrderResult::LoadFailed,
         AttemptEnd::Unreached | AttemptEnd::Unsent | AttemptEnd::HeldBack => {
-            OrderResult::Unreachable
+            LoadOrderResult::Unreachable
         }
-        AttemptEnd::Answered(_) | AttemptEnd::Broken => OrderResult::Broken,
+        AttemptEnd::Answered(_) | AttemptEnd::Broken => LoadOrderResult::ConnectionLost,
     }
 }
 
 /// What the end of a probe tells of its worker.
-pub fn probe(end: AttemptEnd) -> Outcome {
+pub fn probe(end: AttemptEnd) -> DispatchOutcome {
     match end {
-        AttemptEnd::Answered(AnswerWord::Yes) => Outcome::Succeeded,
-        AttemptEnd::Answered(AnswerWord::No) => Outcome::Throttled,
-        AttemptEnd::Unreached | AttemptEnd::Unsent | AttemptEnd::HeldBack => Outcome::Unreachable,
-        AttemptEnd::Answered(_) | AttemptEnd::Broken => Outcome::Broken,
+        AttemptEnd::Answered(AnswerWord::Yes) => DispatchOutcome::Succeeded,
+        AttemptEnd::Answered(AnswerWord::No) => DispatchOutcome::Rejected,
+        AttemptEnd::Unreached | AttemptEnd::Unsent | AttemptEnd::HeldBack => {
+            DispatchOutcome::Unreachable
+        }
+        AttemptEnd::Answered(_) | AttemptEnd::Broken => DispatchOutcome::ConnectionLost,
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -149,7 +149,7 @@
         let links = Links {
             streams: raw.number("permissions.streamsPerConn", STREAMS)?.max(1.0) as usize,
             idle_kept: raw.time("permissions.keepalive", IDLE_KEPT)?,
-            connect_within: match settings.limits.connect_within {
+            connect_within: match settings.limits.connect_timeout {
                 0 => CONNECT_WITHIN,
                 within => within,
             },
--- a/crates/platform/src/connection_pool.rs
+++ b/crates/platform/src/connection_pool.rs
@@ -14,7 +14,7 @@
 
 use std::collections::BTreeMap;
 
-use cedarpulley::interface::{Micros, WorkerIx};
+use cedarpulley::interface::{Micros, WorkerIndex};
 
 /// Identifies a connection to a worker; never used again.
 pub type ConnectionId = u64;
@@ -44,7 +44,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Conn {
-    worker: WorkerIx,
+    worker: WorkerIndex,
     out: usize,
     up: bool,
     /// When something was last sent or ended.
@@ -67,7 +67,7 @@
     /// Idle connections are used until they have been so for this long.
     trusted: Micros,
     conns: BTreeMap<ConnectionId, Conn>,
-    by_worker: BTreeMap<WorkerIx, Vec<ConnectionId>>,
+    by_worker: BTreeMap<WorkerIndex, Vec<ConnectionId>>,
     last: ConnectionId,
     /// Exchanges for which there was no place.
     pub full: u64,
@@ -92,7 +92,7 @@
     }
 
     /// Where the next exchange with this worker goes; it counts as open there from now on.
-    pub fn place(&mut self, now: Micros, worker: WorkerIx) -> Placement {
+    pub fn place(&mut self, now: Micros, worker: WorkerIndex) -> Placement {
         let of = self.by_worker.get(&worker).map_or(&[][..], Vec::as_slice);
         let open = || {
             of.iter()
@@ -199,7 +199,7 @@
 
     /// Nothing new goes to this worker at its present address: its connections close as they fall idle. Those that have
     /// not come up yet are returned, to be closed at once: the address may belong to another worker by then.
-    pub fn retire(&mut self, worker: WorkerIx) -> Vec<ConnectionId> {
+    pub fn retire(&mut self, worker: WorkerIndex) -> Vec<ConnectionId> {
         let mut connecting = Vec::new();
         for ix in self.by_worker.get(&worker).map_or(&[][..], Vec::as_slice) {
             if let Some(conn) = self.conns.get_mut(ix) {
--- a/crates/platform/src/discovery/mod.rs
+++ b/crates/platform/src/discovery/mod.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 
 use cedarpulley::ids::fingerprint;
-use cedarpulley::interface::{ListMode, Micros, Standing};
+use cedarpulley::interface::{EndpointListKind, EndpointState, Micros};
 use cedarpulley_errors::Remedy;
 use cedarpulley_router::roster::Listed;
 use serde::Deserialize;
@@ -174,7 +174,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
     /// Whether the whole list or changes of it.
-    pub mode: ListMode,
+    pub mode: EndpointListKind,
     /// By their ids.
     pub workers: Vec<Listed>,
     /// Gone or moved: what is open to them takes nothing more.
@@ -245,9 +245,9 @@
                     .collect::<Result<Vec<_>>>()?;
                 understood.push((
                     if nodes.full {
-                        ListMode::Complete
+                        EndpointListKind::Complete
                     } else {
-                        ListMode::Changes
+                        EndpointListKind::Changes
                     },
                     workers,
                 ));
@@ -261,9 +261,13 @@
             .collect())
     }
 
-    fn follow(&mut self, mode: ListMode, named: Vec<(Listed, Option<SocketAddr>)>) -> ListUpdate {
+    fn follow(
+        &mut self,
+        mode: EndpointListKind,
+        named: Vec<(Listed, Option<SocketAddr>)>,
+    ) -> ListUpdate {
         let mut retired = Vec::new();
-        if mode == ListMode::Complete {
+        if mode == EndpointListKind::Complete {
             let named = |id: &String| named.iter().any(|(w, _)| w.address == *id);
             retired.extend(
                 self.addresses
@@ -273,7 +277,7 @@
         }
         let mut workers = Vec::new();
         for (worker, address) in named {
-            let before = match address.filter(|_| worker.standing != Standing::Gone) {
+            let before = match address.filter(|_| worker.standing != EndpointState::Gone) {
                 None => self.addresses.remove(&worker.address),
                 Some(_)
                     if self.addresses.len() >= MOST_WORKERS
@@ -308,9 +312,9 @@
 ) -> Result<(Listed, Option<SocketAddr>)> {
     let place = |list: &[String], name: &str| list.iter().position(|n| n == name).map(|n| n as u32);
     let standing = match server.state.as_str() {
-        "active" => Standing::InService,
-        "leaving" if !late => Standing::Draining,
-        "leaving" | "left" => Standing::Gone,
+        "active" => EndpointState::InService,
+        "leaving" if !late => EndpointState::Draining,
+        "leaving" | "left" => EndpointState::Gone,
         other => {
             return Err(DiscoveryError::State {
                 id: server.id.clone(),
@@ -319,7 +323,7 @@
         }
     };
     let address = server.addr.parse().ok();
-    if address.is_none() && standing != Standing::Gone {
+    if address.is_none() && standing != EndpointState::Gone {
         return Err(DiscoveryError::Address {
             id: server.id.clone(),
             address: server.addr.clone(),
--- a/crates/platform/src/worker_protocol.rs
+++ b/crates/platform/src/worker_protocol.rs
@@ -7,7 +7,7 @@
 use std::io::Write;
 
 use bytes::Bytes;
-use cedarpulley::interface::{Micros, Report};
+use cedarpulley::interface::{LoadReport, Micros};
 use cedarpulley_startup::ReportField;
 
 use crate::attempt_outcome::AnswerWord;
@@ -90,7 +90,7 @@
     /// Loaded copies.
     pub copies: u32,
     /// The load report, where the settings have one.
-    pub report: Report,
+    pub report: LoadReport,
     /// The body of a good answer.
     pub body: Bytes,
 }
@@ -174,7 +174,7 @@
             word,
             crowd: 0,
             copies: 0,
-            report: Report::default(),
+            report: LoadReport::default(),
             body: Bytes::new(),
         };
         understand(&mut answer, told, fields)?;
@@ -221,8 +221,8 @@
 }
 
 /// `name:value`, set apart by `;`.
-fn report(text: &str, fields: &[ReportField]) -> Result<Report, AnswerError> {
-    let mut report = Report::default();
+fn report(text: &str, fields: &[ReportField]) -> Result<LoadReport, AnswerError> {
+    let mut report = LoadReport::default();
     for pair in text.split(';').filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once(':').ok_or(AnswerError::Fields)?;
         let value: f64 = value
--- a/crates/platform/tests/lines.rs
+++ b/crates/platform/tests/lines.rs
@@ -1,6 +1,9 @@
 //! Workers' lines, the table of endings, the command channel and the configuration.
 
-use cedarpulley::interface::{ListMode, OrderResult, Outcome, Standing::Draining, Standing::Gone};
+use cedarpulley::interface::{
+    DispatchOutcome, EndpointListKind, EndpointState::Draining, EndpointState::Gone,
+    LoadOrderResult,
+};
 use cedarpulley_errors::Remedy;
 use cedarpulley_platform::attempt_outcome::{self, AnswerWord, AttemptEnd};
 use cedarpulley_platform::config::{Names, Start, discovery_address_of};
@@ -92,42 +95,61 @@
 fn each_ending_proves_what_the_table_says() {
     use AttemptEnd::*;
     for (ended, outcome, never_ran) in [
-        (Answered(AnswerWord::Ok), Outcome::Succeeded, false),
-        (Answered(AnswerWord::Nothing), Outcome::Missed, true),
-        (Answered(AnswerWord::Refused), Outcome::Throttled, true),
-        (Answered(AnswerWord::Error), Outcome::Errored, false),
-        (Answered(AnswerWord::Stale), Outcome::NotSent, true),
-        (Answered(AnswerWord::Yes), Outcome::Broken, false),
-        (Answered(AnswerWord::No), Outcome::Broken, false),
-        (Unreached, Outcome::Unreachable, true),
-        (Unsent, Outcome::NotSent, true),
-        (HeldBack, Outcome::NotSent, true),
-        (Broken, Outcome::Broken, false),
+        (Answered(AnswerWord::Ok), DispatchOutcome::Succeeded, false),
+        (
+            Answered(AnswerWord::Nothing),
+            DispatchOutcome::NotLoaded,
+            true,
+        ),
+        (
+            Answered(AnswerWord::Refused),
+            DispatchOutcome::Rejected,
+            true,
+        ),
+        (Answered(AnswerWord::Error), DispatchOutcome::Errored, false),
+        (Answered(AnswerWord::Stale), DispatchOutcome::NotSent, true),
+        (
+            Answered(AnswerWord::Yes),
+            DispatchOutcome::ConnectionLost,
+            false,
+        ),
+        (
+            Answered(AnswerWord::No),
+            DispatchOutcome::ConnectionLost,
+            false,
+        ),
+        (Unreached, DispatchOutcome::Unreachable, true),
+        (Unsent, DispatchOutcome::NotSent, true),
+        (HeldBack, DispatchOutcome::NotSent, true),
+        (Broken, DispatchOutcome::ConnectionLost, false),
     ] {
         assert_eq!(
             (
                 attempt_outcome::dispatch(ended),
-                attempt_outcome::dispatch(ended).never_ran()
+                attempt_outcome::dispatch(ended).not_executed()
             ),
             (outcome, never_ran),
             "{ended:?}"
         );
     }
     for (ended, result) in [
-        (Answered(AnswerWord::Ok), OrderResult::Stand),
-        (Answered(AnswerWord::Refused), OrderResult::NoRoom),
-        (Answered(AnswerWord::Error), OrderResult::LoadErrored),
-        (Answered(AnswerWord::Stale), OrderResult::Broken),
-        (Unreached, OrderResult::Unreachable),
-        (Broken, OrderResult::Broken),
+        (Answered(AnswerWord::Ok), LoadOrderResult::Loaded),
+        (Answered(AnswerWord::Refused), LoadOrderResult::NoCapacity),
+        (Answered(AnswerWord::Error), LoadOrderResult::LoadFailed),
+        (Answered(AnswerWord::Stale), LoadOrderResult::ConnectionLost),
+        (Unreached, LoadOrderResult::Unreachable),
+        (Broken, LoadOrderResult::ConnectionLost),
     ] {
         assert_eq!(attempt_outcome::order(ended), result, "{ended:?}");
     }
     assert_eq!(
         attempt_outcome::probe(Answered(AnswerWord::Yes)),
-        Outcome::Succeeded
+        DispatchOutcome::Succeeded
+    );
+    assert_eq!(
+        attempt_outcome::probe(Broken),
+        DispatchOutcome::ConnectionLost
     );
-    assert_eq!(attempt_outcome::probe(Broken), Outcome::Broken);
 }
 
 fn names() -> Names {
@@ -171,7 +193,7 @@
     let worker = &news[0].workers[0];
     assert_eq!(
         (news.len(), news[0].mode, &*worker.address),
-        (1, ListMode::Complete, "s-1")
+        (1, EndpointListKind::Complete, "s-1")
     );
     assert_eq!(
         (worker.zone, worker.kind, worker.cell, worker.started),
@@ -181,7 +203,7 @@
     let news = told(&mut follower, &[leaving(2), leaving(3)]);
     assert_eq!(
         (news.len(), news[0].mode, news[0].workers[0].standing),
-        (1, ListMode::Changes, Draining)
+        (1, EndpointListKind::Changes, Draining)
     );
     assert!(told(&mut follower, &[leaving(2), leaving(3)]).is_empty());
     assert_eq!(follower.repeated, 3);
@@ -356,7 +378,7 @@
         (trigger.latency_objective, trigger.client_timeout),
         (400_000, 1_000_000)
     );
-    assert!(start.settings.loads.orders && start.settings.loads.memory_mb == [100.0, 250.5]);
+    assert!(start.settings.loads.load_orders && start.settings.loads.memory_mb == [100.0, 250.5]);
     assert_eq!(start.names.accounts, ["acme"]);
     assert_eq!(
         discovery_address_of(r#"{"channel":"127.0.0.2:9"}"#)
--- a/crates/replica/src/catchup.rs
+++ b/crates/replica/src/catchup.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 
 use crate::record::{Answered, Record};
 use crate::replica::{Output, Replica, hashed};
@@ -34,7 +34,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Session {
-    with: MemberIx,
+    with: MemberIndex,
     serial: u64,
     due: Micros,
     /// What the other one remembers, once it has answered, and whether it meant this process.
@@ -74,7 +74,7 @@
 
 /// Of leaves, each with a list of what is known of it or without, and after which record.
 type Wanted = (
-    MemberIx,
+    MemberIndex,
     u64,
     Vec<(Leaf, Option<BTreeMap<u64, u64>>)>,
     Option<(Leaf, Key)>,
@@ -90,7 +90,7 @@
     waiting: VecDeque<Wanted>,
     give_at: Micros,
     /// With whom it was compared last, so that the next is another one.
-    last: MemberIx,
+    last: MemberIndex,
 }
 
 impl CatchUp {
@@ -155,10 +155,10 @@
     }
 
     /// With whom next: while returning whoever was not compared with yet.
-    fn partner(&mut self) -> Option<MemberIx> {
-        let compared: Vec<MemberIx> = self.returning.compared().collect();
+    fn partner(&mut self) -> Option<MemberIndex> {
+        let compared: Vec<MemberIndex> = self.returning.compared().collect();
         let whole = self.memory() == Memory::Whole;
-        let mut others: Vec<MemberIx> = self
+        let mut others: Vec<MemberIndex> = self
             .group
             .others()
             .filter(|m| self.alive[*m as usize] && (whole || !compared.contains(m)))
@@ -202,7 +202,7 @@
 
     pub(crate) fn asked_to_compare(
         &mut self,
-        from: MemberIx,
+        from: MemberIndex,
         serial: u64,
         groups: &[u64],
         out: &mut Vec<Output>,
@@ -228,7 +228,7 @@
     pub(crate) fn differ(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         serial: u64,
         memory: Memory,
         you: u32,
@@ -310,7 +310,7 @@
     pub(crate) fn wanted(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         serial: u64,
         leaves: Vec<(Leaf, Option<BTreeMap<u64, u64>>)>,
         after: Option<(Leaf, Key)>,
@@ -377,7 +377,7 @@
     pub(crate) fn have(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         serial: u64,
         records: Vec<(Key, Shared)>,
         more: Option<(Leaf, Key)>,
--- a/crates/replica/src/choosing.rs
+++ b/crates/replica/src/choosing.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 
 use crate::keeping::Vote;
 use crate::owning::Lack;
@@ -229,7 +229,7 @@
         self.weigh(now, key, out);
     }
 
-    fn ask_choice(&mut self, key: &Key, whom: &[MemberIx], out: &mut Vec<Output>) {
+    fn ask_choice(&mut self, key: &Key, whom: &[MemberIndex], out: &mut Vec<Output>) {
         let Some(p) = self.proposals.get(key) else {
             return;
         };
@@ -347,7 +347,7 @@
     pub(crate) fn asked_to_prepare(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         key: Key,
         ballot: Ballot,
         left: Micros,
@@ -380,7 +380,7 @@
     pub(crate) fn asked_to_accept(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         key: Key,
         ballot: Ballot,
         value: Bytes,
@@ -413,7 +413,7 @@
     pub(crate) fn prepared(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         process: u32,
         key: &Key,
         ballot: Ballot,
@@ -437,7 +437,7 @@
     pub(crate) fn accepted(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         process: u32,
         key: &Key,
         ballot: Ballot,
@@ -460,7 +460,7 @@
     pub(crate) fn overtaken(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         key: &Key,
         ballot: Ballot,
         choice: Option<Choice>,
--- a/crates/replica/src/holding.rs
+++ b/crates/replica/src/holding.rs
@@ -2,7 +2,7 @@
 //! what it promised before.
 
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 
 use crate::record::{Ballot, Effect, FIRST, Owner, Record, Sending, SendingIx, Sent};
 use crate::replica::{Guard, Output, Replica};
@@ -14,7 +14,7 @@
     pub(crate) fn asked_to_hold(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         key: Key,
         ballot: Ballot,
         sending: u64,
@@ -74,7 +74,7 @@
     pub(crate) fn refuses(
         &mut self,
         now: Micros,
-        to: MemberIx,
+        to: MemberIndex,
         key: Key,
         ballot: Ballot,
         sending: Option<u64>,
@@ -99,7 +99,7 @@
     pub(crate) fn asked_to_fence(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         key: Key,
         ballot: Ballot,
         origin: Origin,
--- a/crates/replica/src/keeping.rs
+++ b/crates/replica/src/keeping.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 
 use crate::record::Ballot;
 use crate::replica::{Guard, Output, Replica, hashed};
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Vote {
     Given {
-        to: MemberIx,
+        to: MemberIndex,
         message: Message,
     },
     /// To itself, as the one that asks; `accepts`: which value.
--- a/crates/replica/src/owning.rs
+++ b/crates/replica/src/owning.rs
@@ -13,7 +13,7 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 
 use crate::record::{Answered, Ballot, Effect, FIRST, Owner, Record, Sending, SendingIx, Sent};
 use crate::replica::{Guard, Output, Replica};
@@ -90,7 +90,7 @@
 struct Fencing {
     votes: Votes,
     /// Who said to hold each sending.
-    holders: BTreeMap<SendingIx, BTreeSet<MemberIx>>,
+    holders: BTreeMap<SendingIx, BTreeSet<MemberIndex>>,
     resend: Micros,
     give_up: Micros,
 }
@@ -277,7 +277,7 @@
         self.settle(now, key, false, out);
     }
 
-    fn ask_fence(&self, now: Micros, key: &Key, whom: &[MemberIx], out: &mut Vec<Output>) {
+    fn ask_fence(&self, now: Micros, key: &Key, whom: &[MemberIndex], out: &mut Vec<Output>) {
         let Some(Claim {
             ballot,
             stage: Stage::Fencing(f),
@@ -303,7 +303,7 @@
     }
 
     fn fencing(&self, now: Micros, give_up: Micros, own: Option<&Effect>) -> Fencing {
-        let mut holders: BTreeMap<SendingIx, BTreeSet<MemberIx>> = BTreeMap::new();
+        let mut holders: BTreeMap<SendingIx, BTreeSet<MemberIndex>> = BTreeMap::new();
         for ix in own.iter().flat_map(|e| e.sendings.keys()) {
             holders.entry(*ix).or_default().insert(self.group.me);
         }
@@ -320,7 +320,7 @@
     pub(crate) fn fenced(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         process: u32,
         key: &Key,
         ballot: Ballot,
@@ -454,13 +454,13 @@
     }
 
     /// No majority can have held it, even if all hold it that have not said otherwise.
-    fn never_left(&self, fencing: &Fencing, agreed: &[MemberIx], ix: &SendingIx) -> bool {
-        let holds = |m: &MemberIx| fencing.holders.get(ix).is_some_and(|h| h.contains(m));
+    fn never_left(&self, fencing: &Fencing, agreed: &[MemberIndex], ix: &SendingIx) -> bool {
+        let holds = |m: &MemberIndex| fencing.holders.get(ix).is_some_and(|h| h.contains(m));
         let may_hold =
-            |m: &MemberIx| holds(m) || !agreed.contains(m) && !self.without(Guard::Missing);
+            |m: &MemberIndex| holds(m) || !agreed.contains(m) && !self.without(Guard::Missing);
         !self
             .group
-            .is_majority((0..self.group.len() as MemberIx).filter(may_hold))
+            .is_majority((0..self.group.len() as MemberIndex).filter(may_hold))
     }
 
     fn conclude(&mut self, now: Micros, key: &Key, verdict: Verdict, out: &mut Vec<Output>) {
@@ -564,7 +564,7 @@
         now: Micros,
         key: &Key,
         sending: u64,
-        whom: &[MemberIx],
+        whom: &[MemberIndex],
         out: &mut Vec<Output>,
     ) {
         let Some(claim) = self.claims.get(key) else {
@@ -592,7 +592,7 @@
     pub(crate) fn holds(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         process: u32,
         key: &Key,
         ballot: Ballot,
@@ -639,7 +639,7 @@
     pub(crate) fn refused(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         key: &Key,
         ballot: Ballot,
         sending: Option<u64>,
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 use serde::{Deserialize, Serialize};
 
 /// Under which a member acts; any two can be told apart, and there is always a higher one.
@@ -19,7 +19,7 @@
 )]
 pub struct Ballot {
     pub number: u32,
-    pub member: MemberIx,
+    pub member: MemberIndex,
     /// Of its process: what an earlier process of the same member knew is not known any more.
     pub nonce: u64,
 }
@@ -38,7 +38,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Sending {
-    pub member: MemberIx,
+    pub member: MemberIndex,
     pub state: Sent,
     /// Of workers that drop repeats of it, where there are several groups.
     pub place: u32,
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::{Group, MemberIx};
+use cedarpulley_membership::{Group, MemberIndex};
 use serde::Serialize;
 
 use crate::catchup::CatchUp;
@@ -183,14 +183,14 @@
     },
     /// `transit`: it has been under way for no longer than this.
     Heard {
-        from: MemberIx,
+        from: MemberIndex,
         nonce: u64,
         transit: Micros,
         message: Message,
     },
     /// What is known of a member has changed.
     Member {
-        member: MemberIx,
+        member: MemberIndex,
         nonce: u64,
         alive: bool,
     },
@@ -204,7 +204,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     Send {
-        to: MemberIx,
+        to: MemberIndex,
         message: Message,
     },
     Verdict {
@@ -403,7 +403,7 @@
     fn heard(
         &mut self,
         now: Micros,
-        from: MemberIx,
+        from: MemberIndex,
         nonce: u64,
         transit: Micros,
         message: Message,
@@ -592,7 +592,7 @@
     fn member(
         &mut self,
         now: Micros,
-        member: MemberIx,
+        member: MemberIndex,
         nonce: u64,
         alive: bool,
         out: &mut Vec<Output>,
@@ -708,7 +708,7 @@
         }
     }
 
-    pub(crate) fn everybody_else(&self) -> Vec<MemberIx> {
+    pub(crate) fn everybody_else(&self) -> Vec<MemberIndex> {
         self.group.others().collect()
     }
 
@@ -739,11 +739,11 @@
     /// Without a majority alive it need not be tried.
     pub(crate) fn majority_lives(&self) -> bool {
         self.group
-            .is_majority((0..self.group.len() as MemberIx).filter(|m| self.alive[*m as usize]))
+            .is_majority((0..self.group.len() as MemberIndex).filter(|m| self.alive[*m as usize]))
     }
 
     /// That process is over, as far as is known: what only it knew will not be told any more.
-    pub(crate) fn gone(&self, member: MemberIx, nonce: u64) -> bool {
+    pub(crate) fn gone(&self, member: MemberIndex, nonce: u64) -> bool {
         let m = member as usize;
         self.nonces.get(m).is_none_or(|known| *known != nonce) || !self.alive[m]
     }
--- a/crates/replica/src/returning.rs
+++ b/crates/replica/src/returning.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 
 use crate::record::Record;
 use crate::replica::{DRIFT_PART, Guard, Output, Replica};
@@ -22,7 +22,7 @@
     since: Micros,
     memory: Memory,
     /// With whom it has compared, and what that one remembered.
-    compared: BTreeMap<MemberIx, Memory>,
+    compared: BTreeMap<MemberIndex, Memory>,
 }
 
 impl Returning {
@@ -38,7 +38,7 @@
         self.memory
     }
 
-    pub fn compared(&self) -> impl Iterator<Item = MemberIx> + '_ {
+    pub fn compared(&self) -> impl Iterator<Item = MemberIndex> + '_ {
         self.compared.keys().copied()
     }
 
@@ -63,7 +63,7 @@
     pub(crate) fn compared_with(
         &mut self,
         now: Micros,
-        member: MemberIx,
+        member: MemberIndex,
         memory: Memory,
         out: &mut Vec<Output>,
     ) -> bool {
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 use serde::{Deserialize, Serialize};
 
 use crate::record::{Ballot, Choice, Record};
@@ -167,19 +167,19 @@
 /// starts anew without memory and votes again; the promise of its earlier process must not be added to others' newer
 /// votes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Votes(BTreeMap<MemberIx, (u32, Views)>);
+pub struct Votes(BTreeMap<MemberIndex, (u32, Views)>);
 
 impl Votes {
     /// `process`: of the voter, as it says itself.
-    pub fn put(&mut self, from: MemberIx, process: u32, views: Views) {
+    pub fn put(&mut self, from: MemberIndex, process: u32, views: Views) {
         self.0.insert(from, (process, views));
     }
 
-    pub fn voters(&self) -> impl Iterator<Item = MemberIx> + '_ {
+    pub fn voters(&self) -> impl Iterator<Item = MemberIndex> + '_ {
         self.0.keys().copied()
     }
 
-    pub fn has(&self, member: MemberIx) -> bool {
+    pub fn has(&self, member: MemberIndex) -> bool {
         self.0.contains_key(&member)
     }
 
@@ -192,14 +192,14 @@
     }
 
     /// The voters that all mean the same processes of each other, beginning with the proposer.
-    pub fn agreeing(&self, first: MemberIx) -> Vec<MemberIx> {
-        let mean = |a: MemberIx, b: MemberIx| {
+    pub fn agreeing(&self, first: MemberIndex) -> Vec<MemberIndex> {
+        let mean = |a: MemberIndex, b: MemberIndex| {
             self.0
                 .get(&a)
                 .zip(self.0.get(&b))
                 .is_some_and(|((_, views), (process, _))| views.0.get(b as usize) == Some(process))
         };
-        let mut agreed: Vec<MemberIx> = Vec::new();
+        let mut agreed: Vec<MemberIndex> = Vec::new();
         let order = self
             .0
             .keys()
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use cedarpulley_membership::{Group, Member, MemberIx};
+use cedarpulley_membership::{Group, Member, MemberIndex};
 use cedarpulley_replica::{
     Guard, Input, Key, Lack, Message, Need, Outcome, Output, Replica, Shared, Terms, Verdict,
 };
@@ -36,7 +36,7 @@
     pub replicas: Vec<Option<Replica>>,
     pub nonces: Vec<u64>,
     /// From whom, to whom, of which process, when it was sent.
-    pub net: Vec<(MemberIx, MemberIx, u64, i64, Message)>,
+    pub net: Vec<(MemberIndex, MemberIndex, u64, i64, Message)>,
     pub verdicts: Vec<BTreeMap<Key, Vec<Verdict>>>,
     pub leaves: Vec<BTreeMap<u64, Result<bool, Lack>>>,
     pub decided: Vec<BTreeMap<Key, Vec<Outcome>>>,
@@ -180,7 +180,7 @@
     }
 
     pub fn sees(&mut self, r: usize, m: usize, alive: bool) {
-        let (member, nonce) = (m as MemberIx, self.nonces[m]);
+        let (member, nonce) = (m as MemberIndex, self.nonces[m]);
         self.feed(
             r,
             Input::Member {
@@ -202,7 +202,7 @@
             match output {
                 Output::Send { to, message } => {
                     self.net
-                        .push((r as MemberIx, to, self.nonces[r], self.now, message));
+                        .push((r as MemberIndex, to, self.nonces[r], self.now, message));
                 }
                 Output::Verdict { key, verdict } => {
                     self.verdicts[r].entry(key).or_default().push(verdict)
@@ -219,7 +219,7 @@
     }
 
     /// Delivers what is on the way and fits, and what follows from it.
-    pub fn deliver(&mut self, fits: impl Fn(MemberIx, MemberIx, &Message) -> bool) {
+    pub fn deliver(&mut self, fits: impl Fn(MemberIndex, MemberIndex, &Message) -> bool) {
         while let Some(n) = self.net.iter().position(|(f, t, _, _, m)| fits(*f, *t, m)) {
             let (from, to, nonce, sent, message) = self.net.remove(n);
             let transit = self.now - sent;
@@ -240,7 +240,11 @@
         self.pass_where(time, |_, _, _| true);
     }
 
-    pub fn pass_where(&mut self, time: i64, fits: impl Fn(MemberIx, MemberIx, &Message) -> bool) {
+    pub fn pass_where(
+        &mut self,
+        time: i64,
+        fits: impl Fn(MemberIndex, MemberIndex, &Message) -> bool,
+    ) {
         let until = self.now + time;
         while self.now < until {
             self.now = (self.now + 10 * MS).min(until);
--- a/crates/replica/tests/explore.rs
+++ b/crates/replica/tests/explore.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use cedarpulley_membership::{Group, Member, MemberIx};
+use cedarpulley_membership::{Group, Member, MemberIndex};
 use cedarpulley_replica::{
     Guard, Input, Key, Lack, Message, Need, Output, Replica, Shared, Terms, Verdict,
 };
@@ -84,7 +84,7 @@
 }
 
 impl Sent {
-    fn new(from: usize, to: MemberIx, nonce: u64, message: Message) -> Sent {
+    fn new(from: usize, to: MemberIndex, nonce: u64, message: Message) -> Sent {
         let (from, to) = (from as u8, to as u8);
         let mark = [1u64, 2].map(|salt| hashed((salt, from, to, nonce, &message)));
         Sent {
@@ -174,7 +174,7 @@
             for m in 0..N {
                 w.views[r][m] = (w.nonces[m], true);
                 let input = Input::Member {
-                    member: m as MemberIx,
+                    member: m as MemberIndex,
                     nonce: w.nonces[m],
                     alive: true,
                 };
@@ -549,7 +549,7 @@
             } = self.net[n];
             if runs(to as usize) {
                 let heard = |w: &mut World| {
-                    let (from, message) = (MemberIx::from(from), Message::clone(message));
+                    let (from, message) = (MemberIndex::from(from), Message::clone(message));
                     w.feed(
                         to as usize,
                         NOW,
@@ -634,7 +634,7 @@
         let Some(message) = self.told_by(m) else {
             return Ok(());
         };
-        let (from, nonce) = (m as MemberIx, self.nonces[m]);
+        let (from, nonce) = (m as MemberIndex, self.nonces[m]);
         self.feed(
             r,
             NOW,
@@ -651,7 +651,7 @@
     fn last_words(&mut self, r: usize, to: usize) {
         if let Some(message) = self.told_by(r) {
             self.net
-                .push(Sent::new(r, to as MemberIx, self.nonces[r], message));
+                .push(Sent::new(r, to as MemberIndex, self.nonces[r], message));
         }
     }
 
@@ -661,7 +661,7 @@
             r,
             NOW,
             Input::Member {
-                member: m as MemberIx,
+                member: m as MemberIndex,
                 nonce: view.0,
                 alive: view.1,
             },
--- a/crates/replica/tests/random.rs
+++ b/crates/replica/tests/random.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 use cedarpulley_replica::{
     Ballot, Guard, Input, Key, Lack, Need, Outcome, Record, Replica, Shared, Verdict,
 };
@@ -444,7 +444,7 @@
             self.feed(
                 r,
                 Input::Member {
-                    member: m as MemberIx,
+                    member: m as MemberIndex,
                     nonce,
                     alive,
                 },
--- a/crates/replica/tests/returning.rs
+++ b/crates/replica/tests/returning.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bytes::Bytes;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 use cedarpulley_replica::{Because, Guard, Input, Memory, Message, Replica, Terms, Verdict};
 use common::{KEPT, MS, World, group, terms};
 
@@ -23,8 +23,8 @@
 }
 
 /// Delivers the first that fits, as one that was under way for so long.
-fn late(w: &mut World, to: usize, transit: i64, fits: impl Fn(MemberIx, &Message) -> bool) {
-    let fitting = |sent: &(MemberIx, MemberIx, u64, i64, Message)| {
+fn late(w: &mut World, to: usize, transit: i64, fits: impl Fn(MemberIndex, &Message) -> bool) {
+    let fitting = |sent: &(MemberIndex, MemberIndex, u64, i64, Message)| {
         sent.1 == to as u16 && fits(sent.0, &sent.4)
     };
     let Some(n) = w.net.iter().position(fitting) else {
--- a/crates/replica/tests/virtual_time/mod.rs
+++ b/crates/replica/tests/virtual_time/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 use std::time::Instant;
 
-use cedarpulley_membership::{self as membership, MemberIx, Membership, Process};
+use cedarpulley_membership::{self as membership, MemberIndex, Membership, Process};
 use cedarpulley_replica::{Input, Key, Memory, Message, Need, Output, Replica, Shared, Terms};
 
 use crate::common::{MS, group};
@@ -30,7 +30,7 @@
     replicas: Vec<Replica>,
     members: Vec<Membership>,
     way: BinaryHeap<Reverse<(i64, u64)>>,
-    letters: std::collections::HashMap<u64, (MemberIx, MemberIx, Letter)>,
+    letters: std::collections::HashMap<u64, (MemberIndex, MemberIndex, Letter)>,
     serial: u64,
     /// Sent, by all.
     bytes: u64,
@@ -78,7 +78,7 @@
             self.feed(
                 r,
                 Input::Member {
-                    member: m as MemberIx,
+                    member: m as MemberIndex,
                     nonce,
                     alive: true,
                 },
@@ -87,7 +87,7 @@
             self.feed(
                 m,
                 Input::Member {
-                    member: r as MemberIx,
+                    member: r as MemberIndex,
                     nonce,
                     alive: true,
                 },
@@ -95,11 +95,11 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: MemberIx, letter: Letter) {
+    fn send(&mut self, from: usize, to: MemberIndex, letter: Letter) {
         self.serial += 1;
         self.way.push(Reverse((self.now + LINK, self.serial)));
         self.letters
-            .insert(self.serial, (from as MemberIx, to, letter));
+            .insert(self.serial, (from as MemberIndex, to, letter));
     }
 
     fn feed(&mut self, r: usize, input: Input) {
--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -13,7 +13,7 @@
 
 use cedarpulley::interface::Micros;
 
-use crate::FrontIx;
+use crate::FrontIndex;
 use crate::entry::Fill;
 use crate::shares::{Felt, Shares};
 
@@ -109,7 +109,7 @@
         }
     }
 
-    pub fn front(&mut self, front: FrontIx, state: FrontState) {
+    pub fn front(&mut self, front: FrontIndex, state: FrontState) {
         self.state[front as usize] = state;
         self.moved = true;
         if state == FrontState::Down {
@@ -124,19 +124,19 @@
     }
 
     /// One came, at the door or from a broker; whether it may enter is asked next.
-    pub fn came(&mut self, now: Micros, front: FrontIx, account: u32) {
+    pub fn came(&mut self, now: Micros, front: FrontIndex, account: u32) {
         self.fronts.came(now, front as usize);
         self.accounts[front as usize].came(now, account as usize);
     }
 
     /// One more is out: let in at the door, or taken from a broker.
-    pub fn entered(&mut self, now: Micros, front: FrontIx, account: u32) {
+    pub fn entered(&mut self, now: Micros, front: FrontIndex, account: u32) {
         self.moved = true;
         self.fronts.entered(now, front as usize);
         self.accounts[front as usize].entered(now, account as usize);
     }
 
-    pub fn left(&mut self, front: FrontIx, account: u32) {
+    pub fn left(&mut self, front: FrontIndex, account: u32) {
         self.moved = true;
         self.fronts.left(front as usize);
         self.accounts[front as usize].left(account as usize);
@@ -156,7 +156,7 @@
     /// An account that floods while others suffer: what it sends beyond its cap is given back at once, as a broker
     /// hands out first come, first served, and the others' messages stand behind it. So is what an account or a whole
     /// front sends faster than it succeeds.
-    pub fn beyond(&self, now: Micros, front: FrontIx, account: u32) -> bool {
+    pub fn beyond(&self, now: Micros, front: FrontIndex, account: u32) -> bool {
         let (front, account) = (front as usize, account as usize);
         let accounts = &self.accounts[front];
         f64::from(accounts.out(account)) >= accounts.cap(account, self.limit)
@@ -165,7 +165,7 @@
     }
 
     /// How full it is for the door; `coming`: bytes of bodies on their way in.
-    pub fn fill(&self, now: Micros, front: FrontIx, account: u32, coming: u64) -> Fill {
+    pub fn fill(&self, now: Micros, front: FrontIndex, account: u32, coming: u64) -> Fill {
         let (f, a) = (front as usize, account as usize);
         Fill {
             limit: self.limit,
@@ -185,7 +185,7 @@
     pub fn ended(
         &mut self,
         now: Micros,
-        front: FrontIx,
+        front: FrontIndex,
         account: u32,
         bytes: usize,
         took: Micros,
@@ -239,7 +239,7 @@
     }
 
     /// What each front may have out from now on, for those whose grant moved. 0: nothing new at all.
-    pub fn grants(&mut self, mut tell: impl FnMut(FrontIx, u32)) {
+    pub fn grants(&mut self, mut tell: impl FnMut(FrontIndex, u32)) {
         if !std::mem::take(&mut self.moved) {
             return;
         }
@@ -280,7 +280,7 @@
             let moved = f64::from(grant.abs_diff(was)) >= (f64::from(was) * STEP).max(1.0);
             if moved || (grant == 0) != (was == 0) {
                 self.granted[f] = grant;
-                tell(f as FrontIx, grant);
+                tell(f as FrontIndex, grant);
             }
         }
     }
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -13,10 +13,10 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-use cedarpulley::interface::{InvIx, Micros};
+use cedarpulley::interface::{InvocationIndex, Micros};
 
 use crate::redelivery::Record;
-use crate::{Answer, Delivery, Fate, FrontIx};
+use crate::{Answer, Delivery, Fate, FrontIndex};
 
 /// Claims without holder at most; each is a few hundred bytes. What is forgotten is only taken more strictly.
 const MOST_ORPHANS: usize = 10_000;
@@ -24,11 +24,11 @@
 /// Deliveries that may wait for one answer.
 const MOST_HOLDERS: usize = 16;
 
-pub type ClaimIx = u32;
+pub type ClaimIndex = u32;
 
 #[derive(Debug)]
 enum State {
-    Open(InvIx),
+    Open(InvocationIndex),
     Given(Answer),
     Ended { may_have_run: bool },
 }
@@ -54,10 +54,10 @@
 pub struct Claims {
     most_orphans: usize,
     claims: Vec<Option<Claim>>,
-    free: Vec<ClaimIx>,
-    by_identity: HashMap<Arc<str>, ClaimIx>,
-    by_holder: HashMap<Delivery, ClaimIx>,
-    orphans: BTreeSet<(Micros, ClaimIx)>,
+    free: Vec<ClaimIndex>,
+    by_identity: HashMap<Arc<str>, ClaimIndex>,
+    by_holder: HashMap<Delivery, ClaimIndex>,
+    orphans: BTreeSet<(Micros, ClaimIndex)>,
     /// Forgotten for want of room.
     pub forgotten: u64,
 }
@@ -96,7 +96,7 @@
     }
 
     /// What this router knows of a message, and the invocation that is out for it.
-    pub fn known(&self, identity: Option<&str>) -> (Record, Option<ClaimIx>) {
+    pub fn known(&self, identity: Option<&str>) -> (Record, Option<ClaimIndex>) {
         let Some(&ix) = identity.and_then(|i| self.by_identity.get(i)) else {
             return (Record::Nothing, None);
         };
@@ -116,9 +116,9 @@
         &mut self,
         identity: Option<Arc<str>>,
         holder: Delivery,
-        inv: InvIx,
+        inv: InvocationIndex,
         until: Micros,
-    ) -> ClaimIx {
+    ) -> ClaimIndex {
         if let Some(&ix) = identity.as_deref().and_then(|i| self.by_identity.get(i)) {
             self.forget(ix);
         }
@@ -133,7 +133,7 @@
             state: State::Open(inv),
             until,
         };
-        let ix = self.free.pop().unwrap_or(self.claims.len() as ClaimIx);
+        let ix = self.free.pop().unwrap_or(self.claims.len() as ClaimIndex);
         if ix as usize == self.claims.len() {
             self.claims.push(None);
         }
@@ -145,7 +145,7 @@
         ix
     }
 
-    pub fn inv(&self, ix: ClaimIx) -> Option<InvIx> {
+    pub fn inv(&self, ix: ClaimIndex) -> Option<InvocationIndex> {
         match self.claims.get(ix as usize)?.as_ref()?.state {
             State::Open(inv) => Some(inv),
             _ => None,
@@ -154,7 +154,7 @@
 
     /// The same message has come again and takes the claim over. False if another delivery still holds it: then
     /// the message was published twice, and the one answer goes to the first.
-    pub fn rejoin(&mut self, ix: ClaimIx, holder: Delivery) -> bool {
+    pub fn rejoin(&mut self, ix: ClaimIndex, holder: Delivery) -> bool {
         let Some(claim) = self.claims[ix as usize].as_mut() else {
             return false;
         };
@@ -171,7 +171,7 @@
     }
 
     /// Another message with the same token waits for the same answer. False if too many do already.
-    pub fn join(&mut self, ix: ClaimIx, holder: Delivery) -> bool {
+    pub fn join(&mut self, ix: ClaimIndex, holder: Delivery) -> bool {
         let claim = self.claims.get_mut(ix as usize).and_then(Option::as_mut);
         let Some(claim) = claim.filter(|c| c.holders.len() < MOST_HOLDERS) else {
             return false;
@@ -193,7 +193,7 @@
     }
 
     /// This delivery waits no more. The claim it held and whether nobody holds that now.
-    pub fn let_go(&mut self, delivery: Delivery) -> Option<(ClaimIx, bool)> {
+    pub fn let_go(&mut self, delivery: Delivery) -> Option<(ClaimIndex, bool)> {
         let ix = self.by_holder.remove(&delivery)?;
         let claim = self.claims.get_mut(ix as usize)?.as_mut()?;
         claim.holders.retain(|h| h.delivery != delivery);
@@ -201,7 +201,7 @@
     }
 
     /// The answer that was given, if one was.
-    pub fn answer(&self, ix: ClaimIx) -> Option<&Answer> {
+    pub fn answer(&self, ix: ClaimIndex) -> Option<&Answer> {
         match &self.claims.get(ix as usize)?.as_ref()?.state {
             State::Given(answer) => Some(answer),
             _ => None,
@@ -209,7 +209,7 @@
     }
 
     /// It was told not to have run, and nobody heard that: it may have been taken elsewhere since.
-    pub fn withdrawn(&self, ix: ClaimIx) -> bool {
+    pub fn withdrawn(&self, ix: ClaimIndex) -> bool {
         let claim = self.claims.get(ix as usize).and_then(Option::as_ref);
         claim.is_some_and(|c| {
             c.holders.is_empty() && matches!(&c.state, State::Given(a) if a.fate == Fate::Throttled)
@@ -218,7 +218,7 @@
 
     /// The final answer; the first one counts, and its holders are to be sent it. A claim that has one already
     /// gives nothing.
-    pub fn give(&mut self, ix: ClaimIx, answer: &Answer) -> Vec<Delivery> {
+    pub fn give(&mut self, ix: ClaimIndex, answer: &Answer) -> Vec<Delivery> {
         match self.claims.get_mut(ix as usize) {
             Some(Some(claim)) if matches!(claim.state, State::Open(_)) => {
                 claim.state = State::Given(answer.clone());
@@ -229,14 +229,14 @@
     }
 
     /// The invocation ended while no front stood to be answered, and without anything worth telling.
-    pub fn end(&mut self, ix: ClaimIx, may_have_run: bool) {
+    pub fn end(&mut self, ix: ClaimIndex, may_have_run: bool) {
         if let Some(Some(claim)) = self.claims.get_mut(ix as usize) {
             claim.state = State::Ended { may_have_run };
         }
     }
 
     /// A group knows it under this key.
-    pub fn share(&mut self, ix: ClaimIx, key: Arc<str>) {
+    pub fn share(&mut self, ix: ClaimIndex, key: Arc<str>) {
         if let Some(Some(claim)) = self.claims.get_mut(ix as usize) {
             claim.shared = Some(key);
         }
@@ -259,7 +259,10 @@
 
     /// A front lost its channel: its claims are without holder until the message comes again. Lists the
     /// invocations that were open, and those whose claim had to be forgotten for want of room.
-    pub fn front_lost(&mut self, front: FrontIx) -> (Vec<InvIx>, Vec<InvIx>) {
+    pub fn front_lost(
+        &mut self,
+        front: FrontIndex,
+    ) -> (Vec<InvocationIndex>, Vec<InvocationIndex>) {
         let (mut open, mut forgotten) = (Vec::new(), Vec::new());
         for (i, slot) in self.claims.iter_mut().enumerate() {
             let Some(claim) = slot else { continue };
@@ -274,7 +277,7 @@
             if lost.is_empty() || !claim.holders.is_empty() {
                 continue;
             }
-            self.orphans.insert((claim.until, i as ClaimIx));
+            self.orphans.insert((claim.until, i as ClaimIndex));
             if let State::Open(inv) = claim.state {
                 open.push(inv);
             }
@@ -298,7 +301,7 @@
         }
     }
 
-    pub fn forget(&mut self, ix: ClaimIx) {
+    pub fn forget(&mut self, ix: ClaimIndex) {
         let Some(claim) = self.claims.get_mut(ix as usize).and_then(Option::take) else {
             return;
         };
--- a/crates/router/src/core/decisions.rs
+++ b/crates/router/src/core/decisions.rs
@@ -1,6 +1,6 @@
 //! Calls the decision module and carries out its actions.
 
-use cedarpulley::interface::{Action, Event, InvIx, Micros, Outcome};
+use cedarpulley::interface::{Action, DispatchOutcome, Event, InvocationIndex, Micros};
 
 use super::dispatching::DispatchResult;
 use super::timers::Timer;
@@ -12,7 +12,7 @@
 /// A dispatch that ended within the step that decided it.
 pub(super) struct EndedAtOnce {
     pub(super) ticket: Ticket,
-    pub(super) outcome: Outcome,
+    pub(super) outcome: DispatchOutcome,
 }
 
 impl Router {
@@ -20,7 +20,7 @@
     /// module as further events, after all actions of this step.
     pub(super) fn decide(&mut self, event: &Event, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
-        self.control.decide(self.now, event, &mut actions);
+        self.control.handle(self.now, event, &mut actions);
         let names = Names {
             functions: self.functions.names(),
             workers: &self.workers,
@@ -40,22 +40,31 @@
     fn carry_out(&mut self, action: Action, ended: &mut Vec<EndedAtOnce>, out: &mut Vec<Output>) {
         match action {
             Action::Dispatch {
-                inv,
+                invocation: inv,
                 worker,
-                time_out,
+                timeout: time_out,
             } => self.dispatch(inv, worker, time_out, ended, out),
-            Action::Withdraw { inv, dispatch } => self.withdraw(inv, dispatch, ended, out),
-            Action::Throttle { inv, return_after } => self.throttle(inv, return_after, out),
-            Action::Error { inv } => {
+            Action::Cancel {
+                invocation: inv,
+                dispatch,
+            } => self.withdraw(inv, dispatch, ended, out),
+            Action::Reject {
+                invocation: inv,
+                retry_after: return_after,
+            } => self.throttle(inv, return_after, out),
+            Action::Fail { invocation: inv } => {
                 self.give_answer(inv, Answer::bare(Fate::Errored, Reason::GivenUp), out);
                 self.release(inv, out);
             }
-            Action::Order {
+            Action::LoadOrder {
                 worker,
-                func,
+                function: func,
                 copies,
             } => self.order(worker, func, copies, out),
-            Action::Unload { worker, func } => {
+            Action::Unload {
+                worker,
+                function: func,
+            } => {
                 let function = self.functions.name(func);
                 out.push(Output::Unload {
                     worker,
@@ -67,8 +76,8 @@
             Action::Timer { token, after } => {
                 self.set_timer(self.now + after, Timer::Module(token))
             }
-            Action::AskList { .. } => out.push(Output::AskList),
-            Action::Forget { func } => {
+            Action::RequestEndpointList { .. } => out.push(Output::AskList),
+            Action::ReleaseFunction { function: func } => {
                 self.waits.forget(func);
                 self.functions.forget(func);
             }
@@ -77,7 +86,7 @@
 
     fn withdraw(
         &mut self,
-        inv: InvIx,
+        inv: InvocationIndex,
         dispatch: u32,
         ended: &mut Vec<EndedAtOnce>,
         out: &mut Vec<Output>,
@@ -91,17 +100,22 @@
         if waits_for_leave {
             return ended.push(EndedAtOnce {
                 ticket,
-                outcome: Outcome::NotSent,
+                outcome: DispatchOutcome::NotSent,
             });
         }
         out.push(Output::Withdraw(ticket));
         ended.push(EndedAtOnce {
             ticket,
-            outcome: Outcome::Withdrawn,
+            outcome: DispatchOutcome::Cancelled,
         });
     }
 
-    fn throttle(&mut self, inv: InvIx, return_after: Option<Micros>, out: &mut Vec<Output>) {
+    fn throttle(
+        &mut self,
+        inv: InvocationIndex,
+        return_after: Option<Micros>,
+        out: &mut Vec<Output>,
+    ) {
         // A redelivered invocation may have run elsewhere, which the module cannot know.
         let elsewhere = self
             .invocations
--- a/crates/router/src/core/dispatching.rs
+++ b/crates/router/src/core/dispatching.rs
@@ -1,7 +1,8 @@
 //! The life of a dispatch: decided, permitted by the group where that is needed, sent, and ended.
 
 use cedarpulley::interface::{
-    CopyNote, Effect, Ending, Event, InvIx, Micros, Outcome, Report, WorkerIx,
+    CopyStatus, DispatchEnded, DispatchOutcome, Effect, Event, InvocationIndex, LoadReport, Micros,
+    WorkerIndex,
 };
 use cedarpulley_meter::Held;
 
@@ -18,22 +19,22 @@
 ///
 /// [`Input::DispatchEnded`]: super::Input::DispatchEnded
 pub(super) struct DispatchResult {
-    pub(super) outcome: Outcome,
-    pub(super) note: CopyNote,
+    pub(super) outcome: DispatchOutcome,
+    pub(super) note: CopyStatus,
     pub(super) crowd: Option<u32>,
-    pub(super) report: Report,
+    pub(super) report: LoadReport,
     pub(super) held: Option<Held>,
     pub(super) body: Payload,
 }
 
 impl DispatchResult {
     /// Of a dispatch whose worker said nothing.
-    pub(super) fn without_answer(outcome: Outcome) -> Self {
+    pub(super) fn without_answer(outcome: DispatchOutcome) -> Self {
         DispatchResult {
             outcome,
-            note: CopyNote::Untold,
+            note: CopyStatus::Unreported,
             crowd: None,
-            report: Report::default(),
+            report: LoadReport::default(),
             held: None,
             body: Payload::default(),
         }
@@ -43,7 +44,7 @@
 /// What is known of a dispatch that has just ended.
 #[derive(Clone, Copy)]
 struct EndedDispatch {
-    worker: WorkerIx,
+    worker: WorkerIndex,
     took: Micros,
     /// Number by which the group knows it.
     sending: u64,
@@ -66,8 +67,8 @@
     /// The module wants the invocation sent to a worker.
     pub(super) fn dispatch(
         &mut self,
-        inv: InvIx,
-        worker: WorkerIx,
+        inv: InvocationIndex,
+        worker: WorkerIndex,
         time_out: Option<Micros>,
         ended: &mut Vec<EndedAtOnce>,
         out: &mut Vec<Output>,
@@ -88,7 +89,7 @@
         {
             return ended.push(EndedAtOnce {
                 ticket,
-                outcome: Outcome::NotSent,
+                outcome: DispatchOutcome::NotSent,
             });
         }
         // Without a time-out of its own the dispatch ends when the answer is due.
@@ -105,8 +106,8 @@
     /// Adds a dispatch to the invocation; nothing if there is no such invocation.
     fn add_dispatch(
         &mut self,
-        inv: InvIx,
-        worker: WorkerIx,
+        inv: InvocationIndex,
+        worker: WorkerIndex,
         time_out: Option<Micros>,
     ) -> Option<Ticket> {
         let needs_leave = needs_leave(self.invocations.get(inv)?);
@@ -202,7 +203,8 @@
     /// Rule 2 at the moment of sending: workers drop repeats of a tokened invocation only within their window, counted from
     /// each attempt that may have run. Connecting may take longer than what was left of it when the attempt was decided.
     fn within_repeat_window(&self, now: Micros, invocation: &Invocation) -> bool {
-        let Effect::Tokened { window, .. } = self.triggers[invocation.trigger as usize].effect
+        let Effect::IdempotentByKey { window, .. } =
+            self.triggers[invocation.trigger as usize].effect
         else {
             return true;
         };
@@ -225,7 +227,7 @@
         out.push(Output::Withdraw(ticket));
         self.dispatch_ended(
             ticket,
-            DispatchResult::without_answer(Outcome::TimedOut),
+            DispatchResult::without_answer(DispatchOutcome::TimedOut),
             out,
         );
     }
@@ -234,7 +236,7 @@
     pub(super) fn dispatch_not_sent(&mut self, ticket: Ticket, out: &mut Vec<Output>) {
         self.dispatch_ended(
             ticket,
-            DispatchResult::without_answer(Outcome::NotSent),
+            DispatchResult::without_answer(DispatchOutcome::NotSent),
             out,
         );
     }
@@ -254,8 +256,8 @@
         let inv = ticket.inv;
         self.tell_group_of_ending(inv, ended, out);
         self.report_dispatch_use(inv, ended, &result);
-        let succeeded = result.outcome == Outcome::Succeeded;
-        if succeeded && result.note == CopyNote::Found {
+        let succeeded = result.outcome == DispatchOutcome::Succeeded;
+        if succeeded && result.note == CopyStatus::Warm {
             self.note_copy_found(inv);
         }
         if succeeded {
@@ -270,15 +272,15 @@
         } else {
             self.conclude_orphaned(inv);
         }
-        let ending = Ending {
-            inv,
+        let ending = DispatchEnded {
+            invocation: inv,
             dispatch: ticket.dispatch,
             worker: ended.worker,
             outcome: result.outcome,
             took: ended.took,
-            concluded: self.invocations.get(inv).is_none_or(|i| i.concluded),
-            note: result.note,
-            crowd: result.crowd,
+            answered: self.invocations.get(inv).is_none_or(|i| i.concluded),
+            copy_status: result.note,
+            function_load: result.crowd,
             report: result.report,
         };
         self.decide(&Event::DispatchEnded(ending), out);
@@ -286,10 +288,10 @@
     }
 
     /// Marks the dispatch as ended; nothing if it had ended before.
-    fn end_dispatch(&mut self, ticket: Ticket, outcome: Outcome) -> Option<EndedDispatch> {
+    fn end_dispatch(&mut self, ticket: Ticket, outcome: DispatchOutcome) -> Option<EndedDispatch> {
         let now = self.now;
         let dispatch = self.dispatch_out(ticket)?;
-        dispatch.state = if outcome.never_ran() {
+        dispatch.state = if outcome.not_executed() {
             Sent::NeverRan
         } else {
             Sent::MayHaveRun
@@ -305,7 +307,12 @@
         Some(ended)
     }
 
-    fn tell_group_of_ending(&self, inv: InvIx, ended: EndedDispatch, out: &mut Vec<Output>) {
+    fn tell_group_of_ending(
+        &self,
+        inv: InvocationIndex,
+        ended: EndedDispatch,
+        out: &mut Vec<Output>,
+    ) {
         let EndedDispatch {
             sending,
             may_have_run,
@@ -325,7 +332,12 @@
     }
 
     /// Tells the watchers what the dispatch used of its worker.
-    fn report_dispatch_use(&mut self, inv: InvIx, ended: EndedDispatch, result: &DispatchResult) {
+    fn report_dispatch_use(
+        &mut self,
+        inv: InvocationIndex,
+        ended: EndedDispatch,
+        result: &DispatchResult,
+    ) {
         let Some(invocation) = self.invocations.get(inv) else {
             return;
         };
@@ -349,7 +361,7 @@
             .for_each(|watch| watch.used(self.now, used));
     }
 
-    fn note_copy_found(&mut self, inv: InvIx) {
+    fn note_copy_found(&mut self, inv: InvocationIndex) {
         if let Some(invocation) = self.invocations.get(inv) {
             self.waits.found(self.now, invocation.func);
         }
@@ -357,7 +369,7 @@
 
     /// Nobody waits here for an orphaned invocation whose dispatch failed; whoever has the message now
     /// decides what comes next.
-    fn conclude_orphaned(&mut self, inv: InvIx) {
+    fn conclude_orphaned(&mut self, inv: InvocationIndex) {
         let Some(invocation) = self
             .invocations
             .get(inv)
--- a/crates/router/src/core/finishing.rs
+++ b/crates/router/src/core/finishing.rs
@@ -1,7 +1,7 @@
 //! How an invocation ends: its one final answer, what the limits and watchers learn of it, and when its index
 //! becomes free.
 
-use cedarpulley::interface::{Effect, InvIx, Micros};
+use cedarpulley::interface::{Effect, InvocationIndex, Micros};
 
 use super::invocation::{Dispatch, Invocation, InvocationHandle};
 use super::{Output, Router};
@@ -38,7 +38,7 @@
         &mut self,
         delivery: Delivery,
         answer: Answer,
-        inv: Option<InvIx>,
+        inv: Option<InvocationIndex>,
         subject: AnswerSubject,
         out: &mut Vec<Output>,
     ) {
@@ -64,7 +64,12 @@
 
     /// Gives the invocation its final answer. All deliveries that hold its claim get it; only the first call
     /// has an effect.
-    pub(super) fn give_answer(&mut self, inv: InvIx, answer: Answer, out: &mut Vec<Output>) {
+    pub(super) fn give_answer(
+        &mut self,
+        inv: InvocationIndex,
+        answer: Answer,
+        out: &mut Vec<Output>,
+    ) {
         let Some(invocation) = self.invocations.get(inv).filter(|i| !i.concluded) else {
             return;
         };
@@ -111,19 +116,19 @@
     fn is_late(&self, invocation: &Invocation) -> bool {
         let trigger = &self.triggers[invocation.trigger as usize];
         let expected = invocation.cost_hint.unwrap_or(0) as f64;
-        let stretch = (expected * trigger.objective_stretch) as Micros;
+        let stretch = (expected * trigger.objective_work_multiple) as Micros;
         self.now - invocation.taken_at > trigger.latency_objective + stretch
     }
 
     /// Remembers a success under its token, for its client's retries.
-    fn remember_answer(&mut self, inv: InvIx, answer: &Answer) {
+    fn remember_answer(&mut self, inv: InvocationIndex, answer: &Answer) {
         let Some(invocation) = self.invocations.get(inv) else {
             return;
         };
         let effect = self.triggers[invocation.trigger as usize].effect;
         if let Some(key) = &invocation.token_key
             && answer.fate == Fate::Succeeded
-            && let Effect::Tokened { window, .. } = effect
+            && let Effect::IdempotentByKey { window, .. } = effect
         {
             self.tokens
                 .ended(self.now, key, Some((answer.clone(), self.now + window)));
@@ -131,7 +136,7 @@
     }
 
     /// What is told instead of this answer, as the group was lost or not asked.
-    fn adjust_answer(&self, inv: InvIx, answer: Answer) -> Answer {
+    fn adjust_answer(&self, inv: InvocationIndex, answer: Answer) -> Answer {
         let Some(invocation) = self.invocations.get(inv) else {
             return answer;
         };
@@ -149,7 +154,7 @@
     }
 
     /// Tells the group of a success, once: other routers may be delivered the same message, and answer alike.
-    fn share_answer(&mut self, inv: InvIx, answer: &Answer, out: &mut Vec<Output>) {
+    fn share_answer(&mut self, inv: InvocationIndex, answer: &Answer, out: &mut Vec<Output>) {
         let part = self
             .invocations
             .get_mut(inv)
@@ -168,7 +173,7 @@
     /// A final answer that the core itself decides; the module is told that the invocation departed.
     pub(super) fn final_answer(
         &mut self,
-        inv: InvIx,
+        inv: InvocationIndex,
         fate: Fate,
         reason: Reason,
         out: &mut Vec<Output>,
@@ -212,7 +217,7 @@
     }
 
     /// Marks the invocation as over, and tells the limits; true the first time.
-    pub(super) fn conclude(&mut self, inv: InvIx, pace: Pace) -> bool {
+    pub(super) fn conclude(&mut self, inv: InvocationIndex, pace: Pace) -> bool {
         let Some(invocation) = self.invocations.get_mut(inv).filter(|i| !i.concluded) else {
             return false;
         };
@@ -225,7 +230,7 @@
         true
     }
 
-    fn report_to_limits(&mut self, inv: InvIx, pace: Pace) {
+    fn report_to_limits(&mut self, inv: InvocationIndex, pace: Pace) {
         let Some(invocation) = self.invocations.get(inv) else {
             return;
         };
@@ -254,7 +259,7 @@
     }
 
     /// Frees the index of an invocation that is over and whose dispatches have all ended.
-    pub(super) fn release(&mut self, inv: InvIx, out: &mut Vec<Output>) {
+    pub(super) fn release(&mut self, inv: InvocationIndex, out: &mut Vec<Output>) {
         if !self
             .invocations
             .get(inv)
--- a/crates/router/src/core/functions.rs
+++ b/crates/router/src/core/functions.rs
@@ -3,8 +3,8 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use cedarpulley::ids::Ids;
-use cedarpulley::interface::FnIx;
+use cedarpulley::ids::Interner;
+use cedarpulley::interface::FunctionIndex;
 
 /// Functions known at once at most: the decision module keeps a few figures of each function for every
 /// worker.
@@ -39,16 +39,16 @@
 /// Functions by index; the index of a forgotten function is given out again.
 #[derive(Default)]
 pub(super) struct FunctionTable {
-    indices: Ids<String>,
+    indices: Interner<String>,
     /// By index; empty where the function was forgotten.
     names: Vec<Arc<str>>,
     profiles: Vec<FunctionProfile>,
     /// Functions that the decision module was told of by an invocation, and that it has not forgotten.
-    met: HashSet<FnIx>,
+    met: HashSet<FunctionIndex>,
 }
 
 impl FunctionTable {
-    pub(super) fn find(&self, name: &str) -> Option<FnIx> {
+    pub(super) fn find(&self, name: &str) -> Option<FunctionIndex> {
         self.indices.find(name)
     }
 
@@ -58,8 +58,8 @@
     }
 
     /// Adds the function if it is new, and notes its profile.
-    pub(super) fn register(&mut self, name: &Arc<str>, profile: FunctionProfile) -> FnIx {
-        let func = self.indices.enter(name.as_ref());
+    pub(super) fn register(&mut self, name: &Arc<str>, profile: FunctionProfile) -> FunctionIndex {
+        let func = self.indices.intern(name.as_ref());
         let index = func as usize;
         if self.names.len() <= index {
             self.names.resize(index + 1, Arc::from(""));
@@ -70,12 +70,12 @@
         func
     }
 
-    pub(super) fn profile(&self, func: FnIx) -> Option<FunctionProfile> {
+    pub(super) fn profile(&self, func: FunctionIndex) -> Option<FunctionProfile> {
         self.profiles.get(func as usize).copied()
     }
 
     /// The name of a function that the decision module speaks of.
-    pub(super) fn name(&self, func: FnIx) -> Arc<str> {
+    pub(super) fn name(&self, func: FunctionIndex) -> Arc<str> {
         self.names[func as usize].clone()
     }
 
@@ -85,12 +85,12 @@
     }
 
     /// Notes that the decision module meets the function; true the first time.
-    pub(super) fn meet(&mut self, func: FnIx) -> bool {
+    pub(super) fn meet(&mut self, func: FunctionIndex) -> bool {
         self.met.insert(func)
     }
 
     /// The decision module has forgotten the function; its index may be given out again.
-    pub(super) fn forget(&mut self, func: FnIx) {
+    pub(super) fn forget(&mut self, func: FunctionIndex) {
         self.met.remove(&func);
         self.indices.release(func);
         self.names[func as usize] = Arc::from("");
--- a/crates/router/src/core/holders.rs
+++ b/crates/router/src/core/holders.rs
@@ -1,20 +1,20 @@
 //! Who waits for the answer of an open invocation: deliveries join it, and leave it as their client or their
 //! front's connection is lost.
 
-use cedarpulley::interface::{InvIx, Micros};
+use cedarpulley::interface::{InvocationIndex, Micros};
 
 use super::finishing::AnswerSubject;
 use super::invocation::NO_CLAIM;
 use super::timers::Timer;
 use super::{Output, Router};
 use crate::admission::{FrontState, Pace};
-use crate::claims::ClaimIx;
+use crate::claims::ClaimIndex;
 use crate::group::Ask;
-use crate::{Answer, Delivery, Fate, FrontIx, Reason};
+use crate::{Answer, Delivery, Fate, FrontIndex, Reason};
 
 impl Router {
     /// The same message is delivered again after its delivery was lost with a front's connection.
-    pub(super) fn rejoin(&mut self, claim: ClaimIx, delivery: Delivery, out: &mut Vec<Output>) {
+    pub(super) fn rejoin(&mut self, claim: ClaimIndex, delivery: Delivery, out: &mut Vec<Output>) {
         if !self.claims.rejoin(claim, delivery) {
             self.counts.discarded += 1;
             return out.push(Output::Discard(delivery));
@@ -36,7 +36,7 @@
     /// its own is due.
     pub(super) fn join(
         &mut self,
-        claim: ClaimIx,
+        claim: ClaimIndex,
         delivery: Delivery,
         due: Micros,
         out: &mut Vec<Output>,
@@ -86,7 +86,7 @@
     /// what is not under way is over, and known never to have run.
     pub(super) fn front_changed(
         &mut self,
-        front: FrontIx,
+        front: FrontIndex,
         state: FrontState,
         out: &mut Vec<Output>,
     ) {
@@ -104,7 +104,7 @@
     }
 
     /// There was no room for the invocation's claim.
-    fn claim_forgotten(&mut self, inv: InvIx) {
+    fn claim_forgotten(&mut self, inv: InvocationIndex) {
         let Some(invocation) = self.invocations.get_mut(inv) else {
             return;
         };
@@ -115,7 +115,7 @@
     }
 
     /// No delivery waits for the invocation any more, and its message may be delivered again.
-    fn orphan(&mut self, inv: InvIx, out: &mut Vec<Output>) {
+    fn orphan(&mut self, inv: InvocationIndex, out: &mut Vec<Output>) {
         let Some(invocation) = self.invocations.get_mut(inv) else {
             return;
         };
@@ -130,14 +130,14 @@
     }
 
     /// The claim ends without an answer; it keeps whether the invocation may have run.
-    pub(super) fn end_claim(&mut self, inv: InvIx, claim: ClaimIx) {
+    pub(super) fn end_claim(&mut self, inv: InvocationIndex, claim: ClaimIndex) {
         if let Some(invocation) = self.invocations.get(inv) {
             self.claims.end(claim, invocation.may_have_run());
         }
     }
 
     /// Ends an invocation that nobody is to be answered for: nothing more is to be sent for it.
-    fn abandon(&mut self, inv: InvIx, out: &mut Vec<Output>) {
+    fn abandon(&mut self, inv: InvocationIndex, out: &mut Vec<Output>) {
         if self.conclude(inv, Pace::Neither) {
             self.withdraw_from_module(inv, out);
         }
--- a/crates/router/src/core/intake.rs
+++ b/crates/router/src/core/intake.rs
@@ -4,7 +4,8 @@
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::{
-    Arrival, Asked, Effect, Event, FnIx, InvIx, Micros, TriggerType, WorkerIx,
+    Arrival, Effect, Event, FunctionIndex, FunctionInfo, InvocationIndex, Micros, TriggerType,
+    WorkerIndex,
 };
 
 use super::finishing::AnswerSubject;
@@ -12,7 +13,7 @@
 use super::invocation::{Invocation, NO_CLAIM};
 use super::timers::Timer;
 use super::{Output, Router};
-use crate::claims::ClaimIx;
+use crate::claims::ClaimIndex;
 use crate::group::{self, Need, Part, Stage};
 use crate::redelivery::{self, Record, Verdict};
 use crate::tokens::{self, Seen};
@@ -23,9 +24,9 @@
     /// It is answered at once.
     Answer(Answer),
     /// The same message was taken before.
-    SameMessage(ClaimIx),
+    SameMessage(ClaimIndex),
     /// Another message with the same token is open; the answer is due to this one's client at `due`.
-    SameToken { claim: ClaimIx, due: Micros },
+    SameToken { claim: ClaimIndex, due: Micros },
 }
 
 impl Resolution {
@@ -253,10 +254,10 @@
     /// Opens the claim under which the invocation's answer is given, and notes its token.
     fn open_claim(
         &mut self,
-        inv: InvIx,
+        inv: InvocationIndex,
         identity: Option<Arc<str>>,
         delivery: Delivery,
-    ) -> ClaimIx {
+    ) -> ClaimIndex {
         let Some(invocation) = self.invocations.get_mut(inv) else {
             return NO_CLAIM;
         };
@@ -271,7 +272,7 @@
         claim
     }
 
-    fn set_invocation_timers(&mut self, inv: InvIx) {
+    fn set_invocation_timers(&mut self, inv: InvocationIndex) {
         let handle = self.handle_of(inv);
         let Some(invocation) = self.invocations.get(inv) else {
             return;
@@ -284,7 +285,7 @@
     }
 
     /// Tells the module of the invocation.
-    pub(super) fn admit(&mut self, inv: InvIx, out: &mut Vec<Output>) {
+    pub(super) fn admit(&mut self, inv: InvocationIndex, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(invocation) = self.invocations.get_mut(inv) else {
             return;
@@ -297,8 +298,8 @@
         let Some(arrival) = self.arrival(inv) else {
             return;
         };
-        if self.functions.meet(arrival.func)
-            && let Some(worker) = arrival.prefers
+        if self.functions.meet(arrival.function)
+            && let Some(worker) = arrival.preferred_worker
         {
             self.introduce_warm_function(worker, &arrival, out);
         }
@@ -312,22 +313,22 @@
     }
 
     /// What the module is told of the invocation.
-    fn arrival(&self, inv: InvIx) -> Option<Arrival> {
+    fn arrival(&self, inv: InvocationIndex) -> Option<Arrival> {
         let invocation = self.invocations.get(inv)?;
         Some(Arrival {
-            inv,
+            invocation: inv,
             trigger: invocation.trigger,
             account: invocation.account,
-            func: invocation.func,
+            function: invocation.func,
             fingerprint: fingerprint(&invocation.function),
             cost_hint: invocation.cost_hint,
             load_hint: invocation.load_hint,
             copy_mb: invocation.copy_mb,
             lanes: invocation.lanes,
-            client_gives_up_in: invocation.gives_up_at - self.now,
+            client_timeout_in: invocation.gives_up_at - self.now,
             waited: invocation.waited + self.now - invocation.taken_at,
             repeat: invocation.repeat,
-            prefers: invocation
+            preferred_worker: invocation
                 .prefers
                 .as_deref()
                 .and_then(|name| self.workers.find(name)),
@@ -341,18 +342,24 @@
     /// stands.
     fn introduce_warm_function(
         &mut self,
-        worker: WorkerIx,
+        worker: WorkerIndex,
         arrival: &Arrival,
         out: &mut Vec<Output>,
     ) {
-        let asked = Asked {
-            func: arrival.func,
+        let asked = FunctionInfo {
+            function: arrival.function,
             fingerprint: arrival.fingerprint,
             trigger: arrival.trigger,
             lanes: arrival.lanes,
         };
         let mut wanted = Vec::new();
-        self.decide(&Event::Wanted { worker, asked }, &mut wanted);
+        self.decide(
+            &Event::CopyWanted {
+                worker,
+                function: asked,
+            },
+            &mut wanted,
+        );
         for output in wanted {
             match output {
                 Output::Order { ticket, .. } => self.order_stands_already(ticket, out),
@@ -361,9 +368,9 @@
         }
         // The module may have given no order, and then does not believe the copy to stand yet.
         self.decide(
-            &Event::Held {
+            &Event::CopiesReported {
                 worker,
-                func: arrival.func,
+                function: arrival.function,
                 copies: 1,
             },
             out,
@@ -371,7 +378,12 @@
     }
 }
 
-fn new_invocation(message: Taken, acceptance: Acceptance, func: FnIx, now: Micros) -> Invocation {
+fn new_invocation(
+    message: Taken,
+    acceptance: Acceptance,
+    func: FunctionIndex,
+    now: Micros,
+) -> Invocation {
     Invocation {
         claim: NO_CLAIM,
         token_key: acceptance.token_key,
--- a/crates/router/src/core/invocation.rs
+++ b/crates/router/src/core/invocation.rs
@@ -2,20 +2,20 @@
 
 use std::sync::Arc;
 
-use cedarpulley::interface::{FnIx, InvIx, Micros, WorkerIx};
+use cedarpulley::interface::{FunctionIndex, InvocationIndex, Micros, WorkerIndex};
 
-use crate::claims::ClaimIx;
+use crate::claims::ClaimIndex;
 use crate::group::{Leave, Part, Stage};
 use crate::tokens;
-use crate::{FrontIx, Payload, Session, Ticket};
+use crate::{FrontIndex, Payload, Session, Ticket};
 
 /// Stands for the claim of an invocation whose claim was forgotten.
-pub(super) const NO_CLAIM: ClaimIx = ClaimIx::MAX;
+pub(super) const NO_CLAIM: ClaimIndex = ClaimIndex::MAX;
 
 /// Refers to one invocation, even after its index was given to another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct InvocationHandle {
-    pub(super) inv: InvIx,
+    pub(super) inv: InvocationIndex,
     /// Generation of the index.
     pub(super) generation: u32,
 }
@@ -53,7 +53,7 @@
 
 /// One attempt to have a worker run the invocation.
 pub(super) struct Dispatch {
-    pub(super) worker: WorkerIx,
+    pub(super) worker: WorkerIndex,
     /// When the module decided it.
     pub(super) decided_at: Micros,
     pub(super) state: Sent,
@@ -79,17 +79,17 @@
 /// One invocation that this router has accepted, until it is answered and all its dispatches have ended.
 pub(super) struct Invocation {
     /// Its claim, or [`NO_CLAIM`].
-    pub(super) claim: ClaimIx,
+    pub(super) claim: ClaimIndex,
     /// Under which retries of its client are recognised.
     pub(super) token_key: Option<tokens::Key>,
-    pub(super) front: FrontIx,
+    pub(super) front: FrontIndex,
     /// It asked for entry before it was taken; it then counts against the limits until its front says that it
     /// has left, not until it is answered.
     pub(super) entered: bool,
     pub(super) trigger: u32,
     pub(super) account: u32,
     pub(super) function: Arc<str>,
-    pub(super) func: FnIx,
+    pub(super) func: FunctionIndex,
     /// By which workers recognise repeats.
     pub(super) token: Option<Arc<str>>,
     /// The invocation's name as its client gave it.
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -5,7 +5,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use cedarpulley::interface::{CopyNote, ListMode, Micros, OrderResult, Outcome, Report, WorkerIx};
+use cedarpulley::interface::{
+    CopyStatus, DispatchOutcome, EndpointListKind, LoadOrderResult, LoadReport, Micros, WorkerIndex,
+};
 use cedarpulley_meter::Held;
 
 use crate::admission::FrontState;
@@ -13,7 +15,7 @@
 use crate::group::{Ask, Sharing, Told};
 use crate::roster::Listed;
 use crate::{
-    Answer, Delivery, Fate, FrontIx, OrderTicket, Payload, Reason, Session, Taken, Ticket,
+    Answer, Delivery, Fate, FrontIndex, OrderTicket, Payload, Reason, Session, Taken, Ticket,
 };
 
 /// Settings of the core beside those that the decision module is created with.
@@ -46,7 +48,7 @@
     /// A front's connection changed its state.
     Front {
         /// Which front.
-        front: FrontIx,
+        front: FrontIndex,
         /// Its state from now on.
         state: FrontState,
     },
@@ -67,7 +69,7 @@
     /// News of the worker list.
     List {
         /// Whether `workers` is the whole list or only what changed.
-        mode: ListMode,
+        mode: EndpointListKind,
         /// The workers of which there is news.
         workers: Vec<Listed>,
     },
@@ -76,13 +78,13 @@
         /// The dispatch, as in [`Output::Send`].
         ticket: Ticket,
         /// How it ended.
-        outcome: Outcome,
+        outcome: DispatchOutcome,
         /// What the worker said of the copy that ran it.
-        note: CopyNote,
+        note: CopyStatus,
         /// Invocations of the same function that the worker held when this one arrived, if reported.
         crowd: Option<u32>,
         /// The worker's load report.
-        report: Report,
+        report: LoadReport,
         /// Memory held so far for its account and function, as the worker reports it.
         held: Option<Held>,
         /// Body of the worker's answer; used only if it succeeded.
@@ -93,7 +95,7 @@
         /// The order, as in [`Output::Order`].
         ticket: OrderTicket,
         /// How it ended.
-        result: OrderResult,
+        result: LoadOrderResult,
         /// Copies that stand at the worker now.
         copies: u32,
         /// Memory held so far for the account and function, as the worker reports it.
@@ -102,13 +104,13 @@
     /// A probe ended.
     Probed {
         /// The worker that was probed.
-        worker: WorkerIx,
+        worker: WorkerIndex,
         /// How the probe ended.
-        outcome: Outcome,
+        outcome: DispatchOutcome,
         /// How long it took.
         took: Micros,
         /// The worker's load report.
-        report: Report,
+        report: LoadReport,
     },
     /// What the group says.
     Group(Told),
@@ -172,7 +174,7 @@
         /// Identifies the dispatch in [`Input::DispatchEnded`] and [`Output::Withdraw`].
         ticket: Ticket,
         /// Where it goes.
-        worker: WorkerIx,
+        worker: WorkerIndex,
         /// The function it calls.
         function: Arc<str>,
         /// Trigger type of the invocation.
@@ -203,7 +205,7 @@
     /// Ask a worker to unload idle copies of a function.
     Unload {
         /// The worker.
-        worker: WorkerIx,
+        worker: WorkerIndex,
         /// The function.
         function: Arc<str>,
         /// The term of the upgrade plan that wants it, if one does.
@@ -212,7 +214,7 @@
     /// Ask a worker for its load report.
     Probe {
         /// The worker.
-        worker: WorkerIx,
+        worker: WorkerIndex,
     },
     /// Read the worker list again.
     AskList,
@@ -221,7 +223,7 @@
     /// How many invocations a front may have open.
     Grant {
         /// Which front.
-        front: FrontIx,
+        front: FrontIndex,
         /// The limit; 0: nothing new.
         most: u32,
     },
@@ -292,5 +294,5 @@
     /// Final answers, by what they say and why.
     pub answers: BTreeMap<(Fate, Reason), u64>,
     /// Requests turned away before they were taken, by front and cause.
-    pub turned_away: BTreeMap<(FrontIx, Short), u64>,
+    pub turned_away: BTreeMap<(FrontIndex, Short), u64>,
 }
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -1,5 +1,5 @@
 //! The router core: [`Router`] owns the invocations, their dispatches and one timer queue, and asks the
-//! decision module (`cedarpulley::Control`) about every event.
+//! decision module (`cedarpulley::Balancer`) about every event.
 //!
 //! Call [`Router::handle`] with each [`Input`], and again with [`Input::Tick`] at [`Router::next_due`]; carry
 //! out the [`Output`]s in their order. Each part of the work has its module:
@@ -32,9 +32,9 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use cedarpulley::Control;
-use cedarpulley::ids::Ids;
-use cedarpulley::interface::{Event, InvIx, Micros, TriggerType, WorkerIx};
+use cedarpulley::Balancer;
+use cedarpulley::ids::Interner;
+use cedarpulley::interface::{Event, InvocationIndex, Micros, TriggerType, WorkerIndex};
 
 pub use messages::{Call, Counts, Input, Output, Terms};
 
@@ -60,7 +60,7 @@
 /// The state of one router, free of I/O: the same inputs at the same times give the same outputs.
 pub struct Router {
     /// The decision module.
-    control: Control,
+    control: Balancer,
     terms: Terms,
     /// Trigger types by index.
     triggers: Vec<TriggerType>,
@@ -71,7 +71,7 @@
     /// Term of the upgrade plan for which the module is being asked now.
     plan_term: Option<Arc<str>>,
     /// Workers by their name in the list.
-    workers: Ids<String>,
+    workers: Interner<String>,
     /// By worker index.
     places: Vec<WorkerPlace>,
     service: Service,
@@ -96,7 +96,7 @@
 impl Router {
     /// A router without workers and fronts. `triggers` are the trigger types that the decision module knows,
     /// too.
-    pub fn new(control: Control, triggers: Vec<TriggerType>, terms: Terms) -> Self {
+    pub fn new(control: Balancer, triggers: Vec<TriggerType>, terms: Terms) -> Self {
         let admission = Admission::new(
             terms.front_weights.clone(),
             &terms.account_shares,
@@ -111,7 +111,7 @@
             invocations: Table::default(),
             functions: FunctionTable::default(),
             plan_term: None,
-            workers: Ids::default(),
+            workers: Interner::default(),
             places: Vec::new(),
             tenure: Tenure::default(),
             claims: Claims::default(),
@@ -188,7 +188,7 @@
                 report,
             } => {
                 self.decide(
-                    &Event::Probed {
+                    &Event::ProbeEnded {
                         worker,
                         outcome,
                         took,
@@ -235,12 +235,12 @@
     }
 
     /// The worker's name in the list.
-    pub fn worker_name(&self, worker: WorkerIx) -> Option<&str> {
+    pub fn worker_name(&self, worker: WorkerIndex) -> Option<&str> {
         self.workers.id(worker).map(String::as_str)
     }
 
     /// The index of the worker with this name in the list.
-    pub fn worker_ix(&self, name: &str) -> Option<WorkerIx> {
+    pub fn worker_ix(&self, name: &str) -> Option<WorkerIndex> {
         self.workers.find(name)
     }
 
@@ -275,7 +275,7 @@
     }
 
     /// A handle of the invocation that has this index now.
-    fn handle_of(&self, inv: InvIx) -> InvocationHandle {
+    fn handle_of(&self, inv: InvocationIndex) -> InvocationHandle {
         InvocationHandle {
             inv,
             generation: self.invocations.generation(inv),
--- a/crates/router/src/core/orders.rs
+++ b/crates/router/src/core/orders.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 
 use cedarpulley::ids::fingerprint;
-use cedarpulley::interface::{Asked, Event, FnIx, Micros, OrderResult, WorkerIx};
+use cedarpulley::interface::{
+    Event, FunctionIndex, FunctionInfo, LoadOrderResult, Micros, WorkerIndex,
+};
 use cedarpulley_meter::Held;
 
 use super::functions::FunctionProfile;
@@ -28,8 +30,8 @@
     /// The module wants so many copies to stand at a worker; 0 only asks how many do.
     pub(super) fn order(
         &mut self,
-        worker: WorkerIx,
-        func: FnIx,
+        worker: WorkerIndex,
+        func: FunctionIndex,
         copies: u32,
         out: &mut Vec<Output>,
     ) {
@@ -82,7 +84,7 @@
     pub(super) fn order_ended(
         &mut self,
         ticket: OrderTicket,
-        result: OrderResult,
+        result: LoadOrderResult,
         copies: u32,
         held: Option<Held>,
         out: &mut Vec<Output>,
@@ -100,7 +102,7 @@
         self.decide(
             &Event::OrderEnded {
                 worker,
-                func,
+                function: func,
                 result,
                 took,
                 copies,
@@ -114,7 +116,7 @@
         &mut self,
         ticket: OrderTicket,
         order: OpenOrder,
-        result: OrderResult,
+        result: LoadOrderResult,
         held: Option<Held>,
     ) {
         let Some(function) = self.functions.names().get(ticket.func as usize) else {
@@ -143,7 +145,7 @@
     /// Ends an order that need not leave, as the copy is known to stand.
     pub(super) fn order_stands_already(&mut self, ticket: OrderTicket, out: &mut Vec<Output>) {
         self.counts.orders = self.counts.orders.saturating_sub(1);
-        self.order_ended(ticket, OrderResult::Stand, 1, None, out);
+        self.order_ended(ticket, LoadOrderResult::Loaded, 1, None, out);
     }
 
     /// A copy is wanted at a worker; the module decides whether it is ordered. Nothing is ordered for a
@@ -171,14 +173,20 @@
         }
         let func = self.functions.register(&function, profile);
         let FunctionProfile { trigger, lanes, .. } = profile;
-        let asked = Asked {
-            func,
+        let asked = FunctionInfo {
+            function: func,
             fingerprint: fingerprint(&function),
             trigger,
             lanes,
         };
         self.plan_term = term;
-        self.decide(&Event::Wanted { worker, asked }, out);
+        self.decide(
+            &Event::CopyWanted {
+                worker,
+                function: asked,
+            },
+            out,
+        );
         self.plan_term = None;
     }
 
@@ -214,9 +222,9 @@
             return;
         };
         self.decide(
-            &Event::Held {
+            &Event::CopiesReported {
                 worker,
-                func,
+                function: func,
                 copies,
             },
             out,
