--- a/crates/router/src/core/peer_group.rs
+++ b/crates/router/src/core/peer_group.rs
@@ -5,7 +5,7 @@
 
 use std::collections::HashMap;
 
-use cedarpulley::interface::{Effect, Event, InvIx, Micros};
+use cedarpulley::interface::{Effect, Event, InvocationIndex, Micros};
 
 use super::invocation::{Dispatch, Invocation, InvocationHandle};
 use super::timers::Timer;
@@ -42,7 +42,7 @@
     /// Announces a new invocation to the group, upon which a verdict follows.
     pub(super) fn announce(
         &mut self,
-        inv: InvIx,
+        inv: InvocationIndex,
         part: &Part,
         redelivered: bool,
         out: &mut Vec<Output>,
@@ -58,7 +58,7 @@
     }
 
     /// Tells the group that nobody waits for the invocation here any more, unless a success was shared.
-    pub(super) fn leave_group(&mut self, inv: InvIx, part: Part, out: &mut Vec<Output>) {
+    pub(super) fn leave_group(&mut self, inv: InvocationIndex, part: Part, out: &mut Vec<Output>) {
         // A later invocation may have been announced under its key by now.
         let announced = &mut self.group_requests.announced;
         if announced
@@ -73,7 +73,7 @@
         }
     }
 
-    fn set_group_stage(&mut self, inv: InvIx, stage: Stage) {
+    fn set_group_stage(&mut self, inv: InvocationIndex, stage: Stage) {
         if let Some(part) = self
             .invocations
             .get_mut(inv)
@@ -83,7 +83,7 @@
         }
     }
 
-    fn apply_verdict(&mut self, inv: InvIx, verdict: Verdict, out: &mut Vec<Output>) {
+    fn apply_verdict(&mut self, inv: InvocationIndex, verdict: Verdict, out: &mut Vec<Output>) {
         match verdict {
             Verdict::Go { first_ago } => self.verdict_go(inv, first_ago, out),
             Verdict::Waits => {
@@ -97,7 +97,12 @@
     }
 
     /// It may go. `first_ago` as in [`Verdict::Go`].
-    fn verdict_go(&mut self, inv: InvIx, first_ago: Option<Micros>, out: &mut Vec<Output>) {
+    fn verdict_go(
+        &mut self,
+        inv: InvocationIndex,
+        first_ago: Option<Micros>,
+        out: &mut Vec<Output>,
+    ) {
         let Some(invocation) = self.invocations.get(inv) else {
             return;
         };
@@ -118,7 +123,8 @@
         invocation: &Invocation,
         first_ago: Option<Micros>,
     ) -> Option<Micros> {
-        let Effect::Tokened { window, .. } = self.triggers[invocation.trigger as usize].effect
+        let Effect::IdempotentByKey { window, .. } =
+            self.triggers[invocation.trigger as usize].effect
         else {
             return None;
         };
@@ -133,14 +139,14 @@
     }
 
     /// No dispatch of the invocation may leave from `until` on.
-    fn bound_dispatches(&mut self, inv: InvIx, until: Micros) {
+    fn bound_dispatches(&mut self, inv: InvocationIndex, until: Micros) {
         if let Some(invocation) = self.invocations.get_mut(inv) {
             invocation.dispatch_until = Some(until);
             self.set_timer(until, Timer::DispatchWindowEnds(self.handle_of(inv)));
         }
     }
 
-    fn answered_elsewhere(&mut self, inv: InvIx, answer: Answer, out: &mut Vec<Output>) {
+    fn answered_elsewhere(&mut self, inv: InvocationIndex, answer: Answer, out: &mut Vec<Output>) {
         self.counts.answered_elsewhere += 1;
         if let Some(part) = self
             .invocations
@@ -153,14 +159,14 @@
         self.release(inv, out);
     }
 
-    fn refuse_as_may_have_run(&mut self, inv: InvIx, out: &mut Vec<Output>) {
+    fn refuse_as_may_have_run(&mut self, inv: InvocationIndex, out: &mut Vec<Output>) {
         self.counts.refused_redelivered += 1;
         self.final_answer(inv, Fate::Errored, Reason::MayHaveRun, out);
     }
 
     /// The group has no majority: the invocation goes alone if its operator accepts that and no other router
     /// can have had it; otherwise not at all.
-    fn without_majority(&mut self, inv: InvIx, out: &mut Vec<Output>) {
+    fn without_majority(&mut self, inv: InvocationIndex, out: &mut Vec<Output>) {
         let Some(invocation) = self.invocations.get(inv) else {
             return;
         };
@@ -219,7 +225,7 @@
         self.send(ticket, out);
     }
 
-    fn leave_refused(&mut self, inv: InvIx, refusal: Refusal, out: &mut Vec<Output>) {
+    fn leave_refused(&mut self, inv: InvocationIndex, refusal: Refusal, out: &mut Vec<Output>) {
         self.counts.leave_refused += 1;
         match refusal {
             Refusal::Elsewhere => {
@@ -234,14 +240,14 @@
     }
 
     /// Tells the module that the invocation departed. Dispatches that wait for permission never left.
-    pub(super) fn withdraw_from_module(&mut self, inv: InvIx, out: &mut Vec<Output>) {
+    pub(super) fn withdraw_from_module(&mut self, inv: InvocationIndex, out: &mut Vec<Output>) {
         let Some(invocation) = self.invocations.get_mut(inv) else {
             return;
         };
         if !std::mem::take(&mut invocation.known_to_module) {
             return;
         }
-        self.decide(&Event::Departed { inv }, out);
+        self.decide(&Event::ClientLeft { invocation: inv }, out);
         let handle = self.handle_of(inv);
         let waiting = self
             .invocations
--- a/crates/router/src/core/timers.rs
+++ b/crates/router/src/core/timers.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use cedarpulley::interface::{Event, Micros, OrderResult};
+use cedarpulley::interface::{Event, LoadOrderResult, Micros};
 
 use super::finishing::AnswerSubject;
 use super::invocation::InvocationHandle;
@@ -93,7 +93,7 @@
             Timer::JoinedAnswerDue(delivery) => self.joined_answer_overdue(delivery, out),
             Timer::OrderTimeOut(ticket) => {
                 if self.orders.contains_key(&ticket) {
-                    self.order_ended(ticket, OrderResult::TimedOut, 0, None, out);
+                    self.order_ended(ticket, LoadOrderResult::TimedOut, 0, None, out);
                 }
             }
         }
--- a/crates/router/src/core/worker_list.rs
+++ b/crates/router/src/core/worker_list.rs
@@ -1,7 +1,9 @@
 //! News of the worker list: which workers there are, and where they stand.
 
 use cedarpulley::ids::fingerprint;
-use cedarpulley::interface::{Effect, Event, ListEntry, ListMode, RepeatGroup, WorkerIx};
+use cedarpulley::interface::{
+    DeduplicationScope, Effect, Endpoint, EndpointListKind, Event, WorkerIndex,
+};
 
 use super::{Output, Router};
 use crate::roster::Listed;
@@ -17,11 +19,11 @@
     /// Gives each worker its index, and passes the news on to all who follow the list.
     pub(super) fn worker_list(
         &mut self,
-        mode: ListMode,
+        mode: EndpointListKind,
         workers: &[Listed],
         out: &mut Vec<Output>,
     ) {
-        let entries: Vec<ListEntry> = workers
+        let entries: Vec<Endpoint> = workers
             .iter()
             .map(|worker| self.list_entry(worker))
             .collect();
@@ -31,28 +33,28 @@
         self.service.follow(self.now, mode, &entries);
         self.tenure.follow(mode, &entries);
         self.decide(
-            &Event::List {
-                mode,
-                entries: &entries,
+            &Event::EndpointList {
+                kind: mode,
+                endpoints: &entries,
             },
             out,
         );
     }
 
-    fn list_entry(&mut self, listed: &Listed) -> ListEntry {
-        ListEntry {
-            worker: self.workers.enter(listed.address.as_str()),
+    fn list_entry(&mut self, listed: &Listed) -> Endpoint {
+        Endpoint {
+            worker: self.workers.intern(listed.address.as_str()),
             fingerprint: fingerprint(&listed.address),
             zone: listed.zone,
-            kind: listed.kind,
+            machine_kind: listed.kind,
             cell: listed.cell,
-            standing: listed.standing,
+            state: listed.standing,
             weight: listed.weight,
-            started: listed.started,
+            started_at: listed.started,
         }
     }
 
-    fn note_place(&mut self, entry: &ListEntry) {
+    fn note_place(&mut self, entry: &Endpoint) {
         let index = entry.worker as usize;
         if self.places.len() <= index {
             self.places.resize(index + 1, WorkerPlace::default());
@@ -64,19 +66,19 @@
     }
 
     /// The group of workers that recognise repeats of what goes to this one; 0 where there is only one group.
-    pub(super) fn repeat_place(&self, trigger: usize, worker: WorkerIx) -> u32 {
+    pub(super) fn repeat_place(&self, trigger: usize, worker: WorkerIndex) -> u32 {
         let place = self
             .places
             .get(worker as usize)
             .copied()
             .unwrap_or_default();
         match self.triggers[trigger].effect {
-            Effect::Tokened {
-                group: RepeatGroup::Zone,
+            Effect::IdempotentByKey {
+                scope: DeduplicationScope::Zone,
                 ..
             } => place.zone,
-            Effect::Tokened {
-                group: RepeatGroup::Cell,
+            Effect::IdempotentByKey {
+                scope: DeduplicationScope::Cell,
                 ..
             } => place.cell,
             _ => 0,
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -104,7 +104,12 @@
 /// What an answer would earn by the time it can be given.
 pub fn worth(trigger: &TriggerType, waited: Micros, usual: Micros) -> f64 {
     let late = waited + usual > trigger.latency_objective;
-    trigger.billed_value * if late { trigger.late_part } else { 1.0 }
+    trigger.billed_value
+        * if late {
+            trigger.late_value_fraction
+        } else {
+            1.0
+        }
 }
 
 /// Symptom: a client opens streams and resets them as fast as it can; each costs a dispatch that may run on.
--- a/crates/router/src/group.rs
+++ b/crates/router/src/group.rs
@@ -8,7 +8,7 @@
 
 use std::sync::Arc;
 
-use cedarpulley::interface::{Effect, Micros, RepeatGroup, TriggerType};
+use cedarpulley::interface::{DeduplicationScope, Effect, Micros, TriggerType};
 
 use crate::{Answer, Taken, tokens};
 
@@ -40,11 +40,14 @@
             let identity = t.identity.as_deref()?;
             Some((Arc::from(format!("i\n{identity}")), Need::Held))
         }
-        Effect::Tokened { group, window } => {
+        Effect::IdempotentByKey {
+            scope: group,
+            window,
+        } => {
             let token = t.token.as_deref()?;
             let key = tokens::key(t.account, t.trigger, t.called(), token);
             let covered =
-                group == RepeatGroup::All && trigger.client_timeout + clock_margin < window;
+                group == DeduplicationScope::All && trigger.client_timeout + clock_margin < window;
             let need = if covered { Need::Known } else { Need::Held };
             Some((Arc::from(format!("t\n{key}")), need))
         }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -2,7 +2,7 @@
 //! is to be sent where. Begin reading at [`Router::handle`] in `core/mod.rs`.
 //!
 //! It never touches a socket, a clock or a thread: time and events go in, outputs come out, and the same events
-//! give the same outputs. Where an invocation goes, the module (`cedarpulley::Control`) decides. Beside it stand
+//! give the same outputs. Where an invocation goes, the module (`cedarpulley::Balancer`) decides. Beside it stand
 //! small decision modules, each alone in its file:
 //!
 //! * [`admission`]: how many invocations may be taken, from whom.
@@ -40,15 +40,15 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use cedarpulley::interface::{FnIx, InvIx, Micros, WorkerIx};
+use cedarpulley::interface::{FunctionIndex, InvocationIndex, Micros, WorkerIndex};
 
-pub type FrontIx = u32;
+pub type FrontIndex = u32;
 
 /// Names what a front handed over, so that the answer finds its way back. `life` changes whenever the front
 /// loses its connection or channel: what was handed over in an earlier life can no longer be answered there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Delivery {
-    pub front: FrontIx,
+    pub front: FrontIndex,
     pub life: u32,
     pub tag: u64,
 }
@@ -56,7 +56,7 @@
 /// One dispatch on its way; never given out twice while its invocation's index may be reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket {
-    pub inv: InvIx,
+    pub inv: InvocationIndex,
     pub dispatch: u32,
     /// Of the invocation's index; an ending for an earlier generation is of no one's concern.
     pub generation: u32,
@@ -65,8 +65,8 @@
 /// One order to load, or one question for how many copies stand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrderTicket {
-    pub worker: WorkerIx,
-    pub func: FnIx,
+    pub worker: WorkerIndex,
+    pub func: FunctionIndex,
     pub serial: u64,
 }
 
--- a/crates/router/src/redelivery.rs
+++ b/crates/router/src/redelivery.rs
@@ -7,7 +7,7 @@
 //! 2. Without a record only the effect counts: idempotent runs, tokened runs while the first sending is surely
 //!    inside the workers' window, non-idempotent never.
 
-use cedarpulley::interface::{Effect, Micros, RepeatGroup};
+use cedarpulley::interface::{DeduplicationScope, Effect, Micros};
 
 /// What this router itself knows of an earlier delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,8 +66,8 @@
         },
         // Symptom: a router died with it out. The first dispatch left after the client sent it, so the window
         // is surely open until the time of sending plus the window.
-        Effect::Tokened {
-            group: RepeatGroup::All,
+        Effect::IdempotentByKey {
+            scope: DeduplicationScope::All,
             window,
         } => match window - waited - clock_margin {
             left if left > 0 => Verdict::Take {
@@ -76,7 +76,7 @@
             _ => Verdict::Refuse,
         },
         // Which workers dropped repeats of it is not known here.
-        Effect::Tokened { .. } | Effect::NonIdempotent => Verdict::Refuse,
+        Effect::IdempotentByKey { .. } | Effect::NonIdempotent => Verdict::Refuse,
     }
 }
 
@@ -84,8 +84,8 @@
     !matches!(
         effect,
         Effect::Idempotent
-            | Effect::Tokened {
-                group: RepeatGroup::All,
+            | Effect::IdempotentByKey {
+                scope: DeduplicationScope::All,
                 ..
             }
     )
--- a/crates/router/src/roster.rs
+++ b/crates/router/src/roster.rs
@@ -11,7 +11,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use cedarpulley::interface::{ListMode, Micros, Standing};
+use cedarpulley::interface::{EndpointListKind, EndpointState, Micros};
 
 /// So many listings in a row that go back in time mean that the publisher has restarted.
 const RESTARTED_AFTER: u32 = 3;
@@ -25,7 +25,7 @@
     pub zone: u32,
     pub kind: u32,
     pub cell: u32,
-    pub standing: Standing,
+    pub standing: EndpointState,
     pub weight: f64,
     /// On the router's clock.
     pub started: Option<Micros>,
@@ -69,7 +69,7 @@
 pub enum Step {
     /// Tell the core.
     Tell {
-        mode: ListMode,
+        mode: EndpointListKind,
         workers: Vec<Listed>,
     },
     /// Ask for a whole listing.
@@ -112,7 +112,7 @@
                 let workers = view.into_values().collect();
                 vec![
                     Step::Tell {
-                        mode: ListMode::Complete,
+                        mode: EndpointListKind::Complete,
                         workers,
                     },
                     Step::Watch(version),
@@ -143,7 +143,7 @@
             }
             News::Broken { too_old } => {
                 let failed = Step::Tell {
-                    mode: ListMode::Failed,
+                    mode: EndpointListKind::Failed,
                     workers: Vec::new(),
                 };
                 match self.listed && !too_old {
@@ -163,7 +163,7 @@
             .collect();
         let gone = self.told.iter().filter(|(a, _)| !view.contains_key(*a));
         workers.extend(gone.map(|(_, w)| Listed {
-            standing: Standing::Gone,
+            standing: EndpointState::Gone,
             ..w.clone()
         }));
         self.told = view;
@@ -171,7 +171,7 @@
             Vec::new()
         } else {
             vec![Step::Tell {
-                mode: ListMode::Changes,
+                mode: EndpointListKind::Changes,
                 workers,
             }]
         }
@@ -179,10 +179,10 @@
 
     /// Every worker once.
     fn view(&mut self, now: Micros) -> BTreeMap<String, Listed> {
-        let caution = |s: Standing| match s {
-            Standing::InService => 0,
-            Standing::Draining => 1,
-            Standing::Gone => 2,
+        let caution = |s: EndpointState| match s {
+            EndpointState::InService => 0,
+            EndpointState::Draining => 1,
+            EndpointState::Gone => 2,
         };
         let mut newest: BTreeMap<&str, (u64, &Entry)> = BTreeMap::new();
         for slice in self.slices.values() {
--- a/crates/router/src/tokens.rs
+++ b/crates/router/src/tokens.rs
@@ -14,7 +14,7 @@
 use cedarpulley::interface::Micros;
 
 use crate::Answer;
-use crate::claims::ClaimIx;
+use crate::claims::ClaimIndex;
 
 /// Answers remembered at most; with their bodies no more than so many bytes.
 const MOST: usize = 20_000;
@@ -27,13 +27,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
     Nothing,
-    Out(ClaimIx),
+    Out(ClaimIndex),
     Answered(Answer),
 }
 
 #[derive(Debug, Default)]
 pub struct Tokens {
-    out: HashMap<Key, ClaimIx>,
+    out: HashMap<Key, ClaimIndex>,
     answered: HashMap<Key, (Answer, Micros)>,
     order: VecDeque<(Micros, Key)>,
     bytes: usize,
@@ -56,7 +56,7 @@
         }
     }
 
-    pub fn began(&mut self, key: Key, claim: ClaimIx) {
+    pub fn began(&mut self, key: Key, claim: ClaimIndex) {
         self.out.insert(key, claim);
     }
 
--- a/crates/router/src/waits.rs
+++ b/crates/router/src/waits.rs
@@ -7,40 +7,40 @@
 
 use std::collections::HashMap;
 
-use cedarpulley::interface::{FnIx, Micros};
+use cedarpulley::interface::{FunctionIndex, Micros};
 
 #[derive(Debug, Default)]
 pub struct Waits {
     /// Orders that are out for a function, and when the last of them ended.
-    loading: HashMap<FnIx, (u32, Micros)>,
+    loading: HashMap<FunctionIndex, (u32, Micros)>,
     /// When a copy of it last was found standing by a dispatch that succeeded.
-    found: HashMap<FnIx, Micros>,
+    found: HashMap<FunctionIndex, Micros>,
 }
 
 impl Waits {
-    pub fn ordered(&mut self, func: FnIx) {
+    pub fn ordered(&mut self, func: FunctionIndex) {
         self.loading.entry(func).or_insert((0, Micros::MIN)).0 += 1;
     }
 
     /// Of an order to load; a question for how many copies stand is none.
-    pub fn order_ended(&mut self, now: Micros, func: FnIx) {
+    pub fn order_ended(&mut self, now: Micros, func: FunctionIndex) {
         if let Some(loading) = self.loading.get_mut(&func).filter(|l| l.0 > 0) {
             *loading = (loading.0 - 1, now);
         }
     }
 
-    pub fn found(&mut self, now: Micros, func: FnIx) {
+    pub fn found(&mut self, now: Micros, func: FunctionIndex) {
         self.found.insert(func, now);
     }
 
     /// The function's index may go to another.
-    pub fn forget(&mut self, func: FnIx) {
+    pub fn forget(&mut self, func: FunctionIndex) {
         self.loading.remove(&func);
         self.found.remove(&func);
     }
 
     /// One that was taken then and is over now.
-    pub fn for_load(&self, func: FnIx, taken: Micros) -> bool {
+    pub fn for_load(&self, func: FunctionIndex, taken: Micros) -> bool {
         self.loading
             .get(&func)
             .is_some_and(|(out, ended)| *out > 0 || *ended >= taken)
--- a/crates/router/src/watch.rs
+++ b/crates/router/src/watch.rs
@@ -1,18 +1,20 @@
 //! Who listens to what the core sees and does, and never decides: a trace, later a ledger.
 
-use cedarpulley::ids::Ids;
-use cedarpulley::interface::{Action, CopyNote, Event, InvIx, Micros, OrderResult, Outcome};
+use cedarpulley::ids::Interner;
+use cedarpulley::interface::{
+    Action, CopyStatus, DispatchOutcome, Event, InvocationIndex, LoadOrderResult, Micros,
+};
 use cedarpulley_meter::Held;
 
 use crate::entry::Short;
-use crate::{Fate, FrontIx, Reason};
+use crate::{Fate, FrontIndex, Reason};
 use std::sync::Arc;
 
 /// Names of the indices that events and actions speak of.
 #[derive(Clone, Copy)]
 pub struct Names<'a> {
     pub(crate) functions: &'a [Arc<str>],
-    pub(crate) workers: &'a Ids<String>,
+    pub(crate) workers: &'a Interner<String>,
 }
 
 impl<'a> Names<'a> {
@@ -32,8 +34,8 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Given {
     /// Absent if it was answered at once.
-    pub inv: Option<InvIx>,
-    pub front: FrontIx,
+    pub inv: Option<InvocationIndex>,
+    pub front: FrontIndex,
     pub fate: Fate,
     pub reason: Reason,
     /// `u32::MAX` where it is no longer known.
@@ -65,8 +67,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum By {
-    Dispatch(Outcome, CopyNote),
-    Order(OrderResult),
+    Dispatch(DispatchOutcome, CopyStatus),
+    Order(LoadOrderResult),
 }
 
 /// Called in the order in which things happened, on the deciding path: it must not wait for anything.
@@ -77,12 +79,19 @@
     fn taken(
         &mut self,
         now: Micros,
-        inv: InvIx,
-        front: FrontIx,
+        inv: InvocationIndex,
+        front: FrontIndex,
         mark: Option<&str>,
         redelivered: bool,
     );
     fn answered(&mut self, now: Micros, given: Given);
-    fn turned_away(&mut self, now: Micros, front: FrontIx, trigger: u32, account: u32, why: Short);
+    fn turned_away(
+        &mut self,
+        now: Micros,
+        front: FrontIndex,
+        trigger: u32,
+        account: u32,
+        why: Short,
+    );
     fn used(&mut self, now: Micros, used: Used);
 }
--- a/crates/router/tests/alone.rs
+++ b/crates/router/tests/alone.rs
@@ -10,16 +10,16 @@
 mod world;
 use world::*;
 
-fn entry(worker: WorkerIx, standing: Standing) -> ListEntry {
-    ListEntry {
+fn entry(worker: WorkerIndex, standing: EndpointState) -> Endpoint {
+    Endpoint {
         worker,
         fingerprint: 1,
         zone: 0,
-        kind: 0,
+        machine_kind: 0,
         cell: 0,
-        standing,
+        state: standing,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -39,7 +39,7 @@
     let sent = w.sent();
     w.feed(Input::Taken(retry.clone()));
     assert!(w.answers().is_empty());
-    w.end(sent[0], Outcome::Succeeded);
+    w.end(sent[0], DispatchOutcome::Succeeded);
     assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
     // And one after the answer is given nothing from memory.
     let late = Taken {
@@ -70,7 +70,7 @@
         w.feed(Input::Taken(message));
         assert!(w.answers().iter().all(|a| a.2 != Reason::Share));
         if let Some(ticket) = w.sent().first().copied().filter(|_| tag % 2 == 0) {
-            w.end(ticket, Outcome::Errored);
+            w.end(ticket, DispatchOutcome::Errored);
         }
     }
 }
@@ -82,7 +82,7 @@
     w.take("a", NON_IDEMPOTENT, 0, 1);
     let ticket = w.sent()[0];
     assert!(w.router.may_leave(w.now, ticket));
-    w.list(&[("127.0.0.1:9000", Standing::Draining)]);
+    w.list(&[("127.0.0.1:9000", EndpointState::Draining)]);
     assert!(w.router.may_leave(w.now + 999 * MS, ticket));
     assert!(!w.router.may_leave(w.now + SECOND, ticket));
     assert!(!w.router.may_leave(w.now + TIMEOUT, ticket));
@@ -98,24 +98,32 @@
 fn what_was_told_first_counts_for_the_grace() {
     let mut service = Service::new(500 * MS);
     assert!(!service.takes_new(0, 0));
-    service.follow(0, ListMode::Complete, &[entry(0, Standing::InService)]);
-    service.follow(SECOND, ListMode::Changes, &[entry(0, Standing::Draining)]);
+    service.follow(
+        0,
+        EndpointListKind::Complete,
+        &[entry(0, EndpointState::InService)],
+    );
+    service.follow(
+        SECOND,
+        EndpointListKind::Changes,
+        &[entry(0, EndpointState::Draining)],
+    );
     service.follow(
         SECOND + 300 * MS,
-        ListMode::Changes,
-        &[entry(0, Standing::Draining)],
+        EndpointListKind::Changes,
+        &[entry(0, EndpointState::Draining)],
     );
     service.follow(
         SECOND + 400 * MS,
-        ListMode::Complete,
-        &[entry(0, Standing::Draining)],
+        EndpointListKind::Complete,
+        &[entry(0, EndpointState::Draining)],
     );
     assert!(service.takes_new(SECOND + 499 * MS, 0) && !service.takes_new(SECOND + 500 * MS, 0));
-    service.follow(3 * SECOND, ListMode::Failed, &[]);
+    service.follow(3 * SECOND, EndpointListKind::Failed, &[]);
     service.follow(
         3 * SECOND,
-        ListMode::Changes,
-        &[entry(0, Standing::InService)],
+        EndpointListKind::Changes,
+        &[entry(0, EndpointState::InService)],
     );
     assert!(service.takes_new(9 * SECOND, 0));
     service.forget(0);
@@ -123,8 +131,8 @@
     // One first heard of as it drains was told so now.
     service.follow(
         10 * SECOND,
-        ListMode::Changes,
-        &[entry(0, Standing::Draining)],
+        EndpointListKind::Changes,
+        &[entry(0, EndpointState::Draining)],
     );
     assert!(service.takes_new(10 * SECOND + 499 * MS, 0) && !service.takes_new(11 * SECOND, 0));
 }
@@ -134,14 +142,17 @@
     let mut service = Service::new(500 * MS);
     service.follow(
         0,
-        ListMode::Complete,
-        &[entry(0, Standing::InService), entry(1, Standing::Draining)],
+        EndpointListKind::Complete,
+        &[
+            entry(0, EndpointState::InService),
+            entry(1, EndpointState::Draining),
+        ],
     );
     assert!(service.takes_new(MS, 0) && service.takes_new(MS, 1));
     service.follow(
         MS,
-        ListMode::Changes,
-        &[entry(0, Standing::Gone), entry(1, Standing::Gone)],
+        EndpointListKind::Changes,
+        &[entry(0, EndpointState::Gone), entry(1, EndpointState::Gone)],
     );
     assert!(!service.takes_new(MS, 0) && !service.takes_new(MS, 1));
 }
@@ -153,11 +164,18 @@
     let mut service = Service::new(500 * MS);
     service.follow(
         0,
-        ListMode::Complete,
-        &[entry(0, Standing::InService), entry(1, Standing::Draining)],
+        EndpointListKind::Complete,
+        &[
+            entry(0, EndpointState::InService),
+            entry(1, EndpointState::Draining),
+        ],
     );
     assert!(service.takes_new(MS, 0) && service.takes_new(MS, 1));
-    service.follow(MS, ListMode::Complete, &[entry(2, Standing::InService)]);
+    service.follow(
+        MS,
+        EndpointListKind::Complete,
+        &[entry(2, EndpointState::InService)],
+    );
     assert!(!service.takes_new(MS, 0) && !service.takes_new(MS, 1) && service.takes_new(MS, 2));
 }
 
@@ -166,9 +184,9 @@
 #[test]
 fn a_repeat_does_not_leave_once_its_window_is_over() {
     for (trigger, outcome, still_leaves) in [
-        (TOKENED, Outcome::Broken, false),
-        (TOKENED, Outcome::Unreachable, true),
-        (IDEMPOTENT, Outcome::Broken, true),
+        (TOKENED, DispatchOutcome::ConnectionLost, false),
+        (TOKENED, DispatchOutcome::Unreachable, true),
+        (IDEMPOTENT, DispatchOutcome::ConnectionLost, true),
     ] {
         let mut w = World::alone(2);
         w.take("a", trigger, 0, 1);
@@ -194,21 +212,21 @@
     w.take("a", IDEMPOTENT, 0, 1);
     let (ticket, old) = (w.sent()[0], w.router.worker_ix("127.0.0.1:9000"));
     w.list(&[
-        ("127.0.0.1:9000", Standing::Gone),
-        ("s-1", Standing::InService),
+        ("127.0.0.1:9000", EndpointState::Gone),
+        ("s-1", EndpointState::InService),
     ]);
     // A dispatch is still out there.
     assert_eq!(w.router.worker_ix("127.0.0.1:9000"), old);
     assert_ne!(w.router.worker_ix("s-1"), old);
-    w.end(ticket, Outcome::Succeeded);
+    w.end(ticket, DispatchOutcome::Succeeded);
     assert_eq!(w.router.worker_ix("127.0.0.1:9000"), None);
     for n in 2..500 {
         let (was, is) = (format!("s-{}", n - 1), format!("s-{n}"));
-        w.list(&[(&is, Standing::InService), (&was, Standing::Gone)]);
+        w.list(&[(&is, EndpointState::InService), (&was, EndpointState::Gone)]);
         assert!(w.router.worker_ix(&is).expect("listed") < 3);
         w.take(&is, IDEMPOTENT, 0, n);
         let ticket = w.sent()[0];
-        w.end(ticket, Outcome::Succeeded);
+        w.end(ticket, DispatchOutcome::Succeeded);
     }
 }
 
@@ -216,21 +234,24 @@
 fn a_whole_list_frees_whoever_it_does_not_name() {
     let mut t = Tenure::default();
     t.follow(
-        ListMode::Complete,
-        &[entry(0, Standing::InService), entry(1, Standing::InService)],
+        EndpointListKind::Complete,
+        &[
+            entry(0, EndpointState::InService),
+            entry(1, EndpointState::InService),
+        ],
     );
     t.hold(1);
     t.hold(1);
-    t.follow(ListMode::Complete, &[]);
+    t.follow(EndpointListKind::Complete, &[]);
     assert_eq!(t.ended(), [0]);
     t.let_go(1);
     assert!(t.ended().is_empty());
     t.let_go(1);
     assert_eq!(t.ended(), [1]);
     // Told again that it is gone, under an index that was free: freed again, once.
-    t.follow(ListMode::Changes, &[entry(1, Standing::Gone)]);
+    t.follow(EndpointListKind::Changes, &[entry(1, EndpointState::Gone)]);
     assert_eq!(t.ended(), [1]);
-    t.follow(ListMode::Failed, &[]);
+    t.follow(EndpointListKind::Failed, &[]);
     assert!(t.ended().is_empty());
 }
 
--- a/crates/router/tests/group.rs
+++ b/crates/router/tests/group.rs
@@ -61,7 +61,7 @@
     assert!(w.router.may_leave(w.now, ticket));
     // Stopped and woken: the leave is too old.
     assert!(!w.router.may_leave(w.now + 2 * SECOND, ticket));
-    w.end(ticket, Outcome::Succeeded);
+    w.end(ticket, DispatchOutcome::Succeeded);
     assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
     let asked = w.asked();
     assert_eq!(
@@ -117,7 +117,7 @@
     });
     let ticket = w.sent()[0];
     assert!(w.asked().iter().any(|a| matches!(a, Ask::Left { .. })));
-    w.end(ticket, Outcome::Succeeded);
+    w.end(ticket, DispatchOutcome::Succeeded);
     assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Alone)]);
     // One that came again goes nowhere without the group.
     w.again("b", NON_IDEMPOTENT, 1, 2, SECOND);
@@ -195,7 +195,7 @@
         left: Ok(false),
     });
     let ticket = w.sent()[0];
-    w.end(ticket, Outcome::Succeeded);
+    w.end(ticket, DispatchOutcome::Succeeded);
     assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
 }
 
@@ -270,7 +270,7 @@
     w.again("a", NON_IDEMPOTENT, 2, 1, 100 * MS);
     assert!(w.answers().is_empty() && w.asked().is_empty());
     // Its dispatch never ran, and another router may have been told so.
-    w.end(ticket, Outcome::NotSent);
+    w.end(ticket, DispatchOutcome::NotSent);
     w.pass(TIMEOUT);
     let answers = w.answers();
     assert_eq!(answers, [(1, Fate::Errored, Reason::MayHaveRun)]);
--- a/crates/router/tests/hard.rs
+++ b/crates/router/tests/hard.rs
@@ -14,7 +14,7 @@
     w.take("a", NON_IDEMPOTENT, 1, 1);
     let sent = w.sent();
     assert_eq!(sent.len(), 1);
-    w.end(sent[0], Outcome::Succeeded);
+    w.end(sent[0], DispatchOutcome::Succeeded);
     assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
     w.feed(Input::Safe(Delivery {
         front: 0,
@@ -30,7 +30,7 @@
     let mut w = World::new(2);
     w.take("a", NON_IDEMPOTENT, 1, 1);
     let ticket = w.sent()[0];
-    w.end(ticket, Outcome::Succeeded);
+    w.end(ticket, DispatchOutcome::Succeeded);
     w.front(FrontState::Down);
     w.front(FrontState::Up);
     w.again("a", NON_IDEMPOTENT, 2, 7, SECOND);
@@ -50,7 +50,7 @@
     w.front(FrontState::Up);
     w.again("a", NON_IDEMPOTENT, 2, 3, 100 * MS);
     assert!(w.sent().is_empty() && w.answers().is_empty());
-    w.end(ticket, Outcome::Succeeded);
+    w.end(ticket, DispatchOutcome::Succeeded);
     assert_eq!(w.answers(), [(3, Fate::Succeeded, Reason::Worker)]);
 }
 
@@ -61,7 +61,7 @@
     w.take("a", NON_IDEMPOTENT, 1, 1);
     let ticket = w.sent()[0];
     w.front(FrontState::Down);
-    w.end(ticket, Outcome::Broken);
+    w.end(ticket, DispatchOutcome::ConnectionLost);
     assert!(w.answers().is_empty() && w.sent().is_empty());
     w.front(FrontState::Up);
     w.again("a", NON_IDEMPOTENT, 2, 2, SECOND);
@@ -79,8 +79,8 @@
     let workers = World::new(1);
     drop(workers);
     w.feed(Input::List {
-        mode: ListMode::Complete,
-        workers: vec![listed("127.0.0.1:9000", Standing::InService)],
+        mode: EndpointListKind::Complete,
+        workers: vec![listed("127.0.0.1:9000", EndpointState::InService)],
     });
     assert!(w.sent().is_empty(), "nobody holds it now");
     w.again("a", NON_IDEMPOTENT, 2, 2, SECOND);
@@ -94,7 +94,7 @@
     w.take("a", IDEMPOTENT, 1, 1);
     let ticket = w.sent()[0];
     w.front(FrontState::Down);
-    w.end(ticket, Outcome::Unreachable);
+    w.end(ticket, DispatchOutcome::Unreachable);
     assert!(w.sent().is_empty());
     w.pass(TIMEOUT);
     assert!(w.sent().is_empty() && w.answers().is_empty());
@@ -164,7 +164,7 @@
                 tag: 2
             }))
     );
-    w.end(ticket, Outcome::Succeeded);
+    w.end(ticket, DispatchOutcome::Succeeded);
     assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
 }
 
@@ -177,7 +177,7 @@
     w.pass(TIMEOUT);
     assert_eq!(w.answers(), [(1, Fate::Errored, Reason::GivenUp)]);
     assert!(w.out.contains(&Output::Withdraw(ticket)));
-    w.end(ticket, Outcome::Succeeded);
+    w.end(ticket, DispatchOutcome::Succeeded);
     assert!(w.out.is_empty());
     assert_eq!(w.router.counts.too_late, 1);
 }
@@ -223,9 +223,9 @@
             w.end(
                 ticket,
                 if ticket.inv % 5 == 0 {
-                    Outcome::Throttled
+                    DispatchOutcome::Rejected
                 } else {
-                    Outcome::Succeeded
+                    DispatchOutcome::Succeeded
                 },
             );
             out.append(&mut w.out);
@@ -327,9 +327,9 @@
                 Step::End(which, how) => {
                     if out.is_empty() { continue; }
                     let ticket = out.swap_remove(which as usize % out.len());
-                    let how = [Outcome::Succeeded, Outcome::Errored, Outcome::Throttled, Outcome::Unreachable,
-                        Outcome::Broken, Outcome::NotSent][how as usize];
-                    if how.never_ran() && let Some(n) = ran.get_mut(&owner[&ticket]) { *n -= 1; }
+                    let how = [DispatchOutcome::Succeeded, DispatchOutcome::Errored, DispatchOutcome::Rejected, DispatchOutcome::Unreachable,
+                        DispatchOutcome::ConnectionLost, DispatchOutcome::NotSent][how as usize];
+                    if how.not_executed() && let Some(n) = ran.get_mut(&owner[&ticket]) { *n -= 1; }
                     w.end(ticket, how);
                 }
                 Step::Drop => {
@@ -371,7 +371,7 @@
         let second = sent_by(&w, 1, 11, &id, kind);
         w.feed(Input::Taken(second));
         assert!(w.sent().is_empty() && w.answers().is_empty());
-        w.end(ticket, Outcome::Succeeded);
+        w.end(ticket, DispatchOutcome::Succeeded);
         let both = [
             (10, Fate::Succeeded, Reason::Worker),
             (11, Fate::Succeeded, Reason::Worker),
@@ -395,7 +395,7 @@
     let first = sent_by(&w, 1, 1, "a", TOKENED);
     w.feed(Input::Taken(first));
     let ticket = w.sent()[0];
-    w.end(ticket, Outcome::Succeeded);
+    w.end(ticket, DispatchOutcome::Succeeded);
     w.feed(Input::Safe(Delivery {
         front: 0,
         life: 1,
@@ -459,7 +459,7 @@
     w.feed(Input::Taken(hasty));
     w.pass(SECOND);
     assert_eq!(w.answers(), [(2, Fate::Errored, Reason::Overdue)]);
-    w.end(ticket, Outcome::Succeeded);
+    w.end(ticket, DispatchOutcome::Succeeded);
     assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
 }
 
@@ -496,7 +496,7 @@
     };
     w.feed(Input::Taken(again));
     assert!(w.out.is_empty(), "neither sent nor put out of the way");
-    w.end(ticket, Outcome::Succeeded);
+    w.end(ticket, DispatchOutcome::Succeeded);
     assert_eq!(w.answers().len(), 2);
 }
 
--- a/crates/router/tests/parts.rs
+++ b/crates/router/tests/parts.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use cedarpulley::interface::{ListMode, Micros, Standing, TriggerType};
+use cedarpulley::interface::{EndpointListKind, EndpointState, Micros, TriggerType};
 use cedarpulley_router::admission::{Admission, FrontState, Pace};
 use cedarpulley_router::claims::Claims;
 use cedarpulley_router::entry::{self, Door, Entry as Let, Fill, Knock, Short};
@@ -15,7 +15,7 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn worker(port: u16, standing: Standing, mark: &str) -> Entry {
+fn worker(port: u16, standing: EndpointState, mark: &str) -> Entry {
     let worker = world::listed(&format!("127.0.0.1:{port}"), standing);
     Entry {
         worker,
@@ -35,7 +35,7 @@
     News::Listing { version, slices }
 }
 
-fn told(steps: &[Step]) -> Vec<(ListMode, Vec<(String, Standing)>)> {
+fn told(steps: &[Step]) -> Vec<(EndpointListKind, Vec<(String, EndpointState)>)> {
     let tell = |s: &Step| match s {
         Step::Tell { mode, workers } => Some((
             *mode,
@@ -49,7 +49,7 @@
     steps.iter().filter_map(tell).collect()
 }
 
-use Standing::{Draining, Gone, InService};
+use EndpointState::{Draining, Gone, InService};
 
 #[test]
 fn a_worker_named_twice_counts_as_the_newest_slice_says() {
@@ -59,7 +59,10 @@
     let steps = r.news(0, listing(7, vec![a, b]));
     assert_eq!(
         told(&steps),
-        [(ListMode::Complete, vec![("127.0.0.1:1".into(), Draining)])]
+        [(
+            EndpointListKind::Complete,
+            vec![("127.0.0.1:1".into(), Draining)]
+        )]
     );
     assert_eq!(steps[1], Step::Watch(7));
     // Equally new: the most cautious.
@@ -78,7 +81,7 @@
     );
     assert_eq!(
         told(&r.news(0, listing(6, vec![]))),
-        [(ListMode::Complete, vec![])]
+        [(EndpointListKind::Complete, vec![])]
     );
 }
 
@@ -113,7 +116,7 @@
     let old = || listing(4, vec![slice("a", 4, vec![worker(1, InService, "x")])]);
     assert_eq!(r.news(0, old()), [Step::List]);
     assert_eq!(r.news(0, old()), [Step::List]);
-    assert_eq!(told(&r.news(0, old()))[0].0, ListMode::Complete);
+    assert_eq!(told(&r.news(0, old()))[0].0, EndpointListKind::Complete);
     assert_eq!(r.stale, 5);
 }
 
@@ -155,7 +158,10 @@
     );
     assert_eq!(
         told(&gone),
-        [(ListMode::Changes, vec![("127.0.0.1:1".into(), Gone)])]
+        [(
+            EndpointListKind::Changes,
+            vec![("127.0.0.1:1".into(), Gone)]
+        )]
     );
 }
 
--- a/crates/router/tests/world.rs
+++ b/crates/router/tests/world.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use cedarpulley::Control;
+use cedarpulley::Balancer;
 use cedarpulley::interface::*;
 use cedarpulley_router::admission::FrontState;
 use cedarpulley_router::group::{Ask, Told};
@@ -27,11 +27,11 @@
 }
 
 pub fn triggers() -> Vec<TriggerType> {
-    let group = RepeatGroup::All;
+    let group = DeduplicationScope::All;
     let effects = [
         Effect::Idempotent,
-        Effect::Tokened {
-            group,
+        Effect::IdempotentByKey {
+            scope: group,
             window: WINDOW,
         },
         Effect::NonIdempotent,
@@ -39,36 +39,36 @@
     let kind = |effect| TriggerType {
         effect,
         latency_objective: 800 * MS,
-        objective_stretch: 0.0,
+        objective_work_multiple: 0.0,
         client_timeout: TIMEOUT,
         billed_value: 1.0,
-        late_part: 0.1,
+        late_value_fraction: 0.1,
         streamed: false,
     };
     effects.map(kind).to_vec()
 }
 
-fn control(orders: bool) -> Control {
+fn control(orders: bool) -> Balancer {
     let limits = DispatchLimits {
         max_dispatches: 4,
-        second_copies: false,
-        withdrawals: true,
+        hedged_requests: false,
+        cancellation: true,
         probes: false,
-        connect_within: 250 * MS,
-        max_advice: SECOND,
+        connect_timeout: 250 * MS,
+        max_retry_after: SECOND,
     };
-    let rules = RuleTerms {
+    let rules = RuleLimits {
         drain_grace: 500 * MS,
-        cold_part: 1.0,
+        slow_start_fraction: 1.0,
         overload_multiple: 1e9,
         overload_window: SECOND,
-        ..RuleTerms::default()
+        ..RuleLimits::default()
     };
-    let loads = LoadTerms {
-        idle_kept: 30 * SECOND,
+    let loads = LoadSettings {
+        idle_retention: 30 * SECOND,
         loads_when_absent: true,
-        orders,
-        ..LoadTerms::default()
+        load_orders: orders,
+        ..LoadSettings::default()
     };
     let fleet = FleetPosition {
         routers: 1,
@@ -77,11 +77,11 @@
         granularity: MS,
     };
     let accounts = vec![Account {
-        allowance_per_s: 1e9,
+        quota_per_s: 1e9,
         share: 1.0,
     }];
     let prices = Prices::default();
-    Control::new(
+    Balancer::new(
         1,
         fleet,
         limits,
@@ -90,11 +90,11 @@
         accounts,
         loads,
         prices,
-        ReportsIn::Nothing,
+        ReportSource::Nothing,
     )
 }
 
-pub fn listed(id: &str, standing: Standing) -> Listed {
+pub fn listed(id: &str, standing: EndpointState) -> Listed {
     Listed {
         address: id.into(),
         zone: 0,
@@ -157,10 +157,10 @@
             .collect();
         let workers = ids
             .iter()
-            .map(|id| listed(id, Standing::InService))
+            .map(|id| listed(id, EndpointState::InService))
             .collect();
         w.feed(Input::List {
-            mode: ListMode::Complete,
+            mode: EndpointListKind::Complete,
             workers,
         });
         w.front(FrontState::Up);
@@ -173,13 +173,13 @@
     }
 
     /// Changes of the list.
-    pub fn list(&mut self, workers: &[(&str, Standing)]) {
+    pub fn list(&mut self, workers: &[(&str, EndpointState)]) {
         let workers = workers
             .iter()
             .map(|(id, standing)| listed(id, *standing))
             .collect();
         self.feed(Input::List {
-            mode: ListMode::Changes,
+            mode: EndpointListKind::Changes,
             workers,
         });
     }
@@ -282,13 +282,13 @@
         self.feed(Input::Group(told));
     }
 
-    pub fn end(&mut self, ticket: Ticket, outcome: Outcome) {
+    pub fn end(&mut self, ticket: Ticket, outcome: DispatchOutcome) {
         self.feed(Input::DispatchEnded {
             ticket,
             outcome,
-            note: CopyNote::Untold,
+            note: CopyStatus::Unreported,
             crowd: None,
-            report: Report::default(),
+            report: LoadReport::default(),
             held: None,
             body: Bytes::from_static(b"done").into(),
         });
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -6,7 +6,7 @@
 use std::borrow::Cow;
 use std::collections::HashMap;
 
-use cedarpulley::Control;
+use cedarpulley::Balancer;
 use cedarpulley::interface::*;
 use cedarpulley_errors::Remedy;
 use serde_json::Value;
@@ -295,23 +295,23 @@
     /// What attempts are allowed.
     pub limits: DispatchLimits,
     /// The figures of the rules.
-    pub rules: RuleTerms,
+    pub rules: RuleLimits,
     /// By index.
     pub triggers: Vec<TriggerType>,
     /// By index.
     pub accounts: Vec<Account>,
     /// Of copies and orders to load.
-    pub loads: LoadTerms,
+    pub loads: LoadSettings,
     /// What things cost.
     pub prices: Prices,
     /// Where load reports come.
-    pub reports: ReportsIn,
+    pub reports: ReportSource,
 }
 
 impl StartupSettings {
     /// A policy module with these settings.
-    pub fn control(&self, seed: u64) -> Control {
-        Control::new(
+    pub fn balancer(&self, seed: u64) -> Balancer {
+        Balancer::new(
             seed,
             self.fleet,
             self.limits,
@@ -334,26 +334,26 @@
         };
         let limits = DispatchLimits {
             max_dispatches: p.number("permissions.sendCap", 1.0)?.max(1.0) as u32,
-            second_copies: p.flag("permissions.mayDuplicate", false)?,
-            withdrawals: p.flag("permissions.cancel", false)?,
+            hedged_requests: p.flag("permissions.mayDuplicate", false)?,
+            cancellation: p.flag("permissions.cancel", false)?,
             probes: p.flag("permissions.probes", false)?,
-            connect_within: p.time("permissions.connectTimeout", 0)?,
-            max_advice: match p.flag("permissions.retryAfter", false)? {
+            connect_timeout: p.time("permissions.connectTimeout", 0)?,
+            max_retry_after: match p.flag("permissions.retryAfter", false)? {
                 true => p.time("permissions.maxRetryAfter", 0)?,
                 false => 0,
             },
         };
-        let rules = RuleTerms {
+        let rules = RuleLimits {
             answer_slack: p.time("rules.answerSlack", 0)?,
             drain_grace: p.time("rules.stopSendingWithin", 0)?,
-            ask_within: p.time("rules.askWithin", NEVER)?,
+            list_request_timeout: p.time("rules.askWithin", NEVER)?,
             list_on_request: match p.text("discovery") {
                 Some("on_request") => true,
                 Some("pushed") | None => false,
                 Some(v) => return unknown("discovery", v),
             },
-            cold_part: p.number("rules.coldShare", 1.0)?,
-            cold_for: p.time("rules.cold", 0)?,
+            slow_start_fraction: p.number("rules.coldShare", 1.0)?,
+            slow_start_duration: p.time("rules.cold", 0)?,
             overload_multiple: p.number("rules.overloadFactor", f64::MAX)?,
             overload_window: p.time("rules.fall", 0)?,
         };
@@ -361,17 +361,17 @@
         for i in 0..p.count("services")? {
             let key = |k: &str| format!("services.{i}.{k}");
             let group = match p.text(&key("keyScope")) {
-                Some("all") | None => RepeatGroup::All,
-                Some("zone") => RepeatGroup::Zone,
-                Some("cell") => RepeatGroup::Cell,
+                Some("all") | None => DeduplicationScope::All,
+                Some("zone") => DeduplicationScope::Zone,
+                Some("cell") => DeduplicationScope::Cell,
                 Some(v) => return unknown(&key("keyScope"), v),
             };
             let client_timeout = p.time(&key("hardLimit"), NEVER)?;
             triggers.push(TriggerType {
                 effect: match p.text(&key("effect")) {
                     Some("retryable") => Effect::Idempotent,
-                    Some("dedup") => Effect::Tokened {
-                        group,
+                    Some("dedup") => Effect::IdempotentByKey {
+                        scope: group,
                         window: p.time(&key("window"), 0)?,
                     },
                     Some("fragile") | None => Effect::NonIdempotent,
@@ -380,17 +380,17 @@
                 // Without an aim an answer is in time until the client gives up. It must not be endless: the module
                 // takes the work for a part of it until it has seen some, and gives up what cannot be in time.
                 latency_objective: p.time(&key("aim"), client_timeout)?,
-                objective_stretch: p.number(&key("aimStretch"), 0.0)?,
+                objective_work_multiple: p.number(&key("aimStretch"), 0.0)?,
                 client_timeout,
                 billed_value: p.number(&key("value"), 1.0)?,
-                late_part: p.number(&key("lateValue"), 0.0)?,
+                late_value_fraction: p.number(&key("lateValue"), 0.0)?,
                 streamed: p.flag(&key("streamed"), false)?,
             });
         }
         let mut accounts = Vec::new();
         for i in 0..p.count("orgs")? {
             accounts.push(Account {
-                allowance_per_s: p.number(&format!("orgs.{i}.allowancePerS"), f64::MAX)?,
+                quota_per_s: p.number(&format!("orgs.{i}.allowancePerS"), f64::MAX)?,
                 share: p.number(&format!("orgs.{i}.share"), 1.0)?,
             });
         }
@@ -401,9 +401,9 @@
                     .map_err(|_| misread("familyInfo.machineMb", v, "a list of numbers"))?,
             );
         }
-        let loads = LoadTerms {
-            idle_kept: p.time("familyInfo.staysLoaded", 0)?,
-            orders: p.flag("familyInfo.mayLoad", false)?,
+        let loads = LoadSettings {
+            idle_retention: p.time("familyInfo.staysLoaded", 0)?,
+            load_orders: p.flag("familyInfo.mayLoad", false)?,
             loads_when_absent: match p.text("familyInfo.whenAbsent") {
                 Some("load") | None => true,
                 Some("miss") => false,
@@ -411,12 +411,12 @@
             },
             // Without a time of its own, an order is waited for as long as any client waits. At 0 it would be over as
             // soon as it is given, and the worker blamed for it.
-            order_answered_within: p.time("familyInfo.answerWithin", longest_wait(&triggers))?,
-            ration_window: p.time("familyInfo.loadWindow", 0)?,
-            ration_few: p.number("familyInfo.freeLoads", 0.0)?,
-            ration_part: p.number("familyInfo.loadPart", 0.0)?,
-            notes: p.flag("familyInfo.warmNotes", false)?,
-            crowds: p.flag("familyInfo.tellsCrowd", false)?,
+            order_timeout: p.time("familyInfo.answerWithin", longest_wait(&triggers))?,
+            order_quota_window: p.time("familyInfo.loadWindow", 0)?,
+            order_quota_base: p.number("familyInfo.freeLoads", 0.0)?,
+            order_quota_per_invocation: p.number("familyInfo.loadPart", 0.0)?,
+            reports_copy_status: p.flag("familyInfo.warmNotes", false)?,
+            reports_function_load: p.flag("familyInfo.tellsCrowd", false)?,
             memory_mb,
         };
         let prices = Prices {
@@ -425,12 +425,12 @@
             waste: p.number("tariffs.waste", 0.0)?,
             probe: p.number("tariffs.probe", 0.0)?,
             late_error: p.number("tariffs.lateFail", 0.0)?,
-            over_share: p.number("overShareWorth", 1.0)?,
+            over_quota: p.number("overShareWorth", 1.0)?,
         };
         let reports = match p.text("stats.how") {
-            Some("answers") => ReportsIn::Answers,
-            Some("probe") => ReportsIn::Probes,
-            Some("none") | None => ReportsIn::Nothing,
+            Some("answers") => ReportSource::Answers,
+            Some("probe") => ReportSource::Probes,
+            Some("none") | None => ReportSource::Nothing,
             Some(v) => return unknown("stats.how", v),
         };
         Ok(StartupSettings {
@@ -464,14 +464,14 @@
     }
 
     /// Puts a value into the report, if it is one of those named.
-    pub fn tell(report: &mut Report, fields: &[Self], name: &str, value: f64) {
+    pub fn tell(report: &mut LoadReport, fields: &[Self], name: &str, value: f64) {
         let of = Self::of(name);
         let place = match of {
-            ReportField::Held => &mut report.held,
-            ReportField::Waiting => &mut report.waiting,
-            ReportField::Busy => &mut report.busy,
-            ReportField::Loads => &mut report.loads,
-            ReportField::MemoryPart => &mut report.memory_part,
+            ReportField::Held => &mut report.in_flight,
+            ReportField::Waiting => &mut report.queued,
+            ReportField::Busy => &mut report.utilization,
+            ReportField::Loads => &mut report.loads_in_progress,
+            ReportField::MemoryPart => &mut report.memory_fraction,
             ReportField::Other => return,
         };
         if fields.contains(&of) {
--- a/crates/startup/tests/settings.rs
+++ b/crates/startup/tests/settings.rs
@@ -1,6 +1,8 @@
 //! Settings of customers whose names and choices are unlike those of any other.
 
-use cedarpulley::interface::{Action, Arrival, Event, ListEntry, ListMode, Micros, Standing};
+use cedarpulley::interface::{
+    Action, Arrival, Endpoint, EndpointListKind, EndpointState, Event, Micros,
+};
 use cedarpulley_startup::{RawSettings, StartupSettings};
 use serde_json::{Value, json};
 
@@ -13,42 +15,42 @@
 
 /// One worker in service and one request of the first class, whose client waits for so long: what the module does.
 fn first_actions(settings: &StartupSettings, client_gives_up_in: Micros) -> Vec<Action> {
-    let mut control = settings.control(1);
-    let worker = ListEntry {
+    let mut control = settings.balancer(1);
+    let worker = Endpoint {
         worker: 0,
         fingerprint: 7,
         zone: 0,
-        kind: 0,
+        machine_kind: 0,
         cell: 0,
-        standing: Standing::InService,
+        state: EndpointState::InService,
         weight: 1.0,
-        started: None,
+        started_at: None,
     };
     let arrival = Arrival {
-        inv: 0,
+        invocation: 0,
         trigger: 0,
         account: 0,
-        func: 0,
+        function: 0,
         fingerprint: 9,
         cost_hint: None,
         load_hint: None,
         copy_mb: 0.0,
         lanes: 1,
-        client_gives_up_in,
+        client_timeout_in: client_gives_up_in,
         waited: 0,
         repeat: false,
-        prefers: None,
+        preferred_worker: None,
     };
     let mut actions = Vec::new();
-    control.decide(
+    control.handle(
         0,
-        &Event::List {
-            mode: ListMode::Complete,
-            entries: &[worker],
+        &Event::EndpointList {
+            kind: EndpointListKind::Complete,
+            endpoints: &[worker],
         },
         &mut actions,
     );
-    control.decide(1, &Event::Invocation(arrival), &mut actions);
+    control.handle(1, &Event::Invocation(arrival), &mut actions);
     actions
 }
 
@@ -84,7 +86,7 @@
         matches!(
             a,
             Action::Dispatch {
-                inv: 0,
+                invocation: 0,
                 worker: 0,
                 ..
             }
@@ -100,9 +102,9 @@
     let service = |limit: i64| json!({"name": "run", "hardLimit": limit, "aim": 300_000_000});
     let services = [service(600_000_000), service(2_000_000_000)];
     let settings = json!({"services": services, "familyInfo": {"mayLoad": true}});
-    assert_eq!(read(&settings).loads.order_answered_within, 2 * SECOND);
+    assert_eq!(read(&settings).loads.order_timeout, 2 * SECOND);
     let named = json!({"services": services, "familyInfo": {"mayLoad": true, "answerWithin": 7_000_000_000i64}});
-    assert_eq!(read(&named).loads.order_answered_within, 7 * SECOND);
+    assert_eq!(read(&named).loads.order_timeout, 7 * SECOND);
 }
 
 /// Symptom: a tenant is called `-`, and the router does not start, as its name is missing.
--- a/crates/trace/src/blocks.rs
+++ b/crates/trace/src/blocks.rs
@@ -202,31 +202,55 @@
 
 pub fn event_uses(event: &Event, actions: &[Action], each: &mut dyn FnMut(Space, u32)) {
     match event {
-        Event::List { entries, .. } => entries.iter().for_each(|e| each(Space::Worker, e.worker)),
+        Event::EndpointList {
+            endpoints: entries, ..
+        } => entries.iter().for_each(|e| each(Space::Worker, e.worker)),
         Event::Invocation(a) => {
-            each(Space::Function, a.func);
-            a.prefers.into_iter().for_each(|w| each(Space::Worker, w));
+            each(Space::Function, a.function);
+            a.preferred_worker
+                .into_iter()
+                .for_each(|w| each(Space::Worker, w));
         }
-        Event::Wanted { worker, asked } => {
+        Event::CopyWanted {
+            worker,
+            function: asked,
+        } => {
             each(Space::Worker, *worker);
-            each(Space::Function, asked.func);
+            each(Space::Function, asked.function);
         }
-        Event::Answering { worker, .. } | Event::Probed { worker, .. } => {
+        Event::AnswerStarted { worker, .. } | Event::ProbeEnded { worker, .. } => {
             each(Space::Worker, *worker)
         }
         Event::DispatchEnded(e) => each(Space::Worker, e.worker),
-        Event::OrderEnded { worker, func, .. } | Event::Held { worker, func, .. } => {
+        Event::OrderEnded {
+            worker,
+            function: func,
+            ..
+        }
+        | Event::CopiesReported {
+            worker,
+            function: func,
+            ..
+        } => {
             each(Space::Worker, *worker);
             each(Space::Function, *func);
         }
-        Event::Departed { .. } | Event::Timer { .. } => {}
+        Event::ClientLeft { .. } | Event::Timer { .. } => {}
     }
     for action in actions {
         match *action {
             Action::Dispatch { worker, .. } | Action::Probe { worker } => {
                 each(Space::Worker, worker)
             }
-            Action::Order { worker, func, .. } | Action::Unload { worker, func } => {
+            Action::LoadOrder {
+                worker,
+                function: func,
+                ..
+            }
+            | Action::Unload {
+                worker,
+                function: func,
+            } => {
                 each(Space::Worker, worker);
                 each(Space::Function, func);
             }
--- a/crates/trace/src/compare.rs
+++ b/crates/trace/src/compare.rs
@@ -11,7 +11,7 @@
 
 use std::collections::BTreeMap;
 
-use cedarpulley::interface::{Action, FnIx, InvIx, WorkerIx};
+use cedarpulley::interface::{Action, FunctionIndex, InvocationIndex, WorkerIndex};
 use serde::Serialize;
 
 use crate::replay::alike;
@@ -71,23 +71,27 @@
 }
 
 /// By invocation: what came of it, where to if sent, and the figures beside it.
-type Done = BTreeMap<InvIx, (Did, Option<WorkerIx>, Option<i64>)>;
+type Done = BTreeMap<InvocationIndex, (Did, Option<WorkerIndex>, Option<i64>)>;
 
 fn done(actions: &[Action]) -> Done {
     let mut done = Done::new();
     for action in actions {
         // Of an invocation that is called back and sent again, the sending counts.
         let (inv, did) = match *action {
-            Action::Withdraw { inv, dispatch } => {
-                (inv, (Did::CalledBack, None, Some(dispatch.into())))
-            }
+            Action::Cancel {
+                invocation: inv,
+                dispatch,
+            } => (inv, (Did::CalledBack, None, Some(dispatch.into()))),
             Action::Dispatch {
-                inv,
+                invocation: inv,
                 worker,
-                time_out,
+                timeout: time_out,
             } => (inv, (Did::Sent, Some(worker), time_out)),
-            Action::Throttle { inv, return_after } => (inv, (Did::Throttled, None, return_after)),
-            Action::Error { inv } => (inv, (Did::Errored, None, None)),
+            Action::Reject {
+                invocation: inv,
+                retry_after: return_after,
+            } => (inv, (Did::Throttled, None, return_after)),
+            Action::Fail { invocation: inv } => (inv, (Did::Errored, None, None)),
             _ => continue,
         };
         let before = done.entry(inv).or_insert(did);
@@ -98,12 +102,12 @@
     done
 }
 
-fn ordered(actions: &[Action]) -> BTreeMap<FnIx, Vec<WorkerIx>> {
-    let mut orders: BTreeMap<FnIx, Vec<WorkerIx>> = BTreeMap::new();
+fn ordered(actions: &[Action]) -> BTreeMap<FunctionIndex, Vec<WorkerIndex>> {
+    let mut orders: BTreeMap<FunctionIndex, Vec<WorkerIndex>> = BTreeMap::new();
     for action in actions {
-        if let Action::Order {
+        if let Action::LoadOrder {
             worker,
-            func,
+            function: func,
             copies: 1..,
         } = action
         {
@@ -119,9 +123,9 @@
         action,
         Action::Unload { .. }
             | Action::Probe { .. }
-            | Action::AskList { .. }
-            | Action::Order { copies: 0, .. }
-            | Action::Forget { .. }
+            | Action::RequestEndpointList { .. }
+            | Action::LoadOrder { copies: 0, .. }
+            | Action::ReleaseFunction { .. }
     )
 }
 
@@ -133,7 +137,7 @@
     let mut kinds = Vec::new();
     let (a, b) = (done(one), done(other));
     let untouched = (Did::Held, None, None);
-    let mut invs: Vec<InvIx> = a.keys().chain(b.keys()).copied().collect();
+    let mut invs: Vec<InvocationIndex> = a.keys().chain(b.keys()).copied().collect();
     invs.sort_unstable();
     invs.dedup();
     for inv in invs {
@@ -150,12 +154,12 @@
         }
     }
     let (a, b) = (ordered(one), ordered(other));
-    let mut funcs: Vec<FnIx> = a.keys().chain(b.keys()).copied().collect();
+    let mut funcs: Vec<FunctionIndex> = a.keys().chain(b.keys()).copied().collect();
     funcs.sort_unstable();
     funcs.dedup();
     for func in funcs {
         let (x, y) = (a.get(&func), b.get(&func));
-        let count = |w: Option<&Vec<WorkerIx>>| w.map_or(0, Vec::len);
+        let count = |w: Option<&Vec<WorkerIndex>>| w.map_or(0, Vec::len);
         match count(x).cmp(&count(y)) {
             std::cmp::Ordering::Less => kinds.push(Kind::OrderedMore),
             std::cmp::Ordering::Greater => kinds.push(Kind::OrderedFewer),
--- a/crates/trace/src/course.rs
+++ b/crates/trace/src/course.rs
@@ -147,20 +147,25 @@
                 let bin = self.bin(wall);
                 if let Happened::Other(Event::DispatchEnded(e)) = happened {
                     bin.failed +=
-                        u64::from(e.outcome != cedarpulley::interface::Outcome::Succeeded);
+                        u64::from(e.outcome != cedarpulley::interface::DispatchOutcome::Succeeded);
                 }
                 if let Happened::Other(Event::Invocation(a)) = happened {
                     let done = |x: &Action| match x {
-                        Action::Dispatch { inv, .. }
-                        | Action::Throttle { inv, .. }
-                        | Action::Error { inv } => *inv == a.inv,
+                        Action::Dispatch {
+                            invocation: inv, ..
+                        }
+                        | Action::Reject {
+                            invocation: inv, ..
+                        }
+                        | Action::Fail { invocation: inv } => *inv == a.invocation,
                         _ => false,
                     };
                     bin.held += u64::from(!actions.iter().any(done));
                 }
                 for action in actions {
                     bin.dispatches += u64::from(matches!(action, Action::Dispatch { .. }));
-                    bin.orders += u64::from(matches!(action, Action::Order { copies: 1.., .. }));
+                    bin.orders +=
+                        u64::from(matches!(action, Action::LoadOrder { copies: 1.., .. }));
                 }
             }
         }
--- a/crates/trace/src/explain.rs
+++ b/crates/trace/src/explain.rs
@@ -12,7 +12,9 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use cedarpulley::interface::{Action, CopyNote, Event, InvIx, Micros, OrderResult, Outcome};
+use cedarpulley::interface::{
+    Action, CopyStatus, DispatchOutcome, Event, InvocationIndex, LoadOrderResult, Micros,
+};
 use cedarpulley_router::entry::Short;
 use cedarpulley_router::{Fate, Reason};
 use serde::Serialize;
@@ -80,19 +82,19 @@
     objective: Micros,
     /// Until its first dispatch left.
     held: Option<Micros>,
-    failed: Option<(Outcome, u32)>,
+    failed: Option<(DispatchOutcome, u32)>,
     sent_to: Option<u32>,
 }
 
 #[derive(Default)]
 struct Side {
-    open: HashMap<InvIx, Open>,
+    open: HashMap<InvocationIndex, Open>,
     /// Answered late; what its last dispatch found comes with the next word of it.
-    late: HashMap<InvIx, (Open, Micros)>,
+    late: HashMap<InvocationIndex, (Open, Micros)>,
     workers: HashMap<u32, String>,
     functions: HashMap<u32, String>,
     /// Answered in time, by trigger type, until the word of the last dispatch: from it what is usual is learned.
-    in_time: HashMap<InvIx, u32>,
+    in_time: HashMap<InvocationIndex, u32>,
     /// Orders to load that are out, by worker and function; a question for how many copies stand ends alike.
     ordered: HashSet<(u32, u32)>,
     /// Of how many workers a function is ordered, and when the last of these orders ended.
@@ -172,15 +174,19 @@
                 let side = self.sides.entry(source).or_default();
                 for action in actions {
                     match action {
-                        Action::Dispatch { inv, worker, .. } => {
+                        Action::Dispatch {
+                            invocation: inv,
+                            worker,
+                            ..
+                        } => {
                             if let Some(open) = side.open.get_mut(inv) {
                                 open.held.get_or_insert(at - open.at);
                                 open.sent_to = Some(*worker);
                             }
                         }
-                        Action::Order {
+                        Action::LoadOrder {
                             worker,
-                            func,
+                            function: func,
                             copies,
                         } if *copies > 0 && side.ordered.insert((*worker, *func)) => {
                             side.loading.entry(*func).or_insert((0, Micros::MIN)).0 += 1;
@@ -250,12 +256,13 @@
                         .triggers
                         .get(a.trigger as usize)
                         .map_or(Micros::MAX, |t| {
-                            let stretch = a.cost_hint.unwrap_or(0) as f64 * t.objective_stretch;
+                            let stretch =
+                                a.cost_hint.unwrap_or(0) as f64 * t.objective_work_multiple;
                             t.latency_objective.saturating_add(stretch as Micros)
                         });
                 let open = Open {
                     trigger: a.trigger,
-                    func: a.func,
+                    func: a.function,
                     at,
                     waited: a.waited,
                     objective,
@@ -263,42 +270,45 @@
                     failed: None,
                     sent_to: None,
                 };
-                side.open.insert(a.inv, open);
+                side.open.insert(a.invocation, open);
                 // Its index was given out again: nothing more comes of the one before.
-                side.in_time.remove(&a.inv);
-                if let Some((open, then)) = side.late.remove(&a.inv) {
+                side.in_time.remove(&a.invocation);
+                if let Some((open, then)) = side.late.remove(&a.invocation) {
                     let cause = late(&self.usual, side, of, &open, None);
                     self.count(of, open.trigger, of.wall(then), cause, false);
                 }
             }
-            Happened::Other(Event::Departed { inv }) => {
+            Happened::Other(Event::ClientLeft { invocation: inv }) => {
                 side.open.remove(inv);
             }
             Happened::Other(Event::DispatchEnded(e)) => {
-                if let Some((open, then)) = side.late.remove(&e.inv) {
+                if let Some((open, then)) = side.late.remove(&e.invocation) {
                     let cause = late(
                         &self.usual,
                         side,
                         of,
                         &open,
-                        Some((e.worker, e.took, e.note)),
+                        Some((e.worker, e.took, e.copy_status)),
                     );
                     return self.count(of, open.trigger, of.wall(then), cause, false);
                 }
-                if let Some(trigger) = side.in_time.remove(&e.inv) {
-                    if e.outcome == Outcome::Succeeded && e.note == CopyNote::Found {
+                if let Some(trigger) = side.in_time.remove(&e.invocation) {
+                    if e.outcome == DispatchOutcome::Succeeded && e.copy_status == CopyStatus::Warm
+                    {
                         self.learn(name(&of.start.triggers_named, trigger), e.took);
                     }
                     return;
                 }
-                if let Some(open) = side.open.get_mut(&e.inv) {
+                if let Some(open) = side.open.get_mut(&e.invocation) {
                     match e.outcome {
-                        Outcome::Succeeded | Outcome::Withdrawn | Outcome::NotSent => {}
+                        DispatchOutcome::Succeeded
+                        | DispatchOutcome::Cancelled
+                        | DispatchOutcome::NotSent => {}
                         // Refusals count only where nothing worse came.
                         failed => {
-                            let worse = open
-                                .failed
-                                .is_none_or(|(was, _)| was.never_ran() && !failed.never_ran());
+                            let worse = open.failed.is_none_or(|(was, _)| {
+                                was.not_executed() && !failed.not_executed()
+                            });
                             if worse {
                                 open.failed = Some((failed, e.worker));
                             }
@@ -308,7 +318,7 @@
             }
             Happened::Other(Event::OrderEnded {
                 worker,
-                func,
+                function: func,
                 result,
                 ..
             }) => {
@@ -318,10 +328,10 @@
                     *out = (out.0.saturating_sub(1), at);
                 }
                 match result {
-                    OrderResult::Stand => {
+                    LoadOrderResult::Loaded => {
                         side.no_place.remove(func);
                     }
-                    OrderResult::NoRoom | OrderResult::LoadErrored => {
+                    LoadOrderResult::NoCapacity | LoadOrderResult::LoadFailed => {
                         side.no_place.insert(*func);
                     }
                     _ => {}
@@ -344,7 +354,7 @@
             if lost {
                 t.billed_value
             } else {
-                t.billed_value * (1.0 - t.late_part)
+                t.billed_value * (1.0 - t.late_value_fraction)
             }
         });
         let new = Ranked {
@@ -409,11 +419,11 @@
 fn failed(side: &Side, of: &Source, open: &Open) -> Option<Cause> {
     let (outcome, worker) = open.failed?;
     Some(match outcome {
-        Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken => {
-            Cause::WorkerSilent(side.worker(worker))
-        }
-        Outcome::Errored => Cause::WorkerErrored(side.worker(worker)),
-        Outcome::Missed => Cause::NoPlace(side.function(open.func)),
+        DispatchOutcome::TimedOut
+        | DispatchOutcome::Unreachable
+        | DispatchOutcome::ConnectionLost => Cause::WorkerSilent(side.worker(worker)),
+        DispatchOutcome::Errored => Cause::WorkerErrored(side.worker(worker)),
+        DispatchOutcome::NotLoaded => Cause::NoPlace(side.function(open.func)),
         _ => Cause::WorkersFull(name(&of.start.triggers_named, open.trigger)),
     })
 }
@@ -436,7 +446,7 @@
     side: &Side,
     of: &Source,
     open: &Open,
-    last: Option<(u32, Micros, CopyNote)>,
+    last: Option<(u32, Micros, CopyStatus)>,
 ) -> Cause {
     let kind = name(&of.start.triggers_named, open.trigger);
     if open.waited > open.objective {
@@ -445,7 +455,7 @@
     if let Some(cause) = failed(side, of, open) {
         return cause;
     }
-    if let Some((_, _, CopyNote::Began | CopyNote::Waited)) = last {
+    if let Some((_, _, CopyStatus::LoadStarted | CopyStatus::LoadAwaited)) = last {
         return Cause::Load(side.function(open.func));
     }
     if open.held.unwrap_or(0) as f64 >= HELD * open.objective as f64 {
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -8,7 +8,7 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::io::{Read, Seek, Write};
 
-use cedarpulley::interface::{ListEntry, Micros, Standing};
+use cedarpulley::interface::{Endpoint, EndpointState, Micros};
 
 use crate::Error;
 use crate::blocks::{FORMAT, Head};
@@ -36,11 +36,11 @@
 struct Known(HashMap<u64, (u8, u32)>);
 
 impl Known {
-    fn change(&mut self, e: &ListEntry) -> Option<Change> {
-        let standing = match e.standing {
-            Standing::InService => 0,
-            Standing::Draining => 1,
-            Standing::Gone => 2,
+    fn change(&mut self, e: &Endpoint) -> Option<Change> {
+        let standing = match e.state {
+            EndpointState::InService => 0,
+            EndpointState::Draining => 1,
+            EndpointState::Gone => 2,
         };
         let known = self.0.entry(e.fingerprint).or_insert((u8::MAX, 0));
         if known.0 == standing {
--- a/crates/trace/src/records.rs
+++ b/crates/trace/src/records.rs
@@ -3,7 +3,7 @@
 
 use cedarpulley::interface::*;
 use cedarpulley_router::entry::Short;
-use cedarpulley_router::{Fate, FrontIx, Reason};
+use cedarpulley_router::{Fate, FrontIndex, Reason};
 
 use crate::wire::{Bad, Get, Put};
 
@@ -18,8 +18,8 @@
 #[derive(Clone, Debug)]
 pub enum Happened {
     List {
-        mode: ListMode,
-        entries: Vec<ListEntry>,
+        mode: EndpointListKind,
+        entries: Vec<Endpoint>,
     },
     Other(Event<'static>),
 }
@@ -27,55 +27,66 @@
 impl Happened {
     pub fn of(event: &Event) -> Happened {
         match *event {
-            Event::List { mode, entries } => Happened::List {
+            Event::EndpointList {
+                kind: mode,
+                endpoints: entries,
+            } => Happened::List {
                 mode,
                 entries: entries.to_vec(),
             },
             Event::Invocation(a) => Happened::Other(Event::Invocation(a)),
-            Event::Departed { inv } => Happened::Other(Event::Departed { inv }),
-            Event::Answering {
-                inv,
+            Event::ClientLeft { invocation: inv } => {
+                Happened::Other(Event::ClientLeft { invocation: inv })
+            }
+            Event::AnswerStarted {
+                invocation: inv,
                 dispatch,
                 worker,
-            } => Happened::Other(Event::Answering {
-                inv,
+            } => Happened::Other(Event::AnswerStarted {
+                invocation: inv,
                 dispatch,
                 worker,
             }),
             Event::DispatchEnded(e) => Happened::Other(Event::DispatchEnded(e)),
             Event::OrderEnded {
                 worker,
-                func,
+                function: func,
                 result,
                 took,
                 copies,
             } => Happened::Other(Event::OrderEnded {
                 worker,
-                func,
+                function: func,
                 result,
                 took,
                 copies,
             }),
-            Event::Probed {
+            Event::ProbeEnded {
                 worker,
                 outcome,
                 took,
                 report,
-            } => Happened::Other(Event::Probed {
+            } => Happened::Other(Event::ProbeEnded {
                 worker,
                 outcome,
                 took,
                 report,
             }),
             Event::Timer { token } => Happened::Other(Event::Timer { token }),
-            Event::Wanted { worker, asked } => Happened::Other(Event::Wanted { worker, asked }),
-            Event::Held {
+            Event::CopyWanted {
+                worker,
+                function: asked,
+            } => Happened::Other(Event::CopyWanted {
+                worker,
+                function: asked,
+            }),
+            Event::CopiesReported {
                 worker,
-                func,
+                function: func,
                 copies,
-            } => Happened::Other(Event::Held {
+            } => Happened::Other(Event::CopiesReported {
                 worker,
-                func,
+                function: func,
                 copies,
             }),
         }
@@ -83,9 +94,9 @@
 
     pub fn event(&self) -> Event<'_> {
         match self {
-            Happened::List { mode, entries } => Event::List {
-                mode: *mode,
-                entries,
+            Happened::List { mode, entries } => Event::EndpointList {
+                kind: *mode,
+                endpoints: entries,
             },
             Happened::Other(event) => *event,
         }
@@ -104,15 +115,15 @@
     /// The front's part of an invocation that the next decided event tells of; `mark`: a number for the mark that
     /// its client gave it.
     Taken {
-        inv: InvIx,
-        front: FrontIx,
+        inv: InvocationIndex,
+        front: FrontIndex,
         mark: Option<u64>,
         redelivered: bool,
     },
     /// A final answer left the core; `inv` absent: it was answered at once and never was the module's.
     Answered {
-        inv: Option<InvIx>,
-        front: FrontIx,
+        inv: Option<InvocationIndex>,
+        front: FrontIndex,
         fate: Fate,
         reason: Reason,
         trigger: u32,
@@ -121,7 +132,7 @@
     },
     /// Turned away at the door.
     TurnedAway {
-        front: FrontIx,
+        front: FrontIndex,
         trigger: u32,
         account: u32,
         why: Short,
@@ -151,11 +162,11 @@
 table!(REASONS, reasons, Reason: Worker, GivenUp, Expired, MayHaveRun, Overdue, Functions, Size, Share, NoMajority, SessionOver, Alone);
 table!(FATES, fates, Fate: Succeeded, Throttled, Errored);
 table!(SHORTS, shorts, Short: Stopping, Memory, All, Front, Account, Connection, Worth);
-table!(OUTCOMES, outcomes, Outcome: Succeeded, Errored, Throttled, TimedOut, Unreachable, Broken, Withdrawn, NotSent, Missed);
-table!(NOTES, notes, CopyNote: Untold, Found, Began, Waited, LoadErrored);
-table!(RESULTS, results, OrderResult: Stand, NoRoom, LoadErrored, Broken, Unreachable, TimedOut);
-table!(MODES, modes, ListMode: Changes, Complete, Saved, Failed);
-table!(STANDINGS, standings, Standing: InService, Draining, Gone);
+table!(OUTCOMES, outcomes, DispatchOutcome: Succeeded, Errored, Rejected, TimedOut, Unreachable, ConnectionLost, Cancelled, NotSent, NotLoaded);
+table!(NOTES, notes, CopyStatus: Unreported, Warm, LoadStarted, LoadAwaited, LoadFailed);
+table!(RESULTS, results, LoadOrderResult: Loaded, NoCapacity, LoadFailed, ConnectionLost, Unreachable, TimedOut);
+table!(MODES, modes, EndpointListKind: Changes, Complete, Cached, Failed);
+table!(STANDINGS, standings, EndpointState: InService, Draining, Gone);
 
 /// The tag of a value is its place in its table: tables only grow at their end.
 fn put_of<T: PartialEq>(p: &mut Put, table: &[T], value: &T) {
@@ -174,8 +185,14 @@
         .ok_or(Bad::Unknown)
 }
 
-fn put_report(p: &mut Put, r: &Report) {
-    let all = [r.held, r.waiting, r.busy, r.loads, r.memory_part];
+fn put_report(p: &mut Put, r: &LoadReport) {
+    let all = [
+        r.in_flight,
+        r.queued,
+        r.utilization,
+        r.loads_in_progress,
+        r.memory_fraction,
+    ];
     p.byte(
         all.iter()
             .enumerate()
@@ -185,7 +202,7 @@
     all.into_iter().flatten().for_each(|v| p.f(v));
 }
 
-fn get_report(g: &mut Get) -> Result<Report, Bad> {
+fn get_report(g: &mut Get) -> Result<LoadReport, Bad> {
     let bits = g.byte()?;
     let mut next = |n: u8| {
         if bits >> n & 1 == 1 {
@@ -194,18 +211,21 @@
             Ok(None)
         }
     };
-    Ok(Report {
-        held: next(0)?,
-        waiting: next(1)?,
-        busy: next(2)?,
-        loads: next(3)?,
-        memory_part: next(4)?,
+    Ok(LoadReport {
+        in_flight: next(0)?,
+        queued: next(1)?,
+        utilization: next(2)?,
+        loads_in_progress: next(3)?,
+        memory_fraction: next(4)?,
     })
 }
 
 fn put_event(p: &mut Put, event: &Event) {
     match event {
-        Event::List { mode, entries } => {
+        Event::EndpointList {
+            kind: mode,
+            endpoints: entries,
+        } => {
             p.byte(0);
             put_of(p, MODES, mode);
             p.u(entries.len() as u64);
@@ -213,35 +233,35 @@
                 p.u(e.worker.into());
                 p.u(e.fingerprint);
                 p.u(e.zone.into());
-                p.u(e.kind.into());
+                p.u(e.machine_kind.into());
                 p.u(e.cell.into());
-                put_of(p, STANDINGS, &e.standing);
+                put_of(p, STANDINGS, &e.state);
                 p.f(e.weight);
-                p.maybe(e.started, Put::i);
+                p.maybe(e.started_at, Put::i);
             }
         }
         Event::Invocation(a) => {
             // As it has always been, where no worker is preferred.
-            p.byte(if a.prefers.is_some() { 8 } else { 1 });
-            p.u(a.inv.into());
+            p.byte(if a.preferred_worker.is_some() { 8 } else { 1 });
+            p.u(a.invocation.into());
             p.u(a.trigger.into());
             p.u(a.account.into());
-            p.u(a.func.into());
+            p.u(a.function.into());
             p.maybe(a.cost_hint, Put::i);
             p.maybe(a.load_hint, Put::i);
             p.f(a.copy_mb);
             p.u(a.lanes.into());
-            p.i(a.client_gives_up_in);
+            p.i(a.client_timeout_in);
             p.i(a.waited);
             p.byte(u8::from(a.repeat));
-            a.prefers.into_iter().for_each(|w| p.u(w.into()));
+            a.preferred_worker.into_iter().for_each(|w| p.u(w.into()));
         }
-        Event::Departed { inv } => {
+        Event::ClientLeft { invocation: inv } => {
             p.byte(2);
             p.u((*inv).into());
         }
-        Event::Answering {
-            inv,
+        Event::AnswerStarted {
+            invocation: inv,
             dispatch,
             worker,
         } => {
@@ -252,19 +272,19 @@
         }
         Event::DispatchEnded(e) => {
             p.byte(4);
-            [e.inv, e.dispatch, e.worker]
+            [e.invocation, e.dispatch, e.worker]
                 .into_iter()
                 .for_each(|n| p.u(n.into()));
             put_of(p, OUTCOMES, &e.outcome);
             p.i(e.took);
-            p.byte(u8::from(e.concluded));
-            put_of(p, NOTES, &e.note);
-            p.maybe(e.crowd, |p, n| p.u(n.into()));
+            p.byte(u8::from(e.answered));
+            put_of(p, NOTES, &e.copy_status);
+            p.maybe(e.function_load, |p, n| p.u(n.into()));
             put_report(p, &e.report);
         }
         Event::OrderEnded {
             worker,
-            func,
+            function: func,
             result,
             took,
             copies,
@@ -276,7 +296,7 @@
             p.i(*took);
             p.u((*copies).into());
         }
-        Event::Probed {
+        Event::ProbeEnded {
             worker,
             outcome,
             took,
@@ -292,15 +312,18 @@
             p.byte(7);
             p.u(*token);
         }
-        Event::Wanted { worker, asked } => {
+        Event::CopyWanted {
+            worker,
+            function: asked,
+        } => {
             p.byte(9);
-            [*worker, asked.func, asked.trigger, asked.lanes]
+            [*worker, asked.function, asked.trigger, asked.lanes]
                 .into_iter()
                 .for_each(|n| p.u(n.into()));
         }
-        Event::Held {
+        Event::CopiesReported {
             worker,
-            func,
+            function: func,
             copies,
         } => {
             p.byte(10);
@@ -314,19 +337,19 @@
 fn get_arrival(g: &mut Get, fingerprint: &dyn Fn(u32) -> u64) -> Result<Arrival, Bad> {
     let (inv, trigger, account, func) = (g.u32()?, g.u32()?, g.u32()?, g.u32()?);
     Ok(Arrival {
-        inv,
+        invocation: inv,
         trigger,
         account,
-        func,
+        function: func,
         fingerprint: fingerprint(func),
         cost_hint: g.maybe(Get::i)?,
         load_hint: g.maybe(Get::i)?,
         copy_mb: g.f()?,
         lanes: g.u32()?,
-        client_gives_up_in: g.i()?,
+        client_timeout_in: g.i()?,
         waited: g.i()?,
         repeat: g.flag()?,
-        prefers: None,
+        preferred_worker: None,
     })
 }
 
@@ -336,15 +359,15 @@
         0 => {
             let mode = get_of(g, MODES)?;
             let entries = g.many(|g| {
-                Ok(ListEntry {
+                Ok(Endpoint {
                     worker: g.u32()?,
                     fingerprint: g.u()?,
                     zone: g.u32()?,
-                    kind: g.u32()?,
+                    machine_kind: g.u32()?,
                     cell: g.u32()?,
-                    standing: get_of(g, STANDINGS)?,
+                    state: get_of(g, STANDINGS)?,
                     weight: g.f()?,
-                    started: g.maybe(Get::i)?,
+                    started_at: g.maybe(Get::i)?,
                 })
             })?;
             Happened::List { mode, entries }
@@ -353,48 +376,56 @@
         8 => {
             let arrival = get_arrival(g, fingerprint)?;
             let prefers = Some(g.u32()?);
-            Happened::Other(Event::Invocation(Arrival { prefers, ..arrival }))
+            Happened::Other(Event::Invocation(Arrival {
+                preferred_worker: prefers,
+                ..arrival
+            }))
         }
         9 => {
             let (worker, func, trigger, lanes) = (g.u32()?, g.u32()?, g.u32()?, g.u32()?);
-            let asked = Asked {
-                func,
+            let asked = FunctionInfo {
+                function: func,
                 fingerprint: fingerprint(func),
                 trigger,
                 lanes,
             };
-            Happened::Other(Event::Wanted { worker, asked })
+            Happened::Other(Event::CopyWanted {
+                worker,
+                function: asked,
+            })
         }
-        10 => Happened::Other(Event::Held {
+        10 => Happened::Other(Event::CopiesReported {
             worker: g.u32()?,
-            func: g.u32()?,
+            function: g.u32()?,
             copies: g.u32()?,
         }),
-        2 => Happened::Other(Event::Departed { inv: g.u32()? }),
-        3 => Happened::Other(Event::Answering {
-            inv: g.u32()?,
+        2 => Happened::Other(Event::ClientLeft {
+            invocation: g.u32()?,
+        }),
+        3 => Happened::Other(Event::AnswerStarted {
+            invocation: g.u32()?,
             dispatch: g.u32()?,
             worker: g.u32()?,
         }),
-        4 => Happened::Other(Event::DispatchEnded(Ending {
-            inv: g.u32()?,
+        4 => Happened::Other(Event::DispatchEnded(DispatchEnded {
+            invocation: g.u32()?,
             dispatch: g.u32()?,
             worker: g.u32()?,
             outcome: get_of(g, OUTCOMES)?,
             took: g.i()?,
-            concluded: g.flag()?,
-            note: get_of(g, NOTES)?,
-            crowd: g.maybe(Get::u32)?,
+            answered: g.flag()?,
+            copy_status: get_of(g, NOTES)?,
+            function_load: g.maybe(Get::u32)?,
             report: get_report(g)?,
         })),
         5 => Happened::Other(Event::OrderEnded {
             worker: g.u32()?,
-            func: g.u32()?,
+            function: g.u32()?,
             result: get_of(g, RESULTS)?,
             took: g.i()?,
             copies: g.u32()?,
         }),
-        6 => Happened::Other(Event::Probed {
+        6 => Happened::Other(Event::ProbeEnded {
             worker: g.u32()?,
             outcome: get_of(g, OUTCOMES)?,
             took: g.i()?,
@@ -408,32 +439,38 @@
 pub fn put_action(p: &mut Put, action: &Action) {
     match *action {
         Action::Dispatch {
-            inv,
+            invocation: inv,
             worker,
-            time_out,
+            timeout: time_out,
         } => {
             p.byte(0);
             p.u(inv.into());
             p.u(worker.into());
             p.maybe(time_out, Put::i);
         }
-        Action::Withdraw { inv, dispatch } => {
+        Action::Cancel {
+            invocation: inv,
+            dispatch,
+        } => {
             p.byte(1);
             p.u(inv.into());
             p.u(dispatch.into());
         }
-        Action::Throttle { inv, return_after } => {
+        Action::Reject {
+            invocation: inv,
+            retry_after: return_after,
+        } => {
             p.byte(2);
             p.u(inv.into());
             p.maybe(return_after, Put::i);
         }
-        Action::Error { inv } => {
+        Action::Fail { invocation: inv } => {
             p.byte(3);
             p.u(inv.into());
         }
-        Action::Order {
+        Action::LoadOrder {
             worker,
-            func,
+            function: func,
             copies,
         } => {
             p.byte(4);
@@ -441,7 +478,10 @@
                 .into_iter()
                 .for_each(|n| p.u(n.into()));
         }
-        Action::Unload { worker, func } => {
+        Action::Unload {
+            worker,
+            function: func,
+        } => {
             p.byte(5);
             p.u(worker.into());
             p.u(func.into());
@@ -455,11 +495,11 @@
             p.u(token);
             p.i(after);
         }
-        Action::AskList { follow } => {
+        Action::RequestEndpointList { watch: follow } => {
             p.byte(8);
             p.byte(u8::from(follow));
         }
-        Action::Forget { func } => {
+        Action::ReleaseFunction { function: func } => {
             p.byte(9);
             p.u(func.into());
         }
@@ -469,35 +509,37 @@
 fn get_action(g: &mut Get) -> Result<Action, Bad> {
     Ok(match g.byte()? {
         0 => Action::Dispatch {
-            inv: g.u32()?,
+            invocation: g.u32()?,
             worker: g.u32()?,
-            time_out: g.maybe(Get::i)?,
+            timeout: g.maybe(Get::i)?,
         },
-        1 => Action::Withdraw {
-            inv: g.u32()?,
+        1 => Action::Cancel {
+            invocation: g.u32()?,
             dispatch: g.u32()?,
         },
-        2 => Action::Throttle {
-            inv: g.u32()?,
-            return_after: g.maybe(Get::i)?,
+        2 => Action::Reject {
+            invocation: g.u32()?,
+            retry_after: g.maybe(Get::i)?,
+        },
+        3 => Action::Fail {
+            invocation: g.u32()?,
         },
-        3 => Action::Error { inv: g.u32()? },
-        4 => Action::Order {
+        4 => Action::LoadOrder {
             worker: g.u32()?,
-            func: g.u32()?,
+            function: g.u32()?,
             copies: g.u32()?,
         },
         5 => Action::Unload {
             worker: g.u32()?,
-            func: g.u32()?,
+            function: g.u32()?,
         },
         6 => Action::Probe { worker: g.u32()? },
         7 => Action::Timer {
             token: g.u()?,
             after: g.i()?,
         },
-        8 => Action::AskList { follow: g.flag()? },
-        9 => Action::Forget { func: g.u32()? },
+        8 => Action::RequestEndpointList { watch: g.flag()? },
+        9 => Action::ReleaseFunction { function: g.u32()? },
         _ => return Err(Bad::Unknown),
     })
 }
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -98,7 +98,7 @@
             file: first.start.file,
         });
     }
-    let mut control = first.start.control();
+    let mut control = first.start.balancer();
     out.same_module = first.start.module == module_digest();
     let mut began: Option<Micros> = None;
     for (n, reader) in row.iter_mut().enumerate() {
@@ -121,7 +121,7 @@
                 let step = match record {
                     Record::Decided { happened, actions } => {
                         let mut replayed = Vec::new();
-                        control.decide(at, &happened.event(), &mut replayed);
+                        control.handle(at, &happened.event(), &mut replayed);
                         out.decisions += 1;
                         out.span = at - *began.get_or_insert(at);
                         Step::Decided {
--- a/crates/trace/src/rules.rs
+++ b/crates/trace/src/rules.rs
@@ -8,7 +8,8 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use cedarpulley::interface::{
-    Action, Effect, Event, InvIx, Micros, Outcome, RepeatGroup, Standing,
+    Action, DeduplicationScope, DispatchOutcome, Effect, EndpointState, Event, InvocationIndex,
+    Micros,
 };
 use cedarpulley_router::Fate;
 use serde::Serialize;
@@ -37,7 +38,7 @@
     worker: u32,
     at: Micros,
     /// Absent: it is out.
-    outcome: Option<Outcome>,
+    outcome: Option<DispatchOutcome>,
     /// A break, if it turns out that it was sent.
     suspect: Option<(u8, String)>,
 }
@@ -53,8 +54,8 @@
 #[derive(Default)]
 struct Side {
     now: Micros,
-    open: HashMap<InvIx, Open>,
-    marks: HashMap<InvIx, u64>,
+    open: HashMap<InvocationIndex, Open>,
+    marks: HashMap<InvocationIndex, u64>,
     /// Zone, cell, and since when it is told to drain or gone.
     workers: HashMap<u32, (u32, u32, Option<Micros>)>,
     taken: VecDeque<Micros>,
@@ -122,7 +123,7 @@
                 let ran = open
                     .sent
                     .iter()
-                    .any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
+                    .any(|s| s.outcome.is_none_or(|o| !o.not_executed()));
                 if late > 0 {
                     self.breaks(
                         1,
@@ -152,8 +153,8 @@
         match happened {
             Happened::List { entries, .. } => {
                 for e in entries {
-                    let since = match e.standing {
-                        Standing::InService => None,
+                    let since = match e.state {
+                        EndpointState::InService => None,
                         _ => side.workers.get(&e.worker).and_then(|w| w.2).or(Some(at)),
                     };
                     side.workers.insert(e.worker, (e.zone, e.cell, since));
@@ -161,13 +162,13 @@
             }
             Happened::Other(Event::Invocation(a)) => {
                 self.out.invocations += 1;
-                let window = of.start.startup.loads.ration_window;
+                let window = of.start.startup.loads.order_quota_window;
                 if window > 0 {
                     side.taken.push_back(at);
                     forget(&mut side.taken, at - window);
                 }
-                let mark = side.marks.remove(&a.inv);
-                let gives_up = at.saturating_add(a.client_gives_up_in);
+                let mark = side.marks.remove(&a.invocation);
+                let gives_up = at.saturating_add(a.client_timeout_in);
                 let open = Open {
                     trigger: a.trigger,
                     mark,
@@ -175,21 +176,21 @@
                     answered: false,
                     sent: Vec::new(),
                 };
-                if let Some(before) = side.open.insert(a.inv, open) {
+                if let Some(before) = side.open.insert(a.invocation, open) {
                     self.over(of, before, at);
                 }
             }
-            Happened::Other(Event::Departed { inv }) => {
+            Happened::Other(Event::ClientLeft { invocation: inv }) => {
                 if let Some(open) = side.open.get_mut(inv) {
                     open.answered = true;
                 }
             }
             Happened::Other(Event::DispatchEnded(e)) => {
-                let Some(open) = side.open.get_mut(&e.inv) else {
+                let Some(open) = side.open.get_mut(&e.invocation) else {
                     return;
                 };
                 // Concluded without an answer: its front was lost, and nobody waits for it here.
-                open.answered |= e.concluded;
+                open.answered |= e.answered;
                 let (mark, trigger) = (open.mark, open.trigger);
                 let Some(sent) = open.sent.get_mut(e.dispatch as usize) else {
                     return;
@@ -198,7 +199,7 @@
                 let suspect = sent
                     .suspect
                     .take()
-                    .filter(|_| e.outcome != Outcome::NotSent);
+                    .filter(|_| e.outcome != DispatchOutcome::NotSent);
                 let once = of
                     .start
                     .startup
@@ -206,7 +207,7 @@
                     .get(trigger as usize)
                     .map(|t| t.effect)
                     == Some(Effect::NonIdempotent);
-                if let Some(mark) = mark.filter(|_| once && !e.outcome.never_ran()) {
+                if let Some(mark) = mark.filter(|_| once && !e.outcome.not_executed()) {
                     if self.ran.len() < MOST_MARKS {
                         self.ran.insert(mark, source);
                     } else {
@@ -227,12 +228,16 @@
         };
         let told = |why: &str| format!("{} at {} us: {why}", of.start.router, of.wall(at));
         match *action {
-            Action::Dispatch { inv, worker, .. } => {
+            Action::Dispatch {
+                invocation: inv,
+                worker,
+                ..
+            } => {
                 let Some(open) = side.open.get_mut(&inv) else {
                     return;
                 };
                 let place = side.workers.get(&worker).copied();
-                let ran = |s: &Sent| s.outcome.is_none_or(|o| !o.never_ran());
+                let ran = |s: &Sent| s.outcome.is_none_or(|o| !o.not_executed());
                 let trigger = of.start.startup.triggers.get(open.trigger as usize);
                 let elsewhere = open
                     .mark
@@ -243,13 +248,20 @@
                     Some(Effect::NonIdempotent) if open.sent.iter().any(ran) || elsewhere => {
                         suspect = Some((2, told("sent again, and it may have run")));
                     }
-                    Some(Effect::Tokened { group, window }) => {
+                    Some(Effect::IdempotentByKey {
+                        scope: group,
+                        window,
+                    }) => {
                         for s in open.sent.iter().filter(|s| ran(s)) {
                             let before = side.workers.get(&s.worker);
                             let same = match group {
-                                RepeatGroup::All => true,
-                                RepeatGroup::Zone => before.map(|w| w.0) == place.map(|w| w.0),
-                                RepeatGroup::Cell => before.map(|w| w.1) == place.map(|w| w.1),
+                                DeduplicationScope::All => true,
+                                DeduplicationScope::Zone => {
+                                    before.map(|w| w.0) == place.map(|w| w.0)
+                                }
+                                DeduplicationScope::Cell => {
+                                    before.map(|w| w.1) == place.map(|w| w.1)
+                                }
                             };
                             if !same || at - s.at > window {
                                 suspect =
@@ -259,7 +271,7 @@
                     }
                     _ => {}
                 }
-                if !of.start.startup.limits.second_copies
+                if !of.start.startup.limits.hedged_requests
                     && open.sent.iter().any(|s| s.outcome.is_none())
                 {
                     suspect = Some((2, told("a second copy where none is allowed")));
@@ -282,16 +294,16 @@
                     suspect,
                 });
             }
-            Action::Order { copies, .. } if copies > 0 => {
-                let window = of.start.startup.loads.ration_window;
+            Action::LoadOrder { copies, .. } if copies > 0 => {
+                let window = of.start.startup.loads.order_quota_window;
                 if window <= 0 {
                     return;
                 }
                 side.orders.push_back(at);
                 forget(&mut side.orders, at - window);
                 forget(&mut side.taken, at - window);
-                let allowed = of.start.startup.loads.ration_few
-                    + of.start.startup.loads.ration_part * side.taken.len() as f64;
+                let allowed = of.start.startup.loads.order_quota_base
+                    + of.start.startup.loads.order_quota_per_invocation * side.taken.len() as f64;
                 if side.orders.len() as f64 > allowed + 1e-9 {
                     let why = format!(
                         "{} orders, and {allowed:.1} were allowed",
@@ -326,7 +338,7 @@
         sides.sort_by_key(|(n, _)| *n);
         for (n, side) in sides {
             let Some(of) = sources.get(&n) else { continue };
-            let mut open: Vec<(InvIx, Open)> = side.open.into_iter().collect();
+            let mut open: Vec<(InvocationIndex, Open)> = side.open.into_iter().collect();
             open.sort_by_key(|(inv, _)| *inv);
             for (_, open) in open {
                 self.over(of, open, side.now);
--- a/crates/trace/src/select.rs
+++ b/crates/trace/src/select.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, HashSet};
 
 use cedarpulley::ids::fingerprint;
-use cedarpulley::interface::{Action, Event, InvIx, Micros};
+use cedarpulley::interface::{Action, Event, InvocationIndex, Micros};
 
 use crate::records::{Happened, Record, Space};
 use crate::start::Source;
@@ -42,8 +42,8 @@
     account: Option<u32>,
     names: HashMap<(Space, u32), String>,
     /// Whose mark was the one asked for; and those that belong while they are out.
-    marked: HashSet<InvIx>,
-    belongs: HashSet<InvIx>,
+    marked: HashSet<InvocationIndex>,
+    belongs: HashSet<InvocationIndex>,
 }
 
 impl<'a> Select<'a> {
@@ -131,50 +131,64 @@
             }
             Happened::Other(Event::Invocation(a)) => {
                 let function = self.wanted.function.as_deref();
-                let fits = function.is_none_or(|f| self.name(Space::Function, a.func) == Some(f))
+                let fits = function
+                    .is_none_or(|f| self.name(Space::Function, a.function) == Some(f))
                     && self.account.is_none_or(|own| own == a.account)
-                    && (self.mark.is_none() || self.marked.contains(&a.inv));
+                    && (self.mark.is_none() || self.marked.contains(&a.invocation));
                 // By worker alone an invocation belongs from its dispatch there on.
                 let only_worker =
                     function.is_none() && self.account.is_none() && self.mark.is_none();
                 if fits && !only_worker {
-                    self.belongs.insert(a.inv);
+                    self.belongs.insert(a.invocation);
                 }
             }
             Happened::Other(
-                Event::Probed { worker, .. }
+                Event::ProbeEnded { worker, .. }
                 | Event::OrderEnded { worker, .. }
-                | Event::Wanted { worker, .. }
-                | Event::Held { worker, .. },
+                | Event::CopyWanted { worker, .. }
+                | Event::CopiesReported { worker, .. },
             ) => {
                 any |= self.is_worker(*worker);
             }
             Happened::Other(Event::DispatchEnded(e)) => {
-                any |= self.is_worker(e.worker) || self.belongs.contains(&e.inv);
+                any |= self.is_worker(e.worker) || self.belongs.contains(&e.invocation);
             }
-            Happened::Other(Event::Departed { inv } | Event::Answering { inv, .. }) => {
+            Happened::Other(
+                Event::ClientLeft { invocation: inv }
+                | Event::AnswerStarted {
+                    invocation: inv, ..
+                },
+            ) => {
                 any |= self.belongs.contains(inv);
             }
             // A list is never among the others.
-            Happened::Other(Event::Timer { .. } | Event::List { .. }) => {}
+            Happened::Other(Event::Timer { .. } | Event::EndpointList { .. }) => {}
         }
         if let Happened::Other(Event::Invocation(a)) = happened {
-            any |= self.belongs.contains(&a.inv);
+            any |= self.belongs.contains(&a.invocation);
         }
         for action in actions {
             match action {
-                Action::Dispatch { inv, worker, .. } => {
+                Action::Dispatch {
+                    invocation: inv,
+                    worker,
+                    ..
+                } => {
                     if self.is_worker(*worker) {
                         self.belongs.insert(*inv);
                     }
                     any |= self.belongs.contains(inv);
                 }
-                Action::Withdraw { inv, .. }
-                | Action::Throttle { inv, .. }
-                | Action::Error { inv } => {
+                Action::Cancel {
+                    invocation: inv, ..
+                }
+                | Action::Reject {
+                    invocation: inv, ..
+                }
+                | Action::Fail { invocation: inv } => {
                     any |= self.belongs.contains(inv);
                 }
-                Action::Order { worker, .. }
+                Action::LoadOrder { worker, .. }
                 | Action::Unload { worker, .. }
                 | Action::Probe { worker } => {
                     any |= self.is_worker(*worker);
--- a/crates/trace/src/show.rs
+++ b/crates/trace/src/show.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use cedarpulley::ids::fingerprint;
-use cedarpulley::interface::{Action, Event, InvIx, Micros};
+use cedarpulley::interface::{Action, Event, InvocationIndex, Micros};
 
 use crate::records::{Happened, Record, Space};
 use crate::start::Source;
@@ -12,7 +12,7 @@
 pub struct Follow {
     mark: u64,
     /// Its index while it is out: indices are given out again.
-    inv: Option<InvIx>,
+    inv: Option<InvocationIndex>,
     workers: HashMap<u32, String>,
     functions: HashMap<u32, String>,
     pub lines: Vec<String>,
@@ -101,8 +101,8 @@
         };
         let mut texts = Vec::new();
         match happened {
-            Happened::Other(Event::Invocation(a)) if a.inv == own => {
-                let function = self.functions.get(&a.func).map_or("?", String::as_str);
+            Happened::Other(Event::Invocation(a)) if a.invocation == own => {
+                let function = self.functions.get(&a.function).map_or("?", String::as_str);
                 let kind = source
                     .start
                     .triggers_named
@@ -110,17 +110,17 @@
                     .map_or("?", String::as_str);
                 texts.push(format!(
                     "{kind} for {function}, gives up in {:.0} ms",
-                    a.client_gives_up_in as f64 / 1e3
+                    a.client_timeout_in as f64 / 1e3
                 ));
             }
-            Happened::Other(Event::DispatchEnded(e)) if e.inv == own => {
+            Happened::Other(Event::DispatchEnded(e)) if e.invocation == own => {
                 let (name, took) = (worker(&e.worker), e.took as f64 / 1e3);
                 texts.push(format!(
                     "dispatch {} to {name}: {:?} after {took:.1} ms",
                     e.dispatch, e.outcome
                 ));
             }
-            Happened::Other(Event::Departed { inv }) if *inv == own => {
+            Happened::Other(Event::ClientLeft { invocation: inv }) if *inv == own => {
                 texts.push("its client left".into())
             }
             _ => {}
@@ -128,25 +128,36 @@
         let mut acted = false;
         for action in actions {
             match action {
-                Action::Dispatch { inv, worker: w, .. } if *inv == own => {
+                Action::Dispatch {
+                    invocation: inv,
+                    worker: w,
+                    ..
+                } if *inv == own => {
                     acted = true;
                     texts.push(format!("dispatched to {}", worker(w)));
                 }
-                Action::Withdraw { inv, dispatch } if *inv == own => {
+                Action::Cancel {
+                    invocation: inv,
+                    dispatch,
+                } if *inv == own => {
                     texts.push(format!("dispatch {dispatch} called back"));
                 }
-                Action::Throttle { inv, .. } if *inv == own => {
+                Action::Reject {
+                    invocation: inv, ..
+                } if *inv == own => {
                     acted = true;
                     texts.push("given up, harmlessly".into());
                 }
-                Action::Error { inv } if *inv == own => {
+                Action::Fail { invocation: inv } if *inv == own => {
                     acted = true;
                     texts.push("given up with an error".into());
                 }
                 _ => {}
             }
         }
-        if matches!(happened, Happened::Other(Event::Invocation(a)) if a.inv == own) && !acted {
+        if matches!(happened, Happened::Other(Event::Invocation(a)) if a.invocation == own)
+            && !acted
+        {
             texts.push("held".into());
         }
         for text in texts {
--- a/crates/trace/src/start.rs
+++ b/crates/trace/src/start.rs
@@ -1,7 +1,7 @@
 //! What a trace file begins with: all that the module was born with, so that it can be born again, and the names that
 //! stand for its indices.
 
-use cedarpulley::Control;
+use cedarpulley::Balancer;
 use cedarpulley::interface::*;
 use cedarpulley_startup::StartupSettings;
 
@@ -126,8 +126,8 @@
 
 impl Start {
     /// The module, born again.
-    pub fn control(&self) -> Control {
-        self.startup.control(self.seed)
+    pub fn balancer(&self) -> Balancer {
+        self.startup.balancer(self.seed)
     }
 
     pub fn put(&self) -> Vec<u8> {
@@ -154,18 +154,18 @@
         p.i(f.granularity);
         let l = &self.startup.limits;
         p.u(l.max_dispatches.into());
-        [l.second_copies, l.withdrawals, l.probes]
+        [l.hedged_requests, l.cancellation, l.probes]
             .into_iter()
             .for_each(|b| p.byte(b.into()));
-        p.i(l.connect_within);
-        p.i(l.max_advice);
+        p.i(l.connect_timeout);
+        p.i(l.max_retry_after);
         let r = &self.startup.rules;
-        [r.answer_slack, r.drain_grace, r.ask_within]
+        [r.answer_slack, r.drain_grace, r.list_request_timeout]
             .into_iter()
             .for_each(|t| p.i(t));
         p.byte(r.list_on_request.into());
-        p.f(r.cold_part);
-        p.i(r.cold_for);
+        p.f(r.slow_start_fraction);
+        p.i(r.slow_start_duration);
         p.f(r.overload_multiple);
         p.i(r.overload_window);
         p.u(self.startup.triggers.len() as u64);
@@ -173,36 +173,44 @@
             match t.effect {
                 Effect::Idempotent => p.byte(0),
                 Effect::NonIdempotent => p.byte(1),
-                Effect::Tokened { group, window } => {
+                Effect::IdempotentByKey {
+                    scope: group,
+                    window,
+                } => {
                     p.byte(match group {
-                        RepeatGroup::All => 2,
-                        RepeatGroup::Zone => 3,
-                        RepeatGroup::Cell => 4,
+                        DeduplicationScope::All => 2,
+                        DeduplicationScope::Zone => 3,
+                        DeduplicationScope::Cell => 4,
                     });
                     p.i(window);
                 }
             }
             p.i(t.latency_objective);
-            p.f(t.objective_stretch);
+            p.f(t.objective_work_multiple);
             p.i(t.client_timeout);
             p.f(t.billed_value);
-            p.f(t.late_part);
+            p.f(t.late_value_fraction);
             p.byte(t.streamed.into());
         }
         p.u(self.startup.accounts.len() as u64);
         for a in &self.startup.accounts {
-            p.f(a.allowance_per_s);
+            p.f(a.quota_per_s);
             p.f(a.share);
         }
         let l = &self.startup.loads;
-        p.i(l.idle_kept);
-        [l.orders, l.loads_when_absent, l.notes, l.crowds]
-            .into_iter()
-            .for_each(|b| p.byte(b.into()));
-        p.i(l.order_answered_within);
-        p.i(l.ration_window);
-        p.f(l.ration_few);
-        p.f(l.ration_part);
+        p.i(l.idle_retention);
+        [
+            l.load_orders,
+            l.loads_when_absent,
+            l.reports_copy_status,
+            l.reports_function_load,
+        ]
+        .into_iter()
+        .for_each(|b| p.byte(b.into()));
+        p.i(l.order_timeout);
+        p.i(l.order_quota_window);
+        p.f(l.order_quota_base);
+        p.f(l.order_quota_per_invocation);
         p.u(l.memory_mb.len() as u64);
         l.memory_mb.iter().for_each(|m| p.f(*m));
         let c = &self.startup.prices;
@@ -212,14 +220,14 @@
             c.waste,
             c.probe,
             c.late_error,
-            c.over_share,
+            c.over_quota,
         ]
         .into_iter()
         .for_each(|x| p.f(x));
         p.byte(match self.startup.reports {
-            ReportsIn::Answers => 0,
-            ReportsIn::Probes => 1,
-            ReportsIn::Nothing => 2,
+            ReportSource::Answers => 0,
+            ReportSource::Probes => 1,
+            ReportSource::Nothing => 2,
         });
         out.bytes
     }
@@ -240,19 +248,19 @@
         };
         let limits = DispatchLimits {
             max_dispatches: g.u32()?,
-            second_copies: g.flag()?,
-            withdrawals: g.flag()?,
+            hedged_requests: g.flag()?,
+            cancellation: g.flag()?,
             probes: g.flag()?,
-            connect_within: g.i()?,
-            max_advice: g.i()?,
+            connect_timeout: g.i()?,
+            max_retry_after: g.i()?,
         };
-        let rules = RuleTerms {
+        let rules = RuleLimits {
             answer_slack: g.i()?,
             drain_grace: g.i()?,
-            ask_within: g.i()?,
+            list_request_timeout: g.i()?,
             list_on_request: g.flag()?,
-            cold_part: g.f()?,
-            cold_for: g.i()?,
+            slow_start_fraction: g.f()?,
+            slow_start_duration: g.i()?,
             overload_multiple: g.f()?,
             overload_window: g.i()?,
         };
@@ -260,16 +268,16 @@
             let effect = match g.byte()? {
                 0 => Effect::Idempotent,
                 1 => Effect::NonIdempotent,
-                2 => Effect::Tokened {
-                    group: RepeatGroup::All,
+                2 => Effect::IdempotentByKey {
+                    scope: DeduplicationScope::All,
                     window: g.i()?,
                 },
-                3 => Effect::Tokened {
-                    group: RepeatGroup::Zone,
+                3 => Effect::IdempotentByKey {
+                    scope: DeduplicationScope::Zone,
                     window: g.i()?,
                 },
-                4 => Effect::Tokened {
-                    group: RepeatGroup::Cell,
+                4 => Effect::IdempotentByKey {
+                    scope: DeduplicationScope::Cell,
                     window: g.i()?,
                 },
                 _ => return Err(Bad::Unknown),
@@ -277,32 +285,32 @@
             Ok(TriggerType {
                 effect,
                 latency_objective: g.i()?,
-                objective_stretch: g.f()?,
+                objective_work_multiple: g.f()?,
                 client_timeout: g.i()?,
                 billed_value: g.f()?,
-                late_part: g.f()?,
+                late_value_fraction: g.f()?,
                 streamed: g.flag()?,
             })
         })?;
         let accounts = g.many(|g| {
             Ok(Account {
-                allowance_per_s: g.f()?,
+                quota_per_s: g.f()?,
                 share: g.f()?,
             })
         })?;
         let idle_kept = g.i()?;
         let (orders, loads_when_absent, notes, crowds) =
             (g.flag()?, g.flag()?, g.flag()?, g.flag()?);
-        let loads = LoadTerms {
-            idle_kept,
-            orders,
+        let loads = LoadSettings {
+            idle_retention: idle_kept,
+            load_orders: orders,
             loads_when_absent,
-            notes,
-            crowds,
-            order_answered_within: g.i()?,
-            ration_window: g.i()?,
-            ration_few: g.f()?,
-            ration_part: g.f()?,
+            reports_copy_status: notes,
+            reports_function_load: crowds,
+            order_timeout: g.i()?,
+            order_quota_window: g.i()?,
+            order_quota_base: g.f()?,
+            order_quota_per_invocation: g.f()?,
             memory_mb: g.many(Get::f)?,
         };
         let prices = Prices {
@@ -311,12 +319,12 @@
             waste: g.f()?,
             probe: g.f()?,
             late_error: g.f()?,
-            over_share: g.f()?,
+            over_quota: g.f()?,
         };
         let reports = match g.byte()? {
-            0 => ReportsIn::Answers,
-            1 => ReportsIn::Probes,
-            2 => ReportsIn::Nothing,
+            0 => ReportSource::Answers,
+            1 => ReportSource::Probes,
+            2 => ReportSource::Nothing,
             _ => return Err(Bad::Unknown),
         };
         Ok(Start {
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 
-use cedarpulley::interface::{Action, Event, Micros, Outcome};
+use cedarpulley::interface::{Action, DispatchOutcome, Event, Micros};
 use cedarpulley_router::Fate;
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -244,9 +244,13 @@
         if let Happened::Other(Event::Invocation(a)) = happened {
             self.out.invocations += 1;
             let done = actions.iter().any(|x| match x {
-                Action::Dispatch { inv, .. }
-                | Action::Throttle { inv, .. }
-                | Action::Error { inv } => *inv == a.inv,
+                Action::Dispatch {
+                    invocation: inv, ..
+                }
+                | Action::Reject {
+                    invocation: inv, ..
+                }
+                | Action::Fail { invocation: inv } => *inv == a.invocation,
                 _ => false,
             });
             self.out.held += u64::from(!done);
@@ -254,8 +258,8 @@
         if let Happened::Other(Event::DispatchEnded(e)) = happened {
             let at = self.worker(e.worker);
             match e.outcome {
-                Outcome::Succeeded => at.succeeded += 1,
-                Outcome::Withdrawn => {}
+                DispatchOutcome::Succeeded => at.succeeded += 1,
+                DispatchOutcome::Cancelled => {}
                 _ => at.failed += 1,
             }
         }
@@ -265,11 +269,11 @@
                     self.out.dispatches += 1;
                     self.worker(*worker).dispatches += 1;
                 }
-                Action::Order { worker, copies, .. } if *copies > 0 => {
+                Action::LoadOrder { worker, copies, .. } if *copies > 0 => {
                     self.out.orders += 1;
                     self.worker(*worker).orders += 1;
                 }
-                Action::Withdraw { .. } => self.out.withdrawn += 1,
+                Action::Cancel { .. } => self.out.withdrawn += 1,
                 _ => {}
             }
         }
--- a/crates/trace/tests/compared.rs
+++ b/crates/trace/tests/compared.rs
@@ -42,18 +42,18 @@
 #[test]
 fn each_kind_is_told() {
     let send = |worker| Action::Dispatch {
-        inv: 1,
+        invocation: 1,
         worker,
-        time_out: None,
+        timeout: None,
     };
-    let order = |worker, func| Action::Order {
+    let order = |worker, func| Action::LoadOrder {
         worker,
-        func,
+        function: func,
         copies: 1,
     };
-    let throttle = Action::Throttle {
-        inv: 1,
-        return_after: Some(5),
+    let throttle = Action::Reject {
+        invocation: 1,
+        retry_after: Some(5),
     };
     let timer = |token| Action::Timer { token, after: 9 };
     let cases: [(&[Action], &[Action], &[Kind]); 11] = [
@@ -67,9 +67,9 @@
         ),
         (
             &[throttle],
-            &[Action::Throttle {
-                inv: 1,
-                return_after: None,
+            &[Action::Reject {
+                invocation: 1,
+                retry_after: None,
             }],
             &[Kind::OtherFigures],
         ),
@@ -85,14 +85,14 @@
         // Called back and sent again is a sending.
         (
             &[
-                Action::Withdraw {
-                    inv: 1,
+                Action::Cancel {
+                    invocation: 1,
                     dispatch: 0,
                 },
                 send(1),
             ],
-            &[Action::Withdraw {
-                inv: 1,
+            &[Action::Cancel {
+                invocation: 1,
                 dispatch: 0,
             }],
             &[Kind::Instead(Did::Sent, Did::CalledBack)],
--- a/crates/trace/tests/every_cause/mod.rs
+++ b/crates/trace/tests/every_cause/mod.rs
@@ -31,15 +31,15 @@
             now: 0,
             inv: 0,
         };
-        let entry = |worker: u32| ListEntry {
+        let entry = |worker: u32| Endpoint {
             worker,
             fingerprint: u64::from(worker) + 99,
             zone: 0,
-            kind: 0,
+            machine_kind: 0,
             cell: 0,
-            standing: Standing::InService,
+            state: EndpointState::InService,
             weight: 1.0,
-            started: None,
+            started_at: None,
         };
         for n in 0..5 {
             told.gather.name(0, Space::Worker, n, &format!("w{n}"));
@@ -47,10 +47,10 @@
         }
         told.record(Record::Decided {
             happened: Happened::List {
-                mode: ListMode::Complete,
+                mode: EndpointListKind::Complete,
                 entries: (0..5).map(entry).collect(),
             },
-            actions: vec![Action::AskList { follow: true }],
+            actions: vec![Action::RequestEndpointList { watch: true }],
         });
         told
     }
@@ -77,19 +77,19 @@
             redelivered: inv.is_multiple_of(3),
         });
         let arrival = Arrival {
-            inv,
+            invocation: inv,
             trigger: 1,
             account: 0,
-            func,
+            function: func,
             fingerprint: fingerprint(&format!("f{func}")),
             cost_hint: None,
             load_hint: None,
             copy_mb: 1.0,
             lanes: 1,
-            client_gives_up_in: 4_000 * MS,
+            client_timeout_in: 4_000 * MS,
             waited,
             repeat: false,
-            prefers: None,
+            preferred_worker: None,
         };
         self.decided(Event::Invocation(arrival), act(inv));
         inv
@@ -99,9 +99,9 @@
         self.comes(func, waited, |inv| {
             let time_out = Some(2_000 * MS);
             vec![Action::Dispatch {
-                inv,
+                invocation: inv,
                 worker,
-                time_out,
+                timeout: time_out,
             }]
         })
     }
@@ -118,37 +118,44 @@
         });
     }
 
-    fn ended(&mut self, inv: u32, worker: u32, took: Micros, outcome: Outcome, note: CopyNote) {
-        let ending = Ending {
-            inv,
+    fn ended(
+        &mut self,
+        inv: u32,
+        worker: u32,
+        took: Micros,
+        outcome: DispatchOutcome,
+        note: CopyStatus,
+    ) {
+        let ending = DispatchEnded {
+            invocation: inv,
             dispatch: 0,
             worker,
             outcome,
             took,
-            concluded: outcome == Outcome::Succeeded,
-            note,
-            crowd: None,
-            report: Report::default(),
+            answered: outcome == DispatchOutcome::Succeeded,
+            copy_status: note,
+            function_load: None,
+            report: LoadReport::default(),
         };
-        let act = if outcome == Outcome::Succeeded {
+        let act = if outcome == DispatchOutcome::Succeeded {
             vec![]
         } else {
-            vec![Action::Error { inv }]
+            vec![Action::Fail { invocation: inv }]
         };
         self.decided(Event::DispatchEnded(ending), act);
     }
 
-    fn succeeds(&mut self, inv: u32, worker: u32, took: Micros, note: CopyNote) {
+    fn succeeds(&mut self, inv: u32, worker: u32, took: Micros, note: CopyStatus) {
         self.now += took;
         self.answered(Some(inv), Fate::Succeeded, Reason::Worker);
-        self.ended(inv, worker, took, Outcome::Succeeded, note);
+        self.ended(inv, worker, took, DispatchOutcome::Succeeded, note);
     }
 
     /// Sent once, and lost as its dispatch ends so.
-    fn fails(&mut self, worker: u32, outcome: Outcome) {
+    fn fails(&mut self, worker: u32, outcome: DispatchOutcome) {
         let inv = self.sent(0, worker, 0);
         self.now += USUAL;
-        self.ended(inv, worker, USUAL, outcome, CopyNote::Untold);
+        self.ended(inv, worker, USUAL, outcome, CopyStatus::Unreported);
         self.answered(Some(inv), Fate::Errored, Reason::GivenUp);
     }
 
@@ -157,9 +164,9 @@
         self.now += LATE;
         self.decided(
             Event::Timer { token: 7 },
-            vec![Action::Throttle {
-                inv,
-                return_after: None,
+            vec![Action::Reject {
+                invocation: inv,
+                retry_after: None,
             }],
         );
         self.answered(Some(inv), Fate::Throttled, Reason::GivenUp);
@@ -200,24 +207,24 @@
     fn workers(&mut self) {
         for _ in 0..10 {
             let inv = self.sent(0, 0, 0);
-            self.succeeds(inv, 0, USUAL, CopyNote::Found);
+            self.succeeds(inv, 0, USUAL, CopyStatus::Warm);
         }
-        self.fails(1, Outcome::TimedOut);
-        self.fails(2, Outcome::Errored);
-        self.fails(2, Outcome::Throttled);
-        self.fails(2, Outcome::Missed);
+        self.fails(1, DispatchOutcome::TimedOut);
+        self.fails(2, DispatchOutcome::Errored);
+        self.fails(2, DispatchOutcome::Rejected);
+        self.fails(2, DispatchOutcome::NotLoaded);
         let slow = self.sent(0, 3, 0);
-        self.succeeds(slow, 3, LATE, CopyNote::Found);
+        self.succeeds(slow, 3, LATE, CopyStatus::Warm);
         let came_late = self.sent(0, 0, LATE);
-        self.succeeds(came_late, 0, USUAL, CopyNote::Found);
+        self.succeeds(came_late, 0, USUAL, CopyStatus::Warm);
         // Late by a little more than the objective, at the usual pace of nothing else.
         let own = self.sent(0, 0, 750 * MS);
-        self.succeeds(own, 0, USUAL, CopyNote::Found);
+        self.succeeds(own, 0, USUAL, CopyStatus::Warm);
         let left = self.sent(0, 0, 0);
         self.decided(
-            Event::Departed { inv: left },
-            vec![Action::Withdraw {
-                inv: left,
+            Event::ClientLeft { invocation: left },
+            vec![Action::Cancel {
+                invocation: left,
                 dispatch: 0,
             }],
         );
@@ -227,9 +234,9 @@
         self.now = LOADS_AT;
         for func in 1..4 {
             self.held(func, |_| {
-                vec![Action::Order {
+                vec![Action::LoadOrder {
                     worker: 1,
-                    func,
+                    function: func,
                     copies: 1,
                 }]
             });
--- a/crates/trace/tests/every_record/mod.rs
+++ b/crates/trace/tests/every_record/mod.rs
@@ -17,40 +17,48 @@
 const STEP: Micros = 5;
 
 pub const EXTENTS: [Extent; 4] = [Extent::Whole, Extent::Cut, Extent::Stripped, Extent::Redone];
-const REPORTS: [ReportsIn; 3] = [ReportsIn::Answers, ReportsIn::Probes, ReportsIn::Nothing];
-const OUTCOMES: [Outcome; 9] = [
-    Outcome::Succeeded,
-    Outcome::Errored,
-    Outcome::Throttled,
-    Outcome::TimedOut,
-    Outcome::Unreachable,
-    Outcome::Broken,
-    Outcome::Withdrawn,
-    Outcome::NotSent,
-    Outcome::Missed,
+const REPORTS: [ReportSource; 3] = [
+    ReportSource::Answers,
+    ReportSource::Probes,
+    ReportSource::Nothing,
 ];
-const NOTES: [CopyNote; 5] = [
-    CopyNote::Untold,
-    CopyNote::Found,
-    CopyNote::Began,
-    CopyNote::Waited,
-    CopyNote::LoadErrored,
+const OUTCOMES: [DispatchOutcome; 9] = [
+    DispatchOutcome::Succeeded,
+    DispatchOutcome::Errored,
+    DispatchOutcome::Rejected,
+    DispatchOutcome::TimedOut,
+    DispatchOutcome::Unreachable,
+    DispatchOutcome::ConnectionLost,
+    DispatchOutcome::Cancelled,
+    DispatchOutcome::NotSent,
+    DispatchOutcome::NotLoaded,
 ];
-const RESULTS: [OrderResult; 6] = [
-    OrderResult::Stand,
-    OrderResult::NoRoom,
-    OrderResult::LoadErrored,
-    OrderResult::Broken,
-    OrderResult::Unreachable,
-    OrderResult::TimedOut,
+const NOTES: [CopyStatus; 5] = [
+    CopyStatus::Unreported,
+    CopyStatus::Warm,
+    CopyStatus::LoadStarted,
+    CopyStatus::LoadAwaited,
+    CopyStatus::LoadFailed,
 ];
-const MODES: [ListMode; 4] = [
-    ListMode::Changes,
-    ListMode::Complete,
-    ListMode::Saved,
-    ListMode::Failed,
+const RESULTS: [LoadOrderResult; 6] = [
+    LoadOrderResult::Loaded,
+    LoadOrderResult::NoCapacity,
+    LoadOrderResult::LoadFailed,
+    LoadOrderResult::ConnectionLost,
+    LoadOrderResult::Unreachable,
+    LoadOrderResult::TimedOut,
+];
+const MODES: [EndpointListKind; 4] = [
+    EndpointListKind::Changes,
+    EndpointListKind::Complete,
+    EndpointListKind::Cached,
+    EndpointListKind::Failed,
+];
+const STANDINGS: [EndpointState; 3] = [
+    EndpointState::InService,
+    EndpointState::Draining,
+    EndpointState::Gone,
 ];
-const STANDINGS: [Standing; 3] = [Standing::InService, Standing::Draining, Standing::Gone];
 pub const FATES: [Fate; 3] = [Fate::Succeeded, Fate::Throttled, Fate::Errored];
 pub const REASONS: [Reason; 11] = [
     Reason::Worker,
@@ -76,100 +84,100 @@
 ];
 
 /// Every way of writing an optional field of a report, each alone and all together.
-fn reports() -> Vec<Report> {
-    let all = Report {
-        held: Some(1.5),
-        waiting: Some(2.5),
-        busy: Some(0.25),
-        loads: Some(3.0),
-        memory_part: Some(0.75),
+fn reports() -> Vec<LoadReport> {
+    let all = LoadReport {
+        in_flight: Some(1.5),
+        queued: Some(2.5),
+        utilization: Some(0.25),
+        loads_in_progress: Some(3.0),
+        memory_fraction: Some(0.75),
     };
-    let none = Report::default();
+    let none = LoadReport::default();
     vec![
         none,
-        Report {
-            held: all.held,
+        LoadReport {
+            in_flight: all.in_flight,
             ..none
         },
-        Report {
-            waiting: all.waiting,
+        LoadReport {
+            queued: all.queued,
             ..none
         },
-        Report {
-            busy: all.busy,
+        LoadReport {
+            utilization: all.utilization,
             ..none
         },
-        Report {
-            loads: all.loads,
+        LoadReport {
+            loads_in_progress: all.loads_in_progress,
             ..none
         },
-        Report {
-            memory_part: all.memory_part,
+        LoadReport {
+            memory_fraction: all.memory_fraction,
             ..none
         },
         all,
     ]
 }
 
-fn list(mode: ListMode) -> Happened {
-    let entry = |(n, standing): (usize, &Standing)| ListEntry {
+fn list(mode: EndpointListKind) -> Happened {
+    let entry = |(n, standing): (usize, &EndpointState)| Endpoint {
         worker: n as u32,
         fingerprint: 1_000 + n as u64,
         zone: 1,
-        kind: 2,
+        machine_kind: 2,
         cell: 3,
-        standing: *standing,
+        state: *standing,
         weight: 1.25,
-        started: (n > 0).then_some(-17),
+        started_at: (n > 0).then_some(-17),
     };
     let entries = STANDINGS.iter().enumerate().map(entry).collect();
     Happened::List { mode, entries }
 }
 
-fn arrival(repeat: bool, prefers: Option<WorkerIx>) -> Event<'static> {
+fn arrival(repeat: bool, prefers: Option<WorkerIndex>) -> Event<'static> {
     Event::Invocation(Arrival {
-        inv: 11,
+        invocation: 11,
         trigger: 1,
         account: 2,
-        func: 0,
+        function: 0,
         fingerprint: fingerprint(FUNCTION),
         cost_hint: repeat.then_some(1_300),
         load_hint: prefers.map(|_| 1_400),
         copy_mb: 12.5,
         lanes: 8,
-        client_gives_up_in: 3_000_000,
+        client_timeout_in: 3_000_000,
         waited: 15,
         repeat,
-        prefers,
+        preferred_worker: prefers,
     })
 }
 
-fn ending(outcome: Outcome, note: CopyNote, report: Report) -> Event<'static> {
-    Event::DispatchEnded(Ending {
-        inv: 11,
+fn ending(outcome: DispatchOutcome, note: CopyStatus, report: LoadReport) -> Event<'static> {
+    Event::DispatchEnded(DispatchEnded {
+        invocation: 11,
         dispatch: 2,
         worker: 1,
         outcome,
         took: 1_700,
-        concluded: outcome == Outcome::Succeeded,
-        note,
-        crowd: (note == CopyNote::Found).then_some(4),
+        answered: outcome == DispatchOutcome::Succeeded,
+        copy_status: note,
+        function_load: (note == CopyStatus::Warm).then_some(4),
         report,
     })
 }
 
-fn order_ended(result: OrderResult) -> Event<'static> {
+fn order_ended(result: LoadOrderResult) -> Event<'static> {
     Event::OrderEnded {
         worker: 1,
-        func: 0,
+        function: 0,
         result,
         took: 1_800,
         copies: 3,
     }
 }
 
-fn probed(outcome: Outcome, report: Report) -> Event<'static> {
-    Event::Probed {
+fn probed(outcome: DispatchOutcome, report: LoadReport) -> Event<'static> {
+    Event::ProbeEnded {
         worker: 2,
         outcome,
         took: 1_900,
@@ -182,39 +190,43 @@
     let mut events = vec![
         arrival(false, None),
         arrival(true, Some(2)),
-        Event::Departed { inv: 11 },
-        Event::Answering {
-            inv: 11,
+        Event::ClientLeft { invocation: 11 },
+        Event::AnswerStarted {
+            invocation: 11,
             dispatch: 3,
             worker: 1,
         },
         Event::Timer { token: 1 << 40 },
-        Event::Wanted {
+        Event::CopyWanted {
             worker: 1,
-            asked: Asked {
-                func: 0,
+            function: FunctionInfo {
+                function: 0,
                 fingerprint: fingerprint(FUNCTION),
                 trigger: 1,
                 lanes: 6,
             },
         },
-        Event::Held {
+        Event::CopiesReported {
             worker: 1,
-            func: 0,
+            function: 0,
             copies: 5,
         },
     ];
-    let none = Report::default();
-    events.extend(OUTCOMES.map(|outcome| ending(outcome, CopyNote::Untold, none)));
-    events.extend(NOTES.map(|note| ending(Outcome::Succeeded, note, none)));
+    let none = LoadReport::default();
+    events.extend(OUTCOMES.map(|outcome| ending(outcome, CopyStatus::Unreported, none)));
+    events.extend(NOTES.map(|note| ending(DispatchOutcome::Succeeded, note, none)));
     events.extend(
         reports()
             .into_iter()
-            .map(|r| ending(Outcome::Errored, CopyNote::Found, r)),
+            .map(|r| ending(DispatchOutcome::Errored, CopyStatus::Warm, r)),
     );
     events.extend(RESULTS.map(order_ended));
     events.extend(OUTCOMES.map(|outcome| probed(outcome, none)));
-    events.extend(reports().into_iter().map(|r| probed(Outcome::Succeeded, r)));
+    events.extend(
+        reports()
+            .into_iter()
+            .map(|r| probed(DispatchOutcome::Succeeded, r)),
+    );
     let lists = MODES.into_iter().map(list);
     lists
         .chain(events.into_iter().map(Happened::Other))
@@ -225,32 +237,41 @@
 pub fn actions() -> Vec<Action> {
     let (inv, worker, func) = (11, 1, 0);
     let dispatch = |time_out| Action::Dispatch {
-        inv,
+        invocation: inv,
         worker,
-        time_out,
+        timeout: time_out,
+    };
+    let throttle = |return_after| Action::Reject {
+        invocation: inv,
+        retry_after: return_after,
     };
-    let throttle = |return_after| Action::Throttle { inv, return_after };
     vec![
         dispatch(None),
         dispatch(Some(2_100)),
-        Action::Withdraw { inv, dispatch: 3 },
+        Action::Cancel {
+            invocation: inv,
+            dispatch: 3,
+        },
         throttle(None),
         throttle(Some(2_200)),
-        Action::Error { inv },
-        Action::Order {
+        Action::Fail { invocation: inv },
+        Action::LoadOrder {
             worker,
-            func,
+            function: func,
             copies: 4,
         },
-        Action::Unload { worker, func },
+        Action::Unload {
+            worker,
+            function: func,
+        },
         Action::Probe { worker },
         Action::Timer {
             token: 1 << 41,
             after: 2_300,
         },
-        Action::AskList { follow: false },
-        Action::AskList { follow: true },
-        Action::Forget { func },
+        Action::RequestEndpointList { watch: false },
+        Action::RequestEndpointList { watch: true },
+        Action::ReleaseFunction { function: func },
     ]
 }
 
@@ -284,7 +305,7 @@
     events.chain(actions).chain([all]).collect()
 }
 
-fn answered(fate: Fate, reason: Reason, inv: Option<InvIx>) -> Record {
+fn answered(fate: Fate, reason: Reason, inv: Option<InvocationIndex>) -> Record {
     Record::Answered {
         inv,
         front: 1,
@@ -331,31 +352,31 @@
 }
 
 fn triggers() -> Vec<TriggerType> {
-    let tokened = |group| Effect::Tokened {
-        group,
+    let tokened = |group| Effect::IdempotentByKey {
+        scope: group,
         window: 8_000_000,
     };
     let effects = [
         Effect::Idempotent,
         Effect::NonIdempotent,
-        tokened(RepeatGroup::All),
-        tokened(RepeatGroup::Zone),
-        tokened(RepeatGroup::Cell),
+        tokened(DeduplicationScope::All),
+        tokened(DeduplicationScope::Zone),
+        tokened(DeduplicationScope::Cell),
     ];
     let trigger = |effect| TriggerType {
         effect,
         latency_objective: 800_000,
-        objective_stretch: 0.5,
+        objective_work_multiple: 0.5,
         client_timeout: 4_000_000,
         billed_value: 2.5,
-        late_part: 0.125,
+        late_value_fraction: 0.125,
         streamed: effect == Effect::Idempotent,
     };
     effects.map(trigger).into()
 }
 
 /// Flags alternate, so that two exchanged ones show.
-fn startup(reports: ReportsIn) -> StartupSettings {
+fn startup(reports: ReportSource) -> StartupSettings {
     StartupSettings {
         fleet: FleetPosition {
             routers: 5,
@@ -365,43 +386,43 @@
         },
         limits: DispatchLimits {
             max_dispatches: 4,
-            second_copies: true,
-            withdrawals: false,
+            hedged_requests: true,
+            cancellation: false,
             probes: true,
-            connect_within: 250_000,
-            max_advice: 260_000,
+            connect_timeout: 250_000,
+            max_retry_after: 260_000,
         },
-        rules: RuleTerms {
+        rules: RuleLimits {
             answer_slack: 1_001,
             drain_grace: 1_002,
-            ask_within: 1_003,
+            list_request_timeout: 1_003,
             list_on_request: true,
-            cold_part: 0.5,
-            cold_for: 1_004,
+            slow_start_fraction: 0.5,
+            slow_start_duration: 1_004,
             overload_multiple: 6.0,
             overload_window: 1_005,
         },
         triggers: triggers(),
         accounts: vec![
             Account {
-                allowance_per_s: 100.0,
+                quota_per_s: 100.0,
                 share: 0.25,
             },
             Account {
-                allowance_per_s: 200.0,
+                quota_per_s: 200.0,
                 share: 0.75,
             },
         ],
-        loads: LoadTerms {
-            idle_kept: 2_001,
-            orders: true,
+        loads: LoadSettings {
+            idle_retention: 2_001,
+            load_orders: true,
             loads_when_absent: false,
-            order_answered_within: 2_002,
-            ration_window: 2_003,
-            ration_few: 7.0,
-            ration_part: 0.0625,
-            notes: true,
-            crowds: false,
+            order_timeout: 2_002,
+            order_quota_window: 2_003,
+            order_quota_base: 7.0,
+            order_quota_per_invocation: 0.0625,
+            reports_copy_status: true,
+            reports_function_load: false,
             memory_mb: vec![4096.0, 8192.0],
         },
         prices: Prices {
@@ -410,7 +431,7 @@
             waste: 3.0,
             probe: 4.0,
             late_error: 5.0,
-            over_share: 6.0,
+            over_quota: 6.0,
         },
         reports,
     }
--- a/crates/trace/tests/explained.rs
+++ b/crates/trace/tests/explained.rs
@@ -67,48 +67,55 @@
         self.inv += 1;
         let inv = self.inv;
         let arrival = Arrival {
-            inv,
+            invocation: inv,
             trigger: 0,
             account: 0,
-            func,
+            function: func,
             fingerprint: 0,
             cost_hint: None,
             load_hint: None,
             copy_mb: 1.0,
             lanes: 1,
-            client_gives_up_in: 4_000 * MS,
+            client_timeout_in: 4_000 * MS,
             waited: 0,
             repeat: false,
-            prefers: None,
+            preferred_worker: None,
         };
         self.decided(Event::Invocation(arrival), actions(inv));
         inv
     }
 
     /// A dispatch and its end after `took`; a success is answered before the module hears of it.
-    fn runs(&mut self, func: u32, worker: u32, took: Micros, outcome: Outcome, note: CopyNote) {
+    fn runs(
+        &mut self,
+        func: u32,
+        worker: u32,
+        took: Micros,
+        outcome: DispatchOutcome,
+        note: CopyStatus,
+    ) {
         let inv = self.comes(func, |inv| {
             vec![Action::Dispatch {
-                inv,
+                invocation: inv,
                 worker,
-                time_out: None,
+                timeout: None,
             }]
         });
         self.now += took;
-        let good = outcome == Outcome::Succeeded;
+        let good = outcome == DispatchOutcome::Succeeded;
         if good {
             self.answered(inv, Fate::Succeeded, Reason::Worker, took);
         }
-        let ending = Ending {
-            inv,
+        let ending = DispatchEnded {
+            invocation: inv,
             dispatch: 0,
             worker,
             outcome,
             took,
-            concluded: good,
-            note,
-            crowd: None,
-            report: Report::default(),
+            answered: good,
+            copy_status: note,
+            function_load: None,
+            report: LoadReport::default(),
         };
         self.decided(Event::DispatchEnded(ending), vec![]);
         if !good {
@@ -136,16 +143,40 @@
 #[test]
 fn where_all_is_well_there_is_no_cause() {
     let mut t = Told::new();
-    (0..50).for_each(|n| t.runs(n % 4, n % 4, 60 * MS, Outcome::Succeeded, CopyNote::Found));
+    (0..50).for_each(|n| {
+        t.runs(
+            n % 4,
+            n % 4,
+            60 * MS,
+            DispatchOutcome::Succeeded,
+            CopyStatus::Warm,
+        )
+    });
     assert!(t.ranked().is_empty());
 }
 
 #[test]
 fn a_silent_worker_comes_first_and_a_slow_one_is_told_from_it() {
     let mut t = Told::new();
-    (0..40).for_each(|n| t.runs(0, n % 2, 60 * MS, Outcome::Succeeded, CopyNote::Found));
-    (0..5).for_each(|_| t.runs(0, 2, 900 * MS, Outcome::TimedOut, CopyNote::Untold));
-    (0..3).for_each(|_| t.runs(0, 3, 900 * MS, Outcome::Succeeded, CopyNote::Found));
+    (0..40).for_each(|n| {
+        t.runs(
+            0,
+            n % 2,
+            60 * MS,
+            DispatchOutcome::Succeeded,
+            CopyStatus::Warm,
+        )
+    });
+    (0..5).for_each(|_| {
+        t.runs(
+            0,
+            2,
+            900 * MS,
+            DispatchOutcome::TimedOut,
+            CopyStatus::Unreported,
+        )
+    });
+    (0..3).for_each(|_| t.runs(0, 3, 900 * MS, DispatchOutcome::Succeeded, CopyStatus::Warm));
     let ranked = t.ranked();
     assert_eq!(
         (&ranked[0].cause, ranked[0].lost),
@@ -165,14 +196,20 @@
 #[test]
 fn a_slow_store_is_one_cause_for_many_functions() {
     let mut t = Told::new();
-    t.runs(3, 0, 900 * MS, Outcome::Succeeded, CopyNote::Found);
+    t.runs(3, 0, 900 * MS, DispatchOutcome::Succeeded, CopyStatus::Warm);
     for func in 0..3 {
-        t.runs(func, 1, 1_500 * MS, Outcome::Succeeded, CopyNote::Waited);
+        t.runs(
+            func,
+            1,
+            1_500 * MS,
+            DispatchOutcome::Succeeded,
+            CopyStatus::LoadAwaited,
+        );
         // Held while its load was on order, and given up.
         let inv = t.comes(func, |_| {
-            vec![Action::Order {
+            vec![Action::LoadOrder {
                 worker: 1,
-                func,
+                function: func,
                 copies: 1,
             }]
         });
@@ -206,11 +243,11 @@
         t.now += 700 * MS;
         t.answered(inv, Fate::Throttled, Reason::GivenUp, 700 * MS);
     }
-    let result = OrderResult::NoRoom;
+    let result = LoadOrderResult::NoCapacity;
     t.decided(
         Event::OrderEnded {
             worker: 0,
-            func: 1,
+            function: 1,
             result,
             took: 1,
             copies: 0,
@@ -237,17 +274,17 @@
 fn the_end_of_a_question_ends_no_load() {
     let mut t = Told::new();
     let inv = t.comes(0, |_| {
-        vec![Action::Order {
+        vec![Action::LoadOrder {
             worker: 1,
-            func: 0,
+            function: 0,
             copies: 1,
         }]
     });
-    let result = OrderResult::Stand;
+    let result = LoadOrderResult::Loaded;
     t.decided(
         Event::OrderEnded {
             worker: 2,
-            func: 0,
+            function: 0,
             result,
             took: 1,
             copies: 0,
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -139,7 +139,7 @@
     assert!(same.decisions > 30, "{}", same.decisions);
     let other = rerun(&written(5, |n, actions| {
         if n == 20 {
-            actions.push(Action::AskList { follow: false });
+            actions.push(Action::RequestEndpointList { watch: false });
         }
     }));
     let found = other.difference.expect("it was changed");
@@ -264,16 +264,16 @@
     assert_eq!(Own::take(&folder, "r").expect("free again").name, "r");
 }
 
-fn report() -> impl Strategy<Value = Report> {
+fn report() -> impl Strategy<Value = LoadReport> {
     let f = || {
         prop::option::of(any::<f64>().prop_filter("no NaN, as it equals nothing", |f| !f.is_nan()))
     };
-    (f(), f(), f(), f(), f()).prop_map(|(held, waiting, busy, loads, memory_part)| Report {
-        held,
-        waiting,
-        busy,
-        loads,
-        memory_part,
+    (f(), f(), f(), f(), f()).prop_map(|(held, waiting, busy, loads, memory_part)| LoadReport {
+        in_flight: held,
+        queued: waiting,
+        utilization: busy,
+        loads_in_progress: loads,
+        memory_fraction: memory_part,
     })
 }
 
@@ -294,25 +294,25 @@
             .prop_map(
                 |(inv, trigger, lanes, cost_hint, copy_mb, client_gives_up_in, waited, repeat)| {
                     Event::Invocation(Arrival {
-                        inv,
+                        invocation: inv,
                         trigger,
                         account: 3,
-                        func: 4,
+                        function: 4,
                         fingerprint: 0,
                         cost_hint,
                         load_hint: None,
                         copy_mb,
                         lanes,
-                        client_gives_up_in,
+                        client_timeout_in: client_gives_up_in,
                         waited,
                         repeat,
-                        prefers: (inv % 3 == 0).then_some(lanes),
+                        preferred_worker: (inv % 3 == 0).then_some(lanes),
                     })
                 }
             ),
-        n().prop_map(|inv| Event::Departed { inv }),
-        (n(), n(), n()).prop_map(|(inv, dispatch, worker)| Event::Answering {
-            inv,
+        n().prop_map(|inv| Event::ClientLeft { invocation: inv }),
+        (n(), n(), n()).prop_map(|(inv, dispatch, worker)| Event::AnswerStarted {
+            invocation: inv,
             dispatch,
             worker
         }),
@@ -325,29 +325,29 @@
             report()
         )
             .prop_map(|(inv, worker, took, concluded, crowd, report)| {
-                let (outcome, note) = (Outcome::Missed, CopyNote::LoadErrored);
-                Event::DispatchEnded(Ending {
-                    inv,
+                let (outcome, note) = (DispatchOutcome::NotLoaded, CopyStatus::LoadFailed);
+                Event::DispatchEnded(DispatchEnded {
+                    invocation: inv,
                     dispatch: 1,
                     worker,
                     outcome,
                     took,
-                    concluded,
-                    note,
-                    crowd,
+                    answered: concluded,
+                    copy_status: note,
+                    function_load: crowd,
                     report,
                 })
             }),
         (n(), n(), t()).prop_map(|(worker, func, took)| Event::OrderEnded {
             worker,
-            func,
-            result: OrderResult::NoRoom,
+            function: func,
+            result: LoadOrderResult::NoCapacity,
             took,
             copies: 2,
         }),
-        (n(), t(), report()).prop_map(|(worker, took, report)| Event::Probed {
+        (n(), t(), report()).prop_map(|(worker, took, report)| Event::ProbeEnded {
             worker,
-            outcome: Outcome::TimedOut,
+            outcome: DispatchOutcome::TimedOut,
             took,
             report
         }),
@@ -360,22 +360,27 @@
     prop_oneof![
         (n(), n(), prop::option::of(any::<i64>())).prop_map(|(inv, worker, time_out)| {
             Action::Dispatch {
-                inv,
+                invocation: inv,
                 worker,
-                time_out,
+                timeout: time_out,
             }
         }),
-        (n(), n()).prop_map(|(inv, dispatch)| Action::Withdraw { inv, dispatch }),
-        (n(), prop::option::of(any::<i64>()))
-            .prop_map(|(inv, return_after)| Action::Throttle { inv, return_after }),
-        (n(), n(), n()).prop_map(|(worker, func, copies)| Action::Order {
+        (n(), n()).prop_map(|(inv, dispatch)| Action::Cancel {
+            invocation: inv,
+            dispatch
+        }),
+        (n(), prop::option::of(any::<i64>())).prop_map(|(inv, return_after)| Action::Reject {
+            invocation: inv,
+            retry_after: return_after
+        }),
+        (n(), n(), n()).prop_map(|(worker, func, copies)| Action::LoadOrder {
             worker,
-            func,
+            function: func,
             copies
         }),
         (any::<u64>(), any::<i64>()).prop_map(|(token, after)| Action::Timer { token, after }),
-        any::<bool>().prop_map(|follow| Action::AskList { follow }),
-        n().prop_map(|func| Action::Forget { func }),
+        any::<bool>().prop_map(|follow| Action::RequestEndpointList { watch: follow }),
+        n().prop_map(|func| Action::ReleaseFunction { function: func }),
     ]
 }
 
--- a/crates/trace/tests/kept_bytes.rs
+++ b/crates/trace/tests/kept_bytes.rs
@@ -136,7 +136,12 @@
     });
     let arrival = arrival.expect("an arrival");
     assert_eq!(
-        (arrival.inv, arrival.trigger, arrival.account, arrival.func),
+        (
+            arrival.invocation,
+            arrival.trigger,
+            arrival.account,
+            arrival.function
+        ),
         (11, 1, 2, 0)
     );
     assert_eq!(
--- a/crates/trace/tests/rewriting.rs
+++ b/crates/trace/tests/rewriting.rs
@@ -197,7 +197,7 @@
 /// The wall's clocks differ by minutes; what the list told both routers shows by how much.
 #[test]
 fn clocks_that_differ_are_told_by_the_list() {
-    use cedarpulley::interface::{ListEntry, ListMode, Standing};
+    use cedarpulley::interface::{Endpoint, EndpointListKind, EndpointState};
     use cedarpulley_trace::blocks::Gather;
     let listed = |ahead: Micros, late: &[Micros]| {
         let start = open(KEPT).sources[0].start.clone();
@@ -208,23 +208,27 @@
         let mut sheet = Sheet::begin(Vec::new(), &[start.into()]).expect("written");
         let mut g = Gather::default();
         for n in 0..9usize {
-            for (change, standing) in [Standing::InService, Standing::Draining, Standing::Gone]
-                .into_iter()
-                .enumerate()
+            for (change, standing) in [
+                EndpointState::InService,
+                EndpointState::Draining,
+                EndpointState::Gone,
+            ]
+            .into_iter()
+            .enumerate()
             {
-                let entry = ListEntry {
+                let entry = Endpoint {
                     worker: n as u32,
                     fingerprint: 1000 + n as u64,
                     zone: 0,
-                    kind: 0,
+                    machine_kind: 0,
                     cell: 0,
-                    standing,
+                    state: standing,
                     weight: 1.0,
-                    started: None,
+                    started_at: None,
                 };
                 let at = (n * 3 + change) as Micros * 1000 * MS + late.get(n).copied().unwrap_or(0);
                 let happened = Happened::List {
-                    mode: ListMode::Changes,
+                    mode: EndpointListKind::Changes,
                     entries: vec![entry],
                 };
                 g.record(
--- a/crates/trace/tests/ruled.rs
+++ b/crates/trace/tests/ruled.rs
@@ -23,9 +23,9 @@
     s.start.startup.triggers[0].effect = effect;
     s.start.startup.rules.drain_grace = 500 * MS;
     (
-        s.start.startup.loads.ration_window,
-        s.start.startup.loads.ration_few,
-        s.start.startup.loads.ration_part,
+        s.start.startup.loads.order_quota_window,
+        s.start.startup.loads.order_quota_base,
+        s.start.startup.loads.order_quota_per_invocation,
     ) = (1_000 * MS, 2.0, 0.5);
     s
 }
@@ -33,7 +33,7 @@
 enum Told {
     Comes(u32),
     Sends(u32, u32),
-    Ends(u32, u32, Outcome),
+    Ends(u32, u32, DispatchOutcome),
     Answers(u32, Fate),
     Leaves(u32),
     Drains(u32),
@@ -52,19 +52,19 @@
     match *told {
         Comes(inv) => {
             let arrival = Arrival {
-                inv,
+                invocation: inv,
                 trigger: 0,
                 account: 0,
-                func: 0,
+                function: 0,
                 fingerprint: 0,
                 cost_hint: None,
                 load_hint: None,
                 copy_mb: 1.0,
                 lanes: 1,
-                client_gives_up_in: 2_000 * MS,
+                client_timeout_in: 2_000 * MS,
                 waited: 0,
                 repeat: false,
-                prefers: None,
+                preferred_worker: None,
             };
             let taken = Record::Taken {
                 inv,
@@ -77,22 +77,22 @@
         Sends(inv, worker) => decided(
             timer,
             vec![Action::Dispatch {
-                inv,
+                invocation: inv,
                 worker,
-                time_out: None,
+                timeout: None,
             }],
         ),
         Ends(inv, dispatch, outcome) => {
-            let (took, note, report) = (MS, CopyNote::Untold, Report::default());
-            let ending = Ending {
-                inv,
+            let (took, note, report) = (MS, CopyStatus::Unreported, LoadReport::default());
+            let ending = DispatchEnded {
+                invocation: inv,
                 dispatch,
                 worker: 0,
                 outcome,
                 took,
-                concluded: false,
-                note,
-                crowd: None,
+                answered: false,
+                copy_status: note,
+                function_load: None,
                 report,
             };
             decided(Event::DispatchEnded(ending), vec![])
@@ -109,20 +109,20 @@
                 took,
             }]
         }
-        Leaves(inv) => decided(Event::Departed { inv }, vec![]),
+        Leaves(inv) => decided(Event::ClientLeft { invocation: inv }, vec![]),
         Drains(worker) => {
-            let entry = ListEntry {
+            let entry = Endpoint {
                 worker,
                 fingerprint: 1,
                 zone: worker,
-                kind: 0,
+                machine_kind: 0,
                 cell: 0,
-                standing: Standing::Draining,
+                state: EndpointState::Draining,
                 weight: 1.0,
-                started: None,
+                started_at: None,
             };
             let happened = Happened::List {
-                mode: ListMode::Changes,
+                mode: EndpointListKind::Changes,
                 entries: vec![entry],
             };
             vec![Record::Decided {
@@ -132,9 +132,9 @@
         }
         Orders => decided(
             timer,
-            vec![Action::Order {
+            vec![Action::LoadOrder {
                 worker: 0,
-                func: 0,
+                function: 0,
                 copies: 1,
             }],
         ),
@@ -161,8 +161,8 @@
 
 const ONCE: Effect = Effect::NonIdempotent;
 const ANY: Effect = Effect::Idempotent;
-const TOKEN: Effect = Effect::Tokened {
-    group: RepeatGroup::Zone,
+const TOKEN: Effect = Effect::IdempotentByKey {
+    scope: DeduplicationScope::Zone,
     window: 1_000 * MS,
 };
 
@@ -194,39 +194,39 @@
         (0, Comes(1)),
         (9, Answers(1, Fate::Succeeded)),
         (10, Sends(1, 0)),
-        (11, Ends(1, 0, Outcome::Broken)),
+        (11, Ends(1, 0, DispatchOutcome::ConnectionLost)),
     ];
     assert_eq!(broken(ANY, &after), [1]);
     let unsent = [
         (0, Comes(1)),
         (9, Answers(1, Fate::Succeeded)),
         (10, Sends(1, 0)),
-        (10, Ends(1, 0, Outcome::NotSent)),
+        (10, Ends(1, 0, DispatchOutcome::NotSent)),
     ];
     assert_eq!(broken(ANY, &unsent), NONE, "it never left");
 }
 
 #[test]
 fn no_effect_twice() {
-    let again = |first: Outcome, effect| {
+    let again = |first: DispatchOutcome, effect| {
         let told = [
             (0, Comes(1)),
             (1, Sends(1, 0)),
             (20, Ends(1, 0, first)),
             (30, Sends(1, 0)),
-            (40, Ends(1, 1, Outcome::Succeeded)),
+            (40, Ends(1, 1, DispatchOutcome::Succeeded)),
             (40, Answers(1, Fate::Succeeded)),
         ];
         broken(effect, &told)
     };
-    assert_eq!(again(Outcome::Unreachable, ONCE), NONE);
-    assert_eq!(again(Outcome::TimedOut, ONCE), [2]);
-    assert_eq!(again(Outcome::TimedOut, ANY), NONE);
-    assert_eq!(again(Outcome::TimedOut, TOKEN), NONE);
+    assert_eq!(again(DispatchOutcome::Unreachable, ONCE), NONE);
+    assert_eq!(again(DispatchOutcome::TimedOut, ONCE), [2]);
+    assert_eq!(again(DispatchOutcome::TimedOut, ANY), NONE);
+    assert_eq!(again(DispatchOutcome::TimedOut, TOKEN), NONE);
     let harmless = [
         (0, Comes(1)),
         (1, Sends(1, 0)),
-        (9, Ends(1, 0, Outcome::Broken)),
+        (9, Ends(1, 0, DispatchOutcome::ConnectionLost)),
         (9, Answers(1, Fate::Throttled)),
     ];
     assert_eq!(
@@ -237,7 +237,7 @@
         (0, Comes(1)),
         (1, Sends(1, 0)),
         (2, Sends(1, 1)),
-        (9, Ends(1, 1, Outcome::Succeeded)),
+        (9, Ends(1, 1, DispatchOutcome::Succeeded)),
         (9, Answers(1, Fate::Succeeded)),
     ];
     assert_eq!(broken(ANY, &two), [2], "second copies are forbidden");
@@ -245,13 +245,13 @@
     let first: &[(Micros, Told)] = &[
         (0, Comes(1)),
         (1, Sends(1, 0)),
-        (20, Ends(1, 0, Outcome::Broken)),
+        (20, Ends(1, 0, DispatchOutcome::ConnectionLost)),
         (20, Leaves(1)),
     ];
     let second: &[(Micros, Told)] = &[
         (50, Comes(1)),
         (51, Sends(1, 0)),
-        (60, Ends(1, 0, Outcome::Succeeded)),
+        (60, Ends(1, 0, DispatchOutcome::Succeeded)),
         (60, Answers(1, Fate::Succeeded)),
     ];
     assert_eq!(
@@ -272,9 +272,9 @@
             (0, Drains(1)),
             (0, Comes(1)),
             (1, Sends(1, 0)),
-            (20, Ends(1, 0, Outcome::TimedOut)),
+            (20, Ends(1, 0, DispatchOutcome::TimedOut)),
             (at, Sends(1, worker)),
-            (at + 1, Ends(1, 1, Outcome::Succeeded)),
+            (at + 1, Ends(1, 1, DispatchOutcome::Succeeded)),
             (at + 1, Answers(1, Fate::Succeeded)),
         ];
         broken(TOKEN, &told)
@@ -289,7 +289,7 @@
     let sent = |at: Micros| {
         let ends = [
             (at, Sends(1, 0)),
-            (at + 1, Ends(1, 0, Outcome::Succeeded)),
+            (at + 1, Ends(1, 0, DispatchOutcome::Succeeded)),
             (at + 1, Answers(1, Fate::Succeeded)),
         ];
         let told: Vec<(Micros, Told)> = [(0, Drains(0)), (0, Comes(1))]
--- a/crates/trace/tests/small/mod.rs
+++ b/crates/trace/tests/small/mod.rs
@@ -40,58 +40,58 @@
         },
         limits: DispatchLimits {
             max_dispatches: 4,
-            withdrawals: true,
-            connect_within: 250 * MS,
+            cancellation: true,
+            connect_timeout: 250 * MS,
             ..Default::default()
         },
-        rules: RuleTerms {
-            cold_part: 1.0,
+        rules: RuleLimits {
+            slow_start_fraction: 1.0,
             overload_multiple: 1e9,
             overload_window: 1_000 * MS,
             ..Default::default()
         },
         triggers: vec![TriggerType {
-            effect: Effect::Tokened {
-                group: RepeatGroup::Zone,
+            effect: Effect::IdempotentByKey {
+                scope: DeduplicationScope::Zone,
                 window: 8_000 * MS,
             },
             latency_objective: 800 * MS,
-            objective_stretch: 0.5,
+            objective_work_multiple: 0.5,
             client_timeout: 4_000 * MS,
             billed_value: 2.5,
-            late_part: 0.1,
+            late_value_fraction: 0.1,
             streamed: false,
         }],
         accounts: vec![Account {
-            allowance_per_s: 1e9,
+            quota_per_s: 1e9,
             share: 1.0,
         }],
-        loads: LoadTerms {
-            idle_kept: 30_000 * MS,
+        loads: LoadSettings {
+            idle_retention: 30_000 * MS,
             loads_when_absent: true,
-            notes: true,
+            reports_copy_status: true,
             memory_mb: vec![4096.0],
             ..Default::default()
         },
         prices: Prices {
-            over_share: 1.0,
+            over_quota: 1.0,
             ..Default::default()
         },
-        reports: ReportsIn::Answers,
+        reports: ReportSource::Answers,
     }
 }
 
 /// What a small router would have seen, as its module decided it, in so many blocks.
 pub fn written(blocks: usize, change: impl Fn(u64, &mut Vec<Action>)) -> Vec<u8> {
     let start = start();
-    let mut control = start.control();
+    let mut control = start.balancer();
     let mut sheet = Sheet::begin(Vec::new(), &[start.clone().into()]).expect("written");
     let (mut now, mut decision) = (0, 0);
     for block in 0..blocks {
         let mut g = Gather::default();
         let mut told = |g: &mut Gather, now: Micros, happened: Happened| {
             let mut actions = Vec::new();
-            control.decide(now, &happened.event(), &mut actions);
+            control.handle(now, &happened.event(), &mut actions);
             decision += 1;
             let asked = actions.clone();
             change(decision, &mut actions);
@@ -99,15 +99,15 @@
             asked
         };
         g.name(now, Space::Function, 0, "quote:7");
-        let entries = (0..3).map(|worker| ListEntry {
+        let entries = (0..3).map(|worker| Endpoint {
             worker,
             fingerprint: u64::from(worker) + 99,
             zone: 0,
-            kind: 0,
+            machine_kind: 0,
             cell: 0,
-            standing: Standing::InService,
+            state: EndpointState::InService,
             weight: 1.0,
-            started: None,
+            started_at: None,
         });
         if block == 0 {
             (0..3).for_each(|w| g.name(now, Space::Worker, w, &format!("127.0.0.1:{w}")));
@@ -115,7 +115,7 @@
                 &mut g,
                 now,
                 Happened::List {
-                    mode: ListMode::Complete,
+                    mode: EndpointListKind::Complete,
                     entries: entries.collect(),
                 },
             );
@@ -132,24 +132,29 @@
                 },
             );
             let arrival = Arrival {
-                inv,
+                invocation: inv,
                 trigger: 0,
                 account: 0,
-                func: 0,
+                function: 0,
                 fingerprint: cedarpulley::ids::fingerprint("quote:7"),
                 cost_hint: None,
                 load_hint: Some(50 * MS),
                 copy_mb: 10.0,
                 lanes: 8,
-                client_gives_up_in: 3_000 * MS,
+                client_timeout_in: 3_000 * MS,
                 waited: 5,
                 repeat: false,
-                prefers: None,
+                preferred_worker: None,
             };
             let asked = told(&mut g, now, Happened::Other(Event::Invocation(arrival)));
             now += MS;
             for action in asked {
-                let Action::Dispatch { inv, worker, .. } = action else {
+                let Action::Dispatch {
+                    invocation: inv,
+                    worker,
+                    ..
+                } = action
+                else {
                     continue;
                 };
                 let (fate, reason) = (Fate::Succeeded, Reason::Worker);
@@ -165,17 +170,17 @@
                         took: MS,
                     },
                 );
-                let ending = Ending {
-                    inv,
+                let ending = DispatchEnded {
+                    invocation: inv,
                     dispatch: 0,
                     worker,
-                    outcome: Outcome::Succeeded,
+                    outcome: DispatchOutcome::Succeeded,
                     took: MS,
-                    concluded: true,
-                    note: CopyNote::Found,
-                    crowd: Some(1),
-                    report: Report {
-                        busy: Some(0.25),
+                    answered: true,
+                    copy_status: CopyStatus::Warm,
+                    function_load: Some(1),
+                    report: LoadReport {
+                        utilization: Some(0.25),
                         ..Default::default()
                     },
                 };
--- a/crates/upgrade/src/acting.rs
+++ b/crates/upgrade/src/acting.rs
@@ -15,7 +15,7 @@
 use std::mem;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 
 use crate::Name;
 use crate::health::{ENOUGH, Verdict};
@@ -80,7 +80,7 @@
     pub loads: Loads,
     pub unloads: Unloads,
     pub renewals: BTreeMap<(Name, Name), Micros>,
-    pub goes_by: BTreeMap<MemberIx, GoesBy>,
+    pub goes_by: BTreeMap<MemberIndex, GoesBy>,
     pub verdict: Option<Verdict>,
     pub compared: u64,
     /// Since when each region is as it is, and the phase, by this router's clock.
@@ -187,7 +187,7 @@
         for m in s.members(&region.name) {
             let has = self
                 .goes_by
-                .get(&(m as MemberIx))
+                .get(&(m as MemberIndex))
                 .is_some_and(|g| *g >= wanted);
             let over = !s.lives(m)
                 && s.now - s.away.get(m).copied().unwrap_or(s.now) >= s.terms.gone_after;
@@ -220,7 +220,7 @@
     fn all_heard(&mut self, s: &Scene, wanted: GoesBy) -> bool {
         let has = |m: &usize| {
             self.goes_by
-                .get(&(*m as MemberIx))
+                .get(&(*m as MemberIndex))
                 .is_some_and(|g| *g >= wanted)
         };
         let lacks = (0..s.alive.len()).find(|m| !has(m));
--- a/crates/upgrade/src/health.rs
+++ b/crates/upgrade/src/health.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
@@ -106,8 +106,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     /// The last counts of each member, by version and trigger type.
-    last: BTreeMap<MemberIx, Vec<Count>>,
-    open: BTreeMap<(MemberIx, Name), Pair>,
+    last: BTreeMap<MemberIndex, Vec<Count>>,
+    open: BTreeMap<(MemberIndex, Name), Pair>,
     compared: [u64; 2],
     errors: Sum,
     late: Sum,
@@ -122,7 +122,7 @@
         };
     }
 
-    pub fn hear(&mut self, member: MemberIx, counts: Vec<Count>, old: &str, new: &str) {
+    pub fn hear(&mut self, member: MemberIndex, counts: Vec<Count>, old: &str, new: &str) {
         let before = self.last.get(&member);
         let mut touched = Vec::new();
         for c in &counts {
--- a/crates/upgrade/src/plan.rs
+++ b/crates/upgrade/src/plan.rs
@@ -2,7 +2,7 @@
 //! Read with [`Plan::read`], written with [`Plan::bytes`].
 
 use bytes::Bytes;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
@@ -42,7 +42,7 @@
 )]
 pub struct Ballot {
     pub number: u32,
-    pub member: MemberIx,
+    pub member: MemberIndex,
     pub nonce: u64,
 }
 
--- a/crates/upgrade/src/planner.rs
+++ b/crates/upgrade/src/planner.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::MemberIx;
+use cedarpulley_membership::MemberIndex;
 use serde::Serialize;
 
 use crate::Name;
@@ -127,7 +127,7 @@
     Orders(Vec<Order>),
     /// Whenever it changes. The names of all members' regions, as `alive` is ordered.
     Members {
-        me: MemberIx,
+        me: MemberIndex,
         alive: Vec<bool>,
         regions: Vec<Name>,
     },
@@ -136,7 +136,7 @@
     /// What a member, this one too, has seen of the versions of a model, and what it goes by
     /// ([`Planner::goes_by`]). Shared among all; told anew whenever one of them changes.
     Counted {
-        member: MemberIx,
+        member: MemberIndex,
         model: Name,
         goes_by: GoesBy,
         counts: Vec<Count>,
@@ -281,7 +281,7 @@
 #[derive(Clone, Debug)]
 pub struct Planner {
     terms: Terms,
-    me: MemberIx,
+    me: MemberIndex,
     alive: Vec<bool>,
     away: Vec<Micros>,
     regions: Vec<Name>,
@@ -408,7 +408,7 @@
         }
     }
 
-    fn pass(&mut self, name: &Name, s: &Scene, me: MemberIx, out: &mut Vec<Output>) {
+    fn pass(&mut self, name: &Name, s: &Scene, me: MemberIndex, out: &mut Vec<Output>) {
         let (now, terms) = (s.now, s.terms);
         let lowest = s.alive.iter().position(|a| *a);
         if lowest != Some(me as usize) {
