--- a/src/control.rs
+++ b/src/control.rs
@@ -1,6 +1,6 @@
-//! All decisions of the router. A front makes one [`Control`] per router with [`Control::new`] and calls
-//! [`Control::decide`] for each piece of news, in order; the answer lists the actions to carry out at once.
-//! Events, actions and start records are in `interface.rs`. The ordinary path is [`Control::route`]; its
+//! All decisions of the router. A front makes one [`Balancer`] per router with [`Balancer::new`] and calls
+//! [`Balancer::handle`] for each piece of news, in order; the answer lists the actions to carry out at once.
+//! Events, actions and start records are in `interface.rs`. The ordinary path is [`Balancer::route`]; its
 //! source is in docs/design.md.
 //!
 //! Mechanisms beside the design:
@@ -124,7 +124,7 @@
 }
 
 struct Dispatch {
-    worker: WorkerIx,
+    worker: WorkerIndex,
     at: Micros,
     fate: Fate,
     load: bool,
@@ -132,12 +132,12 @@
 
 #[derive(Default)]
 struct Inv {
-    func: FnIx,
+    func: FunctionIndex,
     trigger: usize,
     over: bool,   // Beyond its account's share.
     brief: bool,  // Its client leaves before the objective.
     work: Micros, // By the hint; 0 where there is none.
-    prefers: Option<WorkerIx>,
+    prefers: Option<WorkerIndex>,
     arrived: Micros,
     objective_at: Micros,
     gives_up_at: Micros,
@@ -167,7 +167,7 @@
     zone: Vec<u32>,
     cell: Vec<u32>,
     kind: Vec<u32>,
-    standing: Vec<Standing>,
+    standing: Vec<EndpointState>,
     started: Vec<Micros>,
     stops_at: Vec<Micros>,
     /// Own dispatches that it answers in time, as far as has been seen.
@@ -180,7 +180,7 @@
 
 impl Workers {
     fn serving(&self) -> impl Iterator<Item = usize> {
-        (0..self.standing.len()).filter(|&w| self.standing[w] == Standing::InService)
+        (0..self.standing.len()).filter(|&w| self.standing[w] == EndpointState::InService)
     }
 
     fn grow(&mut self, n: usize) {
@@ -194,13 +194,14 @@
         ];
         times.into_iter().for_each(|v| v.resize(n, NO_TIME));
         self.fingerprint.resize(n, 0);
-        self.standing.resize(n, Standing::Gone);
+        self.standing.resize(n, EndpointState::Gone);
         self.bears.resize(n, f64::INFINITY);
         self.recent.resize_with(n, VecDeque::new);
     }
 
     fn renew(&mut self, w: usize) {
-        (self.started[w], self.stops_at[w], self.standing[w]) = (NO_TIME, NO_TIME, Standing::Gone);
+        (self.started[w], self.stops_at[w], self.standing[w]) =
+            (NO_TIME, NO_TIME, EndpointState::Gone);
         (self.bears[w], self.bears_at[w], self.loaded_by[w]) = (f64::INFINITY, NO_TIME, NO_TIME);
         self.recent[w].clear();
     }
@@ -321,13 +322,13 @@
     open: u32,
     service: Usual,
     load: Usual,
-    held: Vec<InvIx>,
-    order: Vec<WorkerIx>,
+    held: Vec<InvocationIndex>,
+    order: Vec<WorkerIndex>,
     /// Invocations taken (for all functions: work) within about the kept-idle time, and homes wanted.
     asked: Fading,
     homes: usize,
     homes_at: Micros,
-    loading: Option<WorkerIx>,
+    loading: Option<WorkerIndex>,
     /// No load of it begins before.
     load_from: Micros,
     orders: u32,
@@ -349,13 +350,13 @@
 }
 
 #[derive(Default)]
-pub struct Control {
+pub struct Balancer {
     seed: u64,
     draws: u64,
     now: Micros,
     fleet: FleetPosition,
     limits: DispatchLimits,
-    rules: RuleTerms,
+    rules: RuleLimits,
     triggers: Vec<TriggerType>,
     accounts: Vec<Account>,
     /// What is left of each account's share here, and when last brought up to date.
@@ -370,7 +371,7 @@
     pressed_over: f64,
     pressed_at: Micros,
     trial_due: i32,
-    loads: LoadTerms,
+    loads: LoadSettings,
     workers: Workers,
     health: Health,
     funcs: Vec<Function>,
@@ -388,32 +389,32 @@
     taken: VecDeque<Micros>,
 }
 
-impl Control {
+impl Balancer {
     #[allow(clippy::too_many_arguments)] // No record holds all settings.
     pub fn new(
         seed: u64,
         fleet: FleetPosition,
         limits: DispatchLimits,
-        rules: RuleTerms,
+        rules: RuleLimits,
         triggers: Vec<TriggerType>,
         accounts: Vec<Account>,
-        loads: LoadTerms,
+        loads: LoadSettings,
         prices: Prices,
-        _reports: ReportsIn,
+        _reports: ReportSource,
     ) -> Self {
         // What looks to be beyond a share here may be within it elsewhere: clients fall on the routers by
         // chance, the more unevenly the fewer each one's part is.
-        let part: f64 = accounts.iter().map(|a| a.allowance_per_s).sum::<f64>()
-            / f64::from(fleet.routers.max(1));
+        let part: f64 =
+            accounts.iter().map(|a| a.quota_per_s).sum::<f64>() / f64::from(fleet.routers.max(1));
         let wrong = (part * SHARE_SECONDS).max(1.0).sqrt().recip();
-        let over_worth = prices.over_share.max(0.0) * (1.0 - wrong) + wrong;
+        let over_worth = prices.over_quota.max(0.0) * (1.0 - wrong) + wrong;
         let over = accounts.first().map(|_| over_worth);
         let parts = triggers
             .iter()
-            .map(|t| t.late_part)
+            .map(|t| t.late_value_fraction)
             .chain(over)
             .filter(|&p| p > 0.0);
-        Control {
+        Balancer {
             pressed_over: parts
                 .fold(GAIN as f64, |n, p| n.max(1.0 / p))
                 .min(PRESSED_OVER),
@@ -424,7 +425,7 @@
             service: vec![Usual::default(); triggers.len()],
             health: Health {
                 types: triggers.len(),
-                kept: loads.idle_kept,
+                kept: loads.idle_retention,
                 ..Health::default()
             },
             triggers,
@@ -433,53 +434,61 @@
             over_worth,
             brief_served: 1.0,
             loads,
-            ..Control::default()
+            ..Balancer::default()
         }
     }
 
     /// The one entry point: what happened goes in, what is to be done comes out.
-    pub fn decide(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
         self.now = now;
         match *event {
-            Event::List { mode, entries } => self.follow_list(mode, entries, out),
+            Event::EndpointList {
+                kind: mode,
+                endpoints: entries,
+            } => self.follow_list(mode, entries, out),
             Event::Invocation(arrival) => {
                 self.take(&arrival);
-                self.route(arrival.inv, out);
+                self.route(arrival.invocation, out);
             }
-            Event::Departed { inv: ix } => {
+            Event::ClientLeft { invocation: ix } => {
                 // Symptom: work is done for clients that have left. What still waits at a worker is dropped.
                 if let Some(inv) = self.invs[ix as usize]
                     .as_ref()
-                    .filter(|_| self.limits.withdrawals)
+                    .filter(|_| self.limits.cancellation)
                 {
                     let outs = inv
                         .dispatches
                         .iter()
                         .enumerate()
                         .filter(|(_, d)| d.fate == Fate::Out);
-                    out.extend(outs.map(|(n, _)| Action::Withdraw {
-                        inv: ix,
+                    out.extend(outs.map(|(n, _)| Action::Cancel {
+                        invocation: ix,
                         dispatch: n as u32,
                     }));
                 }
                 self.conclude(ix);
             }
-            Event::Answering { inv, .. } => self.conclude(inv),
+            Event::AnswerStarted {
+                invocation: inv, ..
+            } => self.conclude(inv),
             Event::DispatchEnded(ending) => self.settle(&ending, out),
             Event::OrderEnded { .. } => self.order_ended(event, out),
             Event::Timer { token } if self.next_tick == Some(token as Micros) => self.tick(out),
-            Event::Wanted { worker, asked } => self.wanted(worker as usize, &asked, out),
-            Event::Held {
+            Event::CopyWanted {
                 worker,
-                func,
+                function: asked,
+            } => self.wanted(worker as usize, &asked, out),
+            Event::CopiesReported {
+                worker,
+                function: func,
                 copies,
             } => self.held_there(worker as usize, func, copies, out),
-            Event::Timer { .. } | Event::Probed { .. } => {}
+            Event::Timer { .. } | Event::ProbeEnded { .. } => {}
         }
         let pace = if self.held > 0 {
             RETRY_PACE
         } else {
-            self.loads.idle_kept / UPKEEP_STEPS
+            self.loads.idle_retention / UPKEEP_STEPS
         };
         let due = now + pace.max(self.fleet.granularity).max(RETRY_PACE);
         if self.next_tick.is_none_or(|t| due < t) {
@@ -501,7 +510,7 @@
         let Some((left, at)) = self.left.get_mut(account) else {
             return false;
         };
-        let part = self.accounts[account].allowance_per_s / f64::from(self.fleet.routers.max(1));
+        let part = self.accounts[account].quota_per_s / f64::from(self.fleet.routers.max(1));
         let come = part * (self.now - *at).max(0) as f64 / 1e6;
         *left = (*left + come).min((part * SHARE_SECONDS).max(1.0) + 1.0);
         *at = self.now;
@@ -513,18 +522,18 @@
     fn take(&mut self, a: &Arrival) {
         let over = self.over_share(a.account as usize);
         let (now, t) = (self.now, &self.triggers[a.trigger as usize]);
-        let stretch = (a.cost_hint.unwrap_or(0) as f64 * t.objective_stretch) as Micros;
-        let gives_up_at = now + a.client_gives_up_in;
-        if self.invs.len() <= a.inv as usize {
-            self.invs.resize_with(a.inv as usize + 1, || None);
+        let stretch = (a.cost_hint.unwrap_or(0) as f64 * t.objective_work_multiple) as Micros;
+        let gives_up_at = now + a.client_timeout_in;
+        if self.invs.len() <= a.invocation as usize {
+            self.invs.resize_with(a.invocation as usize + 1, || None);
         }
-        self.invs[a.inv as usize] = Some(Inv {
-            func: a.func,
+        self.invs[a.invocation as usize] = Some(Inv {
+            func: a.function,
             trigger: a.trigger as usize,
             over,
-            brief: a.waited + a.client_gives_up_in < t.latency_objective + stretch,
+            brief: a.waited + a.client_timeout_in < t.latency_objective + stretch,
             work: a.cost_hint.unwrap_or(0),
-            prefers: a.prefers,
+            prefers: a.preferred_worker,
             arrived: now,
             objective_at: (now - a.waited + t.latency_objective + stretch).min(gives_up_at),
             gives_up_at,
@@ -533,13 +542,13 @@
         self.value +=
             (t.billed_value - self.value) / if self.value > 0.0 { PRESSED_OVER } else { 1.0 };
         self.taken.push_back(now);
-        self.meet(&Asked {
-            func: a.func,
+        self.meet(&FunctionInfo {
+            function: a.function,
             fingerprint: a.fingerprint,
             trigger: a.trigger,
             lanes: a.lanes,
         });
-        let f = &mut self.funcs[a.func as usize];
+        let f = &mut self.funcs[a.function as usize];
         f.open += 1;
         if let Some(hint) = a.load_hint.filter(|_| f.load.mean == 0) {
             f.load = Usual {
@@ -547,43 +556,43 @@
                 stray: hint / 4,
             };
         }
-        self.spread(a.func);
+        self.spread(a.function);
     }
 
-    fn meet(&mut self, a: &Asked) {
-        if self.funcs.len() <= a.func as usize {
+    fn meet(&mut self, a: &FunctionInfo) {
+        if self.funcs.len() <= a.function as usize {
             self.funcs
-                .resize_with(a.func as usize + 1, Function::default);
+                .resize_with(a.function as usize + 1, Function::default);
         }
-        let f = &mut self.funcs[a.func as usize];
+        let f = &mut self.funcs[a.function as usize];
         let new = !std::mem::replace(&mut f.known, true);
         (f.fingerprint, f.trigger) = (a.fingerprint, a.trigger as usize);
         (f.lanes, f.used) = (a.lanes.max(1), self.now);
         if new {
             f.grow(self.workers.zone.len());
-            self.rank(a.func);
+            self.rank(a.function);
         }
     }
 
     /// Symptom: an upgrade's plan loads beside the invocations, beyond the ration, onto crowded workers. What
     /// it wants is ordered as any other load, or not at all; one that stands there is renewed.
-    fn wanted(&mut self, w: usize, a: &Asked, out: &mut Vec<Action>) {
-        if !self.loads.orders || w >= self.workers.zone.len() || !self.takes_new(w) {
+    fn wanted(&mut self, w: usize, a: &FunctionInfo, out: &mut Vec<Action>) {
+        if !self.loads.load_orders || w >= self.workers.zone.len() || !self.takes_new(w) {
             return;
         }
         self.meet(a);
         let (now, mean) = (self.now, self.mean_load());
-        let f = &self.funcs[a.func as usize];
+        let f = &self.funcs[a.function as usize];
         let stands = f.warm(w, now);
         let free = f.loading.is_none() && now >= f.load_from && self.workers.loaded_by[w] < now;
         if (stands || free && !self.crowded(w, mean)) && self.order_left() {
-            self.order(w, a.func, !stands, out);
+            self.order(w, a.function, !stands, out);
         }
     }
 
     /// Symptom: a copy was evicted, or another router loaded one; nothing here tells of either. What waits
     /// leaves for a copy that is there, and loads one anew where none is.
-    fn held_there(&mut self, w: usize, func: FnIx, copies: u32, out: &mut Vec<Action>) {
+    fn held_there(&mut self, w: usize, func: FunctionIndex, copies: u32, out: &mut Vec<Action>) {
         let f = self
             .funcs
             .get_mut(func as usize)
@@ -594,15 +603,15 @@
         }
         match copies {
             0 => f.cool(w),
-            _ => f.warm_until[w] = f.warm_until[w].max(self.now + self.loads.idle_kept),
+            _ => f.warm_until[w] = f.warm_until[w].max(self.now + self.loads.idle_retention),
         }
         self.retry_held(Some(func), out);
     }
 
     /// Symptom: many routers bring a busy function to the same first workers. It gets homes by its part of
     /// the work taken here, a power of two so that few move; the place among the routers tells this one's.
-    fn spread(&mut self, func: FnIx) {
-        let (now, over) = (self.now, self.loads.idle_kept.max(1) as f64);
+    fn spread(&mut self, func: FunctionIndex) {
+        let (now, over) = (self.now, self.loads.idle_retention.max(1) as f64);
         let work = self.usual_service(&self.funcs[func as usize]).mean as f64;
         let workers = self.funcs[func as usize].order.len().max(1);
         let f = &mut self.funcs[func as usize];
@@ -614,7 +623,7 @@
         );
     }
 
-    fn more_homes(&mut self, func: FnIx, wanted: usize) {
+    fn more_homes(&mut self, func: FunctionIndex, wanted: usize) {
         let (now, place) = (self.now, self.fleet.position as usize);
         let f = &mut self.funcs[func as usize];
         let wanted = wanted.clamp(1, f.order.len().max(1)).next_power_of_two();
@@ -628,25 +637,25 @@
     }
 
     /// A load was needed at a home: where there are many, none is used often enough to keep its copy.
-    fn loaded_in(&mut self, took: Micros, func: FnIx) {
+    fn loaded_in(&mut self, took: Micros, func: FunctionIndex) {
         let f = &mut self.funcs[func as usize];
         f.load.learn(took);
         self.load.learn(took);
-        if f.homes > 1 && self.now - f.homes_at > self.loads.idle_kept {
+        if f.homes > 1 && self.now - f.homes_at > self.loads.idle_retention {
             (f.homes, f.homes_at) = (f.homes / 2, self.now);
         }
     }
 
     /// The shared hash order of workers for a function: the same at every router.
-    fn rank(&mut self, func: FnIx) {
+    fn rank(&mut self, func: FunctionIndex) {
         let (workers, f) = (&self.workers, &mut self.funcs[func as usize]);
-        f.order = workers.serving().map(|w| w as WorkerIx).collect();
+        f.order = workers.serving().map(|w| w as WorkerIndex).collect();
         f.order
             .sort_by_cached_key(|&w| hashed((workers.fingerprint[w as usize], f.fingerprint)));
     }
 
     /// The ordinary path of an invocation, from top to bottom.
-    fn route(&mut self, ix: InvIx, out: &mut Vec<Action>) {
+    fn route(&mut self, ix: InvocationIndex, out: &mut Vec<Action>) {
         let Some((inv, f)) = self.found(ix) else {
             return;
         };
@@ -696,17 +705,17 @@
         let t = &self.triggers[inv.trigger];
         let of_share = if inv.over { self.over_worth } else { 1.0 };
         let of_brief = if inv.brief { self.brief_served } else { 1.0 };
-        t.billed_value * of_share * of_brief * if late { t.late_part } else { 1.0 }
+        t.billed_value * of_share * of_brief * if late { t.late_value_fraction } else { 1.0 }
     }
 
     /// Symptom: of hundreds of routers each orders a copy that stands already, for each function it meets.
     /// With no copy known and workers that load by themselves, the invocation goes there without an order.
-    fn loads_itself(&self, ix: InvIx) -> bool {
-        !self.loads.orders || self.loads.loads_when_absent && !self.any_warm(ix)
+    fn loads_itself(&self, ix: InvocationIndex) -> bool {
+        !self.loads.load_orders || self.loads.loads_when_absent && !self.any_warm(ix)
     }
 
     /// Begins a load; where it is ordered the invocation stays, for whichever lane is free first.
-    fn begin_load(&mut self, ix: InvIx, w: usize, out: &mut Vec<Action>) {
+    fn begin_load(&mut self, ix: InvocationIndex, w: usize, out: &mut Vec<Action>) {
         if self.loads_itself(ix) {
             return self.dispatch(ix, w, true, out);
         }
@@ -716,11 +725,11 @@
         self.order(w, func, true, out);
     }
 
-    fn order(&mut self, w: usize, func: FnIx, load: bool, out: &mut Vec<Action>) {
+    fn order(&mut self, w: usize, func: FunctionIndex, load: bool, out: &mut Vec<Action>) {
         self.ordered.push_back(self.now);
-        out.push(Action::Order {
-            worker: w as WorkerIx,
-            func,
+        out.push(Action::LoadOrder {
+            worker: w as WorkerIndex,
+            function: func,
             copies: 1,
         });
         if load {
@@ -728,10 +737,10 @@
         }
         let f = &mut self.funcs[func as usize];
         f.orders += 1;
-        f.warm_until[w] = self.now + self.loads.idle_kept;
+        f.warm_until[w] = self.now + self.loads.idle_retention;
     }
 
-    fn found(&self, ix: InvIx) -> Option<(&Inv, &Function)> {
+    fn found(&self, ix: InvocationIndex) -> Option<(&Inv, &Function)> {
         let inv = self.invs[ix as usize].as_ref()?;
         Some((inv, &self.funcs[inv.func as usize]))
     }
@@ -749,12 +758,15 @@
         match self.triggers[inv.trigger].effect {
             Effect::Idempotent => true,
             Effect::NonIdempotent => ran.next().is_none(),
-            Effect::Tokened { group, window } => ran.all(|d| {
+            Effect::IdempotentByKey {
+                scope: group,
+                window,
+            } => ran.all(|d| {
                 let v = d.worker as usize;
                 let same = match group {
-                    RepeatGroup::All => true,
-                    RepeatGroup::Zone => self.workers.zone[v] == self.workers.zone[w],
-                    RepeatGroup::Cell => self.workers.cell[v] == self.workers.cell[w],
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => self.workers.zone[v] == self.workers.zone[w],
+                    DeduplicationScope::Cell => self.workers.cell[v] == self.workers.cell[w],
                 };
                 same && self.now - d.at < window
             }),
@@ -764,9 +776,9 @@
     /// Rule 3: in service, or told to drain so short a time ago that the grace still runs.
     fn takes_new(&self, w: usize) -> bool {
         match self.workers.standing[w] {
-            Standing::InService => true,
-            Standing::Draining => self.now < self.workers.stops_at[w],
-            Standing::Gone => false,
+            EndpointState::InService => true,
+            EndpointState::Draining => self.now < self.workers.stops_at[w],
+            EndpointState::Gone => false,
         }
     }
 
@@ -775,7 +787,7 @@
     /// A part under one dispatch is kept by chance, drawn anew each window.
     fn cold_room(&self, w: usize) -> bool {
         let (r, window) = (&self.rules, self.rules.overload_window.max(1));
-        if self.now - self.workers.started[w] >= r.cold_for {
+        if self.now - self.workers.started[w] >= r.slow_start_duration {
             return true;
         }
         let carried =
@@ -805,9 +817,9 @@
 
     /// The part of its full capacity that a worker surely has at its age.
     fn grown(&self, w: usize) -> f64 {
-        let age =
-            (self.now - self.workers.started[w]).max(0) as f64 / self.rules.cold_for.max(1) as f64;
-        self.rules.cold_part + (1.0 - self.rules.cold_part) * age.min(1.0)
+        let age = (self.now - self.workers.started[w]).max(0) as f64
+            / self.rules.slow_start_duration.max(1) as f64;
+        self.rules.slow_start_fraction + (1.0 - self.rules.slow_start_fraction) * age.min(1.0)
     }
 
     /// Own dispatches in flight for each full-grown worker, over the workers in service.
@@ -860,12 +872,12 @@
             && self.now - inv.arrived < inv.work
     }
 
-    fn free_lane(&mut self, ix: InvIx) -> Option<usize> {
+    fn free_lane(&mut self, ix: InvocationIndex) -> Option<usize> {
         let draw = self.chance();
         let (inv, f) = self.found(ix)?;
         let mean = self.mean_load();
         let free = |w: &usize| {
-            let loading = self.loads.orders && f.loading.is_some_and(|l| l as usize == *w);
+            let loading = self.loads.load_orders && f.loading.is_some_and(|l| l as usize == *w);
             let open = f.warm(*w, self.now) && !loading && f.own[*w] < f.lanes;
             open && !self.crowded(*w, mean) && !Self::was_full(inv, *w) && self.fit(inv, *w)
         };
@@ -879,7 +891,7 @@
         Some(ties[(draw % ties.len() as u64) as usize])
     }
 
-    fn any_warm(&self, ix: InvIx) -> bool {
+    fn any_warm(&self, ix: InvocationIndex) -> bool {
         let Some((inv, f)) = self.found(ix) else {
             return false;
         };
@@ -888,7 +900,7 @@
 
     /// Where a new load goes: this router's home, the other homes, then the shared order, so that routers
     /// find each other's copies. One load under way per function and, for its usual time, per worker.
-    fn load_place(&self, ix: InvIx) -> Option<usize> {
+    fn load_place(&self, ix: InvocationIndex) -> Option<usize> {
         let (inv, f) = self.found(ix)?;
         if f.loading.is_some()
             || self.now < f.load_from
@@ -921,7 +933,7 @@
     }
 
     /// Held ones should leave within what their objective leaves beside the work itself.
-    fn room_to_hold(&self, ix: InvIx) -> bool {
+    fn room_to_hold(&self, ix: InvocationIndex) -> bool {
         let Some((inv, f)) = self.found(ix) else {
             return false;
         };
@@ -931,7 +943,7 @@
         wait < (inv.objective_at - self.now - service).max(0)
     }
 
-    fn least_busy(&self, ix: InvIx) -> Option<usize> {
+    fn least_busy(&self, ix: InvocationIndex) -> Option<usize> {
         let (inv, f) = self.found(ix)?;
         let room = |w: usize| {
             let bears = f64::from(self.health.own_at(w)) < self.workers.bears[w];
@@ -942,21 +954,21 @@
             .min_by_key(|&w| f.own[w])
     }
 
-    fn hold(&mut self, ix: InvIx) {
+    fn hold(&mut self, ix: InvocationIndex) {
         if let Some(inv) = self.invs[ix as usize].as_ref() {
             self.held += 1;
             self.funcs[inv.func as usize].held.push(ix);
         }
     }
 
-    fn unhold(&mut self, ix: InvIx) {
+    fn unhold(&mut self, ix: InvocationIndex) {
         if let Some(inv) = self.invs[ix as usize].as_ref() {
             let held = &mut self.funcs[inv.func as usize].held;
             self.held -= held.extract_if(.., |h| *h == ix).count() as u32;
         }
     }
 
-    fn dispatch(&mut self, ix: InvIx, w: usize, load: bool, out: &mut Vec<Action>) {
+    fn dispatch(&mut self, ix: InvocationIndex, w: usize, load: bool, out: &mut Vec<Action>) {
         self.unhold(ix);
         let now = self.now;
         let Some(inv) = self.invs[ix as usize].as_ref() else {
@@ -981,12 +993,12 @@
             && inv.dispatches.len() as u32 + 1 < self.limits.max_dispatches
             && left - patience > usual.mean;
         out.push(Action::Dispatch {
-            inv: ix,
-            worker: w as WorkerIx,
-            time_out: again.then_some(patience),
+            invocation: ix,
+            worker: w as WorkerIndex,
+            timeout: again.then_some(patience),
         });
         let dispatch = Dispatch {
-            worker: w as WorkerIx,
+            worker: w as WorkerIndex,
             at: now,
             fate: Fate::Out,
             load,
@@ -996,7 +1008,7 @@
         }
         let f = &mut self.funcs[func as usize];
         f.own[w] += 1;
-        f.warm_until[w] = now + self.loads.idle_kept;
+        f.warm_until[w] = now + self.loads.idle_retention;
         if load {
             self.load_begins(func, w);
         }
@@ -1033,16 +1045,16 @@
         )
     }
 
-    fn settle(&mut self, e: &Ending, out: &mut Vec<Action>) {
-        let &Ending {
-            inv: ix,
+    fn settle(&mut self, e: &DispatchEnded, out: &mut Vec<Action>) {
+        let &DispatchEnded {
+            invocation: ix,
             dispatch,
             worker,
             outcome,
             took,
-            concluded,
-            note,
-            crowd,
+            answered: concluded,
+            copy_status: note,
+            function_load: crowd,
             ..
         } = e;
         let (now, w) = (self.now, worker as usize);
@@ -1055,8 +1067,8 @@
             .filter(|d| d.fate == Fate::Out);
         let Some(d) = sent else { return };
         d.fate = match outcome {
-            Outcome::Throttled => Fate::WasFull,
-            _ if outcome.never_ran() => Fate::NeverRan,
+            DispatchOutcome::Rejected => Fate::WasFull,
+            _ if outcome.not_executed() => Fate::NeverRan,
             _ => Fate::MayHaveRun,
         };
         let (load, sent_at, func, trigger, work) = (d.load, d.at, inv.func, inv.trigger, inv.work);
@@ -1075,17 +1087,22 @@
             self.more_homes(func, f.homes * crowd as usize * 2);
         }
         let objective = self.triggers[trigger].latency_objective;
-        if brief && matches!(outcome, Outcome::Succeeded | Outcome::TimedOut) {
-            let served = f64::from(u8::from(outcome == Outcome::Succeeded));
+        if brief
+            && matches!(
+                outcome,
+                DispatchOutcome::Succeeded | DispatchOutcome::TimedOut
+            )
+        {
+            let served = f64::from(u8::from(outcome == DispatchOutcome::Succeeded));
             self.brief_served += (served - self.brief_served) / PRESSED_OVER;
         }
-        if let Outcome::Succeeded | Outcome::Throttled = outcome {
-            let late = outcome == Outcome::Throttled || now > objective_at;
+        if let DispatchOutcome::Succeeded | DispatchOutcome::Rejected = outcome {
+            let late = outcome == DispatchOutcome::Rejected || now > objective_at;
             self.pressed_at = now;
             self.pressed += (f64::from(u8::from(late)) - self.pressed) / self.pressed_over;
         }
         match outcome {
-            Outcome::Succeeded => {
+            DispatchOutcome::Succeeded => {
                 self.health.judge(w, trigger, now, true);
                 let over = CARRIED_WINDOWS * self.rules.overload_window.max(1) as f64;
                 self.carried.add(now, over, 1.0);
@@ -1097,8 +1114,9 @@
                 let at_once =
                     took - usual.mean <= self.usual_load(&self.funcs[func as usize]).mean / GAIN;
                 let f = &mut self.funcs[func as usize];
-                f.warm_until[w] = now + self.loads.idle_kept;
-                if note == CopyNote::Found || note == CopyNote::Untold && (!load || at_once) {
+                f.warm_until[w] = now + self.loads.idle_retention;
+                if note == CopyStatus::Warm || note == CopyStatus::Unreported && (!load || at_once)
+                {
                     f.service.learn(took);
                     self.service[trigger].learn(took);
                     if work > 0 {
@@ -1107,25 +1125,26 @@
                             ((took as f64 / work as f64).min(SLOWEST) - *slowness) / SLOWNESS_GAIN;
                     }
                     self.workers.learn_bears(w, now, own, took, objective);
-                } else if note == CopyNote::Began || load {
+                } else if note == CopyStatus::LoadStarted || load {
                     self.loaded_in((took - usual.mean).max(1), func);
                 }
             }
-            Outcome::Missed => self.funcs[func as usize].cool(w),
+            DispatchOutcome::NotLoaded => self.funcs[func as usize].cool(w),
             // Symptom: a full worker answers fastest of all and so looks idle.
-            Outcome::Throttled => self
-                .workers
-                .learn_bears(w, now, own, Micros::MAX / 8, objective),
-            Outcome::NotSent | Outcome::Withdrawn => {}
+            DispatchOutcome::Rejected => {
+                self.workers
+                    .learn_bears(w, now, own, Micros::MAX / 8, objective)
+            }
+            DispatchOutcome::NotSent | DispatchOutcome::Cancelled => {}
             // A load that fails, as with an order; of the worker it tells something if the function has run.
-            Outcome::Errored if load => {
+            DispatchOutcome::Errored if load => {
                 self.load_errored(func, took);
                 if self.funcs[func as usize].service.mean > 0 {
                     self.health.judge(w, trigger, now, false);
                 }
             }
             // A try that its client ended before an answer was due tells nothing.
-            Outcome::TimedOut if took < usual.stretched() => {}
+            DispatchOutcome::TimedOut if took < usual.stretched() => {}
             _ => self.health.judge(w, trigger, now, false),
         }
         if concluded {
@@ -1137,7 +1156,7 @@
     }
 
     /// After a dispatch without success: another one, or the final answer at once.
-    fn follow_up(&mut self, ix: InvIx, out: &mut Vec<Action>) {
+    fn follow_up(&mut self, ix: InvocationIndex, out: &mut Vec<Action>) {
         let Some((inv, f)) = self.found(ix).filter(|(i, _)| !i.ended && !i.out()) else {
             return;
         };
@@ -1150,32 +1169,32 @@
     }
 
     /// The final answer of an invocation that gets no success.
-    fn give_up(&mut self, ix: InvIx, out: &mut Vec<Action>) {
+    fn give_up(&mut self, ix: InvocationIndex, out: &mut Vec<Action>) {
         let Some(inv) = self.invs[ix as usize].as_ref().filter(|i| !i.ended) else {
             return;
         };
         let harmless = match self.triggers[inv.trigger].effect {
             Effect::Idempotent
-            | Effect::Tokened {
-                group: RepeatGroup::All,
+            | Effect::IdempotentByKey {
+                scope: DeduplicationScope::All,
                 ..
             } => true,
             _ => inv.dispatches.iter().all(|d| d.fate.never_ran()),
         };
         if harmless {
             let advice = self.triggers[inv.trigger].latency_objective / 4;
-            let return_after = Some(advice.min(self.limits.max_advice)).filter(|&t| t > 0);
-            out.push(Action::Throttle {
-                inv: ix,
-                return_after,
+            let return_after = Some(advice.min(self.limits.max_retry_after)).filter(|&t| t > 0);
+            out.push(Action::Reject {
+                invocation: ix,
+                retry_after: return_after,
             });
         } else {
-            out.push(Action::Error { inv: ix });
+            out.push(Action::Fail { invocation: ix });
         }
         self.conclude(ix);
     }
 
-    fn conclude(&mut self, ix: InvIx) {
+    fn conclude(&mut self, ix: InvocationIndex) {
         self.unhold(ix);
         if let Some(inv) = self.invs[ix as usize].as_mut() {
             inv.ended = true;
@@ -1183,7 +1202,7 @@
         self.release(ix);
     }
 
-    fn release(&mut self, ix: InvIx) {
+    fn release(&mut self, ix: InvocationIndex) {
         if let Some(inv) = self.invs[ix as usize].take_if(|i| i.ended && !i.out()) {
             self.funcs[inv.func as usize].open -= 1;
         }
@@ -1196,10 +1215,10 @@
     }
 
     /// Held invocations of one function, or of all, leave for the lanes that have become free.
-    fn retry_held(&mut self, only: Option<FnIx>, out: &mut Vec<Action>) {
+    fn retry_held(&mut self, only: Option<FunctionIndex>, out: &mut Vec<Action>) {
         let all = 0..self.funcs.len() as u32;
         let funcs = only.map_or(all, |f| f..f + 1);
-        let mut held: Vec<InvIx> = funcs
+        let mut held: Vec<InvocationIndex> = funcs
             .flat_map(|f| self.funcs[f as usize].held.iter().copied())
             .collect();
         held.sort_by_cached_key(|&ix| {
@@ -1232,20 +1251,21 @@
 
     /// Rule 5: this order included, within the ration of its window.
     fn order_left(&self) -> bool {
-        let since = self.now - self.loads.ration_window;
+        let since = self.now - self.loads.order_quota_window;
         let within = |q: &VecDeque<Micros>| q.iter().filter(|&&t| t > since).count() as f64;
-        self.loads.ration_window <= 0
+        self.loads.order_quota_window <= 0
             || within(&self.ordered) + 1.0
-                <= self.loads.ration_few + self.loads.ration_part * within(&self.taken)
+                <= self.loads.order_quota_base
+                    + self.loads.order_quota_per_invocation * within(&self.taken)
     }
 
-    fn load_begins(&mut self, func: FnIx, w: usize) {
-        self.funcs[func as usize].loading = Some(w as WorkerIx);
+    fn load_begins(&mut self, func: FunctionIndex, w: usize) {
+        self.funcs[func as usize].loading = Some(w as WorkerIndex);
         self.workers.loaded_by[w] = self.now + self.usual_load(&self.funcs[func as usize]).mean;
     }
 
     /// The load of this function there, if one was under way, is over; true if so.
-    fn load_ends(&mut self, func: FnIx, w: usize) -> bool {
+    fn load_ends(&mut self, func: FunctionIndex, w: usize) -> bool {
         let ended = self.funcs[func as usize]
             .loading
             .take_if(|l| *l as usize == w)
@@ -1259,7 +1279,7 @@
     fn order_ended(&mut self, event: &Event, out: &mut Vec<Action>) {
         let &Event::OrderEnded {
             worker,
-            func,
+            function: func,
             result,
             copies,
             took,
@@ -1275,21 +1295,24 @@
         let loaded = self.load_ends(func, w);
         let f = &mut self.funcs[func as usize];
         f.orders = f.orders.saturating_sub(1);
-        let answered = matches!(result, OrderResult::Stand | OrderResult::NoRoom);
+        let answered = matches!(
+            result,
+            LoadOrderResult::Loaded | LoadOrderResult::NoCapacity
+        );
         if answered && copies > 0 {
-            f.warm_until[w] = f.warm_until[w].max(self.now + self.loads.idle_kept);
+            f.warm_until[w] = f.warm_until[w].max(self.now + self.loads.idle_retention);
             // One answered at once found the copy standing.
             if loaded && took > usual.mean / GAIN {
                 self.loaded_in(took, func);
             }
-        } else if result != OrderResult::Stand || f.own[w] == 0 {
+        } else if result != LoadOrderResult::Loaded || f.own[w] == 0 {
             f.cool(w);
         }
-        if result == OrderResult::NoRoom {
+        if result == LoadOrderResult::NoCapacity {
             // Symptom: a worker without room for a copy says so at once and is asked again at once. It takes
             // no load from here for a load's usual time.
             self.workers.loaded_by[w] = self.now + usual.mean;
-        } else if result == OrderResult::LoadErrored {
+        } else if result == LoadOrderResult::LoadFailed {
             self.load_errored(func, took);
         } else if !answered {
             self.health.judge(w, self.triggers.len(), self.now, false);
@@ -1299,38 +1322,40 @@
 
     /// Symptom: a function that nobody can load fails at once on one worker after the other, and with each of
     /// them blamed none is left for other loads. It waits itself, a load's usual time in all.
-    fn load_errored(&mut self, func: FnIx, took: Micros) {
+    fn load_errored(&mut self, func: FunctionIndex, took: Micros) {
         let usual = self.usual_load(&self.funcs[func as usize]).mean;
         self.funcs[func as usize].load_from = self.now + usual - took;
     }
 
     fn tick(&mut self, out: &mut Vec<Action>) {
         self.next_tick = None;
-        forget_before(&mut self.ordered, self.now - self.loads.ration_window);
-        forget_before(&mut self.taken, self.now - self.loads.ration_window);
+        forget_before(&mut self.ordered, self.now - self.loads.order_quota_window);
+        forget_before(&mut self.taken, self.now - self.loads.order_quota_window);
         // Symptom: with every worker judged bad nothing is sent, and trials that come by dispatches never do.
         let stalled = self.held > 0 && self.workers.serving().all(|w| self.health.own_at(w) == 0);
         self.trial_due -= i32::from(stalled);
-        if self.now - self.pressed_at > self.loads.idle_kept {
+        if self.now - self.pressed_at > self.loads.idle_retention {
             // Symptom: with all refused under pressure, no answer comes that could tell of its end.
             self.pressed = 0.0;
         }
         self.retry_held(None, out);
         for func in 0..self.funcs.len() as u32 {
             let f = &mut self.funcs[func as usize];
-            let unused = self.now - f.used > FORGET_AFTER * self.loads.idle_kept;
+            let unused = self.now - f.used > FORGET_AFTER * self.loads.idle_retention;
             if f.known && f.open == 0 && f.orders == 0 && unused {
                 *f = Function::default();
-                out.push(Action::Forget { func });
+                out.push(Action::ReleaseFunction { function: func });
             }
         }
     }
 
-    fn follow_list(&mut self, mode: ListMode, entries: &[ListEntry], out: &mut Vec<Action>) {
-        if mode == ListMode::Failed || (mode == ListMode::Saved && self.rules.list_on_request) {
-            out.push(Action::AskList { follow: true });
+    fn follow_list(&mut self, mode: EndpointListKind, entries: &[Endpoint], out: &mut Vec<Action>) {
+        if mode == EndpointListKind::Failed
+            || (mode == EndpointListKind::Cached && self.rules.list_on_request)
+        {
+            out.push(Action::RequestEndpointList { watch: true });
         }
-        if mode == ListMode::Failed {
+        if mode == EndpointListKind::Failed {
             return;
         }
         let known = self.workers.zone.len();
@@ -1342,11 +1367,11 @@
         self.health.grow(most);
         self.funcs.iter_mut().for_each(|f| f.grow(most));
         let gone = |w: &usize| {
-            mode != ListMode::Changes && !entries.iter().any(|e| e.worker as usize == *w)
+            mode != EndpointListKind::Changes && !entries.iter().any(|e| e.worker as usize == *w)
         };
         let mut lost: Vec<usize> = (0..most).filter(gone).collect();
         lost.iter()
-            .for_each(|&w| self.workers.standing[w] = Standing::Gone);
+            .for_each(|&w| self.workers.standing[w] = EndpointState::Gone);
         for e in entries {
             let w = e.worker as usize;
             if self.workers.fingerprint[w] != e.fingerprint {
@@ -1355,20 +1380,22 @@
                 self.health.renew(w);
                 lost.push(w);
             }
-            let started = e.started.unwrap_or(self.workers.started[w]);
-            if self.workers.started[w] != started || e.standing == Standing::Gone {
+            let started = e.started_at.unwrap_or(self.workers.started[w]);
+            if self.workers.started[w] != started || e.state == EndpointState::Gone {
                 lost.push(w);
             }
             self.workers.fingerprint[w] = e.fingerprint;
             self.workers.zone[w] = e.zone;
             self.workers.cell[w] = e.cell;
-            self.workers.kind[w] = e.kind;
-            if e.standing == Standing::Draining && self.workers.standing[w] == Standing::InService {
+            self.workers.kind[w] = e.machine_kind;
+            if e.state == EndpointState::Draining
+                && self.workers.standing[w] == EndpointState::InService
+            {
                 self.workers.stops_at[w] = self.now + self.rules.drain_grace * 3 / 4;
             }
             self.slowness
-                .resize(self.slowness.len().max(e.kind as usize + 1), 1.0);
-            self.workers.standing[w] = e.standing;
+                .resize(self.slowness.len().max(e.machine_kind as usize + 1), 1.0);
+            self.workers.standing[w] = e.state;
             self.workers.started[w] = started;
         }
         // A restarted process is empty and not yet judged.
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,65 +1,70 @@
-//! Maps outside ids to small dense indices, at the door of any front.
+//! Interning of external ids (names of workers, functions) as small dense indices.
 
 use std::borrow::Borrow;
 use std::collections::HashMap;
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
 
-/// A number for an outside id that is the same at every router (the indices are not).
+/// A hash of an external id that is the same at every router (indices are not).
 pub fn fingerprint(id: &str) -> u64 {
     BuildHasherDefault::<DefaultHasher>::default().hash_one(id)
 }
 
-/// Outside ids and their indices; the index of a released id is given out again.
+/// External ids and their indices. The index of a released id is reused.
 #[derive(Debug, Default)]
-pub struct Ids<K> {
-    index: HashMap<K, u32>,
+pub struct Interner<K> {
+    indices: HashMap<K, u32>,
     ids: Vec<Option<K>>,
     free: Vec<u32>,
 }
 
-impl<K: Eq + Hash + Clone> Ids<K> {
-    /// The index of an id, given out now if it has none.
-    pub fn enter<Q>(&mut self, id: &Q) -> u32
+impl<K: Eq + Hash + Clone> Interner<K> {
+    /// The index of an id; a new one if it has none.
+    pub fn intern<Q>(&mut self, id: &Q) -> u32
     where
         K: Borrow<Q>,
         Q: Eq + Hash + ToOwned<Owned = K> + ?Sized,
     {
-        if let Some(&ix) = self.index.get(id) {
-            return ix;
+        if let Some(&index) = self.indices.get(id) {
+            return index;
         }
-        let ix = self.free.pop().unwrap_or(self.ids.len() as u32);
-        if ix as usize == self.ids.len() {
+        let index = self.free.pop().unwrap_or(self.ids.len() as u32);
+        if index as usize == self.ids.len() {
             self.ids.push(None);
         }
-        self.ids[ix as usize] = Some(id.to_owned());
-        self.index.insert(id.to_owned(), ix);
-        ix
+        self.ids[index as usize] = Some(id.to_owned());
+        self.indices.insert(id.to_owned(), index);
+        index
     }
 
+    /// The index of an id, if it has one.
     pub fn find<Q>(&self, id: &Q) -> Option<u32>
     where
         K: Borrow<Q>,
         Q: Eq + Hash + ?Sized,
     {
-        self.index.get(id).copied()
+        self.indices.get(id).copied()
     }
 
-    pub fn id(&self, ix: u32) -> Option<&K> {
-        self.ids.get(ix as usize)?.as_ref()
+    /// The id that has this index.
+    pub fn id(&self, index: u32) -> Option<&K> {
+        self.ids.get(index as usize)?.as_ref()
     }
 
-    pub fn release(&mut self, ix: u32) {
-        if let Some(id) = self.ids.get_mut(ix as usize).and_then(Option::take) {
-            self.index.remove(&id);
-            self.free.push(ix);
+    /// Frees the index for another id; does nothing if it is free.
+    pub fn release(&mut self, index: u32) {
+        if let Some(id) = self.ids.get_mut(index as usize).and_then(Option::take) {
+            self.indices.remove(&id);
+            self.free.push(index);
         }
     }
 
+    /// Number of ids that have an index.
     pub fn len(&self) -> usize {
-        self.index.len()
+        self.indices.len()
     }
 
+    /// Whether no id has an index.
     pub fn is_empty(&self) -> bool {
-        self.index.is_empty()
+        self.indices.is_empty()
     }
 }
--- a/tests/decisions/cases.rs
+++ b/tests/decisions/cases.rs
@@ -5,7 +5,7 @@
 use crate::script::*;
 use cedarpulley::interface::*;
 
-fn sent(actions: &[Action]) -> Vec<WorkerIx> {
+fn sent(actions: &[Action]) -> Vec<WorkerIndex> {
     let to = |a: &Action| match a {
         Action::Dispatch { worker, .. } => Some(*worker),
         _ => None,
@@ -13,9 +13,9 @@
     actions.iter().filter_map(to).collect()
 }
 
-fn ordered(actions: &[Action]) -> Vec<WorkerIx> {
+fn ordered(actions: &[Action]) -> Vec<WorkerIndex> {
     let to = |a: &Action| match a {
-        Action::Order {
+        Action::LoadOrder {
             worker,
             copies: 1..,
             ..
@@ -33,18 +33,18 @@
 };
 
 /// Has one worker loaded with the function, and tells which.
-fn warm_up(s: &mut Script, func: FnIx, lanes: u32) -> WorkerIx {
+fn warm_up(s: &mut Script, func: FunctionIndex, lanes: u32) -> WorkerIndex {
     let (inv, actions) = s.arrive(0, func, lanes, 2 * SECOND);
     let home = sent(&actions)[0];
     s.pass(600 * MS);
-    s.end(inv, 0, Outcome::Succeeded, CopyNote::Began);
+    s.end(inv, 0, DispatchOutcome::Succeeded, CopyStatus::LoadStarted);
     home
 }
 
 /// Answers the invocation's first dispatch after the time given.
-fn answer(s: &mut Script, inv: InvIx, after: Micros) -> Vec<Action> {
+fn answer(s: &mut Script, inv: InvocationIndex, after: Micros) -> Vec<Action> {
     s.pass(after);
-    s.end(inv, 0, Outcome::Succeeded, CopyNote::Found)
+    s.end(inv, 0, DispatchOutcome::Succeeded, CopyStatus::Warm)
 }
 
 #[test]
@@ -122,7 +122,10 @@
 fn a_draining_home_serves_within_the_grace_only() {
     let mut s = Script::new(7, PLAIN, 4);
     let home = warm_up(&mut s, 0, 2);
-    s.list(ListMode::Changes, &[entry(home, Standing::Draining, None)]);
+    s.list(
+        EndpointListKind::Changes,
+        &[entry(home, EndpointState::Draining, None)],
+    );
     s.pass(100 * MS);
     let (_, actions) = s.arrive(0, 0, 2, 2 * SECOND);
     assert_eq!(sent(&actions), [home]);
@@ -138,15 +141,15 @@
     let (inv, actions) = s.arrive(2, 0, 1, 2 * SECOND);
     let orders: Vec<_> = actions
         .iter()
-        .filter(|a| matches!(a, Action::Order { .. }))
+        .filter(|a| matches!(a, Action::LoadOrder { .. }))
         .collect();
     assert_eq!((orders.len(), sent(&actions).len()), (1, 0));
     let worker = ordered(&actions)[0];
     s.pass(400 * MS);
     let stand = Event::OrderEnded {
         worker,
-        func: 0,
-        result: OrderResult::Stand,
+        function: 0,
+        result: LoadOrderResult::Loaded,
         took: 400 * MS,
         copies: 1,
     };
@@ -160,8 +163,13 @@
     let mut s = Script::new(10, PLAIN, 4);
     let (inv, _) = s.arrive(2, 0, 1, 2 * SECOND);
     s.pass(50 * MS);
-    let actions = s.end(inv, 0, Outcome::Broken, CopyNote::Untold);
-    assert!(actions.contains(&Action::Error { inv }));
+    let actions = s.end(
+        inv,
+        0,
+        DispatchOutcome::ConnectionLost,
+        CopyStatus::Unreported,
+    );
+    assert!(actions.contains(&Action::Fail { invocation: inv }));
 }
 
 /// Symptom of hangs and cut links: work out and no answer at all. Only what may run again tries the worker.
@@ -186,7 +194,7 @@
 fn with_every_worker_judged_bad_trials_go_on() {
     let mut s = Script::new(1, PLAIN, 1);
     warm_up(&mut s, 0, 8);
-    let tries: Vec<InvIx> = (0..8).map(|_| s.arrive(0, 0, 8, 2 * SECOND).0).collect();
+    let tries: Vec<InvocationIndex> = (0..8).map(|_| s.arrive(0, 0, 8, 2 * SECOND).0).collect();
     s.pass(1_500 * MS);
     tries
         .iter()
@@ -195,13 +203,13 @@
         .collect::<Vec<_>>()
         .into_iter()
         .for_each(|inv| {
-            s.end(inv, 0, Outcome::TimedOut, CopyNote::Untold);
+            s.end(inv, 0, DispatchOutcome::TimedOut, CopyStatus::Unreported);
         });
     // The first trial is lost too.
     let (inv, _) = s.arrive(0, 0, 8, 2 * SECOND);
     s.pass(600 * MS);
     assert!(s.is_out(inv));
-    s.end(inv, 0, Outcome::TimedOut, CopyNote::Untold);
+    s.end(inv, 0, DispatchOutcome::TimedOut, CopyStatus::Unreported);
     s.pass(500 * MS);
     let (_, now) = s.arrive(0, 0, 8, 2 * SECOND);
     let later = s.pass(SECOND);
@@ -231,7 +239,7 @@
     }
     let (inv, actions) = s.arrive(2, 0, 4, 150 * MS);
     assert!(
-        matches!(actions[0], Action::Throttle { inv: i, .. } if i == inv),
+        matches!(actions[0], Action::Reject { invocation: i, .. } if i == inv),
         "{actions:?}"
     );
 }
@@ -274,8 +282,8 @@
     let silent = sent(&actions)[0];
     let (other, _) = s.arrive(2, 2, 4, 2 * SECOND);
     s.pass(2 * SECOND);
-    s.end(inv, 0, Outcome::TimedOut, CopyNote::Untold);
-    s.end(other, 0, Outcome::TimedOut, CopyNote::Untold);
+    s.end(inv, 0, DispatchOutcome::TimedOut, CopyStatus::Unreported);
+    s.end(other, 0, DispatchOutcome::TimedOut, CopyStatus::Unreported);
     let (_, actions) = s.arrive(2, 2, 4, 2 * SECOND);
     assert!(!sent(&actions).contains(&silent));
     // The other type goes by its own record there, whichever worker it is warm on.
@@ -294,14 +302,14 @@
         s.pass(took);
         for inv in invs {
             if s.owes(inv) && s.is_out(inv) {
-                s.end(inv, 0, Outcome::Succeeded, CopyNote::Found);
+                s.end(inv, 0, DispatchOutcome::Succeeded, CopyStatus::Warm);
             }
         }
         s.pass(3 * SECOND);
         actions
             .concat()
             .iter()
-            .filter(|a| matches!(a, Action::Throttle { .. }))
+            .filter(|a| matches!(a, Action::Reject { .. }))
             .count()
     };
     let bursts = [
@@ -320,8 +328,8 @@
     let worker = ordered(&actions)[0];
     let full = Event::OrderEnded {
         worker,
-        func: 0,
-        result: OrderResult::NoRoom,
+        function: 0,
+        result: LoadOrderResult::NoCapacity,
         took: MS,
         copies: 0,
     };
@@ -334,10 +342,10 @@
 fn a_dispatch_of_a_client_that_left_is_called_back() {
     let mut s = Script::new(18, PLAIN, 2);
     let (inv, _) = s.arrive(0, 0, 1, 2 * SECOND);
-    assert!(
-        s.depart(inv)
-            .contains(&Action::Withdraw { inv, dispatch: 0 })
-    );
+    assert!(s.depart(inv).contains(&Action::Cancel {
+        invocation: inv,
+        dispatch: 0
+    }));
 }
 
 /// Rule 4 over all routers: each alone may send a just started worker less than one dispatch a window.
@@ -351,8 +359,8 @@
     for position in 0..100 {
         let mut s = Script::at(position, position.into(), site, 1);
         s.list(
-            ListMode::Saved,
-            &[entry(0, Standing::InService, Some(s.now))],
+            EndpointListKind::Cached,
+            &[entry(0, EndpointState::InService, Some(s.now))],
         );
         for trigger in 0..3 {
             sends += sent(&s.arrive(trigger, trigger, 1, 500 * MS).1).len();
@@ -369,23 +377,29 @@
     let mut s = Script::new(21, PLAIN, 1);
     let home = warm_up(&mut s, 0, 2);
     // It was full with one, and broke another: it bears little, and is judged bad.
-    for (trigger, outcome) in [(0, Outcome::Throttled), (2, Outcome::Broken)] {
+    for (trigger, outcome) in [
+        (0, DispatchOutcome::Rejected),
+        (2, DispatchOutcome::ConnectionLost),
+    ] {
         let (inv, _) = s.arrive(trigger, 0, 2, 2 * SECOND);
         s.pass(50 * MS);
-        s.end(inv, 0, outcome, CopyNote::Untold);
+        s.end(inv, 0, outcome, CopyStatus::Unreported);
     }
     assert!(sent(&s.arrive(2, 0, 2, 2 * SECOND).1).is_empty());
-    s.list(ListMode::Changes, &[entry(home, Standing::Gone, None)]);
+    s.list(
+        EndpointListKind::Changes,
+        &[entry(home, EndpointState::Gone, None)],
+    );
     s.pass(3 * SECOND);
-    let new = ListEntry {
+    let new = Endpoint {
         fingerprint: 4711,
-        ..entry(home, Standing::InService, None)
+        ..entry(home, EndpointState::InService, None)
     };
-    s.list(ListMode::Changes, &[new]);
+    s.list(EndpointListKind::Changes, &[new]);
     let (inv, actions) = s.arrive(2, 0, 2, 2 * SECOND);
     assert_eq!(sent(&actions), [home]);
     s.pass(600 * MS);
-    s.end(inv, 0, Outcome::Succeeded, CopyNote::Began);
+    s.end(inv, 0, DispatchOutcome::Succeeded, CopyStatus::LoadStarted);
     assert_eq!(
         [(); 2].map(|()| sent(&s.arrive(2, 0, 2, 2 * SECOND).1)),
         [[home], [home]]
@@ -405,8 +419,8 @@
         orders += 1;
         let failed = Event::OrderEnded {
             worker,
-            func: 0,
-            result: OrderResult::LoadErrored,
+            function: 0,
+            result: LoadOrderResult::LoadFailed,
             took: MS,
             copies: 0,
         };
@@ -423,13 +437,16 @@
 }
 
 /// An invocation of this trigger type goes to the one warm worker, which is full for it.
-fn turned_away_at_home(seed: u64, trigger: u32) -> (Script, InvIx, WorkerIx, Vec<Action>) {
+fn turned_away_at_home(
+    seed: u64,
+    trigger: u32,
+) -> (Script, InvocationIndex, WorkerIndex, Vec<Action>) {
     let mut s = Script::new(seed, PLAIN, 3);
     let home = warm_up(&mut s, 0, 4);
     let (inv, actions) = s.arrive(trigger, 0, 4, 2 * SECOND);
     assert_eq!(sent(&actions), [home]);
     s.pass(MS);
-    let actions = s.end(inv, 0, Outcome::Throttled, CopyNote::Untold);
+    let actions = s.end(inv, 0, DispatchOutcome::Rejected, CopyStatus::Unreported);
     (s, inv, home, actions)
 }
 
@@ -439,7 +456,7 @@
 fn an_invocation_goes_no_second_time_to_a_worker_that_was_full_for_it() {
     let (_, inv, home, actions) = turned_away_at_home(23, 2);
     assert!(sent(&actions).iter().all(|w| *w != home));
-    assert!(!actions.contains(&Action::Error { inv }));
+    assert!(!actions.contains(&Action::Fail { invocation: inv }));
 }
 
 /// slot-service-later, deploy+flush: a worker that was full counted as not warm, so each invocation that it
@@ -463,7 +480,7 @@
 fn turned_away(s: &mut Script, lanes: u32, count: usize) -> usize {
     let actions = (0..count).flat_map(|_| s.arrive(0, 0, lanes, 2 * SECOND).1);
     actions
-        .filter(|a| matches!(a, Action::Throttle { .. }))
+        .filter(|a| matches!(a, Action::Reject { .. }))
         .count()
 }
 
@@ -500,7 +517,7 @@
         let (_, actions) = s.arrive(types[n], 0, 64, patience[n]);
         refused[n] += actions
             .iter()
-            .filter(|a| matches!(a, Action::Throttle { .. }))
+            .filter(|a| matches!(a, Action::Reject { .. }))
             .count();
     }
     refused
@@ -552,11 +569,11 @@
             let (inv, _) = s.arrive(0, 0, 64, 700 * MS + heavy);
             s.pass(if answered { 20 * MS } else { 690 * MS + heavy });
             let outcome = if answered {
-                Outcome::Succeeded
+                DispatchOutcome::Succeeded
             } else {
-                Outcome::TimedOut
+                DispatchOutcome::TimedOut
             };
-            s.end(inv, 0, outcome, CopyNote::Untold);
+            s.end(inv, 0, outcome, CopyStatus::Unreported);
             answered_after(&mut s, 64, &[20 * MS]);
         }
         answered_after(&mut s, 64, &[20 * MS, late + heavy].repeat(20));
@@ -669,7 +686,7 @@
         let (inv, actions) = s.arrive(2, 0, 4, 2 * SECOND);
         assert_eq!(sent(&actions), [other]);
         s.pass(MS);
-        s.end(inv, 0, Outcome::Errored, CopyNote::Untold);
+        s.end(inv, 0, DispatchOutcome::Errored, CopyStatus::Unreported);
         // What must not run twice goes to no worker that is judged bad.
         sent(&s.arrive(2, 1, 4, 2 * SECOND).1)
     };
@@ -682,9 +699,9 @@
     let home = warm_up(&mut s, 0, 2);
     // Another one that holds a copy, too.
     let other = (0..4).find(|w| *w != home).expect("one of four");
-    s.tell(&Event::Held {
+    s.tell(&Event::CopiesReported {
         worker: other,
-        func: 0,
+        function: 0,
         copies: 1,
     });
     for at in [home, other, home, other] {
@@ -726,10 +743,10 @@
     assert!(ordered(&s.want(1, 7)).is_empty());
     s.pass(6 * SECOND);
     let ended = |s: &mut Script, worker, func| {
-        let (result, took) = (OrderResult::Stand, 400 * MS);
+        let (result, took) = (LoadOrderResult::Loaded, 400 * MS);
         s.tell(&Event::OrderEnded {
             worker,
-            func,
+            function: func,
             result,
             took,
             copies: 1,
@@ -738,7 +755,10 @@
     ended(&mut s, 2, 5);
     // One that stands is renewed, though it needs no load; one that drains takes none.
     assert_eq!(ordered(&s.want(2, 5)), [2]);
-    s.list(ListMode::Changes, &[entry(0, Standing::Draining, None)]);
+    s.list(
+        EndpointListKind::Changes,
+        &[entry(0, EndpointState::Draining, None)],
+    );
     s.pass(SECOND);
     assert!(ordered(&s.want(0, 8)).is_empty());
     let mut s = Script::new(1, PLAIN, 4);
@@ -752,9 +772,9 @@
 fn while_a_load_is_under_way_its_worker_s_word_is_not_believed() {
     let mut s = Script::new(1, PLAIN, 4);
     let home = sent(&s.arrive(0, 0, 2, 4 * SECOND).1)[0];
-    s.tell(&Event::Held {
+    s.tell(&Event::CopiesReported {
         worker: home,
-        func: 0,
+        function: 0,
         copies: 0,
     });
     // The second lane of what is being loaded.
@@ -769,30 +789,30 @@
     // Another router has loaded it elsewhere: what waits leaves at once.
     let other = (0..4).find(|w| *w != home).expect("one of four");
     assert_eq!(
-        sent(&s.tell(&Event::Held {
+        sent(&s.tell(&Event::CopiesReported {
             worker: other,
-            func: 0,
+            function: 0,
             copies: 1
         })),
         [other]
     );
-    let (result, took) = (OrderResult::Stand, 400 * MS);
+    let (result, took) = (LoadOrderResult::Loaded, 400 * MS);
     s.tell(&Event::OrderEnded {
         worker: home,
-        func: 0,
+        function: 0,
         result,
         took,
         copies: 1,
     });
     // Gone without a word: the next one loads anew, somewhere.
-    s.tell(&Event::Held {
+    s.tell(&Event::CopiesReported {
         worker: home,
-        func: 0,
+        function: 0,
         copies: 0,
     });
-    s.tell(&Event::Held {
+    s.tell(&Event::CopiesReported {
         worker: other,
-        func: 0,
+        function: 0,
         copies: 0,
     });
     let (_, actions) = s.arrive(0, 0, 1, 2 * SECOND);
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -15,29 +15,29 @@
 enum Step {
     Arrive {
         trigger: u32,
-        func: FnIx,
+        func: FunctionIndex,
         gives_up_in: Micros,
     },
     Leave {
         nth: usize,
     },
     Drain {
-        worker: WorkerIx,
+        worker: WorkerIndex,
     },
     Restart {
-        worker: WorkerIx,
+        worker: WorkerIndex,
     },
     Mood {
-        worker: WorkerIx,
+        worker: WorkerIndex,
         mood: u32,
     },
     Want {
-        worker: WorkerIx,
-        func: FnIx,
+        worker: WorkerIndex,
+        func: FunctionIndex,
     },
     Hold {
-        worker: WorkerIx,
-        func: FnIx,
+        worker: WorkerIndex,
+        func: FunctionIndex,
         copies: u32,
     },
 }
@@ -58,7 +58,11 @@
 }
 
 fn sites() -> impl Strategy<Value = Site> {
-    let groups = [RepeatGroup::All, RepeatGroup::Zone, RepeatGroup::Cell];
+    let groups = [
+        DeduplicationScope::All,
+        DeduplicationScope::Zone,
+        DeduplicationScope::Cell,
+    ];
     (any::<[bool; 3]>(), 0..3usize).prop_map(move |([orders, second_copies, ration], group)| Site {
         orders,
         loads_when_absent: !orders || second_copies,
@@ -72,21 +76,33 @@
 }
 
 /// How a worker in this mood ends a dispatch, and after what time.
-fn ending(mood: u32, draw: u64, warm: bool) -> (Outcome, Micros, CopyNote) {
+fn ending(mood: u32, draw: u64, warm: bool) -> (DispatchOutcome, Micros, CopyStatus) {
     let work = (20 + draw % 150) as Micros * MS;
     let (note, load) = if warm {
-        (CopyNote::Found, 0)
+        (CopyStatus::Warm, 0)
     } else {
-        (CopyNote::Began, 500 * MS)
+        (CopyStatus::LoadStarted, 500 * MS)
     };
     match mood {
-        1 => (Outcome::TimedOut, Micros::MAX, CopyNote::Untold),
-        2 => (Outcome::Throttled, 2 * MS, CopyNote::Untold),
-        3 => (Outcome::Unreachable, 250 * MS, CopyNote::Untold),
-        4 if draw.is_multiple_of(2) => (Outcome::Broken, work / 2, CopyNote::Untold),
-        5 if draw.is_multiple_of(2) => (Outcome::Errored, work, CopyNote::Untold),
-        5 if draw.is_multiple_of(3) => (Outcome::Missed, 3 * MS, CopyNote::LoadErrored),
-        _ => (Outcome::Succeeded, work + load, note),
+        1 => (
+            DispatchOutcome::TimedOut,
+            Micros::MAX,
+            CopyStatus::Unreported,
+        ),
+        2 => (DispatchOutcome::Rejected, 2 * MS, CopyStatus::Unreported),
+        3 => (
+            DispatchOutcome::Unreachable,
+            250 * MS,
+            CopyStatus::Unreported,
+        ),
+        4 if draw.is_multiple_of(2) => (
+            DispatchOutcome::ConnectionLost,
+            work / 2,
+            CopyStatus::Unreported,
+        ),
+        5 if draw.is_multiple_of(2) => (DispatchOutcome::Errored, work, CopyStatus::Unreported),
+        5 if draw.is_multiple_of(3) => (DispatchOutcome::NotLoaded, 3 * MS, CopyStatus::LoadFailed),
+        _ => (DispatchOutcome::Succeeded, work + load, note),
     }
 }
 
@@ -98,16 +114,23 @@
 }
 
 enum Back {
-    Dispatch(InvIx, u32, Outcome, CopyNote, WorkerIx, FnIx),
-    Order(WorkerIx, FnIx, u32, Micros),
+    Dispatch(
+        InvocationIndex,
+        u32,
+        DispatchOutcome,
+        CopyStatus,
+        WorkerIndex,
+        FunctionIndex,
+    ),
+    Order(WorkerIndex, FunctionIndex, u32, Micros),
 }
 
 impl World {
     fn take(
         &mut self,
         s: &Script,
-        funcs: &[FnIx],
-        counts: &mut BTreeMap<InvIx, u32>,
+        funcs: &[FunctionIndex],
+        counts: &mut BTreeMap<InvocationIndex, u32>,
         actions: &[Action],
     ) {
         for action in actions {
@@ -115,9 +138,9 @@
             let draw = self.serial.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20;
             match *action {
                 Action::Dispatch {
-                    inv,
+                    invocation: inv,
                     worker,
-                    time_out,
+                    timeout: time_out,
                 } => {
                     let n = counts.entry(inv).and_modify(|n| *n += 1).or_insert(0);
                     let func = funcs[inv as usize];
@@ -130,16 +153,17 @@
                     let limit =
                         time_out.map_or(s.gives_up_at(inv), |t| s.gives_up_at(inv).min(s.now + t));
                     if at >= limit {
-                        (at, outcome, note) = (limit, Outcome::TimedOut, CopyNote::Untold);
+                        (at, outcome, note) =
+                            (limit, DispatchOutcome::TimedOut, CopyStatus::Unreported);
                     }
                     self.due.insert(
                         (at, self.serial),
                         Back::Dispatch(inv, *n, outcome, note, worker, func),
                     );
                 }
-                Action::Order {
+                Action::LoadOrder {
                     worker,
-                    func,
+                    function: func,
                     copies,
                 } => {
                     let after = (5 + draw % 900) as Micros * MS;
@@ -184,20 +208,20 @@
             };
             let actions = match back {
                 Back::Dispatch(inv, n, outcome, note, worker, func) => {
-                    if outcome == Outcome::Succeeded {
+                    if outcome == DispatchOutcome::Succeeded {
                         s.warm.insert((worker, func));
                     }
                     s.end(inv, n, outcome, note)
                 }
                 Back::Order(worker, func, copies, took) => {
                     let result = match world.moods[worker as usize] {
-                        3 => OrderResult::Unreachable,
-                        5 => OrderResult::LoadErrored,
-                        _ => OrderResult::Stand,
+                        3 => LoadOrderResult::Unreachable,
+                        5 => LoadOrderResult::LoadFailed,
+                        _ => LoadOrderResult::Loaded,
                     };
                     s.tell(&Event::OrderEnded {
                         worker,
-                        func,
+                        function: func,
                         result,
                         took,
                         copies,
@@ -219,18 +243,18 @@
                     .1
             }
             Some(&Step::Leave { nth }) => match funcs.len().checked_sub(nth + 1) {
-                Some(inv) if s.owes(inv as InvIx) => s.depart(inv as InvIx),
+                Some(inv) if s.owes(inv as InvocationIndex) => s.depart(inv as InvocationIndex),
                 _ => Vec::new(),
             },
             Some(&Step::Drain { worker }) => s.list(
-                ListMode::Changes,
-                &[entry(worker, Standing::Draining, None)],
+                EndpointListKind::Changes,
+                &[entry(worker, EndpointState::Draining, None)],
             ),
             Some(&Step::Restart { worker }) => {
                 world.moods[worker as usize] = 0;
                 s.list(
-                    ListMode::Changes,
-                    &[entry(worker, Standing::InService, Some(s.now))],
+                    EndpointListKind::Changes,
+                    &[entry(worker, EndpointState::InService, Some(s.now))],
                 )
             }
             Some(&Step::Mood { worker, mood }) => {
@@ -243,9 +267,9 @@
                 worker,
                 func,
                 copies,
-            }) => s.tell(&Event::Held {
+            }) => s.tell(&Event::CopiesReported {
                 worker,
-                func: func * 3,
+                function: func * 3,
                 copies,
             }),
             None => Vec::new(),
--- a/tests/decisions/script.rs
+++ b/tests/decisions/script.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use cedarpulley::Control;
+use cedarpulley::Balancer;
 use cedarpulley::interface::*;
 
 pub const SECOND: Micros = 1_000_000;
@@ -26,7 +26,7 @@
     pub loads_when_absent: bool,
     pub second_copies: bool,
     pub ration: bool,
-    pub group: RepeatGroup,
+    pub group: DeduplicationScope,
     pub routers: u32,
     pub allowance_per_s: f64,
     /// Billed value of the third trigger type; of the others it is 1.
@@ -38,15 +38,15 @@
     loads_when_absent: true,
     second_copies: false,
     ration: false,
-    group: RepeatGroup::All,
+    group: DeduplicationScope::All,
     routers: 1,
     allowance_per_s: 10.0,
     dear: 1.0,
 };
 
 pub fn triggers(site: Site) -> Vec<TriggerType> {
-    let tokened = Effect::Tokened {
-        group: site.group,
+    let tokened = Effect::IdempotentByKey {
+        scope: site.group,
         window: 1_200 * MS,
     };
     [
@@ -57,17 +57,17 @@
     .map(|(effect, billed_value)| TriggerType {
         effect,
         latency_objective: 800 * MS,
-        objective_stretch: 1.0,
+        objective_work_multiple: 1.0,
         client_timeout: 2 * SECOND,
         billed_value,
-        late_part: 0.1,
+        late_value_fraction: 0.1,
         streamed: false,
     })
     .to_vec()
 }
 
-fn router(seed: u64, position: u32, site: Site) -> Control {
-    Control::new(
+fn router(seed: u64, position: u32, site: Site) -> Balancer {
+    Balancer::new(
         seed,
         FleetPosition {
             routers: site.routers,
@@ -77,61 +77,61 @@
         },
         DispatchLimits {
             max_dispatches: 4,
-            second_copies: site.second_copies,
-            withdrawals: true,
+            hedged_requests: site.second_copies,
+            cancellation: true,
             probes: true,
-            connect_within: 250 * MS,
-            max_advice: MAX_ADVICE,
+            connect_timeout: 250 * MS,
+            max_retry_after: MAX_ADVICE,
         },
-        RuleTerms {
+        RuleLimits {
             answer_slack: SLACK,
             drain_grace: GRACE,
-            ask_within: 10 * SECOND,
+            list_request_timeout: 10 * SECOND,
             list_on_request: false,
-            cold_part: COLD_PART,
-            cold_for: COLD_FOR,
+            slow_start_fraction: COLD_PART,
+            slow_start_duration: COLD_FOR,
             overload_multiple: MULTIPLE,
             overload_window: WINDOW,
         },
         triggers(site),
         vec![cedarpulley::interface::Account {
-            allowance_per_s: site.allowance_per_s,
+            quota_per_s: site.allowance_per_s,
             share: 1.0,
         }],
-        LoadTerms {
-            idle_kept: KEPT,
-            orders: site.orders,
+        LoadSettings {
+            idle_retention: KEPT,
+            load_orders: site.orders,
             loads_when_absent: site.loads_when_absent,
-            order_answered_within: 10 * SECOND,
-            ration_window: if site.ration { 5 * SECOND } else { 0 },
-            ration_few: 2.0,
-            ration_part: 0.02,
-            notes: true,
-            crowds: false,
+            order_timeout: 10 * SECOND,
+            order_quota_window: if site.ration { 5 * SECOND } else { 0 },
+            order_quota_base: 2.0,
+            order_quota_per_invocation: 0.02,
+            reports_copy_status: true,
+            reports_function_load: false,
             memory_mb: vec![8_000.0],
         },
         Prices::default(),
-        ReportsIn::Nothing,
+        ReportSource::Nothing,
     )
 }
 
-pub fn entry(worker: WorkerIx, standing: Standing, started: Option<Micros>) -> ListEntry {
+pub fn entry(worker: WorkerIndex, standing: EndpointState, started: Option<Micros>) -> Endpoint {
     let fingerprint = 0x9e37_79b9_u64.wrapping_mul(u64::from(worker) + 1);
     let zone = worker % 2;
-    ListEntry {
+    Endpoint {
         worker,
         fingerprint,
         zone,
-        kind: 0,
+        machine_kind: 0,
         cell: worker / 2,
-        standing,
+        state: standing,
         weight: 1.0,
-        started,
+        started_at: started,
     }
 }
 
 struct Sent {
-    worker: WorkerIx,
+    worker: WorkerIndex,
     at: Micros,
     out: bool,
     never_ran: bool,
@@ -146,24 +146,24 @@
 
 /// The router, the clock, what is on its way back, and the ledger.
 pub struct Script {
-    pub control: Control,
+    pub control: Balancer,
     pub now: Micros,
     /// Of what arrives; the objective grows by as much.
     pub cost_hint: Option<Micros>,
     /// Where the session of what arrives is warm.
-    pub prefers: Option<WorkerIx>,
+    pub prefers: Option<WorkerIndex>,
     site: Site,
     ledger: Vec<Account>,
-    open: BTreeSet<(Micros, InvIx)>,
+    open: BTreeSet<(Micros, InvocationIndex)>,
     /// When the router was told that a worker drains or is gone.
-    told: BTreeMap<WorkerIx, Micros>,
-    started: BTreeMap<WorkerIx, Micros>,
-    sends: Vec<(Micros, WorkerIx)>,
-    successes: Vec<(Micros, WorkerIx)>,
+    told: BTreeMap<WorkerIndex, Micros>,
+    started: BTreeMap<WorkerIndex, Micros>,
+    sends: Vec<(Micros, WorkerIndex)>,
+    successes: Vec<(Micros, WorkerIndex)>,
     orders: Vec<Micros>,
     arrivals: Vec<Micros>,
     pub timers: BTreeSet<(Micros, u64)>,
-    pub warm: BTreeSet<(WorkerIx, FnIx)>,
+    pub warm: BTreeSet<(WorkerIndex, FunctionIndex)>,
 }
 
 impl Script {
@@ -191,18 +191,18 @@
             warm: BTreeSet::new(),
         };
         let entries: Vec<_> = (0..workers)
-            .map(|w| entry(w, Standing::InService, None))
+            .map(|w| entry(w, EndpointState::InService, None))
             .collect();
-        script.list(ListMode::Saved, &entries);
+        script.list(EndpointListKind::Cached, &entries);
         script
     }
 
-    pub fn list(&mut self, mode: ListMode, entries: &[ListEntry]) -> Vec<Action> {
+    pub fn list(&mut self, mode: EndpointListKind, entries: &[Endpoint]) -> Vec<Action> {
         for e in entries {
-            match e.standing {
-                Standing::InService => {
+            match e.state {
+                EndpointState::InService => {
                     self.told.remove(&e.worker);
-                    if let Some(at) = e.started {
+                    if let Some(at) = e.started_at {
                         self.started.insert(e.worker, at);
                         self.warm.retain(|(w, _)| *w != e.worker);
                     }
@@ -212,17 +212,20 @@
                 }
             }
         }
-        self.tell(&Event::List { mode, entries })
+        self.tell(&Event::EndpointList {
+            kind: mode,
+            endpoints: entries,
+        })
     }
 
     pub fn arrive(
         &mut self,
         trigger: u32,
-        func: FnIx,
+        func: FunctionIndex,
         lanes: u32,
         gives_up_in: Micros,
-    ) -> (InvIx, Vec<Action>) {
-        let inv = self.ledger.len() as InvIx;
+    ) -> (InvocationIndex, Vec<Action>) {
+        let inv = self.ledger.len() as InvocationIndex;
         let effect = triggers(self.site)[trigger as usize].effect;
         let gives_up_at = self.now + gives_up_in;
         self.ledger.push(Account {
@@ -234,78 +237,81 @@
         self.open.insert((gives_up_at, inv));
         self.arrivals.push(self.now);
         let arrival = Arrival {
-            inv,
+            invocation: inv,
             trigger,
             account: 0,
-            func,
+            function: func,
             fingerprint: 77 + u64::from(func),
             cost_hint: self.cost_hint,
             load_hint: Some(500 * MS),
             copy_mb: 300.0,
             lanes,
-            client_gives_up_in: gives_up_in,
+            client_timeout_in: gives_up_in,
             waited: 0,
             repeat: false,
-            prefers: self.prefers,
+            preferred_worker: self.prefers,
         };
         (inv, self.tell(&Event::Invocation(arrival)))
     }
 
     /// A copy is wanted there.
-    pub fn want(&mut self, worker: WorkerIx, func: FnIx) -> Vec<Action> {
-        let asked = Asked {
-            func,
+    pub fn want(&mut self, worker: WorkerIndex, func: FunctionIndex) -> Vec<Action> {
+        let asked = FunctionInfo {
+            function: func,
             fingerprint: 77 + u64::from(func),
             trigger: 0,
             lanes: 1,
         };
-        self.tell(&Event::Wanted { worker, asked })
+        self.tell(&Event::CopyWanted {
+            worker,
+            function: asked,
+        })
     }
 
     /// Whether the router still owes an answer.
-    pub fn owes(&self, inv: InvIx) -> bool {
+    pub fn owes(&self, inv: InvocationIndex) -> bool {
         !self.ledger[inv as usize].answered
     }
 
-    pub fn is_out(&self, inv: InvIx) -> bool {
+    pub fn is_out(&self, inv: InvocationIndex) -> bool {
         self.ledger[inv as usize].sent.iter().any(|d| d.out)
     }
 
-    pub fn gives_up_at(&self, inv: InvIx) -> Micros {
+    pub fn gives_up_at(&self, inv: InvocationIndex) -> Micros {
         self.ledger[inv as usize].gives_up_at
     }
 
-    pub fn depart(&mut self, inv: InvIx) -> Vec<Action> {
+    pub fn depart(&mut self, inv: InvocationIndex) -> Vec<Action> {
         self.ledger[inv as usize].answered = true;
-        self.tell(&Event::Departed { inv })
+        self.tell(&Event::ClientLeft { invocation: inv })
     }
 
     pub fn end(
         &mut self,
-        inv: InvIx,
+        inv: InvocationIndex,
         dispatch: u32,
-        outcome: Outcome,
-        note: CopyNote,
+        outcome: DispatchOutcome,
+        note: CopyStatus,
     ) -> Vec<Action> {
         let account = &mut self.ledger[inv as usize];
         let sent = &mut account.sent[dispatch as usize];
         assert!(sent.out, "the script ends a dispatch twice");
-        (sent.out, sent.never_ran) = (false, outcome.never_ran());
+        (sent.out, sent.never_ran) = (false, outcome.not_executed());
         let (worker, took) = (sent.worker, self.now - sent.at);
-        account.answered |= outcome == Outcome::Succeeded;
-        if outcome == Outcome::Succeeded {
+        account.answered |= outcome == DispatchOutcome::Succeeded;
+        if outcome == DispatchOutcome::Succeeded {
             self.successes.push((self.now, worker));
         }
-        let ending = Ending {
-            inv,
+        let ending = DispatchEnded {
+            invocation: inv,
             dispatch,
             worker,
             outcome,
             took,
-            concluded: account.answered,
-            note,
-            crowd: None,
-            report: Report::default(),
+            answered: account.answered,
+            copy_status: note,
+            function_load: None,
+            report: LoadReport::default(),
         };
         self.tell(&Event::DispatchEnded(ending))
     }
@@ -325,7 +331,7 @@
 
     pub fn tell(&mut self, event: &Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.control.decide(self.now, event, &mut actions);
+        self.control.handle(self.now, event, &mut actions);
         for action in &actions {
             self.check(action);
         }
@@ -346,7 +352,11 @@
     fn check(&mut self, action: &Action) {
         let now = self.now;
         match *action {
-            Action::Dispatch { inv, worker, .. } => {
+            Action::Dispatch {
+                invocation: inv,
+                worker,
+                ..
+            } => {
                 let account = &mut self.ledger[inv as usize];
                 assert!(
                     !account.answered,
@@ -363,12 +373,15 @@
                     Effect::NonIdempotent => {
                         assert!(ran.next().is_none(), "rule 2: {inv} may run twice")
                     }
-                    Effect::Tokened { group, window } => {
+                    Effect::IdempotentByKey {
+                        scope: group,
+                        window,
+                    } => {
                         for s in ran {
                             let same = match group {
-                                RepeatGroup::All => true,
-                                RepeatGroup::Zone => s.worker % 2 == worker % 2,
-                                RepeatGroup::Cell => s.worker / 2 == worker / 2,
+                                DeduplicationScope::All => true,
+                                DeduplicationScope::Zone => s.worker % 2 == worker % 2,
+                                DeduplicationScope::Cell => s.worker / 2 == worker / 2,
                             };
                             assert!(
                                 same && now - s.at < window,
@@ -388,7 +401,7 @@
                 self.sends.push((now, worker));
                 self.check_cold(worker);
             }
-            Action::Order { worker, copies, .. } if copies > 0 => {
+            Action::LoadOrder { worker, copies, .. } if copies > 0 => {
                 assert!(self.site.orders, "an order where none may be given");
                 self.check_told(worker);
                 self.orders.push(now);
@@ -400,8 +413,10 @@
                     "rule 5: too many orders"
                 );
             }
-            Action::Throttle {
-                inv, return_after, ..
+            Action::Reject {
+                invocation: inv,
+                retry_after: return_after,
+                ..
             } => {
                 let told = return_after.is_none_or(|t| (1..=MAX_ADVICE).contains(&t));
                 assert!(
@@ -413,7 +428,9 @@
                 let ran = account.sent.iter().any(|s| s.out || !s.never_ran);
                 let harmless = match account.effect {
                     Effect::Idempotent => true,
-                    Effect::Tokened { group, .. } => group == RepeatGroup::All,
+                    Effect::IdempotentByKey { scope: group, .. } => {
+                        group == DeduplicationScope::All
+                    }
                     Effect::NonIdempotent => false,
                 };
                 assert!(
@@ -422,7 +439,7 @@
                 );
                 account.answered = true;
             }
-            Action::Error { inv } => {
+            Action::Fail { invocation: inv } => {
                 let account = &mut self.ledger[inv as usize];
                 assert!(!account.answered, "rule 1: {inv} is answered twice");
                 account.answered = true;
@@ -434,7 +451,7 @@
         }
     }
 
-    fn check_told(&self, worker: WorkerIx) {
+    fn check_told(&self, worker: WorkerIndex) {
         let late = self.told.get(&worker).is_some_and(|t| self.now - t > GRACE);
         assert!(
             !late,
@@ -443,7 +460,7 @@
     }
 
     /// Rule 4, by what the busiest warm worker has been seen to carry, or one core alone does: it can do that.
-    fn check_cold(&self, worker: WorkerIx) {
+    fn check_cold(&self, worker: WorkerIndex) {
         let Some(age) = self
             .started
             .get(&worker)
@@ -452,7 +469,7 @@
         else {
             return;
         };
-        let within = |q: &[(Micros, WorkerIx)], w: WorkerIx, from: Micros, to: Micros| {
+        let within = |q: &[(Micros, WorkerIndex)], w: WorkerIndex, from: Micros, to: Micros| {
             let recent = q
                 .iter()
                 .rev()
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -8,7 +8,7 @@
 use crate::script::*;
 
 const WARM_WORKERS: u32 = 4;
-const COLD: WorkerIx = WARM_WORKERS;
+const COLD: WorkerIndex = WARM_WORKERS;
 /// Cores of a worker: what it serves at once without becoming slower.
 const CORES: usize = 3;
 const STEP: Micros = 10 * MS;
@@ -16,7 +16,7 @@
 const WARM_UP: Micros = 3 * SECOND;
 /// The ramp is steepest in its first part.
 const WATCHED: Micros = 5 * SECOND / 2;
-const FUNCTION: FnIx = 0;
+const FUNCTION: FunctionIndex = 0;
 const LANES: u32 = 64;
 
 /// How a fleet of routers is loaded.
@@ -65,7 +65,7 @@
 }
 
 /// Attempts that are out, by when they end: at which router, for which invocation, and how.
-type Out = BTreeMap<(Micros, usize, InvIx), Outcome>;
+type Out = BTreeMap<(Micros, usize, InvocationIndex), DispatchOutcome>;
 
 struct Fleet {
     load: Load,
@@ -109,7 +109,12 @@
 
     fn carry_out(&mut self, router: usize, actions: &[Action]) {
         for action in actions {
-            if let Action::Dispatch { inv, worker, .. } = *action {
+            if let Action::Dispatch {
+                invocation: inv,
+                worker,
+                ..
+            } = *action
+            {
                 let core = self.free_at[worker as usize]
                     .iter_mut()
                     .min()
@@ -117,9 +122,9 @@
                 *core = (*core).max(self.routers[0].now) + self.load.work();
                 let gives_up_at = self.routers[router].gives_up_at(inv);
                 let outcome = if *core < gives_up_at {
-                    Outcome::Succeeded
+                    DispatchOutcome::Succeeded
                 } else {
-                    Outcome::TimedOut
+                    DispatchOutcome::TimedOut
                 };
                 self.out
                     .insert(((*core).min(gives_up_at), router, inv), outcome);
@@ -131,12 +136,12 @@
     }
 
     /// The copy stands everywhere: nothing but the rule keeps calls from the cold worker.
-    fn all_hold(&mut self, workers: std::ops::Range<WorkerIx>) {
+    fn all_hold(&mut self, workers: std::ops::Range<WorkerIndex>) {
         for router in 0..self.routers.len() {
             for worker in workers.clone() {
-                let actions = self.routers[router].tell(&Event::Held {
+                let actions = self.routers[router].tell(&Event::CopiesReported {
                     worker,
-                    func: FUNCTION,
+                    function: FUNCTION,
                     copies: 1,
                 });
                 self.carry_out(router, &actions);
@@ -155,7 +160,7 @@
             .filter(|out| out.key().0 <= self.routers[0].now)
         {
             let ((_, router, inv), outcome) = first.remove_entry();
-            let actions = self.routers[router].end(inv, 0, outcome, CopyNote::Found);
+            let actions = self.routers[router].end(inv, 0, outcome, CopyStatus::Warm);
             self.carry_out(router, &actions);
         }
         let weights: f64 = (0..self.routers.len()).map(|r| self.load.weight(r)).sum();
@@ -201,9 +206,9 @@
         fleet.run(WARM_UP - SECOND + into_window);
     }
     let started = fleet.now();
-    let cold = entry(COLD, Standing::InService, Some(started));
+    let cold = entry(COLD, EndpointState::InService, Some(started));
     for router in 0..fleet.routers.len() {
-        let actions = fleet.routers[router].list(ListMode::Changes, &[cold]);
+        let actions = fleet.routers[router].list(EndpointListKind::Changes, &[cold]);
         fleet.carry_out(router, &actions);
     }
     fleet.step();
