--- a/crates/cli/benches/three_ways.rs
+++ b/crates/cli/benches/three_ways.rs
@@ -17,15 +17,15 @@
 use std::thread;
 use std::time::Instant;
 
-use cedarpulley_audit::Why;
-use cedarpulley_rig::client::{Arrival, Asks};
-use cedarpulley_rig::fleet::Fleet;
-use cedarpulley_rig::operator;
-use cedarpulley_rig::plan::Day;
-use cedarpulley_rig::script::Script;
-use cedarpulley_rig::until;
-use cedarpulley_standins::lock;
-use cedarpulley_standins::worker::{Held, Worker};
+use cedarpulley_emulators::lock;
+use cedarpulley_emulators::worker::{Held, Worker};
+use cedarpulley_invariant_checker::Why;
+use cedarpulley_test_cluster::client::{Arrival, Asks};
+use cedarpulley_test_cluster::fleet::Fleet;
+use cedarpulley_test_cluster::operator;
+use cedarpulley_test_cluster::plan::Day;
+use cedarpulley_test_cluster::script::Script;
+use cedarpulley_test_cluster::until;
 use serde_json::Value;
 
 #[path = "../tests/fleets/mod.rs"]
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -6,16 +6,16 @@
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
-use cedarpulley_audit::Verdict;
+use cedarpulley_emulators::lock;
+use cedarpulley_emulators::worker::Worker;
 use cedarpulley_errors::Remedy;
-use cedarpulley_rig::fleet::{Fleet, Launch};
-use cedarpulley_rig::links::Fault;
-use cedarpulley_rig::plan::{self, Day, Trouble, What};
-use cedarpulley_rig::process::State;
-use cedarpulley_rig::traffic::Traffic;
-use cedarpulley_rig::wrong::Wrong as Failed;
-use cedarpulley_standins::lock;
-use cedarpulley_standins::worker::Worker;
+use cedarpulley_invariant_checker::Verdict;
+use cedarpulley_test_cluster::fleet::{Fleet, Launch};
+use cedarpulley_test_cluster::links::Fault;
+use cedarpulley_test_cluster::plan::{self, Day, Trouble, What};
+use cedarpulley_test_cluster::process::State;
+use cedarpulley_test_cluster::traffic::Traffic;
+use cedarpulley_test_cluster::wrong::Wrong as Failed;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant};
 
 use async_io::{Async, Timer};
+use cedarpulley_emulators::broker::Broker;
+use cedarpulley_emulators::store::{self, Store};
+use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
+use cedarpulley_emulators::{Ground, lock};
 use cedarpulley_gateway::client_listener::Protocol;
-use cedarpulley_standins::broker::Broker;
-use cedarpulley_standins::store::{self, Store};
-use cedarpulley_standins::worker::{Memory, Nature, Program, Worker};
-use cedarpulley_standins::{Ground, lock};
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Bytes;
@@ -21,8 +21,8 @@
 use serde_json::{Value, json};
 use smol_hyper::rt::FuturesIo;
 
-use cedarpulley_rig::client::{Arrival, Client, Times};
-use cedarpulley_rig::verdict::state;
+use cedarpulley_test_cluster::client::{Arrival, Client, Times};
+use cedarpulley_test_cluster::verdict::state;
 
 use crate::open_loop::Callers;
 use crate::wrong::Wrong;
--- a/crates/cli/src/meter.rs
+++ b/crates/cli/src/meter.rs
@@ -5,8 +5,8 @@
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 
-use cedarpulley_ledger::{Failed, Ledger};
-use cedarpulley_meter::{Book, Key, Kind, Sum, Sums};
+use cedarpulley_usage_metering::{Book, Key, Kind, Sum, Sums};
+use cedarpulley_usage_store::{Failed, Ledger};
 use clap::{Subcommand, ValueEnum};
 use serde_json::{Value, json};
 
--- a/crates/cli/src/open_loop.rs
+++ b/crates/cli/src/open_loop.rs
@@ -7,11 +7,11 @@
 
 use async_executor::Executor;
 use async_io::{Async, Timer};
+use cedarpulley_emulators::lock;
 use cedarpulley_gateway::client_listener::Protocol as Way;
 use cedarpulley_kserve::rpc::frame;
 use cedarpulley_kserve::rpc::inference::model_infer_request::InferInputTensor;
 use cedarpulley_kserve::rpc::inference::{InferTensorContents, ModelInferRequest};
-use cedarpulley_standins::lock;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -5,11 +5,11 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use cedarpulley_standins::Ground;
-use cedarpulley_standins::broker::Broker;
-use cedarpulley_standins::list::{List, Row};
-use cedarpulley_standins::store::{self, Store};
-use cedarpulley_standins::worker::{Memory, Nature, Program, Worker};
+use cedarpulley_emulators::Ground;
+use cedarpulley_emulators::broker::Broker;
+use cedarpulley_emulators::list::{List, Row};
+use cedarpulley_emulators::store::{self, Store};
+use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
 use clap::Subcommand;
 
 use crate::wrong::Wrong;
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -186,8 +186,8 @@
 
 #[test]
 fn ledgers_are_reported_and_merged_and_wrong_ones_refused() {
-    use cedarpulley_ledger::Ledger;
-    use cedarpulley_meter::sums::{Key, Kind, Sum, Sums};
+    use cedarpulley_usage_metering::sums::{Key, Kind, Sum, Sums};
+    use cedarpulley_usage_store::Ledger;
     let folder = PathBuf::from(out("ledgers"));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -208,7 +208,7 @@
             },
         );
         let ledger = Ledger::open(&folder.join(format!("{router}.ledger"))).expect("it opens");
-        let part = cedarpulley_meter::Part {
+        let part = cedarpulley_usage_metering::Part {
             sums,
             ..Default::default()
         };
--- a/crates/cli/tests/fleets/mod.rs
+++ b/crates/cli/tests/fleets/mod.rs
@@ -5,15 +5,15 @@
 use std::path::Path;
 use std::time::Duration;
 
-use cedarpulley_audit::Verdict;
-use cedarpulley_rig::client::Asks;
-use cedarpulley_rig::fleet::{BROKER, Fleet, LIST, Launch};
-use cedarpulley_rig::links::Fault;
-use cedarpulley_rig::plan::{self, Day};
-use cedarpulley_rig::script::Script;
-use cedarpulley_rig::traffic::Traffic;
-use cedarpulley_rig::until;
-use cedarpulley_standins::lock;
+use cedarpulley_emulators::lock;
+use cedarpulley_invariant_checker::Verdict;
+use cedarpulley_test_cluster::client::Asks;
+use cedarpulley_test_cluster::fleet::{BROKER, Fleet, LIST, Launch};
+use cedarpulley_test_cluster::links::Fault;
+use cedarpulley_test_cluster::plan::{self, Day};
+use cedarpulley_test_cluster::script::Script;
+use cedarpulley_test_cluster::traffic::Traffic;
+use cedarpulley_test_cluster::until;
 use smol::lock::Semaphore;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_cedarpulley");
--- a/crates/cli/tests/reconciled.rs
+++ b/crates/cli/tests/reconciled.rs
@@ -9,12 +9,12 @@
 use std::net::TcpStream;
 use std::path::Path;
 
-use cedarpulley_rig::fleet::{Fleet, Launch};
-use cedarpulley_rig::links::Fault;
-use cedarpulley_rig::plan::Day;
-use cedarpulley_rig::traffic::Traffic;
-use cedarpulley_rig::until;
-use cedarpulley_standins::worker::{Held, Lies};
+use cedarpulley_emulators::worker::{Held, Lies};
+use cedarpulley_test_cluster::fleet::{Fleet, Launch};
+use cedarpulley_test_cluster::links::Fault;
+use cedarpulley_test_cluster::plan::Day;
+use cedarpulley_test_cluster::traffic::Traffic;
+use cedarpulley_test_cluster::until;
 use fleets::{PATIENCE, PROGRAM, TURNS, day};
 use serde_json::Value;
 
--- a/crates/cli/tests/running/mod.rs
+++ b/crates/cli/tests/running/mod.rs
@@ -9,9 +9,9 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-use cedarpulley_standins::Ground;
-use cedarpulley_standins::store::{self, Store};
-use cedarpulley_standins::worker::{Memory, Nature, Program, Worker};
+use cedarpulley_emulators::Ground;
+use cedarpulley_emulators::store::{self, Store};
+use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
 use rustix::process::{Pid, Signal, kill_process};
 
 pub const MOST_BODY: usize = 64 * 1024;
--- a/crates/cli/tests/running_state_names.rs
+++ b/crates/cli/tests/running_state_names.rs
@@ -7,9 +7,9 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use cedarpulley_rig::fleet::{Fleet, Launch};
-use cedarpulley_rig::traffic::Traffic;
-use cedarpulley_rig::until;
+use cedarpulley_test_cluster::fleet::{Fleet, Launch};
+use cedarpulley_test_cluster::traffic::Traffic;
+use cedarpulley_test_cluster::until;
 
 mod fleets;
 mod pinned;
--- a/crates/cli/tests/sharing/mod.rs
+++ b/crates/cli/tests/sharing/mod.rs
@@ -5,11 +5,11 @@
 use std::cell::Cell;
 use std::time::Instant;
 
-use cedarpulley_rig::fleet::Fleet;
-use cedarpulley_rig::links::Fault;
-use cedarpulley_rig::plan::Day;
-use cedarpulley_rig::script::Script;
-use cedarpulley_rig::until;
+use cedarpulley_test_cluster::fleet::Fleet;
+use cedarpulley_test_cluster::links::Fault;
+use cedarpulley_test_cluster::plan::Day;
+use cedarpulley_test_cluster::script::Script;
+use cedarpulley_test_cluster::until;
 use serde_json::Value;
 
 use crate::fleets::*;
--- a/crates/cli/tests/tls.rs
+++ b/crates/cli/tests/tls.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use async_io::{Async, Timer};
-use cedarpulley_standins::Ground;
-use cedarpulley_standins::broker::Broker;
+use cedarpulley_emulators::Ground;
+use cedarpulley_emulators::broker::Broker;
 use futures_rustls::client::TlsStream;
 use futures_rustls::rustls::pki_types::pem::PemObject;
 use futures_rustls::rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
--- a/crates/cli/tests/upgrading/mod.rs
+++ b/crates/cli/tests/upgrading/mod.rs
@@ -5,11 +5,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cedarpulley_rig::fleet::Fleet;
-use cedarpulley_rig::operator;
-use cedarpulley_rig::plan::Day;
-use cedarpulley_rig::until;
-use cedarpulley_standins::worker::Worker;
+use cedarpulley_emulators::worker::Worker;
+use cedarpulley_test_cluster::fleet::Fleet;
+use cedarpulley_test_cluster::operator;
+use cedarpulley_test_cluster::plan::Day;
+use cedarpulley_test_cluster::until;
 use serde_json::Value;
 
 use crate::fleets::day;
--- a/crates/standins/tests/worker.rs
+++ b/crates/emulators/tests/worker.rs
@@ -5,9 +5,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use cedarpulley_standins::Ground;
-use cedarpulley_standins::store::{self, Store};
-use cedarpulley_standins::worker::{Lies, Memory, Nature, Program, Worker};
+use cedarpulley_emulators::Ground;
+use cedarpulley_emulators::store::{self, Store};
+use cedarpulley_emulators::worker::{Lies, Memory, Nature, Program, Worker};
 use serde_json::{Value, json};
 
 /// The store stands as long as this does.
--- a/crates/gateway/src/fault_injection.rs
+++ b/crates/gateway/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Fault injection between the core and the sockets, only to test the auditor (`cedarpulley-audit`): one rule
+//! Fault injection between the core and the sockets, only to test the auditor (`cedarpulley-invariant-checker`): one rule
 //! is broken on purpose, and the auditor has to find it. Without a fault, everything passes unchanged.
 
 use std::cell::{Cell, RefCell};
--- a/crates/gateway/src/metering.rs
+++ b/crates/gateway/src/metering.rs
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant};
 
 use cedarpulley::interface::{Action, Event, InvocationIndex, LoadOrderResult, Micros};
-use cedarpulley_ledger::{Failed, Ledger, Writing};
-use cedarpulley_meter::{Ended, Load, Meter, Part, Source};
 use cedarpulley_router::FrontIndex;
 use cedarpulley_router::entry::Short;
 use cedarpulley_router::watch::{By, Given, Names, Used, Watch};
+use cedarpulley_usage_metering::{Ended, Load, Meter, Part, Source};
+use cedarpulley_usage_store::{Failed, Ledger, Writing};
 
 /// On shutdown the ledger has this long, and is polled this often.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/gateway/tests/metering.rs
+++ b/crates/gateway/tests/metering.rs
@@ -5,9 +5,9 @@
 
 use cedarpulley::interface::{CopyStatus, DispatchOutcome, Micros};
 use cedarpulley_gateway::metering::Metering;
-use cedarpulley_ledger::Ledger;
-use cedarpulley_meter::{Held, Kind, Sum};
 use cedarpulley_router::watch::{By, Used, Watch};
+use cedarpulley_usage_metering::{Held, Kind, Sum};
+use cedarpulley_usage_store::Ledger;
 
 const SECOND: Micros = 1_000_000;
 
--- a/crates/audit/tests/judged.rs
+++ b/crates/invariant-checker/tests/judged.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use cedarpulley_audit::{Verdict, judge};
+use cedarpulley_invariant_checker::{Verdict, judge};
 use serde_json::{Value, json};
 
 fn judged(name: &str, first: Value, second: Value) -> Verdict {
--- a/crates/audit/tests/warm.rs
+++ b/crates/invariant-checker/tests/warm.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use cedarpulley_audit::{Verdict, Why, judge};
+use cedarpulley_invariant_checker::{Verdict, Why, judge};
 use serde_json::{Value, json};
 
 /// Each log's lines by its name; their times are their order, a second apart, unless they say so.
--- a/crates/kserve/src/reports.rs
+++ b/crates/kserve/src/reports.rs
@@ -1,7 +1,7 @@
 //! What an answer tells of the copy it ran on and of the worker's load.
 
 use cedarpulley::interface::{CopyStatus, LoadReport};
-use cedarpulley_meter::Held;
+use cedarpulley_usage_metering::Held;
 use http::HeaderMap;
 
 /// The copy that an invocation found: `found`, `began`, `waited`, `load-errored`, `absent`.
--- a/crates/router/src/core/dispatching.rs
+++ b/crates/router/src/core/dispatching.rs
@@ -4,7 +4,7 @@
     CopyStatus, DispatchEnded, DispatchOutcome, Effect, Event, InvocationIndex, LoadReport, Micros,
     WorkerIndex,
 };
-use cedarpulley_meter::Held;
+use cedarpulley_usage_metering::Held;
 
 use super::decisions::EndedAtOnce;
 use super::invocation::{Dispatch, Invocation, Sent};
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -8,7 +8,7 @@
 use cedarpulley::interface::{
     CopyStatus, DispatchOutcome, EndpointListKind, LoadOrderResult, LoadReport, Micros, WorkerIndex,
 };
-use cedarpulley_meter::Held;
+use cedarpulley_usage_metering::Held;
 
 use crate::admission::FrontState;
 use crate::entry::{Entry, Knock, Short};
--- a/crates/router/src/core/orders.rs
+++ b/crates/router/src/core/orders.rs
@@ -6,7 +6,7 @@
 use cedarpulley::interface::{
     Event, FunctionIndex, FunctionInfo, LoadOrderResult, Micros, WorkerIndex,
 };
-use cedarpulley_meter::Held;
+use cedarpulley_usage_metering::Held;
 
 use super::functions::FunctionProfile;
 use super::timers::Timer;
--- a/crates/router/src/watch.rs
+++ b/crates/router/src/watch.rs
@@ -4,7 +4,7 @@
 use cedarpulley::interface::{
     Action, CopyStatus, DispatchOutcome, Event, InvocationIndex, LoadOrderResult, Micros,
 };
-use cedarpulley_meter::Held;
+use cedarpulley_usage_metering::Held;
 
 use crate::entry::Short;
 use crate::{Fate, FrontIndex, Reason};
--- a/crates/rig/src/client.rs
+++ b/crates/test-cluster/src/client.rs
@@ -11,8 +11,8 @@
 use cedarpulley_amqp::protocol::basic::AMQPProperties;
 use cedarpulley_amqp::types::{AMQPValue, FieldTable, LongString, ShortString};
 use cedarpulley_amqp::{Connection, Event, Role, meaning};
+use cedarpulley_emulators::{lock, wall_us};
 use cedarpulley_net::{Stream, connect};
-use cedarpulley_standins::{lock, wall_us};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
 const CONNECT_WITHIN: i64 = 1_000_000;
--- a/crates/rig/src/fleet.rs
+++ b/crates/test-cluster/src/fleet.rs
@@ -14,13 +14,13 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use cedarpulley_audit::{Effect, Kind, Terms, Verdict};
+use cedarpulley_emulators::broker::Broker;
+use cedarpulley_emulators::list::{List, Row};
+use cedarpulley_emulators::store::{self, Store};
+use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker, began_us};
+use cedarpulley_emulators::{Ground, Log, lock, router_address};
 use cedarpulley_errors::Remedy;
-use cedarpulley_standins::broker::Broker;
-use cedarpulley_standins::list::{List, Row};
-use cedarpulley_standins::store::{self, Store};
-use cedarpulley_standins::worker::{Memory, Nature, Program, Worker, began_us};
-use cedarpulley_standins::{Ground, Log, lock, router_address};
+use cedarpulley_invariant_checker::{Effect, Kind, Terms, Verdict};
 use serde_json::json;
 
 use crate::links::{Fault, Links};
@@ -716,7 +716,7 @@
         self.store.flush();
         self.list.flush();
         self.workers.iter().for_each(Worker::flush);
-        Ok(cedarpulley_audit::judge(&self.out)?)
+        Ok(cedarpulley_invariant_checker::judge(&self.out)?)
     }
 
     pub fn folder(&self) -> &Path {
--- a/crates/rig/src/lib.rs
+++ b/crates/test-cluster/src/lib.rs
@@ -1,6 +1,6 @@
 //! The rig: routers as processes of their own before stand-ins in this one, in regions, with a relay on every link
 //! between them. For tests and scripted days; never part of a router. It only brings faults about; what they broke
-//! is judged by `cedarpulley-audit` from the stand-ins' logs.
+//! is judged by `cedarpulley-invariant-checker` from the stand-ins' logs.
 //!
 //! Begin reading at [`fleet`]; then [`links`] (the faults), [`relay`] (bytes), [`messages`] (whole requests),
 //! [`process`] (one router),
--- a/crates/rig/src/links.rs
+++ b/crates/test-cluster/src/links.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex, Weak};
 use std::time::Duration;
 
-use cedarpulley_standins::{Log, lock};
+use cedarpulley_emulators::{Log, lock};
 use event_listener::{Event, EventListener};
 use serde_json::json;
 
--- a/crates/rig/src/plan.rs
+++ b/crates/test-cluster/src/plan.rs
@@ -3,7 +3,7 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-use cedarpulley_audit::Effect;
+use cedarpulley_invariant_checker::Effect;
 use serde::Deserialize;
 
 use crate::wrong::Wrong;
--- a/crates/rig/src/relay.rs
+++ b/crates/test-cluster/src/relay.rs
@@ -16,8 +16,8 @@
 use std::time::{Duration, Instant};
 
 use async_io::{Async, Timer};
+use cedarpulley_emulators::{Ground, lock};
 use cedarpulley_net::connect;
-use cedarpulley_standins::{Ground, lock};
 use event_listener::Event;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future};
 use rand::{RngExt, SeedableRng};
--- a/crates/rig/src/rest_client.rs
+++ b/crates/test-cluster/src/rest_client.rs
@@ -7,8 +7,8 @@
 
 use async_executor::Executor;
 use async_io::Timer;
+use cedarpulley_emulators::{Log, lock, wall_us};
 use cedarpulley_net::connect;
-use cedarpulley_standins::{Log, lock, wall_us};
 use futures_lite::FutureExt;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
--- a/crates/rig/src/traffic.rs
+++ b/crates/test-cluster/src/traffic.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use cedarpulley_standins::lock;
+use cedarpulley_emulators::lock;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, Zipf};
 use rand_pcg::Pcg64Mcg;
--- a/crates/rig/src/wrong.rs
+++ b/crates/test-cluster/src/wrong.rs
@@ -55,7 +55,7 @@
     #[error("{address} answers with status {status}")]
     Status { address: SocketAddr, status: u16 },
     #[error(transparent)]
-    Audit(#[from] cedarpulley_audit::Unjudged),
+    Audit(#[from] cedarpulley_invariant_checker::Unjudged),
 }
 
 impl Wrong {
--- a/crates/rig/tests/process.rs
+++ b/crates/test-cluster/tests/process.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use cedarpulley_rig::process::{Process, State};
-use cedarpulley_rig::until;
+use cedarpulley_test_cluster::process::{Process, State};
+use cedarpulley_test_cluster::until;
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
--- a/crates/rig/tests/relays.rs
+++ b/crates/test-cluster/tests/relays.rs
@@ -6,11 +6,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use cedarpulley_rig::links::{Fault, Links};
-use cedarpulley_rig::relay::{Form, Relay};
-use cedarpulley_rig::until;
-use cedarpulley_standins::Ground;
-use cedarpulley_standins::http::{Cut, Server, full};
+use cedarpulley_emulators::Ground;
+use cedarpulley_emulators::http::{Cut, Server, full};
+use cedarpulley_test_cluster::links::{Fault, Links};
+use cedarpulley_test_cluster::relay::{Form, Relay};
+use cedarpulley_test_cluster::until;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
--- a/crates/rig/tests/sessions.rs
+++ b/crates/test-cluster/tests/sessions.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use cedarpulley_rig::plan::{self, Day};
-use cedarpulley_rig::traffic::arrivals;
+use cedarpulley_test_cluster::plan::{self, Day};
+use cedarpulley_test_cluster::traffic::arrivals;
 
 fn day(sessions: f64) -> Day {
     let text = include_str!("../../../days/regions.toml");
@@ -47,8 +47,9 @@
     }
     assert!(sessions.len() > 20);
     for turns in sessions.values() {
-        let alike =
-            |a: &cedarpulley_rig::client::Arrival| (a.function.clone(), a.account.clone(), a.calls);
+        let alike = |a: &cedarpulley_test_cluster::client::Arrival| {
+            (a.function.clone(), a.account.clone(), a.calls)
+        };
         assert!(turns.iter().all(|t| alike(t.0) == alike(turns[0].0)));
         assert!((1..10).contains(&turns.len()));
         let (first, last) = (
--- a/crates/meter/tests/metered.rs
+++ b/crates/usage-metering/tests/metered.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use cedarpulley::interface::{CopyStatus, DispatchOutcome};
-use cedarpulley_meter::books::{Book, Measured};
-use cedarpulley_meter::sums::{HOUR, Key, Kind, OTHERS, Readings, Sum, Sums};
-use cedarpulley_meter::{Ended, Held, Load, Meter};
+use cedarpulley_usage_metering::books::{Book, Measured};
+use cedarpulley_usage_metering::sums::{HOUR, Key, Kind, OTHERS, Readings, Sum, Sums};
+use cedarpulley_usage_metering::{Ended, Held, Load, Meter};
 use proptest::prelude::*;
 
 const HELD: Held = Held {
--- a/crates/ledger/src/lib.rs
+++ b/crates/usage-store/src/lib.rs
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 
 use cedarpulley_errors::Remedy;
-use cedarpulley_meter::Part;
-use cedarpulley_meter::books::{Book, Measured, Source};
-use cedarpulley_meter::sums::{Key, Kind, Readings, Sum, Sums};
+use cedarpulley_usage_metering::Part;
+use cedarpulley_usage_metering::books::{Book, Measured, Source};
+use cedarpulley_usage_metering::sums::{Key, Kind, Readings, Sum, Sums};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, WriteTransaction};
 use thiserror::Error;
 
--- a/crates/ledger/tests/file_rows.rs
+++ b/crates/usage-store/tests/file_rows.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use cedarpulley_ledger::{FORMAT, Ledger};
-use cedarpulley_meter::books::{Book, Measured};
-use cedarpulley_meter::{Key, Kind, Part, Sum};
+use cedarpulley_usage_metering::books::{Book, Measured};
+use cedarpulley_usage_metering::{Key, Kind, Part, Sum};
+use cedarpulley_usage_store::{FORMAT, Ledger};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 /// A whole file, as it was written once.
--- a/crates/ledger/tests/kept.rs
+++ b/crates/usage-store/tests/kept.rs
@@ -5,9 +5,9 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-use cedarpulley_ledger::{Failed, Ledger, Writing};
-use cedarpulley_meter::Part;
-use cedarpulley_meter::sums::{Key, Kind, Sum};
+use cedarpulley_usage_metering::Part;
+use cedarpulley_usage_metering::sums::{Key, Kind, Sum};
+use cedarpulley_usage_store::{Failed, Ledger, Writing};
 use rand::{Rng, SeedableRng};
 
 const FILE: &str = "CEDARPULLEY_TEST_LEDGER";
