--- /dev/null
+++ b/crates/gateway/tests/peer_envelope_bytes.rs
@@ -0,0 +1,272 @@
+//! The bytes of what one member posts to another: the envelope, the messages of the membership and of the shared records
+//! in it, and the answers that are kept in records. The messages on records have their own test in `cedarpulley-replica`.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+
+use bytes::Bytes;
+use cedarpulley_gateway::context::GatewayContext;
+use cedarpulley_gateway::peer_messages::Envelope;
+use cedarpulley_gateway::peers::{Peers, RestoredState, Transport};
+use cedarpulley_gateway::settings;
+use cedarpulley_membership::{self as membership, Process, Row, Standing};
+use cedarpulley_net::Clock;
+use cedarpulley_replica::store::Origin;
+use cedarpulley_replica::{Answered, Effect, Key, Record, Shared, VERSION};
+use cedarpulley_router::group::{Ask, Need, Told, Verdict};
+use cedarpulley_router::{Answer, Fate, Input, Payload, Reason};
+
+/// By line: a name, and the bytes.
+const PINNED: &str = include_str!("fixtures/peer_envelope.hex");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn pinned(name: &str) -> Vec<u8> {
+    let prefix = format!("{name} ");
+    let line = PINNED.lines().find_map(|l| l.strip_prefix(&prefix));
+    let hex = line.unwrap_or_else(|| panic!("{name} is not pinned"));
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal"))
+        .collect()
+}
+
+fn assert_pinned(name: &str, bytes: &[u8]) {
+    assert_eq!(hex(bytes), hex(&pinned(name)), "{name}");
+}
+
+struct Nowhere;
+
+impl Transport for Nowhere {
+    fn send(&self, _: u16, _: Bytes, _: bool, _: bool) {}
+}
+
+type Heard = Rc<RefCell<Vec<Told>>>;
+
+/// Member 0 of three, and what its core is told.
+fn peers(restored: Option<RestoredState>) -> (Peers, Heard) {
+    let members = ["r0", "r1", "r2"]
+        .map(|m| format!("[[peers.member]]\nname = {m:?}\naddress = \"127.0.0.1:7101\"\n"));
+    let text = format!(
+        "[[trigger]]\nname = \"t\"\neffect = \"idempotent\"\nlatency_objective_ms = 100\nclient_timeout_ms = 1000\n\
+         [[kserve]]\nlisten = \"127.0.0.1:7100\"\n[workers]\nwatch = \"127.0.0.1:7102\"\n\
+         [peers]\nlisten = \"127.0.0.1:7101\"\ngroup = \"g\"\nname = \"r0\"\n{}",
+        members.concat()
+    );
+    let parts = settings::read("router.toml", &text, false).unwrap_or_else(|e| panic!("{e}"));
+    let heard = Heard::default();
+    let told = heard.clone();
+    let context = GatewayContext {
+        clock: Clock::start(),
+        executor: Rc::default(),
+        name: "r0".into(),
+        seed: 1,
+        local_address: None,
+        names: Default::default(),
+        tracks_sessions: false,
+        malformed_inputs: Cell::new(0),
+        core_input: Box::new(move |input| {
+            if let Input::Group(message) = input {
+                told.borrow_mut().push(message);
+            }
+        }),
+    };
+    let settings = parts.peers.expect("peers");
+    let transport = Box::new(Nowhere);
+    let peers = Peers::new(Rc::new(context), &settings, 1, restored, None, transport);
+    (peers, heard)
+}
+
+fn process() -> Process {
+    Process {
+        turn: 300,
+        nonce: 0x1122_3344_5566_7788,
+    }
+}
+
+fn rows() -> Vec<Row> {
+    let standings = [
+        Standing::Unknown,
+        Standing::Alive,
+        Standing::Suspected,
+        Standing::Dead,
+    ];
+    let row = |(standing, member)| Row {
+        member,
+        process: process(),
+        standing,
+    };
+    standings.into_iter().zip(400..).map(row).collect()
+}
+
+fn membership_messages() -> [(&'static str, membership::Message); 3] {
+    let probe = membership::Message::Probe {
+        serial: 500,
+        table: 0xFFEE_DDCC_BBAA_9988,
+        rows: rows(),
+    };
+    let answer = membership::Message::Answer {
+        serial: 501,
+        of: 2,
+        table: 0x8899_AABB_CCDD_EEFF,
+        rows: rows(),
+    };
+    let ask_for = membership::Message::AskFor {
+        serial: 502,
+        whom: 3,
+    };
+    [("probe", probe), ("answer", answer), ("ask-for", ask_for)]
+}
+
+/// A question of each of both kinds, each with its kind's number in front.
+fn questions() -> Vec<Bytes> {
+    vec![
+        Bytes::from(pinned("tagged-probe")),
+        Bytes::from(pinned("tagged-prepare")),
+    ]
+}
+
+fn envelope() -> Envelope {
+    Envelope {
+        version: VERSION,
+        group: 0x2367_9931_1E7D_56BB,
+        from: 1,
+        to: 0,
+        process: process(),
+        clock: 123_456_789,
+        // Later than any clock of a test: it was not under way at all.
+        echo: 9_000_000_000_000,
+        echo_of: 1,
+        messages: questions(),
+    }
+}
+
+#[test]
+fn membership_messages_keep_their_bytes() {
+    for (name, message) in membership_messages() {
+        assert_pinned(name, &postcard::to_stdvec(&message).expect("encoded"));
+        let read: membership::Message = postcard::from_bytes(&pinned(name)).expect("decoded");
+        assert_eq!(read, message, "{name}");
+    }
+}
+
+#[test]
+fn an_envelope_keeps_its_bytes() {
+    let expected = envelope();
+    assert_pinned(
+        "envelope",
+        &postcard::to_stdvec(&expected).expect("encoded"),
+    );
+    let read: Envelope = postcard::from_bytes(&pinned("envelope")).expect("decoded");
+    assert_eq!(format!("{read:?}"), format!("{expected:?}"));
+}
+
+#[test]
+fn a_group_of_the_same_settings_keeps_its_fingerprint() {
+    let sent = peers(None).0.envelope(2, Vec::new());
+    let expected = (VERSION, envelope().group, 0, 2);
+    assert_eq!((sent.version, sent.group, sent.from, sent.to), expected);
+}
+
+/// The kind of a message is its first byte: 0 of the membership, 1 of the shared records.
+#[test]
+fn a_pinned_envelope_is_answered_with_pinned_messages() {
+    let (peers, _) = peers(None);
+    let answer = peers.receive(None, &pinned("envelope")).expect("received");
+    let unreadable = peers.inspect(|_, _, _, _, counts, _| counts.unreadable);
+    assert_eq!((unreadable, answer.to), (0, 1));
+    let replies = ["reply-compare", "reply-answer", "reply-overtaken"];
+    assert_eq!(answer.messages.len(), replies.len());
+    for (name, message) in replies.into_iter().zip(&answer.messages) {
+        assert_pinned(name, message);
+    }
+}
+
+fn answers() -> [(&'static str, Answer); 2] {
+    let answer = |reason, first| Answer {
+        fate: Fate::Succeeded,
+        reason,
+        return_after: None,
+        body: Payload {
+            bytes: Bytes::from_static(b"head and tail"),
+            first,
+        },
+    };
+    [
+        ("kept-answer", answer(Reason::Worker, None)),
+        ("kept-answer-alone", answer(Reason::Alone, Some(300))),
+    ]
+}
+
+/// As this build keeps it.
+fn answer_bytes(answer: Answer) -> Bytes {
+    let (peers, key) = (peers(None).0, Key::from("k"));
+    let (need, redelivered) = (Need::Known, false);
+    peers.request(Ask::Take {
+        key: key.clone(),
+        need,
+        redelivered,
+    });
+    let (sending, place) = (5, 0);
+    peers.request(Ask::Left {
+        key: key.clone(),
+        sending,
+        place,
+    });
+    peers.request(Ask::Answered { key, answer });
+    let record = peers.inspect(|_, _, _, replica, _, _| replica.record("k").cloned());
+    let Some(Record::Effect(effect)) = record else {
+        panic!("{record:?}")
+    };
+    match effect.answer {
+        Some(Answered::Kept(bytes)) => bytes,
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn answers_kept_in_records_keep_their_bytes() {
+    for (name, answer) in answers() {
+        assert_pinned(name, &answer_bytes(answer));
+    }
+}
+
+fn restored(answer: Vec<u8>) -> RestoredState {
+    let effect = Effect {
+        taken: true,
+        answer: Some(Answered::Kept(Bytes::from(answer))),
+        ..Effect::default()
+    };
+    let shared = Shared {
+        record: Record::Effect(effect),
+        origin: Origin {
+            nonce: 99,
+            serial: 1,
+        },
+        left: 60_000_000,
+        first_ago: None,
+        proves_left: None,
+    };
+    RestoredState {
+        turn: 1,
+        records: vec![(Key::from("k"), shared)],
+    }
+}
+
+#[test]
+fn pinned_answers_are_given_again_as_they_were() {
+    for (name, answer) in answers() {
+        let (peers, heard) = peers(Some(restored(pinned(name))));
+        let (key, need, redelivered) = (Key::from("k"), Need::Known, true);
+        peers.request(Ask::Take {
+            key: key.clone(),
+            need,
+            redelivered,
+        });
+        let verdict = Verdict::Answer(answer);
+        let expected = vec![Told::Verdict { key, verdict }];
+        assert_eq!(*heard.borrow(), expected, "{name}");
+    }
+}
