--- a/crates/trace/src/start.rs
+++ b/crates/trace/src/start.rs
@@ -111,8 +111,9 @@
 /// Of this build's module.
 pub fn module_digest() -> [u8; 32] {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(include_bytes!("../../../src/control.rs"));
-    hasher.update(include_bytes!("../../../src/interface.rs"));
+    for source in cedarpulley::MODULE_SOURCES {
+        hasher.update(source.text.as_bytes());
+    }
     *hasher.finalize().as_bytes()
 }
 
--- /dev/null
+++ b/src/balancer/functions.rs
@@ -0,0 +1,107 @@
+//! What this router knows of a function, and of the function at each worker.
+
+use super::estimates::{DecayingSum, LONG_AGO, LatencyEstimate};
+use crate::interface::*;
+
+/// A function at one worker.
+#[derive(Clone)]
+pub(super) struct FunctionWorkerState {
+    /// This router's dispatches of the function in flight there.
+    pub(super) in_flight: u32,
+    /// Until then a copy is believed to be loaded there.
+    pub(super) warm_until: Micros,
+}
+
+impl Default for FunctionWorkerState {
+    fn default() -> Self {
+        FunctionWorkerState {
+            in_flight: 0,
+            warm_until: LONG_AGO,
+        }
+    }
+}
+
+impl FunctionWorkerState {
+    /// Whether a copy is believed to be loaded.
+    fn is_warm(&self, now: Micros) -> bool {
+        self.in_flight > 0 && self.warm_until > LONG_AGO || self.warm_until > now
+    }
+}
+
+/// A function (or model).
+#[derive(Default)]
+pub(super) struct Function {
+    /// Its index is in use.
+    pub(super) known: bool,
+    pub(super) fingerprint: u64,
+    /// Invocations that one copy runs at a time.
+    pub(super) lanes: u32,
+    /// Index of the [`TriggerType`] of its invocations.
+    pub(super) trigger: usize,
+    pub(super) last_used_at: Micros,
+    /// Its invocations that are not finished.
+    pub(super) open_invocations: u32,
+    pub(super) service_time: LatencyEstimate,
+    pub(super) load_time: LatencyEstimate,
+    /// The workers in the hash order shared by all routers.
+    pub(super) ranked_workers: Vec<WorkerIndex>,
+    /// Invocations accepted within about the idle retention time.
+    pub(super) accepted: DecayingSum,
+    /// How many workers at the head of the hash order are preferred, and since when.
+    pub(super) preferred_workers: usize,
+    pub(super) preferred_since: Micros,
+    /// The worker where a load is in progress.
+    pub(super) loading_on: Option<WorkerIndex>,
+    /// No load of it begins before.
+    pub(super) no_load_before: Micros,
+    pub(super) orders_in_flight: u32,
+    /// The function at each worker, by worker index.
+    pub(super) at_workers: Vec<FunctionWorkerState>,
+}
+
+impl Function {
+    /// Makes room for so many workers.
+    pub(super) fn grow(&mut self, workers: usize) {
+        self.at_workers
+            .resize(workers, FunctionWorkerState::default());
+    }
+
+    /// Uses a client's hint until a load has been measured.
+    pub(super) fn hint_load_time(&mut self, hint: Option<Micros>) {
+        if let Some(hint) = hint.filter(|_| self.load_time.mean == 0) {
+            self.load_time = LatencyEstimate::from_hint(hint);
+        }
+    }
+
+    /// Whether a copy is believed to be loaded at this worker.
+    pub(super) fn is_warm(&self, worker: usize, now: Micros) -> bool {
+        self.at_workers[worker].is_warm(now)
+    }
+
+    /// The workers where a copy is believed to be loaded.
+    pub(super) fn warm_workers(&self, now: Micros) -> impl Iterator<Item = usize> {
+        (0..self.at_workers.len()).filter(move |&worker| self.is_warm(worker, now))
+    }
+
+    /// A copy is believed to be loaded there until then.
+    pub(super) fn set_warm_until(&mut self, worker: usize, until: Micros) {
+        self.at_workers[worker].warm_until = until;
+    }
+
+    /// A copy is believed to be loaded there until then at least.
+    pub(super) fn extend_warm_until(&mut self, worker: usize, until: Micros) {
+        let state = &mut self.at_workers[worker];
+        state.warm_until = state.warm_until.max(until);
+    }
+
+    /// No copy is believed to be loaded there.
+    pub(super) fn set_cold(&mut self, worker: usize) {
+        self.at_workers[worker].warm_until = LONG_AGO;
+    }
+
+    /// Whether a load is in progress at this worker.
+    pub(super) fn is_loading_on(&self, worker: usize) -> bool {
+        self.loading_on
+            .is_some_and(|loading| loading as usize == worker)
+    }
+}
--- /dev/null
+++ b/src/balancer/mod.rs
@@ -0,0 +1,285 @@
+//! All decisions of the router. A caller makes one [`Balancer`] per router with [`Balancer::new`] and calls
+//! [`Balancer::handle`] for each event, in order; it returns the actions to carry out at once. Events, actions and
+//! settings are in [`crate::interface`]. The same settings, seed and events give the same actions.
+//!
+//! Where to read on, in this order:
+//!
+//! | file | concern |
+//! | --- | --- |
+//! | `routing.rs` | the ordinary path of an invocation, `Balancer::route`; its source is in docs/design.md |
+//! | `eligibility.rs` | which workers an invocation may go to, and which have capacity |
+//! | `queue.rs` | invocations that wait for a lane |
+//! | `attempts.rs` | dispatches with their timeouts, retries, final answers |
+//! | `feedback.rs` | what is learned from the end of a dispatch |
+//! | `load_orders.rs` | loads of copies: orders, their quota, loads in progress |
+//! | `endpoints.rs` | the endpoint list: workers that come, drain, restart and go |
+//!
+//! Mechanisms beside the ordinary path:
+//!
+//! 1. Outlier detection (`outlier_detection.rs`): by a worker's last outcomes and silence, for each trigger type; an
+//!    outlier gets rare probes.
+//! 2. Attempt timeouts (`attempts.rs`): what may run again is dispatched with a timeout and goes elsewhere if time
+//!    is left.
+//! 3. Slow start (`slow_start.rs`): a worker that has just started gets this router's part of its capacity.
+//! 4. Preferred workers (`placement.rs`): a busy function has several, by its part of the work and the load reported;
+//!    each router begins with another one.
+//! 5. Load shedding (`load_shedding.rs`, `account_quota.rs`, the concurrency limit in `workers.rs`): late answers and
+//!    rejections limit this router's work on a worker; when there are many, nothing is explored; what earns little
+//!    (late, beyond a quota, a cheap type, a client soon gone) is begun only while few answers are late.
+//! 6. Draining (`endpoints.rs`, `workers.rs`): a warm worker told to drain serves on within the grace.
+//!
+//! State: `functions.rs`, `workers.rs`, `invocations.rs`; `estimates.rs` and `latencies.rs` hold what is measured.
+
+mod account_quota;
+mod attempts;
+mod eligibility;
+mod endpoints;
+mod estimates;
+mod feedback;
+mod functions;
+mod invocations;
+mod latencies;
+mod load_orders;
+mod load_shedding;
+mod outlier_detection;
+mod placement;
+mod queue;
+mod routing;
+mod slow_start;
+mod workers;
+
+use crate::interface::*;
+use estimates::{DecayingSum, Draws, MachineSlowness};
+use functions::Function;
+use invocations::{Invocation, Invocations};
+use latencies::Latencies;
+use load_orders::{LoadOrderQuota, OrderEnded};
+use load_shedding::LoadShedder;
+use outlier_detection::OutlierDetector;
+use queue::WaitingQueue;
+use workers::WorkerState;
+
+/// While invocations wait, they are retried this often (the design's pace).
+const RETRY_INTERVAL: Micros = 10_000;
+/// Without any, upkeep runs so often within the idle retention time.
+const UPKEEPS_PER_RETENTION: Micros = 100;
+/// A function unused for so many times the idle retention time is forgotten.
+const FORGET_AFTER_RETENTIONS: Micros = 4;
+
+/// The settings of a run; they do not change.
+#[derive(Default)]
+struct Settings {
+    fleet: FleetPosition,
+    limits: DispatchLimits,
+    rules: RuleLimits,
+    triggers: Vec<TriggerType>,
+    loads: LoadSettings,
+}
+
+/// The decision module: decides which worker runs an invocation, and when.
+#[derive(Default)]
+pub struct Balancer {
+    settings: Settings,
+    draws: Draws,
+    /// When the present event happened.
+    now: Micros,
+    /// When the next tick is due.
+    next_tick: Option<Micros>,
+    /// By worker index.
+    workers: Vec<WorkerState>,
+    outliers: OutlierDetector,
+    /// By function index.
+    functions: Vec<Function>,
+    invocations: Invocations,
+    queue: WaitingQueue,
+    load_shedder: LoadShedder,
+    order_quota: LoadOrderQuota,
+    latencies: Latencies,
+    slowness: MachineSlowness,
+    /// Work accepted, of all functions, within about the idle retention time.
+    work_accepted: DecayingSum,
+    /// Invocations that succeeded within some overload windows.
+    completions: DecayingSum,
+}
+
+impl Balancer {
+    /// A balancer that knows no workers yet. All its draws come from `seed`.
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "one argument for each record of the start message"
+    )]
+    pub fn new(
+        seed: u64,
+        fleet: FleetPosition,
+        limits: DispatchLimits,
+        rules: RuleLimits,
+        triggers: Vec<TriggerType>,
+        accounts: Vec<Account>,
+        loads: LoadSettings,
+        prices: Prices,
+        _reports: ReportSource,
+    ) -> Self {
+        Balancer {
+            draws: Draws::new(seed),
+            load_shedder: LoadShedder::new(&triggers, &accounts, fleet.routers, &prices),
+            latencies: Latencies::new(triggers.len()),
+            outliers: OutlierDetector::new(triggers.len(), loads.idle_retention),
+            settings: Settings {
+                fleet,
+                limits,
+                rules,
+                triggers,
+                loads,
+            },
+            ..Balancer::default()
+        }
+    }
+
+    /// The one entry point: `event` happened at `now`; the actions to carry out are appended to `out`.
+    pub fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
+        self.now = now;
+        match *event {
+            Event::EndpointList { kind, endpoints } => self.on_endpoint_list(kind, endpoints, out),
+            Event::Invocation(arrival) => {
+                self.accept(&arrival);
+                self.route(arrival.invocation, out);
+            }
+            Event::ClientLeft { invocation } => self.on_client_left(invocation, out),
+            Event::AnswerStarted { invocation, .. } => self.mark_answered(invocation),
+            Event::DispatchEnded(ended) => self.on_dispatch_ended(&ended, out),
+            Event::OrderEnded {
+                worker,
+                function,
+                result,
+                took,
+                copies,
+            } => {
+                let ended = OrderEnded {
+                    worker: worker as usize,
+                    function,
+                    result,
+                    took,
+                    copies,
+                };
+                self.on_order_ended(&ended, out);
+            }
+            Event::Timer { token } if self.next_tick == Some(token as Micros) => self.tick(out),
+            Event::CopyWanted { worker, function } => {
+                self.on_copy_wanted(worker as usize, &function, out);
+            }
+            Event::CopiesReported {
+                worker,
+                function,
+                copies,
+            } => self.on_copies_reported(worker as usize, function, copies, out),
+            Event::Timer { .. } | Event::ProbeEnded { .. } => {}
+        }
+        self.schedule_tick(out);
+    }
+
+    fn schedule_tick(&mut self, out: &mut Vec<Action>) {
+        let interval = if self.queue.is_empty() {
+            self.settings.loads.idle_retention / UPKEEPS_PER_RETENTION
+        } else {
+            RETRY_INTERVAL
+        };
+        let shortest = self.settings.fleet.granularity;
+        let due = self.now + interval.max(shortest).max(RETRY_INTERVAL);
+        if self.next_tick.is_none_or(|tick| due < tick) {
+            self.next_tick = Some(due);
+            out.push(Action::Timer {
+                token: due as u64,
+                after: due - self.now,
+            });
+        }
+    }
+
+    /// Upkeep, and a retry of all that wait.
+    fn tick(&mut self, out: &mut Vec<Action>) {
+        self.next_tick = None;
+        self.order_quota
+            .forget_until(self.now - self.settings.loads.order_quota_window);
+        let idle = |worker| self.outliers.in_flight(worker) == 0;
+        if !self.queue.is_empty() && workers::in_service(&self.workers).all(idle) {
+            self.outliers.count_stalled_tick();
+        }
+        self.load_shedder
+            .expire_pressure(self.now, self.settings.loads.idle_retention);
+        self.retry_queued(None, out);
+        self.release_unused_functions(out);
+    }
+
+    fn release_unused_functions(&mut self, out: &mut Vec<Action>) {
+        let unused_after = FORGET_AFTER_RETENTIONS * self.settings.loads.idle_retention;
+        for (index, function) in self.functions.iter_mut().enumerate() {
+            let unused = self.now - function.last_used_at > unused_after;
+            let idle = function.open_invocations == 0 && function.orders_in_flight == 0;
+            if function.known && idle && unused {
+                *function = Function::default();
+                out.push(Action::ReleaseFunction {
+                    function: index as FunctionIndex,
+                });
+            }
+        }
+    }
+
+    /// Takes in a new invocation and what it tells of its function.
+    fn accept(&mut self, arrival: &Arrival) {
+        let now = self.now;
+        let over_quota = self.load_shedder.use_quota(arrival.account as usize, now);
+        let trigger = &self.settings.triggers[arrival.trigger as usize];
+        let work_hint = arrival.cost_hint.unwrap_or(0);
+        let objective = trigger.latency_objective
+            + (work_hint as f64 * trigger.objective_work_multiple) as Micros;
+        let client_timeout_at = now + arrival.client_timeout_in;
+        let invocation = Invocation {
+            function: arrival.function,
+            trigger: arrival.trigger as usize,
+            over_quota,
+            short_timeout: arrival.waited + arrival.client_timeout_in < objective,
+            work_hint,
+            preferred_worker: arrival.preferred_worker,
+            arrived_at: now,
+            objective_at: (now - arrival.waited + objective).min(client_timeout_at),
+            client_timeout_at,
+            ..Invocation::default()
+        };
+        self.invocations.insert(arrival.invocation, invocation);
+        self.load_shedder.record_value(trigger.billed_value);
+        self.order_quota.record_accepted(now);
+        self.register_function(&FunctionInfo {
+            function: arrival.function,
+            fingerprint: arrival.fingerprint,
+            trigger: arrival.trigger,
+            lanes: arrival.lanes,
+        });
+        let function = &mut self.functions[arrival.function as usize];
+        function.open_invocations += 1;
+        function.hint_load_time(arrival.load_hint);
+        self.update_placement(arrival.function);
+    }
+
+    /// Notes a function, known or new.
+    fn register_function(&mut self, info: &FunctionInfo) {
+        let index = info.function as usize;
+        if self.functions.len() <= index {
+            self.functions.resize_with(index + 1, Function::default);
+        }
+        let function = &mut self.functions[index];
+        let is_new = !std::mem::replace(&mut function.known, true);
+        function.fingerprint = info.fingerprint;
+        function.trigger = info.trigger as usize;
+        function.lanes = info.lanes.max(1);
+        function.last_used_at = self.now;
+        if is_new {
+            function.grow(self.workers.len());
+            self.rank_workers(info.function);
+        }
+    }
+
+    /// An unfinished invocation and its function.
+    fn find_invocation(&self, index: InvocationIndex) -> Option<(&Invocation, &Function)> {
+        let invocation = self.invocations.get(index)?;
+        Some((invocation, &self.functions[invocation.function as usize]))
+    }
+}
--- /dev/null
+++ b/src/balancer/queue.rs
@@ -0,0 +1,111 @@
+//! The queue of invocations that wait for a lane.
+
+use super::Balancer;
+use crate::interface::*;
+
+/// Waiting invocations, by function, in the order in which they began to wait.
+#[derive(Default)]
+pub(super) struct WaitingQueue {
+    by_function: Vec<Vec<InvocationIndex>>,
+    waiting: u32,
+}
+
+impl WaitingQueue {
+    fn push(&mut self, function: FunctionIndex, invocation: InvocationIndex) {
+        if self.by_function.len() <= function as usize {
+            self.by_function
+                .resize_with(function as usize + 1, Vec::new);
+        }
+        self.by_function[function as usize].push(invocation);
+        self.waiting += 1;
+    }
+
+    fn remove(&mut self, function: FunctionIndex, invocation: InvocationIndex) {
+        if let Some(queue) = self.by_function.get_mut(function as usize) {
+            let removed = queue.extract_if(.., |waiting| *waiting == invocation);
+            self.waiting -= removed.count() as u32;
+        }
+    }
+
+    /// The waiting invocations of a function.
+    pub(super) fn of(&self, function: FunctionIndex) -> &[InvocationIndex] {
+        self.by_function
+            .get(function as usize)
+            .map_or(&[], Vec::as_slice)
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.waiting == 0
+    }
+}
+
+impl Balancer {
+    /// Whether a further invocation would leave the queue within what its objective leaves beside the work.
+    pub(super) fn queue_has_room(&self, index: InvocationIndex) -> bool {
+        let Some((invocation, function)) = self.find_invocation(index) else {
+            return false;
+        };
+        let service = self.service_time(function).mean.max(1);
+        let copies = function.warm_workers(self.now).count() as Micros;
+        let waiting = self.queue.of(invocation.function).len() as Micros;
+        let wait = waiting * service / (copies * Micros::from(function.lanes)).max(1);
+        wait < (invocation.objective_at - self.now - service).max(0)
+    }
+
+    /// The invocation waits for a lane.
+    pub(super) fn enqueue(&mut self, index: InvocationIndex) {
+        if let Some(invocation) = self.invocations.get(index) {
+            self.queue.push(invocation.function, index);
+        }
+    }
+
+    /// The invocation waits no longer.
+    pub(super) fn dequeue(&mut self, index: InvocationIndex) {
+        if let Some(invocation) = self.invocations.get(index) {
+            self.queue.remove(invocation.function, index);
+        }
+    }
+
+    /// Waiting invocations of one function, or of all, leave for the lanes that have become free.
+    pub(super) fn retry_queued(&mut self, only: Option<FunctionIndex>, out: &mut Vec<Action>) {
+        let all = 0..self.functions.len() as FunctionIndex;
+        let functions = only.map_or(all, |function| function..function + 1);
+        let mut waiting: Vec<InvocationIndex> = functions
+            .flat_map(|function| self.queue.of(function).iter().copied())
+            .collect();
+        waiting.sort_by_cached_key(|&index| {
+            self.find_invocation(index)
+                .map_or((0, 0, index), |(invocation, _)| {
+                    let priority = self.queue_priority(invocation);
+                    (-priority, invocation.arrived_at, index)
+                })
+        });
+        for index in waiting {
+            self.retry_one_queued(index, out);
+        }
+    }
+
+    fn retry_one_queued(&mut self, index: InvocationIndex, out: &mut Vec<Action>) {
+        let Some((invocation, function)) = self.find_invocation(index) else {
+            return;
+        };
+        let service = self.service_time(function);
+        // While many are late, an answer that can only be late takes the place of one in time.
+        let ends_at = match self.costs_more_than_it_earns(invocation, true) {
+            true if self.load_shedder.is_overloaded() => {
+                invocation.objective_at - service.deviation
+            }
+            true => invocation.objective_at,
+            false => invocation.client_timeout_at,
+        };
+        if ends_at - self.now <= service.mean {
+            self.answer_without_success(index, out);
+        } else if let Some(worker) = self.pick_free_lane(index) {
+            self.dispatch(index, worker, false, out);
+        } else if !self.has_warm_worker(index)
+            && let Some(worker) = self.pick_load_target(index)
+        {
+            self.begin_load(index, worker, out);
+        }
+    }
+}
--- /dev/null
+++ b/src/balancer/routing.rs
@@ -0,0 +1,108 @@
+//! The ordinary path of an invocation: Saarthi's adaptive request balancer (docs/design.md).
+
+use super::Balancer;
+use crate::interface::*;
+
+/// With every warm lane busy, one draw in so many loads another copy (the paper's 20%).
+const EXPLORE_ONE_IN: u64 = 5;
+
+impl Balancer {
+    /// The ordinary path of an invocation, from top to bottom.
+    pub(super) fn route(&mut self, index: InvocationIndex, out: &mut Vec<Action>) {
+        let Some((invocation, function)) = self.find_invocation(index) else {
+            return;
+        };
+        let first_attempt = invocation.dispatches.is_empty();
+        // Symptom: attempts too short for the work fill the workers with what no one waits for any more, or work
+        // beyond an account's quota, or too late for its objective, crowds out what is within and in time.
+        let (now, service) = (self.now, self.service_time(function).mean);
+        let late = invocation.objective_at - now <= service;
+        if invocation.client_timeout_at - now <= service
+            || self.costs_more_than_it_earns(invocation, late)
+        {
+            return self.answer_without_success(index, out);
+        }
+        // A warm worker with a free lane, fewest own in flight.
+        if let Some(worker) = self.pick_free_lane(index) {
+            return self.dispatch(index, worker, false, out);
+        }
+        // All lanes busy: one in five loads. No warm worker: load at once, within the bound.
+        let is_warm = self.has_warm_worker(index);
+        let explores = first_attempt
+            && self.load_shedder.allows_exploration()
+            && self.draws.draw().is_multiple_of(EXPLORE_ONE_IN);
+        if (!is_warm || explores)
+            && let Some(worker) = self.pick_load_target(index)
+        {
+            self.begin_load(index, worker, out);
+            if self
+                .find_invocation(index)
+                .is_none_or(|(invocation, _)| invocation.in_flight())
+            {
+                return;
+            }
+        }
+        // Otherwise it waits for a lane, while the queue has room.
+        if self.queue_has_room(index) {
+            return self.enqueue(index);
+        }
+        // Queue full: the busy warm worker with the lowest ratio of work to lanes.
+        match self.pick_least_busy(index) {
+            Some(worker) => self.dispatch(index, worker, false, out),
+            None => self.enqueue(index),
+        }
+    }
+
+    /// A warm worker with a free lane: the one with the session's state, else one of those with the fewest of this
+    /// router's dispatches in flight. It draws in any case.
+    pub(super) fn pick_free_lane(&mut self, index: InvocationIndex) -> Option<usize> {
+        let draw = self.draws.draw();
+        let (invocation, function) = self.find_invocation(index)?;
+        let mean_load = self.mean_load();
+        let has_free_lane = |worker: &usize| {
+            let loading = self.settings.loads.load_orders && function.is_loading_on(*worker);
+            function.is_warm(*worker, self.now)
+                && !loading
+                && function.at_workers[*worker].in_flight < function.lanes
+                && !self.is_crowded(*worker, mean_load)
+                && !invocation.was_rejected_by(*worker)
+                && self.is_eligible(invocation, *worker)
+        };
+        let mut candidates: Vec<usize> = (0..function.at_workers.len())
+            .filter(has_free_lane)
+            .collect();
+        // Symptom: a session's next invocation goes elsewhere, and what came before is built up again.
+        let preferred = invocation.preferred_worker.map(|worker| worker as usize);
+        if let Some(worker) = preferred.filter(|worker| candidates.contains(worker)) {
+            return Some(worker);
+        }
+        let in_flight = |worker: usize| self.outliers.in_flight(worker);
+        let fewest = candidates.iter().copied().map(in_flight).min()?;
+        candidates.retain(|&worker| in_flight(worker) == fewest);
+        Some(candidates[(draw % candidates.len() as u64) as usize])
+    }
+
+    /// Whether a worker that the invocation may go to has a copy, busy or not.
+    pub(super) fn has_warm_worker(&self, index: InvocationIndex) -> bool {
+        self.find_invocation(index)
+            .is_some_and(|(invocation, function)| {
+                function
+                    .warm_workers(self.now)
+                    .any(|worker| self.is_eligible(invocation, worker))
+            })
+    }
+
+    /// The busy warm worker with the fewest of this router's dispatches of the function, within its concurrency
+    /// limit.
+    fn pick_least_busy(&self, index: InvocationIndex) -> Option<usize> {
+        let (invocation, function) = self.find_invocation(index)?;
+        function
+            .warm_workers(self.now)
+            .filter(|&worker| {
+                !self.concurrency_limit_reached(worker)
+                    && !invocation.was_rejected_by(worker)
+                    && self.is_eligible(invocation, worker)
+            })
+            .min_by_key(|&worker| function.at_workers[worker].in_flight)
+    }
+}
