--- /dev/null
+++ b/crates/router/src/core/balancer_actions.rs
@@ -0,0 +1,128 @@
+//! Calls the decision module and carries out its actions.
+
+use cedarpulley::interface::{Action, DispatchOutcome, Event, InvocationIndex, Micros};
+
+use super::dispatch::DispatchResult;
+use super::state::timers::Timer;
+use super::{Output, Router};
+use crate::observer::Names;
+use crate::{Answer, Fate, Reason, Ticket};
+
+/// A dispatch that ended within the step that decided it.
+pub(super) struct EndedImmediately {
+    pub(super) ticket: Ticket,
+    pub(super) outcome: DispatchOutcome,
+}
+
+impl Router {
+    /// Calls the module and carries out its actions, in order. Dispatches that end at once are reported to the module as
+    /// further events, after all actions of this step.
+    pub(super) fn decide(&mut self, event: &Event, out: &mut Vec<Output>) {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        let names = Names {
+            functions: self.functions.names(),
+            workers: self.workers.names(),
+        };
+        self.observers.decided(self.now, event, &actions, names);
+        let mut ended = Vec::new();
+        for action in actions {
+            self.carry_out(action, &mut ended, out);
+        }
+        for EndedImmediately { ticket, outcome } in ended {
+            self.dispatch_ended(ticket, DispatchResult::without_answer(outcome), out);
+        }
+    }
+
+    fn carry_out(
+        &mut self,
+        action: Action,
+        ended: &mut Vec<EndedImmediately>,
+        out: &mut Vec<Output>,
+    ) {
+        match action {
+            Action::Dispatch {
+                invocation,
+                worker,
+                timeout,
+            } => self.dispatch(invocation, worker, timeout, ended, out),
+            Action::Cancel {
+                invocation,
+                dispatch,
+            } => self.cancel(invocation, dispatch, ended, out),
+            Action::Reject {
+                invocation,
+                retry_after,
+            } => self.reject(invocation, retry_after, out),
+            Action::Fail { invocation } => {
+                let answer = Answer::bare(Fate::Errored, Reason::GivenUp);
+                self.give_answer(invocation, answer, out);
+                self.release(invocation, out);
+            }
+            Action::LoadOrder {
+                worker,
+                function,
+                copies,
+            } => self.order(worker, function, copies, out),
+            Action::Unload { worker, function } => out.push(Output::Unload {
+                worker,
+                function: self.functions.name(function),
+                term: self.plan_term.clone(),
+            }),
+            Action::Probe { worker } => out.push(Output::Probe { worker }),
+            Action::Timer { token, after } => {
+                self.set_timer(self.now + after, Timer::Balancer(token));
+            }
+            Action::RequestEndpointList { .. } => out.push(Output::AskList),
+            Action::ReleaseFunction { function } => {
+                self.orders.forget_function(function);
+                self.functions.forget(function);
+            }
+        }
+    }
+
+    fn cancel(
+        &mut self,
+        index: InvocationIndex,
+        attempt: u32,
+        ended: &mut Vec<EndedImmediately>,
+        out: &mut Vec<Output>,
+    ) {
+        let ticket = self.invocations.handle(index).ticket(attempt);
+        let Some(attempt) = self.invocations.attempt_in_flight(ticket) else {
+            return;
+        };
+        self.counts.withdrawn += 1;
+        let outcome = if attempt.awaits_permission() {
+            DispatchOutcome::NotSent
+        } else {
+            out.push(Output::Withdraw(ticket));
+            DispatchOutcome::Cancelled
+        };
+        ended.push(EndedImmediately { ticket, outcome });
+    }
+
+    fn reject(
+        &mut self,
+        index: InvocationIndex,
+        retry_after: Option<Micros>,
+        out: &mut Vec<Output>,
+    ) {
+        // A redelivered invocation may have run elsewhere, which the module cannot know.
+        let may_run_elsewhere = self
+            .invocations
+            .get(index)
+            .is_some_and(|invocation| invocation.dispatch_until().is_some());
+        let outcome = if may_run_elsewhere {
+            Fate::Errored
+        } else {
+            Fate::Throttled
+        };
+        let answer = Answer {
+            return_after: retry_after,
+            ..Answer::bare(outcome, Reason::GivenUp)
+        };
+        self.give_answer(index, answer, out);
+        self.release(index, out);
+    }
+}
--- /dev/null
+++ b/crates/router/src/core/completion.rs
@@ -0,0 +1,268 @@
+//! How an invocation ends: its one final answer, what the limits and observers learn of it, and when its index
+//! becomes free.
+
+use cedarpulley::interface::{Effect, InvocationIndex, Micros};
+
+use super::state::invocation::{Attempt, Invocation, InvocationHandle};
+use super::{Output, Router};
+use crate::concurrency_limit::{EndedInvocation, LoadSignal};
+use crate::observer::Given;
+use crate::replication::{Ask, ReplicationStage};
+use crate::{Answer, Delivery, Fate, Reason};
+
+/// What an answer is about, as the observers are told.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct AnsweredInvocation {
+    /// Absent where the module knows no invocation for it.
+    pub(super) index: Option<InvocationIndex>,
+    /// Trigger type; `u32::MAX` where it is not known any more.
+    pub(super) trigger: u32,
+    /// Account; `u32::MAX` where it is not known any more.
+    pub(super) account: u32,
+    pub(super) accepted_at: Micros,
+}
+
+impl AnsweredInvocation {
+    /// Of a delivery of which nothing is known any more.
+    pub(super) fn unknown(now: Micros) -> Self {
+        AnsweredInvocation {
+            index: None,
+            trigger: u32::MAX,
+            account: u32::MAX,
+            accepted_at: now,
+        }
+    }
+}
+
+/// Answers.
+impl Router {
+    /// Sends the answer to one delivery and counts it.
+    pub(super) fn answer(
+        &mut self,
+        delivery: Delivery,
+        answer: Answer,
+        answered: AnsweredInvocation,
+        out: &mut Vec<Output>,
+    ) {
+        let given = Given {
+            inv: answered.index,
+            front: delivery.front,
+            fate: answer.fate,
+            reason: answer.reason,
+            trigger: answered.trigger,
+            account: answered.account,
+            took: self.now - answered.accepted_at,
+        };
+        self.observers.answered(self.now, given);
+        let counted = (answer.fate, answer.reason);
+        *self.counts.answers.entry(counted).or_default() += 1;
+        out.push(Output::Answer { delivery, answer });
+    }
+
+    /// Gives the invocation its final answer. All deliveries that wait for it get it; only the first call has an effect.
+    pub(super) fn give_answer(
+        &mut self,
+        index: InvocationIndex,
+        answer: Answer,
+        out: &mut Vec<Output>,
+    ) {
+        let invocation = self.invocations.get(index);
+        let Some(invocation) = invocation.filter(|invocation| invocation.is_open()) else {
+            return;
+        };
+        let slot = invocation.answer_slot();
+        let answered = AnsweredInvocation {
+            // An invocation that the module does not know, or no longer, counts as answered at once.
+            index: invocation.is_known_to_balancer().then_some(index),
+            trigger: invocation.request.trigger,
+            account: invocation.request.account,
+            accepted_at: invocation.request.accepted_at,
+        };
+        let signal = self.load_signal(invocation, answer.fate);
+        self.cache_answer(index, &answer);
+        let answer = self.adjust_answer(index, answer);
+        self.share_answer(index, &answer, out);
+        self.conclude(index, signal);
+        let waiters = slot.map_or_else(Vec::new, |slot| self.answers.give(slot, &answer));
+        // With no front to answer, a success is retained for when the message is delivered again. A failure is not:
+        // nobody may be promised that it did not run, or told an error, on behalf of whoever has the message now.
+        if waiters.is_empty() && answer.fate != Fate::Succeeded {
+            self.end_answer_record(index);
+        }
+        for delivery in waiters {
+            self.answer(delivery, answer.clone(), answered, out);
+        }
+    }
+
+    /// What the limits learn from an answer with this outcome, given now.
+    fn load_signal(&self, invocation: &Invocation, outcome: Fate) -> LoadSignal {
+        match outcome {
+            Fate::Succeeded if self.is_late(invocation) => LoadSignal::Late,
+            Fate::Succeeded => LoadSignal::OnTime,
+            Fate::Throttled => LoadSignal::Rejected,
+            Fate::Errored => LoadSignal::Neutral,
+        }
+    }
+
+    /// Whether its latency objective, extended for long calls, has passed since it was accepted.
+    fn is_late(&self, invocation: &Invocation) -> bool {
+        let request = &invocation.request;
+        let trigger = &self.triggers[request.trigger as usize];
+        let expected = request.cost_hint.unwrap_or(0) as f64;
+        let extension = (expected * trigger.objective_work_multiple) as Micros;
+        self.now - request.accepted_at > trigger.latency_objective + extension
+    }
+
+    /// Caches a success under its idempotency key, for its client's retries.
+    fn cache_answer(&mut self, index: InvocationIndex, answer: &Answer) {
+        let Some(invocation) = self.invocations.get(index) else {
+            return;
+        };
+        let effect = self.triggers[invocation.request.trigger as usize].effect;
+        if let Some(key) = invocation.idempotency_key()
+            && answer.fate == Fate::Succeeded
+            && let Effect::IdempotentByKey { window, .. } = effect
+        {
+            self.idempotency_keys
+                .succeeded(self.now, key, answer.clone(), self.now + window);
+        }
+    }
+
+    /// What is answered instead, where the group was lost or not asked.
+    fn adjust_answer(&self, index: InvocationIndex, answer: Answer) -> Answer {
+        let Some(invocation) = self.invocations.get(index) else {
+            return answer;
+        };
+        // While it was orphaned another router may have run it: nobody can promise that it did not run.
+        if answer.fate == Fate::Throttled && invocation.was_orphaned_while_replicated() {
+            return Answer::bare(Fate::Errored, Reason::MayHaveRun);
+        }
+        let unreplicated = invocation.replication_stage() == Some(ReplicationStage::Unreplicated);
+        if answer.reason == Reason::Worker && unreplicated {
+            return Answer {
+                reason: Reason::Alone,
+                ..answer
+            };
+        }
+        answer
+    }
+
+    /// Tells the group of a success, once: other routers may be delivered the same message, and answer alike.
+    fn share_answer(&mut self, index: InvocationIndex, answer: &Answer, out: &mut Vec<Output>) {
+        if answer.fate != Fate::Succeeded {
+            return;
+        }
+        let invocation = self.invocations.get_mut(index);
+        if let Some(replication) = invocation.and_then(Invocation::mark_answer_shared) {
+            out.push(Output::Group(Ask::Answered {
+                key: replication.key.clone(),
+                answer: answer.clone(),
+            }));
+        }
+    }
+
+    /// A final answer that the core itself decides; the module is told that the client left.
+    pub(super) fn final_answer(
+        &mut self,
+        index: InvocationIndex,
+        outcome: Fate,
+        reason: Reason,
+        out: &mut Vec<Output>,
+    ) {
+        self.give_answer(index, Answer::bare(outcome, reason), out);
+        self.withdraw_from_balancer(index, out);
+        self.release(index, out);
+    }
+
+    /// The final answer is due. All attempts in flight time out now, upon which the module can answer; if it does not,
+    /// the core does. That happens to a queued invocation whose turn did not come between two of the module's timers.
+    pub(super) fn answer_overdue(&mut self, handle: InvocationHandle, out: &mut Vec<Output>) {
+        let invocation = self.invocations.get(handle.index);
+        let attempts = invocation.map(|found| found.attempts_where(Attempt::is_in_flight));
+        for attempt in attempts.unwrap_or_default() {
+            self.dispatch_timed_out(handle.ticket(attempt), out);
+        }
+        let invocation = self.invocations.find(handle);
+        let Some(invocation) = invocation.filter(|invocation| invocation.is_open()) else {
+            return;
+        };
+        let harmless = self.is_safe_to_retry(invocation) && !invocation.may_run_elsewhere();
+        let outcome = if harmless {
+            Fate::Throttled
+        } else {
+            Fate::Errored
+        };
+        self.final_answer(handle.index, outcome, Reason::Overdue, out);
+    }
+
+    /// As far as this router's own attempts are concerned.
+    fn is_safe_to_retry(&self, invocation: &Invocation) -> bool {
+        let effect = self.triggers[invocation.request.trigger as usize].effect;
+        effect == Effect::Idempotent || !invocation.may_have_run()
+    }
+}
+
+/// The end of an invocation.
+impl Router {
+    /// Marks the invocation as concluded, and tells the limits; true the first time.
+    pub(super) fn conclude(&mut self, index: InvocationIndex, signal: LoadSignal) -> bool {
+        let invocation = self.invocations.get_mut(index);
+        let Some(invocation) = invocation.filter(|invocation| invocation.is_open()) else {
+            return false;
+        };
+        invocation.conclude();
+        if let Some(key) = invocation.take_idempotency_key() {
+            self.idempotency_keys.ended(self.now, &key);
+        }
+        self.report_to_limits(index, signal);
+        true
+    }
+
+    fn report_to_limits(&mut self, index: InvocationIndex, signal: LoadSignal) {
+        let Some(invocation) = self.invocations.get(index) else {
+            return;
+        };
+        let request = &invocation.request;
+        let took = self.now - request.accepted_at;
+        let queued = invocation
+            .attempts()
+            .first()
+            .map_or(took, |first| first.decided_at - request.accepted_at);
+        // What waited for a load was not crowded out: otherwise a slow store makes all invocations wait, and whoever has
+        // more of them open is limited for it.
+        let waited_for_load = self
+            .orders
+            .waited_for_load(request.function_index, request.accepted_at);
+        let (queued, signal) = match signal {
+            LoadSignal::Rejected if waited_for_load => (0, LoadSignal::Neutral),
+            signal if waited_for_load => (0, signal),
+            signal => (queued, signal),
+        };
+        let ended = EndedInvocation {
+            front: request.front,
+            account: request.account,
+            body_bytes: request.body.len(),
+            took,
+            queued,
+            latency_objective: self.triggers[request.trigger as usize].latency_objective,
+            signal,
+        };
+        self.admission.ended(self.now, ended, request.admitted);
+    }
+
+    /// Frees the index of an invocation that is over.
+    pub(super) fn release(&mut self, index: InvocationIndex, out: &mut Vec<Output>) {
+        if !self.invocations.get(index).is_some_and(Invocation::is_over) {
+            return;
+        }
+        let Some(invocation) = self.invocations.remove(index) else {
+            return;
+        };
+        for attempt in invocation.attempts() {
+            self.workers.unreserve(attempt.worker);
+        }
+        if let Some(replication) = invocation.into_replication() {
+            self.leave_replication(index, replication, out);
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/core/dispatch.rs
@@ -0,0 +1,327 @@
+//! An attempt is decided, permitted by the group where that is needed, sent, and ended.
+
+use cedarpulley::interface::{
+    CopyStatus, DispatchEnded, DispatchOutcome, Effect, Event, InvocationIndex, LoadReport, Micros,
+    WorkerIndex,
+};
+use cedarpulley_usage_metering::Held;
+
+use super::balancer_actions::EndedImmediately;
+use super::state::invocation::{Attempt, AttemptOutcome, EndedAttempt, Invocation};
+use super::state::timers::Timer;
+use super::{Call, Output, Router};
+use crate::concurrency_limit::LoadSignal;
+use crate::observer::{By, Used};
+use crate::replication::Ask;
+use crate::{Answer, Fate, Payload, Reason, Ticket};
+
+/// How a dispatch ended, and what its worker reported; the fields are those of [`Input::DispatchEnded`].
+///
+/// [`Input::DispatchEnded`]: super::Input::DispatchEnded
+pub(super) struct DispatchResult {
+    pub(super) outcome: DispatchOutcome,
+    pub(super) copy_status: CopyStatus,
+    pub(super) function_load: Option<u32>,
+    pub(super) report: LoadReport,
+    pub(super) memory_held: Option<Held>,
+    pub(super) body: Payload,
+}
+
+impl DispatchResult {
+    /// Of a dispatch whose worker reported nothing.
+    pub(super) fn without_answer(outcome: DispatchOutcome) -> Self {
+        DispatchResult {
+            outcome,
+            copy_status: CopyStatus::Unreported,
+            function_load: None,
+            report: LoadReport::default(),
+            memory_held: None,
+            body: Payload::default(),
+        }
+    }
+}
+
+/// Sending.
+impl Router {
+    /// The module wants the invocation sent to a worker.
+    pub(super) fn dispatch(
+        &mut self,
+        index: InvocationIndex,
+        worker: WorkerIndex,
+        timeout: Option<Micros>,
+        ended: &mut Vec<EndedImmediately>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(invocation) = self.invocations.get_mut(index) else {
+            return;
+        };
+        let attempt = invocation.add_attempt(self.now, worker, timeout, self.serials.next());
+        // An answer was given, or the workers no longer recognise repeats: the module is told that it was not sent.
+        let may_dispatch = invocation.may_dispatch(self.now);
+        let time_left = invocation.request.answer_due_at - self.now;
+        let ticket = self.invocations.handle(index).ticket(attempt);
+        self.workers.reserve(worker);
+        if !may_dispatch {
+            return ended.push(EndedImmediately {
+                ticket,
+                outcome: DispatchOutcome::NotSent,
+            });
+        }
+        // Without a timeout of its own the dispatch ends when the answer is due.
+        if let Some(timeout) = timeout.filter(|&timeout| timeout < time_left) {
+            self.set_timer(self.now + timeout, Timer::DispatchTimeout(ticket));
+        }
+        if !self.request_permission(ticket, out) {
+            self.send(ticket, out);
+        }
+    }
+
+    /// Tells the group of a new attempt, if it has to know. True if the attempt must wait for the group's permission.
+    fn request_permission(&mut self, ticket: Ticket, out: &mut Vec<Output>) -> bool {
+        let Some(invocation) = self.invocations.get(ticket.inv) else {
+            return false;
+        };
+        let (Some(attempt), Some(replication)) = (
+            invocation.attempt(ticket.dispatch),
+            invocation.replication(),
+        ) else {
+            return false;
+        };
+        let trigger = invocation.request.trigger;
+        let effect = self.triggers[trigger as usize].effect;
+        let (key, sending) = (replication.key.clone(), attempt.serial);
+        let place = self.workers.deduplication_domain(attempt.worker, effect);
+        if !attempt.awaits_permission() {
+            out.push(Output::Group(Ask::Left {
+                key,
+                sending,
+                place,
+            }));
+            return false;
+        }
+        let alone = self.may_go_unreplicated(trigger);
+        self.replication.permission_requested(sending, ticket);
+        out.push(Output::Group(Ask::Leave {
+            key,
+            sending,
+            place,
+            alone,
+        }));
+        true
+    }
+
+    /// Sends the attempt now.
+    pub(super) fn send(&mut self, ticket: Ticket, out: &mut Vec<Output>) {
+        let Some(invocation) = self.invocations.get(ticket.inv) else {
+            return;
+        };
+        let Some(attempt) = invocation.attempt(ticket.dispatch) else {
+            return;
+        };
+        let request = &invocation.request;
+        out.push(Output::Send {
+            ticket,
+            worker: attempt.worker,
+            function: request.function.clone(),
+            trigger: request.trigger,
+            account: request.account,
+            call: call(invocation, attempt, self.now),
+        });
+        self.counts.dispatches += 1;
+    }
+
+    /// Whether a dispatch may still be sent: asked again right before its first byte, as connecting takes time.
+    pub fn may_leave(&self, now: Micros, ticket: Ticket) -> bool {
+        let Some(attempt) = self.invocations.attempt_in_flight(ticket) else {
+            return false;
+        };
+        let Some(invocation) = self.invocations.get(ticket.inv) else {
+            return false;
+        };
+        invocation.is_open()
+            && now < invocation.request.answer_due_at
+            && self.workers.accepts(now, attempt.worker)
+            && self.is_permitted(now, attempt.permission)
+            && self.within_deduplication_window(now, invocation)
+    }
+
+    /// Rule 2 at the moment of sending: workers drop repeats with the same idempotency key only within their window,
+    /// counted from each attempt that may have run. Connecting may take longer than what was left of it when the attempt
+    /// was decided.
+    fn within_deduplication_window(&self, now: Micros, invocation: &Invocation) -> bool {
+        let Effect::IdempotentByKey { window, .. } =
+            self.triggers[invocation.request.trigger as usize].effect
+        else {
+            return true;
+        };
+        let mut may_have_run = invocation
+            .attempts()
+            .iter()
+            .filter(|attempt| attempt.outcome == AttemptOutcome::Indeterminate);
+        may_have_run.all(|attempt| now - attempt.decided_at < window)
+    }
+}
+
+/// Endings.
+impl Router {
+    /// The dispatch has its timeout, or its invocation's answer is due.
+    pub(super) fn dispatch_timed_out(&mut self, ticket: Ticket, out: &mut Vec<Output>) {
+        let Some(attempt) = self.invocations.attempt_in_flight(ticket) else {
+            return;
+        };
+        if attempt.awaits_permission() {
+            // It waited for permission all the time: nothing can have run.
+            return self.dispatch_not_sent(ticket, out);
+        }
+        out.push(Output::Withdraw(ticket));
+        self.dispatch_ended(
+            ticket,
+            DispatchResult::without_answer(DispatchOutcome::TimedOut),
+            out,
+        );
+    }
+
+    /// The dispatch ended before it was sent.
+    pub(super) fn dispatch_not_sent(&mut self, ticket: Ticket, out: &mut Vec<Output>) {
+        self.dispatch_ended(
+            ticket,
+            DispatchResult::without_answer(DispatchOutcome::NotSent),
+            out,
+        );
+    }
+
+    /// Ends a dispatch. A success is the invocation's answer; anything else the module decides upon.
+    pub(super) fn dispatch_ended(
+        &mut self,
+        ticket: Ticket,
+        result: DispatchResult,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(ended) = self.end_attempt(ticket, result.outcome) else {
+            // A worker may answer after the dispatch timed out or was cancelled; that end was reported then.
+            self.counts.too_late += 1;
+            return;
+        };
+        let index = ticket.inv;
+        self.replicate_attempt_end(index, ended, out);
+        self.report_attempt_use(index, ended, &result);
+        if result.outcome == DispatchOutcome::Succeeded {
+            if result.copy_status == CopyStatus::Warm {
+                self.note_warm_copy(index);
+            }
+            let answer = Answer {
+                body: result.body,
+                ..Answer::bare(Fate::Succeeded, Reason::Worker)
+            };
+            self.give_answer(index, answer, out);
+        } else {
+            self.conclude_orphaned(index);
+        }
+        let answered = self
+            .invocations
+            .get(index)
+            .is_none_or(|invocation| !invocation.is_open());
+        let event = DispatchEnded {
+            invocation: index,
+            dispatch: ticket.dispatch,
+            worker: ended.worker,
+            outcome: result.outcome,
+            took: ended.took,
+            answered,
+            copy_status: result.copy_status,
+            function_load: result.function_load,
+            report: result.report,
+        };
+        self.decide(&Event::DispatchEnded(event), out);
+        self.release(index, out);
+    }
+
+    /// Marks the attempt as ended; nothing if it had ended before.
+    fn end_attempt(&mut self, ticket: Ticket, outcome: DispatchOutcome) -> Option<EndedAttempt> {
+        let invocation = self.invocations.find_mut(ticket.into())?;
+        let ended = invocation.end_attempt(ticket.dispatch, self.now, outcome)?;
+        self.replication.end_request(ended.serial);
+        Some(ended)
+    }
+
+    fn replicate_attempt_end(
+        &self,
+        index: InvocationIndex,
+        ended: EndedAttempt,
+        out: &mut Vec<Output>,
+    ) {
+        let invocation = self.invocations.get(index);
+        if let Some(replication) = invocation.and_then(Invocation::replication) {
+            out.push(Output::Group(Ask::Ended {
+                key: replication.key.clone(),
+                sending: ended.serial,
+                may_have_run: ended.may_have_run,
+            }));
+        }
+    }
+
+    /// Tells the observers what the attempt used of its worker.
+    fn report_attempt_use(
+        &mut self,
+        index: InvocationIndex,
+        ended: EndedAttempt,
+        result: &DispatchResult,
+    ) {
+        let Some(invocation) = self.invocations.get(index) else {
+            return;
+        };
+        let request = &invocation.request;
+        let session = request.session.as_ref();
+        let usage = Used {
+            worker: ended.worker,
+            worker_name: self.workers.name(ended.worker).unwrap_or(""),
+            function: &request.function,
+            session: session.map(|session| &*session.id),
+            ends: session.is_some_and(|session| session.end),
+            trigger: request.trigger,
+            account: request.account,
+            by: By::Dispatch(result.outcome, result.copy_status),
+            took: ended.took,
+            copy_mb: request.copy_mb,
+            lanes: request.lanes,
+            held: result.memory_held,
+        };
+        self.observers.used(self.now, usage);
+    }
+
+    fn note_warm_copy(&mut self, index: InvocationIndex) {
+        if let Some(invocation) = self.invocations.get(index) {
+            self.orders
+                .warm_copy_found(self.now, invocation.request.function_index);
+        }
+    }
+
+    /// Nobody waits here for an orphaned invocation whose attempt failed; whoever has the message now decides what comes
+    /// next.
+    fn conclude_orphaned(&mut self, index: InvocationIndex) {
+        let invocation = self.invocations.get(index);
+        if invocation.is_some_and(|invocation| invocation.is_orphaned() && invocation.is_open()) {
+            self.end_answer_record(index);
+            self.conclude(index, LoadSignal::Neutral);
+        }
+    }
+}
+
+fn call(invocation: &Invocation, attempt: &Attempt, now: Micros) -> Call {
+    let request = &invocation.request;
+    let time_left = request.answer_due_at - now;
+    let already_waited = now - attempt.decided_at;
+    let until_timeout = |timeout: Micros| (timeout - already_waited).clamp(0, time_left.max(0));
+    Call {
+        mark: request.mark.clone(),
+        token: request.token.clone(),
+        time_left,
+        waited_for: attempt.timeout.map_or(time_left, until_timeout),
+        cost_hint: request.cost_hint,
+        load_hint: request.load_hint,
+        copy_mb: request.copy_mb,
+        lanes: request.lanes,
+        session: request.session.clone(),
+        body: request.body.clone(),
+    }
+}
--- a/crates/router/src/core/intake.rs
+++ b/crates/router/src/core/intake.rs
@@ -1,372 +1,407 @@
-//! Taking a message: it is answered at once, joins what is open for it already, or becomes a new invocation.
+//! A message arrives: it is answered at once, joins the open invocation for it, or becomes a new invocation.
 
 use std::sync::Arc;
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::{
-    Arrival, Effect, Event, FunctionIndex, FunctionInfo, InvocationIndex, Micros, TriggerType,
-    WorkerIndex,
+    Arrival, Effect, Event, FunctionInfo, InvocationIndex, Micros, TriggerType, WorkerIndex,
 };
 
-use super::finishing::AnswerSubject;
-use super::functions::FunctionProfile;
-use super::invocation::{Invocation, NO_CLAIM};
-use super::timers::Timer;
+use super::completion::AnsweredInvocation;
+use super::state::admission::{ArrivedMessage, LimitExceeded};
+use super::state::functions::FunctionProfile;
+use super::state::invocation::{AcceptedRequest, Invocation};
+use super::state::timers::Timer;
 use super::{Output, Router};
-use crate::claims::ClaimIndex;
-use crate::group::{self, Need, Part, Stage};
-use crate::redelivery::{self, Record, Verdict};
-use crate::tokens::{self, Seen};
+use crate::admission_control::{Entry, Knock};
+use crate::answer_registry::AnswerSlot;
+use crate::idempotency_keys::{self, KeyStatus};
+use crate::redelivery::{self, PriorDelivery, RedeliveryDecision};
+use crate::replication::{self, Key, Need, ReplicationState};
 use crate::{Answer, Delivery, Fate, Reason, Taken};
 
 /// Why a message becomes no invocation of its own.
 enum Resolution {
     /// It is answered at once.
     Answer(Answer),
-    /// The same message was taken before.
-    SameMessage(ClaimIndex),
-    /// Another message with the same token is open; the answer is due to this one's client at `due`.
-    SameToken { claim: ClaimIndex, due: Micros },
+    /// The same message was accepted before.
+    SameMessage(AnswerSlot),
+    /// Another message with the same idempotency key is open; the answer is due to this one's client at `due`.
+    SameKey { slot: AnswerSlot, due: Micros },
 }
 
 impl Resolution {
-    fn bare(fate: Fate, reason: Reason) -> Self {
-        Resolution::Answer(Answer::bare(fate, reason))
+    fn bare(outcome: Fate, reason: Reason) -> Self {
+        Resolution::Answer(Answer::bare(outcome, reason))
     }
 }
 
 /// What was decided of a message that becomes an invocation.
 struct Acceptance {
-    /// It asked for entry before it was taken.
-    entered: bool,
+    /// It was admitted before its body was read.
+    admitted: bool,
     /// How long its client had waited.
     waited: Micros,
     /// When the final answer is due.
-    gives_up_at: Micros,
-    /// No dispatch may leave from then on.
+    answer_due_at: Micros,
+    /// No attempt may be sent from then on.
     dispatch_until: Option<Micros>,
-    token_key: Option<tokens::Key>,
-    group_part: Option<Part>,
+    idempotency_key: Option<idempotency_keys::Key>,
+    replication: Option<ReplicationState>,
 }
 
+/// Requests that are decided upon before their body is read.
 impl Router {
-    /// Takes a message.
-    pub(super) fn take(&mut self, message: Taken, out: &mut Vec<Output>) {
+    /// Decides whether a request is admitted.
+    pub(super) fn request_arrived(
+        &mut self,
+        delivery: Delivery,
+        request: &Knock,
+        out: &mut Vec<Output>,
+    ) {
+        let trigger = &self.triggers[request.trigger as usize];
+        let decision = self.admission.decide(self.now, delivery, request, trigger);
+        if let Entry::TurnedAway { why, .. } = decision {
+            let (front, account) = (delivery.front, request.account);
+            *self.counts.turned_away.entry((front, why)).or_default() += 1;
+            self.observers
+                .rejected(self.now, front, request.trigger, account, why);
+        }
+        out.push(Output::Entry {
+            delivery,
+            entry: decision,
+        });
+    }
+}
+
+/// Whole messages.
+impl Router {
+    /// Handles a message that was received.
+    pub(super) fn message_arrived(&mut self, message: Taken, out: &mut Vec<Output>) {
         self.counts.taken += 1;
-        let entered = self.entered.body_arrived(message.delivery);
-        match self.judge(&message, entered) {
+        let admitted = self.admission.body_arrived(message.delivery);
+        match self.check(&message, admitted) {
             Ok(acceptance) => self.accept(message, acceptance, out),
             Err(resolution) => self.resolve(&message, resolution, out),
         }
     }
 
-    /// Applies all checks, in an order that matters: what is known of the message comes before what it would
-    /// cost.
-    fn judge(&mut self, message: &Taken, entered: bool) -> Result<Acceptance, Resolution> {
+    /// Applies all checks, in an order that matters: what is known of the message comes before what it would cost.
+    fn check(&mut self, message: &Taken, admitted: bool) -> Result<Acceptance, Resolution> {
         let trigger = self.triggers[message.trigger as usize];
-        if let Some((fate, reason)) = message.refused {
-            return Err(Resolution::bare(fate, reason));
+        if let Some((outcome, reason)) = message.refused {
+            return Err(Resolution::bare(outcome, reason));
         }
         let waited = message.waited.max(0);
         let timeout = message.client_timeout.min(trigger.client_timeout);
-        let gives_up_at = self.now + timeout - waited - self.terms.answer_margin;
-        let group_need = self.group_need(message, &trigger);
+        let answer_due_at = self.now + timeout - waited - self.settings.answer_margin;
+        let durability = self.required_durability(message, &trigger);
         let dispatch_within =
-            self.check_redelivery(message, &trigger, waited, group_need.is_some())?;
-        let token_key = self.check_token(message, gives_up_at)?;
-        self.check_expiry(message, &trigger, gives_up_at)?;
+            self.check_redelivery(message, &trigger, waited, durability.is_some())?;
+        let idempotency_key = self.check_idempotency_key(message, answer_due_at)?;
+        self.check_expiry(message, &trigger, answer_due_at)?;
         self.check_functions(message)?;
-        self.check_limits(message, entered)?;
-        let part = |(key, need)| Part {
-            key,
-            need,
-            stage: Stage::Asked,
-            answered: false,
-        };
+        self.check_limits(message, admitted)?;
         Ok(Acceptance {
-            entered,
+            admitted,
             waited,
-            gives_up_at,
+            answer_due_at,
             dispatch_until: dispatch_within.map(|left| self.now + left),
-            token_key,
-            group_part: group_need.map(part),
+            idempotency_key,
+            replication: durability.map(|(key, need)| ReplicationState::announced(key, need)),
         })
     }
 
     /// What has to be agreed with the group; nothing without one.
-    fn group_need(&self, message: &Taken, trigger: &TriggerType) -> Option<(group::Key, Need)> {
-        self.terms.sharing.as_ref()?;
-        group::need(message, trigger, self.terms.clock_margin)
+    fn required_durability(&self, message: &Taken, trigger: &TriggerType) -> Option<(Key, Need)> {
+        self.settings.sharing.as_ref()?;
+        replication::need(message, trigger, self.settings.clock_margin)
     }
 
-    /// Whether the message may run, if it was delivered before, and within which time its dispatches must
-    /// leave.
+    /// Whether the message may run, if it was delivered before, and within which time its attempts must be sent.
     fn check_redelivery(
         &mut self,
         message: &Taken,
         trigger: &TriggerType,
         waited: Micros,
-        shared: bool,
+        replicated: bool,
     ) -> Result<Option<Micros>, Resolution> {
-        let (record, claim) = self.claims.known(message.identity.as_deref());
-        let margin = self.terms.clock_margin;
-        let verdict = match record {
+        let (prior, slot) = self.answers.lookup(message.identity.as_deref());
+        let margin = self.settings.clock_margin;
+        let decision = match prior {
             // The group may know more than is known here.
-            Record::Nothing | Record::NeverRan if shared => Verdict::Take {
-                dispatch_within: None,
-            },
-            // It was throttled here after its channel was lost. Before it came here again it may have run at
-            // another router, which the group knows: the old answer must not be repeated.
-            Record::Answered if shared && claim.is_some_and(|c| self.claims.withdrawn(c)) => {
-                Verdict::Take {
-                    dispatch_within: None,
-                }
+            PriorDelivery::Nothing | PriorDelivery::NeverRan if replicated => {
+                RedeliveryDecision::UNRESTRICTED
+            }
+            // It was rejected here after its channel was lost. Before it came here again it may have run at another
+            // router, which the group knows: the old answer must not be repeated.
+            PriorDelivery::Answered
+                if replicated && slot.is_some_and(|slot| self.answers.was_retracted(slot)) =>
+            {
+                RedeliveryDecision::UNRESTRICTED
             }
-            _ => redelivery::decide(record, message.redelivered, trigger.effect, waited, margin),
+            _ => redelivery::decide(prior, message.redelivered, trigger.effect, waited, margin),
         };
-        match (verdict, claim) {
-            (Verdict::Join | Verdict::Repeat, Some(claim)) => Err(Resolution::SameMessage(claim)),
-            (Verdict::Join | Verdict::Repeat, None) => Ok(None),
-            (Verdict::Take { dispatch_within }, _) => Ok(dispatch_within),
-            (Verdict::Refuse, _) => {
+        match (decision, slot) {
+            (RedeliveryDecision::Join | RedeliveryDecision::Repeat, Some(slot)) => {
+                Err(Resolution::SameMessage(slot))
+            }
+            (RedeliveryDecision::Join | RedeliveryDecision::Repeat, None) => Ok(None),
+            (RedeliveryDecision::Accept { dispatch_within }, _) => Ok(dispatch_within),
+            (RedeliveryDecision::Refuse, _) => {
                 self.counts.refused_redelivered += 1;
                 Err(Resolution::bare(Fate::Errored, Reason::MayHaveRun))
             }
         }
     }
 
-    /// The key of the message's token, unless it is a retry of what is open or was answered under the same
-    /// one.
-    fn check_token(
+    /// The message's idempotency key, unless it is a retry of what is open or was answered under the same one.
+    fn check_idempotency_key(
         &mut self,
         message: &Taken,
         due: Micros,
-    ) -> Result<Option<tokens::Key>, Resolution> {
+    ) -> Result<Option<idempotency_keys::Key>, Resolution> {
         let token = message
             .token
             .as_deref()
-            .filter(|_| !self.terms.module_alone);
+            .filter(|_| !self.settings.module_alone);
         let Some(token) = token else { return Ok(None) };
-        let key = tokens::key(message.account, message.trigger, message.called(), token);
-        match self.tokens.seen(self.now, &key) {
-            Seen::Out(claim) => Err(Resolution::SameToken { claim, due }),
-            Seen::Answered(answer) => {
+        let key = idempotency_keys::key(message.account, message.trigger, message.called(), token);
+        match self.idempotency_keys.status(self.now, &key) {
+            KeyStatus::InFlight(slot) => Err(Resolution::SameKey { slot, due }),
+            KeyStatus::Answered(answer) => {
                 self.counts.remembered += 1;
                 Err(Resolution::Answer(answer))
             }
-            Seen::Nothing => Ok(Some(key)),
+            KeyStatus::Unknown => Ok(Some(key)),
         }
     }
 
-    /// Whether its client still waits. Its time may have run out while the message was queued at a broker; it
-    /// is then never dispatched, but if it was delivered before it may have run.
+    /// Whether its client still waits. Its time may have run out while the message was queued at a broker; it is then
+    /// never dispatched, but if it was delivered before it may have run.
     fn check_expiry(
         &self,
         message: &Taken,
         trigger: &TriggerType,
-        gives_up_at: Micros,
+        answer_due_at: Micros,
     ) -> Result<(), Resolution> {
-        if gives_up_at > self.now {
+        if answer_due_at > self.now {
             return Ok(());
         }
         let may_have_run = message.redelivered && trigger.effect != Effect::Idempotent;
-        let fate = if may_have_run {
+        let outcome = if may_have_run {
             Fate::Errored
         } else {
             Fate::Throttled
         };
-        Err(Resolution::bare(fate, Reason::Expired))
+        Err(Resolution::bare(outcome, Reason::Expired))
     }
 
     fn check_functions(&self, message: &Taken) -> Result<(), Resolution> {
-        if self.functions.has_room_for(&message.function) {
+        if self.functions.has_capacity_for(&message.function) {
             return Ok(());
         }
         Err(Resolution::bare(Fate::Errored, Reason::Functions))
     }
 
     /// Whether its account and its body are within the limits; if so, it counts against them from now on.
-    fn check_limits(&mut self, message: &Taken, entered: bool) -> Result<(), Resolution> {
-        let (front, account) = (message.delivery.front, message.account);
-        if !entered {
-            self.admission.came(self.now, front, account);
-        }
-        // Without this one account's flood fills the queue, and all other accounts' messages are late behind
-        // it.
-        let share_applies = !entered && !message.redelivered && !self.terms.module_alone;
-        if share_applies && self.admission.beyond(self.now, front, account) {
-            return Err(Resolution::bare(Fate::Throttled, Reason::Share));
-        }
-        if !self.admission.kept(message.body.len()) {
-            let fate = if message.redelivered {
-                Fate::Errored
-            } else {
-                Fate::Throttled
-            };
-            return Err(Resolution::bare(fate, Reason::Size));
-        }
-        if !entered {
-            self.admission.entered(self.now, front, account);
-        }
-        Ok(())
+    fn check_limits(&mut self, message: &Taken, admitted: bool) -> Result<(), Resolution> {
+        let arrived = ArrivedMessage {
+            front: message.delivery.front,
+            account: message.account,
+            body_bytes: message.body.len(),
+            admitted,
+            share_applies: !admitted && !message.redelivered && !self.settings.module_alone,
+        };
+        self.admission
+            .accept(self.now, arrived)
+            .map_err(|exceeded| match exceeded {
+                LimitExceeded::Share => Resolution::bare(Fate::Throttled, Reason::Share),
+                LimitExceeded::Memory if message.redelivered => {
+                    Resolution::bare(Fate::Errored, Reason::Size)
+                }
+                LimitExceeded::Memory => Resolution::bare(Fate::Throttled, Reason::Size),
+            })
     }
 
     fn resolve(&mut self, message: &Taken, resolution: Resolution, out: &mut Vec<Output>) {
         match resolution {
             Resolution::Answer(answer) => {
-                let subject = AnswerSubject {
+                let answered = AnsweredInvocation {
+                    index: None,
                     trigger: message.trigger,
                     account: message.account,
-                    taken_at: self.now,
+                    accepted_at: self.now,
                 };
-                self.answer(message.delivery, answer, None, subject, out);
+                self.answer(message.delivery, answer, answered, out);
             }
-            Resolution::SameMessage(claim) => self.rejoin(claim, message.delivery, out),
-            Resolution::SameToken { claim, due } => self.join(claim, message.delivery, due, out),
+            Resolution::SameMessage(slot) => self.rejoin(slot, message.delivery, out),
+            Resolution::SameKey { slot, due } => self.join(slot, message.delivery, due, out),
         }
     }
 
-    /// Makes the message an invocation, which the module is told of now or after the group's verdict.
+    /// Makes the message an invocation, of which the module is told now or after the group's verdict.
     fn accept(&mut self, message: Taken, acceptance: Acceptance, out: &mut Vec<Output>) {
+        let (delivery, identity) = (message.delivery, message.identity.clone());
+        let replication = acceptance.replication.clone();
+        let index = self.add_invocation(message, acceptance);
+        let slot = self.open_answer_record(index, identity, delivery);
+        self.set_invocation_timers(index);
+        let Some(replication) = replication else {
+            return self.submit_to_balancer(index, out);
+        };
+        if let Some(slot) = slot {
+            self.answers.share(slot, replication.key.clone());
+        }
+        self.announce(index, &replication, out);
+    }
+
+    fn add_invocation(&mut self, message: Taken, acceptance: Acceptance) -> InvocationIndex {
+        let lanes = message.lanes.max(1);
         let profile = FunctionProfile {
             account: message.account,
             copy_mb: message.copy_mb,
-            lanes: message.lanes.max(1),
+            lanes,
             trigger: message.trigger,
         };
-        let func = self.functions.register(&message.function, profile);
-        let delivery = message.delivery;
-        let identity = message.identity.clone();
-        let redelivered = message.redelivered;
-        let group_part = acceptance.group_part.clone();
-        let inv = self
-            .invocations
-            .insert(new_invocation(message, acceptance, func, self.now));
-        let claim = self.open_claim(inv, identity, delivery);
-        self.set_invocation_timers(inv);
-        let Some(part) = group_part else {
-            return self.admit(inv, out);
+        let request = AcceptedRequest {
+            front: message.delivery.front,
+            admitted: acceptance.admitted,
+            trigger: message.trigger,
+            account: message.account,
+            function_index: self.functions.register(&message.function, profile),
+            function: message.function,
+            token: message.token,
+            mark: message.mark,
+            cost_hint: message.cost_hint,
+            load_hint: message.load_hint,
+            copy_mb: message.copy_mb,
+            lanes,
+            session: message.session,
+            preferred_worker: message.prefers,
+            body: message.body,
+            waited: acceptance.waited,
+            redelivered: message.redelivered,
+            repeat: message.repeat,
+            accepted_at: self.now,
+            answer_due_at: acceptance.answer_due_at,
         };
-        self.claims.share(claim, part.key.clone());
-        self.announce(inv, &part, redelivered, out);
+        self.invocations.insert(Invocation::new(
+            request,
+            acceptance.idempotency_key,
+            acceptance.dispatch_until,
+            acceptance.replication,
+        ))
     }
 
-    /// Opens the claim under which the invocation's answer is given, and notes its token.
-    fn open_claim(
+    /// Opens the record under which the invocation's answer is given, and registers its idempotency key.
+    fn open_answer_record(
         &mut self,
-        inv: InvocationIndex,
+        index: InvocationIndex,
         identity: Option<Arc<str>>,
         delivery: Delivery,
-    ) -> ClaimIndex {
-        let Some(invocation) = self.invocations.get_mut(inv) else {
-            return NO_CLAIM;
-        };
-        let client_gives_up_at = invocation.gives_up_at + self.terms.answer_margin;
-        let claim = self
-            .claims
-            .open(identity, delivery, inv, client_gives_up_at);
-        invocation.claim = claim;
-        if let Some(key) = invocation.token_key.clone() {
-            self.tokens.began(key, claim);
+    ) -> Option<AnswerSlot> {
+        let invocation = self.invocations.get_mut(index)?;
+        let client_gives_up_at = invocation.request.answer_due_at + self.settings.answer_margin;
+        let slot = self
+            .answers
+            .open(identity, delivery, index, client_gives_up_at);
+        invocation.set_answer_slot(Some(slot));
+        if let Some(key) = invocation.idempotency_key() {
+            self.idempotency_keys.started(key.clone(), slot);
         }
-        claim
+        Some(slot)
     }
 
-    fn set_invocation_timers(&mut self, inv: InvocationIndex) {
-        let handle = self.handle_of(inv);
-        let Some(invocation) = self.invocations.get(inv) else {
+    fn set_invocation_timers(&mut self, index: InvocationIndex) {
+        let handle = self.invocations.handle(index);
+        let Some(invocation) = self.invocations.get(index) else {
             return;
         };
-        let (gives_up_at, dispatch_until) = (invocation.gives_up_at, invocation.dispatch_until);
-        self.set_timer(gives_up_at, Timer::AnswerDue(handle));
-        if let Some(until) = dispatch_until.filter(|&until| until < gives_up_at) {
+        let answer_due_at = invocation.request.answer_due_at;
+        let dispatch_until = invocation.dispatch_until();
+        self.set_timer(answer_due_at, Timer::AnswerDue(handle));
+        if let Some(until) = dispatch_until.filter(|&until| until < answer_due_at) {
             self.set_timer(until, Timer::DispatchWindowEnds(handle));
         }
     }
+}
 
+/// The decision module is told of an invocation.
+impl Router {
     /// Tells the module of the invocation.
-    pub(super) fn admit(&mut self, inv: InvocationIndex, out: &mut Vec<Output>) {
-        let now = self.now;
-        let Some(invocation) = self.invocations.get_mut(inv) else {
+    pub(super) fn submit_to_balancer(&mut self, index: InvocationIndex, out: &mut Vec<Output>) {
+        let Some(invocation) = self.invocations.get_mut(index) else {
             return;
         };
-        invocation.known_to_module = true;
-        for watch in &mut self.watch {
-            let mark = invocation.mark.as_deref();
-            watch.taken(now, inv, invocation.front, mark, invocation.redelivered);
-        }
-        let Some(arrival) = self.arrival(inv) else {
+        invocation.set_known_to_balancer(true);
+        self.observers
+            .accepted(self.now, index, &invocation.request);
+        let Some(arrival) = self.arrival(index) else {
             return;
         };
-        if self.functions.meet(arrival.function)
+        if self.functions.mark_known_to_balancer(arrival.function)
             && let Some(worker) = arrival.preferred_worker
         {
             self.introduce_warm_function(worker, &arrival, out);
         }
         self.decide(&Event::Invocation(arrival), out);
-        let held = self
+        let queued = self
             .invocations
-            .get(inv)
-            .is_some_and(|i| !i.concluded && i.dispatches.is_empty());
-        self.counts.held += u64::from(held);
-        self.release(inv, out);
+            .get(index)
+            .is_some_and(|invocation| invocation.is_open() && invocation.attempts().is_empty());
+        self.counts.held += u64::from(queued);
+        self.release(index, out);
     }
 
     /// What the module is told of the invocation.
-    fn arrival(&self, inv: InvocationIndex) -> Option<Arrival> {
-        let invocation = self.invocations.get(inv)?;
+    fn arrival(&self, index: InvocationIndex) -> Option<Arrival> {
+        let request = &self.invocations.get(index)?.request;
         Some(Arrival {
-            invocation: inv,
-            trigger: invocation.trigger,
-            account: invocation.account,
-            function: invocation.func,
-            fingerprint: fingerprint(&invocation.function),
-            cost_hint: invocation.cost_hint,
-            load_hint: invocation.load_hint,
-            copy_mb: invocation.copy_mb,
-            lanes: invocation.lanes,
-            client_timeout_in: invocation.gives_up_at - self.now,
-            waited: invocation.waited + self.now - invocation.taken_at,
-            repeat: invocation.repeat,
-            preferred_worker: invocation
-                .prefers
+            invocation: index,
+            trigger: request.trigger,
+            account: request.account,
+            function: request.function_index,
+            fingerprint: fingerprint(&request.function),
+            cost_hint: request.cost_hint,
+            load_hint: request.load_hint,
+            copy_mb: request.copy_mb,
+            lanes: request.lanes,
+            client_timeout_in: request.answer_due_at - self.now,
+            waited: request.waited + self.now - request.accepted_at,
+            repeat: request.repeat,
+            preferred_worker: request
+                .preferred_worker
                 .as_deref()
                 .and_then(|name| self.workers.find(name)),
         })
     }
 
-    /// Makes a function known to the module as standing at a worker, where the first invocation of it here
-    /// belongs to a session that is warm there. Without this the module, which ignores reports on functions
-    /// that it has not met, sends the invocation to another worker. It meets the function as wanted at that
-    /// worker; the order that it gives for it does not leave, as another router has just told that the copy
-    /// stands.
+    /// Makes a function known to the module as loaded at a worker, where the first invocation of it here belongs to a
+    /// session that is warm there. Without this the module, which ignores reports on functions that it does not know,
+    /// sends the invocation to another worker. The module learns of the function as wanted at that worker; the order
+    /// that it gives for it is not sent, as another router has just reported that the copy is loaded.
     fn introduce_warm_function(
         &mut self,
         worker: WorkerIndex,
         arrival: &Arrival,
         out: &mut Vec<Output>,
     ) {
-        let asked = FunctionInfo {
+        let function = FunctionInfo {
             function: arrival.function,
             fingerprint: arrival.fingerprint,
             trigger: arrival.trigger,
             lanes: arrival.lanes,
         };
         let mut wanted = Vec::new();
-        self.decide(
-            &Event::CopyWanted {
-                worker,
-                function: asked,
-            },
-            &mut wanted,
-        );
+        self.decide(&Event::CopyWanted { worker, function }, &mut wanted);
         for output in wanted {
             match output {
-                Output::Order { ticket, .. } => self.order_stands_already(ticket, out),
+                Output::Order { ticket, .. } => self.skip_order(ticket, out),
                 other => out.push(other),
             }
         }
-        // The module may have given no order, and then does not believe the copy to stand yet.
+        // The module may have given no order, and then does not know yet that the copy is loaded.
         self.decide(
             &Event::CopiesReported {
                 worker,
@@ -377,42 +412,3 @@
         );
     }
 }
-
-fn new_invocation(
-    message: Taken,
-    acceptance: Acceptance,
-    func: FunctionIndex,
-    now: Micros,
-) -> Invocation {
-    Invocation {
-        claim: NO_CLAIM,
-        token_key: acceptance.token_key,
-        front: message.delivery.front,
-        entered: acceptance.entered,
-        trigger: message.trigger,
-        account: message.account,
-        function: message.function,
-        func,
-        token: message.token,
-        mark: message.mark,
-        cost_hint: message.cost_hint,
-        load_hint: message.load_hint,
-        copy_mb: message.copy_mb,
-        lanes: message.lanes.max(1),
-        session: message.session,
-        prefers: message.prefers,
-        body: message.body,
-        taken_at: now,
-        gives_up_at: acceptance.gives_up_at,
-        dispatch_until: acceptance.dispatch_until,
-        concluded: false,
-        orphaned: false,
-        was_away: false,
-        waited: acceptance.waited,
-        redelivered: message.redelivered,
-        repeat: message.repeat,
-        known_to_module: false,
-        group_part: acceptance.group_part,
-        dispatches: Vec::new(),
-    }
-}
--- /dev/null
+++ b/crates/router/src/core/load_orders.rs
@@ -0,0 +1,200 @@
+//! Orders to load copies at workers, queries for how many are loaded, and what workers report of their copies.
+
+use std::sync::Arc;
+
+use cedarpulley::ids::fingerprint;
+use cedarpulley::interface::{
+    Event, FunctionIndex, FunctionInfo, LoadOrderResult, Micros, WorkerIndex,
+};
+use cedarpulley_usage_metering::Held;
+
+use super::state::functions::FunctionProfile;
+use super::state::load_orders::LoadOrder;
+use super::state::timers::Timer;
+use super::{Output, Router};
+use crate::OrderTicket;
+use crate::observer::{By, Used};
+
+/// Orders.
+impl Router {
+    /// The module wants so many copies to be loaded at a worker; 0 only queries how many are.
+    pub(super) fn order(
+        &mut self,
+        worker: WorkerIndex,
+        function: FunctionIndex,
+        copies: u32,
+        out: &mut Vec<Output>,
+    ) {
+        let ticket = OrderTicket {
+            worker,
+            func: function,
+            serial: self.serials.next(),
+        };
+        let profile = self.functions.profile(function);
+        let profile = profile.unwrap_or(FunctionProfile::UNKNOWN);
+        let order = LoadOrder {
+            sent_at: self.now,
+            loads: copies > 0,
+            account: profile.account,
+            copy_mb: profile.copy_mb,
+        };
+        let within = self.settings.order_answered_within;
+        self.workers.reserve(worker);
+        self.orders.started(ticket, order);
+        self.set_timer(self.now + within, Timer::OrderTimeout(ticket));
+        self.counts.orders += u64::from(order.loads);
+        out.push(Output::Order {
+            ticket,
+            function: self.functions.name(function),
+            account: order.account,
+            copies,
+            within,
+            term: self.plan_term.clone(),
+        });
+    }
+
+    /// Whether an order may still be sent, as [`Router::may_leave`] for dispatches.
+    pub fn order_may_leave(&self, now: Micros, ticket: OrderTicket) -> bool {
+        self.orders.is_in_flight(ticket) && self.workers.accepts(now, ticket.worker)
+    }
+
+    /// Ends an order; one that had ended before is ignored. `copies` are loaded at the worker now.
+    pub(super) fn order_ended(
+        &mut self,
+        ticket: OrderTicket,
+        result: LoadOrderResult,
+        copies: u32,
+        memory_held: Option<Held>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(order) = self.orders.ended(self.now, ticket) else {
+            return;
+        };
+        self.workers.unreserve(ticket.worker);
+        if order.loads {
+            self.report_order_use(ticket, order, result, memory_held);
+        }
+        let event = Event::OrderEnded {
+            worker: ticket.worker,
+            function: ticket.func,
+            result,
+            took: self.now - order.sent_at,
+            copies,
+        };
+        self.decide(&event, out);
+    }
+
+    /// The result of an order is overdue.
+    pub(super) fn order_timed_out(&mut self, ticket: OrderTicket, out: &mut Vec<Output>) {
+        self.order_ended(ticket, LoadOrderResult::TimedOut, 0, None, out);
+    }
+
+    /// Ends an order that need not be sent, as the copy is known to be loaded.
+    pub(super) fn skip_order(&mut self, ticket: OrderTicket, out: &mut Vec<Output>) {
+        self.counts.orders = self.counts.orders.saturating_sub(1);
+        self.order_ended(ticket, LoadOrderResult::Loaded, 1, None, out);
+    }
+
+    /// Tells the observers what the load used of its worker.
+    fn report_order_use(
+        &mut self,
+        ticket: OrderTicket,
+        order: LoadOrder,
+        result: LoadOrderResult,
+        memory_held: Option<Held>,
+    ) {
+        let Some(function) = self.functions.names().get(ticket.func as usize) else {
+            return;
+        };
+        let profile = self.functions.profile(ticket.func);
+        let usage = Used {
+            worker: ticket.worker,
+            worker_name: self.workers.name(ticket.worker).unwrap_or(""),
+            function,
+            session: None,
+            ends: false,
+            trigger: profile.map_or(0, |profile| profile.trigger),
+            account: order.account,
+            by: By::Order(result),
+            took: self.now - order.sent_at,
+            copy_mb: order.copy_mb,
+            lanes: 1,
+            held: memory_held,
+        };
+        self.observers.used(self.now, usage);
+    }
+}
+
+/// What others than the module want of copies, and what workers report.
+impl Router {
+    /// A copy is wanted at a worker; the module decides whether it is ordered. Nothing is ordered for a function if
+    /// neither it nor the one it is `like` is known here.
+    pub(super) fn copy_wanted(
+        &mut self,
+        worker: &str,
+        function: &Arc<str>,
+        like: &str,
+        term: Option<Arc<str>>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(worker) = self.workers.find(worker) else {
+            return;
+        };
+        let similar = self
+            .functions
+            .find(function)
+            .or_else(|| self.functions.find(like));
+        let Some(profile) = similar.and_then(|similar| self.functions.profile(similar)) else {
+            return;
+        };
+        if !self.functions.has_capacity_for(function) {
+            return;
+        }
+        let function = FunctionInfo {
+            function: self.functions.register(function, profile),
+            fingerprint: fingerprint(function),
+            trigger: profile.trigger,
+            lanes: profile.lanes,
+        };
+        self.plan_term = term;
+        self.decide(&Event::CopyWanted { worker, function }, out);
+        self.plan_term = None;
+    }
+
+    /// Idle copies of a function are to be unloaded from a worker.
+    pub(super) fn copy_unwanted(
+        &self,
+        worker: &str,
+        function: Arc<str>,
+        term: Option<Arc<str>>,
+        out: &mut Vec<Output>,
+    ) {
+        if let Some(worker) = self.workers.find(worker) {
+            out.push(Output::Unload {
+                worker,
+                function,
+                term,
+            });
+        }
+    }
+
+    /// A worker reports how many copies of a function it has.
+    pub(super) fn copies_reported(
+        &mut self,
+        worker: &str,
+        function: &str,
+        copies: u32,
+        out: &mut Vec<Output>,
+    ) {
+        if let Some(worker) = self.workers.find(worker)
+            && let Some(function) = self.functions.find(function)
+        {
+            let event = Event::CopiesReported {
+                worker,
+                function,
+                copies,
+            };
+            self.decide(&event, out);
+        }
+    }
+}
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -10,10 +10,10 @@
 };
 use cedarpulley_usage_metering::Held;
 
-use crate::admission::FrontState;
-use crate::entry::{Entry, Knock, Short};
-use crate::group::{Ask, Sharing, Told};
-use crate::roster::Listed;
+use crate::admission_control::{Entry, Knock, Short};
+use crate::concurrency_limit::FrontState;
+use crate::endpoint_list::Listed;
+use crate::replication::{Ask, Sharing, Told};
 use crate::{
     Answer, Delivery, Fate, FrontIndex, OrderTicket, Payload, Reason, Session, Taken, Ticket,
 };
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -1,159 +1,134 @@
-//! The router core: [`Router`] owns the invocations, their dispatches and one timer queue, and asks the
-//! decision module (`cedarpulley::Balancer`) about every event.
+//! The router core: [`Router`] passes events between the parts of its state, and asks the decision module
+//! (`cedarpulley::Balancer`) about every event.
 //!
-//! Call [`Router::handle`] with each [`Input`], and again with [`Input::Tick`] at [`Router::next_due`]; carry
-//! out the [`Output`]s in their order. Each part of the work has its module:
+//! Call [`Router::handle`] with each [`Input`], and again with [`Input::Tick`] at [`Router::next_due`]; carry out the
+//! [`Output`]s in their order. `messages` defines inputs, outputs, settings and counters. `state` holds the types that
+//! own the state, each its part. The other modules handle events:
 //!
-//! * `messages`: inputs, outputs, settings and counters.
-//! * `entering`: requests that ask for entry before their body is read.
-//! * `intake`: a message is taken.
-//! * `holders`: which deliveries wait for an invocation's answer.
-//! * `invocation`, `functions`: the state kept of invocations and functions.
-//! * `decisions`: the module is called and its actions are carried out.
-//! * `dispatching`, `orders`: what is sent to workers, and how it ends.
-//! * `peer_group`: what is agreed with a group of routers.
-//! * `finishing`: the final answer.
-//! * `timers`, `worker_list`: time, and news of workers.
-
-mod decisions;
-mod dispatching;
-mod entering;
-mod finishing;
-mod functions;
-mod holders;
+//! * `intake`: requests and messages arrive.
+//! * `waiting_deliveries`: deliveries join an invocation or leave it.
+//! * `balancer_actions`: the module is called and its actions are carried out.
+//! * `dispatch`: attempts are sent to workers and end.
+//! * `load_orders`: copies are ordered, and workers report theirs.
+//! * `replication`: what is agreed with a group of routers.
+//! * `completion`: the final answer, and the end of an invocation.
+//! * `timers`: what is done as time passes.
+
+mod balancer_actions;
+mod completion;
+mod dispatch;
 mod intake;
-mod invocation;
+mod load_orders;
 mod messages;
-mod orders;
-mod peer_group;
+mod replication;
+mod state;
 mod timers;
-mod worker_list;
+mod waiting_deliveries;
 
-use std::collections::HashMap;
 use std::sync::Arc;
 
 use cedarpulley::Balancer;
-use cedarpulley::ids::Interner;
-use cedarpulley::interface::{Event, InvocationIndex, Micros, TriggerType, WorkerIndex};
+use cedarpulley::interface::{EndpointListKind, Event, Micros, TriggerType, WorkerIndex};
 
 pub use messages::{Call, Counts, Input, Output, Terms};
 
-use self::dispatching::DispatchResult;
-use self::entering::EnteredRequests;
-use self::functions::FunctionTable;
-use self::invocation::{Invocation, InvocationHandle};
-use self::orders::OpenOrder;
-use self::peer_group::GroupRequests;
-use self::timers::TimerQueue;
-use self::worker_list::WorkerPlace;
-use crate::OrderTicket;
-use crate::admission::Admission;
-use crate::claims::Claims;
-use crate::entry::Door;
-use crate::service::Service;
-use crate::table::Table;
-use crate::tenure::Tenure;
-use crate::tokens::Tokens;
-use crate::waits::Waits;
-use crate::watch::Watch;
+use self::dispatch::DispatchResult;
+use self::state::admission::Admission;
+use self::state::functions::FunctionTable;
+use self::state::invocation_table::InvocationTable;
+use self::state::load_orders::LoadOrders;
+use self::state::observers::Observers;
+use self::state::pending_replication::PendingReplication;
+use self::state::timers::{SerialNumbers, TimerQueue};
+use self::state::workers::WorkerDirectory;
+use crate::answer_registry::AnswerRegistry;
+use crate::endpoint_list::Listed;
+use crate::idempotency_keys::IdempotencyKeys;
+use crate::observer::Watch;
 
 /// The state of one router, free of I/O: the same inputs at the same times give the same outputs.
 pub struct Router {
     /// The decision module.
-    control: Balancer,
-    terms: Terms,
+    balancer: Balancer,
+    settings: Terms,
     /// Trigger types by index.
     triggers: Vec<TriggerType>,
     /// Time of the last input; never goes back.
     now: Micros,
-    invocations: Table<Invocation>,
+    invocations: InvocationTable,
     functions: FunctionTable,
-    /// Term of the upgrade plan for which the module is being asked now.
+    workers: WorkerDirectory,
+    orders: LoadOrders,
+    /// Term of the upgrade plan on behalf of which the module is being called now.
     plan_term: Option<Arc<str>>,
-    /// Workers by their name in the list.
-    workers: Interner<String>,
-    /// By worker index.
-    places: Vec<WorkerPlace>,
-    service: Service,
-    tenure: Tenure,
-    claims: Claims,
-    tokens: Tokens,
+    answers: AnswerRegistry,
+    idempotency_keys: IdempotencyKeys,
     admission: Admission,
-    door: Door,
-    entered: EnteredRequests,
+    replication: PendingReplication,
     timers: TimerQueue,
-    /// The last number given to a timer, an order or a dispatch.
-    last_serial: u64,
-    /// Orders that have not ended.
-    orders: HashMap<OrderTicket, OpenOrder>,
-    waits: Waits,
-    group_requests: GroupRequests,
-    watch: Vec<Box<dyn Watch>>,
+    serials: SerialNumbers,
+    observers: Observers,
     /// What was decided so far.
     pub counts: Counts,
 }
 
 impl Router {
-    /// A router without workers and fronts. `triggers` are the trigger types that the decision module knows,
-    /// too.
-    pub fn new(control: Balancer, triggers: Vec<TriggerType>, terms: Terms) -> Self {
+    /// A router without workers and fronts. `triggers` are the trigger types that the decision module knows, too.
+    pub fn new(balancer: Balancer, triggers: Vec<TriggerType>, settings: Terms) -> Self {
         let admission = Admission::new(
-            terms.front_weights.clone(),
-            &terms.account_shares,
-            terms.memory_bytes,
+            &settings.front_weights,
+            &settings.account_shares,
+            settings.memory_bytes,
         );
         Router {
-            service: Service::new(terms.drain_grace),
-            control,
-            terms,
+            balancer,
             triggers,
             now: Micros::MIN,
-            invocations: Table::default(),
+            invocations: InvocationTable::default(),
             functions: FunctionTable::default(),
+            workers: WorkerDirectory::new(settings.drain_grace),
+            orders: LoadOrders::default(),
             plan_term: None,
-            workers: Interner::default(),
-            places: Vec::new(),
-            tenure: Tenure::default(),
-            claims: Claims::default(),
-            tokens: Tokens::default(),
+            answers: AnswerRegistry::default(),
+            idempotency_keys: IdempotencyKeys::default(),
             admission,
-            door: Door::default(),
-            entered: EnteredRequests::default(),
+            replication: PendingReplication::default(),
             timers: TimerQueue::default(),
-            last_serial: 0,
-            orders: HashMap::new(),
-            waits: Waits::default(),
-            group_requests: GroupRequests::default(),
-            watch: Vec::new(),
+            serials: SerialNumbers::default(),
+            observers: Observers::default(),
             counts: Counts::default(),
+            settings,
         }
     }
 
-    /// Adds a watcher, which is told of all that happens from now on.
-    pub fn watched_by(&mut self, watch: Box<dyn Watch>) {
-        self.watch.push(watch);
+    /// Adds an observer, which is notified of all that happens from now on.
+    pub fn watched_by(&mut self, observer: Box<dyn Watch>) {
+        self.observers.add(observer);
     }
 
-    /// Handles what happened at `now`, and all timers that are due by then. Appends what is to be done to
-    /// `out`, in order. A clock that goes back counts as standing still.
+    /// Handles what happened at `now`, and all timers that are due by then. Appends what is to be done to `out`, in
+    /// order. A clock that goes back counts as standing still.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.apply(input, out);
         self.run_timers(out);
-        self.release_gone_workers();
-        self.claims.tidy(self.now);
+        self.workers.release_unused();
+        self.answers.expire(self.now);
         self.admission
-            .grants(|front, most| out.push(Output::Grant { front, most }));
+            .changed_grants(|front, most| out.push(Output::Grant { front, most }));
     }
 
+    /// Passes the input to its handler.
     fn apply(&mut self, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Front { front, state } => self.front_changed(front, state, out),
-            Input::Knock { delivery, knock } => self.entry_requested(delivery, &knock, out),
-            Input::Taken(message) => self.take(message, out),
+            Input::Knock { delivery, knock } => self.request_arrived(delivery, &knock, out),
+            Input::Taken(message) => self.message_arrived(message, out),
             Input::Safe(delivery) => self.answer_delivered(delivery, out),
-            Input::Departed(delivery) => self.client_departed(delivery, out),
-            Input::List { mode, workers } => self.worker_list(mode, &workers, out),
+            Input::Departed(delivery) => self.client_left(delivery, out),
+            Input::Group(event) => self.replication_event(event, out),
+            Input::Tick => {}
+            Input::Stop => self.admission.stop(),
             Input::DispatchEnded {
                 ticket,
                 outcome,
@@ -165,78 +140,91 @@
             } => {
                 let result = DispatchResult {
                     outcome,
-                    note,
-                    crowd,
+                    copy_status: note,
+                    function_load: crowd,
                     report,
-                    held,
+                    memory_held: held,
                     body,
                 };
                 self.dispatch_ended(ticket, result, out);
             }
+            of_workers => self.apply_of_workers(of_workers, out),
+        }
+    }
+
+    /// As [`Router::apply`], of news about workers and the copies that they hold.
+    fn apply_of_workers(&mut self, input: Input, out: &mut Vec<Output>) {
+        match input {
+            Input::List { mode, workers } => self.update_workers(mode, &workers, out),
             Input::OrderEnded {
                 ticket,
                 result,
                 copies,
                 held,
-            } => {
-                self.order_ended(ticket, result, copies, held, out);
-            }
+            } => self.order_ended(ticket, result, copies, held, out),
             Input::Probed {
                 worker,
                 outcome,
                 took,
                 report,
             } => {
-                self.decide(
-                    &Event::ProbeEnded {
-                        worker,
-                        outcome,
-                        took,
-                        report,
-                    },
-                    out,
-                );
+                let event = Event::ProbeEnded {
+                    worker,
+                    outcome,
+                    took,
+                    report,
+                };
+                self.decide(&event, out);
             }
-            Input::Group(told) => self.group_told(told, out),
             Input::Wanted {
                 worker,
                 function,
                 like,
                 term,
-            } => {
-                self.copy_wanted(&worker, function, &like, term, out);
-            }
+            } => self.copy_wanted(&worker, &function, &like, term, out),
             Input::Unwanted {
                 worker,
                 function,
                 term,
-            } => {
-                self.copy_unwanted(&worker, function, term, out);
-            }
+            } => self.copy_unwanted(&worker, function, term, out),
             Input::Held {
                 worker,
                 function,
                 copies,
-            } => self.copies_held(&worker, &function, copies, out),
-            Input::Tick => {}
-            Input::Stop => self.admission.stop(),
+            } => self.copies_reported(&worker, &function, copies, out),
+            _ => {}
         }
     }
 
+    /// The endpoint list, or a change of it.
+    fn update_workers(
+        &mut self,
+        kind: EndpointListKind,
+        workers: &[Listed],
+        out: &mut Vec<Output>,
+    ) {
+        let endpoints = self.workers.update(self.now, kind, workers);
+        let event = Event::EndpointList {
+            kind,
+            endpoints: &endpoints,
+        };
+        self.decide(&event, out);
+    }
+
     /// When [`Input::Tick`] is next wanted.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.next_due()
     }
 
-    /// How much is unfinished: invocations that are owed an answer or have a dispatch out, or deliveries
-    /// whose answer can still be lost, whichever are more.
+    /// How much is unfinished: invocations that are owed an answer or have an attempt in flight, or deliveries whose
+    /// answer can still be lost, whichever are more.
     pub fn open(&self) -> usize {
-        self.invocations.len().max(self.claims.held())
+        self.invocations.len().max(self.answers.undelivered())
     }
 
     /// The worker's name in the list.
     pub fn worker_name(&self, worker: WorkerIndex) -> Option<&str> {
-        self.workers.id(worker).map(String::as_str)
+        self.workers.name(worker)
     }
 
     /// The index of the worker with this name in the list.
@@ -253,32 +241,13 @@
             .filter(|name| !name.is_empty())
     }
 
-    /// How many invocations may be open at present.
+    /// How many invocations may be in flight at present.
     pub fn limit(&self) -> f64 {
         self.admission.limit()
     }
 
     /// Size of the bodies of all invocations that are open, in bytes.
     pub fn body_bytes(&self) -> u64 {
-        self.admission.bytes()
-    }
-
-    /// A number unlike any that was given to a timer, an order or a dispatch before.
-    fn next_serial(&mut self) -> u64 {
-        self.last_serial += 1;
-        self.last_serial
-    }
-
-    /// Whether the handle's invocation still has its index.
-    fn is_current(&self, handle: InvocationHandle) -> bool {
-        self.invocations.generation(handle.inv) == handle.generation
-    }
-
-    /// A handle of the invocation that has this index now.
-    fn handle_of(&self, inv: InvocationIndex) -> InvocationHandle {
-        InvocationHandle {
-            inv,
-            generation: self.invocations.generation(inv),
-        }
+        self.admission.body_bytes()
     }
 }
--- /dev/null
+++ b/crates/router/src/core/state/load_orders.rs
@@ -0,0 +1,66 @@
+//! Load orders in flight, and queries for the number of copies.
+
+use std::collections::HashMap;
+
+use cedarpulley::interface::{FunctionIndex, Micros};
+
+use crate::OrderTicket;
+use crate::queueing_delay::QueueingDelay;
+
+/// An order that has not ended.
+#[derive(Clone, Copy)]
+pub(crate) struct LoadOrder {
+    pub(crate) sent_at: Micros,
+    /// It loads copies; otherwise it only queries how many are loaded.
+    pub(crate) loads: bool,
+    /// The account whose invocation requested the function last.
+    pub(crate) account: u32,
+    /// Size of a copy, in megabytes.
+    pub(crate) copy_mb: f64,
+}
+
+/// Orders in flight, and which invocations waited for them.
+#[derive(Default)]
+pub(crate) struct LoadOrders {
+    in_flight: HashMap<OrderTicket, LoadOrder>,
+    queueing_delay: QueueingDelay,
+}
+
+impl LoadOrders {
+    /// Adds an order that is being sent.
+    pub(crate) fn started(&mut self, ticket: OrderTicket, order: LoadOrder) {
+        self.in_flight.insert(ticket, order);
+        if order.loads {
+            self.queueing_delay.load_ordered(ticket.func);
+        }
+    }
+
+    /// Whether the order has not ended.
+    pub(crate) fn is_in_flight(&self, ticket: OrderTicket) -> bool {
+        self.in_flight.contains_key(&ticket)
+    }
+
+    /// Ends the order; nothing if it had ended before.
+    pub(crate) fn ended(&mut self, now: Micros, ticket: OrderTicket) -> Option<LoadOrder> {
+        let order = self.in_flight.remove(&ticket)?;
+        if order.loads {
+            self.queueing_delay.load_ended(now, ticket.func);
+        }
+        Some(order)
+    }
+
+    /// A dispatch that succeeded found a warm copy of the function.
+    pub(crate) fn warm_copy_found(&mut self, now: Micros, function: FunctionIndex) {
+        self.queueing_delay.warm_copy_found(now, function);
+    }
+
+    /// Whether an invocation that was accepted at `accepted_at` and ends now waited for a load.
+    pub(crate) fn waited_for_load(&self, function: FunctionIndex, accepted_at: Micros) -> bool {
+        self.queueing_delay.waited_for_load(function, accepted_at)
+    }
+
+    /// The function's index may be reused.
+    pub(crate) fn forget_function(&mut self, function: FunctionIndex) {
+        self.queueing_delay.forget(function);
+    }
+}
--- /dev/null
+++ b/crates/router/src/core/state/observers.rs
@@ -0,0 +1,63 @@
+//! The observers of a router, notified in the order in which they were added.
+
+use cedarpulley::interface::{Action, Event, InvocationIndex, Micros};
+
+use super::invocation::AcceptedRequest;
+use crate::FrontIndex;
+use crate::admission_control::Short;
+use crate::observer::{Given, Names, Used, Watch};
+
+/// All observers of one router.
+#[derive(Default)]
+pub(crate) struct Observers {
+    observers: Vec<Box<dyn Watch>>,
+}
+
+impl Observers {
+    pub(crate) fn add(&mut self, observer: Box<dyn Watch>) {
+        self.observers.push(observer);
+    }
+
+    pub(crate) fn decided(&mut self, now: Micros, event: &Event, actions: &[Action], names: Names) {
+        for observer in &mut self.observers {
+            observer.decided(now, event, actions, names);
+        }
+    }
+
+    pub(crate) fn accepted(
+        &mut self,
+        now: Micros,
+        index: InvocationIndex,
+        request: &AcceptedRequest,
+    ) {
+        let name = request.mark.as_deref();
+        for observer in &mut self.observers {
+            observer.taken(now, index, request.front, name, request.redelivered);
+        }
+    }
+
+    pub(crate) fn answered(&mut self, now: Micros, answer: Given) {
+        for observer in &mut self.observers {
+            observer.answered(now, answer);
+        }
+    }
+
+    pub(crate) fn rejected(
+        &mut self,
+        now: Micros,
+        front: FrontIndex,
+        trigger: u32,
+        account: u32,
+        reason: Short,
+    ) {
+        for observer in &mut self.observers {
+            observer.turned_away(now, front, trigger, account, reason);
+        }
+    }
+
+    pub(crate) fn used(&mut self, now: Micros, usage: Used) {
+        for observer in &mut self.observers {
+            observer.used(now, usage);
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/drain_gate.rs
@@ -0,0 +1,72 @@
+//! Until when new work may be sent to a worker: a last check for dispatches that were decided a while ago and are
+//! about to be sent. Call [`DrainGate::update`] with each endpoint list; [`DrainGate::accepts`] answers.
+
+use cedarpulley::interface::{Endpoint, EndpointListKind, EndpointState, Micros, WorkerIndex};
+
+/// The time from which each worker accepts no new work.
+#[derive(Debug, Default)]
+pub struct DrainGate {
+    drain_grace: Micros,
+    /// By worker index.
+    closes_at: Vec<Micros>,
+}
+
+impl DrainGate {
+    /// `drain_grace`: for how long a worker may still be sent work after it was reported draining.
+    pub fn new(drain_grace: Micros) -> Self {
+        DrainGate {
+            drain_grace,
+            closes_at: Vec::new(),
+        }
+    }
+
+    /// Takes over the states of the endpoint list.
+    pub fn update(&mut self, now: Micros, kind: EndpointListKind, endpoints: &[Endpoint]) {
+        if kind == EndpointListKind::Failed {
+            return;
+        }
+        let grace_ends = now + self.drain_grace;
+        if kind != EndpointListKind::Changes {
+            // A worker that a complete list does not name is gone, like one that is reported gone.
+            let is_named = |index: usize| {
+                endpoints
+                    .iter()
+                    .any(|endpoint| endpoint.worker as usize == index)
+            };
+            (0..self.closes_at.len())
+                .filter(|&index| !is_named(index))
+                .for_each(|index| self.closes_at[index] = self.closes_at[index].min(now));
+        }
+        for endpoint in endpoints {
+            let index = endpoint.worker as usize;
+            if self.closes_at.len() <= index {
+                self.closes_at.resize(index + 1, Micros::MIN);
+            }
+            let closes_at = self.closes_at[index];
+            self.closes_at[index] = match endpoint.state {
+                EndpointState::InService => Micros::MAX,
+                // Symptom: the worker drained and was removed while the list was unreachable, and dispatches
+                // that wait for a connection leave within a grace that ended long ago. Holding them back loses
+                // nothing: nobody is there to serve them.
+                EndpointState::Gone => closes_at.min(now),
+                // The first report counts: of a worker first heard of now, or one that is reported again.
+                EndpointState::Draining if closes_at == Micros::MIN => grace_ends,
+                EndpointState::Draining => closes_at.min(grace_ends),
+            };
+        }
+    }
+
+    /// The index will be reused for another worker.
+    pub fn forget(&mut self, worker: WorkerIndex) {
+        if let Some(closes_at) = self.closes_at.get_mut(worker as usize) {
+            *closes_at = Micros::MIN;
+        }
+    }
+
+    /// Whether new work may be sent to the worker.
+    pub fn accepts(&self, now: Micros, worker: WorkerIndex) -> bool {
+        self.closes_at
+            .get(worker as usize)
+            .is_some_and(|closes_at| now < *closes_at)
+    }
+}
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -19,21 +19,32 @@
 //! * [`watch`]: who listens, and never decides.
 //! * [`backoff`]: how long to wait before trying to reach something again.
 
-pub mod admission;
+pub mod admission_control;
+pub mod answer_registry;
 pub mod backoff;
-pub mod claims;
+pub mod concurrency_limit;
 pub mod core;
-pub mod entry;
-pub mod group;
+pub mod drain_gate;
+pub mod endpoint_list;
+pub mod fair_share;
+pub mod idempotency_keys;
+pub mod observer;
+pub mod queueing_delay;
 pub mod redelivery;
-pub mod roster;
-pub mod service;
-pub mod shares;
-mod table;
-pub mod tenure;
-pub mod tokens;
-pub mod waits;
-pub mod watch;
+pub mod replication;
+mod slot_map;
+pub mod worker_index_allocator;
+
+#[doc(hidden)]
+pub use admission_control as entry;
+#[doc(hidden)]
+pub use concurrency_limit as admission;
+#[doc(hidden)]
+pub use endpoint_list as roster;
+#[doc(hidden)]
+pub use observer as watch;
+#[doc(hidden)]
+pub use replication as group;
 
 pub use crate::core::{Counts, Input, Output, Router, Terms};
 
--- a/crates/router/tests/alone.rs
+++ b/crates/router/tests/alone.rs
@@ -3,8 +3,8 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::*;
-use cedarpulley_router::service::Service;
-use cedarpulley_router::tenure::Tenure;
+use cedarpulley_router::drain_gate::DrainGate;
+use cedarpulley_router::worker_index_allocator::WorkerIndexAllocator;
 use cedarpulley_router::*;
 
 mod world;
@@ -96,51 +96,51 @@
 
 #[test]
 fn what_was_told_first_counts_for_the_grace() {
-    let mut service = Service::new(500 * MS);
-    assert!(!service.takes_new(0, 0));
-    service.follow(
+    let mut gate = DrainGate::new(500 * MS);
+    assert!(!gate.accepts(0, 0));
+    gate.update(
         0,
         EndpointListKind::Complete,
         &[entry(0, EndpointState::InService)],
     );
-    service.follow(
+    gate.update(
         SECOND,
         EndpointListKind::Changes,
         &[entry(0, EndpointState::Draining)],
     );
-    service.follow(
+    gate.update(
         SECOND + 300 * MS,
         EndpointListKind::Changes,
         &[entry(0, EndpointState::Draining)],
     );
-    service.follow(
+    gate.update(
         SECOND + 400 * MS,
         EndpointListKind::Complete,
         &[entry(0, EndpointState::Draining)],
     );
-    assert!(service.takes_new(SECOND + 499 * MS, 0) && !service.takes_new(SECOND + 500 * MS, 0));
-    service.follow(3 * SECOND, EndpointListKind::Failed, &[]);
-    service.follow(
+    assert!(gate.accepts(SECOND + 499 * MS, 0) && !gate.accepts(SECOND + 500 * MS, 0));
+    gate.update(3 * SECOND, EndpointListKind::Failed, &[]);
+    gate.update(
         3 * SECOND,
         EndpointListKind::Changes,
         &[entry(0, EndpointState::InService)],
     );
-    assert!(service.takes_new(9 * SECOND, 0));
-    service.forget(0);
-    assert!(!service.takes_new(9 * SECOND, 0));
+    assert!(gate.accepts(9 * SECOND, 0));
+    gate.forget(0);
+    assert!(!gate.accepts(9 * SECOND, 0));
     // One first heard of as it drains was told so now.
-    service.follow(
+    gate.update(
         10 * SECOND,
         EndpointListKind::Changes,
         &[entry(0, EndpointState::Draining)],
     );
-    assert!(service.takes_new(10 * SECOND + 499 * MS, 0) && !service.takes_new(11 * SECOND, 0));
+    assert!(gate.accepts(10 * SECOND + 499 * MS, 0) && !gate.accepts(11 * SECOND, 0));
 }
 
 #[test]
 fn what_waits_for_a_worker_that_is_gone_does_not_leave() {
-    let mut service = Service::new(500 * MS);
-    service.follow(
+    let mut gate = DrainGate::new(500 * MS);
+    gate.update(
         0,
         EndpointListKind::Complete,
         &[
@@ -148,21 +148,21 @@
             entry(1, EndpointState::Draining),
         ],
     );
-    assert!(service.takes_new(MS, 0) && service.takes_new(MS, 1));
-    service.follow(
+    assert!(gate.accepts(MS, 0) && gate.accepts(MS, 1));
+    gate.update(
         MS,
         EndpointListKind::Changes,
         &[entry(0, EndpointState::Gone), entry(1, EndpointState::Gone)],
     );
-    assert!(!service.takes_new(MS, 0) && !service.takes_new(MS, 1));
+    assert!(!gate.accepts(MS, 0) && !gate.accepts(MS, 1));
 }
 
 /// A whole list is sent again after a gap, and a worker is missing: it may have gone long ago, and what still waits for a
 /// connection to it must not leave within a grace that counts from the hearing.
 #[test]
 fn nothing_leaves_for_a_worker_that_a_whole_list_does_not_name() {
-    let mut service = Service::new(500 * MS);
-    service.follow(
+    let mut gate = DrainGate::new(500 * MS);
+    gate.update(
         0,
         EndpointListKind::Complete,
         &[
@@ -170,13 +170,13 @@
             entry(1, EndpointState::Draining),
         ],
     );
-    assert!(service.takes_new(MS, 0) && service.takes_new(MS, 1));
-    service.follow(
+    assert!(gate.accepts(MS, 0) && gate.accepts(MS, 1));
+    gate.update(
         MS,
         EndpointListKind::Complete,
         &[entry(2, EndpointState::InService)],
     );
-    assert!(!service.takes_new(MS, 0) && !service.takes_new(MS, 1) && service.takes_new(MS, 2));
+    assert!(!gate.accepts(MS, 0) && !gate.accepts(MS, 1) && gate.accepts(MS, 2));
 }
 
 /// Workers drop repeats only within a window from the first sending. The last look before the first byte sees that it is
@@ -232,27 +232,27 @@
 
 #[test]
 fn a_whole_list_frees_whoever_it_does_not_name() {
-    let mut t = Tenure::default();
-    t.follow(
+    let mut indices = WorkerIndexAllocator::default();
+    indices.update(
         EndpointListKind::Complete,
         &[
             entry(0, EndpointState::InService),
             entry(1, EndpointState::InService),
         ],
     );
-    t.hold(1);
-    t.hold(1);
-    t.follow(EndpointListKind::Complete, &[]);
-    assert_eq!(t.ended(), [0]);
-    t.let_go(1);
-    assert!(t.ended().is_empty());
-    t.let_go(1);
-    assert_eq!(t.ended(), [1]);
+    indices.reserve(1);
+    indices.reserve(1);
+    indices.update(EndpointListKind::Complete, &[]);
+    assert_eq!(indices.take_released(), [0]);
+    indices.unreserve(1);
+    assert!(indices.take_released().is_empty());
+    indices.unreserve(1);
+    assert_eq!(indices.take_released(), [1]);
     // Told again that it is gone, under an index that was free: freed again, once.
-    t.follow(EndpointListKind::Changes, &[entry(1, EndpointState::Gone)]);
-    assert_eq!(t.ended(), [1]);
-    t.follow(EndpointListKind::Failed, &[]);
-    assert!(t.ended().is_empty());
+    indices.update(EndpointListKind::Changes, &[entry(1, EndpointState::Gone)]);
+    assert_eq!(indices.take_released(), [1]);
+    indices.update(EndpointListKind::Failed, &[]);
+    assert!(indices.take_released().is_empty());
 }
 
 /// Bodies beyond the bound are refused, whoever chooses.
--- a/crates/router/tests/group.rs
+++ b/crates/router/tests/group.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use cedarpulley::interface::*;
-use cedarpulley_router::admission::FrontState;
-use cedarpulley_router::group::{Ask, Key, Need, Refusal, Told, Verdict};
+use cedarpulley_router::concurrency_limit::FrontState;
+use cedarpulley_router::replication::{Ask, Key, Need, Refusal, Told, Verdict};
 use cedarpulley_router::*;
 use world::*;
 
@@ -214,7 +214,7 @@
         "{asked:?}"
     );
     assert!(asked.contains(&Ask::Dropped { key }));
-    // Leave that comes after is of no use.
+    // A permission that comes after is of no use.
     w.told(Told::Leave {
         sending,
         left: Ok(false),
--- a/crates/router/tests/hard.rs
+++ b/crates/router/tests/hard.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use cedarpulley::interface::*;
-use cedarpulley_router::admission::FrontState;
+use cedarpulley_router::concurrency_limit::FrontState;
 use cedarpulley_router::*;
 use proptest::prelude::*;
 use world::*;
--- a/crates/router/tests/parts.rs
+++ b/crates/router/tests/parts.rs
@@ -3,12 +3,16 @@
 use std::sync::Arc;
 
 use cedarpulley::interface::{EndpointListKind, EndpointState, Micros, TriggerType};
-use cedarpulley_router::admission::{Admission, FrontState, Pace};
-use cedarpulley_router::claims::Claims;
-use cedarpulley_router::entry::{self, Door, Entry as Let, Fill, Knock, Short};
-use cedarpulley_router::roster::{Entry, News, Roster, Slice, Step};
-use cedarpulley_router::shares::{Felt, Shares};
-use cedarpulley_router::waits::Waits;
+use cedarpulley_router::admission_control::{
+    self, AdmissionControl, Entry as Let, Knock, Occupancy, PartyOccupancy, Short,
+};
+use cedarpulley_router::answer_registry::AnswerRegistry;
+use cedarpulley_router::concurrency_limit::{
+    ConcurrencyLimiter, EndedInvocation, FrontState, LoadSignal,
+};
+use cedarpulley_router::endpoint_list::{Entry, News, Roster, Slice, Step};
+use cedarpulley_router::fair_share::{CrowdingSignal, FairShare};
+use cedarpulley_router::queueing_delay::QueueingDelay;
 use cedarpulley_router::{Answer, Delivery, Fate, Reason};
 
 mod world;
@@ -175,7 +179,7 @@
 
 #[test]
 fn a_given_answer_never_changes() {
-    let mut c = Claims::default();
+    let mut c = AnswerRegistry::default();
     let claim = c.open(Some(Arc::from("a")), delivery(0, 1), 5, SECOND);
     let first = Answer::bare(Fate::Succeeded, Reason::Worker);
     assert_eq!(c.give(claim, &first), [delivery(0, 1)]);
@@ -184,12 +188,12 @@
             .is_empty()
     );
     assert_eq!(c.answer(claim), Some(&first));
-    assert!(c.safe(delivery(0, 1)).is_none() && c.is_empty());
+    assert!(c.delivered(delivery(0, 1)).is_none() && c.is_empty());
 }
 
 #[test]
 fn claims_without_holder_are_bounded_and_name_what_was_forgotten() {
-    let mut c = Claims::bounded(2);
+    let mut c = AnswerRegistry::bounded(2);
     for n in 0..4 {
         c.open(
             Some(Arc::from(format!("{n}"))),
@@ -198,65 +202,76 @@
             SECOND * n as Micros,
         );
     }
-    let (open, forgotten) = c.front_lost(0);
-    assert_eq!((open.len(), forgotten), (4, vec![0, 1]));
+    let lost = c.front_lost(0);
+    assert_eq!((lost.open.len(), lost.forgotten), (4, vec![0, 1]));
     assert_eq!((c.len(), c.forgotten), (2, 2));
-    c.tidy(SECOND * 2);
+    c.expire(SECOND * 2);
     assert_eq!(c.len(), 1);
 }
 
-fn grants(a: &mut Admission) -> Vec<u32> {
+fn grants(a: &mut ConcurrencyLimiter) -> Vec<u32> {
     let mut g = vec![u32::MAX; 2];
-    a.grants(|f, n| g[f as usize] = n);
+    a.changed_grants(|f, n| g[f as usize] = n);
     g
 }
 
-fn take(a: &mut Admission, front: u32, bytes: usize) -> bool {
-    a.entered(0, front, 0);
-    a.kept(bytes)
+fn take(a: &mut ConcurrencyLimiter, front: u32, bytes: usize) -> bool {
+    a.admitted(0, front, 0);
+    a.reserve_body(bytes).is_ok()
 }
 
-fn answered(a: &mut Admission, now: Micros, front: u32, n: usize, pace: Pace) {
+fn answered(a: &mut ConcurrencyLimiter, now: Micros, front: u32, n: usize, signal: LoadSignal) {
     for _ in 0..n {
-        a.left(front, 0);
-        a.ended(now, front, 0, 100, 100_000, 0, SECOND, pace);
+        a.departed(front, 0);
+        a.ended(
+            now,
+            EndedInvocation {
+                front,
+                account: 0,
+                body_bytes: 100,
+                took: 100_000,
+                queued: 0,
+                latency_objective: SECOND,
+                signal,
+            },
+        );
         assert!(take(a, front, 100));
     }
 }
 
 #[test]
 fn the_limit_follows_what_is_answered_in_time() {
-    let mut a = Admission::new(vec![1.0, 1.0], &[], 1 << 20);
-    a.front(0, FrontState::Up);
+    let mut a = ConcurrencyLimiter::new(&[1.0, 1.0], &[], 1 << 20);
+    a.front_changed(0, FrontState::Up);
     (0..256).for_each(|_| assert!(take(&mut a, 0, 100)));
     let first = a.limit();
-    answered(&mut a, SECOND, 0, 30, Pace::InTime);
+    answered(&mut a, SECOND, 0, 30, LoadSignal::OnTime);
     let grown = a.limit();
     assert!(grown > first);
     // Late answers count once in the usual time of one.
-    answered(&mut a, 2 * SECOND, 0, 30, Pace::Late);
+    answered(&mut a, 2 * SECOND, 0, 30, LoadSignal::Late);
     assert!(a.limit() < grown && a.limit() > grown * 0.6);
-    (3..40).for_each(|s| answered(&mut a, s * SECOND, 0, 5, Pace::Late));
+    (3..40).for_each(|s| answered(&mut a, s * SECOND, 0, 5, LoadSignal::Late));
     assert!(a.limit() <= 32.0);
     // What says nothing of load leaves it as it is.
     let low = a.limit();
-    answered(&mut a, 50 * SECOND, 0, 50, Pace::Neither);
+    answered(&mut a, 50 * SECOND, 0, 50, LoadSignal::Neutral);
     assert_eq!(a.limit(), low);
 }
 
 #[test]
 fn fronts_share_by_weight_and_lend_what_they_do_not_use() {
-    let mut a = Admission::new(vec![3.0, 1.0], &[], 1 << 20);
-    a.front(0, FrontState::Up);
-    a.front(1, FrontState::Up);
+    let mut a = ConcurrencyLimiter::new(&[3.0, 1.0], &[], 1 << 20);
+    a.front_changed(0, FrontState::Up);
+    a.front_changed(1, FrontState::Up);
     (0..300).for_each(|_| assert!(take(&mut a, 0, 1) && take(&mut a, 1, 1)));
     let both = grants(&mut a);
     assert_eq!(both, [192, 64]);
-    (0..300).for_each(|_| a.left(0, 0));
+    (0..300).for_each(|_| a.departed(0, 0));
     let lent = grants(&mut a);
     assert!(lent[1] > 200, "{lent:?}");
     // One that cannot answer takes next to nothing; on stopping nothing is taken.
-    a.front(1, FrontState::Blocked);
+    a.front_changed(1, FrontState::Blocked);
     assert_eq!(grants(&mut a)[1], 1);
     a.stop();
     assert_eq!(grants(&mut a), [0, 0]);
@@ -264,52 +279,52 @@
 
 #[test]
 fn bodies_beyond_memory_are_not_taken() {
-    let mut a = Admission::new(vec![1.0, 1.0], &[], 1_000);
-    a.front(0, FrontState::Up);
+    let mut a = ConcurrencyLimiter::new(&[1.0, 1.0], &[], 1_000);
+    a.front_changed(0, FrontState::Up);
     assert!(take(&mut a, 0, 600) && !take(&mut a, 0, 600));
-    assert_eq!(a.bytes(), 600);
+    assert_eq!(a.body_bytes(), 600);
     assert!(grants(&mut a)[0] <= 12, "no more than still fit");
 }
 
 #[test]
 fn who_floods_pays_for_who_suffers() {
-    let mut s = Shares::new(&[2.0, 1.0]);
+    let mut s = FairShare::new(&[2.0, 1.0]);
     let limit = 100.0;
-    (0..90).for_each(|_| s.entered(0, 0));
-    (0..5).for_each(|_| s.entered(0, 1));
-    (0..20 * 90).for_each(|n| s.came(n * SECOND / 90, 0));
-    let caps = |s: &Shares| (s.cap(0, limit), s.cap(1, limit));
+    (0..90).for_each(|_| s.admitted(0, 0));
+    (0..5).for_each(|_| s.admitted(0, 1));
+    (0..20 * 90).for_each(|n| s.arrived(n * SECOND / 90, 0));
+    let caps = |s: &FairShare| (s.cap(0, limit), s.cap(1, limit));
     // Its own trouble caps nobody, nor does lateness by one's own work, nor one who feels no crowding itself.
-    s.ended(0, 1, limit, 1, Felt::Crowded);
-    s.ended(0, 1, limit, 1, Felt::Neither);
+    s.ended(0, 1, limit, 1, CrowdingSignal::Crowded);
+    s.ended(0, 1, limit, 1, CrowdingSignal::Neutral);
     assert_eq!(caps(&s), (limit, limit));
-    (0..4).for_each(|_| s.ended(0, 0, limit, 1, Felt::Crowded));
+    (0..4).for_each(|_| s.ended(0, 0, limit, 1, CrowdingSignal::Crowded));
     assert_eq!(caps(&s), (limit, limit));
-    s.ended(0, 1, limit, 1, Felt::Crowded);
+    s.ended(0, 1, limit, 1, CrowdingSignal::Crowded);
     assert_eq!(caps(&s), (72.0, limit));
     // One burst is one sign.
-    s.ended(1, 1, limit, 1, Felt::Crowded);
+    s.ended(1, 1, limit, 1, CrowdingSignal::Crowded);
     assert_eq!(caps(&s), (72.0, limit));
-    (1..20).for_each(|n| s.ended(n * SECOND, 1, limit, 1, Felt::Crowded));
+    (1..20).for_each(|n| s.ended(n * SECOND, 1, limit, 1, CrowdingSignal::Crowded));
     assert_eq!(
         s.cap(0, limit),
         10.0,
         "as much, for its weight, as the one that suffers"
     );
     // It comes back with timely answers, and at last is free.
-    (0..6000).for_each(|_| s.ended(20 * SECOND, 0, limit, 1, Felt::InTime));
+    (0..6000).for_each(|_| s.ended(20 * SECOND, 0, limit, 1, CrowdingSignal::OnTime));
     assert_eq!(caps(&s), (limit, limit));
 }
 
 /// Symptom: one front's function fails for ever, and the other is strangled for it.
 #[test]
 fn who_is_in_time_pays_nothing() {
-    let mut s = Shares::new(&[1.0, 1.0]);
-    (0..50).for_each(|_| s.entered(0, 0));
-    s.entered(0, 1);
+    let mut s = FairShare::new(&[1.0, 1.0]);
+    (0..50).for_each(|_| s.admitted(0, 0));
+    s.admitted(0, 1);
     for n in 0..200 {
-        s.ended(n * SECOND, 0, 100.0, 1, Felt::InTime);
-        s.ended(n * SECOND, 1, 100.0, 1, Felt::Crowded);
+        s.ended(n * SECOND, 0, 100.0, 1, CrowdingSignal::OnTime);
+        s.ended(n * SECOND, 1, 100.0, 1, CrowdingSignal::Crowded);
     }
     assert_eq!(s.cap(0, 100.0), 100.0);
 }
@@ -317,37 +332,40 @@
 /// Symptom: a flood is given up at once and fills no lane, yet uses up what all are allowed.
 #[test]
 fn a_flood_is_held_to_the_pace_of_its_own_successes() {
-    let mut s = Shares::new(&[1.0, 1.0]);
+    let mut s = FairShare::new(&[1.0, 1.0]);
     let ms = SECOND / 1000;
     let (mut entered, mut turned) = (0, 0);
     for n in 0..4_000_i64 {
         let now = n * ms;
         // The one comes 500 times a second, of which 100 succeed; the other 20 times.
-        s.came(now, 0);
-        if s.spent(now, 0) {
+        s.arrived(now, 0);
+        if s.lacks_credit(now, 0) {
             turned += 1;
         } else {
-            s.entered(now, 0);
-            s.left(0);
+            s.admitted(now, 0);
+            s.departed(0);
             entered += 1;
-            let felt = if entered % 5 == 0 {
-                Felt::InTime
+            let signal = if entered % 5 == 0 {
+                CrowdingSignal::OnTime
             } else {
-                Felt::Crowded
+                CrowdingSignal::Crowded
             };
-            s.ended(now, 0, 100.0, ms, felt);
+            s.ended(now, 0, 100.0, ms, signal);
         }
         if n % 50 == 0 {
-            s.came(now, 1);
-            assert!(!s.spent(now, 1), "who comes seldom waits for nothing");
-            s.entered(now, 1);
-            s.left(1);
-            let felt = if n < 2_000 && n % 200 == 0 {
-                Felt::Crowded
+            s.arrived(now, 1);
+            assert!(
+                !s.lacks_credit(now, 1),
+                "who comes seldom waits for nothing"
+            );
+            s.admitted(now, 1);
+            s.departed(1);
+            let signal = if n < 2_000 && n % 200 == 0 {
+                CrowdingSignal::Crowded
             } else {
-                Felt::InTime
+                CrowdingSignal::OnTime
             };
-            s.ended(now, 1, 100.0, ms, felt);
+            s.ended(now, 1, 100.0, ms, signal);
         }
     }
     // With a fifth of successes, what each lets in fades to the few of each second.
@@ -356,65 +374,65 @@
         "{entered} entered, {turned} did not"
     );
     // Nobody has suffered for two seconds: all is free again.
-    assert!(!s.spent(4_100 * ms, 0));
+    assert!(!s.lacks_credit(4_100 * ms, 0));
 }
 
 /// Symptom: in a cold start all come alike and wait for loads, and one pays for it.
 #[test]
 fn who_comes_no_more_often_pays_only_for_much_more_out() {
-    let mut s = Shares::new(&[1.0, 1.0]);
-    (0..40).for_each(|n| s.came(n, n as usize % 2));
-    (0..9).for_each(|_| s.entered(0, 0));
-    (0..5).for_each(|_| s.entered(0, 1));
-    (0..8).for_each(|_| s.ended(40, 0, 100.0, 1, Felt::Nearly));
-    s.ended(40, 1, 100.0, 1, Felt::Nearly);
-    assert_eq!((s.cap(0, 100.0), s.spent(40, 0)), (100.0, false));
-    (0..3).for_each(|_| s.entered(0, 0));
-    s.ended(41, 1, 100.0, 1, Felt::Nearly);
+    let mut s = FairShare::new(&[1.0, 1.0]);
+    (0..40).for_each(|n| s.arrived(n, n as usize % 2));
+    (0..9).for_each(|_| s.admitted(0, 0));
+    (0..5).for_each(|_| s.admitted(0, 1));
+    (0..8).for_each(|_| s.ended(40, 0, 100.0, 1, CrowdingSignal::NearlyCrowded));
+    s.ended(40, 1, 100.0, 1, CrowdingSignal::NearlyCrowded);
+    assert_eq!((s.cap(0, 100.0), s.lacks_credit(40, 0)), (100.0, false));
+    (0..3).for_each(|_| s.admitted(0, 0));
+    s.ended(41, 1, 100.0, 1, CrowdingSignal::NearlyCrowded);
     assert_eq!(s.cap(0, 100.0), 10.0, "twelve are more than twice five");
 }
 
 /// Symptom: a flood that is held to its pace has little out, suffers, and makes the quiet one pay.
 #[test]
 fn who_is_held_to_its_pace_charges_nobody() {
-    let mut s = Shares::new(&[1.0, 1.0]);
-    (0..40).for_each(|n| s.came(n, 0));
-    (0..8).for_each(|_| s.ended(40, 0, 100.0, 1, Felt::Crowded));
-    (0..20).for_each(|_| s.entered(0, 1));
-    (0..8).for_each(|_| s.ended(40, 1, 100.0, 1, Felt::Crowded));
-    (0..20).for_each(|_| s.entered(41, 0));
-    assert!(s.spent(41, 0), "it is held");
-    (0..20).for_each(|_| s.left(0));
-    s.ended(42, 0, 100.0, 1, Felt::Crowded);
+    let mut s = FairShare::new(&[1.0, 1.0]);
+    (0..40).for_each(|n| s.arrived(n, 0));
+    (0..8).for_each(|_| s.ended(40, 0, 100.0, 1, CrowdingSignal::Crowded));
+    (0..20).for_each(|_| s.admitted(0, 1));
+    (0..8).for_each(|_| s.ended(40, 1, 100.0, 1, CrowdingSignal::Crowded));
+    (0..20).for_each(|_| s.admitted(41, 0));
+    assert!(s.lacks_credit(41, 0), "it is held");
+    (0..20).for_each(|_| s.departed(0));
+    s.ended(42, 0, 100.0, 1, CrowdingSignal::Crowded);
     assert_eq!(s.cap(1, 100.0), 100.0);
 }
 
 /// What succeeds enters as it came, though somebody else suffers.
 #[test]
 fn who_succeeds_at_its_pace_is_not_held_up() {
-    let mut s = Shares::new(&[1.0, 1.0]);
+    let mut s = FairShare::new(&[1.0, 1.0]);
     let (ms, mut turned) = (SECOND / 1000, 0);
-    (0..8).for_each(|_| s.ended(0, 0, 100.0, ms, Felt::Crowded));
+    (0..8).for_each(|_| s.ended(0, 0, 100.0, ms, CrowdingSignal::Crowded));
     for n in 0..3_000_i64 {
         let now = n * 2 * ms;
-        s.came(now, 0);
-        if s.spent(now, 0) {
+        s.arrived(now, 0);
+        if s.lacks_credit(now, 0) {
             turned += 1;
         } else {
-            s.entered(now, 0);
-            s.left(0);
-            s.ended(now, 0, 100.0, ms, Felt::InTime);
+            s.admitted(now, 0);
+            s.departed(0);
+            s.ended(now, 0, 100.0, ms, CrowdingSignal::OnTime);
         }
         if n % 100 == 0 {
-            s.came(now, 1);
-            s.ended(now, 1, 100.0, ms, Felt::Crowded);
+            s.arrived(now, 1);
+            s.ended(now, 1, 100.0, ms, CrowdingSignal::Crowded);
         }
     }
     assert!(turned < 300, "{turned}");
 }
 
-fn at_the_door(out: u32) -> (Knock, Fill) {
-    let knock = Knock {
+fn request_at(in_flight: u32) -> (Knock, Occupancy) {
+    let request = Knock {
         trigger: 0,
         account: 0,
         waited: 0,
@@ -426,17 +444,21 @@
         connections: 1,
         unread_bytes: 0,
     };
-    let fill = Fill {
+    let party = PartyOccupancy {
+        in_flight,
+        cap: 100.0,
+        lacks_credit: false,
+    };
+    let occupancy = Occupancy {
         limit: 100.0,
-        out,
-        spent: (false, false),
-        front: (out, 100.0),
-        account: (out, 100.0),
+        in_flight,
+        front: party,
+        account: party,
         free_bytes: 1000,
         usual: 100_000,
         stopping: false,
     };
-    (knock, fill)
+    (request, occupancy)
 }
 
 fn turned(entry: Let) -> Option<Short> {
@@ -451,26 +473,27 @@
 
 #[test]
 fn each_bound_of_the_door_has_its_cause() {
-    let mut d = Door::default();
-    let mut ask = |knock: Knock, fill: Fill| turned(d.decide(0, &knock, 1.0, &fill));
-    let (knock, fill) = at_the_door(60);
-    assert_eq!(ask(knock, fill), None);
+    let mut d = AdmissionControl::default();
+    let mut ask =
+        |request: Knock, occupancy: Occupancy| turned(d.decide(0, &request, 1.0, &occupancy));
+    let (request, occupancy) = request_at(60);
+    assert_eq!(ask(request, occupancy), None);
     assert_eq!(
         ask(
-            knock,
-            Fill {
+            request,
+            Occupancy {
                 stopping: true,
-                ..fill
+                ..occupancy
             }
         ),
         Some(Short::Stopping)
     );
     assert_eq!(
         ask(
-            knock,
-            Fill {
+            request,
+            Occupancy {
                 free_bytes: 9,
-                ..fill
+                ..occupancy
             }
         ),
         Some(Short::Memory)
@@ -479,49 +502,72 @@
         ask(
             Knock {
                 unread_bytes: 991,
-                ..knock
+                ..request
             },
-            fill
+            occupancy
         ),
         Some(Short::Memory)
     );
-    assert_eq!(ask(knock, Fill { out: 100, ..fill }), Some(Short::All));
     assert_eq!(
         ask(
-            knock,
-            Fill {
-                front: (50, 50.0),
-                ..fill
+            request,
+            Occupancy {
+                in_flight: 100,
+                ..occupancy
+            }
+        ),
+        Some(Short::All)
+    );
+    assert_eq!(
+        ask(
+            request,
+            Occupancy {
+                front: PartyOccupancy {
+                    in_flight: 50,
+                    cap: 50.0,
+                    lacks_credit: false,
+                },
+                ..occupancy
             }
         ),
         Some(Short::Front)
     );
     assert_eq!(
         ask(
-            knock,
-            Fill {
-                account: (50, 50.0),
-                ..fill
+            request,
+            Occupancy {
+                account: PartyOccupancy {
+                    in_flight: 50,
+                    cap: 50.0,
+                    lacks_credit: false,
+                },
+                ..occupancy
             }
         ),
         Some(Short::Account)
     );
     assert_eq!(
         ask(
-            knock,
-            Fill {
-                spent: (true, false),
-                ..fill
+            request,
+            Occupancy {
+                front: PartyOccupancy {
+                    lacks_credit: true,
+                    ..occupancy.front
+                },
+                ..occupancy
             }
         ),
         Some(Short::Front)
     );
     assert_eq!(
         ask(
-            knock,
-            Fill {
-                spent: (false, true),
-                ..fill
+            request,
+            Occupancy {
+                account: PartyOccupancy {
+                    lacks_credit: true,
+                    ..occupancy.account
+                },
+                ..occupancy
             }
         ),
         Some(Short::Account)
@@ -530,22 +576,37 @@
     let many = Knock {
         connections: 10,
         here: 20,
-        ..knock
+        ..request
     };
-    assert_eq!(ask(many, fill), Some(Short::Connection));
-    assert_eq!(ask(many, Fill { out: 40, ..fill }), None);
+    assert_eq!(ask(many, occupancy), Some(Short::Connection));
+    assert_eq!(
+        ask(
+            many,
+            Occupancy {
+                in_flight: 40,
+                ..occupancy
+            }
+        ),
+        None
+    );
     assert_eq!(
         ask(
             Knock {
                 unread: 32,
-                ..knock
+                ..request
             },
-            fill
+            occupancy
         ),
         Some(Short::Connection)
     );
     assert_eq!(
-        ask(Knock { left: 24, ..knock }, fill),
+        ask(
+            Knock {
+                left: 24,
+                ..request
+            },
+            occupancy
+        ),
         Some(Short::Connection)
     );
     assert_eq!(
@@ -553,57 +614,69 @@
             Knock {
                 left: 24,
                 left_ago: SECOND,
-                ..knock
+                ..request
+            },
+            occupancy
+        ),
+        None
+    );
+    assert_eq!(
+        ask(
+            Knock {
+                left: 23,
+                ..request
             },
-            fill
+            occupancy
         ),
         None
     );
-    assert_eq!(ask(Knock { left: 23, ..knock }, fill), None);
 }
 
 #[test]
 fn the_cheaper_and_the_lost_are_turned_away_first() {
-    let mut d = Door::default();
+    let mut d = AdmissionControl::default();
     let dear = TriggerType {
         billed_value: 5.0,
         ..world::triggers()[0]
     };
     let cheap = world::triggers()[0];
-    let (knock, fill) = at_the_door(80);
-    let worth = |t: &TriggerType, waited| entry::worth(t, waited, 0);
+    let (request, occupancy) = request_at(80);
+    let worth = |t: &TriggerType, waited| admission_control::worth(t, waited, 0);
     (0..100).for_each(|n| {
         d.decide(
             0,
-            &knock,
+            &request,
             worth(if n % 2 == 0 { &dear } else { &cheap }, 0),
-            &at_the_door(10).1,
+            &request_at(10).1,
         );
     });
-    assert_eq!(turned(d.decide(0, &knock, worth(&dear, 0), &fill)), None);
     assert_eq!(
-        turned(d.decide(0, &knock, worth(&cheap, 0), &at_the_door(90).1)),
+        turned(d.decide(0, &request, worth(&dear, 0), &occupancy)),
+        None
+    );
+    assert_eq!(
+        turned(d.decide(0, &request, worth(&cheap, 0), &request_at(90).1)),
         Some(Short::Worth)
     );
     // The dear one that comes too late earns a tenth: less than the cheap one in time.
     assert_eq!(
-        turned(d.decide(0, &knock, worth(&dear, SECOND), &at_the_door(90).1)),
+        turned(d.decide(0, &request, worth(&dear, SECOND), &request_at(90).1)),
         Some(Short::Worth)
     );
     assert_eq!(
-        turned(d.decide(0, &knock, worth(&dear, 0), &at_the_door(99).1)),
+        turned(d.decide(0, &request, worth(&dear, 0), &request_at(99).1)),
         None
     );
 }
 
 #[test]
 fn advice_grows_with_those_turned_away_and_is_spread() {
-    let mut d = Door::default();
-    let (knock, fill) = at_the_door(100);
-    (0..20).for_each(|_| d.noted(0));
-    let advice = |d: &mut Door, n: usize| {
+    let mut d = AdmissionControl::default();
+    let (request, occupancy) = request_at(100);
+    (0..20).for_each(|_| d.answered(0));
+    let advice = |d: &mut AdmissionControl, n: usize| {
         (0..n)
-            .filter_map(|_| match d.decide(1, &knock, 1.0, &fill) {
+            .filter_map(|_| match d.decide(1, &request, 1.0, &occupancy) {
                 Let::TurnedAway { come_back, .. } => Some(come_back),
                 Let::Enter => None,
             })
@@ -619,22 +692,22 @@
 /// Symptom: a slow store makes all wait, and whoever has more out is capped for it.
 #[test]
 fn a_wait_for_a_load_is_told_from_a_wait_for_a_lane() {
-    let mut w = Waits::default();
-    assert!(!w.for_load(1, 0), "nothing was ordered");
-    w.order_ended(5, 1);
-    assert!(!w.for_load(1, 0), "nothing of it was out");
-    w.ordered(1);
-    w.ordered(1);
-    w.order_ended(10, 1);
+    let mut w = QueueingDelay::default();
+    assert!(!w.waited_for_load(1, 0), "nothing was ordered");
+    w.load_ended(5, 1);
+    assert!(!w.waited_for_load(1, 0), "nothing of it was out");
+    w.load_ordered(1);
+    w.load_ordered(1);
+    w.load_ended(10, 1);
     assert!(
-        w.for_load(1, 20) && !w.for_load(2, 0),
+        w.waited_for_load(1, 20) && !w.waited_for_load(2, 0),
         "another is still out, of this function"
     );
-    w.order_ended(30, 1);
-    assert!(w.for_load(1, 30) && !w.for_load(1, 31));
+    w.load_ended(30, 1);
+    assert!(w.waited_for_load(1, 30) && !w.waited_for_load(1, 31));
     // A copy stood while it waited: more copies were on order, but lanes were short.
-    w.found(25, 1);
-    assert!(w.for_load(1, 26) && !w.for_load(1, 25));
+    w.warm_copy_found(25, 1);
+    assert!(w.waited_for_load(1, 26) && !w.waited_for_load(1, 25));
     w.forget(1);
-    assert!(!w.for_load(1, 0));
+    assert!(!w.waited_for_load(1, 0));
 }
--- a/crates/router/tests/world.rs
+++ b/crates/router/tests/world.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 use cedarpulley::Balancer;
 use cedarpulley::interface::*;
-use cedarpulley_router::admission::FrontState;
-use cedarpulley_router::group::{Ask, Told};
-use cedarpulley_router::roster::Listed;
+use cedarpulley_router::concurrency_limit::FrontState;
+use cedarpulley_router::endpoint_list::Listed;
+use cedarpulley_router::replication::{Ask, Told};
 use cedarpulley_router::*;
 
 pub const MS: Micros = 1_000;
