--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -2,8 +2,8 @@
 //! (`cedarpulley::Balancer`) about every event.
 //!
 //! Call [`Router::handle`] with each [`Input`], and again with [`Input::Tick`] at [`Router::next_due`]; carry out the
-//! [`Output`]s in their order. `messages` defines inputs, outputs, settings and counters. `state` holds the types that
-//! own the state, each its part. The other modules handle events:
+//! [`Output`]s in their order. `messages` defines inputs and outputs, `settings` and `counters` what their names
+//! say. `state` holds the types that own the state, each its part. The other modules handle events:
 //!
 //! * `intake`: requests and messages arrive.
 //! * `waiting_deliveries`: deliveries join an invocation or leave it.
@@ -16,11 +16,13 @@
 
 mod balancer_actions;
 mod completion;
+mod counters;
 mod dispatch;
 mod intake;
 mod load_orders;
 mod messages;
 mod replication;
+mod settings;
 mod state;
 mod timers;
 mod waiting_deliveries;
@@ -30,7 +32,9 @@
 use cedarpulley::Balancer;
 use cedarpulley::interface::{EndpointListKind, Event, Micros, TriggerType, WorkerIndex};
 
-pub use messages::{Call, Counts, Input, Output, Terms};
+pub use counters::Counts;
+pub use messages::{Call, Input, Output};
+pub use settings::Terms;
 
 use self::dispatch::DispatchResult;
 use self::state::admission::Admission;
--- a/crates/router/src/endpoint_list.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -1,13 +1,14 @@
-//! What the worker list says, though its watch breaks, repeats itself or goes back in time. The list is published
-//! in slices (as Kubernetes does with endpoint slices: a listing, then a watch of changes from its version on).
-//! Call [`Roster::news`] with each piece that arrives; it says what the module is to be told and what to do next.
+//! What the published endpoint list says, though its watch breaks, repeats itself or goes back in time. The list is
+//! published in slices (as Kubernetes does with endpoint slices: a listing, then a watch of changes from its version on).
+//! Call [`Roster::news`] with each watch event; it says what the core is to be told and what to request next.
 //!
 //! Mechanisms:
-//! 1. Each slice has a version; an older one than known changes nothing.
-//! 2. A listing older than what is known is not believed until it has come a few times (the publisher restarted
-//!    with fresh numbers); the last view holds meanwhile.
-//! 3. A worker named in several slices counts as the newest slice says; equally new ones, as the most cautious.
-//! 4. A start is known by its mark; a worker with a new mark has just started, whatever its clock says.
+//! 1. Each slice has a version; one that is not newer than the known one changes nothing.
+//! 2. A listing older than what is known is not believed until it has come a few times (the publisher restarted with new
+//!    version numbers); the last view holds meanwhile.
+//! 3. A worker named in several slices has the state of the newest slice; among equally new ones, the most cautious state.
+//! 4. A worker's incarnation is known by its start mark; a worker with a new mark has just started, whatever its clock
+//!    says.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,218 +16,290 @@
 
 /// So many listings in a row that go back in time mean that the publisher has restarted.
 const RESTARTED_AFTER: u32 = 3;
-/// Workers that are kept account of; what a list names beyond is left out and counted.
-const MOST_WORKERS: usize = 20_000;
+/// Workers known at once at most; what a list names beyond is left out and counted.
+const MAX_WORKERS: usize = 20_000;
 
+/// One worker of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listed {
-    /// By which it is known: where it is, or its id where the list gives one.
+    /// Its name: its address, or its id where the list gives one.
     pub address: String,
+    /// The zone it runs in.
     pub zone: u32,
+    /// The kind of machine it runs on.
     pub kind: u32,
+    /// The cell it belongs to.
     pub cell: u32,
+    /// Its state.
     pub standing: EndpointState,
+    /// Its weight relative to other workers.
     pub weight: f64,
-    /// On the router's clock.
+    /// When its process started, on the router's clock, if known.
     pub started: Option<Micros>,
 }
 
 /// One worker as a slice names it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
+    /// The worker.
     pub worker: Listed,
-    /// Changes whenever the worker's process starts anew.
+    /// Changes whenever the worker's process is restarted.
     pub start_mark: String,
 }
 
+/// One slice of the published list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Slice {
+    /// Name of the slice.
     pub name: String,
+    /// Grows with each change.
     pub version: u64,
+    /// The workers in it.
     pub entries: Vec<Entry>,
 }
 
+/// What the publisher sent, or how the watch ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum News {
+    /// A whole listing.
     Listing {
+        /// Version of the listing.
         version: u64,
+        /// All slices.
         slices: Vec<Slice>,
     },
+    /// A slice is new or was changed.
     Changed(Slice),
+    /// A slice was removed.
     Removed {
+        /// Name of the slice.
         name: String,
+        /// Version of the removal.
         version: u64,
     },
     /// Nothing changed up to this version.
     Bookmark(u64),
-    /// The watch ended or could not be had; `too_old`: the version asked for is no longer kept.
+    /// The watch ended or could not be started.
     Broken {
+        /// The publisher no longer has the version asked for.
         too_old: bool,
     },
 }
 
+/// What is to be done next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Tell the core.
     Tell {
+        /// What `workers` holds.
         mode: EndpointListKind,
+        /// The workers.
         workers: Vec<Listed>,
     },
-    /// Ask for a whole listing.
+    /// Request a whole listing.
     List,
     /// Watch for changes after this version.
     Watch(u64),
 }
 
+/// An incarnation of a worker.
+#[derive(Debug)]
+struct Incarnation {
+    start_mark: String,
+    started_at: Option<Micros>,
+}
+
+/// The published list as it is known.
 #[derive(Debug, Default)]
 pub struct Roster {
     version: u64,
+    /// By name.
     slices: BTreeMap<String, Slice>,
+    /// The workers that the core was told of last, by name.
     told: BTreeMap<String, Listed>,
-    marks: HashMap<String, (String, Option<Micros>)>,
+    /// By name of the worker.
+    incarnations: HashMap<String, Incarnation>,
+    /// Listings in a row that went back in time.
     went_back: u32,
+    /// There was a listing.
     listed: bool,
-    /// A view was told before, so a worker not in it is new.
-    joined: bool,
-    /// Pieces that were older than what is known, and workers beyond the bound.
+    /// The core was told of a view, so a worker not in it is new.
+    viewed: bool,
+    /// Events that were older than what is known.
     pub stale: u64,
+    /// Workers left out, as there were too many.
     pub left_out: u64,
 }
 
 impl Roster {
-    pub fn news(&mut self, now: Micros, news: News) -> Vec<Step> {
-        match news {
-            News::Listing { version, slices } => {
-                if self.listed && version < self.version && self.went_back + 1 < RESTARTED_AFTER {
-                    // Symptom: a lagging copy of the publisher answers. Workers long gone would come back.
-                    self.went_back += 1;
-                    self.stale += 1;
-                    return vec![Step::List];
-                }
-                self.went_back = 0;
-                self.listed = true;
-                self.version = version;
-                self.slices = slices.into_iter().map(|s| (s.name.clone(), s)).collect();
-                let view = self.view(now);
-                self.told = view.clone();
-                let workers = view.into_values().collect();
-                vec![
-                    Step::Tell {
-                        mode: EndpointListKind::Complete,
-                        workers,
-                    },
-                    Step::Watch(version),
-                ]
-            }
-            News::Changed(slice) => {
-                let known = self.slices.get(&slice.name).map_or(0, |s| s.version);
-                if slice.version <= known || !self.listed {
-                    self.stale += 1;
-                    return Vec::new();
-                }
-                self.version = self.version.max(slice.version);
-                self.slices.insert(slice.name.clone(), slice);
-                self.tell_changes(now)
-            }
-            News::Removed { name, version } => {
-                if self.slices.get(&name).is_none_or(|s| s.version > version) {
-                    self.stale += 1;
-                    return Vec::new();
-                }
-                self.version = self.version.max(version);
-                self.slices.remove(&name);
-                self.tell_changes(now)
-            }
+    /// Handles a watch event, and says what is to be done, in order.
+    pub fn news(&mut self, now: Micros, event: News) -> Vec<Step> {
+        match event {
+            News::Listing { version, slices } => self.listing(now, version, slices),
+            News::Changed(slice) => self.slice_changed(now, slice),
+            News::Removed { name, version } => self.slice_removed(now, &name, version),
             News::Bookmark(version) => {
                 self.version = self.version.max(version);
                 Vec::new()
             }
-            News::Broken { too_old } => {
-                let failed = Step::Tell {
-                    mode: EndpointListKind::Failed,
-                    workers: Vec::new(),
-                };
-                match self.listed && !too_old {
-                    true => vec![failed, Step::Watch(self.version)],
-                    false => vec![failed, Step::List],
-                }
-            }
+            News::Broken { too_old } => self.watch_broken(too_old),
+        }
+    }
+
+    fn listing(&mut self, now: Micros, version: u64, slices: Vec<Slice>) -> Vec<Step> {
+        if self.listed && version < self.version && self.went_back + 1 < RESTARTED_AFTER {
+            // Symptom: a lagging replica of the publisher answers. Workers long gone would come back.
+            self.went_back += 1;
+            self.stale += 1;
+            return vec![Step::List];
         }
+        self.went_back = 0;
+        self.listed = true;
+        self.version = version;
+        self.slices = slices
+            .into_iter()
+            .map(|slice| (slice.name.clone(), slice))
+            .collect();
+        let view = self.view(now);
+        self.told = view.clone();
+        let complete = Step::Tell {
+            mode: EndpointListKind::Complete,
+            workers: view.into_values().collect(),
+        };
+        vec![complete, Step::Watch(version)]
+    }
+
+    fn slice_changed(&mut self, now: Micros, slice: Slice) -> Vec<Step> {
+        let known = self
+            .slices
+            .get(&slice.name)
+            .map_or(0, |known| known.version);
+        if slice.version <= known || !self.listed {
+            self.stale += 1;
+            return Vec::new();
+        }
+        self.version = self.version.max(slice.version);
+        self.slices.insert(slice.name.clone(), slice);
+        self.tell_changes(now)
+    }
+
+    fn slice_removed(&mut self, now: Micros, name: &str, version: u64) -> Vec<Step> {
+        let known = self.slices.get(name);
+        if known.is_none_or(|known| known.version > version) {
+            self.stale += 1;
+            return Vec::new();
+        }
+        self.version = self.version.max(version);
+        self.slices.remove(name);
+        self.tell_changes(now)
+    }
+
+    fn watch_broken(&self, too_old: bool) -> Vec<Step> {
+        let failed = Step::Tell {
+            mode: EndpointListKind::Failed,
+            workers: Vec::new(),
+        };
+        let next = if self.listed && !too_old {
+            Step::Watch(self.version)
+        } else {
+            Step::List
+        };
+        vec![failed, next]
     }
 
+    /// The workers that differ from what the core was told last.
     fn tell_changes(&mut self, now: Micros) -> Vec<Step> {
         let view = self.view(now);
         let mut workers: Vec<Listed> = view
             .iter()
-            .filter(|(a, w)| self.told.get(*a) != Some(w))
-            .map(|(_, w)| w.clone())
+            .filter(|(name, worker)| self.told.get(*name) != Some(worker))
+            .map(|(_, worker)| worker.clone())
             .collect();
-        let gone = self.told.iter().filter(|(a, _)| !view.contains_key(*a));
-        workers.extend(gone.map(|(_, w)| Listed {
+        let gone = self
+            .told
+            .iter()
+            .filter(|(name, _)| !view.contains_key(*name));
+        workers.extend(gone.map(|(_, worker)| Listed {
             standing: EndpointState::Gone,
-            ..w.clone()
+            ..worker.clone()
         }));
         self.told = view;
         if workers.is_empty() {
-            Vec::new()
-        } else {
-            vec![Step::Tell {
-                mode: EndpointListKind::Changes,
-                workers,
-            }]
+            return Vec::new();
         }
+        vec![Step::Tell {
+            mode: EndpointListKind::Changes,
+            workers,
+        }]
     }
 
-    /// Every worker once.
+    /// Every worker once, by name.
     fn view(&mut self, now: Micros) -> BTreeMap<String, Listed> {
-        let caution = |s: EndpointState| match s {
-            EndpointState::InService => 0,
-            EndpointState::Draining => 1,
-            EndpointState::Gone => 2,
-        };
-        let mut newest: BTreeMap<&str, (u64, &Entry)> = BTreeMap::new();
-        for slice in self.slices.values() {
-            for entry in &slice.entries {
-                let known = newest.get(entry.worker.address.as_str());
-                let better = known.is_none_or(|(v, e)| {
-                    (slice.version, caution(entry.worker.standing))
-                        > (*v, caution(e.worker.standing))
-                });
-                if better {
-                    newest.insert(&entry.worker.address, (slice.version, entry));
-                }
-            }
-        }
-        if newest.len() > MOST_WORKERS {
-            self.left_out += (newest.len() - MOST_WORKERS) as u64;
-        }
+        let newest = newest_entries(&self.slices);
+        self.left_out += newest.len().saturating_sub(MAX_WORKERS) as u64;
         let mut view = BTreeMap::new();
-        for (address, (_, entry)) in newest.into_iter().take(MOST_WORKERS) {
-            let started = match self.marks.get(address) {
-                // The same process: its start is what was made of it first, whatever is said of it now.
-                Some((mark, started)) if *mark == entry.start_mark => *started,
-                // Symptom: a restarted worker whose clock is off looks old and is pushed over cold.
-                Some(_) => Some(now),
-                // One that joins later and does not say since when has just come up, for all that is known.
-                None => entry
-                    .worker
-                    .started
-                    .map(|s| s.min(now))
-                    .or(self.joined.then_some(now)),
+        for (name, entry) in newest.into_iter().take(MAX_WORKERS) {
+            let known = self.incarnations.get(name);
+            let started = started_at(now, entry, known, self.viewed);
+            let incarnation = Incarnation {
+                start_mark: entry.start_mark.clone(),
+                started_at: started,
             };
-            self.marks
-                .insert(address.to_owned(), (entry.start_mark.clone(), started));
-            view.insert(
-                address.to_owned(),
-                Listed {
-                    started,
-                    ..entry.worker.clone()
-                },
-            );
+            self.incarnations.insert(name.to_owned(), incarnation);
+            let worker = Listed {
+                started,
+                ..entry.worker.clone()
+            };
+            view.insert(name.to_owned(), worker);
         }
-        self.joined = true;
-        self.marks
-            .retain(|a, _| view.contains_key(a) || self.told.contains_key(a));
+        self.viewed = true;
+        self.incarnations
+            .retain(|name, _| view.contains_key(name) || self.told.contains_key(name));
         view
     }
 }
+
+/// When the worker's process started. `known`: its last known incarnation; `viewed`: there was a view before.
+fn started_at(
+    now: Micros,
+    entry: &Entry,
+    known: Option<&Incarnation>,
+    viewed: bool,
+) -> Option<Micros> {
+    match known {
+        // The same process: its start is what was first concluded, whatever is said of it now.
+        Some(known) if known.start_mark == entry.start_mark => known.started_at,
+        // Symptom: a restarted worker whose clock is off looks old and is overloaded while it is cold.
+        Some(_) => Some(now),
+        // One that joins later and does not say since when has just started, for all that is known.
+        None => {
+            let said = entry.worker.started.map(|started| started.min(now));
+            said.or(viewed.then_some(now))
+        }
+    }
+}
+
+/// The entry that counts of each worker, by name.
+fn newest_entries(slices: &BTreeMap<String, Slice>) -> BTreeMap<&str, &Entry> {
+    let caution = |state: EndpointState| match state {
+        EndpointState::InService => 0,
+        EndpointState::Draining => 1,
+        EndpointState::Gone => 2,
+    };
+    let mut newest: BTreeMap<&str, (u64, &Entry)> = BTreeMap::new();
+    for slice in slices.values() {
+        for entry in &slice.entries {
+            let rank = (slice.version, caution(entry.worker.standing));
+            let known = newest.get(entry.worker.address.as_str());
+            let is_newer = known
+                .is_none_or(|(version, known)| rank > (*version, caution(known.worker.standing)));
+            if is_newer {
+                newest.insert(&entry.worker.address, (slice.version, entry));
+            }
+        }
+    }
+    newest
+        .into_iter()
+        .map(|(name, (_, entry))| (name, entry))
+        .collect()
+}
--- a/crates/router/tests/alone.rs
+++ b/crates/router/tests/alone.rs
@@ -25,7 +25,7 @@
 
 /// Symptom: a retry with the same token is given an answer that no worker made for it.
 #[test]
-fn a_retry_with_the_same_token_is_an_invocation_of_its_own() {
+fn balancer_only_router_does_not_join_retries_with_the_same_idempotency_key() {
     let mut w = World::alone(2);
     let first = Taken {
         identity: None,
@@ -59,7 +59,7 @@
 
 /// Symptom: an account floods, and the core holds it back though the module would not.
 #[test]
-fn an_account_that_floods_is_the_modules_concern() {
+fn balancer_only_router_does_not_cap_a_flooding_account() {
     let mut w = World::alone(2);
     for tag in 0..3_000 {
         let message = Taken {
@@ -77,7 +77,7 @@
 
 /// Symptom: connecting takes time, and the dispatch leaves for a worker past its grace, or for nobody.
 #[test]
-fn a_dispatch_is_held_back_once_its_worker_or_client_is_gone() {
+fn dispatch_is_not_sent_once_its_worker_or_client_is_gone() {
     let mut w = World::alone(1);
     w.take("a", NON_IDEMPOTENT, 0, 1);
     let ticket = w.sent()[0];
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn what_was_told_first_counts_for_the_grace() {
+fn drain_grace_counts_from_the_first_report() {
     let mut gate = DrainGate::new(500 * MS);
     assert!(!gate.accepts(0, 0));
     gate.update(
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn what_waits_for_a_worker_that_is_gone_does_not_leave() {
+fn removed_worker_accepts_no_dispatch_within_its_drain_grace() {
     let mut gate = DrainGate::new(500 * MS);
     gate.update(
         0,
@@ -160,7 +160,7 @@
 /// A whole list is sent again after a gap, and a worker is missing: it may have gone long ago, and what still waits for a
 /// connection to it must not leave within a grace that counts from the hearing.
 #[test]
-fn nothing_leaves_for_a_worker_that_a_whole_list_does_not_name() {
+fn worker_missing_from_a_complete_list_accepts_no_dispatch() {
     let mut gate = DrainGate::new(500 * MS);
     gate.update(
         0,
@@ -182,7 +182,7 @@
 /// Workers drop repeats only within a window from the first sending. The last look before the first byte sees that it is
 /// over, however long the connection took.
 #[test]
-fn a_repeat_does_not_leave_once_its_window_is_over() {
+fn retry_is_not_sent_after_its_deduplication_window() {
     for (trigger, outcome, still_leaves) in [
         (TOKENED, DispatchOutcome::ConnectionLost, false),
         (TOKENED, DispatchOutcome::Unreachable, true),
@@ -207,7 +207,7 @@
 /// Symptom: over a long day new workers take the place of old ones, and all that is kept by worker grows for
 /// ever.
 #[test]
-fn the_index_of_a_gone_worker_is_given_out_again_once_nothing_refers_to_it() {
+fn index_of_a_removed_worker_is_reused_once_unreferenced() {
     let mut w = World::alone(1);
     w.take("a", IDEMPOTENT, 0, 1);
     let (ticket, old) = (w.sent()[0], w.router.worker_ix("127.0.0.1:9000"));
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_whole_list_frees_whoever_it_does_not_name() {
+fn complete_list_releases_indices_of_workers_it_does_not_name() {
     let mut indices = WorkerIndexAllocator::default();
     indices.update(
         EndpointListKind::Complete,
@@ -257,7 +257,7 @@
 
 /// Bodies beyond the bound are refused, whoever chooses.
 #[test]
-fn bytes_are_bounded_all_the_same() {
+fn balancer_only_router_still_bounds_memory() {
     let mut w = World::alone(1);
     let body = Bytes::from(vec![0; 2 << 20]).into();
     let large = Taken {
--- a/crates/router/tests/group.rs
+++ b/crates/router/tests/group.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn it_leaves_with_leave_and_the_group_hears_how_it_went() {
+fn attempt_is_sent_with_permission_and_its_end_is_replicated() {
     let mut w = World::shared(2, REFUSING);
     let (key, sending) = goes(&mut w, "a", 1);
     w.told(Told::Leave {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn idempotent_ones_are_not_shared_and_tokened_ones_wait_for_nothing() {
+fn idempotent_invocations_are_not_replicated_and_keyed_ones_need_no_permission() {
     let mut w = World::shared(2, REFUSING);
     w.take("a", IDEMPOTENT, 1, 1);
     assert!(w.asked().is_empty() && w.sent().len() == 1);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn without_a_majority_it_is_throttled_or_goes_alone_as_its_operator_says() {
+fn without_a_majority_it_is_rejected_or_runs_unreplicated_as_configured() {
     let mut w = World::shared(2, REFUSING);
     let (_, sending) = goes(&mut w, "a", 1);
     w.told(Told::Leave {
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn what_another_router_has_is_waited_for_and_answered_alike() {
+fn invocation_in_flight_at_another_router_is_awaited_and_answered_alike() {
     let mut w = World::shared(2, REFUSING);
     let answer = Answer {
         body: bytes::Bytes::from_static(b"x").into(),
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn one_that_is_lost_to_another_router_before_it_left_is_the_module_s_no_more() {
+fn invocation_lost_to_another_router_before_sending_is_withdrawn_from_the_balancer() {
     let mut w = World::shared(2, REFUSING);
     let (key, sending) = goes(&mut w, "a", 1);
     w.told(Told::Leave {
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_channel_lost_while_leave_is_asked_lets_the_message_go() {
+fn channel_lost_while_permission_is_requested_releases_the_message() {
     let mut w = World::shared(2, REFUSING);
     let (key, sending) = goes(&mut w, "a", 1);
     w.front(FrontState::Down);
@@ -225,7 +225,7 @@
 
 /// Away from here, another router may have run it: that it did not is the group's to say.
 #[test]
-fn what_was_throttled_and_comes_again_is_asked_about_anew() {
+fn redelivered_message_that_was_rejected_is_announced_again() {
     let mut w = World::shared(2, REFUSING);
     let (_, sending) = goes(&mut w, "a", 1);
     w.told(Told::Leave {
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn one_that_was_away_while_it_was_out_is_not_throttled() {
+fn invocation_orphaned_while_in_flight_is_not_reported_as_not_run() {
     let mut w = World::shared(2, REFUSING);
     let (_, sending) = goes(&mut w, "a", 1);
     w.told(Told::Leave {
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn a_time_out_while_leave_is_asked_is_no_effect_and_the_client_is_told_so() {
+fn timeout_while_permission_is_requested_is_reported_as_not_run() {
     let mut w = World::shared(2, REFUSING);
     goes(&mut w, "a", 1);
     w.pass(TIMEOUT);
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn a_tokened_retry_from_elsewhere_counts_from_the_first_sending() {
+fn deduplication_window_of_a_retry_from_another_router_starts_at_its_first_attempt() {
     let mut w = World::shared(2, REFUSING);
     for (tag, ago, sends) in [(1, 7 * SECOND, true), (2, 9 * SECOND, false)] {
         w.take(&tag.to_string(), TOKENED, 1, tag);
--- a/crates/router/tests/hard.rs
+++ b/crates/router/tests/hard.rs
@@ -9,7 +9,7 @@
 use world::*;
 
 #[test]
-fn one_message_goes_through_and_leaves_nothing() {
+fn answered_message_leaves_no_state() {
     let mut w = World::new(2);
     w.take("a", NON_IDEMPOTENT, 1, 1);
     let sent = w.sent();
@@ -26,7 +26,7 @@
 
 /// The channel drops with the answer on its way: when the message comes again, the same answer, no dispatch.
 #[test]
-fn an_answer_lost_with_its_channel_is_given_again_alike() {
+fn answer_lost_with_its_channel_is_repeated() {
     let mut w = World::new(2);
     w.take("a", NON_IDEMPOTENT, 1, 1);
     let ticket = w.sent()[0];
@@ -41,7 +41,7 @@
 
 /// The channel drops with the dispatch out, and the message comes back here: it joins what is out.
 #[test]
-fn a_redelivered_one_joins_its_own_dispatch() {
+fn redelivered_message_joins_its_attempt_in_flight() {
     let mut w = World::new(2);
     w.take("a", NON_IDEMPOTENT, 1, 1);
     let ticket = w.sent()[0];
@@ -56,7 +56,7 @@
 
 /// It ended while no channel stood: as it may have run, it is not dispatched again.
 #[test]
-fn one_that_broke_without_a_channel_is_refused_when_it_comes_again() {
+fn message_whose_attempt_failed_while_orphaned_is_refused_on_redelivery() {
     let mut w = World::new(2);
     w.take("a", NON_IDEMPOTENT, 1, 1);
     let ticket = w.sent()[0];
@@ -70,7 +70,7 @@
 
 /// No worker, so it never left; after the drop our own record proves it, and it may go.
 #[test]
-fn one_that_never_left_may_go_when_it_comes_again() {
+fn message_that_was_never_sent_may_run_on_redelivery() {
     let mut w = World::new(0);
     w.take("a", NON_IDEMPOTENT, 1, 1);
     assert!(w.sent().is_empty());
@@ -89,7 +89,7 @@
 
 /// An orphan whose dispatch never ran is not dispatched anew: whoever has the message now may do that.
 #[test]
-fn nothing_is_dispatched_for_a_message_that_went_back() {
+fn orphaned_message_is_not_dispatched() {
     let mut w = World::new(2);
     w.take("a", IDEMPOTENT, 1, 1);
     let ticket = w.sent()[0];
@@ -103,7 +103,7 @@
 
 /// At another router, or after a kill, there is no record.
 #[test]
-fn without_a_record_a_redelivered_one_goes_by_its_effect() {
+fn redelivered_message_without_a_record_is_treated_by_its_effect() {
     let mut w = World::new(2);
     w.again("a", NON_IDEMPOTENT, 1, 1, SECOND);
     assert_eq!(w.answers(), [(1, Fate::Errored, Reason::MayHaveRun)]);
@@ -120,7 +120,7 @@
 
 /// Taken inside the window and held past it: it must not leave any more, and no one may call it harmless.
 #[test]
-fn a_held_one_is_not_dispatched_past_the_window() {
+fn queued_invocation_is_not_dispatched_after_its_deduplication_window() {
     let mut w = World::new(0);
     w.again("a", TOKENED, 1, 1, WINDOW - 300 * MS);
     w.pass(SECOND);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn one_older_than_its_clients_patience_is_answered_at_once() {
+fn message_past_its_client_timeout_is_answered_at_once() {
     let mut w = World::new(2);
     let old = Taken {
         waited: TIMEOUT,
@@ -151,7 +151,7 @@
 
 /// The same message published twice: one invocation, one answer; the copy only goes out of the way.
 #[test]
-fn a_message_published_twice_is_one_invocation() {
+fn message_published_twice_is_one_invocation() {
     let mut w = World::new(2);
     w.take("a", NON_IDEMPOTENT, 1, 1);
     let ticket = w.sent()[0];
@@ -170,7 +170,7 @@
 
 /// A worker answers after the time was over: the answer given stands, and no second one follows.
 #[test]
-fn an_ending_that_comes_too_late_changes_nothing() {
+fn late_end_of_a_dispatch_changes_nothing() {
     let mut w = World::new(1);
     w.take("a", NON_IDEMPOTENT, 1, 1);
     let ticket = w.sent()[0];
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_clock_that_stands_still_or_jumps_loses_no_answer() {
+fn clock_that_stalls_or_jumps_loses_no_answer() {
     let mut w = World::new(1);
     for tag in 0..10 {
         w.take(&format!("a{tag}"), NON_IDEMPOTENT, 1, tag);
@@ -201,7 +201,7 @@
 
 /// Two thousand at once: each gets one answer, and what has no room for its body is told so at once.
 #[test]
-fn a_flood_is_answered_whole_and_memory_is_bounded() {
+fn every_message_of_a_flood_is_answered_within_bounded_memory() {
     let mut w = World::new(2);
     let mut answered = std::collections::BTreeMap::new();
     let mut out = Vec::new();
@@ -262,7 +262,7 @@
     /// Whatever happens: a delivery that was not lost gets one answer at most and, in the end, exactly one; what
     /// must never run twice is sent at most once unless the first surely never ran.
     #[test]
-    fn each_delivery_one_answer_and_no_effect_twice(steps in steps()) {
+    fn each_delivery_gets_one_answer_and_no_effect_happens_twice(steps in steps()) {
         let mut w = World::new(3);
         let (mut life, mut tag) = (1, 0);
         // What the broker holds: by message its kind, when it was sent, and the delivery that is out.
@@ -361,7 +361,7 @@
 
 /// The same token while the first is out: one dispatch, the same answer to both.
 #[test]
-fn a_clients_retry_joins_what_is_out() {
+fn client_retry_joins_the_open_invocation() {
     let mut w = World::new(2);
     for kind in [IDEMPOTENT, TOKENED, NON_IDEMPOTENT] {
         let id = format!("t{kind}");
@@ -390,7 +390,7 @@
 
 /// After the answer a tokened one is answered alike within the window; a success of another effect is not kept.
 #[test]
-fn a_retry_after_the_answer_gets_it_again_within_the_window() {
+fn retry_after_the_answer_gets_it_from_the_cache_within_the_window() {
     let mut w = World::new(2);
     let first = sent_by(&w, 1, 1, "a", TOKENED);
     w.feed(Input::Taken(first));
@@ -423,7 +423,7 @@
 
 /// The first client vanishes while its retry waits: the dispatch goes on for the retry. Then that one goes too.
 #[test]
-fn while_one_of_them_waits_nothing_is_called_back() {
+fn invocation_is_not_cancelled_while_one_of_its_deliveries_waits() {
     let mut w = World::new(2);
     let first = sent_by(&w, 1, 1, "a", NON_IDEMPOTENT);
     w.feed(Input::Taken(first));
@@ -447,7 +447,7 @@
 
 /// A retry with less time than the first is not left waiting beyond it, and gets no second answer.
 #[test]
-fn a_retry_is_answered_in_its_own_time() {
+fn joined_retry_is_answered_by_its_own_deadline() {
     let mut w = World::new(2);
     let first = sent_by(&w, 1, 1, "a", NON_IDEMPOTENT);
     w.feed(Input::Taken(first));
@@ -465,7 +465,7 @@
 
 /// The channel of the first drops while a retry from elsewhere waits; the first comes again: one dispatch, two answers.
 #[test]
-fn a_redelivered_one_finds_its_place_beside_a_retry() {
+fn redelivered_message_rejoins_beside_a_client_retry() {
     let mut w = World::new(2);
     let first = Taken {
         identity: Some("m".into()),
@@ -502,7 +502,7 @@
 
 /// Symptom: the first of a function here is of a session that is warm at a worker, and goes to another one.
 #[test]
-fn a_session_stays_at_its_worker_where_its_function_was_not_met_before() {
+fn session_stays_at_its_worker_when_the_function_is_new_to_the_router() {
     for warm in 0..6 {
         let mut w = World::ordering(6);
         let prefers = Some(format!("127.0.0.1:{}", 9000 + warm).into());
--- a/crates/router/tests/world.rs
+++ b/crates/router/tests/world/mod.rs
@@ -1,5 +1,5 @@
 //! A router core with its module, and a small world of one answer at a time around it.
-#![allow(dead_code)] // Each test file uses its part.
+#![allow(dead_code, reason = "each test file uses its part")]
 
 use std::sync::Arc;
 
