--- a/crates/router/tests/world.rs
+++ b/crates/router/tests/world/mod.rs
@@ -1,14 +1,14 @@
 //! A router core with its module, and a small world of one answer at a time around it.
-#![allow(dead_code)] // Each test file uses its part.
+#![allow(dead_code, reason = "each test file uses its part")]
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 use cedarpulley::Balancer;
 use cedarpulley::interface::*;
-use cedarpulley_router::admission::FrontState;
-use cedarpulley_router::group::{Ask, Told};
-use cedarpulley_router::roster::Listed;
+use cedarpulley_router::concurrency_limit::FrontState;
+use cedarpulley_router::endpoint_list::Listed;
+use cedarpulley_router::replication::{Ask, Told};
 use cedarpulley_router::*;
 
 pub const MS: Micros = 1_000;
