--- /dev/null
+++ b/crates/membership/src/failure_detector.rs
@@ -0,0 +1,410 @@
+//! Which members are alive, as far as this one can tell (after SWIM, Das, Gupta and Motivala 2002, for small groups: the
+//! whole table is sent where it differs). [`Membership::handle`] takes what was received or that time passed, and gives
+//! messages and changes; [`Membership::next_due`] says when it has to be called again.
+//!
+//! Mechanisms:
+//! 1. Probes: one member after the other, in an order drawn anew each round. One that does not answer is probed through
+//!    others too, so that one bad link makes nobody look dead.
+//! 2. Suspicion: a member that answers nobody is suspected, and dead if nothing is received in time. Dead members are
+//!    still probed.
+//! 3. Refutation: a member that reads that it is suspected, dead or another process raises its incarnation. The higher
+//!    incarnation wins, and within one incarnation the worse state.
+//! 4. Resuming: a process that was suspended does not hold its own silence against the others.
+
+use cedarpulley::interface::Micros;
+
+use crate::counts::MembershipCounts;
+use crate::group::{Group, MemberIndex};
+use crate::member_table::{MemberStatus, MemberTable, MergeOutcome, Why};
+use crate::message::{Message, Process, Row, Standing};
+use crate::probe_schedule::{PendingProbe, ProbeSchedule};
+use crate::relayed_probes::{RelayedProbe, RelayedProbes};
+use crate::settings::Terms;
+
+/// Members asked to probe a silent one. With a single one, that one's own bad link would decide.
+const INDIRECT_PROBES: usize = 2;
+/// A call that is late by more than this many probe intervals: this process was suspended.
+const SUSPENDED_INTERVALS: Micros = 4;
+
+/// What [`Membership::handle`] is called with.
+#[derive(Debug)]
+pub enum Input {
+    /// A message was received.
+    Heard {
+        /// Its sender.
+        from: MemberIndex,
+        /// The sender's incarnation.
+        process: Process,
+        /// The message.
+        message: Message,
+    },
+    /// Time has passed.
+    Tick,
+}
+
+/// What [`Membership::handle`] asks its caller to do.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Output {
+    /// Send a message.
+    Send {
+        /// Its receiver.
+        to: MemberIndex,
+        /// The message.
+        message: Message,
+    },
+    /// This member's state, its reason or its incarnation changed.
+    Changed(MemberIndex),
+}
+
+/// The failure detector of one member.
+#[derive(Debug)]
+pub struct Membership {
+    group: Group,
+    settings: Terms,
+    table: MemberTable,
+    schedule: ProbeSchedule,
+    relayed: RelayedProbes,
+    /// Number of the last probe that this member sent.
+    sequence: u64,
+    /// What happened since the start.
+    pub counts: MembershipCounts,
+}
+
+impl Membership {
+    /// `nonce` is different for each process; `last_incarnation` is the highest number that this member is known to have
+    /// had, from its store.
+    pub fn new(
+        now: Micros,
+        group: Group,
+        settings: Terms,
+        nonce: u64,
+        last_incarnation: u64,
+    ) -> Self {
+        let own = Process {
+            turn: last_incarnation + 1,
+            nonce,
+        };
+        Membership {
+            table: MemberTable::new(now, group.len(), group.me, own),
+            schedule: ProbeSchedule::new(now, settings.seed),
+            relayed: RelayedProbes::default(),
+            sequence: 0,
+            counts: MembershipCounts::default(),
+            group,
+            settings,
+        }
+    }
+
+    /// Takes one input and appends what follows from it, and from the time, to `out`.
+    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
+        match input {
+            Input::Heard {
+                from,
+                process,
+                message,
+            } => {
+                if self.table.is_other_member(from) {
+                    self.came_from(now, from, process, out);
+                    self.on_message(now, from, message, out);
+                }
+            }
+            Input::Tick => {}
+        }
+        self.on_time(now, out);
+    }
+
+    /// When [`Membership::handle`] has to be called at the latest.
+    pub fn next_due(&self) -> Micros {
+        let next_death = self
+            .table
+            .statuses()
+            .filter(|(_, status)| status.standing == Standing::Suspected)
+            .map(|(_, status)| status.since + self.settings.suspected_for)
+            .min()
+            .unwrap_or(Micros::MAX);
+        self.schedule.next_due().min(next_death)
+    }
+
+    /// The group as configured.
+    pub fn group(&self) -> &Group {
+        &self.group
+    }
+
+    /// This member's own incarnation; it goes along with each message.
+    pub fn me(&self) -> Process {
+        self.table.own_incarnation()
+    }
+
+    /// What is known of a member; unknown if there is none of this index.
+    pub fn known(&self, member: MemberIndex) -> MemberStatus {
+        self.table.status(member)
+    }
+
+    /// Suspected members still count as alive: suspicions are often refuted.
+    pub fn lives(&self, member: MemberIndex) -> bool {
+        matches!(
+            self.known(member).standing,
+            Standing::Alive | Standing::Suspected
+        )
+    }
+
+    /// Grows with each change of the table.
+    pub fn version(&self) -> u64 {
+        self.table.version()
+    }
+
+    /// Something that is no membership message was received from this member.
+    pub fn came_from(
+        &mut self,
+        now: Micros,
+        from: MemberIndex,
+        process: Process,
+        out: &mut Vec<Output>,
+    ) {
+        if !self.table.is_other_member(from) {
+            return;
+        }
+        self.table.record_contact(now, from);
+        let alive = Row {
+            member: from,
+            process,
+            standing: Standing::Alive,
+        };
+        self.merge(now, alive, Why::Answered, out);
+    }
+
+    fn on_message(
+        &mut self,
+        now: Micros,
+        from: MemberIndex,
+        message: Message,
+        out: &mut Vec<Output>,
+    ) {
+        match message {
+            Message::Probe {
+                serial: probe_sequence,
+                table: sender_digest,
+                rows: received,
+            } => {
+                let differed = sender_digest != self.table.digest();
+                self.merge_all(now, &received, out);
+                let digest = self.table.digest();
+                let message = Message::Answer {
+                    serial: probe_sequence,
+                    of: self.group.me,
+                    table: digest,
+                    rows: self.updates_if(differed || sender_digest != digest),
+                };
+                out.push(Output::Send { to: from, message });
+            }
+            Message::Answer {
+                serial: probe_sequence,
+                of: answered_by,
+                table: sender_digest,
+                rows: received,
+            } => {
+                self.merge_all(now, &received, out);
+                self.on_answer(now, from, probe_sequence, answered_by, out);
+                // The sender lacks something that is known here, and gets it at once, not a round later.
+                let is_own_answer = answered_by == from && sender_digest != 0;
+                if is_own_answer && sender_digest != self.table.digest() {
+                    self.send_probe(from, true, out);
+                }
+            }
+            Message::AskFor {
+                serial: requested_sequence,
+                whom: target,
+            } => self.relay_probe(now, from, requested_sequence, target, out),
+        }
+    }
+
+    fn on_answer(
+        &mut self,
+        now: Micros,
+        from: MemberIndex,
+        probe_sequence: u64,
+        answered_by: MemberIndex,
+        out: &mut Vec<Output>,
+    ) {
+        if let Some(relayed) = self.relayed.answered(probe_sequence, answered_by) {
+            let message = Message::Answer {
+                serial: relayed.requested_sequence,
+                of: answered_by,
+                table: 0,
+                rows: self.table.update_of(answered_by).into_iter().collect(),
+            };
+            out.push(Output::Send {
+                to: relayed.requester,
+                message,
+            });
+        }
+        let is_indirect = answered_by != from;
+        if self.schedule.answered(probe_sequence, answered_by)
+            && is_indirect
+            && self.table.record_indirect_answer(now, answered_by)
+        {
+            out.push(Output::Changed(answered_by));
+        }
+    }
+
+    /// Probes a member on another one's behalf.
+    fn relay_probe(
+        &mut self,
+        now: Micros,
+        requester: MemberIndex,
+        requested_sequence: u64,
+        target: MemberIndex,
+        out: &mut Vec<Output>,
+    ) {
+        if !self.table.is_other_member(target) {
+            return;
+        }
+        if self.relayed.is_full() {
+            self.counts.rejected_relays += 1;
+            return;
+        }
+        let sequence = self.send_probe(target, true, out);
+        let lifetime = self.settings.probe_every.max(self.settings.answer_within);
+        let probe = RelayedProbe {
+            requester,
+            requested_sequence,
+            target,
+            expires_at: now + lifetime,
+        };
+        self.relayed.insert(sequence, probe);
+    }
+
+    /// What is due by now.
+    fn on_time(&mut self, now: Micros, out: &mut Vec<Output>) {
+        if now - self.schedule.next_probe > SUSPENDED_INTERVALS * self.settings.probe_every {
+            // Symptom: suspended for minutes and resumed, everybody is overdue at once. None of that is their silence.
+            self.counts.resumptions += 1;
+            self.schedule.pending = None;
+            self.schedule.next_probe = now;
+            self.table.restart_suspicions(now);
+        }
+        self.declare_dead(now, out);
+        match self.schedule.timed_out(now) {
+            Some(probe) if !probe.is_indirect => self.request_indirect_probes(now, probe, out),
+            Some(probe) => {
+                self.schedule.pending = None;
+                self.suspect(now, probe.target, out);
+            }
+            None => {}
+        }
+        self.relayed.remove_expired(now);
+        if now >= self.schedule.next_probe {
+            self.schedule.next_probe = now + self.settings.probe_every;
+            if self.schedule.pending.is_none() {
+                self.start_probe(now, out);
+            }
+        }
+    }
+
+    /// Suspicions that timed out.
+    fn declare_dead(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let is_overdue = |status: &MemberStatus| {
+            status.standing == Standing::Suspected
+                && now >= status.since + self.settings.suspected_for
+        };
+        let dead: Vec<MemberIndex> = self
+            .table
+            .statuses()
+            .filter(|(_, status)| is_overdue(status))
+            .map(|(member, _)| member)
+            .collect();
+        for member in dead {
+            self.counts.deaths += 1;
+            self.table
+                .set_state(now, member, Standing::Dead, Why::SilentTooLong);
+            out.push(Output::Changed(member));
+        }
+    }
+
+    fn suspect(&mut self, now: Micros, member: MemberIndex, out: &mut Vec<Output>) {
+        if self.known(member).standing == Standing::Alive {
+            self.counts.suspicions += 1;
+            self.table
+                .set_state(now, member, Standing::Suspected, Why::Silent);
+            out.push(Output::Changed(member));
+        }
+    }
+
+    /// Probes the next member of the round.
+    fn start_probe(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let Some(target) = self.schedule.next_target(&self.group) else {
+            return;
+        };
+        self.counts.probes += 1;
+        // A member that is not known to be alive has to learn what is held of it.
+        let with_updates = self.known(target).standing != Standing::Alive;
+        let sequence = self.send_probe(target, with_updates, out);
+        self.schedule.pending = Some(PendingProbe {
+            target,
+            sequence,
+            is_indirect: false,
+            due: now + self.settings.answer_within,
+        });
+    }
+
+    fn request_indirect_probes(&mut self, now: Micros, probe: PendingProbe, out: &mut Vec<Output>) {
+        let mut others: Vec<MemberIndex> = self
+            .group
+            .others()
+            .filter(|m| *m != probe.target && self.known(*m).standing == Standing::Alive)
+            .collect();
+        self.schedule.shuffle(&mut others);
+        for to in others.into_iter().take(INDIRECT_PROBES) {
+            self.counts.indirect_probes += 1;
+            let message = Message::AskFor {
+                serial: probe.sequence,
+                whom: probe.target,
+            };
+            out.push(Output::Send { to, message });
+        }
+        self.schedule.pending = Some(PendingProbe {
+            is_indirect: true,
+            // The indirect way is twice as long as the direct one.
+            due: now + 2 * self.settings.answer_within,
+            ..probe
+        });
+    }
+
+    /// Gives the probe's number.
+    fn send_probe(&mut self, to: MemberIndex, with_updates: bool, out: &mut Vec<Output>) -> u64 {
+        self.sequence += 1;
+        let message = Message::Probe {
+            serial: self.sequence,
+            table: self.table.digest(),
+            rows: self.updates_if(with_updates),
+        };
+        out.push(Output::Send { to, message });
+        self.sequence
+    }
+
+    fn updates_if(&self, with_updates: bool) -> Vec<Row> {
+        if with_updates {
+            self.table.updates()
+        } else {
+            Vec::new()
+        }
+    }
+
+    fn merge_all(&mut self, now: Micros, received: &[Row], out: &mut Vec<Output>) {
+        for update in received.iter().take(self.group.len()) {
+            self.merge(now, *update, Why::Told, out);
+        }
+    }
+
+    fn merge(&mut self, now: Micros, update: Row, why: Why, out: &mut Vec<Output>) {
+        match self.table.merge(now, update, why) {
+            MergeOutcome::Unchanged => return,
+            MergeOutcome::Updated => {}
+            MergeOutcome::Refuted { other_process } => {
+                self.counts.refutations += 1;
+                self.counts.outdated += u64::from(other_process);
+            }
+        }
+        out.push(Output::Changed(update.member));
+    }
+}
--- a/crates/membership/src/group.rs
+++ b/crates/membership/src/group.rs
@@ -1,190 +1,164 @@
-//! The group as its settings fix it: members, their weights and regions, and what makes a majority. It never changes
-//! while a router runs, and two routers with different groups never speak with each other.
+//! The group as configured: its members, their weights and regions, and what a majority is. It never changes while a
+//! router runs, and two routers with different groups do not talk to each other.
 
 use std::collections::BTreeSet;
-use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
+use crate::member_table::stable_hash;
+
+/// A member's place in [`Group::members`].
 pub type MemberIndex = u16;
 
-/// Each asks each other one from time to time and keeps a line for each in every table: beyond, a second group is
-/// the better choice.
-pub const MOST_MEMBERS: usize = 64;
+/// Each member probes every other one and holds an entry for each: with more of them, a second group is the better
+/// choice.
+pub const MAX_MEMBERS: usize = 64;
 /// Weights are small numbers, so that their sum is exact and a person can add them up.
 pub const MOST_WEIGHT: u32 = 100;
 
+/// One member of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
+    /// Unique in the group.
     pub name: String,
+    /// Where it runs; any text.
     pub region: String,
-    /// Its part in majorities; 0: it only listens.
+    /// Its votes towards a majority; with 0 it only listens.
     pub weight: u32,
-    /// It votes and keeps copies, and takes no invocations.
+    /// It votes and stores records, and takes no invocations.
     pub witness: bool,
 }
 
+/// Why a list of members is no group.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum GroupError {
+    /// There are no members.
     #[error("the group has no member")]
     Empty,
-    #[error("the group has {0} members, more than {MOST_MEMBERS}")]
-    Large(usize),
+    /// There are more than [`MAX_MEMBERS`]: so many.
+    #[error("the group has {0} members, more than {MAX_MEMBERS}")]
+    TooLarge(usize),
+    /// Two members have this name.
     #[error("member '{0}' is named twice")]
-    Twice(String),
+    DuplicateName(String),
+    /// This router's own name is no member's.
     #[error("'{0}' is not among the group's members")]
-    Stranger(String),
+    NotAMember(String),
+    /// All weights are 0.
     #[error("no member of the group has a weight")]
-    Weightless,
+    NoWeight,
 }
 
-impl Unfit {
+impl GroupError {
     /// What an operator can do.
     pub fn remedy(&self) -> &'static str {
         match self {
-            Unfit::Empty => "name each router of the group under [[peers.member]], this one too",
-            Unfit::Large(_) => "part the routers into several groups, each with queues of its own",
-            Unfit::Twice(_) => "give each member a name of its own",
-            Unfit::Stranger(_) => "set peers.name to the name of the member that this router is",
-            Unfit::Weightless => "give at least one member a weight above 0",
+            GroupError::Empty => {
+                "name each router of the group under [[peers.member]], this one too"
+            }
+            GroupError::TooLarge(_) => {
+                "part the routers into several groups, each with queues of its own"
+            }
+            GroupError::DuplicateName(_) => "give each member a name of its own",
+            GroupError::NotAMember(_) => {
+                "set peers.name to the name of the member that this router is"
+            }
+            GroupError::NoWeight => "give at least one member a weight above 0",
         }
     }
 }
 
-/// The same text at every member, apart from which of them this router is.
+/// Equal at every member, apart from `me`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Group {
+    /// Its name.
     pub name: String,
+    /// In the order of their names.
     pub members: Vec<Member>,
+    /// Which member this router is.
     pub me: MemberIndex,
-    /// A number for all of it: members with another one are strangers.
+    /// Hash of name and members. Members with another one are not talked to.
     pub mark: u64,
 }
 
 impl Group {
-    /// Members go by the order of their names, so that the order in a file does not matter.
-    pub fn new(name: &str, mut members: Vec<Member>, me: &str) -> Result<Group, Unfit> {
+    /// `own_name`: which member this router is. Members are sorted by name: their order in a file does not matter.
+    pub fn new(name: &str, mut members: Vec<Member>, own_name: &str) -> Result<Group, GroupError> {
         members.sort_by(|a, b| a.name.cmp(&b.name));
         if members.is_empty() {
-            return Err(Unfit::Empty);
+            return Err(GroupError::Empty);
         }
-        if members.len() > MOST_MEMBERS {
-            return Err(Unfit::Large(members.len()));
+        if members.len() > MAX_MEMBERS {
+            return Err(GroupError::TooLarge(members.len()));
         }
-        if let Some(twice) = members.windows(2).find(|w| w[0].name == w[1].name) {
-            return Err(Unfit::Twice(twice[0].name.clone()));
+        if let Some(pair) = members.windows(2).find(|w| w[0].name == w[1].name) {
+            return Err(GroupError::DuplicateName(pair[0].name.clone()));
         }
-        if members.iter().all(|m| m.weight == 0) {
-            return Err(Unfit::Weightless);
+        if members.iter().all(|member| member.weight == 0) {
+            return Err(GroupError::NoWeight);
         }
-        let Some(at) = members.iter().position(|m| m.name == me) else {
-            return Err(Unfit::Stranger(me.to_owned()));
+        let Some(own_index) = members.iter().position(|member| member.name == own_name) else {
+            return Err(GroupError::NotAMember(own_name.to_owned()));
         };
-        let mark = BuildHasherDefault::<DefaultHasher>::default().hash_one((name, &members));
         Ok(Group {
             name: name.to_owned(),
+            mark: stable_hash((name, &members)),
             members,
-            me: at as MemberIndex,
-            mark,
+            me: own_index as MemberIndex,
         })
     }
 
+    /// How many members there are.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
+    /// Never, as [`Group::new`] rejects it.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    pub fn others(&self) -> impl Iterator<Item = MemberIndex> + use<> {
-        let me = self.me;
-        (0..self.members.len() as MemberIndex).filter(move |m| *m != me)
+    fn indices(&self) -> impl Iterator<Item = MemberIndex> + use<> {
+        0..self.members.len() as MemberIndex
     }
 
-    pub fn weight(&self, of: impl IntoIterator<Item = MemberIndex>) -> u32 {
-        of.into_iter()
-            .filter_map(|m| self.members.get(m as usize))
-            .map(|m| m.weight)
-            .sum()
+    /// All members but this one.
+    pub fn others(&self) -> impl Iterator<Item = MemberIndex> + use<> {
+        let own_index = self.me;
+        self.indices().filter(move |member| *member != own_index)
     }
 
-    fn all(&self) -> u32 {
-        self.members.iter().map(|m| m.weight).sum()
+    /// The sum of these members' weights; each index counts as often as it is given.
+    pub fn weight(&self, members: impl IntoIterator<Item = MemberIndex>) -> u32 {
+        members
+            .into_iter()
+            .filter_map(|index| self.members.get(index as usize))
+            .map(|member| member.weight)
+            .sum()
     }
 
-    /// Two such sets always have a member in common.
-    pub fn is_majority(&self, of: impl IntoIterator<Item = MemberIndex>) -> bool {
-        self.weight(of) * 2 > self.all()
+    /// These have more than half of all weight. Two majorities always have a member in common.
+    pub fn is_majority(&self, members: impl IntoIterator<Item = MemberIndex>) -> bool {
+        self.weight(members) * 2 > self.weight(self.indices())
     }
 
-    /// Every majority has a member among these, apart from `beside`: what they all know together is known.
-    pub fn meets_all(&self, of: &BTreeSet<MemberIndex>, beside: MemberIndex) -> bool {
-        let rest =
-            (0..self.members.len() as MemberIndex).filter(|m| *m == beside || !of.contains(m));
+    /// Every majority has a member among these other than `excluded`: what any majority accepted, one of these knows.
+    pub fn meets_all(&self, members: &BTreeSet<MemberIndex>, excluded: MemberIndex) -> bool {
+        let rest = self
+            .indices()
+            .filter(|member| *member == excluded || !members.contains(member));
         !self.is_majority(rest)
     }
 
-    /// Regions whose members are a majority by themselves: a cut leaves them able to go on alone.
-    pub fn ruling_regions(&self) -> Vec<&str> {
+    /// Regions whose members are a majority by themselves: cut off from the others, they can go on.
+    pub fn regions_with_majority(&self) -> Vec<&str> {
         let regions: BTreeSet<&str> = self.members.iter().map(|m| m.region.as_str()).collect();
-        let of = |r: &str| {
-            (0..self.members.len() as MemberIndex)
-                .filter(|m| self.members[*m as usize].region == r)
+        let members_in = |region: &str| {
+            self.indices()
+                .filter(|index| self.members[*index as usize].region == region)
                 .collect::<Vec<_>>()
         };
         regions
             .into_iter()
-            .filter(|r| self.is_majority(of(r)))
+            .filter(|region| self.is_majority(members_in(region)))
             .collect()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn group(weights: &[u32]) -> Group {
-        let member = |(n, w): (usize, &u32)| Member {
-            name: format!("r{n}"),
-            region: format!("g{}", n % 2),
-            weight: *w,
-            witness: false,
-        };
-        Group::new("g", weights.iter().enumerate().map(member).collect(), "r0").expect("it is fit")
-    }
-
-    #[test]
-    fn two_majorities_meet_and_what_meets_all_misses_none() {
-        for weights in [
-            &[1, 1, 1][..],
-            &[1, 1, 1, 1],
-            &[2, 1, 1, 1],
-            &[1, 1, 1, 1, 1],
-            &[3, 1, 0, 1],
-        ] {
-            let g = group(weights);
-            let n = weights.len() as MemberIndex;
-            let set = |bits: u32| {
-                (0..n)
-                    .filter(|m| bits & 1 << m != 0)
-                    .collect::<BTreeSet<_>>()
-            };
-            for a in 0..1 << n {
-                for b in 0..1 << n {
-                    let meet = !set(a).is_disjoint(&set(b));
-                    assert!(
-                        meet || !g.is_majority(set(a)) || !g.is_majority(set(b)),
-                        "{weights:?}"
-                    );
-                    for beside in 0..n {
-                        let without: BTreeSet<_> =
-                            set(b).into_iter().filter(|m| *m != beside).collect();
-                        let met = !set(a).is_disjoint(&without);
-                        assert!(met || !g.meets_all(&set(a), beside) || !g.is_majority(set(b)));
-                    }
-                }
-            }
-        }
-        assert_eq!(group(&[1, 1, 1, 1]).ruling_regions(), Vec::<&str>::new());
-        assert_eq!(group(&[2, 1, 1, 1]).ruling_regions(), ["g0"]);
-    }
-}
