--- a/crates/startup/tests/settings.rs
+++ b/crates/startup/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of customers whose names and choices are unlike those of any other.
+//! Settings with unusual names and values, in both forms.
 
 use cedarpulley::interface::{
     Action, Arrival, Endpoint, EndpointListKind, EndpointState, Event, Micros,
@@ -13,9 +13,9 @@
     StartupSettings::read(&raw).expect("good settings")
 }
 
-/// One worker in service and one request of the first class, whose client waits for so long: what the module does.
-fn first_actions(settings: &StartupSettings, client_gives_up_in: Micros) -> Vec<Action> {
-    let mut control = settings.balancer(1);
+/// The policy module's actions for one worker in service and one invocation of the first trigger type.
+fn first_actions(settings: &StartupSettings, client_timeout: Micros) -> Vec<Action> {
+    let mut balancer = settings.balancer(1);
     let worker = Endpoint {
         worker: 0,
         fingerprint: 7,
@@ -36,13 +36,13 @@
         load_hint: None,
         copy_mb: 0.0,
         lanes: 1,
-        client_timeout_in: client_gives_up_in,
+        client_timeout_in: client_timeout,
         waited: 0,
         repeat: false,
         preferred_worker: None,
     };
     let mut actions = Vec::new();
-    control.handle(
+    balancer.handle(
         0,
         &Event::EndpointList {
             kind: EndpointListKind::Complete,
@@ -50,13 +50,13 @@
         },
         &mut actions,
     );
-    control.handle(1, &Event::Invocation(arrival), &mut actions);
+    balancer.handle(1, &Event::Invocation(arrival), &mut actions);
     actions
 }
 
 /// Symptom: a zone named `hall a, north` counts as two, and every zone after it has the wrong place in the list.
 #[test]
-fn a_name_in_a_list_may_hold_a_comma() {
+fn a_list_value_may_contain_a_comma() {
     let settings = json!({"zones": ["hall a, north", "", "hall b"], "kinds": []});
     let raw = RawSettings::nested(&settings).expect("an object");
     assert_eq!(
@@ -66,25 +66,26 @@
     assert_eq!(raw.list("kinds").count() + raw.list("absent").count(), 0);
 }
 
-/// Pairs join the values of a list with commas, and have none within a value.
+/// Values in pairs contain no commas themselves.
 #[test]
-fn pairs_give_a_list_joined_with_commas() {
+fn lists_in_pairs_are_separated_by_commas() {
     let raw = RawSettings::pairs("zones=a,b_c kinds=").expect("pairs");
     assert_eq!(raw.list("zones").collect::<Vec<_>>(), ["a", "b_c"]);
     assert_eq!(raw.list("kinds").count(), 0);
 }
 
-/// Symptom: without an aim the module takes the work of a class to be endless and gives up each of its requests at once.
+/// Symptom: without an objective the module takes the work of a trigger type to be unlimited and rejects each invocation
+/// at once.
 #[test]
-fn a_class_without_an_aim_is_served() {
+fn a_trigger_type_without_a_latency_objective_is_dispatched() {
     let service =
         json!({"name": "run", "hardLimit": 2_000_000_000, "effect": "retryable", "aim": null});
     let settings =
         read(&json!({"services": [service], "familyInfo": {"staysLoaded": 10_000_000_000i64}}));
     let actions = first_actions(&settings, 2 * SECOND);
-    let sent = |a: &Action| {
+    let is_dispatch = |action: &Action| {
         matches!(
-            a,
+            action,
             Action::Dispatch {
                 invocation: 0,
                 worker: 0,
@@ -92,13 +93,13 @@
             }
         )
     };
-    assert!(actions.iter().any(sent), "{actions:?}");
+    assert!(actions.iter().any(is_dispatch), "{actions:?}");
     assert_eq!(settings.triggers[0].latency_objective, 2 * SECOND);
 }
 
-/// Symptom: without a time of its own each order to load times out in the moment it is given.
+/// Symptom: without a timeout of its own each order to load times out as soon as it is sent.
 #[test]
-fn an_order_without_a_time_of_its_own_is_waited_for() {
+fn a_load_order_defaults_to_the_longest_client_timeout() {
     let service = |limit: i64| json!({"name": "run", "hardLimit": limit, "aim": 300_000_000});
     let services = [service(600_000_000), service(2_000_000_000)];
     let settings = json!({"services": services, "familyInfo": {"mayLoad": true}});
@@ -109,7 +110,7 @@
 
 /// Symptom: a tenant is called `-`, and the router does not start, as its name is missing.
 #[test]
-fn a_name_may_be_a_lone_hyphen() {
+fn a_hyphen_is_absence_in_pairs_and_a_value_in_json() {
     let settings = json!({"orgs": [{"name": "-", "share": null}]});
     let raw = RawSettings::nested(&settings).expect("an object");
     assert_eq!(raw.text("orgs.0.name"), Some("-"));
@@ -117,7 +118,7 @@
         (raw.text("orgs.0.share"), raw.text("orgs.1.name")),
         (None, None)
     );
-    // In pairs it stands for what is absent.
+    // In pairs it means that the value is absent.
     assert_eq!(
         RawSettings::pairs("orgs.0.name=-")
             .expect("pairs")
@@ -126,9 +127,9 @@
     );
 }
 
-/// Symptom: a list where one value belongs is passed over as if nothing were given.
+/// Symptom: a list where one value is expected is ignored as if it were absent.
 #[test]
-fn a_list_where_one_value_belongs_is_refused() {
+fn a_list_where_one_value_is_expected_is_rejected() {
     for aim in [json!([1, 2]), json!([])] {
         let raw = json!({"services": [{"name": "run", "aim": aim}]});
         let raw = RawSettings::nested(&raw).expect("an object");
