--- /dev/null
+++ b/crates/net/src/notifier.rs
@@ -0,0 +1,30 @@
+//! Wakes one task from another.
+
+use smol::channel::{Receiver, Sender, bounded};
+
+/// Notifies a waiting task. Notifications that nobody waited for yet are merged into one. Clones share it.
+#[derive(Clone, Debug)]
+pub struct Bell {
+    sender: Sender<()>,
+    receiver: Receiver<()>,
+}
+
+impl Default for Bell {
+    fn default() -> Self {
+        let (sender, receiver) = bounded(1);
+        Bell { sender, receiver }
+    }
+}
+
+impl Bell {
+    /// Wakes the task that waits, or else the next one that does.
+    pub fn ring(&self) {
+        // A full channel holds a notification that nobody has taken yet.
+        let _ = self.sender.try_send(());
+    }
+
+    /// Waits for a notification and takes it: of several waiting tasks one is woken.
+    pub async fn heard(&self) {
+        let _ = self.receiver.recv().await;
+    }
+}
