--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -100,11 +100,11 @@
         match input {
             Input::Heard {
                 from,
-                process,
+                process: sender,
                 message,
             } => {
                 if self.table.is_other_member(from) {
-                    self.came_from(now, from, process, out);
+                    self.came_from(now, from, sender, out);
                     self.on_message(now, from, message, out);
                 }
             }
@@ -158,7 +158,7 @@
         &mut self,
         now: Micros,
         from: MemberIndex,
-        process: Process,
+        incarnation: Process,
         out: &mut Vec<Output>,
     ) {
         if !self.table.is_other_member(from) {
@@ -167,7 +167,7 @@
         self.table.record_contact(now, from);
         let alive = Row {
             member: from,
-            process,
+            process: incarnation,
             standing: Standing::Alive,
         };
         self.merge(now, alive, Why::Answered, out);
@@ -188,33 +188,33 @@
             } => {
                 let differed = sender_digest != self.table.digest();
                 self.merge_all(now, &received, out);
-                let digest = self.table.digest();
+                let own_digest = self.table.digest();
                 let message = Message::Answer {
                     serial: probe_sequence,
                     of: self.group.me,
-                    table: digest,
-                    rows: self.updates_if(differed || sender_digest != digest),
+                    table: own_digest,
+                    rows: self.updates_if(differed || sender_digest != own_digest),
                 };
                 out.push(Output::Send { to: from, message });
             }
             Message::Answer {
                 serial: probe_sequence,
-                of: answered_by,
+                of: responder,
                 table: sender_digest,
                 rows: received,
             } => {
                 self.merge_all(now, &received, out);
-                self.on_answer(now, from, probe_sequence, answered_by, out);
+                self.on_answer(now, from, probe_sequence, responder, out);
                 // The sender lacks something that is known here, and gets it at once, not a round later.
-                let is_own_answer = answered_by == from && sender_digest != 0;
+                let is_own_answer = responder == from && sender_digest != 0;
                 if is_own_answer && sender_digest != self.table.digest() {
                     self.send_probe(from, true, out);
                 }
             }
             Message::AskFor {
                 serial: requested_sequence,
-                whom: target,
-            } => self.relay_probe(now, from, requested_sequence, target, out),
+                whom: probe_target,
+            } => self.relay_probe(now, from, requested_sequence, probe_target, out),
         }
     }
 
@@ -223,27 +223,27 @@
         now: Micros,
         from: MemberIndex,
         probe_sequence: u64,
-        answered_by: MemberIndex,
+        responder: MemberIndex,
         out: &mut Vec<Output>,
     ) {
-        if let Some(relayed) = self.relayed.answered(probe_sequence, answered_by) {
+        if let Some(relayed) = self.relayed.answered(probe_sequence, responder) {
             let message = Message::Answer {
                 serial: relayed.requested_sequence,
-                of: answered_by,
+                of: responder,
                 table: 0,
-                rows: self.table.update_of(answered_by).into_iter().collect(),
+                rows: self.table.update_of(responder).into_iter().collect(),
             };
             out.push(Output::Send {
                 to: relayed.requester,
                 message,
             });
         }
-        let is_indirect = answered_by != from;
-        if self.schedule.answered(probe_sequence, answered_by)
+        let is_indirect = responder != from;
+        if self.schedule.answered(probe_sequence, responder)
             && is_indirect
-            && self.table.record_indirect_answer(now, answered_by)
+            && self.table.record_indirect_answer(now, responder)
         {
-            out.push(Output::Changed(answered_by));
+            out.push(Output::Changed(responder));
         }
     }
 
@@ -396,8 +396,8 @@
         }
     }
 
-    fn merge(&mut self, now: Micros, update: Row, why: Why, out: &mut Vec<Output>) {
-        match self.table.merge(now, update, why) {
+    fn merge(&mut self, now: Micros, update: Row, reason: Why, out: &mut Vec<Output>) {
+        match self.table.merge(now, update, reason) {
             MergeOutcome::Unchanged => return,
             MergeOutcome::Updated => {}
             MergeOutcome::Refuted { other_process } => {
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -9,7 +9,7 @@
 use crate::group::MemberIndex;
 use crate::message::{Process, Row, Standing};
 
-/// Why a member has its present state.
+/// The reason of a member's present state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize)]
 pub enum Why {
     /// Nothing was received from it yet.
@@ -45,7 +45,7 @@
     pub standing: Standing,
     /// When it took this state.
     pub since: Micros,
-    /// Why it has this state.
+    /// The reason of this state.
     pub why: Why,
     /// When anything was last received from it directly.
     pub heard: Option<Micros>,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// A member answered others that probed it on this one's behalf. True if why it has its state changed.
+    /// A member answered others that probed it on this one's behalf. True if the reason of its state changed.
     pub fn record_indirect_answer(&mut self, now: Micros, member: MemberIndex) -> bool {
         let status = &mut self.members[member as usize];
         if status.standing == Standing::Suspected {
@@ -150,13 +150,13 @@
     }
 
     /// A new state of the same incarnation, found by this member.
-    pub fn set_state(&mut self, now: Micros, member: MemberIndex, standing: Standing, why: Why) {
-        let process = self.members[member as usize].process;
-        self.replace(now, member, process, standing, why);
+    pub fn set_state(&mut self, now: Micros, member: MemberIndex, state: Standing, reason: Why) {
+        let incarnation = self.members[member as usize].process;
+        self.replace(now, member, incarnation, state, reason);
     }
 
     /// Takes in what another member, or a message of the member itself, says of a member.
-    pub fn merge(&mut self, now: Micros, update: Row, why: Why) -> MergeOutcome {
+    pub fn merge(&mut self, now: Micros, update: Row, reason: Why) -> MergeOutcome {
         let Some(held) = self.members.get(update.member as usize).copied() else {
             return MergeOutcome::Unchanged;
         };
@@ -169,7 +169,7 @@
         if (update.process, update.standing) <= (held.process, held.standing) {
             return MergeOutcome::Unchanged;
         }
-        self.replace(now, update.member, update.process, update.standing, why);
+        self.replace(now, update.member, update.process, update.standing, reason);
         MergeOutcome::Updated
     }
 
@@ -192,16 +192,16 @@
         &mut self,
         now: Micros,
         member: MemberIndex,
-        process: Process,
-        standing: Standing,
-        why: Why,
+        incarnation: Process,
+        state: Standing,
+        reason: Why,
     ) {
         let status = &mut self.members[member as usize];
         *status = MemberStatus {
-            process,
-            standing,
+            process: incarnation,
+            standing: state,
             since: now,
-            why,
+            why: reason,
             heard: status.heard,
         };
         self.version += 1;
