--- a/crates/platform-node/src/client_connections/accept.rs
+++ b/crates/platform-node/src/client_connections/accept.rs
@@ -10,16 +10,17 @@
 
 use crate::node::Node;
 
-/// When no connection can be accepted for want of descriptors, it is tried again this much later.
+/// After a failure to accept, usually for want of descriptors, before the next try.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
 /// Accepts connections for as long as the router runs.
-pub async fn accept_clients(node: Rc<Node>, listener: Rc<Async<TcpListener>>) {
+pub(crate) async fn accept_clients(node: Rc<Node>, listener: Rc<Async<TcpListener>>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                if !node.clients.has_room(&node) {
-                    // A burst was accepted before any of it was served. Those that get their answer at once make room.
+                if !node.clients.has_capacity(&node) {
+                    // A burst was accepted before any of it was served. Those that get their answer at once free
+                    // their connections.
                     yield_now().await;
                 }
                 if node.clients.admit(&node, stream) {
@@ -28,15 +29,15 @@
                 }
             }
             Err(error) => {
-                tracing::warn!("no connection accepted: {error}");
+                tracing::warn!(%error, "accepting a connection failed");
                 Timer::after(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Accepts what the kernel has accepted for this listener by now; false if some of it had to be left there.
-pub fn accept_backlog(node: &Rc<Node>, listener: &Async<TcpListener>) -> bool {
+/// Accepts every connection in the listener's backlog; false if some had to be left there.
+pub(crate) fn accept_backlog(node: &Rc<Node>, listener: &Async<TcpListener>) -> bool {
     loop {
         let accepted = listener
             .get_ref()
--- a/crates/platform-node/src/client_connections/connection.rs
+++ b/crates/platform-node/src/client_connections/connection.rs
@@ -2,6 +2,7 @@
 
 use std::cell::{Cell, RefCell};
 use std::io::{ErrorKind, Write};
+use std::net::Shutdown;
 
 use cedarpulley_net::{Bell, Stream};
 use cedarpulley_platform::client_protocol::{QueuedRequest, RequestQueue};
@@ -9,29 +10,29 @@
 use cedarpulley_router::Answer;
 use futures_lite::FutureExt;
 
-use crate::node::{Node, ReadResult};
+use crate::node::Node;
+use crate::read_buffer::ReadResult;
 
-/// Pieces that are read in a row: a client that never stops sending holds nobody else up for longer.
-const MOST_PIECES: usize = 4;
+/// Reads in a row: a client that never stops sending delays others no longer than that.
+const MAX_READS: usize = 4;
 
 /// Why a connection has to end although its client has not closed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
     /// Its descriptor is needed at once.
     Evicted,
-    /// Its time is over, or the router shuts down.
+    /// It is overdue, or the router shuts down.
     TimedOut,
 }
 
 pub(super) struct ClientConnection {
-    pub id: ClientId,
-    pub stream: Stream,
-    /// Rung when an answer has come, the client has gone, or the connection has to end.
-    pub wake: Bell,
-    pub answer: RefCell<Option<Answer>>,
-    /// Set once the client has closed its side, or the connection has failed.
-    pub client_left: Cell<bool>,
-    pub close: Cell<Option<CloseReason>>,
+    id: ClientId,
+    stream: Stream,
+    /// Rung when an answer has arrived, the client has disconnected, or the connection has to end.
+    wake: Bell,
+    answer: RefCell<Option<Answer>>,
+    disconnected: Cell<bool>,
+    close_reason: Cell<Option<CloseReason>>,
     requests: RefCell<RequestQueue>,
 }
 
@@ -42,18 +43,53 @@
             stream,
             wake: Bell::default(),
             answer: RefCell::default(),
-            client_left: Cell::new(false),
-            close: Cell::new(None),
+            disconnected: Cell::new(false),
+            close_reason: Cell::new(None),
             requests: RefCell::default(),
         }
     }
 
-    pub fn end(&self, reason: CloseReason) {
-        self.close.set(Some(reason));
+    pub fn id(&self) -> ClientId {
+        self.id
+    }
+
+    /// Has the connection's task look at the connection again.
+    pub fn wake(&self) {
         self.wake.ring();
     }
 
-    /// Until there is something to read, or the connection is woken.
+    /// Has the connection's task end the connection.
+    pub fn end(&self, reason: CloseReason) {
+        self.close_reason.set(Some(reason));
+        self.wake();
+    }
+
+    /// Why the connection has to end, if it has to.
+    pub fn close_reason(&self) -> Option<CloseReason> {
+        self.close_reason.get()
+    }
+
+    /// The connection has to end no longer.
+    pub fn clear_close_reason(&self) {
+        self.close_reason.set(None);
+    }
+
+    /// The answer to the pending request, for the connection's task.
+    pub fn deliver(&self, answer: Answer) {
+        self.answer.replace(Some(answer));
+        self.wake();
+    }
+
+    pub fn take_answer(&self) -> Option<Answer> {
+        self.answer.take()
+    }
+
+    /// Whether the client has closed its side, or the connection has failed, as far as it has been read.
+    pub fn is_disconnected(&self) -> bool {
+        self.disconnected.get()
+    }
+
+    /// Waits until there is something to read, or the connection is woken.
     pub async fn wait(&self) {
         let readable = async {
             let _ = self.stream.readable().await;
@@ -61,11 +97,11 @@
         self.wake.heard().or(readable).await;
     }
 
-    /// Reads all that has arrived, so that the client's closing is seen together with what it sent before.
+    /// Reads all that has arrived, so that a disconnection is seen together with what the client sent before.
     pub fn read_available(&self, node: &Node) {
         let arrived = node.arrival_time();
-        for _ in 0..MOST_PIECES {
-            if self.client_left.get() {
+        for _ in 0..MAX_READS {
+            if self.disconnected.get() {
                 return;
             }
             let put = |bytes: &[u8]| {
@@ -76,21 +112,31 @@
             match node.read(&self.stream, put) {
                 ReadResult::Bytes(()) => {}
                 ReadResult::Nothing => return,
-                ReadResult::Ended => self.client_left.set(true),
+                ReadResult::Ended => self.disconnected.set(true),
             }
         }
     }
 
-    /// Bytes lie unread in the kernel, or are read and not yet answered.
-    pub fn has_unread(&self) -> bool {
-        let in_kernel = || self.stream.get_ref().peek(&mut [0]).is_ok_and(|n| n > 0);
+    /// Reads once and discards what arrived; the number of bytes.
+    pub fn discard_available(&self, node: &Node) -> ReadResult<usize> {
+        node.read(&self.stream, <[u8]>::len)
+    }
+
+    /// Whether bytes are unread in the kernel's buffer, or a complete request is read and not yet served.
+    pub fn has_unserved_input(&self) -> bool {
+        let in_kernel = || {
+            let peeked = self.stream.get_ref().peek(&mut [0]);
+            peeked.is_ok_and(|length| length > 0)
+        };
         self.has_request() || in_kernel()
     }
 
+    /// Whether a complete request is read and not yet served.
     pub fn has_request(&self) -> bool {
         self.requests.borrow().has_request()
     }
 
+    /// Whether a request is read in part.
     pub fn is_receiving(&self) -> bool {
         self.requests.borrow().is_receiving()
     }
@@ -99,14 +145,16 @@
         self.requests.borrow_mut().take()
     }
 
-    /// Writes all of it; false if the client is gone or the connection has to end meanwhile.
+    /// Writes all bytes; false if the client has disconnected, or the connection has to end before the kernel has room.
     pub async fn write(&self, mut bytes: &[u8]) -> bool {
         while !bytes.is_empty() {
             match self.stream.get_ref().write(bytes) {
                 Ok(0) => return false,
-                Ok(n) => bytes = &bytes[n..],
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock && self.close.get().is_none() => {
+                Ok(written) => bytes = &bytes[written..],
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error)
+                    if error.kind() == ErrorKind::WouldBlock && self.close_reason().is_none() =>
+                {
                     let writable = async {
                         let _ = self.stream.writable().await;
                     };
@@ -117,4 +165,9 @@
         }
         true
     }
+
+    /// Tells the client that nothing more will be sent; false if the connection has failed.
+    pub fn shut_down_writing(&self) -> bool {
+        self.stream.get_ref().shutdown(Shutdown::Write).is_ok()
+    }
 }
--- a/crates/platform-node/src/discovery.rs
+++ b/crates/platform-node/src/discovery.rs
@@ -1,96 +1,156 @@
-//! Follows the discovery channel: asks again and again for what came after the last event, and connects anew after a
-//! break, a silence or a move.
+//! Follows the discovery channel: polls for the events after the last one, and connects again after a disconnection, a
+//! silence or a change of its address.
 
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
 use std::rc::Rc;
 
 use async_io::Timer;
 use cedarpulley::interface::Micros;
 use cedarpulley_errors::Remedy;
-use cedarpulley_net::{Stream, connect, micros};
+use cedarpulley_net::{Bell, Stream, connect, micros};
 use cedarpulley_platform::discovery::{
-    ANSWER_LATE, ASKED_WAIT, Answers, DiscoveryError, EventBatch, LONGEST_PAUSE,
+    Answers, DiscoveryError, EventBatch, ListUpdate, MAX_BACKOFF, POLL_WAIT, RESPONSE_MARGIN,
+    WorkerListFollower,
 };
 use cedarpulley_router::backoff::Backoff;
+use cedarpulley_startup::Names;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use thiserror::Error;
 
 use crate::node::Node;
 
-/// Pieces in which an answer is read.
-const PIECE: usize = 4 << 10;
+/// Bytes of a response that are read at a time.
+const READ_SIZE: usize = 4 << 10;
 
-/// Why the channel is connected to anew.
+/// The discovery channel's address, and the list of workers as its events have it.
+pub(crate) struct Discovery {
+    names: Names,
+    address: Cell<SocketAddr>,
+    moved: Bell,
+    worker_list: RefCell<WorkerListFollower>,
+}
+
+impl Discovery {
+    /// `names`: the zones and kinds of workers.
+    pub fn new(address: SocketAddr, names: Names, worker_list: WorkerListFollower) -> Self {
+        Discovery {
+            names,
+            address: Cell::new(address),
+            moved: Bell::default(),
+            worker_list: RefCell::new(worker_list),
+        }
+    }
+
+    /// Has the channel followed at another address from now on.
+    pub fn move_to(&self, address: SocketAddr) {
+        self.address.set(address);
+        self.moved.ring();
+    }
+
+    /// Where a listed worker listens.
+    pub fn worker_address(&self, id: &str) -> Option<SocketAddr> {
+        self.worker_list.borrow().address(id)
+    }
+
+    /// Applies a batch to the list, and returns the updates in it. `wall_at_zero`, `unheard_for`: as for
+    /// [`WorkerListFollower`].
+    pub fn updates(
+        &self,
+        batch: &EventBatch,
+        wall_at_zero: Micros,
+        unheard_for: Micros,
+    ) -> Result<Vec<ListUpdate>, DiscoveryError> {
+        self.worker_list
+            .borrow_mut()
+            .batch(batch, &self.names, wall_at_zero, unheard_for)
+    }
+
+    /// Repeated events and workers beyond the limit that were ignored so far.
+    pub fn ignored(&self) -> (u64, u64) {
+        let list = self.worker_list.borrow();
+        (list.repeated_events(), list.ignored_workers())
+    }
+}
+
+/// Why the channel is connected to again.
 #[derive(Debug, Error)]
-pub enum ChannelError {
+enum ChannelError {
     #[error("the discovery channel's connection failed")]
-    System(#[from] std::io::Error),
+    Io(#[from] std::io::Error),
     #[error("the discovery channel gave no answer in time")]
-    Late,
+    Timeout,
     #[error("the discovery channel closed its connection")]
     Closed,
     #[error(transparent)]
-    Answer(#[from] DiscoveryError),
+    Response(#[from] DiscoveryError),
 }
 
 impl Remedy for ChannelError {
     fn remedy(&self) -> &'static str {
         match self {
-            ChannelError::Answer(error) => error.remedy(),
+            ChannelError::Response(error) => error.remedy(),
             _ => "nothing, if it comes now and then; else see that the channel runs and is reached",
         }
     }
 }
 
-/// Follows the channel for as long as the router runs.
-pub async fn follow(node: Rc<Node>, seed: u64) {
-    let mut backoff = Backoff::up_to(seed, LONGEST_PAUSE);
+/// Follows the channel for as long as the router runs. `seed`: for the backoff's jitter.
+pub(crate) async fn follow(node: Rc<Node>, seed: u64) {
+    let mut backoff = Backoff::up_to(seed, MAX_BACKOFF);
     loop {
-        let began = node.clock.now();
-        let broken = async {
-            if let Err(error) = ask(&node).await {
-                tracing::debug!("{}", error.line());
+        let connected_at = node.clock.now();
+        let poll_and_back_off = async {
+            if let Err(error) = poll_on_one_connection(&node).await {
+                tracing::debug!(error = error.line(), "discovery connection ended");
             }
-            let pause = backoff.after(node.clock.now() - began);
+            let pause = backoff.after(node.clock.now() - connected_at);
             Timer::after(micros(pause)).await;
         };
-        // After a move it goes on at the new address at once.
-        node.discovery_moved.heard().or(broken).await;
+        // After a move there is no backoff at the new address.
+        node.discovery.moved.heard().or(poll_and_back_off).await;
     }
 }
 
-/// Asks on one connection for as long as it holds.
-async fn ask(node: &Rc<Node>) -> Result<(), ChannelError> {
-    let address = node.discovery_address.get();
-    let mut stream = connect(address, None, ASKED_WAIT).await?;
-    let mut answers = Answers::default();
-    // What the first answer tells may have come while nobody was connected; later answers are waited for.
+/// Polls on one connection until it fails.
+async fn poll_on_one_connection(node: &Rc<Node>) -> Result<(), ChannelError> {
+    let address = node.discovery.address.get();
+    let mut stream = connect(address, None, POLL_WAIT).await?;
+    let mut responses = Answers::default();
+    // The events of the first response may have happened while nobody was connected; later ones arrive as they happen.
     let mut unheard_for = Micros::MAX;
     loop {
-        let question = node.worker_list.borrow().ask(&address.to_string());
-        stream.write_all(&question).await?;
-        let late = async {
-            Timer::after(micros(ASKED_WAIT + ANSWER_LATE)).await;
-            Err(ChannelError::Late)
+        let request = node
+            .discovery
+            .worker_list
+            .borrow()
+            .poll_request(&address.to_string());
+        stream.write_all(&request).await?;
+        let timeout = async {
+            Timer::after(micros(POLL_WAIT + RESPONSE_MARGIN)).await;
+            Err(ChannelError::Timeout)
         };
-        let batch = read_answer(&mut stream, &mut answers).or(late).await?;
-        node.follow(&batch, unheard_for.max(node.lag()))?;
+        let batch = read_response(&mut stream, &mut responses)
+            .or(timeout)
+            .await?;
+        node.apply_events(&batch, unheard_for.max(node.lag()))?;
         unheard_for = 0;
     }
 }
 
-async fn read_answer(
+async fn read_response(
     stream: &mut Stream,
-    answers: &mut Answers,
+    responses: &mut Answers,
 ) -> Result<EventBatch, ChannelError> {
-    let mut piece = [0; PIECE];
+    let mut buffer = [0; READ_SIZE];
     loop {
-        if let Some(batch) = answers.whole()? {
+        if let Some(batch) = responses.whole()? {
             return Ok(batch);
         }
-        let n = stream.read(&mut piece).await?;
-        if n == 0 {
+        let length = stream.read(&mut buffer).await?;
+        if length == 0 {
             return Err(ChannelError::Closed);
         }
-        answers.put(&piece[..n]);
+        responses.put(&buffer[..length]);
     }
 }
--- a/crates/platform-node/src/node.rs
+++ b/crates/platform-node/src/node.rs
@@ -1,9 +1,6 @@
-//! [`Node`]: the loop around the core. What came in goes to the core, one thing after the other, and what the core puts
-//! out is carried out in order.
+//! [`Node`]: ties the core, the connections of clients and workers, discovery and shutdown together.
 
 use std::cell::{Cell, RefCell};
-use std::collections::VecDeque;
-use std::io::{ErrorKind, Read};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,80 +8,79 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use cedarpulley::interface::{Micros, WorkerIndex};
-use cedarpulley_net::{Alarm, Bell, Clock, Stream};
-use cedarpulley_platform::discovery::{DiscoveryError, EventBatch, ListUpdate, WorkerListFollower};
+use cedarpulley_net::{Clock, Stream};
+use cedarpulley_platform::discovery::{DiscoveryError, EventBatch, ListUpdate};
 use cedarpulley_platform::event_loop_lag::EventLoopLag;
 use cedarpulley_platform::graceful_shutdown::GracefulShutdown;
 use cedarpulley_router::{Input, OrderTicket, Output, Router, Ticket};
-use cedarpulley_startup::{Names, ReportField};
 
 use crate::client_connections::ClientConnections;
-use crate::worker_connections::WorkerConnections;
+use crate::core_loop::CoreLoop;
+use crate::discovery::Discovery;
+use crate::read_buffer::{ReadBuffer, ReadResult};
+use crate::worker_connections::{Attempt, LoadOrder, WorkerConnections};
 
-/// How often connections whose time is over are looked for, and the event loop shows that it keeps up.
-pub(crate) const SWEEP_PERIOD: Duration = Duration::from_millis(50);
-/// One piece read at a time: several short requests or answers, a long one in a few.
-pub(crate) const PIECE: usize = 16 << 10;
+/// How often overdue connections are closed, and the event loop's lag is measured.
+const SWEEP_PERIOD: Duration = Duration::from_millis(50);
 
 /// One router with its connections.
-pub struct Node {
-    pub(crate) clock: Clock,
-    pub(crate) executor: Rc<LocalExecutor<'static>>,
-    pub(crate) router: RefCell<Router>,
-    /// What the core has yet to hear.
-    pub(crate) inputs: RefCell<VecDeque<Input>>,
-    pub(crate) feeding: Cell<bool>,
-    pub(crate) alarm: Alarm,
-    pub(crate) clients: ClientConnections,
-    pub(crate) workers: WorkerConnections,
-    pub(crate) names: Names,
-    pub(crate) fields: Vec<ReportField>,
-    /// Workers tell how many requests for the same function they hold.
-    pub(crate) crowds: bool,
-    pub(crate) discovery_address: Cell<SocketAddr>,
-    pub(crate) discovery_moved: Bell,
-    pub(crate) worker_list: RefCell<WorkerListFollower>,
-    pub(crate) shutdown: RefCell<GracefulShutdown>,
-    pub(crate) event_loop_lag: Cell<EventLoopLag>,
-    /// All connections read into it, one after the other.
-    pub(crate) piece: RefCell<Vec<u8>>,
+pub(crate) struct Node {
+    pub clock: Clock,
+    pub clients: ClientConnections,
+    pub workers: WorkerConnections,
+    pub discovery: Discovery,
+    executor: Rc<LocalExecutor<'static>>,
+    core: CoreLoop,
+    shutdown: RefCell<GracefulShutdown>,
+    event_loop_lag: Cell<EventLoopLag>,
+    read_buffer: ReadBuffer,
 }
 
-/// What a connection had to read.
-pub(crate) enum ReadResult<T> {
-    Bytes(T),
-    Nothing,
-    Ended,
+/// What a node is made of.
+pub(crate) struct NodeParts {
+    pub router: Router,
+    pub clients: ClientConnections,
+    pub workers: WorkerConnections,
+    pub discovery: Discovery,
+    pub shutdown: GracefulShutdown,
 }
 
 impl Node {
-    /// Hands the core what happened and carries out what it wants. What happens meanwhile waits its turn.
-    pub(crate) fn feed(self: &Rc<Self>, input: Input) {
-        // Answers to others are carried out before this returns: a table borrowed here would be borrowed twice.
+    pub fn new(parts: NodeParts) -> Self {
+        let clock = Clock::start();
+        Node {
+            clock,
+            clients: parts.clients,
+            workers: parts.workers,
+            discovery: parts.discovery,
+            executor: Rc::new(LocalExecutor::new()),
+            core: CoreLoop::new(parts.router),
+            shutdown: RefCell::new(parts.shutdown),
+            event_loop_lag: Cell::new(new_event_loop_lag(&clock)),
+            read_buffer: ReadBuffer::new(),
+        }
+    }
+
+    /// Runs a task and all those that it spawns on this thread, until the first one ends.
+    pub fn block_on(&self, task: impl Future<Output = ()>) {
+        async_io::block_on(self.executor.run(task));
+    }
+
+    /// Starts a task that runs beside the others.
+    pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
+        self.executor.spawn(task).detach();
+    }
+
+    /// Hands the core an input and carries out its outputs.
+    pub fn feed(self: &Rc<Self>, input: Input) {
+        // Outputs for other connections are carried out before this returns: a table that the caller has borrowed would
+        // be borrowed twice.
         debug_assert!(
             self.clients.is_unborrowed() && self.workers.is_unborrowed(),
             "fed with a table borrowed"
         );
-        self.inputs.borrow_mut().push_back(input);
-        if self.feeding.replace(true) {
-            return;
-        }
-        let mut outputs = Vec::new();
-        loop {
-            let Some(input) = self.inputs.borrow_mut().pop_front() else {
-                break;
-            };
-            let due = {
-                let mut router = self.router.borrow_mut();
-                router.handle(self.clock.now(), input, &mut outputs);
-                router.next_due().unwrap_or(Micros::MAX)
-            };
-            self.alarm.set(due);
-            for output in outputs.drain(..) {
-                self.carry_out(output);
-            }
-        }
-        self.feeding.set(false);
+        self.core
+            .feed(&self.clock, input, |output| self.carry_out(output));
     }
 
     fn carry_out(self: &Rc<Self>, output: Output) {
@@ -98,10 +94,16 @@
                 call,
                 ..
             } => {
-                self.workers
-                    .call(self, ticket, worker, function, trigger, call);
+                let attempt = Attempt {
+                    ticket,
+                    worker,
+                    function,
+                    trigger,
+                    call,
+                };
+                self.workers.send(self, attempt);
             }
-            Output::Withdraw(ticket) => self.workers.withdraw(self, ticket),
+            Output::Withdraw(ticket) => self.workers.cancel(self, ticket),
             Output::Order {
                 ticket,
                 function,
@@ -109,14 +111,20 @@
                 within,
                 ..
             } => {
-                self.workers.order(self, ticket, &function, copies, within);
+                let order = LoadOrder {
+                    ticket,
+                    function,
+                    copies,
+                    timeout: within,
+                };
+                self.workers.order(self, order);
             }
             Output::Unload {
                 worker, function, ..
             } => self.workers.unload(self, worker, &function),
             Output::Probe { worker } => self.workers.probe(self, worker),
-            // Discovery is followed all the time; nothing here asks at the door, no front is granted anything, and routers
-            // of the platform share nothing.
+            // The core polls no list, as discovery is followed all the time; clients ask for no admission before they
+            // send; there is no front that acknowledges deliveries; routers of the platform share nothing.
             Output::AskList
             | Output::Entry { .. }
             | Output::Discard(_)
@@ -125,43 +133,38 @@
         }
     }
 
-    /// The last look right before an attempt's first byte.
-    pub(crate) fn may_send(&self, ticket: Ticket) -> bool {
-        self.router.borrow().may_leave(self.clock.now(), ticket)
+    /// Whether an attempt may still be sent, asked right before its first byte.
+    pub fn may_send(&self, ticket: Ticket) -> bool {
+        self.core.router().may_leave(self.clock.now(), ticket)
     }
 
-    /// The same for an order to load.
-    pub(crate) fn may_order(&self, ticket: OrderTicket) -> bool {
-        self.router
-            .borrow()
-            .order_may_leave(self.clock.now(), ticket)
+    /// Whether a load order may still be sent, asked right before its first byte.
+    pub fn may_order(&self, ticket: OrderTicket) -> bool {
+        self.core.router().order_may_leave(self.clock.now(), ticket)
     }
 
     /// Where a worker listens, if it is listed.
-    pub(crate) fn address(&self, worker: WorkerIndex) -> Option<SocketAddr> {
-        self.worker_list
-            .borrow()
-            .address(self.router.borrow().worker_name(worker)?)
+    pub fn worker_address(&self, worker: WorkerIndex) -> Option<SocketAddr> {
+        self.discovery
+            .worker_address(self.core.router().worker_name(worker)?)
     }
 
-    /// What discovery tells. `unheard_for`: it may have been told so many microseconds ago.
-    pub(crate) fn follow(
+    /// Applies a batch of discovery's events. `unheard_for`: it may have been in the channel for so many microseconds
+    /// before it was read.
+    pub fn apply_events(
         self: &Rc<Self>,
         batch: &EventBatch,
         unheard_for: Micros,
     ) -> Result<(), DiscoveryError> {
         let wall_at_zero = self.clock.wall() - self.clock.now();
-        let updates =
-            self.worker_list
-                .borrow_mut()
-                .batch(batch, &self.names, wall_at_zero, unheard_for)?;
+        let updates = self.discovery.updates(batch, wall_at_zero, unheard_for)?;
         updates.into_iter().for_each(|update| self.apply(update));
         Ok(())
     }
 
     fn apply(self: &Rc<Self>, update: ListUpdate) {
         for id in &update.retired {
-            if let Some(worker) = self.router.borrow().worker_ix(id) {
+            if let Some(worker) = self.core.router().worker_ix(id) {
                 self.workers.retire(worker);
             }
         }
@@ -171,29 +174,21 @@
         });
     }
 
-    /// Reads once from a connection that is ready.
-    pub(crate) fn read<T>(&self, stream: &Stream, take: impl FnOnce(&[u8]) -> T) -> ReadResult<T> {
-        let mut piece = self.piece.borrow_mut();
-        match stream.get_ref().read(&mut piece) {
-            Ok(0) => ReadResult::Ended,
-            Ok(n) => ReadResult::Bytes(take(&piece[..n])),
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
-                ReadResult::Nothing
-            }
-            Err(_) => ReadResult::Ended,
-        }
+    /// Reads once from a connection without waiting.
+    pub fn read<T>(&self, stream: &Stream, process: impl FnOnce(&[u8]) -> T) -> ReadResult<T> {
+        self.read_buffer.read(stream, process)
     }
 
-    /// Tells the core when something is due.
-    pub(crate) async fn timers(self: Rc<Self>) {
+    /// Has the core handle its timers, for as long as the router runs.
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
-            self.alarm.rings(&self.clock).await;
+            self.core.timer(&self.clock).await;
             self.feed(Input::Tick);
         }
     }
 
-    /// Closes what has been open for too long.
-    pub(crate) async fn sweep(self: Rc<Self>) {
+    /// Closes overdue connections, for as long as the router runs.
+    pub async fn run_sweeps(self: Rc<Self>) {
         loop {
             Timer::after(SWEEP_PERIOD).await;
             let mut lag = self.event_loop_lag.get();
@@ -204,45 +199,63 @@
         }
     }
 
-    /// The event loop has only now begun to run.
-    pub(crate) fn caught_up(&self) {
-        let now = self.clock.now();
-        self.event_loop_lag
-            .set(EventLoopLag::new(SWEEP_PERIOD.as_micros() as Micros, now));
+    /// The event loop has only now begun to run: what was read before does not count as late.
+    pub fn reset_lag(&self) {
+        self.event_loop_lag.set(new_event_loop_lag(&self.clock));
     }
 
-    /// What is read now may have arrived this many microseconds ago, beyond what the time limits allow for.
-    pub(crate) fn lag(&self) -> Micros {
+    /// What is read now may have arrived so many microseconds ago, beyond what the time limits allow for.
+    pub fn lag(&self) -> Micros {
         self.event_loop_lag.get().lag(self.clock.now())
     }
 
-    /// When what is read now has arrived, at the earliest.
-    pub(crate) fn arrival_time(&self) -> Micros {
+    /// The earliest time at which what is read now may have arrived.
+    pub fn arrival_time(&self) -> Micros {
         self.clock.now() - self.lag()
     }
 
-    /// The core has requests that are owed an answer, or attempts that are out.
-    pub(crate) fn has_open_requests(&self) -> bool {
-        self.router.borrow().open() > 0
+    /// The signal to stop has arrived.
+    pub fn begin_shutdown(&self) {
+        self.shutdown.borrow_mut().begin(self.clock.now());
+    }
+
+    /// Whether the signal to stop has arrived.
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutdown.borrow().begun()
     }
 
-    /// What happened while the router ran, for its log.
-    pub(crate) fn log_counts(&self) {
-        let (router, list) = (self.router.borrow(), self.worker_list.borrow());
-        tracing::info!(counts = ?router.counts, "requests");
+    /// Whether a request whose last byte arrived at `arrived` is still accepted.
+    pub fn accepts(&self, arrived: Micros) -> bool {
+        self.shutdown.borrow().accepts(arrived)
+    }
+
+    /// Whether the process may exit now. `backlog_empty`: no connection waits to be accepted.
+    pub fn may_exit(&self, backlog_empty: bool) -> bool {
+        let unfinished =
+            !backlog_empty || self.core.router().open() > 0 || self.clients.has_unfinished();
+        self.shutdown
+            .borrow()
+            .may_exit(self.clock.now(), unfinished)
+    }
+
+    /// Logs the counts of what happened while the router ran.
+    pub fn log_counts(&self) {
+        tracing::info!(counts = ?self.core.router().counts, "request counts");
         let clients = self.clients.counts();
         tracing::info!(
             clients.open,
             clients.evicted,
-            clients.refused_connections,
-            "client connections"
-        );
-        tracing::info!(refused = ?clients.refused_requests, "requests that did not reach the core");
-        let without_connection = self.workers.without_connection();
-        tracing::info!(
-            without_connection,
-            "exchanges without a connection to their worker"
+            clients.rejected_connections,
+            "client connection counts"
         );
-        tracing::info!(list.repeated, list.left_out, "worker list");
+        tracing::info!(rejected = ?clients.rejected_requests, "requests rejected before the core");
+        let unplaced = self.workers.unplaced_exchanges();
+        tracing::info!(unplaced, "exchanges without a worker connection");
+        let (repeated_events, ignored_workers) = self.discovery.ignored();
+        tracing::info!(repeated_events, ignored_workers, "worker list counts");
     }
 }
+
+fn new_event_loop_lag(clock: &Clock) -> EventLoopLag {
+    EventLoopLag::new(SWEEP_PERIOD.as_micros() as Micros, clock.now())
+}
--- a/crates/platform-node/src/signals.rs
+++ b/crates/platform-node/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGHUP has the configuration read again, SIGTERM and SIGINT shut the router down. All of them are heard until
+//! Signals: SIGHUP reloads the configuration file, SIGTERM and SIGINT shut the router down. All of them are handled until
 //! the process exits: discovery may move while the router shuts down.
 
 use std::rc::Rc;
@@ -8,55 +8,58 @@
 use async_signal::{Signal, Signals};
 use cedarpulley_errors::Remedy;
 use cedarpulley_net::{Bell, micros};
-use cedarpulley_platform::config::{MOST_RELOADS, RELOAD_PAUSE};
+use cedarpulley_platform::config::{MAX_RELOADS, RELOAD_PAUSE};
 use futures_lite::{FutureExt, StreamExt};
 
+use crate::config_file::ConfigFile;
 use crate::node::Node;
-use crate::startup::ConfigFile;
 
 /// After a failure of the stream of signals, so that the process does not spin.
 const FAILURE_PAUSE: Duration = Duration::from_millis(100);
 
-/// Hears signals for as long as the router runs; rings `stop` when it is told to shut down.
-pub async fn listen(node: Rc<Node>, mut signals: Signals, file: ConfigFile, stop: Bell) {
-    let reload = Bell::default();
+/// Handles signals for as long as the router runs; rings `stop` on a signal to shut down.
+pub(crate) async fn handle_signals(
+    node: Rc<Node>,
+    mut signals: Signals,
+    file: ConfigFile,
+    stop: Bell,
+) {
+    let reload_requested = Bell::default();
     let reloading = async {
         loop {
-            reload.heard().await;
-            read_again(&node, &file).await;
+            reload_requested.heard().await;
+            reload(&node, &file).await;
         }
     };
-    let hearing = async {
+    let receiving = async {
         loop {
             match signals.next().await {
-                Some(Ok(Signal::Hup)) => reload.ring(),
+                Some(Ok(Signal::Hup)) => reload_requested.ring(),
                 Some(Ok(_)) => stop.ring(),
-                // Neither is an order to stop: requests go on being served.
+                // Neither a failure nor the end of the stream is a signal to stop: requests are still served.
                 Some(Err(error)) => {
-                    tracing::warn!("a signal could not be read: {error}");
+                    tracing::warn!(%error, "reading a signal failed");
                     Timer::after(FAILURE_PAUSE).await;
                 }
                 None => std::future::pending().await,
             }
         }
     };
-    hearing.or(reloading).await
+    receiving.or(reloading).await
 }
 
-/// Follows discovery to the address that the replaced file names. Without a readable one the old address stays.
-async fn read_again(node: &Node, file: &ConfigFile) {
-    for _ in 0..MOST_RELOADS {
+/// Follows discovery to the address in the replaced file. If none can be read, the old address stays.
+async fn reload(node: &Node, file: &ConfigFile) {
+    for _ in 0..MAX_RELOADS {
         match file.discovery_address() {
             Ok(address) => {
-                tracing::info!(%address, "the configuration was read again");
-                node.discovery_address.set(address);
-                node.discovery_moved.ring();
+                tracing::info!(%address, "configuration reloaded");
+                node.discovery.move_to(address);
                 return;
             }
-            Err(error) => tracing::warn!(
-                why = error.line(),
-                "the configuration could not be read again"
-            ),
+            Err(error) => {
+                tracing::warn!(error = error.line(), "reloading the configuration failed");
+            }
         }
         Timer::after(micros(RELOAD_PAUSE)).await;
     }
--- a/crates/platform-node/src/startup.rs
+++ b/crates/platform-node/src/startup.rs
@@ -1,56 +1,82 @@
 //! [`run`]: starts one router from its environment, and runs it until it is told to stop, all on one thread.
 
-use std::cell::{Cell, RefCell};
-use std::collections::VecDeque;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use async_executor::LocalExecutor;
 use async_io::Async;
 use async_signal::{Signal, Signals};
-use cedarpulley::interface::{Effect, TriggerType};
+use cedarpulley::interface::{Effect, Micros, TriggerType};
 use cedarpulley_errors::Remedy;
-use cedarpulley_net::{Alarm, Bell, Clock, listen};
+use cedarpulley_net::{Bell, listen};
 use cedarpulley_platform::client_protocol::{RequestRules, TriggerRules};
-use cedarpulley_platform::config::{ConfigError, Start, discovery_address_of};
+use cedarpulley_platform::config::{ConfigError, Start};
 use cedarpulley_platform::connection_limiter::ConnectionLimiter;
 use cedarpulley_platform::connection_pool::ConnectionPool;
-use cedarpulley_platform::discovery::{DiscoveryError, EventBatch, WorkerListFollower};
-use cedarpulley_platform::event_loop_lag::EventLoopLag;
+use cedarpulley_platform::discovery::{DiscoveryError, WorkerListFollower};
 use cedarpulley_platform::graceful_shutdown::GracefulShutdown;
 use cedarpulley_platform::resource_limits::ResourceLimits;
 use cedarpulley_router::{Router, Terms};
 use cedarpulley_startup::StartupSettings;
 use thiserror::Error;
 
-use crate::client_connections::{self, ClientConnections};
-use crate::node::{Node, PIECE, SWEEP_PERIOD};
-use crate::worker_connections::WorkerConnections;
-use crate::{discovery, shutdown, signals};
+use crate::client_connections::{ClientConnections, accept_clients};
+use crate::config_file::ConfigFile;
+use crate::discovery::{self, Discovery};
+use crate::node::{Node, NodeParts};
+use crate::shutdown;
+use crate::signals::handle_signals;
+use crate::worker_connections::{WorkerConnections, WorkerProtocol};
 
 /// Why no router runs.
 #[derive(Debug, Error)]
 pub enum StartError {
+    /// The process cannot handle signals.
     #[error("signals cannot be heard")]
     Signals(#[source] io::Error),
+    /// An environment variable is missing.
     #[error("{name} is not set")]
-    NotSet { name: &'static str },
-    #[error("BALANCER_LISTEN '{at}' is not an address")]
-    Address { at: String },
+    NotSet {
+        /// The variable.
+        name: &'static str,
+    },
+    /// The address to listen at is malformed.
+    #[error("BALANCER_LISTEN '{address}' is not an address")]
+    Address {
+        /// The text given.
+        address: String,
+    },
+    /// The address cannot be listened at.
     #[error("BALANCER_LISTEN {address}: it cannot be listened at")]
     Listen {
+        /// The address given.
         address: SocketAddr,
+        /// The system's error.
         source: io::Error,
     },
+    /// The configuration file cannot be read.
     #[error("{path}: it cannot be read")]
-    File { path: String, source: io::Error },
+    File {
+        /// The file's path.
+        path: String,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The configuration is invalid.
     #[error("{path}")]
-    Config { path: String, source: ConfigError },
+    Config {
+        /// The file's path.
+        path: String,
+        /// What is invalid.
+        source: ConfigError,
+    },
+    /// The events of discovery in the configuration are invalid.
     #[error("{path}: known")]
-    Known {
+    InitialEvents {
+        /// The file's path.
         path: String,
+        /// What is invalid.
         source: DiscoveryError,
     },
 }
@@ -68,84 +94,38 @@
             }
             StartError::File { .. } => "see that BALANCER_CONFIG names a file that may be read",
             StartError::Config { source, .. } => source.remedy(),
-            StartError::Known { source, .. } => source.remedy(),
+            StartError::InitialEvents { source, .. } => source.remedy(),
         }
     }
 }
 
 type Result<T> = std::result::Result<T, StartError>;
 
-fn variable(name: &'static str) -> Result<String> {
-    std::env::var(name).map_err(|_| StartError::NotSet { name })
-}
-
-/// The configuration's file; it may be replaced while the router runs.
-pub struct ConfigFile {
-    path: PathBuf,
-}
-
-impl ConfigFile {
-    fn name(&self) -> String {
-        self.path.display().to_string()
-    }
-
-    fn text(&self) -> Result<String> {
-        std::fs::read_to_string(&self.path).map_err(|source| StartError::File {
-            path: self.name(),
-            source,
-        })
-    }
-
-    fn error(&self, source: ConfigError) -> StartError {
-        StartError::Config {
-            path: self.name(),
-            source,
-        }
-    }
-
-    fn read(&self) -> Result<Start> {
-        Start::read(&self.text()?).map_err(|source| self.error(source))
-    }
-
-    /// The discovery channel's address, as the file has it now.
-    pub fn discovery_address(&self) -> Result<SocketAddr> {
-        discovery_address_of(&self.text()?).map_err(|source| self.error(source))
-    }
-}
-
 /// Runs one router until it is told to stop.
 pub fn run() -> Result<()> {
-    // Before anything else: a signal that comes while the router starts must not end it.
+    // Before anything else: a signal that arrives while the router starts must not end the process.
     let signals =
         Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(StartError::Signals)?;
-    let file = ConfigFile {
-        path: PathBuf::from(variable("BALANCER_CONFIG")?),
-    };
-    let at = variable("BALANCER_LISTEN")?;
-    let address: SocketAddr = at.parse().map_err(|_| StartError::Address { at })?;
+    let file = ConfigFile::new(PathBuf::from(variable("BALANCER_CONFIG")?));
+    let address = listen_address()?;
     let start = file.read()?;
-    let (seed, known) = (start.seed, start.known.clone());
-    let node = new_node(start);
-    follow_known(&node, &known, &file)?;
+    let (seed, initial_events) = (start.seed, start.initial_events.clone());
+    let node = Rc::new(Node::new(node_parts(start)));
+    // The events in the configuration may be of any age.
+    node.apply_events(&initial_events, Micros::MAX)
+        .map_err(|source| file.invalid_events(source))?;
     let listener = listen(address).map_err(|source| StartError::Listen { address, source })?;
-    async_io::block_on(node.executor.clone().run(serve(
-        node,
-        Rc::new(listener),
-        signals,
-        file,
-        seed,
-    )));
+    node.block_on(serve(node.clone(), Rc::new(listener), signals, file, seed));
     Ok(())
 }
 
-fn follow_known(node: &Rc<Node>, known: &EventBatch, file: &ConfigFile) -> Result<()> {
-    // What the configuration knew may have been told long ago.
-    let unheard_for = cedarpulley::interface::Micros::MAX;
-    node.follow(known, unheard_for)
-        .map_err(|source| StartError::Known {
-            path: file.name(),
-            source,
-        })
+fn variable(name: &'static str) -> Result<String> {
+    std::env::var(name).map_err(|_| StartError::NotSet { name })
+}
+
+fn listen_address() -> Result<SocketAddr> {
+    let address = variable("BALANCER_LISTEN")?;
+    address.parse().map_err(|_| StartError::Address { address })
 }
 
 async fn serve(
@@ -155,30 +135,53 @@
     file: ConfigFile,
     seed: u64,
 ) {
-    let executor = node.executor.clone();
     let stop = Bell::default();
-    node.caught_up();
-    executor.spawn(node.clone().timers()).detach();
-    executor.spawn(node.clone().sweep()).detach();
-    executor
-        .spawn(discovery::follow(node.clone(), seed))
-        .detach();
-    executor
-        .spawn(client_connections::accept_clients(
-            node.clone(),
-            listener.clone(),
-        ))
-        .detach();
-    executor
-        .spawn(signals::listen(node.clone(), signals, file, stop.clone()))
-        .detach();
+    node.reset_lag();
+    node.spawn(node.clone().run_timers());
+    node.spawn(node.clone().run_sweeps());
+    node.spawn(discovery::follow(node.clone(), seed));
+    node.spawn(accept_clients(node.clone(), listener.clone()));
+    node.spawn(handle_signals(node.clone(), signals, file, stop.clone()));
     tracing::info!("running");
     stop.heard().await;
     shutdown::shut_down(&node, &listener).await;
     node.log_counts();
 }
 
-fn router_terms(settings: &StartupSettings, limits: ResourceLimits) -> Terms {
+fn node_parts(start: Start) -> NodeParts {
+    let settings = &start.settings;
+    let limits = ResourceLimits::of(start.limits);
+    let connections = start.worker_connections;
+    let pool = ConnectionPool::new(
+        limits.workers,
+        connections.max_streams,
+        connections.keepalive,
+        connections.connect_timeout,
+    );
+    let protocol = WorkerProtocol {
+        trigger_names: start.names.triggers.clone(),
+        report_fields: start.report_fields.clone(),
+        reports_function_load: settings.loads.reports_function_load,
+        connect_timeout: connections.connect_timeout,
+    };
+    let worker_list = WorkerListFollower::new(settings.rules.drain_grace);
+    NodeParts {
+        router: Router::new(
+            settings.balancer(start.seed),
+            settings.triggers.clone(),
+            router_settings(settings, limits),
+        ),
+        clients: ClientConnections::new(
+            request_rules(&start),
+            ConnectionLimiter::new(limits.clients),
+        ),
+        workers: WorkerConnections::new(protocol, pool),
+        shutdown: GracefulShutdown::new(longest_deadline(settings)),
+        discovery: Discovery::new(start.discovery_address, start.names, worker_list),
+    }
+}
+
+fn router_settings(settings: &StartupSettings, limits: ResourceLimits) -> Terms {
     Terms {
         answer_margin: settings.fleet.granularity,
         clock_margin: 0,
@@ -196,6 +199,18 @@
     }
 }
 
+fn request_rules(start: &Start) -> RequestRules {
+    let settings = &start.settings;
+    let triggers = settings.triggers.iter();
+    RequestRules {
+        names: start.names.clone(),
+        triggers: triggers
+            .map(|trigger| trigger_rules(trigger, settings))
+            .collect(),
+        largest_mb: start.largest_machine_mb,
+    }
+}
+
 fn trigger_rules(trigger: &TriggerType, settings: &StartupSettings) -> TriggerRules {
     TriggerRules {
         longest_wait: trigger.client_timeout + settings.rules.answer_slack,
@@ -203,55 +218,10 @@
     }
 }
 
-fn new_node(start: Start) -> Rc<Node> {
-    let settings = start.settings;
-    let limits = ResourceLimits::of(start.limits);
-    let longest_deadline = settings
-        .triggers
-        .iter()
-        .map(|t| t.client_timeout)
+fn longest_deadline(settings: &StartupSettings) -> Micros {
+    let triggers = settings.triggers.iter();
+    triggers
+        .map(|trigger| trigger.client_timeout)
         .max()
-        .unwrap_or(0);
-    let rules = RequestRules {
-        names: start.names.clone(),
-        triggers: settings
-            .triggers
-            .iter()
-            .map(|t| trigger_rules(t, &settings))
-            .collect(),
-        largest_mb: start.largest_mb,
-    };
-    let links = start.links;
-    let pool = ConnectionPool::new(
-        limits.workers,
-        links.streams,
-        links.idle_kept,
-        links.connect_within,
-    );
-    let router = Router::new(
-        settings.balancer(start.seed),
-        settings.triggers.clone(),
-        router_terms(&settings, limits),
-    );
-    let clock = Clock::start();
-    let sweep_period = SWEEP_PERIOD.as_micros() as cedarpulley::interface::Micros;
-    Rc::new(Node {
-        clock,
-        executor: Rc::new(LocalExecutor::new()),
-        router: RefCell::new(router),
-        inputs: RefCell::new(VecDeque::new()),
-        feeding: Cell::new(false),
-        alarm: Alarm::default(),
-        clients: ClientConnections::new(rules, ConnectionLimiter::new(limits.clients)),
-        workers: WorkerConnections::new(pool, links.connect_within),
-        names: start.names,
-        fields: start.fields,
-        crowds: settings.loads.reports_function_load,
-        discovery_address: Cell::new(start.channel),
-        discovery_moved: Bell::default(),
-        worker_list: RefCell::new(WorkerListFollower::new(settings.rules.drain_grace)),
-        shutdown: RefCell::new(GracefulShutdown::new(longest_deadline)),
-        event_loop_lag: Cell::new(EventLoopLag::new(sweep_period, clock.now())),
-        piece: RefCell::new(vec![0; PIECE]),
-    })
+        .unwrap_or(0)
 }
--- a/crates/platform-node/src/worker_connections/mod.rs
+++ b/crates/platform-node/src/worker_connections/mod.rs
@@ -1,209 +1,246 @@
-//! Connections to workers: one task for each reads; what is sent is written at once, as far as the kernel takes it. The
-//! proof that something was never sent is the count of bytes that the kernel took.
+//! Connections to workers: one task for each reads; messages are written at once, as far as the kernel accepts them. That
+//! a message was never sent is proven by the count of bytes that the kernel accepted.
 
 mod connection;
+mod report;
 mod sending;
+mod session;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::sync::Arc;
 
-use cedarpulley::interface::{CopyStatus, DispatchOutcome, LoadReport, Micros, WorkerIndex};
-use cedarpulley_net::{Stream, connect};
-use cedarpulley_platform::attempt_outcome::{self, AttemptEnd};
-use cedarpulley_platform::connection_pool::{ConnectionId, ConnectionPool, Placement};
-use cedarpulley_platform::worker_protocol::{self, Answer, LONGEST_ANSWER};
+use cedarpulley::interface::{Micros, WorkerIndex};
+use cedarpulley_platform::attempt_outcome::ExchangeEnd;
+use cedarpulley_platform::connection_pool::{ConnectionId, ConnectionPool, LateAnswer, Placement};
+use cedarpulley_platform::worker_protocol::{self, Answer};
 use cedarpulley_router::core::Call;
-use cedarpulley_router::{Input, OrderTicket, Payload, Ticket};
-use futures_lite::FutureExt;
+use cedarpulley_router::{OrderTicket, Ticket};
+use cedarpulley_startup::ReportField;
 
-use crate::node::{Node, PIECE, ReadResult};
+use crate::node::Node;
 use connection::{Exchange, Message, OutgoingCall, Purpose, QueuedMessage, WorkerConnection};
+use report::report_end;
+use sending::Sender;
+use session::Session;
 
-/// Of what lies unread no more is read at once than the longest answer takes, so that a worker that never stops
-/// sending holds nobody up.
-const MOST_PIECES: usize = LONGEST_ANSWER.div_ceil(PIECE);
+/// What the settings say about the protocol spoken with workers.
+pub(crate) struct WorkerProtocol {
+    /// By index of the trigger type.
+    pub trigger_names: Vec<String>,
+    /// The values in load reports.
+    pub report_fields: Vec<ReportField>,
+    /// Whether workers report how many invocations of the same function they have in flight.
+    pub reports_function_load: bool,
+    /// Within which a connection is established and a probe answered, in microseconds.
+    pub connect_timeout: Micros,
+}
+
+impl WorkerProtocol {
+    /// The name of a trigger type; empty if it has none.
+    pub fn trigger_name(&self, trigger: u32) -> &str {
+        self.trigger_names
+            .get(trigger as usize)
+            .map_or("", String::as_str)
+    }
+}
+
+/// An attempt to execute a request.
+pub(crate) struct Attempt {
+    pub ticket: Ticket,
+    pub worker: WorkerIndex,
+    pub function: Arc<str>,
+    pub trigger: u32,
+    pub call: Call,
+}
+
+/// An order to load copies of a function.
+pub(crate) struct LoadOrder {
+    pub ticket: OrderTicket,
+    pub function: Arc<str>,
+    pub copies: u32,
+    /// In microseconds.
+    pub timeout: Micros,
+}
 
-/// Where an attempt is out.
-struct AttemptPlace {
+/// Where an attempt is in flight.
+struct AttemptLocation {
     connection: ConnectionId,
     request_id: String,
 }
 
-/// All connections to workers and what is open on them.
-pub struct WorkerConnections {
+/// All connections to workers and the exchanges in flight on them.
+pub(crate) struct WorkerConnections {
+    protocol: WorkerProtocol,
     pool: RefCell<ConnectionPool>,
-    connect_within: Micros,
     connections: RefCell<HashMap<ConnectionId, Rc<WorkerConnection>>>,
-    attempts: RefCell<HashMap<Ticket, AttemptPlace>>,
+    attempts: RefCell<HashMap<Ticket, AttemptLocation>>,
     last_tag: Cell<u64>,
 }
 
 impl WorkerConnections {
-    pub fn new(pool: ConnectionPool, connect_within: Micros) -> Self {
+    pub fn new(protocol: WorkerProtocol, pool: ConnectionPool) -> Self {
         WorkerConnections {
+            protocol,
             pool: RefCell::new(pool),
-            connect_within,
             connections: RefCell::default(),
             attempts: RefCell::default(),
             last_tag: Cell::new(0),
         }
     }
 
-    /// Exchanges for which no connection was left so far.
-    pub fn without_connection(&self) -> u64 {
-        self.pool.borrow().full
-    }
-
-    /// Nobody is reading or writing its tables.
-    pub fn is_unborrowed(&self) -> bool {
-        let tables = (
-            self.pool.try_borrow_mut(),
-            self.connections.try_borrow_mut(),
-            self.attempts.try_borrow_mut(),
-        );
-        tables.0.is_ok() && tables.1.is_ok() && tables.2.is_ok()
+    pub fn protocol(&self) -> &WorkerProtocol {
+        &self.protocol
     }
 
-    fn new_tag(&self) -> String {
-        self.last_tag.set(self.last_tag.get() + 1);
-        format!("t{}", self.last_tag.get())
+    /// Exchanges for which no connection was available so far.
+    pub fn unplaced_exchanges(&self) -> u64 {
+        self.pool.borrow().exhausted()
     }
 
-    fn connection(&self, id: ConnectionId) -> Option<Rc<WorkerConnection>> {
-        self.connections.borrow().get(&id).cloned()
+    /// Whether none of the tables that an output of the core may change is borrowed.
+    pub fn is_unborrowed(&self) -> bool {
+        self.pool.try_borrow_mut().is_ok()
+            && self.connections.try_borrow_mut().is_ok()
+            && self.attempts.try_borrow_mut().is_ok()
     }
+}
 
-    /// Sends a request to a worker.
-    pub fn call(
-        &self,
-        node: &Rc<Node>,
-        ticket: Ticket,
-        worker: WorkerIndex,
-        function: Arc<str>,
-        trigger: u32,
-        call: Call,
-    ) {
+/// Outputs of the core.
+impl WorkerConnections {
+    /// Sends an attempt.
+    pub fn send(&self, node: &Rc<Node>, attempt: Attempt) {
+        let call = attempt.call;
         let id = call.mark.as_deref().unwrap_or("").to_owned();
-        let waited_until = node.clock.now() + call.waited_for;
         let message = Message::Call(OutgoingCall {
-            trigger,
-            function,
-            waited_until,
+            trigger: attempt.trigger,
+            function: attempt.function,
+            deadline: node.clock.now() + call.waited_for,
             call,
         });
-        let exchange = Exchange {
-            purpose: Purpose::Attempt(ticket),
-            whole_at: None,
-            until: Micros::MAX,
-        };
-        self.post(node, worker, exchange, QueuedMessage { id, message });
-    }
-
-    /// Orders a worker to load copies.
-    pub fn order(
-        &self,
-        node: &Rc<Node>,
-        ticket: OrderTicket,
-        function: &str,
-        copies: u32,
-        within: Micros,
-    ) {
-        let (id, mut bytes) = (self.new_tag(), Vec::new());
-        worker_protocol::load(&mut bytes, &id, function, copies);
-        let until = node.clock.now() + within;
-        let exchange = Exchange {
-            purpose: Purpose::Order(ticket),
-            whole_at: None,
-            until,
-        };
+        let exchange = Exchange::new(Purpose::Attempt(attempt.ticket), Micros::MAX);
         self.post(
             node,
-            ticket.worker,
+            attempt.worker,
             exchange,
-            QueuedMessage {
-                id,
-                message: Message::Bytes(bytes),
-            },
+            QueuedMessage { id, message },
         );
     }
 
-    /// Asks a worker how it does.
+    /// Orders a worker to load copies of a function.
+    pub fn order(&self, node: &Rc<Node>, order: LoadOrder) {
+        let (id, mut bytes) = (self.new_tag(), Vec::new());
+        worker_protocol::write_load_order(&mut bytes, &id, &order.function, order.copies);
+        let deadline = node.clock.now() + order.timeout;
+        let exchange = Exchange::new(Purpose::LoadOrder(order.ticket), deadline);
+        let message = Message::Encoded(bytes);
+        let queued = QueuedMessage { id, message };
+        self.post(node, order.ticket.worker, exchange, queued);
+    }
+
+    /// Sends a worker a health check.
     pub fn probe(&self, node: &Rc<Node>, worker: WorkerIndex) {
-        let (id, mut bytes, asked_at) = (self.new_tag(), Vec::new(), node.clock.now());
-        worker_protocol::probe(&mut bytes, &id);
-        let until = asked_at + self.connect_within;
-        let exchange = Exchange {
-            purpose: Purpose::Probe { worker, asked_at },
-            whole_at: None,
-            until,
-        };
-        self.post(
-            node,
-            worker,
-            exchange,
-            QueuedMessage {
-                id,
-                message: Message::Bytes(bytes),
-            },
-        );
+        let (id, mut bytes, started) = (self.new_tag(), Vec::new(), node.clock.now());
+        worker_protocol::write_probe(&mut bytes, &id);
+        let deadline = started + self.protocol.connect_timeout;
+        let exchange = Exchange::new(Purpose::Probe { worker, started }, deadline);
+        let message = Message::Encoded(bytes);
+        self.post(node, worker, exchange, QueuedMessage { id, message });
     }
 
-    /// Has a worker unload idle copies. No answer comes, and nobody waits for one.
+    /// Orders a worker to unload idle copies of a function. The worker sends no answer, and nobody waits for one.
     pub fn unload(&self, node: &Rc<Node>, worker: WorkerIndex, function: &str) {
         let mut bytes = Vec::new();
-        worker_protocol::unload(&mut bytes, function);
+        worker_protocol::write_unload_order(&mut bytes, function);
         if let Ok(connection) = self.place(node, worker) {
-            let message = QueuedMessage {
-                id: String::new(),
-                message: Message::Bytes(bytes),
-            };
-            connection.queue.borrow_mut().push_back(message);
-            self.push(node, &connection);
-            self.pool
-                .borrow_mut()
-                .ended(node.clock.now(), connection.id, true);
+            connection.enqueue(QueuedMessage::one_way(bytes));
+            Sender::new(node, &connection).flush();
+            // If the connection is to be closed now, the next sweep does it.
+            self.pool.borrow_mut().exchange_ended(
+                node.clock.now(),
+                connection.id(),
+                LateAnswer::Impossible,
+            );
         }
     }
 
+    /// The core has cancelled this attempt.
+    pub fn cancel(&self, node: &Rc<Node>, ticket: Ticket) {
+        let Some(location) = self.attempts.borrow_mut().remove(&ticket) else {
+            return;
+        };
+        let Some(connection) = self.connection(location.connection) else {
+            return;
+        };
+        let Some(exchange) = connection.remove_exchange(&location.request_id) else {
+            return;
+        };
+        let late_answer = if !exchange.is_begun() {
+            connection.dequeue(&location.request_id);
+            LateAnswer::Impossible
+        } else if connection.is_sent(&exchange) {
+            let mut bytes = Vec::new();
+            worker_protocol::write_cancellation(&mut bytes, &location.request_id);
+            connection.enqueue(QueuedMessage::one_way(bytes));
+            Sender::new(node, &connection).flush();
+            LateAnswer::Possible
+        } else {
+            // A part of it was sent: the worker must never receive the rest.
+            return connection.close();
+        };
+        self.release(node, &connection, late_answer);
+    }
+
+    fn new_tag(&self) -> String {
+        self.last_tag.set(self.last_tag.get() + 1);
+        format!("t{}", self.last_tag.get())
+    }
+
+    /// Sends a message that gets an answer.
     fn post(
         &self,
         node: &Rc<Node>,
         worker: WorkerIndex,
         exchange: Exchange,
-        message: QueuedMessage,
+        queued: QueuedMessage,
     ) {
         let connection = match self.place(node, worker) {
             Ok(connection) => connection,
-            Err(end) => return tell(node, exchange.purpose, end, None),
+            Err(end) => return report_end(node, exchange.purpose, end, None),
         };
         if let Purpose::Attempt(ticket) = exchange.purpose {
-            let place = AttemptPlace {
-                connection: connection.id,
-                request_id: message.id.clone(),
+            let location = AttemptLocation {
+                connection: connection.id(),
+                request_id: queued.id.clone(),
             };
-            self.attempts.borrow_mut().insert(ticket, place);
+            self.attempts.borrow_mut().insert(ticket, location);
         }
-        connection
-            .exchanges
-            .borrow_mut()
-            .insert(message.id.clone(), exchange);
-        connection.queue.borrow_mut().push_back(message);
-        self.push(node, &connection);
+        connection.add_exchange(queued.id.clone(), exchange);
+        connection.enqueue(queued);
+        Sender::new(node, &connection).flush();
+    }
+}
+
+/// The table of connections.
+impl WorkerConnections {
+    fn connection(&self, id: ConnectionId) -> Option<Rc<WorkerConnection>> {
+        self.connections.borrow().get(&id).cloned()
     }
 
-    /// The connection for one more exchange, which counts as open there; or what becomes of it without one.
+    /// The connection for one more exchange, which counts as in flight there; or how the exchange ends without one.
     fn place(
         &self,
         node: &Rc<Node>,
         worker: WorkerIndex,
-    ) -> Result<Rc<WorkerConnection>, AttemptEnd> {
+    ) -> Result<Rc<WorkerConnection>, ExchangeEnd> {
         let placement = self.pool.borrow_mut().place(node.clock.now(), worker);
         match placement {
-            Placement::Existing(id) => self.connection(id).ok_or(AttemptEnd::Unsent),
-            Placement::New(id) => self.open(node, id, worker).ok_or(AttemptEnd::Unreached),
-            Placement::Full => Err(AttemptEnd::HeldBack),
+            Placement::Existing(id) => self.connection(id).ok_or(ExchangeEnd::NotSent),
+            Placement::New(id) => self
+                .open(node, id, worker)
+                .ok_or(ExchangeEnd::ConnectFailed),
+            Placement::Exhausted => Err(ExchangeEnd::Withheld),
         }
     }
 
@@ -213,309 +250,144 @@
         id: ConnectionId,
         worker: WorkerIndex,
     ) -> Option<Rc<WorkerConnection>> {
-        let Some(address) = node.address(worker) else {
+        let Some(address) = node.worker_address(worker) else {
             self.pool.borrow_mut().closed(id);
             return None;
         };
         let connection = Rc::new(WorkerConnection::new(id));
         self.connections.borrow_mut().insert(id, connection.clone());
-        let (owner, kept) = (node.clone(), connection.clone());
-        let running = async move {
-            let workers = &owner.workers;
-            let connected = async { connect(address, None, workers.connect_within).await.ok() };
-            let called_off = async {
-                while !kept.ending.get() {
-                    kept.wake.heard().await;
-                }
-                None
-            };
-            let Some(stream) = connected.or(called_off).await else {
-                // Called off from here, it tells nothing of the worker.
-                let called_off = kept.closed_here.get();
-                let end = if called_off {
-                    AttemptEnd::HeldBack
-                } else {
-                    AttemptEnd::Unreached
-                };
-                return workers.over(&owner, &kept, end);
-            };
-            kept.stream.replace(Some(Rc::new(stream)));
-            workers.pool.borrow_mut().opened(id);
-            workers.write(&owner, &kept);
-            workers.listen(&owner, &kept).await;
-            workers.over(&owner, &kept, AttemptEnd::Unsent);
-        };
-        node.executor.spawn(running).detach();
+        let (task_node, task_connection) = (node.clone(), connection.clone());
+        let connect_timeout = self.protocol.connect_timeout;
+        node.spawn(async move {
+            let session = Session::new(&task_node, &task_connection);
+            session.run(address, connect_timeout).await;
+        });
         Some(connection)
     }
 
-    /// Reads answers until the connection ends.
-    async fn listen(&self, node: &Rc<Node>, connection: &Rc<WorkerConnection>) {
-        let Some(stream) = connection.stream.borrow().clone() else {
-            return;
-        };
-        while !connection.ending.get() {
-            connection.wait(&stream).await;
-            self.write(node, connection);
-            if connection.ending.get() {
-                return;
-            }
-            if let ReadResult::Ended = self.read(node, connection, &stream) {
-                return;
+    /// Whether nothing more may be sent on this connection.
+    fn is_retired(&self, connection: &WorkerConnection) -> bool {
+        self.pool.borrow().is_retired(connection.id())
+    }
+
+    /// Nothing new goes to the connections that this worker has now.
+    pub fn retire(&self, worker: WorkerIndex) {
+        let connecting = self.pool.borrow_mut().retire(worker);
+        self.close(connecting);
+    }
+
+    /// Closes connections that are due, and ends exchanges whose answers are no longer waited for.
+    pub fn sweep(&self, node: &Rc<Node>) {
+        let now = node.clock.now();
+        let connections: Vec<Rc<WorkerConnection>> =
+            self.connections.borrow().values().cloned().collect();
+        for connection in connections {
+            for id in connection.overdue_exchanges(now) {
+                let end = ExchangeEnd::ConnectionLost;
+                self.exchange_ended(node, &connection, &id, end, None);
             }
         }
+        let due = self.pool.borrow().due_for_close(now);
+        self.close(due);
     }
 
-    /// Reads one piece, if there is one.
-    fn read(
-        &self,
-        node: &Rc<Node>,
-        connection: &Rc<WorkerConnection>,
-        stream: &Stream,
-    ) -> ReadResult<()> {
-        let result = node.read(stream, |bytes| connection.answers.borrow_mut().put(bytes));
-        if let ReadResult::Bytes(()) = result {
-            self.process_answers(node, connection);
-        }
-        result
+    fn close(&self, connections: Vec<ConnectionId>) {
+        connections
+            .into_iter()
+            .filter_map(|id| self.connection(id))
+            .for_each(|connection| connection.close());
     }
 
-    /// Reads what lies unread on the connections where this request is out. That a connection has ended is left to its
-    /// own task to find again.
+    /// Reads what has arrived on the connections where this request is in flight.
     pub fn read_answers_to(&self, node: &Rc<Node>, request_id: &str) {
-        let carries = |c: &&Rc<WorkerConnection>| c.carries(request_id);
-        let carrying: Vec<_> = self
+        let carrying: Vec<Rc<WorkerConnection>> = self
             .connections
             .borrow()
             .values()
-            .filter(carries)
+            .filter(|connection| connection.carries(request_id))
             .cloned()
             .collect();
         for connection in carrying {
-            let Some(stream) = connection.stream.borrow().clone() else {
-                continue;
-            };
-            for _ in 0..MOST_PIECES {
-                let waits = !connection.ending.get() && connection.carries(request_id);
-                if !waits || !matches!(self.read(node, &connection, &stream), ReadResult::Bytes(()))
-                {
-                    break;
-                }
-            }
+            Session::new(node, &connection).read_answers_to(request_id);
         }
     }
+}
 
-    /// Tells the core of the answers that have come whole.
-    fn process_answers(&self, node: &Rc<Node>, connection: &Rc<WorkerConnection>) {
-        loop {
-            let next = connection.answers.borrow_mut().next(&node.fields);
-            match next {
-                Ok(Some(answer)) => {
-                    let exchanges = connection.exchanges.borrow();
-                    // Nobody can have answered what was not sent whole.
-                    if exchanges
-                        .get(&answer.id)
-                        .is_some_and(|e| !connection.sent_whole(e))
-                    {
-                        return connection.close();
-                    }
-                    drop(exchanges);
-                    // Under an unknown id it is late, a second copy or ahead of its time, and is ignored.
-                    let id = answer.id.clone();
-                    self.ended(
-                        node,
-                        connection,
-                        &id,
-                        AttemptEnd::Answered(answer.word),
-                        Some(answer),
-                    );
-                }
-                Ok(None) => {
-                    let now = node.clock.now();
-                    let midway = connection.answers.borrow().is_midway();
-                    return self.pool.borrow_mut().heard(now, connection.id, midway);
-                }
-                Err(error) => {
-                    tracing::debug!(?error, "a worker's answer cannot be read");
-                    return connection.close();
-                }
-            }
-        }
+/// Events of connections.
+impl WorkerConnections {
+    fn established(&self, connection: &WorkerConnection) {
+        self.pool.borrow_mut().connected(connection.id());
+    }
+
+    /// Bytes arrived, and the complete answers among them are processed.
+    fn received(&self, node: &Node, connection: &WorkerConnection) {
+        let partial = connection.has_partial_answer();
+        self.pool
+            .borrow_mut()
+            .received(node.clock.now(), connection.id(), partial);
     }
 
-    /// One exchange on a connection has ended.
-    fn ended(
+    /// One exchange on a connection has ended, with an answer or without.
+    fn exchange_ended(
         &self,
         node: &Rc<Node>,
         connection: &WorkerConnection,
         id: &str,
-        end: AttemptEnd,
+        end: ExchangeEnd,
         answer: Option<Answer>,
     ) {
-        let Some(exchange) = connection.exchanges.borrow_mut().remove(id) else {
+        let Some(exchange) = connection.remove_exchange(id) else {
             return;
         };
         if let Purpose::Attempt(ticket) = exchange.purpose {
             self.attempts.borrow_mut().remove(&ticket);
         }
-        let kept = answer.is_some() || end == AttemptEnd::HeldBack;
-        if self
-            .pool
-            .borrow_mut()
-            .ended(node.clock.now(), connection.id, kept)
-        {
+        let late_answer = if answer.is_some() || end == ExchangeEnd::Withheld {
+            LateAnswer::Impossible
+        } else {
+            LateAnswer::Possible
+        };
+        self.release(node, connection, late_answer);
+        report_end(node, exchange.purpose, end, answer);
+    }
+
+    /// An exchange no longer counts as in flight on its connection.
+    fn release(&self, node: &Node, connection: &WorkerConnection, late_answer: LateAnswer) {
+        let close_now =
+            self.pool
+                .borrow_mut()
+                .exchange_ended(node.clock.now(), connection.id(), late_answer);
+        if close_now {
             connection.close();
         }
-        tell(node, exchange.purpose, end, answer);
     }
 
-    /// The connection is over; so is all that was open on it. `unsent`: what that means for messages not sent whole.
-    fn over(&self, node: &Rc<Node>, connection: &WorkerConnection, unsent: AttemptEnd) {
-        match connection.closed_here.get() {
-            true => self.pool.borrow_mut().closed(connection.id),
-            false => self
-                .pool
-                .borrow_mut()
-                .broke(node.clock.now(), connection.id),
+    /// The connection has ended, and all exchanges on it. `unsent`: how those end whose messages were not sent
+    /// completely.
+    fn connection_ended(
+        &self,
+        node: &Rc<Node>,
+        connection: &WorkerConnection,
+        unsent: ExchangeEnd,
+    ) {
+        let mut pool = self.pool.borrow_mut();
+        if connection.is_closed_here() {
+            pool.closed(connection.id());
+        } else {
+            pool.lost(node.clock.now(), connection.id());
         }
-        self.connections.borrow_mut().remove(&connection.id);
-        connection.ending.set(true);
-        connection.stream.replace(None);
-        let open: Vec<Exchange> = connection
-            .exchanges
-            .borrow_mut()
-            .drain()
-            .map(|(_, e)| e)
-            .collect();
-        for exchange in open {
+        drop(pool);
+        self.connections.borrow_mut().remove(&connection.id());
+        for exchange in connection.take_exchanges() {
             if let Purpose::Attempt(ticket) = exchange.purpose {
                 self.attempts.borrow_mut().remove(&ticket);
             }
-            let end = if connection.sent_whole(&exchange) {
-                AttemptEnd::Broken
+            let end = if connection.is_sent(&exchange) {
+                ExchangeEnd::ConnectionLost
             } else {
                 unsent
             };
-            tell(node, exchange.purpose, end, None);
-        }
-    }
-
-    /// The core has given this attempt up.
-    pub fn withdraw(&self, node: &Rc<Node>, ticket: Ticket) {
-        let Some(place) = self.attempts.borrow_mut().remove(&ticket) else {
-            return;
-        };
-        let Some(connection) = self.connection(place.connection) else {
-            return;
-        };
-        let Some(exchange) = connection.exchanges.borrow_mut().remove(&place.request_id) else {
-            return;
-        };
-        let begun = exchange.whole_at.is_some();
-        if begun && !connection.sent_whole(&exchange) {
-            // A part of it was sent: it must never become whole.
-            return connection.close();
-        }
-        if begun {
-            let mut bytes = Vec::new();
-            worker_protocol::withdraw(&mut bytes, &place.request_id);
-            let message = QueuedMessage {
-                id: String::new(),
-                message: Message::Bytes(bytes),
-            };
-            connection.queue.borrow_mut().push_back(message);
-            self.push(node, &connection);
-        } else {
-            connection
-                .queue
-                .borrow_mut()
-                .retain(|message| message.id != place.request_id);
-        }
-        if self
-            .pool
-            .borrow_mut()
-            .ended(node.clock.now(), place.connection, !begun)
-        {
-            connection.close();
-        }
-    }
-
-    /// Nothing more goes to this worker's connections of now.
-    pub fn retire(&self, worker: WorkerIndex) {
-        let connecting = self.pool.borrow_mut().retire(worker);
-        connecting
-            .into_iter()
-            .filter_map(|id| self.connection(id))
-            .for_each(|connection| connection.close());
-    }
-
-    /// Closes connections whose time is over, and ends exchanges that are no longer waited for.
-    pub fn sweep(&self, node: &Rc<Node>) {
-        let now = node.clock.now();
-        let connections: Vec<Rc<WorkerConnection>> =
-            self.connections.borrow().values().cloned().collect();
-        for connection in connections {
-            let late = |(id, e): (&String, &Exchange)| (now > e.until).then(|| id.clone());
-            let over: Vec<String> = connection
-                .exchanges
-                .borrow()
-                .iter()
-                .filter_map(late)
-                .collect();
-            over.iter()
-                .for_each(|id| self.ended(node, &connection, id, AttemptEnd::Broken, None));
-        }
-        let stale = self.pool.borrow().stale(now);
-        stale
-            .into_iter()
-            .filter_map(|id| self.connection(id))
-            .for_each(|connection| connection.close());
-    }
-}
-
-/// Tells the core how an exchange ended.
-fn tell(node: &Rc<Node>, purpose: Purpose, end: AttemptEnd, answer: Option<Answer>) {
-    let report = answer.as_ref().map_or(LoadReport::default(), |a| a.report);
-    match purpose {
-        Purpose::Attempt(ticket) => {
-            let outcome = attempt_outcome::dispatch(end);
-            let told = node.crowds
-                && matches!(
-                    outcome,
-                    DispatchOutcome::Succeeded | DispatchOutcome::Rejected
-                );
-            let crowd = answer.as_ref().filter(|_| told).map(|a| a.crowd);
-            let body = answer
-                .filter(|_| outcome == DispatchOutcome::Succeeded)
-                .map(|a| Payload::from(a.body));
-            let (note, held, body) = (CopyStatus::Unreported, None, body.unwrap_or_default());
-            node.feed(Input::DispatchEnded {
-                ticket,
-                outcome,
-                note,
-                crowd,
-                report,
-                held,
-                body,
-            });
-        }
-        Purpose::Order(ticket) => {
-            let (result, copies) = (attempt_outcome::order(end), answer.map_or(0, |a| a.copies));
-            node.feed(Input::OrderEnded {
-                ticket,
-                result,
-                copies,
-                held: None,
-            });
-        }
-        Purpose::Probe { worker, asked_at } => {
-            let took = node.clock.now() - asked_at;
-            node.feed(Input::Probed {
-                worker,
-                outcome: attempt_outcome::probe(end),
-                took,
-                report,
-            });
+            report_end(node, exchange.purpose, end, None);
         }
     }
 }
--- /dev/null
+++ b/crates/platform-node/src/worker_connections/session.rs
@@ -0,0 +1,126 @@
+//! [`Session`]: the task of one connection. It establishes the connection, then reads answers until the connection ends.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use cedarpulley::interface::Micros;
+use cedarpulley_net::{Stream, connect};
+use cedarpulley_platform::attempt_outcome::ExchangeEnd;
+use cedarpulley_platform::worker_protocol::MAX_ANSWER_BYTES;
+use futures_lite::FutureExt;
+
+use super::connection::WorkerConnection;
+use super::sending::Sender;
+use crate::node::Node;
+use crate::read_buffer::{READ_SIZE, ReadResult};
+
+/// No more is read in a row than the longest answer takes, so that a worker that never stops sending delays nobody for
+/// longer.
+const MAX_READS: usize = MAX_ANSWER_BYTES.div_ceil(READ_SIZE);
+
+/// One connection and its node.
+#[derive(Clone, Copy)]
+pub(super) struct Session<'a> {
+    node: &'a Rc<Node>,
+    connection: &'a Rc<WorkerConnection>,
+}
+
+impl<'a> Session<'a> {
+    pub fn new(node: &'a Rc<Node>, connection: &'a Rc<WorkerConnection>) -> Self {
+        Session { node, connection }
+    }
+
+    /// Connects, serves the connection, and reports the end of what was in flight on it.
+    pub async fn run(self, address: SocketAddr, connect_timeout: Micros) {
+        let connecting = async { connect(address, None, connect_timeout).await.ok() };
+        let cancelled = async {
+            self.connection.ended().await;
+            None
+        };
+        let Some(stream) = connecting.or(cancelled).await else {
+            // Cancelled from here, it shows nothing about the worker.
+            let end = if self.connection.is_closed_here() {
+                ExchangeEnd::Withheld
+            } else {
+                ExchangeEnd::ConnectFailed
+            };
+            return self.end(end);
+        };
+        self.connection.established(stream);
+        self.node.workers.established(self.connection);
+        Sender::new(self.node, self.connection).write();
+        self.serve().await;
+        self.end(ExchangeEnd::NotSent);
+    }
+
+    fn end(self, unsent: ExchangeEnd) {
+        let workers = &self.node.workers;
+        workers.connection_ended(self.node, self.connection, unsent);
+    }
+
+    /// Writes what is queued and reads answers until the connection ends.
+    async fn serve(self) {
+        let Some(stream) = self.connection.stream() else {
+            return;
+        };
+        while !self.connection.is_ending() {
+            self.connection.wait(&stream).await;
+            Sender::new(self.node, self.connection).write();
+            if self.connection.is_ending() {
+                return;
+            }
+            if let ReadResult::Ended = self.read(&stream) {
+                return;
+            }
+        }
+    }
+
+    /// Reads what has arrived for as long as this request is in flight on the connection. That the connection has ended
+    /// is left for its own task to find.
+    pub fn read_answers_to(self, request_id: &str) {
+        let Some(stream) = self.connection.stream() else {
+            return;
+        };
+        for _ in 0..MAX_READS {
+            let is_awaited = !self.connection.is_ending() && self.connection.carries(request_id);
+            if !is_awaited || !matches!(self.read(&stream), ReadResult::Bytes(())) {
+                return;
+            }
+        }
+    }
+
+    /// Reads once without waiting, and processes the answers that are complete.
+    fn read(self, stream: &Stream) -> ReadResult<()> {
+        let result = self.node.read(stream, |bytes| self.connection.put(bytes));
+        if let ReadResult::Bytes(()) = result {
+            self.process_answers();
+        }
+        result
+    }
+
+    fn process_answers(self) {
+        let workers = &self.node.workers;
+        loop {
+            match self
+                .connection
+                .next_answer(&workers.protocol().report_fields)
+            {
+                // Nobody can have answered what was not sent completely.
+                Ok(Some(answer)) if self.connection.is_unsent(&answer.id) => {
+                    return self.connection.close();
+                }
+                // An answer with an unknown id is late, repeated or unsolicited, and is ignored.
+                Ok(Some(answer)) => {
+                    let id = answer.id.clone();
+                    let end = ExchangeEnd::Answered(answer.status);
+                    workers.exchange_ended(self.node, self.connection, &id, end, Some(answer));
+                }
+                Ok(None) => return workers.received(self.node, self.connection),
+                Err(error) => {
+                    tracing::debug!(?error, "malformed answer from a worker");
+                    return self.connection.close();
+                }
+            }
+        }
+    }
+}
--- a/crates/platform/src/attempt_outcome.rs
+++ b/crates/platform/src/attempt_outcome.rs
@@ -1,99 +1,101 @@
-//! What the end of an exchange with a worker proves: the one table. Never-ran is claimed only where it is
-//! proven.
+//! What the end of an exchange with a worker proves about the request: the only table of that mapping. "Not executed" is
+//! claimed only where it is proven, because a request that may have run must not be retried as if it had not.
 
 use cedarpulley::interface::{DispatchOutcome, LoadOrderResult};
 
-/// The words of a worker's answer; on the wire they are in lower case.
+/// The status in a worker's answer; each has its own word in lower case on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerWord {
-    /// Served; the body follows. Of an order: the copies stand.
+pub enum AnswerStatus {
+    /// `ok`: the request succeeded and its body follows; or a load order is fulfilled.
     Ok,
-    /// The function is not loaded: nothing ran.
-    Nothing,
-    /// The worker is full, or drains: nothing ran.
-    Refused,
-    /// It failed, and may have run.
+    /// `nothing`: the function is not loaded, nothing was executed.
+    NotLoaded,
+    /// `refused`: the worker is at capacity or draining, nothing was executed.
+    Rejected,
+    /// `error`: it failed, and may have been executed.
     Error,
-    /// It was over before it began there: nothing ran.
-    Stale,
-    /// Of a probe: the worker does well.
-    Yes,
-    /// Of a probe: it does not.
-    No,
+    /// `stale`: its deadline had passed before it began on the worker, nothing was executed.
+    Expired,
+    /// `yes`, to a probe: the worker is healthy.
+    Healthy,
+    /// `no`, to a probe: the worker is not healthy.
+    Unhealthy,
 }
 
-impl AnswerWord {
-    /// The word as it stands on the wire.
-    pub fn read(word: &[u8]) -> Option<Self> {
+impl AnswerStatus {
+    /// The status for a word on the wire; `None` for a word that the protocol does not have.
+    pub fn from_wire(word: &[u8]) -> Option<Self> {
         Some(match word {
-            b"ok" => AnswerWord::Ok,
-            b"nothing" => AnswerWord::Nothing,
-            b"refused" => AnswerWord::Refused,
-            b"error" => AnswerWord::Error,
-            b"stale" => AnswerWord::Stale,
-            b"yes" => AnswerWord::Yes,
-            b"no" => AnswerWord::No,
+            b"ok" => AnswerStatus::Ok,
+            b"nothing" => AnswerStatus::NotLoaded,
+            b"refused" => AnswerStatus::Rejected,
+            b"error" => AnswerStatus::Error,
+            b"stale" => AnswerStatus::Expired,
+            b"yes" => AnswerStatus::Healthy,
+            b"no" => AnswerStatus::Unhealthy,
             _ => return None,
         })
     }
 }
 
-/// How an exchange ended.
+/// How an exchange (an attempt, a load order or a probe) ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum ExchangeEnd {
     /// The worker answered.
-    Answered(AnswerWord),
-    /// No connection came up.
-    Unreached,
-    /// The connection ended, or was ended, before every byte of the request was accepted by the kernel.
-    Unsent,
-    /// It was held back before its first byte: its deadline, its client or its worker's service had ended, or no
-    /// connection may be opened.
-    HeldBack,
-    /// The connection ended after the request was written whole, or said what cannot be read.
-    Broken,
+    Answered(AnswerStatus),
+    /// No connection to the worker could be established.
+    ConnectFailed,
+    /// The connection ended, or was closed from here, before the kernel had accepted every byte of the message.
+    NotSent,
+    /// This router did not send its first byte: the deadline had passed, the client had disconnected, the worker no
+    /// longer accepts requests, or no further connection may be opened.
+    Withheld,
+    /// The connection ended after the whole message was written, or delivered bytes that are not of the protocol.
+    ConnectionLost,
 }
 
-/// What the end of an attempt proves of its request.
-pub fn dispatch(end: AttemptEnd) -> DispatchOutcome {
+/// What the end of an attempt proves about its request.
+pub fn dispatch_outcome(end: ExchangeEnd) -> DispatchOutcome {
     match end {
-        AttemptEnd::Answered(AnswerWord::Ok) => DispatchOutcome::Succeeded,
-        AttemptEnd::Answered(AnswerWord::Nothing) => DispatchOutcome::NotLoaded,
-        AttemptEnd::Answered(AnswerWord::Refused) => DispatchOutcome::Rejected,
-        AttemptEnd::Answered(AnswerWord::Error) => DispatchOutcome::Errored,
-        // Over before it began there.
-        AttemptEnd::Answered(AnswerWord::Stale) => DispatchOutcome::NotSent,
-        // No word for an invocation: it may have run.
-        AttemptEnd::Answered(AnswerWord::Yes | AnswerWord::No) => DispatchOutcome::ConnectionLost,
-        AttemptEnd::Unreached => DispatchOutcome::Unreachable,
-        // Nothing ran. A connection that is reset while idle or just after it came up says nothing about the worker;
-        // whether another one comes up is seen next.
-        AttemptEnd::Unsent | AttemptEnd::HeldBack => DispatchOutcome::NotSent,
-        AttemptEnd::Broken => DispatchOutcome::ConnectionLost,
+        ExchangeEnd::Answered(AnswerStatus::Ok) => DispatchOutcome::Succeeded,
+        ExchangeEnd::Answered(AnswerStatus::NotLoaded) => DispatchOutcome::NotLoaded,
+        ExchangeEnd::Answered(AnswerStatus::Rejected) => DispatchOutcome::Rejected,
+        ExchangeEnd::Answered(AnswerStatus::Error) => DispatchOutcome::Errored,
+        // It never began on the worker, which says nothing about the worker.
+        ExchangeEnd::Answered(AnswerStatus::Expired) => DispatchOutcome::NotSent,
+        // These answer probes only. To an invocation they prove nothing: it may have run.
+        ExchangeEnd::Answered(AnswerStatus::Healthy | AnswerStatus::Unhealthy) => {
+            DispatchOutcome::ConnectionLost
+        }
+        ExchangeEnd::ConnectFailed => DispatchOutcome::Unreachable,
+        // Nothing ran. A connection that is reset while idle or just after it was established does not show that the
+        // worker is down; the next attempt to connect will.
+        ExchangeEnd::NotSent | ExchangeEnd::Withheld => DispatchOutcome::NotSent,
+        ExchangeEnd::ConnectionLost => DispatchOutcome::ConnectionLost,
     }
 }
 
-/// What the end of an order to load proves.
-pub fn order(end: AttemptEnd) -> LoadOrderResult {
+/// What the end of a load order proves.
+pub fn load_order_result(end: ExchangeEnd) -> LoadOrderResult {
     match end {
-        AttemptEnd::Answered(AnswerWord::Ok) => LoadOrderResult::Loaded,
-        AttemptEnd::Answered(AnswerWord::Refused) => LoadOrderResult::NoCapacity,
-        AttemptEnd::Answered(AnswerWord::Error) => LoadOrderResult::LoadFailed,
-        AttemptEnd::Unreached | AttemptEnd::Unsent | AttemptEnd::HeldBack => {
+        ExchangeEnd::Answered(AnswerStatus::Ok) => LoadOrderResult::Loaded,
+        ExchangeEnd::Answered(AnswerStatus::Rejected) => LoadOrderResult::NoCapacity,
+        ExchangeEnd::Answered(AnswerStatus::Error) => LoadOrderResult::LoadFailed,
+        ExchangeEnd::ConnectFailed | ExchangeEnd::NotSent | ExchangeEnd::Withheld => {
             LoadOrderResult::Unreachable
         }
-        AttemptEnd::Answered(_) | AttemptEnd::Broken => LoadOrderResult::ConnectionLost,
+        ExchangeEnd::Answered(_) | ExchangeEnd::ConnectionLost => LoadOrderResult::ConnectionLost,
     }
 }
 
-/// What the end of a probe tells of its worker.
-pub fn probe(end: AttemptEnd) -> DispatchOutcome {
+/// What the end of a probe shows about its worker.
+pub fn probe_outcome(end: ExchangeEnd) -> DispatchOutcome {
     match end {
-        AttemptEnd::Answered(AnswerWord::Yes) => DispatchOutcome::Succeeded,
-        AttemptEnd::Answered(AnswerWord::No) => DispatchOutcome::Rejected,
-        AttemptEnd::Unreached | AttemptEnd::Unsent | AttemptEnd::HeldBack => {
+        ExchangeEnd::Answered(AnswerStatus::Healthy) => DispatchOutcome::Succeeded,
+        ExchangeEnd::Answered(AnswerStatus::Unhealthy) => DispatchOutcome::Rejected,
+        ExchangeEnd::ConnectFailed | ExchangeEnd::NotSent | ExchangeEnd::Withheld => {
             DispatchOutcome::Unreachable
         }
-        AttemptEnd::Answered(_) | AttemptEnd::Broken => DispatchOutcome::ConnectionLost,
+        ExchangeEnd::Answered(_) | ExchangeEnd::ConnectionLost => DispatchOutcome::ConnectionLost,
     }
 }
--- a/crates/platform/src/client_protocol/queue.rs
+++ b/crates/platform/src/client_protocol/queue.rs
@@ -1,25 +1,25 @@
-//! The requests of one connection, in order. Clients may send requests ahead of their answers.
+//! The requests of one connection, in order. Clients may pipeline: send requests ahead of their answers.
 //!
 //! Everything that arrives is read at once, so that a client that closes its connection is noticed, and so that the
-//! wait of each request counts from when its last byte came. What is kept is bounded: of the requests beyond the
-//! bound only the number is kept, and each of them is refused when its turn comes.
+//! timeout of each request counts from when its last byte arrived. What is kept is bounded: of the requests beyond the
+//! bound only the number is kept, and each of them is rejected when its turn comes.
 
 use std::collections::VecDeque;
 
 use cedarpulley::interface::Micros;
 
 use super::parser::Parser;
-use super::{MOST_BODY, MOST_HEAD, Request, RequestError, RequestKind, RequestRules};
+use super::{MAX_HEAD_BYTES, MOST_BODY, Request, RequestError, RequestKind, RequestRules};
 
-/// Bytes of bodies and unread text that are kept ahead of an answer: those of one more request.
-const MOST_BYTES_AHEAD: usize = MOST_HEAD + MOST_BODY;
+/// Bytes of bodies and undecoded text that are kept ahead of an answer: those of one more request.
+const MAX_PIPELINED_BYTES: usize = MAX_HEAD_BYTES + MOST_BODY;
 /// Requests that are kept ahead of an answer.
-const MOST_REQUESTS_AHEAD: usize = 8;
+const MAX_PIPELINED_REQUESTS: usize = 8;
 
 /// A request whose turn has come.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueuedRequest {
-    /// The request, or why it is refused.
+    /// The request, or why it is rejected.
     pub request: Result<Request, RequestError>,
     /// When its last byte arrived, in microseconds of the router's clock.
     pub arrived: Micros,
@@ -41,18 +41,18 @@
 #[derive(Debug, Default)]
 pub struct RequestQueue {
     parser: Parser,
-    kept: VecDeque<QueuedRequest>,
-    /// Requests after the kept ones.
-    beyond: u64,
-    /// The refusal of a request that cannot be read.
+    queued: VecDeque<QueuedRequest>,
+    /// Complete requests after the queued ones, of which only the number is kept.
+    overflow: u64,
+    /// A request that cannot be read; none after it can.
     malformed: Option<QueuedRequest>,
-    /// Such a request has come: nothing after it is read.
+    /// Such a request has arrived.
     ended: bool,
     last_arrival: Micros,
 }
 
 impl RequestQueue {
-    /// Bytes that arrived at `arrived`.
+    /// Appends bytes that arrived at `arrived`, in microseconds of the router's clock.
     pub fn put(&mut self, arrived: Micros, bytes: &[u8], rules: &RequestRules) {
         if self.ended {
             return;
@@ -60,56 +60,52 @@
         self.parser.put(bytes);
         self.last_arrival = arrived;
         while let Some(request) = self.parser.next(rules).transpose() {
-            let queued = QueuedRequest { request, arrived };
-            if queued.request.is_err() {
-                self.malformed = Some(queued);
+            let next = QueuedRequest { request, arrived };
+            if next.request.is_err() {
+                self.malformed = Some(next);
                 self.ended = true;
                 return;
             }
-            if self.beyond > 0 || self.is_full() {
-                self.beyond += 1;
+            if self.overflow > 0 || self.is_full() {
+                self.overflow += 1;
             } else {
-                self.kept.push_back(queued);
+                self.queued.push_back(next);
             }
         }
     }
 
     fn is_full(&self) -> bool {
-        self.kept.len() >= MOST_REQUESTS_AHEAD || self.bytes() >= MOST_BYTES_AHEAD
+        self.queued.len() >= MAX_PIPELINED_REQUESTS || self.bytes() >= MAX_PIPELINED_BYTES
     }
 
-    /// The next whole request.
+    /// Removes the next complete request; after the queued ones come those that overflowed, each as a rejection.
     pub fn take(&mut self) -> Option<QueuedRequest> {
-        if let Some(queued) = self.kept.pop_front() {
-            return Some(queued);
+        if let Some(next) = self.queued.pop_front() {
+            return Some(next);
         }
-        if self.beyond > 0 {
-            self.beyond -= 1;
+        if self.overflow > 0 {
+            self.overflow -= 1;
             return Some(QueuedRequest {
-                request: Err(RequestError::TooManyAhead),
+                request: Err(RequestError::TooManyPipelined),
                 arrived: self.last_arrival,
             });
         }
         self.malformed.take()
     }
 
-    /// A whole request waits for its turn.
+    /// Whether a complete request waits for its turn.
     pub fn has_request(&self) -> bool {
-        !self.kept.is_empty() || self.beyond > 0 || self.malformed.is_some()
+        !self.queued.is_empty() || self.overflow > 0 || self.malformed.is_some()
     }
 
-    /// A request has begun and is not whole.
+    /// Whether a request has been received in part.
     pub fn is_receiving(&self) -> bool {
-        !self.ended && self.parser.is_midway()
+        !self.ended && self.parser.has_partial_request()
     }
 
-    /// Bytes kept.
+    /// Bytes in memory.
     pub fn bytes(&self) -> usize {
-        self.parser.bytes()
-            + self
-                .kept
-                .iter()
-                .map(QueuedRequest::body_bytes)
-                .sum::<usize>()
+        let bodies: usize = self.queued.iter().map(QueuedRequest::body_bytes).sum();
+        self.parser.bytes() + bodies
     }
 }
--- a/crates/platform/src/client_protocol/response.rs
+++ b/crates/platform/src/client_protocol/response.rs
@@ -1,28 +1,54 @@
-//! What goes back to a client.
+//! Encodes responses to clients.
 
 use std::io::Write;
 
+use bytes::Bytes;
 use cedarpulley::interface::Micros;
 use cedarpulley_router::Fate;
 
-/// The status of a refusal, which says that trying again is harmless.
-pub const REFUSED: u16 = 503;
+/// The status of a rejection, which says that a retry is harmless.
+pub const STATUS_REJECTED: u16 = 503;
 
-/// The status of a final answer.
-pub fn status_of(fate: Fate) -> u16 {
-    match fate {
+/// A response to a client.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Response {
+    /// The HTTP status.
+    pub status: u16,
+    /// For how long a rejected client is told to stay away, in microseconds.
+    pub retry_after: Option<Micros>,
+    /// The body; with status 200 as the worker gave it.
+    pub body: Bytes,
+    /// Whether the connection closes after it.
+    pub close: bool,
+}
+
+impl Response {
+    /// A response of a status only.
+    pub fn bare(status: u16, close: bool) -> Self {
+        Response {
+            status,
+            retry_after: None,
+            body: Bytes::new(),
+            close,
+        }
+    }
+}
+
+/// The status for a request's final outcome.
+pub fn status_of(outcome: Fate) -> u16 {
+    match outcome {
         Fate::Succeeded => 200,
-        Fate::Throttled => REFUSED,
+        Fate::Throttled => STATUS_REJECTED,
         Fate::Errored => 500,
     }
 }
 
-/// The status of the answer to a question whether the router serves.
+/// The status of the router's health: not healthy while it shuts down.
 pub fn health_status(shutting_down: bool) -> u16 {
-    if shutting_down { REFUSED } else { 200 }
+    if shutting_down { STATUS_REJECTED } else { 200 }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -37,29 +63,24 @@
     }
 }
 
-/// Writes a response. Status 200 carries the body as the worker gave it. `retry_after`: on a refusal, the microseconds
-/// for which the client is told to stay away. `close`: the connection closes after it.
-pub fn write_response(
-    out: &mut Vec<u8>,
-    status: u16,
-    retry_after: Option<Micros>,
-    body: &[u8],
-    close: bool,
-) {
-    let reason = reason(status);
+/// Appends an encoded response.
+pub fn write_response(buffer: &mut Vec<u8>, response: &Response) {
+    let status = response.status;
+    let reason = reason_phrase(status);
     // Writing to memory cannot fail.
     let _ = write!(
-        out,
+        buffer,
         "HTTP/1.1 {status} {reason}\r\nContent-Length: {}\r\n",
-        body.len()
+        response.body.len()
     );
-    if let Some(wait) = retry_after {
-        let _ = write!(out, "Srv-Wait-Ms: {}\r\n", (wait + 999) / 1_000);
+    if let Some(retry_after) = response.retry_after {
+        // Rounded up: a client that comes back earlier would be rejected again.
+        let _ = write!(buffer, "Srv-Wait-Ms: {}\r\n", (retry_after + 999) / 1_000);
     }
-    out.extend_from_slice(if close {
+    buffer.extend_from_slice(if response.close {
         b"Connection: close\r\n\r\n"
     } else {
         b"\r\n"
     });
-    out.extend_from_slice(body);
+    buffer.extend_from_slice(&response.body);
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,5 +1,5 @@
-//! What a router is told at its start, as JSON. Call [`Start::read`] with the file's text; [`discovery_address_of`]
-//! reads from a replaced file what may change while the router runs.
+//! The configuration file of a router, as JSON: [`Start`] is made of its text, and [`discovery_address_of`] reads from a
+//! replaced file what may change while the router runs.
 
 use std::net::SocketAddr;
 
@@ -13,40 +13,40 @@
 
 use crate::discovery::EventBatch;
 
-/// Why no router starts with a configuration, or a replaced one is not taken.
+/// Why no router starts with a configuration, or a replaced one is not applied.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// It is no JSON, or a part is missing.
     #[error("the configuration is not as the platform has it")]
-    Form(#[from] serde_json::Error),
-    /// The settings are wrong.
+    Malformed(#[from] serde_json::Error),
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The address of discovery cannot be read.
-    #[error("channel '{channel}' is no address")]
-    Channel {
-        /// What stands there.
-        channel: String,
+    /// The address of discovery is malformed.
+    #[error("channel '{address}' is no address")]
+    DiscoveryAddress {
+        /// The address given.
+        address: String,
     },
     /// There is no trigger type.
     #[error("the settings name no services")]
-    NoServices,
+    NoTriggers,
     /// A name is missing.
     #[error("setting {path} is missing")]
-    Missing {
-        /// Where it belongs.
+    MissingName {
+        /// The setting where it belongs.
         path: String,
     },
     /// A limit leaves no room for anything.
-    #[error("limits.{which} is not above 0")]
-    NoRoom {
-        /// Which limit.
-        which: &'static str,
+    #[error("limits.{limit} is not above 0")]
+    LimitNotPositive {
+        /// The limit's key.
+        limit: &'static str,
     },
-    /// The seed cannot be read.
+    /// The seed is malformed.
     #[error("seed {seed} is neither hex digits nor a whole number")]
     Seed {
-        /// What stands there.
+        /// The seed given.
         seed: Value,
     },
 }
@@ -54,15 +54,15 @@
 impl Remedy for ConfigError {
     fn remedy(&self) -> &'static str {
         match self {
-            ConfigError::Form(_) => {
+            ConfigError::Malformed(_) => {
                 "give seed, limits, channel, known and settings as docs/operate/platform.md has them"
             }
             ConfigError::Settings(error) => error.remedy(),
-            ConfigError::Channel { .. } => "give the channel as an IP address and a port",
-            ConfigError::NoServices | ConfigError::Missing { .. } => {
+            ConfigError::DiscoveryAddress { .. } => "give the channel as an IP address and a port",
+            ConfigError::NoTriggers | ConfigError::MissingName { .. } => {
                 "give each service and org its name in the settings"
             }
-            ConfigError::NoRoom { .. } => "give the router some memory and some sockets",
+            ConfigError::LimitNotPositive { .. } => "give the router some memory and some sockets",
             ConfigError::Seed { .. } => {
                 "give the seed as up to 16 hex digits in quotes, or as a whole number"
             }
@@ -72,12 +72,15 @@
 
 type Result<T> = std::result::Result<T, ConfigError>;
 
+/// The file as it is written.
 #[derive(Debug, Deserialize)]
 struct File {
     seed: Value,
     limits: Limits,
-    channel: String,
-    known: EventBatch,
+    #[serde(rename = "channel")]
+    discovery_address: String,
+    #[serde(rename = "known")]
+    initial_events: EventBatch,
     settings: Value,
 }
 
@@ -90,18 +93,18 @@
     pub sockets: u64,
 }
 
-/// What the settings say of connections to workers.
+/// What the settings say about connections to workers.
 #[derive(Clone, Copy, Debug)]
-pub struct Links {
+pub struct WorkerConnectionSettings {
     /// Exchanges at once on one connection.
-    pub streams: usize,
-    /// For how long workers keep an idle connection.
-    pub idle_kept: Micros,
-    /// A connection comes up within this time or not at all.
-    pub connect_within: Micros,
+    pub max_streams: usize,
+    /// For how long workers keep an idle connection, in microseconds.
+    pub keepalive: Micros,
+    /// Within which a connection is established or counts as failed, in microseconds.
+    pub connect_timeout: Micros,
 }
 
-/// A configuration, read and found fit.
+/// A valid configuration.
 #[derive(Debug)]
 pub struct Start {
     /// For random numbers; new with each start.
@@ -109,119 +112,132 @@
     /// What the process may use.
     pub limits: Limits,
     /// Where discovery listens.
-    pub channel: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// Discovery's events up to the start.
-    pub known: EventBatch,
+    pub initial_events: EventBatch,
     /// What the policy module starts with.
     pub settings: StartupSettings,
     /// The values in load reports.
-    pub fields: Vec<ReportField>,
-    /// Names on the sockets.
+    pub report_fields: Vec<ReportField>,
+    /// Names on the wire.
     pub names: Names,
     /// Of connections to workers.
-    pub links: Links,
-    /// A copy larger than the largest machine is asked of no worker.
-    pub largest_mb: f64,
+    pub worker_connections: WorkerConnectionSettings,
+    /// Memory of the largest machine, in megabytes: a copy of a function that is larger fits on no worker. Unbounded if
+    /// the settings do not say.
+    pub largest_machine_mb: f64,
 }
 
-/// A count of streams or a time that the settings leave out.
-const STREAMS: f64 = 1.0;
-const IDLE_KEPT: Micros = 15_000_000;
-const CONNECT_WITHIN: Micros = 250_000;
+/// Streams of a connection to a worker, where the settings leave them out.
+const DEFAULT_MAX_STREAMS: f64 = 1.0;
+/// For how long workers keep an idle connection, where the settings leave it out, in microseconds.
+const DEFAULT_KEEPALIVE: Micros = 15_000_000;
+/// Within which a connection is established, where the settings leave it out, in microseconds.
+const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 
 impl Start {
-    /// Reads the configuration's text.
+    /// Parses the text of a configuration file.
     pub fn read(text: &str) -> Result<Self> {
         let file: File = serde_json::from_str(text)?;
-        let channel = address(file.channel)?;
+        let discovery_address = parse_address(file.discovery_address)?;
         let raw = RawSettings::nested(&file.settings)?;
         let settings = StartupSettings::read(&raw)?;
         if settings.triggers.is_empty() {
-            return Err(ConfigError::NoServices);
+            return Err(ConfigError::NoTriggers);
         }
-        check_room(&file.limits)?;
+        check_limits(&file.limits)?;
         let names = Names {
-            triggers: names(&raw, "services", settings.triggers.len())?,
-            accounts: names(&raw, "orgs", settings.accounts.len())?,
+            triggers: names_in(&raw, "services", settings.triggers.len())?,
+            accounts: names_in(&raw, "orgs", settings.accounts.len())?,
             zones: raw.list("zones").map(str::to_owned).collect(),
             kinds: raw.list("kinds").map(str::to_owned).collect(),
         };
-        let links = Links {
-            streams: raw.number("permissions.streamsPerConn", STREAMS)?.max(1.0) as usize,
-            idle_kept: raw.time("permissions.keepalive", IDLE_KEPT)?,
-            connect_within: match settings.limits.connect_timeout {
-                0 => CONNECT_WITHIN,
-                within => within,
-            },
-        };
-        let largest_mb = settings.loads.memory_mb.iter().copied().fold(0.0, f64::max);
+        let worker_connections = WorkerConnectionSettings::read(&raw, &settings)?;
         Ok(Start {
-            seed: seed(&file.seed)?,
+            seed: parse_seed(&file.seed)?,
             limits: file.limits,
-            channel,
-            known: file.known,
+            discovery_address,
+            initial_events: file.initial_events,
+            largest_machine_mb: largest_machine_mb(&settings),
             settings,
-            fields: ReportField::named(&raw),
+            report_fields: ReportField::named(&raw),
             names,
-            links,
-            largest_mb: if largest_mb > 0.0 {
-                largest_mb
-            } else {
-                f64::MAX
+            worker_connections,
+        })
+    }
+}
+
+impl WorkerConnectionSettings {
+    fn read(raw: &RawSettings, settings: &StartupSettings) -> Result<Self> {
+        let max_streams = raw.number("permissions.streamsPerConn", DEFAULT_MAX_STREAMS)?;
+        Ok(WorkerConnectionSettings {
+            max_streams: max_streams.max(1.0) as usize,
+            keepalive: raw.time("permissions.keepalive", DEFAULT_KEEPALIVE)?,
+            connect_timeout: match settings.limits.connect_timeout {
+                0 => DEFAULT_CONNECT_TIMEOUT,
+                timeout => timeout,
             },
         })
     }
 }
 
+fn largest_machine_mb(settings: &StartupSettings) -> f64 {
+    let machines = settings.loads.memory_mb.iter().copied();
+    let largest = machines.fold(0.0, f64::max);
+    if largest > 0.0 { largest } else { f64::MAX }
+}
+
 /// The names in a list of objects.
-fn names(raw: &RawSettings, list: &str, count: usize) -> Result<Vec<String>> {
-    let name = |i: usize| {
-        let path = format!("{list}.{i}.name");
+fn names_in(raw: &RawSettings, list: &str, count: usize) -> Result<Vec<String>> {
+    let name = |index: usize| {
+        let path = format!("{list}.{index}.name");
         raw.text(&path)
             .map(str::to_owned)
-            .ok_or(ConfigError::Missing { path })
+            .ok_or(ConfigError::MissingName { path })
     };
     (0..count).map(name).collect()
 }
 
-fn check_room(limits: &Limits) -> Result<()> {
+fn check_limits(limits: &Limits) -> Result<()> {
     let given = [
         ("sockets", limits.sockets as f64),
         ("memory_mb", limits.memory_mb),
     ];
-    match given.into_iter().find(|(_, n)| n.is_nan() || *n <= 0.0) {
-        Some((which, _)) => Err(ConfigError::NoRoom { which }),
+    let not_positive = |(_, value): &(&str, f64)| value.is_nan() || *value <= 0.0;
+    match given.into_iter().find(not_positive) {
+        Some((limit, _)) => Err(ConfigError::LimitNotPositive { limit }),
         None => Ok(()),
     }
 }
 
-/// A replaced file that cannot be read, perhaps because it is still being written, is read again this much later, in
-/// microseconds, and this many times in all: for about as long as discovery goes on at its old address.
+/// A replaced file that cannot be read, perhaps because it is still being written, is read again so much later, in
+/// microseconds, and [`MAX_RELOADS`] times in all: for about as long as discovery goes on at its old address.
 pub const RELOAD_PAUSE: Micros = 100_000;
-/// See [`RELOAD_PAUSE`].
-pub const MOST_RELOADS: u32 = 20;
+/// How often a replaced file is read before it is given up; see [`RELOAD_PAUSE`].
+pub const MAX_RELOADS: u32 = 20;
 
-/// The discovery channel's address in a file that has replaced the first one.
+/// The address of discovery in a file that has replaced the first one.
 pub fn discovery_address_of(text: &str) -> Result<SocketAddr> {
     #[derive(Deserialize)]
     struct Replaced {
-        channel: String,
+        #[serde(rename = "channel")]
+        discovery_address: String,
     }
     let file: Replaced = serde_json::from_str(text)?;
-    address(file.channel)
+    parse_address(file.discovery_address)
 }
 
-fn address(channel: String) -> Result<SocketAddr> {
-    channel
+fn parse_address(address: String) -> Result<SocketAddr> {
+    address
         .parse()
-        .map_err(|_| ConfigError::Channel { channel })
+        .map_err(|_| ConfigError::DiscoveryAddress { address })
 }
 
 /// Hex digits, or a plain number.
-fn seed(value: &Value) -> Result<u64> {
+fn parse_seed(value: &Value) -> Result<u64> {
     let seed = match value {
         Value::String(text) => u64::from_str_radix(text, 16).ok(),
-        Value::Number(n) => n.as_u64(),
+        Value::Number(number) => number.as_u64(),
         _ => None,
     };
     seed.ok_or_else(|| ConfigError::Seed {
--- /dev/null
+++ b/crates/platform/src/discovery/response_reader.rs
@@ -0,0 +1,125 @@
+//! Cuts complete responses out of the bytes of a connection to discovery.
+
+use httparse::Status;
+
+use super::{DiscoveryError, EventBatch, Result};
+use crate::chunked::{Chunk, ChunkError, parse_chunk};
+
+/// Largest response, in bytes: it names some thousands of workers at most.
+pub(super) const MAX_RESPONSE_BYTES: usize = 4 << 20;
+/// Largest head of a response, in bytes: a few short fields.
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// Most fields of a head.
+const MAX_FIELDS: usize = 32;
+
+/// The bytes of one connection that are not yet a complete response. A malformed response ends the connection.
+#[derive(Debug, Default)]
+pub struct Answers {
+    bytes: Vec<u8>,
+}
+
+/// How the end of a response's body is found.
+enum BodyFraming {
+    /// After so many bytes.
+    Sized(usize),
+    /// After the last chunk.
+    Chunked,
+}
+
+/// A complete head.
+struct Head {
+    /// Bytes of the head.
+    length: usize,
+    framing: BodyFraming,
+}
+
+impl Answers {
+    /// Appends bytes that were received.
+    pub fn put(&mut self, bytes: &[u8]) {
+        self.bytes.extend_from_slice(bytes);
+    }
+
+    /// The events of the next complete response, if there is one.
+    pub fn whole(&mut self) -> Result<Option<EventBatch>> {
+        let Some(head) = parse_head(&self.bytes)? else {
+            return Ok(None);
+        };
+        let after_head = &self.bytes[head.length..];
+        let (body, body_length) = match head.framing {
+            BodyFraming::Sized(size) => match after_head.get(..size) {
+                None => return Ok(None),
+                Some(body) => (body.to_vec(), size),
+            },
+            BodyFraming::Chunked => match decode_chunks(after_head)? {
+                None if self.bytes.len() > MAX_RESPONSE_BYTES => {
+                    return Err(DiscoveryError::ChunksTooLong);
+                }
+                None => return Ok(None),
+                Some(decoded) => decoded,
+            },
+        };
+        self.bytes.drain(..head.length + body_length);
+        self.bytes.shrink_to(MAX_HEAD_BYTES);
+        let batch = serde_json::from_slice(&body).map_err(DiscoveryError::MalformedEvents)?;
+        Ok(Some(batch))
+    }
+}
+
+/// Parses the head that `bytes` begin with; `None` while it is incomplete.
+fn parse_head(bytes: &[u8]) -> Result<Option<Head>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut head = httparse::Response::new(&mut headers);
+    let length = match head.parse(bytes).map_err(DiscoveryError::MalformedHead)? {
+        Status::Partial if bytes.len() > MAX_HEAD_BYTES => return Err(DiscoveryError::HeadTooLong),
+        Status::Partial => return Ok(None),
+        Status::Complete(length) => length,
+    };
+    if head.code != Some(200) {
+        return Err(DiscoveryError::Status {
+            status: head.code.unwrap_or(0),
+        });
+    }
+    let field = |name: &str| {
+        head.headers
+            .iter()
+            .find(|header| header.name.eq_ignore_ascii_case(name))
+    };
+    let framing = match (field("content-length"), field("transfer-encoding")) {
+        (Some(header), None) => {
+            let size: usize = std::str::from_utf8(header.value)
+                .ok()
+                .and_then(|text| text.trim().parse().ok())
+                .ok_or(DiscoveryError::MalformedLength)?;
+            if size > MAX_RESPONSE_BYTES {
+                return Err(DiscoveryError::TooLong { size });
+            }
+            BodyFraming::Sized(size)
+        }
+        (None, Some(_)) => BodyFraming::Chunked,
+        _ => return Err(DiscoveryError::NoLength),
+    };
+    Ok(Some(Head { length, framing }))
+}
+
+/// The body in chunks that `bytes` begin with, and the bytes that it took; `None` while it is incomplete.
+fn decode_chunks(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>> {
+    let (mut body, mut position) = (Vec::new(), 0);
+    loop {
+        let rest = &bytes[position..];
+        let chunk = parse_chunk(rest, MAX_RESPONSE_BYTES - body.len(), usize::MAX);
+        match chunk.map_err(|error| match error {
+            ChunkError::Malformed => DiscoveryError::MalformedChunk,
+            ChunkError::TooLarge => DiscoveryError::ChunksTooLong,
+        })? {
+            Chunk::SizeIncomplete | Chunk::DataIncomplete => return Ok(None),
+            Chunk::Complete { data, length } => {
+                let is_last = data.is_empty();
+                body.extend_from_slice(&rest[data]);
+                position += length;
+                if is_last {
+                    return Ok(Some((body, position)));
+                }
+            }
+        }
+    }
+}
--- a/crates/platform/src/event_loop_lag.rs
+++ b/crates/platform/src/event_loop_lag.rs
@@ -2,7 +2,7 @@
 //!
 //! A process that shares its core, or was stopped, reads bytes later than they arrived. Times that are counted from
 //! the read (a client's deadline, the grace of a draining worker) would then be too generous. The event loop calls
-//! [`EventLoopLag::beat`] at a fixed period; [`EventLoopLag::lag`] tells how far behind it may be.
+//! [`EventLoopLag::beat`] at a fixed period; [`EventLoopLag::lag`] is how far behind it may be.
 
 use cedarpulley::interface::Micros;
 
--- a/crates/platform/src/graceful_shutdown.rs
+++ b/crates/platform/src/graceful_shutdown.rs
@@ -1,12 +1,12 @@
-//! Decides what a router that was told to stop still accepts, and when it may exit. Call
-//! [`GracefulShutdown::begin`] with the order to stop; [`GracefulShutdown::accepts`] judges each request, and
-//! [`GracefulShutdown::may_exit`] is asked again and again until it agrees.
+//! Decides what a router still accepts after the signal to stop, and when it may exit. Call
+//! [`GracefulShutdown::begin`] on the signal and [`GracefulShutdown::accepts`] for each request, and poll
+//! [`GracefulShutdown::may_exit`] until it is true.
 
 use cedarpulley::interface::Micros;
 
-/// Requests that crossed the order to stop are accepted for this long, by the protocol.
-const STILL_ACCEPTS: Micros = 700_000;
-/// The last accepted request has its whole deadline, and its answer this long to reach the client.
+/// Clients that have not noticed the shutdown yet have their requests accepted for this long, by the protocol.
+const ACCEPT_PERIOD: Micros = 700_000;
+/// Beyond the deadline of the last accepted request, its answer has this long to reach the client.
 const EXIT_MARGIN: Micros = 500_000;
 
 /// The state of a graceful shutdown; times are microseconds of the router's clock.
@@ -25,12 +25,12 @@
         }
     }
 
-    /// The order to stop came; a repeated order changes nothing.
+    /// The signal to stop arrived; a repeated one changes nothing.
     pub fn begin(&mut self, now: Micros) {
         self.begun_at.get_or_insert(now);
     }
 
-    /// Whether the order to stop has come.
+    /// Whether the signal to stop has arrived.
     pub fn begun(&self) -> bool {
         self.begun_at.is_some()
     }
@@ -38,17 +38,17 @@
     /// Whether a request whose last byte arrived at `arrived` is still accepted.
     pub fn accepts(&self, arrived: Micros) -> bool {
         self.begun_at
-            .is_none_or(|begun| arrived - begun <= STILL_ACCEPTS)
+            .is_none_or(|begun| arrived - begun <= ACCEPT_PERIOD)
     }
 
-    /// Whether the process may exit now. `unfinished`: a request is unanswered, partly received, or may lie in one of the
-    /// kernel's buffers. The caller must have looked into those buffers in this very moment: a request that lies there is
-    /// accepted although nobody has read it. The time limit holds for clients that never finish.
+    /// Whether the process may exit now. `unfinished`: a request is unanswered, partly received, or may be in one of the
+    /// kernel's buffers. The caller must have checked those buffers right before the call: a request that is in one
+    /// counts as accepted although nobody has read it. The time limit is for clients that never finish.
     pub fn may_exit(&self, now: Micros, unfinished: bool) -> bool {
         let Some(begun) = self.begun_at else {
             return false;
         };
-        let overdue = now - begun > STILL_ACCEPTS + self.longest_deadline + EXIT_MARGIN;
+        let overdue = now - begun > ACCEPT_PERIOD + self.longest_deadline + EXIT_MARGIN;
         overdue || !unfinished && !self.accepts(now)
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,20 +1,23 @@
-//! The users' platform on the wire, free of I/O: bytes and times in, typed events and bytes out. No sockets,
-//! clocks or threads; where a request goes is decided by the policy module.
+//! The protocols and decisions of a router on the users' platform, free of I/O: bytes and times in, typed events and
+//! bytes out. No sockets, clocks or threads; where a request goes is decided by the policy module.
 //!
-//! * [`config`]: what a router is told at its start.
-//! * [`discovery`]: the events of the worker list, each once and in order.
-//! * [`client_protocol`]: requests of clients and the answers to them.
-//! * [`worker_protocol`]: the lines spoken with workers.
+//! Begin reading at [`client_protocol`] and [`worker_protocol`].
+//!
+//! * [`config`]: the configuration file.
+//! * [`discovery`]: the watch events of the worker list, each applied once and in order.
+//! * [`client_protocol`]: requests of clients and the responses to them.
+//! * [`worker_protocol`]: the line protocol spoken with workers.
 //! * [`attempt_outcome`]: what the end of an exchange with a worker proves.
-//! * [`connection_pool`]: decides which connection to a worker carries what, and when one is given up.
-//! * [`connection_limiter`]: decides which client connections are kept.
-//! * [`resource_limits`]: decides how what the platform allows is divided.
-//! * [`event_loop_lag`]: estimates how late the process reads what has arrived.
-//! * [`graceful_shutdown`]: decides what a router that was told to stop still accepts, and when it exits.
+//! * [`connection_pool`]: decides which connection to a worker carries what, and when one is closed.
+//! * [`connection_limiter`]: decides which client connections stay open.
+//! * [`resource_limits`]: decides how the descriptors and memory that the platform allows are divided.
+//! * [`event_loop_lag`]: estimates how late the process reads bytes that have arrived.
+//! * [`graceful_shutdown`]: decides what is still accepted after the signal to stop, and when the process exits.
 
 #![warn(missing_docs)]
 
 pub mod attempt_outcome;
+mod chunked;
 pub mod client_protocol;
 pub mod config;
 pub mod connection_limiter;
--- a/crates/platform/src/resource_limits.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -3,37 +3,39 @@
 use crate::config::Limits;
 
 /// Descriptors for everything that is neither a client's nor a worker's connection: the listener, discovery, signals,
-/// the runtime's own, connections that are just being closed, and those that are refused at the door.
-const RESERVED: usize = 32;
-/// Clients get one descriptor in this many. The usual ones hold a third at most, and so keep room beside idle ones.
-const CLIENTS_PART: usize = 2;
-/// Bodies of requests in progress get one byte in this many: the program and its tables need the rest.
-const BODIES_PART: f64 = 8.0;
+/// the runtime's own, connections that are just being closed, and those that are rejected when they connect.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// Clients get one descriptor in this many. Well-behaved ones use a third at most, so idle ones do not crowd them out.
+const CLIENTS_DIVISOR: usize = 2;
+/// Bodies of requests in flight get one byte in this many: the program and its tables need the rest.
+const BODIES_DIVISOR: f64 = 8.0;
 /// No machine gives more descriptors than this.
-const MOST_DESCRIPTORS: u64 = 1 << 20;
+const MAX_DESCRIPTORS: u64 = 1 << 20;
 
-/// What one router may hold at once.
+/// The resources of one router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
-    /// Connections of clients.
+    /// Connections of clients that may be open at once.
     pub clients: usize,
-    /// Connections to workers.
+    /// Connections to workers that may be open at once.
     pub workers: usize,
-    /// Bodies of all requests in progress, in bytes.
+    /// Bodies of all requests in flight, in bytes.
     pub body_bytes: u64,
 }
 
 impl ResourceLimits {
     /// Divides what the platform's configuration allows; every part gets at least one.
     pub fn of(limits: Limits) -> Self {
-        let descriptors = limits.sockets.min(MOST_DESCRIPTORS) as usize;
-        let clients = (descriptors / CLIENTS_PART).max(1);
-        let workers = descriptors.saturating_sub(clients + RESERVED).max(1);
+        let descriptors = limits.sockets.min(MAX_DESCRIPTORS) as usize;
+        let clients = (descriptors / CLIENTS_DIVISOR).max(1);
+        let workers = descriptors
+            .saturating_sub(clients + RESERVED_DESCRIPTORS)
+            .max(1);
         let memory_bytes = limits.memory_mb * f64::from(1 << 20);
         ResourceLimits {
             clients,
             workers,
-            body_bytes: (memory_bytes / BODIES_PART) as u64,
+            body_bytes: (memory_bytes / BODIES_DIVISOR) as u64,
         }
     }
 }
--- a/crates/platform/src/worker_protocol.rs
+++ b/crates/platform/src/worker_protocol.rs
@@ -1,8 +1,8 @@
-//! The lines spoken with workers: [`call`], [`withdraw`], [`load`], [`unload`] and [`probe`] write them,
-//! [`AnswerReader`] cuts answers out of the bytes that come.
+//! The line protocol spoken with workers: [`write_call`], [`write_cancellation`], [`write_load_order`],
+//! [`write_unload_order`] and [`write_probe`] encode messages, [`AnswerReader`] decodes answers.
 //!
-//! A line that cannot be read, has no end in time or claims more than its bound ends its connection: nothing
-//! after it can be trusted, and nothing is allocated for what it claims.
+//! An answer that is malformed, has no end of line within its limit or claims a body beyond its limit ends its
+//! connection: nothing after it can be trusted, and no memory is allocated for a length that is only claimed.
 
 use std::io::Write;
 
@@ -10,225 +10,246 @@
 use cedarpulley::interface::{LoadReport, Micros};
 use cedarpulley_startup::ReportField;
 
-use crate::attempt_outcome::AnswerWord;
+use crate::attempt_outcome::AnswerStatus;
 
-/// An answer's line: an id, a word, a few figures, a length.
-const MOST_LINE: usize = 1 << 10;
-/// Bodies of answers.
-const MOST_BODY: usize = 256 << 10;
-/// Line, body, and what ends each.
-pub const LONGEST_ANSWER: usize = MOST_LINE + MOST_BODY + 4;
+/// Largest line of an answer, in bytes: an id, a status, a few figures, a length.
+const MAX_LINE_BYTES: usize = 1 << 10;
+/// Largest body of an answer, in bytes.
+const MAX_BODY_BYTES: usize = 256 << 10;
+/// Largest answer, in bytes: line, body, and the line end after each.
+pub const MAX_ANSWER_BYTES: usize = MAX_LINE_BYTES + MAX_BODY_BYTES + 4;
 
-/// What a worker is told of an invocation.
+/// What ends a line, and a body.
+const LINE_END: &[u8] = b"\r\n";
+
+/// An invocation, as it is sent to a worker.
 pub struct Call<'a> {
     /// The request's id, 16 hex digits.
     pub id: &'a str,
     /// The name of its trigger type.
     pub trigger: &'a str,
-    /// 16 hex digits.
+    /// The function's id, 16 hex digits.
     pub function: &'a str,
-    /// How long the router waits, in microseconds; told in whole milliseconds, 1 at least.
+    /// How long the router still waits, in microseconds; sent in whole milliseconds, at least 1.
     pub time_left: Micros,
     /// The idempotency key.
-    pub token: Option<&'a str>,
-    /// The body, passed on unchanged.
+    pub idempotency_key: Option<&'a str>,
+    /// The body, forwarded unchanged.
     pub body: &'a [u8],
 }
 
-/// Writing to memory cannot fail.
-fn put(out: &mut Vec<u8>, text: std::fmt::Arguments) {
-    let _ = out.write_fmt(text);
+/// Appends formatted text. Writing to memory cannot fail.
+fn append(buffer: &mut Vec<u8>, text: std::fmt::Arguments) {
+    let _ = buffer.write_fmt(text);
 }
 
-/// Writes a request: `FN ID FIELDS LENGTH` and the body.
-pub fn call(out: &mut Vec<u8>, c: &Call) {
-    let ms = (c.time_left / 1_000).max(1);
-    put(
-        out,
-        format_args!("FN {} kind={},obj={},ms={ms}", c.id, c.trigger, c.function),
+/// Appends a request: `FN ID FIELDS LENGTH` and the body.
+pub fn write_call(buffer: &mut Vec<u8>, call: &Call) {
+    let millis = (call.time_left / 1_000).max(1);
+    append(
+        buffer,
+        format_args!(
+            "FN {} kind={},obj={},ms={millis}",
+            call.id, call.trigger, call.function
+        ),
     );
-    if let Some(token) = c.token {
-        put(out, format_args!(",token={token}"));
+    if let Some(key) = call.idempotency_key {
+        append(buffer, format_args!(",token={key}"));
     }
-    put(out, format_args!(" {}\r\n", c.body.len()));
-    out.extend_from_slice(c.body);
-    out.extend_from_slice(b"\r\n");
+    append(buffer, format_args!(" {}\r\n", call.body.len()));
+    buffer.extend_from_slice(call.body);
+    buffer.extend_from_slice(LINE_END);
 }
 
-/// Writes that a request is given up: `KILL ID`. No answer comes.
-pub fn withdraw(out: &mut Vec<u8>, id: &str) {
-    put(out, format_args!("KILL {id}\r\n"));
+/// Appends the cancellation of a request: `KILL ID`. The worker sends no answer.
+pub fn write_cancellation(buffer: &mut Vec<u8>, id: &str) {
+    append(buffer, format_args!("KILL {id}\r\n"));
 }
 
-/// Writes an order to hold copies: `SPAWN TAG obj=..,n=..`.
-pub fn load(out: &mut Vec<u8>, tag: &str, function: &str, copies: u32) {
-    put(
-        out,
+/// Appends an order to have `copies` copies of a function loaded: `SPAWN TAG obj=..,n=..`.
+pub fn write_load_order(buffer: &mut Vec<u8>, tag: &str, function: &str, copies: u32) {
+    append(
+        buffer,
         format_args!("SPAWN {tag} obj={function},n={copies}\r\n"),
     );
 }
 
-/// Writes that idle copies are to go: `REAP FUNCTION`. No answer comes.
-pub fn unload(out: &mut Vec<u8>, function: &str) {
-    put(out, format_args!("REAP {function}\r\n"));
+/// Appends an order to unload a function's idle copies: `REAP FUNCTION`. The worker sends no answer.
+pub fn write_unload_order(buffer: &mut Vec<u8>, function: &str) {
+    append(buffer, format_args!("REAP {function}\r\n"));
 }
 
-/// Writes a question how the worker does: `TOP TAG`.
-pub fn probe(out: &mut Vec<u8>, tag: &str) {
-    put(out, format_args!("TOP {tag}\r\n"));
+/// Appends a health check: `TOP TAG`.
+pub fn write_probe(buffer: &mut Vec<u8>, tag: &str) {
+    append(buffer, format_args!("TOP {tag}\r\n"));
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    /// Of the request, or the tag of what was ordered or asked.
+    /// The id of the request, or the tag of the load order or probe.
     pub id: String,
-    /// What became of it.
-    pub word: AnswerWord,
-    /// Invocations of the same function that the worker held when this one came.
-    pub crowd: u32,
-    /// Loaded copies.
+    /// The result.
+    pub status: AnswerStatus,
+    /// Invocations of the same function that the worker had in flight when this one arrived.
+    pub function_load: u32,
+    /// Copies of the function that are loaded.
     pub copies: u32,
-    /// The load report, where the settings have one.
+    /// The load report, where the settings define its values.
     pub report: LoadReport,
-    /// The body of a good answer.
+    /// The body; empty unless the request succeeded.
     pub body: Bytes,
 }
 
-/// What cannot be read, and why.
+/// Which part of an answer is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerError {
-    /// The words of a line.
+    /// The line: it is not an id, a status, fields and a length, ended by CR LF.
     Line,
-    /// A line that does not end in time.
-    Endless,
-    /// The fields of a line.
+    /// The line does not end within its limit.
+    LineTooLong,
+    /// The fields of the line.
     Fields,
-    /// A length that is no number, or too large.
+    /// The length of the body is no number, or beyond its limit.
     Length,
-    /// A body that does not end where its length says.
-    End,
+    /// The body does not end where its length says.
+    BodyEnd,
 }
 
-/// The bytes of one connection that are not yet a whole answer.
+/// Decodes the answers on one connection from the bytes received.
 #[derive(Debug, Default)]
 pub struct AnswerReader {
     bytes: Vec<u8>,
-    /// Looked through for the end of a line.
+    /// So many bytes are known to have no end of line among them.
     searched: usize,
 }
 
 impl AnswerReader {
-    /// Bytes that came.
+    /// Appends bytes that were received.
     pub fn put(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// An answer has begun and is not whole.
-    pub fn is_midway(&self) -> bool {
+    /// Whether an answer has been received in part.
+    pub fn has_partial_answer(&self) -> bool {
         !self.bytes.is_empty()
     }
 
-    /// The next whole answer, if there is one. After an error nothing of the connection can be read any more.
+    /// The next complete answer, if there is one. After an error nothing more can be read from the connection.
     pub fn next(&mut self, fields: &[ReportField]) -> Result<Option<Answer>, AnswerError> {
-        let from = self.searched.min(self.bytes.len());
-        let Some(end) = self.bytes[from..]
-            .iter()
-            .position(|b| *b == b'\n')
-            .map(|n| from + n)
-        else {
-            self.searched = self.bytes.len();
-            return if self.bytes.len() > MOST_LINE {
-                Err(AnswerError::Endless)
-            } else {
-                Ok(None)
-            };
+        let Some(line_length) = self.line_length()? else {
+            return Ok(None);
         };
-        self.searched = end;
-        if end > MOST_LINE {
-            return Err(AnswerError::Endless);
-        }
-        let line = self.bytes[..end]
+        let line = self.bytes[..line_length]
             .strip_suffix(b"\r")
             .ok_or(AnswerError::Line)?;
-        let line = std::str::from_utf8(line).map_err(|_| AnswerError::Line)?;
-        let mut words = line.split(' ');
-        let (Some(id), Some(word), Some(told), Some(length), None) = (
-            words.next(),
-            words.next(),
-            words.next(),
-            words.next(),
-            words.next(),
-        ) else {
-            return Err(AnswerError::Line);
-        };
-        let word = AnswerWord::read(word.as_bytes()).ok_or(AnswerError::Line)?;
-        if id.is_empty() {
-            return Err(AnswerError::Line);
-        }
-        let length = whole(length)
-            .filter(|n| *n as usize <= MOST_BODY)
-            .ok_or(AnswerError::Length)? as usize;
-        let mut answer = Answer {
-            id: id.to_owned(),
-            word,
-            crowd: 0,
-            copies: 0,
-            report: LoadReport::default(),
-            body: Bytes::new(),
-        };
-        understand(&mut answer, told, fields)?;
-        let after = end + 1;
-        let Some(tail) = self.bytes.get(after + length..after + length + 2) else {
+        let (mut answer, body_length) = parse_line(line, fields)?;
+        let body_start = line_length + 1;
+        let body_end = body_start + body_length;
+        let answer_end = body_end + LINE_END.len();
+        let Some(ending) = self.bytes.get(body_end..answer_end) else {
             return Ok(None);
         };
-        if tail != b"\r\n" {
-            return Err(AnswerError::End);
+        if ending != LINE_END {
+            return Err(AnswerError::BodyEnd);
+        }
+        answer.body = Bytes::copy_from_slice(&self.bytes[body_start..body_end]);
+        self.discard(answer_end);
+        Ok(Some(answer))
+    }
+
+    /// Bytes before the next line feed, if it has been received.
+    fn line_length(&mut self) -> Result<Option<usize>, AnswerError> {
+        let start = self.searched.min(self.bytes.len());
+        let line_feed = self.bytes[start..].iter().position(|byte| *byte == b'\n');
+        self.searched = line_feed.map_or(self.bytes.len(), |offset| start + offset);
+        if self.searched > MAX_LINE_BYTES {
+            return Err(AnswerError::LineTooLong);
         }
-        answer.body = Bytes::copy_from_slice(&self.bytes[after..after + length]);
+        Ok(line_feed.map(|_| self.searched))
+    }
+
+    /// Removes an answer's bytes. Idle connections keep no buffer.
+    fn discard(&mut self, answer_end: usize) {
         self.searched = 0;
-        if self.bytes.len() == after + length + 2 {
-            // Idle connections keep no buffer.
+        if self.bytes.len() == answer_end {
             self.bytes = Vec::new();
         } else {
-            self.bytes.drain(..after + length + 2);
+            self.bytes.drain(..answer_end);
         }
-        Ok(Some(answer))
     }
 }
 
-/// Digits and nothing else.
-fn whole(text: &str) -> Option<u32> {
+/// An answer without its body, and the length of that body.
+fn parse_line(line: &[u8], report: &[ReportField]) -> Result<(Answer, usize), AnswerError> {
+    let line = std::str::from_utf8(line).map_err(|_| AnswerError::Line)?;
+    let mut words = line.split(' ');
+    let (Some(id), Some(status), Some(fields), Some(length), None) = (
+        words.next(),
+        words.next(),
+        words.next(),
+        words.next(),
+        words.next(),
+    ) else {
+        return Err(AnswerError::Line);
+    };
+    let status = AnswerStatus::from_wire(status.as_bytes()).ok_or(AnswerError::Line)?;
+    if id.is_empty() {
+        return Err(AnswerError::Line);
+    }
+    let length = parse_count(length)
+        .map(|length| length as usize)
+        .filter(|length| *length <= MAX_BODY_BYTES)
+        .ok_or(AnswerError::Length)?;
+    let mut answer = Answer {
+        id: id.to_owned(),
+        status,
+        function_load: 0,
+        copies: 0,
+        report: LoadReport::default(),
+        body: Bytes::new(),
+    };
+    parse_fields(&mut answer, fields, report)?;
+    Ok((answer, length))
+}
+
+/// A number of digits and nothing else.
+fn parse_count(text: &str) -> Option<u32> {
     text.bytes()
-        .all(|b| b.is_ascii_digit())
+        .all(|byte| byte.is_ascii_digit())
         .then(|| text.parse().ok())?
 }
 
-fn understand(answer: &mut Answer, told: &str, fields: &[ReportField]) -> Result<(), AnswerError> {
-    if told == "-" {
+/// `name=value`, separated by commas; `-` for none. Unknown names are ignored.
+fn parse_fields(
+    answer: &mut Answer,
+    text: &str,
+    report: &[ReportField],
+) -> Result<(), AnswerError> {
+    if text == "-" {
         return Ok(());
     }
-    for pair in told.split(',') {
+    for pair in text.split(',') {
         let (name, value) = pair.split_once('=').ok_or(AnswerError::Fields)?;
         match name {
-            "same" => answer.crowd = whole(value).ok_or(AnswerError::Fields)?,
-            "n" => answer.copies = whole(value).ok_or(AnswerError::Fields)?,
-            "gauges" => answer.report = report(value, fields)?,
+            "same" => answer.function_load = parse_count(value).ok_or(AnswerError::Fields)?,
+            "n" => answer.copies = parse_count(value).ok_or(AnswerError::Fields)?,
+            "gauges" => answer.report = parse_report(value, report)?,
             _ => {}
         }
     }
     Ok(())
 }
 
-/// `name:value`, set apart by `;`.
-fn report(text: &str, fields: &[ReportField]) -> Result<LoadReport, AnswerError> {
+/// `name:value`, separated by semicolons.
+fn parse_report(text: &str, fields: &[ReportField]) -> Result<LoadReport, AnswerError> {
     let mut report = LoadReport::default();
-    for pair in text.split(';').filter(|p| !p.is_empty()) {
+    for pair in text.split(';').filter(|pair| !pair.is_empty()) {
         let (name, value) = pair.split_once(':').ok_or(AnswerError::Fields)?;
         let value: f64 = value
             .parse()
             .ok()
-            .filter(|v: &f64| v.is_finite())
+            .filter(|value: &f64| value.is_finite())
             .ok_or(AnswerError::Fields)?;
         ReportField::tell(&mut report, fields, name, value);
     }
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -1,5 +1,6 @@
 //! Requests of clients: the good ones in any pieces, and one case for each thing that must not get through.
 
+use bytes::Bytes;
 use cedarpulley_platform::client_protocol::*;
 use cedarpulley_platform::config::Names;
 use cedarpulley_router::Fate;
@@ -68,7 +69,7 @@
 
 /// Symptom: a name that ends in a space of another script is taken for another one, and all its requests fail.
 #[test]
-fn accounts_may_have_any_name_that_a_field_can_carry() {
+fn account_names_may_contain_any_text_a_field_can_carry() {
     for name in [
         "Nord & Söhne",
         "a/b:c;d",
@@ -101,14 +102,17 @@
 }
 
 #[test]
-fn all_fields_are_understood() {
+fn all_fields_of_a_call_are_parsed() {
     let extra = "Req-Token: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\nReq-Cost: 8.2\r\n\
                  X-Extras: memory_mb:512;lanes:2;load_ms:70.5\r\n";
     let call = call(read(&request("9b1f03aa5c7e2d41", extra, b"\0body\r\n")));
     assert_eq!((&*call.id, &*call.function), ("9b1f03aa5c7e2d41", FUNCTION));
-    assert_eq!((call.trigger, call.account, call.wait), (0, 0, 1_500_000));
     assert_eq!(
-        call.token.as_deref(),
+        (call.trigger, call.account, call.client_timeout),
+        (0, 0, 1_500_000)
+    );
+    assert_eq!(
+        call.idempotency_key.as_deref(),
         Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     );
     assert_eq!(
@@ -122,7 +126,7 @@
 }
 
 #[test]
-fn health_is_asked_without_a_body_and_closing_is_heard() {
+fn health_request_has_no_body_and_connection_close_is_parsed() {
     let found = read(b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n").expect("good");
     assert_eq!((found.kind, found.close), (RequestKind::Health, false));
     assert!(
@@ -132,22 +136,30 @@
     );
 }
 
-/// Symptom: a request with both lengths hides another one in its body.
 /// A client must be able to tell a whole answer, and on a refusal how long to stay away.
 #[test]
-fn answers_are_written_as_the_protocol_has_them() {
+fn responses_are_encoded_with_status_retry_after_and_close() {
     assert_eq!(
         [Fate::Succeeded, Fate::Throttled, Fate::Errored].map(status_of),
-        [200, REFUSED, 500]
+        [200, STATUS_REJECTED, 500]
     );
-    let text = |status, wait, body: &[u8], close| {
-        let mut out = Vec::new();
-        write_response(&mut out, status, wait, body, close);
-        String::from_utf8(out).expect("text")
+    let text = |status, retry_after, body: &'static [u8], close| {
+        let mut buffer = Vec::new();
+        let body = Bytes::from_static(body);
+        write_response(
+            &mut buffer,
+            &Response {
+                status,
+                retry_after,
+                body,
+                close,
+            },
+        );
+        String::from_utf8(buffer).expect("text")
     };
     let refusal = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nSrv-Wait-Ms: 3\r\n";
     assert_eq!(
-        text(REFUSED, Some(2_001), b"", true),
+        text(STATUS_REJECTED, Some(2_001), b"", true),
         format!("{refusal}Connection: close\r\n\r\n")
     );
     assert_eq!(
@@ -156,8 +168,9 @@
     );
 }
 
+/// Symptom: a request with both lengths hides another one in its body.
 #[test]
-fn both_lengths_are_refused_in_any_order_and_case() {
+fn requests_with_both_length_fields_are_rejected() {
     for extra in [
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
         "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
@@ -166,14 +179,14 @@
     ] {
         assert_eq!(
             read(&request("00000000000000aa", extra, b"0\r\n\r\n")),
-            Err(RequestError::Length),
+            Err(RequestError::InvalidLength),
             "{extra}"
         );
     }
 }
 
 #[test]
-fn lengths_that_cannot_be_read_are_refused() {
+fn malformed_content_lengths_are_rejected() {
     for length in [
         "-1",
         "+5",
@@ -188,24 +201,24 @@
         let extra = format!("Content-Length: {length}\r\n");
         assert_eq!(
             read(&request("00000000000000aa", &extra, b"hello")),
-            Err(RequestError::Length),
+            Err(RequestError::InvalidLength),
             "{length}"
         );
     }
     let twice = "Content-Length: 5\r\nContent-Length: 5\r\n";
     assert_eq!(
         read(&request("00000000000000aa", twice, b"hello")),
-        Err(RequestError::Length)
+        Err(RequestError::InvalidLength)
     );
     let coding = "Transfer-Encoding: gzip, chunked\r\n";
     assert_eq!(
         read(&request("00000000000000aa", coding, b"0\r\n\r\n")),
-        Err(RequestError::Length)
+        Err(RequestError::InvalidLength)
     );
 }
 
 #[test]
-fn a_body_beyond_the_bound_is_refused_by_its_head() {
+fn body_beyond_the_limit_is_rejected_by_its_head() {
     for length in [MOST_BODY + 1, 60 << 20, usize::MAX] {
         let extra = format!("Content-Length: {length}\r\n");
         assert_eq!(
@@ -222,7 +235,7 @@
 }
 
 #[test]
-fn chunks_are_put_together_within_the_bound() {
+fn chunked_bodies_are_decoded_within_the_limit() {
     let extra = "Transfer-Encoding: chunked\r\n";
     let body = call(read(&request(
         "00000000000000aa",
@@ -233,11 +246,11 @@
     assert_eq!(&body[..], b"abc0123456789");
     assert_eq!(
         read(&request("00000000000000aa", extra, b"zz\r\nabc\r\n")),
-        Err(RequestError::Chunks)
+        Err(RequestError::MalformedChunks)
     );
     assert_eq!(
         read(&request("00000000000000aa", extra, b"3\r\nabcd\r\n")),
-        Err(RequestError::Chunks)
+        Err(RequestError::MalformedChunks)
     );
     assert_eq!(
         read(&request("00000000000000aa", extra, b"ffffffff\r\n")),
@@ -252,7 +265,7 @@
 }
 
 #[test]
-fn a_field_that_cannot_be_used_is_refused() {
+fn invalid_fields_are_rejected() {
     for (field, values) in [
         ("X-Class", &["", "Plain", "none", "plain,keyed"][..]),
         (
@@ -275,7 +288,7 @@
         for value in values {
             assert_eq!(
                 read(&with(field, value)),
-                Err(RequestError::Field),
+                Err(RequestError::InvalidField),
                 "{field}: {value}"
             );
         }
@@ -299,22 +312,28 @@
     ] {
         assert_eq!(
             read(&request("00000000000000aa", extra, b"")),
-            Err(RequestError::Field),
+            Err(RequestError::InvalidField),
             "{extra}"
         );
     }
     // Where repeats are known by a token, it must be there.
-    assert_eq!(read(&with("X-Class", "keyed")), Err(RequestError::Field));
+    assert_eq!(
+        read(&with("X-Class", "keyed")),
+        Err(RequestError::InvalidField)
+    );
 }
 
 #[test]
-fn other_methods_paths_and_endless_heads_are_refused() {
+fn unknown_methods_paths_and_endless_heads_are_rejected() {
     let start = |line: &str| read(format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
     assert_eq!(
         start("PUT /api/v2/7f3a9c21e0b4d655/call"),
-        Err(RequestError::Method)
+        Err(RequestError::MethodNotAllowed)
+    );
+    assert_eq!(
+        start("DELETE /-/healthy"),
+        Err(RequestError::MethodNotAllowed)
     );
-    assert_eq!(start("DELETE /-/healthy"), Err(RequestError::Method));
     for path in [
         "/",
         "/api/v2/7f3a9c21e0b4d65/call",
@@ -324,11 +343,14 @@
     ] {
         assert_eq!(
             start(&format!("POST {path}")),
-            Err(RequestError::Path),
+            Err(RequestError::UnknownPath),
             "{path}"
         );
     }
-    assert_eq!(read(b"\x16\x03\x01 hello\r\n\r\n"), Err(RequestError::Head));
+    assert_eq!(
+        read(b"\x16\x03\x01 hello\r\n\r\n"),
+        Err(RequestError::MalformedHead)
+    );
     let endless = [
         &b"POST /api/v2/7f3a9c21e0b4d655/call HTTP/1.1\r\nX: "[..],
         &[b'a'; 20_000],
@@ -341,7 +363,7 @@
 
 /// Where the settings know no accounts, clients need not name one.
 #[test]
-fn without_accounts_a_request_needs_no_owner() {
+fn owner_is_optional_when_the_settings_have_no_accounts() {
     let mut rules = rules();
     rules.names.accounts.clear();
     let bare = String::from_utf8(request("00000000000000aa", "", b"")).expect("text");
@@ -354,54 +376,54 @@
 
 /// Each counts from when its last byte came; what comes after a refusal is not read.
 #[test]
-fn what_is_sent_ahead_waits_with_its_time() {
+fn pipelined_requests_keep_their_arrival_times() {
     let (good, rules) = (request("00000000000000aa", "", b"hi"), rules());
-    let mut a = queue(&good[..20]);
-    assert!(a.is_receiving() && !a.has_request());
-    a.put(30, &good[20..], &rules);
-    a.put(
+    let mut queue = queue(&good[..20]);
+    assert!(queue.is_receiving() && !queue.has_request());
+    queue.put(30, &good[20..], &rules);
+    queue.put(
         70,
         &[&good[..], &with("X-Class", "none"), &good].concat(),
         &rules,
     );
-    let next = |a: &mut RequestQueue| a.take().map(|q| (q.request.is_ok(), q.arrived));
+    let next = |queue: &mut RequestQueue| queue.take().map(|q| (q.request.is_ok(), q.arrived));
     assert_eq!(
-        [(); 3].map(|()| next(&mut a)),
+        [(); 3].map(|()| next(&mut queue)),
         [Some((true, 30)), Some((true, 70)), Some((false, 70))]
     );
-    a.put(90, &good, &rules);
-    assert!(next(&mut a).is_none() && a.bytes() == 0 && !a.is_receiving());
+    queue.put(90, &good, &rules);
+    assert!(next(&mut queue).is_none() && queue.bytes() == 0 && !queue.is_receiving());
 }
 
 /// A client that sends far ahead is read all the same, so that its closing is noticed; of what is beyond the bounds only
 /// the number is kept, and each gets its refusal in its turn.
 #[test]
-fn requests_beyond_the_bounds_are_refused_one_by_one_and_not_kept() {
+fn pipelined_requests_beyond_the_limits_are_rejected_without_being_stored() {
     let (short, long) = (
         request("00000000000000aa", "", b"hi"),
         request("00000000000000aa", "", &[7; MOST_BODY]),
     );
     for (text, kept) in [(&short, 8), (&long, 2)] {
-        let mut a = RequestQueue::default();
+        let mut queue = RequestQueue::default();
         for _ in 0..20 {
-            a.put(0, text, &rules());
+            queue.put(0, text, &rules());
         }
-        a.put(0, &text[..10], &rules());
-        assert!(a.bytes() < 2 * MOST_BODY + 1_024, "{}", a.bytes());
+        queue.put(0, &text[..10], &rules());
+        assert!(queue.bytes() < 2 * MOST_BODY + 1_024, "{}", queue.bytes());
         for n in 0..20 {
-            let request = a.take().expect("one more").request;
+            let request = queue.take().expect("one more").request;
             assert_eq!(request.is_ok(), n < kept, "{n}");
-            assert!(n < kept || request == Err(RequestError::TooManyAhead));
+            assert!(n < kept || request == Err(RequestError::TooManyPipelined));
         }
-        assert!(a.take().is_none() && a.is_receiving());
+        assert!(queue.take().is_none() && queue.is_receiving());
         // Then there is room again.
-        a.put(1, &text[10..], &rules());
-        assert!(a.take().expect("the next").request.is_ok());
+        queue.put(1, &text[10..], &rules());
+        assert!(queue.take().expect("the next").request.is_ok());
     }
-    assert_eq!(RequestError::TooManyAhead.status(), REFUSED);
+    assert_eq!(RequestError::TooManyPipelined.status(), STATUS_REJECTED);
     assert!(
-        RequestError::TooManyAhead.leaves_stream_readable()
-            && !RequestError::Length.leaves_stream_readable()
+        RequestError::TooManyPipelined.leaves_stream_readable()
+            && !RequestError::InvalidLength.leaves_stream_readable()
     );
 }
 
@@ -412,7 +434,7 @@
 
     /// Requests sent ahead, cut anywhere, are the same requests.
     #[test]
-    fn pieces_make_no_difference(
+    fn requests_are_parsed_alike_however_the_bytes_are_split(
         bodies in prop::collection::vec((any::<bool>(), prop::collection::vec(any::<u8>(), 0..40)), 1..5),
         cuts in prop::collection::vec(1..50usize, 1..80),
     ) {
@@ -427,17 +449,17 @@
             let chunks = [body.chunks(7).flat_map(chunk).collect(), b"0\r\n\r\n".to_vec()].concat();
             bytes.extend(request(&id, "Transfer-Encoding: chunked\r\n", &chunks));
         }
-        let (mut a, mut found, mut rest) = (RequestQueue::default(), Vec::new(), &bytes[..]);
+        let (mut queue, mut found, mut rest) = (RequestQueue::default(), Vec::new(), &bytes[..]);
         for cut in cuts.into_iter().cycle() {
             let (piece, after) = rest.split_at(cut.min(rest.len()));
-            a.put(0, piece, &rules());
-            found.extend(std::iter::from_fn(|| a.take()).map(|q| call(q.request).body.to_vec()));
+            queue.put(0, piece, &rules());
+            found.extend(std::iter::from_fn(|| queue.take()).map(|q| call(q.request).body.to_vec()));
             rest = after;
             if rest.is_empty() {
                 break;
             }
         }
-        prop_assert!(!a.is_receiving());
+        prop_assert!(!queue.is_receiving());
         prop_assert_eq!(found, bodies.into_iter().map(|b| b.1).collect::<Vec<_>>());
     }
 }
--- a/crates/platform/tests/lines.rs
+++ b/crates/platform/tests/lines.rs
@@ -5,7 +5,7 @@
     LoadOrderResult,
 };
 use cedarpulley_errors::Remedy;
-use cedarpulley_platform::attempt_outcome::{self, AnswerWord, AttemptEnd};
+use cedarpulley_platform::attempt_outcome::{self, AnswerStatus, ExchangeEnd};
 use cedarpulley_platform::config::{Names, Start, discovery_address_of};
 use cedarpulley_platform::discovery::{Answers, EventBatch, ListUpdate, WorkerListFollower};
 use cedarpulley_platform::worker_protocol::{self, AnswerError, AnswerReader};
@@ -23,21 +23,21 @@
 }
 
 #[test]
-fn lines_are_written_as_the_protocol_has_them() {
+fn worker_messages_are_encoded() {
     let mut out = Vec::new();
     let call = worker_protocol::Call {
         id: "9b1f03aa5c7e2d41",
         trigger: "call",
         function: "7f3a9c21e0b4d655",
         time_left: 1_499_900,
-        token: Some("5c0f"),
+        idempotency_key: Some("5c0f"),
         body: b"a\r\nb",
     };
-    worker_protocol::call(&mut out, &call);
-    worker_protocol::withdraw(&mut out, call.id);
-    worker_protocol::load(&mut out, "t1", call.function, 2);
-    worker_protocol::unload(&mut out, call.function);
-    worker_protocol::probe(&mut out, "t2");
+    worker_protocol::write_call(&mut out, &call);
+    worker_protocol::write_cancellation(&mut out, call.id);
+    worker_protocol::write_load_order(&mut out, "t1", call.function, 2);
+    worker_protocol::write_unload_order(&mut out, call.function);
+    worker_protocol::write_probe(&mut out, "t2");
     let text = "FN 9b1f03aa5c7e2d41 kind=call,obj=7f3a9c21e0b4d655,ms=1499,token=5c0f 4\r\na\r\nb\r\n\
                 KILL 9b1f03aa5c7e2d41\r\nSPAWN t1 obj=7f3a9c21e0b4d655,n=2\r\n\
                 REAP 7f3a9c21e0b4d655\r\nTOP t2\r\n";
@@ -45,28 +45,28 @@
 }
 
 #[test]
-fn answers_are_read_in_any_order_with_their_figures() {
+fn answers_are_decoded_in_any_order() {
     let found = read(
         b"b ok same=3,gauges=busy:0.61;x1:2 2\r\n\r\n\r\na refused - 0\r\n\r\nt ok n=2 0\r\n\r\n",
     )
     .expect("good");
     assert_eq!(
-        found.iter().map(|a| (&*a.id, a.word)).collect::<Vec<_>>(),
+        found.iter().map(|a| (&*a.id, a.status)).collect::<Vec<_>>(),
         [
-            ("b", AnswerWord::Ok),
-            ("a", AnswerWord::Refused),
-            ("t", AnswerWord::Ok)
+            ("b", AnswerStatus::Ok),
+            ("a", AnswerStatus::Rejected),
+            ("t", AnswerStatus::Ok)
         ]
     );
     assert_eq!(
-        (found[0].crowd, &found[0].body[..], found[2].copies),
+        (found[0].function_load, &found[0].body[..], found[2].copies),
         (3, &b"\r\n"[..], 2)
     );
 }
 
 #[test]
-fn what_cannot_be_read_ends_the_connection() {
-    for (bytes, why) in [
+fn malformed_answers_are_errors() {
+    for (bytes, error) in [
         (&b"a ok - 0\n\r\n"[..], AnswerError::Line),
         (b"a ok -\r\n", AnswerError::Line),
         (b"a ok - 0 0\r\n", AnswerError::Line),
@@ -79,75 +79,102 @@
         (b"a ok same 0\r\n", AnswerError::Fields),
         (b"a ok same=-1 0\r\n", AnswerError::Fields),
         (b"a ok gauges=x:nan 0\r\n", AnswerError::Fields),
-        (b"a ok - 2\r\nabcd", AnswerError::End),
-        (b"a ok - 0\r\nb ok - 0\r\n", AnswerError::End),
+        (b"a ok - 2\r\nabcd", AnswerError::BodyEnd),
+        (b"a ok - 0\r\nb ok - 0\r\n", AnswerError::BodyEnd),
     ] {
-        assert_eq!(read(bytes), Err(why), "{}", String::from_utf8_lossy(bytes));
+        assert_eq!(
+            read(bytes),
+            Err(error),
+            "{}",
+            String::from_utf8_lossy(bytes)
+        );
     }
-    assert_eq!(read(&[b'x'; 5_000]), Err(AnswerError::Endless));
+    assert_eq!(read(&[b'x'; 5_000]), Err(AnswerError::LineTooLong));
     assert_eq!(
         read(&[&[b'x'; 5_000][..], b"\r\n"].concat()),
-        Err(AnswerError::Endless)
+        Err(AnswerError::LineTooLong)
     );
 }
 
 #[test]
-fn each_ending_proves_what_the_table_says() {
-    use AttemptEnd::*;
+fn exchange_ends_map_to_outcomes() {
+    use ExchangeEnd::*;
     for (ended, outcome, never_ran) in [
-        (Answered(AnswerWord::Ok), DispatchOutcome::Succeeded, false),
         (
-            Answered(AnswerWord::Nothing),
+            Answered(AnswerStatus::Ok),
+            DispatchOutcome::Succeeded,
+            false,
+        ),
+        (
+            Answered(AnswerStatus::NotLoaded),
             DispatchOutcome::NotLoaded,
             true,
         ),
         (
-            Answered(AnswerWord::Refused),
+            Answered(AnswerStatus::Rejected),
             DispatchOutcome::Rejected,
             true,
         ),
-        (Answered(AnswerWord::Error), DispatchOutcome::Errored, false),
-        (Answered(AnswerWord::Stale), DispatchOutcome::NotSent, true),
         (
-            Answered(AnswerWord::Yes),
+            Answered(AnswerStatus::Error),
+            DispatchOutcome::Errored,
+            false,
+        ),
+        (
+            Answered(AnswerStatus::Expired),
+            DispatchOutcome::NotSent,
+            true,
+        ),
+        (
+            Answered(AnswerStatus::Healthy),
             DispatchOutcome::ConnectionLost,
             false,
         ),
         (
-            Answered(AnswerWord::No),
+            Answered(AnswerStatus::Unhealthy),
             DispatchOutcome::ConnectionLost,
             false,
         ),
-        (Unreached, DispatchOutcome::Unreachable, true),
-        (Unsent, DispatchOutcome::NotSent, true),
-        (HeldBack, DispatchOutcome::NotSent, true),
-        (Broken, DispatchOutcome::ConnectionLost, false),
+        (ConnectFailed, DispatchOutcome::Unreachable, true),
+        (NotSent, DispatchOutcome::NotSent, true),
+        (Withheld, DispatchOutcome::NotSent, true),
+        (ConnectionLost, DispatchOutcome::ConnectionLost, false),
     ] {
         assert_eq!(
             (
-                attempt_outcome::dispatch(ended),
-                attempt_outcome::dispatch(ended).not_executed()
+                attempt_outcome::dispatch_outcome(ended),
+                attempt_outcome::dispatch_outcome(ended).not_executed()
             ),
             (outcome, never_ran),
             "{ended:?}"
         );
     }
     for (ended, result) in [
-        (Answered(AnswerWord::Ok), LoadOrderResult::Loaded),
-        (Answered(AnswerWord::Refused), LoadOrderResult::NoCapacity),
-        (Answered(AnswerWord::Error), LoadOrderResult::LoadFailed),
-        (Answered(AnswerWord::Stale), LoadOrderResult::ConnectionLost),
-        (Unreached, LoadOrderResult::Unreachable),
-        (Broken, LoadOrderResult::ConnectionLost),
+        (Answered(AnswerStatus::Ok), LoadOrderResult::Loaded),
+        (
+            Answered(AnswerStatus::Rejected),
+            LoadOrderResult::NoCapacity,
+        ),
+        (Answered(AnswerStatus::Error), LoadOrderResult::LoadFailed),
+        (
+            Answered(AnswerStatus::Expired),
+            LoadOrderResult::ConnectionLost,
+        ),
+        (ConnectFailed, LoadOrderResult::Unreachable),
+        (ConnectionLost, LoadOrderResult::ConnectionLost),
     ] {
-        assert_eq!(attempt_outcome::order(ended), result, "{ended:?}");
+        assert_eq!(
+            attempt_outcome::load_order_result(ended),
+            result,
+            "{ended:?}"
+        );
     }
     assert_eq!(
-        attempt_outcome::probe(Answered(AnswerWord::Yes)),
+        attempt_outcome::probe_outcome(Answered(AnswerStatus::Healthy)),
         DispatchOutcome::Succeeded
     );
     assert_eq!(
-        attempt_outcome::probe(Broken),
+        attempt_outcome::probe_outcome(ConnectionLost),
         DispatchOutcome::ConnectionLost
     );
 }
@@ -176,7 +203,7 @@
     format!(r#"{{"cursor":{cursor},"nodes":{{"full":{full},"servers":[{servers}]}}}}"#)
 }
 
-fn told(follower: &mut WorkerListFollower, events: &[String]) -> Vec<ListUpdate> {
+fn apply_events(follower: &mut WorkerListFollower, events: &[String]) -> Vec<ListUpdate> {
     let text = format!(r#"{{"cursor":0,"cmds":[{}]}}"#, events.join(","));
     follower
         .batch(&batch(&text), &names(), 3_000, 0)
@@ -184,15 +211,15 @@
 }
 
 #[test]
-fn events_are_told_once_and_in_order() {
+fn watch_events_are_applied_once_and_in_order() {
     let mut follower = WorkerListFollower::default();
-    let news = told(
+    let updates = apply_events(
         &mut follower,
         &[event(2, true, &[("s-1", "active", "127.0.0.9:5050")])],
     );
-    let worker = &news[0].workers[0];
+    let worker = &updates[0].workers[0];
     assert_eq!(
-        (news.len(), news[0].mode, &*worker.address),
+        (updates.len(), updates[0].mode, &*worker.address),
         (1, EndpointListKind::Complete, "s-1")
     );
     assert_eq!(
@@ -200,36 +227,41 @@
         (1, 0, 2, Some(4_000))
     );
     let leaving = |n| event(n, false, &[("s-1", "leaving", "127.0.0.9:5050")]);
-    let news = told(&mut follower, &[leaving(2), leaving(3)]);
+    let updates = apply_events(&mut follower, &[leaving(2), leaving(3)]);
     assert_eq!(
-        (news.len(), news[0].mode, news[0].workers[0].standing),
+        (
+            updates.len(),
+            updates[0].mode,
+            updates[0].workers[0].standing
+        ),
         (1, EndpointListKind::Changes, Draining)
     );
-    assert!(told(&mut follower, &[leaving(2), leaving(3)]).is_empty());
-    assert_eq!(follower.repeated, 3);
+    assert!(apply_events(&mut follower, &[leaving(2), leaving(3)]).is_empty());
+    assert_eq!(follower.repeated_events(), 3);
     assert!(
-        String::from_utf8_lossy(&follower.ask("x")).starts_with("GET /cmd/next?resume=3&block=")
+        String::from_utf8_lossy(&follower.poll_request("x"))
+            .starts_with("GET /cmd/next?resume=3&block=")
     );
 }
 
 /// Symptom: what was open to a worker that has gone or moved is used for whoever is at its address now.
 #[test]
-fn a_worker_is_known_by_its_id_and_what_is_open_to_an_old_one_retires() {
-    let (mut f, at, to) = (
+fn workers_are_identified_by_id_and_stale_connections_are_retired() {
+    let (mut follower, at, to) = (
         WorkerListFollower::default(),
         "127.0.0.9:5050",
         "127.0.0.8:5050",
     );
-    told(
-        &mut f,
+    apply_events(
+        &mut follower,
         &[event(
             1,
             true,
             &[("s-1", "active", at), ("s-2", "active", to)],
         )],
     );
-    let news = told(
-        &mut f,
+    let updates = apply_events(
+        &mut follower,
         &[event(
             2,
             false,
@@ -237,12 +269,12 @@
         )],
     );
     assert_eq!(
-        (&news[0].retired, f.address("s-1")),
+        (&updates[0].retired, follower.address("s-1")),
         (&vec!["s-1".to_owned()], None)
     );
-    assert_eq!(f.address("s-3"), at.parse().ok());
-    let news = told(
-        &mut f,
+    assert_eq!(follower.address("s-3"), at.parse().ok());
+    let updates = apply_events(
+        &mut follower,
         &[event(
             3,
             false,
@@ -250,22 +282,22 @@
         )],
     );
     assert_eq!(
-        (&news[0].retired, f.address("s-3")),
+        (&updates[0].retired, follower.address("s-3")),
         (&vec!["s-3".to_owned()], to.parse().ok())
     );
-    let news = told(&mut f, &[event(4, true, &[("s-3", "active", to)])]);
+    let updates = apply_events(&mut follower, &[event(4, true, &[("s-3", "active", to)])]);
     assert_eq!(
-        (&news[0].retired, f.address("s-2")),
+        (&updates[0].retired, follower.address("s-2")),
         (&vec!["s-2".to_owned()], None)
     );
 }
 
 /// Symptom: a worker drained while the channel was away, and its grace began when that was heard.
 #[test]
-fn a_drain_that_may_have_been_told_a_while_ago_has_no_grace_left() {
-    let (mut f, at) = (WorkerListFollower::default(), "127.0.0.9:5050");
-    told(
-        &mut f,
+fn drain_announced_while_disconnected_has_no_grace_left() {
+    let (mut follower, at) = (WorkerListFollower::default(), "127.0.0.9:5050");
+    apply_events(
+        &mut follower,
         &[event(
             1,
             true,
@@ -276,47 +308,49 @@
         r#"{{"cursor":2,"cmds":[{}]}}"#,
         event(2, false, &[("s-1", "leaving", at)])
     );
-    let news = f.batch(&batch(&text), &names(), 0, i64::MAX).expect("good");
+    let updates = follower
+        .batch(&batch(&text), &names(), 0, i64::MAX)
+        .expect("good");
     assert_eq!(
         (
-            news[0].workers[0].standing,
-            &*news[0].retired[0],
-            f.address("s-1")
+            updates[0].workers[0].standing,
+            &*updates[0].retired[0],
+            follower.address("s-1")
         ),
         (Gone, "s-1", None)
     );
-    let news = told(&mut f, &[event(3, false, &[("s-2", "leaving", at)])]);
+    let updates = apply_events(&mut follower, &[event(3, false, &[("s-2", "leaving", at)])]);
     assert_eq!(
-        (news[0].workers[0].standing, f.address("s-2")),
+        (updates[0].workers[0].standing, follower.address("s-2")),
         (Draining, at.parse().ok())
     );
 }
 
 #[test]
-fn what_the_settings_do_not_name_passes_for_nothing_that_they_do() {
-    let mut f = WorkerListFollower::default();
+fn unnamed_zones_and_kinds_match_no_named_one() {
+    let mut follower = WorkerListFollower::default();
     let odd = |n, id| {
         event(n, true, &[(id, "active", "127.0.0.9:1")])
             .replace("west", id)
             .replace("std", "odd")
     };
-    let news = told(&mut f, &[odd(1, "a"), odd(2, "b")]);
-    let (a, b) = (&news[0].workers[0], &news[1].workers[0]);
+    let updates = apply_events(&mut follower, &[odd(1, "a"), odd(2, "b")]);
+    let (a, b) = (&updates[0].workers[0], &updates[1].workers[0]);
     assert!(a.zone > 1 && b.zone > 1 && a.zone != b.zone && a.kind == 1);
 }
 
 #[test]
-fn a_batch_that_cannot_be_understood_changes_nothing() {
+fn malformed_batch_changes_nothing() {
     let mut follower = WorkerListFollower::default();
     let odd = batch(
         r#"{"cursor":5,"cmds":[{"cursor":5,"nodes":{"servers":[{"id":"s-1","state":"odd"}]}}]}"#,
     );
     assert!(follower.batch(&odd, &names(), 0, 0).is_err());
-    assert_eq!(follower.last(), 0);
+    assert_eq!(follower.last_cursor(), 0);
 }
 
 #[test]
-fn answers_of_the_channel_come_whole_or_not_at_all() {
+fn discovery_responses_are_decoded_whole_or_not_at_all() {
     let body = r#"{"cursor":4,"cmds":[]}"#;
     let sized = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -363,14 +397,17 @@
     "permissions":{"streamsPerConn":100,"keepalive":15000000000}}}"#;
 
 #[test]
-fn the_configuration_is_read_in_the_simulators_names_and_units() {
+fn configuration_is_read_in_the_simulators_names_and_units() {
     let start = Start::read(START).expect("good");
     assert_eq!(
-        (start.seed, start.limits.sockets, start.largest_mb),
+        (start.seed, start.limits.sockets, start.largest_machine_mb),
         (0x6444_882f_5c62_0abb, 256, 250.5)
     );
     assert_eq!(
-        (start.links.streams, start.links.idle_kept),
+        (
+            start.worker_connections.max_streams,
+            start.worker_connections.keepalive
+        ),
         (100, 15_000_000)
     );
     let trigger = &start.settings.triggers[0];
@@ -389,7 +426,7 @@
 }
 
 #[test]
-fn a_wrong_configuration_is_one_line_with_the_cause() {
+fn invalid_configuration_is_reported_on_one_line_with_its_cause() {
     for (from, to) in [
         ("\"6444882f5c620abb\"", "\"xyz\""),
         ("\"channel\":\"127.0.0.1:7070\"", "\"channel\":\"here\""),
@@ -399,10 +436,10 @@
         ("\"sockets\":256", "\"sockets\":0"),
         ("}}}", ""),
     ] {
-        let why = Start::read(&START.replace(from, to)).expect_err(to).line();
+        let error = Start::read(&START.replace(from, to)).expect_err(to).line();
         assert!(
-            !why.starts_with(';') && why.contains("; ") && !why.contains('\n'),
-            "{why}"
+            !error.starts_with(';') && error.contains("; ") && !error.contains('\n'),
+            "{error}"
         );
     }
 }
@@ -413,7 +450,7 @@
     })]
 
     #[test]
-    fn answers_cut_anywhere_are_the_same(
+    fn answers_are_decoded_alike_however_the_bytes_are_split(
         bodies in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..30), 1..6),
         cut in 1..40usize,
     ) {
@@ -430,7 +467,7 @@
                 found.push(answer.body.to_vec());
             }
         }
-        prop_assert!(!reader.is_midway());
+        prop_assert!(!reader.has_partial_answer());
         prop_assert_eq!(found, bodies);
     }
 }
