--- a/crates/platform-node/src/startup.rs
+++ b/crates/platform-node/src/startup.rs
@@ -42,10 +42,10 @@
         name: &'static str,
     },
     /// The address to listen at is malformed.
-    #[error("BALANCER_LISTEN '{address}' is not an address")]
+    #[error("BALANCER_LISTEN '{at}' is not an address")]
     Address {
         /// The text given.
-        address: String,
+        at: String,
     },
     /// The address cannot be listened at.
     #[error("BALANCER_LISTEN {address}: it cannot be listened at")]
@@ -124,8 +124,8 @@
 }
 
 fn listen_address() -> Result<SocketAddr> {
-    let address = variable("BALANCER_LISTEN")?;
-    address.parse().map_err(|_| StartError::Address { address })
+    let at = variable("BALANCER_LISTEN")?;
+    at.parse().map_err(|_| StartError::Address { at })
 }
 
 async fn serve(
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -23,10 +23,10 @@
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The address of discovery is malformed.
-    #[error("channel '{address}' is no address")]
+    #[error("channel '{channel}' is no address")]
     DiscoveryAddress {
-        /// The address given.
-        address: String,
+        /// The address given, under the key `channel`.
+        channel: String,
     },
     /// There is no trigger type.
     #[error("the settings name no services")]
@@ -38,10 +38,10 @@
         path: String,
     },
     /// A limit leaves no room for anything.
-    #[error("limits.{limit} is not above 0")]
+    #[error("limits.{which} is not above 0")]
     LimitNotPositive {
         /// The limit's key.
-        limit: &'static str,
+        which: &'static str,
     },
     /// The seed is malformed.
     #[error("seed {seed} is neither hex digits nor a whole number")]
@@ -205,7 +205,7 @@
     ];
     let not_positive = |(_, value): &(&str, f64)| value.is_nan() || *value <= 0.0;
     match given.into_iter().find(not_positive) {
-        Some((limit, _)) => Err(ConfigError::LimitNotPositive { limit }),
+        Some((which, _)) => Err(ConfigError::LimitNotPositive { which }),
         None => Ok(()),
     }
 }
@@ -227,10 +227,10 @@
     parse_address(file.discovery_address)
 }
 
-fn parse_address(address: String) -> Result<SocketAddr> {
-    address
+fn parse_address(channel: String) -> Result<SocketAddr> {
+    channel
         .parse()
-        .map_err(|_| ConfigError::DiscoveryAddress { address })
+        .map_err(|_| ConfigError::DiscoveryAddress { channel })
 }
 
 /// Hex digits, or a plain number.
--- a/crates/platform/src/discovery/error.rs
+++ b/crates/platform/src/discovery/error.rs
@@ -5,7 +5,8 @@
 
 use super::response_reader::MAX_RESPONSE_BYTES;
 
-/// Why nothing of a response of discovery, or of the events in the configuration, is applied.
+/// Why nothing of a response of discovery, or of the events in the configuration, is applied. The texts stand in
+/// `docs/operate/errors.md` with their placeholders, `MOST_ANSWER` among them.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
     /// A worker's state is not one of the protocol.
@@ -43,13 +44,13 @@
     #[error("an answer without a length")]
     NoLength,
     /// The length of a response is beyond the limit.
-    #[error("an answer of {size} bytes, more than {MAX_RESPONSE_BYTES}")]
+    #[error("an answer of {size} bytes, more than {MOST_ANSWER}", MOST_ANSWER = MAX_RESPONSE_BYTES)]
     TooLong {
         /// The length, in bytes.
         size: usize,
     },
     /// The chunks of a response go beyond the limit.
-    #[error("an answer in chunks goes beyond {MAX_RESPONSE_BYTES} bytes")]
+    #[error("an answer in chunks goes beyond {MOST_ANSWER} bytes", MOST_ANSWER = MAX_RESPONSE_BYTES)]
     ChunksTooLong,
     /// A chunk has no size or no end.
     #[error("a chunk of an answer cannot be read")]
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/client_protocol.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: the good ones in any pieces, and one case for each thing that must not get through.
+//! Requests of clients: well-formed ones however their bytes are split, and one case for each way to be rejected.
 
 use bytes::Bytes;
 use cedarpulley_platform::client_protocol::*;
@@ -10,7 +10,7 @@
 const FUNCTION: &str = "7f3a9c21e0b4d655";
 
 fn rules() -> RequestRules {
-    let names = |n: &[&str]| n.iter().map(|n| (*n).to_owned()).collect();
+    let names = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     RequestRules {
         names: Names {
             triggers: names(&["plain", "keyed"]),
@@ -47,12 +47,12 @@
     bytes
 }
 
-/// With one field of a good request replaced.
+/// A well-formed request with one field replaced.
 fn with(field: &str, value: &str) -> Vec<u8> {
     let text = String::from_utf8(request("00000000000000aa", "", b"hi")).expect("text");
-    let lines = text.split("\r\n").map(|l| match l.split_once(": ") {
+    let lines = text.split("\r\n").map(|line| match line.split_once(": ") {
         Some((name, _)) if name == field => format!("{field}: {value}"),
-        _ => l.to_owned(),
+        _ => line.to_owned(),
     });
     lines.collect::<Vec<_>>().join("\r\n").into_bytes()
 }
@@ -67,7 +67,7 @@
     queue(bytes).take().expect("whole").request
 }
 
-/// Symptom: a name that ends in a space of another script is taken for another one, and all its requests fail.
+/// Symptom: an account whose name ends in a Unicode space is mistaken for another, and all its requests fail.
 #[test]
 fn account_names_may_contain_any_text_a_field_can_carry() {
     for name in [
@@ -136,7 +136,7 @@
     );
 }
 
-/// A client must be able to tell a whole answer, and on a refusal how long to stay away.
+/// A client must be able to find the end of a response, and on a rejection how long to back off.
 #[test]
 fn responses_are_encoded_with_status_retry_after_and_close() {
     assert_eq!(
@@ -157,10 +157,10 @@
         );
         String::from_utf8(buffer).expect("text")
     };
-    let refusal = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nSrv-Wait-Ms: 3\r\n";
+    let rejection = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nSrv-Wait-Ms: 3\r\n";
     assert_eq!(
         text(STATUS_REJECTED, Some(2_001), b"", true),
-        format!("{refusal}Connection: close\r\n\r\n")
+        format!("{rejection}Connection: close\r\n\r\n")
     );
     assert_eq!(
         text(200, None, b"it", false),
@@ -316,7 +316,7 @@
             "{extra}"
         );
     }
-    // Where repeats are known by a token, it must be there.
+    // Where repeats are recognized by an idempotency key, it must be there.
     assert_eq!(
         read(&with("X-Class", "keyed")),
         Err(RequestError::InvalidField)
@@ -374,7 +374,7 @@
     }
 }
 
-/// Each counts from when its last byte came; what comes after a refusal is not read.
+/// The timeout of each counts from when its last byte arrived; what arrives after a malformed request is not read.
 #[test]
 fn pipelined_requests_keep_their_arrival_times() {
     let (good, rules) = (request("00000000000000aa", "", b"hi"), rules());
@@ -395,15 +395,15 @@
     assert!(next(&mut queue).is_none() && queue.bytes() == 0 && !queue.is_receiving());
 }
 
-/// A client that sends far ahead is read all the same, so that its closing is noticed; of what is beyond the bounds only
-/// the number is kept, and each gets its refusal in its turn.
+/// A client that sends far ahead is read all the same, so that its disconnection is noticed; of the requests beyond the
+/// limits only the number is kept, and each is rejected in its turn.
 #[test]
 fn pipelined_requests_beyond_the_limits_are_rejected_without_being_stored() {
     let (short, long) = (
         request("00000000000000aa", "", b"hi"),
         request("00000000000000aa", "", &[7; MOST_BODY]),
     );
-    for (text, kept) in [(&short, 8), (&long, 2)] {
+    for (text, stored) in [(&short, 8), (&long, 2)] {
         let mut queue = RequestQueue::default();
         for _ in 0..20 {
             queue.put(0, text, &rules());
@@ -412,8 +412,8 @@
         assert!(queue.bytes() < 2 * MOST_BODY + 1_024, "{}", queue.bytes());
         for n in 0..20 {
             let request = queue.take().expect("one more").request;
-            assert_eq!(request.is_ok(), n < kept, "{n}");
-            assert!(n < kept || request == Err(RequestError::TooManyPipelined));
+            assert_eq!(request.is_ok(), n < stored, "{n}");
+            assert!(n < stored || request == Err(RequestError::TooManyPipelined));
         }
         assert!(queue.take().is_none() && queue.is_receiving());
         // Then there is room again.
@@ -432,7 +432,6 @@
         rng_seed: RngSeed::Fixed(19), failure_persistence: None, cases: 200, ..ProptestConfig::default()
     })]
 
-    /// Requests sent ahead, cut anywhere, are the same requests.
     #[test]
     fn requests_are_parsed_alike_however_the_bytes_are_split(
         bodies in prop::collection::vec((any::<bool>(), prop::collection::vec(any::<u8>(), 0..40)), 1..5),
--- a/crates/platform/tests/decisions.rs
+++ b/crates/platform/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Which connection carries what, and which clients' connections stay.
+//! Which connection to a worker carries what, which clients' connections stay open, and how descriptors are divided.
 
 use cedarpulley_platform::config::Limits;
 use cedarpulley_platform::connection_limiter::{
@@ -7,8 +7,6 @@
 use cedarpulley_platform::connection_pool::{
     ConnectionPool, LateAnswer::Impossible, LateAnswer::Possible, Placement,
 };
-use cedarpulley_platform::event_loop_lag::EventLoopLag;
-use cedarpulley_platform::graceful_shutdown::GracefulShutdown;
 use cedarpulley_platform::resource_limits::ResourceLimits;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -16,8 +14,8 @@
 const MS: i64 = 1_000;
 const SECOND: i64 = 1_000_000;
 
-fn pool(most: usize) -> ConnectionPool {
-    ConnectionPool::new(most, 3, 10 * SECOND, 250 * MS)
+fn pool(max_connections: usize) -> ConnectionPool {
+    ConnectionPool::new(max_connections, 3, 10 * SECOND, 250 * MS)
 }
 
 fn opened(pool: &mut ConnectionPool, now: i64, worker: u32) -> u64 {
@@ -34,7 +32,7 @@
 fn exchanges_share_connections_only_at_the_connection_limit() {
     let mut pool = pool(2);
     let (first, second) = (opened(&mut pool, 0, 7), opened(&mut pool, 0, 7));
-    // Then the one with the fewest out is shared, up to the streams allowed.
+    // Then the one with the fewest exchanges in flight is shared, up to the streams allowed.
     for _ in 0..4 {
         assert!(matches!(pool.place(1, 7), Placement::Existing(id) if id == first || id == second));
     }
@@ -57,8 +55,8 @@
     assert_eq!(pool.place(7, 7), Placement::Existing(second));
 }
 
-/// Symptom: a late answer is taken for that of a later dispatch; or a vanished machine's open connection
-/// swallows all.
+/// Symptom: a late answer is taken for that of a later attempt; or everything sent on the open connection to a vanished
+/// machine is lost.
 #[test]
 fn connection_with_an_outstanding_answer_is_not_reused() {
     let mut pool = pool(10);
@@ -68,7 +66,7 @@
     assert_eq!(pool.due_for_close(6), [id]);
 }
 
-/// Symptom: an answer that stops in the middle, on a connection that stays open.
+/// Symptom: an answer stops half-way, the connection stays open, and its exchanges wait for ever.
 #[test]
 fn partial_answer_times_out() {
     let mut pool = pool(10);
@@ -92,7 +90,7 @@
     assert_eq!(pool.count(), 0);
 }
 
-/// Symptom: a worker drops idle connections early and without a word, and the next request on one is reset.
+/// Symptom: a worker drops idle connections early and without closing them, and the next request on one is reset.
 #[test]
 fn idle_reuse_time_shrinks_on_reset_and_grows_back() {
     let mut pool = pool(10);
@@ -108,7 +106,7 @@
     for _ in 0..400 {
         pool.received(now, connection, false);
         pool.exchange_ended(now, connection, Impossible);
-        // Idle for more than half of what was too long.
+        // Idle for more than half of the time that was too long.
         now += 101 * MS;
         match pool.place(now, 7) {
             Placement::Existing(id) => {
@@ -123,7 +121,7 @@
             Placement::Exhausted => panic!("there is room"),
         }
         if renewed == 1 && reused == 0 {
-            // Shorter rests show them alive, and trust comes back.
+            // After shorter idle times they are alive, and the trusted time grows back.
             for _ in 0..400 {
                 pool.received(now, connection, false);
                 pool.exchange_ended(now, connection, Impossible);
@@ -133,7 +131,7 @@
         }
     }
     assert_eq!((renewed, reused), (1, 399));
-    // One that breaks while the worker is at work tells nothing of idle ones.
+    // One that is lost while the worker executes a request shows nothing about idle ones.
     pool.lost(now + 50 * MS, connection);
     let last = opened(&mut pool, now + 60 * MS, 7);
     pool.exchange_ended(now + 60 * MS, last, Impossible);
@@ -147,7 +145,7 @@
     let Placement::New(connecting) = pool.place(0, 7) else {
         panic!("a new one")
     };
-    // What has not come up yet is to be closed at once: its address may be another worker's by then.
+    // One that is not established yet is to be closed at once: its address may be another worker's by then.
     assert_eq!(pool.retire(7), [connecting]);
     assert!(pool.is_retired(id) && pool.is_retired(connecting));
     let Placement::New(next) = pool.place(1, 7) else {
@@ -156,7 +154,7 @@
     assert!(!pool.is_retired(next) && pool.exchange_ended(2, id, Impossible));
 }
 
-/// No client has sent a whole request.
+/// No client has sent a complete request.
 const NONE: fn(ClientId) -> bool = |_| false;
 
 fn connected(limiter: &mut ConnectionLimiter, now: i64) -> Admission {
@@ -187,9 +185,9 @@
     let last = connected(&mut limiter, 301 * MS);
     assert_eq!((last.rejected, last.evicts), (false, Some(idle)));
     limiter.pending(302 * MS, last.id);
-    // All are owed an answer: none goes, and the new one is refused.
-    let refused = connected(&mut limiter, 303 * MS);
-    assert_eq!((refused.rejected, refused.evicts), (true, None));
+    // All wait for an answer: none is evicted, and the new one is rejected.
+    let rejected = connected(&mut limiter, 303 * MS);
+    assert_eq!((rejected.rejected, rejected.evicts), (true, None));
     assert_eq!(
         (
             limiter.count(),
@@ -199,11 +197,11 @@
         ),
         (3, 1, 2, 1)
     );
-    limiter.closed(refused.id);
+    limiter.closed(rejected.id);
     assert!(limiter.overdue(60 * SECOND, NONE).is_empty());
 }
 
-/// Otherwise an answer that is being written breaks off, and its request is lost.
+/// Otherwise the response that is being written is cut off, and its request is lost.
 #[test]
 fn connection_being_written_to_is_not_evicted() {
     let mut limiter = ConnectionLimiter::new(1);
@@ -215,24 +213,27 @@
     assert!(limiter.has_capacity(SECOND, NONE) && !limiter.has_capacity(SECOND, |_| true));
 }
 
-/// A request lies unread on a connection that looks idle: closing it would lose the request.
+/// A request is unread on a connection that looks idle: closing it would lose the request.
 #[test]
 fn connection_with_an_unread_request_is_neither_evicted_nor_overdue() {
     let mut limiter = ConnectionLimiter::new(2);
     let (first, second) = (admitted(&mut limiter, 0), admitted(&mut limiter, 1));
-    let asks = |id| id == first;
-    assert_eq!(limiter.connected(300 * MS, asks).evicts, Some(second));
+    let has_request = |id| id == first;
+    assert_eq!(
+        limiter.connected(300 * MS, has_request).evicts,
+        Some(second)
+    );
     assert!(
-        !limiter.overdue(10 * SECOND, asks).contains(&first)
+        !limiter.overdue(10 * SECOND, has_request).contains(&first)
             && limiter.overdue(10 * SECOND, NONE).contains(&first)
     );
     assert!(
-        !limiter.without_request(asks).contains(&first)
+        !limiter.without_request(has_request).contains(&first)
             && limiter.without_request(NONE).contains(&first)
     );
 }
 
-/// A flood that goes on after its refusal would otherwise keep everybody else out.
+/// Otherwise a client that floods the router even after its rejection would keep everybody else out.
 #[test]
 fn connection_sending_after_its_last_answer_is_evictable() {
     let mut limiter = ConnectionLimiter::new(1);
@@ -241,29 +242,30 @@
     assert_eq!(limiter.connected(2 * MS, |_| true).evicts, Some(flooding));
 }
 
-/// A refusal that is destroyed by a reset is a request that got no answer; but refused ones must not use up the reserve.
+/// A rejection that is lost by a reset is a request without an answer; but rejected connections must not use up the
+/// reserved descriptors.
 #[test]
 fn rejected_connections_stay_open_up_to_a_limit() {
     let mut limiter = ConnectionLimiter::new(1);
     let busy = admitted(&mut limiter, 0);
     limiter.pending(0, busy);
-    let refused: Vec<Admission> = (0..20).map(|n| connected(&mut limiter, n * MS)).collect();
+    let rejected: Vec<Admission> = (0..20).map(|n| connected(&mut limiter, n * MS)).collect();
     assert!(
-        refused.iter().all(|a| a.rejected)
+        rejected.iter().all(|a| a.rejected)
             && limiter.count() == 1
             && limiter.count_rejected() == MAX_REJECTED
     );
-    // The one refused first goes first, and none before there are too many.
-    let evicted: Vec<_> = refused.iter().filter_map(|a| a.evicts).collect();
+    // The one rejected first is evicted first, and none before there are too many.
+    let evicted: Vec<_> = rejected.iter().filter_map(|a| a.evicts).collect();
     assert_eq!(
         evicted,
-        refused[..20 - MAX_REJECTED]
+        rejected[..20 - MAX_REJECTED]
             .iter()
             .map(|a| a.id)
             .collect::<Vec<_>>()
     );
-    // One that goes on sending does not become a client, and goes after a while.
-    let last = refused[19].id;
+    // One that goes on sending is not admitted by that, and times out.
+    let last = rejected[19].id;
     limiter.pending(30 * MS, last);
     limiter.receiving(30 * MS, last);
     assert_eq!(
@@ -276,7 +278,7 @@
     );
 }
 
-/// A crowd fills the table, and a usual client is evicted between its connecting and its request.
+/// Symptom: when many connect at once, a well-behaved client is evicted between its connecting and its request.
 #[test]
 fn idle_connections_are_evicted_before_new_ones() {
     let mut limiter = ConnectionLimiter::new(2);
@@ -288,8 +290,8 @@
     assert_eq!(connected(&mut limiter, 302 * MS).evicts, Some(new));
 }
 
-/// A client in the middle of its request goes after all that have no request under way, and so does one that may not yet
-/// have read its last answer.
+/// A client in the middle of its request is evicted after all that have none in progress, and so is one that may not yet
+/// have read its last response.
 #[test]
 fn sending_and_reading_clients_are_evicted_last() {
     let mut limiter = ConnectionLimiter::new(3);
@@ -302,7 +304,7 @@
     let next = connected(&mut limiter, 500 * MS);
     assert_eq!(next.evicts, Some(idle));
     limiter.pending(500 * MS, next.id);
-    // Long enough to have read its answer.
+    // Long enough to have read its response.
     assert_eq!(connected(&mut limiter, 700 * MS).evicts, Some(reading));
 }
 
@@ -312,12 +314,12 @@
     let slow = admitted(&mut limiter, 0);
     limiter.receiving(SECOND, slow);
     assert!(limiter.has_unfinished() && limiter.overdue(2 * SECOND, NONE).is_empty());
-    // A bad client is to be rid of within three seconds of its coming.
+    // A misbehaving client must be closed within three seconds of connecting.
     assert_eq!(limiter.overdue(2 * SECOND + 1, NONE), [slow]);
     limiter.closed(slow);
     let good = admitted(&mut limiter, 0);
     limiter.pending(0, good);
-    // A client that does not read its answer has no longer than one that does not send, or than it waits itself.
+    // A client has as long to read its response as to send its request, or until its own deadline if that is later.
     limiter.responding(0, good, None);
     assert!(limiter.has_unfinished() && limiter.overdue(2 * SECOND, NONE).is_empty());
     assert_eq!(limiter.overdue(2 * SECOND + 1, NONE), [good]);
@@ -356,71 +358,40 @@
     assert_eq!((none.clients, none.workers), (1, 1));
 }
 
-#[test]
-fn graceful_shutdown_accepts_crossing_requests_and_exits_when_all_are_answered() {
-    let mut shutdown = GracefulShutdown::new(2 * SECOND);
-    assert!(
-        !shutdown.begun()
-            && shutdown.accepts(90 * SECOND)
-            && !shutdown.may_exit(90 * SECOND, false)
-    );
-    shutdown.begin(SECOND);
-    shutdown.begin(5 * SECOND);
-    assert!(shutdown.begun() && shutdown.accepts(1_700 * MS) && !shutdown.accepts(1_701 * MS));
-    assert!(!shutdown.may_exit(1_700 * MS, false) && shutdown.may_exit(1_701 * MS, false));
-    // What it owes it waits for, but not for ever.
-    assert!(!shutdown.may_exit(4_200 * MS, true) && shutdown.may_exit(4_201 * MS, true));
-}
-
-/// Otherwise what was sent while the process stood still is taken for newly sent: its deadline and a drain's grace would
-/// count from the reading.
-#[test]
-fn event_loop_lag_covers_a_pause_of_the_process() {
-    let mut lag = EventLoopLag::new(50 * MS, 0);
-    for n in 1..=10 {
-        lag.beat(n * 50 * MS);
-        assert_eq!(lag.lag(n * 50 * MS + 49 * MS), 0);
-    }
-    // It stood still for a second: that is known before the next beat, at that beat, and until the one after it.
-    assert_eq!(lag.lag(1_500 * MS), 950 * MS);
-    lag.beat(1_500 * MS);
-    assert_eq!(lag.lag(1_510 * MS), 910 * MS);
-    lag.beat(1_550 * MS);
-    assert_eq!(lag.lag(1_560 * MS), 0);
-}
-
 proptest! {
     #![proptest_config(ProptestConfig {
         rng_seed: RngSeed::Fixed(19), failure_persistence: None, cases: 200, ..ProptestConfig::default()
     })]
 
-    /// Whatever happens, the tables keep to their bounds and no connection carries more than its streams.
+    /// The tables stay within their limits, and no connection carries more exchanges than its streams.
     #[test]
-    fn connection_limits_hold_for_any_sequence_of_events(steps in prop::collection::vec((0..6u8, 0..4u32, any::<prop::sample::Index>()), 0..200)) {
+    fn connection_limits_hold_for_any_sequence_of_events(
+        steps in prop::collection::vec((0..6u8, 0..4u32, any::<prop::sample::Index>()), 0..200),
+    ) {
         let (mut pool, mut limiter) = (pool(6), ConnectionLimiter::new(4));
-        let (mut out, mut clients): (Vec<u64>, Vec<u64>) = Default::default();
+        let (mut in_flight, mut clients): (Vec<u64>, Vec<u64>) = Default::default();
         for (n, (step, worker, pick)) in steps.into_iter().enumerate() {
             let now = n as i64 * 40 * MS;
             match step {
                 0 | 1 => match pool.place(now, worker) {
                     Placement::New(id) => {
                         pool.connected(id);
-                        out.push(id);
+                        in_flight.push(id);
                     }
-                    Placement::Existing(id) => out.push(id),
+                    Placement::Existing(id) => in_flight.push(id),
                     Placement::Exhausted => {}
                 },
-                2 if !out.is_empty() => {
-                    let id = out.swap_remove(pick.index(out.len()));
+                2 if !in_flight.is_empty() => {
+                    let id = in_flight.swap_remove(pick.index(in_flight.len()));
                     let late = if worker > 0 { Impossible } else { Possible };
                     if pool.exchange_ended(now, id, late) {
-                        prop_assert!(!out.contains(&id));
+                        prop_assert!(!in_flight.contains(&id));
                         pool.closed(id);
                     }
                 }
                 3 => {
                     for id in pool.due_for_close(now) {
-                        out.retain(|o| *o != id);
+                        in_flight.retain(|other| *other != id);
                         pool.closed(id);
                     }
                 }
@@ -444,7 +415,7 @@
                 _ => {}
             }
             prop_assert!(pool.count() <= 6 && limiter.count() <= 4 && limiter.count_rejected() <= MAX_REJECTED);
-            prop_assert!(out.iter().all(|id| out.iter().filter(|o| *o == id).count() <= 3));
+            prop_assert!(in_flight.iter().all(|id| in_flight.iter().filter(|other| *other == id).count() <= 3));
         }
     }
 }
--- /dev/null
+++ b/crates/platform/tests/discovery.rs
@@ -0,0 +1,246 @@
+//! The discovery channel: events of the worker list, and the responses that carry them.
+
+use cedarpulley::interface::{EndpointListKind, EndpointState::Draining, EndpointState::Gone};
+use cedarpulley_platform::config::Names;
+use cedarpulley_platform::discovery::{Answers, EventBatch, ListUpdate, WorkerListFollower};
+
+fn names() -> Names {
+    let list = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
+    Names {
+        zones: list(&["east", "west"]),
+        kinds: list(&["std"]),
+        ..Names::default()
+    }
+}
+
+fn batch(text: &str) -> EventBatch {
+    serde_json::from_str(text).expect("events")
+}
+
+/// An event as JSON. `servers`: id, state and address of each.
+fn event(cursor: u32, full: bool, servers: &[(&str, &str, &str)]) -> String {
+    let server = |(id, state, address): &(&str, &str, &str)| {
+        format!(
+            r#"{{"id":"{id}","addr":"{address}","zone":"west","kind":"std","cell":2,
+            "state":"{state}","started_ms":7}}"#
+        )
+    };
+    let servers = servers.iter().map(server).collect::<Vec<_>>().join(",");
+    format!(r#"{{"cursor":{cursor},"nodes":{{"full":{full},"servers":[{servers}]}}}}"#)
+}
+
+fn apply_events(follower: &mut WorkerListFollower, events: &[String]) -> Vec<ListUpdate> {
+    let text = format!(r#"{{"cursor":0,"cmds":[{}]}}"#, events.join(","));
+    follower
+        .batch(&batch(&text), &names(), 3_000, 0)
+        .expect("good")
+}
+
+#[test]
+fn watch_events_are_applied_once_and_in_order() {
+    let mut follower = WorkerListFollower::default();
+    let updates = apply_events(
+        &mut follower,
+        &[event(2, true, &[("s-1", "active", "127.0.0.9:5050")])],
+    );
+    let worker = &updates[0].workers[0];
+    assert_eq!(
+        (updates.len(), updates[0].mode, &*worker.address),
+        (1, EndpointListKind::Complete, "s-1")
+    );
+    assert_eq!(
+        (worker.zone, worker.kind, worker.cell, worker.started),
+        (1, 0, 2, Some(4_000))
+    );
+    let leaving = |n| event(n, false, &[("s-1", "leaving", "127.0.0.9:5050")]);
+    let updates = apply_events(&mut follower, &[leaving(2), leaving(3)]);
+    assert_eq!(
+        (
+            updates.len(),
+            updates[0].mode,
+            updates[0].workers[0].standing
+        ),
+        (1, EndpointListKind::Changes, Draining)
+    );
+    assert!(apply_events(&mut follower, &[leaving(2), leaving(3)]).is_empty());
+    assert_eq!(follower.repeated_events(), 3);
+    assert!(
+        String::from_utf8_lossy(&follower.poll_request("x"))
+            .starts_with("GET /cmd/next?resume=3&block=")
+    );
+}
+
+/// Symptom: a connection to a worker that has gone or moved is used for the worker that has its address now.
+#[test]
+fn workers_are_identified_by_id_and_stale_connections_are_retired() {
+    let (mut follower, address, other_address) = (
+        WorkerListFollower::default(),
+        "127.0.0.9:5050",
+        "127.0.0.8:5050",
+    );
+    apply_events(
+        &mut follower,
+        &[event(
+            1,
+            true,
+            &[("s-1", "active", address), ("s-2", "active", other_address)],
+        )],
+    );
+    let updates = apply_events(
+        &mut follower,
+        &[event(
+            2,
+            false,
+            &[("s-1", "left", address), ("s-3", "active", address)],
+        )],
+    );
+    assert_eq!(
+        (&updates[0].retired, follower.address("s-1")),
+        (&vec!["s-1".to_owned()], None)
+    );
+    assert_eq!(follower.address("s-3"), address.parse().ok());
+    let updates = apply_events(
+        &mut follower,
+        &[event(
+            3,
+            false,
+            &[
+                ("s-3", "active", other_address),
+                ("s-2", "leaving", other_address),
+            ],
+        )],
+    );
+    assert_eq!(
+        (&updates[0].retired, follower.address("s-3")),
+        (&vec!["s-3".to_owned()], other_address.parse().ok())
+    );
+    let updates = apply_events(
+        &mut follower,
+        &[event(4, true, &[("s-3", "active", other_address)])],
+    );
+    assert_eq!(
+        (&updates[0].retired, follower.address("s-2")),
+        (&vec!["s-2".to_owned()], None)
+    );
+}
+
+/// Symptom: a worker began to drain while the channel was disconnected, and its grace began when that was read.
+#[test]
+fn drain_announced_while_disconnected_has_no_grace_left() {
+    let (mut follower, address) = (WorkerListFollower::default(), "127.0.0.9:5050");
+    apply_events(
+        &mut follower,
+        &[event(
+            1,
+            true,
+            &[("s-1", "active", address), ("s-2", "active", address)],
+        )],
+    );
+    let text = format!(
+        r#"{{"cursor":2,"cmds":[{}]}}"#,
+        event(2, false, &[("s-1", "leaving", address)])
+    );
+    let updates = follower
+        .batch(&batch(&text), &names(), 0, i64::MAX)
+        .expect("good");
+    assert_eq!(
+        (
+            updates[0].workers[0].standing,
+            &*updates[0].retired[0],
+            follower.address("s-1")
+        ),
+        (Gone, "s-1", None)
+    );
+    let updates = apply_events(
+        &mut follower,
+        &[event(3, false, &[("s-2", "leaving", address)])],
+    );
+    assert_eq!(
+        (updates[0].workers[0].standing, follower.address("s-2")),
+        (Draining, address.parse().ok())
+    );
+}
+
+#[test]
+fn unnamed_zones_and_kinds_match_no_named_one() {
+    let mut follower = WorkerListFollower::default();
+    let unnamed = |cursor, id| {
+        event(cursor, true, &[(id, "active", "127.0.0.9:1")])
+            .replace("west", id)
+            .replace("std", "odd")
+    };
+    let updates = apply_events(&mut follower, &[unnamed(1, "a"), unnamed(2, "b")]);
+    let (a, b) = (&updates[0].workers[0], &updates[1].workers[0]);
+    assert!(a.zone > 1 && b.zone > 1 && a.zone != b.zone && a.kind == 1);
+}
+
+#[test]
+fn malformed_batch_changes_nothing() {
+    let mut follower = WorkerListFollower::default();
+    let malformed = batch(
+        r#"{"cursor":5,"cmds":[{"cursor":5,"nodes":{"servers":[{"id":"s-1","state":"odd"}]}}]}"#,
+    );
+    assert!(follower.batch(&malformed, &names(), 0, 0).is_err());
+    assert_eq!(follower.last_cursor(), 0);
+}
+
+#[test]
+fn discovery_responses_are_decoded_whole_or_not_at_all() {
+    let body = r#"{"cursor":4,"cmds":[]}"#;
+    let sized = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
+    let chunked = format!(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n",
+        body.len()
+    );
+    for text in [sized, chunked] {
+        for cut in 0..text.len() {
+            let mut responses = Answers::default();
+            responses.put(&text.as_bytes()[..cut]);
+            assert!(
+                responses.whole().expect("good so far").is_none(),
+                "cut at {cut}"
+            );
+            responses.put(&text.as_bytes()[cut..]);
+            assert_eq!(
+                responses.whole().expect("good").map(|batch| batch.cursor),
+                Some(4)
+            );
+            assert!(responses.whole().expect("nothing left").is_none());
+        }
+    }
+    for text in [
+        "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+        "HTTP/1.1 200 OK\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}",
+        "SSH-2.0-x\r\n",
+    ] {
+        let mut responses = Answers::default();
+        responses.put(text.as_bytes());
+        assert!(responses.whole().is_err(), "{text}");
+    }
+}
+
+/// Operators know these names from the logs; they stay although the types are called otherwise.
+#[test]
+fn parse_errors_keep_the_names_of_the_wire_types() {
+    for (text, name) in [
+        (r#"{"cursor":1,"cmds":[3]}"#, "expected struct Command"),
+        (
+            r#"{"cursor":1,"cmds":[{"cursor":1,"nodes":3}]}"#,
+            "expected struct Nodes",
+        ),
+        (
+            r#"{"cursor":1,"cmds":[{"cursor":1,"nodes":{"servers":[3]}}]}"#,
+            "expected struct Server",
+        ),
+        (r#"{"cursor":1,"cmds":[{}]}"#, "missing field `cursor`"),
+    ] {
+        let error = serde_json::from_str::<EventBatch>(text).expect_err(text);
+        assert!(error.to_string().contains(name), "{error}");
+    }
+}
