--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -4,3 +4,4 @@
 mod rules;
 mod script;
 mod slow_start;
+mod sources;
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -15,8 +15,8 @@
 enum Step {
     Arrive {
         trigger: u32,
-        func: FunctionIndex,
-        gives_up_in: Micros,
+        function: FunctionIndex,
+        client_timeout_in: Micros,
     },
     Leave {
         nth: usize,
@@ -33,11 +33,11 @@
     },
     Want {
         worker: WorkerIndex,
-        func: FunctionIndex,
+        function: FunctionIndex,
     },
     Hold {
         worker: WorkerIndex,
-        func: FunctionIndex,
+        function: FunctionIndex,
         copies: u32,
     },
 }
@@ -45,14 +45,14 @@
 fn steps() -> impl Strategy<Value = Vec<(Micros, Step)>> {
     let step = prop_oneof![
         60 => (0..3u32, 0..FUNCTIONS, 300..2_000i64)
-            .prop_map(|(trigger, func, ms)| Step::Arrive { trigger, func, gives_up_in: ms * MS }),
+            .prop_map(|(trigger, function, ms)| Step::Arrive { trigger, function, client_timeout_in: ms * MS }),
         1 => (0..50usize).prop_map(|nth| Step::Leave { nth }),
         1 => (0..WORKERS).prop_map(|worker| Step::Drain { worker }),
         2 => (0..WORKERS).prop_map(|worker| Step::Restart { worker }),
         2 => (0..WORKERS, 0..6u32).prop_map(|(worker, mood)| Step::Mood { worker, mood }),
-        3 => (0..WORKERS, 0..FUNCTIONS).prop_map(|(worker, func)| Step::Want { worker, func }),
+        3 => (0..WORKERS, 0..FUNCTIONS).prop_map(|(worker, function)| Step::Want { worker, function }),
         3 => (0..WORKERS, 0..FUNCTIONS, 0..2u32)
-            .prop_map(|(worker, func, copies)| Step::Hold { worker, func, copies }),
+            .prop_map(|(worker, function, copies)| Step::Hold { worker, function, copies }),
     ];
     proptest::collection::vec((0..40 * MS, step), 100..500)
 }
@@ -63,16 +63,18 @@
         DeduplicationScope::Zone,
         DeduplicationScope::Cell,
     ];
-    (any::<[bool; 3]>(), 0..3usize).prop_map(move |([orders, second_copies, ration], group)| Site {
-        orders,
-        loads_when_absent: !orders || second_copies,
-        second_copies,
-        ration: orders && ration,
-        group: groups[group],
-        routers: 1,
-        allowance_per_s: PLAIN.allowance_per_s,
-        dear: if orders { 4.0 } else { 1.0 },
-    })
+    (any::<[bool; 3]>(), 0..3usize).prop_map(
+        move |([orders, hedged_requests, order_quota], group)| Site {
+            orders,
+            loads_when_absent: !orders || hedged_requests,
+            hedged_requests,
+            order_quota: orders && order_quota,
+            key_scope: groups[group],
+            routers: 1,
+            quota_per_s: PLAIN.quota_per_s,
+            third_type_value: if orders { 4.0 } else { 1.0 },
+        },
+    )
 }
 
 /// How a worker in this mood ends a dispatch, and after what time.
@@ -128,8 +130,8 @@
 impl World {
     fn take(
         &mut self,
-        s: &Script,
-        funcs: &[FunctionIndex],
+        script: &Script,
+        functions: &[FunctionIndex],
         counts: &mut BTreeMap<InvocationIndex, u32>,
         actions: &[Action],
     ) {
@@ -138,38 +140,42 @@
             let draw = self.serial.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20;
             match *action {
                 Action::Dispatch {
-                    invocation: inv,
+                    invocation,
                     worker,
-                    timeout: time_out,
+                    timeout,
                 } => {
-                    let n = counts.entry(inv).and_modify(|n| *n += 1).or_insert(0);
-                    let func = funcs[inv as usize];
+                    let n = counts
+                        .entry(invocation)
+                        .and_modify(|n| *n += 1)
+                        .or_insert(0);
+                    let function = functions[invocation as usize];
                     let (mut outcome, after, mut note) = ending(
                         self.moods[worker as usize],
                         draw,
-                        s.warm.contains(&(worker, func)),
+                        script.warm.contains(&(worker, function)),
                     );
-                    let mut at = s.now.saturating_add(after);
-                    let limit =
-                        time_out.map_or(s.gives_up_at(inv), |t| s.gives_up_at(inv).min(s.now + t));
+                    let mut at = script.now.saturating_add(after);
+                    let limit = timeout.map_or(script.client_timeout_at(invocation), |t| {
+                        script.client_timeout_at(invocation).min(script.now + t)
+                    });
                     if at >= limit {
                         (at, outcome, note) =
                             (limit, DispatchOutcome::TimedOut, CopyStatus::Unreported);
                     }
                     self.due.insert(
                         (at, self.serial),
-                        Back::Dispatch(inv, *n, outcome, note, worker, func),
+                        Back::Dispatch(invocation, *n, outcome, note, worker, function),
                     );
                 }
                 Action::LoadOrder {
                     worker,
-                    function: func,
+                    function,
                     copies,
                 } => {
                     let after = (5 + draw % 900) as Micros * MS;
                     self.due.insert(
-                        (s.now + after, self.serial),
-                        Back::Order(worker, func, copies, after),
+                        (script.now + after, self.serial),
+                        Back::Order(worker, function, copies, after),
                     );
                 }
                 _ => {}
@@ -179,12 +185,16 @@
 }
 
 fn run(seed: u64, site: Site, steps: &[(Micros, Step)]) -> Vec<Action> {
-    let mut s = Script::new(seed, site, WORKERS);
-    let (mut world, mut funcs, mut counts, mut log) =
+    let mut script = Script::new(seed, site, WORKERS);
+    let (mut world, mut functions, mut counts, mut log) =
         (World::default(), Vec::new(), BTreeMap::new(), Vec::new());
     let quiet = [(100 * MS, None); 60];
-    for (span, step) in steps.iter().map(|(t, s)| (*t, Some(s))).chain(quiet) {
-        let until = s.now + span;
+    for (span, step) in steps
+        .iter()
+        .map(|(t, script)| (*t, Some(script)))
+        .chain(quiet)
+    {
+        let until = script.now + span;
         loop {
             let back = world
                 .due
@@ -192,10 +202,10 @@
                 .map(|(k, _)| k.0)
                 .filter(|t| *t <= until);
             // Timer by timer, as what one sends may be due before the next.
-            let timer = s.timers.first().map_or(until, |t| t.0).max(s.now);
-            let next = back.unwrap_or(until).max(s.now).min(timer);
-            let rung = s.pass(next - s.now);
-            world.take(&s, &funcs, &mut counts, &rung);
+            let timer = script.timers.first().map_or(until, |t| t.0).max(script.now);
+            let next = back.unwrap_or(until).max(script.now).min(timer);
+            let rung = script.pass(next - script.now);
+            world.take(&script, &functions, &mut counts, &rung);
             log.extend(rung);
             if back.is_none_or(|at| at > next) {
                 if next < until {
@@ -207,54 +217,62 @@
                 break;
             };
             let actions = match back {
-                Back::Dispatch(inv, n, outcome, note, worker, func) => {
+                Back::Dispatch(invocation, n, outcome, note, worker, function) => {
                     if outcome == DispatchOutcome::Succeeded {
-                        s.warm.insert((worker, func));
+                        script.warm.insert((worker, function));
                     }
-                    s.end(inv, n, outcome, note)
+                    script.end(invocation, n, outcome, note)
                 }
-                Back::Order(worker, func, copies, took) => {
+                Back::Order(worker, function, copies, took) => {
                     let result = match world.moods[worker as usize] {
                         3 => LoadOrderResult::Unreachable,
                         5 => LoadOrderResult::LoadFailed,
                         _ => LoadOrderResult::Loaded,
                     };
-                    s.tell(&Event::OrderEnded {
+                    script.tell(&Event::OrderEnded {
                         worker,
-                        function: func,
+                        function,
                         result,
                         took,
                         copies,
                     })
                 }
             };
-            world.take(&s, &funcs, &mut counts, &actions);
+            world.take(&script, &functions, &mut counts, &actions);
             log.extend(actions);
         }
         let actions = match step {
             Some(&Step::Arrive {
                 trigger,
-                func,
-                gives_up_in,
+                function,
+                client_timeout_in,
             }) => {
                 // A function has one trigger type.
-                funcs.push(func * 3 + trigger);
-                s.arrive(trigger, func * 3 + trigger, 1 + func % 2, gives_up_in)
+                functions.push(function * 3 + trigger);
+                script
+                    .arrive(
+                        trigger,
+                        function * 3 + trigger,
+                        1 + function % 2,
+                        client_timeout_in,
+                    )
                     .1
             }
-            Some(&Step::Leave { nth }) => match funcs.len().checked_sub(nth + 1) {
-                Some(inv) if s.owes(inv as InvocationIndex) => s.depart(inv as InvocationIndex),
+            Some(&Step::Leave { nth }) => match functions.len().checked_sub(nth + 1) {
+                Some(invocation) if script.owes(invocation as InvocationIndex) => {
+                    script.depart(invocation as InvocationIndex)
+                }
                 _ => Vec::new(),
             },
-            Some(&Step::Drain { worker }) => s.list(
+            Some(&Step::Drain { worker }) => script.list(
                 EndpointListKind::Changes,
                 &[entry(worker, EndpointState::Draining, None)],
             ),
             Some(&Step::Restart { worker }) => {
                 world.moods[worker as usize] = 0;
-                s.list(
+                script.list(
                     EndpointListKind::Changes,
-                    &[entry(worker, EndpointState::InService, Some(s.now))],
+                    &[entry(worker, EndpointState::InService, Some(script.now))],
                 )
             }
             Some(&Step::Mood { worker, mood }) => {
@@ -262,19 +280,19 @@
                 Vec::new()
             }
             // Of trigger type 0, as the script asks for it.
-            Some(&Step::Want { worker, func }) => s.want(worker, func * 3),
+            Some(&Step::Want { worker, function }) => script.want(worker, function * 3),
             Some(&Step::Hold {
                 worker,
-                func,
+                function,
                 copies,
-            }) => s.tell(&Event::CopiesReported {
+            }) => script.tell(&Event::CopiesReported {
                 worker,
-                function: func * 3,
+                function: function * 3,
                 copies,
             }),
             None => Vec::new(),
         };
-        world.take(&s, &funcs, &mut counts, &actions);
+        world.take(&script, &functions, &mut counts, &actions);
         log.extend(actions);
     }
     log
--- a/tests/decisions/script.rs
+++ b/tests/decisions/script.rs
@@ -1,4 +1,4 @@
-//! A small script of outcomes around one router, and a ledger that checks the five rules after every step.
+//! A small script of outcomes around one router, and records of each invocation that check the five rules after every step.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,52 +7,52 @@
 
 pub const SECOND: Micros = 1_000_000;
 pub const MS: Micros = 1_000;
-pub const GRACE: Micros = 500 * MS;
-pub const SLACK: Micros = 16 * MS;
-pub const COLD_FOR: Micros = 10 * SECOND;
-pub const COLD_PART: f64 = 0.2;
-pub const WINDOW: Micros = SECOND;
-pub const MULTIPLE: f64 = 1.0;
+pub const DRAIN_GRACE: Micros = 500 * MS;
+pub const ANSWER_SLACK: Micros = 16 * MS;
+pub const SLOW_START_DURATION: Micros = 10 * SECOND;
+pub const SLOW_START_FRACTION: f64 = 0.2;
+pub const OVERLOAD_WINDOW: Micros = SECOND;
+pub const OVERLOAD_MULTIPLE: f64 = 1.0;
 /// What an invocation takes on average in the random runs.
 pub const MEAN_WORK: Micros = 95 * MS;
-/// Under a quarter of the objective, which would be told otherwise.
-pub const MAX_ADVICE: Micros = 100 * MS;
-pub const KEPT: Micros = 10 * SECOND;
+/// Under a quarter of the objective, which would be given otherwise.
+pub const MAX_RETRY_AFTER: Micros = 100 * MS;
+pub const IDLE_RETENTION: Micros = 10 * SECOND;
 
 /// The plain ways in which a site may differ.
 #[derive(Clone, Copy, Debug)]
 pub struct Site {
     pub orders: bool,
     pub loads_when_absent: bool,
-    pub second_copies: bool,
-    pub ration: bool,
-    pub group: DeduplicationScope,
+    pub hedged_requests: bool,
+    pub order_quota: bool,
+    pub key_scope: DeduplicationScope,
     pub routers: u32,
-    pub allowance_per_s: f64,
+    pub quota_per_s: f64,
     /// Billed value of the third trigger type; of the others it is 1.
-    pub dear: f64,
+    pub third_type_value: f64,
 }
 
 pub const PLAIN: Site = Site {
     orders: false,
     loads_when_absent: true,
-    second_copies: false,
-    ration: false,
-    group: DeduplicationScope::All,
+    hedged_requests: false,
+    order_quota: false,
+    key_scope: DeduplicationScope::All,
     routers: 1,
-    allowance_per_s: 10.0,
-    dear: 1.0,
+    quota_per_s: 10.0,
+    third_type_value: 1.0,
 };
 
 pub fn triggers(site: Site) -> Vec<TriggerType> {
     let tokened = Effect::IdempotentByKey {
-        scope: site.group,
+        scope: site.key_scope,
         window: 1_200 * MS,
     };
     [
         (Effect::Idempotent, 1.0),
         (tokened, 1.0),
-        (Effect::NonIdempotent, site.dear),
+        (Effect::NonIdempotent, site.third_type_value),
     ]
     .map(|(effect, billed_value)| TriggerType {
         effect,
@@ -77,33 +77,33 @@
         },
         DispatchLimits {
             max_dispatches: 4,
-            hedged_requests: site.second_copies,
+            hedged_requests: site.hedged_requests,
             cancellation: true,
             probes: true,
             connect_timeout: 250 * MS,
-            max_retry_after: MAX_ADVICE,
+            max_retry_after: MAX_RETRY_AFTER,
         },
         RuleLimits {
-            answer_slack: SLACK,
-            drain_grace: GRACE,
+            answer_slack: ANSWER_SLACK,
+            drain_grace: DRAIN_GRACE,
             list_request_timeout: 10 * SECOND,
             list_on_request: false,
-            slow_start_fraction: COLD_PART,
-            slow_start_duration: COLD_FOR,
-            overload_multiple: MULTIPLE,
-            overload_window: WINDOW,
+            slow_start_fraction: SLOW_START_FRACTION,
+            slow_start_duration: SLOW_START_DURATION,
+            overload_multiple: OVERLOAD_MULTIPLE,
+            overload_window: OVERLOAD_WINDOW,
         },
         triggers(site),
-        vec![cedarpulley::interface::Account {
-            quota_per_s: site.allowance_per_s,
+        vec![Account {
+            quota_per_s: site.quota_per_s,
             share: 1.0,
         }],
         LoadSettings {
-            idle_retention: KEPT,
+            idle_retention: IDLE_RETENTION,
             load_orders: site.orders,
             loads_when_absent: site.loads_when_absent,
             order_timeout: 10 * SECOND,
-            order_quota_window: if site.ration { 5 * SECOND } else { 0 },
+            order_quota_window: if site.order_quota { 5 * SECOND } else { 0 },
             order_quota_base: 2.0,
             order_quota_per_invocation: 0.02,
             reports_copy_status: true,
@@ -115,7 +115,7 @@
     )
 }
 
-pub fn entry(worker: WorkerIndex, standing: EndpointState, started: Option<Micros>) -> Endpoint {
+pub fn entry(worker: WorkerIndex, state: EndpointState, started: Option<Micros>) -> Endpoint {
     let fingerprint = 0x9e37_79b9_u64.wrapping_mul(u64::from(worker) + 1);
     let zone = worker % 2;
     Endpoint {
@@ -124,39 +124,39 @@
         zone,
         machine_kind: 0,
         cell: worker / 2,
-        state: standing,
+        state,
         weight: 1.0,
         started_at: started,
     }
 }
 
-struct Sent {
+struct SentDispatch {
     worker: WorkerIndex,
     at: Micros,
     out: bool,
-    never_ran: bool,
+    not_executed: bool,
 }
 
-struct Account {
+struct InvocationRecord {
     effect: Effect,
-    gives_up_at: Micros,
+    client_timeout_at: Micros,
     answered: bool,
-    sent: Vec<Sent>,
+    sent: Vec<SentDispatch>,
 }
 
-/// The router, the clock, what is on its way back, and the ledger.
+/// The balancer, the clock, what is on its way back, and a record of each invocation.
 pub struct Script {
-    pub control: Balancer,
+    pub balancer: Balancer,
     pub now: Micros,
     /// Of what arrives; the objective grows by as much.
     pub cost_hint: Option<Micros>,
-    /// Where the session of what arrives is warm.
-    pub prefers: Option<WorkerIndex>,
+    /// The worker with the session of what arrives.
+    pub preferred_worker: Option<WorkerIndex>,
     site: Site,
-    ledger: Vec<Account>,
+    records: Vec<InvocationRecord>,
     open: BTreeSet<(Micros, InvocationIndex)>,
-    /// When the router was told that a worker drains or is gone.
-    told: BTreeMap<WorkerIndex, Micros>,
+    /// When the router was notified that a worker drains or is gone.
+    drained_at: BTreeMap<WorkerIndex, Micros>,
     started: BTreeMap<WorkerIndex, Micros>,
     sends: Vec<(Micros, WorkerIndex)>,
     successes: Vec<(Micros, WorkerIndex)>,
@@ -174,14 +174,14 @@
     /// The router at this place among them.
     pub fn at(position: u32, seed: u64, site: Site, workers: u32) -> Self {
         let mut script = Script {
-            control: router(seed, position, site),
+            balancer: router(seed, position, site),
             now: 1_000 * SECOND,
             cost_hint: None,
-            prefers: None,
+            preferred_worker: None,
             site,
-            ledger: Vec::new(),
+            records: Vec::new(),
             open: BTreeSet::new(),
-            told: BTreeMap::new(),
+            drained_at: BTreeMap::new(),
             started: BTreeMap::new(),
             sends: Vec::new(),
             successes: Vec::new(),
@@ -201,14 +201,14 @@
         for e in entries {
             match e.state {
                 EndpointState::InService => {
-                    self.told.remove(&e.worker);
+                    self.drained_at.remove(&e.worker);
                     if let Some(at) = e.started_at {
                         self.started.insert(e.worker, at);
                         self.warm.retain(|(w, _)| *w != e.worker);
                     }
                 }
                 _ => {
-                    self.told.entry(e.worker).or_insert(self.now);
+                    self.drained_at.entry(e.worker).or_insert(self.now);
                 }
             }
         }
@@ -221,44 +221,44 @@
     pub fn arrive(
         &mut self,
         trigger: u32,
-        func: FunctionIndex,
+        function: FunctionIndex,
         lanes: u32,
-        gives_up_in: Micros,
+        client_timeout_in: Micros,
     ) -> (InvocationIndex, Vec<Action>) {
-        let inv = self.ledger.len() as InvocationIndex;
+        let invocation = self.records.len() as InvocationIndex;
         let effect = triggers(self.site)[trigger as usize].effect;
-        let gives_up_at = self.now + gives_up_in;
-        self.ledger.push(Account {
+        let client_timeout_at = self.now + client_timeout_in;
+        self.records.push(InvocationRecord {
             effect,
-            gives_up_at,
+            client_timeout_at,
             answered: false,
             sent: Vec::new(),
         });
-        self.open.insert((gives_up_at, inv));
+        self.open.insert((client_timeout_at, invocation));
         self.arrivals.push(self.now);
         let arrival = Arrival {
-            invocation: inv,
+            invocation,
             trigger,
             account: 0,
-            function: func,
-            fingerprint: 77 + u64::from(func),
+            function,
+            fingerprint: 77 + u64::from(function),
             cost_hint: self.cost_hint,
             load_hint: Some(500 * MS),
             copy_mb: 300.0,
             lanes,
-            client_timeout_in: gives_up_in,
+            client_timeout_in,
             waited: 0,
             repeat: false,
-            preferred_worker: self.prefers,
+            preferred_worker: self.preferred_worker,
         };
-        (inv, self.tell(&Event::Invocation(arrival)))
+        (invocation, self.tell(&Event::Invocation(arrival)))
     }
 
     /// A copy is wanted there.
-    pub fn want(&mut self, worker: WorkerIndex, func: FunctionIndex) -> Vec<Action> {
+    pub fn want(&mut self, worker: WorkerIndex, function: FunctionIndex) -> Vec<Action> {
         let asked = FunctionInfo {
-            function: func,
-            fingerprint: 77 + u64::from(func),
+            function,
+            fingerprint: 77 + u64::from(function),
             trigger: 0,
             lanes: 1,
         };
@@ -269,46 +269,46 @@
     }
 
     /// Whether the router still owes an answer.
-    pub fn owes(&self, inv: InvocationIndex) -> bool {
-        !self.ledger[inv as usize].answered
+    pub fn owes(&self, invocation: InvocationIndex) -> bool {
+        !self.records[invocation as usize].answered
     }
 
-    pub fn is_out(&self, inv: InvocationIndex) -> bool {
-        self.ledger[inv as usize].sent.iter().any(|d| d.out)
+    pub fn is_out(&self, invocation: InvocationIndex) -> bool {
+        self.records[invocation as usize].sent.iter().any(|d| d.out)
     }
 
-    pub fn gives_up_at(&self, inv: InvocationIndex) -> Micros {
-        self.ledger[inv as usize].gives_up_at
+    pub fn client_timeout_at(&self, invocation: InvocationIndex) -> Micros {
+        self.records[invocation as usize].client_timeout_at
     }
 
-    pub fn depart(&mut self, inv: InvocationIndex) -> Vec<Action> {
-        self.ledger[inv as usize].answered = true;
-        self.tell(&Event::ClientLeft { invocation: inv })
+    pub fn depart(&mut self, invocation: InvocationIndex) -> Vec<Action> {
+        self.records[invocation as usize].answered = true;
+        self.tell(&Event::ClientLeft { invocation })
     }
 
     pub fn end(
         &mut self,
-        inv: InvocationIndex,
+        invocation: InvocationIndex,
         dispatch: u32,
         outcome: DispatchOutcome,
         note: CopyStatus,
     ) -> Vec<Action> {
-        let account = &mut self.ledger[inv as usize];
-        let sent = &mut account.sent[dispatch as usize];
+        let record = &mut self.records[invocation as usize];
+        let sent = &mut record.sent[dispatch as usize];
         assert!(sent.out, "the script ends a dispatch twice");
-        (sent.out, sent.never_ran) = (false, outcome.not_executed());
+        (sent.out, sent.not_executed) = (false, outcome.not_executed());
         let (worker, took) = (sent.worker, self.now - sent.at);
-        account.answered |= outcome == DispatchOutcome::Succeeded;
+        record.answered |= outcome == DispatchOutcome::Succeeded;
         if outcome == DispatchOutcome::Succeeded {
             self.successes.push((self.now, worker));
         }
         let ending = DispatchEnded {
-            invocation: inv,
+            invocation,
             dispatch,
             worker,
             outcome,
             took,
-            answered: account.answered,
+            answered: record.answered,
             copy_status: note,
             function_load: None,
             report: LoadReport::default(),
@@ -331,18 +331,18 @@
 
     pub fn tell(&mut self, event: &Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.control.handle(self.now, event, &mut actions);
+        self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
             self.check(action);
         }
-        while let Some(&(gives_up_at, inv)) = self.open.first() {
-            if self.ledger[inv as usize].answered {
+        while let Some(&(client_timeout_at, invocation)) = self.open.first() {
+            if self.records[invocation as usize].answered {
                 self.open.pop_first();
                 continue;
             }
             assert!(
-                self.now <= gives_up_at + SLACK,
-                "rule 1: {inv} has no answer when its client gave up"
+                self.now <= client_timeout_at + ANSWER_SLACK,
+                "rule 1: {invocation} has no answer when its client gave up"
             );
             break;
         }
@@ -353,96 +353,92 @@
         let now = self.now;
         match *action {
             Action::Dispatch {
-                invocation: inv,
-                worker,
-                ..
+                invocation, worker, ..
             } => {
-                let account = &mut self.ledger[inv as usize];
+                let record = &mut self.records[invocation as usize];
                 assert!(
-                    !account.answered,
-                    "rule 1: {inv} is dispatched after its answer"
+                    !record.answered,
+                    "rule 1: {invocation} is dispatched after its answer"
                 );
-                let out = account.sent.iter().filter(|s| s.out).count();
+                let out = record.sent.iter().filter(|s| s.out).count();
                 assert!(
-                    out == 0 || (self.site.second_copies && out == 1),
-                    "rule 2: {inv} is out twice"
+                    out == 0 || (self.site.hedged_requests && out == 1),
+                    "rule 2: {invocation} is in flight twice"
                 );
-                let mut ran = account.sent.iter().filter(|s| s.out || !s.never_ran);
-                match account.effect {
+                let mut ran = record.sent.iter().filter(|s| s.out || !s.not_executed);
+                match record.effect {
                     Effect::Idempotent => {}
                     Effect::NonIdempotent => {
-                        assert!(ran.next().is_none(), "rule 2: {inv} may run twice")
+                        assert!(ran.next().is_none(), "rule 2: {invocation} may run twice")
                     }
-                    Effect::IdempotentByKey {
-                        scope: group,
-                        window,
-                    } => {
+                    Effect::IdempotentByKey { scope, window } => {
                         for s in ran {
-                            let same = match group {
+                            let same = match scope {
                                 DeduplicationScope::All => true,
                                 DeduplicationScope::Zone => s.worker % 2 == worker % 2,
                                 DeduplicationScope::Cell => s.worker / 2 == worker / 2,
                             };
                             assert!(
                                 same && now - s.at < window,
-                                "rule 2: {inv} is repeated where not dropped"
+                                "rule 2: {invocation} is repeated where not dropped"
                             );
                         }
                     }
                 }
-                account.sent.push(Sent {
+                record.sent.push(SentDispatch {
                     worker,
                     at: now,
                     out: true,
-                    never_ran: false,
+                    not_executed: false,
                 });
-                assert!(account.sent.len() <= 4, "{inv} is dispatched too often");
-                self.check_told(worker);
+                assert!(
+                    record.sent.len() <= 4,
+                    "{invocation} is dispatched too often"
+                );
+                self.check_draining(worker);
                 self.sends.push((now, worker));
-                self.check_cold(worker);
+                self.check_slow_start(worker);
             }
             Action::LoadOrder { worker, copies, .. } if copies > 0 => {
                 assert!(self.site.orders, "an order where none may be given");
-                self.check_told(worker);
+                self.check_draining(worker);
                 self.orders.push(now);
                 let within =
                     |q: &[Micros]| q.iter().filter(|t| now - **t < 5 * SECOND).count() as f64;
                 let most = 2.0 + 0.02 * within(&self.arrivals);
                 assert!(
-                    !self.site.ration || within(&self.orders) <= most,
+                    !self.site.order_quota || within(&self.orders) <= most,
                     "rule 5: too many orders"
                 );
             }
             Action::Reject {
-                invocation: inv,
-                retry_after: return_after,
+                invocation,
+                retry_after,
                 ..
             } => {
-                let told = return_after.is_none_or(|t| (1..=MAX_ADVICE).contains(&t));
+                let within_limit = retry_after.is_none_or(|t| (1..=MAX_RETRY_AFTER).contains(&t));
                 assert!(
-                    told,
-                    "{inv} is told to stay away for longer than the settings allow"
+                    within_limit,
+                    "{invocation} has a longer Retry-After than the settings allow"
                 );
-                let account = &mut self.ledger[inv as usize];
-                assert!(!account.answered, "rule 1: {inv} is answered twice");
-                let ran = account.sent.iter().any(|s| s.out || !s.never_ran);
-                let harmless = match account.effect {
+                let record = &mut self.records[invocation as usize];
+                assert!(!record.answered, "rule 1: {invocation} is answered twice");
+                let ran = record.sent.iter().any(|s| s.out || !s.not_executed);
+                let harmless = match record.effect {
                     Effect::Idempotent => true,
-                    Effect::IdempotentByKey { scope: group, .. } => {
-                        group == DeduplicationScope::All
-                    }
+                    Effect::IdempotentByKey { scope, .. } => scope == DeduplicationScope::All,
                     Effect::NonIdempotent => false,
                 };
                 assert!(
                     !ran || harmless,
-                    "rule 2: {inv} is throttled though it may have run"
+                    "rule 2: {invocation} is rejected though it may have run"
                 );
-                account.answered = true;
+                record.answered = true;
             }
-            Action::Fail { invocation: inv } => {
-                let account = &mut self.ledger[inv as usize];
-                assert!(!account.answered, "rule 1: {inv} is answered twice");
-                account.answered = true;
+            Action::Fail { invocation } => {
+                let record = &mut self.records[invocation as usize];
+                assert!(!record.answered, "rule 1: {invocation} is answered twice");
+                record.answered = true;
             }
             Action::Timer { token, after } => {
                 self.timers.insert((now + after, token));
@@ -451,8 +447,11 @@
         }
     }
 
-    fn check_told(&self, worker: WorkerIndex) {
-        let late = self.told.get(&worker).is_some_and(|t| self.now - t > GRACE);
+    fn check_draining(&self, worker: WorkerIndex) {
+        let late = self
+            .drained_at
+            .get(&worker)
+            .is_some_and(|t| self.now - t > DRAIN_GRACE);
         assert!(
             !late,
             "rule 3: worker {worker} is sent new work after the grace"
@@ -460,12 +459,12 @@
     }
 
     /// Rule 4, by what the busiest warm worker has been seen to carry, or one core alone does: it can do that.
-    fn check_cold(&self, worker: WorkerIndex) {
+    fn check_slow_start(&self, worker: WorkerIndex) {
         let Some(age) = self
             .started
             .get(&worker)
             .map(|s| self.now - s)
-            .filter(|a| *a < COLD_FOR)
+            .filter(|a| *a < SLOW_START_DURATION)
         else {
             return;
         };
@@ -483,17 +482,18 @@
                 within(
                     &self.successes,
                     w,
-                    self.now - (k + 1) * WINDOW,
-                    self.now - k * WINDOW,
+                    self.now - (k + 1) * OVERLOAD_WINDOW,
+                    self.now - k * OVERLOAD_WINDOW,
                 )
             })
-            .fold(WINDOW as f64 / MEAN_WORK as f64, f64::max);
-        let grown = COLD_PART + (1.0 - COLD_PART) * age as f64 / COLD_FOR as f64;
-        let most = (MULTIPLE * grown * carried).max(1.0);
-        let sent = within(&self.sends, worker, self.now - WINDOW, self.now);
+            .fold(OVERLOAD_WINDOW as f64 / MEAN_WORK as f64, f64::max);
+        let capacity_fraction = SLOW_START_FRACTION
+            + (1.0 - SLOW_START_FRACTION) * age as f64 / SLOW_START_DURATION as f64;
+        let most = (OVERLOAD_MULTIPLE * capacity_fraction * carried).max(1.0);
+        let sent = within(&self.sends, worker, self.now - OVERLOAD_WINDOW, self.now);
         assert!(
             sent <= most,
-            "rule 4: a cold worker {worker} is sent {sent}, can bear {most}"
+            "rule 4: worker {worker} in slow start is sent {sent}, its capacity is {most}"
         );
     }
 }
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -1,4 +1,4 @@
-//! Rule 4 over a whole fleet: a worker that has just started gets no more than it bears from all routers together, be
+//! Rule 4 over a whole fleet: a worker that has just started gets no more than its capacity from all routers together, be
 //! they few or many, evenly or unevenly loaded, running for a while or all restarted at once.
 
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 use crate::script::*;
 
 const WARM_WORKERS: u32 = 4;
-const COLD: WorkerIndex = WARM_WORKERS;
+const STARTING: WorkerIndex = WARM_WORKERS;
 /// Cores of a worker: what it serves at once without becoming slower.
 const CORES: usize = 3;
 const STEP: Micros = 10 * MS;
@@ -23,8 +23,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Load {
     routers: u32,
-    /// Calls that the cold worker bears in a window as it starts.
-    bears: f64,
+    /// Calls that the starting worker can take in a window as it starts.
+    starting_capacity: f64,
     /// Every fifth router gets so many times what the others get.
     uneven: f64,
     /// Calls that come, of what the warm workers serve.
@@ -36,12 +36,12 @@
 impl Load {
     /// Calls that a warm worker serves in a window.
     fn capacity(&self) -> f64 {
-        self.bears / (COLD_PART * MULTIPLE)
+        self.starting_capacity / (SLOW_START_FRACTION * OVERLOAD_MULTIPLE)
     }
 
     fn work(&self) -> Micros {
-        (WINDOW as f64 * CORES as f64 / self.capacity()).clamp(MS as f64, 300.0 * MS as f64)
-            as Micros
+        (OVERLOAD_WINDOW as f64 * CORES as f64 / self.capacity())
+            .clamp(MS as f64, 300.0 * MS as f64) as Micros
     }
 
     fn weight(&self, router: usize) -> f64 {
@@ -52,10 +52,11 @@
         }
     }
 
-    /// Calls that the worker bears in a window at this age, with the slack that the rule has for chance.
+    /// Calls that the worker can take in a window at this age, with the slack that the rule has for chance.
     fn allowed(&self, age: Micros) -> f64 {
-        let grown = COLD_PART + (1.0 - COLD_PART) * age as f64 / COLD_FOR as f64;
-        let calls = MULTIPLE * grown * self.capacity();
+        let capacity_fraction = SLOW_START_FRACTION
+            + (1.0 - SLOW_START_FRACTION) * age as f64 / SLOW_START_DURATION as f64;
+        let calls = OVERLOAD_MULTIPLE * capacity_fraction * self.capacity();
         if calls < 30.0 {
             calls + 3.0 * calls.sqrt() + 3.0
         } else {
@@ -64,16 +65,16 @@
     }
 }
 
-/// Attempts that are out, by when they end: at which router, for which invocation, and how.
-type Out = BTreeMap<(Micros, usize, InvocationIndex), DispatchOutcome>;
+/// Attempts in flight, by when they end: at which router, for which invocation, and how.
+type InFlight = BTreeMap<(Micros, usize, InvocationIndex), DispatchOutcome>;
 
 struct Fleet {
     load: Load,
     /// By worker: when each core has done what it was given.
     free_at: Vec<[Micros; CORES]>,
     routers: Vec<Script>,
-    out: Out,
-    /// When each attempt at the cold worker began.
+    in_flight: InFlight,
+    /// When each attempt at the starting worker began.
     sent: Vec<Micros>,
     /// Parts of a call that have not arrived yet.
     arriving: Vec<f64>,
@@ -83,7 +84,7 @@
     fn new(load: Load) -> Self {
         let site = Site {
             routers: load.routers,
-            allowance_per_s: 1e9,
+            quota_per_s: 1e9,
             ..PLAIN
         };
         let routers = (0..load.routers)
@@ -97,7 +98,7 @@
             load,
             free_at,
             routers,
-            out: Out::new(),
+            in_flight: InFlight::new(),
             sent: Vec::new(),
             arriving,
         }
@@ -110,9 +111,7 @@
     fn carry_out(&mut self, router: usize, actions: &[Action]) {
         for action in actions {
             if let Action::Dispatch {
-                invocation: inv,
-                worker,
-                ..
+                invocation, worker, ..
             } = *action
             {
                 let core = self.free_at[worker as usize]
@@ -120,23 +119,25 @@
                     .min()
                     .expect("a core");
                 *core = (*core).max(self.routers[0].now) + self.load.work();
-                let gives_up_at = self.routers[router].gives_up_at(inv);
-                let outcome = if *core < gives_up_at {
+                let client_timeout_at = self.routers[router].client_timeout_at(invocation);
+                let outcome = if *core < client_timeout_at {
                     DispatchOutcome::Succeeded
                 } else {
                     DispatchOutcome::TimedOut
                 };
-                self.out
-                    .insert(((*core).min(gives_up_at), router, inv), outcome);
-                if worker == COLD {
+                self.in_flight.insert(
+                    ((*core).min(client_timeout_at), router, invocation),
+                    outcome,
+                );
+                if worker == STARTING {
                     self.sent.push(self.now());
                 }
             }
         }
     }
 
-    /// The copy stands everywhere: nothing but the rule keeps calls from the cold worker.
-    fn all_hold(&mut self, workers: std::ops::Range<WorkerIndex>) {
+    /// The copy is loaded everywhere: nothing but the rule keeps calls from the starting worker.
+    fn report_copies(&mut self, workers: std::ops::Range<WorkerIndex>) {
         for router in 0..self.routers.len() {
             for worker in workers.clone() {
                 let actions = self.routers[router].tell(&Event::CopiesReported {
@@ -155,17 +156,17 @@
             self.carry_out(router, &actions);
         }
         while let Some(first) = self
-            .out
+            .in_flight
             .first_entry()
             .filter(|out| out.key().0 <= self.routers[0].now)
         {
-            let ((_, router, inv), outcome) = first.remove_entry();
-            let actions = self.routers[router].end(inv, 0, outcome, CopyStatus::Warm);
+            let ((_, router, invocation), outcome) = first.remove_entry();
+            let actions = self.routers[router].end(invocation, 0, outcome, CopyStatus::Warm);
             self.carry_out(router, &actions);
         }
         let weights: f64 = (0..self.routers.len()).map(|r| self.load.weight(r)).sum();
         let capacity = self.load.capacity() * f64::from(WARM_WORKERS);
-        let calls = self.load.demand * capacity * STEP as f64 / WINDOW as f64;
+        let calls = self.load.demand * capacity * STEP as f64 / OVERLOAD_WINDOW as f64;
         for router in 0..self.routers.len() {
             self.arriving[router] += calls * self.load.weight(router) / weights;
             while self.arriving[router] >= 1.0 {
@@ -183,13 +184,13 @@
         }
     }
 
-    /// The most that the cold worker got in a window, over what it bears then.
+    /// The most that the starting worker got in a window, over its capacity then.
     fn worst(&self, started: Micros) -> f64 {
         let share = |(n, at): (usize, &Micros)| {
             let within = self.sent[..=n]
                 .iter()
                 .rev()
-                .take_while(|t| **t > at - WINDOW)
+                .take_while(|t| **t > at - OVERLOAD_WINDOW)
                 .count();
             within as f64 / self.load.allowed(at - started)
         };
@@ -197,71 +198,72 @@
     }
 }
 
-/// The part of its allowance that a cold worker gets at the worst, and the calls that it got in all.
+/// The part of its allowance that a starting worker gets at the worst, and the calls that it got in all.
 fn play(load: Load, into_window: Micros) -> (f64, usize) {
     let mut fleet = Fleet::new(load);
     if !load.restarted {
         fleet.run(SECOND);
-        fleet.all_hold(0..WARM_WORKERS);
+        fleet.report_copies(0..WARM_WORKERS);
         fleet.run(WARM_UP - SECOND + into_window);
     }
     let started = fleet.now();
-    let cold = entry(COLD, EndpointState::InService, Some(started));
+    let starting = entry(STARTING, EndpointState::InService, Some(started));
     for router in 0..fleet.routers.len() {
-        let actions = fleet.routers[router].list(EndpointListKind::Changes, &[cold]);
+        let actions = fleet.routers[router].list(EndpointListKind::Changes, &[starting]);
         fleet.carry_out(router, &actions);
     }
     fleet.step();
-    fleet.all_hold(0..COLD + 1);
+    fleet.report_copies(0..STARTING + 1);
     fleet.run(WATCHED);
     (fleet.worst(started), fleet.sent.len())
 }
 
 #[test]
-fn a_fleet_keeps_to_what_a_cold_worker_bears() {
+fn a_fleet_keeps_to_the_slow_start_budget() {
     for routers in [1, 3, 30, 300] {
-        for bears in [1.0, 12.0, 100.0, 400.0] {
+        for starting_capacity in [1.0, 12.0, 100.0, 400.0] {
             // More than is served, as well, where it takes the test no long time to queue it.
-            let overloads = if bears < 400.0 { 1 } else { 0 };
+            let overloads = if starting_capacity < 400.0 { 1 } else { 0 };
             for (uneven, demand) in [(5.0, 1.0), (1.0, 1.3)].into_iter().take(1 + overloads) {
                 // A worker starts at any moment of the routers' windows.
-                let into_window = WINDOW * i64::from(routers % 7) / 10 + WINDOW / 2;
+                let into_window =
+                    OVERLOAD_WINDOW * i64::from(routers % 7) / 10 + OVERLOAD_WINDOW / 2;
                 let load = Load {
                     routers,
-                    bears,
+                    starting_capacity,
                     uneven,
                     demand,
                     restarted: false,
                 };
                 let (worst, _) = play(load, into_window);
-                assert!(worst <= 1.0, "{load:?}: {worst:.2} of what it bears");
+                assert!(worst <= 1.0, "{load:?}: {worst:.2} of its capacity");
             }
         }
     }
 }
 
 #[test]
-fn a_fleet_that_has_just_restarted_keeps_to_what_a_cold_worker_bears() {
+fn a_restarted_fleet_keeps_to_the_slow_start_budget() {
     for routers in [1, 3, 30, 300] {
-        for bears in [1.0, 12.0, 100.0] {
+        for starting_capacity in [1.0, 12.0, 100.0] {
             let load = Load {
                 routers,
-                bears,
+                starting_capacity,
                 uneven: 5.0,
                 demand: 1.0,
                 restarted: true,
             };
             let (worst, _) = play(load, 0);
-            assert!(worst <= 1.0, "{load:?}: {worst:.2} of what it bears");
+            assert!(worst <= 1.0, "{load:?}: {worst:.2} of its capacity");
         }
     }
 }
 
-/// The rule must not starve a worker that starts: of what it bears it gets a quarter or more.
+/// The rule must not starve a worker that starts: of its capacity it gets a quarter or more.
 #[test]
-fn a_cold_worker_is_used_by_few_routers_and_by_many() {
-    // With fewer calls to a worker than it bears for each router, a part of one call may find none to take it.
-    for (routers, bears) in [
+fn a_worker_in_slow_start_is_used_by_few_routers_and_by_many() {
+    // With fewer calls to a worker than its capacity for each router, a part of one call may find none to take it.
+    for (routers, starting_capacity) in [
         (1, 30.0),
         (1, 100.0),
         (30, 30.0),
@@ -271,15 +273,15 @@
     ] {
         let load = Load {
             routers,
-            bears,
+            starting_capacity,
             uneven: 1.0,
             demand: 1.0,
             restarted: false,
         };
         let (_, calls) = play(load, 0);
-        let windows = (WATCHED / WINDOW) as f64;
+        let windows = (WATCHED / OVERLOAD_WINDOW) as f64;
         assert!(
-            calls as f64 > bears * windows / 4.0,
+            calls as f64 > starting_capacity * windows / 4.0,
             "{load:?}: {calls} calls"
         );
     }
