--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,6 +1,11 @@
 //! Tests of the decision module; none needs the bench.
 
-mod cases;
+mod attempts;
+mod helpers;
+mod load_orders;
+mod load_shedding;
+mod outlier_detection;
+mod routing;
 mod rules;
 mod script;
 mod slow_start;
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -108,34 +108,53 @@
     }
 }
 
-#[derive(Default)]
+/// What comes back from a worker.
+enum WorkerResult {
+    Dispatch {
+        invocation: InvocationIndex,
+        number: u32,
+        outcome: DispatchOutcome,
+        copy_status: CopyStatus,
+        worker: WorkerIndex,
+        function: FunctionIndex,
+    },
+    Order {
+        worker: WorkerIndex,
+        function: FunctionIndex,
+        copies: u32,
+        took: Micros,
+    },
+}
+
+/// The script with workers that answer.
 struct World {
-    due: BTreeMap<(Micros, u64), Back>,
+    script: Script,
+    /// By time and serial number.
+    due: BTreeMap<(Micros, u64), WorkerResult>,
     moods: [u32; WORKERS as usize],
     serial: u64,
-}
-
-enum Back {
-    Dispatch(
-        InvocationIndex,
-        u32,
-        DispatchOutcome,
-        CopyStatus,
-        WorkerIndex,
-        FunctionIndex,
-    ),
-    Order(WorkerIndex, FunctionIndex, u32, Micros),
+    /// The function of each invocation, and the number of its last dispatch.
+    functions: Vec<FunctionIndex>,
+    last_dispatch: BTreeMap<InvocationIndex, u32>,
+    log: Vec<Action>,
 }
 
 impl World {
-    fn take(
-        &mut self,
-        script: &Script,
-        functions: &[FunctionIndex],
-        counts: &mut BTreeMap<InvocationIndex, u32>,
-        actions: &[Action],
-    ) {
-        for action in actions {
+    fn new(seed: u64, site: Site) -> Self {
+        World {
+            script: Script::new(seed, site, WORKERS),
+            due: BTreeMap::new(),
+            moods: [0; WORKERS as usize],
+            serial: 0,
+            functions: Vec::new(),
+            last_dispatch: BTreeMap::new(),
+            log: Vec::new(),
+        }
+    }
+
+    /// Carries out what the balancer asks for.
+    fn carry_out(&mut self, actions: Vec<Action>) {
+        for action in &actions {
             self.serial += 1;
             let draw = self.serial.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20;
             match *action {
@@ -143,159 +162,188 @@
                     invocation,
                     worker,
                     timeout,
-                } => {
-                    let n = counts
-                        .entry(invocation)
-                        .and_modify(|n| *n += 1)
-                        .or_insert(0);
-                    let function = functions[invocation as usize];
-                    let (mut outcome, after, mut note) = ending(
-                        self.moods[worker as usize],
-                        draw,
-                        script.warm.contains(&(worker, function)),
-                    );
-                    let mut at = script.now.saturating_add(after);
-                    let limit = timeout.map_or(script.client_timeout_at(invocation), |t| {
-                        script.client_timeout_at(invocation).min(script.now + t)
-                    });
-                    if at >= limit {
-                        (at, outcome, note) =
-                            (limit, DispatchOutcome::TimedOut, CopyStatus::Unreported);
-                    }
-                    self.due.insert(
-                        (at, self.serial),
-                        Back::Dispatch(invocation, *n, outcome, note, worker, function),
-                    );
-                }
+                } => self.dispatch(invocation, worker, timeout, draw),
                 Action::LoadOrder {
                     worker,
                     function,
                     copies,
                 } => {
-                    let after = (5 + draw % 900) as Micros * MS;
-                    self.due.insert(
-                        (script.now + after, self.serial),
-                        Back::Order(worker, function, copies, after),
-                    );
+                    let took = (5 + draw % 900) as Micros * MS;
+                    let result = WorkerResult::Order {
+                        worker,
+                        function,
+                        copies,
+                        took,
+                    };
+                    self.due
+                        .insert((self.script.now + took, self.serial), result);
                 }
                 _ => {}
             }
         }
+        self.log.extend(actions);
     }
-}
 
-fn run(seed: u64, site: Site, steps: &[(Micros, Step)]) -> Vec<Action> {
-    let mut script = Script::new(seed, site, WORKERS);
-    let (mut world, mut functions, mut counts, mut log) =
-        (World::default(), Vec::new(), BTreeMap::new(), Vec::new());
-    let quiet = [(100 * MS, None); 60];
-    for (span, step) in steps
-        .iter()
-        .map(|(t, script)| (*t, Some(script)))
-        .chain(quiet)
-    {
-        let until = script.now + span;
+    fn dispatch(
+        &mut self,
+        invocation: InvocationIndex,
+        worker: WorkerIndex,
+        timeout: Option<Micros>,
+        draw: u64,
+    ) {
+        let number = *self
+            .last_dispatch
+            .entry(invocation)
+            .and_modify(|number| *number += 1)
+            .or_insert(0);
+        let function = self.functions[invocation as usize];
+        let is_warm = self.script.warm.contains(&(worker, function));
+        let (mut outcome, after, mut copy_status) =
+            ending(self.moods[worker as usize], draw, is_warm);
+        let mut at = self.script.now.saturating_add(after);
+        let client_timeout_at = self.script.client_timeout_at(invocation);
+        let limit = timeout.map_or(client_timeout_at, |timeout| {
+            client_timeout_at.min(self.script.now + timeout)
+        });
+        if at >= limit {
+            at = limit;
+            outcome = DispatchOutcome::TimedOut;
+            copy_status = CopyStatus::Unreported;
+        }
+        let result = WorkerResult::Dispatch {
+            invocation,
+            number,
+            outcome,
+            copy_status,
+            worker,
+            function,
+        };
+        self.due.insert((at, self.serial), result);
+    }
+
+    /// Hands a worker's result to the balancer.
+    fn deliver(&mut self, result: WorkerResult) -> Vec<Action> {
+        match result {
+            WorkerResult::Dispatch {
+                invocation,
+                number,
+                outcome,
+                copy_status,
+                worker,
+                function,
+            } => {
+                if outcome == DispatchOutcome::Succeeded {
+                    self.script.warm.insert((worker, function));
+                }
+                self.script.end(invocation, number, outcome, copy_status)
+            }
+            WorkerResult::Order {
+                worker,
+                function,
+                copies,
+                took,
+            } => {
+                let result = match self.moods[worker as usize] {
+                    3 => LoadOrderResult::Unreachable,
+                    5 => LoadOrderResult::LoadFailed,
+                    _ => LoadOrderResult::Loaded,
+                };
+                self.script.tell(&Event::OrderEnded {
+                    worker,
+                    function,
+                    result,
+                    took,
+                    copies,
+                })
+            }
+        }
+    }
+
+    /// Lets time pass, with all timers and results that are due.
+    fn pass_until(&mut self, until: Micros) {
         loop {
-            let back = world
-                .due
-                .first_key_value()
-                .map(|(k, _)| k.0)
-                .filter(|t| *t <= until);
+            let due = self.due.keys().next().map(|(at, _)| *at);
+            let due = due.filter(|at| *at <= until);
             // Timer by timer, as what one sends may be due before the next.
-            let timer = script.timers.first().map_or(until, |t| t.0).max(script.now);
-            let next = back.unwrap_or(until).max(script.now).min(timer);
-            let rung = script.pass(next - script.now);
-            world.take(&script, &functions, &mut counts, &rung);
-            log.extend(rung);
-            if back.is_none_or(|at| at > next) {
+            let now = self.script.now;
+            let timer = self.script.timers.first().map_or(until, |t| t.0).max(now);
+            let next = due.unwrap_or(until).max(now).min(timer);
+            let actions = self.script.pass(next - now);
+            self.carry_out(actions);
+            if due.is_none_or(|at| at > next) {
                 if next < until {
                     continue;
                 }
                 break;
             }
-            let Some((_, back)) = world.due.pop_first() else {
+            let Some((_, result)) = self.due.pop_first() else {
                 break;
             };
-            let actions = match back {
-                Back::Dispatch(invocation, n, outcome, note, worker, function) => {
-                    if outcome == DispatchOutcome::Succeeded {
-                        script.warm.insert((worker, function));
-                    }
-                    script.end(invocation, n, outcome, note)
-                }
-                Back::Order(worker, function, copies, took) => {
-                    let result = match world.moods[worker as usize] {
-                        3 => LoadOrderResult::Unreachable,
-                        5 => LoadOrderResult::LoadFailed,
-                        _ => LoadOrderResult::Loaded,
-                    };
-                    script.tell(&Event::OrderEnded {
-                        worker,
-                        function,
-                        result,
-                        took,
-                        copies,
-                    })
-                }
-            };
-            world.take(&script, &functions, &mut counts, &actions);
-            log.extend(actions);
+            let actions = self.deliver(result);
+            self.carry_out(actions);
         }
-        let actions = match step {
-            Some(&Step::Arrive {
+    }
+
+    fn step(&mut self, step: &Step) -> Vec<Action> {
+        let script = &mut self.script;
+        let state = |worker, state, started| [entry(worker, state, started)];
+        match *step {
+            Step::Arrive {
                 trigger,
                 function,
                 client_timeout_in,
-            }) => {
+            } => {
                 // A function has one trigger type.
-                functions.push(function * 3 + trigger);
-                script
-                    .arrive(
-                        trigger,
-                        function * 3 + trigger,
-                        1 + function % 2,
-                        client_timeout_in,
-                    )
-                    .1
+                let (lanes, function) = (1 + function % 2, function * 3 + trigger);
+                self.functions.push(function);
+                script.arrive(trigger, function, lanes, client_timeout_in).1
             }
-            Some(&Step::Leave { nth }) => match functions.len().checked_sub(nth + 1) {
+            Step::Leave { nth } => match self.functions.len().checked_sub(nth + 1) {
                 Some(invocation) if script.owes(invocation as InvocationIndex) => {
                     script.depart(invocation as InvocationIndex)
                 }
                 _ => Vec::new(),
             },
-            Some(&Step::Drain { worker }) => script.list(
-                EndpointListKind::Changes,
-                &[entry(worker, EndpointState::Draining, None)],
-            ),
-            Some(&Step::Restart { worker }) => {
-                world.moods[worker as usize] = 0;
-                script.list(
-                    EndpointListKind::Changes,
-                    &[entry(worker, EndpointState::InService, Some(script.now))],
-                )
+            Step::Drain { worker } => {
+                let draining = state(worker, EndpointState::Draining, None);
+                script.list(EndpointListKind::Changes, &draining)
+            }
+            Step::Restart { worker } => {
+                self.moods[worker as usize] = 0;
+                let restarted = state(worker, EndpointState::InService, Some(script.now));
+                script.list(EndpointListKind::Changes, &restarted)
             }
-            Some(&Step::Mood { worker, mood }) => {
-                world.moods[worker as usize] = mood;
+            Step::Mood { worker, mood } => {
+                self.moods[worker as usize] = mood;
                 Vec::new()
             }
             // Of trigger type 0, as the script asks for it.
-            Some(&Step::Want { worker, function }) => script.want(worker, function * 3),
-            Some(&Step::Hold {
+            Step::Want { worker, function } => script.want(worker, function * 3),
+            Step::Hold {
                 worker,
                 function,
                 copies,
-            }) => script.tell(&Event::CopiesReported {
+            } => script.tell(&Event::CopiesReported {
                 worker,
                 function: function * 3,
                 copies,
             }),
-            None => Vec::new(),
-        };
-        world.take(&script, &functions, &mut counts, &actions);
-        log.extend(actions);
+        }
+    }
+}
+
+fn run(seed: u64, site: Site, steps: &[(Micros, Step)]) -> Vec<Action> {
+    let mut world = World::new(seed, site);
+    let quiet = [(100 * MS, None); 60];
+    let steps = steps.iter().map(|(span, step)| (*span, Some(step)));
+    for (span, step) in steps.chain(quiet) {
+        world.pass_until(world.script.now + span);
+        if let Some(step) = step {
+            let actions = world.step(step);
+            world.carry_out(actions);
+        }
     }
-    log
+    world.log
 }
 
 #[test]
--- a/tests/decisions/script.rs
+++ b/tests/decisions/script.rs
@@ -133,10 +133,16 @@
 struct SentDispatch {
     worker: WorkerIndex,
     at: Micros,
-    out: bool,
+    in_flight: bool,
     not_executed: bool,
 }
 
+impl SentDispatch {
+    fn may_have_run(&self) -> bool {
+        self.in_flight || !self.not_executed
+    }
+}
+
 struct InvocationRecord {
     effect: Effect,
     client_timeout_at: Micros,
@@ -273,8 +279,11 @@
         !self.records[invocation as usize].answered
     }
 
-    pub fn is_out(&self, invocation: InvocationIndex) -> bool {
-        self.records[invocation as usize].sent.iter().any(|d| d.out)
+    pub fn is_in_flight(&self, invocation: InvocationIndex) -> bool {
+        self.records[invocation as usize]
+            .sent
+            .iter()
+            .any(|d| d.in_flight)
     }
 
     pub fn client_timeout_at(&self, invocation: InvocationIndex) -> Micros {
@@ -295,8 +304,8 @@
     ) -> Vec<Action> {
         let record = &mut self.records[invocation as usize];
         let sent = &mut record.sent[dispatch as usize];
-        assert!(sent.out, "the script ends a dispatch twice");
-        (sent.out, sent.not_executed) = (false, outcome.not_executed());
+        assert!(sent.in_flight, "the script ends a dispatch twice");
+        (sent.in_flight, sent.not_executed) = (false, outcome.not_executed());
         let (worker, took) = (sent.worker, self.now - sent.at);
         record.answered |= outcome == DispatchOutcome::Succeeded;
         if outcome == DispatchOutcome::Succeeded {
@@ -350,103 +359,115 @@
     }
 
     fn check(&mut self, action: &Action) {
-        let now = self.now;
         match *action {
             Action::Dispatch {
                 invocation, worker, ..
             } => {
-                let record = &mut self.records[invocation as usize];
-                assert!(
-                    !record.answered,
-                    "rule 1: {invocation} is dispatched after its answer"
-                );
-                let out = record.sent.iter().filter(|s| s.out).count();
-                assert!(
-                    out == 0 || (self.site.hedged_requests && out == 1),
-                    "rule 2: {invocation} is in flight twice"
-                );
-                let mut ran = record.sent.iter().filter(|s| s.out || !s.not_executed);
-                match record.effect {
-                    Effect::Idempotent => {}
-                    Effect::NonIdempotent => {
-                        assert!(ran.next().is_none(), "rule 2: {invocation} may run twice")
-                    }
-                    Effect::IdempotentByKey { scope, window } => {
-                        for s in ran {
-                            let same = match scope {
-                                DeduplicationScope::All => true,
-                                DeduplicationScope::Zone => s.worker % 2 == worker % 2,
-                                DeduplicationScope::Cell => s.worker / 2 == worker / 2,
-                            };
-                            assert!(
-                                same && now - s.at < window,
-                                "rule 2: {invocation} is repeated where not dropped"
-                            );
-                        }
-                    }
-                }
-                record.sent.push(SentDispatch {
-                    worker,
-                    at: now,
-                    out: true,
-                    not_executed: false,
-                });
-                assert!(
-                    record.sent.len() <= 4,
-                    "{invocation} is dispatched too often"
-                );
+                self.check_dispatch(invocation, worker);
                 self.check_draining(worker);
-                self.sends.push((now, worker));
+                self.sends.push((self.now, worker));
                 self.check_slow_start(worker);
             }
-            Action::LoadOrder { worker, copies, .. } if copies > 0 => {
-                assert!(self.site.orders, "an order where none may be given");
-                self.check_draining(worker);
-                self.orders.push(now);
-                let within =
-                    |q: &[Micros]| q.iter().filter(|t| now - **t < 5 * SECOND).count() as f64;
-                let most = 2.0 + 0.02 * within(&self.arrivals);
-                assert!(
-                    !self.site.order_quota || within(&self.orders) <= most,
-                    "rule 5: too many orders"
-                );
-            }
+            Action::LoadOrder { worker, copies, .. } if copies > 0 => self.check_order(worker),
             Action::Reject {
                 invocation,
                 retry_after,
                 ..
-            } => {
-                let within_limit = retry_after.is_none_or(|t| (1..=MAX_RETRY_AFTER).contains(&t));
-                assert!(
-                    within_limit,
-                    "{invocation} has a longer Retry-After than the settings allow"
-                );
-                let record = &mut self.records[invocation as usize];
-                assert!(!record.answered, "rule 1: {invocation} is answered twice");
-                let ran = record.sent.iter().any(|s| s.out || !s.not_executed);
-                let harmless = match record.effect {
-                    Effect::Idempotent => true,
-                    Effect::IdempotentByKey { scope, .. } => scope == DeduplicationScope::All,
-                    Effect::NonIdempotent => false,
-                };
-                assert!(
-                    !ran || harmless,
-                    "rule 2: {invocation} is rejected though it may have run"
-                );
-                record.answered = true;
-            }
+            } => self.check_rejection(invocation, retry_after),
             Action::Fail { invocation } => {
                 let record = &mut self.records[invocation as usize];
                 assert!(!record.answered, "rule 1: {invocation} is answered twice");
                 record.answered = true;
             }
             Action::Timer { token, after } => {
-                self.timers.insert((now + after, token));
+                self.timers.insert((self.now + after, token));
             }
             _ => {}
         }
     }
 
+    /// Rules 1 and 2.
+    fn check_dispatch(&mut self, invocation: InvocationIndex, worker: WorkerIndex) {
+        let now = self.now;
+        let record = &mut self.records[invocation as usize];
+        assert!(
+            !record.answered,
+            "rule 1: {invocation} is dispatched after its answer"
+        );
+        let in_flight = record.sent.iter().filter(|s| s.in_flight).count();
+        assert!(
+            in_flight == 0 || (self.site.hedged_requests && in_flight == 1),
+            "rule 2: {invocation} is in flight twice"
+        );
+        let mut may_have_run = record.sent.iter().filter(|s| s.may_have_run());
+        match record.effect {
+            Effect::Idempotent => {}
+            Effect::NonIdempotent => assert!(
+                may_have_run.next().is_none(),
+                "rule 2: {invocation} may run twice"
+            ),
+            Effect::IdempotentByKey { scope, window } => {
+                for earlier in may_have_run {
+                    let same = match scope {
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => earlier.worker % 2 == worker % 2,
+                        DeduplicationScope::Cell => earlier.worker / 2 == worker / 2,
+                    };
+                    assert!(
+                        same && now - earlier.at < window,
+                        "rule 2: {invocation} is repeated where not dropped"
+                    );
+                }
+            }
+        }
+        record.sent.push(SentDispatch {
+            worker,
+            at: now,
+            in_flight: true,
+            not_executed: false,
+        });
+        assert!(
+            record.sent.len() <= 4,
+            "{invocation} is dispatched too often"
+        );
+    }
+
+    /// Rules 3 and 5.
+    fn check_order(&mut self, worker: WorkerIndex) {
+        let now = self.now;
+        assert!(self.site.orders, "an order where none may be given");
+        self.check_draining(worker);
+        self.orders.push(now);
+        let within = |q: &[Micros]| q.iter().filter(|t| now - **t < 5 * SECOND).count() as f64;
+        let most = 2.0 + 0.02 * within(&self.arrivals);
+        assert!(
+            !self.site.order_quota || within(&self.orders) <= most,
+            "rule 5: too many orders"
+        );
+    }
+
+    /// Rules 1 and 2.
+    fn check_rejection(&mut self, invocation: InvocationIndex, retry_after: Option<Micros>) {
+        let within_limit = retry_after.is_none_or(|t| (1..=MAX_RETRY_AFTER).contains(&t));
+        assert!(
+            within_limit,
+            "{invocation} has a longer Retry-After than the settings allow"
+        );
+        let record = &mut self.records[invocation as usize];
+        assert!(!record.answered, "rule 1: {invocation} is answered twice");
+        let ran = record.sent.iter().any(SentDispatch::may_have_run);
+        let harmless = match record.effect {
+            Effect::Idempotent => true,
+            Effect::IdempotentByKey { scope, .. } => scope == DeduplicationScope::All,
+            Effect::NonIdempotent => false,
+        };
+        assert!(
+            !ran || harmless,
+            "rule 2: {invocation} is rejected though it may have run"
+        );
+        record.answered = true;
+    }
+
     fn check_draining(&self, worker: WorkerIndex) {
         let late = self
             .drained_at
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -5,6 +5,7 @@
 
 use cedarpulley::interface::*;
 
+use crate::helpers::sent;
 use crate::script::*;
 
 const WARM_WORKERS: u32 = 4;
@@ -286,3 +287,25 @@
         );
     }
 }
+
+/// Rule 4 over all routers: each alone may send a just started worker less than one dispatch a window.
+#[test]
+fn many_routers_do_not_overload_a_worker_in_slow_start() {
+    let site = Site {
+        routers: 100,
+        ..PLAIN
+    };
+    let mut sends = 0;
+    for position in 0..100 {
+        let mut script = Script::at(position, position.into(), site, 1);
+        script.list(
+            EndpointListKind::Cached,
+            &[entry(0, EndpointState::InService, Some(script.now))],
+        );
+        for trigger in 0..3 {
+            sends += sent(&script.arrive(trigger, trigger, 1, 500 * MS).1).len();
+        }
+    }
+    // With 100 ms of work each its cores do ten a window or more, a cold fifth of that at first.
+    assert!(sends <= 10, "{sends}");
+}
