--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -15,8 +15,8 @@
 enum Step {
     Arrive {
         trigger: u32,
-        func: FunctionIndex,
-        gives_up_in: Micros,
+        function: FunctionIndex,
+        client_timeout_in: Micros,
     },
     Leave {
         nth: usize,
@@ -33,11 +33,11 @@
     },
     Want {
         worker: WorkerIndex,
-        func: FunctionIndex,
+        function: FunctionIndex,
     },
     Hold {
         worker: WorkerIndex,
-        func: FunctionIndex,
+        function: FunctionIndex,
         copies: u32,
     },
 }
@@ -45,14 +45,14 @@
 fn steps() -> impl Strategy<Value = Vec<(Micros, Step)>> {
     let step = prop_oneof![
         60 => (0..3u32, 0..FUNCTIONS, 300..2_000i64)
-            .prop_map(|(trigger, func, ms)| Step::Arrive { trigger, func, gives_up_in: ms * MS }),
+            .prop_map(|(trigger, function, ms)| Step::Arrive { trigger, function, client_timeout_in: ms * MS }),
         1 => (0..50usize).prop_map(|nth| Step::Leave { nth }),
         1 => (0..WORKERS).prop_map(|worker| Step::Drain { worker }),
         2 => (0..WORKERS).prop_map(|worker| Step::Restart { worker }),
         2 => (0..WORKERS, 0..6u32).prop_map(|(worker, mood)| Step::Mood { worker, mood }),
-        3 => (0..WORKERS, 0..FUNCTIONS).prop_map(|(worker, func)| Step::Want { worker, func }),
+        3 => (0..WORKERS, 0..FUNCTIONS).prop_map(|(worker, function)| Step::Want { worker, function }),
         3 => (0..WORKERS, 0..FUNCTIONS, 0..2u32)
-            .prop_map(|(worker, func, copies)| Step::Hold { worker, func, copies }),
+            .prop_map(|(worker, function, copies)| Step::Hold { worker, function, copies }),
     ];
     proptest::collection::vec((0..40 * MS, step), 100..500)
 }
@@ -63,16 +63,18 @@
         DeduplicationScope::Zone,
         DeduplicationScope::Cell,
     ];
-    (any::<[bool; 3]>(), 0..3usize).prop_map(move |([orders, second_copies, ration], group)| Site {
-        orders,
-        loads_when_absent: !orders || second_copies,
-        second_copies,
-        ration: orders && ration,
-        group: groups[group],
-        routers: 1,
-        allowance_per_s: PLAIN.allowance_per_s,
-        dear: if orders { 4.0 } else { 1.0 },
-    })
+    (any::<[bool; 3]>(), 0..3usize).prop_map(
+        move |([orders, hedged_requests, order_quota], group)| Site {
+            orders,
+            loads_when_absent: !orders || hedged_requests,
+            hedged_requests,
+            order_quota: orders && order_quota,
+            key_scope: groups[group],
+            routers: 1,
+            quota_per_s: PLAIN.quota_per_s,
+            third_type_value: if orders { 4.0 } else { 1.0 },
+        },
+    )
 }
 
 /// How a worker in this mood ends a dispatch, and after what time.
@@ -106,178 +108,242 @@
     }
 }
 
-#[derive(Default)]
+/// What comes back from a worker.
+enum WorkerResult {
+    Dispatch {
+        invocation: InvocationIndex,
+        number: u32,
+        outcome: DispatchOutcome,
+        copy_status: CopyStatus,
+        worker: WorkerIndex,
+        function: FunctionIndex,
+    },
+    Order {
+        worker: WorkerIndex,
+        function: FunctionIndex,
+        copies: u32,
+        took: Micros,
+    },
+}
+
+/// The script with workers that answer.
 struct World {
-    due: BTreeMap<(Micros, u64), Back>,
+    script: Script,
+    /// By time and serial number.
+    due: BTreeMap<(Micros, u64), WorkerResult>,
     moods: [u32; WORKERS as usize],
     serial: u64,
-}
-
-enum Back {
-    Dispatch(
-        InvocationIndex,
-        u32,
-        DispatchOutcome,
-        CopyStatus,
-        WorkerIndex,
-        FunctionIndex,
-    ),
-    Order(WorkerIndex, FunctionIndex, u32, Micros),
+    /// The function of each invocation, and the number of its last dispatch.
+    functions: Vec<FunctionIndex>,
+    last_dispatch: BTreeMap<InvocationIndex, u32>,
+    log: Vec<Action>,
 }
 
 impl World {
-    fn take(
-        &mut self,
-        s: &Script,
-        funcs: &[FunctionIndex],
-        counts: &mut BTreeMap<InvocationIndex, u32>,
-        actions: &[Action],
-    ) {
-        for action in actions {
+    fn new(seed: u64, site: Site) -> Self {
+        World {
+            script: Script::new(seed, site, WORKERS),
+            due: BTreeMap::new(),
+            moods: [0; WORKERS as usize],
+            serial: 0,
+            functions: Vec::new(),
+            last_dispatch: BTreeMap::new(),
+            log: Vec::new(),
+        }
+    }
+
+    /// Carries out what the balancer asks for.
+    fn carry_out(&mut self, actions: Vec<Action>) {
+        for action in &actions {
             self.serial += 1;
             let draw = self.serial.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20;
             match *action {
                 Action::Dispatch {
-                    invocation: inv,
+                    invocation,
                     worker,
-                    timeout: time_out,
-                } => {
-                    let n = counts.entry(inv).and_modify(|n| *n += 1).or_insert(0);
-                    let func = funcs[inv as usize];
-                    let (mut outcome, after, mut note) = ending(
-                        self.moods[worker as usize],
-                        draw,
-                        s.warm.contains(&(worker, func)),
-                    );
-                    let mut at = s.now.saturating_add(after);
-                    let limit =
-                        time_out.map_or(s.gives_up_at(inv), |t| s.gives_up_at(inv).min(s.now + t));
-                    if at >= limit {
-                        (at, outcome, note) =
-                            (limit, DispatchOutcome::TimedOut, CopyStatus::Unreported);
-                    }
-                    self.due.insert(
-                        (at, self.serial),
-                        Back::Dispatch(inv, *n, outcome, note, worker, func),
-                    );
-                }
+                    timeout,
+                } => self.dispatch(invocation, worker, timeout, draw),
                 Action::LoadOrder {
                     worker,
-                    function: func,
+                    function,
                     copies,
                 } => {
-                    let after = (5 + draw % 900) as Micros * MS;
-                    self.due.insert(
-                        (s.now + after, self.serial),
-                        Back::Order(worker, func, copies, after),
-                    );
+                    let took = (5 + draw % 900) as Micros * MS;
+                    let result = WorkerResult::Order {
+                        worker,
+                        function,
+                        copies,
+                        took,
+                    };
+                    self.due
+                        .insert((self.script.now + took, self.serial), result);
                 }
                 _ => {}
             }
         }
+        self.log.extend(actions);
     }
-}
 
-fn run(seed: u64, site: Site, steps: &[(Micros, Step)]) -> Vec<Action> {
-    let mut s = Script::new(seed, site, WORKERS);
-    let (mut world, mut funcs, mut counts, mut log) =
-        (World::default(), Vec::new(), BTreeMap::new(), Vec::new());
-    let quiet = [(100 * MS, None); 60];
-    for (span, step) in steps.iter().map(|(t, s)| (*t, Some(s))).chain(quiet) {
-        let until = s.now + span;
+    fn dispatch(
+        &mut self,
+        invocation: InvocationIndex,
+        worker: WorkerIndex,
+        timeout: Option<Micros>,
+        draw: u64,
+    ) {
+        let number = *self
+            .last_dispatch
+            .entry(invocation)
+            .and_modify(|number| *number += 1)
+            .or_insert(0);
+        let function = self.functions[invocation as usize];
+        let is_warm = self.script.warm.contains(&(worker, function));
+        let (mut outcome, after, mut copy_status) =
+            ending(self.moods[worker as usize], draw, is_warm);
+        let mut at = self.script.now.saturating_add(after);
+        let client_timeout_at = self.script.client_timeout_at(invocation);
+        let limit = timeout.map_or(client_timeout_at, |timeout| {
+            client_timeout_at.min(self.script.now + timeout)
+        });
+        if at >= limit {
+            at = limit;
+            outcome = DispatchOutcome::TimedOut;
+            copy_status = CopyStatus::Unreported;
+        }
+        let result = WorkerResult::Dispatch {
+            invocation,
+            number,
+            outcome,
+            copy_status,
+            worker,
+            function,
+        };
+        self.due.insert((at, self.serial), result);
+    }
+
+    /// Hands a worker's result to the balancer.
+    fn deliver(&mut self, result: WorkerResult) -> Vec<Action> {
+        match result {
+            WorkerResult::Dispatch {
+                invocation,
+                number,
+                outcome,
+                copy_status,
+                worker,
+                function,
+            } => {
+                if outcome == DispatchOutcome::Succeeded {
+                    self.script.warm.insert((worker, function));
+                }
+                self.script.end(invocation, number, outcome, copy_status)
+            }
+            WorkerResult::Order {
+                worker,
+                function,
+                copies,
+                took,
+            } => {
+                let result = match self.moods[worker as usize] {
+                    3 => LoadOrderResult::Unreachable,
+                    5 => LoadOrderResult::LoadFailed,
+                    _ => LoadOrderResult::Loaded,
+                };
+                self.script.tell(&Event::OrderEnded {
+                    worker,
+                    function,
+                    result,
+                    took,
+                    copies,
+                })
+            }
+        }
+    }
+
+    /// Lets time pass, with all timers and results that are due.
+    fn pass_until(&mut self, until: Micros) {
         loop {
-            let back = world
-                .due
-                .first_key_value()
-                .map(|(k, _)| k.0)
-                .filter(|t| *t <= until);
+            let due = self.due.keys().next().map(|(at, _)| *at);
+            let due = due.filter(|at| *at <= until);
             // Timer by timer, as what one sends may be due before the next.
-            let timer = s.timers.first().map_or(until, |t| t.0).max(s.now);
-            let next = back.unwrap_or(until).max(s.now).min(timer);
-            let rung = s.pass(next - s.now);
-            world.take(&s, &funcs, &mut counts, &rung);
-            log.extend(rung);
-            if back.is_none_or(|at| at > next) {
+            let now = self.script.now;
+            let timer = self.script.timers.first().map_or(until, |t| t.0).max(now);
+            let next = due.unwrap_or(until).max(now).min(timer);
+            let actions = self.script.pass(next - now);
+            self.carry_out(actions);
+            if due.is_none_or(|at| at > next) {
                 if next < until {
                     continue;
                 }
                 break;
             }
-            let Some((_, back)) = world.due.pop_first() else {
+            let Some((_, result)) = self.due.pop_first() else {
                 break;
             };
-            let actions = match back {
-                Back::Dispatch(inv, n, outcome, note, worker, func) => {
-                    if outcome == DispatchOutcome::Succeeded {
-                        s.warm.insert((worker, func));
-                    }
-                    s.end(inv, n, outcome, note)
-                }
-                Back::Order(worker, func, copies, took) => {
-                    let result = match world.moods[worker as usize] {
-                        3 => LoadOrderResult::Unreachable,
-                        5 => LoadOrderResult::LoadFailed,
-                        _ => LoadOrderResult::Loaded,
-                    };
-                    s.tell(&Event::OrderEnded {
-                        worker,
-                        function: func,
-                        result,
-                        took,
-                        copies,
-                    })
-                }
-            };
-            world.take(&s, &funcs, &mut counts, &actions);
-            log.extend(actions);
+            let actions = self.deliver(result);
+            self.carry_out(actions);
         }
-        let actions = match step {
-            Some(&Step::Arrive {
+    }
+
+    fn step(&mut self, step: &Step) -> Vec<Action> {
+        let script = &mut self.script;
+        let state = |worker, state, started| [entry(worker, state, started)];
+        match *step {
+            Step::Arrive {
                 trigger,
-                func,
-                gives_up_in,
-            }) => {
+                function,
+                client_timeout_in,
+            } => {
                 // A function has one trigger type.
-                funcs.push(func * 3 + trigger);
-                s.arrive(trigger, func * 3 + trigger, 1 + func % 2, gives_up_in)
-                    .1
+                let (lanes, function) = (1 + function % 2, function * 3 + trigger);
+                self.functions.push(function);
+                script.arrive(trigger, function, lanes, client_timeout_in).1
             }
-            Some(&Step::Leave { nth }) => match funcs.len().checked_sub(nth + 1) {
-                Some(inv) if s.owes(inv as InvocationIndex) => s.depart(inv as InvocationIndex),
+            Step::Leave { nth } => match self.functions.len().checked_sub(nth + 1) {
+                Some(invocation) if script.owes(invocation as InvocationIndex) => {
+                    script.depart(invocation as InvocationIndex)
+                }
                 _ => Vec::new(),
             },
-            Some(&Step::Drain { worker }) => s.list(
-                EndpointListKind::Changes,
-                &[entry(worker, EndpointState::Draining, None)],
-            ),
-            Some(&Step::Restart { worker }) => {
-                world.moods[worker as usize] = 0;
-                s.list(
-                    EndpointListKind::Changes,
-                    &[entry(worker, EndpointState::InService, Some(s.now))],
-                )
+            Step::Drain { worker } => {
+                let draining = state(worker, EndpointState::Draining, None);
+                script.list(EndpointListKind::Changes, &draining)
             }
-            Some(&Step::Mood { worker, mood }) => {
-                world.moods[worker as usize] = mood;
+            Step::Restart { worker } => {
+                self.moods[worker as usize] = 0;
+                let restarted = state(worker, EndpointState::InService, Some(script.now));
+                script.list(EndpointListKind::Changes, &restarted)
+            }
+            Step::Mood { worker, mood } => {
+                self.moods[worker as usize] = mood;
                 Vec::new()
             }
             // Of trigger type 0, as the script asks for it.
-            Some(&Step::Want { worker, func }) => s.want(worker, func * 3),
-            Some(&Step::Hold {
+            Step::Want { worker, function } => script.want(worker, function * 3),
+            Step::Hold {
                 worker,
-                func,
+                function,
                 copies,
-            }) => s.tell(&Event::CopiesReported {
+            } => script.tell(&Event::CopiesReported {
                 worker,
-                function: func * 3,
+                function: function * 3,
                 copies,
             }),
-            None => Vec::new(),
-        };
-        world.take(&s, &funcs, &mut counts, &actions);
-        log.extend(actions);
+        }
+    }
+}
+
+fn run(seed: u64, site: Site, steps: &[(Micros, Step)]) -> Vec<Action> {
+    let mut world = World::new(seed, site);
+    let quiet = [(100 * MS, None); 60];
+    let steps = steps.iter().map(|(span, step)| (*span, Some(step)));
+    for (span, step) in steps.chain(quiet) {
+        world.pass_until(world.script.now + span);
+        if let Some(step) = step {
+            let actions = world.step(step);
+            world.carry_out(actions);
+        }
     }
-    log
+    world.log
 }
 
 #[test]
