--- /dev/null
+++ b/crates/router/tests/admission_control.rs
@@ -0,0 +1,198 @@
+//! Which requests are admitted before their body is read.
+
+mod world;
+
+use cedarpulley::interface::{Micros, TriggerType};
+use cedarpulley_router::admission_control::{
+    self, AdmissionControl, Entry, Knock, Occupancy, PartyOccupancy, Short,
+};
+use world::SECOND;
+
+fn request_at(in_flight: u32) -> (Knock, Occupancy) {
+    let request = Knock {
+        trigger: 0,
+        account: 0,
+        waited: 0,
+        bytes: 10,
+        here: 0,
+        unread: 0,
+        left: 0,
+        left_ago: 0,
+        connections: 1,
+        unread_bytes: 0,
+    };
+    let party = PartyOccupancy {
+        in_flight,
+        cap: 100.0,
+        lacks_credit: false,
+    };
+    let occupancy = Occupancy {
+        limit: 100.0,
+        in_flight,
+        front: party,
+        account: party,
+        free_bytes: 1000,
+        usual: 100_000,
+        stopping: false,
+    };
+    (request, occupancy)
+}
+
+fn rejection(decision: Entry) -> Option<Short> {
+    match decision {
+        Entry::Enter => None,
+        Entry::TurnedAway { why, come_back } => {
+            assert!((100_000..=10_000_000).contains(&come_back), "{come_back}");
+            Some(why)
+        }
+    }
+}
+
+/// Why a fresh admission control rejects the request, if it does.
+fn decided(request: Knock, occupancy: Occupancy) -> Option<Short> {
+    rejection(AdmissionControl::default().decide(0, &request, 1.0, &occupancy))
+}
+
+/// All changed from a request that is admitted while 60 of 100 are in flight.
+#[test]
+fn each_admission_bound_has_its_rejection_reason() {
+    let (request, occupancy) = request_at(60);
+    assert_eq!(decided(request, occupancy), None);
+    let stopping = Occupancy {
+        stopping: true,
+        ..occupancy
+    };
+    assert_eq!(decided(request, stopping), Some(Short::Stopping));
+    let little_memory = Occupancy {
+        free_bytes: 9,
+        ..occupancy
+    };
+    assert_eq!(decided(request, little_memory), Some(Short::Memory));
+    let unread_by_others = Knock {
+        unread_bytes: 991,
+        ..request
+    };
+    assert_eq!(decided(unread_by_others, occupancy), Some(Short::Memory));
+    let full = Occupancy {
+        in_flight: 100,
+        ..occupancy
+    };
+    assert_eq!(decided(request, full), Some(Short::All));
+}
+
+/// A front or an account that is at its cap, or is paced and has no credit.
+#[test]
+fn exhausted_front_or_account_is_rejected_with_its_reason() {
+    let (request, occupancy) = request_at(60);
+    let at_cap = PartyOccupancy {
+        in_flight: 50,
+        cap: 50.0,
+        lacks_credit: false,
+    };
+    let without_credit = PartyOccupancy {
+        lacks_credit: true,
+        ..occupancy.front
+    };
+    for exhausted in [at_cap, without_credit] {
+        let front = Occupancy {
+            front: exhausted,
+            ..occupancy
+        };
+        assert_eq!(decided(request, front), Some(Short::Front));
+        let account = Occupancy {
+            account: exhausted,
+            ..occupancy
+        };
+        assert_eq!(decided(request, account), Some(Short::Account));
+    }
+}
+
+/// Half of all is used: of 10 connections each may have 20; one that reads nothing gets nothing.
+#[test]
+fn connection_beyond_its_part_or_misbehaving_is_rejected() {
+    let (request, occupancy) = request_at(60);
+    let many = Knock {
+        connections: 10,
+        here: 20,
+        ..request
+    };
+    let less_busy = Occupancy {
+        in_flight: 40,
+        ..occupancy
+    };
+    assert_eq!(decided(many, occupancy), Some(Short::Connection));
+    assert_eq!(decided(many, less_busy), None);
+    let reads_nothing = Knock {
+        unread: 32,
+        ..request
+    };
+    assert_eq!(decided(reads_nothing, occupancy), Some(Short::Connection));
+    let abandoning = |left, left_ago| Knock {
+        left,
+        left_ago,
+        ..request
+    };
+    assert_eq!(
+        decided(abandoning(24, 0), occupancy),
+        Some(Short::Connection)
+    );
+    assert_eq!(decided(abandoning(24, SECOND), occupancy), None);
+    assert_eq!(decided(abandoning(23, 0), occupancy), None);
+}
+
+#[test]
+fn requests_worth_less_or_late_are_rejected_first() {
+    let mut control = AdmissionControl::default();
+    let dear = TriggerType {
+        billed_value: 5.0,
+        ..world::triggers()[0]
+    };
+    let cheap = world::triggers()[0];
+    let (request, occupancy) = request_at(80);
+    let worth = |t: &TriggerType, waited| admission_control::worth(t, waited, 0);
+    (0..100).for_each(|n| {
+        control.decide(
+            0,
+            &request,
+            worth(if n % 2 == 0 { &dear } else { &cheap }, 0),
+            &request_at(10).1,
+        );
+    });
+    assert_eq!(
+        rejection(control.decide(0, &request, worth(&dear, 0), &occupancy)),
+        None
+    );
+    assert_eq!(
+        rejection(control.decide(0, &request, worth(&cheap, 0), &request_at(90).1)),
+        Some(Short::Worth)
+    );
+    // The dear one that comes too late earns a tenth: less than the cheap one in time.
+    assert_eq!(
+        rejection(control.decide(0, &request, worth(&dear, SECOND), &request_at(90).1)),
+        Some(Short::Worth)
+    );
+    assert_eq!(
+        rejection(control.decide(0, &request, worth(&dear, 0), &request_at(99).1)),
+        None
+    );
+}
+
+#[test]
+fn retry_after_grows_with_rejections_and_is_spread() {
+    let mut control = AdmissionControl::default();
+    let (request, occupancy) = request_at(100);
+    (0..20).for_each(|_| control.answered(0));
+    let advice = |control: &mut AdmissionControl, n: usize| {
+        (0..n)
+            .filter_map(|_| match control.decide(1, &request, 1.0, &occupancy) {
+                Entry::TurnedAway { come_back, .. } => Some(come_back),
+                Entry::Enter => None,
+            })
+            .collect::<Vec<_>>()
+    };
+    let few = advice(&mut control, 10);
+    let many = advice(&mut control, 100);
+    let mean = |of: &[Micros]| of.iter().sum::<Micros>() / of.len() as Micros;
+    assert!(mean(&many[90..]) > 3 * mean(&few), "{few:?} {many:?}");
+    assert!(many.iter().collect::<std::collections::HashSet<_>>().len() > 50);
+}
--- /dev/null
+++ b/crates/router/tests/answer_registry.rs
@@ -0,0 +1,50 @@
+//! Which final answer was given to which message.
+
+use std::sync::Arc;
+
+use cedarpulley::interface::Micros;
+use cedarpulley_router::answer_registry::AnswerRegistry;
+use cedarpulley_router::{Answer, Delivery, Fate, Reason};
+
+const SECOND: Micros = 1_000_000;
+
+fn delivery(front: u32, tag: u64) -> Delivery {
+    Delivery {
+        front,
+        life: 1,
+        tag,
+    }
+}
+
+#[test]
+fn registered_answer_never_changes() {
+    let mut registry = AnswerRegistry::default();
+    let slot = registry.open(Some(Arc::from("a")), delivery(0, 1), 5, SECOND);
+    let first = Answer::bare(Fate::Succeeded, Reason::Worker);
+    assert_eq!(registry.give(slot, &first), [delivery(0, 1)]);
+    assert!(
+        registry
+            .give(slot, &Answer::bare(Fate::Errored, Reason::Overdue))
+            .is_empty()
+    );
+    assert_eq!(registry.answer(slot), Some(&first));
+    assert!(registry.delivered(delivery(0, 1)).is_none() && registry.is_empty());
+}
+
+#[test]
+fn records_without_waiters_are_bounded_and_forgotten_ones_are_named() {
+    let mut registry = AnswerRegistry::bounded(2);
+    for n in 0..4 {
+        registry.open(
+            Some(Arc::from(format!("{n}"))),
+            delivery(0, n),
+            n as u32,
+            SECOND * n as Micros,
+        );
+    }
+    let lost = registry.front_lost(0);
+    assert_eq!((lost.open.len(), lost.forgotten), (4, vec![0, 1]));
+    assert_eq!((registry.len(), registry.forgotten), (2, 2));
+    registry.expire(SECOND * 2);
+    assert_eq!(registry.len(), 1);
+}
