--- a/crates/router/src/admission_control.rs
+++ b/crates/router/src/admission_control.rs
@@ -7,7 +7,7 @@
 //! 2. A connection may have a few times its equal part once little capacity is left: one client's many streams do not
 //!    shut out the others. A connection that mostly abandons its requests, or reads no answers, is admitted next to
 //!    nothing.
-//! 3. The last part of the limit is reserved for what is worth more: the less a request is worth among recent ones, the
+//! 3. The last part of the limit is reserved for what is worth more: the lower its expected value among recent ones, the
 //!    sooner it is rejected. One that will be late is worth what a late answer earns.
 //! 4. Retry-After: as long as it takes to serve those that were rejected recently, spread out.
 
@@ -15,10 +15,10 @@
 
 use cedarpulley::interface::{Micros, TriggerType};
 
-/// Requests of the highest worth may use the whole limit, those of the lowest all but this part of it.
+/// Requests of the highest expected value may use the whole limit, those of the lowest all but this part of it.
 const RESERVED_FRACTION: f64 = 0.25;
-/// Worths of so many requests are retained: enough to tell deciles apart, few enough to follow a change.
-const RECENT_WORTHS: usize = 128;
+/// Expected values of so many requests are retained: enough to tell deciles apart, few enough to follow a change.
+const RECENT_VALUES: usize = 128;
 /// A connection is held to its part only where more than this part of the limit is used.
 const BUSY_FRACTION: f64 = 0.5;
 /// Multiple of its equal part that a connection may have: clients are not equally busy.
@@ -127,7 +127,7 @@
     /// Free memory for bodies, less those that were admitted and have not arrived yet.
     pub free_bytes: u64,
     /// Usual time of an answer.
-    pub usual: Micros,
+    pub typical_latency: Micros,
     /// The router is shutting down.
     pub stopping: bool,
 }
@@ -170,8 +170,8 @@
 /// Decides which requests are admitted.
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
-    /// Worths of the last requests, a ring.
-    recent_worths: Vec<f64>,
+    /// Expected values of the last requests, a ring.
+    recent_values: Vec<f64>,
     /// Position in the ring that is overwritten next.
     next: usize,
     /// Number of the present interval.
@@ -182,8 +182,8 @@
 }
 
 /// What an answer would earn by the time it can be given.
-pub fn worth(trigger: &TriggerType, waited: Micros, usual: Micros) -> f64 {
-    let late = waited + usual > trigger.latency_objective;
+pub fn expected_value(trigger: &TriggerType, waited: Micros, typical_latency: Micros) -> f64 {
+    let late = waited + typical_latency > trigger.latency_objective;
     trigger.billed_value
         * if late {
             trigger.late_value_fraction
@@ -193,23 +193,23 @@
 }
 
 impl AdmissionControl {
-    /// Applies all checks in their order; `worth` as [`worth`] returns it.
+    /// Applies all checks in their order; `expected_value` as [`expected_value`] returns it.
     pub fn decide(
         &mut self,
         now: Micros,
         request: &Knock,
-        worth: f64,
+        expected_value: f64,
         occupancy: &Occupancy,
     ) -> Entry {
         self.advance(now);
-        let higher_fraction = self.rank(worth);
+        let higher_fraction = self.rank(expected_value);
         match rejection_reason(request, higher_fraction, occupancy) {
             None => Entry::Enter,
             Some(why) => {
                 self.rejected.current += 1;
                 Entry::TurnedAway {
                     why,
-                    come_back: self.retry_after(occupancy.usual),
+                    come_back: self.retry_after(occupancy.typical_latency),
                 }
             }
         }
@@ -222,23 +222,26 @@
     }
 
     /// Fraction of the recent requests that are worth more than this one, which is then recorded.
-    fn rank(&mut self, worth: f64) -> f64 {
-        let recent = &mut self.recent_worths;
-        let higher = recent.iter().filter(|other| **other > worth).count();
+    fn rank(&mut self, expected_value: f64) -> f64 {
+        let recent = &mut self.recent_values;
+        let higher = recent
+            .iter()
+            .filter(|other| **other > expected_value)
+            .count();
         let higher_fraction = higher as f64 / recent.len().max(1) as f64;
-        if recent.len() < RECENT_WORTHS {
-            recent.push(worth);
+        if recent.len() < RECENT_VALUES {
+            recent.push(expected_value);
         } else {
-            recent[self.next] = worth;
+            recent[self.next] = expected_value;
         }
-        self.next = (self.next + 1) % RECENT_WORTHS;
+        self.next = (self.next + 1) % RECENT_VALUES;
         higher_fraction
     }
 
-    fn retry_after(&mut self, usual: Micros) -> Micros {
+    fn retry_after(&mut self, typical_latency: Micros) -> Micros {
         let rejected = f64::from(self.rejected.sum());
         let answered = f64::from(self.answered.sum()).max(1.0);
-        let wait = usual as f64 + rejected / answered * INTERVAL as f64;
+        let wait = typical_latency as f64 + rejected / answered * INTERVAL as f64;
         // Symptom: all clients that were rejected come back together. From half to one and a half of the time.
         self.draws += 1;
         let drawn = BuildHasherDefault::<DefaultHasher>::default().hash_one(self.draws) % 1024;
--- a/crates/router/src/concurrency_limit.rs
+++ b/crates/router/src/concurrency_limit.rs
@@ -135,7 +135,7 @@
     /// Fraction of late answers, averaged.
     late_fraction: f64,
     /// Usual time of an answer, in microseconds, averaged.
-    usual: f64,
+    typical_latency: f64,
     reduced_at: Micros,
     memory_bytes: u64,
     /// Size of all bodies held, in bytes.
@@ -163,7 +163,7 @@
             limit: INITIAL_LIMIT,
             slow_start: true,
             late_fraction: 0.0,
-            usual: 0.0,
+            typical_latency: 0.0,
             reduced_at: 0,
             memory_bytes,
             body_bytes: 0,
@@ -265,7 +265,7 @@
             free_bytes: self
                 .memory_bytes
                 .saturating_sub(self.body_bytes + pending_bytes),
-            usual: self.usual as Micros,
+            typical_latency: self.typical_latency as Micros,
             stopping: self.stopping,
         }
     }
@@ -277,18 +277,18 @@
         self.body_bytes = self.body_bytes.saturating_sub(ended.body_bytes as u64);
         let (front, account) = (ended.front as usize, ended.account as usize);
         let crowding = ended.crowding();
-        let usual = self.usual as Micros;
+        let typical_latency = self.typical_latency as Micros;
         self.front_shares
-            .ended(now, front, self.limit, usual, crowding);
+            .ended(now, front, self.limit, typical_latency, crowding);
         self.fronts[front]
             .accounts
-            .ended(now, account, self.limit, usual, crowding);
+            .ended(now, account, self.limit, typical_latency, crowding);
         // What the module rejects in a burst says nothing about how much may be accepted.
         if matches!(ended.signal, LoadSignal::Rejected | LoadSignal::Neutral) {
             return;
         }
         let late = ended.signal == LoadSignal::Late;
-        self.usual += (ended.took as f64 - self.usual) / AVERAGED_OVER;
+        self.typical_latency += (ended.took as f64 - self.typical_latency) / AVERAGED_OVER;
         self.late_fraction += (f64::from(u8::from(late)) - self.late_fraction) / AVERAGED_OVER;
         self.adjust_limit(now, limit_used && !late);
     }
@@ -297,7 +297,7 @@
         // Symptom: answers are late because too much waits here. Reduced once in the usual time of an answer, so that
         // what was accepted under the old limit is not counted against the new one.
         if self.late_fraction > LATE_FRACTION {
-            if now - self.reduced_at > self.usual as Micros {
+            if now - self.reduced_at > self.typical_latency as Micros {
                 self.limit = (self.limit * SHRINK).max(MIN_LIMIT);
                 self.reduced_at = now;
                 self.slow_start = false;
--- a/crates/router/src/core/completion.rs
+++ b/crates/router/src/core/completion.rs
@@ -3,7 +3,8 @@
 
 use cedarpulley::interface::{Effect, InvocationIndex, Micros};
 
-use super::state::invocation::{Attempt, Invocation, InvocationHandle};
+use super::state::attempt::Attempt;
+use super::state::invocation::{Invocation, InvocationHandle};
 use super::{Output, Router};
 use crate::concurrency_limit::{EndedInvocation, LoadSignal};
 use crate::observer::Given;
--- a/crates/router/src/core/dispatch.rs
+++ b/crates/router/src/core/dispatch.rs
@@ -7,7 +7,8 @@
 use cedarpulley_usage_metering::Held;
 
 use super::balancer_actions::EndedImmediately;
-use super::state::invocation::{Attempt, AttemptOutcome, EndedAttempt, Invocation};
+use super::state::attempt::{Attempt, AttemptOutcome, EndedAttempt};
+use super::state::invocation::Invocation;
 use super::state::timers::Timer;
 use super::{Call, Output, Router};
 use crate::concurrency_limit::LoadSignal;
--- a/crates/router/src/core/intake.rs
+++ b/crates/router/src/core/intake.rs
@@ -2,10 +2,7 @@
 
 use std::sync::Arc;
 
-use cedarpulley::ids::fingerprint;
-use cedarpulley::interface::{
-    Arrival, Effect, Event, FunctionInfo, InvocationIndex, Micros, TriggerType, WorkerIndex,
-};
+use cedarpulley::interface::{Effect, InvocationIndex, Micros, TriggerType};
 
 use super::completion::AnsweredInvocation;
 use super::state::admission::{ArrivedMessage, LimitExceeded};
@@ -326,89 +323,3 @@
         }
     }
 }
-
-/// The decision module is told of an invocation.
-impl Router {
-    /// Tells the module of the invocation.
-    pub(super) fn submit_to_balancer(&mut self, index: InvocationIndex, out: &mut Vec<Output>) {
-        let Some(invocation) = self.invocations.get_mut(index) else {
-            return;
-        };
-        invocation.set_known_to_balancer(true);
-        self.observers
-            .accepted(self.now, index, &invocation.request);
-        let Some(arrival) = self.arrival(index) else {
-            return;
-        };
-        if self.functions.mark_known_to_balancer(arrival.function)
-            && let Some(worker) = arrival.preferred_worker
-        {
-            self.introduce_warm_function(worker, &arrival, out);
-        }
-        self.decide(&Event::Invocation(arrival), out);
-        let queued = self
-            .invocations
-            .get(index)
-            .is_some_and(|invocation| invocation.is_open() && invocation.attempts().is_empty());
-        self.counts.held += u64::from(queued);
-        self.release(index, out);
-    }
-
-    /// What the module is told of the invocation.
-    fn arrival(&self, index: InvocationIndex) -> Option<Arrival> {
-        let request = &self.invocations.get(index)?.request;
-        Some(Arrival {
-            invocation: index,
-            trigger: request.trigger,
-            account: request.account,
-            function: request.function_index,
-            fingerprint: fingerprint(&request.function),
-            cost_hint: request.cost_hint,
-            load_hint: request.load_hint,
-            copy_mb: request.copy_mb,
-            lanes: request.lanes,
-            client_timeout_in: request.answer_due_at - self.now,
-            waited: request.waited + self.now - request.accepted_at,
-            repeat: request.repeat,
-            preferred_worker: request
-                .preferred_worker
-                .as_deref()
-                .and_then(|name| self.workers.find(name)),
-        })
-    }
-
-    /// Makes a function known to the module as loaded at a worker, where the first invocation of it here belongs to a
-    /// session that is warm there. Without this the module, which ignores reports on functions that it does not know,
-    /// sends the invocation to another worker. The module learns of the function as wanted at that worker; the order
-    /// that it gives for it is not sent, as another router has just reported that the copy is loaded.
-    fn introduce_warm_function(
-        &mut self,
-        worker: WorkerIndex,
-        arrival: &Arrival,
-        out: &mut Vec<Output>,
-    ) {
-        let function = FunctionInfo {
-            function: arrival.function,
-            fingerprint: arrival.fingerprint,
-            trigger: arrival.trigger,
-            lanes: arrival.lanes,
-        };
-        let mut wanted = Vec::new();
-        self.decide(&Event::CopyWanted { worker, function }, &mut wanted);
-        for output in wanted {
-            match output {
-                Output::Order { ticket, .. } => self.skip_order(ticket, out),
-                other => out.push(other),
-            }
-        }
-        // The module may have given no order, and then does not know yet that the copy is loaded.
-        self.decide(
-            &Event::CopiesReported {
-                worker,
-                function: arrival.function,
-                copies: 1,
-            },
-            out,
-        );
-    }
-}
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -6,6 +6,7 @@
 //! say. `state` holds the types that own the state, each its part. The other modules handle events:
 //!
 //! * `intake`: requests and messages arrive.
+//! * `submission`: the module is told of an invocation.
 //! * `waiting_deliveries`: deliveries join an invocation or leave it.
 //! * `balancer_actions`: the module is called and its actions are carried out.
 //! * `dispatch`: attempts are sent to workers and end.
@@ -24,6 +25,7 @@
 mod replication;
 mod settings;
 mod state;
+mod submission;
 mod timers;
 mod waiting_deliveries;
 
--- a/crates/router/src/core/replication.rs
+++ b/crates/router/src/core/replication.rs
@@ -5,7 +5,8 @@
 
 use cedarpulley::interface::{Effect, Event, InvocationIndex, Micros};
 
-use super::state::invocation::{Attempt, Invocation};
+use super::state::attempt::Attempt;
+use super::state::invocation::Invocation;
 use super::state::timers::Timer;
 use super::{Output, Router};
 use crate::replication::{
--- a/crates/router/src/core/state/admission.rs
+++ b/crates/router/src/core/state/admission.rs
@@ -101,8 +101,11 @@
         self.limiter.arrived(now, front, account);
         let pending_bytes = self.admitted.pending_bytes;
         let occupancy = self.limiter.occupancy(now, front, account, pending_bytes);
-        let worth = admission_control::worth(trigger, request.waited, occupancy.usual);
-        let decision = self.control.decide(now, request, worth, &occupancy);
+        let expected_value =
+            admission_control::expected_value(trigger, request.waited, occupancy.typical_latency);
+        let decision = self
+            .control
+            .decide(now, request, expected_value, &occupancy);
         if decision == Entry::Enter {
             self.limiter.admitted(now, front, account);
             let admitted = AdmittedRequest {
--- a/crates/router/src/core/state/invocation.rs
+++ b/crates/router/src/core/state/invocation.rs
@@ -1,4 +1,4 @@
-//! An invocation that this router has accepted, and the attempts to have workers run it.
+//! An invocation that this router has accepted.
 
 use std::sync::Arc;
 
@@ -6,6 +6,7 @@
     DispatchOutcome, FunctionIndex, InvocationIndex, Micros, WorkerIndex,
 };
 
+use super::attempt::{Attempt, AttemptOutcome, EndedAttempt};
 use crate::answer_registry::AnswerSlot;
 use crate::idempotency_keys;
 use crate::replication::{DispatchPermission, Need, ReplicationStage, ReplicationState};
@@ -39,52 +40,6 @@
     }
 }
 
-/// How far an attempt is, and what its end proves.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AttemptOutcome {
-    /// It has not ended: it is at the worker, on its way there, or waits for permission to be sent.
-    InFlight,
-    /// It ended, and the worker did not run it.
-    NotExecuted,
-    /// It ended, and the worker may have run it.
-    Indeterminate,
-}
-
-/// One attempt (dispatch) to have a worker run the invocation.
-pub(crate) struct Attempt {
-    pub(crate) worker: WorkerIndex,
-    /// When the module decided it.
-    pub(crate) decided_at: Micros,
-    pub(crate) outcome: AttemptOutcome,
-    /// Timeout counted from `decided_at`; absent: it ends when the answer is due.
-    pub(crate) timeout: Option<Micros>,
-    /// Number by which the group knows this attempt.
-    pub(crate) serial: u64,
-    /// Whether the group's permission is needed, requested or granted.
-    pub(crate) permission: DispatchPermission,
-}
-
-impl Attempt {
-    pub(crate) fn is_in_flight(&self) -> bool {
-        self.outcome == AttemptOutcome::InFlight
-    }
-
-    /// It waits for the group's permission: nothing of it can have reached a worker.
-    pub(crate) fn awaits_permission(&self) -> bool {
-        self.is_in_flight() && self.permission == DispatchPermission::Requested
-    }
-}
-
-/// What is known of an attempt that has just ended.
-#[derive(Clone, Copy)]
-pub(crate) struct EndedAttempt {
-    pub(crate) worker: WorkerIndex,
-    pub(crate) took: Micros,
-    /// Number by which the group knows it.
-    pub(crate) serial: u64,
-    pub(crate) may_have_run: bool,
-}
-
 /// What an invocation asks for; it does not change after it was accepted.
 pub(crate) struct AcceptedRequest {
     pub(crate) front: FrontIndex,
@@ -357,7 +312,7 @@
         let Some(attempt) = self.attempt_in_flight(number) else {
             return false;
         };
-        attempt.permission = DispatchPermission::Granted(now);
+        attempt.grant_permission(now);
         true
     }
 
@@ -368,19 +323,8 @@
         now: Micros,
         outcome: DispatchOutcome,
     ) -> Option<EndedAttempt> {
-        let attempt = self.attempt_in_flight(number)?;
-        attempt.outcome = if outcome.not_executed() {
-            AttemptOutcome::NotExecuted
-        } else {
-            AttemptOutcome::Indeterminate
-        };
-        attempt.permission = DispatchPermission::NotNeeded;
-        Some(EndedAttempt {
-            worker: attempt.worker,
-            took: now - attempt.decided_at,
-            serial: attempt.serial,
-            may_have_run: attempt.outcome == AttemptOutcome::Indeterminate,
-        })
+        self.attempt_in_flight(number)
+            .map(|attempt| attempt.end(now, outcome))
     }
 
     /// An attempt has not ended.
@@ -397,10 +341,7 @@
 
     /// An attempt may have run at a worker, or may run yet.
     pub(crate) fn may_have_run(&self) -> bool {
-        self.attempts.iter().any(|attempt| {
-            attempt.outcome != AttemptOutcome::NotExecuted
-                && attempt.permission != DispatchPermission::Requested
-        })
+        self.attempts.iter().any(Attempt::may_have_run)
     }
 
     /// Numbers of the attempts for which this holds, in the order in which they were decided.
--- a/crates/router/src/core/state/invocation_table.rs
+++ b/crates/router/src/core/state/invocation_table.rs
@@ -2,7 +2,8 @@
 
 use cedarpulley::interface::InvocationIndex;
 
-use super::invocation::{Attempt, Invocation, InvocationHandle};
+use super::attempt::Attempt;
+use super::invocation::{Invocation, InvocationHandle};
 use crate::Ticket;
 use crate::slot_map::SlotMap;
 
--- a/crates/router/src/core/state/mod.rs
+++ b/crates/router/src/core/state/mod.rs
@@ -2,6 +2,7 @@
 //! module pass events between them.
 
 pub(super) mod admission;
+pub(super) mod attempt;
 pub(super) mod functions;
 pub(super) mod invocation;
 pub(super) mod invocation_table;
--- a/crates/router/src/endpoint_list.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -116,7 +116,7 @@
     /// By name.
     slices: BTreeMap<String, Slice>,
     /// The workers that the core was told of last, by name.
-    told: BTreeMap<String, Listed>,
+    published: BTreeMap<String, Listed>,
     /// By name of the worker.
     incarnations: HashMap<String, Incarnation>,
     /// Listings in a row that went back in time.
@@ -161,7 +161,7 @@
             .map(|slice| (slice.name.clone(), slice))
             .collect();
         let view = self.view(now);
-        self.told = view.clone();
+        self.published = view.clone();
         let complete = Step::Tell {
             mode: EndpointListKind::Complete,
             workers: view.into_values().collect(),
@@ -212,18 +212,18 @@
         let view = self.view(now);
         let mut workers: Vec<Listed> = view
             .iter()
-            .filter(|(name, worker)| self.told.get(*name) != Some(worker))
+            .filter(|(name, worker)| self.published.get(*name) != Some(worker))
             .map(|(_, worker)| worker.clone())
             .collect();
         let gone = self
-            .told
+            .published
             .iter()
             .filter(|(name, _)| !view.contains_key(*name));
         workers.extend(gone.map(|(_, worker)| Listed {
             standing: EndpointState::Gone,
             ..worker.clone()
         }));
-        self.told = view;
+        self.published = view;
         if workers.is_empty() {
             return Vec::new();
         }
@@ -254,7 +254,7 @@
         }
         self.viewed = true;
         self.incarnations
-            .retain(|name, _| view.contains_key(name) || self.told.contains_key(name));
+            .retain(|name, _| view.contains_key(name) || self.published.contains_key(name));
         view
     }
 }
--- a/crates/router/src/fair_share.rs
+++ b/crates/router/src/fair_share.rs
@@ -75,7 +75,7 @@
     in_flight: u32,
     cap: f64,
     /// A bit for each of its last 32 invocations that gave a signal, set if it was crowded.
-    crowded: u32,
+    crowding_history: u32,
     cap_reduced_at: Micros,
     arrivals: Sample,
     paced_until: Micros,
@@ -89,7 +89,7 @@
             weight,
             in_flight: 0,
             cap: UNCAPPED,
-            crowded: 0,
+            crowding_history: 0,
             cap_reduced_at: Micros::MIN / 2,
             arrivals: Sample::default(),
             paced_until: Micros::MIN,
@@ -117,7 +117,7 @@
     }
 
     /// Another party, `suffering`, was crowded out: pays for it where this one floods or has much more in flight.
-    fn charge(&mut self, now: Micros, suffering: &Party, usual: Micros) {
+    fn charge(&mut self, now: Micros, suffering: &Party, typical_latency: Micros) {
         let ratio = self.weight / suffering.weight;
         let fair_rate = suffering.arrivals.decayed(now) * ratio;
         let floods = self.arrivals.decayed(now) > FLOOD_RATIO * fair_rate.max(1.0);
@@ -126,8 +126,8 @@
         let tolerance = if floods { 1.0 } else { FLOOD_RATIO };
         let fair_in_flight = f64::from(suffering.in_flight) * ratio * tolerance;
         let (in_flight, least) = (f64::from(self.in_flight), fair_in_flight.max(MIN_CAP));
-        let sees_crowding = self.crowded.count_ones() >= CROWDED_THRESHOLD;
-        let interval = usual.max(MIN_REDUCTION_INTERVAL);
+        let sees_crowding = self.crowding_history.count_ones() >= CROWDED_THRESHOLD;
+        let interval = typical_latency.max(MIN_REDUCTION_INTERVAL);
         if in_flight > least && sees_crowding && now - self.cap_reduced_at >= interval {
             self.cap = (self.cap.min(in_flight) * SHRINK).max(least);
             self.cap_reduced_at = now;
@@ -203,13 +203,13 @@
         self.parties[party].cap.min(limit)
     }
 
-    /// An invocation of the party ended. `limit`: of all parties together; `usual`: the usual time of an answer.
+    /// An invocation of the party ended. `limit`: of all parties together; `typical_latency`: the usual time of an answer.
     pub fn ended(
         &mut self,
         now: Micros,
         party: usize,
         limit: f64,
-        usual: Micros,
+        typical_latency: Micros,
         signal: CrowdingSignal,
     ) {
         let credit = match signal {
@@ -226,7 +226,7 @@
             return;
         }
         let on_time = signal == CrowdingSignal::OnTime;
-        ended.crowded = ended.crowded << 1 | u32::from(!on_time);
+        ended.crowding_history = ended.crowding_history << 1 | u32::from(!on_time);
         if on_time {
             return ended.raise_cap(limit);
         }
@@ -238,7 +238,7 @@
         let suffering = *ended;
         for (index, other) in self.parties.iter_mut().enumerate() {
             if index != party {
-                other.charge(now, &suffering, usual);
+                other.charge(now, &suffering, typical_latency);
             }
         }
     }
--- a/crates/router/tests/admission_control.rs
+++ b/crates/router/tests/admission_control.rs
@@ -32,7 +32,7 @@
         front: party,
         account: party,
         free_bytes: 1000,
-        usual: 100_000,
+        typical_latency: 100_000,
         stopping: false,
     };
     (request, occupancy)
@@ -149,7 +149,7 @@
     };
     let cheap = world::triggers()[0];
     let (request, occupancy) = request_at(80);
-    let worth = |t: &TriggerType, waited| admission_control::worth(t, waited, 0);
+    let worth = |t: &TriggerType, waited| admission_control::expected_value(t, waited, 0);
     (0..100).for_each(|n| {
         control.decide(
             0,
