--- /dev/null
+++ b/crates/kserve/src/client_requests.rs
@@ -0,0 +1,268 @@
+//! KServe v2 as a server over HTTP, free of I/O: what a client's path asks for, what its headers mean, and what the
+//! responses look like. `docs/operate/kserve-requests.md` has the table for operators.
+
+use cedarpulley::interface::Micros;
+use cedarpulley_errors::Remedy;
+use http::{HeaderMap, Method, StatusCode};
+use percent_encoding::percent_decode_str;
+use serde_json::json;
+
+use crate::response_headers::text;
+use crate::worker_requests::{ACCOUNT, IDEMPOTENCY_KEY, JSON_LENGTH, TRIGGER_TYPE, VERSIONS};
+
+/// Milliseconds after which the client stops waiting.
+pub const CLIENT_TIMEOUT_MS: &str = "cedarpulley-client-timeout-ms";
+/// When the client sent the request, in microseconds since 1970.
+pub const SENT_AT_US: &str = "cedarpulley-sent-at-us";
+/// Expected work, in microseconds.
+pub const COST_HINT_US: &str = "cedarpulley-cost-hint-us";
+/// Expected time to load a copy, in microseconds.
+pub const LOAD_HINT_US: &str = "cedarpulley-load-hint-us";
+/// Size of a copy, in megabytes.
+pub const COPY_MB: &str = "cedarpulley-copy-mb";
+/// Invocations that one copy runs at a time.
+pub const LANES: &str = "cedarpulley-lanes";
+/// `true`: the request is the client's own retry.
+pub const REPEAT: &str = "cedarpulley-repeat";
+/// In responses: the final outcome.
+pub const FATE: &str = "cedarpulley-fate";
+/// In responses: the reason for the outcome.
+pub const REASON: &str = "cedarpulley-reason";
+
+/// A day: longer waits are not accepted, and longer clock differences are cut to this.
+const MAX_DURATION_US: i64 = 86_400_000_000;
+const MAX_LANES: i64 = 10_000;
+const MAX_NAME_BYTES: usize = 255;
+const MAX_COPY_MB: i64 = 1 << 30;
+
+/// What a client's request asks for, by its method and path. Functions are named with their version, if any.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Asked {
+    /// Whether the server is alive.
+    ServerLive,
+    /// Whether the server takes requests.
+    ServerReady,
+    /// The server's name and extensions.
+    ServerMetadata,
+    /// The list of models.
+    Index,
+    /// Whether a model takes requests.
+    ModelReady(String),
+    /// A model's description.
+    ModelMetadata(String),
+    /// To run a model.
+    Infer(String),
+    /// There is no such path.
+    Unknown,
+    /// The path exists, but not for this method.
+    WrongMethod,
+}
+
+/// The function that a model's name and version make. Absent if the name is empty or too long, or if one of them
+/// contains what separates them in a function's name.
+pub fn function(name: &str, version: &str) -> Option<String> {
+    let is_valid = |text: &str| text.len() <= MAX_NAME_BYTES && !text.contains(VERSIONS);
+    match (name, version) {
+        ("", _) => None,
+        (name, "") => is_valid(name).then(|| name.to_owned()),
+        (name, version) => {
+            let function = format!("{name}{VERSIONS}{version}");
+            (is_valid(name) && is_valid(version) && function.len() <= MAX_NAME_BYTES)
+                .then_some(function)
+        }
+    }
+}
+
+/// Name and version of a function; the version is empty if it has none.
+pub fn model(function: &str) -> (&str, &str) {
+    function.split_once(VERSIONS).unwrap_or((function, ""))
+}
+
+/// Reads what is asked for from a request's method and path.
+pub fn asked(method: &Method, path: &str) -> Asked {
+    let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
+    let decode = |segment: &str| {
+        percent_decode_str(segment)
+            .decode_utf8()
+            .ok()
+            .map(|text| text.into_owned())
+    };
+    let named = |name: &str, request: fn(String) -> Asked| {
+        decode(name)
+            .and_then(|name| function(&name, ""))
+            .map_or(Asked::Unknown, request)
+    };
+    let versioned = |name: &str, version: &str, request: fn(String) -> Asked| {
+        decode(name)
+            .zip(decode(version))
+            .filter(|(_, version)| !version.is_empty())
+            .and_then(|(name, version)| function(&name, &version))
+            .map_or(Asked::Unknown, request)
+    };
+    let found = match segments.as_slice() {
+        ["v2"] => Asked::ServerMetadata,
+        ["v2", "health", "live"] => Asked::ServerLive,
+        ["v2", "health", "ready"] => Asked::ServerReady,
+        ["v2", "models", name] => named(name, Asked::ModelMetadata),
+        ["v2", "models", name, "ready"] => named(name, Asked::ModelReady),
+        ["v2", "models", name, "infer"] => named(name, Asked::Infer),
+        ["v2", "models", name, "versions", v] => versioned(name, v, Asked::ModelMetadata),
+        ["v2", "models", name, "versions", v, "ready"] => versioned(name, v, Asked::ModelReady),
+        ["v2", "models", name, "versions", v, "infer"] => versioned(name, v, Asked::Infer),
+        ["v2", "repository", "index"] => Asked::Index,
+        _ => Asked::Unknown,
+    };
+    let is_post = matches!(found, Asked::Infer(_) | Asked::Index);
+    let allowed_method = if is_post { Method::POST } else { Method::GET };
+    match found {
+        Asked::Unknown => Asked::Unknown,
+        _ if *method != allowed_method => Asked::WrongMethod,
+        found => found,
+    }
+}
+
+/// What the headers of an infer request say.
+#[derive(Clone, Debug, PartialEq)]
+pub struct InferHeaders {
+    /// Name of the trigger type.
+    pub kind: String,
+    /// Name of the account.
+    pub account: Option<String>,
+    /// The idempotency key.
+    pub token: Option<String>,
+    /// Time since the client sent the request, 0 if it does not say when; at most a day.
+    pub waited: Micros,
+    /// The client stops waiting after this time.
+    pub client_timeout: Option<Micros>,
+    /// Expected work.
+    pub cost_hint: Option<Micros>,
+    /// Expected time to load a copy.
+    pub load_hint: Option<Micros>,
+    /// Size of a copy in megabytes, 0 if not known.
+    pub copy_mb: f64,
+    /// Invocations that one copy runs at a time, at least 1.
+    pub lanes: u32,
+    /// The client marks the request as its own retry.
+    pub repeat: bool,
+    /// Where raw tensors follow the JSON in the body: the length of the JSON in bytes.
+    pub json: Option<u32>,
+}
+
+/// A header that cannot be used; shown to the client.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{field}: {cause}")]
+pub struct Misunderstood {
+    /// Name of the header.
+    pub field: &'static str,
+    /// What is wrong with its value.
+    pub cause: String,
+}
+
+impl Remedy for Misunderstood {
+    fn remedy(&self) -> &'static str {
+        "have its client send that header as docs/operate/kserve-requests.md says"
+    }
+}
+
+/// Reads the headers of an infer request. `wall`: microseconds since 1970 by this router's clock.
+pub fn wanted(headers: &HeaderMap, wall: Micros) -> Result<InferHeaders, Misunderstood> {
+    let text = |name| short_text(headers, name);
+    let number = |name, max| whole_number(headers, name, max);
+    let kind = text(TRIGGER_TYPE)?.ok_or_else(|| Misunderstood {
+        field: TRIGGER_TYPE,
+        cause: "no trigger type is named".into(),
+    })?;
+    let sent_at = number(SENT_AT_US, i64::MAX)?;
+    Ok(InferHeaders {
+        kind,
+        account: text(ACCOUNT)?,
+        token: text(IDEMPOTENCY_KEY)?,
+        waited: sent_at.map_or(0, |sent_at| {
+            wall.saturating_sub(sent_at).clamp(0, MAX_DURATION_US)
+        }),
+        client_timeout: number(CLIENT_TIMEOUT_MS, MAX_DURATION_US / 1000)?.map(|ms| ms * 1000),
+        cost_hint: number(COST_HINT_US, MAX_DURATION_US)?,
+        load_hint: number(LOAD_HINT_US, MAX_DURATION_US)?,
+        copy_mb: number(COPY_MB, MAX_COPY_MB)?.unwrap_or(0) as f64,
+        lanes: number(LANES, MAX_LANES)?.unwrap_or(1).max(1) as u32,
+        repeat: text(REPEAT)?.as_deref() == Some("true"),
+        json: number(JSON_LENGTH, i64::from(u32::MAX))?.map(|length| length as u32),
+    })
+}
+
+/// A header's text of 1 to 255 bytes.
+fn short_text(headers: &HeaderMap, name: &'static str) -> Result<Option<String>, Misunderstood> {
+    if !headers.contains_key(name) {
+        return Ok(None);
+    }
+    match text(headers, name).filter(|text| !text.is_empty() && text.len() <= MAX_NAME_BYTES) {
+        Some(text) => Ok(Some(text.to_owned())),
+        None => Err(Misunderstood {
+            field: name,
+            cause: "not a text of 1 to 255 bytes".into(),
+        }),
+    }
+}
+
+/// A header's whole number from 0 to `max`.
+fn whole_number(
+    headers: &HeaderMap,
+    name: &'static str,
+    max: i64,
+) -> Result<Option<i64>, Misunderstood> {
+    let Some(text) = short_text(headers, name)? else {
+        return Ok(None);
+    };
+    match text.parse::<i64>() {
+        Ok(number) if (0..=max).contains(&number) => Ok(Some(number)),
+        _ => Err(Misunderstood {
+            field: name,
+            cause: format!("'{text}' is not within 0 to {max}"),
+        }),
+    }
+}
+
+/// Status of a response to an invocation that failed. `not_executed`: it certainly did not run, so the client may
+/// safely retry; otherwise nothing is promised.
+pub fn status(not_executed: bool) -> StatusCode {
+    if not_executed {
+        StatusCode::TOO_MANY_REQUESTS
+    } else {
+        StatusCode::BAD_GATEWAY
+    }
+}
+
+/// Value of the Retry-After header: whole seconds, rounded up so that no client comes back too early.
+pub fn retry_after(wait: Micros) -> i64 {
+    (wait.max(0) + 999_999) / 1_000_000
+}
+
+/// The protocol extensions that this server offers.
+pub const EXTENSIONS: [&str; 2] = ["binary_tensor_data", "model_repository"];
+
+/// Body of the response to [`Asked::ModelMetadata`]. Inputs and outputs are empty: only the workers know them.
+pub fn metadata(function: &str) -> String {
+    let (name, version) = model(function);
+    let versions: Vec<&str> = if version.is_empty() {
+        vec![]
+    } else {
+        vec![version]
+    };
+    json!({"name": name, "versions": versions, "platform": "", "inputs": [], "outputs": []})
+        .to_string()
+}
+
+/// Body of the response to [`Asked::Index`], for the functions that were recently asked for. Each is loaded on
+/// demand, and therefore reported as ready.
+pub fn index(functions: &[String]) -> String {
+    let entry = |function: &String| {
+        let (name, version) = model(function);
+        json!({"name": name, "version": version, "state": "READY", "reason": ""})
+    };
+    serde_json::Value::Array(functions.iter().map(entry).collect()).to_string()
+}
+
+/// Body of the response to a request that failed.
+pub fn error(cause: &str) -> String {
+    json!({ "error": cause }).to_string()
+}
--- a/crates/kserve/src/lib.rs
+++ b/crates/kserve/src/lib.rs
@@ -1,21 +1,40 @@
-//! KServe v2, free of I/O: towards workers (the requests that are sent, and what each ending proves) and as a front.
+//! The KServe v2 inference protocol, free of I/O, in both directions: the router as a client of its workers, and the
+//! router as a server for its own clients.
 //!
-//! * [`requests`]: infer, load, unload, ready and live, as HTTP requests.
-//! * [`endings`]: every way in which a request can end, and whether it may have run; begin reading here.
-//! * [`reports`]: what answers tell of the worker.
-//! * [`sequences`]: which session a request belongs to.
-//! * [`index`]: what a worker says that it holds.
-//! * [`serving`]: the other side: what a client of the front asks, and how it is answered.
-//! * [`rpc`]: the same over gRPC; its messages are made from `proto/`.
-//! * [`tensors`]: between a gRPC message and what workers speak.
+//! Towards workers:
+//! * [`worker_requests`]: infer, load, unload, index, ready and live, as HTTP requests.
+//! * [`outcomes`]: every way in which an exchange with a worker can end, and whether the worker may have run the
+//!   invocation; begin reading here.
+//! * [`response_headers`]: what a worker's response headers report: copy status, load, memory usage.
+//! * [`repository_index`]: the list of models that a worker has loaded.
+//!
+//! Towards clients:
+//! * [`client_requests`]: paths and headers of requests over HTTP, and the responses to them.
+//! * [`grpc`]: framing, methods, time-outs and trailers of calls over gRPC; its messages are generated from `proto/`.
+//! * [`tensors`]: conversion between gRPC messages and the JSON with raw tensors that workers speak.
+//! * [`sequences`]: the session that a request belongs to.
+
+#![warn(missing_docs)]
 
-pub mod endings;
-pub mod index;
-pub mod reports;
-pub mod requests;
-pub mod rpc;
+pub mod client_requests;
+pub mod grpc;
+pub mod outcomes;
+pub mod repository_index;
+pub mod response_headers;
 pub mod sequences;
-pub mod serving;
 pub mod tensors;
+pub mod worker_requests;
 
-pub use endings::{Ended, Reading};
+#[doc(hidden)]
+pub use client_requests as serving;
+#[doc(hidden)]
+pub use grpc as rpc;
+#[doc(hidden)]
+pub use outcomes as endings;
+pub use outcomes::{Ended, Reading};
+#[doc(hidden)]
+pub use repository_index as index;
+#[doc(hidden)]
+pub use response_headers as reports;
+#[doc(hidden)]
+pub use worker_requests as requests;
--- a/crates/kserve/src/sequences.rs
+++ b/crates/kserve/src/sequences.rs
@@ -1,28 +1,55 @@
-//! The sequence extension, as a request's `parameters` say it: `sequence_id` (a text or a whole number above 0),
-//! `sequence_start` and `sequence_end`. One table, for fronts; what a router makes of it is no matter of the wire.
+//! The sequence extension of KServe v2: which session a request belongs to. A request's `parameters` name it by
+//! `sequence_id` (a text, or a whole number above 0), `sequence_start` and `sequence_end`.
 
 use cedarpulley_errors::Remedy;
 use serde::Deserialize;
+use serde_json::Value;
 use thiserror::Error;
 
-/// In requests to workers, for messages whose body does not say it.
+/// Header of requests to workers with the session's id, for messages whose body does not name it.
 pub const SEQUENCE_ID: &str = "cedarpulley-sequence-id";
+/// Header of requests to workers: `true` on the session's first request.
 pub const SEQUENCE_START: &str = "cedarpulley-sequence-start";
+/// Header of requests to workers: `true` on the session's last request.
 pub const SEQUENCE_END: &str = "cedarpulley-sequence-end";
 
-const MOST_ID: usize = 255;
+const MAX_ID_BYTES: usize = 255;
 
+/// A request's place in its session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sequence {
+    /// The session's id.
     pub id: String,
+    /// This is the session's first request.
     pub start: bool,
+    /// This is the session's last request.
     pub end: bool,
 }
 
+impl Sequence {
+    /// An empty `id` means no session. Fails if `id` is too long or has control characters.
+    pub fn new(id: &str, start: bool, end: bool) -> Result<Option<Sequence>, NoSequence> {
+        match id.len() {
+            0 => Ok(None),
+            length if length > MAX_ID_BYTES || id.chars().any(char::is_control) => {
+                Err(NoSequence::Id)
+            }
+            _ => Ok(Some(Sequence {
+                id: id.to_owned(),
+                start,
+                end,
+            })),
+        }
+    }
+}
+
+/// Why the parameters name no valid session; shown to the client.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum NoSequence {
-    #[error("sequence_id is not a text of 1 to {MOST_ID} bytes or a whole number above 0")]
+    /// The id has a wrong type or length.
+    #[error("sequence_id is not a text of 1 to {MAX_ID_BYTES} bytes or a whole number above 0")]
     Id,
+    /// A flag is not a boolean.
     #[error("sequence_start and sequence_end are not true or false")]
     Flag,
 }
@@ -34,102 +61,48 @@
 }
 
 #[derive(Default, Deserialize)]
-struct Body {
+struct RequestHead {
     #[serde(default)]
     parameters: Parameters,
 }
 
-/// What else stands there is of no matter here; numbers are told apart from texts below.
+/// Kept as JSON values because the id may be a text or a number; other parameters are ignored.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct Parameters {
-    sequence_id: serde_json::Value,
-    sequence_start: serde_json::Value,
-    sequence_end: serde_json::Value,
+    sequence_id: Value,
+    sequence_start: Value,
+    sequence_end: Value,
 }
 
-/// Of a request's JSON. What is no JSON belongs to no sequence: whether a worker can read it is the worker's matter.
+/// Reads the session from a request's JSON. A body that is not JSON belongs to no session: whether it can be read is
+/// for the worker to say.
 pub fn of(json: &[u8]) -> Result<Option<Sequence>, NoSequence> {
-    let Ok(Body { parameters }) = serde_json::from_slice::<Body>(json) else {
+    let Ok(RequestHead { parameters }) = serde_json::from_slice::<RequestHead>(json) else {
         return Ok(None);
     };
-    let flag = |value: &serde_json::Value| match value {
-        serde_json::Value::Null => Ok(false),
-        serde_json::Value::Bool(on) => Ok(*on),
-        _ => Err(NoSequence::Flag),
-    };
     let id = match &parameters.sequence_id {
-        serde_json::Value::Null => return Ok(None),
-        serde_json::Value::String(id) => id.clone(),
-        // 0 means none, as the extension has it.
-        serde_json::Value::Number(n) => match n.as_u64() {
+        Value::Null => return Ok(None),
+        Value::String(id) => id.clone(),
+        // The extension defines 0 as "no sequence".
+        Value::Number(number) => match number.as_u64() {
             Some(0) => return Ok(None),
-            Some(n) => n.to_string(),
+            Some(id) => id.to_string(),
             None => return Err(NoSequence::Id),
         },
         _ => return Err(NoSequence::Id),
     };
-    sequence(
+    Sequence::new(
         &id,
         flag(&parameters.sequence_start)?,
         flag(&parameters.sequence_end)?,
     )
 }
 
-/// An empty id means none.
-pub fn sequence(id: &str, start: bool, end: bool) -> Result<Option<Sequence>, NoSequence> {
-    match id.len() {
-        0 => Ok(None),
-        n if n > MOST_ID || id.chars().any(char::is_control) => Err(NoSequence::Id),
-        _ => Ok(Some(Sequence {
-            id: id.to_owned(),
-            start,
-            end,
-        })),
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn parameters_say_which_sequence_it_is() {
-        let of = |text: &str| of(text.as_bytes());
-        let is = |id: &str, start, end| {
-            Ok(Some(Sequence {
-                id: id.into(),
-                start,
-                end,
-            }))
-        };
-        assert_eq!(
-            of(r#"{"inputs":[],"parameters":{"sequence_id":"s1","sequence_start":true}}"#),
-            is("s1", true, false)
-        );
-        assert_eq!(
-            of(r#"{"parameters":{"sequence_id":7,"sequence_end":true,"other":[1]}}"#),
-            is("7", false, true)
-        );
-        for none in [
-            "{}",
-            "no json",
-            r#"{"parameters":{"sequence_id":0}}"#,
-            r#"{"parameters":{"sequence_id":""}}"#,
-        ] {
-            assert_eq!(of(none), Ok(None), "{none}");
-        }
-        assert_eq!(
-            of(r#"{"parameters":{"sequence_id":-1}}"#),
-            Err(NoSequence::Id)
-        );
-        assert_eq!(
-            of(r#"{"parameters":{"sequence_id":"a\nb"}}"#),
-            Err(NoSequence::Id)
-        );
-        assert_eq!(
-            of(r#"{"parameters":{"sequence_id":1,"sequence_end":"yes"}}"#),
-            Err(NoSequence::Flag)
-        );
+fn flag(value: &Value) -> Result<bool, NoSequence> {
+    match value {
+        Value::Null => Ok(false),
+        Value::Bool(on) => Ok(*on),
+        _ => Err(NoSequence::Flag),
     }
 }
--- a/crates/kserve/tests/codec.rs
+++ b/crates/kserve/tests/codec.rs
@@ -1,12 +1,12 @@
-//! The gRPC codec both ways, by drawn messages, and fed with what nobody should send.
+//! The gRPC codec: random messages round trip, and malformed input is an error.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use cedarpulley_kserve::rpc::inference::infer_parameter::ParameterChoice;
-use cedarpulley_kserve::rpc::inference::model_infer_request::InferInputTensor;
-use cedarpulley_kserve::rpc::inference::*;
-use cedarpulley_kserve::rpc::{Code, frame, timeout, trailers, unframe};
+use cedarpulley_kserve::grpc::inference::infer_parameter::ParameterChoice;
+use cedarpulley_kserve::grpc::inference::model_infer_request::InferInputTensor;
+use cedarpulley_kserve::grpc::inference::*;
+use cedarpulley_kserve::grpc::{Code, frame, timeout, trailers, unframe};
 use cedarpulley_kserve::tensors::{Rest, request, response};
 use http::HeaderMap;
 use proptest::prelude::*;
@@ -121,7 +121,7 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn typed_tensors_come_back_as_they_went(
+    fn typed_tensors_round_trip(
         tensors in prop::collection::vec((contents(), parameters()), 0..4), given in parameters(), id in "[a-z]{0,4}",
     ) {
         let inputs = tensors.iter().enumerate().map(|(n, ((datatype, contents), given))| InferInputTensor {
@@ -143,7 +143,7 @@
     }
 
     #[test]
-    fn raw_tensors_come_back_to_the_byte(raws in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..5)) {
+    fn raw_tensors_round_trip(raws in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..5)) {
         let input = |n: usize| InferInputTensor { name: format!("t{n}"), datatype: "BF16".into(), ..Default::default() };
         let raw_input_contents: Vec<Bytes> = raws.into_iter().map(Bytes::from).collect();
         let inputs = (0..raw_input_contents.len()).map(input).collect();
@@ -153,16 +153,16 @@
     }
 
     #[test]
-    fn nothing_of_what_comes_makes_it_fall(bytes in prop::collection::vec(any::<u8>(), 0..300), json in any::<Option<u16>>()) {
+    fn malformed_bodies_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), json in any::<Option<u16>>()) {
         let bytes = Bytes::from(bytes);
-        if let Ok(m) = unframe(bytes.clone()).and_then(|m| ModelInferRequest::decode(m).map_err(|_| cedarpulley_kserve::rpc::Misframed::Short)) {
+        if let Ok(m) = unframe(bytes.clone()).and_then(|m| ModelInferRequest::decode(m).map_err(|_| cedarpulley_kserve::grpc::InvalidCall::Truncated)) {
             let _ = request(&m);
         }
         let _ = response(&Rest { bytes, json: json.map(u32::from) });
     }
 
     #[test]
-    fn timeouts_are_read_or_refused(text in "[0-9]{0,10}[HMSmunx]?") {
+    fn timeouts_are_parsed_or_rejected(text in "[0-9]{0,10}[HMSmunx]?") {
         let mut h = HeaderMap::new();
         h.insert("grpc-timeout", text.parse().expect("a value"));
         let fits = text.len() >= 2 && text.len() <= 9 && text.ends_with(|c| "HMSmun".contains(c));
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn what_has_no_form_is_an_error_that_names_it() {
+fn an_inconvertible_tensor_is_an_error_that_names_it() {
     let one = |datatype: &str, c: InferTensorContents| {
         let input = InferInputTensor {
             name: "x".into(),
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn only_harmless_ends_say_when_to_come_back() {
+fn only_safe_retries_get_a_pushback() {
     let said =
         |h: &HeaderMap, name: &str| h.get(name).map(|v| v.to_str().expect("text").to_owned());
     let t = trailers(Code::ResourceExhausted, "voll, später", Some(1_500_001));
--- /dev/null
+++ b/crates/kserve/tests/repository_index.rs
@@ -0,0 +1,73 @@
+//! The index of a worker's models: well-formed, malformed and oversized.
+
+use cedarpulley_kserve::repository_index::{
+    INCARNATION, Index, MAX_ENTRIES, MAX_SEQUENCES, Model, NoIndex, of,
+};
+use http::HeaderMap;
+
+fn read(body: &str) -> Result<Index, NoIndex> {
+    let mut headers = HeaderMap::new();
+    headers.insert(INCARNATION, http::HeaderValue::from_static("7"));
+    of(200, &headers, body.as_bytes())
+}
+
+#[test]
+fn every_reported_property_of_a_model_is_read() {
+    let body = r#"[{"name":"resize:3","version":"2","state":"READY","reason":"",
+        "parameters":{"copies":2,"busy":1,"idle_us":51200,"ordered_by":"r1","term":"7.0","sequences":["s1","s9"]}},
+        {"name":"plain","state":"READY"}, {"name":"coming","state":"LOADING","parameters":{"copies":1}},
+        {"name":"gone","state":"UNAVAILABLE","reason":"unloaded"}]"#;
+    let index = read(body).expect("an index");
+    assert_eq!(
+        (index.life, index.models.len(), index.cut),
+        (Some(7), 4, false)
+    );
+    let whole = Model {
+        function: "resize:3/versions/2".into(),
+        copies: 2,
+        loading: false,
+        busy: Some(1),
+        idle: Some(51_200),
+        ordered_by: Some("r1".into()),
+        term: Some("7.0".into()),
+        sequences: Some(vec!["s1".into(), "s9".into()]),
+    };
+    let bare = |function: &str, copies, loading| Model {
+        function: function.into(),
+        copies,
+        loading,
+        ..Model::default()
+    };
+    let others = [
+        bare("plain", 1, false),
+        bare("coming", 0, true),
+        bare("gone", 0, false),
+    ];
+    assert_eq!(index.models[0], whole);
+    assert_eq!(index.models[1..], others);
+}
+
+#[test]
+fn a_malformed_index_is_an_error_and_an_oversized_one_is_truncated() {
+    assert_eq!(of(404, &HeaderMap::new(), b"[]"), Err(NoIndex::Status(404)));
+    for body in ["", "{}", "[3]", r#"[{"name":3}]"#, "[[]", "nul"] {
+        assert_eq!(read(body), Err(NoIndex::Form), "{body}");
+    }
+    assert_eq!(
+        read(r#"[{"name":"a"},{"state":"READY"}]"#),
+        Err(NoIndex::Name(1))
+    );
+    assert_eq!(
+        read(&format!(r#"[{{"name":"{}"}}]"#, "x".repeat(600))),
+        Err(NoIndex::Name(0))
+    );
+    let many = vec![r#"{"name":"a"}"#; MAX_ENTRIES + 1].join(",");
+    let index = read(&format!("[{many}]")).expect("an index");
+    assert_eq!((index.models.len(), index.cut), (MAX_ENTRIES, true));
+    let ids = vec![r#""s""#; MAX_SEQUENCES + 1].join(",");
+    let index = read(&format!(
+        r#"[{{"name":"a","parameters":{{"sequences":[{ids}]}}}}]"#
+    ))
+    .expect("an index");
+    assert_eq!(index.models[0].sequences, None);
+}
