--- a/crates/amqp/src/frames.rs
+++ b/crates/amqp/src/frames.rs
@@ -1,100 +1,115 @@
-//! Bytes to frames and back. Whatever arrives, memory stays within the largest frame allowed.
+//! Bytes to frames and back. Whatever arrives, memory use is bounded by the largest frame allowed.
 
 pub use amq_protocol::frame::AMQPFrame;
-use amq_protocol::frame::{WriteContext, gen_frame, parse_frame};
+use amq_protocol::frame::{AMQPContentHeader, WriteContext, gen_frame, parse_frame};
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::protocol::{AMQPClass, basic};
 
-use crate::Broken;
+use crate::ProtocolError;
 
-/// Type, channel and size before a frame's payload; the end mark after it.
-pub const HEAD: usize = 7;
-pub const END: u8 = 0xCE;
-/// Every peer must take frames of this size (the specification's frame-min-size).
-pub const LEAST_FRAME: u32 = 4096;
+/// Bytes before a frame's payload: type, channel and size.
+pub const HEADER_BYTES: usize = 7;
+/// The byte after a frame's payload.
+pub const FRAME_END: u8 = 0xCE;
+/// Every peer must accept frames of this size (the specification's frame-min-size).
+pub const MIN_FRAME_MAX: u32 = 4096;
+
+const TYPE_METHOD: u8 = 1;
+const TYPE_BODY: u8 = 3;
+const TYPE_HEARTBEAT: u8 = 8;
 const CLASS_BASIC: u16 = 60;
-/// Reading goes on in a fresh place when so much of the buffer is read.
-const COMPACT: usize = 64 * 1024;
-/// A method or header with its properties seldom needs more.
-const FRAME_GUESS: usize = 256;
+/// Once so many bytes of the buffer have been read, they are dropped.
+const COMPACTION_THRESHOLD: usize = 64 * 1024;
+/// Capacity reserved to write a frame: a method or header with its properties seldom needs more.
+const FRAME_CAPACITY: usize = 256;
 
+/// Splits a stream of bytes into frames.
 #[derive(Debug)]
 pub struct Reader {
     buffer: Vec<u8>,
-    at: usize,
-    most: usize,
+    /// Bytes of the buffer that have been read.
+    position: usize,
+    /// Largest whole frame in bytes.
+    frame_max: usize,
 }
 
 impl Reader {
+    /// A reader that accepts whole frames of up to `frame_max` bytes.
     pub fn new(frame_max: u32) -> Self {
         Reader {
             buffer: Vec::new(),
-            at: 0,
-            most: frame_max.max(LEAST_FRAME) as usize,
+            position: 0,
+            frame_max: frame_max.max(MIN_FRAME_MAX) as usize,
         }
     }
 
-    pub fn limit(&mut self, frame_max: u32) {
-        self.most = frame_max.max(LEAST_FRAME) as usize;
+    /// Sets the negotiated size of whole frames in bytes.
+    pub fn set_frame_max(&mut self, frame_max: u32) {
+        self.frame_max = frame_max.max(MIN_FRAME_MAX) as usize;
     }
 
+    /// Takes in bytes that arrived.
     pub fn feed(&mut self, bytes: &[u8]) {
-        if self.at > COMPACT || self.at == self.buffer.len() {
-            self.buffer.drain(..self.at);
-            self.at = 0;
+        if self.position > COMPACTION_THRESHOLD || self.position == self.buffer.len() {
+            self.buffer.drain(..self.position);
+            self.position = 0;
         }
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole frame. A frame beyond the negotiated size is refused by its head, before its body is read.
-    pub fn next_frame(&mut self) -> Result<Option<AMQPFrame>, Broken> {
-        let rest = &self.buffer[self.at..];
-        if rest.len() < HEAD {
+    /// The next whole frame, if it has arrived. A frame beyond the negotiated size is an error as soon as its header
+    /// is there.
+    pub fn next_frame(&mut self) -> Result<Option<AMQPFrame>, ProtocolError> {
+        let unread = &self.buffer[self.position..];
+        if unread.len() < HEADER_BYTES {
             return Ok(None);
         }
-        if !matches!(rest[0], 1..=3 | 8) {
+        let kind = unread[0];
+        if !matches!(kind, TYPE_METHOD..=TYPE_BODY | TYPE_HEARTBEAT) {
             // A broker that does not speak 0-9-1 answers with its own protocol header.
-            return Err(Broken::NoFrame { kind: rest[0] });
+            return Err(ProtocolError::UnknownFrameType { kind });
         }
-        let size = u32::from_be_bytes([rest[3], rest[4], rest[5], rest[6]]) as usize;
-        if size + HEAD + 1 > self.most {
-            return Err(Broken::TooLarge {
-                size,
-                most: self.most,
+        let payload = u32::from_be_bytes([unread[3], unread[4], unread[5], unread[6]]) as usize;
+        let length = HEADER_BYTES + payload + 1;
+        if length > self.frame_max {
+            return Err(ProtocolError::FrameTooLarge {
+                size: payload,
+                most: self.frame_max,
             });
         }
-        let whole = HEAD + size + 1;
-        if rest.len() < whole {
+        if unread.len() < length {
             return Ok(None);
         }
-        if rest[whole - 1] != END {
-            return Err(Broken::NoEnd);
+        if unread[length - 1] != FRAME_END {
+            return Err(ProtocolError::MissingFrameEnd);
         }
-        let channel = u16::from_be_bytes([rest[1], rest[2]]);
-        let frame = match rest[0] {
-            3 => AMQPFrame::Body(channel, rest[HEAD..whole - 1].to_vec()),
-            _ => match parse_frame(&rest[..whole]) {
+        let channel = u16::from_be_bytes([unread[1], unread[2]]);
+        let frame = match kind {
+            TYPE_BODY => AMQPFrame::Body(channel, unread[HEADER_BYTES..length - 1].to_vec()),
+            _ => match parse_frame(&unread[..length]) {
                 Ok((_, frame)) => frame,
-                Err(_) => return Err(Broken::Unreadable),
+                Err(_) => return Err(ProtocolError::MalformedFrame),
             },
         };
-        self.at += whole;
+        self.position += length;
         Ok(Some(frame))
     }
 }
 
+/// Appends a frame.
 pub fn write(out: &mut Vec<u8>, frame: &AMQPFrame) {
     // Writing into memory fails for no frame that its types allow.
-    if let Ok(context) = gen_frame(frame)(WriteContext::from(Vec::with_capacity(FRAME_GUESS))) {
+    if let Ok(context) = gen_frame(frame)(WriteContext::from(Vec::with_capacity(FRAME_CAPACITY))) {
         out.extend_from_slice(&context.write);
     }
 }
 
+/// Appends a method frame.
 pub fn write_method(out: &mut Vec<u8>, channel: u16, method: AMQPClass) {
     write(out, &AMQPFrame::Method(channel, method));
 }
 
-/// A whole message: method, header and its body in as many frames as its size needs.
+/// Appends a whole message: method, header, and the body in as many frames as its size needs.
 pub fn write_message(
     out: &mut Vec<u8>,
     channel: u16,
@@ -104,21 +119,22 @@
     frame_max: u32,
 ) {
     write_method(out, channel, AMQPClass::Basic(method));
-    let header = amq_protocol::frame::AMQPContentHeader {
+    let header = AMQPContentHeader {
         class_id: CLASS_BASIC,
         body_size: body.len() as u64,
         properties,
     };
     write(out, &AMQPFrame::Header(channel, header));
-    for part in body.chunks(frame_max as usize - HEAD - 1) {
-        out.push(3);
+    for part in body.chunks(frame_max as usize - HEADER_BYTES - 1) {
+        out.push(TYPE_BODY);
         out.extend_from_slice(&channel.to_be_bytes());
         out.extend_from_slice(&(part.len() as u32).to_be_bytes());
         out.extend_from_slice(part);
-        out.push(END);
+        out.push(FRAME_END);
     }
 }
 
+/// A heartbeat frame.
 pub fn heartbeat() -> AMQPFrame {
     AMQPFrame::Heartbeat
 }
--- a/crates/amqp/tests/hostile.rs
+++ b/crates/amqp/tests/hostile.rs
@@ -1,11 +1,11 @@
-//! A connection against brokers that behave badly, and messages that mean nothing.
+//! A connection with brokers that violate the protocol, and invalid trigger messages.
 
 use cedarpulley_amqp::connection::Login;
 use cedarpulley_amqp::frames::{self, AMQPFrame, Reader, write, write_message, write_method};
 use cedarpulley_amqp::protocol::basic::{self, AMQPProperties};
 use cedarpulley_amqp::protocol::{AMQPClass, channel, connection, tx};
 use cedarpulley_amqp::types::{AMQPValue, FieldTable, LongString, ShortString};
-use cedarpulley_amqp::{Connection, Event, Message, Role, meaning};
+use cedarpulley_amqp::{Connection, Event, Message, Role, trigger};
 use proptest::prelude::*;
 
 const SECOND: i64 = 1_000_000;
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_lost_channel_voids_what_was_on_its_way_and_opens_again() {
+fn a_lost_channel_voids_what_was_in_flight_and_reopens() {
     let (mut c, mut events) = ready();
     c.answer(1, Some(("r", AMQPProperties::default(), b"x")));
     c.commit(0);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_blocked_broker_is_sent_no_answers_until_it_takes_them() {
+fn a_blocked_broker_is_sent_no_answers_until_unblocked() {
     let (mut c, mut events) = ready();
     let blocked = connection::Blocked {
         reason: ShortString::from("memory"),
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn heartbeats_alone_are_no_progress_in_opening() {
+fn heartbeats_do_not_extend_the_handshake_timeout() {
     let mut c = new();
     let mut beat = Vec::new();
     write(&mut beat, &frames::heartbeat());
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn heartbeats_go_both_ways_and_silence_is_death() {
+fn heartbeats_are_sent_and_a_silent_broker_fails() {
     let (mut c, _) = ready();
     assert_eq!(c.next_due(), 2 * SECOND, "half of the lower of both");
     c.tick(2 * SECOND).expect("alive");
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn frames_beyond_the_agreed_size_and_unknown_things_end_the_connection() {
+fn oversized_malformed_and_unexpected_frames_are_protocol_errors() {
     let (mut c, mut events) = ready();
     let head = [3, 0, 1, 0, 1, 0, 0];
     assert_eq!(
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_body_beyond_the_bound_is_let_pass_without_being_kept() {
+fn an_oversized_body_is_discarded_and_marked() {
     let (mut c, mut events) = ready();
     c.receive(0, &delivery(1, &vec![0; 50_000]), &mut events)
         .expect("good");
@@ -302,11 +302,11 @@
 }
 
 #[test]
-fn a_message_that_cannot_be_understood_names_its_field() {
+fn an_invalid_field_of_a_message_is_named() {
     let text = |s: &str| AMQPValue::LongString(LongString::from(s));
     let typed = || AMQPProperties::default().with_type(ShortString::from("t"));
     let field = |p: AMQPProperties| {
-        meaning::read(&message(p), 0)
+        trigger::read(&message(p), 0)
             .expect_err("not understood")
             .field
     };
@@ -338,7 +338,7 @@
         .with_headers(headers(&all))
         .with_expiration(ShortString::from("1500"))
         .with_timestamp(9);
-    let t = meaning::read(&message(p), 5_000_000).expect("understood");
+    let t = trigger::read(&message(p), 5_000_000).expect("understood");
     assert_eq!(
         (t.waited_us, t.client_timeout_us, t.identity),
         (2_000_000, Some(1_500_000), None)
@@ -351,7 +351,7 @@
 
     /// Bytes of any kind, in any pieces, neither panic nor keep more than a frame.
     #[test]
-    fn any_bytes_are_borne(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 0..30)) {
+    fn any_bytes_never_panic(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 0..30)) {
         let (mut c, mut events) = ready();
         for part in parts {
             if c.receive(0, &part, &mut events).is_err() { break; }
@@ -360,7 +360,7 @@
 
     /// A good stream with one byte changed: an error or other events, never a panic.
     #[test]
-    fn a_changed_byte_is_borne(at in any::<prop::sample::Index>(), value in any::<u8>()) {
+    fn a_changed_byte_never_panics(at in any::<prop::sample::Index>(), value in any::<u8>()) {
         let (mut c, mut events) = ready();
         let mut bytes = [delivery(1, b"hello"), delivery(2, &[7; 9000]), delivery(3, b"")].concat();
         let at = at.index(bytes.len());
--- a/crates/kserve/src/client_requests.rs
+++ b/crates/kserve/src/client_requests.rs
@@ -240,7 +240,7 @@
 /// The protocol extensions that this server offers.
 pub const EXTENSIONS: [&str; 2] = ["binary_tensor_data", "model_repository"];
 
-/// Body of the response to [`Asked::ModelMetadata`]. Inputs and outputs are empty: only the workers know them.
+/// Body of the response with a model's metadata. Inputs and outputs are empty: only the workers know them.
 pub fn metadata(function: &str) -> String {
     let (name, version) = model(function);
     let versions: Vec<&str> = if version.is_empty() {
@@ -252,7 +252,7 @@
         .to_string()
 }
 
-/// Body of the response to [`Asked::Index`], for the functions that were recently asked for. Each is loaded on
+/// Body of the response with the list of models, for the functions that were recently asked for. Each is loaded on
 /// demand, and therefore reported as ready.
 pub fn index(functions: &[String]) -> String {
     let entry = |function: &String| {
