--- a/crates/usage-metering/src/lib.rs
+++ b/crates/usage-metering/src/lib.rs
@@ -1,11 +1,18 @@
-//! Memory-seconds by tenant, free of I/O. Begin reading at [`accounting`], which says what each thing that happened
-//! costs whom; [`sums`] adds it up exactly, and [`books`] joins what many routers measured. Nothing here decides what
-//! is taken or sent; where sums are kept is `cedarpulley-usage-store`'s matter.
+//! Metering of memory-seconds by account, free of I/O. Begin reading at [`meter`], which says what each dispatch and
+//! each load order costs whom; [`usage`] adds it up exactly, [`readings`] holds the totals that workers report, and
+//! [`report`] merges what many routers measured. Nothing here decides what is admitted or dispatched; storing is the
+//! task of `cedarpulley-usage-store`.
 
-pub mod accounting;
-pub mod books;
-pub mod sums;
+#![warn(missing_docs)]
 
-pub use accounting::{Ended, Held, Load, Meter, Part};
-pub use books::{Book, Source};
-pub use sums::{Key, Kind, Readings, Sum, Sums};
+pub mod meter;
+pub mod readings;
+pub mod report;
+pub mod usage;
+
+pub use meter::{Ended, Held, Load, Meter, Part};
+pub use readings::Readings;
+pub use report::{Book, Source};
+#[doc(hidden)]
+pub use usage as sums;
+pub use usage::{Key, Kind, Sum, Sums};
--- /dev/null
+++ b/crates/usage-metering/src/usage.rs
@@ -0,0 +1,170 @@
+//! Usage by hour, account, function and kind. Byte-microseconds are whole numbers, so that parts add up exactly. They
+//! cannot overflow: a year of ten thousand workers with a terabyte each is below 2^119.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use cedarpulley::interface::Micros;
+use serde::Serialize;
+
+/// An hour.
+pub const MICROS_PER_HOUR: Micros = 3_600_000_000;
+/// Keys that are held apart at a time; usage under further keys is added under [`OTHER_FUNCTIONS`], so that only the
+/// function's name is lost.
+pub(crate) const MAX_KEYS: usize = 100_000;
+/// Name that stands for all functions beyond the bound.
+pub const OTHER_FUNCTIONS: &str = "(others)";
+
+const BYTE_MICROS_PER_MB_SECOND: f64 = 1e12;
+
+/// What memory was used for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum Kind {
+    /// A copy's memory while it ran, divided among the invocations that it ran at once.
+    Running,
+    /// A copy's memory from the order to load it until it was loaded, or the load failed.
+    Loading,
+    /// A copy's memory between two uses; charged to whoever uses it next.
+    Idle,
+    /// What may have been used by dispatches that no worker reported on: an estimate.
+    Uncertain,
+    /// No memory: an invocation that waited for a load which is charged to another.
+    Shared,
+    /// No memory: a repeat that the worker dropped, or an invocation that did not run.
+    Nothing,
+    /// Was uncertain until its worker reported again, with totals that contain it.
+    Settled,
+}
+
+impl Kind {
+    /// All kinds. A kind's position here is its number in stored rows.
+    pub const ALL: [Kind; 7] = [
+        Kind::Running,
+        Kind::Loading,
+        Kind::Idle,
+        Kind::Uncertain,
+        Kind::Shared,
+        Kind::Nothing,
+        Kind::Settled,
+    ];
+
+    /// The name in reports.
+    pub fn name(self) -> &'static str {
+        match self {
+            Kind::Running => "running",
+            Kind::Loading => "loading",
+            Kind::Idle => "idle",
+            Kind::Uncertain => "uncertain",
+            Kind::Shared => "shared",
+            Kind::Nothing => "nothing",
+            Kind::Settled => "settled",
+        }
+    }
+}
+
+/// Whose usage, when and what for.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Key {
+    /// The hour since 1970 in which the dispatch ended or the total was read.
+    pub hour: u32,
+    /// Name of the account.
+    pub account: Arc<str>,
+    /// Name of the function.
+    pub function: Arc<str>,
+    /// What the memory was used for.
+    pub kind: Kind,
+}
+
+/// An amount of usage.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Sum {
+    /// Memory multiplied by time, in byte-microseconds.
+    pub byte_us: u128,
+    /// Number of invocations, or of orders to load.
+    pub count: u64,
+}
+
+impl Sum {
+    /// Adds another amount.
+    pub fn add(&mut self, other: Sum) {
+        self.byte_us = self.byte_us.saturating_add(other.byte_us);
+        self.count = self.count.saturating_add(other.count);
+    }
+
+    fn subtract(&mut self, other: Sum) {
+        self.byte_us = self.byte_us.saturating_sub(other.byte_us);
+        self.count = self.count.saturating_sub(other.count);
+    }
+
+    /// Memory multiplied by time, in megabyte-seconds.
+    pub fn mb_seconds(&self) -> f64 {
+        self.byte_us as f64 / BYTE_MICROS_PER_MB_SECOND
+    }
+}
+
+/// Amounts of usage by key.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Sums(
+    /// In the order of keys.
+    pub BTreeMap<Key, Sum>,
+);
+
+impl Sums {
+    /// Adds an amount under a key; if there are too many keys, under [`OTHER_FUNCTIONS`].
+    pub fn add(&mut self, key: Key, sum: Sum) {
+        let key = if self.0.len() >= MAX_KEYS && !self.0.contains_key(&key) {
+            Key {
+                function: Arc::from(OTHER_FUNCTIONS),
+                ..key
+            }
+        } else {
+            key
+        };
+        self.0.entry(key).or_default().add(sum);
+    }
+
+    /// Adds all amounts of `other`.
+    pub fn add_all(&mut self, other: &Sums) {
+        for (key, sum) in &other.0 {
+            self.add(key.clone(), *sum);
+        }
+    }
+
+    /// There is no amount.
+    pub fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    /// The amounts added up by whatever `group` makes of their keys.
+    pub fn by<K: Ord>(&self, group: impl Fn(&Key) -> K) -> BTreeMap<K, Sum> {
+        let mut groups: BTreeMap<K, Sum> = BTreeMap::new();
+        for (key, sum) in &self.0 {
+            groups.entry(group(key)).or_default().add(*sum);
+        }
+        groups
+    }
+
+    /// The same with settled usage subtracted from uncertain usage, hour by hour.
+    pub fn without_settled(&self) -> Sums {
+        let mut out = Sums::default();
+        for (key, sum) in self.0.iter().filter(|(key, _)| key.kind != Kind::Settled) {
+            let mut sum = *sum;
+            if key.kind == Kind::Uncertain
+                && let Some(settled) = self.0.get(&Key {
+                    kind: Kind::Settled,
+                    ..key.clone()
+                })
+            {
+                sum.subtract(*settled);
+            }
+            out.0.insert(key.clone(), sum);
+        }
+        out
+    }
+
+    /// All amounts added up.
+    pub fn total(&self) -> Sum {
+        self.by(|_| ()).remove(&()).unwrap_or_default()
+    }
+}
--- a/crates/usage-metering/tests/metered.rs
+++ b/crates/usage-metering/tests/metering.rs
@@ -1,11 +1,11 @@
-//! What each thing costs whom; parts that add up; books that join in any order.
+//! What each dispatch and load order costs whom; sums that add up exactly; reports that merge in any order.
 
 use std::sync::Arc;
 
 use cedarpulley::interface::{CopyStatus, DispatchOutcome};
-use cedarpulley_usage_metering::books::{Book, Measured};
-use cedarpulley_usage_metering::sums::{HOUR, Key, Kind, OTHERS, Readings, Sum, Sums};
-use cedarpulley_usage_metering::{Ended, Held, Load, Meter};
+use cedarpulley_usage_metering::report::{Book, SourceUsage};
+use cedarpulley_usage_metering::usage::{Key, Kind, MICROS_PER_HOUR, OTHER_FUNCTIONS, Sum, Sums};
+use cedarpulley_usage_metering::{Ended, Held, Load, Meter, Readings};
 use proptest::prelude::*;
 
 const HELD: Held = Held {
@@ -17,7 +17,7 @@
 
 fn ended(outcome: DispatchOutcome, note: CopyStatus, held: Option<Held>) -> Ended<'static> {
     let (worker, account, function) = (1, "amber", "f");
-    let wall = 5 * HOUR + 1;
+    let wall = 5 * MICROS_PER_HOUR + 1;
     Ended {
         wall,
         worker,
@@ -32,11 +32,11 @@
     }
 }
 
-/// What came of it: sums and readings together.
-fn booked(meter: &mut Meter) -> Book {
+/// What the meter measured: sums and readings together.
+fn report_of(meter: &mut Meter) -> Book {
     let part = meter.take();
     assert!(meter.take().is_empty());
-    let measured = Measured {
+    let measured = SourceUsage {
         number: 1,
         router: "r".into(),
         sums: part.sums,
@@ -50,7 +50,7 @@
 fn kinds(act: impl FnOnce(&mut Meter)) -> Vec<(Kind, u128)> {
     let mut meter = Meter::default();
     act(&mut meter);
-    booked(&mut meter)
+    report_of(&mut meter)
         .sums()
         .0
         .iter()
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_is_told_counts_and_what_is_not_is_uncertain() {
+fn reported_usage_counts_and_unreported_usage_is_uncertain() {
     let of = |outcome, note, held| kinds(|m| m.ended(ended(outcome, note, held)));
     let found = of(DispatchOutcome::Succeeded, CopyStatus::Warm, Some(HELD));
     assert_eq!(found, [(Kind::Running, 700), (Kind::Idle, 300)]);
@@ -136,9 +136,10 @@
     assert_eq!(load(false, None), [(Kind::Uncertain, 90)]);
 }
 
-/// Symptom: an answer is lost, or the router that heard it killed; the next one tells all, to whomever.
+/// Symptom: a response is lost, or the router that received it killed; the next one has the whole total, whichever router
+/// receives it.
 #[test]
-fn a_lost_answer_is_made_good_by_the_next_and_two_routers_count_it_once() {
+fn a_lost_response_is_covered_by_the_next_and_two_routers_count_it_once() {
     let told = |running| {
         Some(Held {
             running,
@@ -152,8 +153,8 @@
     // The answer that told 1,400 never arrived.
     other.ended(answer(2_100));
     one.ended(answer(1_500));
-    let mut book = booked(&mut one);
-    let mut theirs = booked(&mut other);
+    let mut book = report_of(&mut one);
+    let mut theirs = report_of(&mut other);
     theirs.measured = theirs.measured.into_values().map(|m| (2, m)).collect();
     book.join(theirs.clone());
     book.join(theirs);
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn what_is_read_in_a_later_hour_counts_there_and_only_the_rest() {
+fn a_reading_of_a_later_hour_counts_only_its_increase() {
     let mut meter = Meter::default();
     for (hour, running) in [(5, 700), (7, 1_000), (7, 1_100), (8, 1_100)] {
         let told = Some(Held {
@@ -176,11 +177,11 @@
             ..HELD
         });
         meter.ended(Ended {
-            wall: hour * HOUR,
+            wall: hour * MICROS_PER_HOUR,
             ..ended(DispatchOutcome::Succeeded, CopyStatus::Warm, told)
         });
     }
-    let by: Vec<_> = booked(&mut meter)
+    let by: Vec<_> = report_of(&mut meter)
         .sums()
         .by(|k| k.hour)
         .into_iter()
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn an_uncertain_line_is_settled_by_the_same_life_and_stays_with_another() {
+fn uncertain_usage_is_settled_by_the_same_incarnation_only() {
     let silent = ended(DispatchOutcome::TimedOut, CopyStatus::Unreported, None);
     let heard = |life| {
         ended(
@@ -202,7 +203,7 @@
     let uncertain = |events: &[Ended<'static>]| {
         let mut meter = Meter::default();
         events.iter().for_each(|e| meter.ended(*e));
-        booked(&mut meter)
+        report_of(&mut meter)
             .sums()
             .by(|k| k.kind)
             .get(&Kind::Uncertain)
@@ -254,7 +255,7 @@
 
 proptest! {
     #[test]
-    fn parts_add_up_to_the_last_digit(some in sums(), others in sums()) {
+    fn parts_add_up_exactly(some in sums(), others in sums()) {
         let mut all = some.clone();
         all.add_all(&others);
         let mut total = some.total();
@@ -267,7 +268,7 @@
     }
 
     #[test]
-    fn books_join_in_any_order_and_twice(states in proptest::collection::vec((0..4u128, 0..5u64, sums()), 0..12)) {
+    fn reports_merge_in_any_order_and_twice(states in proptest::collection::vec((0..4u128, 0..5u64, sums()), 0..12)) {
         // Of one source a number stands for one state.
         let mut seen = std::collections::HashMap::new();
         let books: Vec<Book> = states
@@ -277,9 +278,9 @@
                 let router = format!("r{source}");
                 let mut readings = Readings::default();
                 for (key, sum) in &sums.0 {
-                    readings.read(number, key.clone(), sum.byte_us);
+                    readings.record(number, key.clone(), sum.byte_us);
                 }
-                Book { measured: [(source, Measured { number, router, sums })].into(), readings }
+                Book { measured: [(source, SourceUsage { number, router, sums })].into(), readings }
             })
             .collect();
         let mut forth = Book::default();
@@ -292,7 +293,7 @@
 
 /// Symptom: the disk fails for days, and each part that comes back is kept on top of the others.
 #[test]
-fn what_comes_back_is_bounded_and_what_has_no_room_is_counted() {
+fn restored_readings_are_bounded_and_dropped_ones_counted() {
     let (mut meter, mut tried) = (Meter::default(), 0);
     for round in 0..3u64 {
         let part = meter.take();
@@ -312,7 +313,7 @@
         meter.give_back(&part);
     }
     let left_out = meter.left_out;
-    let book = booked(&mut meter);
+    let book = report_of(&mut meter);
     assert!(
         book.readings.0.len() <= 100_000,
         "{}",
@@ -322,7 +323,7 @@
 }
 
 #[test]
-fn too_many_functions_lose_their_names_and_nothing_else() {
+fn too_many_functions_lose_only_their_names() {
     let mut sums = Sums::default();
     for n in 0..100_010u64 {
         let key = Key {
@@ -346,5 +347,5 @@
             count: 100_010
         }
     );
-    assert_eq!(sums.by(|k| k.function.clone())[OTHERS].count, 10);
+    assert_eq!(sums.by(|k| k.function.clone())[OTHER_FUNCTIONS].count, 10);
 }
