--- /dev/null
+++ b/crates/usage-store/src/ledger.rs
@@ -0,0 +1,206 @@
+//! The file of metered usage.
+
+use std::path::Path;
+
+use cedarpulley_usage_metering::report::{Book, Source, SourceUsage};
+use cedarpulley_usage_metering::usage::{Sum, Sums};
+use cedarpulley_usage_metering::{Part, Readings};
+use redb::{Database, ReadTransaction, ReadableDatabase, ReadableTable};
+
+use crate::error::{Failed, UnreadableReason, unopened, unreadable, unwritten};
+use crate::tables::{self, ABOUT, FORMAT, FORMAT_KEY, READINGS, SOURCES, SUMS};
+
+/// One file, open for writing by one process.
+pub struct Ledger {
+    database: Database,
+}
+
+impl Ledger {
+    /// Opens the file, or creates it if there is none. The file of a killed process is repaired; all of it is
+    /// checked.
+    pub fn open(path: &Path) -> Result<Ledger, Failed> {
+        if !path.exists() {
+            create(path)?;
+        }
+        // Symptom: a flipped bit in the middle, at which the store's own checks panic.
+        let checked = std::panic::catch_unwind(|| -> Result<Database, Failed> {
+            let mut database = Database::open(path).map_err(unopened)?;
+            database.check_integrity().map_err(unreadable)?;
+            Ok(database)
+        });
+        let database = checked.unwrap_or_else(|_| Err(UnreadableReason::Damaged.into()))?;
+        Ledger::with_format(database)
+    }
+
+    /// Checks that the database is of this build's format; an empty one is given it.
+    fn with_format(database: Database) -> Result<Ledger, Failed> {
+        match stored_format(&database)? {
+            Some(FORMAT) => {}
+            Some(format) => return Err(UnreadableReason::LaterFormat { format }.into()),
+            None => initialize(&database)?,
+        }
+        Ok(Ledger { database })
+    }
+
+    /// Adds usage to what `source` measured, and merges its readings. The usage is on the disk when this returns.
+    /// Returns the number of the source's write.
+    pub fn add(&self, source: Source, router: &str, delta: &Part) -> Result<u64, Failed> {
+        let writing = self.database.begin_write().map_err(unwritten)?;
+        let number;
+        {
+            let mut sources = writing.open_table(SOURCES).map_err(unwritten)?;
+            number = sources
+                .get(source)
+                .map_err(unwritten)?
+                .map_or(0, |row| row.value().0)
+                + 1;
+            sources
+                .insert(source, (number, router))
+                .map_err(unwritten)?;
+            let mut sums = writing.open_table(SUMS).map_err(unwritten)?;
+            for (key, added) in &delta.sums.0 {
+                let row = tables::sum_key(source, key);
+                let mut sum = sums
+                    .get(row)
+                    .map_err(unwritten)?
+                    .map_or_else(Sum::default, |stored| tables::sum(stored.value()));
+                sum.add(*added);
+                sums.insert(row, (sum.byte_us, sum.count))
+                    .map_err(unwritten)?;
+            }
+            let mut readings = writing.open_table(READINGS).map_err(unwritten)?;
+            tables::merge_readings(&mut readings, &delta.readings)?;
+        }
+        writing.commit().map_err(unwritten)?;
+        Ok(number)
+    }
+
+    /// All usage in the file, as of one moment.
+    pub fn book(&self) -> Result<Book, Failed> {
+        let reading = self.database.begin_read().map_err(unreadable)?;
+        let mut report = Book::default();
+        read_sources(&reading, &mut report)?;
+        read_sums(&reading, &mut report)?;
+        read_readings(&reading, &mut report.readings)?;
+        Ok(report)
+    }
+
+    /// Merges the usage of other ledgers into this one: of each source the later state counts.
+    pub fn join(&self, other: &Book) -> Result<(), Failed> {
+        let before = self.book()?;
+        let mut merged = before.clone();
+        merged.join(other.clone());
+        let writing = self.database.begin_write().map_err(unwritten)?;
+        {
+            let mut sources = writing.open_table(SOURCES).map_err(unwritten)?;
+            let mut sums = writing.open_table(SUMS).map_err(unwritten)?;
+            for (source, usage) in &merged.measured {
+                if before.measured.get(source) == Some(usage) {
+                    continue;
+                }
+                sources
+                    .insert(source, (usage.number, usage.router.as_str()))
+                    .map_err(unwritten)?;
+                for (key, sum) in &usage.sums.0 {
+                    sums.insert(tables::sum_key(*source, key), (sum.byte_us, sum.count))
+                        .map_err(unwritten)?;
+                }
+            }
+            let mut readings = writing.open_table(READINGS).map_err(unwritten)?;
+            tables::merge_readings(&mut readings, &other.readings)?;
+        }
+        writing.commit().map_err(unwritten)
+    }
+}
+
+/// Creates a file with empty tables. It is made under another name, as a kill between the first bytes of a new file
+/// would leave one that is no ledger.
+fn create(path: &Path) -> Result<(), Failed> {
+    let temporary = path.with_extension("new");
+    if let Err(error) = std::fs::remove_file(&temporary)
+        && error.kind() != std::io::ErrorKind::NotFound
+    {
+        return Err(io_failed(error));
+    }
+    drop(Ledger::with_format(
+        Database::create(&temporary).map_err(unwritten)?,
+    )?);
+    std::fs::rename(&temporary, path).map_err(io_failed)?;
+    let folder = path
+        .parent()
+        .filter(|parent| !parent.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
+    std::fs::File::open(folder)
+        .and_then(|folder| folder.sync_all())
+        .map_err(io_failed)
+}
+
+fn io_failed(error: std::io::Error) -> Failed {
+    Failed::Unwritten(redb::Error::Io(error))
+}
+
+/// Absent if the database is empty.
+fn stored_format(database: &Database) -> Result<Option<u64>, Failed> {
+    let reading = database.begin_read().map_err(unreadable)?;
+    match reading.open_table(ABOUT) {
+        Ok(about) => {
+            let format = about.get(FORMAT_KEY).map_err(unreadable)?;
+            Ok(format.map(|format| format.value()))
+        }
+        Err(redb::TableError::TableDoesNotExist(_)) => Ok(None),
+        Err(error) => Err(unreadable(error)),
+    }
+}
+
+fn initialize(database: &Database) -> Result<(), Failed> {
+    let writing = database.begin_write().map_err(unwritten)?;
+    {
+        let mut about = writing.open_table(ABOUT).map_err(unwritten)?;
+        about.insert(FORMAT_KEY, FORMAT).map_err(unwritten)?;
+        writing.open_table(SOURCES).map_err(unwritten)?;
+        writing.open_table(SUMS).map_err(unwritten)?;
+        writing.open_table(READINGS).map_err(unwritten)?;
+    }
+    writing.commit().map_err(unwritten)
+}
+
+fn read_sources(reading: &ReadTransaction, report: &mut Book) -> Result<(), Failed> {
+    let table = reading.open_table(SOURCES).map_err(unreadable)?;
+    for row in table.iter().map_err(unreadable)? {
+        let (source, value) = row.map_err(unreadable)?;
+        let (number, router) = value.value();
+        let usage = SourceUsage {
+            number,
+            router: router.to_owned(),
+            sums: Sums::default(),
+        };
+        report.measured.insert(source.value(), usage);
+    }
+    Ok(())
+}
+
+fn read_sums(reading: &ReadTransaction, report: &mut Book) -> Result<(), Failed> {
+    let table = reading.open_table(SUMS).map_err(unreadable)?;
+    for row in table.iter().map_err(unreadable)? {
+        let (row, value) = row.map_err(unreadable)?;
+        let (source, hour, account, function, kind) = row.value();
+        let key = tables::key(hour, account, function, kind)?;
+        let usage = report
+            .measured
+            .get_mut(&source)
+            .ok_or(UnreadableReason::UnknownSource)?;
+        usage.sums.0.insert(key, tables::sum(value.value()));
+    }
+    Ok(())
+}
+
+fn read_readings(reading: &ReadTransaction, readings: &mut Readings) -> Result<(), Failed> {
+    let table = reading.open_table(READINGS).map_err(unreadable)?;
+    for row in table.iter().map_err(unreadable)? {
+        let (row, total) = row.map_err(unreadable)?;
+        let (incarnation, hour, account, function, kind) = row.value();
+        let key = tables::key(hour, account, function, kind)?;
+        readings.0.insert((incarnation, key), total.value());
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/usage-store/src/tables.rs
@@ -0,0 +1,85 @@
+//! The tables of a ledger's file, and the conversion between their rows and keys. `tests/file_rows.rs` pins them.
+
+use std::sync::Arc;
+
+use cedarpulley_usage_metering::usage::{Key, Kind, Sum};
+use cedarpulley_usage_metering::{Readings, Source};
+use redb::{ReadableTable, Table, TableDefinition};
+
+use crate::error::{Failed, UnreadableReason, unwritten};
+
+/// The file format of this build; files of a later one are rejected.
+pub const FORMAT: u64 = 1;
+
+/// Holds the file's format, by [`FORMAT_KEY`].
+pub(crate) const ABOUT: TableDefinition<&str, u64> = TableDefinition::new("about");
+pub(crate) const FORMAT_KEY: &str = "format";
+
+/// By source: the number of its last write, and the router's name.
+pub(crate) const SOURCES: TableDefinition<u128, SourceRow> = TableDefinition::new("sources");
+pub(crate) type SourceRow = (u64, &'static str);
+
+/// Source, hour, account, function and kind.
+pub(crate) type SumKey<'a> = (u128, u32, &'a str, &'a str, u8);
+/// Byte-microseconds and count.
+pub(crate) type SumRow = (u128, u64);
+/// What sources measured.
+pub(crate) const SUMS: TableDefinition<SumKey, SumRow> = TableDefinition::new("sums");
+
+/// Incarnation of a worker, hour, account, function and kind.
+pub(crate) type ReadingKey<'a> = (u64, u32, &'a str, &'a str, u8);
+/// The largest total that was read, in byte-microseconds.
+pub(crate) const READINGS: TableDefinition<ReadingKey, u128> = TableDefinition::new("readings");
+
+/// A kind's number in rows: its position in [`Kind::ALL`].
+fn kind_number(kind: Kind) -> u8 {
+    Kind::ALL
+        .iter()
+        .position(|other| *other == kind)
+        .unwrap_or(0) as u8
+}
+
+pub(crate) fn sum_key(source: Source, key: &Key) -> SumKey<'_> {
+    let kind = kind_number(key.kind);
+    (source, key.hour, &key.account, &key.function, kind)
+}
+
+fn reading_key(incarnation: u64, key: &Key) -> ReadingKey<'_> {
+    let kind = kind_number(key.kind);
+    (incarnation, key.hour, &key.account, &key.function, kind)
+}
+
+/// The key of a row; fails if the kind's number is unknown.
+pub(crate) fn key(hour: u32, account: &str, function: &str, kind: u8) -> Result<Key, Failed> {
+    let kind = *Kind::ALL
+        .get(usize::from(kind))
+        .ok_or(UnreadableReason::UnknownKind)?;
+    Ok(Key {
+        hour,
+        account: Arc::from(account),
+        function: Arc::from(function),
+        kind,
+    })
+}
+
+pub(crate) fn sum((byte_us, count): SumRow) -> Sum {
+    Sum { byte_us, count }
+}
+
+/// Stores those readings that are larger than the stored ones.
+pub(crate) fn merge_readings(
+    table: &mut Table<ReadingKey<'static>, u128>,
+    readings: &Readings,
+) -> Result<(), Failed> {
+    for ((incarnation, key), total) in &readings.0 {
+        let row = reading_key(*incarnation, key);
+        let stored = table
+            .get(row)
+            .map_err(unwritten)?
+            .map_or(0, |total| total.value());
+        if *total > stored {
+            table.insert(row, *total).map_err(unwritten)?;
+        }
+    }
+    Ok(())
+}
--- a/crates/usage-store/tests/kept.rs
+++ b/crates/usage-store/tests/crash_safety.rs
@@ -1,4 +1,4 @@
-//! A ledger whose writer is killed outright 200 times; files that are damaged, later, joined.
+//! A ledger whose writer is killed 200 times; files that are damaged, in use, or merged.
 
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cedarpulley_usage_metering::Part;
-use cedarpulley_usage_metering::sums::{Key, Kind, Sum};
+use cedarpulley_usage_metering::usage::{Key, Kind, Sum};
 use cedarpulley_usage_store::{Failed, Ledger, Writing};
 use rand::{Rng, SeedableRng};
 
@@ -27,7 +27,7 @@
         function: "g".into(),
         kind: Kind::Loading,
     };
-    part.readings.read(5, key, u128::from(n + 1));
+    part.readings.record(5, key, u128::from(n + 1));
     for kind in [Kind::Running, Kind::Idle] {
         let function = format!("f{}", n % 50).into();
         part.sums.add(
@@ -46,9 +46,9 @@
     part
 }
 
-/// Only with its file set, as the process to be killed: says each number that was acknowledged.
+/// Does something only with its file set, as the process to be killed: prints each number that was acknowledged.
 #[test]
-fn writes_until_it_is_killed() {
+fn writes_until_killed() {
     let Some(file) = std::env::var_os(FILE) else {
         return;
     };
@@ -60,14 +60,14 @@
 }
 
 #[test]
-fn killed_200_times_it_has_all_that_was_acknowledged() {
+fn all_acknowledged_writes_survive_200_kills() {
     let file = folder("killed").join("meter.ledger");
     let me = std::env::current_exe().expect("a path");
     let mut random = rand_pcg::Pcg64Mcg::seed_from_u64(5);
     let mut last = 0;
     for _ in 0..200 {
         let mut child = Command::new(&me)
-            .args(["--exact", "writes_until_it_is_killed", "--nocapture"])
+            .args(["--exact", "writes_until_killed", "--nocapture"])
             .env(FILE, &file)
             .stdout(Stdio::piped())
             .spawn()
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_file_cut_or_flipped_is_refused_or_right_and_never_a_panic() {
+fn a_damaged_file_is_rejected_or_intact_and_never_panics() {
     let at = folder("damaged");
     let file = at.join("meter.ledger");
     let ledger = Ledger::open(&file).expect("it opens");
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_dozen_ledgers_join_in_any_order() {
+fn ledgers_merge_in_any_order() {
     let at = folder("joined");
     let books: Vec<_> = (0..12u128)
         .map(|source| {
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn writing_waits_longer_after_each_failure_and_sets_aside_once() {
+fn writes_back_off_after_failures_and_one_file_is_set_aside() {
     let mut w = Writing::default();
     assert!(w.is_due(0));
     w.wrote(0);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn what_cannot_be_written_is_told() {
+fn a_ledger_in_use_or_out_of_reach_is_an_error() {
     let file = folder("twice").join("meter.ledger");
     let _one = Ledger::open(&file).expect("it opens");
     // Another's is not damaged, and must not be set aside.
--- a/crates/usage-store/tests/file_rows.rs
+++ b/crates/usage-store/tests/file_rows.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use cedarpulley_usage_metering::books::{Book, Measured};
+use cedarpulley_usage_metering::report::{Book, SourceUsage};
 use cedarpulley_usage_metering::{Key, Kind, Part, Sum};
 use cedarpulley_usage_store::{FORMAT, Ledger};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
@@ -55,7 +55,7 @@
         part.sums.add(key(hour, kind), Sum { byte_us, count: n });
     }
     for (kind, n) in KINDS.into_iter().zip(1..).take(3) {
-        part.readings.read(90 + n, key(hour, kind), LARGE * 2);
+        part.readings.record(90 + n, key(hour, kind), LARGE * 2);
     }
     part
 }
@@ -70,10 +70,10 @@
 fn expected() -> Book {
     let mut book = Book::default();
     let of = |number, router: &str, hours: &[u32]| {
-        let mut measured = Measured {
+        let mut measured = SourceUsage {
             number,
             router: router.to_owned(),
-            ..Measured::default()
+            ..SourceUsage::default()
         };
         for hour in hours {
             measured.sums.add_all(&part(*hour).sums);
@@ -84,8 +84,8 @@
         (7, of(2, "r7", &[500_000, 500_001])),
         (LARGE, of(1, "r8", &[500_000])),
     ]);
-    book.readings.join(&part(500_000).readings);
-    book.readings.join(&part(500_001).readings);
+    book.readings.merge(&part(500_000).readings);
+    book.readings.merge(&part(500_001).readings);
     book
 }
 
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn names_of_kinds_keep_their_places() {
+fn kinds_keep_their_names_and_numbers() {
     let names = Kind::ALL.map(Kind::name).join(" ");
     assert_eq!(
         names,
