--- /dev/null
+++ b/crates/certificates/src/reload.rs
@@ -0,0 +1,99 @@
+//! Whether files that have changed replace the certificate that is served.
+
+use cedarpulley::interface::Micros;
+
+use crate::{CertificateError, Read, Refused, Served, judge};
+
+/// A certificate that expires within this time is reported, repeatedly: time enough to get another.
+const EXPIRY_WARNING: Micros = 7 * 86_400_000_000;
+/// A pair that does not match may be half written. It is reported after so many reads.
+const READS_BEFORE_REJECTION: u32 = 3;
+
+/// What to do about files that were read.
+#[derive(Debug)]
+pub enum Step {
+    /// Nothing: there is no change, or it has been reported already.
+    Keep,
+    /// Read again soon: the files may be half written.
+    LookAgain,
+    /// Serve this.
+    Replace(Served),
+    /// Report this; what is served goes on being served.
+    Refuse(Refused),
+}
+
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct FilePair {
+    certificate: Read,
+    key: Read,
+}
+
+impl FilePair {
+    fn has_contents_of(&self, other: &FilePair) -> bool {
+        self.certificate.bytes == other.certificate.bytes && self.key.bytes == other.key.bytes
+    }
+}
+
+/// What is served, and how often the same invalid files have been read.
+#[derive(Debug)]
+pub struct Keeper {
+    served: FilePair,
+    expires_at: Micros,
+    /// The files that were read last, if they were invalid.
+    invalid: Option<FilePair>,
+    failed_reads: u32,
+}
+
+impl Keeper {
+    /// Begins with a pair that is served, and the time at which it expires, in microseconds since 1970.
+    pub fn new(certificate: Read, key: Read, ends: Micros) -> Self {
+        Keeper {
+            served: FilePair { certificate, key },
+            expires_at: ends,
+            invalid: None,
+            failed_reads: 0,
+        }
+    }
+
+    /// Takes the certificate's and the key's file as they are now; absent if one could not be read, as while it is
+    /// being replaced. `wall`: microseconds since 1970.
+    pub fn offered(&mut self, wall: Micros, files: Option<(Read, Read)>) -> Step {
+        let Some((certificate, key)) = files else {
+            return self.on_failed_read(CertificateError::Unreadable);
+        };
+        let files = FilePair { certificate, key };
+        if files.has_contents_of(&self.served) {
+            (self.invalid, self.failed_reads) = (None, 0);
+            return Step::Keep;
+        }
+        // Symptom: the certificate has been written, its key not yet.
+        if self.invalid.as_ref() != Some(&files) {
+            (self.invalid, self.failed_reads) = (Some(files.clone()), 0);
+        }
+        match judge(&files.certificate, &files.key, wall) {
+            Ok(served) => {
+                self.served = files;
+                self.expires_at = served.ends;
+                (self.invalid, self.failed_reads) = (None, 0);
+                Step::Replace(served)
+            }
+            Err(error) => self.on_failed_read(error),
+        }
+    }
+
+    /// Reports an error once, not at every read.
+    fn on_failed_read(&mut self, error: CertificateError) -> Step {
+        self.failed_reads += 1;
+        match self.failed_reads {
+            1..READS_BEFORE_REJECTION => Step::LookAgain,
+            READS_BEFORE_REJECTION => Step::Refuse(error.into()),
+            _ => Step::Keep,
+        }
+    }
+
+    /// The time until what is served expires, if it expires soon.
+    pub fn ends_soon(&self, wall: Micros) -> Option<Micros> {
+        let remaining = self.expires_at - wall;
+        (remaining < EXPIRY_WARNING).then_some(remaining)
+    }
+}
--- /dev/null
+++ b/crates/certificates/src/validation.rs
@@ -0,0 +1,83 @@
+//! Whether a certificate chain and its key may be served.
+
+use cedarpulley::interface::Micros;
+use rustls::pki_types::pem::PemObject;
+use rustls::pki_types::{CertificateDer, PrivateKeyDer};
+use x509_parser::prelude::{FromDer, X509Certificate};
+
+use crate::{CertificateError, Read, Which};
+
+/// Bits of a file's mode by which others than its owner may access it.
+const ACCESS_BY_OTHERS: u32 = 0o077;
+const PERMISSION_BITS: u32 = 0o777;
+
+/// A chain and its key that may be served.
+#[derive(Debug)]
+pub struct Served {
+    /// The chain, its own certificate first.
+    pub chain: Vec<CertificateDer<'static>>,
+    /// The private key.
+    pub key: PrivateKeyDer<'static>,
+    /// When the first of the certificates expires, in microseconds since 1970.
+    pub ends: Micros,
+}
+
+/// Reads the certificates of a file, of which there has to be at least one.
+pub fn chain(which: Which, bytes: &[u8]) -> Result<Vec<CertificateDer<'static>>, CertificateError> {
+    let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(bytes).collect();
+    match chain {
+        Ok(chain) if !chain.is_empty() => Ok(chain),
+        Ok(_) => Err(CertificateError::Empty(which)),
+        Err(_) => Err(CertificateError::NotPem(which)),
+    }
+}
+
+/// Checks whether a certificate and its key may be served. `wall`: microseconds since 1970.
+pub fn judge(certificate: &Read, key: &Read, wall: Micros) -> Result<Served, CertificateError> {
+    let chain = chain(Which::Certificate, &certificate.bytes)?;
+    if key.mode & ACCESS_BY_OTHERS != 0 {
+        return Err(CertificateError::KeyExposed {
+            mode: key.mode & PERMISSION_BITS,
+        });
+    }
+    let key = PrivateKeyDer::from_pem_slice(&key.bytes).map_err(|_| CertificateError::NoKey)?;
+    let ends = earliest_expiry(&chain, wall)?;
+    check_key(&chain, &key)?;
+    Ok(Served { chain, key, ends })
+}
+
+/// When the first of the certificates expires. Fails if one of them is not valid at `wall`.
+fn earliest_expiry(chain: &[CertificateDer], wall: Micros) -> Result<Micros, CertificateError> {
+    let mut earliest = Micros::MAX;
+    for (number, der) in (1..).zip(chain) {
+        let (_, certificate) =
+            X509Certificate::from_der(der).map_err(|_| CertificateError::Malformed { number })?;
+        let validity = certificate.validity();
+        let micros = |seconds: i64| seconds.saturating_mul(1_000_000);
+        let not_before = micros(validity.not_before.timestamp());
+        let not_after = micros(validity.not_after.timestamp());
+        if wall > not_after {
+            return Err(CertificateError::Expired { number });
+        }
+        if wall < not_before {
+            return Err(CertificateError::NotYetValid { number });
+        }
+        earliest = earliest.min(not_after);
+    }
+    Ok(earliest)
+}
+
+fn check_key(
+    chain: &[CertificateDer<'static>],
+    key: &PrivateKeyDer<'static>,
+) -> Result<(), CertificateError> {
+    let signing_key = rustls::crypto::ring::default_provider()
+        .key_provider
+        .load_private_key(key.clone_key())
+        .map_err(|_| CertificateError::UnsupportedKey)?;
+    match rustls::sign::CertifiedKey::new(chain.to_vec(), signing_key).keys_match() {
+        // A kind of key that does not reveal its public half cannot be checked, and is accepted.
+        Ok(()) | Err(rustls::Error::InconsistentKeys(rustls::InconsistentKeys::Unknown)) => Ok(()),
+        Err(_) => Err(CertificateError::KeyMismatch),
+    }
+}
--- a/crates/certificates/tests/certificates.rs
+++ b/crates/certificates/tests/certificates.rs
@@ -1,4 +1,4 @@
-//! Pairs that may not serve, files half written, and whom certificates speak for.
+//! Invalid pairs, half-written files, and the accounts of client certificates.
 
 use cedarpulley_certificates::{Keeper, Read, Speakers, Step, Which, judge};
 use rcgen::{CertificateParams, DnType, KeyPair, date_time_ymd};
@@ -26,36 +26,44 @@
 }
 
 #[test]
-fn what_may_not_serve_is_named() {
+fn each_invalid_pair_is_rejected_with_its_cause() {
     let (certificate, key) = pair((2025, 2027), "a");
     let served = judge(&certificate, &key, WALL).expect("good");
     assert_eq!(served.ends, WALL + 365 * DAY);
-    let wrong = |c: &Read, k: &Read, wall| judge(c, k, wall).map(|_| ()).expect_err("refused");
+    let rejection = |certificate: &Read, key: &Read, wall| {
+        judge(certificate, key, wall)
+            .map(|_| ())
+            .expect_err("refused")
+    };
     let open = Read {
         mode: 0o100_640,
         ..key.clone()
     };
-    assert_eq!(wrong(&certificate, &open, WALL).which(), Which::Key);
-    assert!(wrong(&certificate, &open, WALL).to_string().contains("640"));
+    assert_eq!(rejection(&certificate, &open, WALL).which(), Which::Key);
+    assert!(
+        rejection(&certificate, &open, WALL)
+            .to_string()
+            .contains("640")
+    );
     assert!(
-        wrong(&certificate, &key, WALL + 366 * DAY)
+        rejection(&certificate, &key, WALL + 366 * DAY)
             .to_string()
             .contains("expired")
     );
     assert!(
-        wrong(&certificate, &key, WALL - 366 * DAY)
+        rejection(&certificate, &key, WALL - 366 * DAY)
             .to_string()
             .contains("not valid yet")
     );
     let (_, other) = pair((2025, 2027), "b");
     assert!(
-        wrong(&certificate, &other, WALL)
+        rejection(&certificate, &other, WALL)
             .to_string()
             .contains("does not belong")
     );
-    assert_eq!(wrong(&key, &key, WALL).which(), Which::Certificate);
+    assert_eq!(rejection(&key, &key, WALL).which(), Which::Certificate);
     assert_eq!(
-        wrong(
+        rejection(
             &certificate,
             &Read {
                 bytes: b"x".to_vec(),
@@ -69,25 +77,31 @@
 }
 
 #[test]
-fn a_half_written_pair_waits_and_a_wrong_one_changes_nothing() {
+fn a_half_written_pair_is_read_again_and_an_invalid_one_not_served() {
     let (old, new) = (pair((2025, 2027), "a"), pair((2025, 2027), "a"));
-    let mut k = Keeper::new(old.0.clone(), old.1.clone(), WALL + 365 * DAY);
-    assert!(matches!(k.offered(WALL, Some(old.clone())), Step::Keep));
+    let mut keeper = Keeper::new(old.0.clone(), old.1.clone(), WALL + 365 * DAY);
+    assert!(matches!(
+        keeper.offered(WALL, Some(old.clone())),
+        Step::Keep
+    ));
     // The certificate first, its key a moment later.
     let half = (new.0.clone(), old.1.clone());
     assert!(matches!(
-        k.offered(WALL, Some(half.clone())),
+        keeper.offered(WALL, Some(half.clone())),
         Step::LookAgain
     ));
-    assert!(matches!(k.offered(WALL, None), Step::LookAgain));
+    assert!(matches!(keeper.offered(WALL, None), Step::LookAgain));
     assert!(matches!(
-        k.offered(WALL, Some(new.clone())),
+        keeper.offered(WALL, Some(new.clone())),
         Step::Replace(_)
     ));
-    assert!(matches!(k.offered(WALL, Some(new.clone())), Step::Keep));
-    // A pair that stays wrong is told of once.
+    assert!(matches!(
+        keeper.offered(WALL, Some(new.clone())),
+        Step::Keep
+    ));
+    // A pair that stays invalid is reported once.
     let steps: Vec<Step> = (0..6)
-        .map(|_| k.offered(WALL, Some(half.clone())))
+        .map(|_| keeper.offered(WALL, Some(half.clone())))
         .collect();
     assert!(matches!(
         steps[..],
@@ -100,29 +114,34 @@
             Step::Keep
         ]
     ));
-    // What is there again is what is served.
-    assert!(matches!(k.offered(WALL, Some(new)), Step::Keep));
-    assert!(k.ends_soon(WALL).is_none() && k.ends_soon(WALL + 360 * DAY) == Some(5 * DAY));
+    // The files are again those that are served.
+    assert!(matches!(keeper.offered(WALL, Some(new)), Step::Keep));
+    assert!(
+        keeper.ends_soon(WALL).is_none() && keeper.ends_soon(WALL + 360 * DAY) == Some(5 * DAY)
+    );
 }
 
 #[test]
-fn a_certificate_speaks_for_the_account_that_its_name_is_given_to() {
+fn a_client_certificate_is_bound_to_the_account_of_its_name() {
     let der = |name| {
         let (certificate, key) = pair((2025, 2027), name);
         judge(&certificate, &key, WALL).expect("good").chain[0].to_vec()
     };
-    let mut s = Speakers::default();
-    assert!(s.give("amber-client".into(), 0) && s.give("birch-client".into(), 1));
-    assert!(!s.give("amber-client".into(), 1));
+    let mut accounts = Speakers::default();
+    assert!(accounts.give("amber-client".into(), 0) && accounts.give("birch-client".into(), 1));
+    assert!(!accounts.give("amber-client".into(), 1));
     assert_eq!(
         (
-            s.account(&der("amber-client")),
-            s.account(&der("birch-client"))
+            accounts.account(&der("amber-client")),
+            accounts.account(&der("birch-client"))
         ),
         (Some(0), Some(1))
     );
     assert_eq!(
-        (s.account(&der("nobody")), s.account(b"no certificate")),
+        (
+            accounts.account(&der("nobody")),
+            accounts.account(b"no certificate")
+        ),
         (None, None)
     );
 }
