--- /dev/null
+++ b/crates/fuzz/src/kserve.rs
@@ -0,0 +1,102 @@
+//! Readers of KServe v2: requests of clients over HTTP and gRPC, and responses of workers.
+
+use bytes::Bytes;
+use cedarpulley_kserve::grpc::inference::{ModelInferRequest, ModelInferResponse};
+use cedarpulley_kserve::tensors::{Rest, request, response};
+use cedarpulley_kserve::{client_requests, grpc, repository_index};
+use http::{HeaderMap, HeaderName, HeaderValue, Method};
+use prost::Message;
+
+/// Raw tensors that are converted from typed ones are at most this many times longer than the JSON: texts get four
+/// bytes of length each, and a whole number of one digit and its comma becomes up to eight bytes.
+const MAX_RAW_GROWTH: usize = 8;
+
+/// The body of a worker's response to infer: JSON, and raw tensors from `json_length` on. Its conversion has a
+/// bounded size.
+pub fn infer_response(bytes: &[u8], json_length: Option<u16>) {
+    let bytes = Bytes::copy_from_slice(bytes);
+    let size = bytes.len();
+    if let Ok(message) = response(&Rest {
+        bytes,
+        json: json_length.map(u32::from),
+    }) {
+        let raw: usize = message.raw_output_contents.iter().map(Bytes::len).sum();
+        assert!(raw <= MAX_RAW_GROWTH * size, "{raw} raw bytes from {size}");
+    }
+}
+
+/// A worker's index. No more is retained than was received.
+pub fn worker_index(bytes: &[u8]) {
+    if let Ok(index) = repository_index::of(200, &HeaderMap::new(), bytes) {
+        let retained: usize = index
+            .models
+            .iter()
+            .map(|model| {
+                let sequences = model.sequences.iter().flatten();
+                model.function.len() + sequences.map(String::len).sum::<usize>()
+            })
+            .sum();
+        assert!(retained <= 2 * bytes.len(), "more than was received");
+    }
+}
+
+/// The body of a gRPC call. What is taken out of its frame has the stated length.
+pub fn grpc_body(bytes: &[u8]) {
+    let Ok(message) = grpc::unframe(Bytes::copy_from_slice(bytes)) else {
+        return;
+    };
+    let stated_length = bytes[1..grpc::FRAME]
+        .iter()
+        .fold(0, |length, byte| length << 8 | usize::from(*byte));
+    assert_eq!(
+        (message.len(), message.len() + grpc::FRAME),
+        (stated_length, bytes.len())
+    );
+    grpc_message(&message);
+}
+
+/// A gRPC message. A request that can be converted becomes JSON with all raw tensors after it.
+pub fn grpc_message(bytes: &[u8]) {
+    let Ok(message) = ModelInferRequest::decode(bytes) else {
+        return;
+    };
+    if let Ok(body) = request(&message) {
+        let json_length = body.json.map_or(body.bytes.len(), |length| length as usize);
+        assert_eq!(body.bytes[..json_length].first(), Some(&b'{'));
+        let raw: usize = message.raw_input_contents.iter().map(Bytes::len).sum();
+        assert_eq!(body.bytes.len() - json_length, raw);
+    }
+    let _ = ModelInferResponse::decode(bytes);
+}
+
+/// A path, and headers: each has the number of a name, and a value. What is read keeps to its bounds.
+pub fn request_head(path: &str, headers: &[(u8, Vec<u8>)]) {
+    const NAMES: [&str; 8] = [
+        "cedarpulley-trigger-type",
+        "cedarpulley-account",
+        "cedarpulley-client-timeout-ms",
+        "cedarpulley-sent-at-us",
+        "cedarpulley-lanes",
+        "inference-header-content-length",
+        "idempotency-key",
+        "grpc-timeout",
+    ];
+    let _ = client_requests::asked(&Method::POST, path);
+    let mut map = HeaderMap::new();
+    for (number, value) in headers {
+        if let Ok(value) = HeaderValue::from_bytes(value) {
+            let name = NAMES[*number as usize % NAMES.len()];
+            map.insert(HeaderName::from_static(name), value);
+        }
+    }
+    if let Ok(read) = client_requests::wanted(&map, 1_000_000) {
+        assert!(
+            read.lanes >= 1
+                && read.waited >= 0
+                && read.client_timeout.is_none_or(|timeout| timeout >= 0)
+        );
+    }
+    if let Ok(Some(timeout)) = grpc::timeout(&map) {
+        assert!(timeout >= 0);
+    }
+}
--- /dev/null
+++ b/crates/fuzz/src/platform.rs
@@ -0,0 +1,66 @@
+//! Readers of the platform's protocols.
+
+use cedarpulley_platform::client_protocol::{MOST_BODY, RequestQueue, RequestRules, TriggerRules};
+use cedarpulley_platform::config::{self, Names};
+use cedarpulley_platform::discovery::{Answers, WorkerListFollower};
+use cedarpulley_platform::worker_protocol::AnswerReader;
+
+/// What a client sends, in pieces. Nothing is read after a request that is malformed, and what is retained is bounded
+/// however much is sent ahead.
+pub fn platform_client(pieces: &[Vec<u8>]) {
+    let names = Names {
+        triggers: vec!["a".into()],
+        accounts: vec!["b".into()],
+        ..Names::default()
+    };
+    let triggers = vec![TriggerRules {
+        longest_wait: 1_000_000,
+        needs_token: false,
+    }];
+    let rules = RequestRules {
+        names,
+        triggers,
+        largest_mb: 1e3,
+    };
+    let mut queue = RequestQueue::default();
+    for piece in pieces.iter().take_while(|piece| piece.len() < 1 << 16) {
+        queue.put(0, piece, &rules);
+        // Those that are queued, and one that is being received, with its chunks or its head.
+        assert!(queue.bytes() <= 4 * MOST_BODY + piece.len());
+    }
+    let mut ended = false;
+    while let Some(next) = queue.take() {
+        assert!(!ended);
+        ended = next
+            .request
+            .is_err_and(|error| !error.leaves_stream_readable());
+    }
+}
+
+/// What a worker sends. What is read is no longer than what was received.
+pub fn platform_worker(bytes: &[u8]) {
+    let mut reader = AnswerReader::default();
+    reader.put(bytes);
+    let mut size = 0;
+    while let Ok(Some(answer)) = reader.next(&[]) {
+        size += answer.id.len() + answer.body.len();
+    }
+    assert!(size <= bytes.len());
+}
+
+/// What the command channel sends, and a configuration. A batch that was applied changes nothing when applied again.
+pub fn platform_channel(bytes: &[u8]) {
+    let mut answers = Answers::default();
+    answers.put(bytes);
+    let (mut follower, names) = (WorkerListFollower::default(), Names::default());
+    while let Ok(Some(batch)) = answers.whole() {
+        if follower.batch(&batch, &names, 0, 0).is_ok() {
+            assert!(
+                follower
+                    .batch(&batch, &names, 0, 0)
+                    .is_ok_and(|repeated| repeated.is_empty())
+            );
+        }
+    }
+    let _ = config::Start::read(&String::from_utf8_lossy(bytes));
+}
--- a/crates/fuzz/tests/targets.rs
+++ b/crates/fuzz/tests/targets.rs
@@ -1,18 +1,23 @@
-//! Each runs for a fixed number of inputs, drawn by the seed in `.cargo/config.toml`, on every test; `cargo bolero`
-//! hunts with the same targets.
+//! Each target runs with a fixed number of inputs, generated from the seed in `.cargo/config.toml`, on every test;
+//! `cargo bolero` runs the same targets for longer.
 
 use bolero::check;
-use cedarpulley_fuzz::*;
+use cedarpulley_fuzz::amqp::{amqp_connection, amqp_frames};
+use cedarpulley_fuzz::kserve::{
+    grpc_body, grpc_message, infer_response, request_head, worker_index,
+};
+use cedarpulley_fuzz::platform::{platform_channel, platform_client, platform_worker};
+use cedarpulley_fuzz::trace::trace_file;
 
-/// Some seconds for all of them in a debug build.
+/// Inputs to a target: all targets take some seconds in a debug build.
 const INPUTS: usize = 20_000;
 
 #[test]
-fn fuzz_rest_body() {
+fn fuzz_infer_response() {
     check!()
         .with_type::<(Vec<u8>, Option<u16>)>()
         .with_iterations(INPUTS)
-        .for_each(|(b, s)| rest_body(b, *s));
+        .for_each(|(bytes, json_length)| infer_response(bytes, *json_length));
 }
 
 #[test]
@@ -29,7 +34,7 @@
     });
 }
 
-/// Bytes drawn freely seldom are JSON: shapes of answers with drawn numbers and ends.
+/// Random bytes seldom are JSON: well-formed responses with random numbers and ends.
 #[test]
 fn fuzz_binary_extension() {
     check!().with_type::<(u8, i16, u16, Vec<u8>, u8)>().with_iterations(INPUTS).for_each(
@@ -43,7 +48,7 @@
             let mut body = [head.as_bytes(), raw].concat();
             let split = if *kind < 128 { head.len() as u16 } else { *split };
             body.truncate(body.len() - (*cut as usize).min(body.len()) / 8);
-            rest_body(&body, Some(split));
+            infer_response(&body, Some(split));
         },
     );
 }
@@ -53,7 +58,7 @@
     check!()
         .with_type::<Vec<u8>>()
         .with_iterations(INPUTS)
-        .for_each(|b| grpc_body(b));
+        .for_each(|bytes| grpc_body(bytes));
 }
 
 #[test]
@@ -61,15 +66,15 @@
     check!()
         .with_type::<Vec<u8>>()
         .with_iterations(INPUTS)
-        .for_each(|b| grpc_message(b));
+        .for_each(|bytes| grpc_message(bytes));
 }
 
 #[test]
-fn fuzz_head() {
+fn fuzz_request_head() {
     check!()
         .with_type::<(String, Vec<(u8, Vec<u8>)>)>()
         .with_iterations(INPUTS)
-        .for_each(|(path, headers)| head(path, headers));
+        .for_each(|(path, headers)| request_head(path, headers));
 }
 
 #[test]
@@ -77,7 +82,7 @@
     check!()
         .with_type::<Vec<Vec<u8>>>()
         .with_iterations(INPUTS)
-        .for_each(|p| amqp_frames(p));
+        .for_each(|pieces| amqp_frames(pieces));
 }
 
 #[test]
@@ -85,7 +90,7 @@
     check!()
         .with_type::<Vec<Vec<u8>>>()
         .with_iterations(INPUTS)
-        .for_each(|p| amqp_connection(p));
+        .for_each(|pieces| amqp_connection(pieces));
 }
 
 #[test]
@@ -103,7 +108,7 @@
         });
 }
 
-/// Drawn bytes seldom are requests: pieces of one, cut and joined as drawn.
+/// Random bytes seldom are requests: pieces of one, cut and joined at random.
 #[test]
 fn fuzz_platform_client() {
     const PARTS: [&[u8]; 12] = [
