--- /dev/null
+++ b/crates/emulators/src/worker/idempotency.rs
@@ -0,0 +1,93 @@
+//! Idempotency keys that a group of workers remembers, so that repeats are answered without a second execution.
+
+use std::collections::HashMap;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+
+use crate::lock;
+
+/// The body of an answer, as it is remembered for repeats.
+#[derive(Clone)]
+pub(super) struct StoredAnswer {
+    pub(super) body: Bytes,
+    /// Length of the leading JSON where raw tensors follow it.
+    pub(super) json_length: Option<usize>,
+}
+
+struct KeyRecord {
+    seen: Instant,
+    /// None until the first execution has ended.
+    answer: Option<StoredAnswer>,
+}
+
+/// Idempotency keys shared by a group of workers.
+#[derive(Clone, Default)]
+pub struct Memory(Arc<Mutex<HashMap<String, KeyRecord>>>);
+
+/// What is known of a key.
+pub(super) enum KeyStatus {
+    Unknown,
+    Executing,
+    Answered(StoredAnswer),
+}
+
+impl Memory {
+    /// Records a key from now on; none if it is known already.
+    pub(super) fn reserve(&self, key: &str, window: Duration) -> Option<KeyReservation> {
+        let mut keys = lock(&self.0);
+        keys.retain(|_, record| record.seen.elapsed() < window);
+        if keys.contains_key(key) {
+            return None;
+        }
+        let record = KeyRecord {
+            seen: Instant::now(),
+            answer: None,
+        };
+        keys.insert(key.to_owned(), record);
+        Some(KeyReservation {
+            keys: self.clone(),
+            key: key.to_owned(),
+            executed: false,
+        })
+    }
+
+    pub(super) fn status(&self, key: &str, window: Duration) -> KeyStatus {
+        match lock(&self.0).get(key) {
+            Some(record) if record.seen.elapsed() < window => record
+                .answer
+                .clone()
+                .map_or(KeyStatus::Executing, KeyStatus::Answered),
+            _ => KeyStatus::Unknown,
+        }
+    }
+
+    pub(super) fn store_answer(&self, key: &str, answer: &StoredAnswer) {
+        if let Some(record) = lock(&self.0).get_mut(key) {
+            record.answer = Some(answer.clone());
+        }
+    }
+}
+
+/// A recorded key whose invocation has not begun: forgotten if it is dropped before, as nothing was executed.
+pub(super) struct KeyReservation {
+    keys: Memory,
+    key: String,
+    executed: bool,
+}
+
+impl KeyReservation {
+    /// The execution begins: the key stays known.
+    pub(super) fn keep(&mut self) {
+        self.executed = true;
+    }
+}
+
+impl Drop for KeyReservation {
+    fn drop(&mut self) {
+        if !self.executed {
+            lock(&self.keys.0).remove(&self.key);
+        }
+    }
+}
--- a/crates/emulators/src/worker/index.rs
+++ b/crates/emulators/src/worker/index.rs
@@ -1,4 +1,4 @@
-//! What a worker holds, as `POST /v2/repository/index` tells it and as tests see it without asking over a socket.
+//! The repository index (`POST /v2/repository/index`): which functions a worker has in memory.
 
 use std::sync::Arc;
 
@@ -8,45 +8,52 @@
 use hyper::{Request, Response, StatusCode};
 use serde_json::{Value, json};
 
-use super::drift::told;
-use super::{Inner, Life, Worker, header};
+use super::routes::header;
+use super::{Worker, WorkerShared};
 use crate::http::{Body, full};
-use crate::lock;
 
-/// Parts the version from the name in a function's name, as it does in paths.
+/// Separates name and version in a function's name, as in paths.
 pub(super) const VERSIONS: &str = "/versions/";
-pub(super) const LIFE: &str = "cedarpulley-life";
-const MEMORY: &str = "cedarpulley-memory-mb";
-const MEMORY_USED: &str = "cedarpulley-memory-used-mb";
-const MOST_QUESTION: usize = 64 << 10;
+const INCARNATION_HEADER: &str = "cedarpulley-life";
+const MEMORY_HEADER: &str = "cedarpulley-memory-mb";
+const MEMORY_USED_HEADER: &str = "cedarpulley-memory-used-mb";
+const MAX_REQUEST: usize = 64 << 10;
 
-/// By whom an order is, and in which term, where it says so.
+/// Which router gave an order, and in which term, where the order says so.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Orderer {
+    /// The router's name.
     pub router: Option<String>,
+    /// Its leadership term.
     pub term: Option<String>,
 }
 
 impl Orderer {
     pub(super) fn of(request: &Request<Incoming>) -> Self {
-        let said = |name: &str| Some(header(request, name)).filter(|v| !v.is_empty());
+        let value = |name: &str| Some(header(request, name)).filter(|v| !v.is_empty());
         Orderer {
-            router: said("cedarpulley-router"),
-            term: said("cedarpulley-term"),
+            router: value("cedarpulley-router"),
+            term: value("cedarpulley-term"),
         }
     }
 }
 
-/// One function with its version, as it is held.
+/// A function in memory, with its version.
 #[derive(Clone, Debug)]
 pub struct Held {
+    /// `NAME` or `NAME/versions/VERSION`.
     pub function: String,
-    /// "READY", "LOADING" or "UNAVAILABLE".
+    /// "READY" or "LOADING".
     pub state: &'static str,
+    /// Copies of it in memory.
     pub copies: usize,
+    /// Invocations that run on it or wait for it.
     pub busy: usize,
+    /// Microseconds since its last use; 0 while it is busy.
     pub idle_us: u64,
+    /// Who gave the last order for it.
     pub by: Orderer,
+    /// Sequences whose prefixes it caches.
     pub sequences: Vec<String>,
 }
 
@@ -75,80 +82,58 @@
 }
 
 impl Worker {
-    /// What it holds in truth, by name.
+    /// The functions it has in memory, sorted by name, read directly and not through its index.
     pub fn held(&self) -> Vec<Held> {
-        lock(&self.inner.life)
-            .as_ref()
-            .map(held)
+        self.shared
+            .with_incarnation(|incarnation| incarnation.held())
             .unwrap_or_default()
     }
 
-    /// The number of its present process; 0 while there is none.
+    /// Id of its present process; 0 while there is none.
     pub fn life(&self) -> u64 {
-        lock(&self.inner.life).as_ref().map_or(0, |l| l.number)
+        self.shared
+            .with_incarnation(|incarnation| incarnation.id())
+            .unwrap_or(0)
     }
 }
 
-fn held(life: &Life) -> Vec<Held> {
-    let mut all: Vec<Held> = Vec::new();
-    for (function, c) in &life.copies {
-        all.push(Held {
-            function: function.clone(),
-            state: match c.stands {
-                None => "LOADING",
-                Some(true) => "READY",
-                Some(false) => "UNAVAILABLE",
-            },
-            copies: c.copies,
-            busy: c.busy,
-            idle_us: if c.busy > 0 {
-                0
-            } else {
-                c.used.elapsed().as_micros() as u64
-            },
-            by: c.by.clone(),
-            sequences: c.prefixes.ids(),
-        });
-    }
-    all.sort_by(|a, b| a.function.cmp(&b.function));
-    all
-}
-
+/// Answers with the index, altered by injected faults.
 pub(super) async fn answer(
-    it: Arc<Inner>,
+    worker: Arc<WorkerShared>,
     from: String,
     request: Request<Incoming>,
 ) -> Response<Body> {
-    let body = Limited::new(request.into_body(), MOST_QUESTION)
+    let body = Limited::new(request.into_body(), MAX_REQUEST)
         .collect()
         .await;
     let Ok(body) = body else {
         return full(StatusCode::BAD_REQUEST, "");
     };
-    let asked: Value = serde_json::from_slice(&body.to_bytes()).unwrap_or_default();
-    it.while_still().await;
+    let query: Value = serde_json::from_slice(&body.to_bytes()).unwrap_or_default();
+    worker.until_responsive().await;
     // All of one moment.
-    let moment = lock(&it.life).as_ref().map(|l| {
+    let snapshot = worker.with_incarnation(|incarnation| {
         (
-            l.number,
-            l.copies.values().map(|c| c.mb).sum::<f64>(),
-            held(l),
+            incarnation.id(),
+            incarnation.memory_used_mb(),
+            incarnation.held(),
         )
     });
-    let Some((life, used, held)) = moment else {
+    let Some((incarnation, memory_used, held)) = snapshot else {
         return full(StatusCode::SERVICE_UNAVAILABLE, "");
     };
-    let held = held
+    let listed = held
         .iter()
-        .filter(|h| asked["ready"] != true || h.state == "READY");
-    let entries = told(&it, held.map(Held::entry).collect());
-    it.log
+        .filter(|h| query["ready"] != true || h.state == "READY");
+    let entries = worker.falsify_index(listed.map(Held::entry).collect());
+    worker
+        .log
         .write("index", json!({"from": from, "entries": entries.len()}));
     let mut response = full(StatusCode::OK, Value::from(entries).to_string());
     let figures = [
-        (LIFE, life),
-        (MEMORY, it.nature.memory_mb as u64),
-        (MEMORY_USED, used.ceil() as u64),
+        (INCARNATION_HEADER, incarnation),
+        (MEMORY_HEADER, worker.profile.memory_mb as u64),
+        (MEMORY_USED_HEADER, memory_used.ceil() as u64),
     ];
     for (name, figure) in figures {
         response
--- /dev/null
+++ b/crates/emulators/src/worker/inference.rs
@@ -0,0 +1,490 @@
+//! An invocation on the worker, from its request to its answer.
+//!
+//! In this order: body read, overload and draining checked, idempotency key reserved, function looked up or loaded,
+//! lane acquired, executed, answered. [`OutcomeLog`] writes how it ended, however it ends.
+
+use std::net::{IpAddr, SocketAddr};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use async_io::Timer;
+use bytes::Bytes;
+use http_body_util::{BodyExt, Limited};
+use hyper::body::Incoming;
+use hyper::header::HeaderValue;
+use hyper::{Request, Response, StatusCode};
+use serde_json::json;
+use smol::lock::SemaphoreGuardArc;
+
+use super::execution::draw_work;
+use super::idempotency::{KeyReservation, KeyStatus, StoredAnswer};
+use super::incarnation::{CopyState, Lookup};
+use super::injected_faults::Malfunction;
+use super::orders::Placement;
+use super::prefix_cache::{self, PrefixMatch, Sequence};
+use super::routes::{header, reject};
+use super::usage::{ActiveUse, Usage, report};
+use super::{Program, STEP, WorkerShared};
+use crate::http::{Body, Cut, full};
+use crate::{Log, lock};
+
+/// Header of KServe's binary-data extension.
+const JSON_LENGTH: &str = "inference-header-content-length";
+const MAX_BODY: usize = 128 << 20;
+/// A repeat waits so long for the answer of the first execution.
+const REPEAT_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Writes to the log how an invocation left, also when its connection was closed.
+struct OutcomeLog {
+    log: Log,
+    cut: Cut,
+    peer: IpAddr,
+    id: String,
+    dispatch: String,
+    outcome: &'static str,
+}
+
+impl Drop for OutcomeLog {
+    fn drop(&mut self) {
+        self.log.write(
+            "left",
+            json!({
+                "id": self.id, "dispatch": self.dispatch, "from": self.peer.to_string(), "how": self.outcome,
+                "unseen_since": self.cut.unseen_since(self.peer),
+            }),
+        );
+    }
+}
+
+/// What an invocation counts as, until this is dropped.
+struct Occupancy {
+    worker: Arc<WorkerShared>,
+    counter: Counter,
+}
+
+enum Counter {
+    Waiting,
+    Running,
+    UserOf(String),
+}
+
+impl Drop for Occupancy {
+    fn drop(&mut self) {
+        self.worker
+            .with_incarnation(|incarnation| match &self.counter {
+                Counter::Waiting => incarnation.dequeue(),
+                Counter::Running => incarnation.end_running(),
+                Counter::UserOf(function) => incarnation.remove_user(function),
+            });
+    }
+}
+
+/// What the request's headers say.
+struct InferenceRequest {
+    id: String,
+    dispatch: String,
+    trigger_type: String,
+    idempotency_key: String,
+    account: String,
+    function: String,
+    /// Length of the leading JSON where raw tensors follow it.
+    json_length: Option<usize>,
+    peer: IpAddr,
+}
+
+impl InferenceRequest {
+    fn new(request: &Request<Incoming>, peer: IpAddr, function: String) -> Self {
+        InferenceRequest {
+            id: header(request, "cedarpulley-invocation"),
+            dispatch: header(request, "cedarpulley-dispatch"),
+            trigger_type: header(request, "cedarpulley-trigger-type"),
+            idempotency_key: header(request, "idempotency-key"),
+            account: header(request, "cedarpulley-account"),
+            function,
+            json_length: header(request, JSON_LENGTH).parse::<usize>().ok(),
+            peer,
+        }
+    }
+}
+
+/// A request whose body has been read and whose trigger type is known.
+struct Inference {
+    worker: Arc<WorkerShared>,
+    request: InferenceRequest,
+    program: Program,
+    work: Duration,
+    body: Bytes,
+    sequence: Option<Sequence>,
+}
+
+/// A lane of a ready function, with what the invocation occupies while it has it.
+struct AcquiredLane {
+    lane: SemaphoreGuardArc,
+    copy: CopyState,
+    /// Users that the function already had.
+    concurrency: usize,
+    usage: Arc<Mutex<Usage>>,
+    user: Occupancy,
+}
+
+/// Answers an inference request.
+pub(super) async fn infer(
+    worker: Arc<WorkerShared>,
+    from: SocketAddr,
+    function: String,
+    http_request: Request<Incoming>,
+) -> Response<Body> {
+    let request = InferenceRequest::new(&http_request, from.ip(), function);
+    let held_since = worker.cut.held_since(request.peer);
+    let program = worker.programs.get(&request.trigger_type).cloned();
+    let work = program.as_ref().map_or(Duration::ZERO, |program| {
+        draw_work(worker.seed, &request.id, program.work)
+    });
+    worker.log.write(
+        "received",
+        json!({
+            "id": request.id, "dispatch": request.dispatch, "from": request.peer.to_string(),
+            "type": request.trigger_type, "function": request.function, "work": work.as_micros() as u64,
+            "held_since": held_since,
+        }),
+    );
+    let mut outcome = OutcomeLog {
+        log: worker.log.clone(),
+        cut: worker.cut.clone(),
+        peer: request.peer,
+        id: request.id.clone(),
+        dispatch: request.dispatch.clone(),
+        outcome: "closed",
+    };
+    let (parts, body) = http_request.into_parts();
+    let body = Limited::new(body, MAX_BODY).collect().await;
+    let (Some(program), Ok(body)) = (program, body) else {
+        outcome.outcome = "refused";
+        return reject(StatusCode::BAD_REQUEST);
+    };
+    let body = body.to_bytes();
+    let json = request
+        .json_length
+        .and_then(|length| body.get(..length))
+        .unwrap_or(&body);
+    let sequence = prefix_cache::sequence_of(&parts.headers, json);
+    let overloaded = worker
+        .with_incarnation(|incarnation| incarnation.overloaded_by(work, &worker.profile))
+        .unwrap_or(false);
+    if overloaded {
+        crash_by_overload(&worker).await;
+    }
+    let inference = Inference {
+        worker,
+        request,
+        program,
+        work,
+        body,
+        sequence,
+    };
+    inference.run(&mut outcome).await
+}
+
+/// The process ends, and with it the task that calls this.
+async fn crash_by_overload(worker: &Arc<WorkerShared>) {
+    worker.log.write("fell", json!({}));
+    let crashing = worker.clone();
+    let crash = async move {
+        let server = lock(&crashing.server).take();
+        drop(server);
+    };
+    worker.ground.executor.spawn(crash).detach();
+    std::future::pending::<()>().await;
+}
+
+impl Inference {
+    async fn run(&self, outcome: &mut OutcomeLog) -> Response<Body> {
+        let (worker, request) = (&self.worker, &self.request);
+        if self.is_turned_away() {
+            outcome.outcome = "refused";
+            return reject(StatusCode::SERVICE_UNAVAILABLE);
+        }
+        let key_window = self
+            .program
+            .window
+            .filter(|_| !request.idempotency_key.is_empty());
+        let mut reservation = None;
+        if let Some(window) = key_window {
+            reservation = worker.idempotency.reserve(&request.idempotency_key, window);
+            if reservation.is_none() {
+                outcome.outcome = "repeat";
+                return self.answer_repeat(window).await;
+            }
+        }
+        let AcquiredLane {
+            lane,
+            copy,
+            concurrency,
+            usage,
+            user: _user,
+        } = match self.acquire_lane(outcome).await {
+            Ok(acquired) => acquired,
+            Err(rejection) => return rejection,
+        };
+        outcome.outcome = "ran";
+        let (prefix, malfunction) = self.execute(lane, &usage, reservation.as_mut()).await;
+        let answer = self.echo();
+        // A failed execution is not remembered as done.
+        if key_window.is_some() && !malfunction.fails {
+            worker
+                .idempotency
+                .store_answer(&request.idempotency_key, &answer);
+        }
+        let faults = worker.faults();
+        if faults.hanging || faults.unanswered_type.as_deref() == Some(&request.trigger_type) {
+            outcome.outcome = "silent";
+            std::future::pending::<()>().await;
+        }
+        outcome.outcome = "answered";
+        let mut response = if malfunction.fails {
+            full(
+                StatusCode::INTERNAL_SERVER_ERROR,
+                r#"{"error":"this version errs"}"#,
+            )
+        } else {
+            answer_response(answer)
+        };
+        self.add_headers(&mut response, copy, concurrency, prefix);
+        report(&mut response, &usage);
+        response
+    }
+
+    /// Draining, down or with too many waiting.
+    fn is_turned_away(&self) -> bool {
+        let worker = &self.worker;
+        let is_full = worker
+            .with_incarnation(|incarnation| incarnation.waiting() >= worker.profile.max_waiting)
+            .unwrap_or(true);
+        worker.faults().draining || is_full
+    }
+
+    fn begin_usage(&self) -> Arc<Mutex<Usage>> {
+        let request = &self.request;
+        Usage::begin(
+            &self.worker,
+            &request.id,
+            &request.account,
+            &request.function,
+            &self.program,
+        )
+    }
+
+    /// The answer to an invocation whose idempotency key is known.
+    async fn answer_repeat(&self, window: Duration) -> Response<Body> {
+        let (worker, request) = (&self.worker, &self.request);
+        worker.log.write(
+            "repeat",
+            json!({"id": request.id, "token": request.idempotency_key}),
+        );
+        let mut response = None;
+        let deadline = Instant::now() + REPEAT_TIMEOUT;
+        while Instant::now() < deadline {
+            match worker.idempotency.status(&request.idempotency_key, window) {
+                KeyStatus::Answered(answer) => {
+                    response = Some(answer_response(answer));
+                    break;
+                }
+                KeyStatus::Executing => Timer::after(STEP).await,
+                KeyStatus::Unknown => break,
+            };
+        }
+        let mut response = response.unwrap_or_else(|| {
+            full(
+                StatusCode::INTERNAL_SERVER_ERROR,
+                "the first one has not ended",
+            )
+        });
+        // It used nothing of its own.
+        report(&mut response, &self.begin_usage());
+        response
+    }
+
+    /// Finds or loads the function and waits for one of its lanes; the error is the rejection.
+    async fn acquire_lane(&self, outcome: &mut OutcomeLog) -> Result<AcquiredLane, Response<Body>> {
+        let (worker, function) = (&self.worker, &self.request.function);
+        let occupy = |counter| Occupancy {
+            worker: worker.clone(),
+            counter,
+        };
+        let Some(concurrency) =
+            worker.with_incarnation(|incarnation| incarnation.enqueue(function))
+        else {
+            return Err(reject(StatusCode::SERVICE_UNAVAILABLE));
+        };
+        let waiting = occupy(Counter::Waiting);
+        let Placement { lookup, load_into } =
+            worker.place(function, &self.program, worker.profile.loads_when_absent);
+        let usage = self.begin_usage();
+        if let Some(into) = load_into {
+            worker.spawn_load(into, function, &self.program, &usage);
+            worker.with_incarnation(|incarnation| incarnation.add_user(function));
+        }
+        let user = occupy(Counter::UserOf(function.clone()));
+        let (lanes, copy) = match lookup {
+            Lookup::Found { lanes, state } => (lanes, state),
+            Lookup::NoCapacity => {
+                outcome.outcome = "refused";
+                return Err(reject(StatusCode::SERVICE_UNAVAILABLE));
+            }
+            Lookup::Absent => {
+                outcome.outcome = "refused";
+                return Err(reject(StatusCode::NOT_FOUND));
+            }
+        };
+        let lane = lanes.acquire_arc().await;
+        if copy != CopyState::Ready && !worker.is_ready(function) {
+            outcome.outcome = "refused";
+            let mut response = reject(StatusCode::NOT_FOUND);
+            response
+                .headers_mut()
+                .insert("cedarpulley-copy", HeaderValue::from_static("load-errored"));
+            return Err(response);
+        }
+        drop(waiting);
+        Ok(AcquiredLane {
+            lane,
+            copy,
+            concurrency,
+            usage,
+            user,
+        })
+    }
+
+    /// Does the invocation's work on its lane.
+    async fn execute(
+        &self,
+        lane: SemaphoreGuardArc,
+        usage: &Arc<Mutex<Usage>>,
+        reservation: Option<&mut KeyReservation>,
+    ) -> (Option<PrefixMatch>, Malfunction) {
+        let (worker, request) = (&self.worker, &self.request);
+        let session = self.sequence.as_ref().map(|s| s.id.as_str());
+        worker.log.write(
+            "ran",
+            json!({
+                "id": request.id, "type": request.trigger_type, "token": request.idempotency_key,
+                "function": request.function, "session": session,
+            }),
+        );
+        // As it is when the work begins.
+        let prefix = self.sequence.as_ref().and_then(|s| self.match_prefix(s));
+        let rebuilding = if prefix == Some(PrefixMatch::Rebuilt) {
+            self.program.prefix
+        } else {
+            Duration::ZERO
+        };
+        let malfunction = worker.malfunction_of(&request.function, &request.id);
+        if let Some(reservation) = reservation {
+            reservation.keep();
+        }
+        worker.with_incarnation(|incarnation| incarnation.begin_running());
+        let running = Occupancy {
+            worker: worker.clone(),
+            counter: Counter::Running,
+        };
+        let active = ActiveUse::begin(worker, &request.function, usage);
+        worker
+            .execute((self.work + rebuilding).mul_f64(malfunction.slowdown))
+            .await;
+        drop(active);
+        if let Some(sequence) = &self.sequence {
+            worker.with_incarnation(|incarnation| {
+                incarnation.store_prefix(&request.function, sequence)
+            });
+        }
+        drop(running);
+        drop(lane);
+        (prefix, malfunction)
+    }
+
+    /// How the sequence's prefix is met; none while the worker is down.
+    fn match_prefix(&self, sequence: &Sequence) -> Option<PrefixMatch> {
+        let request = &self.request;
+        let found = self.worker.with_incarnation(|incarnation| {
+            incarnation
+                .match_prefix(&request.function, sequence)
+                .unwrap_or(PrefixMatch::Rebuilt)
+        })?;
+        self.worker.log.write(
+            "prefix",
+            json!({
+                "id": request.id, "session": sequence.id, "function": request.function, "how": found.as_str(),
+                "end": sequence.end, "from": request.peer.to_string(),
+            }),
+        );
+        Some(found)
+    }
+
+    /// The answer: raw tensors return as they came; of others only the model's name is answered.
+    fn echo(&self) -> StoredAnswer {
+        let (request, body) = (&self.request, &self.body);
+        let mut outputs = json!([]);
+        let raw = request
+            .json_length
+            .filter(|length| length < &body.len())
+            .map(|length| (length, body.slice(length..)));
+        if let Some((length, _)) = &raw {
+            let head =
+                serde_json::from_slice::<serde_json::Value>(&body[..*length]).unwrap_or_default();
+            outputs = head.get("inputs").cloned().unwrap_or(outputs);
+        }
+        let head = json!({"model_name": request.function, "id": request.id, "outputs": outputs})
+            .to_string();
+        match raw {
+            None => StoredAnswer {
+                body: Bytes::from(head),
+                json_length: None,
+            },
+            Some((_, raw)) => StoredAnswer {
+                body: Bytes::from([head.as_bytes(), &raw].concat()),
+                json_length: Some(head.len()),
+            },
+        }
+    }
+
+    fn add_headers(
+        &self,
+        response: &mut Response<Body>,
+        copy: CopyState,
+        concurrency: usize,
+        prefix: Option<PrefixMatch>,
+    ) {
+        let profile = &self.worker.profile;
+        let (utilization, in_flight) = self
+            .worker
+            .with_incarnation(|incarnation| {
+                (incarnation.utilization(profile), incarnation.in_flight())
+            })
+            .unwrap_or((0.0, 0));
+        let load_report =
+            format!("TEXT cpu_utilization={utilization:.2}, named_metrics.held={in_flight}");
+        let headers = response.headers_mut();
+        if let Some(prefix) = prefix {
+            headers.insert(
+                "cedarpulley-prefix",
+                HeaderValue::from_static(prefix.as_str()),
+            );
+        }
+        headers.insert("content-type", HeaderValue::from_static("application/json"));
+        headers.insert("cedarpulley-copy", HeaderValue::from_static(copy.as_str()));
+        headers.insert("cedarpulley-crowd", HeaderValue::from(concurrency));
+        if let Ok(load_report) = HeaderValue::from_str(&load_report) {
+            headers.insert("endpoint-load-metrics", load_report);
+        }
+    }
+}
+
+fn answer_response(answer: StoredAnswer) -> Response<Body> {
+    let mut response = full(StatusCode::OK, answer.body);
+    if let Some(length) = answer.json_length {
+        response
+            .headers_mut()
+            .insert(JSON_LENGTH, HeaderValue::from(length));
+    }
+    response
+}
--- /dev/null
+++ b/crates/emulators/src/worker/orders.rs
@@ -0,0 +1,252 @@
+//! Orders of routers to load and unload functions, and the loading itself.
+
+use std::net::{IpAddr, SocketAddr};
+use std::sync::{Arc, Mutex};
+use std::time::Instant;
+
+use async_io::{Async, Timer};
+use bytes::Bytes;
+use http_body_util::{BodyExt, Empty};
+use hyper::body::Incoming;
+use hyper::header::HeaderValue;
+use hyper::{Request, Response, StatusCode};
+use serde_json::{Value, json};
+use smol_hyper::rt::FuturesIo;
+
+use super::incarnation::{CopyState, Lookup};
+use super::index::{Orderer, VERSIONS};
+use super::injected_faults::OrderKind;
+use super::routes::header;
+use super::usage::{Usage, report};
+use super::{Program, WorkerShared};
+use crate::http::{Body, full};
+use crate::lock;
+
+/// A lookup, and the load that the caller has to spawn if it began one.
+pub(super) struct Placement {
+    pub(super) lookup: Lookup,
+    /// Id of the incarnation to load into.
+    pub(super) load_into: Option<u64>,
+}
+
+impl WorkerShared {
+    pub(super) fn is_ready(&self, function: &str) -> bool {
+        self.with_incarnation(|incarnation| incarnation.is_ready(function))
+            .unwrap_or(false)
+    }
+
+    /// Finds a function to run on, or begins its load where that is allowed and there is capacity.
+    pub(super) fn place(&self, function: &str, program: &Program, may_load: bool) -> Placement {
+        self.with_incarnation(|incarnation| {
+            let lookup = incarnation.find_or_begin_load(
+                function,
+                program,
+                may_load,
+                &self.profile,
+                &self.log,
+            );
+            let begun = matches!(
+                lookup,
+                Lookup::Found {
+                    state: CopyState::LoadBegun,
+                    ..
+                }
+            );
+            Placement {
+                lookup,
+                load_into: begun.then(|| incarnation.id()),
+            }
+        })
+        .unwrap_or(Placement {
+            lookup: Lookup::NoCapacity,
+            load_into: None,
+        })
+    }
+
+    /// Loads a function in the background, on the account of this usage.
+    pub(super) fn spawn_load(
+        self: &Arc<Self>,
+        into: u64,
+        function: &str,
+        program: &Program,
+        usage: &Arc<Mutex<Usage>>,
+    ) {
+        let loading = self
+            .clone()
+            .load(into, function.to_owned(), program.clone(), usage.clone());
+        self.ground.executor.spawn(loading).detach();
+    }
+
+    /// Fetches a function from the store, starts it up and wakes those who wait for it.
+    async fn load(
+        self: Arc<Self>,
+        into: u64,
+        function: String,
+        program: Program,
+        usage: Arc<Mutex<Usage>>,
+    ) {
+        let began = Instant::now();
+        self.log.write("loading", json!({"function": function}));
+        let fetched = fetch(self.store, &function, program.copy_mb).await;
+        if fetched {
+            Timer::after(program.start_up).await;
+        }
+        self.with_incarnation(|incarnation| {
+            // Symptom: a load of a process that crashed made the next one's copy ready before it was loaded.
+            if incarnation.id() != into {
+                return;
+            }
+            incarnation.count_load_ended();
+            lock(&usage).add_loading(incarnation, began.elapsed().as_secs_f64());
+            let concluded =
+                incarnation.conclude_load(&function, &program, fetched, &self.profile);
+            if let Some((lanes, ordered_by)) = concluded {
+                self.log.write(
+                    "loaded",
+                    json!({
+                        "function": function, "stands": fetched, "lanes": lanes, "router": ordered_by.router,
+                        "term": ordered_by.term,
+                    }),
+                );
+            }
+        });
+    }
+
+    /// Removes these functions where they are idle, with a line in the log for each; returns how many.
+    pub(super) fn remove_idle(
+        &self,
+        event: &str,
+        selects: impl Fn(&str) -> bool,
+        fields: &Value,
+    ) -> usize {
+        self.with_incarnation(|incarnation| {
+            let removed = incarnation.remove_idle(selects);
+            for name in &removed {
+                let mut fields = fields.clone();
+                fields["function"] = name.as_str().into();
+                self.log.write(event, fields);
+            }
+            removed.len()
+        })
+        .unwrap_or(0)
+    }
+}
+
+/// Fetches a function from the store; whether that succeeded.
+async fn fetch(store: SocketAddr, function: &str, mb: f64) -> bool {
+    let fetching = async {
+        let stream = Async::<std::net::TcpStream>::connect(store).await.ok()?;
+        let (mut sender, connection) =
+            hyper::client::conn::http1::handshake(FuturesIo::new(stream))
+                .await
+                .ok()?;
+        let path = format!("/{}?mb={mb}", function.replace(['/', '?', ' '], "_"));
+        let request = Request::get(path)
+            .header("host", store.to_string())
+            .body(Empty::<Bytes>::new())
+            .ok()?;
+        let answer = async {
+            let answer = sender.send_request(request).await.ok()?;
+            let ok = answer.status().is_success();
+            answer.into_body().collect().await.ok()?;
+            Some(ok)
+        };
+        let driver = async {
+            let _ = connection.await;
+            std::future::pending::<Option<bool>>().await
+        };
+        futures_lite::FutureExt::or(answer, driver).await
+    };
+    fetching.await.unwrap_or(false)
+}
+
+/// Names of functions begin with their trigger type.
+fn trigger_type_of(function: &str) -> &str {
+    let name = function
+        .split_once(VERSIONS)
+        .map_or(function, |(name, _)| name);
+    name.split(':').next().unwrap_or("")
+}
+
+fn loaded() -> Response<Body> {
+    let mut response = full(StatusCode::OK, "");
+    response
+        .headers_mut()
+        .insert("cedarpulley-copies", HeaderValue::from_static("1"));
+    response
+}
+
+/// Answers an order to unload a function: it is removed if it is idle.
+pub(super) fn unload(
+    worker: &WorkerShared,
+    from: IpAddr,
+    function: &str,
+    request: &Request<Incoming>,
+) -> Response<Body> {
+    let ordered_by = Orderer::of(request);
+    let fields =
+        json!({"from": from.to_string(), "router": ordered_by.router, "term": ordered_by.term});
+    worker.log.write(
+        "unload",
+        json!({"function": function, "from": from.to_string(), "router": ordered_by.router}),
+    );
+    if !worker.loses_order(function, OrderKind::Unload) {
+        worker.remove_idle("unloaded", |name| name == function, &fields);
+    }
+    full(StatusCode::OK, "")
+}
+
+/// Answers an order to load a function, once it is ready or its load has failed.
+pub(super) async fn load(
+    worker: Arc<WorkerShared>,
+    from: IpAddr,
+    function: String,
+    request: Request<Incoming>,
+) -> Response<Body> {
+    let ordered_by = Orderer::of(&request);
+    let account = header(&request, "cedarpulley-account");
+    worker.log.write(
+        "ordered",
+        json!({
+            "function": function, "from": from.to_string(), "held_since": worker.cut.held_since(from),
+            "router": ordered_by.router, "term": ordered_by.term,
+        }),
+    );
+    let rejected = |status| {
+        worker.log.write(
+            "order-refused",
+            json!({"function": function, "from": from.to_string()}),
+        );
+        full(status, "")
+    };
+    if worker.faults().draining {
+        return rejected(StatusCode::SERVICE_UNAVAILABLE);
+    }
+    // An order does not say of which trigger type the function is; its name does.
+    let Some(program) = worker.programs.get(trigger_type_of(&function)) else {
+        return rejected(StatusCode::BAD_REQUEST);
+    };
+    if worker.loses_order(&function, OrderKind::Load) {
+        return loaded();
+    }
+    let Placement { lookup, load_into } = worker.place(&function, program, true);
+    if ordered_by != Orderer::default() {
+        worker.with_incarnation(|incarnation| incarnation.set_orderer(&function, ordered_by));
+    }
+    let usage = Usage::begin(&worker, "", &account, &function, program);
+    if let Some(into) = load_into {
+        worker.spawn_load(into, &function, program, &usage);
+    }
+    let Lookup::Found { lanes, .. } = lookup else {
+        return rejected(StatusCode::INSUFFICIENT_STORAGE);
+    };
+    // Acquired and released at once: by then the function is ready, or its load has failed.
+    drop(lanes.acquire().await);
+    let mut response = if worker.is_ready(&function) {
+        loaded()
+    } else {
+        full(StatusCode::INTERNAL_SERVER_ERROR, "")
+    };
+    report(&mut response, &usage);
+    response
+}
--- /dev/null
+++ b/crates/emulators/src/worker/routes.rs
@@ -0,0 +1,87 @@
+//! The worker's HTTP endpoints: which handler answers which path.
+
+use std::net::SocketAddr;
+use std::sync::Weak;
+
+use hyper::body::Incoming;
+use hyper::header::HeaderValue;
+use hyper::{Request, Response, StatusCode};
+use percent_encoding::percent_decode_str;
+
+use super::index::VERSIONS;
+use super::{WorkerShared, index, inference, orders};
+use crate::http::{Body, full};
+
+/// Answers one request of a router.
+pub(super) async fn serve(
+    worker: Weak<WorkerShared>,
+    from: SocketAddr,
+    request: Request<Incoming>,
+) -> Response<Body> {
+    let Some(worker) = worker.upgrade() else {
+        return full(StatusCode::SERVICE_UNAVAILABLE, "");
+    };
+    let path = request.uri().path().to_owned();
+    let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+    match segments.as_slice() {
+        ["v2", "health", "live" | "ready"] => full(StatusCode::OK, ""),
+        ["v2", "models", model @ .., "ready"] => {
+            let ready = function_name(model).is_some_and(|function| worker.is_ready(&function));
+            full(
+                if ready {
+                    StatusCode::OK
+                } else {
+                    StatusCode::NOT_FOUND
+                },
+                "",
+            )
+        }
+        ["v2", "models", model @ .., "infer"] => match function_name(model) {
+            Some(function) => inference::infer(worker, from, function, request).await,
+            None => full(StatusCode::NOT_FOUND, ""),
+        },
+        ["v2", "repository", "index"] => {
+            index::answer(worker, from.ip().to_string(), request).await
+        }
+        ["v2", "repository", "models", model @ .., "load"] => match function_name(model) {
+            Some(function) => orders::load(worker, from.ip(), function, request).await,
+            None => full(StatusCode::NOT_FOUND, ""),
+        },
+        ["v2", "repository", "models", model @ .., "unload"] => match function_name(model) {
+            Some(function) => orders::unload(&worker, from.ip(), &function, &request),
+            None => full(StatusCode::NOT_FOUND, ""),
+        },
+        _ => full(StatusCode::NOT_FOUND, ""),
+    }
+}
+
+/// The function that `NAME` or `NAME/versions/VERSION` of a path stands for.
+fn function_name(segments: &[&str]) -> Option<String> {
+    let decoded = |segment: &str| percent_decode_str(segment).decode_utf8_lossy().into_owned();
+    match segments {
+        [name] => Some(decoded(name)),
+        [name, "versions", version] => {
+            Some(format!("{}{VERSIONS}{}", decoded(name), decoded(version)))
+        }
+        _ => None,
+    }
+}
+
+/// An answer that tells the router that the invocation was not executed.
+pub(super) fn reject(status: StatusCode) -> Response<Body> {
+    let mut response = full(status, "");
+    response
+        .headers_mut()
+        .insert("cedarpulley-ran", HeaderValue::from_static("no"));
+    response
+}
+
+/// A request header's value; empty if it is absent or not text.
+pub(super) fn header(request: &Request<Incoming>, name: &str) -> String {
+    request
+        .headers()
+        .get(name)
+        .and_then(|value| value.to_str().ok())
+        .unwrap_or_default()
+        .to_owned()
+}
