--- a/crates/emulators/src/http.rs
+++ b/crates/emulators/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 server over the ground's executor, whose sockets can be cut off by zone.
+//! A small HTTP/1.1 server on the emulators' executor, whose sockets can be partitioned by zone.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -22,97 +22,107 @@
 use hyper::{Request, Response, StatusCode};
 use smol_hyper::rt::FuturesIo;
 
-use crate::{Ground, lock, wall_us, zone_of};
+use crate::{Ground, lock, unix_time_us, zone_of};
 
+/// Body of an answer.
 pub type Body = BoxBody<Bytes, Infallible>;
 
-/// How often a cut socket looks whether the cut is healed.
-const LOOK: Duration = Duration::from_millis(10);
+/// How often a partitioned socket checks whether the partition is healed.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
+/// An answer with this status and body.
 pub fn full(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(Full::new(body.into()).boxed());
     *response.status_mut() = status;
     response
 }
 
-/// Zones that are cut off, a bit each: their bytes pass in neither direction.
+/// Network partition from whole zones: their bytes pass in neither direction. Clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct Cut(Arc<AtomicU64>, Arc<Mutex<HashMap<u32, Held>>>);
+pub struct Partition {
+    /// A bit for each zone.
+    zones: Arc<AtomicU64>,
+    history: Arc<Mutex<HashMap<u32, ZonePartition>>>,
+}
 
-/// A zone's last cut: when it began, on the wall's clock, and when it ended.
+/// The last partition from a zone.
 #[derive(Clone, Copy, Debug)]
-struct Held {
-    began: i64,
+struct ZonePartition {
+    /// Microseconds of Unix time.
+    began_us: i64,
     healed: Option<Instant>,
 }
 
-/// What a cut held back has come through within this time of its end.
-const COMES_THROUGH: Duration = Duration::from_millis(500);
+/// What a partition held back has arrived within this time of its end.
+const DELAYED_ARRIVAL: Duration = Duration::from_millis(500);
 
-impl Cut {
+impl Partition {
+    /// Partitions these zones, a bit each, and heals all others.
     pub fn set(&self, zones: u64) {
-        let before = self.0.swap(zones, Ordering::SeqCst);
-        let mut held = lock(&self.1);
+        let before = self.zones.swap(zones, Ordering::SeqCst);
+        let mut history = lock(&self.history);
         for zone in (0..u64::BITS).filter(|z| (before ^ zones) & 1 << z != 0) {
-            let last = held
+            let last = history
                 .get(&zone)
-                .filter(|h| h.healed.is_none_or(|at| at.elapsed() < COMES_THROUGH));
-            // What a cut held back may not be through yet when the next one begins.
-            let began = last.map_or_else(wall_us, |h| h.began);
+                .filter(|p| p.healed.is_none_or(|at| at.elapsed() < DELAYED_ARRIVAL));
+            // What the last partition held back may not have arrived yet when the next one begins.
+            let began_us = last.map_or_else(unix_time_us, |p| p.began_us);
             let healed = (zones & 1 << zone == 0).then(Instant::now);
-            held.insert(zone, Held { began, healed });
+            history.insert(zone, ZonePartition { began_us, healed });
         }
     }
 
-    /// Since when what comes from there now may have been on its way: a cut has just ended.
+    /// Since when what arrives from this address now may have been on its way: a partition has just ended.
     pub fn held_since(&self, from: IpAddr) -> Option<i64> {
-        let held = *lock(&self.1).get(&zone_of(from)?)?;
-        held.healed
-            .filter(|at| at.elapsed() < COMES_THROUGH)
-            .map(|_| held.began)
+        let last = *lock(&self.history).get(&zone_of(from)?)?;
+        last.healed
+            .filter(|at| at.elapsed() < DELAYED_ARRIVAL)
+            .map(|_| last.began_us)
     }
 
-    /// Since when it may have hung up unseen: a cut stands, or has just ended.
+    /// Since when this address may have closed connections unseen: a partition stands, or has just ended.
     pub fn unseen_since(&self, from: IpAddr) -> Option<i64> {
-        let held = *lock(&self.1).get(&zone_of(from)?)?;
-        held.healed
-            .is_none_or(|at| at.elapsed() < COMES_THROUGH)
-            .then_some(held.began)
+        let last = *lock(&self.history).get(&zone_of(from)?)?;
+        last.healed
+            .is_none_or(|at| at.elapsed() < DELAYED_ARRIVAL)
+            .then_some(last.began_us)
     }
 
-    fn holds(&self, from: IpAddr) -> bool {
-        zone_of(from).is_some_and(|z| self.0.load(Ordering::SeqCst) & 1 << z.min(63) != 0)
+    fn includes(&self, from: IpAddr) -> bool {
+        zone_of(from).is_some_and(|z| self.zones.load(Ordering::SeqCst) & 1 << z.min(63) != 0)
     }
 }
 
-/// A socket that lets nothing pass while its peer's zone is cut off.
-struct Gate {
+/// A socket that lets nothing pass while its peer's zone is partitioned.
+struct PartitionableStream {
     stream: Async<TcpStream>,
     from: IpAddr,
-    cut: Cut,
-    look: Option<Timer>,
+    partition: Partition,
+    recheck: Option<Timer>,
 }
 
-impl Gate {
-    fn shut(&mut self, cx: &mut Context) -> bool {
-        while self.cut.holds(self.from) {
-            let timer = self.look.get_or_insert_with(|| Timer::after(LOOK));
+impl PartitionableStream {
+    fn is_blocked(&mut self, cx: &mut Context) -> bool {
+        while self.partition.includes(self.from) {
+            let timer = self
+                .recheck
+                .get_or_insert_with(|| Timer::after(POLL_INTERVAL));
             if Pin::new(timer).poll(cx).is_pending() {
                 return true;
             }
-            self.look = None;
+            self.recheck = None;
         }
         false
     }
 }
 
-impl AsyncRead for Gate {
+impl AsyncRead for PartitionableStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        if self.shut(cx) {
+        if self.is_blocked(cx) {
             Poll::Pending
         } else {
             Pin::new(&mut self.stream).poll_read(cx, buf)
@@ -120,13 +130,13 @@
     }
 }
 
-impl AsyncWrite for Gate {
+impl AsyncWrite for PartitionableStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.shut(cx) {
+        if self.is_blocked(cx) {
             Poll::Pending
         } else {
             Pin::new(&mut self.stream).poll_write(cx, buf)
@@ -144,16 +154,21 @@
 
 /// A server with its connections; dropped, all of it is gone at once, as when a process dies.
 pub struct Server {
+    /// Where it listens.
     pub address: SocketAddr,
     _listener: Task<()>,
-    _served: Arc<Mutex<Vec<Task<()>>>>,
+    _connections: Arc<Mutex<Vec<Task<()>>>>,
 }
 
 impl Server {
+    /// Starts a server whose requests, with the peer's address, go to `handle`.
+    ///
+    /// # Errors
+    /// When the address cannot be bound.
     pub fn start<F, R>(
-        ground: &Ground,
+        host: &Ground,
         address: SocketAddr,
-        cut: Cut,
+        partition: Partition,
         handle: F,
     ) -> io::Result<Server>
     where
@@ -162,18 +177,18 @@
     {
         let listener = Async::<TcpListener>::bind(address)?;
         let address = listener.get_ref().local_addr()?;
-        let served: Arc<Mutex<Vec<Task<()>>>> = Arc::default();
-        let (executor, tasks) = (ground.executor.clone(), served.clone());
+        let connections: Arc<Mutex<Vec<Task<()>>>> = Arc::default();
+        let (executor, tasks) = (host.executor.clone(), connections.clone());
         let accept = async move {
             while let Ok((stream, from)) = listener.accept().await {
                 let _ = stream.get_ref().set_nodelay(true);
-                let (handle, cut) = (handle.clone(), cut.clone());
+                let (handle, partition) = (handle.clone(), partition.clone());
                 let task = executor.spawn(async move {
-                    let gate = Gate {
+                    let stream = PartitionableStream {
                         stream,
                         from: from.ip(),
-                        cut,
-                        look: None,
+                        partition,
+                        recheck: None,
                     };
                     let service = service_fn(|request| {
                         let answer = handle(from, request);
@@ -181,7 +196,7 @@
                     });
                     // However it ends, the peer has seen it.
                     let _ = http1::Builder::new()
-                        .serve_connection(FuturesIo::new(gate), service)
+                        .serve_connection(FuturesIo::new(stream), service)
                         .await;
                 });
                 let mut tasks = lock(&tasks);
@@ -189,11 +204,11 @@
                 tasks.push(task);
             }
         };
-        let _listener = ground.executor.spawn(accept);
+        let _listener = host.executor.spawn(accept);
         Ok(Server {
             address,
             _listener,
-            _served: served,
+            _connections: connections,
         })
     }
 }
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,15 +1,20 @@
-//! Stand-ins for what a router speaks to: broker, workers, store, worker list. Small and honest: each writes what
-//! crosses its sockets to a log before it acts on it, and has faults that can be set while it runs. They listen on
-//! loopback only and are never part of a router.
+//! Emulators of what a router talks to: message broker, workers, function store, worker list. Each writes what crosses
+//! its sockets to a log before it acts on it, and has faults that can be set while it runs. They listen on loopback
+//! only and are never part of a router.
 //!
-//! [`Ground`] is what they stand on: an executor over a few threads, and the logs.
+//! [`Ground`] runs them: an executor over a few threads, and the folder of their logs.
+
+#![warn(missing_docs)]
 
 pub mod broker;
+pub mod endpoint_list;
 pub mod http;
-pub mod list;
 pub mod store;
 pub mod worker;
 
+#[doc(hidden)]
+pub use endpoint_list as list;
+
 use std::fs::File;
 use std::io::{BufWriter, Write};
 use std::net::IpAddr;
@@ -20,32 +25,38 @@
 use async_executor::Executor;
 use serde_json::Value;
 
-/// A poisoned lock only means that another stand-in's task panicked; the day's verdict will tell.
+/// Locks a mutex, poisoned or not: poison only means that another emulator's task panicked, and the checks after the
+/// scenario show what came of it.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-pub fn wall_us() -> i64 {
+/// Microseconds of Unix time.
+pub fn unix_time_us() -> i64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_micros() as i64)
 }
 
-/// Where the threads of all stand-ins run, and where their logs go.
+/// What emulators run on: threads of one executor, and the folder that their logs go to.
 #[derive(Clone)]
 pub struct Ground {
+    /// Runs the tasks of all emulators.
     pub executor: Arc<Executor<'static>>,
     logs: Option<PathBuf>,
 }
 
 impl Ground {
-    /// Logs go into this folder, if one is given.
+    /// Starts the threads. Logs go into the folder, if one is given; without it nothing is logged.
+    ///
+    /// # Errors
+    /// When a thread cannot be started or the folder cannot be created.
     pub fn new(threads: usize, logs: Option<&Path>) -> std::io::Result<Self> {
         let executor = Arc::new(Executor::new());
         for n in 0..threads {
             let executor = executor.clone();
             std::thread::Builder::new()
-                .name(format!("standins-{n}"))
+                .name(format!("emulators-{n}"))
                 .spawn(move || async_io::block_on(executor.run(std::future::pending::<()>())))?;
         }
         if let Some(folder) = logs {
@@ -57,6 +68,10 @@
         })
     }
 
+    /// Creates the log `NAME.ndjson` of one emulator.
+    ///
+    /// # Errors
+    /// When the file cannot be created.
     pub fn log(&self, name: &str) -> std::io::Result<Log> {
         let file = match &self.logs {
             Some(folder) => Some(BufWriter::new(File::create(
@@ -70,28 +85,34 @@
     }
 }
 
-/// One stand-in's log, a line for each thing that crossed its sockets.
+/// The log of one emulator: a line of JSON for each event.
 #[derive(Clone)]
 pub struct Log {
     file: Arc<Mutex<Option<BufWriter<File>>>>,
 }
 
 impl Log {
-    /// `fields` is an object; the time is put in.
-    pub fn write(&self, what: &str, mut fields: Value) {
+    /// Writes one event; its name (`what`) and time (`t`, microseconds of Unix time) are added to `fields`, an object.
+    ///
+    /// # Panics
+    /// When the file cannot be written: nothing could be checked after such a run.
+    pub fn write(&self, event: &str, mut fields: Value) {
         let mut file = lock(&self.file);
         if let Some(file) = file.as_mut()
             && let Some(map) = fields.as_object_mut()
         {
-            map.insert("t".into(), wall_us().into());
-            map.insert("what".into(), what.into());
-            // A log that cannot be written ends the day: nothing could be judged.
+            map.insert("t".into(), unix_time_us().into());
+            map.insert("what".into(), event.into());
             serde_json::to_writer(&mut *file, &fields).expect("the traffic log can be written");
             file.write_all(b"\n")
                 .expect("the traffic log can be written");
         }
     }
 
+    /// Writes buffered lines out.
+    ///
+    /// # Panics
+    /// When the file cannot be written.
     pub fn flush(&self) {
         if let Some(file) = lock(&self.file).as_mut() {
             file.flush().expect("the traffic log can be written");
@@ -99,7 +120,7 @@
     }
 }
 
-/// Routers connect from 127.0.(10 + zone).n; anything else belongs to no zone.
+/// The zone of an address: routers connect from 127.0.(10 + zone).n; any other address belongs to no zone.
 pub fn zone_of(ip: IpAddr) -> Option<u32> {
     match ip {
         IpAddr::V4(v4) if v4.octets()[..2] == [127, 0] && v4.octets()[2] >= 10 => {
@@ -109,6 +130,7 @@
     }
 }
 
+/// The address that the n-th router of a zone connects from.
 pub fn router_address(zone: u32, n: u32) -> IpAddr {
     IpAddr::from([127, 0, 10 + zone as u8, 1 + n as u8])
 }
--- a/crates/emulators/src/worker.rs
+++ b/crates/emulators/src/worker.rs
@@ -39,8 +39,8 @@
 
 use self::incarnation::Incarnation;
 use self::injected_faults::InjectedFaults;
-use crate::http::{Cut, Server};
-use crate::{Ground, Log, lock, wall_us};
+use crate::http::{Partition, Server};
+use crate::{Ground, Log, lock, unix_time_us};
 
 /// Running invocations are advanced, and waiting conditions polled, in steps of this length.
 const STEP: Duration = Duration::from_millis(10);
@@ -133,14 +133,14 @@
 /// What the worker's handle and its request handlers share.
 struct WorkerShared {
     name: String,
-    ground: Ground,
+    host: Ground,
     log: Log,
     seed: u64,
     profile: Nature,
     store: SocketAddr,
     programs: HashMap<String, Program>,
     idempotency: Memory,
-    cut: Cut,
+    partition: Partition,
     faults: Mutex<WorkerFaults>,
     injected: Mutex<InjectedFaults>,
     /// State of the present process; none while the worker is down.
@@ -189,7 +189,7 @@
         reason = "callers outside this package name them in this order"
     )]
     pub fn start(
-        ground: &Ground,
+        host: &Ground,
         name: &str,
         address: SocketAddr,
         seed: u64,
@@ -200,14 +200,14 @@
     ) -> std::io::Result<Worker> {
         let shared = Arc::new(WorkerShared {
             name: name.to_owned(),
-            ground: ground.clone(),
-            log: ground.log(name)?,
+            host: host.clone(),
+            log: host.log(name)?,
             seed,
             profile,
             store,
             programs,
             idempotency,
-            cut: Cut::default(),
+            partition: Partition::default(),
             faults: Mutex::default(),
             injected: Mutex::default(),
             incarnation: Mutex::new(None),
@@ -224,7 +224,7 @@
         let weak = Arc::downgrade(shared);
         let handle = move |from: SocketAddr, request| routes::serve(weak.clone(), from, request);
         *lock(&shared.incarnation) = Some(Incarnation::new(warm));
-        let server = Server::start(&shared.ground, self.address, shared.cut.clone(), handle)
+        let server = Server::start(&shared.host, self.address, shared.partition.clone(), handle)
             .inspect_err(|_| *lock(&shared.incarnation) = None)?;
         let address = server.address;
         *lock(&shared.server) = Some(server);
@@ -300,7 +300,7 @@
 
     /// Partitions it from these zones, a bit each.
     pub fn cut(&self, zones: u64) {
-        self.shared.cut.set(zones);
+        self.shared.partition.set(zones);
     }
 
     /// Evicts all idle functions.
@@ -309,21 +309,20 @@
             .remove_idle("evicted", |_| true, &json!({"why": "flush"}));
     }
 
+    /// When its present process began, in microseconds of Unix time; 0 for one that was there all along.
+    pub fn began_us(&self) -> i64 {
+        self.shared
+            .with_incarnation(|incarnation| incarnation.age_since_restart())
+            .flatten()
+            .map_or(0, |age| unix_time_us() - age.as_micros() as i64)
+    }
+
     /// Writes buffered log lines out.
     pub fn flush(&self) {
         self.shared.log.flush();
     }
 }
 
-/// When the worker's present process began, in microseconds of Unix time; 0 for one that was there all along.
-pub fn began_us(worker: &Worker) -> i64 {
-    worker
-        .shared
-        .with_incarnation(|incarnation| incarnation.age_since_restart())
-        .flatten()
-        .map_or(0, |age| wall_us() - age.as_micros() as i64)
-}
-
 impl std::fmt::Debug for Worker {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "worker {} at {}", self.shared.name, self.address)
--- a/crates/emulators/src/worker/inference.rs
+++ b/crates/emulators/src/worker/inference.rs
@@ -25,7 +25,7 @@
 use super::routes::{header, reject};
 use super::usage::{ActiveUse, Usage, report};
 use super::{Program, STEP, WorkerShared};
-use crate::http::{Body, Cut, full};
+use crate::http::{Body, Partition, full};
 use crate::{Log, lock};
 
 /// Header of KServe's binary-data extension.
@@ -37,7 +37,7 @@
 /// Writes to the log how an invocation left, also when its connection was closed.
 struct OutcomeLog {
     log: Log,
-    cut: Cut,
+    partition: Partition,
     peer: IpAddr,
     id: String,
     dispatch: String,
@@ -50,7 +50,7 @@
             "left",
             json!({
                 "id": self.id, "dispatch": self.dispatch, "from": self.peer.to_string(), "how": self.outcome,
-                "unseen_since": self.cut.unseen_since(self.peer),
+                "unseen_since": self.partition.unseen_since(self.peer),
             }),
         );
     }
@@ -135,7 +135,7 @@
     http_request: Request<Incoming>,
 ) -> Response<Body> {
     let request = InferenceRequest::new(&http_request, from.ip(), function);
-    let held_since = worker.cut.held_since(request.peer);
+    let held_since = worker.partition.held_since(request.peer);
     let program = worker.programs.get(&request.trigger_type).cloned();
     let work = program.as_ref().map_or(Duration::ZERO, |program| {
         draw_work(worker.seed, &request.id, program.work)
@@ -150,7 +150,7 @@
     );
     let mut outcome = OutcomeLog {
         log: worker.log.clone(),
-        cut: worker.cut.clone(),
+        partition: worker.partition.clone(),
         peer: request.peer,
         id: request.id.clone(),
         dispatch: request.dispatch.clone(),
@@ -193,7 +193,7 @@
         let server = lock(&crashing.server).take();
         drop(server);
     };
-    worker.ground.executor.spawn(crash).detach();
+    worker.host.executor.spawn(crash).detach();
     std::future::pending::<()>().await;
 }
 
--- a/crates/emulators/src/worker/orders.rs
+++ b/crates/emulators/src/worker/orders.rs
@@ -74,7 +74,7 @@
         let loading = self
             .clone()
             .load(into, function.to_owned(), program.clone(), usage.clone());
-        self.ground.executor.spawn(loading).detach();
+        self.host.executor.spawn(loading).detach();
     }
 
     /// Fetches a function from the store, starts it up and wakes those who wait for it.
@@ -208,7 +208,7 @@
     worker.log.write(
         "ordered",
         json!({
-            "function": function, "from": from.to_string(), "held_since": worker.cut.held_since(from),
+            "function": function, "from": from.to_string(), "held_since": worker.partition.held_since(from),
             "router": ordered_by.router, "term": ordered_by.term,
         }),
     );
--- a/crates/emulators/tests/worker.rs
+++ b/crates/emulators/tests/worker.rs
@@ -1,4 +1,4 @@
-//! What a worker holds, tells of it, and loses on command, asked over its socket.
+//! A worker's loaded functions, its index, cached prefixes and injected faults, over its socket.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -10,21 +10,21 @@
 use cedarpulley_emulators::worker::{Lies, Memory, Nature, Program, Worker};
 use serde_json::{Value, json};
 
-/// The store stands as long as this does.
-struct Standing {
+/// A worker with a store, which runs as long as this lives.
+struct Setup {
     worker: Worker,
     _store: Store,
 }
 
-fn standing(copies: f64) -> Standing {
-    let ground = Ground::new(2, None).expect("threads");
+fn setup(copies: f64) -> Setup {
+    let host = Ground::new(2, None).expect("threads");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let nature = store::Nature {
         mb_per_s: 1e6,
         abreast: 8,
         most: 64,
     };
-    let store = Store::start(&ground, "store", any, nature).expect("a store");
+    let store = Store::start(&host, "store", any, nature).expect("a store");
     let program = Program {
         work: Duration::from_millis(1),
         copy_mb: 10.0,
@@ -38,18 +38,18 @@
         ..Nature::roomy(4.0)
     };
     let programs = HashMap::from([("chat".to_owned(), program)]);
-    let at = store.server.address;
+    let store_address = store.server.address;
     let worker = Worker::start(
-        &ground,
+        &host,
         "worker",
         any,
         1,
         nature,
-        at,
+        store_address,
         programs,
         Memory::default(),
     );
-    Standing {
+    Setup {
         worker: worker.expect("a worker"),
         _store: store,
     }
@@ -109,7 +109,7 @@
     post(worker, "/v2/repository/index", &[], &json!({}))
 }
 
-/// An invocation's prefix as the answer says it.
+/// Status and prefix match of an invocation, as the answer says them.
 fn infer(
     worker: &Worker,
     function: &str,
@@ -134,58 +134,64 @@
 }
 
 #[test]
-fn versions_stand_side_by_side_and_the_index_tells_who_ordered_them() {
-    let at = standing(4.0);
-    let worker = &at.worker;
-    let by = [("cedarpulley-router", "r1"), ("cedarpulley-term", "7.0")];
+fn versions_are_loaded_side_by_side_and_the_index_names_who_ordered_them() {
+    let setup = setup(4.0);
+    let worker = &setup.worker;
+    let ordered_by = [("cedarpulley-router", "r1"), ("cedarpulley-term", "7.0")];
     assert_eq!(order(worker, "chat%3A3/versions/1", "load", &[]), 200);
-    assert_eq!(order(worker, "chat%3A3/versions/2", "load", &by), 200);
-    assert_eq!(order(worker, "chat%3A4", "load", &by[..1]), 200);
-    let told = index(worker);
-    assert_eq!(told.header("cedarpulley-life"), worker.life().to_string());
+    assert_eq!(
+        order(worker, "chat%3A3/versions/2", "load", &ordered_by),
+        200
+    );
+    assert_eq!(order(worker, "chat%3A4", "load", &ordered_by[..1]), 200);
+    let listed = index(worker);
+    assert_eq!(listed.header("cedarpulley-life"), worker.life().to_string());
     assert_eq!(
         (
-            told.header("cedarpulley-memory-mb"),
-            told.header("cedarpulley-memory-used-mb")
+            listed.header("cedarpulley-memory-mb"),
+            listed.header("cedarpulley-memory-used-mb")
         ),
         ("40", "30")
     );
-    let entries = told.body.as_array().expect("entries");
-    let said = |n: usize, keys: [&str; 3]| keys.map(|k| entries[n][k].as_str().map(str::to_owned));
-    let is = |name: &str, version: Option<&str>| {
+    let entries = listed.body.as_array().expect("entries");
+    let entry = |n: usize, keys: [&str; 3]| keys.map(|k| entries[n][k].as_str().map(str::to_owned));
+    let expected = |name: &str, version: Option<&str>| {
         [Some(name), version, Some("READY")].map(|t| t.map(str::to_owned))
     };
     let keys = ["name", "version", "state"];
-    assert_eq!(said(0, keys), is("chat:3", Some("1")));
-    assert_eq!(said(1, keys), is("chat:3", Some("2")));
-    assert_eq!(said(2, keys), is("chat:4", None));
-    let of = &entries[1]["parameters"];
-    assert_eq!((&of["copies"], &of["busy"]), (&json!(1), &json!(0)));
+    assert_eq!(entry(0, keys), expected("chat:3", Some("1")));
+    assert_eq!(entry(1, keys), expected("chat:3", Some("2")));
+    assert_eq!(entry(2, keys), expected("chat:4", None));
+    let parameters = &entries[1]["parameters"];
+    assert_eq!(
+        (&parameters["copies"], &parameters["busy"]),
+        (&json!(1), &json!(0))
+    );
     assert_eq!(
-        (&of["ordered_by"], &of["term"]),
+        (&parameters["ordered_by"], &parameters["term"]),
         (&json!("r1"), &json!("7.0"))
     );
     assert_eq!(entries[0]["parameters"].get("ordered_by"), None);
 
-    // A later order's name and term are kept instead.
+    // A later order's router and term replace them.
     let other = [("cedarpulley-router", "r2"), ("cedarpulley-term", "8.0")];
     assert_eq!(order(worker, "chat%3A3/versions/2", "load", &other), 200);
     assert_eq!(worker.held()[1].by.term.as_deref(), Some("8.0"));
     assert_eq!(order(worker, "chat%3A3/versions/1", "unload", &other), 200);
     assert_eq!(functions(worker), ["chat:3/versions/2", "chat:4"]);
 
-    // A fresh process at the same address holds nothing.
-    let life = worker.life();
+    // A new process at the same address has nothing loaded.
+    let incarnation = worker.life();
     worker.crash();
     worker.start_again().expect("up");
-    assert!(functions(worker).is_empty() && worker.life() != life);
+    assert!(functions(worker).is_empty() && worker.life() != incarnation);
     assert_eq!(index(worker).body, json!([]));
 }
 
 #[test]
-fn a_sequence_finds_its_prefix_where_it_was_and_nowhere_else() {
-    let at = standing(4.0);
-    let worker = &at.worker;
+fn a_sequence_finds_its_cached_prefix_only_in_the_function_that_ran_it() {
+    let setup = setup(4.0);
+    let worker = &setup.worker;
     let (old, new) = ("chat%3A1/versions/1", "chat%3A1/versions/2");
     let on = json!({"sequence_id": "s1"});
     let none = json!({});
@@ -200,10 +206,10 @@
         "begun"
     );
     assert_eq!(infer(worker, old, &[], &on).1, "found");
-    // Headers say it as well.
+    // Headers name the sequence as well.
     let headers = [("cedarpulley-sequence-id", "s1")];
     assert_eq!(infer(worker, old, &headers, &none).1, "found");
-    // Another copy has nothing of it; nor has another sequence.
+    // Another function has not cached it; nor is another sequence's found.
     assert_eq!(infer(worker, new, &[], &on).1, "rebuilt");
     assert_eq!(
         infer(worker, old, &[], &json!({"sequence_id": 7})).1,
@@ -211,7 +217,7 @@
     );
     assert_eq!(infer(worker, old, &[], &none).1, "");
     assert_eq!(worker.held()[0].sequences, ["s1", "7"]);
-    // An end frees it, an eviction loses all.
+    // The sequence's end drops it, an eviction drops all.
     assert_eq!(
         infer(
             worker,
@@ -229,9 +235,9 @@
 }
 
 #[test]
-fn what_is_held_drifts_on_command() {
-    let at = standing(4.0);
-    let worker = &at.worker;
+fn injected_faults_make_loaded_functions_and_index_differ_from_orders() {
+    let setup = setup(4.0);
+    let worker = &setup.worker;
     let load = |function: &str| order(worker, function, "load", &[]);
     worker.lose_orders(1, 1);
     assert_eq!((load("chat%3A1"), functions(worker).len()), (200, 0));
@@ -258,19 +264,19 @@
     let _ = ["chat%3A5", "chat%3A6", "chat%3A7"].map(load);
     assert_eq!(functions(worker).len(), 4);
 
-    let told = |lies: Lies| {
-        worker.lies(Some(lies));
+    let index_with = |report: Lies| {
+        worker.lies(Some(report));
         index(worker).body.as_array().expect("entries").clone()
     };
     assert!(
-        told(Lies {
+        index_with(Lies {
             dropped: 1.0,
             ..Lies::default()
         })
         .is_empty()
     );
     assert_eq!(
-        told(Lies {
+        index_with(Lies {
             added: 1.0,
             ..Lies::default()
         })
@@ -278,14 +284,14 @@
         8
     );
     assert_eq!(
-        told(Lies {
+        index_with(Lies {
             contradicted: 1.0,
             ..Lies::default()
         })[1]["state"],
         "UNAVAILABLE"
     );
     assert_eq!(
-        told(Lies {
+        index_with(Lies {
             miscounted: 1.0,
             ..Lies::default()
         })[0]["parameters"]["copies"],
@@ -296,11 +302,11 @@
 }
 
 #[test]
-fn a_version_errs_for_its_part_and_the_other_does_not() {
-    let at = standing(4.0);
-    let worker = &at.worker;
+fn a_faulty_version_fails_for_its_share_and_the_other_does_not() {
+    let setup = setup(4.0);
+    let worker = &setup.worker;
     worker.ail("/versions/2", 0.5, 1.0);
-    let errs = |version: u32| {
+    let failures = |version: u32| {
         let ids = (0..40).map(|n| format!("i{n}"));
         let path = format!("/v2/models/chat%3A1/versions/{version}/infer");
         let of = |id: String| {
@@ -312,9 +318,9 @@
         };
         ids.filter(|id| of(id.clone())).count()
     };
-    let erred = errs(2);
-    assert!((10..30).contains(&erred), "{erred} of 40");
-    assert_eq!((errs(2), errs(1)), (erred, 0));
+    let failed = failures(2);
+    assert!((10..30).contains(&failed), "{failed} of 40");
+    assert_eq!((failures(2), failures(1)), (failed, 0));
     worker.ail("/versions/2", 0.0, 1.0);
-    assert_eq!(errs(2), 0);
+    assert_eq!(failures(2), 0);
 }
--- a/crates/test-cluster/src/client.rs
+++ b/crates/test-cluster/src/client.rs
@@ -11,7 +11,7 @@
 use cedarpulley_amqp::protocol::basic::AMQPProperties;
 use cedarpulley_amqp::types::{AMQPValue, FieldTable, LongString, ShortString};
 use cedarpulley_amqp::{Connection, Event, Role, meaning};
-use cedarpulley_emulators::{lock, wall_us};
+use cedarpulley_emulators::{lock, unix_time_us};
 use cedarpulley_net::{Stream, connect};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
@@ -81,7 +81,7 @@
     headers.insert(short(meaning::FUNCTION), text(&function));
     headers.insert(
         short(meaning::SENT_AT_US),
-        AMQPValue::LongLongInt(wall_us()),
+        AMQPValue::LongLongInt(unix_time_us()),
     );
     headers.insert(
         short(meaning::COPY_MB),
--- a/crates/test-cluster/src/fleet.rs
+++ b/crates/test-cluster/src/fleet.rs
@@ -17,7 +17,7 @@
 use cedarpulley_emulators::broker::Broker;
 use cedarpulley_emulators::list::{List, Row};
 use cedarpulley_emulators::store::{self, Store};
-use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker, began_us};
+use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
 use cedarpulley_emulators::{Ground, Log, lock, router_address};
 use cedarpulley_errors::Remedy;
 use cedarpulley_invariant_checker::{Effect, Kind, Terms, Verdict};
@@ -200,11 +200,11 @@
             let nature = Nature {
                 cores: w.cores,
                 memory_mb: w.memory_mb,
-                most_waiting: day.nature.most_waiting,
-                most_loads: day.nature.most_loads,
+                max_waiting: day.nature.most_waiting,
+                max_loads: day.nature.most_loads,
                 loads_when_absent,
-                cold_part: terms.cold_part,
-                cold_for: us(terms.cold_for_us),
+                slow_start_share: terms.cold_part,
+                slow_start: us(terms.cold_for_us),
                 overload_multiple: terms.overload_multiple,
                 overload_window: us(terms.overload_window_us),
             };
@@ -678,7 +678,7 @@
         if self.workers[w].is_up() || self.workers[w].start_again().is_err() {
             return;
         }
-        let (start, started_us) = (self.workers[w].starts(), began_us(&self.workers[w]));
+        let (start, started_us) = (self.workers[w].starts(), self.workers[w].began_us());
         self.row(w, |r| {
             (r.draining, r.start, r.started_us) = (false, start, started_us)
         });
--- a/crates/test-cluster/src/rest_client.rs
+++ b/crates/test-cluster/src/rest_client.rs
@@ -7,7 +7,7 @@
 
 use async_executor::Executor;
 use async_io::Timer;
-use cedarpulley_emulators::{Log, lock, wall_us};
+use cedarpulley_emulators::{Log, lock, unix_time_us};
 use cedarpulley_net::connect;
 use futures_lite::FutureExt;
 use http_body_util::{BodyExt, Full};
@@ -136,7 +136,7 @@
             .header("cedarpulley-trigger-type", &a.kind)
             .header("cedarpulley-account", &a.account)
             .header("cedarpulley-client-timeout-ms", a.timeout_ms)
-            .header("cedarpulley-sent-at-us", wall_us())
+            .header("cedarpulley-sent-at-us", unix_time_us())
             .header("cedarpulley-copy-mb", a.copy_mb as u64)
             .header("cedarpulley-lanes", a.lanes)
             .header("idempotency-key", &a.id)
--- a/crates/test-cluster/tests/relays.rs
+++ b/crates/test-cluster/tests/relays.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use cedarpulley_emulators::Ground;
-use cedarpulley_emulators::http::{Cut, Server, full};
+use cedarpulley_emulators::http::{Partition, Server, full};
 use cedarpulley_test_cluster::links::{Fault, Links};
 use cedarpulley_test_cluster::relay::{Form, Relay};
 use cedarpulley_test_cluster::until;
@@ -60,7 +60,8 @@
                     full(StatusCode::OK, body)
                 }
             };
-            let server = Server::start(&ground, any, Cut::default(), handle).expect("a server");
+            let server =
+                Server::start(&ground, any, Partition::default(), handle).expect("a server");
             (server.address, Some(server))
         }
     };
