--- a/crates/emulators/src/worker.rs
+++ b/crates/emulators/src/worker.rs
@@ -7,15 +7,18 @@
 //! Modules, one concern each:
 //! 1. `incarnation`: state of one process: loaded functions, memory, slow start, overload. Versions of a model are
 //!    functions side by side (`m/versions/2`).
-//! 2. `routes`, `orders`, `inference`: the HTTP endpoints.
+//! 2. `routes`, `orders`, `inference`, `answers`: the HTTP endpoints; `in_flight`: what is given back or logged as an
+//!    invocation ends.
 //! 3. `execution`: how long an invocation runs, and how the cores are shared.
 //! 4. `idempotency`: keys that a group of workers remembers.
 //! 5. `prefix_cache`: what earlier invocations of a sequence left in a loaded function makes the next one there cheap.
 //! 6. `usage`: running, loading and idle times, as they are billed.
 //! 7. `index`: the repository index; `injected_faults`: faults that make it differ from what routers believe.
 
+mod answers;
 mod execution;
 mod idempotency;
+mod in_flight;
 mod incarnation;
 mod index;
 mod inference;
--- a/crates/emulators/src/worker/inference.rs
+++ b/crates/emulators/src/worker/inference.rs
@@ -16,8 +16,10 @@
 use serde_json::json;
 use smol::lock::SemaphoreGuardArc;
 
+use super::answers::answer_response;
 use super::execution::draw_work;
-use super::idempotency::{KeyReservation, KeyStatus, StoredAnswer};
+use super::idempotency::{KeyReservation, KeyStatus};
+use super::in_flight::{Counter, Occupancy, OutcomeLog};
 use super::incarnation::{CopyState, Lookup};
 use super::injected_faults::Malfunction;
 use super::orders::Placement;
@@ -25,70 +27,25 @@
 use super::routes::{header, reject};
 use super::usage::{ActiveUse, Usage, report};
 use super::{Program, STEP, WorkerShared};
-use crate::http::{Body, Partition, full};
-use crate::{Log, lock};
+use crate::http::{Body, full};
+use crate::lock;
 
 /// Header of KServe's binary-data extension.
-const JSON_LENGTH: &str = "inference-header-content-length";
+pub(super) const JSON_LENGTH: &str = "inference-header-content-length";
 const MAX_BODY: usize = 128 << 20;
 /// A repeat waits so long for the answer of the first execution.
 const REPEAT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Writes to the log how an invocation left, also when its connection was closed.
-struct OutcomeLog {
-    log: Log,
-    partition: Partition,
-    peer: IpAddr,
-    id: String,
-    dispatch: String,
-    outcome: &'static str,
-}
-
-impl Drop for OutcomeLog {
-    fn drop(&mut self) {
-        self.log.write(
-            "left",
-            json!({
-                "id": self.id, "dispatch": self.dispatch, "from": self.peer.to_string(), "how": self.outcome,
-                "unseen_since": self.partition.unseen_since(self.peer),
-            }),
-        );
-    }
-}
-
-/// What an invocation counts as, until this is dropped.
-struct Occupancy {
-    worker: Arc<WorkerShared>,
-    counter: Counter,
-}
-
-enum Counter {
-    Waiting,
-    Running,
-    UserOf(String),
-}
-
-impl Drop for Occupancy {
-    fn drop(&mut self) {
-        self.worker
-            .with_incarnation(|incarnation| match &self.counter {
-                Counter::Waiting => incarnation.dequeue(),
-                Counter::Running => incarnation.end_running(),
-                Counter::UserOf(function) => incarnation.remove_user(function),
-            });
-    }
-}
-
 /// What the request's headers say.
-struct InferenceRequest {
-    id: String,
+pub(super) struct InferenceRequest {
+    pub(super) id: String,
     dispatch: String,
     trigger_type: String,
     idempotency_key: String,
     account: String,
-    function: String,
+    pub(super) function: String,
     /// Length of the leading JSON where raw tensors follow it.
-    json_length: Option<usize>,
+    pub(super) json_length: Option<usize>,
     peer: IpAddr,
 }
 
@@ -105,15 +62,26 @@
             peer,
         }
     }
+
+    fn log_received(&self, worker: &WorkerShared, work: Duration) {
+        worker.log.write(
+            "received",
+            json!({
+                "id": self.id, "dispatch": self.dispatch, "from": self.peer.to_string(),
+                "type": self.trigger_type, "function": self.function, "work": work.as_micros() as u64,
+                "held_since": worker.partition.held_since(self.peer),
+            }),
+        );
+    }
 }
 
 /// A request whose body has been read and whose trigger type is known.
-struct Inference {
-    worker: Arc<WorkerShared>,
-    request: InferenceRequest,
+pub(super) struct Inference {
+    pub(super) worker: Arc<WorkerShared>,
+    pub(super) request: InferenceRequest,
     program: Program,
     work: Duration,
-    body: Bytes,
+    pub(super) body: Bytes,
     sequence: Option<Sequence>,
 }
 
@@ -135,19 +103,11 @@
     http_request: Request<Incoming>,
 ) -> Response<Body> {
     let request = InferenceRequest::new(&http_request, from.ip(), function);
-    let held_since = worker.partition.held_since(request.peer);
     let program = worker.programs.get(&request.trigger_type).cloned();
     let work = program.as_ref().map_or(Duration::ZERO, |program| {
         draw_work(worker.seed, &request.id, program.work)
     });
-    worker.log.write(
-        "received",
-        json!({
-            "id": request.id, "dispatch": request.dispatch, "from": request.peer.to_string(),
-            "type": request.trigger_type, "function": request.function, "work": work.as_micros() as u64,
-            "held_since": held_since,
-        }),
-    );
+    request.log_received(&worker, work);
     let mut outcome = OutcomeLog {
         log: worker.log.clone(),
         partition: worker.partition.clone(),
@@ -235,8 +195,7 @@
                 .idempotency
                 .store_answer(&request.idempotency_key, &answer);
         }
-        let faults = worker.faults();
-        if faults.hanging || faults.unanswered_type.as_deref() == Some(&request.trigger_type) {
+        if self.is_unanswered() {
             outcome.outcome = "silent";
             std::future::pending::<()>().await;
         }
@@ -254,6 +213,12 @@
         response
     }
 
+    /// The worker hangs, or does not answer this trigger type.
+    fn is_unanswered(&self) -> bool {
+        let faults = self.worker.faults();
+        faults.hanging || faults.unanswered_type.as_deref() == Some(&self.request.trigger_type)
+    }
+
     /// Draining, down or with too many waiting.
     fn is_turned_away(&self) -> bool {
         let worker = &self.worker;
@@ -307,16 +272,12 @@
     /// Finds or loads the function and waits for one of its lanes; the error is the rejection.
     async fn acquire_lane(&self, outcome: &mut OutcomeLog) -> Result<AcquiredLane, Response<Body>> {
         let (worker, function) = (&self.worker, &self.request.function);
-        let occupy = |counter| Occupancy {
-            worker: worker.clone(),
-            counter,
-        };
         let Some(concurrency) =
             worker.with_incarnation(|incarnation| incarnation.enqueue(function))
         else {
             return Err(reject(StatusCode::SERVICE_UNAVAILABLE));
         };
-        let waiting = occupy(Counter::Waiting);
+        let waiting = Occupancy::new(worker, Counter::Waiting);
         let Placement { lookup, load_into } =
             worker.place(function, &self.program, worker.profile.loads_when_absent);
         let usage = self.begin_usage();
@@ -324,7 +285,7 @@
             worker.spawn_load(into, function, &self.program, &usage);
             worker.with_incarnation(|incarnation| incarnation.add_user(function));
         }
-        let user = occupy(Counter::UserOf(function.clone()));
+        let user = Occupancy::new(worker, Counter::UserOf(function.clone()));
         let (lanes, copy) = match lookup {
             Lookup::Found { lanes, state } => (lanes, state),
             Lookup::NoCapacity => {
@@ -383,10 +344,7 @@
             reservation.keep();
         }
         worker.with_incarnation(|incarnation| incarnation.begin_running());
-        let running = Occupancy {
-            worker: worker.clone(),
-            counter: Counter::Running,
-        };
+        let running = Occupancy::new(worker, Counter::Running);
         let active = ActiveUse::begin(worker, &request.function, usage);
         worker
             .execute((self.work + rebuilding).mul_f64(malfunction.slowdown))
@@ -419,72 +377,4 @@
         );
         Some(found)
     }
-
-    /// The answer: raw tensors return as they came; of others only the model's name is answered.
-    fn echo(&self) -> StoredAnswer {
-        let (request, body) = (&self.request, &self.body);
-        let mut outputs = json!([]);
-        let raw = request
-            .json_length
-            .filter(|length| length < &body.len())
-            .map(|length| (length, body.slice(length..)));
-        if let Some((length, _)) = &raw {
-            let head =
-                serde_json::from_slice::<serde_json::Value>(&body[..*length]).unwrap_or_default();
-            outputs = head.get("inputs").cloned().unwrap_or(outputs);
-        }
-        let head = json!({"model_name": request.function, "id": request.id, "outputs": outputs})
-            .to_string();
-        match raw {
-            None => StoredAnswer {
-                body: Bytes::from(head),
-                json_length: None,
-            },
-            Some((_, raw)) => StoredAnswer {
-                body: Bytes::from([head.as_bytes(), &raw].concat()),
-                json_length: Some(head.len()),
-            },
-        }
-    }
-
-    fn add_headers(
-        &self,
-        response: &mut Response<Body>,
-        copy: CopyState,
-        concurrency: usize,
-        prefix: Option<PrefixMatch>,
-    ) {
-        let profile = &self.worker.profile;
-        let (utilization, in_flight) = self
-            .worker
-            .with_incarnation(|incarnation| {
-                (incarnation.utilization(profile), incarnation.in_flight())
-            })
-            .unwrap_or((0.0, 0));
-        let load_report =
-            format!("TEXT cpu_utilization={utilization:.2}, named_metrics.held={in_flight}");
-        let headers = response.headers_mut();
-        if let Some(prefix) = prefix {
-            headers.insert(
-                "cedarpulley-prefix",
-                HeaderValue::from_static(prefix.as_str()),
-            );
-        }
-        headers.insert("content-type", HeaderValue::from_static("application/json"));
-        headers.insert("cedarpulley-copy", HeaderValue::from_static(copy.as_str()));
-        headers.insert("cedarpulley-crowd", HeaderValue::from(concurrency));
-        if let Ok(load_report) = HeaderValue::from_str(&load_report) {
-            headers.insert("endpoint-load-metrics", load_report);
-        }
-    }
-}
-
-fn answer_response(answer: StoredAnswer) -> Response<Body> {
-    let mut response = full(StatusCode::OK, answer.body);
-    if let Some(length) = answer.json_length {
-        response
-            .headers_mut()
-            .insert(JSON_LENGTH, HeaderValue::from(length));
-    }
-    response
 }
--- a/crates/emulators/src/worker/orders.rs
+++ b/crates/emulators/src/worker/orders.rs
@@ -196,6 +196,16 @@
     full(StatusCode::OK, "")
 }
 
+fn log_order(worker: &WorkerShared, from: IpAddr, function: &str, ordered_by: &Orderer) {
+    worker.log.write(
+        "ordered",
+        json!({
+            "function": function, "from": from.to_string(), "held_since": worker.partition.held_since(from),
+            "router": ordered_by.router, "term": ordered_by.term,
+        }),
+    );
+}
+
 /// Answers an order to load a function, once it is ready or its load has failed.
 pub(super) async fn load(
     worker: Arc<WorkerShared>,
@@ -205,13 +215,7 @@
 ) -> Response<Body> {
     let ordered_by = Orderer::of(&request);
     let account = header(&request, "cedarpulley-account");
-    worker.log.write(
-        "ordered",
-        json!({
-            "function": function, "from": from.to_string(), "held_since": worker.partition.held_since(from),
-            "router": ordered_by.router, "term": ordered_by.term,
-        }),
-    );
+    log_order(&worker, from, &function, &ordered_by);
     let rejected = |status| {
         worker.log.write(
             "order-refused",
