--- /dev/null
+++ b/crates/test-cluster/src/cluster.rs
@@ -0,0 +1,373 @@
+//! A running cluster: emulators in this process, routers as processes, and relays between them where the scenario has
+//! regions. [`Fleet::prepare`] sets all of it up, [`Fleet::start_routers`] starts the routers; then faults are put on
+//! its parts, and [`Fleet::verdict`] has the traffic checked. Dropped, all of it is gone.
+//!
+//! Mechanisms:
+//! 1. A router's links (to the broker, the worker list, each worker, each other router) have a relay each; the list
+//!    publishes to every router its own relays' addresses, while the logs name the workers' own.
+//! 2. What a router or a link was kept from is logged before it begins and after it has ended, for the checker.
+
+mod router_settings;
+mod rules;
+mod setup;
+
+pub use rules::terms;
+
+use std::collections::HashMap;
+use std::net::{IpAddr, SocketAddr};
+use std::path::{Path, PathBuf};
+use std::sync::Mutex;
+use std::time::{Duration, Instant};
+
+use cedarpulley_emulators::broker::Broker;
+use cedarpulley_emulators::endpoint_list::{List, Row};
+use cedarpulley_emulators::store::Store;
+use cedarpulley_emulators::worker::Worker;
+use cedarpulley_emulators::{Ground, Log, lock};
+use cedarpulley_errors::Remedy;
+use cedarpulley_invariant_checker::Verdict;
+use serde_json::json;
+
+use crate::error::Wrong;
+use crate::links::{Fault, Links};
+use crate::relay::{Relay, Reserved};
+use crate::router_process::{RouterProcess, State};
+use crate::router_state::state;
+use crate::scenario::Day;
+use crate::until;
+
+/// Routers consume, and their group may vote, within this time of their start; else nothing is played.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Name of the broker in the logs and in the table of links.
+pub const BROKER: &str = "broker";
+/// Name of the worker list in the logs and in the table of links.
+pub const LIST: &str = "list";
+/// The file with upgrade orders, beside the routers' settings.
+const UPGRADE: &str = "upgrade.toml";
+
+/// How a cluster's routers are run.
+pub struct Launch {
+    /// The folder for logs of traffic, rules, settings and the routers' own logs.
+    pub out: PathBuf,
+    /// The routers' program.
+    pub program: PathBuf,
+    /// Kind of invariant that one router, or all, break on purpose.
+    pub tamper: Option<String>,
+    /// They keep traces and usage ledgers; an earlier build may not know the settings for these.
+    pub trace: bool,
+}
+
+/// A cluster.
+pub struct Fleet {
+    /// What the emulators run on.
+    pub ground: Ground,
+    /// The broker.
+    pub broker: Broker,
+    /// The function store.
+    pub store: Store,
+    /// The worker list.
+    pub list: List,
+    /// The workers, by number.
+    pub workers: Vec<Worker>,
+    /// What the list publishes of each worker, by number.
+    pub rows: Mutex<Vec<Row>>,
+    /// The faults on links.
+    pub links: Links,
+    /// The log of faults, for the checker.
+    pub log: Log,
+    /// The routers, by number.
+    pub routers: Vec<Mutex<RouterProcess>>,
+    /// Source addresses of the routers, by number.
+    addresses: Vec<IpAddr>,
+    /// Regions of the routers, by number.
+    regions: Vec<String>,
+    /// Regions of the zones.
+    zone_regions: HashMap<String, String>,
+    kserve_ports: Vec<Reserved>,
+    /// Empty if the routers form no group.
+    peer_ports: Vec<Reserved>,
+    _relays: Vec<Relay>,
+    out: PathBuf,
+    /// Consumers at the broker once all routers are ready.
+    expected_consumers: usize,
+}
+
+fn worker_name(number: usize) -> String {
+    format!("worker-{number:02}")
+}
+
+/// The queue of an account's triggers.
+pub(crate) fn queue(account: &str) -> String {
+    format!("triggers-{account}")
+}
+
+impl Fleet {
+    /// Sets up all but the routers' processes. What an earlier run left in the folder is removed.
+    ///
+    /// # Errors
+    /// When the folder cannot be written to, or loopback addresses cannot be bound.
+    pub fn prepare(day: &Day, launch: Launch) -> Result<Fleet, Wrong> {
+        let folder = launch.out.display().to_string();
+        setup::set_up(day, &terms(day), launch).map_err(|source| Wrong::Setup { folder, source })
+    }
+
+    /// Starts all routers and waits until they consume and their group may vote.
+    ///
+    /// # Errors
+    /// When a process cannot be started, or they are not ready in time.
+    pub fn start_routers(&self) -> Result<(), Wrong> {
+        for n in 0..self.routers.len() {
+            self.start_router(n, State::Kept)?;
+        }
+        let consuming = || self.broker.consumers() >= self.expected_consumers;
+        if !until(READY_TIMEOUT, consuming) {
+            return Err(Wrong::RoutersNotReady);
+        }
+        if !until(READY_TIMEOUT, || self.all_remember()) {
+            return Err(Wrong::GroupNotReady);
+        }
+        Ok(())
+    }
+
+    /// Whether each router that has a group may vote in it.
+    pub fn all_remember(&self) -> bool {
+        (0..self.peer_ports.len()).all(|n| self.remembers(n))
+    }
+
+    /// Whether a router may vote: it has forgotten nothing that it promised.
+    pub fn remembers(&self, n: usize) -> bool {
+        self.state(n).is_some_and(|s| s["memory"] == "whole")
+    }
+
+    /// A router's `/state`, if it answers.
+    pub fn state(&self, n: usize) -> Option<serde_json::Value> {
+        state(self.peer(n)?).ok()
+    }
+
+    /// A router's name in the table of links and in the logs: its source address.
+    pub fn router(&self, n: usize) -> String {
+        self.addresses[n].to_string()
+    }
+
+    /// A worker's name in the table of links and in the logs.
+    pub fn worker(&self, number: usize) -> String {
+        worker_name(number)
+    }
+
+    /// Where the routers listen for KServe v2, whether or not the scenario uses it.
+    pub fn listens(&self) -> Vec<SocketAddr> {
+        self.kserve_ports.iter().map(|r| r.address).collect()
+    }
+
+    /// Where a router listens for its peers; for [`crate::router_state::state`].
+    pub fn peer(&self, n: usize) -> Option<SocketAddr> {
+        self.peer_ports.get(n).map(|r| r.address)
+    }
+
+    /// Starts a router unless it runs.
+    ///
+    /// # Errors
+    /// When its process cannot be started.
+    pub fn start_router(&self, n: usize, state: State) -> Result<(), Wrong> {
+        let mut router = lock(&self.routers[n]);
+        // Two faults may have killed it; it is started once.
+        if router.is_up() {
+            return Ok(());
+        }
+        self.log
+            .write("router-up", json!({"address": self.router(n)}));
+        router
+            .start(state)
+            .map_err(|source| Wrong::Router { number: n, source })
+    }
+
+    /// Kills a router if it runs.
+    pub fn kill_router(&self, n: usize) {
+        let mut router = lock(&self.routers[n]);
+        if router.is_up() {
+            self.log
+                .write("router-down", json!({"address": self.router(n)}));
+            router.kill();
+        }
+    }
+
+    /// Pauses a router, or resumes it.
+    ///
+    /// # Errors
+    /// When its process cannot be signalled, or does not stop in time.
+    pub fn pause_router(&self, n: usize, on: bool) -> Result<(), Wrong> {
+        let mut router = lock(&self.routers[n]);
+        if !router.is_up() || router.is_paused() == on {
+            return Ok(());
+        }
+        let log_change = || {
+            self.log.write(
+                "router-paused",
+                json!({"address": self.router(n), "on": on}),
+            )
+        };
+        let failed = |source| Wrong::Router { number: n, source };
+        if on {
+            log_change();
+            return router.pause().map_err(failed);
+        }
+        router.resume().map_err(failed)?;
+        log_change();
+        Ok(())
+    }
+
+    /// The file that upgrade orders are written to; the routers' settings name it `upgrade.toml`.
+    pub fn upgrade_file(&self) -> PathBuf {
+        self.out.join("routers").join(UPGRADE)
+    }
+
+    /// Replaces the upgrade orders atomically. Routers read them at their start, or when signalled.
+    ///
+    /// # Errors
+    /// When the file cannot be written.
+    pub fn write_upgrade(&self, text: &str) -> Result<(), Wrong> {
+        let (file, new) = (
+            self.upgrade_file(),
+            self.upgrade_file().with_extension("new"),
+        );
+        let written = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, &file));
+        written.map_err(Wrong::file(&file))
+    }
+
+    /// Signals a router to read its orders again, if it runs.
+    ///
+    /// # Errors
+    /// When it cannot be signalled.
+    pub fn hang_up(&self, n: usize) -> Result<(), Wrong> {
+        let router = lock(&self.routers[n]);
+        if !router.is_up() {
+            return Ok(());
+        }
+        router
+            .hang_up()
+            .map_err(|source| Wrong::Router { number: n, source })
+    }
+
+    /// Writes upgrade orders and signals all routers. For the checker, the capacity that these models have now is what
+    /// their floors are a share of.
+    ///
+    /// # Errors
+    /// When the file cannot be written or a router cannot be signalled.
+    pub fn order_upgrade(&self, models: &[&str], text: &str) -> Result<(), Wrong> {
+        self.write_upgrade(text)?;
+        self.log.write("upgrade", json!({"models": models}));
+        (0..self.routers.len()).try_for_each(|n| self.hang_up(n))
+    }
+
+    /// Tells the checker that these models' floors need to hold no longer.
+    pub fn upgrade_over(&self, models: &[&str]) {
+        self.log.write("upgrade-over", json!({"models": models}));
+    }
+
+    /// Sets a fault on the links between all routers that are named, or one way from the first to the others.
+    pub fn cut_peers(&self, which: &[usize], one_way: bool, fault: Fault) {
+        for (position, one) in which.iter().enumerate() {
+            for other in &which[position + 1..] {
+                if one_way && position == 0 {
+                    self.links
+                        .set(&self.router(*one), &self.router(*other), fault);
+                } else if !one_way {
+                    self.links
+                        .both(&self.router(*one), &self.router(*other), fault);
+                }
+            }
+        }
+    }
+
+    /// Sets a fault on all links that cross a region's border, both ways. Broker, list and store are in no region.
+    pub fn cut_region(&self, region: &str, fault: Fault) {
+        let rows = lock(&self.rows).clone();
+        for (router, own) in self.regions.iter().enumerate() {
+            for (worker, row) in rows.iter().enumerate() {
+                let in_region = self
+                    .zone_regions
+                    .get(&row.zone)
+                    .is_some_and(|r| r == region);
+                if in_region != (own == region) {
+                    self.links
+                        .both(&self.router(router), &worker_name(worker), fault);
+                }
+            }
+            for (peer, other) in self.regions.iter().enumerate().skip(router + 1) {
+                if (own == region) != (other == region) {
+                    self.links
+                        .both(&self.router(router), &self.router(peer), fault);
+                }
+            }
+        }
+    }
+
+    /// Changes what the list publishes of a worker.
+    pub fn row(&self, worker: usize, change: impl FnOnce(&mut Row)) {
+        let mut rows = lock(&self.rows);
+        change(&mut rows[worker]);
+        self.list.put(&worker_name(worker), rows[worker].clone());
+    }
+
+    /// Withdraws a worker from the list.
+    pub fn gone(&self, worker: usize) {
+        self.list.remove(&worker_name(worker));
+    }
+
+    /// Starts a worker that is down, and publishes its new process.
+    pub fn starts_again(&self, worker: usize) {
+        if self.workers[worker].is_up() || self.workers[worker].start_again().is_err() {
+            return;
+        }
+        let (start, started_us) = (
+            self.workers[worker].starts(),
+            self.workers[worker].began_us(),
+        );
+        self.row(worker, |r| {
+            (r.draining, r.start, r.started_us) = (false, start, started_us)
+        });
+    }
+
+    /// Heals all links, resumes all routers and shuts them down; true if each ended gracefully and in time.
+    pub fn stop(&self, within: Duration) -> bool {
+        self.links.heal();
+        for n in 0..self.routers.len() {
+            if let Err(e) = self.pause_router(n, false) {
+                tracing::error!("{}", e.line());
+            }
+        }
+        for router in &self.routers {
+            let _ = lock(router).terminate();
+        }
+        let deadline = Instant::now() + within;
+        let mut graceful = true;
+        for router in &self.routers {
+            let mut router = lock(router);
+            if router.is_up() {
+                let ended = router.wait(deadline.saturating_duration_since(Instant::now()));
+                graceful &= ended.is_some_and(|status| status.success());
+            }
+        }
+        // No router outlives the scenario, however it went.
+        self.routers.iter().for_each(|r| lock(r).kill());
+        graceful
+    }
+
+    /// Has the invariants checked on what has crossed the sockets so far.
+    ///
+    /// # Errors
+    /// When the logs cannot be read.
+    pub fn verdict(&self) -> Result<Verdict, Wrong> {
+        self.log.flush();
+        self.broker.flush();
+        self.store.flush();
+        self.list.flush();
+        self.workers.iter().for_each(Worker::flush);
+        Ok(cedarpulley_invariant_checker::judge(&self.out)?)
+    }
+
+    /// The folder that the cluster writes to.
+    pub fn folder(&self) -> &Path {
+        &self.out
+    }
+}
--- /dev/null
+++ b/crates/test-cluster/src/cluster/setup.rs
@@ -0,0 +1,338 @@
+//! Sets a cluster up: emulators, reserved ports, relays, settings files, processes that are not started yet.
+
+use std::collections::HashMap;
+use std::io;
+use std::net::{IpAddr, SocketAddr};
+use std::path::Path;
+use std::sync::Mutex;
+use std::time::Duration;
+
+use cedarpulley_emulators::broker::Broker;
+use cedarpulley_emulators::endpoint_list::{List, Row};
+use cedarpulley_emulators::store::{self, Store};
+use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
+use cedarpulley_emulators::{Ground, router_address};
+use cedarpulley_invariant_checker::Terms;
+
+use super::router_settings::{Member, RouterSettings};
+use super::{BROKER, Fleet, LIST, Launch, queue, worker_name};
+use crate::links::Links;
+use crate::relay::{Relay, RelayConfig, RelayMode, Reserved};
+use crate::router_process::RouterProcess;
+use crate::scenario::{Day, WorkerGroup};
+
+/// Threads of the emulators and relays.
+const THREADS: usize = 3;
+/// Kinds of tampering that break an invariant only where all routers have them: many overload a worker, a record is
+/// doubted as long as one other doubts it, and votes against a promise, or that nobody persists, count from a majority
+/// on.
+const TAMPER_TOGETHER: [&str; 4] = ["push", "undoubting", "promise", "unkept"];
+const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+
+/// The source address of a router.
+pub(super) fn router_address_of(day: &Day, number: u32) -> IpAddr {
+    router_address(day.zone_of(number), number)
+}
+
+pub(super) fn set_up(day: &Day, terms: &Terms, launch: Launch) -> io::Result<Fleet> {
+    let out = &launch.out;
+    for old in ["traffic", "routers", "traces", "meter"] {
+        if out.join(old).exists() {
+            std::fs::remove_dir_all(out.join(old))?;
+        }
+    }
+    std::fs::create_dir_all(out.join("routers"))?;
+    std::fs::write(out.join("terms.json"), serde_json::to_string_pretty(terms)?)?;
+    let emulators = Emulators::start(day, terms, out)?;
+    let log = emulators.host.log("day")?;
+    let links = Links::new(Some(log.clone()));
+    let ports = RouterPorts::reserve(day)?;
+    let mut relays = RelaySet {
+        day,
+        host: &emulators.host,
+        links: &links,
+        relays: Vec::new(),
+        worker_addresses: HashMap::new(),
+    };
+    let mut routers = Vec::new();
+    for number in 0..ports.addresses.len() {
+        let process = prepare_router(day, &launch, number, &ports, &emulators, &mut relays)?;
+        routers.push(Mutex::new(process));
+    }
+    let RelaySet {
+        relays,
+        worker_addresses,
+        ..
+    } = relays;
+    if !day.regions.is_empty() {
+        emulators.list.seen_as(move |router, worker| {
+            worker_addresses
+                .get(&(router, worker))
+                .copied()
+                .unwrap_or(worker)
+        });
+    }
+    let zone_regions = day
+        .zones
+        .iter()
+        .map(|zone| (zone.clone(), day.region_of(zone).to_owned()))
+        .collect();
+    let consuming_routers = day.routers as usize - usize::from(day.witness);
+    Ok(Fleet {
+        ground: emulators.host,
+        broker: emulators.broker,
+        store: emulators.store,
+        list: emulators.list,
+        workers: emulators.workers,
+        rows: Mutex::new(emulators.rows),
+        links,
+        log,
+        routers,
+        addresses: ports.addresses,
+        regions: ports.regions,
+        zone_regions,
+        kserve_ports: ports.kserve,
+        peer_ports: ports.peers,
+        _relays: relays,
+        out: launch.out,
+        expected_consumers: consuming_routers * day.accounts.len(),
+    })
+}
+
+/// All that routers talk to.
+struct Emulators {
+    host: Ground,
+    broker: Broker,
+    store: Store,
+    list: List,
+    workers: Vec<Worker>,
+    rows: Vec<Row>,
+}
+
+impl Emulators {
+    fn start(day: &Day, terms: &Terms, out: &Path) -> io::Result<Self> {
+        let host = Ground::new(THREADS, Some(&out.join("traffic")))?;
+        let broker = Broker::start(&host, BROKER, ANY_PORT)?;
+        for account in &day.accounts {
+            broker.declare(&queue(&account.name));
+        }
+        let profile = store::Nature {
+            mb_per_s: day.store.mb_per_s,
+            abreast: day.store.abreast,
+            most: day.store.most,
+        };
+        let store = Store::start(&host, "store", ANY_PORT, profile)?;
+        let list = List::start(&host, LIST, ANY_PORT)?;
+        let programs = programs(day);
+        let (memory, mut workers, mut rows) = (Memory::default(), Vec::new(), Vec::new());
+        let groups = day.workers.iter();
+        for group in groups.flat_map(|group| (0..group.count).map(move |_| group)) {
+            let worker = Worker::start(
+                &host,
+                &worker_name(workers.len()),
+                ANY_PORT,
+                day.seed,
+                worker_profile(day, terms, group),
+                store.server.address,
+                programs.clone(),
+                memory.clone(),
+            )?;
+            rows.push(Row {
+                address: worker.address,
+                zone: group.zone.clone(),
+                kind: group.kind.clone(),
+                cell: 0,
+                draining: false,
+                start: 1,
+                started_us: 0,
+            });
+            workers.push(worker);
+        }
+        for (number, row) in rows.iter().enumerate() {
+            list.put(&worker_name(number), row.clone());
+        }
+        Ok(Emulators {
+            host,
+            broker,
+            store,
+            list,
+            workers,
+            rows,
+        })
+    }
+}
+
+/// What invocations of each trigger type are like, by its name.
+fn programs(day: &Day) -> HashMap<String, Program> {
+    let program = |t: &crate::scenario::TriggerType| Program {
+        work: Duration::from_secs_f64(t.work_ms / 1e3),
+        copy_mb: t.copy_mb,
+        start_up: Duration::from_millis(t.start_up_ms),
+        lanes: t.lanes as usize,
+        window: (t.window_ms > 0).then(|| Duration::from_millis(t.window_ms)),
+        prefix: Duration::from_millis(t.prefix_ms),
+    };
+    day.triggers
+        .iter()
+        .map(|trigger| (trigger.name.clone(), program(trigger)))
+        .collect()
+}
+
+fn worker_profile(day: &Day, terms: &Terms, group: &WorkerGroup) -> Nature {
+    let duration = |us: i64| Duration::from_micros(us.max(0) as u64);
+    let loads_when_absent = day
+        .settings
+        .loads
+        .get("loads_when_absent")
+        .and_then(toml::Value::as_bool)
+        .unwrap_or(true);
+    Nature {
+        cores: group.cores,
+        memory_mb: group.memory_mb,
+        max_waiting: day.nature.most_waiting,
+        max_loads: day.nature.most_loads,
+        loads_when_absent,
+        slow_start_share: terms.cold_part,
+        slow_start: duration(terms.cold_for_us),
+        overload_multiple: terms.overload_multiple,
+        overload_window: duration(terms.overload_window_us),
+    }
+}
+
+/// Addresses and ports of the routers, by number.
+struct RouterPorts {
+    addresses: Vec<IpAddr>,
+    regions: Vec<String>,
+    kserve: Vec<Reserved>,
+    /// Empty if the routers form no group.
+    peers: Vec<Reserved>,
+}
+
+impl RouterPorts {
+    fn reserve(day: &Day) -> io::Result<Self> {
+        let addresses: Vec<IpAddr> = (0..day.routers)
+            .map(|number| router_address_of(day, number))
+            .collect();
+        let reserve = || {
+            addresses
+                .iter()
+                .map(|ip| Reserved::at(*ip))
+                .collect::<io::Result<Vec<_>>>()
+        };
+        let kserve = reserve()?;
+        let peers = if day.peers { reserve()? } else { Vec::new() };
+        let region = |number: u32| day.region_of(&day.zones[day.zone_of(number) as usize]);
+        let regions = (0..day.routers)
+            .map(|number| region(number).to_owned())
+            .collect();
+        Ok(RouterPorts {
+            addresses,
+            regions,
+            kserve,
+            peers,
+        })
+    }
+}
+
+/// The relays of all routers' links; none without regions.
+struct RelaySet<'a> {
+    day: &'a Day,
+    host: &'a Ground,
+    links: &'a Links,
+    relays: Vec<Relay>,
+    /// By router and worker: where the router reaches the worker.
+    worker_addresses: HashMap<(IpAddr, SocketAddr), SocketAddr>,
+}
+
+impl RelaySet<'_> {
+    /// Where the near side reaches `to`: at a new relay, or directly.
+    fn add(
+        &mut self,
+        near: IpAddr,
+        far: &str,
+        to: SocketAddr,
+        mode: RelayMode,
+    ) -> io::Result<SocketAddr> {
+        if self.day.regions.is_empty() {
+            return Ok(to);
+        }
+        let config = RelayConfig {
+            mode,
+            near: &near.to_string(),
+            far,
+            from: Some(near),
+            to,
+            seed: self.day.seed ^ (self.relays.len() as u64 + 1) << 32,
+        };
+        let relay = Relay::start(self.host, self.links, config)?;
+        let address = relay.address;
+        self.relays.push(relay);
+        Ok(address)
+    }
+}
+
+/// Writes a router's settings, with a relay on each of its links.
+fn prepare_router(
+    day: &Day,
+    launch: &Launch,
+    number: usize,
+    ports: &RouterPorts,
+    emulators: &Emulators,
+    relays: &mut RelaySet,
+) -> io::Result<RouterProcess> {
+    let own = ports.addresses[number];
+    let broker = relays.add(own, BROKER, emulators.broker.address, RelayMode::Bytes)?;
+    let list_address = emulators.list.server.address;
+    let list = relays.add(own, LIST, list_address, RelayMode::Bytes)?;
+    for (n, worker) in emulators.workers.iter().enumerate() {
+        let address = relays.add(own, &worker_name(n), worker.address, RelayMode::Bytes)?;
+        relays
+            .worker_addresses
+            .insert((own, worker.address), address);
+    }
+    let mut members = Vec::new();
+    for (n, peer) in ports.peers.iter().enumerate() {
+        let address = if n == number {
+            peer.address
+        } else {
+            let far = ports.addresses[n].to_string();
+            relays.add(own, &far, peer.address, RelayMode::Messages)?
+        };
+        members.push(Member {
+            name: format!("r{n}"),
+            region: ports.regions[n].clone(),
+            address,
+        });
+    }
+    let settings = RouterSettings {
+        day,
+        number: number as u32,
+        broker,
+        list,
+        kserve: ports.kserve[number].address,
+        members: &members,
+        trace: launch.trace,
+    };
+    let folder = launch.out.join("routers");
+    let file = folder.join(format!("router-{number}.toml"));
+    std::fs::write(&file, settings.to_toml().map_err(io::Error::other)?)?;
+    let state = folder.join(format!("state-{number}"));
+    let args = router_args(day, launch, number);
+    Ok(RouterProcess::new(&launch.program, &file, &state, &args))
+}
+
+fn router_args(day: &Day, launch: &Launch, number: usize) -> Vec<String> {
+    let mut args = vec!["--log".to_owned(), "json".to_owned()];
+    // One router that tampers is enough to be found, except where all of them together break the invariant.
+    if let Some(kind) = launch
+        .tamper
+        .as_ref()
+        .filter(|kind| number == 0 || TAMPER_TOGETHER.contains(&kind.as_str()))
+    {
+        args.extend(["--tamper".to_owned(), kind.clone()]);
+    }
+    if number < day.clock_offsets_ms.len() {
+        args.push("--rig".to_owned());
+    }
+    args
+}
--- a/crates/test-cluster/src/lib.rs
+++ b/crates/test-cluster/src/lib.rs
@@ -1,40 +1,55 @@
-//! The rig: routers as processes of their own before stand-ins in this one, in regions, with a relay on every link
-//! between them. For tests and scripted days; never part of a router. It only brings faults about; what they broke
-//! is judged by `cedarpulley-invariant-checker` from the stand-ins' logs.
+//! A cluster for tests: routers as processes of their own before emulators in this process, in regions, with a relay
+//! on every link between them. For tests and scenarios; never part of a router. It only brings faults about; which
+//! invariants they broke is checked by `cedarpulley-invariant-checker` from the emulators' logs.
 //!
-//! Begin reading at [`fleet`]; then [`links`] (the faults), [`relay`] (bytes), [`messages`] (whole requests),
-//! [`process`] (one router),
-//! [`wrong`] (what goes wrong outside of what is tried).
+//! Begin reading at [`cluster`]; then [`links`] (the faults), [`relay`] (bytes), [`message_relay`] (whole requests),
+//! [`router_process`] (one router), [`scenario`] (what is played), [`error`].
 
-pub mod client;
-pub mod fleet;
+#![warn(missing_docs)]
+
+pub mod amqp_client;
+pub mod cluster;
+pub mod error;
+pub mod kserve_client;
 pub mod links;
-pub mod messages;
+pub mod message_relay;
 pub mod operator;
-pub mod plan;
-pub mod process;
+mod port;
 pub mod relay;
-pub mod rest_client;
+pub mod router_process;
+pub mod router_state;
+pub mod scenario;
 pub mod script;
 pub mod traffic;
-pub mod verdict;
-pub mod wrong;
+
+#[doc(hidden)]
+pub use amqp_client as client;
+#[doc(hidden)]
+pub use cluster as fleet;
+#[doc(hidden)]
+pub use error as wrong;
+#[doc(hidden)]
+pub use router_process as process;
+#[doc(hidden)]
+pub use router_state as verdict;
+#[doc(hidden)]
+pub use scenario as plan;
 
 use std::time::{Duration, Instant};
 
-/// How often [`until`] looks.
-const LOOK: Duration = Duration::from_millis(10);
+/// How often [`until`] checks its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits for it to have come about; false if it does not in this time.
-pub fn until(patience: Duration, mut holds: impl FnMut() -> bool) -> bool {
-    let end = Instant::now() + patience;
+/// Waits until the condition holds; false if it does not within this time.
+pub fn until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
+    let deadline = Instant::now() + timeout;
     loop {
-        if holds() {
+        if condition() {
             return true;
         }
-        if Instant::now() > end {
+        if Instant::now() > deadline {
             return false;
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/test-cluster/src/links.rs
+++ b/crates/test-cluster/src/links.rs
@@ -1,12 +1,12 @@
-//! Which fault stands on which directed link: one table for all relays of a rig. [`Links::set`] puts a fault on the
-//! direction from one name to another; relays ask through their [`Way`]. Names are those that the stand-ins' logs
-//! have: a router's address, a stand-in's log.
+//! Faults on directed links: one table for all relays of a cluster. [`Links::set`] puts a fault on the direction from
+//! one name to another; relays consult it through their `LinkDirection`. Names are those of the emulators' logs: a
+//! router's address, the name of an emulator's log.
 //!
 //! Mechanisms:
 //! 1. A fault belongs to a direction, not to a connection: set from A to B it holds the requests on A's connections
 //!    to B and the answers on B's connections to A.
-//! 2. What a fault keeps from being seen is logged before it begins and after it has ended, for the judge: a
-//!    `link` line tells from where to where, and how long things are on their way at most.
+//! 2. What a fault keeps from being seen is logged before it begins and after it has ended, for the checker: a `link`
+//!    line says from where to where, and how long things are in flight at most.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, Weak};
@@ -16,43 +16,52 @@
 use event_listener::{Event, EventListener};
 use serde_json::json;
 
-use crate::relay::Port;
+use crate::port::Port;
 
+/// What happens on one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Fault {
+    /// Nothing: everything passes.
     #[default]
     Pass,
-    /// Nothing passes and nobody is told; it comes through when healed.
+    /// Nothing passes and neither side notices; it arrives when the link is healed.
     Held,
     /// Likewise, but what came is lost: a connection that lost something is reset when healed.
     Lost,
-    /// Later by so much, and by a drawn part of the spread; in order.
+    /// Delayed by `by` and a drawn part of `spread`; in order.
     Late {
+        /// Least delay.
         by: Duration,
+        /// Most delay beyond it.
         spread: Duration,
     },
+    /// Limited in bandwidth.
     Throttled {
+        /// The limit.
         bytes_per_s: u64,
     },
-    /// Every connection of the link is reset on both sides, new ones as they come. Healed at once, those that stood
-    /// are reset all the same.
+    /// Every connection of the link is reset on both sides, new ones as they come. Even if it is healed at once, those
+    /// that were open are reset.
     Reset,
-    /// Its connections are dead towards the direction's end, which sees them reset; its beginning hears of it when
-    /// healed.
+    /// Its connections are dead towards the direction's end, which sees them reset; its beginning sees it when the
+    /// link is healed.
     HalfOpen,
-    /// New connections in this direction are refused; those that stand go on.
+    /// New connections in this direction are refused; those that are open go on.
     Refused,
-    /// Of whole messages these parts are dropped, sent twice, sent after a later one. Bytes pass.
+    /// Of whole messages, shares are dropped, duplicated and reordered. Bytes pass.
     Unruly {
+        /// Share dropped.
         drop: f64,
+        /// Share sent twice.
         twice: f64,
+        /// Share sent after a later one.
         after: f64,
     },
 }
 
 impl Fault {
-    /// What comes may have been sent a while before: for how long at most, where that is known.
-    fn holds(self) -> Option<Option<Duration>> {
+    /// Whether what arrives may have been sent a while before, and if so for how long at most, where that is known.
+    fn delays(self) -> Option<Option<Duration>> {
         match self {
             Fault::Held | Fault::Lost | Fault::Throttled { .. } => Some(None),
             Fault::Late { by, spread } => Some(Some(by + spread)),
@@ -60,29 +69,47 @@
         }
     }
 
+    /// What comes while it lasts is lost.
     pub(crate) fn loses(self) -> bool {
         matches!(self, Fault::Lost | Fault::HalfOpen)
     }
 }
 
-type Pair = (String, String);
+/// From one name to another.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Endpoints {
+    from: String,
+    to: String,
+}
+
+impl Endpoints {
+    fn new(from: &str, to: &str) -> Self {
+        Endpoints {
+            from: from.to_owned(),
+            to: to.to_owned(),
+        }
+    }
+}
 
 #[derive(Default)]
-struct Table {
-    faults: HashMap<Pair, Fault>,
-    /// How often each was set to be reset.
-    resets: HashMap<Pair, u64>,
-    ports: HashMap<Pair, Vec<Weak<Port>>>,
+struct FaultTable {
+    faults: HashMap<Endpoints, Fault>,
+    /// How often each direction was reset.
+    resets: HashMap<Endpoints, u64>,
+    /// Where relays listen for connections in each direction.
+    ports: HashMap<Endpoints, Vec<Weak<Port>>>,
 }
 
+/// The faults of all links; clones share them.
 #[derive(Clone, Default)]
 pub struct Links {
-    table: Arc<Mutex<Table>>,
+    table: Arc<Mutex<FaultTable>>,
     changed: Arc<Event>,
     log: Option<Log>,
 }
 
 impl Links {
+    /// Without faults; changes are logged where a log is given.
     pub fn new(log: Option<Log>) -> Self {
         Links {
             log,
@@ -90,79 +117,88 @@
         }
     }
 
-    /// From now on, whatever stood there before. New connections are refused, or taken, when this returns.
+    /// Sets the fault of a direction in place of the one before. New connections are refused, or accepted, when this
+    /// returns.
     pub fn set(&self, from: &str, to: &str, fault: Fault) {
-        let pair = (from.to_owned(), to.to_owned());
-        if let Some(most) = fault.holds() {
-            self.tell(from, to, "held", true, most);
+        let endpoints = Endpoints::new(from, to);
+        if let Some(most_delay) = fault.delays() {
+            self.log_change(from, to, "held", true, most_delay);
         }
         if fault == Fault::HalfOpen {
-            // That the other one has hung up is what is not seen.
-            self.tell(to, from, "half-open", true, None);
+            // What is not seen is that the other side has closed.
+            self.log_change(to, from, "half-open", true, None);
         }
         let before = {
             let mut table = lock(&self.table);
             for port in table
                 .ports
-                .get(&pair)
+                .get(&endpoints)
                 .into_iter()
                 .flatten()
                 .filter_map(Weak::upgrade)
             {
-                port.open(fault != Fault::Refused);
+                port.set_open(fault != Fault::Refused);
             }
             if fault == Fault::Reset {
-                *table.resets.entry(pair.clone()).or_default() += 1;
+                *table.resets.entry(endpoints.clone()).or_default() += 1;
             }
-            table.faults.insert(pair, fault).unwrap_or_default()
+            table.faults.insert(endpoints, fault).unwrap_or_default()
         };
         self.changed.notify(usize::MAX);
-        if before.holds().is_some() && fault.holds().is_none() {
-            self.tell(from, to, "held", false, None);
+        if before.delays().is_some() && fault.delays().is_none() {
+            self.log_change(from, to, "held", false, None);
         }
         if before == Fault::HalfOpen && fault != Fault::HalfOpen {
-            self.tell(to, from, "half-open", false, None);
+            self.log_change(to, from, "half-open", false, None);
         }
     }
 
+    /// Sets the fault of both directions.
     pub fn both(&self, one: &str, other: &str, fault: Fault) {
         self.set(one, other, fault);
         self.set(other, one, fault);
     }
 
-    /// All links are whole again.
+    /// Removes all faults.
     pub fn heal(&self) {
-        let pairs: Vec<Pair> = lock(&self.table).faults.keys().cloned().collect();
-        pairs
-            .iter()
-            .for_each(|(from, to)| self.set(from, to, Fault::Pass));
+        let faulty: Vec<Endpoints> = lock(&self.table).faults.keys().cloned().collect();
+        for endpoints in &faulty {
+            self.set(&endpoints.from, &endpoints.to, Fault::Pass);
+        }
     }
 
-    fn tell(&self, from: &str, to: &str, why: &str, on: bool, most: Option<Duration>) {
+    fn log_change(
+        &self,
+        from: &str,
+        to: &str,
+        reason: &str,
+        on: bool,
+        most_delay: Option<Duration>,
+    ) {
         if let Some(log) = &self.log {
-            let most = most.map(|m| m.as_micros() as u64);
+            let most_us = most_delay.map(|m| m.as_micros() as u64);
             log.write(
                 "link",
-                json!({"from": from, "to": to, "why": why, "on": on, "most_us": most}),
+                json!({"from": from, "to": to, "why": reason, "on": on, "most_us": most_us}),
             );
         }
     }
 
-    pub(crate) fn way(&self, from: &str, to: &str) -> Way {
-        Way {
+    pub(crate) fn direction(&self, from: &str, to: &str) -> LinkDirection {
+        LinkDirection {
             links: self.clone(),
-            pair: (from.to_owned(), to.to_owned()),
+            endpoints: Endpoints::new(from, to),
         }
     }
 
-    /// Its new connections follow what is set for the direction.
+    /// From now on the port listens or refuses as the direction's fault says.
     pub(crate) fn register(&self, from: &str, to: &str, port: &Arc<Port>) {
-        let pair = (from.to_owned(), to.to_owned());
+        let endpoints = Endpoints::new(from, to);
         let mut table = lock(&self.table);
-        port.open(table.faults.get(&pair) != Some(&Fault::Refused));
+        port.set_open(table.faults.get(&endpoints) != Some(&Fault::Refused));
         table
             .ports
-            .entry(pair)
+            .entry(endpoints)
             .or_default()
             .push(Arc::downgrade(port));
     }
@@ -170,39 +206,41 @@
 
 /// One direction of one link.
 #[derive(Clone)]
-pub(crate) struct Way {
+pub(crate) struct LinkDirection {
     links: Links,
-    pair: Pair,
+    endpoints: Endpoints,
 }
 
-impl Way {
-    pub fn fault(&self) -> Fault {
+impl LinkDirection {
+    /// Its present fault.
+    pub(crate) fn fault(&self) -> Fault {
         lock(&self.links.table)
             .faults
-            .get(&self.pair)
+            .get(&self.endpoints)
             .copied()
             .unwrap_or_default()
     }
 
-    pub fn resets(&self) -> u64 {
+    /// How often it was reset.
+    pub(crate) fn resets(&self) -> u64 {
         lock(&self.links.table)
             .resets
-            .get(&self.pair)
+            .get(&self.endpoints)
             .copied()
             .unwrap_or_default()
     }
 
-    /// To be taken before the fault is looked at, so that no change is missed.
-    pub fn change(&self) -> EventListener {
+    /// Resolves with the next change of any fault. To be taken before the fault is read, so that no change is missed.
+    pub(crate) fn changed(&self) -> EventListener {
         self.links.changed.listen()
     }
 
     /// Waits while it is held; false if what passes here is lost instead.
-    pub async fn lets(&self) -> bool {
+    pub(crate) async fn passes(&self) -> bool {
         loop {
-            let change = self.change();
+            let changed = self.changed();
             match self.fault() {
-                Fault::Held => change.await,
+                Fault::Held => changed.await,
                 fault => return !fault.loses(),
             }
         }
--- a/crates/test-cluster/src/process.rs
+++ b/crates/test-cluster/src/router_process.rs
@@ -1,10 +1,10 @@
 //! One router as a process: started from a settings file, its log kept in a file, killed, paused, restarted with its
-//! state kept, removed or older, with a full disk. Dropped, it is killed by its pid: no process outlives the rig.
+//! state kept, removed or older, with a full disk. Dropped, it is killed by its pid: no process outlives the cluster.
 //!
 //! Mechanisms:
 //! 1. It is started through a shell that ignores SIGXFSZ, which `exec` keeps: a write beyond the file size limit
 //!    then fails as on a full disk instead of ending the process. The limit can be set and lifted while it runs.
-//! 2. Its log goes through a pipe and a thread of the rig, so that a full disk is that of its state alone.
+//! 2. Its log goes through a pipe and a thread of this process, so that only its state's disk is full.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -14,36 +14,39 @@
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 
 const SHELL: &str = r#"trap "" XFSZ; exec "$0" "$@""#;
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// A process is stopped by its signal within this time, or something is wrong with the machine.
-const STOPPED_WITHIN: Duration = Duration::from_secs(20);
+const PAUSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a router finds of its own at its start.
+/// The persisted state that a router finds at its start.
 #[derive(Clone, Copy, Debug)]
 pub enum State<'a> {
+    /// As it left it.
     Kept,
+    /// None.
     Removed,
-    /// An older copy, made by [`Process::copy_state`].
+    /// An older copy, made by [`RouterProcess::copy_state`].
     Older(&'a Path),
 }
 
-pub struct Process {
+/// A router's process, running or not.
+pub struct RouterProcess {
     program: PathBuf,
     args: Vec<String>,
     log: PathBuf,
-    /// Its state folder; there need be none.
+    /// Its state folder, which need not exist.
     pub state: PathBuf,
     child: Option<Child>,
     paused: bool,
 }
 
-impl Process {
+impl RouterProcess {
     /// Not running yet. `args` come after `serve`.
-    pub fn new(program: &Path, settings: &Path, state: &Path, args: &[String]) -> Process {
+    pub fn new(program: &Path, settings: &Path, state: &Path, args: &[String]) -> RouterProcess {
         let mut all = vec!["serve".to_owned(), settings.display().to_string()];
         all.extend_from_slice(args);
         let log = settings.with_extension("log");
-        Process {
+        RouterProcess {
             program: program.into(),
             args: all,
             log,
@@ -53,15 +56,20 @@
         }
     }
 
+    /// Whether it has been started and not been seen to end.
     pub fn is_up(&self) -> bool {
         self.child.is_some()
     }
 
+    /// Its process id while it runs.
     pub fn pid(&self) -> Option<Pid> {
         Pid::from_raw(self.child.as_ref()?.id() as i32)
     }
 
-    /// If it is not running.
+    /// Starts it unless it is running.
+    ///
+    /// # Errors
+    /// When its state cannot be replaced or the program cannot be started.
     pub fn start(&mut self, state: State) -> io::Result<()> {
         if self.child.is_some() {
             return Ok(());
@@ -86,19 +94,22 @@
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()?;
-        let said = child.stderr.take();
+        let log_pipe = child.stderr.take();
         self.child = Some(child);
         self.paused = false;
-        if let Some(mut said) = said {
+        if let Some(mut log_pipe) = log_pipe {
             // Ends with the process.
             std::thread::Builder::new()
                 .name("router-log".into())
-                .spawn(move || io::copy(&mut said, &mut log))?;
+                .spawn(move || io::copy(&mut log_pipe, &mut log))?;
         }
         Ok(())
     }
 
-    /// What its state folder holds now, for [`State::Older`].
+    /// Copies its state folder as it is now, for [`State::Older`].
+    ///
+    /// # Errors
+    /// When a file cannot be read or written.
     pub fn copy_state(&self, to: &Path) -> io::Result<()> {
         if to.exists() {
             std::fs::remove_dir_all(to)?;
@@ -106,7 +117,7 @@
         copy_folder(&self.state, to)
     }
 
-    /// Outright; gone for good when this returns.
+    /// Kills it; it has ended when this returns.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -114,40 +125,54 @@
         }
     }
 
-    /// Told to end in good order.
+    /// Asks it to shut down gracefully.
+    ///
+    /// # Errors
+    /// When it does not run.
     pub fn terminate(&self) -> io::Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Told to read its orders again.
+    /// Asks it to read its orders again.
+    ///
+    /// # Errors
+    /// When it does not run.
     pub fn hang_up(&self) -> io::Result<()> {
         self.signal(Signal::HUP)
     }
 
-    /// Stands still when this returns.
+    /// Stops it; it stands still when this returns.
+    ///
+    /// # Errors
+    /// When it does not run, or does not stop in time.
     pub fn pause(&mut self) -> io::Result<()> {
         self.signal(Signal::STOP)?;
         self.paused = true;
-        let until = Instant::now() + STOPPED_WITHIN;
-        while !self.stands_still() {
-            if Instant::now() > until {
+        let deadline = Instant::now() + PAUSE_TIMEOUT;
+        while !self.is_stopped() {
+            if Instant::now() > deadline {
                 return Err(io::ErrorKind::TimedOut.into());
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    pub fn go_on(&mut self) -> io::Result<()> {
+    /// Continues it after a pause.
+    ///
+    /// # Errors
+    /// When it does not run.
+    pub fn resume(&mut self) -> io::Result<()> {
         self.paused = false;
         self.signal(Signal::CONT)
     }
 
+    /// Whether it was paused and not resumed.
     pub fn is_paused(&self) -> bool {
         self.paused
     }
 
-    fn stands_still(&self) -> bool {
+    fn is_stopped(&self) -> bool {
         let Some(child) = &self.child else {
             return true;
         };
@@ -164,25 +189,28 @@
         }
     }
 
-    /// None while it runs, and if it never did.
+    /// How it ended; none while it runs, and if it never did.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
         Some(status)
     }
 
-    /// Until it has ended by itself.
+    /// Waits until it ends by itself; none if it does not within this time.
     pub fn wait(&mut self, within: Duration) -> Option<ExitStatus> {
-        let until = Instant::now() + within;
+        let deadline = Instant::now() + within;
         loop {
             match self.ended() {
-                None if Instant::now() < until => std::thread::sleep(LOOK),
+                None if Instant::now() < deadline => std::thread::sleep(POLL_INTERVAL),
                 ended => return ended,
             }
         }
     }
 
-    /// No file of its own grows beyond so many bytes: its disk is full. None: there is room again.
+    /// Lets none of its files grow beyond this many bytes, as on a full disk; none lifts the limit.
+    ///
+    /// # Errors
+    /// When it does not run, or the limit cannot be set.
     pub fn limit_files(&self, bytes: Option<u64>) -> io::Result<()> {
         let pid = self.pid().ok_or(io::ErrorKind::NotFound)?;
         let maximum = rustix::process::getrlimit(Resource::Fsize).maximum;
@@ -197,18 +225,19 @@
         Ok(())
     }
 
+    /// What it has logged so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 }
 
-impl Drop for Process {
+impl Drop for RouterProcess {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-/// One that is not there is copied as an empty one.
+/// A folder that does not exist is copied as an empty one.
 fn copy_folder(from: &Path, to: &Path) -> io::Result<()> {
     std::fs::create_dir_all(to)?;
     if !from.exists() {
@@ -216,10 +245,11 @@
     }
     for entry in std::fs::read_dir(from)? {
         let entry = entry?;
-        let there = to.join(entry.file_name());
-        match entry.file_type()?.is_dir() {
-            true => copy_folder(&entry.path(), &there)?,
-            false => std::fs::copy(entry.path(), there).map(|_| ())?,
+        let target = to.join(entry.file_name());
+        if entry.file_type()?.is_dir() {
+            copy_folder(&entry.path(), &target)?;
+        } else {
+            std::fs::copy(entry.path(), target)?;
         }
     }
     Ok(())
--- /dev/null
+++ b/crates/test-cluster/src/router_state.rs
@@ -0,0 +1,74 @@
+//! HTTP requests to routers and workers: a router's `/state`. What routers did is checked from the emulators' logs:
+//! [`crate::cluster::Fleet::verdict`].
+
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::time::Duration;
+
+use async_io::{Async, Timer};
+use futures_lite::FutureExt;
+use http_body_util::{BodyExt, Full, Limited};
+use hyper::Request;
+use hyper::body::Bytes;
+use hyper::client::conn::http1;
+use serde_json::Value;
+use smol_hyper::rt::FuturesIo;
+
+use crate::error::Wrong;
+
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_BODY: usize = 64 << 20;
+
+/// `GET /state` of a router's peer listener.
+///
+/// # Errors
+/// When it does not answer in time, with success and in JSON.
+pub fn state(address: SocketAddr) -> Result<Value, Wrong> {
+    let request = Request::get("/state")
+        .header("host", address.to_string())
+        .body(Full::default());
+    let body = request_body(address, request)?;
+    serde_json::from_slice(&body).map_err(|e| Wrong::Request {
+        address,
+        source: e.into(),
+    })
+}
+
+/// Sends one request on a connection of its own; the body of a successful answer.
+pub(crate) fn request_body(
+    address: SocketAddr,
+    request: hyper::http::Result<Request<Full<Bytes>>>,
+) -> Result<Bytes, Wrong> {
+    let failed = |source: io::Error| Wrong::Request { address, source };
+    let http_failed = |e: hyper::Error| failed(io::Error::other(e));
+    let requesting = async {
+        let request = request.map_err(|e| failed(io::Error::other(e)))?;
+        let stream = Async::<TcpStream>::connect(address).await.map_err(failed)?;
+        let (mut sender, connection) = http1::handshake(FuturesIo::new(stream))
+            .await
+            .map_err(http_failed)?;
+        let exchange = async {
+            let answer = sender.send_request(request).await.map_err(http_failed)?;
+            let status = answer.status();
+            let body = Limited::new(answer.into_body(), MAX_BODY).collect().await;
+            let body = body.map_err(|e| failed(io::Error::other(e)))?;
+            if !status.is_success() {
+                return Err(Wrong::Status {
+                    address,
+                    status: status.as_u16(),
+                });
+            }
+            Ok(body.to_bytes())
+        };
+        let driving = async {
+            let _ = connection.await;
+            std::future::pending().await
+        };
+        exchange.or(driving).await
+    };
+    let timeout = async {
+        Timer::after(REQUEST_TIMEOUT).await;
+        Err(failed(io::ErrorKind::TimedOut.into()))
+    };
+    async_io::block_on(requesting.or(timeout))
+}
--- a/crates/test-cluster/src/script.rs
+++ b/crates/test-cluster/src/script.rs
@@ -1,5 +1,5 @@
-//! What is done to a fleet, and when: steps at their times, or again and again in gaps drawn by a seed. Steps are
-//! closures over the fleet, played in the order of their times in the caller's thread.
+//! What is done to a cluster, and when: actions at their times, or repeatedly in intervals drawn by a seed. Actions are
+//! closures over the cluster, run in the order of their times in the caller's thread.
 
 use std::time::{Duration, Instant};
 
@@ -7,38 +7,46 @@
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
 
-use crate::fleet::Fleet;
+use crate::cluster::Fleet;
 
-type Step<'a> = Box<dyn FnMut(&Fleet, &mut Pcg64Mcg) + 'a>;
+type Action<'a> = Box<dyn FnMut(&Fleet, &mut Pcg64Mcg) + 'a>;
 
+struct Step {
+    at: Duration,
+    /// Index of its action.
+    action: usize,
+}
+
+/// Timed actions on a cluster.
 pub struct Script<'a> {
     random: Pcg64Mcg,
-    steps: Vec<(Duration, usize)>,
-    acts: Vec<Step<'a>>,
+    steps: Vec<Step>,
+    actions: Vec<Action<'a>>,
 }
 
 impl<'a> Script<'a> {
+    /// Without actions; the seed is that of all draws.
     pub fn new(seed: u64) -> Self {
         Script {
             random: Pcg64Mcg::seed_from_u64(seed),
             steps: Vec::new(),
-            acts: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
-    pub fn at(mut self, ms: u64, mut act: impl FnMut(&Fleet) + 'a) -> Self {
-        self.steps
-            .push((Duration::from_millis(ms), self.acts.len()));
-        self.acts.push(Box::new(move |fleet, _| act(fleet)));
+    /// Runs an action once, this many milliseconds after the beginning.
+    pub fn at(mut self, ms: u64, mut action: impl FnMut(&Fleet) + 'a) -> Self {
+        self.add_step(Duration::from_millis(ms));
+        self.actions.push(Box::new(move |fleet, _| action(fleet)));
         self
     }
 
-    /// Between the two times, so long apart in the mean; the act has draws of its own.
+    /// Runs an action repeatedly between the two times, in exponential intervals of this mean; the action may draw.
     pub fn often(
         mut self,
         ms: std::ops::Range<u64>,
         mean_ms: f64,
-        act: impl FnMut(&Fleet, &mut Pcg64Mcg) + 'a,
+        action: impl FnMut(&Fleet, &mut Pcg64Mcg) + 'a,
     ) -> Self {
         let mut at = ms.start as f64;
         while let Ok(gap) = Exp::new(1.0 / mean_ms) {
@@ -46,19 +54,26 @@
             if at >= ms.end as f64 {
                 break;
             }
-            self.steps
-                .push((Duration::from_millis(at as u64), self.acts.len()));
+            self.add_step(Duration::from_millis(at as u64));
         }
-        self.acts.push(Box::new(act));
+        self.actions.push(Box::new(action));
         self
     }
 
-    /// Times count from `began`.
+    /// A step of the action that is added next.
+    fn add_step(&mut self, at: Duration) {
+        self.steps.push(Step {
+            at,
+            action: self.actions.len(),
+        });
+    }
+
+    /// Runs all actions at their times, counted from `began`.
     pub fn play(mut self, fleet: &Fleet, began: Instant) {
-        self.steps.sort_by_key(|s| s.0);
-        for (at, act) in self.steps {
+        self.steps.sort_by_key(|step| step.at);
+        for Step { at, action } in self.steps {
             std::thread::sleep((began + at).saturating_duration_since(Instant::now()));
-            self.acts[act](fleet, &mut self.random);
+            self.actions[action](fleet, &mut self.random);
         }
     }
 }
--- /dev/null
+++ b/crates/test-cluster/src/traffic/arrivals.rs
@@ -0,0 +1,189 @@
+//! The arrivals of a scenario, all drawn by its seed.
+//!
+//! The base load, the choice of fronts, sessions and floods have generators of their own: where one is taken out of a
+//! scenario, the draws of the others stay as they are.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use rand::{Rng, RngExt, SeedableRng};
+use rand_distr::{Distribution, Exp, Zipf};
+use rand_pcg::Pcg64Mcg;
+
+use crate::amqp_client::{Arrival, Turn};
+use crate::cluster::queue;
+use crate::scenario::{Day, Front, Trouble, What};
+
+/// Distinguish the generators of the same seed.
+const FRONTS: u64 = 0xca11;
+const FLOODS: u64 = 0xf100d << 8;
+const SESSIONS: u64 = 0x5e55_1011;
+
+/// Functions of a scan are numbered from here, among as many.
+const SCANNED_FUNCTIONS: u64 = 1_000_000;
+const BODY: &str =
+    r#"{"inputs":[{"name":"drawing","shape":[4],"datatype":"FP32","data":[0.1,0.2,0.3,0.4]}]}"#;
+
+/// All invocations of a scenario, in the order of their times.
+pub fn arrivals(day: &Day) -> Vec<Arrival> {
+    let mut all = base_load(day);
+    if day.triggers.iter().any(|t| t.sessions > 0.0) {
+        all = with_sessions(day, all);
+    }
+    let base = all.clone();
+    for (number, fault) in day.troubles.iter().enumerate() {
+        if fault.what == What::Flood {
+            add_flood(day, number, fault, &base, &mut all);
+        }
+    }
+    all.sort_by_key(|arrival| arrival.at);
+    all
+}
+
+fn invocation_id(number: usize) -> String {
+    format!("i{number:06}")
+}
+
+/// Draws an index with probabilities in proportion to the weights.
+fn draw_weighted(random: &mut Pcg64Mcg, weights: &[f64]) -> Option<usize> {
+    let mut left = random.random::<f64>() * weights.iter().sum::<f64>();
+    weights.iter().position(|weight| {
+        left -= weight;
+        left <= 0.0
+    })
+}
+
+/// The fault of this kind that lasts at this time.
+fn fault_at(day: &Day, what: What, at: f64) -> Option<&Trouble> {
+    day.troubles
+        .iter()
+        .find(|t| t.what == what && (t.at_s..t.at_s + t.for_s).contains(&at))
+}
+
+fn base_load(day: &Day) -> Vec<Arrival> {
+    let mut random = Pcg64Mcg::seed_from_u64(day.seed);
+    let mut fronts = Pcg64Mcg::seed_from_u64(day.seed ^ FRONTS);
+    let mut all = Vec::new();
+    let mut at = 0.0;
+    let body: Arc<str> = BODY.into();
+    let trigger_shares: Vec<f64> = day.triggers.iter().map(|t| t.part).collect();
+    let account_shares: Vec<f64> = day.accounts.iter().map(|a| a.part).collect();
+    loop {
+        let fault = |what: What| fault_at(day, what, at);
+        let rate = day.rate_per_s * fault(What::TrafficShift).map_or(1.0, |t| t.size);
+        let Ok(gap) = Exp::new(rate) else { break };
+        let (hot, scan) = (fault(What::HotFunction), fault(What::Scan));
+        let retries = fault(What::RetryAbuse).map_or(0, |t| t.size as u32);
+        let trigger = &day.triggers[draw_weighted(&mut random, &trigger_shares).unwrap_or(0)];
+        let account = &day.accounts[draw_weighted(&mut random, &account_shares).unwrap_or(0)];
+        let rank = Zipf::new(f64::from(trigger.functions), trigger.skew)
+            .map_or(1.0, |zipf| zipf.sample(&mut random)) as u64;
+        let draw: f64 = random.random();
+        let function_number = match (hot, scan) {
+            (Some(hot), _) if draw < hot.part => 1,
+            (_, Some(scan)) if draw < scan.part => {
+                SCANNED_FUNCTIONS + random.next_u64() % SCANNED_FUNCTIONS
+            }
+            _ => rank,
+        };
+        at += gap.sample(&mut random);
+        if at >= day.seconds {
+            break;
+        }
+        all.push(Arrival {
+            at: Duration::from_secs_f64(at),
+            id: invocation_id(all.len()),
+            kind: trigger.name.clone(),
+            function: format!("{}:{function_number}", trigger.name),
+            account: account.name.clone(),
+            calls: fronts.random::<f64>() < day.kserve_part,
+            queue: queue(&account.name),
+            timeout_ms: trigger.client_timeout_ms,
+            copy_mb: trigger.copy_mb,
+            lanes: trigger.lanes,
+            body: body.clone(),
+            retries,
+            turn: None,
+        });
+    }
+    all
+}
+
+/// Adds a flood's arrivals: each like one of the base load, but for its front and account.
+fn add_flood(day: &Day, number: usize, flood: &Trouble, base: &[Arrival], all: &mut Vec<Arrival>) {
+    let mut random = Pcg64Mcg::seed_from_u64(day.seed ^ FLOODS ^ number as u64);
+    let calls = flood.front == Some(Front::Kserve);
+    let front_share = if calls {
+        day.kserve_part
+    } else {
+        1.0 - day.kserve_part
+    };
+    // Its usual share is there already.
+    let Ok(gap) = Exp::new(day.rate_per_s * front_share * (flood.size - 1.0)) else {
+        return;
+    };
+    let mut at = flood.at_s;
+    loop {
+        at += gap.sample(&mut random);
+        if at >= (flood.at_s + flood.for_s).min(day.seconds) {
+            break;
+        }
+        let like = base[random.random_range(0..base.len())].clone();
+        let account = flood.account.clone().unwrap_or(like.account);
+        all.push(Arrival {
+            at: Duration::from_secs_f64(at),
+            id: invocation_id(all.len()),
+            queue: queue(&account),
+            account,
+            calls,
+            turn: None,
+            ..like
+        });
+    }
+}
+
+/// Turns part of the arrivals into sessions: of those that belong to sessions, one in as many as a session has turns
+/// begins one; the others are left out in favour of the turns that follow, so that the rate stays what it was. Without
+/// sessions nothing is drawn here.
+fn with_sessions(day: &Day, singles: Vec<Arrival>) -> Vec<Arrival> {
+    let mut random = Pcg64Mcg::seed_from_u64(day.seed ^ SESSIONS);
+    let (mut all, mut begun) = (Vec::new(), 0);
+    for first in singles {
+        let trigger = day.triggers.iter().find(|t| t.name == first.kind);
+        let Some(trigger) = trigger.filter(|t| random.random::<f64>() < t.sessions) else {
+            all.push(first);
+            continue;
+        };
+        if random.random_range(0..trigger.turns) > 0 {
+            continue;
+        }
+        begun += 1;
+        let (session, turns) = (
+            format!("s{begun:05}"),
+            random.random_range(1..2 * trigger.turns),
+        );
+        let mut at = first.at;
+        for turn in 0..turns {
+            // The scenario may end before the session does.
+            if at.as_secs_f64() >= day.seconds {
+                break;
+            }
+            let turn = Turn {
+                session: session.clone(),
+                start: turn == 0,
+                end: turn + 1 == turns,
+            };
+            all.push(Arrival {
+                at,
+                turn: Some(turn),
+                ..first.clone()
+            });
+            at += Duration::from_millis(trigger.pause_ms).mul_f64(random.random_range(0.5..1.5));
+        }
+    }
+    all.sort_by_key(|a| a.at);
+    for (number, arrival) in all.iter_mut().enumerate() {
+        arrival.id = invocation_id(number);
+    }
+    all
+}
--- a/crates/test-cluster/tests/process.rs
+++ b/crates/test-cluster/tests/process.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use cedarpulley_test_cluster::process::{Process, State};
+use cedarpulley_test_cluster::router_process::{RouterProcess, State};
 use cedarpulley_test_cluster::until;
 
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -18,7 +18,7 @@
 
 struct Setting {
     folder: tempfile::TempDir,
-    process: Process,
+    process: RouterProcess,
 }
 
 fn setting() -> Setting {
@@ -27,7 +27,7 @@
     std::fs::write(&program, SCRIPT).expect("written");
     std::fs::set_permissions(&program, std::fs::Permissions::from_mode(0o755)).expect("set");
     let (settings, state) = (folder.path().join("r.toml"), folder.path().join("r-state"));
-    let process = Process::new(&program, &settings, &state, &[]);
+    let process = RouterProcess::new(&program, &settings, &state, &[]);
     Setting { folder, process }
 }
 
@@ -55,7 +55,7 @@
     let (still, pid) = (size(&s.process.state), s.process.pid().expect("it runs"));
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(size(&s.process.state), still);
-    s.process.go_on().expect("goes on");
+    s.process.resume().expect("goes on");
     assert!(s.grows());
     s.process.kill();
     assert!(!s.process.is_up() && !Path::new(&format!("/proc/{}", pid.as_raw_nonzero())).exists());
@@ -90,7 +90,7 @@
         (State::Removed, 0, older),
     ] {
         // Without a program that could write before it is looked at.
-        let mut process = Process::new(
+        let mut process = RouterProcess::new(
             Path::new("/bin/true"),
             &s.folder.path().join("t.toml"),
             &s.process.state,
--- a/crates/test-cluster/tests/relays.rs
+++ b/crates/test-cluster/tests/relays.rs
@@ -9,7 +9,7 @@
 use cedarpulley_emulators::Ground;
 use cedarpulley_emulators::http::{Partition, Server, full};
 use cedarpulley_test_cluster::links::{Fault, Links};
-use cedarpulley_test_cluster::relay::{Form, Relay};
+use cedarpulley_test_cluster::relay::{Relay, RelayConfig, RelayMode};
 use cedarpulley_test_cluster::until;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -33,19 +33,19 @@
 }
 
 /// An echo or an HTTP server, which hands out what it gets and gives it back.
-fn setting(form: Form) -> Setting {
+fn setting(mode: RelayMode) -> Setting {
     let (ends, (tell, bodies)) = (Ends::default(), channel());
     let ground = Ground::new(2, None).expect("a ground");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let seen = ends.clone();
-    let (to, server) = match form {
-        Form::Bytes => {
+    let (to, server) = match mode {
+        RelayMode::Bytes => {
             let listener = TcpListener::bind(any).expect("a listener");
             let to = listener.local_addr().expect("an address");
             std::thread::spawn(move || echoes(&listener, &seen, &tell));
             (to, None)
         }
-        Form::Messages => {
+        RelayMode::Messages => {
             let handle = move |from: SocketAddr, request: Request<Incoming>| {
                 let (seen, tell) = (seen.clone(), tell.clone());
                 async move {
@@ -67,7 +67,15 @@
     };
     let links = Links::new(None);
     let from = Some([127, 0, 10, 1].into());
-    let relay = Relay::start(&ground, &links, form, "near", "far", from, to, 7).expect("a relay");
+    let config = RelayConfig {
+        mode,
+        near: "near",
+        far: "far",
+        from,
+        to,
+        seed: 7,
+    };
+    let relay = Relay::start(&ground, &links, config).expect("a relay");
     Setting {
         links,
         relay,
@@ -163,7 +171,7 @@
 
 #[test]
 fn bytes_pass_from_the_near_side_s_own_address_and_ends_are_told() {
-    let s = setting(Form::Bytes);
+    let s = setting(RelayMode::Bytes);
     let stream = s.through();
     assert_eq!(
         s.ends.lock().expect("ends")[0].0.ip().to_string(),
@@ -179,7 +187,7 @@
 
 #[test]
 fn what_a_cut_holds_comes_through_when_healed_in_either_direction() {
-    let s = setting(Form::Bytes);
+    let s = setting(RelayMode::Bytes);
     for (from, to) in [("near", "far"), ("far", "near")] {
         let mut stream = s.through();
         s.links.set(from, to, Fault::Held);
@@ -214,7 +222,7 @@
 
 #[test]
 fn what_a_cut_loses_is_lost_with_its_connection() {
-    let s = setting(Form::Bytes);
+    let s = setting(RelayMode::Bytes);
     let (mut speaks, mut idle) = (s.through(), s.through());
     s.links.set("near", "far", Fault::Lost);
     speaks.write_all(b"lost").expect("written");
@@ -232,7 +240,7 @@
 
 #[test]
 fn a_reset_is_seen_on_both_sides_and_a_refusal_before_any_connection() {
-    let s = setting(Form::Bytes);
+    let s = setting(RelayMode::Bytes);
     let mut stream = s.through();
     s.links.set("near", "far", Fault::Refused);
     let refused = TcpStream::connect(s.relay.address)
@@ -255,7 +263,7 @@
 
 #[test]
 fn a_half_open_connection_is_dead_to_one_side_until_it_is_healed() {
-    let s = setting(Form::Bytes);
+    let s = setting(RelayMode::Bytes);
     let mut stream = s.through();
     s.links.set("near", "far", Fault::HalfOpen);
     assert!(until(PATIENCE, || s.ended(0) == Some(ErrorKind::ConnectionReset)));
@@ -274,7 +282,7 @@
 /// At least so late, by the clock; how much later is the machine's affair.
 #[test]
 fn delays_and_throttles_hold_back_and_keep_the_order() {
-    let s = setting(Form::Bytes);
+    let s = setting(RelayMode::Bytes);
     let mut stream = s.through();
     let (by, spread) = (Duration::from_millis(60), Duration::from_millis(40));
     s.links.set("near", "far", Fault::Late { by, spread });
@@ -301,7 +309,7 @@
 
 #[test]
 fn whole_messages_pass_and_are_held_lost_or_reset() {
-    let s = setting(Form::Messages);
+    let s = setting(RelayMode::Messages);
     let mut stream = s.connect();
     for body in ["a", "b"] {
         assert_eq!(s.post(&mut stream, body), Ok(body.into()));
@@ -314,7 +322,7 @@
     s.links.set("near", "far", Fault::Held);
     let gone = "POST /x HTTP/1.1\r\nhost: far\r\ncontent-length: 4\r\n\r\nheld";
     stream.write_all(gone.as_bytes()).expect("written");
-    assert!(until(PATIENCE, || s.relay.on_the_way() == 1) && silent(&mut stream));
+    assert!(until(PATIENCE, || s.relay.in_flight() == 1) && silent(&mut stream));
     drop(stream);
     s.links.heal();
     let got: Vec<String> = (0..3)
@@ -344,7 +352,7 @@
 /// Each on a connection of its own, so that one that waits holds up none.
 #[test]
 fn whole_messages_are_dropped_sent_twice_and_after_later_ones_by_the_seed() {
-    let s = setting(Form::Messages);
+    let s = setting(RelayMode::Messages);
     let ask = |n: usize, s: &Setting| {
         let mut stream = s.connect();
         let text = format!("POST /x HTTP/1.1\r\nhost: far\r\ncontent-length: 2\r\n\r\n{n:02}");
--- a/crates/test-cluster/tests/sessions.rs
+++ b/crates/test-cluster/tests/sessions.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use cedarpulley_test_cluster::plan::{self, Day};
+use cedarpulley_test_cluster::scenario::{self, Day};
 use cedarpulley_test_cluster::traffic::arrivals;
 
 fn day(sessions: f64) -> Day {
     let text = include_str!("../../../days/regions.toml");
-    let mut day = plan::parse("regions.toml", text).expect("a day");
+    let mut day = scenario::parse("regions.toml", text).expect("a day");
     let t = &mut day.triggers[0];
     (t.sessions, t.turns, t.pause_ms) = (sessions, 5, 400);
     day
@@ -47,7 +47,7 @@
     }
     assert!(sessions.len() > 20);
     for turns in sessions.values() {
-        let alike = |a: &cedarpulley_test_cluster::client::Arrival| {
+        let alike = |a: &cedarpulley_test_cluster::amqp_client::Arrival| {
             (a.function.clone(), a.account.clone(), a.calls)
         };
         assert!(turns.iter().all(|t| alike(t.0) == alike(turns[0].0)));
@@ -68,7 +68,7 @@
     let text = include_str!("../../../days/regions.toml");
     let bad = text.replacen("work_ms = 60\n", "work_ms = 60\nsessions = 0.5\n", 1);
     assert!(
-        plan::parse("bad", &bad)
+        scenario::parse("bad", &bad)
             .expect_err("refused")
             .to_string()
             .ends_with("turns above 0")
@@ -78,5 +78,5 @@
         "work_ms = 60\nsessions = 0.5\nturns = 4\n",
         1,
     );
-    assert!(plan::parse("good", &good).is_ok());
+    assert!(scenario::parse("good", &good).is_ok());
 }
