--- /dev/null
+++ b/crates/invariant-checker/src/traffic_log.rs
@@ -0,0 +1,124 @@
+//! The lines of the emulators' logs.
+
+use std::fs::File;
+use std::io::{BufRead, BufReader};
+use std::path::{Path, PathBuf};
+
+use serde_json::Value;
+
+use crate::Unjudged;
+
+/// One event of a log.
+pub(crate) struct LogLine {
+    /// Microseconds of Unix time.
+    pub(crate) at: i64,
+    /// What happened.
+    pub(crate) event: String,
+    /// Name of the emulator that wrote it.
+    pub(crate) source: String,
+    fields: Value,
+}
+
+impl LogLine {
+    /// A text; empty if there is none of this name.
+    pub(crate) fn text(&self, name: &str) -> &str {
+        self.fields[name].as_str().unwrap_or("")
+    }
+
+    pub(crate) fn number(&self, name: &str) -> Option<i64> {
+        self.fields[name].as_i64()
+    }
+
+    /// A figure; 0 if there is none of this name.
+    pub(crate) fn float(&self, name: &str) -> f64 {
+        self.fields[name].as_f64().unwrap_or(0.0)
+    }
+
+    /// False if there is none of this name.
+    pub(crate) fn flag(&self, name: &str) -> bool {
+        self.fields[name].as_bool().unwrap_or(false)
+    }
+
+    pub(crate) fn texts(&self, name: &str) -> Vec<&str> {
+        self.fields[name]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .filter_map(Value::as_str)
+            .collect()
+    }
+
+    /// The correlation id of its invocation, which dispatches carry within a longer one.
+    pub(crate) fn invocation_id(&self) -> &str {
+        let id = self.text("id");
+        id.split('|').nth(1).unwrap_or(id)
+    }
+
+    /// The broker or a caller hands an invocation to a router. Answers are delivered too, to their clients.
+    pub(crate) fn is_delivery_to_router(&self) -> bool {
+        self.event == "delivered" && !self.text("queue").starts_with("replies")
+    }
+}
+
+fn unreadable(path: &Path) -> impl FnOnce(std::io::Error) -> Unjudged {
+    let file = path.display().to_string();
+    move |source| Unjudged::Unreadable { file, source }
+}
+
+/// All lines of all logs of a folder, in the order of their times. A last line that was cut off is left out.
+pub(crate) fn read(folder: &Path) -> Result<Vec<LogLine>, Unjudged> {
+    let mut files: Vec<PathBuf> = std::fs::read_dir(folder)
+        .map_err(unreadable(folder))?
+        .flatten()
+        .map(|entry| entry.path())
+        .collect();
+    files.sort();
+    let mut lines = Vec::new();
+    for path in files
+        .iter()
+        .filter(|path| path.extension().is_some_and(|e| e == "ndjson"))
+    {
+        read_log(path, &mut lines)?;
+    }
+    if lines.is_empty() {
+        return Err(Unjudged::NoTraffic {
+            folder: folder.display().to_string(),
+        });
+    }
+    lines.sort_by_key(|line| line.at);
+    Ok(lines)
+}
+
+fn read_log(path: &Path, lines: &mut Vec<LogLine>) -> Result<(), Unjudged> {
+    let source_name = path
+        .file_stem()
+        .map(|s| s.to_string_lossy().into_owned())
+        .unwrap_or_default();
+    let file = || path.display().to_string();
+    let texts: Vec<String> = BufReader::new(File::open(path).map_err(unreadable(path))?)
+        .lines()
+        .map_while(Result::ok)
+        .collect();
+    for (line, text) in (1..).zip(&texts) {
+        let fields = match serde_json::from_str::<Value>(text) {
+            Ok(fields) => fields,
+            Err(_) if line == texts.len() => continue,
+            Err(source) => {
+                return Err(Unjudged::MalformedLine {
+                    file: file(),
+                    line,
+                    source,
+                });
+            }
+        };
+        lines.push(LogLine {
+            at: fields["t"]
+                .as_i64()
+                .ok_or_else(|| Unjudged::MissingTime { file: file(), line })?,
+            event: fields["what"].as_str().unwrap_or("").to_owned(),
+            source: source_name.clone(),
+            fields,
+        });
+    }
+    Ok(())
+}
--- a/crates/invariant-checker/tests/judged.rs
+++ b/crates/invariant-checker/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The judge on logs written by hand: two dispatches at once are told from what a cut kept from being seen.
+//! The rules on hand-written logs: breaks are told from what a fault kept from being seen.
 
 use std::path::Path;
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn two_dispatches_at_once_are_seen() {
+fn two_dispatches_in_flight_at_once_break_rule_2() {
     let second = json!({"came": {"t": 1_500_000}, "went": {"t": 1_600_000, "how": "answered"}});
     let first = json!({"came": {"t": 1_100_000}, "went": {"t": 2_500_000, "how": "answered"}});
     assert_eq!(judged("at-once", first, second.clone()).rules["2"], 1);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_cut_hides_a_hanging_up_but_not_what_was_out_before_it() {
+fn a_partition_excuses_an_unseen_close_but_not_what_was_in_flight_before_it() {
     // Its router timed it out; the worker behind the cut went on.
     let behind = |since: i64| json!({"came": {"t": 1_100_000}, "went": {"t": 3_000_000, "how": "answered", "unseen_since": since}});
     let second = json!({"came": {"t": 1_500_000}, "went": {"t": 1_600_000, "how": "answered"}});
@@ -77,9 +77,9 @@
     assert_eq!(judged("out-all-along", long(1_100_000), held).rules["2"], 1);
 }
 
-/// Symptom: what left before the answer reaches its worker after it, as a cut held it back.
+/// Symptom: what left before the answer reaches its worker after it, as a partition held it back.
 #[test]
-fn a_dispatch_that_a_cut_held_back_was_sent_when_the_cut_began_at_the_earliest() {
+fn a_dispatch_that_a_partition_delayed_was_sent_when_it_began_at_the_earliest() {
     let first = json!({"came": {"t": 1_100_000}, "went": {"t": 1_200_000, "how": "answered"}});
     // The answer leaves at 4 s.
     let late = |since: Value| json!({"came": {"t": 5_000_000, "held_since": since}, "went": {"t": 5_100_000, "how": "repeat"}});
@@ -106,9 +106,10 @@
     json!({"t": t, "what": "router-paused", "address": ROUTER, "on": on})
 }
 
-/// The rig's cuts, as those that a stand-in sees; a cut of another link, or that has long ended, hides nothing.
+/// Faults that the cluster logs, as those that an emulator sees; one of another link, or that ended long before, excuses
+/// nothing.
 #[test]
-fn a_link_that_the_rig_holds_hides_what_a_cut_hides() {
+fn a_held_link_excuses_what_a_partition_excuses() {
     let first = json!({"came": {"t": 1_100_000}, "went": {"t": 3_000_000, "how": "answered"}});
     let second = json!({"came": {"t": 1_500_000}, "went": {"t": 1_600_000, "how": "answered"}});
     let broken = |name: &str, cut: Vec<Value>| {
@@ -154,7 +155,7 @@
 
 /// Given up at 9 s, answered at 12 s.
 #[test]
-fn an_answer_may_be_late_while_its_router_is_held_and_no_longer() {
+fn an_answer_may_be_late_only_while_its_router_is_paused_or_partitioned() {
     let told = |name: &str, answer: Vec<Value>, more: Vec<Value>| {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
         let none = json!({"came": {"t": 1_100_000}, "went": {"t": 1_200_000, "how": "answered"}});
@@ -221,9 +222,9 @@
     );
 }
 
-/// Told at 2 s with a grace of half a second; the dispatch at 4 s breaks the rule, unless it was heard later.
+/// Notified at 2 s with a grace of half a second; the dispatch at 4 s breaks the rule, unless the notification came later.
 #[test]
-fn a_drain_counts_from_when_its_router_could_hear_it() {
+fn drain_deadline_starts_when_the_router_is_reachable() {
     let broken = |name: &str, more: Vec<Value>| {
         let once = json!({"came": {"t": 1_100_000}, "went": {"t": 1_200_000, "how": "answered"}});
         let late = json!({"came": {"t": 3_900_000}, "went": {"t": 3_950_000, "how": "answered"}});
--- a/crates/invariant-checker/tests/warm.rs
+++ b/crates/invariant-checker/tests/warm_capacity.rs
@@ -1,4 +1,4 @@
-//! The judge on hand-written logs of upgrades: each promise kept, and its broken twin.
+//! The promises of upgrades on hand-written logs: each kept, and broken.
 
 use std::path::Path;
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_session_on_two_versions_of_a_model_is_seen() {
+fn a_session_on_two_versions_of_a_model_breaks_its_promise() {
     let broken = |name: &str, second: (&str, &str)| {
         let lines = [
             ("w0", ran("s1", "m:1/versions/1")),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn two_planners_in_one_term_are_seen() {
+fn two_planners_in_one_term_break_the_promise() {
     let order = |what: &str, function: &str, router: Option<&str>, term: Option<&str>| json!({"what": what, "function": function, "router": router, "term": term, "from": "127.0.10.1"});
     let broken = |name: &str, second: Value| {
         let first = order("ordered", "m:1/versions/2", Some("r0"), Some("7"));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_prefix_that_is_built_again_has_one_cause() {
+fn a_rebuilt_prefix_has_one_cause() {
     let of = |name: &str, between: Vec<(&'static str, Value)>| {
         let mut lines = vec![("w0", loaded("m:1"))];
         lines.extend(turn("w0", "a", "begun", false, "answered"));
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn where_a_turn_should_have_gone_is_where_the_last_that_was_answered_ran() {
+fn a_turn_should_go_where_the_last_answered_turn_ran() {
     let of = |name: &str, left: &str, moved: &str| {
         let mut lines = vec![("w0", loaded("m:1")), ("w1", loaded("m:1"))];
         lines.extend(turn("w0", "a", "begun", false, left));
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn lanes_that_an_order_takes_below_the_floor_are_seen() {
+fn an_order_that_takes_lanes_below_the_floor_breaks_it() {
     let half = json!({"floor_part": 0.75});
     let of = |name: &str, then: &[(&str, Value)]| {
         let v = upgraded(name, half.clone(), then);
@@ -351,7 +351,7 @@
 }
 
 #[test]
-fn a_loss_that_nobody_can_know_of_yet_is_no_break_of_the_one_that_orders() {
+fn a_loss_that_routers_cannot_know_of_yet_does_not_make_an_order_a_break() {
     let evicted = ("w0", gone("evicted", NEW, "unseen"));
     let then = [
         ("w0", loaded(NEW)),
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn a_floor_in_lanes_holds_from_when_it_is_reached() {
+fn a_floor_given_in_lanes_holds_from_when_it_is_first_reached() {
     let floor =
         |lanes: u32| json!({"floors": [{"region": "east", "model": "m:1", "lanes": lanes}]});
     let of = |name: &str, lanes: u32| {
--- a/crates/test-cluster/src/cluster.rs
+++ b/crates/test-cluster/src/cluster.rs
@@ -11,7 +11,7 @@
 mod rules;
 mod setup;
 
-pub use rules::terms;
+pub use rules::rule_settings;
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -108,7 +108,8 @@
     /// When the folder cannot be written to, or loopback addresses cannot be bound.
     pub fn prepare(day: &Day, launch: Launch) -> Result<Fleet, Wrong> {
         let folder = launch.out.display().to_string();
-        setup::set_up(day, &terms(day), launch).map_err(|source| Wrong::Setup { folder, source })
+        setup::set_up(day, &rule_settings(day), launch)
+            .map_err(|source| Wrong::Setup { folder, source })
     }
 
     /// Starts all routers and waits until they consume and their group may vote.
--- a/crates/test-cluster/src/cluster/rules.rs
+++ b/crates/test-cluster/src/cluster/rules.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use cedarpulley_invariant_checker::{Kind, Terms};
+use cedarpulley_invariant_checker::{RuleSettings, TriggerTypeRules};
 
 use super::worker_name;
 use crate::scenario::Day;
@@ -17,52 +17,45 @@
 }
 
 /// The rules that the checker holds the routers to, as the scenario and the routers' settings say them.
-pub fn terms(day: &Day) -> Terms {
+pub fn rule_settings(day: &Day) -> RuleSettings {
     let (rules, loads) = (&day.settings.rules, &day.settings.loads);
     let us =
         |table: &toml::Table, key: &str, default: f64| (figure(table, key, default) * 1e3) as i64;
-    let mut kinds = BTreeMap::new();
-    for t in &day.triggers {
-        let (window_us, objective_us) = (
-            t.window_ms as i64 * 1000,
-            t.latency_objective_ms as i64 * 1000,
-        );
-        kinds.insert(
-            t.name.clone(),
-            Kind {
-                effect: t.effect,
-                window_us,
-                objective_us,
-            },
-        );
-    }
-    let each = day
+    let trigger_types: BTreeMap<_, _> = day
+        .triggers
+        .iter()
+        .map(|trigger| {
+            let rules = TriggerTypeRules {
+                effect: trigger.effect,
+                window_us: trigger.window_ms as i64 * 1000,
+                objective_us: trigger.latency_objective_ms as i64 * 1000,
+            };
+            (trigger.name.clone(), rules)
+        })
+        .collect();
+    let worker_regions = day
         .workers
         .iter()
-        .flat_map(|w| (0..w.count).map(|_| day.region_of(&w.zone)));
-    let region_of = each
+        .flat_map(|group| (0..group.count).map(|_| day.region_of(&group.zone)))
         .enumerate()
-        .map(|(n, region)| (worker_name(n), region.to_owned()));
-    Terms {
-        kinds,
+        .map(|(number, region)| (worker_name(number), region.to_owned()))
+        .collect();
+    let hedged_requests = day.settings.dispatch.get("second_copies");
+    RuleSettings {
+        trigger_types,
         answer_slack_us: us(rules, "answer_slack_ms", 0.0),
         drain_grace_us: us(rules, "drain_grace_ms", 500.0),
-        cold_part: figure(rules, "cold_part", 1.0),
-        cold_for_us: us(rules, "cold_for_ms", 0.0),
+        slow_start_share: figure(rules, "cold_part", 1.0),
+        slow_start_us: us(rules, "cold_for_ms", 0.0),
         overload_multiple: figure(rules, "overload_multiple", f64::MAX),
         overload_window_us: us(rules, "overload_window_ms", 1000.0),
-        ration_window_us: us(loads, "ration_window_ms", 0.0),
-        ration_few: figure(loads, "ration_few", 0.0),
-        ration_part: figure(loads, "ration_part", 0.0),
-        second_copies: day
-            .settings
-            .dispatch
-            .get("second_copies")
-            .and_then(toml::Value::as_bool)
-            == Some(true),
+        load_quota_window_us: us(loads, "ration_window_ms", 0.0),
+        load_quota_base: figure(loads, "ration_few", 0.0),
+        load_quota_per_invocation: figure(loads, "ration_part", 0.0),
+        hedged_requests: hedged_requests.and_then(toml::Value::as_bool) == Some(true),
         leeway_us: day.leeway_ms as i64 * 1000,
-        regions: region_of.collect(),
-        floor_part: day.floor,
+        regions: worker_regions,
+        floor_share: day.floor,
         floor_known_us: day.floor_known_ms as i64 * 1000,
         floors: Vec::new(),
     }
--- a/crates/test-cluster/src/cluster/setup.rs
+++ b/crates/test-cluster/src/cluster/setup.rs
@@ -12,7 +12,7 @@
 use cedarpulley_emulators::store::{self, Store};
 use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
 use cedarpulley_emulators::{Ground, router_address};
-use cedarpulley_invariant_checker::Terms;
+use cedarpulley_invariant_checker::RuleSettings;
 
 use super::router_settings::{Member, RouterSettings};
 use super::{BROKER, Fleet, LIST, Launch, queue, worker_name};
@@ -34,7 +34,7 @@
     router_address(day.zone_of(number), number)
 }
 
-pub(super) fn set_up(day: &Day, terms: &Terms, launch: Launch) -> io::Result<Fleet> {
+pub(super) fn set_up(day: &Day, rules: &RuleSettings, launch: Launch) -> io::Result<Fleet> {
     let out = &launch.out;
     for old in ["traffic", "routers", "traces", "meter"] {
         if out.join(old).exists() {
@@ -42,8 +42,8 @@
         }
     }
     std::fs::create_dir_all(out.join("routers"))?;
-    std::fs::write(out.join("terms.json"), serde_json::to_string_pretty(terms)?)?;
-    let emulators = Emulators::start(day, terms, out)?;
+    std::fs::write(out.join("terms.json"), serde_json::to_string_pretty(rules)?)?;
+    let emulators = Emulators::start(day, rules, out)?;
     let log = emulators.host.log("day")?;
     let links = Links::new(Some(log.clone()));
     let ports = RouterPorts::reserve(day)?;
@@ -110,7 +110,7 @@
 }
 
 impl Emulators {
-    fn start(day: &Day, terms: &Terms, out: &Path) -> io::Result<Self> {
+    fn start(day: &Day, rules: &RuleSettings, out: &Path) -> io::Result<Self> {
         let host = Ground::new(THREADS, Some(&out.join("traffic")))?;
         let broker = Broker::start(&host, BROKER, ANY_PORT)?;
         for account in &day.accounts {
@@ -132,7 +132,7 @@
                 &worker_name(workers.len()),
                 ANY_PORT,
                 day.seed,
-                worker_profile(day, terms, group),
+                worker_profile(day, rules, group),
                 store.server.address,
                 programs.clone(),
                 memory.clone(),
@@ -178,7 +178,7 @@
         .collect()
 }
 
-fn worker_profile(day: &Day, terms: &Terms, group: &WorkerGroup) -> Nature {
+fn worker_profile(day: &Day, rules: &RuleSettings, group: &WorkerGroup) -> Nature {
     let duration = |us: i64| Duration::from_micros(us.max(0) as u64);
     let loads_when_absent = day
         .settings
@@ -192,10 +192,10 @@
         max_waiting: day.nature.most_waiting,
         max_loads: day.nature.most_loads,
         loads_when_absent,
-        slow_start_share: terms.cold_part,
-        slow_start: duration(terms.cold_for_us),
-        overload_multiple: terms.overload_multiple,
-        overload_window: duration(terms.overload_window_us),
+        slow_start_share: rules.slow_start_share,
+        slow_start: duration(rules.slow_start_us),
+        overload_multiple: rules.overload_multiple,
+        overload_window: duration(rules.overload_window_us),
     }
 }
 
--- a/crates/test-cluster/tests/relays.rs
+++ b/crates/test-cluster/tests/relays.rs
@@ -23,19 +23,19 @@
 /// Every connection to the echo: its address, and how it ended there once it has; every request to the server.
 type Ends = Arc<Mutex<Vec<(SocketAddr, Option<ErrorKind>)>>>;
 
-struct Setting {
+struct Setup {
     links: Links,
     relay: Relay,
     ends: Ends,
     bodies: Receiver<String>,
     _server: Option<Server>,
-    _ground: Ground,
+    _host: Ground,
 }
 
 /// An echo or an HTTP server, which hands out what it gets and gives it back.
-fn setting(mode: RelayMode) -> Setting {
+fn setup(mode: RelayMode) -> Setup {
     let (ends, (tell, bodies)) = (Ends::default(), channel());
-    let ground = Ground::new(2, None).expect("a ground");
+    let host = Ground::new(2, None).expect("an emulator host");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let seen = ends.clone();
     let (to, server) = match mode {
@@ -60,8 +60,7 @@
                     full(StatusCode::OK, body)
                 }
             };
-            let server =
-                Server::start(&ground, any, Partition::default(), handle).expect("a server");
+            let server = Server::start(&host, any, Partition::default(), handle).expect("a server");
             (server.address, Some(server))
         }
     };
@@ -75,14 +74,14 @@
         to,
         seed: 7,
     };
-    let relay = Relay::start(&ground, &links, config).expect("a relay");
-    Setting {
+    let relay = Relay::start(&host, &links, config).expect("a relay");
+    Setup {
         links,
         relay,
         ends,
         bodies,
         _server: server,
-        _ground: ground,
+        _host: host,
     }
 }
 
@@ -112,7 +111,7 @@
     }
 }
 
-impl Setting {
+impl Setup {
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.relay.address).expect("it listens");
         stream.set_read_timeout(Some(PATIENCE)).expect("set");
@@ -170,8 +169,8 @@
 }
 
 #[test]
-fn bytes_pass_from_the_near_side_s_own_address_and_ends_are_told() {
-    let s = setting(RelayMode::Bytes);
+fn bytes_pass_from_the_near_sides_own_address_and_closes_are_passed_on() {
+    let s = setup(RelayMode::Bytes);
     let stream = s.through();
     assert_eq!(
         s.ends.lock().expect("ends")[0].0.ip().to_string(),
@@ -186,8 +185,8 @@
 }
 
 #[test]
-fn what_a_cut_holds_comes_through_when_healed_in_either_direction() {
-    let s = setting(RelayMode::Bytes);
+fn held_bytes_arrive_when_the_link_is_healed_in_either_direction() {
+    let s = setup(RelayMode::Bytes);
     for (from, to) in [("near", "far"), ("far", "near")] {
         let mut stream = s.through();
         s.links.set(from, to, Fault::Held);
@@ -221,8 +220,8 @@
 }
 
 #[test]
-fn what_a_cut_loses_is_lost_with_its_connection() {
-    let s = setting(RelayMode::Bytes);
+fn lost_bytes_reset_their_connection_when_the_link_is_healed() {
+    let s = setup(RelayMode::Bytes);
     let (mut speaks, mut idle) = (s.through(), s.through());
     s.links.set("near", "far", Fault::Lost);
     speaks.write_all(b"lost").expect("written");
@@ -240,7 +239,7 @@
 
 #[test]
 fn a_reset_is_seen_on_both_sides_and_a_refusal_before_any_connection() {
-    let s = setting(RelayMode::Bytes);
+    let s = setup(RelayMode::Bytes);
     let mut stream = s.through();
     s.links.set("near", "far", Fault::Refused);
     let refused = TcpStream::connect(s.relay.address)
@@ -262,8 +261,8 @@
 }
 
 #[test]
-fn a_half_open_connection_is_dead_to_one_side_until_it_is_healed() {
-    let s = setting(RelayMode::Bytes);
+fn a_half_open_connection_is_dead_to_one_side_until_the_link_is_healed() {
+    let s = setup(RelayMode::Bytes);
     let mut stream = s.through();
     s.links.set("near", "far", Fault::HalfOpen);
     assert!(until(PATIENCE, || s.ended(0) == Some(ErrorKind::ConnectionReset)));
@@ -281,8 +280,8 @@
 
 /// At least so late, by the clock; how much later is the machine's affair.
 #[test]
-fn delays_and_throttles_hold_back_and_keep_the_order() {
-    let s = setting(RelayMode::Bytes);
+fn delays_and_throttling_keep_the_order_of_bytes() {
+    let s = setup(RelayMode::Bytes);
     let mut stream = s.through();
     let (by, spread) = (Duration::from_millis(60), Duration::from_millis(40));
     s.links.set("near", "far", Fault::Late { by, spread });
@@ -309,7 +308,7 @@
 
 #[test]
 fn whole_messages_pass_and_are_held_lost_or_reset() {
-    let s = setting(RelayMode::Messages);
+    let s = setup(RelayMode::Messages);
     let mut stream = s.connect();
     for body in ["a", "b"] {
         assert_eq!(s.post(&mut stream, body), Ok(body.into()));
@@ -351,9 +350,9 @@
 
 /// Each on a connection of its own, so that one that waits holds up none.
 #[test]
-fn whole_messages_are_dropped_sent_twice_and_after_later_ones_by_the_seed() {
-    let s = setting(RelayMode::Messages);
-    let ask = |n: usize, s: &Setting| {
+fn whole_messages_are_dropped_duplicated_and_reordered_by_the_seed() {
+    let s = setup(RelayMode::Messages);
+    let ask = |n: usize, s: &Setup| {
         let mut stream = s.connect();
         let text = format!("POST /x HTTP/1.1\r\nhost: far\r\ncontent-length: 2\r\n\r\n{n:02}");
         stream.write_all(text.as_bytes()).expect("written");
--- a/crates/test-cluster/tests/process.rs
+++ b/crates/test-cluster/tests/router_process.rs
@@ -1,4 +1,4 @@
-//! What can be done to a process, with a small script in a router's place.
+//! A router's process is paused, killed and restarted, with a small script in the router's place.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -16,26 +16,26 @@
 while :; do echo line >> "${2%.toml}-state/lines" || echo full >&2; sleep 0.02; done
 "#;
 
-struct Setting {
+struct Setup {
     folder: tempfile::TempDir,
     process: RouterProcess,
 }
 
-fn setting() -> Setting {
+fn setup() -> Setup {
     let folder = tempfile::tempdir().expect("a folder");
     let program = folder.path().join("program");
     std::fs::write(&program, SCRIPT).expect("written");
     std::fs::set_permissions(&program, std::fs::Permissions::from_mode(0o755)).expect("set");
     let (settings, state) = (folder.path().join("r.toml"), folder.path().join("r-state"));
     let process = RouterProcess::new(&program, &settings, &state, &[]);
-    Setting { folder, process }
+    Setup { folder, process }
 }
 
 fn size(state: &Path) -> u64 {
     std::fs::metadata(state.join("lines")).map_or(0, |m| m.len())
 }
 
-impl Setting {
+impl Setup {
     fn grows(&self) -> bool {
         let before = size(&self.process.state);
         until(PATIENCE, || size(&self.process.state) > before)
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn it_is_paused_killed_and_told_to_end() {
-    let mut s = setting();
+fn a_router_is_paused_resumed_killed_and_shut_down() {
+    let mut s = setup();
     s.process.start(State::Kept).expect("started");
     assert!(s.grows());
     s.process.pause().expect("paused");
@@ -64,7 +64,7 @@
     s.process.terminate().expect("told");
     let status = s.process.wait(PATIENCE).expect("it ends");
     assert_eq!(status.code(), Some(3), "by itself");
-    // A paused one is ended with the rig.
+    // A paused one is killed with the cluster.
     s.process.start(State::Kept).expect("started");
     assert!(s.grows());
     s.process.pause().expect("paused");
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn its_state_is_kept_removed_or_older() {
-    let mut s = setting();
+fn a_router_starts_with_its_state_kept_removed_or_older() {
+    let mut s = setup();
     s.process.start(State::Kept).expect("started");
     assert!(s.grows());
     s.process.copy_state(&s.older()).expect("copied");
@@ -108,8 +108,8 @@
 }
 
 #[test]
-fn its_disk_is_full_and_has_room_again_while_its_log_goes_on() {
-    let mut s = setting();
+fn a_full_disk_stops_writes_to_the_state_but_not_to_the_log() {
+    let mut s = setup();
     s.process.start(State::Kept).expect("started");
     assert!(s.grows());
     s.process.limit_files(Some(1)).expect("set");
--- a/crates/test-cluster/tests/sessions.rs
+++ b/crates/test-cluster/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of a day: what their clients send.
+//! Sessions of a scenario: what their clients send.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_session_begins_once_goes_on_with_one_function_and_ends_with_its_last_turn() {
+fn a_session_starts_once_keeps_its_function_and_ends_with_its_last_turn() {
     let (with, without) = (arrivals(&day(0.6)), arrivals(&day(0.0)));
     assert!(without.iter().all(|a| a.turn.is_none()));
     let of = |kind: &str| {
@@ -58,13 +58,13 @@
         );
         assert!(first.1.start && turns.iter().skip(1).all(|t| !t.1.start));
         assert!(turns.iter().rev().skip(1).all(|t| !t.1.end));
-        // But for one that the day's end cuts off.
+        // But for one that the scenario's end cuts off.
         assert!(last.1.end || last.0.at.as_secs_f64() > day(0.6).seconds - 0.6);
     }
 }
 
 #[test]
-fn sessions_without_turns_are_refused() {
+fn sessions_without_turns_are_rejected() {
     let text = include_str!("../../../days/regions.toml");
     let bad = text.replacen("work_ms = 60\n", "work_ms = 60\nsessions = 0.5\n", 1);
     assert!(
