--- /dev/null
+++ b/crates/test-cluster/src/cluster/rules.rs
@@ -0,0 +1,62 @@
+//! The rules of a scenario as the checker reads them.
+
+use std::collections::BTreeMap;
+
+use cedarpulley_invariant_checker::{RuleSettings, TriggerTypeRules};
+
+use super::worker_name;
+use crate::scenario::Day;
+
+/// A number of a settings table, or the routers' default.
+fn figure(table: &toml::Table, key: &str, default: f64) -> f64 {
+    match table.get(key) {
+        Some(toml::Value::Integer(n)) => *n as f64,
+        Some(toml::Value::Float(x)) => *x,
+        _ => default,
+    }
+}
+
+/// The rules that the checker holds the routers to, as the scenario and the routers' settings say them.
+pub fn rule_settings(day: &Day) -> RuleSettings {
+    let (rules, loads) = (&day.settings.rules, &day.settings.loads);
+    let us =
+        |table: &toml::Table, key: &str, default: f64| (figure(table, key, default) * 1e3) as i64;
+    let trigger_types: BTreeMap<_, _> = day
+        .triggers
+        .iter()
+        .map(|trigger| {
+            let rules = TriggerTypeRules {
+                effect: trigger.effect,
+                window_us: trigger.window_ms as i64 * 1000,
+                objective_us: trigger.latency_objective_ms as i64 * 1000,
+            };
+            (trigger.name.clone(), rules)
+        })
+        .collect();
+    let worker_regions = day
+        .workers
+        .iter()
+        .flat_map(|group| (0..group.count).map(|_| day.region_of(&group.zone)))
+        .enumerate()
+        .map(|(number, region)| (worker_name(number), region.to_owned()))
+        .collect();
+    let hedged_requests = day.settings.dispatch.get("second_copies");
+    RuleSettings {
+        trigger_types,
+        answer_slack_us: us(rules, "answer_slack_ms", 0.0),
+        drain_grace_us: us(rules, "drain_grace_ms", 500.0),
+        slow_start_share: figure(rules, "cold_part", 1.0),
+        slow_start_us: us(rules, "cold_for_ms", 0.0),
+        overload_multiple: figure(rules, "overload_multiple", f64::MAX),
+        overload_window_us: us(rules, "overload_window_ms", 1000.0),
+        load_quota_window_us: us(loads, "ration_window_ms", 0.0),
+        load_quota_base: figure(loads, "ration_few", 0.0),
+        load_quota_per_invocation: figure(loads, "ration_part", 0.0),
+        hedged_requests: hedged_requests.and_then(toml::Value::as_bool) == Some(true),
+        leeway_us: day.leeway_ms as i64 * 1000,
+        regions: worker_regions,
+        floor_share: day.floor,
+        floor_known_us: day.floor_known_ms as i64 * 1000,
+        floors: Vec::new(),
+    }
+}
--- a/crates/test-cluster/tests/sessions.rs
+++ b/crates/test-cluster/tests/sessions.rs
@@ -1,20 +1,20 @@
-//! Sessions of a day: what their clients send.
+//! Sessions of a scenario: what their clients send.
 
 use std::collections::BTreeMap;
 
-use cedarpulley_test_cluster::plan::{self, Day};
+use cedarpulley_test_cluster::scenario::{self, Day};
 use cedarpulley_test_cluster::traffic::arrivals;
 
 fn day(sessions: f64) -> Day {
     let text = include_str!("../../../days/regions.toml");
-    let mut day = plan::parse("regions.toml", text).expect("a day");
+    let mut day = scenario::parse("regions.toml", text).expect("a day");
     let t = &mut day.triggers[0];
     (t.sessions, t.turns, t.pause_ms) = (sessions, 5, 400);
     day
 }
 
 #[test]
-fn a_session_begins_once_goes_on_with_one_function_and_ends_with_its_last_turn() {
+fn a_session_starts_once_keeps_its_function_and_ends_with_its_last_turn() {
     let (with, without) = (arrivals(&day(0.6)), arrivals(&day(0.0)));
     assert!(without.iter().all(|a| a.turn.is_none()));
     let of = |kind: &str| {
@@ -47,7 +47,7 @@
     }
     assert!(sessions.len() > 20);
     for turns in sessions.values() {
-        let alike = |a: &cedarpulley_test_cluster::client::Arrival| {
+        let alike = |a: &cedarpulley_test_cluster::amqp_client::Arrival| {
             (a.function.clone(), a.account.clone(), a.calls)
         };
         assert!(turns.iter().all(|t| alike(t.0) == alike(turns[0].0)));
@@ -58,17 +58,17 @@
         );
         assert!(first.1.start && turns.iter().skip(1).all(|t| !t.1.start));
         assert!(turns.iter().rev().skip(1).all(|t| !t.1.end));
-        // But for one that the day's end cuts off.
+        // But for one that the scenario's end cuts off.
         assert!(last.1.end || last.0.at.as_secs_f64() > day(0.6).seconds - 0.6);
     }
 }
 
 #[test]
-fn sessions_without_turns_are_refused() {
+fn sessions_without_turns_are_rejected() {
     let text = include_str!("../../../days/regions.toml");
     let bad = text.replacen("work_ms = 60\n", "work_ms = 60\nsessions = 0.5\n", 1);
     assert!(
-        plan::parse("bad", &bad)
+        scenario::parse("bad", &bad)
             .expect_err("refused")
             .to_string()
             .ends_with("turns above 0")
@@ -78,5 +78,5 @@
         "work_ms = 60\nsessions = 0.5\nturns = 4\n",
         1,
     );
-    assert!(plan::parse("good", &good).is_ok());
+    assert!(scenario::parse("good", &good).is_ok());
 }
