--- a/crates/platform/src/discovery/events.rs
+++ b/crates/platform/src/discovery/events.rs
@@ -1,5 +1,5 @@
-//! Watch events in the form they have on the wire, as JSON. Names that differ on the wire are pinned here, and so are the
-//! names by which a parse error calls these types (`expecting`): operators know them from the logs.
+//! Watch events in the form they have on the wire, as JSON. Parse errors name these types, and operators know those
+//! messages: so the types keep the names of the platform's pages here, and have the usual ones outside this file.
 
 use serde::Deserialize;
 
@@ -10,36 +10,33 @@
     pub cursor: u64,
     /// The events, by rising numbers.
     #[serde(default, rename = "cmds")]
-    pub events: Vec<WatchEvent>,
+    pub events: Vec<Command>,
 }
 
 /// One event.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(expecting = "struct Command")]
-pub struct WatchEvent {
+pub struct Command {
     /// Its number; numbering starts from 1 at each start of a router.
     pub cursor: u64,
     /// How it changes the list of workers, if it does.
     #[serde(rename = "nodes")]
-    pub worker_list: Option<WorkerListEvent>,
+    pub worker_list: Option<Nodes>,
 }
 
 /// A change of the list of workers, or the complete list.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(expecting = "struct Nodes")]
-pub struct WorkerListEvent {
+pub struct Nodes {
     /// It is the complete list: whichever worker is not named is gone.
     #[serde(default, rename = "full")]
     pub is_complete: bool,
     /// The workers that are listed or have changed.
     #[serde(default, rename = "servers")]
-    pub workers: Vec<WorkerEntry>,
+    pub workers: Vec<Server>,
 }
 
 /// One worker.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(expecting = "struct Server")]
-pub struct WorkerEntry {
+pub struct Server {
     /// Its id, which no other worker ever has.
     pub id: String,
     /// IP address and port; may be empty for one that has gone.
--- a/crates/platform/src/discovery/mod.rs
+++ b/crates/platform/src/discovery/mod.rs
@@ -18,7 +18,9 @@
 use cedarpulley::interface::Micros;
 
 pub use error::DiscoveryError;
-pub use events::{EventBatch, WatchEvent, WorkerEntry, WorkerListEvent};
+pub use events::{
+    Command as WatchEvent, EventBatch, Nodes as WorkerListEvent, Server as WorkerEntry,
+};
 pub use follower::{ListUpdate, WorkerListFollower};
 pub use response_reader::Answers;
 
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -238,6 +238,10 @@
             r#"{"cursor":1,"cmds":[{"cursor":1,"nodes":{"servers":[3]}}]}"#,
             "expected struct Server",
         ),
+        (
+            r#"{"cursor":1,"cmds":[[]]}"#,
+            "expected struct Command with 2 elements",
+        ),
         (r#"{"cursor":1,"cmds":[{}]}"#, "missing field `cursor`"),
     ] {
         let error = serde_json::from_str::<EventBatch>(text).expect_err(text);
