--- /dev/null
+++ b/crates/replica/src/consensus.rs
@@ -0,0 +1,367 @@
+//! Single-value agreement by ballots, as in Paxos: a value chosen once and for all (which version a session is bound
+//! to), or one value after the other by the leader of a term (the step of a rollout plan). A term is a ballot. A
+//! proposer first asks a majority to promise its ballot, and learns what was accepted before (phase 1); a value is
+//! chosen once a majority has accepted it under that ballot (phase 2).
+//!
+//! # Safety
+//!
+//! Invariant: if a value was chosen under a ballot, every value proposed under a higher ballot is that value (a choice
+//! made once), or was written by a leader that had learned it (terms).
+//!
+//! * Majorities intersect: a majority that promises a higher ballot contains a member that accepted the chosen value,
+//!   and a promise reports it. The proposer adopts the value accepted under the highest ballot, not its own.
+//! * Terms: a leader has won phase 1, so it knows the last value of all earlier terms, and no lower ballot can obtain a
+//!   majority any more. Within a term the values grow, byte by byte, as they begin with the number of a step: of two
+//!   acceptances under one ballot the greater one is the later one. An acceptance names the hash of its value, so a
+//!   late acceptance of an earlier value is not counted for the next one.
+//! * Ballots are unique: they contain the member and its process, so a restarted proposer never continues a proposal of
+//!   its earlier process.
+//! * Crash, and restart with the disk: promises and acceptances are on disk before they are sent or counted, the
+//!   proposer's own included ([`crate::persistence`]).
+//! * Restart with a lost disk: such a member gives no votes until it has caught up ([`crate::recovery`]), and votes
+//!   count together only if the voters agree on each other's processes ([`crate::votes`]).
+//! * Partition: a minority gets no majority. Its proposals end with [`Outcome::NoMajority`], which does not say that
+//!   the value was not chosen: a later proposal may find and complete it.
+
+mod proposal;
+
+use std::collections::BTreeMap;
+
+use bytes::Bytes;
+use cedarpulley::interface::Micros;
+
+use crate::acceptor;
+use crate::context::{Context, Sender};
+use crate::events::Output;
+use crate::hashed;
+use crate::ownership::Lack;
+use crate::persistence::{PendingVote, VotesAwaitingDisk, Withheld};
+use crate::record::{Ballot, Choice, FIRST};
+use crate::settings::Guard;
+use crate::store::Key;
+use crate::votes::Views;
+use crate::wire::RejectionReason;
+use proposal::{Goal, Phase, Proposal};
+
+/// How a proposal of this member ended.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub enum Outcome {
+    /// This value was chosen, whoever proposed it.
+    Chosen(Bytes),
+    /// This member leads.
+    Leads {
+        /// The term in which it may write.
+        ballot: Ballot,
+        /// The last value of all earlier terms.
+        last: Option<Bytes>,
+    },
+    /// The value is written.
+    Written {
+        /// The term in which it was written.
+        ballot: Ballot,
+    },
+    /// A later term has begun: this member does not lead any more.
+    Overtaken,
+    /// No majority answered in time.
+    NoMajority(Lack),
+}
+
+/// The proposer: this member's proposals, by key, and the votes that wait for the disk.
+#[derive(Clone, Debug, Default, Hash)]
+pub(crate) struct Consensus {
+    proposals: BTreeMap<Key, Proposal>,
+    votes_awaiting_disk: VotesAwaitingDisk,
+}
+
+impl Consensus {
+    /// Proposes a value that is chosen once.
+    pub(crate) fn choose(
+        &mut self,
+        cx: &mut Context<'_>,
+        key: Key,
+        value: Bytes,
+        retention: Micros,
+    ) {
+        let proposal = Proposal::new(cx, Goal::Choose, Some(value), retention);
+        self.propose(cx, key, proposal);
+    }
+
+    /// Tries to win a term.
+    pub(crate) fn lead(&mut self, cx: &mut Context<'_>, key: Key, retention: Micros) {
+        let proposal = Proposal::new(cx, Goal::Lead, None, retention);
+        self.propose(cx, key, proposal);
+    }
+
+    /// Writes a value in a term that this member won.
+    pub(crate) fn write(
+        &mut self,
+        cx: &mut Context<'_>,
+        key: Key,
+        ballot: Ballot,
+        value: Bytes,
+        retention: Micros,
+    ) {
+        let proposal = Proposal {
+            ballot,
+            phase: Phase::Accepting,
+            ..Proposal::new(cx, Goal::Write, Some(value), retention)
+        };
+        self.propose(cx, key, proposal);
+    }
+
+    fn propose(&mut self, cx: &mut Context<'_>, key: Key, proposal: Proposal) {
+        if let Some(reason) = cx.member.majority_obstacle() {
+            let outcome = Outcome::NoMajority(reason);
+            return cx.emit(Output::Decided { key, outcome });
+        }
+        let is_write = proposal.phase == Phase::Accepting;
+        self.proposals.insert(key.clone(), proposal);
+        match is_write {
+            true => self.begin_accepting(cx, &key),
+            false => self.begin_preparing(cx, &key),
+        }
+    }
+
+    fn begin_preparing(&mut self, cx: &mut Context<'_>, key: &Key) {
+        let known = acceptor::choice(cx.member, key).unwrap_or_default();
+        let accepted = known.accepted.as_ref().map_or(FIRST, |a| a.0.number);
+        let number = known.promised.number.max(accepted).saturating_add(1);
+        let ballot = cx.member.ballot(number);
+        let Some(mut proposal) = self.proposals.remove(key) else {
+            return;
+        };
+        proposal.prepare(ballot, known.accepted);
+        if !acceptor::promise_choice(cx, key, ballot, proposal.retention) {
+            let outcome = Outcome::NoMajority(Lack::Full);
+            let key = key.clone();
+            return cx.emit(Output::Decided { key, outcome });
+        }
+        self.proposals.insert(key.clone(), proposal);
+        self.request_votes(cx, key);
+        self.vote_for_itself(cx, key, ballot, None);
+    }
+
+    fn begin_accepting(&mut self, cx: &mut Context<'_>, key: &Key) {
+        let Some(mut proposal) = self.proposals.remove(key) else {
+            return;
+        };
+        let Some(value) = proposal.value.clone() else {
+            return;
+        };
+        let (ballot, value_hash) = (proposal.ballot, hashed(&value));
+        if !acceptor::accept_choice(cx, key, ballot, value, proposal.retention) {
+            let outcome = Outcome::Overtaken;
+            let key = key.clone();
+            return cx.emit(Output::Decided { key, outcome });
+        }
+        proposal.accept();
+        self.proposals.insert(key.clone(), proposal);
+        self.request_votes(cx, key);
+        self.vote_for_itself(cx, key, ballot, Some(value_hash));
+    }
+
+    fn request_votes(&self, cx: &mut Context<'_>, key: &Key) {
+        if let Some(proposal) = self.proposals.get(key) {
+            let others = cx.member.others();
+            proposal.request_votes(cx, key, &others);
+        }
+    }
+
+    fn vote_for_itself(
+        &mut self,
+        cx: &mut Context<'_>,
+        key: &Key,
+        ballot: Ballot,
+        value_hash: Option<u64>,
+    ) {
+        self.cast(cx, key, PendingVote::Own { ballot, value_hash });
+    }
+
+    /// Sends or counts a vote that the acceptor has given, once the disk has what it promises.
+    pub(crate) fn cast(&mut self, cx: &mut Context<'_>, key: &Key, vote: PendingVote) {
+        let is_dirty = cx.member.store().is_dirty(key);
+        let must_persist = cx.member.settings().written && !cx.member.is_disabled(Guard::Kept);
+        let submitted = self
+            .votes_awaiting_disk
+            .submit(key, vote, is_dirty, must_persist);
+        match submitted {
+            Ok(vote) => self.release(cx, key, vote),
+            Err(Withheld::Deferred { dropped_oldest }) => {
+                cx.counts.votes_deferred += 1;
+                cx.counts.votes_dropped += u64::from(dropped_oldest);
+            }
+            Err(Withheld::Duplicate) => {}
+        }
+    }
+
+    fn release(&mut self, cx: &mut Context<'_>, key: &Key, vote: PendingVote) {
+        let (ballot, value_hash) = match vote {
+            PendingVote::Remote { to, message } => return cx.send(to, message),
+            PendingVote::Own { ballot, value_hash } => (ballot, value_hash),
+        };
+        if let Some(proposal) = self.awaiting(key, ballot, value_hash) {
+            cx.member.vote_for_itself(&mut proposal.votes);
+            self.count_votes(cx, key);
+        }
+    }
+
+    /// All batches of changes up to this serial are on disk.
+    pub(crate) fn on_persisted(&mut self, cx: &mut Context<'_>, serial: u64) {
+        for (key, vote) in self.votes_awaiting_disk.persisted(serial) {
+            self.release(cx, &key, vote);
+        }
+    }
+
+    /// Begins a batch of changes for the disk, unless it would be empty, and returns the serial of the last batch.
+    pub(crate) fn begin_batch(&mut self, has_changes: bool) -> u64 {
+        self.votes_awaiting_disk.begin_batch(has_changes)
+    }
+
+    /// A vote waits for a batch that has not been begun.
+    pub(crate) fn needs_batch(&self) -> bool {
+        self.votes_awaiting_disk.needs_batch()
+    }
+
+    /// The proposal under this key, if it waits for such a vote.
+    fn awaiting(
+        &mut self,
+        key: &Key,
+        ballot: Ballot,
+        value_hash: Option<u64>,
+    ) -> Option<&mut Proposal> {
+        let proposal = self.proposals.get_mut(key)?;
+        proposal.awaits(ballot, value_hash).then_some(proposal)
+    }
+
+    /// Goes on with a proposal once a majority has voted for it.
+    fn count_votes(&mut self, cx: &mut Context<'_>, key: &Key) {
+        let Some(proposal) = self.proposals.get_mut(key) else {
+            return;
+        };
+        let agreed = cx.member.agreeing(&proposal.votes);
+        if !cx.member.group().is_majority(agreed) {
+            return;
+        }
+        let ballot = proposal.ballot;
+        let outcome = match (&proposal.phase, proposal.goal) {
+            (Phase::Preparing, Goal::Lead) => Outcome::Leads {
+                ballot,
+                last: proposal.highest_accepted.clone().map(|(_, value)| value),
+            },
+            (Phase::Preparing, _) => {
+                if !cx.member.is_disabled(Guard::Adopted) {
+                    proposal.adopt_accepted_value();
+                }
+                return self.begin_accepting(cx, key);
+            }
+            (Phase::Accepting, Goal::Write) => Outcome::Written { ballot },
+            (Phase::Accepting, _) => Outcome::Chosen(proposal.value.clone().unwrap_or_default()),
+            (Phase::BackingOff { .. }, _) => return,
+        };
+        self.proposals.remove(key);
+        cx.broadcast(key);
+        let key = key.clone();
+        cx.emit(Output::Decided { key, outcome });
+    }
+
+    /// Phase 1: a member has promised the ballot.
+    pub(crate) fn on_promise(
+        &mut self,
+        cx: &mut Context<'_>,
+        from: Sender,
+        key: &Key,
+        ballot: Ballot,
+        choice: Choice,
+        views: Views,
+    ) {
+        if let Some(proposal) = self.awaiting(key, ballot, None) {
+            proposal.votes.put(from.member, from.process, views);
+            proposal.learn_accepted(choice.accepted);
+            self.count_votes(cx, key);
+        }
+    }
+
+    /// Phase 2: a member has accepted the value with this hash.
+    pub(crate) fn on_accepted(
+        &mut self,
+        cx: &mut Context<'_>,
+        from: Sender,
+        key: &Key,
+        ballot: Ballot,
+        value_hash: u64,
+        views: Views,
+    ) {
+        if let Some(proposal) = self.awaiting(key, ballot, Some(value_hash)) {
+            proposal.votes.put(from.member, from.process, views);
+            self.count_votes(cx, key);
+        }
+    }
+
+    /// A member rejects the ballot.
+    pub(crate) fn on_nack(
+        &mut self,
+        cx: &mut Context<'_>,
+        from: Sender,
+        key: &Key,
+        ballot: Ballot,
+        choice: Option<Choice>,
+        why: RejectionReason,
+    ) {
+        let Some(proposal) = self.proposals.get(key).filter(|p| p.ballot == ballot) else {
+            return;
+        };
+        if why == RejectionReason::TooLate {
+            return proposal.request_votes(cx, key, &[from.member]);
+        }
+        if why != RejectionReason::HigherBallot {
+            return;
+        }
+        let (goal, tries, retention) = (proposal.goal, proposal.tries, proposal.retention);
+        // The next ballot has to be higher than the one promised there.
+        if let Some(choice) = choice {
+            acceptor::promise_choice(cx, key, choice.promised, retention);
+        }
+        if goal == Goal::Write {
+            self.proposals.remove(key);
+            let (key, outcome) = (key.clone(), Outcome::Overtaken);
+            return cx.emit(Output::Decided { key, outcome });
+        }
+        let retry_at = cx.now.saturating_add(cx.member.backoff(tries));
+        if let Some(proposal) = self.proposals.get_mut(key) {
+            proposal.back_off(retry_at);
+        }
+    }
+
+    /// When a proposal has to be continued or given up.
+    pub(crate) fn next_due(&self) -> Micros {
+        let due = self.proposals.values().map(Proposal::due).min();
+        due.unwrap_or(Micros::MAX)
+    }
+
+    /// Sends requests again, begins anew after a backoff, and gives up after a deadline.
+    pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
+        let now = cx.now;
+        let due = self.proposals.iter().filter(|(_, p)| p.due() <= now);
+        let due: Vec<Key> = due.map(|(key, _)| key.clone()).collect();
+        for key in due {
+            self.tick_proposal(cx, key);
+        }
+    }
+
+    fn tick_proposal(&mut self, cx: &mut Context<'_>, key: Key) {
+        let resend_at = cx.resend_at();
+        let Some(proposal) = self.proposals.get_mut(&key) else {
+            return;
+        };
+        if cx.now >= proposal.deadline {
+            self.proposals.remove(&key);
+            let outcome = Outcome::NoMajority(cx.member.deadline_reason());
+            return cx.emit(Output::Decided { key, outcome });
+        }
+        proposal.resend_at = resend_at;
+        match proposal.phase {
+            Phase::BackingOff { .. } => self.begin_preparing(cx, &key),
+            _ => self.request_votes(cx, &key),
+        }
+    }
+}
--- /dev/null
+++ b/crates/replica/src/consensus/proposal.rs
@@ -0,0 +1,137 @@
+//! One proposal of this member, from the request for promises to its end.
+
+use bytes::Bytes;
+use cedarpulley::interface::Micros;
+use cedarpulley_membership::MemberIndex;
+
+use crate::context::Context;
+use crate::hashed;
+use crate::record::Ballot;
+use crate::store::Key;
+use crate::votes::Votes;
+use crate::wire::Message;
+
+/// What a proposal is for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) enum Goal {
+    /// Choose a value once.
+    Choose,
+    /// Win a term.
+    Lead,
+    /// Write a value in a term.
+    Write,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) enum Phase {
+    /// Phase 1: waits for promises.
+    Preparing,
+    /// Phase 2: waits for acceptances.
+    Accepting,
+    /// A higher ballot was met; phase 1 begins anew at that time.
+    BackingOff { retry_at: Micros },
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct Proposal {
+    pub(super) goal: Goal,
+    pub(super) ballot: Ballot,
+    pub(super) phase: Phase,
+    /// In this phase.
+    pub(super) votes: Votes,
+    pub(super) value: Option<Bytes>,
+    /// The value accepted under the highest ballot that a promise reported.
+    pub(super) highest_accepted: Option<(Ballot, Bytes)>,
+    pub(super) retention: Micros,
+    pub(super) tries: u32,
+    pub(super) resend_at: Micros,
+    pub(super) deadline: Micros,
+}
+
+impl Proposal {
+    pub(super) fn new(
+        cx: &Context<'_>,
+        goal: Goal,
+        value: Option<Bytes>,
+        retention: Micros,
+    ) -> Self {
+        Proposal {
+            goal,
+            ballot: Ballot::default(),
+            phase: Phase::Preparing,
+            votes: Votes::default(),
+            value,
+            highest_accepted: None,
+            retention,
+            tries: 0,
+            resend_at: cx.resend_at(),
+            deadline: cx.replication_deadline(),
+        }
+    }
+
+    /// Begins phase 1; `accepted`: what this member has accepted itself.
+    pub(super) fn prepare(&mut self, ballot: Ballot, accepted: Option<(Ballot, Bytes)>) {
+        (self.ballot, self.phase) = (ballot, Phase::Preparing);
+        self.votes = Votes::default();
+        self.highest_accepted = accepted;
+    }
+
+    /// Begins phase 2.
+    pub(super) fn accept(&mut self) {
+        self.phase = Phase::Accepting;
+        self.votes = Votes::default();
+    }
+
+    pub(super) fn back_off(&mut self, retry_at: Micros) {
+        self.tries += 1;
+        self.phase = Phase::BackingOff { retry_at };
+    }
+
+    pub(super) fn learn_accepted(&mut self, accepted: Option<(Ballot, Bytes)>) {
+        self.highest_accepted = self.highest_accepted.take().max(accepted);
+    }
+
+    /// A value that may have been chosen replaces the proposed one.
+    pub(super) fn adopt_accepted_value(&mut self) {
+        if let Some((_, value)) = &self.highest_accepted {
+            self.value = Some(value.clone());
+        }
+    }
+
+    /// Whether it waits for such a vote: an acceptance of the value with this hash, or else a promise.
+    pub(super) fn awaits(&self, ballot: Ballot, value_hash: Option<u64>) -> bool {
+        let is_in_phase = match value_hash {
+            None => self.phase == Phase::Preparing,
+            Some(_) => {
+                self.phase == Phase::Accepting && self.value.as_ref().map(hashed) == value_hash
+            }
+        };
+        self.ballot == ballot && is_in_phase
+    }
+
+    pub(super) fn due(&self) -> Micros {
+        match self.phase {
+            Phase::BackingOff { retry_at } => retry_at.min(self.deadline),
+            _ => self.resend_at.min(self.deadline),
+        }
+    }
+
+    /// Asks those of the members that have not voted in this phase.
+    pub(super) fn request_votes(&self, cx: &mut Context<'_>, key: &Key, members: &[MemberIndex]) {
+        let (ballot, left) = (self.ballot, self.retention);
+        for to in members.iter().copied().filter(|m| !self.votes.has(*m)) {
+            let key = key.clone();
+            let message = match (&self.phase, &self.value) {
+                (Phase::Preparing, _) => Message::Prepare { key, ballot, left },
+                (Phase::Accepting, Some(value)) => Message::Accept {
+                    key,
+                    ballot,
+                    value: value.clone(),
+                    left,
+                },
+                _ => return,
+            };
+            cx.send(to, message);
+        }
+    }
+}
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,37 +1,62 @@
-//! State that the routers of a group share, so that they fail well together: what was taken and by whom, what may have
-//! left, what was answered; choices that a majority made; what somebody observed. Free of I/O: time and messages go in,
-//! messages and verdicts come out. Begin reading at [`Replica::handle`] in `replica.rs`; why it is so is in
-//! docs/design/replica.md.
+//! The replicated state of a group of routers: which router owns an invocation, which dispatches of it may have been
+//! sent, which answer was given; values that a majority agreed on; observations that members published.
 //!
-//! * [`record`]: what is shared, and the rule for copies that differ.
-//! * [`store`]: all records, how long they are kept, digests.
-//! * [`wire`]: what members say to each other, and which votes count together.
-//! * [`holding`]: what a member promises and holds for others.
-//! * `claims`: what is open here, in the order in which it is due.
-//! * [`owning`]: what a member takes: intents held by a majority before they leave, and takeovers.
-//! * [`choosing`]: what a majority decides, once or term after term.
-//! * [`keeping`]: votes on these, which wait until the member's folder has what they stand for.
-//! * [`returning`]: what a member that started anew may do, and when it remembers enough to vote.
-//! * [`catchup`]: finding and fetching what is lacking, at a bounded pace.
+//! The crate does no I/O. Events go into [`Replica::handle`] together with the time, and messages, decisions and
+//! permissions come out. Start reading at [`replica`]; the design and its reasons are in docs/design/replica.md.
 //!
-//! What it must never do: let anything leave that must not run twice before a majority holds the intent, vote without
-//! remembering, or rest a proof on a clock.
+//! | module | job |
+//! | --- | --- |
+//! | [`replica`] | the entry point; owns one member's state |
+//! | [`events`], [`settings`] | inputs, outputs, counters; limits and intervals |
+//! | `roles` | passes each event to the role that handles it |
+//! | `member`, `context` | what all roles share: the group as seen here, the records, the outputs of one event |
+//! | [`record`] | record kinds and their merge rule |
+//! | [`store`] | all records of a member, their expiry and their digests |
+//! | [`wire`], [`votes`] | messages between members; which votes may be counted together |
+//! | `acceptor` | votes of this member: stored intents, promises and accepted values |
+//! | [`ownership`] | who may dispatch an invocation: replicated intents and fenced takeovers |
+//! | [`consensus`] | single-value agreement by ballots, and leadership in terms |
+//! | [`persistence`] | votes that wait until the disk has what they promise |
+//! | [`recovery`] | when a restarted member knows enough to vote |
+//! | [`catch_up`], `record_server`, `byte_budget` | anti-entropy between two members at a bounded rate |
+//! | `broadcast` | changed records that the other members are sent |
+//!
+//! Three rules hold throughout: a dispatch that must not run twice is sent only after a majority has stored its intent;
+//! a member votes only if it remembers its earlier votes; no proof relies on synchronized clocks.
+#![warn(missing_docs)]
 
-pub mod catchup;
-pub mod choosing;
-mod claims;
-pub mod holding;
-pub mod keeping;
-pub mod owning;
+mod acceptor;
+mod broadcast;
+mod byte_budget;
+pub mod catch_up;
+pub mod consensus;
+mod context;
+pub mod events;
+mod member;
+pub mod ownership;
+pub mod persistence;
 pub mod record;
+mod record_server;
+pub mod recovery;
 pub mod replica;
-pub mod returning;
+mod roles;
+pub mod settings;
 pub mod store;
+pub mod votes;
 pub mod wire;
 
-pub use choosing::Outcome;
-pub use owning::{Because, Lack, Need, Verdict};
+pub use consensus::Outcome;
+pub use events::{Counts, Input, Output};
+pub use ownership::{IndeterminateReason, Lack, Need, Verdict};
 pub use record::{Answered, Ballot, Effect, Note, Record, Sending, Sent};
-pub use replica::{Counts, Guard, Input, Output, Replica, Terms, kept_for};
+pub use replica::Replica;
+pub use settings::{Guard, Terms, kept_for};
 pub use store::{Key, Shared};
 pub use wire::{Memory, Message, VERSION};
+
+use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
+
+/// A hash that is the same in every process of one build: members compare such hashes.
+pub(crate) fn hashed(of: impl Hash) -> u64 {
+    BuildHasherDefault::<DefaultHasher>::default().hash_one(of)
+}
--- /dev/null
+++ b/crates/replica/src/ownership/assessment.rs
@@ -0,0 +1,92 @@
+//! What a takeover has proven, once a majority has promised its ballot. Nothing here changes state.
+
+use cedarpulley::interface::Micros;
+use cedarpulley_membership::MemberIndex;
+
+use super::claim::Fencing;
+use super::decision::{IndeterminateReason, Verdict};
+use crate::member::LocalMember;
+use crate::record::{Answered, DispatchId, Effect, Sent};
+use crate::settings::Guard;
+use crate::store::Key;
+
+/// What follows from a takeover.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) enum Assessment {
+    /// The last decision.
+    Conclude(Verdict),
+    /// A dispatch of a living owner is in flight.
+    Wait,
+    /// It may be dispatched here; these dispatches never were permitted.
+    Dispatch { never_sent: Vec<DispatchId> },
+}
+
+/// The decision that an answer, or its loss, requires. Nothing if there is no answer.
+pub(super) fn decision_on_answer(effect: &Effect) -> Option<Verdict> {
+    let reason = match &effect.answer {
+        _ if effect.fault => IndeterminateReason::ConflictingAnswers,
+        Some(Answered::Kept(answer)) => return Some(Verdict::Answer(answer.clone())),
+        Some(Answered::TooLarge) => IndeterminateReason::AnswerTooLarge,
+        None if effect.closed => IndeterminateReason::Closed,
+        None => return None,
+    };
+    Some(Verdict::MayHaveRun(reason))
+}
+
+/// Assesses a takeover: `effect` is the record with all that the promises reported, `agreed` the majority of voters.
+pub(super) fn assess(
+    member: &LocalMember,
+    now: Micros,
+    key: &Key,
+    effect: &Effect,
+    fencing: &Fencing,
+    agreed: &[MemberIndex],
+) -> Assessment {
+    if let Some(decision) = decision_on_answer(effect) {
+        return Assessment::Conclude(decision);
+    }
+    let indeterminate = |reason| Assessment::Conclude(Verdict::MayHaveRun(reason));
+    let (mut is_in_flight, mut never_sent) = (false, Vec::new());
+    for (dispatch, sending) in &effect.sendings {
+        match sending.state {
+            Sent::NeverRan => {}
+            Sent::MayHaveRun => return indeterminate(IndeterminateReason::DispatchIndeterminate),
+            Sent::Intended if was_never_permitted(member, fencing, agreed, dispatch) => {
+                never_sent.push(*dispatch);
+            }
+            Sent::Intended if member.is_gone(sending.member, dispatch.0) => {
+                if !member.is_disabled(Guard::Gone) {
+                    return indeterminate(IndeterminateReason::OwnerGone);
+                }
+            }
+            Sent::Intended => is_in_flight = true,
+        }
+    }
+    if is_in_flight {
+        return Assessment::Wait;
+    }
+    if effect.doubtful {
+        return indeterminate(IndeterminateReason::StateLost);
+    }
+    let is_proven = effect.taken && member.absence_is_proof(now, key);
+    if !is_proven && !member.is_disabled(Guard::Presence) {
+        return indeterminate(IndeterminateReason::Unknown);
+    }
+    Assessment::Dispatch { never_sent }
+}
+
+/// No majority can have stored the intent, even if every member stored it that has not denied it.
+fn was_never_permitted(
+    member: &LocalMember,
+    fencing: &Fencing,
+    agreed: &[MemberIndex],
+    dispatch: &DispatchId,
+) -> bool {
+    let holders = fencing.holders.get(dispatch);
+    let may_hold = |m: &MemberIndex| {
+        holders.is_some_and(|holders| holders.contains(m))
+            || !agreed.contains(m) && !member.is_disabled(Guard::Missing)
+    };
+    let possible_holders = member.all_members().filter(may_hold);
+    !member.group().is_majority(possible_holders)
+}
--- /dev/null
+++ b/crates/replica/src/ownership/claim_table/tests.rs
@@ -0,0 +1,77 @@
+//! The order of due times, under random events.
+
+use cedarpulley_membership::{Group, Member};
+
+use cedarpulley::interface::Micros;
+
+use crate::ownership::Need;
+use crate::store::Key;
+use crate::{Input, Replica, Terms, hashed};
+
+/// The next due time is the one that a look at all claims finds, whatever happens to them.
+#[test]
+fn next_due_time_is_the_earliest_of_all_claims() {
+    let member = |n: usize| Member {
+        name: format!("r{n}"),
+        region: String::new(),
+        weight: 1,
+        witness: false,
+    };
+    let group = Group::new("g", (0..3).map(member).collect(), "r0").expect("a group");
+    let retention = 20_000_000;
+    let mut replica = Replica::new(0, group, Terms::usual(retention, 500_000, 1), 7, None);
+    // By now this member votes: all that it may have forgotten has expired.
+    let (mut now, mut out) = (2 * retention, Vec::new());
+    replica.handle(now, Input::Tick, &mut out);
+    let (mut with_due_time, mut without) = (0, 0);
+    for n in 0..20_000u64 {
+        let draw = hashed(n);
+        let (key, sending) = (Key::from(format!("k{}", draw % 40)), draw >> 8 & 3);
+        let redelivered = draw >> 16 & 1 == 1;
+        let input = match draw >> 32 & 15 {
+            0..4 => Input::Take {
+                key,
+                need: Need::Held,
+                redelivered,
+            },
+            4..8 => Input::Intend {
+                key,
+                sending,
+                place: 0,
+                alone: redelivered,
+            },
+            8 => Input::Ended {
+                key,
+                sending,
+                may_have_run: redelivered,
+            },
+            9 => Input::Dropped { key },
+            10 => Input::Closed { key },
+            11 => Input::Member {
+                member: 1,
+                nonce: 8,
+                alive: redelivered,
+            },
+            12 => Input::Member {
+                member: 2,
+                nonce: 9,
+                alive: true,
+            },
+            _ => Input::Tick,
+        };
+        now += (draw >> 20 & 0xffff) as Micros / 4;
+        replica.handle(now, input, &mut out);
+        let least = replica
+            .claimed()
+            .map(|(_, c)| c.due())
+            .min()
+            .unwrap_or(Micros::MAX);
+        assert_eq!(replica.ownership().next_due(), least, "after {n}");
+        with_due_time += u64::from(least < Micros::MAX);
+        without += u64::from(least == Micros::MAX);
+    }
+    assert!(
+        with_due_time > 1_000 && without > 0,
+        "{with_due_time} {without}"
+    );
+}
--- /dev/null
+++ b/crates/replica/src/ownership/intents.rs
@@ -0,0 +1,242 @@
+//! Permissions to dispatch: an intent is stored by a majority before its dispatch is sent.
+
+use cedarpulley_membership::MemberIndex;
+
+use super::claim::{PendingIntent, Stage};
+use super::{Claim, Lack, Ownership};
+use crate::context::{Context, Sender};
+use crate::events::Output;
+use crate::record::{Ballot, Record, Sending, Sent};
+use crate::settings::Guard;
+use crate::store::{Key, StoredRecord};
+use crate::votes::{Views, Votes};
+use crate::wire::Message;
+
+/// Tells the router whether a dispatch may be sent.
+fn answer_dispatch(cx: &mut Context<'_>, key: &Key, sending: u64, left: Result<bool, Lack>) {
+    let key = key.clone();
+    cx.emit(Output::Leave { key, sending, left });
+}
+
+/// The change that adds the intent of a dispatch of this process to a record.
+fn intent_change(
+    cx: &Context<'_>,
+    sending: u64,
+    place: u32,
+) -> impl FnOnce(&mut StoredRecord) + use<> {
+    let (now, dispatch) = (cx.now, (cx.member.nonce(), sending));
+    let intent = Sending {
+        member: cx.member.me(),
+        state: Sent::Intended,
+        place,
+    };
+    move |stored| {
+        stored.first_dispatch.get_or_insert(now);
+        if let Record::Effect(effect) = &mut stored.record {
+            effect.sendings.insert(dispatch, intent);
+        }
+    }
+}
+
+/// Advances the state of a dispatch of this process.
+pub(super) fn end_dispatch(cx: &mut Context<'_>, key: &Key, sending: u64, state: Sent) {
+    let dispatch = (cx.member.nonce(), sending);
+    cx.update_effect(key, |effect| {
+        if let Some(sending) = effect.sendings.get_mut(&dispatch) {
+            sending.state = sending.state.max(state);
+        }
+    });
+}
+
+/// These intents are abandoned: their dispatches are not sent.
+pub(super) fn abandon(
+    cx: &mut Context<'_>,
+    key: &Key,
+    intents: impl IntoIterator<Item = u64>,
+    reason: Option<Lack>,
+) {
+    for sending in intents {
+        end_dispatch(cx, key, sending, Sent::NeverRan);
+        if let Some(reason) = reason {
+            answer_dispatch(cx, key, sending, Err(reason));
+        }
+    }
+}
+
+impl Ownership {
+    /// A dispatch asks for permission. `alone`: it is sent even if no majority can be reached.
+    pub(crate) fn request_dispatch(
+        &mut self,
+        cx: &mut Context<'_>,
+        key: &Key,
+        sending: u64,
+        place: u32,
+        alone: bool,
+    ) {
+        cx.counts.intents += 1;
+        let owner = cx.member.store().effect(key).map(|e| e.owner.ballot);
+        let claim = self.claims.get(key).filter(|c| c.stage == Stage::Owner);
+        let Some(claim) = claim.filter(|c| owner == Some(c.ballot)) else {
+            answer_dispatch(cx, key, sending, Err(Lack::Elsewhere));
+            return self.on_record_changed(cx, key);
+        };
+        let is_first = claim.is_first();
+        if !alone && !cx.member.absence_is_proof(cx.now, key) {
+            // Other members may have forgotten who took it: it is too late for a first dispatch.
+            cx.counts.without_majority += 1;
+            return answer_dispatch(cx, key, sending, Err(Lack::Late));
+        }
+        // Not broadcast: the request for votes carries the record.
+        let record = cx.new_effect();
+        let intent = intent_change(cx, sending, place);
+        cx.member.store_mut().change(key, || record, intent);
+        let mut votes = Votes::default();
+        cx.member.vote_for_itself(&mut votes);
+        let intent = PendingIntent {
+            votes,
+            is_first,
+            alone,
+            resend_at: cx.resend_at(),
+            deadline: cx.replication_deadline(),
+        };
+        self.claims
+            .change(key, |claim| claim.intents.insert(sending, intent));
+        let others = cx.member.others();
+        self.request_votes_on_intent(cx, key, sending, &others);
+        self.count_votes_on_intent(cx, key, sending);
+    }
+
+    /// A dispatch was sent that needs no majority.
+    pub(crate) fn on_dispatched(
+        &mut self,
+        cx: &mut Context<'_>,
+        key: &Key,
+        sending: u64,
+        place: u32,
+    ) {
+        let record = cx.new_effect();
+        let intent = intent_change(cx, sending, place);
+        cx.change(key, record, |stored| {
+            if let Record::Effect(effect) = &mut stored.record {
+                effect.taken = true;
+            }
+            intent(stored);
+        });
+    }
+
+    /// A dispatch has ended.
+    pub(crate) fn on_dispatch_ended(
+        &mut self,
+        cx: &mut Context<'_>,
+        key: &Key,
+        sending: u64,
+        may_have_run: bool,
+    ) {
+        self.claims
+            .change(key, |claim| claim.intents.remove(&sending));
+        let state = match may_have_run {
+            true => Sent::MayHaveRun,
+            false => Sent::NeverRan,
+        };
+        end_dispatch(cx, key, sending, state);
+        // A later claim of this router may have waited for it.
+        self.on_record_changed(cx, key);
+    }
+
+    /// Asks those of the members that have not voted yet to store an intent.
+    pub(super) fn request_votes_on_intent(
+        &self,
+        cx: &mut Context<'_>,
+        key: &Key,
+        sending: u64,
+        members: &[MemberIndex],
+    ) {
+        let Some(claim) = self.claims.get(key) else {
+            return;
+        };
+        let Some(intent) = claim.intents.get(&sending) else {
+            return;
+        };
+        let Some(shared) = cx.member.store().copy(cx.now, key) else {
+            return;
+        };
+        for to in members.iter().copied().filter(|m| !intent.votes.has(*m)) {
+            let message = Message::StoreIntent {
+                key: key.clone(),
+                ballot: claim.ballot,
+                sending,
+                blind: intent.is_first,
+                shared: shared.clone(),
+            };
+            cx.send(to, message);
+        }
+    }
+
+    /// A member has stored an intent.
+    pub(crate) fn on_intent_stored(
+        &mut self,
+        cx: &mut Context<'_>,
+        from: Sender,
+        key: &Key,
+        ballot: Ballot,
+        sending: u64,
+        views: Views,
+    ) {
+        let add_vote = |claim: &mut Claim| {
+            let intent = claim.intents.get_mut(&sending);
+            let intent = intent.filter(|_| claim.ballot == ballot);
+            intent.map(|intent| intent.votes.put(from.member, from.process, views))
+        };
+        if self.claims.change(key, add_vote).flatten().is_some() {
+            self.count_votes_on_intent(cx, key, sending);
+        }
+    }
+
+    /// Permits a dispatch once a majority has stored its intent.
+    fn count_votes_on_intent(&mut self, cx: &mut Context<'_>, key: &Key, sending: u64) {
+        let intent = self.claims.get(key).and_then(|c| c.intents.get(&sending));
+        let Some(intent) = intent else {
+            return;
+        };
+        let agreed = cx.member.agreeing(&intent.votes);
+        if !cx.member.group().is_majority(agreed) && !cx.member.is_disabled(Guard::Majority) {
+            return;
+        }
+        self.claims
+            .change(key, |claim| claim.intents.remove(&sending));
+        cx.counts.intents_replicated += 1;
+        answer_dispatch(cx, key, sending, Ok(false));
+    }
+
+    /// Sends requests again, and gives up intents after their deadline.
+    pub(super) fn tick_intents(&mut self, cx: &mut Context<'_>, key: &Key) {
+        let (now, resend_at) = (cx.now, cx.resend_at());
+        let (mut late, mut unanswered) = (Vec::new(), Vec::new());
+        self.claims.change(key, |claim| {
+            for (sending, intent) in &mut claim.intents {
+                if now >= intent.deadline {
+                    late.push((*sending, intent.alone));
+                } else if now >= intent.resend_at {
+                    intent.resend_at = resend_at;
+                    unanswered.push(*sending);
+                }
+            }
+        });
+        for sending in unanswered {
+            let others = cx.member.others();
+            self.request_votes_on_intent(cx, key, sending, &others);
+        }
+        for (sending, alone) in late {
+            self.claims
+                .change(key, |claim| claim.intents.remove(&sending));
+            cx.counts.without_majority += 1;
+            if alone {
+                cx.counts.dispatched_without_majority += 1;
+                answer_dispatch(cx, key, sending, Ok(true));
+            } else {
+                let reason = cx.member.deadline_reason();
+                abandon(cx, key, [sending], Some(reason));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/replica/src/ownership/takeover.rs
@@ -0,0 +1,196 @@
+//! Takeovers: this router becomes the owner of an invocation by fencing all earlier owners at a majority.
+
+use cedarpulley::interface::Micros;
+use cedarpulley_membership::MemberIndex;
+
+use super::assessment::{self, Assessment};
+use super::claim::{Claim, Fencing, Stage};
+use super::{Lack, Ownership, Verdict, emit_decision};
+use crate::acceptor::{self, FenceRequest};
+use crate::context::{Context, Sender};
+use crate::record::{Ballot, FIRST, Record, Sent};
+use crate::settings::Guard;
+use crate::store::{Key, MergeOutcome, Shared};
+use crate::votes::Views;
+use crate::wire::Message;
+
+impl Ownership {
+    /// Asks all members to promise a ballot above all that are known.
+    pub(super) fn begin_takeover(&mut self, cx: &mut Context<'_>, key: &Key, deadline: Micros) {
+        let Some(mut claim) = self.claims.remove(key) else {
+            return;
+        };
+        cx.counts.takeovers += 1;
+        let before = cx.member.store().effect(key).cloned();
+        let known = before.as_ref().map_or(FIRST, |e| e.owner.ballot.number);
+        let number = known.max(claim.ballot.number).saturating_add(1);
+        claim.ballot = cx.member.ballot(number);
+        let request = FenceRequest {
+            key: key.clone(),
+            ballot: claim.ballot,
+            origin: cx.member.next_origin(),
+            lifetime: cx.member.settings().kept,
+        };
+        let mut fencing = Fencing::new(cx, deadline, before.as_ref());
+        let is_promised = acceptor::promise_ownership(cx, &request);
+        if cx.member.is_disabled(Guard::Fence) {
+            // Decides by what is known here, without asking other members.
+            claim.stage = Stage::Fencing(fencing);
+            self.claims.insert(key.clone(), claim);
+            return self.assess_takeover(cx, key, true);
+        }
+        if !is_promised {
+            cx.counts.rejected_store_full += 1;
+            return self.conclude(cx, key, Verdict::NoMajority(Lack::Full));
+        }
+        cx.member.vote_for_itself(&mut fencing.votes);
+        claim.stage = Stage::Fencing(fencing);
+        self.claims.insert(key.clone(), claim);
+        let others = cx.member.others();
+        self.request_promises(cx, key, &others);
+        self.assess_takeover(cx, key, false);
+    }
+
+    /// Asks those of the members that have not promised yet.
+    pub(super) fn request_promises(
+        &self,
+        cx: &mut Context<'_>,
+        key: &Key,
+        members: &[MemberIndex],
+    ) {
+        let Some(claim) = self.claims.get(key) else {
+            return;
+        };
+        let Stage::Fencing(fencing) = &claim.stage else {
+            return;
+        };
+        let Some(stored) = cx.member.store().get(key) else {
+            return;
+        };
+        // The promise is kept as long as it is kept here, and no longer.
+        let (origin, left) = (stored.origin, stored.expires_at.saturating_sub(cx.now));
+        for to in members.iter().copied().filter(|m| !fencing.votes.has(*m)) {
+            let message = Message::Fence {
+                key: key.clone(),
+                ballot: claim.ballot,
+                origin,
+                left,
+            };
+            cx.send(to, message);
+        }
+    }
+
+    /// A member has promised the ballot of a takeover, and reports what it had stored.
+    pub(crate) fn on_fenced(
+        &mut self,
+        cx: &mut Context<'_>,
+        from: Sender,
+        key: &Key,
+        ballot: Ballot,
+        record: Option<&Shared>,
+        views: Views,
+    ) {
+        if let Some(record) = record {
+            let store = cx.member.store_mut();
+            if store.merge(cx.now, key, record, from.transit) == MergeOutcome::Expired {
+                // Symptom: after a pause, the reported record had expired on its way. A promise is no vote without what
+                // was stored beside it; asked again, that member reports it with the lifetime of the promise.
+                cx.counts.expired_records_received += 1;
+                return;
+            }
+        }
+        let add_vote = |claim: &mut Claim| {
+            let fencing = claim.fencing_mut(ballot);
+            fencing.map(|fencing| fencing.add_vote(from, views, record))
+        };
+        if self.claims.change(key, add_vote).flatten().is_some() {
+            self.assess_takeover(cx, key, false);
+        }
+    }
+
+    /// Decides on an invocation that is taken over, once a majority has promised (or without, if `unasked`).
+    pub(super) fn assess_takeover(&mut self, cx: &mut Context<'_>, key: &Key, unasked: bool) {
+        let Some(claim) = self.claims.get(key) else {
+            return;
+        };
+        let Some(fencing) = claim.fencing(claim.ballot) else {
+            return;
+        };
+        let was_watching = claim.is_watching();
+        let agreed = cx.member.agreeing(&fencing.votes);
+        if !unasked && !cx.member.group().is_majority(agreed.iter().copied()) {
+            return;
+        }
+        let Some(effect) = cx.member.store().effect(key) else {
+            return;
+        };
+        if effect.owner.ballot != claim.ballot {
+            // Promised to another owner since.
+            self.set_stage(key, Stage::Watching(None));
+            return self.on_record_changed(cx, key);
+        }
+        match assessment::assess(cx.member, cx.now, key, effect, fencing, &agreed) {
+            Assessment::Conclude(decision) => self.conclude(cx, key, decision),
+            Assessment::Wait => {
+                let stage = Stage::Watching(Some(fencing.clone()));
+                self.set_stage(key, stage);
+                if !was_watching {
+                    cx.counts.awaiting_other_owner += 1;
+                    emit_decision(cx, key, Verdict::Waits);
+                }
+            }
+            Assessment::Dispatch { never_sent } => {
+                cx.counts.proven_not_dispatched += 1;
+                let record = cx.new_effect();
+                cx.change(key, record, |stored| {
+                    let Record::Effect(effect) = &mut stored.record else {
+                        return;
+                    };
+                    effect.taken = true;
+                    for dispatch in &never_sent {
+                        if let Some(sending) = effect.sendings.get_mut(dispatch) {
+                            sending.state = Sent::NeverRan;
+                        }
+                    }
+                });
+                self.set_stage(key, Stage::Owner);
+                emit_decision(cx, key, Verdict::Go { first_ago: None });
+            }
+        }
+    }
+
+    /// True if the takeover was given up or begun anew.
+    pub(super) fn tick_takeover(&mut self, cx: &mut Context<'_>, key: &Key) -> bool {
+        let (now, resend_at) = (cx.now, cx.resend_at());
+        let Some(claim) = self.claims.get(key) else {
+            return true;
+        };
+        match &claim.stage {
+            Stage::Fencing(fencing) if now >= fencing.deadline => {
+                let decision = Verdict::NoMajority(cx.member.deadline_reason());
+                self.conclude(cx, key, decision);
+                true
+            }
+            Stage::Fencing(fencing) if now >= fencing.resend_at => {
+                self.claims.change(key, |claim| {
+                    if let Stage::Fencing(fencing) = &mut claim.stage {
+                        fencing.resend_at = resend_at;
+                    }
+                });
+                let others = cx.member.others();
+                self.request_promises(cx, key, &others);
+                false
+            }
+            Stage::BackingOff { deadline, .. } if now >= *deadline => {
+                self.conclude(cx, key, Verdict::NoMajority(Lack::Late));
+                true
+            }
+            Stage::BackingOff { retry_at, deadline } if now >= *retry_at => {
+                let deadline = *deadline;
+                self.begin_takeover(cx, key, deadline);
+                true
+            }
+            _ => false,
+        }
+    }
+}
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -1,11 +1,11 @@
-//! What is shared, and the rule for two copies that differ: [`Record::join`]. Joining is the same in any order and any
-//! number of times, so copies that have heard the same things are the same.
+//! The kinds of records, and the rule that merges two copies: [`Record::merge`]. Merging is commutative, associative and
+//! idempotent, so copies that have received the same updates in any order are equal.
 //!
-//! | kind | what it is of | copies that differ |
+//! | kind | what it describes | copies that differ |
 //! | --- | --- | --- |
-//! | [`Effect`] | an invocation, or a token | states only advance; the higher owner; two answers are a fault |
-//! | [`Choice`] | what a majority decided once, or term after term | the higher ballot |
-//! | [`Note`] | what somebody observed | the higher version |
+//! | [`Effect`] | an invocation, or an idempotency key | states only advance; the higher owner; two answers are a conflict |
+//! | [`Choice`] | a value that a majority agreed on, once or term after term | the higher ballot |
+//! | [`Note`] | an observation of one member | the higher version |
 
 use std::collections::BTreeMap;
 
@@ -13,87 +13,102 @@
 use cedarpulley_membership::MemberIndex;
 use serde::{Deserialize, Serialize};
 
-/// Under which a member acts; any two can be told apart, and there is always a higher one.
+/// A ballot number as in Paxos: all ballots are different and ordered, and there is always a higher one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Ballot {
+    /// The round; compared first.
     pub number: u32,
+    /// The proposer.
     pub member: MemberIndex,
-    /// Of its process: what an earlier process of the same member knew is not known any more.
+    /// The proposer's process: an earlier process of the same member is a different proposer.
     pub nonce: u64,
 }
 
-/// The first: taken without asking anybody, valid only where nobody else has the record.
+/// The number of a first ballot: used without a promise, valid only where no other owner has the record.
 pub const FIRST: u32 = 1;
 
-/// What became of one dispatch. The order is that in which it advances, and of caution.
+/// The state of one dispatch. States only advance in this order, and the later one is the more cautious.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Sent {
-    /// It may leave, or has left.
+    /// It may be sent, or was sent.
     Intended,
+    /// It certainly did not run.
     NeverRan,
+    /// It may have run.
     MayHaveRun,
 }
 
+/// A dispatch that a member intends to send, or has sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Sending {
+    /// The member that sends it.
     pub member: MemberIndex,
+    /// How far it has come.
     pub state: Sent,
-    /// Of workers that drop repeats of it, where there are several groups.
+    /// The deduplication scope of its worker, where there are several.
     pub place: u32,
 }
 
-/// Of which process, and which of its dispatches.
-pub type SendingIx = (u64, u64);
+/// A dispatch: the nonce of the sending process, and the dispatch's number there.
+pub type DispatchId = (u64, u64);
 
+/// The answer to an invocation, as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Answered {
+    /// The encoded answer.
     Kept(Bytes),
-    /// It was given, and is larger than what is kept of answers.
+    /// There was an answer, but it was too long to be stored.
     TooLarge,
 }
 
+/// Which member may dispatch an invocation.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Owner {
+    /// The highest ballot promised; the owner is its proposer.
     pub ballot: Ballot,
-    /// It holds it no more: its client or its front has left it.
+    /// The owner has released the invocation, as nobody waits for it there any more.
     pub let_go: bool,
 }
 
+/// The state of an invocation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Effect {
+    /// Who may dispatch it.
     pub owner: Owner,
-    /// Somebody has taken it. Without, it is only a place where a promise is kept.
+    /// A member has taken the invocation. Otherwise the record only stores a promise.
     pub taken: bool,
-    /// What is not here may be forgotten: that there is no sending proves nothing.
+    /// Intents may be lost: the absence of an intent proves nothing.
     pub doubtful: bool,
-    pub sendings: BTreeMap<SendingIx, Sending>,
+    /// The dispatches known here.
+    pub sendings: BTreeMap<DispatchId, Sending>,
+    /// The answer, if there was one.
     pub answer: Option<Answered>,
-    /// The answer is out for good; nothing else is kept of it.
+    /// The answer was delivered for good; dispatches and answer are dropped.
     pub closed: bool,
-    /// Two different answers were given, and neither is out for good.
+    /// Two different answers were given, and neither was delivered for good.
     pub fault: bool,
 }
 
 impl Effect {
-    fn settle(&mut self) {
+    fn drop_details_if_closed(&mut self) {
         if self.closed {
             (self.taken, self.answer, self.doubtful, self.fault) = (true, None, false, false);
             self.sendings.clear();
         }
     }
 
-    fn join(&mut self, other: &Effect) {
+    fn merge(&mut self, other: &Effect) {
         self.owner = self.owner.max(other.owner);
         self.taken |= other.taken;
         self.doubtful |= other.doubtful;
         self.closed |= other.closed;
         self.fault |= other.fault;
-        for (ix, theirs) in &other.sendings {
-            let ours = self.sendings.entry(*ix).or_insert(*theirs);
+        for (dispatch, theirs) in &other.sendings {
+            let ours = self.sendings.entry(*dispatch).or_insert(*theirs);
             ours.state = ours.state.max(theirs.state);
         }
         match (&self.answer, &other.answer) {
@@ -104,24 +119,27 @@
             (None, Some(theirs)) => self.answer = Some(theirs.clone()),
             _ => {}
         }
-        self.settle();
+        self.drop_details_if_closed();
     }
 
+    /// The answer was delivered for good.
     pub fn close(&mut self) {
         self.closed = true;
-        self.settle();
+        self.drop_details_if_closed();
     }
 }
 
+/// The state of a Paxos acceptor for one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Choice {
-    /// Nothing below it is accepted any more.
+    /// Lower ballots are rejected.
     pub promised: Ballot,
+    /// The value accepted under the highest ballot, and that ballot.
     pub accepted: Option<(Ballot, Bytes)>,
 }
 
 impl Choice {
-    fn join(&mut self, other: &Choice) {
+    fn merge(&mut self, other: &Choice) {
         self.promised = self.promised.max(other.promised);
         if other.accepted > self.accepted {
             self.accepted.clone_from(&other.accepted);
@@ -129,39 +147,50 @@
     }
 }
 
+/// An observation that a member published.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Note {
-    /// The first part goes before the second: a worker's start before what was seen of it since.
+    /// Compared in order: for a worker, its start and then the number of the observation.
     pub version: (u64, u64),
+    /// The encoded observation.
     pub value: Bytes,
 }
 
+/// What is stored under one key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Record {
+    /// An invocation.
     Effect(Effect),
+    /// A value agreed on.
     Choice(Choice),
+    /// An observation.
     Note(Note),
 }
 
 impl Record {
-    /// True if this copy has changed. Records of different kinds have different keys; one that does not fit changes
+    /// True if this copy has changed. Records of different kinds have different keys; a record of another kind changes
     /// nothing.
-    pub fn join(&mut self, other: &Record) -> bool {
+    pub fn merge(&mut self, other: &Record) -> bool {
         let before = self.clone();
         match (&mut *self, other) {
-            (Record::Effect(ours), Record::Effect(theirs)) => ours.join(theirs),
-            (Record::Choice(ours), Record::Choice(theirs)) => ours.join(theirs),
+            (Record::Effect(ours), Record::Effect(theirs)) => ours.merge(theirs),
+            (Record::Choice(ours), Record::Choice(theirs)) => ours.merge(theirs),
             (Record::Note(ours), Record::Note(theirs)) if theirs > ours => ours.clone_from(theirs),
             _ => {}
         }
         *self != before
     }
 
-    /// Whose word it is: while that is the same, so is how long it is kept.
-    pub fn owner(&self) -> Option<Ballot> {
+    /// The state of an invocation.
+    pub fn effect(&self) -> Option<&Effect> {
         match self {
-            Record::Effect(e) => Some(e.owner.ballot),
+            Record::Effect(effect) => Some(effect),
             _ => None,
         }
     }
+
+    /// The owner of an invocation. As long as it stays the same, so does the record's expiry.
+    pub fn owner(&self) -> Option<Ballot> {
+        self.effect().map(|effect| effect.owner.ballot)
+    }
 }
--- /dev/null
+++ b/crates/replica/src/roles/messages.rs
@@ -0,0 +1,352 @@
+//! Which role handles a message, and what else it concerns.
+
+use bytes::Bytes;
+use cedarpulley::interface::Micros;
+use cedarpulley_membership::MemberIndex;
+
+use super::Roles;
+use crate::acceptor::{self, FenceRequest, IntentRequest, IntentVote};
+use crate::catch_up::{ReceivedBatch, size};
+use crate::context::{Context, Sender};
+use crate::events::Output;
+use crate::ownership::Rejection;
+use crate::persistence::PendingVote;
+use crate::record::Ballot;
+use crate::record_server::RecordRequest;
+use crate::store::{Key, Leaf, MergeOutcome, Shared};
+use crate::wire::{Message, RejectionReason};
+
+impl Roles {
+    /// Handles a message of another member.
+    pub(super) fn on_message(&mut self, cx: &mut Context<'_>, from: Sender, message: Message) {
+        if cx.member.arrives_too_late(from.transit) && reject_as_too_late(cx, from, &message) {
+            return;
+        }
+        match message {
+            Message::StoreIntent { .. }
+            | Message::IntentStored { .. }
+            | Message::Fence { .. }
+            | Message::Fenced { .. }
+            | Message::Rejected { .. } => self.on_ownership_message(cx, from, message),
+            Message::Prepare { .. }
+            | Message::Promise { .. }
+            | Message::Accept { .. }
+            | Message::Accepted { .. }
+            | Message::Nack { .. } => self.on_consensus_message(cx, from, message),
+            Message::Update { key, shared } => {
+                self.learn(cx, &key, &shared, from.transit);
+            }
+            Message::CompareDigests { serial, groups } => {
+                self.record_server
+                    .on_compare(cx, from.member, serial, &groups);
+            }
+            Message::DifferingGroups {
+                serial,
+                memory,
+                you,
+                groups,
+            } => {
+                self.catch_up
+                    .on_differing_groups(cx, from.member, serial, memory, you, &groups);
+            }
+            Message::FetchRecords {
+                serial,
+                leaves,
+                after,
+            } => {
+                let request = RecordRequest {
+                    from: from.member,
+                    serial,
+                    leaves,
+                    after,
+                };
+                self.record_server.on_request(cx, request);
+            }
+            Message::FetchedRecords {
+                serial,
+                records,
+                more,
+            } => self.on_fetched_records(cx, from, serial, records, more),
+        }
+    }
+
+    fn on_ownership_message(&mut self, cx: &mut Context<'_>, from: Sender, message: Message) {
+        match message {
+            Message::StoreIntent {
+                key,
+                ballot,
+                sending,
+                blind,
+                shared,
+            } => {
+                let request = IntentRequest {
+                    key,
+                    ballot,
+                    sending,
+                    is_first: blind,
+                    record: shared,
+                };
+                self.on_store_intent(cx, from, request);
+            }
+            Message::IntentStored {
+                key,
+                ballot,
+                sending,
+                views,
+            } => {
+                self.ownership
+                    .on_intent_stored(cx, from, &key, ballot, sending, views);
+            }
+            Message::Fence {
+                key,
+                ballot,
+                origin,
+                left,
+            } => {
+                let request = FenceRequest {
+                    key,
+                    ballot,
+                    origin,
+                    lifetime: left.saturating_sub(from.transit),
+                };
+                self.on_fence(cx, from, &request);
+            }
+            Message::Fenced {
+                key,
+                ballot,
+                shared,
+                views,
+            } => {
+                self.ownership
+                    .on_fenced(cx, from, &key, ballot, shared.as_ref(), views);
+            }
+            Message::Rejected {
+                key,
+                ballot,
+                sending,
+                why,
+                shared,
+            } => {
+                let rejection = Rejection {
+                    key,
+                    ballot,
+                    sending,
+                    why,
+                    record: shared,
+                };
+                self.ownership.on_rejected(cx, from, &rejection);
+            }
+            _ => {}
+        }
+    }
+
+    fn on_consensus_message(&mut self, cx: &mut Context<'_>, from: Sender, message: Message) {
+        match message {
+            Message::Prepare { key, ballot, left } => {
+                self.on_prepare(cx, from, key, ballot, left.saturating_sub(from.transit));
+            }
+            Message::Accept {
+                key,
+                ballot,
+                value,
+                left,
+            } => {
+                let lifetime = left.saturating_sub(from.transit);
+                self.on_accept(cx, from, key, ballot, value, lifetime);
+            }
+            Message::Promise {
+                key,
+                ballot,
+                choice,
+                views,
+            } => self
+                .consensus
+                .on_promise(cx, from, &key, ballot, choice, views),
+            Message::Accepted {
+                key,
+                ballot,
+                of,
+                views,
+            } => self
+                .consensus
+                .on_accepted(cx, from, &key, ballot, of, views),
+            Message::Nack {
+                key,
+                ballot,
+                choice,
+                why,
+            } => self.consensus.on_nack(cx, from, &key, ballot, choice, why),
+            _ => {}
+        }
+    }
+
+    fn on_store_intent(&mut self, cx: &mut Context<'_>, from: Sender, request: IntentRequest) {
+        let vote = acceptor::vote_on_intent(cx, &request, from.transit);
+        let IntentRequest {
+            key,
+            ballot,
+            sending,
+            record,
+            ..
+        } = request;
+        let reason = match vote {
+            IntentVote::Stored => {
+                let message = Message::IntentStored {
+                    key: key.clone(),
+                    ballot,
+                    sending,
+                    views: cx.member.views(),
+                };
+                cx.send(from.member, message);
+                return self.on_record_changed(cx, &key);
+            }
+            IntentVote::LearnOnly => {
+                self.learn(cx, &key, &record, from.transit);
+                RejectionReason::Recovering
+            }
+            IntentVote::Rejected(reason) => reason,
+        };
+        acceptor::reject(cx, from, key, ballot, Some(sending), reason);
+    }
+
+    fn on_fence(&mut self, cx: &mut Context<'_>, from: Sender, request: &FenceRequest) {
+        let (key, ballot) = (&request.key, request.ballot);
+        if let Err(reason) = acceptor::check_fence(cx, request) {
+            return acceptor::reject(cx, from, key.clone(), ballot, None, reason);
+        }
+        // What waits here for a majority under a lower ballot was not sent, and the new owner is told so at once.
+        self.ownership.lose(cx, key);
+        let shared = cx.member.store().copy(cx.now, key);
+        acceptor::promise_ownership(cx, request);
+        let message = Message::Fenced {
+            key: key.clone(),
+            ballot,
+            shared,
+            views: cx.member.views(),
+        };
+        cx.send(from.member, message);
+    }
+
+    fn on_prepare(
+        &mut self,
+        cx: &mut Context<'_>,
+        from: Sender,
+        key: Key,
+        ballot: Ballot,
+        lifetime: Micros,
+    ) {
+        let choice = match acceptor::vote_on_prepare(cx, &key, ballot, lifetime) {
+            Ok(choice) => choice,
+            Err(reason) => return acceptor::nack(cx, from, key, ballot, reason),
+        };
+        let message = Message::Promise {
+            key: key.clone(),
+            ballot,
+            choice,
+            views: cx.member.views(),
+        };
+        self.cast(cx, from.member, &key, message);
+    }
+
+    fn on_accept(
+        &mut self,
+        cx: &mut Context<'_>,
+        from: Sender,
+        key: Key,
+        ballot: Ballot,
+        value: Bytes,
+        lifetime: Micros,
+    ) {
+        let of = match acceptor::vote_on_accept(cx, &key, ballot, value, lifetime) {
+            Ok(value_hash) => value_hash,
+            Err(reason) => return acceptor::nack(cx, from, key, ballot, reason),
+        };
+        cx.emit(Output::Noticed(key.clone()));
+        let message = Message::Accepted {
+            key: key.clone(),
+            ballot,
+            of,
+            views: cx.member.views(),
+        };
+        self.cast(cx, from.member, &key, message);
+    }
+
+    fn cast(&mut self, cx: &mut Context<'_>, to: MemberIndex, key: &Key, message: Message) {
+        self.consensus
+            .cast(cx, key, PendingVote::Remote { to, message });
+    }
+
+    fn on_fetched_records(
+        &mut self,
+        cx: &mut Context<'_>,
+        from: Sender,
+        serial: u64,
+        records: Vec<(Key, Shared)>,
+        more: Option<(Leaf, Key)>,
+    ) {
+        let mut batch = ReceivedBatch {
+            serial,
+            bytes: 0,
+            is_incomplete: cx.member.arrives_too_late(from.transit),
+            more,
+        };
+        cx.counts.records_fetched += records.len() as u64;
+        for (key, shared) in records {
+            batch.bytes += size(&key, &shared.record);
+            let outcome = self.learn(cx, &key, &shared, from.transit);
+            batch.is_incomplete |= outcome == MergeOutcome::StoreFull;
+        }
+        self.catch_up.on_batch(cx, from.member, batch);
+    }
+
+    /// Merges what another member has stored.
+    fn learn(
+        &mut self,
+        cx: &mut Context<'_>,
+        key: &Key,
+        copy: &Shared,
+        transit: Micros,
+    ) -> MergeOutcome {
+        let store = cx.member.store_mut();
+        let outcome = store.merge(cx.now, key, copy, transit);
+        match outcome {
+            MergeOutcome::Changed => self.on_record_changed(cx, key),
+            MergeOutcome::Expired => cx.counts.expired_records_received += 1,
+            MergeOutcome::StoreFull => cx.counts.rejected_store_full += 1,
+            MergeOutcome::Unchanged => {}
+        }
+        outcome
+    }
+
+    /// Another member has changed a record.
+    fn on_record_changed(&mut self, cx: &mut Context<'_>, key: &Key) {
+        self.ownership.on_record_changed(cx, key);
+        let stored = cx.member.store().get(key);
+        if stored.is_some_and(|stored| stored.record.effect().is_none()) {
+            cx.emit(Output::Noticed(key.clone()));
+        }
+    }
+}
+
+/// Rejects a request for a vote that was under way for too long; false for other messages. Symptom: a process that was
+/// stopped reads old requests, or its own messages arrive only after it was heard again. A promise from then on would
+/// end before what it is for.
+fn reject_as_too_late(cx: &mut Context<'_>, from: Sender, message: &Message) -> bool {
+    let reason = RejectionReason::TooLate;
+    match message {
+        Message::StoreIntent {
+            key,
+            ballot,
+            sending,
+            ..
+        } => acceptor::reject(cx, from, key.clone(), *ballot, Some(*sending), reason),
+        Message::Fence { key, ballot, .. } => {
+            acceptor::reject(cx, from, key.clone(), *ballot, None, reason);
+        }
+        Message::Prepare { key, ballot, .. } | Message::Accept { key, ballot, .. } => {
+            acceptor::nack(cx, from, key.clone(), *ballot, reason);
+        }
+        _ => return false,
+    }
+    true
+}
--- /dev/null
+++ b/crates/replica/src/roles/mod.rs
@@ -0,0 +1,195 @@
+//! The roles of a replica, and which of them handles an event. Roles do not call each other: where one event concerns
+//! several, it is passed on here.
+
+mod messages;
+
+use std::hash::{Hash, Hasher};
+
+use cedarpulley::interface::Micros;
+
+use crate::catch_up::CatchUp;
+use crate::consensus::Consensus;
+use crate::context::{Context, Sender};
+use crate::events::Input;
+use crate::ownership::Ownership;
+use crate::record::{Note, Record};
+use crate::record_server::RecordServer;
+use crate::recovery;
+use crate::store::{Key, StoredRecord};
+use crate::votes::process_tag;
+use crate::wire::Message;
+
+/// All roles that keep state of their own. The acceptor's state is in the records.
+#[derive(Clone, Debug)]
+pub(crate) struct Roles {
+    ownership: Ownership,
+    consensus: Consensus,
+    catch_up: CatchUp,
+    record_server: RecordServer,
+}
+
+impl Roles {
+    pub(crate) fn new(now: Micros) -> Self {
+        Roles {
+            ownership: Ownership::default(),
+            consensus: Consensus::default(),
+            catch_up: CatchUp::new(now),
+            record_server: RecordServer::new(now),
+        }
+    }
+
+    pub(crate) fn ownership(&self) -> &Ownership {
+        &self.ownership
+    }
+
+    pub(crate) fn consensus(&self) -> &Consensus {
+        &self.consensus
+    }
+
+    pub(crate) fn consensus_mut(&mut self) -> &mut Consensus {
+        &mut self.consensus
+    }
+
+    pub(crate) fn catch_up(&self) -> &CatchUp {
+        &self.catch_up
+    }
+
+    pub(crate) fn next_due(&self) -> Micros {
+        self.ownership
+            .next_due()
+            .min(self.consensus.next_due())
+            .min(self.catch_up.next_due())
+            .min(self.record_server.next_due())
+    }
+
+    pub(crate) fn hash_state(&self, state: &mut impl Hasher) {
+        (&self.ownership, &self.consensus).hash(state);
+        (&self.catch_up, &self.record_server).hash(state);
+    }
+
+    pub(crate) fn handle(&mut self, cx: &mut Context<'_>, input: Input) {
+        // Records expire before anything is said of them. Symptom: a member that was stopped wakes and broadcasts what
+        // all others have forgotten.
+        for key in cx.member.expire(cx.now) {
+            self.ownership.on_expired(&key);
+        }
+        self.dispatch(cx, input);
+        self.tick(cx);
+    }
+
+    fn dispatch(&mut self, cx: &mut Context<'_>, input: Input) {
+        match input {
+            Input::Noted {
+                key,
+                version,
+                value,
+                kept,
+            } => publish_note(cx, &key, Note { version, value }, kept),
+            Input::Choose { key, value, kept } => self.consensus.choose(cx, key, value, kept),
+            Input::Lead { key, kept } => self.consensus.lead(cx, key, kept),
+            Input::Write {
+                key,
+                ballot,
+                value,
+                kept,
+            } => self.consensus.write(cx, key, ballot, value, kept),
+            Input::Heard {
+                from,
+                nonce,
+                transit,
+                message,
+            } => {
+                let is_member = (from as usize) < cx.member.group().len();
+                if is_member && from != cx.member.me() {
+                    let sender = Sender {
+                        member: from,
+                        process: process_tag(nonce),
+                        transit,
+                    };
+                    self.on_message(cx, sender, message);
+                }
+            }
+            Input::Member {
+                member,
+                nonce,
+                alive,
+            } => {
+                if cx.member.update_peer(member, nonce, alive) {
+                    self.ownership.on_members_changed(cx);
+                }
+            }
+            Input::Kept { serial } => self.consensus.on_persisted(cx, serial),
+            Input::Tick => {}
+            invocation => self.dispatch_to_ownership(cx, invocation),
+        }
+    }
+
+    /// Events of an invocation that this router has taken.
+    fn dispatch_to_ownership(&mut self, cx: &mut Context<'_>, input: Input) {
+        let ownership = &mut self.ownership;
+        match input {
+            Input::Take {
+                key,
+                need,
+                redelivered,
+            } => ownership.take(cx, &key, need, redelivered),
+            Input::Intend {
+                key,
+                sending,
+                place,
+                alone,
+            } => ownership.request_dispatch(cx, &key, sending, place, alone),
+            Input::Left {
+                key,
+                sending,
+                place,
+            } => ownership.on_dispatched(cx, &key, sending, place),
+            Input::Ended {
+                key,
+                sending,
+                may_have_run,
+            } => ownership.on_dispatch_ended(cx, &key, sending, may_have_run),
+            Input::Answered { key, answer } => ownership.on_answered(cx, &key, answer),
+            Input::Closed { key } => ownership.on_closed(cx, &key),
+            Input::Dropped { key } => ownership.on_dropped(cx, &key),
+            _ => {}
+        }
+    }
+
+    fn tick(&mut self, cx: &mut Context<'_>) {
+        recovery::tick(cx);
+        self.ownership.tick(cx);
+        self.consensus.tick(cx);
+        self.catch_up.tick(cx);
+        self.record_server.tick(cx);
+        broadcast(cx);
+    }
+}
+
+fn publish_note(cx: &mut Context<'_>, key: &Key, note: Note, retention: Micros) {
+    let origin = cx.member.next_origin();
+    let expires_at = cx.now.saturating_add(retention);
+    let record = Record::Note(note);
+    let absent = StoredRecord::new(record.clone(), origin, expires_at);
+    cx.change(key, absent, |stored| {
+        stored.record.merge(&record);
+        stored.origin = origin;
+        stored.expires_at = stored.expires_at.max(expires_at);
+    });
+}
+
+/// Sends the records that have changed to all members that are alive.
+fn broadcast(cx: &mut Context<'_>) {
+    for key in cx.member.take_due_broadcasts(cx.now) {
+        let Some(shared) = cx.member.store().copy(cx.now, &key) else {
+            continue;
+        };
+        for to in cx.member.others() {
+            if cx.member.is_alive(to) {
+                cx.counts.broadcasts_sent += 1;
+                let (key, shared) = (key.clone(), shared.clone());
+                cx.send(to, Message::Update { key, shared });
+            }
+        }
+    }
+}
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -1,229 +1,232 @@
-//! What members say to each other. Every message may be lost, doubled, late or out of order; none of them is needed
-//! for a proof but the votes, and a vote is a fact whenever it comes.
+//! The messages between members. Each may be lost, duplicated, delayed or reordered. Proofs rest on votes alone, and a
+//! vote states a fact whenever it arrives.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use cedarpulley_membership::MemberIndex;
 use serde::{Deserialize, Serialize};
 
-use crate::record::{Ballot, Choice, Record};
+use crate::record::{Ballot, Choice};
 use crate::store::{Key, Leaf, Origin, Shared};
+use crate::votes::Views;
 
-/// Raised with every change of a message: members of different versions refuse each other.
+/// Raised with every change of a message: members of different versions reject each other.
 pub const VERSION: u16 = 3;
 
-/// How much a member remembers.
+/// How much of its earlier votes a member remembers.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Memory {
-    /// It began with nothing: what it once promised it does not know.
+    /// It started without records.
     #[default]
+    #[serde(rename = "lost")]
     Lost,
-    /// It began from its folder, which may be older than what it once promised.
+    /// It started from its disk, which may be older than its last votes.
+    #[serde(rename = "kept")]
     Kept,
+    /// It remembers all that it has voted for; nothing is missing.
+    #[serde(rename = "whole")]
     Whole,
 }
 
-/// Which process the voter holds each member for, in their order. A vote counts beside others only if they all mean the
-/// same processes.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Views(pub Vec<u32>);
-
+/// Why an acceptor gave no vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Refusal {
-    /// Another owner has it.
-    Owned,
-    /// No room for one more record.
-    Full,
-    /// The voter does not remember enough to vote.
-    Returning,
-    /// Its time is over here.
-    Forgotten,
-    /// The question came too late to be answered.
-    Late,
+pub enum RejectionReason {
+    /// A higher ballot was promised, or another owner has the record.
+    #[serde(rename = "owned")]
+    HigherBallot,
+    /// The acceptor's store is full.
+    #[serde(rename = "full")]
+    StoreFull,
+    /// The acceptor does not remember enough to vote.
+    #[serde(rename = "returning")]
+    Recovering,
+    /// The record has expired at the acceptor.
+    #[serde(rename = "forgotten")]
+    Expired,
+    /// The request was under way for too long.
+    #[serde(rename = "late")]
+    TooLate,
 }
 
+/// A message between members. Members exchange variants by their position: their order never changes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// An intent to dispatch, to be held. `blind`: valid only where nobody else has the record.
-    Intend {
+    /// An owner asks to have the intent of a dispatch stored.
+    StoreIntent {
+        /// The invocation's key.
         key: Key,
+        /// The owner's ballot.
         ballot: Ballot,
+        /// The dispatch.
         sending: u64,
+        /// The ballot is a first one, valid only where no other owner has the record.
         blind: bool,
+        /// The record with the intent.
         shared: Shared,
     },
-    Holds {
+    /// The vote on [`Message::StoreIntent`]: the intent is stored.
+    IntentStored {
+        /// The invocation's key.
         key: Key,
+        /// The owner's ballot.
         ballot: Ballot,
+        /// The dispatch.
         sending: u64,
+        /// Which processes the voter knows.
         views: Views,
     },
-    /// Nothing below this ballot is to be held any more.
+    /// A new owner asks for the promise to store nothing under a lower ballot.
     Fence {
+        /// The invocation's key.
         key: Key,
+        /// The new owner's ballot.
         ballot: Ballot,
+        /// The origin of the record under this ballot.
         origin: Origin,
+        /// How long the promise is to be kept.
         left: i64,
     },
+    /// The vote on [`Message::Fence`]: the promise, and the record as it was before.
     Fenced {
+        /// The invocation's key.
         key: Key,
+        /// The new owner's ballot.
         ballot: Ballot,
+        /// The voter's record.
         shared: Option<Shared>,
+        /// Which processes the voter knows.
         views: Views,
     },
-    /// To an intent (its sending is named) or a fence.
-    Refused {
+    /// No vote on [`Message::StoreIntent`] or [`Message::Fence`].
+    Rejected {
+        /// The invocation's key.
         key: Key,
+        /// The ballot that was rejected.
         ballot: Ballot,
+        /// The dispatch whose intent was rejected; absent for a fence.
         sending: Option<u64>,
-        why: Refusal,
+        /// Why there is no vote.
+        why: RejectionReason,
+        /// The acceptor's record.
         shared: Option<Shared>,
     },
-    /// For what is decided by a majority: first the promise, then the value.
+    /// Phase 1 of Paxos: a proposer asks for a promise.
     Prepare {
+        /// The choice's key.
         key: Key,
+        /// The proposal's ballot.
         ballot: Ballot,
+        /// How long the promise is to be kept.
         left: i64,
     },
-    Prepared {
+    /// The vote on [`Message::Prepare`].
+    Promise {
+        /// The choice's key.
         key: Key,
+        /// The proposal's ballot.
         ballot: Ballot,
+        /// What the voter promised and accepted.
         choice: Choice,
+        /// Which processes the voter knows.
         views: Views,
     },
+    /// Phase 2 of Paxos: a proposer asks to have a value accepted.
     Accept {
+        /// The choice's key.
         key: Key,
+        /// The proposal's ballot.
         ballot: Ballot,
+        /// The value.
         value: Bytes,
+        /// How long the choice is to be kept.
         left: i64,
     },
-    /// `of`: of the value. Symptom: a late acceptance of one value was counted for the next of the same term.
+    /// The vote on [`Message::Accept`].
     Accepted {
+        /// The choice's key.
         key: Key,
+        /// The proposal's ballot.
         ballot: Ballot,
+        /// The hash of the value. Symptom: a late acceptance of one value was counted for the next of the same term.
         of: u64,
+        /// Which processes the voter knows.
         views: Views,
     },
-    Overtaken {
+    /// No vote on [`Message::Prepare`] or [`Message::Accept`].
+    Nack {
+        /// The choice's key.
         key: Key,
+        /// The ballot that was rejected.
         ballot: Ballot,
+        /// What the acceptor promised and accepted.
         choice: Option<Choice>,
-        why: Refusal,
+        /// Why there is no vote.
+        why: RejectionReason,
     },
-    Tell {
+    /// A record that the sender has changed.
+    Update {
+        /// The record's key.
         key: Key,
+        /// The record.
         shared: Shared,
     },
-    /// Digests of all groups of leaves; the one that asks wants to know what it lacks.
-    Compare {
+    /// Begins a comparison: the sender asks which of its groups of leaves differ.
+    CompareDigests {
+        /// The sender's number of this request.
         serial: u64,
+        /// The digests of all groups.
         groups: Vec<u64>,
     },
-    /// Leaf digests of the groups that differ, and whom the one that answers holds the asker for.
-    Differ {
+    /// The answer to [`Message::CompareDigests`].
+    DifferingGroups {
+        /// The number of the request.
         serial: u64,
+        /// How much the answering member remembers.
         memory: Memory,
+        /// Which process the answering member takes the asking one for.
         you: u32,
+        /// The leaf digests of each group that differs.
         groups: BTreeMap<Leaf, Vec<u64>>,
     },
-    /// Of these leaves, what is not listed with the same digest; of a leaf without a list, everything.
-    Want {
+    /// Asks for the records of some leaves.
+    FetchRecords {
+        /// The sender's number of this request.
         serial: u64,
+        /// Each leaf with the entries that the sender has, which are left out if they are the same; without entries,
+        /// all records of the leaf are sent.
         leaves: Vec<(Leaf, Option<BTreeMap<u64, u64>>)>,
+        /// Continue after this record.
         after: Option<(Leaf, Key)>,
     },
-    /// `more`: to be asked for from there on.
-    Have {
+    /// The answer to [`Message::FetchRecords`].
+    FetchedRecords {
+        /// The number of the request.
         serial: u64,
+        /// The records.
         records: Vec<(Key, Shared)>,
+        /// There are more: ask again, continuing after this record.
         more: Option<(Leaf, Key)>,
     },
 }
 
 impl Message {
-    /// Carries many records, or asks for them: it waits behind what somebody waits for.
+    /// Carries many records, or asks for them: it is sent after messages that somebody waits for.
     pub fn is_bulk(&self) -> bool {
         matches!(
             self,
-            Message::Compare { .. }
-                | Message::Differ { .. }
-                | Message::Want { .. }
-                | Message::Have { .. }
+            Message::CompareDigests { .. }
+                | Message::DifferingGroups { .. }
+                | Message::FetchRecords { .. }
+                | Message::FetchedRecords { .. }
         )
     }
 
     /// If it is lost, a later comparison makes up for it.
     pub fn is_made_up_for(&self) -> bool {
-        matches!(self, Message::Tell { .. }) || self.is_bulk()
-    }
-}
-
-/// Votes for one thing: a majority of them counts once its voters mean the same processes. Symptom: a member promises,
-/// starts anew without memory and votes again; the promise of its earlier process must not be added to others' newer
-/// votes.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Votes(BTreeMap<MemberIndex, (u32, Views)>);
-
-impl Votes {
-    /// `process`: of the voter, as it says itself.
-    pub fn put(&mut self, from: MemberIndex, process: u32, views: Views) {
-        self.0.insert(from, (process, views));
-    }
-
-    pub fn voters(&self) -> impl Iterator<Item = MemberIndex> + '_ {
-        self.0.keys().copied()
-    }
-
-    pub fn has(&self, member: MemberIndex) -> bool {
-        self.0.contains_key(&member)
-    }
-
-    pub fn len(&self) -> usize {
-        self.0.len()
-    }
-
-    pub fn is_empty(&self) -> bool {
-        self.0.is_empty()
-    }
-
-    /// The voters that all mean the same processes of each other, beginning with the proposer.
-    pub fn agreeing(&self, first: MemberIndex) -> Vec<MemberIndex> {
-        let mean = |a: MemberIndex, b: MemberIndex| {
-            self.0
-                .get(&a)
-                .zip(self.0.get(&b))
-                .is_some_and(|((_, views), (process, _))| views.0.get(b as usize) == Some(process))
-        };
-        let mut agreed: Vec<MemberIndex> = Vec::new();
-        let order = self
-            .0
-            .keys()
-            .copied()
-            .filter(|m| *m == first)
-            .chain(self.0.keys().copied().filter(|m| *m != first));
-        for m in order {
-            if agreed.iter().all(|a| mean(m, *a) && mean(*a, m)) {
-                agreed.push(m);
-            }
-        }
-        agreed
-    }
-}
-
-/// A process's nonce as it is compared in votes.
-pub fn short(nonce: u64) -> u32 {
-    (nonce ^ nonce >> 32) as u32
-}
-
-/// What of a record of one kind is sent with a refusal.
-pub fn choice(record: &Record) -> Option<Choice> {
-    match record {
-        Record::Choice(c) => Some(c.clone()),
-        _ => None,
+        matches!(self, Message::Update { .. }) || self.is_bulk()
     }
 }
--- a/crates/replica/tests/cases.rs
+++ b/crates/replica/tests/cases.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use cedarpulley_replica::{
-    Because, Guard, Input, Lack, Memory, Message, Need, Outcome, Record, Terms, Verdict,
+    Guard, IndeterminateReason, Input, Lack, Memory, Message, Need, Outcome, Record, Terms, Verdict,
 };
 use common::{KEPT, MS, World, group, terms};
 
@@ -41,7 +41,11 @@
     let mut w = World::new(3, None);
     for (key, ends, want) in [
         ("never", Some(false), GO),
-        ("ran", Some(true), Verdict::MayHaveRun(Because::Ended)),
+        (
+            "ran",
+            Some(true),
+            Verdict::MayHaveRun(IndeterminateReason::DispatchIndeterminate),
+        ),
     ] {
         w.take(0, key, false);
         let s = w.intend(0, key);
@@ -81,7 +85,7 @@
     w.sees(1, 0, false);
     assert_eq!(
         w.verdict(1, "x"),
-        Some(Verdict::MayHaveRun(Because::OwnerGone))
+        Some(Verdict::MayHaveRun(IndeterminateReason::OwnerGone))
     );
 }
 
@@ -192,7 +196,10 @@
     assert!(w.at(0).faults() == 1 && w.at(2).faults() == 1);
     w.take(2, "x", true);
     w.deliver(|_, _, _| true);
-    assert_eq!(w.verdict(2, "x"), Some(Verdict::MayHaveRun(Because::Fault)));
+    assert_eq!(
+        w.verdict(2, "x"),
+        Some(Verdict::MayHaveRun(IndeterminateReason::ConflictingAnswers))
+    );
 }
 
 /// Five members: a promise of an earlier process of the third must not count beside a later one of the fourth.
@@ -215,8 +222,10 @@
         w.sees(2, 1, false);
         // It compares with those that have not heard of the fence, and remembers enough.
         w.pass_where(350 * MS, |from, to, m| match m {
-            Message::Compare { .. } | Message::Want { .. } => from == 2 && to != 1,
-            Message::Differ { .. } | Message::Have { .. } => to == 2 && from != 1,
+            Message::CompareDigests { .. } | Message::FetchRecords { .. } => from == 2 && to != 1,
+            Message::DifferingGroups { .. } | Message::FetchedRecords { .. } => {
+                to == 2 && from != 1
+            }
             _ => false,
         });
         w.sees(2, 1, true);
@@ -225,9 +234,11 @@
         w.net = net;
         // The intent is held by the new process and one more; the fence is promised by that one after.
         w.deliver(|from, to, m| {
-            matches!(m, Message::Intend { .. }) && from == 0 && (to == 2 || to == 4)
+            matches!(m, Message::StoreIntent { .. }) && from == 0 && (to == 2 || to == 4)
+        });
+        w.deliver(|from, _, m| {
+            matches!(m, Message::IntentStored { .. }) && (from == 2 || from == 4)
         });
-        w.deliver(|from, _, m| matches!(m, Message::Holds { .. }) && (from == 2 || from == 4));
         let one = w.left(0, s);
         w.deliver(|from, to, m| matches!(m, Message::Fence { .. }) && (from, to) == (1, 3));
         w.deliver(|from, _, m| matches!(m, Message::Fenced { .. }) && from == 3);
@@ -257,7 +268,10 @@
         w.deliver(|from, to, _| from != 0 && to != 0);
         w.verdict(1, "x")
     };
-    assert_eq!(play(None), Some(Verdict::MayHaveRun(Because::Unknown)));
+    assert_eq!(
+        play(None),
+        Some(Verdict::MayHaveRun(IndeterminateReason::Unknown))
+    );
     assert_eq!(play(Some(Guard::Presence)), Some(GO));
 }
 
@@ -285,7 +299,10 @@
         w.deliver(|_, _, _| true);
         w.verdict(1, "x")
     };
-    assert_eq!(play(None), Some(Verdict::MayHaveRun(Because::Doubtful)));
+    assert_eq!(
+        play(None),
+        Some(Verdict::MayHaveRun(IndeterminateReason::StateLost))
+    );
     assert_eq!(play(Some(Guard::Doubt)), Some(GO));
 }
 
@@ -433,7 +450,7 @@
     assert_eq!(w.at(2).records().count(), 1);
     w.pass(3_000 * MS);
     assert!(w.at(0).records().next().is_none() && w.at(1).records().next().is_none());
-    let offered = w.at(0).counts.forgotten_offers + w.at(1).counts.forgotten_offers;
+    let offered = w.at(0).counts.expired_records_received + w.at(1).counts.expired_records_received;
     assert!(offered > 0, "it was offered and refused");
 }
 
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -162,7 +162,7 @@
     pub fn folder(&self, r: usize) -> Vec<(Key, Shared)> {
         self.at(r)
             .records()
-            .map(|(k, s)| (k.clone(), s.shared(self.now)))
+            .map(|(k, s)| (k.clone(), s.to_copy(self.now)))
             .collect()
     }
 
--- a/crates/replica/tests/explore.rs
+++ b/crates/replica/tests/explore.rs
@@ -249,7 +249,7 @@
                 Output::Send { to, message } => {
                     let sent = Sent::new(r, to, self.nonces[r], message);
                     // What is told without being asked comes by a step of its own.
-                    if let Message::Tell { .. } = *sent.message {
+                    if let Message::Update { .. } = *sent.message {
                         continue;
                     }
                     // The same again is what doubling is for.
@@ -496,7 +496,7 @@
                     let replica = w.replicas[r].take().ok_or("it runs")?;
                     let held = replica
                         .records()
-                        .map(|(k, s)| (k.clone(), s.shared(NOW)))
+                        .map(|(k, s)| (k.clone(), s.to_copy(NOW)))
                         .collect();
                     w.folders[r] = Some(Arc::new(held));
                     w.marked(r);
@@ -624,7 +624,7 @@
 
     fn told_by(&self, m: usize) -> Option<Message> {
         let shared = self.replicas[m].as_ref()?.held(NOW, X)?;
-        Some(Message::Tell {
+        Some(Message::Update {
             key: X.into(),
             shared,
         })
@@ -671,12 +671,12 @@
 
 fn word(message: &Message) -> &'static str {
     match message {
-        Message::Intend { .. } => "hears an intent from",
-        Message::Holds { .. } => "hears that it is held by",
+        Message::StoreIntent { .. } => "hears an intent from",
+        Message::IntentStored { .. } => "hears that it is held by",
         Message::Fence { .. } => "hears a fence from",
         Message::Fenced { .. } => "hears a promise from",
-        Message::Refused { .. } => "hears a refusal from",
-        Message::Tell { .. } => "hears last words from",
+        Message::Rejected { .. } => "hears a refusal from",
+        Message::Update { .. } => "hears last words from",
         _ => "hears of a comparison from",
     }
 }
--- a/crates/replica/tests/kept.rs
+++ b/crates/replica/tests/kept.rs
@@ -40,7 +40,7 @@
     let mut w = World::written(3, None);
     choose(&mut w, 0, "s", 1);
     w.deliver(|_, _, _| true);
-    assert!((0..3).all(|r| w.at(r).awaits_folder()) && w.at(1).counts.votes_withheld == 1);
+    assert!((0..3).all(|r| w.at(r).awaits_folder()) && w.at(1).counts.votes_deferred == 1);
     // Its own alone is none, and another one's beside it is a majority.
     writes(&mut w, 0);
     w.takes(1);
@@ -71,7 +71,7 @@
     w.deliver(|_, to, _| to == 1);
     let counts = w.at(1).counts;
     assert_eq!(
-        (counts.votes_withheld, counts.votes_dropped),
+        (counts.votes_deferred, counts.votes_dropped),
         (5_000, 5_000 - 4_096)
     );
     // The same question again takes nobody's room.
@@ -89,7 +89,7 @@
             message: last,
         },
     );
-    assert_eq!(w.at(1).counts.votes_withheld, 5_000);
+    assert_eq!(w.at(1).counts.votes_deferred, 5_000);
     w.take(0, "x", false);
     let s = w.intend(0, "x");
     w.deliver(|_, to, _| to != 2);
--- a/crates/replica/tests/merging.rs
+++ b/crates/replica/tests/merging.rs
@@ -74,7 +74,7 @@
 
 fn joined(a: &Record, b: &Record) -> Record {
     let mut a = a.clone();
-    a.join(b);
+    a.merge(b);
     a
 }
 
@@ -106,7 +106,7 @@
 #[test]
 fn what_is_kept_longer_is_heard_though_later_effects_are_over() {
     use cedarpulley_replica::Shared;
-    use cedarpulley_replica::store::{Joined, Origin, Store};
+    use cedarpulley_replica::store::{MergeOutcome, Origin, Store};
     let shared = |record: Record, serial, left| {
         let origin = Origin { nonce: 7, serial };
         Shared {
@@ -120,17 +120,17 @@
     let mut store = Store::new(10, false);
     let effect = || Record::Effect(Effect::default());
     assert_eq!(
-        store.join(0, &"i".into(), &shared(effect(), 5, 10), 0),
-        Joined::Changed
+        store.merge(0, &"i".into(), &shared(effect(), 5, 10), 0),
+        MergeOutcome::Changed
     );
     store.expire(20);
     assert_eq!(
-        store.join(20, &"j".into(), &shared(effect(), 4, 10), 0),
-        Joined::Forgotten
+        store.merge(20, &"j".into(), &shared(effect(), 4, 10), 0),
+        MergeOutcome::Expired
     );
     let choice = Record::Choice(Choice::default());
     assert_eq!(
-        store.join(20, &"u".into(), &shared(choice, 3, 10), 0),
-        Joined::Changed
+        store.merge(20, &"u".into(), &shared(choice, 3, 10), 0),
+        MergeOutcome::Changed
     );
 }
--- a/crates/replica/tests/message_bytes.rs
+++ b/crates/replica/tests/message_bytes.rs
@@ -7,7 +7,8 @@
 use bytes::Bytes;
 use cedarpulley_replica::record::Choice;
 use cedarpulley_replica::store::{Origin, Store, leaf};
-use cedarpulley_replica::wire::{Refusal, Views};
+use cedarpulley_replica::votes::Views;
+use cedarpulley_replica::wire::RejectionReason;
 use cedarpulley_replica::{
     Answered, Ballot, Effect, Key, Memory, Message, Note, Record, Sending, Sent, Shared, VERSION,
 };
@@ -108,9 +109,9 @@
     Views(vec![11, 4_000_000_000, 33])
 }
 
-fn refused(why: Refusal, sending: Option<u64>, shared: Option<Shared>) -> Message {
+fn refused(why: RejectionReason, sending: Option<u64>, shared: Option<Shared>) -> Message {
     let (key, ballot) = (key("k"), ballot(2));
-    Message::Refused {
+    Message::Rejected {
         key,
         ballot,
         sending,
@@ -119,9 +120,9 @@
     }
 }
 
-fn overtaken(why: Refusal, choice: Option<Choice>) -> Message {
+fn overtaken(why: RejectionReason, choice: Option<Choice>) -> Message {
     let (key, ballot) = (key("k"), ballot(2));
-    Message::Overtaken {
+    Message::Nack {
         key,
         ballot,
         choice,
@@ -131,11 +132,11 @@
 
 fn tell(record: Record) -> Message {
     let (key, shared) = (key("k"), shared(record));
-    Message::Tell { key, shared }
+    Message::Update { key, shared }
 }
 
 fn differ(memory: Memory) -> Message {
-    Message::Differ {
+    Message::DifferingGroups {
         serial: 21,
         memory,
         you: 70_000,
@@ -145,14 +146,14 @@
 
 fn messages_on_invocations() -> Vec<(&'static str, Message)> {
     let (key, ballot) = (key("k"), ballot(2));
-    let intend = Message::Intend {
+    let intend = Message::StoreIntent {
         key: key.clone(),
         ballot,
         sending: 200,
         blind: true,
         shared: shared(open_effect()),
     };
-    let holds = Message::Holds {
+    let holds = Message::IntentStored {
         key: key.clone(),
         ballot,
         sending: 200,
@@ -178,15 +179,32 @@
         ("fenced-nothing", fenced(None)),
         (
             "refused-owned",
-            refused(Refusal::Owned, Some(200), Some(shared(open_effect()))),
+            refused(
+                RejectionReason::HigherBallot,
+                Some(200),
+                Some(shared(open_effect())),
+            ),
+        ),
+        (
+            "refused-full",
+            refused(RejectionReason::StoreFull, Some(200), None),
         ),
-        ("refused-full", refused(Refusal::Full, Some(200), None)),
         (
             "refused-returning",
-            refused(Refusal::Returning, None, Some(shared(closed_effect()))),
+            refused(
+                RejectionReason::Recovering,
+                None,
+                Some(shared(closed_effect())),
+            ),
+        ),
+        (
+            "refused-forgotten",
+            refused(RejectionReason::Expired, None, None),
+        ),
+        (
+            "refused-late",
+            refused(RejectionReason::TooLate, Some(0), None),
         ),
-        ("refused-forgotten", refused(Refusal::Forgotten, None, None)),
-        ("refused-late", refused(Refusal::Late, Some(0), None)),
     ]
 }
 
@@ -197,7 +215,7 @@
         ballot,
         left: 9_000_000,
     };
-    let prepared = Message::Prepared {
+    let prepared = Message::Promise {
         key: key.clone(),
         ballot,
         choice: chosen(),
@@ -220,22 +238,28 @@
         ("prepared", prepared),
         ("accept", accept),
         ("accepted", accepted),
-        ("overtaken", overtaken(Refusal::Owned, Some(chosen()))),
-        ("overtaken-unknown", overtaken(Refusal::Late, None)),
+        (
+            "overtaken",
+            overtaken(RejectionReason::HigherBallot, Some(chosen())),
+        ),
+        (
+            "overtaken-unknown",
+            overtaken(RejectionReason::TooLate, None),
+        ),
     ]
 }
 
 fn messages_on_comparing() -> Vec<(&'static str, Message)> {
-    let compare = Message::Compare {
+    let compare = Message::CompareDigests {
         serial: 20,
         groups: vec![0, 1, u64::MAX],
     };
-    let want = |after| Message::Want {
+    let want = |after| Message::FetchRecords {
         serial: 22,
         leaves: vec![(7, None), (4_000, Some(BTreeMap::from([(1, 2), (3, 4)])))],
         after,
     };
-    let have = |more| Message::Have {
+    let have = |more| Message::FetchedRecords {
         serial: 23,
         records: vec![
             (key("a"), shared(open_effect())),
@@ -264,7 +288,7 @@
         first_ago: None,
         proves_left: None,
     };
-    let tell_bare = Message::Tell {
+    let tell_bare = Message::Update {
         key: key(""),
         shared: bare,
     };
@@ -291,21 +315,21 @@
 /// A further variant does not compile here until it has a name, and then needs a line among the fixtures.
 fn variant(message: &Message) -> &'static str {
     match message {
-        Message::Intend { .. } => "intend",
-        Message::Holds { .. } => "holds",
+        Message::StoreIntent { .. } => "intend",
+        Message::IntentStored { .. } => "holds",
         Message::Fence { .. } => "fence",
         Message::Fenced { .. } => "fenced",
-        Message::Refused { .. } => "refused",
+        Message::Rejected { .. } => "refused",
         Message::Prepare { .. } => "prepare",
-        Message::Prepared { .. } => "prepared",
+        Message::Promise { .. } => "prepared",
         Message::Accept { .. } => "accept",
         Message::Accepted { .. } => "accepted",
-        Message::Overtaken { .. } => "overtaken",
-        Message::Tell { .. } => "tell",
-        Message::Compare { .. } => "compare",
-        Message::Differ { .. } => "differ",
-        Message::Want { .. } => "want",
-        Message::Have { .. } => "have",
+        Message::Nack { .. } => "overtaken",
+        Message::Update { .. } => "tell",
+        Message::CompareDigests { .. } => "compare",
+        Message::DifferingGroups { .. } => "differ",
+        Message::FetchRecords { .. } => "want",
+        Message::FetchedRecords { .. } => "have",
     }
 }
 
@@ -365,7 +389,7 @@
         ("e", note()),
     ];
     for (name, record) in records {
-        store.join(0, &key(name), &shared(record), 0);
+        store.merge(0, &key(name), &shared(record), 0);
     }
     store
 }
--- a/crates/replica/tests/random.rs
+++ b/crates/replica/tests/random.rs
@@ -720,7 +720,7 @@
         self.w
             .at(r)
             .records()
-            .map(|(k, s)| (k.clone(), s.shared(now)))
+            .map(|(k, s)| (k.clone(), s.to_copy(now)))
             .collect()
     }
 
--- a/crates/replica/tests/returning.rs
+++ b/crates/replica/tests/returning.rs
@@ -4,7 +4,9 @@
 
 use bytes::Bytes;
 use cedarpulley_membership::MemberIndex;
-use cedarpulley_replica::{Because, Guard, Input, Memory, Message, Replica, Terms, Verdict};
+use cedarpulley_replica::{
+    Guard, IndeterminateReason, Input, Memory, Message, Replica, Terms, Verdict,
+};
 use common::{KEPT, MS, World, group, terms};
 
 const GO: Verdict = Verdict::Go { first_ago: None };
@@ -56,10 +58,10 @@
         (0..3).for_each(|r| w.feed(r, Input::Tick));
         while !w.net.is_empty() {
             let (from, to, nonce, _, mut message) = w.net.remove(0);
-            if from != 2 && to != 2 || matches!(message, Message::Tell { .. }) {
+            if from != 2 && to != 2 || matches!(message, Message::Update { .. }) {
                 continue;
             }
-            if let Message::Have { .. } = message {
+            if let Message::FetchedRecords { .. } = message {
                 match &first {
                     None => first = Some(message.clone()),
                     Some(again) if !lost => (message, lost) = (again.clone(), true),
@@ -113,7 +115,9 @@
 fn sent_beside(w: &mut World, transit: i64) -> bool {
     let s = w.intend(0, "x");
     w.net.retain(|(_, to, ..)| *to == 1);
-    late(w, 1, transit, |_, m| matches!(m, Message::Intend { .. }));
+    late(w, 1, transit, |_, m| {
+        matches!(m, Message::StoreIntent { .. })
+    });
     w.deliver(|from, to, _| from == 1 && to == 0);
     let left = w.left(0, s);
     w.crash(0);
@@ -141,11 +145,14 @@
     w.now += 2 * MS;
     w.feed(0, Input::Tick);
     late(&mut w, 2, KEPT * 2 / 3, |_, m| {
-        matches!(m, Message::Tell { .. })
+        matches!(m, Message::Update { .. })
     });
     assert!(sent_beside(&mut w, 0));
     let verdict = comes_again(&mut w, KEPT / 2);
-    assert_eq!(verdict, Some(Verdict::MayHaveRun(Because::OwnerGone)));
+    assert_eq!(
+        verdict,
+        Some(Verdict::MayHaveRun(IndeterminateReason::OwnerGone))
+    );
 }
 
 #[test]
@@ -170,7 +177,10 @@
         assert!(sent_beside(&mut w, KEPT / 20));
         comes_again(&mut w, KEPT - KEPT / 40)
     };
-    assert_eq!(play(None), Some(Verdict::MayHaveRun(Because::Unknown)));
+    assert_eq!(
+        play(None),
+        Some(Verdict::MayHaveRun(IndeterminateReason::Unknown))
+    );
     assert_eq!(play(Some(Guard::Age)), Some(GO));
     let mut w = World::new(3, None);
     w.take(0, "x", false);
@@ -186,7 +196,7 @@
     w.take(0, "x", false);
     let s = w.intend(0, "x");
     late(&mut w, 1, KEPT / 2, |_, m| {
-        matches!(m, Message::Intend { .. })
+        matches!(m, Message::StoreIntent { .. })
     });
     w.deliver(|from, to, _| from + to == 1);
     assert!(w.left(0, s));
@@ -206,7 +216,9 @@
     note(&mut w, 0, 1);
     w.pass_where(10 * MS, |_, _, _| false);
     w.take(0, "x", false);
-    w.pass_where(20 * MS, |_, _, m| !matches!(m, Message::Compare { .. }));
+    w.pass_where(20 * MS, |_, _, m| {
+        !matches!(m, Message::CompareDigests { .. })
+    });
     assert!(w.at(2).held(w.now, "x").is_some() && w.at(2).held(w.now, "n1").is_none());
     w.pass_where(2 * KEPT, |_, _, _| false);
     w.pass(5_000 * MS);
--- a/crates/replica/tests/virtual_time/mod.rs
+++ b/crates/replica/tests/virtual_time/mod.rs
@@ -227,7 +227,7 @@
             net.pass(S);
             held = net.replicas[2]
                 .records()
-                .map(|(k, s)| (k.clone(), s.shared(net.now)))
+                .map(|(k, s)| (k.clone(), s.to_copy(net.now)))
                 .collect();
             cut = n;
         }
