--- a/crates/replica/src/acceptor.rs
+++ b/crates/replica/src/acceptor.rs
@@ -34,7 +34,7 @@
 pub(crate) struct IntentRequest {
     pub(crate) key: Key,
     pub(crate) ballot: Ballot,
-    pub(crate) sending: u64,
+    pub(crate) dispatch: u64,
     /// The ballot is a first one.
     pub(crate) is_first: bool,
     pub(crate) record: Shared,
@@ -95,8 +95,8 @@
     // Symptom: two routers were given one message. Its owner was broadcast here before its intent came, and another
     // owner's intent is stored already: that one may have been permitted.
     if request.is_first {
-        let is_of_other = |(dispatch, sending): (&DispatchId, &Sending)| {
-            dispatch.0 != ballot.nonce && sending.state != Sent::NeverRan
+        let is_of_other = |(dispatch_id, sending): (&DispatchId, &Sending)| {
+            dispatch_id.0 != ballot.nonce && sending.state != Sent::NeverRan
         };
         let is_over = effect.closed || effect.answer.is_some();
         let is_only_owner =
@@ -112,17 +112,17 @@
     to: Sender,
     key: Key,
     ballot: Ballot,
-    sending: Option<u64>,
-    why: RejectionReason,
+    dispatch: Option<u64>,
+    reason: RejectionReason,
 ) {
     cx.counts.rejections_sent += 1;
-    let shared = cx.member.store().copy(cx.now, &key);
+    let record = cx.member.store().copy(cx.now, &key);
     let message = Message::Rejected {
         key,
         ballot,
-        sending,
-        why,
-        shared,
+        dispatch,
+        reason,
+        record,
     };
     cx.send(to.member, message);
 }
@@ -269,14 +269,14 @@
     to: Sender,
     key: Key,
     ballot: Ballot,
-    why: RejectionReason,
+    reason: RejectionReason,
 ) {
     let choice = choice(cx.member, &key);
     let message = Message::Nack {
         key,
         ballot,
         choice,
-        why,
+        reason,
     };
     cx.send(to.member, message);
 }
--- a/crates/replica/src/catch_up.rs
+++ b/crates/replica/src/catch_up.rs
@@ -208,21 +208,21 @@
         cx.send(with, Message::CompareDigests { serial, groups });
     }
 
-    /// Another member has answered with the digests of groups that differ. `you`: which process it takes this one for.
+    /// Another member has answered with the digests of groups that differ. `your_process`: which process it takes this one for.
     pub(crate) fn on_differing_groups(
         &mut self,
         cx: &mut Context<'_>,
         from: MemberIndex,
         serial: u64,
         memory: Memory,
-        you: u32,
+        your_process: u32,
         groups: &BTreeMap<Leaf, Vec<u64>>,
     ) {
         let comparison = self.comparison.as_mut();
         let Some(c) = comparison.filter(|c| c.is_answered_by(from, serial)) else {
             return;
         };
-        c.answer = Some((memory, you == cx.member.process()));
+        c.answer = Some((memory, your_process == cx.member.process()));
         c.add_differing(cx.member.store(), groups);
         cx.counts.snapshots += u64::from(c.is_snapshot);
         self.fetch(cx);
--- a/crates/replica/src/consensus.rs
+++ b/crates/replica/src/consensus.rs
@@ -305,15 +305,15 @@
         key: &Key,
         ballot: Ballot,
         choice: Option<Choice>,
-        why: RejectionReason,
+        reason: RejectionReason,
     ) {
         let Some(proposal) = self.proposals.get(key).filter(|p| p.ballot == ballot) else {
             return;
         };
-        if why == RejectionReason::TooLate {
+        if reason == RejectionReason::TooLate {
             return proposal.request_votes(cx, key, &[from.member]);
         }
-        if why != RejectionReason::HigherBallot {
+        if reason != RejectionReason::HigherBallot {
             return;
         }
         let (goal, tries, retention) = (proposal.goal, proposal.tries, proposal.retention);
--- a/crates/replica/src/consensus/proposal.rs
+++ b/crates/replica/src/consensus/proposal.rs
@@ -118,16 +118,20 @@
 
     /// Asks those of the members that have not voted in this phase.
     pub(super) fn request_votes(&self, cx: &mut Context<'_>, key: &Key, members: &[MemberIndex]) {
-        let (ballot, left) = (self.ballot, self.retention);
+        let (ballot, lifetime) = (self.ballot, self.retention);
         for to in members.iter().copied().filter(|m| !self.votes.has(*m)) {
             let key = key.clone();
             let message = match (&self.phase, &self.value) {
-                (Phase::Preparing, _) => Message::Prepare { key, ballot, left },
+                (Phase::Preparing, _) => Message::Prepare {
+                    key,
+                    ballot,
+                    lifetime,
+                },
                 (Phase::Accepting, Some(value)) => Message::Accept {
                     key,
                     ballot,
                     value: value.clone(),
-                    left,
+                    lifetime,
                 },
                 _ => return,
             };
--- a/crates/replica/src/ownership/assessment.rs
+++ b/crates/replica/src/ownership/assessment.rs
@@ -47,14 +47,14 @@
     }
     let indeterminate = |reason| Assessment::Conclude(Verdict::MayHaveRun(reason));
     let (mut is_in_flight, mut never_sent) = (false, Vec::new());
-    for (dispatch, sending) in &effect.sendings {
+    for (dispatch_id, sending) in &effect.sendings {
         match sending.state {
             Sent::NeverRan => {}
             Sent::MayHaveRun => return indeterminate(IndeterminateReason::DispatchIndeterminate),
-            Sent::Intended if was_never_permitted(member, fencing, agreed, dispatch) => {
-                never_sent.push(*dispatch);
+            Sent::Intended if was_never_permitted(member, fencing, agreed, dispatch_id) => {
+                never_sent.push(*dispatch_id);
             }
-            Sent::Intended if member.is_gone(sending.member, dispatch.0) => {
+            Sent::Intended if member.is_gone(sending.member, dispatch_id.0) => {
                 if !member.is_disabled(Guard::Gone) {
                     return indeterminate(IndeterminateReason::OwnerGone);
                 }
@@ -80,9 +80,9 @@
     member: &LocalMember,
     fencing: &Fencing,
     agreed: &[MemberIndex],
-    dispatch: &DispatchId,
+    dispatch_id: &DispatchId,
 ) -> bool {
-    let holders = fencing.holders.get(dispatch);
+    let holders = fencing.holders.get(dispatch_id);
     let may_hold = |m: &MemberIndex| {
         holders.is_some_and(|holders| holders.contains(m))
             || !agreed.contains(m) && !member.is_disabled(Guard::Missing)
--- a/crates/replica/src/ownership/claim.rs
+++ b/crates/replica/src/ownership/claim.rs
@@ -52,8 +52,8 @@
     }
 
     fn add_holder(&mut self, member: MemberIndex, stored: Option<&Effect>) {
-        for dispatch in stored.iter().flat_map(|e| e.sendings.keys()) {
-            self.holders.entry(*dispatch).or_default().insert(member);
+        for dispatch_id in stored.iter().flat_map(|e| e.sendings.keys()) {
+            self.holders.entry(*dispatch_id).or_default().insert(member);
         }
     }
 }
--- a/crates/replica/src/ownership/intents.rs
+++ b/crates/replica/src/ownership/intents.rs
@@ -13,18 +13,22 @@
 use crate::wire::Message;
 
 /// Tells the router whether a dispatch may be sent.
-fn answer_dispatch(cx: &mut Context<'_>, key: &Key, sending: u64, left: Result<bool, Lack>) {
+fn answer_dispatch(cx: &mut Context<'_>, key: &Key, dispatch: u64, left: Result<bool, Lack>) {
     let key = key.clone();
-    cx.emit(Output::Leave { key, sending, left });
+    cx.emit(Output::Leave {
+        key,
+        sending: dispatch,
+        left,
+    });
 }
 
 /// The change that adds the intent of a dispatch of this process to a record.
 fn intent_change(
     cx: &Context<'_>,
-    sending: u64,
+    dispatch: u64,
     place: u32,
 ) -> impl FnOnce(&mut StoredRecord) + use<> {
-    let (now, dispatch) = (cx.now, (cx.member.nonce(), sending));
+    let (now, dispatch_id) = (cx.now, (cx.member.nonce(), dispatch));
     let intent = Sending {
         member: cx.member.me(),
         state: Sent::Intended,
@@ -33,17 +37,17 @@
     move |stored| {
         stored.first_dispatch.get_or_insert(now);
         if let Record::Effect(effect) = &mut stored.record {
-            effect.sendings.insert(dispatch, intent);
+            effect.sendings.insert(dispatch_id, intent);
         }
     }
 }
 
 /// Advances the state of a dispatch of this process.
-pub(super) fn end_dispatch(cx: &mut Context<'_>, key: &Key, sending: u64, state: Sent) {
-    let dispatch = (cx.member.nonce(), sending);
+pub(super) fn end_dispatch(cx: &mut Context<'_>, key: &Key, dispatch: u64, state: Sent) {
+    let dispatch_id = (cx.member.nonce(), dispatch);
     cx.update_effect(key, |effect| {
-        if let Some(sending) = effect.sendings.get_mut(&dispatch) {
-            sending.state = sending.state.max(state);
+        if let Some(known) = effect.sendings.get_mut(&dispatch_id) {
+            known.state = known.state.max(state);
         }
     });
 }
@@ -55,10 +59,10 @@
     intents: impl IntoIterator<Item = u64>,
     reason: Option<Lack>,
 ) {
-    for sending in intents {
-        end_dispatch(cx, key, sending, Sent::NeverRan);
+    for dispatch in intents {
+        end_dispatch(cx, key, dispatch, Sent::NeverRan);
         if let Some(reason) = reason {
-            answer_dispatch(cx, key, sending, Err(reason));
+            answer_dispatch(cx, key, dispatch, Err(reason));
         }
     }
 }
@@ -69,7 +73,7 @@
         &mut self,
         cx: &mut Context<'_>,
         key: &Key,
-        sending: u64,
+        dispatch: u64,
         place: u32,
         alone: bool,
     ) {
@@ -77,18 +81,18 @@
         let owner = cx.member.store().effect(key).map(|e| e.owner.ballot);
         let claim = self.claims.get(key).filter(|c| c.stage == Stage::Owner);
         let Some(claim) = claim.filter(|c| owner == Some(c.ballot)) else {
-            answer_dispatch(cx, key, sending, Err(Lack::Elsewhere));
+            answer_dispatch(cx, key, dispatch, Err(Lack::Elsewhere));
             return self.on_record_changed(cx, key);
         };
         let is_first = claim.is_first();
         if !alone && !cx.member.absence_is_proof(cx.now, key) {
             // Other members may have forgotten who took it: it is too late for a first dispatch.
             cx.counts.without_majority += 1;
-            return answer_dispatch(cx, key, sending, Err(Lack::Late));
+            return answer_dispatch(cx, key, dispatch, Err(Lack::Late));
         }
         // Not broadcast: the request for votes carries the record.
         let record = cx.new_effect();
-        let intent = intent_change(cx, sending, place);
+        let intent = intent_change(cx, dispatch, place);
         cx.member.store_mut().change(key, || record, intent);
         let mut votes = Votes::default();
         cx.member.vote_for_itself(&mut votes);
@@ -100,10 +104,10 @@
             deadline: cx.replication_deadline(),
         };
         self.claims
-            .change(key, |claim| claim.intents.insert(sending, intent));
+            .change(key, |claim| claim.intents.insert(dispatch, intent));
         let others = cx.member.others();
-        self.request_votes_on_intent(cx, key, sending, &others);
-        self.count_votes_on_intent(cx, key, sending);
+        self.request_votes_on_intent(cx, key, dispatch, &others);
+        self.count_votes_on_intent(cx, key, dispatch);
     }
 
     /// A dispatch was sent that needs no majority.
@@ -111,11 +115,11 @@
         &mut self,
         cx: &mut Context<'_>,
         key: &Key,
-        sending: u64,
+        dispatch: u64,
         place: u32,
     ) {
         let record = cx.new_effect();
-        let intent = intent_change(cx, sending, place);
+        let intent = intent_change(cx, dispatch, place);
         cx.change(key, record, |stored| {
             if let Record::Effect(effect) = &mut stored.record {
                 effect.taken = true;
@@ -129,16 +133,16 @@
         &mut self,
         cx: &mut Context<'_>,
         key: &Key,
-        sending: u64,
+        dispatch: u64,
         may_have_run: bool,
     ) {
         self.claims
-            .change(key, |claim| claim.intents.remove(&sending));
+            .change(key, |claim| claim.intents.remove(&dispatch));
         let state = match may_have_run {
             true => Sent::MayHaveRun,
             false => Sent::NeverRan,
         };
-        end_dispatch(cx, key, sending, state);
+        end_dispatch(cx, key, dispatch, state);
         // A later claim of this router may have waited for it.
         self.on_record_changed(cx, key);
     }
@@ -148,25 +152,25 @@
         &self,
         cx: &mut Context<'_>,
         key: &Key,
-        sending: u64,
+        dispatch: u64,
         members: &[MemberIndex],
     ) {
         let Some(claim) = self.claims.get(key) else {
             return;
         };
-        let Some(intent) = claim.intents.get(&sending) else {
+        let Some(intent) = claim.intents.get(&dispatch) else {
             return;
         };
-        let Some(shared) = cx.member.store().copy(cx.now, key) else {
+        let Some(record) = cx.member.store().copy(cx.now, key) else {
             return;
         };
         for to in members.iter().copied().filter(|m| !intent.votes.has(*m)) {
             let message = Message::StoreIntent {
                 key: key.clone(),
                 ballot: claim.ballot,
-                sending,
-                blind: intent.is_first,
-                shared: shared.clone(),
+                dispatch,
+                is_first_ballot: intent.is_first,
+                record: record.clone(),
             };
             cx.send(to, message);
         }
@@ -179,22 +183,22 @@
         from: Sender,
         key: &Key,
         ballot: Ballot,
-        sending: u64,
+        dispatch: u64,
         views: Views,
     ) {
         let add_vote = |claim: &mut Claim| {
-            let intent = claim.intents.get_mut(&sending);
+            let intent = claim.intents.get_mut(&dispatch);
             let intent = intent.filter(|_| claim.ballot == ballot);
             intent.map(|intent| intent.votes.put(from.member, from.process, views))
         };
         if self.claims.change(key, add_vote).flatten().is_some() {
-            self.count_votes_on_intent(cx, key, sending);
+            self.count_votes_on_intent(cx, key, dispatch);
         }
     }
 
     /// Permits a dispatch once a majority has stored its intent.
-    fn count_votes_on_intent(&mut self, cx: &mut Context<'_>, key: &Key, sending: u64) {
-        let intent = self.claims.get(key).and_then(|c| c.intents.get(&sending));
+    fn count_votes_on_intent(&mut self, cx: &mut Context<'_>, key: &Key, dispatch: u64) {
+        let intent = self.claims.get(key).and_then(|c| c.intents.get(&dispatch));
         let Some(intent) = intent else {
             return;
         };
@@ -203,9 +207,9 @@
             return;
         }
         self.claims
-            .change(key, |claim| claim.intents.remove(&sending));
+            .change(key, |claim| claim.intents.remove(&dispatch));
         cx.counts.intents_replicated += 1;
-        answer_dispatch(cx, key, sending, Ok(false));
+        answer_dispatch(cx, key, dispatch, Ok(false));
     }
 
     /// Sends requests again, and gives up intents after their deadline.
@@ -213,29 +217,29 @@
         let (now, resend_at) = (cx.now, cx.resend_at());
         let (mut late, mut unanswered) = (Vec::new(), Vec::new());
         self.claims.change(key, |claim| {
-            for (sending, intent) in &mut claim.intents {
+            for (dispatch, intent) in &mut claim.intents {
                 if now >= intent.deadline {
-                    late.push((*sending, intent.alone));
+                    late.push((*dispatch, intent.alone));
                 } else if now >= intent.resend_at {
                     intent.resend_at = resend_at;
-                    unanswered.push(*sending);
+                    unanswered.push(*dispatch);
                 }
             }
         });
-        for sending in unanswered {
+        for dispatch in unanswered {
             let others = cx.member.others();
-            self.request_votes_on_intent(cx, key, sending, &others);
+            self.request_votes_on_intent(cx, key, dispatch, &others);
         }
-        for (sending, alone) in late {
+        for (dispatch, alone) in late {
             self.claims
-                .change(key, |claim| claim.intents.remove(&sending));
+                .change(key, |claim| claim.intents.remove(&dispatch));
             cx.counts.without_majority += 1;
             if alone {
                 cx.counts.dispatched_without_majority += 1;
-                answer_dispatch(cx, key, sending, Ok(true));
+                answer_dispatch(cx, key, dispatch, Ok(true));
             } else {
                 let reason = cx.member.deadline_reason();
-                abandon(cx, key, [sending], Some(reason));
+                abandon(cx, key, [dispatch], Some(reason));
             }
         }
     }
--- a/crates/replica/src/ownership/mod.rs
+++ b/crates/replica/src/ownership/mod.rs
@@ -56,8 +56,8 @@
     pub(crate) key: Key,
     pub(crate) ballot: Ballot,
     /// The dispatch whose intent was rejected; absent for a fence.
-    pub(crate) sending: Option<u64>,
-    pub(crate) why: RejectionReason,
+    pub(crate) dispatch: Option<u64>,
+    pub(crate) reason: RejectionReason,
     pub(crate) record: Option<Shared>,
 }
 
@@ -155,7 +155,7 @@
         from: Sender,
         rejection: &Rejection,
     ) {
-        let Rejection { key, sending, .. } = rejection;
+        let Rejection { key, dispatch, .. } = rejection;
         if let Some(record) = &rejection.record {
             let store = cx.member.store_mut();
             store.merge(cx.now, key, record, from.transit);
@@ -164,11 +164,11 @@
         let Some(claim) = claim.filter(|c| c.ballot == rejection.ballot) else {
             return;
         };
-        match (rejection.why, sending, &claim.stage) {
+        match (rejection.reason, dispatch, &claim.stage) {
             // Symptom: the two had not heard of each other for a while, so that nobody knew how long the request was
             // under way. Now it is known.
-            (RejectionReason::TooLate, Some(sending), _) => {
-                self.request_votes_on_intent(cx, key, *sending, &[from.member]);
+            (RejectionReason::TooLate, Some(dispatch), _) => {
+                self.request_votes_on_intent(cx, key, *dispatch, &[from.member]);
             }
             (RejectionReason::TooLate, None, _) => self.request_promises(cx, key, &[from.member]),
             (RejectionReason::HigherBallot, None, Stage::Fencing(fencing)) => {
@@ -179,8 +179,8 @@
                     claim.stage = Stage::BackingOff { retry_at, deadline };
                 });
             }
-            (RejectionReason::HigherBallot, Some(sending), Stage::Owner)
-                if claim.intents.contains_key(sending) =>
+            (RejectionReason::HigherBallot, Some(dispatch), Stage::Owner)
+                if claim.intents.contains_key(dispatch) =>
             {
                 self.lose(cx, key);
             }
@@ -325,9 +325,11 @@
             Message::IntentStored {
                 key,
                 ballot,
-                sending,
+                dispatch,
                 ..
-            } => claim(key).is_some_and(|c| c.ballot == *ballot && c.intents.contains_key(sending)),
+            } => {
+                claim(key).is_some_and(|c| c.ballot == *ballot && c.intents.contains_key(dispatch))
+            }
             Message::Fenced { key, ballot, .. } => {
                 claim(key).is_some_and(|c| c.fencing(*ballot).is_some())
             }
--- a/crates/replica/src/ownership/takeover.rs
+++ b/crates/replica/src/ownership/takeover.rs
@@ -68,13 +68,13 @@
             return;
         };
         // The promise is kept as long as it is kept here, and no longer.
-        let (origin, left) = (stored.origin, stored.expires_at.saturating_sub(cx.now));
+        let (origin, lifetime) = (stored.origin, stored.expires_at.saturating_sub(cx.now));
         for to in members.iter().copied().filter(|m| !fencing.votes.has(*m)) {
             let message = Message::Fence {
                 key: key.clone(),
                 ballot: claim.ballot,
                 origin,
-                left,
+                lifetime,
             };
             cx.send(to, message);
         }
@@ -147,8 +147,8 @@
                         return;
                     };
                     effect.taken = true;
-                    for dispatch in &never_sent {
-                        if let Some(sending) = effect.sendings.get_mut(dispatch) {
+                    for dispatch_id in &never_sent {
+                        if let Some(sending) = effect.sendings.get_mut(dispatch_id) {
                             sending.state = Sent::NeverRan;
                         }
                     }
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -107,8 +107,8 @@
         self.doubtful |= other.doubtful;
         self.closed |= other.closed;
         self.fault |= other.fault;
-        for (dispatch, theirs) in &other.sendings {
-            let ours = self.sendings.entry(*dispatch).or_insert(*theirs);
+        for (dispatch_id, theirs) in &other.sendings {
+            let ours = self.sendings.entry(*dispatch_id).or_insert(*theirs);
             ours.state = ours.state.max(theirs.state);
         }
         match (&self.answer, &other.answer) {
--- a/crates/replica/src/record_server.rs
+++ b/crates/replica/src/record_server.rs
@@ -112,7 +112,7 @@
         let message = Message::DifferingGroups {
             serial,
             memory: cx.member.memory(),
-            you: cx.member.process_of(from),
+            your_process: cx.member.process_of(from),
             groups: differing.map(|g| (g, store.leaf_digests(g))).collect(),
         };
         cx.send(from, message);
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -27,25 +27,25 @@
 }
 
 impl Replica {
-    /// `nonce`: identifies this process, above 0 and different from that of any other process. `folder`: the records
-    /// restored from disk, if there is one.
+    /// `nonce`: identifies this process, above 0 and different from that of any other process. `restored`: the
+    /// records on this member's disk, if it has one.
     pub fn new(
         now: Micros,
         group: Group,
-        terms: Terms,
+        settings: Terms,
         nonce: u64,
-        folder: Option<Vec<(Key, Shared)>>,
+        restored: Option<Vec<(Key, Shared)>>,
     ) -> Self {
         Replica {
-            member: LocalMember::new(now, group, terms, nonce, folder),
+            member: LocalMember::new(now, group, settings, nonce, restored),
             roles: Roles::new(now),
             counts: Counts::default(),
         }
     }
 
     /// Handles an event, and everything that is due.
-    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
-        let mut cx = Context::new(now, &mut self.member, &mut self.counts, out);
+    pub fn handle(&mut self, now: Micros, input: Input, outputs: &mut Vec<Output>) {
+        let mut cx = Context::new(now, &mut self.member, &mut self.counts, outputs);
         self.roles.handle(&mut cx, input);
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Whether a vote may still count here; any other message may.
-    pub fn awaits(&self, message: &Message) -> bool {
+    pub fn awaits_vote(&self, message: &Message) -> bool {
         self.roles.ownership().awaits(message)
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Whether this member may vote, and take what needs votes.
-    pub fn votes(&self) -> bool {
+    pub fn can_vote(&self) -> bool {
         self.member.can_vote()
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// A copy of the record under a key, its times relative to `now`.
-    pub fn held(&self, now: Micros, key: &str) -> Option<Shared> {
+    pub fn copy(&self, now: Micros, key: &str) -> Option<Shared> {
         self.member.store().copy(now, key)
     }
 
@@ -128,8 +128,8 @@
     }
 
     /// Hashes everything that later steps depend on, where nothing expires meanwhile.
-    pub fn imprint(&self, into: &mut impl Hasher) {
-        self.member.hash_state(into);
-        self.roles.hash_state(into);
+    pub fn hash_state(&self, state: &mut impl Hasher) {
+        self.member.hash_state(state);
+        self.roles.hash_state(state);
     }
 }
--- a/crates/replica/src/roles/messages.rs
+++ b/crates/replica/src/roles/messages.rs
@@ -23,19 +23,29 @@
             return;
         }
         match message {
-            Message::StoreIntent { .. }
-            | Message::IntentStored { .. }
-            | Message::Fence { .. }
-            | Message::Fenced { .. }
-            | Message::Rejected { .. } => self.on_ownership_message(cx, from, message),
+            Message::StoreIntent { .. } | Message::Fence { .. } => {
+                self.on_ownership_request(cx, from, message);
+            }
+            Message::IntentStored { .. } | Message::Fenced { .. } | Message::Rejected { .. } => {
+                self.on_ownership_answer(cx, from, message);
+            }
             Message::Prepare { .. }
             | Message::Promise { .. }
             | Message::Accept { .. }
             | Message::Accepted { .. }
             | Message::Nack { .. } => self.on_consensus_message(cx, from, message),
-            Message::Update { key, shared } => {
-                self.learn(cx, &key, &shared, from.transit);
+            Message::Update { key, record } => {
+                self.learn(cx, &key, &record, from.transit);
             }
+            Message::CompareDigests { .. }
+            | Message::DifferingGroups { .. }
+            | Message::FetchRecords { .. }
+            | Message::FetchedRecords { .. } => self.on_comparison_message(cx, from, message),
+        }
+    }
+
+    fn on_comparison_message(&mut self, cx: &mut Context<'_>, from: Sender, message: Message) {
+        match message {
             Message::CompareDigests { serial, groups } => {
                 self.record_server
                     .on_compare(cx, from.member, serial, &groups);
@@ -43,11 +53,17 @@
             Message::DifferingGroups {
                 serial,
                 memory,
-                you,
+                your_process,
                 groups,
             } => {
-                self.catch_up
-                    .on_differing_groups(cx, from.member, serial, memory, you, &groups);
+                self.catch_up.on_differing_groups(
+                    cx,
+                    from.member,
+                    serial,
+                    memory,
+                    your_process,
+                    &groups,
+                );
             }
             Message::FetchRecords {
                 serial,
@@ -67,72 +83,81 @@
                 records,
                 more,
             } => self.on_fetched_records(cx, from, serial, records, more),
+            _ => {}
         }
     }
 
-    fn on_ownership_message(&mut self, cx: &mut Context<'_>, from: Sender, message: Message) {
+    /// Requests of owners, to this member as an acceptor.
+    fn on_ownership_request(&mut self, cx: &mut Context<'_>, from: Sender, message: Message) {
         match message {
             Message::StoreIntent {
                 key,
                 ballot,
-                sending,
-                blind,
-                shared,
+                dispatch,
+                is_first_ballot,
+                record,
             } => {
                 let request = IntentRequest {
                     key,
                     ballot,
-                    sending,
-                    is_first: blind,
-                    record: shared,
+                    dispatch,
+                    is_first: is_first_ballot,
+                    record,
                 };
                 self.on_store_intent(cx, from, request);
             }
-            Message::IntentStored {
-                key,
-                ballot,
-                sending,
-                views,
-            } => {
-                self.ownership
-                    .on_intent_stored(cx, from, &key, ballot, sending, views);
-            }
             Message::Fence {
                 key,
                 ballot,
                 origin,
-                left,
+                lifetime,
             } => {
                 let request = FenceRequest {
                     key,
                     ballot,
                     origin,
-                    lifetime: left.saturating_sub(from.transit),
+                    lifetime: lifetime.saturating_sub(from.transit),
                 };
                 self.on_fence(cx, from, &request);
             }
+            _ => {}
+        }
+    }
+
+    /// Answers of acceptors, to this member as an owner.
+    fn on_ownership_answer(&mut self, cx: &mut Context<'_>, from: Sender, message: Message) {
+        match message {
+            Message::IntentStored {
+                key,
+                ballot,
+                dispatch,
+                views,
+            } => {
+                self.ownership
+                    .on_intent_stored(cx, from, &key, ballot, dispatch, views);
+            }
             Message::Fenced {
                 key,
                 ballot,
-                shared,
+                record,
                 views,
             } => {
                 self.ownership
-                    .on_fenced(cx, from, &key, ballot, shared.as_ref(), views);
+                    .on_fenced(cx, from, &key, ballot, record.as_ref(), views);
             }
             Message::Rejected {
                 key,
                 ballot,
-                sending,
-                why,
-                shared,
+                dispatch,
+                reason,
+                record,
             } => {
                 let rejection = Rejection {
                     key,
                     ballot,
-                    sending,
-                    why,
-                    record: shared,
+                    dispatch,
+                    reason,
+                    record,
                 };
                 self.ownership.on_rejected(cx, from, &rejection);
             }
@@ -142,16 +167,20 @@
 
     fn on_consensus_message(&mut self, cx: &mut Context<'_>, from: Sender, message: Message) {
         match message {
-            Message::Prepare { key, ballot, left } => {
-                self.on_prepare(cx, from, key, ballot, left.saturating_sub(from.transit));
+            Message::Prepare {
+                key,
+                ballot,
+                lifetime,
+            } => {
+                self.on_prepare(cx, from, key, ballot, lifetime.saturating_sub(from.transit));
             }
             Message::Accept {
                 key,
                 ballot,
                 value,
-                left,
+                lifetime,
             } => {
-                let lifetime = left.saturating_sub(from.transit);
+                let lifetime = lifetime.saturating_sub(from.transit);
                 self.on_accept(cx, from, key, ballot, value, lifetime);
             }
             Message::Promise {
@@ -165,17 +194,19 @@
             Message::Accepted {
                 key,
                 ballot,
-                of,
+                value_hash,
                 views,
             } => self
                 .consensus
-                .on_accepted(cx, from, &key, ballot, of, views),
+                .on_accepted(cx, from, &key, ballot, value_hash, views),
             Message::Nack {
                 key,
                 ballot,
                 choice,
-                why,
-            } => self.consensus.on_nack(cx, from, &key, ballot, choice, why),
+                reason,
+            } => self
+                .consensus
+                .on_nack(cx, from, &key, ballot, choice, reason),
             _ => {}
         }
     }
@@ -185,7 +216,7 @@
         let IntentRequest {
             key,
             ballot,
-            sending,
+            dispatch,
             record,
             ..
         } = request;
@@ -194,7 +225,7 @@
                 let message = Message::IntentStored {
                     key: key.clone(),
                     ballot,
-                    sending,
+                    dispatch,
                     views: cx.member.views(),
                 };
                 cx.send(from.member, message);
@@ -206,7 +237,7 @@
             }
             IntentVote::Rejected(reason) => reason,
         };
-        acceptor::reject(cx, from, key, ballot, Some(sending), reason);
+        acceptor::reject(cx, from, key, ballot, Some(dispatch), reason);
     }
 
     fn on_fence(&mut self, cx: &mut Context<'_>, from: Sender, request: &FenceRequest) {
@@ -216,12 +247,12 @@
         }
         // What waits here for a majority under a lower ballot was not sent, and the new owner is told so at once.
         self.ownership.lose(cx, key);
-        let shared = cx.member.store().copy(cx.now, key);
+        let record = cx.member.store().copy(cx.now, key);
         acceptor::promise_ownership(cx, request);
         let message = Message::Fenced {
             key: key.clone(),
             ballot,
-            shared,
+            record,
             views: cx.member.views(),
         };
         cx.send(from.member, message);
@@ -257,7 +288,7 @@
         value: Bytes,
         lifetime: Micros,
     ) {
-        let of = match acceptor::vote_on_accept(cx, &key, ballot, value, lifetime) {
+        let value_hash = match acceptor::vote_on_accept(cx, &key, ballot, value, lifetime) {
             Ok(value_hash) => value_hash,
             Err(reason) => return acceptor::nack(cx, from, key, ballot, reason),
         };
@@ -265,7 +296,7 @@
         let message = Message::Accepted {
             key: key.clone(),
             ballot,
-            of,
+            value_hash,
             views: cx.member.views(),
         };
         self.cast(cx, from.member, &key, message);
@@ -291,9 +322,9 @@
             more,
         };
         cx.counts.records_fetched += records.len() as u64;
-        for (key, shared) in records {
-            batch.bytes += size(&key, &shared.record);
-            let outcome = self.learn(cx, &key, &shared, from.transit);
+        for (key, copy) in records {
+            batch.bytes += size(&key, &copy.record);
+            let outcome = self.learn(cx, &key, &copy, from.transit);
             batch.is_incomplete |= outcome == MergeOutcome::StoreFull;
         }
         self.catch_up.on_batch(cx, from.member, batch);
@@ -337,9 +368,9 @@
         Message::StoreIntent {
             key,
             ballot,
-            sending,
+            dispatch,
             ..
-        } => acceptor::reject(cx, from, key.clone(), *ballot, Some(*sending), reason),
+        } => acceptor::reject(cx, from, key.clone(), *ballot, Some(*dispatch), reason),
         Message::Fence { key, ballot, .. } => {
             acceptor::reject(cx, from, key.clone(), *ballot, None, reason);
         }
--- a/crates/replica/src/roles/mod.rs
+++ b/crates/replica/src/roles/mod.rs
@@ -73,11 +73,11 @@
         for key in cx.member.expire(cx.now) {
             self.ownership.on_expired(&key);
         }
-        self.dispatch(cx, input);
+        self.route(cx, input);
         self.tick(cx);
     }
 
-    fn dispatch(&mut self, cx: &mut Context<'_>, input: Input) {
+    fn route(&mut self, cx: &mut Context<'_>, input: Input) {
         match input {
             Input::Noted {
                 key,
@@ -120,12 +120,12 @@
             }
             Input::Kept { serial } => self.consensus.on_persisted(cx, serial),
             Input::Tick => {}
-            invocation => self.dispatch_to_ownership(cx, invocation),
+            invocation => self.route_to_ownership(cx, invocation),
         }
     }
 
     /// Events of an invocation that this router has taken.
-    fn dispatch_to_ownership(&mut self, cx: &mut Context<'_>, input: Input) {
+    fn route_to_ownership(&mut self, cx: &mut Context<'_>, input: Input) {
         let ownership = &mut self.ownership;
         match input {
             Input::Take {
@@ -181,14 +181,14 @@
 /// Sends the records that have changed to all members that are alive.
 fn broadcast(cx: &mut Context<'_>) {
     for key in cx.member.take_due_broadcasts(cx.now) {
-        let Some(shared) = cx.member.store().copy(cx.now, &key) else {
+        let Some(record) = cx.member.store().copy(cx.now, &key) else {
             continue;
         };
         for to in cx.member.others() {
             if cx.member.is_alive(to) {
                 cx.counts.broadcasts_sent += 1;
-                let (key, shared) = (key.clone(), shared.clone());
-                cx.send(to, Message::Update { key, shared });
+                let (key, record) = (key.clone(), record.clone());
+                cx.send(to, Message::Update { key, record });
             }
         }
     }
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -62,11 +62,11 @@
         /// The owner's ballot.
         ballot: Ballot,
         /// The dispatch.
-        sending: u64,
+        dispatch: u64,
         /// The ballot is a first one, valid only where no other owner has the record.
-        blind: bool,
+        is_first_ballot: bool,
         /// The record with the intent.
-        shared: Shared,
+        record: Shared,
     },
     /// The vote on [`Message::StoreIntent`]: the intent is stored.
     IntentStored {
@@ -75,7 +75,7 @@
         /// The owner's ballot.
         ballot: Ballot,
         /// The dispatch.
-        sending: u64,
+        dispatch: u64,
         /// Which processes the voter knows.
         views: Views,
     },
@@ -88,7 +88,7 @@
         /// The origin of the record under this ballot.
         origin: Origin,
         /// How long the promise is to be kept.
-        left: i64,
+        lifetime: i64,
     },
     /// The vote on [`Message::Fence`]: the promise, and the record as it was before.
     Fenced {
@@ -97,7 +97,7 @@
         /// The new owner's ballot.
         ballot: Ballot,
         /// The voter's record.
-        shared: Option<Shared>,
+        record: Option<Shared>,
         /// Which processes the voter knows.
         views: Views,
     },
@@ -108,11 +108,11 @@
         /// The ballot that was rejected.
         ballot: Ballot,
         /// The dispatch whose intent was rejected; absent for a fence.
-        sending: Option<u64>,
+        dispatch: Option<u64>,
         /// Why there is no vote.
-        why: RejectionReason,
+        reason: RejectionReason,
         /// The acceptor's record.
-        shared: Option<Shared>,
+        record: Option<Shared>,
     },
     /// Phase 1 of Paxos: a proposer asks for a promise.
     Prepare {
@@ -121,7 +121,7 @@
         /// The proposal's ballot.
         ballot: Ballot,
         /// How long the promise is to be kept.
-        left: i64,
+        lifetime: i64,
     },
     /// The vote on [`Message::Prepare`].
     Promise {
@@ -143,7 +143,7 @@
         /// The value.
         value: Bytes,
         /// How long the choice is to be kept.
-        left: i64,
+        lifetime: i64,
     },
     /// The vote on [`Message::Accept`].
     Accepted {
@@ -152,7 +152,7 @@
         /// The proposal's ballot.
         ballot: Ballot,
         /// The hash of the value. Symptom: a late acceptance of one value was counted for the next of the same term.
-        of: u64,
+        value_hash: u64,
         /// Which processes the voter knows.
         views: Views,
     },
@@ -165,14 +165,14 @@
         /// What the acceptor promised and accepted.
         choice: Option<Choice>,
         /// Why there is no vote.
-        why: RejectionReason,
+        reason: RejectionReason,
     },
     /// A record that the sender has changed.
     Update {
         /// The record's key.
         key: Key,
         /// The record.
-        shared: Shared,
+        record: Shared,
     },
     /// Begins a comparison: the sender asks which of its groups of leaves differ.
     CompareDigests {
@@ -188,7 +188,7 @@
         /// How much the answering member remembers.
         memory: Memory,
         /// Which process the answering member takes the asking one for.
-        you: u32,
+        your_process: u32,
         /// The leaf digests of each group that differs.
         groups: BTreeMap<Leaf, Vec<u64>>,
     },
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A group in virtual time: replicas, a network whose messages can be held, and what came out.
+//! A group in virtual time: replicas, a network whose messages can be held back, and the outputs.
 
-#![allow(dead_code)] // Each test file uses its part.
+#![allow(dead_code, reason = "each test file uses its part")]
 
 use std::collections::BTreeMap;
 
--- a/crates/replica/tests/explore.rs
+++ b/crates/replica/tests/explorer.rs
@@ -1,9 +1,9 @@
-//! Every order in which things can happen to one message in a group of three, up to a depth: the very state machines
-//! that run, with messages lost, doubled and reordered, processes that crash, stop, wake and start anew with and
-//! without their memory, wrong suspicions and time-outs at any moment. Breadth first, so that what is found is short.
+//! Explores every order of events of one invocation in a group of three, up to a depth, with the real state machines:
+//! messages lost, duplicated and reordered, processes that crash, pause, resume and restart with and without their
+//! state, wrong suspicions and timeouts at any moment. Breadth first, so that counterexamples are short.
 //!
-//! The routers around them are modelled: a message is delivered to one at a time; leave to send goes into a buffer, from
-//! which it leaves at any later time; a worker runs it once for each time that it comes.
+//! The routers around them are models: the broker delivers a message to one at a time; a permitted dispatch goes into a
+//! buffer, from which it is sent at any later time; a worker runs it each time that it arrives.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet};
@@ -23,9 +23,9 @@
 const LATE: i64 = NOW + 10_000;
 const X: &str = "x";
 
-/// How often each trouble may come.
+/// How often each fault may occur.
 #[derive(Clone, Copy, Hash)]
-struct Troubles {
+struct FaultBudget {
     drops: u8,
     crashes: u8,
     /// Of these, so many come back with what they had; the others without.
@@ -40,7 +40,7 @@
     twins: u8,
 }
 
-const NONE: Troubles = Troubles {
+const NONE: FaultBudget = FaultBudget {
     drops: 0,
     crashes: 0,
     kept: 0,
@@ -123,7 +123,7 @@
     effects: u8,
     /// The first dispatch and a retry.
     intents: u8,
-    left: Troubles,
+    left: FaultBudget,
     twins: bool,
     last: u64,
 }
@@ -151,7 +151,7 @@
 }
 
 impl World {
-    fn new(left: Troubles, without: Option<Guard>) -> World {
+    fn new(left: FaultBudget, without: Option<Guard>) -> World {
         let mut w = World {
             replicas: Default::default(),
             marks: [[0; 2]; N],
@@ -180,7 +180,7 @@
                 };
                 replica.handle(NOW, input, &mut Vec::new());
             }
-            assert!(replica.votes());
+            assert!(replica.can_vote());
             w.replicas[r] = Some(Arc::new(replica));
             w.marked(r);
         }
@@ -195,7 +195,7 @@
             salt.hash(&mut h);
             self.replicas[r]
                 .as_ref()
-                .map(|it| it.imprint(&mut h))
+                .map(|it| it.hash_state(&mut h))
                 .is_some()
                 .hash(&mut h);
             h.finish()
@@ -290,7 +290,7 @@
         // A vote for what is over counts for nothing, whenever it comes.
         if let Some(it) = self.replicas[r].clone() {
             self.net
-                .retain(|s| s.to as usize != r || it.awaits(&s.message));
+                .retain(|s| s.to as usize != r || it.awaits_vote(&s.message));
         }
         Ok(())
     }
@@ -454,7 +454,7 @@
                 if self.views[r][m] != now && self.replicas[m].is_some() {
                     step(("hears that it is alive", r, m, 0), &|w| w.view(r, m, now));
                 }
-                let holds = |r: usize| self.replicas[r].as_ref().and_then(|it| it.held(NOW, X));
+                let holds = |r: usize| self.replicas[r].as_ref().and_then(|it| it.copy(NOW, X));
                 if self.left.told > 0 && holds(m).is_some() && holds(m) != holds(r) {
                     step(("hears what it holds", r, m, 0), &|w| {
                         w.left.told -= 1;
@@ -623,10 +623,10 @@
     }
 
     fn told_by(&self, m: usize) -> Option<Message> {
-        let shared = self.replicas[m].as_ref()?.held(NOW, X)?;
+        let shared = self.replicas[m].as_ref()?.copy(NOW, X)?;
         Some(Message::Update {
             key: X.into(),
-            shared,
+            record: shared,
         })
     }
 
@@ -763,8 +763,8 @@
 }
 
 /// Where these steps lead, each named as it is found.
-fn after(troubles: Troubles, without: Option<Guard>, path: &[(&str, usize, usize)]) -> World {
-    let mut at = World::new(troubles, without);
+fn after(faults: FaultBudget, without: Option<Guard>, path: &[(&str, usize, usize)]) -> World {
+    let mut at = World::new(faults, without);
     for (n, (what, a, b)) in path.iter().enumerate() {
         let mut next = None;
         at.steps(without, &mut |label, result| {
@@ -779,8 +779,8 @@
 
 const DEEPEST: usize = 60;
 
-fn sound(what: &str, troubles: Troubles, path: &[(&str, usize, usize)], most: usize) {
-    let found = explore(after(troubles, None, path), None, DEEPEST, most);
+fn sound(what: &str, faults: FaultBudget, path: &[(&str, usize, usize)], most: usize) {
+    let found = explore(after(faults, None, path), None, DEEPEST, most);
     println!(
         "{what}: {} states, {} steps deep",
         found.states, found.depth
@@ -788,13 +788,8 @@
     assert!(found.broken.is_none(), "{what}: {:#?}", found.broken);
 }
 
-fn broken(guard: Guard, troubles: Troubles, path: &[(&str, usize, usize)], most: usize) {
-    let found = explore(
-        after(troubles, Some(guard), path),
-        Some(guard),
-        DEEPEST,
-        most,
-    );
+fn broken(guard: Guard, faults: FaultBudget, path: &[(&str, usize, usize)], most: usize) {
+    let found = explore(after(faults, Some(guard), path), Some(guard), DEEPEST, most);
     println!(
         "without {guard:?}: {} states, {} steps",
         found.states, found.depth
@@ -806,34 +801,34 @@
     );
 }
 
-const CHANNEL: Troubles = Troubles {
+const CHANNEL: FaultBudget = FaultBudget {
     drops: 1,
     told: 1,
     ..NONE
 };
-const TWINS: Troubles = Troubles {
+const TWINS: FaultBudget = FaultBudget {
     twins: 1,
     told: 1,
     ..NONE
 };
-const STOPPED: Troubles = Troubles {
+const STOPPED: FaultBudget = FaultBudget {
     stops: 1,
     suspicions: 1,
     told: 1,
     ..NONE
 };
-const WOKEN: Troubles = Troubles {
+const WOKEN: FaultBudget = FaultBudget {
     stops: 1,
     told: 1,
     ..NONE
 };
-const LATE_STOP: Troubles = Troubles {
+const LATE_STOP: FaultBudget = FaultBudget {
     stops: 1,
     late: 1,
     ..NONE
 };
-const CRASH: Troubles = Troubles { crashes: 1, ..NONE };
-const AMNESIA: Troubles = Troubles {
+const CRASH: FaultBudget = FaultBudget { crashes: 1, ..NONE };
+const AMNESIA: FaultBudget = FaultBudget {
     crashes: 1,
     stops: 1,
     told: 1,
@@ -864,7 +859,7 @@
 ];
 
 /// The same with both holders of the intent started anew, one of them with what it had.
-const BOTH_ANEW: Troubles = Troubles {
+const BOTH_ANEW: FaultBudget = FaultBudget {
     crashes: 2,
     kept: 1,
     told: 1,
@@ -882,34 +877,34 @@
 ];
 
 #[test]
-fn a_channel_that_is_lost_at_any_moment() {
+fn broker_channel_lost_at_any_moment() {
     sound("channel", CHANNEL, &[], 300_000);
 }
 
 #[test]
-fn one_message_given_to_two() {
+fn message_delivered_to_two_routers_at_once() {
     sound("twins", TWINS, &[], 300_000);
 }
 
 #[test]
-fn stopped_at_any_moment_and_woken_late() {
+fn process_paused_at_any_moment_and_resumed_late() {
     sound("stopped, out of time", LATE_STOP, &[], 150_000);
     sound("stopped, taken for dead", STOPPED, &[], 150_000);
     sound("stopped while it asks", STOPPED, ASKING, 100_000);
 }
 
 #[test]
-fn crashed_at_any_moment_and_started_without_memory() {
+fn process_crashed_at_any_moment_and_restarted_without_state() {
     sound("crash", CRASH, &[], 150_000);
     sound("memory lost", AMNESIA, FORGOTTEN, 100_000);
     sound("both started anew", BOTH_ANEW, BOTH, 100_000);
 }
 
 #[test]
-fn doubled_messages() {
+fn duplicated_messages() {
     sound(
         "doubled",
-        Troubles {
+        FaultBudget {
             doubled: 1,
             stops: 1,
             ..NONE
@@ -926,7 +921,7 @@
 ];
 
 #[test]
-fn each_guard_taken_out_is_found() {
+fn each_disabled_safety_check_is_found() {
     broken(Guard::Majority, TWINS, &[], 10_000);
     broken(Guard::Blind, TWINS, &[], 10_000);
     broken(Guard::Fence, CHANNEL, &[], 20_000);
--- a/crates/replica/tests/merging.rs
+++ b/crates/replica/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Copies that differ: joining them gives the same in any order and any number of times.
+//! Merging copies that differ gives the same result in any order and any number of times.
 
 use bytes::Bytes;
 use cedarpulley_replica::record::{Choice, Owner, Sending};
@@ -72,7 +72,7 @@
     ]
 }
 
-fn joined(a: &Record, b: &Record) -> Record {
+fn merged(a: &Record, b: &Record) -> Record {
     let mut a = a.clone();
     a.merge(b);
     a
@@ -82,29 +82,30 @@
     #![proptest_config(ProptestConfig { cases: 2_000, ..ProptestConfig::default() })]
 
     #[test]
-    fn in_any_order_and_any_number_of_times([a, b, c] in record()) {
-        prop_assert_eq!(joined(&a, &b), joined(&b, &a));
-        prop_assert_eq!(joined(&joined(&a, &b), &c), joined(&a, &joined(&b, &c)));
-        let ab = joined(&a, &b);
-        prop_assert_eq!(&joined(&ab, &b), &ab);
-        prop_assert_eq!(&joined(&ab, &ab), &ab);
+    fn merge_is_commutative_associative_and_idempotent([a, b, c] in record()) {
+        prop_assert_eq!(merged(&a, &b), merged(&b, &a));
+        prop_assert_eq!(merged(&merged(&a, &b), &c), merged(&a, &merged(&b, &c)));
+        let ab = merged(&a, &b);
+        prop_assert_eq!(&merged(&ab, &b), &ab);
+        prop_assert_eq!(&merged(&ab, &ab), &ab);
     }
 
-    /// States only advance: whatever is joined, no sending goes back, no answer is lost, no owner falls.
+    /// States only advance: whatever is merged, no dispatch goes back, no answer is lost, no ballot decreases.
     #[test]
     fn states_only_advance([a, b, _] in record()) {
-        let ab = joined(&a, &b);
+        let ab = merged(&a, &b);
         if let (Record::Effect(a), Record::Effect(ab)) = (&a, &ab) {
             prop_assert!(ab.owner >= a.owner && ab.taken >= a.taken && ab.closed >= a.closed);
             prop_assert!(ab.closed || a.answer.is_none() || ab.answer.is_some());
-            prop_assert!(ab.closed || a.sendings.iter().all(|(ix, s)| ab.sendings[ix].state >= s.state));
+            prop_assert!(ab.closed || a.sendings.iter().all(|(id, s)| ab.sendings[id].state >= s.state));
         }
     }
 }
 
-/// A choice is kept for longer than effects: that later effects of the same process are over says nothing about it.
+/// A choice is retained for longer than invocations: that later invocations of its process have expired says nothing
+/// about it.
 #[test]
-fn what_is_kept_longer_is_heard_though_later_effects_are_over() {
+fn a_choice_is_learned_though_later_invocations_of_its_process_have_expired() {
     use cedarpulley_replica::Shared;
     use cedarpulley_replica::store::{MergeOutcome, Origin, Store};
     let shared = |record: Record, serial, left| {
--- a/crates/replica/tests/message_bytes.rs
+++ b/crates/replica/tests/message_bytes.rs
@@ -114,9 +114,9 @@
     Message::Rejected {
         key,
         ballot,
-        sending,
-        why,
-        shared,
+        dispatch: sending,
+        reason: why,
+        record: shared,
     }
 }
 
@@ -126,20 +126,23 @@
         key,
         ballot,
         choice,
-        why,
+        reason: why,
     }
 }
 
 fn tell(record: Record) -> Message {
     let (key, shared) = (key("k"), shared(record));
-    Message::Update { key, shared }
+    Message::Update {
+        key,
+        record: shared,
+    }
 }
 
 fn differ(memory: Memory) -> Message {
     Message::DifferingGroups {
         serial: 21,
         memory,
-        you: 70_000,
+        your_process: 70_000,
         groups: BTreeMap::from([(1, vec![2, 3]), (300, vec![])]),
     }
 }
@@ -149,26 +152,26 @@
     let intend = Message::StoreIntent {
         key: key.clone(),
         ballot,
-        sending: 200,
-        blind: true,
-        shared: shared(open_effect()),
+        dispatch: 200,
+        is_first_ballot: true,
+        record: shared(open_effect()),
     };
     let holds = Message::IntentStored {
         key: key.clone(),
         ballot,
-        sending: 200,
+        dispatch: 200,
         views: views(),
     };
     let fence = Message::Fence {
         key: key.clone(),
         ballot,
         origin: origin(),
-        left: -300,
+        lifetime: -300,
     };
     let fenced = |shared| Message::Fenced {
         key: key.clone(),
         ballot,
-        shared,
+        record: shared,
         views: views(),
     };
     vec![
@@ -213,7 +216,7 @@
     let prepare = Message::Prepare {
         key: key.clone(),
         ballot,
-        left: 9_000_000,
+        lifetime: 9_000_000,
     };
     let prepared = Message::Promise {
         key: key.clone(),
@@ -225,12 +228,12 @@
         key: key.clone(),
         ballot,
         value: Bytes::from_static(b"plan"),
-        left: 9_000_001,
+        lifetime: 9_000_001,
     };
     let accepted = Message::Accepted {
         key,
         ballot,
-        of: 0xFFEE_DDCC_BBAA_9988,
+        value_hash: 0xFFEE_DDCC_BBAA_9988,
         views: views(),
     };
     vec![
@@ -290,7 +293,7 @@
     };
     let tell_bare = Message::Update {
         key: key(""),
-        shared: bare,
+        record: bare,
     };
     vec![
         ("tell-effect", tell(open_effect())),
--- a/crates/replica/tests/kept.rs
+++ b/crates/replica/tests/persistence.rs
@@ -1,5 +1,5 @@
-//! Choices outlive all processes of a group that die at once: a vote leaves a member once its folder has what the vote
-//! stands for. Disks here write late, lose what was on its way, or hang.
+//! Choices outlive a crash of all processes of a group: a vote is sent once the member's disk has what the vote
+//! promises. Disks here write late, lose what they had not written yet, or hang.
 
 mod common;
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_vote_waits_for_the_folder_and_the_proposers_own_does_too() {
+fn a_vote_waits_for_the_disk_and_so_does_the_proposers_own() {
     let mut w = World::written(3, None);
     choose(&mut w, 0, "s", 1);
     w.deliver(|_, _, _| true);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_disk_that_hangs_keeps_votes_back_within_a_bound_and_invocations_go_on() {
+fn a_hanging_disk_defers_a_bounded_number_of_votes_and_no_invocations() {
     let mut w = World::written(3, None);
     (0..5_000).for_each(|n| choose(&mut w, 0, &format!("s{n}"), 1));
     w.deliver(|_, to, _| to == 1);
@@ -78,7 +78,7 @@
     let last = Message::Prepare {
         key: "s4999".into(),
         ballot: ballot(&w, "s4999"),
-        left: LONG,
+        lifetime: LONG,
     };
     w.feed(
         1,
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_late_acceptance_of_one_value_is_none_of_the_next() {
+fn a_late_acceptance_is_not_counted_for_the_next_value() {
     let mut w = World::new(3, None);
     w.feed(
         0,
@@ -193,8 +193,8 @@
     }
 }
 
-/// Seeded: choices and terms, disks that write in their own time, messages lost and out of order, and power cuts of all
-/// at once. How many were chosen and written.
+/// A seeded run: choices and terms, disks that write at random times, messages lost and reordered, and power cuts of all
+/// members at once. Returns how many values were chosen and written.
 fn play(without: Option<Guard>, seed: u64) -> Result<(usize, usize), String> {
     let mut dice = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut draw = move |most: usize| {
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn no_choice_is_made_twice_over_power_cuts_of_all() {
+fn no_value_is_chosen_twice_over_power_cuts_of_all_members() {
     let runs = std::env::var("RUNS")
         .ok()
         .and_then(|r| r.parse().ok())
--- a/crates/replica/tests/random.rs
+++ b/crates/replica/tests/random_faults.rs
@@ -1,10 +1,10 @@
-//! Seeded random runs of groups of three to nine: messages lost, doubled, late and out of order, clocks that go apart,
-//! processes that crash, stop, wake and start anew with what they had, with something older or with nothing. Around the
-//! very state machines that run stand a broker, routers and workers as models.
+//! Seeded random runs of groups of three to nine: messages lost, duplicated, late and reordered, clocks that diverge,
+//! processes that crash, pause, resume and restart with their state, with an older one or with none. The replicas are
+//! the real ones; broker, routers and workers around them are models.
 //!
-//! Held after each step: no second effect, no leave beside another dispatch that may have run, one answer, choices
-//! never differ, a term has one writer and its successor goes on from it, and nothing outlives its time. At the end
-//! everything heals, and all hold the same.
+//! Checked after each step: no invocation has two effects, no dispatch is permitted beside another that may have run,
+//! there is one answer, chosen values never differ, a term has one writer and its successor continues from its last
+//! value, and no record outlives its time. At the end all faults are mended, and all members have the same records.
 
 mod common;
 
@@ -760,7 +760,7 @@
                 all.map(|(k, s)| (k.clone(), s.record.clone()))
                     .collect::<BTreeMap<_, _>>()
             };
-            (1..it.n).all(|r| long(r) == long(0)) && (0..it.n).all(|r| it.w.at(r).votes())
+            (1..it.n).all(|r| long(r) == long(0)) && (0..it.n).all(|r| it.w.at(r).can_vote())
         };
         for _ in 0..2_000 {
             for at in 0..self.n * self.n {
@@ -824,7 +824,7 @@
 }
 
 #[test]
-fn groups_of_three_to_nine_keep_what_they_promise() {
+fn random_faults_in_groups_of_three_to_nine_keep_all_invariants() {
     let cases = std::env::var("CASES")
         .ok()
         .and_then(|c| c.parse().ok())
@@ -838,7 +838,7 @@
     assert!(counts.iter().all(|c| *c > 0), "{counts:?}");
 }
 
-/// Each of the others needs a longer chain than chance makes in so few runs; the explorer and `returning.rs` have them.
+/// Each of the others needs a longer chain than chance makes in so few runs; the explorer and `recovery.rs` have them.
 const FOUND: [Guard; 5] = [
     Guard::Majority,
     Guard::Promise,
@@ -848,7 +848,7 @@
 ];
 
 #[test]
-fn a_guard_taken_out_is_found_by_chance() {
+fn disabled_safety_checks_are_found_by_random_runs() {
     std::panic::set_hook(Box::new(|_| {}));
     for guard in FOUND {
         let found = (1..3).find_map(|seed| play(Some(guard), seed, 300).err());
--- a/crates/replica/tests/returning.rs
+++ b/crates/replica/tests/recovery.rs
@@ -1,4 +1,5 @@
-//! What a member that was away, full, cut off or slow must not take for proof: each case is a hole that was there once.
+//! What a member that was absent, full, partitioned or slow must not take for a proof. Each case is a fault that the
+//! code once had.
 
 mod common;
 
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn a_doubled_piece_does_not_stand_for_the_next_one() {
+fn a_duplicated_batch_does_not_stand_for_the_next_one() {
     let mut w = World::new(3, None);
     (0..3_000).for_each(|n| note(&mut w, 0, n));
     w.net.clear();
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn who_had_no_room_for_what_it_fetched_does_not_remember_enough() {
+fn a_member_whose_store_was_full_does_not_complete_recovery() {
     let mut w = World::new(3, None);
     for key in ["a", "b", "c"] {
         w.take(0, key, false);
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn a_vote_whose_record_cannot_be_taken_in_is_asked_for_again() {
+fn a_promise_whose_record_has_expired_is_requested_again() {
     let mut w = World::new(3, None);
     w.take(0, "x", false);
     w.pass(10 * MS);
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn who_hears_of_an_intent_too_late_does_not_vote_for_it() {
+fn an_intent_that_arrives_too_late_gets_no_vote() {
     let play = |without| {
         let mut w = World::new(3, without);
         w.take(0, "x", false);
@@ -169,7 +170,7 @@
 }
 
 #[test]
-fn towards_the_end_of_a_record_its_silence_proves_nothing_and_nothing_new_leaves() {
+fn near_its_expiry_a_record_neither_proves_nor_permits_anything() {
     let play = |without| {
         let mut w = World::new(3, without);
         w.take(0, "x", false);
@@ -191,7 +192,7 @@
 }
 
 #[test]
-fn who_was_asked_late_is_asked_again_at_once() {
+fn a_member_that_was_asked_too_late_is_asked_again_at_once() {
     let mut w = World::new(3, None);
     w.take(0, "x", false);
     let s = w.intend(0, "x");
@@ -211,7 +212,7 @@
 }
 
 #[test]
-fn what_is_kept_for_long_is_learned_by_whoever_forgot_a_later_invocation() {
+fn a_long_lived_record_is_learned_after_a_later_invocation_has_expired() {
     let mut w = World::new(3, None);
     note(&mut w, 0, 1);
     w.pass_where(10 * MS, |_, _, _| false);
@@ -219,8 +220,8 @@
     w.pass_where(20 * MS, |_, _, m| {
         !matches!(m, Message::CompareDigests { .. })
     });
-    assert!(w.at(2).held(w.now, "x").is_some() && w.at(2).held(w.now, "n1").is_none());
+    assert!(w.at(2).copy(w.now, "x").is_some() && w.at(2).copy(w.now, "n1").is_none());
     w.pass_where(2 * KEPT, |_, _, _| false);
     w.pass(5_000 * MS);
-    assert!((1..3).all(|r| w.at(r).held(w.now, "n1").is_some()));
+    assert!((1..3).all(|r| w.at(r).copy(w.now, "n1").is_some()));
 }
--- a/crates/replica/tests/cases.rs
+++ b/crates/replica/tests/scenarios.rs
@@ -11,7 +11,7 @@
 const GO: Verdict = Verdict::Go { first_ago: None };
 
 #[test]
-fn an_intent_leaves_once_two_of_three_hold_it_and_is_joined_by_whoever_gets_the_message_next() {
+fn a_dispatch_needs_a_majority_and_the_next_router_waits_for_it() {
     let mut w = World::new(3, None);
     assert_eq!(w.take(0, "x", false), Some(GO));
     let s = w.intend(0, "x");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_never_left_is_sent_by_the_next_one_and_what_may_have_run_is_not() {
+fn a_takeover_dispatches_what_was_never_sent_and_not_what_may_have_run() {
     let mut w = World::new(3, None);
     for (key, ends, want) in [
         ("never", Some(false), GO),
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn an_owner_that_is_gone_with_leave_to_send_may_have_sent() {
+fn a_permitted_dispatch_of_a_gone_owner_is_indeterminate() {
     let mut w = World::new(3, None);
     w.take(0, "x", false);
     w.intend(0, "x");
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn without_a_majority_nothing_leaves_but_where_the_operator_says_so() {
+fn without_a_majority_only_dispatches_allowed_alone_are_sent() {
     let mut w = World::new(3, None);
     w.take(0, "x", false);
     let s = w.intend(0, "x");
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn of_a_token_the_first_sending_counts_wherever_its_retry_comes() {
+fn the_first_dispatch_of_an_idempotency_key_is_known_at_every_router() {
     let mut w = World::new(3, None);
     let take = |w: &mut World, r| {
         w.feed(
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn two_answers_are_a_fault_and_nothing_is_sent_again() {
+fn conflicting_answers_are_reported_and_not_dispatched_again() {
     let mut w = World::new(3, None);
     w.take(0, "x", false);
     let s = w.intend(0, "x");
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn what_nobody_says_to_have_taken_is_not_sent_again() {
+fn an_invocation_nobody_is_known_to_have_taken_is_not_dispatched_again() {
     let play = |without| {
         let mut w = World::new(3, without);
         w.take(0, "x", false);
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn after_all_have_started_anew_the_absence_of_an_intent_proves_nothing() {
+fn after_a_restart_of_all_members_a_missing_intent_proves_nothing() {
     let play = |without| {
         let mut w = World::new(3, without);
         w.take(0, "x", false);
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn a_choice_stands_whoever_wishes_what() {
+fn a_chosen_value_stands_against_later_proposals() {
     let play = |without| {
         let mut w = World::new(3, without);
         let choose = |w: &mut World, r: usize, value: &'static str| {
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn who_leads_goes_on_from_the_last_step_and_an_older_term_writes_no_more() {
+fn a_leader_continues_from_the_last_value_and_an_older_term_cannot_write() {
     let mut w = World::new(3, None);
     let lead = |w: &mut World, r: usize| {
         w.feed(
@@ -387,7 +387,7 @@
 }
 
 #[test]
-fn a_returning_member_fetches_what_it_lacks_and_votes_then() {
+fn a_restarted_member_votes_once_it_has_caught_up() {
     let mut w = World::new(3, None);
     let note = |w: &mut World, r: usize, n: u64| {
         let (key, value) = (format!("n{n}").into(), Bytes::from(n.to_string()));
@@ -438,7 +438,7 @@
 }
 
 #[test]
-fn what_was_forgotten_does_not_come_back_from_one_that_was_away() {
+fn expired_records_are_not_accepted_again_from_an_absent_member() {
     let mut w = World::new(3, None);
     w.take(0, "x", false);
     w.pass(20 * MS);
@@ -455,7 +455,7 @@
 }
 
 #[test]
-fn a_full_store_refuses_what_is_new_and_says_so() {
+fn a_full_store_rejects_new_records_with_its_reason() {
     let mut w = World::new(3, None);
     let few = Terms {
         most_records: 2,
--- a/crates/replica/tests/sharing_cost.rs
+++ b/crates/replica/tests/sharing_cost.rs
@@ -6,7 +6,7 @@
 use virtual_time::{bytes_sent, catch_up, work_beside_open};
 
 #[test]
-fn a_member_that_starts_anew_catches_up_with_all_records() {
+fn a_restarted_member_catches_up_with_all_records() {
     const ALL: u64 = 10_000;
     for answer in [0, 200] {
         for (lacking, folder) in [(1, true), (100, true), (1_000, true), (ALL, false)] {
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn all_that_is_open_at_an_owner_leaves_and_so_does_what_comes_beside_it() {
+fn a_new_invocation_is_dispatched_beside_many_open_ones() {
     for open in [0, 100, 1_000] {
         work_beside_open(open);
     }
@@ -24,7 +24,7 @@
 
 /// Three more members in the fleet, in a group of their own, cost the others nothing.
 #[test]
-fn what_a_router_sends_does_not_grow_with_the_fleet() {
+fn traffic_of_a_router_does_not_grow_with_the_fleet() {
     let (one_group, two_groups) = (bytes_sent(3, 1, 10), bytes_sent(3, 2, 10));
     assert!(
         one_group > 0.0 && (two_groups / one_group - 1.0).abs() < 0.01,
--- a/crates/replica/tests/virtual_time/mod.rs
+++ b/crates/replica/tests/virtual_time/mod.rs
@@ -1,5 +1,5 @@
-//! A group of replicas in virtual time, each way of a message taking 250 us, and what sharing costs it. Each scenario
-//! checks its own outcome: `tests/sharing_cost.rs` plays them small, `benches/sharing_cost.rs` measures.
+//! A group of replicas in virtual time, with a one-way latency of 250 us, and the cost of replication. Each scenario
+//! checks its own outcome: `tests/sharing_cost.rs` runs them small, `benches/sharing_cost.rs` measures.
 #![allow(dead_code)] // Each target uses its part.
 
 use std::cmp::Reverse;
@@ -215,7 +215,7 @@
 pub fn catch_up(all: u64, lacking: u64, folder: bool, answer: usize) -> CatchUp {
     let mut net = Net::new(3, 1);
     net.pass(2 * S);
-    assert!(net.replicas.iter().all(|r| r.votes()));
+    assert!(net.replicas.iter().all(|r| r.can_vote()));
     let take = |n: u64| Input::Take {
         key: format!("i\norder-{n:08}").into(),
         need: Need::Held,
