--- a/crates/replica/tests/cases.rs
+++ b/crates/replica/tests/scenarios.rs
@@ -4,14 +4,14 @@
 
 use bytes::Bytes;
 use cedarpulley_replica::{
-    Because, Guard, Input, Lack, Memory, Message, Need, Outcome, Record, Terms, Verdict,
+    Guard, IndeterminateReason, Input, Lack, Memory, Message, Need, Outcome, Record, Terms, Verdict,
 };
 use common::{KEPT, MS, World, group, terms};
 
 const GO: Verdict = Verdict::Go { first_ago: None };
 
 #[test]
-fn an_intent_leaves_once_two_of_three_hold_it_and_is_joined_by_whoever_gets_the_message_next() {
+fn a_dispatch_needs_a_majority_and_the_next_router_waits_for_it() {
     let mut w = World::new(3, None);
     assert_eq!(w.take(0, "x", false), Some(GO));
     let s = w.intend(0, "x");
@@ -37,11 +37,15 @@
 }
 
 #[test]
-fn what_never_left_is_sent_by_the_next_one_and_what_may_have_run_is_not() {
+fn a_takeover_dispatches_what_was_never_sent_and_not_what_may_have_run() {
     let mut w = World::new(3, None);
     for (key, ends, want) in [
         ("never", Some(false), GO),
-        ("ran", Some(true), Verdict::MayHaveRun(Because::Ended)),
+        (
+            "ran",
+            Some(true),
+            Verdict::MayHaveRun(IndeterminateReason::DispatchIndeterminate),
+        ),
     ] {
         w.take(0, key, false);
         let s = w.intend(0, key);
@@ -68,7 +72,7 @@
 }
 
 #[test]
-fn an_owner_that_is_gone_with_leave_to_send_may_have_sent() {
+fn a_permitted_dispatch_of_a_gone_owner_is_indeterminate() {
     let mut w = World::new(3, None);
     w.take(0, "x", false);
     w.intend(0, "x");
@@ -81,12 +85,12 @@
     w.sees(1, 0, false);
     assert_eq!(
         w.verdict(1, "x"),
-        Some(Verdict::MayHaveRun(Because::OwnerGone))
+        Some(Verdict::MayHaveRun(IndeterminateReason::OwnerGone))
     );
 }
 
 #[test]
-fn without_a_majority_nothing_leaves_but_where_the_operator_says_so() {
+fn without_a_majority_only_dispatches_allowed_alone_are_sent() {
     let mut w = World::new(3, None);
     w.take(0, "x", false);
     let s = w.intend(0, "x");
@@ -131,7 +135,7 @@
 }
 
 #[test]
-fn of_a_token_the_first_sending_counts_wherever_its_retry_comes() {
+fn the_first_dispatch_of_an_idempotency_key_is_known_at_every_router() {
     let mut w = World::new(3, None);
     let take = |w: &mut World, r| {
         w.feed(
@@ -179,7 +183,7 @@
 }
 
 #[test]
-fn two_answers_are_a_fault_and_nothing_is_sent_again() {
+fn conflicting_answers_are_reported_and_not_dispatched_again() {
     let mut w = World::new(3, None);
     w.take(0, "x", false);
     let s = w.intend(0, "x");
@@ -192,7 +196,10 @@
     assert!(w.at(0).faults() == 1 && w.at(2).faults() == 1);
     w.take(2, "x", true);
     w.deliver(|_, _, _| true);
-    assert_eq!(w.verdict(2, "x"), Some(Verdict::MayHaveRun(Because::Fault)));
+    assert_eq!(
+        w.verdict(2, "x"),
+        Some(Verdict::MayHaveRun(IndeterminateReason::ConflictingAnswers))
+    );
 }
 
 /// Five members: a promise of an earlier process of the third must not count beside a later one of the fourth.
@@ -215,8 +222,10 @@
         w.sees(2, 1, false);
         // It compares with those that have not heard of the fence, and remembers enough.
         w.pass_where(350 * MS, |from, to, m| match m {
-            Message::Compare { .. } | Message::Want { .. } => from == 2 && to != 1,
-            Message::Differ { .. } | Message::Have { .. } => to == 2 && from != 1,
+            Message::CompareDigests { .. } | Message::FetchRecords { .. } => from == 2 && to != 1,
+            Message::DifferingGroups { .. } | Message::FetchedRecords { .. } => {
+                to == 2 && from != 1
+            }
             _ => false,
         });
         w.sees(2, 1, true);
@@ -225,9 +234,11 @@
         w.net = net;
         // The intent is held by the new process and one more; the fence is promised by that one after.
         w.deliver(|from, to, m| {
-            matches!(m, Message::Intend { .. }) && from == 0 && (to == 2 || to == 4)
+            matches!(m, Message::StoreIntent { .. }) && from == 0 && (to == 2 || to == 4)
+        });
+        w.deliver(|from, _, m| {
+            matches!(m, Message::IntentStored { .. }) && (from == 2 || from == 4)
         });
-        w.deliver(|from, _, m| matches!(m, Message::Holds { .. }) && (from == 2 || from == 4));
         let one = w.left(0, s);
         w.deliver(|from, to, m| matches!(m, Message::Fence { .. }) && (from, to) == (1, 3));
         w.deliver(|from, _, m| matches!(m, Message::Fenced { .. }) && from == 3);
@@ -244,7 +255,7 @@
 }
 
 #[test]
-fn what_nobody_says_to_have_taken_is_not_sent_again() {
+fn an_invocation_nobody_is_known_to_have_taken_is_not_dispatched_again() {
     let play = |without| {
         let mut w = World::new(3, without);
         w.take(0, "x", false);
@@ -257,12 +268,15 @@
         w.deliver(|from, to, _| from != 0 && to != 0);
         w.verdict(1, "x")
     };
-    assert_eq!(play(None), Some(Verdict::MayHaveRun(Because::Unknown)));
+    assert_eq!(
+        play(None),
+        Some(Verdict::MayHaveRun(IndeterminateReason::Unknown))
+    );
     assert_eq!(play(Some(Guard::Presence)), Some(GO));
 }
 
 #[test]
-fn after_all_have_started_anew_the_absence_of_an_intent_proves_nothing() {
+fn after_a_restart_of_all_members_a_missing_intent_proves_nothing() {
     let play = |without| {
         let mut w = World::new(3, without);
         w.take(0, "x", false);
@@ -285,12 +299,15 @@
         w.deliver(|_, _, _| true);
         w.verdict(1, "x")
     };
-    assert_eq!(play(None), Some(Verdict::MayHaveRun(Because::Doubtful)));
+    assert_eq!(
+        play(None),
+        Some(Verdict::MayHaveRun(IndeterminateReason::StateLost))
+    );
     assert_eq!(play(Some(Guard::Doubt)), Some(GO));
 }
 
 #[test]
-fn a_choice_stands_whoever_wishes_what() {
+fn a_chosen_value_stands_against_later_proposals() {
     let play = |without| {
         let mut w = World::new(3, without);
         let choose = |w: &mut World, r: usize, value: &'static str| {
@@ -320,7 +337,7 @@
 }
 
 #[test]
-fn who_leads_goes_on_from_the_last_step_and_an_older_term_writes_no_more() {
+fn a_leader_continues_from_the_last_value_and_an_older_term_cannot_write() {
     let mut w = World::new(3, None);
     let lead = |w: &mut World, r: usize| {
         w.feed(
@@ -370,7 +387,7 @@
 }
 
 #[test]
-fn a_returning_member_fetches_what_it_lacks_and_votes_then() {
+fn a_restarted_member_votes_once_it_has_caught_up() {
     let mut w = World::new(3, None);
     let note = |w: &mut World, r: usize, n: u64| {
         let (key, value) = (format!("n{n}").into(), Bytes::from(n.to_string()));
@@ -421,7 +438,7 @@
 }
 
 #[test]
-fn what_was_forgotten_does_not_come_back_from_one_that_was_away() {
+fn expired_records_are_not_accepted_again_from_an_absent_member() {
     let mut w = World::new(3, None);
     w.take(0, "x", false);
     w.pass(20 * MS);
@@ -433,12 +450,12 @@
     assert_eq!(w.at(2).records().count(), 1);
     w.pass(3_000 * MS);
     assert!(w.at(0).records().next().is_none() && w.at(1).records().next().is_none());
-    let offered = w.at(0).counts.forgotten_offers + w.at(1).counts.forgotten_offers;
+    let offered = w.at(0).counts.expired_records_received + w.at(1).counts.expired_records_received;
     assert!(offered > 0, "it was offered and refused");
 }
 
 #[test]
-fn a_full_store_refuses_what_is_new_and_says_so() {
+fn a_full_store_rejects_new_records_with_its_reason() {
     let mut w = World::new(3, None);
     let few = Terms {
         most_records: 2,
