--- a/crates/platform/src/discovery/follower.rs
+++ b/crates/platform/src/discovery/follower.rs
@@ -30,7 +30,7 @@
 }
 
 /// An entry of an event, understood.
-struct ListedWorker {
+struct ResolvedWorker {
     listed: Listed,
     address: Option<SocketAddr>,
 }
@@ -38,7 +38,7 @@
 /// What an event does to the list.
 struct ListChange {
     mode: EndpointListKind,
-    workers: Vec<ListedWorker>,
+    workers: Vec<ResolvedWorker>,
 }
 
 /// Follows the list of workers from event to event.
@@ -132,7 +132,7 @@
             retired.extend(gone.map(|(id, _)| id));
         }
         let mut workers = Vec::new();
-        for ListedWorker { listed, address } in change.workers {
+        for ResolvedWorker { listed, address } in change.workers {
             let id = &listed.address;
             let former = match address.filter(|_| listed.standing != EndpointState::Gone) {
                 None => self.addresses.remove(id),
@@ -184,7 +184,7 @@
         })
     }
 
-    fn understand(&self, entry: &WorkerEntry) -> Result<ListedWorker> {
+    fn understand(&self, entry: &WorkerEntry) -> Result<ResolvedWorker> {
         let state = self.state(entry)?;
         let address = entry.address.parse().ok();
         if address.is_none() && state != EndpointState::Gone {
@@ -209,7 +209,7 @@
             weight: entry.weight,
             started,
         };
-        Ok(ListedWorker { listed, address })
+        Ok(ResolvedWorker { listed, address })
     }
 
     fn state(&self, entry: &WorkerEntry) -> Result<EndpointState> {
