--- a/crates/trace/src/places.rs
+++ b/crates/trace/src/block_index.rs
@@ -1,4 +1,4 @@
-//! Places of blocks that wait for the end of their file, to become its index: as steps, some ten bytes each, since a
+//! BlockIndexBuilder of blocks that wait for the end of their file, to become its index: as steps, some ten bytes each, since a
 //! long file has a million of them.
 
 use std::io::{self, Write};
@@ -6,17 +6,17 @@
 use cedarpulley::interface::Micros;
 
 use crate::Error;
-use crate::blocks::INDEX;
-use crate::wire::{Get, Put};
+use crate::blocks::INDEX_MAGIC;
+use crate::codec::{Decoder, Encoder};
 
 /// Kept in parts of this size: one long row would be copied each time it grows.
 const PART: usize = 1 << 16;
 /// Five numbers, of ten bytes each at most.
-pub const MOST_ENTRY: usize = 50;
+pub const MAX_ENTRY_BYTES: usize = 50;
 
 /// Where a block lies in its file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct BlockLocation {
     pub offset: u64,
     pub first: Micros,
     pub last: Micros,
@@ -24,73 +24,73 @@
     pub source: u32,
 }
 
-impl Place {
+impl BlockLocation {
     /// As an index has it.
-    fn put(&self, p: &mut Put) {
-        p.u(self.offset);
-        p.i(self.first);
-        p.i(self.last);
-        p.u(self.records.into());
-        p.u(self.source.into());
+    fn put(&self, p: &mut Encoder) {
+        p.unsigned(self.offset);
+        p.signed(self.first);
+        p.signed(self.last);
+        p.unsigned(self.records.into());
+        p.unsigned(self.source.into());
     }
 }
 
 #[derive(Debug, Default)]
-pub struct Places {
-    parts: Vec<Put>,
+pub struct BlockIndexBuilder {
+    parts: Vec<Encoder>,
     count: u64,
     /// Of the index, without its count.
     bytes: u64,
-    last: Place,
+    last: BlockLocation,
 }
 
-impl Places {
+impl BlockIndexBuilder {
     /// Offsets only grow; times may go back.
-    pub fn push(&mut self, place: Place) {
-        let mut entry = Put::default();
+    pub fn push(&mut self, place: BlockLocation) {
+        let mut entry = Encoder::default();
         place.put(&mut entry);
         self.bytes += entry.bytes.len() as u64;
         self.count += 1;
         if self
             .parts
             .last()
-            .is_none_or(|p| p.bytes.len() + MOST_ENTRY > PART)
+            .is_none_or(|p| p.bytes.len() + MAX_ENTRY_BYTES > PART)
         {
-            self.parts.push(Put {
+            self.parts.push(Encoder {
                 bytes: Vec::with_capacity(PART),
             });
         }
         let before = std::mem::replace(&mut self.last, place);
         if let Some(p) = self.parts.last_mut() {
-            p.u(place.offset - before.offset);
-            p.i(place.first.wrapping_sub(before.first));
-            p.i(place.last.wrapping_sub(place.first));
-            p.u(place.records.into());
-            p.u(place.source.into());
+            p.unsigned(place.offset - before.offset);
+            p.signed(place.first.wrapping_sub(before.first));
+            p.signed(place.last.wrapping_sub(place.first));
+            p.unsigned(place.records.into());
+            p.unsigned(place.source.into());
         }
     }
 
     /// The whole index.
     pub fn write(self, out: &mut impl Write) -> io::Result<()> {
-        let mut count = Put::default();
-        count.u(self.count);
+        let mut count = Encoder::default();
+        count.unsigned(self.count);
         let size = u32::try_from(count.bytes.len() as u64 + self.bytes);
         let size = size.map_err(|_| Error::TooManyBlocks)?;
-        let mut bytes = INDEX.to_vec();
+        let mut bytes = INDEX_MAGIC.to_vec();
         bytes.extend(size.to_le_bytes());
         bytes.append(&mut count.bytes);
-        let (mut sum, mut before) = (0, Place::default());
+        let (mut sum, mut before) = (0, BlockLocation::default());
         for part in self.parts {
-            let mut g = Get::new(&part.bytes);
-            let mut whole = Put {
+            let mut g = Decoder::new(&part.bytes);
+            let mut whole = Encoder {
                 bytes: std::mem::take(&mut bytes),
             };
             while !g.is_empty() {
-                let step = || -> Result<Place, crate::wire::Bad> {
-                    let offset = before.offset + g.u()?;
-                    let first = before.first.wrapping_add(g.i()?);
-                    let last = first.wrapping_add(g.i()?);
-                    Ok(Place {
+                let step = || -> Result<BlockLocation, crate::codec::DecodeError> {
+                    let offset = before.offset + g.unsigned()?;
+                    let first = before.first.wrapping_add(g.signed()?);
+                    let last = first.wrapping_add(g.signed()?);
+                    Ok(BlockLocation {
                         offset,
                         first,
                         last,
--- a/crates/trace/src/blocks.rs
+++ b/crates/trace/src/blocks.rs
@@ -6,60 +6,60 @@
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::{Action, Event, Micros};
 
-use crate::records::{self, Happened, Record, Space};
-use crate::wire::{Bad, Get, Put};
+use crate::codec::{DecodeError, Decoder, Encoder};
+use crate::records::{self, Record, RecordedEvent, Space};
 
-pub const MAGIC: [u8; 8] = *b"CPTRACE\0";
+pub const FILE_MAGIC: [u8; 8] = *b"CPTRACE\0";
 /// 1: one source a file. 2: any number of them, each block of one.
 pub const FORMAT: u16 = 3;
-pub const BLOCK: [u8; 4] = *b"CPBL";
-pub const INDEX: [u8; 4] = *b"CPIX";
-pub const END: [u8; 8] = *b"CPTREND\0";
+pub const BLOCK_MAGIC: [u8; 4] = *b"CPBL";
+pub const INDEX_MAGIC: [u8; 4] = *b"CPIX";
+pub const FOOTER_MAGIC: [u8; 8] = *b"CPTREND\0";
 /// A block is closed at this size: small enough that a flipped bit costs little, large enough to compress well.
-pub const CLOSE_AT: usize = 128 * 1024;
-/// A reader refuses what claims more than this: one record may exceed `CLOSE_AT`, a list of workers for example.
-pub const MOST_RAW: u32 = 64 << 20;
+pub const TARGET_UNPACKED_BYTES: usize = 128 * 1024;
+/// A reader refuses what claims more than this: one record may exceed `TARGET_UNPACKED_BYTES`, a list of workers for example.
+pub const MAX_UNPACKED_BYTES: u32 = 64 << 20;
 /// Of a block's head in the present format.
-pub const BLOCK_HEAD: usize = 40;
+pub const BLOCK_HEADER_BYTES: usize = 40;
 
 /// In this format.
-pub fn head_size(format: u16) -> usize {
-    if format == 1 { 36 } else { BLOCK_HEAD }
+pub fn block_header_bytes(format: u16) -> usize {
+    if format == 1 { 36 } else { BLOCK_HEADER_BYTES }
 }
 
 /// The fixed head of a block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
-    pub packed: u32,
-    pub raw: u32,
+pub struct BlockHeader {
+    pub packed_bytes: u32,
+    pub unpacked_bytes: u32,
     pub records: u32,
     /// Which of the file's sources it is of.
     pub source: u32,
     pub first: Micros,
     pub last: Micros,
     /// Of the fields before it and the packed bytes.
-    pub sum: u32,
+    pub checksum: u32,
 }
 
-impl Head {
-    pub fn new(raw: &Raw, source: u32, packed: &[u8]) -> Head {
-        let mut head = Head {
-            packed: packed.len() as u32,
-            raw: raw.bytes.len() as u32,
+impl BlockHeader {
+    pub fn new(raw: &Raw, source: u32, packed: &[u8]) -> BlockHeader {
+        let mut head = BlockHeader {
+            packed_bytes: packed.len() as u32,
+            unpacked_bytes: raw.bytes.len() as u32,
             records: raw.records,
             source,
             first: raw.first,
             last: raw.last,
-            sum: 0,
+            checksum: 0,
         };
-        head.sum = head.sum_over(FORMAT, packed);
+        head.checksum = head.checksum_over(FORMAT, packed);
         head
     }
 
     fn fields(&self, format: u16) -> Vec<u8> {
-        let mut out = BLOCK.to_vec();
-        out.extend(self.packed.to_le_bytes());
-        out.extend(self.raw.to_le_bytes());
+        let mut out = BLOCK_MAGIC.to_vec();
+        out.extend(self.packed_bytes.to_le_bytes());
+        out.extend(self.unpacked_bytes.to_le_bytes());
         out.extend(self.records.to_le_bytes());
         if format > 1 {
             out.extend(self.source.to_le_bytes());
@@ -69,32 +69,35 @@
         out
     }
 
-    pub fn sum_over(&self, format: u16, packed: &[u8]) -> u32 {
+    pub fn checksum_over(&self, format: u16, packed: &[u8]) -> u32 {
         crc32c::crc32c_append(crc32c::crc32c(&self.fields(format)), packed)
     }
 
     /// In the present format.
-    pub fn put(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let mut out = self.fields(FORMAT);
-        out.extend(self.sum.to_le_bytes());
+        out.extend(self.checksum.to_le_bytes());
         out
     }
 
     /// Absent if no block begins here; `b` is of the size that the format has.
-    pub fn get(format: u16, b: &[u8]) -> Option<Head> {
+    pub fn decode(format: u16, b: &[u8]) -> Option<BlockHeader> {
         let four = |at: usize| Some(u32::from_le_bytes(b.get(at..at + 4)?.try_into().ok()?));
         let eight = |at: usize| Some(i64::from_le_bytes(b.get(at..at + 8)?.try_into().ok()?));
         let times = if format == 1 { 16 } else { 20 };
-        let head = Head {
-            packed: four(4)?,
-            raw: four(8)?,
+        let head = BlockHeader {
+            packed_bytes: four(4)?,
+            unpacked_bytes: four(8)?,
             records: four(12)?,
             source: if format == 1 { 0 } else { four(16)? },
             first: eight(times)?,
             last: eight(times + 8)?,
-            sum: four(times + 16)?,
+            checksum: four(times + 16)?,
         };
-        (b[..4] == BLOCK && head.packed <= MOST_RAW && head.raw <= MOST_RAW).then_some(head)
+        (b[..4] == BLOCK_MAGIC
+            && head.packed_bytes <= MAX_UNPACKED_BYTES
+            && head.unpacked_bytes <= MAX_UNPACKED_BYTES)
+            .then_some(head)
     }
 }
 
@@ -107,10 +110,10 @@
     pub last: Micros,
 }
 
-/// Gathers records; bounded by `CLOSE_AT` and one record.
+/// Gathers records; bounded by `TARGET_UNPACKED_BYTES` and one record.
 #[derive(Debug, Default)]
 pub struct Gather {
-    put: Put,
+    put: Encoder,
     records: u32,
     first: Micros,
     last: Micros,
@@ -124,7 +127,7 @@
         }
         // Records are told in order; a clock that went back counts as standing still.
         let now = now.max(self.last);
-        self.put.u((now - self.last) as u64);
+        self.put.unsigned((now - self.last) as u64);
         self.last = now;
         self.records += 1;
     }
@@ -139,12 +142,12 @@
         {
             self.named.insert((space, ix), text.to_owned());
             self.at(now);
-            records::put(
+            records::encode_record(
                 &mut self.put,
                 &Record::Name {
-                    space,
-                    ix,
-                    text: text.to_owned(),
+                    kind: space,
+                    index: ix,
+                    name: text.to_owned(),
                 },
             );
         }
@@ -152,19 +155,24 @@
 
     pub fn decided(&mut self, now: Micros, event: &Event, actions: &[Action]) {
         self.at(now);
-        records::put_decided(&mut self.put, event, actions);
+        records::encode_decided(&mut self.put, event, actions);
     }
 
     pub fn record(&mut self, now: Micros, record: &Record) {
-        if let Record::Name { space, ix, text } = record {
+        if let Record::Name {
+            kind: space,
+            index: ix,
+            name: text,
+        } = record
+        {
             self.named.insert((*space, *ix), text.clone());
         }
         self.at(now);
-        records::put(&mut self.put, record);
+        records::encode_record(&mut self.put, record);
     }
 
     pub fn is_full(&self) -> bool {
-        self.put.bytes.len() >= CLOSE_AT
+        self.put.bytes.len() >= TARGET_UNPACKED_BYTES
     }
 
     pub fn is_empty(&self) -> bool {
@@ -196,7 +204,11 @@
 }
 
 /// All indices that a record speaks of by name.
-pub fn uses(happened: &Happened, actions: &[Action], mut each: impl FnMut(Space, u32)) {
+pub fn for_each_named_index(
+    happened: &RecordedEvent,
+    actions: &[Action],
+    mut each: impl FnMut(Space, u32),
+) {
     event_uses(&happened.event(), actions, &mut each);
 }
 
@@ -260,29 +272,30 @@
 }
 
 /// Records of a block, in order, each with its time.
-pub fn unpack(raw: &[u8], first: Micros, count: u32) -> Result<Vec<(Micros, Record)>, Bad> {
-    let mut g = Get::new(raw);
+pub fn unpack(raw: &[u8], first: Micros, count: u32) -> Result<Vec<(Micros, Record)>, DecodeError> {
+    let mut g = Decoder::new(raw);
     let mut names: HashMap<u32, u64> = HashMap::new();
     let (mut now, mut out) = (first, Vec::with_capacity(count.min(1 << 16) as usize));
     while !g.is_empty() {
-        now = i64::try_from(g.u()?)
+        now = i64::try_from(g.unsigned()?)
             .ok()
             .and_then(|step| now.checked_add(step))
-            .ok_or(Bad::Unknown)?;
-        let record = records::get(&mut g, &|func| names.get(&func).copied().unwrap_or(0))?;
+            .ok_or(DecodeError::UnknownValue)?;
+        let record =
+            records::decode_record(&mut g, &|func| names.get(&func).copied().unwrap_or(0))?;
         if let Record::Name {
-            space: Space::Function,
-            ix,
-            text,
+            kind: Space::Function,
+            index,
+            name,
         } = &record
         {
-            names.insert(*ix, fingerprint(text));
+            names.insert(*index, fingerprint(name));
         }
         out.push((now, record));
     }
     if out.len() == count as usize {
         Ok(out)
     } else {
-        Err(Bad::Short)
+        Err(DecodeError::Truncated)
     }
 }
--- a/crates/trace/src/chart.rs
+++ b/crates/trace/src/chart.rs
@@ -6,7 +6,7 @@
 use plotters::prelude::*;
 
 use crate::Error;
-use crate::course::{Bin, Course};
+use crate::timeline::{Course, TimelineBin};
 
 const SIZE: (u32, u32) = (1100, 900);
 const WORST: RGBColor = RGBColor(255, 236, 200);
@@ -19,7 +19,11 @@
 /// Seconds since the first bin, and the figure.
 type Line = Vec<(f64, f64)>;
 
-fn line(bins: &[(Micros, Bin)], width: Micros, figure: impl Fn(&Bin) -> f64) -> Line {
+fn line(
+    bins: &[(Micros, TimelineBin)],
+    width: Micros,
+    figure: impl Fn(&TimelineBin) -> f64,
+) -> Line {
     let first = bins.first().map_or(0, |b| b.0);
     // In the middle of its bin.
     bins.iter()
@@ -104,7 +108,7 @@
     let own = |at: Micros| at.saturating_sub(first) as f64 / 1e6;
     let worst = worst.map(|(from, until)| (own(from).max(0.0), own(until)));
     let rate = |n: u64| n as f64 * 1e6 / width as f64;
-    let of = |figure: &dyn Fn(&Bin) -> f64| line(&bins, width, figure);
+    let of = |figure: &dyn Fn(&TimelineBin) -> f64| line(&bins, width, figure);
     // Where nothing succeeded there is no time.
     let timed: Vec<_> = bins
         .iter()
--- a/crates/trace/src/compare.rs
+++ b/crates/trace/src/compare.rs
@@ -19,7 +19,7 @@
 /// What was done with an invocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Did {
+pub enum Decision {
     Held,
     Sent,
     Throttled,
@@ -31,7 +31,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
     /// One did this with an invocation, the other that.
-    Instead(Did, Did),
+    Instead(Decision, Decision),
     /// Both sent it, to different workers.
     SentElsewhere,
     /// The same, with other time-outs or other advice.
@@ -45,7 +45,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Count {
+pub struct DifferenceCount {
     /// Lives in which it was, or was among, the first difference.
     pub first: u64,
     pub later: u64,
@@ -59,19 +59,19 @@
     /// Up to and with the first difference of each life.
     pub decisions_exact: u64,
     pub differing: u64,
-    pub by_kind: Vec<(Kind, Count)>,
+    pub by_kind: Vec<(Kind, DifferenceCount)>,
 }
 
 #[derive(Debug, Default)]
 pub struct Compare {
     out: Compared,
-    counts: BTreeMap<Kind, Count>,
+    counts: BTreeMap<Kind, DifferenceCount>,
     /// The present life has differed.
     differs: bool,
 }
 
 /// By invocation: what came of it, where to if sent, and the figures beside it.
-type Done = BTreeMap<InvocationIndex, (Did, Option<WorkerIndex>, Option<i64>)>;
+type Done = BTreeMap<InvocationIndex, (Decision, Option<WorkerIndex>, Option<i64>)>;
 
 fn done(actions: &[Action]) -> Done {
     let mut done = Done::new();
@@ -81,21 +81,21 @@
             Action::Cancel {
                 invocation: inv,
                 dispatch,
-            } => (inv, (Did::CalledBack, None, Some(dispatch.into()))),
+            } => (inv, (Decision::CalledBack, None, Some(dispatch.into()))),
             Action::Dispatch {
                 invocation: inv,
                 worker,
                 timeout: time_out,
-            } => (inv, (Did::Sent, Some(worker), time_out)),
+            } => (inv, (Decision::Sent, Some(worker), time_out)),
             Action::Reject {
                 invocation: inv,
                 retry_after: return_after,
-            } => (inv, (Did::Throttled, None, return_after)),
-            Action::Fail { invocation: inv } => (inv, (Did::Errored, None, None)),
+            } => (inv, (Decision::Throttled, None, return_after)),
+            Action::Fail { invocation: inv } => (inv, (Decision::Errored, None, None)),
             _ => continue,
         };
         let before = done.entry(inv).or_insert(did);
-        if did.0 != Did::CalledBack {
+        if did.0 != Decision::CalledBack {
             *before = did;
         }
     }
@@ -136,7 +136,7 @@
     }
     let mut kinds = Vec::new();
     let (a, b) = (done(one), done(other));
-    let untouched = (Did::Held, None, None);
+    let untouched = (Decision::Held, None, None);
     let mut invs: Vec<InvocationIndex> = a.keys().chain(b.keys()).copied().collect();
     invs.sort_unstable();
     invs.dedup();
--- a/crates/trace/src/error.rs
+++ b/crates/trace/src/error.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use crate::blocks::FORMAT;
-use crate::wire::Bad;
+use crate::codec::DecodeError;
 
 #[derive(Debug, Error)]
 pub enum Error {
@@ -20,7 +20,7 @@
     #[error("it is of format {format}; this build reads up to {most}", most = FORMAT)]
     Later { format: u16 },
     #[error("its head is damaged: {cause}")]
-    Head { cause: Bad },
+    Head { cause: DecodeError },
     #[error("its index has no meaning")]
     Index,
     #[error("it is damaged at byte {offset}: {cause}")]
--- a/crates/trace/src/explain.rs
+++ b/crates/trace/src/explain.rs
@@ -19,7 +19,7 @@
 use cedarpulley_router::{Fate, Reason};
 use serde::Serialize;
 
-use crate::records::{Happened, Record, Space};
+use crate::records::{Record, RecordedEvent, Space};
 use crate::start::Source;
 
 /// A worker that takes so many times what is usual for the trigger type is the cause of its lateness.
@@ -62,7 +62,7 @@
 }
 
 #[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct Ranked {
+pub struct RankedCause {
     #[serde(flatten)]
     pub cause: Cause,
     /// Billed value lost.
@@ -129,7 +129,7 @@
 #[derive(Default)]
 pub struct Explain {
     sides: HashMap<u32, Side>,
-    causes: BTreeMap<Cause, Ranked>,
+    causes: BTreeMap<Cause, RankedCause>,
     /// Usual time of a dispatch that found its copy, by the trigger type's name.
     usual: HashMap<String, f64>,
 }
@@ -156,20 +156,23 @@
         let side = self.sides.entry(source).or_default();
         match record {
             Record::Name {
-                space: Space::Worker,
-                ix,
-                text,
+                kind: Space::Worker,
+                index: ix,
+                name: text,
             } => {
                 side.workers.insert(*ix, text.clone());
             }
             Record::Name {
-                space: Space::Function,
-                ix,
-                text,
+                kind: Space::Function,
+                index: ix,
+                name: text,
             } => {
                 side.functions.insert(*ix, text.clone());
             }
-            Record::Decided { happened, actions } => {
+            Record::Decided {
+                event: happened,
+                actions,
+            } => {
                 self.told(source, of, at, happened);
                 let side = self.sides.entry(source).or_default();
                 for action in actions {
@@ -246,10 +249,10 @@
         }
     }
 
-    fn told(&mut self, source: u32, of: &Source, at: Micros, happened: &Happened) {
+    fn told(&mut self, source: u32, of: &Source, at: Micros, happened: &RecordedEvent) {
         let side = self.sides.entry(source).or_default();
         match happened {
-            Happened::Other(Event::Invocation(a)) => {
+            RecordedEvent::Other(Event::Invocation(a)) => {
                 let objective =
                     of.start
                         .startup
@@ -278,10 +281,10 @@
                     self.count(of, open.trigger, of.wall(then), cause, false);
                 }
             }
-            Happened::Other(Event::ClientLeft { invocation: inv }) => {
+            RecordedEvent::Other(Event::ClientLeft { invocation: inv }) => {
                 side.open.remove(inv);
             }
-            Happened::Other(Event::DispatchEnded(e)) => {
+            RecordedEvent::Other(Event::DispatchEnded(e)) => {
                 if let Some((open, then)) = side.late.remove(&e.invocation) {
                     let cause = late(
                         &self.usual,
@@ -316,7 +319,7 @@
                     }
                 }
             }
-            Happened::Other(Event::OrderEnded {
+            RecordedEvent::Other(Event::OrderEnded {
                 worker,
                 function: func,
                 result,
@@ -357,7 +360,7 @@
                 t.billed_value * (1.0 - t.late_value_fraction)
             }
         });
-        let new = Ranked {
+        let new = RankedCause {
             cause: cause.clone(),
             cost: 0.0,
             lost: 0,
@@ -374,7 +377,7 @@
     }
 
     /// Dearest first.
-    pub fn ranked(mut self) -> Vec<Ranked> {
+    pub fn ranked(mut self) -> Vec<RankedCause> {
         let loads: Vec<Cause> = self
             .causes
             .keys()
@@ -383,8 +386,9 @@
             .collect();
         if loads.len() >= MANY_FUNCTIONS {
             let cause = Cause::Loads(format!("{} functions", loads.len()));
-            let all: Vec<Ranked> = loads.iter().filter_map(|c| self.causes.remove(c)).collect();
-            let sum = Ranked {
+            let all: Vec<RankedCause> =
+                loads.iter().filter_map(|c| self.causes.remove(c)).collect();
+            let sum = RankedCause {
                 cause: cause.clone(),
                 cost: all.iter().map(|r| r.cost).sum(),
                 lost: all.iter().map(|r| r.lost).sum(),
@@ -394,7 +398,7 @@
             };
             self.causes.insert(cause, sum);
         }
-        let mut all: Vec<Ranked> = self.causes.into_values().collect();
+        let mut all: Vec<RankedCause> = self.causes.into_values().collect();
         all.sort_by(|a, b| {
             b.cost
                 .total_cmp(&a.cost)
--- a/crates/trace/src/show.rs
+++ b/crates/trace/src/invocation_history.rs
@@ -5,7 +5,7 @@
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::{Action, Event, InvocationIndex, Micros};
 
-use crate::records::{Happened, Record, Space};
+use crate::records::{Record, RecordedEvent, Space};
 use crate::start::Source;
 
 /// Follows marks through the records of one file, in order.
@@ -38,7 +38,11 @@
 
     pub fn record(&mut self, source: &Source, at: Micros, record: &Record) {
         match record {
-            Record::Name { space, ix, text } => {
+            Record::Name {
+                kind: space,
+                index: ix,
+                name: text,
+            } => {
                 let names = if *space == Space::Worker {
                     &mut self.workers
                 } else {
@@ -83,7 +87,10 @@
                     ),
                 );
             }
-            Record::Decided { happened, actions } => self.decided(source, at, happened, actions),
+            Record::Decided {
+                event: happened,
+                actions,
+            } => self.decided(source, at, happened, actions),
             Record::Gap { records, .. } if self.inv.is_some() => {
                 self.line(source, at, format!("{records} records are missing here"));
             }
@@ -91,7 +98,13 @@
         }
     }
 
-    fn decided(&mut self, source: &Source, at: Micros, happened: &Happened, actions: &[Action]) {
+    fn decided(
+        &mut self,
+        source: &Source,
+        at: Micros,
+        happened: &RecordedEvent,
+        actions: &[Action],
+    ) {
         let Some(own) = self.inv else { return };
         let worker = |ix: &u32| {
             self.workers
@@ -101,7 +114,7 @@
         };
         let mut texts = Vec::new();
         match happened {
-            Happened::Other(Event::Invocation(a)) if a.invocation == own => {
+            RecordedEvent::Other(Event::Invocation(a)) if a.invocation == own => {
                 let function = self.functions.get(&a.function).map_or("?", String::as_str);
                 let kind = source
                     .start
@@ -113,14 +126,14 @@
                     a.client_timeout_in as f64 / 1e3
                 ));
             }
-            Happened::Other(Event::DispatchEnded(e)) if e.invocation == own => {
+            RecordedEvent::Other(Event::DispatchEnded(e)) if e.invocation == own => {
                 let (name, took) = (worker(&e.worker), e.took as f64 / 1e3);
                 texts.push(format!(
                     "dispatch {} to {name}: {:?} after {took:.1} ms",
                     e.dispatch, e.outcome
                 ));
             }
-            Happened::Other(Event::ClientLeft { invocation: inv }) if *inv == own => {
+            RecordedEvent::Other(Event::ClientLeft { invocation: inv }) if *inv == own => {
                 texts.push("its client left".into())
             }
             _ => {}
@@ -155,7 +168,7 @@
                 _ => {}
             }
         }
-        if matches!(happened, Happened::Other(Event::Invocation(a)) if a.invocation == own)
+        if matches!(happened, RecordedEvent::Other(Event::Invocation(a)) if a.invocation == own)
             && !acted
         {
             texts.push("held".into());
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,35 +1,48 @@
-//! Trace files: what a router saw and decided, recorded off the deciding path, and the tools that read them. Begin
-//! reading at [`records::Record`]; the bytes are described in `docs/design/trace-format.md`.
+//! Trace files: the events a router received and the decisions it made, recorded off the decision path, and the tools
+//! that read them. Start reading at [`records::Record`]; `docs/design/trace-format.md` describes the bytes.
 //!
-//! * [`wire`], [`records`], [`start`], [`blocks`], [`places`]: the format, free of I/O.
-//! * [`keeping`]: decides when a file ends, which go, and what happens when the disk fails.
-//! * [`writer`], [`reader`]: files. A trace never stops a router: what cannot be written is a gap.
-//! * [`replay`]: drives the module anew and finds the first decision that differs; [`compare`] counts all, by kind.
-//! * [`summary`], [`show`], [`course`] and its [`chart`]: what is in them.
-//! * [`rules`]: judges the five rules as far as decisions show them.
-//! * [`explain`]: ranks what cost most, from decisions.
-//! * [`select`] decides what belongs to a cut, [`strip`] what may stay of names; [`rewrite`] and [`merge`] make files.
+//! * [`codec`], [`records`], [`start`], [`blocks`], [`block_index`]: the file format, without I/O.
+//! * [`retention`]: when a file ends, which old files are deleted, and how long writing pauses after a disk error.
+//! * [`writer`], [`reader`]: files. A trace never blocks a router: what cannot be written becomes a gap record.
+//! * [`replay`]: feeds recorded events to this build's decision module and finds the first decision that differs;
+//!   [`compare`] counts all differences by kind.
+//! * [`summary`], [`invocation_history`], [`timeline`] and its [`chart`]: what the files contain.
+//! * [`rule_check`]: checks the five delivery rules as far as decisions show them.
+//! * [`explain`]: ranks the causes of lost and late invocations by cost.
+//! * [`selection`] decides which records belong to a cut, [`strip`] replaces names by pseudonyms; [`rewrite`] and
+//!   [`merge`] write the resulting files.
 
+pub mod block_index;
 pub mod blocks;
 pub mod chart;
+pub mod codec;
 pub mod compare;
-pub mod course;
 mod error;
 pub mod explain;
-pub mod keeping;
+pub mod invocation_history;
 pub mod merge;
-pub mod places;
 pub mod reader;
 pub mod records;
 pub mod replay;
+pub mod retention;
 pub mod rewrite;
-pub mod rules;
-pub mod select;
-pub mod show;
+pub mod rule_check;
+pub mod selection;
 pub mod start;
 pub mod strip;
 pub mod summary;
-pub mod wire;
+pub mod timeline;
 pub mod writer;
 
+#[doc(hidden)]
+pub use invocation_history as show;
+#[doc(hidden)]
+pub use retention as keeping;
+#[doc(hidden)]
+pub use rule_check as rules;
+#[doc(hidden)]
+pub use selection as select;
+#[doc(hidden)]
+pub use timeline as course;
+
 pub use error::Error;
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -11,10 +11,10 @@
 use cedarpulley::interface::{Endpoint, EndpointState, Micros};
 
 use crate::Error;
-use crate::blocks::{FORMAT, Head};
-use crate::places::Place;
+use crate::block_index::BlockLocation;
+use crate::blocks::{BlockHeader, FORMAT};
 use crate::reader::{Found, Reader};
-use crate::records::{Happened, Record};
+use crate::records::{Record, RecordedEvent};
 use crate::start::Source;
 use crate::writer::Sheet;
 
@@ -64,7 +64,10 @@
             };
             for (at, record) in records {
                 let Record::Decided {
-                    happened: Happened::List { entries, .. },
+                    event:
+                        RecordedEvent::List {
+                            endpoints: entries, ..
+                        },
                     ..
                 } = record
                 else {
@@ -115,7 +118,7 @@
         let more = ahead.get(n).copied().unwrap_or(0);
         bases.push(sources.len() as u32);
         sources.extend(reader.sources.iter().map(|s| Source {
-            ahead: s.ahead + more,
+            clock_ahead: s.clock_ahead + more,
             ..s.clone()
         }));
         reader.rewind();
@@ -125,31 +128,32 @@
     let mut damaged = 0;
     // The next of each file; of blocks that begin together, the earlier file's first.
     let mut next = BinaryHeap::new();
-    let step =
-        |n: usize, readers: &mut [Reader<R>]| -> Result<Option<(Micros, usize, Place)>, Error> {
-            while let Some(place) = readers[n].next_place()? {
-                if let Some(source) = sources.get((bases[n] + place.source) as usize) {
-                    return Ok(Some((source.wall(place.first), n, place)));
-                }
+    let step = |n: usize,
+                readers: &mut [Reader<R>]|
+     -> Result<Option<(Micros, usize, BlockLocation)>, Error> {
+        while let Some(place) = readers[n].next_place()? {
+            if let Some(source) = sources.get((bases[n] + place.source) as usize) {
+                return Ok(Some((source.wall(place.first), n, place)));
             }
-            Ok(None)
-        };
+        }
+        Ok(None)
+    };
     for n in 0..readers.len() {
         next.extend(step(n, readers)?.map(Reverse));
     }
     while let Some(Reverse((_, n, place))) = next.pop() {
         match readers[n].packed(&place)? {
-            Some((head, packed)) => {
-                let head = Head {
+            Some((head, packed_bytes)) => {
+                let head = BlockHeader {
                     source: bases[n] + place.source,
                     ..head
                 };
                 sheet.packed(
-                    &Head {
-                        sum: head.sum_over(FORMAT, &packed),
+                    &BlockHeader {
+                        checksum: head.checksum_over(FORMAT, &packed_bytes),
                         ..head
                     },
-                    &packed,
+                    &packed_bytes,
                 )?;
             }
             None => damaged += 1,
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -6,11 +6,14 @@
 use cedarpulley::interface::Micros;
 
 use crate::Error;
-use crate::blocks::{BLOCK, END, FORMAT, Head, INDEX, MAGIC, head_size, unpack};
-use crate::places::{MOST_ENTRY, Place};
+use crate::block_index::{BlockLocation, MAX_ENTRY_BYTES};
+use crate::blocks::{
+    BLOCK_MAGIC, BlockHeader, FILE_MAGIC, FOOTER_MAGIC, FORMAT, INDEX_MAGIC, block_header_bytes,
+    unpack,
+};
+use crate::codec::{DecodeError, Decoder};
 use crate::records::Record;
-use crate::start::{Source, get_sources};
-use crate::wire::{Bad, Get};
+use crate::start::{Source, decode_sources};
 
 /// Heads beyond this size are none.
 const MOST_HEAD: u32 = 16 << 20;
@@ -26,7 +29,7 @@
 #[derive(Debug)]
 pub enum Found {
     Block {
-        place: Place,
+        place: BlockLocation,
         records: Vec<(Micros, Record)>,
     },
     /// Damaged, from this offset on, and why.
@@ -65,7 +68,7 @@
     pub fn open(mut input: R) -> Result<Self, Error> {
         let mut fixed = [0; 16];
         input.read_exact(&mut fixed).map_err(|_| Error::TooShort)?;
-        if fixed[..8] != MAGIC {
+        if fixed[..8] != FILE_MAGIC {
             return Err(Error::NoTrace);
         }
         let format = u16::from_le_bytes([fixed[8], fixed[9]]);
@@ -75,7 +78,7 @@
         let size = u32::from_le_bytes([fixed[12], fixed[13], fixed[14], fixed[15]]);
         if size > MOST_HEAD {
             return Err(Error::Head {
-                cause: Bad::Unknown,
+                cause: DecodeError::UnknownValue,
             });
         }
         let mut body = Vec::new();
@@ -87,13 +90,17 @@
             .split_at_checked(size as usize)
             .filter(|(_, sum)| sum.len() == 4)
         else {
-            return Err(Error::Head { cause: Bad::Short });
+            return Err(Error::Head {
+                cause: DecodeError::Truncated,
+            });
         };
         let whole = crc32c::crc32c_append(crc32c::crc32c(&fixed), body);
         if whole.to_le_bytes() != sum {
-            return Err(Error::Head { cause: Bad::Sum });
+            return Err(Error::Head {
+                cause: DecodeError::ChecksumMismatch,
+            });
         }
-        let sources = get_sources(format, body).map_err(|cause| Error::Head { cause })?;
+        let sources = decode_sources(format, body).map_err(|cause| Error::Head { cause })?;
         let first_block = 16 + u64::from(size) + 4;
         let mut it = Reader {
             input,
@@ -124,7 +131,7 @@
         let mut footer = [0; FOOTER];
         self.input.read_exact(&mut footer)?;
         let sum = crc32c::crc32c(&footer[..8]).to_le_bytes();
-        if footer[12..] != END || footer[8..12] != sum {
+        if footer[12..] != FOOTER_MAGIC || footer[8..12] != sum {
             return Ok(None);
         }
         let mut eight = [0; 8];
@@ -137,7 +144,7 @@
         let mut head = [0; 8];
         self.input.read_exact(&mut head)?;
         let size = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
-        if head[..4] != INDEX || size > MOST_INDEX || offset + 12 + u64::from(size) > end {
+        if head[..4] != INDEX_MAGIC || size > MOST_INDEX || offset + 12 + u64::from(size) > end {
             return Ok(None);
         }
         let (mut left, mut sum) = (size as usize, crc32c::crc32c(&head));
@@ -148,11 +155,11 @@
             self.input.read_exact(part)?;
             sum = crc32c::crc32c_append(sum, part);
             if begins.is_none() {
-                let mut g = Get::new(part);
-                if g.u().is_err() {
+                let mut g = Decoder::new(part);
+                if g.unsigned().is_err() {
                     return Ok(None);
                 }
-                begins = Some((part.len() - g.left()) as u64);
+                begins = Some((part.len() - g.remaining()) as u64);
             }
             left -= part.len();
         }
@@ -164,10 +171,10 @@
             .map(|n| (offset + 8 + n, u64::from(size) - n)))
     }
 
-    fn entry(&self, g: &mut Get) -> Result<Place, Bad> {
-        let (offset, first, last, records) = (g.u()?, g.i()?, g.i()?, g.u32()?);
+    fn entry(&self, g: &mut Decoder) -> Result<BlockLocation, DecodeError> {
+        let (offset, first, last, records) = (g.unsigned()?, g.signed()?, g.signed()?, g.u32()?);
         let source = if self.format == 1 { 0 } else { g.u32()? };
-        Ok(Place {
+        Ok(BlockLocation {
             offset,
             first,
             last,
@@ -181,30 +188,33 @@
     }
 
     /// A whole block as it is packed, by its place; absent if it is damaged.
-    pub fn packed(&mut self, place: &Place) -> Result<Option<(Head, Vec<u8>)>, Error> {
+    pub fn packed(
+        &mut self,
+        place: &BlockLocation,
+    ) -> Result<Option<(BlockHeader, Vec<u8>)>, Error> {
         self.input.seek(SeekFrom::Start(place.offset))?;
-        let mut head = vec![0; head_size(self.format)];
+        let mut head = vec![0; block_header_bytes(self.format)];
         if fill(&mut self.input, &mut head)? < head.len() {
             return Ok(None);
         }
-        let Some(head) = Head::get(self.format, &head) else {
+        let Some(head) = BlockHeader::decode(self.format, &head) else {
             return Ok(None);
         };
         let mut packed = Vec::new();
         self.input
             .by_ref()
-            .take(u64::from(head.packed))
+            .take(u64::from(head.packed_bytes))
             .read_to_end(&mut packed)?;
-        let whole =
-            packed.len() == head.packed as usize && head.sum_over(self.format, &packed) == head.sum;
+        let whole = packed.len() == head.packed_bytes as usize
+            && head.checksum_over(self.format, &packed) == head.checksum;
         Ok(whole.then_some((head, packed)))
     }
 
     /// The place of the next whole block, from where this stands on: by the index, or by reading the file. Its blocks
     /// may be read between.
-    pub fn next_place(&mut self) -> Result<Option<Place>, Error> {
+    pub fn next_place(&mut self) -> Result<Option<BlockLocation>, Error> {
         if let Some((from, size)) = self.index {
-            if self.window.len() - self.window_at < MOST_ENTRY {
+            if self.window.len() - self.window_at < MAX_ENTRY_BYTES {
                 self.window.drain(..self.window_at);
                 self.window_at = 0;
                 let ahead = self.window.len() as u64;
@@ -216,11 +226,11 @@
                     .take(more)
                     .read_to_end(&mut self.window)?;
             }
-            let mut g = Get::new(&self.window[self.window_at..]);
+            let mut g = Decoder::new(&self.window[self.window_at..]);
             if g.is_empty() {
                 return Ok(None);
             }
-            let left = g.left();
+            let left = g.remaining();
             let place = self
                 .entry(&mut g)
                 .ok()
@@ -228,7 +238,7 @@
             let Some(place) = place else {
                 return Err(Error::Index);
             };
-            let told = left - g.left();
+            let told = left - g.remaining();
             self.listed += told as u64;
             self.window_at += told;
             return Ok(Some(place));
@@ -267,10 +277,10 @@
         }
         let offset = self.at;
         self.input.seek(SeekFrom::Start(offset))?;
-        let size = head_size(self.format);
+        let size = block_header_bytes(self.format);
         let mut head = vec![0; size];
         let got = fill(&mut self.input, &mut head)?;
-        if got >= 4 && head[..4] == INDEX && self.index.is_some() {
+        if got >= 4 && head[..4] == INDEX_MAGIC && self.index.is_some() {
             self.ended = Some(Ended::Well);
             return Ok(None);
         }
@@ -278,18 +288,18 @@
             self.ended = Some(Ended::Cut { offset });
             return Ok(None);
         }
-        let Some(place) = Head::get(self.format, &head) else {
+        let Some(place) = BlockHeader::decode(self.format, &head) else {
             return self.damaged(offset, "no block begins here");
         };
         let mut packed = vec![0; 0];
-        let wanted = u64::from(place.packed);
+        let wanted = u64::from(place.packed_bytes);
         self.input.by_ref().take(wanted).read_to_end(&mut packed)?;
         if packed.len() as u64 != wanted {
             // Cut, unless a damaged length only makes it seem so and more blocks follow.
             return self.damaged(offset, "it is cut, or its length is damaged");
         }
-        if place.sum_over(self.format, &packed) != place.sum {
-            return self.damaged(offset, &Bad::Sum.to_string());
+        if place.checksum_over(self.format, &packed) != place.checksum {
+            return self.damaged(offset, &DecodeError::ChecksumMismatch.to_string());
         }
         self.at = offset + size as u64 + wanted;
         if place.source as usize >= self.sources.len() {
@@ -299,17 +309,17 @@
             }));
         }
 
-        match zstd::bulk::decompress(&packed, place.raw as usize) {
+        match zstd::bulk::decompress(&packed, place.unpacked_bytes as usize) {
             Ok(raw) => match unpack(&raw, place.first, place.records) {
                 Ok(records) => {
-                    let Head {
+                    let BlockHeader {
                         first,
                         last,
                         records: count,
                         source,
                         ..
                     } = place;
-                    let place = Place {
+                    let place = BlockLocation {
                         offset,
                         first,
                         last,
@@ -339,7 +349,7 @@
             let got = fill(&mut self.input, &mut window)?;
             let found = window[..got]
                 .windows(4)
-                .position(|w| w == BLOCK || w == INDEX);
+                .position(|w| w == BLOCK_MAGIC || w == INDEX_MAGIC);
             if let Some(n) = found {
                 self.at = at + n as u64;
                 if self.begins(self.at)? {
@@ -362,14 +372,14 @@
     /// A whole block, or the index, and not bytes that look alike.
     fn begins(&mut self, at: u64) -> Result<bool, Error> {
         self.input.seek(SeekFrom::Start(at))?;
-        let size = head_size(self.format);
+        let size = block_header_bytes(self.format);
         let mut head = vec![0; size];
         let got = fill(&mut self.input, &mut head)?;
-        if got >= 4 && head[..4] == INDEX {
+        if got >= 4 && head[..4] == INDEX_MAGIC {
             return Ok(self.index.is_some());
         }
         let Some(place) = (got == size)
-            .then(|| Head::get(self.format, &head))
+            .then(|| BlockHeader::decode(self.format, &head))
             .flatten()
         else {
             return Ok(false);
@@ -377,10 +387,10 @@
         let mut packed = Vec::new();
         self.input
             .by_ref()
-            .take(u64::from(place.packed))
+            .take(u64::from(place.packed_bytes))
             .read_to_end(&mut packed)?;
-        Ok(packed.len() == place.packed as usize
-            && place.sum_over(self.format, &packed) == place.sum)
+        Ok(packed.len() == place.packed_bytes as usize
+            && place.checksum_over(self.format, &packed) == place.checksum)
     }
 
     /// Only the blocks that touch their source's span, in its own time; by the index if there is one.
@@ -390,7 +400,7 @@
         mut each: impl FnMut(Found),
     ) -> Result<u64, Error> {
         let mut read = 0;
-        let touching = |p: &Place| p.last >= span(p.source).0 && p.first < span(p.source).1;
+        let touching = |p: &BlockLocation| p.last >= span(p.source).0 && p.first < span(p.source).1;
         self.rewind();
         if self.index.is_some() {
             while let Some(place) = self.next_place()? {
--- a/crates/trace/src/records.rs
+++ b/crates/trace/src/records.rs
@@ -5,7 +5,7 @@
 use cedarpulley_router::entry::Short;
 use cedarpulley_router::{Fate, FrontIndex, Reason};
 
-use crate::wire::{Bad, Get, Put};
+use crate::codec::{DecodeError, Decoder, Encoder};
 
 /// What kind of index a name is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -16,45 +16,45 @@
 
 /// An event as the module was told, owned.
 #[derive(Clone, Debug)]
-pub enum Happened {
+pub enum RecordedEvent {
     List {
-        mode: EndpointListKind,
-        entries: Vec<Endpoint>,
+        kind: EndpointListKind,
+        endpoints: Vec<Endpoint>,
     },
     Other(Event<'static>),
 }
 
-impl Happened {
-    pub fn of(event: &Event) -> Happened {
+impl RecordedEvent {
+    pub fn of(event: &Event) -> RecordedEvent {
         match *event {
             Event::EndpointList {
                 kind: mode,
                 endpoints: entries,
-            } => Happened::List {
-                mode,
-                entries: entries.to_vec(),
+            } => RecordedEvent::List {
+                kind: mode,
+                endpoints: entries.to_vec(),
             },
-            Event::Invocation(a) => Happened::Other(Event::Invocation(a)),
+            Event::Invocation(a) => RecordedEvent::Other(Event::Invocation(a)),
             Event::ClientLeft { invocation: inv } => {
-                Happened::Other(Event::ClientLeft { invocation: inv })
+                RecordedEvent::Other(Event::ClientLeft { invocation: inv })
             }
             Event::AnswerStarted {
                 invocation: inv,
                 dispatch,
                 worker,
-            } => Happened::Other(Event::AnswerStarted {
+            } => RecordedEvent::Other(Event::AnswerStarted {
                 invocation: inv,
                 dispatch,
                 worker,
             }),
-            Event::DispatchEnded(e) => Happened::Other(Event::DispatchEnded(e)),
+            Event::DispatchEnded(e) => RecordedEvent::Other(Event::DispatchEnded(e)),
             Event::OrderEnded {
                 worker,
                 function: func,
                 result,
                 took,
                 copies,
-            } => Happened::Other(Event::OrderEnded {
+            } => RecordedEvent::Other(Event::OrderEnded {
                 worker,
                 function: func,
                 result,
@@ -66,17 +66,17 @@
                 outcome,
                 took,
                 report,
-            } => Happened::Other(Event::ProbeEnded {
+            } => RecordedEvent::Other(Event::ProbeEnded {
                 worker,
                 outcome,
                 took,
                 report,
             }),
-            Event::Timer { token } => Happened::Other(Event::Timer { token }),
+            Event::Timer { token } => RecordedEvent::Other(Event::Timer { token }),
             Event::CopyWanted {
                 worker,
                 function: asked,
-            } => Happened::Other(Event::CopyWanted {
+            } => RecordedEvent::Other(Event::CopyWanted {
                 worker,
                 function: asked,
             }),
@@ -84,7 +84,7 @@
                 worker,
                 function: func,
                 copies,
-            } => Happened::Other(Event::CopiesReported {
+            } => RecordedEvent::Other(Event::CopiesReported {
                 worker,
                 function: func,
                 copies,
@@ -94,11 +94,14 @@
 
     pub fn event(&self) -> Event<'_> {
         match self {
-            Happened::List { mode, entries } => Event::EndpointList {
+            RecordedEvent::List {
+                kind: mode,
+                endpoints: entries,
+            } => Event::EndpointList {
                 kind: *mode,
                 endpoints: entries,
             },
-            Happened::Other(event) => *event,
+            RecordedEvent::Other(event) => *event,
         }
     }
 }
@@ -106,10 +109,14 @@
 #[derive(Clone, Debug)]
 pub enum Record {
     /// Comes in each block before the first record that uses the index.
-    Name { space: Space, ix: u32, text: String },
+    Name {
+        kind: Space,
+        index: u32,
+        name: String,
+    },
     /// The module was told this and asked for that.
     Decided {
-        happened: Happened,
+        event: RecordedEvent,
         actions: Vec<Action>,
     },
     /// The front's part of an invocation that the next decided event tells of; `mark`: a number for the mark that
@@ -169,7 +176,7 @@
 table!(STANDINGS, standings, EndpointState: InService, Draining, Gone);
 
 /// The tag of a value is its place in its table: tables only grow at their end.
-fn put_of<T: PartialEq>(p: &mut Put, table: &[T], value: &T) {
+fn put_of<T: PartialEq>(p: &mut Encoder, table: &[T], value: &T) {
     p.byte(
         table
             .iter()
@@ -178,14 +185,14 @@
     );
 }
 
-fn get_of<T: Copy>(g: &mut Get, table: &[T]) -> Result<T, Bad> {
+fn get_of<T: Copy>(g: &mut Decoder, table: &[T]) -> Result<T, DecodeError> {
     table
         .get(usize::from(g.byte()?))
         .copied()
-        .ok_or(Bad::Unknown)
+        .ok_or(DecodeError::UnknownValue)
 }
 
-fn put_report(p: &mut Put, r: &LoadReport) {
+fn put_report(p: &mut Encoder, r: &LoadReport) {
     let all = [
         r.in_flight,
         r.queued,
@@ -199,14 +206,14 @@
             .map(|(n, v)| u8::from(v.is_some()) << n)
             .sum(),
     );
-    all.into_iter().flatten().for_each(|v| p.f(v));
+    all.into_iter().flatten().for_each(|v| p.float(v));
 }
 
-fn get_report(g: &mut Get) -> Result<LoadReport, Bad> {
+fn get_report(g: &mut Decoder) -> Result<LoadReport, DecodeError> {
     let bits = g.byte()?;
     let mut next = |n: u8| {
         if bits >> n & 1 == 1 {
-            g.f().map(Some)
+            g.float().map(Some)
         } else {
             Ok(None)
         }
@@ -220,7 +227,7 @@
     })
 }
 
-fn put_event(p: &mut Put, event: &Event) {
+fn put_event(p: &mut Encoder, event: &Event) {
     match event {
         Event::EndpointList {
             kind: mode,
@@ -228,37 +235,39 @@
         } => {
             p.byte(0);
             put_of(p, MODES, mode);
-            p.u(entries.len() as u64);
+            p.unsigned(entries.len() as u64);
             for e in *entries {
-                p.u(e.worker.into());
-                p.u(e.fingerprint);
-                p.u(e.zone.into());
-                p.u(e.machine_kind.into());
-                p.u(e.cell.into());
+                p.unsigned(e.worker.into());
+                p.unsigned(e.fingerprint);
+                p.unsigned(e.zone.into());
+                p.unsigned(e.machine_kind.into());
+                p.unsigned(e.cell.into());
                 put_of(p, STANDINGS, &e.state);
-                p.f(e.weight);
-                p.maybe(e.started_at, Put::i);
+                p.float(e.weight);
+                p.optional(e.started_at, Encoder::signed);
             }
         }
         Event::Invocation(a) => {
             // As it has always been, where no worker is preferred.
             p.byte(if a.preferred_worker.is_some() { 8 } else { 1 });
-            p.u(a.invocation.into());
-            p.u(a.trigger.into());
-            p.u(a.account.into());
-            p.u(a.function.into());
-            p.maybe(a.cost_hint, Put::i);
-            p.maybe(a.load_hint, Put::i);
-            p.f(a.copy_mb);
-            p.u(a.lanes.into());
-            p.i(a.client_timeout_in);
-            p.i(a.waited);
+            p.unsigned(a.invocation.into());
+            p.unsigned(a.trigger.into());
+            p.unsigned(a.account.into());
+            p.unsigned(a.function.into());
+            p.optional(a.cost_hint, Encoder::signed);
+            p.optional(a.load_hint, Encoder::signed);
+            p.float(a.copy_mb);
+            p.unsigned(a.lanes.into());
+            p.signed(a.client_timeout_in);
+            p.signed(a.waited);
             p.byte(u8::from(a.repeat));
-            a.preferred_worker.into_iter().for_each(|w| p.u(w.into()));
+            a.preferred_worker
+                .into_iter()
+                .for_each(|w| p.unsigned(w.into()));
         }
         Event::ClientLeft { invocation: inv } => {
             p.byte(2);
-            p.u((*inv).into());
+            p.unsigned((*inv).into());
         }
         Event::AnswerStarted {
             invocation: inv,
@@ -268,18 +277,18 @@
             p.byte(3);
             [*inv, *dispatch, *worker]
                 .into_iter()
-                .for_each(|n| p.u(n.into()));
+                .for_each(|n| p.unsigned(n.into()));
         }
         Event::DispatchEnded(e) => {
             p.byte(4);
             [e.invocation, e.dispatch, e.worker]
                 .into_iter()
-                .for_each(|n| p.u(n.into()));
+                .for_each(|n| p.unsigned(n.into()));
             put_of(p, OUTCOMES, &e.outcome);
-            p.i(e.took);
+            p.signed(e.took);
             p.byte(u8::from(e.answered));
             put_of(p, NOTES, &e.copy_status);
-            p.maybe(e.function_load, |p, n| p.u(n.into()));
+            p.optional(e.function_load, |p, n| p.unsigned(n.into()));
             put_report(p, &e.report);
         }
         Event::OrderEnded {
@@ -290,11 +299,11 @@
             copies,
         } => {
             p.byte(5);
-            p.u((*worker).into());
-            p.u((*func).into());
+            p.unsigned((*worker).into());
+            p.unsigned((*func).into());
             put_of(p, RESULTS, result);
-            p.i(*took);
-            p.u((*copies).into());
+            p.signed(*took);
+            p.unsigned((*copies).into());
         }
         Event::ProbeEnded {
             worker,
@@ -303,14 +312,14 @@
             report,
         } => {
             p.byte(6);
-            p.u((*worker).into());
+            p.unsigned((*worker).into());
             put_of(p, OUTCOMES, outcome);
-            p.i(*took);
+            p.signed(*took);
             put_report(p, report);
         }
         Event::Timer { token } => {
             p.byte(7);
-            p.u(*token);
+            p.unsigned(*token);
         }
         Event::CopyWanted {
             worker,
@@ -319,7 +328,7 @@
             p.byte(9);
             [*worker, asked.function, asked.trigger, asked.lanes]
                 .into_iter()
-                .for_each(|n| p.u(n.into()));
+                .for_each(|n| p.unsigned(n.into()));
         }
         Event::CopiesReported {
             worker,
@@ -329,12 +338,12 @@
             p.byte(10);
             [*worker, *func, *copies]
                 .into_iter()
-                .for_each(|n| p.u(n.into()));
+                .for_each(|n| p.unsigned(n.into()));
         }
     }
 }
 
-fn get_arrival(g: &mut Get, fingerprint: &dyn Fn(u32) -> u64) -> Result<Arrival, Bad> {
+fn get_arrival(g: &mut Decoder, fingerprint: &dyn Fn(u32) -> u64) -> Result<Arrival, DecodeError> {
     let (inv, trigger, account, func) = (g.u32()?, g.u32()?, g.u32()?, g.u32()?);
     Ok(Arrival {
         invocation: inv,
@@ -342,41 +351,47 @@
         account,
         function: func,
         fingerprint: fingerprint(func),
-        cost_hint: g.maybe(Get::i)?,
-        load_hint: g.maybe(Get::i)?,
-        copy_mb: g.f()?,
+        cost_hint: g.optional(Decoder::signed)?,
+        load_hint: g.optional(Decoder::signed)?,
+        copy_mb: g.float()?,
         lanes: g.u32()?,
-        client_timeout_in: g.i()?,
-        waited: g.i()?,
+        client_timeout_in: g.signed()?,
+        waited: g.signed()?,
         repeat: g.flag()?,
         preferred_worker: None,
     })
 }
 
 /// `fingerprint` of an arrival's function comes from its name, as every router makes it.
-fn get_event(g: &mut Get, fingerprint: &dyn Fn(u32) -> u64) -> Result<Happened, Bad> {
+fn get_event(
+    g: &mut Decoder,
+    fingerprint: &dyn Fn(u32) -> u64,
+) -> Result<RecordedEvent, DecodeError> {
     Ok(match g.byte()? {
         0 => {
             let mode = get_of(g, MODES)?;
-            let entries = g.many(|g| {
+            let entries = g.list(|g| {
                 Ok(Endpoint {
                     worker: g.u32()?,
-                    fingerprint: g.u()?,
+                    fingerprint: g.unsigned()?,
                     zone: g.u32()?,
                     machine_kind: g.u32()?,
                     cell: g.u32()?,
                     state: get_of(g, STANDINGS)?,
-                    weight: g.f()?,
-                    started_at: g.maybe(Get::i)?,
+                    weight: g.float()?,
+                    started_at: g.optional(Decoder::signed)?,
                 })
             })?;
-            Happened::List { mode, entries }
+            RecordedEvent::List {
+                kind: mode,
+                endpoints: entries,
+            }
         }
-        1 => Happened::Other(Event::Invocation(get_arrival(g, fingerprint)?)),
+        1 => RecordedEvent::Other(Event::Invocation(get_arrival(g, fingerprint)?)),
         8 => {
             let arrival = get_arrival(g, fingerprint)?;
             let prefers = Some(g.u32()?);
-            Happened::Other(Event::Invocation(Arrival {
+            RecordedEvent::Other(Event::Invocation(Arrival {
                 preferred_worker: prefers,
                 ..arrival
             }))
@@ -389,54 +404,56 @@
                 trigger,
                 lanes,
             };
-            Happened::Other(Event::CopyWanted {
+            RecordedEvent::Other(Event::CopyWanted {
                 worker,
                 function: asked,
             })
         }
-        10 => Happened::Other(Event::CopiesReported {
+        10 => RecordedEvent::Other(Event::CopiesReported {
             worker: g.u32()?,
             function: g.u32()?,
             copies: g.u32()?,
         }),
-        2 => Happened::Other(Event::ClientLeft {
+        2 => RecordedEvent::Other(Event::ClientLeft {
             invocation: g.u32()?,
         }),
-        3 => Happened::Other(Event::AnswerStarted {
+        3 => RecordedEvent::Other(Event::AnswerStarted {
             invocation: g.u32()?,
             dispatch: g.u32()?,
             worker: g.u32()?,
         }),
-        4 => Happened::Other(Event::DispatchEnded(DispatchEnded {
+        4 => RecordedEvent::Other(Event::DispatchEnded(DispatchEnded {
             invocation: g.u32()?,
             dispatch: g.u32()?,
             worker: g.u32()?,
             outcome: get_of(g, OUTCOMES)?,
-            took: g.i()?,
+            took: g.signed()?,
             answered: g.flag()?,
             copy_status: get_of(g, NOTES)?,
-            function_load: g.maybe(Get::u32)?,
+            function_load: g.optional(Decoder::u32)?,
             report: get_report(g)?,
         })),
-        5 => Happened::Other(Event::OrderEnded {
+        5 => RecordedEvent::Other(Event::OrderEnded {
             worker: g.u32()?,
             function: g.u32()?,
             result: get_of(g, RESULTS)?,
-            took: g.i()?,
+            took: g.signed()?,
             copies: g.u32()?,
         }),
-        6 => Happened::Other(Event::ProbeEnded {
+        6 => RecordedEvent::Other(Event::ProbeEnded {
             worker: g.u32()?,
             outcome: get_of(g, OUTCOMES)?,
-            took: g.i()?,
+            took: g.signed()?,
             report: get_report(g)?,
         }),
-        7 => Happened::Other(Event::Timer { token: g.u()? }),
-        _ => return Err(Bad::Unknown),
+        7 => RecordedEvent::Other(Event::Timer {
+            token: g.unsigned()?,
+        }),
+        _ => return Err(DecodeError::UnknownValue),
     })
 }
 
-pub fn put_action(p: &mut Put, action: &Action) {
+pub fn encode_action(p: &mut Encoder, action: &Action) {
     match *action {
         Action::Dispatch {
             invocation: inv,
@@ -444,29 +461,29 @@
             timeout: time_out,
         } => {
             p.byte(0);
-            p.u(inv.into());
-            p.u(worker.into());
-            p.maybe(time_out, Put::i);
+            p.unsigned(inv.into());
+            p.unsigned(worker.into());
+            p.optional(time_out, Encoder::signed);
         }
         Action::Cancel {
             invocation: inv,
             dispatch,
         } => {
             p.byte(1);
-            p.u(inv.into());
-            p.u(dispatch.into());
+            p.unsigned(inv.into());
+            p.unsigned(dispatch.into());
         }
         Action::Reject {
             invocation: inv,
             retry_after: return_after,
         } => {
             p.byte(2);
-            p.u(inv.into());
-            p.maybe(return_after, Put::i);
+            p.unsigned(inv.into());
+            p.optional(return_after, Encoder::signed);
         }
         Action::Fail { invocation: inv } => {
             p.byte(3);
-            p.u(inv.into());
+            p.unsigned(inv.into());
         }
         Action::LoadOrder {
             worker,
@@ -476,24 +493,24 @@
             p.byte(4);
             [worker, func, copies]
                 .into_iter()
-                .for_each(|n| p.u(n.into()));
+                .for_each(|n| p.unsigned(n.into()));
         }
         Action::Unload {
             worker,
             function: func,
         } => {
             p.byte(5);
-            p.u(worker.into());
-            p.u(func.into());
+            p.unsigned(worker.into());
+            p.unsigned(func.into());
         }
         Action::Probe { worker } => {
             p.byte(6);
-            p.u(worker.into());
+            p.unsigned(worker.into());
         }
         Action::Timer { token, after } => {
             p.byte(7);
-            p.u(token);
-            p.i(after);
+            p.unsigned(token);
+            p.signed(after);
         }
         Action::RequestEndpointList { watch: follow } => {
             p.byte(8);
@@ -501,17 +518,17 @@
         }
         Action::ReleaseFunction { function: func } => {
             p.byte(9);
-            p.u(func.into());
+            p.unsigned(func.into());
         }
     }
 }
 
-fn get_action(g: &mut Get) -> Result<Action, Bad> {
+fn get_action(g: &mut Decoder) -> Result<Action, DecodeError> {
     Ok(match g.byte()? {
         0 => Action::Dispatch {
             invocation: g.u32()?,
             worker: g.u32()?,
-            timeout: g.maybe(Get::i)?,
+            timeout: g.optional(Decoder::signed)?,
         },
         1 => Action::Cancel {
             invocation: g.u32()?,
@@ -519,7 +536,7 @@
         },
         2 => Action::Reject {
             invocation: g.u32()?,
-            retry_after: g.maybe(Get::i)?,
+            retry_after: g.optional(Decoder::signed)?,
         },
         3 => Action::Fail {
             invocation: g.u32()?,
@@ -535,12 +552,12 @@
         },
         6 => Action::Probe { worker: g.u32()? },
         7 => Action::Timer {
-            token: g.u()?,
-            after: g.i()?,
+            token: g.unsigned()?,
+            after: g.signed()?,
         },
         8 => Action::RequestEndpointList { watch: g.flag()? },
         9 => Action::ReleaseFunction { function: g.u32()? },
-        _ => return Err(Bad::Unknown),
+        _ => return Err(DecodeError::UnknownValue),
     })
 }
 
@@ -553,22 +570,29 @@
 const GAP: u8 = 6;
 
 /// Without copying what the module was told.
-pub fn put_decided(p: &mut Put, event: &Event, actions: &[Action]) {
+pub fn encode_decided(p: &mut Encoder, event: &Event, actions: &[Action]) {
     p.byte(DECIDED);
     put_event(p, event);
-    p.u(actions.len() as u64);
-    actions.iter().for_each(|a| put_action(p, a));
+    p.unsigned(actions.len() as u64);
+    actions.iter().for_each(|a| encode_action(p, a));
 }
 
-pub fn put(p: &mut Put, record: &Record) {
+pub fn encode_record(p: &mut Encoder, record: &Record) {
     match record {
-        Record::Name { space, ix, text } => {
+        Record::Name {
+            kind: space,
+            index: ix,
+            name: text,
+        } => {
             p.byte(NAME);
             p.byte(u8::from(*space == Space::Worker));
-            p.u((*ix).into());
+            p.unsigned((*ix).into());
             p.text(text);
         }
-        Record::Decided { happened, actions } => put_decided(p, &happened.event(), actions),
+        Record::Decided {
+            event: happened,
+            actions,
+        } => encode_decided(p, &happened.event(), actions),
         Record::Taken {
             inv,
             front,
@@ -576,9 +600,9 @@
             redelivered,
         } => {
             p.byte(TAKEN);
-            p.u((*inv).into());
-            p.u((*front).into());
-            p.maybe(*mark, |p, m| p.bytes.extend_from_slice(&m.to_le_bytes()));
+            p.unsigned((*inv).into());
+            p.unsigned((*front).into());
+            p.optional(*mark, |p, m| p.bytes.extend_from_slice(&m.to_le_bytes()));
             p.byte(u8::from(*redelivered));
         }
         Record::Answered {
@@ -591,13 +615,13 @@
             took,
         } => {
             p.byte(ANSWERED);
-            p.maybe(*inv, |p, n| p.u(n.into()));
-            p.u((*front).into());
+            p.optional(*inv, |p, n| p.unsigned(n.into()));
+            p.unsigned((*front).into());
             put_of(p, FATES, fate);
             put_of(p, REASONS, reason);
-            p.u((*trigger).into());
-            p.u((*account).into());
-            p.i(*took);
+            p.unsigned((*trigger).into());
+            p.unsigned((*account).into());
+            p.signed(*took);
         }
         Record::TurnedAway {
             front,
@@ -608,7 +632,7 @@
             p.byte(TURNED_AWAY);
             [*front, *trigger, *account]
                 .into_iter()
-                .for_each(|n| p.u(n.into()));
+                .for_each(|n| p.unsigned(n.into()));
             put_of(p, SHORTS, why);
         }
         Record::Gap {
@@ -617,45 +641,48 @@
             until,
         } => {
             p.byte(GAP);
-            p.u(*records);
-            p.i(*from);
-            p.i(*until);
+            p.unsigned(*records);
+            p.signed(*from);
+            p.signed(*until);
         }
     }
 }
 
-pub fn get(g: &mut Get, fingerprint: &dyn Fn(u32) -> u64) -> Result<Record, Bad> {
+pub fn decode_record(
+    g: &mut Decoder,
+    fingerprint: &dyn Fn(u32) -> u64,
+) -> Result<Record, DecodeError> {
     Ok(match g.byte()? {
         NAME => Record::Name {
-            space: if g.flag()? {
+            kind: if g.flag()? {
                 Space::Worker
             } else {
                 Space::Function
             },
-            ix: g.u32()?,
-            text: g.text()?.to_owned(),
+            index: g.u32()?,
+            name: g.text()?.to_owned(),
         },
         DECIDED => Record::Decided {
-            happened: get_event(g, fingerprint)?,
-            actions: g.many(get_action)?,
+            event: get_event(g, fingerprint)?,
+            actions: g.list(get_action)?,
         },
         TAKEN => Record::Taken {
             inv: g.u32()?,
             front: g.u32()?,
-            mark: g.maybe(|g| {
-                let bytes = g.take(8)?.try_into().map_err(|_| Bad::Short)?;
+            mark: g.optional(|g| {
+                let bytes = g.take(8)?.try_into().map_err(|_| DecodeError::Truncated)?;
                 Ok(u64::from_le_bytes(bytes))
             })?,
             redelivered: g.flag()?,
         },
         ANSWERED => Record::Answered {
-            inv: g.maybe(Get::u32)?,
+            inv: g.optional(Decoder::u32)?,
             front: g.u32()?,
             fate: get_of(g, FATES)?,
             reason: get_of(g, REASONS)?,
             trigger: g.u32()?,
             account: g.u32()?,
-            took: g.i()?,
+            took: g.signed()?,
         },
         TURNED_AWAY => Record::TurnedAway {
             front: g.u32()?,
@@ -664,10 +691,10 @@
             why: get_of(g, SHORTS)?,
         },
         GAP => Record::Gap {
-            records: g.u()?,
-            from: g.i()?,
-            until: g.i()?,
+            records: g.unsigned()?,
+            from: g.signed()?,
+            until: g.signed()?,
         },
-        _ => return Err(Bad::Unknown),
+        _ => return Err(DecodeError::UnknownValue),
     })
 }
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -7,11 +7,11 @@
 use cedarpulley::interface::{Action, Micros};
 
 use crate::Error;
-use crate::blocks::{Gather, uses};
+use crate::blocks::{Gather, for_each_named_index};
+use crate::codec::Encoder;
 use crate::reader::{Found, Reader};
-use crate::records::{Happened, Record, put_action};
+use crate::records::{Record, RecordedEvent, encode_action};
 use crate::start::{Extent, Source, module_digest};
-use crate::wire::Put;
 use crate::writer::Sheet;
 
 /// How many decisions before the first that differs are told with it.
@@ -21,7 +21,7 @@
 pub struct Difference {
     pub decision: u64,
     pub at: Micros,
-    pub happened: Happened,
+    pub happened: RecordedEvent,
     pub recorded: Vec<Action>,
     pub replayed: Vec<Action>,
     /// What came just before about the same workers, functions or invocations, as text.
@@ -29,7 +29,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Replayed {
+pub struct ReplayResult {
     pub decisions: u64,
     pub span: Micros,
     /// Recorded by the module of this build.
@@ -40,13 +40,13 @@
 }
 
 /// When, what happened, and what was asked for.
-pub type Decided = (Micros, Happened, Vec<Action>);
+pub type Decided = (Micros, RecordedEvent, Vec<Action>);
 
 /// By their bytes: two that are written alike are alike.
 pub fn alike(some: &[Action], others: &[Action]) -> bool {
     let bytes = |actions: &[Action]| {
-        let mut p = Put::default();
-        actions.iter().for_each(|a| put_action(&mut p, a));
+        let mut p = Encoder::default();
+        actions.iter().for_each(|a| encode_action(&mut p, a));
         p.bytes
     };
     bytes(some) == bytes(others)
@@ -59,7 +59,7 @@
     Block,
     Decided {
         at: Micros,
-        happened: Happened,
+        happened: RecordedEvent,
         recorded: Vec<Action>,
         /// By this build's module, from the same events all along.
         replayed: Vec<Action>,
@@ -79,8 +79,8 @@
 pub fn drive<R: Read + Seek>(
     row: &mut [Reader<R>],
     mut each: impl FnMut(Step) -> Result<bool, Error>,
-) -> Result<Replayed, Error> {
-    let mut out = Replayed::default();
+) -> Result<ReplayResult, Error> {
+    let mut out = ReplayResult::default();
     let Some(first) = row.first() else {
         return Err(Error::NoFile);
     };
@@ -119,7 +119,10 @@
             }
             for (at, record) in records {
                 let step = match record {
-                    Record::Decided { happened, actions } => {
+                    Record::Decided {
+                        event: happened,
+                        actions,
+                    } => {
                         let mut replayed = Vec::new();
                         control.handle(at, &happened.event(), &mut replayed);
                         out.decisions += 1;
@@ -164,7 +167,11 @@
     pub fn next(&mut self) -> Result<Option<Decided>, Error> {
         loop {
             for (at, record) in self.records.by_ref() {
-                if let Record::Decided { happened, actions } = record {
+                if let Record::Decided {
+                    event: happened,
+                    actions,
+                } = record
+                {
                     return Ok(Some((at, happened, actions)));
                 }
             }
@@ -180,7 +187,7 @@
 }
 
 /// Stops at the first decision that differs.
-pub fn replay<R: Read + Seek>(row: &mut [Reader<R>]) -> Result<Replayed, Error> {
+pub fn replay<R: Read + Seek>(row: &mut [Reader<R>]) -> Result<ReplayResult, Error> {
     let mut recent: Vec<Decided> = Vec::new();
     let (mut difference, mut decision) = (None, 0);
     let mut out = drive(row, |step| {
@@ -217,7 +224,10 @@
 }
 
 /// The same row in one file, with what this build's module decides in place of what was decided.
-pub fn redo<R: Read + Seek, W: Write>(row: &mut [Reader<R>], out: W) -> Result<Replayed, Error> {
+pub fn redo<R: Read + Seek, W: Write>(
+    row: &mut [Reader<R>],
+    out: W,
+) -> Result<ReplayResult, Error> {
     let Some(first) = row.first() else {
         return Err(Error::NoFile);
     };
@@ -232,7 +242,12 @@
                 sheet.block(0, &gather.close())?;
             }
             Step::Beside { at, record } => {
-                if let Record::Name { space, ix, text } = &record {
+                if let Record::Name {
+                    kind: space,
+                    index: ix,
+                    name: text,
+                } = &record
+                {
                     names.insert((*space, *ix), text.clone());
                 }
                 gather.record(at, &record);
@@ -243,7 +258,7 @@
                 replayed,
                 ..
             } => {
-                uses(&happened, &replayed, |space, ix| {
+                for_each_named_index(&happened, &replayed, |space, ix| {
                     if let Some(name) = names.get(&(space, ix)) {
                         gather.name(at, space, ix, name);
                     }
@@ -251,7 +266,7 @@
                 gather.record(
                     at,
                     &Record::Decided {
-                        happened,
+                        event: happened,
                         actions: replayed,
                     },
                 );
@@ -268,16 +283,16 @@
 
 fn related(
     recent: &[Decided],
-    happened: &Happened,
+    happened: &RecordedEvent,
     recorded: &[Action],
     replayed: &[Action],
 ) -> Vec<String> {
     let mut concerned = Vec::new();
-    uses(happened, recorded, |s, ix| concerned.push((s, ix)));
-    uses(happened, replayed, |s, ix| concerned.push((s, ix)));
-    let touches = |h: &Happened, actions: &[Action]| {
+    for_each_named_index(happened, recorded, |s, ix| concerned.push((s, ix)));
+    for_each_named_index(happened, replayed, |s, ix| concerned.push((s, ix)));
+    let touches = |h: &RecordedEvent, actions: &[Action]| {
         let mut any = false;
-        uses(h, actions, |s, ix| any |= concerned.contains(&(s, ix)));
+        for_each_named_index(h, actions, |s, ix| any |= concerned.contains(&(s, ix)));
         any
     };
     let mut found: Vec<String> = recent
@@ -292,9 +307,12 @@
 }
 
 /// In a few words; a list of workers by its size.
-pub fn told(happened: &Happened) -> String {
+pub fn told(happened: &RecordedEvent) -> String {
     match happened {
-        Happened::List { mode, entries } => format!("List {mode:?} of {}", entries.len()),
-        Happened::Other(event) => format!("{event:?}"),
+        RecordedEvent::List {
+            kind: mode,
+            endpoints: entries,
+        } => format!("List {mode:?} of {}", entries.len()),
+        RecordedEvent::Other(event) => format!("{event:?}"),
     }
 }
--- a/crates/trace/src/keeping.rs
+++ b/crates/trace/src/retention.rs
@@ -1,5 +1,5 @@
 //! Decides when a trace file is full, which old files go, and what happens when the disk fails. Free of I/O: sizes,
-//! times and failures go in. Called with [`Keeping::wrote`], [`Keeping::failed`] and [`Keeping::looked`].
+//! times and failures go in. Called with [`Retention::wrote`], [`Retention::failed`] and [`Retention::looked`].
 //!
 //! Mechanisms:
 //! 1. A file ends at a size or an age, whichever comes first.
@@ -22,7 +22,7 @@
 }
 
 #[derive(Debug)]
-pub struct Keeping {
+pub struct Retention {
     bounds: Bounds,
     written: u64,
     began: Micros,
@@ -37,9 +37,9 @@
     Next,
 }
 
-impl Keeping {
+impl Retention {
     pub fn new(bounds: Bounds) -> Self {
-        Keeping {
+        Retention {
             bounds,
             written: 0,
             began: 0,
--- a/crates/trace/src/rewrite.rs
+++ b/crates/trace/src/rewrite.rs
@@ -3,10 +3,10 @@
 use std::io::{Read, Seek, Write};
 
 use crate::Error;
-use crate::blocks::{Gather, uses};
+use crate::blocks::{Gather, for_each_named_index};
 use crate::reader::{Found, Reader};
 use crate::records::Record;
-use crate::select::{Select, Wanted};
+use crate::selection::{RecordSelector, Wanted};
 use crate::start::{Extent, Source};
 use crate::strip::Strip;
 use crate::writer::Sheet;
@@ -34,7 +34,10 @@
         })
         .collect();
     let mut sheet = Sheet::begin(out, &sources)?;
-    let mut selects: Vec<Option<Select>> = sources.iter().map(|s| Select::new(wanted, s)).collect();
+    let mut selects: Vec<Option<RecordSelector>> = sources
+        .iter()
+        .map(|s| RecordSelector::new(wanted, s))
+        .collect();
     let spans: Vec<_> = sources
         .iter()
         .zip(&selects)
@@ -66,8 +69,12 @@
             if !select.belongs(at, spans[source], &record) {
                 continue;
             }
-            if let Record::Decided { happened, actions } = &record {
-                uses(happened, actions, |space, ix| {
+            if let Record::Decided {
+                event: happened,
+                actions,
+            } = &record
+            {
+                for_each_named_index(happened, actions, |space, ix| {
                     if let Some(name) = select.name(space, ix) {
                         gather.name(at, space, ix, name);
                     }
--- a/crates/trace/src/rules.rs
+++ b/crates/trace/src/rule_check.rs
@@ -14,7 +14,7 @@
 use cedarpulley_router::Fate;
 use serde::Serialize;
 
-use crate::records::{Happened, Record};
+use crate::records::{Record, RecordedEvent};
 use crate::start::Source;
 
 /// An answer is due so long before the client gives up as the settings say, which a trace does not hold; by this much
@@ -26,7 +26,7 @@
 const MOST_MARKS: usize = 1_000_000;
 
 #[derive(Clone, Debug, Default, Serialize, PartialEq, Eq)]
-pub struct Judged {
+pub struct RuleCheck {
     pub invocations: u64,
     pub rules: BTreeMap<u8, u64>,
     pub breaks: Vec<String>,
@@ -67,7 +67,7 @@
     sides: HashMap<u32, Side>,
     /// Of messages that may not run twice: which source may have run them.
     ran: HashMap<u64, u32>,
-    out: Judged,
+    out: RuleCheck,
 }
 
 /// What is no longer within the window.
@@ -139,7 +139,10 @@
                 }
             }
             Record::Answered { .. } => {}
-            Record::Decided { happened, actions } => {
+            Record::Decided {
+                event: happened,
+                actions,
+            } => {
                 self.told(source, of, at, happened);
                 for action in actions {
                     self.asked(source, of, at, action);
@@ -148,10 +151,12 @@
         }
     }
 
-    fn told(&mut self, source: u32, of: &Source, at: Micros, happened: &Happened) {
+    fn told(&mut self, source: u32, of: &Source, at: Micros, happened: &RecordedEvent) {
         let side = self.sides.entry(source).or_default();
         match happened {
-            Happened::List { entries, .. } => {
+            RecordedEvent::List {
+                endpoints: entries, ..
+            } => {
                 for e in entries {
                     let since = match e.state {
                         EndpointState::InService => None,
@@ -160,7 +165,7 @@
                     side.workers.insert(e.worker, (e.zone, e.cell, since));
                 }
             }
-            Happened::Other(Event::Invocation(a)) => {
+            RecordedEvent::Other(Event::Invocation(a)) => {
                 self.out.invocations += 1;
                 let window = of.start.startup.loads.order_quota_window;
                 if window > 0 {
@@ -180,12 +185,12 @@
                     self.over(of, before, at);
                 }
             }
-            Happened::Other(Event::ClientLeft { invocation: inv }) => {
+            RecordedEvent::Other(Event::ClientLeft { invocation: inv }) => {
                 if let Some(open) = side.open.get_mut(inv) {
                     open.answered = true;
                 }
             }
-            Happened::Other(Event::DispatchEnded(e)) => {
+            RecordedEvent::Other(Event::DispatchEnded(e)) => {
                 let Some(open) = side.open.get_mut(&e.invocation) else {
                     return;
                 };
@@ -218,7 +223,7 @@
                     self.breaks(rule, why);
                 }
             }
-            Happened::Other(_) => {}
+            RecordedEvent::Other(_) => {}
         }
     }
 
@@ -333,7 +338,7 @@
     }
 
     /// `sources` by the numbers with which the records came.
-    pub fn finish(mut self, sources: &HashMap<u32, Source>) -> Judged {
+    pub fn finish(mut self, sources: &HashMap<u32, Source>) -> RuleCheck {
         let mut sides: Vec<(u32, Side)> = std::mem::take(&mut self.sides).into_iter().collect();
         sides.sort_by_key(|(n, _)| *n);
         for (n, side) in sides {
--- a/crates/trace/src/select.rs
+++ b/crates/trace/src/selection.rs
@@ -6,7 +6,7 @@
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::{Action, Event, InvocationIndex, Micros};
 
-use crate::records::{Happened, Record, Space};
+use crate::records::{Record, RecordedEvent, Space};
 use crate::start::Source;
 
 /// What is wanted; an absent one asks for all.
@@ -36,7 +36,7 @@
 }
 
 /// For one file, read from its first wanted block on.
-pub struct Select<'a> {
+pub struct RecordSelector<'a> {
     wanted: &'a Wanted,
     mark: Option<u64>,
     account: Option<u32>,
@@ -46,14 +46,14 @@
     belongs: HashSet<InvocationIndex>,
 }
 
-impl<'a> Select<'a> {
+impl<'a> RecordSelector<'a> {
     /// Absent if nothing of this file can belong.
     pub fn new(wanted: &'a Wanted, source: &Source) -> Option<Self> {
         let account = match &wanted.account {
             None => None,
             Some(name) => Some(source.start.accounts_named.iter().position(|n| n == name)? as u32),
         };
-        Some(Select {
+        Some(RecordSelector {
             wanted,
             mark: wanted.mark.as_deref().map(fingerprint),
             account,
@@ -85,7 +85,12 @@
 
     /// Names are kept here and told with what uses them: a name alone never belongs.
     pub fn belongs(&mut self, at: Micros, span: (Micros, Micros), record: &Record) -> bool {
-        if let Record::Name { space, ix, text } = record {
+        if let Record::Name {
+            kind: space,
+            index: ix,
+            name: text,
+        } = record
+        {
             self.names.insert((*space, *ix), text.clone());
             return false;
         }
@@ -118,18 +123,21 @@
                     && self.wanted.function.is_none()
                     && self.mark.is_none()
             }
-            Record::Decided { happened, actions } => self.decided(happened, actions),
+            Record::Decided {
+                event: happened,
+                actions,
+            } => self.decided(happened, actions),
         };
         belongs && inside
     }
 
-    fn decided(&mut self, happened: &Happened, actions: &[Action]) -> bool {
+    fn decided(&mut self, happened: &RecordedEvent, actions: &[Action]) -> bool {
         let mut any = false;
         match happened {
-            Happened::List { entries, .. } => {
-                any |= entries.iter().any(|e| self.is_worker(e.worker))
-            }
-            Happened::Other(Event::Invocation(a)) => {
+            RecordedEvent::List {
+                endpoints: entries, ..
+            } => any |= entries.iter().any(|e| self.is_worker(e.worker)),
+            RecordedEvent::Other(Event::Invocation(a)) => {
                 let function = self.wanted.function.as_deref();
                 let fits = function
                     .is_none_or(|f| self.name(Space::Function, a.function) == Some(f))
@@ -142,7 +150,7 @@
                     self.belongs.insert(a.invocation);
                 }
             }
-            Happened::Other(
+            RecordedEvent::Other(
                 Event::ProbeEnded { worker, .. }
                 | Event::OrderEnded { worker, .. }
                 | Event::CopyWanted { worker, .. }
@@ -150,10 +158,10 @@
             ) => {
                 any |= self.is_worker(*worker);
             }
-            Happened::Other(Event::DispatchEnded(e)) => {
+            RecordedEvent::Other(Event::DispatchEnded(e)) => {
                 any |= self.is_worker(e.worker) || self.belongs.contains(&e.invocation);
             }
-            Happened::Other(
+            RecordedEvent::Other(
                 Event::ClientLeft { invocation: inv }
                 | Event::AnswerStarted {
                     invocation: inv, ..
@@ -162,9 +170,9 @@
                 any |= self.belongs.contains(inv);
             }
             // A list is never among the others.
-            Happened::Other(Event::Timer { .. } | Event::EndpointList { .. }) => {}
+            RecordedEvent::Other(Event::Timer { .. } | Event::EndpointList { .. }) => {}
         }
-        if let Happened::Other(Event::Invocation(a)) = happened {
+        if let RecordedEvent::Other(Event::Invocation(a)) = happened {
             any |= self.belongs.contains(&a.invocation);
         }
         for action in actions {
--- a/crates/trace/src/start.rs
+++ b/crates/trace/src/start.rs
@@ -5,7 +5,7 @@
 use cedarpulley::interface::*;
 use cedarpulley_startup::StartupSettings;
 
-use crate::wire::{Bad, Get, Put};
+use crate::codec::{DecodeError, Decoder, Encoder};
 
 #[derive(Clone, Debug)]
 pub struct Start {
@@ -43,7 +43,7 @@
 pub struct Source {
     pub start: Start,
     /// By how much its wall's clock is ahead of the first source's, as estimated on merging.
-    pub ahead: Micros,
+    pub clock_ahead: Micros,
     pub extent: Extent,
 }
 
@@ -51,7 +51,7 @@
     fn from(start: Start) -> Self {
         Source {
             start,
-            ahead: 0,
+            clock_ahead: 0,
             extent: Extent::Whole,
         }
     }
@@ -63,46 +63,46 @@
         self.start
             .wall_at_zero
             .saturating_add(at)
-            .saturating_sub(self.ahead)
+            .saturating_sub(self.clock_ahead)
     }
 }
 
 /// The start record of a file in the present format.
-pub fn put_sources(sources: &[Source]) -> Vec<u8> {
-    let mut p = Put::default();
-    p.u(sources.len() as u64);
+pub fn encode_sources(sources: &[Source]) -> Vec<u8> {
+    let mut p = Encoder::default();
+    p.unsigned(sources.len() as u64);
     for s in sources {
-        p.i(s.ahead);
+        p.signed(s.clock_ahead);
         p.byte(s.extent as u8);
-        let body = s.start.put();
-        p.u(body.len() as u64);
+        let body = s.start.encode();
+        p.unsigned(body.len() as u64);
         p.bytes.extend(body);
     }
     p.bytes
 }
 
-pub fn get_sources(format: u16, bytes: &[u8]) -> Result<Vec<Source>, Bad> {
+pub fn decode_sources(format: u16, bytes: &[u8]) -> Result<Vec<Source>, DecodeError> {
     if format == 1 {
         return Ok(vec![Start::get(bytes)?.into()]);
     }
-    let sources = Get::new(bytes).many(|g| {
-        let ahead = g.i()?;
+    let sources = Decoder::new(bytes).list(|g| {
+        let ahead = g.signed()?;
         let extent = match g.byte()? {
             0 => Extent::Whole,
             1 => Extent::Cut,
             2 => Extent::Stripped,
             3 => Extent::Redone,
-            _ => return Err(Bad::Unknown),
+            _ => return Err(DecodeError::UnknownValue),
         };
-        let size = usize::try_from(g.u()?).map_err(|_| Bad::Short)?;
+        let size = usize::try_from(g.unsigned()?).map_err(|_| DecodeError::Truncated)?;
         Ok(Source {
             start: Start::get(g.take(size)?)?,
-            ahead,
+            clock_ahead: ahead,
             extent,
         })
     })?;
     if sources.is_empty() {
-        Err(Bad::Short)
+        Err(DecodeError::Truncated)
     } else {
         Ok(sources)
     }
@@ -120,8 +120,8 @@
     *blake3::hash(text).as_bytes()
 }
 
-fn digest_of(g: &mut Get) -> Result<[u8; 32], Bad> {
-    g.take(32)?.try_into().map_err(|_| Bad::Short)
+fn digest_of(g: &mut Decoder) -> Result<[u8; 32], DecodeError> {
+    g.take(32)?.try_into().map_err(|_| DecodeError::Truncated)
 }
 
 impl Start {
@@ -130,45 +130,45 @@
         self.startup.balancer(self.seed)
     }
 
-    pub fn put(&self) -> Vec<u8> {
-        let mut out = Put::default();
+    pub fn encode(&self) -> Vec<u8> {
+        let mut out = Encoder::default();
         let p = &mut out;
         p.text(&self.router);
         p.bytes.extend_from_slice(&self.module);
         p.bytes.extend_from_slice(&self.settings);
-        p.u(self.file);
-        p.i(self.wall_at_zero);
+        p.unsigned(self.file);
+        p.signed(self.wall_at_zero);
         for names in [
             &self.triggers_named,
             &self.accounts_named,
             &self.fronts_named,
         ] {
-            p.u(names.len() as u64);
+            p.unsigned(names.len() as u64);
             names.iter().for_each(|n| p.text(n));
         }
-        p.u(self.seed);
+        p.unsigned(self.seed);
         let f = &self.startup.fleet;
         [f.routers, f.position, f.zone]
             .into_iter()
-            .for_each(|n| p.u(n.into()));
-        p.i(f.granularity);
+            .for_each(|n| p.unsigned(n.into()));
+        p.signed(f.granularity);
         let l = &self.startup.limits;
-        p.u(l.max_dispatches.into());
+        p.unsigned(l.max_dispatches.into());
         [l.hedged_requests, l.cancellation, l.probes]
             .into_iter()
             .for_each(|b| p.byte(b.into()));
-        p.i(l.connect_timeout);
-        p.i(l.max_retry_after);
+        p.signed(l.connect_timeout);
+        p.signed(l.max_retry_after);
         let r = &self.startup.rules;
         [r.answer_slack, r.drain_grace, r.list_request_timeout]
             .into_iter()
-            .for_each(|t| p.i(t));
+            .for_each(|t| p.signed(t));
         p.byte(r.list_on_request.into());
-        p.f(r.slow_start_fraction);
-        p.i(r.slow_start_duration);
-        p.f(r.overload_multiple);
-        p.i(r.overload_window);
-        p.u(self.startup.triggers.len() as u64);
+        p.float(r.slow_start_fraction);
+        p.signed(r.slow_start_duration);
+        p.float(r.overload_multiple);
+        p.signed(r.overload_window);
+        p.unsigned(self.startup.triggers.len() as u64);
         for t in &self.startup.triggers {
             match t.effect {
                 Effect::Idempotent => p.byte(0),
@@ -182,23 +182,23 @@
                         DeduplicationScope::Zone => 3,
                         DeduplicationScope::Cell => 4,
                     });
-                    p.i(window);
+                    p.signed(window);
                 }
             }
-            p.i(t.latency_objective);
-            p.f(t.objective_work_multiple);
-            p.i(t.client_timeout);
-            p.f(t.billed_value);
-            p.f(t.late_value_fraction);
+            p.signed(t.latency_objective);
+            p.float(t.objective_work_multiple);
+            p.signed(t.client_timeout);
+            p.float(t.billed_value);
+            p.float(t.late_value_fraction);
             p.byte(t.streamed.into());
         }
-        p.u(self.startup.accounts.len() as u64);
+        p.unsigned(self.startup.accounts.len() as u64);
         for a in &self.startup.accounts {
-            p.f(a.quota_per_s);
-            p.f(a.share);
+            p.float(a.quota_per_s);
+            p.float(a.share);
         }
         let l = &self.startup.loads;
-        p.i(l.idle_retention);
+        p.signed(l.idle_retention);
         [
             l.load_orders,
             l.loads_when_absent,
@@ -207,12 +207,12 @@
         ]
         .into_iter()
         .for_each(|b| p.byte(b.into()));
-        p.i(l.order_timeout);
-        p.i(l.order_quota_window);
-        p.f(l.order_quota_base);
-        p.f(l.order_quota_per_invocation);
-        p.u(l.memory_mb.len() as u64);
-        l.memory_mb.iter().for_each(|m| p.f(*m));
+        p.signed(l.order_timeout);
+        p.signed(l.order_quota_window);
+        p.float(l.order_quota_base);
+        p.float(l.order_quota_per_invocation);
+        p.unsigned(l.memory_mb.len() as u64);
+        l.memory_mb.iter().for_each(|m| p.float(*m));
         let c = &self.startup.prices;
         [
             c.crossing,
@@ -223,7 +223,7 @@
             c.over_quota,
         ]
         .into_iter()
-        .for_each(|x| p.f(x));
+        .for_each(|x| p.float(x));
         p.byte(match self.startup.reports {
             ReportSource::Answers => 0,
             ReportSource::Probes => 1,
@@ -232,73 +232,73 @@
         out.bytes
     }
 
-    pub fn get(bytes: &[u8]) -> Result<Start, Bad> {
-        let g = &mut Get::new(bytes);
+    pub fn get(bytes: &[u8]) -> Result<Start, DecodeError> {
+        let g = &mut Decoder::new(bytes);
         let router = g.text()?.to_owned();
         let (module, settings) = (digest_of(g)?, digest_of(g)?);
-        let (file, wall_at_zero) = (g.u()?, g.i()?);
-        let names = |g: &mut Get| g.many(|g| g.text().map(str::to_owned));
+        let (file, wall_at_zero) = (g.unsigned()?, g.signed()?);
+        let names = |g: &mut Decoder| g.list(|g| g.text().map(str::to_owned));
         let (triggers_named, accounts_named, fronts_named) = (names(g)?, names(g)?, names(g)?);
-        let seed = g.u()?;
+        let seed = g.unsigned()?;
         let fleet = FleetPosition {
             routers: g.u32()?,
             position: g.u32()?,
             zone: g.u32()?,
-            granularity: g.i()?,
+            granularity: g.signed()?,
         };
         let limits = DispatchLimits {
             max_dispatches: g.u32()?,
             hedged_requests: g.flag()?,
             cancellation: g.flag()?,
             probes: g.flag()?,
-            connect_timeout: g.i()?,
-            max_retry_after: g.i()?,
+            connect_timeout: g.signed()?,
+            max_retry_after: g.signed()?,
         };
         let rules = RuleLimits {
-            answer_slack: g.i()?,
-            drain_grace: g.i()?,
-            list_request_timeout: g.i()?,
+            answer_slack: g.signed()?,
+            drain_grace: g.signed()?,
+            list_request_timeout: g.signed()?,
             list_on_request: g.flag()?,
-            slow_start_fraction: g.f()?,
-            slow_start_duration: g.i()?,
-            overload_multiple: g.f()?,
-            overload_window: g.i()?,
+            slow_start_fraction: g.float()?,
+            slow_start_duration: g.signed()?,
+            overload_multiple: g.float()?,
+            overload_window: g.signed()?,
         };
-        let triggers = g.many(|g| {
+        let triggers = g.list(|g| {
             let effect = match g.byte()? {
                 0 => Effect::Idempotent,
                 1 => Effect::NonIdempotent,
                 2 => Effect::IdempotentByKey {
                     scope: DeduplicationScope::All,
-                    window: g.i()?,
+                    window: g.signed()?,
                 },
                 3 => Effect::IdempotentByKey {
                     scope: DeduplicationScope::Zone,
-                    window: g.i()?,
+                    window: g.signed()?,
                 },
                 4 => Effect::IdempotentByKey {
                     scope: DeduplicationScope::Cell,
-                    window: g.i()?,
+                    window: g.signed()?,
                 },
-                _ => return Err(Bad::Unknown),
+                _ => return Err(DecodeError::UnknownValue),
             };
             Ok(TriggerType {
                 effect,
-                latency_objective: g.i()?,
-                objective_work_multiple: g.f()?,
-                client_timeout: g.i()?,
-                billed_value: g.f()?,
-                late_value_fraction: g.f()?,
+                latency_objective: g.signed()?,
+                objective_work_multiple: g.float()?,
+                client_timeout: g.signed()?,
+                billed_value: g.float()?,
+                late_value_fraction: g.float()?,
                 streamed: g.flag()?,
             })
         })?;
-        let accounts = g.many(|g| {
+        let accounts = g.list(|g| {
             Ok(Account {
-                quota_per_s: g.f()?,
-                share: g.f()?,
+                quota_per_s: g.float()?,
+                share: g.float()?,
             })
         })?;
-        let idle_kept = g.i()?;
+        let idle_kept = g.signed()?;
         let (orders, loads_when_absent, notes, crowds) =
             (g.flag()?, g.flag()?, g.flag()?, g.flag()?);
         let loads = LoadSettings {
@@ -307,25 +307,25 @@
             loads_when_absent,
             reports_copy_status: notes,
             reports_function_load: crowds,
-            order_timeout: g.i()?,
-            order_quota_window: g.i()?,
-            order_quota_base: g.f()?,
-            order_quota_per_invocation: g.f()?,
-            memory_mb: g.many(Get::f)?,
+            order_timeout: g.signed()?,
+            order_quota_window: g.signed()?,
+            order_quota_base: g.float()?,
+            order_quota_per_invocation: g.float()?,
+            memory_mb: g.list(Decoder::float)?,
         };
         let prices = Prices {
-            crossing: g.f()?,
-            fetch: g.f()?,
-            waste: g.f()?,
-            probe: g.f()?,
-            late_error: g.f()?,
-            over_quota: g.f()?,
+            crossing: g.float()?,
+            fetch: g.float()?,
+            waste: g.float()?,
+            probe: g.float()?,
+            late_error: g.float()?,
+            over_quota: g.float()?,
         };
         let reports = match g.byte()? {
             0 => ReportSource::Answers,
             1 => ReportSource::Probes,
             2 => ReportSource::Nothing,
-            _ => return Err(Bad::Unknown),
+            _ => return Err(DecodeError::UnknownValue),
         };
         Ok(Start {
             router,
--- a/crates/trace/src/strip.rs
+++ b/crates/trace/src/strip.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashSet;
 
-use crate::records::{Happened, Record, Space};
+use crate::records::{Record, RecordedEvent, Space};
 use crate::start::{Extent, Source};
 use cedarpulley::interface::Event;
 
@@ -73,17 +73,25 @@
         s.seed = self.number(start.seed);
         Source {
             start: s,
-            ahead: source.ahead,
+            clock_ahead: source.clock_ahead,
             extent: Extent::Stripped,
         }
     }
 
     pub fn record(&mut self, record: Record) -> Record {
         match record {
-            Record::Name { space, ix, text } => {
+            Record::Name {
+                kind: space,
+                index: ix,
+                name: text,
+            } => {
                 let kind = if space == Space::Worker { "W-" } else { "F-" };
                 let text = self.pseudonym(kind, &text);
-                Record::Name { space, ix, text }
+                Record::Name {
+                    kind: space,
+                    index: ix,
+                    name: text,
+                }
             }
             Record::Taken {
                 inv,
@@ -100,26 +108,30 @@
                 }
             }
             Record::Decided {
-                happened: Happened::List { mode, mut entries },
+                event:
+                    RecordedEvent::List {
+                        kind,
+                        mut endpoints,
+                    },
                 actions,
             } => {
                 // A worker's fingerprint is made of its address.
-                entries
+                endpoints
                     .iter_mut()
                     .for_each(|e| e.fingerprint = self.number(e.fingerprint));
                 Record::Decided {
-                    happened: Happened::List { mode, entries },
+                    event: RecordedEvent::List { kind, endpoints },
                     actions,
                 }
             }
             Record::Decided {
-                happened: Happened::Other(Event::Invocation(mut a)),
+                event: RecordedEvent::Other(Event::Invocation(mut a)),
                 actions,
             } => {
                 // Made of the function's name again by who reads it.
                 a.fingerprint = 0;
                 Record::Decided {
-                    happened: Happened::Other(Event::Invocation(a)),
+                    event: RecordedEvent::Other(Event::Invocation(a)),
                     actions,
                 }
             }
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::records::{Happened, Record, Space};
+use crate::records::{Record, RecordedEvent, Space};
 use crate::start::Source;
 
 /// The worst span is looked for in steps of a second.
@@ -17,7 +17,7 @@
 const SECOND: Micros = 1_000_000;
 
 #[derive(Clone, Debug, Default, Serialize, PartialEq, Eq)]
-pub struct Fates {
+pub struct OutcomeCounts {
     pub succeeded: u64,
     pub throttled: u64,
     pub errored: u64,
@@ -25,7 +25,7 @@
     pub turned_away: u64,
 }
 
-impl Fates {
+impl OutcomeCounts {
     fn add(&mut self, fate: Fate) {
         match fate {
             Fate::Succeeded => self.succeeded += 1,
@@ -40,7 +40,7 @@
 }
 
 #[derive(Clone, Debug, Default, Serialize, PartialEq, Eq)]
-pub struct AtWorker {
+pub struct WorkerCounts {
     pub dispatches: u64,
     pub succeeded: u64,
     pub failed: u64,
@@ -48,7 +48,7 @@
 }
 
 #[derive(Clone, Debug, Default, Serialize, PartialEq, Eq)]
-pub struct Times {
+pub struct LatencyQuantiles {
     pub count: u64,
     pub p50_us: u64,
     pub p90_us: u64,
@@ -69,12 +69,12 @@
     pub held: u64,
     pub lost_records: u64,
     pub damaged_blocks: u64,
-    pub fates: Fates,
-    pub by_trigger: BTreeMap<String, Fates>,
-    pub by_account: BTreeMap<String, Fates>,
+    pub fates: OutcomeCounts,
+    pub by_trigger: BTreeMap<String, OutcomeCounts>,
+    pub by_account: BTreeMap<String, OutcomeCounts>,
     pub by_reason: BTreeMap<String, u64>,
-    pub by_worker: BTreeMap<String, AtWorker>,
-    pub succeeded_in: Times,
+    pub by_worker: BTreeMap<String, WorkerCounts>,
+    pub succeeded_in: LatencyQuantiles,
     /// Wall's seconds since 1970 at which the ten seconds begin in which most were answered without success, and
     /// how many.
     pub worst: Option<(i64, u64)>,
@@ -169,9 +169,9 @@
         }
         match record {
             Record::Name {
-                space: Space::Worker,
-                ix,
-                text,
+                kind: Space::Worker,
+                index: ix,
+                name: text,
             } => {
                 self.workers.insert((source, *ix), text.clone());
             }
@@ -226,11 +226,14 @@
                     .entry(wall.div_euclid(SECOND))
                     .or_default() += 1;
             }
-            Record::Decided { happened, actions } => self.decided(happened, actions),
+            Record::Decided {
+                event: happened,
+                actions,
+            } => self.decided(happened, actions),
         }
     }
 
-    fn worker(&mut self, ix: u32) -> &mut AtWorker {
+    fn worker(&mut self, ix: u32) -> &mut WorkerCounts {
         let name = self
             .workers
             .get(&(self.source, ix))
@@ -239,9 +242,9 @@
         self.out.by_worker.entry(name).or_default()
     }
 
-    fn decided(&mut self, happened: &Happened, actions: &[Action]) {
+    fn decided(&mut self, happened: &RecordedEvent, actions: &[Action]) {
         self.out.decisions += 1;
-        if let Happened::Other(Event::Invocation(a)) = happened {
+        if let RecordedEvent::Other(Event::Invocation(a)) = happened {
             self.out.invocations += 1;
             let done = actions.iter().any(|x| match x {
                 Action::Dispatch {
@@ -255,7 +258,7 @@
             });
             self.out.held += u64::from(!done);
         }
-        if let Happened::Other(Event::DispatchEnded(e)) = happened {
+        if let RecordedEvent::Other(Event::DispatchEnded(e)) = happened {
             let at = self.worker(e.worker);
             match e.outcome {
                 DispatchOutcome::Succeeded => at.succeeded += 1,
@@ -290,7 +293,7 @@
                 h.value_at_quantile(q)
             }
         };
-        self.out.succeeded_in = Times {
+        self.out.succeeded_in = LatencyQuantiles {
             count: h.len(),
             p50_us: at(0.5),
             p90_us: at(0.9),
--- a/crates/trace/src/course.rs
+++ b/crates/trace/src/timeline.rs
@@ -10,7 +10,7 @@
 use cedarpulley_router::Fate;
 use hdrhistogram::Histogram;
 
-use crate::records::{Happened, Record};
+use crate::records::{Record, RecordedEvent};
 use crate::start::Source;
 
 /// Finer than this no chart shows.
@@ -18,7 +18,7 @@
 const SECOND: Micros = 1_000_000;
 
 #[derive(Clone, Debug)]
-pub struct Bin {
+pub struct TimelineBin {
     pub succeeded: u64,
     pub throttled: u64,
     pub errored: u64,
@@ -33,9 +33,9 @@
     pub times: Histogram<u32>,
 }
 
-impl Default for Bin {
+impl Default for TimelineBin {
     fn default() -> Self {
-        Bin {
+        TimelineBin {
             succeeded: 0,
             throttled: 0,
             errored: 0,
@@ -52,8 +52,8 @@
     }
 }
 
-impl Bin {
-    fn add(&mut self, other: Bin) {
+impl TimelineBin {
+    fn add(&mut self, other: TimelineBin) {
         let pairs = [
             (&mut self.succeeded, other.succeeded),
             (&mut self.throttled, other.throttled),
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub struct Course {
     width: Micros,
-    bins: BTreeMap<i64, Bin>,
+    bins: BTreeMap<i64, TimelineBin>,
 }
 
 impl Default for Course {
@@ -94,7 +94,7 @@
     }
 
     /// Wall's microseconds at which each begins, those without anything among them too.
-    pub fn bins(&self) -> Vec<(Micros, Bin)> {
+    pub fn bins(&self) -> Vec<(Micros, TimelineBin)> {
         let (Some((first, _)), Some((last, _))) =
             (self.bins.first_key_value(), self.bins.last_key_value())
         else {
@@ -110,8 +110,8 @@
             .collect()
     }
 
-    fn bin(&mut self, wall: Micros) -> &mut Bin {
-        let span = |n: i64, bins: &BTreeMap<i64, Bin>| {
+    fn bin(&mut self, wall: Micros) -> &mut TimelineBin {
+        let span = |n: i64, bins: &BTreeMap<i64, TimelineBin>| {
             let first = bins.first_key_value().map_or(n, |(f, _)| *f).min(n);
             let last = bins.last_key_value().map_or(n, |(l, _)| *l).max(n);
             i128::from(last) - i128::from(first)
@@ -143,13 +143,16 @@
                     Fate::Errored => bin.errored += 1,
                 }
             }
-            Record::Decided { happened, actions } => {
+            Record::Decided {
+                event: happened,
+                actions,
+            } => {
                 let bin = self.bin(wall);
-                if let Happened::Other(Event::DispatchEnded(e)) = happened {
+                if let RecordedEvent::Other(Event::DispatchEnded(e)) = happened {
                     bin.failed +=
                         u64::from(e.outcome != cedarpulley::interface::DispatchOutcome::Succeeded);
                 }
-                if let Happened::Other(Event::Invocation(a)) = happened {
+                if let RecordedEvent::Other(Event::Invocation(a)) = happened {
                     let done = |x: &Action| match x {
                         Action::Dispatch {
                             invocation: inv, ..
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -9,10 +9,10 @@
 use cedarpulley::interface::Micros;
 
 use crate::Error;
-use crate::blocks::{BLOCK_HEAD, END, FORMAT, Head, MAGIC, Raw};
-use crate::keeping::{Bounds, Keeping, Step};
-use crate::places::{Place, Places};
-use crate::start::{Source, Start, put_sources};
+use crate::block_index::{BlockIndexBuilder, BlockLocation};
+use crate::blocks::{BLOCK_HEADER_BYTES, BlockHeader, FILE_MAGIC, FOOTER_MAGIC, FORMAT, Raw};
+use crate::retention::{Bounds, Retention, Step};
+use crate::start::{Source, Start, encode_sources};
 
 /// Packs a fiftieth smaller than the fastest at a cost that was not told apart; more effort gained next to nothing.
 const EFFORT: i32 = 3;
@@ -22,13 +22,13 @@
 pub struct Sheet<W: Write> {
     out: W,
     offset: u64,
-    places: Places,
+    places: BlockIndexBuilder,
 }
 
 impl<W: Write> Sheet<W> {
     pub fn begin(mut out: W, sources: &[Source]) -> io::Result<Self> {
-        let body = put_sources(sources);
-        let mut head = MAGIC.to_vec();
+        let body = encode_sources(sources);
+        let mut head = FILE_MAGIC.to_vec();
         head.extend(FORMAT.to_le_bytes());
         head.extend(0u16.to_le_bytes());
         head.extend((body.len() as u32).to_le_bytes());
@@ -38,30 +38,30 @@
         Ok(Sheet {
             out,
             offset: head.len() as u64,
-            places: Places::default(),
+            places: BlockIndexBuilder::default(),
         })
     }
 
     /// In one write: a cut falls within it, or before or after.
     pub fn block(&mut self, source: u32, raw: &Raw) -> io::Result<u64> {
         let packed = zstd::bulk::compress(&raw.bytes, EFFORT)?;
-        self.packed(&Head::new(raw, source, &packed), &packed)
+        self.packed(&BlockHeader::new(raw, source, &packed), &packed)
     }
 
     /// One that is packed already.
-    pub fn packed(&mut self, head: &Head, packed: &[u8]) -> io::Result<u64> {
-        let mut bytes = Vec::with_capacity(BLOCK_HEAD + packed.len());
-        bytes.extend(head.put());
+    pub fn packed(&mut self, head: &BlockHeader, packed: &[u8]) -> io::Result<u64> {
+        let mut bytes = Vec::with_capacity(BLOCK_HEADER_BYTES + packed.len());
+        bytes.extend(head.encode());
         bytes.extend(packed);
         self.out.write_all(&bytes)?;
-        let Head {
+        let BlockHeader {
             first,
             last,
             records,
             source,
             ..
         } = *head;
-        self.places.push(Place {
+        self.places.push(BlockLocation {
             offset: self.offset,
             first,
             last,
@@ -81,7 +81,7 @@
         self.places.write(&mut self.out)?;
         let mut footer = self.offset.to_le_bytes().to_vec();
         footer.extend(crc32c::crc32c(&footer).to_le_bytes());
-        footer.extend(END);
+        footer.extend(FOOTER_MAGIC);
         self.out.write_all(&footer)?;
         self.out.flush()?;
         Ok(self.out)
@@ -182,7 +182,7 @@
     notes: Receiver<Note>,
     complain: impl Fn(&str),
 ) {
-    let mut keeping = Keeping::new(bounds);
+    let mut keeping = Retention::new(bounds);
     let mut sheet: Option<Sheet<File>> = None;
     let mut lost: Option<(u64, Micros, Micros)> = None;
     let mut number = 0;
@@ -241,7 +241,7 @@
     row: &Row,
     start: &mut Start,
     number: &mut u64,
-    keeping: &mut Keeping,
+    keeping: &mut Retention,
     sheet: &mut Option<Sheet<File>>,
     lost: &mut Option<(u64, Micros, Micros)>,
     now: Micros,
--- a/crates/trace/tests/compared.rs
+++ b/crates/trace/tests/compared.rs
@@ -5,7 +5,7 @@
 use std::io::Cursor;
 
 use cedarpulley::interface::*;
-use cedarpulley_trace::compare::{Compare, Compared, Count, Did, Kind, kinds};
+use cedarpulley_trace::compare::{Compare, Compared, Decision, DifferenceCount, Kind, kinds};
 use cedarpulley_trace::reader::Reader;
 use cedarpulley_trace::replay::{Decisions, Step, drive, redo, replay};
 use cedarpulley_trace::start::Extent;
@@ -59,11 +59,15 @@
     let cases: [(&[Action], &[Action], &[Kind]); 11] = [
         (&[send(1)], &[send(1)], &[]),
         (&[send(1)], &[send(2)], &[Kind::SentElsewhere]),
-        (&[send(1)], &[], &[Kind::Instead(Did::Sent, Did::Held)]),
+        (
+            &[send(1)],
+            &[],
+            &[Kind::Instead(Decision::Sent, Decision::Held)],
+        ),
         (
             &[],
             &[throttle],
-            &[Kind::Instead(Did::Held, Did::Throttled)],
+            &[Kind::Instead(Decision::Held, Decision::Throttled)],
         ),
         (
             &[throttle],
@@ -95,7 +99,7 @@
                 invocation: 1,
                 dispatch: 0,
             }],
-            &[Kind::Instead(Did::Sent, Did::CalledBack)],
+            &[Kind::Instead(Decision::Sent, Decision::CalledBack)],
         ),
     ];
     for (one, other, wanted) in cases {
@@ -111,7 +115,7 @@
     let other = with_this_build(written(5, |n, actions| elsewhere(n, actions)));
     assert_eq!(
         other.by_kind,
-        [(Kind::SentElsewhere, Count { first: 1, later: 1 })]
+        [(Kind::SentElsewhere, DifferenceCount { first: 1, later: 1 })]
     );
     assert_eq!(
         (other.rows_differing, other.differing, other.decisions_exact),
--- a/crates/trace/tests/coursed.rs
+++ b/crates/trace/tests/coursed.rs
@@ -5,9 +5,9 @@
 use cedarpulley::interface::Micros;
 use cedarpulley_router::{Fate, Reason};
 use cedarpulley_trace::chart::svg;
-use cedarpulley_trace::course::Course;
 use cedarpulley_trace::records::Record;
 use cedarpulley_trace::start::Source;
+use cedarpulley_trace::timeline::Course;
 
 const SECOND: Micros = 1_000_000;
 
@@ -41,7 +41,7 @@
     let bins = course.bins();
     assert!(bins.len() <= 600 && bins.len() > 300, "{}", bins.len());
     assert!(bins.windows(2).all(|w| w[1].0 - w[0].0 == course.width()));
-    let sum = |figure: &dyn Fn(&cedarpulley_trace::course::Bin) -> u64| {
+    let sum = |figure: &dyn Fn(&cedarpulley_trace::timeline::TimelineBin) -> u64| {
         bins.iter().map(|b| figure(&b.1)).sum::<u64>()
     };
     assert_eq!(
--- a/crates/trace/tests/every_cause/mod.rs
+++ b/crates/trace/tests/every_cause/mod.rs
@@ -7,7 +7,7 @@
 use cedarpulley_router::entry::Short;
 use cedarpulley_router::{Fate, Reason};
 use cedarpulley_trace::blocks::Gather;
-use cedarpulley_trace::records::{Happened, Record, Space};
+use cedarpulley_trace::records::{Record, RecordedEvent, Space};
 use cedarpulley_trace::start::Start;
 use cedarpulley_trace::writer::Sheet;
 
@@ -46,9 +46,9 @@
             told.gather.name(0, Space::Function, n, &format!("f{n}"));
         }
         told.record(Record::Decided {
-            happened: Happened::List {
-                mode: EndpointListKind::Complete,
-                entries: (0..5).map(entry).collect(),
+            event: RecordedEvent::List {
+                kind: EndpointListKind::Complete,
+                endpoints: (0..5).map(entry).collect(),
             },
             actions: vec![Action::RequestEndpointList { watch: true }],
         });
@@ -62,7 +62,7 @@
 
     fn decided(&mut self, event: Event<'static>, actions: Vec<Action>) {
         self.record(Record::Decided {
-            happened: Happened::Other(event),
+            event: RecordedEvent::Other(event),
             actions,
         });
     }
--- a/crates/trace/tests/every_record/mod.rs
+++ b/crates/trace/tests/every_record/mod.rs
@@ -7,9 +7,9 @@
 use cedarpulley_router::{Fate, Reason};
 use cedarpulley_startup::StartupSettings;
 use cedarpulley_trace::blocks::Gather;
-use cedarpulley_trace::records::{self, Happened, Record, Space};
+use cedarpulley_trace::codec::Encoder;
+use cedarpulley_trace::records::{self, Record, RecordedEvent, Space};
 use cedarpulley_trace::start::{Extent, Source, Start};
-use cedarpulley_trace::wire::Put;
 use cedarpulley_trace::writer::Sheet;
 
 const FUNCTION: &str = "quote:7";
@@ -119,7 +119,7 @@
     ]
 }
 
-fn list(mode: EndpointListKind) -> Happened {
+fn list(mode: EndpointListKind) -> RecordedEvent {
     let entry = |(n, standing): (usize, &EndpointState)| Endpoint {
         worker: n as u32,
         fingerprint: 1_000 + n as u64,
@@ -131,7 +131,10 @@
         started_at: (n > 0).then_some(-17),
     };
     let entries = STANDINGS.iter().enumerate().map(entry).collect();
-    Happened::List { mode, entries }
+    RecordedEvent::List {
+        kind: mode,
+        endpoints: entries,
+    }
 }
 
 fn arrival(repeat: bool, prefers: Option<WorkerIndex>) -> Event<'static> {
@@ -186,7 +189,7 @@
 }
 
 /// Every event with every value of its enumerations.
-pub fn events() -> Vec<Happened> {
+pub fn events() -> Vec<RecordedEvent> {
     let mut events = vec![
         arrival(false, None),
         arrival(true, Some(2)),
@@ -229,7 +232,7 @@
     );
     let lists = MODES.into_iter().map(list);
     lists
-        .chain(events.into_iter().map(Happened::Other))
+        .chain(events.into_iter().map(RecordedEvent::Other))
         .collect()
 }
 
@@ -277,9 +280,9 @@
 
 fn names() -> Vec<Record> {
     let name = |space, ix, text: &str| Record::Name {
-        space,
-        ix,
-        text: text.into(),
+        kind: space,
+        index: ix,
+        name: text.into(),
     };
     let workers = (0..3).map(|w| name(Space::Worker, w, &format!("127.0.0.1:{w}")));
     let function = name(Space::Function, 0, FUNCTION);
@@ -287,17 +290,17 @@
 }
 
 fn decided() -> Vec<Record> {
-    let timer = Happened::Other(Event::Timer { token: 7 });
+    let timer = RecordedEvent::Other(Event::Timer { token: 7 });
     let of_event = |happened| Record::Decided {
-        happened,
+        event: happened,
         actions: Vec::new(),
     };
     let of_action = |action| Record::Decided {
-        happened: timer.clone(),
+        event: timer.clone(),
         actions: vec![action],
     };
     let all = Record::Decided {
-        happened: timer.clone(),
+        event: timer.clone(),
         actions: actions(),
     };
     let events = events().into_iter().map(of_event);
@@ -459,7 +462,7 @@
 pub fn sources() -> Vec<Source> {
     let source = |(n, extent): (usize, &Extent)| Source {
         start: start(n),
-        ahead: 1_500 * n as Micros,
+        clock_ahead: 1_500 * n as Micros,
         extent: *extent,
     };
     EXTENTS.iter().enumerate().map(source).collect()
@@ -481,8 +484,8 @@
 /// A line for each record of [`all`]: its bytes in hexadecimal digits.
 pub fn lines() -> String {
     let line = |record: &Record| {
-        let mut put = Put::default();
-        records::put(&mut put, record);
+        let mut put = Encoder::default();
+        records::encode_record(&mut put, record);
         let hex: String = put.bytes.iter().map(|b| format!("{b:02x}")).collect();
         hex + "\n"
     };
--- a/crates/trace/tests/explained.rs
+++ b/crates/trace/tests/explained.rs
@@ -5,9 +5,9 @@
 use cedarpulley::interface::*;
 use cedarpulley_router::entry::Short;
 use cedarpulley_router::{Fate, Reason};
-use cedarpulley_trace::explain::{Cause, Explain, Ranked};
+use cedarpulley_trace::explain::{Cause, Explain, RankedCause};
 use cedarpulley_trace::reader::Reader;
-use cedarpulley_trace::records::{Happened, Record, Space};
+use cedarpulley_trace::records::{Record, RecordedEvent, Space};
 use cedarpulley_trace::start::Source;
 
 const MS: Micros = 1_000;
@@ -31,16 +31,16 @@
         };
         (0..4).for_each(|w| {
             t.record(Record::Name {
-                space: Space::Worker,
-                ix: w,
-                text: format!("w{w}"),
+                kind: Space::Worker,
+                index: w,
+                name: format!("w{w}"),
             })
         });
         (0..4).for_each(|f| {
             t.record(Record::Name {
-                space: Space::Function,
-                ix: f,
-                text: format!("f{f}"),
+                kind: Space::Function,
+                index: f,
+                name: format!("f{f}"),
             })
         });
         t
@@ -58,7 +58,7 @@
 
     fn decided(&mut self, event: Event<'static>, actions: Vec<Action>) {
         self.record(Record::Decided {
-            happened: Happened::Other(event),
+            event: RecordedEvent::Other(event),
             actions,
         });
     }
@@ -135,7 +135,7 @@
         });
     }
 
-    fn ranked(self) -> Vec<Ranked> {
+    fn ranked(self) -> Vec<RankedCause> {
         self.explain.ranked()
     }
 }
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -6,12 +6,12 @@
 
 use cedarpulley::interface::*;
 use cedarpulley_trace::blocks::Gather;
-use cedarpulley_trace::keeping::{Bounds, Keeping, Step};
+use cedarpulley_trace::codec::{Decoder, Encoder};
 use cedarpulley_trace::reader::{Ended, Found, Reader};
-use cedarpulley_trace::records::{self, Happened, Record};
+use cedarpulley_trace::records::{self, Record, RecordedEvent};
 use cedarpulley_trace::replay::replay;
+use cedarpulley_trace::retention::{Bounds, Retention, Step};
 use cedarpulley_trace::start::Start;
-use cedarpulley_trace::wire::{Get, Put};
 use cedarpulley_trace::writer::{Note, Own, Row, run};
 use proptest::prelude::*;
 use small::{MS, places, start, written};
@@ -124,7 +124,7 @@
     let r = Reader::open(Cursor::new(bytes)).expect("a trace");
     let names: Vec<&str> = r.sources.iter().map(|s| s.start.router.as_str()).collect();
     assert_eq!(
-        (r.format, names, r.sources[1].ahead),
+        (r.format, names, r.sources[1].clock_ahead),
         (2, vec!["router-0", "router-0"], 5 * MS)
     );
 }
@@ -156,7 +156,7 @@
         file_age: 1000,
         budget: 350,
     };
-    let mut k = Keeping::new(bounds);
+    let mut k = Retention::new(bounds);
     k.began(0);
     assert_eq!((k.wrote(1, 60), k.wrote(2, 60)), (Step::GoOn, Step::Next));
     k.began(2);
@@ -196,7 +196,7 @@
         g.record(
             at,
             &Record::Decided {
-                happened: Happened::Other(Event::Timer { token: 1 }),
+                event: RecordedEvent::Other(Event::Timer { token: 1 }),
                 actions: vec![],
             },
         );
@@ -389,12 +389,12 @@
 
     #[test]
     fn any_decision_round_trips(event in event(), actions in prop::collection::vec(action(), 0..6)) {
-        let mut p = Put::default();
-        records::put_decided(&mut p, &event, &actions);
-        let mut g = Get::new(&p.bytes);
-        let back = records::get(&mut g, &|_| 0).expect("readable");
+        let mut p = Encoder::default();
+        records::encode_decided(&mut p, &event, &actions);
+        let mut g = Decoder::new(&p.bytes);
+        let back = records::decode_record(&mut g, &|_| 0).expect("readable");
         prop_assert!(g.is_empty());
-        let Record::Decided { happened, actions: read } = back else { panic!("another record") };
+        let Record::Decided { event: happened, actions: read } = back else { panic!("another record") };
         prop_assert_eq!(format!("{:?}", happened.event()), format!("{event:?}"));
         prop_assert_eq!(read, actions);
     }
--- a/crates/trace/tests/huge.rs
+++ b/crates/trace/tests/huge.rs
@@ -9,13 +9,13 @@
 
 use cap::Cap;
 use cedarpulley::interface::Event;
-use cedarpulley_trace::blocks::{END, Gather, Head, INDEX, Raw};
+use cedarpulley_trace::blocks::{BlockHeader, FOOTER_MAGIC, Gather, INDEX_MAGIC, Raw};
+use cedarpulley_trace::codec::Encoder;
 use cedarpulley_trace::merge::merge;
 use cedarpulley_trace::reader::Reader;
-use cedarpulley_trace::records::{Happened, Record};
+use cedarpulley_trace::records::{Record, RecordedEvent};
 use cedarpulley_trace::rewrite::cut;
-use cedarpulley_trace::select::Wanted;
-use cedarpulley_trace::wire::Put;
+use cedarpulley_trace::selection::Wanted;
 use cedarpulley_trace::writer::Sheet;
 
 /// Its limit holds for the whole process, so for one test at a time.
@@ -44,13 +44,13 @@
     fn new(records: u64, bytes: u64) -> Sparse {
         let mut g = Gather::default();
         for token in 0..records {
-            let happened = Happened::Other(Event::Timer {
+            let happened = RecordedEvent::Other(Event::Timer {
                 token: token.wrapping_mul(0x9E37_79B9_7F4A_7C15),
             });
             g.record(
                 0,
                 &Record::Decided {
-                    happened,
+                    event: happened,
                     actions: Vec::new(),
                 },
             );
@@ -84,23 +84,23 @@
     }
 
     fn index(&self) -> Vec<u8> {
-        let mut p = Put::default();
-        p.u(self.blocks);
+        let mut p = Encoder::default();
+        p.unsigned(self.blocks);
         for n in 0..self.blocks {
-            p.u(self.head.len() as u64 + n * self.size());
+            p.unsigned(self.head.len() as u64 + n * self.size());
             let first = n as i64 * APART;
-            p.i(first);
-            p.i(first);
-            p.u(self.raw.records.into());
-            p.u(0);
+            p.signed(first);
+            p.signed(first);
+            p.unsigned(self.raw.records.into());
+            p.unsigned(0);
         }
-        let mut out = INDEX.to_vec();
+        let mut out = INDEX_MAGIC.to_vec();
         out.extend((p.bytes.len() as u32).to_le_bytes());
         out.extend(&p.bytes);
         out.extend(crc32c::crc32c(&out).to_le_bytes());
         let mut footer = self.end_of_blocks().to_le_bytes().to_vec();
         footer.extend(crc32c::crc32c(&footer).to_le_bytes());
-        footer.extend(END);
+        footer.extend(FOOTER_MAGIC);
         out.extend(footer);
         out
     }
@@ -130,7 +130,11 @@
             if within < 40 {
                 self.raw.first = n as i64 * APART;
                 self.raw.last = self.raw.first;
-                from(&Head::new(&self.raw, 0, &self.packed).put(), within, into)
+                from(
+                    &BlockHeader::new(&self.raw, 0, &self.packed).encode(),
+                    within,
+                    into,
+                )
             } else {
                 from(&self.packed, within - 40, into)
             }
--- a/crates/trace/tests/kept_bytes.rs
+++ b/crates/trace/tests/kept_bytes.rs
@@ -11,10 +11,10 @@
 use cedarpulley::interface::*;
 use cedarpulley_router::{Fate, Reason};
 use cedarpulley_trace::blocks::{FORMAT, Gather};
+use cedarpulley_trace::codec::{Decoder, Encoder};
 use cedarpulley_trace::reader::{Ended, Found, Reader};
-use cedarpulley_trace::records::{self, Happened, Record};
-use cedarpulley_trace::start::{Source, get_sources, put_sources};
-use cedarpulley_trace::wire::{Get, Put};
+use cedarpulley_trace::records::{self, Record, RecordedEvent};
+use cedarpulley_trace::start::{Source, decode_sources, encode_sources};
 use cedarpulley_trace::writer::Sheet;
 
 const FILE: &[u8] = include_bytes!("fixtures/format-3.trace");
@@ -59,11 +59,11 @@
     assert_eq!(RECORDS.lines().count(), all.len());
     let function = fingerprint("quote:7");
     for (line, record) in RECORDS.lines().zip(&all) {
-        let (kept, mut put) = (bytes(line), Put::default());
-        records::put(&mut put, record);
+        let (kept, mut put) = (bytes(line), Encoder::default());
+        records::encode_record(&mut put, record);
         assert_eq!(put.bytes, kept, "{record:?}");
-        let mut get = Get::new(&kept);
-        let decoded = records::get(&mut get, &|_| function).expect("readable");
+        let mut get = Decoder::new(&kept);
+        let decoded = records::decode_record(&mut get, &|_| function).expect("readable");
         assert!(get.is_empty(), "{record:?}");
         assert_eq!(format!("{decoded:?}"), format!("{record:?}"));
     }
@@ -74,9 +74,13 @@
     let lines = RECORDS.lines().zip(every_record::all());
     let mut decisions = 0;
     for (line, record) in lines {
-        if let Record::Decided { happened, actions } = record {
-            let mut put = Put::default();
-            records::put_decided(&mut put, &happened.event(), &actions);
+        if let Record::Decided {
+            event: happened,
+            actions,
+        } = record
+        {
+            let mut put = Encoder::default();
+            records::encode_decided(&mut put, &happened.event(), &actions);
             assert_eq!(put.bytes, bytes(line), "{happened:?}, {actions:?}");
             decisions += 1;
         }
@@ -129,7 +133,7 @@
     );
     let arrival = records.iter().find_map(|(_, _, r)| match r {
         Record::Decided {
-            happened: Happened::Other(Event::Invocation(a)),
+            event: RecordedEvent::Other(Event::Invocation(a)),
             ..
         } => Some(*a),
         _ => None,
@@ -156,16 +160,16 @@
     let size = u32::from_le_bytes(FILE[12..16].try_into().expect("four bytes")) as usize;
     let kept = &FILE[16..16 + size];
     let values = every_record::sources();
-    assert_eq!(put_sources(&values), kept);
+    assert_eq!(encode_sources(&values), kept);
     assert_eq!(
-        put_sources(&get_sources(FORMAT, kept).expect("sources")),
+        encode_sources(&decode_sources(FORMAT, kept).expect("sources")),
         kept
     );
     assert_eq!(format!("{:#?}", reader.sources), format!("{values:#?}"));
     let (source, fleet) = (&reader.sources[2], reader.sources[2].start.startup.fleet);
     assert_eq!(
         (
-            source.ahead,
+            source.clock_ahead,
             source.start.router.as_str(),
             source.start.seed
         ),
--- a/crates/trace/tests/killed.rs
+++ b/crates/trace/tests/killed.rs
@@ -11,9 +11,9 @@
 
 use cedarpulley::interface::Event;
 use cedarpulley_trace::blocks::Gather;
-use cedarpulley_trace::keeping::Bounds;
 use cedarpulley_trace::reader::{Ended, Found, Reader};
-use cedarpulley_trace::records::{Happened, Record};
+use cedarpulley_trace::records::{Record, RecordedEvent};
+use cedarpulley_trace::retention::Bounds;
 use cedarpulley_trace::writer::{Note, Row, run, traces};
 
 /// Set for the process that is going to be killed.
@@ -44,10 +44,16 @@
         for n in 0..100 {
             // Tokens in order, as the records' numbers; spread so that they do not pack to nothing.
             let token = block * 100 + n;
-            let happened = Happened::Other(Event::Timer { token });
+            let happened = RecordedEvent::Other(Event::Timer { token });
             let after = (token.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 20) as i64;
             let actions = vec![cedarpulley::interface::Action::Timer { token, after }];
-            g.record(now + n as i64, &Record::Decided { happened, actions });
+            g.record(
+                now + n as i64,
+                &Record::Decided {
+                    event: happened,
+                    actions,
+                },
+            );
         }
         notes
             .send(Note::Block(now, g.close()))
@@ -73,7 +79,7 @@
             };
             for (_, record) in records {
                 let Record::Decided {
-                    happened: Happened::Other(Event::Timer { token }),
+                    event: RecordedEvent::Other(Event::Timer { token }),
                     ..
                 } = record
                 else {
--- a/crates/trace/tests/printed_names.rs
+++ b/crates/trace/tests/printed_names.rs
@@ -6,11 +6,11 @@
 use std::fmt::Debug;
 use std::path::Path;
 
-use cedarpulley_trace::compare::{Compared, Count, Did, Kind};
-use cedarpulley_trace::explain::{Cause, Ranked};
+use cedarpulley_trace::compare::{Compared, Decision, DifferenceCount, Kind};
+use cedarpulley_trace::explain::{Cause, RankedCause};
 use cedarpulley_trace::replay::told;
-use cedarpulley_trace::rules::Judged;
-use cedarpulley_trace::summary::{AtWorker, Fates, Summary, Times};
+use cedarpulley_trace::rule_check::RuleCheck;
+use cedarpulley_trace::summary::{LatencyQuantiles, OutcomeCounts, Summary, WorkerCounts};
 use serde::Serialize;
 
 /// In text as [`Debug`] has it, and as JSON.
@@ -45,13 +45,13 @@
 
 fn kinds() -> Vec<Kind> {
     let did = [
-        Did::Held,
-        Did::Sent,
-        Did::Throttled,
-        Did::Errored,
-        Did::CalledBack,
+        Decision::Held,
+        Decision::Sent,
+        Decision::Throttled,
+        Decision::Errored,
+        Decision::CalledBack,
     ];
-    let mut kinds: Vec<Kind> = did.map(|d| Kind::Instead(d, Did::Held)).into();
+    let mut kinds: Vec<Kind> = did.map(|d| Kind::Instead(d, Decision::Held)).into();
     kinds.extend([
         Kind::SentElsewhere,
         Kind::OtherFigures,
@@ -64,8 +64,8 @@
     kinds
 }
 
-fn ranked() -> Ranked {
-    Ranked {
+fn ranked() -> RankedCause {
+    RankedCause {
         cause: Cause::Held("subject".into()),
         cost: 1.5,
         lost: 2,
@@ -76,20 +76,20 @@
 }
 
 fn summary() -> Summary {
-    let (name, fates) = (|| "name".to_owned(), Fates::default);
+    let (name, fates) = (|| "name".to_owned(), OutcomeCounts::default);
     Summary {
         by_trigger: [(name(), fates())].into(),
         by_account: [(name(), fates())].into(),
         by_reason: [(name(), 1)].into(),
-        by_worker: [(name(), AtWorker::default())].into(),
-        succeeded_in: Times::default(),
+        by_worker: [(name(), WorkerCounts::default())].into(),
+        succeeded_in: LatencyQuantiles::default(),
         ..Default::default()
     }
 }
 
 fn compared() -> Compared {
     Compared {
-        by_kind: vec![(Kind::Timers, Count::default())],
+        by_kind: vec![(Kind::Timers, DifferenceCount::default())],
         ..Default::default()
     }
 }
@@ -109,7 +109,7 @@
         json(ranked()),
         json(summary()),
         json(compared()),
-        json(Judged::default()),
+        json(RuleCheck::default()),
     ];
     let lines = events.chain(actions).chain(words).chain(named).chain(kinds);
     lines.chain(objects).collect()
--- a/crates/trace/tests/rewriting.rs
+++ b/crates/trace/tests/rewriting.rs
@@ -8,10 +8,10 @@
 use cedarpulley_trace::blocks::Gather;
 use cedarpulley_trace::merge::{Offsets, merge};
 use cedarpulley_trace::reader::{Found, Reader};
-use cedarpulley_trace::records::{Happened, Record};
+use cedarpulley_trace::records::{Record, RecordedEvent};
 use cedarpulley_trace::replay::replay;
 use cedarpulley_trace::rewrite::{cut, strip};
-use cedarpulley_trace::select::Wanted;
+use cedarpulley_trace::selection::Wanted;
 use cedarpulley_trace::start::{Extent, Source, Start};
 use cedarpulley_trace::strip::Strip;
 use cedarpulley_trace::summary::{Counter, Summary};
@@ -37,8 +37,11 @@
     let mut sheet = Sheet::begin(Vec::new(), &[start.into()]).expect("written");
     for place in small::places(KEPT) {
         let (head, packed) = r.packed(&place).expect("read").expect("whole");
-        let sum = head.sum_over(2, &packed);
-        let head = cedarpulley_trace::blocks::Head { sum, ..head };
+        let sum = head.checksum_over(2, &packed);
+        let head = cedarpulley_trace::blocks::BlockHeader {
+            checksum: sum,
+            ..head
+        };
         sheet.packed(&head, &packed).expect("written");
     }
     sheet.end().expect("written")
@@ -227,14 +230,14 @@
                     started_at: None,
                 };
                 let at = (n * 3 + change) as Micros * 1000 * MS + late.get(n).copied().unwrap_or(0);
-                let happened = Happened::List {
-                    mode: EndpointListKind::Changes,
-                    entries: vec![entry],
+                let happened = RecordedEvent::List {
+                    kind: EndpointListKind::Changes,
+                    endpoints: vec![entry],
                 };
                 g.record(
                     at,
                     &Record::Decided {
-                        happened,
+                        event: happened,
                         actions: Vec::new(),
                     },
                 );
--- a/crates/trace/tests/ruled.rs
+++ b/crates/trace/tests/ruled.rs
@@ -6,8 +6,8 @@
 use cedarpulley::interface::*;
 use cedarpulley_router::{Fate, Reason};
 use cedarpulley_trace::reader::{Found, Reader};
-use cedarpulley_trace::records::{Happened, Record};
-use cedarpulley_trace::rules::{Judged, Rules};
+use cedarpulley_trace::records::{Record, RecordedEvent};
+use cedarpulley_trace::rule_check::{RuleCheck, Rules};
 use cedarpulley_trace::start::Source;
 
 /// No rule broken.
@@ -44,7 +44,7 @@
 fn record(told: &Told) -> Vec<Record> {
     let decided = |event, actions| {
         vec![Record::Decided {
-            happened: Happened::Other(event),
+            event: RecordedEvent::Other(event),
             actions,
         }]
     };
@@ -121,12 +121,12 @@
                 weight: 1.0,
                 started_at: None,
             };
-            let happened = Happened::List {
-                mode: EndpointListKind::Changes,
-                entries: vec![entry],
+            let happened = RecordedEvent::List {
+                kind: EndpointListKind::Changes,
+                endpoints: vec![entry],
             };
             vec![Record::Decided {
-                happened,
+                event: happened,
                 actions: vec![],
             }]
         }
@@ -142,7 +142,7 @@
 }
 
 /// Of one router, or of two that saw it one after the other.
-fn judged(effect: Effect, sides: &[&[(Micros, Told)]]) -> Judged {
+fn judged(effect: Effect, sides: &[&[(Micros, Told)]]) -> RuleCheck {
     let (of, mut rules, mut sources) = (source(effect), Rules::default(), HashMap::new());
     for (n, told) in sides.iter().enumerate() {
         sources.insert(n as u32, of.clone());
--- a/crates/trace/tests/small/mod.rs
+++ b/crates/trace/tests/small/mod.rs
@@ -6,10 +6,10 @@
 use cedarpulley::interface::*;
 use cedarpulley_router::{Fate, Reason};
 use cedarpulley_startup::StartupSettings;
+use cedarpulley_trace::block_index::BlockLocation;
 use cedarpulley_trace::blocks::Gather;
-use cedarpulley_trace::places::Place;
 use cedarpulley_trace::reader::Reader;
-use cedarpulley_trace::records::{Happened, Record, Space};
+use cedarpulley_trace::records::{Record, RecordedEvent, Space};
 use cedarpulley_trace::start::{Start, module_digest};
 use cedarpulley_trace::writer::Sheet;
 
@@ -89,13 +89,19 @@
     let (mut now, mut decision) = (0, 0);
     for block in 0..blocks {
         let mut g = Gather::default();
-        let mut told = |g: &mut Gather, now: Micros, happened: Happened| {
+        let mut told = |g: &mut Gather, now: Micros, happened: RecordedEvent| {
             let mut actions = Vec::new();
             control.handle(now, &happened.event(), &mut actions);
             decision += 1;
             let asked = actions.clone();
             change(decision, &mut actions);
-            g.record(now, &Record::Decided { happened, actions });
+            g.record(
+                now,
+                &Record::Decided {
+                    event: happened,
+                    actions,
+                },
+            );
             asked
         };
         g.name(now, Space::Function, 0, "quote:7");
@@ -114,9 +120,9 @@
             told(
                 &mut g,
                 now,
-                Happened::List {
-                    mode: EndpointListKind::Complete,
-                    entries: entries.collect(),
+                RecordedEvent::List {
+                    kind: EndpointListKind::Complete,
+                    endpoints: entries.collect(),
                 },
             );
         }
@@ -146,7 +152,11 @@
                 repeat: false,
                 preferred_worker: None,
             };
-            let asked = told(&mut g, now, Happened::Other(Event::Invocation(arrival)));
+            let asked = told(
+                &mut g,
+                now,
+                RecordedEvent::Other(Event::Invocation(arrival)),
+            );
             now += MS;
             for action in asked {
                 let Action::Dispatch {
@@ -184,7 +194,11 @@
                         ..Default::default()
                     },
                 };
-                told(&mut g, now, Happened::Other(Event::DispatchEnded(ending)));
+                told(
+                    &mut g,
+                    now,
+                    RecordedEvent::Other(Event::DispatchEnded(ending)),
+                );
             }
         }
         sheet.block(0, &g.close()).expect("written");
@@ -193,7 +207,7 @@
 }
 
 /// Of all blocks, by the index.
-pub fn places(bytes: &[u8]) -> Vec<Place> {
+pub fn places(bytes: &[u8]) -> Vec<BlockLocation> {
     let mut reader = Reader::open(Cursor::new(bytes)).expect("a trace");
     assert!(reader.has_index());
     std::iter::from_fn(|| reader.next_place().expect("read")).collect()
