--- a/crates/trace/src/blocks.rs
+++ b/crates/trace/src/blocks.rs
@@ -7,7 +7,8 @@
 use cedarpulley::interface::{Action, Event, Micros};
 
 use crate::codec::{DecodeError, Decoder, Encoder};
-use crate::records::{self, Record, RecordedEvent, Space};
+use crate::record_codec;
+use crate::records::{Record, RecordedEvent, Space};
 
 pub const FILE_MAGIC: [u8; 8] = *b"CPTRACE\0";
 /// 1: one source a file. 2: any number of them, each block of one.
@@ -142,7 +143,7 @@
         {
             self.named.insert((space, ix), text.to_owned());
             self.at(now);
-            records::encode_record(
+            record_codec::encode_record(
                 &mut self.put,
                 &Record::Name {
                     kind: space,
@@ -155,7 +156,7 @@
 
     pub fn decided(&mut self, now: Micros, event: &Event, actions: &[Action]) {
         self.at(now);
-        records::encode_decided(&mut self.put, event, actions);
+        record_codec::encode_decided(&mut self.put, event, actions);
     }
 
     pub fn record(&mut self, now: Micros, record: &Record) {
@@ -168,7 +169,7 @@
             self.named.insert((*space, *ix), text.clone());
         }
         self.at(now);
-        records::encode_record(&mut self.put, record);
+        record_codec::encode_record(&mut self.put, record);
     }
 
     pub fn is_full(&self) -> bool {
@@ -282,7 +283,7 @@
             .and_then(|step| now.checked_add(step))
             .ok_or(DecodeError::UnknownValue)?;
         let record =
-            records::decode_record(&mut g, &|func| names.get(&func).copied().unwrap_or(0))?;
+            record_codec::decode_record(&mut g, &|func| names.get(&func).copied().unwrap_or(0))?;
         if let Record::Name {
             kind: Space::Function,
             index,
--- /dev/null
+++ b/crates/trace/src/event_codec.rs
@@ -0,0 +1,476 @@
+//! Bytes of events and actions. Tags and the order of fields are those of the trace format: a new kind takes a new
+//! tag, and none is ever reused.
+
+use cedarpulley::interface::*;
+
+use crate::codec::{DecodeError, Decoder, Encoder};
+use crate::records::RecordedEvent;
+
+/// Declares the values of an enumeration in the order of their tags, and a match that fails to compile when the
+/// enumeration has grown and its table has not: a value without a tag would make its block unreadable.
+macro_rules! tag_table {
+    ($table:ident: $enumeration:ident, $($value:ident),+) => {
+        pub(crate) const $table: &[$enumeration] = &[$($enumeration::$value),+];
+        const _: fn($enumeration) = |value| match value {
+            $($enumeration::$value => {})+
+        };
+    };
+}
+pub(crate) use tag_table;
+
+tag_table!(OUTCOMES: DispatchOutcome, Succeeded, Errored, Rejected, TimedOut, Unreachable, ConnectionLost, Cancelled, NotSent, NotLoaded);
+tag_table!(COPY_STATUSES: CopyStatus, Unreported, Warm, LoadStarted, LoadAwaited, LoadFailed);
+tag_table!(ORDER_RESULTS: LoadOrderResult, Loaded, NoCapacity, LoadFailed, ConnectionLost, Unreachable, TimedOut);
+tag_table!(LIST_KINDS: EndpointListKind, Changes, Complete, Cached, Failed);
+tag_table!(ENDPOINT_STATES: EndpointState, InService, Draining, Gone);
+
+const ENDPOINT_LIST: u8 = 0;
+const INVOCATION: u8 = 1;
+const CLIENT_LEFT: u8 = 2;
+const ANSWER_STARTED: u8 = 3;
+const DISPATCH_ENDED: u8 = 4;
+const ORDER_ENDED: u8 = 5;
+const PROBE_ENDED: u8 = 6;
+const TIMER_FIRED: u8 = 7;
+/// An invocation with a preferred worker; one without keeps the tag and bytes that it has had since format 1.
+const INVOCATION_WITH_PREFERENCE: u8 = 8;
+const COPY_WANTED: u8 = 9;
+const COPIES_REPORTED: u8 = 10;
+
+const DISPATCH: u8 = 0;
+const CANCEL: u8 = 1;
+const REJECT: u8 = 2;
+const FAIL: u8 = 3;
+const LOAD_ORDER: u8 = 4;
+const UNLOAD: u8 = 5;
+const PROBE: u8 = 6;
+const SET_TIMER: u8 = 7;
+const REQUEST_ENDPOINT_LIST: u8 = 8;
+const RELEASE_FUNCTION: u8 = 9;
+
+/// Writes a value's position in its table: tables only grow at their end.
+pub(crate) fn encode_tag<T: PartialEq>(out: &mut Encoder, table: &[T], value: &T) {
+    let position = table.iter().position(|entry| entry == value);
+    out.byte(position.unwrap_or(usize::from(u8::MAX)) as u8);
+}
+
+pub(crate) fn decode_tag<T: Copy>(input: &mut Decoder, table: &[T]) -> Result<T, DecodeError> {
+    table
+        .get(usize::from(input.byte()?))
+        .copied()
+        .ok_or(DecodeError::UnknownValue)
+}
+
+fn encode_indices<const N: usize>(out: &mut Encoder, indices: [u32; N]) {
+    indices
+        .into_iter()
+        .for_each(|index| out.unsigned(index.into()));
+}
+
+/// A byte with a bit for each field that is present, then these fields.
+fn encode_report(out: &mut Encoder, report: &LoadReport) {
+    let fields = [
+        report.in_flight,
+        report.queued,
+        report.utilization,
+        report.loads_in_progress,
+        report.memory_fraction,
+    ];
+    let present = fields.iter().enumerate();
+    out.byte(
+        present
+            .map(|(n, field)| u8::from(field.is_some()) << n)
+            .sum(),
+    );
+    fields
+        .into_iter()
+        .flatten()
+        .for_each(|value| out.float(value));
+}
+
+fn decode_report(input: &mut Decoder) -> Result<LoadReport, DecodeError> {
+    let present = input.byte()?;
+    let mut field = |n: u8| {
+        if present >> n & 1 == 1 {
+            input.float().map(Some)
+        } else {
+            Ok(None)
+        }
+    };
+    Ok(LoadReport {
+        in_flight: field(0)?,
+        queued: field(1)?,
+        utilization: field(2)?,
+        loads_in_progress: field(3)?,
+        memory_fraction: field(4)?,
+    })
+}
+
+fn encode_endpoint(out: &mut Encoder, endpoint: &Endpoint) {
+    out.unsigned(endpoint.worker.into());
+    out.unsigned(endpoint.fingerprint);
+    encode_indices(out, [endpoint.zone, endpoint.machine_kind, endpoint.cell]);
+    encode_tag(out, ENDPOINT_STATES, &endpoint.state);
+    out.float(endpoint.weight);
+    out.optional(endpoint.started_at, Encoder::signed);
+}
+
+fn decode_endpoint(input: &mut Decoder) -> Result<Endpoint, DecodeError> {
+    Ok(Endpoint {
+        worker: input.u32()?,
+        fingerprint: input.unsigned()?,
+        zone: input.u32()?,
+        machine_kind: input.u32()?,
+        cell: input.u32()?,
+        state: decode_tag(input, ENDPOINT_STATES)?,
+        weight: input.float()?,
+        started_at: input.optional(Decoder::signed)?,
+    })
+}
+
+fn encode_arrival(out: &mut Encoder, arrival: &Arrival) {
+    out.byte(match arrival.preferred_worker {
+        Some(_) => INVOCATION_WITH_PREFERENCE,
+        None => INVOCATION,
+    });
+    encode_indices(
+        out,
+        [
+            arrival.invocation,
+            arrival.trigger,
+            arrival.account,
+            arrival.function,
+        ],
+    );
+    out.optional(arrival.cost_hint, Encoder::signed);
+    out.optional(arrival.load_hint, Encoder::signed);
+    out.float(arrival.copy_mb);
+    out.unsigned(arrival.lanes.into());
+    out.signed(arrival.client_timeout_in);
+    out.signed(arrival.waited);
+    out.byte(u8::from(arrival.repeat));
+    if let Some(worker) = arrival.preferred_worker {
+        out.unsigned(worker.into());
+    }
+}
+
+/// Without the preferred worker, which follows in an event of the later tag.
+fn decode_arrival(
+    input: &mut Decoder,
+    fingerprint: &dyn Fn(u32) -> u64,
+) -> Result<Arrival, DecodeError> {
+    let (invocation, trigger, account, function) =
+        (input.u32()?, input.u32()?, input.u32()?, input.u32()?);
+    Ok(Arrival {
+        invocation,
+        trigger,
+        account,
+        function,
+        fingerprint: fingerprint(function),
+        cost_hint: input.optional(Decoder::signed)?,
+        load_hint: input.optional(Decoder::signed)?,
+        copy_mb: input.float()?,
+        lanes: input.u32()?,
+        client_timeout_in: input.signed()?,
+        waited: input.signed()?,
+        repeat: input.flag()?,
+        preferred_worker: None,
+    })
+}
+
+fn encode_dispatch_ended(out: &mut Encoder, ended: &DispatchEnded) {
+    out.byte(DISPATCH_ENDED);
+    encode_indices(out, [ended.invocation, ended.dispatch, ended.worker]);
+    encode_tag(out, OUTCOMES, &ended.outcome);
+    out.signed(ended.took);
+    out.byte(u8::from(ended.answered));
+    encode_tag(out, COPY_STATUSES, &ended.copy_status);
+    out.optional(ended.function_load, |out, load| out.unsigned(load.into()));
+    encode_report(out, &ended.report);
+}
+
+fn decode_dispatch_ended(input: &mut Decoder) -> Result<DispatchEnded, DecodeError> {
+    Ok(DispatchEnded {
+        invocation: input.u32()?,
+        dispatch: input.u32()?,
+        worker: input.u32()?,
+        outcome: decode_tag(input, OUTCOMES)?,
+        took: input.signed()?,
+        answered: input.flag()?,
+        copy_status: decode_tag(input, COPY_STATUSES)?,
+        function_load: input.optional(Decoder::u32)?,
+        report: decode_report(input)?,
+    })
+}
+
+/// Writes an event with its tag.
+pub fn encode_event(out: &mut Encoder, event: &Event) {
+    match *event {
+        Event::EndpointList { kind, endpoints } => {
+            out.byte(ENDPOINT_LIST);
+            encode_tag(out, LIST_KINDS, &kind);
+            out.unsigned(endpoints.len() as u64);
+            endpoints.iter().for_each(|e| encode_endpoint(out, e));
+        }
+        Event::Invocation(ref arrival) => encode_arrival(out, arrival),
+        Event::ClientLeft { invocation } => {
+            out.byte(CLIENT_LEFT);
+            out.unsigned(invocation.into());
+        }
+        Event::AnswerStarted {
+            invocation,
+            dispatch,
+            worker,
+        } => {
+            out.byte(ANSWER_STARTED);
+            encode_indices(out, [invocation, dispatch, worker]);
+        }
+        Event::DispatchEnded(ref ended) => encode_dispatch_ended(out, ended),
+        Event::Timer { token } => {
+            out.byte(TIMER_FIRED);
+            out.unsigned(token);
+        }
+        _ => encode_worker_event(out, event),
+    }
+}
+
+/// The events of a worker's copies and probes.
+fn encode_worker_event(out: &mut Encoder, event: &Event) {
+    match *event {
+        Event::OrderEnded {
+            worker,
+            function,
+            result,
+            took,
+            copies,
+        } => {
+            out.byte(ORDER_ENDED);
+            encode_indices(out, [worker, function]);
+            encode_tag(out, ORDER_RESULTS, &result);
+            out.signed(took);
+            out.unsigned(copies.into());
+        }
+        Event::ProbeEnded {
+            worker,
+            outcome,
+            took,
+            ref report,
+        } => {
+            out.byte(PROBE_ENDED);
+            out.unsigned(worker.into());
+            encode_tag(out, OUTCOMES, &outcome);
+            out.signed(took);
+            encode_report(out, report);
+        }
+        Event::CopyWanted {
+            worker,
+            ref function,
+        } => {
+            out.byte(COPY_WANTED);
+            encode_indices(
+                out,
+                [worker, function.function, function.trigger, function.lanes],
+            );
+        }
+        Event::CopiesReported {
+            worker,
+            function,
+            copies,
+        } => {
+            out.byte(COPIES_REPORTED);
+            encode_indices(out, [worker, function, copies]);
+        }
+        Event::EndpointList { .. }
+        | Event::Invocation(_)
+        | Event::ClientLeft { .. }
+        | Event::AnswerStarted { .. }
+        | Event::DispatchEnded(_)
+        | Event::Timer { .. } => {}
+    }
+}
+
+/// Reads an event. `fingerprint` gives that of a function index: it is computed from the function's name, as every
+/// router does, and not stored.
+pub fn decode_event(
+    input: &mut Decoder,
+    fingerprint: &dyn Fn(u32) -> u64,
+) -> Result<RecordedEvent, DecodeError> {
+    let event = match input.byte()? {
+        ENDPOINT_LIST => {
+            return Ok(RecordedEvent::List {
+                kind: decode_tag(input, LIST_KINDS)?,
+                endpoints: input.list(decode_endpoint)?,
+            });
+        }
+        INVOCATION => Event::Invocation(decode_arrival(input, fingerprint)?),
+        INVOCATION_WITH_PREFERENCE => {
+            let arrival = decode_arrival(input, fingerprint)?;
+            Event::Invocation(Arrival {
+                preferred_worker: Some(input.u32()?),
+                ..arrival
+            })
+        }
+        CLIENT_LEFT => Event::ClientLeft {
+            invocation: input.u32()?,
+        },
+        ANSWER_STARTED => Event::AnswerStarted {
+            invocation: input.u32()?,
+            dispatch: input.u32()?,
+            worker: input.u32()?,
+        },
+        DISPATCH_ENDED => Event::DispatchEnded(decode_dispatch_ended(input)?),
+        TIMER_FIRED => Event::Timer {
+            token: input.unsigned()?,
+        },
+        tag => decode_worker_event(tag, input, fingerprint)?,
+    };
+    Ok(RecordedEvent::Other(event))
+}
+
+fn decode_worker_event(
+    tag: u8,
+    input: &mut Decoder,
+    fingerprint: &dyn Fn(u32) -> u64,
+) -> Result<Event<'static>, DecodeError> {
+    Ok(match tag {
+        ORDER_ENDED => Event::OrderEnded {
+            worker: input.u32()?,
+            function: input.u32()?,
+            result: decode_tag(input, ORDER_RESULTS)?,
+            took: input.signed()?,
+            copies: input.u32()?,
+        },
+        PROBE_ENDED => Event::ProbeEnded {
+            worker: input.u32()?,
+            outcome: decode_tag(input, OUTCOMES)?,
+            took: input.signed()?,
+            report: decode_report(input)?,
+        },
+        COPY_WANTED => {
+            let (worker, function) = (input.u32()?, input.u32()?);
+            Event::CopyWanted {
+                worker,
+                function: FunctionInfo {
+                    function,
+                    fingerprint: fingerprint(function),
+                    trigger: input.u32()?,
+                    lanes: input.u32()?,
+                },
+            }
+        }
+        COPIES_REPORTED => Event::CopiesReported {
+            worker: input.u32()?,
+            function: input.u32()?,
+            copies: input.u32()?,
+        },
+        _ => return Err(DecodeError::UnknownValue),
+    })
+}
+
+/// Writes an action with its tag.
+pub fn encode_action(out: &mut Encoder, action: &Action) {
+    match *action {
+        Action::Dispatch {
+            invocation,
+            worker,
+            timeout,
+        } => {
+            out.byte(DISPATCH);
+            encode_indices(out, [invocation, worker]);
+            out.optional(timeout, Encoder::signed);
+        }
+        Action::Cancel {
+            invocation,
+            dispatch,
+        } => {
+            out.byte(CANCEL);
+            encode_indices(out, [invocation, dispatch]);
+        }
+        Action::Reject {
+            invocation,
+            retry_after,
+        } => {
+            out.byte(REJECT);
+            out.unsigned(invocation.into());
+            out.optional(retry_after, Encoder::signed);
+        }
+        Action::Fail { invocation } => {
+            out.byte(FAIL);
+            out.unsigned(invocation.into());
+        }
+        Action::LoadOrder {
+            worker,
+            function,
+            copies,
+        } => {
+            out.byte(LOAD_ORDER);
+            encode_indices(out, [worker, function, copies]);
+        }
+        Action::Unload { worker, function } => {
+            out.byte(UNLOAD);
+            encode_indices(out, [worker, function]);
+        }
+        Action::Probe { worker } => {
+            out.byte(PROBE);
+            out.unsigned(worker.into());
+        }
+        Action::Timer { token, after } => {
+            out.byte(SET_TIMER);
+            out.unsigned(token);
+            out.signed(after);
+        }
+        Action::RequestEndpointList { watch } => {
+            out.byte(REQUEST_ENDPOINT_LIST);
+            out.byte(u8::from(watch));
+        }
+        Action::ReleaseFunction { function } => {
+            out.byte(RELEASE_FUNCTION);
+            out.unsigned(function.into());
+        }
+    }
+}
+
+/// Reads an action.
+pub fn decode_action(input: &mut Decoder) -> Result<Action, DecodeError> {
+    Ok(match input.byte()? {
+        DISPATCH => Action::Dispatch {
+            invocation: input.u32()?,
+            worker: input.u32()?,
+            timeout: input.optional(Decoder::signed)?,
+        },
+        CANCEL => Action::Cancel {
+            invocation: input.u32()?,
+            dispatch: input.u32()?,
+        },
+        REJECT => Action::Reject {
+            invocation: input.u32()?,
+            retry_after: input.optional(Decoder::signed)?,
+        },
+        FAIL => Action::Fail {
+            invocation: input.u32()?,
+        },
+        LOAD_ORDER => Action::LoadOrder {
+            worker: input.u32()?,
+            function: input.u32()?,
+            copies: input.u32()?,
+        },
+        UNLOAD => Action::Unload {
+            worker: input.u32()?,
+            function: input.u32()?,
+        },
+        PROBE => Action::Probe {
+            worker: input.u32()?,
+        },
+        SET_TIMER => Action::Timer {
+            token: input.unsigned()?,
+            after: input.signed()?,
+        },
+        REQUEST_ENDPOINT_LIST => Action::RequestEndpointList {
+            watch: input.flag()?,
+        },
+        RELEASE_FUNCTION => Action::ReleaseFunction {
+            function: input.u32()?,
+        },
+        _ => return Err(DecodeError::UnknownValue),
+    })
+}
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,7 +1,7 @@
 //! Trace files: the events a router received and the decisions it made, recorded off the decision path, and the tools
 //! that read them. Start reading at [`records::Record`]; `docs/design/trace-format.md` describes the bytes.
 //!
-//! * [`codec`], [`records`], [`start`], [`blocks`], [`block_index`]: the file format, without I/O.
+//! * [`codec`], [`event_codec`], [`record_codec`], [`start`], [`blocks`], [`block_index`]: the file format, without I/O.
 //! * [`retention`]: when a file ends, which old files are deleted, and how long writing pauses after a disk error.
 //! * [`writer`], [`reader`]: files. A trace never blocks a router: what cannot be written becomes a gap record.
 //! * [`replay`]: feeds recorded events to this build's decision module and finds the first decision that differs;
@@ -18,10 +18,12 @@
 pub mod codec;
 pub mod compare;
 mod error;
+pub mod event_codec;
 pub mod explain;
 pub mod invocation_history;
 pub mod merge;
 pub mod reader;
+pub mod record_codec;
 pub mod records;
 pub mod replay;
 pub mod retention;
@@ -29,6 +31,7 @@
 pub mod rule_check;
 pub mod selection;
 pub mod start;
+pub mod start_codec;
 pub mod strip;
 pub mod summary;
 pub mod timeline;
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -13,7 +13,8 @@
 };
 use crate::codec::{DecodeError, Decoder};
 use crate::records::Record;
-use crate::start::{Source, decode_sources};
+use crate::start::Source;
+use crate::start_codec::decode_sources;
 
 /// Heads beyond this size are none.
 const MOST_HEAD: u32 = 16 << 20;
--- /dev/null
+++ b/crates/trace/src/record_codec.rs
@@ -0,0 +1,158 @@
+//! Bytes of a record: a tag and its fields. Its time is written before it, by [`crate::blocks`]. Tests open files of
+//! all earlier formats.
+
+use cedarpulley::interface::{Action, Event};
+use cedarpulley_router::entry::Short;
+use cedarpulley_router::{Fate, Reason};
+
+use crate::codec::{DecodeError, Decoder, Encoder};
+use crate::event_codec::{
+    decode_action, decode_event, decode_tag, encode_action, encode_event, encode_tag, tag_table,
+};
+use crate::records::{Record, Space};
+
+tag_table!(REASONS: Reason, Worker, GivenUp, Expired, MayHaveRun, Overdue, Functions, Size, Share, NoMajority, SessionOver, Alone);
+tag_table!(OUTCOMES: Fate, Succeeded, Throttled, Errored);
+tag_table!(REJECTION_REASONS: Short, Stopping, Memory, All, Front, Account, Connection, Worth);
+
+/// Kinds of records; the high bits of the tag are reserved.
+const NAME: u8 = 1;
+const DECIDED: u8 = 2;
+const ACCEPTED: u8 = 3;
+const ANSWERED: u8 = 4;
+const REJECTED: u8 = 5;
+const GAP: u8 = 6;
+
+/// Writes a [`Record::Decided`] without copying the event.
+pub fn encode_decided(out: &mut Encoder, event: &Event, actions: &[Action]) {
+    out.byte(DECIDED);
+    encode_event(out, event);
+    out.unsigned(actions.len() as u64);
+    actions.iter().for_each(|action| encode_action(out, action));
+}
+
+/// Writes a record with its tag.
+pub fn encode_record(out: &mut Encoder, record: &Record) {
+    match record {
+        Record::Name { kind, index, name } => {
+            out.byte(NAME);
+            out.byte(u8::from(*kind == Space::Worker));
+            out.unsigned((*index).into());
+            out.text(name);
+        }
+        Record::Decided { event, actions } => encode_decided(out, &event.event(), actions),
+        Record::Taken {
+            inv,
+            front,
+            mark,
+            redelivered,
+        } => {
+            out.byte(ACCEPTED);
+            out.unsigned((*inv).into());
+            out.unsigned((*front).into());
+            out.optional(*mark, |out, mark| out.bytes.extend(mark.to_le_bytes()));
+            out.byte(u8::from(*redelivered));
+        }
+        Record::Answered { .. } => encode_answered(out, record),
+        Record::TurnedAway {
+            front,
+            trigger,
+            account,
+            why,
+        } => {
+            out.byte(REJECTED);
+            [*front, *trigger, *account]
+                .into_iter()
+                .for_each(|index| out.unsigned(index.into()));
+            encode_tag(out, REJECTION_REASONS, why);
+        }
+        Record::Gap {
+            records,
+            from,
+            until,
+        } => {
+            out.byte(GAP);
+            out.unsigned(*records);
+            out.signed(*from);
+            out.signed(*until);
+        }
+    }
+}
+
+/// Writes a [`Record::Answered`]; of other records nothing.
+fn encode_answered(out: &mut Encoder, record: &Record) {
+    let Record::Answered {
+        inv,
+        front,
+        fate,
+        reason,
+        trigger,
+        account,
+        took,
+    } = record
+    else {
+        return;
+    };
+    out.byte(ANSWERED);
+    out.optional(*inv, |out, invocation| out.unsigned(invocation.into()));
+    out.unsigned((*front).into());
+    encode_tag(out, OUTCOMES, fate);
+    encode_tag(out, REASONS, reason);
+    out.unsigned((*trigger).into());
+    out.unsigned((*account).into());
+    out.signed(*took);
+}
+
+/// Reads a record. `fingerprint` gives that of a function index.
+pub fn decode_record(
+    input: &mut Decoder,
+    fingerprint: &dyn Fn(u32) -> u64,
+) -> Result<Record, DecodeError> {
+    Ok(match input.byte()? {
+        NAME => Record::Name {
+            kind: if input.flag()? {
+                Space::Worker
+            } else {
+                Space::Function
+            },
+            index: input.u32()?,
+            name: input.text()?.to_owned(),
+        },
+        DECIDED => Record::Decided {
+            event: decode_event(input, fingerprint)?,
+            actions: input.list(decode_action)?,
+        },
+        ACCEPTED => Record::Taken {
+            inv: input.u32()?,
+            front: input.u32()?,
+            mark: input.optional(|input| {
+                let bytes = input.take(8)?.try_into();
+                Ok(u64::from_le_bytes(
+                    bytes.map_err(|_| DecodeError::Truncated)?,
+                ))
+            })?,
+            redelivered: input.flag()?,
+        },
+        ANSWERED => Record::Answered {
+            inv: input.optional(Decoder::u32)?,
+            front: input.u32()?,
+            fate: decode_tag(input, OUTCOMES)?,
+            reason: decode_tag(input, REASONS)?,
+            trigger: input.u32()?,
+            account: input.u32()?,
+            took: input.signed()?,
+        },
+        REJECTED => Record::TurnedAway {
+            front: input.u32()?,
+            trigger: input.u32()?,
+            account: input.u32()?,
+            why: decode_tag(input, REJECTION_REASONS)?,
+        },
+        GAP => Record::Gap {
+            records: input.unsigned()?,
+            from: input.signed()?,
+            until: input.signed()?,
+        },
+        _ => return Err(DecodeError::UnknownValue),
+    })
+}
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -9,8 +9,9 @@
 use crate::Error;
 use crate::blocks::{Gather, for_each_named_index};
 use crate::codec::Encoder;
+use crate::event_codec::encode_action;
 use crate::reader::{Found, Reader};
-use crate::records::{Record, RecordedEvent, encode_action};
+use crate::records::{Record, RecordedEvent};
 use crate::start::{Extent, Source, module_digest};
 use crate::writer::Sheet;
 
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -12,7 +12,8 @@
 use crate::block_index::{BlockIndexBuilder, BlockLocation};
 use crate::blocks::{BLOCK_HEADER_BYTES, BlockHeader, FILE_MAGIC, FOOTER_MAGIC, FORMAT, Raw};
 use crate::retention::{Bounds, Retention, Step};
-use crate::start::{Source, Start, encode_sources};
+use crate::start::{Source, Start};
+use crate::start_codec::encode_sources;
 
 /// Packs a fiftieth smaller than the fastest at a cost that was not told apart; more effort gained next to nothing.
 const EFFORT: i32 = 3;
--- a/crates/trace/tests/every_record/mod.rs
+++ b/crates/trace/tests/every_record/mod.rs
@@ -8,7 +8,8 @@
 use cedarpulley_startup::StartupSettings;
 use cedarpulley_trace::blocks::Gather;
 use cedarpulley_trace::codec::Encoder;
-use cedarpulley_trace::records::{self, Record, RecordedEvent, Space};
+use cedarpulley_trace::record_codec;
+use cedarpulley_trace::records::{Record, RecordedEvent, Space};
 use cedarpulley_trace::start::{Extent, Source, Start};
 use cedarpulley_trace::writer::Sheet;
 
@@ -485,7 +486,7 @@
 pub fn lines() -> String {
     let line = |record: &Record| {
         let mut put = Encoder::default();
-        records::encode_record(&mut put, record);
+        record_codec::encode_record(&mut put, record);
         let hex: String = put.bytes.iter().map(|b| format!("{b:02x}")).collect();
         hex + "\n"
     };
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -8,7 +8,8 @@
 use cedarpulley_trace::blocks::Gather;
 use cedarpulley_trace::codec::{Decoder, Encoder};
 use cedarpulley_trace::reader::{Ended, Found, Reader};
-use cedarpulley_trace::records::{self, Record, RecordedEvent};
+use cedarpulley_trace::record_codec;
+use cedarpulley_trace::records::{Record, RecordedEvent, Space};
 use cedarpulley_trace::replay::replay;
 use cedarpulley_trace::retention::{Bounds, Retention, Step};
 use cedarpulley_trace::start::Start;
@@ -91,7 +92,7 @@
     let mut g = Gather::default();
     ["a", "a", "b", "b", "a"]
         .iter()
-        .for_each(|name| g.name(0, records::Space::Worker, 3, name));
+        .for_each(|name| g.name(0, Space::Worker, 3, name));
     assert_eq!(g.records(), 3);
 }
 
@@ -390,9 +391,9 @@
     #[test]
     fn any_decision_round_trips(event in event(), actions in prop::collection::vec(action(), 0..6)) {
         let mut p = Encoder::default();
-        records::encode_decided(&mut p, &event, &actions);
+        record_codec::encode_decided(&mut p, &event, &actions);
         let mut g = Decoder::new(&p.bytes);
-        let back = records::decode_record(&mut g, &|_| 0).expect("readable");
+        let back = record_codec::decode_record(&mut g, &|_| 0).expect("readable");
         prop_assert!(g.is_empty());
         let Record::Decided { event: happened, actions: read } = back else { panic!("another record") };
         prop_assert_eq!(format!("{:?}", happened.event()), format!("{event:?}"));
--- a/crates/trace/tests/kept_bytes.rs
+++ b/crates/trace/tests/kept_bytes.rs
@@ -13,8 +13,10 @@
 use cedarpulley_trace::blocks::{FORMAT, Gather};
 use cedarpulley_trace::codec::{Decoder, Encoder};
 use cedarpulley_trace::reader::{Ended, Found, Reader};
-use cedarpulley_trace::records::{self, Record, RecordedEvent};
-use cedarpulley_trace::start::{Source, decode_sources, encode_sources};
+use cedarpulley_trace::record_codec;
+use cedarpulley_trace::records::{Record, RecordedEvent};
+use cedarpulley_trace::start::Source;
+use cedarpulley_trace::start_codec::{decode_sources, encode_sources};
 use cedarpulley_trace::writer::Sheet;
 
 const FILE: &[u8] = include_bytes!("fixtures/format-3.trace");
@@ -60,10 +62,10 @@
     let function = fingerprint("quote:7");
     for (line, record) in RECORDS.lines().zip(&all) {
         let (kept, mut put) = (bytes(line), Encoder::default());
-        records::encode_record(&mut put, record);
+        record_codec::encode_record(&mut put, record);
         assert_eq!(put.bytes, kept, "{record:?}");
         let mut get = Decoder::new(&kept);
-        let decoded = records::decode_record(&mut get, &|_| function).expect("readable");
+        let decoded = record_codec::decode_record(&mut get, &|_| function).expect("readable");
         assert!(get.is_empty(), "{record:?}");
         assert_eq!(format!("{decoded:?}"), format!("{record:?}"));
     }
@@ -80,7 +82,7 @@
         } = record
         {
             let mut put = Encoder::default();
-            records::encode_decided(&mut put, &happened.event(), &actions);
+            record_codec::encode_decided(&mut put, &happened.event(), &actions);
             assert_eq!(put.bytes, bytes(line), "{happened:?}, {actions:?}");
             decisions += 1;
         }
