--- a/crates/trace/src/explain.rs
+++ b/crates/trace/src/explain.rs
@@ -1,148 +1,67 @@
-//! Ranks causes: for each invocation without success or late, the one thing that cost it most, from what was decided
-//! and what came of it. Free of I/O: [`Explain::record`] takes the records of all sources, each source's in its own
-//! order; [`Explain::ranked`] gives the causes, dearest first.
+//! Ranks causes: for each invocation that failed or was late, the one thing that cost it most, from decisions and their
+//! outcomes. Free of I/O: [`Explain::record`] takes the records of all sources, each source's in its own order;
+//! [`Explain::ranked`] returns the causes, most expensive first.
 //!
 //! Mechanisms:
-//! 1. Each lost or late invocation has one cause, the first of these that holds: a limit turned it away; a dispatch
-//!    of it failed at a worker; it waited for a load; it was held for a lane; its worker was slower than usual; it
-//!    was its own work.
-//! 2. A cause has a subject (worker, function, trigger type, account, front), so that one bad worker is one line.
-//! 3. The cost is what the billing lost: all of the billed value, or what a late answer does not earn.
+//! 1. Each failed or late invocation has one cause, the first of these that holds: a limit rejected it; a dispatch of
+//!    it failed at a worker; it waited for a load; it was queued for a lane; its worker was slower than usual; its own
+//!    execution took that long.
+//! 2. A cause has a subject (worker, function, trigger type, account, listener), so that one bad worker is one line.
+//! 3. The cost is the billed value lost: all of it, or the part that a late answer does not earn.
 //! 4. Loads of many functions that were waited for are one cause, the store's, rather than one for each.
 
-use std::collections::{BTreeMap, HashMap, HashSet};
+mod cause;
+mod source_state;
 
-use cedarpulley::interface::{
-    Action, CopyStatus, DispatchOutcome, Event, InvocationIndex, LoadOrderResult, Micros,
-};
+use std::collections::{BTreeMap, HashMap};
+
+use cedarpulley::interface::{CopyStatus, DispatchEnded, DispatchOutcome, Event, Micros};
 use cedarpulley_router::entry::Short;
 use cedarpulley_router::{Fate, Reason};
-use serde::Serialize;
+
+pub use cause::{Cause, RankedCause};
+use source_state::{LastDispatch, OpenInvocation, SourceState};
 
 use crate::records::{Record, RecordedEvent, Space};
 use crate::start::Source;
 
-/// A worker that takes so many times what is usual for the trigger type is the cause of its lateness.
-const SLOW: f64 = 2.0;
-/// Held for at least this part of its time, an invocation was late by being held.
-const HELD: f64 = 0.3;
-/// Loads of at least so many functions that were waited for count as one trouble of the store.
+/// A worker that takes so many times the usual time of the trigger type is the cause of its lateness.
+const SLOW_MULTIPLE: f64 = 2.0;
+/// Queued for at least this part of its latency objective, an invocation was late by being queued.
+const QUEUED_FRACTION: f64 = 0.3;
+/// Loads of at least so many functions that were waited for count as one fault of the store.
 const MANY_FUNCTIONS: usize = 3;
-/// Usual times are averages over about so many.
-const MEMORY: f64 = 32.0;
-
-/// What cost an invocation, and whose doing it was.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
-#[serde(rename_all = "kebab-case", tag = "cause", content = "subject")]
-pub enum Cause {
-    /// Turned away or given back for a share.
-    BeyondShare(String),
-    /// Turned away at the door for want of room.
-    Door(String),
-    /// Its client's time had run out before it came.
-    CameLate(String),
-    /// A worker fell silent, broke off or could not be reached.
-    WorkerSilent(String),
-    WorkerErrored(String),
-    WorkerSlow(String),
-    /// Workers refused it.
-    WorkersFull(String),
-    /// Its function had nowhere to be loaded, or its load failed.
-    NoPlace(String),
-    /// It waited for a load of this function.
-    Load(String),
-    /// Many functions were waited for.
-    Loads(String),
-    /// Held for a lane that did not come in time.
-    Held(String),
-    /// Delivered again, and perhaps run, by whoever had it before.
-    Redelivered(String),
-    OwnWork(String),
-    Other(String),
-}
-
-#[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct RankedCause {
-    #[serde(flatten)]
-    pub cause: Cause,
-    /// Billed value lost.
-    pub cost: f64,
-    pub lost: u64,
-    pub late: u64,
-    /// Wall's microseconds of the first and the last.
-    pub from_us: Micros,
-    pub until_us: Micros,
-}
+/// Usual times are moving averages over about so many dispatches.
+const AVERAGING_SAMPLES: f64 = 32.0;
 
-struct Open {
-    trigger: u32,
-    func: u32,
-    at: Micros,
-    waited: Micros,
-    objective: Micros,
-    /// Until its first dispatch left.
-    held: Option<Micros>,
-    failed: Option<(DispatchOutcome, u32)>,
-    sent_to: Option<u32>,
-}
-
-#[derive(Default)]
-struct Side {
-    open: HashMap<InvocationIndex, Open>,
-    /// Answered late; what its last dispatch found comes with the next word of it.
-    late: HashMap<InvocationIndex, (Open, Micros)>,
-    workers: HashMap<u32, String>,
-    functions: HashMap<u32, String>,
-    /// Answered in time, by trigger type, until the word of the last dispatch: from it what is usual is learned.
-    in_time: HashMap<InvocationIndex, u32>,
-    /// Orders to load that are out, by worker and function; a question for how many copies stand ends alike.
-    ordered: HashSet<(u32, u32)>,
-    /// Of how many workers a function is ordered, and when the last of these orders ended.
-    loading: HashMap<u32, (u32, Micros)>,
-    /// Functions for which the last order found no room or failed.
-    no_place: HashSet<u32>,
-}
-
-impl Side {
-    fn worker(&self, ix: u32) -> String {
-        self.workers
-            .get(&ix)
-            .cloned()
-            .unwrap_or_else(|| ix.to_string())
-    }
-
-    /// A load of its function was out while it was held.
-    fn loaded(&self, open: &Open) -> bool {
-        self.loading
-            .get(&open.func)
-            .is_some_and(|(out, ended)| *out > 0 || *ended >= open.at)
-    }
-
-    fn function(&self, ix: u32) -> String {
-        self.functions
-            .get(&ix)
-            .cloned()
-            .unwrap_or_else(|| ix.to_string())
-    }
+/// How an invocation missed its objective; decides what it cost.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Miss {
+    /// Ended without success: all of its billed value.
+    Lost,
+    /// Succeeded after its objective: what a late answer does not earn.
+    Late,
 }
 
+/// Collects causes from any number of sources.
 #[derive(Default)]
 pub struct Explain {
-    sides: HashMap<u32, Side>,
+    states: HashMap<u32, SourceState>,
     causes: BTreeMap<Cause, RankedCause>,
-    /// Usual time of a dispatch that found its copy, by the trigger type's name.
-    usual: HashMap<String, f64>,
+    /// Usual microseconds of a dispatch that found its copy warm, by the trigger type's name.
+    usual_times: HashMap<String, f64>,
 }
 
-fn name(names: &[String], ix: u32) -> String {
+fn name_of(names: &[String], index: u32) -> String {
     names
-        .get(ix as usize)
+        .get(index as usize)
         .cloned()
         .unwrap_or_else(|| "unknown".into())
 }
 
 impl Explain {
-    /// `span`: wall's microseconds; only what was answered within it counts.
+    /// Takes a record of the source with this number, at its router time. `span`: microseconds of the wall clock; only
+    /// what was answered within it counts.
     pub fn record(
         &mut self,
         source: u32,
@@ -153,325 +72,276 @@
     ) {
         let wall = of.wall(at);
         let inside = wall >= span.0 && wall < span.1;
-        let side = self.sides.entry(source).or_default();
         match record {
-            Record::Name {
-                kind: Space::Worker,
-                index: ix,
-                name: text,
-            } => {
-                side.workers.insert(*ix, text.clone());
-            }
-            Record::Name {
-                kind: Space::Function,
-                index: ix,
-                name: text,
-            } => {
-                side.functions.insert(*ix, text.clone());
-            }
-            Record::Decided {
-                event: happened,
-                actions,
-            } => {
-                self.told(source, of, at, happened);
-                let side = self.sides.entry(source).or_default();
-                for action in actions {
-                    match action {
-                        Action::Dispatch {
-                            invocation: inv,
-                            worker,
-                            ..
-                        } => {
-                            if let Some(open) = side.open.get_mut(inv) {
-                                open.held.get_or_insert(at - open.at);
-                                open.sent_to = Some(*worker);
-                            }
-                        }
-                        Action::LoadOrder {
-                            worker,
-                            function: func,
-                            copies,
-                        } if *copies > 0 && side.ordered.insert((*worker, *func)) => {
-                            side.loading.entry(*func).or_insert((0, Micros::MIN)).0 += 1;
-                        }
-                        _ => {}
-                    }
-                }
-            }
-            Record::Answered {
-                inv,
-                fate,
-                reason,
-                trigger,
-                account,
-                ..
-            } => {
-                let Some(open) = inv.and_then(|inv| side.open.remove(&inv)) else {
-                    if inv.is_none() && *fate != Fate::Succeeded && inside {
-                        let cause = at_once(of, *reason, *account);
-                        self.count(of, *trigger, wall, cause, true);
-                    }
-                    return;
+            Record::Name { kind, index, name } => {
+                let state = self.states.entry(source).or_default();
+                let names = match kind {
+                    Space::Worker => &mut state.workers,
+                    Space::Function => &mut state.functions,
                 };
-                match fate {
-                    Fate::Succeeded if at - open.at + open.waited <= open.objective => {
-                        if let Some(inv) = inv {
-                            side.in_time.insert(*inv, open.trigger);
-                        }
-                    }
-                    Fate::Succeeded => {
-                        if let Some(inv) = inv.filter(|_| inside) {
-                            side.late.insert(inv, (open, at));
-                        }
-                    }
-                    _ if inside => {
-                        let cause = lost(side, of, &open);
-                        self.count(of, *trigger, wall, cause, true);
-                    }
-                    _ => {}
-                }
+                names.insert(*index, name.clone());
+            }
+            Record::Decided { event, actions } => {
+                self.event(source, of, at, event);
+                let state = self.states.entry(source).or_default();
+                actions.iter().for_each(|action| state.action(at, action));
             }
+            Record::Answered { .. } => self.answered(source, of, at, inside, record),
             Record::TurnedAway {
                 front,
                 trigger,
                 account,
                 why,
             } if inside => {
-                let cause = match why {
-                    Short::Front => Cause::BeyondShare(name(&of.start.fronts_named, *front)),
-                    Short::Account => Cause::BeyondShare(name(&of.start.accounts_named, *account)),
-                    Short::Connection => Cause::BeyondShare("one connection".into()),
-                    other => Cause::Door(format!("{other:?}").to_lowercase()),
-                };
-                self.count(of, *trigger, wall, cause, true);
+                let cause = rejection_cause(of, *why, *front, *account);
+                self.count(of, *trigger, wall, cause, Miss::Lost);
             }
             _ => {}
         }
     }
 
-    fn told(&mut self, source: u32, of: &Source, at: Micros, happened: &RecordedEvent) {
-        let side = self.sides.entry(source).or_default();
-        match happened {
-            RecordedEvent::Other(Event::Invocation(a)) => {
-                let objective =
-                    of.start
-                        .startup
-                        .triggers
-                        .get(a.trigger as usize)
-                        .map_or(Micros::MAX, |t| {
-                            let stretch =
-                                a.cost_hint.unwrap_or(0) as f64 * t.objective_work_multiple;
-                            t.latency_objective.saturating_add(stretch as Micros)
-                        });
-                let open = Open {
-                    trigger: a.trigger,
-                    func: a.function,
-                    at,
-                    waited: a.waited,
-                    objective,
-                    held: None,
-                    failed: None,
-                    sent_to: None,
-                };
-                side.open.insert(a.invocation, open);
-                // Its index was given out again: nothing more comes of the one before.
-                side.in_time.remove(&a.invocation);
-                if let Some((open, then)) = side.late.remove(&a.invocation) {
-                    let cause = late(&self.usual, side, of, &open, None);
-                    self.count(of, open.trigger, of.wall(then), cause, false);
-                }
+    /// Takes a [`Record::Answered`].
+    fn answered(&mut self, source: u32, of: &Source, at: Micros, inside: bool, record: &Record) {
+        let Record::Answered {
+            inv,
+            fate,
+            reason,
+            trigger,
+            account,
+            ..
+        } = record
+        else {
+            return;
+        };
+        let state = self.states.entry(source).or_default();
+        let wall = of.wall(at);
+        let Some((invocation, open)) = inv.and_then(|inv| Some((inv, state.open.remove(&inv)?)))
+        else {
+            if inv.is_none() && *fate != Fate::Succeeded && inside {
+                let cause = immediate_cause(of, *reason, *account);
+                self.count(of, *trigger, wall, cause, Miss::Lost);
             }
-            RecordedEvent::Other(Event::ClientLeft { invocation: inv }) => {
-                side.open.remove(inv);
+            return;
+        };
+        match fate {
+            Fate::Succeeded if at - open.at + open.waited <= open.objective => {
+                state.in_time.insert(invocation, open.trigger);
             }
-            RecordedEvent::Other(Event::DispatchEnded(e)) => {
-                if let Some((open, then)) = side.late.remove(&e.invocation) {
-                    let cause = late(
-                        &self.usual,
-                        side,
-                        of,
-                        &open,
-                        Some((e.worker, e.took, e.copy_status)),
-                    );
-                    return self.count(of, open.trigger, of.wall(then), cause, false);
-                }
-                if let Some(trigger) = side.in_time.remove(&e.invocation) {
-                    if e.outcome == DispatchOutcome::Succeeded && e.copy_status == CopyStatus::Warm
-                    {
-                        self.learn(name(&of.start.triggers_named, trigger), e.took);
-                    }
-                    return;
-                }
-                if let Some(open) = side.open.get_mut(&e.invocation) {
-                    match e.outcome {
-                        DispatchOutcome::Succeeded
-                        | DispatchOutcome::Cancelled
-                        | DispatchOutcome::NotSent => {}
-                        // Refusals count only where nothing worse came.
-                        failed => {
-                            let worse = open.failed.is_none_or(|(was, _)| {
-                                was.not_executed() && !failed.not_executed()
-                            });
-                            if worse {
-                                open.failed = Some((failed, e.worker));
-                            }
-                        }
-                    }
+            Fate::Succeeded if inside => {
+                state.late.insert(invocation, (open, at));
+            }
+            Fate::Succeeded => {}
+            _ if inside => {
+                let cause = lost_cause(state, of, &open);
+                self.count(of, *trigger, wall, cause, Miss::Lost);
+            }
+            _ => {}
+        }
+    }
+
+    fn event(&mut self, source: u32, of: &Source, at: Micros, event: &RecordedEvent) {
+        let state = self.states.entry(source).or_default();
+        match event {
+            RecordedEvent::Other(Event::Invocation(arrival)) => {
+                let open = OpenInvocation::new(of, at, arrival);
+                state.open.insert(arrival.invocation, open);
+                // Its index was assigned again: nothing more comes of the one before.
+                state.in_time.remove(&arrival.invocation);
+                if let Some((open, answered_at)) = state.late.remove(&arrival.invocation) {
+                    let cause = late_cause(&self.usual_times, state, of, &open, None);
+                    self.count(of, open.trigger, of.wall(answered_at), cause, Miss::Late);
                 }
             }
+            RecordedEvent::Other(Event::ClientLeft { invocation }) => {
+                state.open.remove(invocation);
+            }
+            RecordedEvent::Other(Event::DispatchEnded(ended)) => {
+                self.dispatch_ended(source, of, ended);
+            }
             RecordedEvent::Other(Event::OrderEnded {
                 worker,
-                function: func,
+                function,
                 result,
                 ..
-            }) => {
-                if side.ordered.remove(&(*worker, *func))
-                    && let Some(out) = side.loading.get_mut(func)
-                {
-                    *out = (out.0.saturating_sub(1), at);
-                }
-                match result {
-                    LoadOrderResult::Loaded => {
-                        side.no_place.remove(func);
-                    }
-                    LoadOrderResult::NoCapacity | LoadOrderResult::LoadFailed => {
-                        side.no_place.insert(*func);
-                    }
-                    _ => {}
-                }
-            }
+            }) => state.order_ended(at, *worker, *function, *result),
             _ => {}
         }
     }
 
-    /// What a dispatch of this trigger type takes where its copy stands, so far.
-    fn learn(&mut self, kind: String, took: Micros) {
-        let usual = self.usual.entry(kind).or_insert(took as f64);
-        *usual += (took as f64 - *usual) / MEMORY;
+    fn dispatch_ended(&mut self, source: u32, of: &Source, ended: &DispatchEnded) {
+        let state = self.states.entry(source).or_default();
+        if let Some((open, answered_at)) = state.late.remove(&ended.invocation) {
+            let last = LastDispatch {
+                worker: ended.worker,
+                took: ended.took,
+                copy_status: ended.copy_status,
+            };
+            let cause = late_cause(&self.usual_times, state, of, &open, Some(last));
+            return self.count(of, open.trigger, of.wall(answered_at), cause, Miss::Late);
+        }
+        if let Some(trigger) = state.in_time.remove(&ended.invocation) {
+            if ended.outcome == DispatchOutcome::Succeeded && ended.copy_status == CopyStatus::Warm
+            {
+                self.learn(name_of(&of.start.triggers_named, trigger), ended.took);
+            }
+            return;
+        }
+        if let Some(open) = state.open.get_mut(&ended.invocation) {
+            open.dispatch_ended(ended);
+        }
     }
 
-    fn count(&mut self, of: &Source, trigger: u32, wall: Micros, cause: Cause, lost: bool) {
-        // Of a trigger type that is not known any more: counted, at no cost.
-        let value = of.start.startup.triggers.get(trigger as usize);
-        let cost = value.map_or(0.0, |t| {
-            if lost {
-                t.billed_value
-            } else {
-                t.billed_value * (1.0 - t.late_value_fraction)
-            }
+    /// Learns what a dispatch of this trigger type takes where its copy is warm.
+    fn learn(&mut self, trigger: String, took: Micros) {
+        let usual = self.usual_times.entry(trigger).or_insert(took as f64);
+        *usual += (took as f64 - *usual) / AVERAGING_SAMPLES;
+    }
+
+    fn count(&mut self, of: &Source, trigger: u32, wall: Micros, cause: Cause, miss: Miss) {
+        // A trigger type that is no longer known counts at no cost.
+        let trigger = of.start.startup.triggers.get(trigger as usize);
+        let cost = trigger.map_or(0.0, |t| match miss {
+            Miss::Lost => t.billed_value,
+            Miss::Late => t.billed_value * (1.0 - t.late_value_fraction),
         });
-        let new = RankedCause {
-            cause: cause.clone(),
-            cost: 0.0,
-            lost: 0,
-            late: 0,
-            from_us: wall,
-            until_us: wall,
-        };
-        let entry = self.causes.entry(cause).or_insert(new);
+        let entry = self
+            .causes
+            .entry(cause.clone())
+            .or_insert_with(|| RankedCause {
+                cause,
+                cost: 0.0,
+                lost: 0,
+                late: 0,
+                from_us: wall,
+                until_us: wall,
+            });
         entry.cost += cost;
-        entry.lost += u64::from(lost);
-        entry.late += u64::from(!lost);
+        entry.lost += u64::from(miss == Miss::Lost);
+        entry.late += u64::from(miss == Miss::Late);
         entry.from_us = entry.from_us.min(wall);
         entry.until_us = entry.until_us.max(wall);
     }
 
-    /// Dearest first.
+    /// All causes, most expensive first.
     pub fn ranked(mut self) -> Vec<RankedCause> {
+        self.join_loads();
+        let mut ranked: Vec<RankedCause> = self.causes.into_values().collect();
+        ranked.sort_by(|a, b| {
+            b.cost
+                .total_cmp(&a.cost)
+                .then_with(|| a.cause.cmp(&b.cause))
+        });
+        ranked
+    }
+
+    /// Makes one cause of the loads of many functions.
+    fn join_loads(&mut self) {
         let loads: Vec<Cause> = self
             .causes
             .keys()
-            .filter(|c| matches!(c, Cause::Load(_)))
+            .filter(|cause| matches!(cause, Cause::FunctionLoad(_)))
             .cloned()
             .collect();
-        if loads.len() >= MANY_FUNCTIONS {
-            let cause = Cause::Loads(format!("{} functions", loads.len()));
-            let all: Vec<RankedCause> =
-                loads.iter().filter_map(|c| self.causes.remove(c)).collect();
-            let sum = RankedCause {
-                cause: cause.clone(),
-                cost: all.iter().map(|r| r.cost).sum(),
-                lost: all.iter().map(|r| r.lost).sum(),
-                late: all.iter().map(|r| r.late).sum(),
-                from_us: all.iter().map(|r| r.from_us).min().unwrap_or(0),
-                until_us: all.iter().map(|r| r.until_us).max().unwrap_or(0),
-            };
-            self.causes.insert(cause, sum);
+        if loads.len() < MANY_FUNCTIONS {
+            return;
         }
-        let mut all: Vec<RankedCause> = self.causes.into_values().collect();
-        all.sort_by(|a, b| {
-            b.cost
-                .total_cmp(&a.cost)
-                .then_with(|| a.cause.cmp(&b.cause))
-        });
-        all
+        let cause = Cause::ManyFunctionLoads(format!("{} functions", loads.len()));
+        let joined: Vec<RankedCause> = loads
+            .iter()
+            .filter_map(|cause| self.causes.remove(cause))
+            .collect();
+        let sum = RankedCause {
+            cause: cause.clone(),
+            cost: joined.iter().map(|r| r.cost).sum(),
+            lost: joined.iter().map(|r| r.lost).sum(),
+            late: joined.iter().map(|r| r.late).sum(),
+            from_us: joined.iter().map(|r| r.from_us).min().unwrap_or(0),
+            until_us: joined.iter().map(|r| r.until_us).max().unwrap_or(0),
+        };
+        self.causes.insert(cause, sum);
     }
 }
 
-/// Answered before the module was asked.
-fn at_once(of: &Source, reason: Reason, account: u32) -> Cause {
-    let account = name(&of.start.accounts_named, account);
+/// Of an invocation that admission control rejected.
+fn rejection_cause(of: &Source, reason: Short, front: u32, account: u32) -> Cause {
     match reason {
-        Reason::Share => Cause::BeyondShare(account),
-        Reason::Expired => Cause::CameLate(account),
+        Short::Front => Cause::ShareExceeded(name_of(&of.start.fronts_named, front)),
+        Short::Account => Cause::ShareExceeded(name_of(&of.start.accounts_named, account)),
+        Short::Connection => Cause::ShareExceeded("one connection".into()),
+        other => Cause::AdmissionLimit(format!("{other:?}").to_lowercase()),
+    }
+}
+
+/// Of an invocation that was answered before the decision module received it.
+fn immediate_cause(of: &Source, reason: Reason, account: u32) -> Cause {
+    let account = name_of(&of.start.accounts_named, account);
+    match reason {
+        Reason::Share => Cause::ShareExceeded(account),
+        Reason::Expired => Cause::ExpiredOnArrival(account),
         Reason::MayHaveRun => Cause::Redelivered(account),
-        Reason::Size => Cause::Door("memory".into()),
+        Reason::Size => Cause::AdmissionLimit("memory".into()),
         other => Cause::Other(format!("{other:?}").to_lowercase()),
     }
 }
 
-fn failed(side: &Side, of: &Source, open: &Open) -> Option<Cause> {
+/// Of a failed dispatch, if there was one.
+fn dispatch_cause(state: &SourceState, of: &Source, open: &OpenInvocation) -> Option<Cause> {
     let (outcome, worker) = open.failed?;
     Some(match outcome {
         DispatchOutcome::TimedOut
         | DispatchOutcome::Unreachable
-        | DispatchOutcome::ConnectionLost => Cause::WorkerSilent(side.worker(worker)),
-        DispatchOutcome::Errored => Cause::WorkerErrored(side.worker(worker)),
-        DispatchOutcome::NotLoaded => Cause::NoPlace(side.function(open.func)),
-        _ => Cause::WorkersFull(name(&of.start.triggers_named, open.trigger)),
+        | DispatchOutcome::ConnectionLost => Cause::WorkerUnresponsive(state.worker(worker)),
+        DispatchOutcome::Errored => Cause::WorkerErrored(state.worker(worker)),
+        DispatchOutcome::NotLoaded => Cause::NoLoadCapacity(state.function(open.function)),
+        _ => Cause::WorkersOverloaded(name_of(&of.start.triggers_named, open.trigger)),
     })
 }
 
-fn lost(side: &Side, of: &Source, open: &Open) -> Cause {
-    if let Some(cause) = failed(side, of, open) {
+/// Of an invocation that ended without success.
+fn lost_cause(state: &SourceState, of: &Source, open: &OpenInvocation) -> Cause {
+    if let Some(cause) = dispatch_cause(state, of, open) {
         return cause;
     }
-    match open.sent_to {
-        // Out until its client gave up.
-        Some(worker) => Cause::WorkerSilent(side.worker(worker)),
-        None if side.no_place.contains(&open.func) => Cause::NoPlace(side.function(open.func)),
-        None if side.loaded(open) => Cause::Load(side.function(open.func)),
-        None => Cause::Held(name(&of.start.triggers_named, open.trigger)),
+    match open.dispatched_to {
+        // In flight until its client gave up.
+        Some(worker) => Cause::WorkerUnresponsive(state.worker(worker)),
+        None if state.without_capacity.contains(&open.function) => {
+            Cause::NoLoadCapacity(state.function(open.function))
+        }
+        None if state.waited_for_load(open) => Cause::FunctionLoad(state.function(open.function)),
+        None => Cause::Queued(name_of(&of.start.triggers_named, open.trigger)),
     }
 }
 
-fn late(
-    usual: &HashMap<String, f64>,
-    side: &Side,
+/// Of an invocation that succeeded after its objective.
+fn late_cause(
+    usual_times: &HashMap<String, f64>,
+    state: &SourceState,
     of: &Source,
-    open: &Open,
-    last: Option<(u32, Micros, CopyStatus)>,
+    open: &OpenInvocation,
+    last: Option<LastDispatch>,
 ) -> Cause {
-    let kind = name(&of.start.triggers_named, open.trigger);
+    let trigger = name_of(&of.start.triggers_named, open.trigger);
     if open.waited > open.objective {
-        return Cause::CameLate(kind);
+        return Cause::ExpiredOnArrival(trigger);
     }
-    if let Some(cause) = failed(side, of, open) {
+    if let Some(cause) = dispatch_cause(state, of, open) {
         return cause;
     }
-    if let Some((_, _, CopyStatus::LoadStarted | CopyStatus::LoadAwaited)) = last {
-        return Cause::Load(side.function(open.func));
+    let copy_status = last.as_ref().map(|last| last.copy_status);
+    if let Some(CopyStatus::LoadStarted | CopyStatus::LoadAwaited) = copy_status {
+        return Cause::FunctionLoad(state.function(open.function));
     }
-    if open.held.unwrap_or(0) as f64 >= HELD * open.objective as f64 {
-        if side.loaded(open) {
-            return Cause::Load(side.function(open.func));
+    if open.queued_for.unwrap_or(0) as f64 >= QUEUED_FRACTION * open.objective as f64 {
+        if state.waited_for_load(open) {
+            return Cause::FunctionLoad(state.function(open.function));
         }
-        return Cause::Held(kind);
+        return Cause::Queued(trigger);
     }
-    match (last, usual.get(&kind)) {
-        (Some((worker, took, _)), Some(usual)) if took as f64 > SLOW * usual => {
-            Cause::WorkerSlow(side.worker(worker))
+    match (last, usual_times.get(&trigger)) {
+        (Some(last), Some(usual)) if last.took as f64 > SLOW_MULTIPLE * usual => {
+            Cause::WorkerSlow(state.worker(last.worker))
         }
-        _ => Cause::OwnWork(kind),
+        _ => Cause::OwnExecution(trigger),
     }
 }
--- a/crates/trace/src/rule_check.rs
+++ b/crates/trace/src/rule_check.rs
@@ -1,354 +1,324 @@
-//! The rules, judged from traces alone. Free of I/O: [`Rules::record`] takes each source's records in order, of any
-//! number of sources; [`Rules::finish`] gives the breaks, and what a trace cannot show.
+//! Checks the delivery rules from traces alone. Free of I/O: [`Rules::record`] takes each source's records in order, of
+//! any number of sources; [`Rules::finish`] returns the violations, and how much a trace cannot show.
 //!
 //! A trace ends where the core's decisions do. What a program does to an answer or a dispatch after that (loses it,
 //! sends it twice or late) is seen on the sockets only, by `cedarpulley audit`; so are rule 4, as the size of work is
-//! in no trace, and what routers did to one another's messages, unless their marks were recorded.
+//! in no trace, and what routers did to one another's messages, unless their idempotency keys were recorded.
 
-use std::collections::{BTreeMap, HashMap, VecDeque};
+mod source_state;
+
+use std::collections::{BTreeMap, HashMap};
 
 use cedarpulley::interface::{
-    Action, DeduplicationScope, DispatchOutcome, Effect, EndpointState, Event, InvocationIndex,
-    Micros,
+    Action, DispatchEnded, DispatchOutcome, Effect, Event, InvocationIndex, Micros,
 };
 use cedarpulley_router::Fate;
 use serde::Serialize;
 
 use crate::records::{Record, RecordedEvent};
 use crate::start::Source;
+use source_state::{Dispatch, OpenInvocation, SourceState, WorkerPlace};
 
-/// An answer is due so long before the client gives up as the settings say, which a trace does not hold; by this much
-/// at least (the default) the client's own time is later than the one recorded.
+/// An answer is due so long before the client's timeout as the settings say, which a trace does not hold; by this much
+/// at least (the default) the client's own deadline is later than the one recorded.
 const ANSWER_MARGIN: Micros = 100_000;
-/// Breaks that are told one by one.
-const TOLD: usize = 40;
+/// Violations that are reported one by one.
+const MAX_REPORTED: usize = 40;
 /// Messages that are followed from router to router; beyond, they are counted as not seen.
-const MOST_MARKS: usize = 1_000_000;
+const MAX_FOLLOWED_MESSAGES: usize = 1_000_000;
 
+/// What was found.
 #[derive(Clone, Debug, Default, Serialize, PartialEq, Eq)]
 pub struct RuleCheck {
+    /// Invocations that reached the decision module.
     pub invocations: u64,
+    /// Violations by number of the rule; rules without any are absent.
     pub rules: BTreeMap<u8, u64>,
+    /// The first violations in words.
     pub breaks: Vec<String>,
     /// Invocations that were open where their trace ends, or were lost in a gap.
     pub unseen: u64,
 }
 
-struct Sent {
-    worker: u32,
-    at: Micros,
-    /// Absent: it is out.
-    outcome: Option<DispatchOutcome>,
-    /// A break, if it turns out that it was sent.
-    suspect: Option<(u8, String)>,
-}
-
-struct Open {
-    trigger: u32,
-    mark: Option<u64>,
-    gives_up: Micros,
-    answered: bool,
-    sent: Vec<Sent>,
+/// A rule and how it was violated.
+struct Violation {
+    rule: u8,
+    description: String,
 }
 
+/// Checks the rules over the records of any number of sources.
 #[derive(Default)]
-struct Side {
-    now: Micros,
-    open: HashMap<InvocationIndex, Open>,
-    marks: HashMap<InvocationIndex, u64>,
-    /// Zone, cell, and since when it is told to drain or gone.
-    workers: HashMap<u32, (u32, u32, Option<Micros>)>,
-    taken: VecDeque<Micros>,
-    orders: VecDeque<Micros>,
+pub struct Rules {
+    states: HashMap<u32, SourceState>,
+    /// Of messages that may not be executed twice, by the hash of their key: which source may have executed them.
+    executed_by: HashMap<u64, u32>,
+    result: RuleCheck,
 }
 
-#[derive(Default)]
-pub struct Rules {
-    sides: HashMap<u32, Side>,
-    /// Of messages that may not run twice: which source may have run them.
-    ran: HashMap<u64, u32>,
-    out: RuleCheck,
+/// Says where and when.
+fn located(of: &Source, at: Micros, what: &str) -> String {
+    format!("{} at {} us: {what}", of.start.router, of.wall(at))
 }
 
-/// What is no longer within the window.
-fn forget(times: &mut VecDeque<Micros>, until: Micros) {
-    while times.front().is_some_and(|t| *t <= until) {
-        times.pop_front();
-    }
+fn effect_of(of: &Source, trigger: u32) -> Option<Effect> {
+    let trigger = of.start.startup.triggers.get(trigger as usize);
+    trigger.map(|t| t.effect)
 }
 
 impl Rules {
-    fn breaks(&mut self, rule: u8, why: String) {
-        *self.out.rules.entry(rule).or_default() += 1;
-        if self.out.breaks.len() < TOLD {
-            self.out.breaks.push(format!("rule {rule}: {why}"));
+    fn violation(&mut self, rule: u8, description: String) {
+        *self.result.rules.entry(rule).or_default() += 1;
+        if self.result.breaks.len() < MAX_REPORTED {
+            self.result
+                .breaks
+                .push(format!("rule {rule}: {description}"));
         }
     }
 
+    /// Takes a record of the source with this number, at its router time.
     pub fn record(&mut self, source: u32, of: &Source, at: Micros, record: &Record) {
-        let side = self.sides.entry(source).or_default();
-        side.now = at;
-        let told = |why: String| format!("{} at {} us: {why}", of.start.router, of.wall(at));
+        let state = self.states.entry(source).or_default();
+        state.now = at;
         match record {
             Record::Name { .. } | Record::TurnedAway { .. } => {}
             Record::Gap { .. } => {
                 // What was open may have ended in the gap.
-                self.out.unseen += side.open.len() as u64;
-                side.open.clear();
+                self.result.unseen += state.open.len() as u64;
+                state.open.clear();
             }
             Record::Taken { inv, mark, .. } => {
                 if let Some(mark) = mark {
-                    side.marks.insert(*inv, *mark);
+                    state.keys.insert(*inv, *mark);
                 }
             }
             Record::Answered {
-                inv: Some(inv),
+                inv: Some(invocation),
                 fate,
                 ..
-            } => {
-                let Some(open) = side.open.get_mut(inv) else {
-                    return;
-                };
-                // Those that wait for the same answer get it with the first.
-                if std::mem::replace(&mut open.answered, true) {
-                    return;
-                }
-                let late = at - open.gives_up - ANSWER_MARGIN - of.start.startup.rules.answer_slack;
-                let effect = of
-                    .start
-                    .startup
-                    .triggers
-                    .get(open.trigger as usize)
-                    .map(|t| t.effect);
-                let ran = open
-                    .sent
-                    .iter()
-                    .any(|s| s.outcome.is_none_or(|o| !o.not_executed()));
-                if late > 0 {
-                    self.breaks(
-                        1,
-                        told(format!(
-                            "answered {} ms after its client gave up",
-                            late / 1000
-                        )),
-                    );
-                }
-                // A tokened one's retry is dropped where it ran.
-                if *fate == Fate::Throttled && ran && effect == Some(Effect::NonIdempotent) {
-                    self.breaks(2, told("told harmless, and it may have run".into()));
-                }
-            }
+            } => self.answered(source, of, at, *invocation, *fate),
             Record::Answered { .. } => {}
-            Record::Decided {
-                event: happened,
-                actions,
-            } => {
-                self.told(source, of, at, happened);
+            Record::Decided { event, actions } => {
+                self.event(source, of, at, event);
                 for action in actions {
-                    self.asked(source, of, at, action);
+                    self.action(source, of, at, action);
                 }
             }
         }
     }
 
-    fn told(&mut self, source: u32, of: &Source, at: Micros, happened: &RecordedEvent) {
-        let side = self.sides.entry(source).or_default();
-        match happened {
-            RecordedEvent::List {
-                endpoints: entries, ..
-            } => {
-                for e in entries {
-                    let since = match e.state {
-                        EndpointState::InService => None,
-                        _ => side.workers.get(&e.worker).and_then(|w| w.2).or(Some(at)),
-                    };
-                    side.workers.insert(e.worker, (e.zone, e.cell, since));
+    fn answered(
+        &mut self,
+        source: u32,
+        of: &Source,
+        at: Micros,
+        invocation: InvocationIndex,
+        outcome: Fate,
+    ) {
+        let state = self.states.entry(source).or_default();
+        let Some(open) = state.open.get_mut(&invocation) else {
+            return;
+        };
+        // Those that wait for the same answer get it with the first.
+        if std::mem::replace(&mut open.answered, true) {
+            return;
+        }
+        let late = at - open.client_deadline - ANSWER_MARGIN - of.start.startup.rules.answer_slack;
+        let may_have_run = open.dispatches.iter().any(Dispatch::may_have_run);
+        let effect = effect_of(of, open.trigger);
+        if late > 0 {
+            let what = format!("answered {} ms after its client gave up", late / 1000);
+            self.violation(1, located(of, at, &what));
+        }
+        // A retry by idempotency key is dropped where it ran.
+        if outcome == Fate::Throttled && may_have_run && effect == Some(Effect::NonIdempotent) {
+            self.violation(2, located(of, at, "told harmless, and it may have run"));
+        }
+    }
+
+    fn event(&mut self, source: u32, of: &Source, at: Micros, event: &RecordedEvent) {
+        let state = self.states.entry(source).or_default();
+        match event {
+            RecordedEvent::List { endpoints, .. } => {
+                for endpoint in endpoints {
+                    state.endpoint(at, endpoint);
                 }
             }
-            RecordedEvent::Other(Event::Invocation(a)) => {
-                self.out.invocations += 1;
+            RecordedEvent::Other(Event::Invocation(arrival)) => {
+                self.result.invocations += 1;
                 let window = of.start.startup.loads.order_quota_window;
-                if window > 0 {
-                    side.taken.push_back(at);
-                    forget(&mut side.taken, at - window);
-                }
-                let mark = side.marks.remove(&a.invocation);
-                let gives_up = at.saturating_add(a.client_timeout_in);
-                let open = Open {
-                    trigger: a.trigger,
-                    mark,
-                    gives_up,
-                    answered: false,
-                    sent: Vec::new(),
-                };
-                if let Some(before) = side.open.insert(a.invocation, open) {
-                    self.over(of, before, at);
+                if let Some(before) = state.arrived(at, arrival, window) {
+                    self.ended(of, &before, at);
                 }
             }
-            RecordedEvent::Other(Event::ClientLeft { invocation: inv }) => {
-                if let Some(open) = side.open.get_mut(inv) {
+            RecordedEvent::Other(Event::ClientLeft { invocation }) => {
+                if let Some(open) = state.open.get_mut(invocation) {
                     open.answered = true;
                 }
             }
-            RecordedEvent::Other(Event::DispatchEnded(e)) => {
-                let Some(open) = side.open.get_mut(&e.invocation) else {
-                    return;
-                };
-                // Concluded without an answer: its front was lost, and nobody waits for it here.
-                open.answered |= e.answered;
-                let (mark, trigger) = (open.mark, open.trigger);
-                let Some(sent) = open.sent.get_mut(e.dispatch as usize) else {
-                    return;
-                };
-                sent.outcome = Some(e.outcome);
-                let suspect = sent
-                    .suspect
-                    .take()
-                    .filter(|_| e.outcome != DispatchOutcome::NotSent);
-                let once = of
-                    .start
-                    .startup
-                    .triggers
-                    .get(trigger as usize)
-                    .map(|t| t.effect)
-                    == Some(Effect::NonIdempotent);
-                if let Some(mark) = mark.filter(|_| once && !e.outcome.not_executed()) {
-                    if self.ran.len() < MOST_MARKS {
-                        self.ran.insert(mark, source);
-                    } else {
-                        self.out.unseen += 1;
-                    }
-                }
-                if let Some((rule, why)) = suspect {
-                    self.breaks(rule, why);
-                }
+            RecordedEvent::Other(Event::DispatchEnded(ended)) => {
+                self.dispatch_ended(source, of, ended);
             }
             RecordedEvent::Other(_) => {}
         }
     }
 
-    fn asked(&mut self, source: u32, of: &Source, at: Micros, action: &Action) {
-        let Some(side) = self.sides.get_mut(&source) else {
+    fn dispatch_ended(&mut self, source: u32, of: &Source, ended: &DispatchEnded) {
+        let state = self.states.entry(source).or_default();
+        let Some(open) = state.open.get_mut(&ended.invocation) else {
+            return;
+        };
+        // Concluded without an answer: its listener was lost, and nobody waits for it here.
+        open.answered |= ended.answered;
+        let (key, trigger) = (open.key, open.trigger);
+        let Some(dispatch) = open.dispatches.get_mut(ended.dispatch as usize) else {
             return;
         };
-        let told = |why: &str| format!("{} at {} us: {why}", of.start.router, of.wall(at));
+        dispatch.outcome = Some(ended.outcome);
+        let suspicion = dispatch
+            .suspicion
+            .take()
+            .filter(|_| ended.outcome != DispatchOutcome::NotSent);
+        let once = effect_of(of, trigger) == Some(Effect::NonIdempotent);
+        if let Some(key) = key.filter(|_| once && !ended.outcome.not_executed()) {
+            if self.executed_by.len() < MAX_FOLLOWED_MESSAGES {
+                self.executed_by.insert(key, source);
+            } else {
+                self.result.unseen += 1;
+            }
+        }
+        if let Some(Violation { rule, description }) = suspicion {
+            self.violation(rule, description);
+        }
+    }
+
+    fn action(&mut self, source: u32, of: &Source, at: Micros, action: &Action) {
         match *action {
             Action::Dispatch {
-                invocation: inv,
-                worker,
-                ..
-            } => {
-                let Some(open) = side.open.get_mut(&inv) else {
-                    return;
-                };
-                let place = side.workers.get(&worker).copied();
-                let ran = |s: &Sent| s.outcome.is_none_or(|o| !o.not_executed());
-                let trigger = of.start.startup.triggers.get(open.trigger as usize);
-                let elsewhere = open
-                    .mark
-                    .and_then(|m| self.ran.get(&m))
-                    .is_some_and(|who| *who != source);
-                let mut suspect = None;
-                match trigger.map(|t| t.effect) {
-                    Some(Effect::NonIdempotent) if open.sent.iter().any(ran) || elsewhere => {
-                        suspect = Some((2, told("sent again, and it may have run")));
-                    }
-                    Some(Effect::IdempotentByKey {
-                        scope: group,
-                        window,
-                    }) => {
-                        for s in open.sent.iter().filter(|s| ran(s)) {
-                            let before = side.workers.get(&s.worker);
-                            let same = match group {
-                                DeduplicationScope::All => true,
-                                DeduplicationScope::Zone => {
-                                    before.map(|w| w.0) == place.map(|w| w.0)
-                                }
-                                DeduplicationScope::Cell => {
-                                    before.map(|w| w.1) == place.map(|w| w.1)
-                                }
-                            };
-                            if !same || at - s.at > window {
-                                suspect =
-                                    Some((2, told("a repeat outside of its group or window")));
-                            }
-                        }
-                    }
-                    _ => {}
-                }
-                if !of.start.startup.limits.hedged_requests
-                    && open.sent.iter().any(|s| s.outcome.is_none())
-                {
-                    suspect = Some((2, told("a second copy where none is allowed")));
-                }
-                if let Some((_, _, Some(since))) = place
-                    && at - since > of.start.startup.rules.drain_grace
-                {
-                    suspect = Some((
-                        3,
-                        told("sent to one that is draining or gone, past the grace"),
-                    ));
-                }
-                if open.answered {
-                    suspect = Some((1, told("sent after its answer")));
-                }
-                open.sent.push(Sent {
-                    worker,
-                    at,
-                    outcome: None,
-                    suspect,
-                });
-            }
-            Action::LoadOrder { copies, .. } if copies > 0 => {
-                let window = of.start.startup.loads.order_quota_window;
-                if window <= 0 {
-                    return;
-                }
-                side.orders.push_back(at);
-                forget(&mut side.orders, at - window);
-                forget(&mut side.taken, at - window);
-                let allowed = of.start.startup.loads.order_quota_base
-                    + of.start.startup.loads.order_quota_per_invocation * side.taken.len() as f64;
-                if side.orders.len() as f64 > allowed + 1e-9 {
-                    let why = format!(
-                        "{} orders, and {allowed:.1} were allowed",
-                        side.orders.len()
-                    );
-                    self.breaks(5, told(&why));
-                }
-            }
+                invocation, worker, ..
+            } => self.dispatch(source, of, at, invocation, worker),
+            Action::LoadOrder { copies: 1.., .. } => self.load_order(source, of, at),
             _ => {}
         }
     }
 
-    /// Nothing more comes of it.
-    fn over(&mut self, of: &Source, open: Open, last: Micros) {
-        if !open.answered {
-            if last > open.gives_up + ANSWER_MARGIN {
-                let why = format!(
-                    "{}: taken and never answered, due at {} us",
-                    of.start.router,
-                    of.wall(open.gives_up)
-                );
-                self.breaks(1, why);
-            } else {
-                self.out.unseen += 1;
-            }
+    /// Whether a dispatch violates a rule is known once it ends: one that was never sent does not.
+    fn dispatch(
+        &mut self,
+        source: u32,
+        of: &Source,
+        at: Micros,
+        invocation: InvocationIndex,
+        worker: u32,
+    ) {
+        let Some(state) = self.states.get_mut(&source) else {
+            return;
+        };
+        let place = state.workers.get(&worker).copied();
+        let Some(open) = state.open.get_mut(&invocation) else {
+            return;
+        };
+        let elsewhere = open
+            .key
+            .and_then(|key| self.executed_by.get(&key))
+            .is_some_and(|executed_by| *executed_by != source);
+        let what = suspicion(of, at, open, &state.workers, place, elsewhere);
+        open.dispatches.push(Dispatch {
+            worker,
+            at,
+            outcome: None,
+            suspicion: what.map(|(rule, what)| Violation {
+                rule,
+                description: located(of, at, what),
+            }),
+        });
+    }
+
+    /// Rule 5: load orders stay within their quota.
+    fn load_order(&mut self, source: u32, of: &Source, at: Micros) {
+        let loads = &of.start.startup.loads;
+        let Some(state) = self.states.get_mut(&source) else {
+            return;
+        };
+        if loads.order_quota_window <= 0 {
+            return;
+        }
+        let (orders, arrivals) = state.ordered(at, loads.order_quota_window);
+        let allowed = loads.order_quota_base + loads.order_quota_per_invocation * arrivals as f64;
+        if orders as f64 > allowed + 1e-9 {
+            let what = format!("{orders} orders, and {allowed:.1} were allowed");
+            self.violation(5, located(of, at, &what));
+        }
+    }
+
+    /// Nothing more comes of this invocation.
+    fn ended(&mut self, of: &Source, open: &OpenInvocation, last: Micros) {
+        if open.answered {
+            return;
+        }
+        if last > open.client_deadline + ANSWER_MARGIN {
+            let description = format!(
+                "{}: taken and never answered, due at {} us",
+                of.start.router,
+                of.wall(open.client_deadline)
+            );
+            self.violation(1, description);
+        } else {
+            self.result.unseen += 1;
         }
     }
 
-    /// `sources` by the numbers with which the records came.
+    /// The result; `sources` by the numbers with which the records came.
     pub fn finish(mut self, sources: &HashMap<u32, Source>) -> RuleCheck {
-        let mut sides: Vec<(u32, Side)> = std::mem::take(&mut self.sides).into_iter().collect();
-        sides.sort_by_key(|(n, _)| *n);
-        for (n, side) in sides {
-            let Some(of) = sources.get(&n) else { continue };
-            let mut open: Vec<(InvocationIndex, Open)> = side.open.into_iter().collect();
-            open.sort_by_key(|(inv, _)| *inv);
+        let mut states: Vec<(u32, SourceState)> =
+            std::mem::take(&mut self.states).into_iter().collect();
+        states.sort_by_key(|(source, _)| *source);
+        for (source, state) in states {
+            let Some(of) = sources.get(&source) else {
+                continue;
+            };
+            let mut open: Vec<_> = state.open.into_iter().collect();
+            open.sort_by_key(|(invocation, _)| *invocation);
             for (_, open) in open {
-                self.over(of, open, side.now);
+                self.ended(of, &open, state.now);
             }
         }
-        self.out
+        self.result
+    }
+}
+
+/// The rule that a new dispatch violates, and how. Of several the first in this order is reported.
+fn suspicion(
+    of: &Source,
+    at: Micros,
+    open: &OpenInvocation,
+    workers: &HashMap<u32, WorkerPlace>,
+    place: Option<WorkerPlace>,
+    executed_elsewhere: bool,
+) -> Option<(u8, &'static str)> {
+    if open.answered {
+        return Some((1, "sent after its answer"));
+    }
+    if let Some(since) = place.and_then(|place| place.leaving_since)
+        && at - since > of.start.startup.rules.drain_grace
+    {
+        return Some((3, "sent to one that is draining or gone, past the grace"));
+    }
+    if !of.start.startup.limits.hedged_requests
+        && open.dispatches.iter().any(|d| d.outcome.is_none())
+    {
+        return Some((2, "a second copy where none is allowed"));
+    }
+    let mut executed = open.dispatches.iter().filter(|d| d.may_have_run());
+    match effect_of(of, open.trigger) {
+        Some(Effect::NonIdempotent) if executed_elsewhere || executed.next().is_some() => {
+            Some((2, "sent again, and it may have run"))
+        }
+        Some(Effect::IdempotentByKey { scope, window }) => executed
+            .any(|before| {
+                let before_place = workers.get(&before.worker).copied();
+                !WorkerPlace::same_scope(scope, before_place, place) || at - before.at > window
+            })
+            .then_some((2, "a repeat outside of its group or window")),
+        _ => None,
     }
 }
--- a/crates/trace/tests/explained.rs
+++ b/crates/trace/tests/explained.rs
@@ -180,7 +180,7 @@
     let ranked = t.ranked();
     assert_eq!(
         (&ranked[0].cause, ranked[0].lost),
-        (&Cause::WorkerSilent("w2".into()), 5)
+        (&Cause::WorkerUnresponsive("w2".into()), 5)
     );
     assert_eq!(
         (&ranked[1].cause, ranked[1].late),
@@ -217,7 +217,10 @@
         t.answered(inv, Fate::Throttled, Reason::GivenUp, 900 * MS);
     }
     let ranked = t.ranked();
-    assert_eq!(ranked[0].cause, Cause::Loads("3 functions".into()));
+    assert_eq!(
+        ranked[0].cause,
+        Cause::ManyFunctionLoads("3 functions".into())
+    );
     assert_eq!((ranked[0].lost, ranked[0].late), (3, 3));
 }
 
@@ -257,14 +260,14 @@
     let inv = t.comes(1, |_| vec![]);
     t.answered(inv, Fate::Throttled, Reason::GivenUp, 0);
     let causes: Vec<(Cause, u64)> = t.ranked().into_iter().map(|r| (r.cause, r.lost)).collect();
-    assert_eq!(causes[0], (Cause::BeyondShare("amber".into()), 4));
-    assert_eq!(causes[1], (Cause::Held("quote".into()), 3));
+    assert_eq!(causes[0], (Cause::ShareExceeded("amber".into()), 4));
+    assert_eq!(causes[1], (Cause::Queued("quote".into()), 3));
     assert!(
-        causes.contains(&(Cause::NoPlace("f1".into()), 1)),
+        causes.contains(&(Cause::NoLoadCapacity("f1".into()), 1)),
         "{causes:?}"
     );
     assert!(
-        causes.contains(&(Cause::Door("worth".into()), 1)),
+        causes.contains(&(Cause::AdmissionLimit("worth".into()), 1)),
         "{causes:?}"
     );
 }
@@ -299,6 +302,6 @@
     let ranked = t.ranked();
     assert_eq!(
         (&ranked[0].cause, ranked[0].lost),
-        (&Cause::Load("f0".into()), 2)
+        (&Cause::FunctionLoad("f0".into()), 2)
     );
 }
--- a/crates/trace/tests/printed_names.rs
+++ b/crates/trace/tests/printed_names.rs
@@ -25,19 +25,19 @@
 
 fn causes() -> Vec<Cause> {
     let causes = [
-        Cause::BeyondShare,
-        Cause::Door,
-        Cause::CameLate,
-        Cause::WorkerSilent,
+        Cause::ShareExceeded,
+        Cause::AdmissionLimit,
+        Cause::ExpiredOnArrival,
+        Cause::WorkerUnresponsive,
         Cause::WorkerErrored,
         Cause::WorkerSlow,
-        Cause::WorkersFull,
-        Cause::NoPlace,
-        Cause::Load,
-        Cause::Loads,
-        Cause::Held,
+        Cause::WorkersOverloaded,
+        Cause::NoLoadCapacity,
+        Cause::FunctionLoad,
+        Cause::ManyFunctionLoads,
+        Cause::Queued,
         Cause::Redelivered,
-        Cause::OwnWork,
+        Cause::OwnExecution,
         Cause::Other,
     ];
     causes.map(|cause| cause("subject".into())).into()
@@ -66,7 +66,7 @@
 
 fn ranked() -> RankedCause {
     RankedCause {
-        cause: Cause::Held("subject".into()),
+        cause: Cause::Queued("subject".into()),
         cost: 1.5,
         lost: 2,
         late: 3,
