--- a/crates/trace/src/chart.rs
+++ b/crates/trace/src/chart.rs
@@ -1,5 +1,5 @@
-//! A course as one SVG: fates, times of what succeeded, and work (dispatches, failures, loads, held), one above the
-//! other over the same seconds, with the worst ten seconds marked.
+//! A timeline as one SVG: outcomes, latencies of what succeeded, and work (dispatches, failures, loads, queued), one
+//! above the other over the same seconds, with the worst ten seconds marked.
 
 use cedarpulley::interface::Micros;
 use plotters::coord::Shift;
@@ -13,64 +13,60 @@
 const SUCCEEDED: RGBColor = RGBColor(70, 150, 90);
 const THROTTLED: RGBColor = RGBColor(225, 165, 40);
 const ERRORED: RGBColor = RGBColor(200, 60, 50);
-const TURNED_AWAY: RGBColor = RGBColor(130, 100, 170);
-const CALM: RGBColor = RGBColor(50, 100, 180);
+const REJECTED: RGBColor = RGBColor(130, 100, 170);
+const DISPATCHED: RGBColor = RGBColor(50, 100, 180);
 
-/// Seconds since the first bin, and the figure.
-type Line = Vec<(f64, f64)>;
+/// Points of a curve: seconds since the first bin, and the value.
+type Curve = Vec<(f64, f64)>;
 
-fn line(
-    bins: &[(Micros, TimelineBin)],
-    width: Micros,
-    figure: impl Fn(&TimelineBin) -> f64,
-) -> Line {
-    let first = bins.first().map_or(0, |b| b.0);
-    // In the middle of its bin.
-    bins.iter()
-        .map(|(at, b)| {
-            (
-                (at.saturating_sub(first).saturating_add(width / 2)) as f64 / 1e6,
-                figure(b),
-            )
-        })
-        .collect()
+struct Series {
+    label: &'static str,
+    color: RGBColor,
+    curve: Curve,
 }
 
-struct Panel<'a> {
-    caption: &'a str,
-    /// From the bottom up, each upon the one before.
-    stacked: Vec<(&'a str, RGBColor, Line)>,
-    lines: Vec<(&'a str, RGBColor, Line)>,
+/// One of the charts.
+struct Panel {
+    caption: &'static str,
+    /// Areas from the bottom up, each on top of the one before.
+    stacked: Vec<Series>,
+    lines: Vec<Series>,
 }
 
-type Drawn<T> = Result<T, DrawingAreaErrorKind<std::io::Error>>;
+type DrawResult<T> = Result<T, DrawingAreaErrorKind<std::io::Error>>;
+
+/// The stacked series with the values below each added to it.
+fn stack(series: Vec<Series>) -> Vec<Series> {
+    let mut stacked: Vec<Series> = Vec::new();
+    for mut next in series {
+        if let Some(below) = stacked.last() {
+            for (point, below) in next.curve.iter_mut().zip(&below.curve) {
+                point.1 += below.1;
+            }
+        }
+        stacked.push(next);
+    }
+    stacked
+}
 
-fn panel(
+/// `length` of the axis and `worst` span in seconds since the first bin.
+fn draw_panel(
     area: &DrawingArea<SVGBackend, Shift>,
-    of: Panel,
+    panel: Panel,
     length: f64,
     worst: Option<(f64, f64)>,
-) -> Drawn<()> {
-    let mut tops: Vec<Line> = Vec::new();
-    for (_, _, line) in &of.stacked {
-        let below = tops.last();
-        let top = line
-            .iter()
-            .enumerate()
-            .map(|(n, (x, y))| (*x, y + below.map_or(0.0, |b| b[n].1)));
-        let top = top.collect();
-        tops.push(top);
-    }
-    let all = tops.iter().chain(of.lines.iter().map(|l| &l.2));
-    let most = all.flatten().map(|p| p.1).fold(1.0, f64::max) * 1.08;
+) -> DrawResult<()> {
+    let stacked = stack(panel.stacked);
+    let points = stacked.iter().chain(&panel.lines).flat_map(|s| &s.curve);
+    let top = points.map(|point| point.1).fold(1.0, f64::max) * 1.08;
     let mut chart = ChartBuilder::on(area)
-        .caption(of.caption, ("sans-serif", 17))
+        .caption(panel.caption, ("sans-serif", 17))
         .margin(8)
         .x_label_area_size(28)
         .y_label_area_size(58)
-        .build_cartesian_2d(0.0..length.max(1.0), 0.0..most)?;
+        .build_cartesian_2d(0.0..length.max(1.0), 0.0..top)?;
     if let Some((from, until)) = worst {
-        let marked = Rectangle::new([(from, 0.0), (until.min(length), most)], WORST.filled());
+        let marked = Rectangle::new([(from, 0.0), (until.min(length), top)], WORST.filled());
         chart.draw_series([marked])?;
     }
     chart
@@ -79,17 +75,26 @@
         .x_desc("seconds")
         .draw()?;
     // The highest first: each lower one covers its part.
-    for ((name, color, _), top) in of.stacked.iter().zip(&tops).rev() {
-        let color = *color;
+    for Series {
+        label,
+        color,
+        curve,
+    } in stacked.into_iter().rev()
+    {
         chart
-            .draw_series(AreaSeries::new(top.iter().copied(), 0.0, color.filled()))?
-            .label(*name)
+            .draw_series(AreaSeries::new(curve, 0.0, color.filled()))?
+            .label(label)
             .legend(move |(x, y)| Rectangle::new([(x, y - 5), (x + 14, y + 5)], color.filled()));
     }
-    for (name, color, line) in of.lines {
+    for Series {
+        label,
+        color,
+        curve,
+    } in panel.lines
+    {
         chart
-            .draw_series(LineSeries::new(line, color.stroke_width(2)))?
-            .label(name)
+            .draw_series(LineSeries::new(curve, color.stroke_width(2)))?
+            .label(label)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], color.stroke_width(2)));
     }
     chart
@@ -100,67 +105,120 @@
         .draw()
 }
 
-/// `worst`: wall's microseconds. An empty course is an empty chart.
-pub fn svg(course: &Course, title: &str, worst: Option<(Micros, Micros)>) -> Result<String, Error> {
-    let (bins, width) = (course.bins(), course.width());
-    let first = bins.first().map_or(0, |b| b.0);
-    let length = bins.len() as f64 * width as f64 / 1e6;
-    let own = |at: Micros| at.saturating_sub(first) as f64 / 1e6;
-    let worst = worst.map(|(from, until)| (own(from).max(0.0), own(until)));
-    let rate = |n: u64| n as f64 * 1e6 / width as f64;
-    let of = |figure: &dyn Fn(&TimelineBin) -> f64| line(&bins, width, figure);
-    // Where nothing succeeded there is no time.
-    let timed: Vec<_> = bins
-        .iter()
-        .filter(|(_, b)| !b.times.is_empty())
-        .cloned()
-        .collect();
-    let late = timed.first().map_or(0.0, |b| own(b.0));
-    let quantile = |q: f64| {
-        let line = line(&timed, width, |b| b.times.value_at_quantile(q) as f64 / 1e3);
-        line.into_iter()
-            .map(|(x, y)| (x + late, y))
-            .collect::<Line>()
+/// The bins of a timeline, and how to make curves of them.
+struct Bins {
+    bins: Vec<(Micros, TimelineBin)>,
+    width: Micros,
+}
+
+impl Bins {
+    /// From the first bin's beginning on.
+    fn seconds(&self, wall: Micros) -> f64 {
+        let first = self.bins.first().map_or(0, |bin| bin.0);
+        wall.saturating_sub(first) as f64 / 1e6
+    }
+
+    fn length(&self) -> f64 {
+        self.bins.len() as f64 * self.width as f64 / 1e6
+    }
+
+    /// Counts by second, at the middle of each bin.
+    fn rate(
+        &self,
+        label: &'static str,
+        color: RGBColor,
+        count: impl Fn(&TimelineBin) -> u64,
+    ) -> Series {
+        let first = self.bins.first().map_or(0, |bin| bin.0);
+        let curve = self.bins.iter().map(|(at, bin)| {
+            let middle = at.saturating_sub(first).saturating_add(self.width / 2);
+            (
+                middle as f64 / 1e6,
+                count(bin) as f64 * 1e6 / self.width as f64,
+            )
+        });
+        Series {
+            label,
+            color,
+            curve: curve.collect(),
+        }
+    }
+
+    /// Milliseconds; where nothing succeeded there is no point.
+    fn latency(&self, label: &'static str, color: RGBColor, quantile: f64) -> Series {
+        let measured = || {
+            self.bins
+                .iter()
+                .filter(|(_, bin)| !bin.latencies.is_empty())
+        };
+        let first = measured().next().map_or(0, |bin| bin.0);
+        let offset = measured().next().map_or(0.0, |bin| self.seconds(bin.0));
+        let curve = measured().map(|(at, bin)| {
+            let middle = at.saturating_sub(first).saturating_add(self.width / 2);
+            let value = bin.latencies.value_at_quantile(quantile) as f64 / 1e3;
+            (middle as f64 / 1e6 + offset, value)
+        });
+        Series {
+            label,
+            color,
+            curve: curve.collect(),
+        }
+    }
+
+    fn panels(&self) -> [Panel; 3] {
+        [
+            Panel {
+                caption: "answers a second",
+                stacked: vec![
+                    self.rate("succeeded", SUCCEEDED, |bin| bin.succeeded),
+                    self.rate("throttled", THROTTLED, |bin| bin.throttled),
+                    self.rate("errored", ERRORED, |bin| bin.errored),
+                    self.rate("turned away", REJECTED, |bin| bin.rejected),
+                ],
+                lines: vec![self.rate("taken", BLACK, |bin| bin.accepted)],
+            },
+            Panel {
+                caption: "time of what succeeded, ms",
+                stacked: Vec::new(),
+                lines: vec![
+                    self.latency("p50", SUCCEEDED, 0.5),
+                    self.latency("p90", THROTTLED, 0.9),
+                    self.latency("p99", ERRORED, 0.99),
+                ],
+            },
+            Panel {
+                caption: "decisions a second",
+                stacked: Vec::new(),
+                lines: vec![
+                    self.rate("dispatches", DISPATCHED, |bin| bin.dispatches),
+                    self.rate("failed dispatches", ERRORED, |bin| bin.failed_dispatches),
+                    self.rate("held", THROTTLED, |bin| bin.queued),
+                    self.rate("loads ordered", REJECTED, |bin| bin.load_orders),
+                    self.rate("records lost", BLACK, |bin| bin.lost_records),
+                ],
+            },
+        ]
+    }
+}
+
+/// The chart as text. `worst`: span in wall clock microseconds. An empty timeline is an empty chart.
+pub fn svg(
+    timeline: &Course,
+    title: &str,
+    worst: Option<(Micros, Micros)>,
+) -> Result<String, Error> {
+    let bins = Bins {
+        bins: timeline.bins(),
+        width: timeline.width(),
     };
-    let panels = [
-        Panel {
-            caption: "answers a second",
-            stacked: vec![
-                ("succeeded", SUCCEEDED, of(&|b| rate(b.succeeded))),
-                ("throttled", THROTTLED, of(&|b| rate(b.throttled))),
-                ("errored", ERRORED, of(&|b| rate(b.errored))),
-                ("turned away", TURNED_AWAY, of(&|b| rate(b.turned_away))),
-            ],
-            lines: vec![("taken", BLACK, of(&|b| rate(b.taken)))],
-        },
-        Panel {
-            caption: "time of what succeeded, ms",
-            stacked: Vec::new(),
-            lines: vec![
-                ("p50", SUCCEEDED, quantile(0.5)),
-                ("p90", THROTTLED, quantile(0.9)),
-                ("p99", ERRORED, quantile(0.99)),
-            ],
-        },
-        Panel {
-            caption: "decisions a second",
-            stacked: Vec::new(),
-            lines: vec![
-                ("dispatches", CALM, of(&|b| rate(b.dispatches))),
-                ("failed dispatches", ERRORED, of(&|b| rate(b.failed))),
-                ("held", THROTTLED, of(&|b| rate(b.held))),
-                ("loads ordered", TURNED_AWAY, of(&|b| rate(b.orders))),
-                ("records lost", BLACK, of(&|b| rate(b.lost_records))),
-            ],
-        },
-    ];
+    let worst = worst.map(|(from, until)| (bins.seconds(from).max(0.0), bins.seconds(until)));
     let mut text = String::new();
-    let draw = || -> Drawn<()> {
+    let mut draw = || -> DrawResult<()> {
         let whole = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
         whole.fill(&WHITE)?;
         let whole = whole.titled(title, ("sans-serif", 20))?;
-        for (area, of) in whole.split_evenly((3, 1)).iter().zip(panels) {
-            panel(area, of, length, worst)?;
+        for (area, panel) in whole.split_evenly((3, 1)).iter().zip(bins.panels()) {
+            draw_panel(area, panel, bins.length(), worst)?;
         }
         whole.present()
     };
--- a/crates/trace/src/invocation_history.rs
+++ b/crates/trace/src/invocation_history.rs
@@ -1,4 +1,4 @@
-//! The life of one invocation in a few lines, by the mark that its client gave it.
+//! What happened to one invocation, in a few lines, by the correlation id that its client gave it.
 
 use std::collections::HashMap;
 
@@ -8,91 +8,85 @@
 use crate::records::{Record, RecordedEvent, Space};
 use crate::start::Source;
 
-/// Follows marks through the records of one file, in order.
+/// Follows a correlation id through the records of one source, in order.
 pub struct Follow {
-    mark: u64,
-    /// Its index while it is out: indices are given out again.
-    inv: Option<InvocationIndex>,
+    /// Hash of the correlation id.
+    key: u64,
+    /// The invocation's index while it is open: indices are assigned again.
+    invocation: Option<InvocationIndex>,
     workers: HashMap<u32, String>,
     functions: HashMap<u32, String>,
+    /// The history so far; each line begins with the wall clock in seconds.
     pub lines: Vec<String>,
 }
 
 impl Follow {
-    pub fn new(mark: &str) -> Self {
+    /// For this correlation id.
+    pub fn new(correlation_id: &str) -> Self {
         Follow {
-            mark: fingerprint(mark),
-            inv: None,
+            key: fingerprint(correlation_id),
+            invocation: None,
             workers: HashMap::new(),
             functions: HashMap::new(),
             lines: Vec::new(),
         }
     }
 
-    fn line(&mut self, source: &Source, at: Micros, text: String) {
+    fn line(&mut self, source: &Source, at: Micros, text: &str) {
         let wall = source.wall(at);
-        let (s, us) = (wall.div_euclid(1_000_000), wall.rem_euclid(1_000_000));
-        self.lines
-            .push(format!("{s}.{us:06} {}: {text}", source.start.router));
+        let (seconds, micros) = (wall.div_euclid(1_000_000), wall.rem_euclid(1_000_000));
+        self.lines.push(format!(
+            "{seconds}.{micros:06} {}: {text}",
+            source.start.router
+        ));
     }
 
+    /// Takes the next record, at its router time.
     pub fn record(&mut self, source: &Source, at: Micros, record: &Record) {
         match record {
-            Record::Name {
-                kind: space,
-                index: ix,
-                name: text,
-            } => {
-                let names = if *space == Space::Worker {
-                    &mut self.workers
-                } else {
-                    &mut self.functions
+            Record::Name { kind, index, name } => {
+                let names = match kind {
+                    Space::Worker => &mut self.workers,
+                    Space::Function => &mut self.functions,
                 };
-                names.insert(*ix, text.clone());
+                names.insert(*index, name.clone());
             }
             Record::Taken {
                 inv,
                 front,
-                mark: Some(mark),
+                mark: Some(key),
                 redelivered,
-            } if *mark == self.mark => {
-                self.inv = Some(*inv);
-                let front = source
-                    .start
-                    .fronts_named
-                    .get(*front as usize)
-                    .map_or("?", String::as_str);
+            } if *key == self.key => {
+                self.invocation = Some(*inv);
+                let front = source.start.fronts_named.get(*front as usize);
+                let front = front.map_or("?", String::as_str);
                 let again = if *redelivered {
                     ", delivered again"
                 } else {
                     ""
                 };
-                self.line(source, at, format!("taken from {front}{again}"));
+                self.line(source, at, &format!("taken from {front}{again}"));
             }
-            // Its index went to another.
-            Record::Taken { inv, .. } if self.inv == Some(*inv) => self.inv = None,
+            // Its index was assigned to another.
+            Record::Taken { inv, .. } if self.invocation == Some(*inv) => self.invocation = None,
             Record::Answered {
                 inv: Some(inv),
                 fate,
                 reason,
                 took,
                 ..
-            } if self.inv == Some(*inv) => {
-                self.line(
-                    source,
-                    at,
-                    format!(
-                        "answered: {fate:?}, {reason:?}, after {:.1} ms",
-                        *took as f64 / 1e3
-                    ),
-                );
+            } if self.invocation == Some(*inv) => {
+                let millis = *took as f64 / 1e3;
+                let text = format!("answered: {fate:?}, {reason:?}, after {millis:.1} ms");
+                self.line(source, at, &text);
+            }
+            Record::Decided { event, actions } => {
+                if let Some(own) = self.invocation {
+                    self.decided(own, source, at, event, actions);
+                }
             }
-            Record::Decided {
-                event: happened,
-                actions,
-            } => self.decided(source, at, happened, actions),
-            Record::Gap { records, .. } if self.inv.is_some() => {
-                self.line(source, at, format!("{records} records are missing here"));
+            Record::Gap { records, .. } if self.invocation.is_some() => {
+                self.line(source, at, &format!("{records} records are missing here"));
             }
             _ => {}
         }
@@ -100,81 +94,79 @@
 
     fn decided(
         &mut self,
+        own: InvocationIndex,
         source: &Source,
         at: Micros,
-        happened: &RecordedEvent,
+        event: &RecordedEvent,
         actions: &[Action],
     ) {
-        let Some(own) = self.inv else { return };
-        let worker = |ix: &u32| {
-            self.workers
-                .get(ix)
-                .cloned()
-                .unwrap_or_else(|| ix.to_string())
+        let mut lines = Vec::new();
+        lines.extend(self.event_line(own, source, event));
+        lines.extend(actions.iter().filter_map(|a| self.action_line(own, a)));
+        let arrived = matches!(event, RecordedEvent::Other(Event::Invocation(arrival)) if arrival.invocation == own);
+        if arrived && !crate::records::is_settled(own, actions) {
+            lines.push("held".into());
+        }
+        for text in lines {
+            self.line(source, at, &text);
+        }
+    }
+
+    fn worker(&self, index: u32) -> String {
+        let name = self.workers.get(&index).cloned();
+        name.unwrap_or_else(|| index.to_string())
+    }
+
+    fn event_line(
+        &self,
+        own: InvocationIndex,
+        source: &Source,
+        event: &RecordedEvent,
+    ) -> Option<String> {
+        let RecordedEvent::Other(event) = event else {
+            return None;
         };
-        let mut texts = Vec::new();
-        match happened {
-            RecordedEvent::Other(Event::Invocation(a)) if a.invocation == own => {
-                let function = self.functions.get(&a.function).map_or("?", String::as_str);
-                let kind = source
-                    .start
-                    .triggers_named
-                    .get(a.trigger as usize)
-                    .map_or("?", String::as_str);
-                texts.push(format!(
-                    "{kind} for {function}, gives up in {:.0} ms",
-                    a.client_timeout_in as f64 / 1e3
-                ));
-            }
-            RecordedEvent::Other(Event::DispatchEnded(e)) if e.invocation == own => {
-                let (name, took) = (worker(&e.worker), e.took as f64 / 1e3);
-                texts.push(format!(
-                    "dispatch {} to {name}: {:?} after {took:.1} ms",
-                    e.dispatch, e.outcome
-                ));
+        match event {
+            Event::Invocation(arrival) if arrival.invocation == own => {
+                let function = self.functions.get(&arrival.function);
+                let trigger = source.start.triggers_named.get(arrival.trigger as usize);
+                Some(format!(
+                    "{} for {}, gives up in {:.0} ms",
+                    trigger.map_or("?", String::as_str),
+                    function.map_or("?", String::as_str),
+                    arrival.client_timeout_in as f64 / 1e3
+                ))
             }
-            RecordedEvent::Other(Event::ClientLeft { invocation: inv }) if *inv == own => {
-                texts.push("its client left".into())
+            Event::DispatchEnded(ended) if ended.invocation == own => Some(format!(
+                "dispatch {} to {}: {:?} after {:.1} ms",
+                ended.dispatch,
+                self.worker(ended.worker),
+                ended.outcome,
+                ended.took as f64 / 1e3
+            )),
+            Event::ClientLeft { invocation } if *invocation == own => {
+                Some("its client left".into())
             }
-            _ => {}
+            _ => None,
         }
-        let mut acted = false;
-        for action in actions {
-            match action {
-                Action::Dispatch {
-                    invocation: inv,
-                    worker: w,
-                    ..
-                } if *inv == own => {
-                    acted = true;
-                    texts.push(format!("dispatched to {}", worker(w)));
-                }
-                Action::Cancel {
-                    invocation: inv,
-                    dispatch,
-                } if *inv == own => {
-                    texts.push(format!("dispatch {dispatch} called back"));
-                }
-                Action::Reject {
-                    invocation: inv, ..
-                } if *inv == own => {
-                    acted = true;
-                    texts.push("given up, harmlessly".into());
-                }
-                Action::Fail { invocation: inv } if *inv == own => {
-                    acted = true;
-                    texts.push("given up with an error".into());
-                }
-                _ => {}
+    }
+
+    fn action_line(&self, own: InvocationIndex, action: &Action) -> Option<String> {
+        match *action {
+            Action::Dispatch {
+                invocation, worker, ..
+            } if invocation == own => Some(format!("dispatched to {}", self.worker(worker))),
+            Action::Cancel {
+                invocation,
+                dispatch,
+            } if invocation == own => Some(format!("dispatch {dispatch} called back")),
+            Action::Reject { invocation, .. } if invocation == own => {
+                Some("given up, harmlessly".into())
             }
-        }
-        if matches!(happened, RecordedEvent::Other(Event::Invocation(a)) if a.invocation == own)
-            && !acted
-        {
-            texts.push("held".into());
-        }
-        for text in texts {
-            self.line(source, at, text);
+            Action::Fail { invocation } if invocation == own => {
+                Some("given up with an error".into())
+            }
+            _ => None,
         }
     }
 }
--- a/crates/trace/src/records.rs
+++ b/crates/trace/src/records.rs
@@ -109,3 +109,13 @@
         until: Micros,
     },
 }
+
+/// Whether the event's actions dispatch or end this invocation.
+pub(crate) fn is_settled(invocation: InvocationIndex, actions: &[Action]) -> bool {
+    actions.iter().any(|action| match action {
+        Action::Dispatch { invocation: of, .. }
+        | Action::Reject { invocation: of, .. }
+        | Action::Fail { invocation: of } => *of == invocation,
+        _ => false,
+    })
+}
--- a/crates/trace/src/selection.rs
+++ b/crates/trace/src/selection.rs
@@ -1,28 +1,34 @@
 //! Which records belong to a cut: by time, and then by function, account, worker or invocation. Free of I/O: records
-//! go in, in order, and those that belong come out. Indices are given out again, so what belongs is followed.
+//! go in, in order, and [`RecordSelector::belongs`] says which belong. Invocation indices are assigned again, so
+//! invocations that belong are followed.
 
 use std::collections::{HashMap, HashSet};
 
 use cedarpulley::ids::fingerprint;
-use cedarpulley::interface::{Action, Event, InvocationIndex, Micros};
+use cedarpulley::interface::{Action, Arrival, Event, InvocationIndex, Micros};
 
 use crate::records::{Record, RecordedEvent, Space};
 use crate::start::Source;
 
-/// What is wanted; an absent one asks for all.
+/// What belongs to the cut; an absent criterion accepts all.
 #[derive(Clone, Debug, Default)]
 pub struct Wanted {
-    /// Wall's microseconds.
+    /// Wall clock in microseconds.
     pub from: Option<Micros>,
+    /// Wall clock in microseconds, exclusive.
     pub until: Option<Micros>,
+    /// Name of the function.
     pub function: Option<String>,
+    /// Name of the account.
     pub account: Option<String>,
+    /// Address of the worker.
     pub worker: Option<String>,
+    /// Correlation id that a client gave its invocation.
     pub mark: Option<String>,
 }
 
 impl Wanted {
-    /// Nothing else than a span is asked for.
+    /// Whether only a span of time is asked for.
     pub fn only_time(&self) -> bool {
         !self.by_invocation()
     }
@@ -35,19 +41,21 @@
     }
 }
 
-/// For one file, read from its first wanted block on.
+/// Selects the records of one source, read from its first wanted block on.
 pub struct RecordSelector<'a> {
     wanted: &'a Wanted,
-    mark: Option<u64>,
+    /// Hash of the wanted correlation id.
+    key: Option<u64>,
     account: Option<u32>,
     names: HashMap<(Space, u32), String>,
-    /// Whose mark was the one asked for; and those that belong while they are out.
-    marked: HashSet<InvocationIndex>,
-    belongs: HashSet<InvocationIndex>,
+    /// Open invocations with the wanted correlation id.
+    with_key: HashSet<InvocationIndex>,
+    /// Open invocations that belong.
+    belonging: HashSet<InvocationIndex>,
 }
 
 impl<'a> RecordSelector<'a> {
-    /// Absent if nothing of this file can belong.
+    /// Absent if nothing of this source can belong.
     pub fn new(wanted: &'a Wanted, source: &Source) -> Option<Self> {
         let account = match &wanted.account {
             None => None,
@@ -55,43 +63,40 @@
         };
         Some(RecordSelector {
             wanted,
-            mark: wanted.mark.as_deref().map(fingerprint),
+            key: wanted.mark.as_deref().map(fingerprint),
             account,
             names: HashMap::new(),
-            marked: HashSet::new(),
-            belongs: HashSet::new(),
+            with_key: HashSet::new(),
+            belonging: HashSet::new(),
         })
     }
 
-    /// The span in the file's own time.
+    /// The wanted span in the source's router time.
     pub fn span(&self, source: &Source) -> (Micros, Micros) {
-        let own = |wall: Micros| wall.saturating_sub(source.wall(0));
+        let router_time = |wall: Micros| wall.saturating_sub(source.wall(0));
         (
-            self.wanted.from.map_or(Micros::MIN, own),
-            self.wanted.until.map_or(Micros::MAX, own),
+            self.wanted.from.map_or(Micros::MIN, router_time),
+            self.wanted.until.map_or(Micros::MAX, router_time),
         )
     }
 
-    pub fn name(&self, space: Space, ix: u32) -> Option<&str> {
-        self.names.get(&(space, ix)).map(String::as_str)
+    /// The present name of an index.
+    pub fn name(&self, kind: Space, index: u32) -> Option<&str> {
+        self.names.get(&(kind, index)).map(String::as_str)
     }
 
-    fn is_worker(&self, ix: u32) -> bool {
+    fn is_wanted_worker(&self, index: u32) -> bool {
         self.wanted
             .worker
             .as_deref()
-            .is_some_and(|w| self.name(Space::Worker, ix) == Some(w))
+            .is_some_and(|worker| self.name(Space::Worker, index) == Some(worker))
     }
 
-    /// Names are kept here and told with what uses them: a name alone never belongs.
+    /// Whether the next record belongs. A name record never does by itself: names are remembered here, for the records
+    /// that use them.
     pub fn belongs(&mut self, at: Micros, span: (Micros, Micros), record: &Record) -> bool {
-        if let Record::Name {
-            kind: space,
-            index: ix,
-            name: text,
-        } = record
-        {
-            self.names.insert((*space, *ix), text.clone());
+        if let Record::Name { kind, index, name } = record {
+            self.names.insert((*kind, *index), name.clone());
             return false;
         }
         let inside = at >= span.0 && at < span.1;
@@ -102,108 +107,102 @@
         let belongs = match record {
             Record::Name { .. } => false,
             Record::Gap { .. } => true,
-            Record::TurnedAway { account, .. } => {
-                self.account == Some(*account)
-                    && self.wanted.function.is_none()
-                    && self.mark.is_none()
-            }
-            Record::Taken { inv, mark, .. } => {
-                self.belongs.remove(inv);
-                self.marked.remove(inv);
-                if self.mark.is_some() && *mark == self.mark {
-                    self.marked.insert(*inv);
-                }
-                self.marked.contains(inv)
-            }
-            Record::Answered { inv: Some(inv), .. } => self.belongs.contains(inv),
-            Record::Answered {
+            Record::TurnedAway { account, .. }
+            | Record::Answered {
                 inv: None, account, ..
-            } => {
-                self.account == Some(*account)
-                    && self.wanted.function.is_none()
-                    && self.mark.is_none()
-            }
-            Record::Decided {
-                event: happened,
-                actions,
-            } => self.decided(happened, actions),
+            } => self.is_wanted_unseen(*account),
+            Record::Taken { inv, mark, .. } => self.accepted(*inv, *mark),
+            Record::Answered { inv: Some(inv), .. } => self.belonging.contains(inv),
+            Record::Decided { event, actions } => self.decided(event, actions),
         };
         belongs && inside
     }
 
-    fn decided(&mut self, happened: &RecordedEvent, actions: &[Action]) -> bool {
-        let mut any = false;
-        match happened {
-            RecordedEvent::List {
-                endpoints: entries, ..
-            } => any |= entries.iter().any(|e| self.is_worker(e.worker)),
-            RecordedEvent::Other(Event::Invocation(a)) => {
-                let function = self.wanted.function.as_deref();
-                let fits = function
-                    .is_none_or(|f| self.name(Space::Function, a.function) == Some(f))
-                    && self.account.is_none_or(|own| own == a.account)
-                    && (self.mark.is_none() || self.marked.contains(&a.invocation));
-                // By worker alone an invocation belongs from its dispatch there on.
-                let only_worker =
-                    function.is_none() && self.account.is_none() && self.mark.is_none();
-                if fits && !only_worker {
-                    self.belongs.insert(a.invocation);
-                }
+    /// Of an invocation that never reached the decision module only the account is known.
+    fn is_wanted_unseen(&self, account: u32) -> bool {
+        self.account == Some(account) && self.wanted.function.is_none() && self.key.is_none()
+    }
+
+    fn accepted(&mut self, invocation: InvocationIndex, key: Option<u64>) -> bool {
+        self.belonging.remove(&invocation);
+        self.with_key.remove(&invocation);
+        let wanted = self.key.is_some() && key == self.key;
+        if wanted {
+            self.with_key.insert(invocation);
+        }
+        wanted
+    }
+
+    fn decided(&mut self, event: &RecordedEvent, actions: &[Action]) -> bool {
+        let mut belongs = self.event_belongs(event);
+        for action in actions {
+            belongs |= self.action_belongs(action);
+        }
+        belongs
+    }
+
+    fn event_belongs(&mut self, event: &RecordedEvent) -> bool {
+        match event {
+            RecordedEvent::List { endpoints, .. } => endpoints
+                .iter()
+                .any(|endpoint| self.is_wanted_worker(endpoint.worker)),
+            RecordedEvent::Other(Event::Invocation(arrival)) => {
+                self.arrived(arrival);
+                self.belonging.contains(&arrival.invocation)
             }
             RecordedEvent::Other(
                 Event::ProbeEnded { worker, .. }
                 | Event::OrderEnded { worker, .. }
                 | Event::CopyWanted { worker, .. }
                 | Event::CopiesReported { worker, .. },
-            ) => {
-                any |= self.is_worker(*worker);
-            }
-            RecordedEvent::Other(Event::DispatchEnded(e)) => {
-                any |= self.is_worker(e.worker) || self.belongs.contains(&e.invocation);
+            ) => self.is_wanted_worker(*worker),
+            RecordedEvent::Other(Event::DispatchEnded(ended)) => {
+                self.is_wanted_worker(ended.worker) || self.belonging.contains(&ended.invocation)
             }
             RecordedEvent::Other(
-                Event::ClientLeft { invocation: inv }
-                | Event::AnswerStarted {
-                    invocation: inv, ..
-                },
-            ) => {
-                any |= self.belongs.contains(inv);
-            }
+                Event::ClientLeft { invocation } | Event::AnswerStarted { invocation, .. },
+            ) => self.belonging.contains(invocation),
             // A list is never among the others.
-            RecordedEvent::Other(Event::Timer { .. } | Event::EndpointList { .. }) => {}
+            RecordedEvent::Other(Event::Timer { .. } | Event::EndpointList { .. }) => false,
         }
-        if let RecordedEvent::Other(Event::Invocation(a)) = happened {
-            any |= self.belongs.contains(&a.invocation);
+    }
+
+    /// By worker alone an invocation belongs from its dispatch there on.
+    fn arrived(&mut self, arrival: &Arrival) {
+        let function = self.wanted.function.as_deref();
+        if function.is_none() && self.account.is_none() && self.key.is_none() {
+            return;
         }
-        for action in actions {
-            match action {
-                Action::Dispatch {
-                    invocation: inv,
-                    worker,
-                    ..
-                } => {
-                    if self.is_worker(*worker) {
-                        self.belongs.insert(*inv);
-                    }
-                    any |= self.belongs.contains(inv);
-                }
-                Action::Cancel {
-                    invocation: inv, ..
-                }
-                | Action::Reject {
-                    invocation: inv, ..
-                }
-                | Action::Fail { invocation: inv } => {
-                    any |= self.belongs.contains(inv);
-                }
-                Action::LoadOrder { worker, .. }
-                | Action::Unload { worker, .. }
-                | Action::Probe { worker } => {
-                    any |= self.is_worker(*worker);
+        let fits = function
+            .is_none_or(|name| self.name(Space::Function, arrival.function) == Some(name))
+            && self
+                .account
+                .is_none_or(|account| account == arrival.account)
+            && (self.key.is_none() || self.with_key.contains(&arrival.invocation));
+        if fits {
+            self.belonging.insert(arrival.invocation);
+        }
+    }
+
+    fn action_belongs(&mut self, action: &Action) -> bool {
+        match *action {
+            Action::Dispatch {
+                invocation, worker, ..
+            } => {
+                if self.is_wanted_worker(worker) {
+                    self.belonging.insert(invocation);
                 }
-                _ => {}
+                self.belonging.contains(&invocation)
             }
+            Action::Cancel { invocation, .. }
+            | Action::Reject { invocation, .. }
+            | Action::Fail { invocation } => self.belonging.contains(&invocation),
+            Action::LoadOrder { worker, .. }
+            | Action::Unload { worker, .. }
+            | Action::Probe { worker } => self.is_wanted_worker(worker),
+            Action::Timer { .. }
+            | Action::RequestEndpointList { .. }
+            | Action::ReleaseFunction { .. } => false,
         }
-        any
     }
 }
--- /dev/null
+++ b/crates/trace/src/summary/router_positions.rs
@@ -0,0 +1,72 @@
+//! Which routers had the same fleet position at the same time.
+
+use std::collections::BTreeMap;
+
+use cedarpulley::interface::Micros;
+
+use crate::start::Source;
+
+/// Two that overlap for less are one after the other, with clocks a little apart.
+const MIN_OVERLAP: Micros = 2_000_000;
+/// Pairs that are reported.
+const MAX_PAIRS: usize = 20;
+
+/// One router incarnation.
+struct Incarnation {
+    position: u32,
+    routers: u32,
+    /// Wall clock of its first and last record.
+    span: Option<(Micros, Micros)>,
+}
+
+/// All router incarnations, by name and start.
+#[derive(Default)]
+pub(super) struct RouterPositions {
+    incarnations: BTreeMap<(String, Micros), Incarnation>,
+}
+
+fn key(source: &Source) -> (String, Micros) {
+    (source.start.router.clone(), source.start.wall_at_zero)
+}
+
+impl RouterPositions {
+    pub fn add(&mut self, source: &Source) {
+        let fleet = &source.start.startup.fleet;
+        self.incarnations.entry(key(source)).or_insert(Incarnation {
+            position: fleet.position,
+            routers: fleet.routers,
+            span: None,
+        });
+    }
+
+    pub fn seen(&mut self, source: &Source, wall: Micros) {
+        if let Some(incarnation) = self.incarnations.get_mut(&key(source)) {
+            let (from, until) = incarnation.span.unwrap_or((wall, wall));
+            incarnation.span = Some((from.min(wall), until.max(wall)));
+        }
+    }
+
+    pub fn count(&self) -> u64 {
+        self.incarnations.len() as u64
+    }
+
+    /// Names of pairs of incarnations with one position that overlap.
+    pub fn overlapping(&self) -> Vec<(String, String)> {
+        let mut pairs = Vec::new();
+        let all: Vec<_> = self.incarnations.iter().collect();
+        for (n, ((one_name, _), one)) in all.iter().enumerate() {
+            let later = all[n + 1..].iter().filter(|(_, other)| {
+                (other.position, other.routers) == (one.position, one.routers)
+            });
+            for ((other_name, _), other) in later {
+                let (Some(a), Some(b)) = (one.span, other.span) else {
+                    continue;
+                };
+                if a.1.min(b.1) - a.0.max(b.0) >= MIN_OVERLAP && pairs.len() < MAX_PAIRS {
+                    pairs.push((one_name.clone(), other_name.clone()));
+                }
+            }
+        }
+        pairs
+    }
+}
--- a/crates/trace/tests/coursed.rs
+++ b/crates/trace/tests/coursed.rs
@@ -48,7 +48,7 @@
         sum(&|b| b.succeeded) + sum(&|b| b.throttled),
         seconds as u64
     );
-    assert_eq!(sum(&|b| b.times.len()), sum(&|b| b.succeeded));
+    assert_eq!(sum(&|b| b.latencies.len()), sum(&|b| b.succeeded));
     // Clocks that are out of all reason are borne, too.
     course.record(&of, Micros::MAX, &answered(Fate::Errored, 1));
     course.record(&of, Micros::MIN, &answered(Fate::Errored, 1));
--- a/crates/trace/tests/rewriting.rs
+++ b/crates/trace/tests/rewriting.rs
@@ -100,7 +100,7 @@
     let one = summary(KEPT);
     let all = summary(&whole);
     assert_eq!((all.routers, all.invocations), (12, 12 * one.invocations));
-    assert_eq!(all.fates.succeeded, 12 * one.fates.succeeded);
+    assert_eq!(all.outcomes.succeeded, 12 * one.outcomes.succeeded);
     let wall = open(KEPT).sources[0].start.wall_at_zero;
     let span = Wanted {
         from: Some(wall + 20 * MS),
@@ -180,7 +180,7 @@
     let (part, _) = cut_of(KEPT, &worker);
     let counted = summary(&part);
     assert_eq!(&counted.by_worker[name], at);
-    assert_eq!(counted.fates.succeeded, at.succeeded);
+    assert_eq!(counted.outcomes.succeeded, at.succeeded);
     let nobody = Wanted {
         account: Some("nobody".into()),
         ..Wanted::default()
@@ -301,7 +301,7 @@
         sheet.end().expect("written")
     };
     let (minute, told) = (60_000 * MS, |files: &[Vec<u8>]| {
-        summary(&merged(files, &[])).same_place
+        summary(&merged(files, &[])).same_position
     });
     let (one, other) = (
         file("r-0", 0, 0, minute),
