--- a/crates/trace/src/compare.rs
+++ b/crates/trace/src/compare.rs
@@ -1,223 +1,317 @@
-//! Tells how what two modules decided about the same events differs, and counts it by kind. Free of I/O: called with
-//! [`Compare::row`] for each router's life and [`Compare::decision`] for each decision in it; [`Compare::finish`] has
-//! the counts.
+//! How the decisions of two modules about the same events differ, counted by kind. Free of I/O: [`Compare::row`] begins
+//! a router's incarnation, [`Compare::decision`] takes each decision in it, [`Compare::finish`] returns the counts.
 //!
 //! Mechanisms:
 //! 1. What becomes of each invocation that either of them acts on: a pair of what one did and what the other does.
-//! 2. Orders of loads, by function: more, fewer, or elsewhere.
-//! 3. The first difference of a life is exact, as until then both were told the same and asked for the same. Later
-//!    ones are counted apart: from then on one of them is told of what it never asked for.
+//! 2. Load orders, by function: more, fewer, or elsewhere.
+//! 3. The first difference of an incarnation is exact, as until then both received the same events and returned the
+//!    same actions. Later ones are counted apart: from then on one of them hears of what it never asked for.
 //! 4. What differs in timers alone is no decision of its own, and is counted last.
 
-use std::collections::BTreeMap;
+use std::cmp::{Ordering, Reverse};
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 
 use cedarpulley::interface::{Action, FunctionIndex, InvocationIndex, WorkerIndex};
 use serde::Serialize;
 
 use crate::replay::alike;
 
-/// What was done with an invocation.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
+/// What was done with an invocation. Sorted, and printed under the names beside the variants and in [`fmt::Debug`].
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Decision {
-    Held,
-    Sent,
+    /// Nothing yet.
+    #[serde(rename = "held")]
+    Queued,
+    /// Dispatched to a worker.
+    #[serde(rename = "sent")]
+    Dispatched,
+    /// Given back to the client unexecuted.
     Throttled,
+    /// Ended with an error.
     Errored,
-    CalledBack,
+    /// A dispatch was cancelled.
+    #[serde(rename = "called-back")]
+    Cancelled,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
+/// As `trace replay` prints it.
+impl fmt::Debug for Decision {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Decision::Queued => "Held",
+            Decision::Dispatched => "Sent",
+            Decision::Throttled => "Throttled",
+            Decision::Errored => "Errored",
+            Decision::Cancelled => "CalledBack",
+        })
+    }
+}
+
+/// A kind of difference. Sorted, and printed under the names beside the variants and in [`fmt::Debug`].
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
     /// One did this with an invocation, the other that.
     Instead(Decision, Decision),
-    /// Both sent it, to different workers.
-    SentElsewhere,
-    /// The same, with other time-outs or other advice.
-    OtherFigures,
-    OrderedMore,
-    OrderedFewer,
-    OrderedElsewhere,
-    /// Unloads, probes, questions for the list.
-    Upkeep,
+    /// Both dispatched it, to different workers.
+    #[serde(rename = "sent-elsewhere")]
+    OtherWorker,
+    /// The same, with another timeout or another Retry-After.
+    #[serde(rename = "other-figures")]
+    OtherParameters,
+    /// More load orders for a function.
+    #[serde(rename = "ordered-more")]
+    MoreLoadOrders,
+    /// Fewer load orders for a function.
+    #[serde(rename = "ordered-fewer")]
+    FewerLoadOrders,
+    /// As many load orders for a function, at other workers.
+    #[serde(rename = "ordered-elsewhere")]
+    OtherLoadWorkers,
+    /// Unloads, probes, requests for the endpoint list.
+    #[serde(rename = "upkeep")]
+    Maintenance,
+    /// Timers, or the same actions in another order.
     Timers,
 }
 
+/// As `trace replay` prints it.
+impl fmt::Debug for Kind {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let name = match self {
+            Kind::Instead(one, other) => {
+                return f.debug_tuple("Instead").field(one).field(other).finish();
+            }
+            Kind::OtherWorker => "SentElsewhere",
+            Kind::OtherParameters => "OtherFigures",
+            Kind::MoreLoadOrders => "OrderedMore",
+            Kind::FewerLoadOrders => "OrderedFewer",
+            Kind::OtherLoadWorkers => "OrderedElsewhere",
+            Kind::Maintenance => "Upkeep",
+            Kind::Timers => "Timers",
+        };
+        f.write_str(name)
+    }
+}
+
+/// How often a kind of difference occurred.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DifferenceCount {
-    /// Lives in which it was, or was among, the first difference.
+    /// Incarnations in which it was, or was among, the first difference.
     pub first: u64,
+    /// Differences after the first of their incarnation.
     pub later: u64,
 }
 
+/// The counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Compared {
+    /// Router incarnations compared.
     pub rows: u64,
+    /// Those with any difference.
     pub rows_differing: u64,
+    /// Decisions compared.
     pub decisions: u64,
-    /// Up to and with the first difference of each life.
+    /// Up to and with the first difference of each incarnation.
     pub decisions_exact: u64,
+    /// Decisions that differ.
     pub differing: u64,
+    /// Most frequent first, timers last.
     pub by_kind: Vec<(Kind, DifferenceCount)>,
 }
 
+/// Counts differences.
 #[derive(Debug, Default)]
 pub struct Compare {
-    out: Compared,
+    result: Compared,
     counts: BTreeMap<Kind, DifferenceCount>,
-    /// The present life has differed.
+    /// The present incarnation has differed.
     differs: bool,
 }
 
-/// By invocation: what came of it, where to if sent, and the figures beside it.
-type Done = BTreeMap<InvocationIndex, (Decision, Option<WorkerIndex>, Option<i64>)>;
+/// What became of an invocation.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct Treatment {
+    decision: Decision,
+    worker: Option<WorkerIndex>,
+    /// Timeout, Retry-After or number of the dispatch.
+    parameter: Option<i64>,
+}
 
-fn done(actions: &[Action]) -> Done {
-    let mut done = Done::new();
-    for action in actions {
-        // Of an invocation that is called back and sent again, the sending counts.
-        let (inv, did) = match *action {
+impl Treatment {
+    const NONE: Treatment = Treatment {
+        decision: Decision::Queued,
+        worker: None,
+        parameter: None,
+    };
+
+    /// Absent for actions that concern no invocation.
+    fn of(action: &Action) -> Option<(InvocationIndex, Treatment)> {
+        let (invocation, decision, worker, parameter) = match *action {
             Action::Cancel {
-                invocation: inv,
+                invocation,
                 dispatch,
-            } => (inv, (Decision::CalledBack, None, Some(dispatch.into()))),
+            } => (invocation, Decision::Cancelled, None, Some(dispatch.into())),
             Action::Dispatch {
-                invocation: inv,
+                invocation,
                 worker,
-                timeout: time_out,
-            } => (inv, (Decision::Sent, Some(worker), time_out)),
+                timeout,
+            } => (invocation, Decision::Dispatched, Some(worker), timeout),
             Action::Reject {
-                invocation: inv,
-                retry_after: return_after,
-            } => (inv, (Decision::Throttled, None, return_after)),
-            Action::Fail { invocation: inv } => (inv, (Decision::Errored, None, None)),
-            _ => continue,
+                invocation,
+                retry_after,
+            } => (invocation, Decision::Throttled, None, retry_after),
+            Action::Fail { invocation } => (invocation, Decision::Errored, None, None),
+            _ => return None,
         };
-        let before = done.entry(inv).or_insert(did);
-        if did.0 != Decision::CalledBack {
-            *before = did;
+        let treatment = Treatment {
+            decision,
+            worker,
+            parameter,
+        };
+        Some((invocation, treatment))
+    }
+
+    fn difference(self, other: Treatment) -> Option<Kind> {
+        if self.decision != other.decision {
+            Some(Kind::Instead(self.decision, other.decision))
+        } else if self.worker != other.worker {
+            Some(Kind::OtherWorker)
+        } else if self.parameter != other.parameter {
+            Some(Kind::OtherParameters)
+        } else {
+            None
         }
     }
-    done
 }
 
-fn ordered(actions: &[Action]) -> BTreeMap<FunctionIndex, Vec<WorkerIndex>> {
+fn treatments(actions: &[Action]) -> BTreeMap<InvocationIndex, Treatment> {
+    let mut treatments = BTreeMap::new();
+    for (invocation, treatment) in actions.iter().filter_map(Treatment::of) {
+        let last = treatments.entry(invocation).or_insert(treatment);
+        // Of an invocation that is cancelled and dispatched again, the dispatch counts.
+        if treatment.decision != Decision::Cancelled {
+            *last = treatment;
+        }
+    }
+    treatments
+}
+
+/// Workers with a load order, by function.
+fn load_orders(actions: &[Action]) -> BTreeMap<FunctionIndex, Vec<WorkerIndex>> {
     let mut orders: BTreeMap<FunctionIndex, Vec<WorkerIndex>> = BTreeMap::new();
     for action in actions {
         if let Action::LoadOrder {
             worker,
-            function: func,
+            function,
             copies: 1..,
-        } = action
+        } = *action
         {
-            orders.entry(*func).or_default().push(*worker);
+            orders.entry(function).or_default().push(worker);
         }
     }
     orders.values_mut().for_each(|w| w.sort_unstable());
     orders
 }
 
-fn upkeep(action: &Action) -> bool {
-    matches!(
-        action,
-        Action::Unload { .. }
-            | Action::Probe { .. }
-            | Action::RequestEndpointList { .. }
-            | Action::LoadOrder { copies: 0, .. }
-            | Action::ReleaseFunction { .. }
-    )
+fn load_order_difference(one: &[WorkerIndex], other: &[WorkerIndex]) -> Option<Kind> {
+    match one.len().cmp(&other.len()) {
+        Ordering::Less => Some(Kind::MoreLoadOrders),
+        Ordering::Greater => Some(Kind::FewerLoadOrders),
+        Ordering::Equal if one != other => Some(Kind::OtherLoadWorkers),
+        Ordering::Equal => None,
+    }
+}
+
+fn maintenance(actions: &[Action]) -> Vec<Action> {
+    let is_maintenance = |action: &&Action| {
+        matches!(
+            action,
+            Action::Unload { .. }
+                | Action::Probe { .. }
+                | Action::RequestEndpointList { .. }
+                | Action::LoadOrder { copies: 0, .. }
+                | Action::ReleaseFunction { .. }
+        )
+    };
+    actions.iter().filter(is_maintenance).copied().collect()
+}
+
+/// The keys of both, each once, in order.
+fn keys<'a, K: Ord, V>(
+    one: &'a BTreeMap<K, V>,
+    other: &'a BTreeMap<K, V>,
+) -> impl Iterator<Item = &'a K> {
+    let all: BTreeSet<&K> = one.keys().chain(other.keys()).collect();
+    all.into_iter()
 }
 
-/// All that differs between the two, each kind as often as it does; nothing for alike ones.
+/// All that differs between the two, each kind as often as it does; nothing for equal ones.
 pub fn kinds(one: &[Action], other: &[Action]) -> Vec<Kind> {
     if alike(one, other) {
         return Vec::new();
     }
     let mut kinds = Vec::new();
-    let (a, b) = (done(one), done(other));
-    let untouched = (Decision::Held, None, None);
-    let mut invs: Vec<InvocationIndex> = a.keys().chain(b.keys()).copied().collect();
-    invs.sort_unstable();
-    invs.dedup();
-    for inv in invs {
-        let (x, y) = (
-            a.get(&inv).unwrap_or(&untouched),
-            b.get(&inv).unwrap_or(&untouched),
-        );
-        if x.0 != y.0 {
-            kinds.push(Kind::Instead(x.0, y.0));
-        } else if x.1 != y.1 {
-            kinds.push(Kind::SentElsewhere);
-        } else if x.2 != y.2 {
-            kinds.push(Kind::OtherFigures);
-        }
-    }
-    let (a, b) = (ordered(one), ordered(other));
-    let mut funcs: Vec<FunctionIndex> = a.keys().chain(b.keys()).copied().collect();
-    funcs.sort_unstable();
-    funcs.dedup();
-    for func in funcs {
-        let (x, y) = (a.get(&func), b.get(&func));
-        let count = |w: Option<&Vec<WorkerIndex>>| w.map_or(0, Vec::len);
-        match count(x).cmp(&count(y)) {
-            std::cmp::Ordering::Less => kinds.push(Kind::OrderedMore),
-            std::cmp::Ordering::Greater => kinds.push(Kind::OrderedFewer),
-            std::cmp::Ordering::Equal if x != y => kinds.push(Kind::OrderedElsewhere),
-            std::cmp::Ordering::Equal => {}
-        }
-    }
-    let kept = |actions: &[Action]| {
-        actions
-            .iter()
-            .filter(|a| upkeep(a))
-            .copied()
-            .collect::<Vec<_>>()
-    };
-    if !alike(&kept(one), &kept(other)) {
-        kinds.push(Kind::Upkeep);
+    let (a, b) = (treatments(one), treatments(other));
+    kinds.extend(keys(&a, &b).filter_map(|invocation| {
+        let of =
+            |map: &BTreeMap<_, Treatment>| map.get(invocation).copied().unwrap_or(Treatment::NONE);
+        of(&a).difference(of(&b))
+    }));
+    let (a, b) = (load_orders(one), load_orders(other));
+    kinds.extend(keys(&a, &b).filter_map(|function| {
+        let workers =
+            |map: &BTreeMap<_, Vec<WorkerIndex>>| map.get(function).cloned().unwrap_or_default();
+        load_order_difference(&workers(&a), &workers(&b))
+    }));
+    if !alike(&maintenance(one), &maintenance(other)) {
+        kinds.push(Kind::Maintenance);
     }
     if kinds.is_empty() {
-        // Timers, or the same in another order.
         kinds.push(Kind::Timers);
     }
     kinds
 }
 
 impl Compare {
-    /// A router's life begins.
+    /// A router's incarnation begins.
     pub fn row(&mut self) {
-        self.out.rows += 1;
+        self.result.rows += 1;
         self.differs = false;
     }
 
+    /// Takes what both decided about the next event.
     pub fn decision(&mut self, one: &[Action], other: &[Action]) {
         let kinds = kinds(one, other);
-        self.out.decisions += 1;
-        self.out.decisions_exact += u64::from(!self.differs);
+        self.result.decisions += 1;
+        self.result.decisions_exact += u64::from(!self.differs);
         if kinds.is_empty() {
             return;
         }
-        self.out.differing += 1;
+        self.result.differing += 1;
         for kind in kinds {
             let count = self.counts.entry(kind).or_default();
             if self.differs {
-                count.later += 1
+                count.later += 1;
             } else {
-                count.first += 1
+                count.first += 1;
             }
         }
         if !self.differs {
             self.differs = true;
-            self.out.rows_differing += 1;
+            self.result.rows_differing += 1;
         }
     }
 
-    pub fn finish(mut self) -> Compared {
-        self.out.by_kind = self.counts.into_iter().collect();
-        self.out
-            .by_kind
-            .sort_by_key(|(kind, n)| (*kind == Kind::Timers, std::cmp::Reverse(n.first + n.later)));
-        self.out
+    /// The counts of all decisions so far.
+    pub fn finish(self) -> Compared {
+        let mut by_kind: Vec<_> = self.counts.into_iter().collect();
+        by_kind.sort_by_key(|(kind, n)| (*kind == Kind::Timers, Reverse(n.first + n.later)));
+        Compared {
+            by_kind,
+            ..self.result
+        }
     }
 }
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -1,9 +1,10 @@
-//! Drives the module anew with what was recorded: [`replay`] stops at the first decision that differs, [`redo`] goes
-//! through to the end and keeps what this build's module decides.
+//! Feeds recorded events to this build's decision module: [`replay`] stops at the first decision that differs, [`redo`]
+//! goes through to the end and writes what this build's module decides.
 
 use std::collections::HashMap;
 use std::io::{Read, Seek, Write};
 
+use cedarpulley::Balancer;
 use cedarpulley::interface::{Action, Micros};
 
 use crate::Error;
@@ -11,62 +12,83 @@
 use crate::codec::Encoder;
 use crate::event_codec::encode_action;
 use crate::reader::{Found, Reader};
-use crate::records::{Record, RecordedEvent};
+use crate::records::{Record, RecordedEvent, Space};
 use crate::start::{Extent, Source, module_digest};
 use crate::writer::Sheet;
 
-/// How many decisions before the first that differs are told with it.
-const BEFORE: usize = 5;
+/// Related decisions before the first that differs that are reported with it.
+const REPORTED_BEFORE: usize = 5;
+/// Decisions among which related ones are looked for: at this many the older half is forgotten.
+const MAX_RECENT: usize = 4096;
 
+/// The first decision that differs.
 #[derive(Debug)]
 pub struct Difference {
+    /// Its number, from 1.
     pub decision: u64,
+    /// Router time.
     pub at: Micros,
+    /// The event.
     pub happened: RecordedEvent,
+    /// The actions in the trace.
     pub recorded: Vec<Action>,
+    /// The actions of this build's module.
     pub replayed: Vec<Action>,
-    /// What came just before about the same workers, functions or invocations, as text.
+    /// Decisions just before about the same workers or functions, as text.
     pub before: Vec<String>,
 }
 
+/// What a replay found.
 #[derive(Debug, Default)]
 pub struct ReplayResult {
+    /// Decisions replayed.
     pub decisions: u64,
+    /// Router time from the first decision to the last.
     pub span: Micros,
-    /// Recorded by the module of this build.
+    /// Recorded by the decision module of this build.
     pub same_module: bool,
+    /// Absent if none differs.
     pub difference: Option<Difference>,
     /// Why it went no further, if not to the end.
     pub stopped: Option<String>,
 }
 
-/// When, what happened, and what was asked for.
+/// Router time, the event, and the recorded actions.
 pub type Decided = (Micros, RecordedEvent, Vec<Action>);
 
-/// By their bytes: two that are written alike are alike.
+/// Whether two lists of actions are written as the same bytes.
 pub fn alike(some: &[Action], others: &[Action]) -> bool {
     let bytes = |actions: &[Action]| {
-        let mut p = Encoder::default();
-        actions.iter().for_each(|a| encode_action(&mut p, a));
-        p.bytes
+        let mut out = Encoder::default();
+        actions.iter().for_each(|a| encode_action(&mut out, a));
+        out.bytes
     };
     bytes(some) == bytes(others)
 }
 
-/// What a row holds, in order.
+/// What a series of files contains, in order.
 #[derive(Debug)]
 pub enum Step {
     /// A block begins here; blocks stand alone, with the names that they use.
     Block,
+    /// A recorded decision, replayed.
     Decided {
+        /// Router time.
         at: Micros,
+        /// The event.
         happened: RecordedEvent,
+        /// The actions in the trace.
         recorded: Vec<Action>,
-        /// By this build's module, from the same events all along.
+        /// The actions of this build's module, from the same events all along.
         replayed: Vec<Action>,
     },
-    /// Neither told to the module nor decided by it.
-    Beside { at: Micros, record: Record },
+    /// A record that the decision module has no part in.
+    Beside {
+        /// Router time.
+        at: Micros,
+        /// The record.
+        record: Record,
+    },
 }
 
 /// The one source of a file that is read.
@@ -74,89 +96,143 @@
     &reader.sources[reader.only.unwrap_or(0) as usize]
 }
 
-/// Files of one row, from its first on, in order; of a file with several sources, the one that is `only` read. `each`
-/// says whether to go on. After a first difference the module goes on believing what it asked for itself, while
-/// events tell of what was done: what differs later may follow from that alone.
+/// Whether a replay goes on.
+#[derive(PartialEq, Eq)]
+enum Progress {
+    GoOn,
+    Stop,
+}
+
+/// A replay under way.
+struct Driver<F> {
+    balancer: Balancer,
+    result: ReplayResult,
+    first_decision: Option<Micros>,
+    /// Takes each step, and says whether to go on.
+    each: F,
+}
+
+impl<F: FnMut(Step) -> Result<bool, Error>> Driver<F> {
+    fn stop(&mut self, why: String) -> Progress {
+        self.result.stopped = Some(why);
+        Progress::Stop
+    }
+
+    fn step(&mut self, step: Step) -> Result<Progress, Error> {
+        Ok(if (self.each)(step)? {
+            Progress::GoOn
+        } else {
+            Progress::Stop
+        })
+    }
+
+    /// The next file of the series.
+    fn file<R: Read + Seek>(
+        &mut self,
+        number: usize,
+        reader: &mut Reader<R>,
+    ) -> Result<Progress, Error> {
+        if source(reader).start.file != number as u64 {
+            return Ok(self.stop(format!("file {number} of the row is missing")));
+        }
+        while let Some(found) = reader.next()? {
+            let progress = match found {
+                Found::Block { records, .. } => self.block(records)?,
+                Found::Damaged { offset, cause } => {
+                    let why = format!("file {number} is damaged at byte {offset}: {cause}");
+                    self.stop(why)
+                }
+            };
+            if progress == Progress::Stop {
+                return Ok(Progress::Stop);
+            }
+        }
+        Ok(Progress::GoOn)
+    }
+
+    fn block(&mut self, records: Vec<(Micros, Record)>) -> Result<Progress, Error> {
+        if self.step(Step::Block)? == Progress::Stop {
+            return Ok(Progress::Stop);
+        }
+        for (at, record) in records {
+            let step = match record {
+                Record::Decided { event, actions } => self.decide(at, event, actions),
+                Record::Gap { records, .. } => {
+                    return Ok(self.stop(format!("{records} records were lost at {at} us")));
+                }
+                record => Step::Beside { at, record },
+            };
+            if self.step(step)? == Progress::Stop {
+                return Ok(Progress::Stop);
+            }
+        }
+        Ok(Progress::GoOn)
+    }
+
+    fn decide(&mut self, at: Micros, event: RecordedEvent, recorded: Vec<Action>) -> Step {
+        let mut replayed = Vec::new();
+        self.balancer.handle(at, &event.event(), &mut replayed);
+        self.result.decisions += 1;
+        self.result.span = at - *self.first_decision.get_or_insert(at);
+        Step::Decided {
+            at,
+            happened: event,
+            recorded,
+            replayed,
+        }
+    }
+}
+
+/// Replays the files of one router incarnation, from its first on, in order; of a file with several sources, the one
+/// that is `only` read. `each` says whether to go on. After a first difference the module goes on believing what it
+/// asked for itself, while events tell of what was done: what differs later may follow from that alone.
 pub fn drive<R: Read + Seek>(
-    row: &mut [Reader<R>],
-    mut each: impl FnMut(Step) -> Result<bool, Error>,
+    files: &mut [Reader<R>],
+    each: impl FnMut(Step) -> Result<bool, Error>,
 ) -> Result<ReplayResult, Error> {
-    let mut out = ReplayResult::default();
-    let Some(first) = row.first() else {
+    let Some(first) = files.first().map(source) else {
         return Err(Error::NoFile);
     };
-    let first = source(first).clone();
     if !matches!(first.extent, Extent::Whole | Extent::Redone) {
-        let cause = format!(
+        let why = format!(
             "it is {:?}, and only what is whole can be replayed",
             first.extent
         );
-        out.stopped = Some(cause.to_lowercase());
-        return Ok(out);
+        return Ok(ReplayResult {
+            stopped: Some(why.to_lowercase()),
+            ..ReplayResult::default()
+        });
     }
     if first.start.file != 0 {
         return Err(Error::NotFirst {
             file: first.start.file,
         });
     }
-    let mut control = first.start.balancer();
-    out.same_module = first.start.module == module_digest();
-    let mut began: Option<Micros> = None;
-    for (n, reader) in row.iter_mut().enumerate() {
-        if source(reader).start.file != n as u64 {
-            out.stopped = Some(format!("file {n} of the row is missing"));
-            return Ok(out);
-        }
-        while let Some(found) = reader.next()? {
-            let records = match found {
-                Found::Block { records, .. } => records,
-                Found::Damaged { offset, cause } => {
-                    out.stopped = Some(format!("file {n} is damaged at byte {offset}: {cause}"));
-                    return Ok(out);
-                }
-            };
-            if !each(Step::Block)? {
-                return Ok(out);
-            }
-            for (at, record) in records {
-                let step = match record {
-                    Record::Decided {
-                        event: happened,
-                        actions,
-                    } => {
-                        let mut replayed = Vec::new();
-                        control.handle(at, &happened.event(), &mut replayed);
-                        out.decisions += 1;
-                        out.span = at - *began.get_or_insert(at);
-                        Step::Decided {
-                            at,
-                            happened,
-                            recorded: actions,
-                            replayed,
-                        }
-                    }
-                    Record::Gap { records, .. } => {
-                        out.stopped = Some(format!("{records} records were lost at {at} us"));
-                        return Ok(out);
-                    }
-                    record => Step::Beside { at, record },
-                };
-                if !each(step)? {
-                    return Ok(out);
-                }
-            }
+    let mut driver = Driver {
+        balancer: first.start.balancer(),
+        result: ReplayResult {
+            same_module: first.start.module == module_digest(),
+            ..ReplayResult::default()
+        },
+        first_decision: None,
+        each,
+    };
+    for (number, reader) in files.iter_mut().enumerate() {
+        if driver.file(number, reader)? == Progress::Stop {
+            break;
         }
     }
-    Ok(out)
+    Ok(driver.result)
 }
 
-/// The decisions of a file, one after the other.
+/// Reads the decisions of a file, one after the other.
 pub struct Decisions<R> {
     reader: Reader<R>,
     records: std::vec::IntoIter<(Micros, Record)>,
 }
 
 impl<R: Read + Seek> Decisions<R> {
+    /// From the reader's position on.
     pub fn new(reader: Reader<R>) -> Self {
         Decisions {
             reader,
@@ -164,7 +240,14 @@
         }
     }
 
-    #[allow(clippy::should_implement_trait)] // An error of the disk is no decision.
+    /// The next decision; absent at the end.
+    ///
+    /// # Errors
+    /// When the file cannot be read, and at the first damaged block.
+    #[expect(
+        clippy::should_implement_trait,
+        reason = "reading fails with an error of its own, which an iterator's item would hide"
+    )]
     pub fn next(&mut self) -> Result<Option<Decided>, Error> {
         loop {
             for (at, record) in self.records.by_ref() {
@@ -188,10 +271,10 @@
 }
 
 /// Stops at the first decision that differs.
-pub fn replay<R: Read + Seek>(row: &mut [Reader<R>]) -> Result<ReplayResult, Error> {
+pub fn replay<R: Read + Seek>(files: &mut [Reader<R>]) -> Result<ReplayResult, Error> {
     let mut recent: Vec<Decided> = Vec::new();
     let (mut difference, mut decision) = (None, 0);
-    let mut out = drive(row, |step| {
+    let result = drive(files, |step| {
         let Step::Decided {
             at,
             happened,
@@ -214,106 +297,116 @@
             });
             return Ok(false);
         }
-        if recent.len() >= 4096 {
-            recent.drain(..2048);
+        if recent.len() >= MAX_RECENT {
+            recent.drain(..MAX_RECENT / 2);
         }
         recent.push((at, happened, recorded));
         Ok(true)
     })?;
-    out.difference = difference;
-    Ok(out)
+    Ok(ReplayResult {
+        difference,
+        ..result
+    })
+}
+
+/// Writes what is replayed into one file.
+struct RedoneFile<W: Write> {
+    file: Sheet<W>,
+    block: Gather,
+    names: HashMap<(Space, u32), String>,
+}
+
+impl<W: Write> RedoneFile<W> {
+    fn end_block(&mut self) -> Result<(), Error> {
+        if !self.block.is_empty() {
+            self.file.block(0, &self.block.close())?;
+        }
+        Ok(())
+    }
+
+    fn beside(&mut self, at: Micros, record: &Record) {
+        if let Record::Name { kind, index, name } = record {
+            self.names.insert((*kind, *index), name.clone());
+        }
+        self.block.record(at, record);
+    }
+
+    /// This build's actions may use other indices than the recorded ones: those are named before.
+    fn decided(&mut self, at: Micros, event: RecordedEvent, actions: Vec<Action>) {
+        for_each_named_index(&event, &actions, |kind, index| {
+            if let Some(name) = self.names.get(&(kind, index)) {
+                self.block.name(at, kind, index, name);
+            }
+        });
+        self.block.record(at, &Record::Decided { event, actions });
+    }
 }
 
-/// The same row in one file, with what this build's module decides in place of what was decided.
+/// The same series in one file, with what this build's module decides in place of what was decided.
 pub fn redo<R: Read + Seek, W: Write>(
-    row: &mut [Reader<R>],
+    files: &mut [Reader<R>],
     out: W,
 ) -> Result<ReplayResult, Error> {
-    let Some(first) = row.first() else {
+    let Some(first) = files.first() else {
         return Err(Error::NoFile);
     };
     let mut of = source(first).clone();
     (of.extent, of.start.module) = (Extent::Redone, module_digest());
-    let mut sheet = Sheet::begin(out, &[of])?;
-    let (mut gather, mut names) = (Gather::default(), HashMap::new());
-    let done = drive(row, |step| {
+    let mut redone = RedoneFile {
+        file: Sheet::begin(out, &[of])?,
+        block: Gather::default(),
+        names: HashMap::new(),
+    };
+    let result = drive(files, |step| {
         match step {
-            Step::Block if gather.is_empty() => {}
-            Step::Block => {
-                sheet.block(0, &gather.close())?;
-            }
-            Step::Beside { at, record } => {
-                if let Record::Name {
-                    kind: space,
-                    index: ix,
-                    name: text,
-                } = &record
-                {
-                    names.insert((*space, *ix), text.clone());
-                }
-                gather.record(at, &record);
-            }
+            Step::Block => redone.end_block()?,
+            Step::Beside { at, record } => redone.beside(at, &record),
             Step::Decided {
                 at,
                 happened,
                 replayed,
                 ..
-            } => {
-                for_each_named_index(&happened, &replayed, |space, ix| {
-                    if let Some(name) = names.get(&(space, ix)) {
-                        gather.name(at, space, ix, name);
-                    }
-                });
-                gather.record(
-                    at,
-                    &Record::Decided {
-                        event: happened,
-                        actions: replayed,
-                    },
-                );
-            }
+            } => redone.decided(at, happened, replayed),
         }
         Ok(true)
     })?;
-    if !gather.is_empty() {
-        sheet.block(0, &gather.close())?;
-    }
-    sheet.end()?;
-    Ok(done)
+    redone.end_block()?;
+    redone.file.end()?;
+    Ok(result)
 }
 
+/// Recent decisions about the same workers or functions, as text, oldest first.
 fn related(
     recent: &[Decided],
-    happened: &RecordedEvent,
+    event: &RecordedEvent,
     recorded: &[Action],
     replayed: &[Action],
 ) -> Vec<String> {
     let mut concerned = Vec::new();
-    for_each_named_index(happened, recorded, |s, ix| concerned.push((s, ix)));
-    for_each_named_index(happened, replayed, |s, ix| concerned.push((s, ix)));
-    let touches = |h: &RecordedEvent, actions: &[Action]| {
+    for_each_named_index(event, recorded, |kind, index| concerned.push((kind, index)));
+    for_each_named_index(event, replayed, |kind, index| concerned.push((kind, index)));
+    let touches = |event: &RecordedEvent, actions: &[Action]| {
         let mut any = false;
-        for_each_named_index(h, actions, |s, ix| any |= concerned.contains(&(s, ix)));
+        for_each_named_index(event, actions, |kind, index| {
+            any |= concerned.contains(&(kind, index));
+        });
         any
     };
     let mut found: Vec<String> = recent
         .iter()
         .rev()
-        .filter(|(_, h, actions)| touches(h, actions))
-        .take(BEFORE)
-        .map(|(at, h, actions)| format!("{at} us: {} -> {actions:?}", told(h)))
+        .filter(|(_, event, actions)| touches(event, actions))
+        .take(REPORTED_BEFORE)
+        .map(|(at, event, actions)| format!("{at} us: {} -> {actions:?}", told(event)))
         .collect();
     found.reverse();
     found
 }
 
-/// In a few words; a list of workers by its size.
-pub fn told(happened: &RecordedEvent) -> String {
-    match happened {
-        RecordedEvent::List {
-            kind: mode,
-            endpoints: entries,
-        } => format!("List {mode:?} of {}", entries.len()),
+/// An event in a line; an endpoint list by its size.
+pub fn told(event: &RecordedEvent) -> String {
+    match event {
+        RecordedEvent::List { kind, endpoints } => format!("List {kind:?} of {}", endpoints.len()),
         RecordedEvent::Other(event) => format!("{event:?}"),
     }
 }
--- a/crates/trace/tests/compared.rs
+++ b/crates/trace/tests/compared.rs
@@ -58,16 +58,16 @@
     let timer = |token| Action::Timer { token, after: 9 };
     let cases: [(&[Action], &[Action], &[Kind]); 11] = [
         (&[send(1)], &[send(1)], &[]),
-        (&[send(1)], &[send(2)], &[Kind::SentElsewhere]),
+        (&[send(1)], &[send(2)], &[Kind::OtherWorker]),
         (
             &[send(1)],
             &[],
-            &[Kind::Instead(Decision::Sent, Decision::Held)],
+            &[Kind::Instead(Decision::Dispatched, Decision::Queued)],
         ),
         (
             &[],
             &[throttle],
-            &[Kind::Instead(Decision::Held, Decision::Throttled)],
+            &[Kind::Instead(Decision::Queued, Decision::Throttled)],
         ),
         (
             &[throttle],
@@ -75,17 +75,17 @@
                 invocation: 1,
                 retry_after: None,
             }],
-            &[Kind::OtherFigures],
+            &[Kind::OtherParameters],
         ),
-        (&[order(1, 0)], &[order(2, 0)], &[Kind::OrderedElsewhere]),
+        (&[order(1, 0)], &[order(2, 0)], &[Kind::OtherLoadWorkers]),
         (
             &[order(1, 0)],
             &[order(1, 0), order(2, 0)],
-            &[Kind::OrderedMore],
+            &[Kind::MoreLoadOrders],
         ),
-        (&[order(1, 0)], &[], &[Kind::OrderedFewer]),
+        (&[order(1, 0)], &[], &[Kind::FewerLoadOrders]),
         (&[timer(1)], &[timer(2)], &[Kind::Timers]),
-        (&[Action::Probe { worker: 1 }], &[], &[Kind::Upkeep]),
+        (&[Action::Probe { worker: 1 }], &[], &[Kind::Maintenance]),
         // Called back and sent again is a sending.
         (
             &[
@@ -99,7 +99,7 @@
                 invocation: 1,
                 dispatch: 0,
             }],
-            &[Kind::Instead(Decision::Sent, Decision::CalledBack)],
+            &[Kind::Instead(Decision::Dispatched, Decision::Cancelled)],
         ),
     ];
     for (one, other, wanted) in cases {
@@ -115,7 +115,7 @@
     let other = with_this_build(written(5, |n, actions| elsewhere(n, actions)));
     assert_eq!(
         other.by_kind,
-        [(Kind::SentElsewhere, DifferenceCount { first: 1, later: 1 })]
+        [(Kind::OtherWorker, DifferenceCount { first: 1, later: 1 })]
     );
     assert_eq!(
         (other.rows_differing, other.differing, other.decisions_exact),
--- a/crates/trace/tests/printed_names.rs
+++ b/crates/trace/tests/printed_names.rs
@@ -45,20 +45,20 @@
 
 fn kinds() -> Vec<Kind> {
     let did = [
-        Decision::Held,
-        Decision::Sent,
+        Decision::Queued,
+        Decision::Dispatched,
         Decision::Throttled,
         Decision::Errored,
-        Decision::CalledBack,
+        Decision::Cancelled,
     ];
-    let mut kinds: Vec<Kind> = did.map(|d| Kind::Instead(d, Decision::Held)).into();
+    let mut kinds: Vec<Kind> = did.map(|d| Kind::Instead(d, Decision::Queued)).into();
     kinds.extend([
-        Kind::SentElsewhere,
-        Kind::OtherFigures,
-        Kind::OrderedMore,
-        Kind::OrderedFewer,
-        Kind::OrderedElsewhere,
-        Kind::Upkeep,
+        Kind::OtherWorker,
+        Kind::OtherParameters,
+        Kind::MoreLoadOrders,
+        Kind::FewerLoadOrders,
+        Kind::OtherLoadWorkers,
+        Kind::Maintenance,
         Kind::Timers,
     ]);
     kinds
