--- a/crates/trace/src/blocks.rs
+++ b/crates/trace/src/blocks.rs
@@ -1,63 +1,76 @@
-//! Records gathered into blocks, free of I/O: what a block holds before it is compressed, and the fixed heads around
-//! it. A block stands alone: it has the names that its records use, and times from its own first.
+//! Records collected into blocks, free of I/O: what a block has before it is compressed, and the header in front of it.
+//! A block stands alone: it has the names that its records use, and times from its own first.
 
 use std::collections::HashMap;
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::{Action, Event, Micros};
 
+use crate::block_index::BlockLocation;
 use crate::codec::{DecodeError, Decoder, Encoder};
 use crate::record_codec;
 use crate::records::{Record, RecordedEvent, Space};
 
+/// A trace file begins with this.
 pub const FILE_MAGIC: [u8; 8] = *b"CPTRACE\0";
-/// 1: one source a file. 2: any number of them, each block of one.
+/// Version of the file format that is written. 1: one source a file. From 2 on: any number of them, each block of one.
 pub const FORMAT: u16 = 3;
+/// A block begins with this.
 pub const BLOCK_MAGIC: [u8; 4] = *b"CPBL";
+/// The index begins with this.
 pub const INDEX_MAGIC: [u8; 4] = *b"CPIX";
+/// A file that ended well ends with this.
 pub const FOOTER_MAGIC: [u8; 8] = *b"CPTREND\0";
 /// A block is closed at this size: small enough that a flipped bit costs little, large enough to compress well.
 pub const TARGET_UNPACKED_BYTES: usize = 128 * 1024;
-/// A reader refuses what claims more than this: one record may exceed `TARGET_UNPACKED_BYTES`, a list of workers for example.
+/// A reader rejects what claims more than this: one record may exceed [`TARGET_UNPACKED_BYTES`], for example an endpoint
+/// list.
 pub const MAX_UNPACKED_BYTES: u32 = 64 << 20;
-/// Of a block's head in the present format.
+/// Size of a block's header in the present format.
 pub const BLOCK_HEADER_BYTES: usize = 40;
 
-/// In this format.
+/// Size of a block's header in this format.
 pub fn block_header_bytes(format: u16) -> usize {
     if format == 1 { 36 } else { BLOCK_HEADER_BYTES }
 }
 
-/// The fixed head of a block.
+/// The fixed header of a block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BlockHeader {
+    /// Size of the compressed bytes that follow.
     pub packed_bytes: u32,
+    /// Their size when unpacked.
     pub unpacked_bytes: u32,
+    /// How many records it has.
     pub records: u32,
-    /// Which of the file's sources it is of.
+    /// Number of its source in the file.
     pub source: u32,
+    /// Router time of its first record.
     pub first: Micros,
+    /// Router time of its last record.
     pub last: Micros,
-    /// Of the fields before it and the packed bytes.
+    /// CRC-32C of the fields before it and the packed bytes.
     pub checksum: u32,
 }
 
 impl BlockHeader {
-    pub fn new(raw: &Raw, source: u32, packed: &[u8]) -> BlockHeader {
-        let mut head = BlockHeader {
+    /// In the present format.
+    pub fn new(block: &Raw, source: u32, packed: &[u8]) -> BlockHeader {
+        let mut header = BlockHeader {
             packed_bytes: packed.len() as u32,
-            unpacked_bytes: raw.bytes.len() as u32,
-            records: raw.records,
+            unpacked_bytes: block.bytes.len() as u32,
+            records: block.records,
             source,
-            first: raw.first,
-            last: raw.last,
+            first: block.first,
+            last: block.last,
             checksum: 0,
         };
-        head.checksum = head.checksum_over(FORMAT, packed);
-        head
+        header.checksum = header.checksum_over(FORMAT, packed);
+        header
     }
 
-    fn fields(&self, format: u16) -> Vec<u8> {
+    /// All but the checksum.
+    fn encode_fields(&self, format: u16) -> Vec<u8> {
         let mut out = BLOCK_MAGIC.to_vec();
         out.extend(self.packed_bytes.to_le_bytes());
         out.extend(self.unpacked_bytes.to_le_bytes());
@@ -70,121 +83,133 @@
         out
     }
 
+    /// The checksum that the header should have before these bytes.
     pub fn checksum_over(&self, format: u16, packed: &[u8]) -> u32 {
-        crc32c::crc32c_append(crc32c::crc32c(&self.fields(format)), packed)
+        crc32c::crc32c_append(crc32c::crc32c(&self.encode_fields(format)), packed)
     }
 
     /// In the present format.
     pub fn encode(&self) -> Vec<u8> {
-        let mut out = self.fields(FORMAT);
+        let mut out = self.encode_fields(FORMAT);
         out.extend(self.checksum.to_le_bytes());
         out
     }
 
-    /// Absent if no block begins here; `b` is of the size that the format has.
-    pub fn decode(format: u16, b: &[u8]) -> Option<BlockHeader> {
-        let four = |at: usize| Some(u32::from_le_bytes(b.get(at..at + 4)?.try_into().ok()?));
-        let eight = |at: usize| Some(i64::from_le_bytes(b.get(at..at + 8)?.try_into().ok()?));
+    /// Absent if no block begins here; `bytes` has the size of a header in this format.
+    pub fn decode(format: u16, bytes: &[u8]) -> Option<BlockHeader> {
+        let u32_at = |at: usize| {
+            let field = bytes.get(at..at + 4)?.try_into().ok()?;
+            Some(u32::from_le_bytes(field))
+        };
+        let time_at = |at: usize| {
+            let field = bytes.get(at..at + 8)?.try_into().ok()?;
+            Some(i64::from_le_bytes(field))
+        };
         let times = if format == 1 { 16 } else { 20 };
-        let head = BlockHeader {
-            packed_bytes: four(4)?,
-            unpacked_bytes: four(8)?,
-            records: four(12)?,
-            source: if format == 1 { 0 } else { four(16)? },
-            first: eight(times)?,
-            last: eight(times + 8)?,
-            checksum: four(times + 16)?,
+        let header = BlockHeader {
+            packed_bytes: u32_at(4)?,
+            unpacked_bytes: u32_at(8)?,
+            records: u32_at(12)?,
+            source: if format == 1 { 0 } else { u32_at(16)? },
+            first: time_at(times)?,
+            last: time_at(times + 8)?,
+            checksum: u32_at(times + 16)?,
         };
-        (b[..4] == BLOCK_MAGIC
-            && head.packed_bytes <= MAX_UNPACKED_BYTES
-            && head.unpacked_bytes <= MAX_UNPACKED_BYTES)
-            .then_some(head)
+        let plausible = bytes.starts_with(&BLOCK_MAGIC)
+            && header.packed_bytes <= MAX_UNPACKED_BYTES
+            && header.unpacked_bytes <= MAX_UNPACKED_BYTES;
+        plausible.then_some(header)
+    }
+
+    /// Of the block, if its header begins at this offset.
+    pub fn location(&self, offset: u64) -> BlockLocation {
+        BlockLocation {
+            offset,
+            first: self.first,
+            last: self.last,
+            records: self.records,
+            source: self.source,
+        }
     }
 }
 
-/// A block that is ready to be packed.
+/// A block that is ready to be compressed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Raw {
+    /// Its records, each after the microseconds since the one before.
     pub bytes: Vec<u8>,
+    /// How many records.
     pub records: u32,
+    /// Router time of the first record.
     pub first: Micros,
+    /// Router time of the last record.
     pub last: Micros,
 }
 
-/// Gathers records; bounded by `TARGET_UNPACKED_BYTES` and one record.
+/// Collects records; bounded by [`TARGET_UNPACKED_BYTES`] and one record.
 #[derive(Debug, Default)]
 pub struct Gather {
-    put: Encoder,
+    out: Encoder,
     records: u32,
     first: Micros,
     last: Micros,
-    named: HashMap<(Space, u32), String>,
+    /// Names that this block has.
+    names: HashMap<(Space, u32), String>,
 }
 
 impl Gather {
-    fn at(&mut self, now: Micros) {
+    /// Begins a record: its time comes first.
+    fn begin_record(&mut self, now: Micros) {
         if self.records == 0 {
             (self.first, self.last) = (now, now);
         }
-        // Records are told in order; a clock that went back counts as standing still.
+        // Records come in order; a clock that went back counts as standing still.
         let now = now.max(self.last);
-        self.put.unsigned((now - self.last) as u64);
+        self.out.unsigned((now - self.last) as u64);
         self.last = now;
         self.records += 1;
     }
 
-    /// Gives the index its name in this block, unless it has it.
-    pub fn name(&mut self, now: Micros, space: Space, ix: u32, text: &str) {
-        // An index that has gone to another is named anew.
-        if self
-            .named
-            .get(&(space, ix))
-            .is_none_or(|known| known != text)
-        {
-            self.named.insert((space, ix), text.to_owned());
-            self.at(now);
-            record_codec::encode_record(
-                &mut self.put,
-                &Record::Name {
-                    kind: space,
-                    index: ix,
-                    name: text.to_owned(),
-                },
-            );
+    /// Writes the name of an index, unless the block has it. An index that was assigned to another is named again.
+    pub fn name(&mut self, now: Micros, kind: Space, index: u32, name: &str) {
+        let known = self.names.get(&(kind, index));
+        if known.is_none_or(|known| known != name) {
+            let name = name.to_owned();
+            self.record(now, &Record::Name { kind, index, name });
         }
     }
 
+    /// Writes a [`Record::Decided`] without copying the event.
     pub fn decided(&mut self, now: Micros, event: &Event, actions: &[Action]) {
-        self.at(now);
-        record_codec::encode_decided(&mut self.put, event, actions);
+        self.begin_record(now);
+        record_codec::encode_decided(&mut self.out, event, actions);
     }
 
+    /// Writes any record.
     pub fn record(&mut self, now: Micros, record: &Record) {
-        if let Record::Name {
-            kind: space,
-            index: ix,
-            name: text,
-        } = record
-        {
-            self.named.insert((*space, *ix), text.clone());
+        if let Record::Name { kind, index, name } = record {
+            self.names.insert((*kind, *index), name.clone());
         }
-        self.at(now);
-        record_codec::encode_record(&mut self.put, record);
+        self.begin_record(now);
+        record_codec::encode_record(&mut self.out, record);
     }
 
+    /// Whether it is large enough to be closed.
     pub fn is_full(&self) -> bool {
-        self.put.bytes.len() >= TARGET_UNPACKED_BYTES
+        self.out.bytes.len() >= TARGET_UNPACKED_BYTES
     }
 
+    /// Whether it has no records.
     pub fn is_empty(&self) -> bool {
         self.records == 0
     }
 
+    /// How many records it has.
     pub fn records(&self) -> u32 {
         self.records
     }
 
-    /// Since its first record.
+    /// Time since its first record.
     pub fn age(&self, now: Micros) -> Micros {
         if self.records == 0 {
             0
@@ -193,109 +218,111 @@
         }
     }
 
+    /// The block so far; a new one begins.
     pub fn close(&mut self) -> Raw {
-        let it = std::mem::take(self);
+        let closed = std::mem::take(self);
         Raw {
-            bytes: it.put.bytes,
-            records: it.records,
-            first: it.first,
-            last: it.last,
+            bytes: closed.out.bytes,
+            records: closed.records,
+            first: closed.first,
+            last: closed.last,
         }
     }
 }
 
-/// All indices that a record speaks of by name.
+/// Calls `each` for every index of a decision that a name stands for.
 pub fn for_each_named_index(
-    happened: &RecordedEvent,
+    event: &RecordedEvent,
     actions: &[Action],
     mut each: impl FnMut(Space, u32),
 ) {
-    event_uses(&happened.event(), actions, &mut each);
+    event_uses(&event.event(), actions, &mut each);
 }
 
+/// As [`for_each_named_index`], of an event that is not recorded yet.
 pub fn event_uses(event: &Event, actions: &[Action], each: &mut dyn FnMut(Space, u32)) {
-    match event {
-        Event::EndpointList {
-            endpoints: entries, ..
-        } => entries.iter().for_each(|e| each(Space::Worker, e.worker)),
-        Event::Invocation(a) => {
-            each(Space::Function, a.function);
-            a.preferred_worker
-                .into_iter()
-                .for_each(|w| each(Space::Worker, w));
+    event_indices(event, each);
+    for action in actions {
+        match *action {
+            Action::Dispatch { worker, .. } | Action::Probe { worker } => {
+                each(Space::Worker, worker);
+            }
+            Action::LoadOrder {
+                worker, function, ..
+            }
+            | Action::Unload { worker, function } => {
+                each(Space::Worker, worker);
+                each(Space::Function, function);
+            }
+            _ => {}
+        }
+    }
+}
+
+fn event_indices(event: &Event, each: &mut dyn FnMut(Space, u32)) {
+    match *event {
+        Event::EndpointList { endpoints, .. } => endpoints
+            .iter()
+            .for_each(|endpoint| each(Space::Worker, endpoint.worker)),
+        Event::Invocation(ref arrival) => {
+            each(Space::Function, arrival.function);
+            if let Some(worker) = arrival.preferred_worker {
+                each(Space::Worker, worker);
+            }
         }
         Event::CopyWanted {
             worker,
-            function: asked,
+            ref function,
         } => {
-            each(Space::Worker, *worker);
-            each(Space::Function, asked.function);
+            each(Space::Worker, worker);
+            each(Space::Function, function.function);
         }
         Event::AnswerStarted { worker, .. } | Event::ProbeEnded { worker, .. } => {
-            each(Space::Worker, *worker)
+            each(Space::Worker, worker);
         }
-        Event::DispatchEnded(e) => each(Space::Worker, e.worker),
+        Event::DispatchEnded(ref ended) => each(Space::Worker, ended.worker),
         Event::OrderEnded {
-            worker,
-            function: func,
-            ..
+            worker, function, ..
         }
         | Event::CopiesReported {
-            worker,
-            function: func,
-            ..
+            worker, function, ..
         } => {
-            each(Space::Worker, *worker);
-            each(Space::Function, *func);
+            each(Space::Worker, worker);
+            each(Space::Function, function);
         }
         Event::ClientLeft { .. } | Event::Timer { .. } => {}
     }
-    for action in actions {
-        match *action {
-            Action::Dispatch { worker, .. } | Action::Probe { worker } => {
-                each(Space::Worker, worker)
-            }
-            Action::LoadOrder {
-                worker,
-                function: func,
-                ..
-            }
-            | Action::Unload {
-                worker,
-                function: func,
-            } => {
-                each(Space::Worker, worker);
-                each(Space::Function, func);
-            }
-            _ => {}
-        }
-    }
 }
 
-/// Records of a block, in order, each with its time.
-pub fn unpack(raw: &[u8], first: Micros, count: u32) -> Result<Vec<(Micros, Record)>, DecodeError> {
-    let mut g = Decoder::new(raw);
-    let mut names: HashMap<u32, u64> = HashMap::new();
-    let (mut now, mut out) = (first, Vec::with_capacity(count.min(1 << 16) as usize));
-    while !g.is_empty() {
-        now = i64::try_from(g.unsigned()?)
+/// The records of an unpacked block, in order, each with its router time. `first`: that of the first; `count`: how many
+/// there should be.
+pub fn unpack(
+    bytes: &[u8],
+    first: Micros,
+    count: u32,
+) -> Result<Vec<(Micros, Record)>, DecodeError> {
+    let mut input = Decoder::new(bytes);
+    let mut fingerprints: HashMap<u32, u64> = HashMap::new();
+    let (mut now, mut records) = (first, Vec::with_capacity(count.min(1 << 16) as usize));
+    while !input.is_empty() {
+        now = i64::try_from(input.unsigned()?)
             .ok()
             .and_then(|step| now.checked_add(step))
             .ok_or(DecodeError::UnknownValue)?;
-        let record =
-            record_codec::decode_record(&mut g, &|func| names.get(&func).copied().unwrap_or(0))?;
+        let fingerprint_of = |function| fingerprints.get(&function).copied().unwrap_or(0);
+        let record = record_codec::decode_record(&mut input, &fingerprint_of)?;
         if let Record::Name {
             kind: Space::Function,
             index,
             name,
         } = &record
         {
-            names.insert(*index, fingerprint(name));
+            fingerprints.insert(*index, fingerprint(name));
         }
-        out.push((now, record));
+        records.push((now, record));
     }
-    if out.len() == count as usize {
-        Ok(out)
+    if records.len() == count as usize {
+        Ok(records)
     } else {
         Err(DecodeError::Truncated)
     }
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -1,40 +1,45 @@
-//! Reads a trace file, whole or by its index, however it ended: cut anywhere it is read up to its last whole block,
-//! and a block that is damaged costs that block, named by its place.
+//! Reads a trace file, whole or by its index, however it ended: a truncated file is read up to its last whole block,
+//! and a damaged block costs that block only, reported by its offset.
+
+mod index_cursor;
 
 use std::io::{self, Read, Seek, SeekFrom};
 
 use cedarpulley::interface::Micros;
 
 use crate::Error;
-use crate::block_index::{BlockLocation, MAX_ENTRY_BYTES};
+use crate::block_index::BlockLocation;
 use crate::blocks::{
-    BLOCK_MAGIC, BlockHeader, FILE_MAGIC, FOOTER_MAGIC, FORMAT, INDEX_MAGIC, block_header_bytes,
-    unpack,
+    BLOCK_MAGIC, BlockHeader, FILE_MAGIC, FORMAT, INDEX_MAGIC, block_header_bytes, unpack,
 };
-use crate::codec::{DecodeError, Decoder};
+use crate::codec::DecodeError;
 use crate::records::Record;
 use crate::start::Source;
 use crate::start_codec::decode_sources;
+use index_cursor::IndexCursor;
 
-/// Heads beyond this size are none.
-const MOST_HEAD: u32 = 16 << 20;
-/// An index beyond this size is not read: blocks are found without it.
-const MOST_INDEX: u32 = 256 << 20;
-const FOOTER: usize = 20;
-/// So much of an index is in memory.
-const WINDOW: usize = 1 << 14;
-/// A lost beginning of a block is looked for in steps of this size.
-const SEARCH: usize = 1 << 16;
+/// A start record that claims to be larger is damaged.
+const MAX_START_BYTES: u32 = 16 << 20;
+/// The next block after a damaged one is searched for in steps of this size.
+const SEARCH_BYTES: usize = 1 << 16;
 
 /// What was found of one block.
 #[derive(Debug)]
 pub enum Found {
+    /// A whole block.
     Block {
+        /// Where it lies.
         place: BlockLocation,
+        /// Its records, each with its router time.
         records: Vec<(Micros, Record)>,
     },
-    /// Damaged, from this offset on, and why.
-    Damaged { offset: u64, cause: String },
+    /// A damaged one.
+    Damaged {
+        /// From this byte on.
+        offset: u64,
+        /// What is wrong.
+        cause: String,
+    },
 }
 
 /// How the file ended.
@@ -42,210 +47,156 @@
 pub enum Ended {
     /// With its index, in good order.
     Well,
-    /// Cut at this offset, after the last whole block.
-    Cut { offset: u64 },
+    /// Truncated after its last whole block.
+    Cut {
+        /// Where that block ends.
+        offset: u64,
+    },
 }
 
+/// Reads one file.
 pub struct Reader<R> {
     input: R,
+    /// The routers whose records the file has.
     pub sources: Vec<Source>,
+    /// Version of the file format.
     pub format: u16,
     first_block: u64,
-    /// Where the places of the blocks are, if the file ended well: a long file has a million of them.
-    index: Option<(u64, u64)>,
+    /// Present if the file ended well.
+    index: Option<IndexCursor>,
+    /// Offset of the next block.
     at: u64,
+    /// Present once the end was reached.
     pub ended: Option<Ended>,
     /// Blocks of other sources are passed over.
     pub only: Option<u32>,
-    /// How much of the index has been told by [`Reader::next_place`], and what has been read of it.
-    listed: u64,
-    window: Vec<u8>,
-    window_at: usize,
-    /// Passed over by it.
+    /// Blocks passed over by [`Reader::next_place`], as they are damaged.
     pub damaged_blocks: u64,
 }
 
+/// The beginning of a file.
+struct FileHeader {
+    format: u16,
+    sources: Vec<Source>,
+    bytes: u64,
+}
+
+fn read_file_header(input: &mut impl Read) -> Result<FileHeader, Error> {
+    let mut fixed = [0; 16];
+    input.read_exact(&mut fixed).map_err(|_| Error::TooShort)?;
+    if fixed[..8] != FILE_MAGIC {
+        return Err(Error::NoTrace);
+    }
+    let format = u16::from_le_bytes([fixed[8], fixed[9]]);
+    if format == 0 || format > FORMAT {
+        return Err(Error::Later { format });
+    }
+    let damaged = |cause| Error::Head { cause };
+    let size = u32::from_le_bytes([fixed[12], fixed[13], fixed[14], fixed[15]]);
+    if size > MAX_START_BYTES {
+        return Err(damaged(DecodeError::UnknownValue));
+    }
+    let mut start = Vec::new();
+    input.take(u64::from(size) + 4).read_to_end(&mut start)?;
+    let Some((start, checksum)) = start
+        .split_at_checked(size as usize)
+        .filter(|(_, checksum)| checksum.len() == 4)
+    else {
+        return Err(damaged(DecodeError::Truncated));
+    };
+    let computed = crc32c::crc32c_append(crc32c::crc32c(&fixed), start);
+    if computed.to_le_bytes() != checksum {
+        return Err(damaged(DecodeError::ChecksumMismatch));
+    }
+    Ok(FileHeader {
+        format,
+        sources: decode_sources(format, start).map_err(damaged)?,
+        bytes: 16 + u64::from(size) + 4,
+    })
+}
+
 impl<R: Read + Seek> Reader<R> {
+    /// Reads the file's beginning and looks for its index.
+    ///
+    /// # Errors
+    /// When it is no trace, of a later format, or its beginning is damaged.
     pub fn open(mut input: R) -> Result<Self, Error> {
-        let mut fixed = [0; 16];
-        input.read_exact(&mut fixed).map_err(|_| Error::TooShort)?;
-        if fixed[..8] != FILE_MAGIC {
-            return Err(Error::NoTrace);
-        }
-        let format = u16::from_le_bytes([fixed[8], fixed[9]]);
-        if format == 0 || format > FORMAT {
-            return Err(Error::Later { format });
-        }
-        let size = u32::from_le_bytes([fixed[12], fixed[13], fixed[14], fixed[15]]);
-        if size > MOST_HEAD {
-            return Err(Error::Head {
-                cause: DecodeError::UnknownValue,
-            });
-        }
-        let mut body = Vec::new();
-        input
-            .by_ref()
-            .take(u64::from(size) + 4)
-            .read_to_end(&mut body)?;
-        let Some((body, sum)) = body
-            .split_at_checked(size as usize)
-            .filter(|(_, sum)| sum.len() == 4)
-        else {
-            return Err(Error::Head {
-                cause: DecodeError::Truncated,
-            });
-        };
-        let whole = crc32c::crc32c_append(crc32c::crc32c(&fixed), body);
-        if whole.to_le_bytes() != sum {
-            return Err(Error::Head {
-                cause: DecodeError::ChecksumMismatch,
-            });
-        }
-        let sources = decode_sources(format, body).map_err(|cause| Error::Head { cause })?;
-        let first_block = 16 + u64::from(size) + 4;
-        let mut it = Reader {
+        let header = read_file_header(&mut input)?;
+        // Without an index, or with one that cannot be read, blocks are found by reading the file.
+        let index = IndexCursor::open(&mut input, header.bytes, header.format).unwrap_or(None);
+        input.seek(SeekFrom::Start(header.bytes))?;
+        Ok(Reader {
             input,
-            sources,
-            format,
-            first_block,
-            index: None,
-            at: first_block,
+            sources: header.sources,
+            format: header.format,
+            first_block: header.bytes,
+            index,
+            at: header.bytes,
             ended: None,
             only: None,
-            listed: 0,
-            window: Vec::new(),
-            window_at: 0,
             damaged_blocks: 0,
-        };
-        it.index = it.read_index().unwrap_or(None);
-        it.input.seek(SeekFrom::Start(first_block))?;
-        Ok(it)
+        })
     }
 
-    /// Absent if the file has none, or none that is whole.
-    fn read_index(&mut self) -> io::Result<Option<(u64, u64)>> {
-        let end = self.input.seek(SeekFrom::End(0))?;
-        if end < self.first_block + FOOTER as u64 {
-            return Ok(None);
-        }
-        self.input.seek(SeekFrom::Start(end - FOOTER as u64))?;
-        let mut footer = [0; FOOTER];
-        self.input.read_exact(&mut footer)?;
-        let sum = crc32c::crc32c(&footer[..8]).to_le_bytes();
-        if footer[12..] != FOOTER_MAGIC || footer[8..12] != sum {
-            return Ok(None);
-        }
-        let mut eight = [0; 8];
-        eight.copy_from_slice(&footer[..8]);
-        let offset = u64::from_le_bytes(eight);
-        if offset < self.first_block || offset + 12 > end - FOOTER as u64 {
-            return Ok(None);
-        }
+    /// Whether the file ended well.
+    pub fn has_index(&self) -> bool {
+        self.index.is_some()
+    }
+
+    /// A block's header, or as much as there is.
+    fn header_bytes_at(&mut self, offset: u64) -> io::Result<Vec<u8>> {
         self.input.seek(SeekFrom::Start(offset))?;
-        let mut head = [0; 8];
-        self.input.read_exact(&mut head)?;
-        let size = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
-        if head[..4] != INDEX_MAGIC || size > MOST_INDEX || offset + 12 + u64::from(size) > end {
-            return Ok(None);
-        }
-        let (mut left, mut sum) = (size as usize, crc32c::crc32c(&head));
-        let mut window = vec![0; WINDOW];
-        let mut begins = None;
-        while left > 0 {
-            let part = &mut window[..left.min(WINDOW)];
-            self.input.read_exact(part)?;
-            sum = crc32c::crc32c_append(sum, part);
-            if begins.is_none() {
-                let mut g = Decoder::new(part);
-                if g.unsigned().is_err() {
-                    return Ok(None);
-                }
-                begins = Some((part.len() - g.remaining()) as u64);
-            }
-            left -= part.len();
-        }
-        let mut told = [0; 4];
-        self.input.read_exact(&mut told)?;
-        let whole = sum.to_le_bytes() == told;
-        Ok(begins
-            .filter(|_| whole)
-            .map(|n| (offset + 8 + n, u64::from(size) - n)))
+        let mut header = vec![0; block_header_bytes(self.format)];
+        let got = read_up_to(&mut self.input, &mut header)?;
+        header.truncate(got);
+        Ok(header)
     }
 
-    fn entry(&self, g: &mut Decoder) -> Result<BlockLocation, DecodeError> {
-        let (offset, first, last, records) = (g.unsigned()?, g.signed()?, g.signed()?, g.u32()?);
-        let source = if self.format == 1 { 0 } else { g.u32()? };
-        Ok(BlockLocation {
-            offset,
-            first,
-            last,
-            records,
-            source,
-        })
+    /// Absent if no header is there.
+    fn decode_header(&self, bytes: &[u8]) -> Option<BlockHeader> {
+        (bytes.len() == block_header_bytes(self.format))
+            .then(|| BlockHeader::decode(self.format, bytes))
+            .flatten()
     }
 
-    pub fn has_index(&self) -> bool {
-        self.index.is_some()
+    /// The packed bytes after a header, or as many as there are.
+    fn packed_after(&mut self, header: &BlockHeader) -> io::Result<Vec<u8>> {
+        let mut packed = Vec::new();
+        self.input
+            .by_ref()
+            .take(u64::from(header.packed_bytes))
+            .read_to_end(&mut packed)?;
+        Ok(packed)
     }
 
-    /// A whole block as it is packed, by its place; absent if it is damaged.
+    fn is_whole(&self, header: &BlockHeader, packed: &[u8]) -> bool {
+        packed.len() == header.packed_bytes as usize
+            && header.checksum_over(self.format, packed) == header.checksum
+    }
+
+    /// A whole block with its packed bytes, by its location; absent if it is damaged.
     pub fn packed(
         &mut self,
-        place: &BlockLocation,
+        location: &BlockLocation,
     ) -> Result<Option<(BlockHeader, Vec<u8>)>, Error> {
-        self.input.seek(SeekFrom::Start(place.offset))?;
-        let mut head = vec![0; block_header_bytes(self.format)];
-        if fill(&mut self.input, &mut head)? < head.len() {
-            return Ok(None);
-        }
-        let Some(head) = BlockHeader::decode(self.format, &head) else {
+        let header = self.header_bytes_at(location.offset)?;
+        let Some(header) = self.decode_header(&header) else {
             return Ok(None);
         };
-        let mut packed = Vec::new();
-        self.input
-            .by_ref()
-            .take(u64::from(head.packed_bytes))
-            .read_to_end(&mut packed)?;
-        let whole = packed.len() == head.packed_bytes as usize
-            && head.checksum_over(self.format, &packed) == head.checksum;
-        Ok(whole.then_some((head, packed)))
+        let packed = self.packed_after(&header)?;
+        Ok(self.is_whole(&header, &packed).then_some((header, packed)))
     }
 
-    /// The place of the next whole block, from where this stands on: by the index, or by reading the file. Its blocks
-    /// may be read between.
+    /// The location of the next whole block: by the index, or by reading the file. Blocks may be read in between.
+    ///
+    /// # Errors
+    /// When the file cannot be read, or its index has no meaning.
     pub fn next_place(&mut self) -> Result<Option<BlockLocation>, Error> {
-        if let Some((from, size)) = self.index {
-            if self.window.len() - self.window_at < MAX_ENTRY_BYTES {
-                self.window.drain(..self.window_at);
-                self.window_at = 0;
-                let ahead = self.window.len() as u64;
-                self.input
-                    .seek(SeekFrom::Start(from + self.listed + ahead))?;
-                let more = (size - self.listed - ahead).min(WINDOW as u64);
-                self.input
-                    .by_ref()
-                    .take(more)
-                    .read_to_end(&mut self.window)?;
-            }
-            let mut g = Decoder::new(&self.window[self.window_at..]);
-            if g.is_empty() {
-                return Ok(None);
-            }
-            let left = g.remaining();
-            let place = self
-                .entry(&mut g)
-                .ok()
-                .filter(|p| (p.source as usize) < self.sources.len());
-            let Some(place) = place else {
-                return Err(Error::Index);
-            };
-            let told = left - g.remaining();
-            self.listed += told as u64;
-            self.window_at += told;
-            return Ok(Some(place));
+        if let Some(index) = &mut self.index {
+            return index.next(&mut self.input, self.sources.len());
         }
         loop {
-            match self.any()? {
+            match self.next_of_any_source()? {
                 None => return Ok(None),
                 Some(Found::Block { place, .. }) => return Ok(Some(place)),
                 Some(Found::Damaged { .. }) => self.damaged_blocks += 1,
@@ -255,16 +206,23 @@
 
     /// From the first block on again.
     pub fn rewind(&mut self) {
-        (self.at, self.ended, self.listed) = (self.first_block, None, 0);
-        self.window.clear();
-        self.window_at = 0;
+        (self.at, self.ended) = (self.first_block, None);
+        if let Some(index) = &mut self.index {
+            index.rewind();
+        }
     }
 
     /// The next block, or what is left of it; absent at the end.
-    #[allow(clippy::should_implement_trait)] // An error of the disk is no block.
+    ///
+    /// # Errors
+    /// When the file cannot be read; a damaged block is no error.
+    #[expect(
+        clippy::should_implement_trait,
+        reason = "reading fails with an error of its own, which an iterator's item would hide"
+    )]
     pub fn next(&mut self) -> Result<Option<Found>, Error> {
         loop {
-            let found = self.any()?;
+            let found = self.next_of_any_source()?;
             match (&found, self.only) {
                 (Some(Found::Block { place, .. }), Some(only)) if place.source != only => {}
                 _ => return Ok(found),
@@ -272,166 +230,140 @@
         }
     }
 
-    fn any(&mut self) -> Result<Option<Found>, Error> {
+    fn next_of_any_source(&mut self) -> Result<Option<Found>, Error> {
         if self.ended.is_some() {
             return Ok(None);
         }
         let offset = self.at;
-        self.input.seek(SeekFrom::Start(offset))?;
-        let size = block_header_bytes(self.format);
-        let mut head = vec![0; size];
-        let got = fill(&mut self.input, &mut head)?;
-        if got >= 4 && head[..4] == INDEX_MAGIC && self.index.is_some() {
+        let header = self.header_bytes_at(offset)?;
+        if header.starts_with(&INDEX_MAGIC) && self.index.is_some() {
             self.ended = Some(Ended::Well);
             return Ok(None);
         }
-        if got < size {
+        let header_bytes = block_header_bytes(self.format);
+        if header.len() < header_bytes {
             self.ended = Some(Ended::Cut { offset });
             return Ok(None);
         }
-        let Some(place) = BlockHeader::decode(self.format, &head) else {
+        let Some(header) = self.decode_header(&header) else {
             return self.damaged(offset, "no block begins here");
         };
-        let mut packed = vec![0; 0];
-        let wanted = u64::from(place.packed_bytes);
-        self.input.by_ref().take(wanted).read_to_end(&mut packed)?;
-        if packed.len() as u64 != wanted {
-            // Cut, unless a damaged length only makes it seem so and more blocks follow.
+        let packed = self.packed_after(&header)?;
+        if packed.len() != header.packed_bytes as usize {
+            // Truncated, unless a damaged length only makes it seem so and more blocks follow.
             return self.damaged(offset, "it is cut, or its length is damaged");
         }
-        if place.checksum_over(self.format, &packed) != place.checksum {
+        if !self.is_whole(&header, &packed) {
             return self.damaged(offset, &DecodeError::ChecksumMismatch.to_string());
         }
-        self.at = offset + size as u64 + wanted;
-        if place.source as usize >= self.sources.len() {
-            return Ok(Some(Found::Damaged {
-                offset,
-                cause: "it is of no source of this file".into(),
-            }));
-        }
-
-        match zstd::bulk::decompress(&packed, place.unpacked_bytes as usize) {
-            Ok(raw) => match unpack(&raw, place.first, place.records) {
-                Ok(records) => {
-                    let BlockHeader {
-                        first,
-                        last,
-                        records: count,
-                        source,
-                        ..
-                    } = place;
-                    let place = BlockLocation {
-                        offset,
-                        first,
-                        last,
-                        records: count,
-                        source,
-                    };
-                    Ok(Some(Found::Block { place, records }))
-                }
-                Err(bad) => Ok(Some(Found::Damaged {
-                    offset,
-                    cause: bad.to_string(),
-                })),
+        self.at = offset + (header_bytes + packed.len()) as u64;
+        let found = match self.records_of(&header, &packed) {
+            Ok(records) => Found::Block {
+                place: header.location(offset),
+                records,
             },
-            Err(e) => Ok(Some(Found::Damaged {
-                offset,
-                cause: e.to_string(),
-            })),
+            Err(cause) => Found::Damaged { offset, cause },
+        };
+        Ok(Some(found))
+    }
+
+    /// The records of a block whose checksum is right, or what is wrong with it.
+    fn records_of(
+        &self,
+        header: &BlockHeader,
+        packed: &[u8],
+    ) -> Result<Vec<(Micros, Record)>, String> {
+        if header.source as usize >= self.sources.len() {
+            return Err("it is of no source of this file".into());
         }
+        let unpacked = zstd::bulk::decompress(packed, header.unpacked_bytes as usize)
+            .map_err(|e| e.to_string())?;
+        unpack(&unpacked, header.first, header.records).map_err(|e| e.to_string())
     }
 
     /// Goes on at the next thing that looks like a block, or at the index.
     fn damaged(&mut self, offset: u64, cause: &str) -> Result<Option<Found>, Error> {
         let mut at = offset + 1;
-        let mut window = vec![0; SEARCH];
+        let mut window = vec![0; SEARCH_BYTES];
         loop {
             self.input.seek(SeekFrom::Start(at))?;
-            let got = fill(&mut self.input, &mut window)?;
-            let found = window[..got]
+            let got = read_up_to(&mut self.input, &mut window)?;
+            let candidate = window[..got]
                 .windows(4)
-                .position(|w| w == BLOCK_MAGIC || w == INDEX_MAGIC);
-            if let Some(n) = found {
-                self.at = at + n as u64;
+                .position(|bytes| bytes == BLOCK_MAGIC || bytes == INDEX_MAGIC);
+            if let Some(position) = candidate {
+                self.at = at + position as u64;
                 if self.begins(self.at)? {
-                    return Ok(Some(Found::Damaged {
-                        offset,
-                        cause: cause.to_owned(),
-                    }));
+                    let cause = cause.to_owned();
+                    return Ok(Some(Found::Damaged { offset, cause }));
                 }
                 at = self.at + 1;
                 continue;
             }
-            if got < SEARCH {
+            if got < SEARCH_BYTES {
                 self.ended = Some(Ended::Cut { offset });
                 return Ok(None);
             }
-            at += (SEARCH - 3) as u64;
+            // A magic number may lie across the end of the window.
+            at += (SEARCH_BYTES - 3) as u64;
         }
     }
 
-    /// A whole block, or the index, and not bytes that look alike.
-    fn begins(&mut self, at: u64) -> Result<bool, Error> {
-        self.input.seek(SeekFrom::Start(at))?;
-        let size = block_header_bytes(self.format);
-        let mut head = vec![0; size];
-        let got = fill(&mut self.input, &mut head)?;
-        if got >= 4 && head[..4] == INDEX_MAGIC {
+    /// Whether a whole block, or the index, is here, and not bytes that look alike.
+    fn begins(&mut self, offset: u64) -> Result<bool, Error> {
+        let header = self.header_bytes_at(offset)?;
+        if header.starts_with(&INDEX_MAGIC) {
             return Ok(self.index.is_some());
         }
-        let Some(place) = (got == size)
-            .then(|| BlockHeader::decode(self.format, &head))
-            .flatten()
-        else {
+        let Some(header) = self.decode_header(&header) else {
             return Ok(false);
         };
-        let mut packed = Vec::new();
-        self.input
-            .by_ref()
-            .take(u64::from(place.packed_bytes))
-            .read_to_end(&mut packed)?;
-        Ok(packed.len() == place.packed_bytes as usize
-            && place.checksum_over(self.format, &packed) == place.checksum)
+        let packed = self.packed_after(&header)?;
+        Ok(self.is_whole(&header, &packed))
     }
 
-    /// Only the blocks that touch their source's span, in its own time; by the index if there is one.
+    /// Reads the blocks that touch their source's span, given in its router time; by the index if there is one. Returns
+    /// how many blocks were read.
     pub fn within(
         &mut self,
         span: impl Fn(u32) -> (Micros, Micros),
         mut each: impl FnMut(Found),
     ) -> Result<u64, Error> {
-        let mut read = 0;
-        let touching = |p: &BlockLocation| p.last >= span(p.source).0 && p.first < span(p.source).1;
+        let touches = |block: &BlockLocation| {
+            let (from, until) = span(block.source);
+            block.last >= from && block.first < until
+        };
+        let mut blocks_read = 0;
         self.rewind();
         if self.index.is_some() {
-            while let Some(place) = self.next_place()? {
-                if !touching(&place) {
+            while let Some(location) = self.next_place()? {
+                if !touches(&location) {
                     continue;
                 }
-                (self.at, self.ended) = (place.offset, None);
+                (self.at, self.ended) = (location.offset, None);
                 if let Some(found) = self.next()? {
-                    read += 1;
+                    blocks_read += 1;
                     each(found);
                 }
             }
-            return Ok(read);
+            return Ok(blocks_read);
         }
         while let Some(found) = self.next()? {
-            read += 1;
-            let touches = match &found {
-                Found::Block { place, .. } => touching(place),
+            blocks_read += 1;
+            let wanted = match &found {
+                Found::Block { place, .. } => touches(place),
                 Found::Damaged { .. } => true,
             };
-            if touches {
+            if wanted {
                 each(found);
             }
         }
-        Ok(read)
+        Ok(blocks_read)
     }
 }
 
-/// As much as there is.
-fn fill(input: &mut impl Read, into: &mut [u8]) -> io::Result<usize> {
+/// Reads until the buffer is full or the input ends; returns how much was read.
+fn read_up_to(input: &mut impl Read, into: &mut [u8]) -> io::Result<usize> {
     let mut got = 0;
     while got < into.len() {
         match input.read(&mut into[got..]) {
