--- /dev/null
+++ b/crates/trace/src/file_series.rs
@@ -0,0 +1,105 @@
+//! Names of trace files in a folder.
+
+use std::fs::{File, TryLockError};
+use std::io;
+use std::path::{Path, PathBuf};
+
+use crate::Error;
+
+/// The files of one router incarnation: `NAME-RUN-NUMBER.trace`. Numbers may be missing, where a file could not be
+/// begun.
+#[derive(Clone, Debug)]
+pub struct Row {
+    /// Where the files lie.
+    pub folder: PathBuf,
+    /// The router's name.
+    pub name: String,
+    /// Wall clock in milliseconds at the router's start, so that series sort by age.
+    pub run: u64,
+}
+
+impl Row {
+    /// The path of the file with this number.
+    pub fn file(&self, number: u64) -> PathBuf {
+        self.folder
+            .join(format!("{}-{:013}-{number:05}.trace", self.name, self.run))
+    }
+
+    /// Files of this router, of this incarnation and earlier ones, but for the one with this number; oldest first, with
+    /// their sizes.
+    pub fn earlier(&self, except: u64) -> io::Result<Vec<(PathBuf, u64)>> {
+        let excepted = self.file(except);
+        let mut files = Vec::new();
+        for entry in std::fs::read_dir(&self.folder)? {
+            let entry = entry?;
+            let name = entry.file_name().to_string_lossy().into_owned();
+            if self.has_file_named(&name) && entry.path() != excepted {
+                files.push((entry.path(), entry.metadata()?.len()));
+            }
+        }
+        files.sort();
+        Ok(files)
+    }
+
+    fn has_file_named(&self, name: &str) -> bool {
+        let numbers = name
+            .strip_prefix(&self.name)
+            .and_then(|rest| rest.strip_prefix('-'))
+            .and_then(|rest| rest.strip_suffix(".trace"));
+        numbers.is_some_and(|n| n.bytes().all(|b| b.is_ascii_digit() || b == b'-'))
+    }
+}
+
+/// A name that one writer alone has in its folder, for as long as this value exists; a process that dies releases it.
+#[derive(Debug)]
+pub struct Own {
+    /// The name, with a number after it if another writer has the one asked for.
+    pub name: String,
+    _lock: File,
+}
+
+/// Writers of one name in one folder.
+const MAX_WRITERS_OF_A_NAME: u32 = 16;
+
+impl Own {
+    /// Locks the first free name.
+    ///
+    /// Symptom: two routers have the same name and folder, and each makes room by deleting what the other writes.
+    pub fn take(folder: &Path, name: &str) -> Result<Own, Error> {
+        for n in 1..=MAX_WRITERS_OF_A_NAME {
+            let candidate = if n == 1 {
+                name.to_owned()
+            } else {
+                format!("{name}_{n}")
+            };
+            let lock = File::options()
+                .create(true)
+                .append(true)
+                .open(folder.join(format!("{candidate}.lock")))?;
+            match lock.try_lock() {
+                Ok(()) => {
+                    return Ok(Own {
+                        name: candidate,
+                        _lock: lock,
+                    });
+                }
+                Err(TryLockError::WouldBlock) => {}
+                Err(TryLockError::Error(e)) => return Err(e.into()),
+            }
+        }
+        Err(Error::Taken {
+            name: name.to_owned(),
+            most: MAX_WRITERS_OF_A_NAME,
+        })
+    }
+}
+
+/// All files of a folder that look like traces, in the order of their names.
+pub fn traces(folder: &Path) -> io::Result<Vec<PathBuf>> {
+    let mut traces: Vec<PathBuf> = std::fs::read_dir(folder)?
+        .filter_map(|entry| entry.ok().map(|entry| entry.path()))
+        .filter(|path| path.extension().is_some_and(|e| e == "trace"))
+        .collect();
+    traces.sort();
+    Ok(traces)
+}
--- /dev/null
+++ b/crates/trace/src/file_writer.rs
@@ -0,0 +1,73 @@
+//! Writes one trace file to anything that takes bytes.
+
+use std::io::{self, Write};
+
+use crate::block_index::BlockIndexBuilder;
+use crate::blocks::{BLOCK_HEADER_BYTES, BlockHeader, FILE_MAGIC, FOOTER_MAGIC, FORMAT, Raw};
+use crate::start::Source;
+use crate::start_codec::encode_sources;
+
+/// Packs a fiftieth smaller than the fastest at a cost that was not told apart; more effort gained next to nothing.
+const COMPRESSION_LEVEL: i32 = 3;
+
+/// A file under way.
+#[derive(Debug)]
+pub struct Sheet<W: Write> {
+    out: W,
+    offset: u64,
+    index: BlockIndexBuilder,
+}
+
+impl<W: Write> Sheet<W> {
+    /// Writes the file's beginning.
+    pub fn begin(mut out: W, sources: &[Source]) -> io::Result<Self> {
+        let start = encode_sources(sources);
+        let mut header = FILE_MAGIC.to_vec();
+        header.extend(FORMAT.to_le_bytes());
+        // Flags; none is in use.
+        header.extend(0u16.to_le_bytes());
+        header.extend((start.len() as u32).to_le_bytes());
+        header.extend(&start);
+        header.extend(crc32c::crc32c(&header).to_le_bytes());
+        out.write_all(&header)?;
+        Ok(Sheet {
+            out,
+            offset: header.len() as u64,
+            index: BlockIndexBuilder::default(),
+        })
+    }
+
+    /// Compresses and writes a block, in one write: a truncation falls within it, or before or after. Returns the bytes
+    /// written.
+    pub fn block(&mut self, source: u32, block: &Raw) -> io::Result<u64> {
+        let packed = zstd::bulk::compress(&block.bytes, COMPRESSION_LEVEL)?;
+        self.packed(&BlockHeader::new(block, source, &packed), &packed)
+    }
+
+    /// Writes a block that is compressed already. Returns the bytes written.
+    pub fn packed(&mut self, header: &BlockHeader, packed: &[u8]) -> io::Result<u64> {
+        let mut bytes = Vec::with_capacity(BLOCK_HEADER_BYTES + packed.len());
+        bytes.extend(header.encode());
+        bytes.extend(packed);
+        self.out.write_all(&bytes)?;
+        self.index.push(header.location(self.offset));
+        self.offset += bytes.len() as u64;
+        Ok(bytes.len() as u64)
+    }
+
+    /// Size of the file so far.
+    pub fn bytes(&self) -> u64 {
+        self.offset
+    }
+
+    /// Writes index and footer.
+    pub fn end(mut self) -> io::Result<W> {
+        self.index.write(&mut self.out)?;
+        let mut footer = self.offset.to_le_bytes().to_vec();
+        footer.extend(crc32c::crc32c(&footer).to_le_bytes());
+        footer.extend(FOOTER_MAGIC);
+        self.out.write_all(&footer)?;
+        self.out.flush()?;
+        Ok(self.out)
+    }
+}
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! * [`codec`], [`event_codec`], [`record_codec`], [`start`], [`blocks`], [`block_index`]: the file format, without I/O.
 //! * [`retention`]: when a file ends, which old files are deleted, and how long writing pauses after a disk error.
-//! * [`writer`], [`reader`]: files. A trace never blocks a router: what cannot be written becomes a gap record.
+//! * [`writer`] with [`file_series`] and [`file_writer`], [`reader`]: files. A trace never blocks a router: what cannot be written becomes a gap record.
 //! * [`replay`]: feeds recorded events to this build's decision module and finds the first decision that differs;
 //!   [`compare`] counts all differences by kind.
 //! * [`summary`], [`invocation_history`], [`timeline`] and its [`chart`]: what the files contain.
@@ -20,6 +20,8 @@
 mod error;
 pub mod event_codec;
 pub mod explain;
+pub mod file_series;
+pub mod file_writer;
 pub mod invocation_history;
 pub mod merge;
 pub mod reader;
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -167,9 +167,9 @@
     );
     assert_eq!(
         (
-            k.looked(&[100, 100, 50]),
-            k.looked(&[100, 100, 51]),
-            k.looked(&[900])
+            k.files_to_delete(&[100, 100, 50]),
+            k.files_to_delete(&[100, 100, 51]),
+            k.files_to_delete(&[900])
         ),
         (0, 1, 1)
     );
