--- a/crates/trace/src/codec.rs
+++ b/crates/trace/src/codec.rs
@@ -1,109 +1,135 @@
-//! Numbers, texts and floats as bytes. Everything that reads is bounded by the bytes there are, and says what is
-//! wrong instead of guessing.
+//! Numbers, texts and floats as bytes. Everything that reads is bounded by the bytes there are, and says what is wrong
+//! instead of guessing.
 
 use integer_encoding::VarInt;
 use thiserror::Error;
 
-/// Why bytes are no record; told with the place of their block.
+/// Why bytes are no record; reported with the offset of their block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
+    /// The bytes end too early.
     #[error("it breaks off")]
     Truncated,
+    /// A number or tag is out of its range.
     #[error("it has a number or tag of no meaning")]
     UnknownValue,
+    /// A text is not UTF-8.
     #[error("a text is not UTF-8")]
     InvalidUtf8,
+    /// The checksum does not fit the bytes.
     #[error("its checksum is wrong")]
     ChecksumMismatch,
 }
 
+/// Writes values to the end of a buffer.
 #[derive(Debug, Default)]
 pub struct Encoder {
+    /// What was written.
     pub bytes: Vec<u8>,
 }
 
 impl Encoder {
-    pub fn byte(&mut self, b: u8) {
-        self.bytes.push(b);
+    /// One byte.
+    pub fn byte(&mut self, byte: u8) {
+        self.bytes.push(byte);
     }
 
-    pub fn unsigned(&mut self, n: u64) {
-        let mut buffer = [0; 10];
-        let size = n.encode_var(&mut buffer);
-        self.bytes.extend_from_slice(&buffer[..size]);
+    /// A LEB128 varint.
+    pub fn unsigned(&mut self, value: u64) {
+        self.varint(value);
+    }
+
+    /// A LEB128 varint after zigzag.
+    pub fn signed(&mut self, value: i64) {
+        self.varint(value);
     }
 
-    pub fn signed(&mut self, n: i64) {
+    fn varint(&mut self, value: impl VarInt) {
         let mut buffer = [0; 10];
-        let size = n.encode_var(&mut buffer);
+        let size = value.encode_var(&mut buffer);
         self.bytes.extend_from_slice(&buffer[..size]);
     }
 
-    /// Round numbers have few bits set at one end: turned about they are short.
-    pub fn float(&mut self, x: f64) {
-        self.unsigned(x.to_bits().swap_bytes());
+    /// The bits of a float with their bytes reversed, as a varint: round numbers have few bits set at one end, and are
+    /// short so.
+    pub fn float(&mut self, value: f64) {
+        self.unsigned(value.to_bits().swap_bytes());
     }
 
+    /// Its length, then UTF-8.
     pub fn text(&mut self, text: &str) {
         self.unsigned(text.len() as u64);
         self.bytes.extend_from_slice(text.as_bytes());
     }
 
-    pub fn optional<T>(&mut self, value: Option<T>, put: impl FnOnce(&mut Self, T)) {
+    /// A byte 0, or a byte 1 and the value.
+    pub fn optional<T>(&mut self, value: Option<T>, encode: impl FnOnce(&mut Self, T)) {
         match value {
             None => self.byte(0),
             Some(value) => {
                 self.byte(1);
-                put(self, value);
+                encode(self, value);
             }
         }
     }
 }
 
+/// Reads what an [`Encoder`] wrote, from the front.
 #[derive(Clone, Copy, Debug)]
 pub struct Decoder<'a> {
     bytes: &'a [u8],
 }
 
 impl<'a> Decoder<'a> {
+    /// Of these bytes.
     pub fn new(bytes: &'a [u8]) -> Self {
         Decoder { bytes }
     }
 
+    /// Whether all was read.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
+    /// How many bytes were not read yet.
     pub fn remaining(&self) -> usize {
         self.bytes.len()
     }
 
+    /// One byte.
     pub fn byte(&mut self) -> Result<u8, DecodeError> {
         let (first, rest) = self.bytes.split_first().ok_or(DecodeError::Truncated)?;
         self.bytes = rest;
         Ok(*first)
     }
 
+    /// A LEB128 varint.
     pub fn unsigned(&mut self) -> Result<u64, DecodeError> {
-        let (n, size) = u64::decode_var(self.bytes).ok_or(DecodeError::Truncated)?;
-        self.bytes = &self.bytes[size..];
-        Ok(n)
+        self.varint()
     }
 
+    /// A LEB128 varint after zigzag.
     pub fn signed(&mut self) -> Result<i64, DecodeError> {
-        let (n, size) = i64::decode_var(self.bytes).ok_or(DecodeError::Truncated)?;
+        self.varint()
+    }
+
+    fn varint<T: VarInt>(&mut self) -> Result<T, DecodeError> {
+        let (value, size) = T::decode_var(self.bytes).ok_or(DecodeError::Truncated)?;
         self.bytes = &self.bytes[size..];
-        Ok(n)
+        Ok(value)
     }
 
+    /// A varint below 2^32.
     pub fn u32(&mut self) -> Result<u32, DecodeError> {
         u32::try_from(self.unsigned()?).map_err(|_| DecodeError::UnknownValue)
     }
 
+    /// See [`Encoder::float`].
     pub fn float(&mut self) -> Result<f64, DecodeError> {
         Ok(f64::from_bits(self.unsigned()?.swap_bytes()))
     }
 
+    /// A byte 0 or 1.
     pub fn flag(&mut self) -> Result<bool, DecodeError> {
         match self.byte()? {
             0 => Ok(false),
@@ -112,40 +138,48 @@
         }
     }
 
+    /// So many bytes.
     pub fn take(&mut self, size: usize) -> Result<&'a [u8], DecodeError> {
-        if size > self.bytes.len() {
-            return Err(DecodeError::Truncated);
-        }
-        let (first, rest) = self.bytes.split_at(size);
+        let (first, rest) = self
+            .bytes
+            .split_at_checked(size)
+            .ok_or(DecodeError::Truncated)?;
         self.bytes = rest;
         Ok(first)
     }
 
+    fn size(&mut self) -> Result<usize, DecodeError> {
+        usize::try_from(self.unsigned()?).map_err(|_| DecodeError::Truncated)
+    }
+
+    /// A length, then UTF-8.
     pub fn text(&mut self) -> Result<&'a str, DecodeError> {
-        let size = usize::try_from(self.unsigned()?).map_err(|_| DecodeError::Truncated)?;
+        let size = self.size()?;
         std::str::from_utf8(self.take(size)?).map_err(|_| DecodeError::InvalidUtf8)
     }
 
+    /// A byte 0, or a byte 1 and a value.
     pub fn optional<T>(
         &mut self,
-        get: impl FnOnce(&mut Self) -> Result<T, DecodeError>,
+        decode: impl FnOnce(&mut Self) -> Result<T, DecodeError>,
     ) -> Result<Option<T>, DecodeError> {
         if self.flag()? {
-            get(self).map(Some)
+            decode(self).map(Some)
         } else {
             Ok(None)
         }
     }
 
-    /// So many, each of at least one byte: a count beyond what is left is a lie.
+    /// A count, then so many values, each of at least one byte: a count beyond what remains is rejected before anything
+    /// is allocated for it.
     pub fn list<T>(
         &mut self,
-        mut get: impl FnMut(&mut Self) -> Result<T, DecodeError>,
+        mut decode: impl FnMut(&mut Self) -> Result<T, DecodeError>,
     ) -> Result<Vec<T>, DecodeError> {
-        let count = usize::try_from(self.unsigned()?).map_err(|_| DecodeError::Truncated)?;
+        let count = self.size()?;
         if count > self.bytes.len() {
             return Err(DecodeError::Truncated);
         }
-        (0..count).map(|_| get(self)).collect()
+        (0..count).map(|_| decode(self)).collect()
     }
 }
--- a/crates/trace/src/error.rs
+++ b/crates/trace/src/error.rs
@@ -1,4 +1,4 @@
-//! Why files could not be read, or made of others.
+//! Why files could not be read, or made of others; with what a user can do about it.
 
 use std::io;
 
@@ -9,34 +9,74 @@
 use crate::blocks::FORMAT;
 use crate::codec::DecodeError;
 
+/// Why a trace could not be read, written or drawn.
 #[derive(Debug, Error)]
 pub enum Error {
+    /// Reading or writing failed.
     #[error("it cannot be read or written")]
     Disk(#[source] io::Error),
+    /// The file does not begin as a trace does.
     #[error("it is no trace")]
     NoTrace,
+    /// The file ends within its beginning.
     #[error("it is too short for a trace")]
     TooShort,
+    /// Written by a newer build.
     #[error("it is of format {format}; this build reads up to {most}", most = FORMAT)]
-    Later { format: u16 },
+    Later {
+        /// Its version.
+        format: u16,
+    },
+    /// The file's beginning is damaged.
     #[error("its head is damaged: {cause}")]
-    Head { cause: DecodeError },
+    Head {
+        /// What is wrong.
+        cause: DecodeError,
+    },
+    /// The index has an entry that cannot be read.
     #[error("its index has no meaning")]
     Index,
+    /// A block is damaged.
     #[error("it is damaged at byte {offset}: {cause}")]
-    Damaged { offset: u64, cause: String },
+    Damaged {
+        /// Where the block begins.
+        offset: u64,
+        /// What is wrong.
+        cause: String,
+    },
+    /// There is nothing to read.
     #[error("no file is given")]
     NoFile,
+    /// A replay needs the router's first file.
     #[error("it is file {file} of its row: a replay begins with file 0")]
-    NotFirst { file: u64 },
+    NotFirst {
+        /// The first given file's number.
+        file: u64,
+    },
+    /// Another build, driven with the same files, did not see the same events.
     #[error("the other build {how}")]
-    Other { how: &'static str },
+    Other {
+        /// In what way.
+        how: &'static str,
+    },
+    /// A stripped file would name an original.
     #[error("'{original}' would be left in it; nothing more was written")]
-    Left { original: String },
+    Left {
+        /// The name.
+        original: String,
+    },
+    /// Too many routers have one name in a folder.
     #[error("{most} routers named '{name}' write here already")]
-    Taken { name: String, most: u32 },
+    Taken {
+        /// The name.
+        name: String,
+        /// How many may.
+        most: u32,
+    },
+    /// A merged file would be too large for an index.
     #[error("more blocks than an index can name")]
     TooManyBlocks,
+    /// Drawing failed.
     #[error("the chart cannot be drawn")]
     Chart(#[source] DrawingAreaErrorKind<io::Error>),
 }
@@ -67,7 +107,7 @@
 }
 
 impl From<io::Error> for Error {
-    /// One of these that passed through a writer comes out as itself.
+    /// An [`Error`] that passed through a writer as an I/O error comes out as itself.
     fn from(e: io::Error) -> Self {
         e.downcast().unwrap_or_else(Error::Disk)
     }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -12,6 +12,8 @@
 //! * [`selection`] decides which records belong to a cut, [`strip`] replaces names by pseudonyms; [`rewrite`] and
 //!   [`merge`] write the resulting files.
 
+#![warn(missing_docs)]
+
 pub mod block_index;
 pub mod blocks;
 pub mod chart;
--- a/crates/trace/src/rewrite.rs
+++ b/crates/trace/src/rewrite.rs
@@ -1,9 +1,11 @@
 //! Files made of other files, block by block: cut and strip. One block of input and one of output are in memory.
 
-use std::io::{Read, Seek, Write};
+use std::io::{self, Read, Seek, Write};
+
+use cedarpulley::interface::Micros;
 
 use crate::Error;
-use crate::blocks::{Gather, for_each_named_index};
+use crate::blocks::{Gather, Raw, for_each_named_index};
 use crate::reader::{Found, Reader};
 use crate::records::Record;
 use crate::selection::{RecordSelector, Wanted};
@@ -11,124 +13,145 @@
 use crate::strip::Strip;
 use crate::writer::Sheet;
 
-/// What came of it.
+/// What was read and written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Rewritten {
+    /// Blocks read; a cut by time alone passes over the others.
     pub blocks_read: u64,
+    /// Damaged blocks, which were left out.
     pub damaged: u64,
+    /// Records written.
     pub records: u64,
 }
 
-/// Only what is wanted. By time alone, blocks outside of the span are not read.
-pub fn cut<R: Read + Seek, W: Write>(
-    reader: &mut Reader<R>,
-    wanted: &Wanted,
-    out: W,
-) -> Result<Rewritten, Error> {
-    let sources: Vec<Source> = reader
-        .sources
-        .iter()
-        .map(|s| Source {
-            extent: Extent::Cut,
-            ..s.clone()
-        })
-        .collect();
-    let mut sheet = Sheet::begin(out, &sources)?;
-    let mut selects: Vec<Option<RecordSelector>> = sources
-        .iter()
-        .map(|s| RecordSelector::new(wanted, s))
-        .collect();
-    let spans: Vec<_> = sources
-        .iter()
-        .zip(&selects)
-        .map(|(s, w)| w.as_ref().map_or((0, 0), |w| w.span(s)))
-        .collect();
-    let mut done = Rewritten::default();
-    let mut failed = None;
-    // What was taken before the span may end within: followed from the file's beginning, unless only time is asked.
-    let by_time = wanted.only_time();
-    let reach = |source: u32| {
-        let (from, until) = spans[source as usize];
-        if by_time {
-            (from, until)
-        } else {
-            (i64::MIN, until)
+/// A source while it is cut.
+struct CutSource<'a> {
+    /// Absent if nothing of it can belong.
+    selector: Option<RecordSelector<'a>>,
+    /// The wanted span in its router time.
+    span: (Micros, Micros),
+}
+
+impl<'a> CutSource<'a> {
+    fn new(wanted: &'a Wanted, source: &Source) -> Self {
+        let selector = RecordSelector::new(wanted, source);
+        CutSource {
+            span: selector.as_ref().map_or((0, 0), |s| s.span(source)),
+            selector,
         }
-    };
-    let read = reader.within(reach, |found| {
-        let Found::Block { place, records } = found else {
-            done.damaged += 1;
-            return;
-        };
-        let source = place.source as usize;
-        let Some(select) = &mut selects[source] else {
-            return;
+    }
+
+    /// The block's records that belong, with the names that they use; and how many records belong.
+    fn select(&mut self, records: Vec<(Micros, Record)>) -> (Gather, u64) {
+        let (mut block, mut selected) = (Gather::default(), 0);
+        let Some(selector) = &mut self.selector else {
+            return (block, selected);
         };
-        let mut gather = Gather::default();
         for (at, record) in records {
-            if !select.belongs(at, spans[source], &record) {
+            if !selector.belongs(at, self.span, &record) {
                 continue;
             }
-            if let Record::Decided {
-                event: happened,
-                actions,
-            } = &record
-            {
-                for_each_named_index(happened, actions, |space, ix| {
-                    if let Some(name) = select.name(space, ix) {
-                        gather.name(at, space, ix, name);
+            if let Record::Decided { event, actions } = &record {
+                for_each_named_index(event, actions, |kind, index| {
+                    if let Some(name) = selector.name(kind, index) {
+                        block.name(at, kind, index, name);
                     }
                 });
             }
-            gather.record(at, &record);
-            done.records += 1;
-        }
-        if !gather.is_empty()
-            && failed.is_none()
-            && let Err(e) = sheet.block(place.source, &gather.close())
-        {
-            failed = Some(e);
-        }
-    })?;
-    done.blocks_read = read;
-    match failed {
-        Some(e) => Err(e.into()),
-        None => {
-            sheet.end()?;
-            Ok(done)
+            block.record(at, &record);
+            selected += 1;
         }
+        (block, selected)
     }
 }
 
-/// All of it, under pseudonyms; then every block is looked through for what must not be in it.
+/// Writes only what is wanted. By time alone, blocks outside of the span are not read.
+///
+/// # Errors
+/// When reading or writing fails; damaged blocks are counted.
+pub fn cut<R: Read + Seek, W: Write>(
+    reader: &mut Reader<R>,
+    wanted: &Wanted,
+    out: W,
+) -> Result<Rewritten, Error> {
+    let cut = |source: &Source| Source {
+        extent: Extent::Cut,
+        ..source.clone()
+    };
+    let sources: Vec<Source> = reader.sources.iter().map(cut).collect();
+    let mut file = Sheet::begin(out, &sources)?;
+    let mut cut_sources: Vec<CutSource> = sources
+        .iter()
+        .map(|source| CutSource::new(wanted, source))
+        .collect();
+    // What was accepted before the span may end within: followed from the file's beginning, unless only time is asked.
+    let spans: Vec<(Micros, Micros)> = cut_sources
+        .iter()
+        .map(|source| match wanted.only_time() {
+            true => source.span,
+            false => (Micros::MIN, source.span.1),
+        })
+        .collect();
+    let mut result = Rewritten::default();
+    let mut written: io::Result<()> = Ok(());
+    let blocks_read = reader.within(
+        |source| spans[source as usize],
+        |found| {
+            let Found::Block { place, records } = found else {
+                result.damaged += 1;
+                return;
+            };
+            let (mut block, selected) = cut_sources[place.source as usize].select(records);
+            result.records += selected;
+            if !block.is_empty() && written.is_ok() {
+                written = file.block(place.source, &block.close()).map(|_| ());
+            }
+        },
+    )?;
+    written?;
+    file.end()?;
+    Ok(Rewritten {
+        blocks_read,
+        ..result
+    })
+}
+
+/// Writes all of it, under pseudonyms; every block is searched for originals before it is written.
+///
+/// # Errors
+/// When reading or writing fails, and when an original would be left.
 pub fn strip<R: Read + Seek, W: Write>(
     reader: &mut Reader<R>,
     strip: &mut Strip,
     out: W,
 ) -> Result<Rewritten, Error> {
     let sources: Vec<Source> = reader.sources.iter().map(|s| strip.source(s)).collect();
-    let mut sheet = Sheet::begin(out, &sources)?;
-    let mut done = Rewritten::default();
+    let mut file = Sheet::begin(out, &sources)?;
+    let mut result = Rewritten::default();
     reader.rewind();
     while let Some(found) = reader.next()? {
         let Found::Block { place, records } = found else {
-            done.damaged += 1;
+            result.damaged += 1;
             continue;
         };
-        done.blocks_read += 1;
-        let mut gather = Gather::default();
-        for (at, record) in records {
-            gather.record(at, &strip.record(record));
-            done.records += 1;
-        }
-        let raw = gather.close();
-        if let Some(original) = strip.left_in(&raw.bytes) {
-            return Err(Error::Left {
-                original: original.to_owned(),
-            });
-        }
-        sheet.block(place.source, &raw)?;
+        result.blocks_read += 1;
+        result.records += records.len() as u64;
+        file.block(place.source, &strip_block(strip, records)?)?;
+    }
+    file.end()?;
+    Ok(result)
+}
+
+fn strip_block(strip: &mut Strip, records: Vec<(Micros, Record)>) -> Result<Raw, Error> {
+    let mut block = Gather::default();
+    for (at, record) in records {
+        block.record(at, &strip.record(record));
+    }
+    let block = block.close();
+    match strip.left_in(&block.bytes) {
+        Some(original) => Err(Error::Left {
+            original: original.to_owned(),
+        }),
+        None => Ok(block),
     }
-    sheet.end()?;
-    Ok(done)
 }
--- a/crates/trace/src/strip.rs
+++ b/crates/trace/src/strip.rs
@@ -1,27 +1,28 @@
-//! Takes out who and what: names of functions, workers, accounts, routers and marks become pseudonyms by a key, the
-//! same for the same name in every file that is stripped with it. Sizes and times stay. Without the key nobody gets a
-//! name back, nor tells by trying whether one is in it.
+//! Replaces who and what: names of functions, workers, accounts, routers and listeners, and correlation ids, become
+//! pseudonyms by a key, the same for the same name in every file that is stripped with it. Sizes and times stay. Without
+//! the key nobody gets a name back, nor tells by trying whether one is in the file.
 
 use std::collections::HashSet;
 
-use crate::records::{Record, RecordedEvent, Space};
-use crate::start::{Extent, Source};
 use cedarpulley::interface::Event;
 
-/// Pseudonyms are so many hexadecimal digits: even among a million names two alike are not to be expected.
+use crate::records::{Record, RecordedEvent, Space};
+use crate::start::{Extent, Source, Start};
+
+/// Pseudonyms have so many hexadecimal digits: even among a million names two alike are not to be expected.
 const DIGITS: usize = 16;
-/// Shorter originals are not looked for: they stand in any bytes by chance.
-const LOOKED_FOR: usize = 4;
+/// Shorter originals are not searched for: they stand in any bytes by chance.
+const MIN_SEARCHED: usize = 4;
+/// Originals that are remembered for the search.
+const MAX_ORIGINALS: usize = 1_000_000;
 
+/// Makes pseudonyms, and remembers what it replaced.
 pub struct Strip {
     key: [u8; 32],
-    /// What was replaced, for the check afterwards; bounded.
+    /// What was replaced, for the search afterwards.
     originals: HashSet<String>,
 }
 
-/// Originals that the check remembers.
-const MOST_ORIGINALS: usize = 1_000_000;
-
 impl Strip {
     /// `secret`: any length; whoever has it can make the same pseudonyms.
     pub fn new(secret: &[u8]) -> Self {
@@ -31,19 +32,24 @@
         }
     }
 
-    fn pseudonym(&mut self, kind: &str, text: &str) -> String {
-        if text.is_empty() {
+    /// `prefix` says what is named; names of different kinds have different pseudonyms.
+    fn pseudonym(&mut self, prefix: &str, name: &str) -> String {
+        if name.is_empty() {
             return String::new();
         }
-        if text.len() >= LOOKED_FOR && self.originals.len() < MOST_ORIGINALS {
-            self.originals.insert(text.to_owned());
+        if name.len() >= MIN_SEARCHED && self.originals.len() < MAX_ORIGINALS {
+            self.originals.insert(name.to_owned());
         }
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
-        hasher.update(kind.as_bytes());
+        hasher.update(prefix.as_bytes());
         hasher.update(&[0]);
-        hasher.update(text.as_bytes());
+        hasher.update(name.as_bytes());
         let hex = hasher.finalize().to_hex();
-        format!("{kind}{}", &hex[..DIGITS])
+        format!("{prefix}{}", &hex[..DIGITS])
+    }
+
+    fn pseudonyms(&mut self, prefix: &str, names: &[String]) -> Vec<String> {
+        names.iter().map(|n| self.pseudonym(prefix, n)).collect()
     }
 
     fn number(&self, n: u64) -> u64 {
@@ -53,90 +59,67 @@
         u64::from_le_bytes(first)
     }
 
-    /// Names of trigger types stay: they say what kind of work it was. The seed and the settings' digest go: by them
-    /// settings could be told.
+    /// Names of trigger types stay: they say what kind of work it was. The seed and the settings' digest are replaced:
+    /// settings could be guessed by them.
     pub fn source(&mut self, source: &Source) -> Source {
         let start = &source.start;
-        let mut s = start.clone();
-        s.router = self.pseudonym("R-", &start.router);
-        s.accounts_named = start
-            .accounts_named
-            .iter()
-            .map(|n| self.pseudonym("A-", n))
-            .collect();
-        s.fronts_named = start
-            .fronts_named
-            .iter()
-            .map(|n| self.pseudonym("E-", n))
-            .collect();
-        s.settings = *blake3::keyed_hash(&self.key, &start.settings).as_bytes();
-        s.seed = self.number(start.seed);
         Source {
-            start: s,
+            start: Start {
+                router: self.pseudonym("R-", &start.router),
+                accounts_named: self.pseudonyms("A-", &start.accounts_named),
+                fronts_named: self.pseudonyms("E-", &start.fronts_named),
+                settings: *blake3::keyed_hash(&self.key, &start.settings).as_bytes(),
+                seed: self.number(start.seed),
+                ..start.clone()
+            },
             clock_ahead: source.clock_ahead,
             extent: Extent::Stripped,
         }
     }
 
+    /// The record under pseudonyms.
     pub fn record(&mut self, record: Record) -> Record {
         match record {
-            Record::Name {
-                kind: space,
-                index: ix,
-                name: text,
-            } => {
-                let kind = if space == Space::Worker { "W-" } else { "F-" };
-                let text = self.pseudonym(kind, &text);
-                Record::Name {
-                    kind: space,
-                    index: ix,
-                    name: text,
-                }
+            Record::Name { kind, index, name } => {
+                let prefix = match kind {
+                    Space::Worker => "W-",
+                    Space::Function => "F-",
+                };
+                let name = self.pseudonym(prefix, &name);
+                Record::Name { kind, index, name }
             }
             Record::Taken {
                 inv,
                 front,
                 mark,
                 redelivered,
-            } => {
-                let mark = mark.map(|m| self.number(m));
-                Record::Taken {
-                    inv,
-                    front,
-                    mark,
-                    redelivered,
-                }
-            }
-            Record::Decided {
-                event:
-                    RecordedEvent::List {
-                        kind,
-                        mut endpoints,
-                    },
-                actions,
-            } => {
-                // A worker's fingerprint is made of its address.
-                endpoints
-                    .iter_mut()
-                    .for_each(|e| e.fingerprint = self.number(e.fingerprint));
-                Record::Decided {
-                    event: RecordedEvent::List { kind, endpoints },
-                    actions,
-                }
-            }
-            Record::Decided {
-                event: RecordedEvent::Other(Event::Invocation(mut a)),
+            } => Record::Taken {
+                inv,
+                front,
+                mark: mark.map(|mark| self.number(mark)),
+                redelivered,
+            },
+            Record::Decided { event, actions } => Record::Decided {
+                event: self.event(event),
                 actions,
-            } => {
-                // Made of the function's name again by who reads it.
-                a.fingerprint = 0;
-                Record::Decided {
-                    event: RecordedEvent::Other(Event::Invocation(a)),
-                    actions,
+            },
+            other => other,
+        }
+    }
+
+    fn event(&self, mut event: RecordedEvent) -> RecordedEvent {
+        match &mut event {
+            RecordedEvent::List { endpoints, .. } => {
+                // A worker's fingerprint is computed from its address.
+                for endpoint in endpoints {
+                    endpoint.fingerprint = self.number(endpoint.fingerprint);
                 }
             }
-            other => other,
+            // Computed from the function's name again by who reads it.
+            RecordedEvent::Other(Event::Invocation(arrival)) => arrival.fingerprint = 0,
+            RecordedEvent::Other(_) => {}
         }
+        event
     }
 
     /// An original that stands in these unpacked bytes; there must be none.
