--- a/crates/trace/src/chart.rs
+++ b/crates/trace/src/chart.rs
@@ -75,26 +75,18 @@
         .x_desc("seconds")
         .draw()?;
     // The highest first: each lower one covers its part.
-    for Series {
-        label,
-        color,
-        curve,
-    } in stacked.into_iter().rev()
-    {
+    for series in stacked.into_iter().rev() {
+        let color = series.color;
         chart
-            .draw_series(AreaSeries::new(curve, 0.0, color.filled()))?
-            .label(label)
+            .draw_series(AreaSeries::new(series.curve, 0.0, color.filled()))?
+            .label(series.label)
             .legend(move |(x, y)| Rectangle::new([(x, y - 5), (x + 14, y + 5)], color.filled()));
     }
-    for Series {
-        label,
-        color,
-        curve,
-    } in panel.lines
-    {
+    for series in panel.lines {
+        let color = series.color;
         chart
-            .draw_series(LineSeries::new(curve, color.stroke_width(2)))?
-            .label(label)
+            .draw_series(LineSeries::new(series.curve, color.stroke_width(2)))?
+            .label(series.label)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], color.stroke_width(2)));
     }
     chart
--- a/crates/trace/src/compare.rs
+++ b/crates/trace/src/compare.rs
@@ -54,6 +54,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
     /// One did this with an invocation, the other that.
+    #[serde(rename = "instead")]
     Instead(Decision, Decision),
     /// Both dispatched it, to different workers.
     #[serde(rename = "sent-elsewhere")]
@@ -109,8 +110,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Compared {
     /// Router incarnations compared.
+    #[serde(rename = "rows")]
     pub rows: u64,
     /// Those with any difference.
+    #[serde(rename = "rows_differing")]
     pub rows_differing: u64,
     /// Decisions compared.
     pub decisions: u64,
--- a/crates/trace/src/error.rs
+++ b/crates/trace/src/error.rs
@@ -14,28 +14,28 @@
 pub enum Error {
     /// Reading or writing failed.
     #[error("it cannot be read or written")]
-    Disk(#[source] io::Error),
+    Io(#[source] io::Error),
     /// The file does not begin as a trace does.
     #[error("it is no trace")]
-    NoTrace,
+    NotATrace,
     /// The file ends within its beginning.
     #[error("it is too short for a trace")]
     TooShort,
     /// Written by a newer build.
     #[error("it is of format {format}; this build reads up to {most}", most = FORMAT)]
-    Later {
+    UnsupportedFormat {
         /// Its version.
         format: u16,
     },
     /// The file's beginning is damaged.
     #[error("its head is damaged: {cause}")]
-    Head {
+    DamagedStart {
         /// What is wrong.
         cause: DecodeError,
     },
     /// The index has an entry that cannot be read.
     #[error("its index has no meaning")]
-    Index,
+    DamagedIndex,
     /// A block is damaged.
     #[error("it is damaged at byte {offset}: {cause}")]
     Damaged {
@@ -49,7 +49,7 @@
     NoFile,
     /// A replay needs the router's first file.
     #[error("it is file {file} of its row: a replay begins with file 0")]
-    NotFirst {
+    NotFirstFile {
         /// The first given file's number.
         file: u64,
     },
@@ -61,13 +61,13 @@
     },
     /// A stripped file would name an original.
     #[error("'{original}' would be left in it; nothing more was written")]
-    Left {
+    OriginalLeft {
         /// The name.
         original: String,
     },
     /// Too many routers have one name in a folder.
     #[error("{most} routers named '{name}' write here already")]
-    Taken {
+    NameInUse {
         /// The name.
         name: String,
         /// How many may.
@@ -84,22 +84,24 @@
 impl Remedy for Error {
     fn remedy(&self) -> &'static str {
         match self {
-            Error::Disk(_) => {
+            Error::Io(_) => {
                 "see that it is there, may be read or written, and that the disk has room"
             }
-            Error::NoTrace => "name a file that a router wrote, as in its [trace] folder",
+            Error::NotATrace => "name a file that a router wrote, as in its [trace] folder",
             Error::TooShort => "leave it out: its writer was ended as it began it",
-            Error::Later { .. } => "take a newer build",
-            Error::Head { .. } => "take its copy; nothing after its head can be read without it",
-            Error::Index => {
+            Error::UnsupportedFormat { .. } => "take a newer build",
+            Error::DamagedStart { .. } => {
+                "take its copy; nothing after its head can be read without it"
+            }
+            Error::DamagedIndex => {
                 "copy it without its last 20 bytes: then its blocks are found without the index"
             }
             Error::Damaged { .. } => "replay up to there, or take a copy that is whole",
             Error::NoFile => "name at least one file",
-            Error::NotFirst { .. } => "give the whole row from file 0 on, or the folder",
+            Error::NotFirstFile { .. } => "give the whole row from file 0 on, or the folder",
             Error::Other { .. } => "give both builds the same files",
-            Error::Left { .. } => "keep the file to yourself, and report what it named",
-            Error::Taken { .. } => "give each router a name or a folder of its own",
+            Error::OriginalLeft { .. } => "keep the file to yourself, and report what it named",
+            Error::NameInUse { .. } => "give each router a name or a folder of its own",
             Error::TooManyBlocks => "cut it into parts and merge fewer at once",
             Error::Chart(_) => "report it: nothing but memory is drawn into",
         }
@@ -109,14 +111,14 @@
 impl From<io::Error> for Error {
     /// An [`Error`] that passed through a writer as an I/O error comes out as itself.
     fn from(e: io::Error) -> Self {
-        e.downcast().unwrap_or_else(Error::Disk)
+        e.downcast().unwrap_or_else(Error::Io)
     }
 }
 
 impl From<Error> for io::Error {
     fn from(e: Error) -> Self {
         match e {
-            Error::Disk(e) => e,
+            Error::Io(e) => e,
             e => io::Error::other(e),
         }
     }
--- a/crates/trace/src/event_codec.rs
+++ b/crates/trace/src/event_codec.rs
@@ -1,5 +1,5 @@
-//! Bytes of events and actions. Tags and the order of fields are those of the trace format: a new kind takes a new
-//! tag, and none is ever reused.
+//! Bytes of events. Tags and the order of fields are those of the trace format: a new kind takes a new tag, and none is
+//! ever reused.
 
 use cedarpulley::interface::*;
 
@@ -37,17 +37,6 @@
 const COPY_WANTED: u8 = 9;
 const COPIES_REPORTED: u8 = 10;
 
-const DISPATCH: u8 = 0;
-const CANCEL: u8 = 1;
-const REJECT: u8 = 2;
-const FAIL: u8 = 3;
-const LOAD_ORDER: u8 = 4;
-const UNLOAD: u8 = 5;
-const PROBE: u8 = 6;
-const SET_TIMER: u8 = 7;
-const REQUEST_ENDPOINT_LIST: u8 = 8;
-const RELEASE_FUNCTION: u8 = 9;
-
 /// Writes a value's position in its table: tables only grow at their end.
 pub(crate) fn encode_tag<T: PartialEq>(out: &mut Encoder, table: &[T], value: &T) {
     let position = table.iter().position(|entry| entry == value);
@@ -61,12 +50,18 @@
         .ok_or(DecodeError::UnknownValue)
 }
 
-fn encode_indices<const N: usize>(out: &mut Encoder, indices: [u32; N]) {
+pub(crate) fn encode_indices<const N: usize>(out: &mut Encoder, indices: [u32; N]) {
     indices
         .into_iter()
         .for_each(|index| out.unsigned(index.into()));
 }
 
+/// A tag, then indices.
+pub(crate) fn encode_tagged<const N: usize>(out: &mut Encoder, tag: u8, indices: [u32; N]) {
+    out.byte(tag);
+    encode_indices(out, indices);
+}
+
 /// A byte with a bit for each field that is present, then these fields.
 fn encode_report(out: &mut Encoder, report: &LoadReport) {
     let fields = [
@@ -179,8 +174,11 @@
 }
 
 fn encode_dispatch_ended(out: &mut Encoder, ended: &DispatchEnded) {
-    out.byte(DISPATCH_ENDED);
-    encode_indices(out, [ended.invocation, ended.dispatch, ended.worker]);
+    encode_tagged(
+        out,
+        DISPATCH_ENDED,
+        [ended.invocation, ended.dispatch, ended.worker],
+    );
     encode_tag(out, OUTCOMES, &ended.outcome);
     out.signed(ended.took);
     out.byte(u8::from(ended.answered));
@@ -214,16 +212,14 @@
         }
         Event::Invocation(ref arrival) => encode_arrival(out, arrival),
         Event::ClientLeft { invocation } => {
-            out.byte(CLIENT_LEFT);
-            out.unsigned(invocation.into());
+            encode_tagged(out, CLIENT_LEFT, [invocation]);
         }
         Event::AnswerStarted {
             invocation,
             dispatch,
             worker,
         } => {
-            out.byte(ANSWER_STARTED);
-            encode_indices(out, [invocation, dispatch, worker]);
+            encode_tagged(out, ANSWER_STARTED, [invocation, dispatch, worker]);
         }
         Event::DispatchEnded(ref ended) => encode_dispatch_ended(out, ended),
         Event::Timer { token } => {
@@ -244,8 +240,7 @@
             took,
             copies,
         } => {
-            out.byte(ORDER_ENDED);
-            encode_indices(out, [worker, function]);
+            encode_tagged(out, ORDER_ENDED, [worker, function]);
             encode_tag(out, ORDER_RESULTS, &result);
             out.signed(took);
             out.unsigned(copies.into());
@@ -256,8 +251,7 @@
             took,
             ref report,
         } => {
-            out.byte(PROBE_ENDED);
-            out.unsigned(worker.into());
+            encode_tagged(out, PROBE_ENDED, [worker]);
             encode_tag(out, OUTCOMES, &outcome);
             out.signed(took);
             encode_report(out, report);
@@ -266,9 +260,9 @@
             worker,
             ref function,
         } => {
-            out.byte(COPY_WANTED);
-            encode_indices(
+            encode_tagged(
                 out,
+                COPY_WANTED,
                 [worker, function.function, function.trigger, function.lanes],
             );
         }
@@ -277,8 +271,7 @@
             function,
             copies,
         } => {
-            out.byte(COPIES_REPORTED);
-            encode_indices(out, [worker, function, copies]);
+            encode_tagged(out, COPIES_REPORTED, [worker, function, copies]);
         }
         Event::EndpointList { .. }
         | Event::Invocation(_)
@@ -366,111 +359,3 @@
         _ => return Err(DecodeError::UnknownValue),
     })
 }
-
-/// Writes an action with its tag.
-pub fn encode_action(out: &mut Encoder, action: &Action) {
-    match *action {
-        Action::Dispatch {
-            invocation,
-            worker,
-            timeout,
-        } => {
-            out.byte(DISPATCH);
-            encode_indices(out, [invocation, worker]);
-            out.optional(timeout, Encoder::signed);
-        }
-        Action::Cancel {
-            invocation,
-            dispatch,
-        } => {
-            out.byte(CANCEL);
-            encode_indices(out, [invocation, dispatch]);
-        }
-        Action::Reject {
-            invocation,
-            retry_after,
-        } => {
-            out.byte(REJECT);
-            out.unsigned(invocation.into());
-            out.optional(retry_after, Encoder::signed);
-        }
-        Action::Fail { invocation } => {
-            out.byte(FAIL);
-            out.unsigned(invocation.into());
-        }
-        Action::LoadOrder {
-            worker,
-            function,
-            copies,
-        } => {
-            out.byte(LOAD_ORDER);
-            encode_indices(out, [worker, function, copies]);
-        }
-        Action::Unload { worker, function } => {
-            out.byte(UNLOAD);
-            encode_indices(out, [worker, function]);
-        }
-        Action::Probe { worker } => {
-            out.byte(PROBE);
-            out.unsigned(worker.into());
-        }
-        Action::Timer { token, after } => {
-            out.byte(SET_TIMER);
-            out.unsigned(token);
-            out.signed(after);
-        }
-        Action::RequestEndpointList { watch } => {
-            out.byte(REQUEST_ENDPOINT_LIST);
-            out.byte(u8::from(watch));
-        }
-        Action::ReleaseFunction { function } => {
-            out.byte(RELEASE_FUNCTION);
-            out.unsigned(function.into());
-        }
-    }
-}
-
-/// Reads an action.
-pub fn decode_action(input: &mut Decoder) -> Result<Action, DecodeError> {
-    Ok(match input.byte()? {
-        DISPATCH => Action::Dispatch {
-            invocation: input.u32()?,
-            worker: input.u32()?,
-            timeout: input.optional(Decoder::signed)?,
-        },
-        CANCEL => Action::Cancel {
-            invocation: input.u32()?,
-            dispatch: input.u32()?,
-        },
-        REJECT => Action::Reject {
-            invocation: input.u32()?,
-            retry_after: input.optional(Decoder::signed)?,
-        },
-        FAIL => Action::Fail {
-            invocation: input.u32()?,
-        },
-        LOAD_ORDER => Action::LoadOrder {
-            worker: input.u32()?,
-            function: input.u32()?,
-            copies: input.u32()?,
-        },
-        UNLOAD => Action::Unload {
-            worker: input.u32()?,
-            function: input.u32()?,
-        },
-        PROBE => Action::Probe {
-            worker: input.u32()?,
-        },
-        SET_TIMER => Action::Timer {
-            token: input.unsigned()?,
-            after: input.signed()?,
-        },
-        REQUEST_ENDPOINT_LIST => Action::RequestEndpointList {
-            watch: input.flag()?,
-        },
-        RELEASE_FUNCTION => Action::ReleaseFunction {
-            function: input.u32()?,
-        },
-        _ => return Err(DecodeError::UnknownValue),
-    })
-}
--- a/crates/trace/src/file_series.rs
+++ b/crates/trace/src/file_series.rs
@@ -87,7 +87,7 @@
                 Err(TryLockError::Error(e)) => return Err(e.into()),
             }
         }
-        Err(Error::Taken {
+        Err(Error::NameInUse {
             name: name.to_owned(),
             most: MAX_WRITERS_OF_A_NAME,
         })
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,7 +1,7 @@
 //! Trace files: the events a router received and the decisions it made, recorded off the decision path, and the tools
 //! that read them. Start reading at [`records::Record`]; `docs/design/trace-format.md` describes the bytes.
 //!
-//! * [`codec`], [`event_codec`], [`record_codec`], [`start`], [`blocks`], [`block_index`]: the file format, without I/O.
+//! * [`codec`], [`event_codec`], [`action_codec`], [`record_codec`], [`start`], [`blocks`], [`block_index`]: the file format, without I/O.
 //! * [`retention`]: when a file ends, which old files are deleted, and how long writing pauses after a disk error.
 //! * [`writer`] with [`file_series`] and [`file_writer`], [`reader`]: files. A trace never blocks a router: what cannot be written becomes a gap record.
 //! * [`replay`]: feeds recorded events to this build's decision module and finds the first decision that differs;
@@ -14,6 +14,7 @@
 
 #![warn(missing_docs)]
 
+pub mod action_codec;
 pub mod block_index;
 pub mod blocks;
 pub mod chart;
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -85,13 +85,13 @@
     let mut fixed = [0; 16];
     input.read_exact(&mut fixed).map_err(|_| Error::TooShort)?;
     if fixed[..8] != FILE_MAGIC {
-        return Err(Error::NoTrace);
+        return Err(Error::NotATrace);
     }
     let format = u16::from_le_bytes([fixed[8], fixed[9]]);
     if format == 0 || format > FORMAT {
-        return Err(Error::Later { format });
+        return Err(Error::UnsupportedFormat { format });
     }
-    let damaged = |cause| Error::Head { cause };
+    let damaged = |cause| Error::DamagedStart { cause };
     let size = u32::from_le_bytes([fixed[12], fixed[13], fixed[14], fixed[15]]);
     if size > MAX_START_BYTES {
         return Err(damaged(DecodeError::UnknownValue));
--- a/crates/trace/src/reader/index_cursor.rs
+++ b/crates/trace/src/reader/index_cursor.rs
@@ -101,7 +101,7 @@
         let location = BlockLocation::decode(self.format, &mut entries)
             .ok()
             .filter(|location| (location.source as usize) < sources)
-            .ok_or(Error::Index)?;
+            .ok_or(Error::DamagedIndex)?;
         let size = before - entries.remaining();
         self.returned += size as u64;
         self.window_at += size;
--- a/crates/trace/src/record_codec.rs
+++ b/crates/trace/src/record_codec.rs
@@ -5,9 +5,10 @@
 use cedarpulley_router::entry::Short;
 use cedarpulley_router::{Fate, Reason};
 
+use crate::action_codec::{decode_action, encode_action};
 use crate::codec::{DecodeError, Decoder, Encoder};
 use crate::event_codec::{
-    decode_action, decode_event, decode_tag, encode_action, encode_event, encode_tag, tag_table,
+    decode_event, decode_tag, encode_event, encode_indices, encode_tag, tag_table,
 };
 use crate::records::{Record, Space};
 
@@ -61,9 +62,7 @@
             why,
         } => {
             out.byte(REJECTED);
-            [*front, *trigger, *account]
-                .into_iter()
-                .for_each(|index| out.unsigned(index.into()));
+            encode_indices(out, [*front, *trigger, *account]);
             encode_tag(out, REJECTION_REASONS, why);
         }
         Record::Gap {
@@ -125,12 +124,7 @@
         ACCEPTED => Record::Taken {
             inv: input.u32()?,
             front: input.u32()?,
-            mark: input.optional(|input| {
-                let bytes = input.take(8)?.try_into();
-                Ok(u64::from_le_bytes(
-                    bytes.map_err(|_| DecodeError::Truncated)?,
-                ))
-            })?,
+            mark: input.optional(decode_hash)?,
             redelivered: input.flag()?,
         },
         ANSWERED => Record::Answered {
@@ -156,3 +150,10 @@
         _ => return Err(DecodeError::UnknownValue),
     })
 }
+
+fn decode_hash(input: &mut Decoder) -> Result<u64, DecodeError> {
+    let bytes = input.take(8)?.try_into();
+    bytes
+        .map(u64::from_le_bytes)
+        .map_err(|_| DecodeError::Truncated)
+}
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -1,20 +1,21 @@
 //! Feeds recorded events to this build's decision module: [`replay`] stops at the first decision that differs, [`redo`]
 //! goes through to the end and writes what this build's module decides.
 
-use std::collections::HashMap;
-use std::io::{Read, Seek, Write};
+mod redo;
+
+use std::io::{Read, Seek};
 
 use cedarpulley::Balancer;
 use cedarpulley::interface::{Action, Micros};
 
 use crate::Error;
-use crate::blocks::{Gather, for_each_named_index};
+use crate::action_codec::encode_action;
+use crate::blocks::for_each_named_index;
 use crate::codec::Encoder;
-use crate::event_codec::encode_action;
 use crate::reader::{Found, Reader};
-use crate::records::{Record, RecordedEvent, Space};
-use crate::start::{Extent, Source, module_digest};
-use crate::writer::Sheet;
+use crate::records::{Record, RecordedEvent};
+use crate::start::{Provenance, Source, module_digest};
+pub use redo::redo;
 
 /// Related decisions before the first that differs that are reported with it.
 const REPORTED_BEFORE: usize = 5;
@@ -193,10 +194,10 @@
     let Some(first) = files.first().map(source) else {
         return Err(Error::NoFile);
     };
-    if !matches!(first.extent, Extent::Whole | Extent::Redone) {
+    if !matches!(first.provenance, Provenance::Original | Provenance::Redone) {
         let why = format!(
             "it is {:?}, and only what is whole can be replayed",
-            first.extent
+            first.provenance
         );
         return Ok(ReplayResult {
             stopped: Some(why.to_lowercase()),
@@ -204,7 +205,7 @@
         });
     }
     if first.start.file != 0 {
-        return Err(Error::NotFirst {
+        return Err(Error::NotFirstFile {
             file: first.start.file,
         });
     }
@@ -309,72 +310,6 @@
     })
 }
 
-/// Writes what is replayed into one file.
-struct RedoneFile<W: Write> {
-    file: Sheet<W>,
-    block: Gather,
-    names: HashMap<(Space, u32), String>,
-}
-
-impl<W: Write> RedoneFile<W> {
-    fn end_block(&mut self) -> Result<(), Error> {
-        if !self.block.is_empty() {
-            self.file.block(0, &self.block.close())?;
-        }
-        Ok(())
-    }
-
-    fn beside(&mut self, at: Micros, record: &Record) {
-        if let Record::Name { kind, index, name } = record {
-            self.names.insert((*kind, *index), name.clone());
-        }
-        self.block.record(at, record);
-    }
-
-    /// This build's actions may use other indices than the recorded ones: those are named before.
-    fn decided(&mut self, at: Micros, event: RecordedEvent, actions: Vec<Action>) {
-        for_each_named_index(&event, &actions, |kind, index| {
-            if let Some(name) = self.names.get(&(kind, index)) {
-                self.block.name(at, kind, index, name);
-            }
-        });
-        self.block.record(at, &Record::Decided { event, actions });
-    }
-}
-
-/// The same series in one file, with what this build's module decides in place of what was decided.
-pub fn redo<R: Read + Seek, W: Write>(
-    files: &mut [Reader<R>],
-    out: W,
-) -> Result<ReplayResult, Error> {
-    let Some(first) = files.first() else {
-        return Err(Error::NoFile);
-    };
-    let mut of = source(first).clone();
-    (of.extent, of.start.module) = (Extent::Redone, module_digest());
-    let mut redone = RedoneFile {
-        file: Sheet::begin(out, &[of])?,
-        block: Gather::default(),
-        names: HashMap::new(),
-    };
-    let result = drive(files, |step| {
-        match step {
-            Step::Block => redone.end_block()?,
-            Step::Beside { at, record } => redone.beside(at, &record),
-            Step::Decided {
-                at,
-                happened,
-                replayed,
-                ..
-            } => redone.decided(at, happened, replayed),
-        }
-        Ok(true)
-    })?;
-    redone.end_block()?;
-    redone.file.end()?;
-    Ok(result)
-}
-
 /// Recent decisions about the same workers or functions, as text, oldest first.
 fn related(
     recent: &[Decided],
--- /dev/null
+++ b/crates/trace/src/replay/redo.rs
@@ -0,0 +1,80 @@
+//! Writes a replay's decisions into a file.
+
+use std::collections::HashMap;
+use std::io::{Read, Seek, Write};
+
+use cedarpulley::interface::{Action, Micros};
+
+use super::{ReplayResult, Step, drive, source};
+use crate::Error;
+use crate::blocks::{Gather, for_each_named_index};
+use crate::reader::Reader;
+use crate::records::{Record, RecordedEvent, Space};
+use crate::start::{Provenance, module_digest};
+use crate::writer::Sheet;
+
+/// Writes what is replayed into one file.
+struct RedoneFile<W: Write> {
+    file: Sheet<W>,
+    block: Gather,
+    names: HashMap<(Space, u32), String>,
+}
+
+impl<W: Write> RedoneFile<W> {
+    fn end_block(&mut self) -> Result<(), Error> {
+        if !self.block.is_empty() {
+            self.file.block(0, &self.block.close())?;
+        }
+        Ok(())
+    }
+
+    fn beside(&mut self, at: Micros, record: &Record) {
+        if let Record::Name { kind, index, name } = record {
+            self.names.insert((*kind, *index), name.clone());
+        }
+        self.block.record(at, record);
+    }
+
+    /// This build's actions may use other indices than the recorded ones: those are named before.
+    fn decided(&mut self, at: Micros, event: RecordedEvent, actions: Vec<Action>) {
+        for_each_named_index(&event, &actions, |kind, index| {
+            if let Some(name) = self.names.get(&(kind, index)) {
+                self.block.name(at, kind, index, name);
+            }
+        });
+        self.block.record(at, &Record::Decided { event, actions });
+    }
+}
+
+/// The same series in one file, with what this build's module decides in place of what was decided.
+pub fn redo<R: Read + Seek, W: Write>(
+    files: &mut [Reader<R>],
+    out: W,
+) -> Result<ReplayResult, Error> {
+    let Some(first) = files.first() else {
+        return Err(Error::NoFile);
+    };
+    let mut of = source(first).clone();
+    (of.provenance, of.start.module) = (Provenance::Redone, module_digest());
+    let mut redone = RedoneFile {
+        file: Sheet::begin(out, &[of])?,
+        block: Gather::default(),
+        names: HashMap::new(),
+    };
+    let result = drive(files, |step| {
+        match step {
+            Step::Block => redone.end_block()?,
+            Step::Beside { at, record } => redone.beside(at, &record),
+            Step::Decided {
+                at,
+                happened,
+                replayed,
+                ..
+            } => redone.decided(at, happened, replayed),
+        }
+        Ok(true)
+    })?;
+    redone.end_block()?;
+    redone.file.end()?;
+    Ok(result)
+}
--- a/crates/trace/src/retention.rs
+++ b/crates/trace/src/retention.rs
@@ -38,11 +38,11 @@
 
 /// What follows on a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum AfterWrite {
     /// Go on with this file.
-    GoOn,
+    KeepFile,
     /// End this file and begin the next.
-    Next,
+    EndFile,
 }
 
 impl Retention {
@@ -63,12 +63,16 @@
     }
 
     /// So many bytes were written to the present file.
-    pub fn wrote(&mut self, now: Micros, bytes: u64) -> Step {
+    pub fn wrote(&mut self, now: Micros, bytes: u64) -> AfterWrite {
         self.written += bytes;
         self.backoff = FIRST_BACKOFF;
         let full =
             self.written >= self.bounds.file_bytes || now - self.began_at >= self.bounds.file_age;
-        if full { Step::Next } else { Step::GoOn }
+        if full {
+            AfterWrite::EndFile
+        } else {
+            AfterWrite::KeepFile
+        }
     }
 
     /// The disk failed; nothing is written until the backoff has passed.
--- a/crates/trace/src/rewrite.rs
+++ b/crates/trace/src/rewrite.rs
@@ -9,7 +9,7 @@
 use crate::reader::{Found, Reader};
 use crate::records::Record;
 use crate::selection::{RecordSelector, Wanted};
-use crate::start::{Extent, Source};
+use crate::start::{Provenance, Source};
 use crate::strip::Strip;
 use crate::writer::Sheet;
 
@@ -75,7 +75,7 @@
     out: W,
 ) -> Result<Rewritten, Error> {
     let cut = |source: &Source| Source {
-        extent: Extent::Cut,
+        provenance: Provenance::Cut,
         ..source.clone()
     };
     let sources: Vec<Source> = reader.sources.iter().map(cut).collect();
@@ -149,7 +149,7 @@
     }
     let block = block.close();
     match strip.left_in(&block.bytes) {
-        Some(original) => Err(Error::Left {
+        Some(original) => Err(Error::OriginalLeft {
             original: original.to_owned(),
         }),
         None => Ok(block),
--- a/crates/trace/src/rule_check.rs
+++ b/crates/trace/src/rule_check.rs
@@ -33,8 +33,10 @@
     /// Invocations that reached the decision module.
     pub invocations: u64,
     /// Violations by number of the rule; rules without any are absent.
+    #[serde(rename = "rules")]
     pub rules: BTreeMap<u8, u64>,
     /// The first violations in words.
+    #[serde(rename = "breaks")]
     pub breaks: Vec<String>,
     /// Invocations that were open where their trace ends, or were lost in a gap.
     pub unseen: u64,
--- a/crates/trace/src/start.rs
+++ b/crates/trace/src/start.rs
@@ -38,12 +38,12 @@
     }
 }
 
-/// How much of the router's own records a file has. The numbers are stored.
+/// What was done to the records since the router wrote them. The numbers are stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Extent {
+pub enum Provenance {
     /// One file of its series, as it was written.
     #[default]
-    Whole = 0,
+    Original = 0,
     /// A part that was cut out.
     Cut = 1,
     /// Names and seed were replaced by pseudonyms.
@@ -59,8 +59,8 @@
     pub start: Start,
     /// By how many microseconds its wall clock is ahead of the first source's, as estimated on merging.
     pub clock_ahead: Micros,
-    /// What was done to the records since.
-    pub extent: Extent,
+    /// What was done to its records since.
+    pub provenance: Provenance,
 }
 
 impl From<Start> for Source {
@@ -68,7 +68,7 @@
         Source {
             start,
             clock_ahead: 0,
-            extent: Extent::Whole,
+            provenance: Provenance::Original,
         }
     }
 }
--- a/crates/trace/src/start_codec.rs
+++ b/crates/trace/src/start_codec.rs
@@ -4,7 +4,7 @@
 use cedarpulley_startup::StartupSettings;
 
 use crate::codec::{DecodeError, Decoder, Encoder};
-use crate::start::{Extent, Source, Start};
+use crate::start::{Provenance, Source, Start};
 
 type Decoded<T> = Result<T, DecodeError>;
 
@@ -14,7 +14,7 @@
     out.unsigned(sources.len() as u64);
     for source in sources {
         out.signed(source.clock_ahead);
-        out.byte(source.extent as u8);
+        out.byte(source.provenance as u8);
         let start = source.start.encode();
         out.unsigned(start.len() as u64);
         out.bytes.extend(start);
@@ -37,18 +37,18 @@
 
 fn decode_source(input: &mut Decoder) -> Decoded<Source> {
     let clock_ahead = input.signed()?;
-    let extent = match input.byte()? {
-        0 => Extent::Whole,
-        1 => Extent::Cut,
-        2 => Extent::Stripped,
-        3 => Extent::Redone,
+    let provenance = match input.byte()? {
+        0 => Provenance::Original,
+        1 => Provenance::Cut,
+        2 => Provenance::Stripped,
+        3 => Provenance::Redone,
         _ => return Err(DecodeError::UnknownValue),
     };
     let size = usize::try_from(input.unsigned()?).map_err(|_| DecodeError::Truncated)?;
     Ok(Source {
         start: Start::get(input.take(size)?)?,
         clock_ahead,
-        extent,
+        provenance,
     })
 }
 
--- a/crates/trace/src/strip.rs
+++ b/crates/trace/src/strip.rs
@@ -7,7 +7,7 @@
 use cedarpulley::interface::Event;
 
 use crate::records::{Record, RecordedEvent, Space};
-use crate::start::{Extent, Source, Start};
+use crate::start::{Provenance, Source, Start};
 
 /// Pseudonyms have so many hexadecimal digits: even among a million names two alike are not to be expected.
 const DIGITS: usize = 16;
@@ -73,7 +73,7 @@
                 ..start.clone()
             },
             clock_ahead: source.clock_ahead,
-            extent: Extent::Stripped,
+            provenance: Provenance::Stripped,
         }
     }
 
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -11,7 +11,7 @@
 pub use crate::file_series::{Own, Row, traces};
 pub use crate::file_writer::Sheet;
 use crate::records::Record;
-use crate::retention::{Bounds, Retention, Step};
+use crate::retention::{AfterWrite, Bounds, Retention};
 use crate::start::Start;
 
 /// A message to the writer.
@@ -76,8 +76,8 @@
             return;
         }
         match self.write(now, block) {
-            Ok(Step::GoOn) => {}
-            Ok(Step::Next) => self.end_file(complain),
+            Ok(AfterWrite::KeepFile) => {}
+            Ok(AfterWrite::EndFile) => self.end_file(complain),
             Err(e) => {
                 complain(&format!("the trace stops for a while: {e}"));
                 // What was written stays; a new file begins when the disk takes it.
@@ -88,7 +88,7 @@
         }
     }
 
-    fn write(&mut self, now: Micros, block: &Raw) -> io::Result<Step> {
+    fn write(&mut self, now: Micros, block: &Raw) -> io::Result<AfterWrite> {
         let mut file = match self.file.take() {
             Some(file) => file,
             None => self.begin_file(now)?,
--- a/crates/trace/tests/compared.rs
+++ b/crates/trace/tests/compared.rs
@@ -8,7 +8,7 @@
 use cedarpulley_trace::compare::{Compare, Compared, Decision, DifferenceCount, Kind, kinds};
 use cedarpulley_trace::reader::Reader;
 use cedarpulley_trace::replay::{Decisions, Step, drive, redo, replay};
-use cedarpulley_trace::start::Extent;
+use cedarpulley_trace::start::Provenance;
 use small::written;
 
 fn open(bytes: Vec<u8>) -> Reader<Cursor<Vec<u8>>> {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn each_kind_is_told() {
+fn each_kind_of_difference_is_reported() {
     let send = |worker| Action::Dispatch {
         invocation: 1,
         worker,
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn the_first_difference_of_a_life_is_counted_apart() {
+fn the_first_difference_of_an_incarnation_is_counted_apart() {
     let same = with_this_build(written(5, |_, _| {}));
     assert_eq!((same.rows_differing, same.differing), (0, 0));
     assert_eq!(same.decisions, same.decisions_exact);
@@ -124,11 +124,11 @@
 }
 
 #[test]
-fn a_row_decided_anew_is_this_builds_own() {
+fn a_redone_file_replays_without_difference_on_this_build() {
     let changed = written(5, |n, actions| elsewhere(n, actions));
     let mut anew = Vec::new();
     redo(&mut [open(changed.clone())], &mut anew).expect("redone");
-    assert_eq!(open(anew.clone()).sources[0].extent, Extent::Redone);
+    assert_eq!(open(anew.clone()).sources[0].provenance, Provenance::Redone);
     assert!(
         replay(&mut [open(anew.clone())])
             .expect("replayed")
--- a/crates/trace/tests/coursed.rs
+++ b/crates/trace/tests/coursed.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_long_span_has_coarser_bins_and_all_its_records() {
+fn a_long_span_has_wider_bins_and_counts_every_record() {
     let (of, mut course): (Source, _) = (small::start().into(), Course::default());
     let seconds = 100_000;
     for s in 0..seconds {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_chart_shows_what_was_there() {
+fn a_chart_has_title_panels_and_the_marked_worst_span() {
     let (of, mut course): (Source, _) = (small::start().into(), Course::default());
     assert!(
         svg(&course, "nothing", None)
--- a/crates/trace/tests/every_record/mod.rs
+++ b/crates/trace/tests/every_record/mod.rs
@@ -10,14 +10,19 @@
 use cedarpulley_trace::codec::Encoder;
 use cedarpulley_trace::record_codec;
 use cedarpulley_trace::records::{Record, RecordedEvent, Space};
-use cedarpulley_trace::start::{Extent, Source, Start};
+use cedarpulley_trace::start::{Provenance, Source, Start};
 use cedarpulley_trace::writer::Sheet;
 
 const FUNCTION: &str = "quote:7";
 /// Between two records of a block.
 const STEP: Micros = 5;
 
-pub const EXTENTS: [Extent; 4] = [Extent::Whole, Extent::Cut, Extent::Stripped, Extent::Redone];
+pub const EXTENTS: [Provenance; 4] = [
+    Provenance::Original,
+    Provenance::Cut,
+    Provenance::Stripped,
+    Provenance::Redone,
+];
 const REPORTS: [ReportSource; 3] = [
     ReportSource::Answers,
     ReportSource::Probes,
@@ -459,12 +464,12 @@
     }
 }
 
-/// A source of each extent.
+/// A source of each provenance.
 pub fn sources() -> Vec<Source> {
-    let source = |(n, extent): (usize, &Extent)| Source {
+    let source = |(n, provenance): (usize, &Provenance)| Source {
         start: start(n),
         clock_ahead: 1_500 * n as Micros,
-        extent: *extent,
+        provenance: *provenance,
     };
     EXTENTS.iter().enumerate().map(source).collect()
 }
--- a/crates/trace/tests/explained.rs
+++ b/crates/trace/tests/explained.rs
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn where_all_is_well_there_is_no_cause() {
+fn invocations_in_time_have_no_cause() {
     let mut t = Told::new();
     (0..50).for_each(|n| {
         t.runs(
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_silent_worker_comes_first_and_a_slow_one_is_told_from_it() {
+fn an_unresponsive_worker_ranks_first_and_a_slow_one_is_distinguished() {
     let mut t = Told::new();
     (0..40).for_each(|n| {
         t.runs(
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn limits_lanes_and_places_are_told_apart() {
+fn shares_queueing_and_load_capacity_are_distinct_causes() {
     let mut t = Told::new();
     (0..4).for_each(|_| {
         t.record(Record::TurnedAway {
@@ -274,7 +274,7 @@
 
 /// A question for how many copies stand at another worker ends like an order; the load is still out.
 #[test]
-fn the_end_of_a_question_ends_no_load() {
+fn the_end_of_a_copy_count_query_ends_no_load() {
     let mut t = Told::new();
     let inv = t.comes(0, |_| {
         vec![Action::LoadOrder {
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -11,7 +11,7 @@
 use cedarpulley_trace::record_codec;
 use cedarpulley_trace::records::{Record, RecordedEvent, Space};
 use cedarpulley_trace::replay::replay;
-use cedarpulley_trace::retention::{Bounds, Retention, Step};
+use cedarpulley_trace::retention::{AfterWrite, Bounds, Retention};
 use cedarpulley_trace::start::Start;
 use cedarpulley_trace::writer::{Note, Own, Row, run};
 use proptest::prelude::*;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn cut_at_every_byte_it_is_read_to_its_last_whole_block() {
+fn a_file_truncated_at_any_byte_is_read_up_to_its_last_whole_block() {
     let bytes = written(4, |_, _| {});
     assert_eq!(read(&bytes), Some((4, 0, Some(Ended::Well))));
     let index = places(&bytes);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn what_is_unknown_is_refused_in_one_line() {
+fn unknown_formats_and_other_files_are_rejected_in_one_line() {
     let mut bytes = written(1, |_, _| {});
     let why = |bytes: &[u8]| {
         Reader::open(Cursor::new(bytes))
@@ -88,7 +88,7 @@
 /// Symptom: the index of a gone worker goes to another within a block, and what the new one did bears the old
 /// one's name.
 #[test]
-fn an_index_that_goes_to_another_is_named_anew() {
+fn a_reassigned_index_is_named_again_within_its_block() {
     let mut g = Gather::default();
     ["a", "a", "b", "b", "a"]
         .iter()
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_replay_finds_nothing_where_nothing_was_changed_and_the_first_change_else() {
+fn a_replay_reports_no_difference_or_the_first_changed_decision() {
     let rerun = |bytes: &[u8]| {
         replay(&mut [Reader::open(Cursor::new(bytes)).expect("a trace")]).expect("a row")
     };
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn files_end_by_size_and_age_and_old_ones_make_room() {
+fn files_end_by_size_and_age_and_old_files_are_deleted() {
     let bounds = Bounds {
         file_bytes: 100,
         file_age: 1000,
@@ -159,11 +159,14 @@
     };
     let mut k = Retention::new(bounds);
     k.began(0);
-    assert_eq!((k.wrote(1, 60), k.wrote(2, 60)), (Step::GoOn, Step::Next));
+    assert_eq!(
+        (k.wrote(1, 60), k.wrote(2, 60)),
+        (AfterWrite::KeepFile, AfterWrite::EndFile)
+    );
     k.began(2);
     assert_eq!(
         (k.wrote(3, 10), k.wrote(1002, 10)),
-        (Step::GoOn, Step::Next)
+        (AfterWrite::KeepFile, AfterWrite::EndFile)
     );
     assert_eq!(
         (
@@ -182,7 +185,7 @@
 
 /// Symptom: a disk takes a name and no bytes. The name is spent; the row goes on under the next, and its loss is told.
 #[test]
-fn a_row_goes_on_after_a_file_that_could_not_be_begun() {
+fn writing_goes_on_after_a_file_that_could_not_be_begun() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("spent");
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -247,7 +250,7 @@
 }
 
 #[test]
-fn two_of_one_name_keep_apart() {
+fn two_writers_of_one_name_use_separate_files() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("one-name");
     std::fs::create_dir_all(&folder).expect("a folder");
     let one = Own::take(&folder, "r").expect("the name");
@@ -401,7 +404,7 @@
     }
 
     #[test]
-    fn any_bytes_are_borne(bytes in prop::collection::vec(any::<u8>(), 0..200), at in any::<prop::sample::Index>()) {
+    fn arbitrary_bytes_never_panic_the_reader(bytes in prop::collection::vec(any::<u8>(), 0..200), at in any::<prop::sample::Index>()) {
         let _ = Start::get(&bytes);
         let _ = cedarpulley_trace::blocks::unpack(&bytes, 0, 3);
         let mut whole = written(2, |_, _| {});
--- a/crates/trace/tests/huge.rs
+++ b/crates/trace/tests/huge.rs
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_minute_is_cut_out_of_ten_gigabytes_in_little_memory() {
+fn a_minute_is_cut_out_of_ten_gigabytes_in_bounded_memory() {
     let _alone = ONE_AT_A_TIME.lock();
     // Small blocks: more than a million of them, so that the index weighs.
     let sparse = Sparse::new(600, TEN_GB);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn ten_gigabytes_are_merged_in_little_memory() {
+fn ten_gigabytes_are_merged_in_bounded_memory() {
     let _alone = ONE_AT_A_TIME.lock();
     let (one, other) = (Sparse::new(600, TEN_GB / 2), Sparse::new(600, TEN_GB / 2));
     let blocks = one.blocks + other.blocks;
--- a/crates/trace/tests/killed.rs
+++ b/crates/trace/tests/killed.rs
@@ -21,7 +21,7 @@
 
 /// Only with its folder set, as the process to be killed; it ends by itself, should nobody kill it.
 #[test]
-fn writes_until_it_is_killed() {
+fn child_process_writes_until_killed() {
     let Some(folder) = std::env::var_os(FOLDER) else {
         return;
     };
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn killed_at_any_moment_it_leaves_whole_blocks() {
+fn a_writer_killed_at_any_moment_leaves_only_whole_blocks() {
     let me = std::env::current_exe().expect("a path");
     let (mut some, mut files) = (0, 0);
     for n in 0..100_u64 {
@@ -107,7 +107,7 @@
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
         let mut child = Command::new(&me)
-            .args(["--exact", "writes_until_it_is_killed"])
+            .args(["--exact", "child_process_writes_until_killed"])
             .env(FOLDER, &folder)
             .stdout(Stdio::null())
             .spawn()
--- a/crates/trace/tests/rewriting.rs
+++ b/crates/trace/tests/rewriting.rs
@@ -12,7 +12,7 @@
 use cedarpulley_trace::replay::replay;
 use cedarpulley_trace::rewrite::{cut, strip};
 use cedarpulley_trace::selection::Wanted;
-use cedarpulley_trace::start::{Extent, Source, Start};
+use cedarpulley_trace::start::{Provenance, Source, Start};
 use cedarpulley_trace::strip::Strip;
 use cedarpulley_trace::summary::{Counter, Summary};
 use cedarpulley_trace::writer::Sheet;
@@ -94,7 +94,7 @@
 
 /// A dozen routers' files of one span, merged, a part cut out of it, stripped: the same counts as before stripping.
 #[test]
-fn merged_cut_and_stripped_it_counts_the_same() {
+fn merging_cutting_and_stripping_keep_the_counts() {
     let files: Vec<Vec<u8>> = (0..12).map(|n| other(n, n as Micros * MS)).collect();
     let whole = merged(&files, &[]);
     let one = summary(KEPT);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_merged_file_is_replayed_source_by_source_and_parts_are_not() {
+fn a_merged_file_replays_by_source_and_a_cut_one_does_not() {
     let files: Vec<Vec<u8>> = (0..3).map(|n| other(n, 0)).collect();
     let whole = merged(&files, &[]);
     for source in 0..3 {
@@ -160,13 +160,13 @@
             ..Wanted::default()
         },
     );
-    assert_eq!(open(&part).sources[1].extent, Extent::Cut);
+    assert_eq!(open(&part).sources[1].provenance, Provenance::Cut);
     let done = replay(&mut [open(&part)]).expect("told");
     assert!(done.stopped.is_some_and(|why| why.contains("whole")));
 }
 
 #[test]
-fn a_cut_by_what_follows_its_invocations() {
+fn a_cut_by_criterion_follows_whole_invocations() {
     let whole = summary(KEPT);
     let (name, at) = whole
         .by_worker
@@ -199,7 +199,7 @@
 
 /// The wall's clocks differ by minutes; what the list told both routers shows by how much.
 #[test]
-fn clocks_that_differ_are_told_by_the_list() {
+fn clock_offsets_are_estimated_from_endpoint_list_changes() {
     use cedarpulley::interface::{Endpoint, EndpointListKind, EndpointState};
     use cedarpulley_trace::blocks::Gather;
     let listed = |ahead: Micros, late: &[Micros]| {
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn two_at_the_same_place_are_told() {
+fn two_routers_with_one_fleet_position_are_reported() {
     let start = |router: &str, position: u32| {
         let mut start = open(KEPT).sources[0].start.clone();
         (
--- a/crates/trace/tests/ruled.rs
+++ b/crates/trace/tests/ruled.rs
@@ -167,7 +167,7 @@
 };
 
 #[test]
-fn an_answer_is_one_and_in_time() {
+fn rule_1_one_answer_before_the_client_timeout() {
     let good = (900, Answers(1, Fate::Succeeded));
     assert_eq!(broken(ANY, &[(0, Comes(1)), good, (9_000, Orders)]), NONE);
     assert_eq!(
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn no_effect_twice() {
+fn rule_2_non_idempotent_work_is_not_repeated() {
     let again = |first: DispatchOutcome, effect| {
         let told = [
             (0, Comes(1)),
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_tokened_repeat_keeps_to_its_group_and_window() {
+fn rule_2_retries_by_key_stay_within_scope_and_window() {
     let repeat = |worker: u32, at: Micros| {
         let told = [
             (0, Drains(0)),
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn drains_and_rations() {
+fn rules_3_and_5_drain_grace_and_load_order_quota() {
     let sent = |at: Micros| {
         let ends = [
             (at, Sends(1, 0)),
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn the_kept_file_breaks_none() {
+fn the_format_1_fixture_violates_no_rule() {
     let (mut r, mut rules) = (
         Reader::open(Cursor::new(KEPT)).expect("a trace"),
         Rules::default(),
