--- a/crates/trace/tests/compared.rs
+++ b/crates/trace/tests/compared.rs
@@ -5,10 +5,10 @@
 use std::io::Cursor;
 
 use cedarpulley::interface::*;
-use cedarpulley_trace::compare::{Compare, Compared, Count, Did, Kind, kinds};
+use cedarpulley_trace::compare::{Compare, Compared, Decision, DifferenceCount, Kind, kinds};
 use cedarpulley_trace::reader::Reader;
 use cedarpulley_trace::replay::{Decisions, Step, drive, redo, replay};
-use cedarpulley_trace::start::Extent;
+use cedarpulley_trace::start::Provenance;
 use small::written;
 
 fn open(bytes: Vec<u8>) -> Reader<Cursor<Vec<u8>>> {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn each_kind_is_told() {
+fn each_kind_of_difference_is_reported() {
     let send = |worker| Action::Dispatch {
         invocation: 1,
         worker,
@@ -58,12 +58,16 @@
     let timer = |token| Action::Timer { token, after: 9 };
     let cases: [(&[Action], &[Action], &[Kind]); 11] = [
         (&[send(1)], &[send(1)], &[]),
-        (&[send(1)], &[send(2)], &[Kind::SentElsewhere]),
-        (&[send(1)], &[], &[Kind::Instead(Did::Sent, Did::Held)]),
+        (&[send(1)], &[send(2)], &[Kind::OtherWorker]),
+        (
+            &[send(1)],
+            &[],
+            &[Kind::Instead(Decision::Dispatched, Decision::Queued)],
+        ),
         (
             &[],
             &[throttle],
-            &[Kind::Instead(Did::Held, Did::Throttled)],
+            &[Kind::Instead(Decision::Queued, Decision::Throttled)],
         ),
         (
             &[throttle],
@@ -71,17 +75,17 @@
                 invocation: 1,
                 retry_after: None,
             }],
-            &[Kind::OtherFigures],
+            &[Kind::OtherParameters],
         ),
-        (&[order(1, 0)], &[order(2, 0)], &[Kind::OrderedElsewhere]),
+        (&[order(1, 0)], &[order(2, 0)], &[Kind::OtherLoadWorkers]),
         (
             &[order(1, 0)],
             &[order(1, 0), order(2, 0)],
-            &[Kind::OrderedMore],
+            &[Kind::MoreLoadOrders],
         ),
-        (&[order(1, 0)], &[], &[Kind::OrderedFewer]),
+        (&[order(1, 0)], &[], &[Kind::FewerLoadOrders]),
         (&[timer(1)], &[timer(2)], &[Kind::Timers]),
-        (&[Action::Probe { worker: 1 }], &[], &[Kind::Upkeep]),
+        (&[Action::Probe { worker: 1 }], &[], &[Kind::Maintenance]),
         // Called back and sent again is a sending.
         (
             &[
@@ -95,7 +99,7 @@
                 invocation: 1,
                 dispatch: 0,
             }],
-            &[Kind::Instead(Did::Sent, Did::CalledBack)],
+            &[Kind::Instead(Decision::Dispatched, Decision::Cancelled)],
         ),
     ];
     for (one, other, wanted) in cases {
@@ -104,14 +108,14 @@
 }
 
 #[test]
-fn the_first_difference_of_a_life_is_counted_apart() {
+fn the_first_difference_of_an_incarnation_is_counted_apart() {
     let same = with_this_build(written(5, |_, _| {}));
     assert_eq!((same.rows_differing, same.differing), (0, 0));
     assert_eq!(same.decisions, same.decisions_exact);
     let other = with_this_build(written(5, |n, actions| elsewhere(n, actions)));
     assert_eq!(
         other.by_kind,
-        [(Kind::SentElsewhere, Count { first: 1, later: 1 })]
+        [(Kind::OtherWorker, DifferenceCount { first: 1, later: 1 })]
     );
     assert_eq!(
         (other.rows_differing, other.differing, other.decisions_exact),
@@ -120,11 +124,11 @@
 }
 
 #[test]
-fn a_row_decided_anew_is_this_builds_own() {
+fn a_redone_file_replays_without_difference_on_this_build() {
     let changed = written(5, |n, actions| elsewhere(n, actions));
     let mut anew = Vec::new();
     redo(&mut [open(changed.clone())], &mut anew).expect("redone");
-    assert_eq!(open(anew.clone()).sources[0].extent, Extent::Redone);
+    assert_eq!(open(anew.clone()).sources[0].provenance, Provenance::Redone);
     assert!(
         replay(&mut [open(anew.clone())])
             .expect("replayed")
--- a/crates/trace/tests/coursed.rs
+++ b/crates/trace/tests/coursed.rs
@@ -5,9 +5,9 @@
 use cedarpulley::interface::Micros;
 use cedarpulley_router::{Fate, Reason};
 use cedarpulley_trace::chart::svg;
-use cedarpulley_trace::course::Course;
 use cedarpulley_trace::records::Record;
 use cedarpulley_trace::start::Source;
+use cedarpulley_trace::timeline::Course;
 
 const SECOND: Micros = 1_000_000;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_long_span_has_coarser_bins_and_all_its_records() {
+fn a_long_span_has_wider_bins_and_counts_every_record() {
     let (of, mut course): (Source, _) = (small::start().into(), Course::default());
     let seconds = 100_000;
     for s in 0..seconds {
@@ -41,14 +41,14 @@
     let bins = course.bins();
     assert!(bins.len() <= 600 && bins.len() > 300, "{}", bins.len());
     assert!(bins.windows(2).all(|w| w[1].0 - w[0].0 == course.width()));
-    let sum = |figure: &dyn Fn(&cedarpulley_trace::course::Bin) -> u64| {
+    let sum = |figure: &dyn Fn(&cedarpulley_trace::timeline::TimelineBin) -> u64| {
         bins.iter().map(|b| figure(&b.1)).sum::<u64>()
     };
     assert_eq!(
         sum(&|b| b.succeeded) + sum(&|b| b.throttled),
         seconds as u64
     );
-    assert_eq!(sum(&|b| b.times.len()), sum(&|b| b.succeeded));
+    assert_eq!(sum(&|b| b.latencies.len()), sum(&|b| b.succeeded));
     // Clocks that are out of all reason are borne, too.
     course.record(&of, Micros::MAX, &answered(Fate::Errored, 1));
     course.record(&of, Micros::MIN, &answered(Fate::Errored, 1));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_chart_shows_what_was_there() {
+fn a_chart_has_title_panels_and_the_marked_worst_span() {
     let (of, mut course): (Source, _) = (small::start().into(), Course::default());
     assert!(
         svg(&course, "nothing", None)
--- a/crates/trace/tests/explained.rs
+++ b/crates/trace/tests/explained.rs
@@ -5,9 +5,9 @@
 use cedarpulley::interface::*;
 use cedarpulley_router::entry::Short;
 use cedarpulley_router::{Fate, Reason};
-use cedarpulley_trace::explain::{Cause, Explain, Ranked};
+use cedarpulley_trace::explain::{Cause, Explain, RankedCause};
 use cedarpulley_trace::reader::Reader;
-use cedarpulley_trace::records::{Happened, Record, Space};
+use cedarpulley_trace::records::{Record, RecordedEvent, Space};
 use cedarpulley_trace::start::Source;
 
 const MS: Micros = 1_000;
@@ -31,16 +31,16 @@
         };
         (0..4).for_each(|w| {
             t.record(Record::Name {
-                space: Space::Worker,
-                ix: w,
-                text: format!("w{w}"),
+                kind: Space::Worker,
+                index: w,
+                name: format!("w{w}"),
             })
         });
         (0..4).for_each(|f| {
             t.record(Record::Name {
-                space: Space::Function,
-                ix: f,
-                text: format!("f{f}"),
+                kind: Space::Function,
+                index: f,
+                name: format!("f{f}"),
             })
         });
         t
@@ -58,7 +58,7 @@
 
     fn decided(&mut self, event: Event<'static>, actions: Vec<Action>) {
         self.record(Record::Decided {
-            happened: Happened::Other(event),
+            event: RecordedEvent::Other(event),
             actions,
         });
     }
@@ -135,13 +135,13 @@
         });
     }
 
-    fn ranked(self) -> Vec<Ranked> {
+    fn ranked(self) -> Vec<RankedCause> {
         self.explain.ranked()
     }
 }
 
 #[test]
-fn where_all_is_well_there_is_no_cause() {
+fn invocations_in_time_have_no_cause() {
     let mut t = Told::new();
     (0..50).for_each(|n| {
         t.runs(
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_silent_worker_comes_first_and_a_slow_one_is_told_from_it() {
+fn an_unresponsive_worker_ranks_first_and_a_slow_one_is_distinguished() {
     let mut t = Told::new();
     (0..40).for_each(|n| {
         t.runs(
@@ -180,7 +180,7 @@
     let ranked = t.ranked();
     assert_eq!(
         (&ranked[0].cause, ranked[0].lost),
-        (&Cause::WorkerSilent("w2".into()), 5)
+        (&Cause::WorkerUnresponsive("w2".into()), 5)
     );
     assert_eq!(
         (&ranked[1].cause, ranked[1].late),
@@ -217,12 +217,15 @@
         t.answered(inv, Fate::Throttled, Reason::GivenUp, 900 * MS);
     }
     let ranked = t.ranked();
-    assert_eq!(ranked[0].cause, Cause::Loads("3 functions".into()));
+    assert_eq!(
+        ranked[0].cause,
+        Cause::ManyFunctionLoads("3 functions".into())
+    );
     assert_eq!((ranked[0].lost, ranked[0].late), (3, 3));
 }
 
 #[test]
-fn limits_lanes_and_places_are_told_apart() {
+fn shares_queueing_and_load_capacity_are_distinct_causes() {
     let mut t = Told::new();
     (0..4).for_each(|_| {
         t.record(Record::TurnedAway {
@@ -257,21 +260,21 @@
     let inv = t.comes(1, |_| vec![]);
     t.answered(inv, Fate::Throttled, Reason::GivenUp, 0);
     let causes: Vec<(Cause, u64)> = t.ranked().into_iter().map(|r| (r.cause, r.lost)).collect();
-    assert_eq!(causes[0], (Cause::BeyondShare("amber".into()), 4));
-    assert_eq!(causes[1], (Cause::Held("quote".into()), 3));
+    assert_eq!(causes[0], (Cause::ShareExceeded("amber".into()), 4));
+    assert_eq!(causes[1], (Cause::Queued("quote".into()), 3));
     assert!(
-        causes.contains(&(Cause::NoPlace("f1".into()), 1)),
+        causes.contains(&(Cause::NoLoadCapacity("f1".into()), 1)),
         "{causes:?}"
     );
     assert!(
-        causes.contains(&(Cause::Door("worth".into()), 1)),
+        causes.contains(&(Cause::AdmissionLimit("worth".into()), 1)),
         "{causes:?}"
     );
 }
 
 /// A question for how many copies stand at another worker ends like an order; the load is still out.
 #[test]
-fn the_end_of_a_question_ends_no_load() {
+fn the_end_of_a_copy_count_query_ends_no_load() {
     let mut t = Told::new();
     let inv = t.comes(0, |_| {
         vec![Action::LoadOrder {
@@ -299,6 +302,6 @@
     let ranked = t.ranked();
     assert_eq!(
         (&ranked[0].cause, ranked[0].lost),
-        (&Cause::Load("f0".into()), 2)
+        (&Cause::FunctionLoad("f0".into()), 2)
     );
 }
--- a/crates/trace/tests/rewriting.rs
+++ b/crates/trace/tests/rewriting.rs
@@ -8,11 +8,11 @@
 use cedarpulley_trace::blocks::Gather;
 use cedarpulley_trace::merge::{Offsets, merge};
 use cedarpulley_trace::reader::{Found, Reader};
-use cedarpulley_trace::records::{Happened, Record};
+use cedarpulley_trace::records::{Record, RecordedEvent};
 use cedarpulley_trace::replay::replay;
 use cedarpulley_trace::rewrite::{cut, strip};
-use cedarpulley_trace::select::Wanted;
-use cedarpulley_trace::start::{Extent, Source, Start};
+use cedarpulley_trace::selection::Wanted;
+use cedarpulley_trace::start::{Provenance, Source, Start};
 use cedarpulley_trace::strip::Strip;
 use cedarpulley_trace::summary::{Counter, Summary};
 use cedarpulley_trace::writer::Sheet;
@@ -37,8 +37,11 @@
     let mut sheet = Sheet::begin(Vec::new(), &[start.into()]).expect("written");
     for place in small::places(KEPT) {
         let (head, packed) = r.packed(&place).expect("read").expect("whole");
-        let sum = head.sum_over(2, &packed);
-        let head = cedarpulley_trace::blocks::Head { sum, ..head };
+        let sum = head.checksum_over(2, &packed);
+        let head = cedarpulley_trace::blocks::BlockHeader {
+            checksum: sum,
+            ..head
+        };
         sheet.packed(&head, &packed).expect("written");
     }
     sheet.end().expect("written")
@@ -91,13 +94,13 @@
 
 /// A dozen routers' files of one span, merged, a part cut out of it, stripped: the same counts as before stripping.
 #[test]
-fn merged_cut_and_stripped_it_counts_the_same() {
+fn merging_cutting_and_stripping_keep_the_counts() {
     let files: Vec<Vec<u8>> = (0..12).map(|n| other(n, n as Micros * MS)).collect();
     let whole = merged(&files, &[]);
     let one = summary(KEPT);
     let all = summary(&whole);
     assert_eq!((all.routers, all.invocations), (12, 12 * one.invocations));
-    assert_eq!(all.fates.succeeded, 12 * one.fates.succeeded);
+    assert_eq!(all.outcomes.succeeded, 12 * one.outcomes.succeeded);
     let wall = open(KEPT).sources[0].start.wall_at_zero;
     let span = Wanted {
         from: Some(wall + 20 * MS),
@@ -140,7 +143,7 @@
 }
 
 #[test]
-fn a_merged_file_is_replayed_source_by_source_and_parts_are_not() {
+fn a_merged_file_replays_by_source_and_a_cut_one_does_not() {
     let files: Vec<Vec<u8>> = (0..3).map(|n| other(n, 0)).collect();
     let whole = merged(&files, &[]);
     for source in 0..3 {
@@ -157,13 +160,13 @@
             ..Wanted::default()
         },
     );
-    assert_eq!(open(&part).sources[1].extent, Extent::Cut);
+    assert_eq!(open(&part).sources[1].provenance, Provenance::Cut);
     let done = replay(&mut [open(&part)]).expect("told");
     assert!(done.stopped.is_some_and(|why| why.contains("whole")));
 }
 
 #[test]
-fn a_cut_by_what_follows_its_invocations() {
+fn a_cut_by_criterion_follows_whole_invocations() {
     let whole = summary(KEPT);
     let (name, at) = whole
         .by_worker
@@ -177,7 +180,7 @@
     let (part, _) = cut_of(KEPT, &worker);
     let counted = summary(&part);
     assert_eq!(&counted.by_worker[name], at);
-    assert_eq!(counted.fates.succeeded, at.succeeded);
+    assert_eq!(counted.outcomes.succeeded, at.succeeded);
     let nobody = Wanted {
         account: Some("nobody".into()),
         ..Wanted::default()
@@ -196,7 +199,7 @@
 
 /// The wall's clocks differ by minutes; what the list told both routers shows by how much.
 #[test]
-fn clocks_that_differ_are_told_by_the_list() {
+fn clock_offsets_are_estimated_from_endpoint_list_changes() {
     use cedarpulley::interface::{Endpoint, EndpointListKind, EndpointState};
     use cedarpulley_trace::blocks::Gather;
     let listed = |ahead: Micros, late: &[Micros]| {
@@ -227,14 +230,14 @@
                     started_at: None,
                 };
                 let at = (n * 3 + change) as Micros * 1000 * MS + late.get(n).copied().unwrap_or(0);
-                let happened = Happened::List {
-                    mode: EndpointListKind::Changes,
-                    entries: vec![entry],
+                let happened = RecordedEvent::List {
+                    kind: EndpointListKind::Changes,
+                    endpoints: vec![entry],
                 };
                 g.record(
                     at,
                     &Record::Decided {
-                        happened,
+                        event: happened,
                         actions: Vec::new(),
                     },
                 );
@@ -270,7 +273,7 @@
 }
 
 #[test]
-fn two_at_the_same_place_are_told() {
+fn two_routers_with_one_fleet_position_are_reported() {
     let start = |router: &str, position: u32| {
         let mut start = open(KEPT).sources[0].start.clone();
         (
@@ -298,7 +301,7 @@
         sheet.end().expect("written")
     };
     let (minute, told) = (60_000 * MS, |files: &[Vec<u8>]| {
-        summary(&merged(files, &[])).same_place
+        summary(&merged(files, &[])).same_position
     });
     let (one, other) = (
         file("r-0", 0, 0, minute),
--- a/crates/trace/tests/ruled.rs
+++ b/crates/trace/tests/ruled.rs
@@ -6,8 +6,8 @@
 use cedarpulley::interface::*;
 use cedarpulley_router::{Fate, Reason};
 use cedarpulley_trace::reader::{Found, Reader};
-use cedarpulley_trace::records::{Happened, Record};
-use cedarpulley_trace::rules::{Judged, Rules};
+use cedarpulley_trace::records::{Record, RecordedEvent};
+use cedarpulley_trace::rule_check::{RuleCheck, Rules};
 use cedarpulley_trace::start::Source;
 
 /// No rule broken.
@@ -44,7 +44,7 @@
 fn record(told: &Told) -> Vec<Record> {
     let decided = |event, actions| {
         vec![Record::Decided {
-            happened: Happened::Other(event),
+            event: RecordedEvent::Other(event),
             actions,
         }]
     };
@@ -121,12 +121,12 @@
                 weight: 1.0,
                 started_at: None,
             };
-            let happened = Happened::List {
-                mode: EndpointListKind::Changes,
-                entries: vec![entry],
+            let happened = RecordedEvent::List {
+                kind: EndpointListKind::Changes,
+                endpoints: vec![entry],
             };
             vec![Record::Decided {
-                happened,
+                event: happened,
                 actions: vec![],
             }]
         }
@@ -142,7 +142,7 @@
 }
 
 /// Of one router, or of two that saw it one after the other.
-fn judged(effect: Effect, sides: &[&[(Micros, Told)]]) -> Judged {
+fn judged(effect: Effect, sides: &[&[(Micros, Told)]]) -> RuleCheck {
     let (of, mut rules, mut sources) = (source(effect), Rules::default(), HashMap::new());
     for (n, told) in sides.iter().enumerate() {
         sources.insert(n as u32, of.clone());
@@ -167,7 +167,7 @@
 };
 
 #[test]
-fn an_answer_is_one_and_in_time() {
+fn rule_1_one_answer_before_the_client_timeout() {
     let good = (900, Answers(1, Fate::Succeeded));
     assert_eq!(broken(ANY, &[(0, Comes(1)), good, (9_000, Orders)]), NONE);
     assert_eq!(
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn no_effect_twice() {
+fn rule_2_non_idempotent_work_is_not_repeated() {
     let again = |first: DispatchOutcome, effect| {
         let told = [
             (0, Comes(1)),
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_tokened_repeat_keeps_to_its_group_and_window() {
+fn rule_2_retries_by_key_stay_within_scope_and_window() {
     let repeat = |worker: u32, at: Micros| {
         let told = [
             (0, Drains(0)),
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn drains_and_rations() {
+fn rules_3_and_5_drain_grace_and_load_order_quota() {
     let sent = |at: Micros| {
         let ends = [
             (at, Sends(1, 0)),
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn the_kept_file_breaks_none() {
+fn the_format_1_fixture_violates_no_rule() {
     let (mut r, mut rules) = (
         Reader::open(Cursor::new(KEPT)).expect("a trace"),
         Rules::default(),
