--- a/crates/amqp/src/connection.rs
+++ b/crates/amqp/src/connection.rs
@@ -20,8 +20,8 @@
 use amq_protocol::protocol::connection::{self, AMQPMethod as ConnectionMethod};
 use amq_protocol::protocol::{AMQPClass, channel, tx};
 
-use crate::error::{Fault, reply_code};
-use crate::frames::{MIN_FRAME_MAX, Reader, write, write_message, write_method};
+use crate::error::{ConnectionError, reply_code};
+use crate::frames::{FrameReader, MIN_FRAME_MAX, write, write_message, write_method};
 use crate::protocol_error::ProtocolError;
 use delivery::DeliveryAssembler;
 use handshake::Limits;
@@ -44,7 +44,7 @@
     role: Role,
     login: Login,
     stage: Stage,
-    reader: Reader,
+    reader: FrameReader,
     /// Bytes to send.
     output: Vec<u8>,
     /// Negotiated size of a whole frame in bytes.
@@ -63,7 +63,7 @@
 impl Connection {
     /// A connection whose socket was connected just now. The protocol header is the first output.
     pub fn new(now: Micros, role: Role, login: Login) -> Self {
-        let prefetch = if let Role::Answers { prefetch, .. } = &role {
+        let prefetch = if let Role::Responder { prefetch, .. } = &role {
             (*prefetch).max(1)
         } else {
             0
@@ -74,7 +74,7 @@
         Connection {
             role,
             stage: Stage::AwaitStart,
-            reader: Reader::new(MIN_FRAME_MAX),
+            reader: FrameReader::new(MIN_FRAME_MAX),
             output,
             frame_max: MIN_FRAME_MAX,
             blocked: false,
@@ -82,7 +82,7 @@
             consuming: false,
             cancel_pending: false,
             liveness: Liveness::new(now),
-            deliveries: DeliveryAssembler::new(login.most_body),
+            deliveries: DeliveryAssembler::new(login.max_body),
             transactions: Transactions::default(),
             login,
         }
@@ -94,12 +94,12 @@
     }
 
     /// No delivery can arrive any more: the consumer is cancelled, and the broker has confirmed it.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_stopped_consuming(&self) -> bool {
         !self.consuming && !self.cancel_pending
     }
 
     /// Number of deliveries whose answers are not committed: gathered or in flight.
-    pub fn unsafe_answers(&self) -> usize {
+    pub fn uncommitted_answers(&self) -> usize {
         self.transactions.uncommitted()
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Number of bytes that wait to be sent.
-    pub fn waiting(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.output.len() + self.transactions.gathered_bytes()
     }
 
@@ -123,7 +123,7 @@
         now: Micros,
         bytes: &[u8],
         events: &mut Vec<Event>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ConnectionError> {
         self.liveness.on_received(now);
         self.reader.feed(bytes);
         while let Some(frame) = self.reader.next_frame()? {
@@ -133,7 +133,7 @@
     }
 
     /// Sends heartbeats, and fails if the broker is silent or makes no progress. To be called at [`Self::next_due`].
-    pub fn tick(&mut self, now: Micros) -> Result<(), Fault> {
+    pub fn tick(&mut self, now: Micros) -> Result<(), ConnectionError> {
         self.liveness.check(now, self.awaited())?;
         if self.liveness.is_heartbeat_due(now) {
             write(&mut self.output, &AMQPFrame::Heartbeat);
@@ -156,7 +156,7 @@
 
     /// Sets how many deliveries may be unacknowledged at a time; 0 cancels the consumer.
     pub fn set_prefetch(&mut self, prefetch: u16) {
-        let Role::Answers { queue, .. } = &self.role else {
+        let Role::Responder { queue, .. } = &self.role else {
             return;
         };
         let consume = methods::consume(queue, false);
@@ -244,7 +244,7 @@
     }
 
     /// Ends the connection because of an error, which the broker is told.
-    pub fn fail(&mut self, now: Micros, fault: &Fault) {
+    pub fn close_with_error(&mut self, now: Micros, fault: &ConnectionError) {
         self.send_close(now, fault.code, &fault.text);
     }
 
--- a/crates/amqp/src/connection/delivery.rs
+++ b/crates/amqp/src/connection/delivery.rs
@@ -101,7 +101,7 @@
         let complete = self.partial.take_if(|partial| partial.is_complete())?;
         let (size, properties) = complete.header?;
         Some(Message {
-            tag: complete.tag,
+            delivery_tag: complete.tag,
             redelivered: complete.redelivered,
             routing_key: complete.routing_key,
             properties,
--- a/crates/amqp/src/connection/setup.rs
+++ b/crates/amqp/src/connection/setup.rs
@@ -36,23 +36,23 @@
         (
             Stage::AwaitChannel,
             AMQPClass::Channel(channel::AMQPMethod::OpenOk(_)),
-            Role::Answers { .. },
+            Role::Responder { .. },
         ) => (methods::select(), Stage::AwaitSelect),
         (
             Stage::AwaitChannel,
             AMQPClass::Channel(channel::AMQPMethod::OpenOk(_)),
-            Role::Calls { reply_queue },
+            Role::Requester { reply_queue },
         ) => (methods::declare(reply_queue), Stage::AwaitDeclare),
         (Stage::AwaitSelect, AMQPClass::Tx(tx::AMQPMethod::SelectOk(_)), _) => {
             (methods::qos(prefetch), Stage::AwaitQos)
         }
-        (Stage::AwaitQos, AMQPClass::Basic(Basic::QosOk(_)), Role::Answers { queue, .. }) => {
+        (Stage::AwaitQos, AMQPClass::Basic(Basic::QosOk(_)), Role::Responder { queue, .. }) => {
             (methods::consume(queue, false), Stage::AwaitConsume)
         }
         (
             Stage::AwaitDeclare,
             AMQPClass::Queue(queue::AMQPMethod::DeclareOk(_)),
-            Role::Calls { reply_queue },
+            Role::Requester { reply_queue },
         ) => (methods::consume(reply_queue, true), Stage::AwaitConsume),
         (stage, method, _) => {
             let (class, id) = (method.get_amqp_class_id(), method.get_amqp_method_id());
--- a/crates/amqp/src/connection/types.rs
+++ b/crates/amqp/src/connection/types.rs
@@ -6,14 +6,14 @@
 #[derive(Clone, Debug)]
 pub enum Role {
     /// Consumes a queue, acknowledges, and answers in transactions.
-    Answers {
+    Responder {
         /// The queue to consume.
         queue: String,
         /// How many deliveries may be unacknowledged at a time.
         prefetch: u16,
     },
     /// Publishes, and consumes the answers without acknowledging.
-    Calls {
+    Requester {
         /// The queue of the answers; it is declared when the channel opens.
         reply_queue: String,
     },
@@ -33,14 +33,14 @@
     /// The connection's name, for the broker's administrators.
     pub name: String,
     /// Bodies of more bytes are discarded; see [`Message::oversized`].
-    pub most_body: u64,
+    pub max_body: u64,
 }
 
 /// A delivery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     /// The delivery tag: identifies the delivery on its channel.
-    pub tag: u64,
+    pub delivery_tag: u64,
     /// The broker may have delivered the message before.
     pub redelivered: bool,
     /// The routing key it was published with.
--- a/crates/amqp/src/error.rs
+++ b/crates/amqp/src/error.rs
@@ -32,24 +32,24 @@
 /// The connection cannot go on, as one of both sides has stated.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{text} ({code})")]
-pub struct Fault {
+pub struct ConnectionError {
     /// A reply code of the specification.
     pub code: u16,
     /// The cause, for people.
     pub text: String,
 }
 
-impl Fault {
+impl ConnectionError {
     /// An error with this reply code and cause.
     pub fn new(code: u16, text: impl Into<String>) -> Self {
-        Fault {
+        ConnectionError {
             code,
             text: text.into(),
         }
     }
 }
 
-impl Remedy for Fault {
+impl Remedy for ConnectionError {
     fn remedy(&self) -> &'static str {
         match self.code {
             reply_code::SUCCESS => "nothing: it ended in good order",
--- a/crates/amqp/src/frames.rs
+++ b/crates/amqp/src/frames.rs
@@ -25,7 +25,7 @@
 
 /// Splits a stream of bytes into frames.
 #[derive(Debug)]
-pub struct Reader {
+pub struct FrameReader {
     buffer: Vec<u8>,
     /// Bytes of the buffer that have been read.
     position: usize,
@@ -33,10 +33,10 @@
     frame_max: usize,
 }
 
-impl Reader {
+impl FrameReader {
     /// A reader that accepts whole frames of up to `frame_max` bytes.
     pub fn new(frame_max: u32) -> Self {
-        Reader {
+        FrameReader {
             buffer: Vec::new(),
             position: 0,
             frame_max: frame_max.max(MIN_FRAME_MAX) as usize,
--- a/crates/amqp/src/lib.rs
+++ b/crates/amqp/src/lib.rs
@@ -20,7 +20,5 @@
 pub use amq_protocol::protocol;
 pub use amq_protocol::types;
 pub use connection::{Connection, Event, Message, Role};
-pub use error::Fault;
+pub use error::ConnectionError;
 pub use protocol_error::ProtocolError;
-#[doc(hidden)]
-pub use trigger as meaning;
--- a/crates/amqp/src/protocol_error.rs
+++ b/crates/amqp/src/protocol_error.rs
@@ -3,7 +3,7 @@
 use cedarpulley_errors::Remedy;
 use thiserror::Error;
 
-use crate::Fault;
+use crate::ConnectionError;
 use crate::error::reply_code;
 
 /// A violation of the protocol by the broker.
@@ -98,8 +98,8 @@
     }
 }
 
-impl From<ProtocolError> for Fault {
+impl From<ProtocolError> for ConnectionError {
     fn from(error: ProtocolError) -> Self {
-        Fault::new(error.code(), error.to_string())
+        ConnectionError::new(error.code(), error.to_string())
     }
 }
--- a/crates/amqp/src/trigger.rs
+++ b/crates/amqp/src/trigger.rs
@@ -30,7 +30,7 @@
 /// Header of a trigger message: it is the last of its session.
 pub const SEQUENCE_END: &str = "sequence_end";
 /// Header of an answer: the final outcome.
-pub const FATE: &str = "fate";
+pub const OUTCOME: &str = "fate";
 /// Header of an answer: the reason for the outcome.
 pub const REASON: &str = "reason";
 /// Header of an answer: the field of the trigger message that is invalid.
@@ -46,15 +46,15 @@
 
 /// What a trigger message asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trigger {
+pub struct TriggerMessage {
     /// Name of the trigger type.
-    pub kind: String,
+    pub trigger_type: String,
     /// Name of the function to run.
     pub function: String,
     /// Name of the account.
     pub account: Option<String>,
     /// The idempotency key.
-    pub token: Option<String>,
+    pub idempotency_key: Option<String>,
     /// The same for each delivery of this message and for no other, if the message has an id to tell it by.
     pub identity: Option<String>,
     /// Time since the client sent the message; 0 if it does not say when, at most a day.
@@ -80,21 +80,21 @@
 /// A property or header that cannot be used; shown to the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {cause}")]
-pub struct Misunderstood {
+pub struct InvalidField {
     /// Name of the property or header.
     pub field: &'static str,
     /// What is wrong with its value.
     pub cause: String,
 }
 
-impl Remedy for Misunderstood {
+impl Remedy for InvalidField {
     fn remedy(&self) -> &'static str {
         "have its client send that field as docs/operate/amqp-messages.md says"
     }
 }
 
-fn invalid(field: &'static str, cause: impl Into<String>) -> Misunderstood {
-    Misunderstood {
+fn invalid(field: &'static str, cause: impl Into<String>) -> InvalidField {
+    InvalidField {
         field,
         cause: cause.into(),
     }
@@ -139,7 +139,7 @@
         matches!(self.get(name), Some(AMQPValue::Boolean(true)))
     }
 
-    fn function(&self) -> Result<String, Misunderstood> {
+    fn function(&self) -> Result<String, InvalidField> {
         match self.get(FUNCTION).map(text) {
             Some(Some(name)) if !name.is_empty() && name.len() <= MAX_NAME_BYTES => {
                 Ok(name.to_owned())
@@ -150,7 +150,7 @@
     }
 
     /// An empty id, or 0, means no session.
-    fn session(&self) -> Result<Option<(String, bool, bool)>, Misunderstood> {
+    fn session(&self) -> Result<Option<(String, bool, bool)>, InvalidField> {
         let Some(value) = self.get(SEQUENCE_ID) else {
             return Ok(None);
         };
@@ -167,7 +167,7 @@
     }
 
     /// A whole number from 0 to `max`.
-    fn number(&self, name: &'static str, max: i64) -> Result<Option<i64>, Misunderstood> {
+    fn number(&self, name: &'static str, max: i64) -> Result<Option<i64>, InvalidField> {
         let Some(value) = self.get(name) else {
             return Ok(None);
         };
@@ -180,7 +180,7 @@
 }
 
 /// Reads a trigger message. `wall_us`: microseconds since 1970 by this router's clock.
-pub fn read(message: &Message, wall_us: i64) -> Result<Trigger, Misunderstood> {
+pub fn parse(message: &Message, wall_us: i64) -> Result<TriggerMessage, InvalidField> {
     let properties = &message.properties;
     let headers = Headers(properties.headers().as_ref());
     let kind =
@@ -191,12 +191,12 @@
         wall_us.saturating_sub(sent_at).clamp(0, MAX_DURATION_US)
     });
     let copy_mb = headers.number(COPY_MB, MAX_COPY_MB)?.unwrap_or(0) as f64;
-    Ok(Trigger {
+    Ok(TriggerMessage {
         identity: identity(properties, &kind, &function),
-        kind,
+        trigger_type: kind,
         function,
         account: non_empty(properties.app_id()),
-        token: non_empty(properties.message_id()),
+        idempotency_key: non_empty(properties.message_id()),
         waited_us,
         client_timeout_us,
         cost_hint_us: headers.number(COST_HINT_US, MAX_DURATION_US)?,
@@ -219,7 +219,7 @@
         .filter(|text| !text.is_empty())
 }
 
-fn client_timeout(properties: &AMQPProperties) -> Result<Option<i64>, Misunderstood> {
+fn client_timeout(properties: &AMQPProperties) -> Result<Option<i64>, InvalidField> {
     let Some(ms) = non_empty(properties.expiration()) else {
         return Ok(None);
     };
@@ -233,7 +233,7 @@
 }
 
 /// When the client sent the message, in microseconds since 1970.
-fn sent_at(properties: &AMQPProperties, headers: &Headers) -> Result<Option<i64>, Misunderstood> {
+fn sent_at(properties: &AMQPProperties, headers: &Headers) -> Result<Option<i64>, InvalidField> {
     if let Some(us) = headers.number(SENT_AT_US, i64::MAX)? {
         return Ok(Some(us));
     }
@@ -262,7 +262,7 @@
 }
 
 /// The properties of an answer to a message.
-pub fn answer(
+pub fn answer_properties(
     to: &AMQPProperties,
     fate: &str,
     reason: &str,
@@ -277,7 +277,7 @@
             AMQPValue::LongString(LongString::from(value)),
         );
     };
-    put(FATE, fate);
+    put(OUTCOME, fate);
     put(REASON, reason);
     if let Some(field) = field {
         put(FIELD, field);
--- a/crates/amqp/tests/hostile.rs
+++ b/crates/amqp/tests/hostile.rs
@@ -1,7 +1,7 @@
 //! A connection with brokers that violate the protocol, and invalid trigger messages.
 
 use cedarpulley_amqp::connection::Login;
-use cedarpulley_amqp::frames::{self, AMQPFrame, Reader, write, write_message, write_method};
+use cedarpulley_amqp::frames::{self, AMQPFrame, FrameReader, write, write_message, write_method};
 use cedarpulley_amqp::protocol::basic::{self, AMQPProperties};
 use cedarpulley_amqp::protocol::{AMQPClass, channel, connection, tx};
 use cedarpulley_amqp::types::{AMQPValue, FieldTable, LongString, ShortString};
@@ -17,11 +17,11 @@
         password: "p".into(),
         heartbeat_s: 4,
         name: "test".into(),
-        most_body: 1_000,
+        max_body: 1_000,
     };
     Connection::new(
         0,
-        Role::Answers {
+        Role::Responder {
             queue: "q".into(),
             prefetch: 5,
         },
@@ -107,7 +107,7 @@
 
 /// The methods in some bytes, as class and method.
 fn methods(bytes: &[u8]) -> Vec<(u16, u16)> {
-    let mut reader = Reader::new(1 << 20);
+    let mut reader = FrameReader::new(1 << 20);
     reader.feed(bytes);
     let mut all = Vec::new();
     while let Ok(Some(frame)) = reader.next_frame() {
@@ -165,7 +165,7 @@
     // Whoever hears of it only now may still answer what came before.
     c.answer(1, Some(("r", AMQPProperties::default(), b"x")));
     c.reject(2);
-    assert_eq!(c.unsafe_answers(), 0);
+    assert_eq!(c.uncommitted_answers(), 0);
     c.output(0);
     c.commit(0);
     assert!(c.output(0).is_empty());
@@ -284,7 +284,7 @@
 fn message(properties: AMQPProperties) -> Message {
     let routing_key = "q".to_owned();
     Message {
-        tag: 1,
+        delivery_tag: 1,
         redelivered: false,
         routing_key,
         properties,
@@ -306,7 +306,7 @@
     let text = |s: &str| AMQPValue::LongString(LongString::from(s));
     let typed = || AMQPProperties::default().with_type(ShortString::from("t"));
     let field = |p: AMQPProperties| {
-        trigger::read(&message(p), 0)
+        trigger::parse(&message(p), 0)
             .expect_err("not understood")
             .field
     };
@@ -338,7 +338,7 @@
         .with_headers(headers(&all))
         .with_expiration(ShortString::from("1500"))
         .with_timestamp(9);
-    let t = trigger::read(&message(p), 5_000_000).expect("understood");
+    let t = trigger::parse(&message(p), 5_000_000).expect("understood");
     assert_eq!(
         (t.waited_us, t.client_timeout_us, t.identity),
         (2_000_000, Some(1_500_000), None)
@@ -377,7 +377,7 @@
             routing_key: ShortString::from("q"), mandatory: false, immediate: false });
         let body: Vec<u8> = (0..size).map(|n| n as u8).collect();
         write_message(&mut bytes, 1, publish, AMQPProperties::default(), &body, 4096);
-        let mut reader = Reader::new(4096);
+        let mut reader = FrameReader::new(4096);
         reader.feed(&bytes);
         let mut got = Vec::new();
         while let Some(frame) = reader.next_frame().expect("whole frames") {
--- a/crates/benchlink/src/codec.rs
+++ b/crates/benchlink/src/codec.rs
@@ -4,7 +4,7 @@
 use std::str::{FromStr, Split};
 
 use cedarpulley::interface::*;
-use cedarpulley_startup::{ReportField, micros};
+use cedarpulley_startup::{ReportField, micros_from_nanos};
 
 use crate::refused::{Refused, Result};
 
@@ -56,7 +56,7 @@
     }
 
     pub fn time(&mut self, name: &'static str) -> Result<Micros> {
-        self.value(name).map(micros)
+        self.value(name).map(micros_from_nanos)
     }
 
     pub fn flag(&mut self, name: &'static str) -> Result<bool> {
@@ -165,7 +165,7 @@
             .split_once(':')
             .ok_or_else(|| misread("report", pair))?;
         let value: f64 = value.parse().map_err(|_| misread("report", pair))?;
-        ReportField::tell(&mut report, fields, name, value);
+        ReportField::set_in_report(&mut report, fields, name, value);
     }
     Ok(report)
 }
--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -5,7 +5,7 @@
 use cedarpulley::Balancer;
 use cedarpulley::ids::{Interner, fingerprint};
 use cedarpulley::interface::*;
-use cedarpulley_startup::{RawSettings, ReportField, StartupSettings, micros};
+use cedarpulley_startup::{RawSettings, ReportField, StartupSettings, micros_from_nanos};
 
 use crate::codec::{self, Names, Values, unknown};
 use crate::refused::{Refused, Result};
@@ -202,13 +202,13 @@
         if word == "born" {
             let seed = v.value("seed")?;
             let text = v.rest();
-            let raw = RawSettings::pairs(&text)?;
+            let raw = RawSettings::from_pairs(&text)?;
             let settings = StartupSettings::read(&raw)?;
             let instance = Instance {
                 control: settings.balancer(seed),
                 triggers: settings.triggers.len() as u32,
                 crowds: settings.loads.reports_function_load,
-                fields: ReportField::named(&raw),
+                fields: ReportField::from_settings(&raw),
                 invs: Interner::default(),
                 open: Vec::new(),
                 funcs: Interner::default(),
@@ -284,7 +284,7 @@
                     account,
                     function: func,
                     fingerprint: fingerprint(name),
-                    cost_hint: cost_hint.filter(|_| bits & 1 != 0).map(micros),
+                    cost_hint: cost_hint.filter(|_| bits & 1 != 0).map(micros_from_nanos),
                     load_hint: load_ms.map(|ms| (ms * 1e3) as Micros),
                     copy_mb,
                     lanes: lanes.unwrap_or(1.0).max(1.0) as u32,
@@ -421,7 +421,10 @@
             cell: v.maybe("group")?.unwrap_or(0),
             state: codec::standing(v.text("readiness")?)?,
             weight: v.maybe("powerHint")?.unwrap_or(1.0),
-            started_at: v.maybe::<i64>("startTime")?.filter(|t| *t != 0).map(micros),
+            started_at: v
+                .maybe::<i64>("startTime")?
+                .filter(|t| *t != 0)
+                .map(micros_from_nanos),
         };
         v.end()?;
         list.entries.push(entry);
--- a/crates/certificates/src/client_accounts.rs
+++ b/crates/certificates/src/client_accounts.rs
@@ -6,13 +6,13 @@
 
 /// Accounts by the common name of a client certificate's subject.
 #[derive(Clone, Debug, Default)]
-pub struct Speakers {
+pub struct ClientAccounts {
     accounts: HashMap<String, u32>,
 }
 
-impl Speakers {
+impl ClientAccounts {
     /// Binds a name to an account's index. False if the name is bound to another account already.
-    pub fn give(&mut self, name: String, account: u32) -> bool {
+    pub fn bind(&mut self, name: String, account: u32) -> bool {
         *self.accounts.entry(name).or_insert(account) == account
     }
 
--- a/crates/certificates/src/error.rs
+++ b/crates/certificates/src/error.rs
@@ -3,7 +3,7 @@
 use cedarpulley_errors::Remedy;
 use thiserror::Error;
 
-use crate::Which;
+use crate::FileRole;
 
 /// Why files may not be served. A `number` is a certificate's position in its file, from 1.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -13,10 +13,10 @@
     Unreadable,
     /// The file is not PEM.
     #[error("is not PEM")]
-    NotPem(Which),
+    NotPem(FileRole),
     /// The file has no certificate.
     #[error("holds no certificate")]
-    Empty(Which),
+    Empty(FileRole),
     /// A certificate cannot be parsed.
     #[error("number {number} cannot be read")]
     Malformed {
@@ -54,17 +54,17 @@
 
 impl CertificateError {
     /// The file that is at fault.
-    pub fn which(&self) -> Which {
+    pub fn role(&self) -> FileRole {
         match self {
             CertificateError::NotPem(which) | CertificateError::Empty(which) => *which,
             CertificateError::Unreadable
             | CertificateError::Malformed { .. }
             | CertificateError::Expired { .. }
-            | CertificateError::NotYetValid { .. } => Which::Certificate,
+            | CertificateError::NotYetValid { .. } => FileRole::Certificate,
             CertificateError::KeyExposed { .. }
             | CertificateError::NoKey
             | CertificateError::UnsupportedKey
-            | CertificateError::KeyMismatch => Which::Key,
+            | CertificateError::KeyMismatch => FileRole::Key,
         }
     }
 }
@@ -97,17 +97,17 @@
 
 /// A file that may not be served.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct RejectedFile {
     /// The file.
-    pub which: Which,
+    pub role: FileRole,
     /// What is wrong with it, and what to do.
     pub cause: String,
 }
 
-impl From<CertificateError> for Refused {
+impl From<CertificateError> for RejectedFile {
     fn from(error: CertificateError) -> Self {
-        Refused {
-            which: error.which(),
+        RejectedFile {
+            role: error.role(),
             cause: error.line(),
         }
     }
--- a/crates/certificates/src/lib.rs
+++ b/crates/certificates/src/lib.rs
@@ -16,17 +16,17 @@
 pub mod reload;
 pub mod validation;
 
-pub use client_accounts::Speakers;
-pub use error::{CertificateError, Refused};
-pub use reload::{Keeper, Step};
-pub use validation::{Served, chain, judge};
+pub use client_accounts::ClientAccounts;
+pub use error::{CertificateError, RejectedFile};
+pub use reload::{CertificateReloader, ReloadStep};
+pub use validation::{ServedCertificate, parse_chain, validate};
 
 /// Larger files are no certificates.
-pub const MOST_FILE: u64 = 1 << 20;
+pub const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// A file that was read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Read {
+pub struct CertificateFile {
     /// Its contents.
     pub bytes: Vec<u8>,
     /// Its mode, as of `stat`.
@@ -35,7 +35,7 @@
 
 /// What a file is for. The names appear in log messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Which {
+pub enum FileRole {
     /// The server's certificate chain, its own certificate first.
     Certificate,
     /// The private key of the server's certificate.
--- a/crates/certificates/src/reload.rs
+++ b/crates/certificates/src/reload.rs
@@ -2,7 +2,7 @@
 
 use cedarpulley::interface::Micros;
 
-use crate::{CertificateError, Read, Refused, Served, judge};
+use crate::{CertificateError, CertificateFile, RejectedFile, ServedCertificate, validate};
 
 /// A certificate that expires within this time is reported, repeatedly: time enough to get another.
 const EXPIRY_WARNING: Micros = 7 * 86_400_000_000;
@@ -11,21 +11,21 @@
 
 /// What to do about files that were read.
 #[derive(Debug)]
-pub enum Step {
+pub enum ReloadStep {
     /// Nothing: there is no change, or it has been reported already.
     Keep,
     /// Read again soon: the files may be half written.
-    LookAgain,
+    ReadAgain,
     /// Serve this.
-    Replace(Served),
+    Replace(ServedCertificate),
     /// Report this; what is served goes on being served.
-    Refuse(Refused),
+    Reject(RejectedFile),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct FilePair {
-    certificate: Read,
-    key: Read,
+    certificate: CertificateFile,
+    key: CertificateFile,
 }
 
 impl FilePair {
@@ -36,7 +36,7 @@
 
 /// What is served, and how often the same invalid files have been read.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct CertificateReloader {
     served: FilePair,
     expires_at: Micros,
     /// The files that were read last, if they were invalid.
@@ -44,10 +44,10 @@
     failed_reads: u32,
 }
 
-impl Keeper {
+impl CertificateReloader {
     /// Begins with a pair that is served, and the time at which it expires, in microseconds since 1970.
-    pub fn new(certificate: Read, key: Read, ends: Micros) -> Self {
-        Keeper {
+    pub fn new(certificate: CertificateFile, key: CertificateFile, ends: Micros) -> Self {
+        CertificateReloader {
             served: FilePair { certificate, key },
             expires_at: ends,
             invalid: None,
@@ -57,42 +57,46 @@
 
     /// Takes the certificate's and the key's file as they are now; absent if one could not be read, as while it is
     /// being replaced. `wall`: microseconds since 1970.
-    pub fn offered(&mut self, wall: Micros, files: Option<(Read, Read)>) -> Step {
+    pub fn on_files_read(
+        &mut self,
+        wall: Micros,
+        files: Option<(CertificateFile, CertificateFile)>,
+    ) -> ReloadStep {
         let Some((certificate, key)) = files else {
             return self.on_failed_read(CertificateError::Unreadable);
         };
         let files = FilePair { certificate, key };
         if files.has_contents_of(&self.served) {
             (self.invalid, self.failed_reads) = (None, 0);
-            return Step::Keep;
+            return ReloadStep::Keep;
         }
         // Symptom: the certificate has been written, its key not yet.
         if self.invalid.as_ref() != Some(&files) {
             (self.invalid, self.failed_reads) = (Some(files.clone()), 0);
         }
-        match judge(&files.certificate, &files.key, wall) {
+        match validate(&files.certificate, &files.key, wall) {
             Ok(served) => {
                 self.served = files;
-                self.expires_at = served.ends;
+                self.expires_at = served.expires_at;
                 (self.invalid, self.failed_reads) = (None, 0);
-                Step::Replace(served)
+                ReloadStep::Replace(served)
             }
             Err(error) => self.on_failed_read(error),
         }
     }
 
     /// Reports an error once, not at every read.
-    fn on_failed_read(&mut self, error: CertificateError) -> Step {
+    fn on_failed_read(&mut self, error: CertificateError) -> ReloadStep {
         self.failed_reads += 1;
         match self.failed_reads {
-            1..READS_BEFORE_REJECTION => Step::LookAgain,
-            READS_BEFORE_REJECTION => Step::Refuse(error.into()),
-            _ => Step::Keep,
+            1..READS_BEFORE_REJECTION => ReloadStep::ReadAgain,
+            READS_BEFORE_REJECTION => ReloadStep::Reject(error.into()),
+            _ => ReloadStep::Keep,
         }
     }
 
     /// The time until what is served expires, if it expires soon.
-    pub fn ends_soon(&self, wall: Micros) -> Option<Micros> {
+    pub fn time_left_if_expiring(&self, wall: Micros) -> Option<Micros> {
         let remaining = self.expires_at - wall;
         (remaining < EXPIRY_WARNING).then_some(remaining)
     }
--- a/crates/certificates/src/validation.rs
+++ b/crates/certificates/src/validation.rs
@@ -5,7 +5,7 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use x509_parser::prelude::{FromDer, X509Certificate};
 
-use crate::{CertificateError, Read, Which};
+use crate::{CertificateError, CertificateFile, FileRole};
 
 /// Bits of a file's mode by which others than its owner may access it.
 const ACCESS_BY_OTHERS: u32 = 0o077;
@@ -13,17 +13,20 @@
 
 /// A chain and its key that may be served.
 #[derive(Debug)]
-pub struct Served {
+pub struct ServedCertificate {
     /// The chain, its own certificate first.
     pub chain: Vec<CertificateDer<'static>>,
     /// The private key.
     pub key: PrivateKeyDer<'static>,
     /// When the first of the certificates expires, in microseconds since 1970.
-    pub ends: Micros,
+    pub expires_at: Micros,
 }
 
 /// Reads the certificates of a file, of which there has to be at least one.
-pub fn chain(which: Which, bytes: &[u8]) -> Result<Vec<CertificateDer<'static>>, CertificateError> {
+pub fn parse_chain(
+    which: FileRole,
+    bytes: &[u8],
+) -> Result<Vec<CertificateDer<'static>>, CertificateError> {
     let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(bytes).collect();
     match chain {
         Ok(chain) if !chain.is_empty() => Ok(chain),
@@ -33,8 +36,12 @@
 }
 
 /// Checks whether a certificate and its key may be served. `wall`: microseconds since 1970.
-pub fn judge(certificate: &Read, key: &Read, wall: Micros) -> Result<Served, CertificateError> {
-    let chain = chain(Which::Certificate, &certificate.bytes)?;
+pub fn validate(
+    certificate: &CertificateFile,
+    key: &CertificateFile,
+    wall: Micros,
+) -> Result<ServedCertificate, CertificateError> {
+    let chain = parse_chain(FileRole::Certificate, &certificate.bytes)?;
     if key.mode & ACCESS_BY_OTHERS != 0 {
         return Err(CertificateError::KeyExposed {
             mode: key.mode & PERMISSION_BITS,
@@ -43,7 +50,11 @@
     let key = PrivateKeyDer::from_pem_slice(&key.bytes).map_err(|_| CertificateError::NoKey)?;
     let ends = earliest_expiry(&chain, wall)?;
     check_key(&chain, &key)?;
-    Ok(Served { chain, key, ends })
+    Ok(ServedCertificate {
+        chain,
+        key,
+        expires_at: ends,
+    })
 }
 
 /// When the first of the certificates expires. Fails if one of them is not valid at `wall`.
--- a/crates/certificates/tests/certificates.rs
+++ b/crates/certificates/tests/certificates.rs
@@ -1,6 +1,8 @@
 //! Invalid pairs, half-written files, and the accounts of client certificates.
 
-use cedarpulley_certificates::{Keeper, Read, Speakers, Step, Which, judge};
+use cedarpulley_certificates::{
+    CertificateFile, CertificateReloader, ClientAccounts, FileRole, ReloadStep, validate,
+};
 use rcgen::{CertificateParams, DnType, KeyPair, date_time_ymd};
 
 const DAY: i64 = 86_400_000_000;
@@ -8,14 +10,14 @@
 const WALL: i64 = 1_767_225_600_000_000;
 
 /// A pair valid over these years, by this common name.
-fn pair(years: (i32, i32), name: &str) -> (Read, Read) {
+fn pair(years: (i32, i32), name: &str) -> (CertificateFile, CertificateFile) {
     let key = KeyPair::generate().expect("a key");
     let mut params = CertificateParams::new(vec!["localhost".to_owned()]).expect("a name");
     (params.not_before, params.not_after) =
         (date_time_ymd(years.0, 1, 1), date_time_ymd(years.1, 1, 1));
     params.distinguished_name.push(DnType::CommonName, name);
     let certificate = params.self_signed(&key).expect("signed");
-    let read = |text: String, mode| Read {
+    let read = |text: String, mode| CertificateFile {
         bytes: text.into_bytes(),
         mode,
     };
@@ -28,18 +30,18 @@
 #[test]
 fn each_invalid_pair_is_rejected_with_its_cause() {
     let (certificate, key) = pair((2025, 2027), "a");
-    let served = judge(&certificate, &key, WALL).expect("good");
-    assert_eq!(served.ends, WALL + 365 * DAY);
-    let rejection = |certificate: &Read, key: &Read, wall| {
-        judge(certificate, key, wall)
+    let served = validate(&certificate, &key, WALL).expect("good");
+    assert_eq!(served.expires_at, WALL + 365 * DAY);
+    let rejection = |certificate: &CertificateFile, key: &CertificateFile, wall| {
+        validate(certificate, key, wall)
             .map(|_| ())
             .expect_err("refused")
     };
-    let open = Read {
+    let open = CertificateFile {
         mode: 0o100_640,
         ..key.clone()
     };
-    assert_eq!(rejection(&certificate, &open, WALL).which(), Which::Key);
+    assert_eq!(rejection(&certificate, &open, WALL).role(), FileRole::Key);
     assert!(
         rejection(&certificate, &open, WALL)
             .to_string()
@@ -61,63 +63,70 @@
             .to_string()
             .contains("does not belong")
     );
-    assert_eq!(rejection(&key, &key, WALL).which(), Which::Certificate);
+    assert_eq!(rejection(&key, &key, WALL).role(), FileRole::Certificate);
     assert_eq!(
         rejection(
             &certificate,
-            &Read {
+            &CertificateFile {
                 bytes: b"x".to_vec(),
                 mode: 0o600
             },
             WALL
         )
-        .which(),
-        Which::Key
+        .role(),
+        FileRole::Key
     );
 }
 
 #[test]
 fn a_half_written_pair_is_read_again_and_an_invalid_one_not_served() {
     let (old, new) = (pair((2025, 2027), "a"), pair((2025, 2027), "a"));
-    let mut keeper = Keeper::new(old.0.clone(), old.1.clone(), WALL + 365 * DAY);
+    let mut keeper = CertificateReloader::new(old.0.clone(), old.1.clone(), WALL + 365 * DAY);
     assert!(matches!(
-        keeper.offered(WALL, Some(old.clone())),
-        Step::Keep
+        keeper.on_files_read(WALL, Some(old.clone())),
+        ReloadStep::Keep
     ));
     // The certificate first, its key a moment later.
     let half = (new.0.clone(), old.1.clone());
     assert!(matches!(
-        keeper.offered(WALL, Some(half.clone())),
-        Step::LookAgain
+        keeper.on_files_read(WALL, Some(half.clone())),
+        ReloadStep::ReadAgain
     ));
-    assert!(matches!(keeper.offered(WALL, None), Step::LookAgain));
     assert!(matches!(
-        keeper.offered(WALL, Some(new.clone())),
-        Step::Replace(_)
+        keeper.on_files_read(WALL, None),
+        ReloadStep::ReadAgain
     ));
     assert!(matches!(
-        keeper.offered(WALL, Some(new.clone())),
-        Step::Keep
+        keeper.on_files_read(WALL, Some(new.clone())),
+        ReloadStep::Replace(_)
+    ));
+    assert!(matches!(
+        keeper.on_files_read(WALL, Some(new.clone())),
+        ReloadStep::Keep
     ));
     // A pair that stays invalid is reported once.
-    let steps: Vec<Step> = (0..6)
-        .map(|_| keeper.offered(WALL, Some(half.clone())))
+    let steps: Vec<ReloadStep> = (0..6)
+        .map(|_| keeper.on_files_read(WALL, Some(half.clone())))
         .collect();
     assert!(matches!(
         steps[..],
         [
-            Step::LookAgain,
-            Step::LookAgain,
-            Step::Refuse(_),
-            Step::Keep,
-            Step::Keep,
-            Step::Keep
+            ReloadStep::ReadAgain,
+            ReloadStep::ReadAgain,
+            ReloadStep::Reject(_),
+            ReloadStep::Keep,
+            ReloadStep::Keep,
+            ReloadStep::Keep
         ]
     ));
     // The files are again those that are served.
-    assert!(matches!(keeper.offered(WALL, Some(new)), Step::Keep));
+    assert!(matches!(
+        keeper.on_files_read(WALL, Some(new)),
+        ReloadStep::Keep
+    ));
     assert!(
-        keeper.ends_soon(WALL).is_none() && keeper.ends_soon(WALL + 360 * DAY) == Some(5 * DAY)
+        keeper.time_left_if_expiring(WALL).is_none()
+            && keeper.time_left_if_expiring(WALL + 360 * DAY) == Some(5 * DAY)
     );
 }
 
@@ -125,11 +134,11 @@
 fn a_client_certificate_is_bound_to_the_account_of_its_name() {
     let der = |name| {
         let (certificate, key) = pair((2025, 2027), name);
-        judge(&certificate, &key, WALL).expect("good").chain[0].to_vec()
+        validate(&certificate, &key, WALL).expect("good").chain[0].to_vec()
     };
-    let mut accounts = Speakers::default();
-    assert!(accounts.give("amber-client".into(), 0) && accounts.give("birch-client".into(), 1));
-    assert!(!accounts.give("amber-client".into(), 1));
+    let mut accounts = ClientAccounts::default();
+    assert!(accounts.bind("amber-client".into(), 0) && accounts.bind("birch-client".into(), 1));
+    assert!(!accounts.bind("amber-client".into(), 1));
     assert_eq!(
         (
             accounts.account(&der("amber-client")),
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -10,12 +10,12 @@
 use cedarpulley_emulators::worker::Worker;
 use cedarpulley_errors::Remedy;
 use cedarpulley_invariant_checker::Verdict;
-use cedarpulley_test_cluster::fleet::{Fleet, Launch};
-use cedarpulley_test_cluster::links::Fault;
-use cedarpulley_test_cluster::plan::{self, Day, Trouble, What};
-use cedarpulley_test_cluster::process::State;
+use cedarpulley_test_cluster::cluster::{Cluster, ClusterOptions};
+use cedarpulley_test_cluster::error::ClusterError as Failed;
+use cedarpulley_test_cluster::links::LinkFault;
+use cedarpulley_test_cluster::router_process::StateAtStart;
+use cedarpulley_test_cluster::scenario::{self, FaultKind, Scenario, ScenarioFault};
 use cedarpulley_test_cluster::traffic::Traffic;
-use cedarpulley_test_cluster::wrong::Wrong as Failed;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -46,7 +46,7 @@
     program: Option<PathBuf>,
     json: bool,
 ) -> Result<bool, Wrong> {
-    let mut day = plan::read(path)?;
+    let mut day = scenario::read(path)?;
     day.seed = seed.unwrap_or(day.seed);
     let out = out.unwrap_or_else(|| {
         std::env::temp_dir().join(format!("cedarpulley-day-{}", std::process::id()))
@@ -55,10 +55,10 @@
     let program = program
         .map_or_else(std::env::current_exe, Ok)
         .map_err(Wrong::Router)?;
-    let fleet = Arc::new(Fleet::prepare(
+    let fleet = Arc::new(Cluster::prepare(
         &day,
-        Launch {
-            out: out.clone(),
+        ClusterOptions {
+            folder: out.clone(),
             program,
             tamper,
             trace,
@@ -91,13 +91,13 @@
     Ok(verdict.broken() == 0)
 }
 
-async fn run(day: &Day, fleet: &Arc<Fleet>) -> Result<bool, Wrong> {
+async fn run(day: &Scenario, fleet: &Arc<Cluster>) -> Result<bool, Wrong> {
     fleet.start_routers()?;
     let traffic = Traffic::begin(day, fleet);
     let began = traffic.began;
     let mut tasks = Vec::new();
-    for (n, trouble) in day.troubles.iter().cloned().enumerate() {
-        let (executor, fleet, zones) = (&fleet.ground.executor, fleet.clone(), day.zones.clone());
+    for (n, trouble) in day.faults.iter().cloned().enumerate() {
+        let (executor, fleet, zones) = (&fleet.host.executor, fleet.clone(), day.zones.clone());
         let random = Pcg64Mcg::seed_from_u64(day.seed ^ (n as u64 + 1) << 32);
         let task = async move {
             Timer::at(began + Duration::from_secs_f64(trouble.at_s)).await;
@@ -120,7 +120,7 @@
     Ok(stopped)
 }
 
-async fn bring(fleet: &Arc<Fleet>, t: &Trouble, zones: &[String], mut random: Pcg64Mcg) {
+async fn bring(fleet: &Arc<Cluster>, t: &ScenarioFault, zones: &[String], mut random: Pcg64Mcg) {
     let lasts = Duration::from_secs_f64(t.for_s);
     let zone = t
         .zone
@@ -131,109 +131,110 @@
         .collect();
     let workers = || chosen.iter().map(|w| &fleet.workers[*w]);
     match t.what {
-        What::Hang => {
-            workers().for_each(|w| w.hang(true));
+        FaultKind::Hang => {
+            workers().for_each(|w| w.set_hanging(true));
             Timer::after(lasts).await;
-            workers().for_each(|w| w.hang(false));
+            workers().for_each(|w| w.set_hanging(false));
         }
-        What::Slow => {
-            workers().for_each(|w| w.slow(t.size));
+        FaultKind::Slow => {
+            workers().for_each(|w| w.set_slowdown(t.size));
             Timer::after(lasts).await;
-            workers().for_each(|w| w.slow(1.0));
+            workers().for_each(|w| w.set_slowdown(1.0));
         }
-        What::Pauses => {
+        FaultKind::Pauses => {
             let until = Instant::now() + lasts;
             while Instant::now() < until {
-                workers().for_each(|w| w.pause(true));
+                workers().for_each(|w| w.set_paused(true));
                 Timer::after(Duration::from_secs_f64(t.size)).await;
-                workers().for_each(|w| w.pause(false));
+                workers().for_each(|w| w.set_paused(false));
                 Timer::after(Duration::from_secs_f64(t.size * 2.0)).await;
             }
         }
-        What::ClassFail => {
-            workers().for_each(|w| w.mute(t.trigger.as_deref()));
+        FaultKind::ClassFail => {
+            workers().for_each(|w| w.stop_answering(t.trigger.as_deref()));
             Timer::after(lasts).await;
-            workers().for_each(|w| w.mute(None));
+            workers().for_each(|w| w.stop_answering(None));
         }
-        What::Crash => {
+        FaultKind::Crash => {
             workers().for_each(Worker::crash);
             Timer::after(CRASH_SEEN.min(lasts)).await;
-            chosen.iter().for_each(|w| fleet.gone(*w));
+            chosen.iter().for_each(|w| fleet.withdraw_worker(*w));
             Timer::after(lasts.saturating_sub(CRASH_SEEN)).await;
-            chosen.iter().for_each(|w| fleet.starts_again(*w));
+            chosen.iter().for_each(|w| fleet.restart_worker(*w));
         }
-        What::Preempt => {
+        FaultKind::Preempt => {
             for &w in &chosen {
-                fleet.row(w, |r| r.draining = true);
+                fleet.update_endpoint(w, |r| r.draining = true);
             }
             Timer::after(Duration::from_secs_f64(t.size / 1e3)).await;
             workers().for_each(Worker::crash);
-            chosen.iter().for_each(|w| fleet.gone(*w));
+            chosen.iter().for_each(|w| fleet.withdraw_worker(*w));
             Timer::after(lasts).await;
-            chosen.iter().for_each(|w| fleet.starts_again(*w));
+            chosen.iter().for_each(|w| fleet.restart_worker(*w));
         }
-        What::DrainWave => {
+        FaultKind::DrainWave => {
             for &w in &chosen {
-                let executor = fleet.ground.executor.clone();
+                let executor = fleet.host.executor.clone();
                 let fleet = fleet.clone();
                 let one = async move {
-                    fleet.row(w, |r| r.draining = true);
+                    fleet.update_endpoint(w, |r| r.draining = true);
                     Timer::after(DRAIN_LASTS / 2).await;
                     fleet.workers[w].drain();
                     Timer::after(DRAIN_LASTS / 2).await;
                     fleet.workers[w].crash();
-                    fleet.gone(w);
+                    fleet.withdraw_worker(w);
                     Timer::after(lasts).await;
-                    fleet.starts_again(w);
+                    fleet.restart_worker(w);
                 };
                 executor.spawn(one).detach();
                 Timer::after(Duration::from_secs_f64(t.size)).await;
             }
         }
-        What::ZoneCut => {
+        FaultKind::ZoneCut => {
             // Workers in the zone hear no router outside of it.
             let Some(zone) = zone else { return };
             let rows = lock(&fleet.rows).clone();
             let inside = |w: &usize| rows[*w].zone == zones[zone];
             let all: Vec<usize> = (0..fleet.workers.len()).filter(inside).collect();
-            all.iter().for_each(|w| fleet.workers[*w].cut(!(1 << zone)));
+            all.iter()
+                .for_each(|w| fleet.workers[*w].partition_from(!(1 << zone)));
             Timer::after(lasts).await;
-            all.iter().for_each(|w| fleet.workers[*w].cut(0));
+            all.iter().for_each(|w| fleet.workers[*w].partition_from(0));
         }
-        What::StoreSlow => {
-            fleet.store.slow(t.size);
+        FaultKind::StoreSlow => {
+            fleet.store.set_slowdown(t.size);
             Timer::after(lasts).await;
-            fleet.store.slow(1.0);
+            fleet.store.set_slowdown(1.0);
         }
-        What::Flush => workers().for_each(Worker::flush_copies),
-        What::ChannelDrop => {
+        FaultKind::Flush => workers().for_each(Worker::evict_all_idle),
+        FaultKind::ChannelDrop => {
             let hit: Vec<bool> = (0..256).map(|_| random.random::<f64>() < t.part).collect();
             fleet.broker.drop_channels(|from| hit[last_octet(from)]);
         }
-        What::ConnectionDrop => {
+        FaultKind::ConnectionDrop => {
             let hit: Vec<bool> = (0..256).map(|_| random.random::<f64>() < t.part).collect();
             fleet
                 .broker
                 .drop_connections(|from| from.starts_with("127.0.1") && hit[last_octet(from)]);
         }
-        What::BrokerRestart => {
+        FaultKind::BrokerRestart => {
             if let Err(e) = fleet.broker.restart(lasts).await {
                 tracing::error!(cause = %e, "the broker did not come back");
             }
         }
-        What::BrokerBlock => {
-            fleet.broker.block(true);
+        FaultKind::BrokerBlock => {
+            fleet.broker.set_blocked(true);
             Timer::after(lasts).await;
-            fleet.broker.block(false);
+            fleet.broker.set_blocked(false);
         }
-        What::RouterKill => {
+        FaultKind::RouterKill => {
             t.which.iter().for_each(|r| fleet.kill_router(*r));
             Timer::after(lasts).await;
             t.which
                 .iter()
-                .for_each(|r| well(fleet.start_router(*r, State::Kept)));
+                .for_each(|r| well(fleet.start_router(*r, StateAtStart::Kept)));
         }
-        What::RouterPause => {
+        FaultKind::RouterPause => {
             t.which
                 .iter()
                 .for_each(|r| well(fleet.pause_router(*r, true)));
@@ -242,7 +243,7 @@
                 .iter()
                 .for_each(|r| well(fleet.pause_router(*r, false)));
         }
-        What::StaleState => {
+        FaultKind::StaleState => {
             // Copied as the trouble begins, killed half of its time later.
             let copy = |r: usize| fleet.folder().join(format!("routers/older-state-{r}"));
             for r in &t.which {
@@ -254,24 +255,32 @@
             Timer::after(lasts / 2).await;
             t.which
                 .iter()
-                .for_each(|r| well(fleet.start_router(*r, State::Older(&copy(*r)))));
+                .for_each(|r| well(fleet.start_router(*r, StateAtStart::Older(&copy(*r)))));
         }
-        What::PeerCut | What::RegionCut => {
-            let cut = |fault: Fault| match (t.what, &t.region) {
-                (What::RegionCut, Some(region)) => fleet.cut_region(region, fault),
-                _ => fleet.cut_peers(&t.which, t.one_way, fault),
+        FaultKind::PeerCut | FaultKind::RegionCut => {
+            let cut = |fault: LinkFault| match (t.what, &t.region) {
+                (FaultKind::RegionCut, Some(region)) => fleet.set_region_fault(region, fault),
+                _ => fleet.set_peer_faults(&t.which, t.one_way, fault),
             };
-            cut(if t.lost { Fault::Lost } else { Fault::Held });
+            cut(if t.lost {
+                LinkFault::Lost
+            } else {
+                LinkFault::Held
+            });
             Timer::after(lasts).await;
-            cut(Fault::Pass);
+            cut(LinkFault::Pass);
         }
-        What::ListLate => {
-            fleet.list.late(Duration::from_secs_f64(t.size));
+        FaultKind::ListLate => {
+            fleet.list.set_delay(Duration::from_secs_f64(t.size));
             Timer::after(lasts).await;
-            fleet.list.late(Duration::ZERO);
+            fleet.list.set_delay(Duration::ZERO);
         }
         // These are in the arrivals.
-        What::HotFunction | What::Scan | What::TrafficShift | What::RetryAbuse | What::Flood => {}
+        FaultKind::HotFunction
+        | FaultKind::Scan
+        | FaultKind::TrafficShift
+        | FaultKind::RetryAbuse
+        | FaultKind::Flood => {}
     }
 }
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -240,7 +240,7 @@
 }
 
 fn audit(folder: &Path, json: bool) -> Result<bool, Wrong> {
-    let verdict = cedarpulley_invariant_checker::judge(folder)?;
+    let verdict = cedarpulley_invariant_checker::check(folder)?;
     day::show(&verdict, json)?;
     Ok(verdict.broken() == 0)
 }
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -11,8 +11,8 @@
 use async_io::{Async, Timer};
 use cedarpulley_emulators::broker::Broker;
 use cedarpulley_emulators::store::{self, Store};
-use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
-use cedarpulley_emulators::{Ground, lock};
+use cedarpulley_emulators::worker::{IdempotencyStore, InvocationProfile, Worker, WorkerProfile};
+use cedarpulley_emulators::{Host, lock};
 use cedarpulley_gateway::client_listener::Protocol;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
@@ -21,8 +21,8 @@
 use serde_json::{Value, json};
 use smol_hyper::rt::FuturesIo;
 
-use cedarpulley_test_cluster::client::{Arrival, Client, Times};
-use cedarpulley_test_cluster::verdict::state;
+use cedarpulley_test_cluster::amqp_client::{AmqpClient, Arrival, LatencyRecorder};
+use cedarpulley_test_cluster::router_state::fetch_state;
 
 use crate::open_loop::Callers;
 use crate::wrong::Wrong;
@@ -78,7 +78,7 @@
 
 /// Bytes and POSTs that all members of a group have sent each other so far.
 fn sent(group: &[SocketAddr]) -> (u64, u64) {
-    let states = group.iter().filter_map(|at| state(*at).ok());
+    let states = group.iter().filter_map(|at| fetch_state(*at).ok());
     let count = |s: &Value, name: &str| s["counts"][name].as_u64().unwrap_or(0);
     states.fold((0, 0), |(bytes, posts), s| {
         (bytes + count(&s, "bytes_sent"), posts + count(&s, "posts"))
@@ -156,28 +156,28 @@
     } = *what;
     std::fs::create_dir_all(folder).map_err(Wrong::file(folder))?;
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let ground = Ground::new(THREADS, None).map_err(Wrong::Standin)?;
+    let ground = Host::new(THREADS, None).map_err(Wrong::Standin)?;
     let broker = Broker::start(&ground, "broker", any).map_err(Wrong::Standin)?;
     broker.declare("triggers");
-    let nature = store::Nature {
+    let nature = store::StoreProfile {
         mb_per_s: 1e6,
-        abreast: 100,
-        most: 1000,
+        full_rate_fetches: 100,
+        max_fetches: 1000,
     };
     let store = Store::start(&ground, "store", any, nature).map_err(Wrong::Standin)?;
     let mut workers = Vec::new();
     for n in 0..WORKERS {
-        let nature = Nature::roomy(1e6);
-        let program = Program {
-            work: Duration::from_secs_f64(work_ms / 1e3),
+        let nature = WorkerProfile::unlimited(1e6);
+        let program = InvocationProfile {
+            mean_work: Duration::from_secs_f64(work_ms / 1e3),
             copy_mb: 1.0,
-            start_up: Duration::from_millis(1),
+            start_up_time: Duration::from_millis(1),
             lanes: lanes as usize,
-            window: None,
-            prefix: Duration::ZERO,
+            idempotency_window: None,
+            prefix_rebuild_work: Duration::ZERO,
         };
         let programs = HashMap::from([("warm".to_owned(), program)]);
-        let (name, memory) = (format!("worker-{n}"), Memory::default());
+        let (name, memory) = (format!("worker-{n}"), IdempotencyStore::default());
         let worker = Worker::start(
             &ground,
             &name,
@@ -241,14 +241,14 @@
             Timer::after(Duration::from_millis(KEPT_MS + KEPT_MS / 4)).await;
         }
         let began = Instant::now();
-        let times: Times = Arc::new(Mutex::new((histogram(), began + WARM_UP)));
+        let times: LatencyRecorder = Arc::new(Mutex::new((histogram(), began + WARM_UP)));
         let all = ((WARM_UP.as_secs_f64() + seconds) * rate) as usize;
         let mut clients = Vec::new();
         for c in 0..CLIENTS {
             let arrivals = (c..all).step_by(CLIENTS).map(|n| Arrival {
                 at: Duration::from_secs_f64(n as f64 / rate),
                 id: format!("m{n}"),
-                kind: "warm".into(),
+                trigger_type: "warm".into(),
                 function: format!("warm:{}", n % 8),
                 account: String::new(),
                 queue: "triggers".into(),
@@ -257,18 +257,18 @@
                 lanes,
                 body: BODY.into(),
                 retries: 0,
-                calls: false,
+                over_kserve: false,
                 turn: None,
             });
-            let client = Client {
+            let client = AmqpClient {
                 broker: broker.address,
                 from: [127, 0, 2, 1 + c as u8].into(),
-                replies: format!("replies-{c}"),
+                reply_queue: format!("replies-{c}"),
                 began,
                 arrivals: arrivals.collect(),
-                times: Some(times.clone()),
+                latencies: Some(times.clone()),
                 answers: None,
-                asks: None,
+                function_override: None,
             };
             clients.push(ground.executor.spawn(client.run()));
         }
@@ -285,7 +285,7 @@
         let (before, own) = (used(pid), used(std::process::id()));
         let direct = direct(workers[0].address, seconds).await;
         Timer::at(began + WARM_UP + Duration::from_secs_f64(seconds)).await;
-        let (after, waiting) = (used(pid), broker.waiting("triggers"));
+        let (after, waiting) = (used(pid), broker.ready_messages("triggers"));
         let own = own
             .zip(used(std::process::id()))
             .map_or(0, |(b, a)| a.0 - b.0);
--- a/crates/cli/src/meter.rs
+++ b/crates/cli/src/meter.rs
@@ -5,8 +5,8 @@
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 
-use cedarpulley_usage_metering::{Book, Key, Kind, Sum, Sums};
-use cedarpulley_usage_store::{Failed, Ledger};
+use cedarpulley_usage_metering::{Usage, UsageByKey, UsageKey, UsageKind, UsageReport};
+use cedarpulley_usage_store::{Ledger, StoreError};
 use clap::{Subcommand, ValueEnum};
 use serde_json::{Value, json};
 
@@ -87,15 +87,15 @@
     }
 }
 
-fn ledger(file: &Path) -> impl FnOnce(Failed) -> Wrong {
+fn ledger(file: &Path) -> impl FnOnce(StoreError) -> Wrong {
     move |source| Wrong::Ledger {
         file: file.display().to_string(),
         source,
     }
 }
 
-fn book(files: &[PathBuf]) -> Result<Book, Wrong> {
-    let mut book = Book::default();
+fn book(files: &[PathBuf]) -> Result<UsageReport, Wrong> {
+    let mut book = UsageReport::default();
     for file in files {
         // A ledger that is not there would be begun.
         if !file.is_file() {
@@ -103,9 +103,9 @@
                 file: file.display().to_string(),
             });
         }
-        book.join(
+        book.merge(
             Ledger::open(file)
-                .and_then(|l| l.book())
+                .and_then(|l| l.report())
                 .map_err(ledger(file))?,
         );
     }
@@ -114,13 +114,13 @@
 
 fn report(files: &[PathBuf], by: &[By], json: bool, csv: bool) -> Result<bool, Wrong> {
     let sums = book(files)?.sums();
-    let column = |by: By, key: &Key| match by {
+    let column = |by: By, key: &UsageKey| match by {
         By::Tenant => key.account.to_string(),
         By::Function => key.function.to_string(),
         By::Hour => (i64::from(key.hour) * 3600).to_string(),
         By::Kind => key.kind.name().to_owned(),
     };
-    let rows = sums.by(|key| by.iter().map(|b| column(*b, key)).collect::<Vec<_>>());
+    let rows = sums.group_by(|key| by.iter().map(|b| column(*b, key)).collect::<Vec<_>>());
     let names: Vec<&str> = by
         .iter()
         .map(|b| match b {
@@ -168,7 +168,7 @@
     Ok(true)
 }
 
-fn line(names: &[&str], row: &[String], sum: &Sum) -> Value {
+fn line(names: &[&str], row: &[String], sum: &Usage) -> Value {
     let mut line: serde_json::Map<String, Value> = names
         .iter()
         .zip(row)
@@ -184,18 +184,18 @@
 fn merge(files: &[PathBuf], out: &Path) -> Result<bool, Wrong> {
     let book = book(files)?;
     Ledger::open(out)
-        .and_then(|l| l.join(&book))
+        .and_then(|l| l.merge(&book))
         .map_err(ledger(out))?;
     say!(
         "{} lives of routers in {}",
-        book.measured.len(),
+        book.by_source.len(),
         out.display()
     );
     Ok(true)
 }
 
 /// Byte-microseconds by account and kind.
-type ByTenant = BTreeMap<(String, Kind), u128>;
+type ByTenant = BTreeMap<(String, UsageKind), u128>;
 
 /// As the workers' logs have it; and how much of it their answers at once did not tell.
 fn held(folder: &Path) -> Result<(ByTenant, u128), Wrong> {
@@ -212,9 +212,9 @@
             }
             let bytes = u128::from(line["bytes"].as_u64().unwrap_or(0));
             let kinds = [
-                ("running", Kind::Running),
-                ("loading", Kind::Loading),
-                ("idle", Kind::Idle),
+                ("running", UsageKind::Running),
+                ("loading", UsageKind::Loading),
+                ("idle", UsageKind::Idle),
             ];
             for (name, kind) in kinds {
                 let byte_us = bytes * u128::from(line[name].as_u64().unwrap_or(0));
@@ -232,12 +232,12 @@
 }
 
 fn reconcile(folder: &Path, json: bool) -> Result<bool, Wrong> {
-    let sums: Sums = book(&all(&[folder.join("meter")])?)?.sums();
+    let sums: UsageByKey = book(&all(&[folder.join("meter")])?)?.sums();
     let (held, untold) = held(&folder.join("traffic"))?;
-    let metered = sums.by(|k| (k.account.to_string(), k.kind));
+    let metered = sums.group_by(|k| (k.account.to_string(), k.kind));
     let mut rows = Vec::new();
     let mut good = true;
-    let keys = [Kind::Running, Kind::Loading, Kind::Idle];
+    let keys = [UsageKind::Running, UsageKind::Loading, UsageKind::Idle];
     let mut all: Vec<_> = metered
         .keys()
         .filter(|k| keys.contains(&k.1))
@@ -253,7 +253,7 @@
         good &= apart.abs() <= MOST_APART;
         rows.push((key, metered, held, apart));
     }
-    let uncertain = metered.iter().filter(|(k, _)| k.1 == Kind::Uncertain);
+    let uncertain = metered.iter().filter(|(k, _)| k.1 == UsageKind::Uncertain);
     let uncertain = uncertain.fold(0.0, |all, (_, sum)| all + sum.mb_seconds());
     let total: f64 = rows.iter().map(|r| r.2).sum();
     let untold = untold as f64 / 1e12;
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -5,11 +5,11 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use cedarpulley_emulators::Ground;
+use cedarpulley_emulators::Host;
 use cedarpulley_emulators::broker::Broker;
-use cedarpulley_emulators::list::{List, Row};
+use cedarpulley_emulators::endpoint_list::{EndpointList, EndpointRecord};
 use cedarpulley_emulators::store::{self, Store};
-use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
+use cedarpulley_emulators::worker::{IdempotencyStore, InvocationProfile, Worker, WorkerProfile};
 use clap::Subcommand;
 
 use crate::wrong::Wrong;
@@ -77,7 +77,7 @@
 }
 
 pub fn run(kind: Kind) -> Result<(), Wrong> {
-    let ground = |logs: Option<PathBuf>| Ground::new(2, logs.as_deref()).map_err(Wrong::Standin);
+    let ground = |logs: Option<PathBuf>| Host::new(2, logs.as_deref()).map_err(Wrong::Standin);
     match kind {
         Kind::Broker {
             listen,
@@ -98,14 +98,14 @@
             cores,
             logs,
         } => {
-            let nature = Nature::roomy(cores);
-            let program = Program {
-                work: Duration::from_secs_f64(work_ms / 1e3),
+            let nature = WorkerProfile::unlimited(cores);
+            let program = InvocationProfile {
+                mean_work: Duration::from_secs_f64(work_ms / 1e3),
                 copy_mb: 1.0,
-                start_up: Duration::from_millis(10),
+                start_up_time: Duration::from_millis(10),
                 lanes,
-                window: None,
-                prefix: Duration::ZERO,
+                idempotency_window: None,
+                prefix_rebuild_work: Duration::ZERO,
             };
             let programs = HashMap::from([(trigger, program)]);
             let (listen, store, ground) = (loopback(listen)?, loopback(store)?, ground(logs)?);
@@ -117,15 +117,15 @@
                 nature,
                 store,
                 programs,
-                Memory::default(),
+                IdempotencyStore::default(),
             );
             forever("worker", worker.map_err(Wrong::Standin)?.address)
         }
         Kind::Store { listen, logs } => {
-            let nature = store::Nature {
+            let nature = store::StoreProfile {
                 mb_per_s: 1000.0,
-                abreast: 8,
-                most: 1000,
+                full_rate_fetches: 8,
+                max_fetches: 1000,
             };
             let store = Store::start(&ground(logs)?, "store", loopback(listen)?, nature)
                 .map_err(Wrong::Standin)?;
@@ -136,12 +136,12 @@
             worker,
             logs,
         } => {
-            let list =
-                List::start(&ground(logs)?, "list", loopback(listen)?).map_err(Wrong::Standin)?;
+            let list = EndpointList::start(&ground(logs)?, "list", loopback(listen)?)
+                .map_err(Wrong::Standin)?;
             for (n, address) in worker.into_iter().enumerate() {
-                list.put(
+                list.publish(
                     &format!("worker-{n}"),
-                    Row {
+                    EndpointRecord {
                         address,
                         zone: String::new(),
                         kind: String::new(),
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -6,21 +6,23 @@
 use std::path::{Path, PathBuf};
 
 use cedarpulley_errors::Remedy;
-use cedarpulley_trace::compare::{Compare, Compared, Kind};
-use cedarpulley_trace::course::Course;
-use cedarpulley_trace::explain::Explain;
+use cedarpulley_trace::compare::{Comparison, ComparisonResult, DifferenceKind};
+use cedarpulley_trace::explain::CauseRanker;
+use cedarpulley_trace::invocation_history::InvocationHistory;
 use cedarpulley_trace::merge::{Offsets, merge};
-use cedarpulley_trace::reader::{Ended, Found, Reader};
+use cedarpulley_trace::reader::{BlockRead, FileEnd, Reader};
 use cedarpulley_trace::records::Record;
-use cedarpulley_trace::replay::{Decisions, Step, drive, redo, replay, told};
+use cedarpulley_trace::replay::{
+    DecisionReader, ReplayStep, describe_event, redo, replay, replay_steps,
+};
 use cedarpulley_trace::rewrite::{self, Rewritten};
-use cedarpulley_trace::rules::Rules;
-use cedarpulley_trace::select::Wanted;
-use cedarpulley_trace::show::Follow;
+use cedarpulley_trace::rule_check::RuleChecker;
+use cedarpulley_trace::selection::SelectionCriteria;
 use cedarpulley_trace::start::Source;
-use cedarpulley_trace::strip::Strip;
-use cedarpulley_trace::summary::{Counter, SPAN_S};
-use cedarpulley_trace::writer::traces;
+use cedarpulley_trace::strip::Pseudonymizer;
+use cedarpulley_trace::summary::{SummaryBuilder, WORST_SPAN_SECONDS};
+use cedarpulley_trace::timeline::Timeline;
+use cedarpulley_trace::writer::trace_files;
 use cedarpulley_trace::{Error, chart};
 use clap::Subcommand;
 use serde_json::json;
@@ -129,7 +131,7 @@
     let mut found = Vec::new();
     for file in files {
         match file.is_dir() {
-            true => found.extend(traces(file).map_err(Wrong::file(file))?),
+            true => found.extend(trace_files(file).map_err(Wrong::file(file))?),
             false => found.push(file.clone()),
         }
     }
@@ -178,13 +180,13 @@
         } => {
             let micros = |s: f64| (s * 1e6) as i64;
             let (from, until) = (from.map(micros), until.map(micros));
-            let wanted = Wanted {
+            let wanted = SelectionCriteria {
                 from,
                 until,
                 function,
                 account,
                 worker,
-                mark: invocation,
+                correlation_id: invocation,
             };
             rewritten(&file, &out, |reader, to| rewrite::cut(reader, &wanted, to))
         }
@@ -198,7 +200,7 @@
                     least: LEAST_SECRET,
                 });
             }
-            let mut strip = Strip::new(&secret);
+            let mut strip = Pseudonymizer::new(&secret);
             rewritten(&file, &out, |reader, to| {
                 rewrite::strip(reader, &mut strip, to)
             })
@@ -220,13 +222,17 @@
 }
 
 fn explained(files: &[PathBuf], span: (i64, i64), json: bool) -> Result<bool, Wrong> {
-    let mut explain = Explain::default();
+    let mut explain = CauseRanker::default();
     let mut base = 0;
     for file in files {
         let mut reader = open(file)?;
         let sources = reader.sources.clone();
         while let Some(found) = reader.next().map_err(Wrong::trace(file.display()))? {
-            if let Found::Block { records, place } = found {
+            if let BlockRead::Block {
+                records,
+                location: place,
+            } = found
+            {
                 let source = &sources[place.source as usize];
                 records
                     .iter()
@@ -261,12 +267,16 @@
 }
 
 fn judged(files: &[PathBuf], json: bool) -> Result<bool, Wrong> {
-    let (mut rules, mut all) = (Rules::default(), HashMap::new());
+    let (mut rules, mut all) = (RuleChecker::default(), HashMap::new());
     for file in files {
         let mut reader = open(file)?;
         let (base, sources) = (all.len() as u32, reader.sources.clone());
         while let Some(found) = reader.next().map_err(Wrong::trace(file.display()))? {
-            if let Found::Block { records, place } = found {
+            if let BlockRead::Block {
+                records,
+                location: place,
+            } = found
+            {
                 let source = &sources[place.source as usize];
                 records
                     .iter()
@@ -276,11 +286,11 @@
         all.extend((base..).zip(sources));
     }
     let judged = rules.finish(&all);
-    let broken: u64 = judged.rules.values().sum();
+    let broken: u64 = judged.violations_by_rule.values().sum();
     if json {
         say!("{}", serde_json::to_string_pretty(&judged)?);
     } else {
-        judged.breaks.iter().for_each(|b| say!("{b}"));
+        judged.violations.iter().for_each(|b| say!("{b}"));
         let (n, open) = (judged.invocations, judged.unseen);
         say!(
             "{n} invocations, {broken} breaks of rules 1, 2, 3 and 5; {open} still open where their trace ends"
@@ -380,21 +390,21 @@
         let (mut blocks, mut records, mut lost) = (0, 0, 0);
         while let Some(found) = reader.next().map_err(Wrong::trace(file.display()))? {
             match found {
-                Found::Block { records: all, .. } => {
+                BlockRead::Block { records: all, .. } => {
                     blocks += 1;
                     records += all.len();
                 }
-                Found::Damaged { offset, cause } => {
+                BlockRead::Damaged { offset, cause } => {
                     lost += 1;
                     say!("{}: damaged at byte {offset}: {cause}", file.display());
                 }
             }
         }
         let ended = match &reader.ended {
-            Some(Ended::Cut { offset }) => format!("cut after byte {offset}"),
+            Some(FileEnd::Truncated { offset }) => format!("cut after byte {offset}"),
             _ => "ended well".to_owned(),
         };
-        good &= lost == 0 && reader.ended == Some(Ended::Well);
+        good &= lost == 0 && reader.ended == Some(FileEnd::Complete);
         say!(
             "{}: {blocks} blocks, {records} records, {lost} damaged, {ended}",
             file.display()
@@ -406,23 +416,26 @@
 /// Every record of every file, with its source.
 fn each(
     files: &[PathBuf],
-    counter: &mut Counter,
+    counter: &mut SummaryBuilder,
     mut also: impl FnMut(&Source, i64, &Record),
 ) -> Result<(), Wrong> {
     for file in files {
         let mut reader = open(file)?;
         let sources = reader.sources.clone();
-        counter.file(&sources);
+        counter.begin_file(&sources);
         while let Some(found) = reader.next().map_err(Wrong::trace(file.display()))? {
             match found {
-                Found::Block { records, place } => {
+                BlockRead::Block {
+                    records,
+                    location: place,
+                } => {
                     let source = &sources[place.source as usize];
                     for (at, record) in &records {
                         counter.record(place.source, source, *at, record);
                         also(source, *at, record);
                     }
                 }
-                Found::Damaged { .. } => counter.damaged(),
+                BlockRead::Damaged { .. } => counter.damaged_block(),
             }
         }
     }
@@ -430,7 +443,7 @@
 }
 
 fn summary(files: &[PathBuf], json: bool) -> Result<bool, Wrong> {
-    let mut counter = Counter::default();
+    let mut counter = SummaryBuilder::default();
     each(files, &mut counter, |_, _, _| {})?;
     let summary = counter.finish();
     match json {
@@ -441,7 +454,7 @@
 }
 
 fn chart(files: &[PathBuf], out: &Path) -> Result<bool, Wrong> {
-    let (mut counter, mut course) = (Counter::default(), Course::default());
+    let (mut counter, mut course) = (SummaryBuilder::default(), Timeline::default());
     each(files, &mut counter, |source, at, record| {
         course.record(source, at, record)
     })?;
@@ -457,7 +470,7 @@
     );
     let worst = summary
         .worst
-        .map(|(s, _)| (s * 1_000_000, (s + SPAN_S) * 1_000_000));
+        .map(|(s, _)| (s * 1_000_000, (s + WORST_SPAN_SECONDS) * 1_000_000));
     let svg = chart::svg(&course, &title, worst).map_err(Wrong::trace(out.display()))?;
     make(out, |to| {
         to.write_all(svg.as_bytes()).map_err(Wrong::file(out))
@@ -471,9 +484,16 @@
     for file in files {
         let mut reader = open(file)?;
         let sources = reader.sources.clone();
-        let mut follows: Vec<Follow> = sources.iter().map(|_| Follow::new(mark)).collect();
+        let mut follows: Vec<InvocationHistory> = sources
+            .iter()
+            .map(|_| InvocationHistory::new(mark))
+            .collect();
         while let Some(found) = reader.next().map_err(Wrong::trace(file.display()))? {
-            if let Found::Block { records, place } = found {
+            if let BlockRead::Block {
+                records,
+                location: place,
+            } = found
+            {
                 let (follow, source) = (
                     &mut follows[place.source as usize],
                     &sources[place.source as usize],
@@ -509,11 +529,13 @@
     for file in files {
         for source in 0..open(file)?.sources.len() {
             let mut reader = open(file)?;
-            reader.only = Some(source as u32);
+            reader.only_source = Some(source as u32);
             let start = &reader.sources[source].start;
             let folder = file.parent().map(Path::to_owned).unwrap_or_default();
             let key = (folder, start.router.clone(), start.wall_at_zero);
-            rows.entry(key).or_default().push((start.file, reader));
+            rows.entry(key)
+                .or_default()
+                .push((start.file_number, reader));
         }
     }
     let life = |((_, router, wall_at_zero), mut row): (_, Vec<(u64, Opened)>)| {
@@ -582,15 +604,15 @@
     say!("{:<44} {:>16} {:>10}", "kind", "first in a life", "later");
     for (kind, n) in &c.by_kind {
         let kind = match kind {
-            Kind::Instead(was, is) => format!("{was:?} before, now {is:?}"),
+            DifferenceKind::OtherDecision(was, is) => format!("{was:?} before, now {is:?}"),
             other => format!("{other:?}"),
         };
         say!("{kind:<44} {:>16} {:>10}", n.first, n.later);
     }
     say!(
         "{} of {} lives differ, {} of {} decisions; {} decisions are exact, up to the first difference of each life",
-        c.rows_differing,
-        c.rows,
+        c.incarnations_differing,
+        c.incarnations,
         c.differing,
         c.decisions,
         c.decisions_exact
@@ -599,18 +621,20 @@
 }
 
 /// With what was recorded, or with what another build has left in this folder.
-fn compare(files: &[PathBuf], other: Option<&Path>) -> Result<Compared, Wrong> {
-    let mut compare = Compare::default();
+fn compare(files: &[PathBuf], other: Option<&Path>) -> Result<ComparisonResult, Wrong> {
+    let mut compare = Comparison::default();
     for (n, mut life) in lives(files)?.into_iter().enumerate() {
-        compare.row();
+        compare.begin_incarnation();
         let mut theirs = match other {
-            Some(folder) => Some(Decisions::new(open(&folder.join(format!("{n:05}.trace")))?)),
+            Some(folder) => Some(DecisionReader::new(open(
+                &folder.join(format!("{n:05}.trace")),
+            )?)),
             None => None,
         };
-        let done = drive(&mut life.row, |step| {
-            let Step::Decided {
+        let done = replay_steps(&mut life.row, |step| {
+            let ReplayStep::Decided {
                 at,
-                happened,
+                event: happened,
                 recorded,
                 replayed,
             } = step
@@ -622,12 +646,12 @@
                 return Ok(true);
             };
             let Some((their_at, their_event, their_actions)) = theirs.next()? else {
-                return Err(Error::Other {
+                return Err(Error::OtherBuild {
                     how: "went less far",
                 });
             };
-            if their_at != at || told(&their_event) != told(&happened) {
-                return Err(Error::Other {
+            if their_at != at || describe_event(&their_event) != describe_event(&happened) {
+                return Err(Error::OtherBuild {
                     how: "was not told the same",
                 });
             }
@@ -672,7 +696,7 @@
                     d.decision,
                     d.at
                 );
-                say!("  told:     {}", told(&d.happened));
+                say!("  told:     {}", describe_event(&d.event));
                 say!("  recorded: {:?}", d.recorded);
                 say!("  replayed: {:?}", d.replayed);
                 d.before.iter().for_each(|b| say!("  before:   {b}"));
--- a/crates/cli/src/wrong.rs
+++ b/crates/cli/src/wrong.rs
@@ -32,7 +32,7 @@
     #[error(transparent)]
     Node(#[from] cedarpulley_platform_node::StartError),
     #[error(transparent)]
-    Day(#[from] cedarpulley_test_cluster::wrong::Wrong),
+    Day(#[from] cedarpulley_test_cluster::error::ClusterError),
     #[error("a router did not end in good order")]
     Unended,
     #[error("a stand-in cannot start")]
@@ -40,7 +40,7 @@
     #[error("the router cannot start")]
     Router(#[source] io::Error),
     #[error(transparent)]
-    Audit(#[from] cedarpulley_invariant_checker::Unjudged),
+    Audit(#[from] cedarpulley_invariant_checker::CheckError),
     #[error("{of}")]
     Trace {
         of: String,
@@ -49,7 +49,7 @@
     #[error("{file}")]
     Ledger {
         file: String,
-        source: cedarpulley_usage_store::Failed,
+        source: cedarpulley_usage_store::StoreError,
     },
     #[error("{file}: a secret of {size} bytes, where {least} are the least")]
     ShortSecret {
--- a/crates/emulators/src/broker.rs
+++ b/crates/emulators/src/broker.rs
@@ -20,7 +20,7 @@
 use serde_json::json;
 
 use self::state::{ConnectionId, State};
-use crate::{Ground, Log, lock};
+use crate::{Host, Log, lock};
 
 /// Queue that rejected messages are moved to.
 pub const DEAD: &str = "dead-letters";
@@ -28,7 +28,7 @@
 /// Handle of an emulated broker on loopback; clones stand for the same one.
 #[derive(Clone)]
 pub struct Broker {
-    host: Ground,
+    host: Host,
     log: Log,
     /// Where it listens.
     pub address: SocketAddr,
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     /// When its log cannot be created or its address cannot be bound.
-    pub fn start(host: &Ground, name: &str, address: SocketAddr) -> std::io::Result<Broker> {
+    pub fn start(host: &Host, name: &str, address: SocketAddr) -> std::io::Result<Broker> {
         let log = host.log(name)?;
         let mut broker = Broker {
             host: host.clone(),
@@ -92,7 +92,7 @@
     }
 
     /// Messages ready in a queue.
-    pub fn waiting(&self, queue: &str) -> usize {
+    pub fn ready_messages(&self, queue: &str) -> usize {
         lock(&self.state).ready(queue)
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// Tells connections that publishing is blocked, or no more.
-    pub fn block(&self, blocked: bool) {
+    pub fn set_blocked(&self, blocked: bool) {
         use connection_class::AMQPMethod as M;
         let mut state = lock(&self.state);
         self.log.write("blocked", json!({"on": blocked}));
--- a/crates/emulators/src/broker/connection.rs
+++ b/crates/emulators/src/broker/connection.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use async_io::{Async, Timer};
-use cedarpulley_amqp::frames::Reader;
+use cedarpulley_amqp::frames::FrameReader;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use serde_json::json;
 
@@ -36,7 +36,7 @@
 
     async fn read(&self, id: ConnectionId, mut stream: &Async<TcpStream>) {
         let mut buffer = vec![0; READ_BUFFER];
-        let mut reader = Reader::new(FRAME_MAX);
+        let mut reader = FrameReader::new(FRAME_MAX);
         let mut header = Vec::new();
         while let Ok(length) = stream.read(&mut buffer).await {
             if length == 0 {
--- a/crates/emulators/src/broker/protocol.rs
+++ b/crates/emulators/src/broker/protocol.rs
@@ -1,7 +1,7 @@
 //! What peers ask of the broker: AMQP methods and content frames, carried out on its state.
 
-use cedarpulley_amqp::Fault;
-use cedarpulley_amqp::frames::{AMQPFrame, Reader};
+use cedarpulley_amqp::ConnectionError;
+use cedarpulley_amqp::frames::{AMQPFrame, FrameReader};
 use cedarpulley_amqp::protocol::basic;
 use cedarpulley_amqp::protocol::{AMQPClass, channel, connection, queue, tx};
 use cedarpulley_amqp::types::{FieldTable, LongString};
@@ -37,8 +37,8 @@
     pub(super) fn handle_frames(
         &mut self,
         id: ConnectionId,
-        reader: &mut Reader,
-    ) -> Result<(), Fault> {
+        reader: &mut FrameReader,
+    ) -> Result<(), ConnectionError> {
         while let Some(frame) = reader.next_frame()? {
             match frame {
                 AMQPFrame::Method(0, AMQPClass::Connection(method)) => {
@@ -58,7 +58,7 @@
                     self.finish_publication(id);
                 }
                 AMQPFrame::Heartbeat => {}
-                _ => return Err(Fault::new(505, "an unexpected frame")),
+                _ => return Err(ConnectionError::new(505, "an unexpected frame")),
             }
         }
         self.deliver_ready();
@@ -73,7 +73,7 @@
         &mut self,
         id: ConnectionId,
         method: connection::AMQPMethod,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ConnectionError> {
         use connection::AMQPMethod as M;
         let Some(connection) = self.connection(id) else {
             return Ok(());
@@ -90,15 +90,19 @@
                 connection.closing = true;
                 M::CloseOk(connection::CloseOk {})
             }
-            M::CloseOk(_) => return Err(Fault::new(200, "closed")),
-            _ => return Err(Fault::new(503, "not known here")),
+            M::CloseOk(_) => return Err(ConnectionError::new(200, "closed")),
+            _ => return Err(ConnectionError::new(503, "not known here")),
         };
         connection.send_on_connection(AMQPClass::Connection(reply));
         connection.wake();
         Ok(())
     }
 
-    fn handle_channel_method(&mut self, id: ConnectionId, method: AMQPClass) -> Result<(), Fault> {
+    fn handle_channel_method(
+        &mut self,
+        id: ConnectionId,
+        method: AMQPClass,
+    ) -> Result<(), ConnectionError> {
         let Some(connection) = self.connection(id) else {
             return Ok(());
         };
@@ -131,7 +135,7 @@
                     return Ok(());
                 }
             }
-            _ => return Err(Fault::new(540, "not known here")),
+            _ => return Err(ConnectionError::new(540, "not known here")),
         }
         if let Some(connection) = self.connection(id) {
             connection.wake();
@@ -144,7 +148,7 @@
         &mut self,
         id: ConnectionId,
         method: basic::AMQPMethod,
-    ) -> Result<bool, Fault> {
+    ) -> Result<bool, ConnectionError> {
         use basic::AMQPMethod as M;
         let Some(connection) = self.connection(id) else {
             return Ok(true);
@@ -176,7 +180,7 @@
             M::Reject(reject) => channel
                 .pending
                 .push(PendingOperation::Reject(reject.delivery_tag)),
-            _ => return Err(Fault::new(540, "not known here")),
+            _ => return Err(ConnectionError::new(540, "not known here")),
         }
         Ok(true)
     }
--- a/crates/emulators/src/broker/state.rs
+++ b/crates/emulators/src/broker/state.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use cedarpulley_amqp::frames::{write, write_message, write_method};
-use cedarpulley_amqp::meaning;
 use cedarpulley_amqp::protocol::basic::{self, AMQPProperties};
 use cedarpulley_amqp::protocol::{AMQPClass, channel, tx};
+use cedarpulley_amqp::trigger;
 use cedarpulley_amqp::types::ShortString;
 use serde_json::json;
 
@@ -274,7 +274,7 @@
         } = publication;
         let header = |key: &str| {
             let table = properties.headers().as_ref()?;
-            meaning::text(table.inner().get(key)?).map(str::to_owned)
+            trigger::text(table.inner().get(key)?).map(str::to_owned)
         };
         let timeout_us = text(properties.expiration())
             .parse::<i64>()
@@ -284,8 +284,8 @@
             "published",
             json!({
                 "queue": name, "id": correlation_id(&properties), "from": from, "type": text(properties.kind()),
-                "account": text(properties.app_id()), "function": header(meaning::FUNCTION),
-                "timeout": timeout_us, "fate": header(meaning::FATE), "reason": header(meaning::REASON),
+                "account": text(properties.app_id()), "function": header(trigger::FUNCTION),
+                "timeout": timeout_us, "fate": header(trigger::OUTCOME), "reason": header(trigger::REASON),
                 "reply_to": text(properties.reply_to()),
             }),
         );
--- a/crates/emulators/src/endpoint_list.rs
+++ b/crates/emulators/src/endpoint_list.rs
@@ -15,7 +15,7 @@
 use serde_json::{Value, json};
 
 use crate::http::{Body, Partition, Server, full};
-use crate::{Ground, Log, lock};
+use crate::{Host, Log, lock};
 
 /// Without changes a watcher gets a bookmark this often.
 const BOOKMARK_INTERVAL: Duration = Duration::from_secs(4);
@@ -27,7 +27,7 @@
 
 /// One worker as the list publishes it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct EndpointRecord {
     /// Where the worker listens.
     pub address: SocketAddr,
     /// The zone it is in.
@@ -70,7 +70,7 @@
 
 struct PublishedRow {
     version: u64,
-    row: Row,
+    row: EndpointRecord,
 }
 
 struct State {
@@ -86,7 +86,7 @@
 type AddressSeen = Arc<dyn Fn(IpAddr, SocketAddr) -> SocketAddr + Send + Sync>;
 
 /// An emulated worker list.
-pub struct List {
+pub struct EndpointList {
     /// The server that it listens with.
     pub server: Server,
     shared: Shared,
@@ -99,7 +99,7 @@
     state: Arc<Mutex<State>>,
 }
 
-fn endpoint_slice(name: &str, version: u64, row: &Row) -> Value {
+fn endpoint_slice(name: &str, version: u64, row: &EndpointRecord) -> Value {
     json!({
         "metadata": {
             "name": name, "resourceVersion": version.to_string(),
@@ -119,12 +119,12 @@
     })
 }
 
-impl List {
+impl EndpointList {
     /// Starts an empty list.
     ///
     /// # Errors
     /// When its log cannot be created or its address cannot be bound.
-    pub fn start(host: &Ground, name: &str, address: SocketAddr) -> std::io::Result<List> {
+    pub fn start(host: &Host, name: &str, address: SocketAddr) -> std::io::Result<EndpointList> {
         let state = State {
             version: FIRST_VERSION,
             rows: BTreeMap::new(),
@@ -142,11 +142,11 @@
             async move { list.answer(from.ip(), &request) }
         };
         let server = Server::start(host, address, Partition::default(), handle)?;
-        Ok(List { server, shared })
+        Ok(EndpointList { server, shared })
     }
 
     /// Publishes a worker, new or changed.
-    pub fn put(&self, name: &str, row: Row) {
+    pub fn publish(&self, name: &str, row: EndpointRecord) {
         let mut state = lock(&self.shared.state);
         state.version += 1;
         let version = state.version;
@@ -169,12 +169,12 @@
     }
 
     /// Watchers get changes with this delay.
-    pub fn late(&self, late: Duration) {
+    pub fn set_delay(&self, late: Duration) {
         lock(&self.shared.state).delay = late;
     }
 
     /// Watchers see workers under other addresses than the workers' own, which the log keeps naming.
-    pub fn seen_as(
+    pub fn set_addresses_seen(
         &self,
         address: impl Fn(IpAddr, SocketAddr) -> SocketAddr + Send + Sync + 'static,
     ) {
--- a/crates/emulators/src/http.rs
+++ b/crates/emulators/src/http.rs
@@ -22,7 +22,7 @@
 use hyper::{Request, Response, StatusCode};
 use smol_hyper::rt::FuturesIo;
 
-use crate::{Ground, lock, unix_time_us, zone_of};
+use crate::{Host, lock, unix_time_us, zone_of};
 
 /// Body of an answer.
 pub type Body = BoxBody<Bytes, Infallible>;
@@ -166,7 +166,7 @@
     /// # Errors
     /// When the address cannot be bound.
     pub fn start<F, R>(
-        host: &Ground,
+        host: &Host,
         address: SocketAddr,
         partition: Partition,
         handle: F,
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -2,7 +2,7 @@
 //! its sockets to a log before it acts on it, and has faults that can be set while it runs. They listen on loopback
 //! only and are never part of a router.
 //!
-//! [`Ground`] runs them: an executor over a few threads, and the folder of their logs.
+//! [`Host`] runs them: an executor over a few threads, and the folder of their logs.
 
 #![warn(missing_docs)]
 
@@ -12,9 +12,6 @@
 pub mod store;
 pub mod worker;
 
-#[doc(hidden)]
-pub use endpoint_list as list;
-
 use std::fs::File;
 use std::io::{BufWriter, Write};
 use std::net::IpAddr;
@@ -40,13 +37,13 @@
 
 /// What emulators run on: threads of one executor, and the folder that their logs go to.
 #[derive(Clone)]
-pub struct Ground {
+pub struct Host {
     /// Runs the tasks of all emulators.
     pub executor: Arc<Executor<'static>>,
     logs: Option<PathBuf>,
 }
 
-impl Ground {
+impl Host {
     /// Starts the threads. Logs go into the folder, if one is given; without it nothing is logged.
     ///
     /// # Errors
@@ -62,7 +59,7 @@
         if let Some(folder) = logs {
             std::fs::create_dir_all(folder)?;
         }
-        Ok(Ground {
+        Ok(Host {
             executor,
             logs: logs.map(Path::to_owned),
         })
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 use crate::http::{Body, Partition, Server, full};
-use crate::{Ground, Log, lock};
+use crate::{Host, Log, lock};
 
 /// The body of each answer: the time stands for the size, as sending all bytes would only use processor time.
 const BODY_LENGTH: usize = 1024;
@@ -20,13 +20,13 @@
 
 /// Speed and limits of a store.
 #[derive(Clone, Copy, Debug)]
-pub struct Nature {
+pub struct StoreProfile {
     /// Rate of a single fetch.
     pub mb_per_s: f64,
     /// More concurrent fetches than this share the rate that these would get.
-    pub abreast: usize,
+    pub full_rate_fetches: usize,
     /// Concurrent fetches beyond this are rejected.
-    pub most: usize,
+    pub max_fetches: usize,
 }
 
 /// An emulated store.
@@ -40,7 +40,7 @@
 
 /// What the store's handle and its requests share.
 struct Shared {
-    profile: Nature,
+    profile: StoreProfile,
     log: Log,
     slowdown: Mutex<f64>,
     concurrent: AtomicUsize,
@@ -53,10 +53,10 @@
     /// # Errors
     /// When its log cannot be created or its address cannot be bound.
     pub fn start(
-        host: &Ground,
+        host: &Host,
         name: &str,
         address: SocketAddr,
-        profile: Nature,
+        profile: StoreProfile,
     ) -> std::io::Result<Store> {
         let fetches = Arc::new(AtomicU64::new(0));
         let shared = Arc::new(Shared {
@@ -80,7 +80,7 @@
     }
 
     /// Fetches take this many times as long.
-    pub fn slow(&self, times: f64) {
+    pub fn set_slowdown(&self, times: f64) {
         *lock(&self.shared.slowdown) = times;
     }
 
@@ -99,7 +99,7 @@
             .query()
             .and_then(|query| query.strip_prefix("mb=")?.parse().ok())
             .unwrap_or(1.0);
-        let rejected = concurrent > self.profile.most;
+        let rejected = concurrent > self.profile.max_fetches;
         let path = request.uri().path().to_owned();
         self.log.write(
             "fetch",
@@ -107,7 +107,7 @@
         );
         if !rejected {
             self.fetches.fetch_add(1, Ordering::SeqCst);
-            let share = (concurrent as f64 / self.profile.abreast as f64).max(1.0);
+            let share = (concurrent as f64 / self.profile.full_rate_fetches as f64).max(1.0);
             self.wait_seconds(mb / self.profile.mb_per_s * share).await;
         }
         self.concurrent.fetch_sub(1, Ordering::SeqCst);
--- a/crates/emulators/src/worker.rs
+++ b/crates/emulators/src/worker.rs
@@ -28,9 +28,9 @@
 mod routes;
 mod usage;
 
-pub use idempotency::Memory;
-pub use index::{Held, Orderer};
-pub use injected_faults::Lies;
+pub use idempotency::IdempotencyStore;
+pub use index::{LoadedFunctionInfo, Orderer};
+pub use injected_faults::FalseReport;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
 use self::incarnation::Incarnation;
 use self::injected_faults::InjectedFaults;
 use crate::http::{Partition, Server};
-use crate::{Ground, Log, lock, unix_time_us};
+use crate::{Host, Log, lock, unix_time_us};
 
 /// Running invocations are advanced, and waiting conditions polled, in steps of this length.
 const STEP: Duration = Duration::from_millis(10);
@@ -52,24 +52,24 @@
 
 /// What invocations of one trigger type are like.
 #[derive(Clone, Debug)]
-pub struct Program {
+pub struct InvocationProfile {
     /// Mean processor time of an invocation.
-    pub work: Duration,
+    pub mean_work: Duration,
     /// Memory of one loaded copy, in MB.
     pub copy_mb: f64,
     /// Time from the end of the fetch until the copy is ready.
-    pub start_up: Duration,
+    pub start_up_time: Duration,
     /// Invocations that a copy runs at once.
     pub lanes: usize,
     /// For invocations with an idempotency key: how long repeats are not executed again.
-    pub window: Option<Duration>,
+    pub idempotency_window: Option<Duration>,
     /// Additional work of an invocation that does not find its sequence's cached prefix.
-    pub prefix: Duration,
+    pub prefix_rebuild_work: Duration,
 }
 
 /// Capacity and limits of a worker.
 #[derive(Clone, Debug)]
-pub struct Nature {
+pub struct WorkerProfile {
     /// Cores shared among the running invocations.
     pub cores: f64,
     /// Memory for loaded functions, in MB.
@@ -90,10 +90,10 @@
     pub overload_window: Duration,
 }
 
-impl Nature {
+impl WorkerProfile {
     /// A worker that has memory for everything and no slow start.
-    pub fn roomy(cores: f64) -> Self {
-        Nature {
+    pub fn unlimited(cores: f64) -> Self {
+        WorkerProfile {
             cores,
             memory_mb: 1e6,
             max_waiting: 100_000,
@@ -136,13 +136,13 @@
 /// What the worker's handle and its request handlers share.
 struct WorkerShared {
     name: String,
-    host: Ground,
+    host: Host,
     log: Log,
     seed: u64,
-    profile: Nature,
+    profile: WorkerProfile,
     store: SocketAddr,
-    programs: HashMap<String, Program>,
-    idempotency: Memory,
+    programs: HashMap<String, InvocationProfile>,
+    idempotency: IdempotencyStore,
     partition: Partition,
     faults: Mutex<WorkerFaults>,
     injected: Mutex<InjectedFaults>,
@@ -192,14 +192,14 @@
         reason = "callers outside this package name them in this order"
     )]
     pub fn start(
-        host: &Ground,
+        host: &Host,
         name: &str,
         address: SocketAddr,
         seed: u64,
-        profile: Nature,
+        profile: WorkerProfile,
         store: SocketAddr,
-        programs: HashMap<String, Program>,
-        idempotency: Memory,
+        programs: HashMap<String, InvocationProfile>,
+        idempotency: IdempotencyStore,
     ) -> std::io::Result<Worker> {
         let shared = Arc::new(WorkerShared {
             name: name.to_owned(),
@@ -251,7 +251,7 @@
     ///
     /// # Errors
     /// When the address cannot be bound within ten seconds.
-    pub fn start_again(&self) -> std::io::Result<()> {
+    pub fn restart(&self) -> std::io::Result<()> {
         let deadline = Instant::now() + LISTENER_CLOSE_TIMEOUT;
         // Symptom: `AddrInUse` just after a crash, as the executor has yet to drop the listener.
         loop {
@@ -277,22 +277,22 @@
     }
 
     /// While on, invocations are accepted and executed, and none is answered.
-    pub fn hang(&self, on: bool) {
+    pub fn set_hanging(&self, on: bool) {
         lock(&self.shared.faults).hanging = on;
     }
 
     /// While on, running invocations do not advance.
-    pub fn pause(&self, on: bool) {
+    pub fn set_paused(&self, on: bool) {
         lock(&self.shared.faults).paused = on;
     }
 
     /// Invocations take this many times as long.
-    pub fn slow(&self, times: f64) {
+    pub fn set_slowdown(&self, times: f64) {
         lock(&self.shared.faults).slowdown = times;
     }
 
     /// Invocations of this trigger type are executed and not answered.
-    pub fn mute(&self, kind: Option<&str>) {
+    pub fn stop_answering(&self, kind: Option<&str>) {
         lock(&self.shared.faults).unanswered_type = kind.map(str::to_owned);
     }
 
@@ -302,12 +302,12 @@
     }
 
     /// Partitions it from these zones, a bit each.
-    pub fn cut(&self, zones: u64) {
+    pub fn partition_from(&self, zones: u64) {
         self.shared.partition.set(zones);
     }
 
     /// Evicts all idle functions.
-    pub fn flush_copies(&self) {
+    pub fn evict_all_idle(&self) {
         self.shared
             .remove_idle("evicted", |_| true, &json!({"why": "flush"}));
     }
--- a/crates/emulators/src/worker/idempotency.rs
+++ b/crates/emulators/src/worker/idempotency.rs
@@ -24,7 +24,7 @@
 
 /// Idempotency keys shared by a group of workers.
 #[derive(Clone, Default)]
-pub struct Memory(Arc<Mutex<HashMap<String, KeyRecord>>>);
+pub struct IdempotencyStore(Arc<Mutex<HashMap<String, KeyRecord>>>);
 
 /// What is known of a key.
 pub(super) enum KeyStatus {
@@ -33,7 +33,7 @@
     Answered(StoredAnswer),
 }
 
-impl Memory {
+impl IdempotencyStore {
     /// Records a key from now on; none if it is known already.
     pub(super) fn reserve(&self, key: &str, window: Duration) -> Option<KeyReservation> {
         let mut keys = lock(&self.0);
@@ -72,7 +72,7 @@
 
 /// A recorded key whose invocation has not begun: forgotten if it is dropped before, as nothing was executed.
 pub(super) struct KeyReservation {
-    keys: Memory,
+    keys: IdempotencyStore,
     key: String,
     executed: bool,
 }
--- a/crates/emulators/src/worker/incarnation.rs
+++ b/crates/emulators/src/worker/incarnation.rs
@@ -7,10 +7,10 @@
 use serde_json::json;
 use smol::lock::Semaphore;
 
-use super::index::{Held, Orderer};
+use super::index::{LoadedFunctionInfo, Orderer};
 use super::prefix_cache::{PrefixCache, PrefixMatch, Sequence};
 use super::usage::SharedTime;
-use super::{Nature, Program};
+use super::{InvocationProfile, WorkerProfile};
 use crate::Log;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -117,7 +117,7 @@
     }
 
     /// Share of the cores that it has by now: grows to 1 during slow start.
-    fn slow_start_progress(&self, profile: &Nature) -> f64 {
+    fn slow_start_progress(&self, profile: &WorkerProfile) -> f64 {
         if self.warm {
             return 1.0;
         }
@@ -126,18 +126,18 @@
     }
 
     /// Cores that a single running invocation gets, at most one.
-    pub(super) fn pace(&self, profile: &Nature) -> f64 {
+    pub(super) fn pace(&self, profile: &WorkerProfile) -> f64 {
         let cores = profile.cores * self.slow_start_progress(profile);
         (cores / self.running.max(1) as f64).min(1.0)
     }
 
     /// Share of the cores in use, as the load report says it.
-    pub(super) fn utilization(&self, profile: &Nature) -> f64 {
+    pub(super) fn utilization(&self, profile: &WorkerProfile) -> f64 {
         (self.running as f64 / profile.cores).min(1.0)
     }
 
     /// Records an arrival; true if it is one too many for a worker in slow start.
-    pub(super) fn overloaded_by(&mut self, work: Duration, profile: &Nature) -> bool {
+    pub(super) fn overloaded_by(&mut self, work: Duration, profile: &WorkerProfile) -> bool {
         let now = Instant::now();
         self.arrivals.push_back((now, work));
         while self
@@ -222,9 +222,9 @@
     pub(super) fn find_or_begin_load(
         &mut self,
         function: &str,
-        program: &Program,
+        program: &InvocationProfile,
         may_load: bool,
-        profile: &Nature,
+        profile: &WorkerProfile,
         log: &Log,
     ) -> Lookup {
         if let Some(found) = self.functions.get_mut(function) {
@@ -299,9 +299,9 @@
     pub(super) fn conclude_load(
         &mut self,
         function: &str,
-        program: &Program,
+        program: &InvocationProfile,
         fetched: bool,
-        profile: &Nature,
+        profile: &WorkerProfile,
     ) -> Option<(usize, Orderer)> {
         let loaded = self.functions.get_mut(function)?;
         loaded.state = LoadState::Ready;
@@ -345,8 +345,9 @@
     }
 
     /// The functions in memory, sorted by name.
-    pub(super) fn held(&self) -> Vec<Held> {
-        let mut all: Vec<Held> = self.functions.iter().map(|(n, f)| f.entry(n)).collect();
+    pub(super) fn held(&self) -> Vec<LoadedFunctionInfo> {
+        let mut all: Vec<LoadedFunctionInfo> =
+            self.functions.iter().map(|(n, f)| f.entry(n)).collect();
         all.sort_by(|a, b| a.function.cmp(&b.function));
         all
     }
@@ -379,8 +380,8 @@
 }
 
 impl LoadedFunction {
-    fn entry(&self, name: &str) -> Held {
-        Held {
+    fn entry(&self, name: &str) -> LoadedFunctionInfo {
+        LoadedFunctionInfo {
             function: name.to_owned(),
             state: match self.state {
                 LoadState::Loading => "LOADING",
@@ -393,7 +394,7 @@
             } else {
                 self.last_used.elapsed().as_micros() as u64
             },
-            by: self.ordered_by.clone(),
+            ordered_by: self.ordered_by.clone(),
             sequences: self.prefixes.ids(),
         }
     }
--- a/crates/emulators/src/worker/index.rs
+++ b/crates/emulators/src/worker/index.rs
@@ -40,7 +40,7 @@
 
 /// A function in memory, with its version.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct LoadedFunctionInfo {
     /// `NAME` or `NAME/versions/VERSION`.
     pub function: String,
     /// "READY" or "LOADING".
@@ -52,12 +52,12 @@
     /// Microseconds since its last use; 0 while it is busy.
     pub idle_us: u64,
     /// Who gave the last order for it.
-    pub by: Orderer,
+    pub ordered_by: Orderer,
     /// Sequences whose prefixes it caches.
     pub sequences: Vec<String>,
 }
 
-impl Held {
+impl LoadedFunctionInfo {
     fn entry(&self) -> Value {
         let (name, version) = match self.function.split_once(VERSIONS) {
             Some((name, version)) => (name, Some(version)),
@@ -72,7 +72,10 @@
         if let Some(version) = version {
             entry["version"] = version.into();
         }
-        for (key, value) in [("ordered_by", &self.by.router), ("term", &self.by.term)] {
+        for (key, value) in [
+            ("ordered_by", &self.ordered_by.router),
+            ("term", &self.ordered_by.term),
+        ] {
             if let Some(value) = value {
                 entry["parameters"][key] = value.as_str().into();
             }
@@ -83,14 +86,14 @@
 
 impl Worker {
     /// The functions it has in memory, sorted by name, read directly and not through its index.
-    pub fn held(&self) -> Vec<Held> {
+    pub fn loaded_functions(&self) -> Vec<LoadedFunctionInfo> {
         self.shared
             .with_incarnation(|incarnation| incarnation.held())
             .unwrap_or_default()
     }
 
     /// Id of its present process; 0 while there is none.
-    pub fn life(&self) -> u64 {
+    pub fn incarnation_id(&self) -> u64 {
         self.shared
             .with_incarnation(|incarnation| incarnation.id())
             .unwrap_or(0)
@@ -125,7 +128,7 @@
     let listed = held
         .iter()
         .filter(|h| query["ready"] != true || h.state == "READY");
-    let entries = worker.falsify_index(listed.map(Held::entry).collect());
+    let entries = worker.falsify_index(listed.map(LoadedFunctionInfo::entry).collect());
     worker
         .log
         .write("index", json!({"from": from, "entries": entries.len()}));
--- a/crates/emulators/src/worker/inference.rs
+++ b/crates/emulators/src/worker/inference.rs
@@ -26,7 +26,7 @@
 use super::prefix_cache::{self, PrefixMatch, Sequence};
 use super::routes::{header, reject};
 use super::usage::{ActiveUse, Usage, report};
-use super::{Program, STEP, WorkerShared};
+use super::{InvocationProfile, STEP, WorkerShared};
 use crate::http::{Body, full};
 use crate::lock;
 
@@ -79,7 +79,7 @@
 pub(super) struct Inference {
     pub(super) worker: Arc<WorkerShared>,
     pub(super) request: InferenceRequest,
-    program: Program,
+    program: InvocationProfile,
     work: Duration,
     pub(super) body: Bytes,
     sequence: Option<Sequence>,
@@ -105,7 +105,7 @@
     let request = InferenceRequest::new(&http_request, from.ip(), function);
     let program = worker.programs.get(&request.trigger_type).cloned();
     let work = program.as_ref().map_or(Duration::ZERO, |program| {
-        draw_work(worker.seed, &request.id, program.work)
+        draw_work(worker.seed, &request.id, program.mean_work)
     });
     request.log_received(&worker, work);
     let mut outcome = OutcomeLog {
@@ -166,7 +166,7 @@
         }
         let key_window = self
             .program
-            .window
+            .idempotency_window
             .filter(|_| !request.idempotency_key.is_empty());
         let mut reservation = None;
         if let Some(window) = key_window {
@@ -335,7 +335,7 @@
         // As it is when the work begins.
         let prefix = self.sequence.as_ref().and_then(|s| self.match_prefix(s));
         let rebuilding = if prefix == Some(PrefixMatch::Rebuilt) {
-            self.program.prefix
+            self.program.prefix_rebuild_work
         } else {
             Duration::ZERO
         };
--- a/crates/emulators/src/worker/injected_faults.rs
+++ b/crates/emulators/src/worker/injected_faults.rs
@@ -19,14 +19,14 @@
 }
 
 struct FalseIndex {
-    report: Lies,
+    report: FalseReport,
     /// Requests answered with it so far.
     requests: u64,
 }
 
 /// How the index is falsified: shares of its entries, drawn anew for each answer.
 #[derive(Clone, Debug, Default)]
-pub struct Lies {
+pub struct FalseReport {
     /// Of the draws.
     pub seed: u64,
     /// Share left out.
@@ -76,7 +76,7 @@
     /// Evicts up to this many idle functions, drawn by the seed; returns their names.
     pub fn evict_idle(&self, seed: u64, most: usize) -> Vec<String> {
         let idle = self
-            .held()
+            .loaded_functions()
             .into_iter()
             .filter(|h| h.busy == 0 && h.state == "READY");
         let idle: Vec<String> = idle.map(|h| h.function).collect();
@@ -89,7 +89,7 @@
     }
 
     /// A user of which no router knows comes or goes. False if the function is not ready here.
-    pub fn use_unseen(&self, function: &str, on: bool) -> bool {
+    pub fn set_unseen_user(&self, function: &str, on: bool) -> bool {
         self.shared
             .with_incarnation(|incarnation| incarnation.set_unseen_user(function, on))
             .unwrap_or(false)
@@ -102,7 +102,7 @@
     }
 
     /// Falsifies its index from now on, or no more.
-    pub fn lies(&self, lies: Option<Lies>) {
+    pub fn falsify_index(&self, lies: Option<FalseReport>) {
         lock(&self.shared.injected).false_index = lies.map(|report| FalseIndex {
             report,
             requests: 0,
@@ -111,7 +111,7 @@
 
     /// Functions whose names have this suffix fail, after their work, for this share of the invocations, and take
     /// this many times their work. With a share of 0 and a factor of 1 the fault is removed.
-    pub fn ail(&self, suffix: &str, failing_share: f64, slowdown: f64) {
+    pub fn set_version_fault(&self, suffix: &str, failing_share: f64, slowdown: f64) {
         let mut injected = lock(&self.shared.injected);
         injected.version_faults.retain(|f| f.suffix != suffix);
         if failing_share > 0.0 || slowdown != 1.0 {
--- a/crates/emulators/src/worker/orders.rs
+++ b/crates/emulators/src/worker/orders.rs
@@ -18,7 +18,7 @@
 use super::injected_faults::OrderKind;
 use super::routes::header;
 use super::usage::{Usage, report};
-use super::{Program, WorkerShared};
+use super::{InvocationProfile, WorkerShared};
 use crate::http::{Body, full};
 use crate::lock;
 
@@ -36,7 +36,12 @@
     }
 
     /// Finds a function to run on, or begins its load where that is allowed and there is capacity.
-    pub(super) fn place(&self, function: &str, program: &Program, may_load: bool) -> Placement {
+    pub(super) fn place(
+        &self,
+        function: &str,
+        program: &InvocationProfile,
+        may_load: bool,
+    ) -> Placement {
         self.with_incarnation(|incarnation| {
             let lookup = incarnation.find_or_begin_load(
                 function,
@@ -68,7 +73,7 @@
         self: &Arc<Self>,
         into: u64,
         function: &str,
-        program: &Program,
+        program: &InvocationProfile,
         usage: &Arc<Mutex<Usage>>,
     ) {
         let loading = self
@@ -82,14 +87,14 @@
         self: Arc<Self>,
         into: u64,
         function: String,
-        program: Program,
+        program: InvocationProfile,
         usage: Arc<Mutex<Usage>>,
     ) {
         let began = Instant::now();
         self.log.write("loading", json!({"function": function}));
         let fetched = fetch(self.store, &function, program.copy_mb).await;
         if fetched {
-            Timer::after(program.start_up).await;
+            Timer::after(program.start_up_time).await;
         }
         self.with_incarnation(|incarnation| {
             // Symptom: a load of a process that crashed made the next one's copy ready before it was loaded.
--- a/crates/emulators/src/worker/usage.rs
+++ b/crates/emulators/src/worker/usage.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 use super::incarnation::Incarnation;
-use super::{Program, WorkerShared};
+use super::{InvocationProfile, WorkerShared};
 use crate::http::Body;
 use crate::{Log, lock};
 
@@ -85,7 +85,7 @@
         invocation_id: &str,
         account: &str,
         function: &str,
-        program: &Program,
+        program: &InvocationProfile,
     ) -> Arc<Mutex<Usage>> {
         Arc::new(Mutex::new(Usage {
             worker: worker.clone(),
--- a/crates/emulators/tests/worker.rs
+++ b/crates/emulators/tests/worker.rs
@@ -5,9 +5,11 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use cedarpulley_emulators::Ground;
+use cedarpulley_emulators::Host;
 use cedarpulley_emulators::store::{self, Store};
-use cedarpulley_emulators::worker::{Lies, Memory, Nature, Program, Worker};
+use cedarpulley_emulators::worker::{
+    FalseReport, IdempotencyStore, InvocationProfile, Worker, WorkerProfile,
+};
 use serde_json::{Value, json};
 
 /// A worker with a store, which runs as long as this lives.
@@ -17,25 +19,25 @@
 }
 
 fn setup(copies: f64) -> Setup {
-    let host = Ground::new(2, None).expect("threads");
+    let host = Host::new(2, None).expect("threads");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let nature = store::Nature {
+    let nature = store::StoreProfile {
         mb_per_s: 1e6,
-        abreast: 8,
-        most: 64,
+        full_rate_fetches: 8,
+        max_fetches: 64,
     };
     let store = Store::start(&host, "store", any, nature).expect("a store");
-    let program = Program {
-        work: Duration::from_millis(1),
+    let program = InvocationProfile {
+        mean_work: Duration::from_millis(1),
         copy_mb: 10.0,
-        start_up: Duration::ZERO,
+        start_up_time: Duration::ZERO,
         lanes: 2,
-        window: None,
-        prefix: Duration::from_millis(1),
+        idempotency_window: None,
+        prefix_rebuild_work: Duration::from_millis(1),
     };
-    let nature = Nature {
+    let nature = WorkerProfile {
         memory_mb: copies * 10.0,
-        ..Nature::roomy(4.0)
+        ..WorkerProfile::unlimited(4.0)
     };
     let programs = HashMap::from([("chat".to_owned(), program)]);
     let store_address = store.server.address;
@@ -47,7 +49,7 @@
         nature,
         store_address,
         programs,
-        Memory::default(),
+        IdempotencyStore::default(),
     );
     Setup {
         worker: worker.expect("a worker"),
@@ -130,7 +132,11 @@
 }
 
 fn functions(worker: &Worker) -> Vec<String> {
-    worker.held().into_iter().map(|h| h.function).collect()
+    worker
+        .loaded_functions()
+        .into_iter()
+        .map(|h| h.function)
+        .collect()
 }
 
 #[test]
@@ -145,7 +151,10 @@
     );
     assert_eq!(order(worker, "chat%3A4", "load", &ordered_by[..1]), 200);
     let listed = index(worker);
-    assert_eq!(listed.header("cedarpulley-life"), worker.life().to_string());
+    assert_eq!(
+        listed.header("cedarpulley-life"),
+        worker.incarnation_id().to_string()
+    );
     assert_eq!(
         (
             listed.header("cedarpulley-memory-mb"),
@@ -176,15 +185,18 @@
     // A later order's router and term replace them.
     let other = [("cedarpulley-router", "r2"), ("cedarpulley-term", "8.0")];
     assert_eq!(order(worker, "chat%3A3/versions/2", "load", &other), 200);
-    assert_eq!(worker.held()[1].by.term.as_deref(), Some("8.0"));
+    assert_eq!(
+        worker.loaded_functions()[1].ordered_by.term.as_deref(),
+        Some("8.0")
+    );
     assert_eq!(order(worker, "chat%3A3/versions/1", "unload", &other), 200);
     assert_eq!(functions(worker), ["chat:3/versions/2", "chat:4"]);
 
     // A new process at the same address has nothing loaded.
-    let incarnation = worker.life();
+    let incarnation = worker.incarnation_id();
     worker.crash();
-    worker.start_again().expect("up");
-    assert!(functions(worker).is_empty() && worker.life() != incarnation);
+    worker.restart().expect("up");
+    assert!(functions(worker).is_empty() && worker.incarnation_id() != incarnation);
     assert_eq!(index(worker).body, json!([]));
 }
 
@@ -216,7 +228,7 @@
         "rebuilt"
     );
     assert_eq!(infer(worker, old, &[], &none).1, "");
-    assert_eq!(worker.held()[0].sequences, ["s1", "7"]);
+    assert_eq!(worker.loaded_functions()[0].sequences, ["s1", "7"]);
     // The sequence's end drops it, an eviction drops all.
     assert_eq!(
         infer(
@@ -228,7 +240,7 @@
         .1,
         "found"
     );
-    assert_eq!(worker.held()[0].sequences, ["s1"]);
+    assert_eq!(worker.loaded_functions()[0].sequences, ["s1"]);
     assert!(worker.evict("chat:1/versions/1"));
     assert_eq!(infer(worker, old, &[], &on).1, "rebuilt");
     assert_eq!(infer(worker, old, &[], &on).1, "found");
@@ -264,40 +276,40 @@
     let _ = ["chat%3A5", "chat%3A6", "chat%3A7"].map(load);
     assert_eq!(functions(worker).len(), 4);
 
-    let index_with = |report: Lies| {
-        worker.lies(Some(report));
+    let index_with = |report: FalseReport| {
+        worker.falsify_index(Some(report));
         index(worker).body.as_array().expect("entries").clone()
     };
     assert!(
-        index_with(Lies {
+        index_with(FalseReport {
             dropped: 1.0,
-            ..Lies::default()
+            ..FalseReport::default()
         })
         .is_empty()
     );
     assert_eq!(
-        index_with(Lies {
+        index_with(FalseReport {
             added: 1.0,
-            ..Lies::default()
+            ..FalseReport::default()
         })
         .len(),
         8
     );
     assert_eq!(
-        index_with(Lies {
+        index_with(FalseReport {
             contradicted: 1.0,
-            ..Lies::default()
+            ..FalseReport::default()
         })[1]["state"],
         "UNAVAILABLE"
     );
     assert_eq!(
-        index_with(Lies {
+        index_with(FalseReport {
             miscounted: 1.0,
-            ..Lies::default()
+            ..FalseReport::default()
         })[0]["parameters"]["copies"],
         2
     );
-    worker.lies(None);
+    worker.falsify_index(None);
     assert_eq!(index(worker).body.as_array().map(Vec::len), Some(4));
 }
 
@@ -305,7 +317,7 @@
 fn a_faulty_version_fails_for_its_share_and_the_other_does_not() {
     let setup = setup(4.0);
     let worker = &setup.worker;
-    worker.ail("/versions/2", 0.5, 1.0);
+    worker.set_version_fault("/versions/2", 0.5, 1.0);
     let failures = |version: u32| {
         let ids = (0..40).map(|n| format!("i{n}"));
         let path = format!("/v2/models/chat%3A1/versions/{version}/infer");
@@ -321,6 +333,6 @@
     let failed = failures(2);
     assert!((10..30).contains(&failed), "{failed} of 40");
     assert_eq!((failures(2), failures(1)), (failed, 0));
-    worker.ail("/versions/2", 0.0, 1.0);
+    worker.set_version_fault("/versions/2", 0.0, 1.0);
     assert_eq!(failures(2), 0);
 }
--- a/crates/fuzz/src/amqp.rs
+++ b/crates/fuzz/src/amqp.rs
@@ -1,7 +1,7 @@
 //! Readers of AMQP 0-9-1: what a broker sends, in pieces as they arrive.
 
 use cedarpulley_amqp::connection::Login;
-use cedarpulley_amqp::frames::Reader;
+use cedarpulley_amqp::frames::FrameReader;
 use cedarpulley_amqp::{Connection, Role};
 
 /// Makes a whole frame of most pieces, by their first two bytes, so that more is reached than the first check.
@@ -20,7 +20,7 @@
 
 /// The frames alone.
 pub fn amqp_frames(pieces: &[Vec<u8>]) {
-    let mut reader = Reader::new(8192);
+    let mut reader = FrameReader::new(8192);
     for piece in pieces {
         reader.feed(&framed(piece));
         loop {
@@ -41,9 +41,9 @@
         password: "p".into(),
         heartbeat_s: 4,
         name: "fuzz".into(),
-        most_body: 1_000,
+        max_body: 1_000,
     };
-    let role = Role::Answers {
+    let role = Role::Responder {
         queue: "q".into(),
         prefetch: 5,
     };
--- a/crates/fuzz/src/kserve.rs
+++ b/crates/fuzz/src/kserve.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use cedarpulley_kserve::grpc::inference::{ModelInferRequest, ModelInferResponse};
-use cedarpulley_kserve::tensors::{Rest, request, response};
+use cedarpulley_kserve::tensors::{InferenceBody, decode_response, encode_request};
 use cedarpulley_kserve::{client_requests, grpc, repository_index};
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use prost::Message;
@@ -16,9 +16,9 @@
 pub fn infer_response(bytes: &[u8], json_length: Option<u16>) {
     let bytes = Bytes::copy_from_slice(bytes);
     let size = bytes.len();
-    if let Ok(message) = response(&Rest {
+    if let Ok(message) = decode_response(&InferenceBody {
         bytes,
-        json: json_length.map(u32::from),
+        json_length: json_length.map(u32::from),
     }) {
         let raw: usize = message.raw_output_contents.iter().map(Bytes::len).sum();
         assert!(raw <= MAX_RAW_GROWTH * size, "{raw} raw bytes from {size}");
@@ -27,7 +27,7 @@
 
 /// A worker's index. No more is retained than was received.
 pub fn worker_index(bytes: &[u8]) {
-    if let Ok(index) = repository_index::of(200, &HeaderMap::new(), bytes) {
+    if let Ok(index) = repository_index::parse(200, &HeaderMap::new(), bytes) {
         let retained: usize = index
             .models
             .iter()
@@ -45,11 +45,11 @@
     let Ok(message) = grpc::unframe(Bytes::copy_from_slice(bytes)) else {
         return;
     };
-    let stated_length = bytes[1..grpc::FRAME]
+    let stated_length = bytes[1..grpc::FRAME_HEADER_BYTES]
         .iter()
         .fold(0, |length, byte| length << 8 | usize::from(*byte));
     assert_eq!(
-        (message.len(), message.len() + grpc::FRAME),
+        (message.len(), message.len() + grpc::FRAME_HEADER_BYTES),
         (stated_length, bytes.len())
     );
     grpc_message(&message);
@@ -60,8 +60,10 @@
     let Ok(message) = ModelInferRequest::decode(bytes) else {
         return;
     };
-    if let Ok(body) = request(&message) {
-        let json_length = body.json.map_or(body.bytes.len(), |length| length as usize);
+    if let Ok(body) = encode_request(&message) {
+        let json_length = body
+            .json_length
+            .map_or(body.bytes.len(), |length| length as usize);
         assert_eq!(body.bytes[..json_length].first(), Some(&b'{'));
         let raw: usize = message.raw_input_contents.iter().map(Bytes::len).sum();
         assert_eq!(body.bytes.len() - json_length, raw);
@@ -81,7 +83,7 @@
         "idempotency-key",
         "grpc-timeout",
     ];
-    let _ = client_requests::asked(&Method::POST, path);
+    let _ = client_requests::parse_path(&Method::POST, path);
     let mut map = HeaderMap::new();
     for (number, value) in headers {
         if let Ok(value) = HeaderValue::from_bytes(value) {
@@ -89,7 +91,7 @@
             map.insert(HeaderName::from_static(name), value);
         }
     }
-    if let Ok(read) = client_requests::wanted(&map, 1_000_000) {
+    if let Ok(read) = client_requests::parse_infer_headers(&map, 1_000_000) {
         assert!(
             read.lanes >= 1
                 && read.waited >= 0
--- a/crates/fuzz/src/platform.rs
+++ b/crates/fuzz/src/platform.rs
@@ -1,8 +1,10 @@
 //! Readers of the platform's protocols.
 
-use cedarpulley_platform::client_protocol::{MOST_BODY, RequestQueue, RequestRules, TriggerRules};
+use cedarpulley_platform::client_protocol::{
+    MAX_BODY_BYTES, RequestQueue, RequestRules, TriggerRules,
+};
 use cedarpulley_platform::config::{self, Names};
-use cedarpulley_platform::discovery::{Answers, WorkerListFollower};
+use cedarpulley_platform::discovery::{ResponseReader, WorkerListFollower};
 use cedarpulley_platform::worker_protocol::AnswerReader;
 
 /// What a client sends, in pieces. Nothing is read after a request that is malformed, and what is retained is bounded
@@ -14,19 +16,19 @@
         ..Names::default()
     };
     let triggers = vec![TriggerRules {
-        longest_wait: 1_000_000,
-        needs_token: false,
+        max_client_timeout: 1_000_000,
+        needs_idempotency_key: false,
     }];
     let rules = RequestRules {
         names,
         triggers,
-        largest_mb: 1e3,
+        largest_machine_mb: 1e3,
     };
     let mut queue = RequestQueue::default();
     for piece in pieces.iter().take_while(|piece| piece.len() < 1 << 16) {
         queue.put(0, piece, &rules);
         // Those that are queued, and one that is being received, with its chunks or its head.
-        assert!(queue.bytes() <= 4 * MOST_BODY + piece.len());
+        assert!(queue.bytes() <= 4 * MAX_BODY_BYTES + piece.len());
     }
     let mut ended = false;
     while let Some(next) = queue.take() {
@@ -50,17 +52,17 @@
 
 /// What the command channel sends, and a configuration. A batch that was applied changes nothing when applied again.
 pub fn platform_channel(bytes: &[u8]) {
-    let mut answers = Answers::default();
+    let mut answers = ResponseReader::default();
     answers.put(bytes);
     let (mut follower, names) = (WorkerListFollower::default(), Names::default());
-    while let Ok(Some(batch)) = answers.whole() {
-        if follower.batch(&batch, &names, 0, 0).is_ok() {
+    while let Ok(Some(batch)) = answers.next_batch() {
+        if follower.apply_batch(&batch, &names, 0, 0).is_ok() {
             assert!(
                 follower
-                    .batch(&batch, &names, 0, 0)
+                    .apply_batch(&batch, &names, 0, 0)
                     .is_ok_and(|repeated| repeated.is_empty())
             );
         }
     }
-    let _ = config::Start::read(&String::from_utf8_lossy(bytes));
+    let _ = config::StartupConfig::parse(&String::from_utf8_lossy(bytes));
 }
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -14,14 +14,16 @@
 use cedarpulley::interface::{
     Action, DispatchOutcome, EndpointListKind, EndpointState, Event, InvocationIndex, Micros,
 };
-use cedarpulley_kserve::serving;
-use cedarpulley_net::Alarm;
+use cedarpulley_kserve::client_requests;
+use cedarpulley_net::DeadlineTimer;
 use cedarpulley_replica as replica;
-use cedarpulley_router::admission::FrontState;
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::roster::Listed;
-use cedarpulley_router::watch::{By, Given, Names, Used, Watch};
-use cedarpulley_router::{Delivery, Fate, FrontIndex, Input, Reason, Taken};
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::concurrency_limit::FrontState;
+use cedarpulley_router::endpoint_list::ListedWorker;
+use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, UsageSource, WorkerUsage};
+use cedarpulley_router::{
+    AnswerReason, Delivery, FinalOutcome, FrontIndex, IncomingInvocation, Input,
+};
 use cedarpulley_upgrade::sessions::{self, Placed, Refused, Sessions};
 use cedarpulley_upgrade::{Name, function};
 use serde_json::{Value, json};
@@ -40,19 +42,19 @@
     forward_to_core: Box<dyn Fn(Input)>,
     sessions: RefCell<Sessions>,
     /// Waiting requests by ticket, each with the time since when it waits.
-    waiting: RefCell<HashMap<u64, (Taken, Micros)>>,
+    waiting: RefCell<HashMap<u64, (IncomingInvocation, Micros)>>,
     next_ticket: Cell<u64>,
     draws: Cell<u64>,
     /// Completions recorded while the core was running.
     completed: RefCell<VecDeque<sessions::Input>>,
-    workers: Rc<RefCell<BTreeMap<Name, Listed>>>,
+    workers: Rc<RefCell<BTreeMap<Name, ListedWorker>>>,
     /// From a worker's local name to the id that all members know it by, and back: routers may reach a worker
     /// at different addresses.
     worker_ids: RefCell<Option<(WorkerNameLookup, WorkerNameLookup)>>,
     /// Whether this router has recently used copies of a function at a worker that still exist as far as is
     /// known.
     recently_used: RefCell<Option<RecentUseCheck>>,
-    alarm: Alarm,
+    alarm: DeadlineTimer,
 }
 
 /// Called with the worker's local name and the function.
@@ -95,7 +97,7 @@
             workers: Rc::default(),
             worker_ids: RefCell::default(),
             recently_used: RefCell::default(),
-            alarm: Alarm::default(),
+            alarm: DeadlineTimer::default(),
         });
         if let Some(shared) = &admission.shared {
             let admission = Rc::downgrade(&admission);
@@ -142,17 +144,20 @@
     /// The input to hand to the core now, if any; a request that has to wait is forwarded later.
     pub fn filter(&self, input: Input) -> Option<Input> {
         match &input {
-            Input::Departed(delivery) => self.drop_waiting(|d| d == *delivery),
-            Input::Front {
+            Input::ClientLeft(delivery) => self.drop_waiting(|d| d == *delivery),
+            Input::FrontChanged {
                 front,
                 state: FrontState::Down,
             } => self.drop_waiting(|d| d.front == *front),
-            Input::List { mode, workers } => self.update_workers(*mode, workers),
-            Input::Taken(taken) if taken.refused.is_none() => {
-                let Input::Taken(taken) = input else {
+            Input::EndpointList {
+                kind: mode,
+                workers,
+            } => self.update_workers(*mode, workers),
+            Input::MessageArrived(taken) if taken.predetermined_answer.is_none() => {
+                let Input::MessageArrived(taken) = input else {
                     return None;
                 };
-                return self.admit(taken).map(Input::Taken);
+                return self.admit(taken).map(Input::MessageArrived);
             }
             _ => {}
         }
@@ -160,7 +165,7 @@
     }
 
     /// To be registered with the core, which reports the completions of dispatches.
-    pub fn observer(self: &Rc<Self>) -> Box<dyn Watch> {
+    pub fn observer(self: &Rc<Self>) -> Box<dyn RouterObserver> {
         Box::new(CoreObserver(self.clone()))
     }
 
@@ -184,7 +189,7 @@
 
     /// A worker has lost the cached prefixes of these sessions.
     pub fn prefix_lost(&self, worker: &str, of: &str, sessions: &[Arc<str>]) {
-        let model = Name::from(serving::model(of).0);
+        let model = Name::from(client_requests::split_version(of).0);
         for session in sessions {
             let (model, worker, session) = (model.clone(), self.id(worker), session.clone());
             self.apply(sessions::Input::Lost {
@@ -198,7 +203,7 @@
     /// Refuses requests that have waited too long, for as long as the router runs.
     pub async fn run(self: Rc<Self>) {
         loop {
-            self.alarm.rings(&self.context.clock).await;
+            self.alarm.elapsed(&self.context.clock).await;
             self.apply(sessions::Input::Tick);
         }
     }
@@ -214,16 +219,20 @@
     }
 
     /// Random, or derived from the identity of a request, so that a retry goes where the first attempt went.
-    fn draw(&self, taken: &Taken) -> u64 {
-        if let Some(together) = taken.token.as_deref().or(taken.identity.as_deref()) {
+    fn draw(&self, taken: &IncomingInvocation) -> u64 {
+        if let Some(together) = taken
+            .idempotency_key
+            .as_deref()
+            .or(taken.identity.as_deref())
+        {
             return hash_of((taken.account, together));
         }
         self.draws.set(self.draws.get() + 1);
         hash_of((self.context.seed, self.draws.get()))
     }
 
-    fn admit(&self, mut taken: Taken) -> Option<Taken> {
-        let (model, version) = serving::model(&taken.function);
+    fn admit(&self, mut taken: IncomingInvocation) -> Option<IncomingInvocation> {
+        let (model, version) = client_requests::split_version(&taken.function);
         // A client that names a version gets that one.
         let upgrades = self.upgrades.as_ref().filter(|_| version.is_empty());
         if let Some(upgrades) = upgrades {
@@ -231,13 +240,14 @@
         }
         let Some(session) = &taken.session else {
             if let Some(way) = upgrades.and_then(|u| u.route(model, || self.draw(&taken))) {
-                taken.named = Some(std::mem::replace(&mut taken.function, way));
+                taken.requested_function = Some(std::mem::replace(&mut taken.function, way));
             }
             return Some(taken);
         };
         let ticket = self.next_ticket.get();
         self.next_ticket.set(ticket + 1);
-        let proposes = upgrades.map(|u| u.propose_version(model, self.draw(&taken), session.start));
+        let proposes =
+            upgrades.map(|u| u.propose_version(model, self.draw(&taken), session.is_first));
         let place_key = sessions::place_key(model, &session.id);
         let placed = self
             .shared
@@ -267,7 +277,7 @@
             sessions.handle(now, input, &mut out);
             sessions.next_due()
         };
-        self.alarm.set(due);
+        self.alarm.set_deadline(due);
         for output in out {
             match output {
                 sessions::Output::Choose { key, version, kept } => {
@@ -285,8 +295,8 @@
                 }
                 sessions::Output::Refused { ticket, why } => {
                     let reason = match why {
-                        Refused::NoMajority => Reason::NoMajority,
-                        Refused::Full => Reason::Size,
+                        Refused::NoMajority => AnswerReason::NoMajority,
+                        Refused::Full => AnswerReason::Size,
                     };
                     self.reject(ticket, reason);
                 }
@@ -308,7 +318,7 @@
         self.apply(sessions::Input::Decided { key, version });
     }
 
-    fn release(&self, ticket: u64) -> Option<Taken> {
+    fn release(&self, ticket: u64) -> Option<IncomingInvocation> {
         let (mut taken, since) = self.waiting.borrow_mut().remove(&ticket)?;
         taken.waited = taken
             .waited
@@ -320,7 +330,7 @@
         let Some(mut taken) = self.release(ticket) else {
             return;
         };
-        taken.prefers = prefers.and_then(|id| self.worker(id));
+        taken.preferred_worker = prefers.and_then(|id| self.worker(id));
         if let Some(version) = version {
             let model = taken.function.clone();
             if self
@@ -328,9 +338,10 @@
                 .as_ref()
                 .is_some_and(|u| u.sessions_ended(&model, &version))
             {
-                taken.refused = Some((Fate::Errored, Reason::SessionOver));
+                taken.predetermined_answer =
+                    Some((FinalOutcome::Errored, AnswerReason::SessionOver));
             }
-            taken.named = Some(std::mem::replace(
+            taken.requested_function = Some(std::mem::replace(
                 &mut taken.function,
                 function(&model, &version),
             ));
@@ -344,28 +355,28 @@
                 .as_ref()
                 .is_some_and(|used| used(worker, &taken.function))
         };
-        if let Some(worker) = taken.prefers.clone().filter(|w| anew || used(w)) {
-            (self.forward_to_core)(Input::Held {
+        if let Some(worker) = taken.preferred_worker.clone().filter(|w| anew || used(w)) {
+            (self.forward_to_core)(Input::CopiesReported {
                 worker,
                 function: taken.function.clone(),
                 copies: 1,
             });
         }
-        (self.forward_to_core)(Input::Taken(taken));
+        (self.forward_to_core)(Input::MessageArrived(taken));
     }
 
     /// Nothing has been sent from here; for a redelivered message that is not known of its earlier delivery.
-    fn reject(&self, ticket: u64, reason: Reason) {
+    fn reject(&self, ticket: u64, reason: AnswerReason) {
         let Some(mut taken) = self.release(ticket) else {
             return;
         };
         let fate = if taken.redelivered {
-            Fate::Errored
+            FinalOutcome::Errored
         } else {
-            Fate::Throttled
+            FinalOutcome::Throttled
         };
-        taken.refused = Some((fate, reason));
-        (self.forward_to_core)(Input::Taken(taken));
+        taken.predetermined_answer = Some((fate, reason));
+        (self.forward_to_core)(Input::MessageArrived(taken));
     }
 
     /// Guards against taking a message twice: when a front is lost, its messages that wait here will be
@@ -387,7 +398,7 @@
         }
     }
 
-    fn update_workers(&self, mode: EndpointListKind, workers: &[Listed]) {
+    fn update_workers(&self, mode: EndpointListKind, workers: &[ListedWorker]) {
         let mut gone = Vec::new();
         {
             let mut known = self.workers.borrow_mut();
@@ -397,18 +408,20 @@
             }
             for w in workers {
                 let name = Name::from(&*w.address);
-                let again = known.get(&name).is_some_and(|s| s.started != w.started);
-                if again || w.standing == EndpointState::Gone {
+                let again = known
+                    .get(&name)
+                    .is_some_and(|s| s.started_at != w.started_at);
+                if again || w.state == EndpointState::Gone {
                     gone.push(name.clone());
                 }
-                if w.standing != EndpointState::Gone {
+                if w.state != EndpointState::Gone {
                     known.insert(name, w.clone());
                 }
             }
             for name in &gone {
                 if workers
                     .iter()
-                    .all(|w| *w.address != **name || w.standing == EndpointState::Gone)
+                    .all(|w| *w.address != **name || w.state == EndpointState::Gone)
                 {
                     known.remove(name);
                 }
@@ -424,31 +437,32 @@
 /// Records the completions that the core reports.
 struct CoreObserver(Rc<Admission>);
 
-impl Watch for CoreObserver {
+impl RouterObserver for CoreObserver {
     fn decided(&mut self, _: Micros, _: &Event, _: &[Action], _: Names) {}
 
-    fn taken(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {}
+    fn accepted(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {
+    }
 
-    fn answered(&mut self, _: Micros, _: Given) {}
+    fn answered(&mut self, _: Micros, _: AnswerGiven) {}
 
-    fn turned_away(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: Short) {}
+    fn rejected(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: RejectionReason) {}
 
-    fn used(&mut self, _: Micros, used: Used) {
+    fn used(&mut self, _: Micros, used: WorkerUsage) {
         let admission = &self.0;
         if let Some(upgrades) = &admission.upgrades {
             upgrades.record_use(&used);
         }
-        if let (By::Dispatch(DispatchOutcome::Succeeded, _), Some(session)) =
-            (used.by, used.session)
+        if let (UsageSource::Dispatch(DispatchOutcome::Succeeded, _), Some(session)) =
+            (used.source, used.session)
         {
             admission
                 .completed
                 .borrow_mut()
                 .push_back(sessions::Input::Answered {
-                    model: Name::from(serving::model(used.function).0),
+                    model: Name::from(client_requests::split_version(used.function).0),
                     session: Name::from(session),
                     worker: admission.id(used.worker_name),
-                    ends: used.ends,
+                    ends: used.ends_session,
                 });
         }
     }
--- a/crates/gateway/src/amqp_front.rs
+++ b/crates/gateway/src/amqp_front.rs
@@ -12,11 +12,13 @@
 use cedarpulley::interface::Micros;
 use cedarpulley_amqp::connection::Login;
 use cedarpulley_amqp::protocol::basic::AMQPProperties;
-use cedarpulley_amqp::{Connection, Event, Fault, Message, Role, meaning};
-use cedarpulley_net::{Bell, connect};
-use cedarpulley_router::admission::FrontState;
+use cedarpulley_amqp::{Connection, ConnectionError, Event, Message, Role, trigger};
+use cedarpulley_net::{Notifier, connect};
 use cedarpulley_router::backoff::Backoff;
-use cedarpulley_router::{Answer, Delivery, FrontIndex, Input, Payload, Session, Taken};
+use cedarpulley_router::concurrency_limit::FrontState;
+use cedarpulley_router::{
+    Answer, Delivery, FrontIndex, IncomingInvocation, Input, Payload, Session,
+};
 use futures_lite::io::{ReadHalf, WriteHalf, split};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use hdrhistogram::Histogram;
@@ -77,7 +79,7 @@
     granted: Cell<u32>,
     /// By delivery tag of the current connection: where its answer goes, and when it was taken.
     pending: RefCell<HashMap<u64, (AMQPProperties, Micros)>>,
-    bell: Bell,
+    bell: Notifier,
     is_up: Cell<bool>,
     reopen_at: Cell<Option<Micros>>,
     closing: Cell<bool>,
@@ -101,7 +103,7 @@
             life: Cell::new(0),
             granted: Cell::new(0),
             pending: RefCell::default(),
-            bell: Bell::default(),
+            bell: Notifier::default(),
             is_up: Cell::new(false),
             reopen_at: Cell::new(None),
             closing: Cell::new(false),
@@ -114,12 +116,12 @@
         if let Some(c) = self.connection.borrow_mut().as_mut() {
             c.set_prefetch(most.min(u32::from(u16::MAX)) as u16);
         }
-        self.bell.ring();
+        self.bell.notify();
     }
 
     /// Publishes an answer, unless its delivery belongs to an earlier connection.
     pub fn answer(&self, delivery: Delivery, answer: &Answer) {
-        if delivery.life != self.life.get() || !self.is_up.get() {
+        if delivery.incarnation != self.life.get() || !self.is_up.get() {
             return;
         }
         let pending = self.pending.borrow();
@@ -131,25 +133,31 @@
             .borrow_mut()
             .saturating_record((self.context.clock.now() - taken).max(0) as u64);
         if let Some(c) = self.connection.borrow_mut().as_mut() {
-            let (f, r) = (fate_name(answer.fate), reason_name(answer.reason));
-            let properties =
-                meaning::answer(to, f, r, None, answer.return_after, answer.body.first);
+            let (f, r) = (fate_name(answer.outcome), reason_name(answer.reason));
+            let properties = trigger::answer_properties(
+                to,
+                f,
+                r,
+                None,
+                answer.retry_after,
+                answer.body.first_part_length,
+            );
             let reply_to = to.reply_to().as_ref().map(|r| r.as_str());
             c.answer(
                 delivery.tag,
                 reply_to.map(|to| (to, properties, answer.body.bytes.as_ref())),
             );
         }
-        self.bell.ring();
+        self.bell.notify();
     }
 
     /// Acknowledges a message without an answer.
     pub fn discard(&self, delivery: Delivery) {
-        if delivery.life == self.life.get()
+        if delivery.incarnation == self.life.get()
             && let Some(c) = self.connection.borrow_mut().as_mut()
         {
             c.answer(delivery.tag, None);
-            self.bell.ring();
+            self.bell.notify();
         }
     }
 
@@ -159,7 +167,7 @@
         !self.is_up.get()
             || connection
                 .as_ref()
-                .is_none_or(|c| c.is_quiet() && c.unsafe_answers() == 0)
+                .is_none_or(|c| c.has_stopped_consuming() && c.uncommitted_answers() == 0)
     }
 
     /// Closes the connection and does not reconnect.
@@ -168,7 +176,7 @@
         if let Some(c) = self.connection.borrow_mut().as_mut() {
             c.close(now);
         }
-        self.bell.ring();
+        self.bell.notify();
     }
 
     /// Connects, consumes, and reconnects, for as long as the router runs.
@@ -202,7 +210,12 @@
                 return;
             }
             let now = self.context.clock.now();
-            Timer::at(self.context.clock.instant(now + backoff.after(now - began))).await;
+            Timer::at(
+                self.context
+                    .clock
+                    .instant(now + backoff.next_delay(now - began)),
+            )
+            .await;
         }
     }
 
@@ -210,24 +223,28 @@
         self.pending.borrow_mut().clear();
         self.reopen_at.set(None);
         if self.is_up.replace(false) {
-            self.context.feed(Input::Front {
+            self.context.feed(Input::FrontChanged {
                 front: self.ix,
                 state: FrontState::Down,
             });
         }
     }
 
-    async fn run_connection(self: &Rc<Self>, wire: BrokerStream, backoff: &mut Backoff) -> Fault {
+    async fn run_connection(
+        self: &Rc<Self>,
+        wire: BrokerStream,
+        backoff: &mut Backoff,
+    ) -> ConnectionError {
         let login = Login {
             virtual_host: self.source.virtual_host.clone(),
             user: self.source.user.clone(),
             password: self.source.password.clone(),
             heartbeat_s: self.source.heartbeat_s,
             name: self.context.name.clone(),
-            most_body: self.max_body_bytes,
+            max_body: self.max_body_bytes,
         };
         let prefetch = self.granted.get().clamp(1, u32::from(u16::MAX)) as u16;
-        let role = Role::Answers {
+        let role = Role::Responder {
             queue: self.source.queue.clone(),
             prefetch,
         };
@@ -241,7 +258,7 @@
         // Tells the broker why, if it still reads.
         let last = self.connection.borrow_mut().as_mut().map(|c| {
             if fault.code != 200 {
-                c.fail(self.context.clock.now(), &fault);
+                c.close_with_error(self.context.clock.now(), &fault);
             }
             c.output(self.context.clock.now())
         });
@@ -264,19 +281,19 @@
         stream: &mut ReadHalf<BrokerStream>,
         ready_since: &Cell<Micros>,
         backoff: &RefCell<&mut Backoff>,
-    ) -> Fault {
+    ) -> ConnectionError {
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         let mut events = Vec::new();
         loop {
             let n = match stream.read(&mut buffer).await {
-                Ok(0) => return Fault::new(320, "the broker closed the connection"),
+                Ok(0) => return ConnectionError::new(320, "the broker closed the connection"),
                 Ok(n) => n,
-                Err(e) => return Fault::new(320, e.to_string()),
+                Err(e) => return ConnectionError::new(320, e.to_string()),
             };
             let now = self.context.clock.now();
             let received = match self.connection.borrow_mut().as_mut() {
                 Some(c) => c.receive(now, &buffer[..n], &mut events),
-                None => return Fault::new(320, "closed"),
+                None => return ConnectionError::new(320, "closed"),
             };
             for event in events.drain(..) {
                 match event {
@@ -285,7 +302,7 @@
                         self.is_up.set(true);
                         ready_since.set(now);
                         tracing::info!(front = %self.source.name, queue = %self.source.queue, "consuming");
-                        self.context.feed(Input::Front {
+                        self.context.feed(Input::FrontChanged {
                             front: self.ix,
                             state: FrontState::Up,
                         });
@@ -301,10 +318,10 @@
                                     .saturating_record((now - taken).max(0) as u64);
                                 let delivery = Delivery {
                                     front: self.ix,
-                                    life: self.life.get(),
+                                    incarnation: self.life.get(),
                                     tag,
                                 };
-                                self.context.feed(Input::Safe(delivery));
+                                self.context.feed(Input::AnswerDelivered(delivery));
                             }
                         }
                     }
@@ -315,7 +332,7 @@
                         } else {
                             FrontState::Up
                         };
-                        self.context.feed(Input::Front {
+                        self.context.feed(Input::FrontChanged {
                             front: self.ix,
                             state,
                         });
@@ -323,36 +340,38 @@
                     Event::ChannelLost { code, text } => {
                         tracing::warn!(front = %self.source.name, code, text, "the broker closed the channel");
                         self.set_down();
-                        let wait = backoff.borrow_mut().after(now - ready_since.get());
+                        let wait = backoff.borrow_mut().next_delay(now - ready_since.get());
                         self.reopen_at.set(Some(now + wait));
                     }
-                    Event::Cancelled => return Fault::new(320, "the queue is no longer consumed"),
-                    Event::Closed { code, text } => return Fault { code, text },
+                    Event::Cancelled => {
+                        return ConnectionError::new(320, "the queue is no longer consumed");
+                    }
+                    Event::Closed { code, text } => return ConnectionError { code, text },
                 }
             }
             if let Err(fault) = received {
                 return fault;
             }
-            self.bell.ring();
+            self.bell.notify();
             // Guards against a broker that keeps sending but reads nothing: its output must not pile up here.
             while self
                 .connection
                 .borrow()
                 .as_ref()
-                .is_some_and(|c| c.waiting() > MAX_OUTPUT_BYTES)
+                .is_some_and(|c| c.unsent_bytes() > MAX_OUTPUT_BYTES)
             {
                 Timer::after(std::time::Duration::from_millis(1)).await;
             }
         }
     }
 
-    async fn write(self: &Rc<Self>, stream: &mut WriteHalf<BrokerStream>) -> Fault {
+    async fn write(self: &Rc<Self>, stream: &mut WriteHalf<BrokerStream>) -> ConnectionError {
         loop {
             let now = self.context.clock.now();
             let (bytes, due) = {
                 let mut connection = self.connection.borrow_mut();
                 let Some(c) = connection.as_mut() else {
-                    return Fault::new(320, "closed");
+                    return ConnectionError::new(320, "closed");
                 };
                 if let Err(fault) = c.tick(now) {
                     return fault;
@@ -374,7 +393,7 @@
                     stream.flush().await
                 };
                 if let Err(e) = sent.await {
-                    return Fault::new(320, e.to_string());
+                    return ConnectionError::new(320, e.to_string());
                 }
                 continue;
             }
@@ -386,36 +405,37 @@
                     }
                 }
             };
-            self.bell.heard().or(due).await;
+            self.bell.notified().or(due).await;
         }
     }
 
     fn delivered(&self, message: Message) {
         let delivery = Delivery {
             front: self.ix,
-            life: self.life.get(),
-            tag: message.tag,
+            incarnation: self.life.get(),
+            tag: message.delivery_tag,
         };
         let understood = if message.oversized {
             let cause = format!("larger than {} bytes", self.max_body_bytes);
-            Err(meaning::Misunderstood {
+            Err(trigger::InvalidField {
                 field: "body",
                 cause,
             })
         } else {
-            meaning::read(&message, self.context.clock.wall())
+            trigger::parse(&message, self.context.clock.wall_time())
                 .and_then(|t| self.parse(&message, t, delivery))
         };
         match understood {
             Ok(mut taken) => {
                 taken.body = Payload {
                     bytes: Bytes::from(message.body),
-                    first: taken.body.first,
+                    first_part_length: taken.body.first_part_length,
                 };
-                self.pending
-                    .borrow_mut()
-                    .insert(message.tag, (message.properties, self.context.clock.now()));
-                self.context.feed(Input::Taken(taken));
+                self.pending.borrow_mut().insert(
+                    message.delivery_tag,
+                    (message.properties, self.context.clock.now()),
+                );
+                self.context.feed(Input::MessageArrived(taken));
             }
             Err(wrong) => {
                 // Never requeued: it would be delivered again for ever.
@@ -432,7 +452,7 @@
                         Some(to) => {
                             let p = &message.properties;
                             let field = format!("{}: {}", wrong.field, wrong.cause);
-                            let answer = meaning::answer(
+                            let answer = trigger::answer_properties(
                                 p,
                                 "errored",
                                 "not-understood",
@@ -440,9 +460,9 @@
                                 None,
                                 None,
                             );
-                            c.answer(message.tag, Some((to, answer, b"")));
+                            c.answer(message.delivery_tag, Some((to, answer, b"")));
                         }
-                        None => c.reject(message.tag),
+                        None => c.reject(message.delivery_tag),
                     }
                 }
             }
@@ -452,34 +472,34 @@
     fn parse(
         &self,
         message: &Message,
-        trigger_message: meaning::Trigger,
+        trigger_message: trigger::TriggerMessage,
         delivery: Delivery,
-    ) -> Result<Taken, meaning::Misunderstood> {
-        let unknown = |field, name: &str| meaning::Misunderstood {
+    ) -> Result<IncomingInvocation, trigger::InvalidField> {
+        let unknown = |field, name: &str| trigger::InvalidField {
             field,
             cause: format!("'{name}' is unknown"),
         };
         let trigger = self
             .context
             .names
-            .trigger(&trigger_message.kind)
-            .ok_or_else(|| unknown("type", &trigger_message.kind))?;
+            .trigger_index(&trigger_message.trigger_type)
+            .ok_or_else(|| unknown("type", &trigger_message.trigger_type))?;
         let account = self
             .context
             .names
-            .account(trigger_message.account.as_deref())
+            .account_index(trigger_message.account.as_deref())
             .ok_or_else(|| unknown("app-id", trigger_message.account.as_deref().unwrap_or("")))?;
         let identity: Option<Arc<str>> = trigger_message.identity.map(Arc::from);
-        Ok(Taken {
+        Ok(IncomingInvocation {
             delivery,
-            mark: identity.clone(),
+            name: identity.clone(),
             identity,
             redelivered: message.redelivered,
-            repeat: trigger_message.repeat,
+            client_retry: trigger_message.repeat,
             trigger,
             account,
             function: Arc::from(trigger_message.function),
-            token: trigger_message.token.map(Arc::from),
+            idempotency_key: trigger_message.idempotency_key.map(Arc::from),
             waited: trigger_message.waited_us,
             client_timeout: trigger_message.client_timeout_us.unwrap_or(Micros::MAX / 8),
             cost_hint: trigger_message.cost_hint_us,
@@ -488,15 +508,15 @@
             lanes: trigger_message.lanes,
             session: trigger_message.session.map(|(id, start, end)| Session {
                 id: Arc::from(id),
-                start,
-                end,
+                is_first: start,
+                is_last: end,
             }),
-            named: None,
-            prefers: None,
-            refused: None,
+            requested_function: None,
+            preferred_worker: None,
+            predetermined_answer: None,
             body: Payload {
                 bytes: Bytes::new(),
-                first: trigger_message.first_part,
+                first_part_length: trigger_message.first_part,
             },
         })
     }
--- a/crates/gateway/src/client_listener.rs
+++ b/crates/gateway/src/client_listener.rs
@@ -12,10 +12,10 @@
 
 use async_io::{Async, Timer};
 use cedarpulley::interface::Micros;
-use cedarpulley_certificates::Speakers;
-use cedarpulley_net::{Bell, Stream, micros};
+use cedarpulley_certificates::ClientAccounts;
+use cedarpulley_net::{Notifier, Stream, duration_from_micros};
 use cedarpulley_router::Input;
-use cedarpulley_router::admission::FrontState;
+use cedarpulley_router::concurrency_limit::FrontState;
 use futures_lite::{AsyncRead, AsyncWrite};
 use futures_rustls::server::TlsStream;
 
@@ -68,7 +68,7 @@
         }
         let timer = self
             .stall_timer
-            .get_or_insert_with(|| Timer::after(micros(WRITE_STALL_TIMEOUT)));
+            .get_or_insert_with(|| Timer::after(duration_from_micros(WRITE_STALL_TIMEOUT)));
         match Pin::new(timer).poll(cx) {
             Poll::Ready(_) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
@@ -112,9 +112,9 @@
     settings: ListenerSettings,
     tls: Option<Rc<ServerTls>>,
     /// Which certificate is bound to which account.
-    certificate_accounts: Rc<Speakers>,
+    certificate_accounts: Rc<ClientAccounts>,
     /// Open connections, each with the signal that tells it to stop.
-    connections: RefCell<HashMap<u64, Bell>>,
+    connections: RefCell<HashMap<u64, Notifier>>,
     /// Connections closed at once because `max_connections` was reached.
     pub over_limit: Cell<u64>,
     /// Connections closed for a failed handshake, or a certificate that is bound to no account.
@@ -126,7 +126,7 @@
         handler: Rc<RequestHandler>,
         settings: ListenerSettings,
         tls: Option<Rc<ServerTls>>,
-        certificate_accounts: Rc<Speakers>,
+        certificate_accounts: Rc<ClientAccounts>,
     ) -> Self {
         let (connections, over_limit, refused_handshakes) =
             (RefCell::default(), Cell::new(0), Cell::new(0));
@@ -145,13 +145,16 @@
     /// still accepted and their requests turned away by the core: a connection closed at once would leave its
     /// client unsure whether anything ran.
     pub fn stop(&self) {
-        self.connections.borrow().values().for_each(Bell::ring);
+        self.connections
+            .borrow()
+            .values()
+            .for_each(Notifier::notify);
     }
 
     /// Accepts connections until the router ends.
     pub async fn run(self: Rc<Self>, listener: Async<TcpListener>) {
         let context = &self.handler.context;
-        context.feed(Input::Front {
+        context.feed(Input::FrontChanged {
             front: self.handler.ix,
             state: FrontState::Up,
         });
@@ -166,7 +169,7 @@
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 // Most likely out of file descriptors: wait until some are released.
-                Timer::after(micros(10_000)).await;
+                Timer::after(duration_from_micros(10_000)).await;
                 continue;
             };
             if self.connections.borrow().len() >= self.settings.max_connections {
@@ -174,7 +177,7 @@
                 continue;
             }
             let _ = stream.get_ref().set_nodelay(true);
-            let (listening, stop) = (self.clone(), Bell::default());
+            let (listening, stop) = (self.clone(), Notifier::default());
             serial += 1;
             let guard = ConnectionGuard(self.clone(), serial);
             self.connections.borrow_mut().insert(serial, stop.clone());
@@ -221,7 +224,7 @@
         self: Rc<Self>,
         client: Rc<ClientConnection>,
         stream: impl AsyncRead + AsyncWrite + Unpin + 'static,
-        stop: Bell,
+        stop: Notifier,
     ) {
         match self.settings.protocol {
             Protocol::Rest => {
--- a/crates/gateway/src/front_settings.rs
+++ b/crates/gateway/src/front_settings.rs
@@ -4,7 +4,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use cedarpulley::interface::{Account, Micros};
-use cedarpulley_certificates::{self as certificates, Which};
+use cedarpulley_certificates::{self as certificates, FileRole};
 use cedarpulley_startup::Names;
 
 use crate::amqp_front::AmqpSource;
@@ -87,11 +87,11 @@
         .map_or(0, |d| d.as_micros() as Micros)
 }
 
-fn report_certificate(s: &Section, why: &certificates::Refused, clients: &str) {
-    let key = match why.which {
-        Which::Certificate => "certificate",
-        Which::Key => "key",
-        Which::Clients => clients,
+fn report_certificate(s: &Section, why: &certificates::RejectedFile, clients: &str) {
+    let key = match why.role {
+        FileRole::Certificate => "certificate",
+        FileRole::Key => "key",
+        FileRole::Clients => clients,
     };
     s.error(key, &why.cause);
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use cedarpulley::interface::{Micros, WorkerIndex};
-use cedarpulley_net::Alarm;
+use cedarpulley_net::DeadlineTimer;
 use cedarpulley_router::{FrontIndex, Input, Router};
 
 use crate::admission::Admission;
@@ -38,7 +38,7 @@
     pub(crate) upgrades: Option<Rc<Upgrades>>,
     pub(crate) admission: Option<Rc<Admission>>,
     pub(crate) reconciliation: Option<Rc<Reconciliation>>,
-    pub(crate) alarm: Alarm,
+    pub(crate) alarm: DeadlineTimer,
 }
 
 /// The address of a worker, while the core knows it.
@@ -64,7 +64,13 @@
     pub(crate) fn feed_core(self: &Rc<Self>, input: Input) {
         let mut outputs = Vec::new();
         let listed = match (&self.reconciliation, &input) {
-            (Some(_), Input::List { mode, workers }) => Some((*mode, workers.clone())),
+            (
+                Some(_),
+                Input::EndpointList {
+                    kind: mode,
+                    workers,
+                },
+            ) => Some((*mode, workers.clone())),
             _ => None,
         };
         let due = {
@@ -72,7 +78,7 @@
             router.handle(self.context.clock.now(), input, &mut outputs);
             router.next_due().unwrap_or(Micros::MAX)
         };
-        self.alarm.set(due);
+        self.alarm.set_deadline(due);
         for output in outputs {
             self.carry_out(output);
         }
@@ -102,7 +108,7 @@
     /// Tells the core whenever something is due, for as long as the router runs.
     pub(crate) async fn run_timers(self: Rc<Self>) {
         loop {
-            self.alarm.rings(&self.context.clock).await;
+            self.alarm.elapsed(&self.context.clock).await;
             self.feed(Input::Tick);
         }
     }
--- a/crates/gateway/src/group_settings.rs
+++ b/crates/gateway/src/group_settings.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::group::MOST_WEIGHT;
+use cedarpulley_membership::group::MAX_WEIGHT;
 use cedarpulley_membership::{Group, Member};
-use cedarpulley_replica::kept_for;
+use cedarpulley_replica::retention_for;
 use cedarpulley_upgrade::sessions;
 
 use crate::config_reader::Section;
@@ -40,7 +40,7 @@
     let (name, me) = (p.string("group", None), p.string("name", None));
     let listen = p.loopback_address("listen");
     let state_folder = path_of(p, "state", folder);
-    let usual = kept_for(longest + RETENTION_MARGIN);
+    let usual = retention_for(longest + RETENTION_MARGIN);
     let retention = p.millis_as_micros(
         "kept_ms",
         1..DAY_MS,
@@ -97,7 +97,7 @@
         let member = Member {
             name: m.string("name", None),
             region: m.string("region", Some("")),
-            weight: m.integer("weight", 0..u64::from(MOST_WEIGHT), Some(1)) as u32,
+            weight: m.integer("weight", 0..u64::from(MAX_WEIGHT), Some(1)) as u32,
             witness: m.boolean("witness", Some(false)),
         };
         addresses.insert(member.name.clone(), m.loopback_address("address"));
--- a/crates/gateway/src/grpc.rs
+++ b/crates/gateway/src/grpc.rs
@@ -10,13 +10,13 @@
 use async_executor::LocalExecutor;
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_kserve::rpc::inference as wire;
-use cedarpulley_kserve::rpc::{self, Code, Method};
-use cedarpulley_kserve::serving::{self, function};
+use cedarpulley_kserve::client_requests::{self, function_name};
+use cedarpulley_kserve::grpc::inference as wire;
+use cedarpulley_kserve::grpc::{self, Code, Method};
 use cedarpulley_kserve::tensors;
-use cedarpulley_net::{Bell, micros};
-use cedarpulley_router::entry::Entry;
-use cedarpulley_router::{Answer, Fate, Payload, Reason};
+use cedarpulley_net::{Notifier, duration_from_micros};
+use cedarpulley_router::admission_control::AdmissionDecision;
+use cedarpulley_router::{Answer, AnswerReason, FinalOutcome, Payload};
 use futures_lite::{AsyncRead, AsyncWrite};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -64,7 +64,7 @@
     handler: Rc<RequestHandler>,
     client: Rc<ClientConnection>,
     stream: impl AsyncRead + AsyncWrite + Unpin + 'static,
-    stop: Bell,
+    stop: Notifier,
 ) {
     let mut builder = http2::Builder::new(LocalTasks(handler.context.executor.clone()));
     builder.timer(SmolTimer::new());
@@ -79,8 +79,8 @@
         .max_pending_accept_reset_streams(MAX_RESETS)
         .max_local_error_reset_streams(MAX_RESETS);
     builder
-        .keep_alive_interval(micros(PING_INTERVAL))
-        .keep_alive_timeout(micros(PING_TIMEOUT));
+        .keep_alive_interval(duration_from_micros(PING_INTERVAL))
+        .keep_alive_timeout(duration_from_micros(PING_TIMEOUT));
     let service = service_fn(|request| {
         let handled = handle(handler.clone(), client.clone(), request);
         async move { Ok::<_, Infallible>(handled.await) }
@@ -100,16 +100,20 @@
     };
     reply
         .headers_mut()
-        .insert(CONTENT_TYPE, HeaderValue::from_static(rpc::CONTENT));
+        .insert(CONTENT_TYPE, HeaderValue::from_static(grpc::CONTENT_TYPE));
     reply
 }
 
 fn message_response(message: &impl Message) -> Reply {
-    response(rpc::frame(message), rpc::trailers(Code::Ok, "", None), None)
+    response(
+        grpc::frame(message),
+        grpc::trailers(Code::Ok, "", None),
+        None,
+    )
 }
 
 fn error_response(code: Code, cause: &str) -> Reply {
-    response(Bytes::new(), rpc::trailers(code, cause, None), None)
+    response(Bytes::new(), grpc::trailers(code, cause, None), None)
 }
 
 /// Ends a call without a message, with fate and reason beside the code.
@@ -119,9 +123,9 @@
     why: &'static str,
     come_back: Option<Micros>,
 ) -> Reply {
-    let mut trailers = rpc::trailers(code, why, come_back);
-    trailers.insert(serving::FATE, HeaderValue::from_static(fate));
-    trailers.insert(serving::REASON, HeaderValue::from_static(why));
+    let mut trailers = grpc::trailers(code, why, come_back);
+    trailers.insert(client_requests::OUTCOME, HeaderValue::from_static(fate));
+    trailers.insert(client_requests::REASON, HeaderValue::from_static(why));
     response(Bytes::new(), trailers, None)
 }
 
@@ -135,12 +139,12 @@
         .get(CONTENT_TYPE)
         .and_then(|v| v.to_str().ok())
         .unwrap_or_default();
-    if !content.starts_with(rpc::CONTENT) || request.method() != hyper::Method::POST {
+    if !content.starts_with(grpc::CONTENT_TYPE) || request.method() != hyper::Method::POST {
         let mut reply = Response::new(AnswerBody::new(Bytes::new(), None, None));
         *reply.status_mut() = StatusCode::UNSUPPORTED_MEDIA_TYPE;
         return reply;
     }
-    let method = match rpc::method(request.uri().path()) {
+    let method = match grpc::method(request.uri().path()) {
         Some(Method::ModelInfer) => return infer(handler, client, request).await,
         Some(method) => method,
         None => return error_response(Code::Unimplemented, "no such method"),
@@ -156,12 +160,12 @@
         Ok(body) => body,
         Err(why) => return body_error_response(why),
     };
-    let message = match rpc::unframe(body) {
+    let message = match grpc::unframe(body) {
         Ok(message) => message,
         Err(why) => return error_response(Code::InvalidArgument, why.cause()),
     };
     let named = |message: Bytes| match wire::ModelReadyRequest::decode(message) {
-        Ok(m) => function(&m.name, &m.version).ok_or("no model has such a name"),
+        Ok(m) => function_name(&m.name, &m.version).ok_or("no model has such a name"),
         Err(_) => Err("the message cannot be read"),
     };
     match method {
@@ -172,7 +176,7 @@
         Method::ServerMetadata => message_response(&wire::ServerMetadataResponse {
             name: "cedarpulley".into(),
             version: env!("CARGO_PKG_VERSION").into(),
-            extensions: serving::EXTENSIONS.map(str::to_owned).to_vec(),
+            extensions: client_requests::EXTENSIONS.map(str::to_owned).to_vec(),
         }),
         Method::ModelReady => match named(message) {
             // Functions are loaded on demand: any may be asked for.
@@ -182,7 +186,7 @@
         // Its request message is the same as that of readiness.
         Method::ModelMetadata => match named(message) {
             Ok(function) => {
-                let (name, version) = serving::model(&function);
+                let (name, version) = client_requests::split_version(&function);
                 let versions = if version.is_empty() {
                     vec![]
                 } else {
@@ -199,7 +203,7 @@
         },
         Method::RepositoryIndex => {
             let models = (handler.resources.functions)().into_iter().map(|f| {
-                let (name, version) = serving::model(&f);
+                let (name, version) = client_requests::split_version(&f);
                 wire::repository_index_response::ModelIndex {
                     name: name.into(),
                     version: version.into(),
@@ -229,7 +233,7 @@
 async fn read_length(body: &mut Incoming) -> Result<Bytes, BodyError> {
     with_body_timeout(async {
         let mut first = Vec::new();
-        while first.len() < rpc::FRAME {
+        while first.len() < grpc::FRAME_HEADER_BYTES {
             match body.frame().await {
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
@@ -258,10 +262,10 @@
         Ok(taken) => taken,
         Err(e) => return misunderstood(&format!("{}: {}", e.field, e.cause)),
     };
-    match rpc::timeout(&head.headers) {
+    match grpc::timeout(&head.headers) {
         Ok(None) => {}
         Ok(Some(timeout)) => taken.client_timeout = taken.client_timeout.min(timeout),
-        Err(cause) => return misunderstood(&format!("{}: {cause}", rpc::TIMEOUT)),
+        Err(cause) => return misunderstood(&format!("{}: {cause}", grpc::TIMEOUT)),
     }
     let began = handler.context.clock.now();
     let first = match read_length(&mut body).await {
@@ -269,7 +273,7 @@
         Err(why) => return body_error_response(why),
     };
     let message_length = u32::from_be_bytes([first[1], first[2], first[3], first[4]]);
-    let announced_bytes = rpc::FRAME as u64 + u64::from(message_length);
+    let announced_bytes = grpc::FRAME_HEADER_BYTES as u64 + u64::from(message_length);
     if announced_bytes > handler.max_body_bytes {
         return misunderstood(&format!("larger than {} bytes", handler.max_body_bytes));
     }
@@ -277,7 +281,10 @@
     // Turned away before it is taken: no other answer is owed, and nothing of it has run.
     let open = match handler.admit(&client, &taken, announced_bytes) {
         Ok(open) => open,
-        Err(Entry::TurnedAway { why, come_back }) => {
+        Err(AdmissionDecision::Rejected {
+            reason: why,
+            retry_after: come_back,
+        }) => {
             return status_response(
                 Code::ResourceExhausted,
                 "throttled",
@@ -285,30 +292,32 @@
                 Some(come_back),
             );
         }
-        Err(Entry::Enter) => return error_response(Code::Internal, "no entry was found"),
+        Err(AdmissionDecision::Admitted) => {
+            return error_response(Code::Internal, "no entry was found");
+        }
     };
     let body = match read_body(body, first, announced_bytes).await {
         Ok(body) => body,
         Err(why) => return body_error_response(why),
     };
-    let message = match rpc::unframe(body) {
+    let message = match grpc::unframe(body) {
         Ok(message) => message,
         Err(why) => return misunderstood(why.cause()),
     };
     let Ok(message) = wire::ModelInferRequest::decode(message) else {
         return misunderstood("the message cannot be read");
     };
-    let Some(function) = function(&message.model_name, &message.model_version) else {
+    let Some(function) = function_name(&message.model_name, &message.model_version) else {
         return misunderstood("model_name: no model has such a name");
     };
-    let rest = match tensors::request(&message) {
+    let rest = match tensors::encode_request(&message) {
         Ok(rest) => rest,
         Err(cause) => return misunderstood(&cause.to_string()),
     };
     taken.function = Arc::from(function);
     taken.body = Payload {
         bytes: rest.bytes,
-        first: rest.json,
+        first_part_length: rest.json_length,
     };
     taken.session = match parse_session(&handler, &taken.body) {
         Ok(session) => session,
@@ -322,21 +331,21 @@
 
 fn answer_response(answer: Answer, unread: UnreadAnswer) -> Reply {
     let why = reason_name(answer.reason);
-    match answer.fate {
-        Fate::Succeeded => {
-            let rest = tensors::Rest {
+    match answer.outcome {
+        FinalOutcome::Succeeded => {
+            let rest = tensors::InferenceBody {
                 bytes: answer.body.bytes,
-                json: answer.body.first,
+                json_length: answer.body.first_part_length,
             };
-            match tensors::response(&rest) {
+            match tensors::decode_response(&rest) {
                 Ok(message) => {
-                    let mut trailers = rpc::trailers(Code::Ok, "", None);
+                    let mut trailers = grpc::trailers(Code::Ok, "", None);
                     trailers.insert(
-                        serving::FATE,
-                        HeaderValue::from_static(fate_name(answer.fate)),
+                        client_requests::OUTCOME,
+                        HeaderValue::from_static(fate_name(answer.outcome)),
                     );
-                    trailers.insert(serving::REASON, HeaderValue::from_static(why));
-                    response(rpc::frame(&message), trailers, Some(unread))
+                    trailers.insert(client_requests::REASON, HeaderValue::from_static(why));
+                    response(grpc::frame(&message), trailers, Some(unread))
                 }
                 // It has run, but its result cannot be expressed here.
                 Err(cause) => {
@@ -344,15 +353,15 @@
                 }
             }
         }
-        Fate::Throttled => status_response(
+        FinalOutcome::Throttled => status_response(
             Code::ResourceExhausted,
             "throttled",
             why,
-            answer.return_after,
+            answer.retry_after,
         ),
-        Fate::Errored if answer.reason == Reason::Overdue => {
+        FinalOutcome::Errored if answer.reason == AnswerReason::Overdue => {
             status_response(Code::DeadlineExceeded, "errored", why, None)
         }
-        Fate::Errored => status_response(Code::Unknown, "errored", why, None),
+        FinalOutcome::Errored => status_response(Code::Unknown, "errored", why, None),
     }
 }
--- a/crates/gateway/src/outputs.rs
+++ b/crates/gateway/src/outputs.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use cedarpulley::interface::{DispatchOutcome, LoadReport, Micros, WorkerIndex};
-use cedarpulley_kserve::{endings, reports, requests};
-use cedarpulley_router::core::Call;
+use cedarpulley_kserve::{outcomes, response_headers, worker_requests};
+use cedarpulley_router::core::DispatchRequest;
 use cedarpulley_router::{
     Answer, Delivery, FrontIndex, Input, OrderTicket, Output, Payload, Ticket,
 };
@@ -25,7 +25,7 @@
     function: Arc<str>,
     trigger: u32,
     account: u32,
-    call: Call,
+    call: DispatchRequest,
 }
 
 /// An order to load copies at a worker or, with `copies` 0, a query how many exist.
@@ -44,7 +44,10 @@
         self.fault_injector.observe(&output);
         match output {
             Output::Answer { delivery, answer } => self.deliver(delivery, answer),
-            Output::Entry { delivery, entry } => {
+            Output::Admission {
+                delivery,
+                decision: entry,
+            } => {
                 if let Some(handler) = self.handler(delivery.front) {
                     handler.set_decision(entry);
                 }
@@ -54,7 +57,7 @@
                     front.discard(delivery);
                 }
             }
-            Output::Grant { front, most } => self.grant(front, most),
+            Output::Grant { front, limit: most } => self.grant(front, most),
             Output::Send {
                 ticket,
                 worker,
@@ -72,7 +75,7 @@
                     call,
                 });
             }
-            Output::Withdraw(ticket) => self.pool.cancel(ticket),
+            Output::Cancel(ticket) => self.pool.cancel(ticket),
             Output::Order {
                 ticket,
                 function,
@@ -111,8 +114,8 @@
                     .detach();
             }
             // The watch retries by itself, with spread-out delays.
-            Output::AskList => {}
-            Output::Group(request) => {
+            Output::RequestEndpointList => {}
+            Output::Replication(request) => {
                 if let Some(peer_group) = &self.peer_group {
                     peer_group.request(request);
                 }
@@ -121,7 +124,7 @@
     }
 
     fn deliver(&self, delivery: Delivery, answer: Answer) {
-        tracing::debug!(fate = ?answer.fate, reason = ?answer.reason, "answered");
+        tracing::debug!(fate = ?answer.outcome, reason = ?answer.reason, "answered");
         if let Some(front) = self.fronts.get(delivery.front as usize) {
             return self.fault_injector.answer(front, delivery, answer);
         }
@@ -154,28 +157,31 @@
         let (ticket, worker, function) =
             (dispatch.ticket, dispatch.worker, dispatch.function.clone());
         let result = self.exchange(dispatch).await;
-        let read = endings::infer(&ending_of(&result, &function));
-        let held = result.as_ref().ok().and_then(|r| reports::held(&r.headers));
+        let read = outcomes::classify_inference(&ending_of(&result, &function));
+        let held = result
+            .as_ref()
+            .ok()
+            .and_then(|r| response_headers::memory_usage(&r.headers));
         let body = match result {
             Ok(reply) if read.outcome == DispatchOutcome::Succeeded => {
-                let json = endings::json_length(&reply.headers, &reply.body);
+                let json = outcomes::json_length(&reply.headers, &reply.body);
                 let first = json.filter(|n| *n < reply.body.len()).map(|n| n as u32);
                 Payload {
                     bytes: reply.body,
-                    first,
+                    first_part_length: first,
                 }
             }
             _ => Payload::default(),
         };
-        tracing::debug!(inv = ticket.inv, dispatch = ticket.dispatch, worker, outcome = ?read.outcome, "ended");
+        tracing::debug!(inv = ticket.invocation, dispatch = ticket.dispatch, worker, outcome = ?read.outcome, "ended");
         self.pool.finished(ticket);
         self.feed(Input::DispatchEnded {
             ticket,
             outcome: read.outcome,
-            note: read.note,
-            crowd: read.crowd,
+            copy_status: read.copy_status,
+            function_load: read.function_load,
             report: read.report,
-            held,
+            memory_held: held,
             body,
         });
     }
@@ -190,27 +196,31 @@
             call,
         } = dispatch;
         let names = &self.context.names;
-        let marks = requests::Marks {
-            invocation: call.mark.as_deref(),
+        let marks = worker_requests::InvocationHeaders {
+            invocation: call.name.as_deref(),
             dispatch: ticket.dispatch,
-            token: call.token.as_deref(),
-            trigger: names
+            idempotency_key: call.idempotency_key.as_deref(),
+            trigger_type: names
                 .triggers
                 .get(trigger as usize)
                 .map_or("", String::as_str),
             account: names.accounts.get(account as usize).map(String::as_str),
             time_left: call.time_left,
-            session: call.session.as_ref().map(|s| (&*s.id, s.start, s.end)),
+            session: call
+                .session
+                .as_ref()
+                .map(|s| (&*s.id, s.is_first, s.is_last)),
         };
         let Some(address) = self.address(worker) else {
             return Err(ExchangeError::NoConnection);
         };
         let (host, body) = (address.to_string(), call.body);
-        let request = requests::infer(&host, &function, marks, body.bytes, body.first);
+        let request =
+            worker_requests::infer(&host, &function, marks, body.bytes, body.first_part_length);
         let may_send = || {
             self.router
                 .borrow()
-                .may_leave(self.context.clock.now(), ticket)
+                .may_send(self.context.clock.now(), ticket)
         };
         self.pool.exchange(address, request, false, may_send).await
     }
@@ -229,7 +239,7 @@
         };
         let host = address.to_string();
         let request = match copies {
-            0 => requests::ready(&host, &function),
+            0 => worker_requests::ready(&host, &function),
             copies => {
                 let account = self
                     .context
@@ -237,7 +247,7 @@
                     .accounts
                     .get(account as usize)
                     .map(String::as_str);
-                requests::load(
+                worker_requests::load(
                     &host,
                     &function,
                     copies,
@@ -247,13 +257,16 @@
             }
         };
         let result = self.pool.order(address, request, within).await;
-        let held = result.as_ref().ok().and_then(|r| reports::held(&r.headers));
-        let (result, copies) = endings::order(&ending_of(&result, &function));
+        let held = result
+            .as_ref()
+            .ok()
+            .and_then(|r| response_headers::memory_usage(&r.headers));
+        let (result, copies) = outcomes::classify_load_order(&ending_of(&result, &function));
         self.feed(Input::OrderEnded {
             ticket,
             result,
             copies,
-            held,
+            memory_held: held,
         });
     }
 
@@ -266,7 +279,7 @@
         let Some(address) = self.address(worker) else {
             return;
         };
-        let request = requests::unload(
+        let request = worker_requests::unload(
             &address.to_string(),
             &function,
             self.orderer(term.as_deref()),
@@ -279,14 +292,14 @@
         let began = self.context.clock.now();
         let (outcome, report) = match self.address(worker) {
             Some(address) => {
-                let request = requests::live(&address.to_string());
+                let request = worker_requests::live(&address.to_string());
                 let result = self.pool.order(address, request, CONTROL_TIMEOUT).await;
-                endings::probe(&ending_of(&result, ""))
+                outcomes::classify_health_check(&ending_of(&result, ""))
             }
             None => (DispatchOutcome::Unreachable, LoadReport::default()),
         };
         let took = self.context.clock.now() - began;
-        self.feed(Input::Probed {
+        self.feed(Input::ProbeEnded {
             worker,
             outcome,
             took,
@@ -295,8 +308,8 @@
     }
 
     /// What load orders tell workers of their origin, if routers are to be told apart.
-    fn orderer<'a>(&'a self, term: Option<&'a str>) -> requests::Orderer<'a> {
-        requests::Orderer {
+    fn orderer<'a>(&'a self, term: Option<&'a str>) -> worker_requests::OrderIssuer<'a> {
+        worker_requests::OrderIssuer {
             router: self.peer_group.as_ref().map(PeerGroup::name),
             term,
         }
--- a/crates/gateway/src/peer_events.rs
+++ b/crates/gateway/src/peer_events.rs
@@ -5,7 +5,7 @@
 
 use cedarpulley_replica as replica;
 use cedarpulley_router::Input;
-use cedarpulley_router::group::Told;
+use cedarpulley_router::replication::ReplicationEvent;
 
 use crate::peers::Peers;
 
@@ -25,7 +25,7 @@
 
 /// A queued notification.
 pub(crate) enum Notification {
-    Core(Told),
+    Core(ReplicationEvent),
     Listeners(PeerEvent),
 }
 
@@ -50,7 +50,7 @@
                 break;
             };
             match next {
-                Notification::Core(message) => self.context.feed(Input::Group(message)),
+                Notification::Core(message) => self.context.feed(Input::Replication(message)),
                 Notification::Listeners(event) => {
                     let subscribed = |prefix: &str| match &event {
                         PeerEvent::Decided(key, _) | PeerEvent::Updated(key) => {
--- a/crates/gateway/src/peer_store.rs
+++ b/crates/gateway/src/peer_store.rs
@@ -20,7 +20,7 @@
 
 use cedarpulley::interface::Micros;
 use cedarpulley_errors::Remedy;
-use cedarpulley_replica::{Key, Record, Shared};
+use cedarpulley_replica::{Key, Record, RecordCopy};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use thiserror::Error;
 
@@ -92,7 +92,7 @@
 }
 
 /// Records as they are now; absent ones were removed.
-type Changes = Vec<(Key, Option<Shared>)>;
+type Changes = Vec<(Key, Option<RecordCopy>)>;
 
 /// One batch with this process's incarnation and the wall time in microseconds.
 struct WriteBatch {
@@ -158,19 +158,24 @@
     for row in table.iter().map_err(|e| damaged(e.into()))? {
         let (key, value) = row.map_err(|e| damaged(e.into()))?;
         let (until, bytes) = value.value();
-        let mut shared: Shared = postcard::from_bytes(bytes).map_err(|_| SetAsideCause::Damaged)?;
+        let mut shared: RecordCopy =
+            postcard::from_bytes(bytes).map_err(|_| SetAsideCause::Damaged)?;
         let left = until - wall;
         // Sessions and upgrade plans are retained for longer than any invocation: the limit on retention must
         // not drop them at each start.
-        let is_not_an_invocation = !matches!(shared.record, Record::Effect(_));
+        let is_not_an_invocation = !matches!(shared.record, Record::Invocation(_));
         if left > 0 && (left <= retention || is_not_an_invocation) {
             // The time that no process ran counts for the record's age: otherwise a token's first sending
             // would look as young as at the shutdown, and its retry would go to workers that have forgotten
             // it.
-            let elapsed = shared.left.saturating_sub(left).max(0);
-            shared.left = left;
-            shared.first_ago = shared.first_ago.map(|ago| ago.saturating_add(elapsed));
-            shared.proves_left = shared.proves_left.map(|left| left.saturating_sub(elapsed));
+            let elapsed = shared.expires_in.saturating_sub(left).max(0);
+            shared.expires_in = left;
+            shared.first_dispatch_ago = shared
+                .first_dispatch_ago
+                .map(|ago| ago.saturating_add(elapsed));
+            shared.proof_expires_in = shared
+                .proof_expires_in
+                .map(|left| left.saturating_sub(elapsed));
             records.push((Key::from(key.value()), shared));
         }
     }
@@ -357,7 +362,10 @@
                     };
                     records.insert(
                         &**key,
-                        (batch.wall.saturating_add(shared.left), bytes.as_slice()),
+                        (
+                            batch.wall.saturating_add(shared.expires_in),
+                            bytes.as_slice(),
+                        ),
                     )?;
                 }
             }
@@ -371,7 +379,7 @@
 mod tests {
     use bytes::Bytes;
     use cedarpulley_replica::record::Choice;
-    use cedarpulley_replica::{Answered, Effect, Sending, Sent};
+    use cedarpulley_replica::{DispatchIntent, IntentState, Invocation, StoredAnswer};
 
     use super::*;
 
@@ -382,26 +390,26 @@
     /// Fails when a record's encoding changes: raise [`FORMAT`], then record the new bytes.
     #[test]
     fn a_records_bytes_are_those_of_the_format() {
-        let mut effect = Effect {
+        let mut effect = Invocation {
             taken: true,
-            doubtful: true,
-            ..Effect::default()
+            may_lack_intents: true,
+            ..Invocation::default()
         };
-        effect.sendings.insert(
+        effect.intents.insert(
             (5, 6),
-            Sending {
+            DispatchIntent {
                 member: 7,
-                state: Sent::MayHaveRun,
-                place: 8,
+                state: IntentState::Indeterminate,
+                deduplication_scope: 8,
             },
         );
-        effect.answer = Some(Answered::Kept(Bytes::from_static(b"9")));
-        let shared = Shared {
-            record: Record::Effect(effect),
+        effect.answer = Some(StoredAnswer::Stored(Bytes::from_static(b"9")));
+        let shared = RecordCopy {
+            record: Record::Invocation(effect),
             origin: Default::default(),
-            left: 1,
-            first_ago: Some(2),
-            proves_left: Some(3),
+            expires_in: 1,
+            first_dispatch_ago: Some(2),
+            proof_expires_in: Some(3),
         };
         let bytes = postcard::to_stdvec(&shared).expect("encoded");
         assert_eq!((FORMAT, &bytes[..]), (2, &RECORD[..]));
@@ -436,24 +444,24 @@
     fn what_was_kept_has_grown_older_by_the_time_that_nobody_ran() {
         const S: Micros = 1_000_000;
         let folder = tempfile::tempdir().expect("a folder");
-        let record = Record::Effect(Effect {
+        let record = Record::Invocation(Invocation {
             taken: true,
-            ..Effect::default()
+            ..Invocation::default()
         });
-        let shared = Shared {
+        let shared = RecordCopy {
             record,
             origin: Default::default(),
-            left: 50 * S,
-            first_ago: Some(S),
-            proves_left: Some(30 * S),
+            expires_in: 50 * S,
+            first_dispatch_ago: Some(S),
+            proof_expires_in: Some(30 * S),
         };
         // Choices are retained for longer than any invocation.
         let record = Record::Choice(Choice::default());
-        let choice = Shared {
+        let choice = RecordCopy {
             record,
-            left: 600 * S,
-            first_ago: None,
-            proves_left: None,
+            expires_in: 600 * S,
+            first_dispatch_ago: None,
+            proof_expires_in: None,
             ..shared.clone()
         };
         let (store, _) = PeerStore::open(folder.path(), 1, 0, 60 * S).expect("opened");
@@ -479,9 +487,9 @@
         let [(_, choice), (_, at)] = &restored.records[..] else {
             panic!("both records")
         };
-        assert_eq!(choice.left, 600 * S - 20 * S);
+        assert_eq!(choice.expires_in, 600 * S - 20 * S);
         assert_eq!(
-            (at.left, at.first_ago, at.proves_left),
+            (at.expires_in, at.first_dispatch_ago, at.proof_expires_in),
             (30 * S, Some(21 * S), Some(10 * S))
         );
     }
