--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -13,10 +13,10 @@
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
 use cedarpulley_errors::Remedy;
-use cedarpulley_membership::{self as membership, Believed, MemberIndex, Membership};
-use cedarpulley_net::Alarm;
-use cedarpulley_replica::{self as replica, Guard, Need, Replica};
-use cedarpulley_router::group::{self, Ask, Told};
+use cedarpulley_membership::{self as membership, MemberIndex, Membership, StableView};
+use cedarpulley_net::DeadlineTimer;
+use cedarpulley_replica::{self as replica, Durability, Replica, SafetyCheck};
+use cedarpulley_router::replication::{self, ReplicationEvent, ReplicationRequest};
 use serde::Serialize;
 use smol::channel::{Receiver, Sender};
 
@@ -51,7 +51,7 @@
 
 struct State {
     membership: Membership,
-    believed: Believed,
+    believed: StableView,
     replica: Replica,
     /// By member: its clock as last received (microseconds), and the process that it belongs to.
     clocks: Vec<(Micros, u64)>,
@@ -81,7 +81,7 @@
     pub(crate) is_notifying: std::cell::Cell<bool>,
     /// Further sections of the state endpoint, by name.
     state_providers: RefCell<Vec<(&'static str, StateProvider)>>,
-    alarm: Alarm,
+    alarm: DeadlineTimer,
     /// Signals that a vote waits for the store to be written.
     write_request: (Sender<()>, Receiver<()>),
 }
@@ -92,7 +92,7 @@
 #[derive(Default)]
 pub struct RestoredState {
     pub turn: u64,
-    pub records: Vec<(replica::Key, replica::Shared)>,
+    pub records: Vec<(replica::Key, replica::RecordCopy)>,
 }
 
 impl Peers {
@@ -103,16 +103,17 @@
         settings: &PeerSettings,
         nonce: u64,
         restored: Option<RestoredState>,
-        disabled_guard: Option<Guard>,
+        disabled_guard: Option<SafetyCheck>,
         transport: Box<dyn Transport>,
     ) -> Self {
         let now = context.clock.now();
         let group = settings.group.clone();
-        let (group_fingerprint, own_index, member_count) = (group.mark, group.me, group.len());
-        let terms = membership::Terms {
-            probe_every: settings.probe_interval,
-            answer_within: settings.probe_timeout,
-            suspected_for: settings.suspicion_timeout,
+        let (group_fingerprint, own_index, member_count) =
+            (group.fingerprint, group.own_index, group.len());
+        let terms = membership::FailureDetectorSettings {
+            probe_interval: settings.probe_interval,
+            answer_timeout: settings.probe_timeout,
+            suspicion_timeout: settings.suspicion_timeout,
             seed: context.seed,
         };
         let (turn, was_restored) = (
@@ -120,12 +121,12 @@
             restored.is_some(),
         );
         let membership = Membership::new(now, group.clone(), terms, nonce, turn);
-        let terms = replica::Terms {
-            most_records: settings.max_records,
+        let terms = replica::ReplicaSettings {
+            max_records: settings.max_records,
             catch_up_bytes_per_s: settings.catch_up_bytes_per_s,
-            written: settings.state_folder.is_some(),
-            without: disabled_guard,
-            ..replica::Terms::usual(
+            is_persistent: settings.state_folder.is_some(),
+            disabled_check: disabled_guard,
+            ..replica::ReplicaSettings::with_defaults(
                 settings.retention,
                 settings.replication_timeout,
                 context.seed,
@@ -140,7 +141,7 @@
         );
         let state = State {
             membership,
-            believed: Believed::new(now, member_count, settings.belief_delay),
+            believed: StableView::new(now, member_count, settings.belief_delay),
             replica,
             clocks: vec![(0, 0); member_count],
             counts: Counts::default(),
@@ -161,64 +162,64 @@
             listeners: RefCell::default(),
             is_notifying: std::cell::Cell::new(false),
             state_providers: RefCell::default(),
-            alarm: Alarm::default(),
+            alarm: DeadlineTimer::default(),
             write_request: smol::channel::bounded(1),
         }
     }
 
     /// Takes a request of the core to its group.
-    pub fn request(&self, request: Ask) {
+    pub fn request(&self, request: ReplicationRequest) {
         let input = match request {
-            Ask::Take {
+            ReplicationRequest::Announce {
                 key,
-                need,
+                durability: need,
                 redelivered,
             } => {
                 let need = match need {
-                    group::Need::Known => Need::Known,
-                    group::Need::Held => Need::Held,
+                    replication::Durability::Notified => Durability::Local,
+                    replication::Durability::MajorityStored => Durability::Majority,
                 };
                 replica::Input::Take {
                     key,
-                    need,
+                    durability: need,
                     redelivered,
                 }
             }
-            Ask::Leave {
+            ReplicationRequest::RequestPermission {
                 key,
-                sending,
-                place,
-                alone,
-            } => replica::Input::Intend {
+                attempt: sending,
+                deduplication_domain: place,
+                without_majority: alone,
+            } => replica::Input::RequestDispatch {
                 key,
-                sending,
-                place,
-                alone,
+                dispatch: sending,
+                deduplication_scope: place,
+                without_majority: alone,
             },
-            Ask::Left {
+            ReplicationRequest::AttemptSent {
                 key,
-                sending,
-                place,
-            } => replica::Input::Left {
+                attempt: sending,
+                deduplication_domain: place,
+            } => replica::Input::Dispatched {
                 key,
-                sending,
-                place,
+                dispatch: sending,
+                deduplication_scope: place,
             },
-            Ask::Ended {
+            ReplicationRequest::AttemptEnded {
                 key,
-                sending,
+                attempt: sending,
                 may_have_run,
-            } => replica::Input::Ended {
+            } => replica::Input::DispatchEnded {
                 key,
-                sending,
+                dispatch: sending,
                 may_have_run,
             },
-            Ask::Answered { key, answer } => replica::Input::Answered {
+            ReplicationRequest::Answered { key, answer } => replica::Input::Answered {
                 key,
                 answer: encode_answer(&answer),
             },
-            Ask::Closed { key } => replica::Input::Closed { key },
-            Ask::Dropped { key } => replica::Input::Dropped { key },
+            ReplicationRequest::AnswerDelivered { key } => replica::Input::Closed { key },
+            ReplicationRequest::Abandoned { key } => replica::Input::Dropped { key },
         };
         self.apply_replica(input);
     }
@@ -245,7 +246,7 @@
 
     /// Returns when something is due: call [`Peers::tick`] then.
     pub async fn wait_until_due(&self) {
-        self.alarm.rings(&self.context.clock).await;
+        self.alarm.elapsed(&self.context.clock).await;
     }
 
     /// Processes an encoded envelope received from `address`; returns the envelope to reply with. One of
@@ -273,7 +274,7 @@
         self.state
             .borrow_mut()
             .membership
-            .came_from(now, from, process, &mut out);
+            .record_contact(now, from, process, &mut out);
         self.apply_membership(out);
         for message in envelope.messages {
             let Ok(message) = postcard::from_bytes::<PeerMessage>(&message) else {
@@ -283,9 +284,9 @@
             match message {
                 PeerMessage::Membership(message) => {
                     let mut out = Vec::new();
-                    let input = membership::Input::Heard {
+                    let input = membership::Input::Received {
                         from,
-                        process,
+                        incarnation: process,
                         message,
                     };
                     self.state
@@ -295,7 +296,7 @@
                     self.apply_membership(out);
                 }
                 PeerMessage::Replica(message) => {
-                    self.apply_replica(replica::Input::Heard {
+                    self.apply_replica(replica::Input::MessageReceived {
                         from,
                         nonce: process.nonce,
                         transit,
@@ -378,7 +379,7 @@
             group: self.group_fingerprint,
             from: self.own_index,
             to,
-            process: state.membership.me(),
+            process: state.membership.own_incarnation(),
             clock: self.context.clock.now(),
             echo,
             echo_of,
@@ -402,23 +403,23 @@
     fn member_changed(&self, now: Micros, member: MemberIndex) {
         let (known, alive, name) = {
             let mut state = self.state.borrow_mut();
-            let known = state.membership.known(member);
+            let known = state.membership.status(member);
             // Other members knew a later process of this member than its store did. A member that was only
             // suspected for a while and refuted that has no older store, and must not be reported with one.
-            let outdated = state.membership.counts.outdated > 0;
+            let outdated = state.membership.counts.outdated_store_signs > 0;
             state.store_was_older |= member == self.own_index && state.was_restored && outdated;
             (
                 known,
-                state.membership.lives(member),
+                state.membership.is_alive(member),
                 state.membership.group().members[member as usize]
                     .name
                     .clone(),
             )
         };
-        tracing::info!(member = name, standing = ?known.standing, why = ?known.why, turn = known.process.turn, "group");
-        self.apply_replica(replica::Input::Member {
+        tracing::info!(member = name, standing = ?known.state, why = ?known.reason, turn = known.incarnation.number, "group");
+        self.apply_replica(replica::Input::MemberChanged {
             member,
-            nonce: known.process.nonce,
+            nonce: known.incarnation.nonce,
             alive,
         });
         self.update_believed(now);
@@ -432,9 +433,9 @@
                 believed,
                 ..
             } = &mut *state;
-            let changed = believed.see(now, |m| membership.lives(m));
+            let changed = believed.observe(now, |m| membership.is_alive(m));
             if changed {
-                tracing::info!(alive = ?believed.alive(), version = believed.version(), "group: believed alive");
+                tracing::info!(alive = ?believed.alive_members(), version = believed.version(), "group: believed alive");
             }
             changed
         };
@@ -464,28 +465,43 @@
                     let (bulk, recoverable) = (message.is_bulk(), message.is_made_up_for());
                     self.send(to, PeerMessage::Replica(message), bulk, recoverable);
                 }
-                replica::Output::Verdict { key, verdict } => {
+                replica::Output::Decision {
+                    key,
+                    decision: verdict,
+                } => {
                     let verdict = self.convert_verdict(verdict);
                     self.notifications
                         .borrow_mut()
-                        .push_back(Notification::Core(Told::Verdict { key, verdict }));
+                        .push_back(Notification::Core(ReplicationEvent::Decision {
+                            key,
+                            decision: verdict,
+                        }));
                 }
-                replica::Output::Leave { sending, left, .. } => {
+                replica::Output::DispatchPermission {
+                    dispatch: sending,
+                    permission: left,
+                    ..
+                } => {
                     let left = left.map_err(|lack| match lack {
-                        replica::Lack::Elsewhere => group::Refusal::Elsewhere,
-                        _ => group::Refusal::NoMajority,
+                        replica::NoMajorityReason::OwnedElsewhere => {
+                            replication::PermissionRefusal::Elsewhere
+                        }
+                        _ => replication::PermissionRefusal::NoMajority,
                     });
                     self.notifications
                         .borrow_mut()
-                        .push_back(Notification::Core(Told::Leave { sending, left }));
+                        .push_back(Notification::Core(ReplicationEvent::Permission {
+                            attempt: sending,
+                            result: left,
+                        }));
                 }
-                replica::Output::Whole => {
+                replica::Output::Recovered => {
                     tracing::info!("group: this router remembers enough to vote")
                 }
-                replica::Output::Decided { key, outcome } => {
+                replica::Output::ProposalEnded { key, outcome } => {
                     self.queue_event(PeerEvent::Decided(key, outcome))
                 }
-                replica::Output::Noticed(key) => self.queue_event(PeerEvent::Updated(key)),
+                replica::Output::RecordChanged(key) => self.queue_event(PeerEvent::Updated(key)),
             }
         }
         let (due, urgent) = {
@@ -493,10 +509,10 @@
             let members = state.membership.next_due().min(state.believed.next_due());
             (
                 members.min(state.replica.next_due()),
-                state.replica.awaits_folder(),
+                state.replica.awaits_batch(),
             )
         };
-        self.alarm.set(due);
+        self.alarm.set_deadline(due);
         if urgent {
             // A full channel already carries the signal.
             let _ = self.write_request.0.try_send(());
@@ -518,39 +534,46 @@
             .collect()
     }
 
-    fn convert_verdict(&self, verdict: replica::Verdict) -> group::Verdict {
+    fn convert_verdict(
+        &self,
+        verdict: replica::OwnershipDecision,
+    ) -> replication::ReplicationDecision {
         match verdict {
-            replica::Verdict::Go { first_ago } => group::Verdict::Go { first_ago },
-            replica::Verdict::Waits => group::Verdict::Waits,
-            replica::Verdict::Answer(bytes) => match decode_answer(&bytes) {
-                Some(answer) => group::Verdict::Answer(answer),
+            replica::OwnershipDecision::Dispatch {
+                first_dispatch_ago: first_ago,
+            } => replication::ReplicationDecision::RunHere {
+                first_attempt_ago: first_ago,
+            },
+            replica::OwnershipDecision::Wait => replication::ReplicationDecision::AwaitPeer,
+            replica::OwnershipDecision::Answer(bytes) => match decode_answer(&bytes) {
+                Some(answer) => replication::ReplicationDecision::Answer(answer),
                 None => {
                     self.state.borrow_mut().counts.unreadable_answers += 1;
-                    group::Verdict::MayHaveRun
+                    replication::ReplicationDecision::MayHaveRun
                 }
             },
-            replica::Verdict::MayHaveRun(because) => {
+            replica::OwnershipDecision::Indeterminate(because) => {
                 tracing::debug!(?because, "group: may have run");
-                group::Verdict::MayHaveRun
+                replication::ReplicationDecision::MayHaveRun
             }
-            replica::Verdict::NoMajority(lack) => {
+            replica::OwnershipDecision::NoMajority(lack) => {
                 tracing::warn!(?lack, "group: no majority");
-                group::Verdict::NoMajority
+                replication::ReplicationDecision::NoMajority
             }
         }
     }
 
     /// Changes since the last call, for the store: the incarnation of this process, the serial of the
     /// changes, and the records (absent ones were removed).
-    pub fn changes(&self) -> (u64, u64, Vec<(replica::Key, Option<replica::Shared>)>) {
+    pub fn changes(&self) -> (u64, u64, Vec<(replica::Key, Option<replica::RecordCopy>)>) {
         let mut state = self.state.borrow_mut();
         let (serial, changes) = state.replica.changes(self.context.clock.now());
-        (state.membership.me().turn, serial, changes)
+        (state.membership.own_incarnation().number, serial, changes)
     }
 
     /// A vote waits for changes that have not been fetched with [`Peers::changes`].
     pub fn awaits_store(&self) -> bool {
-        self.state.borrow().replica.awaits_folder()
+        self.state.borrow().replica.awaits_batch()
     }
 
     /// Returns when a vote waits for the store, once for each signal since the last call.
@@ -572,7 +595,7 @@
     /// whether the store was older than what others knew.
     pub fn inspect<R>(
         &self,
-        inspect: impl FnOnce(Micros, &Membership, &Believed, &Replica, &Counts, bool) -> R,
+        inspect: impl FnOnce(Micros, &Membership, &StableView, &Replica, &Counts, bool) -> R,
     ) -> R {
         let state = self.state.borrow();
         let State {
--- a/crates/gateway/src/reconciliation.rs
+++ b/crates/gateway/src/reconciliation.rs
@@ -15,15 +15,15 @@
 use async_io::Timer;
 use cedarpulley::interface::{EndpointListKind, EndpointState, Micros};
 use cedarpulley_errors::Remedy;
-use cedarpulley_kserve::{index, requests};
-use cedarpulley_net::Alarm;
+use cedarpulley_kserve::{repository_index, worker_requests};
+use cedarpulley_net::DeadlineTimer;
 use cedarpulley_reconcile::{
     Cause, Change, Claims, Entry, Input as ReconcilerInput, Kind, Observation,
     Output as ReconcilerOutput, Reconciler, Seat, Terms,
 };
 use cedarpulley_router::Input;
-use cedarpulley_router::roster::{Listed, News as ListNews};
-use cedarpulley_router::watch::Watch;
+use cedarpulley_router::endpoint_list::{ListedWorker, WatchEvent as ListNews};
+use cedarpulley_router::observer::RouterObserver;
 use serde_json::{Value, json};
 
 use crate::context::GatewayContext;
@@ -85,7 +85,7 @@
 }
 
 /// Workers of the list, by address.
-pub type WorkerListing = Rc<RefCell<BTreeMap<Arc<str>, Listed>>>;
+pub type WorkerListing = Rc<RefCell<BTreeMap<Arc<str>, ListedWorker>>>;
 /// What upgrade plans claim, of functions that a worker has just reported.
 pub type ClaimsProvider = Box<dyn Fn(&[Arc<str>]) -> Claims>;
 /// Whether an upgrade plan manages a function's copies.
@@ -107,7 +107,7 @@
     prefix_loss_listener: RefCell<Option<PrefixLossListener>>,
     plan_check: RefCell<Option<PlanCheck>>,
     pub(crate) state: RefCell<State>,
-    alarm: Alarm,
+    alarm: DeadlineTimer,
 }
 
 impl Reconciliation {
@@ -167,7 +167,7 @@
             prefix_loss_listener: RefCell::default(),
             plan_check: RefCell::default(),
             state: RefCell::new(state),
-            alarm: Alarm::default(),
+            alarm: DeadlineTimer::default(),
         });
         if let Some(shared) = &this.shared {
             let weak = Rc::downgrade(&this);
@@ -181,7 +181,7 @@
     }
 
     /// To be registered with the core, which reports its decisions.
-    pub fn watch(self: &Rc<Self>) -> Box<dyn Watch> {
+    pub fn watch(self: &Rc<Self>) -> Box<dyn RouterObserver> {
         Box::new(CoreObserver::new(self.clone()))
     }
 
@@ -279,7 +279,7 @@
     }
 
     /// The update of the list that the core has just received.
-    pub fn list_applied(self: &Rc<Self>, mode: EndpointListKind, workers: &[Listed]) {
+    pub fn list_applied(self: &Rc<Self>, mode: EndpointListKind, workers: &[ListedWorker]) {
         {
             let mut listing = self.listing.borrow_mut();
             match mode {
@@ -288,7 +288,7 @@
                 EndpointListKind::Failed => return,
             }
             for worker in workers {
-                match worker.standing {
+                match worker.state {
                     EndpointState::InService | EndpointState::Draining => {
                         listing.insert(Arc::from(worker.address.as_str()), worker.clone());
                     }
@@ -328,12 +328,12 @@
 
     fn seats(&self) -> Vec<Seat> {
         let state = self.state.borrow();
-        let seat = |(address, worker): (&Arc<str>, &Listed)| {
+        let seat = |(address, worker): (&Arc<str>, &ListedWorker)| {
             let mark = state.start_marks.get(&**address).filter(|m| !m.is_empty());
             let id = mark.map_or(address.clone(), |m| Arc::from(m.as_str()));
             let by_kind = self
                 .kinds_mb
-                .get(worker.kind as usize)
+                .get(worker.machine_kind as usize)
                 .copied()
                 .unwrap_or(0.0);
             let memory_mb = state.memory_mb.get(&**address).copied().unwrap_or(by_kind);
@@ -354,7 +354,7 @@
             loop {
                 this.publish_clock_if_due();
                 this.apply(ReconcilerInput::Tick);
-                this.alarm.rings(&this.context.clock).await;
+                this.alarm.elapsed(&this.context.clock).await;
             }
         };
         self.context.executor.spawn(ticks).detach();
@@ -400,7 +400,7 @@
             };
             state.reconciler.next_due().min(clock)
         };
-        self.alarm.set(due);
+        self.alarm.set_deadline(due);
         out.into_iter().for_each(|o| self.carry_out(o));
     }
 
@@ -416,7 +416,7 @@
                 function,
                 copies,
             } => {
-                self.context.feed(Input::Held {
+                self.context.feed(Input::CopiesReported {
                     worker,
                     function,
                     copies,
@@ -432,7 +432,7 @@
                     .is_some_and(|t| t(&function)) => {}
             ReconcilerOutput::Want { worker, function } => {
                 let like = function.clone();
-                self.context.feed(Input::Wanted {
+                self.context.feed(Input::CopyWanted {
                     worker,
                     function,
                     like,
@@ -449,7 +449,7 @@
                     function = &*function,
                     "reconcile: unloaded, as nobody claims it"
                 );
-                self.context.feed(Input::Unwanted {
+                self.context.feed(Input::CopyUnwanted {
                     worker,
                     function,
                     term,
@@ -487,11 +487,15 @@
         let Ok(address) = worker.parse::<SocketAddr>() else {
             return self.apply(ReconcilerInput::Silent { worker });
         };
-        let request = requests::index(&address.to_string());
+        let request = worker_requests::index(&address.to_string());
         let answer = self.pool.order(address, request, QUERY_TIMEOUT).await;
         let read = match answer {
-            Ok(reply) => index::of(reply.status.as_u16(), &reply.headers, &reply.body),
-            Err(ExchangeError::Garbled | ExchangeError::TooLarge) => Err(index::NoIndex::Form),
+            Ok(reply) => {
+                repository_index::parse(reply.status.as_u16(), &reply.headers, &reply.body)
+            }
+            Err(ExchangeError::Garbled | ExchangeError::TooLarge) => {
+                Err(repository_index::InvalidIndex::Malformed)
+            }
             Err(_) => return self.apply(ReconcilerInput::Silent { worker }),
         };
         match read {
@@ -534,9 +538,9 @@
     }
 }
 
-fn observation_of(index: index::Index) -> Observation {
+fn observation_of(index: repository_index::RepositoryIndex) -> Observation {
     let arc = |text: String| Arc::from(text);
-    let entry = |m: index::Model| Entry {
+    let entry = |m: repository_index::ModelEntry| Entry {
         function: Arc::from(m.function),
         copies: m.copies,
         loading: m.loading,
@@ -547,8 +551,8 @@
         sequences: m.sequences.map(|ids| ids.into_iter().map(arc).collect()),
     };
     Observation {
-        life: index.life,
+        life: index.incarnation,
         entries: index.models.into_iter().map(entry).collect(),
-        cut: index.cut,
+        cut: index.truncated,
     }
 }
--- a/crates/gateway/src/reconciliation_observer.rs
+++ b/crates/gateway/src/reconciliation_observer.rs
@@ -8,8 +8,8 @@
 };
 use cedarpulley_reconcile::{Change, Input as ReconcilerInput};
 use cedarpulley_router::FrontIndex;
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::watch::{By, Given, Names, Used, Watch};
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, UsageSource, WorkerUsage};
 
 use crate::reconciliation::Reconciliation;
 
@@ -62,7 +62,7 @@
     }
 }
 
-impl Watch for CoreObserver {
+impl RouterObserver for CoreObserver {
     fn decided(&mut self, now: Micros, event: &Event, actions: &[Action], names: Names) {
         match event {
             Event::Invocation(a) => {
@@ -126,17 +126,20 @@
         }
     }
 
-    fn taken(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {}
+    fn accepted(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {
+    }
 
-    fn answered(&mut self, _: Micros, _: Given) {}
+    fn answered(&mut self, _: Micros, _: AnswerGiven) {}
 
-    fn turned_away(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: Short) {}
+    fn rejected(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: RejectionReason) {}
 
-    fn used(&mut self, now: Micros, u: Used) {
-        if let (Some(id), By::Dispatch(DispatchOutcome::Succeeded, _)) = (u.session, u.by) {
+    fn used(&mut self, now: Micros, u: WorkerUsage) {
+        if let (Some(id), UsageSource::Dispatch(DispatchOutcome::Succeeded, _)) =
+            (u.session, u.source)
+        {
             let change = Change::Session {
                 id: Arc::from(id),
-                over: u.ends,
+                over: u.ends_session,
             };
             self.change(now, Some(u.worker_name), Some(u.function), change);
         }
--- a/crates/gateway/src/request_handling.rs
+++ b/crates/gateway/src/request_handling.rs
@@ -14,11 +14,13 @@
 use async_io::Timer;
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
+use cedarpulley_kserve::client_requests::{self, InvalidField};
 use cedarpulley_kserve::sequences;
-use cedarpulley_kserve::serving::{self, Misunderstood};
-use cedarpulley_net::{Bell, micros};
-use cedarpulley_router::entry::{Entry, Knock};
-use cedarpulley_router::{Answer, Delivery, FrontIndex, Input, Payload, Session, Taken};
+use cedarpulley_net::{Notifier, duration_from_micros};
+use cedarpulley_router::admission_control::{AdmissionDecision, AdmissionRequest};
+use cedarpulley_router::{
+    Answer, Delivery, FrontIndex, IncomingInvocation, Input, Payload, Session,
+};
 use futures_lite::FutureExt;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -81,7 +83,7 @@
     /// Connections with at least one open request.
     connections: Cell<u32>,
     next_tag: Cell<u64>,
-    decision: Cell<Option<Entry>>,
+    decision: Cell<Option<AdmissionDecision>>,
     waiting: RefCell<HashMap<u64, Sender<Answer>>>,
 }
 
@@ -114,8 +116,8 @@
             client.last_abandoned_at.set(handler.context.clock.now());
         }
         let input = match self.answered {
-            true => Input::Safe(self.delivery),
-            false => Input::Departed(self.delivery),
+            true => Input::AnswerDelivered(self.delivery),
+            false => Input::ClientLeft(self.delivery),
         };
         // Not called directly: a drop may happen while the core is running.
         let context = handler.context.clone();
@@ -139,7 +141,7 @@
     reading: impl Future<Output = Result<T, BodyError>>,
 ) -> Result<T, BodyError> {
     let timeout = async {
-        Timer::after(micros(BODY_TIMEOUT)).await;
+        Timer::after(duration_from_micros(BODY_TIMEOUT)).await;
         Err(BodyError::TimedOut)
     };
     reading.or(timeout).await
@@ -184,11 +186,11 @@
 /// requests. How it ended does not matter: requests still open then were dropped.
 pub(crate) async fn serve_until_closed<C: Future>(
     mut connection: Pin<&mut C>,
-    stop: Bell,
+    stop: Notifier,
     shut_down: impl FnOnce(Pin<&mut C>),
 ) {
     let stopped = async {
-        stop.heard().await;
+        stop.notified().await;
         false
     };
     let ended = async {
@@ -207,16 +209,17 @@
     client: &ClientConnection,
     headers: &HeaderMap,
     function: String,
-) -> Result<Taken, Misunderstood> {
+) -> Result<IncomingInvocation, InvalidField> {
     let context = &handler.context;
-    let metadata = serving::wanted(headers, context.clock.wall())?;
-    let unknown = |field, what: &str| Misunderstood {
+    let metadata = client_requests::parse_infer_headers(headers, context.clock.wall_time())?;
+    let unknown = |field, what: &str| InvalidField {
         field,
         cause: format!("'{what}' is unknown"),
     };
-    let trigger = context.names.trigger(&metadata.kind);
-    let trigger = trigger.ok_or_else(|| unknown("cedarpulley-trigger-type", &metadata.kind))?;
-    let claimed = context.names.account(metadata.account.as_deref());
+    let trigger = context.names.trigger_index(&metadata.trigger_type);
+    let trigger =
+        trigger.ok_or_else(|| unknown("cedarpulley-trigger-type", &metadata.trigger_type))?;
+    let claimed = context.names.account_index(metadata.account.as_deref());
     let claimed = claimed.ok_or_else(|| {
         unknown(
             "cedarpulley-account",
@@ -228,25 +231,25 @@
         Some(own) if metadata.account.is_none() || claimed == own => own,
         Some(_) => {
             let cause = "is not the one that the client's certificate speaks for".to_owned();
-            return Err(Misunderstood {
+            return Err(InvalidField {
                 field: "cedarpulley-account",
                 cause,
             });
         }
     };
-    Ok(Taken {
+    Ok(IncomingInvocation {
         delivery: handler.delivery(),
         identity: None,
-        mark: headers
+        name: headers
             .get(REQUEST_ID)
             .and_then(|v| v.to_str().ok())
             .map(Arc::from),
         redelivered: false,
-        repeat: metadata.repeat,
+        client_retry: metadata.repeat,
         trigger,
         account,
         function: Arc::from(function),
-        token: metadata.token.map(Arc::from),
+        idempotency_key: metadata.idempotency_key.map(Arc::from),
         waited: metadata.waited,
         client_timeout: metadata.client_timeout.unwrap_or(Micros::MAX / 8),
         cost_hint: metadata.cost_hint,
@@ -254,12 +257,12 @@
         copy_mb: metadata.copy_mb,
         lanes: metadata.lanes,
         session: None,
-        named: None,
-        prefers: None,
-        refused: None,
+        requested_function: None,
+        preferred_worker: None,
+        predetermined_answer: None,
         body: Payload {
             bytes: Bytes::new(),
-            first: metadata.json,
+            first_part_length: metadata.json_length,
         },
     })
 }
@@ -268,31 +271,31 @@
 pub(crate) fn parse_session(
     handler: &RequestHandler,
     body: &Payload,
-) -> Result<Option<Session>, sequences::NoSequence> {
+) -> Result<Option<Session>, sequences::InvalidSequence> {
     if !handler.context.tracks_sessions {
         return Ok(None);
     }
-    let json = body.first.map_or(&body.bytes[..], |n| {
+    let json = body.first_part_length.map_or(&body.bytes[..], |n| {
         body.bytes.get(..n as usize).unwrap_or_default()
     });
     let of = |s: sequences::Sequence| Session {
         id: Arc::from(s.id),
-        start: s.start,
-        end: s.end,
+        is_first: s.start,
+        is_last: s.end,
     };
-    Ok(sequences::of(json)?.map(of))
+    Ok(sequences::parse(json)?.map(of))
 }
 
 impl OpenRequest {
     /// Hands the request to the core and waits for its answer; absent only by a defect of the core.
-    pub async fn answer(mut self, mut taken: Taken) -> Option<(Answer, UnreadAnswer)> {
+    pub async fn answer(mut self, mut taken: IncomingInvocation) -> Option<(Answer, UnreadAnswer)> {
         let (answers, answered) = bounded(1);
         self.handler
             .waiting
             .borrow_mut()
             .insert(self.delivery.tag, answers);
         taken.waited += self.handler.context.clock.now() - self.began;
-        self.handler.context.feed(Input::Taken(taken));
+        self.handler.context.feed(Input::MessageArrived(taken));
         let answer = answered.recv().await.ok()?;
         self.answered = true;
         let unread = UnreadAnswer::begin(&self.handler, &self.client, answer.body.len());
@@ -421,7 +424,7 @@
     }
 
     /// The core's decision on the request that is being admitted.
-    pub fn set_decision(&self, entry: Entry) {
+    pub fn set_decision(&self, entry: AdmissionDecision) {
         self.decision.set(Some(entry));
     }
 
@@ -444,7 +447,7 @@
         self.next_tag.set(tag + 1);
         Delivery {
             front: self.ix,
-            life: 1,
+            incarnation: 1,
             tag,
         }
     }
@@ -453,29 +456,32 @@
     pub fn admit(
         self: &Rc<Self>,
         client: &Rc<ClientConnection>,
-        taken: &Taken,
+        taken: &IncomingInvocation,
         bytes: u64,
-    ) -> Result<OpenRequest, Entry> {
+    ) -> Result<OpenRequest, AdmissionDecision> {
         let delivery = taken.delivery;
-        let knock = Knock {
+        let knock = AdmissionRequest {
             trigger: taken.trigger,
             account: taken.account,
             waited: taken.waited,
             bytes,
-            here: client.open.get(),
-            unread: client.unread.get(),
-            left: client.abandoned.get().count_ones(),
-            left_ago: self.context.clock.now() - client.last_abandoned_at.get(),
-            connections: self.connections.get().max(1),
+            connection_in_flight: client.open.get(),
+            unread_answers: client.unread.get(),
+            abandoned: client.abandoned.get().count_ones(),
+            last_abandoned_ago: self.context.clock.now() - client.last_abandoned_at.get(),
+            active_connections: self.connections.get().max(1),
             unread_bytes: self.resources.unread_bytes.get(),
         };
         self.decision.set(None);
-        self.context.feed(Input::Knock { delivery, knock });
+        self.context.feed(Input::RequestArrived {
+            delivery,
+            request: knock,
+        });
         match self.decision.take() {
-            Some(Entry::Enter) => {}
+            Some(AdmissionDecision::Admitted) => {}
             Some(turned_away) => return Err(turned_away),
             // The core decides for each request, so that this is a defect of the core.
-            None => return Err(Entry::Enter),
+            None => return Err(AdmissionDecision::Admitted),
         }
         self.open_requests.set(self.open_requests.get() + 1);
         if client.open.get() == 0 {
--- a/crates/gateway/src/resources.rs
+++ b/crates/gateway/src/resources.rs
@@ -7,11 +7,11 @@
 
 use async_io::Async;
 use cedarpulley::interface::Micros;
-use cedarpulley_certificates::Speakers;
+use cedarpulley_certificates::ClientAccounts;
 use cedarpulley_net::{Clock, listen};
 use cedarpulley_router::Router;
 use cedarpulley_startup::Names;
-use cedarpulley_trace::start::{Start, module_digest};
+use cedarpulley_trace::start::{StartRecord, module_digest};
 use cedarpulley_upgrade::sessions;
 
 use crate::amqp_front::AmqpSource;
@@ -44,7 +44,7 @@
     pub(crate) listeners: Vec<ListenerWithTls>,
     /// The bound sockets of `listeners`, in the same order.
     pub(crate) sockets: Vec<Async<TcpListener>>,
-    pub(crate) certificate_accounts: Rc<Speakers>,
+    pub(crate) certificate_accounts: Rc<ClientAccounts>,
     pub(crate) max_body_bytes: u64,
     pub(crate) pool: PoolSettings,
     pub(crate) upgrade: Option<UpgradeSettings>,
@@ -64,11 +64,11 @@
         settings: RouterSettings,
         fault: Option<InjectedFault>,
     ) -> Result<Resources, StartError> {
-        let clock = Clock::off_by(settings.clock_offset);
+        let clock = Clock::with_wall_offset(settings.clock_offset);
         // Without a configured seed each start draws differently.
         let seed = settings
             .seed
-            .unwrap_or_else(|| clock.wall() as u64 ^ u64::from(std::process::id()) << 40);
+            .unwrap_or_else(|| clock.wall_time() as u64 ^ u64::from(std::process::id()) << 40);
         let trace_recorder = begin_trace(name, &settings, &clock, seed)?;
         let disabled_guard = fault.and_then(InjectedFault::guard);
         let peer_group = match settings.peers {
@@ -89,10 +89,10 @@
         let mut router = Router::new(control, settings.startup.triggers, settings.core_terms);
         let metering = begin_metering(name, settings.ledger_folder, &settings.names, &clock)?;
         if let Some(trace_recorder) = &trace_recorder {
-            router.watched_by(Box::new(trace_recorder.clone()));
+            router.add_observer(Box::new(trace_recorder.clone()));
         }
         if let Some(metering) = &metering {
-            router.watched_by(Box::new(metering.clone()));
+            router.add_observer(Box::new(metering.clone()));
         }
         Ok(Resources {
             name: name.to_owned(),
@@ -129,15 +129,15 @@
         return Ok(None);
     };
     let sources = settings.amqp_sources.iter().map(|s| s.name.clone());
-    let start = Start {
+    let start = StartRecord {
         router: name.to_owned(),
-        module: module_digest(),
-        settings: settings.digest,
-        file: 0,
-        wall_at_zero: clock.wall() - clock.now(),
-        triggers_named: settings.names.triggers.clone(),
-        accounts_named: settings.names.accounts.clone(),
-        fronts_named: sources
+        module_digest: module_digest(),
+        settings_digest: settings.digest,
+        file_number: 0,
+        wall_at_zero: clock.wall_time() - clock.now(),
+        trigger_names: settings.names.triggers.clone(),
+        account_names: settings.names.accounts.clone(),
+        front_names: sources
             .chain(settings.listeners.iter().map(|l| l.name.clone()))
             .collect(),
         seed,
@@ -155,7 +155,7 @@
         let tls = match &listener.tls {
             None => None,
             Some(files) => {
-                let opened = ServerTls::open(files.clone(), clock.wall());
+                let opened = ServerTls::open(files.clone(), clock.wall_time());
                 Some(opened.map_err(|e| std::io::Error::other(e.cause))?)
             }
         };
@@ -175,6 +175,6 @@
     };
     // Unique among processes with all but certainty.
     let source = uuid::Uuid::new_v4().as_u128();
-    let wall_at_zero = clock.wall() - clock.now();
+    let wall_at_zero = clock.wall_time() - clock.now();
     Metering::begin(folder, name, source, names.accounts.clone(), wall_at_zero).map(Some)
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -6,14 +6,14 @@
 use std::path::{Path, PathBuf};
 
 use cedarpulley::interface::*;
-use cedarpulley_certificates::Speakers;
+use cedarpulley_certificates::ClientAccounts;
 use cedarpulley_reconcile::asking::slowest;
-use cedarpulley_router::Terms;
-use cedarpulley_router::group::Sharing;
-use cedarpulley_router::roster::Listed;
+use cedarpulley_router::CoreSettings;
+use cedarpulley_router::endpoint_list::ListedWorker;
+use cedarpulley_router::replication::ReplicationSettings;
 pub use cedarpulley_startup::Names;
 use cedarpulley_startup::StartupSettings;
-use cedarpulley_trace::keeping::Bounds;
+use cedarpulley_trace::retention::RetentionLimits;
 use cedarpulley_trace::start::digest;
 use cedarpulley_upgrade::sessions;
 
@@ -37,7 +37,7 @@
 /// Where the workers are listed.
 #[derive(Clone, Debug)]
 pub enum WorkerList {
-    Fixed(Vec<Listed>),
+    Fixed(Vec<ListedWorker>),
     Watched(SocketAddr),
 }
 
@@ -47,13 +47,13 @@
     pub seed: Option<u64>,
     pub startup: StartupSettings,
     pub names: Names,
-    pub core_terms: Terms,
+    pub core_terms: CoreSettings,
     pub amqp_sources: Vec<AmqpSource>,
     pub listeners: Vec<ListenerSettings>,
     pub workers: WorkerList,
     pub pool: PoolSettings,
     pub max_body_bytes: u64,
-    pub certificate_accounts: Speakers,
+    pub certificate_accounts: ClientAccounts,
     /// Where a trace is kept, if it is.
     pub trace: Option<TraceSettings>,
     /// Where memory-seconds are kept, if they are.
@@ -132,9 +132,9 @@
         reconcile,
         sessions,
     } = shared(root, folder, peers.as_ref(), &triggers, &loads);
-    let sharing = peers.as_ref().map(|p| Sharing {
-        alone,
-        leave_kept: p.send_lease(),
+    let sharing = peers.as_ref().map(|p| ReplicationSettings {
+        without_majority: alone,
+        permission_validity: p.send_lease(),
     });
     let workers = workers(&root.section("workers"), &names);
     let trace = trace(&root.section("trace"), folder);
@@ -192,24 +192,24 @@
     accounts: &[Account],
     loads: &LoadSettings,
     front_weights: Vec<f64>,
-    sharing: Option<Sharing>,
+    sharing: Option<ReplicationSettings>,
     drain_grace: Micros,
-) -> Terms {
-    Terms {
+) -> CoreSettings {
+    CoreSettings {
         answer_margin: router.answer_margin,
         clock_margin: router.clock_margin,
         memory_bytes: router.memory_bytes,
         front_weights,
         account_shares: accounts.iter().map(|a| a.share).collect(),
-        order_answered_within: loads.order_timeout,
-        module_alone: false,
-        sharing,
+        order_timeout: loads.order_timeout,
+        balancer_only: false,
+        replication: sharing,
         drain_grace,
     }
 }
 
 fn check_fronts(root: &Section, no_front: bool, peers: Option<&PeerSettings>) {
-    let witness = peers.is_some_and(|p| p.group.members[p.group.me as usize].witness);
+    let witness = peers.is_some_and(|p| p.group.members[p.group.own_index as usize].witness);
     match (no_front, witness) {
         (true, false) => root.error(
             "amqp",
@@ -275,13 +275,13 @@
 
 fn trace(section: &Section, folder: &Path) -> Option<TraceSettings> {
     let trace = section.is_present().then(|| {
-        let bounds = Bounds {
+        let bounds = RetentionLimits {
             file_bytes: section.integer("file_mb", 1..1 << 16, Some(64)) << 20,
             file_age: section.millis_as_micros("file_minutes", 1..DAY_MS / 60_000 + 1, Some(60))
                 * 60_000,
-            budget: section.integer("budget_mb", 2..1 << 24, Some(1024)) << 20,
+            budget_bytes: section.integer("budget_mb", 2..1 << 24, Some(1024)) << 20,
         };
-        if bounds.budget < bounds.file_bytes * 2 {
+        if bounds.budget_bytes < bounds.file_bytes * 2 {
             section.error("budget_mb", "is below two files");
         }
         TraceSettings {
@@ -320,15 +320,15 @@
     )
 }
 
-fn fixed_workers(w: &Section, names: &Names) -> Vec<Listed> {
-    let mut list: Vec<Listed> = Vec::new();
+fn fixed_workers(w: &Section, names: &Names) -> Vec<ListedWorker> {
+    let mut list: Vec<ListedWorker> = Vec::new();
     for s in w.sections("list") {
         let address = s.loopback_address("address").to_string();
         if list.iter().any(|l| l.address == address) {
             s.error("address", &format!("{address} is named twice"));
         }
         let kind = s.string("kind", Some(""));
-        let kind = match names.kinds.iter().position(|k| *k == kind) {
+        let kind = match names.machine_kinds.iter().position(|k| *k == kind) {
             Some(i) => i as u32,
             None if kind.is_empty() => 0,
             None => {
@@ -336,14 +336,14 @@
                 0
             }
         };
-        list.push(Listed {
+        list.push(ListedWorker {
             address,
             zone: zone_index(&s, "zone", &names.zones),
-            kind,
+            machine_kind: kind,
             cell: s.integer("cell", 0..1 << 30, Some(0)) as u32,
-            standing: EndpointState::InService,
+            state: EndpointState::InService,
             weight: s.number("weight", 0.0..MAX_NUMBER, Some(1.0)),
-            started: None,
+            started_at: None,
         });
         s.finish();
     }
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -43,7 +43,7 @@
 
     /// No request is open in the core, waits for admission, or has an answer on its way.
     fn is_drained(&self) -> bool {
-        self.router.borrow().open() == 0
+        self.router.borrow().unfinished() == 0
             && self.admission.as_ref().is_none_or(|a| a.is_empty())
             && self.fronts.iter().all(|f| f.is_drained())
             && self.client_listeners.iter().all(|l| l.handler.is_drained())
--- a/crates/gateway/src/tls.rs
+++ b/crates/gateway/src/tls.rs
@@ -16,9 +16,10 @@
 use async_io::Timer;
 use cedarpulley::interface::Micros;
 use cedarpulley_certificates::{
-    self as certificates, Keeper, MOST_FILE, Read, Refused, Served, Step, Which,
+    self as certificates, CertificateFile, CertificateReloader, FileRole, MAX_FILE_BYTES,
+    RejectedFile, ReloadStep, ServedCertificate,
 };
-use cedarpulley_net::{Clock, Stream, micros};
+use cedarpulley_net::{Clock, Stream, duration_from_micros};
 use futures_lite::{AsyncRead, AsyncWrite, FutureExt};
 use futures_rustls::rustls::pki_types::ServerName;
 use futures_rustls::rustls::server::WebPkiClientVerifier;
@@ -50,32 +51,32 @@
 }
 
 /// Reads a certificate or key with its file mode; fails if it is too large.
-pub fn read_file(path: &Path) -> io::Result<Read> {
+pub fn read_file(path: &Path) -> io::Result<CertificateFile> {
     let file = File::open(path)?;
     let metadata = file.metadata()?;
-    if metadata.len() > MOST_FILE {
+    if metadata.len() > MAX_FILE_BYTES {
         return Err(io::Error::other("is too large for a certificate"));
     }
     let mut bytes = Vec::new();
-    file.take(MOST_FILE).read_to_end(&mut bytes)?;
-    Ok(Read {
+    file.take(MAX_FILE_BYTES).read_to_end(&mut bytes)?;
+    Ok(CertificateFile {
         bytes,
         mode: metadata.permissions().mode(),
     })
 }
 
-fn unreadable(which: Which, e: &io::Error) -> Refused {
-    Refused {
-        which,
+fn unreadable(which: FileRole, e: &io::Error) -> RejectedFile {
+    RejectedFile {
+        role: which,
         cause: e.to_string(),
     }
 }
 
-fn authorities(bytes: &[u8]) -> Result<RootCertStore, Refused> {
+fn authorities(bytes: &[u8]) -> Result<RootCertStore, RejectedFile> {
     let mut roots = RootCertStore::empty();
-    for one in certificates::chain(Which::Clients, bytes)? {
-        let cause = |_| Refused {
-            which: Which::Clients,
+    for one in certificates::parse_chain(FileRole::Clients, bytes)? {
+        let cause = |_| RejectedFile {
+            role: FileRole::Clients,
             cause: "is no authority's certificate".into(),
         };
         roots.add(one).map_err(cause)?;
@@ -84,20 +85,20 @@
 }
 
 fn server_config(
-    served: Served,
+    served: ServedCertificate,
     clients: Option<&[u8]>,
     alpn: &[u8],
-) -> Result<Arc<ServerConfig>, Refused> {
+) -> Result<Arc<ServerConfig>, RejectedFile> {
     let wrong = |which| {
-        move |e: &dyn std::fmt::Display| Refused {
-            which,
+        move |e: &dyn std::fmt::Display| RejectedFile {
+            role: which,
             cause: e.to_string(),
         }
     };
     let provider = Arc::new(ring::default_provider());
     let builder = ServerConfig::builder_with_provider(provider.clone())
         .with_safe_default_protocol_versions()
-        .map_err(|e| wrong(Which::Certificate)(&e))?;
+        .map_err(|e| wrong(FileRole::Certificate)(&e))?;
     let builder = match clients {
         None => builder.with_no_client_auth(),
         Some(bytes) => {
@@ -106,12 +107,12 @@
                 provider,
             )
             .build();
-            builder.with_client_cert_verifier(verifier.map_err(|e| wrong(Which::Clients)(&e))?)
+            builder.with_client_cert_verifier(verifier.map_err(|e| wrong(FileRole::Clients)(&e))?)
         }
     };
     let mut config = builder
         .with_single_cert(served.chain, served.key)
-        .map_err(|e| wrong(Which::Key)(&e))?;
+        .map_err(|e| wrong(FileRole::Key)(&e))?;
     config.alpn_protocols = vec![alpn.to_vec()];
     Ok(Arc::new(config))
 }
@@ -119,7 +120,7 @@
 /// Server configuration of one listener.
 pub struct ServerTls {
     files: TlsFiles,
-    keeper: RefCell<Keeper>,
+    keeper: RefCell<CertificateReloader>,
     clients: RefCell<Option<Vec<u8>>>,
     acceptor: RefCell<TlsAcceptor>,
 }
@@ -132,24 +133,24 @@
 
 impl ServerTls {
     /// Reads and validates the files at `wall`, in microseconds since 1970.
-    pub fn open(files: TlsFiles, wall: Micros) -> Result<Rc<ServerTls>, Refused> {
+    pub fn open(files: TlsFiles, wall: Micros) -> Result<Rc<ServerTls>, RejectedFile> {
         let certificate =
-            read_file(&files.certificate).map_err(|e| unreadable(Which::Certificate, &e))?;
-        let key = read_file(&files.key).map_err(|e| unreadable(Which::Key, &e))?;
+            read_file(&files.certificate).map_err(|e| unreadable(FileRole::Certificate, &e))?;
+        let key = read_file(&files.key).map_err(|e| unreadable(FileRole::Key, &e))?;
         let clients = match &files.clients {
             Some(path) => Some(
                 read_file(path)
-                    .map_err(|e| unreadable(Which::Clients, &e))?
+                    .map_err(|e| unreadable(FileRole::Clients, &e))?
                     .bytes,
             ),
             None => None,
         };
-        let served = certificates::judge(&certificate, &key, wall)?;
-        let ends = served.ends;
+        let served = certificates::validate(&certificate, &key, wall)?;
+        let ends = served.expires_at;
         let config = server_config(served, clients.as_deref(), files.alpn)?;
         Ok(Rc::new(ServerTls {
             files,
-            keeper: RefCell::new(Keeper::new(certificate, key, ends)),
+            keeper: RefCell::new(CertificateReloader::new(certificate, key, ends)),
             clients: RefCell::new(clients),
             acceptor: RefCell::new(config.into()),
         }))
@@ -164,7 +165,7 @@
     pub async fn accept(&self, stream: Stream) -> io::Result<server::TlsStream<Stream>> {
         let acceptor = self.acceptor.borrow().clone();
         let timeout = async {
-            Timer::after(micros(HANDSHAKE_TIMEOUT)).await;
+            Timer::after(duration_from_micros(HANDSHAKE_TIMEOUT)).await;
             Err(io::ErrorKind::TimedOut.into())
         };
         acceptor.accept(stream).or(timeout).await
@@ -176,7 +177,7 @@
         let mut last_warned = Micros::MIN;
         loop {
             Timer::after(POLL_INTERVAL).await;
-            let wall = clock.wall();
+            let wall = clock.wall_time();
             // A disk that hangs must not block the router's one thread.
             let TlsFiles {
                 certificate, key, ..
@@ -185,25 +186,25 @@
                 Ok::<_, io::Error>((read_file(&certificate)?, read_file(&key)?))
             })
             .await;
-            let step = self.keeper.borrow_mut().offered(wall, pair.ok());
+            let step = self.keeper.borrow_mut().on_files_read(wall, pair.ok());
             match step {
-                Step::Keep | Step::LookAgain => {}
-                Step::Refuse(why) => {
-                    tracing::error!(front, file = ?why.which, cause = why.cause, "not replaced; the old one goes on");
+                ReloadStep::Keep | ReloadStep::ReadAgain => {}
+                ReloadStep::Reject(why) => {
+                    tracing::error!(front, file = ?why.role, cause = why.cause, "not replaced; the old one goes on");
                 }
-                Step::Replace(served) => {
+                ReloadStep::Replace(served) => {
                     match server_config(served, self.clients.borrow().as_deref(), self.files.alpn) {
                         Ok(config) => {
                             *self.acceptor.borrow_mut() = config.into();
                             tracing::info!(front, "the certificate was replaced");
                         }
                         Err(why) => {
-                            tracing::error!(front, file = ?why.which, cause = why.cause, "not replaced");
+                            tracing::error!(front, file = ?why.role, cause = why.cause, "not replaced");
                         }
                     }
                 }
             }
-            let left = self.keeper.borrow().ends_soon(wall);
+            let left = self.keeper.borrow().time_left_if_expiring(wall);
             if let Some(left) =
                 left.filter(|_| clock.now().saturating_sub(last_warned) > EXPIRY_WARNING_INTERVAL)
             {
@@ -224,12 +225,12 @@
     own: Option<(&Path, &Path)>,
     name: &str,
     wall: Micros,
-) -> Result<ClientTls, Refused> {
-    let clients = read_file(roots).map_err(|e| unreadable(Which::Clients, &e))?;
+) -> Result<ClientTls, RejectedFile> {
+    let clients = read_file(roots).map_err(|e| unreadable(FileRole::Clients, &e))?;
     let builder = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
         .with_safe_default_protocol_versions()
-        .map_err(|e| Refused {
-            which: Which::Clients,
+        .map_err(|e| RejectedFile {
+            role: FileRole::Clients,
             cause: e.to_string(),
         })?
         .with_root_certificates(authorities(&clients.bytes)?);
@@ -237,19 +238,19 @@
         None => builder.with_no_client_auth(),
         Some((certificate, key)) => {
             let certificate =
-                read_file(certificate).map_err(|e| unreadable(Which::Certificate, &e))?;
-            let key = read_file(key).map_err(|e| unreadable(Which::Key, &e))?;
-            let served = certificates::judge(&certificate, &key, wall)?;
+                read_file(certificate).map_err(|e| unreadable(FileRole::Certificate, &e))?;
+            let key = read_file(key).map_err(|e| unreadable(FileRole::Key, &e))?;
+            let served = certificates::validate(&certificate, &key, wall)?;
             builder
                 .with_client_auth_cert(served.chain, served.key)
-                .map_err(|e| Refused {
-                    which: Which::Key,
+                .map_err(|e| RejectedFile {
+                    role: FileRole::Key,
                     cause: e.to_string(),
                 })?
         }
     };
-    let cause = |_| Refused {
-        which: Which::Clients,
+    let cause = |_| RejectedFile {
+        role: FileRole::Clients,
         cause: format!("'{name}' is no server's name"),
     };
     Ok(ClientTls {
@@ -272,7 +273,7 @@
         };
         let connector = TlsConnector::from(tls.config.clone());
         let timeout = async {
-            Timer::after(micros(HANDSHAKE_TIMEOUT)).await;
+            Timer::after(duration_from_micros(HANDSHAKE_TIMEOUT)).await;
             Err(io::ErrorKind::TimedOut.into())
         };
         let stream = connector
--- a/crates/gateway/src/trace_recorder.rs
+++ b/crates/gateway/src/trace_recorder.rs
@@ -12,13 +12,13 @@
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::{Action, Event, InvocationIndex, Micros};
 use cedarpulley_router::FrontIndex;
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::watch::{Given, Names, Used, Watch};
-use cedarpulley_trace::blocks::{Gather, event_uses};
-use cedarpulley_trace::keeping::Bounds;
-use cedarpulley_trace::records::{Record, Space};
-use cedarpulley_trace::start::Start;
-use cedarpulley_trace::writer::{Note, Own, Row, run};
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, WorkerUsage};
+use cedarpulley_trace::blocks::{BlockBuilder, visit_named_indices};
+use cedarpulley_trace::records::{NameKind, Record};
+use cedarpulley_trace::retention::RetentionLimits;
+use cedarpulley_trace::start::StartRecord;
+use cedarpulley_trace::writer::{FileSeries, NameLock, WriterMessage, run_writer};
 
 /// Blocks of some 128 KB that may wait for the writer.
 const MAX_QUEUED_BLOCKS: usize = 32;
@@ -32,14 +32,14 @@
 #[derive(Clone, Debug)]
 pub struct TraceSettings {
     pub folder: PathBuf,
-    pub bounds: Bounds,
+    pub bounds: RetentionLimits,
 }
 
 struct Inner {
-    block: Gather,
-    notes: SyncSender<Note>,
+    block: BlockBuilder,
+    notes: SyncSender<WriterMessage>,
     writer: Option<JoinHandle<()>>,
-    _own: Own,
+    _own: NameLock,
     /// Lost since the last block handed over: number of records, first and last time.
     lost: Option<(u64, Micros, Micros)>,
     /// Lost in all.
@@ -56,7 +56,7 @@
     pub fn begin(
         settings: TraceSettings,
         name: &str,
-        start: Start,
+        start: StartRecord,
     ) -> std::io::Result<TraceRecorder> {
         std::fs::create_dir_all(&settings.folder)?;
         let name: String = name
@@ -64,7 +64,7 @@
             .map(|c| if c.is_ascii_alphanumeric() { c } else { '_' })
             .take(64)
             .collect();
-        let own = Own::take(&settings.folder, &name)?;
+        let own = NameLock::acquire(&settings.folder, &name)?;
         if own.name != name {
             tracing::warn!(
                 name,
@@ -72,18 +72,18 @@
                 "another router of this name writes its trace here"
             );
         }
-        let row = Row {
+        let row = FileSeries {
             folder: settings.folder,
             name: own.name.clone(),
-            run: (start.wall_at_zero / 1000) as u64,
+            started_at_ms: (start.wall_at_zero / 1000) as u64,
         };
         let (notes, received) = sync_channel(MAX_QUEUED_BLOCKS);
         let log_failure = |why: &str| tracing::error!(why, "trace");
         let writer = std::thread::Builder::new()
             .name("trace".into())
-            .spawn(move || run(row, start, settings.bounds, received, log_failure))?;
+            .spawn(move || run_writer(row, start, settings.bounds, received, log_failure))?;
         Ok(TraceRecorder(Rc::new(RefCell::new(Inner {
-            block: Gather::default(),
+            block: BlockBuilder::default(),
             notes,
             writer: Some(writer),
             _own: own,
@@ -103,9 +103,9 @@
     pub fn close(&self) -> bool {
         let mut inner = self.0.borrow_mut();
         let until = Instant::now() + CLOSE_TIMEOUT;
-        let mut pending = vec![Note::End];
+        let mut pending = vec![WriterMessage::End];
         if !inner.block.is_empty() {
-            pending.push(Note::Block(inner.now, inner.block.close()));
+            pending.push(WriterMessage::Block(inner.now, inner.block.close()));
         }
         while let Some(note) = pending.pop() {
             match inner.notes.try_send(note) {
@@ -139,7 +139,11 @@
     fn send_block(&mut self) {
         let raw = self.block.close();
         let (records, first, last) = (u64::from(raw.records), raw.first, raw.last);
-        if self.notes.try_send(Note::Block(self.now, raw)).is_err() {
+        if self
+            .notes
+            .try_send(WriterMessage::Block(self.now, raw))
+            .is_err()
+        {
             // The disk is slower than the router: the trace gets a gap, and the router goes on.
             let (before, from, _) = self.lost.unwrap_or((0, first, last));
             self.lost = Some((before + records, from, last));
@@ -172,14 +176,14 @@
     }
 }
 
-impl Watch for TraceRecorder {
+impl RouterObserver for TraceRecorder {
     fn decided(&mut self, now: Micros, event: &Event, actions: &[Action], names: Names) {
         let mut inner = self.0.borrow_mut();
         inner.prepare(now);
-        event_uses(event, actions, &mut |space, ix| {
+        visit_named_indices(event, actions, &mut |space, ix| {
             let name = match space {
-                Space::Function => names.function(ix),
-                Space::Worker => names.worker(ix),
+                NameKind::Function => names.function(ix),
+                NameKind::Worker => names.worker(ix),
             };
             if let Some(name) = name {
                 inner.block.name(now, space, ix, name);
@@ -188,7 +192,7 @@
         inner.block.decided(now, event, actions);
     }
 
-    fn taken(
+    fn accepted(
         &mut self,
         now: Micros,
         inv: InvocationIndex,
@@ -201,22 +205,22 @@
         let mark = mark.map(fingerprint);
         inner.block.record(
             now,
-            &Record::Taken {
-                inv,
+            &Record::Accepted {
+                invocation: inv,
                 front,
-                mark,
+                correlation_hash: mark,
                 redelivered,
             },
         );
     }
 
-    fn answered(&mut self, now: Micros, g: Given) {
+    fn answered(&mut self, now: Micros, g: AnswerGiven) {
         let mut inner = self.0.borrow_mut();
         inner.prepare(now);
-        let Given {
-            inv,
+        let AnswerGiven {
+            invocation: inv,
             front,
-            fate,
+            outcome: fate,
             reason,
             trigger,
             account,
@@ -225,9 +229,9 @@
         inner.block.record(
             now,
             &Record::Answered {
-                inv,
+                invocation: inv,
                 front,
-                fate,
+                outcome: fate,
                 reason,
                 trigger,
                 account,
@@ -236,27 +240,27 @@
         );
     }
 
-    fn turned_away(
+    fn rejected(
         &mut self,
         now: Micros,
         front: FrontIndex,
         trigger: u32,
         account: u32,
-        why: Short,
+        why: RejectionReason,
     ) {
         let mut inner = self.0.borrow_mut();
         inner.prepare(now);
         inner.block.record(
             now,
-            &Record::TurnedAway {
+            &Record::Rejected {
                 front,
                 trigger,
                 account,
-                why,
+                reason: why,
             },
         );
     }
 
     /// Not part of the format: the module does not learn what a worker reports it held.
-    fn used(&mut self, _: Micros, _: Used) {}
+    fn used(&mut self, _: Micros, _: WorkerUsage) {}
 }
--- a/crates/gateway/src/upgrades.rs
+++ b/crates/gateway/src/upgrades.rs
@@ -13,12 +13,12 @@
 use bytes::Bytes;
 use cedarpulley::interface::{CopyStatus, DispatchOutcome, EndpointState, LoadOrderResult, Micros};
 use cedarpulley_errors::Remedy;
-use cedarpulley_kserve::serving;
-use cedarpulley_net::Alarm;
+use cedarpulley_kserve::client_requests;
+use cedarpulley_net::DeadlineTimer;
 use cedarpulley_replica as replica;
 use cedarpulley_router::Input;
-use cedarpulley_router::roster::Listed;
-use cedarpulley_router::watch::{By, Used};
+use cedarpulley_router::endpoint_list::ListedWorker;
+use cedarpulley_router::observer::{UsageSource, WorkerUsage};
 use cedarpulley_upgrade::orders::{self, Asked, MOST_DRAIN_MS};
 use cedarpulley_upgrade::{
     self as upgrade, Ballot, Count, GoesBy, Name, Order, Output, Planner, WorkerSeen,
@@ -146,13 +146,13 @@
     workers: RefCell<Option<WorkerMap>>,
     /// Source of the copies that workers hold; the workers' region and state are added here.
     holdings: RefCell<Option<HoldingsSource>>,
-    alarm: Alarm,
+    alarm: DeadlineTimer,
 }
 
 /// The copies that workers hold, as far as known.
 pub type HoldingsSource = Box<dyn Fn() -> Vec<WorkerSeen>>;
 /// Workers of the list, by name.
-pub type WorkerMap = Rc<RefCell<BTreeMap<Name, Listed>>>;
+pub type WorkerMap = Rc<RefCell<BTreeMap<Name, ListedWorker>>>;
 
 fn from_replica(b: replica::Ballot) -> Ballot {
     Ballot {
@@ -184,7 +184,7 @@
             .map(|f| f.region.clone())
             .unwrap_or_default();
         let planner = RefCell::new(Planner::new(settings.terms.clone()));
-        let started_at = context.clock.wall().max(0) as u64;
+        let started_at = context.clock.wall_time().max(0) as u64;
         let orders = RefCell::new(settings.orders.clone());
         let upgrades = Rc::new(Upgrades {
             context,
@@ -201,7 +201,7 @@
             completed: RefCell::default(),
             workers: RefCell::default(),
             holdings: RefCell::default(),
-            alarm: Alarm::default(),
+            alarm: DeadlineTimer::default(),
         });
         let weak = Rc::downgrade(&upgrades);
         for prefix in [PLAN_PREFIX, STATS_PREFIX] {
@@ -262,11 +262,11 @@
 
     /// An upgrade plan in progress manages this function's copies, of the old or the new version.
     pub fn manages(&self, function: &str) -> bool {
-        let (model, claims) = (serving::model(function).0, self.claims());
+        let (model, claims) = (client_requests::split_version(function).0, self.claims());
         // A completed plan claims only one of its versions.
         let of_model = claims
             .iter()
-            .filter(|c| serving::model(&c.function).0 == model)
+            .filter(|c| client_requests::split_version(&c.function).0 == model)
             .count();
         of_model > 1 && claims.iter().any(|c| *c.function == *function)
     }
@@ -282,13 +282,13 @@
     }
 
     /// Records the end of a dispatch or a load order; called while the core is running.
-    pub fn record_use(&self, used: &Used) {
-        let (model, version) = serving::model(used.function);
+    pub fn record_use(&self, used: &WorkerUsage) {
+        let (model, version) = client_requests::split_version(used.function);
         if !self.planner.borrow().models().any(|m| **m == *model) {
             return;
         }
-        match used.by {
-            By::Order(result) => {
+        match used.source {
+            UsageSource::Order(result) => {
                 let (worker, function) = (Name::from(used.worker_name), Name::from(used.function));
                 let ok = result == LoadOrderResult::Loaded;
                 self.completed
@@ -300,7 +300,7 @@
                     });
             }
             // Failures of a connection, or of a full worker, say nothing about the version.
-            By::Dispatch(
+            UsageSource::Dispatch(
                 outcome @ (DispatchOutcome::Succeeded
                 | DispatchOutcome::Errored
                 | DispatchOutcome::TimedOut),
@@ -331,7 +331,7 @@
                 count.errored += u64::from(outcome != DispatchOutcome::Succeeded);
                 count.late += u64::from(outcome == DispatchOutcome::Succeeded && late);
             }
-            By::Dispatch(..) => {}
+            UsageSource::Dispatch(..) => {}
         }
     }
 
@@ -379,7 +379,7 @@
             let poll = async {
                 Timer::after(POLL_INTERVAL).await;
             };
-            self.alarm.rings(&self.context.clock).or(poll).await;
+            self.alarm.elapsed(&self.context.clock).or(poll).await;
         }
     }
 
@@ -414,7 +414,7 @@
             planner.handle(self.context.clock.now(), input, &mut out);
             planner.next_due()
         };
-        self.alarm.set(due);
+        self.alarm.set_deadline(due);
         for output in out {
             match output {
                 Output::Lead { key } => self.shared.lead(key, PLAN_RETENTION),
@@ -428,7 +428,7 @@
                     like,
                     term,
                 } => {
-                    self.context.feed(Input::Wanted {
+                    self.context.feed(Input::CopyWanted {
                         worker,
                         function,
                         like,
@@ -440,7 +440,7 @@
                     function,
                     term,
                 } => {
-                    self.context.feed(Input::Unwanted {
+                    self.context.feed(Input::CopyUnwanted {
                         worker,
                         function,
                         term: Some(term),
@@ -582,7 +582,7 @@
             .unwrap_or_default();
         let mut held: BTreeMap<Name, WorkerSeen> =
             held.into_iter().map(|w| (w.name.clone(), w)).collect();
-        let describe = |(name, worker): (&Name, &Listed)| {
+        let describe = |(name, worker): (&Name, &ListedWorker)| {
             let zone = self
                 .context
                 .names
@@ -592,16 +592,17 @@
             let region = self.settings.regions.get(zone).map_or(zone, String::as_str);
             let mut w = held.remove(name)?;
             w.region = Name::from(region);
-            w.takes_new = worker.standing == EndpointState::InService;
+            w.takes_new = worker.state == EndpointState::InService;
             if w.memory_mb == 0 {
                 w.memory_mb = self
                     .settings
                     .memory_mb
-                    .get(worker.kind as usize)
+                    .get(worker.machine_kind as usize)
                     .map_or(0, |mb| *mb as u32);
             }
             for h in &mut w.holds {
-                if let Some((lanes, mb)) = sizes.get(serving::model(&h.function).0) {
+                if let Some((lanes, mb)) = sizes.get(client_requests::split_version(&h.function).0)
+                {
                     (h.lanes, h.copy_mb) = (h.copies * lanes, *mb as u32);
                 }
                 w.used_mb = w.used_mb.saturating_add(h.copy_mb.saturating_mul(h.copies));
--- a/crates/gateway/src/wiring.rs
+++ b/crates/gateway/src/wiring.rs
@@ -6,9 +6,9 @@
 
 use async_executor::LocalExecutor;
 use cedarpulley::interface::Micros;
-use cedarpulley_certificates::Speakers;
-use cedarpulley_kserve::serving;
-use cedarpulley_net::Alarm;
+use cedarpulley_certificates::ClientAccounts;
+use cedarpulley_kserve::client_requests;
+use cedarpulley_net::DeadlineTimer;
 use cedarpulley_reconcile::{Claims, Entry, Observation};
 use cedarpulley_router::{Input, Router};
 use cedarpulley_upgrade::{Held, WorkerSeen};
@@ -106,7 +106,7 @@
         upgrades,
         admission,
         reconciliation,
-        alarm: Alarm::default(),
+        alarm: DeadlineTimer::default(),
         context,
     };
     connect(&gateway, shared.as_ref());
@@ -158,7 +158,7 @@
     context: Rc<GatewayContext>,
     shared: Rc<HandlerResources>,
     max_body_bytes: u64,
-    certificate_accounts: Rc<Speakers>,
+    certificate_accounts: Rc<ClientAccounts>,
 }
 
 impl KserveFronts {
@@ -195,10 +195,10 @@
         ..
     } = gateway;
     if let Some(admission) = admission {
-        router.borrow_mut().watched_by(admission.observer());
+        router.borrow_mut().add_observer(admission.observer());
     }
     if let Some(reconciliation) = reconciliation {
-        router.borrow_mut().watched_by(reconciliation.watch());
+        router.borrow_mut().add_observer(reconciliation.watch());
         if let Some(shared) = shared {
             let source = reconciliation.clone();
             shared.add_state_provider("reconcile", move || source.state());
@@ -224,7 +224,7 @@
     let upgrades = upgrades.clone();
     // Nor is a copy that a plan has retired loaded again.
     let managed_or_retired = move |function: &str| {
-        let (model, version) = serving::model(function);
+        let (model, version) = client_requests::split_version(function);
         upgrades.manages(function) || upgrades.is_retired(model, version)
     };
     reconciliation.set_plan_check(Box::new(managed_or_retired));
@@ -252,7 +252,7 @@
 /// plan's minimum of copies.
 fn claims(upgrades: &Upgrades, functions: &[Arc<str>]) -> Claims {
     let retired = |f: &&Arc<str>| {
-        let (model, version) = serving::model(f);
+        let (model, version) = client_requests::split_version(f);
         upgrades.is_retired(model, version) && !upgrades.manages(f)
     };
     let claims = upgrades.claims();
--- a/crates/gateway/tests/metering.rs
+++ b/crates/gateway/tests/metering.rs
@@ -5,8 +5,8 @@
 
 use cedarpulley::interface::{CopyStatus, DispatchOutcome, Micros};
 use cedarpulley_gateway::metering::Metering;
-use cedarpulley_router::watch::{By, Used, Watch};
-use cedarpulley_usage_metering::{Held, Kind, Sum};
+use cedarpulley_router::observer::{RouterObserver, UsageSource, WorkerUsage};
+use cedarpulley_usage_metering::{MemoryTotals, Usage, UsageKind};
 use cedarpulley_usage_store::Ledger;
 
 const SECOND: Micros = 1_000_000;
@@ -24,27 +24,27 @@
 
 /// So many more, each held 30.
 fn use_it(m: &Metering, times: std::ops::Range<u128>) {
-    let by = By::Dispatch(DispatchOutcome::Succeeded, CopyStatus::Warm);
+    let by = UsageSource::Dispatch(DispatchOutcome::Succeeded, CopyStatus::Warm);
     for n in times {
-        let held = Some(Held {
-            life: 9,
+        let held = Some(MemoryTotals {
+            incarnation: 9,
             running: 30 * (n + 1),
             loading: 0,
             idle: 0,
         });
-        let used = Used {
+        let used = WorkerUsage {
             worker: 0,
             worker_name: "w",
             function: "f",
             session: None,
-            ends: false,
+            ends_session: false,
             trigger: 0,
             account: 0,
-            by,
+            source: by,
             took: 9,
             copy_mb: 1.0,
             lanes: 1,
-            held,
+            memory_held: held,
         };
         m.clone().used(0, used);
     }
@@ -64,11 +64,14 @@
     }
 }
 
-fn kept(file: &Path) -> Sum {
-    let book = Ledger::open(file).expect("it opens").book().expect("read");
+fn kept(file: &Path) -> Usage {
+    let book = Ledger::open(file)
+        .expect("it opens")
+        .report()
+        .expect("read");
     book.sums()
-        .by(|k| k.kind)
-        .remove(&Kind::Running)
+        .group_by(|k| k.kind)
+        .remove(&UsageKind::Running)
         .unwrap_or_default()
 }
 
@@ -92,7 +95,7 @@
     assert!(metering.close(80_000_000 * SECOND), "written in the end");
     assert_eq!(
         kept(&file),
-        Sum {
+        Usage {
             byte_us: 5 * 30,
             count: 5
         }
@@ -112,7 +115,7 @@
     assert!(metering.close(80_000_000 * SECOND));
     assert_eq!(
         kept(&file),
-        Sum {
+        Usage {
             byte_us: 120,
             count: 4
         }
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use cedarpulley::interface::DispatchOutcome;
 use cedarpulley_gateway::pool::{Pool, PoolSettings, ending_of};
-use cedarpulley_kserve::{endings, requests};
+use cedarpulley_kserve::{outcomes, worker_requests};
 use cedarpulley_net::Clock;
 use cedarpulley_router::Ticket;
 use futures_lite::FutureExt;
@@ -52,16 +52,16 @@
 }
 
 fn infer(address: SocketAddr) -> hyper::Request<Bytes> {
-    let marks = requests::Marks {
+    let marks = worker_requests::InvocationHeaders {
         invocation: Some("i"),
         dispatch: 0,
-        token: None,
-        trigger: "t",
+        idempotency_key: None,
+        trigger_type: "t",
         account: None,
         time_left: 1_000_000,
         session: None,
     };
-    requests::infer(
+    worker_requests::infer(
         &address.to_string(),
         "f",
         marks,
@@ -85,7 +85,7 @@
                 .exchange(address, infer(address), false, || true)
                 .or(late)
                 .await;
-            all.push(endings::infer(&ending_of(&result, "f")).outcome);
+            all.push(outcomes::classify_inference(&ending_of(&result, "f")).outcome);
             async_io::Timer::after(Duration::from_millis(30)).await;
         }
         all
@@ -118,7 +118,7 @@
     let result =
         async_io::block_on(executor.run(pool.exchange(address, infer(address), false, || false)));
     assert_eq!(
-        endings::infer(&ending_of(&result, "f")).outcome,
+        outcomes::classify_inference(&ending_of(&result, "f")).outcome,
         DispatchOutcome::NotSent
     );
 }
@@ -208,7 +208,7 @@
     ));
     async_io::block_on(executor.run(async {
         let ticket = Ticket {
-            inv: 0,
+            invocation: 0,
             dispatch: 0,
             generation: 0,
         };
@@ -224,7 +224,7 @@
         async_io::Timer::after(Duration::from_millis(100)).await;
         let result = pool.exchange(address, infer(address), false, || true).await;
         assert_eq!(
-            endings::infer(&ending_of(&result, "f")).outcome,
+            outcomes::classify_inference(&ending_of(&result, "f")).outcome,
             DispatchOutcome::Rejected
         );
         pool.cancel(ticket);
--- a/crates/invariant-checker/src/check.rs
+++ b/crates/invariant-checker/src/check.rs
@@ -8,7 +8,7 @@
 use crate::traffic_log::{LogLine, read};
 use crate::verdict::Verdict;
 use crate::warm_capacity::{floors, prefixes, sessions};
-use crate::{Unjudged, history};
+use crate::{CheckError, history};
 
 /// What the checks are made from.
 pub(crate) struct Evidence<'a> {
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 /// When these cannot be read, or there is no traffic.
-pub fn judge(folder: &Path) -> Result<Verdict, Unjudged> {
+pub fn check(folder: &Path) -> Result<Verdict, CheckError> {
     let settings = read_settings(&folder.join("terms.json"))?;
     let lines = read(&folder.join("traffic"))?;
     let excused = ExcusedIntervals::read(&lines);
@@ -45,13 +45,13 @@
     Ok(verdict)
 }
 
-fn read_settings(path: &Path) -> Result<RuleSettings, Unjudged> {
+fn read_settings(path: &Path) -> Result<RuleSettings, CheckError> {
     let file = || path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|source| Unjudged::Unreadable {
+    let text = std::fs::read_to_string(path).map_err(|source| CheckError::Unreadable {
         file: file(),
         source,
     })?;
-    serde_json::from_str(&text).map_err(|source| Unjudged::MalformedRules {
+    serde_json::from_str(&text).map_err(|source| CheckError::MalformedRules {
         file: file(),
         source,
     })
--- a/crates/invariant-checker/src/error.rs
+++ b/crates/invariant-checker/src/error.rs
@@ -4,7 +4,7 @@
 
 /// Why there is no verdict.
 #[derive(Debug, thiserror::Error)]
-pub enum Unjudged {
+pub enum CheckError {
     /// A file or folder cannot be read.
     #[error("{file} cannot be read")]
     Unreadable {
@@ -47,16 +47,16 @@
     },
 }
 
-impl Remedy for Unjudged {
+impl Remedy for CheckError {
     fn remedy(&self) -> &'static str {
         match self {
-            Unjudged::Unreadable { .. } => "name the folder that a day was told to leave (--out)",
-            Unjudged::MalformedRules { .. }
-            | Unjudged::MalformedLine { .. }
-            | Unjudged::MissingTime { .. } => {
+            CheckError::Unreadable { .. } => "name the folder that a day was told to leave (--out)",
+            CheckError::MalformedRules { .. }
+            | CheckError::MalformedLine { .. }
+            | CheckError::MissingTime { .. } => {
                 "judge a folder as its day left it; play the day again if it was changed"
             }
-            Unjudged::NoTraffic { .. } => "play the day again: its stand-ins wrote nothing",
+            CheckError::NoTraffic { .. } => "play the day again: its stand-ins wrote nothing",
         }
     }
 }
--- a/crates/invariant-checker/src/lib.rs
+++ b/crates/invariant-checker/src/lib.rs
@@ -18,8 +18,8 @@
 mod verdict;
 mod warm_capacity;
 
-pub use check::judge;
-pub use error::Unjudged;
+pub use check::check;
+pub use error::CheckError;
 pub use settings::{Effect, Floor, RuleSettings, TriggerTypeRules};
 pub use verdict::{Tally, Verdict};
-pub use warm_capacity::{FloorRecord, PrefixCounts, Why};
+pub use warm_capacity::{FloorRecord, PrefixCounts, RebuildCause};
--- a/crates/invariant-checker/src/traffic_log.rs
+++ b/crates/invariant-checker/src/traffic_log.rs
@@ -6,7 +6,7 @@
 
 use serde_json::Value;
 
-use crate::Unjudged;
+use crate::CheckError;
 
 /// One event of a log.
 pub(crate) struct LogLine {
@@ -60,13 +60,13 @@
     }
 }
 
-fn unreadable(path: &Path) -> impl FnOnce(std::io::Error) -> Unjudged {
+fn unreadable(path: &Path) -> impl FnOnce(std::io::Error) -> CheckError {
     let file = path.display().to_string();
-    move |source| Unjudged::Unreadable { file, source }
+    move |source| CheckError::Unreadable { file, source }
 }
 
 /// All lines of all logs of a folder, in the order of their times. A last line that was cut off is left out.
-pub(crate) fn read(folder: &Path) -> Result<Vec<LogLine>, Unjudged> {
+pub(crate) fn read(folder: &Path) -> Result<Vec<LogLine>, CheckError> {
     let mut files: Vec<PathBuf> = std::fs::read_dir(folder)
         .map_err(unreadable(folder))?
         .flatten()
@@ -81,7 +81,7 @@
         read_log(path, &mut lines)?;
     }
     if lines.is_empty() {
-        return Err(Unjudged::NoTraffic {
+        return Err(CheckError::NoTraffic {
             folder: folder.display().to_string(),
         });
     }
@@ -89,7 +89,7 @@
     Ok(lines)
 }
 
-fn read_log(path: &Path, lines: &mut Vec<LogLine>) -> Result<(), Unjudged> {
+fn read_log(path: &Path, lines: &mut Vec<LogLine>) -> Result<(), CheckError> {
     let source_name = path
         .file_stem()
         .map(|s| s.to_string_lossy().into_owned())
@@ -104,7 +104,7 @@
             Ok(fields) => fields,
             Err(_) if line == texts.len() => continue,
             Err(source) => {
-                return Err(Unjudged::MalformedLine {
+                return Err(CheckError::MalformedLine {
                     file: file(),
                     line,
                     source,
@@ -114,7 +114,7 @@
         lines.push(LogLine {
             at: fields["t"]
                 .as_i64()
-                .ok_or_else(|| Unjudged::MissingTime { file: file(), line })?,
+                .ok_or_else(|| CheckError::MissingTime { file: file(), line })?,
             event: fields["what"].as_str().unwrap_or("").to_owned(),
             source: source_name.clone(),
             fields,
--- a/crates/invariant-checker/src/warm_capacity.rs
+++ b/crates/invariant-checker/src/warm_capacity.rs
@@ -8,7 +8,7 @@
 pub(crate) mod sessions;
 
 pub use floors::FloorRecord;
-pub use prefixes::{PrefixCounts, Why};
+pub use prefixes::{PrefixCounts, RebuildCause};
 
 use crate::traffic_log::LogLine;
 
--- a/crates/invariant-checker/tests/rules.rs
+++ b/crates/invariant-checker/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use cedarpulley_invariant_checker::{Verdict, judge};
+use cedarpulley_invariant_checker::{Verdict, check};
 use serde_json::{Value, json};
 
 fn judged(name: &str, first: Value, second: Value) -> Verdict {
@@ -37,7 +37,7 @@
     }
     lines.extend(more);
     write(&folder, &lines);
-    judge(&folder).expect("a verdict")
+    check(&folder).expect("a verdict")
 }
 
 fn write(folder: &Path, lines: &[Value]) {
@@ -166,7 +166,7 @@
         ];
         lines.extend(answer.into_iter().chain(more));
         write(&folder, &lines);
-        let v = judge(&folder).expect("a verdict");
+        let v = check(&folder).expect("a verdict");
         (v.rules["1"], v.held_by_rig)
     };
     let answer = json!({"t": 12_000_000, "what": "published", "id": "i1", "from": ROUTER, "fate": "succeeded", "reason": "worker"});
--- a/crates/invariant-checker/tests/warm_capacity.rs
+++ b/crates/invariant-checker/tests/warm_capacity.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use cedarpulley_invariant_checker::{Verdict, Why, judge};
+use cedarpulley_invariant_checker::{RebuildCause, Verdict, check};
 use serde_json::{Value, json};
 
 /// Each log's lines by its name; their times are their order, a second apart, unless they say so.
@@ -32,7 +32,7 @@
     for (of, text) in logs {
         std::fs::write(traffic.join(format!("{of}.ndjson")), text).expect("written");
     }
-    judge(&folder).expect("a verdict")
+    check(&folder).expect("a verdict")
 }
 
 fn ran(session: &str, function: &str) -> Value {
@@ -126,51 +126,59 @@
         );
         assert_eq!(
             p.astray,
-            Vec::from_iter((p.why(Why::Astray) > 0).then(|| "z at w1, not w0".to_owned()))
+            Vec::from_iter(
+                (p.caused_by(RebuildCause::Astray) > 0).then(|| "z at w1, not w0".to_owned())
+            )
         );
         p.by.into_keys().next().expect("one")
     };
     let evicted =
         |function: &str, why: &str| json!({"what": "evicted", "function": function, "why": why});
     let held = json!({"what": "link", "from": "127.0.10.1", "to": "w0", "why": "held", "on": true, "most_us": null});
-    assert_eq!(of("gave-up", vec![]), Why::Astray);
-    assert_eq!(of("died", vec![("w0", json!({"what": "down"}))]), Why::Died);
+    assert_eq!(of("gave-up", vec![]), RebuildCause::Astray);
+    assert_eq!(
+        of("died", vec![("w0", json!({"what": "down"}))]),
+        RebuildCause::Died
+    );
     assert_eq!(
         of("another-died", vec![("w2", json!({"what": "down"}))]),
-        Why::Astray
+        RebuildCause::Astray
     );
     assert_eq!(
         of("was-evicted", vec![("w0", evicted("m:1", "unseen"))]),
-        Why::Died
+        RebuildCause::Died
     );
     assert_eq!(
         of("another-evicted", vec![("w0", evicted("m:2", "unseen"))]),
-        Why::Astray
+        RebuildCause::Astray
     );
     assert_eq!(
         of("for-room", vec![("w0", evicted("m:1", "room"))]),
-        Why::Room
+        RebuildCause::Room
     );
     assert_eq!(
         of(
             "unloaded",
             vec![("w0", json!({"what": "unloaded", "function": "m:1"}))]
         ),
-        Why::Unloaded
+        RebuildCause::Unloaded
     );
     let again = [("w0", evicted("m:1", "room")), ("w0", loaded("m:1"))];
-    assert_eq!(of("loaded-again", again.to_vec()), Why::Room);
-    assert_eq!(of("cut-off", vec![("day", held.clone())]), Why::Cut);
+    assert_eq!(of("loaded-again", again.to_vec()), RebuildCause::Room);
+    assert_eq!(
+        of("cut-off", vec![("day", held.clone())]),
+        RebuildCause::Cut
+    );
     assert_eq!(
         of(
             "cut-off-and-died",
             vec![("day", held), ("w0", json!({"what": "down"}))]
         ),
-        Why::Died
+        RebuildCause::Died
     );
     assert_eq!(
         of("ended", turn("w0", "b", "found", true, "answered")),
-        Why::OutOfTurn
+        RebuildCause::OutOfTurn
     );
     // Lines of two others that the same router has out there, of another function.
     let other = |id: &str| {
@@ -185,10 +193,10 @@
             ),
         ]
     };
-    assert_eq!(of("one-other", other("x").to_vec()), Why::Astray);
+    assert_eq!(of("one-other", other("x").to_vec()), RebuildCause::Astray);
     assert_eq!(
         of("two-others", [other("x"), other("y")].concat()),
-        Why::Crowded
+        RebuildCause::Crowded
     );
     let over = (
         "broker",
@@ -199,24 +207,27 @@
             "two-others-one-over",
             [&other("x")[..], &other("y"), std::slice::from_ref(&over)].concat()
         ),
-        Why::Astray
+        RebuildCause::Astray
     );
     // The copy has two lanes.
     let one = |id| turn("w0", id, "", false, "").into_iter().take(2);
-    assert_eq!(of("one-lane-taken", one("x").collect()), Why::Astray);
+    assert_eq!(
+        of("one-lane-taken", one("x").collect()),
+        RebuildCause::Astray
+    );
     assert_eq!(
         of("all-lanes-taken", one("x").chain(one("y")).collect()),
-        Why::Busy
+        RebuildCause::Busy
     );
     let free = json!({"what": "left", "id": "x", "how": "answered"});
     let freed = one("x")
         .chain(one("y"))
         .chain([("w0", free), over])
         .collect();
-    assert_eq!(of("a-lane-was-free-again", freed), Why::Astray);
+    assert_eq!(of("a-lane-was-free-again", freed), RebuildCause::Astray);
     assert_eq!(
         of("refused", turn("w0", "z", "", false, "refused")),
-        Why::Tried
+        RebuildCause::Tried
     );
 }
 
@@ -228,7 +239,7 @@
         lines.extend(turn("w1", "b", "found", false, moved));
         lines.extend(turn("w2", "z", "rebuilt", false, "answered"));
         let p = judged(name, json!({}), &lines).prefixes;
-        (p.why(Why::OutOfTurn), p.astray)
+        (p.caused_by(RebuildCause::OutOfTurn), p.astray)
     };
     assert_eq!(
         of("moved", "answered", "answered"),
@@ -249,7 +260,7 @@
     assert_eq!(
         judged("another-router", json!({}), &lines)
             .prefixes
-            .why(Why::Elsewhere),
+            .caused_by(RebuildCause::Elsewhere),
         1
     );
 }
--- a/crates/kserve/src/client_requests.rs
+++ b/crates/kserve/src/client_requests.rs
@@ -25,7 +25,7 @@
 /// `true`: the request is the client's own retry.
 pub const REPEAT: &str = "cedarpulley-repeat";
 /// In responses: the final outcome.
-pub const FATE: &str = "cedarpulley-fate";
+pub const OUTCOME: &str = "cedarpulley-fate";
 /// In responses: the reason for the outcome.
 pub const REASON: &str = "cedarpulley-reason";
 
@@ -37,7 +37,7 @@
 
 /// What a client's request asks for, by its method and path. Functions are named with their version, if any.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum ClientRequest {
     /// Whether the server is alive.
     ServerLive,
     /// Whether the server takes requests.
@@ -45,7 +45,7 @@
     /// The server's name and extensions.
     ServerMetadata,
     /// The list of models.
-    Index,
+    RepositoryIndex,
     /// Whether a model takes requests.
     ModelReady(String),
     /// A model's description.
@@ -60,7 +60,7 @@
 
 /// The function that a model's name and version make. Absent if the name is empty or too long, or if one of them
 /// contains what separates them in a function's name.
-pub fn function(name: &str, version: &str) -> Option<String> {
+pub fn function_name(name: &str, version: &str) -> Option<String> {
     let is_valid = |text: &str| text.len() <= MAX_NAME_BYTES && !text.contains(VERSIONS);
     match (name, version) {
         ("", _) => None,
@@ -74,12 +74,12 @@
 }
 
 /// Name and version of a function; the version is empty if it has none.
-pub fn model(function: &str) -> (&str, &str) {
+pub fn split_version(function: &str) -> (&str, &str) {
     function.split_once(VERSIONS).unwrap_or((function, ""))
 }
 
 /// Reads what is asked for from a request's method and path.
-pub fn asked(method: &Method, path: &str) -> Asked {
+pub fn parse_path(method: &Method, path: &str) -> ClientRequest {
     let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
     let decode = |segment: &str| {
         percent_decode_str(segment)
@@ -87,36 +87,41 @@
             .ok()
             .map(|text| text.into_owned())
     };
-    let named = |name: &str, request: fn(String) -> Asked| {
+    let named = |name: &str, request: fn(String) -> ClientRequest| {
         decode(name)
-            .and_then(|name| function(&name, ""))
-            .map_or(Asked::Unknown, request)
+            .and_then(|name| function_name(&name, ""))
+            .map_or(ClientRequest::Unknown, request)
     };
-    let versioned = |name: &str, version: &str, request: fn(String) -> Asked| {
+    let versioned = |name: &str, version: &str, request: fn(String) -> ClientRequest| {
         decode(name)
             .zip(decode(version))
             .filter(|(_, version)| !version.is_empty())
-            .and_then(|(name, version)| function(&name, &version))
-            .map_or(Asked::Unknown, request)
+            .and_then(|(name, version)| function_name(&name, &version))
+            .map_or(ClientRequest::Unknown, request)
     };
     let found = match segments.as_slice() {
-        ["v2"] => Asked::ServerMetadata,
-        ["v2", "health", "live"] => Asked::ServerLive,
-        ["v2", "health", "ready"] => Asked::ServerReady,
-        ["v2", "models", name] => named(name, Asked::ModelMetadata),
-        ["v2", "models", name, "ready"] => named(name, Asked::ModelReady),
-        ["v2", "models", name, "infer"] => named(name, Asked::Infer),
-        ["v2", "models", name, "versions", v] => versioned(name, v, Asked::ModelMetadata),
-        ["v2", "models", name, "versions", v, "ready"] => versioned(name, v, Asked::ModelReady),
-        ["v2", "models", name, "versions", v, "infer"] => versioned(name, v, Asked::Infer),
-        ["v2", "repository", "index"] => Asked::Index,
-        _ => Asked::Unknown,
+        ["v2"] => ClientRequest::ServerMetadata,
+        ["v2", "health", "live"] => ClientRequest::ServerLive,
+        ["v2", "health", "ready"] => ClientRequest::ServerReady,
+        ["v2", "models", name] => named(name, ClientRequest::ModelMetadata),
+        ["v2", "models", name, "ready"] => named(name, ClientRequest::ModelReady),
+        ["v2", "models", name, "infer"] => named(name, ClientRequest::Infer),
+        ["v2", "models", name, "versions", v] => versioned(name, v, ClientRequest::ModelMetadata),
+        ["v2", "models", name, "versions", v, "ready"] => {
+            versioned(name, v, ClientRequest::ModelReady)
+        }
+        ["v2", "models", name, "versions", v, "infer"] => versioned(name, v, ClientRequest::Infer),
+        ["v2", "repository", "index"] => ClientRequest::RepositoryIndex,
+        _ => ClientRequest::Unknown,
     };
-    let is_post = matches!(found, Asked::Infer(_) | Asked::Index);
+    let is_post = matches!(
+        found,
+        ClientRequest::Infer(_) | ClientRequest::RepositoryIndex
+    );
     let allowed_method = if is_post { Method::POST } else { Method::GET };
     match found {
-        Asked::Unknown => Asked::Unknown,
-        _ if *method != allowed_method => Asked::WrongMethod,
+        ClientRequest::Unknown => ClientRequest::Unknown,
+        _ if *method != allowed_method => ClientRequest::WrongMethod,
         found => found,
     }
 }
@@ -125,11 +130,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct InferHeaders {
     /// Name of the trigger type.
-    pub kind: String,
+    pub trigger_type: String,
     /// Name of the account.
     pub account: Option<String>,
     /// The idempotency key.
-    pub token: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Time since the client sent the request, 0 if it does not say when; at most a day.
     pub waited: Micros,
     /// The client stops waiting after this time.
@@ -145,38 +150,41 @@
     /// The client marks the request as its own retry.
     pub repeat: bool,
     /// Where raw tensors follow the JSON in the body: the length of the JSON in bytes.
-    pub json: Option<u32>,
+    pub json_length: Option<u32>,
 }
 
 /// A header that cannot be used; shown to the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {cause}")]
-pub struct Misunderstood {
+pub struct InvalidField {
     /// Name of the header.
     pub field: &'static str,
     /// What is wrong with its value.
     pub cause: String,
 }
 
-impl Remedy for Misunderstood {
+impl Remedy for InvalidField {
     fn remedy(&self) -> &'static str {
         "have its client send that header as docs/operate/kserve-requests.md says"
     }
 }
 
 /// Reads the headers of an infer request. `wall`: microseconds since 1970 by this router's clock.
-pub fn wanted(headers: &HeaderMap, wall: Micros) -> Result<InferHeaders, Misunderstood> {
+pub fn parse_infer_headers(
+    headers: &HeaderMap,
+    wall: Micros,
+) -> Result<InferHeaders, InvalidField> {
     let text = |name| short_text(headers, name);
     let number = |name, max| whole_number(headers, name, max);
-    let kind = text(TRIGGER_TYPE)?.ok_or_else(|| Misunderstood {
+    let kind = text(TRIGGER_TYPE)?.ok_or_else(|| InvalidField {
         field: TRIGGER_TYPE,
         cause: "no trigger type is named".into(),
     })?;
     let sent_at = number(SENT_AT_US, i64::MAX)?;
     Ok(InferHeaders {
-        kind,
+        trigger_type: kind,
         account: text(ACCOUNT)?,
-        token: text(IDEMPOTENCY_KEY)?,
+        idempotency_key: text(IDEMPOTENCY_KEY)?,
         waited: sent_at.map_or(0, |sent_at| {
             wall.saturating_sub(sent_at).clamp(0, MAX_DURATION_US)
         }),
@@ -186,18 +194,18 @@
         copy_mb: number(COPY_MB, MAX_COPY_MB)?.unwrap_or(0) as f64,
         lanes: number(LANES, MAX_LANES)?.unwrap_or(1).max(1) as u32,
         repeat: text(REPEAT)?.as_deref() == Some("true"),
-        json: number(JSON_LENGTH, i64::from(u32::MAX))?.map(|length| length as u32),
+        json_length: number(JSON_LENGTH, i64::from(u32::MAX))?.map(|length| length as u32),
     })
 }
 
 /// A header's text of 1 to 255 bytes.
-fn short_text(headers: &HeaderMap, name: &'static str) -> Result<Option<String>, Misunderstood> {
+fn short_text(headers: &HeaderMap, name: &'static str) -> Result<Option<String>, InvalidField> {
     if !headers.contains_key(name) {
         return Ok(None);
     }
     match text(headers, name).filter(|text| !text.is_empty() && text.len() <= MAX_NAME_BYTES) {
         Some(text) => Ok(Some(text.to_owned())),
-        None => Err(Misunderstood {
+        None => Err(InvalidField {
             field: name,
             cause: "not a text of 1 to 255 bytes".into(),
         }),
@@ -209,13 +217,13 @@
     headers: &HeaderMap,
     name: &'static str,
     max: i64,
-) -> Result<Option<i64>, Misunderstood> {
+) -> Result<Option<i64>, InvalidField> {
     let Some(text) = short_text(headers, name)? else {
         return Ok(None);
     };
     match text.parse::<i64>() {
         Ok(number) if (0..=max).contains(&number) => Ok(Some(number)),
-        _ => Err(Misunderstood {
+        _ => Err(InvalidField {
             field: name,
             cause: format!("'{text}' is not within 0 to {max}"),
         }),
@@ -224,7 +232,7 @@
 
 /// Status of a response to an invocation that failed. `not_executed`: it certainly did not run, so the client may
 /// safely retry; otherwise nothing is promised.
-pub fn status(not_executed: bool) -> StatusCode {
+pub fn failure_status(not_executed: bool) -> StatusCode {
     if not_executed {
         StatusCode::TOO_MANY_REQUESTS
     } else {
@@ -242,7 +250,7 @@
 
 /// Body of the response with a model's metadata. Inputs and outputs are empty: only the workers know them.
 pub fn metadata(function: &str) -> String {
-    let (name, version) = model(function);
+    let (name, version) = split_version(function);
     let versions: Vec<&str> = if version.is_empty() {
         vec![]
     } else {
@@ -256,7 +264,7 @@
 /// demand, and therefore reported as ready.
 pub fn index(functions: &[String]) -> String {
     let entry = |function: &String| {
-        let (name, version) = model(function);
+        let (name, version) = split_version(function);
         json!({"name": name, "version": version, "state": "READY", "reason": ""})
     };
     serde_json::Value::Array(functions.iter().map(entry).collect()).to_string()
--- a/crates/kserve/src/grpc.rs
+++ b/crates/kserve/src/grpc.rs
@@ -32,9 +32,9 @@
 /// Trailer: milliseconds after which a client's retry policy may retry.
 pub const PUSHBACK: &str = "grpc-retry-pushback-ms";
 /// The content type of requests and responses.
-pub const CONTENT: &str = "application/grpc";
+pub const CONTENT_TYPE: &str = "application/grpc";
 /// Bytes before each message: a compression flag and four bytes of length.
-pub const FRAME: usize = 5;
+pub const FRAME_HEADER_BYTES: usize = 5;
 
 /// The status codes that this server answers with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -127,17 +127,17 @@
 
 /// Takes the one message of a unary call out of its frame.
 pub fn unframe(body: Bytes) -> Result<Bytes, InvalidCall> {
-    if body.len() < FRAME {
+    if body.len() < FRAME_HEADER_BYTES {
         return Err(InvalidCall::Truncated);
     }
     if body[0] != 0 {
         return Err(InvalidCall::Compressed);
     }
     let length = u32::from_be_bytes([body[1], body[2], body[3], body[4]]) as usize;
-    match (body.len() - FRAME).cmp(&length) {
+    match (body.len() - FRAME_HEADER_BYTES).cmp(&length) {
         std::cmp::Ordering::Less => Err(InvalidCall::Truncated),
         std::cmp::Ordering::Greater => Err(InvalidCall::TrailingBytes),
-        std::cmp::Ordering::Equal => Ok(body.slice(FRAME..)),
+        std::cmp::Ordering::Equal => Ok(body.slice(FRAME_HEADER_BYTES..)),
     }
 }
 
@@ -146,7 +146,7 @@
     let Ok(length) = u32::try_from(message.encoded_len()) else {
         return Bytes::new();
     };
-    let mut out = BytesMut::with_capacity(FRAME + length as usize);
+    let mut out = BytesMut::with_capacity(FRAME_HEADER_BYTES + length as usize);
     out.put_u8(0);
     out.put_u32(length);
     // Encoding fails only for lack of space, and the buffer has the message's length.
--- a/crates/kserve/src/lib.rs
+++ b/crates/kserve/src/lib.rs
@@ -25,16 +25,4 @@
 pub mod tensors;
 pub mod worker_requests;
 
-#[doc(hidden)]
-pub use client_requests as serving;
-#[doc(hidden)]
-pub use grpc as rpc;
-#[doc(hidden)]
-pub use outcomes as endings;
-pub use outcomes::{Ended, Reading};
-#[doc(hidden)]
-pub use repository_index as index;
-#[doc(hidden)]
-pub use response_headers as reports;
-#[doc(hidden)]
-pub use worker_requests as requests;
+pub use outcomes::{ExchangeOutcome, InferenceResult};
--- a/crates/kserve/src/outcomes.rs
+++ b/crates/kserve/src/outcomes.rs
@@ -16,22 +16,22 @@
 
 /// How an exchange with a worker ended.
 #[derive(Clone, Debug)]
-pub enum Ended<'a> {
+pub enum ExchangeOutcome<'a> {
     /// The connection was refused, reset or not accepted in time.
-    NoConnection,
+    Unreachable,
     /// All connections that are allowed to this worker are in use.
-    NoRoom,
+    ConnectionLimit,
     /// The connection failed before the response was complete.
-    Broke {
+    ConnectionLost {
         /// At least one byte of the request was sent.
-        left: bool,
+        bytes_sent: bool,
     },
     /// The response is not HTTP, its head has no end, or its body broke off.
-    Garbled,
+    MalformedResponse,
     /// The response exceeds the size limit and was not read to its end.
-    TooLarge,
+    ResponseTooLarge,
     /// The worker sent a complete response.
-    Answered {
+    Responded {
         /// Its status.
         status: StatusCode,
         /// Its headers.
@@ -45,50 +45,59 @@
 
 /// What an exchange for an invocation means to the decision module.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reading {
+pub struct InferenceResult {
     /// How the dispatch ended.
     pub outcome: DispatchOutcome,
     /// The state of the copy that served it, if reported.
-    pub note: CopyStatus,
+    pub copy_status: CopyStatus,
     /// Invocations of the same function that were in flight at the worker when this one came, if reported.
-    pub crowd: Option<u32>,
+    pub function_load: Option<u32>,
     /// The worker's load report; empty if there is none.
     pub report: LoadReport,
 }
 
-impl Reading {
+impl InferenceResult {
     /// The result of an exchange without a usable response.
     fn without_response(outcome: DispatchOutcome) -> Self {
-        Reading {
+        InferenceResult {
             outcome,
-            note: CopyStatus::Unreported,
-            crowd: None,
+            copy_status: CopyStatus::Unreported,
+            function_load: None,
             report: LoadReport::default(),
         }
     }
 }
 
 /// Interprets the exchange of an infer request.
-pub fn infer(exchange: &Ended) -> Reading {
+pub fn classify_inference(exchange: &ExchangeOutcome) -> InferenceResult {
     match exchange {
-        Ended::NoConnection => Reading::without_response(DispatchOutcome::Unreachable),
+        ExchangeOutcome::Unreachable => {
+            InferenceResult::without_response(DispatchOutcome::Unreachable)
+        }
         // For this router the worker is full, as if its queue were.
-        Ended::NoRoom => Reading::without_response(DispatchOutcome::Rejected),
+        ExchangeOutcome::ConnectionLimit => {
+            InferenceResult::without_response(DispatchOutcome::Rejected)
+        }
         // Symptom: the worker closes an idle connection just as a request is written to it.
-        Ended::Broke { left: false } => Reading::without_response(DispatchOutcome::NotSent),
-        Ended::Broke { left: true } | Ended::Garbled => {
-            Reading::without_response(DispatchOutcome::ConnectionLost)
+        ExchangeOutcome::ConnectionLost { bytes_sent: false } => {
+            InferenceResult::without_response(DispatchOutcome::NotSent)
+        }
+        ExchangeOutcome::ConnectionLost { bytes_sent: true }
+        | ExchangeOutcome::MalformedResponse => {
+            InferenceResult::without_response(DispatchOutcome::ConnectionLost)
         }
-        Ended::TooLarge => Reading::without_response(DispatchOutcome::Errored),
-        Ended::Answered {
+        ExchangeOutcome::ResponseTooLarge => {
+            InferenceResult::without_response(DispatchOutcome::Errored)
+        }
+        ExchangeOutcome::Responded {
             status,
             headers,
             body,
             function,
-        } => Reading {
+        } => InferenceResult {
             outcome: response_outcome(*status, headers, body, function),
-            note: response_headers::copy_status(headers),
-            crowd: response_headers::number(headers, response_headers::FUNCTION_LOAD),
+            copy_status: response_headers::copy_status(headers),
+            function_load: response_headers::number(headers, response_headers::FUNCTION_LOAD),
             report: response_headers::load_report(headers),
         },
     }
@@ -125,13 +134,14 @@
 
 /// Interprets the exchange of a load order or of a readiness query. Returns the result and the number of copies
 /// loaded at the worker now.
-pub fn order(exchange: &Ended) -> (LoadOrderResult, u32) {
+pub fn classify_load_order(exchange: &ExchangeOutcome) -> (LoadOrderResult, u32) {
     match exchange {
-        Ended::NoConnection => (LoadOrderResult::Unreachable, 0),
-        Ended::NoRoom | Ended::Broke { .. } | Ended::Garbled | Ended::TooLarge => {
-            (LoadOrderResult::ConnectionLost, 0)
-        }
-        Ended::Answered {
+        ExchangeOutcome::Unreachable => (LoadOrderResult::Unreachable, 0),
+        ExchangeOutcome::ConnectionLimit
+        | ExchangeOutcome::ConnectionLost { .. }
+        | ExchangeOutcome::MalformedResponse
+        | ExchangeOutcome::ResponseTooLarge => (LoadOrderResult::ConnectionLost, 0),
+        ExchangeOutcome::Responded {
             status, headers, ..
         } => {
             let copies = response_headers::number(headers, response_headers::COPIES);
@@ -147,9 +157,9 @@
 }
 
 /// Interprets the exchange of a health check. Returns its outcome and the worker's load report.
-pub fn probe(exchange: &Ended) -> (DispatchOutcome, LoadReport) {
+pub fn classify_health_check(exchange: &ExchangeOutcome) -> (DispatchOutcome, LoadReport) {
     match exchange {
-        Ended::Answered {
+        ExchangeOutcome::Responded {
             status, headers, ..
         } => {
             let outcome = if status.is_success() {
@@ -159,7 +169,7 @@
             };
             (outcome, response_headers::load_report(headers))
         }
-        other => (infer(other).outcome, LoadReport::default()),
+        other => (classify_inference(other).outcome, LoadReport::default()),
     }
 }
 
--- a/crates/kserve/src/repository_index.rs
+++ b/crates/kserve/src/repository_index.rs
@@ -31,20 +31,20 @@
 
 /// The models that a worker has loaded.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Index {
+pub struct RepositoryIndex {
     /// The incarnation of the worker's process, if reported.
-    pub life: Option<u64>,
+    pub incarnation: Option<u64>,
     /// Memory of the worker in megabytes; 0 if not reported.
     pub memory_mb: f64,
     /// The models.
-    pub models: Vec<Model>,
+    pub models: Vec<ModelEntry>,
     /// The worker reported more models than are listed here.
-    pub cut: bool,
+    pub truncated: bool,
 }
 
 /// One model of the index.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Model {
+pub struct ModelEntry {
     /// The function, with its version if it has one.
     pub function: String,
     /// Loaded copies; 0: it is not loaded.
@@ -65,27 +65,27 @@
 
 /// Why a response is no index.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum NoIndex {
+pub enum InvalidIndex {
     /// The worker answered with another status than 200.
     #[error("the worker answered the question for its index with status {0}")]
     Status(u16),
     /// The body is no JSON list of entries.
     #[error("the worker's index is no JSON list of models")]
-    Form,
+    Malformed,
     /// The entry at this position, from 0, has no valid name.
     #[error(
         "entry {0} of the worker's index has no name, or one longer than {MAX_NAME_BYTES} bytes"
     )]
-    Name(usize),
+    InvalidName(usize),
 }
 
-impl Remedy for NoIndex {
+impl Remedy for InvalidIndex {
     fn remedy(&self) -> &'static str {
         match self {
-            NoIndex::Status(_) => {
+            InvalidIndex::Status(_) => {
                 "have the worker serve the model repository extension, or leave [reconcile] out"
             }
-            NoIndex::Form | NoIndex::Name(_) => {
+            InvalidIndex::Malformed | InvalidIndex::InvalidName(_) => {
                 "see that the worker speaks KServe v2 and that nothing between changes its answers"
             }
         }
@@ -105,25 +105,30 @@
 }
 
 /// Reads a worker's response. One invalid entry makes the whole index invalid.
-pub fn of(status: u16, headers: &HeaderMap, body: &[u8]) -> Result<Index, NoIndex> {
+pub fn parse(
+    status: u16,
+    headers: &HeaderMap,
+    body: &[u8],
+) -> Result<RepositoryIndex, InvalidIndex> {
     if status != 200 {
-        return Err(NoIndex::Status(status));
+        return Err(InvalidIndex::Status(status));
     }
-    let mut entries = serde_json::from_slice::<Vec<WireEntry>>(body).map_err(|_| NoIndex::Form)?;
+    let mut entries =
+        serde_json::from_slice::<Vec<WireEntry>>(body).map_err(|_| InvalidIndex::Malformed)?;
     let cut = entries.len() > MAX_ENTRIES;
     entries.truncate(MAX_ENTRIES);
     let models = entries
         .into_iter()
         .enumerate()
-        .map(|(position, entry)| model(entry).ok_or(NoIndex::Name(position)));
+        .map(|(position, entry)| model(entry).ok_or(InvalidIndex::InvalidName(position)));
     let life = text(headers, INCARNATION)
         .map(|text| text.trim().parse().unwrap_or_else(|_| fingerprint(text)));
     let memory_mb = number(headers, MEMORY_MB).map_or(0.0, f64::from);
-    Ok(Index {
-        life,
+    Ok(RepositoryIndex {
+        incarnation: life,
         memory_mb,
         models: models.collect::<Result<_, _>>()?,
-        cut,
+        truncated: cut,
     })
 }
 
@@ -135,7 +140,7 @@
 }
 
 /// Absent if the entry has no valid name.
-fn model(entry: WireEntry) -> Option<Model> {
+fn model(entry: WireEntry) -> Option<ModelEntry> {
     if entry.name.is_empty() || entry.name.len() > MAX_NAME_BYTES {
         return None;
     }
@@ -156,7 +161,7 @@
     } else {
         0
     };
-    Some(Model {
+    Some(ModelEntry {
         function,
         copies,
         loading: state == "LOADING",
--- a/crates/kserve/src/response_headers.rs
+++ b/crates/kserve/src/response_headers.rs
@@ -2,7 +2,7 @@
 //! memory it has used for the account and function.
 
 use cedarpulley::interface::{CopyStatus, LoadReport};
-use cedarpulley_usage_metering::Held;
+use cedarpulley_usage_metering::MemoryTotals;
 use http::HeaderMap;
 
 /// State of the copy when the invocation came: `found` (warm), `began` (this invocation started the load), `waited`
@@ -48,7 +48,7 @@
 }
 
 /// Memory usage, from [`MEMORY_USAGE`]; absent unless the incarnation and all three totals are reported.
-pub fn held(headers: &HeaderMap) -> Option<Held> {
+pub fn memory_usage(headers: &HeaderMap) -> Option<MemoryTotals> {
     let (mut incarnation, mut running, mut loading, mut idle) = (None, None, None, None);
     for (name, value) in text(headers, MEMORY_USAGE)?
         .split(',')
@@ -67,8 +67,8 @@
             _ => {}
         }
     }
-    Some(Held {
-        life: incarnation?,
+    Some(MemoryTotals {
+        incarnation: incarnation?,
         running: running?,
         loading: loading?,
         idle: idle?,
--- a/crates/kserve/src/sequences.rs
+++ b/crates/kserve/src/sequences.rs
@@ -28,11 +28,11 @@
 
 impl Sequence {
     /// An empty `id` means no session. Fails if `id` is too long or has control characters.
-    pub fn new(id: &str, start: bool, end: bool) -> Result<Option<Sequence>, NoSequence> {
+    pub fn new(id: &str, start: bool, end: bool) -> Result<Option<Sequence>, InvalidSequence> {
         match id.len() {
             0 => Ok(None),
             length if length > MAX_ID_BYTES || id.chars().any(char::is_control) => {
-                Err(NoSequence::Id)
+                Err(InvalidSequence::Id)
             }
             _ => Ok(Some(Sequence {
                 id: id.to_owned(),
@@ -45,7 +45,7 @@
 
 /// Why the parameters name no valid session; shown to the client.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum NoSequence {
+pub enum InvalidSequence {
     /// The id has a wrong type or length.
     #[error("sequence_id is not a text of 1 to {MAX_ID_BYTES} bytes or a whole number above 0")]
     Id,
@@ -54,7 +54,7 @@
     Flag,
 }
 
-impl Remedy for NoSequence {
+impl Remedy for InvalidSequence {
     fn remedy(&self) -> &'static str {
         "have its client send the sequence's parameters as KServe v2 has them, or none"
     }
@@ -77,7 +77,7 @@
 
 /// Reads the session from a request's JSON. A body that is not JSON belongs to no session: whether it can be read is
 /// for the worker to say.
-pub fn of(json: &[u8]) -> Result<Option<Sequence>, NoSequence> {
+pub fn parse(json: &[u8]) -> Result<Option<Sequence>, InvalidSequence> {
     let Ok(RequestHead { parameters }) = serde_json::from_slice::<RequestHead>(json) else {
         return Ok(None);
     };
@@ -88,9 +88,9 @@
         Value::Number(number) => match number.as_u64() {
             Some(0) => return Ok(None),
             Some(id) => id.to_string(),
-            None => return Err(NoSequence::Id),
+            None => return Err(InvalidSequence::Id),
         },
-        _ => return Err(NoSequence::Id),
+        _ => return Err(InvalidSequence::Id),
     };
     Sequence::new(
         &id,
@@ -99,10 +99,10 @@
     )
 }
 
-fn flag(value: &Value) -> Result<bool, NoSequence> {
+fn flag(value: &Value) -> Result<bool, InvalidSequence> {
     match value {
         Value::Null => Ok(false),
         Value::Bool(on) => Ok(*on),
-        _ => Err(NoSequence::Flag),
+        _ => Err(InvalidSequence::Flag),
     }
 }
--- a/crates/kserve/src/tensors.rs
+++ b/crates/kserve/src/tensors.rs
@@ -9,8 +9,8 @@
 use cedarpulley_errors::Remedy;
 use thiserror::Error;
 
-pub use decode::response;
-pub use encode::request;
+pub use decode::decode_response;
+pub use encode::encode_request;
 
 /// Parameter of a tensor: how many of the raw bytes belong to it.
 const BINARY_SIZE: &str = "binary_data_size";
@@ -19,11 +19,11 @@
 
 /// The body of an infer request to a worker, or of its response: JSON, and after it raw tensors if there are any.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rest {
+pub struct InferenceBody {
     /// The whole body.
     pub bytes: Bytes,
     /// Length of the JSON in bytes, if raw tensors follow it; absent if all of the body is JSON.
-    pub json: Option<u32>,
+    pub json_length: Option<u32>,
 }
 
 /// Why one form cannot be converted into the other; shown to the client. Up to `TooLarge` the client's request is at
--- a/crates/kserve/src/tensors/decode.rs
+++ b/crates/kserve/src/tensors/decode.rs
@@ -5,15 +5,17 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use serde_json::{Value, json};
 
-use super::{BINARY_SIZE, ConversionError, Rest};
+use super::{BINARY_SIZE, ConversionError, InferenceBody};
 use crate::grpc::inference::infer_parameter::ParameterChoice;
 use crate::grpc::inference::model_infer_response::InferOutputTensor;
 use crate::grpc::inference::{InferParameter, InferTensorContents, ModelInferResponse};
 
 /// The gRPC message for a worker's response, or why the response cannot be read. gRPC has either typed or raw
 /// outputs: where any output is raw, the others are converted to raw.
-pub fn response(body: &Rest) -> Result<ModelInferResponse, ConversionError> {
-    let json_length = body.json.map_or(body.bytes.len(), |length| length as usize);
+pub fn decode_response(body: &InferenceBody) -> Result<ModelInferResponse, ConversionError> {
+    let json_length = body
+        .json_length
+        .map_or(body.bytes.len(), |length| length as usize);
     if json_length > body.bytes.len() {
         return Err(ConversionError::JsonLength);
     }
--- a/crates/kserve/src/tensors/encode.rs
+++ b/crates/kserve/src/tensors/encode.rs
@@ -5,13 +5,13 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use serde_json::{Map, Value, json};
 
-use super::{BINARY_OUTPUT, BINARY_SIZE, ConversionError, Rest};
+use super::{BINARY_OUTPUT, BINARY_SIZE, ConversionError, InferenceBody};
 use crate::grpc::inference::infer_parameter::ParameterChoice;
 use crate::grpc::inference::model_infer_request::{InferInputTensor, InferRequestedOutputTensor};
 use crate::grpc::inference::{InferParameter, InferTensorContents, ModelInferRequest};
 
 /// The body to send to a worker for a gRPC request, or what is wrong with the request.
-pub fn request(message: &ModelInferRequest) -> Result<Rest, ConversionError> {
+pub fn encode_request(message: &ModelInferRequest) -> Result<InferenceBody, ConversionError> {
     let raw_contents = &message.raw_input_contents;
     let is_raw = !raw_contents.is_empty();
     if is_raw && raw_contents.len() != message.inputs.len() {
@@ -19,9 +19,9 @@
     }
     let head = request_head(message, is_raw)?.to_string();
     if !is_raw {
-        return Ok(Rest {
+        return Ok(InferenceBody {
             bytes: head.into(),
-            json: None,
+            json_length: None,
         });
     }
     let json = u32::try_from(head.len()).map_err(|_| ConversionError::TooLarge)?;
@@ -31,9 +31,9 @@
     for contents in raw_contents {
         bytes.put_slice(contents);
     }
-    Ok(Rest {
+    Ok(InferenceBody {
         bytes: bytes.freeze(),
-        json: Some(json),
+        json_length: Some(json),
     })
 }
 
--- a/crates/kserve/src/worker_requests.rs
+++ b/crates/kserve/src/worker_requests.rs
@@ -39,15 +39,15 @@
 
 /// What the headers of an infer request say beside its body.
 #[derive(Clone, Copy, Debug)]
-pub struct Marks<'a> {
+pub struct InvocationHeaders<'a> {
     /// Id of the invocation, if it has one.
     pub invocation: Option<&'a str>,
     /// Number of the dispatch within its invocation, from 0.
     pub dispatch: u32,
     /// The idempotency key, if the invocation has one.
-    pub token: Option<&'a str>,
+    pub idempotency_key: Option<&'a str>,
     /// Name of the trigger type.
-    pub trigger: &'a str,
+    pub trigger_type: &'a str,
     /// Name of the account, if there is one.
     pub account: Option<&'a str>,
     /// Time until the final answer is due.
@@ -91,7 +91,7 @@
 pub fn infer(
     host: &str,
     function: &str,
-    marks: Marks,
+    marks: InvocationHeaders,
     body: Bytes,
     json_length: Option<u32>,
 ) -> Request<Bytes> {
@@ -107,11 +107,11 @@
         None => set_content_type(&mut request, "application/json"),
     }
     set_header(&mut request, DISPATCH, &marks.dispatch.to_string());
-    set_header(&mut request, TRIGGER_TYPE, marks.trigger);
+    set_header(&mut request, TRIGGER_TYPE, marks.trigger_type);
     set_header(&mut request, TIME_LEFT_US, &marks.time_left.to_string());
     let optional = [
         (INVOCATION, marks.invocation),
-        (IDEMPOTENCY_KEY, marks.token),
+        (IDEMPOTENCY_KEY, marks.idempotency_key),
         (ACCOUNT, marks.account),
     ];
     for (name, value) in optional {
@@ -133,14 +133,14 @@
 
 /// Who gives a load or unload order, where several routers share the workers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Orderer<'a> {
+pub struct OrderIssuer<'a> {
     /// Name of the router.
     pub router: Option<&'a str>,
     /// Term of the upgrade plan.
     pub term: Option<&'a str>,
 }
 
-fn set_orderer(request: &mut Request<Bytes>, orderer: Orderer) {
+fn set_orderer(request: &mut Request<Bytes>, orderer: OrderIssuer) {
     for (name, value) in [(ROUTER, orderer.router), (TERM, orderer.term)] {
         if let Some(value) = value {
             set_header(request, name, value);
@@ -154,7 +154,7 @@
     function: &str,
     copies: u32,
     account: Option<&str>,
-    orderer: Orderer,
+    orderer: OrderIssuer,
 ) -> Request<Bytes> {
     let path = format!("/v2/repository/models/{}/load", model_path(function));
     let body = format!("{{\"parameters\":{{\"copies\":{copies}}}}}");
@@ -168,7 +168,7 @@
 }
 
 /// An order to unload all copies.
-pub fn unload(host: &str, function: &str, orderer: Orderer) -> Request<Bytes> {
+pub fn unload(host: &str, function: &str, orderer: OrderIssuer) -> Request<Bytes> {
     let path = format!("/v2/repository/models/{}/unload", model_path(function));
     let mut request = request(Method::POST, host, &path, Bytes::new());
     set_orderer(&mut request, orderer);
--- a/crates/kserve/tests/client_requests.rs
+++ b/crates/kserve/tests/client_requests.rs
@@ -1,29 +1,33 @@
 //! Paths and headers of a client's requests over HTTP.
 
 use cedarpulley_kserve::client_requests::{
-    Asked, CLIENT_TIMEOUT_MS, LANES, SENT_AT_US, asked, retry_after, wanted,
+    CLIENT_TIMEOUT_MS, ClientRequest, LANES, SENT_AT_US, parse_infer_headers, parse_path,
+    retry_after,
 };
 use cedarpulley_kserve::worker_requests::TRIGGER_TYPE;
 use http::{HeaderMap, Method};
 
 #[test]
 fn each_path_and_method_is_recognized() {
-    let get = |path| asked(&Method::GET, path);
-    assert_eq!(get("/v2/health/live"), Asked::ServerLive);
-    assert_eq!(get("/v2"), Asked::ServerMetadata);
+    let get = |path| parse_path(&Method::GET, path);
+    assert_eq!(get("/v2/health/live"), ClientRequest::ServerLive);
+    assert_eq!(get("/v2"), ClientRequest::ServerMetadata);
     assert_eq!(
         get("/v2/models/a%2Fb/ready"),
-        Asked::ModelReady("a/b".into())
+        ClientRequest::ModelReady("a/b".into())
     );
-    assert_eq!(get("/v2/models/a/infer"), Asked::WrongMethod);
+    assert_eq!(get("/v2/models/a/infer"), ClientRequest::WrongMethod);
     assert_eq!(
-        asked(&Method::POST, "/v2/models/a/infer"),
-        Asked::Infer("a".into())
+        parse_path(&Method::POST, "/v2/models/a/infer"),
+        ClientRequest::Infer("a".into())
+    );
+    assert_eq!(
+        parse_path(&Method::POST, "/v2/repository/index"),
+        ClientRequest::RepositoryIndex
     );
-    assert_eq!(asked(&Method::POST, "/v2/repository/index"), Asked::Index);
     assert_eq!(
         get("/v2/models/a/versions/2/ready"),
-        Asked::ModelReady("a/versions/2".into())
+        ClientRequest::ModelReady("a/versions/2".into())
     );
     let tricks = [
         "/v2/models/a%2Fversions%2F2",
@@ -35,7 +39,7 @@
         "/v2/models/%FF/ready",
         "/v2/models//infer",
     ]) {
-        assert_eq!(get(path), Asked::Unknown, "{path}");
+        assert_eq!(get(path), ClientRequest::Unknown, "{path}");
     }
 }
 
@@ -46,7 +50,7 @@
         pairs.iter().for_each(|(name, value)| {
             headers.insert(*name, value.parse().expect("a value"));
         });
-        wanted(&headers, 10_000_000)
+        parse_infer_headers(&headers, 10_000_000)
     };
     assert_eq!(of(&[]).expect_err("no type").field, TRIGGER_TYPE);
     assert_eq!(
--- a/crates/kserve/tests/codec.rs
+++ b/crates/kserve/tests/codec.rs
@@ -7,7 +7,7 @@
 use cedarpulley_kserve::grpc::inference::model_infer_request::InferInputTensor;
 use cedarpulley_kserve::grpc::inference::*;
 use cedarpulley_kserve::grpc::{Code, frame, timeout, trailers, unframe};
-use cedarpulley_kserve::tensors::{Rest, request, response};
+use cedarpulley_kserve::tensors::{InferenceBody, decode_response, encode_request};
 use http::HeaderMap;
 use proptest::prelude::*;
 use prost::Message;
@@ -104,16 +104,16 @@
 }
 
 /// What a worker would answer that gives back its inputs as outputs.
-fn echoed(rest: &Rest) -> Rest {
-    let json = rest.json.map_or(rest.bytes.len(), |n| n as usize);
+fn echoed(rest: &InferenceBody) -> InferenceBody {
+    let json = rest.json_length.map_or(rest.bytes.len(), |n| n as usize);
     let head: Value = serde_json::from_slice(&rest.bytes[..json]).expect("JSON");
     let whole = json!({"model_name": "m", "id": head["id"], "parameters": head["parameters"],
         "outputs": head["inputs"]})
     .to_string();
     let bytes = Bytes::from([whole.as_bytes(), &rest.bytes[json..]].concat());
-    Rest {
+    InferenceBody {
         bytes,
-        json: rest.json.map(|_| whole.len() as u32),
+        json_length: rest.json_length.map(|_| whole.len() as u32),
     }
 }
 
@@ -131,7 +131,7 @@
         let r = ModelInferRequest { id, parameters: given, inputs: inputs.collect(), ..Default::default() };
         let wire = unframe(frame(&r)).expect("one message");
         prop_assert_eq!(&ModelInferRequest::decode(wire).expect("readable"), &r);
-        let back = response(&echoed(&request(&r).expect("sayable"))).expect("readable");
+        let back = decode_response(&echoed(&encode_request(&r).expect("sayable"))).expect("readable");
         prop_assert_eq!(&back.id, &r.id);
         prop_assert_eq!(&back.parameters, &r.parameters);
         prop_assert!(back.raw_output_contents.is_empty());
@@ -148,7 +148,7 @@
         let raw_input_contents: Vec<Bytes> = raws.into_iter().map(Bytes::from).collect();
         let inputs = (0..raw_input_contents.len()).map(input).collect();
         let r = ModelInferRequest { inputs, raw_input_contents, ..Default::default() };
-        let back = response(&echoed(&request(&r).expect("sayable"))).expect("readable");
+        let back = decode_response(&echoed(&encode_request(&r).expect("sayable"))).expect("readable");
         prop_assert_eq!(back.raw_output_contents, r.raw_input_contents);
     }
 
@@ -156,9 +156,9 @@
     fn malformed_bodies_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), json in any::<Option<u16>>()) {
         let bytes = Bytes::from(bytes);
         if let Ok(m) = unframe(bytes.clone()).and_then(|m| ModelInferRequest::decode(m).map_err(|_| cedarpulley_kserve::grpc::InvalidCall::Truncated)) {
-            let _ = request(&m);
+            let _ = encode_request(&m);
         }
-        let _ = response(&Rest { bytes, json: json.map(u32::from) });
+        let _ = decode_response(&InferenceBody { bytes, json_length: json.map(u32::from) });
     }
 
     #[test]
@@ -183,7 +183,9 @@
             inputs: vec![input],
             ..Default::default()
         };
-        request(&message).expect_err("not sayable").to_string()
+        encode_request(&message)
+            .expect_err("not sayable")
+            .to_string()
     };
     let c = InferTensorContents::default;
     assert!(
@@ -208,9 +210,9 @@
     );
     assert!(one("FP16", c()).contains("FP16"));
     let rest = |text: &'static str, json| {
-        response(&Rest {
+        decode_response(&InferenceBody {
             bytes: Bytes::from_static(text.as_bytes()),
-            json,
+            json_length: json,
         })
     };
     let raw = r#"{"outputs":[{"name":"y","datatype":"INT8","shape":[2],"parameters":{"binary_data_size":2}}]}"#;
@@ -242,9 +244,9 @@
     // Where one output is raw, the typed ones become raw too.
     let mixed = r#"{"outputs":[{"datatype":"INT16","shape":[1],"data":[-2]},{"datatype":"UINT8","shape":[1],"parameters":{"binary_data_size":1}}]}"#;
     let bytes = Bytes::from([mixed.as_bytes(), &[7]].concat());
-    let both = response(&Rest {
+    let both = decode_response(&InferenceBody {
         bytes,
-        json: Some(mixed.len() as u32),
+        json_length: Some(mixed.len() as u32),
     })
     .expect("readable");
     assert_eq!(both.raw_output_contents, [&[0xfe, 0xff][..], &[7]]);
--- a/crates/kserve/tests/outcomes.rs
+++ b/crates/kserve/tests/outcomes.rs
@@ -1,8 +1,8 @@
 //! The table from exchanges with a worker to dispatch outcomes.
 
 use cedarpulley::interface::DispatchOutcome;
-use cedarpulley_kserve::Ended;
-use cedarpulley_kserve::outcomes::infer;
+use cedarpulley_kserve::ExchangeOutcome;
+use cedarpulley_kserve::outcomes::classify_inference;
 use http::{HeaderMap, StatusCode};
 
 fn answered(status: u16, pairs: &[(&'static str, &str)], body: &[u8]) -> DispatchOutcome {
@@ -11,7 +11,7 @@
         headers.insert(*name, value.parse().expect("a header value"));
     }
     let status = StatusCode::from_u16(status).expect("a status");
-    infer(&Ended::Answered {
+    classify_inference(&ExchangeOutcome::Responded {
         status,
         headers: &headers,
         body,
@@ -22,19 +22,31 @@
 
 #[test]
 fn each_exchange_has_its_dispatch_outcome() {
-    let outcome = |exchange: Ended| infer(&exchange).outcome;
-    assert_eq!(outcome(Ended::NoConnection), DispatchOutcome::Unreachable);
-    assert_eq!(outcome(Ended::NoRoom), DispatchOutcome::Rejected);
+    let outcome = |exchange: ExchangeOutcome| classify_inference(&exchange).outcome;
     assert_eq!(
-        outcome(Ended::Broke { left: false }),
+        outcome(ExchangeOutcome::Unreachable),
+        DispatchOutcome::Unreachable
+    );
+    assert_eq!(
+        outcome(ExchangeOutcome::ConnectionLimit),
+        DispatchOutcome::Rejected
+    );
+    assert_eq!(
+        outcome(ExchangeOutcome::ConnectionLost { bytes_sent: false }),
         DispatchOutcome::NotSent
     );
     assert_eq!(
-        outcome(Ended::Broke { left: true }),
+        outcome(ExchangeOutcome::ConnectionLost { bytes_sent: true }),
         DispatchOutcome::ConnectionLost
     );
-    assert_eq!(outcome(Ended::Garbled), DispatchOutcome::ConnectionLost);
-    assert_eq!(outcome(Ended::TooLarge), DispatchOutcome::Errored);
+    assert_eq!(
+        outcome(ExchangeOutcome::MalformedResponse),
+        DispatchOutcome::ConnectionLost
+    );
+    assert_eq!(
+        outcome(ExchangeOutcome::ResponseTooLarge),
+        DispatchOutcome::Errored
+    );
     assert_eq!(answered(200, &[], b"{}"), DispatchOutcome::Succeeded);
     assert_eq!(
         answered(404, &[("cedarpulley-ran", "no")], b""),
--- a/crates/kserve/tests/repository_index.rs
+++ b/crates/kserve/tests/repository_index.rs
@@ -1,14 +1,14 @@
 //! The index of a worker's models: well-formed, malformed and oversized.
 
 use cedarpulley_kserve::repository_index::{
-    INCARNATION, Index, MAX_ENTRIES, MAX_SEQUENCES, Model, NoIndex, of,
+    INCARNATION, InvalidIndex, MAX_ENTRIES, MAX_SEQUENCES, ModelEntry, RepositoryIndex, parse,
 };
 use http::HeaderMap;
 
-fn read(body: &str) -> Result<Index, NoIndex> {
+fn read(body: &str) -> Result<RepositoryIndex, InvalidIndex> {
     let mut headers = HeaderMap::new();
     headers.insert(INCARNATION, http::HeaderValue::from_static("7"));
-    of(200, &headers, body.as_bytes())
+    parse(200, &headers, body.as_bytes())
 }
 
 #[test]
@@ -19,10 +19,10 @@
         {"name":"gone","state":"UNAVAILABLE","reason":"unloaded"}]"#;
     let index = read(body).expect("an index");
     assert_eq!(
-        (index.life, index.models.len(), index.cut),
+        (index.incarnation, index.models.len(), index.truncated),
         (Some(7), 4, false)
     );
-    let whole = Model {
+    let whole = ModelEntry {
         function: "resize:3/versions/2".into(),
         copies: 2,
         loading: false,
@@ -32,11 +32,11 @@
         term: Some("7.0".into()),
         sequences: Some(vec!["s1".into(), "s9".into()]),
     };
-    let bare = |function: &str, copies, loading| Model {
+    let bare = |function: &str, copies, loading| ModelEntry {
         function: function.into(),
         copies,
         loading,
-        ..Model::default()
+        ..ModelEntry::default()
     };
     let others = [
         bare("plain", 1, false),
@@ -49,21 +49,24 @@
 
 #[test]
 fn a_malformed_index_is_an_error_and_an_oversized_one_is_truncated() {
-    assert_eq!(of(404, &HeaderMap::new(), b"[]"), Err(NoIndex::Status(404)));
+    assert_eq!(
+        parse(404, &HeaderMap::new(), b"[]"),
+        Err(InvalidIndex::Status(404))
+    );
     for body in ["", "{}", "[3]", r#"[{"name":3}]"#, "[[]", "nul"] {
-        assert_eq!(read(body), Err(NoIndex::Form), "{body}");
+        assert_eq!(read(body), Err(InvalidIndex::Malformed), "{body}");
     }
     assert_eq!(
         read(r#"[{"name":"a"},{"state":"READY"}]"#),
-        Err(NoIndex::Name(1))
+        Err(InvalidIndex::InvalidName(1))
     );
     assert_eq!(
         read(&format!(r#"[{{"name":"{}"}}]"#, "x".repeat(600))),
-        Err(NoIndex::Name(0))
+        Err(InvalidIndex::InvalidName(0))
     );
     let many = vec![r#"{"name":"a"}"#; MAX_ENTRIES + 1].join(",");
     let index = read(&format!("[{many}]")).expect("an index");
-    assert_eq!((index.models.len(), index.cut), (MAX_ENTRIES, true));
+    assert_eq!((index.models.len(), index.truncated), (MAX_ENTRIES, true));
     let ids = vec![r#""s""#; MAX_SEQUENCES + 1].join(",");
     let index = read(&format!(
         r#"[{{"name":"a","parameters":{{"sequences":[{ids}]}}}}]"#
--- a/crates/kserve/tests/sequences.rs
+++ b/crates/kserve/tests/sequences.rs
@@ -1,10 +1,10 @@
 //! The session that a request's parameters name.
 
-use cedarpulley_kserve::sequences::{NoSequence, Sequence, of};
+use cedarpulley_kserve::sequences::{InvalidSequence, Sequence, parse};
 
 #[test]
 fn parameters_name_the_session_or_are_rejected() {
-    let of = |text: &str| of(text.as_bytes());
+    let of = |text: &str| parse(text.as_bytes());
     let is = |id: &str, start, end| {
         Ok(Some(Sequence {
             id: id.into(),
@@ -30,14 +30,14 @@
     }
     assert_eq!(
         of(r#"{"parameters":{"sequence_id":-1}}"#),
-        Err(NoSequence::Id)
+        Err(InvalidSequence::Id)
     );
     assert_eq!(
         of(r#"{"parameters":{"sequence_id":"a\nb"}}"#),
-        Err(NoSequence::Id)
+        Err(InvalidSequence::Id)
     );
     assert_eq!(
         of(r#"{"parameters":{"sequence_id":1,"sequence_end":"yes"}}"#),
-        Err(NoSequence::Flag)
+        Err(InvalidSequence::Flag)
     );
 }
--- a/crates/membership/src/counts.rs
+++ b/crates/membership/src/counts.rs
@@ -20,7 +20,7 @@
     /// Refutations of another process of this member with an incarnation at least as high: this one started from an
     /// older store.
     #[serde(rename = "outdated")]
-    pub outdated: u64,
+    pub outdated_store_signs: u64,
     /// Suspected members that this one declared dead.
     #[serde(rename = "deaths")]
     pub deaths: u64,
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -15,11 +15,11 @@
 
 use crate::counts::MembershipCounts;
 use crate::group::{Group, MemberIndex};
-use crate::member_table::{MemberStatus, MemberTable, MergeOutcome, Why};
-use crate::message::{Message, Process, Row, Standing};
+use crate::member_table::{MemberStatus, MemberTable, MergeOutcome, StateReason};
+use crate::message::{Incarnation, MemberState, MemberUpdate, Message};
 use crate::probe_schedule::{PendingProbe, ProbeSchedule};
 use crate::relayed_probes::{RelayedProbe, RelayedProbes};
-use crate::settings::Terms;
+use crate::settings::FailureDetectorSettings;
 
 /// Members asked to probe a silent one. With a single one, that one's own bad link would decide.
 const INDIRECT_PROBES: usize = 2;
@@ -30,11 +30,11 @@
 #[derive(Debug)]
 pub enum Input {
     /// A message was received.
-    Heard {
+    Received {
         /// Its sender.
         from: MemberIndex,
         /// The sender's incarnation.
-        process: Process,
+        incarnation: Incarnation,
         /// The message.
         message: Message,
     },
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub struct Membership {
     group: Group,
-    settings: Terms,
+    settings: FailureDetectorSettings,
     table: MemberTable,
     schedule: ProbeSchedule,
     relayed: RelayedProbes,
@@ -76,16 +76,16 @@
     pub fn new(
         now: Micros,
         group: Group,
-        settings: Terms,
+        settings: FailureDetectorSettings,
         nonce: u64,
         last_incarnation: u64,
     ) -> Self {
-        let own = Process {
-            turn: last_incarnation + 1,
+        let own = Incarnation {
+            number: last_incarnation + 1,
             nonce,
         };
         Membership {
-            table: MemberTable::new(now, group.len(), group.me, own),
+            table: MemberTable::new(now, group.len(), group.own_index, own),
             schedule: ProbeSchedule::new(now, settings.seed),
             relayed: RelayedProbes::default(),
             sequence: 0,
@@ -98,13 +98,13 @@
     /// Takes one input and appends what follows from it, and from the time, to `out`.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Heard {
+            Input::Received {
                 from,
-                process: sender,
+                incarnation: sender,
                 message,
             } => {
                 if self.table.is_other_member(from) {
-                    self.came_from(now, from, sender, out);
+                    self.record_contact(now, from, sender, out);
                     self.on_message(now, from, message, out);
                 }
             }
@@ -118,8 +118,8 @@
         let next_death = self
             .table
             .statuses()
-            .filter(|(_, status)| status.standing == Standing::Suspected)
-            .map(|(_, status)| status.since + self.settings.suspected_for)
+            .filter(|(_, status)| status.state == MemberState::Suspected)
+            .map(|(_, status)| status.since + self.settings.suspicion_timeout)
             .min()
             .unwrap_or(Micros::MAX);
         self.schedule.next_due().min(next_death)
@@ -131,20 +131,20 @@
     }
 
     /// This member's own incarnation; it goes along with each message.
-    pub fn me(&self) -> Process {
+    pub fn own_incarnation(&self) -> Incarnation {
         self.table.own_incarnation()
     }
 
     /// What is known of a member; unknown if there is none of this index.
-    pub fn known(&self, member: MemberIndex) -> MemberStatus {
+    pub fn status(&self, member: MemberIndex) -> MemberStatus {
         self.table.status(member)
     }
 
     /// Suspected members still count as alive: suspicions are often refuted.
-    pub fn lives(&self, member: MemberIndex) -> bool {
+    pub fn is_alive(&self, member: MemberIndex) -> bool {
         matches!(
-            self.known(member).standing,
-            Standing::Alive | Standing::Suspected
+            self.status(member).state,
+            MemberState::Alive | MemberState::Suspected
         )
     }
 
@@ -154,23 +154,23 @@
     }
 
     /// Something that is no membership message was received from this member.
-    pub fn came_from(
+    pub fn record_contact(
         &mut self,
         now: Micros,
         from: MemberIndex,
-        incarnation: Process,
+        incarnation: Incarnation,
         out: &mut Vec<Output>,
     ) {
         if !self.table.is_other_member(from) {
             return;
         }
         self.table.record_contact(now, from);
-        let alive = Row {
+        let alive = MemberUpdate {
             member: from,
-            process: incarnation,
-            standing: Standing::Alive,
+            incarnation,
+            state: MemberState::Alive,
         };
-        self.merge(now, alive, Why::Answered, out);
+        self.merge(now, alive, StateReason::Answered, out);
     }
 
     fn on_message(
@@ -182,26 +182,26 @@
     ) {
         match message {
             Message::Probe {
-                serial: probe_sequence,
-                table: sender_digest,
-                rows: received,
+                sequence: probe_sequence,
+                digest: sender_digest,
+                updates: received,
             } => {
                 let differed = sender_digest != self.table.digest();
                 self.merge_all(now, &received, out);
                 let own_digest = self.table.digest();
                 let message = Message::Answer {
-                    serial: probe_sequence,
-                    of: self.group.me,
-                    table: own_digest,
-                    rows: self.updates_if(differed || sender_digest != own_digest),
+                    sequence: probe_sequence,
+                    answered_by: self.group.own_index,
+                    digest: own_digest,
+                    updates: self.updates_if(differed || sender_digest != own_digest),
                 };
                 out.push(Output::Send { to: from, message });
             }
             Message::Answer {
-                serial: probe_sequence,
-                of: responder,
-                table: sender_digest,
-                rows: received,
+                sequence: probe_sequence,
+                answered_by: responder,
+                digest: sender_digest,
+                updates: received,
             } => {
                 self.merge_all(now, &received, out);
                 self.on_answer(now, from, probe_sequence, responder, out);
@@ -211,9 +211,9 @@
                     self.send_probe(from, true, out);
                 }
             }
-            Message::AskFor {
-                serial: requested_sequence,
-                whom: probe_target,
+            Message::IndirectProbe {
+                sequence: requested_sequence,
+                target: probe_target,
             } => self.relay_probe(now, from, requested_sequence, probe_target, out),
         }
     }
@@ -228,10 +228,10 @@
     ) {
         if let Some(relayed) = self.relayed.answered(probe_sequence, responder) {
             let message = Message::Answer {
-                serial: relayed.requested_sequence,
-                of: responder,
-                table: 0,
-                rows: self.table.update_of(responder).into_iter().collect(),
+                sequence: relayed.requested_sequence,
+                answered_by: responder,
+                digest: 0,
+                updates: self.table.update_of(responder).into_iter().collect(),
             };
             out.push(Output::Send {
                 to: relayed.requester,
@@ -264,7 +264,10 @@
             return;
         }
         let sequence = self.send_probe(target, true, out);
-        let lifetime = self.settings.probe_every.max(self.settings.answer_within);
+        let lifetime = self
+            .settings
+            .probe_interval
+            .max(self.settings.answer_timeout);
         let probe = RelayedProbe {
             requester,
             requested_sequence,
@@ -276,7 +279,7 @@
 
     /// What is due by now.
     fn on_time(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if now - self.schedule.next_probe > SUSPENDED_INTERVALS * self.settings.probe_every {
+        if now - self.schedule.next_probe > SUSPENDED_INTERVALS * self.settings.probe_interval {
             // Symptom: suspended for minutes and resumed, everybody is overdue at once. None of that is their silence.
             self.counts.resumptions += 1;
             self.schedule.pending = None;
@@ -294,7 +297,7 @@
         }
         self.relayed.remove_expired(now);
         if now >= self.schedule.next_probe {
-            self.schedule.next_probe = now + self.settings.probe_every;
+            self.schedule.next_probe = now + self.settings.probe_interval;
             if self.schedule.pending.is_none() {
                 self.start_probe(now, out);
             }
@@ -304,8 +307,8 @@
     /// Suspicions that timed out.
     fn declare_dead(&mut self, now: Micros, out: &mut Vec<Output>) {
         let is_overdue = |status: &MemberStatus| {
-            status.standing == Standing::Suspected
-                && now >= status.since + self.settings.suspected_for
+            status.state == MemberState::Suspected
+                && now >= status.since + self.settings.suspicion_timeout
         };
         let dead: Vec<MemberIndex> = self
             .table
@@ -315,17 +318,25 @@
             .collect();
         for member in dead {
             self.counts.deaths += 1;
-            self.table
-                .set_state(now, member, Standing::Dead, Why::SilentTooLong);
+            self.table.set_state(
+                now,
+                member,
+                MemberState::Dead,
+                StateReason::SuspicionTimedOut,
+            );
             out.push(Output::Changed(member));
         }
     }
 
     fn suspect(&mut self, now: Micros, member: MemberIndex, out: &mut Vec<Output>) {
-        if self.known(member).standing == Standing::Alive {
+        if self.status(member).state == MemberState::Alive {
             self.counts.suspicions += 1;
-            self.table
-                .set_state(now, member, Standing::Suspected, Why::Silent);
+            self.table.set_state(
+                now,
+                member,
+                MemberState::Suspected,
+                StateReason::Unresponsive,
+            );
             out.push(Output::Changed(member));
         }
     }
@@ -337,13 +348,13 @@
         };
         self.counts.probes += 1;
         // A member that is not known to be alive has to learn what is held of it.
-        let with_updates = self.known(target).standing != Standing::Alive;
+        let with_updates = self.status(target).state != MemberState::Alive;
         let sequence = self.send_probe(target, with_updates, out);
         self.schedule.pending = Some(PendingProbe {
             target,
             sequence,
             is_indirect: false,
-            due: now + self.settings.answer_within,
+            due: now + self.settings.answer_timeout,
         });
     }
 
@@ -351,21 +362,21 @@
         let mut others: Vec<MemberIndex> = self
             .group
             .others()
-            .filter(|m| *m != probe.target && self.known(*m).standing == Standing::Alive)
+            .filter(|m| *m != probe.target && self.status(*m).state == MemberState::Alive)
             .collect();
         self.schedule.shuffle(&mut others);
         for to in others.into_iter().take(INDIRECT_PROBES) {
             self.counts.indirect_probes += 1;
-            let message = Message::AskFor {
-                serial: probe.sequence,
-                whom: probe.target,
+            let message = Message::IndirectProbe {
+                sequence: probe.sequence,
+                target: probe.target,
             };
             out.push(Output::Send { to, message });
         }
         self.schedule.pending = Some(PendingProbe {
             is_indirect: true,
             // The indirect way is twice as long as the direct one.
-            due: now + 2 * self.settings.answer_within,
+            due: now + 2 * self.settings.answer_timeout,
             ..probe
         });
     }
@@ -374,15 +385,15 @@
     fn send_probe(&mut self, to: MemberIndex, with_updates: bool, out: &mut Vec<Output>) -> u64 {
         self.sequence += 1;
         let message = Message::Probe {
-            serial: self.sequence,
-            table: self.table.digest(),
-            rows: self.updates_if(with_updates),
+            sequence: self.sequence,
+            digest: self.table.digest(),
+            updates: self.updates_if(with_updates),
         };
         out.push(Output::Send { to, message });
         self.sequence
     }
 
-    fn updates_if(&self, with_updates: bool) -> Vec<Row> {
+    fn updates_if(&self, with_updates: bool) -> Vec<MemberUpdate> {
         if with_updates {
             self.table.updates()
         } else {
@@ -390,19 +401,25 @@
         }
     }
 
-    fn merge_all(&mut self, now: Micros, received: &[Row], out: &mut Vec<Output>) {
+    fn merge_all(&mut self, now: Micros, received: &[MemberUpdate], out: &mut Vec<Output>) {
         for update in received.iter().take(self.group.len()) {
-            self.merge(now, *update, Why::Told, out);
+            self.merge(now, *update, StateReason::ReportedByPeer, out);
         }
     }
 
-    fn merge(&mut self, now: Micros, update: Row, reason: Why, out: &mut Vec<Output>) {
+    fn merge(
+        &mut self,
+        now: Micros,
+        update: MemberUpdate,
+        reason: StateReason,
+        out: &mut Vec<Output>,
+    ) {
         match self.table.merge(now, update, reason) {
             MergeOutcome::Unchanged => return,
             MergeOutcome::Updated => {}
             MergeOutcome::Refuted { other_process } => {
                 self.counts.refutations += 1;
-                self.counts.outdated += u64::from(other_process);
+                self.counts.outdated_store_signs += u64::from(other_process);
             }
         }
         out.push(Output::Changed(update.member));
--- a/crates/membership/src/group.rs
+++ b/crates/membership/src/group.rs
@@ -12,7 +12,7 @@
 /// choice.
 pub const MAX_MEMBERS: usize = 64;
 /// Weights are small numbers, so that their sum is exact and a person can add them up.
-pub const MOST_WEIGHT: u32 = 100;
+pub const MAX_WEIGHT: u32 = 100;
 
 /// One member of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -74,9 +74,9 @@
     /// In the order of their names.
     pub members: Vec<Member>,
     /// Which member this router is.
-    pub me: MemberIndex,
+    pub own_index: MemberIndex,
     /// Hash of name and members. Members with another one are not talked to.
-    pub mark: u64,
+    pub fingerprint: u64,
 }
 
 impl Group {
@@ -100,9 +100,9 @@
         };
         Ok(Group {
             name: name.to_owned(),
-            mark: stable_hash((name, &members)),
+            fingerprint: stable_hash((name, &members)),
             members,
-            me: own_index as MemberIndex,
+            own_index: own_index as MemberIndex,
         })
     }
 
@@ -122,7 +122,7 @@
 
     /// All members but this one.
     pub fn others(&self) -> impl Iterator<Item = MemberIndex> + use<> {
-        let own_index = self.me;
+        let own_index = self.own_index;
         self.indices().filter(move |member| *member != own_index)
     }
 
@@ -141,7 +141,11 @@
     }
 
     /// Every majority has a member among these other than `excluded`: what any majority accepted, one of these knows.
-    pub fn meets_all(&self, members: &BTreeSet<MemberIndex>, excluded: MemberIndex) -> bool {
+    pub fn intersects_every_majority(
+        &self,
+        members: &BTreeSet<MemberIndex>,
+        excluded: MemberIndex,
+    ) -> bool {
         let rest = self
             .indices()
             .filter(|member| *member == excluded || !members.contains(member));
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -7,15 +7,15 @@
 use serde::Serialize;
 
 use crate::group::MemberIndex;
-use crate::message::{Process, Row, Standing};
+use crate::message::{Incarnation, MemberState, MemberUpdate};
 
 /// The reason of a member's present state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize)]
-pub enum Why {
+pub enum StateReason {
     /// Nothing was received from it yet.
     #[default]
     #[serde(rename = "never-heard")]
-    NeverHeard,
+    NothingReceived,
     /// It is this member.
     #[serde(rename = "itself")]
     Itself,
@@ -24,31 +24,31 @@
     Answered,
     /// It answered members that were asked to probe it.
     #[serde(rename = "answered-others")]
-    AnsweredOthers,
+    AnsweredIndirectly,
     /// It answered neither this member nor those asked to probe it.
     #[serde(rename = "silent")]
-    Silent,
+    Unresponsive,
     /// It was suspected, and nothing was received in time.
     #[serde(rename = "silent-too-long")]
-    SilentTooLong,
+    SuspicionTimedOut,
     /// Another member reported it.
     #[serde(rename = "told")]
-    Told,
+    ReportedByPeer,
 }
 
 /// What is known of one member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberStatus {
     /// Its latest known incarnation.
-    pub process: Process,
+    pub incarnation: Incarnation,
     /// The state of that incarnation.
-    pub standing: Standing,
+    pub state: MemberState,
     /// When it took this state.
     pub since: Micros,
     /// The reason of this state.
-    pub why: Why,
+    pub reason: StateReason,
     /// When anything was last received from it directly.
-    pub heard: Option<Micros>,
+    pub last_received: Option<Micros>,
 }
 
 /// What [`MemberTable::merge`] did.
@@ -76,16 +76,16 @@
 
 impl MemberTable {
     /// All unknown, apart from this member itself.
-    pub fn new(now: Micros, size: usize, own_index: MemberIndex, own: Process) -> Self {
+    pub fn new(now: Micros, size: usize, own_index: MemberIndex, own: Incarnation) -> Self {
         let unknown = MemberStatus {
             since: now,
             ..MemberStatus::default()
         };
         let mut members = vec![unknown; size];
         members[own_index as usize] = MemberStatus {
-            process: own,
-            standing: Standing::Alive,
-            why: Why::Itself,
+            incarnation: own,
+            state: MemberState::Alive,
+            reason: StateReason::Itself,
             ..unknown
         };
         MemberTable {
@@ -100,8 +100,8 @@
         self.version
     }
 
-    pub fn own_incarnation(&self) -> Process {
-        self.members[self.own_index as usize].process
+    pub fn own_incarnation(&self) -> Incarnation {
+        self.members[self.own_index as usize].incarnation
     }
 
     /// It is a member of the group other than this one.
@@ -124,13 +124,13 @@
 
     /// Something was received from a member of the group.
     pub fn record_contact(&mut self, now: Micros, member: MemberIndex) {
-        self.members[member as usize].heard = Some(now);
+        self.members[member as usize].last_received = Some(now);
     }
 
     /// The times of all suspicions start anew.
     pub fn restart_suspicions(&mut self, now: Micros) {
         for status in &mut self.members {
-            if status.standing == Standing::Suspected {
+            if status.state == MemberState::Suspected {
                 status.since = now;
             }
         }
@@ -139,52 +139,71 @@
     /// A member answered others that probed it on this one's behalf. True if the reason of its state changed.
     pub fn record_indirect_answer(&mut self, now: Micros, member: MemberIndex) -> bool {
         let status = &mut self.members[member as usize];
-        if status.standing == Standing::Suspected {
+        if status.state == MemberState::Suspected {
             // Those that reached it pass its refutation on; until that comes, the suspicion does not time out.
             status.since = now;
-        } else if status.why == Why::Silent || status.why == Why::NeverHeard {
-            status.why = Why::AnsweredOthers;
+        } else if status.reason == StateReason::Unresponsive
+            || status.reason == StateReason::NothingReceived
+        {
+            status.reason = StateReason::AnsweredIndirectly;
             return true;
         }
         false
     }
 
     /// A new state of the same incarnation, found by this member.
-    pub fn set_state(&mut self, now: Micros, member: MemberIndex, state: Standing, reason: Why) {
-        let incarnation = self.members[member as usize].process;
+    pub fn set_state(
+        &mut self,
+        now: Micros,
+        member: MemberIndex,
+        state: MemberState,
+        reason: StateReason,
+    ) {
+        let incarnation = self.members[member as usize].incarnation;
         self.replace(now, member, incarnation, state, reason);
     }
 
     /// Takes in what another member, or a message of the member itself, says of a member.
-    pub fn merge(&mut self, now: Micros, update: Row, reason: Why) -> MergeOutcome {
+    pub fn merge(
+        &mut self,
+        now: Micros,
+        update: MemberUpdate,
+        reason: StateReason,
+    ) -> MergeOutcome {
         let Some(held) = self.members.get(update.member as usize).copied() else {
             return MergeOutcome::Unchanged;
         };
-        if update.standing == Standing::Unknown {
+        if update.state == MemberState::Unknown {
             return MergeOutcome::Unchanged;
         }
         if update.member == self.own_index {
-            return self.refute(now, update, held.process);
+            return self.refute(now, update, held.incarnation);
         }
-        if (update.process, update.standing) <= (held.process, held.standing) {
+        if (update.incarnation, update.state) <= (held.incarnation, held.state) {
             return MergeOutcome::Unchanged;
         }
-        self.replace(now, update.member, update.process, update.standing, reason);
+        self.replace(now, update.member, update.incarnation, update.state, reason);
         MergeOutcome::Updated
     }
 
     /// Symptom: a late answer, a partition or an earlier process of this member leaves others with a wrong state of it.
-    fn refute(&mut self, now: Micros, update: Row, own: Process) -> MergeOutcome {
-        let other_process = update.process.nonce != own.nonce;
-        let is_wrong = update.standing != Standing::Alive || other_process;
-        if update.process.turn < own.turn || !is_wrong {
+    fn refute(&mut self, now: Micros, update: MemberUpdate, own: Incarnation) -> MergeOutcome {
+        let other_process = update.incarnation.nonce != own.nonce;
+        let is_wrong = update.state != MemberState::Alive || other_process;
+        if update.incarnation.number < own.number || !is_wrong {
             return MergeOutcome::Unchanged;
         }
-        let raised = Process {
-            turn: update.process.turn + 1,
+        let raised = Incarnation {
+            number: update.incarnation.number + 1,
             nonce: own.nonce,
         };
-        self.replace(now, update.member, raised, Standing::Alive, Why::Itself);
+        self.replace(
+            now,
+            update.member,
+            raised,
+            MemberState::Alive,
+            StateReason::Itself,
+        );
         MergeOutcome::Refuted { other_process }
     }
 
@@ -192,33 +211,33 @@
         &mut self,
         now: Micros,
         member: MemberIndex,
-        incarnation: Process,
-        state: Standing,
-        reason: Why,
+        incarnation: Incarnation,
+        state: MemberState,
+        reason: StateReason,
     ) {
         let status = &mut self.members[member as usize];
         *status = MemberStatus {
-            process: incarnation,
-            standing: state,
+            incarnation,
+            state,
             since: now,
-            why: reason,
-            heard: status.heard,
+            reason,
+            last_received: status.last_received,
         };
         self.version += 1;
     }
 
     /// What is sent of one member; none if nothing is known.
-    pub fn update_of(&self, member: MemberIndex) -> Option<Row> {
+    pub fn update_of(&self, member: MemberIndex) -> Option<MemberUpdate> {
         let status = self.status(member);
-        (status.standing != Standing::Unknown).then_some(Row {
+        (status.state != MemberState::Unknown).then_some(MemberUpdate {
             member,
-            process: status.process,
-            standing: status.standing,
+            incarnation: status.incarnation,
+            state: status.state,
         })
     }
 
     /// What is sent of all members.
-    pub fn updates(&self) -> Vec<Row> {
+    pub fn updates(&self) -> Vec<MemberUpdate> {
         (0..self.members.len() as MemberIndex)
             .filter_map(|member| self.update_of(member))
             .collect()
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -8,9 +8,9 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub struct Process {
+pub struct Incarnation {
     /// Only grows, over restarts too as long as the store is kept. A member raises it to refute what others hold of it.
-    pub turn: u64,
+    pub number: u64,
     /// Random, and different for each process.
     pub nonce: u64,
 }
@@ -19,7 +19,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub enum Standing {
+pub enum MemberState {
     /// Nothing was received from it, or about it, yet.
     #[default]
     Unknown,
@@ -33,13 +33,13 @@
 
 /// What the sender holds of one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Row {
+pub struct MemberUpdate {
     /// The member that this is about.
     pub member: MemberIndex,
     /// Its latest known incarnation.
-    pub process: Process,
+    pub incarnation: Incarnation,
     /// The state of that incarnation.
-    pub standing: Standing,
+    pub state: MemberState,
 }
 
 /// One message between two members. The sender's table goes along only where the digests differ.
@@ -48,28 +48,28 @@
     /// Asks the receiver for an [`Message::Answer`].
     Probe {
         /// Number of the probe, chosen by its sender.
-        serial: u64,
+        sequence: u64,
         /// Digest of the sender's table.
-        table: u64,
+        digest: u64,
         /// The sender's table, or empty.
-        rows: Vec<Row>,
+        updates: Vec<MemberUpdate>,
     },
     /// A probe was answered.
     Answer {
         /// Number of the probe that is answered.
-        serial: u64,
+        sequence: u64,
         /// The member that answered: the sender itself, or the target of the sender's probe on the receiver's behalf.
-        of: MemberIndex,
+        answered_by: MemberIndex,
         /// Digest of the sender's table; 0 in an answer passed on.
-        table: u64,
+        digest: u64,
         /// The sender's table, or empty; in an answer passed on, what the sender holds of the member that answered.
-        rows: Vec<Row>,
+        updates: Vec<MemberUpdate>,
     },
     /// Asks the receiver to probe another member on the sender's behalf (SWIM's indirect probe).
-    AskFor {
+    IndirectProbe {
         /// Number of the probe that remained unanswered.
-        serial: u64,
+        sequence: u64,
         /// The member to probe.
-        whom: MemberIndex,
+        target: MemberIndex,
     },
 }
--- a/crates/membership/src/stable_view.rs
+++ b/crates/membership/src/stable_view.rs
@@ -1,5 +1,5 @@
-//! A debounced view of which members are alive. [`Believed::see`] is called after each change and at
-//! [`Believed::next_due`]; it says when the view has changed.
+//! A debounced view of which members are alive. [`StableView::observe`] is called after each change and at
+//! [`StableView::next_due`]; it says when the view has changed.
 //!
 //! Mechanisms:
 //! 1. A change has to last for a delay before the view takes it.
@@ -51,13 +51,13 @@
 
 /// Which members are alive, changed only by what lasts.
 #[derive(Debug)]
-pub struct Believed {
+pub struct StableView {
     delay: Micros,
     members: Vec<DebouncedMember>,
     version: u64,
 }
 
-impl Believed {
+impl StableView {
     /// `delay`: how long a change of a member that did not flap has to last. All members are alive at first.
     pub fn new(now: Micros, members: usize, delay: Micros) -> Self {
         let alive = DebouncedMember {
@@ -66,7 +66,7 @@
             changed_at: now,
             recent_flaps: 0,
         };
-        Believed {
+        StableView {
             delay,
             members: vec![alive; members],
             version: 1,
@@ -74,7 +74,7 @@
     }
 
     /// `observed_alive`: whether a member is alive as observed now. True if the view has changed.
-    pub fn see(&mut self, now: Micros, observed_alive: impl Fn(MemberIndex) -> bool) -> bool {
+    pub fn observe(&mut self, now: Micros, observed_alive: impl Fn(MemberIndex) -> bool) -> bool {
         let mut changed = false;
         for (index, member) in (0..).zip(&mut self.members) {
             member.observe(now, observed_alive(index), self.delay);
@@ -98,7 +98,7 @@
     }
 
     /// The members alive in this view.
-    pub fn alive(&self) -> Vec<MemberIndex> {
+    pub fn alive_members(&self) -> Vec<MemberIndex> {
         (0..self.members.len() as MemberIndex)
             .filter(|member| self.is_alive(*member))
             .collect()
--- a/crates/membership/tests/failure_detector.rs
+++ b/crates/membership/tests/failure_detector.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use cedarpulley_membership::{
-    Group, Input, Member, MemberIndex, Membership, Message, Output, Process, Standing, Terms,
+    FailureDetectorSettings, Group, Incarnation, Input, Member, MemberIndex, MemberState,
+    Membership, Message, Output,
 };
 use proptest::prelude::*;
 
@@ -14,7 +15,7 @@
 struct InFlightMessage {
     from: MemberIndex,
     to: MemberIndex,
-    process: Process,
+    process: Incarnation,
     message: Message,
 }
 
@@ -64,10 +65,10 @@
 
     fn start(&mut self, m: usize) {
         self.starts += 1;
-        let settings = Terms {
-            probe_every: 200 * MS,
-            answer_within: 60 * MS,
-            suspected_for: 800 * MS,
+        let settings = FailureDetectorSettings {
+            probe_interval: 200 * MS,
+            answer_timeout: 60 * MS,
+            suspicion_timeout: 800 * MS,
             seed: self.starts,
         };
         // Its store is lost: the incarnation starts anew.
@@ -93,7 +94,7 @@
             return;
         };
         member.handle(self.now, input, &mut out);
-        let process = member.me();
+        let process = member.own_incarnation();
         for output in out {
             let Output::Send { to, message } = output else {
                 continue;
@@ -149,9 +150,9 @@
                         process,
                         message,
                     } = arrived;
-                    let input = Input::Heard {
+                    let input = Input::Received {
                         from,
-                        process,
+                        incarnation: process,
                         message,
                     };
                     self.feed(to as usize, input);
@@ -163,12 +164,12 @@
         self.now = until;
     }
 
-    fn state(&self, at: usize, of: usize) -> Standing {
+    fn state(&self, at: usize, of: usize) -> MemberState {
         self.members[at]
             .as_ref()
             .expect("it runs")
-            .known(of as u16)
-            .standing
+            .status(of as u16)
+            .state
     }
 
     /// All that run see all that run alive, each in its present incarnation, and the others dead.
@@ -179,10 +180,10 @@
         up.iter().all(|&a| {
             (0..self.members.len()).all(|b| match &self.members[b] {
                 Some(it) => {
-                    let known = self.members[a].as_ref().expect("up").known(b as u16);
-                    known.standing == Standing::Alive && known.process == it.me()
+                    let known = self.members[a].as_ref().expect("up").status(b as u16);
+                    known.state == MemberState::Alive && known.incarnation == it.own_incarnation()
                 }
-                None => self.state(a, b) == Standing::Dead,
+                None => self.state(a, b) == MemberState::Dead,
             })
         })
     }
@@ -200,7 +201,14 @@
     simulation.run(3 * SECOND);
     assert!(simulation.all_agree());
     // Its earlier process had the same incarnation; the new one took the next.
-    assert!(simulation.members[2].as_ref().expect("up").me().turn > 1);
+    assert!(
+        simulation.members[2]
+            .as_ref()
+            .expect("up")
+            .own_incarnation()
+            .number
+            > 1
+    );
 }
 
 #[test]
@@ -209,14 +217,14 @@
     simulation.run(2 * SECOND);
     simulation.cut_links = vec![(0, 1), (1, 0), (2, 1)];
     simulation.run(20 * SECOND);
-    assert!((0..4).all(|a| (0..4).all(|b| simulation.state(a, b) != Standing::Dead)));
+    assert!((0..4).all(|a| (0..4).all(|b| simulation.state(a, b) != MemberState::Dead)));
     // Cut off in one direction only, it receives from everybody and nobody receives from it.
     simulation.cut_links = vec![(1, 0), (1, 2), (1, 3)];
     simulation.run(6 * SECOND);
     assert!(
         [0, 2, 3]
             .iter()
-            .all(|a| simulation.state(*a, 1) == Standing::Dead)
+            .all(|a| simulation.state(*a, 1) == MemberState::Dead)
     );
     simulation.cut_links.clear();
     simulation.run(4 * SECOND);
@@ -229,7 +237,9 @@
     simulation.run(2 * SECOND);
     simulation.suspended_until[0] = simulation.now + 60 * SECOND;
     simulation.run(30 * SECOND);
-    assert!(simulation.state(1, 0) == Standing::Dead && simulation.state(2, 0) == Standing::Dead);
+    assert!(
+        simulation.state(1, 0) == MemberState::Dead && simulation.state(2, 0) == MemberState::Dead
+    );
     simulation.run(31 * SECOND);
     assert!(simulation.all_agree());
     let counts = simulation.members[0].as_ref().expect("up").counts;
--- a/crates/membership/tests/group.rs
+++ b/crates/membership/tests/group.rs
@@ -44,7 +44,7 @@
                     let intersect = !set(a).is_disjoint(&without);
                     assert!(
                         intersect
-                            || !group.meets_all(&set(a), excluded)
+                            || !group.intersects_every_majority(&set(a), excluded)
                             || !group.is_majority(set(b))
                     );
                 }
@@ -81,7 +81,7 @@
     assert_eq!(error(many, "1"), GroupError::TooLarge(65));
     assert!(!GroupError::Empty.remedy().is_empty());
     // The order in the file does not matter, what is in it does.
-    let fingerprint = |members| Group::new("g", members, "a").expect("valid").mark;
+    let fingerprint = |members| Group::new("g", members, "a").expect("valid").fingerprint;
     let (one, other) = (
         vec![member("a", 1), member("b", 1)],
         vec![member("b", 1), member("a", 1)],
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -5,7 +5,7 @@
 use cedarpulley::interface::Micros;
 
 /// Microseconds as a [`Duration`]; negative ones as 0.
-pub fn micros(us: Micros) -> Duration {
+pub fn duration_from_micros(us: Micros) -> Duration {
     Duration::from_micros(us.max(0) as u64)
 }
 
@@ -20,11 +20,11 @@
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Self {
-        Clock::off_by(0)
+        Clock::with_wall_offset(0)
     }
 
     /// A clock that starts now and whose wall clock is wrong by `wall_offset`, for tests.
-    pub fn off_by(wall_offset: Micros) -> Self {
+    pub fn with_wall_offset(wall_offset: Micros) -> Self {
         Clock {
             zero: Instant::now(),
             wall_offset,
@@ -38,11 +38,11 @@
 
     /// A time of [`Clock::now`] as an [`Instant`].
     pub fn instant(&self, at: Micros) -> Instant {
-        self.zero + micros(at)
+        self.zero + duration_from_micros(at)
     }
 
     /// Time since the Unix epoch; it may jump.
-    pub fn wall(&self) -> Micros {
+    pub fn wall_time(&self) -> Micros {
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |since_epoch| since_epoch.as_micros() as Micros)
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,7 @@
 //! What every process of this product uses of the network and the clock: connecting from a given address, listening,
 //! clocks, a notifier between tasks and a timer for the next deadline. It decides nothing.
 //!
-//! Begin reading at [`connect`] and [`listen`]; then [`Clock`], [`Bell`], [`Alarm`].
+//! Begin reading at [`connect`] and [`listen`]; then [`Clock`], [`Notifier`], [`DeadlineTimer`].
 #![warn(missing_docs)]
 
 mod clock;
@@ -9,7 +9,7 @@
 mod tcp;
 mod timer;
 
-pub use clock::{Clock, micros};
-pub use notifier::Bell;
+pub use clock::{Clock, duration_from_micros};
+pub use notifier::Notifier;
 pub use tcp::{Stream, connect, listen};
-pub use timer::Alarm;
+pub use timer::DeadlineTimer;
--- a/crates/net/src/tcp.rs
+++ b/crates/net/src/tcp.rs
@@ -8,7 +8,7 @@
 use futures_lite::FutureExt;
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::clock::micros;
+use crate::clock::duration_from_micros;
 
 /// A TCP connection.
 pub type Stream = Async<TcpStream>;
@@ -33,7 +33,7 @@
 /// [`io::ErrorKind::TimedOut`].
 pub async fn connect(to: SocketAddr, from: Option<IpAddr>, timeout: Micros) -> io::Result<Stream> {
     let timed_out = async {
-        Timer::after(micros(timeout)).await;
+        Timer::after(duration_from_micros(timeout)).await;
         Err(io::ErrorKind::TimedOut.into())
     };
     connect_from(to, from).or(timed_out).await
--- a/crates/net/src/timer.rs
+++ b/crates/net/src/timer.rs
@@ -7,36 +7,36 @@
 use futures_lite::FutureExt;
 
 use crate::clock::Clock;
-use crate::notifier::Bell;
+use crate::notifier::Notifier;
 
 /// Elapses at the earliest deadline that it was set to, also if that is set while a task waits.
 #[derive(Debug)]
-pub struct Alarm {
+pub struct DeadlineTimer {
     /// [`Micros::MAX`] if none is set.
     deadline: Cell<Micros>,
-    deadline_moved: Bell,
+    deadline_moved: Notifier,
 }
 
-impl Default for Alarm {
+impl Default for DeadlineTimer {
     fn default() -> Self {
-        Alarm {
+        DeadlineTimer {
             deadline: Cell::new(Micros::MAX),
-            deadline_moved: Bell::default(),
+            deadline_moved: Notifier::default(),
         }
     }
 }
 
-impl Alarm {
+impl DeadlineTimer {
     /// Sets a deadline; a later one than that already set is ignored.
-    pub fn set(&self, deadline: Micros) {
+    pub fn set_deadline(&self, deadline: Micros) {
         if deadline < self.deadline.get() {
             self.deadline.set(deadline);
-            self.deadline_moved.ring();
+            self.deadline_moved.notify();
         }
     }
 
     /// Waits for the deadline and clears it.
-    pub async fn rings(&self, clock: &Clock) {
+    pub async fn elapsed(&self, clock: &Clock) {
         loop {
             let deadline = self.deadline.get();
             let elapsed = async {
@@ -49,7 +49,7 @@
                 true
             };
             let moved = async {
-                self.deadline_moved.heard().await;
+                self.deadline_moved.notified().await;
                 false
             };
             if elapsed.or(moved).await {
--- a/crates/platform-node/src/client_connections/connection.rs
+++ b/crates/platform-node/src/client_connections/connection.rs
@@ -4,7 +4,7 @@
 use std::io::{ErrorKind, Write};
 use std::net::Shutdown;
 
-use cedarpulley_net::{Bell, Stream};
+use cedarpulley_net::{Notifier, Stream};
 use cedarpulley_platform::client_protocol::{QueuedRequest, RequestQueue};
 use cedarpulley_platform::connection_limiter::ClientId;
 use cedarpulley_router::Answer;
@@ -29,7 +29,7 @@
     id: ClientId,
     stream: Stream,
     /// Rung when an answer has arrived, the client has disconnected, or the connection has to end.
-    wake: Bell,
+    wake: Notifier,
     answer: RefCell<Option<Answer>>,
     disconnected: Cell<bool>,
     close_reason: Cell<Option<CloseReason>>,
@@ -41,7 +41,7 @@
         ClientConnection {
             id,
             stream,
-            wake: Bell::default(),
+            wake: Notifier::default(),
             answer: RefCell::default(),
             disconnected: Cell::new(false),
             close_reason: Cell::new(None),
@@ -55,7 +55,7 @@
 
     /// Has the connection's task look at the connection again.
     pub fn wake(&self) {
-        self.wake.ring();
+        self.wake.notify();
     }
 
     /// Has the connection's task end the connection.
@@ -94,7 +94,7 @@
         let readable = async {
             let _ = self.stream.readable().await;
         };
-        self.wake.heard().or(readable).await;
+        self.wake.notified().or(readable).await;
     }
 
     /// Reads all that has arrived, so that a disconnection is seen together with what the client sent before.
@@ -158,7 +158,7 @@
                     let writable = async {
                         let _ = self.stream.writable().await;
                     };
-                    self.wake.heard().or(writable).await;
+                    self.wake.notified().or(writable).await;
                 }
                 Err(_) => return false,
             }
--- a/crates/platform-node/src/client_connections/mod.rs
+++ b/crates/platform-node/src/client_connections/mod.rs
@@ -163,7 +163,7 @@
         if let Some(connection) = self.pending.remove(delivery.tag) {
             connection.deliver(answer);
         }
-        node.feed(Input::Safe(delivery));
+        node.feed(Input::AnswerDelivered(delivery));
     }
 
     /// Whether the client of this request has disconnected, asked right before an attempt is sent: the disconnection may
@@ -184,7 +184,7 @@
     /// Notifies the core that nobody waits for the answer to a request, unless it has been answered.
     fn notify_departure(&self, node: &Rc<Node>, tag: Tag) {
         if self.pending.remove(tag).is_some() {
-            node.feed(Input::Departed(delivery(tag)));
+            node.feed(Input::ClientLeft(delivery(tag)));
         }
     }
 
@@ -198,7 +198,7 @@
 fn delivery(tag: Tag) -> Delivery {
     Delivery {
         front: 0,
-        life: 0,
+        incarnation: 0,
         tag,
     }
 }
--- a/crates/platform-node/src/client_connections/session.rs
+++ b/crates/platform-node/src/client_connections/session.rs
@@ -9,7 +9,7 @@
     health_status, status_of, write_response,
 };
 use cedarpulley_platform::connection_limiter::ConnectionLimiter;
-use cedarpulley_router::{Answer, Delivery, Input, Payload, Taken};
+use cedarpulley_router::{Answer, Delivery, IncomingInvocation, Input, Payload};
 use futures_lite::future::yield_now;
 
 use super::connection::{ClientConnection, CloseReason};
@@ -151,8 +151,8 @@
                 let deadline = Some(arrived + call.client_timeout);
                 let answer = self.execute(call, arrived).await?;
                 let response = Response {
-                    status: status_of(answer.fate),
-                    retry_after: answer.return_after,
+                    status: status_of(answer.outcome),
+                    retry_after: answer.retry_after,
                     body: answer.body.bytes,
                     close,
                 };
@@ -177,7 +177,7 @@
         let tag = self.clients().pending.add(connection.clone(), id.clone());
         let waited = self.now() - arrived;
         self.node
-            .feed(Input::Taken(incoming(delivery(tag), call, waited)));
+            .feed(Input::MessageArrived(incoming(delivery(tag), call, waited)));
         loop {
             if let Some(answer) = connection.take_answer() {
                 return Some(answer);
@@ -240,17 +240,17 @@
 }
 
 /// A call as the core takes it. `waited`: since its last byte arrived, in microseconds.
-fn incoming(delivery: Delivery, call: Call, waited: Micros) -> Taken {
-    Taken {
+fn incoming(delivery: Delivery, call: Call, waited: Micros) -> IncomingInvocation {
+    IncomingInvocation {
         delivery,
         identity: None,
-        mark: Some(call.id),
+        name: Some(call.id),
         redelivered: false,
-        repeat: false,
+        client_retry: false,
         trigger: call.trigger,
         account: call.account,
         function: call.function,
-        token: call.idempotency_key,
+        idempotency_key: call.idempotency_key,
         waited,
         client_timeout: call.client_timeout,
         cost_hint: call.cost_hint,
@@ -258,9 +258,9 @@
         copy_mb: call.copy_mb,
         lanes: call.lanes,
         session: None,
-        named: None,
-        prefers: None,
-        refused: None,
+        requested_function: None,
+        preferred_worker: None,
+        predetermined_answer: None,
         body: Payload::from(call.body),
     }
 }
--- a/crates/platform-node/src/config_file.rs
+++ b/crates/platform-node/src/config_file.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use cedarpulley_platform::config::{ConfigError, Start, discovery_address_of};
+use cedarpulley_platform::config::{ConfigError, StartupConfig, discovery_address_of};
 use cedarpulley_platform::discovery::DiscoveryError;
 
 use crate::startup::StartError;
@@ -21,8 +21,8 @@
     }
 
     /// The whole configuration.
-    pub fn read(&self) -> Result<Start> {
-        Start::read(&self.text()?).map_err(|source| self.invalid(source))
+    pub fn read(&self) -> Result<StartupConfig> {
+        StartupConfig::parse(&self.text()?).map_err(|source| self.invalid(source))
     }
 
     /// The address of discovery, as the file has it now.
--- a/crates/platform-node/src/core_loop.rs
+++ b/crates/platform-node/src/core_loop.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_net::{Alarm, Clock};
+use cedarpulley_net::{Clock, DeadlineTimer};
 use cedarpulley_router::{Input, Output, Router};
 
 /// Hands inputs to the core, one after the other.
@@ -13,7 +13,7 @@
     /// Inputs that the core has not processed yet.
     inputs: RefCell<VecDeque<Input>>,
     is_running: Cell<bool>,
-    alarm: Alarm,
+    alarm: DeadlineTimer,
 }
 
 impl CoreLoop {
@@ -22,7 +22,7 @@
             router: RefCell::new(router),
             inputs: RefCell::default(),
             is_running: Cell::new(false),
-            alarm: Alarm::default(),
+            alarm: DeadlineTimer::default(),
         }
     }
 
@@ -40,7 +40,7 @@
                 router.handle(clock.now(), input, &mut outputs);
                 router.next_due().unwrap_or(Micros::MAX)
             };
-            self.alarm.set(due);
+            self.alarm.set_deadline(due);
             outputs.drain(..).for_each(&mut carry_out);
         }
         self.is_running.set(false);
@@ -52,7 +52,7 @@
 
     /// Waits until one of the core's timers is due.
     pub async fn timer(&self, clock: &Clock) {
-        self.alarm.rings(clock).await;
+        self.alarm.elapsed(clock).await;
     }
 
     /// The core, to query it. It must not be borrowed while an input is fed.
--- a/crates/platform-node/src/discovery.rs
+++ b/crates/platform-node/src/discovery.rs
@@ -8,10 +8,10 @@
 use async_io::Timer;
 use cedarpulley::interface::Micros;
 use cedarpulley_errors::Remedy;
-use cedarpulley_net::{Bell, Stream, connect, micros};
+use cedarpulley_net::{Notifier, Stream, connect, duration_from_micros};
 use cedarpulley_platform::discovery::{
-    Answers, DiscoveryError, EventBatch, ListUpdate, MAX_BACKOFF, POLL_WAIT, RESPONSE_MARGIN,
-    WorkerListFollower,
+    DiscoveryError, EventBatch, ListUpdate, MAX_BACKOFF, POLL_WAIT, RESPONSE_MARGIN,
+    ResponseReader, WorkerListFollower,
 };
 use cedarpulley_router::backoff::Backoff;
 use cedarpulley_startup::Names;
@@ -27,7 +27,7 @@
 pub(crate) struct Discovery {
     names: Names,
     address: Cell<SocketAddr>,
-    moved: Bell,
+    moved: Notifier,
     worker_list: RefCell<WorkerListFollower>,
 }
 
@@ -37,7 +37,7 @@
         Discovery {
             names,
             address: Cell::new(address),
-            moved: Bell::default(),
+            moved: Notifier::default(),
             worker_list: RefCell::new(worker_list),
         }
     }
@@ -45,7 +45,7 @@
     /// Has the channel followed at another address from now on.
     pub fn move_to(&self, address: SocketAddr) {
         self.address.set(address);
-        self.moved.ring();
+        self.moved.notify();
     }
 
     /// Where a listed worker listens.
@@ -63,7 +63,7 @@
     ) -> Result<Vec<ListUpdate>, DiscoveryError> {
         self.worker_list
             .borrow_mut()
-            .batch(batch, &self.names, wall_at_zero, unheard_for)
+            .apply_batch(batch, &self.names, wall_at_zero, unheard_for)
     }
 
     /// Repeated events and workers beyond the limit that were ignored so far.
@@ -97,18 +97,18 @@
 
 /// Follows the channel for as long as the router runs. `seed`: for the backoff's jitter.
 pub(crate) async fn follow(node: Rc<Node>, seed: u64) {
-    let mut backoff = Backoff::up_to(seed, MAX_BACKOFF);
+    let mut backoff = Backoff::with_max_delay(seed, MAX_BACKOFF);
     loop {
         let connected_at = node.clock.now();
         let poll_and_back_off = async {
             if let Err(error) = poll_on_one_connection(&node).await {
                 tracing::debug!(error = error.line(), "discovery connection ended");
             }
-            let pause = backoff.after(node.clock.now() - connected_at);
-            Timer::after(micros(pause)).await;
+            let pause = backoff.next_delay(node.clock.now() - connected_at);
+            Timer::after(duration_from_micros(pause)).await;
         };
         // After a move there is no backoff at the new address.
-        node.discovery.moved.heard().or(poll_and_back_off).await;
+        node.discovery.moved.notified().or(poll_and_back_off).await;
     }
 }
 
@@ -116,7 +116,7 @@
 async fn poll_on_one_connection(node: &Rc<Node>) -> Result<(), ChannelError> {
     let address = node.discovery.address.get();
     let mut stream = connect(address, None, POLL_WAIT).await?;
-    let mut responses = Answers::default();
+    let mut responses = ResponseReader::default();
     // The events of the first response may have happened while nobody was connected; later ones arrive as they happen.
     let mut unheard_for = Micros::MAX;
     loop {
@@ -127,7 +127,7 @@
             .poll_request(&address.to_string());
         stream.write_all(&request).await?;
         let timeout = async {
-            Timer::after(micros(POLL_WAIT + RESPONSE_MARGIN)).await;
+            Timer::after(duration_from_micros(POLL_WAIT + RESPONSE_MARGIN)).await;
             Err(ChannelError::Timeout)
         };
         let batch = read_response(&mut stream, &mut responses)
@@ -140,11 +140,11 @@
 
 async fn read_response(
     stream: &mut Stream,
-    responses: &mut Answers,
+    responses: &mut ResponseReader,
 ) -> Result<EventBatch, ChannelError> {
     let mut buffer = [0; READ_SIZE];
     loop {
-        if let Some(batch) = responses.whole()? {
+        if let Some(batch) = responses.next_batch()? {
             return Ok(batch);
         }
         let length = stream.read(&mut buffer).await?;
--- a/crates/platform-node/src/node.rs
+++ b/crates/platform-node/src/node.rs
@@ -103,7 +103,7 @@
                 };
                 self.workers.send(self, attempt);
             }
-            Output::Withdraw(ticket) => self.workers.cancel(self, ticket),
+            Output::Cancel(ticket) => self.workers.cancel(self, ticket),
             Output::Order {
                 ticket,
                 function,
@@ -125,22 +125,22 @@
             Output::Probe { worker } => self.workers.probe(self, worker),
             // The core polls no list, as discovery is followed all the time; clients ask for no admission before they
             // send; there is no front that acknowledges deliveries; routers of the platform share nothing.
-            Output::AskList
-            | Output::Entry { .. }
+            Output::RequestEndpointList
+            | Output::Admission { .. }
             | Output::Discard(_)
             | Output::Grant { .. }
-            | Output::Group(_) => {}
+            | Output::Replication(_) => {}
         }
     }
 
     /// Whether an attempt may still be sent, asked right before its first byte.
     pub fn may_send(&self, ticket: Ticket) -> bool {
-        self.core.router().may_leave(self.clock.now(), ticket)
+        self.core.router().may_send(self.clock.now(), ticket)
     }
 
     /// Whether a load order may still be sent, asked right before its first byte.
     pub fn may_order(&self, ticket: OrderTicket) -> bool {
-        self.core.router().order_may_leave(self.clock.now(), ticket)
+        self.core.router().may_send_order(self.clock.now(), ticket)
     }
 
     /// Where a worker listens, if it is listed.
@@ -156,7 +156,7 @@
         batch: &EventBatch,
         unheard_for: Micros,
     ) -> Result<(), DiscoveryError> {
-        let wall_at_zero = self.clock.wall() - self.clock.now();
+        let wall_at_zero = self.clock.wall_time() - self.clock.now();
         let updates = self.discovery.updates(batch, wall_at_zero, unheard_for)?;
         updates.into_iter().for_each(|update| self.apply(update));
         Ok(())
@@ -164,12 +164,12 @@
 
     fn apply(self: &Rc<Self>, update: ListUpdate) {
         for id in &update.retired {
-            if let Some(worker) = self.core.router().worker_ix(id) {
+            if let Some(worker) = self.core.router().worker_index(id) {
                 self.workers.retire(worker);
             }
         }
-        self.feed(Input::List {
-            mode: update.mode,
+        self.feed(Input::EndpointList {
+            kind: update.mode,
             workers: update.workers,
         });
     }
@@ -232,7 +232,7 @@
     /// Whether the process may exit now. `backlog_empty`: no connection waits to be accepted.
     pub fn may_exit(&self, backlog_empty: bool) -> bool {
         let unfinished =
-            !backlog_empty || self.core.router().open() > 0 || self.clients.has_unfinished();
+            !backlog_empty || self.core.router().unfinished() > 0 || self.clients.has_unfinished();
         self.shutdown
             .borrow()
             .may_exit(self.clock.now(), unfinished)
--- a/crates/platform-node/src/signals.rs
+++ b/crates/platform-node/src/signals.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use cedarpulley_errors::Remedy;
-use cedarpulley_net::{Bell, micros};
+use cedarpulley_net::{Notifier, duration_from_micros};
 use cedarpulley_platform::config::{MAX_RELOADS, RELOAD_PAUSE};
 use futures_lite::{FutureExt, StreamExt};
 
@@ -22,20 +22,20 @@
     node: Rc<Node>,
     mut signals: Signals,
     file: ConfigFile,
-    stop: Bell,
+    stop: Notifier,
 ) {
-    let reload_requested = Bell::default();
+    let reload_requested = Notifier::default();
     let reloading = async {
         loop {
-            reload_requested.heard().await;
+            reload_requested.notified().await;
             reload(&node, &file).await;
         }
     };
     let receiving = async {
         loop {
             match signals.next().await {
-                Some(Ok(Signal::Hup)) => reload_requested.ring(),
-                Some(Ok(_)) => stop.ring(),
+                Some(Ok(Signal::Hup)) => reload_requested.notify(),
+                Some(Ok(_)) => stop.notify(),
                 // Neither a failure nor the end of the stream is a signal to stop: requests are still served.
                 Some(Err(error)) => {
                     tracing::warn!(%error, "reading a signal failed");
@@ -61,6 +61,6 @@
                 tracing::warn!(error = error.line(), "reloading the configuration failed");
             }
         }
-        Timer::after(micros(RELOAD_PAUSE)).await;
+        Timer::after(duration_from_micros(RELOAD_PAUSE)).await;
     }
 }
--- a/crates/platform-node/src/startup.rs
+++ b/crates/platform-node/src/startup.rs
@@ -9,15 +9,15 @@
 use async_signal::{Signal, Signals};
 use cedarpulley::interface::{Effect, Micros, TriggerType};
 use cedarpulley_errors::Remedy;
-use cedarpulley_net::{Bell, listen};
+use cedarpulley_net::{Notifier, listen};
 use cedarpulley_platform::client_protocol::{RequestRules, TriggerRules};
-use cedarpulley_platform::config::{ConfigError, Start};
+use cedarpulley_platform::config::{ConfigError, StartupConfig};
 use cedarpulley_platform::connection_limiter::ConnectionLimiter;
 use cedarpulley_platform::connection_pool::ConnectionPool;
 use cedarpulley_platform::discovery::{DiscoveryError, WorkerListFollower};
 use cedarpulley_platform::graceful_shutdown::GracefulShutdown;
 use cedarpulley_platform::resource_limits::ResourceLimits;
-use cedarpulley_router::{Router, Terms};
+use cedarpulley_router::{CoreSettings, Router};
 use cedarpulley_startup::StartupSettings;
 use thiserror::Error;
 
@@ -135,7 +135,7 @@
     file: ConfigFile,
     seed: u64,
 ) {
-    let stop = Bell::default();
+    let stop = Notifier::default();
     node.reset_lag();
     node.spawn(node.clone().run_timers());
     node.spawn(node.clone().run_sweeps());
@@ -143,12 +143,12 @@
     node.spawn(accept_clients(node.clone(), listener.clone()));
     node.spawn(handle_signals(node.clone(), signals, file, stop.clone()));
     tracing::info!("running");
-    stop.heard().await;
+    stop.notified().await;
     shutdown::shut_down(&node, &listener).await;
     node.log_counts();
 }
 
-fn node_parts(start: Start) -> NodeParts {
+fn node_parts(start: StartupConfig) -> NodeParts {
     let settings = &start.settings;
     let limits = ResourceLimits::of(start.limits);
     let connections = start.worker_connections;
@@ -181,8 +181,8 @@
     }
 }
 
-fn router_settings(settings: &StartupSettings, limits: ResourceLimits) -> Terms {
-    Terms {
+fn router_settings(settings: &StartupSettings, limits: ResourceLimits) -> CoreSettings {
+    CoreSettings {
         answer_margin: settings.fleet.granularity,
         clock_margin: 0,
         memory_bytes: limits.body_bytes,
@@ -192,14 +192,14 @@
             .iter()
             .map(|account| account.share)
             .collect(),
-        order_answered_within: settings.loads.order_timeout,
-        module_alone: true,
-        sharing: None,
+        order_timeout: settings.loads.order_timeout,
+        balancer_only: true,
+        replication: None,
         drain_grace: settings.rules.drain_grace,
     }
 }
 
-fn request_rules(start: &Start) -> RequestRules {
+fn request_rules(start: &StartupConfig) -> RequestRules {
     let settings = &start.settings;
     let triggers = settings.triggers.iter();
     RequestRules {
@@ -207,14 +207,14 @@
         triggers: triggers
             .map(|trigger| trigger_rules(trigger, settings))
             .collect(),
-        largest_mb: start.largest_machine_mb,
+        largest_machine_mb: start.largest_machine_mb,
     }
 }
 
 fn trigger_rules(trigger: &TriggerType, settings: &StartupSettings) -> TriggerRules {
     TriggerRules {
-        longest_wait: trigger.client_timeout + settings.rules.answer_slack,
-        needs_token: matches!(trigger.effect, Effect::IdempotentByKey { .. }),
+        max_client_timeout: trigger.client_timeout + settings.rules.answer_slack,
+        needs_idempotency_key: matches!(trigger.effect, Effect::IdempotentByKey { .. }),
     }
 }
 
--- a/crates/platform-node/src/worker_connections/connection.rs
+++ b/crates/platform-node/src/worker_connections/connection.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 
 use cedarpulley::interface::{Micros, WorkerIndex};
-use cedarpulley_net::{Bell, Stream};
+use cedarpulley_net::{Notifier, Stream};
 use cedarpulley_platform::connection_pool::ConnectionId;
 use cedarpulley_platform::worker_protocol::{Answer, AnswerError, AnswerReader};
-use cedarpulley_router::core::Call;
+use cedarpulley_router::core::DispatchRequest;
 use cedarpulley_router::{OrderTicket, Ticket};
 use cedarpulley_startup::ReportField;
 use futures_lite::FutureExt;
@@ -61,7 +61,7 @@
     pub function: Arc<str>,
     /// Until when the worker's answer is waited for, in microseconds of the router's clock.
     pub deadline: Micros,
-    pub call: Call,
+    pub call: DispatchRequest,
 }
 
 /// A message of which nothing is sent yet.
@@ -110,7 +110,7 @@
     exchanges: RefCell<HashMap<String, Exchange>>,
     answers: RefCell<AnswerReader>,
     /// Rung when there is something to write or the connection has to end.
-    wake: Bell,
+    wake: Notifier,
     ending: Cell<bool>,
     closed_here: Cell<bool>,
 }
@@ -125,7 +125,7 @@
             written: Cell::new(0),
             exchanges: RefCell::default(),
             answers: RefCell::default(),
-            wake: Bell::default(),
+            wake: Notifier::default(),
             ending: Cell::new(false),
             closed_here: Cell::new(false),
         }
@@ -137,7 +137,7 @@
 
     /// Has the connection's task look at the connection again.
     pub fn wake(&self) {
-        self.wake.ring();
+        self.wake.notify();
     }
 
     /// The connection is established.
@@ -175,7 +175,7 @@
     /// Waits until the connection has to end.
     pub async fn ended(&self) {
         while !self.is_ending() {
-            self.wake.heard().await;
+            self.wake.notified().await;
         }
     }
 
@@ -184,7 +184,7 @@
         let readable = async {
             let _ = stream.readable().await;
         };
-        let read_or_woken = self.wake.heard().or(readable);
+        let read_or_woken = self.wake.notified().or(readable);
         if !self.has_unwritten() {
             return read_or_woken.await;
         }
--- a/crates/platform-node/src/worker_connections/mod.rs
+++ b/crates/platform-node/src/worker_connections/mod.rs
@@ -15,7 +15,7 @@
 use cedarpulley_platform::attempt_outcome::ExchangeEnd;
 use cedarpulley_platform::connection_pool::{ConnectionId, ConnectionPool, LateAnswer, Placement};
 use cedarpulley_platform::worker_protocol::{self, Answer};
-use cedarpulley_router::core::Call;
+use cedarpulley_router::core::DispatchRequest;
 use cedarpulley_router::{OrderTicket, Ticket};
 use cedarpulley_startup::ReportField;
 
@@ -52,7 +52,7 @@
     pub worker: WorkerIndex,
     pub function: Arc<str>,
     pub trigger: u32,
-    pub call: Call,
+    pub call: DispatchRequest,
 }
 
 /// An order to load copies of a function.
@@ -112,11 +112,11 @@
     /// Sends an attempt.
     pub fn send(&self, node: &Rc<Node>, attempt: Attempt) {
         let call = attempt.call;
-        let id = call.mark.as_deref().unwrap_or("").to_owned();
+        let id = call.name.as_deref().unwrap_or("").to_owned();
         let message = Message::Call(OutgoingCall {
             trigger: attempt.trigger,
             function: attempt.function,
-            deadline: node.clock.now() + call.waited_for,
+            deadline: node.clock.now() + call.timeout,
             call,
         });
         let exchange = Exchange::new(Purpose::Attempt(attempt.ticket), Micros::MAX);
