--- a/crates/platform-node/src/worker_connections/report.rs
+++ b/crates/platform-node/src/worker_connections/report.rs
@@ -26,9 +26,9 @@
             ticket,
             result: attempt_outcome::load_order_result(end),
             copies: answer.map_or(0, |answer| answer.copies),
-            held: None,
+            memory_held: None,
         },
-        Purpose::Probe { worker, started } => Input::Probed {
+        Purpose::Probe { worker, started } => Input::ProbeEnded {
             worker,
             outcome: attempt_outcome::probe_outcome(end),
             took: node.clock.now() - started,
@@ -61,10 +61,10 @@
     Input::DispatchEnded {
         ticket,
         outcome,
-        note: CopyStatus::Unreported,
-        crowd: function_load,
+        copy_status: CopyStatus::Unreported,
+        function_load,
         report,
-        held: None,
+        memory_held: None,
         body: body.unwrap_or_default(),
     }
 }
--- a/crates/platform-node/src/worker_connections/sending.rs
+++ b/crates/platform-node/src/worker_connections/sending.rs
@@ -127,7 +127,7 @@
             trigger: self.node.workers.protocol().trigger_name(outgoing.trigger),
             function: &outgoing.function,
             time_left: self.time_left(outgoing),
-            idempotency_key: outgoing.call.token.as_deref(),
+            idempotency_key: outgoing.call.idempotency_key.as_deref(),
             body: &outgoing.call.body.bytes,
         };
         let mut bytes = Vec::new();
--- a/crates/platform/src/client_protocol/call_fields.rs
+++ b/crates/platform/src/client_protocol/call_fields.rs
@@ -24,7 +24,7 @@
         .ok_or(RequestError::InvalidField)?;
     let trigger = rules
         .names
-        .trigger(fields.required("x-class")?)
+        .trigger_index(fields.required("x-class")?)
         .ok_or(RequestError::InvalidField)?;
     let account = parse_account(fields, rules)?;
     let trigger_rules = rules
@@ -59,12 +59,15 @@
     if name.is_none() && !rules.names.accounts.is_empty() {
         return Err(RequestError::InvalidField);
     }
-    rules.names.account(name).ok_or(RequestError::InvalidField)
+    rules
+        .names
+        .account_index(name)
+        .ok_or(RequestError::InvalidField)
 }
 
 fn parse_client_timeout(fields: &Fields, rules: &TriggerRules) -> Result<Micros> {
     let timeout = micros(parse_number(fields.required("req-wait-ms")?, MAX_MILLIS)?);
-    if timeout <= 0 || timeout > rules.longest_wait {
+    if timeout <= 0 || timeout > rules.max_client_timeout {
         return Err(RequestError::InvalidField);
     }
     Ok(timeout)
@@ -79,7 +82,7 @@
         (1..=MAX_KEY_LENGTH).contains(&key.len())
             && key.bytes().all(|byte| byte.is_ascii_alphanumeric())
     };
-    if key.is_some_and(|key| !is_valid(key)) || rules.needs_token && key.is_none() {
+    if key.is_some_and(|key| !is_valid(key)) || rules.needs_idempotency_key && key.is_none() {
         return Err(RequestError::InvalidField);
     }
     Ok(key)
@@ -99,7 +102,7 @@
         for pair in text.split(';').filter(|pair| !pair.is_empty()) {
             let (name, value) = pair.split_once(':').ok_or(RequestError::InvalidField)?;
             let (hint, max) = match name {
-                "memory_mb" => (&mut hints.memory_mb, rules.largest_mb),
+                "memory_mb" => (&mut hints.memory_mb, rules.largest_machine_mb),
                 "lanes" => (&mut hints.lanes, MAX_LANES),
                 "load_ms" => (&mut hints.load_ms, MAX_MILLIS),
                 _ => continue,
--- a/crates/platform/src/client_protocol/head.rs
+++ b/crates/platform/src/client_protocol/head.rs
@@ -3,7 +3,7 @@
 use httparse::Status;
 
 use super::call_fields::parse_call;
-use super::{MAX_HEAD_BYTES, MOST_BODY, Request, RequestError, RequestKind, RequestRules};
+use super::{MAX_BODY_BYTES, MAX_HEAD_BYTES, Request, RequestError, RequestKind, RequestRules};
 
 /// Most fields of a head; the protocol has a dozen.
 const MAX_FIELDS: usize = 48;
@@ -88,7 +88,7 @@
         (Some(length), None) => parse_digits(length).ok_or(RequestError::InvalidLength)?,
         (None, None) => 0,
     };
-    if length > MOST_BODY as u64 {
+    if length > MAX_BODY_BYTES as u64 {
         return Err(RequestError::BodyTooLong);
     }
     Ok(BodyFraming::Sized(length as usize))
--- a/crates/platform/src/client_protocol/mod.rs
+++ b/crates/platform/src/client_protocol/mod.rs
@@ -22,7 +22,7 @@
 pub use response::{Response, STATUS_REJECTED, health_status, status_of, write_response};
 
 /// Largest body of a request, in bytes, by the protocol.
-pub const MOST_BODY: usize = 16 << 10;
+pub const MAX_BODY_BYTES: usize = 16 << 10;
 /// What a client still sends after its last answer is read and discarded up to here, in bytes: the largest body that the
 /// protocol's clients try, and more.
 pub const MAX_DISCARDED_BYTES: usize = 80 << 20;
@@ -33,9 +33,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct TriggerRules {
     /// The longest that a client may wait, in microseconds.
-    pub longest_wait: Micros,
+    pub max_client_timeout: Micros,
     /// Each request must carry an idempotency key.
-    pub needs_token: bool,
+    pub needs_idempotency_key: bool,
 }
 
 /// What the settings say about requests.
@@ -46,7 +46,7 @@
     /// By index of the trigger type.
     pub triggers: Vec<TriggerRules>,
     /// Memory of the largest machine, in megabytes: no copy of a function is larger.
-    pub largest_mb: f64,
+    pub largest_machine_mb: f64,
 }
 
 /// A call of a function.
--- a/crates/platform/src/client_protocol/parser.rs
+++ b/crates/platform/src/client_protocol/parser.rs
@@ -1,11 +1,11 @@
 //! Cuts complete requests out of the bytes of one connection: the state machine over head and body.
 
 use super::head::{BodyFraming, Head, parse_head};
-use super::{MOST_BODY, Request, RequestError, RequestKind, RequestRules};
+use super::{MAX_BODY_BYTES, Request, RequestError, RequestKind, RequestRules};
 use crate::chunked::{Chunk, ChunkError, parse_chunk};
 
 /// Largest body in chunks on the wire, in bytes: chunks of one byte each would cost more than they carry.
-const MAX_CHUNKED_BYTES: usize = 4 * MOST_BODY;
+const MAX_CHUNKED_BYTES: usize = 4 * MAX_BODY_BYTES;
 
 /// What is expected next.
 #[derive(Debug, Default)]
@@ -143,7 +143,7 @@
     /// Takes the complete chunks out of `bytes`; true if the last one is among them.
     fn take_chunks(&mut self, bytes: &mut Vec<u8>) -> Result<bool, RequestError> {
         loop {
-            let max_data = MOST_BODY - self.data.len();
+            let max_data = MAX_BODY_BYTES - self.data.len();
             let max_size_line = MAX_CHUNKED_BYTES.saturating_sub(self.wire_bytes);
             let chunk =
                 parse_chunk(bytes, max_data, max_size_line).map_err(|error| match error {
--- a/crates/platform/src/client_protocol/queue.rs
+++ b/crates/platform/src/client_protocol/queue.rs
@@ -9,10 +9,10 @@
 use cedarpulley::interface::Micros;
 
 use super::parser::Parser;
-use super::{MAX_HEAD_BYTES, MOST_BODY, Request, RequestError, RequestKind, RequestRules};
+use super::{MAX_BODY_BYTES, MAX_HEAD_BYTES, Request, RequestError, RequestKind, RequestRules};
 
 /// Bytes of bodies and undecoded text that are kept ahead of an answer: those of one more request.
-const MAX_PIPELINED_BYTES: usize = MAX_HEAD_BYTES + MOST_BODY;
+const MAX_PIPELINED_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 /// Requests that are kept ahead of an answer.
 const MAX_PIPELINED_REQUESTS: usize = 8;
 
--- a/crates/platform/src/client_protocol/response.rs
+++ b/crates/platform/src/client_protocol/response.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_router::Fate;
+use cedarpulley_router::FinalOutcome;
 
 /// The status of a rejection, which says that a retry is harmless.
 pub const STATUS_REJECTED: u16 = 503;
@@ -35,11 +35,11 @@
 }
 
 /// The status for a request's final outcome.
-pub fn status_of(outcome: Fate) -> u16 {
+pub fn status_of(outcome: FinalOutcome) -> u16 {
     match outcome {
-        Fate::Succeeded => 200,
-        Fate::Throttled => STATUS_REJECTED,
-        Fate::Errored => 500,
+        FinalOutcome::Succeeded => 200,
+        FinalOutcome::Throttled => STATUS_REJECTED,
+        FinalOutcome::Errored => 500,
     }
 }
 
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of a router, as JSON: [`Start`] is made of its text, and [`discovery_address_of`] reads from a
+//! The configuration file of a router, as JSON: [`StartupConfig`] is made of its text, and [`discovery_address_of`] reads from a
 //! replaced file what may change while the router runs.
 
 use std::net::SocketAddr;
@@ -106,7 +106,7 @@
 
 /// A valid configuration.
 #[derive(Debug)]
-pub struct Start {
+pub struct StartupConfig {
     /// For random numbers; new with each start.
     pub seed: u64,
     /// What the process may use.
@@ -135,12 +135,12 @@
 /// Within which a connection is established, where the settings leave it out, in microseconds.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 
-impl Start {
+impl StartupConfig {
     /// Parses the text of a configuration file.
-    pub fn read(text: &str) -> Result<Self> {
+    pub fn parse(text: &str) -> Result<Self> {
         let file: File = serde_json::from_str(text)?;
         let discovery_address = parse_address(file.discovery_address)?;
-        let raw = RawSettings::nested(&file.settings)?;
+        let raw = RawSettings::from_json(&file.settings)?;
         let settings = StartupSettings::read(&raw)?;
         if settings.triggers.is_empty() {
             return Err(ConfigError::NoTriggers);
@@ -150,17 +150,17 @@
             triggers: names_in(&raw, "services", settings.triggers.len())?,
             accounts: names_in(&raw, "orgs", settings.accounts.len())?,
             zones: raw.list("zones").map(str::to_owned).collect(),
-            kinds: raw.list("kinds").map(str::to_owned).collect(),
+            machine_kinds: raw.list("kinds").map(str::to_owned).collect(),
         };
         let worker_connections = WorkerConnectionSettings::read(&raw, &settings)?;
-        Ok(Start {
+        Ok(StartupConfig {
             seed: parse_seed(&file.seed)?,
             limits: file.limits,
             discovery_address,
             initial_events: file.initial_events,
             largest_machine_mb: largest_machine_mb(&settings),
             settings,
-            report_fields: ReportField::named(&raw),
+            report_fields: ReportField::from_settings(&raw),
             names,
             worker_connections,
         })
--- a/crates/platform/src/discovery/follower.rs
+++ b/crates/platform/src/discovery/follower.rs
@@ -5,7 +5,7 @@
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::{EndpointListKind, EndpointState, Micros};
-use cedarpulley_router::roster::Listed;
+use cedarpulley_router::endpoint_list::ListedWorker;
 
 use super::{DiscoveryError, EventBatch, POLL_WAIT, Result, WorkerEntry, WorkerListEvent};
 use crate::config::Names;
@@ -24,21 +24,21 @@
     /// Whether it is the complete list or changes of it.
     pub mode: EndpointListKind,
     /// The workers, by their ids.
-    pub workers: Vec<Listed>,
+    pub workers: Vec<ListedWorker>,
     /// Ids of workers that have gone or moved: nothing more is sent on connections that are open to them.
     pub retired: Vec<String>,
 }
 
 /// An entry of an event, understood.
-struct ListedWorker {
-    listed: Listed,
+struct ResolvedWorker {
+    listed: ListedWorker,
     address: Option<SocketAddr>,
 }
 
 /// What an event does to the list.
 struct ListChange {
     mode: EndpointListKind,
-    workers: Vec<ListedWorker>,
+    workers: Vec<ResolvedWorker>,
 }
 
 /// Follows the list of workers from event to event.
@@ -90,7 +90,7 @@
     /// The updates in a batch, in order; all of them or, where a part is malformed, nothing. `wall_at_zero`: the Unix time
     /// at which the router's clock began, in microseconds. `unheard_for`: the batch may have been in the channel for so
     /// many microseconds before it was read.
-    pub fn batch(
+    pub fn apply_batch(
         &mut self,
         batch: &EventBatch,
         names: &Names,
@@ -132,9 +132,9 @@
             retired.extend(gone.map(|(id, _)| id));
         }
         let mut workers = Vec::new();
-        for ListedWorker { listed, address } in change.workers {
+        for ResolvedWorker { listed, address } in change.workers {
             let id = &listed.address;
-            let former = match address.filter(|_| listed.standing != EndpointState::Gone) {
+            let former = match address.filter(|_| listed.state != EndpointState::Gone) {
                 None => self.addresses.remove(id),
                 Some(_) if self.is_full() && !self.addresses.contains_key(id) => {
                     self.ignored_workers += 1;
@@ -184,7 +184,7 @@
         })
     }
 
-    fn understand(&self, entry: &WorkerEntry) -> Result<ListedWorker> {
+    fn understand(&self, entry: &WorkerEntry) -> Result<ResolvedWorker> {
         let state = self.state(entry)?;
         let address = entry.address.parse().ok();
         if address.is_none() && state != EndpointState::Gone {
@@ -199,17 +199,17 @@
             .map(|micros| micros.saturating_sub(self.wall_at_zero));
         let unnamed_zone = || fingerprint(&entry.zone) as u32 | UNNAMED_ZONE;
         // All kinds that the settings do not name count as one kind more.
-        let unnamed_kind = self.names.kinds.len() as u32;
-        let listed = Listed {
+        let unnamed_kind = self.names.machine_kinds.len() as u32;
+        let listed = ListedWorker {
             address: entry.id.clone(),
             zone: index_of(&self.names.zones, &entry.zone).unwrap_or_else(unnamed_zone),
-            kind: index_of(&self.names.kinds, &entry.kind).unwrap_or(unnamed_kind),
+            machine_kind: index_of(&self.names.machine_kinds, &entry.kind).unwrap_or(unnamed_kind),
             cell: entry.cell,
-            standing: state,
+            state,
             weight: entry.weight,
-            started,
+            started_at: started,
         };
-        Ok(ListedWorker { listed, address })
+        Ok(ResolvedWorker { listed, address })
     }
 
     fn state(&self, entry: &WorkerEntry) -> Result<EndpointState> {
--- a/crates/platform/src/discovery/mod.rs
+++ b/crates/platform/src/discovery/mod.rs
@@ -1,6 +1,6 @@
 //! The discovery channel: numbered watch events that change the list of workers, fetched by long polling. Give
 //! [`WorkerListFollower`] the events in the configuration and those of each response; it returns the updates for the
-//! router's core, each event once and in order. [`WorkerListFollower::poll_request`] encodes the next poll, [`Answers`]
+//! router's core, each event once and in order. [`WorkerListFollower::poll_request`] encodes the next poll, [`ResponseReader`]
 //! cuts responses out of the bytes that arrive.
 //!
 //! 1. An event whose number is not above the last one applied changes nothing.
@@ -22,7 +22,7 @@
     Command as WatchEvent, EventBatch, Nodes as WorkerListEvent, Server as WorkerEntry,
 };
 pub use follower::{ListUpdate, WorkerListFollower};
-pub use response_reader::Answers;
+pub use response_reader::ResponseReader;
 
 /// How long discovery may hold a poll open until there are events, in microseconds, of the 5 s that the protocol allows:
 /// that a channel has stopped while its connection stays open is noticed after this and [`RESPONSE_MARGIN`].
--- a/crates/platform/src/discovery/response_reader.rs
+++ b/crates/platform/src/discovery/response_reader.rs
@@ -14,7 +14,7 @@
 
 /// The bytes of one connection that are not yet a complete response. A malformed response ends the connection.
 #[derive(Debug, Default)]
-pub struct Answers {
+pub struct ResponseReader {
     bytes: Vec<u8>,
 }
 
@@ -33,14 +33,14 @@
     framing: BodyFraming,
 }
 
-impl Answers {
+impl ResponseReader {
     /// Appends bytes that were received.
     pub fn put(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
     /// The events of the next complete response, if there is one.
-    pub fn whole(&mut self) -> Result<Option<EventBatch>> {
+    pub fn next_batch(&mut self) -> Result<Option<EventBatch>> {
         let Some(head) = parse_head(&self.bytes)? else {
             return Ok(None);
         };
--- a/crates/platform/src/worker_protocol.rs
+++ b/crates/platform/src/worker_protocol.rs
@@ -251,7 +251,7 @@
             .ok()
             .filter(|value: &f64| value.is_finite())
             .ok_or(AnswerError::Fields)?;
-        ReportField::tell(&mut report, fields, name, value);
+        ReportField::set_in_report(&mut report, fields, name, value);
     }
     Ok(report)
 }
--- a/crates/platform/tests/client_protocol.rs
+++ b/crates/platform/tests/client_protocol.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use cedarpulley_platform::client_protocol::*;
 use cedarpulley_platform::config::Names;
-use cedarpulley_router::Fate;
+use cedarpulley_router::FinalOutcome;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -19,15 +19,15 @@
         },
         triggers: vec![
             TriggerRules {
-                longest_wait: 2_000_000,
-                needs_token: false,
+                max_client_timeout: 2_000_000,
+                needs_idempotency_key: false,
             },
             TriggerRules {
-                longest_wait: 4_000_000,
-                needs_token: true,
+                max_client_timeout: 4_000_000,
+                needs_idempotency_key: true,
             },
         ],
-        largest_mb: 8_000.0,
+        largest_machine_mb: 8_000.0,
     }
 }
 
@@ -140,7 +140,12 @@
 #[test]
 fn responses_are_encoded_with_status_retry_after_and_close() {
     assert_eq!(
-        [Fate::Succeeded, Fate::Throttled, Fate::Errored].map(status_of),
+        [
+            FinalOutcome::Succeeded,
+            FinalOutcome::Throttled,
+            FinalOutcome::Errored
+        ]
+        .map(status_of),
         [200, STATUS_REJECTED, 500]
     );
     let text = |status, retry_after, body: &'static [u8], close| {
@@ -219,7 +224,7 @@
 
 #[test]
 fn body_beyond_the_limit_is_rejected_by_its_head() {
-    for length in [MOST_BODY + 1, 60 << 20, usize::MAX] {
+    for length in [MAX_BODY_BYTES + 1, 60 << 20, usize::MAX] {
         let extra = format!("Content-Length: {length}\r\n");
         assert_eq!(
             read(&request("00000000000000aa", &extra, b"")),
@@ -227,10 +232,10 @@
         );
     }
     assert_eq!(
-        call(read(&request("00000000000000aa", "", &[7; MOST_BODY])))
+        call(read(&request("00000000000000aa", "", &[7; MAX_BODY_BYTES])))
             .body
             .len(),
-        MOST_BODY
+        MAX_BODY_BYTES
     );
 }
 
@@ -401,7 +406,7 @@
 fn pipelined_requests_beyond_the_limits_are_rejected_without_being_stored() {
     let (short, long) = (
         request("00000000000000aa", "", b"hi"),
-        request("00000000000000aa", "", &[7; MOST_BODY]),
+        request("00000000000000aa", "", &[7; MAX_BODY_BYTES]),
     );
     for (text, stored) in [(&short, 8), (&long, 2)] {
         let mut queue = RequestQueue::default();
@@ -409,7 +414,11 @@
             queue.put(0, text, &rules());
         }
         queue.put(0, &text[..10], &rules());
-        assert!(queue.bytes() < 2 * MOST_BODY + 1_024, "{}", queue.bytes());
+        assert!(
+            queue.bytes() < 2 * MAX_BODY_BYTES + 1_024,
+            "{}",
+            queue.bytes()
+        );
         for n in 0..20 {
             let request = queue.take().expect("one more").request;
             assert_eq!(request.is_ok(), n < stored, "{n}");
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -1,7 +1,7 @@
 //! The configuration file.
 
 use cedarpulley_errors::Remedy;
-use cedarpulley_platform::config::{Start, discovery_address_of};
+use cedarpulley_platform::config::{StartupConfig, discovery_address_of};
 
 const START: &str = r#"{"name":"n0","listen":"127.0.0.1:1","seed":"6444882f5c620abb",
     "channel":"127.0.0.1:7070",
@@ -14,7 +14,7 @@
 
 #[test]
 fn configuration_is_read_in_the_simulators_names_and_units() {
-    let start = Start::read(START).expect("good");
+    let start = StartupConfig::parse(START).expect("good");
     assert_eq!(
         (start.seed, start.limits.sockets, start.largest_machine_mb),
         (0x6444_882f_5c62_0abb, 256, 250.5)
@@ -52,7 +52,9 @@
         ("\"sockets\":256", "\"sockets\":0"),
         ("}}}", ""),
     ] {
-        let error = Start::read(&START.replace(from, to)).expect_err(to).line();
+        let error = StartupConfig::parse(&START.replace(from, to))
+            .expect_err(to)
+            .line();
         assert!(
             !error.starts_with(';') && error.contains("; ") && !error.contains('\n'),
             "{error}"
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -2,13 +2,13 @@
 
 use cedarpulley::interface::{EndpointListKind, EndpointState::Draining, EndpointState::Gone};
 use cedarpulley_platform::config::Names;
-use cedarpulley_platform::discovery::{Answers, EventBatch, ListUpdate, WorkerListFollower};
+use cedarpulley_platform::discovery::{EventBatch, ListUpdate, ResponseReader, WorkerListFollower};
 
 fn names() -> Names {
     let list = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     Names {
         zones: list(&["east", "west"]),
-        kinds: list(&["std"]),
+        machine_kinds: list(&["std"]),
         ..Names::default()
     }
 }
@@ -32,7 +32,7 @@
 fn apply_events(follower: &mut WorkerListFollower, events: &[String]) -> Vec<ListUpdate> {
     let text = format!(r#"{{"cursor":0,"cmds":[{}]}}"#, events.join(","));
     follower
-        .batch(&batch(&text), &names(), 3_000, 0)
+        .apply_batch(&batch(&text), &names(), 3_000, 0)
         .expect("good")
 }
 
@@ -49,17 +49,18 @@
         (1, EndpointListKind::Complete, "s-1")
     );
     assert_eq!(
-        (worker.zone, worker.kind, worker.cell, worker.started),
+        (
+            worker.zone,
+            worker.machine_kind,
+            worker.cell,
+            worker.started_at
+        ),
         (1, 0, 2, Some(4_000))
     );
     let leaving = |n| event(n, false, &[("s-1", "leaving", "127.0.0.9:5050")]);
     let updates = apply_events(&mut follower, &[leaving(2), leaving(3)]);
     assert_eq!(
-        (
-            updates.len(),
-            updates[0].mode,
-            updates[0].workers[0].standing
-        ),
+        (updates.len(), updates[0].mode, updates[0].workers[0].state),
         (1, EndpointListKind::Changes, Draining)
     );
     assert!(apply_events(&mut follower, &[leaving(2), leaving(3)]).is_empty());
@@ -141,11 +142,11 @@
         event(2, false, &[("s-1", "leaving", address)])
     );
     let updates = follower
-        .batch(&batch(&text), &names(), 0, i64::MAX)
+        .apply_batch(&batch(&text), &names(), 0, i64::MAX)
         .expect("good");
     assert_eq!(
         (
-            updates[0].workers[0].standing,
+            updates[0].workers[0].state,
             &*updates[0].retired[0],
             follower.address("s-1")
         ),
@@ -156,7 +157,7 @@
         &[event(3, false, &[("s-2", "leaving", address)])],
     );
     assert_eq!(
-        (updates[0].workers[0].standing, follower.address("s-2")),
+        (updates[0].workers[0].state, follower.address("s-2")),
         (Draining, address.parse().ok())
     );
 }
@@ -171,7 +172,7 @@
     };
     let updates = apply_events(&mut follower, &[unnamed(1, "a"), unnamed(2, "b")]);
     let (a, b) = (&updates[0].workers[0], &updates[1].workers[0]);
-    assert!(a.zone > 1 && b.zone > 1 && a.zone != b.zone && a.kind == 1);
+    assert!(a.zone > 1 && b.zone > 1 && a.zone != b.zone && a.machine_kind == 1);
 }
 
 #[test]
@@ -180,7 +181,7 @@
     let malformed = batch(
         r#"{"cursor":5,"cmds":[{"cursor":5,"nodes":{"servers":[{"id":"s-1","state":"odd"}]}}]}"#,
     );
-    assert!(follower.batch(&malformed, &names(), 0, 0).is_err());
+    assert!(follower.apply_batch(&malformed, &names(), 0, 0).is_err());
     assert_eq!(follower.last_cursor(), 0);
 }
 
@@ -197,18 +198,21 @@
     );
     for text in [sized, chunked] {
         for cut in 0..text.len() {
-            let mut responses = Answers::default();
+            let mut responses = ResponseReader::default();
             responses.put(&text.as_bytes()[..cut]);
             assert!(
-                responses.whole().expect("good so far").is_none(),
+                responses.next_batch().expect("good so far").is_none(),
                 "cut at {cut}"
             );
             responses.put(&text.as_bytes()[cut..]);
             assert_eq!(
-                responses.whole().expect("good").map(|batch| batch.cursor),
+                responses
+                    .next_batch()
+                    .expect("good")
+                    .map(|batch| batch.cursor),
                 Some(4)
             );
-            assert!(responses.whole().expect("nothing left").is_none());
+            assert!(responses.next_batch().expect("nothing left").is_none());
         }
     }
     for text in [
@@ -219,9 +223,9 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}",
         "SSH-2.0-x\r\n",
     ] {
-        let mut responses = Answers::default();
+        let mut responses = ResponseReader::default();
         responses.put(text.as_bytes());
-        assert!(responses.whole().is_err(), "{text}");
+        assert!(responses.next_batch().is_err(), "{text}");
     }
 }
 
--- a/crates/replica/src/acceptor.rs
+++ b/crates/replica/src/acceptor.rs
@@ -25,9 +25,11 @@
 use crate::context::{Context, Sender};
 use crate::hashed;
 use crate::member::LocalMember;
-use crate::record::{Ballot, Choice, DispatchId, Effect, FIRST, Owner, Record, Sending, Sent};
-use crate::settings::Guard;
-use crate::store::{Key, MergeOutcome, Origin, Shared, StoredRecord};
+use crate::record::{
+    Ballot, Choice, DispatchId, DispatchIntent, FIRST, IntentState, Invocation, Owner, Record,
+};
+use crate::settings::SafetyCheck;
+use crate::store::{Key, MergeOutcome, Origin, RecordCopy, StoredRecord};
 use crate::wire::{Message, RejectionReason};
 
 /// A request to store the intent of a dispatch.
@@ -37,7 +39,7 @@
     pub(crate) dispatch: u64,
     /// The ballot is a first one.
     pub(crate) is_first: bool,
-    pub(crate) record: Shared,
+    pub(crate) record: RecordCopy,
 }
 
 /// The answer to an [`IntentRequest`].
@@ -90,18 +92,18 @@
     };
     let promised = effect.owner.ballot;
     if promised.number > FIRST && promised > ballot {
-        return member.is_disabled(Guard::Promise);
+        return member.is_disabled(SafetyCheck::KeptPromise);
     }
     // Symptom: two routers were given one message. Its owner was broadcast here before its intent came, and another
     // owner's intent is stored already: that one may have been permitted.
     if request.is_first {
-        let is_of_other = |(dispatch_id, sending): (&DispatchId, &Sending)| {
-            dispatch_id.0 != ballot.nonce && sending.state != Sent::NeverRan
+        let is_of_other = |(dispatch_id, sending): (&DispatchId, &DispatchIntent)| {
+            dispatch_id.0 != ballot.nonce && sending.state != IntentState::NotExecuted
         };
         let is_over = effect.closed || effect.answer.is_some();
         let is_only_owner =
-            promised == ballot && !is_over && !effect.sendings.iter().any(is_of_other);
-        return is_only_owner || member.is_disabled(Guard::Blind);
+            promised == ballot && !is_over && !effect.intents.iter().any(is_of_other);
+        return is_only_owner || member.is_disabled(SafetyCheck::FirstBallotAlone);
     }
     true
 }
@@ -153,18 +155,18 @@
     let FenceRequest { ballot, origin, .. } = *request;
     let owner = Owner {
         ballot,
-        let_go: false,
+        released: false,
     };
     let expires_at = cx.now.saturating_add(request.lifetime);
-    let record = Record::Effect(Effect {
+    let record = Record::Invocation(Invocation {
         owner,
-        ..Effect::default()
+        ..Invocation::default()
     });
     cx.member.store_mut().change(
         &request.key,
         || StoredRecord::new(record, origin, expires_at),
         |stored| {
-            if let Record::Effect(effect) = &mut stored.record
+            if let Record::Invocation(effect) = &mut stored.record
                 && ballot > effect.owner.ballot
             {
                 effect.owner = owner;
@@ -184,7 +186,7 @@
 
 fn has_promised_higher(member: &LocalMember, key: &str, ballot: Ballot) -> bool {
     let promised = choice(member, key).unwrap_or_default().promised;
-    promised > ballot && !member.is_disabled(Guard::Promise)
+    promised > ballot && !member.is_disabled(SafetyCheck::KeptPromise)
 }
 
 /// True if nothing below this ballot is accepted from now on.
--- a/crates/replica/src/catch_up.rs
+++ b/crates/replica/src/catch_up.rs
@@ -15,10 +15,10 @@
 use crate::byte_budget::ByteBudget;
 use crate::context::Context;
 use crate::hashed;
-use crate::record::{Answered, Record};
+use crate::record::{Record, StoredAnswer};
 use crate::recovery;
 use crate::store::{GROUPS, Key, LEAVES_PER_GROUP, Leaf, Store};
-use crate::wire::{Memory, Message};
+use crate::wire::{Message, RecoveryState};
 
 /// The most leaves in one request.
 pub(crate) const MAX_LEAVES_PER_REQUEST: usize = 64;
@@ -32,12 +32,12 @@
 /// The approximate size of a record in a message.
 pub(crate) fn size(key: &str, record: &Record) -> usize {
     let content = match record {
-        Record::Effect(effect) => {
+        Record::Invocation(effect) => {
             let answer = match &effect.answer {
-                Some(Answered::Kept(answer)) => answer.len(),
+                Some(StoredAnswer::Stored(answer)) => answer.len(),
                 _ => 0,
             };
-            answer + effect.sendings.len() * DISPATCH_BYTES
+            answer + effect.intents.len() * DISPATCH_BYTES
         }
         Record::Choice(choice) => choice.accepted.as_ref().map_or(0, |a| a.1.len()),
         Record::Note(note) => note.value.len(),
@@ -53,7 +53,7 @@
     serial: u64,
     deadline: Micros,
     /// What the other member remembers, once it has answered, and whether it knows this process.
-    answer: Option<(Memory, bool)>,
+    answer: Option<(RecoveryState, bool)>,
     /// Leaves that differ and have not been requested yet.
     differing: VecDeque<Leaf>,
     is_snapshot: bool,
@@ -175,7 +175,7 @@
     /// The member to compare with: during recovery, one that was not compared with yet.
     fn next_member(&self, cx: &Context<'_>) -> Option<MemberIndex> {
         let recovery = cx.member.recovery();
-        let is_recovered = recovery.memory() == Memory::Whole;
+        let is_recovered = recovery.memory() == RecoveryState::Complete;
         let candidates = cx.member.group().others().filter(|m| {
             cx.member.is_alive(*m) && (is_recovered || !recovery.has_compared_with(*m))
         });
@@ -185,13 +185,13 @@
     fn compare(&mut self, cx: &mut Context<'_>) {
         let settings = cx.member.settings();
         let interval = match cx.member.memory() {
-            Memory::Whole => settings.compare_every,
-            _ => settings.resend_every,
+            RecoveryState::Complete => settings.comparison_interval,
+            _ => settings.resend_interval,
         };
         // Spread, so that the members of a group do not all compare at once.
         let spread =
             hashed((settings.seed, self.last_serial)) % (interval.max(1) as u64 / 4).max(1);
-        let deadline = cx.now.saturating_add(settings.compared_within);
+        let deadline = cx.now.saturating_add(settings.comparison_timeout);
         self.next_comparison = cx
             .now
             .saturating_add(interval)
@@ -214,7 +214,7 @@
         cx: &mut Context<'_>,
         from: MemberIndex,
         serial: u64,
-        memory: Memory,
+        memory: RecoveryState,
         your_process: u32,
         groups: &BTreeMap<Leaf, Vec<u64>>,
     ) {
@@ -258,7 +258,9 @@
         };
         cx.send(c.with, message);
         c.next_request = None;
-        c.deadline = cx.now.saturating_add(cx.member.settings().compared_within);
+        c.deadline = cx
+            .now
+            .saturating_add(cx.member.settings().comparison_timeout);
         self.comparison = Some(c);
     }
 
@@ -283,7 +285,7 @@
         c.after = batch.more;
         c.is_incomplete |= batch.is_incomplete;
         c.next_request = Some(next_request);
-        c.deadline = next_request.saturating_add(settings.compared_within);
+        c.deadline = next_request.saturating_add(settings.comparison_timeout);
         if next_request <= cx.now {
             self.fetch(cx);
         }
--- a/crates/replica/src/consensus.rs
+++ b/crates/replica/src/consensus.rs
@@ -34,10 +34,10 @@
 use crate::context::{Context, Sender};
 use crate::events::Output;
 use crate::hashed;
-use crate::ownership::Lack;
+use crate::ownership::NoMajorityReason;
 use crate::persistence::{PendingVote, VotesAwaitingDisk, Withheld};
 use crate::record::{Ballot, Choice, FIRST};
-use crate::settings::Guard;
+use crate::settings::SafetyCheck;
 use crate::store::Key;
 use crate::votes::Views;
 use crate::wire::RejectionReason;
@@ -63,7 +63,7 @@
     /// A later term has begun: this member does not lead any more.
     Overtaken,
     /// No majority answered in time.
-    NoMajority(Lack),
+    NoMajority(NoMajorityReason),
 }
 
 /// The proposer: this member's proposals, by key, and the votes that wait for the disk.
@@ -112,7 +112,7 @@
     fn propose(&mut self, cx: &mut Context<'_>, key: Key, proposal: Proposal) {
         if let Some(reason) = cx.member.majority_obstacle() {
             let outcome = Outcome::NoMajority(reason);
-            return cx.emit(Output::Decided { key, outcome });
+            return cx.emit(Output::ProposalEnded { key, outcome });
         }
         let is_write = proposal.phase == Phase::Accepting;
         self.proposals.insert(key.clone(), proposal);
@@ -132,9 +132,9 @@
         };
         proposal.prepare(ballot, known.accepted);
         if !acceptor::promise_choice(cx, key, ballot, proposal.retention) {
-            let outcome = Outcome::NoMajority(Lack::Full);
+            let outcome = Outcome::NoMajority(NoMajorityReason::StoreFull);
             let key = key.clone();
-            return cx.emit(Output::Decided { key, outcome });
+            return cx.emit(Output::ProposalEnded { key, outcome });
         }
         self.proposals.insert(key.clone(), proposal);
         self.request_votes(cx, key);
@@ -152,7 +152,7 @@
         if !acceptor::accept_choice(cx, key, ballot, value, proposal.retention) {
             let outcome = Outcome::Overtaken;
             let key = key.clone();
-            return cx.emit(Output::Decided { key, outcome });
+            return cx.emit(Output::ProposalEnded { key, outcome });
         }
         proposal.accept();
         self.proposals.insert(key.clone(), proposal);
@@ -180,7 +180,8 @@
     /// Sends or counts a vote that the acceptor has given, once the disk has what it promises.
     pub(crate) fn cast(&mut self, cx: &mut Context<'_>, key: &Key, vote: PendingVote) {
         let is_dirty = cx.member.store().is_dirty(key);
-        let must_persist = cx.member.settings().written && !cx.member.is_disabled(Guard::Kept);
+        let must_persist = cx.member.settings().is_persistent
+            && !cx.member.is_disabled(SafetyCheck::PersistBeforeVote);
         let submitted = self
             .votes_awaiting_disk
             .submit(key, vote, is_dirty, must_persist);
@@ -249,7 +250,7 @@
                 last: proposal.highest_accepted.clone().map(|(_, value)| value),
             },
             (Phase::Preparing, _) => {
-                if !cx.member.is_disabled(Guard::Adopted) {
+                if !cx.member.is_disabled(SafetyCheck::AdoptAcceptedValue) {
                     proposal.adopt_accepted_value();
                 }
                 return self.begin_accepting(cx, key);
@@ -261,7 +262,7 @@
         self.proposals.remove(key);
         cx.broadcast(key);
         let key = key.clone();
-        cx.emit(Output::Decided { key, outcome });
+        cx.emit(Output::ProposalEnded { key, outcome });
     }
 
     /// Phase 1: a member has promised the ballot.
@@ -324,7 +325,7 @@
         if goal == Goal::Write {
             self.proposals.remove(key);
             let (key, outcome) = (key.clone(), Outcome::Overtaken);
-            return cx.emit(Output::Decided { key, outcome });
+            return cx.emit(Output::ProposalEnded { key, outcome });
         }
         let retry_at = cx.now.saturating_add(cx.member.backoff(tries));
         if let Some(proposal) = self.proposals.get_mut(key) {
@@ -356,7 +357,7 @@
         if cx.now >= proposal.deadline {
             self.proposals.remove(&key);
             let outcome = Outcome::NoMajority(cx.member.deadline_reason());
-            return cx.emit(Output::Decided { key, outcome });
+            return cx.emit(Output::ProposalEnded { key, outcome });
         }
         proposal.resend_at = resend_at;
         match proposal.phase {
--- a/crates/replica/src/context.rs
+++ b/crates/replica/src/context.rs
@@ -5,7 +5,7 @@
 
 use crate::events::{Counts, Output};
 use crate::member::LocalMember;
-use crate::record::{Effect, Record};
+use crate::record::{Invocation, Record};
 use crate::store::{Key, StoredRecord};
 use crate::wire::Message;
 
@@ -52,13 +52,14 @@
 
     /// When a request that is sent now is sent again.
     pub(crate) fn resend_at(&self) -> Micros {
-        self.now.saturating_add(self.member.settings().resend_every)
+        self.now
+            .saturating_add(self.member.settings().resend_interval)
     }
 
     /// Until when something begun now may wait for a majority.
     pub(crate) fn replication_deadline(&self) -> Micros {
         self.now
-            .saturating_add(self.member.settings().copied_within)
+            .saturating_add(self.member.settings().replication_timeout)
     }
 
     /// The other members are sent this record soon.
@@ -87,9 +88,13 @@
     }
 
     /// Changes the record of an invocation, if there is one, and broadcasts it.
-    pub(crate) fn update_effect(&mut self, key: &Key, change: impl FnOnce(&mut Effect)) -> bool {
+    pub(crate) fn update_effect(
+        &mut self,
+        key: &Key,
+        change: impl FnOnce(&mut Invocation),
+    ) -> bool {
         let updated = self.member.store_mut().update(key, |stored| {
-            if let Record::Effect(effect) = &mut stored.record {
+            if let Record::Invocation(effect) = &mut stored.record {
                 change(effect);
             }
         });
--- a/crates/replica/src/events.rs
+++ b/crates/replica/src/events.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::consensus::Outcome;
-use crate::ownership::{Lack, Need, Verdict};
+use crate::ownership::{Durability, NoMajorityReason, OwnershipDecision};
 use crate::record::Ballot;
 use crate::store::Key;
 use crate::wire::Message;
@@ -19,36 +19,36 @@
         /// The invocation's key.
         key: Key,
         /// Whether a dispatch needs a majority.
-        need: Need,
+        durability: Durability,
         /// The message was delivered before, here or elsewhere.
         redelivered: bool,
     },
     /// A dispatch asks for permission; [`Output::Leave`] answers.
-    Intend {
+    RequestDispatch {
         /// The invocation's key.
         key: Key,
         /// The dispatch, unique within this process.
-        sending: u64,
+        dispatch: u64,
         /// Deduplication scope of the worker, where there are several.
-        place: u32,
+        deduplication_scope: u32,
         /// Permit the dispatch even if no majority can be reached.
-        alone: bool,
+        without_majority: bool,
     },
     /// A dispatch was sent without asking, as it does not need a majority.
-    Left {
+    Dispatched {
         /// The invocation's key.
         key: Key,
         /// The dispatch, unique within this process.
-        sending: u64,
+        dispatch: u64,
         /// Deduplication scope of the worker, where there are several.
-        place: u32,
+        deduplication_scope: u32,
     },
     /// A dispatch has ended.
-    Ended {
+    DispatchEnded {
         /// The invocation's key.
         key: Key,
         /// The dispatch, unique within this process.
-        sending: u64,
+        dispatch: u64,
         /// Whether it may have run; otherwise it certainly did not.
         may_have_run: bool,
     },
@@ -70,7 +70,7 @@
         key: Key,
     },
     /// This member publishes an observation.
-    Noted {
+    PublishNote {
         /// The note's key.
         key: Key,
         /// Higher than the version of each earlier note under this key.
@@ -78,7 +78,7 @@
         /// The encoded observation.
         value: Bytes,
         /// How long it is retained.
-        kept: Micros,
+        retention: Micros,
     },
     /// Agree on this value, or learn the value that was agreed on.
     Choose {
@@ -87,14 +87,14 @@
         /// The proposed value.
         value: Bytes,
         /// How long the choice is retained.
-        kept: Micros,
+        retention: Micros,
     },
     /// Become the leader that writes this key, in a term of its own.
     Lead {
         /// The choice's key.
         key: Key,
         /// How long the choice is retained.
-        kept: Micros,
+        retention: Micros,
     },
     /// Write a value in a term that this member won.
     Write {
@@ -105,10 +105,10 @@
         /// The value; it extends the values written earlier in this term.
         value: Bytes,
         /// How long the choice is retained.
-        kept: Micros,
+        retention: Micros,
     },
     /// A message of another member has arrived.
-    Heard {
+    MessageReceived {
         /// The sender.
         from: MemberIndex,
         /// The sender's process.
@@ -119,7 +119,7 @@
         message: Message,
     },
     /// The membership service reports a member's state.
-    Member {
+    MemberChanged {
         /// The member.
         member: MemberIndex,
         /// Its current process.
@@ -128,7 +128,7 @@
         alive: bool,
     },
     /// All changes up to this serial of [`crate::Replica::changes`] are on disk.
-    Kept {
+    Persisted {
         /// The serial.
         serial: u64,
     },
@@ -147,32 +147,32 @@
         message: Message,
     },
     /// What to do with an invocation that was taken.
-    Verdict {
+    Decision {
         /// The invocation's key.
         key: Key,
         /// The decision.
-        verdict: Verdict,
+        decision: OwnershipDecision,
     },
     /// Whether a dispatch may be sent.
-    Leave {
+    DispatchPermission {
         /// The invocation's key.
         key: Key,
         /// The dispatch that asked.
-        sending: u64,
+        dispatch: u64,
         /// `Ok(false)`: a majority has stored the intent; `Ok(true)`: no other member has, which the operator allows.
-        left: Result<bool, Lack>,
+        permission: Result<bool, NoMajorityReason>,
     },
     /// The outcome of a proposal of this member.
-    Decided {
+    ProposalEnded {
         /// The choice's key.
         key: Key,
         /// The outcome.
         outcome: Outcome,
     },
     /// Another member changed a note or a choice under this key.
-    Noticed(Key),
+    RecordChanged(Key),
     /// Recovery is complete: this member votes from now on.
-    Whole,
+    Recovered,
 }
 
 /// Counters since the start. Their keys in `/state` are the names given by `serde`.
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -47,12 +47,12 @@
 
 pub use consensus::Outcome;
 pub use events::{Counts, Input, Output};
-pub use ownership::{IndeterminateReason, Lack, Need, Verdict};
-pub use record::{Answered, Ballot, Effect, Note, Record, Sending, Sent};
+pub use ownership::{Durability, IndeterminateReason, NoMajorityReason, OwnershipDecision};
+pub use record::{Ballot, DispatchIntent, IntentState, Invocation, Note, Record, StoredAnswer};
 pub use replica::Replica;
-pub use settings::{Guard, Terms, kept_for};
-pub use store::{Key, Shared};
-pub use wire::{Memory, Message, VERSION};
+pub use settings::{ReplicaSettings, SafetyCheck, retention_for};
+pub use store::{Key, RecordCopy};
+pub use wire::{Message, RecoveryState, VERSION};
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
 
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -9,13 +9,13 @@
 
 use crate::broadcast::BroadcastQueue;
 use crate::hashed;
-use crate::ownership::Lack;
-use crate::record::{Ballot, Effect, FIRST, Owner, Record};
+use crate::ownership::NoMajorityReason;
+use crate::record::{Ballot, FIRST, Invocation, Owner, Record};
 use crate::recovery::Recovery;
-use crate::settings::{DRIFT_FRACTION, Guard, LATE_FRACTION, Terms};
-use crate::store::{Key, Origin, Shared, Store, StoredRecord};
+use crate::settings::{DRIFT_FRACTION, LATE_FRACTION, ReplicaSettings, SafetyCheck};
+use crate::store::{Key, Origin, RecordCopy, Store, StoredRecord};
 use crate::votes::{Views, Votes, process_tag};
-use crate::wire::Memory;
+use crate::wire::RecoveryState;
 
 /// The largest exponent of a backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct LocalMember {
     group: Group,
-    settings: Terms,
+    settings: ReplicaSettings,
     nonce: u64,
     /// By member, this one included.
     peers: Vec<PeerState>,
@@ -49,20 +49,20 @@
     pub(crate) fn new(
         now: Micros,
         group: Group,
-        settings: Terms,
+        settings: ReplicaSettings,
         nonce: u64,
-        restored: Option<Vec<(Key, Shared)>>,
+        restored: Option<Vec<(Key, RecordCopy)>>,
     ) -> Self {
         let memory = match restored {
-            Some(_) => Memory::Kept,
-            None => Memory::Lost,
+            Some(_) => RecoveryState::Restored,
+            None => RecoveryState::Empty,
         };
-        let mut store = Store::new(settings.most_records, settings.written);
+        let mut store = Store::new(settings.max_records, settings.is_persistent);
         for (key, copy) in restored.into_iter().flatten() {
             store.merge(now, &key, &copy, 0);
         }
         let mut peers = vec![PeerState::default(); group.len()];
-        peers[group.me as usize] = PeerState { nonce, alive: true };
+        peers[group.own_index as usize] = PeerState { nonce, alive: true };
         LocalMember {
             group,
             settings,
@@ -80,12 +80,12 @@
         &self.group
     }
 
-    pub(crate) fn settings(&self) -> &Terms {
+    pub(crate) fn settings(&self) -> &ReplicaSettings {
         &self.settings
     }
 
     pub(crate) fn me(&self) -> MemberIndex {
-        self.group.me
+        self.group.own_index
     }
 
     pub(crate) fn nonce(&self) -> u64 {
@@ -114,18 +114,19 @@
         (&mut self.recovery, &self.group)
     }
 
-    pub(crate) fn memory(&self) -> Memory {
+    pub(crate) fn memory(&self) -> RecoveryState {
         self.recovery.memory()
     }
 
     /// Whether a test has disabled this safety check.
-    pub(crate) fn is_disabled(&self, check: Guard) -> bool {
-        self.settings.without == Some(check)
+    pub(crate) fn is_disabled(&self, check: SafetyCheck) -> bool {
+        self.settings.disabled_check == Some(check)
     }
 
     /// Whether it remembers its earlier votes, and so may vote, and take what needs votes.
     pub(crate) fn can_vote(&self) -> bool {
-        self.memory() == Memory::Whole || self.is_disabled(Guard::Abstaining)
+        self.memory() == RecoveryState::Complete
+            || self.is_disabled(SafetyCheck::NoVoteWithoutState)
     }
 
     pub(crate) fn others(&self) -> Vec<MemberIndex> {
@@ -163,7 +164,7 @@
 
     /// The owner is gone or has released the invocation.
     pub(crate) fn is_free(&self, owner: &Owner) -> bool {
-        owner.let_go || self.is_gone(owner.ballot.member, owner.ballot.nonce)
+        owner.released || self.is_gone(owner.ballot.member, owner.ballot.nonce)
     }
 
     pub(crate) fn views(&self) -> Views {
@@ -177,7 +178,7 @@
 
     /// The voters whose votes may be counted together.
     pub(crate) fn agreeing(&self, votes: &Votes) -> Vec<MemberIndex> {
-        match self.is_disabled(Guard::Views) {
+        match self.is_disabled(SafetyCheck::AgreeingVoters) {
             true => votes.voters().collect(),
             false => votes.agreeing(self.me()),
         }
@@ -189,33 +190,34 @@
     }
 
     /// Why asking for a majority is hopeless at present.
-    pub(crate) fn majority_obstacle(&self) -> Option<Lack> {
+    pub(crate) fn majority_obstacle(&self) -> Option<NoMajorityReason> {
         if !self.can_vote() {
-            Some(Lack::Returning)
+            Some(NoMajorityReason::Recovering)
         } else if !self.is_majority_alive() {
-            Some(Lack::Unreachable)
+            Some(NoMajorityReason::Unreachable)
         } else {
             None
         }
     }
 
     /// Why there was no majority before a deadline.
-    pub(crate) fn deadline_reason(&self) -> Lack {
+    pub(crate) fn deadline_reason(&self) -> NoMajorityReason {
         match self.is_majority_alive() {
-            true => Lack::Late,
-            false => Lack::Unreachable,
+            true => NoMajorityReason::TimedOut,
+            false => NoMajorityReason::Unreachable,
         }
     }
 
     /// A request was under way for so long that what is stored for it here would expire too early.
     pub(crate) fn arrives_too_late(&self, transit: Micros) -> bool {
-        transit > self.settings.kept / LATE_FRACTION && !self.is_disabled(Guard::Age)
+        transit > self.settings.retention / LATE_FRACTION
+            && !self.is_disabled(SafetyCheck::NotTooLate)
     }
 
     /// Whether a member without anything of this record still proves that it never had anything.
     pub(crate) fn absence_is_proof(&self, now: Micros, key: &str) -> bool {
         let until = self.store.get(key).and_then(|stored| stored.proof_until);
-        until.is_some_and(|until| now < until) || self.is_disabled(Guard::Age)
+        until.is_some_and(|until| now < until) || self.is_disabled(SafetyCheck::NotTooLate)
     }
 
     pub(crate) fn ballot(&self, number: u32) -> Ballot {
@@ -238,15 +240,15 @@
     pub(crate) fn new_effect(&mut self, now: Micros) -> StoredRecord {
         let owner = Owner {
             ballot: self.ballot(FIRST),
-            let_go: false,
+            released: false,
         };
-        let record = Record::Effect(Effect {
+        let record = Record::Invocation(Invocation {
             owner,
             taken: true,
-            ..Effect::default()
+            ..Invocation::default()
         });
-        let expires_at = now.saturating_add(self.settings.kept);
-        let proof_until = expires_at.saturating_sub(self.settings.kept / DRIFT_FRACTION);
+        let expires_at = now.saturating_add(self.settings.retention);
+        let proof_until = expires_at.saturating_sub(self.settings.retention / DRIFT_FRACTION);
         StoredRecord {
             proof_until: Some(proof_until),
             ..StoredRecord::new(record, self.next_origin(), expires_at)
@@ -257,7 +259,7 @@
     pub(crate) fn backoff(&mut self, tries: u32) -> Micros {
         self.draws += 1;
         let draw = hashed((self.settings.seed, self.nonce, self.draws));
-        let bound = self.settings.step_back << tries.min(MAX_BACKOFF_DOUBLINGS);
+        let bound = self.settings.backoff << tries.min(MAX_BACKOFF_DOUBLINGS);
         if bound == 0 {
             0
         } else {
@@ -266,7 +268,7 @@
     }
 
     pub(crate) fn queue_broadcast(&mut self, now: Micros, key: &Key) {
-        let due = now.saturating_add(self.settings.tell_after);
+        let due = now.saturating_add(self.settings.broadcast_delay);
         self.broadcasts.add(key, due);
     }
 
@@ -287,7 +289,7 @@
         self.broadcasts
             .next_due()
             .min(self.store.next_expiry())
-            .min(self.recovery.next_due(self.settings.kept))
+            .min(self.recovery.next_due(self.settings.retention))
     }
 
     /// Hashes everything that later steps depend on, apart from times.
--- a/crates/replica/src/ownership/claim.rs
+++ b/crates/replica/src/ownership/claim.rs
@@ -6,8 +6,8 @@
 use cedarpulley_membership::MemberIndex;
 
 use crate::context::{Context, Sender};
-use crate::record::{Ballot, DispatchId, Effect, FIRST};
-use crate::store::Shared;
+use crate::record::{Ballot, DispatchId, FIRST, Invocation};
+use crate::store::RecordCopy;
 use crate::votes::{Views, Votes};
 
 /// The intent of a dispatch that waits for a majority.
@@ -34,7 +34,7 @@
 
 impl Fencing {
     /// `own`: what this member has stored itself.
-    pub(super) fn new(cx: &Context<'_>, deadline: Micros, own: Option<&Effect>) -> Self {
+    pub(super) fn new(cx: &Context<'_>, deadline: Micros, own: Option<&Invocation>) -> Self {
         let mut fencing = Fencing {
             votes: Votes::default(),
             holders: BTreeMap::new(),
@@ -46,13 +46,13 @@
     }
 
     /// A promise, with what its voter has stored.
-    pub(super) fn add_vote(&mut self, from: Sender, views: Views, record: Option<&Shared>) {
+    pub(super) fn add_vote(&mut self, from: Sender, views: Views, record: Option<&RecordCopy>) {
         self.votes.put(from.member, from.process, views);
         self.add_holder(from.member, record.and_then(|copy| copy.record.effect()));
     }
 
-    fn add_holder(&mut self, member: MemberIndex, stored: Option<&Effect>) {
-        for dispatch_id in stored.iter().flat_map(|e| e.sendings.keys()) {
+    fn add_holder(&mut self, member: MemberIndex, stored: Option<&Invocation>) {
+        for dispatch_id in stored.iter().flat_map(|e| e.intents.keys()) {
             self.holders.entry(*dispatch_id).or_default().insert(member);
         }
     }
@@ -130,7 +130,7 @@
     }
 
     /// The stage's name in `/state`.
-    pub fn word(&self) -> &'static str {
+    pub fn stage_name(&self) -> &'static str {
         match self.stage {
             Stage::Owner => "mine",
             Stage::Fencing(_) | Stage::BackingOff { .. } => "taking-over",
--- a/crates/replica/src/ownership/claim_table/tests.rs
+++ b/crates/replica/src/ownership/claim_table/tests.rs
@@ -4,9 +4,9 @@
 
 use cedarpulley::interface::Micros;
 
-use crate::ownership::Need;
+use crate::ownership::Durability;
 use crate::store::Key;
-use crate::{Input, Replica, Terms, hashed};
+use crate::{Input, Replica, ReplicaSettings, hashed};
 
 /// The next due time is the one that a look at all claims finds, whatever happens to them.
 #[test]
@@ -19,7 +19,13 @@
     };
     let group = Group::new("g", (0..3).map(member).collect(), "r0").expect("a group");
     let retention = 20_000_000;
-    let mut replica = Replica::new(0, group, Terms::usual(retention, 500_000, 1), 7, None);
+    let mut replica = Replica::new(
+        0,
+        group,
+        ReplicaSettings::with_defaults(retention, 500_000, 1),
+        7,
+        None,
+    );
     // By now this member votes: all that it may have forgotten has expired.
     let (mut now, mut out) = (2 * retention, Vec::new());
     replica.handle(now, Input::Tick, &mut out);
@@ -31,28 +37,28 @@
         let input = match draw >> 32 & 15 {
             0..4 => Input::Take {
                 key,
-                need: Need::Held,
+                durability: Durability::Majority,
                 redelivered,
             },
-            4..8 => Input::Intend {
+            4..8 => Input::RequestDispatch {
                 key,
-                sending,
-                place: 0,
-                alone: redelivered,
+                dispatch: sending,
+                deduplication_scope: 0,
+                without_majority: redelivered,
             },
-            8 => Input::Ended {
+            8 => Input::DispatchEnded {
                 key,
-                sending,
+                dispatch: sending,
                 may_have_run: redelivered,
             },
             9 => Input::Dropped { key },
             10 => Input::Closed { key },
-            11 => Input::Member {
+            11 => Input::MemberChanged {
                 member: 1,
                 nonce: 8,
                 alive: redelivered,
             },
-            12 => Input::Member {
+            12 => Input::MemberChanged {
                 member: 2,
                 nonce: 9,
                 alive: true,
@@ -62,7 +68,7 @@
         now += (draw >> 20 & 0xffff) as Micros / 4;
         replica.handle(now, input, &mut out);
         let least = replica
-            .claimed()
+            .claims()
             .map(|(_, c)| c.due())
             .min()
             .unwrap_or(Micros::MAX);
--- a/crates/replica/src/ownership/decision.rs
+++ b/crates/replica/src/ownership/decision.rs
@@ -5,26 +5,26 @@
 
 /// What other members have to store before a dispatch is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Need {
+pub enum Durability {
     /// Nothing: the invocation may run twice.
-    Known,
+    Local,
     /// A majority stores the intent first.
-    Held,
+    Majority,
 }
 
 /// Why there is no majority, or no permission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Lack {
+pub enum NoMajorityReason {
     /// This member does not remember enough to vote yet.
-    Returning,
+    Recovering,
     /// Too few members are alive.
     Unreachable,
     /// Too few members answered in time.
-    Late,
+    TimedOut,
     /// The store of this member is full.
-    Full,
+    StoreFull,
     /// Another owner has the invocation; a decision follows.
-    Elsewhere,
+    OwnedElsewhere,
 }
 
 /// Why an invocation counts as one that may have run.
@@ -48,18 +48,18 @@
 
 /// What is to be done with an invocation that was taken.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum OwnershipDecision {
     /// It may be dispatched by this router.
-    Go {
+    Dispatch {
         /// Where an earlier dispatch may have run: the time since the first one.
-        first_ago: Option<Micros>,
+        first_dispatch_ago: Option<Micros>,
     },
     /// Another owner has dispatched it: a further decision follows when that has ended.
-    Waits,
+    Wait,
     /// The answer that was given before.
     Answer(Bytes),
     /// It may have run; it is not dispatched again.
-    MayHaveRun(IndeterminateReason),
+    Indeterminate(IndeterminateReason),
     /// It cannot be decided at present.
-    NoMajority(Lack),
+    NoMajority(NoMajorityReason),
 }
--- a/crates/replica/src/ownership/intents.rs
+++ b/crates/replica/src/ownership/intents.rs
@@ -3,22 +3,27 @@
 use cedarpulley_membership::MemberIndex;
 
 use super::claim::{PendingIntent, Stage};
-use super::{Claim, Lack, Ownership};
+use super::{Claim, NoMajorityReason, Ownership};
 use crate::context::{Context, Sender};
 use crate::events::Output;
-use crate::record::{Ballot, Record, Sending, Sent};
-use crate::settings::Guard;
+use crate::record::{Ballot, DispatchIntent, IntentState, Record};
+use crate::settings::SafetyCheck;
 use crate::store::{Key, StoredRecord};
 use crate::votes::{Views, Votes};
 use crate::wire::Message;
 
 /// Tells the router whether a dispatch may be sent.
-fn answer_dispatch(cx: &mut Context<'_>, key: &Key, dispatch: u64, left: Result<bool, Lack>) {
+fn answer_dispatch(
+    cx: &mut Context<'_>,
+    key: &Key,
+    dispatch: u64,
+    left: Result<bool, NoMajorityReason>,
+) {
     let key = key.clone();
-    cx.emit(Output::Leave {
+    cx.emit(Output::DispatchPermission {
         key,
-        sending: dispatch,
-        left,
+        dispatch,
+        permission: left,
     });
 }
 
@@ -29,24 +34,24 @@
     place: u32,
 ) -> impl FnOnce(&mut StoredRecord) + use<> {
     let (now, dispatch_id) = (cx.now, (cx.member.nonce(), dispatch));
-    let intent = Sending {
+    let intent = DispatchIntent {
         member: cx.member.me(),
-        state: Sent::Intended,
-        place,
+        state: IntentState::Intended,
+        deduplication_scope: place,
     };
     move |stored| {
         stored.first_dispatch.get_or_insert(now);
-        if let Record::Effect(effect) = &mut stored.record {
-            effect.sendings.insert(dispatch_id, intent);
+        if let Record::Invocation(effect) = &mut stored.record {
+            effect.intents.insert(dispatch_id, intent);
         }
     }
 }
 
 /// Advances the state of a dispatch of this process.
-pub(super) fn end_dispatch(cx: &mut Context<'_>, key: &Key, dispatch: u64, state: Sent) {
+pub(super) fn end_dispatch(cx: &mut Context<'_>, key: &Key, dispatch: u64, state: IntentState) {
     let dispatch_id = (cx.member.nonce(), dispatch);
     cx.update_effect(key, |effect| {
-        if let Some(known) = effect.sendings.get_mut(&dispatch_id) {
+        if let Some(known) = effect.intents.get_mut(&dispatch_id) {
             known.state = known.state.max(state);
         }
     });
@@ -57,10 +62,10 @@
     cx: &mut Context<'_>,
     key: &Key,
     intents: impl IntoIterator<Item = u64>,
-    reason: Option<Lack>,
+    reason: Option<NoMajorityReason>,
 ) {
     for dispatch in intents {
-        end_dispatch(cx, key, dispatch, Sent::NeverRan);
+        end_dispatch(cx, key, dispatch, IntentState::NotExecuted);
         if let Some(reason) = reason {
             answer_dispatch(cx, key, dispatch, Err(reason));
         }
@@ -81,14 +86,14 @@
         let owner = cx.member.store().effect(key).map(|e| e.owner.ballot);
         let claim = self.claims.get(key).filter(|c| c.stage == Stage::Owner);
         let Some(claim) = claim.filter(|c| owner == Some(c.ballot)) else {
-            answer_dispatch(cx, key, dispatch, Err(Lack::Elsewhere));
+            answer_dispatch(cx, key, dispatch, Err(NoMajorityReason::OwnedElsewhere));
             return self.on_record_changed(cx, key);
         };
         let is_first = claim.is_first();
         if !alone && !cx.member.absence_is_proof(cx.now, key) {
             // Other members may have forgotten who took it: it is too late for a first dispatch.
             cx.counts.without_majority += 1;
-            return answer_dispatch(cx, key, dispatch, Err(Lack::Late));
+            return answer_dispatch(cx, key, dispatch, Err(NoMajorityReason::TimedOut));
         }
         // Not broadcast: the request for votes carries the record.
         let record = cx.new_effect();
@@ -121,7 +126,7 @@
         let record = cx.new_effect();
         let intent = intent_change(cx, dispatch, place);
         cx.change(key, record, |stored| {
-            if let Record::Effect(effect) = &mut stored.record {
+            if let Record::Invocation(effect) = &mut stored.record {
                 effect.taken = true;
             }
             intent(stored);
@@ -139,8 +144,8 @@
         self.claims
             .change(key, |claim| claim.intents.remove(&dispatch));
         let state = match may_have_run {
-            true => Sent::MayHaveRun,
-            false => Sent::NeverRan,
+            true => IntentState::Indeterminate,
+            false => IntentState::NotExecuted,
         };
         end_dispatch(cx, key, dispatch, state);
         // A later claim of this router may have waited for it.
@@ -203,7 +208,9 @@
             return;
         };
         let agreed = cx.member.agreeing(&intent.votes);
-        if !cx.member.group().is_majority(agreed) && !cx.member.is_disabled(Guard::Majority) {
+        if !cx.member.group().is_majority(agreed)
+            && !cx.member.is_disabled(SafetyCheck::MajorityBeforeDispatch)
+        {
             return;
         }
         self.claims
--- a/crates/replica/src/ownership/mod.rs
+++ b/crates/replica/src/ownership/mod.rs
@@ -41,12 +41,12 @@
 use cedarpulley::interface::Micros;
 
 pub use claim::Claim;
-pub use decision::{IndeterminateReason, Lack, Need, Verdict};
+pub use decision::{Durability, IndeterminateReason, NoMajorityReason, OwnershipDecision};
 
 use crate::context::{Context, Sender};
 use crate::events::Output;
-use crate::record::{Answered, Ballot, Effect, FIRST, Sent};
-use crate::store::{Key, Shared};
+use crate::record::{Ballot, FIRST, IntentState, Invocation, StoredAnswer};
+use crate::store::{Key, RecordCopy};
 use crate::wire::{Message, RejectionReason};
 use claim::Stage;
 use claim_table::ClaimTable;
@@ -58,7 +58,7 @@
     /// The dispatch whose intent was rejected; absent for a fence.
     pub(crate) dispatch: Option<u64>,
     pub(crate) reason: RejectionReason,
-    pub(crate) record: Option<Shared>,
+    pub(crate) record: Option<RecordCopy>,
 }
 
 /// The invocations that this router has taken.
@@ -69,45 +69,63 @@
 
 impl Ownership {
     /// This router has taken an invocation.
-    pub(crate) fn take(&mut self, cx: &mut Context<'_>, key: &Key, need: Need, redelivered: bool) {
+    pub(crate) fn take(
+        &mut self,
+        cx: &mut Context<'_>,
+        key: &Key,
+        need: Durability,
+        redelivered: bool,
+    ) {
         cx.counts.taken += 1;
         let known = cx.member.store().effect(key).cloned();
-        if let Some(Effect {
-            answer: Some(Answered::Kept(answer)),
-            fault: false,
+        if let Some(Invocation {
+            answer: Some(StoredAnswer::Stored(answer)),
+            has_conflict: false,
             ..
         }) = &known
         {
             cx.counts.answers_repeated += 1;
             self.open_claim(cx, key, Stage::Decided);
-            return emit_decision(cx, key, Verdict::Answer(answer.clone()));
+            return emit_decision(cx, key, OwnershipDecision::Answer(answer.clone()));
         }
-        if need == Need::Known {
+        if need == Durability::Local {
             self.open_claim(cx, key, Stage::Owner);
             let first_ago = time_since_first_dispatch(cx, key);
-            return emit_decision(cx, key, Verdict::Go { first_ago });
+            return emit_decision(
+                cx,
+                key,
+                OwnershipDecision::Dispatch {
+                    first_dispatch_ago: first_ago,
+                },
+            );
         }
         if known.as_ref().is_some_and(|e| e.closed) {
-            let decision = Verdict::MayHaveRun(IndeterminateReason::Closed);
+            let decision = OwnershipDecision::Indeterminate(IndeterminateReason::Closed);
             return self.conclude(cx, key, decision);
         }
         let is_full = known.is_none() && cx.member.store().is_full();
         let obstacle = cx.member.majority_obstacle();
-        if let Some(reason) = obstacle.or(is_full.then_some(Lack::Full)) {
-            return self.conclude(cx, key, Verdict::NoMajority(reason));
+        if let Some(reason) = obstacle.or(is_full.then_some(NoMajorityReason::StoreFull)) {
+            return self.conclude(cx, key, OwnershipDecision::NoMajority(reason));
         }
         match known {
             None if !redelivered => {
                 let record = cx.new_effect();
                 cx.change(key, record, |_| {});
                 self.open_claim(cx, key, Stage::Owner);
-                emit_decision(cx, key, Verdict::Go { first_ago: None });
+                emit_decision(
+                    cx,
+                    key,
+                    OwnershipDecision::Dispatch {
+                        first_dispatch_ago: None,
+                    },
+                );
             }
             // Delivered to two routers at once, to each for the first time: the owner goes on with it.
             Some(e) if !redelivered && !cx.member.is_free(&e.owner) => {
                 self.open_claim(cx, key, Stage::Watching(None));
                 cx.counts.awaiting_other_owner += 1;
-                emit_decision(cx, key, Verdict::Waits);
+                emit_decision(cx, key, OwnershipDecision::Wait);
                 self.on_record_changed(cx, key);
             }
             _ => {
@@ -128,16 +146,16 @@
     }
 
     /// Gives the last decision on an invocation.
-    fn conclude(&mut self, cx: &mut Context<'_>, key: &Key, decision: Verdict) {
+    fn conclude(&mut self, cx: &mut Context<'_>, key: &Key, decision: OwnershipDecision) {
         match decision {
-            Verdict::Answer(_) => cx.counts.answers_repeated += 1,
-            Verdict::MayHaveRun(_) => cx.counts.indeterminate += 1,
-            Verdict::NoMajority(_) => {
+            OwnershipDecision::Answer(_) => cx.counts.answers_repeated += 1,
+            OwnershipDecision::Indeterminate(_) => cx.counts.indeterminate += 1,
+            OwnershipDecision::NoMajority(_) => {
                 cx.counts.without_majority += 1;
                 // No other member is to wait for this one.
                 self.release(cx, key);
             }
-            Verdict::Go { .. } | Verdict::Waits => {}
+            OwnershipDecision::Dispatch { .. } | OwnershipDecision::Wait => {}
         }
         if self.claims.get(key).is_some() {
             self.set_stage(key, Stage::Decided);
@@ -199,7 +217,12 @@
         };
         if let Some(intents) = self.claims.change(key, lose).flatten() {
             cx.counts.ownership_lost += 1;
-            intents::abandon(cx, key, intents.into_keys(), Some(Lack::Elsewhere));
+            intents::abandon(
+                cx,
+                key,
+                intents.into_keys(),
+                Some(NoMajorityReason::OwnedElsewhere),
+            );
         }
     }
 
@@ -248,19 +271,19 @@
         if cx.member.store().get(key).is_none() {
             return;
         }
-        let answer = match answer.len() <= cx.member.settings().most_answer {
-            true => Answered::Kept(answer),
+        let answer = match answer.len() <= cx.member.settings().max_answer_bytes {
+            true => StoredAnswer::Stored(answer),
             false => {
                 cx.counts.answers_too_large += 1;
-                Answered::TooLarge
+                StoredAnswer::TooLarge
             }
         };
         let mut is_conflict = false;
         cx.update_effect(key, |effect| match &effect.answer {
             None if !effect.closed => effect.answer = Some(answer),
             // Symptom: two routers gave different answers to one message.
-            Some(known) if *known != answer && !effect.fault => {
-                (effect.fault, is_conflict) = (true, true);
+            Some(known) if *known != answer && !effect.has_conflict => {
+                (effect.has_conflict, is_conflict) = (true, true);
             }
             _ => {}
         });
@@ -276,7 +299,7 @@
     /// The answer was delivered for good.
     pub(crate) fn on_closed(&mut self, cx: &mut Context<'_>, key: &Key) {
         self.claims.remove(key);
-        cx.update_effect(key, Effect::close);
+        cx.update_effect(key, Invocation::close);
     }
 
     /// Nobody waits for the invocation at this router any more.
@@ -293,7 +316,7 @@
         if let Some(ballot) = self.claims.get(key).map(|claim| claim.ballot) {
             cx.update_effect(key, |effect| {
                 if effect.owner.ballot == ballot {
-                    effect.owner.let_go = true;
+                    effect.owner.released = true;
                 }
             });
         }
@@ -343,16 +366,21 @@
     }
 }
 
-fn emit_decision(cx: &mut Context<'_>, key: &Key, verdict: Verdict) {
+fn emit_decision(cx: &mut Context<'_>, key: &Key, verdict: OwnershipDecision) {
     let key = key.clone();
-    cx.emit(Output::Verdict { key, verdict });
+    cx.emit(Output::Decision {
+        key,
+        decision: verdict,
+    });
 }
 
 /// The time since the first dispatch, if any dispatch may have run.
 fn time_since_first_dispatch(cx: &Context<'_>, key: &Key) -> Option<Micros> {
     let stored = cx.member.store().get(key)?;
-    let sendings = &stored.record.effect()?.sendings;
-    let may_have_run = sendings.values().any(|s| s.state != Sent::NeverRan);
+    let sendings = &stored.record.effect()?.intents;
+    let may_have_run = sendings
+        .values()
+        .any(|s| s.state != IntentState::NotExecuted);
     let first = stored.first_dispatch.filter(|_| may_have_run)?;
     Some(cx.now.saturating_sub(first))
 }
--- a/crates/replica/src/ownership/takeover.rs
+++ b/crates/replica/src/ownership/takeover.rs
@@ -5,12 +5,12 @@
 
 use super::assessment::{self, Assessment};
 use super::claim::{Claim, Fencing, Stage};
-use super::{Lack, Ownership, Verdict, emit_decision};
+use super::{NoMajorityReason, Ownership, OwnershipDecision, emit_decision};
 use crate::acceptor::{self, FenceRequest};
 use crate::context::{Context, Sender};
-use crate::record::{Ballot, FIRST, Record, Sent};
-use crate::settings::Guard;
-use crate::store::{Key, MergeOutcome, Shared};
+use crate::record::{Ballot, FIRST, IntentState, Record};
+use crate::settings::SafetyCheck;
+use crate::store::{Key, MergeOutcome, RecordCopy};
 use crate::votes::Views;
 use crate::wire::Message;
 
@@ -29,11 +29,11 @@
             key: key.clone(),
             ballot: claim.ballot,
             origin: cx.member.next_origin(),
-            lifetime: cx.member.settings().kept,
+            lifetime: cx.member.settings().retention,
         };
         let mut fencing = Fencing::new(cx, deadline, before.as_ref());
         let is_promised = acceptor::promise_ownership(cx, &request);
-        if cx.member.is_disabled(Guard::Fence) {
+        if cx.member.is_disabled(SafetyCheck::FencedTakeover) {
             // Decides by what is known here, without asking other members.
             claim.stage = Stage::Fencing(fencing);
             self.claims.insert(key.clone(), claim);
@@ -41,7 +41,11 @@
         }
         if !is_promised {
             cx.counts.rejected_store_full += 1;
-            return self.conclude(cx, key, Verdict::NoMajority(Lack::Full));
+            return self.conclude(
+                cx,
+                key,
+                OwnershipDecision::NoMajority(NoMajorityReason::StoreFull),
+            );
         }
         cx.member.vote_for_itself(&mut fencing.votes);
         claim.stage = Stage::Fencing(fencing);
@@ -87,7 +91,7 @@
         from: Sender,
         key: &Key,
         ballot: Ballot,
-        record: Option<&Shared>,
+        record: Option<&RecordCopy>,
         views: Views,
     ) {
         if let Some(record) = record {
@@ -136,25 +140,31 @@
                 self.set_stage(key, stage);
                 if !was_watching {
                     cx.counts.awaiting_other_owner += 1;
-                    emit_decision(cx, key, Verdict::Waits);
+                    emit_decision(cx, key, OwnershipDecision::Wait);
                 }
             }
             Assessment::Dispatch { never_sent } => {
                 cx.counts.proven_not_dispatched += 1;
                 let record = cx.new_effect();
                 cx.change(key, record, |stored| {
-                    let Record::Effect(effect) = &mut stored.record else {
+                    let Record::Invocation(effect) = &mut stored.record else {
                         return;
                     };
                     effect.taken = true;
                     for dispatch_id in &never_sent {
-                        if let Some(sending) = effect.sendings.get_mut(dispatch_id) {
-                            sending.state = Sent::NeverRan;
+                        if let Some(sending) = effect.intents.get_mut(dispatch_id) {
+                            sending.state = IntentState::NotExecuted;
                         }
                     }
                 });
                 self.set_stage(key, Stage::Owner);
-                emit_decision(cx, key, Verdict::Go { first_ago: None });
+                emit_decision(
+                    cx,
+                    key,
+                    OwnershipDecision::Dispatch {
+                        first_dispatch_ago: None,
+                    },
+                );
             }
         }
     }
@@ -167,7 +177,7 @@
         };
         match &claim.stage {
             Stage::Fencing(fencing) if now >= fencing.deadline => {
-                let decision = Verdict::NoMajority(cx.member.deadline_reason());
+                let decision = OwnershipDecision::NoMajority(cx.member.deadline_reason());
                 self.conclude(cx, key, decision);
                 true
             }
@@ -182,7 +192,11 @@
                 false
             }
             Stage::BackingOff { deadline, .. } if now >= *deadline => {
-                self.conclude(cx, key, Verdict::NoMajority(Lack::Late));
+                self.conclude(
+                    cx,
+                    key,
+                    OwnershipDecision::NoMajority(NoMajorityReason::TimedOut),
+                );
                 true
             }
             Stage::BackingOff { retry_at, deadline } if now >= *retry_at => {
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -3,7 +3,7 @@
 //!
 //! | kind | what it describes | copies that differ |
 //! | --- | --- | --- |
-//! | [`Effect`] | an invocation, or an idempotency key | states only advance; the higher owner; two answers are a conflict |
+//! | [`Invocation`] | an invocation, or an idempotency key | states only advance; the higher owner; two answers are a conflict |
 //! | [`Choice`] | a value that a majority agreed on, once or term after term | the higher ballot |
 //! | [`Note`] | an observation of one member | the higher version |
 
@@ -31,24 +31,24 @@
 
 /// The state of one dispatch. States only advance in this order, and the later one is the more cautious.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Sent {
+pub enum IntentState {
     /// It may be sent, or was sent.
     Intended,
     /// It certainly did not run.
-    NeverRan,
+    NotExecuted,
     /// It may have run.
-    MayHaveRun,
+    Indeterminate,
 }
 
 /// A dispatch that a member intends to send, or has sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Sending {
+pub struct DispatchIntent {
     /// The member that sends it.
     pub member: MemberIndex,
     /// How far it has come.
-    pub state: Sent,
+    pub state: IntentState,
     /// The deduplication scope of its worker, where there are several.
-    pub place: u32,
+    pub deduplication_scope: u32,
 }
 
 /// A dispatch: the nonce of the sending process, and the dispatch's number there.
@@ -56,9 +56,9 @@
 
 /// The answer to an invocation, as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Answered {
+pub enum StoredAnswer {
     /// The encoded answer.
-    Kept(Bytes),
+    Stored(Bytes),
     /// There was an answer, but it was too long to be stored.
     TooLarge,
 }
@@ -71,49 +71,54 @@
     /// The highest ballot promised; the owner is its proposer.
     pub ballot: Ballot,
     /// The owner has released the invocation, as nobody waits for it there any more.
-    pub let_go: bool,
+    pub released: bool,
 }
 
 /// The state of an invocation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Effect {
+pub struct Invocation {
     /// Who may dispatch it.
     pub owner: Owner,
     /// A member has taken the invocation. Otherwise the record only stores a promise.
     pub taken: bool,
     /// Intents may be lost: the absence of an intent proves nothing.
-    pub doubtful: bool,
+    pub may_lack_intents: bool,
     /// The dispatches known here.
-    pub sendings: BTreeMap<DispatchId, Sending>,
+    pub intents: BTreeMap<DispatchId, DispatchIntent>,
     /// The answer, if there was one.
-    pub answer: Option<Answered>,
+    pub answer: Option<StoredAnswer>,
     /// The answer was delivered for good; dispatches and answer are dropped.
     pub closed: bool,
     /// Two different answers were given, and neither was delivered for good.
-    pub fault: bool,
+    pub has_conflict: bool,
 }
 
-impl Effect {
+impl Invocation {
     fn drop_details_if_closed(&mut self) {
         if self.closed {
-            (self.taken, self.answer, self.doubtful, self.fault) = (true, None, false, false);
-            self.sendings.clear();
+            (
+                self.taken,
+                self.answer,
+                self.may_lack_intents,
+                self.has_conflict,
+            ) = (true, None, false, false);
+            self.intents.clear();
         }
     }
 
-    fn merge(&mut self, other: &Effect) {
+    fn merge(&mut self, other: &Invocation) {
         self.owner = self.owner.max(other.owner);
         self.taken |= other.taken;
-        self.doubtful |= other.doubtful;
+        self.may_lack_intents |= other.may_lack_intents;
         self.closed |= other.closed;
-        self.fault |= other.fault;
-        for (dispatch_id, theirs) in &other.sendings {
-            let ours = self.sendings.entry(*dispatch_id).or_insert(*theirs);
+        self.has_conflict |= other.has_conflict;
+        for (dispatch_id, theirs) in &other.intents {
+            let ours = self.intents.entry(*dispatch_id).or_insert(*theirs);
             ours.state = ours.state.max(theirs.state);
         }
         match (&self.answer, &other.answer) {
             (Some(ours), Some(theirs)) if ours != theirs => {
-                self.fault = true;
+                self.has_conflict = true;
                 self.answer = Some(ours.min(theirs).clone());
             }
             (None, Some(theirs)) => self.answer = Some(theirs.clone()),
@@ -160,7 +165,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Record {
     /// An invocation.
-    Effect(Effect),
+    Invocation(Invocation),
     /// A value agreed on.
     Choice(Choice),
     /// An observation.
@@ -173,7 +178,7 @@
     pub fn merge(&mut self, other: &Record) -> bool {
         let before = self.clone();
         match (&mut *self, other) {
-            (Record::Effect(ours), Record::Effect(theirs)) => ours.merge(theirs),
+            (Record::Invocation(ours), Record::Invocation(theirs)) => ours.merge(theirs),
             (Record::Choice(ours), Record::Choice(theirs)) => ours.merge(theirs),
             (Record::Note(ours), Record::Note(theirs)) if theirs > ours => ours.clone_from(theirs),
             _ => {}
@@ -182,9 +187,9 @@
     }
 
     /// The state of an invocation.
-    pub fn effect(&self) -> Option<&Effect> {
+    pub fn effect(&self) -> Option<&Invocation> {
         match self {
-            Record::Effect(effect) => Some(effect),
+            Record::Invocation(effect) => Some(effect),
             _ => None,
         }
     }
--- a/crates/replica/src/record_server.rs
+++ b/crates/replica/src/record_server.rs
@@ -8,7 +8,7 @@
 use crate::byte_budget::ByteBudget;
 use crate::catch_up::{MAX_LEAVES_PER_REQUEST, size};
 use crate::context::Context;
-use crate::store::{GROUPS, Key, Leaf, Shared, Store, StoredRecord};
+use crate::store::{GROUPS, Key, Leaf, RecordCopy, Store, StoredRecord};
 use crate::wire::Message;
 
 /// The size of one batch of records, small against what a link carries in a round trip.
@@ -32,7 +32,7 @@
 
 /// The records that answer a request.
 struct Batch {
-    records: Vec<(Key, Shared)>,
+    records: Vec<(Key, RecordCopy)>,
     bytes: usize,
     more: Option<(Leaf, Key)>,
 }
--- a/crates/replica/src/recovery.rs
+++ b/crates/replica/src/recovery.rs
@@ -17,17 +17,17 @@
 use crate::context::Context;
 use crate::events::Output;
 use crate::record::Record;
-use crate::settings::{DRIFT_FRACTION, Guard};
+use crate::settings::{DRIFT_FRACTION, SafetyCheck};
 use crate::store::Key;
-use crate::wire::Memory;
+use crate::wire::RecoveryState;
 
 /// The progress of a restarted member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Recovery {
     started_at: Micros,
-    memory: Memory,
+    memory: RecoveryState,
     /// The members compared with, and what they remembered.
-    compared: BTreeMap<MemberIndex, Memory>,
+    compared: BTreeMap<MemberIndex, RecoveryState>,
 }
 
 /// What a finished comparison means for recovery.
@@ -46,7 +46,7 @@
 
 impl Recovery {
     /// `memory`: what this process started with.
-    pub fn new(now: Micros, memory: Memory) -> Self {
+    pub fn new(now: Micros, memory: RecoveryState) -> Self {
         Recovery {
             started_at: now,
             memory,
@@ -55,7 +55,7 @@
     }
 
     /// How much this member remembers.
-    pub fn memory(&self) -> Memory {
+    pub fn memory(&self) -> RecoveryState {
         self.memory
     }
 
@@ -67,7 +67,7 @@
     /// When recovery completes by time alone.
     pub fn next_due(&self, retention: Micros) -> Micros {
         match self.memory {
-            Memory::Whole => Micros::MAX,
+            RecoveryState::Complete => Micros::MAX,
             _ => self
                 .started_at
                 .saturating_add(retention.saturating_add(retention / DRIFT_FRACTION)),
@@ -78,51 +78,63 @@
     fn complete_by_time(&mut self, now: Micros, retention: Micros) -> bool {
         let is_due = now >= self.next_due(retention);
         if is_due {
-            self.memory = Memory::Whole;
+            self.memory = RecoveryState::Complete;
         }
         is_due
     }
 
-    fn on_compared(&mut self, group: &Group, member: MemberIndex, memory: Memory) -> Progress {
-        if self.memory == Memory::Whole || memory == Memory::Lost {
+    fn on_compared(
+        &mut self,
+        group: &Group,
+        member: MemberIndex,
+        memory: RecoveryState,
+    ) -> Progress {
+        if self.memory == RecoveryState::Complete || memory == RecoveryState::Empty {
             return Progress::Nothing;
         }
         self.compared.insert(member, memory);
         let with = self.compared.keys().copied().collect();
-        if !group.meets_all(&with, group.me) {
+        if !group.intersects_every_majority(&with, group.own_index) {
             return Progress::Incomplete;
         }
-        self.memory = Memory::Whole;
+        self.memory = RecoveryState::Complete;
         Progress::Complete {
-            after_restarts: self.compared.values().any(|m| *m != Memory::Whole),
+            after_restarts: self
+                .compared
+                .values()
+                .any(|m| *m != RecoveryState::Complete),
         }
     }
 }
 
 /// Completes recovery once everything that may be missing has expired.
 pub(crate) fn tick(cx: &mut Context<'_>) {
-    let retention = cx.member.settings().kept;
+    let retention = cx.member.settings().retention;
     if cx
         .member
         .recovery_mut()
         .0
         .complete_by_time(cx.now, retention)
     {
-        cx.emit(Output::Whole);
+        cx.emit(Output::Recovered);
     }
 }
 
 /// This member now has all records of another one. True if it has to be compared with a further member at once.
-pub(crate) fn on_compared(cx: &mut Context<'_>, member: MemberIndex, memory: Memory) -> bool {
+pub(crate) fn on_compared(
+    cx: &mut Context<'_>,
+    member: MemberIndex,
+    memory: RecoveryState,
+) -> bool {
     let (recovery, group) = cx.member.recovery_mut();
     match recovery.on_compared(group, member, memory) {
         Progress::Nothing => false,
         Progress::Incomplete => true,
         Progress::Complete { after_restarts } => {
-            if after_restarts && !cx.member.is_disabled(Guard::Doubt) {
+            if after_restarts && !cx.member.is_disabled(SafetyCheck::DoubtAfterRestarts) {
                 mark_doubtful(cx);
             }
-            cx.emit(Output::Whole);
+            cx.emit(Output::Recovered);
             false
         }
     }
@@ -131,7 +143,7 @@
 /// Marks all open invocations: intents of theirs may be lost.
 fn mark_doubtful(cx: &mut Context<'_>) {
     let is_open = |record: &Record| match record {
-        Record::Effect(e) => !e.closed && e.answer.is_none() && !e.doubtful,
+        Record::Invocation(e) => !e.closed && e.answer.is_none() && !e.may_lack_intents,
         _ => false,
     };
     let records = cx.member.store().all();
@@ -140,6 +152,6 @@
         .map(|(key, _)| key.clone())
         .collect();
     for key in open {
-        cx.update_effect(&key, |effect| effect.doubtful = true);
+        cx.update_effect(&key, |effect| effect.may_lack_intents = true);
     }
 }
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -13,9 +13,9 @@
 use crate::ownership::Claim;
 use crate::record::Record;
 use crate::roles::Roles;
-use crate::settings::Terms;
-use crate::store::{Key, Shared, StoredRecord};
-use crate::wire::{Memory, Message};
+use crate::settings::ReplicaSettings;
+use crate::store::{Key, RecordCopy, StoredRecord};
+use crate::wire::{Message, RecoveryState};
 
 /// The replicated state of one member of a group.
 #[derive(Clone, Debug)]
@@ -32,9 +32,9 @@
     pub fn new(
         now: Micros,
         group: Group,
-        settings: Terms,
+        settings: ReplicaSettings,
         nonce: u64,
-        restored: Option<Vec<(Key, Shared)>>,
+        restored: Option<Vec<(Key, RecordCopy)>>,
     ) -> Self {
         Replica {
             member: LocalMember::new(now, group, settings, nonce, restored),
@@ -56,7 +56,7 @@
 
     /// Changes since the last call, for the disk: each record, or nothing if it was removed. The serial is to be
     /// returned with [`Input::Kept`] once these and all earlier changes are on disk.
-    pub fn changes(&mut self, now: Micros) -> (u64, Vec<(Key, Option<Shared>)>) {
+    pub fn changes(&mut self, now: Micros) -> (u64, Vec<(Key, Option<RecordCopy>)>) {
         let dirty = self.member.store_mut().take_dirty();
         let serial = self.roles.consensus_mut().begin_batch(!dirty.is_empty());
         let store = self.member.store();
@@ -68,7 +68,7 @@
     }
 
     /// Whether a vote waits for changes that have not been taken with [`Replica::changes`].
-    pub fn awaits_folder(&self) -> bool {
+    pub fn awaits_batch(&self) -> bool {
         self.roles.consensus().needs_batch()
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// The invocations that this router has taken.
-    pub fn claimed(&self) -> impl Iterator<Item = (&Key, &Claim)> {
+    pub fn claims(&self) -> impl Iterator<Item = (&Key, &Claim)> {
         self.roles.ownership().claims()
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Leaves known to differ from the member that records are compared with now.
-    pub fn lacking(&self) -> usize {
+    pub fn differing_leaves(&self) -> usize {
         self.roles.catch_up().differing_leaves()
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// How much this member remembers.
-    pub fn memory(&self) -> Memory {
+    pub fn recovery_state(&self) -> RecoveryState {
         self.member.memory()
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// A copy of the record under a key, its times relative to `now`.
-    pub fn copy(&self, now: Micros, key: &str) -> Option<Shared> {
+    pub fn copy(&self, now: Micros, key: &str) -> Option<RecordCopy> {
         self.member.store().copy(now, key)
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// How often two different answers to one invocation were found.
-    pub fn faults(&self) -> u64 {
+    pub fn conflicts(&self) -> u64 {
         self.member.store().conflicts()
     }
 
--- a/crates/replica/src/roles/messages.rs
+++ b/crates/replica/src/roles/messages.rs
@@ -13,7 +13,7 @@
 use crate::persistence::PendingVote;
 use crate::record::Ballot;
 use crate::record_server::RecordRequest;
-use crate::store::{Key, Leaf, MergeOutcome, Shared};
+use crate::store::{Key, Leaf, MergeOutcome, RecordCopy};
 use crate::wire::{Message, RejectionReason};
 
 impl Roles {
@@ -292,7 +292,7 @@
             Ok(value_hash) => value_hash,
             Err(reason) => return acceptor::nack(cx, from, key, ballot, reason),
         };
-        cx.emit(Output::Noticed(key.clone()));
+        cx.emit(Output::RecordChanged(key.clone()));
         let message = Message::Accepted {
             key: key.clone(),
             ballot,
@@ -312,7 +312,7 @@
         cx: &mut Context<'_>,
         from: Sender,
         serial: u64,
-        records: Vec<(Key, Shared)>,
+        records: Vec<(Key, RecordCopy)>,
         more: Option<(Leaf, Key)>,
     ) {
         let mut batch = ReceivedBatch {
@@ -335,7 +335,7 @@
         &mut self,
         cx: &mut Context<'_>,
         key: &Key,
-        copy: &Shared,
+        copy: &RecordCopy,
         transit: Micros,
     ) -> MergeOutcome {
         let store = cx.member.store_mut();
@@ -354,7 +354,7 @@
         self.ownership.on_record_changed(cx, key);
         let stored = cx.member.store().get(key);
         if stored.is_some_and(|stored| stored.record.effect().is_none()) {
-            cx.emit(Output::Noticed(key.clone()));
+            cx.emit(Output::RecordChanged(key.clone()));
         }
     }
 }
--- a/crates/replica/src/roles/mod.rs
+++ b/crates/replica/src/roles/mod.rs
@@ -79,21 +79,28 @@
 
     fn route(&mut self, cx: &mut Context<'_>, input: Input) {
         match input {
-            Input::Noted {
+            Input::PublishNote {
                 key,
                 version,
                 value,
-                kept,
+                retention: kept,
             } => publish_note(cx, &key, Note { version, value }, kept),
-            Input::Choose { key, value, kept } => self.consensus.choose(cx, key, value, kept),
-            Input::Lead { key, kept } => self.consensus.lead(cx, key, kept),
+            Input::Choose {
+                key,
+                value,
+                retention: kept,
+            } => self.consensus.choose(cx, key, value, kept),
+            Input::Lead {
+                key,
+                retention: kept,
+            } => self.consensus.lead(cx, key, kept),
             Input::Write {
                 key,
                 ballot,
                 value,
-                kept,
+                retention: kept,
             } => self.consensus.write(cx, key, ballot, value, kept),
-            Input::Heard {
+            Input::MessageReceived {
                 from,
                 nonce,
                 transit,
@@ -109,7 +116,7 @@
                     self.on_message(cx, sender, message);
                 }
             }
-            Input::Member {
+            Input::MemberChanged {
                 member,
                 nonce,
                 alive,
@@ -118,7 +125,7 @@
                     self.ownership.on_members_changed(cx);
                 }
             }
-            Input::Kept { serial } => self.consensus.on_persisted(cx, serial),
+            Input::Persisted { serial } => self.consensus.on_persisted(cx, serial),
             Input::Tick => {}
             invocation => self.route_to_ownership(cx, invocation),
         }
@@ -130,23 +137,23 @@
         match input {
             Input::Take {
                 key,
-                need,
+                durability: need,
                 redelivered,
             } => ownership.take(cx, &key, need, redelivered),
-            Input::Intend {
+            Input::RequestDispatch {
                 key,
-                sending,
-                place,
-                alone,
+                dispatch: sending,
+                deduplication_scope: place,
+                without_majority: alone,
             } => ownership.request_dispatch(cx, &key, sending, place, alone),
-            Input::Left {
+            Input::Dispatched {
                 key,
-                sending,
-                place,
+                dispatch: sending,
+                deduplication_scope: place,
             } => ownership.on_dispatched(cx, &key, sending, place),
-            Input::Ended {
+            Input::DispatchEnded {
                 key,
-                sending,
+                dispatch: sending,
                 may_have_run,
             } => ownership.on_dispatch_ended(cx, &key, sending, may_have_run),
             Input::Answered { key, answer } => ownership.on_answered(cx, &key, answer),
--- a/crates/replica/src/settings.rs
+++ b/crates/replica/src/settings.rs
@@ -22,7 +22,7 @@
 
 /// The retention time that leaves at least `wanted` during which new dispatches may be sent and the absence of a
 /// record is a proof.
-pub fn kept_for(wanted: Micros) -> Micros {
+pub fn retention_for(wanted: Micros) -> Micros {
     wanted
         .saturating_add(wanted / (DRIFT_FRACTION - 1))
         .saturating_add(1_000)
@@ -30,83 +30,83 @@
 
 /// The settings of a replica.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct ReplicaSettings {
     /// How long a record of an invocation is retained after it was taken or taken over: longer than any client waits.
-    pub kept: Micros,
+    pub retention: Micros,
     /// An intent or a proposal without a majority after this time is abandoned.
-    pub copied_within: Micros,
+    pub replication_timeout: Micros,
     /// Requests without an answer are sent again at this interval.
-    pub resend_every: Micros,
+    pub resend_interval: Micros,
     /// Changed records are broadcast after this delay.
-    pub tell_after: Micros,
+    pub broadcast_delay: Micros,
     /// Interval between two comparisons with other members.
-    pub compare_every: Micros,
+    pub comparison_interval: Micros,
     /// A comparison without an answer for this long is abandoned.
-    pub compared_within: Micros,
+    pub comparison_timeout: Micros,
     /// Upper bound of the first backoff after a higher ballot was met; it doubles with each try.
-    pub step_back: Micros,
+    pub backoff: Micros,
     /// The most records stored at once.
-    pub most_records: usize,
+    pub max_records: usize,
     /// The longest answer stored, in bytes.
-    pub most_answer: usize,
+    pub max_answer_bytes: usize,
     /// Catching up transfers no more than this, separately for each direction.
     pub catch_up_bytes_per_s: u64,
     /// Records are persisted: changes are collected for the disk, and votes on choices wait for it.
-    pub written: bool,
+    pub is_persistent: bool,
     /// Seed of backoffs and of the spread of comparisons.
     pub seed: u64,
     /// Tests of the explorer and of the invariant checker only: this safety check is disabled.
-    pub without: Option<Guard>,
+    pub disabled_check: Option<SafetyCheck>,
 }
 
-impl Terms {
+impl ReplicaSettings {
     /// Settings with the default intervals and limits, without persistence.
-    pub fn usual(kept: Micros, copied_within: Micros, seed: u64) -> Self {
-        Terms {
-            kept,
-            copied_within,
-            resend_every: RESEND_INTERVAL,
-            tell_after: BROADCAST_DELAY,
-            compare_every: COMPARISON_INTERVAL,
-            compared_within: COMPARISON_TIMEOUT,
-            step_back: BACKOFF,
-            most_records: 200_000,
-            most_answer: MAX_ANSWER_BYTES,
+    pub fn with_defaults(kept: Micros, copied_within: Micros, seed: u64) -> Self {
+        ReplicaSettings {
+            retention: kept,
+            replication_timeout: copied_within,
+            resend_interval: RESEND_INTERVAL,
+            broadcast_delay: BROADCAST_DELAY,
+            comparison_interval: COMPARISON_INTERVAL,
+            comparison_timeout: COMPARISON_TIMEOUT,
+            backoff: BACKOFF,
+            max_records: 200_000,
+            max_answer_bytes: MAX_ANSWER_BYTES,
             catch_up_bytes_per_s: 16 << 20,
-            written: false,
+            is_persistent: false,
             seed,
-            without: None,
+            disabled_check: None,
         }
     }
 }
 
 /// A safety check that tests can disable: the explorer and the invariant checker must find each one's absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Guard {
+pub enum SafetyCheck {
     /// A majority stores an intent before its dispatch is sent.
-    Majority,
+    MajorityBeforeDispatch,
     /// An intent under a first ballot is rejected where another owner has the record.
-    Blind,
+    FirstBallotAlone,
     /// A takeover fences the previous owner at a majority.
-    Fence,
+    FencedTakeover,
     /// An acceptor rejects ballots below its promise.
-    Promise,
+    KeptPromise,
     /// A member that lost its state does not vote.
-    Abstaining,
+    NoVoteWithoutState,
     /// Votes that refer to different processes of one member are not added up.
-    Views,
+    AgreeingVoters,
     /// An invocation that no member is known to have taken is not dispatched again.
-    Presence,
+    KnownToBeTaken,
     /// After a restart of all members, the absence of an intent proves nothing.
-    Doubt,
+    DoubtAfterRestarts,
     /// A member that has not answered may have stored an intent.
-    Missing,
+    UnansweredMayHold,
     /// A dispatch permitted by an owner that is gone may have run.
-    Gone,
+    GoneOwnerMayHaveRun,
     /// A proposer adopts the value that was accepted under the highest earlier ballot.
-    Adopted,
+    AdoptAcceptedValue,
     /// Requests that arrive late get no vote, and the last part of a record's time neither proves nor permits anything.
-    Age,
+    NotTooLate,
     /// A vote on a choice waits until the disk has what the vote promises.
-    Kept,
+    PersistBeforeVote,
 }
--- a/crates/replica/src/store/mod.rs
+++ b/crates/replica/src/store/mod.rs
@@ -14,9 +14,9 @@
 use cedarpulley::interface::Micros;
 
 use crate::hashed;
-use crate::record::{Effect, Record};
+use crate::record::{Invocation, Record};
 
-pub use stored_record::{Origin, Shared, StoredRecord};
+pub use stored_record::{Origin, RecordCopy, StoredRecord};
 
 /// The key of a record.
 pub type Key = Arc<str>;
@@ -111,7 +111,7 @@
     }
 
     /// The invocation under a key.
-    pub fn effect(&self, key: &str) -> Option<&Effect> {
+    pub fn effect(&self, key: &str) -> Option<&Invocation> {
         self.get(key)?.record.effect()
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// A copy of the record under a key, for other members or for the disk.
-    pub fn copy(&self, now: Micros, key: &str) -> Option<Shared> {
+    pub fn copy(&self, now: Micros, key: &str) -> Option<RecordCopy> {
         self.get(key).map(|stored| stored.to_copy(now))
     }
 
@@ -161,13 +161,13 @@
         &mut self,
         now: Micros,
         key: &Key,
-        copy: &Shared,
+        copy: &RecordCopy,
         transit: Micros,
     ) -> MergeOutcome {
         let theirs = StoredRecord::from_copy(now, copy, transit);
         // Symptom: a member that was cut off never hears of a plan that began long ago, as the records that its
         // process made after that have expired. Only invocations expire in the order in which they were made.
-        let is_effect = matches!(theirs.record, Record::Effect(_));
+        let is_effect = matches!(theirs.record, Record::Invocation(_));
         if theirs.expires_at <= now || is_effect && self.has_expired(theirs.origin) {
             return MergeOutcome::Expired;
         }
@@ -232,7 +232,7 @@
             let at = (leaf, key);
             if let Some(stored) = self.records.remove(&at) {
                 self.update_digest(&at, digest(&at.1, &stored.record), true);
-                if let Record::Effect(_) = stored.record {
+                if let Record::Invocation(_) = stored.record {
                     let expired = self.expired.entry(stored.origin.nonce).or_default();
                     expired.last_serial = expired.last_serial.max(stored.origin.serial);
                     expired.expired_at = now;
--- a/crates/replica/src/store/stored_record.rs
+++ b/crates/replica/src/store/stored_record.rs
@@ -3,7 +3,7 @@
 use cedarpulley::interface::Micros;
 use serde::{Deserialize, Serialize};
 
-use crate::record::{Effect, Record};
+use crate::record::{Invocation, Record};
 
 /// Identifies a record by its process and its place in the order in which that process made its records.
 #[derive(
@@ -34,17 +34,17 @@
 
 /// A copy of a record, sent to other members or persisted; its times are relative to the time of the copy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Shared {
+pub struct RecordCopy {
     /// The record.
     pub record: Record,
     /// Who made it; for an invocation, who owns it.
     pub origin: Origin,
     /// The time until it expires.
-    pub left: Micros,
+    pub expires_in: Micros,
     /// The time since the first dispatch was sent.
-    pub first_ago: Option<Micros>,
+    pub first_dispatch_ago: Option<Micros>,
     /// The time until the absence of the record is no longer a proof; negative afterwards.
-    pub proves_left: Option<Micros>,
+    pub proof_expires_in: Option<Micros>,
 }
 
 fn earlier(a: Option<Micros>, b: Option<Micros>) -> Option<Micros> {
@@ -64,26 +64,26 @@
     }
 
     /// A copy for other members or for the disk.
-    pub fn to_copy(&self, now: Micros) -> Shared {
-        Shared {
+    pub fn to_copy(&self, now: Micros) -> RecordCopy {
+        RecordCopy {
             record: self.record.clone(),
             origin: self.origin,
-            left: self.expires_at.saturating_sub(now),
-            first_ago: self.first_dispatch.map(|first| now.saturating_sub(first)),
-            proves_left: self.proof_until.map(|until| until.saturating_sub(now)),
+            expires_in: self.expires_at.saturating_sub(now),
+            first_dispatch_ago: self.first_dispatch.map(|first| now.saturating_sub(first)),
+            proof_expires_in: self.proof_until.map(|until| until.saturating_sub(now)),
         }
     }
 
     /// `transit`: an upper bound of the time that the copy was under way.
-    pub(super) fn from_copy(now: Micros, copy: &Shared, transit: Micros) -> Self {
+    pub(super) fn from_copy(now: Micros, copy: &RecordCopy, transit: Micros) -> Self {
         let after = |left: Micros| now.saturating_add(left.saturating_sub(transit));
         let before = |ago: Micros| now.saturating_sub(ago.saturating_add(transit));
         StoredRecord {
             record: copy.record.clone(),
             origin: copy.origin,
-            expires_at: after(copy.left),
-            first_dispatch: copy.first_ago.map(before),
-            proof_until: copy.proves_left.map(after),
+            expires_at: after(copy.expires_in),
+            first_dispatch: copy.first_dispatch_ago.map(before),
+            proof_until: copy.proof_expires_in.map(after),
         }
     }
 
@@ -103,6 +103,12 @@
 
     /// Two different answers are known.
     pub(super) fn has_conflict(&self) -> bool {
-        matches!(self.record, Record::Effect(Effect { fault: true, .. }))
+        matches!(
+            self.record,
+            Record::Invocation(Invocation {
+                has_conflict: true,
+                ..
+            })
+        )
     }
 }
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::record::{Ballot, Choice};
-use crate::store::{Key, Leaf, Origin, Shared};
+use crate::store::{Key, Leaf, Origin, RecordCopy};
 use crate::votes::Views;
 
 /// Raised with every change of a message: members of different versions reject each other.
@@ -18,17 +18,17 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
-pub enum Memory {
+pub enum RecoveryState {
     /// It started without records.
     #[default]
     #[serde(rename = "lost")]
-    Lost,
+    Empty,
     /// It started from its disk, which may be older than its last votes.
     #[serde(rename = "kept")]
-    Kept,
+    Restored,
     /// It remembers all that it has voted for; nothing is missing.
     #[serde(rename = "whole")]
-    Whole,
+    Complete,
 }
 
 /// Why an acceptor gave no vote.
@@ -66,7 +66,7 @@
         /// The ballot is a first one, valid only where no other owner has the record.
         is_first_ballot: bool,
         /// The record with the intent.
-        record: Shared,
+        record: RecordCopy,
     },
     /// The vote on [`Message::StoreIntent`]: the intent is stored.
     IntentStored {
@@ -97,7 +97,7 @@
         /// The new owner's ballot.
         ballot: Ballot,
         /// The voter's record.
-        record: Option<Shared>,
+        record: Option<RecordCopy>,
         /// Which processes the voter knows.
         views: Views,
     },
@@ -112,7 +112,7 @@
         /// Why there is no vote.
         reason: RejectionReason,
         /// The acceptor's record.
-        record: Option<Shared>,
+        record: Option<RecordCopy>,
     },
     /// Phase 1 of Paxos: a proposer asks for a promise.
     Prepare {
@@ -172,7 +172,7 @@
         /// The record's key.
         key: Key,
         /// The record.
-        record: Shared,
+        record: RecordCopy,
     },
     /// Begins a comparison: the sender asks which of its groups of leaves differ.
     CompareDigests {
@@ -186,7 +186,7 @@
         /// The number of the request.
         serial: u64,
         /// How much the answering member remembers.
-        memory: Memory,
+        memory: RecoveryState,
         /// Which process the answering member takes the asking one for.
         your_process: u32,
         /// The leaf digests of each group that differs.
@@ -207,7 +207,7 @@
         /// The number of the request.
         serial: u64,
         /// The records.
-        records: Vec<(Key, Shared)>,
+        records: Vec<(Key, RecordCopy)>,
         /// There are more: ask again, continuing after this record.
         more: Option<(Leaf, Key)>,
     },
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -7,16 +7,17 @@
 use bytes::Bytes;
 use cedarpulley_membership::{Group, Member, MemberIndex};
 use cedarpulley_replica::{
-    Guard, Input, Key, Lack, Message, Need, Outcome, Output, Replica, Shared, Terms, Verdict,
+    Durability, Input, Key, Message, NoMajorityReason, Outcome, Output, OwnershipDecision,
+    RecordCopy, Replica, ReplicaSettings, SafetyCheck,
 };
 
 pub const MS: i64 = 1_000;
 pub const KEPT: i64 = 6_000 * MS;
 
-pub fn terms(without: Option<Guard>, patience: i64) -> Terms {
-    Terms {
-        without,
-        ..Terms::usual(KEPT, patience, 1)
+pub fn terms(without: Option<SafetyCheck>, patience: i64) -> ReplicaSettings {
+    ReplicaSettings {
+        disabled_check: without,
+        ..ReplicaSettings::with_defaults(KEPT, patience, 1)
     }
 }
 
@@ -32,13 +33,13 @@
 
 pub struct World {
     pub now: i64,
-    pub without: Option<Guard>,
+    pub without: Option<SafetyCheck>,
     pub replicas: Vec<Option<Replica>>,
     pub nonces: Vec<u64>,
     /// From whom, to whom, of which process, when it was sent.
     pub net: Vec<(MemberIndex, MemberIndex, u64, i64, Message)>,
-    pub verdicts: Vec<BTreeMap<Key, Vec<Verdict>>>,
-    pub leaves: Vec<BTreeMap<u64, Result<bool, Lack>>>,
+    pub verdicts: Vec<BTreeMap<Key, Vec<OwnershipDecision>>>,
+    pub leaves: Vec<BTreeMap<u64, Result<bool, NoMajorityReason>>>,
     pub decided: Vec<BTreeMap<Key, Vec<Outcome>>>,
     pub last: u64,
     /// How long a majority is waited for.
@@ -49,37 +50,37 @@
     /// Each has a folder: what is on its way there, and what is there. Choices alone are kept there for long enough.
     pub written: bool,
     pub takings: Vec<Option<Taking>>,
-    pub disks: Vec<BTreeMap<Key, Shared>>,
+    pub disks: Vec<BTreeMap<Key, RecordCopy>>,
 }
 
-pub type Taking = (u64, Vec<(Key, Option<Shared>)>);
+pub type Taking = (u64, Vec<(Key, Option<RecordCopy>)>);
 
 impl World {
     /// All of them remember, as after a long time.
-    pub fn new(n: usize, without: Option<Guard>) -> World {
+    pub fn new(n: usize, without: Option<SafetyCheck>) -> World {
         World::patient(n, without, 800 * MS)
     }
 
-    pub fn patient(n: usize, without: Option<Guard>, patience: i64) -> World {
+    pub fn patient(n: usize, without: Option<SafetyCheck>, patience: i64) -> World {
         let mut w = World::made(n, without, patience, false);
         w.pass(2 * KEPT);
         w.net.clear();
         w
     }
 
-    pub fn fresh(n: usize, without: Option<Guard>) -> World {
+    pub fn fresh(n: usize, without: Option<SafetyCheck>) -> World {
         World::made(n, without, 800 * MS, false)
     }
 
     /// All of them remember, and have folders.
-    pub fn written(n: usize, without: Option<Guard>) -> World {
+    pub fn written(n: usize, without: Option<SafetyCheck>) -> World {
         let mut w = World::made(n, without, 800 * MS, true);
         w.pass(2 * KEPT);
         w.net.clear();
         w
     }
 
-    fn made(n: usize, without: Option<Guard>, patience: i64, written: bool) -> World {
+    fn made(n: usize, without: Option<SafetyCheck>, patience: i64, written: bool) -> World {
         let mut w = World {
             now: 0,
             without,
@@ -101,12 +102,12 @@
         w
     }
 
-    pub fn start(&mut self, r: usize, folder: Option<Vec<(Key, Shared)>>) {
+    pub fn start(&mut self, r: usize, folder: Option<Vec<(Key, RecordCopy)>>) {
         let n = self.replicas.len();
         self.last += 1;
         self.nonces[r] = self.last;
-        let terms = Terms {
-            written: self.written,
+        let terms = ReplicaSettings {
+            is_persistent: self.written,
             ..terms(self.without, self.patience)
         };
         let group = group(n, r);
@@ -118,7 +119,7 @@
         }
     }
 
-    pub fn crash(&mut self, r: usize) -> Vec<(Key, Shared)> {
+    pub fn crash(&mut self, r: usize) -> Vec<(Key, RecordCopy)> {
         let folder = self.folder(r);
         self.replicas[r] = None;
         folder
@@ -146,7 +147,7 @@
                 None => self.disks[r].remove(&key),
             };
         }
-        self.feed(r, Input::Kept { serial });
+        self.feed(r, Input::Persisted { serial });
     }
 
     /// It dies and starts from what is on its disk.
@@ -159,7 +160,7 @@
         self.start(r, Some(folder));
     }
 
-    pub fn folder(&self, r: usize) -> Vec<(Key, Shared)> {
+    pub fn folder(&self, r: usize) -> Vec<(Key, RecordCopy)> {
         self.at(r)
             .records()
             .map(|(k, s)| (k.clone(), s.to_copy(self.now)))
@@ -183,7 +184,7 @@
         let (member, nonce) = (m as MemberIndex, self.nonces[m]);
         self.feed(
             r,
-            Input::Member {
+            Input::MemberChanged {
                 member,
                 nonce,
                 alive,
@@ -204,16 +205,21 @@
                     self.net
                         .push((r as MemberIndex, to, self.nonces[r], self.now, message));
                 }
-                Output::Verdict { key, verdict } => {
-                    self.verdicts[r].entry(key).or_default().push(verdict)
-                }
-                Output::Leave { sending, left, .. } => {
+                Output::Decision {
+                    key,
+                    decision: verdict,
+                } => self.verdicts[r].entry(key).or_default().push(verdict),
+                Output::DispatchPermission {
+                    dispatch: sending,
+                    permission: left,
+                    ..
+                } => {
                     self.leaves[r].insert(sending, left);
                 }
-                Output::Decided { key, outcome } => {
+                Output::ProposalEnded { key, outcome } => {
                     self.decided[r].entry(key).or_default().push(outcome)
                 }
-                Output::Noticed(_) | Output::Whole => {}
+                Output::RecordChanged(_) | Output::Recovered => {}
             }
         }
     }
@@ -225,7 +231,7 @@
             let transit = self.now - sent;
             self.feed(
                 to as usize,
-                Input::Heard {
+                Input::MessageReceived {
                     from,
                     nonce,
                     transit,
@@ -255,19 +261,19 @@
         }
     }
 
-    pub fn take(&mut self, r: usize, key: &str, redelivered: bool) -> Option<Verdict> {
+    pub fn take(&mut self, r: usize, key: &str, redelivered: bool) -> Option<OwnershipDecision> {
         self.feed(
             r,
             Input::Take {
                 key: key.into(),
-                need: Need::Held,
+                durability: Durability::Majority,
                 redelivered,
             },
         );
         self.verdict(r, key)
     }
 
-    pub fn verdict(&self, r: usize, key: &str) -> Option<Verdict> {
+    pub fn verdict(&self, r: usize, key: &str) -> Option<OwnershipDecision> {
         self.verdicts[r].get(key).and_then(|v| v.last()).cloned()
     }
 
@@ -276,11 +282,11 @@
         let sending = self.last;
         self.feed(
             r,
-            Input::Intend {
+            Input::RequestDispatch {
                 key: key.into(),
-                sending,
-                place: 0,
-                alone: false,
+                dispatch: sending,
+                deduplication_scope: 0,
+                without_majority: false,
             },
         );
         sending
@@ -293,9 +299,9 @@
     pub fn ended(&mut self, r: usize, key: &str, sending: u64, may_have_run: bool) {
         self.feed(
             r,
-            Input::Ended {
+            Input::DispatchEnded {
                 key: key.into(),
-                sending,
+                dispatch: sending,
                 may_have_run,
             },
         );
--- a/crates/replica/tests/explorer.rs
+++ b/crates/replica/tests/explorer.rs
@@ -13,7 +13,8 @@
 use bytes::Bytes;
 use cedarpulley_membership::{Group, Member, MemberIndex};
 use cedarpulley_replica::{
-    Guard, Input, Key, Lack, Message, Need, Output, Replica, Shared, Terms, Verdict,
+    Durability, Input, Key, Message, NoMajorityReason, Output, OwnershipDecision, RecordCopy,
+    Replica, ReplicaSettings, SafetyCheck,
 };
 
 const N: usize = 3;
@@ -104,7 +105,7 @@
 }
 
 /// What a crashed one leaves.
-type Folder = Arc<Vec<(Key, Shared)>>;
+type Folder = Arc<Vec<(Key, RecordCopy)>>;
 
 #[derive(Clone)]
 struct World {
@@ -128,15 +129,15 @@
     last: u64,
 }
 
-fn terms(without: Option<Guard>) -> Terms {
-    Terms {
-        resend_every: KEPT / 4,
-        tell_after: 0,
-        compare_every: KEPT / 4,
-        compared_within: 5_000,
-        step_back: 0,
-        without,
-        ..Terms::usual(KEPT, 5_000, 1)
+fn terms(without: Option<SafetyCheck>) -> ReplicaSettings {
+    ReplicaSettings {
+        resend_interval: KEPT / 4,
+        broadcast_delay: 0,
+        comparison_interval: KEPT / 4,
+        comparison_timeout: 5_000,
+        backoff: 0,
+        disabled_check: without,
+        ..ReplicaSettings::with_defaults(KEPT, 5_000, 1)
     }
 }
 
@@ -151,7 +152,7 @@
 }
 
 impl World {
-    fn new(left: FaultBudget, without: Option<Guard>) -> World {
+    fn new(left: FaultBudget, without: Option<SafetyCheck>) -> World {
         let mut w = World {
             replicas: Default::default(),
             marks: [[0; 2]; N],
@@ -173,7 +174,7 @@
             replica.handle(NOW, Input::Tick, &mut Vec::new());
             for m in 0..N {
                 w.views[r][m] = (w.nonces[m], true);
-                let input = Input::Member {
+                let input = Input::MemberChanged {
                     member: m as MemberIndex,
                     nonce: w.nonces[m],
                     alive: true,
@@ -257,10 +258,12 @@
                         self.net.push(sent);
                     }
                 }
-                Output::Verdict { verdict, .. } => self.verdict(r, verdict)?,
-                Output::Leave {
-                    sending,
-                    left: Ok(_),
+                Output::Decision {
+                    decision: verdict, ..
+                } => self.verdict(r, verdict)?,
+                Output::DispatchPermission {
+                    dispatch: sending,
+                    permission: Ok(_),
                     ..
                 } => {
                     if self.routers[r].out.get(&sending) != Some(&Out::Asking) {
@@ -271,20 +274,20 @@
                     }
                     self.routers[r].out.insert(sending, Out::Buffered);
                 }
-                Output::Leave {
-                    sending,
-                    left: Err(lack),
+                Output::DispatchPermission {
+                    dispatch: sending,
+                    permission: Err(lack),
                     ..
                 } => {
                     self.routers[r].out.remove(&sending);
                     self.routers[r].goes = false;
-                    if lack != Lack::Elsewhere {
+                    if lack != NoMajorityReason::OwnedElsewhere {
                         self.answers(r, false)?;
                     } else if !self.routers[r].holds {
                         self.feed(r, now, Input::Dropped { key: X.into() })?;
                     }
                 }
-                Output::Decided { .. } | Output::Noticed(_) | Output::Whole => {}
+                Output::ProposalEnded { .. } | Output::RecordChanged(_) | Output::Recovered => {}
             }
         }
         // A vote for what is over counts for nothing, whenever it comes.
@@ -295,19 +298,21 @@
         Ok(())
     }
 
-    fn verdict(&mut self, r: usize, verdict: Verdict) -> Result<(), String> {
+    fn verdict(&mut self, r: usize, verdict: OwnershipDecision) -> Result<(), String> {
         if !self.routers[r].holds {
             return Ok(());
         }
         match verdict {
-            Verdict::Go { .. } => {
+            OwnershipDecision::Dispatch { .. } => {
                 // It may have been overtaken by now; then it gets no leave.
                 self.routers[r].goes = true;
                 Ok(())
             }
-            Verdict::Waits => Ok(()),
-            Verdict::Answer(_) => self.answers(r, true),
-            Verdict::MayHaveRun(_) | Verdict::NoMajority(_) => self.answers(r, false),
+            OwnershipDecision::Wait => Ok(()),
+            OwnershipDecision::Answer(_) => self.answers(r, true),
+            OwnershipDecision::Indeterminate(_) | OwnershipDecision::NoMajority(_) => {
+                self.answers(r, false)
+            }
         }
     }
 
@@ -339,7 +344,11 @@
         }
     }
 
-    fn steps(&self, without: Option<Guard>, found: &mut dyn FnMut(Label, Result<World, String>)) {
+    fn steps(
+        &self,
+        without: Option<SafetyCheck>,
+        found: &mut dyn FnMut(Label, Result<World, String>),
+    ) {
         let mut step = |label: Label, change: &dyn Fn(&mut World) -> Result<(), String>| {
             let mut next = self.clone();
             let result = change(&mut next);
@@ -380,11 +389,11 @@
                     w.feed(
                         r,
                         NOW,
-                        Input::Intend {
+                        Input::RequestDispatch {
                             key: X.into(),
-                            sending,
-                            place: 0,
-                            alone: false,
+                            dispatch: sending,
+                            deduplication_scope: 0,
+                            without_majority: false,
                         },
                     )
                 });
@@ -553,7 +562,7 @@
                     w.feed(
                         to as usize,
                         NOW,
-                        Input::Heard {
+                        Input::MessageReceived {
                             from,
                             nonce,
                             transit: 0,
@@ -582,7 +591,7 @@
             NOW,
             Input::Take {
                 key: X.into(),
-                need: Need::Held,
+                durability: Durability::Majority,
                 redelivered,
             },
         )
@@ -599,9 +608,9 @@
         self.feed(
             r,
             NOW,
-            Input::Ended {
+            Input::DispatchEnded {
                 key: X.into(),
-                sending,
+                dispatch: sending,
                 may_have_run,
             },
         )?;
@@ -638,7 +647,7 @@
         self.feed(
             r,
             NOW,
-            Input::Heard {
+            Input::MessageReceived {
                 from,
                 nonce,
                 transit: 0,
@@ -660,7 +669,7 @@
         self.feed(
             r,
             NOW,
-            Input::Member {
+            Input::MemberChanged {
                 member: m as MemberIndex,
                 nonce: view.0,
                 alive: view.1,
@@ -693,7 +702,7 @@
 const THREADS: usize = 4;
 
 /// All states within so many steps, or until so many were seen.
-fn explore(first: World, without: Option<Guard>, depth: usize, most: usize) -> Found {
+fn explore(first: World, without: Option<SafetyCheck>, depth: usize, most: usize) -> Found {
     let mut seen: HashSet<u128> = HashSet::from([first.mark()]);
     let mut trail: Vec<(usize, Label)> = vec![(0, ("", 0, 0, 0))];
     let mut level = vec![(0, first)];
@@ -763,7 +772,11 @@
 }
 
 /// Where these steps lead, each named as it is found.
-fn after(faults: FaultBudget, without: Option<Guard>, path: &[(&str, usize, usize)]) -> World {
+fn after(
+    faults: FaultBudget,
+    without: Option<SafetyCheck>,
+    path: &[(&str, usize, usize)],
+) -> World {
     let mut at = World::new(faults, without);
     for (n, (what, a, b)) in path.iter().enumerate() {
         let mut next = None;
@@ -788,7 +801,7 @@
     assert!(found.broken.is_none(), "{what}: {:#?}", found.broken);
 }
 
-fn broken(guard: Guard, faults: FaultBudget, path: &[(&str, usize, usize)], most: usize) {
+fn broken(guard: SafetyCheck, faults: FaultBudget, path: &[(&str, usize, usize)], most: usize) {
     let found = explore(after(faults, Some(guard), path), Some(guard), DEEPEST, most);
     println!(
         "without {guard:?}: {} states, {} steps",
@@ -922,11 +935,11 @@
 
 #[test]
 fn each_disabled_safety_check_is_found() {
-    broken(Guard::Majority, TWINS, &[], 10_000);
-    broken(Guard::Blind, TWINS, &[], 10_000);
-    broken(Guard::Fence, CHANNEL, &[], 20_000);
-    broken(Guard::Promise, WOKEN, ASKING, 200_000);
-    broken(Guard::Missing, WOKEN, ASKING, 200_000);
-    broken(Guard::Gone, STOPPED, ASKING, 200_000);
-    broken(Guard::Abstaining, AMNESIA, FORGOTTEN, 100_000);
+    broken(SafetyCheck::MajorityBeforeDispatch, TWINS, &[], 10_000);
+    broken(SafetyCheck::FirstBallotAlone, TWINS, &[], 10_000);
+    broken(SafetyCheck::FencedTakeover, CHANNEL, &[], 20_000);
+    broken(SafetyCheck::KeptPromise, WOKEN, ASKING, 200_000);
+    broken(SafetyCheck::UnansweredMayHold, WOKEN, ASKING, 200_000);
+    broken(SafetyCheck::GoneOwnerMayHaveRun, STOPPED, ASKING, 200_000);
+    broken(SafetyCheck::NoVoteWithoutState, AMNESIA, FORGOTTEN, 100_000);
 }
--- a/crates/replica/tests/merge.rs
+++ b/crates/replica/tests/merge.rs
@@ -1,8 +1,8 @@
 //! Merging copies that differ gives the same result in any order and any number of times.
 
 use bytes::Bytes;
-use cedarpulley_replica::record::{Choice, Owner, Sending};
-use cedarpulley_replica::{Answered, Ballot, Effect, Note, Record, Sent};
+use cedarpulley_replica::record::{Choice, DispatchIntent, Owner};
+use cedarpulley_replica::{Ballot, IntentState, Invocation, Note, Record, StoredAnswer};
 use proptest::prelude::*;
 
 fn ballot() -> impl Strategy<Value = Ballot> {
@@ -21,37 +21,44 @@
     ])
 }
 
-fn sent() -> impl Strategy<Value = Sent> {
-    prop::sample::select(vec![Sent::Intended, Sent::NeverRan, Sent::MayHaveRun])
+fn sent() -> impl Strategy<Value = IntentState> {
+    prop::sample::select(vec![
+        IntentState::Intended,
+        IntentState::NotExecuted,
+        IntentState::Indeterminate,
+    ])
 }
 
 fn effect() -> impl Strategy<Value = Record> {
-    let sending = sent().prop_map(|state| Sending {
+    let sending = sent().prop_map(|state| DispatchIntent {
         member: 0,
         state,
-        place: 0,
+        deduplication_scope: 0,
     });
     let sendings = prop::collection::btree_map((1u64..3, 0u64..3), sending, 0..4);
     let answer = prop::option::of(prop_oneof![
-        value().prop_map(Answered::Kept),
-        Just(Answered::TooLarge)
+        value().prop_map(StoredAnswer::Stored),
+        Just(StoredAnswer::TooLarge)
     ]);
     let flags = (any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>());
     (ballot(), flags, sendings, answer).prop_map(
         |(ballot, (let_go, taken, doubtful, closed), sendings, answer)| {
-            let owner = Owner { ballot, let_go };
-            let mut e = Effect {
+            let owner = Owner {
+                ballot,
+                released: let_go,
+            };
+            let mut e = Invocation {
                 owner,
                 taken,
-                doubtful,
-                sendings,
+                may_lack_intents: doubtful,
+                intents: sendings,
                 answer,
-                ..Effect::default()
+                ..Invocation::default()
             };
             if closed {
                 e.close();
             }
-            Record::Effect(e)
+            Record::Invocation(e)
         },
     )
 }
@@ -94,10 +101,10 @@
     #[test]
     fn states_only_advance([a, b, _] in record()) {
         let ab = merged(&a, &b);
-        if let (Record::Effect(a), Record::Effect(ab)) = (&a, &ab) {
+        if let (Record::Invocation(a), Record::Invocation(ab)) = (&a, &ab) {
             prop_assert!(ab.owner >= a.owner && ab.taken >= a.taken && ab.closed >= a.closed);
             prop_assert!(ab.closed || a.answer.is_none() || ab.answer.is_some());
-            prop_assert!(ab.closed || a.sendings.iter().all(|(id, s)| ab.sendings[id].state >= s.state));
+            prop_assert!(ab.closed || a.intents.iter().all(|(id, s)| ab.intents[id].state >= s.state));
         }
     }
 }
@@ -106,20 +113,20 @@
 /// about it.
 #[test]
 fn a_choice_is_learned_though_later_invocations_of_its_process_have_expired() {
-    use cedarpulley_replica::Shared;
+    use cedarpulley_replica::RecordCopy;
     use cedarpulley_replica::store::{MergeOutcome, Origin, Store};
     let shared = |record: Record, serial, left| {
         let origin = Origin { nonce: 7, serial };
-        Shared {
+        RecordCopy {
             record,
             origin,
-            left,
-            first_ago: None,
-            proves_left: None,
+            expires_in: left,
+            first_dispatch_ago: None,
+            proof_expires_in: None,
         }
     };
     let mut store = Store::new(10, false);
-    let effect = || Record::Effect(Effect::default());
+    let effect = || Record::Invocation(Invocation::default());
     assert_eq!(
         store.merge(0, &"i".into(), &shared(effect(), 5, 10), 0),
         MergeOutcome::Changed
--- a/crates/replica/tests/message_bytes.rs
+++ b/crates/replica/tests/message_bytes.rs
@@ -10,7 +10,8 @@
 use cedarpulley_replica::votes::Views;
 use cedarpulley_replica::wire::RejectionReason;
 use cedarpulley_replica::{
-    Answered, Ballot, Effect, Key, Memory, Message, Note, Record, Sending, Sent, Shared, VERSION,
+    Ballot, DispatchIntent, IntentState, Invocation, Key, Message, Note, Record, RecordCopy,
+    RecoveryState, StoredAnswer, VERSION,
 };
 
 /// By line: a name, and the encoded message.
@@ -37,58 +38,58 @@
     }
 }
 
-fn shared(record: Record) -> Shared {
-    Shared {
+fn shared(record: Record) -> RecordCopy {
+    RecordCopy {
         record,
         origin: origin(),
-        left: 61_000_000,
-        first_ago: Some(1_500_000),
-        proves_left: Some(-7),
+        expires_in: 61_000_000,
+        first_dispatch_ago: Some(1_500_000),
+        proof_expires_in: Some(-7),
     }
 }
 
-fn sending(member: u16, state: Sent, place: u32) -> Sending {
-    Sending {
+fn sending(member: u16, state: IntentState, place: u32) -> DispatchIntent {
+    DispatchIntent {
         member,
         state,
-        place,
+        deduplication_scope: place,
     }
 }
 
-fn effect(answer: Option<Answered>) -> Effect {
-    let mut effect = Effect::default();
+fn effect(answer: Option<StoredAnswer>) -> Invocation {
+    let mut effect = Invocation::default();
     effect.owner.ballot = ballot(1_000);
     effect.taken = true;
     effect
-        .sendings
-        .insert((5, 6), sending(1, Sent::Intended, 300));
+        .intents
+        .insert((5, 6), sending(1, IntentState::Intended, 300));
     effect
-        .sendings
-        .insert((5, 7), sending(2, Sent::NeverRan, 301));
+        .intents
+        .insert((5, 7), sending(2, IntentState::NotExecuted, 301));
     effect
-        .sendings
-        .insert((8, 1), sending(3, Sent::MayHaveRun, 302));
+        .intents
+        .insert((8, 1), sending(3, IntentState::Indeterminate, 302));
     effect.answer = answer;
     effect
 }
 
 fn open_effect() -> Record {
-    let mut effect = effect(Some(Answered::Kept(Bytes::from_static(b"yes"))));
-    effect.doubtful = true;
-    Record::Effect(effect)
+    let mut effect = effect(Some(StoredAnswer::Stored(Bytes::from_static(b"yes"))));
+    effect.may_lack_intents = true;
+    Record::Invocation(effect)
 }
 
 fn faulty_effect() -> Record {
-    let mut effect = effect(Some(Answered::TooLarge));
-    effect.fault = true;
-    Record::Effect(effect)
+    let mut effect = effect(Some(StoredAnswer::TooLarge));
+    effect.has_conflict = true;
+    Record::Invocation(effect)
 }
 
 fn closed_effect() -> Record {
     let mut effect = effect(None);
-    effect.owner.let_go = true;
+    effect.owner.released = true;
     effect.close();
-    Record::Effect(effect)
+    Record::Invocation(effect)
 }
 
 fn chosen() -> Choice {
@@ -109,7 +110,7 @@
     Views(vec![11, 4_000_000_000, 33])
 }
 
-fn refused(why: RejectionReason, sending: Option<u64>, shared: Option<Shared>) -> Message {
+fn refused(why: RejectionReason, sending: Option<u64>, shared: Option<RecordCopy>) -> Message {
     let (key, ballot) = (key("k"), ballot(2));
     Message::Rejected {
         key,
@@ -138,7 +139,7 @@
     }
 }
 
-fn differ(memory: Memory) -> Message {
+fn differ(memory: RecoveryState) -> Message {
     Message::DifferingGroups {
         serial: 21,
         memory,
@@ -273,9 +274,9 @@
     };
     vec![
         ("compare", compare),
-        ("differ-lost", differ(Memory::Lost)),
-        ("differ-kept", differ(Memory::Kept)),
-        ("differ-whole", differ(Memory::Whole)),
+        ("differ-lost", differ(RecoveryState::Empty)),
+        ("differ-kept", differ(RecoveryState::Restored)),
+        ("differ-whole", differ(RecoveryState::Complete)),
         ("want", want(None)),
         ("want-after", want(Some((4_000, key("a"))))),
         ("have", have(None)),
@@ -284,12 +285,12 @@
 }
 
 fn messages_on_records() -> Vec<(&'static str, Message)> {
-    let bare = Shared {
+    let bare = RecordCopy {
         record: Record::Choice(Choice::default()),
         origin: Origin::default(),
-        left: 0,
-        first_ago: None,
-        proves_left: None,
+        expires_in: 0,
+        first_dispatch_ago: None,
+        proof_expires_in: None,
     };
     let tell_bare = Message::Update {
         key: key(""),
--- a/crates/replica/tests/persistence.rs
+++ b/crates/replica/tests/persistence.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use cedarpulley_replica::{Ballot, Guard, Input, Key, Memory, Message, Outcome};
+use cedarpulley_replica::{Ballot, Input, Key, Message, Outcome, RecoveryState, SafetyCheck};
 use common::{KEPT, MS, World};
 
 const LONG: i64 = 1_000 * KEPT;
@@ -18,7 +18,7 @@
         Input::Choose {
             key: key.into(),
             value,
-            kept: LONG,
+            retention: LONG,
         },
     );
 }
@@ -40,12 +40,12 @@
     let mut w = World::written(3, None);
     choose(&mut w, 0, "s", 1);
     w.deliver(|_, _, _| true);
-    assert!((0..3).all(|r| w.at(r).awaits_folder()) && w.at(1).counts.votes_deferred == 1);
+    assert!((0..3).all(|r| w.at(r).awaits_batch()) && w.at(1).counts.votes_deferred == 1);
     // Its own alone is none, and another one's beside it is a majority.
     writes(&mut w, 0);
     w.takes(1);
     w.deliver(|_, _, _| true);
-    assert!(!w.at(1).awaits_folder(), "it is on its way");
+    assert!(!w.at(1).awaits_batch(), "it is on its way");
     w.commits(1);
     // Promised; the acceptances wait again.
     w.deliver(|_, _, _| true);
@@ -82,7 +82,7 @@
     };
     w.feed(
         1,
-        Input::Heard {
+        Input::MessageReceived {
             from: 0,
             nonce: w.nonces[0],
             transit: 0,
@@ -122,7 +122,7 @@
         0,
         Input::Lead {
             key: "plan".into(),
-            kept: LONG,
+            retention: LONG,
         },
     );
     w.deliver(|_, _, _| true);
@@ -134,7 +134,7 @@
                 key: "plan".into(),
                 ballot,
                 value: Bytes::from_static(value),
-                kept: LONG,
+                retention: LONG,
             },
         );
     };
@@ -195,7 +195,7 @@
 
 /// A seeded run: choices and terms, disks that write at random times, messages lost and reordered, and power cuts of all
 /// members at once. Returns how many values were chosen and written.
-fn play(without: Option<Guard>, seed: u64) -> Result<(usize, usize), String> {
+fn play(without: Option<SafetyCheck>, seed: u64) -> Result<(usize, usize), String> {
     let mut dice = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut draw = move |most: usize| {
         dice = dice
@@ -224,7 +224,7 @@
                 r,
                 Input::Lead {
                     key: "plan".into(),
-                    kept: LONG,
+                    retention: LONG,
                 },
             ),
             4..6 => {
@@ -238,7 +238,7 @@
                             key: "plan".into(),
                             ballot,
                             value,
-                            kept: LONG,
+                            retention: LONG,
                         },
                     );
                 }
@@ -251,7 +251,7 @@
                     if draw(10) > 0 {
                         w.feed(
                             to as usize,
-                            Input::Heard {
+                            Input::MessageReceived {
                                 from,
                                 nonce,
                                 transit: 0,
@@ -272,7 +272,8 @@
                 w.replicas.iter_mut().for_each(|it| *it = None);
                 (0..n).for_each(|r| w.loses_power(r));
                 seen.leads = vec![None; n];
-                let all = |w: &World| (0..n).all(|r| w.at(r).memory() == Memory::Whole);
+                let all =
+                    |w: &World| (0..n).all(|r| w.at(r).recovery_state() == RecoveryState::Complete);
                 for _ in 0..200 {
                     w.pass(10 * MS);
                     if all(&w) {
@@ -301,7 +302,7 @@
     println!("{runs} runs: {chosen} chosen, {written} terms written");
     assert!(chosen > 0 && written > 0);
     let found = (0..runs)
-        .filter_map(|seed| play(Some(Guard::Kept), seed).err())
+        .filter_map(|seed| play(Some(SafetyCheck::PersistBeforeVote), seed).err())
         .collect::<Vec<_>>();
     println!(
         "without the guard: {} of {runs}, {:?}",
--- a/crates/replica/tests/random_faults.rs
+++ b/crates/replica/tests/random_faults.rs
@@ -14,7 +14,8 @@
 use bytes::Bytes;
 use cedarpulley_membership::MemberIndex;
 use cedarpulley_replica::{
-    Ballot, Guard, Input, Key, Lack, Need, Outcome, Record, Replica, Shared, Verdict,
+    Ballot, Durability, Input, Key, NoMajorityReason, Outcome, OwnershipDecision, Record,
+    RecordCopy, Replica, SafetyCheck,
 };
 use common::{KEPT, MS, World, group, terms};
 use proptest::prelude::*;
@@ -172,7 +173,7 @@
 }
 
 /// When it was written, and what.
-type Written = (i64, Vec<(Key, Shared)>);
+type Written = (i64, Vec<(Key, RecordCopy)>);
 
 struct Run {
     w: World,
@@ -199,7 +200,7 @@
 }
 
 thread_local! {
-    static WITHOUT: Cell<Option<Guard>> = const { Cell::new(None) };
+    static WITHOUT: Cell<Option<SafetyCheck>> = const { Cell::new(None) };
     static COUNTS: Cell<[u64; 4]> = const { Cell::new([0; 4]) };
 }
 
@@ -274,16 +275,18 @@
         }
     }
 
-    fn verdict(&mut self, r: usize, k: usize, verdict: Verdict) {
+    fn verdict(&mut self, r: usize, k: usize, verdict: OwnershipDecision) {
         match verdict {
-            Verdict::Go { .. } => {
+            OwnershipDecision::Dispatch { .. } => {
                 if let Some(held) = self.held[r].get_mut(&k) {
                     held.goes = true;
                 }
             }
-            Verdict::Waits => {}
-            Verdict::Answer(answer) => self.answers(r, k, Some(answer)),
-            Verdict::MayHaveRun(_) | Verdict::NoMajority(_) => self.answers(r, k, None),
+            OwnershipDecision::Wait => {}
+            OwnershipDecision::Answer(answer) => self.answers(r, k, Some(answer)),
+            OwnershipDecision::Indeterminate(_) | OwnershipDecision::NoMajority(_) => {
+                self.answers(r, k, None)
+            }
         }
     }
 
@@ -296,7 +299,7 @@
                 .any(|d| d.key == k && d.sending != beside && may(d))
     }
 
-    fn leave(&mut self, r: usize, sending: u64, left: Result<bool, Lack>) {
+    fn leave(&mut self, r: usize, sending: u64, left: Result<bool, NoMajorityReason>) {
         let asks = |d: &Dispatch| d.r == r && d.sending == sending && d.state == State::Asking;
         let Some(at) = self.dispatches.iter().position(asks) else {
             return;
@@ -316,7 +319,7 @@
                 if let Some(held) = self.held[r].get_mut(&k) {
                     held.goes = false;
                 }
-                if lack != Lack::Elsewhere {
+                if lack != NoMajorityReason::OwnedElsewhere {
                     self.answers(r, k, None);
                 } else if !self.held[r].contains_key(&k) {
                     self.feed(r, Input::Dropped { key: key(k) });
@@ -396,7 +399,7 @@
             r,
             Input::Take {
                 key: key(k),
-                need: Need::Held,
+                durability: Durability::Majority,
                 redelivered,
             },
         );
@@ -414,9 +417,9 @@
         let may_have_run = d.state != State::Buffered && (ran || !heard);
         self.feed(
             d.r,
-            Input::Ended {
+            Input::DispatchEnded {
                 key: key(d.key),
-                sending: d.sending,
+                dispatch: d.sending,
                 may_have_run,
             },
         );
@@ -443,7 +446,7 @@
             self.views[r][m] = nonce;
             self.feed(
                 r,
-                Input::Member {
+                Input::MemberChanged {
                     member: m as MemberIndex,
                     nonce,
                     alive,
@@ -478,7 +481,7 @@
                 let transit = self.w.clock(to) - self.w.clock_at(to, at);
                 self.feed(
                     to,
-                    Input::Heard {
+                    Input::MessageReceived {
                         from,
                         nonce,
                         transit,
@@ -509,14 +512,17 @@
         };
         let records = copy.map(|(at, records)| {
             let since = self.w.now - at;
-            let older = |(key, mut s): (Key, Shared)| {
-                (s.left, s.proves_left) = (s.left - since, s.proves_left.map(|left| left - since));
+            let older = |(key, mut s): (Key, RecordCopy)| {
+                (s.expires_in, s.proof_expires_in) = (
+                    s.expires_in - since,
+                    s.proof_expires_in.map(|left| left - since),
+                );
                 (key, s)
             };
             records
                 .into_iter()
                 .map(older)
-                .filter(|(_, s)| s.left > 0)
+                .filter(|(_, s)| s.expires_in > 0)
                 .collect()
         });
         self.w.last += 1;
@@ -580,11 +586,11 @@
                     });
                     self.feed(
                         r,
-                        Input::Intend {
+                        Input::RequestDispatch {
                             key: key(k),
-                            sending,
-                            place: 0,
-                            alone: false,
+                            dispatch: sending,
+                            deduplication_scope: 0,
+                            without_majority: false,
                         },
                     );
                 }
@@ -670,7 +676,7 @@
                     Input::Choose {
                         key,
                         value,
-                        kept: LONG,
+                        retention: LONG,
                     },
                 );
             }
@@ -678,7 +684,7 @@
                 within(r),
                 Input::Lead {
                     key: "plan".into(),
-                    kept: LONG,
+                    retention: LONG,
                 },
             ),
             Op::Write(r) => {
@@ -693,7 +699,7 @@
                             key: "plan".into(),
                             ballot,
                             value,
-                            kept: LONG,
+                            retention: LONG,
                         },
                     );
                 }
@@ -704,18 +710,18 @@
                 let value = Bytes::from(self.values.to_string());
                 self.feed(
                     within(r),
-                    Input::Noted {
+                    Input::PublishNote {
                         key,
                         version,
                         value,
-                        kept: LONG,
+                        retention: LONG,
                     },
                 );
             }
         }
     }
 
-    fn folder(&self, r: usize) -> Vec<(Key, Shared)> {
+    fn folder(&self, r: usize) -> Vec<(Key, RecordCopy)> {
         let now = self.w.clock(r);
         self.w
             .at(r)
@@ -731,7 +737,7 @@
                 continue;
             }
             for (key, slot) in self.w.replicas[r].iter().flat_map(|it| it.records()) {
-                if let Record::Effect(_) = slot.record {
+                if let Record::Invocation(_) = slot.record {
                     let made = *self
                         .made
                         .entry((slot.origin.nonce, slot.origin.serial))
@@ -755,7 +761,7 @@
         }
         let all_the_same = |it: &Self| {
             let long = |r: usize| {
-                let lasting = |s: &Record| !matches!(s, Record::Effect(_));
+                let lasting = |s: &Record| !matches!(s, Record::Invocation(_));
                 let all = it.w.at(r).records().filter(|(_, s)| lasting(&s.record));
                 all.map(|(k, s)| (k.clone(), s.record.clone()))
                     .collect::<BTreeMap<_, _>>()
@@ -799,7 +805,7 @@
 }
 
 /// The first failure in so many runs, each with other chance; `seed`: of all of them.
-fn play(without: Option<Guard>, seed: u8, cases: u32) -> Result<[u64; 4], String> {
+fn play(without: Option<SafetyCheck>, seed: u8, cases: u32) -> Result<[u64; 4], String> {
     WITHOUT.set(without);
     COUNTS.set([0; 4]);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
@@ -839,12 +845,12 @@
 }
 
 /// Each of the others needs a longer chain than chance makes in so few runs; the explorer and `recovery.rs` have them.
-const FOUND: [Guard; 5] = [
-    Guard::Majority,
-    Guard::Promise,
-    Guard::Gone,
-    Guard::Missing,
-    Guard::Adopted,
+const FOUND: [SafetyCheck; 5] = [
+    SafetyCheck::MajorityBeforeDispatch,
+    SafetyCheck::KeptPromise,
+    SafetyCheck::GoneOwnerMayHaveRun,
+    SafetyCheck::UnansweredMayHold,
+    SafetyCheck::AdoptAcceptedValue,
 ];
 
 #[test]
--- a/crates/replica/tests/recovery.rs
+++ b/crates/replica/tests/recovery.rs
@@ -6,21 +6,24 @@
 use bytes::Bytes;
 use cedarpulley_membership::MemberIndex;
 use cedarpulley_replica::{
-    Guard, IndeterminateReason, Input, Memory, Message, Replica, Terms, Verdict,
+    IndeterminateReason, Input, Message, OwnershipDecision, RecoveryState, Replica,
+    ReplicaSettings, SafetyCheck,
 };
 use common::{KEPT, MS, World, group, terms};
 
-const GO: Verdict = Verdict::Go { first_ago: None };
+const GO: OwnershipDecision = OwnershipDecision::Dispatch {
+    first_dispatch_ago: None,
+};
 
 fn note(w: &mut World, r: usize, n: u64) {
     let (key, value) = (format!("n{n}").into(), Bytes::from(n.to_string()));
     w.feed(
         r,
-        Input::Noted {
+        Input::PublishNote {
             key,
             version: (1, n),
             value,
-            kept: 10 * KEPT,
+            retention: 10 * KEPT,
         },
     );
 }
@@ -36,7 +39,7 @@
     let (from, _, nonce, _, message) = w.net.remove(n);
     w.feed(
         to,
-        Input::Heard {
+        Input::MessageReceived {
             from,
             nonce,
             transit,
@@ -54,7 +57,7 @@
     w.start(2, None);
     // The second piece is lost, and the first comes twice. Only one of the other two has any of it.
     let (mut first, mut lost) = (None, false);
-    while w.at(2).memory() != Memory::Whole && w.now < 4 * KEPT {
+    while w.at(2).recovery_state() != RecoveryState::Complete && w.now < 4 * KEPT {
         w.now += 10 * MS;
         (0..3).for_each(|r| w.feed(r, Input::Tick));
         while !w.net.is_empty() {
@@ -71,7 +74,7 @@
             }
             w.feed(
                 to as usize,
-                Input::Heard {
+                Input::MessageReceived {
                     from,
                     nonce,
                     transit: 0,
@@ -82,8 +85,8 @@
     }
     assert!(lost);
     assert_eq!(
-        (w.at(2).memory(), w.at(2).records().count()),
-        (Memory::Whole, 3_000)
+        (w.at(2).recovery_state(), w.at(2).records().count()),
+        (RecoveryState::Complete, 3_000)
     );
 }
 
@@ -95,8 +98,8 @@
     }
     w.pass(20 * MS);
     w.crash(2);
-    let few = Terms {
-        most_records: 2,
+    let few = ReplicaSettings {
+        max_records: 2,
         ..terms(None, 800 * MS)
     };
     w.replicas[2] = Some(Replica::new(w.now, group(3, 2), few, 99, None));
@@ -105,11 +108,11 @@
     (0..2).for_each(|r| w.sees(r, 2, true));
     w.pass(1_000 * MS);
     assert_eq!(
-        (w.at(2).memory(), w.at(2).records().count()),
-        (Memory::Lost, 2)
+        (w.at(2).recovery_state(), w.at(2).records().count()),
+        (RecoveryState::Empty, 2)
     );
     w.pass(2 * KEPT);
-    assert_eq!(w.at(2).memory(), Memory::Whole);
+    assert_eq!(w.at(2).recovery_state(), RecoveryState::Complete);
 }
 
 /// The first two agree on an intent; the third knows only that it was taken. Then the first is gone.
@@ -127,7 +130,7 @@
 }
 
 /// It comes again at the third, which had heard of nobody meanwhile.
-fn comes_again(w: &mut World, after: i64) -> Option<Verdict> {
+fn comes_again(w: &mut World, after: i64) -> Option<OwnershipDecision> {
     w.pass_where(after, |_, _, _| false);
     w.sees(2, 0, false);
     w.take(2, "x", true);
@@ -152,7 +155,9 @@
     let verdict = comes_again(&mut w, KEPT / 2);
     assert_eq!(
         verdict,
-        Some(Verdict::MayHaveRun(IndeterminateReason::OwnerGone))
+        Some(OwnershipDecision::Indeterminate(
+            IndeterminateReason::OwnerGone
+        ))
     );
 }
 
@@ -166,7 +171,7 @@
         (left, comes_again(&mut w, KEPT / 2))
     };
     assert!(!play(None).0);
-    assert_eq!(play(Some(Guard::Age)), (true, Some(GO)));
+    assert_eq!(play(Some(SafetyCheck::NotTooLate)), (true, Some(GO)));
 }
 
 #[test]
@@ -180,9 +185,11 @@
     };
     assert_eq!(
         play(None),
-        Some(Verdict::MayHaveRun(IndeterminateReason::Unknown))
+        Some(OwnershipDecision::Indeterminate(
+            IndeterminateReason::Unknown
+        ))
     );
-    assert_eq!(play(Some(Guard::Age)), Some(GO));
+    assert_eq!(play(Some(SafetyCheck::NotTooLate)), Some(GO));
     let mut w = World::new(3, None);
     w.take(0, "x", false);
     w.pass_where(KEPT - 100 * MS, |_, _, _| false);
@@ -208,7 +215,7 @@
         matches!(m, Message::Fence { .. })
     });
     w.deliver(|from, to, _| from + to == 3);
-    assert_eq!(w.verdict(2, "x"), Some(Verdict::Waits));
+    assert_eq!(w.verdict(2, "x"), Some(OwnershipDecision::Wait));
 }
 
 #[test]
--- a/crates/replica/tests/scenarios.rs
+++ b/crates/replica/tests/scenarios.rs
@@ -4,11 +4,14 @@
 
 use bytes::Bytes;
 use cedarpulley_replica::{
-    Guard, IndeterminateReason, Input, Lack, Memory, Message, Need, Outcome, Record, Terms, Verdict,
+    Durability, IndeterminateReason, Input, Message, NoMajorityReason, Outcome, OwnershipDecision,
+    Record, RecoveryState, ReplicaSettings, SafetyCheck,
 };
 use common::{KEPT, MS, World, group, terms};
 
-const GO: Verdict = Verdict::Go { first_ago: None };
+const GO: OwnershipDecision = OwnershipDecision::Dispatch {
+    first_dispatch_ago: None,
+};
 
 #[test]
 fn a_dispatch_needs_a_majority_and_the_next_router_waits_for_it() {
@@ -21,18 +24,18 @@
     // Its channel is lost; the message comes to another one, which waits for its end and answers alike.
     assert_eq!(w.take(2, "x", true), None);
     w.deliver(|_, _, _| true);
-    assert_eq!(w.verdict(2, "x"), Some(Verdict::Waits));
+    assert_eq!(w.verdict(2, "x"), Some(OwnershipDecision::Wait));
     w.ended(0, "x", s, true);
     w.answered(0, "x", "done");
     w.pass(20 * MS);
     assert_eq!(
         w.verdict(2, "x"),
-        Some(Verdict::Answer(Bytes::from_static(b"done")))
+        Some(OwnershipDecision::Answer(Bytes::from_static(b"done")))
     );
     // A third delivery is answered at once.
     assert_eq!(
         w.take(1, "x", true),
-        Some(Verdict::Answer(Bytes::from_static(b"done")))
+        Some(OwnershipDecision::Answer(Bytes::from_static(b"done")))
     );
 }
 
@@ -44,7 +47,7 @@
         (
             "ran",
             Some(true),
-            Verdict::MayHaveRun(IndeterminateReason::DispatchIndeterminate),
+            OwnershipDecision::Indeterminate(IndeterminateReason::DispatchIndeterminate),
         ),
     ] {
         w.take(0, key, false);
@@ -81,11 +84,13 @@
     w.take(1, "x", true);
     w.deliver(|_, _, _| true);
     // Not known to be gone yet, it is waited for.
-    assert_eq!(w.verdict(1, "x"), Some(Verdict::Waits));
+    assert_eq!(w.verdict(1, "x"), Some(OwnershipDecision::Wait));
     w.sees(1, 0, false);
     assert_eq!(
         w.verdict(1, "x"),
-        Some(Verdict::MayHaveRun(IndeterminateReason::OwnerGone))
+        Some(OwnershipDecision::Indeterminate(
+            IndeterminateReason::OwnerGone
+        ))
     );
 }
 
@@ -95,17 +100,17 @@
     w.take(0, "x", false);
     let s = w.intend(0, "x");
     w.pass_where(1_000 * MS, |_, _, _| false);
-    assert_eq!(w.leaves[0][&s], Err(Lack::Late));
+    assert_eq!(w.leaves[0][&s], Err(NoMajorityReason::TimedOut));
     w.take(0, "y", false);
     w.last += 1;
     let s = w.last;
     w.feed(
         0,
-        Input::Intend {
+        Input::RequestDispatch {
             key: "y".into(),
-            sending: s,
-            place: 0,
-            alone: true,
+            dispatch: s,
+            deduplication_scope: 0,
+            without_majority: true,
         },
     );
     w.pass_where(1_000 * MS, |_, _, _| false);
@@ -115,19 +120,19 @@
     w.sees(0, 2, false);
     assert_eq!(
         w.take(0, "z", false),
-        Some(Verdict::NoMajority(Lack::Unreachable))
+        Some(OwnershipDecision::NoMajority(NoMajorityReason::Unreachable))
     );
     let mut w = World::fresh(3, None);
     assert_eq!(
         w.take(0, "z", false),
-        Some(Verdict::NoMajority(Lack::Returning))
+        Some(OwnershipDecision::NoMajority(NoMajorityReason::Recovering))
     );
     // Tokened ones that need no copy are taken all the same.
     w.feed(
         0,
         Input::Take {
             key: "t".into(),
-            need: Need::Known,
+            durability: Durability::Local,
             redelivered: false,
         },
     );
@@ -142,7 +147,7 @@
             r,
             Input::Take {
                 key: "t".into(),
-                need: Need::Known,
+                durability: Durability::Local,
                 redelivered: false,
             },
         );
@@ -151,24 +156,24 @@
     assert_eq!(take(&mut w, 0), Some(GO));
     w.feed(
         0,
-        Input::Left {
+        Input::Dispatched {
             key: "t".into(),
-            sending: 7,
-            place: 0,
+            dispatch: 7,
+            deduplication_scope: 0,
         },
     );
     w.pass(300 * MS);
     w.feed(
         1,
-        Input::Left {
+        Input::Dispatched {
             key: "t".into(),
-            sending: 8,
-            place: 0,
+            dispatch: 8,
+            deduplication_scope: 0,
         },
     );
     w.pass(200 * MS);
-    let Some(Verdict::Go {
-        first_ago: Some(ago),
+    let Some(OwnershipDecision::Dispatch {
+        first_dispatch_ago: Some(ago),
     }) = take(&mut w, 2)
     else {
         panic!("it may have run")
@@ -178,7 +183,7 @@
     w.pass(10 * MS);
     assert_eq!(
         take(&mut w, 2),
-        Some(Verdict::Answer(Bytes::from_static(b"done")))
+        Some(OwnershipDecision::Answer(Bytes::from_static(b"done")))
     );
 }
 
@@ -193,12 +198,14 @@
     w.answered(0, "x", "one");
     w.answered(1, "x", "other");
     w.pass(20 * MS);
-    assert!(w.at(0).faults() == 1 && w.at(2).faults() == 1);
+    assert!(w.at(0).conflicts() == 1 && w.at(2).conflicts() == 1);
     w.take(2, "x", true);
     w.deliver(|_, _, _| true);
     assert_eq!(
         w.verdict(2, "x"),
-        Some(Verdict::MayHaveRun(IndeterminateReason::ConflictingAnswers))
+        Some(OwnershipDecision::Indeterminate(
+            IndeterminateReason::ConflictingAnswers
+        ))
     );
 }
 
@@ -229,7 +236,7 @@
             _ => false,
         });
         w.sees(2, 1, true);
-        assert_eq!(w.at(2).memory(), Memory::Whole);
+        assert_eq!(w.at(2).recovery_state(), RecoveryState::Complete);
         assert_ne!(old, w.nonces[2]);
         w.net = net;
         // The intent is held by the new process and one more; the fence is promised by that one after.
@@ -251,7 +258,7 @@
     };
     let (one, other) = play(None);
     assert!(!(one && other), "{one} {other}");
-    assert_eq!(play(Some(Guard::Views)), (true, true));
+    assert_eq!(play(Some(SafetyCheck::AgreeingVoters)), (true, true));
 }
 
 #[test]
@@ -270,9 +277,11 @@
     };
     assert_eq!(
         play(None),
-        Some(Verdict::MayHaveRun(IndeterminateReason::Unknown))
+        Some(OwnershipDecision::Indeterminate(
+            IndeterminateReason::Unknown
+        ))
     );
-    assert_eq!(play(Some(Guard::Presence)), Some(GO));
+    assert_eq!(play(Some(SafetyCheck::KnownToBeTaken)), Some(GO));
 }
 
 #[test]
@@ -294,16 +303,18 @@
             w.start(r, Some(folder));
         }
         w.pass(500 * MS);
-        assert!((0..3).all(|r| w.at(r).memory() == Memory::Whole));
+        assert!((0..3).all(|r| w.at(r).recovery_state() == RecoveryState::Complete));
         w.take(1, "x", true);
         w.deliver(|_, _, _| true);
         w.verdict(1, "x")
     };
     assert_eq!(
         play(None),
-        Some(Verdict::MayHaveRun(IndeterminateReason::StateLost))
+        Some(OwnershipDecision::Indeterminate(
+            IndeterminateReason::StateLost
+        ))
     );
-    assert_eq!(play(Some(Guard::Doubt)), Some(GO));
+    assert_eq!(play(Some(SafetyCheck::DoubtAfterRestarts)), Some(GO));
 }
 
 #[test]
@@ -317,7 +328,7 @@
                 Input::Choose {
                     key: "s".into(),
                     value,
-                    kept: KEPT,
+                    retention: KEPT,
                 },
             );
             w.deliver(|_, _, _| true);
@@ -331,7 +342,7 @@
     };
     assert_eq!(play(None), Some(Outcome::Chosen(Bytes::from_static(b"v1"))));
     assert_eq!(
-        play(Some(Guard::Adopted)),
+        play(Some(SafetyCheck::AdoptAcceptedValue)),
         Some(Outcome::Chosen(Bytes::from_static(b"v2")))
     );
 }
@@ -344,7 +355,7 @@
             r,
             Input::Lead {
                 key: "plan".into(),
-                kept: KEPT,
+                retention: KEPT,
             },
         );
         w.deliver(|_, _, _| true);
@@ -361,7 +372,7 @@
                 key: "plan".into(),
                 ballot,
                 value,
-                kept: KEPT,
+                retention: KEPT,
             },
         );
         w.deliver(|_, _, _| true);
@@ -393,11 +404,11 @@
         let (key, value) = (format!("n{n}").into(), Bytes::from(n.to_string()));
         w.feed(
             r,
-            Input::Noted {
+            Input::PublishNote {
                 key,
                 version: (1, n),
                 value,
-                kept: 10 * KEPT,
+                retention: 10 * KEPT,
             },
         );
     };
@@ -410,8 +421,8 @@
     w.start(2, Some(folder));
     w.pass(600 * MS);
     assert_eq!(
-        (w.at(2).memory(), w.at(2).records().count()),
-        (Memory::Whole, 3_100)
+        (w.at(2).recovery_state(), w.at(2).records().count()),
+        (RecoveryState::Complete, 3_100)
     );
     assert!(
         w.at(2).counts.snapshots == 0 && w.at(2).counts.records_fetched < 1_000,
@@ -422,8 +433,8 @@
     w.start(2, None);
     w.pass(900 * MS);
     assert_eq!(
-        (w.at(2).memory(), w.at(2).records().count()),
-        (Memory::Whole, 3_100)
+        (w.at(2).recovery_state(), w.at(2).records().count()),
+        (RecoveryState::Complete, 3_100)
     );
     assert_eq!(w.at(2).counts.snapshots, 1);
     // All without memory: only time helps.
@@ -432,9 +443,9 @@
     });
     (0..3).for_each(|r| w.start(r, None));
     w.pass(KEPT / 2);
-    assert!((0..3).all(|r| w.at(r).memory() == Memory::Lost));
+    assert!((0..3).all(|r| w.at(r).recovery_state() == RecoveryState::Empty));
     w.pass(KEPT);
-    assert!((0..3).all(|r| w.at(r).memory() == Memory::Whole));
+    assert!((0..3).all(|r| w.at(r).recovery_state() == RecoveryState::Complete));
 }
 
 #[test]
@@ -457,8 +468,8 @@
 #[test]
 fn a_full_store_rejects_new_records_with_its_reason() {
     let mut w = World::new(3, None);
-    let few = Terms {
-        most_records: 2,
+    let few = ReplicaSettings {
+        max_records: 2,
         ..terms(None, 800 * MS)
     };
     w.replicas[1] = Some(cedarpulley_replica::Replica::new(
@@ -476,7 +487,10 @@
     for key in ["a", "b", "c"] {
         w.take(1, key, false);
     }
-    assert_eq!(w.verdict(1, "c"), Some(Verdict::NoMajority(Lack::Full)));
+    assert_eq!(
+        w.verdict(1, "c"),
+        Some(OwnershipDecision::NoMajority(NoMajorityReason::StoreFull))
+    );
     // The others go on without its vote.
     w.take(0, "d", false);
     let s = w.intend(0, "d");
@@ -485,7 +499,7 @@
     let held = |r: usize| {
         w.at(r)
             .records()
-            .filter(|(_, s)| matches!(s.record, Record::Effect(_)))
+            .filter(|(_, s)| matches!(s.record, Record::Invocation(_)))
             .count()
     };
     assert_eq!(held(1), 2);
--- a/crates/replica/tests/virtual_time/mod.rs
+++ b/crates/replica/tests/virtual_time/mod.rs
@@ -6,8 +6,10 @@
 use std::collections::BinaryHeap;
 use std::time::Instant;
 
-use cedarpulley_membership::{self as membership, MemberIndex, Membership, Process};
-use cedarpulley_replica::{Input, Key, Memory, Message, Need, Output, Replica, Shared, Terms};
+use cedarpulley_membership::{self as membership, Incarnation, MemberIndex, Membership};
+use cedarpulley_replica::{
+    Durability, Input, Key, Message, Output, RecordCopy, RecoveryState, Replica, ReplicaSettings,
+};
 
 use crate::common::{MS, group};
 
@@ -57,10 +59,10 @@
                 r as u64 + 1,
                 Some(Vec::new()),
             ));
-            let terms = membership::Terms {
-                probe_every: 250 * MS,
-                answer_within: 100 * MS,
-                suspected_for: 1_500 * MS,
+            let terms = membership::FailureDetectorSettings {
+                probe_interval: 250 * MS,
+                answer_timeout: 100 * MS,
+                suspicion_timeout: 1_500 * MS,
                 seed: seed + r as u64,
             };
             net.members
@@ -74,19 +76,19 @@
 
     fn sees(&mut self, r: usize) {
         for m in 0..self.replicas.len() {
-            let nonce = self.members[m].me().nonce;
+            let nonce = self.members[m].own_incarnation().nonce;
             self.feed(
                 r,
-                Input::Member {
+                Input::MemberChanged {
                     member: m as MemberIndex,
                     nonce,
                     alive: true,
                 },
             );
-            let nonce = self.members[r].me().nonce;
+            let nonce = self.members[r].own_incarnation().nonce;
             self.feed(
                 m,
-                Input::Member {
+                Input::MemberChanged {
                     member: r as MemberIndex,
                     nonce,
                     alive: true,
@@ -111,10 +113,10 @@
                     self.bytes += bytes(&message);
                     self.send(r, to, Letter::Replica(message));
                 }
-                Output::Leave {
+                Output::DispatchPermission {
                     key,
-                    sending,
-                    left: Ok(_),
+                    dispatch: sending,
+                    permission: Ok(_),
                 } => self.leaves.push((r, key, sending)),
                 _ => {}
             }
@@ -151,13 +153,13 @@
                 let Some((from, to, letter)) = self.letters.remove(&serial) else {
                     return true;
                 };
-                let process = self.members[from as usize].me();
-                let Process { nonce, .. } = process;
+                let process = self.members[from as usize].own_incarnation();
+                let Incarnation { nonce, .. } = process;
                 match letter {
                     Letter::Replica(message) => {
                         self.feed(
                             to as usize,
-                            Input::Heard {
+                            Input::MessageReceived {
                                 from,
                                 nonce,
                                 transit: LINK,
@@ -168,9 +170,9 @@
                     Letter::Membership(message) => {
                         self.member(
                             to as usize,
-                            membership::Input::Heard {
+                            membership::Input::Received {
                                 from,
-                                process,
+                                incarnation: process,
                                 message,
                             },
                         );
@@ -197,8 +199,8 @@
     }
 }
 
-fn terms(seed: u64) -> Terms {
-    Terms::usual(KEPT, 500 * MS, seed)
+fn terms(seed: u64) -> ReplicaSettings {
+    ReplicaSettings::with_defaults(KEPT, 500 * MS, seed)
 }
 
 /// What it took a member that started anew until it voted.
@@ -218,10 +220,10 @@
     assert!(net.replicas.iter().all(|r| r.can_vote()));
     let take = |n: u64| Input::Take {
         key: format!("i\norder-{n:08}").into(),
-        need: Need::Held,
+        durability: Durability::Majority,
         redelivered: false,
     };
-    let (mut held, mut cut): (Vec<(Key, Shared)>, u64) = (Vec::new(), 0);
+    let (mut held, mut cut): (Vec<(Key, RecordCopy)>, u64) = (Vec::new(), 0);
     for n in 0..all {
         if n == all - lacking {
             net.pass(S);
@@ -259,7 +261,7 @@
     net.members[2] = Membership::new(net.now, group(3, 2), *TERMS, nonce, 1);
     let (began, at, before) = (Instant::now(), net.now, net.bytes);
     net.sees(2);
-    while net.replicas[2].memory() != Memory::Whole {
+    while net.replicas[2].recovery_state() != RecoveryState::Complete {
         net.step(i64::MAX);
     }
     assert_eq!(net.replicas[2].records().count() as u64, all);
@@ -270,10 +272,10 @@
     }
 }
 
-const TERMS: &membership::Terms = &membership::Terms {
-    probe_every: 250 * MS,
-    answer_within: 100 * MS,
-    suspected_for: 1_500 * MS,
+const TERMS: &membership::FailureDetectorSettings = &membership::FailureDetectorSettings {
+    probe_interval: 250 * MS,
+    answer_timeout: 100 * MS,
+    suspicion_timeout: 1_500 * MS,
     seed: 9,
 };
 
@@ -294,17 +296,17 @@
                     r,
                     Input::Take {
                         key: key.clone(),
-                        need: Need::Held,
+                        durability: Durability::Majority,
                         redelivered: false,
                     },
                 );
                 net.feed(
                     r,
-                    Input::Intend {
+                    Input::RequestDispatch {
                         key,
-                        sending: serial,
-                        place: 0,
-                        alone: false,
+                        dispatch: serial,
+                        deduplication_scope: 0,
+                        without_majority: false,
                     },
                 );
             }
@@ -313,9 +315,9 @@
                 let answer = bytes::Bytes::from_static(b"done");
                 net.feed(
                     r,
-                    Input::Ended {
+                    Input::DispatchEnded {
                         key: key.clone(),
-                        sending,
+                        dispatch: sending,
                         may_have_run: true,
                     },
                 );
@@ -348,17 +350,17 @@
             0,
             Input::Take {
                 key: key(n),
-                need: Need::Held,
+                durability: Durability::Majority,
                 redelivered: false,
             },
         );
         net.feed(
             0,
-            Input::Intend {
+            Input::RequestDispatch {
                 key: key(n),
-                sending: n,
-                place: 0,
-                alone: false,
+                dispatch: n,
+                deduplication_scope: 0,
+                without_majority: false,
             },
         );
     };
@@ -378,9 +380,9 @@
             net.pass(MS);
             net.feed(
                 0,
-                Input::Ended {
+                Input::DispatchEnded {
                     key: key(n),
-                    sending: n,
+                    dispatch: n,
                     may_have_run: true,
                 },
             );
--- a/crates/router/src/admission_control.rs
+++ b/crates/router/src/admission_control.rs
@@ -39,7 +39,7 @@
 
 /// Why a request was rejected: it never ran, and is counted by this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Short {
+pub enum RejectionReason {
     /// The router is shutting down.
     Stopping,
     /// There is no memory for its body.
@@ -58,7 +58,7 @@
 
 /// What is known of a request before its body is read.
 #[derive(Clone, Copy, Debug)]
-pub struct Knock {
+pub struct AdmissionRequest {
     /// Index of its trigger type.
     pub trigger: u32,
     /// Index of its account.
@@ -68,31 +68,31 @@
     /// Size of its body; the largest size allowed where it is not given.
     pub bytes: u64,
     /// Requests of its connection that are in flight, without this one.
-    pub here: u32,
+    pub connection_in_flight: u32,
     /// Answers that its connection has not read.
-    pub unread: u32,
+    pub unread_answers: u32,
     /// How many of the last 32 requests of its connection were abandoned by the client.
-    pub left: u32,
+    pub abandoned: u32,
     /// Time since the last of them was abandoned.
-    pub left_ago: Micros,
+    pub last_abandoned_ago: Micros,
     /// Connections of its front that have requests in flight.
-    pub connections: u32,
+    pub active_connections: u32,
     /// Size of the answers that clients have not read, on all fronts, in bytes.
     pub unread_bytes: u64,
 }
 
-impl Knock {
+impl AdmissionRequest {
     /// Symptom: a client opens streams and resets them as fast as it can; each costs a dispatch that may run on.
     fn is_reset_flood(&self) -> bool {
-        self.left >= MAX_ABANDONED && self.left_ago < INTERVAL
+        self.abandoned >= MAX_ABANDONED && self.last_abandoned_ago < INTERVAL
     }
 
     /// Its connection has more than its part of a busy router.
     fn exceeds_connection_part(&self, occupancy: &Occupancy) -> bool {
-        let equal_part = occupancy.front.cap / f64::from(self.connections.max(1));
+        let equal_part = occupancy.front.cap / f64::from(self.active_connections.max(1));
         let most = (equal_part * CONNECTION_LEEWAY).max(f64::from(MIN_PER_CONNECTION));
         f64::from(occupancy.in_flight) > BUSY_FRACTION * occupancy.limit
-            && f64::from(self.here) >= most
+            && f64::from(self.connection_in_flight) >= most
     }
 }
 
@@ -134,15 +134,15 @@
 
 /// Whether a request is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Entry {
+pub enum AdmissionDecision {
     /// It is admitted.
-    Enter,
+    Admitted,
     /// It is rejected.
-    TurnedAway {
+    Rejected {
         /// Why.
-        why: Short,
+        reason: RejectionReason,
         /// When the client should retry.
-        come_back: Micros,
+        retry_after: Micros,
     },
 }
 
@@ -197,19 +197,19 @@
     pub fn decide(
         &mut self,
         now: Micros,
-        request: &Knock,
+        request: &AdmissionRequest,
         expected_value: f64,
         occupancy: &Occupancy,
-    ) -> Entry {
+    ) -> AdmissionDecision {
         self.advance(now);
         let higher_fraction = self.rank(expected_value);
         match rejection_reason(request, higher_fraction, occupancy) {
-            None => Entry::Enter,
+            None => AdmissionDecision::Admitted,
             Some(why) => {
                 self.rejected.current += 1;
-                Entry::TurnedAway {
-                    why,
-                    come_back: self.retry_after(occupancy.typical_latency),
+                AdmissionDecision::Rejected {
+                    reason: why,
+                    retry_after: self.retry_after(occupancy.typical_latency),
                 }
             }
         }
@@ -262,25 +262,29 @@
 }
 
 /// The first bound that the request exceeds. `higher_fraction`: fraction of the recent requests worth more.
-fn rejection_reason(request: &Knock, higher_fraction: f64, occupancy: &Occupancy) -> Option<Short> {
+fn rejection_reason(
+    request: &AdmissionRequest,
+    higher_fraction: f64,
+    occupancy: &Occupancy,
+) -> Option<RejectionReason> {
     let in_flight = f64::from(occupancy.in_flight);
     if occupancy.stopping {
-        Some(Short::Stopping)
+        Some(RejectionReason::Stopping)
     } else if request.bytes + request.unread_bytes > occupancy.free_bytes {
-        Some(Short::Memory)
+        Some(RejectionReason::Memory)
     } else if in_flight >= occupancy.limit {
-        Some(Short::All)
+        Some(RejectionReason::All)
     } else if occupancy.front.is_exhausted() {
-        Some(Short::Front)
+        Some(RejectionReason::Front)
     } else if occupancy.account.is_exhausted() {
-        Some(Short::Account)
-    } else if request.unread >= MAX_UNREAD
+        Some(RejectionReason::Account)
+    } else if request.unread_answers >= MAX_UNREAD
         || request.exceeds_connection_part(occupancy)
         || request.is_reset_flood()
     {
-        Some(Short::Connection)
+        Some(RejectionReason::Connection)
     } else if in_flight >= occupancy.limit * (1.0 - RESERVED_FRACTION * higher_fraction) {
-        Some(Short::Worth)
+        Some(RejectionReason::Worth)
     } else {
         None
     }
--- a/crates/router/src/answer_registry.rs
+++ b/crates/router/src/answer_registry.rs
@@ -16,7 +16,7 @@
 use cedarpulley::interface::{InvocationIndex, Micros};
 
 use crate::redelivery::PriorDelivery;
-use crate::{Answer, Delivery, Fate, FrontIndex};
+use crate::{Answer, Delivery, FinalOutcome, FrontIndex};
 
 /// Records without a waiting delivery at most; each is a few hundred bytes. A message whose record was forgotten is only
 /// treated more strictly.
@@ -240,7 +240,7 @@
         let record = self.records.get(slot as usize).and_then(Option::as_ref);
         record.is_some_and(|record| match &record.state {
             RecordState::Given(answer) => {
-                record.waiters.is_empty() && answer.fate == Fate::Throttled
+                record.waiters.is_empty() && answer.outcome == FinalOutcome::Throttled
             }
             _ => false,
         })
--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -24,11 +24,11 @@
 impl Backoff {
     /// A backoff of up to five seconds. `seed` determines the jitter.
     pub fn new(seed: u64) -> Self {
-        Backoff::up_to(seed, MAX_DELAY)
+        Backoff::with_max_delay(seed, MAX_DELAY)
     }
 
     /// A backoff with another longest delay.
-    pub fn up_to(seed: u64, longest: Micros) -> Self {
+    pub fn with_max_delay(seed: u64, longest: Micros) -> Self {
         Backoff {
             seed,
             draws: 0,
@@ -38,7 +38,7 @@
     }
 
     /// The delay after an attempt whose connection lasted for `stood`; drawn from the upper half of the present step.
-    pub fn after(&mut self, stood: Micros) -> Micros {
+    pub fn next_delay(&mut self, stood: Micros) -> Micros {
         if stood >= STABLE_AFTER {
             self.delay = INITIAL_DELAY;
         }
--- a/crates/router/src/core/balancer_actions.rs
+++ b/crates/router/src/core/balancer_actions.rs
@@ -6,7 +6,7 @@
 use super::state::timers::Timer;
 use super::{Output, Router};
 use crate::observer::Names;
-use crate::{Answer, Fate, Reason, Ticket};
+use crate::{Answer, AnswerReason, FinalOutcome, Ticket};
 
 /// A dispatch that ended within the step that decided it.
 pub(super) struct EndedImmediately {
@@ -55,7 +55,7 @@
                 retry_after,
             } => self.reject(invocation, retry_after, out),
             Action::Fail { invocation } => {
-                let answer = Answer::bare(Fate::Errored, Reason::GivenUp);
+                let answer = Answer::without_body(FinalOutcome::Errored, AnswerReason::GivenUp);
                 self.give_answer(invocation, answer, out);
                 self.release(invocation, out);
             }
@@ -73,7 +73,7 @@
             Action::Timer { token, after } => {
                 self.set_timer(self.now + after, Timer::Balancer(token));
             }
-            Action::RequestEndpointList { .. } => out.push(Output::AskList),
+            Action::RequestEndpointList { .. } => out.push(Output::RequestEndpointList),
             Action::ReleaseFunction { function } => {
                 self.orders.forget_function(function);
                 self.functions.forget(function);
@@ -92,11 +92,11 @@
         let Some(attempt) = self.invocations.attempt_in_flight(ticket) else {
             return;
         };
-        self.counts.withdrawn += 1;
+        self.counts.cancelled += 1;
         let outcome = if attempt.awaits_permission() {
             DispatchOutcome::NotSent
         } else {
-            out.push(Output::Withdraw(ticket));
+            out.push(Output::Cancel(ticket));
             DispatchOutcome::Cancelled
         };
         ended.push(EndedImmediately { ticket, outcome });
@@ -114,13 +114,13 @@
             .get(index)
             .is_some_and(|invocation| invocation.dispatch_until().is_some());
         let outcome = if may_run_elsewhere {
-            Fate::Errored
+            FinalOutcome::Errored
         } else {
-            Fate::Throttled
+            FinalOutcome::Throttled
         };
         let answer = Answer {
-            return_after: retry_after,
-            ..Answer::bare(outcome, Reason::GivenUp)
+            retry_after,
+            ..Answer::without_body(outcome, AnswerReason::GivenUp)
         };
         self.give_answer(index, answer, out);
         self.release(index, out);
--- a/crates/router/src/core/completion.rs
+++ b/crates/router/src/core/completion.rs
@@ -7,9 +7,9 @@
 use super::state::invocation::{Invocation, InvocationHandle};
 use super::{Output, Router};
 use crate::concurrency_limit::{EndedInvocation, LoadSignal};
-use crate::observer::Given;
-use crate::replication::{Ask, ReplicationStage};
-use crate::{Answer, Delivery, Fate, Reason};
+use crate::observer::AnswerGiven;
+use crate::replication::{ReplicationRequest, ReplicationStage};
+use crate::{Answer, AnswerReason, Delivery, FinalOutcome};
 
 /// What an answer is about, as the observers are told.
 #[derive(Clone, Copy, Debug)]
@@ -45,17 +45,17 @@
         answered: AnsweredInvocation,
         out: &mut Vec<Output>,
     ) {
-        let given = Given {
-            inv: answered.index,
+        let given = AnswerGiven {
+            invocation: answered.index,
             front: delivery.front,
-            fate: answer.fate,
+            outcome: answer.outcome,
             reason: answer.reason,
             trigger: answered.trigger,
             account: answered.account,
             took: self.now - answered.accepted_at,
         };
         self.observers.answered(self.now, given);
-        let counted = (answer.fate, answer.reason);
+        let counted = (answer.outcome, answer.reason);
         *self.counts.answers.entry(counted).or_default() += 1;
         out.push(Output::Answer { delivery, answer });
     }
@@ -79,7 +79,7 @@
             account: invocation.request.account,
             accepted_at: invocation.request.accepted_at,
         };
-        let signal = self.load_signal(invocation, answer.fate);
+        let signal = self.load_signal(invocation, answer.outcome);
         self.cache_answer(index, &answer);
         let answer = self.adjust_answer(index, answer);
         self.share_answer(index, &answer, out);
@@ -87,7 +87,7 @@
         let waiters = slot.map_or_else(Vec::new, |slot| self.answers.give(slot, &answer));
         // With no front to answer, a success is retained for when the message is delivered again. A failure is not:
         // nobody may be promised that it did not run, or told an error, on behalf of whoever has the message now.
-        if waiters.is_empty() && answer.fate != Fate::Succeeded {
+        if waiters.is_empty() && answer.outcome != FinalOutcome::Succeeded {
             self.end_answer_record(index);
         }
         for delivery in waiters {
@@ -96,12 +96,12 @@
     }
 
     /// What the limits learn from an answer with this outcome, given now.
-    fn load_signal(&self, invocation: &Invocation, outcome: Fate) -> LoadSignal {
+    fn load_signal(&self, invocation: &Invocation, outcome: FinalOutcome) -> LoadSignal {
         match outcome {
-            Fate::Succeeded if self.is_late(invocation) => LoadSignal::Late,
-            Fate::Succeeded => LoadSignal::OnTime,
-            Fate::Throttled => LoadSignal::Rejected,
-            Fate::Errored => LoadSignal::Neutral,
+            FinalOutcome::Succeeded if self.is_late(invocation) => LoadSignal::Late,
+            FinalOutcome::Succeeded => LoadSignal::OnTime,
+            FinalOutcome::Throttled => LoadSignal::Rejected,
+            FinalOutcome::Errored => LoadSignal::Neutral,
         }
     }
 
@@ -121,7 +121,7 @@
         };
         let effect = self.triggers[invocation.request.trigger as usize].effect;
         if let Some(key) = invocation.idempotency_key()
-            && answer.fate == Fate::Succeeded
+            && answer.outcome == FinalOutcome::Succeeded
             && let Effect::IdempotentByKey { window, .. } = effect
         {
             self.idempotency_keys
@@ -135,13 +135,13 @@
             return answer;
         };
         // While it was orphaned another router may have run it: nobody can promise that it did not run.
-        if answer.fate == Fate::Throttled && invocation.was_orphaned_while_replicated() {
-            return Answer::bare(Fate::Errored, Reason::MayHaveRun);
+        if answer.outcome == FinalOutcome::Throttled && invocation.was_orphaned_while_replicated() {
+            return Answer::without_body(FinalOutcome::Errored, AnswerReason::MayHaveRun);
         }
         let unreplicated = invocation.replication_stage() == Some(ReplicationStage::Unreplicated);
-        if answer.reason == Reason::Worker && unreplicated {
+        if answer.reason == AnswerReason::Worker && unreplicated {
             return Answer {
-                reason: Reason::Alone,
+                reason: AnswerReason::Alone,
                 ..answer
             };
         }
@@ -150,12 +150,12 @@
 
     /// Tells the group of a success, once: other routers may be delivered the same message, and answer alike.
     fn share_answer(&mut self, index: InvocationIndex, answer: &Answer, out: &mut Vec<Output>) {
-        if answer.fate != Fate::Succeeded {
+        if answer.outcome != FinalOutcome::Succeeded {
             return;
         }
         let invocation = self.invocations.get_mut(index);
         if let Some(replication) = invocation.and_then(Invocation::mark_answer_shared) {
-            out.push(Output::Group(Ask::Answered {
+            out.push(Output::Replication(ReplicationRequest::Answered {
                 key: replication.key.clone(),
                 answer: answer.clone(),
             }));
@@ -166,11 +166,11 @@
     pub(super) fn final_answer(
         &mut self,
         index: InvocationIndex,
-        outcome: Fate,
-        reason: Reason,
+        outcome: FinalOutcome,
+        reason: AnswerReason,
         out: &mut Vec<Output>,
     ) {
-        self.give_answer(index, Answer::bare(outcome, reason), out);
+        self.give_answer(index, Answer::without_body(outcome, reason), out);
         self.withdraw_from_balancer(index, out);
         self.release(index, out);
     }
@@ -189,11 +189,11 @@
         };
         let harmless = self.is_safe_to_retry(invocation) && !invocation.may_run_elsewhere();
         let outcome = if harmless {
-            Fate::Throttled
+            FinalOutcome::Throttled
         } else {
-            Fate::Errored
+            FinalOutcome::Errored
         };
-        self.final_answer(handle.index, outcome, Reason::Overdue, out);
+        self.final_answer(handle.index, outcome, AnswerReason::Overdue, out);
     }
 
     /// As far as this router's own attempts are concerned.
--- a/crates/router/src/core/counters.rs
+++ b/crates/router/src/core/counters.rs
@@ -2,28 +2,28 @@
 
 use std::collections::BTreeMap;
 
-use crate::admission_control::Short;
-use crate::{Fate, FrontIndex, Reason};
+use crate::admission_control::RejectionReason;
+use crate::{AnswerReason, FinalOutcome, FrontIndex};
 
 /// Counters of what was decided, since the start. No decision reads them back.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct RouterCounters {
     /// Messages that arrived, whatever became of them.
-    pub taken: u64,
+    pub arrived: u64,
     /// Invocations that the module queued: neither dispatched nor answered at once.
-    pub held: u64,
+    pub queued: u64,
     /// Dispatches sent.
     pub dispatches: u64,
     /// Load orders that were sent.
     pub orders: u64,
     /// Dispatches that the module cancelled.
-    pub withdrawn: u64,
+    pub cancelled: u64,
     /// Messages delivered again while their invocation was open: they join it.
     pub joined: u64,
     /// Retries of a client that joined an open invocation by their idempotency key.
-    pub joined_by_token: u64,
+    pub joined_by_idempotency_key: u64,
     /// Retries of a client that were given the answer cached for their idempotency key.
-    pub remembered: u64,
+    pub answered_from_cache: u64,
     /// Messages delivered again that were given the same answer again.
     pub repeated: u64,
     /// Redelivered messages that were refused, as they may have run.
@@ -39,11 +39,11 @@
     /// Invocations answered as another router had answered them.
     pub answered_elsewhere: u64,
     /// Requests for permission to send that the group refused.
-    pub leave_refused: u64,
+    pub permissions_refused: u64,
     /// Permissions to send that expired before they were used.
-    pub leave_too_old: u64,
+    pub permissions_expired: u64,
     /// Final answers, by outcome and reason.
-    pub answers: BTreeMap<(Fate, Reason), u64>,
+    pub answers: BTreeMap<(FinalOutcome, AnswerReason), u64>,
     /// Requests rejected before their body was read, by front and reason.
-    pub turned_away: BTreeMap<(FrontIndex, Short), u64>,
+    pub rejected: BTreeMap<(FrontIndex, RejectionReason), u64>,
 }
--- a/crates/router/src/core/dispatch.rs
+++ b/crates/router/src/core/dispatch.rs
@@ -4,17 +4,17 @@
     CopyStatus, DispatchEnded, DispatchOutcome, Effect, Event, InvocationIndex, LoadReport, Micros,
     WorkerIndex,
 };
-use cedarpulley_usage_metering::Held;
+use cedarpulley_usage_metering::MemoryTotals;
 
 use super::balancer_actions::EndedImmediately;
 use super::state::attempt::{Attempt, AttemptOutcome, EndedAttempt};
 use super::state::invocation::Invocation;
 use super::state::timers::Timer;
-use super::{Call, Output, Router};
+use super::{DispatchRequest, Output, Router};
 use crate::concurrency_limit::LoadSignal;
-use crate::observer::{By, Used};
-use crate::replication::Ask;
-use crate::{Answer, Fate, Payload, Reason, Ticket};
+use crate::observer::{UsageSource, WorkerUsage};
+use crate::replication::ReplicationRequest;
+use crate::{Answer, AnswerReason, FinalOutcome, Payload, Ticket};
 
 /// How a dispatch ended, and what its worker reported; the fields are those of [`Input::DispatchEnded`].
 ///
@@ -24,7 +24,7 @@
     pub(super) copy_status: CopyStatus,
     pub(super) function_load: Option<u32>,
     pub(super) report: LoadReport,
-    pub(super) memory_held: Option<Held>,
+    pub(super) memory_held: Option<MemoryTotals>,
     pub(super) body: Payload,
 }
 
@@ -79,7 +79,7 @@
 
     /// Tells the group of a new attempt, if it has to know. True if the attempt must wait for the group's permission.
     fn request_permission(&mut self, ticket: Ticket, out: &mut Vec<Output>) -> bool {
-        let Some(invocation) = self.invocations.get(ticket.inv) else {
+        let Some(invocation) = self.invocations.get(ticket.invocation) else {
             return false;
         };
         let (Some(attempt), Some(replication)) = (
@@ -93,27 +93,27 @@
         let (key, sending) = (replication.key.clone(), attempt.serial);
         let place = self.workers.deduplication_domain(attempt.worker, effect);
         if !attempt.awaits_permission() {
-            out.push(Output::Group(Ask::Left {
+            out.push(Output::Replication(ReplicationRequest::AttemptSent {
                 key,
-                sending,
-                place,
+                attempt: sending,
+                deduplication_domain: place,
             }));
             return false;
         }
         let alone = self.may_go_unreplicated(trigger);
         self.replication.permission_requested(sending, ticket);
-        out.push(Output::Group(Ask::Leave {
+        out.push(Output::Replication(ReplicationRequest::RequestPermission {
             key,
-            sending,
-            place,
-            alone,
+            attempt: sending,
+            deduplication_domain: place,
+            without_majority: alone,
         }));
         true
     }
 
     /// Sends the attempt now.
     pub(super) fn send(&mut self, ticket: Ticket, out: &mut Vec<Output>) {
-        let Some(invocation) = self.invocations.get(ticket.inv) else {
+        let Some(invocation) = self.invocations.get(ticket.invocation) else {
             return;
         };
         let Some(attempt) = invocation.attempt(ticket.dispatch) else {
@@ -132,11 +132,11 @@
     }
 
     /// Whether a dispatch may still be sent: asked again right before its first byte, as connecting takes time.
-    pub fn may_leave(&self, now: Micros, ticket: Ticket) -> bool {
+    pub fn may_send(&self, now: Micros, ticket: Ticket) -> bool {
         let Some(attempt) = self.invocations.attempt_in_flight(ticket) else {
             return false;
         };
-        let Some(invocation) = self.invocations.get(ticket.inv) else {
+        let Some(invocation) = self.invocations.get(ticket.invocation) else {
             return false;
         };
         invocation.is_open()
@@ -174,7 +174,7 @@
             // It waited for permission all the time: nothing can have run.
             return self.dispatch_not_sent(ticket, out);
         }
-        out.push(Output::Withdraw(ticket));
+        out.push(Output::Cancel(ticket));
         self.dispatch_ended(
             ticket,
             DispatchResult::without_answer(DispatchOutcome::TimedOut),
@@ -203,7 +203,7 @@
             self.counts.too_late += 1;
             return;
         };
-        let index = ticket.inv;
+        let index = ticket.invocation;
         self.replicate_attempt_end(index, ended, out);
         self.report_attempt_use(index, ended, &result);
         if result.outcome == DispatchOutcome::Succeeded {
@@ -212,7 +212,7 @@
             }
             let answer = Answer {
                 body: result.body,
-                ..Answer::bare(Fate::Succeeded, Reason::Worker)
+                ..Answer::without_body(FinalOutcome::Succeeded, AnswerReason::Worker)
             };
             self.give_answer(index, answer, out);
         } else {
@@ -253,9 +253,9 @@
     ) {
         let invocation = self.invocations.get(index);
         if let Some(replication) = invocation.and_then(Invocation::replication) {
-            out.push(Output::Group(Ask::Ended {
+            out.push(Output::Replication(ReplicationRequest::AttemptEnded {
                 key: replication.key.clone(),
-                sending: ended.serial,
+                attempt: ended.serial,
                 may_have_run: ended.may_have_run,
             }));
         }
@@ -273,19 +273,19 @@
         };
         let request = &invocation.request;
         let session = request.session.as_ref();
-        let usage = Used {
+        let usage = WorkerUsage {
             worker: ended.worker,
             worker_name: self.workers.name(ended.worker).unwrap_or(""),
             function: &request.function,
             session: session.map(|session| &*session.id),
-            ends: session.is_some_and(|session| session.end),
+            ends_session: session.is_some_and(|session| session.is_last),
             trigger: request.trigger,
             account: request.account,
-            by: By::Dispatch(result.outcome, result.copy_status),
+            source: UsageSource::Dispatch(result.outcome, result.copy_status),
             took: ended.took,
             copy_mb: request.copy_mb,
             lanes: request.lanes,
-            held: result.memory_held,
+            memory_held: result.memory_held,
         };
         self.observers.used(self.now, usage);
     }
@@ -308,16 +308,16 @@
     }
 }
 
-fn call(invocation: &Invocation, attempt: &Attempt, now: Micros) -> Call {
+fn call(invocation: &Invocation, attempt: &Attempt, now: Micros) -> DispatchRequest {
     let request = &invocation.request;
     let time_left = request.answer_due_at - now;
     let already_waited = now - attempt.decided_at;
     let until_timeout = |timeout: Micros| (timeout - already_waited).clamp(0, time_left.max(0));
-    Call {
-        mark: request.mark.clone(),
-        token: request.token.clone(),
+    DispatchRequest {
+        name: request.mark.clone(),
+        idempotency_key: request.token.clone(),
         time_left,
-        waited_for: attempt.timeout.map_or(time_left, until_timeout),
+        timeout: attempt.timeout.map_or(time_left, until_timeout),
         cost_hint: request.cost_hint,
         load_hint: request.load_hint,
         copy_mb: request.copy_mb,
