--- a/crates/router/src/core/intake.rs
+++ b/crates/router/src/core/intake.rs
@@ -10,12 +10,12 @@
 use super::state::invocation::{AcceptedRequest, Invocation};
 use super::state::timers::Timer;
 use super::{Output, Router};
-use crate::admission_control::{Entry, Knock};
+use crate::admission_control::{AdmissionDecision, AdmissionRequest};
 use crate::answer_registry::AnswerSlot;
 use crate::idempotency_keys::{self, KeyStatus};
 use crate::redelivery::{self, PriorDelivery, RedeliveryDecision};
-use crate::replication::{self, Key, Need, ReplicationState};
-use crate::{Answer, Delivery, Fate, Reason, Taken};
+use crate::replication::{self, Durability, Key, ReplicationState};
+use crate::{Answer, AnswerReason, Delivery, FinalOutcome, IncomingInvocation};
 
 /// Why a message becomes no invocation of its own.
 enum Resolution {
@@ -28,8 +28,8 @@
 }
 
 impl Resolution {
-    fn bare(outcome: Fate, reason: Reason) -> Self {
-        Resolution::Answer(Answer::bare(outcome, reason))
+    fn bare(outcome: FinalOutcome, reason: AnswerReason) -> Self {
+        Resolution::Answer(Answer::without_body(outcome, reason))
     }
 }
 
@@ -53,29 +53,26 @@
     pub(super) fn request_arrived(
         &mut self,
         delivery: Delivery,
-        request: &Knock,
+        request: &AdmissionRequest,
         out: &mut Vec<Output>,
     ) {
         let trigger = &self.triggers[request.trigger as usize];
         let decision = self.admission.decide(self.now, delivery, request, trigger);
-        if let Entry::TurnedAway { why, .. } = decision {
+        if let AdmissionDecision::Rejected { reason: why, .. } = decision {
             let (front, account) = (delivery.front, request.account);
-            *self.counts.turned_away.entry((front, why)).or_default() += 1;
+            *self.counts.rejected.entry((front, why)).or_default() += 1;
             self.observers
                 .rejected(self.now, front, request.trigger, account, why);
         }
-        out.push(Output::Entry {
-            delivery,
-            entry: decision,
-        });
+        out.push(Output::Admission { delivery, decision });
     }
 }
 
 /// Whole messages.
 impl Router {
     /// Handles a message that was received.
-    pub(super) fn message_arrived(&mut self, message: Taken, out: &mut Vec<Output>) {
-        self.counts.taken += 1;
+    pub(super) fn message_arrived(&mut self, message: IncomingInvocation, out: &mut Vec<Output>) {
+        self.counts.arrived += 1;
         let admitted = self.admission.body_arrived(message.delivery);
         match self.check(&message, admitted) {
             Ok(acceptance) => self.accept(message, acceptance, out),
@@ -84,9 +81,13 @@
     }
 
     /// Applies all checks, in an order that matters: what is known of the message comes before what it would cost.
-    fn check(&mut self, message: &Taken, admitted: bool) -> Result<Acceptance, Resolution> {
+    fn check(
+        &mut self,
+        message: &IncomingInvocation,
+        admitted: bool,
+    ) -> Result<Acceptance, Resolution> {
         let trigger = self.triggers[message.trigger as usize];
-        if let Some((outcome, reason)) = message.refused {
+        if let Some((outcome, reason)) = message.predetermined_answer {
             return Err(Resolution::bare(outcome, reason));
         }
         let waited = message.waited.max(0);
@@ -110,15 +111,19 @@
     }
 
     /// What has to be agreed with the group; nothing without one.
-    fn required_durability(&self, message: &Taken, trigger: &TriggerType) -> Option<(Key, Need)> {
-        self.settings.sharing.as_ref()?;
-        replication::need(message, trigger, self.settings.clock_margin)
+    fn required_durability(
+        &self,
+        message: &IncomingInvocation,
+        trigger: &TriggerType,
+    ) -> Option<(Key, Durability)> {
+        self.settings.replication.as_ref()?;
+        replication::required_durability(message, trigger, self.settings.clock_margin)
     }
 
     /// Whether the message may run, if it was delivered before, and within which time its attempts must be sent.
     fn check_redelivery(
         &mut self,
-        message: &Taken,
+        message: &IncomingInvocation,
         trigger: &TriggerType,
         waited: Micros,
         replicated: bool,
@@ -147,7 +152,10 @@
             (RedeliveryDecision::Accept { dispatch_within }, _) => Ok(dispatch_within),
             (RedeliveryDecision::Refuse, _) => {
                 self.counts.refused_redelivered += 1;
-                Err(Resolution::bare(Fate::Errored, Reason::MayHaveRun))
+                Err(Resolution::bare(
+                    FinalOutcome::Errored,
+                    AnswerReason::MayHaveRun,
+                ))
             }
         }
     }
@@ -155,19 +163,24 @@
     /// The message's idempotency key, unless it is a retry of what is open or was answered under the same one.
     fn check_idempotency_key(
         &mut self,
-        message: &Taken,
+        message: &IncomingInvocation,
         due: Micros,
     ) -> Result<Option<idempotency_keys::Key>, Resolution> {
         let token = message
-            .token
+            .idempotency_key
             .as_deref()
-            .filter(|_| !self.settings.module_alone);
+            .filter(|_| !self.settings.balancer_only);
         let Some(token) = token else { return Ok(None) };
-        let key = idempotency_keys::key(message.account, message.trigger, message.called(), token);
+        let key = idempotency_keys::key(
+            message.account,
+            message.trigger,
+            message.requested_name(),
+            token,
+        );
         match self.idempotency_keys.status(self.now, &key) {
             KeyStatus::InFlight(slot) => Err(Resolution::SameKey { slot, due }),
             KeyStatus::Answered(answer) => {
-                self.counts.remembered += 1;
+                self.counts.answered_from_cache += 1;
                 Err(Resolution::Answer(answer))
             }
             KeyStatus::Unknown => Ok(Some(key)),
@@ -178,7 +191,7 @@
     /// never dispatched, but if it was delivered before it may have run.
     fn check_expiry(
         &self,
-        message: &Taken,
+        message: &IncomingInvocation,
         trigger: &TriggerType,
         answer_due_at: Micros,
     ) -> Result<(), Resolution> {
@@ -187,41 +200,57 @@
         }
         let may_have_run = message.redelivered && trigger.effect != Effect::Idempotent;
         let outcome = if may_have_run {
-            Fate::Errored
+            FinalOutcome::Errored
         } else {
-            Fate::Throttled
+            FinalOutcome::Throttled
         };
-        Err(Resolution::bare(outcome, Reason::Expired))
+        Err(Resolution::bare(outcome, AnswerReason::Expired))
     }
 
-    fn check_functions(&self, message: &Taken) -> Result<(), Resolution> {
+    fn check_functions(&self, message: &IncomingInvocation) -> Result<(), Resolution> {
         if self.functions.has_capacity_for(&message.function) {
             return Ok(());
         }
-        Err(Resolution::bare(Fate::Errored, Reason::Functions))
+        Err(Resolution::bare(
+            FinalOutcome::Errored,
+            AnswerReason::Functions,
+        ))
     }
 
     /// Whether its account and its body are within the limits; if so, it counts against them from now on.
-    fn check_limits(&mut self, message: &Taken, admitted: bool) -> Result<(), Resolution> {
+    fn check_limits(
+        &mut self,
+        message: &IncomingInvocation,
+        admitted: bool,
+    ) -> Result<(), Resolution> {
         let arrived = ArrivedMessage {
             front: message.delivery.front,
             account: message.account,
             body_bytes: message.body.len(),
             admitted,
-            share_applies: !admitted && !message.redelivered && !self.settings.module_alone,
+            share_applies: !admitted && !message.redelivered && !self.settings.balancer_only,
         };
         self.admission
             .accept(self.now, arrived)
             .map_err(|exceeded| match exceeded {
-                LimitExceeded::Share => Resolution::bare(Fate::Throttled, Reason::Share),
+                LimitExceeded::Share => {
+                    Resolution::bare(FinalOutcome::Throttled, AnswerReason::Share)
+                }
                 LimitExceeded::Memory if message.redelivered => {
-                    Resolution::bare(Fate::Errored, Reason::Size)
+                    Resolution::bare(FinalOutcome::Errored, AnswerReason::Size)
+                }
+                LimitExceeded::Memory => {
+                    Resolution::bare(FinalOutcome::Throttled, AnswerReason::Size)
                 }
-                LimitExceeded::Memory => Resolution::bare(Fate::Throttled, Reason::Size),
             })
     }
 
-    fn resolve(&mut self, message: &Taken, resolution: Resolution, out: &mut Vec<Output>) {
+    fn resolve(
+        &mut self,
+        message: &IncomingInvocation,
+        resolution: Resolution,
+        out: &mut Vec<Output>,
+    ) {
         match resolution {
             Resolution::Answer(answer) => {
                 let answered = AnsweredInvocation {
@@ -238,7 +267,12 @@
     }
 
     /// Makes the message an invocation, of which the module is told now or after the group's verdict.
-    fn accept(&mut self, message: Taken, acceptance: Acceptance, out: &mut Vec<Output>) {
+    fn accept(
+        &mut self,
+        message: IncomingInvocation,
+        acceptance: Acceptance,
+        out: &mut Vec<Output>,
+    ) {
         let (delivery, identity) = (message.delivery, message.identity.clone());
         let replication = acceptance.replication.clone();
         let index = self.add_invocation(message, acceptance);
@@ -253,7 +287,11 @@
         self.announce(index, &replication, out);
     }
 
-    fn add_invocation(&mut self, message: Taken, acceptance: Acceptance) -> InvocationIndex {
+    fn add_invocation(
+        &mut self,
+        message: IncomingInvocation,
+        acceptance: Acceptance,
+    ) -> InvocationIndex {
         let lanes = message.lanes.max(1);
         let profile = FunctionProfile {
             account: message.account,
@@ -268,18 +306,18 @@
             account: message.account,
             function_index: self.functions.register(&message.function, profile),
             function: message.function,
-            token: message.token,
-            mark: message.mark,
+            token: message.idempotency_key,
+            mark: message.name,
             cost_hint: message.cost_hint,
             load_hint: message.load_hint,
             copy_mb: message.copy_mb,
             lanes,
             session: message.session,
-            preferred_worker: message.prefers,
+            preferred_worker: message.preferred_worker,
             body: message.body,
             waited: acceptance.waited,
             redelivered: message.redelivered,
-            repeat: message.repeat,
+            repeat: message.client_retry,
             accepted_at: self.now,
             answer_due_at: acceptance.answer_due_at,
         };
--- a/crates/router/src/core/load_orders.rs
+++ b/crates/router/src/core/load_orders.rs
@@ -6,14 +6,14 @@
 use cedarpulley::interface::{
     Event, FunctionIndex, FunctionInfo, LoadOrderResult, Micros, WorkerIndex,
 };
-use cedarpulley_usage_metering::Held;
+use cedarpulley_usage_metering::MemoryTotals;
 
 use super::state::functions::FunctionProfile;
 use super::state::load_orders::LoadOrder;
 use super::state::timers::Timer;
 use super::{Output, Router};
 use crate::OrderTicket;
-use crate::observer::{By, Used};
+use crate::observer::{UsageSource, WorkerUsage};
 
 /// Orders.
 impl Router {
@@ -27,7 +27,7 @@
     ) {
         let ticket = OrderTicket {
             worker,
-            func: function,
+            function,
             serial: self.serials.next(),
         };
         let profile = self.functions.profile(function);
@@ -38,7 +38,7 @@
             account: profile.account,
             copy_mb: profile.copy_mb,
         };
-        let within = self.settings.order_answered_within;
+        let within = self.settings.order_timeout;
         self.workers.reserve(worker);
         self.orders.started(ticket, order);
         self.set_timer(self.now + within, Timer::OrderTimeout(ticket));
@@ -54,7 +54,7 @@
     }
 
     /// Whether an order may still be sent, as [`Router::may_leave`] for dispatches.
-    pub fn order_may_leave(&self, now: Micros, ticket: OrderTicket) -> bool {
+    pub fn may_send_order(&self, now: Micros, ticket: OrderTicket) -> bool {
         self.orders.is_in_flight(ticket) && self.workers.accepts(now, ticket.worker)
     }
 
@@ -64,7 +64,7 @@
         ticket: OrderTicket,
         result: LoadOrderResult,
         copies: u32,
-        memory_held: Option<Held>,
+        memory_held: Option<MemoryTotals>,
         out: &mut Vec<Output>,
     ) {
         let Some(order) = self.orders.ended(self.now, ticket) else {
@@ -76,7 +76,7 @@
         }
         let event = Event::OrderEnded {
             worker: ticket.worker,
-            function: ticket.func,
+            function: ticket.function,
             result,
             took: self.now - order.sent_at,
             copies,
@@ -101,25 +101,25 @@
         ticket: OrderTicket,
         order: LoadOrder,
         result: LoadOrderResult,
-        memory_held: Option<Held>,
+        memory_held: Option<MemoryTotals>,
     ) {
-        let Some(function) = self.functions.names().get(ticket.func as usize) else {
+        let Some(function) = self.functions.names().get(ticket.function as usize) else {
             return;
         };
-        let profile = self.functions.profile(ticket.func);
-        let usage = Used {
+        let profile = self.functions.profile(ticket.function);
+        let usage = WorkerUsage {
             worker: ticket.worker,
             worker_name: self.workers.name(ticket.worker).unwrap_or(""),
             function,
             session: None,
-            ends: false,
+            ends_session: false,
             trigger: profile.map_or(0, |profile| profile.trigger),
             account: order.account,
-            by: By::Order(result),
+            source: UsageSource::Order(result),
             took: self.now - order.sent_at,
             copy_mb: order.copy_mb,
             lanes: 1,
-            held: memory_held,
+            memory_held,
         };
         self.observers.used(self.now, usage);
     }
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -6,19 +6,21 @@
 use cedarpulley::interface::{
     CopyStatus, DispatchOutcome, EndpointListKind, LoadOrderResult, LoadReport, Micros, WorkerIndex,
 };
-use cedarpulley_usage_metering::Held;
+use cedarpulley_usage_metering::MemoryTotals;
 
-use crate::admission_control::{Entry, Knock};
+use crate::admission_control::{AdmissionDecision, AdmissionRequest};
 use crate::concurrency_limit::FrontState;
-use crate::endpoint_list::Listed;
-use crate::replication::{Ask, Told};
-use crate::{Answer, Delivery, FrontIndex, OrderTicket, Payload, Session, Taken, Ticket};
+use crate::endpoint_list::ListedWorker;
+use crate::replication::{ReplicationEvent, ReplicationRequest};
+use crate::{
+    Answer, Delivery, FrontIndex, IncomingInvocation, OrderTicket, Payload, Session, Ticket,
+};
 
 /// An event that the core handles, see [`Router::handle`](super::Router::handle).
 #[derive(Debug)]
 pub enum Input {
     /// A front's connection changed its state.
-    Front {
+    FrontChanged {
         /// Which front.
         front: FrontIndex,
         /// Its state from now on.
@@ -26,24 +28,24 @@
     },
     /// A request arrived at a front that can reject it before its body is read. If it is admitted, an [`Input::Taken`] or
     /// [`Input::Departed`] with this delivery follows.
-    Knock {
+    RequestArrived {
         /// Identifies the request until it is answered or its client has left.
         delivery: Delivery,
         /// What is known of the request before its body was read.
-        knock: Knock,
+        request: AdmissionRequest,
     },
     /// A whole message or request arrived.
-    Taken(Taken),
+    MessageArrived(IncomingInvocation),
     /// The answer to this delivery was delivered and cannot be lost any more.
-    Safe(Delivery),
+    AnswerDelivered(Delivery),
     /// The client has left; no answer is owed.
-    Departed(Delivery),
+    ClientLeft(Delivery),
     /// The endpoint list, or a change of it.
-    List {
+    EndpointList {
         /// What `workers` holds.
-        mode: EndpointListKind,
+        kind: EndpointListKind,
         /// The workers.
-        workers: Vec<Listed>,
+        workers: Vec<ListedWorker>,
     },
     /// A dispatch ended, with the worker's answer or without.
     DispatchEnded {
@@ -52,13 +54,13 @@
         /// How it ended.
         outcome: DispatchOutcome,
         /// What the answer says of the copy that served it.
-        note: CopyStatus,
+        copy_status: CopyStatus,
         /// Invocations of the same function in flight at the worker when this one arrived, if reported.
-        crowd: Option<u32>,
+        function_load: Option<u32>,
         /// The worker's load report.
         report: LoadReport,
         /// Memory held so far for its account and function, as the worker reports it.
-        held: Option<Held>,
+        memory_held: Option<MemoryTotals>,
         /// Body of the worker's answer; used only if it succeeded.
         body: Payload,
     },
@@ -71,10 +73,10 @@
         /// Copies that are loaded at the worker now.
         copies: u32,
         /// Memory held so far for the account and function, as the worker reports it.
-        held: Option<Held>,
+        memory_held: Option<MemoryTotals>,
     },
     /// A health check ended.
-    Probed {
+    ProbeEnded {
         /// The worker that was checked.
         worker: WorkerIndex,
         /// How the health check ended.
@@ -85,9 +87,9 @@
         report: LoadReport,
     },
     /// An event from the group of routers.
-    Group(Told),
+    Replication(ReplicationEvent),
     /// A copy is wanted at a worker beside those that invocations need. The decision module may order it or not.
-    Wanted {
+    CopyWanted {
         /// The worker, by its name in the endpoint list.
         worker: Arc<str>,
         /// The function to load.
@@ -98,7 +100,7 @@
         term: Option<Arc<str>>,
     },
     /// Idle copies of a function are to be unloaded from a worker.
-    Unwanted {
+    CopyUnwanted {
         /// The worker, by its name in the endpoint list.
         worker: Arc<str>,
         /// The function to unload.
@@ -107,7 +109,7 @@
         term: Option<Arc<str>>,
     },
     /// The copies that a worker reports.
-    Held {
+    CopiesReported {
         /// The worker, by its name in the endpoint list.
         worker: Arc<str>,
         /// The function.
@@ -132,11 +134,11 @@
         answer: Answer,
     },
     /// Whether a request is admitted.
-    Entry {
+    Admission {
         /// As in [`Input::Knock`].
         delivery: Delivery,
         /// The decision.
-        entry: Entry,
+        decision: AdmissionDecision,
     },
     /// The same message was delivered twice at once: acknowledge this delivery without an answer of its own.
     Discard(Delivery),
@@ -153,11 +155,11 @@
         /// Account of the invocation.
         account: u32,
         /// What the dispatch carries.
-        call: Call,
+        call: DispatchRequest,
     },
     /// Cancel a dispatch. The module is told of its end in the same step; what the worker still answers is
     /// ignored.
-    Withdraw(Ticket),
+    Cancel(Ticket),
     /// Ask a worker to load copies of a function, or with `copies` 0 only how many are loaded.
     Order {
         /// Identifies the order in [`Input::OrderEnded`].
@@ -188,29 +190,29 @@
         worker: WorkerIndex,
     },
     /// Request the endpoint list.
-    AskList,
+    RequestEndpointList,
     /// A request or event for the group of routers.
-    Group(Ask),
+    Replication(ReplicationRequest),
     /// How many invocations a front may have in flight.
     Grant {
         /// Which front.
         front: FrontIndex,
         /// The limit; 0: nothing new.
-        most: u32,
+        limit: u32,
     },
 }
 
 /// What a dispatch carries.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Call {
+pub struct DispatchRequest {
     /// The invocation's name as its client gave it.
-    pub mark: Option<Arc<str>>,
+    pub name: Option<Arc<str>>,
     /// The idempotency key, by which the worker recognises a repeat.
-    pub token: Option<Arc<str>>,
+    pub idempotency_key: Option<Arc<str>>,
     /// Time until the final answer is due.
     pub time_left: Micros,
     /// Timeout of this dispatch; not more than `time_left`.
-    pub waited_for: Micros,
+    pub timeout: Micros,
     /// How long the invocation will run, as its client expects.
     pub cost_hint: Option<Micros>,
     /// How long a copy takes to load, as the client expects.
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -34,9 +34,9 @@
 use cedarpulley::Balancer;
 use cedarpulley::interface::{EndpointListKind, Event, Micros, TriggerType, WorkerIndex};
 
-pub use counters::Counts;
-pub use messages::{Call, Input, Output};
-pub use settings::Terms;
+pub use counters::RouterCounters;
+pub use messages::{DispatchRequest, Input, Output};
+pub use settings::CoreSettings;
 
 use self::dispatch::DispatchResult;
 use self::state::admission::Admission;
@@ -48,15 +48,15 @@
 use self::state::timers::{SerialNumbers, TimerQueue};
 use self::state::workers::WorkerDirectory;
 use crate::answer_registry::AnswerRegistry;
-use crate::endpoint_list::Listed;
+use crate::endpoint_list::ListedWorker;
 use crate::idempotency_keys::IdempotencyKeys;
-use crate::observer::Watch;
+use crate::observer::RouterObserver;
 
 /// The state of one router, free of I/O: the same inputs at the same times give the same outputs.
 pub struct Router {
     /// The decision module.
     balancer: Balancer,
-    settings: Terms,
+    settings: CoreSettings,
     /// Trigger types by index.
     triggers: Vec<TriggerType>,
     /// Time of the last input; never goes back.
@@ -75,12 +75,12 @@
     serials: SerialNumbers,
     observers: Observers,
     /// What was decided so far.
-    pub counts: Counts,
+    pub counts: RouterCounters,
 }
 
 impl Router {
     /// A router without workers and fronts. `triggers` are the trigger types that the decision module knows, too.
-    pub fn new(balancer: Balancer, triggers: Vec<TriggerType>, settings: Terms) -> Self {
+    pub fn new(balancer: Balancer, triggers: Vec<TriggerType>, settings: CoreSettings) -> Self {
         let admission = Admission::new(
             &settings.front_weights,
             &settings.account_shares,
@@ -102,13 +102,13 @@
             timers: TimerQueue::default(),
             serials: SerialNumbers::default(),
             observers: Observers::default(),
-            counts: Counts::default(),
+            counts: RouterCounters::default(),
             settings,
         }
     }
 
     /// Adds an observer, which is notified of all that happens from now on.
-    pub fn watched_by(&mut self, observer: Box<dyn Watch>) {
+    pub fn add_observer(&mut self, observer: Box<dyn RouterObserver>) {
         self.observers.add(observer);
     }
 
@@ -121,27 +121,30 @@
         self.workers.release_unused();
         self.answers.expire(self.now);
         self.admission
-            .changed_grants(|front, most| out.push(Output::Grant { front, most }));
+            .changed_grants(|front, most| out.push(Output::Grant { front, limit: most }));
     }
 
     /// Passes the input to its handler.
     fn apply(&mut self, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Front { front, state } => self.front_changed(front, state, out),
-            Input::Knock { delivery, knock } => self.request_arrived(delivery, &knock, out),
-            Input::Taken(message) => self.message_arrived(message, out),
-            Input::Safe(delivery) => self.answer_delivered(delivery, out),
-            Input::Departed(delivery) => self.client_left(delivery, out),
-            Input::Group(event) => self.replication_event(event, out),
+            Input::FrontChanged { front, state } => self.front_changed(front, state, out),
+            Input::RequestArrived {
+                delivery,
+                request: knock,
+            } => self.request_arrived(delivery, &knock, out),
+            Input::MessageArrived(message) => self.message_arrived(message, out),
+            Input::AnswerDelivered(delivery) => self.answer_delivered(delivery, out),
+            Input::ClientLeft(delivery) => self.client_left(delivery, out),
+            Input::Replication(event) => self.replication_event(event, out),
             Input::Tick => {}
             Input::Stop => self.admission.stop(),
             Input::DispatchEnded {
                 ticket,
                 outcome,
-                note,
-                crowd,
+                copy_status: note,
+                function_load: crowd,
                 report,
-                held,
+                memory_held: held,
                 body,
             } => {
                 let result = DispatchResult {
@@ -161,14 +164,17 @@
     /// As [`Router::apply`], of news about workers and the copies that they hold.
     fn apply_of_workers(&mut self, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::List { mode, workers } => self.update_workers(mode, &workers, out),
+            Input::EndpointList {
+                kind: mode,
+                workers,
+            } => self.update_workers(mode, &workers, out),
             Input::OrderEnded {
                 ticket,
                 result,
                 copies,
-                held,
+                memory_held: held,
             } => self.order_ended(ticket, result, copies, held, out),
-            Input::Probed {
+            Input::ProbeEnded {
                 worker,
                 outcome,
                 took,
@@ -182,18 +188,18 @@
                 };
                 self.decide(&event, out);
             }
-            Input::Wanted {
+            Input::CopyWanted {
                 worker,
                 function,
                 like,
                 term,
             } => self.copy_wanted(&worker, &function, &like, term, out),
-            Input::Unwanted {
+            Input::CopyUnwanted {
                 worker,
                 function,
                 term,
             } => self.copy_unwanted(&worker, function, term, out),
-            Input::Held {
+            Input::CopiesReported {
                 worker,
                 function,
                 copies,
@@ -206,7 +212,7 @@
     fn update_workers(
         &mut self,
         kind: EndpointListKind,
-        workers: &[Listed],
+        workers: &[ListedWorker],
         out: &mut Vec<Output>,
     ) {
         let endpoints = self.workers.update(self.now, kind, workers);
@@ -224,7 +230,7 @@
 
     /// How much is unfinished: invocations that are owed an answer or have an attempt in flight, or deliveries whose
     /// answer can still be lost, whichever are more.
-    pub fn open(&self) -> usize {
+    pub fn unfinished(&self) -> usize {
         self.invocations.len().max(self.answers.undelivered())
     }
 
@@ -234,7 +240,7 @@
     }
 
     /// The index of the worker with this name in the list.
-    pub fn worker_ix(&self, name: &str) -> Option<WorkerIndex> {
+    pub fn worker_index(&self, name: &str) -> Option<WorkerIndex> {
         self.workers.find(name)
     }
 
--- a/crates/router/src/core/replication.rs
+++ b/crates/router/src/core/replication.rs
@@ -10,17 +10,24 @@
 use super::state::timers::Timer;
 use super::{Output, Router};
 use crate::replication::{
-    Ask, DispatchPermission, Key, Need, Refusal, ReplicationStage, ReplicationState, Told, Verdict,
+    DispatchPermission, Durability, Key, PermissionRefusal, ReplicationDecision, ReplicationEvent,
+    ReplicationRequest, ReplicationStage, ReplicationState,
 };
-use crate::{Answer, Fate, Reason, Ticket};
+use crate::{Answer, AnswerReason, FinalOutcome, Ticket};
 
 /// Announcements and verdicts.
 impl Router {
     /// Handles what the group says. It may speak of an invocation that is over here by now.
-    pub(super) fn replication_event(&mut self, event: Told, out: &mut Vec<Output>) {
+    pub(super) fn replication_event(&mut self, event: ReplicationEvent, out: &mut Vec<Output>) {
         match event {
-            Told::Leave { sending, left } => self.permission_answered(sending, left, out),
-            Told::Verdict { key, verdict } => self.verdict_given(&key, verdict, out),
+            ReplicationEvent::Permission {
+                attempt: sending,
+                result: left,
+            } => self.permission_answered(sending, left, out),
+            ReplicationEvent::Decision {
+                key,
+                decision: verdict,
+            } => self.verdict_given(&key, verdict, out),
         }
     }
 
@@ -38,9 +45,9 @@
         let key = replication.key.clone();
         self.replication
             .announce(key.clone(), self.invocations.handle(index));
-        out.push(Output::Group(Ask::Take {
+        out.push(Output::Replication(ReplicationRequest::Announce {
             key,
-            need: replication.need,
+            durability: replication.need,
             redelivered,
         }));
     }
@@ -54,11 +61,11 @@
     ) {
         let key = replication.key;
         if self.replication.retract(&key, index) && !replication.answered {
-            out.push(Output::Group(Ask::Dropped { key }));
+            out.push(Output::Replication(ReplicationRequest::Abandoned { key }));
         }
     }
 
-    fn verdict_given(&mut self, key: &Key, verdict: Verdict, out: &mut Vec<Output>) {
+    fn verdict_given(&mut self, key: &Key, verdict: ReplicationDecision, out: &mut Vec<Output>) {
         let Some(handle) = self.replication.announced(key) else {
             return;
         };
@@ -68,14 +75,16 @@
         }
         let index = handle.index;
         match verdict {
-            Verdict::Go { first_ago } => self.permit(index, first_ago, out),
-            Verdict::Waits => {
+            ReplicationDecision::RunHere {
+                first_attempt_ago: first_ago,
+            } => self.permit(index, first_ago, out),
+            ReplicationDecision::AwaitPeer => {
                 self.counts.joined_elsewhere += 1;
                 self.set_replication_stage(index, ReplicationStage::AwaitingPeer);
             }
-            Verdict::Answer(answer) => self.answered_elsewhere(index, answer, out),
-            Verdict::MayHaveRun => self.refuse_as_may_have_run(index, out),
-            Verdict::NoMajority => self.handle_no_majority(index, out),
+            ReplicationDecision::Answer(answer) => self.answered_elsewhere(index, answer, out),
+            ReplicationDecision::MayHaveRun => self.refuse_as_may_have_run(index, out),
+            ReplicationDecision::NoMajority => self.handle_no_majority(index, out),
         }
     }
 
@@ -118,7 +127,7 @@
         }
         // Without them only the client's clock bounds it.
         let need = invocation.replication().map(|replication| replication.need);
-        let by_client = request.redelivered && need == Some(Need::Known);
+        let by_client = request.redelivered && need == Some(Durability::Notified);
         by_client.then(|| window - request.waited - self.settings.clock_margin)
     }
 
@@ -147,7 +156,7 @@
 
     fn refuse_as_may_have_run(&mut self, index: InvocationIndex, out: &mut Vec<Output>) {
         self.counts.refused_redelivered += 1;
-        self.final_answer(index, Fate::Errored, Reason::MayHaveRun, out);
+        self.final_answer(index, FinalOutcome::Errored, AnswerReason::MayHaveRun, out);
     }
 
     /// The group has no majority: the invocation runs without it if its operator accepts that and no other router can
@@ -165,17 +174,17 @@
         }
         let may_have_run = redelivered || invocation.may_have_run();
         let outcome = if may_have_run {
-            Fate::Errored
+            FinalOutcome::Errored
         } else {
-            Fate::Throttled
+            FinalOutcome::Throttled
         };
-        self.final_answer(index, outcome, Reason::NoMajority, out);
+        self.final_answer(index, outcome, AnswerReason::NoMajority, out);
     }
 
     /// Whether invocations of this trigger type run without a majority, as the operator accepts.
     pub(super) fn may_go_unreplicated(&self, trigger: u32) -> bool {
-        let sharing = self.settings.sharing.as_ref();
-        let alone = sharing.and_then(|sharing| sharing.alone.get(trigger as usize));
+        let sharing = self.settings.replication.as_ref();
+        let alone = sharing.and_then(|sharing| sharing.without_majority.get(trigger as usize));
         alone == Some(&true)
     }
 }
@@ -186,7 +195,7 @@
     fn permission_answered(
         &mut self,
         serial: u64,
-        answer: Result<bool, Refusal>,
+        answer: Result<bool, PermissionRefusal>,
         out: &mut Vec<Output>,
     ) {
         let Some(ticket) = self.replication.end_request(serial) else {
@@ -197,7 +206,7 @@
         }
         match answer {
             Ok(alone) => self.permission_granted(ticket, alone, out),
-            Err(refusal) => self.permission_refused(ticket.inv, refusal, out),
+            Err(refusal) => self.permission_refused(ticket.invocation, refusal, out),
         }
     }
 
@@ -215,16 +224,16 @@
     fn permission_refused(
         &mut self,
         index: InvocationIndex,
-        refusal: Refusal,
+        refusal: PermissionRefusal,
         out: &mut Vec<Output>,
     ) {
-        self.counts.leave_refused += 1;
+        self.counts.permissions_refused += 1;
         match refusal {
-            Refusal::Elsewhere => {
+            PermissionRefusal::Elsewhere => {
                 self.set_replication_stage(index, ReplicationStage::AwaitingPeer);
                 self.withdraw_from_balancer(index, out);
             }
-            Refusal::NoMajority => {
+            PermissionRefusal::NoMajority => {
                 self.withdraw_from_balancer(index, out);
                 self.handle_no_majority(index, out);
             }
@@ -256,9 +265,9 @@
             DispatchPermission::Requested => false,
             DispatchPermission::Granted(at) => self
                 .settings
-                .sharing
+                .replication
                 .as_ref()
-                .is_some_and(|sharing| now - at <= sharing.leave_kept),
+                .is_some_and(|sharing| now - at <= sharing.permission_validity),
         }
     }
 }
--- a/crates/router/src/core/state/admission.rs
+++ b/crates/router/src/core/state/admission.rs
@@ -5,7 +5,7 @@
 
 use cedarpulley::interface::{Micros, TriggerType};
 
-use crate::admission_control::{self, AdmissionControl, Entry, Knock};
+use crate::admission_control::{self, AdmissionControl, AdmissionDecision, AdmissionRequest};
 use crate::concurrency_limit::{BodyTooLarge, ConcurrencyLimiter, EndedInvocation, FrontState};
 use crate::{Delivery, FrontIndex};
 
@@ -94,9 +94,9 @@
         &mut self,
         now: Micros,
         delivery: Delivery,
-        request: &Knock,
+        request: &AdmissionRequest,
         trigger: &TriggerType,
-    ) -> Entry {
+    ) -> AdmissionDecision {
         let (front, account) = (delivery.front, request.account);
         self.limiter.arrived(now, front, account);
         let pending_bytes = self.admitted.pending_bytes;
@@ -106,7 +106,7 @@
         let decision = self
             .control
             .decide(now, request, expected_value, &occupancy);
-        if decision == Entry::Enter {
+        if decision == AdmissionDecision::Admitted {
             self.limiter.admitted(now, front, account);
             let admitted = AdmittedRequest {
                 account,
--- a/crates/router/src/core/state/invocation.rs
+++ b/crates/router/src/core/state/invocation.rs
@@ -9,7 +9,7 @@
 use super::attempt::{Attempt, AttemptOutcome, EndedAttempt};
 use crate::answer_registry::AnswerSlot;
 use crate::idempotency_keys;
-use crate::replication::{DispatchPermission, Need, ReplicationStage, ReplicationState};
+use crate::replication::{DispatchPermission, Durability, ReplicationStage, ReplicationState};
 use crate::{FrontIndex, Payload, Session, Ticket};
 
 /// Refers to one invocation, even after its index was reused for another one.
@@ -24,7 +24,7 @@
     /// The ticket of one of the invocation's attempts.
     pub(crate) fn ticket(self, attempt: u32) -> Ticket {
         Ticket {
-            inv: self.index,
+            invocation: self.index,
             dispatch: attempt,
             generation: self.generation,
         }
@@ -34,7 +34,7 @@
 impl From<Ticket> for InvocationHandle {
     fn from(ticket: Ticket) -> Self {
         InvocationHandle {
-            index: ticket.inv,
+            index: ticket.invocation,
             generation: ticket.generation,
         }
     }
@@ -260,7 +260,8 @@
     /// Whether each attempt needs the group's permission to be sent.
     fn needs_permission(&self) -> bool {
         self.replication.as_ref().is_some_and(|replication| {
-            replication.need == Need::Held && replication.stage == ReplicationStage::Permitted
+            replication.need == Durability::MajorityStored
+                && replication.stage == ReplicationStage::Permitted
         })
     }
 }
--- a/crates/router/src/core/state/load_orders.rs
+++ b/crates/router/src/core/state/load_orders.rs
@@ -31,7 +31,7 @@
     pub(crate) fn started(&mut self, ticket: OrderTicket, order: LoadOrder) {
         self.in_flight.insert(ticket, order);
         if order.loads {
-            self.queueing_delay.load_ordered(ticket.func);
+            self.queueing_delay.load_ordered(ticket.function);
         }
     }
 
@@ -44,7 +44,7 @@
     pub(crate) fn ended(&mut self, now: Micros, ticket: OrderTicket) -> Option<LoadOrder> {
         let order = self.in_flight.remove(&ticket)?;
         if order.loads {
-            self.queueing_delay.load_ended(now, ticket.func);
+            self.queueing_delay.load_ended(now, ticket.function);
         }
         Some(order)
     }
--- a/crates/router/src/core/state/observers.rs
+++ b/crates/router/src/core/state/observers.rs
@@ -4,17 +4,17 @@
 
 use super::invocation::AcceptedRequest;
 use crate::FrontIndex;
-use crate::admission_control::Short;
-use crate::observer::{Given, Names, Used, Watch};
+use crate::admission_control::RejectionReason;
+use crate::observer::{AnswerGiven, Names, RouterObserver, WorkerUsage};
 
 /// All observers of one router.
 #[derive(Default)]
 pub(crate) struct Observers {
-    observers: Vec<Box<dyn Watch>>,
+    observers: Vec<Box<dyn RouterObserver>>,
 }
 
 impl Observers {
-    pub(crate) fn add(&mut self, observer: Box<dyn Watch>) {
+    pub(crate) fn add(&mut self, observer: Box<dyn RouterObserver>) {
         self.observers.push(observer);
     }
 
@@ -32,11 +32,11 @@
     ) {
         let name = request.mark.as_deref();
         for observer in &mut self.observers {
-            observer.taken(now, index, request.front, name, request.redelivered);
+            observer.accepted(now, index, request.front, name, request.redelivered);
         }
     }
 
-    pub(crate) fn answered(&mut self, now: Micros, answer: Given) {
+    pub(crate) fn answered(&mut self, now: Micros, answer: AnswerGiven) {
         for observer in &mut self.observers {
             observer.answered(now, answer);
         }
@@ -48,14 +48,14 @@
         front: FrontIndex,
         trigger: u32,
         account: u32,
-        reason: Short,
+        reason: RejectionReason,
     ) {
         for observer in &mut self.observers {
-            observer.turned_away(now, front, trigger, account, reason);
+            observer.rejected(now, front, trigger, account, reason);
         }
     }
 
-    pub(crate) fn used(&mut self, now: Micros, usage: Used) {
+    pub(crate) fn used(&mut self, now: Micros, usage: WorkerUsage) {
         for observer in &mut self.observers {
             observer.used(now, usage);
         }
--- a/crates/router/src/core/state/workers.rs
+++ b/crates/router/src/core/state/workers.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::drain_gate::DrainGate;
-use crate::endpoint_list::Listed;
+use crate::endpoint_list::ListedWorker;
 use crate::worker_index_allocator::WorkerIndexAllocator;
 
 /// Where a worker runs, as the endpoint list says.
@@ -41,7 +41,7 @@
         &mut self,
         now: Micros,
         kind: EndpointListKind,
-        workers: &[Listed],
+        workers: &[ListedWorker],
     ) -> Vec<Endpoint> {
         let endpoints: Vec<Endpoint> = workers.iter().map(|worker| self.endpoint(worker)).collect();
         for endpoint in &endpoints {
@@ -52,16 +52,16 @@
         endpoints
     }
 
-    fn endpoint(&mut self, listed: &Listed) -> Endpoint {
+    fn endpoint(&mut self, listed: &ListedWorker) -> Endpoint {
         Endpoint {
             worker: self.names.intern(listed.address.as_str()),
             fingerprint: fingerprint(&listed.address),
             zone: listed.zone,
-            machine_kind: listed.kind,
+            machine_kind: listed.machine_kind,
             cell: listed.cell,
-            state: listed.standing,
+            state: listed.state,
             weight: listed.weight,
-            started_at: listed.started,
+            started_at: listed.started_at,
         }
     }
 
--- a/crates/router/src/core/submission.rs
+++ b/crates/router/src/core/submission.rs
@@ -27,7 +27,7 @@
             .invocations
             .get(index)
             .is_some_and(|invocation| invocation.is_open() && invocation.attempts().is_empty());
-        self.counts.held += u64::from(queued);
+        self.counts.queued += u64::from(queued);
         self.release(index, out);
     }
 
--- a/crates/router/src/core/timers.rs
+++ b/crates/router/src/core/timers.rs
@@ -5,7 +5,7 @@
 use super::state::invocation::InvocationHandle;
 use super::state::timers::Timer;
 use super::{Output, Router};
-use crate::{Fate, Reason};
+use crate::{AnswerReason, FinalOutcome};
 
 impl Router {
     /// Sets a timer.
@@ -41,7 +41,12 @@
     fn dispatch_window_ended(&mut self, handle: InvocationHandle, out: &mut Vec<Output>) {
         let invocation = self.invocations.find(handle);
         if invocation.is_some_and(|found| found.is_open() && !found.has_attempt_in_flight()) {
-            self.final_answer(handle.index, Fate::Errored, Reason::MayHaveRun, out);
+            self.final_answer(
+                handle.index,
+                FinalOutcome::Errored,
+                AnswerReason::MayHaveRun,
+                out,
+            );
         }
     }
 }
--- a/crates/router/src/core/waiting_deliveries.rs
+++ b/crates/router/src/core/waiting_deliveries.rs
@@ -9,8 +9,8 @@
 use super::{Output, Router};
 use crate::answer_registry::AnswerSlot;
 use crate::concurrency_limit::{FrontState, LoadSignal};
-use crate::replication::Ask;
-use crate::{Answer, Delivery, Fate, FrontIndex, Reason};
+use crate::replication::ReplicationRequest;
+use crate::{Answer, AnswerReason, Delivery, FinalOutcome, FrontIndex};
 
 /// Deliveries that join.
 impl Router {
@@ -41,10 +41,10 @@
         out: &mut Vec<Output>,
     ) {
         if due <= self.now || !self.answers.join(slot, delivery) {
-            let answer = Answer::bare(Fate::Errored, Reason::MayHaveRun);
+            let answer = Answer::without_body(FinalOutcome::Errored, AnswerReason::MayHaveRun);
             return self.answer(delivery, answer, AnsweredInvocation::unknown(self.now), out);
         }
-        self.counts.joined_by_token += 1;
+        self.counts.joined_by_idempotency_key += 1;
         self.set_timer(due, Timer::JoinedAnswerDue(delivery));
         if let Some(invocation) = self.invocation_of(slot) {
             invocation.join();
@@ -62,7 +62,7 @@
     pub(super) fn joined_answer_overdue(&mut self, delivery: Delivery, out: &mut Vec<Output>) {
         if self.answers.is_waiting(delivery) {
             self.answers.remove_waiter(delivery);
-            let answer = Answer::bare(Fate::Errored, Reason::Overdue);
+            let answer = Answer::without_body(FinalOutcome::Errored, AnswerReason::Overdue);
             self.answer(delivery, answer, AnsweredInvocation::unknown(self.now), out);
         }
     }
@@ -74,7 +74,9 @@
     pub(super) fn answer_delivered(&mut self, delivery: Delivery, out: &mut Vec<Output>) {
         self.admission.request_left(delivery);
         if let Some(key) = self.answers.delivered(delivery) {
-            out.push(Output::Group(Ask::Closed { key }));
+            out.push(Output::Replication(ReplicationRequest::AnswerDelivered {
+                key,
+            }));
         }
     }
 
--- a/crates/router/src/endpoint_list.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! What the published endpoint list says, though its watch breaks, repeats itself or goes back in time. The list is
 //! published in slices (as Kubernetes does with endpoint slices: a listing, then a watch of changes from its version on).
-//! Call [`Roster::news`] with each watch event; it says what the core is to be told and what to request next.
+//! Call [`EndpointList::news`] with each watch event; it says what the core is to be told and what to request next.
 //!
 //! Mechanisms:
 //! 1. Each slice has a version; one that is not newer than the known one changes nothing.
@@ -21,55 +21,55 @@
 
 /// One worker of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedWorker {
     /// Its name: its address, or its id where the list gives one.
     pub address: String,
     /// The zone it runs in.
     pub zone: u32,
     /// The kind of machine it runs on.
-    pub kind: u32,
+    pub machine_kind: u32,
     /// The cell it belongs to.
     pub cell: u32,
     /// Its state.
-    pub standing: EndpointState,
+    pub state: EndpointState,
     /// Its weight relative to other workers.
     pub weight: f64,
     /// When its process started, on the router's clock, if known.
-    pub started: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// One worker as a slice names it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct SliceEntry {
     /// The worker.
-    pub worker: Listed,
+    pub worker: ListedWorker,
     /// Changes whenever the worker's process is restarted.
     pub start_mark: String,
 }
 
 /// One slice of the published list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Slice {
+pub struct EndpointSlice {
     /// Name of the slice.
     pub name: String,
     /// Grows with each change.
     pub version: u64,
     /// The workers in it.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<SliceEntry>,
 }
 
 /// What the publisher sent, or how the watch ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum WatchEvent {
     /// A whole listing.
     Listing {
         /// Version of the listing.
         version: u64,
         /// All slices.
-        slices: Vec<Slice>,
+        slices: Vec<EndpointSlice>,
     },
     /// A slice is new or was changed.
-    Changed(Slice),
+    Changed(EndpointSlice),
     /// A slice was removed.
     Removed {
         /// Name of the slice.
@@ -80,7 +80,7 @@
     /// Nothing changed up to this version.
     Bookmark(u64),
     /// The watch ended or could not be started.
-    Broken {
+    WatchEnded {
         /// The publisher no longer has the version asked for.
         too_old: bool,
     },
@@ -88,16 +88,16 @@
 
 /// What is to be done next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum ListAction {
     /// Tell the core.
-    Tell {
+    UpdateRouter {
         /// What `workers` holds.
-        mode: EndpointListKind,
+        kind: EndpointListKind,
         /// The workers.
-        workers: Vec<Listed>,
+        workers: Vec<ListedWorker>,
     },
     /// Request a whole listing.
-    List,
+    RequestListing,
     /// Watch for changes after this version.
     Watch(u64),
 }
@@ -111,12 +111,12 @@
 
 /// The published list as it is known.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct EndpointList {
     version: u64,
     /// By name.
-    slices: BTreeMap<String, Slice>,
+    slices: BTreeMap<String, EndpointSlice>,
     /// The workers that the core was told of last, by name.
-    published: BTreeMap<String, Listed>,
+    published: BTreeMap<String, ListedWorker>,
     /// By name of the worker.
     incarnations: HashMap<String, Incarnation>,
     /// Listings in a row that went back in time.
@@ -131,27 +131,32 @@
     pub left_out: u64,
 }
 
-impl Roster {
+impl EndpointList {
     /// Handles a watch event, and says what is to be done, in order.
-    pub fn news(&mut self, now: Micros, event: News) -> Vec<Step> {
+    pub fn handle(&mut self, now: Micros, event: WatchEvent) -> Vec<ListAction> {
         match event {
-            News::Listing { version, slices } => self.listing(now, version, slices),
-            News::Changed(slice) => self.slice_changed(now, slice),
-            News::Removed { name, version } => self.slice_removed(now, &name, version),
-            News::Bookmark(version) => {
+            WatchEvent::Listing { version, slices } => self.listing(now, version, slices),
+            WatchEvent::Changed(slice) => self.slice_changed(now, slice),
+            WatchEvent::Removed { name, version } => self.slice_removed(now, &name, version),
+            WatchEvent::Bookmark(version) => {
                 self.version = self.version.max(version);
                 Vec::new()
             }
-            News::Broken { too_old } => self.watch_broken(too_old),
+            WatchEvent::WatchEnded { too_old } => self.watch_broken(too_old),
         }
     }
 
-    fn listing(&mut self, now: Micros, version: u64, slices: Vec<Slice>) -> Vec<Step> {
+    fn listing(
+        &mut self,
+        now: Micros,
+        version: u64,
+        slices: Vec<EndpointSlice>,
+    ) -> Vec<ListAction> {
         if self.listed && version < self.version && self.went_back + 1 < RESTARTED_AFTER {
             // Symptom: a lagging replica of the publisher answers. Workers long gone would come back.
             self.went_back += 1;
             self.stale += 1;
-            return vec![Step::List];
+            return vec![ListAction::RequestListing];
         }
         self.went_back = 0;
         self.listed = true;
@@ -162,14 +167,14 @@
             .collect();
         let view = self.view(now);
         self.published = view.clone();
-        let complete = Step::Tell {
-            mode: EndpointListKind::Complete,
+        let complete = ListAction::UpdateRouter {
+            kind: EndpointListKind::Complete,
             workers: view.into_values().collect(),
         };
-        vec![complete, Step::Watch(version)]
+        vec![complete, ListAction::Watch(version)]
     }
 
-    fn slice_changed(&mut self, now: Micros, slice: Slice) -> Vec<Step> {
+    fn slice_changed(&mut self, now: Micros, slice: EndpointSlice) -> Vec<ListAction> {
         let known = self
             .slices
             .get(&slice.name)
@@ -183,7 +188,7 @@
         self.tell_changes(now)
     }
 
-    fn slice_removed(&mut self, now: Micros, name: &str, version: u64) -> Vec<Step> {
+    fn slice_removed(&mut self, now: Micros, name: &str, version: u64) -> Vec<ListAction> {
         let known = self.slices.get(name);
         if known.is_none_or(|known| known.version > version) {
             self.stale += 1;
@@ -194,23 +199,23 @@
         self.tell_changes(now)
     }
 
-    fn watch_broken(&self, too_old: bool) -> Vec<Step> {
-        let failed = Step::Tell {
-            mode: EndpointListKind::Failed,
+    fn watch_broken(&self, too_old: bool) -> Vec<ListAction> {
+        let failed = ListAction::UpdateRouter {
+            kind: EndpointListKind::Failed,
             workers: Vec::new(),
         };
         let next = if self.listed && !too_old {
-            Step::Watch(self.version)
+            ListAction::Watch(self.version)
         } else {
-            Step::List
+            ListAction::RequestListing
         };
         vec![failed, next]
     }
 
     /// The workers that differ from what the core was told last.
-    fn tell_changes(&mut self, now: Micros) -> Vec<Step> {
+    fn tell_changes(&mut self, now: Micros) -> Vec<ListAction> {
         let view = self.view(now);
-        let mut workers: Vec<Listed> = view
+        let mut workers: Vec<ListedWorker> = view
             .iter()
             .filter(|(name, worker)| self.published.get(*name) != Some(worker))
             .map(|(_, worker)| worker.clone())
@@ -219,22 +224,22 @@
             .published
             .iter()
             .filter(|(name, _)| !view.contains_key(*name));
-        workers.extend(gone.map(|(_, worker)| Listed {
-            standing: EndpointState::Gone,
+        workers.extend(gone.map(|(_, worker)| ListedWorker {
+            state: EndpointState::Gone,
             ..worker.clone()
         }));
         self.published = view;
         if workers.is_empty() {
             return Vec::new();
         }
-        vec![Step::Tell {
-            mode: EndpointListKind::Changes,
+        vec![ListAction::UpdateRouter {
+            kind: EndpointListKind::Changes,
             workers,
         }]
     }
 
     /// Every worker once, by name.
-    fn view(&mut self, now: Micros) -> BTreeMap<String, Listed> {
+    fn view(&mut self, now: Micros) -> BTreeMap<String, ListedWorker> {
         let newest = newest_entries(&self.slices);
         self.left_out += newest.len().saturating_sub(MAX_WORKERS) as u64;
         let mut view = BTreeMap::new();
@@ -246,8 +251,8 @@
                 started_at: started,
             };
             self.incarnations.insert(name.to_owned(), incarnation);
-            let worker = Listed {
-                started,
+            let worker = ListedWorker {
+                started_at: started,
                 ..entry.worker.clone()
             };
             view.insert(name.to_owned(), worker);
@@ -262,7 +267,7 @@
 /// When the worker's process started. `known`: its last known incarnation; `viewed`: there was a view before.
 fn started_at(
     now: Micros,
-    entry: &Entry,
+    entry: &SliceEntry,
     known: Option<&Incarnation>,
     viewed: bool,
 ) -> Option<Micros> {
@@ -273,26 +278,26 @@
         Some(_) => Some(now),
         // One that joins later and does not say since when has just started, for all that is known.
         None => {
-            let said = entry.worker.started.map(|started| started.min(now));
+            let said = entry.worker.started_at.map(|started| started.min(now));
             said.or(viewed.then_some(now))
         }
     }
 }
 
 /// The entry that counts of each worker, by name.
-fn newest_entries(slices: &BTreeMap<String, Slice>) -> BTreeMap<&str, &Entry> {
+fn newest_entries(slices: &BTreeMap<String, EndpointSlice>) -> BTreeMap<&str, &SliceEntry> {
     let caution = |state: EndpointState| match state {
         EndpointState::InService => 0,
         EndpointState::Draining => 1,
         EndpointState::Gone => 2,
     };
-    let mut newest: BTreeMap<&str, (u64, &Entry)> = BTreeMap::new();
+    let mut newest: BTreeMap<&str, (u64, &SliceEntry)> = BTreeMap::new();
     for slice in slices.values() {
         for entry in &slice.entries {
-            let rank = (slice.version, caution(entry.worker.standing));
+            let rank = (slice.version, caution(entry.worker.state));
             let known = newest.get(entry.worker.address.as_str());
-            let is_newer = known
-                .is_none_or(|(version, known)| rank > (*version, caution(known.worker.standing)));
+            let is_newer =
+                known.is_none_or(|(version, known)| rank > (*version, caution(known.worker.state)));
             if is_newer {
                 newest.insert(&entry.worker.address, (slice.version, entry));
             }
--- a/crates/router/src/interface.rs
+++ b/crates/router/src/interface.rs
@@ -15,7 +15,7 @@
     pub front: FrontIndex,
     /// Incarnation of the front's connection, which changes whenever it loses its connection or channel: what was handed
     /// over in an earlier one can no longer be answered there.
-    pub life: u32,
+    pub incarnation: u32,
     /// Number of the message within the incarnation.
     pub tag: u64,
 }
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket {
     /// The invocation.
-    pub inv: InvocationIndex,
+    pub invocation: InvocationIndex,
     /// Number of the dispatch within its invocation, from 0.
     pub dispatch: u32,
     /// Generation of the invocation's index; the end of a dispatch of an earlier generation is ignored.
@@ -37,14 +37,14 @@
     /// The worker that loads.
     pub worker: WorkerIndex,
     /// The function to load.
-    pub func: FunctionIndex,
+    pub function: FunctionIndex,
     /// Unlike that of any other order.
     pub serial: u64,
 }
 
 /// The outcome of an invocation, as its client is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Fate {
+pub enum FinalOutcome {
     /// A worker ran it and answered.
     Succeeded,
     /// It did not run: a retry is harmless.
@@ -55,7 +55,7 @@
 
 /// Why an answer is what it is; sent to the client and counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Reason {
+pub enum AnswerReason {
     /// A worker answered.
     Worker,
     /// The decision module gave it up.
@@ -86,7 +86,7 @@
     /// The whole body.
     pub bytes: Bytes,
     /// Length of the first part of a body that has two.
-    pub first: Option<u32>,
+    pub first_part_length: Option<u32>,
 }
 
 impl Payload {
@@ -103,7 +103,10 @@
 
 impl From<Bytes> for Payload {
     fn from(bytes: Bytes) -> Self {
-        Payload { bytes, first: None }
+        Payload {
+            bytes,
+            first_part_length: None,
+        }
     }
 }
 
@@ -113,31 +116,31 @@
     /// Name of the session.
     pub id: Arc<str>,
     /// The invocation is its first one.
-    pub start: bool,
+    pub is_first: bool,
     /// The invocation is its last one.
-    pub end: bool,
+    pub is_last: bool,
 }
 
 /// The final answer to a delivery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// The outcome.
-    pub fate: Fate,
+    pub outcome: FinalOutcome,
     /// Why.
-    pub reason: Reason,
+    pub reason: AnswerReason,
     /// When the client should retry (Retry-After), if it is told.
-    pub return_after: Option<Micros>,
+    pub retry_after: Option<Micros>,
     /// The worker's answer.
     pub body: Payload,
 }
 
 impl Answer {
     /// An answer without body and Retry-After.
-    pub fn bare(fate: Fate, reason: Reason) -> Self {
+    pub fn without_body(fate: FinalOutcome, reason: AnswerReason) -> Self {
         Answer {
-            fate,
+            outcome: fate,
             reason,
-            return_after: None,
+            retry_after: None,
             body: Payload::default(),
         }
     }
@@ -145,17 +148,17 @@
 
 /// A message or request as its front understood it.
 #[derive(Clone, Debug)]
-pub struct Taken {
+pub struct IncomingInvocation {
     /// Where the answer goes.
     pub delivery: Delivery,
     /// The same for every delivery of the same message and for no other; absent if the message has none.
     pub identity: Option<Arc<str>>,
     /// The invocation's name as the worker is told; nothing is decided by it.
-    pub mark: Option<Arc<str>>,
+    pub name: Option<Arc<str>>,
     /// It was delivered before, to this router or another.
     pub redelivered: bool,
     /// The client marks it as a retry of its own.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// Index of its trigger type.
     pub trigger: u32,
     /// Index of its account.
@@ -163,7 +166,7 @@
     /// The function to run.
     pub function: Arc<str>,
     /// The idempotency key, by which a repeat is recognised.
-    pub token: Option<Arc<str>>,
+    pub idempotency_key: Option<Arc<str>>,
     /// How long the client had been waiting when it arrived.
     pub waited: Micros,
     /// How long the client waits over all, from its sending on; not longer than the trigger type's timeout.
@@ -179,18 +182,18 @@
     /// The session it belongs to.
     pub session: Option<Session>,
     /// The function's name as its client calls it, where that is another one: a retry may be routed to yet another.
-    pub named: Option<Arc<str>>,
+    pub requested_function: Option<Arc<str>>,
     /// The worker, by its name in the endpoint list, where the earlier invocations of its session left their state.
-    pub prefers: Option<Arc<str>>,
+    pub preferred_worker: Option<Arc<str>>,
     /// Its final answer, if that is decided already: it is then only answered and counted.
-    pub refused: Option<(Fate, Reason)>,
+    pub predetermined_answer: Option<(FinalOutcome, AnswerReason)>,
     /// Its body.
     pub body: Payload,
 }
 
-impl Taken {
+impl IncomingInvocation {
     /// The function as its client calls it.
-    pub fn called(&self) -> &str {
-        self.named.as_deref().unwrap_or(&self.function)
+    pub fn requested_name(&self) -> &str {
+        self.requested_function.as_deref().unwrap_or(&self.function)
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -39,18 +39,8 @@
 mod slot_map;
 pub mod worker_index_allocator;
 
-#[doc(hidden)]
-pub use admission_control as entry;
-#[doc(hidden)]
-pub use concurrency_limit as admission;
-#[doc(hidden)]
-pub use endpoint_list as roster;
-#[doc(hidden)]
-pub use observer as watch;
-#[doc(hidden)]
-pub use replication as group;
-
-pub use crate::core::{Counts, Input, Output, Router, Terms};
+pub use crate::core::{CoreSettings, Input, Output, Router, RouterCounters};
 pub use crate::interface::{
-    Answer, Delivery, Fate, FrontIndex, OrderTicket, Payload, Reason, Session, Taken, Ticket,
+    Answer, AnswerReason, Delivery, FinalOutcome, FrontIndex, IncomingInvocation, OrderTicket,
+    Payload, Session, Ticket,
 };
--- a/crates/router/src/observer.rs
+++ b/crates/router/src/observer.rs
@@ -6,10 +6,10 @@
 use cedarpulley::interface::{
     Action, CopyStatus, DispatchOutcome, Event, InvocationIndex, LoadOrderResult, Micros,
 };
-use cedarpulley_usage_metering::Held;
+use cedarpulley_usage_metering::MemoryTotals;
 
-use crate::admission_control::Short;
-use crate::{Fate, FrontIndex, Reason};
+use crate::admission_control::RejectionReason;
+use crate::{AnswerReason, FinalOutcome, FrontIndex};
 
 /// Names of the indices in events and actions.
 #[derive(Clone, Copy)]
@@ -35,15 +35,15 @@
 
 /// A final answer that was sent to a delivery.
 #[derive(Clone, Copy, Debug)]
-pub struct Given {
+pub struct AnswerGiven {
     /// Absent if it was answered without the decision module.
-    pub inv: Option<InvocationIndex>,
+    pub invocation: Option<InvocationIndex>,
     /// The front of the delivery.
     pub front: FrontIndex,
     /// The outcome.
-    pub fate: Fate,
+    pub outcome: FinalOutcome,
     /// Why.
-    pub reason: Reason,
+    pub reason: AnswerReason,
     /// Index of the trigger type; `u32::MAX` where it is not known any more.
     pub trigger: u32,
     /// Index of the account; `u32::MAX` where it is not known any more.
@@ -54,7 +54,7 @@
 
 /// What one dispatch, or one load order, used of a worker.
 #[derive(Clone, Copy, Debug)]
-pub struct Used<'a> {
+pub struct WorkerUsage<'a> {
     /// Index of the worker.
     pub worker: u32,
     /// The worker's name in the endpoint list.
@@ -64,13 +64,13 @@
     /// The session it belongs to.
     pub session: Option<&'a str>,
     /// It was the last invocation of the session.
-    pub ends: bool,
+    pub ends_session: bool,
     /// Index of the trigger type.
     pub trigger: u32,
     /// The account of the invocation; of an order: the account that requested the function last.
     pub account: u32,
     /// What used the worker.
-    pub by: By,
+    pub source: UsageSource,
     /// How long it took.
     pub took: Micros,
     /// Size of a copy in megabytes.
@@ -78,12 +78,12 @@
     /// Invocations that one copy runs at a time.
     pub lanes: u32,
     /// Memory held so far for the account and function, as the worker reports it.
-    pub held: Option<Held>,
+    pub memory_held: Option<MemoryTotals>,
 }
 
 /// What used a worker, and how that ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum By {
+pub enum UsageSource {
     /// A dispatch.
     Dispatch(DispatchOutcome, CopyStatus),
     /// A load order.
@@ -91,11 +91,11 @@
 }
 
 /// Notified in the order in which things happened, on the deciding path: no method may wait for anything.
-pub trait Watch {
+pub trait RouterObserver {
     /// The decision module was told of the event and asked for the actions.
     fn decided(&mut self, now: Micros, event: &Event, actions: &[Action], names: Names);
     /// An invocation was accepted; the module is told of it next. `mark`: its name as its client gave it.
-    fn taken(
+    fn accepted(
         &mut self,
         now: Micros,
         inv: InvocationIndex,
@@ -104,16 +104,16 @@
         redelivered: bool,
     );
     /// A final answer was sent.
-    fn answered(&mut self, now: Micros, given: Given);
+    fn answered(&mut self, now: Micros, given: AnswerGiven);
     /// A request was rejected before its body was read.
-    fn turned_away(
+    fn rejected(
         &mut self,
         now: Micros,
         front: FrontIndex,
         trigger: u32,
         account: u32,
-        why: Short,
+        why: RejectionReason,
     );
     /// A dispatch or a load order ended.
-    fn used(&mut self, now: Micros, used: Used);
+    fn used(&mut self, now: Micros, used: WorkerUsage);
 }
--- a/crates/router/src/replication.rs
+++ b/crates/router/src/replication.rs
@@ -12,48 +12,59 @@
 
 use cedarpulley::interface::{DeduplicationScope, Effect, Micros, TriggerType};
 
-use crate::{Answer, Taken, idempotency_keys};
+use crate::{Answer, IncomingInvocation, idempotency_keys};
 
 /// By which a group knows an invocation: the same at all its routers.
 pub type Key = Arc<str>;
 
 /// How a router shares its invocations with its group.
 #[derive(Clone, Debug)]
-pub struct Sharing {
+pub struct ReplicationSettings {
     /// By trigger type: whether invocations run without the group where it has no majority, as the operator accepts.
-    pub alone: Vec<bool>,
+    pub without_majority: Vec<bool>,
     /// How long a permission is valid.
-    pub leave_kept: Micros,
+    pub permission_validity: Micros,
 }
 
 /// How far the group must have recorded an attempt before it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum Durability {
     /// The group is told, and nothing is waited for.
-    Known,
+    Notified,
     /// A majority stores each intent before the attempt is sent.
-    Held,
+    MajorityStored,
 }
 
 /// Under which key an invocation is replicated, and how far. Nothing if it may run again, or no other router can ever
 /// know it.
-pub fn need(message: &Taken, trigger: &TriggerType, clock_margin: Micros) -> Option<(Key, Need)> {
+pub fn required_durability(
+    message: &IncomingInvocation,
+    trigger: &TriggerType,
+    clock_margin: Micros,
+) -> Option<(Key, Durability)> {
     match trigger.effect {
         Effect::Idempotent => None,
         Effect::NonIdempotent => {
             let identity = message.identity.as_deref()?;
-            Some((Arc::from(format!("i\n{identity}")), Need::Held))
+            Some((
+                Arc::from(format!("i\n{identity}")),
+                Durability::MajorityStored,
+            ))
         }
         Effect::IdempotentByKey { scope, window } => {
-            let token = message.token.as_deref()?;
-            let key =
-                idempotency_keys::key(message.account, message.trigger, message.called(), token);
+            let token = message.idempotency_key.as_deref()?;
+            let key = idempotency_keys::key(
+                message.account,
+                message.trigger,
+                message.requested_name(),
+                token,
+            );
             let repeats_recognised =
                 scope == DeduplicationScope::All && trigger.client_timeout + clock_margin < window;
             let need = if repeats_recognised {
-                Need::Known
+                Durability::Notified
             } else {
-                Need::Held
+                Durability::MajorityStored
             };
             Some((Arc::from(format!("t\n{key}")), need))
         }
@@ -62,42 +73,42 @@
 
 /// What the group is asked or told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
-    /// An invocation was accepted here; a [`Verdict`] follows.
-    Take {
+pub enum ReplicationRequest {
+    /// An invocation was accepted here; a [`ReplicationDecision`] follows.
+    Announce {
         /// The invocation.
         key: Key,
         /// How far its attempts must be recorded.
-        need: Need,
+        durability: Durability,
         /// Its message was delivered before.
         redelivered: bool,
     },
     /// A request for permission to send an attempt.
-    Leave {
+    RequestPermission {
         /// The invocation.
         key: Key,
         /// Number of the attempt, unlike any other of this process.
-        sending: u64,
+        attempt: u64,
         /// The workers that recognise repeats of the attempt.
-        place: u32,
+        deduplication_domain: u32,
         /// It may be sent without a majority.
-        alone: bool,
+        without_majority: bool,
     },
     /// An attempt was sent without permission.
-    Left {
+    AttemptSent {
         /// The invocation.
         key: Key,
         /// Number of the attempt, unlike any other of this process.
-        sending: u64,
+        attempt: u64,
         /// The workers that recognise repeats of the attempt.
-        place: u32,
+        deduplication_domain: u32,
     },
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The invocation.
         key: Key,
         /// Number of the attempt.
-        sending: u64,
+        attempt: u64,
         /// The worker may have run it.
         may_have_run: bool,
     },
@@ -109,12 +120,12 @@
         answer: Answer,
     },
     /// The answer was delivered: the message cannot be delivered again.
-    Closed {
+    AnswerDelivered {
         /// The invocation.
         key: Key,
     },
     /// Nobody waits for the invocation at this router any more.
-    Dropped {
+    Abandoned {
         /// The invocation.
         key: Key,
     },
@@ -122,7 +133,7 @@
 
 /// Why the group gives no permission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Refusal {
+pub enum PermissionRefusal {
     /// There is no majority.
     NoMajority,
     /// Another router has the invocation; a verdict follows.
@@ -131,14 +142,14 @@
 
 /// What becomes of an invocation that was announced.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum ReplicationDecision {
     /// It may run here.
-    Go {
+    RunHere {
         /// If an attempt of it may have run: how long ago the first one was sent.
-        first_ago: Option<Micros>,
+        first_attempt_ago: Option<Micros>,
     },
     /// It is in flight at another router; another verdict follows.
-    Waits,
+    AwaitPeer,
     /// It was answered before, with this answer.
     Answer(Answer),
     /// It may have run: it must not run again.
@@ -149,20 +160,20 @@
 
 /// What the group says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum ReplicationEvent {
     /// What becomes of an invocation.
-    Verdict {
+    Decision {
         /// The invocation.
         key: Key,
         /// The verdict.
-        verdict: Verdict,
+        decision: ReplicationDecision,
     },
-    /// The answer to [`Ask::Leave`].
-    Leave {
+    /// The answer to [`ReplicationRequest::Leave`].
+    Permission {
         /// Number of the attempt.
-        sending: u64,
+        attempt: u64,
         /// Whether it may be sent; `Ok(true)`: without a majority, as the operator accepts.
-        left: Result<bool, Refusal>,
+        result: Result<bool, PermissionRefusal>,
     },
 }
 
@@ -184,7 +195,7 @@
 pub(crate) struct ReplicationState {
     /// By which the group knows it.
     pub(crate) key: Key,
-    pub(crate) need: Need,
+    pub(crate) need: Durability,
     pub(crate) stage: ReplicationStage,
     /// Its success was sent to the group, or came from it.
     pub(crate) answered: bool,
@@ -192,7 +203,7 @@
 
 impl ReplicationState {
     /// Of an invocation that is being announced.
-    pub(crate) fn announced(key: Key, need: Need) -> Self {
+    pub(crate) fn announced(key: Key, need: Durability) -> Self {
         ReplicationState {
             key,
             need,
--- a/crates/router/tests/admission_control.rs
+++ b/crates/router/tests/admission_control.rs
@@ -4,21 +4,22 @@
 
 use cedarpulley::interface::{Micros, TriggerType};
 use cedarpulley_router::admission_control::{
-    self, AdmissionControl, Entry, Knock, Occupancy, PartyOccupancy, Short,
+    self, AdmissionControl, AdmissionDecision, AdmissionRequest, Occupancy, PartyOccupancy,
+    RejectionReason,
 };
 use world::SECOND;
 
-fn request_at(in_flight: u32) -> (Knock, Occupancy) {
-    let request = Knock {
+fn request_at(in_flight: u32) -> (AdmissionRequest, Occupancy) {
+    let request = AdmissionRequest {
         trigger: 0,
         account: 0,
         waited: 0,
         bytes: 10,
-        here: 0,
-        unread: 0,
-        left: 0,
-        left_ago: 0,
-        connections: 1,
+        connection_in_flight: 0,
+        unread_answers: 0,
+        abandoned: 0,
+        last_abandoned_ago: 0,
+        active_connections: 1,
         unread_bytes: 0,
     };
     let party = PartyOccupancy {
@@ -38,10 +39,13 @@
     (request, occupancy)
 }
 
-fn rejection(decision: Entry) -> Option<Short> {
+fn rejection(decision: AdmissionDecision) -> Option<RejectionReason> {
     match decision {
-        Entry::Enter => None,
-        Entry::TurnedAway { why, come_back } => {
+        AdmissionDecision::Admitted => None,
+        AdmissionDecision::Rejected {
+            reason: why,
+            retry_after: come_back,
+        } => {
             assert!((100_000..=10_000_000).contains(&come_back), "{come_back}");
             Some(why)
         }
@@ -49,7 +53,7 @@
 }
 
 /// Why a fresh admission control rejects the request, if it does.
-fn decided(request: Knock, occupancy: Occupancy) -> Option<Short> {
+fn decided(request: AdmissionRequest, occupancy: Occupancy) -> Option<RejectionReason> {
     rejection(AdmissionControl::default().decide(0, &request, 1.0, &occupancy))
 }
 
@@ -62,22 +66,28 @@
         stopping: true,
         ..occupancy
     };
-    assert_eq!(decided(request, stopping), Some(Short::Stopping));
+    assert_eq!(decided(request, stopping), Some(RejectionReason::Stopping));
     let little_memory = Occupancy {
         free_bytes: 9,
         ..occupancy
     };
-    assert_eq!(decided(request, little_memory), Some(Short::Memory));
-    let unread_by_others = Knock {
+    assert_eq!(
+        decided(request, little_memory),
+        Some(RejectionReason::Memory)
+    );
+    let unread_by_others = AdmissionRequest {
         unread_bytes: 991,
         ..request
     };
-    assert_eq!(decided(unread_by_others, occupancy), Some(Short::Memory));
+    assert_eq!(
+        decided(unread_by_others, occupancy),
+        Some(RejectionReason::Memory)
+    );
     let full = Occupancy {
         in_flight: 100,
         ..occupancy
     };
-    assert_eq!(decided(request, full), Some(Short::All));
+    assert_eq!(decided(request, full), Some(RejectionReason::All));
 }
 
 /// A front or an account that is at its cap, or is paced and has no credit.
@@ -98,12 +108,12 @@
             front: exhausted,
             ..occupancy
         };
-        assert_eq!(decided(request, front), Some(Short::Front));
+        assert_eq!(decided(request, front), Some(RejectionReason::Front));
         let account = Occupancy {
             account: exhausted,
             ..occupancy
         };
-        assert_eq!(decided(request, account), Some(Short::Account));
+        assert_eq!(decided(request, account), Some(RejectionReason::Account));
     }
 }
 
@@ -111,30 +121,33 @@
 #[test]
 fn connection_beyond_its_part_or_misbehaving_is_rejected() {
     let (request, occupancy) = request_at(60);
-    let many = Knock {
-        connections: 10,
-        here: 20,
+    let many = AdmissionRequest {
+        active_connections: 10,
+        connection_in_flight: 20,
         ..request
     };
     let less_busy = Occupancy {
         in_flight: 40,
         ..occupancy
     };
-    assert_eq!(decided(many, occupancy), Some(Short::Connection));
+    assert_eq!(decided(many, occupancy), Some(RejectionReason::Connection));
     assert_eq!(decided(many, less_busy), None);
-    let reads_nothing = Knock {
-        unread: 32,
+    let reads_nothing = AdmissionRequest {
+        unread_answers: 32,
         ..request
     };
-    assert_eq!(decided(reads_nothing, occupancy), Some(Short::Connection));
-    let abandoning = |left, left_ago| Knock {
-        left,
-        left_ago,
+    assert_eq!(
+        decided(reads_nothing, occupancy),
+        Some(RejectionReason::Connection)
+    );
+    let abandoning = |left, left_ago| AdmissionRequest {
+        abandoned: left,
+        last_abandoned_ago: left_ago,
         ..request
     };
     assert_eq!(
         decided(abandoning(24, 0), occupancy),
-        Some(Short::Connection)
+        Some(RejectionReason::Connection)
     );
     assert_eq!(decided(abandoning(24, SECOND), occupancy), None);
     assert_eq!(decided(abandoning(23, 0), occupancy), None);
@@ -164,12 +177,12 @@
     );
     assert_eq!(
         rejection(control.decide(0, &request, worth(&cheap, 0), &request_at(90).1)),
-        Some(Short::Worth)
+        Some(RejectionReason::Worth)
     );
     // The dear one that comes too late earns a tenth: less than the cheap one in time.
     assert_eq!(
         rejection(control.decide(0, &request, worth(&dear, SECOND), &request_at(90).1)),
-        Some(Short::Worth)
+        Some(RejectionReason::Worth)
     );
     assert_eq!(
         rejection(control.decide(0, &request, worth(&dear, 0), &request_at(99).1)),
@@ -185,8 +198,11 @@
     let advice = |control: &mut AdmissionControl, n: usize| {
         (0..n)
             .filter_map(|_| match control.decide(1, &request, 1.0, &occupancy) {
-                Entry::TurnedAway { come_back, .. } => Some(come_back),
-                Entry::Enter => None,
+                AdmissionDecision::Rejected {
+                    retry_after: come_back,
+                    ..
+                } => Some(come_back),
+                AdmissionDecision::Admitted => None,
             })
             .collect::<Vec<_>>()
     };
--- a/crates/router/tests/answer_registry.rs
+++ b/crates/router/tests/answer_registry.rs
@@ -4,14 +4,14 @@
 
 use cedarpulley::interface::Micros;
 use cedarpulley_router::answer_registry::AnswerRegistry;
-use cedarpulley_router::{Answer, Delivery, Fate, Reason};
+use cedarpulley_router::{Answer, AnswerReason, Delivery, FinalOutcome};
 
 const SECOND: Micros = 1_000_000;
 
 fn delivery(front: u32, tag: u64) -> Delivery {
     Delivery {
         front,
-        life: 1,
+        incarnation: 1,
         tag,
     }
 }
@@ -20,11 +20,14 @@
 fn registered_answer_never_changes() {
     let mut registry = AnswerRegistry::default();
     let slot = registry.open(Some(Arc::from("a")), delivery(0, 1), 5, SECOND);
-    let first = Answer::bare(Fate::Succeeded, Reason::Worker);
+    let first = Answer::without_body(FinalOutcome::Succeeded, AnswerReason::Worker);
     assert_eq!(registry.give(slot, &first), [delivery(0, 1)]);
     assert!(
         registry
-            .give(slot, &Answer::bare(Fate::Errored, Reason::Overdue))
+            .give(
+                slot,
+                &Answer::without_body(FinalOutcome::Errored, AnswerReason::Overdue)
+            )
             .is_empty()
     );
     assert_eq!(registry.answer(slot), Some(&first));
--- a/crates/router/tests/backoff.rs
+++ b/crates/router/tests/backoff.rs
@@ -11,7 +11,7 @@
 #[test]
 fn delays_grow_are_randomised_and_are_reset_by_a_success() {
     let mut backoff = Backoff::new(1);
-    let delays: Vec<Micros> = (0..10).map(|_| backoff.after(0)).collect();
+    let delays: Vec<Micros> = (0..10).map(|_| backoff.next_delay(0)).collect();
     assert!(
         delays[0] <= INITIAL_DELAY
             && delays
@@ -19,9 +19,9 @@
                 .all(|delay| (INITIAL_DELAY / 2..=MAX_DELAY).contains(delay))
     );
     assert!(delays[9] >= MAX_DELAY / 2);
-    assert!(backoff.after(STABLE_AFTER) <= INITIAL_DELAY);
-    assert!(backoff.after(0) <= 2 * INITIAL_DELAY);
-    let mut short = Backoff::up_to(1, 3 * INITIAL_DELAY);
-    assert!((0..10).all(|_| short.after(0) <= 3 * INITIAL_DELAY));
-    assert_ne!(Backoff::new(2).after(0), delays[0]);
+    assert!(backoff.next_delay(STABLE_AFTER) <= INITIAL_DELAY);
+    assert!(backoff.next_delay(0) <= 2 * INITIAL_DELAY);
+    let mut short = Backoff::with_max_delay(1, 3 * INITIAL_DELAY);
+    assert!((0..10).all(|_| short.next_delay(0) <= 3 * INITIAL_DELAY));
+    assert_ne!(Backoff::new(2).next_delay(0), delays[0]);
 }
--- a/crates/router/tests/balancer_only.rs
+++ b/crates/router/tests/balancer_only.rs
@@ -11,32 +11,38 @@
 #[test]
 fn balancer_only_router_does_not_join_retries_with_the_same_idempotency_key() {
     let mut w = World::alone(2);
-    let first = Taken {
+    let first = IncomingInvocation {
         identity: None,
         ..w.message("t", TOKENED, 0, 1)
     };
-    let retry = Taken {
+    let retry = IncomingInvocation {
         identity: None,
         ..w.message("t", TOKENED, 0, 2)
     };
-    w.feed(Input::Taken(first));
+    w.feed(Input::MessageArrived(first));
     let sent = w.sent();
-    w.feed(Input::Taken(retry.clone()));
+    w.feed(Input::MessageArrived(retry.clone()));
     assert!(w.answers().is_empty());
     w.end(sent[0], DispatchOutcome::Succeeded);
-    assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
+    assert_eq!(
+        w.answers(),
+        [(1, FinalOutcome::Succeeded, AnswerReason::Worker)]
+    );
     // And one after the answer is given nothing from memory.
-    let late = Taken {
+    let late = IncomingInvocation {
         delivery: Delivery {
             tag: 3,
             ..retry.delivery
         },
         ..retry
     };
-    w.feed(Input::Taken(late));
+    w.feed(Input::MessageArrived(late));
     assert!(w.answers().is_empty());
     assert_eq!(
-        (w.router.counts.joined_by_token, w.router.counts.remembered),
+        (
+            w.router.counts.joined_by_idempotency_key,
+            w.router.counts.answered_from_cache
+        ),
         (0, 0)
     );
 }
@@ -46,13 +52,13 @@
 fn balancer_only_router_does_not_cap_a_flooding_account() {
     let mut w = World::alone(2);
     for tag in 0..3_000 {
-        let message = Taken {
+        let message = IncomingInvocation {
             identity: None,
-            token: None,
+            idempotency_key: None,
             ..w.message("f", IDEMPOTENT, 0, tag)
         };
-        w.feed(Input::Taken(message));
-        assert!(w.answers().iter().all(|a| a.2 != Reason::Share));
+        w.feed(Input::MessageArrived(message));
+        assert!(w.answers().iter().all(|a| a.2 != AnswerReason::Share));
         if let Some(ticket) = w.sent().first().copied().filter(|_| tag % 2 == 0) {
             w.end(ticket, DispatchOutcome::Errored);
         }
@@ -65,17 +71,17 @@
     let mut w = World::alone(1);
     w.take("a", NON_IDEMPOTENT, 0, 1);
     let ticket = w.sent()[0];
-    assert!(w.router.may_leave(w.now, ticket));
+    assert!(w.router.may_send(w.now, ticket));
     w.list(&[("127.0.0.1:9000", EndpointState::Draining)]);
-    assert!(w.router.may_leave(w.now + 999 * MS, ticket));
-    assert!(!w.router.may_leave(w.now + SECOND, ticket));
-    assert!(!w.router.may_leave(w.now + TIMEOUT, ticket));
-    w.feed(Input::Departed(Delivery {
+    assert!(w.router.may_send(w.now + 999 * MS, ticket));
+    assert!(!w.router.may_send(w.now + SECOND, ticket));
+    assert!(!w.router.may_send(w.now + TIMEOUT, ticket));
+    w.feed(Input::ClientLeft(Delivery {
         front: 0,
-        life: 0,
+        incarnation: 0,
         tag: 1,
     }));
-    assert!(!w.router.may_leave(w.now, ticket));
+    assert!(!w.router.may_send(w.now, ticket));
 }
 
 /// Workers drop repeats only within a window from the first sending. The last look before the first byte sees that it is
@@ -94,9 +100,9 @@
         w.pass(MS);
         w.end(first, outcome);
         let again = w.sent()[0];
-        assert!(w.router.may_leave(w.now, again) && w.router.may_leave(began + WINDOW - 1, again));
+        assert!(w.router.may_send(w.now, again) && w.router.may_send(began + WINDOW - 1, again));
         assert_eq!(
-            w.router.may_leave(began + WINDOW, again),
+            w.router.may_send(began + WINDOW, again),
             still_leaves,
             "{outcome:?}"
         );
@@ -108,10 +114,13 @@
 fn balancer_only_router_still_bounds_memory() {
     let mut w = World::alone(1);
     let body = Bytes::from(vec![0; 2 << 20]).into();
-    let large = Taken {
+    let large = IncomingInvocation {
         body,
         ..w.message("l", IDEMPOTENT, 0, 1)
     };
-    w.feed(Input::Taken(large));
-    assert_eq!(w.answers(), [(1, Fate::Throttled, Reason::Size)]);
+    w.feed(Input::MessageArrived(large));
+    assert_eq!(
+        w.answers(),
+        [(1, FinalOutcome::Throttled, AnswerReason::Size)]
+    );
 }
--- a/crates/router/tests/endpoint_list.rs
+++ b/crates/router/tests/endpoint_list.rs
@@ -4,36 +4,41 @@
 
 use EndpointState::{Draining, Gone, InService};
 use cedarpulley::interface::{EndpointListKind, EndpointState};
-use cedarpulley_router::endpoint_list::{Entry, News, Roster, Slice, Step};
+use cedarpulley_router::endpoint_list::{
+    EndpointList, EndpointSlice, ListAction, SliceEntry, WatchEvent,
+};
 use world::SECOND;
 
-fn worker(port: u16, standing: EndpointState, mark: &str) -> Entry {
+fn worker(port: u16, standing: EndpointState, mark: &str) -> SliceEntry {
     let worker = world::listed(&format!("127.0.0.1:{port}"), standing);
-    Entry {
+    SliceEntry {
         worker,
         start_mark: mark.into(),
     }
 }
 
-fn slice(name: &str, version: u64, entries: Vec<Entry>) -> Slice {
-    Slice {
+fn slice(name: &str, version: u64, entries: Vec<SliceEntry>) -> EndpointSlice {
+    EndpointSlice {
         name: name.into(),
         version,
         entries,
     }
 }
 
-fn listing(version: u64, slices: Vec<Slice>) -> News {
-    News::Listing { version, slices }
+fn listing(version: u64, slices: Vec<EndpointSlice>) -> WatchEvent {
+    WatchEvent::Listing { version, slices }
 }
 
-fn told(steps: &[Step]) -> Vec<(EndpointListKind, Vec<(String, EndpointState)>)> {
-    let tell = |s: &Step| match s {
-        Step::Tell { mode, workers } => Some((
+fn told(steps: &[ListAction]) -> Vec<(EndpointListKind, Vec<(String, EndpointState)>)> {
+    let tell = |s: &ListAction| match s {
+        ListAction::UpdateRouter {
+            kind: mode,
+            workers,
+        } => Some((
             *mode,
             workers
                 .iter()
-                .map(|w| (w.address.clone(), w.standing))
+                .map(|w| (w.address.clone(), w.state))
                 .collect(),
         )),
         _ => None,
@@ -43,10 +48,10 @@
 
 #[test]
 fn worker_in_two_slices_has_the_state_of_the_newest() {
-    let mut list = Roster::default();
+    let mut list = EndpointList::default();
     let a = slice("a", 5, vec![worker(1, InService, "x")]);
     let b = slice("b", 7, vec![worker(1, Draining, "x")]);
-    let steps = list.news(0, listing(7, vec![a, b]));
+    let steps = list.handle(0, listing(7, vec![a, b]));
     assert_eq!(
         told(&steps),
         [(
@@ -54,48 +59,48 @@
             vec![("127.0.0.1:1".into(), Draining)]
         )]
     );
-    assert_eq!(steps[1], Step::Watch(7));
+    assert_eq!(steps[1], ListAction::Watch(7));
     // Equally new: the most cautious.
     let a = slice("a", 9, vec![worker(1, Draining, "x")]);
     let b = slice("b", 9, vec![worker(1, InService, "x")]);
-    let steps = list.news(0, listing(9, vec![a, b]));
+    let steps = list.handle(0, listing(9, vec![a, b]));
     assert_eq!(told(&steps)[0].1[0].1, Draining);
 }
 
 #[test]
 fn empty_endpoint_list_is_accepted() {
-    let mut list = Roster::default();
-    list.news(
+    let mut list = EndpointList::default();
+    list.handle(
         0,
         listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]),
     );
     assert_eq!(
-        told(&list.news(0, listing(6, vec![]))),
+        told(&list.handle(0, listing(6, vec![]))),
         [(EndpointListKind::Complete, vec![])]
     );
 }
 
 #[test]
 fn repeated_or_older_watch_events_change_nothing() {
-    let mut list = Roster::default();
-    list.news(
+    let mut list = EndpointList::default();
+    list.handle(
         0,
         listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]),
     );
-    let drains = News::Changed(slice("a", 8, vec![worker(1, Draining, "x")]));
-    assert_eq!(told(&list.news(0, drains.clone()))[0].1[0].1, Draining);
-    assert!(list.news(0, drains).is_empty());
+    let drains = WatchEvent::Changed(slice("a", 8, vec![worker(1, Draining, "x")]));
+    assert_eq!(told(&list.handle(0, drains.clone()))[0].1[0].1, Draining);
+    assert!(list.handle(0, drains).is_empty());
     assert!(
-        list.news(
+        list.handle(
             0,
-            News::Changed(slice("a", 6, vec![worker(1, InService, "x")]))
+            WatchEvent::Changed(slice("a", 6, vec![worker(1, InService, "x")]))
         )
         .is_empty()
     );
     assert!(
-        list.news(
+        list.handle(
             0,
-            News::Removed {
+            WatchEvent::Removed {
                 name: "a".into(),
                 version: 7
             }
@@ -104,44 +109,53 @@
     );
     // A lagging publisher lists an old state: asked again, and believed only when it insists.
     let old = || listing(4, vec![slice("a", 4, vec![worker(1, InService, "x")])]);
-    assert_eq!(list.news(0, old()), [Step::List]);
-    assert_eq!(list.news(0, old()), [Step::List]);
-    assert_eq!(told(&list.news(0, old()))[0].0, EndpointListKind::Complete);
+    assert_eq!(list.handle(0, old()), [ListAction::RequestListing]);
+    assert_eq!(list.handle(0, old()), [ListAction::RequestListing]);
+    assert_eq!(
+        told(&list.handle(0, old()))[0].0,
+        EndpointListKind::Complete
+    );
     assert_eq!(list.stale, 5);
 }
 
 #[test]
 fn worker_restart_is_detected_by_its_start_mark() {
-    let mut list = Roster::default();
-    list.news(
+    let mut list = EndpointList::default();
+    list.handle(
         0,
         listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]),
     );
     let mut again = worker(1, InService, "y");
-    again.worker.started = Some(-100 * SECOND);
-    let steps = list.news(9 * SECOND, News::Changed(slice("a", 6, vec![again])));
+    again.worker.started_at = Some(-100 * SECOND);
+    let steps = list.handle(9 * SECOND, WatchEvent::Changed(slice("a", 6, vec![again])));
     assert!(
-        matches!(&steps[0], Step::Tell { workers, .. } if workers[0].started == Some(9 * SECOND))
+        matches!(&steps[0], ListAction::UpdateRouter { workers, .. } if workers[0].started_at == Some(9 * SECOND))
     );
 }
 
 #[test]
 fn ended_watch_resumes_or_relists_when_too_old() {
-    let mut list = Roster::default();
-    assert_eq!(list.news(0, News::Broken { too_old: false })[1], Step::List);
-    list.news(
+    let mut list = EndpointList::default();
+    assert_eq!(
+        list.handle(0, WatchEvent::WatchEnded { too_old: false })[1],
+        ListAction::RequestListing
+    );
+    list.handle(
         0,
         listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]),
     );
-    list.news(0, News::Bookmark(40));
+    list.handle(0, WatchEvent::Bookmark(40));
+    assert_eq!(
+        list.handle(0, WatchEvent::WatchEnded { too_old: false })[1],
+        ListAction::Watch(40)
+    );
     assert_eq!(
-        list.news(0, News::Broken { too_old: false })[1],
-        Step::Watch(40)
+        list.handle(0, WatchEvent::WatchEnded { too_old: true })[1],
+        ListAction::RequestListing
     );
-    assert_eq!(list.news(0, News::Broken { too_old: true })[1], Step::List);
-    let gone = list.news(
+    let gone = list.handle(
         0,
-        News::Removed {
+        WatchEvent::Removed {
             name: "a".into(),
             version: 41,
         },
--- a/crates/router/tests/faults.rs
+++ b/crates/router/tests/faults.rs
@@ -15,13 +15,16 @@
     let sent = w.sent();
     assert_eq!(sent.len(), 1);
     w.end(sent[0], DispatchOutcome::Succeeded);
-    assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
-    w.feed(Input::Safe(Delivery {
+    assert_eq!(
+        w.answers(),
+        [(1, FinalOutcome::Succeeded, AnswerReason::Worker)]
+    );
+    w.feed(Input::AnswerDelivered(Delivery {
         front: 0,
-        life: 1,
+        incarnation: 1,
         tag: 1,
     }));
-    assert_eq!((w.router.open(), w.router.body_bytes()), (0, 0));
+    assert_eq!((w.router.unfinished(), w.router.body_bytes()), (0, 0));
 }
 
 /// The channel drops with the answer on its way: when the message comes again, the same answer, no dispatch.
@@ -34,7 +37,10 @@
     w.front(FrontState::Down);
     w.front(FrontState::Up);
     w.again("a", NON_IDEMPOTENT, 2, 7, SECOND);
-    assert_eq!(w.answers(), [(7, Fate::Succeeded, Reason::Worker)]);
+    assert_eq!(
+        w.answers(),
+        [(7, FinalOutcome::Succeeded, AnswerReason::Worker)]
+    );
     assert!(w.sent().is_empty());
     assert_eq!(w.router.counts.answers.values().sum::<u64>(), 1);
 }
@@ -46,12 +52,15 @@
     w.take("a", NON_IDEMPOTENT, 1, 1);
     let ticket = w.sent()[0];
     w.front(FrontState::Down);
-    assert!(!w.out.iter().any(|o| matches!(o, Output::Withdraw(_))));
+    assert!(!w.out.iter().any(|o| matches!(o, Output::Cancel(_))));
     w.front(FrontState::Up);
     w.again("a", NON_IDEMPOTENT, 2, 3, 100 * MS);
     assert!(w.sent().is_empty() && w.answers().is_empty());
     w.end(ticket, DispatchOutcome::Succeeded);
-    assert_eq!(w.answers(), [(3, Fate::Succeeded, Reason::Worker)]);
+    assert_eq!(
+        w.answers(),
+        [(3, FinalOutcome::Succeeded, AnswerReason::Worker)]
+    );
 }
 
 /// It ended while no channel stood: as it may have run, it is not dispatched again.
@@ -65,7 +74,10 @@
     assert!(w.answers().is_empty() && w.sent().is_empty());
     w.front(FrontState::Up);
     w.again("a", NON_IDEMPOTENT, 2, 2, SECOND);
-    assert_eq!(w.answers(), [(2, Fate::Errored, Reason::MayHaveRun)]);
+    assert_eq!(
+        w.answers(),
+        [(2, FinalOutcome::Errored, AnswerReason::MayHaveRun)]
+    );
 }
 
 /// No worker, so it never left; after the drop our own record proves it, and it may go.
@@ -78,8 +90,8 @@
     w.front(FrontState::Up);
     let workers = World::new(1);
     drop(workers);
-    w.feed(Input::List {
-        mode: EndpointListKind::Complete,
+    w.feed(Input::EndpointList {
+        kind: EndpointListKind::Complete,
         workers: vec![listed("127.0.0.1:9000", EndpointState::InService)],
     });
     assert!(w.sent().is_empty(), "nobody holds it now");
@@ -98,7 +110,7 @@
     assert!(w.sent().is_empty());
     w.pass(TIMEOUT);
     assert!(w.sent().is_empty() && w.answers().is_empty());
-    assert_eq!(w.router.open(), 0);
+    assert_eq!(w.router.unfinished(), 0);
 }
 
 /// At another router, or after a kill, there is no record.
@@ -106,7 +118,10 @@
 fn redelivered_message_without_a_record_is_treated_by_its_effect() {
     let mut w = World::new(2);
     w.again("a", NON_IDEMPOTENT, 1, 1, SECOND);
-    assert_eq!(w.answers(), [(1, Fate::Errored, Reason::MayHaveRun)]);
+    assert_eq!(
+        w.answers(),
+        [(1, FinalOutcome::Errored, AnswerReason::MayHaveRun)]
+    );
     w.again("b", IDEMPOTENT, 1, 2, SECOND);
     assert_eq!(w.sent().len(), 1);
     w.again("c", TOKENED, 1, 3, WINDOW - 100 * MS);
@@ -114,7 +129,10 @@
     w.again("d", TOKENED, 1, 4, WINDOW + 100 * MS);
     assert_eq!(
         (w.sent().len(), w.answers()),
-        (0, vec![(4, Fate::Errored, Reason::MayHaveRun)])
+        (
+            0,
+            vec![(4, FinalOutcome::Errored, AnswerReason::MayHaveRun)]
+        )
     );
 }
 
@@ -124,29 +142,36 @@
     let mut w = World::new(0);
     w.again("a", TOKENED, 1, 1, WINDOW - 300 * MS);
     w.pass(SECOND);
-    assert_eq!(w.answers(), [(1, Fate::Errored, Reason::MayHaveRun)]);
+    assert_eq!(
+        w.answers(),
+        [(1, FinalOutcome::Errored, AnswerReason::MayHaveRun)]
+    );
     assert!(w.sent().is_empty());
 }
 
 #[test]
 fn message_past_its_client_timeout_is_answered_at_once() {
     let mut w = World::new(2);
-    let old = Taken {
+    let old = IncomingInvocation {
         waited: TIMEOUT,
         ..w.message("a", IDEMPOTENT, 1, 1)
     };
-    w.feed(Input::Taken(old));
+    w.feed(Input::MessageArrived(old));
     assert_eq!(
         (w.sent().len(), w.answers()),
-        (0, vec![(1, Fate::Throttled, Reason::Expired)])
+        (0, vec![(1, FinalOutcome::Throttled, AnswerReason::Expired)])
     );
-    let old = Taken {
+    let old = IncomingInvocation {
         redelivered: true,
         waited: TIMEOUT,
         ..w.message("b", TOKENED, 1, 2)
     };
-    w.feed(Input::Taken(old));
-    assert_eq!(w.answers()[0].1, Fate::Errored, "it may have run elsewhere");
+    w.feed(Input::MessageArrived(old));
+    assert_eq!(
+        w.answers()[0].1,
+        FinalOutcome::Errored,
+        "it may have run elsewhere"
+    );
 }
 
 /// The same message published twice: one invocation, one answer; the copy only goes out of the way.
@@ -160,12 +185,15 @@
         w.sent().is_empty()
             && w.out.contains(&Output::Discard(Delivery {
                 front: 0,
-                life: 1,
+                incarnation: 1,
                 tag: 2
             }))
     );
     w.end(ticket, DispatchOutcome::Succeeded);
-    assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
+    assert_eq!(
+        w.answers(),
+        [(1, FinalOutcome::Succeeded, AnswerReason::Worker)]
+    );
 }
 
 /// A worker answers after the time was over: the answer given stands, and no second one follows.
@@ -175,8 +203,11 @@
     w.take("a", NON_IDEMPOTENT, 1, 1);
     let ticket = w.sent()[0];
     w.pass(TIMEOUT);
-    assert_eq!(w.answers(), [(1, Fate::Errored, Reason::GivenUp)]);
-    assert!(w.out.contains(&Output::Withdraw(ticket)));
+    assert_eq!(
+        w.answers(),
+        [(1, FinalOutcome::Errored, AnswerReason::GivenUp)]
+    );
+    assert!(w.out.contains(&Output::Cancel(ticket)));
     w.end(ticket, DispatchOutcome::Succeeded);
     assert!(w.out.is_empty());
     assert_eq!(w.router.counts.too_late, 1);
@@ -196,7 +227,7 @@
     w.feed(Input::Tick);
     let answered = w.answers();
     assert_eq!(answered.len(), 10);
-    assert!(answered.iter().all(|a| a.1 == Fate::Errored));
+    assert!(answered.iter().all(|a| a.1 == FinalOutcome::Errored));
 }
 
 /// Two thousand at once: each gets one answer, and what has no room for its body is told so at once.
@@ -208,7 +239,7 @@
     for tag in 0..2_000 {
         let mut message = w.message(&format!("a{tag}"), (tag % 3) as u32, 1, tag);
         message.body = bytes::Bytes::from(vec![0; 1_000]).into();
-        w.feed(Input::Taken(message));
+        w.feed(Input::MessageArrived(message));
         assert!(w.router.body_bytes() <= 1 << 20);
         out.append(&mut w.out);
     }
@@ -222,7 +253,7 @@
         for ticket in sent {
             w.end(
                 ticket,
-                if ticket.inv % 5 == 0 {
+                if ticket.invocation % 5 == 0 {
                     DispatchOutcome::Rejected
                 } else {
                     DispatchOutcome::Succeeded
@@ -280,24 +311,24 @@
                         Output::Answer { delivery, answer } => {
                             *answered.entry(delivery.tag).or_insert(0) += 1;
                             let id = held.iter().find(|(_, h)| h.2 == Some(delivery.tag)).map(|h| *h.0);
-                            prop_assert!(delivery.life != life || id.is_some(), "answered what is not out");
+                            prop_assert!(delivery.incarnation != life || id.is_some(), "answered what is not out");
                             if let Some(id) = id {
                                 let name = format!("m{id}");
-                                let throttled = answer.fate == Fate::Throttled && held[&id].0 == NON_IDEMPOTENT;
+                                let throttled = answer.outcome == FinalOutcome::Throttled && held[&id].0 == NON_IDEMPOTENT;
                                 prop_assert!(!throttled || ran.get(&name).is_none_or(|n| *n == 0));
                                 held.remove(&id);
-                                w.router.handle(w.now, Input::Safe(delivery), &mut Vec::new());
+                                w.router.handle(w.now, Input::AnswerDelivered(delivery), &mut Vec::new());
                             }
                         }
                         Output::Send { ticket, call, trigger, .. } => {
-                            let name = call.mark.as_deref().unwrap_or_default().to_owned();
+                            let name = call.name.as_deref().unwrap_or_default().to_owned();
                             let n = ran.entry(name.clone()).or_insert(0);
                             prop_assert!(trigger != NON_IDEMPOTENT || *n == 0, "{name} sent again");
                             *n += 1;
                             owner.insert(ticket, name);
                             out.push(ticket);
                         }
-                        Output::Withdraw(ticket) => out.retain(|t| *t != ticket),
+                        Output::Cancel(ticket) => out.retain(|t| *t != ticket),
                         _ => {}
                     }
                 }
@@ -347,13 +378,13 @@
         look!();
         prop_assert!(held.values().all(|h| h.2.is_none()), "not answered: {held:?}");
         prop_assert!(answered.values().all(|n| *n == 1));
-        prop_assert_eq!(w.router.open(), 0);
+        prop_assert_eq!(w.router.unfinished(), 0);
     }
 }
 
-fn sent_by(w: &World, life: u32, tag: u64, id: &str, trigger: u32) -> Taken {
+fn sent_by(w: &World, life: u32, tag: u64, id: &str, trigger: u32) -> IncomingInvocation {
     // Another message with the same token.
-    Taken {
+    IncomingInvocation {
         identity: Some(format!("{id}-{tag}").into()),
         ..w.message(id, trigger, life, tag)
     }
@@ -366,25 +397,25 @@
     for kind in [IDEMPOTENT, TOKENED, NON_IDEMPOTENT] {
         let id = format!("t{kind}");
         let first = sent_by(&w, 1, 10, &id, kind);
-        w.feed(Input::Taken(first));
+        w.feed(Input::MessageArrived(first));
         let ticket = w.sent()[0];
         let second = sent_by(&w, 1, 11, &id, kind);
-        w.feed(Input::Taken(second));
+        w.feed(Input::MessageArrived(second));
         assert!(w.sent().is_empty() && w.answers().is_empty());
         w.end(ticket, DispatchOutcome::Succeeded);
         let both = [
-            (10, Fate::Succeeded, Reason::Worker),
-            (11, Fate::Succeeded, Reason::Worker),
+            (10, FinalOutcome::Succeeded, AnswerReason::Worker),
+            (11, FinalOutcome::Succeeded, AnswerReason::Worker),
         ];
         assert_eq!(w.answers(), both);
         for tag in [10, 11] {
-            w.feed(Input::Safe(Delivery {
+            w.feed(Input::AnswerDelivered(Delivery {
                 front: 0,
-                life: 1,
+                incarnation: 1,
                 tag,
             }));
         }
-        assert_eq!(w.router.open(), 0);
+        assert_eq!(w.router.unfinished(), 0);
     }
 }
 
@@ -393,31 +424,31 @@
 fn retry_after_the_answer_gets_it_from_the_cache_within_the_window() {
     let mut w = World::new(2);
     let first = sent_by(&w, 1, 1, "a", TOKENED);
-    w.feed(Input::Taken(first));
+    w.feed(Input::MessageArrived(first));
     let ticket = w.sent()[0];
     w.end(ticket, DispatchOutcome::Succeeded);
-    w.feed(Input::Safe(Delivery {
+    w.feed(Input::AnswerDelivered(Delivery {
         front: 0,
-        life: 1,
+        incarnation: 1,
         tag: 1,
     }));
     w.pass(WINDOW - SECOND);
     let again = sent_by(&w, 1, 2, "a", TOKENED);
-    w.feed(Input::Taken(again));
+    w.feed(Input::MessageArrived(again));
     assert_eq!(
         (w.sent().len(), w.answers()),
-        (0, vec![(2, Fate::Succeeded, Reason::Worker)])
+        (0, vec![(2, FinalOutcome::Succeeded, AnswerReason::Worker)])
     );
     w.pass(2 * SECOND);
     let again = sent_by(&w, 1, 3, "a", TOKENED);
-    w.feed(Input::Taken(again));
+    w.feed(Input::MessageArrived(again));
     assert_eq!(w.sent().len(), 1);
     // Another account, trigger type or function is another token.
-    let other = Taken {
+    let other = IncomingInvocation {
         function: "g".into(),
         ..sent_by(&w, 1, 4, "a", TOKENED)
     };
-    w.feed(Input::Taken(other));
+    w.feed(Input::MessageArrived(other));
     assert_eq!(w.sent().len(), 1);
 }
 
@@ -426,23 +457,23 @@
 fn invocation_is_not_cancelled_while_one_of_its_deliveries_waits() {
     let mut w = World::new(2);
     let first = sent_by(&w, 1, 1, "a", NON_IDEMPOTENT);
-    w.feed(Input::Taken(first));
+    w.feed(Input::MessageArrived(first));
     let ticket = w.sent()[0];
     let second = sent_by(&w, 1, 2, "a", NON_IDEMPOTENT);
-    w.feed(Input::Taken(second));
-    w.feed(Input::Departed(Delivery {
+    w.feed(Input::MessageArrived(second));
+    w.feed(Input::ClientLeft(Delivery {
         front: 0,
-        life: 1,
+        incarnation: 1,
         tag: 1,
     }));
-    assert!(w.out.iter().all(|o| !matches!(o, Output::Withdraw(_))));
-    w.feed(Input::Departed(Delivery {
+    assert!(w.out.iter().all(|o| !matches!(o, Output::Cancel(_))));
+    w.feed(Input::ClientLeft(Delivery {
         front: 0,
-        life: 1,
+        incarnation: 1,
         tag: 2,
     }));
-    assert!(w.out.contains(&Output::Withdraw(ticket)));
-    assert_eq!(w.router.open(), 0);
+    assert!(w.out.contains(&Output::Cancel(ticket)));
+    assert_eq!(w.router.unfinished(), 0);
 }
 
 /// A retry with less time than the first is not left waiting beyond it, and gets no second answer.
@@ -450,51 +481,57 @@
 fn joined_retry_is_answered_by_its_own_deadline() {
     let mut w = World::new(2);
     let first = sent_by(&w, 1, 1, "a", NON_IDEMPOTENT);
-    w.feed(Input::Taken(first));
+    w.feed(Input::MessageArrived(first));
     let ticket = w.sent()[0];
-    let hasty = Taken {
+    let hasty = IncomingInvocation {
         client_timeout: SECOND,
         ..sent_by(&w, 1, 2, "a", NON_IDEMPOTENT)
     };
-    w.feed(Input::Taken(hasty));
+    w.feed(Input::MessageArrived(hasty));
     w.pass(SECOND);
-    assert_eq!(w.answers(), [(2, Fate::Errored, Reason::Overdue)]);
+    assert_eq!(
+        w.answers(),
+        [(2, FinalOutcome::Errored, AnswerReason::Overdue)]
+    );
     w.end(ticket, DispatchOutcome::Succeeded);
-    assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
+    assert_eq!(
+        w.answers(),
+        [(1, FinalOutcome::Succeeded, AnswerReason::Worker)]
+    );
 }
 
 /// The channel of the first drops while a retry from elsewhere waits; the first comes again: one dispatch, two answers.
 #[test]
 fn redelivered_message_rejoins_beside_a_client_retry() {
     let mut w = World::new(2);
-    let first = Taken {
+    let first = IncomingInvocation {
         identity: Some("m".into()),
         ..w.message("a", NON_IDEMPOTENT, 1, 1)
     };
-    w.feed(Input::Taken(first.clone()));
+    w.feed(Input::MessageArrived(first.clone()));
     let ticket = w.sent()[0];
     let elsewhere = Delivery {
         front: 1,
-        life: 1,
+        incarnation: 1,
         tag: 2,
     };
-    let retry = Taken {
+    let retry = IncomingInvocation {
         delivery: elsewhere,
         ..sent_by(&w, 1, 2, "a", NON_IDEMPOTENT)
     };
-    w.feed(Input::Taken(retry));
+    w.feed(Input::MessageArrived(retry));
     w.front(FrontState::Down);
     w.front(FrontState::Up);
-    let again = Taken {
+    let again = IncomingInvocation {
         redelivered: true,
         delivery: Delivery {
             front: 0,
-            life: 2,
+            incarnation: 2,
             tag: 1,
         },
         ..first
     };
-    w.feed(Input::Taken(again));
+    w.feed(Input::MessageArrived(again));
     assert!(w.out.is_empty(), "neither sent nor put out of the way");
     w.end(ticket, DispatchOutcome::Succeeded);
     assert_eq!(w.answers().len(), 2);
@@ -506,11 +543,11 @@
     for warm in 0..6 {
         let mut w = World::ordering(6);
         let prefers = Some(format!("127.0.0.1:{}", 9000 + warm).into());
-        let first = Taken {
-            prefers,
+        let first = IncomingInvocation {
+            preferred_worker: prefers,
             ..w.message("a", IDEMPOTENT, 0, 1)
         };
-        w.feed(Input::Taken(first.clone()));
+        w.feed(Input::MessageArrived(first.clone()));
         let went = |w: &World| {
             let send = |o: &Output| {
                 if let Output::Send { worker, .. } = o {
--- a/crates/router/tests/replication.rs
+++ b/crates/router/tests/replication.rs
@@ -4,21 +4,23 @@
 
 use cedarpulley::interface::*;
 use cedarpulley_router::concurrency_limit::FrontState;
-use cedarpulley_router::replication::{Ask, Key, Need, Refusal, Told, Verdict};
+use cedarpulley_router::replication::{
+    Durability, Key, PermissionRefusal, ReplicationDecision, ReplicationEvent, ReplicationRequest,
+};
 use cedarpulley_router::*;
 use world::*;
 
 const REFUSING: [bool; 3] = [false; 3];
 
-fn key(ask: &Ask) -> Key {
+fn key(ask: &ReplicationRequest) -> Key {
     match ask {
-        Ask::Take { key, .. }
-        | Ask::Leave { key, .. }
-        | Ask::Left { key, .. }
-        | Ask::Ended { key, .. }
-        | Ask::Answered { key, .. }
-        | Ask::Closed { key }
-        | Ask::Dropped { key } => key.clone(),
+        ReplicationRequest::Announce { key, .. }
+        | ReplicationRequest::RequestPermission { key, .. }
+        | ReplicationRequest::AttemptSent { key, .. }
+        | ReplicationRequest::AttemptEnded { key, .. }
+        | ReplicationRequest::Answered { key, .. }
+        | ReplicationRequest::AnswerDelivered { key }
+        | ReplicationRequest::Abandoned { key } => key.clone(),
     }
 }
 
@@ -29,8 +31,8 @@
     assert!(
         matches!(
             &asked[..],
-            [Ask::Take {
-                need: Need::Held,
+            [ReplicationRequest::Announce {
+                durability: Durability::MajorityStored,
                 redelivered: false,
                 ..
             }]
@@ -38,12 +40,17 @@
         "{asked:?}"
     );
     let key = key(&asked[0]);
-    w.told(Told::Verdict {
+    w.told(ReplicationEvent::Decision {
         key: key.clone(),
-        verdict: Verdict::Go { first_ago: None },
+        decision: ReplicationDecision::RunHere {
+            first_attempt_ago: None,
+        },
     });
     assert!(w.sent().is_empty(), "it has no leave yet");
-    let Some(Ask::Leave { sending, .. }) = w.asked().pop() else {
+    let Some(ReplicationRequest::RequestPermission {
+        attempt: sending, ..
+    }) = w.asked().pop()
+    else {
         panic!("{:?}", w.out)
     };
     (key, sending)
@@ -53,33 +60,38 @@
 fn attempt_is_sent_with_permission_and_its_end_is_replicated() {
     let mut w = World::shared(2, REFUSING);
     let (key, sending) = goes(&mut w, "a", 1);
-    w.told(Told::Leave {
-        sending,
-        left: Ok(false),
+    w.told(ReplicationEvent::Permission {
+        attempt: sending,
+        result: Ok(false),
     });
     let ticket = w.sent()[0];
-    assert!(w.router.may_leave(w.now, ticket));
+    assert!(w.router.may_send(w.now, ticket));
     // Stopped and woken: the leave is too old.
-    assert!(!w.router.may_leave(w.now + 2 * SECOND, ticket));
+    assert!(!w.router.may_send(w.now + 2 * SECOND, ticket));
     w.end(ticket, DispatchOutcome::Succeeded);
-    assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
+    assert_eq!(
+        w.answers(),
+        [(1, FinalOutcome::Succeeded, AnswerReason::Worker)]
+    );
     let asked = w.asked();
     assert_eq!(
         asked[0],
-        Ask::Ended {
+        ReplicationRequest::AttemptEnded {
             key: key.clone(),
-            sending,
+            attempt: sending,
             may_have_run: true
         }
     );
-    assert!(matches!(&asked[1], Ask::Answered { answer, .. } if answer.fate == Fate::Succeeded));
-    w.feed(Input::Safe(Delivery {
+    assert!(
+        matches!(&asked[1], ReplicationRequest::Answered { answer, .. } if answer.outcome == FinalOutcome::Succeeded)
+    );
+    w.feed(Input::AnswerDelivered(Delivery {
         front: 0,
-        life: 1,
+        incarnation: 1,
         tag: 1,
     }));
-    assert_eq!(w.asked(), [Ask::Closed { key }]);
-    assert_eq!(w.router.open(), 0);
+    assert_eq!(w.asked(), [ReplicationRequest::AnswerDelivered { key }]);
+    assert_eq!(w.router.unfinished(), 0);
 }
 
 #[test]
@@ -91,8 +103,8 @@
     w.take("b", TOKENED, 1, 2);
     assert!(matches!(
         &w.asked()[..],
-        [Ask::Take {
-            need: Need::Held,
+        [ReplicationRequest::Announce {
+            durability: Durability::MajorityStored,
             ..
         }]
     ));
@@ -102,31 +114,49 @@
 fn without_a_majority_it_is_rejected_or_runs_unreplicated_as_configured() {
     let mut w = World::shared(2, REFUSING);
     let (_, sending) = goes(&mut w, "a", 1);
-    w.told(Told::Leave {
-        sending,
-        left: Err(Refusal::NoMajority),
+    w.told(ReplicationEvent::Permission {
+        attempt: sending,
+        result: Err(PermissionRefusal::NoMajority),
     });
-    assert_eq!(w.answers(), [(1, Fate::Throttled, Reason::NoMajority)]);
-    assert!(w.sent().is_empty() && w.asked().iter().any(|a| matches!(a, Ask::Dropped { .. })));
+    assert_eq!(
+        w.answers(),
+        [(1, FinalOutcome::Throttled, AnswerReason::NoMajority)]
+    );
+    assert!(
+        w.sent().is_empty()
+            && w.asked()
+                .iter()
+                .any(|a| matches!(a, ReplicationRequest::Abandoned { .. }))
+    );
     let mut w = World::shared(2, [false, false, true]);
     w.take("a", NON_IDEMPOTENT, 1, 1);
     let k = key(&w.asked()[0]);
-    w.told(Told::Verdict {
+    w.told(ReplicationEvent::Decision {
         key: k,
-        verdict: Verdict::NoMajority,
+        decision: ReplicationDecision::NoMajority,
     });
     let ticket = w.sent()[0];
-    assert!(w.asked().iter().any(|a| matches!(a, Ask::Left { .. })));
+    assert!(
+        w.asked()
+            .iter()
+            .any(|a| matches!(a, ReplicationRequest::AttemptSent { .. }))
+    );
     w.end(ticket, DispatchOutcome::Succeeded);
-    assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Alone)]);
+    assert_eq!(
+        w.answers(),
+        [(1, FinalOutcome::Succeeded, AnswerReason::Alone)]
+    );
     // One that came again goes nowhere without the group.
     w.again("b", NON_IDEMPOTENT, 1, 2, SECOND);
     let k = key(&w.asked()[0]);
-    w.told(Told::Verdict {
+    w.told(ReplicationEvent::Decision {
         key: k,
-        verdict: Verdict::NoMajority,
+        decision: ReplicationDecision::NoMajority,
     });
-    assert_eq!(w.answers(), [(2, Fate::Errored, Reason::NoMajority)]);
+    assert_eq!(
+        w.answers(),
+        [(2, FinalOutcome::Errored, AnswerReason::NoMajority)]
+    );
 }
 
 #[test]
@@ -134,69 +164,94 @@
     let mut w = World::shared(2, REFUSING);
     let answer = Answer {
         body: bytes::Bytes::from_static(b"x").into(),
-        ..Answer::bare(Fate::Succeeded, Reason::Worker)
+        ..Answer::without_body(FinalOutcome::Succeeded, AnswerReason::Worker)
     };
     let cases = [
-        (Verdict::Answer(answer), Fate::Succeeded, Reason::Worker),
-        (Verdict::MayHaveRun, Fate::Errored, Reason::MayHaveRun),
+        (
+            ReplicationDecision::Answer(answer),
+            FinalOutcome::Succeeded,
+            AnswerReason::Worker,
+        ),
+        (
+            ReplicationDecision::MayHaveRun,
+            FinalOutcome::Errored,
+            AnswerReason::MayHaveRun,
+        ),
     ];
     for (tag, (verdict, fate, reason)) in (1..).zip(cases) {
         w.again(&tag.to_string(), NON_IDEMPOTENT, 1, tag, 100 * MS);
         let key = key(&w.asked()[0]);
-        w.told(Told::Verdict {
+        w.told(ReplicationEvent::Decision {
             key: key.clone(),
-            verdict: Verdict::Waits,
+            decision: ReplicationDecision::AwaitPeer,
         });
         assert!(w.answers().is_empty() && w.sent().is_empty());
-        w.told(Told::Verdict { key, verdict });
+        w.told(ReplicationEvent::Decision {
+            key,
+            decision: verdict,
+        });
         assert_eq!(w.answers(), [(tag, fate, reason)]);
     }
     // Nobody says more of it: its client is told before it gives up, and no promise is made.
     w.again("late", NON_IDEMPOTENT, 1, 9, 100 * MS);
     let key = key(&w.asked()[0]);
-    w.told(Told::Verdict {
+    w.told(ReplicationEvent::Decision {
         key,
-        verdict: Verdict::Waits,
+        decision: ReplicationDecision::AwaitPeer,
     });
     w.pass(TIMEOUT);
-    assert_eq!(w.answers(), [(9, Fate::Errored, Reason::Overdue)]);
+    assert_eq!(
+        w.answers(),
+        [(9, FinalOutcome::Errored, AnswerReason::Overdue)]
+    );
     for tag in [1, 2, 9] {
-        w.feed(Input::Safe(Delivery {
+        w.feed(Input::AnswerDelivered(Delivery {
             front: 0,
-            life: 1,
+            incarnation: 1,
             tag,
         }));
-        assert!(matches!(&w.asked()[..], [Ask::Closed { .. }]));
+        assert!(matches!(
+            &w.asked()[..],
+            [ReplicationRequest::AnswerDelivered { .. }]
+        ));
     }
-    assert_eq!(w.router.open(), 0);
+    assert_eq!(w.router.unfinished(), 0);
 }
 
 #[test]
 fn invocation_lost_to_another_router_before_sending_is_withdrawn_from_the_balancer() {
     let mut w = World::shared(2, REFUSING);
     let (key, sending) = goes(&mut w, "a", 1);
-    w.told(Told::Leave {
-        sending,
-        left: Err(Refusal::Elsewhere),
+    w.told(ReplicationEvent::Permission {
+        attempt: sending,
+        result: Err(PermissionRefusal::Elsewhere),
     });
     assert!(w.sent().is_empty() && w.answers().is_empty());
     w.pass(SECOND);
     assert!(w.sent().is_empty() && w.asked().is_empty());
     // The other one never sent it: here it may go after all.
-    w.told(Told::Verdict {
+    w.told(ReplicationEvent::Decision {
         key,
-        verdict: Verdict::Go { first_ago: None },
+        decision: ReplicationDecision::RunHere {
+            first_attempt_ago: None,
+        },
     });
-    let Some(Ask::Leave { sending, .. }) = w.asked().pop() else {
+    let Some(ReplicationRequest::RequestPermission {
+        attempt: sending, ..
+    }) = w.asked().pop()
+    else {
         panic!("{:?}", w.out)
     };
-    w.told(Told::Leave {
-        sending,
-        left: Ok(false),
+    w.told(ReplicationEvent::Permission {
+        attempt: sending,
+        result: Ok(false),
     });
     let ticket = w.sent()[0];
     w.end(ticket, DispatchOutcome::Succeeded);
-    assert_eq!(w.answers(), [(1, Fate::Succeeded, Reason::Worker)]);
+    assert_eq!(
+        w.answers(),
+        [(1, FinalOutcome::Succeeded, AnswerReason::Worker)]
+    );
 }
 
 #[test]
@@ -206,21 +261,21 @@
     w.front(FrontState::Down);
     let asked = w.asked();
     assert!(
-        asked.contains(&Ask::Ended {
+        asked.contains(&ReplicationRequest::AttemptEnded {
             key: key.clone(),
-            sending,
+            attempt: sending,
             may_have_run: false
         }),
         "{asked:?}"
     );
-    assert!(asked.contains(&Ask::Dropped { key }));
+    assert!(asked.contains(&ReplicationRequest::Abandoned { key }));
     // A permission that comes after is of no use.
-    w.told(Told::Leave {
-        sending,
-        left: Ok(false),
+    w.told(ReplicationEvent::Permission {
+        attempt: sending,
+        result: Ok(false),
     });
     assert!(w.sent().is_empty());
-    assert_eq!(w.router.open(), 0);
+    assert_eq!(w.router.unfinished(), 0);
 }
 
 /// Away from here, another router may have run it: that it did not is the group's to say.
@@ -228,11 +283,14 @@
 fn redelivered_message_that_was_rejected_is_announced_again() {
     let mut w = World::shared(2, REFUSING);
     let (_, sending) = goes(&mut w, "a", 1);
-    w.told(Told::Leave {
-        sending,
-        left: Err(Refusal::NoMajority),
+    w.told(ReplicationEvent::Permission {
+        attempt: sending,
+        result: Err(PermissionRefusal::NoMajority),
     });
-    assert_eq!(w.answers(), [(1, Fate::Throttled, Reason::NoMajority)]);
+    assert_eq!(
+        w.answers(),
+        [(1, FinalOutcome::Throttled, AnswerReason::NoMajority)]
+    );
     w.front(FrontState::Down);
     w.front(FrontState::Up);
     w.again("a", NON_IDEMPOTENT, 2, 1, 100 * MS);
@@ -241,28 +299,31 @@
     assert!(
         matches!(
             &asked[..],
-            [Ask::Take {
-                need: Need::Held,
+            [ReplicationRequest::Announce {
+                durability: Durability::MajorityStored,
                 redelivered: true,
                 ..
             }]
         ),
         "{asked:?}"
     );
-    w.told(Told::Verdict {
+    w.told(ReplicationEvent::Decision {
         key: key(&asked[0]),
-        verdict: Verdict::MayHaveRun,
+        decision: ReplicationDecision::MayHaveRun,
     });
-    assert_eq!(w.answers(), [(1, Fate::Errored, Reason::MayHaveRun)]);
+    assert_eq!(
+        w.answers(),
+        [(1, FinalOutcome::Errored, AnswerReason::MayHaveRun)]
+    );
 }
 
 #[test]
 fn invocation_orphaned_while_in_flight_is_not_reported_as_not_run() {
     let mut w = World::shared(2, REFUSING);
     let (_, sending) = goes(&mut w, "a", 1);
-    w.told(Told::Leave {
-        sending,
-        left: Ok(false),
+    w.told(ReplicationEvent::Permission {
+        attempt: sending,
+        result: Ok(false),
     });
     let ticket = w.sent()[0];
     w.front(FrontState::Down);
@@ -273,7 +334,10 @@
     w.end(ticket, DispatchOutcome::NotSent);
     w.pass(TIMEOUT);
     let answers = w.answers();
-    assert_eq!(answers, [(1, Fate::Errored, Reason::MayHaveRun)]);
+    assert_eq!(
+        answers,
+        [(1, FinalOutcome::Errored, AnswerReason::MayHaveRun)]
+    );
 }
 
 #[test]
@@ -285,10 +349,10 @@
     assert_eq!(answers.len(), 1);
     assert_eq!(
         (answers[0].0, answers[0].1),
-        (1, Fate::Throttled),
+        (1, FinalOutcome::Throttled),
         "{answers:?}"
     );
-    assert!(!w.out.iter().any(|o| matches!(o, Output::Withdraw(_))));
+    assert!(!w.out.iter().any(|o| matches!(o, Output::Cancel(_))));
 }
 
 #[test]
@@ -297,13 +361,16 @@
     for (tag, ago, sends) in [(1, 7 * SECOND, true), (2, 9 * SECOND, false)] {
         w.take(&tag.to_string(), TOKENED, 1, tag);
         let key = key(&w.asked()[0]);
-        w.told(Told::Verdict {
+        w.told(ReplicationEvent::Decision {
             key,
-            verdict: Verdict::Go {
-                first_ago: Some(ago),
+            decision: ReplicationDecision::RunHere {
+                first_attempt_ago: Some(ago),
             },
         });
-        let asks = w.asked().iter().any(|a| matches!(a, Ask::Leave { .. }));
+        let asks = w
+            .asked()
+            .iter()
+            .any(|a| matches!(a, ReplicationRequest::RequestPermission { .. }));
         assert_eq!(asks, sends);
         assert_eq!(w.answers().is_empty(), sends, "{:?}", w.answers());
     }
--- a/crates/router/tests/worker_index_allocator.rs
+++ b/crates/router/tests/worker_index_allocator.rs
@@ -27,20 +27,20 @@
 fn index_of_a_removed_worker_is_reused_once_unreferenced() {
     let mut w = World::alone(1);
     w.take("a", IDEMPOTENT, 0, 1);
-    let (ticket, old) = (w.sent()[0], w.router.worker_ix("127.0.0.1:9000"));
+    let (ticket, old) = (w.sent()[0], w.router.worker_index("127.0.0.1:9000"));
     w.list(&[
         ("127.0.0.1:9000", EndpointState::Gone),
         ("s-1", EndpointState::InService),
     ]);
     // A dispatch is still out there.
-    assert_eq!(w.router.worker_ix("127.0.0.1:9000"), old);
-    assert_ne!(w.router.worker_ix("s-1"), old);
+    assert_eq!(w.router.worker_index("127.0.0.1:9000"), old);
+    assert_ne!(w.router.worker_index("s-1"), old);
     w.end(ticket, DispatchOutcome::Succeeded);
-    assert_eq!(w.router.worker_ix("127.0.0.1:9000"), None);
+    assert_eq!(w.router.worker_index("127.0.0.1:9000"), None);
     for n in 2..500 {
         let (was, is) = (format!("s-{}", n - 1), format!("s-{n}"));
         w.list(&[(&is, EndpointState::InService), (&was, EndpointState::Gone)]);
-        assert!(w.router.worker_ix(&is).expect("listed") < 3);
+        assert!(w.router.worker_index(&is).expect("listed") < 3);
         w.take(&is, IDEMPOTENT, 0, n);
         let ticket = w.sent()[0];
         w.end(ticket, DispatchOutcome::Succeeded);
--- a/crates/router/tests/world/mod.rs
+++ b/crates/router/tests/world/mod.rs
@@ -7,8 +7,8 @@
 use cedarpulley::Balancer;
 use cedarpulley::interface::*;
 use cedarpulley_router::concurrency_limit::FrontState;
-use cedarpulley_router::endpoint_list::Listed;
-use cedarpulley_router::replication::{Ask, Told};
+use cedarpulley_router::endpoint_list::ListedWorker;
+use cedarpulley_router::replication::{ReplicationEvent, ReplicationRequest};
 use cedarpulley_router::*;
 
 pub const MS: Micros = 1_000;
@@ -94,15 +94,15 @@
     )
 }
 
-pub fn listed(id: &str, standing: EndpointState) -> Listed {
-    Listed {
+pub fn listed(id: &str, standing: EndpointState) -> ListedWorker {
+    ListedWorker {
         address: id.into(),
         zone: 0,
-        kind: 0,
+        machine_kind: 0,
         cell: 0,
-        standing,
+        state: standing,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -114,9 +114,9 @@
 
     /// One of a group; types that go alone are named.
     pub fn shared(workers: u32, alone: [bool; 3]) -> World {
-        let sharing = group::Sharing {
-            alone: alone.to_vec(),
-            leave_kept: SECOND,
+        let sharing = replication::ReplicationSettings {
+            without_majority: alone.to_vec(),
+            permission_validity: SECOND,
         };
         World::with(workers, [false; 2], Some(sharing))
     }
@@ -134,18 +134,18 @@
     fn with(
         workers: u32,
         [module_alone, orders]: [bool; 2],
-        sharing: Option<group::Sharing>,
+        sharing: Option<replication::ReplicationSettings>,
     ) -> World {
-        let terms = Terms {
+        let terms = CoreSettings {
             answer_margin: MARGIN,
             clock_margin: 50 * MS,
             memory_bytes: 1 << 20,
             front_weights: vec![1.0, 1.0],
             account_shares: vec![1.0],
-            order_answered_within: 5 * SECOND,
-            module_alone,
+            order_timeout: 5 * SECOND,
+            balancer_only: module_alone,
             drain_grace: SECOND,
-            sharing,
+            replication: sharing,
         };
         let mut w = World {
             router: Router::new(control(orders), triggers(), terms),
@@ -159,8 +159,8 @@
             .iter()
             .map(|id| listed(id, EndpointState::InService))
             .collect();
-        w.feed(Input::List {
-            mode: EndpointListKind::Complete,
+        w.feed(Input::EndpointList {
+            kind: EndpointListKind::Complete,
             workers,
         });
         w.front(FrontState::Up);
@@ -178,14 +178,14 @@
             .iter()
             .map(|(id, standing)| listed(id, *standing))
             .collect();
-        self.feed(Input::List {
-            mode: EndpointListKind::Changes,
+        self.feed(Input::EndpointList {
+            kind: EndpointListKind::Changes,
             workers,
         });
     }
 
     pub fn front(&mut self, state: FrontState) {
-        self.feed(Input::Front { front: 0, state });
+        self.feed(Input::FrontChanged { front: 0, state });
     }
 
     /// Lets time pass, with every timer at its moment; gathers all that comes out.
@@ -201,21 +201,21 @@
         self.out = all;
     }
 
-    pub fn message(&self, id: &str, trigger: u32, life: u32, tag: u64) -> Taken {
-        Taken {
+    pub fn message(&self, id: &str, trigger: u32, life: u32, tag: u64) -> IncomingInvocation {
+        IncomingInvocation {
             delivery: Delivery {
                 front: 0,
-                life,
+                incarnation: life,
                 tag,
             },
             identity: Some(Arc::from(id)),
-            mark: Some(Arc::from(id)),
+            name: Some(Arc::from(id)),
             redelivered: false,
-            repeat: false,
+            client_retry: false,
             trigger,
             account: 0,
             function: Arc::from("f"),
-            token: Some(Arc::from(id)),
+            idempotency_key: Some(Arc::from(id)),
             waited: 0,
             client_timeout: TIMEOUT,
             cost_hint: None,
@@ -223,25 +223,25 @@
             copy_mb: 1.0,
             lanes: 100_000,
             session: None,
-            named: None,
-            prefers: None,
-            refused: None,
+            requested_function: None,
+            preferred_worker: None,
+            predetermined_answer: None,
             body: Bytes::from_static(b"{}").into(),
         }
     }
 
     pub fn take(&mut self, id: &str, trigger: u32, life: u32, tag: u64) {
         let message = self.message(id, trigger, life, tag);
-        self.feed(Input::Taken(message));
+        self.feed(Input::MessageArrived(message));
     }
 
     pub fn again(&mut self, id: &str, trigger: u32, life: u32, tag: u64, waited: Micros) {
-        let message = Taken {
+        let message = IncomingInvocation {
             redelivered: true,
             waited,
             ..self.message(id, trigger, life, tag)
         };
-        self.feed(Input::Taken(message));
+        self.feed(Input::MessageArrived(message));
     }
 
     pub fn sent(&self) -> Vec<Ticket> {
@@ -257,19 +257,21 @@
             .collect()
     }
 
-    pub fn answers(&self) -> Vec<(u64, Fate, Reason)> {
+    pub fn answers(&self) -> Vec<(u64, FinalOutcome, AnswerReason)> {
         let answer = |o: &Output| match o {
-            Output::Answer { delivery, answer } => Some((delivery.tag, answer.fate, answer.reason)),
+            Output::Answer { delivery, answer } => {
+                Some((delivery.tag, answer.outcome, answer.reason))
+            }
             _ => None,
         };
         self.out.iter().filter_map(answer).collect()
     }
 
-    pub fn asked(&self) -> Vec<Ask> {
+    pub fn asked(&self) -> Vec<ReplicationRequest> {
         self.out
             .iter()
             .filter_map(|o| {
-                if let Output::Group(a) = o {
+                if let Output::Replication(a) = o {
                     Some(a.clone())
                 } else {
                     None
@@ -278,18 +280,18 @@
             .collect()
     }
 
-    pub fn told(&mut self, told: Told) {
-        self.feed(Input::Group(told));
+    pub fn told(&mut self, told: ReplicationEvent) {
+        self.feed(Input::Replication(told));
     }
 
     pub fn end(&mut self, ticket: Ticket, outcome: DispatchOutcome) {
         self.feed(Input::DispatchEnded {
             ticket,
             outcome,
-            note: CopyStatus::Unreported,
-            crowd: None,
+            copy_status: CopyStatus::Unreported,
+            function_load: None,
             report: LoadReport::default(),
-            held: None,
+            memory_held: None,
             body: Bytes::from_static(b"done").into(),
         });
     }
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -11,6 +11,6 @@
 
 pub use error::SettingsError;
 pub use names::Names;
-pub use raw_settings::{RawSettings, micros};
+pub use raw_settings::{RawSettings, micros_from_nanos};
 pub use report_field::ReportField;
 pub use startup_settings::StartupSettings;
--- a/crates/startup/src/names.rs
+++ b/crates/startup/src/names.rs
@@ -10,18 +10,18 @@
     /// Of zones.
     pub zones: Vec<String>,
     /// Of machine kinds.
-    pub kinds: Vec<String>,
+    pub machine_kinds: Vec<String>,
 }
 
 impl Names {
     /// The index of a trigger type; none if there is none of this name.
-    pub fn trigger(&self, name: &str) -> Option<u32> {
+    pub fn trigger_index(&self, name: &str) -> Option<u32> {
         index_of(&self.triggers, name)
     }
 
     /// The index of an account: the first one without a name or where no accounts are named; none if there is none of
     /// this name.
-    pub fn account(&self, name: Option<&str>) -> Option<u32> {
+    pub fn account_index(&self, name: Option<&str>) -> Option<u32> {
         match name {
             None => Some(0),
             Some(_) if self.accounts.is_empty() => Some(0),
--- a/crates/startup/src/raw_settings.rs
+++ b/crates/startup/src/raw_settings.rs
@@ -13,7 +13,7 @@
 const NANOS_PER_MICRO: i64 = 1_000;
 
 /// Nanoseconds, as outside this product, in whole microseconds, rounded down.
-pub fn micros(nanos: i64) -> Micros {
+pub fn micros_from_nanos(nanos: i64) -> Micros {
     nanos.div_euclid(NANOS_PER_MICRO)
 }
 
@@ -29,7 +29,7 @@
 
 impl<'a> RawSettings<'a> {
     /// Reads pairs `path=value` separated by blanks.
-    pub fn pairs(text: &'a str) -> Result<Self> {
+    pub fn from_pairs(text: &'a str) -> Result<Self> {
         let mut values = HashMap::new();
         for part in text.split(' ').filter(|p| !p.is_empty()) {
             let (path, value) = part
@@ -47,7 +47,7 @@
     }
 
     /// Reads the same settings as nested JSON.
-    pub fn nested(settings: &Value) -> Result<Self> {
+    pub fn from_json(settings: &Value) -> Result<Self> {
         if !settings.is_object() {
             return Err(SettingsError::NotAnObject);
         }
@@ -135,7 +135,7 @@
             None => Ok(default),
             Some(value) => value
                 .parse::<i64>()
-                .map(micros)
+                .map(micros_from_nanos)
                 .map_err(|_| wrong_type(path, value, "a time")),
         }
     }
--- a/crates/startup/src/report_field.rs
+++ b/crates/startup/src/report_field.rs
@@ -23,7 +23,7 @@
 
 impl ReportField {
     /// The fields that the settings list, in that order.
-    pub fn named(raw: &RawSettings) -> Vec<Self> {
+    pub fn from_settings(raw: &RawSettings) -> Vec<Self> {
         raw.list("stats.fields").map(Self::from_name).collect()
     }
 
@@ -39,7 +39,7 @@
     }
 
     /// Sets the value of this name in the report if it is one of the listed `fields`.
-    pub fn tell(report: &mut LoadReport, fields: &[Self], name: &str, value: f64) {
+    pub fn set_in_report(report: &mut LoadReport, fields: &[Self], name: &str, value: f64) {
         let field = Self::from_name(name);
         let reported = match field {
             ReportField::InFlight => &mut report.in_flight,
--- a/crates/startup/tests/settings.rs
+++ b/crates/startup/tests/settings.rs
@@ -9,7 +9,7 @@
 const SECOND: Micros = 1_000_000;
 
 fn read(settings: &Value) -> StartupSettings {
-    let raw = RawSettings::nested(settings).expect("an object");
+    let raw = RawSettings::from_json(settings).expect("an object");
     StartupSettings::read(&raw).expect("good settings")
 }
 
@@ -58,7 +58,7 @@
 #[test]
 fn a_list_value_may_contain_a_comma() {
     let settings = json!({"zones": ["hall a, north", "", "hall b"], "kinds": []});
-    let raw = RawSettings::nested(&settings).expect("an object");
+    let raw = RawSettings::from_json(&settings).expect("an object");
     assert_eq!(
         raw.list("zones").collect::<Vec<_>>(),
         ["hall a, north", "", "hall b"]
@@ -69,7 +69,7 @@
 /// Values in pairs contain no commas themselves.
 #[test]
 fn lists_in_pairs_are_separated_by_commas() {
-    let raw = RawSettings::pairs("zones=a,b_c kinds=").expect("pairs");
+    let raw = RawSettings::from_pairs("zones=a,b_c kinds=").expect("pairs");
     assert_eq!(raw.list("zones").collect::<Vec<_>>(), ["a", "b_c"]);
     assert_eq!(raw.list("kinds").count(), 0);
 }
@@ -112,7 +112,7 @@
 #[test]
 fn a_hyphen_is_absence_in_pairs_and_a_value_in_json() {
     let settings = json!({"orgs": [{"name": "-", "share": null}]});
-    let raw = RawSettings::nested(&settings).expect("an object");
+    let raw = RawSettings::from_json(&settings).expect("an object");
     assert_eq!(raw.text("orgs.0.name"), Some("-"));
     assert_eq!(
         (raw.text("orgs.0.share"), raw.text("orgs.1.name")),
@@ -120,7 +120,7 @@
     );
     // In pairs it means that the value is absent.
     assert_eq!(
-        RawSettings::pairs("orgs.0.name=-")
+        RawSettings::from_pairs("orgs.0.name=-")
             .expect("pairs")
             .text("orgs.0.name"),
         None
@@ -132,7 +132,7 @@
 fn a_list_where_one_value_is_expected_is_rejected() {
     for aim in [json!([1, 2]), json!([])] {
         let raw = json!({"services": [{"name": "run", "aim": aim}]});
-        let raw = RawSettings::nested(&raw).expect("an object");
+        let raw = RawSettings::from_json(&raw).expect("an object");
         let error = StartupSettings::read(&raw).expect_err("no time");
         assert!(error.to_string().contains("services.0.aim"), "{error}");
     }
--- a/crates/test-cluster/src/amqp_client.rs
+++ b/crates/test-cluster/src/amqp_client.rs
@@ -10,7 +10,7 @@
 use cedarpulley_amqp::connection::Login;
 use cedarpulley_amqp::protocol::basic::AMQPProperties;
 use cedarpulley_amqp::types::{AMQPValue, FieldTable, LongString, ShortString};
-use cedarpulley_amqp::{Connection, Event, Role, meaning};
+use cedarpulley_amqp::{Connection, Event, Role, trigger};
 use cedarpulley_emulators::{lock, unix_time_us};
 use cedarpulley_net::{Stream, connect};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
@@ -32,13 +32,13 @@
     /// Invocation id; also its idempotency key.
     pub id: String,
     /// Trigger type.
-    pub kind: String,
+    pub trigger_type: String,
     /// The function that it asks for.
     pub function: String,
     /// The account that it is billed to.
     pub account: String,
     /// Sent over KServe v2 instead of AMQP.
-    pub calls: bool,
+    pub over_kserve: bool,
     /// The queue that it is published to over AMQP.
     pub queue: String,
     /// Its client gives up after this.
@@ -68,32 +68,32 @@
 
 /// Which function a client asks for as it sends, where that is not the arrival's own: an operator's clients may
 /// choose a version by what is loaded.
-pub type Asks = Arc<dyn Fn(&Arrival) -> String + Send + Sync>;
+pub type FunctionOverride = Arc<dyn Fn(&Arrival) -> String + Send + Sync>;
 
 /// Latencies from when an invocation was due to its answer, in microseconds, of those due at or after the instant.
-pub type Times = Arc<Mutex<(hdrhistogram::Histogram<u64>, Instant)>>;
+pub type LatencyRecorder = Arc<Mutex<(hdrhistogram::Histogram<u64>, Instant)>>;
 
 /// The final outcomes that each invocation was answered with, by id, in the order of arrival.
 pub type Answers = Arc<Mutex<HashMap<String, Vec<String>>>>;
 
 /// A client that publishes over AMQP.
-pub struct Client {
+pub struct AmqpClient {
     /// The broker's address.
     pub broker: SocketAddr,
     /// Source address of its connections.
     pub from: IpAddr,
     /// Its reply queue.
-    pub replies: String,
+    pub reply_queue: String,
     /// When the traffic begins.
     pub began: Instant,
     /// In the order of their times.
     pub arrivals: Vec<Arrival>,
     /// Where latencies are recorded, if anywhere.
-    pub times: Option<Times>,
+    pub latencies: Option<LatencyRecorder>,
     /// Where answers are recorded, if anywhere.
     pub answers: Option<Answers>,
     /// Overrides the functions that arrivals ask for.
-    pub asks: Option<Asks>,
+    pub function_override: Option<FunctionOverride>,
 }
 
 /// What a client has sent so far; outlives its connections.
@@ -110,31 +110,31 @@
     ShortString::try_new(s).unwrap_or_default()
 }
 
-fn properties(arrival: &Arrival, asks: Option<&Asks>, replies: &str) -> AMQPProperties {
+fn properties(arrival: &Arrival, asks: Option<&FunctionOverride>, replies: &str) -> AMQPProperties {
     let mut headers = FieldTable::default();
     let text = |s: &str| AMQPValue::LongString(LongString::from(s));
     let function = asks.map_or_else(|| arrival.function.clone(), |asks| asks(arrival));
-    headers.insert(short_string(meaning::FUNCTION), text(&function));
+    headers.insert(short_string(trigger::FUNCTION), text(&function));
     headers.insert(
-        short_string(meaning::SENT_AT_US),
+        short_string(trigger::SENT_AT_US),
         AMQPValue::LongLongInt(unix_time_us()),
     );
     headers.insert(
-        short_string(meaning::COPY_MB),
+        short_string(trigger::COPY_MB),
         AMQPValue::LongLongInt(arrival.copy_mb as i64),
     );
     headers.insert(
-        short_string(meaning::LANES),
+        short_string(trigger::LANES),
         AMQPValue::LongLongInt(i64::from(arrival.lanes)),
     );
     if let Some(turn) = &arrival.turn {
-        headers.insert(short_string(meaning::SEQUENCE_ID), text(&turn.session));
+        headers.insert(short_string(trigger::SEQUENCE_ID), text(&turn.session));
         headers.insert(
-            short_string(meaning::SEQUENCE_START),
+            short_string(trigger::SEQUENCE_START),
             AMQPValue::Boolean(turn.start),
         );
         headers.insert(
-            short_string(meaning::SEQUENCE_END),
+            short_string(trigger::SEQUENCE_END),
             AMQPValue::Boolean(turn.end),
         );
     }
@@ -145,11 +145,11 @@
         .with_message_id(short_string(&arrival.id))
         .with_reply_to(short_string(replies))
         .with_expiration(short_string(&arrival.timeout_ms.to_string()))
-        .with_type(short_string(&arrival.kind))
+        .with_type(short_string(&arrival.trigger_type))
         .with_app_id(short_string(&arrival.account))
 }
 
-impl Client {
+impl AmqpClient {
     /// Runs until dropped.
     pub async fn run(self) {
         let clock = Instant::now();
@@ -176,8 +176,8 @@
     }
 
     fn role(&self) -> Role {
-        Role::Calls {
-            reply_queue: self.replies.clone(),
+        Role::Requester {
+            reply_queue: self.reply_queue.clone(),
         }
     }
 
@@ -187,8 +187,8 @@
             user: "guest".into(),
             password: "guest".into(),
             heartbeat_s: 10,
-            name: self.replies.clone(),
-            most_body: 1 << 20,
+            name: self.reply_queue.clone(),
+            max_body: 1 << 20,
         }
     }
 
@@ -256,9 +256,9 @@
         }
         let elapsed = self.began.elapsed();
         while let Some(arrival) = self.arrivals.get(progress.next).filter(|a| a.at <= elapsed) {
-            if connection.waiting() < MAX_BUFFERED {
+            if connection.unsent_bytes() < MAX_BUFFERED {
                 self.publish(connection, arrival);
-                if arrival.retries > 0 || self.times.is_some() {
+                if arrival.retries > 0 || self.latencies.is_some() {
                     progress.open.insert(arrival.id.clone(), arrival.clone());
                 }
             }
@@ -267,7 +267,7 @@
     }
 
     fn publish(&self, connection: &mut Connection, arrival: &Arrival) {
-        let properties = properties(arrival, self.asks.as_ref(), &self.replies);
+        let properties = properties(arrival, self.function_override.as_ref(), &self.reply_queue);
         connection.publish(&arrival.queue, properties, arrival.body.as_bytes());
     }
 
@@ -285,8 +285,8 @@
         let outcome = properties
             .headers()
             .as_ref()
-            .and_then(|headers| headers.inner().get(meaning::FATE))
-            .and_then(meaning::text)
+            .and_then(|headers| headers.inner().get(trigger::OUTCOME))
+            .and_then(trigger::text)
             .unwrap_or_default();
         if let Some(answers) = &self.answers {
             lock(answers)
@@ -295,7 +295,7 @@
                 .push(outcome.to_owned());
         }
         let mut arrival = progress.open.remove(&id)?;
-        if let Some(times) = &self.times {
+        if let Some(times) = &self.latencies {
             let mut times = lock(times);
             let due = self.began + arrival.at;
             // From when it was due, so that a late client is not taken for a quick router.
--- a/crates/test-cluster/src/cluster/setup.rs
+++ b/crates/test-cluster/src/cluster/setup.rs
@@ -8,18 +8,18 @@
 use std::time::Duration;
 
 use cedarpulley_emulators::broker::Broker;
-use cedarpulley_emulators::endpoint_list::{List, Row};
+use cedarpulley_emulators::endpoint_list::{EndpointList, EndpointRecord};
 use cedarpulley_emulators::store::{self, Store};
-use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
-use cedarpulley_emulators::{Ground, router_address};
+use cedarpulley_emulators::worker::{IdempotencyStore, InvocationProfile, Worker, WorkerProfile};
+use cedarpulley_emulators::{Host, router_address};
 use cedarpulley_invariant_checker::RuleSettings;
 
 use super::router_settings::{Member, RouterSettings};
-use super::{BROKER, Fleet, LIST, Launch, queue, worker_name};
+use super::{BROKER, Cluster, ClusterOptions, LIST, queue, worker_name};
 use crate::links::Links;
-use crate::relay::{Relay, RelayConfig, RelayMode, Reserved};
+use crate::relay::{Relay, RelayConfig, RelayMode, ReservedPort};
 use crate::router_process::RouterProcess;
-use crate::scenario::{Day, WorkerGroup};
+use crate::scenario::{Scenario, WorkerGroup};
 
 /// Threads of the emulators and relays.
 const THREADS: usize = 3;
@@ -30,12 +30,16 @@
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 /// The source address of a router.
-pub(super) fn router_address_of(day: &Day, number: u32) -> IpAddr {
+pub(super) fn router_address_of(day: &Scenario, number: u32) -> IpAddr {
     router_address(day.zone_of(number), number)
 }
 
-pub(super) fn set_up(day: &Day, rules: &RuleSettings, launch: Launch) -> io::Result<Fleet> {
-    let out = &launch.out;
+pub(super) fn set_up(
+    day: &Scenario,
+    rules: &RuleSettings,
+    launch: ClusterOptions,
+) -> io::Result<Cluster> {
+    let out = &launch.folder;
     for old in ["traffic", "routers", "traces", "meter"] {
         if out.join(old).exists() {
             std::fs::remove_dir_all(out.join(old))?;
@@ -65,7 +69,7 @@
         ..
     } = relays;
     if !day.regions.is_empty() {
-        emulators.list.seen_as(move |router, worker| {
+        emulators.list.set_addresses_seen(move |router, worker| {
             worker_addresses
                 .get(&(router, worker))
                 .copied()
@@ -78,8 +82,8 @@
         .map(|zone| (zone.clone(), day.region_of(zone).to_owned()))
         .collect();
     let consuming_routers = day.routers as usize - usize::from(day.witness);
-    Ok(Fleet {
-        ground: emulators.host,
+    Ok(Cluster {
+        host: emulators.host,
         broker: emulators.broker,
         store: emulators.store,
         list: emulators.list,
@@ -94,37 +98,37 @@
         kserve_ports: ports.kserve,
         peer_ports: ports.peers,
         _relays: relays,
-        out: launch.out,
+        out: launch.folder,
         expected_consumers: consuming_routers * day.accounts.len(),
     })
 }
 
 /// All that routers talk to.
 struct Emulators {
-    host: Ground,
+    host: Host,
     broker: Broker,
     store: Store,
-    list: List,
+    list: EndpointList,
     workers: Vec<Worker>,
-    rows: Vec<Row>,
+    rows: Vec<EndpointRecord>,
 }
 
 impl Emulators {
-    fn start(day: &Day, rules: &RuleSettings, out: &Path) -> io::Result<Self> {
-        let host = Ground::new(THREADS, Some(&out.join("traffic")))?;
+    fn start(day: &Scenario, rules: &RuleSettings, out: &Path) -> io::Result<Self> {
+        let host = Host::new(THREADS, Some(&out.join("traffic")))?;
         let broker = Broker::start(&host, BROKER, ANY_PORT)?;
         for account in &day.accounts {
             broker.declare(&queue(&account.name));
         }
-        let profile = store::Nature {
+        let profile = store::StoreProfile {
             mb_per_s: day.store.mb_per_s,
-            abreast: day.store.abreast,
-            most: day.store.most,
+            full_rate_fetches: day.store.abreast,
+            max_fetches: day.store.most,
         };
         let store = Store::start(&host, "store", ANY_PORT, profile)?;
-        let list = List::start(&host, LIST, ANY_PORT)?;
+        let list = EndpointList::start(&host, LIST, ANY_PORT)?;
         let programs = programs(day);
-        let (memory, mut workers, mut rows) = (Memory::default(), Vec::new(), Vec::new());
+        let (memory, mut workers, mut rows) = (IdempotencyStore::default(), Vec::new(), Vec::new());
         let groups = day.workers.iter();
         for group in groups.flat_map(|group| (0..group.count).map(move |_| group)) {
             let worker = Worker::start(
@@ -137,7 +141,7 @@
                 programs.clone(),
                 memory.clone(),
             )?;
-            rows.push(Row {
+            rows.push(EndpointRecord {
                 address: worker.address,
                 zone: group.zone.clone(),
                 kind: group.kind.clone(),
@@ -149,7 +153,7 @@
             workers.push(worker);
         }
         for (number, row) in rows.iter().enumerate() {
-            list.put(&worker_name(number), row.clone());
+            list.publish(&worker_name(number), row.clone());
         }
         Ok(Emulators {
             host,
@@ -163,14 +167,14 @@
 }
 
 /// What invocations of each trigger type are like, by its name.
-fn programs(day: &Day) -> HashMap<String, Program> {
-    let program = |t: &crate::scenario::TriggerType| Program {
-        work: Duration::from_secs_f64(t.work_ms / 1e3),
+fn programs(day: &Scenario) -> HashMap<String, InvocationProfile> {
+    let program = |t: &crate::scenario::TriggerType| InvocationProfile {
+        mean_work: Duration::from_secs_f64(t.work_ms / 1e3),
         copy_mb: t.copy_mb,
-        start_up: Duration::from_millis(t.start_up_ms),
+        start_up_time: Duration::from_millis(t.start_up_ms),
         lanes: t.lanes as usize,
-        window: (t.window_ms > 0).then(|| Duration::from_millis(t.window_ms)),
-        prefix: Duration::from_millis(t.prefix_ms),
+        idempotency_window: (t.window_ms > 0).then(|| Duration::from_millis(t.window_ms)),
+        prefix_rebuild_work: Duration::from_millis(t.prefix_ms),
     };
     day.triggers
         .iter()
@@ -178,7 +182,7 @@
         .collect()
 }
 
-fn worker_profile(day: &Day, rules: &RuleSettings, group: &WorkerGroup) -> Nature {
+fn worker_profile(day: &Scenario, rules: &RuleSettings, group: &WorkerGroup) -> WorkerProfile {
     let duration = |us: i64| Duration::from_micros(us.max(0) as u64);
     let loads_when_absent = day
         .settings
@@ -186,11 +190,11 @@
         .get("loads_when_absent")
         .and_then(toml::Value::as_bool)
         .unwrap_or(true);
-    Nature {
+    WorkerProfile {
         cores: group.cores,
         memory_mb: group.memory_mb,
-        max_waiting: day.nature.most_waiting,
-        max_loads: day.nature.most_loads,
+        max_waiting: day.worker_limits.most_waiting,
+        max_loads: day.worker_limits.most_loads,
         loads_when_absent,
         slow_start_share: rules.slow_start_share,
         slow_start: duration(rules.slow_start_us),
@@ -203,20 +207,20 @@
 struct RouterPorts {
     addresses: Vec<IpAddr>,
     regions: Vec<String>,
-    kserve: Vec<Reserved>,
+    kserve: Vec<ReservedPort>,
     /// Empty if the routers form no group.
-    peers: Vec<Reserved>,
+    peers: Vec<ReservedPort>,
 }
 
 impl RouterPorts {
-    fn reserve(day: &Day) -> io::Result<Self> {
+    fn reserve(day: &Scenario) -> io::Result<Self> {
         let addresses: Vec<IpAddr> = (0..day.routers)
             .map(|number| router_address_of(day, number))
             .collect();
         let reserve = || {
             addresses
                 .iter()
-                .map(|ip| Reserved::at(*ip))
+                .map(|ip| ReservedPort::at(*ip))
                 .collect::<io::Result<Vec<_>>>()
         };
         let kserve = reserve()?;
@@ -236,8 +240,8 @@
 
 /// The relays of all routers' links; none without regions.
 struct RelaySet<'a> {
-    day: &'a Day,
-    host: &'a Ground,
+    day: &'a Scenario,
+    host: &'a Host,
     links: &'a Links,
     relays: Vec<Relay>,
     /// By router and worker: where the router reaches the worker.
@@ -273,8 +277,8 @@
 
 /// Writes a router's settings, with a relay on each of its links.
 fn prepare_router(
-    day: &Day,
-    launch: &Launch,
+    day: &Scenario,
+    launch: &ClusterOptions,
     number: usize,
     ports: &RouterPorts,
     emulators: &Emulators,
@@ -313,7 +317,7 @@
         members: &members,
         trace: launch.trace,
     };
-    let folder = launch.out.join("routers");
+    let folder = launch.folder.join("routers");
     let file = folder.join(format!("router-{number}.toml"));
     std::fs::write(&file, settings.to_toml().map_err(io::Error::other)?)?;
     let state = folder.join(format!("state-{number}"));
@@ -321,7 +325,7 @@
     Ok(RouterProcess::new(&launch.program, &file, &state, &args))
 }
 
-fn router_args(day: &Day, launch: &Launch, number: usize) -> Vec<String> {
+fn router_args(day: &Scenario, launch: &ClusterOptions, number: usize) -> Vec<String> {
     let mut args = vec!["--log".to_owned(), "json".to_owned()];
     // One router that tampers is enough to be found, except where all of them together break the invariant.
     if let Some(kind) = launch
--- a/crates/test-cluster/src/error.rs
+++ b/crates/test-cluster/src/error.rs
@@ -10,7 +10,7 @@
 
 /// Why a scenario cannot be played.
 #[derive(Debug, Error)]
-pub enum Wrong {
+pub enum ClusterError {
     /// A file cannot be read or written.
     #[error("{file}: the day cannot be read, or its part not be written")]
     File {
@@ -109,41 +109,45 @@
     },
     /// The logs cannot be checked.
     #[error(transparent)]
-    Checker(#[from] cedarpulley_invariant_checker::Unjudged),
+    Checker(#[from] cedarpulley_invariant_checker::CheckError),
 }
 
-impl Wrong {
-    pub(crate) fn file(file: &Path) -> impl FnOnce(io::Error) -> Wrong {
-        move |source| Wrong::File {
+impl ClusterError {
+    pub(crate) fn file(file: &Path) -> impl FnOnce(io::Error) -> ClusterError {
+        move |source| ClusterError::File {
             file: file.display().to_string(),
             source,
         }
     }
 }
 
-impl Remedy for Wrong {
+impl Remedy for ClusterError {
     fn remedy(&self) -> &'static str {
         match self {
-            Wrong::File { .. } => {
+            ClusterError::File { .. } => {
                 "see that its path is right, may be read or written, and has room"
             }
-            Wrong::MalformedScenario { .. } => "write that line as the files in days/ have it",
-            Wrong::OutOfRange { .. } => "give that key a value within its range",
-            Wrong::Empty { .. } => "give the day one of them",
-            Wrong::UnknownName { .. } => {
+            ClusterError::MalformedScenario { .. } => {
+                "write that line as the files in days/ have it"
+            }
+            ClusterError::OutOfRange { .. } => "give that key a value within its range",
+            ClusterError::Empty { .. } => "give the day one of them",
+            ClusterError::UnknownName { .. } => {
                 "name one that the day has; workers and routers count from 0"
             }
-            Wrong::MissingRequirement { .. } => "give the day that as well, or take the key out",
-            Wrong::Setup { .. } => {
-                "give --out a folder that may be written to, and see that loopback is free"
+            ClusterError::MissingRequirement { .. } => {
+                "give the day that as well, or take the key out"
             }
-            Wrong::Router { .. } | Wrong::RoutersNotReady | Wrong::GroupNotReady => {
-                "see the routers' logs under routers/"
+            ClusterError::Setup { .. } => {
+                "give --out a folder that may be written to, and see that loopback is free"
             }
-            Wrong::Request { .. } | Wrong::Status { .. } => {
+            ClusterError::Router { .. }
+            | ClusterError::RoutersNotReady
+            | ClusterError::GroupNotReady => "see the routers' logs under routers/",
+            ClusterError::Request { .. } | ClusterError::Status { .. } => {
                 "see that the router or worker runs, and that the address is a router's peers.listen or a worker's"
             }
-            Wrong::Checker(error) => error.remedy(),
+            ClusterError::Checker(error) => error.remedy(),
         }
     }
 }
--- a/crates/test-cluster/src/kserve_client.rs
+++ b/crates/test-cluster/src/kserve_client.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 use smol_hyper::rt::FuturesIo;
 
-use crate::amqp_client::{Answers, Arrival, Asks};
+use crate::amqp_client::{Answers, Arrival, FunctionOverride};
 
 const CONNECT_TIMEOUT_US: i64 = 300_000;
 
@@ -50,7 +50,7 @@
     /// Where answers are recorded, if anywhere.
     pub answers: Option<Answers>,
     /// Overrides the functions that arrivals ask for.
-    pub asks: Option<Asks>,
+    pub asks: Option<FunctionOverride>,
 }
 
 /// What a router answered.
@@ -93,7 +93,7 @@
         self.log.write(
             "published",
             json!({
-                "queue": "calls", "id": arrival.id, "from": self.from.to_string(), "type": arrival.kind,
+                "queue": "calls", "id": arrival.id, "from": self.from.to_string(), "type": arrival.trigger_type,
                 "account": arrival.account, "function": arrival.function, "timeout": timeout_us,
             }),
         );
@@ -151,7 +151,7 @@
         let path = format!("/v2/models/{}/infer", arrival.function.replace(':', "%3A"));
         let request = Request::post(path)
             .header("host", router.to_string())
-            .header("cedarpulley-trigger-type", &arrival.kind)
+            .header("cedarpulley-trigger-type", &arrival.trigger_type)
             .header("cedarpulley-account", &arrival.account)
             .header("cedarpulley-client-timeout-ms", arrival.timeout_ms)
             .header("cedarpulley-sent-at-us", unix_time_us())
--- a/crates/test-cluster/src/lib.rs
+++ b/crates/test-cluster/src/lib.rs
@@ -22,19 +22,6 @@
 pub mod script;
 pub mod traffic;
 
-#[doc(hidden)]
-pub use amqp_client as client;
-#[doc(hidden)]
-pub use cluster as fleet;
-#[doc(hidden)]
-pub use error as wrong;
-#[doc(hidden)]
-pub use router_process as process;
-#[doc(hidden)]
-pub use router_state as verdict;
-#[doc(hidden)]
-pub use scenario as plan;
-
 use std::time::{Duration, Instant};
 
 /// How often [`until`] checks its condition.
--- a/crates/test-cluster/src/links.rs
+++ b/crates/test-cluster/src/links.rs
@@ -20,7 +20,7 @@
 
 /// What happens on one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Fault {
+pub enum LinkFault {
     /// Nothing: everything passes.
     #[default]
     Pass,
@@ -29,7 +29,7 @@
     /// Likewise, but what came is lost: a connection that lost something is reset when healed.
     Lost,
     /// Delayed by `by` and a drawn part of `spread`; in order.
-    Late {
+    Delayed {
         /// Least delay.
         by: Duration,
         /// Most delay beyond it.
@@ -49,7 +49,7 @@
     /// New connections in this direction are refused; those that are open go on.
     Refused,
     /// Of whole messages, shares are dropped, duplicated and reordered. Bytes pass.
-    Unruly {
+    UnreliableMessages {
         /// Share dropped.
         drop: f64,
         /// Share sent twice.
@@ -59,19 +59,19 @@
     },
 }
 
-impl Fault {
+impl LinkFault {
     /// Whether what arrives may have been sent a while before, and if so for how long at most, where that is known.
     fn delays(self) -> Option<Option<Duration>> {
         match self {
-            Fault::Held | Fault::Lost | Fault::Throttled { .. } => Some(None),
-            Fault::Late { by, spread } => Some(Some(by + spread)),
+            LinkFault::Held | LinkFault::Lost | LinkFault::Throttled { .. } => Some(None),
+            LinkFault::Delayed { by, spread } => Some(Some(by + spread)),
             _ => None,
         }
     }
 
     /// What comes while it lasts is lost.
     pub(crate) fn loses(self) -> bool {
-        matches!(self, Fault::Lost | Fault::HalfOpen)
+        matches!(self, LinkFault::Lost | LinkFault::HalfOpen)
     }
 }
 
@@ -93,7 +93,7 @@
 
 #[derive(Default)]
 struct FaultTable {
-    faults: HashMap<Endpoints, Fault>,
+    faults: HashMap<Endpoints, LinkFault>,
     /// How often each direction was reset.
     resets: HashMap<Endpoints, u64>,
     /// Where relays listen for connections in each direction.
@@ -119,12 +119,12 @@
 
     /// Sets the fault of a direction in place of the one before. New connections are refused, or accepted, when this
     /// returns.
-    pub fn set(&self, from: &str, to: &str, fault: Fault) {
+    pub fn set(&self, from: &str, to: &str, fault: LinkFault) {
         let endpoints = Endpoints::new(from, to);
         if let Some(most_delay) = fault.delays() {
             self.log_change(from, to, "held", true, most_delay);
         }
-        if fault == Fault::HalfOpen {
+        if fault == LinkFault::HalfOpen {
             // What is not seen is that the other side has closed.
             self.log_change(to, from, "half-open", true, None);
         }
@@ -137,9 +137,9 @@
                 .flatten()
                 .filter_map(Weak::upgrade)
             {
-                port.set_open(fault != Fault::Refused);
+                port.set_open(fault != LinkFault::Refused);
             }
-            if fault == Fault::Reset {
+            if fault == LinkFault::Reset {
                 *table.resets.entry(endpoints.clone()).or_default() += 1;
             }
             table.faults.insert(endpoints, fault).unwrap_or_default()
@@ -148,13 +148,13 @@
         if before.delays().is_some() && fault.delays().is_none() {
             self.log_change(from, to, "held", false, None);
         }
-        if before == Fault::HalfOpen && fault != Fault::HalfOpen {
+        if before == LinkFault::HalfOpen && fault != LinkFault::HalfOpen {
             self.log_change(to, from, "half-open", false, None);
         }
     }
 
     /// Sets the fault of both directions.
-    pub fn both(&self, one: &str, other: &str, fault: Fault) {
+    pub fn both(&self, one: &str, other: &str, fault: LinkFault) {
         self.set(one, other, fault);
         self.set(other, one, fault);
     }
@@ -163,7 +163,7 @@
     pub fn heal(&self) {
         let faulty: Vec<Endpoints> = lock(&self.table).faults.keys().cloned().collect();
         for endpoints in &faulty {
-            self.set(&endpoints.from, &endpoints.to, Fault::Pass);
+            self.set(&endpoints.from, &endpoints.to, LinkFault::Pass);
         }
     }
 
@@ -195,7 +195,7 @@
     pub(crate) fn register(&self, from: &str, to: &str, port: &Arc<Port>) {
         let endpoints = Endpoints::new(from, to);
         let mut table = lock(&self.table);
-        port.set_open(table.faults.get(&endpoints) != Some(&Fault::Refused));
+        port.set_open(table.faults.get(&endpoints) != Some(&LinkFault::Refused));
         table
             .ports
             .entry(endpoints)
@@ -213,7 +213,7 @@
 
 impl LinkDirection {
     /// Its present fault.
-    pub(crate) fn fault(&self) -> Fault {
+    pub(crate) fn fault(&self) -> LinkFault {
         lock(&self.links.table)
             .faults
             .get(&self.endpoints)
@@ -240,7 +240,7 @@
         loop {
             let changed = self.changed();
             match self.fault() {
-                Fault::Held => changed.await,
+                LinkFault::Held => changed.await,
                 fault => return !fault.loses(),
             }
         }
--- a/crates/test-cluster/src/message_relay.rs
+++ b/crates/test-cluster/src/message_relay.rs
@@ -29,7 +29,7 @@
 use smol::lock::Mutex;
 use smol_hyper::rt::FuturesIo;
 
-use crate::links::{Fault, LinkDirection};
+use crate::links::{LinkDirection, LinkFault};
 use crate::relay::{Link, reset};
 
 const MAX_BODY: usize = 64 << 20;
@@ -98,7 +98,7 @@
     /// Waits as long as a message takes in this direction; false if it is lost.
     async fn transmit(&self, direction: &LinkDirection, size: usize) -> bool {
         Timer::after(self.delay(direction)).await;
-        if let Fault::Throttled { bytes_per_s } = direction.fault() {
+        if let LinkFault::Throttled { bytes_per_s } = direction.fault() {
             Timer::after(Duration::from_secs_f64(
                 size as f64 / bytes_per_s.max(1) as f64,
             ))
@@ -192,18 +192,19 @@
         loop {
             let changed = link.outbound.changed();
             let (out_fault, in_fault) = (link.outbound.fault(), link.inbound.fault());
-            let has_gap =
-                |lost: &AtomicBool, present: Fault| lost.load(Ordering::SeqCst) && !present.loses();
+            let has_gap = |lost: &AtomicBool, present: LinkFault| {
+                lost.load(Ordering::SeqCst) && !present.loses()
+            };
             let reset =
-                [out_fault, in_fault].contains(&Fault::Reset) || link.resets() != resets_before;
+                [out_fault, in_fault].contains(&LinkFault::Reset) || link.resets() != resets_before;
             if reset
-                || in_fault == Fault::HalfOpen
+                || in_fault == LinkFault::HalfOpen
                 || has_gap(&losses.outbound, out_fault)
                 || has_gap(&losses.inbound, in_fault)
             {
                 return true;
             }
-            if out_fault == Fault::HalfOpen {
+            if out_fault == LinkFault::HalfOpen {
                 // The near side sees it when the link is healed.
                 losses.outbound.store(true, Ordering::SeqCst);
                 kept_peer.lock().await.take();
@@ -272,7 +273,7 @@
         };
         let draws = MessageDraws::new(link);
         let mut duplicate = None;
-        if let Fault::Unruly { drop, twice, after } = link.outbound.fault() {
+        if let LinkFault::UnreliableMessages { drop, twice, after } = link.outbound.fault() {
             if draws.drop < drop {
                 return;
             }
@@ -300,7 +301,8 @@
             executor.spawn(second).detach();
         }
         if let (Ok(answer), fault) = (&answer, link.inbound.fault()) {
-            if matches!(fault, Fault::Unruly { drop, .. } if draws.drop_answer < drop) {
+            if matches!(fault, LinkFault::UnreliableMessages { drop, .. } if draws.drop_answer < drop)
+            {
                 return;
             }
             let size = answer.body().size_hint().lower() as usize;
--- a/crates/test-cluster/src/operator.rs
+++ b/crates/test-cluster/src/operator.rs
@@ -6,14 +6,14 @@
 use hyper::Request;
 use hyper::body::Bytes;
 
-use crate::error::Wrong;
+use crate::error::ClusterError;
 use crate::router_state::request_body;
 
 /// Loads a function; it is ready when this returns.
 ///
 /// # Errors
 /// When the worker does not answer with success.
-pub fn load(worker: SocketAddr, function: &str) -> Result<(), Wrong> {
+pub fn load(worker: SocketAddr, function: &str) -> Result<(), ClusterError> {
     order(worker, function, "load")
 }
 
@@ -21,11 +21,11 @@
 ///
 /// # Errors
 /// When the worker does not answer with success; it does so also for a busy function.
-pub fn unload(worker: SocketAddr, function: &str) -> Result<(), Wrong> {
+pub fn unload(worker: SocketAddr, function: &str) -> Result<(), ClusterError> {
     order(worker, function, "unload")
 }
 
-fn order(worker: SocketAddr, function: &str, action: &str) -> Result<(), Wrong> {
+fn order(worker: SocketAddr, function: &str, action: &str) -> Result<(), ClusterError> {
     // `m/versions/2` separates model and version as paths do.
     let path = format!(
         "/v2/repository/models/{}/{action}",
--- a/crates/test-cluster/src/port.rs
+++ b/crates/test-cluster/src/port.rs
@@ -24,24 +24,24 @@
 
 /// A port that the system gives to nobody else while this lives; whoever sets `SO_REUSEADDR` may listen on it.
 #[derive(Debug)]
-pub struct Reserved {
+pub struct ReservedPort {
     /// The reserved address.
     pub address: SocketAddr,
     _socket: Socket,
 }
 
-impl Reserved {
+impl ReservedPort {
     /// Reserves a free port of this address.
     ///
     /// # Errors
     /// When there is none, or the address is not this machine's.
-    pub fn at(ip: IpAddr) -> io::Result<Reserved> {
+    pub fn at(ip: IpAddr) -> io::Result<ReservedPort> {
         let socket = bound(SocketAddr::new(ip, 0))?;
         let address = socket
             .local_addr()?
             .as_socket()
             .ok_or(io::ErrorKind::AddrNotAvailable)?;
-        Ok(Reserved {
+        Ok(ReservedPort {
             address,
             _socket: socket,
         })
@@ -50,14 +50,14 @@
 
 /// A reserved port that listens or refuses.
 pub(crate) struct Port {
-    reserved: Reserved,
+    reserved: ReservedPort,
     listener: Mutex<Option<Arc<Async<TcpListener>>>>,
     changed: Event,
 }
 
 impl Port {
     /// It neither listens nor refuses on purpose until [`Port::set_open`].
-    pub(crate) fn new(reserved: Reserved) -> Self {
+    pub(crate) fn new(reserved: ReservedPort) -> Self {
         Port {
             reserved,
             listener: Mutex::default(),
--- a/crates/test-cluster/src/relay.rs
+++ b/crates/test-cluster/src/relay.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use async_io::{Async, Timer};
-use cedarpulley_emulators::{Ground, lock};
+use cedarpulley_emulators::{Host, lock};
 use cedarpulley_net::connect;
 use event_listener::Event;
 use rand::{RngExt, SeedableRng};
@@ -21,10 +21,10 @@
 use smol::Task;
 use socket2::SockRef;
 
-use crate::links::{Fault, LinkDirection, Links};
+use crate::links::{LinkDirection, LinkFault, Links};
 use crate::message_relay;
 use crate::port::Port;
-pub use crate::port::Reserved;
+pub use crate::port::ReservedPort;
 
 /// Timeout of connections to the far side, in microseconds; as long as any caller here waits.
 const CONNECT_TIMEOUT_US: i64 = 2_000_000;
@@ -59,7 +59,7 @@
 
 /// A link between two names of the table of faults, shared by its connections.
 pub(crate) struct Link {
-    pub(crate) host: Ground,
+    pub(crate) host: Host,
     /// The near side's requests.
     pub(crate) outbound: LinkDirection,
     /// What comes back.
@@ -90,14 +90,16 @@
 
     /// Whether no onward connection can stand at present.
     pub(crate) fn is_broken(&self) -> bool {
-        matches!(self.outbound.fault(), Fault::Reset | Fault::HalfOpen)
-            || self.inbound.fault() == Fault::Reset
+        matches!(
+            self.outbound.fault(),
+            LinkFault::Reset | LinkFault::HalfOpen
+        ) || self.inbound.fault() == LinkFault::Reset
     }
 
     /// How much later something arrives that leaves now.
     pub(crate) fn delay(&self, direction: &LinkDirection) -> Duration {
         match direction.fault() {
-            Fault::Late { by, spread } => by + spread.mul_f64(self.draw()),
+            LinkFault::Delayed { by, spread } => by + spread.mul_f64(self.draw()),
             _ => Duration::ZERO,
         }
     }
@@ -117,7 +119,7 @@
     ///
     /// # Errors
     /// When no port can be reserved.
-    pub fn start(host: &Ground, links: &Links, config: RelayConfig) -> io::Result<Relay> {
+    pub fn start(host: &Host, links: &Links, config: RelayConfig) -> io::Result<Relay> {
         let RelayConfig {
             mode,
             near,
@@ -126,7 +128,7 @@
             to,
             seed,
         } = config;
-        let reserved = Reserved::at([127, 0, 0, 1].into())?;
+        let reserved = ReservedPort::at([127, 0, 0, 1].into())?;
         let address = reserved.address;
         let port = Arc::new(Port::new(reserved));
         links.register(near, far, &port);
--- a/crates/test-cluster/src/relay/byte_relay.rs
+++ b/crates/test-cluster/src/relay/byte_relay.rs
@@ -17,7 +17,7 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 use super::{Link, reset};
-use crate::links::{Fault, LinkDirection};
+use crate::links::{LinkDirection, LinkFault};
 
 /// Read at once at most.
 const CHUNK: usize = 16 * 1024;
@@ -138,7 +138,7 @@
     async fn send(&self, bytes: &[u8]) -> io::Result<()> {
         let (mut to, mut left) = (self.to, bytes);
         while !left.is_empty() {
-            let Fault::Throttled { bytes_per_s } = self.faults.fault() else {
+            let LinkFault::Throttled { bytes_per_s } = self.faults.fault() else {
                 return to.write_all(left).await;
             };
             let slice = (bytes_per_s / THROTTLED_WRITES_PER_S).max(1) as usize;
@@ -156,7 +156,7 @@
     }
 
     /// Bytes were lost, and later ones would pass now.
-    fn has_gap(&self, present: Fault) -> bool {
+    fn has_gap(&self, present: LinkFault) -> bool {
         self.has_lost() && !present.loses()
     }
 }
@@ -233,14 +233,14 @@
             let changed = link.outbound.changed();
             let (out_fault, in_fault) = (link.outbound.fault(), link.inbound.fault());
             let reset =
-                [out_fault, in_fault].contains(&Fault::Reset) || link.resets() != resets_before;
+                [out_fault, in_fault].contains(&LinkFault::Reset) || link.resets() != resets_before;
             if reset || outbound.has_gap(out_fault) || inbound.has_gap(in_fault) {
                 return ConnectionEnd::Reset;
             }
-            if out_fault == Fault::HalfOpen {
+            if out_fault == LinkFault::HalfOpen {
                 return ConnectionEnd::HalfOpen(DeadSide::Far);
             }
-            if in_fault == Fault::HalfOpen {
+            if in_fault == LinkFault::HalfOpen {
                 return ConnectionEnd::HalfOpen(DeadSide::Near);
             }
             changed.await;
@@ -265,7 +265,7 @@
     let healed = async {
         loop {
             let changed = direction.changed();
-            if direction.fault() != Fault::HalfOpen {
+            if direction.fault() != LinkFault::HalfOpen {
                 return reset(living.get_ref());
             }
             changed.await;
--- a/crates/test-cluster/src/router_process.rs
+++ b/crates/test-cluster/src/router_process.rs
@@ -20,7 +20,7 @@
 
 /// The persisted state that a router finds at its start.
 #[derive(Clone, Copy, Debug)]
-pub enum State<'a> {
+pub enum StateAtStart<'a> {
     /// As it left it.
     Kept,
     /// None.
@@ -70,14 +70,14 @@
     ///
     /// # Errors
     /// When its state cannot be replaced or the program cannot be started.
-    pub fn start(&mut self, state: State) -> io::Result<()> {
+    pub fn start(&mut self, state: StateAtStart) -> io::Result<()> {
         if self.child.is_some() {
             return Ok(());
         }
-        if !matches!(state, State::Kept) && self.state.exists() {
+        if !matches!(state, StateAtStart::Kept) && self.state.exists() {
             std::fs::remove_dir_all(&self.state)?;
         }
-        if let State::Older(copy) = state {
+        if let StateAtStart::Older(copy) = state {
             copy_folder(copy, &self.state)?;
         }
         let mut log = std::fs::File::options()
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    /// Copies its state folder as it is now, for [`State::Older`].
+    /// Copies its state folder as it is now, for [`StateAtStart::Older`].
     ///
     /// # Errors
     /// When a file cannot be read or written.
@@ -211,7 +211,7 @@
     ///
     /// # Errors
     /// When it does not run, or the limit cannot be set.
-    pub fn limit_files(&self, bytes: Option<u64>) -> io::Result<()> {
+    pub fn limit_file_size(&self, bytes: Option<u64>) -> io::Result<()> {
         let pid = self.pid().ok_or(io::ErrorKind::NotFound)?;
         let maximum = rustix::process::getrlimit(Resource::Fsize).maximum;
         prlimit(
--- a/crates/test-cluster/src/router_state.rs
+++ b/crates/test-cluster/src/router_state.rs
@@ -14,7 +14,7 @@
 use serde_json::Value;
 use smol_hyper::rt::FuturesIo;
 
-use crate::error::Wrong;
+use crate::error::ClusterError;
 
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 const MAX_BODY: usize = 64 << 20;
@@ -23,12 +23,12 @@
 ///
 /// # Errors
 /// When it does not answer in time, with success and in JSON.
-pub fn state(address: SocketAddr) -> Result<Value, Wrong> {
+pub fn fetch_state(address: SocketAddr) -> Result<Value, ClusterError> {
     let request = Request::get("/state")
         .header("host", address.to_string())
         .body(Full::default());
     let body = request_body(address, request)?;
-    serde_json::from_slice(&body).map_err(|e| Wrong::Request {
+    serde_json::from_slice(&body).map_err(|e| ClusterError::Request {
         address,
         source: e.into(),
     })
@@ -38,8 +38,8 @@
 pub(crate) fn request_body(
     address: SocketAddr,
     request: hyper::http::Result<Request<Full<Bytes>>>,
-) -> Result<Bytes, Wrong> {
-    let failed = |source: io::Error| Wrong::Request { address, source };
+) -> Result<Bytes, ClusterError> {
+    let failed = |source: io::Error| ClusterError::Request { address, source };
     let http_failed = |e: hyper::Error| failed(io::Error::other(e));
     let requesting = async {
         let request = request.map_err(|e| failed(io::Error::other(e)))?;
@@ -53,7 +53,7 @@
             let body = Limited::new(answer.into_body(), MAX_BODY).collect().await;
             let body = body.map_err(|e| failed(io::Error::other(e)))?;
             if !status.is_success() {
-                return Err(Wrong::Status {
+                return Err(ClusterError::Status {
                     address,
                     status: status.as_u16(),
                 });
--- a/crates/test-cluster/src/traffic.rs
+++ b/crates/test-cluster/src/traffic.rs
@@ -10,10 +10,10 @@
 use cedarpulley_emulators::lock;
 use smol::Task;
 
-use crate::amqp_client::{Answers, Arrival, Asks, Client};
-use crate::cluster::Fleet;
+use crate::amqp_client::{AmqpClient, Answers, Arrival, FunctionOverride};
+use crate::cluster::Cluster;
 use crate::kserve_client::Callers;
-use crate::scenario::Day;
+use crate::scenario::Scenario;
 use crate::until;
 
 /// Clients over AMQP.
@@ -33,17 +33,17 @@
 
 impl Traffic {
     /// Starts the clients.
-    pub fn begin(day: &Day, fleet: &Fleet) -> Traffic {
-        Self::begin_asking(day, fleet, None)
+    pub fn begin(day: &Scenario, fleet: &Cluster) -> Traffic {
+        Self::begin_with(day, fleet, None)
     }
 
     /// Starts clients that ask for the functions that `asks` says, where it is given.
-    pub fn begin_asking(day: &Day, fleet: &Fleet, asks: Option<Asks>) -> Traffic {
+    pub fn begin_with(day: &Scenario, fleet: &Cluster, asks: Option<FunctionOverride>) -> Traffic {
         let (began, sent, answers) = (Instant::now(), arrivals(day), Answers::default());
         let mut clients: Vec<Vec<Arrival>> = (0..CLIENTS).map(|_| Vec::new()).collect();
         let mut calls = Vec::new();
         for (n, arrival) in sent.iter().cloned().enumerate() {
-            if arrival.calls {
+            if arrival.over_kserve {
                 calls.push(arrival);
             } else {
                 clients[n % CLIENTS as usize].push(arrival);
@@ -58,18 +58,18 @@
             answers: Some(answers.clone()),
             asks: asks.clone(),
         };
-        let executor = &fleet.ground.executor;
+        let executor = &fleet.host.executor;
         let mut tasks = vec![executor.spawn(Arc::new(callers).run(executor.clone(), calls))];
         for (n, arrivals) in clients.into_iter().enumerate() {
-            let client = Client {
+            let client = AmqpClient {
                 broker: fleet.broker.address,
                 from: [127, 0, 2, 1 + n as u8].into(),
-                replies: format!("replies-{n}"),
+                reply_queue: format!("replies-{n}"),
                 began,
                 arrivals,
-                times: None,
+                latencies: None,
                 answers: Some(answers.clone()),
-                asks: asks.clone(),
+                function_override: asks.clone(),
             };
             tasks.push(executor.spawn(client.run()));
         }
@@ -82,7 +82,7 @@
     }
 
     /// Waits until each invocation is answered; false if some are not within this time after the last is due.
-    pub fn is_answered(&self, timeout: Duration) -> bool {
+    pub fn wait_until_answered(&self, timeout: Duration) -> bool {
         let last = self.sent.last().map_or(Duration::ZERO, |a| a.at);
         until(last.saturating_sub(self.began.elapsed()) + timeout, || {
             let answers = lock(&self.answers);
--- a/crates/test-cluster/tests/relays.rs
+++ b/crates/test-cluster/tests/relays.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use cedarpulley_emulators::Ground;
+use cedarpulley_emulators::Host;
 use cedarpulley_emulators::http::{Partition, Server, full};
-use cedarpulley_test_cluster::links::{Fault, Links};
+use cedarpulley_test_cluster::links::{LinkFault, Links};
 use cedarpulley_test_cluster::relay::{Relay, RelayConfig, RelayMode};
 use cedarpulley_test_cluster::until;
 use http_body_util::BodyExt;
@@ -29,13 +29,13 @@
     ends: Ends,
     bodies: Receiver<String>,
     _server: Option<Server>,
-    _host: Ground,
+    _host: Host,
 }
 
 /// An echo or an HTTP server, which hands out what it gets and gives it back.
 fn setup(mode: RelayMode) -> Setup {
     let (ends, (tell, bodies)) = (Ends::default(), channel());
-    let host = Ground::new(2, None).expect("an emulator host");
+    let host = Host::new(2, None).expect("an emulator host");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let seen = ends.clone();
     let (to, server) = match mode {
@@ -189,23 +189,23 @@
     let s = setup(RelayMode::Bytes);
     for (from, to) in [("near", "far"), ("far", "near")] {
         let mut stream = s.through();
-        s.links.set(from, to, Fault::Held);
+        s.links.set(from, to, LinkFault::Held);
         stream.write_all(b"held").expect("written");
         assert!(silent(&mut stream));
         s.links.heal();
         assert_eq!(said(&mut stream, 4), Ok("held".into()));
         // The other direction was whole all along: one that only hears hears on.
-        s.links.set(to, from, Fault::Pass);
+        s.links.set(to, from, LinkFault::Pass);
     }
     // A connection that comes during it, and one that is closed during it.
-    s.links.set("near", "far", Fault::Held);
+    s.links.set("near", "far", LinkFault::Held);
     let mut late = s.connect();
     late.write_all(b"late").expect("written");
     assert!(silent(&mut late));
     let count = s.ends.lock().expect("ends").len();
     s.links.heal();
     assert_eq!(said(&mut late, 4), Ok("late".into()));
-    s.links.set("near", "far", Fault::Held);
+    s.links.set("near", "far", LinkFault::Held);
     late.write_all(b"last words").expect("written");
     drop(late);
     std::thread::sleep(QUIET);
@@ -223,7 +223,7 @@
 fn lost_bytes_reset_their_connection_when_the_link_is_healed() {
     let s = setup(RelayMode::Bytes);
     let (mut speaks, mut idle) = (s.through(), s.through());
-    s.links.set("near", "far", Fault::Lost);
+    s.links.set("near", "far", LinkFault::Lost);
     speaks.write_all(b"lost").expect("written");
     assert!(silent(&mut speaks));
     s.links.heal();
@@ -241,20 +241,20 @@
 fn a_reset_is_seen_on_both_sides_and_a_refusal_before_any_connection() {
     let s = setup(RelayMode::Bytes);
     let mut stream = s.through();
-    s.links.set("near", "far", Fault::Refused);
+    s.links.set("near", "far", LinkFault::Refused);
     let refused = TcpStream::connect(s.relay.address)
         .map(drop)
         .map_err(|e| e.kind());
     assert_eq!(refused, Err(ErrorKind::ConnectionRefused));
     stream.write_all(b"stands").expect("written");
     assert_eq!(said(&mut stream, 6), Ok("stands".into()));
-    s.links.set("near", "far", Fault::Reset);
+    s.links.set("near", "far", LinkFault::Reset);
     assert!(is_reset(&mut stream) && is_reset(&mut s.connect()));
     assert!(until(PATIENCE, || s.ended(0) == Some(ErrorKind::ConnectionReset)));
     s.links.heal();
     // Healed before anyone can have looked.
     let mut stream = s.through();
-    s.links.set("far", "near", Fault::Reset);
+    s.links.set("far", "near", LinkFault::Reset);
     s.links.heal();
     assert!(is_reset(&mut stream));
     s.through();
@@ -264,14 +264,14 @@
 fn a_half_open_connection_is_dead_to_one_side_until_the_link_is_healed() {
     let s = setup(RelayMode::Bytes);
     let mut stream = s.through();
-    s.links.set("near", "far", Fault::HalfOpen);
+    s.links.set("near", "far", LinkFault::HalfOpen);
     assert!(until(PATIENCE, || s.ended(0) == Some(ErrorKind::ConnectionReset)));
     stream.write_all(b"to nobody").expect("written");
     assert!(silent(&mut stream));
     s.links.heal();
     assert!(is_reset(&mut stream));
     let mut stream = s.through();
-    s.links.set("far", "near", Fault::HalfOpen);
+    s.links.set("far", "near", LinkFault::HalfOpen);
     assert!(is_reset(&mut stream));
     assert_eq!(s.ended(1), None, "the far side is not told");
     s.links.heal();
@@ -284,7 +284,8 @@
     let s = setup(RelayMode::Bytes);
     let mut stream = s.through();
     let (by, spread) = (Duration::from_millis(60), Duration::from_millis(40));
-    s.links.set("near", "far", Fault::Late { by, spread });
+    s.links
+        .set("near", "far", LinkFault::Delayed { by, spread });
     let began = Instant::now();
     for piece in [b"one,", b"two,", b"six."] {
         stream.write_all(piece).expect("written");
@@ -295,7 +296,7 @@
     s.links.set(
         "near",
         "far",
-        Fault::Throttled {
+        LinkFault::Throttled {
             bytes_per_s: 10_000,
         },
     );
@@ -318,7 +319,7 @@
         from.len() == 2 && from[0] == from[1],
         "one connection is kept: {from:?}"
     );
-    s.links.set("near", "far", Fault::Held);
+    s.links.set("near", "far", LinkFault::Held);
     let gone = "POST /x HTTP/1.1\r\nhost: far\r\ncontent-length: 4\r\n\r\nheld";
     stream.write_all(gone.as_bytes()).expect("written");
     assert!(until(PATIENCE, || s.relay.in_flight() == 1) && silent(&mut stream));
@@ -334,7 +335,7 @@
     );
     // Answers lost: the far side has acted, the near side waits, until the link is whole.
     let mut stream = s.connect();
-    s.links.set("far", "near", Fault::Lost);
+    s.links.set("far", "near", LinkFault::Lost);
     stream.write_all(gone.as_bytes()).expect("written");
     assert_eq!(s.bodies.recv_timeout(PATIENCE), Ok("held".into()));
     assert!(silent(&mut stream));
@@ -342,9 +343,9 @@
     assert!(is_reset(&mut stream));
     let mut stream = s.connect();
     assert_eq!(s.post(&mut stream, "again"), Ok("again".into()));
-    s.links.set("near", "far", Fault::HalfOpen);
+    s.links.set("near", "far", LinkFault::HalfOpen);
     assert!(silent(&mut stream));
-    s.links.set("near", "far", Fault::Reset);
+    s.links.set("near", "far", LinkFault::Reset);
     assert!(is_reset(&mut stream));
 }
 
@@ -361,7 +362,7 @@
     s.links.set(
         "near",
         "far",
-        Fault::Unruly {
+        LinkFault::UnreliableMessages {
             drop: 0.0,
             twice: 1.0,
             after: 0.0,
@@ -373,7 +374,7 @@
     s.links.set(
         "near",
         "far",
-        Fault::Unruly {
+        LinkFault::UnreliableMessages {
             drop: 1.0,
             twice: 0.0,
             after: 0.0,
@@ -386,7 +387,7 @@
         s.links.set(
             "near",
             "far",
-            Fault::Unruly {
+            LinkFault::UnreliableMessages {
                 drop: 0.0,
                 twice: 0.0,
                 after: 1.0,
@@ -402,7 +403,7 @@
     s.links.set(
         "far",
         "near",
-        Fault::Unruly {
+        LinkFault::UnreliableMessages {
             drop: 1.0,
             twice: 0.0,
             after: 0.0,
--- a/crates/test-cluster/tests/router_process.rs
+++ b/crates/test-cluster/tests/router_process.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use cedarpulley_test_cluster::router_process::{RouterProcess, State};
+use cedarpulley_test_cluster::router_process::{RouterProcess, StateAtStart};
 use cedarpulley_test_cluster::until;
 
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -49,7 +49,7 @@
 #[test]
 fn a_router_is_paused_resumed_killed_and_shut_down() {
     let mut s = setup();
-    s.process.start(State::Kept).expect("started");
+    s.process.start(StateAtStart::Kept).expect("started");
     assert!(s.grows());
     s.process.pause().expect("paused");
     let (still, pid) = (size(&s.process.state), s.process.pid().expect("it runs"));
@@ -59,13 +59,13 @@
     assert!(s.grows());
     s.process.kill();
     assert!(!s.process.is_up() && !Path::new(&format!("/proc/{}", pid.as_raw_nonzero())).exists());
-    s.process.start(State::Kept).expect("started");
+    s.process.start(StateAtStart::Kept).expect("started");
     assert!(s.grows());
     s.process.terminate().expect("told");
     let status = s.process.wait(PATIENCE).expect("it ends");
     assert_eq!(status.code(), Some(3), "by itself");
     // A paused one is killed with the cluster.
-    s.process.start(State::Kept).expect("started");
+    s.process.start(StateAtStart::Kept).expect("started");
     assert!(s.grows());
     s.process.pause().expect("paused");
     let pid = s.process.pid().expect("it runs").as_raw_nonzero();
@@ -76,7 +76,7 @@
 #[test]
 fn a_router_starts_with_its_state_kept_removed_or_older() {
     let mut s = setup();
-    s.process.start(State::Kept).expect("started");
+    s.process.start(StateAtStart::Kept).expect("started");
     assert!(s.grows());
     s.process.copy_state(&s.older()).expect("copied");
     let older = size(&s.older());
@@ -85,9 +85,9 @@
     let last = size(&s.process.state);
     std::fs::write(s.process.state.join("newer"), "x").expect("written");
     for (state, least, most) in [
-        (State::Kept, last, u64::MAX),
-        (State::Older(&s.older()), older, last),
-        (State::Removed, 0, older),
+        (StateAtStart::Kept, last, u64::MAX),
+        (StateAtStart::Older(&s.older()), older, last),
+        (StateAtStart::Removed, 0, older),
     ] {
         // Without a program that could write before it is looked at.
         let mut process = RouterProcess::new(
@@ -102,7 +102,7 @@
         assert!(size >= least && size < most, "{state:?}: {size}");
         assert_eq!(
             s.process.state.join("newer").exists(),
-            matches!(state, State::Kept)
+            matches!(state, StateAtStart::Kept)
         );
     }
 }
@@ -110,9 +110,9 @@
 #[test]
 fn a_full_disk_stops_writes_to_the_state_but_not_to_the_log() {
     let mut s = setup();
-    s.process.start(State::Kept).expect("started");
+    s.process.start(StateAtStart::Kept).expect("started");
     assert!(s.grows());
-    s.process.limit_files(Some(1)).expect("set");
+    s.process.limit_file_size(Some(1)).expect("set");
     assert!(
         until(PATIENCE, || s.process.log().contains("full")),
         "it is told"
@@ -121,6 +121,6 @@
     assert!(s.process.is_up() && s.process.ended().is_none());
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(size(&s.process.state), full);
-    s.process.limit_files(None).expect("lifted");
+    s.process.limit_file_size(None).expect("lifted");
     assert!(s.grows());
 }
--- a/crates/trace/src/blocks.rs
+++ b/crates/trace/src/blocks.rs
@@ -9,7 +9,7 @@
 use crate::block_index::BlockLocation;
 use crate::codec::{DecodeError, Decoder, Encoder};
 use crate::record_codec;
-use crate::records::{Record, RecordedEvent, Space};
+use crate::records::{NameKind, Record, RecordedEvent};
 
 /// A trace file begins with this.
 pub const FILE_MAGIC: [u8; 8] = *b"CPTRACE\0";
@@ -55,7 +55,7 @@
 
 impl BlockHeader {
     /// In the present format.
-    pub fn new(block: &Raw, source: u32, packed: &[u8]) -> BlockHeader {
+    pub fn new(block: &UnpackedBlock, source: u32, packed: &[u8]) -> BlockHeader {
         let mut header = BlockHeader {
             packed_bytes: packed.len() as u32,
             unpacked_bytes: block.bytes.len() as u32,
@@ -135,7 +135,7 @@
 
 /// A block that is ready to be compressed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Raw {
+pub struct UnpackedBlock {
     /// Its records, each after the microseconds since the one before.
     pub bytes: Vec<u8>,
     /// How many records.
@@ -148,16 +148,16 @@
 
 /// Collects records; bounded by [`TARGET_UNPACKED_BYTES`] and one record.
 #[derive(Debug, Default)]
-pub struct Gather {
+pub struct BlockBuilder {
     out: Encoder,
     records: u32,
     first: Micros,
     last: Micros,
     /// Names that this block has.
-    names: HashMap<(Space, u32), String>,
+    names: HashMap<(NameKind, u32), String>,
 }
 
-impl Gather {
+impl BlockBuilder {
     /// Begins a record: its time comes first.
     fn begin_record(&mut self, now: Micros) {
         if self.records == 0 {
@@ -171,7 +171,7 @@
     }
 
     /// Writes the name of an index, unless the block has it. An index that was assigned to another is named again.
-    pub fn name(&mut self, now: Micros, kind: Space, index: u32, name: &str) {
+    pub fn name(&mut self, now: Micros, kind: NameKind, index: u32, name: &str) {
         let known = self.names.get(&(kind, index));
         if known.is_none_or(|known| known != name) {
             let name = name.to_owned();
@@ -219,9 +219,9 @@
     }
 
     /// The block so far; a new one begins.
-    pub fn close(&mut self) -> Raw {
+    pub fn close(&mut self) -> UnpackedBlock {
         let closed = std::mem::take(self);
-        Raw {
+        UnpackedBlock {
             bytes: closed.out.bytes,
             records: closed.records,
             first: closed.first,
@@ -234,61 +234,61 @@
 pub fn for_each_named_index(
     event: &RecordedEvent,
     actions: &[Action],
-    mut each: impl FnMut(Space, u32),
+    mut each: impl FnMut(NameKind, u32),
 ) {
-    event_uses(&event.event(), actions, &mut each);
+    visit_named_indices(&event.event(), actions, &mut each);
 }
 
 /// As [`for_each_named_index`], of an event that is not recorded yet.
-pub fn event_uses(event: &Event, actions: &[Action], each: &mut dyn FnMut(Space, u32)) {
+pub fn visit_named_indices(event: &Event, actions: &[Action], each: &mut dyn FnMut(NameKind, u32)) {
     event_indices(event, each);
     for action in actions {
         match *action {
             Action::Dispatch { worker, .. } | Action::Probe { worker } => {
-                each(Space::Worker, worker);
+                each(NameKind::Worker, worker);
             }
             Action::LoadOrder {
                 worker, function, ..
             }
             | Action::Unload { worker, function } => {
-                each(Space::Worker, worker);
-                each(Space::Function, function);
+                each(NameKind::Worker, worker);
+                each(NameKind::Function, function);
             }
             _ => {}
         }
     }
 }
 
-fn event_indices(event: &Event, each: &mut dyn FnMut(Space, u32)) {
+fn event_indices(event: &Event, each: &mut dyn FnMut(NameKind, u32)) {
     match *event {
         Event::EndpointList { endpoints, .. } => endpoints
             .iter()
-            .for_each(|endpoint| each(Space::Worker, endpoint.worker)),
+            .for_each(|endpoint| each(NameKind::Worker, endpoint.worker)),
         Event::Invocation(ref arrival) => {
-            each(Space::Function, arrival.function);
+            each(NameKind::Function, arrival.function);
             if let Some(worker) = arrival.preferred_worker {
-                each(Space::Worker, worker);
+                each(NameKind::Worker, worker);
             }
         }
         Event::CopyWanted {
             worker,
             ref function,
         } => {
-            each(Space::Worker, worker);
-            each(Space::Function, function.function);
+            each(NameKind::Worker, worker);
+            each(NameKind::Function, function.function);
         }
         Event::AnswerStarted { worker, .. } | Event::ProbeEnded { worker, .. } => {
-            each(Space::Worker, worker);
+            each(NameKind::Worker, worker);
         }
-        Event::DispatchEnded(ref ended) => each(Space::Worker, ended.worker),
+        Event::DispatchEnded(ref ended) => each(NameKind::Worker, ended.worker),
         Event::OrderEnded {
             worker, function, ..
         }
         | Event::CopiesReported {
             worker, function, ..
         } => {
-            each(Space::Worker, worker);
-            each(Space::Function, function);
+            each(NameKind::Worker, worker);
+            each(NameKind::Function, function);
         }
         Event::ClientLeft { .. } | Event::Timer { .. } => {}
     }
@@ -312,7 +312,7 @@
         let fingerprint_of = |function| fingerprints.get(&function).copied().unwrap_or(0);
         let record = record_codec::decode_record(&mut input, &fingerprint_of)?;
         if let Record::Name {
-            kind: Space::Function,
+            kind: NameKind::Function,
             index,
             name,
         } = &record
