--- a/crates/trace/src/chart.rs
+++ b/crates/trace/src/chart.rs
@@ -6,7 +6,7 @@
 use plotters::prelude::*;
 
 use crate::Error;
-use crate::timeline::{Course, TimelineBin};
+use crate::timeline::{Timeline, TimelineBin};
 
 const SIZE: (u32, u32) = (1100, 900);
 const WORST: RGBColor = RGBColor(255, 236, 200);
@@ -195,7 +195,7 @@
 
 /// The chart as text. `worst`: span in wall clock microseconds. An empty timeline is an empty chart.
 pub fn svg(
-    timeline: &Course,
+    timeline: &Timeline,
     title: &str,
     worst: Option<(Micros, Micros)>,
 ) -> Result<String, Error> {
--- a/crates/trace/src/compare.rs
+++ b/crates/trace/src/compare.rs
@@ -1,5 +1,5 @@
-//! How the decisions of two modules about the same events differ, counted by kind. Free of I/O: [`Compare::row`] begins
-//! a router's incarnation, [`Compare::decision`] takes each decision in it, [`Compare::finish`] returns the counts.
+//! How the decisions of two modules about the same events differ, counted by kind. Free of I/O: [`Comparison::row`] begins
+//! a router's incarnation, [`Comparison::decision`] takes each decision in it, [`Comparison::finish`] returns the counts.
 //!
 //! Mechanisms:
 //! 1. What becomes of each invocation that either of them acts on: a pair of what one did and what the other does.
@@ -52,10 +52,10 @@
 /// A kind of difference. Sorted, and printed under the names beside the variants and in [`fmt::Debug`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum DifferenceKind {
     /// One did this with an invocation, the other that.
     #[serde(rename = "instead")]
-    Instead(Decision, Decision),
+    OtherDecision(Decision, Decision),
     /// Both dispatched it, to different workers.
     #[serde(rename = "sent-elsewhere")]
     OtherWorker,
@@ -79,19 +79,19 @@
 }
 
 /// As `trace replay` prints it.
-impl fmt::Debug for Kind {
+impl fmt::Debug for DifferenceKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = match self {
-            Kind::Instead(one, other) => {
+            DifferenceKind::OtherDecision(one, other) => {
                 return f.debug_tuple("Instead").field(one).field(other).finish();
             }
-            Kind::OtherWorker => "SentElsewhere",
-            Kind::OtherParameters => "OtherFigures",
-            Kind::MoreLoadOrders => "OrderedMore",
-            Kind::FewerLoadOrders => "OrderedFewer",
-            Kind::OtherLoadWorkers => "OrderedElsewhere",
-            Kind::Maintenance => "Upkeep",
-            Kind::Timers => "Timers",
+            DifferenceKind::OtherWorker => "SentElsewhere",
+            DifferenceKind::OtherParameters => "OtherFigures",
+            DifferenceKind::MoreLoadOrders => "OrderedMore",
+            DifferenceKind::FewerLoadOrders => "OrderedFewer",
+            DifferenceKind::OtherLoadWorkers => "OrderedElsewhere",
+            DifferenceKind::Maintenance => "Upkeep",
+            DifferenceKind::Timers => "Timers",
         };
         f.write_str(name)
     }
@@ -108,13 +108,13 @@
 
 /// The counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Compared {
+pub struct ComparisonResult {
     /// Router incarnations compared.
     #[serde(rename = "rows")]
-    pub rows: u64,
+    pub incarnations: u64,
     /// Those with any difference.
     #[serde(rename = "rows_differing")]
-    pub rows_differing: u64,
+    pub incarnations_differing: u64,
     /// Decisions compared.
     pub decisions: u64,
     /// Up to and with the first difference of each incarnation.
@@ -122,14 +122,14 @@
     /// Decisions that differ.
     pub differing: u64,
     /// Most frequent first, timers last.
-    pub by_kind: Vec<(Kind, DifferenceCount)>,
+    pub by_kind: Vec<(DifferenceKind, DifferenceCount)>,
 }
 
 /// Counts differences.
 #[derive(Debug, Default)]
-pub struct Compare {
-    result: Compared,
-    counts: BTreeMap<Kind, DifferenceCount>,
+pub struct Comparison {
+    result: ComparisonResult,
+    counts: BTreeMap<DifferenceKind, DifferenceCount>,
     /// The present incarnation has differed.
     differs: bool,
 }
@@ -177,13 +177,13 @@
         Some((invocation, treatment))
     }
 
-    fn difference(self, other: Treatment) -> Option<Kind> {
+    fn difference(self, other: Treatment) -> Option<DifferenceKind> {
         if self.decision != other.decision {
-            Some(Kind::Instead(self.decision, other.decision))
+            Some(DifferenceKind::OtherDecision(self.decision, other.decision))
         } else if self.worker != other.worker {
-            Some(Kind::OtherWorker)
+            Some(DifferenceKind::OtherWorker)
         } else if self.parameter != other.parameter {
-            Some(Kind::OtherParameters)
+            Some(DifferenceKind::OtherParameters)
         } else {
             None
         }
@@ -219,11 +219,11 @@
     orders
 }
 
-fn load_order_difference(one: &[WorkerIndex], other: &[WorkerIndex]) -> Option<Kind> {
+fn load_order_difference(one: &[WorkerIndex], other: &[WorkerIndex]) -> Option<DifferenceKind> {
     match one.len().cmp(&other.len()) {
-        Ordering::Less => Some(Kind::MoreLoadOrders),
-        Ordering::Greater => Some(Kind::FewerLoadOrders),
-        Ordering::Equal if one != other => Some(Kind::OtherLoadWorkers),
+        Ordering::Less => Some(DifferenceKind::MoreLoadOrders),
+        Ordering::Greater => Some(DifferenceKind::FewerLoadOrders),
+        Ordering::Equal if one != other => Some(DifferenceKind::OtherLoadWorkers),
         Ordering::Equal => None,
     }
 }
@@ -252,7 +252,7 @@
 }
 
 /// All that differs between the two, each kind as often as it does; nothing for equal ones.
-pub fn kinds(one: &[Action], other: &[Action]) -> Vec<Kind> {
+pub fn kinds(one: &[Action], other: &[Action]) -> Vec<DifferenceKind> {
     if alike(one, other) {
         return Vec::new();
     }
@@ -270,18 +270,18 @@
         load_order_difference(&workers(&a), &workers(&b))
     }));
     if !alike(&maintenance(one), &maintenance(other)) {
-        kinds.push(Kind::Maintenance);
+        kinds.push(DifferenceKind::Maintenance);
     }
     if kinds.is_empty() {
-        kinds.push(Kind::Timers);
+        kinds.push(DifferenceKind::Timers);
     }
     kinds
 }
 
-impl Compare {
+impl Comparison {
     /// A router's incarnation begins.
-    pub fn row(&mut self) {
-        self.result.rows += 1;
+    pub fn begin_incarnation(&mut self) {
+        self.result.incarnations += 1;
         self.differs = false;
     }
 
@@ -304,15 +304,16 @@
         }
         if !self.differs {
             self.differs = true;
-            self.result.rows_differing += 1;
+            self.result.incarnations_differing += 1;
         }
     }
 
     /// The counts of all decisions so far.
-    pub fn finish(self) -> Compared {
+    pub fn finish(self) -> ComparisonResult {
         let mut by_kind: Vec<_> = self.counts.into_iter().collect();
-        by_kind.sort_by_key(|(kind, n)| (*kind == Kind::Timers, Reverse(n.first + n.later)));
-        Compared {
+        by_kind
+            .sort_by_key(|(kind, n)| (*kind == DifferenceKind::Timers, Reverse(n.first + n.later)));
+        ComparisonResult {
             by_kind,
             ..self.result
         }
--- a/crates/trace/src/error.rs
+++ b/crates/trace/src/error.rs
@@ -55,7 +55,7 @@
     },
     /// Another build, driven with the same files, did not see the same events.
     #[error("the other build {how}")]
-    Other {
+    OtherBuild {
         /// In what way.
         how: &'static str,
     },
@@ -99,7 +99,7 @@
             Error::Damaged { .. } => "replay up to there, or take a copy that is whole",
             Error::NoFile => "name at least one file",
             Error::NotFirstFile { .. } => "give the whole row from file 0 on, or the folder",
-            Error::Other { .. } => "give both builds the same files",
+            Error::OtherBuild { .. } => "give both builds the same files",
             Error::OriginalLeft { .. } => "keep the file to yourself, and report what it named",
             Error::NameInUse { .. } => "give each router a name or a folder of its own",
             Error::TooManyBlocks => "cut it into parts and merge fewer at once",
--- a/crates/trace/src/explain.rs
+++ b/crates/trace/src/explain.rs
@@ -1,6 +1,6 @@
 //! Ranks causes: for each invocation that failed or was late, the one thing that cost it most, from decisions and their
-//! outcomes. Free of I/O: [`Explain::record`] takes the records of all sources, each source's in its own order;
-//! [`Explain::ranked`] returns the causes, most expensive first.
+//! outcomes. Free of I/O: [`CauseRanker::record`] takes the records of all sources, each source's in its own order;
+//! [`CauseRanker::ranked`] returns the causes, most expensive first.
 //!
 //! Mechanisms:
 //! 1. Each failed or late invocation has one cause, the first of these that holds: a limit rejected it; a dispatch of
@@ -16,13 +16,13 @@
 use std::collections::{BTreeMap, HashMap};
 
 use cedarpulley::interface::{CopyStatus, DispatchEnded, DispatchOutcome, Event, Micros};
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::{Fate, Reason};
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::{AnswerReason, FinalOutcome};
 
 pub use cause::{Cause, RankedCause};
 use source_state::{LastDispatch, OpenInvocation, SourceState};
 
-use crate::records::{Record, RecordedEvent, Space};
+use crate::records::{NameKind, Record, RecordedEvent};
 use crate::start::Source;
 
 /// A worker that takes so many times the usual time of the trigger type is the cause of its lateness.
@@ -45,7 +45,7 @@
 
 /// Collects causes from any number of sources.
 #[derive(Default)]
-pub struct Explain {
+pub struct CauseRanker {
     states: HashMap<u32, SourceState>,
     causes: BTreeMap<Cause, RankedCause>,
     /// Usual microseconds of a dispatch that found its copy warm, by the trigger type's name.
@@ -59,7 +59,7 @@
         .unwrap_or_else(|| "unknown".into())
 }
 
-impl Explain {
+impl CauseRanker {
     /// Takes a record of the source with this number, at its router time. `span`: microseconds of the wall clock; only
     /// what was answered within it counts.
     pub fn record(
@@ -76,8 +76,8 @@
             Record::Name { kind, index, name } => {
                 let state = self.states.entry(source).or_default();
                 let names = match kind {
-                    Space::Worker => &mut state.workers,
-                    Space::Function => &mut state.functions,
+                    NameKind::Worker => &mut state.workers,
+                    NameKind::Function => &mut state.functions,
                 };
                 names.insert(*index, name.clone());
             }
@@ -87,11 +87,11 @@
                 actions.iter().for_each(|action| state.action(at, action));
             }
             Record::Answered { .. } => self.answered(source, of, at, inside, record),
-            Record::TurnedAway {
+            Record::Rejected {
                 front,
                 trigger,
                 account,
-                why,
+                reason: why,
             } if inside => {
                 let cause = rejection_cause(of, *why, *front, *account);
                 self.count(of, *trigger, wall, cause, Miss::Lost);
@@ -103,8 +103,8 @@
     /// Takes a [`Record::Answered`].
     fn answered(&mut self, source: u32, of: &Source, at: Micros, inside: bool, record: &Record) {
         let Record::Answered {
-            inv,
-            fate,
+            invocation: inv,
+            outcome: fate,
             reason,
             trigger,
             account,
@@ -117,20 +117,20 @@
         let wall = of.wall(at);
         let Some((invocation, open)) = inv.and_then(|inv| Some((inv, state.open.remove(&inv)?)))
         else {
-            if inv.is_none() && *fate != Fate::Succeeded && inside {
+            if inv.is_none() && *fate != FinalOutcome::Succeeded && inside {
                 let cause = immediate_cause(of, *reason, *account);
                 self.count(of, *trigger, wall, cause, Miss::Lost);
             }
             return;
         };
         match fate {
-            Fate::Succeeded if at - open.at + open.waited <= open.objective => {
+            FinalOutcome::Succeeded if at - open.at + open.waited <= open.objective => {
                 state.in_time.insert(invocation, open.trigger);
             }
-            Fate::Succeeded if inside => {
+            FinalOutcome::Succeeded if inside => {
                 state.late.insert(invocation, (open, at));
             }
-            Fate::Succeeded => {}
+            FinalOutcome::Succeeded => {}
             _ if inside => {
                 let cause = lost_cause(state, of, &open);
                 self.count(of, *trigger, wall, cause, Miss::Lost);
@@ -182,7 +182,7 @@
         if let Some(trigger) = state.in_time.remove(&ended.invocation) {
             if ended.outcome == DispatchOutcome::Succeeded && ended.copy_status == CopyStatus::Warm
             {
-                self.learn(name_of(&of.start.triggers_named, trigger), ended.took);
+                self.learn(name_of(&of.start.trigger_names, trigger), ended.took);
             }
             return;
         }
@@ -263,23 +263,23 @@
 }
 
 /// Of an invocation that admission control rejected.
-fn rejection_cause(of: &Source, reason: Short, front: u32, account: u32) -> Cause {
+fn rejection_cause(of: &Source, reason: RejectionReason, front: u32, account: u32) -> Cause {
     match reason {
-        Short::Front => Cause::ShareExceeded(name_of(&of.start.fronts_named, front)),
-        Short::Account => Cause::ShareExceeded(name_of(&of.start.accounts_named, account)),
-        Short::Connection => Cause::ShareExceeded("one connection".into()),
+        RejectionReason::Front => Cause::ShareExceeded(name_of(&of.start.front_names, front)),
+        RejectionReason::Account => Cause::ShareExceeded(name_of(&of.start.account_names, account)),
+        RejectionReason::Connection => Cause::ShareExceeded("one connection".into()),
         other => Cause::AdmissionLimit(format!("{other:?}").to_lowercase()),
     }
 }
 
 /// Of an invocation that was answered before the decision module received it.
-fn immediate_cause(of: &Source, reason: Reason, account: u32) -> Cause {
-    let account = name_of(&of.start.accounts_named, account);
+fn immediate_cause(of: &Source, reason: AnswerReason, account: u32) -> Cause {
+    let account = name_of(&of.start.account_names, account);
     match reason {
-        Reason::Share => Cause::ShareExceeded(account),
-        Reason::Expired => Cause::ExpiredOnArrival(account),
-        Reason::MayHaveRun => Cause::Redelivered(account),
-        Reason::Size => Cause::AdmissionLimit("memory".into()),
+        AnswerReason::Share => Cause::ShareExceeded(account),
+        AnswerReason::Expired => Cause::ExpiredOnArrival(account),
+        AnswerReason::MayHaveRun => Cause::Redelivered(account),
+        AnswerReason::Size => Cause::AdmissionLimit("memory".into()),
         other => Cause::Other(format!("{other:?}").to_lowercase()),
     }
 }
@@ -293,7 +293,7 @@
         | DispatchOutcome::ConnectionLost => Cause::WorkerUnresponsive(state.worker(worker)),
         DispatchOutcome::Errored => Cause::WorkerErrored(state.worker(worker)),
         DispatchOutcome::NotLoaded => Cause::NoLoadCapacity(state.function(open.function)),
-        _ => Cause::WorkersOverloaded(name_of(&of.start.triggers_named, open.trigger)),
+        _ => Cause::WorkersOverloaded(name_of(&of.start.trigger_names, open.trigger)),
     })
 }
 
@@ -309,7 +309,7 @@
             Cause::NoLoadCapacity(state.function(open.function))
         }
         None if state.waited_for_load(open) => Cause::FunctionLoad(state.function(open.function)),
-        None => Cause::Queued(name_of(&of.start.triggers_named, open.trigger)),
+        None => Cause::Queued(name_of(&of.start.trigger_names, open.trigger)),
     }
 }
 
@@ -321,7 +321,7 @@
     open: &OpenInvocation,
     last: Option<LastDispatch>,
 ) -> Cause {
-    let trigger = name_of(&of.start.triggers_named, open.trigger);
+    let trigger = name_of(&of.start.trigger_names, open.trigger);
     if open.waited > open.objective {
         return Cause::ExpiredOnArrival(trigger);
     }
--- a/crates/trace/src/file_series.rs
+++ b/crates/trace/src/file_series.rs
@@ -9,20 +9,22 @@
 /// The files of one router incarnation: `NAME-RUN-NUMBER.trace`. Numbers may be missing, where a file could not be
 /// begun.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct FileSeries {
     /// Where the files lie.
     pub folder: PathBuf,
     /// The router's name.
     pub name: String,
     /// Wall clock in milliseconds at the router's start, so that series sort by age.
-    pub run: u64,
+    pub started_at_ms: u64,
 }
 
-impl Row {
+impl FileSeries {
     /// The path of the file with this number.
     pub fn file(&self, number: u64) -> PathBuf {
-        self.folder
-            .join(format!("{}-{:013}-{number:05}.trace", self.name, self.run))
+        self.folder.join(format!(
+            "{}-{:013}-{number:05}.trace",
+            self.name, self.started_at_ms
+        ))
     }
 
     /// Files of this router, of this incarnation and earlier ones, but for the one with this number; oldest first, with
@@ -52,7 +54,7 @@
 
 /// A name that one writer alone has in its folder, for as long as this value exists; a process that dies releases it.
 #[derive(Debug)]
-pub struct Own {
+pub struct NameLock {
     /// The name, with a number after it if another writer has the one asked for.
     pub name: String,
     _lock: File,
@@ -61,11 +63,11 @@
 /// Writers of one name in one folder.
 const MAX_WRITERS_OF_A_NAME: u32 = 16;
 
-impl Own {
+impl NameLock {
     /// Locks the first free name.
     ///
     /// Symptom: two routers have the same name and folder, and each makes room by deleting what the other writes.
-    pub fn take(folder: &Path, name: &str) -> Result<Own, Error> {
+    pub fn acquire(folder: &Path, name: &str) -> Result<NameLock, Error> {
         for n in 1..=MAX_WRITERS_OF_A_NAME {
             let candidate = if n == 1 {
                 name.to_owned()
@@ -78,7 +80,7 @@
                 .open(folder.join(format!("{candidate}.lock")))?;
             match lock.try_lock() {
                 Ok(()) => {
-                    return Ok(Own {
+                    return Ok(NameLock {
                         name: candidate,
                         _lock: lock,
                     });
@@ -95,7 +97,7 @@
 }
 
 /// All files of a folder that look like traces, in the order of their names.
-pub fn traces(folder: &Path) -> io::Result<Vec<PathBuf>> {
+pub fn trace_files(folder: &Path) -> io::Result<Vec<PathBuf>> {
     let mut traces: Vec<PathBuf> = std::fs::read_dir(folder)?
         .filter_map(|entry| entry.ok().map(|entry| entry.path()))
         .filter(|path| path.extension().is_some_and(|e| e == "trace"))
--- a/crates/trace/src/file_writer.rs
+++ b/crates/trace/src/file_writer.rs
@@ -3,7 +3,9 @@
 use std::io::{self, Write};
 
 use crate::block_index::BlockIndexBuilder;
-use crate::blocks::{BLOCK_HEADER_BYTES, BlockHeader, FILE_MAGIC, FOOTER_MAGIC, FORMAT, Raw};
+use crate::blocks::{
+    BLOCK_HEADER_BYTES, BlockHeader, FILE_MAGIC, FOOTER_MAGIC, FORMAT, UnpackedBlock,
+};
 use crate::start::Source;
 use crate::start_codec::encode_sources;
 
@@ -12,13 +14,13 @@
 
 /// A file under way.
 #[derive(Debug)]
-pub struct Sheet<W: Write> {
+pub struct TraceFileWriter<W: Write> {
     out: W,
     offset: u64,
     index: BlockIndexBuilder,
 }
 
-impl<W: Write> Sheet<W> {
+impl<W: Write> TraceFileWriter<W> {
     /// Writes the file's beginning.
     pub fn begin(mut out: W, sources: &[Source]) -> io::Result<Self> {
         let start = encode_sources(sources);
@@ -30,7 +32,7 @@
         header.extend(&start);
         header.extend(crc32c::crc32c(&header).to_le_bytes());
         out.write_all(&header)?;
-        Ok(Sheet {
+        Ok(TraceFileWriter {
             out,
             offset: header.len() as u64,
             index: BlockIndexBuilder::default(),
@@ -39,13 +41,13 @@
 
     /// Compresses and writes a block, in one write: a truncation falls within it, or before or after. Returns the bytes
     /// written.
-    pub fn block(&mut self, source: u32, block: &Raw) -> io::Result<u64> {
+    pub fn write_block(&mut self, source: u32, block: &UnpackedBlock) -> io::Result<u64> {
         let packed = zstd::bulk::compress(&block.bytes, COMPRESSION_LEVEL)?;
-        self.packed(&BlockHeader::new(block, source, &packed), &packed)
+        self.write_packed(&BlockHeader::new(block, source, &packed), &packed)
     }
 
     /// Writes a block that is compressed already. Returns the bytes written.
-    pub fn packed(&mut self, header: &BlockHeader, packed: &[u8]) -> io::Result<u64> {
+    pub fn write_packed(&mut self, header: &BlockHeader, packed: &[u8]) -> io::Result<u64> {
         let mut bytes = Vec::with_capacity(BLOCK_HEADER_BYTES + packed.len());
         bytes.extend(header.encode());
         bytes.extend(packed);
@@ -61,7 +63,7 @@
     }
 
     /// Writes index and footer.
-    pub fn end(mut self) -> io::Result<W> {
+    pub fn finish(mut self) -> io::Result<W> {
         self.index.write(&mut self.out)?;
         let mut footer = self.offset.to_le_bytes().to_vec();
         footer.extend(crc32c::crc32c(&footer).to_le_bytes());
--- a/crates/trace/src/invocation_history.rs
+++ b/crates/trace/src/invocation_history.rs
@@ -5,11 +5,11 @@
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::{Action, Event, InvocationIndex, Micros};
 
-use crate::records::{Record, RecordedEvent, Space};
+use crate::records::{NameKind, Record, RecordedEvent};
 use crate::start::Source;
 
 /// Follows a correlation id through the records of one source, in order.
-pub struct Follow {
+pub struct InvocationHistory {
     /// Hash of the correlation id.
     key: u64,
     /// The invocation's index while it is open: indices are assigned again.
@@ -20,10 +20,10 @@
     pub lines: Vec<String>,
 }
 
-impl Follow {
+impl InvocationHistory {
     /// For this correlation id.
     pub fn new(correlation_id: &str) -> Self {
-        Follow {
+        InvocationHistory {
             key: fingerprint(correlation_id),
             invocation: None,
             workers: HashMap::new(),
@@ -46,19 +46,19 @@
         match record {
             Record::Name { kind, index, name } => {
                 let names = match kind {
-                    Space::Worker => &mut self.workers,
-                    Space::Function => &mut self.functions,
+                    NameKind::Worker => &mut self.workers,
+                    NameKind::Function => &mut self.functions,
                 };
                 names.insert(*index, name.clone());
             }
-            Record::Taken {
-                inv,
+            Record::Accepted {
+                invocation: inv,
                 front,
-                mark: Some(key),
+                correlation_hash: Some(key),
                 redelivered,
             } if *key == self.key => {
                 self.invocation = Some(*inv);
-                let front = source.start.fronts_named.get(*front as usize);
+                let front = source.start.front_names.get(*front as usize);
                 let front = front.map_or("?", String::as_str);
                 let again = if *redelivered {
                     ", delivered again"
@@ -68,10 +68,12 @@
                 self.line(source, at, &format!("taken from {front}{again}"));
             }
             // Its index was assigned to another.
-            Record::Taken { inv, .. } if self.invocation == Some(*inv) => self.invocation = None,
+            Record::Accepted {
+                invocation: inv, ..
+            } if self.invocation == Some(*inv) => self.invocation = None,
             Record::Answered {
-                inv: Some(inv),
-                fate,
+                invocation: Some(inv),
+                outcome: fate,
                 reason,
                 took,
                 ..
@@ -129,7 +131,7 @@
         match event {
             Event::Invocation(arrival) if arrival.invocation == own => {
                 let function = self.functions.get(&arrival.function);
-                let trigger = source.start.triggers_named.get(arrival.trigger as usize);
+                let trigger = source.start.trigger_names.get(arrival.trigger as usize);
                 Some(format!(
                     "{} for {}, gives up in {:.0} ms",
                     trigger.map_or("?", String::as_str),
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -42,15 +42,4 @@
 pub mod timeline;
 pub mod writer;
 
-#[doc(hidden)]
-pub use invocation_history as show;
-#[doc(hidden)]
-pub use retention as keeping;
-#[doc(hidden)]
-pub use rule_check as rules;
-#[doc(hidden)]
-pub use selection as select;
-#[doc(hidden)]
-pub use timeline as course;
-
 pub use error::Error;
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -14,10 +14,10 @@
 use crate::Error;
 use crate::block_index::BlockLocation;
 use crate::blocks::{BlockHeader, FORMAT};
-use crate::reader::{Found, Reader};
+use crate::reader::{BlockRead, Reader};
 use crate::records::{Record, RecordedEvent};
 use crate::start::Source;
-use crate::writer::Sheet;
+use crate::writer::TraceFileWriter;
 
 /// Changes of each file that are compared: enough for a steady median.
 const MAX_CHANGES: usize = 4096;
@@ -79,7 +79,11 @@
         let (mut states, mut changes) = (WorkerStates::default(), HashMap::new());
         reader.rewind();
         while let Some(found) = reader.next()? {
-            let Found::Block { records, place } = found else {
+            let BlockRead::Block {
+                records,
+                location: place,
+            } = found
+            else {
                 continue;
             };
             let source = &reader.sources[place.source as usize];
@@ -196,7 +200,7 @@
         reader.rewind();
         reader.damaged_blocks = 0;
     }
-    let mut merged_file = Sheet::begin(out, &merged.sources)?;
+    let mut merged_file = TraceFileWriter::begin(out, &merged.sources)?;
     let mut damaged = 0;
     let mut next = BinaryHeap::new();
     for (file, reader) in readers.iter_mut().enumerate() {
@@ -210,13 +214,13 @@
                     ..header
                 };
                 header.checksum = header.checksum_over(FORMAT, &packed);
-                merged_file.packed(&header, &packed)?;
+                merged_file.write_packed(&header, &packed)?;
             }
             None => damaged += 1,
         }
         next.extend(merged.next_block(file, &mut readers[file])?.map(Reverse));
     }
-    merged_file.end()?;
+    merged_file.finish()?;
     let unreadable: u64 = readers.iter().map(|r| r.damaged_blocks).sum();
     Ok(damaged + unreadable)
 }
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -25,11 +25,11 @@
 
 /// What was found of one block.
 #[derive(Debug)]
-pub enum Found {
+pub enum BlockRead {
     /// A whole block.
     Block {
         /// Where it lies.
-        place: BlockLocation,
+        location: BlockLocation,
         /// Its records, each with its router time.
         records: Vec<(Micros, Record)>,
     },
@@ -44,11 +44,11 @@
 
 /// How the file ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum FileEnd {
     /// With its index, in good order.
-    Well,
+    Complete,
     /// Truncated after its last whole block.
-    Cut {
+    Truncated {
         /// Where that block ends.
         offset: u64,
     },
@@ -67,9 +67,9 @@
     /// Offset of the next block.
     at: u64,
     /// Present once the end was reached.
-    pub ended: Option<Ended>,
+    pub ended: Option<FileEnd>,
     /// Blocks of other sources are passed over.
-    pub only: Option<u32>,
+    pub only_source: Option<u32>,
     /// Blocks passed over by [`Reader::next_place`], as they are damaged.
     pub damaged_blocks: u64,
 }
@@ -133,7 +133,7 @@
             index,
             at: header.bytes,
             ended: None,
-            only: None,
+            only_source: None,
             damaged_blocks: 0,
         })
     }
@@ -198,8 +198,10 @@
         loop {
             match self.next_of_any_source()? {
                 None => return Ok(None),
-                Some(Found::Block { place, .. }) => return Ok(Some(place)),
-                Some(Found::Damaged { .. }) => self.damaged_blocks += 1,
+                Some(BlockRead::Block {
+                    location: place, ..
+                }) => return Ok(Some(place)),
+                Some(BlockRead::Damaged { .. }) => self.damaged_blocks += 1,
             }
         }
     }
@@ -220,29 +222,34 @@
         clippy::should_implement_trait,
         reason = "reading fails with an error of its own, which an iterator's item would hide"
     )]
-    pub fn next(&mut self) -> Result<Option<Found>, Error> {
+    pub fn next(&mut self) -> Result<Option<BlockRead>, Error> {
         loop {
             let found = self.next_of_any_source()?;
-            match (&found, self.only) {
-                (Some(Found::Block { place, .. }), Some(only)) if place.source != only => {}
+            match (&found, self.only_source) {
+                (
+                    Some(BlockRead::Block {
+                        location: place, ..
+                    }),
+                    Some(only),
+                ) if place.source != only => {}
                 _ => return Ok(found),
             }
         }
     }
 
-    fn next_of_any_source(&mut self) -> Result<Option<Found>, Error> {
+    fn next_of_any_source(&mut self) -> Result<Option<BlockRead>, Error> {
         if self.ended.is_some() {
             return Ok(None);
         }
         let offset = self.at;
         let header = self.header_bytes_at(offset)?;
         if header.starts_with(&INDEX_MAGIC) && self.index.is_some() {
-            self.ended = Some(Ended::Well);
+            self.ended = Some(FileEnd::Complete);
             return Ok(None);
         }
         let header_bytes = block_header_bytes(self.format);
         if header.len() < header_bytes {
-            self.ended = Some(Ended::Cut { offset });
+            self.ended = Some(FileEnd::Truncated { offset });
             return Ok(None);
         }
         let Some(header) = self.decode_header(&header) else {
@@ -258,11 +265,11 @@
         }
         self.at = offset + (header_bytes + packed.len()) as u64;
         let found = match self.records_of(&header, &packed) {
-            Ok(records) => Found::Block {
-                place: header.location(offset),
+            Ok(records) => BlockRead::Block {
+                location: header.location(offset),
                 records,
             },
-            Err(cause) => Found::Damaged { offset, cause },
+            Err(cause) => BlockRead::Damaged { offset, cause },
         };
         Ok(Some(found))
     }
@@ -282,7 +289,7 @@
     }
 
     /// Goes on at the next thing that looks like a block, or at the index.
-    fn damaged(&mut self, offset: u64, cause: &str) -> Result<Option<Found>, Error> {
+    fn damaged(&mut self, offset: u64, cause: &str) -> Result<Option<BlockRead>, Error> {
         let mut at = offset + 1;
         let mut window = vec![0; SEARCH_BYTES];
         loop {
@@ -295,13 +302,13 @@
                 self.at = at + position as u64;
                 if self.begins(self.at)? {
                     let cause = cause.to_owned();
-                    return Ok(Some(Found::Damaged { offset, cause }));
+                    return Ok(Some(BlockRead::Damaged { offset, cause }));
                 }
                 at = self.at + 1;
                 continue;
             }
             if got < SEARCH_BYTES {
-                self.ended = Some(Ended::Cut { offset });
+                self.ended = Some(FileEnd::Truncated { offset });
                 return Ok(None);
             }
             // A magic number may lie across the end of the window.
@@ -327,7 +334,7 @@
     pub fn within(
         &mut self,
         span: impl Fn(u32) -> (Micros, Micros),
-        mut each: impl FnMut(Found),
+        mut each: impl FnMut(BlockRead),
     ) -> Result<u64, Error> {
         let touches = |block: &BlockLocation| {
             let (from, until) = span(block.source);
@@ -351,8 +358,10 @@
         while let Some(found) = self.next()? {
             blocks_read += 1;
             let wanted = match &found {
-                Found::Block { place, .. } => touches(place),
-                Found::Damaged { .. } => true,
+                BlockRead::Block {
+                    location: place, ..
+                } => touches(place),
+                BlockRead::Damaged { .. } => true,
             };
             if wanted {
                 each(found);
--- a/crates/trace/src/record_codec.rs
+++ b/crates/trace/src/record_codec.rs
@@ -2,19 +2,19 @@
 //! all earlier formats.
 
 use cedarpulley::interface::{Action, Event};
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::{Fate, Reason};
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::{AnswerReason, FinalOutcome};
 
 use crate::action_codec::{decode_action, encode_action};
 use crate::codec::{DecodeError, Decoder, Encoder};
 use crate::event_codec::{
     decode_event, decode_tag, encode_event, encode_indices, encode_tag, tag_table,
 };
-use crate::records::{Record, Space};
+use crate::records::{NameKind, Record};
 
-tag_table!(REASONS: Reason, Worker, GivenUp, Expired, MayHaveRun, Overdue, Functions, Size, Share, NoMajority, SessionOver, Alone);
-tag_table!(OUTCOMES: Fate, Succeeded, Throttled, Errored);
-tag_table!(REJECTION_REASONS: Short, Stopping, Memory, All, Front, Account, Connection, Worth);
+tag_table!(REASONS: AnswerReason, Worker, GivenUp, Expired, MayHaveRun, Overdue, Functions, Size, Share, NoMajority, SessionOver, Alone);
+tag_table!(OUTCOMES: FinalOutcome, Succeeded, Throttled, Errored);
+tag_table!(REJECTION_REASONS: RejectionReason, Stopping, Memory, All, Front, Account, Connection, Worth);
 
 /// Kinds of records; the high bits of the tag are reserved.
 const NAME: u8 = 1;
@@ -37,15 +37,15 @@
     match record {
         Record::Name { kind, index, name } => {
             out.byte(NAME);
-            out.byte(u8::from(*kind == Space::Worker));
+            out.byte(u8::from(*kind == NameKind::Worker));
             out.unsigned((*index).into());
             out.text(name);
         }
         Record::Decided { event, actions } => encode_decided(out, &event.event(), actions),
-        Record::Taken {
-            inv,
+        Record::Accepted {
+            invocation: inv,
             front,
-            mark,
+            correlation_hash: mark,
             redelivered,
         } => {
             out.byte(ACCEPTED);
@@ -55,11 +55,11 @@
             out.byte(u8::from(*redelivered));
         }
         Record::Answered { .. } => encode_answered(out, record),
-        Record::TurnedAway {
+        Record::Rejected {
             front,
             trigger,
             account,
-            why,
+            reason: why,
         } => {
             out.byte(REJECTED);
             encode_indices(out, [*front, *trigger, *account]);
@@ -81,9 +81,9 @@
 /// Writes a [`Record::Answered`]; of other records nothing.
 fn encode_answered(out: &mut Encoder, record: &Record) {
     let Record::Answered {
-        inv,
+        invocation: inv,
         front,
-        fate,
+        outcome: fate,
         reason,
         trigger,
         account,
@@ -110,9 +110,9 @@
     Ok(match input.byte()? {
         NAME => Record::Name {
             kind: if input.flag()? {
-                Space::Worker
+                NameKind::Worker
             } else {
-                Space::Function
+                NameKind::Function
             },
             index: input.u32()?,
             name: input.text()?.to_owned(),
@@ -121,26 +121,26 @@
             event: decode_event(input, fingerprint)?,
             actions: input.list(decode_action)?,
         },
-        ACCEPTED => Record::Taken {
-            inv: input.u32()?,
+        ACCEPTED => Record::Accepted {
+            invocation: input.u32()?,
             front: input.u32()?,
-            mark: input.optional(decode_hash)?,
+            correlation_hash: input.optional(decode_hash)?,
             redelivered: input.flag()?,
         },
         ANSWERED => Record::Answered {
-            inv: input.optional(Decoder::u32)?,
+            invocation: input.optional(Decoder::u32)?,
             front: input.u32()?,
-            fate: decode_tag(input, OUTCOMES)?,
+            outcome: decode_tag(input, OUTCOMES)?,
             reason: decode_tag(input, REASONS)?,
             trigger: input.u32()?,
             account: input.u32()?,
             took: input.signed()?,
         },
-        REJECTED => Record::TurnedAway {
+        REJECTED => Record::Rejected {
             front: input.u32()?,
             trigger: input.u32()?,
             account: input.u32()?,
-            why: decode_tag(input, REJECTION_REASONS)?,
+            reason: decode_tag(input, REJECTION_REASONS)?,
         },
         GAP => Record::Gap {
             records: input.unsigned()?,
--- a/crates/trace/src/records.rs
+++ b/crates/trace/src/records.rs
@@ -2,12 +2,12 @@
 //! `docs/design/trace-format.md`.
 
 use cedarpulley::interface::*;
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::{Fate, FrontIndex, Reason};
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::{AnswerReason, FinalOutcome, FrontIndex};
 
 /// Which kind of index a name belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Space {
+pub enum NameKind {
     /// A [`FunctionIndex`].
     Function,
     /// A [`WorkerIndex`].
@@ -47,7 +47,7 @@
     /// Gives an index its name; comes in each block before the first record that uses the index.
     Name {
         /// What the index counts.
-        kind: Space,
+        kind: NameKind,
         /// The index that is named.
         index: u32,
         /// Function name or worker address.
@@ -61,26 +61,26 @@
         actions: Vec<Action>,
     },
     /// Where the invocation of the next recorded event came from.
-    Taken {
+    Accepted {
         /// The invocation.
-        inv: InvocationIndex,
+        invocation: InvocationIndex,
         /// The listener or queue it came from.
         front: FrontIndex,
         /// Hash of the correlation id that its client gave it.
-        mark: Option<u64>,
+        correlation_hash: Option<u64>,
         /// Delivered before, to this router or another.
         redelivered: bool,
     },
     /// A final answer left the router core.
     Answered {
         /// Absent: it was answered at once and never reached the decision module.
-        inv: Option<InvocationIndex>,
+        invocation: Option<InvocationIndex>,
         /// Where it came from.
         front: FrontIndex,
         /// Its outcome.
-        fate: Fate,
+        outcome: FinalOutcome,
         /// Why it ended so.
-        reason: Reason,
+        reason: AnswerReason,
         /// Index of its trigger type; `u32::MAX`: not known.
         trigger: u32,
         /// Index of its account; `u32::MAX`: not known.
@@ -89,7 +89,7 @@
         took: Micros,
     },
     /// Rejected by admission control.
-    TurnedAway {
+    Rejected {
         /// Where it came from.
         front: FrontIndex,
         /// Index of its trigger type.
@@ -97,7 +97,7 @@
         /// Index of its account.
         account: u32,
         /// The limit that was reached.
-        why: Short,
+        reason: RejectionReason,
     },
     /// Records lost here because the disk did not keep up.
     Gap {
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -12,14 +12,14 @@
 use crate::action_codec::encode_action;
 use crate::blocks::for_each_named_index;
 use crate::codec::Encoder;
-use crate::reader::{Found, Reader};
+use crate::reader::{BlockRead, Reader};
 use crate::records::{Record, RecordedEvent};
 use crate::start::{Provenance, Source, module_digest};
 pub use redo::redo;
 
 /// Related decisions before the first that differs that are reported with it.
 const REPORTED_BEFORE: usize = 5;
-/// Decisions among which related ones are looked for: at this many the older half is forgotten.
+/// DecisionReader among which related ones are looked for: at this many the older half is forgotten.
 const MAX_RECENT: usize = 4096;
 
 /// The first decision that differs.
@@ -30,19 +30,19 @@
     /// Router time.
     pub at: Micros,
     /// The event.
-    pub happened: RecordedEvent,
+    pub event: RecordedEvent,
     /// The actions in the trace.
     pub recorded: Vec<Action>,
     /// The actions of this build's module.
     pub replayed: Vec<Action>,
-    /// Decisions just before about the same workers or functions, as text.
+    /// DecisionReader just before about the same workers or functions, as text.
     pub before: Vec<String>,
 }
 
 /// What a replay found.
 #[derive(Debug, Default)]
 pub struct ReplayResult {
-    /// Decisions replayed.
+    /// DecisionReader replayed.
     pub decisions: u64,
     /// Router time from the first decision to the last.
     pub span: Micros,
@@ -69,7 +69,7 @@
 
 /// What a series of files contains, in order.
 #[derive(Debug)]
-pub enum Step {
+pub enum ReplayStep {
     /// A block begins here; blocks stand alone, with the names that they use.
     Block,
     /// A recorded decision, replayed.
@@ -77,14 +77,14 @@
         /// Router time.
         at: Micros,
         /// The event.
-        happened: RecordedEvent,
+        event: RecordedEvent,
         /// The actions in the trace.
         recorded: Vec<Action>,
         /// The actions of this build's module, from the same events all along.
         replayed: Vec<Action>,
     },
     /// A record that the decision module has no part in.
-    Beside {
+    Other {
         /// Router time.
         at: Micros,
         /// The record.
@@ -94,7 +94,7 @@
 
 /// The one source of a file that is read.
 fn source<R: Read + Seek>(reader: &Reader<R>) -> &Source {
-    &reader.sources[reader.only.unwrap_or(0) as usize]
+    &reader.sources[reader.only_source.unwrap_or(0) as usize]
 }
 
 /// Whether a replay goes on.
@@ -113,13 +113,13 @@
     each: F,
 }
 
-impl<F: FnMut(Step) -> Result<bool, Error>> Driver<F> {
+impl<F: FnMut(ReplayStep) -> Result<bool, Error>> Driver<F> {
     fn stop(&mut self, why: String) -> Progress {
         self.result.stopped = Some(why);
         Progress::Stop
     }
 
-    fn step(&mut self, step: Step) -> Result<Progress, Error> {
+    fn step(&mut self, step: ReplayStep) -> Result<Progress, Error> {
         Ok(if (self.each)(step)? {
             Progress::GoOn
         } else {
@@ -133,13 +133,13 @@
         number: usize,
         reader: &mut Reader<R>,
     ) -> Result<Progress, Error> {
-        if source(reader).start.file != number as u64 {
+        if source(reader).start.file_number != number as u64 {
             return Ok(self.stop(format!("file {number} of the row is missing")));
         }
         while let Some(found) = reader.next()? {
             let progress = match found {
-                Found::Block { records, .. } => self.block(records)?,
-                Found::Damaged { offset, cause } => {
+                BlockRead::Block { records, .. } => self.block(records)?,
+                BlockRead::Damaged { offset, cause } => {
                     let why = format!("file {number} is damaged at byte {offset}: {cause}");
                     self.stop(why)
                 }
@@ -152,7 +152,7 @@
     }
 
     fn block(&mut self, records: Vec<(Micros, Record)>) -> Result<Progress, Error> {
-        if self.step(Step::Block)? == Progress::Stop {
+        if self.step(ReplayStep::Block)? == Progress::Stop {
             return Ok(Progress::Stop);
         }
         for (at, record) in records {
@@ -161,7 +161,7 @@
                 Record::Gap { records, .. } => {
                     return Ok(self.stop(format!("{records} records were lost at {at} us")));
                 }
-                record => Step::Beside { at, record },
+                record => ReplayStep::Other { at, record },
             };
             if self.step(step)? == Progress::Stop {
                 return Ok(Progress::Stop);
@@ -170,14 +170,14 @@
         Ok(Progress::GoOn)
     }
 
-    fn decide(&mut self, at: Micros, event: RecordedEvent, recorded: Vec<Action>) -> Step {
+    fn decide(&mut self, at: Micros, event: RecordedEvent, recorded: Vec<Action>) -> ReplayStep {
         let mut replayed = Vec::new();
         self.balancer.handle(at, &event.event(), &mut replayed);
         self.result.decisions += 1;
         self.result.span = at - *self.first_decision.get_or_insert(at);
-        Step::Decided {
+        ReplayStep::Decided {
             at,
-            happened: event,
+            event,
             recorded,
             replayed,
         }
@@ -187,9 +187,9 @@
 /// Replays the files of one router incarnation, from its first on, in order; of a file with several sources, the one
 /// that is `only` read. `each` says whether to go on. After a first difference the module goes on believing what it
 /// asked for itself, while events tell of what was done: what differs later may follow from that alone.
-pub fn drive<R: Read + Seek>(
+pub fn replay_steps<R: Read + Seek>(
     files: &mut [Reader<R>],
-    each: impl FnMut(Step) -> Result<bool, Error>,
+    each: impl FnMut(ReplayStep) -> Result<bool, Error>,
 ) -> Result<ReplayResult, Error> {
     let Some(first) = files.first().map(source) else {
         return Err(Error::NoFile);
@@ -204,15 +204,15 @@
             ..ReplayResult::default()
         });
     }
-    if first.start.file != 0 {
+    if first.start.file_number != 0 {
         return Err(Error::NotFirstFile {
-            file: first.start.file,
+            file: first.start.file_number,
         });
     }
     let mut driver = Driver {
         balancer: first.start.balancer(),
         result: ReplayResult {
-            same_module: first.start.module == module_digest(),
+            same_module: first.start.module_digest == module_digest(),
             ..ReplayResult::default()
         },
         first_decision: None,
@@ -227,15 +227,15 @@
 }
 
 /// Reads the decisions of a file, one after the other.
-pub struct Decisions<R> {
+pub struct DecisionReader<R> {
     reader: Reader<R>,
     records: std::vec::IntoIter<(Micros, Record)>,
 }
 
-impl<R: Read + Seek> Decisions<R> {
+impl<R: Read + Seek> DecisionReader<R> {
     /// From the reader's position on.
     pub fn new(reader: Reader<R>) -> Self {
-        Decisions {
+        DecisionReader {
             reader,
             records: Vec::new().into_iter(),
         }
@@ -262,8 +262,8 @@
             }
             match self.reader.next()? {
                 None => return Ok(None),
-                Some(Found::Block { records, .. }) => self.records = records.into_iter(),
-                Some(Found::Damaged { offset, cause }) => {
+                Some(BlockRead::Block { records, .. }) => self.records = records.into_iter(),
+                Some(BlockRead::Damaged { offset, cause }) => {
                     return Err(Error::Damaged { offset, cause });
                 }
             }
@@ -275,10 +275,10 @@
 pub fn replay<R: Read + Seek>(files: &mut [Reader<R>]) -> Result<ReplayResult, Error> {
     let mut recent: Vec<Decided> = Vec::new();
     let (mut difference, mut decision) = (None, 0);
-    let result = drive(files, |step| {
-        let Step::Decided {
+    let result = replay_steps(files, |step| {
+        let ReplayStep::Decided {
             at,
-            happened,
+            event: happened,
             recorded,
             replayed,
         } = step
@@ -291,7 +291,7 @@
             difference = Some(Difference {
                 decision,
                 at,
-                happened,
+                event: happened,
                 recorded,
                 replayed,
                 before,
@@ -332,14 +332,14 @@
         .rev()
         .filter(|(_, event, actions)| touches(event, actions))
         .take(REPORTED_BEFORE)
-        .map(|(at, event, actions)| format!("{at} us: {} -> {actions:?}", told(event)))
+        .map(|(at, event, actions)| format!("{at} us: {} -> {actions:?}", describe_event(event)))
         .collect();
     found.reverse();
     found
 }
 
 /// An event in a line; an endpoint list by its size.
-pub fn told(event: &RecordedEvent) -> String {
+pub fn describe_event(event: &RecordedEvent) -> String {
     match event {
         RecordedEvent::List { kind, endpoints } => format!("List {kind:?} of {}", endpoints.len()),
         RecordedEvent::Other(event) => format!("{event:?}"),
--- a/crates/trace/src/replay/redo.rs
+++ b/crates/trace/src/replay/redo.rs
@@ -5,25 +5,25 @@
 
 use cedarpulley::interface::{Action, Micros};
 
-use super::{ReplayResult, Step, drive, source};
+use super::{ReplayResult, ReplayStep, replay_steps, source};
 use crate::Error;
-use crate::blocks::{Gather, for_each_named_index};
+use crate::blocks::{BlockBuilder, for_each_named_index};
 use crate::reader::Reader;
-use crate::records::{Record, RecordedEvent, Space};
+use crate::records::{NameKind, Record, RecordedEvent};
 use crate::start::{Provenance, module_digest};
-use crate::writer::Sheet;
+use crate::writer::TraceFileWriter;
 
 /// Writes what is replayed into one file.
 struct RedoneFile<W: Write> {
-    file: Sheet<W>,
-    block: Gather,
-    names: HashMap<(Space, u32), String>,
+    file: TraceFileWriter<W>,
+    block: BlockBuilder,
+    names: HashMap<(NameKind, u32), String>,
 }
 
 impl<W: Write> RedoneFile<W> {
     fn end_block(&mut self) -> Result<(), Error> {
         if !self.block.is_empty() {
-            self.file.block(0, &self.block.close())?;
+            self.file.write_block(0, &self.block.close())?;
         }
         Ok(())
     }
@@ -55,19 +55,19 @@
         return Err(Error::NoFile);
     };
     let mut of = source(first).clone();
-    (of.provenance, of.start.module) = (Provenance::Redone, module_digest());
+    (of.provenance, of.start.module_digest) = (Provenance::Redone, module_digest());
     let mut redone = RedoneFile {
-        file: Sheet::begin(out, &[of])?,
-        block: Gather::default(),
+        file: TraceFileWriter::begin(out, &[of])?,
+        block: BlockBuilder::default(),
         names: HashMap::new(),
     };
-    let result = drive(files, |step| {
+    let result = replay_steps(files, |step| {
         match step {
-            Step::Block => redone.end_block()?,
-            Step::Beside { at, record } => redone.beside(at, &record),
-            Step::Decided {
+            ReplayStep::Block => redone.end_block()?,
+            ReplayStep::Other { at, record } => redone.beside(at, &record),
+            ReplayStep::Decided {
                 at,
-                happened,
+                event: happened,
                 replayed,
                 ..
             } => redone.decided(at, happened, replayed),
@@ -75,6 +75,6 @@
         Ok(true)
     })?;
     redone.end_block()?;
-    redone.file.end()?;
+    redone.file.finish()?;
     Ok(result)
 }
--- a/crates/trace/src/retention.rs
+++ b/crates/trace/src/retention.rs
@@ -16,19 +16,19 @@
 
 /// The limits of a router's trace files.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct RetentionLimits {
     /// A file ends at this size.
     pub file_bytes: u64,
     /// A file ends at this age, in microseconds.
     pub file_age: Micros,
     /// Bytes of all files of the router.
-    pub budget: u64,
+    pub budget_bytes: u64,
 }
 
 /// State of the present file and of the backoff.
 #[derive(Debug)]
 pub struct Retention {
-    bounds: Bounds,
+    bounds: RetentionLimits,
     /// Bytes of the present file.
     written: u64,
     began_at: Micros,
@@ -47,7 +47,7 @@
 
 impl Retention {
     /// Before the first file.
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(bounds: RetentionLimits) -> Self {
         Retention {
             bounds,
             written: 0,
@@ -95,7 +95,10 @@
     /// How many of the earlier files have to be deleted before a file is begun. `sizes`: of these files, oldest first.
     pub fn files_to_delete(&self, sizes: &[u64]) -> usize {
         // Room for the file that begins: else the budget would be passed while it is written.
-        let room = self.bounds.budget.saturating_sub(self.bounds.file_bytes);
+        let room = self
+            .bounds
+            .budget_bytes
+            .saturating_sub(self.bounds.file_bytes);
         let mut total: u64 = sizes.iter().sum();
         let mut deleted = 0;
         while total > room && deleted < sizes.len() {
--- a/crates/trace/src/rewrite.rs
+++ b/crates/trace/src/rewrite.rs
@@ -5,13 +5,13 @@
 use cedarpulley::interface::Micros;
 
 use crate::Error;
-use crate::blocks::{Gather, Raw, for_each_named_index};
-use crate::reader::{Found, Reader};
+use crate::blocks::{BlockBuilder, UnpackedBlock, for_each_named_index};
+use crate::reader::{BlockRead, Reader};
 use crate::records::Record;
-use crate::selection::{RecordSelector, Wanted};
+use crate::selection::{RecordSelector, SelectionCriteria};
 use crate::start::{Provenance, Source};
-use crate::strip::Strip;
-use crate::writer::Sheet;
+use crate::strip::Pseudonymizer;
+use crate::writer::TraceFileWriter;
 
 /// What was read and written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -33,7 +33,7 @@
 }
 
 impl<'a> CutSource<'a> {
-    fn new(wanted: &'a Wanted, source: &Source) -> Self {
+    fn new(wanted: &'a SelectionCriteria, source: &Source) -> Self {
         let selector = RecordSelector::new(wanted, source);
         CutSource {
             span: selector.as_ref().map_or((0, 0), |s| s.span(source)),
@@ -42,8 +42,8 @@
     }
 
     /// The block's records that belong, with the names that they use; and how many records belong.
-    fn select(&mut self, records: Vec<(Micros, Record)>) -> (Gather, u64) {
-        let (mut block, mut selected) = (Gather::default(), 0);
+    fn select(&mut self, records: Vec<(Micros, Record)>) -> (BlockBuilder, u64) {
+        let (mut block, mut selected) = (BlockBuilder::default(), 0);
         let Some(selector) = &mut self.selector else {
             return (block, selected);
         };
@@ -71,7 +71,7 @@
 /// When reading or writing fails; damaged blocks are counted.
 pub fn cut<R: Read + Seek, W: Write>(
     reader: &mut Reader<R>,
-    wanted: &Wanted,
+    wanted: &SelectionCriteria,
     out: W,
 ) -> Result<Rewritten, Error> {
     let cut = |source: &Source| Source {
@@ -79,7 +79,7 @@
         ..source.clone()
     };
     let sources: Vec<Source> = reader.sources.iter().map(cut).collect();
-    let mut file = Sheet::begin(out, &sources)?;
+    let mut file = TraceFileWriter::begin(out, &sources)?;
     let mut cut_sources: Vec<CutSource> = sources
         .iter()
         .map(|source| CutSource::new(wanted, source))
@@ -97,19 +97,23 @@
     let blocks_read = reader.within(
         |source| spans[source as usize],
         |found| {
-            let Found::Block { place, records } = found else {
+            let BlockRead::Block {
+                location: place,
+                records,
+            } = found
+            else {
                 result.damaged += 1;
                 return;
             };
             let (mut block, selected) = cut_sources[place.source as usize].select(records);
             result.records += selected;
             if !block.is_empty() && written.is_ok() {
-                written = file.block(place.source, &block.close()).map(|_| ());
+                written = file.write_block(place.source, &block.close()).map(|_| ());
             }
         },
     )?;
     written?;
-    file.end()?;
+    file.finish()?;
     Ok(Rewritten {
         blocks_read,
         ..result
@@ -122,28 +126,35 @@
 /// When reading or writing fails, and when an original would be left.
 pub fn strip<R: Read + Seek, W: Write>(
     reader: &mut Reader<R>,
-    strip: &mut Strip,
+    strip: &mut Pseudonymizer,
     out: W,
 ) -> Result<Rewritten, Error> {
     let sources: Vec<Source> = reader.sources.iter().map(|s| strip.source(s)).collect();
-    let mut file = Sheet::begin(out, &sources)?;
+    let mut file = TraceFileWriter::begin(out, &sources)?;
     let mut result = Rewritten::default();
     reader.rewind();
     while let Some(found) = reader.next()? {
-        let Found::Block { place, records } = found else {
+        let BlockRead::Block {
+            location: place,
+            records,
+        } = found
+        else {
             result.damaged += 1;
             continue;
         };
         result.blocks_read += 1;
         result.records += records.len() as u64;
-        file.block(place.source, &strip_block(strip, records)?)?;
+        file.write_block(place.source, &strip_block(strip, records)?)?;
     }
-    file.end()?;
+    file.finish()?;
     Ok(result)
 }
 
-fn strip_block(strip: &mut Strip, records: Vec<(Micros, Record)>) -> Result<Raw, Error> {
-    let mut block = Gather::default();
+fn strip_block(
+    strip: &mut Pseudonymizer,
+    records: Vec<(Micros, Record)>,
+) -> Result<UnpackedBlock, Error> {
+    let mut block = BlockBuilder::default();
     for (at, record) in records {
         block.record(at, &strip.record(record));
     }
--- a/crates/trace/src/rule_check.rs
+++ b/crates/trace/src/rule_check.rs
@@ -1,5 +1,5 @@
-//! Checks the delivery rules from traces alone. Free of I/O: [`Rules::record`] takes each source's records in order, of
-//! any number of sources; [`Rules::finish`] returns the violations, and how much a trace cannot show.
+//! Checks the delivery rules from traces alone. Free of I/O: [`RuleChecker::record`] takes each source's records in order, of
+//! any number of sources; [`RuleChecker::finish`] returns the violations, and how much a trace cannot show.
 //!
 //! A trace ends where the core's decisions do. What a program does to an answer or a dispatch after that (loses it,
 //! sends it twice or late) is seen on the sockets only, by `cedarpulley audit`; so are rule 4, as the size of work is
@@ -12,7 +12,7 @@
 use cedarpulley::interface::{
     Action, DispatchEnded, DispatchOutcome, Effect, Event, InvocationIndex, Micros,
 };
-use cedarpulley_router::Fate;
+use cedarpulley_router::FinalOutcome;
 use serde::Serialize;
 
 use crate::records::{Record, RecordedEvent};
@@ -34,10 +34,10 @@
     pub invocations: u64,
     /// Violations by number of the rule; rules without any are absent.
     #[serde(rename = "rules")]
-    pub rules: BTreeMap<u8, u64>,
+    pub violations_by_rule: BTreeMap<u8, u64>,
     /// The first violations in words.
     #[serde(rename = "breaks")]
-    pub breaks: Vec<String>,
+    pub violations: Vec<String>,
     /// Invocations that were open where their trace ends, or were lost in a gap.
     pub unseen: u64,
 }
@@ -50,7 +50,7 @@
 
 /// Checks the rules over the records of any number of sources.
 #[derive(Default)]
-pub struct Rules {
+pub struct RuleChecker {
     states: HashMap<u32, SourceState>,
     /// Of messages that may not be executed twice, by the hash of their key: which source may have executed them.
     executed_by: HashMap<u64, u32>,
@@ -67,12 +67,12 @@
     trigger.map(|t| t.effect)
 }
 
-impl Rules {
+impl RuleChecker {
     fn violation(&mut self, rule: u8, description: String) {
-        *self.result.rules.entry(rule).or_default() += 1;
-        if self.result.breaks.len() < MAX_REPORTED {
+        *self.result.violations_by_rule.entry(rule).or_default() += 1;
+        if self.result.violations.len() < MAX_REPORTED {
             self.result
-                .breaks
+                .violations
                 .push(format!("rule {rule}: {description}"));
         }
     }
@@ -82,20 +82,24 @@
         let state = self.states.entry(source).or_default();
         state.now = at;
         match record {
-            Record::Name { .. } | Record::TurnedAway { .. } => {}
+            Record::Name { .. } | Record::Rejected { .. } => {}
             Record::Gap { .. } => {
                 // What was open may have ended in the gap.
                 self.result.unseen += state.open.len() as u64;
                 state.open.clear();
             }
-            Record::Taken { inv, mark, .. } => {
+            Record::Accepted {
+                invocation: inv,
+                correlation_hash: mark,
+                ..
+            } => {
                 if let Some(mark) = mark {
                     state.keys.insert(*inv, *mark);
                 }
             }
             Record::Answered {
-                inv: Some(invocation),
-                fate,
+                invocation: Some(invocation),
+                outcome: fate,
                 ..
             } => self.answered(source, of, at, *invocation, *fate),
             Record::Answered { .. } => {}
@@ -114,7 +118,7 @@
         of: &Source,
         at: Micros,
         invocation: InvocationIndex,
-        outcome: Fate,
+        outcome: FinalOutcome,
     ) {
         let state = self.states.entry(source).or_default();
         let Some(open) = state.open.get_mut(&invocation) else {
@@ -132,7 +136,10 @@
             self.violation(1, located(of, at, &what));
         }
         // A retry by idempotency key is dropped where it ran.
-        if outcome == Fate::Throttled && may_have_run && effect == Some(Effect::NonIdempotent) {
+        if outcome == FinalOutcome::Throttled
+            && may_have_run
+            && effect == Some(Effect::NonIdempotent)
+        {
             self.violation(2, located(of, at, "told harmless, and it may have run"));
         }
     }
--- a/crates/trace/src/selection.rs
+++ b/crates/trace/src/selection.rs
@@ -7,12 +7,12 @@
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::{Action, Arrival, Event, InvocationIndex, Micros};
 
-use crate::records::{Record, RecordedEvent, Space};
+use crate::records::{NameKind, Record, RecordedEvent};
 use crate::start::Source;
 
 /// What belongs to the cut; an absent criterion accepts all.
 #[derive(Clone, Debug, Default)]
-pub struct Wanted {
+pub struct SelectionCriteria {
     /// Wall clock in microseconds.
     pub from: Option<Micros>,
     /// Wall clock in microseconds, exclusive.
@@ -24,10 +24,10 @@
     /// Address of the worker.
     pub worker: Option<String>,
     /// Correlation id that a client gave its invocation.
-    pub mark: Option<String>,
+    pub correlation_id: Option<String>,
 }
 
-impl Wanted {
+impl SelectionCriteria {
     /// Whether only a span of time is asked for.
     pub fn only_time(&self) -> bool {
         !self.by_invocation()
@@ -37,17 +37,17 @@
         self.function.is_some()
             || self.account.is_some()
             || self.worker.is_some()
-            || self.mark.is_some()
+            || self.correlation_id.is_some()
     }
 }
 
 /// Selects the records of one source, read from its first wanted block on.
 pub struct RecordSelector<'a> {
-    wanted: &'a Wanted,
+    wanted: &'a SelectionCriteria,
     /// Hash of the wanted correlation id.
     key: Option<u64>,
     account: Option<u32>,
-    names: HashMap<(Space, u32), String>,
+    names: HashMap<(NameKind, u32), String>,
     /// Open invocations with the wanted correlation id.
     with_key: HashSet<InvocationIndex>,
     /// Open invocations that belong.
@@ -56,14 +56,14 @@
 
 impl<'a> RecordSelector<'a> {
     /// Absent if nothing of this source can belong.
-    pub fn new(wanted: &'a Wanted, source: &Source) -> Option<Self> {
+    pub fn new(wanted: &'a SelectionCriteria, source: &Source) -> Option<Self> {
         let account = match &wanted.account {
             None => None,
-            Some(name) => Some(source.start.accounts_named.iter().position(|n| n == name)? as u32),
+            Some(name) => Some(source.start.account_names.iter().position(|n| n == name)? as u32),
         };
         Some(RecordSelector {
             wanted,
-            key: wanted.mark.as_deref().map(fingerprint),
+            key: wanted.correlation_id.as_deref().map(fingerprint),
             account,
             names: HashMap::new(),
             with_key: HashSet::new(),
@@ -81,7 +81,7 @@
     }
 
     /// The present name of an index.
-    pub fn name(&self, kind: Space, index: u32) -> Option<&str> {
+    pub fn name(&self, kind: NameKind, index: u32) -> Option<&str> {
         self.names.get(&(kind, index)).map(String::as_str)
     }
 
@@ -89,7 +89,7 @@
         self.wanted
             .worker
             .as_deref()
-            .is_some_and(|worker| self.name(Space::Worker, index) == Some(worker))
+            .is_some_and(|worker| self.name(NameKind::Worker, index) == Some(worker))
     }
 
     /// Whether the next record belongs. A name record never does by itself: names are remembered here, for the records
@@ -107,12 +107,21 @@
         let belongs = match record {
             Record::Name { .. } => false,
             Record::Gap { .. } => true,
-            Record::TurnedAway { account, .. }
+            Record::Rejected { account, .. }
             | Record::Answered {
-                inv: None, account, ..
+                invocation: None,
+                account,
+                ..
             } => self.is_wanted_unseen(*account),
-            Record::Taken { inv, mark, .. } => self.accepted(*inv, *mark),
-            Record::Answered { inv: Some(inv), .. } => self.belonging.contains(inv),
+            Record::Accepted {
+                invocation: inv,
+                correlation_hash: mark,
+                ..
+            } => self.accepted(*inv, *mark),
+            Record::Answered {
+                invocation: Some(inv),
+                ..
+            } => self.belonging.contains(inv),
             Record::Decided { event, actions } => self.decided(event, actions),
         };
         belongs && inside
@@ -174,7 +183,7 @@
             return;
         }
         let fits = function
-            .is_none_or(|name| self.name(Space::Function, arrival.function) == Some(name))
+            .is_none_or(|name| self.name(NameKind::Function, arrival.function) == Some(name))
             && self
                 .account
                 .is_none_or(|account| account == arrival.account)
--- a/crates/trace/src/start.rs
+++ b/crates/trace/src/start.rs
@@ -7,31 +7,31 @@
 
 /// What one router recorded when it began a file.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct StartRecord {
     /// The router's name.
     pub router: String,
     /// Digest of the decision module's source with its interface, see [`module_digest`].
-    pub module: [u8; 32],
+    pub module_digest: [u8; 32],
     /// Digest of the settings' text, see [`digest`].
-    pub settings: [u8; 32],
+    pub settings_digest: [u8; 32],
     /// Number of this file among the files of the router's incarnation, from 0: only a series from 0 on can be
     /// replayed.
-    pub file: u64,
+    pub file_number: u64,
     /// Wall clock at the router's time 0, in microseconds since 1970.
     pub wall_at_zero: Micros,
     /// Names of trigger types, by index.
-    pub triggers_named: Vec<String>,
+    pub trigger_names: Vec<String>,
     /// Names of accounts, by index.
-    pub accounts_named: Vec<String>,
+    pub account_names: Vec<String>,
     /// Names of listeners and queues, by index.
-    pub fronts_named: Vec<String>,
+    pub front_names: Vec<String>,
     /// Seed of the decision module's draws.
     pub seed: u64,
     /// Everything else that the decision module was created with.
     pub startup: StartupSettings,
 }
 
-impl Start {
+impl StartRecord {
     /// The decision module as the router created it.
     pub fn balancer(&self) -> Balancer {
         self.startup.balancer(self.seed)
@@ -56,15 +56,15 @@
 #[derive(Clone, Debug)]
 pub struct Source {
     /// What the router recorded at the beginning.
-    pub start: Start,
+    pub start: StartRecord,
     /// By how many microseconds its wall clock is ahead of the first source's, as estimated on merging.
     pub clock_ahead: Micros,
     /// What was done to its records since.
     pub provenance: Provenance,
 }
 
-impl From<Start> for Source {
-    fn from(start: Start) -> Self {
+impl From<StartRecord> for Source {
+    fn from(start: StartRecord) -> Self {
         Source {
             start,
             clock_ahead: 0,
--- a/crates/trace/src/start_codec.rs
+++ b/crates/trace/src/start_codec.rs
@@ -4,7 +4,7 @@
 use cedarpulley_startup::StartupSettings;
 
 use crate::codec::{DecodeError, Decoder, Encoder};
-use crate::start::{Provenance, Source, Start};
+use crate::start::{Provenance, Source, StartRecord};
 
 type Decoded<T> = Result<T, DecodeError>;
 
@@ -25,7 +25,7 @@
 /// The sources of a file of any known format; at least one.
 pub fn decode_sources(format: u16, bytes: &[u8]) -> Decoded<Vec<Source>> {
     if format == 1 {
-        return Ok(vec![Start::get(bytes)?.into()]);
+        return Ok(vec![StartRecord::decode(bytes)?.into()]);
     }
     let sources = Decoder::new(bytes).list(decode_source)?;
     if sources.is_empty() {
@@ -46,26 +46,22 @@
     };
     let size = usize::try_from(input.unsigned()?).map_err(|_| DecodeError::Truncated)?;
     Ok(Source {
-        start: Start::get(input.take(size)?)?,
+        start: StartRecord::decode(input.take(size)?)?,
         clock_ahead,
         provenance,
     })
 }
 
-impl Start {
+impl StartRecord {
     /// One router's start record, as format 1 has it.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Encoder::default();
         out.text(&self.router);
-        out.bytes.extend_from_slice(&self.module);
-        out.bytes.extend_from_slice(&self.settings);
-        out.unsigned(self.file);
+        out.bytes.extend_from_slice(&self.module_digest);
+        out.bytes.extend_from_slice(&self.settings_digest);
+        out.unsigned(self.file_number);
         out.signed(self.wall_at_zero);
-        for names in [
-            &self.triggers_named,
-            &self.accounts_named,
-            &self.fronts_named,
-        ] {
+        for names in [&self.trigger_names, &self.account_names, &self.front_names] {
             out.unsigned(names.len() as u64);
             names.iter().for_each(|name| out.text(name));
         }
@@ -94,17 +90,17 @@
     }
 
     /// Reads what [`Start::encode`] wrote.
-    pub fn get(bytes: &[u8]) -> Decoded<Start> {
+    pub fn decode(bytes: &[u8]) -> Decoded<StartRecord> {
         let input = &mut Decoder::new(bytes);
-        Ok(Start {
+        Ok(StartRecord {
             router: input.text()?.to_owned(),
-            module: decode_digest(input)?,
-            settings: decode_digest(input)?,
-            file: input.unsigned()?,
+            module_digest: decode_digest(input)?,
+            settings_digest: decode_digest(input)?,
+            file_number: input.unsigned()?,
             wall_at_zero: input.signed()?,
-            triggers_named: decode_names(input)?,
-            accounts_named: decode_names(input)?,
-            fronts_named: decode_names(input)?,
+            trigger_names: decode_names(input)?,
+            account_names: decode_names(input)?,
+            front_names: decode_names(input)?,
             seed: input.unsigned()?,
             startup: StartupSettings {
                 fleet: decode_fleet(input)?,
--- a/crates/trace/src/strip.rs
+++ b/crates/trace/src/strip.rs
@@ -6,8 +6,8 @@
 
 use cedarpulley::interface::Event;
 
-use crate::records::{Record, RecordedEvent, Space};
-use crate::start::{Provenance, Source, Start};
+use crate::records::{NameKind, Record, RecordedEvent};
+use crate::start::{Provenance, Source, StartRecord};
 
 /// Pseudonyms have so many hexadecimal digits: even among a million names two alike are not to be expected.
 const DIGITS: usize = 16;
@@ -17,16 +17,16 @@
 const MAX_ORIGINALS: usize = 1_000_000;
 
 /// Makes pseudonyms, and remembers what it replaced.
-pub struct Strip {
+pub struct Pseudonymizer {
     key: [u8; 32],
     /// What was replaced, for the search afterwards.
     originals: HashSet<String>,
 }
 
-impl Strip {
+impl Pseudonymizer {
     /// `secret`: any length; whoever has it can make the same pseudonyms.
     pub fn new(secret: &[u8]) -> Self {
-        Strip {
+        Pseudonymizer {
             key: blake3::derive_key("cedarpulley trace strip, format 1", secret),
             originals: HashSet::new(),
         }
@@ -64,11 +64,11 @@
     pub fn source(&mut self, source: &Source) -> Source {
         let start = &source.start;
         Source {
-            start: Start {
+            start: StartRecord {
                 router: self.pseudonym("R-", &start.router),
-                accounts_named: self.pseudonyms("A-", &start.accounts_named),
-                fronts_named: self.pseudonyms("E-", &start.fronts_named),
-                settings: *blake3::keyed_hash(&self.key, &start.settings).as_bytes(),
+                account_names: self.pseudonyms("A-", &start.account_names),
+                front_names: self.pseudonyms("E-", &start.front_names),
+                settings_digest: *blake3::keyed_hash(&self.key, &start.settings_digest).as_bytes(),
                 seed: self.number(start.seed),
                 ..start.clone()
             },
@@ -82,21 +82,21 @@
         match record {
             Record::Name { kind, index, name } => {
                 let prefix = match kind {
-                    Space::Worker => "W-",
-                    Space::Function => "F-",
+                    NameKind::Worker => "W-",
+                    NameKind::Function => "F-",
                 };
                 let name = self.pseudonym(prefix, &name);
                 Record::Name { kind, index, name }
             }
-            Record::Taken {
-                inv,
+            Record::Accepted {
+                invocation: inv,
                 front,
-                mark,
+                correlation_hash: mark,
                 redelivered,
-            } => Record::Taken {
-                inv,
+            } => Record::Accepted {
+                invocation: inv,
                 front,
-                mark: mark.map(|mark| self.number(mark)),
+                correlation_hash: mark.map(|mark| self.number(mark)),
                 redelivered,
             },
             Record::Decided { event, actions } => Record::Decided {
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -7,16 +7,16 @@
 use std::collections::{BTreeMap, HashMap};
 
 use cedarpulley::interface::{Action, DispatchOutcome, Event, Micros};
-use cedarpulley_router::Fate;
+use cedarpulley_router::FinalOutcome;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::records::{Record, RecordedEvent, Space, is_settled};
+use crate::records::{NameKind, Record, RecordedEvent, is_settled};
 use crate::start::Source;
 use router_positions::RouterPositions;
 
 /// Length of the worst span in seconds; it is looked for in steps of a second.
-pub const SPAN_S: i64 = 10;
+pub const WORST_SPAN_SECONDS: i64 = 10;
 const SECOND: Micros = 1_000_000;
 
 /// Invocations by outcome.
@@ -34,11 +34,11 @@
 }
 
 impl OutcomeCounts {
-    fn add(&mut self, outcome: Fate) {
+    fn add(&mut self, outcome: FinalOutcome) {
         match outcome {
-            Fate::Succeeded => self.succeeded += 1,
-            Fate::Throttled => self.throttled += 1,
-            Fate::Errored => self.errored += 1,
+            FinalOutcome::Succeeded => self.succeeded += 1,
+            FinalOutcome::Throttled => self.throttled += 1,
+            FinalOutcome::Errored => self.errored += 1,
         }
     }
 
@@ -146,7 +146,7 @@
 }
 
 /// Collects one summary from any number of files.
-pub struct Counter {
+pub struct SummaryBuilder {
     summary: Summary,
     latencies: Histogram<u64>,
     failures_by_second: BTreeMap<i64, u64>,
@@ -155,9 +155,9 @@
     routers: RouterPositions,
 }
 
-impl Default for Counter {
+impl Default for SummaryBuilder {
     fn default() -> Self {
-        Counter {
+        SummaryBuilder {
             summary: Summary::default(),
             // Microseconds up to an hour, three digits; such bounds are always valid.
             latencies: Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("valid bounds"),
@@ -177,16 +177,16 @@
     }
 }
 
-impl Counter {
+impl SummaryBuilder {
     /// A file begins; called before its records.
-    pub fn file(&mut self, sources: &[Source]) {
+    pub fn begin_file(&mut self, sources: &[Source]) {
         self.summary.files += sources.len() as u64;
         sources.iter().for_each(|source| self.routers.add(source));
         self.workers.clear();
     }
 
     /// A block of the present file could not be read.
-    pub fn damaged(&mut self) {
+    pub fn damaged_block(&mut self) {
         self.summary.damaged_blocks += 1;
     }
 
@@ -201,16 +201,16 @@
         }
         match record {
             Record::Name {
-                kind: Space::Worker,
+                kind: NameKind::Worker,
                 index,
                 name,
             } => {
                 self.workers.insert((source, *index), name.clone());
             }
-            Record::Name { .. } | Record::Taken { .. } => {}
+            Record::Name { .. } | Record::Accepted { .. } => {}
             Record::Gap { records, .. } => self.summary.lost_records += records,
             Record::Answered {
-                fate,
+                outcome: fate,
                 reason,
                 trigger,
                 account,
@@ -220,14 +220,16 @@
                 self.outcome(of, *trigger, *account, |counts| counts.add(*fate));
                 self.reason(format!("{reason:?}"));
                 match fate {
-                    Fate::Succeeded => self.latencies.saturating_record((*took).max(0) as u64),
+                    FinalOutcome::Succeeded => {
+                        self.latencies.saturating_record((*took).max(0) as u64)
+                    }
                     _ => self.failure(wall),
                 }
             }
-            Record::TurnedAway {
+            Record::Rejected {
                 trigger,
                 account,
-                why,
+                reason: why,
                 ..
             } => {
                 self.outcome(of, *trigger, *account, |counts| counts.rejected += 1);
@@ -245,8 +247,8 @@
         account: u32,
         count: impl Fn(&mut OutcomeCounts),
     ) {
-        let trigger = name_of(&of.start.triggers_named, trigger);
-        let account = name_of(&of.start.accounts_named, account);
+        let trigger = name_of(&of.start.trigger_names, trigger);
+        let account = name_of(&of.start.account_names, account);
         count(&mut self.summary.outcomes);
         count(self.summary.by_trigger.entry(trigger).or_default());
         count(self.summary.by_account.entry(account).or_default());
@@ -320,7 +322,7 @@
 fn worst_span(failures_by_second: &BTreeMap<i64, u64>) -> Option<(i64, u64)> {
     let sum = |from: i64| {
         failures_by_second
-            .range(from..from + SPAN_S)
+            .range(from..from + WORST_SPAN_SECONDS)
             .map(|(_, failures)| failures)
             .sum::<u64>()
     };
--- a/crates/trace/src/timeline.rs
+++ b/crates/trace/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Outcomes, latencies and work over time, in bins of equal width. Free of I/O: [`Course::record`] takes the records of
+//! Outcomes, latencies and work over time, in bins of equal width. Free of I/O: [`Timeline::record`] takes the records of
 //! any number of sources in any order.
 //!
 //! Mechanism: bins of a second; once there would be more than [`MAX_BINS`], each two become one, as often as needed.
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use cedarpulley::interface::{Action, DispatchOutcome, Event, Micros};
-use cedarpulley_router::Fate;
+use cedarpulley_router::FinalOutcome;
 use hdrhistogram::Histogram;
 
 use crate::records::{Record, RecordedEvent, is_settled};
@@ -79,14 +79,14 @@
         let _ = self.latencies.add(&other.latencies);
     }
 
-    fn answered(&mut self, outcome: Fate, took: Micros) {
+    fn answered(&mut self, outcome: FinalOutcome, took: Micros) {
         match outcome {
-            Fate::Succeeded => {
+            FinalOutcome::Succeeded => {
                 self.succeeded += 1;
                 self.latencies.saturating_record(took.max(0) as u64);
             }
-            Fate::Throttled => self.throttled += 1,
-            Fate::Errored => self.errored += 1,
+            FinalOutcome::Throttled => self.throttled += 1,
+            FinalOutcome::Errored => self.errored += 1,
         }
     }
 
@@ -112,22 +112,22 @@
 
 /// A timeline that grows with the records it takes.
 #[derive(Debug)]
-pub struct Course {
+pub struct Timeline {
     width: Micros,
     /// By number of the bin: its wall clock time over the width.
     bins: BTreeMap<i64, TimelineBin>,
 }
 
-impl Default for Course {
+impl Default for Timeline {
     fn default() -> Self {
-        Course {
+        Timeline {
             width: SECOND,
             bins: BTreeMap::new(),
         }
     }
 }
 
-impl Course {
+impl Timeline {
     /// Of one bin, in microseconds.
     pub fn width(&self) -> Micros {
         self.width
@@ -174,10 +174,14 @@
         let bin = self.bin(of.wall(at));
         match record {
             Record::Name { .. } => {}
-            Record::Taken { .. } => bin.accepted += 1,
+            Record::Accepted { .. } => bin.accepted += 1,
             Record::Gap { records, .. } => bin.lost_records += records,
-            Record::TurnedAway { .. } => bin.rejected += 1,
-            Record::Answered { fate, took, .. } => bin.answered(*fate, *took),
+            Record::Rejected { .. } => bin.rejected += 1,
+            Record::Answered {
+                outcome: fate,
+                took,
+                ..
+            } => bin.answered(*fate, *took),
             Record::Decided { event, actions } => bin.decided(event, actions),
         }
     }
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -7,28 +7,28 @@
 
 use cedarpulley::interface::Micros;
 
-use crate::blocks::{Gather, Raw};
-pub use crate::file_series::{Own, Row, traces};
-pub use crate::file_writer::Sheet;
+use crate::blocks::{BlockBuilder, UnpackedBlock};
+pub use crate::file_series::{FileSeries, NameLock, trace_files};
+pub use crate::file_writer::TraceFileWriter;
 use crate::records::Record;
-use crate::retention::{AfterWrite, Bounds, Retention};
-use crate::start::Start;
+use crate::retention::{AfterWrite, Retention, RetentionLimits};
+use crate::start::StartRecord;
 
 /// A message to the writer.
 #[derive(Debug)]
-pub enum Note {
+pub enum WriterMessage {
     /// The router's time of sending it, and the block.
-    Block(Micros, Raw),
+    Block(Micros, UnpackedBlock),
     /// End the file in good order.
     End,
 }
 
-/// Writes until [`Note::End`], or until the sender is gone. Each failure is reported once through `complain`.
-pub fn run(
-    series: Row,
-    start: Start,
-    bounds: Bounds,
-    notes: Receiver<Note>,
+/// Writes until [`WriterMessage::End`], or until the sender is gone. Each failure is reported once through `complain`.
+pub fn run_writer(
+    series: FileSeries,
+    start: StartRecord,
+    bounds: RetentionLimits,
+    notes: Receiver<WriterMessage>,
     complain: impl Fn(&str),
 ) {
     let mut writer = SeriesWriter {
@@ -40,7 +40,7 @@
         lost: None,
     };
     for note in notes {
-        let Note::Block(now, block) = note else {
+        let WriterMessage::Block(now, block) = note else {
             break;
         };
         writer.block(now, &block, &complain);
@@ -58,19 +58,19 @@
 
 /// The writer's state.
 struct SeriesWriter {
-    series: Row,
+    series: FileSeries,
     /// Start record of the next file.
-    start: Start,
+    start: StartRecord,
     /// Number in the name of the next file.
     number: u64,
     retention: Retention,
     /// The present file; absent before the first block, and after a file ended or failed.
-    file: Option<Sheet<File>>,
+    file: Option<TraceFileWriter<File>>,
     lost: Option<LostRecords>,
 }
 
 impl SeriesWriter {
-    fn block(&mut self, now: Micros, block: &Raw, complain: &impl Fn(&str)) {
+    fn block(&mut self, now: Micros, block: &UnpackedBlock, complain: &impl Fn(&str)) {
         if !self.retention.may_write(now) {
             self.lose(block);
             return;
@@ -88,7 +88,7 @@
         }
     }
 
-    fn write(&mut self, now: Micros, block: &Raw) -> io::Result<AfterWrite> {
+    fn write(&mut self, now: Micros, block: &UnpackedBlock) -> io::Result<AfterWrite> {
         let mut file = match self.file.take() {
             Some(file) => file,
             None => self.begin_file(now)?,
@@ -100,7 +100,7 @@
             until,
         }) = self.lost
         {
-            let mut gap = Gather::default();
+            let mut gap = BlockBuilder::default();
             gap.record(
                 from,
                 &Record::Gap {
@@ -109,16 +109,16 @@
                     until,
                 },
             );
-            bytes += file.block(0, &gap.close())?;
+            bytes += file.write_block(0, &gap.close())?;
             self.lost = None;
         }
-        bytes += file.block(0, block)?;
+        bytes += file.write_block(0, block)?;
         self.file = Some(file);
         Ok(self.retention.wrote(now, bytes))
     }
 
     /// Makes room, and begins the next file.
-    fn begin_file(&mut self, now: Micros) -> io::Result<Sheet<File>> {
+    fn begin_file(&mut self, now: Micros) -> io::Result<TraceFileWriter<File>> {
         let path = self.series.file(self.number);
         let earlier = self.series.earlier(self.number)?;
         let sizes: Vec<u64> = earlier.iter().map(|(_, size)| *size).collect();
@@ -127,17 +127,17 @@
         }
         // Symptom: the disk takes a name and no bytes; the name is used up, and would be refused for ever.
         self.number += 1;
-        let begun = Sheet::begin(File::create_new(&path)?, &[self.start.clone().into()]);
+        let begun = TraceFileWriter::begin(File::create_new(&path)?, &[self.start.clone().into()]);
         if begun.is_err() {
             let _ = std::fs::remove_file(&path);
         }
         let file = begun?;
-        self.start.file += 1;
+        self.start.file_number += 1;
         self.retention.began(now);
         Ok(file)
     }
 
-    fn lose(&mut self, block: &Raw) {
+    fn lose(&mut self, block: &UnpackedBlock) {
         let lost = self.lost.get_or_insert(LostRecords {
             records: 0,
             from: block.first,
@@ -153,7 +153,7 @@
         let ended = self
             .file
             .take()
-            .map(|file| file.end().and_then(|file| file.sync_data()));
+            .map(|file| file.finish().and_then(|file| file.sync_data()));
         if let Some(Err(e)) = ended {
             complain(&format!("the trace's file was not ended: {e}"));
         }
--- a/crates/trace/tests/compared.rs
+++ b/crates/trace/tests/compared.rs
@@ -5,9 +5,11 @@
 use std::io::Cursor;
 
 use cedarpulley::interface::*;
-use cedarpulley_trace::compare::{Compare, Compared, Decision, DifferenceCount, Kind, kinds};
+use cedarpulley_trace::compare::{
+    Comparison, ComparisonResult, Decision, DifferenceCount, DifferenceKind, kinds,
+};
 use cedarpulley_trace::reader::Reader;
-use cedarpulley_trace::replay::{Decisions, Step, drive, redo, replay};
+use cedarpulley_trace::replay::{DecisionReader, ReplayStep, redo, replay, replay_steps};
 use cedarpulley_trace::start::Provenance;
 use small::written;
 
@@ -15,11 +17,11 @@
     Reader::open(Cursor::new(bytes)).expect("a trace")
 }
 
-fn with_this_build(bytes: Vec<u8>) -> Compared {
-    let mut compare = Compare::default();
-    compare.row();
-    let done = drive(&mut [open(bytes)], |step| {
-        if let Step::Decided {
+fn with_this_build(bytes: Vec<u8>) -> ComparisonResult {
+    let mut compare = Comparison::default();
+    compare.begin_incarnation();
+    let done = replay_steps(&mut [open(bytes)], |step| {
+        if let ReplayStep::Decided {
             recorded, replayed, ..
         } = step
         {
@@ -56,18 +58,24 @@
         retry_after: Some(5),
     };
     let timer = |token| Action::Timer { token, after: 9 };
-    let cases: [(&[Action], &[Action], &[Kind]); 11] = [
+    let cases: [(&[Action], &[Action], &[DifferenceKind]); 11] = [
         (&[send(1)], &[send(1)], &[]),
-        (&[send(1)], &[send(2)], &[Kind::OtherWorker]),
+        (&[send(1)], &[send(2)], &[DifferenceKind::OtherWorker]),
         (
             &[send(1)],
             &[],
-            &[Kind::Instead(Decision::Dispatched, Decision::Queued)],
+            &[DifferenceKind::OtherDecision(
+                Decision::Dispatched,
+                Decision::Queued,
+            )],
         ),
         (
             &[],
             &[throttle],
-            &[Kind::Instead(Decision::Queued, Decision::Throttled)],
+            &[DifferenceKind::OtherDecision(
+                Decision::Queued,
+                Decision::Throttled,
+            )],
         ),
         (
             &[throttle],
@@ -75,17 +83,25 @@
                 invocation: 1,
                 retry_after: None,
             }],
-            &[Kind::OtherParameters],
+            &[DifferenceKind::OtherParameters],
+        ),
+        (
+            &[order(1, 0)],
+            &[order(2, 0)],
+            &[DifferenceKind::OtherLoadWorkers],
         ),
-        (&[order(1, 0)], &[order(2, 0)], &[Kind::OtherLoadWorkers]),
         (
             &[order(1, 0)],
             &[order(1, 0), order(2, 0)],
-            &[Kind::MoreLoadOrders],
+            &[DifferenceKind::MoreLoadOrders],
+        ),
+        (&[order(1, 0)], &[], &[DifferenceKind::FewerLoadOrders]),
+        (&[timer(1)], &[timer(2)], &[DifferenceKind::Timers]),
+        (
+            &[Action::Probe { worker: 1 }],
+            &[],
+            &[DifferenceKind::Maintenance],
         ),
-        (&[order(1, 0)], &[], &[Kind::FewerLoadOrders]),
-        (&[timer(1)], &[timer(2)], &[Kind::Timers]),
-        (&[Action::Probe { worker: 1 }], &[], &[Kind::Maintenance]),
         // Called back and sent again is a sending.
         (
             &[
@@ -99,7 +115,10 @@
                 invocation: 1,
                 dispatch: 0,
             }],
-            &[Kind::Instead(Decision::Dispatched, Decision::Cancelled)],
+            &[DifferenceKind::OtherDecision(
+                Decision::Dispatched,
+                Decision::Cancelled,
+            )],
         ),
     ];
     for (one, other, wanted) in cases {
@@ -110,15 +129,22 @@
 #[test]
 fn the_first_difference_of_an_incarnation_is_counted_apart() {
     let same = with_this_build(written(5, |_, _| {}));
-    assert_eq!((same.rows_differing, same.differing), (0, 0));
+    assert_eq!((same.incarnations_differing, same.differing), (0, 0));
     assert_eq!(same.decisions, same.decisions_exact);
     let other = with_this_build(written(5, |n, actions| elsewhere(n, actions)));
     assert_eq!(
         other.by_kind,
-        [(Kind::OtherWorker, DifferenceCount { first: 1, later: 1 })]
+        [(
+            DifferenceKind::OtherWorker,
+            DifferenceCount { first: 1, later: 1 }
+        )]
     );
     assert_eq!(
-        (other.rows_differing, other.differing, other.decisions_exact),
+        (
+            other.incarnations_differing,
+            other.differing,
+            other.decisions_exact
+        ),
         (1, 2, 4)
     );
 }
@@ -135,7 +161,10 @@
             .difference
             .is_none()
     );
-    let (mut one, mut other) = (Decisions::new(open(changed)), Decisions::new(open(anew)));
+    let (mut one, mut other) = (
+        DecisionReader::new(open(changed)),
+        DecisionReader::new(open(anew)),
+    );
     let (mut decisions, mut differ) = (0, 0);
     while let Some((_, _, actions)) = one.next().expect("read") {
         let (.., redone) = other.next().expect("read").expect("as many");
--- a/crates/trace/tests/coursed.rs
+++ b/crates/trace/tests/coursed.rs
@@ -3,20 +3,20 @@
 mod small;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_router::{Fate, Reason};
+use cedarpulley_router::{AnswerReason, FinalOutcome};
 use cedarpulley_trace::chart::svg;
 use cedarpulley_trace::records::Record;
 use cedarpulley_trace::start::Source;
-use cedarpulley_trace::timeline::Course;
+use cedarpulley_trace::timeline::Timeline;
 
 const SECOND: Micros = 1_000_000;
 
-fn answered(fate: Fate, took: Micros) -> Record {
-    let reason = Reason::Worker;
+fn answered(fate: FinalOutcome, took: Micros) -> Record {
+    let reason = AnswerReason::Worker;
     Record::Answered {
-        inv: None,
+        invocation: None,
         front: 0,
-        fate,
+        outcome: fate,
         reason,
         trigger: 0,
         account: 0,
@@ -26,15 +26,15 @@
 
 #[test]
 fn a_long_span_has_wider_bins_and_counts_every_record() {
-    let (of, mut course): (Source, _) = (small::start().into(), Course::default());
+    let (of, mut course): (Source, _) = (small::start().into(), Timeline::default());
     let seconds = 100_000;
     for s in 0..seconds {
         // In any order: every other one from the end.
         let at = if s % 2 == 0 { s } else { seconds - s };
         let fate = if s % 4 == 0 {
-            Fate::Throttled
+            FinalOutcome::Throttled
         } else {
-            Fate::Succeeded
+            FinalOutcome::Succeeded
         };
         course.record(&of, at * SECOND, &answered(fate, 70_000));
     }
@@ -50,15 +50,15 @@
     );
     assert_eq!(sum(&|b| b.latencies.len()), sum(&|b| b.succeeded));
     // Clocks that are out of all reason are borne, too.
-    course.record(&of, Micros::MAX, &answered(Fate::Errored, 1));
-    course.record(&of, Micros::MIN, &answered(Fate::Errored, 1));
+    course.record(&of, Micros::MAX, &answered(FinalOutcome::Errored, 1));
+    course.record(&of, Micros::MIN, &answered(FinalOutcome::Errored, 1));
     assert!(course.bins().len() <= 600);
     assert_eq!(course.bins().iter().map(|b| b.1.errored).sum::<u64>(), 2);
 }
 
 #[test]
 fn a_chart_has_title_panels_and_the_marked_worst_span() {
-    let (of, mut course): (Source, _) = (small::start().into(), Course::default());
+    let (of, mut course): (Source, _) = (small::start().into(), Timeline::default());
     assert!(
         svg(&course, "nothing", None)
             .expect("drawn")
@@ -68,7 +68,7 @@
         course.record(
             &of,
             s * SECOND,
-            &answered(Fate::Succeeded, 70_000 + s * 1_000),
+            &answered(FinalOutcome::Succeeded, 70_000 + s * 1_000),
         );
     }
     let start = of.wall(0);
--- a/crates/trace/tests/every_record/mod.rs
+++ b/crates/trace/tests/every_record/mod.rs
@@ -3,15 +3,15 @@
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::*;
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::{Fate, Reason};
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::{AnswerReason, FinalOutcome};
 use cedarpulley_startup::StartupSettings;
-use cedarpulley_trace::blocks::Gather;
+use cedarpulley_trace::blocks::BlockBuilder;
 use cedarpulley_trace::codec::Encoder;
 use cedarpulley_trace::record_codec;
-use cedarpulley_trace::records::{Record, RecordedEvent, Space};
-use cedarpulley_trace::start::{Provenance, Source, Start};
-use cedarpulley_trace::writer::Sheet;
+use cedarpulley_trace::records::{NameKind, Record, RecordedEvent};
+use cedarpulley_trace::start::{Provenance, Source, StartRecord};
+use cedarpulley_trace::writer::TraceFileWriter;
 
 const FUNCTION: &str = "quote:7";
 /// Between two records of a block.
@@ -65,28 +65,32 @@
     EndpointState::Draining,
     EndpointState::Gone,
 ];
-pub const FATES: [Fate; 3] = [Fate::Succeeded, Fate::Throttled, Fate::Errored];
-pub const REASONS: [Reason; 11] = [
-    Reason::Worker,
-    Reason::GivenUp,
-    Reason::Expired,
-    Reason::MayHaveRun,
-    Reason::Overdue,
-    Reason::Functions,
-    Reason::Size,
-    Reason::Share,
-    Reason::NoMajority,
-    Reason::SessionOver,
-    Reason::Alone,
+pub const FATES: [FinalOutcome; 3] = [
+    FinalOutcome::Succeeded,
+    FinalOutcome::Throttled,
+    FinalOutcome::Errored,
 ];
-pub const SHORTS: [Short; 7] = [
-    Short::Stopping,
-    Short::Memory,
-    Short::All,
-    Short::Front,
-    Short::Account,
-    Short::Connection,
-    Short::Worth,
+pub const REASONS: [AnswerReason; 11] = [
+    AnswerReason::Worker,
+    AnswerReason::GivenUp,
+    AnswerReason::Expired,
+    AnswerReason::MayHaveRun,
+    AnswerReason::Overdue,
+    AnswerReason::Functions,
+    AnswerReason::Size,
+    AnswerReason::Share,
+    AnswerReason::NoMajority,
+    AnswerReason::SessionOver,
+    AnswerReason::Alone,
+];
+pub const SHORTS: [RejectionReason; 7] = [
+    RejectionReason::Stopping,
+    RejectionReason::Memory,
+    RejectionReason::All,
+    RejectionReason::Front,
+    RejectionReason::Account,
+    RejectionReason::Connection,
+    RejectionReason::Worth,
 ];
 
 /// Every way of writing an optional field of a report, each alone and all together.
@@ -290,8 +294,8 @@
         index: ix,
         name: text.into(),
     };
-    let workers = (0..3).map(|w| name(Space::Worker, w, &format!("127.0.0.1:{w}")));
-    let function = name(Space::Function, 0, FUNCTION);
+    let workers = (0..3).map(|w| name(NameKind::Worker, w, &format!("127.0.0.1:{w}")));
+    let function = name(NameKind::Function, 0, FUNCTION);
     std::iter::once(function).chain(workers).collect()
 }
 
@@ -314,11 +318,11 @@
     events.chain(actions).chain([all]).collect()
 }
 
-fn answered(fate: Fate, reason: Reason, inv: Option<InvocationIndex>) -> Record {
+fn answered(fate: FinalOutcome, reason: AnswerReason, inv: Option<InvocationIndex>) -> Record {
     Record::Answered {
-        inv,
+        invocation: inv,
         front: 1,
-        fate,
+        outcome: fate,
         reason,
         trigger: 2,
         account: 3,
@@ -331,20 +335,20 @@
     let mut all = names();
     all.extend(decided());
     all.extend(
-        [None, Some(0x0123_4567_89ab_cdef)].map(|mark| Record::Taken {
-            inv: 11,
+        [None, Some(0x0123_4567_89ab_cdef)].map(|mark| Record::Accepted {
+            invocation: 11,
             front: 1,
-            mark,
+            correlation_hash: mark,
             redelivered: mark.is_some(),
         }),
     );
-    all.extend(FATES.map(|fate| answered(fate, Reason::Worker, Some(11))));
-    all.extend(REASONS.map(|reason| answered(Fate::Throttled, reason, None)));
-    all.extend(SHORTS.map(|why| Record::TurnedAway {
+    all.extend(FATES.map(|fate| answered(fate, AnswerReason::Worker, Some(11))));
+    all.extend(REASONS.map(|reason| answered(FinalOutcome::Throttled, reason, None)));
+    all.extend(SHORTS.map(|why| Record::Rejected {
         front: 1,
         trigger: 2,
         account: 3,
-        why,
+        reason: why,
     }));
     all.push(Record::Gap {
         records: 300,
@@ -447,18 +451,18 @@
 }
 
 /// The start record of a router; the digest of the module is a fixed one, as that of a source file would change.
-pub fn start(n: usize) -> Start {
-    Start {
+pub fn start(n: usize) -> StartRecord {
+    StartRecord {
         router: format!("router-{n}"),
-        module: [5; 32],
-        settings: [7; 32],
-        file: 2,
+        module_digest: [5; 32],
+        settings_digest: [7; 32],
+        file_number: 2,
         wall_at_zero: 1_700_000_000_000_000,
-        triggers_named: ["quote", "reserve", "resize", "sum", "turn"]
+        trigger_names: ["quote", "reserve", "resize", "sum", "turn"]
             .map(String::from)
             .into(),
-        accounts_named: vec!["amber".into(), "blue".into()],
-        fronts_named: vec!["amqp".into(), "kserve".into()],
+        account_names: vec!["amber".into(), "blue".into()],
+        front_names: vec!["amqp".into(), "kserve".into()],
         seed: 9,
         startup: startup(REPORTS[n % REPORTS.len()]),
     }
@@ -476,15 +480,18 @@
 
 /// A whole file: all records in a block of its first source, one record in a block of its last.
 pub fn file() -> Vec<u8> {
-    let mut sheet = Sheet::begin(Vec::new(), &sources()).expect("written");
-    let mut gather = Gather::default();
+    let mut sheet = TraceFileWriter::begin(Vec::new(), &sources()).expect("written");
+    let mut gather = BlockBuilder::default();
     for (at, record) in timed() {
         gather.record(at, &record);
     }
-    sheet.block(0, &gather.close()).expect("written");
-    gather.record(9_000, &answered(Fate::Errored, Reason::Overdue, Some(12)));
-    sheet.block(3, &gather.close()).expect("written");
-    sheet.end().expect("written")
+    sheet.write_block(0, &gather.close()).expect("written");
+    gather.record(
+        9_000,
+        &answered(FinalOutcome::Errored, AnswerReason::Overdue, Some(12)),
+    );
+    sheet.write_block(3, &gather.close()).expect("written");
+    sheet.finish().expect("written")
 }
 
 /// A line for each record of [`all`]: its bytes in hexadecimal digits.
--- a/crates/trace/tests/huge.rs
+++ b/crates/trace/tests/huge.rs
@@ -9,14 +9,16 @@
 
 use cap::Cap;
 use cedarpulley::interface::Event;
-use cedarpulley_trace::blocks::{BlockHeader, FOOTER_MAGIC, Gather, INDEX_MAGIC, Raw};
+use cedarpulley_trace::blocks::{
+    BlockBuilder, BlockHeader, FOOTER_MAGIC, INDEX_MAGIC, UnpackedBlock,
+};
 use cedarpulley_trace::codec::Encoder;
 use cedarpulley_trace::merge::merge;
 use cedarpulley_trace::reader::Reader;
 use cedarpulley_trace::records::{Record, RecordedEvent};
 use cedarpulley_trace::rewrite::cut;
-use cedarpulley_trace::selection::Wanted;
-use cedarpulley_trace::writer::Sheet;
+use cedarpulley_trace::selection::SelectionCriteria;
+use cedarpulley_trace::writer::TraceFileWriter;
 
 /// Its limit holds for the whole process, so for one test at a time.
 #[global_allocator]
@@ -33,7 +35,7 @@
 #[derive(Clone)]
 struct Sparse {
     head: Vec<u8>,
-    raw: Raw,
+    raw: UnpackedBlock,
     packed: Vec<u8>,
     blocks: u64,
     tail: Vec<u8>,
@@ -42,7 +44,7 @@
 
 impl Sparse {
     fn new(records: u64, bytes: u64) -> Sparse {
-        let mut g = Gather::default();
+        let mut g = BlockBuilder::default();
         for token in 0..records {
             let happened = RecordedEvent::Other(Event::Timer {
                 token: token.wrapping_mul(0x9E37_79B9_7F4A_7C15),
@@ -56,11 +58,11 @@
             );
         }
         let raw = g.close();
-        let head = Sheet::begin(Vec::new(), &[small::start().into()]).expect("a head");
+        let head = TraceFileWriter::begin(Vec::new(), &[small::start().into()]).expect("a head");
         let mut written = head;
-        let size = written.block(0, &raw).expect("a block");
+        let size = written.write_block(0, &raw).expect("a block");
         let whole = written.bytes();
-        let out = written.end().expect("ended");
+        let out = written.finish().expect("ended");
         let first = (whole - size) as usize;
         let packed = out[first + 40..whole as usize].to_vec();
         let mut it = Sparse {
@@ -188,10 +190,10 @@
     assert!(sparse.len() > 9_900_000_000 && sparse.blocks > 1_000_000);
     let start = small::start().wall_at_zero;
     let from = start + 40 * MINUTE;
-    let wanted = Wanted {
+    let wanted = SelectionCriteria {
         from: Some(from),
         until: Some(from + MINUTE),
-        ..Wanted::default()
+        ..SelectionCriteria::default()
     };
     let (done, size) = within_memory(|| {
         let mut reader = Reader::open(sparse).expect("a trace");
--- a/crates/trace/tests/kept_bytes.rs
+++ b/crates/trace/tests/kept_bytes.rs
@@ -9,15 +9,15 @@
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::*;
-use cedarpulley_router::{Fate, Reason};
-use cedarpulley_trace::blocks::{FORMAT, Gather};
+use cedarpulley_router::{AnswerReason, FinalOutcome};
+use cedarpulley_trace::blocks::{BlockBuilder, FORMAT};
 use cedarpulley_trace::codec::{Decoder, Encoder};
-use cedarpulley_trace::reader::{Ended, Found, Reader};
+use cedarpulley_trace::reader::{BlockRead, FileEnd, Reader};
 use cedarpulley_trace::record_codec;
 use cedarpulley_trace::records::{Record, RecordedEvent};
 use cedarpulley_trace::start::Source;
 use cedarpulley_trace::start_codec::{decode_sources, encode_sources};
-use cedarpulley_trace::writer::Sheet;
+use cedarpulley_trace::writer::TraceFileWriter;
 
 const FILE: &[u8] = include_bytes!("fixtures/format-3.trace");
 const RECORDS: &str = include_str!("fixtures/records.hex");
@@ -36,7 +36,11 @@
     let mut reader = Reader::open(Cursor::new(file)).expect("a trace");
     let mut all = Vec::new();
     while let Some(found) = reader.next().expect("read") {
-        let Found::Block { place, records } = found else {
+        let BlockRead::Block {
+            location: place,
+            records,
+        } = found
+        else {
             panic!("a damaged block");
         };
         all.extend(records.into_iter().map(|(at, r)| (place.source, at, r)));
@@ -46,13 +50,15 @@
 
 /// Writes what was read.
 fn written_again(sources: &[Source], records: &[Sourced]) -> Vec<u8> {
-    let mut sheet = Sheet::begin(Vec::new(), sources).expect("written");
+    let mut sheet = TraceFileWriter::begin(Vec::new(), sources).expect("written");
     for block in records.chunk_by(|a, b| a.0 == b.0) {
-        let mut gather = Gather::default();
+        let mut gather = BlockBuilder::default();
         block.iter().for_each(|(_, at, r)| gather.record(*at, r));
-        sheet.block(block[0].0, &gather.close()).expect("written");
+        sheet
+            .write_block(block[0].0, &gather.close())
+            .expect("written");
     }
-    sheet.end().expect("written")
+    sheet.finish().expect("written")
 }
 
 #[test]
@@ -100,7 +106,7 @@
     let (reader, records) = read(FILE);
     assert_eq!(
         (reader.format, reader.ended.clone()),
-        (3, Some(Ended::Well))
+        (3, Some(FileEnd::Complete))
     );
     assert!(
         written_again(&reader.sources, &records) == FILE,
@@ -119,8 +125,8 @@
         3,
         9_000,
         Record::Answered {
-            inv,
-            fate,
+            invocation: inv,
+            outcome: fate,
             reason,
             took,
             ..
@@ -131,7 +137,12 @@
     };
     assert_eq!(
         (*inv, *fate, *reason, *took),
-        (Some(12), Fate::Errored, Reason::Overdue, 2_400)
+        (
+            Some(12),
+            FinalOutcome::Errored,
+            AnswerReason::Overdue,
+            2_400
+        )
     );
     let arrival = records.iter().find_map(|(_, _, r)| match r {
         Record::Decided {
--- a/crates/trace/tests/killed.rs
+++ b/crates/trace/tests/killed.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use cedarpulley::interface::Event;
-use cedarpulley_trace::blocks::Gather;
-use cedarpulley_trace::reader::{Ended, Found, Reader};
+use cedarpulley_trace::blocks::BlockBuilder;
+use cedarpulley_trace::reader::{BlockRead, FileEnd, Reader};
 use cedarpulley_trace::records::{Record, RecordedEvent};
-use cedarpulley_trace::retention::Bounds;
-use cedarpulley_trace::writer::{Note, Row, run, traces};
+use cedarpulley_trace::retention::RetentionLimits;
+use cedarpulley_trace::writer::{FileSeries, WriterMessage, run_writer, trace_files};
 
 /// Set for the process that is going to be killed.
 const FOLDER: &str = "CEDARPULLEY_TEST_TRACE_FOLDER";
@@ -25,22 +25,22 @@
     let Some(folder) = std::env::var_os(FOLDER) else {
         return;
     };
-    let row = Row {
+    let row = FileSeries {
         folder: PathBuf::from(folder),
         name: "r".into(),
-        run: 1,
+        started_at_ms: 1,
     };
-    let bounds = Bounds {
+    let bounds = RetentionLimits {
         file_bytes: 20_000,
         file_age: i64::MAX,
-        budget: u64::MAX,
+        budget_bytes: u64::MAX,
     };
     let (notes, received) = sync_channel(4);
     let writer = std::thread::spawn(move || {
-        run(row, small::start(), bounds, received, |why| panic!("{why}"))
+        run_writer(row, small::start(), bounds, received, |why| panic!("{why}"))
     });
     for block in 0..50_000_u64 {
-        let (mut g, now) = (Gather::default(), block as i64 * 100);
+        let (mut g, now) = (BlockBuilder::default(), block as i64 * 100);
         for n in 0..100 {
             // Tokens in order, as the records' numbers; spread so that they do not pack to nothing.
             let token = block * 100 + n;
@@ -56,7 +56,7 @@
             );
         }
         notes
-            .send(Note::Block(now, g.close()))
+            .send(WriterMessage::Block(now, g.close()))
             .expect("the writer stands");
     }
     drop(notes);
@@ -64,7 +64,7 @@
 }
 
 fn left(folder: &Path) -> (u64, usize) {
-    let files = traces(folder).expect("a folder");
+    let files = trace_files(folder).expect("a folder");
     let (mut next, last) = (0, files.len().saturating_sub(1));
     for (n, file) in files.iter().enumerate() {
         let input = BufReader::new(File::open(file).expect("a file"));
@@ -74,7 +74,7 @@
             break;
         };
         while let Some(found) = reader.next().expect("read") {
-            let Found::Block { records, .. } = found else {
+            let BlockRead::Block { records, .. } = found else {
                 panic!("{}: {found:?}", file.display())
             };
             for (_, record) in records {
@@ -90,7 +90,7 @@
             }
         }
         assert!(
-            n == last || reader.ended == Some(Ended::Well),
+            n == last || reader.ended == Some(FileEnd::Complete),
             "{}",
             file.display()
         );
--- a/crates/trace/tests/printed_names.rs
+++ b/crates/trace/tests/printed_names.rs
@@ -6,9 +6,9 @@
 use std::fmt::Debug;
 use std::path::Path;
 
-use cedarpulley_trace::compare::{Compared, Decision, DifferenceCount, Kind};
+use cedarpulley_trace::compare::{ComparisonResult, Decision, DifferenceCount, DifferenceKind};
 use cedarpulley_trace::explain::{Cause, RankedCause};
-use cedarpulley_trace::replay::told;
+use cedarpulley_trace::replay::describe_event;
 use cedarpulley_trace::rule_check::RuleCheck;
 use cedarpulley_trace::summary::{LatencyQuantiles, OutcomeCounts, Summary, WorkerCounts};
 use serde::Serialize;
@@ -43,7 +43,7 @@
     causes.map(|cause| cause("subject".into())).into()
 }
 
-fn kinds() -> Vec<Kind> {
+fn kinds() -> Vec<DifferenceKind> {
     let did = [
         Decision::Queued,
         Decision::Dispatched,
@@ -51,15 +51,17 @@
         Decision::Errored,
         Decision::Cancelled,
     ];
-    let mut kinds: Vec<Kind> = did.map(|d| Kind::Instead(d, Decision::Queued)).into();
+    let mut kinds: Vec<DifferenceKind> = did
+        .map(|d| DifferenceKind::OtherDecision(d, Decision::Queued))
+        .into();
     kinds.extend([
-        Kind::OtherWorker,
-        Kind::OtherParameters,
-        Kind::MoreLoadOrders,
-        Kind::FewerLoadOrders,
-        Kind::OtherLoadWorkers,
-        Kind::Maintenance,
-        Kind::Timers,
+        DifferenceKind::OtherWorker,
+        DifferenceKind::OtherParameters,
+        DifferenceKind::MoreLoadOrders,
+        DifferenceKind::FewerLoadOrders,
+        DifferenceKind::OtherLoadWorkers,
+        DifferenceKind::Maintenance,
+        DifferenceKind::Timers,
     ]);
     kinds
 }
@@ -87,16 +89,16 @@
     }
 }
 
-fn compared() -> Compared {
-    Compared {
-        by_kind: vec![(Kind::Timers, DifferenceCount::default())],
+fn compared() -> ComparisonResult {
+    ComparisonResult {
+        by_kind: vec![(DifferenceKind::Timers, DifferenceCount::default())],
         ..Default::default()
     }
 }
 
 fn all() -> String {
     let events = every_record::events();
-    let events = events.iter().map(|e| told(e) + "\n");
+    let events = events.iter().map(|e| describe_event(e) + "\n");
     let actions = every_record::actions();
     let actions = actions.iter().map(|a| format!("{a:?}\n"));
     let fates = every_record::FATES.map(|f| format!("{f:?}\n"));
--- a/crates/trace/tests/ruled.rs
+++ b/crates/trace/tests/ruled.rs
@@ -4,10 +4,10 @@
 use std::io::Cursor;
 
 use cedarpulley::interface::*;
-use cedarpulley_router::{Fate, Reason};
-use cedarpulley_trace::reader::{Found, Reader};
+use cedarpulley_router::{AnswerReason, FinalOutcome};
+use cedarpulley_trace::reader::{BlockRead, Reader};
 use cedarpulley_trace::records::{Record, RecordedEvent};
-use cedarpulley_trace::rule_check::{RuleCheck, Rules};
+use cedarpulley_trace::rule_check::{RuleCheck, RuleChecker};
 use cedarpulley_trace::start::Source;
 
 /// No rule broken.
@@ -34,7 +34,7 @@
     Comes(u32),
     Sends(u32, u32),
     Ends(u32, u32, DispatchOutcome),
-    Answers(u32, Fate),
+    Answers(u32, FinalOutcome),
     Leaves(u32),
     Drains(u32),
     Orders,
@@ -66,10 +66,10 @@
                 repeat: false,
                 preferred_worker: None,
             };
-            let taken = Record::Taken {
-                inv,
+            let taken = Record::Accepted {
+                invocation: inv,
                 front: 0,
-                mark: Some(u64::from(inv)),
+                correlation_hash: Some(u64::from(inv)),
                 redelivered: false,
             };
             [vec![taken], decided(Event::Invocation(arrival), vec![])].concat()
@@ -98,11 +98,11 @@
             decided(Event::DispatchEnded(ending), vec![])
         }
         Answers(inv, fate) => {
-            let (reason, took) = (Reason::GivenUp, MS);
+            let (reason, took) = (AnswerReason::GivenUp, MS);
             vec![Record::Answered {
-                inv: Some(inv),
+                invocation: Some(inv),
                 front: 0,
-                fate,
+                outcome: fate,
                 reason,
                 trigger: 0,
                 account: 0,
@@ -143,7 +143,7 @@
 
 /// Of one router, or of two that saw it one after the other.
 fn judged(effect: Effect, sides: &[&[(Micros, Told)]]) -> RuleCheck {
-    let (of, mut rules, mut sources) = (source(effect), Rules::default(), HashMap::new());
+    let (of, mut rules, mut sources) = (source(effect), RuleChecker::default(), HashMap::new());
     for (n, told) in sides.iter().enumerate() {
         sources.insert(n as u32, of.clone());
         for (at, told) in *told {
@@ -156,7 +156,10 @@
 }
 
 fn broken(effect: Effect, told: &[(Micros, Told)]) -> Vec<u8> {
-    judged(effect, &[told]).rules.into_keys().collect()
+    judged(effect, &[told])
+        .violations_by_rule
+        .into_keys()
+        .collect()
 }
 
 const ONCE: Effect = Effect::NonIdempotent;
@@ -168,10 +171,13 @@
 
 #[test]
 fn rule_1_one_answer_before_the_client_timeout() {
-    let good = (900, Answers(1, Fate::Succeeded));
+    let good = (900, Answers(1, FinalOutcome::Succeeded));
     assert_eq!(broken(ANY, &[(0, Comes(1)), good, (9_000, Orders)]), NONE);
     assert_eq!(
-        broken(ANY, &[(0, Comes(1)), (2_200, Answers(1, Fate::Succeeded))]),
+        broken(
+            ANY,
+            &[(0, Comes(1)), (2_200, Answers(1, FinalOutcome::Succeeded))]
+        ),
         [1]
     );
     assert_eq!(
@@ -181,7 +187,7 @@
     );
     let cut = judged(ANY, &[&[(0, Comes(1)), (1_000, Orders)]]);
     assert_eq!(
-        (cut.rules.len(), cut.unseen),
+        (cut.violations_by_rule.len(), cut.unseen),
         (0, 1),
         "its trace ends before"
     );
@@ -192,14 +198,14 @@
     );
     let after = [
         (0, Comes(1)),
-        (9, Answers(1, Fate::Succeeded)),
+        (9, Answers(1, FinalOutcome::Succeeded)),
         (10, Sends(1, 0)),
         (11, Ends(1, 0, DispatchOutcome::ConnectionLost)),
     ];
     assert_eq!(broken(ANY, &after), [1]);
     let unsent = [
         (0, Comes(1)),
-        (9, Answers(1, Fate::Succeeded)),
+        (9, Answers(1, FinalOutcome::Succeeded)),
         (10, Sends(1, 0)),
         (10, Ends(1, 0, DispatchOutcome::NotSent)),
     ];
@@ -215,7 +221,7 @@
             (20, Ends(1, 0, first)),
             (30, Sends(1, 0)),
             (40, Ends(1, 1, DispatchOutcome::Succeeded)),
-            (40, Answers(1, Fate::Succeeded)),
+            (40, Answers(1, FinalOutcome::Succeeded)),
         ];
         broken(effect, &told)
     };
@@ -227,7 +233,7 @@
         (0, Comes(1)),
         (1, Sends(1, 0)),
         (9, Ends(1, 0, DispatchOutcome::ConnectionLost)),
-        (9, Answers(1, Fate::Throttled)),
+        (9, Answers(1, FinalOutcome::Throttled)),
     ];
     assert_eq!(
         (broken(ONCE, &harmless), broken(ANY, &harmless)),
@@ -238,7 +244,7 @@
         (1, Sends(1, 0)),
         (2, Sends(1, 1)),
         (9, Ends(1, 1, DispatchOutcome::Succeeded)),
-        (9, Answers(1, Fate::Succeeded)),
+        (9, Answers(1, FinalOutcome::Succeeded)),
     ];
     assert_eq!(broken(ANY, &two), [2], "second copies are forbidden");
     // By the mark of the message: another router may have run it.
@@ -252,16 +258,16 @@
         (50, Comes(1)),
         (51, Sends(1, 0)),
         (60, Ends(1, 0, DispatchOutcome::Succeeded)),
-        (60, Answers(1, Fate::Succeeded)),
+        (60, Answers(1, FinalOutcome::Succeeded)),
     ];
     assert_eq!(
         judged(ONCE, &[first, second])
-            .rules
+            .violations_by_rule
             .into_keys()
             .collect::<Vec<_>>(),
         [2]
     );
-    assert!(judged(ANY, &[first, second]).rules.is_empty());
+    assert!(judged(ANY, &[first, second]).violations_by_rule.is_empty());
 }
 
 #[test]
@@ -275,7 +281,7 @@
             (20, Ends(1, 0, DispatchOutcome::TimedOut)),
             (at, Sends(1, worker)),
             (at + 1, Ends(1, 1, DispatchOutcome::Succeeded)),
-            (at + 1, Answers(1, Fate::Succeeded)),
+            (at + 1, Answers(1, FinalOutcome::Succeeded)),
         ];
         broken(TOKEN, &told)
     };
@@ -290,7 +296,7 @@
         let ends = [
             (at, Sends(1, 0)),
             (at + 1, Ends(1, 0, DispatchOutcome::Succeeded)),
-            (at + 1, Answers(1, Fate::Succeeded)),
+            (at + 1, Answers(1, FinalOutcome::Succeeded)),
         ];
         let told: Vec<(Micros, Told)> = [(0, Drains(0)), (0, Comes(1))]
             .into_iter()
@@ -313,17 +319,21 @@
 fn the_format_1_fixture_violates_no_rule() {
     let (mut r, mut rules) = (
         Reader::open(Cursor::new(KEPT)).expect("a trace"),
-        Rules::default(),
+        RuleChecker::default(),
     );
     let of = r.sources[0].clone();
-    while let Some(Found::Block { records, .. }) = r.next().expect("read") {
+    while let Some(BlockRead::Block { records, .. }) = r.next().expect("read") {
         records
             .iter()
             .for_each(|(at, x)| rules.record(0, &of, *at, x));
     }
     let judged = rules.finish(&HashMap::from([(0, of)]));
     assert_eq!(
-        (judged.invocations, judged.rules.len(), judged.unseen),
+        (
+            judged.invocations,
+            judged.violations_by_rule.len(),
+            judged.unseen
+        ),
         (16, 0, 0)
     );
 }
--- a/crates/trace/tests/small/mod.rs
+++ b/crates/trace/tests/small/mod.rs
@@ -4,27 +4,27 @@
 use std::io::Cursor;
 
 use cedarpulley::interface::*;
-use cedarpulley_router::{Fate, Reason};
+use cedarpulley_router::{AnswerReason, FinalOutcome};
 use cedarpulley_startup::StartupSettings;
 use cedarpulley_trace::block_index::BlockLocation;
-use cedarpulley_trace::blocks::Gather;
+use cedarpulley_trace::blocks::BlockBuilder;
 use cedarpulley_trace::reader::Reader;
-use cedarpulley_trace::records::{Record, RecordedEvent, Space};
-use cedarpulley_trace::start::{Start, module_digest};
-use cedarpulley_trace::writer::Sheet;
+use cedarpulley_trace::records::{NameKind, Record, RecordedEvent};
+use cedarpulley_trace::start::{StartRecord, module_digest};
+use cedarpulley_trace::writer::TraceFileWriter;
 
 pub const MS: Micros = 1_000;
 
-pub fn start() -> Start {
-    Start {
+pub fn start() -> StartRecord {
+    StartRecord {
         router: "router-0".into(),
-        module: module_digest(),
-        settings: [7; 32],
-        file: 0,
+        module_digest: module_digest(),
+        settings_digest: [7; 32],
+        file_number: 0,
         wall_at_zero: 1_700_000_000_000_000,
-        triggers_named: vec!["quote".into()],
-        accounts_named: vec!["amber".into()],
-        fronts_named: vec!["amqp".into()],
+        trigger_names: vec!["quote".into()],
+        account_names: vec!["amber".into()],
+        front_names: vec!["amqp".into()],
         seed: 9,
         startup: startup(),
     }
@@ -85,11 +85,11 @@
 pub fn written(blocks: usize, change: impl Fn(u64, &mut Vec<Action>)) -> Vec<u8> {
     let start = start();
     let mut control = start.balancer();
-    let mut sheet = Sheet::begin(Vec::new(), &[start.clone().into()]).expect("written");
+    let mut sheet = TraceFileWriter::begin(Vec::new(), &[start.clone().into()]).expect("written");
     let (mut now, mut decision) = (0, 0);
     for block in 0..blocks {
-        let mut g = Gather::default();
-        let mut told = |g: &mut Gather, now: Micros, happened: RecordedEvent| {
+        let mut g = BlockBuilder::default();
+        let mut told = |g: &mut BlockBuilder, now: Micros, happened: RecordedEvent| {
             let mut actions = Vec::new();
             control.handle(now, &happened.event(), &mut actions);
             decision += 1;
@@ -104,7 +104,7 @@
             );
             asked
         };
-        g.name(now, Space::Function, 0, "quote:7");
+        g.name(now, NameKind::Function, 0, "quote:7");
         let entries = (0..3).map(|worker| Endpoint {
             worker,
             fingerprint: u64::from(worker) + 99,
@@ -116,7 +116,7 @@
             started_at: None,
         });
         if block == 0 {
-            (0..3).for_each(|w| g.name(now, Space::Worker, w, &format!("127.0.0.1:{w}")));
+            (0..3).for_each(|w| g.name(now, NameKind::Worker, w, &format!("127.0.0.1:{w}")));
             told(
                 &mut g,
                 now,
@@ -130,10 +130,10 @@
             now += 3 * MS;
             g.record(
                 now,
-                &Record::Taken {
-                    inv,
+                &Record::Accepted {
+                    invocation: inv,
                     front: 0,
-                    mark: Some(u64::from(inv)),
+                    correlation_hash: Some(u64::from(inv)),
                     redelivered: false,
                 },
             );
@@ -167,13 +167,13 @@
                 else {
                     continue;
                 };
-                let (fate, reason) = (Fate::Succeeded, Reason::Worker);
+                let (fate, reason) = (FinalOutcome::Succeeded, AnswerReason::Worker);
                 g.record(
                     now,
                     &Record::Answered {
-                        inv: Some(inv),
+                        invocation: Some(inv),
                         front: 0,
-                        fate,
+                        outcome: fate,
                         reason,
                         trigger: 0,
                         account: 0,
@@ -201,9 +201,9 @@
                 );
             }
         }
-        sheet.block(0, &g.close()).expect("written");
+        sheet.write_block(0, &g.close()).expect("written");
     }
-    sheet.end().expect("written")
+    sheet.finish().expect("written")
 }
 
 /// Of all blocks, by the index.
--- a/crates/upgrade/tests/sessions.rs
+++ b/crates/upgrade/tests/sessions.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use cedarpulley_replica::{Guard, Input as Shared, Outcome};
+use cedarpulley_replica::{Input as Shared, Outcome, SafetyCheck};
 use cedarpulley_upgrade::Name;
 use cedarpulley_upgrade::sessions::{Input, Output, Placed, Refused, Sessions, Terms};
 use common::{MS, World};
@@ -38,7 +38,7 @@
 }
 
 impl Routers {
-    fn new(n: usize, without: Option<Guard>) -> Routers {
+    fn new(n: usize, without: Option<SafetyCheck>) -> Routers {
         Routers {
             world: World::new(n, without),
             sessions: (0..n).map(|_| Sessions::new(terms())).collect(),
@@ -63,7 +63,7 @@
                         Shared::Choose {
                             key: key.clone(),
                             value,
-                            kept: *kept,
+                            retention: *kept,
                         },
                     );
                 }
@@ -177,7 +177,7 @@
     ]
 }
 
-fn play(ops: &[Op], without: Option<Guard>) -> Result<(), String> {
+fn play(ops: &[Op], without: Option<SafetyCheck>) -> Result<(), String> {
     let mut it = Routers::new(3, without);
     for op in ops {
         let on_way = it.world.net.len().max(1);
@@ -194,7 +194,7 @@
                 let transit = it.world.now - sent;
                 it.world.feed(
                     to as usize,
-                    Shared::Heard {
+                    Shared::MessageReceived {
                         from,
                         nonce,
                         transit,
@@ -249,7 +249,7 @@
         Op::Settles,
     ];
     assert_eq!(play(&ops, None), Ok(()));
-    assert!(play(&ops, Some(Guard::Adopted)).is_err());
+    assert!(play(&ops, Some(SafetyCheck::AdoptAcceptedValue)).is_err());
     // Nor does a router that forgot help itself.
     ops.insert(2, Op::Dies(1, false));
     assert_eq!(play(&ops, None), Ok(()));
--- a/crates/usage-metering/src/lib.rs
+++ b/crates/usage-metering/src/lib.rs
@@ -10,9 +10,7 @@
 pub mod report;
 pub mod usage;
 
-pub use meter::{Ended, Held, Load, Meter, Part};
+pub use meter::{DispatchUsage, LoadUsage, MemoryTotals, Meter, UsageDelta};
 pub use readings::Readings;
-pub use report::{Book, Source};
-#[doc(hidden)]
-pub use usage as sums;
-pub use usage::{Key, Kind, Sum, Sums};
+pub use report::{Source, UsageReport};
+pub use usage::{Usage, UsageByKey, UsageKey, UsageKind};
--- a/crates/usage-metering/src/meter.rs
+++ b/crates/usage-metering/src/meter.rs
@@ -20,16 +20,16 @@
 use cedarpulley::interface::{CopyStatus, DispatchOutcome, Micros, WorkerIndex};
 
 use crate::readings::Readings;
-use crate::usage::{Key, Kind, MICROS_PER_HOUR, Sum, Sums};
+use crate::usage::{MICROS_PER_HOUR, Usage, UsageByKey, UsageKey, UsageKind};
 
 /// Workers' lines with uncertain usage that may still be settled; what comes beyond stays uncertain.
 const MAX_UNSETTLED: usize = 100_000;
 
 /// Totals of a worker's present incarnation for one account and function, in byte-microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct MemoryTotals {
     /// The incarnation: drawn at random when the worker's process starts.
-    pub life: u64,
+    pub incarnation: u64,
     /// Memory of copies while they ran.
     pub running: u128,
     /// Memory of copies while they loaded.
@@ -40,9 +40,9 @@
 
 /// A dispatch that has ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended<'a> {
+pub struct DispatchUsage<'a> {
     /// When it ended, in microseconds since 1970.
-    pub wall: Micros,
+    pub ended_at: Micros,
     /// The worker it went to.
     pub worker: WorkerIndex,
     /// Name of the account.
@@ -52,7 +52,7 @@
     /// How it ended.
     pub outcome: DispatchOutcome,
     /// What the response says of the copy that served it.
-    pub note: CopyStatus,
+    pub copy_status: CopyStatus,
     /// Time since it was sent.
     pub took: Micros,
     /// Size of a copy in bytes, as the client states it.
@@ -60,14 +60,14 @@
     /// Invocations that one copy runs at a time.
     pub lanes: u32,
     /// The totals that the worker reports, if there was a response with them.
-    pub held: Option<Held>,
+    pub totals: Option<MemoryTotals>,
 }
 
 /// An order to load copies that has ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Load<'a> {
+pub struct LoadUsage<'a> {
     /// When it ended, in microseconds since 1970.
-    pub wall: Micros,
+    pub ended_at: Micros,
     /// The worker it went to.
     pub worker: WorkerIndex,
     /// Name of the account whose invocation called for it.
@@ -79,21 +79,21 @@
     /// Size of a copy in bytes, as the client states it.
     pub copy_bytes: u64,
     /// No load was started: the worker could not be reached, or had no capacity.
-    pub never_began: bool,
+    pub not_started: bool,
     /// The totals that the worker reports, if there was a response with them.
-    pub held: Option<Held>,
+    pub totals: Option<MemoryTotals>,
 }
 
 /// The usage that is new since it was last taken out.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct UsageDelta {
     /// What only this router can say: uncertain and settled usage, and the counts.
-    pub sums: Sums,
+    pub sums: UsageByKey,
     /// What workers report.
     pub readings: Readings,
 }
 
-impl Part {
+impl UsageDelta {
     /// Nothing is new.
     pub fn is_empty(&self) -> bool {
         self.sums.is_empty() && self.readings.0.is_empty()
@@ -117,8 +117,8 @@
         }
     }
 
-    fn key(&self, hour: u32, kind: Kind) -> Key {
-        Key {
+    fn key(&self, hour: u32, kind: UsageKind) -> UsageKey {
+        UsageKey {
             hour,
             account: self.account.clone(),
             function: self.function.clone(),
@@ -133,7 +133,7 @@
     /// The incarnation that the worker was known to have; absent if it had not reported any.
     incarnation: Option<u64>,
     /// By the hour in which it was counted.
-    by_hour: BTreeMap<u32, Sum>,
+    by_hour: BTreeMap<u32, Usage>,
 }
 
 impl Unsettled {
@@ -149,9 +149,9 @@
 #[derive(Debug, Default)]
 pub struct Meter {
     /// Number of readings that were dropped for lack of space.
-    pub left_out: u64,
+    pub dropped_readings: u64,
     /// What is new since it was last taken out.
-    delta: Part,
+    delta: UsageDelta,
     /// The incarnation that each worker reported last.
     incarnations: HashMap<WorkerIndex, u64>,
     unsettled: HashMap<Line, Unsettled>,
@@ -167,24 +167,24 @@
 
 impl Meter {
     /// Records a dispatch that has ended.
-    pub fn ended(&mut self, dispatch: Ended) {
+    pub fn record_dispatch(&mut self, dispatch: DispatchUsage) {
         let line = Line::new(dispatch.worker, dispatch.account, dispatch.function);
-        let hour = hour_of(dispatch.wall);
-        match dispatch.held {
+        let hour = hour_of(dispatch.ended_at);
+        match dispatch.totals {
             Some(totals) => {
                 self.record_totals(hour, &line, totals);
                 // A repeat that the worker dropped ran on no copy.
-                let kind = if dispatch.note == CopyStatus::Unreported {
-                    Kind::Nothing
+                let kind = if dispatch.copy_status == CopyStatus::Unreported {
+                    UsageKind::Nothing
                 } else {
-                    Kind::Running
+                    UsageKind::Running
                 };
                 self.count(hour, &line, kind);
-                if dispatch.note == CopyStatus::LoadAwaited {
-                    self.count(hour, &line, Kind::Shared);
+                if dispatch.copy_status == CopyStatus::LoadAwaited {
+                    self.count(hour, &line, UsageKind::Shared);
                 }
             }
-            None if dispatch.outcome.not_executed() => self.count(hour, &line, Kind::Nothing),
+            None if dispatch.outcome.not_executed() => self.count(hour, &line, UsageKind::Nothing),
             None => {
                 let bytes = dispatch.copy_bytes / u64::from(dispatch.lanes.max(1));
                 self.record_uncertain(hour, line, byte_microseconds(bytes, dispatch.took));
@@ -193,12 +193,12 @@
     }
 
     /// Records an order to load that has ended.
-    pub fn loaded(&mut self, load: Load) {
+    pub fn record_load(&mut self, load: LoadUsage) {
         let line = Line::new(load.worker, load.account, load.function);
-        let hour = hour_of(load.wall);
-        match load.held {
+        let hour = hour_of(load.ended_at);
+        match load.totals {
             Some(totals) => self.record_totals(hour, &line, totals),
-            None if load.never_began => {}
+            None if load.not_started => {}
             None => {
                 let byte_us = byte_microseconds(load.copy_bytes, load.took);
                 self.record_uncertain(hour, line, byte_us);
@@ -207,12 +207,12 @@
     }
 
     /// Takes out what is new since the last time.
-    pub fn take(&mut self) -> Part {
+    pub fn take_delta(&mut self) -> UsageDelta {
         std::mem::take(&mut self.delta)
     }
 
     /// Takes back what was taken out but could not be stored.
-    pub fn give_back(&mut self, delta: &Part) {
+    pub fn restore(&mut self, delta: &UsageDelta) {
         self.delta.sums.add_all(&delta.sums);
         // One by one, for their bound. Symptom: with a disk that fails for days, the lines of each part that comes
         // back are added to those of the others.
@@ -221,34 +221,36 @@
         }
     }
 
-    fn record_totals(&mut self, hour: u32, line: &Line, totals: Held) {
-        self.incarnations.insert(line.worker, totals.life);
+    fn record_totals(&mut self, hour: u32, line: &Line, totals: MemoryTotals) {
+        self.incarnations.insert(line.worker, totals.incarnation);
         let by_kind = [
-            (Kind::Running, totals.running),
-            (Kind::Loading, totals.loading),
-            (Kind::Idle, totals.idle),
+            (UsageKind::Running, totals.running),
+            (UsageKind::Loading, totals.loading),
+            (UsageKind::Idle, totals.idle),
         ];
         for (kind, total) in by_kind.into_iter().filter(|(_, total)| *total > 0) {
-            self.record_reading(totals.life, line.key(hour, kind), total);
+            self.record_reading(totals.incarnation, line.key(hour, kind), total);
         }
         // Symptom: a worker that was silent for a while, or whose response was lost, is charged for twice.
         if let Some(unsettled) = self.unsettled.remove(line)
-            && unsettled.incarnation == Some(totals.life)
+            && unsettled.incarnation == Some(totals.incarnation)
         {
             for (hour, sum) in unsettled.by_hour {
-                self.delta.sums.add(line.key(hour, Kind::Settled), sum);
+                self.delta.sums.add(line.key(hour, UsageKind::Settled), sum);
             }
         }
     }
 
-    fn record_reading(&mut self, incarnation: u64, key: Key, total: u128) {
+    fn record_reading(&mut self, incarnation: u64, key: UsageKey, total: u128) {
         let recorded = self.delta.readings.record(incarnation, key, total);
-        self.left_out += u64::from(!recorded);
+        self.dropped_readings += u64::from(!recorded);
     }
 
     fn record_uncertain(&mut self, hour: u32, line: Line, byte_us: u128) {
-        let sum = Sum { byte_us, count: 1 };
-        self.delta.sums.add(line.key(hour, Kind::Uncertain), sum);
+        let sum = Usage { byte_us, count: 1 };
+        self.delta
+            .sums
+            .add(line.key(hour, UsageKind::Uncertain), sum);
         if self.unsettled.len() >= MAX_UNSETTLED && !self.unsettled.contains_key(&line) {
             return;
         }
@@ -264,8 +266,8 @@
         unsettled.by_hour.entry(hour).or_default().add(sum);
     }
 
-    fn count(&mut self, hour: u32, line: &Line, kind: Kind) {
-        let sum = Sum {
+    fn count(&mut self, hour: u32, line: &Line, kind: UsageKind) {
+        let sum = Usage {
             byte_us: 0,
             count: 1,
         };
--- a/crates/usage-metering/src/readings.rs
+++ b/crates/usage-metering/src/readings.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::usage::{Key, Kind, MAX_KEYS, Sum, Sums};
+use crate::usage::{MAX_KEYS, Usage, UsageByKey, UsageKey, UsageKind};
 
 /// The largest total that was read in each hour, by the worker's incarnation and by account, function and kind; in
 /// byte-microseconds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Readings(
     /// By incarnation and key.
-    pub BTreeMap<(u64, Key), u128>,
+    pub BTreeMap<(u64, UsageKey), u128>,
 );
 
 /// Totals that only grow: those of one incarnation for one account, function and kind.
@@ -19,12 +19,12 @@
     incarnation: u64,
     account: &'a Arc<str>,
     function: &'a Arc<str>,
-    kind: Kind,
+    kind: UsageKind,
 }
 
 impl Readings {
     /// Records a total. False if it had to be dropped for lack of space; a later reading contains it.
-    pub fn record(&mut self, incarnation: u64, key: Key, total: u128) -> bool {
+    pub fn record(&mut self, incarnation: u64, key: UsageKey, total: u128) -> bool {
         let reading = (incarnation, key);
         if self.0.len() >= MAX_KEYS && !self.0.contains_key(&reading) {
             return false;
@@ -43,7 +43,7 @@
     }
 
     /// The usage of each hour: by how much the totals exceed those of the hours before.
-    pub fn sums(&self) -> Sums {
+    pub fn sums(&self) -> UsageByKey {
         let mut by_line: BTreeMap<Line, BTreeMap<u32, u128>> = BTreeMap::new();
         for ((incarnation, key), total) in &self.0 {
             let line = Line {
@@ -54,18 +54,18 @@
             };
             by_line.entry(line).or_default().insert(key.hour, *total);
         }
-        let mut sums = Sums::default();
+        let mut sums = UsageByKey::default();
         for (line, by_hour) in by_line {
             let mut before = 0;
             for (hour, total) in by_hour {
-                let key = Key {
+                let key = UsageKey {
                     hour,
                     account: line.account.clone(),
                     function: line.function.clone(),
                     kind: line.kind,
                 };
                 let byte_us = total.saturating_sub(before);
-                sums.add(key, Sum { byte_us, count: 0 });
+                sums.add(key, Usage { byte_us, count: 0 });
                 before = total.max(before);
             }
         }
--- a/crates/usage-metering/src/report.rs
+++ b/crates/usage-metering/src/report.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use crate::readings::Readings;
-use crate::usage::Sums;
+use crate::usage::UsageByKey;
 
 /// Who measured: drawn at random when a router's ledger is created.
 pub type Source = u128;
@@ -21,36 +21,36 @@
     /// The router's name, for people.
     pub router: String,
     /// The usage.
-    pub sums: Sums,
+    pub sums: UsageByKey,
 }
 
 /// The usage that any number of sources measured.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Book {
+pub struct UsageReport {
     /// What only the sources can say.
-    pub measured: BTreeMap<Source, SourceUsage>,
+    pub by_source: BTreeMap<Source, SourceUsage>,
     /// What workers report.
     pub readings: Readings,
 }
 
-impl Book {
+impl UsageReport {
     /// Merges another report into this one.
-    pub fn join(&mut self, other: Book) {
+    pub fn merge(&mut self, other: UsageReport) {
         self.readings.merge(&other.readings);
-        for (source, theirs) in other.measured {
-            match self.measured.get(&source) {
+        for (source, theirs) in other.by_source {
+            match self.by_source.get(&source) {
                 Some(own) if own.number >= theirs.number => {}
                 _ => {
-                    self.measured.insert(source, theirs);
+                    self.by_source.insert(source, theirs);
                 }
             }
         }
     }
 
     /// The usage over all sources and readings, with settled usage no longer uncertain.
-    pub fn sums(&self) -> Sums {
+    pub fn sums(&self) -> UsageByKey {
         let mut all = self.readings.sums();
-        for source in self.measured.values() {
+        for source in self.by_source.values() {
             all.add_all(&source.sums);
         }
         all.without_settled()
--- a/crates/usage-metering/src/usage.rs
+++ b/crates/usage-metering/src/usage.rs
@@ -20,7 +20,7 @@
 /// What memory was used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum UsageKind {
     /// A copy's memory while it ran, divided among the invocations that it ran at once.
     Running,
     /// A copy's memory from the order to load it until it was loaded, or the load failed.
@@ -37,35 +37,35 @@
     Settled,
 }
 
-impl Kind {
+impl UsageKind {
     /// All kinds. A kind's position here is its number in stored rows.
-    pub const ALL: [Kind; 7] = [
-        Kind::Running,
-        Kind::Loading,
-        Kind::Idle,
-        Kind::Uncertain,
-        Kind::Shared,
-        Kind::Nothing,
-        Kind::Settled,
+    pub const ALL: [UsageKind; 7] = [
+        UsageKind::Running,
+        UsageKind::Loading,
+        UsageKind::Idle,
+        UsageKind::Uncertain,
+        UsageKind::Shared,
+        UsageKind::Nothing,
+        UsageKind::Settled,
     ];
 
     /// The name in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Running => "running",
-            Kind::Loading => "loading",
-            Kind::Idle => "idle",
-            Kind::Uncertain => "uncertain",
-            Kind::Shared => "shared",
-            Kind::Nothing => "nothing",
-            Kind::Settled => "settled",
+            UsageKind::Running => "running",
+            UsageKind::Loading => "loading",
+            UsageKind::Idle => "idle",
+            UsageKind::Uncertain => "uncertain",
+            UsageKind::Shared => "shared",
+            UsageKind::Nothing => "nothing",
+            UsageKind::Settled => "settled",
         }
     }
 }
 
 /// Whose usage, when and what for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key {
+pub struct UsageKey {
     /// The hour since 1970 in which the dispatch ended or the total was read.
     pub hour: u32,
     /// Name of the account.
@@ -73,26 +73,26 @@
     /// Name of the function.
     pub function: Arc<str>,
     /// What the memory was used for.
-    pub kind: Kind,
+    pub kind: UsageKind,
 }
 
 /// An amount of usage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Sum {
+pub struct Usage {
     /// Memory multiplied by time, in byte-microseconds.
     pub byte_us: u128,
     /// Number of invocations, or of orders to load.
     pub count: u64,
 }
 
-impl Sum {
+impl Usage {
     /// Adds another amount.
-    pub fn add(&mut self, other: Sum) {
+    pub fn add(&mut self, other: Usage) {
         self.byte_us = self.byte_us.saturating_add(other.byte_us);
         self.count = self.count.saturating_add(other.count);
     }
 
-    fn subtract(&mut self, other: Sum) {
+    fn subtract(&mut self, other: Usage) {
         self.byte_us = self.byte_us.saturating_sub(other.byte_us);
         self.count = self.count.saturating_sub(other.count);
     }
@@ -105,16 +105,16 @@
 
 /// Amounts of usage by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Sums(
+pub struct UsageByKey(
     /// In the order of keys.
-    pub BTreeMap<Key, Sum>,
+    pub BTreeMap<UsageKey, Usage>,
 );
 
-impl Sums {
+impl UsageByKey {
     /// Adds an amount under a key; if there are too many keys, under [`OTHER_FUNCTIONS`].
-    pub fn add(&mut self, key: Key, sum: Sum) {
+    pub fn add(&mut self, key: UsageKey, sum: Usage) {
         let key = if self.0.len() >= MAX_KEYS && !self.0.contains_key(&key) {
-            Key {
+            UsageKey {
                 function: Arc::from(OTHER_FUNCTIONS),
                 ..key
             }
@@ -125,7 +125,7 @@
     }
 
     /// Adds all amounts of `other`.
-    pub fn add_all(&mut self, other: &Sums) {
+    pub fn add_all(&mut self, other: &UsageByKey) {
         for (key, sum) in &other.0 {
             self.add(key.clone(), *sum);
         }
@@ -137,8 +137,8 @@
     }
 
     /// The amounts added up by whatever `group` makes of their keys.
-    pub fn by<K: Ord>(&self, group: impl Fn(&Key) -> K) -> BTreeMap<K, Sum> {
-        let mut groups: BTreeMap<K, Sum> = BTreeMap::new();
+    pub fn group_by<K: Ord>(&self, group: impl Fn(&UsageKey) -> K) -> BTreeMap<K, Usage> {
+        let mut groups: BTreeMap<K, Usage> = BTreeMap::new();
         for (key, sum) in &self.0 {
             groups.entry(group(key)).or_default().add(*sum);
         }
@@ -146,13 +146,17 @@
     }
 
     /// The same with settled usage subtracted from uncertain usage, hour by hour.
-    pub fn without_settled(&self) -> Sums {
-        let mut out = Sums::default();
-        for (key, sum) in self.0.iter().filter(|(key, _)| key.kind != Kind::Settled) {
+    pub fn without_settled(&self) -> UsageByKey {
+        let mut out = UsageByKey::default();
+        for (key, sum) in self
+            .0
+            .iter()
+            .filter(|(key, _)| key.kind != UsageKind::Settled)
+        {
             let mut sum = *sum;
-            if key.kind == Kind::Uncertain
-                && let Some(settled) = self.0.get(&Key {
-                    kind: Kind::Settled,
+            if key.kind == UsageKind::Uncertain
+                && let Some(settled) = self.0.get(&UsageKey {
+                    kind: UsageKind::Settled,
                     ..key.clone()
                 })
             {
@@ -164,7 +168,7 @@
     }
 
     /// All amounts added up.
-    pub fn total(&self) -> Sum {
-        self.by(|_| ()).remove(&()).unwrap_or_default()
+    pub fn total(&self) -> Usage {
+        self.group_by(|_| ()).remove(&()).unwrap_or_default()
     }
 }
--- a/crates/usage-metering/tests/metering.rs
+++ b/crates/usage-metering/tests/metering.rs
@@ -3,51 +3,57 @@
 use std::sync::Arc;
 
 use cedarpulley::interface::{CopyStatus, DispatchOutcome};
-use cedarpulley_usage_metering::report::{Book, SourceUsage};
-use cedarpulley_usage_metering::usage::{Key, Kind, MICROS_PER_HOUR, OTHER_FUNCTIONS, Sum, Sums};
-use cedarpulley_usage_metering::{Ended, Held, Load, Meter, Readings};
+use cedarpulley_usage_metering::report::{SourceUsage, UsageReport};
+use cedarpulley_usage_metering::usage::{
+    MICROS_PER_HOUR, OTHER_FUNCTIONS, Usage, UsageByKey, UsageKey, UsageKind,
+};
+use cedarpulley_usage_metering::{DispatchUsage, LoadUsage, MemoryTotals, Meter, Readings};
 use proptest::prelude::*;
 
-const HELD: Held = Held {
-    life: 9,
+const HELD: MemoryTotals = MemoryTotals {
+    incarnation: 9,
     running: 700,
     loading: 0,
     idle: 300,
 };
 
-fn ended(outcome: DispatchOutcome, note: CopyStatus, held: Option<Held>) -> Ended<'static> {
+fn ended(
+    outcome: DispatchOutcome,
+    note: CopyStatus,
+    held: Option<MemoryTotals>,
+) -> DispatchUsage<'static> {
     let (worker, account, function) = (1, "amber", "f");
     let wall = 5 * MICROS_PER_HOUR + 1;
-    Ended {
-        wall,
+    DispatchUsage {
+        ended_at: wall,
         worker,
         account,
         function,
         outcome,
-        note,
+        copy_status: note,
         took: 50,
         copy_bytes: 100,
         lanes: 2,
-        held,
+        totals: held,
     }
 }
 
 /// What the meter measured: sums and readings together.
-fn report_of(meter: &mut Meter) -> Book {
-    let part = meter.take();
-    assert!(meter.take().is_empty());
+fn report_of(meter: &mut Meter) -> UsageReport {
+    let part = meter.take_delta();
+    assert!(meter.take_delta().is_empty());
     let measured = SourceUsage {
         number: 1,
         router: "r".into(),
         sums: part.sums,
     };
-    Book {
-        measured: [(1, measured)].into(),
+    UsageReport {
+        by_source: [(1, measured)].into(),
         readings: part.readings,
     }
 }
 
-fn kinds(act: impl FnOnce(&mut Meter)) -> Vec<(Kind, u128)> {
+fn kinds(act: impl FnOnce(&mut Meter)) -> Vec<(UsageKind, u128)> {
     let mut meter = Meter::default();
     act(&mut meter);
     report_of(&mut meter)
@@ -60,16 +66,20 @@
 
 #[test]
 fn reported_usage_counts_and_unreported_usage_is_uncertain() {
-    let of = |outcome, note, held| kinds(|m| m.ended(ended(outcome, note, held)));
+    let of = |outcome, note, held| kinds(|m| m.record_dispatch(ended(outcome, note, held)));
     let found = of(DispatchOutcome::Succeeded, CopyStatus::Warm, Some(HELD));
-    assert_eq!(found, [(Kind::Running, 700), (Kind::Idle, 300)]);
+    assert_eq!(found, [(UsageKind::Running, 700), (UsageKind::Idle, 300)]);
     // An invocation that errored held what it held.
     assert_eq!(
         of(DispatchOutcome::Errored, CopyStatus::Warm, Some(HELD)),
         found
     );
     // A load that another began: shown, and not charged again.
-    let waited = [(Kind::Running, 700), (Kind::Idle, 300), (Kind::Shared, 0)];
+    let waited = [
+        (UsageKind::Running, 700),
+        (UsageKind::Idle, 300),
+        (UsageKind::Shared, 0),
+    ];
     assert_eq!(
         of(
             DispatchOutcome::Succeeded,
@@ -79,13 +89,13 @@
         waited
     );
     // A repeat that the worker dropped.
-    let repeat = Some(Held {
-        life: 9,
-        ..Held::default()
+    let repeat = Some(MemoryTotals {
+        incarnation: 9,
+        ..MemoryTotals::default()
     });
     assert_eq!(
         of(DispatchOutcome::Succeeded, CopyStatus::Unreported, repeat),
-        [(Kind::Nothing, 0)]
+        [(UsageKind::Nothing, 0)]
     );
     for silent in [
         DispatchOutcome::TimedOut,
@@ -94,7 +104,7 @@
     ] {
         assert_eq!(
             of(silent, CopyStatus::Unreported, None),
-            [(Kind::Uncertain, 50 * 100 / 2)]
+            [(UsageKind::Uncertain, 50 * 100 / 2)]
         );
     }
     for never in [
@@ -105,7 +115,7 @@
     ] {
         assert_eq!(
             of(never, CopyStatus::Unreported, None),
-            [(Kind::Nothing, 0)]
+            [(UsageKind::Nothing, 0)]
         );
     }
 }
@@ -114,26 +124,26 @@
 fn a_load_is_charged_once_to_who_caused_it() {
     let load = |never_began, held| {
         let (worker, account, function) = (1, "birch", "f");
-        let load = Load {
-            wall: 1,
+        let load = LoadUsage {
+            ended_at: 1,
             worker,
             account,
             function,
             took: 9,
             copy_bytes: 10,
-            never_began,
-            held,
+            not_started: never_began,
+            totals: held,
         };
-        kinds(|m| m.loaded(load))
+        kinds(|m| m.record_load(load))
     };
-    let held = Held {
-        life: 9,
+    let held = MemoryTotals {
+        incarnation: 9,
         loading: 80,
-        ..Held::default()
+        ..MemoryTotals::default()
     };
-    assert_eq!(load(true, Some(held)), [(Kind::Loading, 80)]);
+    assert_eq!(load(true, Some(held)), [(UsageKind::Loading, 80)]);
     assert_eq!(load(true, None), []);
-    assert_eq!(load(false, None), [(Kind::Uncertain, 90)]);
+    assert_eq!(load(false, None), [(UsageKind::Uncertain, 90)]);
 }
 
 /// Symptom: a response is lost, or the router that received it killed; the next one has the whole total, whichever router
@@ -141,7 +151,7 @@
 #[test]
 fn a_lost_response_is_covered_by_the_next_and_two_routers_count_it_once() {
     let told = |running| {
-        Some(Held {
+        Some(MemoryTotals {
             running,
             idle: 0,
             ..HELD
@@ -149,18 +159,18 @@
     };
     let answer = |running| ended(DispatchOutcome::Succeeded, CopyStatus::Warm, told(running));
     let (mut one, mut other) = (Meter::default(), Meter::default());
-    one.ended(answer(700));
+    one.record_dispatch(answer(700));
     // The answer that told 1,400 never arrived.
-    other.ended(answer(2_100));
-    one.ended(answer(1_500));
+    other.record_dispatch(answer(2_100));
+    one.record_dispatch(answer(1_500));
     let mut book = report_of(&mut one);
     let mut theirs = report_of(&mut other);
-    theirs.measured = theirs.measured.into_values().map(|m| (2, m)).collect();
-    book.join(theirs.clone());
-    book.join(theirs);
+    theirs.by_source = theirs.by_source.into_values().map(|m| (2, m)).collect();
+    book.merge(theirs.clone());
+    book.merge(theirs);
     assert_eq!(
-        book.sums().by(|k| k.kind)[&Kind::Running],
-        Sum {
+        book.sums().group_by(|k| k.kind)[&UsageKind::Running],
+        Usage {
             byte_us: 2_100,
             count: 3
         }
@@ -171,19 +181,19 @@
 fn a_reading_of_a_later_hour_counts_only_its_increase() {
     let mut meter = Meter::default();
     for (hour, running) in [(5, 700), (7, 1_000), (7, 1_100), (8, 1_100)] {
-        let told = Some(Held {
+        let told = Some(MemoryTotals {
             running,
             idle: 0,
             ..HELD
         });
-        meter.ended(Ended {
-            wall: hour * MICROS_PER_HOUR,
+        meter.record_dispatch(DispatchUsage {
+            ended_at: hour * MICROS_PER_HOUR,
             ..ended(DispatchOutcome::Succeeded, CopyStatus::Warm, told)
         });
     }
     let by: Vec<_> = report_of(&mut meter)
         .sums()
-        .by(|k| k.hour)
+        .group_by(|k| k.hour)
         .into_iter()
         .map(|(h, s)| (h, s.byte_us))
         .collect();
@@ -197,16 +207,19 @@
         ended(
             DispatchOutcome::Succeeded,
             CopyStatus::Warm,
-            Some(Held { life, ..HELD }),
+            Some(MemoryTotals {
+                incarnation: life,
+                ..HELD
+            }),
         )
     };
-    let uncertain = |events: &[Ended<'static>]| {
+    let uncertain = |events: &[DispatchUsage<'static>]| {
         let mut meter = Meter::default();
-        events.iter().for_each(|e| meter.ended(*e));
+        events.iter().for_each(|e| meter.record_dispatch(*e));
         report_of(&mut meter)
             .sums()
-            .by(|k| k.kind)
-            .get(&Kind::Uncertain)
+            .group_by(|k| k.kind)
+            .get(&UsageKind::Uncertain)
             .map(|s| (s.byte_us, s.count))
     };
     assert_eq!(uncertain(&[heard(9), silent, silent]), Some((5_000, 2)));
@@ -222,28 +235,28 @@
         "of which life it was is not known"
     );
     // In another function's line nothing is settled.
-    let other = Ended {
+    let other = DispatchUsage {
         function: "g",
         ..heard(9)
     };
     assert_eq!(uncertain(&[heard(9), silent, other]), Some((2_500, 1)));
 }
 
-fn sums() -> impl Strategy<Value = Sums> {
+fn sums() -> impl Strategy<Value = UsageByKey> {
     let key = (0..3u32, 0..3usize, 0..3usize, 0..7usize);
     proptest::collection::vec((key, any::<u64>(), 0..9u64), 0..20).prop_map(|all| {
-        let mut sums = Sums::default();
+        let mut sums = UsageByKey::default();
         for ((hour, account, function, kind), byte_us, count) in all {
             let name = |n: usize| Arc::from(["a", "b", "c"][n]);
-            let key = Key {
+            let key = UsageKey {
                 hour,
                 account: name(account),
                 function: name(function),
-                kind: Kind::ALL[kind],
+                kind: UsageKind::ALL[kind],
             };
             sums.add(
                 key,
-                Sum {
+                Usage {
                     byte_us: byte_us.into(),
                     count,
                 },
@@ -261,8 +274,8 @@
         let mut total = some.total();
         total.add(others.total());
         prop_assert_eq!(all.total(), total);
-        let parts = all.by(|k| (k.account.clone(), k.kind));
-        let mut sum = Sum::default();
+        let parts = all.group_by(|k| (k.account.clone(), k.kind));
+        let mut sum = Usage::default();
         parts.values().for_each(|s| sum.add(*s));
         prop_assert_eq!(sum, total);
     }
@@ -271,7 +284,7 @@
     fn reports_merge_in_any_order_and_twice(states in proptest::collection::vec((0..4u128, 0..5u64, sums()), 0..12)) {
         // Of one source a number stands for one state.
         let mut seen = std::collections::HashMap::new();
-        let books: Vec<Book> = states
+        let books: Vec<UsageReport> = states
             .into_iter()
             .map(|(source, number, sums)| {
                 let sums = seen.entry((source, number)).or_insert(sums).clone();
@@ -280,13 +293,13 @@
                 for (key, sum) in &sums.0 {
                     readings.record(number, key.clone(), sum.byte_us);
                 }
-                Book { measured: [(source, SourceUsage { number, router, sums })].into(), readings }
+                UsageReport { by_source: [(source, SourceUsage { number, router, sums })].into(), readings }
             })
             .collect();
-        let mut forth = Book::default();
-        books.iter().cloned().for_each(|b| forth.join(b));
-        let mut back = Book::default();
-        books.iter().rev().chain(&books).cloned().for_each(|b| back.join(b));
+        let mut forth = UsageReport::default();
+        books.iter().cloned().for_each(|b| forth.merge(b));
+        let mut back = UsageReport::default();
+        books.iter().rev().chain(&books).cloned().for_each(|b| back.merge(b));
         prop_assert_eq!(&forth, &back);
     }
 }
@@ -296,23 +309,23 @@
 fn restored_readings_are_bounded_and_dropped_ones_counted() {
     let (mut meter, mut tried) = (Meter::default(), 0);
     for round in 0..3u64 {
-        let part = meter.take();
+        let part = meter.take_delta();
         for n in 0..60_000u64 {
             let name = format!("f{round}-{n}");
             let e = ended(
                 DispatchOutcome::Succeeded,
                 CopyStatus::Warm,
-                Some(Held { idle: 0, ..HELD }),
+                Some(MemoryTotals { idle: 0, ..HELD }),
             );
-            meter.ended(Ended {
+            meter.record_dispatch(DispatchUsage {
                 function: &name,
                 ..e
             });
             tried += 1;
         }
-        meter.give_back(&part);
+        meter.restore(&part);
     }
-    let left_out = meter.left_out;
+    let left_out = meter.dropped_readings;
     let book = report_of(&mut meter);
     assert!(
         book.readings.0.len() <= 100_000,
@@ -324,17 +337,17 @@
 
 #[test]
 fn too_many_functions_lose_only_their_names() {
-    let mut sums = Sums::default();
+    let mut sums = UsageByKey::default();
     for n in 0..100_010u64 {
-        let key = Key {
+        let key = UsageKey {
             hour: 1,
             account: "a".into(),
             function: format!("f{n}").into(),
-            kind: Kind::Idle,
+            kind: UsageKind::Idle,
         };
         sums.add(
             key,
-            Sum {
+            Usage {
                 byte_us: n.into(),
                 count: 1,
             },
@@ -342,10 +355,13 @@
     }
     assert_eq!(
         sums.total(),
-        Sum {
+        Usage {
             byte_us: 100_010 * 100_009 / 2,
             count: 100_010
         }
     );
-    assert_eq!(sums.by(|k| k.function.clone())[OTHER_FUNCTIONS].count, 10);
+    assert_eq!(
+        sums.group_by(|k| k.function.clone())[OTHER_FUNCTIONS].count,
+        10
+    );
 }
--- a/crates/usage-store/src/error.rs
+++ b/crates/usage-store/src/error.rs
@@ -7,7 +7,7 @@
 
 /// Why a ledger could not be read or written.
 #[derive(Debug, Error)]
-pub enum Failed {
+pub enum StoreError {
     /// Its contents cannot be used. The file is left as it is.
     #[error("the ledger cannot be read: {0}")]
     Unreadable(UnreadableReason),
@@ -42,39 +42,39 @@
     Store(redb::Error),
 }
 
-impl Remedy for Failed {
+impl Remedy for StoreError {
     fn remedy(&self) -> &'static str {
         match self {
-            Failed::Unreadable(UnreadableReason::LaterFormat { .. }) => "take a newer build",
-            Failed::Unreadable(_) => {
+            StoreError::Unreadable(UnreadableReason::LaterFormat { .. }) => "take a newer build",
+            StoreError::Unreadable(_) => {
                 "put a copy in its place; a router sets it aside by itself and begins a new one"
             }
-            Failed::InUse => "stop the other, or read a copy of the file",
-            Failed::Unwritten(_) => {
+            StoreError::InUse => "stop the other, or read a copy of the file",
+            StoreError::Unwritten(_) => {
                 "make room, and see that the folder is there and may be written to"
             }
         }
     }
 }
 
-impl From<UnreadableReason> for Failed {
+impl From<UnreadableReason> for StoreError {
     fn from(reason: UnreadableReason) -> Self {
-        Failed::Unreadable(reason)
+        StoreError::Unreadable(reason)
     }
 }
 
-pub(crate) fn unreadable(error: impl Into<redb::Error>) -> Failed {
-    Failed::Unreadable(UnreadableReason::Store(error.into()))
+pub(crate) fn unreadable(error: impl Into<redb::Error>) -> StoreError {
+    StoreError::Unreadable(UnreadableReason::Store(error.into()))
 }
 
-pub(crate) fn unwritten(error: impl Into<redb::Error>) -> Failed {
-    Failed::Unwritten(error.into())
+pub(crate) fn unwritten(error: impl Into<redb::Error>) -> StoreError {
+    StoreError::Unwritten(error.into())
 }
 
 /// Failure to open a file. One that another process has open, or that may not be accessed, is not damaged.
-pub(crate) fn unopened(error: redb::DatabaseError) -> Failed {
+pub(crate) fn unopened(error: redb::DatabaseError) -> StoreError {
     match &error {
-        redb::DatabaseError::DatabaseAlreadyOpen => Failed::InUse,
+        redb::DatabaseError::DatabaseAlreadyOpen => StoreError::InUse,
         redb::DatabaseError::Storage(redb::StorageError::Io(io))
             if !matches!(
                 io.kind(),
--- a/crates/usage-store/src/ledger.rs
+++ b/crates/usage-store/src/ledger.rs
@@ -2,12 +2,12 @@
 
 use std::path::Path;
 
-use cedarpulley_usage_metering::report::{Book, Source, SourceUsage};
-use cedarpulley_usage_metering::usage::{Sum, Sums};
-use cedarpulley_usage_metering::{Part, Readings};
+use cedarpulley_usage_metering::report::{Source, SourceUsage, UsageReport};
+use cedarpulley_usage_metering::usage::{Usage, UsageByKey};
+use cedarpulley_usage_metering::{Readings, UsageDelta};
 use redb::{Database, ReadTransaction, ReadableDatabase, ReadableTable};
 
-use crate::error::{Failed, UnreadableReason, unopened, unreadable, unwritten};
+use crate::error::{StoreError, UnreadableReason, unopened, unreadable, unwritten};
 use crate::tables::{self, ABOUT, FORMAT, FORMAT_KEY, READINGS, SOURCES, SUMS};
 
 /// One file, open for writing by one process.
@@ -18,12 +18,12 @@
 impl Ledger {
     /// Opens the file, or creates it if there is none. The file of a killed process is repaired; all of it is
     /// checked.
-    pub fn open(path: &Path) -> Result<Ledger, Failed> {
+    pub fn open(path: &Path) -> Result<Ledger, StoreError> {
         if !path.exists() {
             create(path)?;
         }
         // Symptom: a flipped bit in the middle, at which the store's own checks panic.
-        let checked = std::panic::catch_unwind(|| -> Result<Database, Failed> {
+        let checked = std::panic::catch_unwind(|| -> Result<Database, StoreError> {
             let mut database = Database::open(path).map_err(unopened)?;
             database.check_integrity().map_err(unreadable)?;
             Ok(database)
@@ -33,7 +33,7 @@
     }
 
     /// Checks that the database is of this build's format; an empty one is given it.
-    fn with_format(database: Database) -> Result<Ledger, Failed> {
+    fn with_format(database: Database) -> Result<Ledger, StoreError> {
         match stored_format(&database)? {
             Some(FORMAT) => {}
             Some(format) => return Err(UnreadableReason::LaterFormat { format }.into()),
@@ -44,7 +44,7 @@
 
     /// Adds usage to what `source` measured, and merges its readings. The usage is on the disk when this returns.
     /// Returns the number of the source's write.
-    pub fn add(&self, source: Source, router: &str, delta: &Part) -> Result<u64, Failed> {
+    pub fn add(&self, source: Source, router: &str, delta: &UsageDelta) -> Result<u64, StoreError> {
         let writing = self.database.begin_write().map_err(unwritten)?;
         let number;
         {
@@ -63,7 +63,7 @@
                 let mut sum = sums
                     .get(row)
                     .map_err(unwritten)?
-                    .map_or_else(Sum::default, |stored| tables::sum(stored.value()));
+                    .map_or_else(Usage::default, |stored| tables::sum(stored.value()));
                 sum.add(*added);
                 sums.insert(row, (sum.byte_us, sum.count))
                     .map_err(unwritten)?;
@@ -76,9 +76,9 @@
     }
 
     /// All usage in the file, as of one moment.
-    pub fn book(&self) -> Result<Book, Failed> {
+    pub fn report(&self) -> Result<UsageReport, StoreError> {
         let reading = self.database.begin_read().map_err(unreadable)?;
-        let mut report = Book::default();
+        let mut report = UsageReport::default();
         read_sources(&reading, &mut report)?;
         read_sums(&reading, &mut report)?;
         read_readings(&reading, &mut report.readings)?;
@@ -86,16 +86,16 @@
     }
 
     /// Merges the usage of other ledgers into this one: of each source the later state counts.
-    pub fn join(&self, other: &Book) -> Result<(), Failed> {
-        let before = self.book()?;
+    pub fn merge(&self, other: &UsageReport) -> Result<(), StoreError> {
+        let before = self.report()?;
         let mut merged = before.clone();
-        merged.join(other.clone());
+        merged.merge(other.clone());
         let writing = self.database.begin_write().map_err(unwritten)?;
         {
             let mut sources = writing.open_table(SOURCES).map_err(unwritten)?;
             let mut sums = writing.open_table(SUMS).map_err(unwritten)?;
-            for (source, usage) in &merged.measured {
-                if before.measured.get(source) == Some(usage) {
+            for (source, usage) in &merged.by_source {
+                if before.by_source.get(source) == Some(usage) {
                     continue;
                 }
                 sources
@@ -115,7 +115,7 @@
 
 /// Creates a file with empty tables. It is made under another name, as a kill between the first bytes of a new file
 /// would leave one that is no ledger.
-fn create(path: &Path) -> Result<(), Failed> {
+fn create(path: &Path) -> Result<(), StoreError> {
     let temporary = path.with_extension("new");
     if let Err(error) = std::fs::remove_file(&temporary)
         && error.kind() != std::io::ErrorKind::NotFound
@@ -135,12 +135,12 @@
         .map_err(io_failed)
 }
 
-fn io_failed(error: std::io::Error) -> Failed {
-    Failed::Unwritten(redb::Error::Io(error))
+fn io_failed(error: std::io::Error) -> StoreError {
+    StoreError::Unwritten(redb::Error::Io(error))
 }
 
 /// Absent if the database is empty.
-fn stored_format(database: &Database) -> Result<Option<u64>, Failed> {
+fn stored_format(database: &Database) -> Result<Option<u64>, StoreError> {
     let reading = database.begin_read().map_err(unreadable)?;
     match reading.open_table(ABOUT) {
         Ok(about) => {
@@ -152,7 +152,7 @@
     }
 }
 
-fn initialize(database: &Database) -> Result<(), Failed> {
+fn initialize(database: &Database) -> Result<(), StoreError> {
     let writing = database.begin_write().map_err(unwritten)?;
     {
         let mut about = writing.open_table(ABOUT).map_err(unwritten)?;
@@ -164,7 +164,7 @@
     writing.commit().map_err(unwritten)
 }
 
-fn read_sources(reading: &ReadTransaction, report: &mut Book) -> Result<(), Failed> {
+fn read_sources(reading: &ReadTransaction, report: &mut UsageReport) -> Result<(), StoreError> {
     let table = reading.open_table(SOURCES).map_err(unreadable)?;
     for row in table.iter().map_err(unreadable)? {
         let (source, value) = row.map_err(unreadable)?;
@@ -172,21 +172,21 @@
         let usage = SourceUsage {
             number,
             router: router.to_owned(),
-            sums: Sums::default(),
+            sums: UsageByKey::default(),
         };
-        report.measured.insert(source.value(), usage);
+        report.by_source.insert(source.value(), usage);
     }
     Ok(())
 }
 
-fn read_sums(reading: &ReadTransaction, report: &mut Book) -> Result<(), Failed> {
+fn read_sums(reading: &ReadTransaction, report: &mut UsageReport) -> Result<(), StoreError> {
     let table = reading.open_table(SUMS).map_err(unreadable)?;
     for row in table.iter().map_err(unreadable)? {
         let (row, value) = row.map_err(unreadable)?;
         let (source, hour, account, function, kind) = row.value();
         let key = tables::key(hour, account, function, kind)?;
         let usage = report
-            .measured
+            .by_source
             .get_mut(&source)
             .ok_or(UnreadableReason::UnknownSource)?;
         usage.sums.0.insert(key, tables::sum(value.value()));
@@ -194,7 +194,7 @@
     Ok(())
 }
 
-fn read_readings(reading: &ReadTransaction, readings: &mut Readings) -> Result<(), Failed> {
+fn read_readings(reading: &ReadTransaction, readings: &mut Readings) -> Result<(), StoreError> {
     let table = reading.open_table(READINGS).map_err(unreadable)?;
     for row in table.iter().map_err(unreadable)? {
         let (row, total) = row.map_err(unreadable)?;
--- a/crates/usage-store/src/lib.rs
+++ b/crates/usage-store/src/lib.rs
@@ -11,7 +11,7 @@
 mod tables;
 mod write_schedule;
 
-pub use error::{Failed, UnreadableReason};
+pub use error::{StoreError, UnreadableReason};
 pub use ledger::Ledger;
 pub use tables::FORMAT;
-pub use write_schedule::Writing;
+pub use write_schedule::WriteSchedule;
--- a/crates/usage-store/src/tables.rs
+++ b/crates/usage-store/src/tables.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use cedarpulley_usage_metering::usage::{Key, Kind, Sum};
+use cedarpulley_usage_metering::usage::{Usage, UsageKey, UsageKind};
 use cedarpulley_usage_metering::{Readings, Source};
 use redb::{ReadableTable, Table, TableDefinition};
 
-use crate::error::{Failed, UnreadableReason, unwritten};
+use crate::error::{StoreError, UnreadableReason, unwritten};
 
 /// The file format of this build; files of a later one are rejected.
 pub const FORMAT: u64 = 1;
@@ -32,29 +32,34 @@
 pub(crate) const READINGS: TableDefinition<ReadingKey, u128> = TableDefinition::new("readings");
 
 /// A kind's number in rows: its position in [`Kind::ALL`].
-fn kind_number(kind: Kind) -> u8 {
-    Kind::ALL
+fn kind_number(kind: UsageKind) -> u8 {
+    UsageKind::ALL
         .iter()
         .position(|other| *other == kind)
         .unwrap_or(0) as u8
 }
 
-pub(crate) fn sum_key(source: Source, key: &Key) -> SumKey<'_> {
+pub(crate) fn sum_key(source: Source, key: &UsageKey) -> SumKey<'_> {
     let kind = kind_number(key.kind);
     (source, key.hour, &key.account, &key.function, kind)
 }
 
-fn reading_key(incarnation: u64, key: &Key) -> ReadingKey<'_> {
+fn reading_key(incarnation: u64, key: &UsageKey) -> ReadingKey<'_> {
     let kind = kind_number(key.kind);
     (incarnation, key.hour, &key.account, &key.function, kind)
 }
 
 /// The key of a row; fails if the kind's number is unknown.
-pub(crate) fn key(hour: u32, account: &str, function: &str, kind: u8) -> Result<Key, Failed> {
-    let kind = *Kind::ALL
+pub(crate) fn key(
+    hour: u32,
+    account: &str,
+    function: &str,
+    kind: u8,
+) -> Result<UsageKey, StoreError> {
+    let kind = *UsageKind::ALL
         .get(usize::from(kind))
         .ok_or(UnreadableReason::UnknownKind)?;
-    Ok(Key {
+    Ok(UsageKey {
         hour,
         account: Arc::from(account),
         function: Arc::from(function),
@@ -62,15 +67,15 @@
     })
 }
 
-pub(crate) fn sum((byte_us, count): SumRow) -> Sum {
-    Sum { byte_us, count }
+pub(crate) fn sum((byte_us, count): SumRow) -> Usage {
+    Usage { byte_us, count }
 }
 
 /// Stores those readings that are larger than the stored ones.
 pub(crate) fn merge_readings(
     table: &mut Table<ReadingKey<'static>, u128>,
     readings: &Readings,
-) -> Result<(), Failed> {
+) -> Result<(), StoreError> {
     for ((incarnation, key), total) in &readings.0 {
         let row = reading_key(*incarnation, key);
         let stored = table
--- a/crates/usage-store/src/write_schedule.rs
+++ b/crates/usage-store/src/write_schedule.rs
@@ -16,7 +16,7 @@
 
 /// The schedule of one ledger's writes.
 #[derive(Debug, Default)]
-pub struct Writing {
+pub struct WriteSchedule {
     /// The wait after the last failure; 0 after a success.
     backoff: Micros,
     due_at: Micros,
@@ -25,27 +25,27 @@
     pub failures: u64,
 }
 
-impl Writing {
+impl WriteSchedule {
     /// Whether it is time to write.
     pub fn is_due(&self, now: Micros) -> bool {
         now >= self.due_at
     }
 
     /// A write succeeded.
-    pub fn wrote(&mut self, now: Micros) {
+    pub fn on_written(&mut self, now: Micros) {
         self.backoff = 0;
         self.due_at = now + INTERVAL;
     }
 
     /// A write failed.
-    pub fn failed(&mut self, now: Micros) {
+    pub fn on_failed(&mut self, now: Micros) {
         self.failures += 1;
         self.backoff = (self.backoff * 2).clamp(INTERVAL, MAX_BACKOFF);
         self.due_at = now + self.backoff;
     }
 
     /// Whether a ledger that cannot be read may be renamed now: true the first time only.
-    pub fn sets_aside(&mut self) -> bool {
+    pub fn may_set_aside(&mut self) -> bool {
         !std::mem::replace(&mut self.set_aside, true)
     }
 }
--- a/crates/usage-store/tests/crash_safety.rs
+++ b/crates/usage-store/tests/crash_safety.rs
@@ -5,9 +5,9 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-use cedarpulley_usage_metering::Part;
-use cedarpulley_usage_metering::usage::{Key, Kind, Sum};
-use cedarpulley_usage_store::{Failed, Ledger, Writing};
+use cedarpulley_usage_metering::UsageDelta;
+use cedarpulley_usage_metering::usage::{Usage, UsageKey, UsageKind};
+use cedarpulley_usage_store::{Ledger, StoreError, WriteSchedule};
 use rand::{Rng, SeedableRng};
 
 const FILE: &str = "CEDARPULLEY_TEST_LEDGER";
@@ -19,25 +19,25 @@
     folder
 }
 
-fn one(n: u64) -> Part {
-    let mut part = Part::default();
-    let key = Key {
+fn one(n: u64) -> UsageDelta {
+    let mut part = UsageDelta::default();
+    let key = UsageKey {
         hour: 7,
         account: "a".into(),
         function: "g".into(),
-        kind: Kind::Loading,
+        kind: UsageKind::Loading,
     };
     part.readings.record(5, key, u128::from(n + 1));
-    for kind in [Kind::Running, Kind::Idle] {
+    for kind in [UsageKind::Running, UsageKind::Idle] {
         let function = format!("f{}", n % 50).into();
         part.sums.add(
-            Key {
+            UsageKey {
                 hour: 7,
                 account: "a".into(),
                 function,
                 kind,
             },
-            Sum {
+            Usage {
                 byte_us: 1_000,
                 count: 1,
             },
@@ -84,9 +84,12 @@
         child.kill().expect("killed");
         let told = told.last().or(first);
         child.wait().expect("gone");
-        let book = Ledger::open(&file).expect("it opens").book().expect("read");
+        let book = Ledger::open(&file)
+            .expect("it opens")
+            .report()
+            .expect("read");
         // Nothing was begun, if it was killed before the file was.
-        let Some(m) = book.measured.get(&1) else {
+        let Some(m) = book.by_source.get(&1) else {
             continue;
         };
         assert!(
@@ -95,15 +98,15 @@
             m.number
         );
         // Whole writings only: both kinds alike, and as many as the number says.
-        let by = m.sums.by(|k| k.kind);
+        let by = m.sums.group_by(|k| k.kind);
         assert_eq!(
-            by[&Kind::Running],
-            Sum {
+            by[&UsageKind::Running],
+            Usage {
                 byte_us: u128::from(m.number) * 1_000,
                 count: m.number
             }
         );
-        assert_eq!(by[&Kind::Running], by[&Kind::Idle]);
+        assert_eq!(by[&UsageKind::Running], by[&UsageKind::Idle]);
         // The largest reading of a life: the one of its longest writer.
         assert!(
             book.readings
@@ -124,7 +127,7 @@
     (0..20).for_each(|n| {
         ledger.add(1, "r", &one(n)).expect("written");
     });
-    let whole = ledger.book().expect("read");
+    let whole = ledger.report().expect("read");
     drop(ledger);
     let bytes = std::fs::read(&file).expect("read");
     let mut random = rand_pcg::Pcg64Mcg::seed_from_u64(6);
@@ -139,7 +142,7 @@
         }
         let other = at.join(format!("{n}.ledger"));
         std::fs::write(&other, &damaged).expect("written");
-        let read = std::panic::catch_unwind(|| Ledger::open(&other).and_then(|l| l.book()));
+        let read = std::panic::catch_unwind(|| Ledger::open(&other).and_then(|l| l.report()));
         match read {
             Ok(Ok(book)) => assert!(book == whole, "{n}: another book"),
             Ok(Err(_)) => refused += 1,
@@ -160,13 +163,13 @@
                     .add(source, &format!("r{source}"), &one(n))
                     .expect("written");
             });
-            ledger.book().expect("read")
+            ledger.report().expect("read")
         })
         .collect();
     let joined = |name: &str, order: &mut dyn Iterator<Item = usize>| {
         let ledger = Ledger::open(&at.join(name)).expect("it opens");
-        order.for_each(|n| ledger.join(&books[n]).expect("joined"));
-        ledger.book().expect("read")
+        order.for_each(|n| ledger.merge(&books[n]).expect("joined"));
+        ledger.report().expect("read")
     };
     let forth = joined("forth", &mut (0..12));
     assert_eq!(forth, joined("back", &mut (0..12).rev().chain(0..12)));
@@ -175,18 +178,18 @@
 
 #[test]
 fn writes_back_off_after_failures_and_one_file_is_set_aside() {
-    let mut w = Writing::default();
+    let mut w = WriteSchedule::default();
     assert!(w.is_due(0));
-    w.wrote(0);
+    w.on_written(0);
     assert!(!w.is_due(999_999) && w.is_due(1_000_000));
     let mut now = 1_000_000;
     for wait in [1, 2, 4, 8] {
-        w.failed(now);
+        w.on_failed(now);
         assert!(!w.is_due(now + wait * 1_000_000 - 1) && w.is_due(now + wait * 1_000_000));
         now += wait * 1_000_000;
     }
     assert_eq!(
-        (w.failures, w.sets_aside(), w.sets_aside()),
+        (w.failures, w.may_set_aside(), w.may_set_aside()),
         (4, true, false)
     );
 }
@@ -196,9 +199,9 @@
     let file = folder("twice").join("meter.ledger");
     let _one = Ledger::open(&file).expect("it opens");
     // Another's is not damaged, and must not be set aside.
-    assert!(matches!(Ledger::open(&file), Err(Failed::InUse)));
+    assert!(matches!(Ledger::open(&file), Err(StoreError::InUse)));
     assert!(matches!(
         Ledger::open(Path::new("/proc/none/meter.ledger")),
-        Err(Failed::Unwritten(_))
+        Err(StoreError::Unwritten(_))
     ));
 }
--- a/crates/usage-store/tests/file_rows.rs
+++ b/crates/usage-store/tests/file_rows.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use cedarpulley_usage_metering::report::{Book, SourceUsage};
-use cedarpulley_usage_metering::{Key, Kind, Part, Sum};
+use cedarpulley_usage_metering::report::{SourceUsage, UsageReport};
+use cedarpulley_usage_metering::{Usage, UsageDelta, UsageKey, UsageKind};
 use cedarpulley_usage_store::{FORMAT, Ledger};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
@@ -21,14 +21,14 @@
 const READINGS: TableDefinition<ReadingRow, u128> = TableDefinition::new("readings");
 
 const LARGE: u128 = 0x0102_0304_0506_0708_090A_0B0C_0D0E_0F10;
-const KINDS: [Kind; 7] = [
-    Kind::Running,
-    Kind::Loading,
-    Kind::Idle,
-    Kind::Uncertain,
-    Kind::Shared,
-    Kind::Nothing,
-    Kind::Settled,
+const KINDS: [UsageKind; 7] = [
+    UsageKind::Running,
+    UsageKind::Loading,
+    UsageKind::Idle,
+    UsageKind::Uncertain,
+    UsageKind::Shared,
+    UsageKind::Nothing,
+    UsageKind::Settled,
 ];
 
 fn folder(name: &str) -> PathBuf {
@@ -38,8 +38,8 @@
     folder
 }
 
-fn key(hour: u32, kind: Kind) -> Key {
-    Key {
+fn key(hour: u32, kind: UsageKind) -> UsageKey {
+    UsageKey {
         hour,
         account: "amber".into(),
         function: "resize".into(),
@@ -48,11 +48,11 @@
 }
 
 /// A sum of each kind, and readings of the kinds that workers tell.
-fn part(hour: u32) -> Part {
-    let mut part = Part::default();
+fn part(hour: u32) -> UsageDelta {
+    let mut part = UsageDelta::default();
     for (kind, n) in KINDS.into_iter().zip(1..) {
         let byte_us = LARGE + u128::from(n);
-        part.sums.add(key(hour, kind), Sum { byte_us, count: n });
+        part.sums.add(key(hour, kind), Usage { byte_us, count: n });
     }
     for (kind, n) in KINDS.into_iter().zip(1..).take(3) {
         part.readings.record(90 + n, key(hour, kind), LARGE * 2);
@@ -67,8 +67,8 @@
     assert_eq!(ledger.add(LARGE, "r8", &part(500_000)).expect("written"), 1);
 }
 
-fn expected() -> Book {
-    let mut book = Book::default();
+fn expected() -> UsageReport {
+    let mut book = UsageReport::default();
     let of = |number, router: &str, hours: &[u32]| {
         let mut measured = SourceUsage {
             number,
@@ -80,7 +80,7 @@
         }
         measured
     };
-    book.measured = BTreeMap::from([
+    book.by_source = BTreeMap::from([
         (7, of(2, "r7", &[500_000, 500_001])),
         (LARGE, of(1, "r8", &[500_000])),
     ]);
@@ -144,7 +144,7 @@
     let file = pinned_file(&folder("pinned"));
     assert_eq!(rows(&file), ROWS);
     let ledger = Ledger::open(&file).expect("it opens");
-    assert_eq!(ledger.book().expect("read"), expected());
+    assert_eq!(ledger.report().expect("read"), expected());
 }
 
 #[test]
@@ -159,10 +159,10 @@
 
 #[test]
 fn kinds_keep_their_names_and_numbers() {
-    let names = Kind::ALL.map(Kind::name).join(" ");
+    let names = UsageKind::ALL.map(UsageKind::name).join(" ");
     assert_eq!(
         names,
         "running loading idle uncertain shared nothing settled"
     );
-    assert_eq!(Kind::ALL, KINDS);
+    assert_eq!(UsageKind::ALL, KINDS);
 }
