--- a/crates/trace/tests/coursed.rs
+++ b/crates/trace/tests/coursed.rs
@@ -1,4 +1,4 @@
-//! The course of a trace: bins that coarsen and lose nothing, and its chart.
+//! The timeline of a trace: bins that widen and lose no record, and its chart.
 
 mod small;
 
@@ -26,21 +26,25 @@
 
 #[test]
 fn a_long_span_has_wider_bins_and_counts_every_record() {
-    let (of, mut course): (Source, _) = (small::start().into(), Course::default());
+    let (of, mut timeline): (Source, _) = (small::start().into(), Course::default());
     let seconds = 100_000;
-    for s in 0..seconds {
+    for second in 0..seconds {
         // In any order: every other one from the end.
-        let at = if s % 2 == 0 { s } else { seconds - s };
-        let fate = if s % 4 == 0 {
+        let at = if second % 2 == 0 {
+            second
+        } else {
+            seconds - second
+        };
+        let fate = if second % 4 == 0 {
             Fate::Throttled
         } else {
             Fate::Succeeded
         };
-        course.record(&of, at * SECOND, &answered(fate, 70_000));
+        timeline.record(&of, at * SECOND, &answered(fate, 70_000));
     }
-    let bins = course.bins();
+    let bins = timeline.bins();
     assert!(bins.len() <= 600 && bins.len() > 300, "{}", bins.len());
-    assert!(bins.windows(2).all(|w| w[1].0 - w[0].0 == course.width()));
+    assert!(bins.windows(2).all(|w| w[1].0 - w[0].0 == timeline.width()));
     let sum = |figure: &dyn Fn(&cedarpulley_trace::timeline::TimelineBin) -> u64| {
         bins.iter().map(|b| figure(&b.1)).sum::<u64>()
     };
@@ -49,31 +53,31 @@
         seconds as u64
     );
     assert_eq!(sum(&|b| b.latencies.len()), sum(&|b| b.succeeded));
-    // Clocks that are out of all reason are borne, too.
-    course.record(&of, Micros::MAX, &answered(Fate::Errored, 1));
-    course.record(&of, Micros::MIN, &answered(Fate::Errored, 1));
-    assert!(course.bins().len() <= 600);
-    assert_eq!(course.bins().iter().map(|b| b.1.errored).sum::<u64>(), 2);
+    // Clock readings far out of range are counted, too.
+    timeline.record(&of, Micros::MAX, &answered(Fate::Errored, 1));
+    timeline.record(&of, Micros::MIN, &answered(Fate::Errored, 1));
+    assert!(timeline.bins().len() <= 600);
+    assert_eq!(timeline.bins().iter().map(|b| b.1.errored).sum::<u64>(), 2);
 }
 
 #[test]
 fn a_chart_has_title_panels_and_the_marked_worst_span() {
-    let (of, mut course): (Source, _) = (small::start().into(), Course::default());
+    let (of, mut timeline): (Source, _) = (small::start().into(), Course::default());
     assert!(
-        svg(&course, "nothing", None)
+        svg(&timeline, "nothing", None)
             .expect("drawn")
             .contains("nothing")
     );
-    for s in 0..20 {
-        course.record(
+    for second in 0..20 {
+        timeline.record(
             &of,
-            s * SECOND,
-            &answered(Fate::Succeeded, 70_000 + s * 1_000),
+            second * SECOND,
+            &answered(Fate::Succeeded, 70_000 + second * 1_000),
         );
     }
     let start = of.wall(0);
     let drawn = svg(
-        &course,
+        &timeline,
         "twenty < seconds",
         Some((start, start + 10 * SECOND)),
     )
--- a/crates/trace/tests/every_cause/mod.rs
+++ b/crates/trace/tests/every_cause/mod.rs
@@ -1,6 +1,6 @@
 //! A file of one router in which each cause that `explain` knows costs something, and each fate and action that
 //! `show`, `summary` and `rules` tell of occurs. Invented: no module decided it.
-#![allow(dead_code)] // Each user takes its part.
+#![allow(dead_code, reason = "each test binary uses its part")]
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::*;
@@ -18,16 +18,16 @@
 /// Records after this time are of loads, which count as one cause if there are many.
 pub const LOADS_AT: Micros = 100_000 * MS;
 
-struct Told {
-    gather: Gather,
+struct RecordingBuilder {
+    block: Gather,
     now: Micros,
     inv: u32,
 }
 
-impl Told {
-    fn new() -> Told {
-        let mut told = Told {
-            gather: Gather::default(),
+impl RecordingBuilder {
+    fn new() -> RecordingBuilder {
+        let mut recording = RecordingBuilder {
+            block: Gather::default(),
             now: 0,
             inv: 0,
         };
@@ -42,21 +42,23 @@
             started_at: None,
         };
         for n in 0..5 {
-            told.gather.name(0, Space::Worker, n, &format!("w{n}"));
-            told.gather.name(0, Space::Function, n, &format!("f{n}"));
+            recording.block.name(0, Space::Worker, n, &format!("w{n}"));
+            recording
+                .block
+                .name(0, Space::Function, n, &format!("f{n}"));
         }
-        told.record(Record::Decided {
+        recording.record(Record::Decided {
             event: RecordedEvent::List {
                 kind: EndpointListKind::Complete,
                 endpoints: (0..5).map(entry).collect(),
             },
             actions: vec![Action::RequestEndpointList { watch: true }],
         });
-        told
+        recording
     }
 
     fn record(&mut self, record: Record) {
-        self.gather.record(self.now, &record);
+        self.block.record(self.now, &record);
         self.now += 1;
     }
 
@@ -67,7 +69,12 @@
         });
     }
 
-    fn comes(&mut self, func: u32, waited: Micros, act: impl FnOnce(u32) -> Vec<Action>) -> u32 {
+    fn arrives(
+        &mut self,
+        function: u32,
+        waited: Micros,
+        act: impl FnOnce(u32) -> Vec<Action>,
+    ) -> u32 {
         self.inv += 1;
         let inv = self.inv;
         self.record(Record::Taken {
@@ -80,8 +87,8 @@
             invocation: inv,
             trigger: 1,
             account: 0,
-            function: func,
-            fingerprint: fingerprint(&format!("f{func}")),
+            function,
+            fingerprint: fingerprint(&format!("f{function}")),
             cost_hint: None,
             load_hint: None,
             copy_mb: 1.0,
@@ -95,8 +102,8 @@
         inv
     }
 
-    fn sent(&mut self, func: u32, worker: u32, waited: Micros) -> u32 {
-        self.comes(func, waited, |inv| {
+    fn sent(&mut self, function: u32, worker: u32, waited: Micros) -> u32 {
+        self.arrives(function, waited, |inv| {
             let time_out = Some(2_000 * MS);
             vec![Action::Dispatch {
                 invocation: inv,
@@ -159,8 +166,8 @@
         self.answered(Some(inv), Fate::Errored, Reason::GivenUp);
     }
 
-    fn held(&mut self, func: u32, act: impl FnOnce(u32) -> Vec<Action>) {
-        let inv = self.comes(func, 0, act);
+    fn queued(&mut self, function: u32, act: impl FnOnce(u32) -> Vec<Action>) {
+        let inv = self.arrives(function, 0, act);
         self.now += LATE;
         self.decided(
             Event::Timer { token: 7 },
@@ -172,7 +179,7 @@
         self.answered(Some(inv), Fate::Throttled, Reason::GivenUp);
     }
 
-    fn turned_away(&mut self, why: Short) {
+    fn rejected(&mut self, why: Short) {
         self.record(Record::TurnedAway {
             front: 1,
             trigger: 1,
@@ -189,7 +196,7 @@
             Short::Memory,
             Short::Worth,
         ] {
-            self.turned_away(why);
+            self.rejected(why);
         }
         for reason in [
             Reason::Share,
@@ -232,11 +239,11 @@
 
     fn loads(&mut self) {
         self.now = LOADS_AT;
-        for func in 1..4 {
-            self.held(func, |_| {
+        for function in 1..4 {
+            self.queued(function, |_| {
                 vec![Action::LoadOrder {
                     worker: 1,
-                    function: func,
+                    function,
                     copies: 1,
                 }]
             });
@@ -252,17 +259,17 @@
 }
 
 pub fn file() -> Vec<u8> {
-    let mut told = Told::new();
-    told.limits();
-    told.workers();
-    told.held(0, |_| vec![]);
-    told.record(Record::Gap {
+    let mut recording = RecordingBuilder::new();
+    recording.limits();
+    recording.workers();
+    recording.queued(0, |_| vec![]);
+    recording.record(Record::Gap {
         records: 12,
-        from: told.now,
-        until: told.now + 5,
+        from: recording.now,
+        until: recording.now + 5,
     });
-    told.loads();
+    recording.loads();
     let mut sheet = Sheet::begin(Vec::new(), &[start().into()]).expect("written");
-    sheet.block(0, &told.gather.close()).expect("written");
+    sheet.block(0, &recording.block.close()).expect("written");
     sheet.end().expect("written")
 }
--- a/crates/trace/tests/every_record/mod.rs
+++ b/crates/trace/tests/every_record/mod.rs
@@ -1,5 +1,5 @@
 //! One value of every kind that a trace can hold, with numbers that differ from field to field.
-#![allow(dead_code)] // Each user takes its part.
+#![allow(dead_code, reason = "each test binary uses its part")]
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::*;
--- a/crates/trace/tests/explained.rs
+++ b/crates/trace/tests/explained.rs
@@ -1,4 +1,4 @@
-//! Three planted troubles, each first among the causes, and none where there is none.
+//! Three injected faults, each ranked first among the causes, and no cause where there is no fault.
 
 use std::io::Cursor;
 
@@ -12,18 +12,18 @@
 
 const MS: Micros = 1_000;
 
-struct Told {
+struct Recording {
     source: Source,
     explain: Explain,
     now: Micros,
     inv: u32,
 }
 
-impl Told {
-    fn new() -> Told {
+impl Recording {
+    fn new() -> Recording {
         let kept = Cursor::new(include_bytes!("kept/format-1.trace"));
         let source = Reader::open(kept).expect("a trace").sources.swap_remove(0);
-        let mut t = Told {
+        let mut t = Recording {
             source,
             explain: Explain::default(),
             now: 0,
@@ -63,14 +63,14 @@
         });
     }
 
-    fn comes(&mut self, func: u32, actions: impl FnOnce(u32) -> Vec<Action>) -> u32 {
+    fn arrives(&mut self, function: u32, actions: impl FnOnce(u32) -> Vec<Action>) -> u32 {
         self.inv += 1;
         let inv = self.inv;
         let arrival = Arrival {
             invocation: inv,
             trigger: 0,
             account: 0,
-            function: func,
+            function,
             fingerprint: 0,
             cost_hint: None,
             load_hint: None,
@@ -86,15 +86,15 @@
     }
 
     /// A dispatch and its end after `took`; a success is answered before the module hears of it.
-    fn runs(
+    fn executes(
         &mut self,
-        func: u32,
+        function: u32,
         worker: u32,
         took: Micros,
         outcome: DispatchOutcome,
         note: CopyStatus,
     ) {
-        let inv = self.comes(func, |inv| {
+        let inv = self.arrives(function, |inv| {
             vec![Action::Dispatch {
                 invocation: inv,
                 worker,
@@ -142,9 +142,9 @@
 
 #[test]
 fn invocations_in_time_have_no_cause() {
-    let mut t = Told::new();
+    let mut t = Recording::new();
     (0..50).for_each(|n| {
-        t.runs(
+        t.executes(
             n % 4,
             n % 4,
             60 * MS,
@@ -157,9 +157,9 @@
 
 #[test]
 fn an_unresponsive_worker_ranks_first_and_a_slow_one_is_distinguished() {
-    let mut t = Told::new();
+    let mut t = Recording::new();
     (0..40).for_each(|n| {
-        t.runs(
+        t.executes(
             0,
             n % 2,
             60 * MS,
@@ -168,7 +168,7 @@
         )
     });
     (0..5).for_each(|_| {
-        t.runs(
+        t.executes(
             0,
             2,
             900 * MS,
@@ -176,7 +176,7 @@
             CopyStatus::Unreported,
         )
     });
-    (0..3).for_each(|_| t.runs(0, 3, 900 * MS, DispatchOutcome::Succeeded, CopyStatus::Warm));
+    (0..3).for_each(|_| t.executes(0, 3, 900 * MS, DispatchOutcome::Succeeded, CopyStatus::Warm));
     let ranked = t.ranked();
     assert_eq!(
         (&ranked[0].cause, ranked[0].lost),
@@ -195,21 +195,21 @@
 
 #[test]
 fn a_slow_store_is_one_cause_for_many_functions() {
-    let mut t = Told::new();
-    t.runs(3, 0, 900 * MS, DispatchOutcome::Succeeded, CopyStatus::Warm);
-    for func in 0..3 {
-        t.runs(
-            func,
+    let mut t = Recording::new();
+    t.executes(3, 0, 900 * MS, DispatchOutcome::Succeeded, CopyStatus::Warm);
+    for function in 0..3 {
+        t.executes(
+            function,
             1,
             1_500 * MS,
             DispatchOutcome::Succeeded,
             CopyStatus::LoadAwaited,
         );
         // Held while its load was on order, and given up.
-        let inv = t.comes(func, |_| {
+        let inv = t.arrives(function, |_| {
             vec![Action::LoadOrder {
                 worker: 1,
-                function: func,
+                function,
                 copies: 1,
             }]
         });
@@ -226,7 +226,7 @@
 
 #[test]
 fn shares_queueing_and_load_capacity_are_distinct_causes() {
-    let mut t = Told::new();
+    let mut t = Recording::new();
     (0..4).for_each(|_| {
         t.record(Record::TurnedAway {
             front: 0,
@@ -242,7 +242,7 @@
         why: Short::Worth,
     });
     for _ in 0..3 {
-        let inv = t.comes(0, |_| vec![]);
+        let inv = t.arrives(0, |_| vec![]);
         t.now += 700 * MS;
         t.answered(inv, Fate::Throttled, Reason::GivenUp, 700 * MS);
     }
@@ -257,7 +257,7 @@
         },
         vec![],
     );
-    let inv = t.comes(1, |_| vec![]);
+    let inv = t.arrives(1, |_| vec![]);
     t.answered(inv, Fate::Throttled, Reason::GivenUp, 0);
     let causes: Vec<(Cause, u64)> = t.ranked().into_iter().map(|r| (r.cause, r.lost)).collect();
     assert_eq!(causes[0], (Cause::ShareExceeded("amber".into()), 4));
@@ -275,8 +275,8 @@
 /// A question for how many copies stand at another worker ends like an order; the load is still out.
 #[test]
 fn the_end_of_a_copy_count_query_ends_no_load() {
-    let mut t = Told::new();
-    let inv = t.comes(0, |_| {
+    let mut t = Recording::new();
+    let inv = t.arrives(0, |_| {
         vec![Action::LoadOrder {
             worker: 1,
             function: 0,
@@ -295,7 +295,7 @@
         vec![],
     );
     t.now += 900 * MS;
-    let second = t.comes(0, |_| vec![]);
+    let second = t.arrives(0, |_| vec![]);
     t.now += 900 * MS;
     t.answered(inv, Fate::Throttled, Reason::GivenUp, 0);
     t.answered(second, Fate::Throttled, Reason::GivenUp, 0);
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -15,7 +15,7 @@
 use cedarpulley_trace::start::Start;
 use cedarpulley_trace::writer::{Note, Own, Row, run};
 use proptest::prelude::*;
-use small::{MS, places, start, written};
+use small::{MS, block_locations, start, written};
 
 /// Whole blocks, damaged ones, and how it ended.
 fn read(bytes: &[u8]) -> Option<(usize, usize, Option<Ended>)> {
@@ -34,7 +34,7 @@
 fn a_file_truncated_at_any_byte_is_read_up_to_its_last_whole_block() {
     let bytes = written(4, |_, _| {});
     assert_eq!(read(&bytes), Some((4, 0, Some(Ended::Well))));
-    let index = places(&bytes);
+    let index = block_locations(&bytes);
     let ends: Vec<u64> = index.iter().skip(1).map(|p| p.offset).collect();
     for cut in 0..bytes.len() {
         match read(&bytes[..cut]) {
@@ -54,7 +54,7 @@
 #[test]
 fn a_flipped_bit_costs_one_block_at_most() {
     let bytes = written(4, |_, _| {});
-    let first = places(&bytes)[0].offset as usize;
+    let first = block_locations(&bytes)[0].offset as usize;
     for at in 0..bytes.len() {
         let mut flipped = bytes.clone();
         flipped[at] ^= 1 << (at % 8);
--- a/crates/trace/tests/rewriting.rs
+++ b/crates/trace/tests/rewriting.rs
@@ -35,8 +35,8 @@
         ..r.sources[0].start.clone()
     };
     let mut sheet = Sheet::begin(Vec::new(), &[start.into()]).expect("written");
-    for place in small::places(KEPT) {
-        let (head, packed) = r.packed(&place).expect("read").expect("whole");
+    for location in small::block_locations(KEPT) {
+        let (head, packed) = r.packed(&location).expect("read").expect("whole");
         let sum = head.checksum_over(2, &packed);
         let head = cedarpulley_trace::blocks::BlockHeader {
             checksum: sum,
@@ -114,7 +114,7 @@
         "{counted:?}"
     );
     assert!(
-        read < small::places(&whole).len() as u64,
+        read < small::block_locations(&whole).len() as u64,
         "blocks outside were not read"
     );
     let mut out = Vec::new();
--- a/crates/trace/tests/ruled.rs
+++ b/crates/trace/tests/ruled.rs
@@ -1,4 +1,4 @@
-//! Each rule seen to break in a trace that breaks it, and to hold in one that does not.
+//! Each rule is reported as violated for a trace that violates it, and as kept for one that does not.
 
 use std::collections::HashMap;
 use std::io::Cursor;
@@ -11,7 +11,7 @@
 use cedarpulley_trace::start::Source;
 
 /// No rule broken.
-const NONE: [u8; 0] = [];
+const NO_RULE: [u8; 0] = [];
 const MS: Micros = 1_000;
 const KEPT: &[u8] = include_bytes!("kept/format-1.trace");
 
@@ -30,18 +30,18 @@
     s
 }
 
-enum Told {
-    Comes(u32),
-    Sends(u32, u32),
-    Ends(u32, u32, DispatchOutcome),
-    Answers(u32, Fate),
-    Leaves(u32),
-    Drains(u32),
-    Orders,
+enum RecordedStep {
+    Arrives(u32),
+    Dispatches(u32, u32),
+    DispatchEnds(u32, u32, DispatchOutcome),
+    Answered(u32, Fate),
+    ClientLeaves(u32),
+    WorkerDrains(u32),
+    OrdersLoad,
 }
-use Told::*;
+use RecordedStep::*;
 
-fn record(told: &Told) -> Vec<Record> {
+fn record(step: &RecordedStep) -> Vec<Record> {
     let decided = |event, actions| {
         vec![Record::Decided {
             event: RecordedEvent::Other(event),
@@ -49,8 +49,8 @@
         }]
     };
     let timer = Event::Timer { token: 1 };
-    match *told {
-        Comes(inv) => {
+    match *step {
+        Arrives(inv) => {
             let arrival = Arrival {
                 invocation: inv,
                 trigger: 0,
@@ -74,7 +74,7 @@
             };
             [vec![taken], decided(Event::Invocation(arrival), vec![])].concat()
         }
-        Sends(inv, worker) => decided(
+        Dispatches(inv, worker) => decided(
             timer,
             vec![Action::Dispatch {
                 invocation: inv,
@@ -82,7 +82,7 @@
                 timeout: None,
             }],
         ),
-        Ends(inv, dispatch, outcome) => {
+        DispatchEnds(inv, dispatch, outcome) => {
             let (took, note, report) = (MS, CopyStatus::Unreported, LoadReport::default());
             let ending = DispatchEnded {
                 invocation: inv,
@@ -97,7 +97,7 @@
             };
             decided(Event::DispatchEnded(ending), vec![])
         }
-        Answers(inv, fate) => {
+        Answered(inv, fate) => {
             let (reason, took) = (Reason::GivenUp, MS);
             vec![Record::Answered {
                 inv: Some(inv),
@@ -109,8 +109,8 @@
                 took,
             }]
         }
-        Leaves(inv) => decided(Event::ClientLeft { invocation: inv }, vec![]),
-        Drains(worker) => {
+        ClientLeaves(inv) => decided(Event::ClientLeft { invocation: inv }, vec![]),
+        WorkerDrains(worker) => {
             let entry = Endpoint {
                 worker,
                 fingerprint: 1,
@@ -130,7 +130,7 @@
                 actions: vec![],
             }]
         }
-        Orders => decided(
+        OrdersLoad => decided(
             timer,
             vec![Action::LoadOrder {
                 worker: 0,
@@ -142,12 +142,12 @@
 }
 
 /// Of one router, or of two that saw it one after the other.
-fn judged(effect: Effect, sides: &[&[(Micros, Told)]]) -> RuleCheck {
+fn checked(effect: Effect, routers: &[&[(Micros, RecordedStep)]]) -> RuleCheck {
     let (of, mut rules, mut sources) = (source(effect), Rules::default(), HashMap::new());
-    for (n, told) in sides.iter().enumerate() {
+    for (n, steps) in routers.iter().enumerate() {
         sources.insert(n as u32, of.clone());
-        for (at, told) in *told {
-            record(told)
+        for (at, step) in *steps {
+            record(step)
                 .iter()
                 .for_each(|r| rules.record(n as u32, &of, at * MS, r));
         }
@@ -155,132 +155,152 @@
     rules.finish(&sources)
 }
 
-fn broken(effect: Effect, told: &[(Micros, Told)]) -> Vec<u8> {
-    judged(effect, &[told]).rules.into_keys().collect()
+fn violated_rules(effect: Effect, steps: &[(Micros, RecordedStep)]) -> Vec<u8> {
+    checked(effect, &[steps]).rules.into_keys().collect()
 }
 
-const ONCE: Effect = Effect::NonIdempotent;
-const ANY: Effect = Effect::Idempotent;
-const TOKEN: Effect = Effect::IdempotentByKey {
+const NON_IDEMPOTENT: Effect = Effect::NonIdempotent;
+const IDEMPOTENT: Effect = Effect::Idempotent;
+const BY_KEY: Effect = Effect::IdempotentByKey {
     scope: DeduplicationScope::Zone,
     window: 1_000 * MS,
 };
 
 #[test]
 fn rule_1_one_answer_before_the_client_timeout() {
-    let good = (900, Answers(1, Fate::Succeeded));
-    assert_eq!(broken(ANY, &[(0, Comes(1)), good, (9_000, Orders)]), NONE);
+    let good = (900, Answered(1, Fate::Succeeded));
     assert_eq!(
-        broken(ANY, &[(0, Comes(1)), (2_200, Answers(1, Fate::Succeeded))]),
+        violated_rules(IDEMPOTENT, &[(0, Arrives(1)), good, (9_000, OrdersLoad)]),
+        NO_RULE
+    );
+    assert_eq!(
+        violated_rules(
+            IDEMPOTENT,
+            &[(0, Arrives(1)), (2_200, Answered(1, Fate::Succeeded))]
+        ),
         [1]
     );
     assert_eq!(
-        broken(ANY, &[(0, Comes(1)), (2_200, Orders)]),
+        violated_rules(IDEMPOTENT, &[(0, Arrives(1)), (2_200, OrdersLoad)]),
         [1],
         "never answered"
     );
-    let cut = judged(ANY, &[&[(0, Comes(1)), (1_000, Orders)]]);
+    let cut = checked(IDEMPOTENT, &[&[(0, Arrives(1)), (1_000, OrdersLoad)]]);
     assert_eq!(
         (cut.rules.len(), cut.unseen),
         (0, 1),
         "its trace ends before"
     );
     assert_eq!(
-        broken(ANY, &[(0, Comes(1)), (9, Leaves(1)), (5_000, Orders)]),
-        NONE,
+        violated_rules(
+            IDEMPOTENT,
+            &[(0, Arrives(1)), (9, ClientLeaves(1)), (5_000, OrdersLoad)]
+        ),
+        NO_RULE,
         "no answer is owed"
     );
     let after = [
-        (0, Comes(1)),
-        (9, Answers(1, Fate::Succeeded)),
-        (10, Sends(1, 0)),
-        (11, Ends(1, 0, DispatchOutcome::ConnectionLost)),
+        (0, Arrives(1)),
+        (9, Answered(1, Fate::Succeeded)),
+        (10, Dispatches(1, 0)),
+        (11, DispatchEnds(1, 0, DispatchOutcome::ConnectionLost)),
     ];
-    assert_eq!(broken(ANY, &after), [1]);
+    assert_eq!(violated_rules(IDEMPOTENT, &after), [1]);
     let unsent = [
-        (0, Comes(1)),
-        (9, Answers(1, Fate::Succeeded)),
-        (10, Sends(1, 0)),
-        (10, Ends(1, 0, DispatchOutcome::NotSent)),
+        (0, Arrives(1)),
+        (9, Answered(1, Fate::Succeeded)),
+        (10, Dispatches(1, 0)),
+        (10, DispatchEnds(1, 0, DispatchOutcome::NotSent)),
     ];
-    assert_eq!(broken(ANY, &unsent), NONE, "it never left");
+    assert_eq!(
+        violated_rules(IDEMPOTENT, &unsent),
+        NO_RULE,
+        "it never left"
+    );
 }
 
 #[test]
 fn rule_2_non_idempotent_work_is_not_repeated() {
     let again = |first: DispatchOutcome, effect| {
-        let told = [
-            (0, Comes(1)),
-            (1, Sends(1, 0)),
-            (20, Ends(1, 0, first)),
-            (30, Sends(1, 0)),
-            (40, Ends(1, 1, DispatchOutcome::Succeeded)),
-            (40, Answers(1, Fate::Succeeded)),
+        let steps = [
+            (0, Arrives(1)),
+            (1, Dispatches(1, 0)),
+            (20, DispatchEnds(1, 0, first)),
+            (30, Dispatches(1, 0)),
+            (40, DispatchEnds(1, 1, DispatchOutcome::Succeeded)),
+            (40, Answered(1, Fate::Succeeded)),
         ];
-        broken(effect, &told)
+        violated_rules(effect, &steps)
     };
-    assert_eq!(again(DispatchOutcome::Unreachable, ONCE), NONE);
-    assert_eq!(again(DispatchOutcome::TimedOut, ONCE), [2]);
-    assert_eq!(again(DispatchOutcome::TimedOut, ANY), NONE);
-    assert_eq!(again(DispatchOutcome::TimedOut, TOKEN), NONE);
+    assert_eq!(again(DispatchOutcome::Unreachable, NON_IDEMPOTENT), NO_RULE);
+    assert_eq!(again(DispatchOutcome::TimedOut, NON_IDEMPOTENT), [2]);
+    assert_eq!(again(DispatchOutcome::TimedOut, IDEMPOTENT), NO_RULE);
+    assert_eq!(again(DispatchOutcome::TimedOut, BY_KEY), NO_RULE);
     let harmless = [
-        (0, Comes(1)),
-        (1, Sends(1, 0)),
-        (9, Ends(1, 0, DispatchOutcome::ConnectionLost)),
-        (9, Answers(1, Fate::Throttled)),
+        (0, Arrives(1)),
+        (1, Dispatches(1, 0)),
+        (9, DispatchEnds(1, 0, DispatchOutcome::ConnectionLost)),
+        (9, Answered(1, Fate::Throttled)),
     ];
     assert_eq!(
-        (broken(ONCE, &harmless), broken(ANY, &harmless)),
+        (
+            violated_rules(NON_IDEMPOTENT, &harmless),
+            violated_rules(IDEMPOTENT, &harmless)
+        ),
         (vec![2], vec![])
     );
     let two = [
-        (0, Comes(1)),
-        (1, Sends(1, 0)),
-        (2, Sends(1, 1)),
-        (9, Ends(1, 1, DispatchOutcome::Succeeded)),
-        (9, Answers(1, Fate::Succeeded)),
+        (0, Arrives(1)),
+        (1, Dispatches(1, 0)),
+        (2, Dispatches(1, 1)),
+        (9, DispatchEnds(1, 1, DispatchOutcome::Succeeded)),
+        (9, Answered(1, Fate::Succeeded)),
     ];
-    assert_eq!(broken(ANY, &two), [2], "second copies are forbidden");
+    assert_eq!(
+        violated_rules(IDEMPOTENT, &two),
+        [2],
+        "second copies are forbidden"
+    );
     // By the mark of the message: another router may have run it.
-    let first: &[(Micros, Told)] = &[
-        (0, Comes(1)),
-        (1, Sends(1, 0)),
-        (20, Ends(1, 0, DispatchOutcome::ConnectionLost)),
-        (20, Leaves(1)),
+    let first: &[(Micros, RecordedStep)] = &[
+        (0, Arrives(1)),
+        (1, Dispatches(1, 0)),
+        (20, DispatchEnds(1, 0, DispatchOutcome::ConnectionLost)),
+        (20, ClientLeaves(1)),
     ];
-    let second: &[(Micros, Told)] = &[
-        (50, Comes(1)),
-        (51, Sends(1, 0)),
-        (60, Ends(1, 0, DispatchOutcome::Succeeded)),
-        (60, Answers(1, Fate::Succeeded)),
+    let second: &[(Micros, RecordedStep)] = &[
+        (50, Arrives(1)),
+        (51, Dispatches(1, 0)),
+        (60, DispatchEnds(1, 0, DispatchOutcome::Succeeded)),
+        (60, Answered(1, Fate::Succeeded)),
     ];
     assert_eq!(
-        judged(ONCE, &[first, second])
+        checked(NON_IDEMPOTENT, &[first, second])
             .rules
             .into_keys()
             .collect::<Vec<_>>(),
         [2]
     );
-    assert!(judged(ANY, &[first, second]).rules.is_empty());
+    assert!(checked(IDEMPOTENT, &[first, second]).rules.is_empty());
 }
 
 #[test]
 fn rule_2_retries_by_key_stay_within_scope_and_window() {
     let repeat = |worker: u32, at: Micros| {
-        let told = [
-            (0, Drains(0)),
-            (0, Drains(1)),
-            (0, Comes(1)),
-            (1, Sends(1, 0)),
-            (20, Ends(1, 0, DispatchOutcome::TimedOut)),
-            (at, Sends(1, worker)),
-            (at + 1, Ends(1, 1, DispatchOutcome::Succeeded)),
-            (at + 1, Answers(1, Fate::Succeeded)),
+        let steps = [
+            (0, WorkerDrains(0)),
+            (0, WorkerDrains(1)),
+            (0, Arrives(1)),
+            (1, Dispatches(1, 0)),
+            (20, DispatchEnds(1, 0, DispatchOutcome::TimedOut)),
+            (at, Dispatches(1, worker)),
+            (at + 1, DispatchEnds(1, 1, DispatchOutcome::Succeeded)),
+            (at + 1, Answered(1, Fate::Succeeded)),
         ];
-        broken(TOKEN, &told)
+        violated_rules(BY_KEY, &steps)
     };
     assert_eq!((repeat(0, 100), repeat(1, 100)), (vec![], vec![2]));
-    // Past the window, and past the grace of a drain too: one break, the graver is told.
+    // Past the window, and past the grace of a drain too: one violation, the graver is reported.
     assert_eq!(repeat(0, 1_100), [3]);
 }
 
@@ -288,20 +308,20 @@
 fn rules_3_and_5_drain_grace_and_load_order_quota() {
     let sent = |at: Micros| {
         let ends = [
-            (at, Sends(1, 0)),
-            (at + 1, Ends(1, 0, DispatchOutcome::Succeeded)),
-            (at + 1, Answers(1, Fate::Succeeded)),
+            (at, Dispatches(1, 0)),
+            (at + 1, DispatchEnds(1, 0, DispatchOutcome::Succeeded)),
+            (at + 1, Answered(1, Fate::Succeeded)),
         ];
-        let told: Vec<(Micros, Told)> = [(0, Drains(0)), (0, Comes(1))]
+        let steps: Vec<(Micros, RecordedStep)> = [(0, WorkerDrains(0)), (0, Arrives(1))]
             .into_iter()
             .chain(ends)
             .collect();
-        broken(ANY, &told)
+        violated_rules(IDEMPOTENT, &steps)
     };
     assert_eq!((sent(400), sent(600)), (vec![], vec![3]));
     let orders = |n: i64, apart: Micros| {
-        let told: Vec<(Micros, Told)> = (0..n).map(|k| (k * apart, Orders)).collect();
-        broken(ANY, &told)
+        let steps: Vec<(Micros, RecordedStep)> = (0..n).map(|k| (k * apart, OrdersLoad)).collect();
+        violated_rules(IDEMPOTENT, &steps)
     };
     assert_eq!(
         (orders(2, 1), orders(3, 1), orders(9, 600)),
@@ -321,9 +341,9 @@
             .iter()
             .for_each(|(at, x)| rules.record(0, &of, *at, x));
     }
-    let judged = rules.finish(&HashMap::from([(0, of)]));
+    let checked = rules.finish(&HashMap::from([(0, of)]));
     assert_eq!(
-        (judged.invocations, judged.rules.len(), judged.unseen),
+        (checked.invocations, checked.rules.len(), checked.unseen),
         (16, 0, 0)
     );
 }
--- a/crates/trace/tests/small/mod.rs
+++ b/crates/trace/tests/small/mod.rs
@@ -1,5 +1,5 @@
 //! A small router's trace, for tests; each uses its part.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test binary uses its part")]
 
 use std::io::Cursor;
 
@@ -207,7 +207,7 @@
 }
 
 /// Of all blocks, by the index.
-pub fn places(bytes: &[u8]) -> Vec<BlockLocation> {
+pub fn block_locations(bytes: &[u8]) -> Vec<BlockLocation> {
     let mut reader = Reader::open(Cursor::new(bytes)).expect("a trace");
     assert!(reader.has_index());
     std::iter::from_fn(|| reader.next_place().expect("read")).collect()
