--- a/crates/trace/tests/small/mod.rs
+++ b/crates/trace/tests/small/mod.rs
@@ -81,31 +81,31 @@
     }
 }
 
-/// What a small router would have seen, as its module decided it, in so many blocks.
-pub fn written(blocks: usize, change: impl Fn(u64, &mut Vec<Action>)) -> Vec<u8> {
-    let start = start();
-    let mut control = start.balancer();
-    let mut sheet = Sheet::begin(Vec::new(), &[start.clone().into()]).expect("written");
-    let (mut now, mut decision) = (0, 0);
-    for block in 0..blocks {
-        let mut g = Gather::default();
-        let mut told = |g: &mut Gather, now: Micros, happened: RecordedEvent| {
-            let mut actions = Vec::new();
-            control.handle(now, &happened.event(), &mut actions);
-            decision += 1;
-            let asked = actions.clone();
-            change(decision, &mut actions);
-            g.record(
-                now,
-                &Record::Decided {
-                    event: happened,
-                    actions,
-                },
-            );
-            asked
-        };
-        g.name(now, Space::Function, 0, "quote:7");
-        let entries = (0..3).map(|worker| Endpoint {
+/// A small router with the present block of its trace.
+struct SmallRouter<F> {
+    balancer: cedarpulley::Balancer,
+    block: Gather,
+    now: Micros,
+    decisions: u64,
+    /// Changes the recorded actions of the decision with this number.
+    change: F,
+}
+
+impl<F: Fn(u64, &mut Vec<Action>)> SmallRouter<F> {
+    /// Records a decision; returns the actions as they were decided.
+    fn decide(&mut self, event: RecordedEvent) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, &event.event(), &mut actions);
+        self.decisions += 1;
+        let decided = actions.clone();
+        (self.change)(self.decisions, &mut actions);
+        self.block
+            .record(self.now, &Record::Decided { event, actions });
+        decided
+    }
+
+    fn list_workers(&mut self) {
+        let endpoint = |worker| Endpoint {
             worker,
             fingerprint: u64::from(worker) + 99,
             zone: 0,
@@ -114,96 +114,103 @@
             state: EndpointState::InService,
             weight: 1.0,
             started_at: None,
-        });
-        if block == 0 {
-            (0..3).for_each(|w| g.name(now, Space::Worker, w, &format!("127.0.0.1:{w}")));
-            told(
-                &mut g,
-                now,
-                RecordedEvent::List {
-                    kind: EndpointListKind::Complete,
-                    endpoints: entries.collect(),
-                },
-            );
+        };
+        for worker in 0..3 {
+            let address = format!("127.0.0.1:{worker}");
+            self.block.name(self.now, Space::Worker, worker, &address);
         }
-        for inv in 0..4 {
-            now += 3 * MS;
-            g.record(
-                now,
-                &Record::Taken {
-                    inv,
-                    front: 0,
-                    mark: Some(u64::from(inv)),
-                    redelivered: false,
-                },
-            );
-            let arrival = Arrival {
-                invocation: inv,
-                trigger: 0,
-                account: 0,
-                function: 0,
-                fingerprint: cedarpulley::ids::fingerprint("quote:7"),
-                cost_hint: None,
-                load_hint: Some(50 * MS),
-                copy_mb: 10.0,
-                lanes: 8,
-                client_timeout_in: 3_000 * MS,
-                waited: 5,
-                repeat: false,
-                preferred_worker: None,
-            };
-            let asked = told(
-                &mut g,
-                now,
-                RecordedEvent::Other(Event::Invocation(arrival)),
-            );
-            now += MS;
-            for action in asked {
-                let Action::Dispatch {
-                    invocation: inv,
-                    worker,
-                    ..
-                } = action
-                else {
-                    continue;
-                };
-                let (fate, reason) = (Fate::Succeeded, Reason::Worker);
-                g.record(
-                    now,
-                    &Record::Answered {
-                        inv: Some(inv),
-                        front: 0,
-                        fate,
-                        reason,
-                        trigger: 0,
-                        account: 0,
-                        took: MS,
-                    },
-                );
-                let ending = DispatchEnded {
-                    invocation: inv,
-                    dispatch: 0,
-                    worker,
-                    outcome: DispatchOutcome::Succeeded,
-                    took: MS,
-                    answered: true,
-                    copy_status: CopyStatus::Warm,
-                    function_load: Some(1),
-                    report: LoadReport {
-                        utilization: Some(0.25),
-                        ..Default::default()
-                    },
-                };
-                told(
-                    &mut g,
-                    now,
-                    RecordedEvent::Other(Event::DispatchEnded(ending)),
-                );
+        self.decide(RecordedEvent::List {
+            kind: EndpointListKind::Complete,
+            endpoints: (0..3).map(endpoint).collect(),
+        });
+    }
+
+    /// Accepts an invocation and succeeds at once in every dispatch.
+    fn invoke(&mut self, invocation: InvocationIndex) {
+        self.now += 3 * MS;
+        let accepted = Record::Taken {
+            inv: invocation,
+            front: 0,
+            mark: Some(u64::from(invocation)),
+            redelivered: false,
+        };
+        self.block.record(self.now, &accepted);
+        let arrival = Arrival {
+            invocation,
+            trigger: 0,
+            account: 0,
+            function: 0,
+            fingerprint: cedarpulley::ids::fingerprint("quote:7"),
+            cost_hint: None,
+            load_hint: Some(50 * MS),
+            copy_mb: 10.0,
+            lanes: 8,
+            client_timeout_in: 3_000 * MS,
+            waited: 5,
+            repeat: false,
+            preferred_worker: None,
+        };
+        let actions = self.decide(RecordedEvent::Other(Event::Invocation(arrival)));
+        self.now += MS;
+        for action in actions {
+            if let Action::Dispatch {
+                invocation, worker, ..
+            } = action
+            {
+                self.succeed(invocation, worker);
             }
         }
-        sheet.block(0, &g.close()).expect("written");
     }
-    sheet.end().expect("written")
+
+    fn succeed(&mut self, invocation: InvocationIndex, worker: WorkerIndex) {
+        let answered = Record::Answered {
+            inv: Some(invocation),
+            front: 0,
+            fate: Fate::Succeeded,
+            reason: Reason::Worker,
+            trigger: 0,
+            account: 0,
+            took: MS,
+        };
+        self.block.record(self.now, &answered);
+        let ended = DispatchEnded {
+            invocation,
+            dispatch: 0,
+            worker,
+            outcome: DispatchOutcome::Succeeded,
+            took: MS,
+            answered: true,
+            copy_status: CopyStatus::Warm,
+            function_load: Some(1),
+            report: LoadReport {
+                utilization: Some(0.25),
+                ..Default::default()
+            },
+        };
+        self.decide(RecordedEvent::Other(Event::DispatchEnded(ended)));
+    }
+}
+
+/// What a small router would have seen, as its module decided it, in so many blocks.
+pub fn written(blocks: usize, change: impl Fn(u64, &mut Vec<Action>)) -> Vec<u8> {
+    let start = start();
+    let mut file = Sheet::begin(Vec::new(), &[start.clone().into()]).expect("written");
+    let mut router = SmallRouter {
+        balancer: start.balancer(),
+        block: Gather::default(),
+        now: 0,
+        decisions: 0,
+        change,
+    };
+    for block in 0..blocks {
+        router.block.name(router.now, Space::Function, 0, "quote:7");
+        if block == 0 {
+            router.list_workers();
+        }
+        (0..4).for_each(|invocation| router.invoke(invocation));
+        file.block(0, &router.block.close()).expect("written");
+    }
+    file.end().expect("written")
 }
 
 /// Of all blocks, by the index.
