--- a/crates/invariant-checker/src/warm_capacity/prefixes.rs
+++ b/crates/invariant-checker/src/warm_capacity/prefixes.rs
@@ -287,11 +287,7 @@
 
     /// Where a dispatch should have gone, and why it may not have.
     fn explain(&self, line: &'a LogLine, background: &Background<'a>) -> Explanation<'a> {
-        let (id, function, router) = (
-            line.invocation_id(),
-            line.text("function"),
-            line.text("from"),
-        );
+        let (id, function) = (line.invocation_id(), line.text("function"));
         let came = self.delivered.get(id).copied().unwrap_or(line.at);
         // A router knows of an answer once it has passed it on.
         let last = background
@@ -305,6 +301,25 @@
                 wanted: "",
             };
         };
+        Explanation {
+            cause: self.cause(line, last, came, background),
+            wanted: last.worker,
+        }
+    }
+
+    /// Why a dispatch need not have found the prefix that the session's last answered turn left.
+    fn cause(
+        &self,
+        line: &LogLine,
+        last: &AnsweredTurn,
+        came: i64,
+        background: &Background,
+    ) -> Why {
+        let (id, function, router) = (
+            line.invocation_id(),
+            line.text("function"),
+            line.text("from"),
+        );
         let record = |function| self.functions.get(&(last.worker, function));
         let wanted = record(function);
         let loss = [record(""), wanted]
@@ -317,7 +332,7 @@
             let held = background.excused.held_since(router, last.worker, line.at);
             held.is_some()
         };
-        let cause = if let Some(loss) = loss {
+        if let Some(loss) = loss {
             loss.cause
         } else if last.worker == line.source {
             // It went where it should. What is not found there was dropped by the session's last turn.
@@ -337,10 +352,6 @@
             Why::Elsewhere
         } else {
             Why::Astray
-        };
-        Explanation {
-            cause,
-            wanted: last.worker,
         }
     }
 
--- a/crates/test-cluster/src/cluster.rs
+++ b/crates/test-cluster/src/cluster.rs
@@ -106,9 +106,9 @@
     ///
     /// # Errors
     /// When the folder cannot be written to, or loopback addresses cannot be bound.
-    pub fn prepare(day: &Day, launch: Launch) -> Result<Fleet, Wrong> {
-        let folder = launch.out.display().to_string();
-        setup::set_up(day, &rule_settings(day), launch)
+    pub fn prepare(scenario: &Day, options: Launch) -> Result<Fleet, Wrong> {
+        let folder = options.out.display().to_string();
+        setup::set_up(scenario, &rule_settings(scenario), options)
             .map_err(|source| Wrong::Setup { folder, source })
     }
 
@@ -117,8 +117,8 @@
     /// # Errors
     /// When a process cannot be started, or they are not ready in time.
     pub fn start_routers(&self) -> Result<(), Wrong> {
-        for n in 0..self.routers.len() {
-            self.start_router(n, State::Kept)?;
+        for number in 0..self.routers.len() {
+            self.start_router(number, State::Kept)?;
         }
         let consuming = || self.broker.consumers() >= self.expected_consumers;
         if !until(READY_TIMEOUT, consuming) {
@@ -132,22 +132,22 @@
 
     /// Whether each router that has a group may vote in it.
     pub fn all_remember(&self) -> bool {
-        (0..self.peer_ports.len()).all(|n| self.remembers(n))
+        (0..self.peer_ports.len()).all(|number| self.remembers(number))
     }
 
     /// Whether a router may vote: it has forgotten nothing that it promised.
-    pub fn remembers(&self, n: usize) -> bool {
-        self.state(n).is_some_and(|s| s["memory"] == "whole")
+    pub fn remembers(&self, number: usize) -> bool {
+        self.state(number).is_some_and(|s| s["memory"] == "whole")
     }
 
     /// A router's `/state`, if it answers.
-    pub fn state(&self, n: usize) -> Option<serde_json::Value> {
-        state(self.peer(n)?).ok()
+    pub fn state(&self, number: usize) -> Option<serde_json::Value> {
+        state(self.peer(number)?).ok()
     }
 
     /// A router's name in the table of links and in the logs: its source address.
-    pub fn router(&self, n: usize) -> String {
-        self.addresses[n].to_string()
+    pub fn router(&self, number: usize) -> String {
+        self.addresses[number].to_string()
     }
 
     /// A worker's name in the table of links and in the logs.
@@ -161,33 +161,33 @@
     }
 
     /// Where a router listens for its peers; for [`crate::router_state::state`].
-    pub fn peer(&self, n: usize) -> Option<SocketAddr> {
-        self.peer_ports.get(n).map(|r| r.address)
+    pub fn peer(&self, number: usize) -> Option<SocketAddr> {
+        self.peer_ports.get(number).map(|r| r.address)
     }
 
     /// Starts a router unless it runs.
     ///
     /// # Errors
     /// When its process cannot be started.
-    pub fn start_router(&self, n: usize, state: State) -> Result<(), Wrong> {
-        let mut router = lock(&self.routers[n]);
+    pub fn start_router(&self, number: usize, state: State) -> Result<(), Wrong> {
+        let mut router = lock(&self.routers[number]);
         // Two faults may have killed it; it is started once.
         if router.is_up() {
             return Ok(());
         }
         self.log
-            .write("router-up", json!({"address": self.router(n)}));
+            .write("router-up", json!({"address": self.router(number)}));
         router
             .start(state)
-            .map_err(|source| Wrong::Router { number: n, source })
+            .map_err(|source| Wrong::Router { number, source })
     }
 
     /// Kills a router if it runs.
-    pub fn kill_router(&self, n: usize) {
-        let mut router = lock(&self.routers[n]);
+    pub fn kill_router(&self, number: usize) {
+        let mut router = lock(&self.routers[number]);
         if router.is_up() {
             self.log
-                .write("router-down", json!({"address": self.router(n)}));
+                .write("router-down", json!({"address": self.router(number)}));
             router.kill();
         }
     }
@@ -196,18 +196,18 @@
     ///
     /// # Errors
     /// When its process cannot be signalled, or does not stop in time.
-    pub fn pause_router(&self, n: usize, on: bool) -> Result<(), Wrong> {
-        let mut router = lock(&self.routers[n]);
+    pub fn pause_router(&self, number: usize, on: bool) -> Result<(), Wrong> {
+        let mut router = lock(&self.routers[number]);
         if !router.is_up() || router.is_paused() == on {
             return Ok(());
         }
         let log_change = || {
             self.log.write(
                 "router-paused",
-                json!({"address": self.router(n), "on": on}),
+                json!({"address": self.router(number), "on": on}),
             )
         };
-        let failed = |source| Wrong::Router { number: n, source };
+        let failed = |source| Wrong::Router { number, source };
         if on {
             log_change();
             return router.pause().map_err(failed);
@@ -239,14 +239,14 @@
     ///
     /// # Errors
     /// When it cannot be signalled.
-    pub fn hang_up(&self, n: usize) -> Result<(), Wrong> {
-        let router = lock(&self.routers[n]);
+    pub fn hang_up(&self, number: usize) -> Result<(), Wrong> {
+        let router = lock(&self.routers[number]);
         if !router.is_up() {
             return Ok(());
         }
         router
             .hang_up()
-            .map_err(|source| Wrong::Router { number: n, source })
+            .map_err(|source| Wrong::Router { number, source })
     }
 
     /// Writes upgrade orders and signals all routers. For the checker, the capacity that these models have now is what
@@ -257,7 +257,7 @@
     pub fn order_upgrade(&self, models: &[&str], text: &str) -> Result<(), Wrong> {
         self.write_upgrade(text)?;
         self.log.write("upgrade", json!({"models": models}));
-        (0..self.routers.len()).try_for_each(|n| self.hang_up(n))
+        (0..self.routers.len()).try_for_each(|number| self.hang_up(number))
     }
 
     /// Tells the checker that these models' floors need to hold no longer.
@@ -332,8 +332,8 @@
     /// Heals all links, resumes all routers and shuts them down; true if each ended gracefully and in time.
     pub fn stop(&self, within: Duration) -> bool {
         self.links.heal();
-        for n in 0..self.routers.len() {
-            if let Err(e) = self.pause_router(n, false) {
+        for number in 0..self.routers.len() {
+            if let Err(e) = self.pause_router(number, false) {
                 tracing::error!("{}", e.line());
             }
         }
--- a/crates/test-cluster/src/cluster/router_settings.rs
+++ b/crates/test-cluster/src/cluster/router_settings.rs
@@ -21,7 +21,7 @@
 
 /// What one router's settings are made of.
 pub(super) struct RouterSettings<'a> {
-    pub(super) day: &'a Day,
+    pub(super) scenario: &'a Day,
     /// The router's number.
     pub(super) number: u32,
     /// The broker, as this router reaches it.
@@ -60,30 +60,30 @@
     }
 
     fn is_witness(&self) -> bool {
-        self.day.witness && self.number + 1 == self.day.routers
+        self.scenario.witness && self.number + 1 == self.scenario.routers
     }
 
     fn write_router(&self, text: &mut String) -> fmt::Result {
-        let (day, number) = (self.day, self.number);
+        let (scenario, number) = (self.scenario, self.number);
         writeln!(
             text,
             "[router]\nseed = {}\nrouters = {}\nposition = {number}",
-            day.seed + u64::from(number),
-            day.routers
+            scenario.seed + u64::from(number),
+            scenario.routers
         )?;
         writeln!(
             text,
             "zone = {:?}\nzones = {:?}",
-            day.zones[day.zone_of(number) as usize],
-            day.zones
+            scenario.zones[scenario.zone_of(number) as usize],
+            scenario.zones
         )?;
         writeln!(
             text,
             "from = \"{}\"\n{}",
-            router_address_of(day, number),
-            day.settings.router
+            router_address_of(scenario, number),
+            scenario.settings.router
         )?;
-        if let Some(offset) = day.clock_offsets_ms.get(number as usize) {
+        if let Some(offset) = scenario.clock_offsets_ms.get(number as usize) {
             writeln!(text, "[rig]\nclock_offset_ms = {offset}\n")?;
         }
         // Each scenario leaves its routers' usage ledgers and traces, those of killed ones cut as the kill left them.
@@ -97,7 +97,7 @@
     }
 
     fn write_rules(&self, text: &mut String) -> fmt::Result {
-        let settings = &self.day.settings;
+        let settings = &self.scenario.settings;
         for (name, table) in [
             ("rules", &settings.rules),
             ("dispatch", &settings.dispatch),
@@ -111,7 +111,7 @@
 
     fn write_worker_kinds(&self, text: &mut String) -> fmt::Result {
         let mut kinds: Vec<&str> = Vec::new();
-        for group in &self.day.workers {
+        for group in &self.scenario.workers {
             if kinds.contains(&group.kind.as_str()) {
                 continue;
             }
@@ -126,7 +126,7 @@
     }
 
     fn write_triggers(&self, text: &mut String) -> fmt::Result {
-        for trigger in &self.day.triggers {
+        for trigger in &self.scenario.triggers {
             writeln!(
                 text,
                 "[[trigger]]\nname = {:?}\neffect = {:?}",
@@ -151,8 +151,8 @@
     }
 
     fn write_accounts_and_fronts(&self, text: &mut String) -> fmt::Result {
-        let (day, broker) = (self.day, self.broker);
-        for account in &day.accounts {
+        let (scenario, broker) = (self.scenario, self.broker);
+        for account in &scenario.accounts {
             writeln!(
                 text,
                 "[[account]]\nname = {:?}\nshare = {:?}",
@@ -163,12 +163,12 @@
         if self.is_witness() {
             return Ok(());
         }
-        for account in &day.accounts {
+        for account in &scenario.accounts {
             let name = &account.name;
             writeln!(text, "[[amqp]]\nname = {name:?}\nbroker = \"{broker}\"")?;
             writeln!(text, "queue = {:?}\nshare_of = {name:?}\n", queue(name))?;
         }
-        if day.kserve_part > 0.0 {
+        if scenario.kserve_part > 0.0 {
             writeln!(text, "[[kserve]]\nlisten = \"{}\"\n", self.kserve)?;
         }
         Ok(())
@@ -186,10 +186,10 @@
         writeln!(
             text,
             "name = {:?}\nstate = \"state-{}\"\n{}",
-            own.name, self.number, self.day.settings.peers
+            own.name, self.number, self.scenario.settings.peers
         )?;
         for (number, member) in self.members.iter().enumerate() {
-            let witness = self.day.witness && number + 1 == self.members.len();
+            let witness = self.scenario.witness && number + 1 == self.members.len();
             writeln!(
                 text,
                 "\n[[peers.member]]\nname = {:?}\naddress = \"{}\"",
@@ -205,7 +205,7 @@
     }
 
     fn write_optional_tables(&self, text: &mut String) -> fmt::Result {
-        let settings = &self.day.settings;
+        let settings = &self.scenario.settings;
         for (name, table) in [
             ("upgrade", &settings.upgrade),
             ("reconcile", &settings.reconcile),
--- a/crates/test-cluster/src/cluster/rules.rs
+++ b/crates/test-cluster/src/cluster/rules.rs
@@ -17,11 +17,11 @@
 }
 
 /// The rules that the checker holds the routers to, as the scenario and the routers' settings say them.
-pub fn rule_settings(day: &Day) -> RuleSettings {
-    let (rules, loads) = (&day.settings.rules, &day.settings.loads);
+pub fn rule_settings(scenario: &Day) -> RuleSettings {
+    let (rules, loads) = (&scenario.settings.rules, &scenario.settings.loads);
     let us =
         |table: &toml::Table, key: &str, default: f64| (figure(table, key, default) * 1e3) as i64;
-    let trigger_types: BTreeMap<_, _> = day
+    let trigger_types: BTreeMap<_, _> = scenario
         .triggers
         .iter()
         .map(|trigger| {
@@ -33,14 +33,14 @@
             (trigger.name.clone(), rules)
         })
         .collect();
-    let worker_regions = day
+    let worker_regions = scenario
         .workers
         .iter()
-        .flat_map(|group| (0..group.count).map(|_| day.region_of(&group.zone)))
+        .flat_map(|group| (0..group.count).map(|_| scenario.region_of(&group.zone)))
         .enumerate()
         .map(|(number, region)| (worker_name(number), region.to_owned()))
         .collect();
-    let hedged_requests = day.settings.dispatch.get("second_copies");
+    let hedged_requests = scenario.settings.dispatch.get("second_copies");
     RuleSettings {
         trigger_types,
         answer_slack_us: us(rules, "answer_slack_ms", 0.0),
@@ -53,10 +53,10 @@
         load_quota_base: figure(loads, "ration_few", 0.0),
         load_quota_per_invocation: figure(loads, "ration_part", 0.0),
         hedged_requests: hedged_requests.and_then(toml::Value::as_bool) == Some(true),
-        leeway_us: day.leeway_ms as i64 * 1000,
+        leeway_us: scenario.leeway_ms as i64 * 1000,
         regions: worker_regions,
-        floor_share: day.floor,
-        floor_known_us: day.floor_known_ms as i64 * 1000,
+        floor_share: scenario.floor,
+        floor_known_us: scenario.floor_known_ms as i64 * 1000,
         floors: Vec::new(),
     }
 }
--- a/crates/test-cluster/src/cluster/setup.rs
+++ b/crates/test-cluster/src/cluster/setup.rs
@@ -30,25 +30,31 @@
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 /// The source address of a router.
-pub(super) fn router_address_of(day: &Day, number: u32) -> IpAddr {
-    router_address(day.zone_of(number), number)
+pub(super) fn router_address_of(scenario: &Day, number: u32) -> IpAddr {
+    router_address(scenario.zone_of(number), number)
 }
 
-pub(super) fn set_up(day: &Day, rules: &RuleSettings, launch: Launch) -> io::Result<Fleet> {
-    let out = &launch.out;
+/// Removes what an earlier run left.
+fn prepare_folder(out: &Path) -> io::Result<()> {
     for old in ["traffic", "routers", "traces", "meter"] {
         if out.join(old).exists() {
             std::fs::remove_dir_all(out.join(old))?;
         }
     }
-    std::fs::create_dir_all(out.join("routers"))?;
+    std::fs::create_dir_all(out.join("routers"))
+}
+
+/// Starts the emulators and prepares the routers' processes.
+pub(super) fn set_up(scenario: &Day, rules: &RuleSettings, options: Launch) -> io::Result<Fleet> {
+    let out = &options.out;
+    prepare_folder(out)?;
     std::fs::write(out.join("terms.json"), serde_json::to_string_pretty(rules)?)?;
-    let emulators = Emulators::start(day, rules, out)?;
+    let emulators = Emulators::start(scenario, rules, out)?;
     let log = emulators.host.log("day")?;
     let links = Links::new(Some(log.clone()));
-    let ports = RouterPorts::reserve(day)?;
+    let ports = RouterPorts::reserve(scenario)?;
     let mut relays = RelaySet {
-        day,
+        scenario,
         host: &emulators.host,
         links: &links,
         relays: Vec::new(),
@@ -56,7 +62,7 @@
     };
     let mut routers = Vec::new();
     for number in 0..ports.addresses.len() {
-        let process = prepare_router(day, &launch, number, &ports, &emulators, &mut relays)?;
+        let process = prepare_router(scenario, &options, number, &ports, &emulators, &mut relays)?;
         routers.push(Mutex::new(process));
     }
     let RelaySet {
@@ -64,7 +70,7 @@
         worker_addresses,
         ..
     } = relays;
-    if !day.regions.is_empty() {
+    if !scenario.regions.is_empty() {
         emulators.list.seen_as(move |router, worker| {
             worker_addresses
                 .get(&(router, worker))
@@ -72,12 +78,7 @@
                 .unwrap_or(worker)
         });
     }
-    let zone_regions = day
-        .zones
-        .iter()
-        .map(|zone| (zone.clone(), day.region_of(zone).to_owned()))
-        .collect();
-    let consuming_routers = day.routers as usize - usize::from(day.witness);
+    let consuming_routers = scenario.routers as usize - usize::from(scenario.witness);
     Ok(Fleet {
         ground: emulators.host,
         broker: emulators.broker,
@@ -90,15 +91,24 @@
         routers,
         addresses: ports.addresses,
         regions: ports.regions,
-        zone_regions,
+        zone_regions: zone_regions(scenario),
         kserve_ports: ports.kserve,
         peer_ports: ports.peers,
         _relays: relays,
-        out: launch.out,
-        expected_consumers: consuming_routers * day.accounts.len(),
+        out: options.out,
+        expected_consumers: consuming_routers * scenario.accounts.len(),
     })
 }
 
+/// Regions of the zones, by name.
+fn zone_regions(scenario: &Day) -> HashMap<String, String> {
+    scenario
+        .zones
+        .iter()
+        .map(|zone| (zone.clone(), scenario.region_of(zone).to_owned()))
+        .collect()
+}
+
 /// All that routers talk to.
 struct Emulators {
     host: Ground,
@@ -110,29 +120,29 @@
 }
 
 impl Emulators {
-    fn start(day: &Day, rules: &RuleSettings, out: &Path) -> io::Result<Self> {
+    fn start(scenario: &Day, rules: &RuleSettings, out: &Path) -> io::Result<Self> {
         let host = Ground::new(THREADS, Some(&out.join("traffic")))?;
         let broker = Broker::start(&host, BROKER, ANY_PORT)?;
-        for account in &day.accounts {
+        for account in &scenario.accounts {
             broker.declare(&queue(&account.name));
         }
         let profile = store::Nature {
-            mb_per_s: day.store.mb_per_s,
-            abreast: day.store.abreast,
-            most: day.store.most,
+            mb_per_s: scenario.store.mb_per_s,
+            abreast: scenario.store.abreast,
+            most: scenario.store.most,
         };
         let store = Store::start(&host, "store", ANY_PORT, profile)?;
         let list = List::start(&host, LIST, ANY_PORT)?;
-        let programs = programs(day);
+        let programs = programs(scenario);
         let (memory, mut workers, mut rows) = (Memory::default(), Vec::new(), Vec::new());
-        let groups = day.workers.iter();
+        let groups = scenario.workers.iter();
         for group in groups.flat_map(|group| (0..group.count).map(move |_| group)) {
             let worker = Worker::start(
                 &host,
                 &worker_name(workers.len()),
                 ANY_PORT,
-                day.seed,
-                worker_profile(day, rules, group),
+                scenario.seed,
+                worker_profile(scenario, rules, group),
                 store.server.address,
                 programs.clone(),
                 memory.clone(),
@@ -163,7 +173,7 @@
 }
 
 /// What invocations of each trigger type are like, by its name.
-fn programs(day: &Day) -> HashMap<String, Program> {
+fn programs(scenario: &Day) -> HashMap<String, Program> {
     let program = |t: &crate::scenario::TriggerType| Program {
         work: Duration::from_secs_f64(t.work_ms / 1e3),
         copy_mb: t.copy_mb,
@@ -172,15 +182,16 @@
         window: (t.window_ms > 0).then(|| Duration::from_millis(t.window_ms)),
         prefix: Duration::from_millis(t.prefix_ms),
     };
-    day.triggers
+    scenario
+        .triggers
         .iter()
         .map(|trigger| (trigger.name.clone(), program(trigger)))
         .collect()
 }
 
-fn worker_profile(day: &Day, rules: &RuleSettings, group: &WorkerGroup) -> Nature {
+fn worker_profile(scenario: &Day, rules: &RuleSettings, group: &WorkerGroup) -> Nature {
     let duration = |us: i64| Duration::from_micros(us.max(0) as u64);
-    let loads_when_absent = day
+    let loads_when_absent = scenario
         .settings
         .loads
         .get("loads_when_absent")
@@ -189,8 +200,8 @@
     Nature {
         cores: group.cores,
         memory_mb: group.memory_mb,
-        max_waiting: day.nature.most_waiting,
-        max_loads: day.nature.most_loads,
+        max_waiting: scenario.nature.most_waiting,
+        max_loads: scenario.nature.most_loads,
         loads_when_absent,
         slow_start_share: rules.slow_start_share,
         slow_start: duration(rules.slow_start_us),
@@ -209,9 +220,9 @@
 }
 
 impl RouterPorts {
-    fn reserve(day: &Day) -> io::Result<Self> {
-        let addresses: Vec<IpAddr> = (0..day.routers)
-            .map(|number| router_address_of(day, number))
+    fn reserve(scenario: &Day) -> io::Result<Self> {
+        let addresses: Vec<IpAddr> = (0..scenario.routers)
+            .map(|number| router_address_of(scenario, number))
             .collect();
         let reserve = || {
             addresses
@@ -220,9 +231,14 @@
                 .collect::<io::Result<Vec<_>>>()
         };
         let kserve = reserve()?;
-        let peers = if day.peers { reserve()? } else { Vec::new() };
-        let region = |number: u32| day.region_of(&day.zones[day.zone_of(number) as usize]);
-        let regions = (0..day.routers)
+        let peers = if scenario.peers {
+            reserve()?
+        } else {
+            Vec::new()
+        };
+        let region =
+            |number: u32| scenario.region_of(&scenario.zones[scenario.zone_of(number) as usize]);
+        let regions = (0..scenario.routers)
             .map(|number| region(number).to_owned())
             .collect();
         Ok(RouterPorts {
@@ -236,7 +252,7 @@
 
 /// The relays of all routers' links; none without regions.
 struct RelaySet<'a> {
-    day: &'a Day,
+    scenario: &'a Day,
     host: &'a Ground,
     links: &'a Links,
     relays: Vec<Relay>,
@@ -253,7 +269,7 @@
         to: SocketAddr,
         mode: RelayMode,
     ) -> io::Result<SocketAddr> {
-        if self.day.regions.is_empty() {
+        if self.scenario.regions.is_empty() {
             return Ok(to);
         }
         let config = RelayConfig {
@@ -262,7 +278,7 @@
             far,
             from: Some(near),
             to,
-            seed: self.day.seed ^ (self.relays.len() as u64 + 1) << 32,
+            seed: self.scenario.seed ^ (self.relays.len() as u64 + 1) << 32,
         };
         let relay = Relay::start(self.host, self.links, config)?;
         let address = relay.address;
@@ -273,8 +289,8 @@
 
 /// Writes a router's settings, with a relay on each of its links.
 fn prepare_router(
-    day: &Day,
-    launch: &Launch,
+    scenario: &Day,
+    options: &Launch,
     number: usize,
     ports: &RouterPorts,
     emulators: &Emulators,
@@ -305,33 +321,33 @@
         });
     }
     let settings = RouterSettings {
-        day,
+        scenario,
         number: number as u32,
         broker,
         list,
         kserve: ports.kserve[number].address,
         members: &members,
-        trace: launch.trace,
+        trace: options.trace,
     };
-    let folder = launch.out.join("routers");
+    let folder = options.out.join("routers");
     let file = folder.join(format!("router-{number}.toml"));
     std::fs::write(&file, settings.to_toml().map_err(io::Error::other)?)?;
     let state = folder.join(format!("state-{number}"));
-    let args = router_args(day, launch, number);
-    Ok(RouterProcess::new(&launch.program, &file, &state, &args))
+    let args = router_args(scenario, options, number);
+    Ok(RouterProcess::new(&options.program, &file, &state, &args))
 }
 
-fn router_args(day: &Day, launch: &Launch, number: usize) -> Vec<String> {
+fn router_args(scenario: &Day, options: &Launch, number: usize) -> Vec<String> {
     let mut args = vec!["--log".to_owned(), "json".to_owned()];
     // One router that tampers is enough to be found, except where all of them together break the invariant.
-    if let Some(kind) = launch
+    if let Some(kind) = options
         .tamper
         .as_ref()
         .filter(|kind| number == 0 || TAMPER_TOGETHER.contains(&kind.as_str()))
     {
         args.extend(["--tamper".to_owned(), kind.clone()]);
     }
-    if number < day.clock_offsets_ms.len() {
+    if number < scenario.clock_offsets_ms.len() {
         args.push("--rig".to_owned());
     }
     args
--- a/crates/test-cluster/src/scenario.rs
+++ b/crates/test-cluster/src/scenario.rs
@@ -321,15 +321,15 @@
 /// # Errors
 /// When it is not of its form, or contradicts itself.
 pub fn parse(file: &str, text: &str) -> Result<Day, Wrong> {
-    let day: Day = toml::from_str(text).map_err(|e| Wrong::MalformedScenario {
+    let scenario: Day = toml::from_str(text).map_err(|e| Wrong::MalformedScenario {
         file: file.to_owned(),
         line: e
             .span()
             .map_or(1, |span| text[..span.start].matches('\n').count() + 1),
         detail: e.message().replace('\n', ", "),
     })?;
-    validation::validate(file, &day)?;
-    Ok(day)
+    validation::validate(file, &scenario)?;
+    Ok(scenario)
 }
 
 /// Whether a zone is in a region, by their names.
--- a/crates/test-cluster/src/scenario/validation.rs
+++ b/crates/test-cluster/src/scenario/validation.rs
@@ -16,13 +16,13 @@
 const MAX_ZONES: f64 = 60.0;
 
 /// Checks a scenario; the error is the first condition that does not hold.
-pub(super) fn validate(file: &str, day: &Day) -> Result<(), Wrong> {
-    Validator { file, day }.validate()
+pub(super) fn validate(file: &str, scenario: &Day) -> Result<(), Wrong> {
+    Validator { file, scenario }.validate()
 }
 
 struct Validator<'a> {
     file: &'a str,
-    day: &'a Day,
+    scenario: &'a Day,
 }
 
 impl Validator<'_> {
@@ -82,7 +82,7 @@
         self.check_worker_groups()?;
         self.check_regions()?;
         self.check_group()?;
-        self.day
+        self.scenario
             .troubles
             .iter()
             .enumerate()
@@ -90,12 +90,12 @@
     }
 
     fn check_lists(&self) -> Result<(), Wrong> {
-        let day = self.day;
+        let scenario = self.scenario;
         let lengths = [
-            ("trigger", day.triggers.len()),
-            ("account", day.accounts.len()),
-            ("worker", day.workers.len()),
-            ("zones", day.zones.len()),
+            ("trigger", scenario.triggers.len()),
+            ("account", scenario.accounts.len()),
+            ("worker", scenario.workers.len()),
+            ("zones", scenario.zones.len()),
         ];
         match lengths.into_iter().find(|(_, length)| *length == 0) {
             None => Ok(()),
@@ -107,21 +107,21 @@
     }
 
     fn check_figures(&self) -> Result<(), Wrong> {
-        let day = self.day;
-        self.check_range("seconds", day.seconds, SECONDS)?;
-        self.check_range("rate_per_s", day.rate_per_s, RATE)?;
-        self.check_range("routers", day.routers.into(), ROUTERS)?;
-        self.check_range("floor", day.floor, SHARE)?;
-        self.check_range("kserve_part", day.kserve_part, SHARE)?;
+        let scenario = self.scenario;
+        self.check_range("seconds", scenario.seconds, SECONDS)?;
+        self.check_range("rate_per_s", scenario.rate_per_s, RATE)?;
+        self.check_range("routers", scenario.routers.into(), ROUTERS)?;
+        self.check_range("floor", scenario.floor, SHARE)?;
+        self.check_range("kserve_part", scenario.kserve_part, SHARE)?;
         self.check_range(
             "zones: their number",
-            day.zones.len() as f64,
+            scenario.zones.len() as f64,
             (1.0..=MAX_ZONES, "1 to 60"),
         )
     }
 
     fn check_trigger_types(&self) -> Result<(), Wrong> {
-        for (number, trigger) in self.day.triggers.iter().enumerate() {
+        for (number, trigger) in self.scenario.triggers.iter().enumerate() {
             let key = format!("trigger[{number}].sessions");
             self.check_range(&key, trigger.sessions, SHARE)?;
             let has_turns = trigger.sessions == 0.0 || trigger.turns > 0;
@@ -131,51 +131,58 @@
     }
 
     fn check_worker_groups(&self) -> Result<(), Wrong> {
-        for (number, group) in self.day.workers.iter().enumerate() {
+        for (number, group) in self.scenario.workers.iter().enumerate() {
             let key = format!("worker[{number}].zone");
-            self.check_name(key, Some(&group.zone), |zone| self.day.zones.contains(zone))?;
+            self.check_name(key, Some(&group.zone), |zone| {
+                self.scenario.zones.contains(zone)
+            })?;
         }
         Ok(())
     }
 
     /// Each zone is in a region, and each region has a zone.
     fn check_regions(&self) -> Result<(), Wrong> {
-        let day = self.day;
-        if day.regions.is_empty() {
+        let scenario = self.scenario;
+        if scenario.regions.is_empty() {
             return Ok(());
         }
-        let has_region = |zone: &String| day.regions.iter().any(|region| belongs(zone, region));
-        let stray = day.zones.iter().position(|z| !has_region(z)).unwrap_or(0);
+        let has_region =
+            |zone: &String| scenario.regions.iter().any(|region| belongs(zone, region));
+        let stray = scenario
+            .zones
+            .iter()
+            .position(|z| !has_region(z))
+            .unwrap_or(0);
         self.require(
             format!("zones[{stray}]"),
-            has_region(&day.zones[stray]),
+            has_region(&scenario.zones[stray]),
             "a region of its name",
         )?;
-        for (number, region) in day.regions.iter().enumerate() {
-            let has_zone = day.zones.iter().any(|zone| belongs(zone, region));
+        for (number, region) in scenario.regions.iter().enumerate() {
+            let has_zone = scenario.zones.iter().any(|zone| belongs(zone, region));
             self.require(format!("regions[{number}]"), has_zone, "a zone of its name")?;
         }
         Ok(())
     }
 
     fn check_group(&self) -> Result<(), Wrong> {
-        let day = self.day;
+        let scenario = self.scenario;
         self.require(
             "peers",
-            !day.peers || !day.regions.is_empty(),
+            !scenario.peers || !scenario.regions.is_empty(),
             "regions: peers' links are relayed",
         )?;
         self.require(
             "witness",
-            !day.witness || day.peers && day.routers > 1,
+            !scenario.witness || scenario.peers && scenario.routers > 1,
             "peers, and another router",
         )
     }
 
     fn check_fault(&self, number: usize, fault: &Trouble) -> Result<(), Wrong> {
-        let day = self.day;
+        let scenario = self.scenario;
         let key = |part: &str| format!("trouble[{number}].{part}");
-        let workers: u32 = day.workers.iter().map(|w| w.count).sum();
+        let workers: u32 = scenario.workers.iter().map(|w| w.count).sum();
         let concerning_routers = [
             What::RouterKill,
             What::RouterPause,
@@ -183,7 +190,7 @@
             What::PeerCut,
         ];
         let count = if concerning_routers.contains(&fault.what) {
-            day.routers
+            scenario.routers
         } else {
             workers
         } as usize;
@@ -200,22 +207,24 @@
             self.check_range(key("size"), fault.size, FACTOR)?;
         }
         self.check_name(key("region"), fault.region.as_ref(), |r| {
-            day.regions.contains(r)
+            scenario.regions.contains(r)
         })?;
         self.require(
             key("what"),
             fault.what != What::RegionCut || fault.region.is_some(),
             "a region",
         )?;
-        let has_two = day.peers && fault.which.len() > 1;
+        let has_two = scenario.peers && fault.which.len() > 1;
         self.require(
             key("what"),
             fault.what != What::PeerCut || has_two,
             "peers, and two routers in which",
         )?;
         self.check_name(key("account"), fault.account.as_ref(), |a| {
-            day.accounts.iter().any(|d| d.name == **a)
+            scenario.accounts.iter().any(|d| d.name == **a)
         })?;
-        self.check_name(key("zone"), fault.zone.as_ref(), |z| day.zones.contains(z))
+        self.check_name(key("zone"), fault.zone.as_ref(), |z| {
+            scenario.zones.contains(z)
+        })
     }
 }
--- a/crates/test-cluster/src/script.rs
+++ b/crates/test-cluster/src/script.rs
@@ -37,7 +37,8 @@
     /// Runs an action once, this many milliseconds after the beginning.
     pub fn at(mut self, ms: u64, mut action: impl FnMut(&Fleet) + 'a) -> Self {
         self.add_step(Duration::from_millis(ms));
-        self.actions.push(Box::new(move |fleet, _| action(fleet)));
+        self.actions
+            .push(Box::new(move |cluster, _| action(cluster)));
         self
     }
 
@@ -69,11 +70,11 @@
     }
 
     /// Runs all actions at their times, counted from `began`.
-    pub fn play(mut self, fleet: &Fleet, began: Instant) {
+    pub fn play(mut self, cluster: &Fleet, began: Instant) {
         self.steps.sort_by_key(|step| step.at);
         for Step { at, action } in self.steps {
             std::thread::sleep((began + at).saturating_duration_since(Instant::now()));
-            self.actions[action](fleet, &mut self.random);
+            self.actions[action](cluster, &mut self.random);
         }
     }
 }
--- a/crates/test-cluster/src/traffic.rs
+++ b/crates/test-cluster/src/traffic.rs
@@ -33,13 +33,13 @@
 
 impl Traffic {
     /// Starts the clients.
-    pub fn begin(day: &Day, fleet: &Fleet) -> Traffic {
-        Self::begin_asking(day, fleet, None)
+    pub fn begin(scenario: &Day, cluster: &Fleet) -> Traffic {
+        Self::begin_asking(scenario, cluster, None)
     }
 
     /// Starts clients that ask for the functions that `asks` says, where it is given.
-    pub fn begin_asking(day: &Day, fleet: &Fleet, asks: Option<Asks>) -> Traffic {
-        let (began, sent, answers) = (Instant::now(), arrivals(day), Answers::default());
+    pub fn begin_asking(scenario: &Day, cluster: &Fleet, asks: Option<Asks>) -> Traffic {
+        let (began, sent, answers) = (Instant::now(), arrivals(scenario), Answers::default());
         let mut clients: Vec<Vec<Arrival>> = (0..CLIENTS).map(|_| Vec::new()).collect();
         let mut calls = Vec::new();
         for (n, arrival) in sent.iter().cloned().enumerate() {
@@ -50,19 +50,19 @@
             }
         }
         let callers = Callers {
-            routers: fleet.listens(),
+            routers: cluster.listens(),
             from: [127, 0, 2, 200].into(),
-            log: fleet.log.clone(),
-            listens_on: LISTEN_AFTER_TIMEOUT + Duration::from_millis(day.leeway_ms),
+            log: cluster.log.clone(),
+            listens_on: LISTEN_AFTER_TIMEOUT + Duration::from_millis(scenario.leeway_ms),
             began,
             answers: Some(answers.clone()),
             asks: asks.clone(),
         };
-        let executor = &fleet.ground.executor;
+        let executor = &cluster.ground.executor;
         let mut tasks = vec![executor.spawn(Arc::new(callers).run(executor.clone(), calls))];
         for (n, arrivals) in clients.into_iter().enumerate() {
             let client = Client {
-                broker: fleet.broker.address,
+                broker: cluster.broker.address,
                 from: [127, 0, 2, 1 + n as u8].into(),
                 replies: format!("replies-{n}"),
                 began,
--- a/crates/test-cluster/src/traffic/arrivals.rs
+++ b/crates/test-cluster/src/traffic/arrivals.rs
@@ -25,15 +25,15 @@
     r#"{"inputs":[{"name":"drawing","shape":[4],"datatype":"FP32","data":[0.1,0.2,0.3,0.4]}]}"#;
 
 /// All invocations of a scenario, in the order of their times.
-pub fn arrivals(day: &Day) -> Vec<Arrival> {
-    let mut all = base_load(day);
-    if day.triggers.iter().any(|t| t.sessions > 0.0) {
-        all = with_sessions(day, all);
+pub fn arrivals(scenario: &Day) -> Vec<Arrival> {
+    let mut all = base_load(scenario);
+    if scenario.triggers.iter().any(|t| t.sessions > 0.0) {
+        all = with_sessions(scenario, all);
     }
     let base = all.clone();
-    for (number, fault) in day.troubles.iter().enumerate() {
+    for (number, fault) in scenario.troubles.iter().enumerate() {
         if fault.what == What::Flood {
-            add_flood(day, number, fault, &base, &mut all);
+            add_flood(scenario, number, fault, &base, &mut all);
         }
     }
     all.sort_by_key(|arrival| arrival.at);
@@ -54,28 +54,29 @@
 }
 
 /// The fault of this kind that lasts at this time.
-fn fault_at(day: &Day, what: What, at: f64) -> Option<&Trouble> {
-    day.troubles
+fn fault_at(scenario: &Day, what: What, at: f64) -> Option<&Trouble> {
+    scenario
+        .troubles
         .iter()
         .find(|t| t.what == what && (t.at_s..t.at_s + t.for_s).contains(&at))
 }
 
-fn base_load(day: &Day) -> Vec<Arrival> {
-    let mut random = Pcg64Mcg::seed_from_u64(day.seed);
-    let mut fronts = Pcg64Mcg::seed_from_u64(day.seed ^ FRONTS);
+fn base_load(scenario: &Day) -> Vec<Arrival> {
+    let mut random = Pcg64Mcg::seed_from_u64(scenario.seed);
+    let mut fronts = Pcg64Mcg::seed_from_u64(scenario.seed ^ FRONTS);
     let mut all = Vec::new();
     let mut at = 0.0;
     let body: Arc<str> = BODY.into();
-    let trigger_shares: Vec<f64> = day.triggers.iter().map(|t| t.part).collect();
-    let account_shares: Vec<f64> = day.accounts.iter().map(|a| a.part).collect();
+    let trigger_shares: Vec<f64> = scenario.triggers.iter().map(|t| t.part).collect();
+    let account_shares: Vec<f64> = scenario.accounts.iter().map(|a| a.part).collect();
     loop {
-        let fault = |what: What| fault_at(day, what, at);
-        let rate = day.rate_per_s * fault(What::TrafficShift).map_or(1.0, |t| t.size);
+        let fault = |what: What| fault_at(scenario, what, at);
+        let rate = scenario.rate_per_s * fault(What::TrafficShift).map_or(1.0, |t| t.size);
         let Ok(gap) = Exp::new(rate) else { break };
         let (hot, scan) = (fault(What::HotFunction), fault(What::Scan));
         let retries = fault(What::RetryAbuse).map_or(0, |t| t.size as u32);
-        let trigger = &day.triggers[draw_weighted(&mut random, &trigger_shares).unwrap_or(0)];
-        let account = &day.accounts[draw_weighted(&mut random, &account_shares).unwrap_or(0)];
+        let trigger = &scenario.triggers[draw_weighted(&mut random, &trigger_shares).unwrap_or(0)];
+        let account = &scenario.accounts[draw_weighted(&mut random, &account_shares).unwrap_or(0)];
         let rank = Zipf::new(f64::from(trigger.functions), trigger.skew)
             .map_or(1.0, |zipf| zipf.sample(&mut random)) as u64;
         let draw: f64 = random.random();
@@ -87,7 +88,7 @@
             _ => rank,
         };
         at += gap.sample(&mut random);
-        if at >= day.seconds {
+        if at >= scenario.seconds {
             break;
         }
         all.push(Arrival {
@@ -96,7 +97,7 @@
             kind: trigger.name.clone(),
             function: format!("{}:{function_number}", trigger.name),
             account: account.name.clone(),
-            calls: fronts.random::<f64>() < day.kserve_part,
+            calls: fronts.random::<f64>() < scenario.kserve_part,
             queue: queue(&account.name),
             timeout_ms: trigger.client_timeout_ms,
             copy_mb: trigger.copy_mb,
@@ -110,22 +111,28 @@
 }
 
 /// Adds a flood's arrivals: each like one of the base load, but for its front and account.
-fn add_flood(day: &Day, number: usize, flood: &Trouble, base: &[Arrival], all: &mut Vec<Arrival>) {
-    let mut random = Pcg64Mcg::seed_from_u64(day.seed ^ FLOODS ^ number as u64);
+fn add_flood(
+    scenario: &Day,
+    number: usize,
+    flood: &Trouble,
+    base: &[Arrival],
+    all: &mut Vec<Arrival>,
+) {
+    let mut random = Pcg64Mcg::seed_from_u64(scenario.seed ^ FLOODS ^ number as u64);
     let calls = flood.front == Some(Front::Kserve);
     let front_share = if calls {
-        day.kserve_part
+        scenario.kserve_part
     } else {
-        1.0 - day.kserve_part
+        1.0 - scenario.kserve_part
     };
     // Its usual share is there already.
-    let Ok(gap) = Exp::new(day.rate_per_s * front_share * (flood.size - 1.0)) else {
+    let Ok(gap) = Exp::new(scenario.rate_per_s * front_share * (flood.size - 1.0)) else {
         return;
     };
     let mut at = flood.at_s;
     loop {
         at += gap.sample(&mut random);
-        if at >= (flood.at_s + flood.for_s).min(day.seconds) {
+        if at >= (flood.at_s + flood.for_s).min(scenario.seconds) {
             break;
         }
         let like = base[random.random_range(0..base.len())].clone();
@@ -145,11 +152,11 @@
 /// Turns part of the arrivals into sessions: of those that belong to sessions, one in as many as a session has turns
 /// begins one; the others are left out in favour of the turns that follow, so that the rate stays what it was. Without
 /// sessions nothing is drawn here.
-fn with_sessions(day: &Day, singles: Vec<Arrival>) -> Vec<Arrival> {
-    let mut random = Pcg64Mcg::seed_from_u64(day.seed ^ SESSIONS);
+fn with_sessions(scenario: &Day, singles: Vec<Arrival>) -> Vec<Arrival> {
+    let mut random = Pcg64Mcg::seed_from_u64(scenario.seed ^ SESSIONS);
     let (mut all, mut begun) = (Vec::new(), 0);
     for first in singles {
-        let trigger = day.triggers.iter().find(|t| t.name == first.kind);
+        let trigger = scenario.triggers.iter().find(|t| t.name == first.kind);
         let Some(trigger) = trigger.filter(|t| random.random::<f64>() < t.sessions) else {
             all.push(first);
             continue;
@@ -165,7 +172,7 @@
         let mut at = first.at;
         for turn in 0..turns {
             // The scenario may end before the session does.
-            if at.as_secs_f64() >= day.seconds {
+            if at.as_secs_f64() >= scenario.seconds {
                 break;
             }
             let turn = Turn {
--- a/crates/test-cluster/tests/sessions.rs
+++ b/crates/test-cluster/tests/sessions.rs
@@ -5,17 +5,17 @@
 use cedarpulley_test_cluster::scenario::{self, Day};
 use cedarpulley_test_cluster::traffic::arrivals;
 
-fn day(sessions: f64) -> Day {
+fn scenario(sessions: f64) -> Day {
     let text = include_str!("../../../days/regions.toml");
-    let mut day = scenario::parse("regions.toml", text).expect("a day");
-    let t = &mut day.triggers[0];
+    let mut scenario = scenario::parse("regions.toml", text).expect("a day");
+    let t = &mut scenario.triggers[0];
     (t.sessions, t.turns, t.pause_ms) = (sessions, 5, 400);
-    day
+    scenario
 }
 
 #[test]
 fn a_session_starts_once_keeps_its_function_and_ends_with_its_last_turn() {
-    let (with, without) = (arrivals(&day(0.6)), arrivals(&day(0.0)));
+    let (with, without) = (arrivals(&scenario(0.6)), arrivals(&scenario(0.0)));
     assert!(without.iter().all(|a| a.turn.is_none()));
     let of = |kind: &str| {
         with.iter()
@@ -59,7 +59,7 @@
         assert!(first.1.start && turns.iter().skip(1).all(|t| !t.1.start));
         assert!(turns.iter().rev().skip(1).all(|t| !t.1.end));
         // But for one that the scenario's end cuts off.
-        assert!(last.1.end || last.0.at.as_secs_f64() > day(0.6).seconds - 0.6);
+        assert!(last.1.end || last.0.at.as_secs_f64() > scenario(0.6).seconds - 0.6);
     }
 }
 
