--- a/crates/test-cluster/src/cluster/setup.rs
+++ b/crates/test-cluster/src/cluster/setup.rs
@@ -8,18 +8,18 @@
 use std::time::Duration;
 
 use cedarpulley_emulators::broker::Broker;
-use cedarpulley_emulators::endpoint_list::{EndpointList, EndpointRecord};
+use cedarpulley_emulators::endpoint_list::{List, Row};
 use cedarpulley_emulators::store::{self, Store};
-use cedarpulley_emulators::worker::{IdempotencyStore, InvocationProfile, Worker, WorkerProfile};
-use cedarpulley_emulators::{Host, router_address};
+use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
+use cedarpulley_emulators::{Ground, router_address};
 use cedarpulley_invariant_checker::RuleSettings;
 
 use super::router_settings::{Member, RouterSettings};
-use super::{BROKER, Cluster, ClusterOptions, LIST, queue, worker_name};
+use super::{BROKER, Fleet, LIST, Launch, queue, worker_name};
 use crate::links::Links;
-use crate::relay::{Relay, RelayConfig, RelayMode, ReservedPort};
+use crate::relay::{Relay, RelayConfig, RelayMode, Reserved};
 use crate::router_process::RouterProcess;
-use crate::scenario::{Scenario, WorkerGroup};
+use crate::scenario::{Day, WorkerGroup};
 
 /// Threads of the emulators and relays.
 const THREADS: usize = 3;
@@ -30,29 +30,31 @@
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 /// The source address of a router.
-pub(super) fn router_address_of(day: &Scenario, number: u32) -> IpAddr {
-    router_address(day.zone_of(number), number)
+pub(super) fn router_address_of(scenario: &Day, number: u32) -> IpAddr {
+    router_address(scenario.zone_of(number), number)
 }
 
-pub(super) fn set_up(
-    day: &Scenario,
-    rules: &RuleSettings,
-    launch: ClusterOptions,
-) -> io::Result<Cluster> {
-    let out = &launch.folder;
+/// Removes what an earlier run left.
+fn prepare_folder(out: &Path) -> io::Result<()> {
     for old in ["traffic", "routers", "traces", "meter"] {
         if out.join(old).exists() {
             std::fs::remove_dir_all(out.join(old))?;
         }
     }
-    std::fs::create_dir_all(out.join("routers"))?;
+    std::fs::create_dir_all(out.join("routers"))
+}
+
+/// Starts the emulators and prepares the routers' processes.
+pub(super) fn set_up(scenario: &Day, rules: &RuleSettings, options: Launch) -> io::Result<Fleet> {
+    let out = &options.out;
+    prepare_folder(out)?;
     std::fs::write(out.join("terms.json"), serde_json::to_string_pretty(rules)?)?;
-    let emulators = Emulators::start(day, rules, out)?;
+    let emulators = Emulators::start(scenario, rules, out)?;
     let log = emulators.host.log("day")?;
     let links = Links::new(Some(log.clone()));
-    let ports = RouterPorts::reserve(day)?;
+    let ports = RouterPorts::reserve(scenario)?;
     let mut relays = RelaySet {
-        day,
+        scenario,
         host: &emulators.host,
         links: &links,
         relays: Vec::new(),
@@ -60,7 +62,7 @@
     };
     let mut routers = Vec::new();
     for number in 0..ports.addresses.len() {
-        let process = prepare_router(day, &launch, number, &ports, &emulators, &mut relays)?;
+        let process = prepare_router(scenario, &options, number, &ports, &emulators, &mut relays)?;
         routers.push(Mutex::new(process));
     }
     let RelaySet {
@@ -68,22 +70,17 @@
         worker_addresses,
         ..
     } = relays;
-    if !day.regions.is_empty() {
-        emulators.list.set_addresses_seen(move |router, worker| {
+    if !scenario.regions.is_empty() {
+        emulators.list.seen_as(move |router, worker| {
             worker_addresses
                 .get(&(router, worker))
                 .copied()
                 .unwrap_or(worker)
         });
     }
-    let zone_regions = day
-        .zones
-        .iter()
-        .map(|zone| (zone.clone(), day.region_of(zone).to_owned()))
-        .collect();
-    let consuming_routers = day.routers as usize - usize::from(day.witness);
-    Ok(Cluster {
-        host: emulators.host,
+    let consuming_routers = scenario.routers as usize - usize::from(scenario.witness);
+    Ok(Fleet {
+        ground: emulators.host,
         broker: emulators.broker,
         store: emulators.store,
         list: emulators.list,
@@ -94,54 +91,63 @@
         routers,
         addresses: ports.addresses,
         regions: ports.regions,
-        zone_regions,
+        zone_regions: zone_regions(scenario),
         kserve_ports: ports.kserve,
         peer_ports: ports.peers,
         _relays: relays,
-        out: launch.folder,
-        expected_consumers: consuming_routers * day.accounts.len(),
+        out: options.out,
+        expected_consumers: consuming_routers * scenario.accounts.len(),
     })
 }
 
+/// Regions of the zones, by name.
+fn zone_regions(scenario: &Day) -> HashMap<String, String> {
+    scenario
+        .zones
+        .iter()
+        .map(|zone| (zone.clone(), scenario.region_of(zone).to_owned()))
+        .collect()
+}
+
 /// All that routers talk to.
 struct Emulators {
-    host: Host,
+    host: Ground,
     broker: Broker,
     store: Store,
-    list: EndpointList,
+    list: List,
     workers: Vec<Worker>,
-    rows: Vec<EndpointRecord>,
+    rows: Vec<Row>,
 }
 
 impl Emulators {
-    fn start(day: &Scenario, rules: &RuleSettings, out: &Path) -> io::Result<Self> {
-        let host = Host::new(THREADS, Some(&out.join("traffic")))?;
+    fn start(scenario: &Day, rules: &RuleSettings, out: &Path) -> io::Result<Self> {
+        let host = Ground::new(THREADS, Some(&out.join("traffic")))?;
         let broker = Broker::start(&host, BROKER, ANY_PORT)?;
-        for account in &day.accounts {
+        for account in &scenario.accounts {
             broker.declare(&queue(&account.name));
         }
-        let profile = store::StoreProfile {
-            mb_per_s: day.store.mb_per_s,
-            full_rate_fetches: day.store.abreast,
-            max_fetches: day.store.most,
+        let profile = store::Nature {
+            mb_per_s: scenario.store.mb_per_s,
+            abreast: scenario.store.abreast,
+            most: scenario.store.most,
         };
         let store = Store::start(&host, "store", ANY_PORT, profile)?;
-        let list = EndpointList::start(&host, LIST, ANY_PORT)?;
-        let programs = programs(day);
-        let (memory, mut workers, mut rows) = (IdempotencyStore::default(), Vec::new(), Vec::new());
-        let groups = day.workers.iter();
+        let list = List::start(&host, LIST, ANY_PORT)?;
+        let programs = programs(scenario);
+        let (memory, mut workers, mut rows) = (Memory::default(), Vec::new(), Vec::new());
+        let groups = scenario.workers.iter();
         for group in groups.flat_map(|group| (0..group.count).map(move |_| group)) {
             let worker = Worker::start(
                 &host,
                 &worker_name(workers.len()),
                 ANY_PORT,
-                day.seed,
-                worker_profile(day, rules, group),
+                scenario.seed,
+                worker_profile(scenario, rules, group),
                 store.server.address,
                 programs.clone(),
                 memory.clone(),
             )?;
-            rows.push(EndpointRecord {
+            rows.push(Row {
                 address: worker.address,
                 zone: group.zone.clone(),
                 kind: group.kind.clone(),
@@ -153,7 +159,7 @@
             workers.push(worker);
         }
         for (number, row) in rows.iter().enumerate() {
-            list.publish(&worker_name(number), row.clone());
+            list.put(&worker_name(number), row.clone());
         }
         Ok(Emulators {
             host,
@@ -167,34 +173,35 @@
 }
 
 /// What invocations of each trigger type are like, by its name.
-fn programs(day: &Scenario) -> HashMap<String, InvocationProfile> {
-    let program = |t: &crate::scenario::TriggerType| InvocationProfile {
-        mean_work: Duration::from_secs_f64(t.work_ms / 1e3),
+fn programs(scenario: &Day) -> HashMap<String, Program> {
+    let program = |t: &crate::scenario::TriggerType| Program {
+        work: Duration::from_secs_f64(t.work_ms / 1e3),
         copy_mb: t.copy_mb,
-        start_up_time: Duration::from_millis(t.start_up_ms),
+        start_up: Duration::from_millis(t.start_up_ms),
         lanes: t.lanes as usize,
-        idempotency_window: (t.window_ms > 0).then(|| Duration::from_millis(t.window_ms)),
-        prefix_rebuild_work: Duration::from_millis(t.prefix_ms),
+        window: (t.window_ms > 0).then(|| Duration::from_millis(t.window_ms)),
+        prefix: Duration::from_millis(t.prefix_ms),
     };
-    day.triggers
+    scenario
+        .triggers
         .iter()
         .map(|trigger| (trigger.name.clone(), program(trigger)))
         .collect()
 }
 
-fn worker_profile(day: &Scenario, rules: &RuleSettings, group: &WorkerGroup) -> WorkerProfile {
+fn worker_profile(scenario: &Day, rules: &RuleSettings, group: &WorkerGroup) -> Nature {
     let duration = |us: i64| Duration::from_micros(us.max(0) as u64);
-    let loads_when_absent = day
+    let loads_when_absent = scenario
         .settings
         .loads
         .get("loads_when_absent")
         .and_then(toml::Value::as_bool)
         .unwrap_or(true);
-    WorkerProfile {
+    Nature {
         cores: group.cores,
         memory_mb: group.memory_mb,
-        max_waiting: day.worker_limits.most_waiting,
-        max_loads: day.worker_limits.most_loads,
+        max_waiting: scenario.nature.most_waiting,
+        max_loads: scenario.nature.most_loads,
         loads_when_absent,
         slow_start_share: rules.slow_start_share,
         slow_start: duration(rules.slow_start_us),
@@ -207,26 +214,31 @@
 struct RouterPorts {
     addresses: Vec<IpAddr>,
     regions: Vec<String>,
-    kserve: Vec<ReservedPort>,
+    kserve: Vec<Reserved>,
     /// Empty if the routers form no group.
-    peers: Vec<ReservedPort>,
+    peers: Vec<Reserved>,
 }
 
 impl RouterPorts {
-    fn reserve(day: &Scenario) -> io::Result<Self> {
-        let addresses: Vec<IpAddr> = (0..day.routers)
-            .map(|number| router_address_of(day, number))
+    fn reserve(scenario: &Day) -> io::Result<Self> {
+        let addresses: Vec<IpAddr> = (0..scenario.routers)
+            .map(|number| router_address_of(scenario, number))
             .collect();
         let reserve = || {
             addresses
                 .iter()
-                .map(|ip| ReservedPort::at(*ip))
+                .map(|ip| Reserved::at(*ip))
                 .collect::<io::Result<Vec<_>>>()
         };
         let kserve = reserve()?;
-        let peers = if day.peers { reserve()? } else { Vec::new() };
-        let region = |number: u32| day.region_of(&day.zones[day.zone_of(number) as usize]);
-        let regions = (0..day.routers)
+        let peers = if scenario.peers {
+            reserve()?
+        } else {
+            Vec::new()
+        };
+        let region =
+            |number: u32| scenario.region_of(&scenario.zones[scenario.zone_of(number) as usize]);
+        let regions = (0..scenario.routers)
             .map(|number| region(number).to_owned())
             .collect();
         Ok(RouterPorts {
@@ -240,8 +252,8 @@
 
 /// The relays of all routers' links; none without regions.
 struct RelaySet<'a> {
-    day: &'a Scenario,
-    host: &'a Host,
+    scenario: &'a Day,
+    host: &'a Ground,
     links: &'a Links,
     relays: Vec<Relay>,
     /// By router and worker: where the router reaches the worker.
@@ -257,7 +269,7 @@
         to: SocketAddr,
         mode: RelayMode,
     ) -> io::Result<SocketAddr> {
-        if self.day.regions.is_empty() {
+        if self.scenario.regions.is_empty() {
             return Ok(to);
         }
         let config = RelayConfig {
@@ -266,7 +278,7 @@
             far,
             from: Some(near),
             to,
-            seed: self.day.seed ^ (self.relays.len() as u64 + 1) << 32,
+            seed: self.scenario.seed ^ (self.relays.len() as u64 + 1) << 32,
         };
         let relay = Relay::start(self.host, self.links, config)?;
         let address = relay.address;
@@ -277,8 +289,8 @@
 
 /// Writes a router's settings, with a relay on each of its links.
 fn prepare_router(
-    day: &Scenario,
-    launch: &ClusterOptions,
+    scenario: &Day,
+    options: &Launch,
     number: usize,
     ports: &RouterPorts,
     emulators: &Emulators,
@@ -309,33 +321,33 @@
         });
     }
     let settings = RouterSettings {
-        day,
+        scenario,
         number: number as u32,
         broker,
         list,
         kserve: ports.kserve[number].address,
         members: &members,
-        trace: launch.trace,
+        trace: options.trace,
     };
-    let folder = launch.folder.join("routers");
+    let folder = options.out.join("routers");
     let file = folder.join(format!("router-{number}.toml"));
     std::fs::write(&file, settings.to_toml().map_err(io::Error::other)?)?;
     let state = folder.join(format!("state-{number}"));
-    let args = router_args(day, launch, number);
-    Ok(RouterProcess::new(&launch.program, &file, &state, &args))
+    let args = router_args(scenario, options, number);
+    Ok(RouterProcess::new(&options.program, &file, &state, &args))
 }
 
-fn router_args(day: &Scenario, launch: &ClusterOptions, number: usize) -> Vec<String> {
+fn router_args(scenario: &Day, options: &Launch, number: usize) -> Vec<String> {
     let mut args = vec!["--log".to_owned(), "json".to_owned()];
     // One router that tampers is enough to be found, except where all of them together break the invariant.
-    if let Some(kind) = launch
+    if let Some(kind) = options
         .tamper
         .as_ref()
         .filter(|kind| number == 0 || TAMPER_TOGETHER.contains(&kind.as_str()))
     {
         args.extend(["--tamper".to_owned(), kind.clone()]);
     }
-    if number < day.clock_offsets_ms.len() {
+    if number < scenario.clock_offsets_ms.len() {
         args.push("--rig".to_owned());
     }
     args
--- a/crates/test-cluster/tests/sessions.rs
+++ b/crates/test-cluster/tests/sessions.rs
@@ -2,29 +2,29 @@
 
 use std::collections::BTreeMap;
 
-use cedarpulley_test_cluster::scenario::{self, Scenario};
+use cedarpulley_test_cluster::scenario::{self, Day};
 use cedarpulley_test_cluster::traffic::arrivals;
 
-fn day(sessions: f64) -> Scenario {
+fn scenario(sessions: f64) -> Day {
     let text = include_str!("../../../days/regions.toml");
-    let mut day = scenario::parse("regions.toml", text).expect("a day");
-    let t = &mut day.triggers[0];
+    let mut scenario = scenario::parse("regions.toml", text).expect("a day");
+    let t = &mut scenario.triggers[0];
     (t.sessions, t.turns, t.pause_ms) = (sessions, 5, 400);
-    day
+    scenario
 }
 
 #[test]
 fn a_session_starts_once_keeps_its_function_and_ends_with_its_last_turn() {
-    let (with, without) = (arrivals(&day(0.6)), arrivals(&day(0.0)));
+    let (with, without) = (arrivals(&scenario(0.6)), arrivals(&scenario(0.0)));
     assert!(without.iter().all(|a| a.turn.is_none()));
     let of = |kind: &str| {
         with.iter()
-            .filter(|a| a.trigger_type == kind && a.turn.is_some())
+            .filter(|a| a.kind == kind && a.turn.is_some())
             .count()
     };
     let (some, all) = (
         of("resize"),
-        with.iter().filter(|a| a.trigger_type == "resize").count(),
+        with.iter().filter(|a| a.kind == "resize").count(),
     );
     assert!(
         of("quote") == 0 && (2 * all..5 * all).contains(&(some * 5)),
@@ -48,7 +48,7 @@
     assert!(sessions.len() > 20);
     for turns in sessions.values() {
         let alike = |a: &cedarpulley_test_cluster::amqp_client::Arrival| {
-            (a.function.clone(), a.account.clone(), a.over_kserve)
+            (a.function.clone(), a.account.clone(), a.calls)
         };
         assert!(turns.iter().all(|t| alike(t.0) == alike(turns[0].0)));
         assert!((1..10).contains(&turns.len()));
@@ -59,7 +59,7 @@
         assert!(first.1.start && turns.iter().skip(1).all(|t| !t.1.start));
         assert!(turns.iter().rev().skip(1).all(|t| !t.1.end));
         // But for one that the scenario's end cuts off.
-        assert!(last.1.end || last.0.at.as_secs_f64() > day(0.6).seconds - 0.6);
+        assert!(last.1.end || last.0.at.as_secs_f64() > scenario(0.6).seconds - 0.6);
     }
 }
 
