--- a/crates/invariant-checker/src/warm_capacity/prefixes.rs
+++ b/crates/invariant-checker/src/warm_capacity/prefixes.rs
@@ -11,10 +11,10 @@
 use crate::traffic_log::LogLine;
 use crate::verdict::{MAX_DESCRIBED, Verdict};
 
-/// Why a turn found no prefix, by where the last turn that was answered before it came to its router had run.
+/// RebuildCause a turn found no prefix, by where the last turn that was answered before it came to its router had run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum RebuildCause {
     /// No turn had been answered by then, or the last one had been.
     OutOfTurn,
     /// That worker had crashed since, or had lost the function by a fault.
@@ -48,14 +48,14 @@
     /// Turns that did not.
     pub rebuilt: u64,
     /// The rebuilt by cause; each has one.
-    pub by: BTreeMap<Why, u64>,
+    pub by: BTreeMap<RebuildCause, u64>,
     /// Invocations that went astray, with the worker to which they should have gone; the first few.
     pub astray: Vec<String>,
 }
 
 impl PrefixCounts {
     /// How many were rebuilt for this cause.
-    pub fn why(&self, why: Why) -> u64 {
+    pub fn caused_by(&self, why: RebuildCause) -> u64 {
         self.by.get(&why).copied().unwrap_or(0)
     }
 }
@@ -75,7 +75,7 @@
 
 struct Loss {
     at: i64,
-    cause: Why,
+    cause: RebuildCause,
 }
 
 /// A function at a worker, or by an empty name all of a worker.
@@ -114,10 +114,10 @@
     ends_session: bool,
 }
 
-/// Why a turn went where it did, and where it should have gone.
+/// RebuildCause a turn went where it did, and where it should have gone.
 #[derive(Clone, Copy)]
 struct Explanation<'a> {
-    cause: Why,
+    cause: RebuildCause,
     wanted: &'a str,
 }
 
@@ -174,13 +174,13 @@
     }
 }
 
-fn cause_of_loss(line: &LogLine) -> Why {
+fn cause_of_loss(line: &LogLine) -> RebuildCause {
     if is_lost_by_fault(line) {
-        Why::Died
+        RebuildCause::Died
     } else if line.event == "unloaded" {
-        Why::Unloaded
+        RebuildCause::Unloaded
     } else {
-        Why::Room
+        RebuildCause::Room
     }
 }
 
@@ -297,7 +297,7 @@
             .and_then(|turns| turns.iter().rev().find(|turn| turn.passed_on <= came));
         let Some(last) = last.filter(|turn| !turn.ends_session) else {
             return Explanation {
-                cause: Why::OutOfTurn,
+                cause: RebuildCause::OutOfTurn,
                 wanted: "",
             };
         };
@@ -307,14 +307,14 @@
         }
     }
 
-    /// Why a dispatch need not have found the prefix that the session's last answered turn left.
+    /// RebuildCause a dispatch need not have found the prefix that the session's last answered turn left.
     fn cause(
         &self,
         line: &LogLine,
         last: &AnsweredTurn,
         came: i64,
         background: &Background,
-    ) -> Why {
+    ) -> RebuildCause {
         let (id, function, router) = (
             line.invocation_id(),
             line.text("function"),
@@ -336,22 +336,22 @@
             loss.cause
         } else if last.worker == line.source {
             // It went where it should. What is not found there was dropped by the session's last turn.
-            Why::OutOfTurn
+            RebuildCause::OutOfTurn
         } else if is_held() {
-            Why::Cut
+            RebuildCause::Cut
         } else if self.tried.contains(&(last.worker, id)) {
-            Why::Tried
+            RebuildCause::Tried
         } else if wanted
             .and_then(|record| record.last_full)
             .is_some_and(|at| at >= came)
         {
-            Why::Busy
+            RebuildCause::Busy
         } else if background.others_in_flight(line, last.worker, came) >= CROWDED_FROM {
-            Why::Crowded
+            RebuildCause::Crowded
         } else if last.router != router {
-            Why::Elsewhere
+            RebuildCause::Elsewhere
         } else {
-            Why::Astray
+            RebuildCause::Astray
         }
     }
 
@@ -363,9 +363,9 @@
                 counts.rebuilt += 1;
                 let (worker, id) = (line.source.as_str(), line.invocation_id());
                 let explanation = self.explanations.get(&(worker, id));
-                let cause = explanation.map_or(Why::OutOfTurn, |e| e.cause);
+                let cause = explanation.map_or(RebuildCause::OutOfTurn, |e| e.cause);
                 *counts.by.entry(cause).or_default() += 1;
-                if cause == Why::Astray && counts.astray.len() < MAX_DESCRIBED {
+                if cause == RebuildCause::Astray && counts.astray.len() < MAX_DESCRIBED {
                     let wanted = explanation.map_or("", |e| e.wanted);
                     counts
                         .astray
--- a/crates/test-cluster/src/cluster.rs
+++ b/crates/test-cluster/src/cluster.rs
@@ -1,6 +1,6 @@
 //! A running cluster: emulators in this process, routers as processes, and relays between them where the scenario has
-//! regions. [`Fleet::prepare`] sets all of it up, [`Fleet::start_routers`] starts the routers; then faults are put on
-//! its parts, and [`Fleet::verdict`] has the traffic checked. Dropped, all of it is gone.
+//! regions. [`Cluster::prepare`] sets all of it up, [`Cluster::start_routers`] starts the routers; then faults are put on
+//! its parts, and [`Cluster::verdict`] has the traffic checked. Dropped, all of it is gone.
 //!
 //! Mechanisms:
 //! 1. A router's links (to the broker, the worker list, each worker, each other router) have a relay each; the list
@@ -20,20 +20,20 @@
 use std::time::{Duration, Instant};
 
 use cedarpulley_emulators::broker::Broker;
-use cedarpulley_emulators::endpoint_list::{List, Row};
+use cedarpulley_emulators::endpoint_list::{EndpointList, EndpointRecord};
 use cedarpulley_emulators::store::Store;
 use cedarpulley_emulators::worker::Worker;
-use cedarpulley_emulators::{Ground, Log, lock};
+use cedarpulley_emulators::{Host, Log, lock};
 use cedarpulley_errors::Remedy;
 use cedarpulley_invariant_checker::Verdict;
 use serde_json::json;
 
-use crate::error::Wrong;
-use crate::links::{Fault, Links};
-use crate::relay::{Relay, Reserved};
-use crate::router_process::{RouterProcess, State};
-use crate::router_state::state;
-use crate::scenario::Day;
+use crate::error::ClusterError;
+use crate::links::{LinkFault, Links};
+use crate::relay::{Relay, ReservedPort};
+use crate::router_process::{RouterProcess, StateAtStart};
+use crate::router_state::fetch_state;
+use crate::scenario::Scenario;
 use crate::until;
 
 /// Routers consume, and their group may vote, within this time of their start; else nothing is played.
@@ -46,9 +46,9 @@
 const UPGRADE: &str = "upgrade.toml";
 
 /// How a cluster's routers are run.
-pub struct Launch {
+pub struct ClusterOptions {
     /// The folder for logs of traffic, rules, settings and the routers' own logs.
-    pub out: PathBuf,
+    pub folder: PathBuf,
     /// The routers' program.
     pub program: PathBuf,
     /// Kind of invariant that one router, or all, break on purpose.
@@ -58,19 +58,19 @@
 }
 
 /// A cluster.
-pub struct Fleet {
+pub struct Cluster {
     /// What the emulators run on.
-    pub ground: Ground,
+    pub host: Host,
     /// The broker.
     pub broker: Broker,
     /// The function store.
     pub store: Store,
     /// The worker list.
-    pub list: List,
+    pub list: EndpointList,
     /// The workers, by number.
     pub workers: Vec<Worker>,
     /// What the list publishes of each worker, by number.
-    pub rows: Mutex<Vec<Row>>,
+    pub rows: Mutex<Vec<EndpointRecord>>,
     /// The faults on links.
     pub links: Links,
     /// The log of faults, for the checker.
@@ -83,9 +83,9 @@
     regions: Vec<String>,
     /// Regions of the zones.
     zone_regions: HashMap<String, String>,
-    kserve_ports: Vec<Reserved>,
+    kserve_ports: Vec<ReservedPort>,
     /// Empty if the routers form no group.
-    peer_ports: Vec<Reserved>,
+    peer_ports: Vec<ReservedPort>,
     _relays: Vec<Relay>,
     out: PathBuf,
     /// Consumers at the broker once all routers are ready.
@@ -101,57 +101,57 @@
     format!("triggers-{account}")
 }
 
-impl Fleet {
+impl Cluster {
     /// Sets up all but the routers' processes. What an earlier run left in the folder is removed.
     ///
     /// # Errors
     /// When the folder cannot be written to, or loopback addresses cannot be bound.
-    pub fn prepare(scenario: &Day, options: Launch) -> Result<Fleet, Wrong> {
-        let folder = options.out.display().to_string();
+    pub fn prepare(scenario: &Scenario, options: ClusterOptions) -> Result<Cluster, ClusterError> {
+        let folder = options.folder.display().to_string();
         setup::set_up(scenario, &rule_settings(scenario), options)
-            .map_err(|source| Wrong::Setup { folder, source })
+            .map_err(|source| ClusterError::Setup { folder, source })
     }
 
     /// Starts all routers and waits until they consume and their group may vote.
     ///
     /// # Errors
     /// When a process cannot be started, or they are not ready in time.
-    pub fn start_routers(&self) -> Result<(), Wrong> {
+    pub fn start_routers(&self) -> Result<(), ClusterError> {
         for number in 0..self.routers.len() {
-            self.start_router(number, State::Kept)?;
+            self.start_router(number, StateAtStart::Kept)?;
         }
         let consuming = || self.broker.consumers() >= self.expected_consumers;
         if !until(READY_TIMEOUT, consuming) {
-            return Err(Wrong::RoutersNotReady);
+            return Err(ClusterError::RoutersNotReady);
         }
-        if !until(READY_TIMEOUT, || self.all_remember()) {
-            return Err(Wrong::GroupNotReady);
+        if !until(READY_TIMEOUT, || self.all_may_vote()) {
+            return Err(ClusterError::GroupNotReady);
         }
         Ok(())
     }
 
     /// Whether each router that has a group may vote in it.
-    pub fn all_remember(&self) -> bool {
-        (0..self.peer_ports.len()).all(|number| self.remembers(number))
+    pub fn all_may_vote(&self) -> bool {
+        (0..self.peer_ports.len()).all(|number| self.may_vote(number))
     }
 
     /// Whether a router may vote: it has forgotten nothing that it promised.
-    pub fn remembers(&self, number: usize) -> bool {
+    pub fn may_vote(&self, number: usize) -> bool {
         self.state(number).is_some_and(|s| s["memory"] == "whole")
     }
 
     /// A router's `/state`, if it answers.
     pub fn state(&self, number: usize) -> Option<serde_json::Value> {
-        state(self.peer(number)?).ok()
+        fetch_state(self.peer_address(number)?).ok()
     }
 
     /// A router's name in the table of links and in the logs: its source address.
-    pub fn router(&self, number: usize) -> String {
+    pub fn router_name(&self, number: usize) -> String {
         self.addresses[number].to_string()
     }
 
     /// A worker's name in the table of links and in the logs.
-    pub fn worker(&self, number: usize) -> String {
+    pub fn worker_name(&self, number: usize) -> String {
         worker_name(number)
     }
 
@@ -161,7 +161,7 @@
     }
 
     /// Where a router listens for its peers; for [`crate::router_state::state`].
-    pub fn peer(&self, number: usize) -> Option<SocketAddr> {
+    pub fn peer_address(&self, number: usize) -> Option<SocketAddr> {
         self.peer_ports.get(number).map(|r| r.address)
     }
 
@@ -169,17 +169,17 @@
     ///
     /// # Errors
     /// When its process cannot be started.
-    pub fn start_router(&self, number: usize, state: State) -> Result<(), Wrong> {
+    pub fn start_router(&self, number: usize, state: StateAtStart) -> Result<(), ClusterError> {
         let mut router = lock(&self.routers[number]);
         // Two faults may have killed it; it is started once.
         if router.is_up() {
             return Ok(());
         }
         self.log
-            .write("router-up", json!({"address": self.router(number)}));
+            .write("router-up", json!({"address": self.router_name(number)}));
         router
             .start(state)
-            .map_err(|source| Wrong::Router { number, source })
+            .map_err(|source| ClusterError::Router { number, source })
     }
 
     /// Kills a router if it runs.
@@ -187,7 +187,7 @@
         let mut router = lock(&self.routers[number]);
         if router.is_up() {
             self.log
-                .write("router-down", json!({"address": self.router(number)}));
+                .write("router-down", json!({"address": self.router_name(number)}));
             router.kill();
         }
     }
@@ -196,7 +196,7 @@
     ///
     /// # Errors
     /// When its process cannot be signalled, or does not stop in time.
-    pub fn pause_router(&self, number: usize, on: bool) -> Result<(), Wrong> {
+    pub fn pause_router(&self, number: usize, on: bool) -> Result<(), ClusterError> {
         let mut router = lock(&self.routers[number]);
         if !router.is_up() || router.is_paused() == on {
             return Ok(());
@@ -204,10 +204,10 @@
         let log_change = || {
             self.log.write(
                 "router-paused",
-                json!({"address": self.router(number), "on": on}),
+                json!({"address": self.router_name(number), "on": on}),
             )
         };
-        let failed = |source| Wrong::Router { number, source };
+        let failed = |source| ClusterError::Router { number, source };
         if on {
             log_change();
             return router.pause().map_err(failed);
@@ -226,27 +226,27 @@
     ///
     /// # Errors
     /// When the file cannot be written.
-    pub fn write_upgrade(&self, text: &str) -> Result<(), Wrong> {
+    pub fn write_upgrade(&self, text: &str) -> Result<(), ClusterError> {
         let (file, new) = (
             self.upgrade_file(),
             self.upgrade_file().with_extension("new"),
         );
         let written = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, &file));
-        written.map_err(Wrong::file(&file))
+        written.map_err(ClusterError::file(&file))
     }
 
     /// Signals a router to read its orders again, if it runs.
     ///
     /// # Errors
     /// When it cannot be signalled.
-    pub fn hang_up(&self, number: usize) -> Result<(), Wrong> {
+    pub fn signal_reload(&self, number: usize) -> Result<(), ClusterError> {
         let router = lock(&self.routers[number]);
         if !router.is_up() {
             return Ok(());
         }
         router
             .hang_up()
-            .map_err(|source| Wrong::Router { number, source })
+            .map_err(|source| ClusterError::Router { number, source })
     }
 
     /// Writes upgrade orders and signals all routers. For the checker, the capacity that these models have now is what
@@ -254,34 +254,34 @@
     ///
     /// # Errors
     /// When the file cannot be written or a router cannot be signalled.
-    pub fn order_upgrade(&self, models: &[&str], text: &str) -> Result<(), Wrong> {
+    pub fn order_upgrade(&self, models: &[&str], text: &str) -> Result<(), ClusterError> {
         self.write_upgrade(text)?;
         self.log.write("upgrade", json!({"models": models}));
-        (0..self.routers.len()).try_for_each(|number| self.hang_up(number))
+        (0..self.routers.len()).try_for_each(|number| self.signal_reload(number))
     }
 
     /// Tells the checker that these models' floors need to hold no longer.
-    pub fn upgrade_over(&self, models: &[&str]) {
+    pub fn end_upgrade(&self, models: &[&str]) {
         self.log.write("upgrade-over", json!({"models": models}));
     }
 
     /// Sets a fault on the links between all routers that are named, or one way from the first to the others.
-    pub fn cut_peers(&self, which: &[usize], one_way: bool, fault: Fault) {
+    pub fn set_peer_faults(&self, which: &[usize], one_way: bool, fault: LinkFault) {
         for (position, one) in which.iter().enumerate() {
             for other in &which[position + 1..] {
                 if one_way && position == 0 {
                     self.links
-                        .set(&self.router(*one), &self.router(*other), fault);
+                        .set(&self.router_name(*one), &self.router_name(*other), fault);
                 } else if !one_way {
                     self.links
-                        .both(&self.router(*one), &self.router(*other), fault);
+                        .both(&self.router_name(*one), &self.router_name(*other), fault);
                 }
             }
         }
     }
 
     /// Sets a fault on all links that cross a region's border, both ways. Broker, list and store are in no region.
-    pub fn cut_region(&self, region: &str, fault: Fault) {
+    pub fn set_region_fault(&self, region: &str, fault: LinkFault) {
         let rows = lock(&self.rows).clone();
         for (router, own) in self.regions.iter().enumerate() {
             for (worker, row) in rows.iter().enumerate() {
@@ -291,40 +291,41 @@
                     .is_some_and(|r| r == region);
                 if in_region != (own == region) {
                     self.links
-                        .both(&self.router(router), &worker_name(worker), fault);
+                        .both(&self.router_name(router), &worker_name(worker), fault);
                 }
             }
             for (peer, other) in self.regions.iter().enumerate().skip(router + 1) {
                 if (own == region) != (other == region) {
                     self.links
-                        .both(&self.router(router), &self.router(peer), fault);
+                        .both(&self.router_name(router), &self.router_name(peer), fault);
                 }
             }
         }
     }
 
     /// Changes what the list publishes of a worker.
-    pub fn row(&self, worker: usize, change: impl FnOnce(&mut Row)) {
+    pub fn update_endpoint(&self, worker: usize, change: impl FnOnce(&mut EndpointRecord)) {
         let mut rows = lock(&self.rows);
         change(&mut rows[worker]);
-        self.list.put(&worker_name(worker), rows[worker].clone());
+        self.list
+            .publish(&worker_name(worker), rows[worker].clone());
     }
 
     /// Withdraws a worker from the list.
-    pub fn gone(&self, worker: usize) {
+    pub fn withdraw_worker(&self, worker: usize) {
         self.list.remove(&worker_name(worker));
     }
 
     /// Starts a worker that is down, and publishes its new process.
-    pub fn starts_again(&self, worker: usize) {
-        if self.workers[worker].is_up() || self.workers[worker].start_again().is_err() {
+    pub fn restart_worker(&self, worker: usize) {
+        if self.workers[worker].is_up() || self.workers[worker].restart().is_err() {
             return;
         }
         let (start, started_us) = (
             self.workers[worker].starts(),
             self.workers[worker].began_us(),
         );
-        self.row(worker, |r| {
+        self.update_endpoint(worker, |r| {
             (r.draining, r.start, r.started_us) = (false, start, started_us)
         });
     }
@@ -358,13 +359,13 @@
     ///
     /// # Errors
     /// When the logs cannot be read.
-    pub fn verdict(&self) -> Result<Verdict, Wrong> {
+    pub fn verdict(&self) -> Result<Verdict, ClusterError> {
         self.log.flush();
         self.broker.flush();
         self.store.flush();
         self.list.flush();
         self.workers.iter().for_each(Worker::flush);
-        Ok(cedarpulley_invariant_checker::judge(&self.out)?)
+        Ok(cedarpulley_invariant_checker::check(&self.out)?)
     }
 
     /// The folder that the cluster writes to.
--- a/crates/test-cluster/src/cluster/router_settings.rs
+++ b/crates/test-cluster/src/cluster/router_settings.rs
@@ -7,7 +7,7 @@
 
 use super::queue;
 use super::setup::router_address_of;
-use crate::scenario::Day;
+use crate::scenario::Scenario;
 
 /// Group name of all routers of a cluster.
 const GROUP: &str = "fleet";
@@ -21,7 +21,7 @@
 
 /// What one router's settings are made of.
 pub(super) struct RouterSettings<'a> {
-    pub(super) scenario: &'a Day,
+    pub(super) scenario: &'a Scenario,
     /// The router's number.
     pub(super) number: u32,
     /// The broker, as this router reaches it.
--- a/crates/test-cluster/src/cluster/rules.rs
+++ b/crates/test-cluster/src/cluster/rules.rs
@@ -5,7 +5,7 @@
 use cedarpulley_invariant_checker::{RuleSettings, TriggerTypeRules};
 
 use super::worker_name;
-use crate::scenario::Day;
+use crate::scenario::Scenario;
 
 /// A number of a settings table, or the routers' default.
 fn figure(table: &toml::Table, key: &str, default: f64) -> f64 {
@@ -17,7 +17,7 @@
 }
 
 /// The rules that the checker holds the routers to, as the scenario and the routers' settings say them.
-pub fn rule_settings(scenario: &Day) -> RuleSettings {
+pub fn rule_settings(scenario: &Scenario) -> RuleSettings {
     let (rules, loads) = (&scenario.settings.rules, &scenario.settings.loads);
     let us =
         |table: &toml::Table, key: &str, default: f64| (figure(table, key, default) * 1e3) as i64;
--- a/crates/test-cluster/src/cluster/setup.rs
+++ b/crates/test-cluster/src/cluster/setup.rs
@@ -8,18 +8,18 @@
 use std::time::Duration;
 
 use cedarpulley_emulators::broker::Broker;
-use cedarpulley_emulators::endpoint_list::{List, Row};
+use cedarpulley_emulators::endpoint_list::{EndpointList, EndpointRecord};
 use cedarpulley_emulators::store::{self, Store};
-use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
-use cedarpulley_emulators::{Ground, router_address};
+use cedarpulley_emulators::worker::{IdempotencyStore, InvocationProfile, Worker, WorkerProfile};
+use cedarpulley_emulators::{Host, router_address};
 use cedarpulley_invariant_checker::RuleSettings;
 
 use super::router_settings::{Member, RouterSettings};
-use super::{BROKER, Fleet, LIST, Launch, queue, worker_name};
+use super::{BROKER, Cluster, ClusterOptions, LIST, queue, worker_name};
 use crate::links::Links;
-use crate::relay::{Relay, RelayConfig, RelayMode, Reserved};
+use crate::relay::{Relay, RelayConfig, RelayMode, ReservedPort};
 use crate::router_process::RouterProcess;
-use crate::scenario::{Day, WorkerGroup};
+use crate::scenario::{Scenario, WorkerGroup};
 
 /// Threads of the emulators and relays.
 const THREADS: usize = 3;
@@ -30,7 +30,7 @@
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 /// The source address of a router.
-pub(super) fn router_address_of(scenario: &Day, number: u32) -> IpAddr {
+pub(super) fn router_address_of(scenario: &Scenario, number: u32) -> IpAddr {
     router_address(scenario.zone_of(number), number)
 }
 
@@ -45,8 +45,12 @@
 }
 
 /// Starts the emulators and prepares the routers' processes.
-pub(super) fn set_up(scenario: &Day, rules: &RuleSettings, options: Launch) -> io::Result<Fleet> {
-    let out = &options.out;
+pub(super) fn set_up(
+    scenario: &Scenario,
+    rules: &RuleSettings,
+    options: ClusterOptions,
+) -> io::Result<Cluster> {
+    let out = &options.folder;
     prepare_folder(out)?;
     std::fs::write(out.join("terms.json"), serde_json::to_string_pretty(rules)?)?;
     let emulators = Emulators::start(scenario, rules, out)?;
@@ -71,7 +75,7 @@
         ..
     } = relays;
     if !scenario.regions.is_empty() {
-        emulators.list.seen_as(move |router, worker| {
+        emulators.list.set_addresses_seen(move |router, worker| {
             worker_addresses
                 .get(&(router, worker))
                 .copied()
@@ -79,8 +83,8 @@
         });
     }
     let consuming_routers = scenario.routers as usize - usize::from(scenario.witness);
-    Ok(Fleet {
-        ground: emulators.host,
+    Ok(Cluster {
+        host: emulators.host,
         broker: emulators.broker,
         store: emulators.store,
         list: emulators.list,
@@ -95,13 +99,13 @@
         kserve_ports: ports.kserve,
         peer_ports: ports.peers,
         _relays: relays,
-        out: options.out,
+        out: options.folder,
         expected_consumers: consuming_routers * scenario.accounts.len(),
     })
 }
 
 /// Regions of the zones, by name.
-fn zone_regions(scenario: &Day) -> HashMap<String, String> {
+fn zone_regions(scenario: &Scenario) -> HashMap<String, String> {
     scenario
         .zones
         .iter()
@@ -111,30 +115,30 @@
 
 /// All that routers talk to.
 struct Emulators {
-    host: Ground,
+    host: Host,
     broker: Broker,
     store: Store,
-    list: List,
+    list: EndpointList,
     workers: Vec<Worker>,
-    rows: Vec<Row>,
+    rows: Vec<EndpointRecord>,
 }
 
 impl Emulators {
-    fn start(scenario: &Day, rules: &RuleSettings, out: &Path) -> io::Result<Self> {
-        let host = Ground::new(THREADS, Some(&out.join("traffic")))?;
+    fn start(scenario: &Scenario, rules: &RuleSettings, out: &Path) -> io::Result<Self> {
+        let host = Host::new(THREADS, Some(&out.join("traffic")))?;
         let broker = Broker::start(&host, BROKER, ANY_PORT)?;
         for account in &scenario.accounts {
             broker.declare(&queue(&account.name));
         }
-        let profile = store::Nature {
+        let profile = store::StoreProfile {
             mb_per_s: scenario.store.mb_per_s,
-            abreast: scenario.store.abreast,
-            most: scenario.store.most,
+            full_rate_fetches: scenario.store.abreast,
+            max_fetches: scenario.store.most,
         };
         let store = Store::start(&host, "store", ANY_PORT, profile)?;
-        let list = List::start(&host, LIST, ANY_PORT)?;
+        let list = EndpointList::start(&host, LIST, ANY_PORT)?;
         let programs = programs(scenario);
-        let (memory, mut workers, mut rows) = (Memory::default(), Vec::new(), Vec::new());
+        let (memory, mut workers, mut rows) = (IdempotencyStore::default(), Vec::new(), Vec::new());
         let groups = scenario.workers.iter();
         for group in groups.flat_map(|group| (0..group.count).map(move |_| group)) {
             let worker = Worker::start(
@@ -147,7 +151,7 @@
                 programs.clone(),
                 memory.clone(),
             )?;
-            rows.push(Row {
+            rows.push(EndpointRecord {
                 address: worker.address,
                 zone: group.zone.clone(),
                 kind: group.kind.clone(),
@@ -159,7 +163,7 @@
             workers.push(worker);
         }
         for (number, row) in rows.iter().enumerate() {
-            list.put(&worker_name(number), row.clone());
+            list.publish(&worker_name(number), row.clone());
         }
         Ok(Emulators {
             host,
@@ -173,14 +177,14 @@
 }
 
 /// What invocations of each trigger type are like, by its name.
-fn programs(scenario: &Day) -> HashMap<String, Program> {
-    let program = |t: &crate::scenario::TriggerType| Program {
-        work: Duration::from_secs_f64(t.work_ms / 1e3),
+fn programs(scenario: &Scenario) -> HashMap<String, InvocationProfile> {
+    let program = |t: &crate::scenario::TriggerType| InvocationProfile {
+        mean_work: Duration::from_secs_f64(t.work_ms / 1e3),
         copy_mb: t.copy_mb,
-        start_up: Duration::from_millis(t.start_up_ms),
+        start_up_time: Duration::from_millis(t.start_up_ms),
         lanes: t.lanes as usize,
-        window: (t.window_ms > 0).then(|| Duration::from_millis(t.window_ms)),
-        prefix: Duration::from_millis(t.prefix_ms),
+        idempotency_window: (t.window_ms > 0).then(|| Duration::from_millis(t.window_ms)),
+        prefix_rebuild_work: Duration::from_millis(t.prefix_ms),
     };
     scenario
         .triggers
@@ -189,7 +193,7 @@
         .collect()
 }
 
-fn worker_profile(scenario: &Day, rules: &RuleSettings, group: &WorkerGroup) -> Nature {
+fn worker_profile(scenario: &Scenario, rules: &RuleSettings, group: &WorkerGroup) -> WorkerProfile {
     let duration = |us: i64| Duration::from_micros(us.max(0) as u64);
     let loads_when_absent = scenario
         .settings
@@ -197,11 +201,11 @@
         .get("loads_when_absent")
         .and_then(toml::Value::as_bool)
         .unwrap_or(true);
-    Nature {
+    WorkerProfile {
         cores: group.cores,
         memory_mb: group.memory_mb,
-        max_waiting: scenario.nature.most_waiting,
-        max_loads: scenario.nature.most_loads,
+        max_waiting: scenario.worker_limits.most_waiting,
+        max_loads: scenario.worker_limits.most_loads,
         loads_when_absent,
         slow_start_share: rules.slow_start_share,
         slow_start: duration(rules.slow_start_us),
@@ -214,20 +218,20 @@
 struct RouterPorts {
     addresses: Vec<IpAddr>,
     regions: Vec<String>,
-    kserve: Vec<Reserved>,
+    kserve: Vec<ReservedPort>,
     /// Empty if the routers form no group.
-    peers: Vec<Reserved>,
+    peers: Vec<ReservedPort>,
 }
 
 impl RouterPorts {
-    fn reserve(scenario: &Day) -> io::Result<Self> {
+    fn reserve(scenario: &Scenario) -> io::Result<Self> {
         let addresses: Vec<IpAddr> = (0..scenario.routers)
             .map(|number| router_address_of(scenario, number))
             .collect();
         let reserve = || {
             addresses
                 .iter()
-                .map(|ip| Reserved::at(*ip))
+                .map(|ip| ReservedPort::at(*ip))
                 .collect::<io::Result<Vec<_>>>()
         };
         let kserve = reserve()?;
@@ -252,8 +256,8 @@
 
 /// The relays of all routers' links; none without regions.
 struct RelaySet<'a> {
-    scenario: &'a Day,
-    host: &'a Ground,
+    scenario: &'a Scenario,
+    host: &'a Host,
     links: &'a Links,
     relays: Vec<Relay>,
     /// By router and worker: where the router reaches the worker.
@@ -289,8 +293,8 @@
 
 /// Writes a router's settings, with a relay on each of its links.
 fn prepare_router(
-    scenario: &Day,
-    options: &Launch,
+    scenario: &Scenario,
+    options: &ClusterOptions,
     number: usize,
     ports: &RouterPorts,
     emulators: &Emulators,
@@ -329,7 +333,7 @@
         members: &members,
         trace: options.trace,
     };
-    let folder = options.out.join("routers");
+    let folder = options.folder.join("routers");
     let file = folder.join(format!("router-{number}.toml"));
     std::fs::write(&file, settings.to_toml().map_err(io::Error::other)?)?;
     let state = folder.join(format!("state-{number}"));
@@ -337,7 +341,7 @@
     Ok(RouterProcess::new(&options.program, &file, &state, &args))
 }
 
-fn router_args(scenario: &Day, options: &Launch, number: usize) -> Vec<String> {
+fn router_args(scenario: &Scenario, options: &ClusterOptions, number: usize) -> Vec<String> {
     let mut args = vec!["--log".to_owned(), "json".to_owned()];
     // One router that tampers is enough to be found, except where all of them together break the invariant.
     if let Some(kind) = options
--- a/crates/test-cluster/src/scenario.rs
+++ b/crates/test-cluster/src/scenario.rs
@@ -8,12 +8,12 @@
 use cedarpulley_invariant_checker::Effect;
 use serde::Deserialize;
 
-use crate::error::Wrong;
+use crate::error::ClusterError;
 
 /// A scenario. Keys of the file are the fields' names where nothing else is said.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Day {
+pub struct Scenario {
     /// Of all draws.
     pub seed: u64,
     /// For how long invocations arrive.
@@ -37,7 +37,7 @@
     /// The last router is a witness: it takes no invocations.
     #[serde(default)]
     pub witness: bool,
-    /// What a busy machine may add to any time that is checked.
+    /// FaultKind a busy machine may add to any time that is checked.
     #[serde(default)]
     pub leeway_ms: u64,
     /// Share of the lanes ready when an upgrade is ordered that must be ready in each region until it is over.
@@ -51,9 +51,9 @@
     pub clock_offsets_ms: Vec<i64>,
     /// The function store.
     pub store: StoreLimits,
-    /// What all workers have in common.
+    /// FaultKind all workers have in common.
     #[serde(rename = "nature")]
-    pub nature: WorkerLimits,
+    pub worker_limits: WorkerLimits,
     /// Groups of workers (key `worker`).
     #[serde(rename = "worker")]
     pub workers: Vec<WorkerGroup>,
@@ -65,7 +65,7 @@
     pub accounts: Vec<Account>,
     /// Faults (key `trouble`).
     #[serde(rename = "trouble", default)]
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<ScenarioFault>,
     /// Tables that are handed to each router as they are.
     pub settings: RouterTables,
 }
@@ -109,7 +109,7 @@
     pub most: usize,
 }
 
-/// What all workers have in common beside the figures in the rules.
+/// FaultKind all workers have in common beside the figures in the rules.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerLimits {
@@ -146,14 +146,14 @@
     /// How long workers remember an idempotency key; 0 if they do not.
     #[serde(default)]
     pub window_ms: u64,
-    /// What its group does without a majority; absent, the routers' own default.
+    /// FaultKind its group does without a majority; absent, the routers' own default.
     #[serde(default)]
     pub without_majority: Option<String>,
     /// Its latency objective.
     pub latency_objective_ms: u64,
     /// Its clients give up after this.
     pub client_timeout_ms: u64,
-    /// What an invocation within the objective earns.
+    /// FaultKind an invocation within the objective earns.
     pub billed_value: f64,
     /// Share of all arrivals, relative to the other types' shares.
     pub part: f64,
@@ -198,10 +198,10 @@
     pub part: f64,
 }
 
-/// Kinds of faults; [`Trouble::size`] means what each says of it.
+/// Kinds of faults; [`ScenarioFault::size`] means what each says of it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum FaultKind {
     /// Workers end, and start again when it is over.
     Crash,
     /// Workers execute and do not answer.
@@ -257,9 +257,9 @@
 /// A fault, when and on what.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct ScenarioFault {
     /// Its kind.
-    pub what: What,
+    pub what: FaultKind,
     /// When it begins.
     pub at_s: f64,
     /// How long it lasts.
@@ -271,7 +271,7 @@
     /// Share of the workers, arrivals or channels, drawn by the seed.
     #[serde(default)]
     pub part: f64,
-    /// Factor, seconds or milliseconds: see [`What`].
+    /// Factor, seconds or milliseconds: see [`FaultKind`].
     #[serde(default)]
     pub size: f64,
     /// The zone it concerns.
@@ -283,7 +283,7 @@
     /// Only from the first router to the others.
     #[serde(default)]
     pub one_way: bool,
-    /// What a partition keeps back is lost with its connection, instead of arriving when it is healed.
+    /// FaultKind a partition keeps back is lost with its connection, instead of arriving when it is healed.
     #[serde(default)]
     pub lost: bool,
     /// The trigger type it concerns.
@@ -311,8 +311,8 @@
 ///
 /// # Errors
 /// When it cannot be read, is not of its form, or contradicts itself.
-pub fn read(path: &Path) -> Result<Day, Wrong> {
-    let text = std::fs::read_to_string(path).map_err(Wrong::file(path))?;
+pub fn read(path: &Path) -> Result<Scenario, ClusterError> {
+    let text = std::fs::read_to_string(path).map_err(ClusterError::file(path))?;
     parse(&path.display().to_string(), &text)
 }
 
@@ -320,8 +320,8 @@
 ///
 /// # Errors
 /// When it is not of its form, or contradicts itself.
-pub fn parse(file: &str, text: &str) -> Result<Day, Wrong> {
-    let scenario: Day = toml::from_str(text).map_err(|e| Wrong::MalformedScenario {
+pub fn parse(file: &str, text: &str) -> Result<Scenario, ClusterError> {
+    let scenario: Scenario = toml::from_str(text).map_err(|e| ClusterError::MalformedScenario {
         file: file.to_owned(),
         line: e
             .span()
@@ -338,7 +338,7 @@
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('-'))
 }
 
-impl Day {
+impl Scenario {
     /// Number of a router's zone: routers are assigned to the regions in turn, and in each to its zones.
     pub fn zone_of(&self, router: u32) -> u32 {
         if self.regions.is_empty() {
--- a/crates/test-cluster/src/scenario/validation.rs
+++ b/crates/test-cluster/src/scenario/validation.rs
@@ -2,8 +2,8 @@
 
 use std::ops::RangeInclusive;
 
-use super::{Day, Trouble, What, belongs};
-use crate::error::Wrong;
+use super::{FaultKind, Scenario, ScenarioFault, belongs};
+use crate::error::ClusterError;
 
 type Range = (RangeInclusive<f64>, &'static str);
 
@@ -16,13 +16,13 @@
 const MAX_ZONES: f64 = 60.0;
 
 /// Checks a scenario; the error is the first condition that does not hold.
-pub(super) fn validate(file: &str, scenario: &Day) -> Result<(), Wrong> {
+pub(super) fn validate(file: &str, scenario: &Scenario) -> Result<(), ClusterError> {
     Validator { file, scenario }.validate()
 }
 
 struct Validator<'a> {
     file: &'a str,
-    scenario: &'a Day,
+    scenario: &'a Scenario,
 }
 
 impl Validator<'_> {
@@ -32,11 +32,11 @@
         key: impl ToString,
         value: f64,
         (range, within): Range,
-    ) -> Result<(), Wrong> {
+    ) -> Result<(), ClusterError> {
         if range.contains(&value) {
             return Ok(());
         }
-        Err(Wrong::OutOfRange {
+        Err(ClusterError::OutOfRange {
             file: self.file.into(),
             key: key.to_string(),
             value,
@@ -44,11 +44,16 @@
         })
     }
 
-    fn require(&self, key: impl ToString, holds: bool, what: &'static str) -> Result<(), Wrong> {
+    fn require(
+        &self,
+        key: impl ToString,
+        holds: bool,
+        what: &'static str,
+    ) -> Result<(), ClusterError> {
         if holds {
             return Ok(());
         }
-        Err(Wrong::MissingRequirement {
+        Err(ClusterError::MissingRequirement {
             file: self.file.into(),
             key: key.to_string(),
             what,
@@ -61,12 +66,12 @@
         key: impl ToString,
         name: Option<T>,
         is_defined: impl Fn(&T) -> bool,
-    ) -> Result<(), Wrong> {
+    ) -> Result<(), ClusterError> {
         match name.filter(|name| !is_defined(name)) {
             None => Ok(()),
             Some(name) => {
                 let (key, name) = (key.to_string(), name.to_string());
-                Err(Wrong::UnknownName {
+                Err(ClusterError::UnknownName {
                     file: self.file.into(),
                     key,
                     name,
@@ -75,7 +80,7 @@
         }
     }
 
-    fn validate(&self) -> Result<(), Wrong> {
+    fn validate(&self) -> Result<(), ClusterError> {
         self.check_lists()?;
         self.check_figures()?;
         self.check_trigger_types()?;
@@ -83,13 +88,13 @@
         self.check_regions()?;
         self.check_group()?;
         self.scenario
-            .troubles
+            .faults
             .iter()
             .enumerate()
             .try_for_each(|(number, fault)| self.check_fault(number, fault))
     }
 
-    fn check_lists(&self) -> Result<(), Wrong> {
+    fn check_lists(&self) -> Result<(), ClusterError> {
         let scenario = self.scenario;
         let lengths = [
             ("trigger", scenario.triggers.len()),
@@ -99,14 +104,14 @@
         ];
         match lengths.into_iter().find(|(_, length)| *length == 0) {
             None => Ok(()),
-            Some((key, _)) => Err(Wrong::Empty {
+            Some((key, _)) => Err(ClusterError::Empty {
                 file: self.file.into(),
                 key,
             }),
         }
     }
 
-    fn check_figures(&self) -> Result<(), Wrong> {
+    fn check_figures(&self) -> Result<(), ClusterError> {
         let scenario = self.scenario;
         self.check_range("seconds", scenario.seconds, SECONDS)?;
         self.check_range("rate_per_s", scenario.rate_per_s, RATE)?;
@@ -120,7 +125,7 @@
         )
     }
 
-    fn check_trigger_types(&self) -> Result<(), Wrong> {
+    fn check_trigger_types(&self) -> Result<(), ClusterError> {
         for (number, trigger) in self.scenario.triggers.iter().enumerate() {
             let key = format!("trigger[{number}].sessions");
             self.check_range(&key, trigger.sessions, SHARE)?;
@@ -130,7 +135,7 @@
         Ok(())
     }
 
-    fn check_worker_groups(&self) -> Result<(), Wrong> {
+    fn check_worker_groups(&self) -> Result<(), ClusterError> {
         for (number, group) in self.scenario.workers.iter().enumerate() {
             let key = format!("worker[{number}].zone");
             self.check_name(key, Some(&group.zone), |zone| {
@@ -141,7 +146,7 @@
     }
 
     /// Each zone is in a region, and each region has a zone.
-    fn check_regions(&self) -> Result<(), Wrong> {
+    fn check_regions(&self) -> Result<(), ClusterError> {
         let scenario = self.scenario;
         if scenario.regions.is_empty() {
             return Ok(());
@@ -165,7 +170,7 @@
         Ok(())
     }
 
-    fn check_group(&self) -> Result<(), Wrong> {
+    fn check_group(&self) -> Result<(), ClusterError> {
         let scenario = self.scenario;
         self.require(
             "peers",
@@ -179,15 +184,15 @@
         )
     }
 
-    fn check_fault(&self, number: usize, fault: &Trouble) -> Result<(), Wrong> {
+    fn check_fault(&self, number: usize, fault: &ScenarioFault) -> Result<(), ClusterError> {
         let scenario = self.scenario;
         let key = |part: &str| format!("trouble[{number}].{part}");
         let workers: u32 = scenario.workers.iter().map(|w| w.count).sum();
         let concerning_routers = [
-            What::RouterKill,
-            What::RouterPause,
-            What::StaleState,
-            What::PeerCut,
+            FaultKind::RouterKill,
+            FaultKind::RouterPause,
+            FaultKind::StaleState,
+            FaultKind::PeerCut,
         ];
         let count = if concerning_routers.contains(&fault.what) {
             scenario.routers
@@ -198,7 +203,7 @@
             **number < count
         })?;
         self.check_range(key("part"), fault.part, SHARE)?;
-        if fault.what == What::Flood {
+        if fault.what == FaultKind::Flood {
             self.require(
                 key("what"),
                 fault.front.is_some(),
@@ -211,13 +216,13 @@
         })?;
         self.require(
             key("what"),
-            fault.what != What::RegionCut || fault.region.is_some(),
+            fault.what != FaultKind::RegionCut || fault.region.is_some(),
             "a region",
         )?;
         let has_two = scenario.peers && fault.which.len() > 1;
         self.require(
             key("what"),
-            fault.what != What::PeerCut || has_two,
+            fault.what != FaultKind::PeerCut || has_two,
             "peers, and two routers in which",
         )?;
         self.check_name(key("account"), fault.account.as_ref(), |a| {
--- a/crates/test-cluster/src/script.rs
+++ b/crates/test-cluster/src/script.rs
@@ -7,9 +7,9 @@
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
 
-use crate::cluster::Fleet;
+use crate::cluster::Cluster;
 
-type Action<'a> = Box<dyn FnMut(&Fleet, &mut Pcg64Mcg) + 'a>;
+type Action<'a> = Box<dyn FnMut(&Cluster, &mut Pcg64Mcg) + 'a>;
 
 struct Step {
     at: Duration,
@@ -35,7 +35,7 @@
     }
 
     /// Runs an action once, this many milliseconds after the beginning.
-    pub fn at(mut self, ms: u64, mut action: impl FnMut(&Fleet) + 'a) -> Self {
+    pub fn at(mut self, ms: u64, mut action: impl FnMut(&Cluster) + 'a) -> Self {
         self.add_step(Duration::from_millis(ms));
         self.actions
             .push(Box::new(move |cluster, _| action(cluster)));
@@ -43,11 +43,11 @@
     }
 
     /// Runs an action repeatedly between the two times, in exponential intervals of this mean; the action may draw.
-    pub fn often(
+    pub fn repeatedly(
         mut self,
         ms: std::ops::Range<u64>,
         mean_ms: f64,
-        action: impl FnMut(&Fleet, &mut Pcg64Mcg) + 'a,
+        action: impl FnMut(&Cluster, &mut Pcg64Mcg) + 'a,
     ) -> Self {
         let mut at = ms.start as f64;
         while let Ok(gap) = Exp::new(1.0 / mean_ms) {
@@ -70,7 +70,7 @@
     }
 
     /// Runs all actions at their times, counted from `began`.
-    pub fn play(mut self, cluster: &Fleet, began: Instant) {
+    pub fn run(mut self, cluster: &Cluster, began: Instant) {
         self.steps.sort_by_key(|step| step.at);
         for Step { at, action } in self.steps {
             std::thread::sleep((began + at).saturating_duration_since(Instant::now()));
--- a/crates/test-cluster/src/traffic.rs
+++ b/crates/test-cluster/src/traffic.rs
@@ -10,10 +10,10 @@
 use cedarpulley_emulators::lock;
 use smol::Task;
 
-use crate::amqp_client::{Answers, Arrival, Asks, Client};
-use crate::cluster::Fleet;
+use crate::amqp_client::{AmqpClient, Answers, Arrival, FunctionOverride};
+use crate::cluster::Cluster;
 use crate::kserve_client::Callers;
-use crate::scenario::Day;
+use crate::scenario::Scenario;
 use crate::until;
 
 /// Clients over AMQP.
@@ -33,17 +33,21 @@
 
 impl Traffic {
     /// Starts the clients.
-    pub fn begin(scenario: &Day, cluster: &Fleet) -> Traffic {
-        Self::begin_asking(scenario, cluster, None)
+    pub fn begin(scenario: &Scenario, cluster: &Cluster) -> Traffic {
+        Self::begin_with(scenario, cluster, None)
     }
 
     /// Starts clients that ask for the functions that `asks` says, where it is given.
-    pub fn begin_asking(scenario: &Day, cluster: &Fleet, asks: Option<Asks>) -> Traffic {
+    pub fn begin_with(
+        scenario: &Scenario,
+        cluster: &Cluster,
+        asks: Option<FunctionOverride>,
+    ) -> Traffic {
         let (began, sent, answers) = (Instant::now(), arrivals(scenario), Answers::default());
         let mut clients: Vec<Vec<Arrival>> = (0..CLIENTS).map(|_| Vec::new()).collect();
         let mut calls = Vec::new();
         for (n, arrival) in sent.iter().cloned().enumerate() {
-            if arrival.calls {
+            if arrival.over_kserve {
                 calls.push(arrival);
             } else {
                 clients[n % CLIENTS as usize].push(arrival);
@@ -58,18 +62,18 @@
             answers: Some(answers.clone()),
             asks: asks.clone(),
         };
-        let executor = &cluster.ground.executor;
+        let executor = &cluster.host.executor;
         let mut tasks = vec![executor.spawn(Arc::new(callers).run(executor.clone(), calls))];
         for (n, arrivals) in clients.into_iter().enumerate() {
-            let client = Client {
+            let client = AmqpClient {
                 broker: cluster.broker.address,
                 from: [127, 0, 2, 1 + n as u8].into(),
-                replies: format!("replies-{n}"),
+                reply_queue: format!("replies-{n}"),
                 began,
                 arrivals,
-                times: None,
+                latencies: None,
                 answers: Some(answers.clone()),
-                asks: asks.clone(),
+                function_override: asks.clone(),
             };
             tasks.push(executor.spawn(client.run()));
         }
@@ -82,7 +86,7 @@
     }
 
     /// Waits until each invocation is answered; false if some are not within this time after the last is due.
-    pub fn is_answered(&self, timeout: Duration) -> bool {
+    pub fn wait_until_answered(&self, timeout: Duration) -> bool {
         let last = self.sent.last().map_or(Duration::ZERO, |a| a.at);
         until(last.saturating_sub(self.began.elapsed()) + timeout, || {
             let answers = lock(&self.answers);
--- a/crates/test-cluster/src/traffic/arrivals.rs
+++ b/crates/test-cluster/src/traffic/arrivals.rs
@@ -12,7 +12,7 @@
 
 use crate::amqp_client::{Arrival, Turn};
 use crate::cluster::queue;
-use crate::scenario::{Day, Front, Trouble, What};
+use crate::scenario::{FaultKind, Front, Scenario, ScenarioFault};
 
 /// Distinguish the generators of the same seed.
 const FRONTS: u64 = 0xca11;
@@ -25,14 +25,14 @@
     r#"{"inputs":[{"name":"drawing","shape":[4],"datatype":"FP32","data":[0.1,0.2,0.3,0.4]}]}"#;
 
 /// All invocations of a scenario, in the order of their times.
-pub fn arrivals(scenario: &Day) -> Vec<Arrival> {
+pub fn arrivals(scenario: &Scenario) -> Vec<Arrival> {
     let mut all = base_load(scenario);
     if scenario.triggers.iter().any(|t| t.sessions > 0.0) {
         all = with_sessions(scenario, all);
     }
     let base = all.clone();
-    for (number, fault) in scenario.troubles.iter().enumerate() {
-        if fault.what == What::Flood {
+    for (number, fault) in scenario.faults.iter().enumerate() {
+        if fault.what == FaultKind::Flood {
             add_flood(scenario, number, fault, &base, &mut all);
         }
     }
@@ -54,14 +54,14 @@
 }
 
 /// The fault of this kind that lasts at this time.
-fn fault_at(scenario: &Day, what: What, at: f64) -> Option<&Trouble> {
+fn fault_at(scenario: &Scenario, what: FaultKind, at: f64) -> Option<&ScenarioFault> {
     scenario
-        .troubles
+        .faults
         .iter()
         .find(|t| t.what == what && (t.at_s..t.at_s + t.for_s).contains(&at))
 }
 
-fn base_load(scenario: &Day) -> Vec<Arrival> {
+fn base_load(scenario: &Scenario) -> Vec<Arrival> {
     let mut random = Pcg64Mcg::seed_from_u64(scenario.seed);
     let mut fronts = Pcg64Mcg::seed_from_u64(scenario.seed ^ FRONTS);
     let mut all = Vec::new();
@@ -70,11 +70,11 @@
     let trigger_shares: Vec<f64> = scenario.triggers.iter().map(|t| t.part).collect();
     let account_shares: Vec<f64> = scenario.accounts.iter().map(|a| a.part).collect();
     loop {
-        let fault = |what: What| fault_at(scenario, what, at);
-        let rate = scenario.rate_per_s * fault(What::TrafficShift).map_or(1.0, |t| t.size);
+        let fault = |what: FaultKind| fault_at(scenario, what, at);
+        let rate = scenario.rate_per_s * fault(FaultKind::TrafficShift).map_or(1.0, |t| t.size);
         let Ok(gap) = Exp::new(rate) else { break };
-        let (hot, scan) = (fault(What::HotFunction), fault(What::Scan));
-        let retries = fault(What::RetryAbuse).map_or(0, |t| t.size as u32);
+        let (hot, scan) = (fault(FaultKind::HotFunction), fault(FaultKind::Scan));
+        let retries = fault(FaultKind::RetryAbuse).map_or(0, |t| t.size as u32);
         let trigger = &scenario.triggers[draw_weighted(&mut random, &trigger_shares).unwrap_or(0)];
         let account = &scenario.accounts[draw_weighted(&mut random, &account_shares).unwrap_or(0)];
         let rank = Zipf::new(f64::from(trigger.functions), trigger.skew)
@@ -94,10 +94,10 @@
         all.push(Arrival {
             at: Duration::from_secs_f64(at),
             id: invocation_id(all.len()),
-            kind: trigger.name.clone(),
+            trigger_type: trigger.name.clone(),
             function: format!("{}:{function_number}", trigger.name),
             account: account.name.clone(),
-            calls: fronts.random::<f64>() < scenario.kserve_part,
+            over_kserve: fronts.random::<f64>() < scenario.kserve_part,
             queue: queue(&account.name),
             timeout_ms: trigger.client_timeout_ms,
             copy_mb: trigger.copy_mb,
@@ -112,9 +112,9 @@
 
 /// Adds a flood's arrivals: each like one of the base load, but for its front and account.
 fn add_flood(
-    scenario: &Day,
+    scenario: &Scenario,
     number: usize,
-    flood: &Trouble,
+    flood: &ScenarioFault,
     base: &[Arrival],
     all: &mut Vec<Arrival>,
 ) {
@@ -142,7 +142,7 @@
             id: invocation_id(all.len()),
             queue: queue(&account),
             account,
-            calls,
+            over_kserve: calls,
             turn: None,
             ..like
         });
@@ -152,11 +152,14 @@
 /// Turns part of the arrivals into sessions: of those that belong to sessions, one in as many as a session has turns
 /// begins one; the others are left out in favour of the turns that follow, so that the rate stays what it was. Without
 /// sessions nothing is drawn here.
-fn with_sessions(scenario: &Day, singles: Vec<Arrival>) -> Vec<Arrival> {
+fn with_sessions(scenario: &Scenario, singles: Vec<Arrival>) -> Vec<Arrival> {
     let mut random = Pcg64Mcg::seed_from_u64(scenario.seed ^ SESSIONS);
     let (mut all, mut begun) = (Vec::new(), 0);
     for first in singles {
-        let trigger = scenario.triggers.iter().find(|t| t.name == first.kind);
+        let trigger = scenario
+            .triggers
+            .iter()
+            .find(|t| t.name == first.trigger_type);
         let Some(trigger) = trigger.filter(|t| random.random::<f64>() < t.sessions) else {
             all.push(first);
             continue;
--- a/crates/test-cluster/tests/sessions.rs
+++ b/crates/test-cluster/tests/sessions.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use cedarpulley_test_cluster::scenario::{self, Day};
+use cedarpulley_test_cluster::scenario::{self, Scenario};
 use cedarpulley_test_cluster::traffic::arrivals;
 
-fn scenario(sessions: f64) -> Day {
+fn scenario(sessions: f64) -> Scenario {
     let text = include_str!("../../../days/regions.toml");
     let mut scenario = scenario::parse("regions.toml", text).expect("a day");
     let t = &mut scenario.triggers[0];
@@ -19,12 +19,12 @@
     assert!(without.iter().all(|a| a.turn.is_none()));
     let of = |kind: &str| {
         with.iter()
-            .filter(|a| a.kind == kind && a.turn.is_some())
+            .filter(|a| a.trigger_type == kind && a.turn.is_some())
             .count()
     };
     let (some, all) = (
         of("resize"),
-        with.iter().filter(|a| a.kind == "resize").count(),
+        with.iter().filter(|a| a.trigger_type == "resize").count(),
     );
     assert!(
         of("quote") == 0 && (2 * all..5 * all).contains(&(some * 5)),
@@ -48,7 +48,7 @@
     assert!(sessions.len() > 20);
     for turns in sessions.values() {
         let alike = |a: &cedarpulley_test_cluster::amqp_client::Arrival| {
-            (a.function.clone(), a.account.clone(), a.calls)
+            (a.function.clone(), a.account.clone(), a.over_kserve)
         };
         assert!(turns.iter().all(|t| alike(t.0) == alike(turns[0].0)));
         assert!((1..10).contains(&turns.len()));
--- a/crates/trace/tests/coursed.rs
+++ b/crates/trace/tests/coursed.rs
@@ -3,20 +3,20 @@
 mod small;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_router::{Fate, Reason};
+use cedarpulley_router::{AnswerReason, FinalOutcome};
 use cedarpulley_trace::chart::svg;
 use cedarpulley_trace::records::Record;
 use cedarpulley_trace::start::Source;
-use cedarpulley_trace::timeline::Course;
+use cedarpulley_trace::timeline::Timeline;
 
 const SECOND: Micros = 1_000_000;
 
-fn answered(fate: Fate, took: Micros) -> Record {
-    let reason = Reason::Worker;
+fn answered(fate: FinalOutcome, took: Micros) -> Record {
+    let reason = AnswerReason::Worker;
     Record::Answered {
-        inv: None,
+        invocation: None,
         front: 0,
-        fate,
+        outcome: fate,
         reason,
         trigger: 0,
         account: 0,
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_long_span_has_wider_bins_and_counts_every_record() {
-    let (of, mut timeline): (Source, _) = (small::start().into(), Course::default());
+    let (of, mut timeline): (Source, _) = (small::start().into(), Timeline::default());
     let seconds = 100_000;
     for second in 0..seconds {
         // In any order: every other one from the end.
@@ -36,9 +36,9 @@
             seconds - second
         };
         let fate = if second % 4 == 0 {
-            Fate::Throttled
+            FinalOutcome::Throttled
         } else {
-            Fate::Succeeded
+            FinalOutcome::Succeeded
         };
         timeline.record(&of, at * SECOND, &answered(fate, 70_000));
     }
@@ -54,15 +54,15 @@
     );
     assert_eq!(sum(&|b| b.latencies.len()), sum(&|b| b.succeeded));
     // Clock readings far out of range are counted, too.
-    timeline.record(&of, Micros::MAX, &answered(Fate::Errored, 1));
-    timeline.record(&of, Micros::MIN, &answered(Fate::Errored, 1));
+    timeline.record(&of, Micros::MAX, &answered(FinalOutcome::Errored, 1));
+    timeline.record(&of, Micros::MIN, &answered(FinalOutcome::Errored, 1));
     assert!(timeline.bins().len() <= 600);
     assert_eq!(timeline.bins().iter().map(|b| b.1.errored).sum::<u64>(), 2);
 }
 
 #[test]
 fn a_chart_has_title_panels_and_the_marked_worst_span() {
-    let (of, mut timeline): (Source, _) = (small::start().into(), Course::default());
+    let (of, mut timeline): (Source, _) = (small::start().into(), Timeline::default());
     assert!(
         svg(&timeline, "nothing", None)
             .expect("drawn")
@@ -72,7 +72,7 @@
         timeline.record(
             &of,
             second * SECOND,
-            &answered(Fate::Succeeded, 70_000 + second * 1_000),
+            &answered(FinalOutcome::Succeeded, 70_000 + second * 1_000),
         );
     }
     let start = of.wall(0);
--- a/crates/trace/tests/every_cause/mod.rs
+++ b/crates/trace/tests/every_cause/mod.rs
@@ -4,12 +4,12 @@
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::*;
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::{Fate, Reason};
-use cedarpulley_trace::blocks::Gather;
-use cedarpulley_trace::records::{Record, RecordedEvent, Space};
-use cedarpulley_trace::start::Start;
-use cedarpulley_trace::writer::Sheet;
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::{AnswerReason, FinalOutcome};
+use cedarpulley_trace::blocks::BlockBuilder;
+use cedarpulley_trace::records::{NameKind, Record, RecordedEvent};
+use cedarpulley_trace::start::StartRecord;
+use cedarpulley_trace::writer::TraceFileWriter;
 
 const MS: Micros = 1_000;
 /// Of a dispatch that finds its copy.
@@ -19,7 +19,7 @@
 pub const LOADS_AT: Micros = 100_000 * MS;
 
 struct RecordingBuilder {
-    block: Gather,
+    block: BlockBuilder,
     now: Micros,
     inv: u32,
 }
@@ -27,7 +27,7 @@
 impl RecordingBuilder {
     fn new() -> RecordingBuilder {
         let mut recording = RecordingBuilder {
-            block: Gather::default(),
+            block: BlockBuilder::default(),
             now: 0,
             inv: 0,
         };
@@ -42,10 +42,12 @@
             started_at: None,
         };
         for n in 0..5 {
-            recording.block.name(0, Space::Worker, n, &format!("w{n}"));
             recording
                 .block
-                .name(0, Space::Function, n, &format!("f{n}"));
+                .name(0, NameKind::Worker, n, &format!("w{n}"));
+            recording
+                .block
+                .name(0, NameKind::Function, n, &format!("f{n}"));
         }
         recording.record(Record::Decided {
             event: RecordedEvent::List {
@@ -77,10 +79,10 @@
     ) -> u32 {
         self.inv += 1;
         let inv = self.inv;
-        self.record(Record::Taken {
-            inv,
+        self.record(Record::Accepted {
+            invocation: inv,
             front: inv % 2,
-            mark: Some(fingerprint(&format!("mark-{inv}"))),
+            correlation_hash: Some(fingerprint(&format!("mark-{inv}"))),
             redelivered: inv.is_multiple_of(3),
         });
         let arrival = Arrival {
@@ -113,11 +115,11 @@
         })
     }
 
-    fn answered(&mut self, inv: Option<u32>, fate: Fate, reason: Reason) {
+    fn answered(&mut self, inv: Option<u32>, fate: FinalOutcome, reason: AnswerReason) {
         self.record(Record::Answered {
-            inv,
+            invocation: inv,
             front: 0,
-            fate,
+            outcome: fate,
             reason,
             trigger: 1,
             account: 0,
@@ -154,7 +156,7 @@
 
     fn succeeds(&mut self, inv: u32, worker: u32, took: Micros, note: CopyStatus) {
         self.now += took;
-        self.answered(Some(inv), Fate::Succeeded, Reason::Worker);
+        self.answered(Some(inv), FinalOutcome::Succeeded, AnswerReason::Worker);
         self.ended(inv, worker, took, DispatchOutcome::Succeeded, note);
     }
 
@@ -163,7 +165,7 @@
         let inv = self.sent(0, worker, 0);
         self.now += USUAL;
         self.ended(inv, worker, USUAL, outcome, CopyStatus::Unreported);
-        self.answered(Some(inv), Fate::Errored, Reason::GivenUp);
+        self.answered(Some(inv), FinalOutcome::Errored, AnswerReason::GivenUp);
     }
 
     fn queued(&mut self, function: u32, act: impl FnOnce(u32) -> Vec<Action>) {
@@ -176,38 +178,38 @@
                 retry_after: None,
             }],
         );
-        self.answered(Some(inv), Fate::Throttled, Reason::GivenUp);
+        self.answered(Some(inv), FinalOutcome::Throttled, AnswerReason::GivenUp);
     }
 
-    fn rejected(&mut self, why: Short) {
-        self.record(Record::TurnedAway {
+    fn rejected(&mut self, why: RejectionReason) {
+        self.record(Record::Rejected {
             front: 1,
             trigger: 1,
             account: 1,
-            why,
+            reason: why,
         });
     }
 
     fn limits(&mut self) {
         for why in [
-            Short::Front,
-            Short::Account,
-            Short::Connection,
-            Short::Memory,
-            Short::Worth,
+            RejectionReason::Front,
+            RejectionReason::Account,
+            RejectionReason::Connection,
+            RejectionReason::Memory,
+            RejectionReason::Worth,
         ] {
             self.rejected(why);
         }
         for reason in [
-            Reason::Share,
-            Reason::Expired,
-            Reason::MayHaveRun,
-            Reason::Size,
-            Reason::NoMajority,
-            Reason::SessionOver,
-            Reason::Functions,
+            AnswerReason::Share,
+            AnswerReason::Expired,
+            AnswerReason::MayHaveRun,
+            AnswerReason::Size,
+            AnswerReason::NoMajority,
+            AnswerReason::SessionOver,
+            AnswerReason::Functions,
         ] {
-            self.answered(None, Fate::Throttled, reason);
+            self.answered(None, FinalOutcome::Throttled, reason);
         }
     }
 
@@ -251,9 +253,9 @@
     }
 }
 
-pub fn start() -> Start {
-    Start {
-        file: 0,
+pub fn start() -> StartRecord {
+    StartRecord {
+        file_number: 0,
         ..super::every_record::start(0)
     }
 }
@@ -269,7 +271,9 @@
         until: recording.now + 5,
     });
     recording.loads();
-    let mut sheet = Sheet::begin(Vec::new(), &[start().into()]).expect("written");
-    sheet.block(0, &recording.block.close()).expect("written");
-    sheet.end().expect("written")
+    let mut sheet = TraceFileWriter::begin(Vec::new(), &[start().into()]).expect("written");
+    sheet
+        .write_block(0, &recording.block.close())
+        .expect("written");
+    sheet.finish().expect("written")
 }
--- a/crates/trace/tests/explained.rs
+++ b/crates/trace/tests/explained.rs
@@ -3,18 +3,18 @@
 use std::io::Cursor;
 
 use cedarpulley::interface::*;
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::{Fate, Reason};
-use cedarpulley_trace::explain::{Cause, Explain, RankedCause};
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::{AnswerReason, FinalOutcome};
+use cedarpulley_trace::explain::{Cause, CauseRanker, RankedCause};
 use cedarpulley_trace::reader::Reader;
-use cedarpulley_trace::records::{Record, RecordedEvent, Space};
+use cedarpulley_trace::records::{NameKind, Record, RecordedEvent};
 use cedarpulley_trace::start::Source;
 
 const MS: Micros = 1_000;
 
 struct Recording {
     source: Source,
-    explain: Explain,
+    explain: CauseRanker,
     now: Micros,
     inv: u32,
 }
@@ -25,20 +25,20 @@
         let source = Reader::open(kept).expect("a trace").sources.swap_remove(0);
         let mut t = Recording {
             source,
-            explain: Explain::default(),
+            explain: CauseRanker::default(),
             now: 0,
             inv: 0,
         };
         (0..4).for_each(|w| {
             t.record(Record::Name {
-                kind: Space::Worker,
+                kind: NameKind::Worker,
                 index: w,
                 name: format!("w{w}"),
             })
         });
         (0..4).for_each(|f| {
             t.record(Record::Name {
-                kind: Space::Function,
+                kind: NameKind::Function,
                 index: f,
                 name: format!("f{f}"),
             })
@@ -104,7 +104,7 @@
         self.now += took;
         let good = outcome == DispatchOutcome::Succeeded;
         if good {
-            self.answered(inv, Fate::Succeeded, Reason::Worker, took);
+            self.answered(inv, FinalOutcome::Succeeded, AnswerReason::Worker, took);
         }
         let ending = DispatchEnded {
             invocation: inv,
@@ -119,15 +119,15 @@
         };
         self.decided(Event::DispatchEnded(ending), vec![]);
         if !good {
-            self.answered(inv, Fate::Errored, Reason::GivenUp, took);
+            self.answered(inv, FinalOutcome::Errored, AnswerReason::GivenUp, took);
         }
     }
 
-    fn answered(&mut self, inv: u32, fate: Fate, reason: Reason, took: Micros) {
+    fn answered(&mut self, inv: u32, fate: FinalOutcome, reason: AnswerReason, took: Micros) {
         self.record(Record::Answered {
-            inv: Some(inv),
+            invocation: Some(inv),
             front: 0,
-            fate,
+            outcome: fate,
             reason,
             trigger: 0,
             account: 0,
@@ -214,7 +214,12 @@
             }]
         });
         t.now += 900 * MS;
-        t.answered(inv, Fate::Throttled, Reason::GivenUp, 900 * MS);
+        t.answered(
+            inv,
+            FinalOutcome::Throttled,
+            AnswerReason::GivenUp,
+            900 * MS,
+        );
     }
     let ranked = t.ranked();
     assert_eq!(
@@ -228,23 +233,28 @@
 fn shares_queueing_and_load_capacity_are_distinct_causes() {
     let mut t = Recording::new();
     (0..4).for_each(|_| {
-        t.record(Record::TurnedAway {
+        t.record(Record::Rejected {
             front: 0,
             trigger: 0,
             account: 0,
-            why: Short::Account,
+            reason: RejectionReason::Account,
         })
     });
-    t.record(Record::TurnedAway {
+    t.record(Record::Rejected {
         front: 0,
         trigger: 0,
         account: 0,
-        why: Short::Worth,
+        reason: RejectionReason::Worth,
     });
     for _ in 0..3 {
         let inv = t.arrives(0, |_| vec![]);
         t.now += 700 * MS;
-        t.answered(inv, Fate::Throttled, Reason::GivenUp, 700 * MS);
+        t.answered(
+            inv,
+            FinalOutcome::Throttled,
+            AnswerReason::GivenUp,
+            700 * MS,
+        );
     }
     let result = LoadOrderResult::NoCapacity;
     t.decided(
@@ -258,7 +268,7 @@
         vec![],
     );
     let inv = t.arrives(1, |_| vec![]);
-    t.answered(inv, Fate::Throttled, Reason::GivenUp, 0);
+    t.answered(inv, FinalOutcome::Throttled, AnswerReason::GivenUp, 0);
     let causes: Vec<(Cause, u64)> = t.ranked().into_iter().map(|r| (r.cause, r.lost)).collect();
     assert_eq!(causes[0], (Cause::ShareExceeded("amber".into()), 4));
     assert_eq!(causes[1], (Cause::Queued("quote".into()), 3));
@@ -297,8 +307,8 @@
     t.now += 900 * MS;
     let second = t.arrives(0, |_| vec![]);
     t.now += 900 * MS;
-    t.answered(inv, Fate::Throttled, Reason::GivenUp, 0);
-    t.answered(second, Fate::Throttled, Reason::GivenUp, 0);
+    t.answered(inv, FinalOutcome::Throttled, AnswerReason::GivenUp, 0);
+    t.answered(second, FinalOutcome::Throttled, AnswerReason::GivenUp, 0);
     let ranked = t.ranked();
     assert_eq!(
         (&ranked[0].cause, ranked[0].lost),
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -5,26 +5,26 @@
 use std::io::Cursor;
 
 use cedarpulley::interface::*;
-use cedarpulley_trace::blocks::Gather;
+use cedarpulley_trace::blocks::BlockBuilder;
 use cedarpulley_trace::codec::{Decoder, Encoder};
-use cedarpulley_trace::reader::{Ended, Found, Reader};
+use cedarpulley_trace::reader::{BlockRead, FileEnd, Reader};
 use cedarpulley_trace::record_codec;
-use cedarpulley_trace::records::{Record, RecordedEvent, Space};
+use cedarpulley_trace::records::{NameKind, Record, RecordedEvent};
 use cedarpulley_trace::replay::replay;
-use cedarpulley_trace::retention::{AfterWrite, Bounds, Retention};
-use cedarpulley_trace::start::Start;
-use cedarpulley_trace::writer::{Note, Own, Row, run};
+use cedarpulley_trace::retention::{AfterWrite, Retention, RetentionLimits};
+use cedarpulley_trace::start::StartRecord;
+use cedarpulley_trace::writer::{FileSeries, NameLock, WriterMessage, run_writer};
 use proptest::prelude::*;
 use small::{MS, block_locations, start, written};
 
 /// Whole blocks, damaged ones, and how it ended.
-fn read(bytes: &[u8]) -> Option<(usize, usize, Option<Ended>)> {
+fn read(bytes: &[u8]) -> Option<(usize, usize, Option<FileEnd>)> {
     let mut r = Reader::open(Cursor::new(bytes)).ok()?;
     let (mut whole, mut damaged) = (0, 0);
     while let Some(found) = r.next().expect("memory does not fail") {
         match found {
-            Found::Block { .. } => whole += 1,
-            Found::Damaged { .. } => damaged += 1,
+            BlockRead::Block { .. } => whole += 1,
+            BlockRead::Damaged { .. } => damaged += 1,
         }
     }
     Some((whole, damaged, r.ended))
@@ -33,7 +33,7 @@
 #[test]
 fn a_file_truncated_at_any_byte_is_read_up_to_its_last_whole_block() {
     let bytes = written(4, |_, _| {});
-    assert_eq!(read(&bytes), Some((4, 0, Some(Ended::Well))));
+    assert_eq!(read(&bytes), Some((4, 0, Some(FileEnd::Complete))));
     let index = block_locations(&bytes);
     let ends: Vec<u64> = index.iter().skip(1).map(|p| p.offset).collect();
     for cut in 0..bytes.len() {
@@ -45,7 +45,10 @@
                     damaged == 0 && (wanted..=wanted + 1).contains(&whole),
                     "{cut}: {whole}"
                 );
-                assert!(matches!(ended, Some(Ended::Cut { .. })), "{cut}: {ended:?}");
+                assert!(
+                    matches!(ended, Some(FileEnd::Truncated { .. })),
+                    "{cut}: {ended:?}"
+                );
             }
         }
     }
@@ -89,10 +92,10 @@
 /// one's name.
 #[test]
 fn a_reassigned_index_is_named_again_within_its_block() {
-    let mut g = Gather::default();
+    let mut g = BlockBuilder::default();
     ["a", "a", "b", "b", "a"]
         .iter()
-        .for_each(|name| g.name(0, Space::Worker, 3, name));
+        .for_each(|name| g.name(0, NameKind::Worker, 3, name));
     assert_eq!(g.records(), 3);
 }
 
@@ -100,7 +103,7 @@
 #[test]
 fn a_kept_file_of_format_1_opens() {
     let bytes = include_bytes!("kept/format-1.trace");
-    assert_eq!(read(bytes), Some((4, 0, Some(Ended::Well))));
+    assert_eq!(read(bytes), Some((4, 0, Some(FileEnd::Complete))));
     let mut r = Reader::open(Cursor::new(bytes)).expect("a trace");
     assert_eq!(
         (
@@ -121,7 +124,7 @@
 #[test]
 fn a_kept_file_of_format_2_opens() {
     let bytes = include_bytes!("kept/format-2.trace");
-    assert_eq!(read(bytes), Some((6, 0, Some(Ended::Well))));
+    assert_eq!(read(bytes), Some((6, 0, Some(FileEnd::Complete))));
     let r = Reader::open(Cursor::new(bytes)).expect("a trace");
     let names: Vec<&str> = r.sources.iter().map(|s| s.start.router.as_str()).collect();
     assert_eq!(
@@ -152,10 +155,10 @@
 
 #[test]
 fn files_end_by_size_and_age_and_old_files_are_deleted() {
-    let bounds = Bounds {
+    let bounds = RetentionLimits {
         file_bytes: 100,
         file_age: 1000,
-        budget: 350,
+        budget_bytes: 350,
     };
     let mut k = Retention::new(bounds);
     k.began(0);
@@ -189,14 +192,14 @@
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("spent");
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
-    let row = Row {
+    let row = FileSeries {
         folder,
         name: "r".into(),
-        run: 7,
+        started_at_ms: 7,
     };
     std::fs::write(row.file(0), "spent").expect("written");
     let block = |at: Micros| {
-        let mut g = Gather::default();
+        let mut g = BlockBuilder::default();
         g.record(
             at,
             &Record::Decided {
@@ -204,7 +207,7 @@
                 actions: vec![],
             },
         );
-        Note::Block(at, g.close())
+        WriterMessage::Block(at, g.close())
     };
     let (notes, received) = std::sync::mpsc::channel();
     for note in [
@@ -212,27 +215,27 @@
         block(10 * MS),
         block(2_000 * MS),
         block(2_001 * MS),
-        Note::End,
+        WriterMessage::End,
     ] {
         notes.send(note).expect("sent");
     }
     let complaints = std::cell::Cell::new(0);
-    let bounds = Bounds {
+    let bounds = RetentionLimits {
         file_bytes: 1 << 20,
         file_age: Micros::MAX,
-        budget: 8 << 20,
+        budget_bytes: 8 << 20,
     };
-    run(row.clone(), start(), bounds, received, |_| {
+    run_writer(row.clone(), start(), bounds, received, |_| {
         complaints.set(complaints.get() + 1)
     });
     assert_eq!(complaints.get(), 1);
     let mut r = Reader::open(std::fs::File::open(row.file(1)).expect("there")).expect("a trace");
     assert_eq!(
-        r.sources[0].start.file, 0,
+        r.sources[0].start.file_number, 0,
         "the first of its row all the same"
     );
     let mut told = Vec::new();
-    while let Some(Found::Block { records, .. }) = r.next().expect("read") {
+    while let Some(BlockRead::Block { records, .. }) = r.next().expect("read") {
         told.extend(records.into_iter().map(|(_, record)| record));
     }
     assert!(
@@ -246,26 +249,29 @@
         ),
         "{told:?}"
     );
-    assert_eq!((told.len(), r.ended), (3, Some(Ended::Well)));
+    assert_eq!((told.len(), r.ended), (3, Some(FileEnd::Complete)));
 }
 
 #[test]
 fn two_writers_of_one_name_use_separate_files() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("one-name");
     std::fs::create_dir_all(&folder).expect("a folder");
-    let one = Own::take(&folder, "r").expect("the name");
-    let other = Own::take(&folder, "r").expect("another");
+    let one = NameLock::acquire(&folder, "r").expect("the name");
+    let other = NameLock::acquire(&folder, "r").expect("another");
     assert_eq!((one.name.as_str(), other.name.as_str()), ("r", "r_2"));
     std::fs::write(folder.join("r_2-0000000000001-00000.trace"), b"theirs").expect("written");
-    let row = |own: &Own| Row {
+    let row = |own: &NameLock| FileSeries {
         folder: folder.clone(),
         name: own.name.clone(),
-        run: 5,
+        started_at_ms: 5,
     };
     assert!(row(&one).earlier(0).expect("read").is_empty());
     assert_eq!(row(&other).earlier(0).expect("read").len(), 1);
     drop(one);
-    assert_eq!(Own::take(&folder, "r").expect("free again").name, "r");
+    assert_eq!(
+        NameLock::acquire(&folder, "r").expect("free again").name,
+        "r"
+    );
 }
 
 fn report() -> impl Strategy<Value = LoadReport> {
@@ -405,7 +411,7 @@
 
     #[test]
     fn arbitrary_bytes_never_panic_the_reader(bytes in prop::collection::vec(any::<u8>(), 0..200), at in any::<prop::sample::Index>()) {
-        let _ = Start::get(&bytes);
+        let _ = StartRecord::decode(&bytes);
         let _ = cedarpulley_trace::blocks::unpack(&bytes, 0, 3);
         let mut whole = written(2, |_, _| {});
         let at = at.index(whole.len());
--- a/crates/trace/tests/rewriting.rs
+++ b/crates/trace/tests/rewriting.rs
@@ -5,17 +5,17 @@
 use std::io::Cursor;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_trace::blocks::Gather;
+use cedarpulley_trace::blocks::BlockBuilder;
 use cedarpulley_trace::merge::{Offsets, merge};
-use cedarpulley_trace::reader::{Found, Reader};
+use cedarpulley_trace::reader::{BlockRead, Reader};
 use cedarpulley_trace::records::{Record, RecordedEvent};
 use cedarpulley_trace::replay::replay;
 use cedarpulley_trace::rewrite::{cut, strip};
-use cedarpulley_trace::selection::Wanted;
-use cedarpulley_trace::start::{Provenance, Source, Start};
-use cedarpulley_trace::strip::Strip;
-use cedarpulley_trace::summary::{Counter, Summary};
-use cedarpulley_trace::writer::Sheet;
+use cedarpulley_trace::selection::SelectionCriteria;
+use cedarpulley_trace::start::{Provenance, Source, StartRecord};
+use cedarpulley_trace::strip::Pseudonymizer;
+use cedarpulley_trace::summary::{Summary, SummaryBuilder};
+use cedarpulley_trace::writer::TraceFileWriter;
 
 const MS: Micros = 1_000;
 const KEPT: &[u8] = include_bytes!("kept/format-1.trace");
@@ -29,12 +29,12 @@
 /// The kept one, as if another router had written it with its clock ahead by so much.
 fn other(n: usize, ahead: Micros) -> Vec<u8> {
     let mut r = open(KEPT);
-    let start = Start {
+    let start = StartRecord {
         router: format!("router-{n}"),
         wall_at_zero: r.sources[0].start.wall_at_zero + ahead,
         ..r.sources[0].start.clone()
     };
-    let mut sheet = Sheet::begin(Vec::new(), &[start.into()]).expect("written");
+    let mut sheet = TraceFileWriter::begin(Vec::new(), &[start.into()]).expect("written");
     for location in small::block_locations(KEPT) {
         let (head, packed) = r.packed(&location).expect("read").expect("whole");
         let sum = head.checksum_over(2, &packed);
@@ -42,23 +42,26 @@
             checksum: sum,
             ..head
         };
-        sheet.packed(&head, &packed).expect("written");
+        sheet.write_packed(&head, &packed).expect("written");
     }
-    sheet.end().expect("written")
+    sheet.finish().expect("written")
 }
 
 fn summary(bytes: &[u8]) -> Summary {
-    let (mut r, mut counter) = (open(bytes), Counter::default());
-    counter.file(&r.sources);
+    let (mut r, mut counter) = (open(bytes), SummaryBuilder::default());
+    counter.begin_file(&r.sources);
     while let Some(found) = r.next().expect("read") {
         match found {
-            Found::Block { place, records } => {
+            BlockRead::Block {
+                location: place,
+                records,
+            } => {
                 let source: &Source = &r.sources[place.source as usize];
                 records
                     .iter()
                     .for_each(|(at, x)| counter.record(place.source, source, *at, x));
             }
-            Found::Damaged { .. } => counter.damaged(),
+            BlockRead::Damaged { .. } => counter.damaged_block(),
         }
     }
     counter.finish()
@@ -71,7 +74,7 @@
     out
 }
 
-fn cut_of(bytes: &[u8], wanted: &Wanted) -> (Vec<u8>, u64) {
+fn cut_of(bytes: &[u8], wanted: &SelectionCriteria) -> (Vec<u8>, u64) {
     let mut out = Vec::new();
     let done = cut(&mut open(bytes), wanted, &mut out).expect("cut");
     (out, done.blocks_read)
@@ -102,10 +105,10 @@
     assert_eq!((all.routers, all.invocations), (12, 12 * one.invocations));
     assert_eq!(all.outcomes.succeeded, 12 * one.outcomes.succeeded);
     let wall = open(KEPT).sources[0].start.wall_at_zero;
-    let span = Wanted {
+    let span = SelectionCriteria {
         from: Some(wall + 20 * MS),
         until: Some(wall + 40 * MS),
-        ..Wanted::default()
+        ..SelectionCriteria::default()
     };
     let (part, read) = cut_of(&whole, &span);
     let counted = summary(&part);
@@ -118,7 +121,7 @@
         "blocks outside were not read"
     );
     let mut out = Vec::new();
-    let mut secret = Strip::new(b"a key");
+    let mut secret = Pseudonymizer::new(b"a key");
     strip(&mut open(&part), &mut secret, &mut out).expect("stripped");
     assert_eq!(bare(&summary(&out)), bare(&counted));
     for original in ["quote:7", "127.0.0.1:1", "router-3", "amber"] {
@@ -128,14 +131,14 @@
         );
         let mut r = open(&out);
         assert!(!format!("{:?}", r.sources).contains(original), "{original}");
-        while let Some(Found::Block { records, .. }) = r.next().expect("read") {
+        while let Some(BlockRead::Block { records, .. }) = r.next().expect("read") {
             assert!(!format!("{records:?}").contains(original), "{original}");
         }
     }
     // The same name is the same pseudonym in every file, by the same key; by another it is another.
     let names = |bytes: &[u8], key: &[u8]| {
         let mut out = Vec::new();
-        strip(&mut open(bytes), &mut Strip::new(key), &mut out).expect("stripped");
+        strip(&mut open(bytes), &mut Pseudonymizer::new(key), &mut out).expect("stripped");
         summary(&out).by_worker.into_keys().collect::<Vec<_>>()
     };
     assert_eq!(names(&files[0], b"k"), names(&files[5], b"k"));
@@ -148,16 +151,16 @@
     let whole = merged(&files, &[]);
     for source in 0..3 {
         let mut r = open(&whole);
-        r.only = Some(source);
+        r.only_source = Some(source);
         let done = replay(&mut [r]).expect("a row");
         // Of an earlier module, perhaps: whatever differs, all or a first difference is told.
         assert!(done.decisions > 0 && done.stopped.is_none());
     }
     let (part, _) = cut_of(
         &whole,
-        &Wanted {
-            mark: Some("x".into()),
-            ..Wanted::default()
+        &SelectionCriteria {
+            correlation_id: Some("x".into()),
+            ..SelectionCriteria::default()
         },
     );
     assert_eq!(open(&part).sources[1].provenance, Provenance::Cut);
@@ -173,23 +176,23 @@
         .iter()
         .find(|(_, w)| w.dispatches > 0)
         .expect("one that was used");
-    let worker = Wanted {
+    let worker = SelectionCriteria {
         worker: Some(name.clone()),
-        ..Wanted::default()
+        ..SelectionCriteria::default()
     };
     let (part, _) = cut_of(KEPT, &worker);
     let counted = summary(&part);
     assert_eq!(&counted.by_worker[name], at);
     assert_eq!(counted.outcomes.succeeded, at.succeeded);
-    let nobody = Wanted {
+    let nobody = SelectionCriteria {
         account: Some("nobody".into()),
-        ..Wanted::default()
+        ..SelectionCriteria::default()
     };
     assert_eq!(summary(&cut_of(KEPT, &nobody).0).invocations, 0);
-    let all = Wanted {
+    let all = SelectionCriteria {
         account: Some("amber".into()),
         function: Some("quote:7".into()),
-        ..Wanted::default()
+        ..SelectionCriteria::default()
     };
     assert_eq!(
         summary(&cut_of(KEPT, &all).0).invocations,
@@ -201,15 +204,15 @@
 #[test]
 fn clock_offsets_are_estimated_from_endpoint_list_changes() {
     use cedarpulley::interface::{Endpoint, EndpointListKind, EndpointState};
-    use cedarpulley_trace::blocks::Gather;
+    use cedarpulley_trace::blocks::BlockBuilder;
     let listed = |ahead: Micros, late: &[Micros]| {
         let start = open(KEPT).sources[0].start.clone();
-        let start = Start {
+        let start = StartRecord {
             wall_at_zero: start.wall_at_zero + ahead,
             ..start
         };
-        let mut sheet = Sheet::begin(Vec::new(), &[start.into()]).expect("written");
-        let mut g = Gather::default();
+        let mut sheet = TraceFileWriter::begin(Vec::new(), &[start.into()]).expect("written");
+        let mut g = BlockBuilder::default();
         for n in 0..9usize {
             for (change, standing) in [
                 EndpointState::InService,
@@ -243,8 +246,8 @@
                 );
             }
         }
-        sheet.block(0, &g.close()).expect("written");
-        sheet.end().expect("written")
+        sheet.write_block(0, &g.close()).expect("written");
+        sheet.finish().expect("written")
     };
     let files = [
         listed(0, &[]),
@@ -285,9 +288,9 @@
     };
     let file = |router: &str, position: u32, from: Micros, until: Micros| {
         let mut sheet =
-            Sheet::begin(Vec::new(), &[start(router, position).into()]).expect("written");
+            TraceFileWriter::begin(Vec::new(), &[start(router, position).into()]).expect("written");
         for at in [from, until] {
-            let mut g = Gather::default();
+            let mut g = BlockBuilder::default();
             g.record(
                 at,
                 &Record::Gap {
@@ -296,9 +299,9 @@
                     until: at,
                 },
             );
-            sheet.block(0, &g.close()).expect("written");
+            sheet.write_block(0, &g.close()).expect("written");
         }
-        sheet.end().expect("written")
+        sheet.finish().expect("written")
     };
     let (minute, told) = (60_000 * MS, |files: &[Vec<u8>]| {
         summary(&merged(files, &[])).same_position
--- a/crates/trace/tests/ruled.rs
+++ b/crates/trace/tests/ruled.rs
@@ -4,10 +4,10 @@
 use std::io::Cursor;
 
 use cedarpulley::interface::*;
-use cedarpulley_router::{Fate, Reason};
-use cedarpulley_trace::reader::{Found, Reader};
+use cedarpulley_router::{AnswerReason, FinalOutcome};
+use cedarpulley_trace::reader::{BlockRead, Reader};
 use cedarpulley_trace::records::{Record, RecordedEvent};
-use cedarpulley_trace::rule_check::{RuleCheck, Rules};
+use cedarpulley_trace::rule_check::{RuleCheck, RuleChecker};
 use cedarpulley_trace::start::Source;
 
 /// No rule broken.
@@ -34,7 +34,7 @@
     Arrives(u32),
     Dispatches(u32, u32),
     DispatchEnds(u32, u32, DispatchOutcome),
-    Answered(u32, Fate),
+    Answered(u32, FinalOutcome),
     ClientLeaves(u32),
     WorkerDrains(u32),
     OrdersLoad,
@@ -66,10 +66,10 @@
                 repeat: false,
                 preferred_worker: None,
             };
-            let taken = Record::Taken {
-                inv,
+            let taken = Record::Accepted {
+                invocation: inv,
                 front: 0,
-                mark: Some(u64::from(inv)),
+                correlation_hash: Some(u64::from(inv)),
                 redelivered: false,
             };
             [vec![taken], decided(Event::Invocation(arrival), vec![])].concat()
@@ -98,11 +98,11 @@
             decided(Event::DispatchEnded(ending), vec![])
         }
         Answered(inv, fate) => {
-            let (reason, took) = (Reason::GivenUp, MS);
+            let (reason, took) = (AnswerReason::GivenUp, MS);
             vec![Record::Answered {
-                inv: Some(inv),
+                invocation: Some(inv),
                 front: 0,
-                fate,
+                outcome: fate,
                 reason,
                 trigger: 0,
                 account: 0,
@@ -143,7 +143,7 @@
 
 /// Of one router, or of two that saw it one after the other.
 fn checked(effect: Effect, routers: &[&[(Micros, RecordedStep)]]) -> RuleCheck {
-    let (of, mut rules, mut sources) = (source(effect), Rules::default(), HashMap::new());
+    let (of, mut rules, mut sources) = (source(effect), RuleChecker::default(), HashMap::new());
     for (n, steps) in routers.iter().enumerate() {
         sources.insert(n as u32, of.clone());
         for (at, step) in *steps {
@@ -156,7 +156,10 @@
 }
 
 fn violated_rules(effect: Effect, steps: &[(Micros, RecordedStep)]) -> Vec<u8> {
-    checked(effect, &[steps]).rules.into_keys().collect()
+    checked(effect, &[steps])
+        .violations_by_rule
+        .into_keys()
+        .collect()
 }
 
 const NON_IDEMPOTENT: Effect = Effect::NonIdempotent;
@@ -168,7 +171,7 @@
 
 #[test]
 fn rule_1_one_answer_before_the_client_timeout() {
-    let good = (900, Answered(1, Fate::Succeeded));
+    let good = (900, Answered(1, FinalOutcome::Succeeded));
     assert_eq!(
         violated_rules(IDEMPOTENT, &[(0, Arrives(1)), good, (9_000, OrdersLoad)]),
         NO_RULE
@@ -176,7 +179,10 @@
     assert_eq!(
         violated_rules(
             IDEMPOTENT,
-            &[(0, Arrives(1)), (2_200, Answered(1, Fate::Succeeded))]
+            &[
+                (0, Arrives(1)),
+                (2_200, Answered(1, FinalOutcome::Succeeded))
+            ]
         ),
         [1]
     );
@@ -187,7 +193,7 @@
     );
     let cut = checked(IDEMPOTENT, &[&[(0, Arrives(1)), (1_000, OrdersLoad)]]);
     assert_eq!(
-        (cut.rules.len(), cut.unseen),
+        (cut.violations_by_rule.len(), cut.unseen),
         (0, 1),
         "its trace ends before"
     );
@@ -201,14 +207,14 @@
     );
     let after = [
         (0, Arrives(1)),
-        (9, Answered(1, Fate::Succeeded)),
+        (9, Answered(1, FinalOutcome::Succeeded)),
         (10, Dispatches(1, 0)),
         (11, DispatchEnds(1, 0, DispatchOutcome::ConnectionLost)),
     ];
     assert_eq!(violated_rules(IDEMPOTENT, &after), [1]);
     let unsent = [
         (0, Arrives(1)),
-        (9, Answered(1, Fate::Succeeded)),
+        (9, Answered(1, FinalOutcome::Succeeded)),
         (10, Dispatches(1, 0)),
         (10, DispatchEnds(1, 0, DispatchOutcome::NotSent)),
     ];
@@ -228,7 +234,7 @@
             (20, DispatchEnds(1, 0, first)),
             (30, Dispatches(1, 0)),
             (40, DispatchEnds(1, 1, DispatchOutcome::Succeeded)),
-            (40, Answered(1, Fate::Succeeded)),
+            (40, Answered(1, FinalOutcome::Succeeded)),
         ];
         violated_rules(effect, &steps)
     };
@@ -240,7 +246,7 @@
         (0, Arrives(1)),
         (1, Dispatches(1, 0)),
         (9, DispatchEnds(1, 0, DispatchOutcome::ConnectionLost)),
-        (9, Answered(1, Fate::Throttled)),
+        (9, Answered(1, FinalOutcome::Throttled)),
     ];
     assert_eq!(
         (
@@ -254,7 +260,7 @@
         (1, Dispatches(1, 0)),
         (2, Dispatches(1, 1)),
         (9, DispatchEnds(1, 1, DispatchOutcome::Succeeded)),
-        (9, Answered(1, Fate::Succeeded)),
+        (9, Answered(1, FinalOutcome::Succeeded)),
     ];
     assert_eq!(
         violated_rules(IDEMPOTENT, &two),
@@ -272,16 +278,20 @@
         (50, Arrives(1)),
         (51, Dispatches(1, 0)),
         (60, DispatchEnds(1, 0, DispatchOutcome::Succeeded)),
-        (60, Answered(1, Fate::Succeeded)),
+        (60, Answered(1, FinalOutcome::Succeeded)),
     ];
     assert_eq!(
         checked(NON_IDEMPOTENT, &[first, second])
-            .rules
+            .violations_by_rule
             .into_keys()
             .collect::<Vec<_>>(),
         [2]
     );
-    assert!(checked(IDEMPOTENT, &[first, second]).rules.is_empty());
+    assert!(
+        checked(IDEMPOTENT, &[first, second])
+            .violations_by_rule
+            .is_empty()
+    );
 }
 
 #[test]
@@ -295,7 +305,7 @@
             (20, DispatchEnds(1, 0, DispatchOutcome::TimedOut)),
             (at, Dispatches(1, worker)),
             (at + 1, DispatchEnds(1, 1, DispatchOutcome::Succeeded)),
-            (at + 1, Answered(1, Fate::Succeeded)),
+            (at + 1, Answered(1, FinalOutcome::Succeeded)),
         ];
         violated_rules(BY_KEY, &steps)
     };
@@ -310,7 +320,7 @@
         let ends = [
             (at, Dispatches(1, 0)),
             (at + 1, DispatchEnds(1, 0, DispatchOutcome::Succeeded)),
-            (at + 1, Answered(1, Fate::Succeeded)),
+            (at + 1, Answered(1, FinalOutcome::Succeeded)),
         ];
         let steps: Vec<(Micros, RecordedStep)> = [(0, WorkerDrains(0)), (0, Arrives(1))]
             .into_iter()
@@ -333,17 +343,21 @@
 fn the_format_1_fixture_violates_no_rule() {
     let (mut r, mut rules) = (
         Reader::open(Cursor::new(KEPT)).expect("a trace"),
-        Rules::default(),
+        RuleChecker::default(),
     );
     let of = r.sources[0].clone();
-    while let Some(Found::Block { records, .. }) = r.next().expect("read") {
+    while let Some(BlockRead::Block { records, .. }) = r.next().expect("read") {
         records
             .iter()
             .for_each(|(at, x)| rules.record(0, &of, *at, x));
     }
     let checked = rules.finish(&HashMap::from([(0, of)]));
     assert_eq!(
-        (checked.invocations, checked.rules.len(), checked.unseen),
+        (
+            checked.invocations,
+            checked.violations_by_rule.len(),
+            checked.unseen
+        ),
         (16, 0, 0)
     );
 }
--- a/crates/trace/tests/small/mod.rs
+++ b/crates/trace/tests/small/mod.rs
@@ -4,27 +4,27 @@
 use std::io::Cursor;
 
 use cedarpulley::interface::*;
-use cedarpulley_router::{Fate, Reason};
+use cedarpulley_router::{AnswerReason, FinalOutcome};
 use cedarpulley_startup::StartupSettings;
 use cedarpulley_trace::block_index::BlockLocation;
-use cedarpulley_trace::blocks::Gather;
+use cedarpulley_trace::blocks::BlockBuilder;
 use cedarpulley_trace::reader::Reader;
-use cedarpulley_trace::records::{Record, RecordedEvent, Space};
-use cedarpulley_trace::start::{Start, module_digest};
-use cedarpulley_trace::writer::Sheet;
+use cedarpulley_trace::records::{NameKind, Record, RecordedEvent};
+use cedarpulley_trace::start::{StartRecord, module_digest};
+use cedarpulley_trace::writer::TraceFileWriter;
 
 pub const MS: Micros = 1_000;
 
-pub fn start() -> Start {
-    Start {
+pub fn start() -> StartRecord {
+    StartRecord {
         router: "router-0".into(),
-        module: module_digest(),
-        settings: [7; 32],
-        file: 0,
+        module_digest: module_digest(),
+        settings_digest: [7; 32],
+        file_number: 0,
         wall_at_zero: 1_700_000_000_000_000,
-        triggers_named: vec!["quote".into()],
-        accounts_named: vec!["amber".into()],
-        fronts_named: vec!["amqp".into()],
+        trigger_names: vec!["quote".into()],
+        account_names: vec!["amber".into()],
+        front_names: vec!["amqp".into()],
         seed: 9,
         startup: startup(),
     }
@@ -84,7 +84,7 @@
 /// A small router with the present block of its trace.
 struct SmallRouter<F> {
     balancer: cedarpulley::Balancer,
-    block: Gather,
+    block: BlockBuilder,
     now: Micros,
     decisions: u64,
     /// Changes the recorded actions of the decision with this number.
@@ -117,7 +117,8 @@
         };
         for worker in 0..3 {
             let address = format!("127.0.0.1:{worker}");
-            self.block.name(self.now, Space::Worker, worker, &address);
+            self.block
+                .name(self.now, NameKind::Worker, worker, &address);
         }
         self.decide(RecordedEvent::List {
             kind: EndpointListKind::Complete,
@@ -128,10 +129,10 @@
     /// Accepts an invocation and succeeds at once in every dispatch.
     fn invoke(&mut self, invocation: InvocationIndex) {
         self.now += 3 * MS;
-        let accepted = Record::Taken {
-            inv: invocation,
+        let accepted = Record::Accepted {
+            invocation,
             front: 0,
-            mark: Some(u64::from(invocation)),
+            correlation_hash: Some(u64::from(invocation)),
             redelivered: false,
         };
         self.block.record(self.now, &accepted);
@@ -164,10 +165,10 @@
 
     fn succeed(&mut self, invocation: InvocationIndex, worker: WorkerIndex) {
         let answered = Record::Answered {
-            inv: Some(invocation),
+            invocation: Some(invocation),
             front: 0,
-            fate: Fate::Succeeded,
-            reason: Reason::Worker,
+            outcome: FinalOutcome::Succeeded,
+            reason: AnswerReason::Worker,
             trigger: 0,
             account: 0,
             took: MS,
@@ -194,23 +195,25 @@
 /// What a small router would have seen, as its module decided it, in so many blocks.
 pub fn written(blocks: usize, change: impl Fn(u64, &mut Vec<Action>)) -> Vec<u8> {
     let start = start();
-    let mut file = Sheet::begin(Vec::new(), &[start.clone().into()]).expect("written");
+    let mut file = TraceFileWriter::begin(Vec::new(), &[start.clone().into()]).expect("written");
     let mut router = SmallRouter {
         balancer: start.balancer(),
-        block: Gather::default(),
+        block: BlockBuilder::default(),
         now: 0,
         decisions: 0,
         change,
     };
     for block in 0..blocks {
-        router.block.name(router.now, Space::Function, 0, "quote:7");
+        router
+            .block
+            .name(router.now, NameKind::Function, 0, "quote:7");
         if block == 0 {
             router.list_workers();
         }
         (0..4).for_each(|invocation| router.invoke(invocation));
-        file.block(0, &router.block.close()).expect("written");
+        file.write_block(0, &router.block.close()).expect("written");
     }
-    file.end().expect("written")
+    file.finish().expect("written")
 }
 
 /// Of all blocks, by the index.
