--- a/crates/platform/src/discovery/follower.rs
+++ b/crates/platform/src/discovery/follower.rs
@@ -5,7 +5,7 @@
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::{EndpointListKind, EndpointState, Micros};
-use cedarpulley_router::roster::Listed;
+use cedarpulley_router::endpoint_list::ListedWorker;
 
 use super::{DiscoveryError, EventBatch, POLL_WAIT, Result, WorkerEntry, WorkerListEvent};
 use crate::config::Names;
@@ -24,14 +24,14 @@
     /// Whether it is the complete list or changes of it.
     pub mode: EndpointListKind,
     /// The workers, by their ids.
-    pub workers: Vec<Listed>,
+    pub workers: Vec<ListedWorker>,
     /// Ids of workers that have gone or moved: nothing more is sent on connections that are open to them.
     pub retired: Vec<String>,
 }
 
 /// An entry of an event, understood.
 struct ResolvedWorker {
-    listed: Listed,
+    listed: ListedWorker,
     address: Option<SocketAddr>,
 }
 
@@ -90,7 +90,7 @@
     /// The updates in a batch, in order; all of them or, where a part is malformed, nothing. `wall_at_zero`: the Unix time
     /// at which the router's clock began, in microseconds. `unheard_for`: the batch may have been in the channel for so
     /// many microseconds before it was read.
-    pub fn batch(
+    pub fn apply_batch(
         &mut self,
         batch: &EventBatch,
         names: &Names,
@@ -134,7 +134,7 @@
         let mut workers = Vec::new();
         for ResolvedWorker { listed, address } in change.workers {
             let id = &listed.address;
-            let former = match address.filter(|_| listed.standing != EndpointState::Gone) {
+            let former = match address.filter(|_| listed.state != EndpointState::Gone) {
                 None => self.addresses.remove(id),
                 Some(_) if self.is_full() && !self.addresses.contains_key(id) => {
                     self.ignored_workers += 1;
@@ -199,15 +199,15 @@
             .map(|micros| micros.saturating_sub(self.wall_at_zero));
         let unnamed_zone = || fingerprint(&entry.zone) as u32 | UNNAMED_ZONE;
         // All kinds that the settings do not name count as one kind more.
-        let unnamed_kind = self.names.kinds.len() as u32;
-        let listed = Listed {
+        let unnamed_kind = self.names.machine_kinds.len() as u32;
+        let listed = ListedWorker {
             address: entry.id.clone(),
             zone: index_of(&self.names.zones, &entry.zone).unwrap_or_else(unnamed_zone),
-            kind: index_of(&self.names.kinds, &entry.kind).unwrap_or(unnamed_kind),
+            machine_kind: index_of(&self.names.machine_kinds, &entry.kind).unwrap_or(unnamed_kind),
             cell: entry.cell,
-            standing: state,
+            state,
             weight: entry.weight,
-            started,
+            started_at: started,
         };
         Ok(ResolvedWorker { listed, address })
     }
--- a/crates/test-cluster/src/scenario/validation.rs
+++ b/crates/test-cluster/src/scenario/validation.rs
@@ -2,8 +2,8 @@
 
 use std::ops::RangeInclusive;
 
-use super::{Day, Trouble, What, belongs};
-use crate::error::Wrong;
+use super::{FaultKind, Scenario, ScenarioFault, belongs};
+use crate::error::ClusterError;
 
 type Range = (RangeInclusive<f64>, &'static str);
 
@@ -16,13 +16,13 @@
 const MAX_ZONES: f64 = 60.0;
 
 /// Checks a scenario; the error is the first condition that does not hold.
-pub(super) fn validate(file: &str, day: &Day) -> Result<(), Wrong> {
-    Validator { file, day }.validate()
+pub(super) fn validate(file: &str, scenario: &Scenario) -> Result<(), ClusterError> {
+    Validator { file, scenario }.validate()
 }
 
 struct Validator<'a> {
     file: &'a str,
-    day: &'a Day,
+    scenario: &'a Scenario,
 }
 
 impl Validator<'_> {
@@ -32,11 +32,11 @@
         key: impl ToString,
         value: f64,
         (range, within): Range,
-    ) -> Result<(), Wrong> {
+    ) -> Result<(), ClusterError> {
         if range.contains(&value) {
             return Ok(());
         }
-        Err(Wrong::OutOfRange {
+        Err(ClusterError::OutOfRange {
             file: self.file.into(),
             key: key.to_string(),
             value,
@@ -44,11 +44,16 @@
         })
     }
 
-    fn require(&self, key: impl ToString, holds: bool, what: &'static str) -> Result<(), Wrong> {
+    fn require(
+        &self,
+        key: impl ToString,
+        holds: bool,
+        what: &'static str,
+    ) -> Result<(), ClusterError> {
         if holds {
             return Ok(());
         }
-        Err(Wrong::MissingRequirement {
+        Err(ClusterError::MissingRequirement {
             file: self.file.into(),
             key: key.to_string(),
             what,
@@ -61,12 +66,12 @@
         key: impl ToString,
         name: Option<T>,
         is_defined: impl Fn(&T) -> bool,
-    ) -> Result<(), Wrong> {
+    ) -> Result<(), ClusterError> {
         match name.filter(|name| !is_defined(name)) {
             None => Ok(()),
             Some(name) => {
                 let (key, name) = (key.to_string(), name.to_string());
-                Err(Wrong::UnknownName {
+                Err(ClusterError::UnknownName {
                     file: self.file.into(),
                     key,
                     name,
@@ -75,53 +80,53 @@
         }
     }
 
-    fn validate(&self) -> Result<(), Wrong> {
+    fn validate(&self) -> Result<(), ClusterError> {
         self.check_lists()?;
         self.check_figures()?;
         self.check_trigger_types()?;
         self.check_worker_groups()?;
         self.check_regions()?;
         self.check_group()?;
-        self.day
-            .troubles
+        self.scenario
+            .faults
             .iter()
             .enumerate()
             .try_for_each(|(number, fault)| self.check_fault(number, fault))
     }
 
-    fn check_lists(&self) -> Result<(), Wrong> {
-        let day = self.day;
+    fn check_lists(&self) -> Result<(), ClusterError> {
+        let scenario = self.scenario;
         let lengths = [
-            ("trigger", day.triggers.len()),
-            ("account", day.accounts.len()),
-            ("worker", day.workers.len()),
-            ("zones", day.zones.len()),
+            ("trigger", scenario.triggers.len()),
+            ("account", scenario.accounts.len()),
+            ("worker", scenario.workers.len()),
+            ("zones", scenario.zones.len()),
         ];
         match lengths.into_iter().find(|(_, length)| *length == 0) {
             None => Ok(()),
-            Some((key, _)) => Err(Wrong::Empty {
+            Some((key, _)) => Err(ClusterError::Empty {
                 file: self.file.into(),
                 key,
             }),
         }
     }
 
-    fn check_figures(&self) -> Result<(), Wrong> {
-        let day = self.day;
-        self.check_range("seconds", day.seconds, SECONDS)?;
-        self.check_range("rate_per_s", day.rate_per_s, RATE)?;
-        self.check_range("routers", day.routers.into(), ROUTERS)?;
-        self.check_range("floor", day.floor, SHARE)?;
-        self.check_range("kserve_part", day.kserve_part, SHARE)?;
+    fn check_figures(&self) -> Result<(), ClusterError> {
+        let scenario = self.scenario;
+        self.check_range("seconds", scenario.seconds, SECONDS)?;
+        self.check_range("rate_per_s", scenario.rate_per_s, RATE)?;
+        self.check_range("routers", scenario.routers.into(), ROUTERS)?;
+        self.check_range("floor", scenario.floor, SHARE)?;
+        self.check_range("kserve_part", scenario.kserve_part, SHARE)?;
         self.check_range(
             "zones: their number",
-            day.zones.len() as f64,
+            scenario.zones.len() as f64,
             (1.0..=MAX_ZONES, "1 to 60"),
         )
     }
 
-    fn check_trigger_types(&self) -> Result<(), Wrong> {
-        for (number, trigger) in self.day.triggers.iter().enumerate() {
+    fn check_trigger_types(&self) -> Result<(), ClusterError> {
+        for (number, trigger) in self.scenario.triggers.iter().enumerate() {
             let key = format!("trigger[{number}].sessions");
             self.check_range(&key, trigger.sessions, SHARE)?;
             let has_turns = trigger.sessions == 0.0 || trigger.turns > 0;
@@ -130,60 +135,67 @@
         Ok(())
     }
 
-    fn check_worker_groups(&self) -> Result<(), Wrong> {
-        for (number, group) in self.day.workers.iter().enumerate() {
+    fn check_worker_groups(&self) -> Result<(), ClusterError> {
+        for (number, group) in self.scenario.workers.iter().enumerate() {
             let key = format!("worker[{number}].zone");
-            self.check_name(key, Some(&group.zone), |zone| self.day.zones.contains(zone))?;
+            self.check_name(key, Some(&group.zone), |zone| {
+                self.scenario.zones.contains(zone)
+            })?;
         }
         Ok(())
     }
 
     /// Each zone is in a region, and each region has a zone.
-    fn check_regions(&self) -> Result<(), Wrong> {
-        let day = self.day;
-        if day.regions.is_empty() {
+    fn check_regions(&self) -> Result<(), ClusterError> {
+        let scenario = self.scenario;
+        if scenario.regions.is_empty() {
             return Ok(());
         }
-        let has_region = |zone: &String| day.regions.iter().any(|region| belongs(zone, region));
-        let stray = day.zones.iter().position(|z| !has_region(z)).unwrap_or(0);
+        let has_region =
+            |zone: &String| scenario.regions.iter().any(|region| belongs(zone, region));
+        let stray = scenario
+            .zones
+            .iter()
+            .position(|z| !has_region(z))
+            .unwrap_or(0);
         self.require(
             format!("zones[{stray}]"),
-            has_region(&day.zones[stray]),
+            has_region(&scenario.zones[stray]),
             "a region of its name",
         )?;
-        for (number, region) in day.regions.iter().enumerate() {
-            let has_zone = day.zones.iter().any(|zone| belongs(zone, region));
+        for (number, region) in scenario.regions.iter().enumerate() {
+            let has_zone = scenario.zones.iter().any(|zone| belongs(zone, region));
             self.require(format!("regions[{number}]"), has_zone, "a zone of its name")?;
         }
         Ok(())
     }
 
-    fn check_group(&self) -> Result<(), Wrong> {
-        let day = self.day;
+    fn check_group(&self) -> Result<(), ClusterError> {
+        let scenario = self.scenario;
         self.require(
             "peers",
-            !day.peers || !day.regions.is_empty(),
+            !scenario.peers || !scenario.regions.is_empty(),
             "regions: peers' links are relayed",
         )?;
         self.require(
             "witness",
-            !day.witness || day.peers && day.routers > 1,
+            !scenario.witness || scenario.peers && scenario.routers > 1,
             "peers, and another router",
         )
     }
 
-    fn check_fault(&self, number: usize, fault: &Trouble) -> Result<(), Wrong> {
-        let day = self.day;
+    fn check_fault(&self, number: usize, fault: &ScenarioFault) -> Result<(), ClusterError> {
+        let scenario = self.scenario;
         let key = |part: &str| format!("trouble[{number}].{part}");
-        let workers: u32 = day.workers.iter().map(|w| w.count).sum();
+        let workers: u32 = scenario.workers.iter().map(|w| w.count).sum();
         let concerning_routers = [
-            What::RouterKill,
-            What::RouterPause,
-            What::StaleState,
-            What::PeerCut,
+            FaultKind::RouterKill,
+            FaultKind::RouterPause,
+            FaultKind::StaleState,
+            FaultKind::PeerCut,
         ];
         let count = if concerning_routers.contains(&fault.what) {
-            day.routers
+            scenario.routers
         } else {
             workers
         } as usize;
@@ -191,7 +203,7 @@
             **number < count
         })?;
         self.check_range(key("part"), fault.part, SHARE)?;
-        if fault.what == What::Flood {
+        if fault.what == FaultKind::Flood {
             self.require(
                 key("what"),
                 fault.front.is_some(),
@@ -200,22 +212,24 @@
             self.check_range(key("size"), fault.size, FACTOR)?;
         }
         self.check_name(key("region"), fault.region.as_ref(), |r| {
-            day.regions.contains(r)
+            scenario.regions.contains(r)
         })?;
         self.require(
             key("what"),
-            fault.what != What::RegionCut || fault.region.is_some(),
+            fault.what != FaultKind::RegionCut || fault.region.is_some(),
             "a region",
         )?;
-        let has_two = day.peers && fault.which.len() > 1;
+        let has_two = scenario.peers && fault.which.len() > 1;
         self.require(
             key("what"),
-            fault.what != What::PeerCut || has_two,
+            fault.what != FaultKind::PeerCut || has_two,
             "peers, and two routers in which",
         )?;
         self.check_name(key("account"), fault.account.as_ref(), |a| {
-            day.accounts.iter().any(|d| d.name == **a)
+            scenario.accounts.iter().any(|d| d.name == **a)
         })?;
-        self.check_name(key("zone"), fault.zone.as_ref(), |z| day.zones.contains(z))
+        self.check_name(key("zone"), fault.zone.as_ref(), |z| {
+            scenario.zones.contains(z)
+        })
     }
 }
--- a/crates/trace/src/records.rs
+++ b/crates/trace/src/records.rs
@@ -1,673 +1,121 @@
-//! What a trace holds, record by record, and its bytes. Docs: `docs/design/trace-format.md`; a test holds that
-//! files of earlier formats open.
+//! What a trace contains, record by record. Their bytes: [`crate::record_codec`], described in
+//! `docs/design/trace-format.md`.
 
 use cedarpulley::interface::*;
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::{Fate, FrontIndex, Reason};
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::{AnswerReason, FinalOutcome, FrontIndex};
 
-use crate::wire::{Bad, Get, Put};
-
-/// What kind of index a name is for.
+/// Which kind of index a name belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Space {
+pub enum NameKind {
+    /// A [`FunctionIndex`].
     Function,
+    /// A [`WorkerIndex`].
     Worker,
 }
 
-/// An event as the module was told, owned.
+/// An event as the decision module received it, owned.
 #[derive(Clone, Debug)]
-pub enum Happened {
+pub enum RecordedEvent {
+    /// [`Event::EndpointList`] with its endpoints copied.
     List {
-        mode: EndpointListKind,
-        entries: Vec<Endpoint>,
+        /// Whether the list is whole, a change, cached, or could not be fetched.
+        kind: EndpointListKind,
+        /// The endpoints in the order received.
+        endpoints: Vec<Endpoint>,
     },
+    /// Any other event; these borrow nothing.
     Other(Event<'static>),
 }
 
-impl Happened {
-    pub fn of(event: &Event) -> Happened {
-        match *event {
-            Event::EndpointList {
-                kind: mode,
-                endpoints: entries,
-            } => Happened::List {
-                mode,
-                entries: entries.to_vec(),
-            },
-            Event::Invocation(a) => Happened::Other(Event::Invocation(a)),
-            Event::ClientLeft { invocation: inv } => {
-                Happened::Other(Event::ClientLeft { invocation: inv })
-            }
-            Event::AnswerStarted {
-                invocation: inv,
-                dispatch,
-                worker,
-            } => Happened::Other(Event::AnswerStarted {
-                invocation: inv,
-                dispatch,
-                worker,
-            }),
-            Event::DispatchEnded(e) => Happened::Other(Event::DispatchEnded(e)),
-            Event::OrderEnded {
-                worker,
-                function: func,
-                result,
-                took,
-                copies,
-            } => Happened::Other(Event::OrderEnded {
-                worker,
-                function: func,
-                result,
-                took,
-                copies,
-            }),
-            Event::ProbeEnded {
-                worker,
-                outcome,
-                took,
-                report,
-            } => Happened::Other(Event::ProbeEnded {
-                worker,
-                outcome,
-                took,
-                report,
-            }),
-            Event::Timer { token } => Happened::Other(Event::Timer { token }),
-            Event::CopyWanted {
-                worker,
-                function: asked,
-            } => Happened::Other(Event::CopyWanted {
-                worker,
-                function: asked,
-            }),
-            Event::CopiesReported {
-                worker,
-                function: func,
-                copies,
-            } => Happened::Other(Event::CopiesReported {
-                worker,
-                function: func,
-                copies,
-            }),
-        }
-    }
-
+impl RecordedEvent {
+    /// The event as the decision module takes it.
     pub fn event(&self) -> Event<'_> {
         match self {
-            Happened::List { mode, entries } => Event::EndpointList {
-                kind: *mode,
-                endpoints: entries,
+            RecordedEvent::List { kind, endpoints } => Event::EndpointList {
+                kind: *kind,
+                endpoints,
             },
-            Happened::Other(event) => *event,
+            RecordedEvent::Other(event) => *event,
         }
     }
 }
 
+/// One record of a trace; each has a time of its own in its block.
 #[derive(Clone, Debug)]
 pub enum Record {
-    /// Comes in each block before the first record that uses the index.
-    Name { space: Space, ix: u32, text: String },
-    /// The module was told this and asked for that.
+    /// Gives an index its name; comes in each block before the first record that uses the index.
+    Name {
+        /// What the index counts.
+        kind: NameKind,
+        /// The index that is named.
+        index: u32,
+        /// Function name or worker address.
+        name: String,
+    },
+    /// The decision module received this event and returned these actions.
     Decided {
-        happened: Happened,
+        /// The event.
+        event: RecordedEvent,
+        /// The actions, in order.
         actions: Vec<Action>,
     },
-    /// The front's part of an invocation that the next decided event tells of; `mark`: a number for the mark that
-    /// its client gave it.
-    Taken {
-        inv: InvocationIndex,
+    /// Where the invocation of the next recorded event came from.
+    Accepted {
+        /// The invocation.
+        invocation: InvocationIndex,
+        /// The listener or queue it came from.
         front: FrontIndex,
-        mark: Option<u64>,
+        /// Hash of the correlation id that its client gave it.
+        correlation_hash: Option<u64>,
+        /// Delivered before, to this router or another.
         redelivered: bool,
     },
-    /// A final answer left the core; `inv` absent: it was answered at once and never was the module's.
+    /// A final answer left the router core.
     Answered {
-        inv: Option<InvocationIndex>,
+        /// Absent: it was answered at once and never reached the decision module.
+        invocation: Option<InvocationIndex>,
+        /// Where it came from.
         front: FrontIndex,
-        fate: Fate,
-        reason: Reason,
+        /// Its outcome.
+        outcome: FinalOutcome,
+        /// Why it ended so.
+        reason: AnswerReason,
+        /// Index of its trigger type; `u32::MAX`: not known.
         trigger: u32,
+        /// Index of its account; `u32::MAX`: not known.
         account: u32,
+        /// From accepting it to the answer, in microseconds.
         took: Micros,
     },
-    /// Turned away at the door.
-    TurnedAway {
+    /// Rejected by admission control.
+    Rejected {
+        /// Where it came from.
         front: FrontIndex,
+        /// Index of its trigger type.
         trigger: u32,
+        /// Index of its account.
         account: u32,
-        why: Short,
+        /// The limit that was reached.
+        reason: RejectionReason,
     },
-    /// So many records were lost here, as the disk did not keep up.
+    /// Records lost here because the disk did not keep up.
     Gap {
+        /// How many.
         records: u64,
+        /// Time of the first lost record.
         from: Micros,
+        /// Time of the last lost record.
         until: Micros,
     },
 }
 
-/// A table for a small set, and a match that stops the build where the set has grown and its table has not: a value
-/// without a tag would make its block unreadable.
-macro_rules! table {
-    ($name:ident, $check:ident, $of:ident: $($value:ident),+) => {
-        const $name: &[$of] = &[$($of::$value),+];
-        #[allow(dead_code)]
-        fn $check(value: $of) {
-            match value {
-                $($of::$value => {})+
-            }
-        }
-    };
-}
-
-table!(REASONS, reasons, Reason: Worker, GivenUp, Expired, MayHaveRun, Overdue, Functions, Size, Share, NoMajority, SessionOver, Alone);
-table!(FATES, fates, Fate: Succeeded, Throttled, Errored);
-table!(SHORTS, shorts, Short: Stopping, Memory, All, Front, Account, Connection, Worth);
-table!(OUTCOMES, outcomes, DispatchOutcome: Succeeded, Errored, Rejected, TimedOut, Unreachable, ConnectionLost, Cancelled, NotSent, NotLoaded);
-table!(NOTES, notes, CopyStatus: Unreported, Warm, LoadStarted, LoadAwaited, LoadFailed);
-table!(RESULTS, results, LoadOrderResult: Loaded, NoCapacity, LoadFailed, ConnectionLost, Unreachable, TimedOut);
-table!(MODES, modes, EndpointListKind: Changes, Complete, Cached, Failed);
-table!(STANDINGS, standings, EndpointState: InService, Draining, Gone);
-
-/// The tag of a value is its place in its table: tables only grow at their end.
-fn put_of<T: PartialEq>(p: &mut Put, table: &[T], value: &T) {
-    p.byte(
-        table
-            .iter()
-            .position(|t| t == value)
-            .unwrap_or(usize::from(u8::MAX)) as u8,
-    );
-}
-
-fn get_of<T: Copy>(g: &mut Get, table: &[T]) -> Result<T, Bad> {
-    table
-        .get(usize::from(g.byte()?))
-        .copied()
-        .ok_or(Bad::Unknown)
-}
-
-fn put_report(p: &mut Put, r: &LoadReport) {
-    let all = [
-        r.in_flight,
-        r.queued,
-        r.utilization,
-        r.loads_in_progress,
-        r.memory_fraction,
-    ];
-    p.byte(
-        all.iter()
-            .enumerate()
-            .map(|(n, v)| u8::from(v.is_some()) << n)
-            .sum(),
-    );
-    all.into_iter().flatten().for_each(|v| p.f(v));
-}
-
-fn get_report(g: &mut Get) -> Result<LoadReport, Bad> {
-    let bits = g.byte()?;
-    let mut next = |n: u8| {
-        if bits >> n & 1 == 1 {
-            g.f().map(Some)
-        } else {
-            Ok(None)
-        }
-    };
-    Ok(LoadReport {
-        in_flight: next(0)?,
-        queued: next(1)?,
-        utilization: next(2)?,
-        loads_in_progress: next(3)?,
-        memory_fraction: next(4)?,
-    })
-}
-
-fn put_event(p: &mut Put, event: &Event) {
-    match event {
-        Event::EndpointList {
-            kind: mode,
-            endpoints: entries,
-        } => {
-            p.byte(0);
-            put_of(p, MODES, mode);
-            p.u(entries.len() as u64);
-            for e in *entries {
-                p.u(e.worker.into());
-                p.u(e.fingerprint);
-                p.u(e.zone.into());
-                p.u(e.machine_kind.into());
-                p.u(e.cell.into());
-                put_of(p, STANDINGS, &e.state);
-                p.f(e.weight);
-                p.maybe(e.started_at, Put::i);
-            }
-        }
-        Event::Invocation(a) => {
-            // As it has always been, where no worker is preferred.
-            p.byte(if a.preferred_worker.is_some() { 8 } else { 1 });
-            p.u(a.invocation.into());
-            p.u(a.trigger.into());
-            p.u(a.account.into());
-            p.u(a.function.into());
-            p.maybe(a.cost_hint, Put::i);
-            p.maybe(a.load_hint, Put::i);
-            p.f(a.copy_mb);
-            p.u(a.lanes.into());
-            p.i(a.client_timeout_in);
-            p.i(a.waited);
-            p.byte(u8::from(a.repeat));
-            a.preferred_worker.into_iter().for_each(|w| p.u(w.into()));
-        }
-        Event::ClientLeft { invocation: inv } => {
-            p.byte(2);
-            p.u((*inv).into());
-        }
-        Event::AnswerStarted {
-            invocation: inv,
-            dispatch,
-            worker,
-        } => {
-            p.byte(3);
-            [*inv, *dispatch, *worker]
-                .into_iter()
-                .for_each(|n| p.u(n.into()));
-        }
-        Event::DispatchEnded(e) => {
-            p.byte(4);
-            [e.invocation, e.dispatch, e.worker]
-                .into_iter()
-                .for_each(|n| p.u(n.into()));
-            put_of(p, OUTCOMES, &e.outcome);
-            p.i(e.took);
-            p.byte(u8::from(e.answered));
-            put_of(p, NOTES, &e.copy_status);
-            p.maybe(e.function_load, |p, n| p.u(n.into()));
-            put_report(p, &e.report);
-        }
-        Event::OrderEnded {
-            worker,
-            function: func,
-            result,
-            took,
-            copies,
-        } => {
-            p.byte(5);
-            p.u((*worker).into());
-            p.u((*func).into());
-            put_of(p, RESULTS, result);
-            p.i(*took);
-            p.u((*copies).into());
-        }
-        Event::ProbeEnded {
-            worker,
-            outcome,
-            took,
-            report,
-        } => {
-            p.byte(6);
-            p.u((*worker).into());
-            put_of(p, OUTCOMES, outcome);
-            p.i(*took);
-            put_report(p, report);
-        }
-        Event::Timer { token } => {
-            p.byte(7);
-            p.u(*token);
-        }
-        Event::CopyWanted {
-            worker,
-            function: asked,
-        } => {
-            p.byte(9);
-            [*worker, asked.function, asked.trigger, asked.lanes]
-                .into_iter()
-                .for_each(|n| p.u(n.into()));
-        }
-        Event::CopiesReported {
-            worker,
-            function: func,
-            copies,
-        } => {
-            p.byte(10);
-            [*worker, *func, *copies]
-                .into_iter()
-                .for_each(|n| p.u(n.into()));
-        }
-    }
-}
-
-fn get_arrival(g: &mut Get, fingerprint: &dyn Fn(u32) -> u64) -> Result<Arrival, Bad> {
-    let (inv, trigger, account, func) = (g.u32()?, g.u32()?, g.u32()?, g.u32()?);
-    Ok(Arrival {
-        invocation: inv,
-        trigger,
-        account,
-        function: func,
-        fingerprint: fingerprint(func),
-        cost_hint: g.maybe(Get::i)?,
-        load_hint: g.maybe(Get::i)?,
-        copy_mb: g.f()?,
-        lanes: g.u32()?,
-        client_timeout_in: g.i()?,
-        waited: g.i()?,
-        repeat: g.flag()?,
-        preferred_worker: None,
-    })
-}
-
-/// `fingerprint` of an arrival's function comes from its name, as every router makes it.
-fn get_event(g: &mut Get, fingerprint: &dyn Fn(u32) -> u64) -> Result<Happened, Bad> {
-    Ok(match g.byte()? {
-        0 => {
-            let mode = get_of(g, MODES)?;
-            let entries = g.many(|g| {
-                Ok(Endpoint {
-                    worker: g.u32()?,
-                    fingerprint: g.u()?,
-                    zone: g.u32()?,
-                    machine_kind: g.u32()?,
-                    cell: g.u32()?,
-                    state: get_of(g, STANDINGS)?,
-                    weight: g.f()?,
-                    started_at: g.maybe(Get::i)?,
-                })
-            })?;
-            Happened::List { mode, entries }
-        }
-        1 => Happened::Other(Event::Invocation(get_arrival(g, fingerprint)?)),
-        8 => {
-            let arrival = get_arrival(g, fingerprint)?;
-            let prefers = Some(g.u32()?);
-            Happened::Other(Event::Invocation(Arrival {
-                preferred_worker: prefers,
-                ..arrival
-            }))
-        }
-        9 => {
-            let (worker, func, trigger, lanes) = (g.u32()?, g.u32()?, g.u32()?, g.u32()?);
-            let asked = FunctionInfo {
-                function: func,
-                fingerprint: fingerprint(func),
-                trigger,
-                lanes,
-            };
-            Happened::Other(Event::CopyWanted {
-                worker,
-                function: asked,
-            })
-        }
-        10 => Happened::Other(Event::CopiesReported {
-            worker: g.u32()?,
-            function: g.u32()?,
-            copies: g.u32()?,
-        }),
-        2 => Happened::Other(Event::ClientLeft {
-            invocation: g.u32()?,
-        }),
-        3 => Happened::Other(Event::AnswerStarted {
-            invocation: g.u32()?,
-            dispatch: g.u32()?,
-            worker: g.u32()?,
-        }),
-        4 => Happened::Other(Event::DispatchEnded(DispatchEnded {
-            invocation: g.u32()?,
-            dispatch: g.u32()?,
-            worker: g.u32()?,
-            outcome: get_of(g, OUTCOMES)?,
-            took: g.i()?,
-            answered: g.flag()?,
-            copy_status: get_of(g, NOTES)?,
-            function_load: g.maybe(Get::u32)?,
-            report: get_report(g)?,
-        })),
-        5 => Happened::Other(Event::OrderEnded {
-            worker: g.u32()?,
-            function: g.u32()?,
-            result: get_of(g, RESULTS)?,
-            took: g.i()?,
-            copies: g.u32()?,
-        }),
-        6 => Happened::Other(Event::ProbeEnded {
-            worker: g.u32()?,
-            outcome: get_of(g, OUTCOMES)?,
-            took: g.i()?,
-            report: get_report(g)?,
-        }),
-        7 => Happened::Other(Event::Timer { token: g.u()? }),
-        _ => return Err(Bad::Unknown),
-    })
-}
-
-pub fn put_action(p: &mut Put, action: &Action) {
-    match *action {
-        Action::Dispatch {
-            invocation: inv,
-            worker,
-            timeout: time_out,
-        } => {
-            p.byte(0);
-            p.u(inv.into());
-            p.u(worker.into());
-            p.maybe(time_out, Put::i);
-        }
-        Action::Cancel {
-            invocation: inv,
-            dispatch,
-        } => {
-            p.byte(1);
-            p.u(inv.into());
-            p.u(dispatch.into());
-        }
-        Action::Reject {
-            invocation: inv,
-            retry_after: return_after,
-        } => {
-            p.byte(2);
-            p.u(inv.into());
-            p.maybe(return_after, Put::i);
-        }
-        Action::Fail { invocation: inv } => {
-            p.byte(3);
-            p.u(inv.into());
-        }
-        Action::LoadOrder {
-            worker,
-            function: func,
-            copies,
-        } => {
-            p.byte(4);
-            [worker, func, copies]
-                .into_iter()
-                .for_each(|n| p.u(n.into()));
-        }
-        Action::Unload {
-            worker,
-            function: func,
-        } => {
-            p.byte(5);
-            p.u(worker.into());
-            p.u(func.into());
-        }
-        Action::Probe { worker } => {
-            p.byte(6);
-            p.u(worker.into());
-        }
-        Action::Timer { token, after } => {
-            p.byte(7);
-            p.u(token);
-            p.i(after);
-        }
-        Action::RequestEndpointList { watch: follow } => {
-            p.byte(8);
-            p.byte(u8::from(follow));
-        }
-        Action::ReleaseFunction { function: func } => {
-            p.byte(9);
-            p.u(func.into());
-        }
-    }
-}
-
-fn get_action(g: &mut Get) -> Result<Action, Bad> {
-    Ok(match g.byte()? {
-        0 => Action::Dispatch {
-            invocation: g.u32()?,
-            worker: g.u32()?,
-            timeout: g.maybe(Get::i)?,
-        },
-        1 => Action::Cancel {
-            invocation: g.u32()?,
-            dispatch: g.u32()?,
-        },
-        2 => Action::Reject {
-            invocation: g.u32()?,
-            retry_after: g.maybe(Get::i)?,
-        },
-        3 => Action::Fail {
-            invocation: g.u32()?,
-        },
-        4 => Action::LoadOrder {
-            worker: g.u32()?,
-            function: g.u32()?,
-            copies: g.u32()?,
-        },
-        5 => Action::Unload {
-            worker: g.u32()?,
-            function: g.u32()?,
-        },
-        6 => Action::Probe { worker: g.u32()? },
-        7 => Action::Timer {
-            token: g.u()?,
-            after: g.i()?,
-        },
-        8 => Action::RequestEndpointList { watch: g.flag()? },
-        9 => Action::ReleaseFunction { function: g.u32()? },
-        _ => return Err(Bad::Unknown),
-    })
-}
-
-/// Kinds of records; the high bits of the tag are kept for later.
-const NAME: u8 = 1;
-const DECIDED: u8 = 2;
-const TAKEN: u8 = 3;
-const ANSWERED: u8 = 4;
-const TURNED_AWAY: u8 = 5;
-const GAP: u8 = 6;
-
-/// Without copying what the module was told.
-pub fn put_decided(p: &mut Put, event: &Event, actions: &[Action]) {
-    p.byte(DECIDED);
-    put_event(p, event);
-    p.u(actions.len() as u64);
-    actions.iter().for_each(|a| put_action(p, a));
-}
-
-pub fn put(p: &mut Put, record: &Record) {
-    match record {
-        Record::Name { space, ix, text } => {
-            p.byte(NAME);
-            p.byte(u8::from(*space == Space::Worker));
-            p.u((*ix).into());
-            p.text(text);
-        }
-        Record::Decided { happened, actions } => put_decided(p, &happened.event(), actions),
-        Record::Taken {
-            inv,
-            front,
-            mark,
-            redelivered,
-        } => {
-            p.byte(TAKEN);
-            p.u((*inv).into());
-            p.u((*front).into());
-            p.maybe(*mark, |p, m| p.bytes.extend_from_slice(&m.to_le_bytes()));
-            p.byte(u8::from(*redelivered));
-        }
-        Record::Answered {
-            inv,
-            front,
-            fate,
-            reason,
-            trigger,
-            account,
-            took,
-        } => {
-            p.byte(ANSWERED);
-            p.maybe(*inv, |p, n| p.u(n.into()));
-            p.u((*front).into());
-            put_of(p, FATES, fate);
-            put_of(p, REASONS, reason);
-            p.u((*trigger).into());
-            p.u((*account).into());
-            p.i(*took);
-        }
-        Record::TurnedAway {
-            front,
-            trigger,
-            account,
-            why,
-        } => {
-            p.byte(TURNED_AWAY);
-            [*front, *trigger, *account]
-                .into_iter()
-                .for_each(|n| p.u(n.into()));
-            put_of(p, SHORTS, why);
-        }
-        Record::Gap {
-            records,
-            from,
-            until,
-        } => {
-            p.byte(GAP);
-            p.u(*records);
-            p.i(*from);
-            p.i(*until);
-        }
-    }
-}
-
-pub fn get(g: &mut Get, fingerprint: &dyn Fn(u32) -> u64) -> Result<Record, Bad> {
-    Ok(match g.byte()? {
-        NAME => Record::Name {
-            space: if g.flag()? {
-                Space::Worker
-            } else {
-                Space::Function
-            },
-            ix: g.u32()?,
-            text: g.text()?.to_owned(),
-        },
-        DECIDED => Record::Decided {
-            happened: get_event(g, fingerprint)?,
-            actions: g.many(get_action)?,
-        },
-        TAKEN => Record::Taken {
-            inv: g.u32()?,
-            front: g.u32()?,
-            mark: g.maybe(|g| {
-                let bytes = g.take(8)?.try_into().map_err(|_| Bad::Short)?;
-                Ok(u64::from_le_bytes(bytes))
-            })?,
-            redelivered: g.flag()?,
-        },
-        ANSWERED => Record::Answered {
-            inv: g.maybe(Get::u32)?,
-            front: g.u32()?,
-            fate: get_of(g, FATES)?,
-            reason: get_of(g, REASONS)?,
-            trigger: g.u32()?,
-            account: g.u32()?,
-            took: g.i()?,
-        },
-        TURNED_AWAY => Record::TurnedAway {
-            front: g.u32()?,
-            trigger: g.u32()?,
-            account: g.u32()?,
-            why: get_of(g, SHORTS)?,
-        },
-        GAP => Record::Gap {
-            records: g.u()?,
-            from: g.i()?,
-            until: g.i()?,
-        },
-        _ => return Err(Bad::Unknown),
+/// Whether the event's actions dispatch or end this invocation.
+pub(crate) fn is_settled(invocation: InvocationIndex, actions: &[Action]) -> bool {
+    actions.iter().any(|action| match action {
+        Action::Dispatch { invocation: of, .. }
+        | Action::Reject { invocation: of, .. }
+        | Action::Fail { invocation: of } => *of == invocation,
+        _ => false,
     })
 }
--- a/crates/trace/tests/compared.rs
+++ b/crates/trace/tests/compared.rs
@@ -5,21 +5,23 @@
 use std::io::Cursor;
 
 use cedarpulley::interface::*;
-use cedarpulley_trace::compare::{Compare, Compared, Count, Did, Kind, kinds};
+use cedarpulley_trace::compare::{
+    Comparison, ComparisonResult, Decision, DifferenceCount, DifferenceKind, kinds,
+};
 use cedarpulley_trace::reader::Reader;
-use cedarpulley_trace::replay::{Decisions, Step, drive, redo, replay};
-use cedarpulley_trace::start::Extent;
+use cedarpulley_trace::replay::{DecisionReader, ReplayStep, redo, replay, replay_steps};
+use cedarpulley_trace::start::Provenance;
 use small::written;
 
 fn open(bytes: Vec<u8>) -> Reader<Cursor<Vec<u8>>> {
     Reader::open(Cursor::new(bytes)).expect("a trace")
 }
 
-fn with_this_build(bytes: Vec<u8>) -> Compared {
-    let mut compare = Compare::default();
-    compare.row();
-    let done = drive(&mut [open(bytes)], |step| {
-        if let Step::Decided {
+fn with_this_build(bytes: Vec<u8>) -> ComparisonResult {
+    let mut compare = Comparison::default();
+    compare.begin_incarnation();
+    let done = replay_steps(&mut [open(bytes)], |step| {
+        if let ReplayStep::Decided {
             recorded, replayed, ..
         } = step
         {
@@ -40,7 +42,7 @@
 }
 
 #[test]
-fn each_kind_is_told() {
+fn each_kind_of_difference_is_reported() {
     let send = |worker| Action::Dispatch {
         invocation: 1,
         worker,
@@ -56,14 +58,24 @@
         retry_after: Some(5),
     };
     let timer = |token| Action::Timer { token, after: 9 };
-    let cases: [(&[Action], &[Action], &[Kind]); 11] = [
+    let cases: [(&[Action], &[Action], &[DifferenceKind]); 11] = [
         (&[send(1)], &[send(1)], &[]),
-        (&[send(1)], &[send(2)], &[Kind::SentElsewhere]),
-        (&[send(1)], &[], &[Kind::Instead(Did::Sent, Did::Held)]),
+        (&[send(1)], &[send(2)], &[DifferenceKind::OtherWorker]),
+        (
+            &[send(1)],
+            &[],
+            &[DifferenceKind::OtherDecision(
+                Decision::Dispatched,
+                Decision::Queued,
+            )],
+        ),
         (
             &[],
             &[throttle],
-            &[Kind::Instead(Did::Held, Did::Throttled)],
+            &[DifferenceKind::OtherDecision(
+                Decision::Queued,
+                Decision::Throttled,
+            )],
         ),
         (
             &[throttle],
@@ -71,17 +83,25 @@
                 invocation: 1,
                 retry_after: None,
             }],
-            &[Kind::OtherFigures],
+            &[DifferenceKind::OtherParameters],
+        ),
+        (
+            &[order(1, 0)],
+            &[order(2, 0)],
+            &[DifferenceKind::OtherLoadWorkers],
         ),
-        (&[order(1, 0)], &[order(2, 0)], &[Kind::OrderedElsewhere]),
         (
             &[order(1, 0)],
             &[order(1, 0), order(2, 0)],
-            &[Kind::OrderedMore],
+            &[DifferenceKind::MoreLoadOrders],
+        ),
+        (&[order(1, 0)], &[], &[DifferenceKind::FewerLoadOrders]),
+        (&[timer(1)], &[timer(2)], &[DifferenceKind::Timers]),
+        (
+            &[Action::Probe { worker: 1 }],
+            &[],
+            &[DifferenceKind::Maintenance],
         ),
-        (&[order(1, 0)], &[], &[Kind::OrderedFewer]),
-        (&[timer(1)], &[timer(2)], &[Kind::Timers]),
-        (&[Action::Probe { worker: 1 }], &[], &[Kind::Upkeep]),
         // Called back and sent again is a sending.
         (
             &[
@@ -95,7 +115,10 @@
                 invocation: 1,
                 dispatch: 0,
             }],
-            &[Kind::Instead(Did::Sent, Did::CalledBack)],
+            &[DifferenceKind::OtherDecision(
+                Decision::Dispatched,
+                Decision::Cancelled,
+            )],
         ),
     ];
     for (one, other, wanted) in cases {
@@ -104,34 +127,44 @@
 }
 
 #[test]
-fn the_first_difference_of_a_life_is_counted_apart() {
+fn the_first_difference_of_an_incarnation_is_counted_apart() {
     let same = with_this_build(written(5, |_, _| {}));
-    assert_eq!((same.rows_differing, same.differing), (0, 0));
+    assert_eq!((same.incarnations_differing, same.differing), (0, 0));
     assert_eq!(same.decisions, same.decisions_exact);
     let other = with_this_build(written(5, |n, actions| elsewhere(n, actions)));
     assert_eq!(
         other.by_kind,
-        [(Kind::SentElsewhere, Count { first: 1, later: 1 })]
+        [(
+            DifferenceKind::OtherWorker,
+            DifferenceCount { first: 1, later: 1 }
+        )]
     );
     assert_eq!(
-        (other.rows_differing, other.differing, other.decisions_exact),
+        (
+            other.incarnations_differing,
+            other.differing,
+            other.decisions_exact
+        ),
         (1, 2, 4)
     );
 }
 
 #[test]
-fn a_row_decided_anew_is_this_builds_own() {
+fn a_redone_file_replays_without_difference_on_this_build() {
     let changed = written(5, |n, actions| elsewhere(n, actions));
     let mut anew = Vec::new();
     redo(&mut [open(changed.clone())], &mut anew).expect("redone");
-    assert_eq!(open(anew.clone()).sources[0].extent, Extent::Redone);
+    assert_eq!(open(anew.clone()).sources[0].provenance, Provenance::Redone);
     assert!(
         replay(&mut [open(anew.clone())])
             .expect("replayed")
             .difference
             .is_none()
     );
-    let (mut one, mut other) = (Decisions::new(open(changed)), Decisions::new(open(anew)));
+    let (mut one, mut other) = (
+        DecisionReader::new(open(changed)),
+        DecisionReader::new(open(anew)),
+    );
     let (mut decisions, mut differ) = (0, 0);
     while let Some((_, _, actions)) = one.next().expect("read") {
         let (.., redone) = other.next().expect("read").expect("as many");
--- a/crates/trace/tests/every_cause/mod.rs
+++ b/crates/trace/tests/every_cause/mod.rs
@@ -1,15 +1,15 @@
 //! A file of one router in which each cause that `explain` knows costs something, and each fate and action that
 //! `show`, `summary` and `rules` tell of occurs. Invented: no module decided it.
-#![allow(dead_code)] // Each user takes its part.
+#![allow(dead_code, reason = "each test binary uses its part")]
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::*;
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::{Fate, Reason};
-use cedarpulley_trace::blocks::Gather;
-use cedarpulley_trace::records::{Happened, Record, Space};
-use cedarpulley_trace::start::Start;
-use cedarpulley_trace::writer::Sheet;
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::{AnswerReason, FinalOutcome};
+use cedarpulley_trace::blocks::BlockBuilder;
+use cedarpulley_trace::records::{NameKind, Record, RecordedEvent};
+use cedarpulley_trace::start::StartRecord;
+use cedarpulley_trace::writer::TraceFileWriter;
 
 const MS: Micros = 1_000;
 /// Of a dispatch that finds its copy.
@@ -18,16 +18,16 @@
 /// Records after this time are of loads, which count as one cause if there are many.
 pub const LOADS_AT: Micros = 100_000 * MS;
 
-struct Told {
-    gather: Gather,
+struct RecordingBuilder {
+    block: BlockBuilder,
     now: Micros,
     inv: u32,
 }
 
-impl Told {
-    fn new() -> Told {
-        let mut told = Told {
-            gather: Gather::default(),
+impl RecordingBuilder {
+    fn new() -> RecordingBuilder {
+        let mut recording = RecordingBuilder {
+            block: BlockBuilder::default(),
             now: 0,
             inv: 0,
         };
@@ -42,46 +42,55 @@
             started_at: None,
         };
         for n in 0..5 {
-            told.gather.name(0, Space::Worker, n, &format!("w{n}"));
-            told.gather.name(0, Space::Function, n, &format!("f{n}"));
+            recording
+                .block
+                .name(0, NameKind::Worker, n, &format!("w{n}"));
+            recording
+                .block
+                .name(0, NameKind::Function, n, &format!("f{n}"));
         }
-        told.record(Record::Decided {
-            happened: Happened::List {
-                mode: EndpointListKind::Complete,
-                entries: (0..5).map(entry).collect(),
+        recording.record(Record::Decided {
+            event: RecordedEvent::List {
+                kind: EndpointListKind::Complete,
+                endpoints: (0..5).map(entry).collect(),
             },
             actions: vec![Action::RequestEndpointList { watch: true }],
         });
-        told
+        recording
     }
 
     fn record(&mut self, record: Record) {
-        self.gather.record(self.now, &record);
+        self.block.record(self.now, &record);
         self.now += 1;
     }
 
     fn decided(&mut self, event: Event<'static>, actions: Vec<Action>) {
         self.record(Record::Decided {
-            happened: Happened::Other(event),
+            event: RecordedEvent::Other(event),
             actions,
         });
     }
 
-    fn comes(&mut self, func: u32, waited: Micros, act: impl FnOnce(u32) -> Vec<Action>) -> u32 {
+    fn arrives(
+        &mut self,
+        function: u32,
+        waited: Micros,
+        act: impl FnOnce(u32) -> Vec<Action>,
+    ) -> u32 {
         self.inv += 1;
         let inv = self.inv;
-        self.record(Record::Taken {
-            inv,
+        self.record(Record::Accepted {
+            invocation: inv,
             front: inv % 2,
-            mark: Some(fingerprint(&format!("mark-{inv}"))),
+            correlation_hash: Some(fingerprint(&format!("mark-{inv}"))),
             redelivered: inv.is_multiple_of(3),
         });
         let arrival = Arrival {
             invocation: inv,
             trigger: 1,
             account: 0,
-            function: func,
-            fingerprint: fingerprint(&format!("f{func}")),
+            function,
+            fingerprint: fingerprint(&format!("f{function}")),
             cost_hint: None,
             load_hint: None,
             copy_mb: 1.0,
@@ -95,8 +104,8 @@
         inv
     }
 
-    fn sent(&mut self, func: u32, worker: u32, waited: Micros) -> u32 {
-        self.comes(func, waited, |inv| {
+    fn sent(&mut self, function: u32, worker: u32, waited: Micros) -> u32 {
+        self.arrives(function, waited, |inv| {
             let time_out = Some(2_000 * MS);
             vec![Action::Dispatch {
                 invocation: inv,
@@ -106,11 +115,11 @@
         })
     }
 
-    fn answered(&mut self, inv: Option<u32>, fate: Fate, reason: Reason) {
+    fn answered(&mut self, inv: Option<u32>, fate: FinalOutcome, reason: AnswerReason) {
         self.record(Record::Answered {
-            inv,
+            invocation: inv,
             front: 0,
-            fate,
+            outcome: fate,
             reason,
             trigger: 1,
             account: 0,
@@ -147,7 +156,7 @@
 
     fn succeeds(&mut self, inv: u32, worker: u32, took: Micros, note: CopyStatus) {
         self.now += took;
-        self.answered(Some(inv), Fate::Succeeded, Reason::Worker);
+        self.answered(Some(inv), FinalOutcome::Succeeded, AnswerReason::Worker);
         self.ended(inv, worker, took, DispatchOutcome::Succeeded, note);
     }
 
@@ -156,11 +165,11 @@
         let inv = self.sent(0, worker, 0);
         self.now += USUAL;
         self.ended(inv, worker, USUAL, outcome, CopyStatus::Unreported);
-        self.answered(Some(inv), Fate::Errored, Reason::GivenUp);
+        self.answered(Some(inv), FinalOutcome::Errored, AnswerReason::GivenUp);
     }
 
-    fn held(&mut self, func: u32, act: impl FnOnce(u32) -> Vec<Action>) {
-        let inv = self.comes(func, 0, act);
+    fn queued(&mut self, function: u32, act: impl FnOnce(u32) -> Vec<Action>) {
+        let inv = self.arrives(function, 0, act);
         self.now += LATE;
         self.decided(
             Event::Timer { token: 7 },
@@ -169,38 +178,38 @@
                 retry_after: None,
             }],
         );
-        self.answered(Some(inv), Fate::Throttled, Reason::GivenUp);
+        self.answered(Some(inv), FinalOutcome::Throttled, AnswerReason::GivenUp);
     }
 
-    fn turned_away(&mut self, why: Short) {
-        self.record(Record::TurnedAway {
+    fn rejected(&mut self, why: RejectionReason) {
+        self.record(Record::Rejected {
             front: 1,
             trigger: 1,
             account: 1,
-            why,
+            reason: why,
         });
     }
 
     fn limits(&mut self) {
         for why in [
-            Short::Front,
-            Short::Account,
-            Short::Connection,
-            Short::Memory,
-            Short::Worth,
+            RejectionReason::Front,
+            RejectionReason::Account,
+            RejectionReason::Connection,
+            RejectionReason::Memory,
+            RejectionReason::Worth,
         ] {
-            self.turned_away(why);
+            self.rejected(why);
         }
         for reason in [
-            Reason::Share,
-            Reason::Expired,
-            Reason::MayHaveRun,
-            Reason::Size,
-            Reason::NoMajority,
-            Reason::SessionOver,
-            Reason::Functions,
+            AnswerReason::Share,
+            AnswerReason::Expired,
+            AnswerReason::MayHaveRun,
+            AnswerReason::Size,
+            AnswerReason::NoMajority,
+            AnswerReason::SessionOver,
+            AnswerReason::Functions,
         ] {
-            self.answered(None, Fate::Throttled, reason);
+            self.answered(None, FinalOutcome::Throttled, reason);
         }
     }
 
@@ -232,11 +241,11 @@
 
     fn loads(&mut self) {
         self.now = LOADS_AT;
-        for func in 1..4 {
-            self.held(func, |_| {
+        for function in 1..4 {
+            self.queued(function, |_| {
                 vec![Action::LoadOrder {
                     worker: 1,
-                    function: func,
+                    function,
                     copies: 1,
                 }]
             });
@@ -244,25 +253,27 @@
     }
 }
 
-pub fn start() -> Start {
-    Start {
-        file: 0,
+pub fn start() -> StartRecord {
+    StartRecord {
+        file_number: 0,
         ..super::every_record::start(0)
     }
 }
 
 pub fn file() -> Vec<u8> {
-    let mut told = Told::new();
-    told.limits();
-    told.workers();
-    told.held(0, |_| vec![]);
-    told.record(Record::Gap {
+    let mut recording = RecordingBuilder::new();
+    recording.limits();
+    recording.workers();
+    recording.queued(0, |_| vec![]);
+    recording.record(Record::Gap {
         records: 12,
-        from: told.now,
-        until: told.now + 5,
+        from: recording.now,
+        until: recording.now + 5,
     });
-    told.loads();
-    let mut sheet = Sheet::begin(Vec::new(), &[start().into()]).expect("written");
-    sheet.block(0, &told.gather.close()).expect("written");
-    sheet.end().expect("written")
+    recording.loads();
+    let mut sheet = TraceFileWriter::begin(Vec::new(), &[start().into()]).expect("written");
+    sheet
+        .write_block(0, &recording.block.close())
+        .expect("written");
+    sheet.finish().expect("written")
 }
--- a/crates/trace/tests/every_record/mod.rs
+++ b/crates/trace/tests/every_record/mod.rs
@@ -1,22 +1,28 @@
 //! One value of every kind that a trace can hold, with numbers that differ from field to field.
-#![allow(dead_code)] // Each user takes its part.
+#![allow(dead_code, reason = "each test binary uses its part")]
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::*;
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::{Fate, Reason};
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::{AnswerReason, FinalOutcome};
 use cedarpulley_startup::StartupSettings;
-use cedarpulley_trace::blocks::Gather;
-use cedarpulley_trace::records::{self, Happened, Record, Space};
-use cedarpulley_trace::start::{Extent, Source, Start};
-use cedarpulley_trace::wire::Put;
-use cedarpulley_trace::writer::Sheet;
+use cedarpulley_trace::blocks::BlockBuilder;
+use cedarpulley_trace::codec::Encoder;
+use cedarpulley_trace::record_codec;
+use cedarpulley_trace::records::{NameKind, Record, RecordedEvent};
+use cedarpulley_trace::start::{Provenance, Source, StartRecord};
+use cedarpulley_trace::writer::TraceFileWriter;
 
 const FUNCTION: &str = "quote:7";
 /// Between two records of a block.
 const STEP: Micros = 5;
 
-pub const EXTENTS: [Extent; 4] = [Extent::Whole, Extent::Cut, Extent::Stripped, Extent::Redone];
+pub const EXTENTS: [Provenance; 4] = [
+    Provenance::Original,
+    Provenance::Cut,
+    Provenance::Stripped,
+    Provenance::Redone,
+];
 const REPORTS: [ReportSource; 3] = [
     ReportSource::Answers,
     ReportSource::Probes,
@@ -59,28 +65,32 @@
     EndpointState::Draining,
     EndpointState::Gone,
 ];
-pub const FATES: [Fate; 3] = [Fate::Succeeded, Fate::Throttled, Fate::Errored];
-pub const REASONS: [Reason; 11] = [
-    Reason::Worker,
-    Reason::GivenUp,
-    Reason::Expired,
-    Reason::MayHaveRun,
-    Reason::Overdue,
-    Reason::Functions,
-    Reason::Size,
-    Reason::Share,
-    Reason::NoMajority,
-    Reason::SessionOver,
-    Reason::Alone,
+pub const FATES: [FinalOutcome; 3] = [
+    FinalOutcome::Succeeded,
+    FinalOutcome::Throttled,
+    FinalOutcome::Errored,
+];
+pub const REASONS: [AnswerReason; 11] = [
+    AnswerReason::Worker,
+    AnswerReason::GivenUp,
+    AnswerReason::Expired,
+    AnswerReason::MayHaveRun,
+    AnswerReason::Overdue,
+    AnswerReason::Functions,
+    AnswerReason::Size,
+    AnswerReason::Share,
+    AnswerReason::NoMajority,
+    AnswerReason::SessionOver,
+    AnswerReason::Alone,
 ];
-pub const SHORTS: [Short; 7] = [
-    Short::Stopping,
-    Short::Memory,
-    Short::All,
-    Short::Front,
-    Short::Account,
-    Short::Connection,
-    Short::Worth,
+pub const SHORTS: [RejectionReason; 7] = [
+    RejectionReason::Stopping,
+    RejectionReason::Memory,
+    RejectionReason::All,
+    RejectionReason::Front,
+    RejectionReason::Account,
+    RejectionReason::Connection,
+    RejectionReason::Worth,
 ];
 
 /// Every way of writing an optional field of a report, each alone and all together.
@@ -119,7 +129,7 @@
     ]
 }
 
-fn list(mode: EndpointListKind) -> Happened {
+fn list(mode: EndpointListKind) -> RecordedEvent {
     let entry = |(n, standing): (usize, &EndpointState)| Endpoint {
         worker: n as u32,
         fingerprint: 1_000 + n as u64,
@@ -131,7 +141,10 @@
         started_at: (n > 0).then_some(-17),
     };
     let entries = STANDINGS.iter().enumerate().map(entry).collect();
-    Happened::List { mode, entries }
+    RecordedEvent::List {
+        kind: mode,
+        endpoints: entries,
+    }
 }
 
 fn arrival(repeat: bool, prefers: Option<WorkerIndex>) -> Event<'static> {
@@ -186,7 +199,7 @@
 }
 
 /// Every event with every value of its enumerations.
-pub fn events() -> Vec<Happened> {
+pub fn events() -> Vec<RecordedEvent> {
     let mut events = vec![
         arrival(false, None),
         arrival(true, Some(2)),
@@ -229,7 +242,7 @@
     );
     let lists = MODES.into_iter().map(list);
     lists
-        .chain(events.into_iter().map(Happened::Other))
+        .chain(events.into_iter().map(RecordedEvent::Other))
         .collect()
 }
 
@@ -277,27 +290,27 @@
 
 fn names() -> Vec<Record> {
     let name = |space, ix, text: &str| Record::Name {
-        space,
-        ix,
-        text: text.into(),
+        kind: space,
+        index: ix,
+        name: text.into(),
     };
-    let workers = (0..3).map(|w| name(Space::Worker, w, &format!("127.0.0.1:{w}")));
-    let function = name(Space::Function, 0, FUNCTION);
+    let workers = (0..3).map(|w| name(NameKind::Worker, w, &format!("127.0.0.1:{w}")));
+    let function = name(NameKind::Function, 0, FUNCTION);
     std::iter::once(function).chain(workers).collect()
 }
 
 fn decided() -> Vec<Record> {
-    let timer = Happened::Other(Event::Timer { token: 7 });
+    let timer = RecordedEvent::Other(Event::Timer { token: 7 });
     let of_event = |happened| Record::Decided {
-        happened,
+        event: happened,
         actions: Vec::new(),
     };
     let of_action = |action| Record::Decided {
-        happened: timer.clone(),
+        event: timer.clone(),
         actions: vec![action],
     };
     let all = Record::Decided {
-        happened: timer.clone(),
+        event: timer.clone(),
         actions: actions(),
     };
     let events = events().into_iter().map(of_event);
@@ -305,11 +318,11 @@
     events.chain(actions).chain([all]).collect()
 }
 
-fn answered(fate: Fate, reason: Reason, inv: Option<InvocationIndex>) -> Record {
+fn answered(fate: FinalOutcome, reason: AnswerReason, inv: Option<InvocationIndex>) -> Record {
     Record::Answered {
-        inv,
+        invocation: inv,
         front: 1,
-        fate,
+        outcome: fate,
         reason,
         trigger: 2,
         account: 3,
@@ -322,20 +335,20 @@
     let mut all = names();
     all.extend(decided());
     all.extend(
-        [None, Some(0x0123_4567_89ab_cdef)].map(|mark| Record::Taken {
-            inv: 11,
+        [None, Some(0x0123_4567_89ab_cdef)].map(|mark| Record::Accepted {
+            invocation: 11,
             front: 1,
-            mark,
+            correlation_hash: mark,
             redelivered: mark.is_some(),
         }),
     );
-    all.extend(FATES.map(|fate| answered(fate, Reason::Worker, Some(11))));
-    all.extend(REASONS.map(|reason| answered(Fate::Throttled, reason, None)));
-    all.extend(SHORTS.map(|why| Record::TurnedAway {
+    all.extend(FATES.map(|fate| answered(fate, AnswerReason::Worker, Some(11))));
+    all.extend(REASONS.map(|reason| answered(FinalOutcome::Throttled, reason, None)));
+    all.extend(SHORTS.map(|why| Record::Rejected {
         front: 1,
         trigger: 2,
         account: 3,
-        why,
+        reason: why,
     }));
     all.push(Record::Gap {
         records: 300,
@@ -438,51 +451,54 @@
 }
 
 /// The start record of a router; the digest of the module is a fixed one, as that of a source file would change.
-pub fn start(n: usize) -> Start {
-    Start {
+pub fn start(n: usize) -> StartRecord {
+    StartRecord {
         router: format!("router-{n}"),
-        module: [5; 32],
-        settings: [7; 32],
-        file: 2,
+        module_digest: [5; 32],
+        settings_digest: [7; 32],
+        file_number: 2,
         wall_at_zero: 1_700_000_000_000_000,
-        triggers_named: ["quote", "reserve", "resize", "sum", "turn"]
+        trigger_names: ["quote", "reserve", "resize", "sum", "turn"]
             .map(String::from)
             .into(),
-        accounts_named: vec!["amber".into(), "blue".into()],
-        fronts_named: vec!["amqp".into(), "kserve".into()],
+        account_names: vec!["amber".into(), "blue".into()],
+        front_names: vec!["amqp".into(), "kserve".into()],
         seed: 9,
         startup: startup(REPORTS[n % REPORTS.len()]),
     }
 }
 
-/// A source of each extent.
+/// A source of each provenance.
 pub fn sources() -> Vec<Source> {
-    let source = |(n, extent): (usize, &Extent)| Source {
+    let source = |(n, provenance): (usize, &Provenance)| Source {
         start: start(n),
-        ahead: 1_500 * n as Micros,
-        extent: *extent,
+        clock_ahead: 1_500 * n as Micros,
+        provenance: *provenance,
     };
     EXTENTS.iter().enumerate().map(source).collect()
 }
 
 /// A whole file: all records in a block of its first source, one record in a block of its last.
 pub fn file() -> Vec<u8> {
-    let mut sheet = Sheet::begin(Vec::new(), &sources()).expect("written");
-    let mut gather = Gather::default();
+    let mut sheet = TraceFileWriter::begin(Vec::new(), &sources()).expect("written");
+    let mut gather = BlockBuilder::default();
     for (at, record) in timed() {
         gather.record(at, &record);
     }
-    sheet.block(0, &gather.close()).expect("written");
-    gather.record(9_000, &answered(Fate::Errored, Reason::Overdue, Some(12)));
-    sheet.block(3, &gather.close()).expect("written");
-    sheet.end().expect("written")
+    sheet.write_block(0, &gather.close()).expect("written");
+    gather.record(
+        9_000,
+        &answered(FinalOutcome::Errored, AnswerReason::Overdue, Some(12)),
+    );
+    sheet.write_block(3, &gather.close()).expect("written");
+    sheet.finish().expect("written")
 }
 
 /// A line for each record of [`all`]: its bytes in hexadecimal digits.
 pub fn lines() -> String {
     let line = |record: &Record| {
-        let mut put = Put::default();
-        records::put(&mut put, record);
+        let mut put = Encoder::default();
+        record_codec::encode_record(&mut put, record);
         let hex: String = put.bytes.iter().map(|b| format!("{b:02x}")).collect();
         hex + "\n"
     };
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -5,35 +5,36 @@
 use std::io::Cursor;
 
 use cedarpulley::interface::*;
-use cedarpulley_trace::blocks::Gather;
-use cedarpulley_trace::keeping::{Bounds, Keeping, Step};
-use cedarpulley_trace::reader::{Ended, Found, Reader};
-use cedarpulley_trace::records::{self, Happened, Record};
+use cedarpulley_trace::blocks::BlockBuilder;
+use cedarpulley_trace::codec::{Decoder, Encoder};
+use cedarpulley_trace::reader::{BlockRead, FileEnd, Reader};
+use cedarpulley_trace::record_codec;
+use cedarpulley_trace::records::{NameKind, Record, RecordedEvent};
 use cedarpulley_trace::replay::replay;
-use cedarpulley_trace::start::Start;
-use cedarpulley_trace::wire::{Get, Put};
-use cedarpulley_trace::writer::{Note, Own, Row, run};
+use cedarpulley_trace::retention::{AfterWrite, Retention, RetentionLimits};
+use cedarpulley_trace::start::StartRecord;
+use cedarpulley_trace::writer::{FileSeries, NameLock, WriterMessage, run_writer};
 use proptest::prelude::*;
-use small::{MS, places, start, written};
+use small::{MS, block_locations, start, written};
 
 /// Whole blocks, damaged ones, and how it ended.
-fn read(bytes: &[u8]) -> Option<(usize, usize, Option<Ended>)> {
+fn read(bytes: &[u8]) -> Option<(usize, usize, Option<FileEnd>)> {
     let mut r = Reader::open(Cursor::new(bytes)).ok()?;
     let (mut whole, mut damaged) = (0, 0);
     while let Some(found) = r.next().expect("memory does not fail") {
         match found {
-            Found::Block { .. } => whole += 1,
-            Found::Damaged { .. } => damaged += 1,
+            BlockRead::Block { .. } => whole += 1,
+            BlockRead::Damaged { .. } => damaged += 1,
         }
     }
     Some((whole, damaged, r.ended))
 }
 
 #[test]
-fn cut_at_every_byte_it_is_read_to_its_last_whole_block() {
+fn a_file_truncated_at_any_byte_is_read_up_to_its_last_whole_block() {
     let bytes = written(4, |_, _| {});
-    assert_eq!(read(&bytes), Some((4, 0, Some(Ended::Well))));
-    let index = places(&bytes);
+    assert_eq!(read(&bytes), Some((4, 0, Some(FileEnd::Complete))));
+    let index = block_locations(&bytes);
     let ends: Vec<u64> = index.iter().skip(1).map(|p| p.offset).collect();
     for cut in 0..bytes.len() {
         match read(&bytes[..cut]) {
@@ -44,7 +45,10 @@
                     damaged == 0 && (wanted..=wanted + 1).contains(&whole),
                     "{cut}: {whole}"
                 );
-                assert!(matches!(ended, Some(Ended::Cut { .. })), "{cut}: {ended:?}");
+                assert!(
+                    matches!(ended, Some(FileEnd::Truncated { .. })),
+                    "{cut}: {ended:?}"
+                );
             }
         }
     }
@@ -53,7 +57,7 @@
 #[test]
 fn a_flipped_bit_costs_one_block_at_most() {
     let bytes = written(4, |_, _| {});
-    let first = places(&bytes)[0].offset as usize;
+    let first = block_locations(&bytes)[0].offset as usize;
     for at in 0..bytes.len() {
         let mut flipped = bytes.clone();
         flipped[at] ^= 1 << (at % 8);
@@ -70,7 +74,7 @@
 }
 
 #[test]
-fn what_is_unknown_is_refused_in_one_line() {
+fn unknown_formats_and_other_files_are_rejected_in_one_line() {
     let mut bytes = written(1, |_, _| {});
     let why = |bytes: &[u8]| {
         Reader::open(Cursor::new(bytes))
@@ -87,11 +91,11 @@
 /// Symptom: the index of a gone worker goes to another within a block, and what the new one did bears the old
 /// one's name.
 #[test]
-fn an_index_that_goes_to_another_is_named_anew() {
-    let mut g = Gather::default();
+fn a_reassigned_index_is_named_again_within_its_block() {
+    let mut g = BlockBuilder::default();
     ["a", "a", "b", "b", "a"]
         .iter()
-        .for_each(|name| g.name(0, records::Space::Worker, 3, name));
+        .for_each(|name| g.name(0, NameKind::Worker, 3, name));
     assert_eq!(g.records(), 3);
 }
 
@@ -99,7 +103,7 @@
 #[test]
 fn a_kept_file_of_format_1_opens() {
     let bytes = include_bytes!("kept/format-1.trace");
-    assert_eq!(read(bytes), Some((4, 0, Some(Ended::Well))));
+    assert_eq!(read(bytes), Some((4, 0, Some(FileEnd::Complete))));
     let mut r = Reader::open(Cursor::new(bytes)).expect("a trace");
     assert_eq!(
         (
@@ -120,17 +124,17 @@
 #[test]
 fn a_kept_file_of_format_2_opens() {
     let bytes = include_bytes!("kept/format-2.trace");
-    assert_eq!(read(bytes), Some((6, 0, Some(Ended::Well))));
+    assert_eq!(read(bytes), Some((6, 0, Some(FileEnd::Complete))));
     let r = Reader::open(Cursor::new(bytes)).expect("a trace");
     let names: Vec<&str> = r.sources.iter().map(|s| s.start.router.as_str()).collect();
     assert_eq!(
-        (r.format, names, r.sources[1].ahead),
+        (r.format, names, r.sources[1].clock_ahead),
         (2, vec!["router-0", "router-0"], 5 * MS)
     );
 }
 
 #[test]
-fn a_replay_finds_nothing_where_nothing_was_changed_and_the_first_change_else() {
+fn a_replay_reports_no_difference_or_the_first_changed_decision() {
     let rerun = |bytes: &[u8]| {
         replay(&mut [Reader::open(Cursor::new(bytes)).expect("a trace")]).expect("a row")
     };
@@ -150,25 +154,28 @@
 }
 
 #[test]
-fn files_end_by_size_and_age_and_old_ones_make_room() {
-    let bounds = Bounds {
+fn files_end_by_size_and_age_and_old_files_are_deleted() {
+    let bounds = RetentionLimits {
         file_bytes: 100,
         file_age: 1000,
-        budget: 350,
+        budget_bytes: 350,
     };
-    let mut k = Keeping::new(bounds);
+    let mut k = Retention::new(bounds);
     k.began(0);
-    assert_eq!((k.wrote(1, 60), k.wrote(2, 60)), (Step::GoOn, Step::Next));
+    assert_eq!(
+        (k.wrote(1, 60), k.wrote(2, 60)),
+        (AfterWrite::KeepFile, AfterWrite::EndFile)
+    );
     k.began(2);
     assert_eq!(
         (k.wrote(3, 10), k.wrote(1002, 10)),
-        (Step::GoOn, Step::Next)
+        (AfterWrite::KeepFile, AfterWrite::EndFile)
     );
     assert_eq!(
         (
-            k.looked(&[100, 100, 50]),
-            k.looked(&[100, 100, 51]),
-            k.looked(&[900])
+            k.files_to_delete(&[100, 100, 50]),
+            k.files_to_delete(&[100, 100, 51]),
+            k.files_to_delete(&[900])
         ),
         (0, 1, 1)
     );
@@ -181,26 +188,26 @@
 
 /// Symptom: a disk takes a name and no bytes. The name is spent; the row goes on under the next, and its loss is told.
 #[test]
-fn a_row_goes_on_after_a_file_that_could_not_be_begun() {
+fn writing_goes_on_after_a_file_that_could_not_be_begun() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("spent");
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
-    let row = Row {
+    let row = FileSeries {
         folder,
         name: "r".into(),
-        run: 7,
+        started_at_ms: 7,
     };
     std::fs::write(row.file(0), "spent").expect("written");
     let block = |at: Micros| {
-        let mut g = Gather::default();
+        let mut g = BlockBuilder::default();
         g.record(
             at,
             &Record::Decided {
-                happened: Happened::Other(Event::Timer { token: 1 }),
+                event: RecordedEvent::Other(Event::Timer { token: 1 }),
                 actions: vec![],
             },
         );
-        Note::Block(at, g.close())
+        WriterMessage::Block(at, g.close())
     };
     let (notes, received) = std::sync::mpsc::channel();
     for note in [
@@ -208,27 +215,27 @@
         block(10 * MS),
         block(2_000 * MS),
         block(2_001 * MS),
-        Note::End,
+        WriterMessage::End,
     ] {
         notes.send(note).expect("sent");
     }
     let complaints = std::cell::Cell::new(0);
-    let bounds = Bounds {
+    let bounds = RetentionLimits {
         file_bytes: 1 << 20,
         file_age: Micros::MAX,
-        budget: 8 << 20,
+        budget_bytes: 8 << 20,
     };
-    run(row.clone(), start(), bounds, received, |_| {
+    run_writer(row.clone(), start(), bounds, received, |_| {
         complaints.set(complaints.get() + 1)
     });
     assert_eq!(complaints.get(), 1);
     let mut r = Reader::open(std::fs::File::open(row.file(1)).expect("there")).expect("a trace");
     assert_eq!(
-        r.sources[0].start.file, 0,
+        r.sources[0].start.file_number, 0,
         "the first of its row all the same"
     );
     let mut told = Vec::new();
-    while let Some(Found::Block { records, .. }) = r.next().expect("read") {
+    while let Some(BlockRead::Block { records, .. }) = r.next().expect("read") {
         told.extend(records.into_iter().map(|(_, record)| record));
     }
     assert!(
@@ -242,26 +249,29 @@
         ),
         "{told:?}"
     );
-    assert_eq!((told.len(), r.ended), (3, Some(Ended::Well)));
+    assert_eq!((told.len(), r.ended), (3, Some(FileEnd::Complete)));
 }
 
 #[test]
-fn two_of_one_name_keep_apart() {
+fn two_writers_of_one_name_use_separate_files() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("one-name");
     std::fs::create_dir_all(&folder).expect("a folder");
-    let one = Own::take(&folder, "r").expect("the name");
-    let other = Own::take(&folder, "r").expect("another");
+    let one = NameLock::acquire(&folder, "r").expect("the name");
+    let other = NameLock::acquire(&folder, "r").expect("another");
     assert_eq!((one.name.as_str(), other.name.as_str()), ("r", "r_2"));
     std::fs::write(folder.join("r_2-0000000000001-00000.trace"), b"theirs").expect("written");
-    let row = |own: &Own| Row {
+    let row = |own: &NameLock| FileSeries {
         folder: folder.clone(),
         name: own.name.clone(),
-        run: 5,
+        started_at_ms: 5,
     };
     assert!(row(&one).earlier(0).expect("read").is_empty());
     assert_eq!(row(&other).earlier(0).expect("read").len(), 1);
     drop(one);
-    assert_eq!(Own::take(&folder, "r").expect("free again").name, "r");
+    assert_eq!(
+        NameLock::acquire(&folder, "r").expect("free again").name,
+        "r"
+    );
 }
 
 fn report() -> impl Strategy<Value = LoadReport> {
@@ -389,19 +399,19 @@
 
     #[test]
     fn any_decision_round_trips(event in event(), actions in prop::collection::vec(action(), 0..6)) {
-        let mut p = Put::default();
-        records::put_decided(&mut p, &event, &actions);
-        let mut g = Get::new(&p.bytes);
-        let back = records::get(&mut g, &|_| 0).expect("readable");
+        let mut p = Encoder::default();
+        record_codec::encode_decided(&mut p, &event, &actions);
+        let mut g = Decoder::new(&p.bytes);
+        let back = record_codec::decode_record(&mut g, &|_| 0).expect("readable");
         prop_assert!(g.is_empty());
-        let Record::Decided { happened, actions: read } = back else { panic!("another record") };
+        let Record::Decided { event: happened, actions: read } = back else { panic!("another record") };
         prop_assert_eq!(format!("{:?}", happened.event()), format!("{event:?}"));
         prop_assert_eq!(read, actions);
     }
 
     #[test]
-    fn any_bytes_are_borne(bytes in prop::collection::vec(any::<u8>(), 0..200), at in any::<prop::sample::Index>()) {
-        let _ = Start::get(&bytes);
+    fn arbitrary_bytes_never_panic_the_reader(bytes in prop::collection::vec(any::<u8>(), 0..200), at in any::<prop::sample::Index>()) {
+        let _ = StartRecord::decode(&bytes);
         let _ = cedarpulley_trace::blocks::unpack(&bytes, 0, 3);
         let mut whole = written(2, |_, _| {});
         let at = at.index(whole.len());
--- a/crates/trace/tests/huge.rs
+++ b/crates/trace/tests/huge.rs
@@ -9,14 +9,16 @@
 
 use cap::Cap;
 use cedarpulley::interface::Event;
-use cedarpulley_trace::blocks::{END, Gather, Head, INDEX, Raw};
+use cedarpulley_trace::blocks::{
+    BlockBuilder, BlockHeader, FOOTER_MAGIC, INDEX_MAGIC, UnpackedBlock,
+};
+use cedarpulley_trace::codec::Encoder;
 use cedarpulley_trace::merge::merge;
 use cedarpulley_trace::reader::Reader;
-use cedarpulley_trace::records::{Happened, Record};
+use cedarpulley_trace::records::{Record, RecordedEvent};
 use cedarpulley_trace::rewrite::cut;
-use cedarpulley_trace::select::Wanted;
-use cedarpulley_trace::wire::Put;
-use cedarpulley_trace::writer::Sheet;
+use cedarpulley_trace::selection::SelectionCriteria;
+use cedarpulley_trace::writer::TraceFileWriter;
 
 /// Its limit holds for the whole process, so for one test at a time.
 #[global_allocator]
@@ -33,7 +35,7 @@
 #[derive(Clone)]
 struct Sparse {
     head: Vec<u8>,
-    raw: Raw,
+    raw: UnpackedBlock,
     packed: Vec<u8>,
     blocks: u64,
     tail: Vec<u8>,
@@ -42,25 +44,25 @@
 
 impl Sparse {
     fn new(records: u64, bytes: u64) -> Sparse {
-        let mut g = Gather::default();
+        let mut g = BlockBuilder::default();
         for token in 0..records {
-            let happened = Happened::Other(Event::Timer {
+            let happened = RecordedEvent::Other(Event::Timer {
                 token: token.wrapping_mul(0x9E37_79B9_7F4A_7C15),
             });
             g.record(
                 0,
                 &Record::Decided {
-                    happened,
+                    event: happened,
                     actions: Vec::new(),
                 },
             );
         }
         let raw = g.close();
-        let head = Sheet::begin(Vec::new(), &[small::start().into()]).expect("a head");
+        let head = TraceFileWriter::begin(Vec::new(), &[small::start().into()]).expect("a head");
         let mut written = head;
-        let size = written.block(0, &raw).expect("a block");
+        let size = written.write_block(0, &raw).expect("a block");
         let whole = written.bytes();
-        let out = written.end().expect("ended");
+        let out = written.finish().expect("ended");
         let first = (whole - size) as usize;
         let packed = out[first + 40..whole as usize].to_vec();
         let mut it = Sparse {
@@ -84,23 +86,23 @@
     }
 
     fn index(&self) -> Vec<u8> {
-        let mut p = Put::default();
-        p.u(self.blocks);
+        let mut p = Encoder::default();
+        p.unsigned(self.blocks);
         for n in 0..self.blocks {
-            p.u(self.head.len() as u64 + n * self.size());
+            p.unsigned(self.head.len() as u64 + n * self.size());
             let first = n as i64 * APART;
-            p.i(first);
-            p.i(first);
-            p.u(self.raw.records.into());
-            p.u(0);
+            p.signed(first);
+            p.signed(first);
+            p.unsigned(self.raw.records.into());
+            p.unsigned(0);
         }
-        let mut out = INDEX.to_vec();
+        let mut out = INDEX_MAGIC.to_vec();
         out.extend((p.bytes.len() as u32).to_le_bytes());
         out.extend(&p.bytes);
         out.extend(crc32c::crc32c(&out).to_le_bytes());
         let mut footer = self.end_of_blocks().to_le_bytes().to_vec();
         footer.extend(crc32c::crc32c(&footer).to_le_bytes());
-        footer.extend(END);
+        footer.extend(FOOTER_MAGIC);
         out.extend(footer);
         out
     }
@@ -130,7 +132,11 @@
             if within < 40 {
                 self.raw.first = n as i64 * APART;
                 self.raw.last = self.raw.first;
-                from(&Head::new(&self.raw, 0, &self.packed).put(), within, into)
+                from(
+                    &BlockHeader::new(&self.raw, 0, &self.packed).encode(),
+                    within,
+                    into,
+                )
             } else {
                 from(&self.packed, within - 40, into)
             }
@@ -177,17 +183,17 @@
 }
 
 #[test]
-fn a_minute_is_cut_out_of_ten_gigabytes_in_little_memory() {
+fn a_minute_is_cut_out_of_ten_gigabytes_in_bounded_memory() {
     let _alone = ONE_AT_A_TIME.lock();
     // Small blocks: more than a million of them, so that the index weighs.
     let sparse = Sparse::new(600, TEN_GB);
     assert!(sparse.len() > 9_900_000_000 && sparse.blocks > 1_000_000);
     let start = small::start().wall_at_zero;
     let from = start + 40 * MINUTE;
-    let wanted = Wanted {
+    let wanted = SelectionCriteria {
         from: Some(from),
         until: Some(from + MINUTE),
-        ..Wanted::default()
+        ..SelectionCriteria::default()
     };
     let (done, size) = within_memory(|| {
         let mut reader = Reader::open(sparse).expect("a trace");
@@ -199,7 +205,7 @@
 }
 
 #[test]
-fn ten_gigabytes_are_merged_in_little_memory() {
+fn ten_gigabytes_are_merged_in_bounded_memory() {
     let _alone = ONE_AT_A_TIME.lock();
     let (one, other) = (Sparse::new(600, TEN_GB / 2), Sparse::new(600, TEN_GB / 2));
     let blocks = one.blocks + other.blocks;
--- a/crates/trace/tests/kept_bytes.rs
+++ b/crates/trace/tests/kept_bytes.rs
@@ -9,13 +9,15 @@
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::*;
-use cedarpulley_router::{Fate, Reason};
-use cedarpulley_trace::blocks::{FORMAT, Gather};
-use cedarpulley_trace::reader::{Ended, Found, Reader};
-use cedarpulley_trace::records::{self, Happened, Record};
-use cedarpulley_trace::start::{Source, get_sources, put_sources};
-use cedarpulley_trace::wire::{Get, Put};
-use cedarpulley_trace::writer::Sheet;
+use cedarpulley_router::{AnswerReason, FinalOutcome};
+use cedarpulley_trace::blocks::{BlockBuilder, FORMAT};
+use cedarpulley_trace::codec::{Decoder, Encoder};
+use cedarpulley_trace::reader::{BlockRead, FileEnd, Reader};
+use cedarpulley_trace::record_codec;
+use cedarpulley_trace::records::{Record, RecordedEvent};
+use cedarpulley_trace::start::Source;
+use cedarpulley_trace::start_codec::{decode_sources, encode_sources};
+use cedarpulley_trace::writer::TraceFileWriter;
 
 const FILE: &[u8] = include_bytes!("fixtures/format-3.trace");
 const RECORDS: &str = include_str!("fixtures/records.hex");
@@ -34,7 +36,11 @@
     let mut reader = Reader::open(Cursor::new(file)).expect("a trace");
     let mut all = Vec::new();
     while let Some(found) = reader.next().expect("read") {
-        let Found::Block { place, records } = found else {
+        let BlockRead::Block {
+            location: place,
+            records,
+        } = found
+        else {
             panic!("a damaged block");
         };
         all.extend(records.into_iter().map(|(at, r)| (place.source, at, r)));
@@ -44,13 +50,15 @@
 
 /// Writes what was read.
 fn written_again(sources: &[Source], records: &[Sourced]) -> Vec<u8> {
-    let mut sheet = Sheet::begin(Vec::new(), sources).expect("written");
+    let mut sheet = TraceFileWriter::begin(Vec::new(), sources).expect("written");
     for block in records.chunk_by(|a, b| a.0 == b.0) {
-        let mut gather = Gather::default();
+        let mut gather = BlockBuilder::default();
         block.iter().for_each(|(_, at, r)| gather.record(*at, r));
-        sheet.block(block[0].0, &gather.close()).expect("written");
+        sheet
+            .write_block(block[0].0, &gather.close())
+            .expect("written");
     }
-    sheet.end().expect("written")
+    sheet.finish().expect("written")
 }
 
 #[test]
@@ -59,11 +67,11 @@
     assert_eq!(RECORDS.lines().count(), all.len());
     let function = fingerprint("quote:7");
     for (line, record) in RECORDS.lines().zip(&all) {
-        let (kept, mut put) = (bytes(line), Put::default());
-        records::put(&mut put, record);
+        let (kept, mut put) = (bytes(line), Encoder::default());
+        record_codec::encode_record(&mut put, record);
         assert_eq!(put.bytes, kept, "{record:?}");
-        let mut get = Get::new(&kept);
-        let decoded = records::get(&mut get, &|_| function).expect("readable");
+        let mut get = Decoder::new(&kept);
+        let decoded = record_codec::decode_record(&mut get, &|_| function).expect("readable");
         assert!(get.is_empty(), "{record:?}");
         assert_eq!(format!("{decoded:?}"), format!("{record:?}"));
     }
@@ -74,9 +82,13 @@
     let lines = RECORDS.lines().zip(every_record::all());
     let mut decisions = 0;
     for (line, record) in lines {
-        if let Record::Decided { happened, actions } = record {
-            let mut put = Put::default();
-            records::put_decided(&mut put, &happened.event(), &actions);
+        if let Record::Decided {
+            event: happened,
+            actions,
+        } = record
+        {
+            let mut put = Encoder::default();
+            record_codec::encode_decided(&mut put, &happened.event(), &actions);
             assert_eq!(put.bytes, bytes(line), "{happened:?}, {actions:?}");
             decisions += 1;
         }
@@ -94,7 +106,7 @@
     let (reader, records) = read(FILE);
     assert_eq!(
         (reader.format, reader.ended.clone()),
-        (3, Some(Ended::Well))
+        (3, Some(FileEnd::Complete))
     );
     assert!(
         written_again(&reader.sources, &records) == FILE,
@@ -113,8 +125,8 @@
         3,
         9_000,
         Record::Answered {
-            inv,
-            fate,
+            invocation: inv,
+            outcome: fate,
             reason,
             took,
             ..
@@ -125,11 +137,16 @@
     };
     assert_eq!(
         (*inv, *fate, *reason, *took),
-        (Some(12), Fate::Errored, Reason::Overdue, 2_400)
+        (
+            Some(12),
+            FinalOutcome::Errored,
+            AnswerReason::Overdue,
+            2_400
+        )
     );
     let arrival = records.iter().find_map(|(_, _, r)| match r {
         Record::Decided {
-            happened: Happened::Other(Event::Invocation(a)),
+            event: RecordedEvent::Other(Event::Invocation(a)),
             ..
         } => Some(*a),
         _ => None,
@@ -156,16 +173,16 @@
     let size = u32::from_le_bytes(FILE[12..16].try_into().expect("four bytes")) as usize;
     let kept = &FILE[16..16 + size];
     let values = every_record::sources();
-    assert_eq!(put_sources(&values), kept);
+    assert_eq!(encode_sources(&values), kept);
     assert_eq!(
-        put_sources(&get_sources(FORMAT, kept).expect("sources")),
+        encode_sources(&decode_sources(FORMAT, kept).expect("sources")),
         kept
     );
     assert_eq!(format!("{:#?}", reader.sources), format!("{values:#?}"));
     let (source, fleet) = (&reader.sources[2], reader.sources[2].start.startup.fleet);
     assert_eq!(
         (
-            source.ahead,
+            source.clock_ahead,
             source.start.router.as_str(),
             source.start.seed
         ),
--- a/crates/trace/tests/printed_names.rs
+++ b/crates/trace/tests/printed_names.rs
@@ -6,11 +6,11 @@
 use std::fmt::Debug;
 use std::path::Path;
 
-use cedarpulley_trace::compare::{Compared, Count, Did, Kind};
-use cedarpulley_trace::explain::{Cause, Ranked};
-use cedarpulley_trace::replay::told;
-use cedarpulley_trace::rules::Judged;
-use cedarpulley_trace::summary::{AtWorker, Fates, Summary, Times};
+use cedarpulley_trace::compare::{ComparisonResult, Decision, DifferenceCount, DifferenceKind};
+use cedarpulley_trace::explain::{Cause, RankedCause};
+use cedarpulley_trace::replay::describe_event;
+use cedarpulley_trace::rule_check::RuleCheck;
+use cedarpulley_trace::summary::{LatencyQuantiles, OutcomeCounts, Summary, WorkerCounts};
 use serde::Serialize;
 
 /// In text as [`Debug`] has it, and as JSON.
@@ -25,48 +25,50 @@
 
 fn causes() -> Vec<Cause> {
     let causes = [
-        Cause::BeyondShare,
-        Cause::Door,
-        Cause::CameLate,
-        Cause::WorkerSilent,
+        Cause::ShareExceeded,
+        Cause::AdmissionLimit,
+        Cause::ExpiredOnArrival,
+        Cause::WorkerUnresponsive,
         Cause::WorkerErrored,
         Cause::WorkerSlow,
-        Cause::WorkersFull,
-        Cause::NoPlace,
-        Cause::Load,
-        Cause::Loads,
-        Cause::Held,
+        Cause::WorkersOverloaded,
+        Cause::NoLoadCapacity,
+        Cause::FunctionLoad,
+        Cause::ManyFunctionLoads,
+        Cause::Queued,
         Cause::Redelivered,
-        Cause::OwnWork,
+        Cause::OwnExecution,
         Cause::Other,
     ];
     causes.map(|cause| cause("subject".into())).into()
 }
 
-fn kinds() -> Vec<Kind> {
+fn kinds() -> Vec<DifferenceKind> {
     let did = [
-        Did::Held,
-        Did::Sent,
-        Did::Throttled,
-        Did::Errored,
-        Did::CalledBack,
+        Decision::Queued,
+        Decision::Dispatched,
+        Decision::Throttled,
+        Decision::Errored,
+        Decision::Cancelled,
     ];
-    let mut kinds: Vec<Kind> = did.map(|d| Kind::Instead(d, Did::Held)).into();
+    let mut kinds: Vec<DifferenceKind> = did
+        .map(|d| DifferenceKind::OtherDecision(d, Decision::Queued))
+        .into();
     kinds.extend([
-        Kind::SentElsewhere,
-        Kind::OtherFigures,
-        Kind::OrderedMore,
-        Kind::OrderedFewer,
-        Kind::OrderedElsewhere,
-        Kind::Upkeep,
-        Kind::Timers,
+        DifferenceKind::OtherWorker,
+        DifferenceKind::OtherParameters,
+        DifferenceKind::MoreLoadOrders,
+        DifferenceKind::FewerLoadOrders,
+        DifferenceKind::OtherLoadWorkers,
+        DifferenceKind::Maintenance,
+        DifferenceKind::Timers,
     ]);
     kinds
 }
 
-fn ranked() -> Ranked {
-    Ranked {
-        cause: Cause::Held("subject".into()),
+fn ranked() -> RankedCause {
+    RankedCause {
+        cause: Cause::Queued("subject".into()),
         cost: 1.5,
         lost: 2,
         late: 3,
@@ -76,27 +78,27 @@
 }
 
 fn summary() -> Summary {
-    let (name, fates) = (|| "name".to_owned(), Fates::default);
+    let (name, fates) = (|| "name".to_owned(), OutcomeCounts::default);
     Summary {
         by_trigger: [(name(), fates())].into(),
         by_account: [(name(), fates())].into(),
         by_reason: [(name(), 1)].into(),
-        by_worker: [(name(), AtWorker::default())].into(),
-        succeeded_in: Times::default(),
+        by_worker: [(name(), WorkerCounts::default())].into(),
+        succeeded_in: LatencyQuantiles::default(),
         ..Default::default()
     }
 }
 
-fn compared() -> Compared {
-    Compared {
-        by_kind: vec![(Kind::Timers, Count::default())],
+fn compared() -> ComparisonResult {
+    ComparisonResult {
+        by_kind: vec![(DifferenceKind::Timers, DifferenceCount::default())],
         ..Default::default()
     }
 }
 
 fn all() -> String {
     let events = every_record::events();
-    let events = events.iter().map(|e| told(e) + "\n");
+    let events = events.iter().map(|e| describe_event(e) + "\n");
     let actions = every_record::actions();
     let actions = actions.iter().map(|a| format!("{a:?}\n"));
     let fates = every_record::FATES.map(|f| format!("{f:?}\n"));
@@ -109,7 +111,7 @@
         json(ranked()),
         json(summary()),
         json(compared()),
-        json(Judged::default()),
+        json(RuleCheck::default()),
     ];
     let lines = events.chain(actions).chain(words).chain(named).chain(kinds);
     lines.chain(objects).collect()
