--- a/crates/amqp/src/trigger.rs
+++ b/crates/amqp/src/trigger.rs
@@ -183,7 +183,7 @@
 pub fn parse(message: &Message, wall_us: i64) -> Result<TriggerMessage, InvalidField> {
     let properties = &message.properties;
     let headers = Headers(properties.headers().as_ref());
-    let kind =
+    let trigger_type =
         non_empty(properties.kind()).ok_or_else(|| invalid("type", "no trigger type is named"))?;
     let function = headers.function()?;
     let client_timeout_us = client_timeout(properties)?;
@@ -192,8 +192,8 @@
     });
     let copy_mb = headers.number(COPY_MB, MAX_COPY_MB)?.unwrap_or(0) as f64;
     Ok(TriggerMessage {
-        identity: identity(properties, &kind, &function),
-        trigger_type: kind,
+        identity: identity(properties, &trigger_type, &function),
+        trigger_type,
         function,
         account: non_empty(properties.app_id()),
         idempotency_key: non_empty(properties.message_id()),
--- a/crates/amqp/tests/hostile.rs
+++ b/crates/amqp/tests/hostile.rs
@@ -85,10 +85,10 @@
     (c, Vec::new())
 }
 
-fn delivery(tag: u64, body: &[u8]) -> Vec<u8> {
+fn delivery(delivery_tag: u64, body: &[u8]) -> Vec<u8> {
     let deliver = basic::AMQPMethod::Deliver(basic::Deliver {
         consumer_tag: ShortString::from("c"),
-        delivery_tag: tag,
+        delivery_tag,
         redelivered: false,
         exchange: ShortString::from(""),
         routing_key: ShortString::from("q"),
--- a/crates/certificates/src/reload.rs
+++ b/crates/certificates/src/reload.rs
@@ -46,10 +46,10 @@
 
 impl CertificateReloader {
     /// Begins with a pair that is served, and the time at which it expires, in microseconds since 1970.
-    pub fn new(certificate: CertificateFile, key: CertificateFile, ends: Micros) -> Self {
+    pub fn new(certificate: CertificateFile, key: CertificateFile, expires_at: Micros) -> Self {
         CertificateReloader {
             served: FilePair { certificate, key },
-            expires_at: ends,
+            expires_at,
             invalid: None,
             failed_reads: 0,
         }
--- a/crates/certificates/src/validation.rs
+++ b/crates/certificates/src/validation.rs
@@ -48,12 +48,12 @@
         });
     }
     let key = PrivateKeyDer::from_pem_slice(&key.bytes).map_err(|_| CertificateError::NoKey)?;
-    let ends = earliest_expiry(&chain, wall)?;
+    let expires_at = earliest_expiry(&chain, wall)?;
     check_key(&chain, &key)?;
     Ok(ServedCertificate {
         chain,
         key,
-        expires_at: ends,
+        expires_at,
     })
 }
 
--- a/crates/fuzz/src/trace.rs
+++ b/crates/fuzz/src/trace.rs
@@ -26,12 +26,8 @@
     while let Ok(Some(block)) = reader.next() {
         blocks += 1;
         assert!(blocks <= size, "more blocks than bytes");
-        if let BlockRead::Block {
-            records,
-            location: place,
-        } = block
-        {
-            assert_eq!(records.len(), place.records as usize);
+        if let BlockRead::Block { records, location } = block {
+            assert_eq!(records.len(), location.records as usize);
         }
     }
     let _ = StartRecord::decode(bytes);
--- a/crates/kserve/src/client_requests.rs
+++ b/crates/kserve/src/client_requests.rs
@@ -176,13 +176,13 @@
 ) -> Result<InferHeaders, InvalidField> {
     let text = |name| short_text(headers, name);
     let number = |name, max| whole_number(headers, name, max);
-    let kind = text(TRIGGER_TYPE)?.ok_or_else(|| InvalidField {
+    let trigger_type = text(TRIGGER_TYPE)?.ok_or_else(|| InvalidField {
         field: TRIGGER_TYPE,
         cause: "no trigger type is named".into(),
     })?;
     let sent_at = number(SENT_AT_US, i64::MAX)?;
     Ok(InferHeaders {
-        trigger_type: kind,
+        trigger_type,
         account: text(ACCOUNT)?,
         idempotency_key: text(IDEMPOTENCY_KEY)?,
         waited: sent_at.map_or(0, |sent_at| {
--- a/crates/kserve/src/repository_index.rs
+++ b/crates/kserve/src/repository_index.rs
@@ -115,20 +115,20 @@
     }
     let mut entries =
         serde_json::from_slice::<Vec<WireEntry>>(body).map_err(|_| InvalidIndex::Malformed)?;
-    let cut = entries.len() > MAX_ENTRIES;
+    let truncated = entries.len() > MAX_ENTRIES;
     entries.truncate(MAX_ENTRIES);
     let models = entries
         .into_iter()
         .enumerate()
         .map(|(position, entry)| model(entry).ok_or(InvalidIndex::InvalidName(position)));
-    let life = text(headers, INCARNATION)
+    let incarnation = text(headers, INCARNATION)
         .map(|text| text.trim().parse().unwrap_or_else(|_| fingerprint(text)));
     let memory_mb = number(headers, MEMORY_MB).map_or(0.0, f64::from);
     Ok(RepositoryIndex {
-        incarnation: life,
+        incarnation,
         memory_mb,
         models: models.collect::<Result<_, _>>()?,
-        truncated: cut,
+        truncated,
     })
 }
 
--- a/crates/kserve/tests/codec.rs
+++ b/crates/kserve/tests/codec.rs
@@ -209,10 +209,10 @@
         .contains("raw")
     );
     assert!(one("FP16", c()).contains("FP16"));
-    let rest = |text: &'static str, json| {
+    let rest = |text: &'static str, json_length| {
         decode_response(&InferenceBody {
             bytes: Bytes::from_static(text.as_bytes()),
-            json_length: json,
+            json_length,
         })
     };
     let raw = r#"{"outputs":[{"name":"y","datatype":"INT8","shape":[2],"parameters":{"binary_data_size":2}}]}"#;
--- a/crates/platform/src/discovery/follower.rs
+++ b/crates/platform/src/discovery/follower.rs
@@ -193,7 +193,7 @@
                 address: entry.address.clone(),
             });
         }
-        let started = Some(entry.started_ms)
+        let started_at = Some(entry.started_ms)
             .filter(|&millis| millis > 0)
             .map(|millis| millis.saturating_mul(1_000))
             .map(|micros| micros.saturating_sub(self.wall_at_zero));
@@ -207,7 +207,7 @@
             cell: entry.cell,
             state,
             weight: entry.weight,
-            started_at: started,
+            started_at,
         };
         Ok(ResolvedWorker { listed, address })
     }
--- a/crates/replica/src/ownership/claim_table/tests.rs
+++ b/crates/replica/src/ownership/claim_table/tests.rs
@@ -32,7 +32,7 @@
     let (mut with_due_time, mut without) = (0, 0);
     for n in 0..20_000u64 {
         let draw = hashed(n);
-        let (key, sending) = (Key::from(format!("k{}", draw % 40)), draw >> 8 & 3);
+        let (key, dispatch) = (Key::from(format!("k{}", draw % 40)), draw >> 8 & 3);
         let redelivered = draw >> 16 & 1 == 1;
         let input = match draw >> 32 & 15 {
             0..4 => Input::Take {
@@ -42,13 +42,13 @@
             },
             4..8 => Input::RequestDispatch {
                 key,
-                dispatch: sending,
+                dispatch,
                 deduplication_scope: 0,
                 without_majority: redelivered,
             },
             8 => Input::DispatchEnded {
                 key,
-                dispatch: sending,
+                dispatch,
                 may_have_run: redelivered,
             },
             9 => Input::Dropped { key },
--- a/crates/replica/src/ownership/intents.rs
+++ b/crates/replica/src/ownership/intents.rs
@@ -17,13 +17,13 @@
     cx: &mut Context<'_>,
     key: &Key,
     dispatch: u64,
-    left: Result<bool, NoMajorityReason>,
+    permission: Result<bool, NoMajorityReason>,
 ) {
     let key = key.clone();
     cx.emit(Output::DispatchPermission {
         key,
         dispatch,
-        permission: left,
+        permission,
     });
 }
 
@@ -31,13 +31,13 @@
 fn intent_change(
     cx: &Context<'_>,
     dispatch: u64,
-    place: u32,
+    deduplication_scope: u32,
 ) -> impl FnOnce(&mut StoredRecord) + use<> {
     let (now, dispatch_id) = (cx.now, (cx.member.nonce(), dispatch));
     let intent = DispatchIntent {
         member: cx.member.me(),
         state: IntentState::Intended,
-        deduplication_scope: place,
+        deduplication_scope,
     };
     move |stored| {
         stored.first_dispatch.get_or_insert(now);
--- a/crates/replica/src/ownership/mod.rs
+++ b/crates/replica/src/ownership/mod.rs
@@ -90,14 +90,8 @@
         }
         if need == Durability::Local {
             self.open_claim(cx, key, Stage::Owner);
-            let first_ago = time_since_first_dispatch(cx, key);
-            return emit_decision(
-                cx,
-                key,
-                OwnershipDecision::Dispatch {
-                    first_dispatch_ago: first_ago,
-                },
-            );
+            let first_dispatch_ago = time_since_first_dispatch(cx, key);
+            return emit_decision(cx, key, OwnershipDecision::Dispatch { first_dispatch_ago });
         }
         if known.as_ref().is_some_and(|e| e.closed) {
             let decision = OwnershipDecision::Indeterminate(IndeterminateReason::Closed);
@@ -366,12 +360,9 @@
     }
 }
 
-fn emit_decision(cx: &mut Context<'_>, key: &Key, verdict: OwnershipDecision) {
+fn emit_decision(cx: &mut Context<'_>, key: &Key, decision: OwnershipDecision) {
     let key = key.clone();
-    cx.emit(Output::Decision {
-        key,
-        decision: verdict,
-    });
+    cx.emit(Output::Decision { key, decision });
 }
 
 /// The time since the first dispatch, if any dispatch may have run.
--- a/crates/replica/src/settings.rs
+++ b/crates/replica/src/settings.rs
@@ -61,10 +61,10 @@
 
 impl ReplicaSettings {
     /// Settings with the default intervals and limits, without persistence.
-    pub fn with_defaults(kept: Micros, copied_within: Micros, seed: u64) -> Self {
+    pub fn with_defaults(retention: Micros, replication_timeout: Micros, seed: u64) -> Self {
         ReplicaSettings {
-            retention: kept,
-            replication_timeout: copied_within,
+            retention,
+            replication_timeout,
             resend_interval: RESEND_INTERVAL,
             broadcast_delay: BROADCAST_DELAY,
             comparison_interval: COMPARISON_INTERVAL,
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -14,9 +14,9 @@
 pub const MS: i64 = 1_000;
 pub const KEPT: i64 = 6_000 * MS;
 
-pub fn terms(without: Option<SafetyCheck>, patience: i64) -> ReplicaSettings {
+pub fn terms(disabled_check: Option<SafetyCheck>, patience: i64) -> ReplicaSettings {
     ReplicaSettings {
-        disabled_check: without,
+        disabled_check,
         ..ReplicaSettings::with_defaults(KEPT, patience, 1)
     }
 }
@@ -205,16 +205,15 @@
                     self.net
                         .push((r as MemberIndex, to, self.nonces[r], self.now, message));
                 }
-                Output::Decision {
-                    key,
-                    decision: verdict,
-                } => self.verdicts[r].entry(key).or_default().push(verdict),
+                Output::Decision { key, decision } => {
+                    self.verdicts[r].entry(key).or_default().push(decision)
+                }
                 Output::DispatchPermission {
-                    dispatch: sending,
-                    permission: left,
+                    dispatch,
+                    permission,
                     ..
                 } => {
-                    self.leaves[r].insert(sending, left);
+                    self.leaves[r].insert(dispatch, permission);
                 }
                 Output::ProposalEnded { key, outcome } => {
                     self.decided[r].entry(key).or_default().push(outcome)
@@ -279,29 +278,29 @@
 
     pub fn intend(&mut self, r: usize, key: &str) -> u64 {
         self.last += 1;
-        let sending = self.last;
+        let dispatch = self.last;
         self.feed(
             r,
             Input::RequestDispatch {
                 key: key.into(),
-                dispatch: sending,
+                dispatch,
                 deduplication_scope: 0,
                 without_majority: false,
             },
         );
-        sending
+        dispatch
     }
 
     pub fn left(&self, r: usize, sending: u64) -> bool {
         self.leaves[r].get(&sending).is_some_and(|l| l.is_ok())
     }
 
-    pub fn ended(&mut self, r: usize, key: &str, sending: u64, may_have_run: bool) {
+    pub fn ended(&mut self, r: usize, key: &str, dispatch: u64, may_have_run: bool) {
         self.feed(
             r,
             Input::DispatchEnded {
                 key: key.into(),
-                dispatch: sending,
+                dispatch,
                 may_have_run,
             },
         );
--- a/crates/replica/tests/explorer.rs
+++ b/crates/replica/tests/explorer.rs
@@ -129,14 +129,14 @@
     last: u64,
 }
 
-fn terms(without: Option<SafetyCheck>) -> ReplicaSettings {
+fn terms(disabled_check: Option<SafetyCheck>) -> ReplicaSettings {
     ReplicaSettings {
         resend_interval: KEPT / 4,
         broadcast_delay: 0,
         comparison_interval: KEPT / 4,
         comparison_timeout: 5_000,
         backoff: 0,
-        disabled_check: without,
+        disabled_check,
         ..ReplicaSettings::with_defaults(KEPT, 5_000, 1)
     }
 }
@@ -258,28 +258,26 @@
                         self.net.push(sent);
                     }
                 }
-                Output::Decision {
-                    decision: verdict, ..
-                } => self.verdict(r, verdict)?,
+                Output::Decision { decision, .. } => self.verdict(r, decision)?,
                 Output::DispatchPermission {
-                    dispatch: sending,
+                    dispatch,
                     permission: Ok(_),
                     ..
                 } => {
-                    if self.routers[r].out.get(&sending) != Some(&Out::Asking) {
+                    if self.routers[r].out.get(&dispatch) != Some(&Out::Asking) {
                         continue;
                     }
-                    if self.out_beside((r, sending)) {
-                        return Err(format!("leave for {sending} at {r} beside another"));
+                    if self.out_beside((r, dispatch)) {
+                        return Err(format!("leave for {dispatch} at {r} beside another"));
                     }
-                    self.routers[r].out.insert(sending, Out::Buffered);
+                    self.routers[r].out.insert(dispatch, Out::Buffered);
                 }
                 Output::DispatchPermission {
-                    dispatch: sending,
+                    dispatch,
                     permission: Err(lack),
                     ..
                 } => {
-                    self.routers[r].out.remove(&sending);
+                    self.routers[r].out.remove(&dispatch);
                     self.routers[r].goes = false;
                     if lack != NoMajorityReason::OwnedElsewhere {
                         self.answers(r, false)?;
@@ -383,30 +381,30 @@
             if router.goes && router.holds && router.out.is_empty() && self.intents > 0 {
                 step(("intends", r, r, self.last + 1), &|w| {
                     w.last += 1;
-                    let sending = w.last;
+                    let dispatch = w.last;
                     w.intents -= 1;
-                    w.routers[r].out.insert(sending, Out::Asking);
+                    w.routers[r].out.insert(dispatch, Out::Asking);
                     w.feed(
                         r,
                         NOW,
                         Input::RequestDispatch {
                             key: X.into(),
-                            dispatch: sending,
+                            dispatch,
                             deduplication_scope: 0,
                             without_majority: false,
                         },
                     )
                 });
             }
-            for (&sending, &o) in &router.out {
+            for (&dispatch, &o) in &router.out {
                 match o {
                     Out::Asking => {}
                     Out::Buffered => {
                         for ran in [true, false] {
                             step(
-                                ("sends, and whether it ran", r, usize::from(ran), sending),
+                                ("sends, and whether it ran", r, usize::from(ran), dispatch),
                                 &|w| {
-                                    w.routers[r].out.insert(sending, Out::Sent { ran });
+                                    w.routers[r].out.insert(dispatch, Out::Sent { ran });
                                     w.effects += u8::from(ran);
                                     if w.effects > 1 {
                                         Err("a second effect".into())
@@ -416,17 +414,17 @@
                                 },
                             );
                         }
-                        step(("holds back", r, r, sending), &|w| {
-                            w.ends(r, sending, false, false)
+                        step(("holds back", r, r, dispatch), &|w| {
+                            w.ends(r, dispatch, false, false)
                         });
                     }
                     Out::Sent { ran } => {
                         step(
-                            ("ends, and whether well", r, usize::from(ran), sending),
-                            &|w| w.ends(r, sending, ran, ran),
+                            ("ends, and whether well", r, usize::from(ran), dispatch),
+                            &|w| w.ends(r, dispatch, ran, ran),
                         );
-                        step(("breaks", r, r, sending), &|w| {
-                            w.ends(r, sending, true, false)
+                        step(("breaks", r, r, dispatch), &|w| {
+                            w.ends(r, dispatch, true, false)
                         });
                     }
                 }
@@ -600,17 +598,17 @@
     fn ends(
         &mut self,
         r: usize,
-        sending: u64,
+        dispatch: u64,
         may_have_run: bool,
         well: bool,
     ) -> Result<(), String> {
-        self.routers[r].out.remove(&sending);
+        self.routers[r].out.remove(&dispatch);
         self.feed(
             r,
             NOW,
             Input::DispatchEnded {
                 key: X.into(),
-                dispatch: sending,
+                dispatch,
                 may_have_run,
             },
         )?;
--- a/crates/replica/tests/merge.rs
+++ b/crates/replica/tests/merge.rs
@@ -35,23 +35,20 @@
         state,
         deduplication_scope: 0,
     });
-    let sendings = prop::collection::btree_map((1u64..3, 0u64..3), sending, 0..4);
+    let intents = prop::collection::btree_map((1u64..3, 0u64..3), sending, 0..4);
     let answer = prop::option::of(prop_oneof![
         value().prop_map(StoredAnswer::Stored),
         Just(StoredAnswer::TooLarge)
     ]);
     let flags = (any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>());
-    (ballot(), flags, sendings, answer).prop_map(
-        |(ballot, (let_go, taken, doubtful, closed), sendings, answer)| {
-            let owner = Owner {
-                ballot,
-                released: let_go,
-            };
+    (ballot(), flags, intents, answer).prop_map(
+        |(ballot, (released, taken, may_lack_intents, closed), intents, answer)| {
+            let owner = Owner { ballot, released };
             let mut e = Invocation {
                 owner,
                 taken,
-                may_lack_intents: doubtful,
-                intents: sendings,
+                may_lack_intents,
+                intents,
                 answer,
                 ..Invocation::default()
             };
@@ -115,12 +112,12 @@
 fn a_choice_is_learned_though_later_invocations_of_its_process_have_expired() {
     use cedarpulley_replica::RecordCopy;
     use cedarpulley_replica::store::{MergeOutcome, Origin, Store};
-    let shared = |record: Record, serial, left| {
+    let shared = |record: Record, serial, expires_in| {
         let origin = Origin { nonce: 7, serial };
         RecordCopy {
             record,
             origin,
-            expires_in: left,
+            expires_in,
             first_dispatch_ago: None,
             proof_expires_in: None,
         }
--- a/crates/replica/tests/message_bytes.rs
+++ b/crates/replica/tests/message_bytes.rs
@@ -48,11 +48,11 @@
     }
 }
 
-fn sending(member: u16, state: IntentState, place: u32) -> DispatchIntent {
+fn sending(member: u16, state: IntentState, deduplication_scope: u32) -> DispatchIntent {
     DispatchIntent {
         member,
         state,
-        deduplication_scope: place,
+        deduplication_scope,
     }
 }
 
@@ -110,24 +110,24 @@
     Views(vec![11, 4_000_000_000, 33])
 }
 
-fn refused(why: RejectionReason, sending: Option<u64>, shared: Option<RecordCopy>) -> Message {
+fn refused(reason: RejectionReason, dispatch: Option<u64>, shared: Option<RecordCopy>) -> Message {
     let (key, ballot) = (key("k"), ballot(2));
     Message::Rejected {
         key,
         ballot,
-        dispatch: sending,
-        reason: why,
+        dispatch,
+        reason,
         record: shared,
     }
 }
 
-fn overtaken(why: RejectionReason, choice: Option<Choice>) -> Message {
+fn overtaken(reason: RejectionReason, choice: Option<Choice>) -> Message {
     let (key, ballot) = (key("k"), ballot(2));
     Message::Nack {
         key,
         ballot,
         choice,
-        reason: why,
+        reason,
     }
 }
 
--- a/crates/replica/tests/virtual_time/mod.rs
+++ b/crates/replica/tests/virtual_time/mod.rs
@@ -115,9 +115,9 @@
                 }
                 Output::DispatchPermission {
                     key,
-                    dispatch: sending,
+                    dispatch,
                     permission: Ok(_),
-                } => self.leaves.push((r, key, sending)),
+                } => self.leaves.push((r, key, dispatch)),
                 _ => {}
             }
         }
@@ -153,8 +153,8 @@
                 let Some((from, to, letter)) = self.letters.remove(&serial) else {
                     return true;
                 };
-                let process = self.members[from as usize].own_incarnation();
-                let Incarnation { nonce, .. } = process;
+                let incarnation = self.members[from as usize].own_incarnation();
+                let Incarnation { nonce, .. } = incarnation;
                 match letter {
                     Letter::Replica(message) => {
                         self.feed(
@@ -172,7 +172,7 @@
                             to as usize,
                             membership::Input::Received {
                                 from,
-                                incarnation: process,
+                                incarnation,
                                 message,
                             },
                         );
@@ -311,13 +311,13 @@
                 );
             }
             net.pass(S / a_second / 2);
-            for (r, key, sending) in std::mem::take(&mut net.leaves) {
+            for (r, key, dispatch) in std::mem::take(&mut net.leaves) {
                 let answer = bytes::Bytes::from_static(b"done");
                 net.feed(
                     r,
                     Input::DispatchEnded {
                         key: key.clone(),
-                        dispatch: sending,
+                        dispatch,
                         may_have_run: true,
                     },
                 );
--- a/crates/router/src/admission_control.rs
+++ b/crates/router/src/admission_control.rs
@@ -205,10 +205,10 @@
         let higher_fraction = self.rank(expected_value);
         match rejection_reason(request, higher_fraction, occupancy) {
             None => AdmissionDecision::Admitted,
-            Some(why) => {
+            Some(reason) => {
                 self.rejected.current += 1;
                 AdmissionDecision::Rejected {
-                    reason: why,
+                    reason,
                     retry_after: self.retry_after(occupancy.typical_latency),
                 }
             }
--- a/crates/router/src/core/dispatch.rs
+++ b/crates/router/src/core/dispatch.rs
@@ -91,22 +91,22 @@
         let trigger = invocation.request.trigger;
         let effect = self.triggers[trigger as usize].effect;
         let (key, sending) = (replication.key.clone(), attempt.serial);
-        let place = self.workers.deduplication_domain(attempt.worker, effect);
+        let deduplication_domain = self.workers.deduplication_domain(attempt.worker, effect);
         if !attempt.awaits_permission() {
             out.push(Output::Replication(ReplicationRequest::AttemptSent {
                 key,
                 attempt: sending,
-                deduplication_domain: place,
+                deduplication_domain,
             }));
             return false;
         }
-        let alone = self.may_go_unreplicated(trigger);
+        let without_majority = self.may_go_unreplicated(trigger);
         self.replication.permission_requested(sending, ticket);
         out.push(Output::Replication(ReplicationRequest::RequestPermission {
             key,
             attempt: sending,
-            deduplication_domain: place,
-            without_majority: alone,
+            deduplication_domain,
+            without_majority,
         }));
         true
     }
--- a/crates/router/src/core/intake.rs
+++ b/crates/router/src/core/intake.rs
@@ -58,11 +58,11 @@
     ) {
         let trigger = &self.triggers[request.trigger as usize];
         let decision = self.admission.decide(self.now, delivery, request, trigger);
-        if let AdmissionDecision::Rejected { reason: why, .. } = decision {
+        if let AdmissionDecision::Rejected { reason, .. } = decision {
             let (front, account) = (delivery.front, request.account);
-            *self.counts.rejected.entry((front, why)).or_default() += 1;
+            *self.counts.rejected.entry((front, reason)).or_default() += 1;
             self.observers
-                .rejected(self.now, front, request.trigger, account, why);
+                .rejected(self.now, front, request.trigger, account, reason);
         }
         out.push(Output::Admission { delivery, decision });
     }
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -121,17 +121,16 @@
         self.workers.release_unused();
         self.answers.expire(self.now);
         self.admission
-            .changed_grants(|front, most| out.push(Output::Grant { front, limit: most }));
+            .changed_grants(|front, limit| out.push(Output::Grant { front, limit }));
     }
 
     /// Passes the input to its handler.
     fn apply(&mut self, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::FrontChanged { front, state } => self.front_changed(front, state, out),
-            Input::RequestArrived {
-                delivery,
-                request: knock,
-            } => self.request_arrived(delivery, &knock, out),
+            Input::RequestArrived { delivery, request } => {
+                self.request_arrived(delivery, &request, out)
+            }
             Input::MessageArrived(message) => self.message_arrived(message, out),
             Input::AnswerDelivered(delivery) => self.answer_delivered(delivery, out),
             Input::ClientLeft(delivery) => self.client_left(delivery, out),
@@ -141,18 +140,18 @@
             Input::DispatchEnded {
                 ticket,
                 outcome,
-                copy_status: note,
-                function_load: crowd,
+                copy_status,
+                function_load,
                 report,
-                memory_held: held,
+                memory_held,
                 body,
             } => {
                 let result = DispatchResult {
                     outcome,
-                    copy_status: note,
-                    function_load: crowd,
+                    copy_status,
+                    function_load,
                     report,
-                    memory_held: held,
+                    memory_held,
                     body,
                 };
                 self.dispatch_ended(ticket, result, out);
@@ -164,16 +163,13 @@
     /// As [`Router::apply`], of news about workers and the copies that they hold.
     fn apply_of_workers(&mut self, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::EndpointList {
-                kind: mode,
-                workers,
-            } => self.update_workers(mode, &workers, out),
+            Input::EndpointList { kind, workers } => self.update_workers(kind, &workers, out),
             Input::OrderEnded {
                 ticket,
                 result,
                 copies,
-                memory_held: held,
-            } => self.order_ended(ticket, result, copies, held, out),
+                memory_held,
+            } => self.order_ended(ticket, result, copies, memory_held, out),
             Input::ProbeEnded {
                 worker,
                 outcome,
--- a/crates/router/src/core/replication.rs
+++ b/crates/router/src/core/replication.rs
@@ -20,14 +20,10 @@
     /// Handles what the group says. It may speak of an invocation that is over here by now.
     pub(super) fn replication_event(&mut self, event: ReplicationEvent, out: &mut Vec<Output>) {
         match event {
-            ReplicationEvent::Permission {
-                attempt: sending,
-                result: left,
-            } => self.permission_answered(sending, left, out),
-            ReplicationEvent::Decision {
-                key,
-                decision: verdict,
-            } => self.verdict_given(&key, verdict, out),
+            ReplicationEvent::Permission { attempt, result } => {
+                self.permission_answered(attempt, result, out)
+            }
+            ReplicationEvent::Decision { key, decision } => self.verdict_given(&key, decision, out),
         }
     }
 
@@ -75,9 +71,9 @@
         }
         let index = handle.index;
         match verdict {
-            ReplicationDecision::RunHere {
-                first_attempt_ago: first_ago,
-            } => self.permit(index, first_ago, out),
+            ReplicationDecision::RunHere { first_attempt_ago } => {
+                self.permit(index, first_attempt_ago, out)
+            }
             ReplicationDecision::AwaitPeer => {
                 self.counts.joined_elsewhere += 1;
                 self.set_replication_stage(index, ReplicationStage::AwaitingPeer);
--- a/crates/router/src/endpoint_list.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -245,14 +245,14 @@
         let mut view = BTreeMap::new();
         for (name, entry) in newest.into_iter().take(MAX_WORKERS) {
             let known = self.incarnations.get(name);
-            let started = started_at(now, entry, known, self.viewed);
+            let started_at = started_at(now, entry, known, self.viewed);
             let incarnation = Incarnation {
                 start_mark: entry.start_mark.clone(),
-                started_at: started,
+                started_at,
             };
             self.incarnations.insert(name.to_owned(), incarnation);
             let worker = ListedWorker {
-                started_at: started,
+                started_at,
                 ..entry.worker.clone()
             };
             view.insert(name.to_owned(), worker);
--- a/crates/router/src/interface.rs
+++ b/crates/router/src/interface.rs
@@ -136,9 +136,9 @@
 
 impl Answer {
     /// An answer without body and Retry-After.
-    pub fn without_body(fate: FinalOutcome, reason: AnswerReason) -> Self {
+    pub fn without_body(outcome: FinalOutcome, reason: AnswerReason) -> Self {
         Answer {
-            outcome: fate,
+            outcome,
             reason,
             retry_after: None,
             body: Payload::default(),
--- a/crates/router/tests/admission_control.rs
+++ b/crates/router/tests/admission_control.rs
@@ -43,11 +43,14 @@
     match decision {
         AdmissionDecision::Admitted => None,
         AdmissionDecision::Rejected {
-            reason: why,
-            retry_after: come_back,
+            reason,
+            retry_after,
         } => {
-            assert!((100_000..=10_000_000).contains(&come_back), "{come_back}");
-            Some(why)
+            assert!(
+                (100_000..=10_000_000).contains(&retry_after),
+                "{retry_after}"
+            );
+            Some(reason)
         }
     }
 }
@@ -140,9 +143,9 @@
         decided(reads_nothing, occupancy),
         Some(RejectionReason::Connection)
     );
-    let abandoning = |left, left_ago| AdmissionRequest {
-        abandoned: left,
-        last_abandoned_ago: left_ago,
+    let abandoning = |abandoned, last_abandoned_ago| AdmissionRequest {
+        abandoned,
+        last_abandoned_ago,
         ..request
     };
     assert_eq!(
@@ -198,10 +201,7 @@
     let advice = |control: &mut AdmissionControl, n: usize| {
         (0..n)
             .filter_map(|_| match control.decide(1, &request, 1.0, &occupancy) {
-                AdmissionDecision::Rejected {
-                    retry_after: come_back,
-                    ..
-                } => Some(come_back),
+                AdmissionDecision::Rejected { retry_after, .. } => Some(retry_after),
                 AdmissionDecision::Admitted => None,
             })
             .collect::<Vec<_>>()
--- a/crates/router/tests/endpoint_list.rs
+++ b/crates/router/tests/endpoint_list.rs
@@ -31,11 +31,8 @@
 
 fn told(steps: &[ListAction]) -> Vec<(EndpointListKind, Vec<(String, EndpointState)>)> {
     let tell = |s: &ListAction| match s {
-        ListAction::UpdateRouter {
-            kind: mode,
-            workers,
-        } => Some((
-            *mode,
+        ListAction::UpdateRouter { kind, workers } => Some((
+            *kind,
             workers
                 .iter()
                 .map(|w| (w.address.clone(), w.state))
--- a/crates/router/tests/faults.rs
+++ b/crates/router/tests/faults.rs
@@ -542,9 +542,9 @@
 fn session_stays_at_its_worker_when_the_function_is_new_to_the_router() {
     for warm in 0..6 {
         let mut w = World::ordering(6);
-        let prefers = Some(format!("127.0.0.1:{}", 9000 + warm).into());
+        let preferred_worker = Some(format!("127.0.0.1:{}", 9000 + warm).into());
         let first = IncomingInvocation {
-            preferred_worker: prefers,
+            preferred_worker,
             ..w.message("a", IDEMPOTENT, 0, 1)
         };
         w.feed(Input::MessageArrived(first.clone()));
--- a/crates/router/tests/replication.rs
+++ b/crates/router/tests/replication.rs
@@ -47,21 +47,18 @@
         },
     });
     assert!(w.sent().is_empty(), "it has no leave yet");
-    let Some(ReplicationRequest::RequestPermission {
-        attempt: sending, ..
-    }) = w.asked().pop()
-    else {
+    let Some(ReplicationRequest::RequestPermission { attempt, .. }) = w.asked().pop() else {
         panic!("{:?}", w.out)
     };
-    (key, sending)
+    (key, attempt)
 }
 
 #[test]
 fn attempt_is_sent_with_permission_and_its_end_is_replicated() {
     let mut w = World::shared(2, REFUSING);
-    let (key, sending) = goes(&mut w, "a", 1);
+    let (key, attempt) = goes(&mut w, "a", 1);
     w.told(ReplicationEvent::Permission {
-        attempt: sending,
+        attempt,
         result: Ok(false),
     });
     let ticket = w.sent()[0];
@@ -78,7 +75,7 @@
         asked[0],
         ReplicationRequest::AttemptEnded {
             key: key.clone(),
-            attempt: sending,
+            attempt,
             may_have_run: true
         }
     );
@@ -113,9 +110,9 @@
 #[test]
 fn without_a_majority_it_is_rejected_or_runs_unreplicated_as_configured() {
     let mut w = World::shared(2, REFUSING);
-    let (_, sending) = goes(&mut w, "a", 1);
+    let (_, attempt) = goes(&mut w, "a", 1);
     w.told(ReplicationEvent::Permission {
-        attempt: sending,
+        attempt,
         result: Err(PermissionRefusal::NoMajority),
     });
     assert_eq!(
@@ -178,7 +175,7 @@
             AnswerReason::MayHaveRun,
         ),
     ];
-    for (tag, (verdict, fate, reason)) in (1..).zip(cases) {
+    for (tag, (decision, fate, reason)) in (1..).zip(cases) {
         w.again(&tag.to_string(), NON_IDEMPOTENT, 1, tag, 100 * MS);
         let key = key(&w.asked()[0]);
         w.told(ReplicationEvent::Decision {
@@ -186,10 +183,7 @@
             decision: ReplicationDecision::AwaitPeer,
         });
         assert!(w.answers().is_empty() && w.sent().is_empty());
-        w.told(ReplicationEvent::Decision {
-            key,
-            decision: verdict,
-        });
+        w.told(ReplicationEvent::Decision { key, decision });
         assert_eq!(w.answers(), [(tag, fate, reason)]);
     }
     // Nobody says more of it: its client is told before it gives up, and no promise is made.
@@ -221,9 +215,9 @@
 #[test]
 fn invocation_lost_to_another_router_before_sending_is_withdrawn_from_the_balancer() {
     let mut w = World::shared(2, REFUSING);
-    let (key, sending) = goes(&mut w, "a", 1);
+    let (key, attempt) = goes(&mut w, "a", 1);
     w.told(ReplicationEvent::Permission {
-        attempt: sending,
+        attempt,
         result: Err(PermissionRefusal::Elsewhere),
     });
     assert!(w.sent().is_empty() && w.answers().is_empty());
@@ -236,14 +230,11 @@
             first_attempt_ago: None,
         },
     });
-    let Some(ReplicationRequest::RequestPermission {
-        attempt: sending, ..
-    }) = w.asked().pop()
-    else {
+    let Some(ReplicationRequest::RequestPermission { attempt, .. }) = w.asked().pop() else {
         panic!("{:?}", w.out)
     };
     w.told(ReplicationEvent::Permission {
-        attempt: sending,
+        attempt,
         result: Ok(false),
     });
     let ticket = w.sent()[0];
@@ -257,13 +248,13 @@
 #[test]
 fn channel_lost_while_permission_is_requested_releases_the_message() {
     let mut w = World::shared(2, REFUSING);
-    let (key, sending) = goes(&mut w, "a", 1);
+    let (key, attempt) = goes(&mut w, "a", 1);
     w.front(FrontState::Down);
     let asked = w.asked();
     assert!(
         asked.contains(&ReplicationRequest::AttemptEnded {
             key: key.clone(),
-            attempt: sending,
+            attempt,
             may_have_run: false
         }),
         "{asked:?}"
@@ -271,7 +262,7 @@
     assert!(asked.contains(&ReplicationRequest::Abandoned { key }));
     // A permission that comes after is of no use.
     w.told(ReplicationEvent::Permission {
-        attempt: sending,
+        attempt,
         result: Ok(false),
     });
     assert!(w.sent().is_empty());
@@ -282,9 +273,9 @@
 #[test]
 fn redelivered_message_that_was_rejected_is_announced_again() {
     let mut w = World::shared(2, REFUSING);
-    let (_, sending) = goes(&mut w, "a", 1);
+    let (_, attempt) = goes(&mut w, "a", 1);
     w.told(ReplicationEvent::Permission {
-        attempt: sending,
+        attempt,
         result: Err(PermissionRefusal::NoMajority),
     });
     assert_eq!(
@@ -320,9 +311,9 @@
 #[test]
 fn invocation_orphaned_while_in_flight_is_not_reported_as_not_run() {
     let mut w = World::shared(2, REFUSING);
-    let (_, sending) = goes(&mut w, "a", 1);
+    let (_, attempt) = goes(&mut w, "a", 1);
     w.told(ReplicationEvent::Permission {
-        attempt: sending,
+        attempt,
         result: Ok(false),
     });
     let ticket = w.sent()[0];
--- a/crates/router/tests/world/mod.rs
+++ b/crates/router/tests/world/mod.rs
@@ -27,11 +27,11 @@
 }
 
 pub fn triggers() -> Vec<TriggerType> {
-    let group = DeduplicationScope::All;
+    let scope = DeduplicationScope::All;
     let effects = [
         Effect::Idempotent,
         Effect::IdempotentByKey {
-            scope: group,
+            scope,
             window: WINDOW,
         },
         Effect::NonIdempotent,
@@ -48,7 +48,7 @@
     effects.map(kind).to_vec()
 }
 
-fn control(orders: bool) -> Balancer {
+fn control(load_orders: bool) -> Balancer {
     let limits = DispatchLimits {
         max_dispatches: 4,
         hedged_requests: false,
@@ -67,7 +67,7 @@
     let loads = LoadSettings {
         idle_retention: 30 * SECOND,
         loads_when_absent: true,
-        load_orders: orders,
+        load_orders,
         ..LoadSettings::default()
     };
     let fleet = FleetPosition {
@@ -94,13 +94,13 @@
     )
 }
 
-pub fn listed(id: &str, standing: EndpointState) -> ListedWorker {
+pub fn listed(id: &str, state: EndpointState) -> ListedWorker {
     ListedWorker {
         address: id.into(),
         zone: 0,
         machine_kind: 0,
         cell: 0,
-        state: standing,
+        state,
         weight: 1.0,
         started_at: None,
     }
@@ -133,7 +133,7 @@
 
     fn with(
         workers: u32,
-        [module_alone, orders]: [bool; 2],
+        [balancer_only, orders]: [bool; 2],
         sharing: Option<replication::ReplicationSettings>,
     ) -> World {
         let terms = CoreSettings {
@@ -143,7 +143,7 @@
             front_weights: vec![1.0, 1.0],
             account_shares: vec![1.0],
             order_timeout: 5 * SECOND,
-            balancer_only: module_alone,
+            balancer_only,
             drain_grace: SECOND,
             replication: sharing,
         };
@@ -201,11 +201,17 @@
         self.out = all;
     }
 
-    pub fn message(&self, id: &str, trigger: u32, life: u32, tag: u64) -> IncomingInvocation {
+    pub fn message(
+        &self,
+        id: &str,
+        trigger: u32,
+        incarnation: u32,
+        tag: u64,
+    ) -> IncomingInvocation {
         IncomingInvocation {
             delivery: Delivery {
                 front: 0,
-                incarnation: life,
+                incarnation,
                 tag,
             },
             identity: Some(Arc::from(id)),
--- a/crates/test-cluster/src/traffic/arrivals.rs
+++ b/crates/test-cluster/src/traffic/arrivals.rs
@@ -119,8 +119,8 @@
     all: &mut Vec<Arrival>,
 ) {
     let mut random = Pcg64Mcg::seed_from_u64(scenario.seed ^ FLOODS ^ number as u64);
-    let calls = flood.front == Some(Front::Kserve);
-    let front_share = if calls {
+    let over_kserve = flood.front == Some(Front::Kserve);
+    let front_share = if over_kserve {
         scenario.kserve_part
     } else {
         1.0 - scenario.kserve_part
@@ -142,7 +142,7 @@
             id: invocation_id(all.len()),
             queue: queue(&account),
             account,
-            over_kserve: calls,
+            over_kserve,
             turn: None,
             ..like
         });
--- a/crates/trace/src/invocation_history.rs
+++ b/crates/trace/src/invocation_history.rs
@@ -52,12 +52,12 @@
                 names.insert(*index, name.clone());
             }
             Record::Accepted {
-                invocation: inv,
+                invocation,
                 front,
                 correlation_hash: Some(key),
                 redelivered,
             } if *key == self.key => {
-                self.invocation = Some(*inv);
+                self.invocation = Some(*invocation);
                 let front = source.start.front_names.get(*front as usize);
                 let front = front.map_or("?", String::as_str);
                 let again = if *redelivered {
@@ -68,18 +68,18 @@
                 self.line(source, at, &format!("taken from {front}{again}"));
             }
             // Its index was assigned to another.
-            Record::Accepted {
-                invocation: inv, ..
-            } if self.invocation == Some(*inv) => self.invocation = None,
+            Record::Accepted { invocation, .. } if self.invocation == Some(*invocation) => {
+                self.invocation = None
+            }
             Record::Answered {
-                invocation: Some(inv),
-                outcome: fate,
+                invocation: Some(invocation),
+                outcome,
                 reason,
                 took,
                 ..
-            } if self.invocation == Some(*inv) => {
+            } if self.invocation == Some(*invocation) => {
                 let millis = *took as f64 / 1e3;
-                let text = format!("answered: {fate:?}, {reason:?}, after {millis:.1} ms");
+                let text = format!("answered: {outcome:?}, {reason:?}, after {millis:.1} ms");
                 self.line(source, at, &text);
             }
             Record::Decided { event, actions } => {
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -79,14 +79,10 @@
         let (mut states, mut changes) = (WorkerStates::default(), HashMap::new());
         reader.rewind();
         while let Some(found) = reader.next()? {
-            let BlockRead::Block {
-                records,
-                location: place,
-            } = found
-            else {
+            let BlockRead::Block { records, location } = found else {
                 continue;
             };
-            let source = &reader.sources[place.source as usize];
+            let source = &reader.sources[location.source as usize];
             for (at, record) in records {
                 let Record::Decided {
                     event: RecordedEvent::List { endpoints, .. },
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -198,9 +198,7 @@
         loop {
             match self.next_of_any_source()? {
                 None => return Ok(None),
-                Some(BlockRead::Block {
-                    location: place, ..
-                }) => return Ok(Some(place)),
+                Some(BlockRead::Block { location, .. }) => return Ok(Some(location)),
                 Some(BlockRead::Damaged { .. }) => self.damaged_blocks += 1,
             }
         }
@@ -226,12 +224,8 @@
         loop {
             let found = self.next_of_any_source()?;
             match (&found, self.only_source) {
-                (
-                    Some(BlockRead::Block {
-                        location: place, ..
-                    }),
-                    Some(only),
-                ) if place.source != only => {}
+                (Some(BlockRead::Block { location, .. }), Some(only))
+                    if location.source != only => {}
                 _ => return Ok(found),
             }
         }
--- a/crates/trace/src/record_codec.rs
+++ b/crates/trace/src/record_codec.rs
@@ -43,15 +43,17 @@
         }
         Record::Decided { event, actions } => encode_decided(out, &event.event(), actions),
         Record::Accepted {
-            invocation: inv,
+            invocation,
             front,
-            correlation_hash: mark,
+            correlation_hash,
             redelivered,
         } => {
             out.byte(ACCEPTED);
-            out.unsigned((*inv).into());
+            out.unsigned((*invocation).into());
             out.unsigned((*front).into());
-            out.optional(*mark, |out, mark| out.bytes.extend(mark.to_le_bytes()));
+            out.optional(*correlation_hash, |out, correlation_hash| {
+                out.bytes.extend(correlation_hash.to_le_bytes())
+            });
             out.byte(u8::from(*redelivered));
         }
         Record::Answered { .. } => encode_answered(out, record),
@@ -59,11 +61,11 @@
             front,
             trigger,
             account,
-            reason: why,
+            reason,
         } => {
             out.byte(REJECTED);
             encode_indices(out, [*front, *trigger, *account]);
-            encode_tag(out, REJECTION_REASONS, why);
+            encode_tag(out, REJECTION_REASONS, reason);
         }
         Record::Gap {
             records,
@@ -83,7 +85,7 @@
     let Record::Answered {
         invocation: inv,
         front,
-        outcome: fate,
+        outcome,
         reason,
         trigger,
         account,
@@ -95,7 +97,7 @@
     out.byte(ANSWERED);
     out.optional(*inv, |out, invocation| out.unsigned(invocation.into()));
     out.unsigned((*front).into());
-    encode_tag(out, OUTCOMES, fate);
+    encode_tag(out, OUTCOMES, outcome);
     encode_tag(out, REASONS, reason);
     out.unsigned((*trigger).into());
     out.unsigned((*account).into());
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -252,12 +252,8 @@
     pub fn next(&mut self) -> Result<Option<Decided>, Error> {
         loop {
             for (at, record) in self.records.by_ref() {
-                if let Record::Decided {
-                    event: happened,
-                    actions,
-                } = record
-                {
-                    return Ok(Some((at, happened, actions)));
+                if let Record::Decided { event, actions } = record {
+                    return Ok(Some((at, event, actions)));
                 }
             }
             match self.reader.next()? {
@@ -278,7 +274,7 @@
     let result = replay_steps(files, |step| {
         let ReplayStep::Decided {
             at,
-            event: happened,
+            event,
             recorded,
             replayed,
         } = step
@@ -287,11 +283,11 @@
         };
         decision += 1;
         if !alike(&replayed, &recorded) {
-            let before = related(&recent, &happened, &recorded, &replayed);
+            let before = related(&recent, &event, &recorded, &replayed);
             difference = Some(Difference {
                 decision,
                 at,
-                event: happened,
+                event,
                 recorded,
                 replayed,
                 before,
@@ -301,7 +297,7 @@
         if recent.len() >= MAX_RECENT {
             recent.drain(..MAX_RECENT / 2);
         }
-        recent.push((at, happened, recorded));
+        recent.push((at, event, recorded));
         Ok(true)
     })?;
     Ok(ReplayResult {
--- a/crates/trace/src/replay/redo.rs
+++ b/crates/trace/src/replay/redo.rs
@@ -67,10 +67,10 @@
             ReplayStep::Other { at, record } => redone.beside(at, &record),
             ReplayStep::Decided {
                 at,
-                event: happened,
+                event,
                 replayed,
                 ..
-            } => redone.decided(at, happened, replayed),
+            } => redone.decided(at, event, replayed),
         }
         Ok(true)
     })?;
--- a/crates/trace/src/rewrite.rs
+++ b/crates/trace/src/rewrite.rs
@@ -97,18 +97,16 @@
     let blocks_read = reader.within(
         |source| spans[source as usize],
         |found| {
-            let BlockRead::Block {
-                location: place,
-                records,
-            } = found
-            else {
+            let BlockRead::Block { location, records } = found else {
                 result.damaged += 1;
                 return;
             };
-            let (mut block, selected) = cut_sources[place.source as usize].select(records);
+            let (mut block, selected) = cut_sources[location.source as usize].select(records);
             result.records += selected;
             if !block.is_empty() && written.is_ok() {
-                written = file.write_block(place.source, &block.close()).map(|_| ());
+                written = file
+                    .write_block(location.source, &block.close())
+                    .map(|_| ());
             }
         },
     )?;
@@ -134,17 +132,13 @@
     let mut result = Rewritten::default();
     reader.rewind();
     while let Some(found) = reader.next()? {
-        let BlockRead::Block {
-            location: place,
-            records,
-        } = found
-        else {
+        let BlockRead::Block { location, records } = found else {
             result.damaged += 1;
             continue;
         };
         result.blocks_read += 1;
         result.records += records.len() as u64;
-        file.write_block(place.source, &strip_block(strip, records)?)?;
+        file.write_block(location.source, &strip_block(strip, records)?)?;
     }
     file.finish()?;
     Ok(result)
--- a/crates/trace/src/rule_check.rs
+++ b/crates/trace/src/rule_check.rs
@@ -90,18 +90,18 @@
             }
             Record::Accepted {
                 invocation: inv,
-                correlation_hash: mark,
+                correlation_hash,
                 ..
             } => {
-                if let Some(mark) = mark {
-                    state.keys.insert(*inv, *mark);
+                if let Some(correlation_hash) = correlation_hash {
+                    state.keys.insert(*inv, *correlation_hash);
                 }
             }
             Record::Answered {
                 invocation: Some(invocation),
-                outcome: fate,
+                outcome,
                 ..
-            } => self.answered(source, of, at, *invocation, *fate),
+            } => self.answered(source, of, at, *invocation, *outcome),
             Record::Answered { .. } => {}
             Record::Decided { event, actions } => {
                 self.event(source, of, at, event);
--- a/crates/trace/src/selection.rs
+++ b/crates/trace/src/selection.rs
@@ -114,14 +114,14 @@
                 ..
             } => self.is_wanted_unseen(*account),
             Record::Accepted {
-                invocation: inv,
-                correlation_hash: mark,
+                invocation,
+                correlation_hash,
                 ..
-            } => self.accepted(*inv, *mark),
+            } => self.accepted(*invocation, *correlation_hash),
             Record::Answered {
-                invocation: Some(inv),
+                invocation: Some(invocation),
                 ..
-            } => self.belonging.contains(inv),
+            } => self.belonging.contains(invocation),
             Record::Decided { event, actions } => self.decided(event, actions),
         };
         belongs && inside
--- a/crates/trace/src/strip.rs
+++ b/crates/trace/src/strip.rs
@@ -89,14 +89,15 @@
                 Record::Name { kind, index, name }
             }
             Record::Accepted {
-                invocation: inv,
+                invocation,
                 front,
-                correlation_hash: mark,
+                correlation_hash,
                 redelivered,
             } => Record::Accepted {
-                invocation: inv,
+                invocation,
                 front,
-                correlation_hash: mark.map(|mark| self.number(mark)),
+                correlation_hash: correlation_hash
+                    .map(|correlation_hash| self.number(correlation_hash)),
                 redelivered,
             },
             Record::Decided { event, actions } => Record::Decided {
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -210,16 +210,16 @@
             Record::Name { .. } | Record::Accepted { .. } => {}
             Record::Gap { records, .. } => self.summary.lost_records += records,
             Record::Answered {
-                outcome: fate,
+                outcome,
                 reason,
                 trigger,
                 account,
                 took,
                 ..
             } => {
-                self.outcome(of, *trigger, *account, |counts| counts.add(*fate));
+                self.outcome(of, *trigger, *account, |counts| counts.add(*outcome));
                 self.reason(format!("{reason:?}"));
-                match fate {
+                match outcome {
                     FinalOutcome::Succeeded => {
                         self.latencies.saturating_record((*took).max(0) as u64)
                     }
--- a/crates/trace/src/timeline.rs
+++ b/crates/trace/src/timeline.rs
@@ -177,11 +177,7 @@
             Record::Accepted { .. } => bin.accepted += 1,
             Record::Gap { records, .. } => bin.lost_records += records,
             Record::Rejected { .. } => bin.rejected += 1,
-            Record::Answered {
-                outcome: fate,
-                took,
-                ..
-            } => bin.answered(*fate, *took),
+            Record::Answered { outcome, took, .. } => bin.answered(*outcome, *took),
             Record::Decided { event, actions } => bin.decided(event, actions),
         }
     }
--- a/crates/trace/tests/compared.rs
+++ b/crates/trace/tests/compared.rs
@@ -48,9 +48,9 @@
         worker,
         timeout: None,
     };
-    let order = |worker, func| Action::LoadOrder {
+    let order = |worker, function| Action::LoadOrder {
         worker,
-        function: func,
+        function,
         copies: 1,
     };
     let throttle = Action::Reject {
--- a/crates/trace/tests/coursed.rs
+++ b/crates/trace/tests/coursed.rs
@@ -11,12 +11,12 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn answered(fate: FinalOutcome, took: Micros) -> Record {
+fn answered(outcome: FinalOutcome, took: Micros) -> Record {
     let reason = AnswerReason::Worker;
     Record::Answered {
         invocation: None,
         front: 0,
-        outcome: fate,
+        outcome,
         reason,
         trigger: 0,
         account: 0,
--- a/crates/trace/tests/every_cause/mod.rs
+++ b/crates/trace/tests/every_cause/mod.rs
@@ -78,15 +78,15 @@
         act: impl FnOnce(u32) -> Vec<Action>,
     ) -> u32 {
         self.inv += 1;
-        let inv = self.inv;
+        let invocation = self.inv;
         self.record(Record::Accepted {
-            invocation: inv,
-            front: inv % 2,
-            correlation_hash: Some(fingerprint(&format!("mark-{inv}"))),
-            redelivered: inv.is_multiple_of(3),
+            invocation,
+            front: invocation % 2,
+            correlation_hash: Some(fingerprint(&format!("mark-{invocation}"))),
+            redelivered: invocation.is_multiple_of(3),
         });
         let arrival = Arrival {
-            invocation: inv,
+            invocation,
             trigger: 1,
             account: 0,
             function,
@@ -100,26 +100,26 @@
             repeat: false,
             preferred_worker: None,
         };
-        self.decided(Event::Invocation(arrival), act(inv));
-        inv
+        self.decided(Event::Invocation(arrival), act(invocation));
+        invocation
     }
 
     fn sent(&mut self, function: u32, worker: u32, waited: Micros) -> u32 {
-        self.arrives(function, waited, |inv| {
-            let time_out = Some(2_000 * MS);
+        self.arrives(function, waited, |invocation| {
+            let timeout = Some(2_000 * MS);
             vec![Action::Dispatch {
-                invocation: inv,
+                invocation,
                 worker,
-                timeout: time_out,
+                timeout,
             }]
         })
     }
 
-    fn answered(&mut self, inv: Option<u32>, fate: FinalOutcome, reason: AnswerReason) {
+    fn answered(&mut self, invocation: Option<u32>, outcome: FinalOutcome, reason: AnswerReason) {
         self.record(Record::Answered {
-            invocation: inv,
+            invocation,
             front: 0,
-            outcome: fate,
+            outcome,
             reason,
             trigger: 1,
             account: 0,
@@ -129,27 +129,27 @@
 
     fn ended(
         &mut self,
-        inv: u32,
+        invocation: u32,
         worker: u32,
         took: Micros,
         outcome: DispatchOutcome,
-        note: CopyStatus,
+        copy_status: CopyStatus,
     ) {
         let ending = DispatchEnded {
-            invocation: inv,
+            invocation,
             dispatch: 0,
             worker,
             outcome,
             took,
             answered: outcome == DispatchOutcome::Succeeded,
-            copy_status: note,
+            copy_status,
             function_load: None,
             report: LoadReport::default(),
         };
         let act = if outcome == DispatchOutcome::Succeeded {
             vec![]
         } else {
-            vec![Action::Fail { invocation: inv }]
+            vec![Action::Fail { invocation }]
         };
         self.decided(Event::DispatchEnded(ending), act);
     }
@@ -169,24 +169,28 @@
     }
 
     fn queued(&mut self, function: u32, act: impl FnOnce(u32) -> Vec<Action>) {
-        let inv = self.arrives(function, 0, act);
+        let invocation = self.arrives(function, 0, act);
         self.now += LATE;
         self.decided(
             Event::Timer { token: 7 },
             vec![Action::Reject {
-                invocation: inv,
+                invocation,
                 retry_after: None,
             }],
         );
-        self.answered(Some(inv), FinalOutcome::Throttled, AnswerReason::GivenUp);
+        self.answered(
+            Some(invocation),
+            FinalOutcome::Throttled,
+            AnswerReason::GivenUp,
+        );
     }
 
-    fn rejected(&mut self, why: RejectionReason) {
+    fn rejected(&mut self, reason: RejectionReason) {
         self.record(Record::Rejected {
             front: 1,
             trigger: 1,
             account: 1,
-            reason: why,
+            reason,
         });
     }
 
--- a/crates/trace/tests/every_record/mod.rs
+++ b/crates/trace/tests/every_record/mod.rs
@@ -129,7 +129,7 @@
     ]
 }
 
-fn list(mode: EndpointListKind) -> RecordedEvent {
+fn list(kind: EndpointListKind) -> RecordedEvent {
     let entry = |(n, standing): (usize, &EndpointState)| Endpoint {
         worker: n as u32,
         fingerprint: 1_000 + n as u64,
@@ -140,14 +140,11 @@
         weight: 1.25,
         started_at: (n > 0).then_some(-17),
     };
-    let entries = STANDINGS.iter().enumerate().map(entry).collect();
-    RecordedEvent::List {
-        kind: mode,
-        endpoints: entries,
-    }
+    let endpoints = STANDINGS.iter().enumerate().map(entry).collect();
+    RecordedEvent::List { kind, endpoints }
 }
 
-fn arrival(repeat: bool, prefers: Option<WorkerIndex>) -> Event<'static> {
+fn arrival(repeat: bool, preferred_worker: Option<WorkerIndex>) -> Event<'static> {
     Event::Invocation(Arrival {
         invocation: 11,
         trigger: 1,
@@ -155,17 +152,17 @@
         function: 0,
         fingerprint: fingerprint(FUNCTION),
         cost_hint: repeat.then_some(1_300),
-        load_hint: prefers.map(|_| 1_400),
+        load_hint: preferred_worker.map(|_| 1_400),
         copy_mb: 12.5,
         lanes: 8,
         client_timeout_in: 3_000_000,
         waited: 15,
         repeat,
-        preferred_worker: prefers,
+        preferred_worker,
     })
 }
 
-fn ending(outcome: DispatchOutcome, note: CopyStatus, report: LoadReport) -> Event<'static> {
+fn ending(outcome: DispatchOutcome, copy_status: CopyStatus, report: LoadReport) -> Event<'static> {
     Event::DispatchEnded(DispatchEnded {
         invocation: 11,
         dispatch: 2,
@@ -173,8 +170,8 @@
         outcome,
         took: 1_700,
         answered: outcome == DispatchOutcome::Succeeded,
-        copy_status: note,
-        function_load: (note == CopyStatus::Warm).then_some(4),
+        copy_status,
+        function_load: (copy_status == CopyStatus::Warm).then_some(4),
         report,
     })
 }
@@ -248,35 +245,32 @@
 
 /// Every action; those with an optional field twice.
 pub fn actions() -> Vec<Action> {
-    let (inv, worker, func) = (11, 1, 0);
-    let dispatch = |time_out| Action::Dispatch {
-        invocation: inv,
+    let (invocation, worker, function) = (11, 1, 0);
+    let dispatch = |timeout| Action::Dispatch {
+        invocation,
         worker,
-        timeout: time_out,
+        timeout,
     };
-    let throttle = |return_after| Action::Reject {
-        invocation: inv,
-        retry_after: return_after,
+    let throttle = |retry_after| Action::Reject {
+        invocation,
+        retry_after,
     };
     vec![
         dispatch(None),
         dispatch(Some(2_100)),
         Action::Cancel {
-            invocation: inv,
+            invocation,
             dispatch: 3,
         },
         throttle(None),
         throttle(Some(2_200)),
-        Action::Fail { invocation: inv },
+        Action::Fail { invocation },
         Action::LoadOrder {
             worker,
-            function: func,
+            function,
             copies: 4,
         },
-        Action::Unload {
-            worker,
-            function: func,
-        },
+        Action::Unload { worker, function },
         Action::Probe { worker },
         Action::Timer {
             token: 1 << 41,
@@ -284,7 +278,7 @@
         },
         Action::RequestEndpointList { watch: false },
         Action::RequestEndpointList { watch: true },
-        Action::ReleaseFunction { function: func },
+        Action::ReleaseFunction { function },
     ]
 }
 
@@ -301,8 +295,8 @@
 
 fn decided() -> Vec<Record> {
     let timer = RecordedEvent::Other(Event::Timer { token: 7 });
-    let of_event = |happened| Record::Decided {
-        event: happened,
+    let of_event = |event| Record::Decided {
+        event,
         actions: Vec::new(),
     };
     let of_action = |action| Record::Decided {
@@ -318,11 +312,15 @@
     events.chain(actions).chain([all]).collect()
 }
 
-fn answered(fate: FinalOutcome, reason: AnswerReason, inv: Option<InvocationIndex>) -> Record {
+fn answered(
+    outcome: FinalOutcome,
+    reason: AnswerReason,
+    invocation: Option<InvocationIndex>,
+) -> Record {
     Record::Answered {
-        invocation: inv,
+        invocation,
         front: 1,
-        outcome: fate,
+        outcome,
         reason,
         trigger: 2,
         account: 3,
@@ -335,11 +333,11 @@
     let mut all = names();
     all.extend(decided());
     all.extend(
-        [None, Some(0x0123_4567_89ab_cdef)].map(|mark| Record::Accepted {
+        [None, Some(0x0123_4567_89ab_cdef)].map(|correlation_hash| Record::Accepted {
             invocation: 11,
             front: 1,
-            correlation_hash: mark,
-            redelivered: mark.is_some(),
+            correlation_hash,
+            redelivered: correlation_hash.is_some(),
         }),
     );
     all.extend(FATES.map(|fate| answered(fate, AnswerReason::Worker, Some(11))));
@@ -365,8 +363,8 @@
 }
 
 fn triggers() -> Vec<TriggerType> {
-    let tokened = |group| Effect::IdempotentByKey {
-        scope: group,
+    let tokened = |scope| Effect::IdempotentByKey {
+        scope,
         window: 8_000_000,
     };
     let effects = [
--- a/crates/trace/tests/explained.rs
+++ b/crates/trace/tests/explained.rs
@@ -65,9 +65,9 @@
 
     fn arrives(&mut self, function: u32, actions: impl FnOnce(u32) -> Vec<Action>) -> u32 {
         self.inv += 1;
-        let inv = self.inv;
+        let invocation = self.inv;
         let arrival = Arrival {
-            invocation: inv,
+            invocation,
             trigger: 0,
             account: 0,
             function,
@@ -81,8 +81,8 @@
             repeat: false,
             preferred_worker: None,
         };
-        self.decided(Event::Invocation(arrival), actions(inv));
-        inv
+        self.decided(Event::Invocation(arrival), actions(invocation));
+        invocation
     }
 
     /// A dispatch and its end after `took`; a success is answered before the module hears of it.
@@ -92,11 +92,11 @@
         worker: u32,
         took: Micros,
         outcome: DispatchOutcome,
-        note: CopyStatus,
+        copy_status: CopyStatus,
     ) {
-        let inv = self.arrives(function, |inv| {
+        let invocation = self.arrives(function, |invocation| {
             vec![Action::Dispatch {
-                invocation: inv,
+                invocation,
                 worker,
                 timeout: None,
             }]
@@ -104,30 +104,40 @@
         self.now += took;
         let good = outcome == DispatchOutcome::Succeeded;
         if good {
-            self.answered(inv, FinalOutcome::Succeeded, AnswerReason::Worker, took);
+            self.answered(
+                invocation,
+                FinalOutcome::Succeeded,
+                AnswerReason::Worker,
+                took,
+            );
         }
         let ending = DispatchEnded {
-            invocation: inv,
+            invocation,
             dispatch: 0,
             worker,
             outcome,
             took,
             answered: good,
-            copy_status: note,
+            copy_status,
             function_load: None,
             report: LoadReport::default(),
         };
         self.decided(Event::DispatchEnded(ending), vec![]);
         if !good {
-            self.answered(inv, FinalOutcome::Errored, AnswerReason::GivenUp, took);
+            self.answered(
+                invocation,
+                FinalOutcome::Errored,
+                AnswerReason::GivenUp,
+                took,
+            );
         }
     }
 
-    fn answered(&mut self, inv: u32, fate: FinalOutcome, reason: AnswerReason, took: Micros) {
+    fn answered(&mut self, inv: u32, outcome: FinalOutcome, reason: AnswerReason, took: Micros) {
         self.record(Record::Answered {
             invocation: Some(inv),
             front: 0,
-            outcome: fate,
+            outcome,
             reason,
             trigger: 0,
             account: 0,
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -278,13 +278,15 @@
     let f = || {
         prop::option::of(any::<f64>().prop_filter("no NaN, as it equals nothing", |f| !f.is_nan()))
     };
-    (f(), f(), f(), f(), f()).prop_map(|(held, waiting, busy, loads, memory_part)| LoadReport {
-        in_flight: held,
-        queued: waiting,
-        utilization: busy,
-        loads_in_progress: loads,
-        memory_fraction: memory_part,
-    })
+    (f(), f(), f(), f(), f()).prop_map(
+        |(in_flight, queued, utilization, loads_in_progress, memory_fraction)| LoadReport {
+            in_flight,
+            queued,
+            utilization,
+            loads_in_progress,
+            memory_fraction,
+        },
+    )
 }
 
 fn event() -> impl Strategy<Value = Event<'static>> {
@@ -302,9 +304,18 @@
             any::<bool>()
         )
             .prop_map(
-                |(inv, trigger, lanes, cost_hint, copy_mb, client_gives_up_in, waited, repeat)| {
+                |(
+                    invocation,
+                    trigger,
+                    lanes,
+                    cost_hint,
+                    copy_mb,
+                    client_timeout_in,
+                    waited,
+                    repeat,
+                )| {
                     Event::Invocation(Arrival {
-                        invocation: inv,
+                        invocation,
                         trigger,
                         account: 3,
                         function: 4,
@@ -313,16 +324,16 @@
                         load_hint: None,
                         copy_mb,
                         lanes,
-                        client_timeout_in: client_gives_up_in,
+                        client_timeout_in,
                         waited,
                         repeat,
-                        preferred_worker: (inv % 3 == 0).then_some(lanes),
+                        preferred_worker: (invocation % 3 == 0).then_some(lanes),
                     })
                 }
             ),
-        n().prop_map(|inv| Event::ClientLeft { invocation: inv }),
-        (n(), n(), n()).prop_map(|(inv, dispatch, worker)| Event::AnswerStarted {
-            invocation: inv,
+        n().prop_map(|invocation| Event::ClientLeft { invocation }),
+        (n(), n(), n()).prop_map(|(invocation, dispatch, worker)| Event::AnswerStarted {
+            invocation,
             dispatch,
             worker
         }),
@@ -334,23 +345,26 @@
             prop::option::of(n()),
             report()
         )
-            .prop_map(|(inv, worker, took, concluded, crowd, report)| {
-                let (outcome, note) = (DispatchOutcome::NotLoaded, CopyStatus::LoadFailed);
-                Event::DispatchEnded(DispatchEnded {
-                    invocation: inv,
-                    dispatch: 1,
-                    worker,
-                    outcome,
-                    took,
-                    answered: concluded,
-                    copy_status: note,
-                    function_load: crowd,
-                    report,
-                })
-            }),
-        (n(), n(), t()).prop_map(|(worker, func, took)| Event::OrderEnded {
+            .prop_map(
+                |(invocation, worker, took, answered, function_load, report)| {
+                    let (outcome, copy_status) =
+                        (DispatchOutcome::NotLoaded, CopyStatus::LoadFailed);
+                    Event::DispatchEnded(DispatchEnded {
+                        invocation,
+                        dispatch: 1,
+                        worker,
+                        outcome,
+                        took,
+                        answered,
+                        copy_status,
+                        function_load,
+                        report,
+                    })
+                }
+            ),
+        (n(), n(), t()).prop_map(|(worker, function, took)| Event::OrderEnded {
             worker,
-            function: func,
+            function,
             result: LoadOrderResult::NoCapacity,
             took,
             copies: 2,
@@ -368,29 +382,31 @@
 fn action() -> impl Strategy<Value = Action> {
     let n = any::<u32>;
     prop_oneof![
-        (n(), n(), prop::option::of(any::<i64>())).prop_map(|(inv, worker, time_out)| {
+        (n(), n(), prop::option::of(any::<i64>())).prop_map(|(invocation, worker, timeout)| {
             Action::Dispatch {
-                invocation: inv,
+                invocation,
                 worker,
-                timeout: time_out,
+                timeout,
             }
         }),
-        (n(), n()).prop_map(|(inv, dispatch)| Action::Cancel {
-            invocation: inv,
+        (n(), n()).prop_map(|(invocation, dispatch)| Action::Cancel {
+            invocation,
             dispatch
         }),
-        (n(), prop::option::of(any::<i64>())).prop_map(|(inv, return_after)| Action::Reject {
-            invocation: inv,
-            retry_after: return_after
+        (n(), prop::option::of(any::<i64>())).prop_map(|(invocation, retry_after)| {
+            Action::Reject {
+                invocation,
+                retry_after,
+            }
         }),
-        (n(), n(), n()).prop_map(|(worker, func, copies)| Action::LoadOrder {
+        (n(), n(), n()).prop_map(|(worker, function, copies)| Action::LoadOrder {
             worker,
-            function: func,
+            function,
             copies
         }),
         (any::<u64>(), any::<i64>()).prop_map(|(token, after)| Action::Timer { token, after }),
-        any::<bool>().prop_map(|follow| Action::RequestEndpointList { watch: follow }),
-        n().prop_map(|func| Action::ReleaseFunction { function: func }),
+        any::<bool>().prop_map(|watch| Action::RequestEndpointList { watch }),
+        n().prop_map(|function| Action::ReleaseFunction { function }),
     ]
 }
 
--- a/crates/trace/tests/huge.rs
+++ b/crates/trace/tests/huge.rs
@@ -46,13 +46,13 @@
     fn new(records: u64, bytes: u64) -> Sparse {
         let mut g = BlockBuilder::default();
         for token in 0..records {
-            let happened = RecordedEvent::Other(Event::Timer {
+            let event = RecordedEvent::Other(Event::Timer {
                 token: token.wrapping_mul(0x9E37_79B9_7F4A_7C15),
             });
             g.record(
                 0,
                 &Record::Decided {
-                    event: happened,
+                    event,
                     actions: Vec::new(),
                 },
             );
--- a/crates/trace/tests/kept_bytes.rs
+++ b/crates/trace/tests/kept_bytes.rs
@@ -36,14 +36,10 @@
     let mut reader = Reader::open(Cursor::new(file)).expect("a trace");
     let mut all = Vec::new();
     while let Some(found) = reader.next().expect("read") {
-        let BlockRead::Block {
-            location: place,
-            records,
-        } = found
-        else {
+        let BlockRead::Block { location, records } = found else {
             panic!("a damaged block");
         };
-        all.extend(records.into_iter().map(|(at, r)| (place.source, at, r)));
+        all.extend(records.into_iter().map(|(at, r)| (location.source, at, r)));
     }
     (reader, all)
 }
@@ -82,14 +78,10 @@
     let lines = RECORDS.lines().zip(every_record::all());
     let mut decisions = 0;
     for (line, record) in lines {
-        if let Record::Decided {
-            event: happened,
-            actions,
-        } = record
-        {
+        if let Record::Decided { event, actions } = record {
             let mut put = Encoder::default();
-            record_codec::encode_decided(&mut put, &happened.event(), &actions);
-            assert_eq!(put.bytes, bytes(line), "{happened:?}, {actions:?}");
+            record_codec::encode_decided(&mut put, &event.event(), &actions);
+            assert_eq!(put.bytes, bytes(line), "{event:?}, {actions:?}");
             decisions += 1;
         }
     }
@@ -125,8 +117,8 @@
         3,
         9_000,
         Record::Answered {
-            invocation: inv,
-            outcome: fate,
+            invocation,
+            outcome,
             reason,
             took,
             ..
@@ -136,7 +128,7 @@
         panic!("{:?}", records.last());
     };
     assert_eq!(
-        (*inv, *fate, *reason, *took),
+        (*invocation, *outcome, *reason, *took),
         (
             Some(12),
             FinalOutcome::Errored,
--- a/crates/trace/tests/killed.rs
+++ b/crates/trace/tests/killed.rs
@@ -44,16 +44,10 @@
         for n in 0..100 {
             // Tokens in order, as the records' numbers; spread so that they do not pack to nothing.
             let token = block * 100 + n;
-            let happened = RecordedEvent::Other(Event::Timer { token });
+            let event = RecordedEvent::Other(Event::Timer { token });
             let after = (token.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 20) as i64;
             let actions = vec![cedarpulley::interface::Action::Timer { token, after }];
-            g.record(
-                now + n as i64,
-                &Record::Decided {
-                    event: happened,
-                    actions,
-                },
-            );
+            g.record(now + n as i64, &Record::Decided { event, actions });
         }
         notes
             .send(WriterMessage::Block(now, g.close()))
--- a/crates/trace/tests/rewriting.rs
+++ b/crates/trace/tests/rewriting.rs
@@ -52,14 +52,11 @@
     counter.begin_file(&r.sources);
     while let Some(found) = r.next().expect("read") {
         match found {
-            BlockRead::Block {
-                location: place,
-                records,
-            } => {
-                let source: &Source = &r.sources[place.source as usize];
+            BlockRead::Block { location, records } => {
+                let source: &Source = &r.sources[location.source as usize];
                 records
                     .iter()
-                    .for_each(|(at, x)| counter.record(place.source, source, *at, x));
+                    .for_each(|(at, x)| counter.record(location.source, source, *at, x));
             }
             BlockRead::Damaged { .. } => counter.damaged_block(),
         }
@@ -214,7 +211,7 @@
         let mut sheet = TraceFileWriter::begin(Vec::new(), &[start.into()]).expect("written");
         let mut g = BlockBuilder::default();
         for n in 0..9usize {
-            for (change, standing) in [
+            for (change, state) in [
                 EndpointState::InService,
                 EndpointState::Draining,
                 EndpointState::Gone,
@@ -228,19 +225,19 @@
                     zone: 0,
                     machine_kind: 0,
                     cell: 0,
-                    state: standing,
+                    state,
                     weight: 1.0,
                     started_at: None,
                 };
                 let at = (n * 3 + change) as Micros * 1000 * MS + late.get(n).copied().unwrap_or(0);
-                let happened = RecordedEvent::List {
+                let event = RecordedEvent::List {
                     kind: EndpointListKind::Changes,
                     endpoints: vec![entry],
                 };
                 g.record(
                     at,
                     &Record::Decided {
-                        event: happened,
+                        event,
                         actions: Vec::new(),
                     },
                 );
--- a/crates/trace/tests/ruled.rs
+++ b/crates/trace/tests/ruled.rs
@@ -50,9 +50,9 @@
     };
     let timer = Event::Timer { token: 1 };
     match *step {
-        Arrives(inv) => {
+        Arrives(invocation) => {
             let arrival = Arrival {
-                invocation: inv,
+                invocation,
                 trigger: 0,
                 account: 0,
                 function: 0,
@@ -67,40 +67,40 @@
                 preferred_worker: None,
             };
             let taken = Record::Accepted {
-                invocation: inv,
+                invocation,
                 front: 0,
-                correlation_hash: Some(u64::from(inv)),
+                correlation_hash: Some(u64::from(invocation)),
                 redelivered: false,
             };
             [vec![taken], decided(Event::Invocation(arrival), vec![])].concat()
         }
-        Dispatches(inv, worker) => decided(
+        Dispatches(invocation, worker) => decided(
             timer,
             vec![Action::Dispatch {
-                invocation: inv,
+                invocation,
                 worker,
                 timeout: None,
             }],
         ),
-        DispatchEnds(inv, dispatch, outcome) => {
-            let (took, note, report) = (MS, CopyStatus::Unreported, LoadReport::default());
+        DispatchEnds(invocation, dispatch, outcome) => {
+            let (took, copy_status, report) = (MS, CopyStatus::Unreported, LoadReport::default());
             let ending = DispatchEnded {
-                invocation: inv,
+                invocation,
                 dispatch,
                 worker: 0,
                 outcome,
                 took,
                 answered: false,
-                copy_status: note,
+                copy_status,
                 function_load: None,
                 report,
             };
             decided(Event::DispatchEnded(ending), vec![])
         }
-        Answered(inv, fate) => {
+        Answered(invocation, fate) => {
             let (reason, took) = (AnswerReason::GivenUp, MS);
             vec![Record::Answered {
-                invocation: Some(inv),
+                invocation: Some(invocation),
                 front: 0,
                 outcome: fate,
                 reason,
@@ -109,7 +109,7 @@
                 took,
             }]
         }
-        ClientLeaves(inv) => decided(Event::ClientLeft { invocation: inv }, vec![]),
+        ClientLeaves(invocation) => decided(Event::ClientLeft { invocation }, vec![]),
         WorkerDrains(worker) => {
             let entry = Endpoint {
                 worker,
--- a/crates/usage-metering/tests/metering.rs
+++ b/crates/usage-metering/tests/metering.rs
@@ -19,22 +19,22 @@
 
 fn ended(
     outcome: DispatchOutcome,
-    note: CopyStatus,
-    held: Option<MemoryTotals>,
+    copy_status: CopyStatus,
+    totals: Option<MemoryTotals>,
 ) -> DispatchUsage<'static> {
     let (worker, account, function) = (1, "amber", "f");
-    let wall = 5 * MICROS_PER_HOUR + 1;
+    let ended_at = 5 * MICROS_PER_HOUR + 1;
     DispatchUsage {
-        ended_at: wall,
+        ended_at,
         worker,
         account,
         function,
         outcome,
-        copy_status: note,
+        copy_status,
         took: 50,
         copy_bytes: 100,
         lanes: 2,
-        totals: held,
+        totals,
     }
 }
 
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_load_is_charged_once_to_who_caused_it() {
-    let load = |never_began, held| {
+    let load = |not_started, totals| {
         let (worker, account, function) = (1, "birch", "f");
         let load = LoadUsage {
             ended_at: 1,
@@ -131,17 +131,17 @@
             function,
             took: 9,
             copy_bytes: 10,
-            not_started: never_began,
-            totals: held,
+            not_started,
+            totals,
         };
         kinds(|m| m.record_load(load))
     };
-    let held = MemoryTotals {
+    let totals = MemoryTotals {
         incarnation: 9,
         loading: 80,
         ..MemoryTotals::default()
     };
-    assert_eq!(load(true, Some(held)), [(UsageKind::Loading, 80)]);
+    assert_eq!(load(true, Some(totals)), [(UsageKind::Loading, 80)]);
     assert_eq!(load(true, None), []);
     assert_eq!(load(false, None), [(UsageKind::Uncertain, 90)]);
 }
@@ -203,12 +203,12 @@
 #[test]
 fn uncertain_usage_is_settled_by_the_same_incarnation_only() {
     let silent = ended(DispatchOutcome::TimedOut, CopyStatus::Unreported, None);
-    let heard = |life| {
+    let heard = |incarnation| {
         ended(
             DispatchOutcome::Succeeded,
             CopyStatus::Warm,
             Some(MemoryTotals {
-                incarnation: life,
+                incarnation,
                 ..HELD
             }),
         )
--- a/tests/decisions/script.rs
+++ b/tests/decisions/script.rs
@@ -115,7 +115,7 @@
     )
 }
 
-pub fn entry(worker: WorkerIndex, state: EndpointState, started: Option<Micros>) -> Endpoint {
+pub fn entry(worker: WorkerIndex, state: EndpointState, started_at: Option<Micros>) -> Endpoint {
     let fingerprint = 0x9e37_79b9_u64.wrapping_mul(u64::from(worker) + 1);
     let zone = worker % 2;
     Endpoint {
@@ -126,7 +126,7 @@
         cell: worker / 2,
         state,
         weight: 1.0,
-        started_at: started,
+        started_at,
     }
 }
 
@@ -203,8 +203,8 @@
         script
     }
 
-    pub fn list(&mut self, mode: EndpointListKind, entries: &[Endpoint]) -> Vec<Action> {
-        for e in entries {
+    pub fn list(&mut self, kind: EndpointListKind, endpoints: &[Endpoint]) -> Vec<Action> {
+        for e in endpoints {
             match e.state {
                 EndpointState::InService => {
                     self.drained_at.remove(&e.worker);
@@ -218,10 +218,7 @@
                 }
             }
         }
-        self.tell(&Event::EndpointList {
-            kind: mode,
-            endpoints: entries,
-        })
+        self.tell(&Event::EndpointList { kind, endpoints })
     }
 
     pub fn arrive(
@@ -300,7 +297,7 @@
         invocation: InvocationIndex,
         dispatch: u32,
         outcome: DispatchOutcome,
-        note: CopyStatus,
+        copy_status: CopyStatus,
     ) -> Vec<Action> {
         let record = &mut self.records[invocation as usize];
         let sent = &mut record.sent[dispatch as usize];
@@ -318,7 +315,7 @@
             outcome,
             took,
             answered: record.answered,
-            copy_status: note,
+            copy_status,
             function_load: None,
             report: LoadReport::default(),
         };
