--- /dev/null
+++ b/crates/upgrade/src/cluster_state.rs
@@ -0,0 +1,160 @@
+//! Members and workers as this router observes them ([`ClusterState`]), and a snapshot of them at one time
+//! ([`ClusterView`]).
+
+use cedarpulley::interface::Micros;
+use cedarpulley_membership::MemberIndex;
+
+use crate::Name;
+use crate::observed_state::WorkerSeen;
+use crate::settings::Terms;
+
+#[derive(Clone, Debug)]
+struct Member {
+    is_alive: bool,
+    /// When `is_alive` changed last, or the member became known.
+    changed_at: Micros,
+    region: Name,
+}
+
+/// The members of the group and all known workers.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ClusterState {
+    own_index: MemberIndex,
+    members: Vec<Member>,
+    workers: Vec<WorkerSeen>,
+}
+
+impl ClusterState {
+    pub fn set_members(
+        &mut self,
+        now: Micros,
+        own_index: MemberIndex,
+        alive: Vec<bool>,
+        regions: Vec<Name>,
+    ) {
+        let mut regions = regions.into_iter();
+        let member = |(index, is_alive): (usize, bool)| {
+            let known = self.members.get(index);
+            let unchanged = known.filter(|member| member.is_alive == is_alive);
+            Member {
+                is_alive,
+                changed_at: unchanged.map_or(now, |member| member.changed_at),
+                region: regions.next().unwrap_or_default(),
+            }
+        };
+        let members = alive.into_iter().enumerate().map(member).collect();
+        self.own_index = own_index;
+        self.members = members;
+    }
+
+    pub fn set_workers(&mut self, workers: Vec<WorkerSeen>) {
+        self.workers = workers;
+    }
+
+    /// The lowest member believed alive leads.
+    pub fn should_lead(&self) -> bool {
+        let lowest = self.members.iter().position(|member| member.is_alive);
+        lowest == Some(usize::from(self.own_index))
+    }
+
+    pub fn own_region(&self) -> Option<&Name> {
+        let member = self.members.get(usize::from(self.own_index))?;
+        Some(&member.region)
+    }
+
+    pub fn view<'a>(&'a self, now: Micros, settings: &'a Terms) -> ClusterView<'a> {
+        ClusterView {
+            now,
+            settings,
+            members: &self.members,
+            workers: &self.workers,
+        }
+    }
+}
+
+/// A snapshot of the cluster at one time.
+pub(crate) struct ClusterView<'a> {
+    pub now: Micros,
+    pub settings: &'a Terms,
+    members: &'a [Member],
+    workers: &'a [WorkerSeen],
+}
+
+impl ClusterView<'_> {
+    pub fn workers(&self) -> &[WorkerSeen] {
+        self.workers
+    }
+
+    pub fn workers_in<'a>(&'a self, region: &'a str) -> impl Iterator<Item = &'a WorkerSeen> {
+        let in_region = move |worker: &&WorkerSeen| *worker.region == *region;
+        self.workers.iter().filter(in_region)
+    }
+
+    /// The regions of all workers, sorted.
+    pub fn region_names(&self) -> Vec<Name> {
+        let regions = self.workers.iter().map(|worker| worker.region.clone());
+        let mut names: Vec<Name> = regions.collect();
+        names.sort();
+        names.dedup();
+        names
+    }
+
+    /// The observation of this worker is recent enough to rely on.
+    pub fn is_fresh(&self, worker: &WorkerSeen) -> bool {
+        self.now.saturating_sub(worker.seen_at) <= self.settings.observation_lifetime
+    }
+
+    pub fn all_fresh_in(&self, region: &str) -> bool {
+        self.workers_in(region).all(|worker| self.is_fresh(worker))
+    }
+
+    pub fn member_count(&self) -> usize {
+        self.members.len()
+    }
+
+    pub fn members_in<'a>(&'a self, region: &'a str) -> impl Iterator<Item = usize> + 'a {
+        (0..self.members.len()).filter(move |index| *self.members[*index].region == *region)
+    }
+
+    /// The member has been away for so long that it routes nothing any more.
+    pub fn is_gone(&self, member: usize) -> bool {
+        self.members.get(member).is_some_and(|member| {
+            !member.is_alive && self.now - member.changed_at >= self.settings.gone_after
+        })
+    }
+
+    /// The region has routers, and none of them is believed alive.
+    pub fn is_unreachable(&self, region: &str) -> bool {
+        let mut members = self.members_in(region).peekable();
+        members.peek().is_some() && members.all(|index| !self.members[index].is_alive)
+    }
+
+    /// Memory of one copy of `function`: as observed, else as ordered (0: not given), else as observed of `similar`; 0 if
+    /// unknown.
+    pub fn copy_mb(&self, function: &Name, ordered_mb: u32, similar: &Name) -> u32 {
+        let observed = |function: &Name| {
+            let copies = self.workers.iter();
+            let copies = copies.filter_map(|worker| worker.warm_copies_of(function));
+            let largest = copies.map(|held| held.copy_mb).max();
+            largest.filter(|mb| *mb > 0)
+        };
+        let ordered = Some(ordered_mb).filter(|mb| *mb > 0);
+        observed(function)
+            .or(ordered)
+            .or_else(|| observed(similar))
+            .unwrap_or(0)
+    }
+
+    /// Lanes of one copy of `function`: as observed, else as observed of `similar`; at least 1.
+    pub fn lanes_per_copy(&self, function: &Name, similar: &Name) -> u32 {
+        let observed = |function: &Name| {
+            let copies = self.workers.iter();
+            let copies = copies.filter_map(|worker| worker.warm_copies_of(function));
+            copies.map(|held| held.lanes / held.copies).max()
+        };
+        observed(function)
+            .or_else(|| observed(similar))
+            .unwrap_or(1)
+            .max(1)
+    }
+}
--- /dev/null
+++ b/crates/upgrade/src/leadership.rs
@@ -0,0 +1,218 @@
+//! Which member leads the upgrade of one model, and for how long it may act.
+//!
+//! Mechanisms:
+//! 1. The lowest member believed alive leads, by a ballot that a majority has promised; an earlier leader is overtaken.
+//! 2. A step is proposed to the majority first, and acted upon once it is agreed.
+//! 3. A leader acts for a lease from when its last agreed step was proposed. A new leader waits for the earlier one's
+//!    lease and last requests to pass, so that no two act at once.
+
+use cedarpulley::interface::Micros;
+
+use crate::Name;
+use crate::events::Output;
+use crate::plan::{Ballot, Plan, plan_key};
+use crate::rollout::Step;
+use crate::settings::Terms;
+
+/// A clock may run faster or slower than another by one part in so many of a lease: far more than any does.
+const CLOCK_DRIFT_DIVISOR: Micros = 10;
+
+#[derive(Clone, Debug)]
+enum Role {
+    /// Leadership may be requested from `retry_at` on.
+    Follower {
+        retry_at: Micros,
+    },
+    /// A majority was asked for leadership.
+    Candidate {
+        since: Micros,
+    },
+    Leader(Box<Term>),
+}
+
+/// The last term in which this member led.
+#[derive(Clone, Copy, Debug)]
+struct LastTerm {
+    ballot: Ballot,
+    may_act_from: Micros,
+}
+
+/// The role of this member in the upgrade of one model.
+#[derive(Clone, Debug)]
+pub(crate) struct Leadership {
+    role: Role,
+    last_term: Option<LastTerm>,
+}
+
+/// A term in which this member leads.
+#[derive(Clone, Debug)]
+pub(crate) struct Term {
+    ballot: Ballot,
+    /// Before, an earlier leader may still act.
+    may_act_from: Micros,
+    /// The last step that a majority agreed on.
+    agreed: Option<Plan>,
+    /// When the last step agreed in this term was proposed.
+    confirmed_at: Option<Micros>,
+    proposal: Option<Proposal>,
+}
+
+#[derive(Clone, Debug)]
+struct Proposal {
+    since: Micros,
+    step: Step,
+}
+
+impl Leadership {
+    pub fn new(now: Micros) -> Leadership {
+        Leadership {
+            role: Role::Follower { retry_at: now },
+            last_term: None,
+        }
+    }
+
+    pub fn is_follower(&self) -> bool {
+        matches!(self.role, Role::Follower { .. })
+    }
+
+    pub fn is_leader(&self) -> bool {
+        matches!(self.role, Role::Leader(_))
+    }
+
+    pub fn is_candidate(&self) -> bool {
+        matches!(self.role, Role::Candidate { .. })
+    }
+
+    pub fn step_down(&mut self, retry_at: Micros) {
+        self.role = Role::Follower { retry_at };
+    }
+
+    /// Another member leads, or the majority cannot be reached: back off for a part of a lease.
+    pub fn back_off(&mut self, now: Micros, settings: &Terms) {
+        self.step_down(now.saturating_add(settings.lease / 2));
+    }
+
+    /// Steps down where overtaken or without an answer for too long; true where leadership has to be requested now.
+    /// `known_ballot`: of the latest plan known here.
+    pub fn update(
+        &mut self,
+        now: Micros,
+        known_ballot: Ballot,
+        has_work: bool,
+        settings: &Terms,
+    ) -> bool {
+        if matches!(&self.role, Role::Leader(term) if known_ballot > term.ballot) {
+            self.back_off(now, settings);
+        }
+        let timed_out = |since: Micros| now - since > settings.majority_timeout;
+        match &self.role {
+            Role::Follower { retry_at } if now >= *retry_at && has_work => {
+                self.role = Role::Candidate { since: now };
+                return true;
+            }
+            Role::Candidate { since } if timed_out(*since) => self.step_down(now),
+            Role::Leader(term) if term.proposal.as_ref().is_some_and(|p| timed_out(p.since)) => {
+                self.step_down(now);
+            }
+            _ => {}
+        }
+        false
+    }
+
+    /// A majority granted leadership; the time from which this member may act. Symptom without the wait: two leaders each
+    /// unload one copy, and together they undercut the floor.
+    pub fn granted(
+        &mut self,
+        now: Micros,
+        ballot: Ballot,
+        agreed: Option<Plan>,
+        settings: &Terms,
+    ) -> Micros {
+        let wait =
+            settings.lease + settings.lease / CLOCK_DRIFT_DIVISOR + settings.order_delivery_timeout;
+        // If no step of another member was agreed since this member's own, no other may act.
+        let own_term = self.last_term.filter(|term| {
+            agreed
+                .as_ref()
+                .is_some_and(|plan| plan.proposed_by == term.ballot)
+        });
+        let may_act_from = match (&agreed, own_term) {
+            (Some(plan), None) if !plan.phase.is_over() => now + wait,
+            (_, own_term) => own_term.map_or(now, |term| term.may_act_from),
+        };
+        self.last_term = Some(LastTerm {
+            ballot,
+            may_act_from,
+        });
+        self.role = Role::Leader(Box::new(Term {
+            ballot,
+            may_act_from,
+            agreed,
+            confirmed_at: None,
+            proposal: None,
+        }));
+        now.max(may_act_from)
+    }
+
+    /// A majority agreed on what was proposed with this ballot; the step, if it is one of the current term.
+    pub fn agreed(&mut self, ballot: Ballot) -> Option<Step> {
+        let Role::Leader(term) = &mut self.role else {
+            return None;
+        };
+        if ballot != term.ballot {
+            return None;
+        }
+        let Proposal { since, step } = term.proposal.take()?;
+        term.confirmed_at = Some(since);
+        term.agreed = Some(step.plan.clone());
+        Some(step)
+    }
+
+    /// The current term, while this member leads.
+    pub fn term_mut(&mut self) -> Option<&mut Term> {
+        match &mut self.role {
+            Role::Leader(term) => Some(term),
+            _ => None,
+        }
+    }
+}
+
+impl Term {
+    pub fn ballot(&self) -> Ballot {
+        self.ballot
+    }
+
+    pub fn agreed_plan(&self) -> Option<Plan> {
+        self.agreed.clone()
+    }
+
+    pub fn has_proposal(&self) -> bool {
+        self.proposal.is_some()
+    }
+
+    /// A step was agreed in this term.
+    pub fn is_confirmed(&self) -> bool {
+        self.confirmed_at.is_some()
+    }
+
+    pub fn may_act(&self, now: Micros) -> bool {
+        now >= self.may_act_from
+    }
+
+    /// What is left of the lease; 0 or less once it has run out.
+    pub fn lease_left(&self, now: Micros, settings: &Terms) -> Micros {
+        self.confirmed_at
+            .map_or(0, |at| at.saturating_add(settings.lease) - now)
+    }
+
+    /// Proposes a step to the majority.
+    pub fn propose(&mut self, now: Micros, model: &Name, mut step: Step, out: &mut Vec<Output>) {
+        step.plan.proposed_by = self.ballot;
+        out.push(Output::Write {
+            key: plan_key(model),
+            ballot: self.ballot,
+            value: step.plan.encode(),
+        });
+        self.proposal = Some(Proposal { since: now, step });
+    }
+}
--- a/crates/upgrade/src/lib.rs
+++ b/crates/upgrade/src/lib.rs
@@ -1,35 +1,51 @@
-//! Rolling upgrades of a model, region after region, while sessions under way stay where their prefix is warm. Free of
-//! I/O: what is seen and the time go in, orders and steps to be agreed come out. Begin reading at
-//! [`Planner::handle`] in `planner.rs`; why it is so is in docs/design/upgrade.md.
+//! Rolling upgrades of a model, region after region, while active sessions stay on the workers whose prefix cache is
+//! warm.
 //!
-//! * [`orders`]: what an operator wants, and which of it is refused.
-//! * [`plan`]: the steps of one upgrade as a majority agrees on them, and where what begins goes by each.
-//! * [`seen`]: workers and their copies, as far as they are known here, and what is under way there.
-//! * [`health`]: the new version against the old one, paired by trigger type.
-//! * [`sessions`]: which version a session is of, and where it is warm.
-//! * `loads`: what was ordered and is not yet seen, and how much is loaded at once.
-//! * `acting`: the next step, and what is loaded and unloaded by the last one.
-//! * [`planner`]: who leads, how long it may act, what routers and operators ask.
+//! The crate does no I/O. Observations and the time go into [`Planner::handle`]; load and unload requests and steps that a
+//! majority has to agree on come out. Start reading at [`planner`]; the design and its reasons are in
+//! docs/design/upgrade.md.
 //!
-//! What it must never do: act on a step that no majority holds, take warm lanes of a region below its floor, or have a
-//! copy unloaded that sessions use before the operator's limit.
+//! | module | job |
+//! | --- | --- |
+//! | [`planner`] | the entry point of a router: passes events on, answers routing questions |
+//! | [`events`], [`settings`], [`status`] | inputs and outputs; intervals and limits; what an operator can read |
+//! | [`orders`] | what an operator wants, and which orders are rejected |
+//! | [`plan`] | the replicated state of one upgrade, and which version a request is routed to by it |
+//! | `model_upgrade`, `leadership` | one model: its latest plan; which member leads, for how long it may act |
+//! | `cluster_state` | members and workers as this router observes them |
+//! | [`observed_state`] | the copies of one worker, as last reported |
+//! | `rollout` | what a leader does: the next step of the plan, and the copies it loads, renews and unloads |
+//! | [`version_comparison`] | the new version against the old one, paired by trigger type |
+//! | [`sessions`] | which version a session is bound to, and which worker has it warm |
+//!
+//! Three rules hold throughout: nobody acts on a step that no majority holds; the warm lanes of a region are never taken
+//! below its floor; no copy that sessions use is unloaded before the operator's drain limit.
+#![warn(missing_docs)]
 
-mod acting;
-pub mod health;
-mod loads;
+mod cluster_state;
+pub mod events;
+mod leadership;
+mod model_upgrade;
+pub mod observed_state;
 pub mod orders;
 pub mod plan;
 pub mod planner;
-pub mod seen;
+mod rollout;
 pub mod sessions;
+pub mod settings;
+pub mod status;
+pub mod version_comparison;
 
 use std::sync::Arc;
 
-/// Of a model, a function, a worker or a region.
+/// The name of a model, a version, a function, a worker or a region.
 pub type Name = Arc<str>;
 
-pub use health::Count;
-pub use orders::{Asked, Order, Unfit};
-pub use plan::{Ballot, GoesBy, Phase, Plan, Region, Stage, function, key, model_of};
-pub use planner::{Claim, Input, Outcome, Output, Planner, Shown, ShownRegion, Terms, Way};
-pub use seen::{Held, WorkerSeen};
+pub use events::{Input, Outcome, Output};
+pub use observed_state::{Held, WorkerSeen};
+pub use orders::{Asked, Order, OrderError};
+pub use plan::{Ballot, GoesBy, Phase, Plan, Region, Stage, function, model_of, plan_key};
+pub use planner::{Claim, Planner, RouteChoice};
+pub use settings::Terms;
+pub use status::{PlanStatus, RegionStatus};
+pub use version_comparison::Count;
--- /dev/null
+++ b/crates/upgrade/src/observed_state.rs
@@ -0,0 +1,71 @@
+//! Workers and their copies, as last reported. A stale observation counts neither as capacity nor as proof that a copy is
+//! gone.
+
+use cedarpulley::interface::Micros;
+
+use crate::Name;
+
+/// What a worker was last known to hold.
+#[derive(Clone, Debug, PartialEq)]
+pub struct WorkerSeen {
+    /// Its name.
+    pub name: Name,
+    /// Its region.
+    pub region: Name,
+    /// It is on the endpoint list and accepts copies and invocations.
+    pub takes_new: bool,
+    /// The earliest time at which this observation was true, by this router's clock: when the worker was polled.
+    pub seen_at: Micros,
+    /// Memory for copies; 0: unknown.
+    pub memory_mb: u32,
+    /// Memory that copies use.
+    pub used_mb: u32,
+    /// Its copies, by function.
+    pub holds: Vec<Held>,
+}
+
+/// The copies of one function on a worker.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Held {
+    /// The function.
+    pub function: Name,
+    /// Warm copies.
+    pub copies: u32,
+    /// Lanes of all these copies together.
+    pub lanes: u32,
+    /// Lanes in use.
+    pub busy: u32,
+    /// A copy is being loaded.
+    pub loading: bool,
+    /// Active sessions whose prefix is cached here.
+    pub sessions: u32,
+    /// Memory of one copy; 0: unknown.
+    pub copy_mb: u32,
+}
+
+impl WorkerSeen {
+    /// The copies of a function, warm or loading.
+    pub(crate) fn copies_of(&self, function: &str) -> Option<&Held> {
+        self.holds.iter().find(|held| *held.function == *function)
+    }
+
+    /// The copies of a function if any is warm.
+    pub(crate) fn warm_copies_of(&self, function: &str) -> Option<&Held> {
+        self.copies_of(function).filter(|held| held.copies > 0)
+    }
+
+    /// Whether a copy of any function is being loaded.
+    pub(crate) fn is_loading(&self) -> bool {
+        self.holds.iter().any(|held| held.loading)
+    }
+
+    /// Whether a copy of this size fits; true where the worker's memory is unknown.
+    pub(crate) fn has_memory_for(&self, mb: u32) -> bool {
+        self.memory_mb == 0 || self.free_mb() >= mb
+    }
+
+    /// Memory that no copy uses.
+    pub(crate) fn free_mb(&self) -> u32 {
+        self.memory_mb.saturating_sub(self.used_mb)
+    }
+}
--- a/crates/upgrade/src/orders.rs
+++ b/crates/upgrade/src/orders.rs
@@ -1,5 +1,5 @@
-//! What an operator wants: an [`Asked`] is a line of the file as it is written, an [`Order`] is one that can be carried
-//! out. Called with [`Order::try_from`].
+//! What an operator wants: an [`Asked`] is a line of the file as written, an [`Order`] is one that can be carried out
+//! ([`Order::try_from`]).
 
 use cedarpulley::interface::Micros;
 use cedarpulley_errors::Remedy;
@@ -7,173 +7,200 @@
 
 use crate::Name;
 
-/// A plan keeps one line for each; an operator has a few dozen models under way at most.
+/// Most orders in a file: an operator has a few dozen models under way at most.
 pub const MOST_ORDERS: usize = 256;
-/// Names stand in records that all members keep.
-pub const MOST_NAME: usize = 200;
-/// More than a worker each in any region is no canary any more.
-pub const MOST_CANARIES: u32 = 64;
-/// A day: sessions that last longer are not waited for.
+/// Longest name, in bytes: names stand in records that all members store.
+pub const MAX_NAME_BYTES: usize = 200;
+/// Most canaries: more than a worker each in any region is no canary any more.
+pub const MAX_CANARIES: u32 = 64;
+/// Longest drain limit, a day: sessions that last longer are not waited for.
 pub const MOST_DRAIN_MS: u64 = 86_400_000;
-const MS: Micros = 1_000;
+const MICROS_PER_MS: Micros = 1_000;
 
 /// One order as the file has it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Asked {
+    /// The model.
     pub model: String,
-    /// Empty: the copies without a version.
+    /// The old version. Empty: the copies without a version.
     #[serde(default)]
     pub from: String,
+    /// The new version.
     pub to: String,
     /// Grows with each order for the model: what was carried out once is not begun again.
     pub serial: u64,
-    #[serde(default = "one")]
+    /// Copies of the new version to compare with the old one.
+    #[serde(default = "default_canary")]
     pub canary: u32,
-    /// Of what begins in the first region, while there are canaries only.
-    #[serde(default = "some")]
+    /// Share of new work in the first region for the canaries, from 0 to 1.
+    #[serde(default = "default_canary_part")]
     pub canary_part: f64,
-    /// Of the warm lanes at the beginning, in each region, at every moment.
-    #[serde(default = "most")]
+    /// Share of the warm lanes at the beginning that stays available in each region at every moment, from 0 to 1.
+    #[serde(default = "default_floor")]
     pub floor: f64,
+    /// How long sessions of the outgoing version are waited for, in milliseconds.
     pub drain_limit_ms: u64,
-    /// Memory of a copy of the new version; 0: as the old one's.
+    /// Memory of a copy of the new version; 0: the same as the old one's.
     #[serde(default)]
     pub copy_mb: u32,
-    /// Taken back: what has been done of it is undone.
+    /// Taken back: what has been done of it is rolled back.
     #[serde(default)]
     pub withdrawn: bool,
 }
 
-fn one() -> u32 {
+fn default_canary() -> u32 {
     1
 }
 
-fn some() -> f64 {
+fn default_canary_part() -> f64 {
     0.05
 }
 
-fn most() -> f64 {
+fn default_floor() -> f64 {
     0.8
 }
 
+/// One order that can be carried out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
+    /// The model.
     pub model: Name,
+    /// The old version; empty: the copies without a version.
     pub from: Name,
+    /// The new version.
     pub to: Name,
+    /// Grows with each order for the model.
     pub serial: u64,
+    /// Copies of the new version to compare with the old one.
     pub canary: u32,
-    /// In thousandths.
+    /// Share of new work in the first region for the canaries, in thousandths.
     pub canary_part: u16,
-    /// In thousandths.
+    /// Share of the warm lanes at the beginning that stays available, in thousandths.
     pub floor: u16,
+    /// How long sessions of the outgoing version are waited for.
     pub drain_limit: Micros,
+    /// Memory of a copy of the new version; 0: the same as the old one's.
     pub copy_mb: u32,
+    /// Taken back: what has been done of it is rolled back.
     pub withdrawn: bool,
 }
 
+/// Why an order is rejected; each with the order's serial.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum OrderError {
+    /// The model's name.
     #[error("order {0}: the model has no name, or one that is too long")]
-    Model(u64),
+    ModelName(u64),
+    /// A version's name.
     #[error("order {0}: a version is empty, has a slash in it or is too long")]
-    Version(u64),
+    VersionName(u64),
+    /// Nothing to upgrade.
     #[error("order {0}: the new version is the old one")]
-    Same(u64),
+    SameVersion(u64),
+    /// The number of canaries.
     #[error("order {0}: its canaries are none or too many")]
-    Canary(u64),
+    CanaryCount(u64),
+    /// A share that is not from 0 to 1.
     #[error("order {0}: canary_part or floor is not within 0 and 1")]
-    Part(u64),
+    Share(u64),
+    /// The drain limit.
     #[error("order {0}: the drain limit is longer than a day")]
-    Drain(u64),
+    DrainLimit(u64),
+    /// Too many orders in the file.
     #[error("there are more orders than {MOST_ORDERS}")]
-    Many,
+    TooManyOrders,
+    /// Two orders for this model with this serial.
     #[error("two orders for model '{0}' have the serial {1}")]
-    Twice(String, u64),
+    DuplicateSerial(String, u64),
 }
 
-impl Remedy for Unfit {
+impl Remedy for OrderError {
     fn remedy(&self) -> &'static str {
         match self {
-            Unfit::Model(_) => "name the model as its callers do, in at most 200 bytes",
-            Unfit::Version(_) => {
+            OrderError::ModelName(_) => "name the model as its callers do, in at most 200 bytes",
+            OrderError::VersionName(_) => {
                 "name the version as it stands behind /versions/; only `from` may be empty"
             }
-            Unfit::Same(_) => "set `to` to the version that is to come",
-            Unfit::Canary(_) => "set `canary` from 1 to 64",
-            Unfit::Part(_) => "set `canary_part` and `floor` between 0 and 1",
-            Unfit::Drain(_) => "set `drain_limit_ms` to at most 86400000",
-            Unfit::Many => "take orders that are carried out from the file",
-            Unfit::Twice(..) => "give the later order the higher serial",
+            OrderError::SameVersion(_) => "set `to` to the version that is to come",
+            OrderError::CanaryCount(_) => "set `canary` from 1 to 64",
+            OrderError::Share(_) => "set `canary_part` and `floor` between 0 and 1",
+            OrderError::DrainLimit(_) => "set `drain_limit_ms` to at most 86400000",
+            OrderError::TooManyOrders => "take orders that are carried out from the file",
+            OrderError::DuplicateSerial(..) => "give the later order the higher serial",
         }
     }
 }
 
-fn named(name: &str) -> bool {
-    !name.is_empty() && name.len() <= MOST_NAME && !name.contains('\n')
+fn is_valid_name(name: &str) -> bool {
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.contains('\n')
 }
 
-fn thousandths(part: f64) -> Option<u16> {
+fn is_valid_version(version: &str) -> bool {
+    is_valid_name(version) && !version.contains('/')
+}
+
+fn thousandths(share: f64) -> Option<u16> {
     (0.0..=1.0)
-        .contains(&part)
-        .then(|| (part * 1000.0).round() as u16)
+        .contains(&share)
+        .then(|| (share * 1000.0).round() as u16)
 }
 
 impl TryFrom<Asked> for Order {
-    type Error = Unfit;
+    type Error = OrderError;
 
-    fn try_from(a: Asked) -> Result<Order, Unfit> {
-        let version = |v: &str| named(v) && !v.contains('/');
-        if !named(&a.model) {
-            return Err(Unfit::Model(a.serial));
+    fn try_from(line: Asked) -> Result<Order, OrderError> {
+        if !is_valid_name(&line.model) {
+            return Err(OrderError::ModelName(line.serial));
         }
-        if !version(&a.to) || !(a.from.is_empty() || version(&a.from)) {
-            return Err(Unfit::Version(a.serial));
+        if !is_valid_version(&line.to) || !(line.from.is_empty() || is_valid_version(&line.from)) {
+            return Err(OrderError::VersionName(line.serial));
         }
-        if a.from == a.to {
-            return Err(Unfit::Same(a.serial));
+        if line.from == line.to {
+            return Err(OrderError::SameVersion(line.serial));
         }
-        if a.canary == 0 || a.canary > MOST_CANARIES {
-            return Err(Unfit::Canary(a.serial));
+        if line.canary == 0 || line.canary > MAX_CANARIES {
+            return Err(OrderError::CanaryCount(line.serial));
         }
-        if a.drain_limit_ms > MOST_DRAIN_MS {
-            return Err(Unfit::Drain(a.serial));
+        if line.drain_limit_ms > MOST_DRAIN_MS {
+            return Err(OrderError::DrainLimit(line.serial));
         }
-        let (Some(canary_part), Some(floor)) = (thousandths(a.canary_part), thousandths(a.floor))
+        let (Some(canary_part), Some(floor)) =
+            (thousandths(line.canary_part), thousandths(line.floor))
         else {
-            return Err(Unfit::Part(a.serial));
+            return Err(OrderError::Share(line.serial));
         };
         Ok(Order {
-            model: a.model.into(),
-            from: a.from.into(),
-            to: a.to.into(),
-            serial: a.serial,
-            canary: a.canary,
+            model: line.model.into(),
+            from: line.from.into(),
+            to: line.to.into(),
+            serial: line.serial,
+            canary: line.canary,
             canary_part,
             floor,
-            drain_limit: a.drain_limit_ms as Micros * MS,
-            copy_mb: a.copy_mb,
-            withdrawn: a.withdrawn,
+            drain_limit: line.drain_limit_ms as Micros * MICROS_PER_MS,
+            copy_mb: line.copy_mb,
+            withdrawn: line.withdrawn,
         })
     }
 }
 
-/// All orders of a file, or what is wrong with the first one that is unfit.
-pub fn all(asked: Vec<Asked>) -> Result<Vec<Order>, Unfit> {
-    if asked.len() > MOST_ORDERS {
-        return Err(Unfit::Many);
+/// All orders of a file, or the error of the first one that is rejected.
+pub fn all(lines: Vec<Asked>) -> Result<Vec<Order>, OrderError> {
+    if lines.len() > MOST_ORDERS {
+        return Err(OrderError::TooManyOrders);
     }
-    let orders: Vec<Order> = asked
+    let orders: Vec<Order> = lines
         .into_iter()
         .map(Order::try_from)
         .collect::<Result<_, _>>()?;
-    for (at, o) in orders.iter().enumerate() {
-        if orders[..at]
-            .iter()
-            .any(|e| e.model == o.model && e.serial == o.serial)
-        {
-            return Err(Unfit::Twice(o.model.to_string(), o.serial));
+    for (index, order) in orders.iter().enumerate() {
+        let is_same = |other: &Order| other.model == order.model && other.serial == order.serial;
+        if orders[..index].iter().any(is_same) {
+            return Err(OrderError::DuplicateSerial(
+                order.model.to_string(),
+                order.serial,
+            ));
         }
     }
     Ok(orders)
--- /dev/null
+++ b/crates/upgrade/src/rollout/router_progress.rs
@@ -0,0 +1,63 @@
+//! By which step each router of the group routes.
+
+use std::collections::BTreeMap;
+
+use cedarpulley_membership::MemberIndex;
+
+use super::RolloutContext;
+use super::wait_reason::WaitReason;
+use crate::plan::{GoesBy, Region};
+
+/// The routing rule that each member reported last.
+#[derive(Clone, Debug, Default)]
+pub(super) struct RouterProgress {
+    rules: BTreeMap<MemberIndex, GoesBy>,
+}
+
+impl RouterProgress {
+    pub fn record(&mut self, member: MemberIndex, rule: GoesBy) {
+        self.rules.insert(member, rule);
+    }
+
+    /// The member routes by this rule or a later one.
+    fn has_reached(&self, member: usize, rule: GoesBy) -> bool {
+        self.rules
+            .get(&(member as MemberIndex))
+            .is_some_and(|known| *known >= rule)
+    }
+}
+
+impl RolloutContext<'_> {
+    /// All routers of the region route by a step of this leader that has the last change of routing there. A member that
+    /// is away for long routes nothing any more.
+    pub(super) fn routers_follow(&self, region: &Region, wait: &mut WaitReason) -> bool {
+        let wanted = GoesBy {
+            ballot: self.ballot,
+            step: region.routing_step,
+        };
+        let behind = self.view.members_in(&region.name).find(|member| {
+            !self.routers.has_reached(*member, wanted) && !self.view.is_gone(*member)
+        });
+        if let Some(member) = behind {
+            wait.note(format!(
+                "{}: member {member} goes by an earlier step",
+                region.name
+            ));
+        }
+        behind.is_none()
+    }
+
+    /// Every router of the group routes by this step of this leader or a later one.
+    pub(super) fn all_routers_follow(&self, step: u64, wait: &mut WaitReason) -> bool {
+        let wanted = GoesBy {
+            ballot: self.ballot,
+            step,
+        };
+        let behind =
+            (0..self.view.member_count()).find(|member| !self.routers.has_reached(*member, wanted));
+        if let Some(member) = behind {
+            wait.note(format!("member {member} has not heard of it"));
+        }
+        behind.is_none()
+    }
+}
--- /dev/null
+++ b/crates/upgrade/src/rollout/timing.rs
@@ -0,0 +1,53 @@
+//! Since when a plan is in its phase and each region in its stage, by this router's clock.
+
+use std::collections::BTreeMap;
+
+use cedarpulley::interface::Micros;
+
+use crate::Name;
+use crate::cluster_state::ClusterView;
+
+#[derive(Clone, Debug, Default)]
+pub(super) struct RolloutTiming {
+    /// When each region's stage changed last, or whether new work is split there.
+    region_since: BTreeMap<Name, Micros>,
+    phase_since: Micros,
+    /// Since when this member leads and may act.
+    leading_since: Micros,
+}
+
+impl RolloutTiming {
+    pub fn phase_changed(&mut self, now: Micros) {
+        self.phase_since = now;
+    }
+
+    pub fn region_changed(&mut self, now: Micros, region: &Name) {
+        self.region_since.insert(region.clone(), now);
+    }
+
+    pub fn leading_from(&mut self, at: Micros) {
+        self.leading_since = at;
+    }
+
+    pub fn phase_age(&self, now: Micros) -> Micros {
+        now - self.phase_since
+    }
+
+    pub fn region_age(&self, now: Micros, region: &Name) -> Micros {
+        now - self.region_since(now, region)
+    }
+
+    fn region_since(&self, now: Micros, region: &Name) -> Micros {
+        self.region_since.get(region).copied().unwrap_or(now)
+    }
+
+    /// The copies that are counted on have been renewed: all workers were observed after this leader's first renewals
+    /// there. Symptom otherwise: the plan was without a leader for a while, or copies were unused for a while, and copies
+    /// that are counted on are evicted as idle.
+    pub fn renewals_done(&self, view: &ClusterView, region: &Name) -> bool {
+        let began = self.region_since(view.now, region).max(self.leading_since);
+        let after = began.saturating_add(view.settings.order_delivery_timeout);
+        view.workers_in(region)
+            .all(|worker| !worker.takes_new || worker.seen_at > after)
+    }
+}
--- /dev/null
+++ b/crates/upgrade/src/rollout/unloads.rs
@@ -0,0 +1,71 @@
+//! Copies that were requested to go and are not yet observed to be gone. A copy counts as gone until its worker was
+//! observed after the time within which the request must have been delivered.
+
+use std::collections::BTreeMap;
+
+use cedarpulley::interface::Micros;
+
+use crate::Name;
+use crate::cluster_state::ClusterView;
+use crate::observed_state::WorkerSeen;
+use crate::settings::Terms;
+
+#[derive(Clone, Copy, Debug)]
+struct Unload {
+    requested_at: Micros,
+    attempts: u32,
+}
+
+impl Unload {
+    /// The worker's observation shows what the request has done.
+    fn is_observed(&self, worker: &WorkerSeen, settings: &Terms) -> bool {
+        let delivered_by = self
+            .requested_at
+            .saturating_add(settings.order_delivery_timeout);
+        worker.seen_at > delivered_by
+    }
+}
+
+/// Unloads in flight, by worker and function.
+#[derive(Clone, Debug, Default)]
+pub(super) struct PendingUnloads {
+    unloads: BTreeMap<(Name, Name), Unload>,
+}
+
+impl PendingUnloads {
+    /// The request may still be in flight, or has done what is not yet observed.
+    pub fn is_pending(&self, worker: &WorkerSeen, function: &Name, settings: &Terms) -> bool {
+        self.unloads
+            .get(&(worker.name.clone(), function.clone()))
+            .is_some_and(|unload| !unload.is_observed(worker, settings))
+    }
+
+    pub fn attempts(&self, worker: &Name, function: &Name) -> u32 {
+        self.unloads
+            .get(&(worker.clone(), function.clone()))
+            .map_or(0, |unload| unload.attempts)
+    }
+
+    pub fn begin(&mut self, now: Micros, worker: &Name, function: &Name) {
+        let unload = self
+            .unloads
+            .entry((worker.clone(), function.clone()))
+            .or_insert(Unload {
+                requested_at: now,
+                attempts: 0,
+            });
+        unload.requested_at = now;
+        unload.attempts += 1;
+    }
+
+    /// Forgets unloads that were carried out, and those of workers that are gone.
+    pub fn observe(&mut self, view: &ClusterView) {
+        self.unloads.retain(|(worker, function), unload| {
+            let observed = view.workers().iter().find(|known| known.name == *worker);
+            observed.is_some_and(|worker| {
+                !unload.is_observed(worker, view.settings)
+                    || worker.warm_copies_of(function).is_some()
+            })
+        });
+    }
+}
--- /dev/null
+++ b/crates/upgrade/src/rollout/wait_reason.rs
@@ -0,0 +1,26 @@
+//! Why nothing happens at the moment.
+
+/// The first reason noted since it was cleared; empty if there is none.
+#[derive(Clone, Debug, Default)]
+pub(super) struct WaitReason(String);
+
+impl WaitReason {
+    /// Retains the reason unless there is an earlier one.
+    pub fn note(&mut self, reason: impl Into<String>) {
+        if self.0.is_empty() {
+            self.0 = reason.into();
+        }
+    }
+
+    pub fn clear(&mut self) {
+        self.0.clear();
+    }
+
+    pub fn take(&mut self) -> String {
+        std::mem::take(&mut self.0)
+    }
+
+    pub fn as_str(&self) -> &str {
+        &self.0
+    }
+}
--- /dev/null
+++ b/crates/upgrade/src/sessions/events.rs
@@ -0,0 +1,154 @@
+//! What goes into [`Sessions`](super::Sessions) and what comes out, its settings and counters.
+
+use cedarpulley::interface::Micros;
+use serde::Serialize;
+
+use crate::Name;
+
+/// Limits and times, in microseconds.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Terms {
+    /// A session without any invocation for so long is over; records are retained for as long.
+    pub kept: Micros,
+    /// How long invocations wait for a majority.
+    pub patience: Micros,
+    /// Most sessions known here.
+    pub most_known: usize,
+    /// Most invocations that wait.
+    pub most_waiting: usize,
+}
+
+/// An event.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Input {
+    /// An invocation of a session, before it is forwarded.
+    Arrives {
+        /// Unlike that of any other that waits.
+        ticket: u64,
+        /// The model.
+        model: Name,
+        /// The session.
+        session: Name,
+        /// The version to bind the session to if a majority knows of none; absent where sessions are not bound.
+        proposes: Option<Name>,
+        /// What other routers published last.
+        placed: Option<Placed>,
+    },
+    /// An invocation is not waited for any more.
+    Leaves {
+        /// Its ticket.
+        ticket: u64,
+    },
+    /// A majority's answer to [`Output::Choose`].
+    Decided {
+        /// The key of the request.
+        key: Name,
+        /// The version chosen; absent: there was no majority.
+        version: Option<Name>,
+    },
+    /// A worker has answered an invocation of the session.
+    Answered {
+        /// The model.
+        model: Name,
+        /// The session.
+        session: Name,
+        /// The worker.
+        worker: Name,
+        /// It was the session's last invocation.
+        ends: bool,
+    },
+    /// The session's prefix is no longer cached on this worker.
+    Lost {
+        /// The model.
+        model: Name,
+        /// The session.
+        session: Name,
+        /// The worker.
+        worker: Name,
+    },
+    /// The worker is gone, or a new incarnation of it has begun.
+    Gone {
+        /// The worker.
+        worker: Name,
+    },
+    /// Time has passed.
+    Tick,
+}
+
+/// Where a session was answered last. The one with the higher number is the later one.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Placed {
+    /// Grows with each change.
+    pub number: u64,
+    /// The worker; empty: none any more.
+    pub worker: Name,
+}
+
+/// Why an invocation is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Refused {
+    /// No majority answered in time.
+    NoMajority,
+    /// Too many wait already.
+    Full,
+}
+
+/// A request or a decision.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Output {
+    /// A majority is to choose a version once.
+    Choose {
+        /// The key of the record.
+        key: Name,
+        /// The version to propose.
+        version: Name,
+        /// How long the record is retained.
+        kept: Micros,
+    },
+    /// An invocation may be forwarded.
+    Goes {
+        /// Its ticket.
+        ticket: u64,
+        /// The version that its session is bound to; absent where sessions are not bound.
+        version: Option<Name>,
+        /// The worker that answered the session last.
+        prefers: Option<Name>,
+        /// Another router has published this worker since the session's last invocation here.
+        anew: bool,
+    },
+    /// An invocation is rejected.
+    Refused {
+        /// Its ticket.
+        ticket: u64,
+        /// The reason.
+        why: Refused,
+    },
+    /// The other routers are to be notified of the session's worker.
+    Place {
+        /// The key of the note.
+        key: Name,
+        /// The worker.
+        placed: Placed,
+        /// How long the note is retained.
+        kept: Micros,
+    },
+}
+
+/// Counters, for `GET /state`.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
+pub struct Counts {
+    /// Sessions bound here for the first time.
+    pub sessions_bound: u64,
+    /// Bindings renewed with the version known here.
+    pub sessions_renewed: u64,
+    /// Invocations rejected for want of a majority.
+    pub sessions_without_majority: u64,
+    /// Invocations rejected because too many waited.
+    pub sessions_refused_full: u64,
+    /// Sessions evicted for want of room; their next invocation requests the binding again.
+    pub sessions_forgotten: u64,
+    /// A majority chose another version than was known here: its record had expired.
+    pub sessions_rebound: u64,
+    /// Changes of a session's worker.
+    pub sessions_moved: u64,
+}
--- /dev/null
+++ b/crates/upgrade/src/sessions/mod.rs
@@ -0,0 +1,309 @@
+//! Which version a session is bound to, and which worker has it warm. Called with [`Sessions::handle`] for each event, and
+//! with [`Input::Tick`] when [`Sessions::next_due`] says so.
+//!
+//! Mechanisms:
+//! 1. A majority chooses once to which version a session is bound, before the first dispatch from here. Its answer is
+//!    cached and not requested again.
+//! 2. The majority's record is retained for a time beyond its last use and renewed while the session goes on. The cached
+//!    answer is used for a little less than that: when it has expired at all others, it has expired here.
+//! 3. Invocations that wait for a majority are bounded in number and time.
+//! 4. The worker that answered a session last is preferred. Other routers are notified when it changes.
+
+mod events;
+mod table;
+
+use std::collections::BTreeSet;
+
+use cedarpulley::interface::Micros;
+
+use crate::Name;
+pub use events::{Counts, Input, Output, Placed, Refused, Terms};
+use table::{Binding, SessionTable, WaitingInvocation};
+
+/// A part of the retention by which clocks may differ between two members.
+const CLOCK_DRIFT_DIVISOR: Micros = 8;
+/// Before model and session in the key of a binding's record.
+pub const BOUND: &str = "s\n";
+/// Before model and session in the key of a placement's note.
+const PLACEMENT_PREFIX: &str = "p\n";
+
+/// The key of the record that a majority stores. No session's name has the separator.
+pub fn key(model: &str, session: &str) -> Name {
+    Name::from([BOUND, model, "\n", session].concat())
+}
+
+/// The key of the note that other routers get.
+pub fn place_key(model: &str, session: &str) -> Name {
+    Name::from([PLACEMENT_PREFIX, model, "\n", session].concat())
+}
+
+/// An invocation that has arrived.
+struct Arrival {
+    ticket: u64,
+    key: Name,
+    proposes: Option<Name>,
+    placed: Option<Placed>,
+}
+
+/// The sessions of one router.
+#[derive(Clone, Debug)]
+pub struct Sessions {
+    settings: Terms,
+    sessions: SessionTable,
+    /// Deadline and ticket of each waiting invocation, and the key of its session.
+    deadlines: BTreeSet<(Micros, u64, Name)>,
+    /// Counters, for `GET /state`.
+    pub counts: Counts,
+}
+
+impl Sessions {
+    /// Knows no session.
+    pub fn new(settings: Terms) -> Sessions {
+        Sessions {
+            settings,
+            sessions: SessionTable::default(),
+            deadlines: BTreeSet::new(),
+            counts: Counts::default(),
+        }
+    }
+
+    /// Takes in an event, and does what is due.
+    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
+        match input {
+            Input::Arrives {
+                ticket,
+                model,
+                session,
+                proposes,
+                placed,
+            } => {
+                let arrival = Arrival {
+                    ticket,
+                    key: key(&model, &session),
+                    proposes,
+                    placed,
+                };
+                self.arrived(now, arrival, out);
+            }
+            Input::Leaves { ticket } => self.left(ticket),
+            Input::Decided { key, version } => self.decided(&key, version, out),
+            Input::Answered {
+                model,
+                session,
+                worker,
+                ends,
+            } => {
+                let worker = if ends { Name::default() } else { worker };
+                self.place(now, &model, &session, worker, out);
+            }
+            Input::Lost {
+                model,
+                session,
+                worker,
+            } => {
+                let known = self.sessions.get(&key(&model, &session));
+                if known.is_some_and(|session| session.placement.worker == worker) {
+                    self.place(now, &model, &session, Name::default(), out);
+                }
+            }
+            // Other routers may publish a worker that is gone; it is not found on the endpoint list.
+            Input::Gone { worker } => {
+                for session in self.sessions.values_mut() {
+                    if session.placement.worker == worker {
+                        session.placement.worker = Name::default();
+                    }
+                }
+            }
+            Input::Tick => {}
+        }
+        self.reject_overdue(now, out);
+        self.sessions.expire(now, self.settings.kept);
+    }
+
+    /// When [`Input::Tick`] is wanted.
+    pub fn next_due(&self) -> Micros {
+        self.deadlines.first().map_or(Micros::MAX, |first| first.0)
+    }
+
+    /// Invocations that wait for a majority.
+    pub fn waiting(&self) -> usize {
+        self.deadlines.len()
+    }
+
+    /// The versions of all bindings known here.
+    pub fn known(&self) -> impl Iterator<Item = &Name> {
+        self.sessions
+            .values()
+            .filter_map(|session| session.binding.as_ref().map(|binding| &binding.version))
+    }
+
+    fn arrived(&mut self, now: Micros, arrival: Arrival, out: &mut Vec<Output>) {
+        let Arrival {
+            ticket,
+            key,
+            proposes,
+            placed,
+        } = arrival;
+        let settings = self.settings;
+        let is_full = self.deadlines.len() >= settings.most_waiting;
+        self.counts.sessions_forgotten += self.sessions.make_room(&key, settings.most_known);
+        let session = self.sessions.touch(now, &key);
+        if let Some(placed) = placed.filter(|placed| placed.number > session.placement.number) {
+            (session.placement, session.placed_by_other) = (placed, true);
+        }
+        let prefers = session.preferred_worker();
+        let Some(proposes) = proposes else {
+            let anew = session.take_placed_by_other();
+            return out.push(Output::Goes {
+                ticket,
+                version: None,
+                prefers,
+                anew,
+            });
+        };
+        let valid = session
+            .binding
+            .clone()
+            .filter(|binding| now < binding.valid_until);
+        if valid.is_none() && is_full {
+            self.counts.sessions_refused_full += 1;
+            return out.push(Output::Refused {
+                ticket,
+                why: Refused::Full,
+            });
+        }
+        // Renewed while in use once half of its time has passed.
+        let needs_request = valid
+            .as_ref()
+            .is_none_or(|binding| binding.valid_until - now < settings.kept / 2);
+        if needs_request
+            && (session.requested_at.is_none() || std::mem::take(&mut session.request_again))
+        {
+            session.requested_at.get_or_insert(now);
+            // The version known here, whatever the plan says by now.
+            let known = session.binding.as_ref();
+            let version = known.map_or(proposes, |binding| binding.version.clone());
+            out.push(Output::Choose {
+                key: key.clone(),
+                version,
+                kept: settings.kept,
+            });
+        }
+        match valid {
+            Some(binding) => {
+                let anew = session.take_placed_by_other();
+                out.push(Output::Goes {
+                    ticket,
+                    version: Some(binding.version),
+                    prefers,
+                    anew,
+                });
+            }
+            None => {
+                let deadline = now.saturating_add(settings.patience);
+                session.waiting.push(WaitingInvocation { ticket, deadline });
+                self.deadlines.insert((deadline, ticket, key));
+            }
+        }
+    }
+
+    fn left(&mut self, ticket: u64) {
+        let mut deadlines = self.deadlines.iter();
+        let Some(entry) = deadlines.find(|entry| entry.1 == ticket).cloned() else {
+            return;
+        };
+        self.deadlines.remove(&entry);
+        if let Some(session) = self.sessions.get_mut(&entry.2) {
+            session.stop_waiting(ticket);
+        }
+    }
+
+    fn decided(&mut self, key: &Name, version: Option<Name>, out: &mut Vec<Output>) {
+        let Some(session) = self.sessions.get_mut(key) else {
+            return;
+        };
+        // Not requested from here, or forgotten meanwhile: since when the record exists is not known.
+        let Some(requested_at) = session.requested_at.take() else {
+            return;
+        };
+        session.request_again = false;
+        let waiting = std::mem::take(&mut session.waiting);
+        for invocation in &waiting {
+            let entry = (invocation.deadline, invocation.ticket, key.clone());
+            self.deadlines.remove(&entry);
+        }
+        let Some(version) = version else {
+            self.counts.sessions_without_majority += waiting.len() as u64;
+            return out.extend(waiting.into_iter().map(|invocation| Output::Refused {
+                ticket: invocation.ticket,
+                why: Refused::NoMajority,
+            }));
+        };
+        match &session.binding {
+            None => self.counts.sessions_bound += 1,
+            Some(known) if known.version == version => self.counts.sessions_renewed += 1,
+            Some(_) => self.counts.sessions_rebound += 1,
+        }
+        // By any clock, a majority retains it at least for so long from when it was requested.
+        let kept = self.settings.kept;
+        session.binding = Some(Binding {
+            version: version.clone(),
+            valid_until: requested_at.saturating_add(kept - kept / CLOCK_DRIFT_DIVISOR),
+        });
+        let prefers = session.preferred_worker();
+        let anew = session.take_placed_by_other();
+        out.extend(waiting.into_iter().map(|invocation| Output::Goes {
+            ticket: invocation.ticket,
+            version: Some(version.clone()),
+            prefers: prefers.clone(),
+            anew,
+        }));
+    }
+
+    /// The session is warm on this worker now; empty: on none.
+    fn place(
+        &mut self,
+        now: Micros,
+        model: &str,
+        session: &str,
+        worker: Name,
+        out: &mut Vec<Output>,
+    ) {
+        let binding_key = key(model, session);
+        let capacity = self.settings.most_known;
+        self.counts.sessions_forgotten += self.sessions.make_room(&binding_key, capacity);
+        let known = self.sessions.touch(now, &binding_key);
+        if known.placement.worker == worker {
+            return;
+        }
+        known.placement = Placed {
+            number: known.placement.number + 1,
+            worker,
+        };
+        self.counts.sessions_moved += 1;
+        out.push(Output::Place {
+            key: place_key(model, session),
+            placed: known.placement.clone(),
+            kept: self.settings.kept,
+        });
+    }
+
+    /// Symptom without it: a majority's answer is lost on the way here, and the invocations that wait for it are never
+    /// answered.
+    fn reject_overdue(&mut self, now: Micros, out: &mut Vec<Output>) {
+        while let Some((deadline, ticket, key)) = self.deadlines.first().cloned()
+            && deadline <= now
+        {
+            self.deadlines.pop_first();
+            if let Some(session) = self.sessions.get_mut(&key) {
+                session.stop_waiting(ticket);
+                session.request_again = true;
+            }
+            self.counts.sessions_without_majority += 1;
+            out.push(Output::Refused {
+                ticket,
+                why: Refused::NoMajority,
+            });
+        }
+    }
+}
--- a/crates/upgrade/tests/parts.rs
+++ b/crates/upgrade/tests/parts.rs
@@ -3,8 +3,8 @@
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
 use cedarpulley::interface::Micros;
-use cedarpulley_upgrade::health::{Health, Verdict};
 use cedarpulley_upgrade::orders::all;
+use cedarpulley_upgrade::version_comparison::{Verdict, VersionComparison};
 use cedarpulley_upgrade::*;
 use proptest::prelude::*;
 
@@ -32,34 +32,40 @@
     };
     assert_eq!(one(|_| ()), Ok(1));
     assert_eq!(one(|a| a.from.clear()), Ok(1));
-    assert_eq!(one(|a| a.model.clear()), Err(Unfit::Model(7)));
-    assert_eq!(one(|a| a.to = "2/3".into()), Err(Unfit::Version(7)));
-    assert_eq!(one(|a| a.to.clear()), Err(Unfit::Version(7)));
-    assert_eq!(one(|a| a.to = "1".into()), Err(Unfit::Same(7)));
-    assert_eq!(one(|a| a.canary = 0), Err(Unfit::Canary(7)));
-    assert_eq!(one(|a| a.floor = f64::NAN), Err(Unfit::Part(7)));
-    assert_eq!(one(|a| a.drain_limit_ms = u64::MAX), Err(Unfit::Drain(7)));
+    assert_eq!(one(|a| a.model.clear()), Err(OrderError::ModelName(7)));
+    assert_eq!(
+        one(|a| a.to = "2/3".into()),
+        Err(OrderError::VersionName(7))
+    );
+    assert_eq!(one(|a| a.to.clear()), Err(OrderError::VersionName(7)));
+    assert_eq!(one(|a| a.to = "1".into()), Err(OrderError::SameVersion(7)));
+    assert_eq!(one(|a| a.canary = 0), Err(OrderError::CanaryCount(7)));
+    assert_eq!(one(|a| a.floor = f64::NAN), Err(OrderError::Share(7)));
+    assert_eq!(
+        one(|a| a.drain_limit_ms = u64::MAX),
+        Err(OrderError::DrainLimit(7))
+    );
     assert_eq!(
         all(vec![asked(), asked()]),
-        Err(Unfit::Twice("m".into(), 7))
+        Err(OrderError::DuplicateSerial("m".into(), 7))
     );
-    assert_eq!(all(vec![asked(); 257]), Err(Unfit::Many));
+    assert_eq!(all(vec![asked(); 257]), Err(OrderError::TooManyOrders));
 }
 
 fn plan(step: u64) -> Plan {
     let order = Order::try_from(asked()).expect("fit");
-    let region = |name: &str, part| Region {
+    let region = |name: &str, new_share| Region {
         name: name.into(),
-        base: 4,
-        part,
+        base_lanes: 4,
+        new_share,
         stage: Stage::Loading,
-        over: false,
-        changed: step,
+        drain_limit_passed: false,
+        routing_step: step,
     };
     let (phase, regions) = (Phase::Rolling, vec![region("a", 300), region("b", 0)]);
     Plan {
         step,
-        by: Ballot::default(),
+        proposed_by: Ballot::default(),
         order,
         phase,
         regions,
@@ -72,19 +78,19 @@
 #[test]
 fn records_are_read_back_and_later_steps_are_greater() {
     for step in [1, 255, 256, 1 << 40] {
-        assert_eq!(Plan::read(&plan(step).bytes()), Some(plan(step)));
-        assert!(plan(step).bytes() < plan(step + 1).bytes());
+        assert_eq!(Plan::decode(&plan(step).encode()), Some(plan(step)));
+        assert!(plan(step).encode() < plan(step + 1).encode());
     }
-    let mut foreign = plan(3).bytes().to_vec();
+    let mut foreign = plan(3).encode().to_vec();
     foreign[7] = 4;
-    assert_eq!(Plan::read(&foreign), None);
+    assert_eq!(Plan::decode(&foreign), None);
 }
 
 #[test]
 fn what_begins_goes_by_the_part_and_sessions_go_to_what_stays_twice_as_often() {
     let goes = |p: &Plan, session| {
         (0..1000)
-            .filter(|d| &**p.version("a", *d, session) == "2")
+            .filter(|d| &**p.version_for("a", *d, session) == "2")
             .count()
     };
     let mut p = plan(1);
@@ -92,10 +98,10 @@
     p.phase = Phase::Back;
     // Going back, the old ones are what stays: 700, and so all sessions.
     assert_eq!((goes(&p, false), goes(&p, true)), (300, 0));
-    assert_eq!(&**p.version("b", 0, false), "1");
-    assert_eq!(&**p.version("elsewhere", 0, false), "1");
+    assert_eq!(&**p.version_for("b", 0, false), "1");
+    assert_eq!(&**p.version_for("elsewhere", 0, false), "1");
     p.phase = Phase::Done;
-    assert_eq!(&**p.version("elsewhere", 999, false), "2");
+    assert_eq!(&**p.version_for("elsewhere", 999, false), "2");
 }
 
 /// One router that leads alone, as far as its first canary; the time.
@@ -184,7 +190,7 @@
         "{out:?}"
     );
     let (key, ballot) = (
-        key("m"),
+        plan_key("m"),
         Ballot {
             number: 1,
             ..Ballot::default()
@@ -204,7 +210,7 @@
 proptest! {
     #[test]
     fn no_bytes_are_taken_for_a_plan_with_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let _ = Plan::read(&bytes);
+        let _ = Plan::decode(&bytes);
         let mut planner = Planner::new(Terms::default());
         let heard = Input::PlanHeard { model: "m".into(), ballot: Ballot::default(), bytes: bytes.into() };
         planner.handle(0, heard, &mut Vec::new());
@@ -217,8 +223,8 @@
 }
 
 /// A member's counts grow by `ended` each time; (old, new) rates of errors by trigger type.
-fn plays(seed: u64, rounds: u64, types: &[(u64, u64, f64, f64)]) -> Health {
-    let (mut health, mut counts) = (Health::default(), Vec::new());
+fn plays(seed: u64, rounds: u64, types: &[(u64, u64, f64, f64)]) -> VersionComparison {
+    let (mut comparison, mut counts) = (VersionComparison::default(), Vec::new());
     for (t, _) in types.iter().enumerate() {
         for v in ["1", "2"] {
             let (version, trigger) = (v.into(), format!("t{t}").into());
@@ -229,7 +235,7 @@
             });
         }
     }
-    health.hear(0, counts.clone(), "1", "2");
+    comparison.record(0, counts.clone(), "1", "2");
     let mut draws = 0;
     for _ in 0..rounds {
         for (t, (was, is, old, new)) in types.iter().enumerate() {
@@ -242,26 +248,30 @@
                 }
             }
         }
-        health.hear(0, counts.clone(), "1", "2");
+        comparison.record(0, counts.clone(), "1", "2");
     }
-    health
+    comparison
 }
 
 #[test]
 fn chance_alone_does_not_stop_a_plan_and_a_clear_difference_does() {
     // Looked at after each of 600 rounds, 60 plans with one of ten canaries.
     let stopped = (0..60).filter(|seed| {
-        (1..30).any(|n| plays(*seed, n * 20, &[(20, 2, 0.05, 0.05)]).says() == Verdict::Errors)
+        (1..30)
+            .any(|n| plays(*seed, n * 20, &[(20, 2, 0.05, 0.05)]).verdict() == Verdict::MoreErrors)
     });
     assert_eq!(stopped.count(), 0);
-    let found =
-        (0..60).filter(|seed| plays(*seed, 200, &[(20, 2, 0.02, 0.2)]).says() == Verdict::Errors);
+    let found = (0..60)
+        .filter(|seed| plays(*seed, 200, &[(20, 2, 0.02, 0.2)]).verdict() == Verdict::MoreErrors);
     assert!(found.count() >= 59);
     // Too few, or too small a difference to matter.
-    assert_eq!(plays(1, 5, &[(20, 2, 0.0, 1.0)]).says(), Verdict::Unknown);
+    assert_eq!(
+        plays(1, 5, &[(20, 2, 0.0, 1.0)]).verdict(),
+        Verdict::TooFewSamples
+    );
     assert_ne!(
-        plays(1, 20_000, &[(20, 20, 0.01, 0.015)]).says(),
-        Verdict::Errors
+        plays(1, 20_000, &[(20, 20, 0.01, 0.015)]).verdict(),
+        Verdict::MoreErrors
     );
 }
 
@@ -269,14 +279,14 @@
 fn versions_are_compared_within_one_trigger_type_only() {
     // The new version gets mostly the trigger type that errs often with both.
     for seed in 0..20 {
-        let health = plays(seed, 300, &[(20, 2, 0.01, 0.01), (2, 20, 0.3, 0.3)]);
-        assert_ne!(health.says(), Verdict::Errors);
+        let comparison = plays(seed, 300, &[(20, 2, 0.01, 0.01), (2, 20, 0.3, 0.3)]);
+        assert_ne!(comparison.verdict(), Verdict::MoreErrors);
     }
 }
 
 #[test]
 fn a_member_that_began_anew_counts_from_nothing() {
-    let mut health = Health::default();
+    let mut comparison = VersionComparison::default();
     let count = |v: &str, ended, errored| Count {
         version: v.into(),
         trigger: "t".into(),
@@ -284,14 +294,17 @@
         errored,
         late: 0,
     };
-    health.hear(
+    comparison.record(
         0,
         vec![count("1", 1000, 900), count("2", 1000, 0)],
         "1",
         "2",
     );
-    health.hear(0, vec![count("1", 50, 0), count("2", 50, 0)], "1", "2");
-    assert_eq!((health.says(), health.compared()), (Verdict::Alike, 50));
+    comparison.record(0, vec![count("1", 50, 0), count("2", 50, 0)], "1", "2");
+    assert_eq!(
+        (comparison.verdict(), comparison.compared()),
+        (Verdict::Equivalent, 50)
+    );
 }
 
 #[test]
@@ -300,7 +313,11 @@
     assert_eq!(usual.clone().beside(2_000_000, 60_000_000), usual);
     let seldom = usual.clone().beside(40_000_000, 8_000_000);
     assert_eq!(
-        (seldom.fresh, seldom.quiet, seldom.renew),
+        (
+            seldom.observation_lifetime,
+            seldom.quiet_period,
+            seldom.renewal_interval
+        ),
         (60_000_000, 90_000_000, 2_000_000)
     );
 }
@@ -315,7 +332,7 @@
 impl Resumes {
     fn new(phase: Phase, stage: Stage, part: u16) -> Resumes {
         let mut plan = plan(9);
-        (plan.phase, plan.regions[0].stage, plan.regions[0].part) = (phase, stage, part);
+        (plan.phase, plan.regions[0].stage, plan.regions[0].new_share) = (phase, stage, part);
         plan.order.drain_limit = 600_000_000;
         plan.regions.truncate(1);
         let old = worker(0).holds.remove(0);
@@ -333,7 +350,7 @@
         let heard = Input::PlanHeard {
             model: "m".into(),
             ballot: Ballot::default(),
-            bytes: plan.bytes(),
+            bytes: plan.encode(),
         };
         it.planner.handle(0, heard, &mut Vec::new());
         it.look(0);
@@ -342,13 +359,13 @@
                 number: 2,
                 ..Ballot::default()
             },
-            Some(plan.bytes()),
+            Some(plan.encode()),
         );
         let outcome = Outcome::Leads { ballot, last };
         it.planner.handle(
             0,
             Input::Decided {
-                key: key("m"),
+                key: plan_key("m"),
                 outcome,
             },
             &mut Vec::new(),
@@ -365,7 +382,7 @@
             },
         };
         Input::Decided {
-            key: key("m"),
+            key: plan_key("m"),
             outcome,
         }
     }
@@ -392,7 +409,7 @@
             match o {
                 Output::Want { .. } | Output::Unwant { .. } => orders += 1,
                 Output::Write { value, .. } => {
-                    step = Plan::read(value);
+                    step = Plan::decode(value);
                     self.planner.handle(now, self.written(), &mut Vec::new());
                 }
                 _ => {}
@@ -406,7 +423,7 @@
 fn a_new_leader_waits_for_the_lease_and_the_orders_of_the_one_before() {
     let mut it = Resumes::new(Phase::Rolling, Stage::Loading, 0);
     let t = Terms::default();
-    let acts = t.lease + t.lease / 10 + t.order_within;
+    let acts = t.lease + t.lease / 10 + t.order_delivery_timeout;
     for now in (0..acts).step_by(200_000) {
         assert_eq!(it.look(now).0, 0, "at {now}");
     }
@@ -422,7 +439,7 @@
     let mut it = Resumes::new(Phase::Rolling, Stage::Draining, 1000);
     it.old.sessions = 1;
     let unloads = |it: &Resumes| it.planner.shown()[0].regions[0].old_lanes == 0;
-    let (mut now, quiet) = (0, Terms::default().quiet);
+    let (mut now, quiet) = (0, Terms::default().quiet_period);
     while now < 12_000_000 {
         now += 200_000;
         it.look(now);
@@ -466,15 +483,15 @@
         regions,
     });
     let mut plan = plan(3);
-    (plan.regions[0].stage, plan.regions[0].over) = (Stage::Draining, true);
+    (plan.regions[0].stage, plan.regions[0].drain_limit_passed) = (Stage::Draining, true);
     handle(Input::PlanHeard {
         model: "m".into(),
-        ballot: plan.by,
-        bytes: plan.bytes(),
+        ballot: plan.proposed_by,
+        bytes: plan.encode(),
     });
     let mut later = plan.clone();
     (later.step, later.regions[0].stage) = (4, Stage::Done);
-    (later.regions[1].stage, later.regions[1].over) = (Stage::Draining, true);
+    (later.regions[1].stage, later.regions[1].drain_limit_passed) = (Stage::Draining, true);
     assert!(
         planner.over("m", "1") && !planner.sessions_over("m", "1"),
         "region b keeps its copies"
@@ -483,8 +500,8 @@
         0,
         Input::PlanHeard {
             model: "m".into(),
-            ballot: later.by,
-            bytes: later.bytes(),
+            ballot: later.proposed_by,
+            bytes: later.encode(),
         },
         &mut Vec::new(),
     );
--- a/crates/upgrade/tests/simulated.rs
+++ b/crates/upgrade/tests/simulated.rs
@@ -99,7 +99,7 @@
         }
         let over = w.run(900 * S, |w| w.now > 250 * S && settled(w));
         prop_assert!(w.wrong.is_empty(), "{:#?} {:#?}", w.wrong, w.log);
-        let why = w.shown().map(|s| s.waits).unwrap_or_default();
+        let why = w.shown().map(|s| s.wait_reason).unwrap_or_default();
         prop_assert!(over || !why.is_empty(), "{:#?} {:#?}", w.log, w.shown());
         println!("{seed} {room} {workers} {over} {why} {:?} {:?}", w.phase(), w.sums);
     }
@@ -172,10 +172,10 @@
                 .and_then(|s| s.regions.into_iter().find(|r| &*r.region == "b"))
         };
         w.run(w.now + 5 * S, |_| false);
-        let frozen = region(&w).map(|r| (r.stage, r.part));
+        let frozen = region(&w).map(|r| (r.stage, r.new_share));
         w.run(w.now + 33 * S, |_| false);
         assert_eq!(
-            region(&w).map(|r| (r.stage, r.part)),
+            region(&w).map(|r| (r.stage, r.new_share)),
             frozen,
             "{:#?}",
             w.log
@@ -254,7 +254,7 @@
     let mut w = at(14, 3, Phase::Canary, None);
     w.orders(w.now, vec![order(1, "", "2"), order(2, "2", "3")]);
     w.run(w.now + 10 * S, |_| false);
-    assert_eq!(w.shown().map(|s| s.queued), Some(vec![2]));
+    assert_eq!(w.shown().map(|s| s.queued_serials), Some(vec![2]));
     let next = |w: &World| {
         w.shown()
             .is_some_and(|s| &*s.to == "3" && s.phase == Phase::Done)
--- a/crates/upgrade/tests/world/mod.rs
+++ b/crates/upgrade/tests/world/mod.rs
@@ -27,21 +27,21 @@
 pub fn terms() -> Terms {
     Terms {
         lease: 3 * S,
-        pace: 200 * MS,
-        answer_within: 4 * S,
-        order_within: 1500 * MS,
-        fresh: 4 * S,
-        quiet: 6 * S,
+        evaluation_interval: 200 * MS,
+        majority_timeout: 4 * S,
+        order_delivery_timeout: 1500 * MS,
+        observation_lifetime: 4 * S,
+        quiet_period: 6 * S,
         loads_at_once: 2,
         load_within: 25 * S,
         hold_back: 2 * S,
-        renew: 3 * S,
+        renewal_interval: 3 * S,
         shown_for: S,
         canary_least: 5 * S,
         canary_most: 30 * S,
         paused_most: 15 * S,
         gone_after: 15 * S,
-        keep_again: 600 * S,
+        record_refresh_interval: 600 * S,
     }
 }
 
@@ -738,8 +738,9 @@
                 .iter()
                 .find(|r| r.region == self.workers[w].region)
         });
-        let (strict, over) =
-            region.map_or((false, false), |r| (r.stage == Stage::Draining, r.over));
+        let (strict, over) = region.map_or((false, false), |r| {
+            (r.stage == Stage::Draining, r.drain_limit_passed)
+        });
         let when = self.now + 20 * MS + self.draw(900) as Micros * MS;
         let seen = self.now - 1500 * MS;
         self.at(
@@ -856,7 +857,7 @@
             self.workers.iter().filter(stands).count() as u32 * LANES
         };
         let (from, to) = (function(MODEL, &plan.from), function(MODEL, &plan.to));
-        let usable = match r.part {
+        let usable = match r.new_share {
             0 => lanes(&from),
             1000 => lanes(&to),
             _ => lanes(&from) + lanes(&to),
@@ -1206,11 +1207,11 @@
         }
     }
 
-    pub fn shown(&self) -> Option<Shown> {
+    pub fn shown(&self) -> Option<PlanStatus> {
         let plans = (0..self.members.len())
             .filter(|m| self.runs(*m))
             .flat_map(|m| self.members[m].planner.shown());
-        plans.max_by_key(|s| (s.leads, s.step))
+        plans.max_by_key(|s| (s.is_leader, s.step))
     }
 
     /// Until that, or the time is over.
