--- a/crates/reconcile/src/belief.rs
+++ b/crates/reconcile/src/belief.rs
@@ -1,204 +1,276 @@
-//! What this router believes of one worker. It is told by [`Change`]s, in the order in which they happened, and follows
-//! what the module makes of them; what is compared with it asks [`Belief::settled`] first.
+//! What this router believes of one function at one worker. It follows [`Change`]s in the order in which they happened,
+//! as the balancer does; a report may correct it only if [`Belief::is_older_than`] the report.
 //!
 //! Mechanisms:
-//! 1. Every change has its time: what was observed from before it says nothing about it.
-//! 2. A load is under way while an order is out, and from a dispatch to a cold copy until its first ending.
-//! 3. What stands is believed for as long as the module believes it, from its last use on.
+//! 1. Every change has its time: what was observed from before it tells nothing about it.
+//! 2. A load is under way while an order is in flight, and from a dispatch to a cold copy until its first ending.
+//! 3. Copies are believed for as long as the balancer believes in them, from their last use on.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use cedarpulley::interface::Micros;
 
-/// Sessions that are kept for one function at one worker; the one that was used longest ago goes first.
-const MOST_SESSIONS: usize = 256;
-/// A load of which nothing was heard for so long is taken for over: its ending was lost.
-const LOAD_LOST: Micros = 600_000_000;
+/// Sessions retained for one function at one worker; the least recently used goes first.
+const MAX_SESSIONS: usize = 256;
+/// A load of which nothing was heard for this long counts as over: its ending was lost.
+const LOAD_LOST_AFTER: Micros = 600_000_000;
 
 /// What became known of a function at a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// An order to load left.
+    /// An order to load was sent.
     Ordered,
-    /// It ended: copies stand, none do, or nobody knows.
+    /// An order to load ended.
     OrderEnded {
+        /// Copies are there, none are, or nobody knows.
         stands: Option<bool>,
+        /// How many, where it is known.
         copies: Option<u32>,
     },
-    /// A dispatch left for it.
+    /// An invocation was dispatched to it.
     Sent,
-    /// A dispatch ended; `found`: the copy stood before.
+    /// A dispatch ended.
     Ended {
+        /// Copies are there, none are, or nobody knows.
         stands: Option<bool>,
+        /// The copy was there before the dispatch.
         found: bool,
+        /// The size of a copy, 0 if unknown.
         copy_mb: f64,
     },
-    /// The session's invocation succeeded there; `over`: it was the last one.
-    Session { id: Arc<str>, over: bool },
+    /// A session's invocation succeeded there.
+    Session {
+        /// The session.
+        id: Arc<str>,
+        /// It was the last one of the session.
+        over: bool,
+    },
     /// This router had it unloaded.
     Unloaded,
-    /// A meddler's, in tests: so many are believed from now on, whatever is true.
-    Spoilt { copies: u32 },
+    /// An injected fault, in tests: this many copies are believed from now on, whatever is true.
+    Spoilt {
+        /// The number that is believed.
+        copies: u32,
+    },
 }
 
 #[derive(Clone, Debug)]
 pub struct Belief {
-    stands: Option<bool>,
-    until: Micros,
-    pub copies: Option<u32>,
-    pub changed: Micros,
-    orders: u32,
-    out: u32,
-    cold: bool,
+    present: Option<bool>,
+    expires: Micros,
+    copies: Option<u32>,
+    changed: Micros,
+    orders_in_flight: u32,
+    dispatches_in_flight: u32,
+    /// A dispatch met a cold copy, and none has ended since.
+    cold_start: bool,
     load_seen: Micros,
-    pub used: Option<Micros>,
-    /// Uses, halved with each time that copies are kept.
+    last_used: Option<Micros>,
+    /// Uses, halved with each `lifetime`.
     uses: f64,
-    pub copy_mb: f64,
-    /// The last word is an order's, and no use has confirmed it.
-    pub by_order: bool,
-    /// A worker's word said that it is gone.
-    pub gone_by_word: bool,
+    copy_mb: f64,
+    ordered_unused: bool,
+    reported_absent: bool,
     /// By session, when its prefix was last known to be there.
-    pub sessions: BTreeMap<Arc<str>, Micros>,
+    sessions: BTreeMap<Arc<str>, Micros>,
 }
 
 impl Default for Belief {
     /// Nothing was ever known.
     fn default() -> Self {
         Belief {
-            stands: None,
-            until: Micros::MIN,
+            present: None,
+            expires: Micros::MIN,
             copies: None,
             changed: Micros::MIN,
-            orders: 0,
-            out: 0,
-            cold: false,
+            orders_in_flight: 0,
+            dispatches_in_flight: 0,
+            cold_start: false,
             load_seen: Micros::MIN,
-            used: None,
+            last_used: None,
             uses: 0.0,
             copy_mb: 0.0,
-            by_order: false,
-            gone_by_word: false,
+            ordered_unused: false,
+            reported_absent: false,
             sessions: BTreeMap::new(),
         }
     }
 }
 
 impl Belief {
-    /// True if what it says refutes the worker's own last word.
-    pub fn change(&mut self, now: Micros, kept: Micros, change: Change) -> bool {
-        let mut refuted = false;
+    /// True if the change refutes the worker's own last report. `lifetime`: how long copies are believed after a use.
+    pub fn change(&mut self, now: Micros, lifetime: Micros, change: Change) -> bool {
         match change {
             Change::Ordered => {
-                self.orders = self.orders.saturating_add(1);
+                self.orders_in_flight = self.orders_in_flight.saturating_add(1);
                 (self.load_seen, self.changed) = (now, now);
             }
             Change::OrderEnded { stands, copies } => {
-                self.orders = self.orders.saturating_sub(1);
-                self.by_order = stands == Some(true);
-                self.say(now, kept, stands, copies);
+                self.orders_in_flight = self.orders_in_flight.saturating_sub(1);
+                self.ordered_unused = stands == Some(true);
+                self.set(now, lifetime, stands, copies);
             }
             Change::Sent => {
-                if !self.believed(now) {
-                    (self.cold, self.load_seen) = (true, now);
+                if !self.is_believed(now) {
+                    (self.cold_start, self.load_seen) = (true, now);
                 }
-                self.out = self.out.saturating_add(1);
+                self.dispatches_in_flight = self.dispatches_in_flight.saturating_add(1);
             }
             Change::Ended {
                 stands,
                 found,
                 copy_mb,
             } => {
-                self.out = self.out.saturating_sub(1);
-                self.cold &= self.out > 0 && stands.is_none();
-                refuted = found && self.gone_by_word && self.orders == 0;
-                if copy_mb > 0.0 {
-                    self.copy_mb = copy_mb;
-                }
-                if stands.is_some() {
-                    self.by_order = false;
-                    self.uses = self.uses_at(now, kept) + 1.0;
-                    self.used = Some(now);
-                    self.say(now, kept, stands, self.copies);
-                }
-            }
-            Change::Session { id, over } => {
-                self.sessions.remove(&id);
-                if !over {
-                    while self.sessions.len() >= MOST_SESSIONS {
-                        let oldest = self
-                            .sessions
-                            .iter()
-                            .min_by_key(|s| s.1)
-                            .map(|s| s.0.clone());
-                        oldest.map(|id| self.sessions.remove(&id));
-                    }
-                    self.sessions.insert(id, now);
-                }
-            }
-            Change::Unloaded => self.say(now, kept, Some(false), None),
-            Change::Spoilt { copies } => {
-                self.say(now, kept, Some(copies > 0), (copies > 0).then_some(copies));
+                let refuted = found && self.reported_absent && self.orders_in_flight == 0;
+                self.on_dispatch_ended(now, lifetime, stands, copy_mb);
+                return refuted;
             }
+            Change::Session { id, over } => self.on_session_used(now, id, over),
+            Change::Unloaded => self.set(now, lifetime, Some(false), None),
+            Change::Spoilt { copies } => self.set_copies(now, lifetime, copies),
         }
-        refuted
+        false
     }
 
-    fn say(&mut self, now: Micros, kept: Micros, stands: Option<bool>, copies: Option<u32>) {
-        (self.stands, self.copies, self.changed) = (stands, copies, now);
-        self.until = now.saturating_add(kept);
-        self.gone_by_word = false;
-        if stands != Some(true) {
-            (self.copies, self.by_order) = (None, false);
+    fn on_dispatch_ended(
+        &mut self,
+        now: Micros,
+        lifetime: Micros,
+        present: Option<bool>,
+        copy_mb: f64,
+    ) {
+        self.dispatches_in_flight = self.dispatches_in_flight.saturating_sub(1);
+        self.cold_start &= self.dispatches_in_flight > 0 && present.is_none();
+        if copy_mb > 0.0 {
+            self.copy_mb = copy_mb;
+        }
+        if present.is_some() {
+            self.ordered_unused = false;
+            self.uses = self.uses_at(now, lifetime) + 1.0;
+            self.last_used = Some(now);
+            self.set(now, lifetime, present, self.copies);
+        }
+    }
+
+    fn on_session_used(&mut self, now: Micros, id: Arc<str>, over: bool) {
+        self.sessions.remove(&id);
+        if over {
+            return;
+        }
+        while self.sessions.len() >= MAX_SESSIONS {
+            let oldest = self
+                .sessions
+                .iter()
+                .min_by_key(|(_, used)| **used)
+                .map(|(id, _)| id.clone());
+            oldest.map(|id| self.sessions.remove(&id));
+        }
+        self.sessions.insert(id, now);
+    }
+
+    fn set(&mut self, now: Micros, lifetime: Micros, present: Option<bool>, copies: Option<u32>) {
+        (self.present, self.copies, self.changed) = (present, copies, now);
+        self.expires = now.saturating_add(lifetime);
+        self.reported_absent = false;
+        if present != Some(true) {
+            (self.copies, self.ordered_unused) = (None, false);
             self.sessions.clear();
         }
     }
 
-    /// As a worker said, in an observation that began at `began`.
-    pub fn correct(&mut self, now: Micros, began: Micros, kept: Micros, copies: u32) {
+    fn set_copies(&mut self, now: Micros, lifetime: Micros, copies: u32) {
+        let present = copies > 0;
+        self.set(now, lifetime, Some(present), present.then_some(copies));
+    }
+
+    /// As a worker reported, in an observation that began at `began`.
+    pub fn correct(&mut self, now: Micros, began: Micros, lifetime: Micros, copies: u32) {
         let sessions = std::mem::take(&mut self.sessions);
-        self.say(now, kept, Some(copies > 0), (copies > 0).then_some(copies));
+        self.set_copies(now, lifetime, copies);
         if copies > 0 {
             self.sessions = sessions;
         }
-        self.gone_by_word = copies == 0;
+        self.reported_absent = copies == 0;
         self.changed = began;
     }
 
-    pub fn believed(&self, now: Micros) -> bool {
-        self.stands == Some(true) && now < self.until
+    /// Notes the number of copies; that they are there was believed already.
+    pub fn note_copies(&mut self, copies: u32) {
+        self.copies = Some(copies);
+    }
+
+    /// Forgets sessions whose prefix is lost.
+    pub fn forget_sessions(&mut self, lost: &[Arc<str>]) {
+        self.sessions.retain(|id, _| !lost.contains(id));
+    }
+
+    /// Whether copies are believed to be there.
+    pub fn is_believed(&self, now: Micros) -> bool {
+        self.present == Some(true) && now < self.expires
     }
 
-    /// It will be believed for so long.
-    pub fn left(&self, now: Micros) -> Micros {
-        if self.believed(now) {
-            self.until - now
+    /// For how much longer copies will be believed to be there; 0 if they are not.
+    pub fn remaining(&self, now: Micros) -> Micros {
+        if self.is_believed(now) {
+            self.expires - now
         } else {
             0
         }
     }
 
-    pub fn under_way(&self, now: Micros) -> bool {
-        (self.orders > 0 || self.cold) && now.saturating_sub(self.load_seen) < LOAD_LOST
+    /// Whether a load is under way.
+    pub fn is_loading(&self, now: Micros) -> bool {
+        (self.orders_in_flight > 0 || self.cold_start)
+            && now.saturating_sub(self.load_seen) < LOAD_LOST_AFTER
     }
 
-    /// An observation that began then may say something about it.
-    pub fn settled(&self, began: Micros) -> bool {
+    /// Whether an observation that began at `began` may correct it.
+    pub fn is_older_than(&self, began: Micros) -> bool {
         self.changed < began
     }
 
-    pub fn uses_at(&self, now: Micros, kept: Micros) -> f64 {
-        let ago = self.used.map_or(Micros::MAX / 2, |at| now - at);
-        self.uses * 0.5f64.powf(ago as f64 / kept.max(1) as f64)
+    /// Whether a repair from an observation that began at `began` may still go: nothing has happened here since.
+    pub fn allows_repair(&self, now: Micros, began: Micros) -> bool {
+        self.changed <= began && !self.is_loading(now) && !self.is_believed(now)
+    }
+
+    /// How many copies, where it is known.
+    pub fn copies(&self) -> Option<u32> {
+        self.copies
+    }
+
+    /// The size of a copy, 0 if unknown.
+    pub fn copy_mb(&self) -> f64 {
+        self.copy_mb
+    }
+
+    /// Whether the last that is known comes from an order, and no use has confirmed it.
+    pub fn is_ordered_unused(&self) -> bool {
+        self.ordered_unused
+    }
+
+    /// Whether this router used it within the last `time`.
+    pub fn used_within(&self, now: Micros, time: Micros) -> bool {
+        self.last_used.is_some_and(|used| now - used < time)
+    }
+
+    /// The sessions, and when their prefixes were last known to be there.
+    pub fn sessions(&self) -> impl Iterator<Item = (&Arc<str>, Micros)> {
+        self.sessions.iter().map(|(id, used)| (id, *used))
+    }
+
+    /// Uses, halved with each `lifetime` that has passed.
+    pub fn uses_at(&self, now: Micros, lifetime: Micros) -> f64 {
+        let ago = self.last_used.map_or(Micros::MAX / 2, |used| now - used);
+        self.uses * 0.5f64.powf(ago as f64 / lifetime.max(1) as f64)
     }
 
     /// Nothing is lost if it is forgotten.
-    pub fn is_idle(&self, now: Micros, kept: Micros) -> bool {
-        !self.believed(now)
-            && self.orders == 0
-            && self.out == 0
-            && now.saturating_sub(self.changed) > kept
+    pub fn is_idle(&self, now: Micros, lifetime: Micros) -> bool {
+        !self.is_believed(now)
+            && self.orders_in_flight == 0
+            && self.dispatches_in_flight == 0
+            && now.saturating_sub(self.changed) > lifetime
     }
 }
--- a/crates/reconcile/src/drift.rs
+++ b/crates/reconcile/src/drift.rs
@@ -4,6 +4,7 @@
 
 use serde::Serialize;
 
+/// How belief and report differ. The names are keys of `/state`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
@@ -13,15 +14,17 @@
     Unseen,
     /// Of a version that a plan has taken out of service.
     OlderVersion,
-    /// All that was believed is of a process that is gone.
+    /// All that was believed is of an incarnation that is gone.
     OtherIncarnation,
+    /// There, with another number of copies.
     Miscounted,
-    /// The copy stands and a session's prefix does not.
+    /// The copy is there and a session's prefix is not.
     PrefixLost,
-    /// Held for a router that is gone, or for a plan that has ended.
+    /// Loaded for a router that is gone, or for a plan that has ended.
     Orphan,
 }
 
+/// All kinds, in the order of their numbers.
 pub const KINDS: [Kind; 7] = [
     Kind::Phantom,
     Kind::Unseen,
@@ -33,33 +36,53 @@
 ];
 
 impl Kind {
-    pub fn ix(self) -> usize {
+    /// The position in [`KINDS`].
+    pub fn index(self) -> usize {
         self as usize
     }
 }
 
+/// What most likely made a difference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
+    /// The worker took it out to make place.
     Evicted,
     /// Nothing at all is left of what was believed there.
     Flushed,
     /// An order to load ended well, and nobody has used the copy since.
     LostLoad,
+    /// Another router ordered it.
     LoadedElsewhere,
     /// Nobody says who ordered it: an invocation met a cold worker.
     LoadedOnMiss,
+    /// The worker's process is another one.
     Restarted,
+    /// An order to unload had no effect.
     LostUnload,
+    /// Some of the copies were evicted, or others loaded.
     PartlyEvicted,
+    /// The router that ordered it is no member any more.
     RouterGone,
+    /// The plan for which it was loaded is over.
     PlanEnded,
 }
 
+impl Cause {
+    /// Whether this is ordinary work of others rather than a fault.
+    pub fn is_ordinary(self) -> bool {
+        matches!(self, Cause::LoadedElsewhere | Cause::LoadedOnMiss)
+    }
+}
+
+/// A difference that was found.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Drift {
+    /// How belief and report differ.
     pub kind: Kind,
+    /// What most likely made it.
     pub cause: Cause,
+    /// The worker, as this router knows it.
     pub worker: Arc<str>,
     /// Absent where it is about the whole worker.
     pub function: Option<Arc<str>>,
--- a/crates/reconcile/src/repair.rs
+++ b/crates/reconcile/src/repair.rs
@@ -1,110 +1,114 @@
-//! Repairs that cost a worker something: loads that are wanted again, and unloads. They wait here, and one goes each
-//! time the budget allows, the busiest function first; whether it still stands is asked again right before.
+//! The queue of repairs that cost a worker something: loads that are wanted again, and unloads. One goes each time the
+//! rate allows, the busiest function first; whether it is still needed is checked again right before.
 //!
 //! Mechanisms:
 //! 1. One repair for each function at a worker at a time.
-//! 2. Chance spreads the pace, so that routers which saw the same flush do not load in step.
-//! 3. Full, the least urgent is dropped and counted: the next round finds its drift again.
+//! 2. The time between two is random, so that routers which saw the same flush do not load in step.
+//! 3. When the queue is full, the least urgent is dropped and counted: the next round finds its drift again.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use cedarpulley::interface::Micros;
 
-use crate::asking::Chance;
+use crate::polling::Chance;
 
-/// Repairs that wait; the next rounds find what was dropped.
-const MOST_WAITING: usize = 1024;
+/// Repairs in the queue; the next rounds find what was dropped.
+const MAX_QUEUED: usize = 1024;
 
+/// What a repair does at the worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
-    Want,
+pub enum RepairAction {
+    /// Load the function again.
+    Load,
+    /// Unload it; `term` is that of the plan for which it was loaded.
     Unload { term: Option<Arc<str>> },
 }
 
+/// One function at one worker that is to be loaded or unloaded.
 #[derive(Clone, Debug)]
 pub struct Repair {
     pub worker: Arc<str>,
     pub function: Arc<str>,
-    pub what: What,
-    /// The observation that showed the drift began then.
+    pub action: RepairAction,
+    /// When the observation that showed the drift began.
     pub began: Micros,
-    /// Of wanted loads, how busy the function is.
+    /// Of loads, how busy the function is, in thousandths of a use; 0 of unloads.
     pub urgency: u64,
 }
 
+/// See the module.
 #[derive(Debug)]
-pub struct Repairs {
-    between: Micros,
-    waiting: BTreeMap<(Arc<str>, Arc<str>), Repair>,
+pub struct RepairQueue {
+    mean_interval: Micros,
+    queued: BTreeMap<(Arc<str>, Arc<str>), Repair>,
     next: Micros,
 }
 
-impl Repairs {
+impl RepairQueue {
+    /// An empty queue that lets `per_s` repairs a second go.
     pub fn new(per_s: f64) -> Self {
-        Repairs {
-            between: (1e6 / per_s.max(1e-3)) as Micros,
-            waiting: BTreeMap::new(),
+        RepairQueue {
+            mean_interval: (1e6 / per_s.max(1e-3)) as Micros,
+            queued: BTreeMap::new(),
             next: Micros::MIN,
         }
     }
 
-    /// False if another one was dropped for want of room.
-    pub fn wait(&mut self, now: Micros, chance: &mut Chance, repair: Repair) -> bool {
-        if self.waiting.is_empty() {
+    /// False if another one was dropped because the queue is full.
+    pub fn push(&mut self, now: Micros, random: &mut Chance, repair: Repair) -> bool {
+        if self.queued.is_empty() {
             self.next = self
                 .next
-                .max(now + (self.between as f64 * chance.draw()) as Micros);
+                .max(now + (self.mean_interval as f64 * random.draw()) as Micros);
         }
-        self.waiting
+        self.queued
             .insert((repair.worker.clone(), repair.function.clone()), repair);
-        if self.waiting.len() <= MOST_WAITING {
+        if self.queued.len() <= MAX_QUEUED {
             return true;
         }
-        let least = self
-            .waiting
+        let least_urgent = self
+            .queued
             .iter()
-            .min_by_key(|r| r.1.urgency)
-            .map(|r| r.0.clone());
-        least.map(|key| self.waiting.remove(&key));
+            .min_by_key(|(_, repair)| repair.urgency)
+            .map(|(key, _)| key.clone());
+        least_urgent.map(|key| self.queued.remove(&key));
         false
     }
 
-    /// The next one that still stands, if its time has come.
-    pub fn take(
+    /// The most urgent one that is still needed, if its time has come; the others on the way there are dropped.
+    pub fn pop(
         &mut self,
         now: Micros,
-        chance: &mut Chance,
-        mut stands: impl FnMut(&Repair) -> bool,
+        random: &mut Chance,
+        mut is_needed: impl FnMut(&Repair) -> bool,
     ) -> Option<Repair> {
         while now >= self.next {
-            let most = self
-                .waiting
+            let most_urgent = self
+                .queued
                 .iter()
-                .max_by_key(|r| r.1.urgency)
-                .map(|r| r.0.clone())?;
-            let repair = self.waiting.remove(&most)?;
-            if stands(&repair) {
-                self.next = now + (self.between as f64 * (0.5 + chance.draw())) as Micros;
+                .max_by_key(|(_, repair)| repair.urgency)
+                .map(|(key, _)| key.clone())?;
+            let repair = self.queued.remove(&most_urgent)?;
+            if is_needed(&repair) {
+                self.next = now + (self.mean_interval as f64 * (0.5 + random.draw())) as Micros;
                 return Some(repair);
             }
         }
         None
     }
 
+    /// When the next repair may go; `Micros::MAX` without any.
     pub fn next_due(&self) -> Micros {
-        if self.waiting.is_empty() {
+        if self.queued.is_empty() {
             Micros::MAX
         } else {
             self.next
         }
     }
 
+    /// Repairs in the queue.
     pub fn len(&self) -> usize {
-        self.waiting.len()
-    }
-
-    pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.queued.len()
     }
 }
--- a/crates/reconcile/tests/kinds.rs
+++ b/crates/reconcile/tests/kinds.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_reconcile::asking::rank;
+use cedarpulley_reconcile::polling::PollerRank;
 use cedarpulley_reconcile::*;
 
 const S: Micros = 1_000_000;
@@ -471,7 +471,7 @@
     // Its owner comes back later, and this router stays the first all the same.
     let back = (0..99)
         .map(|n| format!("x{n}"))
-        .find(|x| rank("w-1", "r0", &[arc("r0"), arc(x)]) == 0);
+        .find(|x| PollerRank::of("w-1", "r0", &[arc("r0"), arc(x)]).is_first());
     let back = back.expect("one that goes after it");
     let mut d = at_orphans(claims);
     let said = [
@@ -537,7 +537,7 @@
 fn who_is_no_longer_first_leaves_a_repair_to_another() {
     let other = (0..99)
         .map(|n| format!("x{n}"))
-        .find(|x| rank("w-1", "r0", &[arc("r0"), arc(x)]) == 1);
+        .find(|x| PollerRank::of("w-1", "r0", &[arc("r0"), arc(x)]).position() == 1);
     let other = other.expect("one that goes before it");
     let mut d = at_orphans(Claims::default());
     d.says(&[orphan("gone", "r1", None)]);
--- /dev/null
+++ b/crates/reconcile/tests/polling.rs
@@ -0,0 +1,58 @@
+//! Who polls a worker, at which interval, and within which rate limit.
+
+use std::sync::Arc;
+
+use cedarpulley_reconcile::polling::{PollInterval, PollResult, PollerRank, RateLimit};
+
+fn members(n: usize) -> Vec<Arc<str>> {
+    (0..n).map(|m| Arc::from(format!("r{m}"))).collect()
+}
+
+#[test]
+fn one_member_polls_each_worker_and_a_departure_moves_only_its_own() {
+    let all = members(9);
+    let first = |id: &str, of: &[Arc<str>]| {
+        of.iter()
+            .position(|m| PollerRank::of(id, m, of).is_first())
+            .expect("one")
+    };
+    let mut had = [0; 9];
+    for w in 0..900 {
+        let id = format!("w{w}");
+        let mut ranks: Vec<u32> = all
+            .iter()
+            .map(|m| PollerRank::of(&id, m, &all).position())
+            .collect();
+        let asks = first(&id, &all);
+        had[asks] += 1;
+        ranks.sort();
+        assert_eq!(ranks, (0..9).collect::<Vec<u32>>());
+        let left: Vec<Arc<str>> = all.iter().filter(|m| &***m != "r4").cloned().collect();
+        let then = &left[first(&id, &left)];
+        assert!(asks == 4 || *then == all[asks], "only what r4 asked moves");
+    }
+    assert!(had.iter().all(|n| (60..150).contains(n)), "{had:?}");
+}
+
+#[test]
+fn the_interval_follows_the_results_and_the_rate_limit_refills() {
+    let mut interval = PollInterval::new(800);
+    let results = [
+        PollResult::Clean,
+        PollResult::Clean,
+        PollResult::Clean,
+        PollResult::Drifted,
+        PollResult::Clean,
+        PollResult::Changed,
+        PollResult::Unresponsive,
+    ];
+    assert_eq!(
+        results.map(|w| interval.after(w)),
+        [1600, 3200, 3200, 100, 200, 800, 3200]
+    );
+    let mut limit = RateLimit::new(0, 4.0);
+    assert_eq!((0..9).filter(|_| limit.take(0)).count(), 4);
+    assert_eq!(limit.due(), 250_000);
+    assert!(!limit.take(200_000) && limit.take(250_000) && !limit.take(250_000));
+    assert_eq!((0..9).filter(|_| limit.take(90_000_000)).count(), 4);
+}
--- a/crates/reconcile/tests/world/mod.rs
+++ b/crates/reconcile/tests/world/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_reconcile::asking::Chance;
+use cedarpulley_reconcile::polling::Chance;
 use cedarpulley_reconcile::*;
 
 pub const S: Micros = 1_000_000;
@@ -432,7 +432,7 @@
             it.routers[r]
                 .shown()
                 .find(|s| s.worker == name)
-                .map(|s| (s.doubt, s.life))
+                .map(|s| (s.doubt, s.incarnation))
                 .expect("it knows it")
         };
         let began_of = |it: &World| {
