--- a/crates/reconcile/src/reconciler.rs
+++ b/crates/reconcile/src/reconciler.rs
@@ -6,8 +6,9 @@
 //! * `schedule`: when each worker is polled.
 //! * `observations`: the notes by which members share what they heard; a report that began before the last that was
 //!   taken is void.
-//! * `worker_state`: incarnations, doubt and beliefs of each worker; a report of an earlier incarnation is void, one of
-//!   a new incarnation takes all belief of the old with it.
+//! * `worker_table`, `worker_state`: what is known and believed of each worker.
+//! * `trust`: a report of an earlier incarnation is void, one of a new incarnation takes all belief of the old with it;
+//!   a worker that contradicted itself, or that an invocation refuted, is doubted for a while.
 //! * `comparison`: a report that began before a belief last changed says nothing about it; what is loading is left
 //!   alone; else belief is corrected by each router for itself.
 //! * `ownership`: which member is first for a worker, and who claims a copy.
@@ -24,7 +25,8 @@
 use self::observations::Note;
 use self::ownership::Ownership;
 use self::schedule::PollSchedule;
-use self::worker_state::{ReportOrigin, ReportSource, WorkerTable};
+use self::trust::{ReportOrigin, ReportSource};
+use self::worker_table::WorkerTable;
 use crate::belief::{Belief, Change};
 use crate::observation::Observation;
 use crate::polling::{Chance, PollResult};
@@ -36,7 +38,9 @@
 mod ownership;
 mod schedule;
 mod status;
+mod trust;
 mod worker_state;
+mod worker_table;
 
 pub use self::event::{Input, Output, Seat, Terms};
 pub use self::ownership::Claims;
--- a/crates/reconcile/src/reconciler/comparison.rs
+++ b/crates/reconcile/src/reconciler/comparison.rs
@@ -18,7 +18,9 @@
 use cedarpulley::interface::Micros;
 
 use super::ownership::{Ownership, UnclaimedReason};
-use super::worker_state::{BeliefBudget, ReportOrigin, WorkerState};
+use super::trust::ReportOrigin;
+use super::worker_state::WorkerState;
+use super::worker_table::BeliefBudget;
 use super::{Counts, Output, Terms};
 use crate::drift::{Cause, Drift, Kind};
 use crate::observation::{Consistency, Entry, Observation};
--- a/crates/reconcile/src/reconciler/worker_state.rs
+++ b/crates/reconcile/src/reconciler/worker_state.rs
@@ -1,11 +1,5 @@
 //! What is known of one worker: its incarnations, how far its reports are doubted, and what is believed of its
-//! functions. [`WorkerTable`] holds all of them.
-//!
-//! Mechanisms:
-//! 1. A report of an earlier incarnation is void; that such a one is back counts once it was reported twice.
-//! 2. Doubt grows with each contradiction, up to a bound; while it lasts, a difference counts once two reports
-//!    in a row show it.
-//! 3. Beliefs are bounded over all workers together: what is beyond is not followed.
+//! functions.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,97 +7,13 @@
 use cedarpulley::interface::Micros;
 
 use super::ownership::UnclaimedReason;
+use super::trust::{Doubt, Incarnations, ReportOrigin, ReportSource};
+use super::worker_table::BeliefBudget;
 use super::{Counts, Seat};
 use crate::belief::{Belief, Change};
 use crate::drift::{KINDS, Kind};
 use crate::observation::Observation;
 
-/// Beliefs over all workers; what is beyond is not followed, and counted.
-const MAX_BELIEFS: usize = 200_000;
-/// Doubt that one contradiction adds, that one refutation adds, and at most: so many consistent reports lift it.
-const CONTRADICTION_DOUBT: u8 = 2;
-const REFUTATION_DOUBT: u8 = 1;
-const MAX_DOUBT: u8 = 8;
-/// Earlier incarnations of a worker that are remembered.
-const MAX_FORMER: usize = 8;
-
-/// Where a report comes from.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ReportSource {
-    OwnPoll,
-    PeerNote,
-}
-
-/// Of which incarnation a report that counts is.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ReportOrigin {
-    KnownIncarnation,
-    NewIncarnation,
-}
-
-/// How far a worker's reports are doubted.
-#[derive(Debug, Default)]
-struct Doubt {
-    level: u8,
-    /// Differences that were reported while it was doubted, and in which report.
-    unconfirmed: BTreeMap<(Arc<str>, Kind), u64>,
-}
-
-impl Doubt {
-    fn add(&mut self, by: u8) {
-        self.level = self.level.saturating_add(by).min(MAX_DOUBT);
-    }
-}
-
-/// The process of a worker, and those before it.
-#[derive(Debug, Default)]
-struct Incarnations {
-    current: Option<u64>,
-    former: Vec<u64>,
-    /// Another than the current one, reported once.
-    unconfirmed: Option<u64>,
-}
-
-impl Incarnations {
-    /// None if the report is void.
-    /// Symptom: a worker was restarted at the same address, and answers of its old process are still under way.
-    fn identify(
-        &mut self,
-        incarnation: Option<u64>,
-        source: ReportSource,
-        doubt: &mut Doubt,
-    ) -> Option<ReportOrigin> {
-        let Some(incarnation) = incarnation else {
-            return Some(ReportOrigin::KnownIncarnation);
-        };
-        let unconfirmed = self.unconfirmed.take();
-        if self.current == Some(incarnation) {
-            return Some(ReportOrigin::KnownIncarnation);
-        }
-        let is_former = self.former.contains(&incarnation);
-        if is_former && source == ReportSource::OwnPoll && unconfirmed.is_none() {
-            // It was over, or so it was reported.
-            doubt.add(CONTRADICTION_DOUBT);
-        }
-        // A doubted report, and one that an earlier incarnation is back, counts once it came twice.
-        if (is_former || doubt.level > 0) && unconfirmed != Some(incarnation) {
-            self.unconfirmed = Some(incarnation);
-            return None;
-        }
-        let before = self.current.replace(incarnation);
-        self.former.retain(|former| *former != incarnation);
-        self.former.extend(before);
-        if self.former.len() > MAX_FORMER {
-            self.former.remove(0);
-        }
-        Some(if before.is_some() {
-            ReportOrigin::NewIncarnation
-        } else {
-            ReportOrigin::KnownIncarnation
-        })
-    }
-}
-
 /// How often a kind of drift was found, and in which report last.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DriftTally {
@@ -130,7 +40,7 @@
 }
 
 impl WorkerState {
-    fn new(listed: &Seat) -> WorkerState {
+    pub(super) fn new(listed: &Seat) -> WorkerState {
         WorkerState {
             id: listed.id.clone(),
             memory_mb: listed.memory_mb,
@@ -147,9 +57,8 @@
     }
 
     /// Takes over what stays true of the process before it.
-    fn inherit(&mut self, before: WorkerState) {
-        self.incarnations.former = before.incarnations.former;
-        self.incarnations.former.extend(before.incarnations.current);
+    pub(super) fn inherit(&mut self, before: WorkerState) {
+        self.incarnations = before.incarnations.into_former();
         for (tally, earlier) in self.drifts.iter_mut().zip(before.drifts) {
             tally.found = earlier.found;
         }
@@ -204,7 +113,7 @@
         self.version = version;
     }
 
-    /// Applies what this router saw by itself. False if it is beyond the bound on beliefs.
+    /// Applies what this router saw by itself; what is beyond the bound on beliefs is counted.
     pub(super) fn change(
         &mut self,
         now: Micros,
@@ -224,7 +133,7 @@
             .is_some_and(|belief| belief.change(now, lifetime, change));
         if refuted {
             counts.refuted += 1;
-            self.doubt.add(REFUTATION_DOUBT);
+            self.doubt.on_refuted();
         }
     }
 
@@ -254,30 +163,17 @@
 
     /// True if this difference may be believed now.
     pub(super) fn is_credible(&mut self, function: &Arc<str>, kind: Kind) -> bool {
-        if self.doubt.level == 0 {
-            return true;
-        }
-        let before = self
-            .doubt
-            .unconfirmed
-            .insert((function.clone(), kind), self.reports);
-        before.is_some_and(|report| report + 1 == self.reports)
+        self.doubt.is_credible(function, kind, self.reports)
     }
 
     /// The report contradicted itself.
     pub(super) fn on_contradiction(&mut self) {
-        self.doubt.add(CONTRADICTION_DOUBT);
+        self.doubt.on_contradiction();
     }
 
     /// A report was compared to the end.
     pub(super) fn on_compared(&mut self, was_consistent: bool) {
-        let reports = self.reports;
-        self.doubt
-            .unconfirmed
-            .retain(|_, report| *report == reports);
-        if was_consistent {
-            self.doubt.level = self.doubt.level.saturating_sub(1);
-        }
+        self.doubt.on_compared(self.reports, was_consistent);
     }
 
     pub(super) fn count_drift(&mut self, kind: Kind) {
@@ -334,6 +230,15 @@
             .filter(move |(_, belief)| belief.is_believed(now))
     }
 
+    /// Functions whose beliefs are followed.
+    pub(super) fn followed(&self) -> usize {
+        self.beliefs.len()
+    }
+
+    pub(super) fn set_memory_mb(&mut self, memory_mb: f64) {
+        self.memory_mb = memory_mb;
+    }
+
     pub(super) fn id(&self) -> &Arc<str> {
         &self.id
     }
@@ -343,11 +248,11 @@
     }
 
     pub(super) fn incarnation(&self) -> Option<u64> {
-        self.incarnations.current
+        self.incarnations.current()
     }
 
     pub(super) fn doubt(&self) -> u8 {
-        self.doubt.level
+        self.doubt.level()
     }
 
     /// Reports that were taken in.
@@ -359,80 +264,3 @@
         self.drifts[kind.index()]
     }
 }
-
-/// Beliefs of all workers, against their bound.
-#[derive(Debug, Default)]
-pub(super) struct BeliefBudget(usize);
-
-impl BeliefBudget {
-    fn reserve(&mut self) -> bool {
-        let fits = self.0 < MAX_BELIEFS;
-        self.0 += usize::from(fits);
-        fits
-    }
-
-    fn release(&mut self, beliefs: usize) {
-        self.0 -= beliefs;
-    }
-}
-
-/// All workers of the list, by this router's name for them.
-#[derive(Debug, Default)]
-pub(super) struct WorkerTable {
-    workers: BTreeMap<Arc<str>, WorkerState>,
-    by_id: BTreeMap<Arc<str>, Arc<str>>,
-    budget: BeliefBudget,
-}
-
-impl WorkerTable {
-    /// Updates a worker that is known by this name and id; false if there is none.
-    pub(super) fn update(&mut self, listed: &Seat) -> bool {
-        let known = self
-            .workers
-            .get_mut(&listed.worker)
-            .filter(|state| state.id == listed.id);
-        let Some(state) = known else {
-            return false;
-        };
-        state.memory_mb = listed.memory_mb;
-        true
-    }
-
-    /// Adds a worker; `before` is the process that had its name.
-    pub(super) fn insert(&mut self, listed: &Seat, before: Option<WorkerState>) {
-        let mut state = WorkerState::new(listed);
-        if let Some(before) = before {
-            state.inherit(before);
-        }
-        self.by_id.insert(listed.id.clone(), listed.worker.clone());
-        self.workers.insert(listed.worker.clone(), state);
-    }
-
-    pub(super) fn remove(&mut self, worker: &str) -> Option<WorkerState> {
-        let state = self.workers.remove(worker)?;
-        self.by_id.remove(&state.id);
-        self.budget.release(state.beliefs.len());
-        Some(state)
-    }
-
-    pub(super) fn get(&self, worker: &str) -> Option<&WorkerState> {
-        self.workers.get(worker)
-    }
-
-    pub(super) fn get_mut(
-        &mut self,
-        worker: &str,
-    ) -> Option<(Arc<str>, &mut WorkerState, &mut BeliefBudget)> {
-        let name = self.workers.get_key_value(worker)?.0.clone();
-        let state = self.workers.get_mut(worker)?;
-        Some((name, state, &mut self.budget))
-    }
-
-    pub(super) fn worker_of(&self, id: &str) -> Option<&Arc<str>> {
-        self.by_id.get(id)
-    }
-
-    pub(super) fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &WorkerState)> {
-        self.workers.iter()
-    }
-}
--- a/crates/reconcile/tests/kinds.rs
+++ b/crates/reconcile/tests/drift_kinds.rs
@@ -1,4 +1,4 @@
-//! Each kind of drift and each rule by itself: one router, one or two workers, and words as they may come.
+//! Each kind of drift and each rule by itself: one router, one or two workers, and reports as they may come.
 
 use std::sync::Arc;
 
@@ -13,14 +13,14 @@
     Arc::from(text)
 }
 
-struct Desk {
-    it: Reconciler,
+struct TestRouter {
+    reconciler: Reconciler,
     now: Micros,
     out: Vec<Output>,
 }
 
-impl Desk {
-    fn new() -> Desk {
+impl TestRouter {
+    fn new() -> TestRouter {
         let (every, grace) = (2 * S, 5 * S);
         let terms = Terms {
             me: arc("r0"),
@@ -31,8 +31,8 @@
             repairs_per_s: 10.0,
             seed: 3,
         };
-        let mut desk = Desk {
-            it: Reconciler::new(0, terms),
+        let mut router = TestRouter {
+            reconciler: Reconciler::new(0, terms),
             now: 0,
             out: Vec::new(),
         };
@@ -41,20 +41,20 @@
             id: arc(&format!("{w}-1")),
             memory_mb: 1000.0,
         };
-        desk.tell(Input::Workers(vec![seat("w"), seat("v")]));
-        desk.pass(S);
-        desk
+        router.tell(Input::Workers(vec![seat("w"), seat("v")]));
+        router.pass(S);
+        router
     }
 
     fn tell(&mut self, input: Input) {
-        self.it.handle(self.now, input, &mut self.out);
+        self.reconciler.handle(self.now, input, &mut self.out);
     }
 
     /// Time goes by, and what falls due is done.
     fn pass(&mut self, time: Micros) {
         let until = self.now + time;
-        while self.it.next_due() <= until {
-            self.now = self.now.max(self.it.next_due());
+        while self.reconciler.next_due() <= until {
+            self.now = self.now.max(self.reconciler.next_due());
             self.tell(Input::Tick);
         }
         self.now = until;
@@ -149,14 +149,14 @@
 }
 
 #[test]
-fn a_phantom_is_told_by_its_cause_and_loaded_again_under_load_only() {
-    let mut d = Desk::new();
-    d.used("busy");
-    d.used("busy");
-    d.used("other");
-    d.loaded("idle");
-    assert_eq!(d.says(&[one("busy"), one("idle"), one("other")]), []);
-    let evicted = d.says(&[one("idle"), one("other")]);
+fn a_phantom_is_reported_with_its_cause_and_loaded_again_only_under_load() {
+    let mut router = TestRouter::new();
+    router.used("busy");
+    router.used("busy");
+    router.used("other");
+    router.loaded("idle");
+    assert_eq!(router.says(&[one("busy"), one("idle"), one("other")]), []);
+    let evicted = router.says(&[one("idle"), one("other")]);
     assert_eq!(
         evicted,
         [
@@ -164,16 +164,16 @@
             found(Kind::Phantom, Cause::Evicted, "busy")
         ]
     );
-    d.pass(S);
+    router.pass(S);
     assert!(
-        d.out.contains(&Output::Want {
+        router.out.contains(&Output::Want {
             worker: arc("w"),
             function: arc("busy")
         }),
         "{:?}",
-        d.out
+        router.out
     );
-    let lost = d.says(&[one("other")]);
+    let lost = router.says(&[one("other")]);
     assert_eq!(
         lost,
         [
@@ -181,96 +181,102 @@
             found(Kind::Phantom, Cause::LostLoad, "idle")
         ]
     );
-    d.ran("busy", false);
-    let flushed = d.says(&[]);
+    router.ran("busy", false);
+    let flushed = router.says(&[]);
     let cause = |o: &&Output| **o == found(Kind::Phantom, Cause::Flushed, "busy");
     assert!(flushed.iter().any(|o| cause(&o)), "{flushed:?}");
-    assert!(!d.it.believes_in("w", "idle") && d.it.counts.wanted >= 1);
+    assert!(!router.reconciler.believes_in("w", "idle") && router.reconciler.counts.wanted >= 1);
     // Nothing is found twice.
-    assert_eq!(d.says(&[]), []);
+    assert_eq!(router.says(&[]), []);
 }
 
 #[test]
-fn what_this_router_used_lately_is_known_as_long_as_the_use_alone_is_believed() {
-    let mut d = Desk::new();
-    let lately = |d: &Desk, f: &str| d.it.used_lately(d.now, "w", f);
-    d.used("a");
-    d.loaded("b");
-    d.says(&[one("a"), one("b"), one("c")]);
+fn a_recent_use_is_known_for_the_lifetime_of_a_belief() {
+    let mut router = TestRouter::new();
+    let lately = |router: &TestRouter, f: &str| router.reconciler.used_lately(router.now, "w", f);
+    router.used("a");
+    router.loaded("b");
+    router.says(&[one("a"), one("b"), one("c")]);
     // Of the others only words are known.
-    assert_eq!(["a", "b", "c"].map(|f| lately(&d, f)), [true, false, false]);
-    assert!(d.it.believes_in("w", "b") && d.it.believes_in("w", "c"));
-    d.used("b");
-    d.says(&[one("a")]);
-    assert_eq!(["a", "b"].map(|f| lately(&d, f)), [true, false]);
+    assert_eq!(
+        ["a", "b", "c"].map(|f| lately(&router, f)),
+        [true, false, false]
+    );
+    assert!(router.reconciler.believes_in("w", "b") && router.reconciler.believes_in("w", "c"));
+    router.used("b");
+    router.says(&[one("a")]);
+    assert_eq!(["a", "b"].map(|f| lately(&router, f)), [true, false]);
     // A worker's word renews the belief, not the use.
-    d.pass(KEPT - 8 * S);
-    d.says(&[one("a")]);
-    d.pass(8 * S);
-    assert!(d.it.believes_in("w", "a") && !lately(&d, "a"));
+    router.pass(KEPT - 8 * S);
+    router.says(&[one("a")]);
+    router.pass(8 * S);
+    assert!(router.reconciler.believes_in("w", "a") && !lately(&router, "a"));
 }
 
 #[test]
-fn what_stands_and_is_not_believed_is_taken_up_and_kept() {
-    let mut d = Desk::new();
+fn an_unseen_copy_is_believed_and_renewed() {
+    let mut router = TestRouter::new();
     let by = |who: &str| Entry {
         ordered_by: Some(arc(who)),
         ..one("b")
     };
     assert_eq!(
-        d.says(&[one("a")]),
+        router.says(&[one("a")]),
         [held("a", 1), found(Kind::Unseen, Cause::LoadedOnMiss, "a")]
     );
     assert!(
-        !d.out.contains(&Output::Ask { worker: arc("w") }),
+        !router.out.contains(&Output::Ask { worker: arc("w") }),
         "what others load makes no haste"
     );
     assert_eq!(
-        d.says(&[one("a"), by("r1")])[1],
+        router.says(&[one("a"), by("r1")])[1],
         found(Kind::Unseen, Cause::LoadedElsewhere, "b")
     );
-    d.pass(KEPT - 10 * S);
+    router.pass(KEPT - 10 * S);
     // Renewed before the module stops believing, and no drift.
-    assert_eq!(d.says(&[one("a"), by("r1")]), [held("a", 1), held("b", 1)]);
+    assert_eq!(
+        router.says(&[one("a"), by("r1")]),
+        [held("a", 1), held("b", 1)]
+    );
     // One that will be evicted for idleness soon is left to run out.
     let idle = Entry {
         idle: Some(KEPT - S),
         ..one("c")
     };
-    assert_eq!(d.says(&[one("a"), by("r1"), idle]), []);
+    assert_eq!(router.says(&[one("a"), by("r1"), idle]), []);
 }
 
 #[test]
-fn copies_miscounted() {
-    let mut d = Desk::new();
-    d.loaded("a");
+fn a_miscount_of_copies_is_corrected() {
+    let mut router = TestRouter::new();
+    router.loaded("a");
     let many = Entry::plain("a", 3);
     assert_eq!(
-        d.says(&[many]),
+        router.says(&[many]),
         [
             held("a", 3),
             found(Kind::Miscounted, Cause::PartlyEvicted, "a")
         ]
     );
-    assert_eq!(d.says(&[one("a")]).len(), 2);
-    assert_eq!(d.says(&[one("a")]), []);
+    assert_eq!(router.says(&[one("a")]).len(), 2);
+    assert_eq!(router.says(&[one("a")]), []);
 }
 
 #[test]
-fn a_lost_prefix_lets_its_session_go() {
-    let mut d = Desk::new();
-    d.used("a");
+fn a_lost_prefix_releases_its_session() {
+    let mut router = TestRouter::new();
+    router.used("a");
     for (id, over) in [("s1", false), ("s2", false), ("s3", false), ("s3", true)] {
-        d.believes("a", Change::Session { id: arc(id), over });
+        router.believes("a", Change::Session { id: arc(id), over });
     }
-    d.pass(S);
+    router.pass(S);
     let with = |ids: &[&str]| Entry {
         sequences: Some(ids.iter().map(|i| arc(i)).collect()),
         ..one("a")
     };
     // A worker that says nothing of sessions proves nothing; one that ended is not missed.
-    assert_eq!(d.says(&[one("a")]), []);
-    assert_eq!(d.says(&[with(&["s1", "s2"])]), []);
+    assert_eq!(router.says(&[one("a")]), []);
+    assert_eq!(router.says(&[with(&["s1", "s2"])]), []);
     let lost = |ids: &[&str]| {
         let sessions = ids.iter().map(|i| arc(i)).collect();
         Output::PrefixLost {
@@ -280,33 +286,36 @@
         }
     };
     assert_eq!(
-        d.says(&[with(&["s2"])]),
+        router.says(&[with(&["s2"])]),
         [lost(&["s1"]), found(Kind::PrefixLost, Cause::Evicted, "a")]
     );
     // One that began after the ask did is not missed.
-    let began = d.now;
-    d.pass(S);
-    d.believes(
+    let began = router.now;
+    router.pass(S);
+    router.believes(
         "a",
         Change::Session {
             id: arc("s4"),
             over: false,
         },
     );
-    assert_eq!(d.answer(began, 1, &[with(&["s2"])]), []);
-    d.pass(S);
-    assert!(d.says(&[]).contains(&lost(&["s2", "s4"])), "with its copy");
+    assert_eq!(router.answer(began, 1, &[with(&["s2"])]), []);
+    router.pass(S);
+    assert!(
+        router.says(&[]).contains(&lost(&["s2", "s4"])),
+        "with its copy"
+    );
 }
 
 #[test]
-fn another_process_takes_all_belief_with_it_and_the_old_one_is_void() {
-    let mut d = Desk::new();
-    d.used("a");
-    d.used("b");
-    assert_eq!(d.says(&[one("a"), one("b")]), []);
-    let began = d.now;
-    d.pass(S);
-    let again = d.answer(began, 2, &[one("b")]);
+fn a_new_incarnation_voids_all_belief_and_reports_of_the_old_one() {
+    let mut router = TestRouter::new();
+    router.used("a");
+    router.used("b");
+    assert_eq!(router.says(&[one("a"), one("b")]), []);
+    let began = router.now;
+    router.pass(S);
+    let again = router.answer(began, 2, &[one("b")]);
     assert_eq!(
         again,
         [
@@ -315,76 +324,84 @@
         ]
     );
     // Of the earlier process: even one that left later.
-    let late = d.answer(began + 1, 1, &[one("a")]);
-    assert_eq!((late, d.it.counts.void_of_earlier_process), (vec![], 1));
-    assert!(!d.it.believes_in("w", "a") && d.it.believes_in("w", "b"));
+    let late = router.answer(began + 1, 1, &[one("a")]);
+    assert_eq!(
+        (late, router.reconciler.counts.void_of_earlier_process),
+        (vec![], 1)
+    );
+    assert!(!router.reconciler.believes_in("w", "a") && router.reconciler.believes_in("w", "b"));
     // Told by the list, it is asked in haste, and nothing is believed.
     let seat = |w: &str, n: u32| Seat {
         worker: arc(w),
         id: arc(&format!("{w}-{n}")),
         memory_mb: 0.0,
     };
-    d.tell(Input::Workers(vec![seat("w", 2), seat("v", 1)]));
-    d.out.clear();
-    assert!(!d.it.believes_in("w", "b"));
-    d.pass(S / 4);
-    assert!(d.out.contains(&Output::Ask { worker: arc("w") }));
-    d.used("c");
-    d.answer(d.now, 2, &[one("c"), one("z")]);
+    router.tell(Input::Workers(vec![seat("w", 2), seat("v", 1)]));
+    router.out.clear();
+    assert!(!router.reconciler.believes_in("w", "b"));
+    router.pass(S / 4);
+    assert!(router.out.contains(&Output::Ask { worker: arc("w") }));
+    router.used("c");
+    router.answer(router.now, 2, &[one("c"), one("z")]);
     assert!(
-        !d.it.believes_in("w", "z"),
+        !router.reconciler.believes_in("w", "z"),
         "the list said that this process is gone"
     );
 }
 
 #[test]
-fn what_began_before_the_last_change_overturns_nothing() {
-    let mut d = Desk::new();
-    let began = d.now;
-    d.pass(S);
-    d.loaded("a");
-    assert_eq!(d.answer(began, 1, &[]), []);
-    assert!(d.it.believes_in("w", "a") && d.it.counts.left_belief_newer == 1);
+fn a_report_older_than_the_last_change_corrects_nothing() {
+    let mut router = TestRouter::new();
+    let began = router.now;
+    router.pass(S);
+    router.loaded("a");
+    assert_eq!(router.answer(began, 1, &[]), []);
+    assert!(
+        router.reconciler.believes_in("w", "a") && router.reconciler.counts.left_belief_newer == 1
+    );
     // Nor does one that is older than what was taken already.
-    assert_eq!(d.says(&[one("a"), one("b")]).len(), 2);
+    assert_eq!(router.says(&[one("a"), one("b")]).len(), 2);
     assert_eq!(
-        (d.answer(began, 1, &[]), d.it.counts.void_older),
+        (
+            router.answer(began, 1, &[]),
+            router.reconciler.counts.void_older
+        ),
         (vec![], 1)
     );
 }
 
 #[test]
-fn what_is_loading_is_left_alone() {
-    let mut d = Desk::new();
-    d.used("a");
-    d.used("b");
-    d.used("c");
-    d.believes("a", Change::Ordered);
-    d.pass(S);
+fn a_function_that_is_loading_is_left_alone() {
+    let mut router = TestRouter::new();
+    router.used("a");
+    router.used("b");
+    router.used("c");
+    router.believes("a", Change::Ordered);
+    router.pass(S);
     // Nor is it taken up before its load has ended, though another copy stands there.
-    d.believes("d", Change::Ordered);
-    d.pass(S);
+    router.believes("d", Change::Ordered);
+    router.pass(S);
     let loading = Entry {
         loading: true,
         copies: 0,
         ..one("b")
     };
     assert_eq!(
-        d.answer(d.now - 2, 1, &[one("a"), one("b"), one("c"), one("d")]),
+        router.answer(router.now - 2, 1, &[one("a"), one("b"), one("c"), one("d")]),
         []
     );
-    d.pass(S);
-    let said = d.answer(d.now - 1, 1, std::slice::from_ref(&loading));
+    router.pass(S);
+    let said = router.answer(router.now - 1, 1, std::slice::from_ref(&loading));
     assert_eq!(
         said,
         [held("c", 0), found(Kind::Phantom, Cause::Evicted, "c")]
     );
-    assert_eq!(d.it.counts.left_under_load, 4);
+    assert_eq!(router.reconciler.counts.left_under_load, 4);
     // What was to be loaded again and is being loaded by now is not asked for.
-    d.believes("c", Change::Sent);
-    d.pass(5 * S);
-    assert_eq!(d.it.counts.wanted, 0);
-    d.believes(
+    router.believes("c", Change::Sent);
+    router.pass(5 * S);
+    assert_eq!(router.reconciler.counts.wanted, 0);
+    router.believes(
         "c",
         Change::Ended {
             stands: None,
@@ -392,46 +409,58 @@
             copy_mb: 0.0,
         },
     );
-    d.believes(
+    router.believes(
         "a",
         Change::OrderEnded {
             stands: Some(true),
             copies: Some(1),
         },
     );
-    d.pass(S);
-    assert_eq!(d.says(&[loading])[0], held("a", 0));
+    router.pass(S);
+    assert_eq!(router.says(&[loading])[0], held("a", 0));
 }
 
 #[test]
-fn who_contradicts_itself_is_believed_once_it_says_it_twice() {
-    let mut d = Desk::new();
-    d.loaded("a");
-    d.loaded("b");
+fn a_doubted_worker_is_believed_after_two_equal_reports() {
+    let mut router = TestRouter::new();
+    router.loaded("a");
+    router.loaded("b");
     let two = [one("a"), Entry::plain("a", 2), one("b")];
-    assert_eq!((d.says(&two), d.it.counts.contradictions), (vec![], 1));
-    assert_eq!((d.says(&[one("a")]), d.it.counts.left_doubted), (vec![], 1));
-    assert_eq!(d.says(&[one("a"), one("b")]), [], "it did not mean it");
+    assert_eq!(
+        (router.says(&two), router.reconciler.counts.contradictions),
+        (vec![], 1)
+    );
+    assert_eq!(
+        (
+            router.says(&[one("a")]),
+            router.reconciler.counts.left_doubted
+        ),
+        (vec![], 1)
+    );
+    assert_eq!(router.says(&[one("a"), one("b")]), [], "it did not mean it");
     // As often as it is sound its doubt falls: by now its word counts again.
-    assert_eq!(d.says(&[one("a")]).len(), 2);
+    assert_eq!(router.says(&[one("a")]).len(), 2);
     // An invocation that finds what was said to be gone refutes the worker.
-    d.used("b");
-    assert_eq!((d.it.counts.refuted, d.says(&[one("a")])), (1, vec![]));
-    assert_eq!(d.says(&[one("a")]).len(), 2, "said twice in a row");
+    router.used("b");
+    assert_eq!(
+        (router.reconciler.counts.refuted, router.says(&[one("a")])),
+        (1, vec![])
+    );
+    assert_eq!(router.says(&[one("a")]).len(), 2, "said twice in a row");
     // More than its memory.
-    d.used("a");
+    router.used("a");
     let large = Entry::plain("a", 400);
-    assert_eq!(d.says(std::slice::from_ref(&large)), []);
-    assert_eq!(d.says(&[large]).len(), 2);
+    assert_eq!(router.says(std::slice::from_ref(&large)), []);
+    assert_eq!(router.says(&[large]).len(), 2);
 }
 
 #[test]
-fn an_earlier_process_is_back_once_it_was_said_twice() {
-    let mut d = Desk::new();
-    d.used("a");
+fn a_former_incarnation_is_accepted_after_two_reports() {
+    let mut router = TestRouter::new();
+    router.used("a");
     let mut say = |life, what: &[Entry]| {
-        d.pass(S);
-        d.answer(d.now, life, what).len()
+        router.pass(S);
+        router.answer(router.now, life, what).len()
     };
     assert_eq!(
         [say(1, &[one("a")]), say(7, &[]), say(1, &[one("a")])],
@@ -441,13 +470,13 @@
     assert_eq!(say(1, &[one("a")]), 2, "and by now what it holds, too");
 }
 
-fn at_orphans(claims: Claims) -> Desk {
-    let mut d = Desk::new();
-    d.tell(Input::Members(["r0", "r1", "r2"].map(arc).to_vec()));
+fn at_orphans(claims: Claims) -> TestRouter {
+    let mut router = TestRouter::new();
+    router.tell(Input::Members(["r0", "r1", "r2"].map(arc).to_vec()));
     // Whatever the hash says: it is first for this worker.
-    d.tell(Input::Members(vec![arc("r0")]));
-    d.tell(Input::Claims(claims));
-    d
+    router.tell(Input::Members(vec![arc("r0")]));
+    router.tell(Input::Claims(claims));
+    router
 }
 
 fn orphan(function: &str, by: &str, term: Option<&str>) -> Entry {
@@ -462,7 +491,7 @@
 }
 
 #[test]
-fn what_nobody_claims_is_unloaded_after_a_grace() {
+fn an_unclaimed_copy_is_unloaded_after_the_grace_period() {
     let claims = Claims {
         terms: [arc("7.1")].into(),
         functions: [arc("wanted")].into(),
@@ -473,7 +502,7 @@
         .map(|n| format!("x{n}"))
         .find(|x| PollerRank::of("w-1", "r0", &[arc("r0"), arc(x)]).is_first());
     let back = back.expect("one that goes after it");
-    let mut d = at_orphans(claims);
+    let mut router = at_orphans(claims);
     let said = [
         orphan("gone", &back, None),
         orphan("ended", "r0", Some("6.0")),
@@ -496,10 +525,10 @@
         found(Kind::Orphan, Cause::RouterGone, "lately"),
         found(Kind::OlderVersion, Cause::LostUnload, "old"),
     ];
-    assert_eq!(d.says(&said), kinds);
-    let unloads = |d: &mut Desk| {
+    assert_eq!(router.says(&said), kinds);
+    let unloads = |router: &mut TestRouter| {
         let mut all = Vec::new();
-        for o in d.out.drain(..) {
+        for o in router.out.drain(..) {
             if let Output::Unload { function, .. } = o {
                 all.push(function.to_string());
             }
@@ -507,54 +536,60 @@
         all.sort();
         all
     };
-    d.pass(3 * S);
+    router.pass(3 * S);
     assert_eq!(
-        (d.says(&said), unloads(&mut d)),
+        (router.says(&said), unloads(&mut router)),
         (vec![], vec![]),
         "within the grace"
     );
-    d.pass(5 * S);
-    d.says(&said);
-    d.pass(3 * S);
-    assert_eq!(unloads(&mut d), ["ended", "gone", "old"]);
+    router.pass(5 * S);
+    router.says(&said);
+    router.pass(3 * S);
+    assert_eq!(unloads(&mut router), ["ended", "gone", "old"]);
     // The order was lost: found again, and unloaded again after another grace.
-    assert_eq!(d.says(&said).len(), 3);
-    d.pass(6 * S);
-    d.answer(d.now - 1, 1, &said);
+    assert_eq!(router.says(&said).len(), 3);
+    router.pass(6 * S);
+    router.answer(router.now - 1, 1, &said);
     // Meanwhile its owner came back, a plan lays claim, an invocation uses it.
-    d.tell(Input::Members(vec![arc("r0"), arc(&back)]));
-    d.tell(Input::Claims(Claims {
+    router.tell(Input::Members(vec![arc("r0"), arc(&back)]));
+    router.tell(Input::Claims(Claims {
         terms: [arc("6.0")].into(),
         ..Claims::default()
     }));
-    assert_eq!(d.it.repairs_waiting(), 3);
-    d.pass(3 * S);
-    assert_eq!(d.it.repairs_waiting(), 0);
-    assert_eq!(unloads(&mut d), Vec::<String>::new());
+    assert_eq!(router.reconciler.repairs_waiting(), 3);
+    router.pass(3 * S);
+    assert_eq!(router.reconciler.repairs_waiting(), 0);
+    assert_eq!(unloads(&mut router), Vec::<String>::new());
 }
 
 #[test]
-fn who_is_no_longer_first_leaves_a_repair_to_another() {
+fn a_router_that_is_no_longer_first_drops_its_repairs() {
     let other = (0..99)
         .map(|n| format!("x{n}"))
         .find(|x| PollerRank::of("w-1", "r0", &[arc("r0"), arc(x)]).position() == 1);
     let other = other.expect("one that goes before it");
-    let mut d = at_orphans(Claims::default());
-    d.says(&[orphan("gone", "r1", None)]);
-    d.pass(6 * S);
-    d.answer(d.now - 1, 1, &[orphan("gone", "r1", None)]);
-    assert_eq!(d.it.repairs_waiting(), 1);
-    d.tell(Input::Members(vec![arc("r0"), arc(&other)]));
-    d.pass(S);
-    assert_eq!((d.it.repairs_waiting(), d.it.counts.unloaded), (0, 0));
+    let mut router = at_orphans(Claims::default());
+    router.says(&[orphan("gone", "r1", None)]);
+    router.pass(6 * S);
+    router.answer(router.now - 1, 1, &[orphan("gone", "r1", None)]);
+    assert_eq!(router.reconciler.repairs_waiting(), 1);
+    router.tell(Input::Members(vec![arc("r0"), arc(&other)]));
+    router.pass(S);
+    assert_eq!(
+        (
+            router.reconciler.repairs_waiting(),
+            router.reconciler.counts.unloaded
+        ),
+        (0, 0)
+    );
 }
 
 #[test]
-fn only_the_one_that_asks_a_worker_repairs_there_and_from_its_own_word() {
+fn only_the_first_in_rank_repairs_and_only_from_its_own_poll() {
     let members: Vec<Arc<str>> = (0..9).map(|n| arc(&format!("r{n}"))).collect();
     let (mut unloads, mut asks) = (0, 0);
     for m in &members {
-        let mut d = Desk::new();
+        let mut router = TestRouter::new();
         let terms = Terms {
             me: m.clone(),
             every: 2 * S,
@@ -564,9 +599,9 @@
             repairs_per_s: 10.0,
             seed: 3,
         };
-        d.it = Reconciler::new(0, terms);
-        d.tell(Input::Members(members.clone()));
-        d.tell(Input::Workers(vec![Seat {
+        router.reconciler = Reconciler::new(0, terms);
+        router.tell(Input::Members(members.clone()));
+        router.tell(Input::Workers(vec![Seat {
             worker: arc("w"),
             id: arc("w-1"),
             memory_mb: 0.0,
@@ -576,46 +611,50 @@
             ..orphan("gone", "x", None)
         }];
         // All ask at once, as after a change of view.
-        let out = (d.says(&said), d.says(&said)).0;
+        let out = (router.says(&said), router.says(&said)).0;
         let note = out.iter().find_map(|o| match o {
             Output::Note { id, version, value } => Some((id.clone(), *version, value.clone())),
             _ => None,
         });
         let (id, version, value) = note.expect("each shares what it heard");
-        d.pass(3 * S);
-        let unloaded = d.it.counts.unloaded;
+        router.pass(3 * S);
+        let unloaded = router.reconciler.counts.unloaded;
         unloads += u64::from(unloaded > 0);
-        asks += u64::from(d.it.counts.asks > 0);
-        d.tell(Input::Noted {
+        asks += u64::from(router.reconciler.counts.asks > 0);
+        router.tell(Input::Noted {
             id: &id,
             version: (0, version.1 + 9),
             transit: 0,
             value: &value,
         });
-        d.pass(S);
-        assert_eq!(d.it.counts.unloaded, unloaded, "a note repairs nothing");
+        router.pass(S);
+        assert_eq!(
+            router.reconciler.counts.unloaded, unloaded,
+            "a note repairs nothing"
+        );
     }
     assert_eq!((unloads, asks), (1, 1));
 }
 
 #[test]
-fn a_note_is_as_old_as_it_may_have_been_under_way() {
-    let mut other = Desk::new();
+fn a_note_is_dated_by_its_longest_transit() {
+    let mut other = TestRouter::new();
     other.tell(Input::Members(["r0", "r1"].map(arc).to_vec()));
     let Some(Output::Note { id, value, .. }) = other.says(&[one("b")]).into_iter().next() else {
         panic!()
     };
-    let mut d = Desk::new();
-    d.loaded("a");
+    let mut router = TestRouter::new();
+    router.loaded("a");
     let mut note = |version, transit, value: &[u8]| {
-        d.out.clear();
-        d.tell(Input::Noted {
+        router.out.clear();
+        router.tell(Input::Noted {
             id: &id,
             version: (0, version),
             transit,
             value,
         });
-        d.out
+        router
+            .out
             .iter()
             .filter(|o| matches!(o, Output::Held { .. }))
             .count()
@@ -627,7 +666,7 @@
     );
     assert_eq!(note(2, S / 2, &value), 1, "gone since");
     assert_eq!([note(2, 0, &value), note(3, 0, &[9, 9, 9])], [0, 0]);
-    let c = d.it.counts;
+    let c = router.reconciler.counts;
     assert_eq!(
         (
             c.notes,
@@ -640,13 +679,13 @@
 }
 
 #[test]
-fn after_a_flush_of_everything_loads_come_one_by_one_the_busiest_first() {
-    let mut d = Desk::new();
+fn after_a_flush_loads_are_rate_limited_and_the_busiest_come_first() {
+    let mut router = TestRouter::new();
     for n in 0..40 {
         let function = format!("f{n}");
         for _ in 0..=n % 8 {
-            d.believes(&function, Change::Sent);
-            d.believes(
+            router.believes(&function, Change::Sent);
+            router.believes(
                 &function,
                 Change::Ended {
                     stands: Some(true),
@@ -656,26 +695,28 @@
             );
         }
     }
-    d.pass(S);
+    router.pass(S);
     assert_eq!(
-        d.says(&[])
+        router
+            .says(&[])
             .iter()
             .filter(|o| matches!(o, Output::Held { copies: 0, .. }))
             .count(),
         40
     );
-    let wanted = |d: &Desk| {
-        d.out
+    let wanted = |router: &TestRouter| {
+        router
+            .out
             .iter()
             .filter(|o| matches!(o, Output::Want { .. }))
             .count()
     };
     assert!(
-        (6..=20).contains(&wanted(&d)),
+        (6..=20).contains(&wanted(&router)),
         "ten a second, spread by chance: {}",
-        wanted(&d)
+        wanted(&router)
     );
-    let first = d.out.iter().find_map(|o| match o {
+    let first = router.out.iter().find_map(|o| match o {
         Output::Want { function, .. } => Some(function.to_string()),
         _ => None,
     });
@@ -683,24 +724,24 @@
         first.map(|f| f[1..].parse::<u32>().expect("a number") % 8),
         Some(7)
     );
-    d.pass(20 * S);
-    assert!(d.it.counts.wanted <= 40 && d.it.repairs_waiting() == 0);
+    router.pass(20 * S);
+    assert!(router.reconciler.counts.wanted <= 40 && router.reconciler.repairs_waiting() == 0);
 }
 
 #[test]
-fn who_is_silent_is_asked_rarely_and_the_next_in_line_takes_over() {
-    let mut d = Desk::new();
-    d.tell(Input::Silent { worker: "w" });
-    d.out.clear();
-    d.pass(6 * S);
-    assert!(!d.out.contains(&Output::Ask { worker: arc("w") }));
-    d.pass(3 * S);
-    assert!(d.out.contains(&Output::Ask { worker: arc("w") }));
+fn an_unresponsive_worker_is_polled_rarely_and_the_next_in_rank_takes_over() {
+    let mut router = TestRouter::new();
+    router.tell(Input::Silent { worker: "w" });
+    router.out.clear();
+    router.pass(6 * S);
+    assert!(!router.out.contains(&Output::Ask { worker: arc("w") }));
+    router.pass(3 * S);
+    assert!(router.out.contains(&Output::Ask { worker: arc("w") }));
     // Of three, each has a rank of its own; whoever hears nothing asks in turn.
     let members = ["r0", "r1", "r2"].map(arc);
     let mut at = Vec::new();
     for me in &members {
-        let mut d = Desk::new();
+        let mut router = TestRouter::new();
         let terms = Terms {
             me: me.clone(),
             every: 2 * S,
@@ -710,19 +751,19 @@
             repairs_per_s: 1.0,
             seed: 1,
         };
-        d.it = Reconciler::new(0, terms);
-        d.tell(Input::Members(members.to_vec()));
-        d.tell(Input::Workers(vec![Seat {
+        router.reconciler = Reconciler::new(0, terms);
+        router.tell(Input::Members(members.to_vec()));
+        router.tell(Input::Workers(vec![Seat {
             worker: arc("w"),
             id: arc("w-1"),
             memory_mb: 0.0,
         }]));
-        d.out.clear();
-        let began = d.now;
-        while !d.out.contains(&Output::Ask { worker: arc("w") }) {
-            d.pass(S);
+        router.out.clear();
+        let began = router.now;
+        while !router.out.contains(&Output::Ask { worker: arc("w") }) {
+            router.pass(S);
         }
-        at.push((d.now - began) / (24 * S));
+        at.push((router.now - began) / (24 * S));
     }
     at.sort();
     assert_eq!(at, [0, 1, 2]);
--- a/crates/reconcile/tests/simulated.rs
+++ b/crates/reconcile/tests/simulated.rs
@@ -1,6 +1,6 @@
-//! Random interleavings of loads, dispatches, asks, notes and drift: no correction is untrue, nothing is repaired while
+//! Random interleavings of loads, dispatches, polls, notes and drift: no correction is untrue, nothing is repaired while
 //! its load is under way, nothing is unloaded that a router believes in, and every drift is found within the stated
-//! number of rounds. And the same state machines, 3, 9 and 300 of them: asks a worker do not grow with the routers.
+//! number of rounds. And the same state machines, 3, 9 and 300 of them: polls per worker do not grow with the routers.
 
 mod world;
 
@@ -8,12 +8,12 @@
 use proptest::prelude::*;
 use world::*;
 
-/// A worker is asked at least this often, with chance, message times and one other ask before it.
+/// A worker is asked at least this often, with jitter, message times and one other poll before it.
 const ROUND: i64 = EVERY * 4 + EVERY;
-/// In time, until all routers know: one round, and one more by notes or for what was loading. By words of the
+/// In time, until all routers know: one round, and one more by notes or for what was loading. By reports of the
 /// worker the world itself counts (`world::ROUNDS`).
 const PASSES: i64 = 2;
-/// A doubted worker's word must be said twice, and doubt lasts for at most so many answers.
+/// A doubted worker's difference must be reported twice, and doubt lasts for at most so many reports.
 const PASSES_DOUBTED: i64 = 10;
 
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
     Orphan(usize, usize),
     Kill(usize),
     Silent(usize, bool),
-    Lies(usize, bool),
+    FalseReports(usize, bool),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -46,7 +46,7 @@
         2 => (w.clone(), f.clone()).prop_map(|(w, f)| Step::Orphan(w, f)),
         1 => (1..3usize).prop_map(Step::Kill),
         1 => (w.clone(), any::<bool>()).prop_map(|(w, on)| Step::Silent(w, on)),
-        1 => (w, any::<bool>()).prop_map(|(w, on)| Step::Lies(w, on)),
+        1 => (w, any::<bool>()).prop_map(|(w, on)| Step::FalseReports(w, on)),
     ];
     prop::collection::vec(step, 10..80)
 }
@@ -65,7 +65,7 @@
         Step::Orphan(w, f) => world.load_by(w, &function(f), "x"),
         Step::Kill(r) => world.kill(r),
         Step::Silent(w, on) => world.workers[w].silent = on,
-        Step::Lies(w, on) => world.workers[w].spoilt = on.then_some(3),
+        Step::FalseReports(w, on) => world.workers[w].corrupted = on.then_some(3),
     }
 }
 
@@ -73,29 +73,29 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(25), ..ProptestConfig::default() })]
 
     #[test]
-    fn belief_comes_to_be_true_and_is_never_made_false(seed in any::<u64>(), routers in 1..4usize, steps in steps()) {
+    fn beliefs_converge_to_the_truth_and_no_correction_is_false(seed in any::<u64>(), routers in 1..4usize, steps in steps()) {
         let mut world = World::new(seed, 3, 3, 50.0);
         (routers..3).for_each(|r| world.kill(r));
-        let mut lied = false;
+        let mut had_false_reports = false;
         for step in &steps {
-            lied |= matches!(step, Step::Lies(_, true));
+            had_false_reports |= matches!(step, Step::FalseReports(_, true));
             play(&mut world, step);
         }
         for w in &mut world.workers {
-            (w.silent, w.spoilt) = (false, None);
+            (w.silent, w.corrupted) = (false, None);
         }
-        let passes = if lied || world.routers.iter().any(|r| r.counts.refuted > 0) { PASSES_DOUBTED } else { PASSES };
+        let passes = if had_false_reports || world.routers.iter().any(|r| r.counts.refuted > 0) { PASSES_DOUBTED } else { PASSES };
         // The last answer of a silent worker may be one slow pace away.
         world.pass(ROUND + passes * ROUND);
-        prop_assert!(world.wrongs.is_empty(), "{:?}", world.wrongs);
+        prop_assert!(world.violations.is_empty(), "{:?}", world.violations);
         let differs = world.differs();
         prop_assert!(differs.is_empty(), "{differs:?}");
     }
 }
 
-/// Nothing is wrong, and so nothing is found, but for what others load.
+/// Without faults no drift is reported, except for what others load.
 #[test]
-fn without_drift_nothing_is_found_or_repaired() {
+fn without_drift_nothing_is_reported_or_repaired() {
     for seed in 0..20 {
         let mut world = World::new(seed, 3, 4, 50.0);
         for n in 0..200usize {
@@ -117,11 +117,11 @@
             drift.is_empty() && world.wants == 0 && world.unloads.is_empty(),
             "{drift:?}"
         );
-        assert!(world.wrongs.is_empty() && world.differs().is_empty());
+        assert!(world.violations.is_empty() && world.differs().is_empty());
     }
 }
 
-/// By three routers that all look, one unloads what a dead one left, once.
+/// Of three routers that all poll, one unloads what a departed one left, once.
 #[test]
 fn orphans_are_unloaded_once() {
     for seed in 0..20 {
@@ -130,26 +130,26 @@
         world.pass(2 * KEPT + GRACE + 2 * ROUND);
         assert_eq!(world.unloads.len(), 6);
         assert!(
-            world.unloads.values().all(|n| *n == 1) && world.wrongs.is_empty(),
+            world.unloads.values().all(|n| *n == 1) && world.violations.is_empty(),
             "{:?}",
-            world.wrongs
+            world.violations
         );
     }
 }
 
-/// Asks a worker a second over a minute in which drift comes and goes.
-fn asks(routers: usize, workers: usize) -> (f64, u64) {
+/// Polls of a worker a second over a minute in which drift comes and goes.
+fn polls_per_worker(routers: usize, workers: usize) -> (f64, u64) {
     let mut world = World::new(11, routers, workers, 50.0);
     world.pass(10 * S);
-    let before: u64 = world.workers.iter().map(|w| w.asked).sum();
+    let before: u64 = world.workers.iter().map(|w| w.polls).sum();
     for n in 0..12usize {
         (0..8).for_each(|f| world.dispatch(n % routers, (n + f) % workers, &function(f)));
         world.pass(2 * S);
         world.flush(n % workers);
         world.pass(3 * S);
     }
-    let after: u64 = world.workers.iter().map(|w| w.asked).sum();
-    assert!(world.wrongs.is_empty(), "{:?}", world.wrongs);
+    let after: u64 = world.workers.iter().map(|w| w.polls).sum();
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     let phantoms = world
         .found
         .iter()
@@ -162,10 +162,10 @@
 }
 
 #[test]
-fn asks_a_worker_do_not_grow_with_the_routers() {
-    let few = asks(3, 12);
+fn polls_per_worker_do_not_grow_with_the_routers() {
+    let few = polls_per_worker(3, 12);
     for routers in [9, 300] {
-        let many = asks(routers, 12);
+        let many = polls_per_worker(routers, 12);
         println!("asks a worker a second: {few:?} with 3 routers, {many:?} with {routers}");
         assert!(
             many.0 < few.0 * 1.5 && many.0 > few.0 / 1.5,
@@ -175,12 +175,12 @@
     }
 }
 
-/// More workers than its budget lets a router ask: it asks as many as it may, and each of them in turn.
+/// More workers than its rate limit lets a router poll: it polls as many as it may, and each of them in turn.
 #[test]
-fn a_budget_bounds_a_routers_asks() {
+fn a_rate_limit_bounds_the_polls_of_a_router() {
     let mut world = World::new(5, 1, 200, 10.0);
     world.pass(60 * S);
-    let asked: Vec<u64> = world.workers.iter().map(|w| w.asked).collect();
+    let asked: Vec<u64> = world.workers.iter().map(|w| w.polls).collect();
     let all: u64 = asked.iter().sum();
     assert!((560..=610).contains(&all), "{all}");
     assert!(asked.iter().all(|n| (2..=4).contains(n)), "{asked:?}");
--- a/crates/reconcile/tests/world/mod.rs
+++ b/crates/reconcile/tests/world/mod.rs
@@ -1,5 +1,5 @@
 //! Routers and workers in one process: the state machines that run in the program, messages with delays between them,
-//! and all that really happened kept, so that each correction can be held against it.
+//! and the history of what really happened, against which each correction is checked.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -52,10 +52,10 @@
     /// Since when there were so many copies, by function.
     past: BTreeMap<String, Vec<(Micros, u32)>>,
     pub silent: bool,
-    pub asked: u64,
-    /// One in so many entries is spoilt.
-    pub spoilt: Option<u64>,
-    lied: bool,
+    pub polls: u64,
+    /// One in so many entries is corrupted.
+    pub corrupted: Option<u64>,
+    reported_falsely: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -123,7 +123,7 @@
     pub routers: Vec<Reconciler>,
     pub cores: Vec<Core>,
     due: BinaryHeap<Reverse<(Micros, u64)>>,
-    what: BTreeMap<u64, Due>,
+    events: BTreeMap<u64, Due>,
     serial: u64,
     chance: Chance,
     /// When the observation began that is being taken in.
@@ -131,7 +131,7 @@
     pub found: Vec<Drift>,
     pub wants: u64,
     pub unloads: BTreeMap<(usize, String), u64>,
-    pub wrongs: Vec<String>,
+    pub violations: Vec<String>,
     /// Rounds in a row in which a worker's word and a router's belief stayed apart, by router, worker and function, and
     /// what was believed.
     apart: BTreeMap<(usize, usize, String), (u64, bool)>,
@@ -178,14 +178,14 @@
                 })
                 .collect(),
             due: BinaryHeap::new(),
-            what: BTreeMap::new(),
+            events: BTreeMap::new(),
             serial: 0,
             chance: Chance::new(seed ^ 0x77),
             began: 0,
             found: Vec::new(),
             wants: 0,
             unloads: BTreeMap::new(),
-            wrongs: Vec::new(),
+            violations: Vec::new(),
             apart: BTreeMap::new(),
         }
     }
@@ -194,7 +194,7 @@
         let at = self.now + 1 + (within as f64 * self.chance.draw()) as Micros;
         self.serial += 1;
         self.due.push(Reverse((at, self.serial)));
-        self.what.insert(self.serial, due);
+        self.events.insert(self.serial, due);
     }
 
     /// What really stands.
@@ -301,11 +301,11 @@
     }
 
     fn carry_out(&mut self, r: usize, output: Output) {
-        let ix = |worker: &str| worker[1..].parse::<usize>().expect("a number");
+        let index_of = |worker: &str| worker[1..].parse::<usize>().expect("a number");
         match output {
             Output::Ask { worker } => {
-                let (w, now) = (ix(&worker), self.now);
-                self.workers[w].asked += 1;
+                let (w, now) = (index_of(&worker), self.now);
+                self.workers[w].polls += 1;
                 self.later(
                     LOAD / 10,
                     Due::Looked {
@@ -320,7 +320,7 @@
                 function,
                 copies,
             } => {
-                let w = ix(&worker);
+                let w = index_of(&worker);
                 self.is_true(r, w, &function, copies);
                 let (core, key) = (&mut self.cores[r], (w, function.to_string()));
                 match copies {
@@ -330,9 +330,9 @@
             }
             Output::Want { worker, function } => {
                 self.wants += 1;
-                let (w, f) = (ix(&worker), function.to_string());
+                let (w, f) = (index_of(&worker), function.to_string());
                 if self.cores[r].under_way.contains_key(&(w, f.clone())) {
-                    self.wrongs
+                    self.violations
                         .push(format!("{f} at {w} is wanted while it is under way"));
                 }
                 self.order(r, w, &f);
@@ -340,13 +340,13 @@
             Output::Unload {
                 worker, function, ..
             } => {
-                let (w, f) = (ix(&worker), function.to_string());
+                let (w, f) = (index_of(&worker), function.to_string());
                 *self.unloads.entry((w, f.clone())).or_default() += 1;
                 let (now, key) = (self.now, (w, f.clone()));
                 let used =
                     |c: &Core| c.alive && c.believes.get(&key).is_some_and(|until| now < *until);
                 if self.cores.iter().any(used) {
-                    self.wrongs.push(format!(
+                    self.violations.push(format!(
                         "{f} at {w} is unloaded while a router believes in it"
                     ));
                 }
@@ -355,7 +355,7 @@
                     .iter()
                     .any(|c| c.alive && c.under_way.contains_key(&key))
                 {
-                    self.wrongs.push(format!(
+                    self.violations.push(format!(
                         "{f} at {w} is unloaded while its load is under way"
                     ));
                 }
@@ -393,8 +393,8 @@
         let past = self.workers[w].past.get(f).cloned().unwrap_or_default();
         let before = past.iter().rev().find(|p| p.0 <= began).map_or(0, |p| p.1);
         let was = before == copies || past.iter().any(|p| p.0 >= began && p.1 == copies);
-        if !was && !self.workers[w].lied {
-            self.wrongs.push(format!(
+        if !was && !self.workers[w].reported_falsely {
+            self.violations.push(format!(
                 "{f} at {w}: {copies} were never there since {began}"
             ));
         }
@@ -403,7 +403,7 @@
             .get(&key)
             .is_some_and(|at| *at >= began)
         {
-            self.wrongs.push(format!(
+            self.violations.push(format!(
                 "{f} at {w}: an older observation overturned a newer belief"
             ));
         }
@@ -411,7 +411,7 @@
             && copies == 0
             && !self.cores[r].believes.contains_key(&key)
         {
-            self.wrongs.push(format!(
+            self.violations.push(format!(
                 "{f} at {w} is repaired while its load is under way"
             ));
         }
@@ -467,7 +467,7 @@
             let free = !core.under_way.contains_key(&key)
                 && entry.is_none_or(|e| !e.loading)
                 && core.evidence.get(&key).is_none_or(|at| *at < began);
-            // It may leave before it is asked about again, or is not for use.
+            // It may leave before it is polled again, or is not for use.
             let member =
                 |by: &str| (0..self.cores.len()).any(|r| self.cores[r].alive && router(r) == by);
             let left_alone = entry.is_some_and(|e| {
@@ -489,7 +489,7 @@
             }
             let (rounds, most) = (before + 1, if doubted { DOUBTED_ROUNDS } else { ROUNDS });
             if rounds >= most {
-                self.wrongs.push(format!(
+                self.violations.push(format!(
                     "{f} at {w}: {r} has not found it in {rounds} rounds"
                 ));
             }
@@ -499,7 +499,7 @@
 
     fn look(&mut self, w: usize) -> Observation {
         let now = self.now;
-        let spoilt = self.workers[w].spoilt;
+        let corrupted = self.workers[w].corrupted;
         let mut entries = Vec::new();
         for (name, c) in self.workers[w]
             .holds
@@ -508,8 +508,8 @@
             .filter(|(_, c)| c.copies > 0 || c.loading > 0)
         {
             let mut copies = c.copies;
-            if spoilt.is_some_and(|n| self.chance.draw() * (n as f64) < 1.0) {
-                self.workers[w].lied = true;
+            if corrupted.is_some_and(|n| self.chance.draw() * (n as f64) < 1.0) {
+                self.workers[w].reported_falsely = true;
                 copies = if self.chance.draw() < 0.5 {
                     0
                 } else {
@@ -723,7 +723,7 @@
                 (_, Some((at, serial))) if at <= until => {
                     self.due.pop();
                     self.now = self.now.max(at);
-                    if let Some(what) = self.what.remove(&serial) {
+                    if let Some(what) = self.events.remove(&serial) {
                         self.happens(what);
                     }
                 }
