--- a/crates/reconcile/tests/world/mod.rs
+++ b/crates/reconcile/tests/world/mod.rs
@@ -532,7 +532,7 @@
         }
     }
 
-    fn happens(&mut self, due: Due) {
+    fn on_due(&mut self, due: Due) {
         match due {
             Due::Looked {
                 router,
@@ -572,141 +572,161 @@
             Due::Silent { router, worker: w } => {
                 self.handle(router, Input::Silent { worker: &worker(w) })
             }
-            Due::Noted {
-                router,
-                id,
-                version,
-                left,
-                began,
-                value,
-            } => {
-                // Known is only that it was under way for no longer than this.
-                let transit = self.now - left + (self.chance.draw() * LOAD as f64) as Micros;
-                self.began = began;
-                self.handle(
-                    router,
-                    Input::Noted {
-                        id: &id,
-                        version,
-                        transit,
-                        value: &value,
-                    },
-                );
-            }
+            Due::Noted { .. } => self.on_note(due),
             Due::Loads {
-                router: r,
-                worker: w,
-                function: f,
+                router,
+                worker,
+                function,
                 order,
-            } => {
-                let life = self.workers[w].life;
-                let stands = self.holds(w, &f) > 0;
-                if let Some(c) = self.workers[w].holds.get_mut(&f).filter(|c| c.copies > 0) {
-                    c.used = self.now;
-                    if order {
-                        c.by = Some(arc(&router(r)));
-                    }
-                }
-                let over = Due::Over {
-                    router: r,
-                    worker: w,
-                    function: f.clone(),
-                    order,
-                    found: stands,
-                    well: true,
-                };
-                if stands {
-                    self.later(LOAD / 10, over);
-                } else {
-                    self.workers[w].holds.entry(f.clone()).or_default().loading += 1;
-                    self.later(
-                        LOAD,
-                        Due::Loaded {
-                            router: r,
-                            worker: w,
-                            function: f,
-                            life,
-                            order,
-                        },
-                    );
-                }
+            } => self.on_load_requested(router, worker, function, order),
+            Due::Loaded { .. } => self.on_loaded(due),
+            Due::Over { .. } => self.on_load_over(due),
+        }
+    }
+
+    fn on_note(&mut self, due: Due) {
+        let Due::Noted {
+            router,
+            id,
+            version,
+            left,
+            began,
+            value,
+        } = due
+        else {
+            return;
+        };
+        // Known is only that it was under way for no longer than this.
+        let transit = self.now - left + (self.chance.draw() * LOAD as f64) as Micros;
+        self.began = began;
+        self.handle(
+            router,
+            Input::Noted {
+                id: &id,
+                version,
+                transit,
+                value: &value,
+            },
+        );
+    }
+
+    fn on_load_requested(&mut self, r: usize, w: usize, f: String, order: bool) {
+        let life = self.workers[w].life;
+        let stands = self.holds(w, &f) > 0;
+        if let Some(c) = self.workers[w].holds.get_mut(&f).filter(|c| c.copies > 0) {
+            c.used = self.now;
+            if order {
+                c.by = Some(arc(&router(r)));
             }
-            Due::Loaded {
-                router: r,
-                worker: w,
-                function: f,
-                life,
-                order,
-            } => {
-                let well = self.workers[w].life == life;
-                if well {
-                    let copies = self.holds(w, &f).max(1);
-                    self.set(w, &f, copies);
-                    let now = self.now;
-                    let c = self.workers[w].holds.entry(f.clone()).or_default();
-                    (c.loading, c.used) = (c.loading.saturating_sub(1), now);
-                    c.by = if order {
-                        Some(arc(&router(r)))
-                    } else {
-                        c.by.clone()
-                    };
-                }
-                let over = Due::Over {
+        }
+        let over = Due::Over {
+            router: r,
+            worker: w,
+            function: f.clone(),
+            order,
+            found: stands,
+            well: true,
+        };
+        if stands {
+            self.later(LOAD / 10, over);
+        } else {
+            self.workers[w].holds.entry(f.clone()).or_default().loading += 1;
+            self.later(
+                LOAD,
+                Due::Loaded {
                     router: r,
                     worker: w,
                     function: f,
+                    life,
                     order,
-                    found: false,
-                    well,
-                };
-                self.later(LOAD / 10, over);
-            }
-            Due::Over {
-                router: r,
-                worker: w,
-                function: f,
-                order,
-                found,
-                well,
-            } => {
-                let key = (w, f.clone());
-                let core = &mut self.cores[r];
-                if let Some(n) = core.under_way.get_mut(&key) {
-                    *n -= 1;
-                    if *n == 0 {
-                        core.under_way.remove(&key);
-                    }
-                }
-                if !core.alive {
-                    return;
-                }
-                core.evidence.insert(key.clone(), self.now);
-                if well {
-                    core.believes.insert(key, self.now + KEPT);
-                } else if order {
-                    core.believes.remove(&key);
-                }
-                let stands = if well {
-                    Some(true)
-                } else if order {
-                    Some(false)
-                } else {
-                    None
-                };
-                let change = match order {
-                    true => Change::OrderEnded {
-                        stands,
-                        copies: None,
-                    },
-                    false => Change::Ended {
-                        stands,
-                        found,
-                        copy_mb: 10.0,
-                    },
-                };
-                self.believes(r, w, &f, change);
+                },
+            );
+        }
+    }
+
+    fn on_loaded(&mut self, due: Due) {
+        let Due::Loaded {
+            router: r,
+            worker: w,
+            function: f,
+            life,
+            order,
+        } = due
+        else {
+            return;
+        };
+        let well = self.workers[w].life == life;
+        if well {
+            let copies = self.holds(w, &f).max(1);
+            self.set(w, &f, copies);
+            let now = self.now;
+            let c = self.workers[w].holds.entry(f.clone()).or_default();
+            (c.loading, c.used) = (c.loading.saturating_sub(1), now);
+            c.by = if order {
+                Some(arc(&router(r)))
+            } else {
+                c.by.clone()
+            };
+        }
+        let over = Due::Over {
+            router: r,
+            worker: w,
+            function: f,
+            order,
+            found: false,
+            well,
+        };
+        self.later(LOAD / 10, over);
+    }
+
+    fn on_load_over(&mut self, due: Due) {
+        let Due::Over {
+            router: r,
+            worker: w,
+            function: f,
+            order,
+            found,
+            well,
+        } = due
+        else {
+            return;
+        };
+        let key = (w, f.clone());
+        let core = &mut self.cores[r];
+        if let Some(n) = core.under_way.get_mut(&key) {
+            *n -= 1;
+            if *n == 0 {
+                core.under_way.remove(&key);
             }
         }
+        if !core.alive {
+            return;
+        }
+        core.evidence.insert(key.clone(), self.now);
+        if well {
+            core.believes.insert(key, self.now + KEPT);
+        } else if order {
+            core.believes.remove(&key);
+        }
+        let stands = if well {
+            Some(true)
+        } else if order {
+            Some(false)
+        } else {
+            None
+        };
+        let change = match order {
+            true => Change::OrderEnded {
+                stands,
+                copies: None,
+            },
+            false => Change::Ended {
+                stands,
+                found,
+                copy_mb: 10.0,
+            },
+        };
+        self.believes(r, w, &f, change);
     }
 
     pub fn pass(&mut self, time: Micros) {
@@ -723,8 +743,8 @@
                 (_, Some((at, serial))) if at <= until => {
                     self.due.pop();
                     self.now = self.now.max(at);
-                    if let Some(what) = self.events.remove(&serial) {
-                        self.happens(what);
+                    if let Some(due) = self.events.remove(&serial) {
+                        self.on_due(due);
                     }
                 }
                 _ => break,
