--- a/crates/benchlink/src/codec.rs
+++ b/crates/benchlink/src/codec.rs
@@ -1,92 +1,25 @@
-//! The wire's values and words.
+//! The protocol's words, and the lines for actions.
 
 use std::io::Write;
-use std::str::{FromStr, Split};
 
 use cedarpulley::interface::*;
-use cedarpulley_startup::{ReportField, micros};
+use cedarpulley_startup::ReportField;
 
-use crate::refused::{Refused, Result};
+use crate::error::{ProtocolError, Result};
+use crate::field_reader::malformed;
 
 const NANOS_PER_MICRO: i64 = 1_000;
 
-fn missing(what: &'static str) -> Refused {
-    Refused::Missing { what }
-}
-
-fn misread(what: &'static str, value: &str) -> Refused {
-    Refused::Misread {
-        what,
-        value: value.to_owned(),
-    }
-}
-
-pub fn unknown(what: &'static str, word: &str) -> Refused {
-    Refused::Unknown {
-        what,
+/// The error for a word that the protocol does not have in this field.
+pub fn unknown_word(field: &'static str, word: &str) -> ProtocolError {
+    ProtocolError::UnknownWord {
+        what: field,
         word: word.to_owned(),
     }
 }
 
-/// The values of one line, in order.
-pub struct Values<'a>(Split<'a, char>);
-
-impl<'a> Values<'a> {
-    pub fn of(line: &'a str) -> Self {
-        Self(line.split(' '))
-    }
-
-    pub fn text(&mut self, name: &'static str) -> Result<&'a str> {
-        match self.0.next() {
-            Some(v) if !v.is_empty() => Ok(v),
-            _ => Err(missing(name)),
-        }
-    }
-
-    pub fn maybe<T: FromStr>(&mut self, name: &'static str) -> Result<Option<T>> {
-        let v = self.text(name)?;
-        if v == "-" {
-            return Ok(None);
-        }
-        v.parse().map(Some).map_err(|_| misread(name, v))
-    }
-
-    pub fn value<T: FromStr>(&mut self, name: &'static str) -> Result<T> {
-        self.maybe(name)?.ok_or_else(|| missing(name))
-    }
-
-    pub fn time(&mut self, name: &'static str) -> Result<Micros> {
-        self.value(name).map(micros)
-    }
-
-    pub fn flag(&mut self, name: &'static str) -> Result<bool> {
-        match self.text(name)? {
-            "1" => Ok(true),
-            "0" => Ok(false),
-            v => Err(misread(name, v)),
-        }
-    }
-
-    /// All that is left of the line.
-    pub fn rest(mut self) -> String {
-        let mut text = self.0.next().unwrap_or("").to_owned();
-        for part in self.0 {
-            text.push(' ');
-            text.push_str(part);
-        }
-        text
-    }
-
-    pub fn end(mut self) -> Result<()> {
-        if self.0.next().is_some() {
-            Err(Refused::TooMany)
-        } else {
-            Ok(())
-        }
-    }
-}
-
-pub fn outcome(word: &str) -> Result<DispatchOutcome> {
+/// The outcome of a dispatch or a probe.
+pub fn dispatch_outcome(word: &str) -> Result<DispatchOutcome> {
     Ok(match word {
         "success" => DispatchOutcome::Succeeded,
         "failure" => DispatchOutcome::Errored,
@@ -97,11 +30,12 @@
         "withdrawn" => DispatchOutcome::Cancelled,
         "void" => DispatchOutcome::NotSent,
         "absent" => DispatchOutcome::NotLoaded,
-        _ => return Err(unknown("result", word)),
+        _ => return Err(unknown_word("result", word)),
     })
 }
 
-pub fn order_result(word: &str) -> Result<LoadOrderResult> {
+/// The result of a load order.
+pub fn load_order_result(word: &str) -> Result<LoadOrderResult> {
     Ok(match word {
         "success" => LoadOrderResult::Loaded,
         "overloaded" => LoadOrderResult::NoCapacity,
@@ -109,53 +43,56 @@
         "broken" => LoadOrderResult::ConnectionLost,
         "unreachable" => LoadOrderResult::Unreachable,
         "timed_out" => LoadOrderResult::TimedOut,
-        _ => return Err(unknown("result", word)),
+        _ => return Err(unknown_word("result", word)),
     })
 }
 
-pub fn mode(word: &str) -> Result<EndpointListKind> {
+/// What an endpoint list contains.
+pub fn list_kind(word: &str) -> Result<EndpointListKind> {
     Ok(match word {
         "INCREMENTAL" => EndpointListKind::Changes,
         "FULL" => EndpointListKind::Complete,
         "SAVED" => EndpointListKind::Cached,
         "FAILED" => EndpointListKind::Failed,
-        _ => return Err(unknown("mode", word)),
+        _ => return Err(unknown_word("mode", word)),
     })
 }
 
-pub fn standing(word: &str) -> Result<EndpointState> {
+/// The state of an endpoint.
+pub fn endpoint_state(word: &str) -> Result<EndpointState> {
     Ok(match word {
         "in_service" => EndpointState::InService,
         "terminating" => EndpointState::Draining,
         "terminated" => EndpointState::Gone,
-        _ => return Err(unknown("readiness", word)),
+        _ => return Err(unknown_word("readiness", word)),
     })
 }
 
-/// Splits a remark into what it tells of the copy and the crowd around it.
+/// Splits a remark into the status of the copy (its lowest three bits) and the load of the function, which is only
+/// meaningful if workers report it and this one processed the request.
 pub fn remark(
     value: Option<u32>,
     outcome: DispatchOutcome,
-    crowds: bool,
+    reports_function_load: bool,
 ) -> (CopyStatus, Option<u32>) {
     let value = value.unwrap_or(0);
-    let note = match value % 8 {
+    let copy_status = match value % 8 {
         1 => CopyStatus::Warm,
         2 => CopyStatus::LoadStarted,
         3 => CopyStatus::LoadAwaited,
         4 => CopyStatus::LoadFailed,
         _ => CopyStatus::Unreported,
     };
-    let told = crowds
+    let reported = reports_function_load
         && matches!(
             outcome,
             DispatchOutcome::Succeeded | DispatchOutcome::Rejected
         );
-    (note, told.then_some(value / 8))
+    (copy_status, reported.then_some(value / 8))
 }
 
-/// name:value pairs set apart by commas.
-pub fn report(text: &str, fields: &[ReportField]) -> Result<LoadReport> {
+/// A load report: name:value pairs set apart by commas, or `-`.
+pub fn load_report(text: &str, fields: &[ReportField]) -> Result<LoadReport> {
     let mut report = LoadReport::default();
     if text == "-" {
         return Ok(report);
@@ -163,81 +100,78 @@
     for pair in text.split(',') {
         let (name, value) = pair
             .split_once(':')
-            .ok_or_else(|| misread("report", pair))?;
-        let value: f64 = value.parse().map_err(|_| misread("report", pair))?;
+            .ok_or_else(|| malformed("report", pair))?;
+        let value: f64 = value.parse().map_err(|_| malformed("report", pair))?;
         ReportField::tell(&mut report, fields, name, value);
     }
     Ok(report)
 }
 
-/// Outside ids for an action's indices.
-pub trait Names {
-    fn inv(&self, ix: InvocationIndex) -> Result<&str>;
-    fn func(&self, ix: FunctionIndex) -> Result<&str>;
-    fn worker(&self, ix: WorkerIndex) -> Result<&str>;
+/// The benchmark's ids for the indices in actions.
+pub trait ExternalIds {
+    fn invocation_id(&self, index: InvocationIndex) -> Result<&str>;
+    fn function_id(&self, index: FunctionIndex) -> Result<&str>;
+    fn worker_id(&self, index: WorkerIndex) -> Result<&str>;
+}
+
+fn nanos(time: Micros) -> i64 {
+    time.saturating_mul(NANOS_PER_MICRO)
 }
 
-/// Writes one action as a line; what concerns no one outside writes none.
-pub fn write(out: &mut Vec<u8>, router: u32, action: &Action, names: &impl Names) -> Result<()> {
-    let nanos = |t: Micros| t.saturating_mul(NANOS_PER_MICRO);
+/// Writes an action of an instance as a line. An action that only concerns the host writes nothing.
+pub fn write_action(
+    out: &mut Vec<u8>,
+    router: u32,
+    action: &Action,
+    ids: &impl ExternalIds,
+) -> Result<()> {
     match *action {
         Action::Dispatch {
-            invocation: inv,
+            invocation,
             worker,
-            timeout: time_out,
+            timeout,
         } => {
-            write!(
-                out,
-                "try {router} {} {} ",
-                names.inv(inv)?,
-                names.worker(worker)?
-            )?;
-            // Nothing left must expire at once: a zero would mean no limit.
-            match time_out {
-                None => writeln!(out, "-")?,
-                Some(t) if t <= 0 => writeln!(out, "-1")?,
-                Some(t) => writeln!(out, "{}", nanos(t))?,
-            }
+            let (invocation, worker) = (ids.invocation_id(invocation)?, ids.worker_id(worker)?);
+            let timeout = timeout_field(timeout);
+            writeln!(out, "try {router} {invocation} {worker} {timeout}")?;
         }
         Action::Cancel {
-            invocation: inv,
+            invocation,
             dispatch,
-        } => writeln!(out, "withdraw {router} {} {dispatch}", names.inv(inv)?)?,
+        } => {
+            let invocation = ids.invocation_id(invocation)?;
+            writeln!(out, "withdraw {router} {invocation} {dispatch}")?;
+        }
         Action::Reject {
-            invocation: inv,
-            retry_after: return_after,
+            invocation,
+            retry_after,
         } => {
-            write!(out, "overload_reply {router} {} ", names.inv(inv)?)?;
-            match return_after {
-                Some(t) if t > 0 => writeln!(out, "{}", nanos(t))?,
-                _ => writeln!(out, "-")?,
-            }
+            let invocation = ids.invocation_id(invocation)?;
+            let retry_after = retry_after_field(retry_after);
+            writeln!(out, "overload_reply {router} {invocation} {retry_after}")?;
         }
-        Action::Fail { invocation: inv } => {
-            writeln!(out, "drop_request {router} {}", names.inv(inv)?)?
+        Action::Fail { invocation } => {
+            writeln!(
+                out,
+                "drop_request {router} {}",
+                ids.invocation_id(invocation)?
+            )?;
         }
         Action::LoadOrder {
             worker,
-            function: func,
+            function,
             copies,
-        } => writeln!(
-            out,
-            "pin_up {router} {} {} {copies}",
-            names.worker(worker)?,
-            names.func(func)?
-        )?,
-        Action::Unload {
-            worker,
-            function: func,
-        } => writeln!(
-            out,
-            "take_down {router} {} {}",
-            names.worker(worker)?,
-            names.func(func)?
-        )?,
-        Action::Probe { worker } => writeln!(out, "test {router} {}", names.worker(worker)?)?,
+        } => {
+            let (worker, function) = (ids.worker_id(worker)?, ids.function_id(function)?);
+            writeln!(out, "pin_up {router} {worker} {function} {copies}")?;
+        }
+        Action::Unload { worker, function } => {
+            let (worker, function) = (ids.worker_id(worker)?, ids.function_id(function)?);
+            writeln!(out, "take_down {router} {worker} {function}")?;
+        }
+        Action::Probe { worker } => writeln!(out, "test {router} {}", ids.worker_id(worker)?)?,
         Action::Timer { token, after } => {
-            writeln!(out, "sleep {router} {token} {}", nanos(after.max(0)))?
+            writeln!(out, "sleep {router} {token} {}", nanos(after.max(0)))?;
         }
         Action::RequestEndpointList { watch: true } => writeln!(out, "listen {router} 1")?,
         Action::RequestEndpointList { watch: false } => writeln!(out, "query_all {router}")?,
@@ -245,3 +179,19 @@
     }
     Ok(())
 }
+
+/// No time left is -1 and expires at once: 0 would mean no limit.
+fn timeout_field(timeout: Option<Micros>) -> String {
+    match timeout {
+        None => "-".to_owned(),
+        Some(time) if time <= 0 => "-1".to_owned(),
+        Some(time) => nanos(time).to_string(),
+    }
+}
+
+fn retry_after_field(retry_after: Option<Micros>) -> String {
+    match retry_after {
+        Some(time) if time > 0 => nanos(time).to_string(),
+        _ => "-".to_owned(),
+    }
+}
--- /dev/null
+++ b/crates/benchlink/src/decoder.rs
@@ -0,0 +1,233 @@
+//! Decodes the fields of the protocol's events, whose words differ from the balancer's terms.
+
+use cedarpulley::interface::*;
+use cedarpulley_startup::micros;
+
+use crate::codec::{self, unknown_word};
+use crate::error::Result;
+use crate::field_reader::FieldReader;
+use crate::instance::Instance;
+
+/// Bits of an invocation's field `bits`.
+const HAS_COST_HINT: u32 = 1;
+const IS_REPEAT: u32 = 2;
+
+/// An event that is handed to a running instance.
+#[derive(Clone, Copy)]
+pub enum BalancerEvent {
+    Invocation,
+    ClientLeft,
+    AnswerStarted,
+    /// A message of another router.
+    PeerMessage,
+    Timer,
+    OrderEnded,
+    DispatchEnded,
+    ProbeEnded,
+}
+
+/// What a line within a batch announces.
+#[derive(Clone, Copy)]
+pub enum EventKind {
+    StartInstance,
+    StopInstance,
+    /// The entries follow, a line each.
+    EndpointList,
+    ForBalancer(BalancerEvent),
+}
+
+impl EventKind {
+    /// The kind that a line's first word names.
+    pub fn from_word(word: &str) -> Result<Self> {
+        Ok(match word {
+            "born" => EventKind::StartInstance,
+            "power_off" => EventKind::StopInstance,
+            "sync" => EventKind::EndpointList,
+            "query" => EventKind::ForBalancer(BalancerEvent::Invocation),
+            "vanished" => EventKind::ForBalancer(BalancerEvent::ClientLeft),
+            "under_way" => EventKind::ForBalancer(BalancerEvent::AnswerStarted),
+            "datagram" => EventKind::ForBalancer(BalancerEvent::PeerMessage),
+            "bell" => EventKind::ForBalancer(BalancerEvent::Timer),
+            "loaded" => EventKind::ForBalancer(BalancerEvent::OrderEnded),
+            "response" => EventKind::ForBalancer(BalancerEvent::DispatchEnded),
+            "echo" => EventKind::ForBalancer(BalancerEvent::ProbeEnded),
+            _ => return Err(unknown_word("event", word)),
+        })
+    }
+}
+
+/// The kind of an endpoint list and the number of its entries.
+pub fn list_head(mut fields: FieldReader) -> Result<(EndpointListKind, usize)> {
+    let _epoch: Option<i64> = fields.optional("epoch")?;
+    let kind = codec::list_kind(fields.text("mode")?)?;
+    let entries = fields.optional("membersList")?.unwrap_or(0);
+    fields.finish()?;
+    Ok((kind, entries))
+}
+
+impl Instance {
+    /// Decodes the fields after the instance's id. None: the balancer need not be notified.
+    pub fn decode(
+        &mut self,
+        event: BalancerEvent,
+        fields: FieldReader,
+    ) -> Result<Option<Event<'static>>> {
+        match event {
+            BalancerEvent::Invocation => self.decode_invocation(fields).map(Some),
+            BalancerEvent::ClientLeft => self.decode_client_left(fields),
+            BalancerEvent::AnswerStarted => self.decode_answer_started(fields),
+            BalancerEvent::PeerMessage => check_peer_message(fields).map(|()| None),
+            BalancerEvent::Timer => decode_timer(fields).map(Some),
+            BalancerEvent::OrderEnded => self.decode_order_ended(fields),
+            BalancerEvent::DispatchEnded => self.decode_dispatch_ended(fields),
+            BalancerEvent::ProbeEnded => self.decode_probe_ended(fields).map(Some),
+        }
+    }
+
+    fn decode_invocation(&mut self, mut fields: FieldReader) -> Result<Event<'static>> {
+        let id = fields.text("requestId")?;
+        let cost_hint: Option<i64> = fields.optional("costGuess")?;
+        let load_ms: Option<f64> = fields.optional("loadTimeMs")?;
+        let account = fields.optional("realm")?.unwrap_or(0);
+        let copy_mb = fields.optional("residentMb")?.unwrap_or(0.0);
+        let client_timeout_in = fields.time("expiresIn")?;
+        let bits: u32 = fields.optional("bits")?.unwrap_or(0);
+        let name = fields.text("fn")?;
+        let trigger: u32 = fields.required("category")?;
+        let lanes: Option<f64> = fields.optional("atOnce")?;
+        fields.finish()?;
+        if trigger >= self.trigger_count() {
+            return Err(unknown_word("category", &trigger.to_string()));
+        }
+        let invocation = self.new_invocation(id)?;
+        let (function, fingerprint) = self.intern_function(name);
+        Ok(Event::Invocation(Arrival {
+            invocation,
+            trigger,
+            account,
+            function,
+            fingerprint,
+            cost_hint: cost_hint.filter(|_| bits & HAS_COST_HINT != 0).map(micros),
+            load_hint: load_ms.map(|ms| (ms * 1e3) as Micros),
+            copy_mb,
+            lanes: lanes.unwrap_or(1.0).max(1.0) as u32,
+            client_timeout_in,
+            waited: 0,
+            repeat: bits & IS_REPEAT != 0,
+            preferred_worker: None,
+        }))
+    }
+
+    fn decode_client_left(&self, mut fields: FieldReader) -> Result<Option<Event<'static>>> {
+        let id = fields.text("requestId")?;
+        fields.finish()?;
+        let invocation = self.find_invocation(id);
+        Ok(invocation.map(|invocation| Event::ClientLeft { invocation }))
+    }
+
+    fn decode_answer_started(&self, mut fields: FieldReader) -> Result<Option<Event<'static>>> {
+        let id = fields.text("requestId")?;
+        let dispatch = fields.required("n")?;
+        let worker = self.known_worker(fields.text("worker")?)?;
+        fields.time("lag")?;
+        fields.finish()?;
+        let invocation = self.find_invocation(id);
+        Ok(invocation.map(|invocation| Event::AnswerStarted {
+            invocation,
+            dispatch,
+            worker,
+        }))
+    }
+
+    fn decode_order_ended(&self, mut fields: FieldReader) -> Result<Option<Event<'static>>> {
+        let name = fields.text("fn")?;
+        let result = codec::load_order_result(fields.text("result")?)?;
+        let took = fields.time("lag")?;
+        let copies = fields.optional("unitsHeld")?.unwrap_or(0);
+        let worker = self.known_worker(fields.text("worker")?)?;
+        fields.finish()?;
+        let function = self.find_function(name);
+        Ok(function.map(|function| Event::OrderEnded {
+            worker,
+            function,
+            result,
+            took,
+            copies,
+        }))
+    }
+
+    fn decode_dispatch_ended(&self, mut fields: FieldReader) -> Result<Option<Event<'static>>> {
+        let id = fields.text("requestId")?;
+        let answered = fields.flag("complete")?;
+        let took = fields.time("lag")?;
+        let dispatch = fields.required("n")?;
+        let worker = self.known_worker(fields.text("worker")?)?;
+        let remark = fields.optional("remark")?;
+        let outcome = codec::dispatch_outcome(fields.text("result")?)?;
+        let report = codec::load_report(fields.text("serverStats")?, self.report_fields())?;
+        fields.finish()?;
+        let (copy_status, function_load) =
+            codec::remark(remark, outcome, self.reports_function_load());
+        let invocation = self.find_invocation(id);
+        Ok(invocation.map(|invocation| {
+            Event::DispatchEnded(DispatchEnded {
+                invocation,
+                dispatch,
+                worker,
+                outcome,
+                took,
+                answered,
+                copy_status,
+                function_load,
+                report,
+            })
+        }))
+    }
+
+    fn decode_probe_ended(&self, mut fields: FieldReader) -> Result<Event<'static>> {
+        let worker = self.known_worker(fields.text("worker")?)?;
+        let outcome = codec::dispatch_outcome(fields.text("result")?)?;
+        let took = fields.time("lag")?;
+        let report = codec::load_report(fields.text("serverStats")?, self.report_fields())?;
+        fields.finish()?;
+        Ok(Event::ProbeEnded {
+            worker,
+            outcome,
+            took,
+            report,
+        })
+    }
+
+    /// An entry of an endpoint list.
+    pub fn decode_endpoint(&mut self, mut fields: FieldReader) -> Result<Endpoint> {
+        let (worker, fingerprint) = self.list_worker(fields.text("worker")?);
+        let endpoint = Endpoint {
+            worker,
+            fingerprint,
+            zone: fields.optional("dc")?.unwrap_or(0),
+            machine_kind: fields.optional("model")?.unwrap_or(0),
+            cell: fields.optional("group")?.unwrap_or(0),
+            state: codec::endpoint_state(fields.text("readiness")?)?,
+            weight: fields.optional("powerHint")?.unwrap_or(1.0),
+            started_at: fields
+                .optional::<i64>("startTime")?
+                .filter(|nanos| *nanos != 0)
+                .map(micros),
+        };
+        fields.finish()?;
+        Ok(endpoint)
+    }
+}
+
+fn decode_timer(mut fields: FieldReader) -> Result<Event<'static>> {
+    let token = fields.required("token")?;
+    fields.finish()?;
+    Ok(Event::Timer { token })
+}
+
+/// The balancer exchanges no messages with other routers: what comes is only checked.
+fn check_peer_message(mut fields: FieldReader) -> Result<()> {
+    fields.required::<u32>("srcPeer")?;
+    fields.text("payload")?;
+    fields.finish()
+}
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,45 +1,47 @@
-//! Hosts cedarpulley instances on the bench's wire: news in on standard input, actions out on standard output.
+//! Hosts balancer instances for a benchmark that speaks a line protocol: batches of events come in on standard input,
+//! the actions that they lead to go out on standard output.
 
 mod codec;
+mod decoder;
+mod error;
+mod field_reader;
 mod host;
-mod refused;
+mod instance;
 
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
 use cedarpulley_errors::Remedy;
+use error::{ProtocolError, Result};
 use host::Host;
-use refused::{Refused, Result};
 
-/// Longest buffer kept between batches.
-const KEPT_BYTES: usize = 1 << 20;
-
-fn at(line: u64, why: Refused) -> Refused {
-    Refused::At {
-        line,
-        why: Box::new(why),
-    }
-}
+/// Largest reply buffer that is reused for the next batch.
+const MAX_REUSED_BYTES: usize = 1 << 20;
 
+/// Answers each batch before the next is read, until the input ends.
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<()> {
     let mut host = Host::default();
     let mut line = Vec::new();
     let mut reply = Vec::new();
-    let mut number = 0u64;
+    let mut line_number = 0u64;
     loop {
         line.clear();
-        number += 1;
+        line_number += 1;
+        let in_line = |source| ProtocolError::InLine {
+            line: line_number,
+            source: Box::new(source),
+        };
         if input.read_until(b'\n', &mut line)? == 0 {
-            return host.at_end().map_err(|why| at(number, why));
+            return host.end_of_input().map_err(in_line);
         }
-        let text = std::str::from_utf8(&line).map_err(|_| at(number, Refused::NoText))?;
+        let text = std::str::from_utf8(&line).map_err(|_| in_line(ProtocolError::InvalidUtf8))?;
         let text = text.strip_suffix('\n').unwrap_or(text);
         let text = text.strip_suffix('\r').unwrap_or(text);
-        if host.line(text, &mut reply).map_err(|why| at(number, why))? {
+        if host.handle_line(text, &mut reply).map_err(in_line)? {
             output.write_all(&reply)?;
             output.flush()?;
             reply.clear();
-            reply.shrink_to(KEPT_BYTES);
+            reply.shrink_to(MAX_REUSED_BYTES);
         }
     }
 }
@@ -47,8 +49,8 @@
 fn main() -> ExitCode {
     match serve(std::io::stdin().lock(), std::io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("cedarpulley-benchlink: {}", why.line());
+        Err(error) => {
+            eprintln!("cedarpulley-benchlink: {}", error.line());
             ExitCode::FAILURE
         }
     }
--- a/crates/benchlink/src/tests.rs
+++ b/crates/benchlink/src/tests.rs
@@ -1,13 +1,13 @@
 use cedarpulley_errors::Remedy;
 
 use super::serve;
-use crate::refused::Refused;
+use crate::error::ProtocolError;
 
 const BORN: &str = "born 3 7 services.count=1 services.0.aim=800000000 services.0.hardLimit=2000000000 \
     services.0.effect=retryable familyInfo.staysLoaded=10000000000 fleetSize=1 granularity=4000000 \
     permissions.sendCap=3 made.up=1";
 
-fn run(input: &str) -> Result<String, Refused> {
+fn run(input: &str) -> Result<String, ProtocolError> {
     let mut out = Vec::new();
     serve(input.as_bytes(), &mut out)?;
     Ok(String::from_utf8(out).expect("the wire is text"))
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/emulator.rs
@@ -1,4 +1,4 @@
-//! One stand-in in the foreground, for trying things out by hand.
+//! `cedarpulley standin ...`: one emulator of a surrounding system in the foreground, for trials by hand.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
 use clap::Subcommand;
 
-use crate::wrong::Wrong;
+use crate::error::CliError;
 
 #[derive(Subcommand)]
-pub enum Kind {
+pub enum EmulatorCommand {
     /// A broker with these queues.
     Broker {
         #[arg(long, default_value = "127.0.0.1:5672")]
@@ -60,36 +60,41 @@
     },
 }
 
-/// Standing still until the process is ended.
-fn forever(what: &str, at: SocketAddr) -> ! {
-    say!("{what} at {at}");
+/// Prints where the emulator listens, and keeps it alive until the process is ended.
+fn run_forever(name: &str, address: SocketAddr) -> ! {
+    print_line!("{name} at {address}");
     loop {
         std::thread::park();
     }
 }
 
-pub fn loopback(address: SocketAddr) -> Result<SocketAddr, Wrong> {
+/// Emulators have no access control: they listen on loopback only.
+fn require_loopback(address: SocketAddr) -> Result<SocketAddr, CliError> {
     if address.ip().is_loopback() {
         Ok(address)
     } else {
-        Err(Wrong::Outside { address })
+        Err(CliError::NotLoopback { address })
     }
 }
 
-pub fn run(kind: Kind) -> Result<(), Wrong> {
-    let ground = |logs: Option<PathBuf>| Ground::new(2, logs.as_deref()).map_err(Wrong::Standin);
-    match kind {
-        Kind::Broker {
+fn host(logs: Option<PathBuf>) -> Result<Ground, CliError> {
+    Ground::new(2, logs.as_deref()).map_err(CliError::EmulatorStart)
+}
+
+/// Starts one emulator; returns only if it cannot start.
+pub fn run(command: EmulatorCommand) -> Result<(), CliError> {
+    match command {
+        EmulatorCommand::Broker {
             listen,
             queue,
             logs,
         } => {
-            let broker = Broker::start(&ground(logs)?, "broker", loopback(listen)?)
-                .map_err(Wrong::Standin)?;
-            queue.iter().for_each(|q| broker.declare(q));
-            forever("broker", broker.address)
+            let broker = Broker::start(&host(logs)?, "broker", require_loopback(listen)?)
+                .map_err(CliError::EmulatorStart)?;
+            queue.iter().for_each(|queue| broker.declare(queue));
+            run_forever("broker", broker.address)
         }
-        Kind::Worker {
+        EmulatorCommand::Worker {
             listen,
             store,
             trigger,
@@ -98,7 +103,6 @@
             cores,
             logs,
         } => {
-            let nature = Nature::roomy(cores);
             let program = Program {
                 work: Duration::from_secs_f64(work_ms / 1e3),
                 copy_mb: 1.0,
@@ -107,52 +111,54 @@
                 window: None,
                 prefix: Duration::ZERO,
             };
-            let programs = HashMap::from([(trigger, program)]);
-            let (listen, store, ground) = (loopback(listen)?, loopback(store)?, ground(logs)?);
+            let (listen, store) = (require_loopback(listen)?, require_loopback(store)?);
             let worker = Worker::start(
-                &ground,
+                &host(logs)?,
                 "worker",
                 listen,
                 1,
-                nature,
+                Nature::roomy(cores),
                 store,
-                programs,
+                HashMap::from([(trigger, program)]),
                 Memory::default(),
-            );
-            forever("worker", worker.map_err(Wrong::Standin)?.address)
+            )
+            .map_err(CliError::EmulatorStart)?;
+            run_forever("worker", worker.address)
         }
-        Kind::Store { listen, logs } => {
-            let nature = store::Nature {
+        EmulatorCommand::Store { listen, logs } => {
+            let profile = store::Nature {
                 mb_per_s: 1000.0,
                 abreast: 8,
                 most: 1000,
             };
-            let store = Store::start(&ground(logs)?, "store", loopback(listen)?, nature)
-                .map_err(Wrong::Standin)?;
-            forever("store", store.server.address)
+            let store = Store::start(&host(logs)?, "store", require_loopback(listen)?, profile)
+                .map_err(CliError::EmulatorStart)?;
+            run_forever("store", store.server.address)
         }
-        Kind::List {
+        EmulatorCommand::List {
             listen,
             worker,
             logs,
         } => {
-            let list =
-                List::start(&ground(logs)?, "list", loopback(listen)?).map_err(Wrong::Standin)?;
-            for (n, address) in worker.into_iter().enumerate() {
-                list.put(
-                    &format!("worker-{n}"),
-                    Row {
-                        address,
-                        zone: String::new(),
-                        kind: String::new(),
-                        cell: 0,
-                        draining: false,
-                        start: 1,
-                        started_us: 0,
-                    },
-                );
+            let list = List::start(&host(logs)?, "list", require_loopback(listen)?)
+                .map_err(CliError::EmulatorStart)?;
+            for (index, address) in worker.into_iter().enumerate() {
+                list.put(&format!("worker-{index}"), in_service(address));
             }
-            forever("list", list.server.address)
+            run_forever("list", list.server.address)
         }
     }
 }
+
+/// The list entry of a worker in service.
+fn in_service(address: SocketAddr) -> Row {
+    Row {
+        address,
+        zone: String::new(),
+        kind: String::new(),
+        cell: 0,
+        draining: false,
+        start: 1,
+        started_us: 0,
+    }
+}
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,21 +1,20 @@
-//! The command line. Exit codes: 0 all well; 1 a rule broken or a comparison lost; 2 bad arguments, settings or
-//! input, with one plain line a cause on standard error.
+//! The command line `cedarpulley`. Exit codes: 0 success; 1 an invariant does not hold or a comparison found a
+//! difference; 2 bad arguments, settings or input, with one line a cause on standard error.
 
-/// A line to standard output. Whoever has closed it wants no more: that is no fault, and changes no verdict.
-macro_rules! say {
+/// Prints a line on standard output. That its reader has closed it is no error and does not change the exit code.
+macro_rules! print_line {
     ($($text:tt)*) => {{
         let line = format!($($text)*);
         let _ = std::io::Write::write_all(&mut std::io::stdout(), format!("{line}\n").as_bytes());
     }};
 }
 
-mod day;
+mod emulator;
+mod error;
 mod measure;
-mod meter;
-mod open_loop;
-mod standin;
+mod scenario;
 mod trace;
-mod wrong;
+mod usage;
 
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
@@ -26,15 +25,15 @@
 use cedarpulley_gateway::settings::{self, RouterSettings};
 use clap::{Parser, Subcommand, ValueEnum};
 use tracing_subscriber::EnvFilter;
-use wrong::Wrong;
+use error::CliError;
 
 /// Runs calls on workers that load functions or models on demand.
 #[derive(Parser)]
 #[command(name = "cedarpulley", version)]
-struct Line {
+struct CommandLine {
     /// How logs are written; text on a terminal, JSON otherwise.
     #[arg(long, global = true)]
-    log: Option<LogForm>,
+    log: Option<LogFormat>,
     /// What is logged, as in RUST_LOG.
     #[arg(long, global = true, default_value = "info")]
     level: String,
@@ -43,7 +42,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum LogForm {
+enum LogFormat {
     Text,
     Json,
 }
@@ -67,58 +66,21 @@
     /// Runs one stand-in in the foreground.
     Standin {
         #[command(subcommand)]
-        kind: standin::Kind,
+        kind: emulator::EmulatorCommand,
     },
     /// Plays a scripted day on loopback and judges it.
-    Day {
-        day: PathBuf,
-        /// Where traffic, verdict and table are left.
-        #[arg(long)]
-        out: Option<PathBuf>,
-        #[arg(long)]
-        seed: Option<u64>,
-        /// One of late, lost, double, repeat, deaf, push, orders: one router breaks a rule on purpose.
-        #[arg(long)]
-        tamper: Option<String>,
-        /// Another build of this program to run as the routers, to be compared with this one.
-        #[arg(long)]
-        router: Option<PathBuf>,
-        /// Prints the verdict as JSON.
-        #[arg(long)]
-        json: bool,
-    },
+    Day(scenario::ScenarioArgs),
     /// Measures what one router adds on the warm path.
-    Measure {
-        #[arg(long, default_value_t = 1000.0)]
-        rate: f64,
-        #[arg(long, default_value_t = 10.0)]
-        seconds: f64,
-        #[arg(long, default_value_t = 0.0)]
-        work_ms: f64,
-        /// Of each copy of a function.
-        #[arg(long, default_value_t = 10_000)]
-        lanes: u32,
-        #[arg(long, default_value = "target/measure")]
-        folder: PathBuf,
-        /// The router keeps a trace.
-        #[arg(long)]
-        trace: bool,
-        /// Of its invocations: idempotent, non-idempotent.
-        #[arg(long, default_value = "idempotent")]
-        effect: String,
-        /// Members of its group, the others as witnesses; 0: it has none.
-        #[arg(long, default_value_t = 0)]
-        peers: usize,
-    },
+    Measure(measure::MeasureArgs),
     /// Trace files: verify, summary, show, replay.
     Trace {
         #[command(subcommand)]
-        what: trace::Trace,
+        command: trace::TraceCommand,
     },
     /// Memory-seconds by tenant: report, merge, reconcile.
     Meter {
         #[command(subcommand)]
-        what: meter::Meter,
+        command: usage::MeterCommand,
     },
     /// Judges a kept run again.
     Audit {
@@ -129,26 +91,41 @@
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    let json = match line.log {
-        Some(LogForm::Json) => true,
-        Some(LogForm::Text) => false,
-        None => !std::io::stderr().is_terminal(),
+    let command_line = CommandLine::parse();
+    let Ok(filter) = EnvFilter::try_new(&command_line.level) else {
+        return fail(&CliError::InvalidLogFilter {
+            level: command_line.level,
+        });
     };
-    let Ok(filter) = EnvFilter::try_new(&line.level) else {
-        return fail(&Wrong::Level { level: line.level });
+    start_logging(command_line.log, filter);
+    match execute(command_line.command) {
+        Ok(true) => ExitCode::SUCCESS,
+        Ok(false) => ExitCode::from(1),
+        Err(error) => fail(&error),
+    }
+}
+
+fn start_logging(format: Option<LogFormat>, filter: EnvFilter) {
+    let json = match format {
+        Some(LogFormat::Json) => true,
+        Some(LogFormat::Text) => false,
+        None => !std::io::stderr().is_terminal(),
     };
-    let log = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr);
     // Symptom: the disk of the log is full, saying so on the same log fails too, and the process ends by a panic.
-    let log = log.log_internal_errors(false);
+    let subscriber = subscriber.log_internal_errors(false);
     if json {
-        log.json().init()
+        subscriber.json().init()
     } else {
-        log.init()
+        subscriber.init()
     }
-    let done = match line.command {
+}
+
+/// False if what the command checks does not hold.
+fn execute(command: Command) -> Result<bool, CliError> {
+    match command {
         Command::Serve {
             settings,
             tamper,
@@ -156,91 +133,65 @@
         } => serve(&settings, tamper, rig),
         Command::Node => cedarpulley_platform_node::run()
             .map(|()| true)
-            .map_err(Wrong::Node),
-        Command::Check { settings } => read(&settings, false).map(|_| {
-            say!("{}: good", settings.display());
+            .map_err(CliError::Node),
+        Command::Check { settings } => read_settings(&settings, false).map(|_| {
+            print_line!("{}: good", settings.display());
             true
         }),
-        Command::Standin { kind } => standin::run(kind).map(|()| true),
-        Command::Day {
-            day,
-            out,
-            seed,
-            tamper,
-            router,
-            json,
-        } => {
-            let known = named(&tamper);
-            known.and_then(|_| day::play(&day, out, seed, tamper, router, json))
+        Command::Standin { kind } => emulator::run(kind).map(|()| true),
+        Command::Day(args) => {
+            fault_named(&args.tamper)?;
+            scenario::play(args)
         }
-        Command::Measure {
-            rate,
-            seconds,
-            work_ms,
-            lanes,
-            folder,
-            trace,
-            effect,
-            peers,
-        } => {
-            let what = measure::What {
-                work_ms,
-                lanes,
-                trace,
-                effect: &effect,
-                peers,
-            };
-            measure::run(rate, seconds, &what, &folder).map(|()| true)
-        }
-        Command::Trace { what } => trace::run(what),
-        Command::Meter { what } => meter::run(what),
+        Command::Measure(args) => measure::run(&args).map(|()| true),
+        Command::Trace { command } => trace::run(command),
+        Command::Meter { command } => usage::run(command),
         Command::Audit { folder, json } => audit(&folder, json),
-    };
-    match done {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(1),
-        Err(why) => fail(&why),
     }
 }
 
-fn fail(why: &Wrong) -> ExitCode {
-    match why {
+fn fail(error: &CliError) -> ExitCode {
+    match error {
         // Whole lines already.
-        Wrong::Settings(_) => eprintln!("{why}"),
-        _ => eprintln!("{}", why.line()),
+        CliError::Settings(_) => eprintln!("{error}"),
+        _ => eprintln!("{}", error.line()),
     }
     ExitCode::from(2)
 }
 
-fn read(path: &Path, rig: bool) -> Result<RouterSettings, Wrong> {
-    let text = std::fs::read_to_string(path).map_err(Wrong::file(path))?;
-    settings::read(&path.display().to_string(), &text, rig).map_err(Wrong::Settings)
+/// Reads a settings file; `rig` also accepts the settings that only tests write.
+fn read_settings(path: &Path, rig: bool) -> Result<RouterSettings, CliError> {
+    let text = std::fs::read_to_string(path).map_err(CliError::file(path))?;
+    settings::read(&path.display().to_string(), &text, rig).map_err(CliError::Settings)
 }
 
-fn named(tamper: &Option<String>) -> Result<Option<InjectedFault>, Wrong> {
+/// The fault that `--tamper` names, if it is given.
+fn fault_named(tamper: &Option<String>) -> Result<Option<InjectedFault>, CliError> {
     match tamper {
         None => Ok(None),
         Some(name) => InjectedFault::from_name(name)
             .map(Some)
-            .ok_or_else(|| Wrong::Tamper { name: name.clone() }),
+            .ok_or_else(|| CliError::UnknownFault { name: name.clone() }),
     }
 }
 
-fn serve(path: &Path, tamper: Option<String>, rig: bool) -> Result<bool, Wrong> {
-    let (settings, fault) = (read(path, rig)?, named(&tamper)?);
-    let name = path
+fn serve(path: &Path, tamper: Option<String>, rig: bool) -> Result<bool, CliError> {
+    let (settings, fault) = (read_settings(path, rig)?, fault_named(&tamper)?);
+    let router_name = path
         .file_stem()
-        .map(|s| s.to_string_lossy().into_owned())
+        .map(|stem| stem.to_string_lossy().into_owned())
         .unwrap_or_default();
-    let wrong = |source| Wrong::Serve {
-        file: path.display().to_string(),
-        source,
-    };
-    cedarpulley_gateway::serve::run(&name, settings, fault).map_err(wrong)
+    cedarpulley_gateway::serve::run(&router_name, settings, fault).map_err(|source| {
+        CliError::Serve {
+            file: path.display().to_string(),
+            source,
+        }
+    })
 }
 
-fn audit(folder: &Path, json: bool) -> Result<bool, Wrong> {
+/// Checks the invariants of a run that was left in a folder.
+fn audit(folder: &Path, json: bool) -> Result<bool, CliError> {
     let verdict = cedarpulley_invariant_checker::judge(folder)?;
-    day::show(&verdict, json)?;
+    scenario::print_verdict(&verdict, json)?;
     Ok(verdict.broken() == 0)
 }
--- /dev/null
+++ b/crates/cli/src/trace/compare.rs
@@ -0,0 +1,137 @@
+//! `trace replay --all` and `--against`: every decision of this build, compared with what was recorded or with what
+//! another build decides about the same events.
+
+use std::path::{Path, PathBuf};
+use std::process::Command;
+
+use cedarpulley_trace::Error;
+use cedarpulley_trace::compare::{Compare, Compared, Kind};
+use cedarpulley_trace::replay::{Decisions, Step, drive, told};
+use serde_json::json;
+
+use super::input::{FileReader, IncarnationFiles, by_incarnation, open};
+use super::replay::redone_file;
+use crate::error::CliError;
+
+/// Prints the differences by kind; true if there are none. `other_build` is another build of this program.
+pub fn compare(
+    files: &[PathBuf],
+    other_build: Option<&Path>,
+    json: bool,
+) -> Result<bool, CliError> {
+    let comparison = match other_build {
+        None => compare_incarnations(files, None)?,
+        Some(program) => compare_with_build(files, program)?,
+    };
+    if json {
+        print_line!("{}", serde_json::to_string_pretty(&comparison)?);
+    } else {
+        print_table(&comparison);
+    }
+    Ok(comparison.differing == 0)
+}
+
+fn print_table(comparison: &Compared) {
+    print_line!("{:<44} {:>16} {:>10}", "kind", "first in a life", "later");
+    for (kind, count) in &comparison.by_kind {
+        let kind = match kind {
+            Kind::Instead(before, now) => format!("{before:?} before, now {now:?}"),
+            other => format!("{other:?}"),
+        };
+        print_line!("{kind:<44} {:>16} {:>10}", count.first, count.later);
+    }
+    print_line!(
+        "{} of {} lives differ, {} of {} decisions; {} decisions are exact, up to the first difference of each life",
+        comparison.rows_differing,
+        comparison.rows,
+        comparison.differing,
+        comparison.decisions,
+        comparison.decisions_exact
+    );
+}
+
+fn compare_with_build(files: &[PathBuf], program: &Path) -> Result<Compared, CliError> {
+    let folder = std::env::temp_dir().join(format!("cedarpulley-redone-{}", std::process::id()));
+    let comparison = redo_with_build(program, files, &folder)
+        .and_then(|()| compare_incarnations(files, Some(&folder)));
+    let _ = std::fs::remove_dir_all(&folder);
+    comparison
+}
+
+/// Lets another build decide about the same events; it leaves a file for each incarnation in `out`.
+fn redo_with_build(program: &Path, files: &[PathBuf], out: &Path) -> Result<(), CliError> {
+    let output = Command::new(program)
+        .args(["trace", "redo", "--out"])
+        .arg(out)
+        .args(files)
+        .output()
+        .map_err(CliError::file(program))?;
+    if output.status.success() {
+        return Ok(());
+    }
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    Err(CliError::RedoFailed {
+        program: program.display().to_string(),
+        first_line: stderr
+            .lines()
+            .next()
+            .unwrap_or("it said nothing")
+            .to_owned(),
+    })
+}
+
+/// With what was recorded, or with what another build has left in the folder `redone`.
+fn compare_incarnations(files: &[PathBuf], redone: Option<&Path>) -> Result<Compared, CliError> {
+    let mut comparison = Compare::default();
+    for (index, incarnation) in by_incarnation(files)?.into_iter().enumerate() {
+        comparison.row();
+        let other_decisions = match redone {
+            Some(folder) => Some(Decisions::new(open(&redone_file(folder, index))?)),
+            None => None,
+        };
+        compare_incarnation(incarnation, other_decisions, &mut comparison)?;
+    }
+    Ok(comparison.finish())
+}
+
+fn compare_incarnation(
+    mut incarnation: IncarnationFiles,
+    mut other_decisions: Option<Decisions<FileReader>>,
+    comparison: &mut Compare,
+) -> Result<(), CliError> {
+    let result = drive(&mut incarnation.readers, |step| {
+        let Step::Decided {
+            at,
+            happened,
+            recorded,
+            replayed,
+        } = step
+        else {
+            return Ok(true);
+        };
+        let Some(other_decisions) = &mut other_decisions else {
+            comparison.decision(&recorded, &replayed);
+            return Ok(true);
+        };
+        let Some((other_at, other_event, other_actions)) = other_decisions.next()? else {
+            return Err(Error::Other {
+                how: "went less far",
+            });
+        };
+        if other_at != at || told(&other_event) != told(&happened) {
+            return Err(Error::Other {
+                how: "was not told the same",
+            });
+        }
+        comparison.decision(&other_actions, &replayed);
+        Ok(true)
+    });
+    let result = result.map_err(CliError::trace(&incarnation.router))?;
+    if let Some(cause) = &result.stopped {
+        print_line!(
+            "{}",
+            json!({"router": incarnation.router, "wall_at_zero": incarnation.wall_at_zero, "stopped": cause})
+        );
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/cli/src/trace/explain.rs
@@ -0,0 +1,46 @@
+//! `trace explain`: for each lost or late invocation its one cause, summed by cause and ranked by cost.
+
+use std::path::PathBuf;
+
+use cedarpulley_trace::explain::Explain;
+
+use super::input::TraceFile;
+use crate::error::CliError;
+
+/// Prints the causes, dearest first, of the invocations in this span of wall time (microseconds since 1970).
+pub fn explain(files: &[PathBuf], span_us: (i64, i64), json: bool) -> Result<(), CliError> {
+    let mut explain = Explain::default();
+    // Sources are numbered on over all files.
+    let mut first_source = 0;
+    for path in files {
+        let mut file = TraceFile::open(path)?;
+        file.for_each_record(|entry| {
+            let source_index = first_source + entry.source_index;
+            explain.record(source_index, entry.source, span_us, entry.at, entry.record);
+        })?;
+        first_source += file.sources().len() as u32;
+    }
+    let ranked = explain.ranked();
+    if json {
+        print_line!("{}", serde_json::to_string_pretty(&ranked)?);
+        return Ok(());
+    }
+    print_line!(
+        "{:<52} {:>9} {:>7} {:>7}  span (wall, s)",
+        "cause",
+        "cost",
+        "lost",
+        "late"
+    );
+    for row in ranked {
+        let (from_s, until_s) = (row.from_us / 1_000_000, row.until_us / 1_000_000);
+        let cause = format!("{:?}", row.cause);
+        print_line!(
+            "{cause:<52} {:>9.1} {:>7} {:>7}  {from_s} to {until_s}",
+            row.cost,
+            row.lost,
+            row.late
+        );
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/cli/src/trace/input.rs
@@ -0,0 +1,133 @@
+//! Reading trace files: which are meant, their records, and the files of one router's incarnation together.
+
+use std::collections::BTreeMap;
+use std::fs::File;
+use std::io::BufReader;
+use std::path::{Path, PathBuf};
+
+use cedarpulley_trace::reader::{Found, Reader};
+use cedarpulley_trace::records::Record;
+use cedarpulley_trace::start::Source;
+use cedarpulley_trace::writer::traces;
+
+use crate::error::CliError;
+
+/// A reader of a trace file on disk.
+pub type FileReader = Reader<BufReader<File>>;
+
+/// The files as given, with each folder replaced by the trace files in it.
+pub fn expand_folders(paths: &[PathBuf]) -> Result<Vec<PathBuf>, CliError> {
+    let mut files = Vec::new();
+    for path in paths {
+        match path.is_dir() {
+            true => files.extend(traces(path).map_err(CliError::file(path))?),
+            false => files.push(path.clone()),
+        }
+    }
+    if files.is_empty() {
+        Err(CliError::NoInputFile { what: "trace file" })
+    } else {
+        Ok(files)
+    }
+}
+
+/// Opens a trace file and reads its head.
+pub fn open(file: &Path) -> Result<FileReader, CliError> {
+    let input = File::open(file).map_err(CliError::file(file))?;
+    Reader::open(BufReader::new(input)).map_err(CliError::trace(file.display()))
+}
+
+/// One record, and the router's incarnation that wrote it.
+pub struct RecordInFile<'a> {
+    /// Index of `source` in the file.
+    pub source_index: u32,
+    pub source: &'a Source,
+    /// By the source's clock, in microseconds.
+    pub at: i64,
+    pub record: &'a Record,
+}
+
+/// A trace file to be read from its first record to its last.
+pub struct TraceFile<'a> {
+    path: &'a Path,
+    reader: FileReader,
+}
+
+impl<'a> TraceFile<'a> {
+    /// Opens the file and reads its head.
+    pub fn open(path: &'a Path) -> Result<Self, CliError> {
+        let reader = open(path)?;
+        Ok(TraceFile { path, reader })
+    }
+
+    /// The incarnations of routers that wrote into the file.
+    pub fn sources(&self) -> &[Source] {
+        &self.reader.sources
+    }
+
+    /// Visits every readable record in the file's order; gives the number of damaged blocks.
+    pub fn for_each_record(
+        &mut self,
+        mut visit: impl FnMut(RecordInFile),
+    ) -> Result<u64, CliError> {
+        let sources = self.reader.sources.clone();
+        let mut damaged_blocks = 0;
+        while let Some(found) = self
+            .reader
+            .next()
+            .map_err(CliError::trace(self.path.display()))?
+        {
+            match found {
+                Found::Block { records, place } => {
+                    let source = &sources[place.source as usize];
+                    for (at, record) in &records {
+                        visit(RecordInFile {
+                            source_index: place.source,
+                            source,
+                            at: *at,
+                            record,
+                        });
+                    }
+                }
+                Found::Damaged { .. } => damaged_blocks += 1,
+            }
+        }
+        Ok(damaged_blocks)
+    }
+}
+
+/// All files of one incarnation of a router, in the order in which it wrote them.
+pub struct IncarnationFiles {
+    pub router: String,
+    /// Wall clock at the zero of its own clock, in microseconds since 1970.
+    pub wall_at_zero: i64,
+    pub readers: Vec<FileReader>,
+}
+
+/// Sorts the files by router and incarnation. The same router name and start in two folders are two incarnations.
+pub fn by_incarnation(files: &[PathBuf]) -> Result<Vec<IncarnationFiles>, CliError> {
+    let mut incarnations: BTreeMap<(PathBuf, String, i64), Vec<(u64, FileReader)>> =
+        BTreeMap::new();
+    for file in files {
+        for source in 0..open(file)?.sources.len() {
+            let mut reader = open(file)?;
+            reader.only = Some(source as u32);
+            let start = &reader.sources[source].start;
+            let folder = file.parent().map(Path::to_owned).unwrap_or_default();
+            let key = (folder, start.router.clone(), start.wall_at_zero);
+            incarnations
+                .entry(key)
+                .or_default()
+                .push((start.file, reader));
+        }
+    }
+    let in_file_order = |((_, router, wall_at_zero), mut numbered): (_, Vec<(u64, FileReader)>)| {
+        numbered.sort_by_key(|(file_number, _)| *file_number);
+        IncarnationFiles {
+            router,
+            wall_at_zero,
+            readers: numbered.into_iter().map(|(_, reader)| reader).collect(),
+        }
+    };
+    Ok(incarnations.into_iter().map(in_file_order).collect())
+}
--- /dev/null
+++ b/crates/cli/src/trace/rules.rs
@@ -0,0 +1,39 @@
+//! `trace rules`: checks the recorded decisions against the rules that a trace can show.
+
+use std::collections::HashMap;
+use std::path::PathBuf;
+
+use cedarpulley_trace::rules::Rules;
+
+use super::input::TraceFile;
+use crate::error::CliError;
+
+/// Prints what breaks a rule; true if nothing does.
+pub fn check_rules(files: &[PathBuf], json: bool) -> Result<bool, CliError> {
+    // Sources are numbered on over all files.
+    let (mut rules, mut all_sources) = (Rules::default(), HashMap::new());
+    for path in files {
+        let mut file = TraceFile::open(path)?;
+        let first_source = all_sources.len() as u32;
+        file.for_each_record(|entry| {
+            let source_index = first_source + entry.source_index;
+            rules.record(source_index, entry.source, entry.at, entry.record);
+        })?;
+        all_sources.extend((first_source..).zip(file.sources().to_vec()));
+    }
+    let report = rules.finish(&all_sources);
+    let broken: u64 = report.rules.values().sum();
+    if json {
+        print_line!("{}", serde_json::to_string_pretty(&report)?);
+    } else {
+        report.breaks.iter().for_each(|line| print_line!("{line}"));
+        let (invocations, open) = (report.invocations, report.unseen);
+        print_line!(
+            "{invocations} invocations, {broken} breaks of rules 1, 2, 3 and 5; {open} still open where their trace ends"
+        );
+        print_line!(
+            "not seen here: rule 4, and what became of answers and dispatches on the sockets (see audit)"
+        );
+    }
+    Ok(broken == 0)
+}
--- /dev/null
+++ b/crates/cli/src/trace/show.rs
@@ -0,0 +1,33 @@
+//! `trace show`: the history of the invocation with a given mark, over all files.
+
+use std::path::PathBuf;
+
+use cedarpulley_trace::show::Follow;
+
+use super::input::TraceFile;
+use crate::error::CliError;
+
+/// Prints, in order of time, all that the files have of the invocation with this mark (correlation id, request id).
+pub fn show(mark: &str, files: &[PathBuf]) -> Result<(), CliError> {
+    let mut lines = Vec::new();
+    for path in files {
+        let mut file = TraceFile::open(path)?;
+        let mut histories: Vec<Follow> =
+            file.sources().iter().map(|_| Follow::new(mark)).collect();
+        file.for_each_record(|entry| {
+            histories[entry.source_index as usize].record(entry.source, entry.at, entry.record);
+        })?;
+        histories
+            .iter_mut()
+            .for_each(|history| lines.append(&mut history.lines));
+    }
+    lines.sort();
+    lines.iter().for_each(|line| print_line!("{line}"));
+    if lines.is_empty() {
+        Err(CliError::MarkNotFound {
+            mark: mark.to_owned(),
+        })
+    } else {
+        Ok(())
+    }
+}
