--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -24,8 +24,8 @@
 use cedarpulley_gateway::fault_injection::InjectedFault;
 use cedarpulley_gateway::settings::{self, RouterSettings};
 use clap::{Parser, Subcommand, ValueEnum};
-use tracing_subscriber::EnvFilter;
 use error::CliError;
+use tracing_subscriber::EnvFilter;
 
 /// Runs calls on workers that load functions or models on demand.
 #[derive(Parser)]
--- a/crates/cli/src/measure/open_loop.rs
+++ b/crates/cli/src/measure/open_loop.rs
@@ -1,5 +1,5 @@
-//! Callers that send at a given rate, whatever becomes of the earlier calls, over REST or gRPC; each call is timed
-//! from when it was due. For measuring.
+//! An open-loop client over REST or gRPC: it sends at a given rate whatever becomes of the earlier calls, and times
+//! each call from when it was due, so that a stalled router does not lower the load that it is measured with.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -8,7 +8,7 @@
 use async_executor::Executor;
 use async_io::{Async, Timer};
 use cedarpulley_emulators::lock;
-use cedarpulley_gateway::client_listener::Protocol as Way;
+use cedarpulley_gateway::client_listener::Protocol;
 use cedarpulley_kserve::rpc::frame;
 use cedarpulley_kserve::rpc::inference::model_infer_request::InferInputTensor;
 use cedarpulley_kserve::rpc::inference::{InferTensorContents, ModelInferRequest};
@@ -19,100 +19,120 @@
 use hyper::client::conn::{http1, http2};
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use crate::measure::histogram;
+use super::latency::histogram;
+use super::{BODY, TRIGGER, function};
 
-/// As a client library would keep them; more streams than these bear wait.
+/// As many as a client library would open; streams beyond their limit wait.
 const GRPC_CONNECTIONS: usize = 4;
 
+/// Lets hyper spawn its tasks on the emulators' executor.
 #[derive(Clone)]
-struct Tasks(Arc<Executor<'static>>);
+struct HyperExecutor(Arc<Executor<'static>>);
 
-impl<F: Future<Output: Send> + Send + 'static> hyper::rt::Executor<F> for Tasks {
+impl<F: Future<Output: Send> + Send + 'static> hyper::rt::Executor<F> for HyperExecutor {
     fn execute(&self, future: F) {
         self.0.spawn(future).detach();
     }
 }
 
+/// A connection.
 enum Sender {
     Rest(http1::SendRequest<Full<Bytes>>),
     Grpc(http2::SendRequest<Full<Bytes>>),
 }
 
-pub struct Callers {
-    pub way: Way,
-    pub at: SocketAddr,
-    pub rate: f64,
-    pub lanes: u32,
-    pub body: &'static str,
+/// Latencies in microseconds, and how many calls had no success.
+#[derive(Clone)]
+struct Results {
+    latencies: Histogram<u64>,
+    failed: u64,
+}
+
+/// Sends to one listener of a router.
+pub struct OpenLoopClient {
+    protocol: Protocol,
+    address: SocketAddr,
+    /// Calls a second.
+    rate: f64,
+    lanes: u32,
     executor: Arc<Executor<'static>>,
-    idle: Mutex<Vec<Sender>>,
-    times: Mutex<(Histogram<u64>, u64)>,
+    /// REST: connections without a call. gRPC: all connections.
+    connections: Mutex<Vec<Sender>>,
+    results: Mutex<Results>,
 }
 
-impl Callers {
+impl OpenLoopClient {
+    /// Connects when the first calls are due.
     pub fn new(
-        way: Way,
-        at: SocketAddr,
+        protocol: Protocol,
+        address: SocketAddr,
         rate: f64,
         lanes: u32,
-        body: &'static str,
-        on: &Arc<Executor<'static>>,
+        executor: &Arc<Executor<'static>>,
     ) -> Self {
-        let times = Mutex::new((histogram(), 0));
-        Callers {
-            way,
-            at,
+        OpenLoopClient {
+            protocol,
+            address,
             rate,
             lanes,
-            body,
-            executor: on.clone(),
-            idle: Mutex::default(),
-            times,
+            executor: executor.clone(),
+            connections: Mutex::default(),
+            results: Mutex::new(Results {
+                latencies: histogram(),
+                failed: 0,
+            }),
         }
     }
 
-    /// Sends for so long, from this call's number on; counts only from `counted` on.
-    pub async fn run(self: Arc<Self>, lasts: Duration, counted: Instant) -> (Histogram<u64>, u64) {
-        let (began, mut n) = (Instant::now(), 0u64);
+    /// Sends for so long; counts only calls due from `counted_from` on. Gives their latencies in microseconds and
+    /// the number of those that failed.
+    pub async fn run(
+        self: Arc<Self>,
+        lasts: Duration,
+        counted_from: Instant,
+    ) -> (Histogram<u64>, u64) {
+        let (began, mut number) = (Instant::now(), 0u64);
         loop {
-            let due = began + Duration::from_secs_f64(n as f64 / self.rate);
+            let due = began + Duration::from_secs_f64(number as f64 / self.rate);
             if due > began + lasts {
                 break;
             }
             Timer::at(due).await;
-            let it = self.clone();
+            let client = self.clone();
             let call = async move {
-                let good = it.call(n).await.is_some();
-                if due >= counted {
-                    let mut times = lock(&it.times);
-                    match good {
-                        true => times.0.saturating_record(due.elapsed().as_micros() as u64),
-                        false => times.1 += 1,
+                let succeeded = client.call(number).await.is_some();
+                if due >= counted_from {
+                    let mut results = lock(&client.results);
+                    match succeeded {
+                        true => results
+                            .latencies
+                            .saturating_record(due.elapsed().as_micros() as u64),
+                        false => results.failed += 1,
                     }
                 }
             };
             self.executor.spawn(call).detach();
-            n += 1;
+            number += 1;
         }
         Timer::after(Duration::from_secs(1)).await;
-        let times = lock(&self.times);
-        (times.0.clone(), times.1)
+        let results = lock(&self.results);
+        (results.latencies.clone(), results.failed)
     }
 
     async fn connect(&self) -> Option<Sender> {
-        let stream = Async::<TcpStream>::connect(self.at).await.ok()?;
+        let stream = Async::<TcpStream>::connect(self.address).await.ok()?;
         stream.get_ref().set_nodelay(true).ok()?;
         let io = FuturesIo::new(stream);
-        match self.way {
-            Way::Rest => {
+        match self.protocol {
+            Protocol::Rest => {
                 let (sender, connection) = http1::handshake(io).await.ok()?;
                 self.executor
                     .spawn(async move { drop(connection.await) })
                     .detach();
                 Some(Sender::Rest(sender))
             }
-            Way::Grpc => {
-                let mut builder = http2::Builder::new(Tasks(self.executor.clone()));
+            Protocol::Grpc => {
+                let mut builder = http2::Builder::new(HyperExecutor(self.executor.clone()));
                 let (sender, connection) =
                     builder.timer(SmolTimer::new()).handshake(io).await.ok()?;
                 self.executor
@@ -123,84 +143,99 @@
         }
     }
 
-    async fn call(&self, n: u64) -> Option<()> {
-        let function = format!("warm:{}", n % 8);
-        let ready = match self.way {
-            Way::Rest => lock(&self.idle).pop(),
-            Way::Grpc => {
-                let idle = lock(&self.idle);
-                let at = n as usize % GRPC_CONNECTIONS;
-                match idle.get(at) {
-                    Some(Sender::Grpc(s)) => Some(Sender::Grpc(s.clone())),
-                    _ => None,
-                }
-            }
-        };
-        let mut sender = match ready {
+    /// A connection that is open already.
+    fn open_connection(&self, number: u64) -> Option<Sender> {
+        let mut connections = lock(&self.connections);
+        match self.protocol {
+            Protocol::Rest => connections.pop(),
+            Protocol::Grpc => match connections.get(number as usize % GRPC_CONNECTIONS) {
+                Some(Sender::Grpc(sender)) => Some(Sender::Grpc(sender.clone())),
+                _ => None,
+            },
+        }
+    }
+
+    async fn call(&self, number: u64) -> Option<()> {
+        let sender = match self.open_connection(number) {
             Some(sender) => sender,
             None => {
                 let sender = self.connect().await?;
-                if let Sender::Grpc(s) = &sender {
-                    lock(&self.idle).push(Sender::Grpc(s.clone()));
+                if let Sender::Grpc(sender) = &sender {
+                    lock(&self.connections).push(Sender::Grpc(sender.clone()));
                 }
                 sender
             }
         };
-        let request = |path: String, kind: &str, body: Bytes| {
-            Request::post(path)
-                .header("host", self.at.to_string())
-                .header("content-type", kind)
-                .header("cedarpulley-trigger-type", "warm")
-                .header("cedarpulley-copy-mb", 1)
-                .header("cedarpulley-lanes", self.lanes)
-                .header("x-request-id", n)
-                .body(Full::new(body))
-                .ok()
-        };
-        match &mut sender {
-            Sender::Rest(s) => {
-                let path = format!("/v2/models/{}/infer", function.replace(':', "%3A"));
-                let answer = s
-                    .send_request(request(path, "application/json", self.body.into())?)
-                    .await
-                    .ok()?;
-                let good = answer.status() == 200;
-                answer.into_body().collect().await.ok()?;
-                s.ready().await.ok()?;
-                lock(&self.idle).push(sender);
-                good.then_some(())
-            }
-            Sender::Grpc(s) => {
-                let input = InferInputTensor {
-                    name: "x".into(),
-                    datatype: "FP32".into(),
-                    shape: vec![4],
-                    contents: Some(InferTensorContents {
-                        fp32_contents: vec![0.1, 0.2, 0.3, 0.4],
-                        ..Default::default()
-                    }),
-                    ..Default::default()
-                };
-                let message = ModelInferRequest {
-                    model_name: function,
-                    inputs: vec![input],
-                    ..Default::default()
-                };
-                let path = format!(
-                    "http://{}/inference.GRPCInferenceService/ModelInfer",
-                    self.at
-                );
-                let answer = s
-                    .send_request(request(path, "application/grpc", frame(&message))?)
-                    .await
-                    .ok()?;
-                let whole = answer.into_body().collect().await.ok()?;
-                let good = whole
-                    .trailers()
-                    .and_then(|t| t.get("grpc-status"))
-                    .is_some_and(|s| s == "0");
-                good.then_some(())
-            }
+        match sender {
+            Sender::Rest(sender) => self.call_rest(sender, number).await,
+            Sender::Grpc(sender) => self.call_grpc(sender, number).await,
         }
     }
+
+    fn request(
+        &self,
+        number: u64,
+        path: String,
+        content_type: &str,
+        body: Bytes,
+    ) -> Option<Request<Full<Bytes>>> {
+        Request::post(path)
+            .header("host", self.address.to_string())
+            .header("content-type", content_type)
+            .header("cedarpulley-trigger-type", TRIGGER)
+            .header("cedarpulley-copy-mb", 1)
+            .header("cedarpulley-lanes", self.lanes)
+            .header("x-request-id", number)
+            .body(Full::new(body))
+            .ok()
+    }
+
+    async fn call_rest(
+        &self,
+        mut sender: http1::SendRequest<Full<Bytes>>,
+        number: u64,
+    ) -> Option<()> {
+        let path = format!("/v2/models/{}/infer", function(number).replace(':', "%3A"));
+        let request = self.request(number, path, "application/json", BODY.into())?;
+        let response = sender.send_request(request).await.ok()?;
+        let succeeded = response.status() == 200;
+        response.into_body().collect().await.ok()?;
+        sender.ready().await.ok()?;
+        lock(&self.connections).push(Sender::Rest(sender));
+        succeeded.then_some(())
+    }
+
+    async fn call_grpc(
+        &self,
+        mut sender: http2::SendRequest<Full<Bytes>>,
+        number: u64,
+    ) -> Option<()> {
+        let input = InferInputTensor {
+            name: "x".into(),
+            datatype: "FP32".into(),
+            shape: vec![4],
+            contents: Some(InferTensorContents {
+                fp32_contents: vec![0.1, 0.2, 0.3, 0.4],
+                ..Default::default()
+            }),
+            ..Default::default()
+        };
+        let message = ModelInferRequest {
+            model_name: function(number),
+            inputs: vec![input],
+            ..Default::default()
+        };
+        let path = format!(
+            "http://{}/inference.GRPCInferenceService/ModelInfer",
+            self.address
+        );
+        let request = self.request(number, path, "application/grpc", frame(&message))?;
+        let response = sender.send_request(request).await.ok()?;
+        let body = response.into_body().collect().await.ok()?;
+        let succeeded = body
+            .trailers()
+            .and_then(|trailers| trailers.get("grpc-status"))
+            .is_some_and(|status| status == "0");
+        succeeded.then_some(())
+    }
 }
--- /dev/null
+++ b/crates/cli/src/measure/resources.rs
@@ -0,0 +1,60 @@
+//! What processes and groups of routers have used so far.
+
+use std::net::SocketAddr;
+
+use cedarpulley_test_cluster::verdict::state;
+use serde_json::Value;
+
+/// Use of a process since it began.
+#[derive(Clone, Copy)]
+pub struct ProcessUsage {
+    pub cpu_us: u64,
+    pub resident_kb: u64,
+}
+
+impl ProcessUsage {
+    /// None if there is no such process.
+    pub fn of(pid: u32) -> Option<Self> {
+        let stat = procfs::process::Process::new(pid as i32)
+            .and_then(|process| process.stat())
+            .ok()?;
+        Some(ProcessUsage {
+            cpu_us: (stat.utime + stat.stime) * 1_000_000 / procfs::ticks_per_second(),
+            resident_kb: stat.rss * procfs::page_size() / 1024,
+        })
+    }
+}
+
+/// Processor time between two readings; 0 if either failed.
+pub fn cpu_between_us(before: Option<ProcessUsage>, after: Option<ProcessUsage>) -> u64 {
+    before
+        .zip(after)
+        .map_or(0, |(before, after)| after.cpu_us - before.cpu_us)
+}
+
+/// What all members of a group have sent each other so far.
+#[derive(Clone, Copy, Default)]
+pub struct GroupTraffic {
+    pub bytes: u64,
+    pub posts: u64,
+}
+
+impl GroupTraffic {
+    /// Sums over the members that answer.
+    pub fn of(members: &[SocketAddr]) -> Self {
+        let states = members.iter().filter_map(|member| state(*member).ok());
+        let count = |state: &Value, name: &str| state["counts"][name].as_u64().unwrap_or(0);
+        states.fold(GroupTraffic::default(), |sum, state| GroupTraffic {
+            bytes: sum.bytes + count(&state, "bytes_sent"),
+            posts: sum.posts + count(&state, "posts"),
+        })
+    }
+
+    /// What was sent since `earlier`.
+    pub fn since(self, earlier: GroupTraffic) -> GroupTraffic {
+        GroupTraffic {
+            bytes: self.bytes.saturating_sub(earlier.bytes),
+            posts: self.posts.saturating_sub(earlier.posts),
+        }
+    }
+}
--- /dev/null
+++ b/crates/cli/src/measure/surroundings.rs
@@ -0,0 +1,113 @@
+//! The emulated broker, store and workers, and the clients that publish to the broker.
+
+use std::collections::HashMap;
+use std::time::{Duration, Instant};
+
+use async_executor::Task;
+use cedarpulley_emulators::Ground;
+use cedarpulley_emulators::broker::Broker;
+use cedarpulley_emulators::store::{self, Store};
+use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
+use cedarpulley_test_cluster::client::{Arrival, Client, Times};
+
+use super::{ANY_PORT, BODY, MeasureArgs, QUEUE, TIMEOUT_MS, TRIGGER, WARM_UP, function};
+use crate::error::CliError;
+
+const WORKERS: usize = 4;
+const CLIENTS: usize = 2;
+const THREADS: usize = 3;
+
+/// Emulators in this process. Fields in the order in which they are dropped.
+pub struct Surroundings {
+    pub workers: Vec<Worker>,
+    _store: Store,
+    pub broker: Broker,
+    pub host: Ground,
+}
+
+impl Surroundings {
+    /// Starts all of them on free ports.
+    pub fn start(args: &MeasureArgs) -> Result<Self, CliError> {
+        let host = Ground::new(THREADS, None).map_err(CliError::EmulatorStart)?;
+        let broker =
+            Broker::start(&host, "broker", ANY_PORT.into()).map_err(CliError::EmulatorStart)?;
+        broker.declare(QUEUE);
+        let profile = store::Nature {
+            mb_per_s: 1e6,
+            abreast: 100,
+            most: 1000,
+        };
+        let store = Store::start(&host, "store", ANY_PORT.into(), profile)
+            .map_err(CliError::EmulatorStart)?;
+        let mut workers = Vec::new();
+        for index in 0..WORKERS {
+            let program = Program {
+                work: Duration::from_secs_f64(args.work_ms / 1e3),
+                copy_mb: 1.0,
+                start_up: Duration::from_millis(1),
+                lanes: args.lanes as usize,
+                window: None,
+                prefix: Duration::ZERO,
+            };
+            let worker = Worker::start(
+                &host,
+                &format!("worker-{index}"),
+                ANY_PORT.into(),
+                1,
+                Nature::roomy(1e6),
+                store.server.address,
+                HashMap::from([(TRIGGER.to_owned(), program)]),
+                Memory::default(),
+            );
+            workers.push(worker.map_err(CliError::EmulatorStart)?);
+        }
+        Ok(Surroundings {
+            workers,
+            _store: store,
+            broker,
+            host,
+        })
+    }
+
+    /// Starts the clients that publish at the given rate from `began` on. They run until their tasks are dropped.
+    pub fn start_clients(
+        &self,
+        args: &MeasureArgs,
+        began: Instant,
+        latencies: &Times,
+    ) -> Vec<Task<()>> {
+        let invocations = ((WARM_UP.as_secs_f64() + args.seconds) * args.rate) as usize;
+        let arrival = |number: usize| Arrival {
+            at: Duration::from_secs_f64(number as f64 / args.rate),
+            id: format!("m{number}"),
+            kind: TRIGGER.into(),
+            function: function(number as u64),
+            account: String::new(),
+            queue: QUEUE.into(),
+            timeout_ms: TIMEOUT_MS,
+            copy_mb: 1.0,
+            lanes: args.lanes,
+            body: BODY.into(),
+            retries: 0,
+            calls: false,
+            turn: None,
+        };
+        let start = |client: usize| {
+            let client = Client {
+                broker: self.broker.address,
+                from: [127, 0, 2, 1 + client as u8].into(),
+                replies: format!("replies-{client}"),
+                began,
+                arrivals: (client..invocations)
+                    .step_by(CLIENTS)
+                    .map(arrival)
+                    .collect(),
+                times: Some(latencies.clone()),
+                answers: None,
+                asks: None,
+            };
+            self.host.executor.spawn(client.run())
+        };
+        (0..CLIENTS).map(start).collect()
+    }
+}
--- a/crates/cli/src/trace/compare.rs
+++ b/crates/cli/src/trace/compare.rs
@@ -1,6 +1,8 @@
 //! `trace replay --all` and `--against`: every decision of this build, compared with what was recorded or with what
 //! another build decides about the same events.
 
+use std::fs::File;
+use std::io::BufReader;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
@@ -9,7 +11,7 @@
 use cedarpulley_trace::replay::{Decisions, Step, drive, told};
 use serde_json::json;
 
-use super::input::{FileReader, IncarnationFiles, by_incarnation, open};
+use super::input::{IncarnationFiles, by_incarnation, open};
 use super::replay::redone_file;
 use crate::error::CliError;
 
@@ -96,7 +98,7 @@
 
 fn compare_incarnation(
     mut incarnation: IncarnationFiles,
-    mut other_decisions: Option<Decisions<FileReader>>,
+    mut other_decisions: Option<Decisions<BufReader<File>>>,
     comparison: &mut Compare,
 ) -> Result<(), CliError> {
     let result = drive(&mut incarnation.readers, |step| {
--- a/crates/cli/src/trace/output.rs
+++ b/crates/cli/src/trace/output.rs
@@ -14,12 +14,8 @@
 ) -> Result<T, CliError> {
     let temporary = out.with_extension("part");
     let mut writer = BufWriter::new(File::create(&temporary).map_err(CliError::file(out))?);
-    let result = write(&mut writer).and_then(|value| {
-        writer
-            .flush()
-            .map(|()| value)
-            .map_err(CliError::file(out))
-    });
+    let result = write(&mut writer)
+        .and_then(|value| writer.flush().map(|()| value).map_err(CliError::file(out)));
     match result {
         Ok(value) => std::fs::rename(&temporary, out)
             .map(|()| value)
--- a/crates/cli/src/trace/rewrite.rs
+++ b/crates/cli/src/trace/rewrite.rs
@@ -81,10 +81,7 @@
 }
 
 /// How far each file's clock is ahead, in microseconds; 0 where it cannot be estimated.
-fn estimate_offsets(
-    files: &[PathBuf],
-    readers: &mut [FileReader],
-) -> Result<Vec<i64>, CliError> {
+fn estimate_offsets(files: &[PathBuf], readers: &mut [FileReader]) -> Result<Vec<i64>, CliError> {
     let mut offsets = Offsets::default();
     for (reader, file) in readers.iter_mut().zip(files) {
         offsets
--- a/crates/cli/src/trace/show.rs
+++ b/crates/cli/src/trace/show.rs
@@ -12,8 +12,7 @@
     let mut lines = Vec::new();
     for path in files {
         let mut file = TraceFile::open(path)?;
-        let mut histories: Vec<Follow> =
-            file.sources().iter().map(|_| Follow::new(mark)).collect();
+        let mut histories: Vec<Follow> = file.sources().iter().map(|_| Follow::new(mark)).collect();
         file.for_each_record(|entry| {
             histories[entry.source_index as usize].record(entry.source, entry.at, entry.record);
         })?;
--- /dev/null
+++ b/crates/cli/src/usage/reconcile.rs
@@ -0,0 +1,199 @@
+//! `meter reconcile`: the usage metered in a scenario, compared with what the emulated workers logged.
+
+use std::collections::BTreeMap;
+use std::fs::File;
+use std::io::{BufRead, BufReader};
+use std::path::Path;
+
+use cedarpulley_usage_metering::{Kind, Sum};
+use serde_json::{Value, json};
+
+use super::stores::{self, expand_folders};
+use crate::error::CliError;
+
+/// Metered and logged usage may differ by this share.
+const MAX_DIFFERENCE: f64 = 0.01;
+/// The aim for the share of usage that no worker reported.
+const MAX_UNCERTAIN: f64 = 0.01;
+
+/// Tenant, and what its memory was used for.
+type UsageKey = (String, Kind);
+
+/// What the emulated workers logged, in byte-microseconds.
+#[derive(Default)]
+struct LoggedUsage {
+    by_tenant_and_kind: BTreeMap<UsageKey, u128>,
+    /// What their answers did not report at once.
+    unreported: u128,
+}
+
+impl LoggedUsage {
+    /// Reads the logs of all workers, a file each.
+    fn read(folder: &Path) -> Result<Self, CliError> {
+        let mut usage = LoggedUsage::default();
+        for entry in std::fs::read_dir(folder).map_err(CliError::file(folder))? {
+            let path = entry.map_err(CliError::file(folder))?.path();
+            let file = File::open(&path).map_err(CliError::file(&path))?;
+            for text in BufReader::new(file).lines().map_while(Result::ok) {
+                if let Ok(line) = serde_json::from_str::<Value>(&text)
+                    && line["what"] == "held"
+                {
+                    usage.add(&line);
+                }
+            }
+        }
+        Ok(usage)
+    }
+
+    /// Adds a line: bytes, and for how many microseconds they were of each kind.
+    fn add(&mut self, line: &Value) {
+        let bytes = u128::from(line["bytes"].as_u64().unwrap_or(0));
+        let kinds = [
+            ("running", Kind::Running),
+            ("loading", Kind::Loading),
+            ("idle", Kind::Idle),
+        ];
+        for (name, kind) in kinds {
+            let byte_us = bytes * u128::from(line[name].as_u64().unwrap_or(0));
+            if line["reported"] != true {
+                self.unreported += byte_us;
+            }
+            if byte_us > 0 {
+                let account = line["account"].as_str().unwrap_or("").to_owned();
+                *self.by_tenant_and_kind.entry((account, kind)).or_default() += byte_us;
+            }
+        }
+    }
+}
+
+/// One tenant and kind; usage in MB-seconds.
+struct Row {
+    key: UsageKey,
+    metered: f64,
+    logged: f64,
+    /// Share of the greater of the two; positive if more was metered.
+    difference: f64,
+}
+
+/// Usage in MB-seconds.
+struct Reconciliation {
+    /// The greatest differences first.
+    rows: Vec<Row>,
+    /// Metered for times that no worker reported.
+    uncertain: f64,
+    unreported: f64,
+    total_logged: f64,
+}
+
+impl Reconciliation {
+    fn of(metered: &BTreeMap<UsageKey, Sum>, logged: &LoggedUsage) -> Self {
+        let comparable = [Kind::Running, Kind::Loading, Kind::Idle];
+        let mut keys: Vec<_> = metered
+            .keys()
+            .filter(|key| comparable.contains(&key.1))
+            .chain(logged.by_tenant_and_kind.keys())
+            .cloned()
+            .collect();
+        keys.sort();
+        keys.dedup();
+        let row = |key: UsageKey| {
+            let metered = metered.get(&key).copied().unwrap_or_default().mb_seconds();
+            let byte_us = logged.by_tenant_and_kind.get(&key).copied();
+            let logged = byte_us.unwrap_or_default() as f64 / 1e12;
+            Row {
+                key,
+                metered,
+                logged,
+                difference: (metered - logged) / logged.max(metered).max(1e-9),
+            }
+        };
+        let mut rows: Vec<Row> = keys.into_iter().map(row).collect();
+        let total_logged = rows.iter().map(|row| row.logged).sum();
+        rows.sort_by(|a, b| b.difference.abs().total_cmp(&a.difference.abs()));
+        let uncertain = metered.iter().filter(|(key, _)| key.1 == Kind::Uncertain);
+        Reconciliation {
+            rows,
+            uncertain: uncertain.fold(0.0, |total, (_, sum)| total + sum.mb_seconds()),
+            unreported: logged.unreported as f64 / 1e12,
+            total_logged,
+        }
+    }
+
+    fn within_limits(&self) -> bool {
+        self.rows
+            .iter()
+            .all(|row| row.difference.abs() <= MAX_DIFFERENCE)
+    }
+
+    fn print_json(&self) -> Result<(), CliError> {
+        let rows: Vec<Value> = self
+            .rows
+            .iter()
+            .map(|row| {
+                let (tenant, kind) = &row.key;
+                json!({
+                    "tenant": tenant,
+                    "kind": kind,
+                    "metered": row.metered,
+                    "held": row.logged,
+                    "apart": row.difference,
+                })
+            })
+            .collect();
+        let all = json!({
+            "rows": rows,
+            "uncertain": self.uncertain,
+            "untold": self.unreported,
+            "held": self.total_logged,
+        });
+        print_line!("{}", serde_json::to_string_pretty(&all)?);
+        Ok(())
+    }
+
+    fn print_table(&self) {
+        print_line!(
+            "{:<16} {:<10} {:>14} {:>14} {:>8}",
+            "tenant",
+            "kind",
+            "metered MB-s",
+            "held MB-s",
+            "apart"
+        );
+        for row in &self.rows {
+            let (tenant, kind) = &row.key;
+            let tenant = if tenant.is_empty() { "(none)" } else { tenant };
+            print_line!(
+                "{tenant:<16} {:<10} {:>14.3} {:>14.3} {:>7.2}%",
+                kind.name(),
+                row.metered,
+                row.logged,
+                row.difference * 100.0
+            );
+        }
+        let above_aim = if self.uncertain > MAX_UNCERTAIN * self.total_logged {
+            ", above the aim of 1%"
+        } else {
+            ""
+        };
+        print_line!(
+            "uncertain {:.3} MB-s, {:.2}% of what was held{above_aim}; told late or never {:.3} MB-s",
+            self.uncertain,
+            100.0 * self.uncertain / self.total_logged.max(1e-9),
+            self.unreported
+        );
+    }
+}
+
+/// Compares what the routers metered in the scenario left in this folder; true if no difference exceeds the limit.
+pub fn reconcile(folder: &Path, json: bool) -> Result<bool, CliError> {
+    let sums = stores::read(&expand_folders(&[folder.join("meter")])?)?.sums();
+    let logged = LoggedUsage::read(&folder.join("traffic"))?;
+    let metered = sums.by(|key| (key.account.to_string(), key.kind));
+    let reconciliation = Reconciliation::of(&metered, &logged);
+    if json {
+        reconciliation.print_json()?;
+    } else {
+        reconciliation.print_table();
+    }
+    Ok(reconciliation.within_limits())
+}
