--- a/crates/benchlink/src/codec.rs
+++ b/crates/benchlink/src/codec.rs
@@ -109,8 +109,11 @@
 
 /// The benchmark's ids for the indices in actions.
 pub trait ExternalIds {
+    /// The id of the invocation with this index; an error if there is none.
     fn invocation_id(&self, index: InvocationIndex) -> Result<&str>;
+    /// The id of the function with this index; an error if there is none.
     fn function_id(&self, index: FunctionIndex) -> Result<&str>;
+    /// The id of the worker with this index; an error if there is none.
     fn worker_id(&self, index: WorkerIndex) -> Result<&str>;
 }
 
@@ -132,8 +135,8 @@
             timeout,
         } => {
             let (invocation, worker) = (ids.invocation_id(invocation)?, ids.worker_id(worker)?);
-            let timeout = timeout_field(timeout);
-            writeln!(out, "try {router} {invocation} {worker} {timeout}")?;
+            write!(out, "try {router} {invocation} {worker} ")?;
+            write_timeout(out, timeout)?;
         }
         Action::Cancel {
             invocation,
@@ -147,8 +150,8 @@
             retry_after,
         } => {
             let invocation = ids.invocation_id(invocation)?;
-            let retry_after = retry_after_field(retry_after);
-            writeln!(out, "overload_reply {router} {invocation} {retry_after}")?;
+            write!(out, "overload_reply {router} {invocation} ")?;
+            write_retry_after(out, retry_after)?;
         }
         Action::Fail { invocation } => {
             writeln!(
@@ -173,25 +176,27 @@
         Action::Timer { token, after } => {
             writeln!(out, "sleep {router} {token} {}", nanos(after.max(0)))?;
         }
-        Action::RequestEndpointList { watch: true } => writeln!(out, "listen {router} 1")?,
-        Action::RequestEndpointList { watch: false } => writeln!(out, "query_all {router}")?,
+        Action::RequestEndpointList { watch } => match watch {
+            true => writeln!(out, "listen {router} 1")?,
+            false => writeln!(out, "query_all {router}")?,
+        },
         Action::ReleaseFunction { .. } => {}
     }
     Ok(())
 }
 
 /// No time left is -1 and expires at once: 0 would mean no limit.
-fn timeout_field(timeout: Option<Micros>) -> String {
+fn write_timeout(out: &mut Vec<u8>, timeout: Option<Micros>) -> std::io::Result<()> {
     match timeout {
-        None => "-".to_owned(),
-        Some(time) if time <= 0 => "-1".to_owned(),
-        Some(time) => nanos(time).to_string(),
+        None => writeln!(out, "-"),
+        Some(time) if time <= 0 => writeln!(out, "-1"),
+        Some(time) => writeln!(out, "{}", nanos(time)),
     }
 }
 
-fn retry_after_field(retry_after: Option<Micros>) -> String {
+fn write_retry_after(out: &mut Vec<u8>, retry_after: Option<Micros>) -> std::io::Result<()> {
     match retry_after {
-        Some(time) if time > 0 => nanos(time).to_string(),
-        _ => "-".to_owned(),
+        Some(time) if time > 0 => writeln!(out, "{}", nanos(time)),
+        _ => writeln!(out, "-"),
     }
 }
--- a/crates/cli/src/scenario/mod.rs
+++ b/crates/cli/src/scenario/mod.rs
@@ -25,7 +25,8 @@
 // No doc comment: it would be printed as the subcommand's help.
 #[derive(Args)]
 pub struct ScenarioArgs {
-    day: PathBuf,
+    #[arg(value_name = "DAY")]
+    scenario: PathBuf,
     /// Where traffic, verdict and table are left.
     #[arg(long)]
     out: Option<PathBuf>,
@@ -55,7 +56,7 @@
 
 /// Plays a scenario and leaves traffic and verdict in its folder; true if every invariant holds.
 pub fn play(args: ScenarioArgs) -> Result<bool, CliError> {
-    let mut scenario = plan::read(&args.day)?;
+    let mut scenario = plan::read(&args.scenario)?;
     scenario.seed = args.seed.unwrap_or(scenario.seed);
     let out = args.out.unwrap_or_else(|| {
         std::env::temp_dir().join(format!("cedarpulley-day-{}", std::process::id()))
@@ -89,7 +90,7 @@
     if !args.json {
         print_line!(
             "{} (seed {}), left in {}\n",
-            args.day.display(),
+            args.scenario.display(),
             scenario.seed,
             out.display()
         );
--- a/crates/cli/src/trace/mod.rs
+++ b/crates/cli/src/trace/mod.rs
@@ -14,7 +14,6 @@
 
 use std::path::PathBuf;
 
-use cedarpulley_trace::select::Wanted;
 use clap::Subcommand;
 
 use crate::error::CliError;
@@ -48,26 +47,7 @@
         as_is: bool,
     },
     /// A part of a file. By time alone, other blocks are not read.
-    Cut {
-        file: PathBuf,
-        #[arg(long)]
-        out: PathBuf,
-        /// Seconds since 1970, by the file's (first) wall clock.
-        #[arg(long)]
-        from: Option<f64>,
-        #[arg(long)]
-        until: Option<f64>,
-        #[arg(long)]
-        function: Option<String>,
-        #[arg(long)]
-        account: Option<String>,
-        /// Its address.
-        #[arg(long)]
-        worker: Option<String>,
-        /// The mark that its client gave it.
-        #[arg(long)]
-        invocation: Option<String>,
-    },
+    Cut(rewrite::CutArgs),
     /// The same under pseudonyms, to be given away.
     Strip {
         file: PathBuf,
@@ -149,26 +129,7 @@
         TraceCommand::Merge { files, out, as_is } => {
             rewrite::merge(&expand_folders(&files)?, &out, as_is)
         }
-        TraceCommand::Cut {
-            file,
-            out,
-            from,
-            until,
-            function,
-            account,
-            worker,
-            invocation,
-        } => {
-            let selection = Wanted {
-                from: from.map(micros),
-                until: until.map(micros),
-                function,
-                account,
-                worker,
-                mark: invocation,
-            };
-            rewrite::cut(&file, &out, &selection)
-        }
+        TraceCommand::Cut(args) => rewrite::cut(args),
         TraceCommand::Strip { file, out, key } => rewrite::strip(&file, &out, &key),
         TraceCommand::Replay {
             files,
--- a/crates/cli/src/trace/rewrite.rs
+++ b/crates/cli/src/trace/rewrite.rs
@@ -9,18 +9,51 @@
 use cedarpulley_trace::rewrite::{self, Rewritten};
 use cedarpulley_trace::select::Wanted;
 use cedarpulley_trace::strip::Strip;
+use clap::Args;
 
 use super::input::{FileReader, open};
+use super::micros;
 use super::output::write_atomically;
 use crate::error::CliError;
 
 /// Shorter secrets are found by trying. In bytes.
 const LEAST_SECRET: usize = 16;
 
+// No doc comment: it would be printed as the subcommand's help.
+#[derive(Args)]
+pub struct CutArgs {
+    file: PathBuf,
+    #[arg(long)]
+    out: PathBuf,
+    /// Seconds since 1970, by the file's (first) wall clock.
+    #[arg(long)]
+    from: Option<f64>,
+    #[arg(long)]
+    until: Option<f64>,
+    #[arg(long)]
+    function: Option<String>,
+    #[arg(long)]
+    account: Option<String>,
+    /// Its address.
+    #[arg(long)]
+    worker: Option<String>,
+    /// The mark that its client gave it.
+    #[arg(long)]
+    invocation: Option<String>,
+}
+
 /// Copies the selected part of a file; true if no block of it is damaged.
-pub fn cut(file: &Path, out: &Path, selection: &Wanted) -> Result<bool, CliError> {
-    rewrite_file(file, out, |reader, writer| {
-        rewrite::cut(reader, selection, writer)
+pub fn cut(args: CutArgs) -> Result<bool, CliError> {
+    let selection = Wanted {
+        from: args.from.map(micros),
+        until: args.until.map(micros),
+        function: args.function,
+        account: args.account,
+        worker: args.worker,
+        mark: args.invocation,
+    };
+    rewrite_file(&args.file, &args.out, |reader, writer| {
+        rewrite::cut(reader, &selection, writer)
     })
 }
 
