--- a/crates/benchlink/src/codec.rs
+++ b/crates/benchlink/src/codec.rs
@@ -160,6 +160,19 @@
                 ids.invocation_id(invocation)?
             )?;
         }
+        _ => write_host_action(out, router, action, ids)?,
+    }
+    Ok(())
+}
+
+/// Writes an action that concerns no single invocation.
+fn write_host_action(
+    out: &mut Vec<u8>,
+    router: u32,
+    action: &Action,
+    ids: &impl ExternalIds,
+) -> Result<()> {
+    match *action {
         Action::LoadOrder {
             worker,
             function,
@@ -180,7 +193,11 @@
             true => writeln!(out, "listen {router} 1")?,
             false => writeln!(out, "query_all {router}")?,
         },
-        Action::ReleaseFunction { .. } => {}
+        Action::Dispatch { .. }
+        | Action::Cancel { .. }
+        | Action::Reject { .. }
+        | Action::Fail { .. }
+        | Action::ReleaseFunction { .. } => {}
     }
     Ok(())
 }
--- a/crates/cli/src/scenario/faults.rs
+++ b/crates/cli/src/scenario/faults.rs
@@ -79,39 +79,12 @@
             What::DrainWave => self.drain_workers_in_turn().await,
             What::ZoneCut => self.cut_zone().await,
             What::Flush => self.struck_workers().for_each(Worker::flush_copies),
-            What::StoreSlow => {
-                self.cluster.store.slow(self.fault.size);
-                Timer::after(self.lasts).await;
-                self.cluster.store.slow(1.0);
-            }
-            What::ListLate => {
-                let delay = Duration::from_secs_f64(self.fault.size);
-                self.cluster.list.late(delay);
-                Timer::after(self.lasts).await;
-                self.cluster.list.late(Duration::ZERO);
-            }
-            What::ChannelDrop => {
-                let struck = self.draw_clients();
-                self.cluster
-                    .broker
-                    .drop_channels(|client| struck[last_octet(client)]);
-            }
-            What::ConnectionDrop => {
-                let struck = self.draw_clients();
-                self.cluster.broker.drop_connections(|client| {
-                    client.starts_with("127.0.1") && struck[last_octet(client)]
-                });
-            }
-            What::BrokerRestart => {
-                if let Err(error) = self.cluster.broker.restart(self.lasts).await {
-                    tracing::error!(cause = %error, "the broker did not come back");
-                }
-            }
-            What::BrokerBlock => {
-                self.cluster.broker.block(true);
-                Timer::after(self.lasts).await;
-                self.cluster.broker.block(false);
-            }
+            What::StoreSlow => self.slow_store().await,
+            What::ListLate => self.delay_list().await,
+            What::ChannelDrop => self.drop_channels(),
+            What::ConnectionDrop => self.drop_connections(),
+            What::BrokerRestart => self.restart_broker().await,
+            What::BrokerBlock => self.block_broker().await,
             What::RouterKill => self.kill_routers().await,
             What::RouterPause => self.pause_routers().await,
             What::StaleState => self.restore_older_state().await,
@@ -218,6 +191,45 @@
         inside.iter().for_each(|worker| workers[*worker].cut(0));
     }
 
+    async fn slow_store(&self) {
+        self.cluster.store.slow(self.fault.size);
+        Timer::after(self.lasts).await;
+        self.cluster.store.slow(1.0);
+    }
+
+    async fn delay_list(&self) {
+        let delay = Duration::from_secs_f64(self.fault.size);
+        self.cluster.list.late(delay);
+        Timer::after(self.lasts).await;
+        self.cluster.list.late(Duration::ZERO);
+    }
+
+    async fn restart_broker(&self) {
+        if let Err(error) = self.cluster.broker.restart(self.lasts).await {
+            tracing::error!(cause = %error, "the broker did not come back");
+        }
+    }
+
+    async fn block_broker(&self) {
+        self.cluster.broker.block(true);
+        Timer::after(self.lasts).await;
+        self.cluster.broker.block(false);
+    }
+
+    fn drop_channels(&mut self) {
+        let struck = self.draw_clients();
+        self.cluster
+            .broker
+            .drop_channels(|client| struck[last_octet(client)]);
+    }
+
+    fn drop_connections(&mut self) {
+        let struck = self.draw_clients();
+        self.cluster
+            .broker
+            .drop_connections(|client| client.starts_with("127.0.1") && struck[last_octet(client)]);
+    }
+
     /// Whether the fault strikes a client of the broker, by the last octet of the client's address.
     fn draw_clients(&mut self) -> Vec<bool> {
         (0..256)
--- a/crates/cli/src/usage/reconcile.rs
+++ b/crates/cli/src/usage/reconcile.rs
@@ -67,7 +67,7 @@
 }
 
 /// One tenant and kind; usage in MB-seconds.
-struct Row {
+struct TenantComparison {
     key: UsageKey,
     metered: f64,
     logged: f64,
@@ -78,7 +78,7 @@
 /// Usage in MB-seconds.
 struct Reconciliation {
     /// The greatest differences first.
-    rows: Vec<Row>,
+    rows: Vec<TenantComparison>,
     /// Metered for times that no worker reported.
     uncertain: f64,
     unreported: f64,
@@ -100,14 +100,14 @@
             let metered = metered.get(&key).copied().unwrap_or_default().mb_seconds();
             let byte_us = logged.by_tenant_and_kind.get(&key).copied();
             let logged = byte_us.unwrap_or_default() as f64 / 1e12;
-            Row {
+            TenantComparison {
                 key,
                 metered,
                 logged,
                 difference: (metered - logged) / logged.max(metered).max(1e-9),
             }
         };
-        let mut rows: Vec<Row> = keys.into_iter().map(row).collect();
+        let mut rows: Vec<TenantComparison> = keys.into_iter().map(row).collect();
         let total_logged = rows.iter().map(|row| row.logged).sum();
         rows.sort_by(|a, b| b.difference.abs().total_cmp(&a.difference.abs()));
         let uncertain = metered.iter().filter(|(key, _)| key.1 == Kind::Uncertain);
