--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -25,8 +25,10 @@
     /// No input file was given, and no folder that has one.
     #[error("no {what} is given")]
     NoInputFile { what: &'static str },
+    /// An input file does not exist.
     #[error("{file}: there is no such file")]
     FileNotFound { file: String },
+    /// The operating system refused to read or write a file.
     #[error("{file}: it cannot be read or written")]
     FileAccess { file: String, source: io::Error },
     /// All that is wrong with a settings file, one line each.
@@ -38,18 +40,22 @@
         file: String,
         source: cedarpulley_gateway::serve::StartError,
     },
+    /// The router on the users' platform (`node`) could not start.
     #[error(transparent)]
     Node(#[from] cedarpulley_platform_node::StartError),
+    /// A scenario could not be read, or its cluster not be run.
     #[error(transparent)]
     TestCluster(#[from] cedarpulley_test_cluster::wrong::Wrong),
     /// A router of a scenario had to be killed at its end.
     #[error("a router did not end in good order")]
     UncleanShutdown,
+    /// An emulator could not be started.
     #[error("a stand-in cannot start")]
     EmulatorStart(#[source] io::Error),
     /// The router's process could not be started, or no port was free for it.
     #[error("the router cannot start")]
     RouterStart(#[source] io::Error),
+    /// A run that was left in a folder cannot be judged.
     #[error(transparent)]
     InvariantCheck(#[from] cedarpulley_invariant_checker::Unjudged),
     /// A trace file, or the files of one router, could not be read or written.
@@ -77,8 +83,10 @@
     /// Another build's `trace redo` failed; the first line of its standard error.
     #[error("{program}: it could not redo these files: {said}", said = .first_line)]
     RedoFailed { program: String, first_line: String },
+    /// A result could not be encoded as JSON.
     #[error("the result has no form in JSON")]
     Json(#[from] serde_json::Error),
+    /// A result could not be encoded as CSV.
     #[error("the result has no form in CSV")]
     Csv(#[from] csv::Error),
 }
--- a/crates/cli/src/measure/resources.rs
+++ b/crates/cli/src/measure/resources.rs
@@ -8,7 +8,9 @@
 /// Use of a process since it began.
 #[derive(Clone, Copy)]
 pub struct ProcessUsage {
+    /// Processor time of all its threads, in user and kernel mode.
     pub cpu_us: u64,
+    /// Memory that is resident now.
     pub resident_kb: u64,
 }
 
--- a/crates/cli/src/measure/router.rs
+++ b/crates/cli/src/measure/router.rs
@@ -42,6 +42,7 @@
             .map_err(CliError::RouterStart)
     }
 
+    /// Its process id.
     pub fn pid(&self) -> u32 {
         self.0.id()
     }
@@ -66,11 +67,15 @@
 pub struct RouterSettings<'a> {
     /// None: it does not consume from the broker.
     pub broker: Option<SocketAddr>,
+    /// The endpoint list.
     pub workers: &'a [Worker],
+    /// Listeners for clients over KServe v2.
     pub client_listeners: &'a [(Protocol, SocketAddr)],
+    /// Of all invocations: `idempotent` or `non-idempotent`.
     pub effect: &'a str,
     /// The members' addresses, and which of them it is; the first is no witness.
     pub group: Option<(&'a [SocketAddr], usize)>,
+    /// Whether it writes a trace.
     pub trace: bool,
 }
 
