--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,35 +1,34 @@
 //! Admission between the fronts and the core: each request is assigned the version of its model and, within a
 //! session, the worker that it prefers. The decisions are made in `cedarpulley-upgrade`; here requests wait
 //! for a majority to confirm a binding, bounded in number and time. Everything from the fronts and the worker
-//! list passes through [`Admission::filter`]. Completions are recorded by [`Admission::observer`] while the
+//! list passes through [`Admission::filter`]. Completions are recorded by `Admission::observer` while the
 //! core is running, and handled in [`Admission::process_completed`] afterwards.
 
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 use std::rc::Rc;
 use std::sync::Arc;
 
 use bytes::Bytes;
-use cedarpulley::interface::{
-    Action, DispatchOutcome, EndpointListKind, EndpointState, Event, InvocationIndex, Micros,
-};
+use cedarpulley::interface::{DispatchOutcome, EndpointListKind};
 use cedarpulley_kserve::serving;
 use cedarpulley_net::Alarm;
 use cedarpulley_replica as replica;
 use cedarpulley_router::admission::FrontState;
-use cedarpulley_router::entry::Short;
 use cedarpulley_router::roster::Listed;
-use cedarpulley_router::watch::{By, Given, Names, Used, Watch};
-use cedarpulley_router::{Delivery, Fate, FrontIndex, Input, Reason, Taken};
+use cedarpulley_router::watch::{By, Used};
+use cedarpulley_router::{Delivery, Fate, Input, Reason, Taken};
 use cedarpulley_upgrade::sessions::{self, Placed, Refused, Sessions};
 use cedarpulley_upgrade::{Name, function};
 use serde_json::{Value, json};
 
 use crate::context::GatewayContext;
+use crate::listed_workers::ListedWorkers;
 use crate::peer_events::PeerEvent;
 use crate::shared_state::SharedState;
 use crate::upgrades::Upgrades;
+use crate::waiting_requests::WaitingRequests;
 
 /// Requests that wait for a decision of the group, and the sessions known here.
 pub struct Admission {
@@ -39,13 +38,12 @@
     /// The way into the core that skips this admission.
     forward_to_core: Box<dyn Fn(Input)>,
     sessions: RefCell<Sessions>,
-    /// Waiting requests by ticket, each with the time since when it waits.
-    waiting: RefCell<HashMap<u64, (Taken, Micros)>>,
-    next_ticket: Cell<u64>,
+    waiting: WaitingRequests,
+    /// Random draws so far.
     draws: Cell<u64>,
     /// Completions recorded while the core was running.
     completed: RefCell<VecDeque<sessions::Input>>,
-    workers: Rc<RefCell<BTreeMap<Name, Listed>>>,
+    workers: ListedWorkers,
     /// From a worker's local name to the id that all members know it by, and back: routers may reach a worker
     /// at different addresses.
     worker_ids: RefCell<Option<(WorkerNameLookup, WorkerNameLookup)>>,
@@ -60,8 +58,8 @@
 /// From one name of a worker to the other; absent for an unknown worker.
 pub type WorkerNameLookup = Box<dyn Fn(&str) -> Option<Name>>;
 
-fn hash_of(of: impl std::hash::Hash) -> u64 {
-    BuildHasherDefault::<DefaultHasher>::default().hash_one(of)
+fn hash_of(value: impl std::hash::Hash) -> u64 {
+    BuildHasherDefault::<DefaultHasher>::default().hash_one(value)
 }
 
 /// The placement that a note encodes in its version and value.
@@ -88,11 +86,10 @@
             upgrades,
             forward_to_core,
             sessions: RefCell::new(Sessions::new(terms)),
-            waiting: RefCell::default(),
-            next_ticket: Cell::new(0),
+            waiting: WaitingRequests::default(),
             draws: Cell::new(0),
             completed: RefCell::default(),
-            workers: Rc::default(),
+            workers: ListedWorkers::default(),
             worker_ids: RefCell::default(),
             recently_used: RefCell::default(),
             alarm: Alarm::default(),
@@ -108,7 +105,7 @@
             });
         }
         if let Some(upgrades) = &admission.upgrades {
-            upgrades.set_workers(admission.workers.clone());
+            upgrades.set_workers(admission.workers.map());
         }
         admission
     }
@@ -159,9 +156,22 @@
         Some(input)
     }
 
-    /// To be registered with the core, which reports the completions of dispatches.
-    pub fn observer(self: &Rc<Self>) -> Box<dyn Watch> {
-        Box::new(CoreObserver(self.clone()))
+    /// Records the end of a dispatch or a load order; called while the core is running.
+    pub(crate) fn record_completion(&self, used: &Used) {
+        if let Some(upgrades) = &self.upgrades {
+            upgrades.record_use(used);
+        }
+        if let (By::Dispatch(DispatchOutcome::Succeeded, _), Some(session)) =
+            (used.by, used.session)
+        {
+            let answered = sessions::Input::Answered {
+                model: Name::from(serving::model(used.function).0),
+                session: Name::from(session),
+                worker: self.id(used.worker_name),
+                ends: used.ends,
+            };
+            self.completed.borrow_mut().push_back(answered);
+        }
     }
 
     /// Handles the completions recorded while the core was running.
@@ -179,7 +189,7 @@
 
     /// No request waits here.
     pub fn is_empty(&self) -> bool {
-        self.waiting.borrow().is_empty()
+        self.waiting.is_empty()
     }
 
     /// A worker has lost the cached prefixes of these sessions.
@@ -215,8 +225,8 @@
 
     /// Random, or derived from the identity of a request, so that a retry goes where the first attempt went.
     fn draw(&self, taken: &Taken) -> u64 {
-        if let Some(together) = taken.token.as_deref().or(taken.identity.as_deref()) {
-            return hash_of((taken.account, together));
+        if let Some(identity) = taken.token.as_deref().or(taken.identity.as_deref()) {
+            return hash_of((taken.account, identity));
         }
         self.draws.set(self.draws.get() + 1);
         hash_of((self.context.seed, self.draws.get()))
@@ -230,13 +240,12 @@
             upgrades.record_invocation(model, taken.lanes, taken.copy_mb);
         }
         let Some(session) = &taken.session else {
-            if let Some(way) = upgrades.and_then(|u| u.route(model, || self.draw(&taken))) {
-                taken.named = Some(std::mem::replace(&mut taken.function, way));
+            if let Some(function) = upgrades.and_then(|u| u.route(model, || self.draw(&taken))) {
+                taken.named = Some(std::mem::replace(&mut taken.function, function));
             }
             return Some(taken);
         };
-        let ticket = self.next_ticket.get();
-        self.next_ticket.set(ticket + 1);
+        let ticket = self.waiting.issue_ticket();
         let proposes = upgrades.map(|u| u.propose_version(model, self.draw(&taken), session.start));
         let place_key = sessions::place_key(model, &session.id);
         let placed = self
@@ -246,9 +255,7 @@
             .as_ref()
             .map(placement_of_note);
         let (model, session) = (Name::from(model), session.id.clone());
-        self.waiting
-            .borrow_mut()
-            .insert(ticket, (taken, self.context.clock.now()));
+        self.waiting.insert(ticket, taken, self.context.clock.now());
         self.apply(sessions::Input::Arrives {
             ticket,
             model,
@@ -261,14 +268,14 @@
 
     fn apply(&self, input: sessions::Input) {
         let now = self.context.clock.now();
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         let due = {
             let mut sessions = self.sessions.borrow_mut();
-            sessions.handle(now, input, &mut out);
+            sessions.handle(now, input, &mut outputs);
             sessions.next_due()
         };
         self.alarm.set(due);
-        for output in out {
+        for output in outputs {
             match output {
                 sessions::Output::Choose { key, version, kept } => {
                     if let Some(shared) = &self.shared {
@@ -309,11 +316,7 @@
     }
 
     fn release(&self, ticket: u64) -> Option<Taken> {
-        let (mut taken, since) = self.waiting.borrow_mut().remove(&ticket)?;
-        taken.waited = taken
-            .waited
-            .saturating_add(self.context.clock.now() - since);
-        Some(taken)
+        self.waiting.release(ticket, self.context.clock.now())
     }
 
     fn forward(&self, ticket: u64, version: Option<Name>, prefers: Option<Name>, anew: bool) {
@@ -371,85 +374,19 @@
     /// Guards against taking a message twice: when a front is lost, its messages that wait here will be
     /// delivered again.
     fn drop_waiting(&self, whose: impl Fn(Delivery) -> bool) {
-        if self.waiting.borrow().is_empty() {
+        if self.waiting.is_empty() {
             return;
         }
-        let gone: Vec<u64> = self
-            .waiting
-            .borrow()
-            .iter()
-            .filter(|(_, (taken, _))| whose(taken.delivery))
-            .map(|(n, _)| *n)
-            .collect();
-        for ticket in gone {
-            self.waiting.borrow_mut().remove(&ticket);
+        for ticket in self.waiting.tickets_of(whose) {
+            self.waiting.remove(ticket);
             self.apply(sessions::Input::Leaves { ticket });
         }
     }
 
     fn update_workers(&self, mode: EndpointListKind, workers: &[Listed]) {
-        let mut gone = Vec::new();
-        {
-            let mut known = self.workers.borrow_mut();
-            if matches!(mode, EndpointListKind::Complete | EndpointListKind::Cached) {
-                let stays = |name: &Name| workers.iter().any(|w| *w.address == **name);
-                gone.extend(known.keys().filter(|n| !stays(n)).cloned());
-            }
-            for w in workers {
-                let name = Name::from(&*w.address);
-                let again = known.get(&name).is_some_and(|s| s.started != w.started);
-                if again || w.standing == EndpointState::Gone {
-                    gone.push(name.clone());
-                }
-                if w.standing != EndpointState::Gone {
-                    known.insert(name, w.clone());
-                }
-            }
-            for name in &gone {
-                if workers
-                    .iter()
-                    .all(|w| *w.address != **name || w.standing == EndpointState::Gone)
-                {
-                    known.remove(name);
-                }
-            }
-        }
-        for worker in gone {
+        for worker in self.workers.apply_update(mode, workers) {
             let worker = self.id(&worker);
             self.apply(sessions::Input::Gone { worker });
         }
     }
 }
-
-/// Records the completions that the core reports.
-struct CoreObserver(Rc<Admission>);
-
-impl Watch for CoreObserver {
-    fn decided(&mut self, _: Micros, _: &Event, _: &[Action], _: Names) {}
-
-    fn taken(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {}
-
-    fn answered(&mut self, _: Micros, _: Given) {}
-
-    fn turned_away(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: Short) {}
-
-    fn used(&mut self, _: Micros, used: Used) {
-        let admission = &self.0;
-        if let Some(upgrades) = &admission.upgrades {
-            upgrades.record_use(&used);
-        }
-        if let (By::Dispatch(DispatchOutcome::Succeeded, _), Some(session)) =
-            (used.by, used.session)
-        {
-            admission
-                .completed
-                .borrow_mut()
-                .push_back(sessions::Input::Answered {
-                    model: Name::from(serving::model(used.function).0),
-                    session: Name::from(session),
-                    worker: admission.id(used.worker_name),
-                    ends: used.ends,
-                });
-        }
-    }
-}
--- /dev/null
+++ b/crates/gateway/src/copy_inventory.rs
@@ -0,0 +1,120 @@
+//! The copies at workers as upgrade plans take them: what workers report to hold, completed by the worker list and by
+//! the sizes that invocations state.
+
+use std::cell::RefCell;
+use std::collections::{BTreeMap, HashMap};
+use std::rc::Rc;
+
+use cedarpulley::interface::EndpointState;
+use cedarpulley_kserve::serving;
+use cedarpulley_router::roster::Listed;
+use cedarpulley_upgrade::{Name, WorkerSeen};
+
+use crate::context::GatewayContext;
+
+/// Models whose copy sizes are remembered, as many as a router accounts for; others count as having no size.
+const MAX_SIZES: usize = 20_000;
+
+/// The copies that workers hold, as far as known.
+pub type HoldingsSource = Box<dyn Fn() -> Vec<WorkerSeen>>;
+/// Workers of the list, by name.
+pub type WorkerMap = Rc<RefCell<BTreeMap<Name, Listed>>>;
+
+/// Size of a model's copies, as its last invocation stated.
+#[derive(Clone, Copy)]
+struct CopySize {
+    /// Invocations that a copy runs at once.
+    lanes: u32,
+    copy_mb: f64,
+}
+
+/// Where copies are, and how large.
+pub(crate) struct CopyInventory {
+    context: Rc<GatewayContext>,
+    /// Region by zone, for zones whose region has another name.
+    regions: BTreeMap<String, String>,
+    /// Memory in MB by kind of worker.
+    memory_mb: Vec<f64>,
+    sizes: RefCell<HashMap<Name, CopySize>>,
+    workers: RefCell<Option<WorkerMap>>,
+    /// Source of the copies that workers hold; the workers' region and state are added here.
+    holdings: RefCell<Option<HoldingsSource>>,
+}
+
+impl CopyInventory {
+    pub(crate) fn new(
+        context: Rc<GatewayContext>,
+        regions: BTreeMap<String, String>,
+        memory_mb: Vec<f64>,
+    ) -> Self {
+        CopyInventory {
+            context,
+            regions,
+            memory_mb,
+            sizes: RefCell::default(),
+            workers: RefCell::default(),
+            holdings: RefCell::default(),
+        }
+    }
+
+    pub(crate) fn set_workers(&self, workers: WorkerMap) {
+        *self.workers.borrow_mut() = Some(workers);
+    }
+
+    pub(crate) fn set_holdings_source(&self, source: HoldingsSource) {
+        *self.holdings.borrow_mut() = Some(source);
+    }
+
+    /// Learns the size of a model's copies from an invocation.
+    pub(crate) fn record_size(&self, model: &str, lanes: u32, copy_mb: f64) {
+        let size = CopySize {
+            lanes: lanes.max(1),
+            copy_mb,
+        };
+        let mut sizes = self.sizes.borrow_mut();
+        if let Some(known) = sizes.get_mut(model) {
+            *known = size;
+        } else if sizes.len() < MAX_SIZES {
+            sizes.insert(Name::from(model), size);
+        }
+    }
+
+    /// The copies at workers, with region and state of the workers and sizes of the copies.
+    pub(crate) fn observed_workers(&self) -> Vec<WorkerSeen> {
+        let workers = self.workers.borrow().clone().unwrap_or_default();
+        let workers = workers.borrow();
+        let holdings = self.holdings.borrow();
+        let reported = holdings.as_ref().map(|source| source()).unwrap_or_default();
+        let mut reported: BTreeMap<Name, WorkerSeen> =
+            reported.into_iter().map(|w| (w.name.clone(), w)).collect();
+        let describe = |(name, listed): (&Name, &Listed)| {
+            reported
+                .remove(name)
+                .map(|worker| self.describe(worker, listed))
+        };
+        workers.iter().filter_map(describe).collect()
+    }
+
+    /// Completes a worker's report.
+    fn describe(&self, mut worker: WorkerSeen, listed: &Listed) -> WorkerSeen {
+        let zone = self.context.names.zones.get(listed.zone as usize);
+        let zone = zone.map_or("", String::as_str);
+        let region = self.regions.get(zone).map_or(zone, String::as_str);
+        worker.region = Name::from(region);
+        worker.takes_new = listed.standing == EndpointState::InService;
+        if worker.memory_mb == 0 {
+            let by_kind = self.memory_mb.get(listed.kind as usize);
+            worker.memory_mb = by_kind.map_or(0, |mb| *mb as u32);
+        }
+        let sizes = self.sizes.borrow();
+        for copies in &mut worker.holds {
+            if let Some(size) = sizes.get(serving::model(&copies.function).0) {
+                copies.lanes = copies.copies * size.lanes;
+                copies.copy_mb = size.copy_mb as u32;
+            }
+            let used_mb = copies.copy_mb.saturating_mul(copies.copies);
+            worker.used_mb = worker.used_mb.saturating_add(used_mb);
+        }
+        worker
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/listed_workers.rs
@@ -0,0 +1,50 @@
+//! The workers of the list, and which of them an update shows to be gone.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+use cedarpulley::interface::{EndpointListKind, EndpointState};
+use cedarpulley_router::roster::Listed;
+use cedarpulley_upgrade::Name;
+
+/// Workers by name, shared with the parts that read them.
+#[derive(Default)]
+pub(crate) struct ListedWorkers(Rc<RefCell<BTreeMap<Name, Listed>>>);
+
+impl ListedWorkers {
+    /// The map itself, which follows all updates.
+    pub(crate) fn map(&self) -> Rc<RefCell<BTreeMap<Name, Listed>>> {
+        self.0.clone()
+    }
+
+    /// Applies an update; returns the workers that are gone, or were replaced by another process.
+    pub(crate) fn apply_update(&self, mode: EndpointListKind, workers: &[Listed]) -> Vec<Name> {
+        let mut gone = Vec::new();
+        let mut known = self.0.borrow_mut();
+        if matches!(mode, EndpointListKind::Complete | EndpointListKind::Cached) {
+            let is_listed = |name: &Name| workers.iter().any(|w| *w.address == **name);
+            gone.extend(known.keys().filter(|name| !is_listed(name)).cloned());
+        }
+        for worker in workers {
+            let name = Name::from(&*worker.address);
+            let previous = known.get(&name);
+            let restarted = previous.is_some_and(|p| p.started != worker.started);
+            if restarted || worker.standing == EndpointState::Gone {
+                gone.push(name.clone());
+            }
+            if worker.standing != EndpointState::Gone {
+                known.insert(name, worker.clone());
+            }
+        }
+        let is_absent = |name: &Name| {
+            workers
+                .iter()
+                .all(|w| *w.address != **name || w.standing == EndpointState::Gone)
+        };
+        for name in gone.iter().filter(|name| is_absent(name)) {
+            known.remove(name);
+        }
+        gone
+    }
+}
--- a/crates/gateway/src/metering.rs
+++ b/crates/gateway/src/metering.rs
@@ -20,7 +20,7 @@
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 const UNKNOWN_ACCOUNT: &str = "(unknown)";
 
-struct Inner {
+struct MeteringState {
     meter: Meter,
     writing: Writing,
     accounts: Vec<String>,
@@ -28,13 +28,14 @@
     /// At most one write is in flight.
     parts: Option<SyncSender<Part>>,
     in_flight: bool,
+    /// For each part: written, or returned with the cause.
     done: Receiver<Result<(), (Part, String)>>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Cheap to clone: one is registered with the core, one is kept for closing.
+/// The metering of one router. Cheap to clone: one is registered with the core, one is kept for closing.
 #[derive(Clone)]
-pub struct Metering(Rc<RefCell<Inner>>);
+pub struct Metering(Rc<RefCell<MeteringState>>);
 
 /// Writes each part that comes; one that could not be written is returned.
 fn write_loop(
@@ -44,7 +45,8 @@
     parts: Receiver<Part>,
     done: SyncSender<Result<(), (Part, String)>>,
 ) {
-    let (mut ledger, mut quarantine) = (None, Writing::default());
+    // Only for its limit on ledgers set aside.
+    let (mut ledger, mut set_aside_limit) = (None, Writing::default());
     for part in parts {
         let opened = match ledger.take() {
             Some(open) => Ok(open),
@@ -56,9 +58,9 @@
             ledger = added.is_ok().then_some(open);
             added
         });
-        let told = added.map(|_| ()).map_err(|failed| {
+        let result = added.map(|_| ()).map_err(|failed| {
             if let Failed::Unreadable(_) = &failed
-                && quarantine.sets_aside()
+                && set_aside_limit.sets_aside()
             {
                 let other = file.with_extension(format!("unreadable-{:032x}", source));
                 if std::fs::rename(&file, &other).is_ok() {
@@ -67,7 +69,7 @@
             }
             (part, failed.to_string())
         });
-        if done.send(told).is_err() {
+        if done.send(result).is_err() {
             return;
         }
     }
@@ -84,18 +86,21 @@
         wall_at_zero: Micros,
     ) -> std::io::Result<Metering> {
         std::fs::create_dir_all(&folder)?;
-        let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '_' };
+        let safe_character = |c: char| if c.is_ascii_alphanumeric() { c } else { '_' };
         let file = folder.join(format!(
             "{}.ledger",
-            name.chars().map(plain).take(64).collect::<String>()
+            name.chars()
+                .map(safe_character)
+                .take(64)
+                .collect::<String>()
         ));
         let (parts, received) = sync_channel(1);
-        let (told, done) = sync_channel(1);
+        let (results, done) = sync_channel(1);
         let router = name.to_owned();
         let thread = std::thread::Builder::new()
             .name("ledger".into())
-            .spawn(move || write_loop(file, router, source, received, told))?;
-        Ok(Metering(Rc::new(RefCell::new(Inner {
+            .spawn(move || write_loop(file, router, source, received, results))?;
+        Ok(Metering(Rc::new(RefCell::new(MeteringState {
             meter: Meter::default(),
             writing: Writing::default(),
             accounts,
@@ -135,7 +140,7 @@
     }
 }
 
-impl Inner {
+impl MeteringState {
     fn collect_result(&mut self, now: Micros) {
         let Ok(done) = self.done.try_recv() else {
             return;
@@ -182,10 +187,10 @@
 
     fn turned_away(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: Short) {}
 
-    fn used(&mut self, now: Micros, u: Used) {
+    fn used(&mut self, now: Micros, used: Used) {
         let mut inner = self.0.borrow_mut();
         let wall = inner.wall_at_zero + now;
-        let account = inner.accounts.get(u.account as usize).cloned();
+        let account = inner.accounts.get(used.account as usize).cloned();
         let account = account.as_deref().unwrap_or(UNKNOWN_ACCOUNT);
         let Used {
             worker,
@@ -193,10 +198,12 @@
             took,
             lanes,
             held,
+            by,
+            copy_mb,
             ..
-        } = u;
-        let copy_bytes = (u.copy_mb.max(0.0) * 1e6) as u64;
-        match u.by {
+        } = used;
+        let copy_bytes = (copy_mb.max(0.0) * 1e6) as u64;
+        match by {
             By::Dispatch(outcome, note) => {
                 inner.meter.ended(Ended {
                     wall,
--- a/crates/gateway/src/peer_events.rs
+++ b/crates/gateway/src/peer_events.rs
@@ -1,13 +1,15 @@
 //! Notifications that follow from messages of the group: to the core, and to the parts of this router that subscribed.
 //! They are delivered one after the other: what a receiver causes is queued and delivered after it.
 
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
 use std::rc::Rc;
 
 use cedarpulley_replica as replica;
 use cedarpulley_router::Input;
 use cedarpulley_router::group::Told;
 
-use crate::peers::Peers;
+use crate::context::GatewayContext;
 
 /// What other parts of this router can learn about the group.
 #[derive(Clone, Debug, PartialEq)]
@@ -24,54 +26,68 @@
 pub type EventListener = Rc<dyn Fn(PeerEvent)>;
 
 /// A queued notification.
-pub(crate) enum Notification {
+enum Notification {
     Core(Told),
     Listeners(PeerEvent),
 }
 
-impl Peers {
+/// Notifications that wait to be delivered to the core and to listeners, in order.
+#[derive(Default)]
+pub(crate) struct NotificationQueue {
+    waiting: RefCell<VecDeque<Notification>>,
+    /// Listeners with the key prefix that each subscribed to.
+    listeners: RefCell<Vec<(&'static str, EventListener)>>,
+    is_delivering: Cell<bool>,
+}
+
+impl NotificationQueue {
+    /// From now on `listener` receives events of keys with this prefix, and every change of the believed
+    /// members.
+    pub(crate) fn subscribe(&self, prefix: &'static str, listener: EventListener) {
+        self.listeners.borrow_mut().push((prefix, listener));
+    }
+
+    /// Queues a notification for the core.
+    pub(crate) fn push_for_core(&self, notification: Told) {
+        let notification = Notification::Core(notification);
+        self.waiting.borrow_mut().push_back(notification);
+    }
+
     /// Queues an event for the listeners; without listeners it is dropped.
-    pub(crate) fn queue_event(&self, event: PeerEvent) {
+    pub(crate) fn push_event(&self, event: PeerEvent) {
         if !self.listeners.borrow().is_empty() {
-            self.notifications
-                .borrow_mut()
-                .push_back(Notification::Listeners(event));
+            let notification = Notification::Listeners(event);
+            self.waiting.borrow_mut().push_back(notification);
         }
     }
 
     /// Delivers what is queued. The core and listeners may make requests from within: whatever those queue is
     /// delivered by the loop that already runs.
-    pub(crate) fn notify(&self) {
-        if self.is_notifying.replace(true) {
+    pub(crate) fn deliver(&self, context: &GatewayContext) {
+        if self.is_delivering.replace(true) {
             return;
         }
         loop {
-            let Some(next) = self.notifications.borrow_mut().pop_front() else {
+            let Some(next) = self.waiting.borrow_mut().pop_front() else {
                 break;
             };
             match next {
-                Notification::Core(message) => self.context.feed(Input::Group(message)),
-                Notification::Listeners(event) => {
-                    let subscribed = |prefix: &str| match &event {
-                        PeerEvent::Decided(key, _) | PeerEvent::Updated(key) => {
-                            key.starts_with(prefix)
-                        }
-                        PeerEvent::BelievedMembersChanged => true,
-                    };
-                    let listeners = self.listeners.borrow().clone();
-                    listeners
-                        .iter()
-                        .filter(|(p, _)| subscribed(p))
-                        .for_each(|(_, listener)| listener(event.clone()));
-                }
+                Notification::Core(notification) => context.feed(Input::Group(notification)),
+                Notification::Listeners(event) => self.call_listeners(&event),
             }
         }
-        self.is_notifying.set(false);
+        self.is_delivering.set(false);
     }
 
-    /// From now on `listener` receives events of keys with this prefix, and every change of the believed
-    /// members.
-    pub fn subscribe(&self, prefix: &'static str, listener: EventListener) {
-        self.listeners.borrow_mut().push((prefix, listener));
+    fn call_listeners(&self, event: &PeerEvent) {
+        let is_subscribed = |prefix: &str| match event {
+            PeerEvent::Decided(key, _) | PeerEvent::Updated(key) => key.starts_with(prefix),
+            PeerEvent::BelievedMembersChanged => true,
+        };
+        let listeners = self.listeners.borrow().clone();
+        listeners
+            .iter()
+            .filter(|(prefix, _)| is_subscribed(prefix))
+            .for_each(|(_, listener)| listener(event.clone()));
     }
 }
--- a/crates/gateway/src/peer_group.rs
+++ b/crates/gateway/src/peer_group.rs
@@ -29,11 +29,15 @@
 /// Why the group's part cannot start.
 #[derive(Debug, Error)]
 pub enum PeerGroupError {
+    /// The address cannot be listened on.
     #[error("the group's listener at {address}: {source}")]
     Listen {
+        /// The address that was configured.
         address: SocketAddr,
+        /// The cause that the operating system gave.
         source: std::io::Error,
     },
+    /// The store cannot be opened.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
@@ -178,29 +182,30 @@
         };
         executor.spawn(tick_task).detach();
         if let Some(store) = self.store.clone() {
-            let (peers, clock) = (self.peers.clone(), context.clock);
-            let write_task = async move {
-                let (mut interval, mut reported_serial) =
-                    (Timer::interval(STORE_WRITE_INTERVAL), 0);
-                loop {
-                    let due = async { interval.next().await.is_some() };
-                    let requested = async {
-                        peers.write_requested().or(store.write_finished()).await;
-                        false
-                    };
-                    let due = due.or(requested).await;
-                    let serial = store.persisted_serial();
-                    if std::mem::replace(&mut reported_serial, serial) != serial {
-                        peers.apply_replica(replica::Input::Kept { serial });
-                    }
-                    // One write at a time: changes that come meanwhile go together into the next.
-                    if store.is_idle() && (due || peers.awaits_store()) {
-                        let (turn, serial, changes) = peers.changes();
-                        store.write(turn, serial, clock.wall(), changes);
-                    }
-                }
-            };
+            let write_task = write_changes(self.peers.clone(), store, context.clock);
             executor.spawn(write_task).detach();
         }
     }
 }
+
+/// Writes changes of the shared state to the store, for as long as the router runs.
+async fn write_changes(peers: Rc<Peers>, store: Rc<PeerStore>, clock: Clock) {
+    let (mut interval, mut reported_serial) = (Timer::interval(STORE_WRITE_INTERVAL), 0);
+    loop {
+        let due = async { interval.next().await.is_some() };
+        let requested = async {
+            peers.write_requested().or(store.write_finished()).await;
+            false
+        };
+        let due = due.or(requested).await;
+        let serial = store.persisted_serial();
+        if std::mem::replace(&mut reported_serial, serial) != serial {
+            peers.apply_replica(replica::Input::Kept { serial });
+        }
+        // One write at a time: changes that come meanwhile go together into the next.
+        if store.is_idle() && (due || peers.awaits_store()) {
+            let (turn, serial, changes) = peers.changes();
+            store.write(turn, serial, clock.wall(), changes);
+        }
+    }
+}
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -12,17 +12,23 @@
 /// is the wire format.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Envelope {
+    /// Version of the protocol between members.
     pub version: u16,
     /// Fingerprint of the whole group: routers of another group, or with other members configured, have
     /// another one.
     pub group: u64,
+    /// The sender.
     pub from: MemberIndex,
+    /// The receiver.
     pub to: MemberIndex,
+    /// The sender's process.
     pub process: Process,
-    /// The sender's own clock; then the receiver's clock as the sender last saw it, and the process it
-    /// belonged to. With these the receiver bounds the transit time by its own clock alone. In microseconds.
+    /// The sender's own clock in microseconds.
     pub clock: Micros,
+    /// The receiver's clock as the sender last saw it, in microseconds. With it the receiver bounds the transit
+    /// time by its own clock alone.
     pub echo: Micros,
+    /// The receiver's process that `echo` belongs to.
     pub echo_of: u64,
     /// Encoded messages, each by itself: one that cannot be decoded does not affect the others.
     pub messages: Vec<Bytes>,
@@ -45,12 +51,12 @@
 
 /// Only successful answers are shared.
 pub(crate) fn encode_answer(answer: &Answer) -> Bytes {
-    let encode_answer = SharedAnswer {
+    let shared = SharedAnswer {
         alone: answer.reason == Reason::Alone,
         first: answer.body.first,
         body: answer.body.bytes.clone(),
     };
-    postcard::to_stdvec(&encode_answer)
+    postcard::to_stdvec(&shared)
         .map(Bytes::from)
         .unwrap_or_default()
 }
--- a/crates/gateway/src/peer_settings.rs
+++ b/crates/gateway/src/peer_settings.rs
@@ -4,24 +4,35 @@
 use std::path::PathBuf;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::Group;
+use cedarpulley_membership::{self as membership, Group};
+use cedarpulley_replica::{self as replica, Guard};
 
 /// Configuration of the group and of this router's place in it. All times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct PeerSettings {
+    /// Address that members and operators connect to.
     pub listen: SocketAddr,
+    /// The group's members, and which of them this router is.
     pub group: Group,
     /// Address of each member as reached from this router, by member index.
     pub addresses: Vec<SocketAddr>,
+    /// Folder of the store; absent: nothing outlasts the process.
     pub state_folder: Option<PathBuf>,
+    /// Between two probes of other members.
     pub probe_interval: Micros,
+    /// A probe that is not answered in this time has failed.
     pub probe_timeout: Micros,
+    /// A suspected member that does not refute it in this time is considered dead.
     pub suspicion_timeout: Micros,
     /// A change in who is alive is acted upon only after it has lasted this long.
     pub belief_delay: Micros,
+    /// How long a record is retained after its last change.
     pub retention: Micros,
+    /// How long the replication of a record is waited for.
     pub replication_timeout: Micros,
+    /// Bytes per second sent to a member that lacks records.
     pub catch_up_bytes_per_s: u64,
+    /// Records retained at once.
     pub max_records: usize,
 }
 
@@ -31,4 +42,25 @@
     pub fn send_lease(&self) -> Micros {
         self.suspicion_timeout / 2
     }
+
+    /// Settings of the failure detector. `seed`: of its random draws.
+    pub(crate) fn membership_terms(&self, seed: u64) -> membership::Terms {
+        membership::Terms {
+            probe_every: self.probe_interval,
+            answer_within: self.probe_timeout,
+            suspected_for: self.suspicion_timeout,
+            seed,
+        }
+    }
+
+    /// Settings of the replicated state. `seed`: of its random draws; `disabled`: a guard that a test switches off.
+    pub(crate) fn replica_terms(&self, seed: u64, disabled: Option<Guard>) -> replica::Terms {
+        replica::Terms {
+            most_records: self.max_records,
+            catch_up_bytes_per_s: self.catch_up_bytes_per_s,
+            written: self.state_folder.is_some(),
+            without: disabled,
+            ..replica::Terms::usual(self.retention, self.replication_timeout, seed)
+        }
+    }
 }
--- a/crates/gateway/src/peer_store.rs
+++ b/crates/gateway/src/peer_store.rs
@@ -12,7 +12,7 @@
 //!    would last longer than any invocation is retained.
 
 use std::cell::Cell;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
@@ -20,40 +20,53 @@
 
 use cedarpulley::interface::Micros;
 use cedarpulley_errors::Remedy;
-use cedarpulley_replica::{Key, Record, Shared};
-use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
+use redb::Database;
 use thiserror::Error;
 
+use crate::peer_store_file::{
+    self, Changes, FILE, SetAsideCause, WriteBatch, create_tables, set_aside, write_batch,
+};
 use crate::peers::RestoredState;
 
-const FILE: &str = "group.redb";
-/// Version of the encoding of a record. Raise it with every change, which a test below detects; files of
-/// another version are set aside. It once stayed at 1 when records gained a field: the previous build's file
-/// was reported as damaged, or the previous build misread the new one.
-const FORMAT: u64 = 2;
-const METADATA: TableDefinition<&str, u64> = TableDefinition::new("about");
-/// By key: expiry by the wall clock in microseconds, and the encoded record.
-const RECORDS: TableDefinition<&str, (i64, &[u8])> = TableDefinition::new("records");
-/// Files set aside for one cause; beyond, the last of them is overwritten.
-const MAX_SET_ASIDE: u32 = 8;
+/// Delay after a failed write.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Why the store cannot be opened.
 #[derive(Debug, Error)]
 pub enum StoreError {
+    /// Its folder cannot be made or written to.
     #[error("the group's folder {folder}: {source}")]
     Folder {
+        /// The folder as configured.
         folder: String,
+        /// The cause that the operating system gave.
         source: std::io::Error,
     },
+    /// Another process has its file open.
     #[error("the group's file {file} is open in another process")]
-    InUse { file: String },
+    InUse {
+        /// Path of the file.
+        file: String,
+    },
+    /// A new file cannot be made.
     #[error("the group's file {file} cannot be begun: {source}")]
     Create {
+        /// Path of the file.
         file: String,
+        /// The cause that the database gave.
         source: Box<redb::Error>,
     },
 }
 
+impl StoreError {
+    fn folder(folder: &Path, source: std::io::Error) -> Self {
+        StoreError::Folder {
+            folder: folder.display().to_string(),
+            source,
+        }
+    }
+}
+
 impl Remedy for StoreError {
     fn remedy(&self) -> &'static str {
         match self {
@@ -70,38 +83,6 @@
     }
 }
 
-/// Why an existing file was not used.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SetAsideCause {
-    Damaged,
-    EarlierFormat,
-    LaterFormat,
-    /// It belongs to another member, or to a group with other members.
-    Foreign,
-}
-
-impl SetAsideCause {
-    fn name(self) -> &'static str {
-        match self {
-            SetAsideCause::Damaged => "damaged",
-            SetAsideCause::EarlierFormat => "earlier-format",
-            SetAsideCause::LaterFormat => "later-format",
-            SetAsideCause::Foreign => "foreign",
-        }
-    }
-}
-
-/// Records as they are now; absent ones were removed.
-type Changes = Vec<(Key, Option<Shared>)>;
-
-/// One batch with this process's incarnation and the wall time in microseconds.
-struct WriteBatch {
-    turn: u64,
-    serial: u64,
-    wall: Micros,
-    records: Changes,
-}
-
 /// The handle of the writing thread, which ends when this is dropped.
 pub struct PeerStore {
     batches: SyncSender<WriteBatch>,
@@ -111,80 +92,50 @@
     written: smol::channel::Receiver<()>,
 }
 
-fn create_tables(database: &Database, identity: u64) -> Result<(), redb::Error> {
-    let write = database.begin_write()?;
-    write.open_table(RECORDS)?;
-    {
-        let mut metadata = write.open_table(METADATA)?;
-        metadata.insert("format", FORMAT)?;
-        metadata.insert("group", identity)?;
-    }
-    write.commit()?;
-    Ok(())
-}
-
-/// Reads the file's state, or tells why it cannot be used.
-fn read(
-    database: &Database,
+/// Opens the file and reads its state; absent if it was set aside.
+fn open_existing(
+    file: &Path,
     identity: u64,
     wall: Micros,
     retention: Micros,
-) -> Result<RestoredState, SetAsideCause> {
-    let damaged = |_: redb::Error| SetAsideCause::Damaged;
-    let snapshot = database.begin_read().map_err(|e| damaged(e.into()))?;
-    let metadata = snapshot
-        .open_table(METADATA)
-        .map_err(|e| damaged(e.into()))?;
-    let number = |name: &str| {
-        Ok(metadata
-            .get(name)
-            .map_err(|e| damaged(e.into()))?
-            .map(|v| v.value()))
-    };
-    match number("format")? {
-        None => return Err(SetAsideCause::Damaged),
-        Some(format) if format < FORMAT => return Err(SetAsideCause::EarlierFormat),
-        Some(format) if format > FORMAT => return Err(SetAsideCause::LaterFormat),
-        Some(_) => {}
-    }
-    if number("group")? != Some(identity) {
-        return Err(SetAsideCause::Foreign);
-    }
-    let turn = number("turn")?.unwrap_or(0);
-    let mut records = Vec::new();
-    let table = snapshot
-        .open_table(RECORDS)
-        .map_err(|e| damaged(e.into()))?;
-    for row in table.iter().map_err(|e| damaged(e.into()))? {
-        let (key, value) = row.map_err(|e| damaged(e.into()))?;
-        let (until, bytes) = value.value();
-        let mut shared: Shared = postcard::from_bytes(bytes).map_err(|_| SetAsideCause::Damaged)?;
-        let left = until - wall;
-        // Sessions and upgrade plans are retained for longer than any invocation: the limit on retention must
-        // not drop them at each start.
-        let is_not_an_invocation = !matches!(shared.record, Record::Effect(_));
-        if left > 0 && (left <= retention || is_not_an_invocation) {
-            // The time that no process ran counts for the record's age: otherwise a token's first sending
-            // would look as young as at the shutdown, and its retry would go to workers that have forgotten
-            // it.
-            let elapsed = shared.left.saturating_sub(left).max(0);
-            shared.left = left;
-            shared.first_ago = shared.first_ago.map(|ago| ago.saturating_add(elapsed));
-            shared.proves_left = shared.proves_left.map(|left| left.saturating_sub(elapsed));
-            records.push((Key::from(key.value()), shared));
+) -> Result<Option<(Database, RestoredState)>, StoreError> {
+    let folder_error = |source| StoreError::folder(file.parent().unwrap_or(file), source);
+    match Database::open(file) {
+        Ok(database) => match peer_store_file::read(&database, identity, wall, retention) {
+            Ok(restored) => return Ok(Some((database, restored))),
+            Err(cause) => {
+                drop(database);
+                let to = set_aside(file, cause).map_err(folder_error)?;
+                tracing::warn!(why = cause.name(), to = %to.display(), "the group's file was set aside");
+            }
+        },
+        Err(redb::DatabaseError::DatabaseAlreadyOpen) => {
+            let file = file.display().to_string();
+            return Err(StoreError::InUse { file });
+        }
+        Err(e) => {
+            let to = set_aside(file, SetAsideCause::Damaged).map_err(folder_error)?;
+            tracing::warn!(cause = %e, to = %to.display(), "the group's file was set aside as damaged");
         }
     }
-    Ok(RestoredState { turn, records })
+    Ok(None)
 }
 
-fn set_aside(file: &Path, why: SetAsideCause) -> std::io::Result<PathBuf> {
-    let name = |n| file.with_extension(format!("{}-{n}", why.name()));
-    let to = (1..MAX_SET_ASIDE)
-        .map(name)
-        .find(|p| !p.exists())
-        .unwrap_or_else(|| name(MAX_SET_ASIDE));
-    std::fs::rename(file, &to)?;
-    Ok(to)
+/// Creates an empty file. Creating under another name and renaming guards against a kill halfway, which would leave an
+/// invalid file.
+fn create(file: &Path, identity: u64) -> Result<Database, StoreError> {
+    let create_error = |e: redb::Error| StoreError::Create {
+        file: file.display().to_string(),
+        source: Box::new(e),
+    };
+    let new_file = file.with_extension("new");
+    let _ = std::fs::remove_file(&new_file);
+    let database = Database::create(&new_file).map_err(|e| create_error(e.into()))?;
+    create_tables(&database, identity).map_err(create_error)?;
+    drop(database);
+    let folder = file.parent().unwrap_or(file);
+    std::fs::rename(&new_file, file).map_err(|source| StoreError::folder(folder, source))?;
+    Database::open(file).map_err(|e| create_error(e.into()))
 }
 
 impl PeerStore {
@@ -197,55 +148,16 @@
         wall: Micros,
         retention: Micros,
     ) -> Result<(PeerStore, Option<RestoredState>), StoreError> {
-        let folder_error = |source| StoreError::Folder {
-            folder: folder.display().to_string(),
-            source,
-        };
+        let folder_error = |source| StoreError::folder(folder, source);
         std::fs::create_dir_all(folder).map_err(folder_error)?;
         let file = folder.join(FILE);
-        let named = || file.display().to_string();
-        let create_error = |e: redb::Error| StoreError::Create {
-            file: named(),
-            source: Box::new(e),
-        };
         let opened = match file.exists() {
             false => None,
-            true => match Database::open(&file) {
-                Ok(database) => match read(&database, identity, wall, retention) {
-                    Ok(restored) => Some((database, restored)),
-                    Err(why) => {
-                        drop(database);
-                        let to = set_aside(&file, why).map_err(folder_error)?;
-                        tracing::warn!(why = why.name(), to = %to.display(), "the group's file was set aside");
-                        None
-                    }
-                },
-                Err(redb::DatabaseError::DatabaseAlreadyOpen) => {
-                    return Err(StoreError::InUse { file: named() });
-                }
-                Err(e) => {
-                    let to = set_aside(&file, SetAsideCause::Damaged).map_err(folder_error)?;
-                    tracing::warn!(cause = %e, to = %to.display(), "the group's file was set aside as damaged");
-                    None
-                }
-            },
+            true => open_existing(&file, identity, wall, retention)?,
         };
         let (database, restored) = match opened {
             Some((database, restored)) => (database, Some(restored)),
-            None => {
-                // Creating under another name and renaming guards against a kill halfway, which would leave
-                // an invalid file.
-                let new_file = file.with_extension("new");
-                let _ = std::fs::remove_file(&new_file);
-                let database = Database::create(&new_file).map_err(|e| create_error(e.into()))?;
-                create_tables(&database, identity).map_err(create_error)?;
-                drop(database);
-                std::fs::rename(&new_file, &file).map_err(folder_error)?;
-                (
-                    Database::open(&file).map_err(|e| create_error(e.into()))?,
-                    None,
-                )
-            }
+            None => (create(&file, identity)?, None),
         };
         let (batches, incoming) = sync_channel(1);
         let (report, written) = smol::channel::bounded(1);
@@ -307,9 +219,6 @@
     }
 }
 
-/// Delay after a failed write.
-const RETRY_DELAY: Duration = Duration::from_millis(500);
-
 fn write_loop(
     file: &Path,
     database: Database,
@@ -341,148 +250,5 @@
     }
 }
 
-fn write_batch(database: &Database, batch: &WriteBatch) -> Result<(), redb::Error> {
-    let write = database.begin_write()?;
-    {
-        write.open_table(METADATA)?.insert("turn", batch.turn)?;
-        let mut records = write.open_table(RECORDS)?;
-        for (key, shared) in &batch.records {
-            match shared {
-                None => {
-                    records.remove(&**key)?;
-                }
-                Some(shared) => {
-                    let Ok(bytes) = postcard::to_stdvec(shared) else {
-                        continue;
-                    };
-                    records.insert(
-                        &**key,
-                        (batch.wall.saturating_add(shared.left), bytes.as_slice()),
-                    )?;
-                }
-            }
-        }
-    }
-    write.commit()?;
-    Ok(())
-}
-
 #[cfg(test)]
-mod tests {
-    use bytes::Bytes;
-    use cedarpulley_replica::record::Choice;
-    use cedarpulley_replica::{Answered, Effect, Sending, Sent};
-
-    use super::*;
-
-    const RECORD: [u8; 26] = [
-        0, 0, 0, 0, 0, 1, 1, 1, 5, 6, 7, 2, 8, 1, 0, 1, 57, 0, 0, 0, 0, 2, 1, 4, 1, 6,
-    ];
-
-    /// Fails when a record's encoding changes: raise [`FORMAT`], then record the new bytes.
-    #[test]
-    fn a_records_bytes_are_those_of_the_format() {
-        let mut effect = Effect {
-            taken: true,
-            doubtful: true,
-            ..Effect::default()
-        };
-        effect.sendings.insert(
-            (5, 6),
-            Sending {
-                member: 7,
-                state: Sent::MayHaveRun,
-                place: 8,
-            },
-        );
-        effect.answer = Some(Answered::Kept(Bytes::from_static(b"9")));
-        let shared = Shared {
-            record: Record::Effect(effect),
-            origin: Default::default(),
-            left: 1,
-            first_ago: Some(2),
-            proves_left: Some(3),
-        };
-        let bytes = postcard::to_stdvec(&shared).expect("encoded");
-        assert_eq!((FORMAT, &bytes[..]), (2, &RECORD[..]));
-    }
-
-    #[test]
-    fn a_file_of_another_format_is_set_aside_by_its_name() {
-        for (format, name) in [
-            (FORMAT - 1, "group.earlier-format-1"),
-            (FORMAT + 1, "group.later-format-1"),
-        ] {
-            let folder = tempfile::tempdir().expect("a folder");
-            let database = Database::create(folder.path().join(FILE)).expect("begun");
-            create_tables(&database, 1).expect("written");
-            let write = database.begin_write().expect("begun");
-            write
-                .open_table(METADATA)
-                .expect("opened")
-                .insert("format", format)
-                .expect("written");
-            write.commit().expect("written");
-            drop(database);
-            let (_, kept) = PeerStore::open(folder.path(), 1, 0, 1).expect("opened");
-            assert!(
-                kept.is_none() && folder.path().join(name).exists(),
-                "{name}"
-            );
-        }
-    }
-
-    #[test]
-    fn what_was_kept_has_grown_older_by_the_time_that_nobody_ran() {
-        const S: Micros = 1_000_000;
-        let folder = tempfile::tempdir().expect("a folder");
-        let record = Record::Effect(Effect {
-            taken: true,
-            ..Effect::default()
-        });
-        let shared = Shared {
-            record,
-            origin: Default::default(),
-            left: 50 * S,
-            first_ago: Some(S),
-            proves_left: Some(30 * S),
-        };
-        // Choices are retained for longer than any invocation.
-        let record = Record::Choice(Choice::default());
-        let choice = Shared {
-            record,
-            left: 600 * S,
-            first_ago: None,
-            proves_left: None,
-            ..shared.clone()
-        };
-        let (store, _) = PeerStore::open(folder.path(), 1, 0, 60 * S).expect("opened");
-        store.write(
-            1,
-            1,
-            1_000 * S,
-            vec![
-                (Key::from("t"), Some(shared)),
-                (Key::from("c"), Some(choice)),
-            ],
-        );
-        smol::block_on(store.write_finished());
-        assert!(store.is_idle() && store.persisted_serial() == 1);
-        // The writing thread holds the file until everything is written.
-        drop(store);
-        let restored = loop {
-            match PeerStore::open(folder.path(), 1, 1_020 * S, 60 * S) {
-                Err(StoreError::InUse { .. }) => std::thread::yield_now(),
-                opened => break opened.expect("opened").1.expect("it was kept"),
-            }
-        };
-        let [(_, choice), (_, at)] = &restored.records[..] else {
-            panic!("both records")
-        };
-        assert_eq!(choice.left, 600 * S - 20 * S);
-        assert_eq!(
-            (at.left, at.first_ago, at.proves_left),
-            (30 * S, Some(21 * S), Some(10 * S))
-        );
-    }
-}
+mod tests;
--- a/crates/gateway/src/peer_transport.rs
+++ b/crates/gateway/src/peer_transport.rs
@@ -32,7 +32,7 @@
 use serde::Serialize;
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use crate::peers::{Peers, Transport};
+use crate::peers::{Peers, SendOptions, Transport};
 use crate::state_endpoint;
 use crate::unknown_members::RefusalCause;
 
@@ -56,17 +56,27 @@
 /// Counts of one queue, or of all. The serialized names are those of the state endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TransportCounts {
+    /// POSTs sent.
     pub posts: u64,
+    /// Bytes of their bodies.
     pub bytes_sent: u64,
+    /// Attempts that failed, those without a connection included.
     pub posts_failed: u64,
     /// Messages dropped for want of room, or lost with a failed POST.
     #[serde(rename = "letters_dropped")]
     pub messages_dropped: u64,
 }
 
-/// Encoded messages that wait for one member, each with whether it may be dropped.
+/// An encoded message that waits to be sent.
+struct QueuedMessage {
+    bytes: Bytes,
+    /// It may be dropped if there is no room.
+    recoverable: bool,
+}
+
+/// Messages that wait for one member.
 struct SendQueue {
-    waiting: RefCell<VecDeque<(Bytes, bool)>>,
+    waiting: RefCell<VecDeque<QueuedMessage>>,
     bytes: Cell<usize>,
     bell: Bell,
     counts: Cell<TransportCounts>,
@@ -88,36 +98,43 @@
         self.counts.set(counts);
     }
 
-    fn enqueue(&self, message: Bytes, recoverable: bool) {
+    fn enqueue(&self, bytes: Bytes, recoverable: bool) {
         let mut waiting = self.waiting.borrow_mut();
-        self.bytes.set(self.bytes.get() + message.len());
-        waiting.push_back((message, recoverable));
+        self.bytes.set(self.bytes.get() + bytes.len());
+        waiting.push_back(QueuedMessage { bytes, recoverable });
         while self.bytes.get() > MAX_QUEUED_BYTES {
             // Guards against a member that reads nothing, or is gone and not yet considered dead.
-            let at = waiting.iter().position(|w| w.1).unwrap_or(0);
-            let Some((message, _)) = waiting.remove(at) else {
+            let first_recoverable = waiting.iter().position(|message| message.recoverable);
+            let Some(dropped) = waiting.remove(first_recoverable.unwrap_or(0)) else {
                 break;
             };
-            self.bytes.set(self.bytes.get() - message.len());
+            self.bytes.set(self.bytes.get() - dropped.bytes.len());
             self.count(|counts| counts.messages_dropped += 1);
         }
         self.bell.ring();
     }
 
     fn take_batch(&self) -> Vec<Bytes> {
-        let (mut taken, mut bytes) = (Vec::new(), 0);
+        let (mut batch, mut bytes) = (Vec::new(), 0);
         let mut waiting = self.waiting.borrow_mut();
         while bytes < MAX_BATCH_BYTES
-            && let Some((message, _)) = waiting.pop_front()
+            && let Some(message) = waiting.pop_front()
         {
-            bytes += message.len();
-            taken.push(message);
+            bytes += message.bytes.len();
+            batch.push(message.bytes);
         }
         self.bytes.set(self.bytes.get() - bytes);
-        taken
+        batch
     }
 }
 
+/// An open connection to a member.
+struct Connection {
+    sender: SendRequest<Full<Bytes>>,
+    /// Drives the connection until this is dropped.
+    _driver: Task<()>,
+}
+
 /// The queues of all members; [`PeerTransport::run`] sends what is put into them.
 pub struct PeerTransport {
     executor: Rc<LocalExecutor<'static>>,
@@ -131,9 +148,9 @@
 pub struct TransportHandle(pub Rc<PeerTransport>);
 
 impl Transport for TransportHandle {
-    fn send(&self, to: MemberIndex, message: Bytes, bulk: bool, recoverable: bool) {
+    fn send(&self, to: MemberIndex, message: Bytes, options: SendOptions) {
         if let Some(queues) = self.0.queues.get(to as usize) {
-            queues[usize::from(bulk)].enqueue(message, recoverable);
+            queues[usize::from(options.bulk)].enqueue(message, options.recoverable);
         }
     }
 }
@@ -182,7 +199,7 @@
 
     async fn send_loop(self: Rc<Self>, peers: Rc<Peers>, to: MemberIndex, queue_index: usize) {
         let queue = &self.queues[to as usize][queue_index];
-        let mut connection: Option<(SendRequest<Full<Bytes>>, Task<()>)> = None;
+        let mut connection: Option<Connection> = None;
         loop {
             let messages = queue.take_batch();
             if messages.is_empty() {
@@ -190,38 +207,25 @@
                 continue;
             }
             let count = messages.len() as u64;
-            if connection
-                .as_ref()
-                .is_none_or(|(sender, _)| !sender.is_ready())
-            {
+            if connection.as_ref().is_none_or(|c| !c.sender.is_ready()) {
                 connection = self.open_connection(self.addresses[to as usize]).await;
             }
-            let answered = match &mut connection {
+            let response = match &mut connection {
                 None => None,
-                Some((sender, _)) => {
-                    let Ok(body) =
-                        postcard::to_stdvec(&peers.envelope(to, messages)).map(Bytes::from)
-                    else {
+                Some(connection) => {
+                    let envelope = peers.envelope(to, messages);
+                    let Ok(body) = postcard::to_stdvec(&envelope).map(Bytes::from) else {
                         continue;
                     };
                     queue.count(|counts| {
                         counts.posts += 1;
                         counts.bytes_sent += body.len() as u64;
                     });
-                    exchange(sender, self.addresses[to as usize], body).await
+                    exchange(&mut connection.sender, self.addresses[to as usize], body).await
                 }
             };
-            match answered {
-                Some(answer) => {
-                    // Refused envelopes are counted and logged by `Peers`.
-                    let from = Some(self.addresses[to as usize].ip());
-                    let _ = peers.receive(from, &answer).map(|replies| {
-                        replies
-                            .messages
-                            .into_iter()
-                            .for_each(|message| queue.enqueue(message, false));
-                    });
-                }
+            match response {
+                Some(response) => self.receive_response(&peers, to, queue, &response),
                 None => {
                     connection = None;
                     queue.count(|counts| {
@@ -234,10 +238,18 @@
         }
     }
 
-    async fn open_connection(
-        &self,
-        address: SocketAddr,
-    ) -> Option<(SendRequest<Full<Bytes>>, Task<()>)> {
+    /// Processes the envelope in a response; what follows from it goes into the queue of the request.
+    fn receive_response(&self, peers: &Peers, to: MemberIndex, queue: &SendQueue, body: &[u8]) {
+        let from = Some(self.addresses[to as usize].ip());
+        // Refused envelopes are counted and logged by `Peers`.
+        if let Ok(replies) = peers.receive(from, body) {
+            for message in replies.messages {
+                queue.enqueue(message, false);
+            }
+        }
+    }
+
+    async fn open_connection(&self, address: SocketAddr) -> Option<Connection> {
         let stream = connect(address, self.local_address, CONNECT_TIMEOUT)
             .await
             .ok()?;
@@ -246,7 +258,10 @@
             // A failure shows in the next POST.
             let _ = connection.await;
         });
-        Some((sender, driver))
+        Some(Connection {
+            sender,
+            _driver: driver,
+        })
     }
 }
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -6,57 +6,62 @@
 //! member, and [`Peers::tick`] whenever [`Peers::wait_until_due`] returns.
 
 use std::cell::RefCell;
-use std::collections::VecDeque;
 use std::net::IpAddr;
 use std::rc::Rc;
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_errors::Remedy;
 use cedarpulley_membership::{self as membership, Believed, MemberIndex, Membership};
 use cedarpulley_net::Alarm;
-use cedarpulley_replica::{self as replica, Guard, Need, Replica};
-use cedarpulley_router::group::{self, Ask, Told};
-use serde::Serialize;
+use cedarpulley_replica::{self as replica, Guard, Replica};
+use cedarpulley_router::group::{Ask, Told};
 use smol::channel::{Receiver, Sender};
 
 use crate::context::GatewayContext;
-use crate::peer_events::{EventListener, Notification, PeerEvent};
-use crate::peer_messages::{Envelope, PeerMessage, decode_answer, encode_answer};
+pub use crate::peer_envelopes::Counts;
+use crate::peer_envelopes::{EnvelopeExchange, EnvelopeReceiver};
+use crate::peer_events::{EventListener, NotificationQueue, PeerEvent};
+use crate::peer_messages::{Envelope, PeerMessage};
+use crate::peer_requests::{dispatch_permission, ownership_verdict, replica_input};
 use crate::peer_settings::PeerSettings;
-use crate::unknown_members::{Refusal, RefusalCause, UnknownMembers};
-
-/// Assumed transit time of a member's message while nothing bounds it: long before any router began. In
-/// microseconds.
-const UNKNOWN_TRANSIT: Micros = Micros::MAX / 4;
+use crate::unknown_members::RefusalCause;
 
 /// Sends messages to other members. It must not block.
 pub trait Transport {
-    /// `bulk`: may wait behind messages that a vote waits for. `recoverable`: may be dropped if there is no
-    /// room, as a later comparison of the records repairs the loss.
-    fn send(&self, to: MemberIndex, message: Bytes, bulk: bool, recoverable: bool);
+    /// Takes an encoded message for a member.
+    fn send(&self, to: MemberIndex, message: Bytes, options: SendOptions);
+}
+
+/// How a message may be treated on its way.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct SendOptions {
+    /// It may wait behind messages that a vote waits for.
+    pub bulk: bool,
+    /// It may be dropped if there is no room, as a later comparison of the records repairs the loss.
+    pub recoverable: bool,
 }
 
-/// Envelopes received and those refused, by cause. The names are those of the state endpoint.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Counts {
-    pub envelopes: u64,
-    pub other_version: u64,
-    pub other_group: u64,
-    pub other_member: u64,
-    pub unreadable: u64,
-    /// Answers stored by another member that could not be decoded here.
-    pub unreadable_answers: u64,
+/// This router's state as part of its group, for reading.
+pub struct PeerStateView<'a> {
+    /// This router's clock in microseconds.
+    pub now: Micros,
+    /// Who is alive, as detected.
+    pub membership: &'a Membership,
+    /// Who is alive, as acted upon.
+    pub believed: &'a Believed,
+    /// The shared records.
+    pub replica: &'a Replica,
+    /// Envelopes received and refused.
+    pub counts: &'a Counts,
+    /// This process was started from a store that was older than what other members knew.
+    pub store_was_older: bool,
 }
 
 struct State {
     membership: Membership,
     believed: Believed,
     replica: Replica,
-    /// By member: its clock as last received (microseconds), and the process that it belongs to.
-    clocks: Vec<(Micros, u64)>,
-    counts: Counts,
-    unknown_members: UnknownMembers,
+    envelopes: EnvelopeExchange,
     /// While an envelope is processed: its sender and the messages that go back in the reply.
     replies: Option<(MemberIndex, Vec<Bytes>)>,
     /// This process was started from a stored state; and that state was older than what other members know of
@@ -67,18 +72,10 @@
 
 /// This router's membership and shared records, with the queue of notifications that follow from them.
 pub struct Peers {
-    pub(crate) context: Rc<GatewayContext>,
-    nonce: u64,
-    group_fingerprint: u64,
-    own_index: MemberIndex,
-    members: usize,
+    context: Rc<GatewayContext>,
     state: RefCell<State>,
     transport: Box<dyn Transport>,
-    /// Waiting to be delivered to the core and to listeners, in order.
-    pub(crate) notifications: RefCell<VecDeque<Notification>>,
-    /// Listeners with the key prefix that each subscribed to.
-    pub(crate) listeners: RefCell<Vec<(&'static str, EventListener)>>,
-    pub(crate) is_notifying: std::cell::Cell<bool>,
+    notifications: NotificationQueue,
     /// Further sections of the state endpoint, by name.
     state_providers: RefCell<Vec<(&'static str, StateProvider)>>,
     alarm: Alarm,
@@ -91,7 +88,9 @@
 /// State read from the store at start.
 #[derive(Default)]
 pub struct RestoredState {
+    /// Incarnation of the process that wrote it.
     pub turn: u64,
+    /// The shared records by key.
     pub records: Vec<(replica::Key, replica::Shared)>,
 }
 
@@ -108,58 +107,31 @@
     ) -> Self {
         let now = context.clock.now();
         let group = settings.group.clone();
-        let (group_fingerprint, own_index, member_count) = (group.mark, group.me, group.len());
-        let terms = membership::Terms {
-            probe_every: settings.probe_interval,
-            answer_within: settings.probe_timeout,
-            suspected_for: settings.suspicion_timeout,
-            seed: context.seed,
-        };
-        let (turn, was_restored) = (
-            restored.as_ref().map_or(0, |state| state.turn),
-            restored.is_some(),
-        );
-        let membership = Membership::new(now, group.clone(), terms, nonce, turn);
-        let terms = replica::Terms {
-            most_records: settings.max_records,
-            catch_up_bytes_per_s: settings.catch_up_bytes_per_s,
-            written: settings.state_folder.is_some(),
-            without: disabled_guard,
-            ..replica::Terms::usual(
-                settings.retention,
-                settings.replication_timeout,
-                context.seed,
-            )
+        let receiver = EnvelopeReceiver {
+            group: group.mark,
+            own_index: group.me,
+            members: group.len(),
         };
-        let replica = Replica::new(
-            now,
-            group,
-            terms,
-            nonce,
-            restored.map(|state| state.records),
-        );
+        let believed = Believed::new(now, group.len(), settings.belief_delay);
+        let was_restored = restored.is_some();
+        let (incarnation, records) = restored.map_or((0, None), |r| (r.turn, Some(r.records)));
+        let limits = settings.membership_terms(context.seed);
+        let membership = Membership::new(now, group.clone(), limits, nonce, incarnation);
+        let limits = settings.replica_terms(context.seed, disabled_guard);
         let state = State {
             membership,
-            believed: Believed::new(now, member_count, settings.belief_delay),
-            replica,
-            clocks: vec![(0, 0); member_count],
-            counts: Counts::default(),
-            unknown_members: UnknownMembers::new(member_count),
+            believed,
+            replica: Replica::new(now, group, limits, nonce, records),
+            envelopes: EnvelopeExchange::new(receiver, nonce),
             replies: None,
             was_restored,
             store_was_older: false,
         };
         Peers {
             context,
-            nonce,
-            group_fingerprint,
-            own_index,
-            members: member_count,
             state: RefCell::new(state),
             transport,
-            notifications: RefCell::default(),
-            listeners: RefCell::default(),
-            is_notifying: std::cell::Cell::new(false),
+            notifications: NotificationQueue::default(),
             state_providers: RefCell::default(),
             alarm: Alarm::default(),
             write_request: smol::channel::bounded(1),
@@ -168,78 +140,33 @@
 
     /// Takes a request of the core to its group.
     pub fn request(&self, request: Ask) {
-        let input = match request {
-            Ask::Take {
-                key,
-                need,
-                redelivered,
-            } => {
-                let need = match need {
-                    group::Need::Known => Need::Known,
-                    group::Need::Held => Need::Held,
-                };
-                replica::Input::Take {
-                    key,
-                    need,
-                    redelivered,
-                }
-            }
-            Ask::Leave {
-                key,
-                sending,
-                place,
-                alone,
-            } => replica::Input::Intend {
-                key,
-                sending,
-                place,
-                alone,
-            },
-            Ask::Left {
-                key,
-                sending,
-                place,
-            } => replica::Input::Left {
-                key,
-                sending,
-                place,
-            },
-            Ask::Ended {
-                key,
-                sending,
-                may_have_run,
-            } => replica::Input::Ended {
-                key,
-                sending,
-                may_have_run,
-            },
-            Ask::Answered { key, answer } => replica::Input::Answered {
-                key,
-                answer: encode_answer(&answer),
-            },
-            Ask::Closed { key } => replica::Input::Closed { key },
-            Ask::Dropped { key } => replica::Input::Dropped { key },
-        };
-        self.apply_replica(input);
+        self.apply_replica(replica_input(request));
     }
 
     /// Hands an input to the shared records and carries out the outputs.
     pub fn apply_replica(&self, input: replica::Input) {
         let now = self.context.clock.now();
-        let mut out = Vec::new();
-        self.state.borrow_mut().replica.handle(now, input, &mut out);
-        self.apply_replica_outputs(out);
+        let mut outputs = Vec::new();
+        self.state
+            .borrow_mut()
+            .replica
+            .handle(now, input, &mut outputs);
+        self.apply_replica_outputs(outputs);
     }
 
-    /// Handles everything that has become due.
-    pub fn tick(&self) {
+    fn handle_membership(&self, input: membership::Input) {
         let now = self.context.clock.now();
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         self.state
             .borrow_mut()
             .membership
-            .handle(now, membership::Input::Tick, &mut out);
-        self.apply_membership(out);
+            .handle(now, input, &mut outputs);
+        self.apply_membership(outputs);
+    }
+
+    /// Handles everything that has become due.
+    pub fn tick(&self) {
+        self.handle_membership(membership::Input::Tick);
         self.apply_replica(replica::Input::Tick);
     }
 
@@ -252,138 +179,67 @@
     /// another version, group or receiver is counted, logged and refused.
     pub fn receive(&self, address: Option<IpAddr>, bytes: &[u8]) -> Result<Envelope, RefusalCause> {
         let now = self.context.clock.now();
-        let envelope = self.decode(bytes).map_err(|refused| {
-            let refused = Refusal { address, ..refused };
-            self.record_refusal(now, refused);
-            refused.why
-        })?;
+        let (envelope, transit) = self.accept(now, address, bytes)?;
         let (from, process) = (envelope.from, envelope.process);
-        let transit = {
-            let mut state = self.state.borrow_mut();
-            state.counts.envelopes += 1;
-            state.unknown_members.accepted(from);
-            state.clocks[from as usize] = (envelope.clock, process.nonce);
-            state.replies = Some((from, Vec::new()));
-            match envelope.echo_of == self.nonce {
-                true => (now - envelope.echo).max(0),
-                false => UNKNOWN_TRANSIT,
-            }
-        };
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         self.state
             .borrow_mut()
             .membership
-            .came_from(now, from, process, &mut out);
-        self.apply_membership(out);
+            .came_from(now, from, process, &mut outputs);
+        self.apply_membership(outputs);
         for message in envelope.messages {
-            let Ok(message) = postcard::from_bytes::<PeerMessage>(&message) else {
-                self.state.borrow_mut().counts.unreadable += 1;
-                continue;
-            };
-            match message {
-                PeerMessage::Membership(message) => {
-                    let mut out = Vec::new();
-                    let input = membership::Input::Heard {
+            match postcard::from_bytes::<PeerMessage>(&message) {
+                Ok(PeerMessage::Membership(message)) => {
+                    self.handle_membership(membership::Input::Heard {
                         from,
                         process,
                         message,
-                    };
-                    self.state
-                        .borrow_mut()
-                        .membership
-                        .handle(now, input, &mut out);
-                    self.apply_membership(out);
-                }
-                PeerMessage::Replica(message) => {
-                    self.apply_replica(replica::Input::Heard {
-                        from,
-                        nonce: process.nonce,
-                        transit,
-                        message,
                     });
                 }
+                Ok(PeerMessage::Replica(message)) => self.apply_replica(replica::Input::Heard {
+                    from,
+                    nonce: process.nonce,
+                    transit,
+                    message,
+                }),
+                Err(_) => self.state.borrow_mut().envelopes.count_unreadable_message(),
             }
         }
-        let messages = self
-            .state
-            .borrow_mut()
-            .replies
-            .take()
-            .map(|r| r.1)
-            .unwrap_or_default();
-        Ok(self.envelope(from, messages))
-    }
-
-    /// Decodes an envelope that is of this group and for this member.
-    fn decode(&self, bytes: &[u8]) -> Result<Envelope, Refusal> {
-        let unidentified = Refusal {
-            why: RefusalCause::Unreadable,
-            version: None,
-            from: None,
-            address: None,
-        };
-        // All versions have the version in front, whatever follows it.
-        let Ok((version, _)) = postcard::take_from_bytes::<u16>(bytes) else {
-            return Err(unidentified);
-        };
-        let read = postcard::from_bytes::<Envelope>(bytes).ok();
-        let of_group = read.as_ref().filter(|e| e.group == self.group_fingerprint);
-        let from =
-            of_group.filter(|e| e.from != self.own_index && (e.from as usize) < self.members);
-        let from = from.map(|e| (e.from, e.process.nonce));
-        let why = match &read {
-            _ if version != replica::VERSION => RefusalCause::Version,
-            None => RefusalCause::Unreadable,
-            Some(e) if e.group != self.group_fingerprint => RefusalCause::Group,
-            Some(e) if e.to != self.own_index || from.is_none() => RefusalCause::Member,
-            Some(_) => return read.ok_or(unidentified),
-        };
-        Err(Refusal {
-            why,
-            version: Some(version),
+        let replies = self.state.borrow_mut().replies.take();
+        Ok(self.envelope(
             from,
-            address: None,
-        })
+            replies.map(|(_, messages)| messages).unwrap_or_default(),
+        ))
     }
 
-    fn record_refusal(&self, now: Micros, refused: Refusal) {
+    /// Decodes an envelope, with the longest time that it can have been under way (microseconds); collects the
+    /// replies to it from now on.
+    fn accept(
+        &self,
+        now: Micros,
+        address: Option<IpAddr>,
+        bytes: &[u8],
+    ) -> Result<(Envelope, Micros), RefusalCause> {
         let mut state = self.state.borrow_mut();
-        state.counts.envelopes += 1;
-        *match refused.why {
-            RefusalCause::Version => &mut state.counts.other_version,
-            RefusalCause::Group => &mut state.counts.other_group,
-            RefusalCause::Member => &mut state.counts.other_member,
-            RefusalCause::Unreadable => &mut state.counts.unreadable,
-        } += 1;
-        if state.unknown_members.record(now, refused) {
-            let members = &state.membership.group().members;
-            let member = refused.from.map(|(m, _)| members[m as usize].name.as_str());
-            let (version, address) = (refused.version, refused.address.map(|a| a.to_string()));
-            tracing::warn!(
-                member,
-                version,
-                address,
-                "group: refused: {}",
-                refused.why.line()
-            );
-        }
+        let State {
+            membership,
+            envelopes,
+            replies,
+            ..
+        } = &mut *state;
+        let members = &membership.group().members;
+        let name_of = |member: MemberIndex| members[member as usize].name.as_str();
+        let accepted = envelopes.accept(now, address, bytes, name_of)?;
+        *replies = Some((accepted.0.from, Vec::new()));
+        Ok(accepted)
     }
 
     /// An envelope with these encoded messages for a member.
     pub fn envelope(&self, to: MemberIndex, messages: Vec<Bytes>) -> Envelope {
-        let state = self.state.borrow();
-        let (echo, echo_of) = state.clocks.get(to as usize).copied().unwrap_or_default();
-        Envelope {
-            version: replica::VERSION,
-            group: self.group_fingerprint,
-            from: self.own_index,
-            to,
-            process: state.membership.me(),
-            clock: self.context.clock.now(),
-            echo,
-            echo_of,
-            messages,
-        }
+        let (now, state) = (self.context.clock.now(), self.state.borrow());
+        state
+            .envelopes
+            .envelope(now, to, state.membership.me(), messages)
     }
 
     fn apply_membership(&self, outputs: Vec<membership::Output>) {
@@ -391,7 +247,7 @@
         for output in outputs {
             match output {
                 membership::Output::Send { to, message } => {
-                    self.send(to, PeerMessage::Membership(message), false, false)
+                    self.send(to, PeerMessage::Membership(message), SendOptions::default())
                 }
                 membership::Output::Changed(member) => self.member_changed(now, member),
             }
@@ -406,7 +262,8 @@
             // Other members knew a later process of this member than its store did. A member that was only
             // suspected for a while and refuted that has no older store, and must not be reported with one.
             let outdated = state.membership.counts.outdated > 0;
-            state.store_was_older |= member == self.own_index && state.was_restored && outdated;
+            state.store_was_older |=
+                member == state.membership.group().me && state.was_restored && outdated;
             (
                 known,
                 state.membership.lives(member),
@@ -439,55 +296,65 @@
             changed
         };
         if changed {
-            self.queue_event(PeerEvent::BelievedMembersChanged);
-            self.notify();
+            self.notifications
+                .push_event(PeerEvent::BelievedMembersChanged);
+            self.notifications.deliver(&self.context);
         }
     }
 
-    fn send(&self, to: MemberIndex, message: PeerMessage, bulk: bool, recoverable: bool) {
+    fn send(&self, to: MemberIndex, message: PeerMessage, options: SendOptions) {
         // Encoding these types cannot fail.
         let Ok(message) = postcard::to_stdvec(&message).map(Bytes::from) else {
             return;
         };
-        if let Some((asker, replies)) = self.state.borrow_mut().replies.as_mut()
-            && *asker == to
+        if let Some((sender, replies)) = self.state.borrow_mut().replies.as_mut()
+            && *sender == to
         {
             return replies.push(message);
         }
-        self.transport.send(to, message, bulk, recoverable);
+        self.transport.send(to, message, options);
     }
 
     fn apply_replica_outputs(&self, outputs: Vec<replica::Output>) {
         for output in outputs {
             match output {
                 replica::Output::Send { to, message } => {
-                    let (bulk, recoverable) = (message.is_bulk(), message.is_made_up_for());
-                    self.send(to, PeerMessage::Replica(message), bulk, recoverable);
+                    let options = SendOptions {
+                        bulk: message.is_bulk(),
+                        recoverable: message.is_made_up_for(),
+                    };
+                    self.send(to, PeerMessage::Replica(message), options);
                 }
                 replica::Output::Verdict { key, verdict } => {
-                    let verdict = self.convert_verdict(verdict);
+                    let verdict = ownership_verdict(verdict, || {
+                        self.state.borrow_mut().envelopes.count_unreadable_answer();
+                    });
                     self.notifications
-                        .borrow_mut()
-                        .push_back(Notification::Core(Told::Verdict { key, verdict }));
+                        .push_for_core(Told::Verdict { key, verdict });
                 }
                 replica::Output::Leave { sending, left, .. } => {
-                    let left = left.map_err(|lack| match lack {
-                        replica::Lack::Elsewhere => group::Refusal::Elsewhere,
-                        _ => group::Refusal::NoMajority,
-                    });
+                    let left = dispatch_permission(left);
                     self.notifications
-                        .borrow_mut()
-                        .push_back(Notification::Core(Told::Leave { sending, left }));
+                        .push_for_core(Told::Leave { sending, left });
                 }
                 replica::Output::Whole => {
                     tracing::info!("group: this router remembers enough to vote")
                 }
                 replica::Output::Decided { key, outcome } => {
-                    self.queue_event(PeerEvent::Decided(key, outcome))
+                    let event = PeerEvent::Decided(key, outcome);
+                    self.notifications.push_event(event);
+                }
+                replica::Output::Noticed(key) => {
+                    self.notifications.push_event(PeerEvent::Updated(key));
                 }
-                replica::Output::Noticed(key) => self.queue_event(PeerEvent::Updated(key)),
             }
         }
+        self.schedule();
+        self.notifications.deliver(&self.context);
+    }
+
+    /// Sets the alarm, and requests a write of the store if a vote waits for it.
+    fn schedule(&self) {
         let (due, urgent) = {
             let state = self.state.borrow();
             let members = state.membership.next_due().min(state.believed.next_due());
@@ -501,7 +368,12 @@
             // A full channel already carries the signal.
             let _ = self.write_request.0.try_send(());
         }
-        self.notify();
+    }
+
+    /// From now on `listener` receives events of keys with this prefix, and every change of the believed
+    /// members.
+    pub fn subscribe(&self, prefix: &'static str, listener: EventListener) {
+        self.notifications.subscribe(prefix, listener);
     }
 
     /// Adds a section of this name to the state endpoint.
@@ -518,28 +390,6 @@
             .collect()
     }
 
-    fn convert_verdict(&self, verdict: replica::Verdict) -> group::Verdict {
-        match verdict {
-            replica::Verdict::Go { first_ago } => group::Verdict::Go { first_ago },
-            replica::Verdict::Waits => group::Verdict::Waits,
-            replica::Verdict::Answer(bytes) => match decode_answer(&bytes) {
-                Some(answer) => group::Verdict::Answer(answer),
-                None => {
-                    self.state.borrow_mut().counts.unreadable_answers += 1;
-                    group::Verdict::MayHaveRun
-                }
-            },
-            replica::Verdict::MayHaveRun(because) => {
-                tracing::debug!(?because, "group: may have run");
-                group::Verdict::MayHaveRun
-            }
-            replica::Verdict::NoMajority(lack) => {
-                tracing::warn!(?lack, "group: no majority");
-                group::Verdict::NoMajority
-            }
-        }
-    }
-
     /// Changes since the last call, for the store: the incarnation of this process, the serial of the
     /// changes, and the records (absent ones were removed).
     pub fn changes(&self) -> (u64, u64, Vec<(replica::Key, Option<replica::Shared>)>) {
@@ -562,34 +412,20 @@
     /// Refused envelopes in the name of this member or, without one, of all senders that cannot be
     /// identified. JSON null if there are none.
     pub fn refusals(&self, member: Option<MemberIndex>) -> serde_json::Value {
-        self.state
-            .borrow()
-            .unknown_members
-            .state(self.context.clock.now(), member)
+        let now = self.context.clock.now();
+        self.state.borrow().envelopes.refusals(now, member)
     }
 
-    /// Gives access to the state for reading: time, membership, believed members, records, counts, and
-    /// whether the store was older than what others knew.
-    pub fn inspect<R>(
-        &self,
-        inspect: impl FnOnce(Micros, &Membership, &Believed, &Replica, &Counts, bool) -> R,
-    ) -> R {
+    /// Gives access to the state for reading.
+    pub fn inspect<R>(&self, inspect: impl FnOnce(PeerStateView) -> R) -> R {
         let state = self.state.borrow();
-        let State {
-            membership,
-            believed,
-            replica,
-            counts,
-            store_was_older,
-            ..
-        } = &*state;
-        inspect(
-            self.context.clock.now(),
-            membership,
-            believed,
-            replica,
-            counts,
-            *store_was_older,
-        )
+        inspect(PeerStateView {
+            now: self.context.clock.now(),
+            membership: &state.membership,
+            believed: &state.believed,
+            replica: &state.replica,
+            counts: state.envelopes.counts(),
+            store_was_older: state.store_was_older,
+        })
     }
 }
--- a/crates/gateway/src/reconciliation_observer.rs
+++ b/crates/gateway/src/reconciliation_observer.rs
@@ -6,92 +6,91 @@
 use cedarpulley::interface::{
     Action, CopyStatus, DispatchOutcome, Event, InvocationIndex, LoadOrderResult, Micros,
 };
-use cedarpulley_reconcile::{Change, Input as ReconcilerInput};
+use cedarpulley_reconcile::Change;
 use cedarpulley_router::FrontIndex;
 use cedarpulley_router::entry::Short;
 use cedarpulley_router::watch::{By, Given, Names, Used, Watch};
 
 use crate::reconciliation::Reconciliation;
 
+/// An open invocation's function, and the size of a copy of it.
+#[derive(Clone, Copy)]
+struct OpenInvocation {
+    function: u32,
+    copy_mb: f64,
+}
+
+/// Stands for an invocation whose beginning was not observed.
+const UNKNOWN_INVOCATION: OpenInvocation = OpenInvocation {
+    function: u32::MAX,
+    copy_mb: 0.0,
+};
+
 /// Follows what the core decides, and with it what its module believes.
-pub(crate) struct CoreObserver {
+struct CoreObserver {
     reconciliation: Rc<Reconciliation>,
-    /// By index of an open invocation: its function, and the size of a copy in MB.
-    open: Vec<(u32, f64)>,
+    /// By invocation index.
+    open: Vec<OpenInvocation>,
 }
 
-impl CoreObserver {
-    pub(crate) fn new(reconciliation: Rc<Reconciliation>) -> Self {
-        CoreObserver {
-            reconciliation,
+impl Reconciliation {
+    /// To be registered with the core, which reports its decisions.
+    pub fn watch(self: &Rc<Self>) -> Box<dyn Watch> {
+        Box::new(CoreObserver {
+            reconciliation: self.clone(),
             open: Vec::new(),
-        }
+        })
     }
+}
 
+impl CoreObserver {
     fn change(&self, now: Micros, worker: Option<&str>, function: Option<&str>, change: Change) {
         if let (Some(worker), Some(function)) = (worker, function) {
-            let input = ReconcilerInput::Believes {
-                worker,
-                function,
-                change,
-            };
-            let mut state = self.reconciliation.state.borrow_mut();
-            if state.logged_words.is_some() {
-                tracing::info!(worker, function, "meddled: changed");
-            }
-            // This yields no outputs; what follows from it comes with the next report.
-            state.reconciler.handle(now, input, &mut Vec::new());
+            self.reconciliation
+                .belief_changed(now, worker, function, change);
         }
     }
 
-    fn function(&self, inv: InvocationIndex) -> (u32, f64) {
-        self.open
-            .get(inv as usize)
-            .copied()
-            .unwrap_or((u32::MAX, 0.0))
+    fn invocation(&self, invocation: InvocationIndex) -> OpenInvocation {
+        let open = self.open.get(invocation as usize).copied();
+        open.unwrap_or(UNKNOWN_INVOCATION)
     }
-}
-
-/// What the end of a dispatch shows of the copy: whether it exists now, and whether it existed before.
-fn copy_evidence(outcome: DispatchOutcome, note: CopyStatus) -> (Option<bool>, bool) {
-    match (outcome, note) {
-        (_, CopyStatus::LoadFailed) | (DispatchOutcome::NotLoaded, _) => (Some(false), false),
-        (DispatchOutcome::Succeeded, note) => (Some(true), note == CopyStatus::Warm),
-        (_, CopyStatus::Warm) => (Some(true), true),
-        _ => (None, false),
-    }
-}
 
-impl Watch for CoreObserver {
-    fn decided(&mut self, now: Micros, event: &Event, actions: &[Action], names: Names) {
+    /// What an event of the core shows of copies.
+    fn follow_event(&mut self, now: Micros, event: &Event, names: Names) {
         match event {
-            Event::Invocation(a) => {
-                let inv = a.invocation as usize;
-                if self.open.len() <= inv {
-                    self.open.resize(inv + 1, (u32::MAX, 0.0));
+            Event::Invocation(invocation) => {
+                let index = invocation.invocation as usize;
+                if self.open.len() <= index {
+                    self.open.resize(index + 1, UNKNOWN_INVOCATION);
                 }
-                self.open[inv] = (a.function, a.copy_mb);
+                self.open[index] = OpenInvocation {
+                    function: invocation.function,
+                    copy_mb: invocation.copy_mb,
+                };
             }
-            Event::DispatchEnded(e) => {
-                let (func, copy_mb) = self.function(e.invocation);
-                let (stands, found) = copy_evidence(e.outcome, e.copy_status);
+            Event::DispatchEnded(end) => {
+                let OpenInvocation { function, copy_mb } = self.invocation(end.invocation);
+                let (stands, found) = copy_evidence(end.outcome, end.copy_status);
                 let ended = Change::Ended {
                     stands,
                     found,
                     copy_mb,
                 };
-                self.change(now, names.worker(e.worker), names.function(func), ended);
+                let (worker, function) = (names.worker(end.worker), names.function(function));
+                self.change(now, worker, function, ended);
             }
             Event::OrderEnded {
                 worker,
-                function: func,
+                function,
                 result,
                 copies,
                 ..
             } => {
                 let stands = match result {
-                    LoadOrderResult::Loaded => Some(*copies > 0),
-                    LoadOrderResult::NoCapacity | LoadOrderResult::LoadFailed => Some(*copies > 0),
+                    LoadOrderResult::Loaded
+                    | LoadOrderResult::NoCapacity
+                    | LoadOrderResult::LoadFailed => Some(*copies > 0),
                     LoadOrderResult::ConnectionLost
                     | LoadOrderResult::Unreachable
                     | LoadOrderResult::TimedOut => None,
@@ -100,29 +99,44 @@
                     stands,
                     copies: (*copies > 0).then_some(*copies),
                 };
-                self.change(now, names.worker(*worker), names.function(*func), ended);
+                let (worker, function) = (names.worker(*worker), names.function(*function));
+                self.change(now, worker, function, ended);
             }
             _ => {}
         }
+    }
+
+    /// What an action of the module says of copies.
+    fn follow_action(&self, now: Micros, action: &Action, names: Names) {
+        let (worker, function, change) = match action {
+            Action::Dispatch {
+                invocation, worker, ..
+            } => (*worker, self.invocation(*invocation).function, Change::Sent),
+            Action::LoadOrder {
+                worker, function, ..
+            } => (*worker, *function, Change::Ordered),
+            Action::Unload { worker, function } => (*worker, *function, Change::Unloaded),
+            _ => return,
+        };
+        self.change(now, names.worker(worker), names.function(function), change);
+    }
+}
+
+/// What the end of a dispatch shows of the copy: whether it exists now, and whether it existed before.
+fn copy_evidence(outcome: DispatchOutcome, note: CopyStatus) -> (Option<bool>, bool) {
+    match (outcome, note) {
+        (_, CopyStatus::LoadFailed) | (DispatchOutcome::NotLoaded, _) => (Some(false), false),
+        (DispatchOutcome::Succeeded, note) => (Some(true), note == CopyStatus::Warm),
+        (_, CopyStatus::Warm) => (Some(true), true),
+        _ => (None, false),
+    }
+}
+
+impl Watch for CoreObserver {
+    fn decided(&mut self, now: Micros, event: &Event, actions: &[Action], names: Names) {
+        self.follow_event(now, event, names);
         for action in actions {
-            let (worker, func, change) = match action {
-                Action::Dispatch {
-                    invocation: inv,
-                    worker,
-                    ..
-                } => (*worker, self.function(*inv).0, Change::Sent),
-                Action::LoadOrder {
-                    worker,
-                    function: func,
-                    ..
-                } => (*worker, *func, Change::Ordered),
-                Action::Unload {
-                    worker,
-                    function: func,
-                } => (*worker, *func, Change::Unloaded),
-                _ => continue,
-            };
-            self.change(now, names.worker(worker), names.function(func), change);
+            self.follow_action(now, action, names);
         }
     }
 
@@ -132,13 +146,13 @@
 
     fn turned_away(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: Short) {}
 
-    fn used(&mut self, now: Micros, u: Used) {
-        if let (Some(id), By::Dispatch(DispatchOutcome::Succeeded, _)) = (u.session, u.by) {
+    fn used(&mut self, now: Micros, used: Used) {
+        if let (Some(id), By::Dispatch(DispatchOutcome::Succeeded, _)) = (used.session, used.by) {
             let change = Change::Session {
                 id: Arc::from(id),
-                over: u.ends,
+                over: used.ends,
             };
-            self.change(now, Some(u.worker_name), Some(u.function), change);
+            self.change(now, Some(used.worker_name), Some(used.function), change);
         }
     }
 }
--- a/crates/gateway/src/shared_state.rs
+++ b/crates/gateway/src/shared_state.rs
@@ -12,15 +12,18 @@
 use crate::peer_events::PeerEvent;
 use crate::peers::Peers;
 
-/// Cheap to clone.
+/// The shared state as other parts of this router use it. Cheap to clone.
 #[derive(Clone)]
 pub struct SharedState(Rc<Peers>);
 
 /// A member of the group, as other parts see it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
+    /// Its name as configured.
     pub name: String,
+    /// Its region as configured.
     pub region: String,
+    /// It is believed to be alive.
     pub alive: bool,
 }
 
@@ -79,26 +82,27 @@
 
     /// The latest note that this member knows under a key.
     pub fn latest_note(&self, key: &str) -> Option<Note> {
-        self.0
-            .inspect(|_, _, _, replica, _, _| match replica.record(key) {
-                Some(Record::Note(note)) => Some(note.clone()),
-                _ => None,
-            })
+        self.0.inspect(|state| match state.replica.record(key) {
+            Some(Record::Note(note)) => Some(note.clone()),
+            _ => None,
+        })
     }
 
     /// The value that this member knows to have been accepted last; a majority may know a later one.
     pub fn accepted(&self, key: &str) -> Option<(Ballot, Bytes)> {
-        self.0
-            .inspect(|_, _, _, replica, _, _| match replica.record(key) {
-                Some(Record::Choice(choice)) => choice.accepted.clone(),
-                _ => None,
-            })
+        self.0.inspect(|state| match state.replica.record(key) {
+            Some(Record::Choice(choice)) => choice.accepted.clone(),
+            _ => None,
+        })
     }
 
     /// The same for all keys with this prefix.
     pub fn all_accepted(&self, prefix: &str) -> Vec<(Key, Ballot, Bytes)> {
-        self.0.inspect(|_, _, _, replica, _, _| {
-            let matching = replica.records().filter(|(key, _)| key.starts_with(prefix));
+        self.0.inspect(|state| {
+            let matching = state
+                .replica
+                .records()
+                .filter(|(key, _)| key.starts_with(prefix));
             let accepted = matching.filter_map(|(key, slot)| match &slot.record {
                 Record::Choice(choice) => choice
                     .accepted
@@ -121,8 +125,11 @@
 
     /// All notes under keys with this prefix.
     pub fn notes(&self, prefix: &str) -> Vec<(Key, Note)> {
-        self.0.inspect(|_, _, _, replica, _, _| {
-            let matching = replica.records().filter(|(key, _)| key.starts_with(prefix));
+        self.0.inspect(|state| {
+            let matching = state
+                .replica
+                .records()
+                .filter(|(key, _)| key.starts_with(prefix));
             let notes = matching.filter_map(|(key, slot)| match &slot.record {
                 Record::Note(note) => Some((key.clone(), note.clone())),
                 _ => None,
@@ -133,19 +140,19 @@
 
     /// This router's index among the members.
     pub fn own_index(&self) -> MemberIndex {
-        self.0
-            .inspect(|_, membership, _, _, _, _| membership.group().me)
+        self.0.inspect(|state| state.membership.group().me)
     }
 
     /// All members by index. `alive` is as believed, so that a flapping link does not show.
     pub fn members(&self) -> Vec<MemberView> {
-        self.0.inspect(|_, membership, believed, _, _, _| {
-            let members = membership.group().members.iter().zip(0..);
-            let view = |(member, ix): (&cedarpulley_membership::Member, MemberIndex)| MemberView {
-                name: member.name.clone(),
-                region: member.region.clone(),
-                alive: believed.is_alive(ix),
-            };
+        self.0.inspect(|state| {
+            let members = state.membership.group().members.iter().zip(0..);
+            let view =
+                |(member, index): (&cedarpulley_membership::Member, MemberIndex)| MemberView {
+                    name: member.name.clone(),
+                    region: member.region.clone(),
+                    alive: state.believed.is_alive(index),
+                };
             members.map(view).collect()
         })
     }
--- a/crates/gateway/src/state_endpoint.rs
+++ b/crates/gateway/src/state_endpoint.rs
@@ -10,7 +10,7 @@
 use serde_json::{Map, Value, json};
 
 use crate::peer_transport::TransportCounts;
-use crate::peers::Peers;
+use crate::peers::{PeerStateView, Peers};
 
 fn liveness_name(standing: Standing) -> &'static str {
     match standing {
@@ -80,7 +80,15 @@
 }
 
 fn group_state(peers: &Peers, transport: TransportCounts) -> Value {
-    peers.inspect(|now, membership, believed, replica, counts, store_was_older| {
+    peers.inspect(|view| {
+        let PeerStateView {
+            now,
+            membership,
+            believed,
+            replica,
+            counts,
+            store_was_older,
+        } = view;
         let group = membership.group();
         let member = |m: MemberIndex| {
             let (known, settings) = (membership.known(m), &group.members[m as usize]);
@@ -121,7 +129,7 @@
             "claims": claims,
             "lacking_leaves": replica.lacking(),
             "conflicts": replica.faults(),
-            "counts": merged_counts(&[&replica.counts, &membership.counts, counts, &transport]),
+            "counts": merged_counts(&[&replica.counts, &membership.counts, &counts, &transport]),
         })
     })
 }
--- a/crates/gateway/src/trace_recorder.rs
+++ b/crates/gateway/src/trace_recorder.rs
@@ -31,14 +31,17 @@
 /// Where to write the trace, and how much of it to keep.
 #[derive(Clone, Debug)]
 pub struct TraceSettings {
+    /// Folder of the trace files.
     pub folder: PathBuf,
+    /// Limits on what is retained.
     pub bounds: Bounds,
 }
 
-struct Inner {
+struct RecorderState {
     block: Gather,
     notes: SyncSender<Note>,
     writer: Option<JoinHandle<()>>,
+    /// Reserves the name that this process writes under.
     _own: Own,
     /// Lost since the last block handed over: number of records, first and last time.
     lost: Option<(u64, Micros, Micros)>,
@@ -47,9 +50,9 @@
     now: Micros,
 }
 
-/// Cheap to clone: one is registered with the core, one is kept for closing.
+/// The trace of one router. Cheap to clone: one is registered with the core, one is kept for closing.
 #[derive(Clone)]
-pub struct TraceRecorder(Rc<RefCell<Inner>>);
+pub struct TraceRecorder(Rc<RefCell<RecorderState>>);
 
 impl TraceRecorder {
     /// Starts the writer's thread. Fails if the folder cannot be created or the thread cannot start.
@@ -78,11 +81,11 @@
             run: (start.wall_at_zero / 1000) as u64,
         };
         let (notes, received) = sync_channel(MAX_QUEUED_BLOCKS);
-        let log_failure = |why: &str| tracing::error!(why, "trace");
+        let log_failure = |why: &str| tracing::error!(why, "the trace was not written");
         let writer = std::thread::Builder::new()
             .name("trace".into())
             .spawn(move || run(row, start, settings.bounds, received, log_failure))?;
-        Ok(TraceRecorder(Rc::new(RefCell::new(Inner {
+        Ok(TraceRecorder(Rc::new(RefCell::new(RecorderState {
             block: Gather::default(),
             notes,
             writer: Some(writer),
@@ -102,7 +105,7 @@
     /// keep a router from ending.
     pub fn close(&self) -> bool {
         let mut inner = self.0.borrow_mut();
-        let until = Instant::now() + CLOSE_TIMEOUT;
+        let deadline = Instant::now() + CLOSE_TIMEOUT;
         let mut pending = vec![Note::End];
         if !inner.block.is_empty() {
             pending.push(Note::Block(inner.now, inner.block.close()));
@@ -110,7 +113,7 @@
         while let Some(note) = pending.pop() {
             match inner.notes.try_send(note) {
                 Ok(()) => {}
-                Err(TrySendError::Full(note)) if Instant::now() < until => {
+                Err(TrySendError::Full(note)) if Instant::now() < deadline => {
                     pending.push(note);
                     std::thread::sleep(CLOSE_POLL_INTERVAL);
                 }
@@ -121,7 +124,7 @@
             return true;
         };
         while !writer.is_finished() {
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return false;
             }
             std::thread::sleep(CLOSE_POLL_INTERVAL);
@@ -135,7 +138,7 @@
     }
 }
 
-impl Inner {
+impl RecorderState {
     fn send_block(&mut self) {
         let raw = self.block.close();
         let (records, first, last) = (u64::from(raw.records), raw.first, raw.last);
@@ -176,13 +179,13 @@
     fn decided(&mut self, now: Micros, event: &Event, actions: &[Action], names: Names) {
         let mut inner = self.0.borrow_mut();
         inner.prepare(now);
-        event_uses(event, actions, &mut |space, ix| {
+        event_uses(event, actions, &mut |space, index| {
             let name = match space {
-                Space::Function => names.function(ix),
-                Space::Worker => names.worker(ix),
+                Space::Function => names.function(index),
+                Space::Worker => names.worker(index),
             };
             if let Some(name) = name {
-                inner.block.name(now, space, ix, name);
+                inner.block.name(now, space, index, name);
             }
         });
         inner.block.decided(now, event, actions);
@@ -210,7 +213,7 @@
         );
     }
 
-    fn answered(&mut self, now: Micros, g: Given) {
+    fn answered(&mut self, now: Micros, given: Given) {
         let mut inner = self.0.borrow_mut();
         inner.prepare(now);
         let Given {
@@ -221,7 +224,7 @@
             trigger,
             account,
             took,
-        } = g;
+        } = given;
         inner.block.record(
             now,
             &Record::Answered {
--- a/crates/gateway/src/unknown_members.rs
+++ b/crates/gateway/src/unknown_members.rs
@@ -18,12 +18,16 @@
 /// Why an envelope was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RefusalCause {
+    /// The sender speaks another version of the protocol.
     #[error("a member speaks another version")]
     Version,
+    /// The sender is of another group, or has other members configured.
     #[error("a member of another group, or with other members listed")]
     Group,
+    /// It is for another member, or its sender is not a member.
     #[error("it is for another member, or from none")]
     Member,
+    /// It cannot be decoded.
     #[error("it cannot be read")]
     Unreadable,
 }
@@ -43,16 +47,18 @@
 
 /// Minimum time between log lines of two processes that share an entry, in microseconds: an operator sees
 /// both, and the log is not filled.
-const LOG_INTERVAL: Micros = 10_000_000;
+pub const LOG_INTERVAL: Micros = 10_000_000;
 
 /// What is known of a refused envelope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
+    /// The cause.
     pub why: RefusalCause,
     /// Wire version that it states, if any.
     pub version: Option<u16>,
     /// Its sender, if known: the member that it claims to be, and its process.
     pub from: Option<(MemberIndex, u64)>,
+    /// Address that it came from.
     pub address: Option<IpAddr>,
 }
 
@@ -63,11 +69,12 @@
     times: u64,
     /// No envelope of it has been accepted since.
     is_active: bool,
+    /// Cause and process that were logged last.
     logged: (RefusalCause, u64),
     logged_at: Micros,
 }
 
-/// Refusals by entry.
+/// The refusals of each member, and of all senders that cannot be identified.
 pub struct UnknownMembers {
     /// By member; the last entry is for all senders that cannot be identified.
     records: Vec<Option<RefusalRecord>>,
@@ -95,13 +102,13 @@
         let record = &mut self.records[index];
         let (should_log, times) = match record {
             None => (true, 0),
-            Some(p) => (
-                p.logged != logged && now - p.logged_at >= LOG_INTERVAL,
-                p.times,
+            Some(previous) => (
+                previous.logged != logged && now - previous.logged_at >= LOG_INTERVAL,
+                previous.times,
             ),
         };
         let (logged, logged_at) = match record {
-            Some(p) if !should_log => (p.logged, p.logged_at),
+            Some(previous) if !should_log => (previous.logged, previous.logged_at),
             _ => (logged, now),
         };
         *record = Some(RefusalRecord {
@@ -126,47 +133,13 @@
     /// where nobody is refused.
     pub fn state(&self, now: Micros, member: Option<MemberIndex>) -> Value {
         let record = &self.records[self.index(member.map(|m| (m, 0)))];
-        record.as_ref().filter(|p| p.is_active).map_or(Value::Null, |p| {
-            json!({
-                "why": p.last.why.to_string(), "do": p.last.why.remedy(), "version": p.last.version,
-                "address": p.last.address, "times": p.times, "us_ago": now - p.at,
-            })
-        })
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_process_and_cause_is_said_once_and_two_under_one_name_do_not_fill_a_log() {
-        let mut members = UnknownMembers::new(3);
-        let of = |why, process| Refusal {
-            why,
-            version: Some(1),
-            from: Some((1, process)),
-            address: None,
+        let Some(record) = record.as_ref().filter(|record| record.is_active) else {
+            return Value::Null;
         };
-        let mut logged = |now, why, process| members.record(now, of(why, process));
-        assert!(logged(0, RefusalCause::Version, 7));
-        // Once, however long it continues.
-        assert!((1..1000).all(|n| !logged(n * LOG_INTERVAL, RefusalCause::Version, 7)));
-        assert!(logged(1000 * LOG_INTERVAL, RefusalCause::Version, 8));
-        assert!((1..1000).all(|n| !logged(
-            1000 * LOG_INTERVAL + n,
-            RefusalCause::Version,
-            7 + n as u64 % 2
-        )));
-        assert!(logged(1001 * LOG_INTERVAL, RefusalCause::Group, 8));
-        assert_eq!(
-            (
-                members.state(0, Some(1))["times"].as_u64(),
-                members.state(0, Some(2))
-            ),
-            (Some(2001), Value::Null)
-        );
-        members.accepted(1);
-        assert_eq!(members.state(0, Some(1)), Value::Null);
+        let last = &record.last;
+        json!({
+            "why": last.why.to_string(), "do": last.why.remedy(), "version": last.version,
+            "address": last.address, "times": record.times, "us_ago": now - record.at,
+        })
     }
 }
--- a/crates/gateway/src/upgrades.rs
+++ b/crates/gateway/src/upgrades.rs
@@ -2,35 +2,33 @@
 //! knowledge of plans and of the versions' health, and the copies that workers hold. `cedarpulley-upgrade`
 //! decides; its steps go to the group, and its load and unload requests to the core.
 
-use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, HashMap, VecDeque};
-use std::path::{Path, PathBuf};
+use std::cell::RefCell;
+use std::collections::{BTreeMap, VecDeque};
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use bytes::Bytes;
-use cedarpulley::interface::{CopyStatus, DispatchOutcome, EndpointState, LoadOrderResult, Micros};
-use cedarpulley_errors::Remedy;
+use cedarpulley::interface::{LoadOrderResult, Micros};
 use cedarpulley_kserve::serving;
 use cedarpulley_net::Alarm;
 use cedarpulley_replica as replica;
 use cedarpulley_router::Input;
-use cedarpulley_router::roster::Listed;
 use cedarpulley_router::watch::{By, Used};
-use cedarpulley_upgrade::orders::{self, Asked, MOST_DRAIN_MS};
-use cedarpulley_upgrade::{
-    self as upgrade, Ballot, Count, GoesBy, Name, Order, Output, Planner, WorkerSeen,
-};
+use cedarpulley_upgrade::{self as upgrade, Name, Order, Output, Planner};
 use futures_lite::{FutureExt, StreamExt};
-use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::config_reader::{ConfigDocument, ConfigErrors, Section};
 use crate::context::GatewayContext;
+use crate::copy_inventory::CopyInventory;
+pub use crate::copy_inventory::{HoldingsSource, WorkerMap};
 use crate::peer_events::PeerEvent;
+use crate::plan_conversions::{from_replica, planner_outcome, to_replica};
 use crate::shared_state::SharedState;
+pub use crate::upgrade_orders::read;
+use crate::version_statistics::{VersionStatistics, VersionStats};
 
 /// Key prefixes in the shared state: before the model of a plan, and before model and member of version
 /// statistics.
@@ -41,20 +39,17 @@
 const PLAN_RETENTION: Micros = 10 * 365 * 86_400_000_000;
 /// In microseconds. A member's statistics are published again before they are forgotten.
 const STATS_RETENTION: Micros = 600_000_000;
-const STATS_REPEAT_AFTER: Micros = 300_000_000;
-/// Models whose copy sizes are remembered, as many as a router accounts for; others count as having no size.
-const MAX_SIZES: usize = 20_000;
 /// How often workers and counts are examined.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Largest number in the file.
-const MAX_NUMBER: u64 = 1 << 53;
 
 /// Configuration of upgrades.
 #[derive(Clone, Debug)]
 pub struct UpgradeSettings {
     /// The operator's orders, read at start and on SIGHUP.
     pub file: PathBuf,
+    /// The orders as read at start.
     pub orders: Vec<Order>,
+    /// Limits and times of the planner.
     pub terms: upgrade::Terms,
     /// Region by zone, for zones whose region has another name.
     pub regions: BTreeMap<String, String>,
@@ -64,65 +59,6 @@
     pub memory_mb: Vec<f64>,
 }
 
-/// Reads an operator's orders; on any error all are refused, with one line for each cause.
-pub fn read(file: &Path) -> Result<Vec<Order>, ConfigErrors> {
-    let name = file.display().to_string();
-    let text =
-        std::fs::read_to_string(file).map_err(|e| ConfigErrors(vec![format!("{name}: {e}")]))?;
-    let (document, table) = ConfigDocument::parse(&name, &text)?;
-    let root = Section::root(&document, &table);
-    let mut all: Vec<Order> = Vec::new();
-    for s in root.sections("order") {
-        let asked = Asked {
-            model: s.string("model", None),
-            from: s.string("from", Some("")),
-            to: s.string("to", None),
-            serial: s.integer("serial", 0..MAX_NUMBER, None),
-            canary: s.integer("canary", 0..1_000, Some(1)) as u32,
-            canary_part: s.number("canary_part", 0.0..1.0, Some(0.05)),
-            floor: s.number("floor", 0.0..1.0, Some(0.8)),
-            drain_limit_ms: s.integer("drain_limit_ms", 0..MOST_DRAIN_MS, None),
-            copy_mb: s.integer("copy_mb", 0..1 << 30, Some(0)) as u32,
-            withdrawn: s.boolean("withdrawn", Some(false)),
-        };
-        match Order::try_from(asked) {
-            Ok(order)
-                if all
-                    .iter()
-                    .any(|o| o.model == order.model && o.serial == order.serial) =>
-            {
-                s.error("serial", "is given to two orders for one model");
-            }
-            Ok(order) => all.push(order),
-            Err(unfit) => s.error("model", &format!("{unfit}; {}", unfit.remedy())),
-        }
-        s.finish();
-    }
-    if all.len() > orders::MOST_ORDERS {
-        root.error(
-            "order",
-            &format!("there are more than {}", orders::MOST_ORDERS),
-        );
-    }
-    root.finish();
-    document.finish(all)
-}
-
-/// A member's statistics on the versions of a model, as encoded in the shared state. The order of fields is
-/// the format.
-#[derive(Serialize, Deserialize, PartialEq)]
-struct VersionStats {
-    goes_by: GoesBy,
-    counts: Vec<Count>,
-}
-
-/// What was published last, and when.
-#[derive(Default)]
-struct PublishedStats {
-    value: Bytes,
-    at: Micros,
-}
-
 /// The upgrades of one router.
 pub struct Upgrades {
     context: Rc<GatewayContext>,
@@ -133,43 +69,13 @@
     planner: RefCell<Planner>,
     /// The orders as last read from the file.
     orders: RefCell<Vec<Order>>,
-    /// By model, version and trigger type.
-    counts: RefCell<BTreeMap<(Name, Name, u32), Count>>,
-    /// By model: lanes and size in MB of a copy, as its last invocation stated.
-    sizes: RefCell<HashMap<Name, (u32, f64)>>,
-    published: RefCell<BTreeMap<Name, PublishedStats>>,
-    /// Wall time of this process's start: its statistics supersede those of an earlier process.
-    started_at: u64,
-    serial: Cell<u64>,
+    statistics: VersionStatistics,
+    inventory: CopyInventory,
     /// Ended loads, recorded while the core was running.
     completed: RefCell<VecDeque<upgrade::Input>>,
-    workers: RefCell<Option<WorkerMap>>,
-    /// Source of the copies that workers hold; the workers' region and state are added here.
-    holdings: RefCell<Option<HoldingsSource>>,
     alarm: Alarm,
 }
 
-/// The copies that workers hold, as far as known.
-pub type HoldingsSource = Box<dyn Fn() -> Vec<WorkerSeen>>;
-/// Workers of the list, by name.
-pub type WorkerMap = Rc<RefCell<BTreeMap<Name, Listed>>>;
-
-fn from_replica(b: replica::Ballot) -> Ballot {
-    Ballot {
-        number: b.number,
-        member: b.member,
-        nonce: b.nonce,
-    }
-}
-
-fn to_replica(b: Ballot) -> replica::Ballot {
-    replica::Ballot {
-        number: b.number,
-        member: b.member,
-        nonce: b.nonce,
-    }
-}
-
 impl Upgrades {
     /// The upgrades of a router in this group; nothing runs before [`Upgrades::run`].
     pub fn new(
@@ -183,24 +89,23 @@
             .get(me as usize)
             .map(|f| f.region.clone())
             .unwrap_or_default();
-        let planner = RefCell::new(Planner::new(settings.terms.clone()));
-        let started_at = context.clock.wall().max(0) as u64;
-        let orders = RefCell::new(settings.orders.clone());
+        let statistics =
+            VersionStatistics::new(context.clone(), settings.latency_objectives.clone());
+        let inventory = CopyInventory::new(
+            context.clone(),
+            settings.regions.clone(),
+            settings.memory_mb.clone(),
+        );
         let upgrades = Rc::new(Upgrades {
             context,
             shared,
-            settings,
             region,
-            planner,
-            orders,
-            counts: RefCell::default(),
-            sizes: RefCell::default(),
-            published: RefCell::default(),
-            started_at,
-            serial: Cell::new(0),
+            planner: RefCell::new(Planner::new(settings.terms.clone())),
+            orders: RefCell::new(settings.orders.clone()),
+            settings,
+            statistics,
+            inventory,
             completed: RefCell::default(),
-            workers: RefCell::default(),
-            holdings: RefCell::default(),
             alarm: Alarm::default(),
         });
         let weak = Rc::downgrade(&upgrades);
@@ -217,12 +122,12 @@
 
     /// Sets the map of listed workers.
     pub fn set_workers(&self, workers: WorkerMap) {
-        *self.workers.borrow_mut() = Some(workers);
+        self.inventory.set_workers(workers);
     }
 
     /// Sets the source of what workers report to hold.
     pub fn set_holdings_source(&self, source: HoldingsSource) {
-        *self.holdings.borrow_mut() = Some(source);
+        self.inventory.set_holdings_source(source);
     }
 
     /// The function to use for a request without a session; absent: unchanged.
@@ -231,7 +136,7 @@
         planner.models().any(|m| **m == *model).then_some(())?;
         planner
             .goes_to(model, &self.region, draw(), false)
-            .map(|way| way.function)
+            .map(|route| route.function)
     }
 
     /// The version to propose for a session. Without a plan known here, the one in service.
@@ -273,65 +178,25 @@
 
     /// Learns the size of a model's copies from an invocation.
     pub fn record_invocation(&self, model: &str, lanes: u32, copy_mb: f64) {
-        let mut sizes = self.sizes.borrow_mut();
-        if let Some(known) = sizes.get_mut(model) {
-            *known = (lanes.max(1), copy_mb);
-        } else if sizes.len() < MAX_SIZES {
-            sizes.insert(Name::from(model), (lanes.max(1), copy_mb));
-        }
+        self.inventory.record_size(model, lanes, copy_mb);
     }
 
     /// Records the end of a dispatch or a load order; called while the core is running.
     pub fn record_use(&self, used: &Used) {
-        let (model, version) = serving::model(used.function);
+        let model = serving::model(used.function).0;
         if !self.planner.borrow().models().any(|m| **m == *model) {
             return;
         }
         match used.by {
             By::Order(result) => {
-                let (worker, function) = (Name::from(used.worker_name), Name::from(used.function));
-                let ok = result == LoadOrderResult::Loaded;
-                self.completed
-                    .borrow_mut()
-                    .push_back(upgrade::Input::LoadEnded {
-                        worker,
-                        function,
-                        ok,
-                    });
-            }
-            // Failures of a connection, or of a full worker, say nothing about the version.
-            By::Dispatch(
-                outcome @ (DispatchOutcome::Succeeded
-                | DispatchOutcome::Errored
-                | DispatchOutcome::TimedOut),
-                note,
-            ) => {
-                let (version, trigger) = (Name::from(version), used.trigger);
-                let mut counts = self.counts.borrow_mut();
-                let count = counts
-                    .entry((Name::from(model), version.clone(), trigger))
-                    .or_insert_with(|| {
-                        let trigger = self.context.names.triggers.get(trigger as usize);
-                        let trigger = Name::from(trigger.map_or("", String::as_str));
-                        Count {
-                            version,
-                            trigger,
-                            ..Count::default()
-                        }
-                    });
-                let objective = self
-                    .settings
-                    .latency_objectives
-                    .get(trigger as usize)
-                    .copied()
-                    .unwrap_or(Micros::MAX);
-                // A dispatch that waited for a load is late because of the load.
-                let late = note != CopyStatus::LoadStarted && used.took > objective;
-                count.ended += 1;
-                count.errored += u64::from(outcome != DispatchOutcome::Succeeded);
-                count.late += u64::from(outcome == DispatchOutcome::Succeeded && late);
+                let load_ended = upgrade::Input::LoadEnded {
+                    worker: Name::from(used.worker_name),
+                    function: Name::from(used.function),
+                    ok: result == LoadOrderResult::Loaded,
+                };
+                self.completed.borrow_mut().push_back(load_ended);
             }
-            By::Dispatch(..) => {}
+            By::Dispatch(outcome, status) => self.statistics.record(used, outcome, status),
         }
     }
 
@@ -374,7 +239,7 @@
         let orders = self.orders.borrow().clone();
         self.apply(upgrade::Input::Orders(orders));
         loop {
-            self.apply(upgrade::Input::Workers(self.observed_workers()));
+            self.apply(upgrade::Input::Workers(self.inventory.observed_workers()));
             self.publish_stats();
             let poll = async {
                 Timer::after(POLL_INTERVAL).await;
@@ -387,7 +252,7 @@
     pub async fn reload_on_sighup(self: Rc<Self>) {
         let mut signals = match Signals::new([Signal::Hup]) {
             Ok(signals) => signals,
-            Err(e) => return tracing::error!(cause = %e, "upgrade: SIGHUP is not heard"),
+            Err(e) => return tracing::error!(cause = %e, "upgrade: SIGHUP cannot be handled"),
         };
         while signals.next().await.is_some() {
             match read(&self.settings.file) {
@@ -398,24 +263,23 @@
                 }
                 // The previous orders stay in force.
                 Err(errors) => {
-                    errors
-                        .0
-                        .iter()
-                        .for_each(|line| tracing::error!("upgrade: orders refused: {line}"));
+                    errors.0.iter().for_each(
+                        |line| tracing::error!(cause = %line, "upgrade: orders rejected"),
+                    );
                 }
             }
         }
     }
 
     fn apply(&self, input: upgrade::Input) {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         let due = {
             let mut planner = self.planner.borrow_mut();
-            planner.handle(self.context.clock.now(), input, &mut out);
+            planner.handle(self.context.clock.now(), input, &mut outputs);
             planner.next_due()
         };
         self.alarm.set(due);
-        for output in out {
+        for output in outputs {
             match output {
                 Output::Lead { key } => self.shared.lead(key, PLAN_RETENTION),
                 Output::Write { key, ballot, value } => {
@@ -469,19 +333,7 @@
                 }
             }
             PeerEvent::Decided(key, outcome) => {
-                let outcome = match outcome {
-                    replica::Outcome::Leads { ballot, last } => upgrade::Outcome::Leads {
-                        ballot: from_replica(ballot),
-                        last,
-                    },
-                    replica::Outcome::Written { ballot } => upgrade::Outcome::Written {
-                        ballot: from_replica(ballot),
-                    },
-                    replica::Outcome::Overtaken | replica::Outcome::Chosen(_) => {
-                        upgrade::Outcome::Overtaken
-                    }
-                    replica::Outcome::NoMajority(_) => upgrade::Outcome::NoMajority,
-                };
+                let outcome = planner_outcome(outcome);
                 self.apply(upgrade::Input::Decided { key, outcome });
                 self.publish_stats();
             }
@@ -532,34 +384,14 @@
         let models: Vec<Name> = self.planner.borrow().models().cloned().collect();
         for model in models {
             let goes_by = self.planner.borrow().goes_by(&model);
-            let counts = {
-                let (counts, from) = (self.counts.borrow(), (model.clone(), Name::default(), 0));
-                let of_model = counts.range(from..).take_while(|((m, ..), _)| *m == model);
-                of_model.map(|(_, count)| count.clone()).collect()
-            };
+            let counts = self.statistics.of_model(&model);
             let stats = VersionStats { goes_by, counts };
-            let Ok(value) = postcard::to_stdvec(&stats).map(Bytes::from) else {
+            let Some(note) = self.statistics.due_note(now, &model, &stats) else {
                 continue;
             };
-            {
-                let mut published = self.published.borrow_mut();
-                let last = published.entry(model.clone()).or_default();
-                if last.value == value && now - last.at < STATS_REPEAT_AFTER {
-                    continue;
-                }
-                *last = PublishedStats {
-                    value: value.clone(),
-                    at: now,
-                };
-            }
-            self.serial.set(self.serial.get() + 1);
             let key = replica::Key::from(format!("{STATS_PREFIX}{model}\n{me}"));
-            self.shared.note(
-                key,
-                (self.started_at, self.serial.get()),
-                value,
-                STATS_RETENTION,
-            );
+            self.shared
+                .note(key, note.version, note.value, STATS_RETENTION);
             let VersionStats { goes_by, counts } = stats;
             self.apply(upgrade::Input::Counted {
                 member: me,
@@ -569,45 +401,4 @@
             });
         }
     }
-
-    /// The copies at workers, with region and state of the workers and sizes of the copies.
-    fn observed_workers(&self) -> Vec<WorkerSeen> {
-        let workers = self.workers.borrow().clone().unwrap_or_default();
-        let (workers, sizes) = (workers.borrow(), self.sizes.borrow());
-        let held = self
-            .holdings
-            .borrow()
-            .as_ref()
-            .map(|source| source())
-            .unwrap_or_default();
-        let mut held: BTreeMap<Name, WorkerSeen> =
-            held.into_iter().map(|w| (w.name.clone(), w)).collect();
-        let describe = |(name, worker): (&Name, &Listed)| {
-            let zone = self
-                .context
-                .names
-                .zones
-                .get(worker.zone as usize)
-                .map_or("", String::as_str);
-            let region = self.settings.regions.get(zone).map_or(zone, String::as_str);
-            let mut w = held.remove(name)?;
-            w.region = Name::from(region);
-            w.takes_new = worker.standing == EndpointState::InService;
-            if w.memory_mb == 0 {
-                w.memory_mb = self
-                    .settings
-                    .memory_mb
-                    .get(worker.kind as usize)
-                    .map_or(0, |mb| *mb as u32);
-            }
-            for h in &mut w.holds {
-                if let Some((lanes, mb)) = sizes.get(serving::model(&h.function).0) {
-                    (h.lanes, h.copy_mb) = (h.copies * lanes, *mb as u32);
-                }
-                w.used_mb = w.used_mb.saturating_add(h.copy_mb.saturating_mul(h.copies));
-            }
-            Some(w)
-        };
-        workers.iter().filter_map(describe).collect()
-    }
 }
--- /dev/null
+++ b/crates/gateway/src/version_statistics.rs
@@ -0,0 +1,126 @@
+//! Statistics of this router on the versions of models under upgrade, and when they are due to be published to the
+//! group.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+use bytes::Bytes;
+use cedarpulley::interface::{CopyStatus, DispatchOutcome, Micros};
+use cedarpulley_kserve::serving;
+use cedarpulley_router::watch::Used;
+use cedarpulley_upgrade::{Count, GoesBy, Name};
+use serde::{Deserialize, Serialize};
+
+use crate::context::GatewayContext;
+
+/// Unchanged statistics are published again after this time, in microseconds.
+const REPEAT_AFTER: Micros = 300_000_000;
+
+/// A member's statistics on the versions of a model, as encoded in the shared state. The order of fields is
+/// the format.
+#[derive(Serialize, Deserialize, PartialEq)]
+pub(crate) struct VersionStats {
+    pub(crate) goes_by: GoesBy,
+    pub(crate) counts: Vec<Count>,
+}
+
+/// What was published last, and when.
+#[derive(Default)]
+struct PublishedStats {
+    value: Bytes,
+    at: Micros,
+}
+
+/// Statistics to publish: their version, and their encoding.
+pub(crate) struct StatisticsNote {
+    pub(crate) version: (u64, u64),
+    pub(crate) value: Bytes,
+}
+
+/// The version of a model, and a trigger type.
+type CountKey = (Name, Name, u32);
+
+/// Counts the dispatches of each version.
+pub(crate) struct VersionStatistics {
+    context: Rc<GatewayContext>,
+    /// Latency objective by trigger type, in microseconds.
+    latency_objectives: Vec<Micros>,
+    counts: RefCell<BTreeMap<CountKey, Count>>,
+    published: RefCell<BTreeMap<Name, PublishedStats>>,
+    /// Wall time of this process's start: its statistics supersede those of an earlier process.
+    started_at: u64,
+    serial: Cell<u64>,
+}
+
+impl VersionStatistics {
+    pub(crate) fn new(context: Rc<GatewayContext>, latency_objectives: Vec<Micros>) -> Self {
+        VersionStatistics {
+            started_at: context.clock.wall().max(0) as u64,
+            context,
+            latency_objectives,
+            counts: RefCell::default(),
+            published: RefCell::default(),
+            serial: Cell::new(0),
+        }
+    }
+
+    /// Records the end of a dispatch. Failures of a connection, or of a full worker, say nothing about the
+    /// version.
+    pub(crate) fn record(&self, used: &Used, outcome: DispatchOutcome, status: CopyStatus) {
+        use DispatchOutcome::{Errored, Succeeded, TimedOut};
+        if !matches!(outcome, Succeeded | Errored | TimedOut) {
+            return;
+        }
+        let (model, version) = serving::model(used.function);
+        let (version, trigger) = (Name::from(version), used.trigger as usize);
+        let mut counts = self.counts.borrow_mut();
+        let count = counts
+            .entry((Name::from(model), version.clone(), used.trigger))
+            .or_insert_with(|| {
+                let trigger = self.context.names.triggers.get(trigger);
+                Count {
+                    version,
+                    trigger: Name::from(trigger.map_or("", String::as_str)),
+                    ..Count::default()
+                }
+            });
+        let objective = self.latency_objectives.get(trigger).copied();
+        // A dispatch that waited for a load is late because of the load.
+        let late =
+            status != CopyStatus::LoadStarted && used.took > objective.unwrap_or(Micros::MAX);
+        count.ended += 1;
+        count.errored += u64::from(outcome != Succeeded);
+        count.late += u64::from(outcome == Succeeded && late);
+    }
+
+    /// The counts of a model, by version and trigger type.
+    pub(crate) fn of_model(&self, model: &Name) -> Vec<Count> {
+        let counts = self.counts.borrow();
+        let first: CountKey = (model.clone(), Name::default(), 0);
+        let of_model = counts.range(first..).take_while(|((m, ..), _)| m == model);
+        of_model.map(|(_, count)| count.clone()).collect()
+    }
+
+    /// The note to publish for a model; absent if the last one is the same and recent.
+    pub(crate) fn due_note(
+        &self,
+        now: Micros,
+        model: &Name,
+        stats: &VersionStats,
+    ) -> Option<StatisticsNote> {
+        let value = postcard::to_stdvec(stats).map(Bytes::from).ok()?;
+        let mut published = self.published.borrow_mut();
+        let last = published.entry(model.clone()).or_default();
+        if last.value == value && now - last.at < REPEAT_AFTER {
+            return None;
+        }
+        *last = PublishedStats {
+            value: value.clone(),
+            at: now,
+        };
+        self.serial.set(self.serial.get() + 1);
+        let version = (self.started_at, self.serial.get());
+        Some(StatisticsNote { version, value })
+    }
+}
--- a/crates/gateway/tests/peer_envelope_bytes.rs
+++ b/crates/gateway/tests/peer_envelope_bytes.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use cedarpulley_gateway::context::GatewayContext;
 use cedarpulley_gateway::peer_messages::Envelope;
-use cedarpulley_gateway::peers::{Peers, RestoredState, Transport};
+use cedarpulley_gateway::peers::{Peers, RestoredState, SendOptions, Transport};
 use cedarpulley_gateway::settings;
 use cedarpulley_membership::{self as membership, Process, Row, Standing};
 use cedarpulley_net::Clock;
@@ -40,7 +40,7 @@
 struct Nowhere;
 
 impl Transport for Nowhere {
-    fn send(&self, _: u16, _: Bytes, _: bool, _: bool) {}
+    fn send(&self, _: u16, _: Bytes, _: SendOptions) {}
 }
 
 type Heard = Rc<RefCell<Vec<Told>>>;
@@ -175,7 +175,7 @@
 fn a_pinned_envelope_is_answered_with_pinned_messages() {
     let (peers, _) = peers(None);
     let answer = peers.receive(None, &pinned("envelope")).expect("received");
-    let unreadable = peers.inspect(|_, _, _, _, counts, _| counts.unreadable);
+    let unreadable = peers.inspect(|state| state.counts.unreadable);
     assert_eq!((unreadable, answer.to), (0, 1));
     let replies = ["reply-compare", "reply-answer", "reply-overtaken"];
     assert_eq!(answer.messages.len(), replies.len());
@@ -216,7 +216,7 @@
         place,
     });
     peers.request(Ask::Answered { key, answer });
-    let record = peers.inspect(|_, _, _, replica, _, _| replica.record("k").cloned());
+    let record = peers.inspect(|state| state.replica.record("k").cloned());
     let Some(Record::Effect(effect)) = record else {
         panic!("{record:?}")
     };
--- a/crates/gateway/tests/state_names.rs
+++ b/crates/gateway/tests/state_names.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use cedarpulley_gateway::context::GatewayContext;
 use cedarpulley_gateway::peer_transport::TransportCounts;
-use cedarpulley_gateway::peers::{Peers, RestoredState, Transport};
+use cedarpulley_gateway::peers::{Peers, RestoredState, SendOptions, Transport};
 use cedarpulley_gateway::{settings, state_endpoint};
 use cedarpulley_membership::{Standing, Why};
 use cedarpulley_net::Clock;
@@ -25,7 +25,7 @@
 struct Nowhere;
 
 impl Transport for Nowhere {
-    fn send(&self, _: u16, _: Bytes, _: bool, _: bool) {}
+    fn send(&self, _: u16, _: Bytes, _: SendOptions) {}
 }
 
 fn context() -> Rc<GatewayContext> {
@@ -237,7 +237,7 @@
             .to_owned()
     };
     assert_eq!([standing(0), standing(1)], ["alive", "unknown"]);
-    let known = here.inspect(|_, membership, _, _, _, _| membership.known(1).standing);
+    let known = here.inspect(|state| state.membership.known(1).standing);
     assert_eq!(known, Standing::Unknown);
 }
 
--- a/crates/gateway/tests/unknown_members.rs
+++ b/crates/gateway/tests/unknown_members.rs
@@ -6,15 +6,15 @@
 use bytes::Bytes;
 use cedarpulley_gateway::context::GatewayContext;
 use cedarpulley_gateway::peer_transport::TransportCounts;
-use cedarpulley_gateway::peers::{Peers, Transport};
-use cedarpulley_gateway::unknown_members::RefusalCause;
+use cedarpulley_gateway::peers::{Peers, SendOptions, Transport};
+use cedarpulley_gateway::unknown_members::{LOG_INTERVAL, Refusal, RefusalCause, UnknownMembers};
 use cedarpulley_gateway::{settings, state_endpoint};
 use cedarpulley_net::Clock;
 
 struct Nowhere;
 
 impl Transport for Nowhere {
-    fn send(&self, _: u16, _: Bytes, _: bool, _: bool) {}
+    fn send(&self, _: u16, _: Bytes, _: SendOptions) {}
 }
 
 fn peers(name: &str) -> Peers {
@@ -85,3 +85,34 @@
     assert!(here.receive(None, &bytes).is_ok());
     assert!(state()["members"][1]["refused"].is_null(), "{}", state());
 }
+
+#[test]
+fn refusals_are_logged_once_a_process_and_cause_and_rate_limited_for_two_under_one_name() {
+    let mut members = UnknownMembers::new(3);
+    let of = |why, process| Refusal {
+        why,
+        version: Some(1),
+        from: Some((1, process)),
+        address: None,
+    };
+    let mut logged = |now, why, process| members.record(now, of(why, process));
+    assert!(logged(0, RefusalCause::Version, 7));
+    // Once, however long it continues.
+    assert!((1..1000).all(|n| !logged(n * LOG_INTERVAL, RefusalCause::Version, 7)));
+    assert!(logged(1000 * LOG_INTERVAL, RefusalCause::Version, 8));
+    assert!((1..1000).all(|n| !logged(
+        1000 * LOG_INTERVAL + n,
+        RefusalCause::Version,
+        7 + n as u64 % 2
+    )));
+    assert!(logged(1001 * LOG_INTERVAL, RefusalCause::Group, 8));
+    assert_eq!(
+        (
+            members.state(0, Some(1))["times"].as_u64(),
+            members.state(0, Some(2))
+        ),
+        (Some(2001), serde_json::Value::Null)
+    );
+    members.accepted(1);
+    assert_eq!(members.state(0, Some(1)), serde_json::Value::Null);
+}
