--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -272,7 +272,7 @@
                     .clone(),
             )
         };
-        tracing::info!(member = name, standing = ?known.standing, why = ?known.why, turn = known.process.turn, "group");
+        tracing::info!(member = name, standing = ?known.standing, why = ?known.why, turn = known.process.turn, "group: member state changed");
         self.apply_replica(replica::Input::Member {
             member,
             nonce: known.process.nonce,
--- a/crates/gateway/src/reconciliation.rs
+++ b/crates/gateway/src/reconciliation.rs
@@ -61,6 +61,8 @@
 }
 
 impl Reconciliation {
+    /// The reconciliation of a router; nothing runs before [`Reconciliation::run`].
+    ///
     /// `belief_retention`: how long the module believes in a copy after its last use (microseconds);
     /// `memory_mb_by_kind`: memory by kind of worker.
     pub fn new(
@@ -272,7 +274,7 @@
                 Timer::after(LOG_INTERVAL).await;
                 let counts = reconciliation.reconciler.borrow().counts;
                 if counts != before {
-                    tracing::info!(?counts, "reconcile");
+                    tracing::info!(?counts, "reconcile: counts");
                     before = counts;
                 }
             }
@@ -293,7 +295,7 @@
 
     /// Logs the counts, on shutdown.
     pub fn log_counts(&self) {
-        tracing::info!(counts = ?self.reconciler.borrow().counts, "reconcile");
+        tracing::info!(counts = ?self.reconciler.borrow().counts, "reconcile: counts");
     }
 
     fn apply(self: &Rc<Self>, input: ReconcilerInput) {
@@ -333,11 +335,7 @@
                 function,
                 term,
             } => {
-                tracing::info!(
-                    worker = &*worker,
-                    function = &*function,
-                    "reconcile: unloaded, as nobody claims it"
-                );
+                self.log.unloaded(&worker, &function);
                 self.context.feed(Input::Unwanted {
                     worker,
                     function,
@@ -348,9 +346,7 @@
                 worker,
                 function,
                 sessions,
-            } => {
-                self.hooks.prefix_lost(&worker, &function, &sessions);
-            }
+            } => self.hooks.prefix_lost(&worker, &function, &sessions),
             ReconcilerOutput::Note { id, version, value } => {
                 if let Some(notes) = &self.notes {
                     notes.publish(self.context.clock.now(), &id, version, value);
--- a/crates/gateway/src/reconciliation_log.rs
+++ b/crates/gateway/src/reconciliation_log.rs
@@ -62,6 +62,11 @@
         }
     }
 
+    /// A copy that nobody claims is unloaded.
+    pub(crate) fn unloaded(&self, worker: &str, function: &str) {
+        tracing::info!(worker, function, "reconcile: unloaded, as nobody claims it");
+    }
+
     /// Differences that are part of normal operation are logged for debugging only.
     pub(crate) fn drift(&self, worker: &str, function: Option<&str>, kind: Kind, cause: Cause) {
         let is_expected = matches!(
--- a/crates/gateway/src/state_endpoint.rs
+++ b/crates/gateway/src/state_endpoint.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use cedarpulley_membership::{MemberIndex, Standing};
-use cedarpulley_replica::{Record, Sent as SentState};
+use cedarpulley_membership::{Member, MemberIndex, Standing};
+use cedarpulley_replica::{Record, Replica, Sent as SentState};
 use metrics_exporter_prometheus::PrometheusBuilder;
 use serde::Serialize;
 use serde_json::{Map, Value, json};
@@ -79,6 +79,32 @@
     state
 }
 
+/// Records by stage; and by owner and stage, those that a member that fails now would leave to the others.
+#[derive(Default)]
+struct RecordCounts<'a> {
+    by_stage: BTreeMap<&'a str, u64>,
+    open: BTreeMap<&'a str, BTreeMap<&'a str, u64>>,
+}
+
+fn count_records<'a>(members: &'a [Member], replica: &Replica) -> RecordCounts<'a> {
+    let mut counts = RecordCounts::default();
+    for (_, slot) in replica.records() {
+        let stage = record_stage(&slot.record);
+        *counts.by_stage.entry(stage).or_default() += 1;
+        if let (Record::Effect(effect), "taken" | "intended") = (&slot.record, stage) {
+            let owner = members.get(effect.owner.ballot.member as usize);
+            let owner = owner.map_or("", |member| member.name.as_str());
+            *counts
+                .open
+                .entry(owner)
+                .or_default()
+                .entry(stage)
+                .or_default() += 1;
+        }
+    }
+    counts
+}
+
 fn group_state(peers: &Peers, transport: TransportCounts) -> Value {
     peers.inspect(|view| {
         let PeerStateView {
@@ -100,16 +126,7 @@
                 "refused": peers.refusals(Some(m)),
             })
         };
-        let mut records: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut open: BTreeMap<&str, BTreeMap<&str, u64>> = BTreeMap::new();
-        for (_, slot) in replica.records() {
-            let stage = record_stage(&slot.record);
-            *records.entry(stage).or_default() += 1;
-            if let (Record::Effect(e), "taken" | "intended") = (&slot.record, stage) {
-                let owner = group.members.get(e.owner.ballot.member as usize).map_or("", |m| m.name.as_str());
-                *open.entry(owner).or_default().entry(stage).or_default() += 1;
-            }
-        }
+        let RecordCounts { by_stage, open } = count_records(&group.members, replica);
         let mut claims: BTreeMap<&str, u64> = BTreeMap::new();
         for (_, claim) in replica.claimed() {
             *claims.entry(claim.word()).or_default() += 1;
@@ -123,8 +140,7 @@
             "members": (0..group.len() as MemberIndex).map(member).collect::<Vec<_>>(),
             "strangers": peers.refusals(None),
             "majority_alive": group.is_majority((0..group.len() as MemberIndex).filter(|m| membership.lives(*m))),
-            "records": records,
-            // By owner: what a member that fails now would leave to the others.
+            "records": by_stage,
             "open": open,
             "claims": claims,
             "lacking_leaves": replica.lacking(),
--- a/crates/gateway/src/upgrades.rs
+++ b/crates/gateway/src/upgrades.rs
@@ -310,7 +310,7 @@
                         term: Some(term),
                     });
                 }
-                Output::Log(line) => tracing::info!("upgrade: {line}"),
+                Output::Log(line) => tracing::info!(detail = %line, "upgrade: plan progress"),
             }
         }
     }
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -50,7 +50,7 @@
 /// Guards against sessions leaving their warm worker: a function's homes move, and the module forgets all
 /// that it believed of it.
 #[test]
-fn a_copy_that_was_used_lately_is_told_again_before_each_turn() {
+fn recently_used_copy_is_reported_to_the_core_before_each_turn() {
     let passed: Rc<RefCell<Vec<Input>>> = Rc::default();
     let context = Rc::new(GatewayContext {
         clock: Clock::start(),
@@ -88,8 +88,8 @@
     admission.set_recent_use_check(Box::new(move |worker, function| {
         used.get() && worker == WORKER && function == "f"
     }));
-    // Whether the core is told of the copy, and which worker the invocation prefers.
-    let told = |tag| {
+    // Whether the copy is reported to the core, and which worker the invocation prefers.
+    let filter_turn = |tag| {
         assert!(admission.filter(Input::Taken(turn(tag))).is_none());
         let passed = std::mem::take(&mut *passed.borrow_mut());
         let held = passed
@@ -100,7 +100,7 @@
         };
         (held, taken.prefers)
     };
-    assert_eq!(told(1), (false, None));
+    assert_eq!(filter_turn(1), (false, None));
     let by = By::Dispatch(DispatchOutcome::Succeeded, CopyStatus::Warm);
     admission.observer().used(
         0,
@@ -121,10 +121,10 @@
     );
     admission.process_completed();
     assert_eq!(
-        (told(2), told(3)),
+        (filter_turn(2), filter_turn(3)),
         ((true, Some(WORKER.into())), (true, Some(WORKER.into())))
     );
-    // The copy is not known to be in use any more: nothing is told.
+    // The copy is not known to be in use any more: nothing is reported.
     stands.set(false);
-    assert_eq!(told(4), (false, Some(WORKER.into())));
+    assert_eq!(filter_turn(4), (false, Some(WORKER.into())));
 }
--- a/crates/gateway/tests/metering.rs
+++ b/crates/gateway/tests/metering.rs
@@ -22,8 +22,8 @@
     Metering::begin(folder.to_owned(), "r", 7, vec!["amber".into()], 0).expect("begun")
 }
 
-/// So many more, each held 30.
-fn use_it(m: &Metering, times: std::ops::Range<u128>) {
+/// Records one use for each of `times`, each of 30 byte-microseconds.
+fn record_uses(metering: &Metering, times: std::ops::Range<u128>) {
     let by = By::Dispatch(DispatchOutcome::Succeeded, CopyStatus::Warm);
     for n in times {
         let held = Some(Held {
@@ -46,15 +46,15 @@
             lanes: 1,
             held,
         };
-        m.clone().used(0, used);
+        metering.clone().used(0, used);
     }
 }
 
-/// With long waits between, until the thread has told how it went.
-fn looked(m: &Metering, from: Micros, until: impl Fn() -> bool) {
+/// Flushes with long intervals between until the writing thread has reported.
+fn flush_until(metering: &Metering, from: Micros, until: impl Fn() -> bool) {
     let (began, mut now) = (Instant::now(), from);
     while !until() {
-        m.flush_due(now);
+        metering.flush_due(now);
         now += 400 * SECOND;
         assert!(
             began.elapsed() < Duration::from_secs(20),
@@ -64,7 +64,7 @@
     }
 }
 
-fn kept(file: &Path) -> Sum {
+fn ledger_sum(file: &Path) -> Sum {
     let book = Ledger::open(file).expect("it opens").book().expect("read");
     book.sums()
         .by(|k| k.kind)
@@ -73,25 +73,25 @@
 }
 
 #[test]
-fn what_was_metered_while_the_disk_failed_is_written_later() {
+fn usage_metered_during_a_disk_failure_is_written_later() {
     let folder = folder("disk-fails");
     let file = folder.join("r.ledger");
     // No file can be made where a folder is.
     std::fs::create_dir(&file).expect("a folder in its place");
     let metering = begin(&folder);
-    use_it(&metering, 0..3);
+    record_uses(&metering, 0..3);
     (0..5).for_each(|n| {
         metering.flush_due(n * 400 * SECOND);
         std::thread::sleep(Duration::from_millis(20));
     });
-    use_it(&metering, 3..5);
+    record_uses(&metering, 3..5);
     assert!(!metering.close(3_000 * SECOND), "it could not be written");
     std::fs::remove_dir(&file).expect("gone");
-    looked(&metering, 40_000 * SECOND, || file.is_file());
+    flush_until(&metering, 40_000 * SECOND, || file.is_file());
     // Closing waits for the thread that writes; the file alone may still be empty.
     assert!(metering.close(80_000_000 * SECOND), "written in the end");
     assert_eq!(
-        kept(&file),
+        ledger_sum(&file),
         Sum {
             byte_us: 5 * 30,
             count: 5
@@ -100,18 +100,18 @@
 }
 
 #[test]
-fn a_ledger_that_cannot_be_read_is_set_aside() {
+fn unreadable_ledger_is_set_aside() {
     let folder = folder("unreadable");
     let file = folder.join("r.ledger");
     std::fs::write(&file, vec![7; 4096]).expect("written");
     let metering = begin(&folder);
-    use_it(&metering, 0..4);
+    record_uses(&metering, 0..4);
     let aside = || std::fs::read_dir(&folder).expect("read").count() > 1;
-    looked(&metering, 0, aside);
-    looked(&metering, 40_000_000 * SECOND, || file.is_file());
+    flush_until(&metering, 0, aside);
+    flush_until(&metering, 40_000_000 * SECOND, || file.is_file());
     assert!(metering.close(80_000_000 * SECOND));
     assert_eq!(
-        kept(&file),
+        ledger_sum(&file),
         Sum {
             byte_us: 120,
             count: 4
--- a/crates/gateway/tests/peer_envelope_bytes.rs
+++ b/crates/gateway/tests/peer_envelope_bytes.rs
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn membership_messages_keep_their_bytes() {
+fn membership_message_bytes_are_pinned() {
     for (name, message) in membership_messages() {
         assert_pinned(name, &postcard::to_stdvec(&message).expect("encoded"));
         let read: membership::Message = postcard::from_bytes(&pinned(name)).expect("decoded");
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_envelope_keeps_its_bytes() {
+fn envelope_bytes_are_pinned() {
     let expected = envelope();
     assert_pinned(
         "envelope",
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_group_of_the_same_settings_keeps_its_fingerprint() {
+fn group_fingerprint_is_pinned() {
     let sent = peers(None).0.envelope(2, Vec::new());
     let expected = (VERSION, envelope().group, 0, 2);
     assert_eq!((sent.version, sent.group, sent.from, sent.to), expected);
@@ -172,7 +172,7 @@
 
 /// The kind of a message is its first byte: 0 of the membership, 1 of the shared records.
 #[test]
-fn a_pinned_envelope_is_answered_with_pinned_messages() {
+fn pinned_envelope_is_answered_with_pinned_messages() {
     let (peers, _) = peers(None);
     let answer = peers.receive(None, &pinned("envelope")).expect("received");
     let unreadable = peers.inspect(|state| state.counts.unreadable);
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn answers_kept_in_records_keep_their_bytes() {
+fn stored_answer_bytes_are_pinned() {
     for (name, answer) in answers() {
         assert_pinned(name, &answer_bytes(answer));
     }
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn pinned_answers_are_given_again_as_they_were() {
+fn pinned_stored_answers_are_returned_unchanged() {
     for (name, answer) in answers() {
         let (peers, heard) = peers(Some(restored(pinned(name))));
         let (key, need, redelivered) = (Key::from("k"), Need::Known, true);
--- a/crates/gateway/tests/peer_store_bytes.rs
+++ b/crates/gateway/tests/peer_store_bytes.rs
@@ -185,14 +185,14 @@
 }
 
 #[test]
-fn a_group_file_keeps_the_rows_of_its_tables() {
+fn store_file_rows_are_pinned() {
     let folder = tempfile::tempdir().expect("a folder");
     write(folder.path());
     assert_eq!(rows(&folder.path().join("group.redb")), ROWS);
 }
 
 #[test]
-fn a_group_file_of_format_2_is_restored_with_each_kind_of_record() {
+fn store_file_of_format_2_is_restored_with_each_kind_of_record() {
     let folder = tempfile::tempdir().expect("a folder");
     assert_eq!(rows(&pinned_file(folder.path())), ROWS);
     let restored = open(folder.path(), WALL + 20 * S).1.expect("restored");
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_group_file_of_format_2_is_not_set_aside() {
+fn store_file_of_format_2_is_not_set_aside() {
     let folder = tempfile::tempdir().expect("a folder");
     pinned_file(folder.path());
     drop(open(folder.path(), WALL));
--- a/crates/gateway/tests/state_names.rs
+++ b/crates/gateway/tests/state_names.rs
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn state_keeps_its_names() {
+fn state_key_names_are_pinned() {
     let (_, state) = shown();
     let mut all = BTreeSet::new();
     paths(&state, "", &mut all);
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn counts_of_sessions_keep_their_names() {
+fn session_count_names_are_pinned() {
     let counts = serde_json::to_value(cedarpulley_upgrade::sessions::Counts::default());
     let mut all = BTreeSet::new();
     paths(&counts.expect("JSON"), "upgrade.sessions.counts", &mut all);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn members_are_shown_as_one_of_four_standings() {
+fn member_state_is_one_of_four_names() {
     let (here, state) = shown();
     let standing = |n: usize| {
         state["members"][n]["standing"]
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn metrics_keep_their_names() {
+fn metric_names_are_pinned() {
     let (here, _) = shown();
     let text = state_endpoint::metrics(&here, TransportCounts::default());
     let (kinds, values): (Vec<&str>, Vec<&str>) = text
--- a/crates/gateway/tests/unknown_members.rs
+++ b/crates/gateway/tests/unknown_members.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_member_of_another_version_is_refused_counted_and_shown_until_it_is_of_this_one() {
+fn envelopes_of_another_version_are_rejected_counted_and_shown_until_the_version_matches() {
     let (here, there) = (peers("r0"), peers("r1"));
     let good = there.envelope(0, Vec::new());
     let (version, bytes) = (good.version, postcard::to_stdvec(&good).expect("encoded"));
--- a/crates/gateway/tests/upgrades.rs
+++ b/crates/gateway/tests/upgrades.rs
@@ -46,7 +46,7 @@
 const GOOD: &str = "[[order]]\nmodel = \"m\"\nto = \"2\"\nserial = 1\ndrain_limit_ms = 9000\n";
 
 #[test]
-fn orders_are_read_or_refused_whole_with_a_line_a_cause() {
+fn orders_are_accepted_or_rejected_as_a_whole_with_one_line_per_cause() {
     let folder = tempfile::tempdir().expect("a folder");
     let at = folder.path();
     assert_eq!(orders(at, ""), Ok(0));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn upgrades_need_a_group_and_readable_orders_and_are_off_by_themselves() {
+fn upgrades_are_off_by_default_and_require_a_group_and_readable_orders() {
     let folder = tempfile::tempdir().expect("a folder");
     let at = folder.path();
     let section = "[reconcile]\n[upgrade]\norder = \"orders.toml\"\n";
