--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -22,6 +22,7 @@
 pub(crate) mod copy_inventory;
 pub(crate) mod core_settings;
 pub mod fault_injection;
+pub(crate) mod file_names;
 pub(crate) mod front_settings;
 pub(crate) mod gateway;
 pub(crate) mod group_settings;
--- a/crates/gateway/src/metering.rs
+++ b/crates/gateway/src/metering.rs
@@ -15,6 +15,8 @@
 use cedarpulley_usage_metering::{Ended, Load, Meter, Part, Source};
 use cedarpulley_usage_store::{Failed, Ledger, Writing};
 
+use crate::file_names::file_name_of;
+
 /// On shutdown the ledger has this long, and is polled this often.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -86,14 +88,7 @@
         wall_at_zero: Micros,
     ) -> std::io::Result<Metering> {
         std::fs::create_dir_all(&folder)?;
-        let safe_character = |c: char| if c.is_ascii_alphanumeric() { c } else { '_' };
-        let file = folder.join(format!(
-            "{}.ledger",
-            name.chars()
-                .map(safe_character)
-                .take(64)
-                .collect::<String>()
-        ));
+        let file = folder.join(format!("{}.ledger", file_name_of(name)));
         let (parts, received) = sync_channel(1);
         let (results, done) = sync_channel(1);
         let router = name.to_owned();
@@ -114,29 +109,29 @@
 
     /// Hands over what there is, if a write is due.
     pub fn flush_due(&self, now: Micros) {
-        let mut inner = self.0.borrow_mut();
-        inner.collect_result(now);
-        if inner.writing.is_due(now) {
-            inner.send();
+        let mut state = self.0.borrow_mut();
+        state.collect_result(now);
+        if state.writing.is_due(now) {
+            state.send();
         }
     }
 
     /// Writes what is left; false if not everything was written in time.
     pub fn close(&self, now: Micros) -> bool {
-        let mut inner = self.0.borrow_mut();
-        let (deadline, failures) = (Instant::now() + CLOSE_TIMEOUT, inner.writing.failures);
+        let mut state = self.0.borrow_mut();
+        let (deadline, failures) = (Instant::now() + CLOSE_TIMEOUT, state.writing.failures);
         loop {
-            inner.collect_result(now);
-            if !inner.in_flight && !inner.send() {
+            state.collect_result(now);
+            if !state.in_flight && !state.send() {
                 break;
             }
-            if Instant::now() >= deadline || inner.writing.failures > failures {
+            if Instant::now() >= deadline || state.writing.failures > failures {
                 return false;
             }
             std::thread::sleep(CLOSE_POLL_INTERVAL);
         }
-        inner.parts = None;
-        inner.thread.take().is_none_or(|t| t.join().is_ok())
+        state.parts = None;
+        state.thread.take().is_none_or(|t| t.join().is_ok())
     }
 }
 
@@ -188,9 +183,9 @@
     fn turned_away(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: Short) {}
 
     fn used(&mut self, now: Micros, used: Used) {
-        let mut inner = self.0.borrow_mut();
-        let wall = inner.wall_at_zero + now;
-        let account = inner.accounts.get(used.account as usize).cloned();
+        let mut state = self.0.borrow_mut();
+        let wall = state.wall_at_zero + now;
+        let account = state.accounts.get(used.account as usize).cloned();
         let account = account.as_deref().unwrap_or(UNKNOWN_ACCOUNT);
         let Used {
             worker,
@@ -205,7 +200,7 @@
         let copy_bytes = (copy_mb.max(0.0) * 1e6) as u64;
         match by {
             By::Dispatch(outcome, note) => {
-                inner.meter.ended(Ended {
+                state.meter.ended(Ended {
                     wall,
                     worker,
                     account,
@@ -223,7 +218,7 @@
                     result,
                     LoadOrderResult::Unreachable | LoadOrderResult::NoCapacity
                 );
-                inner.meter.loaded(Load {
+                state.meter.loaded(Load {
                     wall,
                     worker,
                     account,
--- a/crates/gateway/src/peer_group.rs
+++ b/crates/gateway/src/peer_group.rs
@@ -204,8 +204,7 @@
         }
         // One write at a time: changes that come meanwhile go together into the next.
         if store.is_idle() && (due || peers.awaits_store()) {
-            let (turn, serial, changes) = peers.changes();
-            store.write(turn, serial, clock.wall(), changes);
+            store.write(peers.changes(), clock.wall());
         }
     }
 }
--- a/crates/gateway/src/peer_store.rs
+++ b/crates/gateway/src/peer_store.rs
@@ -24,9 +24,9 @@
 use thiserror::Error;
 
 use crate::peer_store_file::{
-    self, Changes, FILE, SetAsideCause, WriteBatch, create_tables, set_aside, write_batch,
+    self, FILE, SetAsideCause, WriteBatch, create_tables, set_aside, write_batch,
 };
-use crate::peers::RestoredState;
+use crate::peers::{RestoredState, StoreChanges};
 
 /// Delay after a failed write.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
@@ -202,19 +202,13 @@
         }
     }
 
-    /// Hands over a batch; call it only while idle. `serial`: of these changes, above those of all earlier
-    /// batches; `wall`: wall time in microseconds.
-    pub fn write(&self, turn: u64, serial: u64, wall: Micros, records: Changes) {
-        if !records.is_empty() {
+    /// Hands over changes; call it only while idle. `wall`: wall time in microseconds.
+    pub fn write(&self, changes: StoreChanges, wall: Micros) {
+        if !changes.records.is_empty() {
+            self.submitted.set(changes.serial);
             // If the thread has ended, the store never becomes idle again and reports nothing more as
             // persisted.
-            let _ = self.batches.try_send(WriteBatch {
-                turn,
-                serial,
-                wall,
-                records,
-            });
-            self.submitted.set(serial);
+            let _ = self.batches.try_send(WriteBatch { changes, wall });
         }
     }
 }
@@ -246,7 +240,7 @@
                 return;
             }
         }
-        report(batch.serial);
+        report(batch.changes.serial);
     }
 }
 
--- a/crates/gateway/src/peer_store/tests.rs
+++ b/crates/gateway/src/peer_store/tests.rs
@@ -91,15 +91,15 @@
         ..shared.clone()
     };
     let (store, _) = PeerStore::open(folder.path(), 1, 0, 60 * SECOND).expect("opened");
-    store.write(
-        1,
-        1,
-        1_000 * SECOND,
-        vec![
+    let changes = StoreChanges {
+        incarnation: 1,
+        serial: 1,
+        records: vec![
             (Key::from("t"), Some(shared)),
             (Key::from("c"), Some(choice)),
         ],
-    );
+    };
+    store.write(changes, 1_000 * SECOND);
     smol::block_on(store.write_finished());
     assert!(store.is_idle() && store.persisted_serial() == 1);
     // The writing thread holds the file until everything is written.
--- a/crates/gateway/src/peer_store_file.rs
+++ b/crates/gateway/src/peer_store_file.rs
@@ -8,7 +8,7 @@
     Database, ReadOnlyTable, ReadTransaction, ReadableDatabase, ReadableTable, TableDefinition,
 };
 
-use crate::peers::RestoredState;
+use crate::peers::{RestoredState, StoreChanges};
 
 /// Name of the file in the store's folder.
 pub(crate) const FILE: &str = "group.redb";
@@ -48,15 +48,10 @@
     }
 }
 
-/// Records as they are now; absent ones were removed.
-pub(crate) type Changes = Vec<(Key, Option<Shared>)>;
-
-/// One batch with this process's incarnation and the wall time in microseconds.
+/// Changes to write, with the wall time in microseconds.
 pub(crate) struct WriteBatch {
-    pub(crate) turn: u64,
-    pub(crate) serial: u64,
+    pub(crate) changes: StoreChanges,
     pub(crate) wall: Micros,
-    pub(crate) records: Changes,
 }
 
 impl From<redb::Error> for SetAsideCause {
@@ -97,9 +92,12 @@
     if read_number(&metadata, "group")? != Some(identity) {
         return Err(SetAsideCause::Foreign);
     }
-    let turn = read_number(&metadata, "turn")?.unwrap_or(0);
+    let incarnation = read_number(&metadata, "turn")?.unwrap_or(0);
     let records = read_records(&snapshot, wall, retention)?;
-    Ok(RestoredState { turn, records })
+    Ok(RestoredState {
+        incarnation,
+        records,
+    })
 }
 
 fn read_number(
@@ -156,9 +154,11 @@
 pub(crate) fn write_batch(database: &Database, batch: &WriteBatch) -> Result<(), redb::Error> {
     let write = database.begin_write()?;
     {
-        write.open_table(METADATA)?.insert("turn", batch.turn)?;
+        write
+            .open_table(METADATA)?
+            .insert("turn", batch.changes.incarnation)?;
         let mut records = write.open_table(RECORDS)?;
-        for (key, shared) in &batch.records {
+        for (key, shared) in &batch.changes.records {
             match shared {
                 None => {
                     records.remove(&**key)?;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -89,11 +89,21 @@
 #[derive(Default)]
 pub struct RestoredState {
     /// Incarnation of the process that wrote it.
-    pub turn: u64,
+    pub incarnation: u64,
     /// The shared records by key.
     pub records: Vec<(replica::Key, replica::Shared)>,
 }
 
+/// Changes of the shared records, for the store.
+pub struct StoreChanges {
+    /// Incarnation of this process.
+    pub incarnation: u64,
+    /// Serial of these changes, above those of all earlier ones.
+    pub serial: u64,
+    /// Records as they are now; absent ones were removed.
+    pub records: Vec<(replica::Key, Option<replica::Shared>)>,
+}
+
 impl Peers {
     /// `nonce`: unique for this process; `disabled_guard`: only in tests of the auditor, see
     /// `cedarpulley-replica`.
@@ -114,7 +124,8 @@
         };
         let believed = Believed::new(now, group.len(), settings.belief_delay);
         let was_restored = restored.is_some();
-        let (incarnation, records) = restored.map_or((0, None), |r| (r.turn, Some(r.records)));
+        let (incarnation, records) =
+            restored.map_or((0, None), |r| (r.incarnation, Some(r.records)));
         let limits = settings.membership_terms(context.seed);
         let membership = Membership::new(now, group.clone(), limits, nonce, incarnation);
         let limits = settings.replica_terms(context.seed, disabled_guard);
@@ -154,8 +165,7 @@
         self.apply_replica_outputs(outputs);
     }
 
-    fn handle_membership(&self, input: membership::Input) {
-        let now = self.context.clock.now();
+    fn handle_membership(&self, now: Micros, input: membership::Input) {
         let mut outputs = Vec::new();
         self.state
             .borrow_mut()
@@ -166,7 +176,7 @@
 
     /// Handles everything that has become due.
     pub fn tick(&self) {
-        self.handle_membership(membership::Input::Tick);
+        self.handle_membership(self.context.clock.now(), membership::Input::Tick);
         self.apply_replica(replica::Input::Tick);
     }
 
@@ -190,11 +200,12 @@
         for message in envelope.messages {
             match postcard::from_bytes::<PeerMessage>(&message) {
                 Ok(PeerMessage::Membership(message)) => {
-                    self.handle_membership(membership::Input::Heard {
+                    let input = membership::Input::Heard {
                         from,
                         process,
                         message,
-                    });
+                    };
+                    self.handle_membership(now, input);
                 }
                 Ok(PeerMessage::Replica(message)) => self.apply_replica(replica::Input::Heard {
                     from,
@@ -206,10 +217,8 @@
             }
         }
         let replies = self.state.borrow_mut().replies.take();
-        Ok(self.envelope(
-            from,
-            replies.map(|(_, messages)| messages).unwrap_or_default(),
-        ))
+        let messages = replies.map(|(_, messages)| messages).unwrap_or_default();
+        Ok(self.envelope(from, messages))
     }
 
     /// Decodes an envelope, with the longest time that it can have been under way (microseconds); collects the
@@ -390,12 +399,15 @@
             .collect()
     }
 
-    /// Changes since the last call, for the store: the incarnation of this process, the serial of the
-    /// changes, and the records (absent ones were removed).
-    pub fn changes(&self) -> (u64, u64, Vec<(replica::Key, Option<replica::Shared>)>) {
+    /// Changes since the last call.
+    pub fn changes(&self) -> StoreChanges {
         let mut state = self.state.borrow_mut();
-        let (serial, changes) = state.replica.changes(self.context.clock.now());
-        (state.membership.me().turn, serial, changes)
+        let (serial, records) = state.replica.changes(self.context.clock.now());
+        StoreChanges {
+            incarnation: state.membership.me().turn,
+            serial,
+            records,
+        }
     }
 
     /// A vote waits for changes that have not been fetched with [`Peers::changes`].
--- a/crates/gateway/src/trace_recorder.rs
+++ b/crates/gateway/src/trace_recorder.rs
@@ -20,6 +20,8 @@
 use cedarpulley_trace::start::Start;
 use cedarpulley_trace::writer::{Note, Own, Row, run};
 
+use crate::file_names::file_name_of;
+
 /// Blocks of some 128 KB that may wait for the writer.
 const MAX_QUEUED_BLOCKS: usize = 32;
 /// A block is closed at this age, so that a killed router loses little. In microseconds.
@@ -62,11 +64,7 @@
         start: Start,
     ) -> std::io::Result<TraceRecorder> {
         std::fs::create_dir_all(&settings.folder)?;
-        let name: String = name
-            .chars()
-            .map(|c| if c.is_ascii_alphanumeric() { c } else { '_' })
-            .take(64)
-            .collect();
+        let name = file_name_of(name);
         let own = Own::take(&settings.folder, &name)?;
         if own.name != name {
             tracing::warn!(
@@ -81,7 +79,7 @@
             run: (start.wall_at_zero / 1000) as u64,
         };
         let (notes, received) = sync_channel(MAX_QUEUED_BLOCKS);
-        let log_failure = |why: &str| tracing::error!(why, "the trace was not written");
+        let log_failure = |why: &str| tracing::error!(why, "the trace cannot be written");
         let writer = std::thread::Builder::new()
             .name("trace".into())
             .spawn(move || run(row, start, settings.bounds, received, log_failure))?;
@@ -104,14 +102,14 @@
     /// Writes what is left; false if the writer failed or was not done in time: a disk that hangs must not
     /// keep a router from ending.
     pub fn close(&self) -> bool {
-        let mut inner = self.0.borrow_mut();
+        let mut state = self.0.borrow_mut();
         let deadline = Instant::now() + CLOSE_TIMEOUT;
         let mut pending = vec![Note::End];
-        if !inner.block.is_empty() {
-            pending.push(Note::Block(inner.now, inner.block.close()));
+        if !state.block.is_empty() {
+            pending.push(Note::Block(state.now, state.block.close()));
         }
         while let Some(note) = pending.pop() {
-            match inner.notes.try_send(note) {
+            match state.notes.try_send(note) {
                 Ok(()) => {}
                 Err(TrySendError::Full(note)) if Instant::now() < deadline => {
                     pending.push(note);
@@ -120,7 +118,7 @@
                 Err(_) => return false,
             }
         }
-        let Some(writer) = inner.writer.take() else {
+        let Some(writer) = state.writer.take() else {
             return true;
         };
         while !writer.is_finished() {
@@ -177,18 +175,18 @@
 
 impl Watch for TraceRecorder {
     fn decided(&mut self, now: Micros, event: &Event, actions: &[Action], names: Names) {
-        let mut inner = self.0.borrow_mut();
-        inner.prepare(now);
+        let mut state = self.0.borrow_mut();
+        state.prepare(now);
         event_uses(event, actions, &mut |space, index| {
             let name = match space {
                 Space::Function => names.function(index),
                 Space::Worker => names.worker(index),
             };
             if let Some(name) = name {
-                inner.block.name(now, space, index, name);
+                state.block.name(now, space, index, name);
             }
         });
-        inner.block.decided(now, event, actions);
+        state.block.decided(now, event, actions);
     }
 
     fn taken(
@@ -199,10 +197,10 @@
         mark: Option<&str>,
         redelivered: bool,
     ) {
-        let mut inner = self.0.borrow_mut();
-        inner.prepare(now);
+        let mut state = self.0.borrow_mut();
+        state.prepare(now);
         let mark = mark.map(fingerprint);
-        inner.block.record(
+        state.block.record(
             now,
             &Record::Taken {
                 inv,
@@ -214,8 +212,8 @@
     }
 
     fn answered(&mut self, now: Micros, given: Given) {
-        let mut inner = self.0.borrow_mut();
-        inner.prepare(now);
+        let mut state = self.0.borrow_mut();
+        state.prepare(now);
         let Given {
             inv,
             front,
@@ -225,7 +223,7 @@
             account,
             took,
         } = given;
-        inner.block.record(
+        state.block.record(
             now,
             &Record::Answered {
                 inv,
@@ -247,9 +245,9 @@
         account: u32,
         why: Short,
     ) {
-        let mut inner = self.0.borrow_mut();
-        inner.prepare(now);
-        inner.block.record(
+        let mut state = self.0.borrow_mut();
+        state.prepare(now);
+        state.block.record(
             now,
             &Record::TurnedAway {
                 front,
--- a/crates/gateway/tests/peer_envelope_bytes.rs
+++ b/crates/gateway/tests/peer_envelope_bytes.rs
@@ -250,7 +250,7 @@
         proves_left: None,
     };
     RestoredState {
-        turn: 1,
+        incarnation: 1,
         records: vec![(Key::from("k"), shared)],
     }
 }
--- a/crates/gateway/tests/peer_store_bytes.rs
+++ b/crates/gateway/tests/peer_store_bytes.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
 use cedarpulley_gateway::peer_store::{PeerStore, StoreError};
-use cedarpulley_gateway::peers::RestoredState;
+use cedarpulley_gateway::peers::{RestoredState, StoreChanges};
 use cedarpulley_replica::record::Choice;
 use cedarpulley_replica::store::Origin;
 use cedarpulley_replica::{Answered, Ballot, Effect, Key, Note, Record, Sending, Sent, Shared};
@@ -137,7 +137,12 @@
     let (store, restored) = open(folder, WALL);
     assert!(restored.is_none());
     let records = records().into_iter().map(|(key, s)| (key, Some(s)));
-    store.write(41, 1, WALL, records.collect());
+    let changes = StoreChanges {
+        incarnation: 41,
+        serial: 1,
+        records: records.collect(),
+    };
+    store.write(changes, WALL);
     smol::block_on(store.write_finished());
     assert_eq!(store.persisted_serial(), 1);
     drop(store);
@@ -200,7 +205,7 @@
         .iter()
         .map(|(k, s)| (k.clone(), later(s)))
         .collect();
-    assert_eq!((restored.turn, restored.records), (41, expected));
+    assert_eq!((restored.incarnation, restored.records), (41, expected));
 }
 
 #[test]
--- a/crates/gateway/tests/state_names.rs
+++ b/crates/gateway/tests/state_names.rs
@@ -119,7 +119,7 @@
         (format!("key-{n}").into(), shared)
     };
     RestoredState {
-        turn: 1,
+        incarnation: 1,
         records: records().into_iter().enumerate().map(shared).collect(),
     }
 }
