--- a/crates/gateway/src/peer_envelopes.rs
+++ b/crates/gateway/src/peer_envelopes.rs
@@ -11,24 +11,24 @@
 use serde_json::Value;
 
 use crate::peer_messages::Envelope;
-use crate::unknown_members::{Refusal, RefusalCause, UnknownMembers};
+use crate::rejected_envelopes::{RejectedEnvelopes, Rejection, RejectionCause};
 
 /// Assumed transit time of a member's message while nothing bounds it: long before any router began. In
 /// microseconds.
 const UNKNOWN_TRANSIT: Micros = Micros::MAX / 4;
 
-/// Envelopes received and those refused, by cause. The names are those of the state endpoint.
+/// Envelopes received and those rejected, by cause. The names are those of the state endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Counts {
-    /// All that were received, refused ones included.
+pub struct EnvelopeCounts {
+    /// All that were received, rejected ones included.
     pub envelopes: u64,
-    /// Refused: of another protocol version.
+    /// Rejected: of another protocol version.
     pub other_version: u64,
-    /// Refused: of another group, or of one with other members configured.
+    /// Rejected: of another group, or of one with other members configured.
     pub other_group: u64,
-    /// Refused: for another member, or from none.
+    /// Rejected: for another member, or from none.
     pub other_member: u64,
-    /// Refused as they could not be decoded; and single messages that could not.
+    /// Rejected as they could not be decoded; and single messages that could not.
     pub unreadable: u64,
     /// Answers stored by another member that could not be decoded here.
     pub unreadable_answers: u64,
@@ -45,9 +45,9 @@
 
 impl EnvelopeReceiver {
     /// Decodes an envelope that is of this group and for this member.
-    fn decode(&self, bytes: &[u8]) -> Result<Envelope, Refusal> {
-        let unidentified = Refusal {
-            why: RefusalCause::Unreadable,
+    fn decode(&self, bytes: &[u8]) -> Result<Envelope, Rejection> {
+        let unidentified = Rejection {
+            cause: RejectionCause::Unreadable,
             version: None,
             from: None,
             address: None,
@@ -62,15 +62,15 @@
             .filter(|e| e.group == self.group)
             .filter(|e| e.from != self.own_index && (e.from as usize) < self.members)
             .map(|e| (e.from, e.process.nonce));
-        let why = match &envelope {
-            _ if version != replica::VERSION => RefusalCause::Version,
-            None => RefusalCause::Unreadable,
-            Some(e) if e.group != self.group => RefusalCause::Group,
-            Some(e) if e.to != self.own_index || from.is_none() => RefusalCause::Member,
+        let cause = match &envelope {
+            _ if version != replica::VERSION => RejectionCause::Version,
+            None => RejectionCause::Unreadable,
+            Some(e) if e.group != self.group => RejectionCause::Group,
+            Some(e) if e.to != self.own_index || from.is_none() => RejectionCause::Member,
             Some(_) => return envelope.ok_or(unidentified),
         };
-        Err(Refusal {
-            why,
+        Err(Rejection {
+            cause,
             version: Some(version),
             from,
             address: None,
@@ -94,8 +94,8 @@
     nonce: u64,
     /// By member.
     clocks: Vec<PeerClock>,
-    counts: Counts,
-    unknown_members: UnknownMembers,
+    counts: EnvelopeCounts,
+    rejected: RejectedEnvelopes,
 }
 
 impl EnvelopeExchange {
@@ -103,31 +103,38 @@
     pub(crate) fn new(receiver: EnvelopeReceiver, nonce: u64) -> Self {
         EnvelopeExchange {
             clocks: vec![PeerClock::default(); receiver.members],
-            unknown_members: UnknownMembers::new(receiver.members),
+            rejected: RejectedEnvelopes::new(receiver.members),
             receiver,
             nonce,
-            counts: Counts::default(),
+            counts: EnvelopeCounts::default(),
         }
     }
 
     /// Decodes an envelope received from `address`, with the longest time that it can have been under way
-    /// (microseconds). One of another version, group or receiver is counted, logged and refused.
+    /// (microseconds). One of another version, group or receiver is counted, logged and rejected.
     pub(crate) fn accept<'a>(
         &mut self,
         now: Micros,
         address: Option<IpAddr>,
         bytes: &[u8],
         name_of: impl Fn(MemberIndex) -> &'a str,
-    ) -> Result<(Envelope, Micros), RefusalCause> {
+    ) -> Result<(Envelope, Micros), RejectionCause> {
         self.counts.envelopes += 1;
         let envelope = match self.receiver.decode(bytes) {
             Ok(envelope) => envelope,
-            Err(refusal) => {
-                self.record_refusal(now, Refusal { address, ..refusal }, name_of);
-                return Err(refusal.why);
+            Err(rejection) => {
+                self.record_rejection(
+                    now,
+                    Rejection {
+                        address,
+                        ..rejection
+                    },
+                    name_of,
+                );
+                return Err(rejection.cause);
             }
         };
-        self.unknown_members.accepted(envelope.from);
+        self.rejected.accepted(envelope.from);
         self.clocks[envelope.from as usize] = PeerClock {
             reading: envelope.clock,
             nonce: envelope.process.nonce,
@@ -140,23 +147,23 @@
         Ok((envelope, transit))
     }
 
-    fn record_refusal<'a>(
+    fn record_rejection<'a>(
         &mut self,
         now: Micros,
-        refusal: Refusal,
+        rejection: Rejection,
         name_of: impl Fn(MemberIndex) -> &'a str,
     ) {
-        *match refusal.why {
-            RefusalCause::Version => &mut self.counts.other_version,
-            RefusalCause::Group => &mut self.counts.other_group,
-            RefusalCause::Member => &mut self.counts.other_member,
-            RefusalCause::Unreadable => &mut self.counts.unreadable,
+        *match rejection.cause {
+            RejectionCause::Version => &mut self.counts.other_version,
+            RejectionCause::Group => &mut self.counts.other_group,
+            RejectionCause::Member => &mut self.counts.other_member,
+            RejectionCause::Unreadable => &mut self.counts.unreadable,
         } += 1;
-        if self.unknown_members.record(now, refusal) {
-            let member = refusal.from.map(|(member, _)| name_of(member));
-            let (version, address) = (refusal.version, refusal.address.map(|a| a.to_string()));
-            let cause = refusal.why.line();
-            tracing::warn!(member, version, address, cause, "group: envelope refused");
+        if self.rejected.record(now, rejection) {
+            let member = rejection.from.map(|(member, _)| name_of(member));
+            let (version, address) = (rejection.version, rejection.address.map(|a| a.to_string()));
+            let cause = rejection.cause.line();
+            tracing::warn!(member, version, address, cause, "group: envelope rejected");
         }
     }
 
@@ -190,12 +197,12 @@
         self.counts.unreadable_answers += 1;
     }
 
-    pub(crate) fn counts(&self) -> &Counts {
+    pub(crate) fn counts(&self) -> &EnvelopeCounts {
         &self.counts
     }
 
-    /// Refused envelopes in the name of this member or, without one, of all senders that cannot be identified.
-    pub(crate) fn refusals(&self, now: Micros, member: Option<MemberIndex>) -> Value {
-        self.unknown_members.state(now, member)
+    /// Rejected envelopes in the name of this member or, without one, of all senders that cannot be identified.
+    pub(crate) fn rejections(&self, now: Micros, member: Option<MemberIndex>) -> Value {
+        self.rejected.state(now, member)
     }
 }
--- a/crates/gateway/src/peer_transport.rs
+++ b/crates/gateway/src/peer_transport.rs
@@ -33,8 +33,8 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
 use crate::peers::{Peers, SendOptions, Transport};
+use crate::rejected_envelopes::RejectionCause;
 use crate::state_endpoint;
-use crate::unknown_members::RefusalCause;
 
 /// Bytes that may wait in one queue.
 const MAX_QUEUED_BYTES: usize = 4 << 20;
@@ -241,7 +241,7 @@
     /// Processes the envelope in a response; what follows from it goes into the queue of the request.
     fn receive_response(&self, peers: &Peers, to: MemberIndex, queue: &SendQueue, body: &[u8]) {
         let from = Some(self.addresses[to as usize].ip());
-        // Refused envelopes are counted and logged by `Peers`.
+        // Rejected envelopes are counted and logged by `Peers`.
         if let Ok(replies) = peers.receive(from, body) {
             for message in replies.messages {
                 queue.enqueue(message, false);
@@ -325,10 +325,10 @@
             {
                 Ok(Ok(answer)) => reply(StatusCode::OK, "application/octet-stream", answer),
                 Ok(Err(_)) => reply(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", ""),
-                Err(RefusalCause::Unreadable) => reply(
+                Err(RejectionCause::Unreadable) => reply(
                     StatusCode::BAD_REQUEST,
                     "text/plain",
-                    RefusalCause::Unreadable.to_string(),
+                    RejectionCause::Unreadable.to_string(),
                 ),
                 Err(cause) => reply(StatusCode::FORBIDDEN, "text/plain", cause.to_string()),
             }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -18,13 +18,13 @@
 use smol::channel::{Receiver, Sender};
 
 use crate::context::GatewayContext;
-pub use crate::peer_envelopes::Counts;
+pub use crate::peer_envelopes::EnvelopeCounts;
 use crate::peer_envelopes::{EnvelopeExchange, EnvelopeReceiver};
 use crate::peer_events::{EventListener, NotificationQueue, PeerEvent};
 use crate::peer_messages::{Envelope, PeerMessage};
 use crate::peer_requests::{dispatch_permission, ownership_verdict, replica_input};
 use crate::peer_settings::PeerSettings;
-use crate::unknown_members::RefusalCause;
+use crate::rejected_envelopes::RejectionCause;
 
 /// Sends messages to other members. It must not block.
 pub trait Transport {
@@ -51,8 +51,8 @@
     pub believed: &'a Believed,
     /// The shared records.
     pub replica: &'a Replica,
-    /// Envelopes received and refused.
-    pub counts: &'a Counts,
+    /// Envelopes received and rejected.
+    pub counts: &'a EnvelopeCounts,
     /// This process was started from a store that was older than what other members knew.
     pub store_was_older: bool,
 }
@@ -186,8 +186,12 @@
     }
 
     /// Processes an encoded envelope received from `address`; returns the envelope to reply with. One of
-    /// another version, group or receiver is counted, logged and refused.
-    pub fn receive(&self, address: Option<IpAddr>, bytes: &[u8]) -> Result<Envelope, RefusalCause> {
+    /// another version, group or receiver is counted, logged and rejected.
+    pub fn receive(
+        &self,
+        address: Option<IpAddr>,
+        bytes: &[u8],
+    ) -> Result<Envelope, RejectionCause> {
         let now = self.context.clock.now();
         let (envelope, transit) = self.accept(now, address, bytes)?;
         let (from, process) = (envelope.from, envelope.process);
@@ -228,7 +232,7 @@
         now: Micros,
         address: Option<IpAddr>,
         bytes: &[u8],
-    ) -> Result<(Envelope, Micros), RefusalCause> {
+    ) -> Result<(Envelope, Micros), RejectionCause> {
         let mut state = self.state.borrow_mut();
         let State {
             membership,
@@ -421,11 +425,11 @@
         let _ = self.write_request.1.recv().await;
     }
 
-    /// Refused envelopes in the name of this member or, without one, of all senders that cannot be
+    /// Rejected envelopes in the name of this member or, without one, of all senders that cannot be
     /// identified. JSON null if there are none.
-    pub fn refusals(&self, member: Option<MemberIndex>) -> serde_json::Value {
+    pub fn rejections(&self, member: Option<MemberIndex>) -> serde_json::Value {
         let now = self.context.clock.now();
-        self.state.borrow().envelopes.refusals(now, member)
+        self.state.borrow().envelopes.rejections(now, member)
     }
 
     /// Gives access to the state for reading.
--- a/crates/gateway/src/unknown_members.rs
+++ b/crates/gateway/src/rejected_envelopes.rs
@@ -1,12 +1,12 @@
-//! Keeps track of refused envelopes, by the member that the sender claims to be; senders that cannot be
-//! identified share one entry. Free of I/O: a refusal goes in with its time, and whether to log it comes out.
+//! Keeps track of rejected envelopes, by the member that the sender claims to be; senders that cannot be
+//! identified share one entry. Free of I/O: a rejection goes in with its time, and whether to log it comes out.
 //!
 //! Mechanisms:
-//! 1. Each process and cause is logged once: members of an earlier build are refused many times a second, and
+//! 1. Each process and cause is logged once: members of an earlier build are rejected many times a second, and
 //!    must be named in the log without filling it.
 //! 2. Two processes under one name share an entry; a different one is logged only `LOG_INTERVAL` after the
 //!    last log line.
-//! 3. Once an envelope of the member is accepted, it is no longer shown as refused.
+//! 3. Once an envelope of the member is accepted, it is no longer shown as rejected.
 
 use std::net::IpAddr;
 
@@ -15,9 +15,9 @@
 use cedarpulley_membership::MemberIndex;
 use serde_json::{Value, json};
 
-/// Why an envelope was refused.
+/// Why an envelope was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RefusalCause {
+pub enum RejectionCause {
     /// The sender speaks another version of the protocol.
     #[error("a member speaks another version")]
     Version,
@@ -32,15 +32,15 @@
     Unreadable,
 }
 
-impl Remedy for RefusalCause {
+impl Remedy for RejectionCause {
     fn remedy(&self) -> &'static str {
         match self {
-            RefusalCause::Version => "run one build in all routers of the group",
-            RefusalCause::Group => "give all routers of the group the same [[peers.member]] list",
-            RefusalCause::Member => {
+            RejectionCause::Version => "run one build in all routers of the group",
+            RejectionCause::Group => "give all routers of the group the same [[peers.member]] list",
+            RejectionCause::Member => {
                 "see that each member's address in the settings leads to that member"
             }
-            RefusalCause::Unreadable => "see what else connects to peers.listen",
+            RejectionCause::Unreadable => "see what else connects to peers.listen",
         }
     }
 }
@@ -49,11 +49,11 @@
 /// both, and the log is not filled.
 pub const LOG_INTERVAL: Micros = 10_000_000;
 
-/// What is known of a refused envelope.
+/// What is known of a rejected envelope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// The cause.
-    pub why: RefusalCause,
+    pub cause: RejectionCause,
     /// Wire version that it states, if any.
     pub version: Option<u16>,
     /// Its sender, if known: the member that it claims to be, and its process.
@@ -62,28 +62,28 @@
     pub address: Option<IpAddr>,
 }
 
-/// The last refusal of one entry.
-struct RefusalRecord {
-    last: Refusal,
+/// The last rejection of one entry.
+struct RejectionRecord {
+    last: Rejection,
     at: Micros,
     times: u64,
     /// No envelope of it has been accepted since.
     is_active: bool,
     /// Cause and process that were logged last.
-    logged: (RefusalCause, u64),
+    logged: (RejectionCause, u64),
     logged_at: Micros,
 }
 
-/// The refusals of each member, and of all senders that cannot be identified.
-pub struct UnknownMembers {
+/// The rejections of each member, and of all senders that cannot be identified.
+pub struct RejectedEnvelopes {
     /// By member; the last entry is for all senders that cannot be identified.
-    records: Vec<Option<RefusalRecord>>,
+    records: Vec<Option<RejectionRecord>>,
 }
 
-impl UnknownMembers {
+impl RejectedEnvelopes {
     /// `members`: how many the group has.
     pub fn new(members: usize) -> Self {
-        UnknownMembers {
+        RejectedEnvelopes {
             records: (0..=members).map(|_| None).collect(),
         }
     }
@@ -93,11 +93,11 @@
         from.map_or(others, |(m, _)| (m as usize).min(others))
     }
 
-    /// Records a refusal at `now` (microseconds); true if it is to be logged.
-    pub fn record(&mut self, now: Micros, last: Refusal) -> bool {
+    /// Records a rejection at `now` (microseconds); true if it is to be logged.
+    pub fn record(&mut self, now: Micros, last: Rejection) -> bool {
         let (index, logged) = (
             self.index(last.from),
-            (last.why, last.from.map_or(0, |f| f.1)),
+            (last.cause, last.from.map_or(0, |f| f.1)),
         );
         let record = &mut self.records[index];
         let (should_log, times) = match record {
@@ -111,7 +111,7 @@
             Some(previous) if !should_log => (previous.logged, previous.logged_at),
             _ => (logged, now),
         };
-        *record = Some(RefusalRecord {
+        *record = Some(RejectionRecord {
             last,
             at: now,
             times: times + 1,
@@ -129,8 +129,8 @@
         }
     }
 
-    /// For the state endpoint: the refusals of a member or, without one, of all unidentified senders; null
-    /// where nobody is refused.
+    /// For the state endpoint: the rejections of a member or, without one, of all unidentified senders; null
+    /// where nobody is rejected.
     pub fn state(&self, now: Micros, member: Option<MemberIndex>) -> Value {
         let record = &self.records[self.index(member.map(|m| (m, 0)))];
         let Some(record) = record.as_ref().filter(|record| record.is_active) else {
@@ -138,7 +138,7 @@
         };
         let last = &record.last;
         json!({
-            "why": last.why.to_string(), "do": last.why.remedy(), "version": last.version,
+            "why": last.cause.to_string(), "do": last.cause.remedy(), "version": last.version,
             "address": last.address, "times": record.times, "us_ago": now - record.at,
         })
     }
--- a/crates/gateway/src/state_endpoint.rs
+++ b/crates/gateway/src/state_endpoint.rs
@@ -123,7 +123,7 @@
                 "standing": liveness_name(known.standing), "why": known.why, "for_us": now - known.since,
                 "turn": known.process.turn, "process": format!("{:016x}", known.process.nonce),
                 "heard_us_ago": known.heard.map(|at| now - at), "believed_alive": believed.is_alive(m),
-                "refused": peers.refusals(Some(m)),
+                "refused": peers.rejections(Some(m)),
             })
         };
         let RecordCounts { by_stage, open } = count_records(&group.members, replica);
@@ -138,7 +138,7 @@
             "folder_was_older": store_was_older,
             "view": {"version": membership.version(), "believed": believed.version()},
             "members": (0..group.len() as MemberIndex).map(member).collect::<Vec<_>>(),
-            "strangers": peers.refusals(None),
+            "strangers": peers.rejections(None),
             "majority_alive": group.is_majority((0..group.len() as MemberIndex).filter(|m| membership.lives(*m))),
             "records": by_stage,
             "open": open,
--- a/crates/gateway/tests/unknown_members.rs
+++ b/crates/gateway/tests/unknown_members.rs
@@ -7,7 +7,9 @@
 use cedarpulley_gateway::context::GatewayContext;
 use cedarpulley_gateway::peer_transport::TransportCounts;
 use cedarpulley_gateway::peers::{Peers, SendOptions, Transport};
-use cedarpulley_gateway::unknown_members::{LOG_INTERVAL, Refusal, RefusalCause, UnknownMembers};
+use cedarpulley_gateway::rejected_envelopes::{
+    LOG_INTERVAL, RejectedEnvelopes, Rejection, RejectionCause,
+};
 use cedarpulley_gateway::{settings, state_endpoint};
 use cedarpulley_net::Clock;
 
@@ -59,9 +61,9 @@
     let state = || state_endpoint::state(&here, TransportCounts::default());
     // Of an envelope in another version's form, nothing more than its version can be known.
     for (said, why) in [
-        (&other[..], RefusalCause::Version),
-        (&other[..1], RefusalCause::Version),
-        (&bytes[..9], RefusalCause::Unreadable),
+        (&other[..], RejectionCause::Version),
+        (&other[..1], RejectionCause::Version),
+        (&bytes[..9], RejectionCause::Unreadable),
     ] {
         assert_eq!(here.receive(None, said).err(), Some(why));
     }
@@ -88,24 +90,24 @@
 
 #[test]
 fn refusals_are_logged_once_a_process_and_cause_and_rate_limited_for_two_under_one_name() {
-    let mut members = UnknownMembers::new(3);
-    let of = |why, process| Refusal {
-        why,
+    let mut members = RejectedEnvelopes::new(3);
+    let of = |cause, process| Rejection {
+        cause,
         version: Some(1),
         from: Some((1, process)),
         address: None,
     };
-    let mut logged = |now, why, process| members.record(now, of(why, process));
-    assert!(logged(0, RefusalCause::Version, 7));
+    let mut logged = |now, cause, process| members.record(now, of(cause, process));
+    assert!(logged(0, RejectionCause::Version, 7));
     // Once, however long it continues.
-    assert!((1..1000).all(|n| !logged(n * LOG_INTERVAL, RefusalCause::Version, 7)));
-    assert!(logged(1000 * LOG_INTERVAL, RefusalCause::Version, 8));
+    assert!((1..1000).all(|n| !logged(n * LOG_INTERVAL, RejectionCause::Version, 7)));
+    assert!(logged(1000 * LOG_INTERVAL, RejectionCause::Version, 8));
     assert!((1..1000).all(|n| !logged(
         1000 * LOG_INTERVAL + n,
-        RefusalCause::Version,
+        RejectionCause::Version,
         7 + n as u64 % 2
     )));
-    assert!(logged(1001 * LOG_INTERVAL, RefusalCause::Group, 8));
+    assert!(logged(1001 * LOG_INTERVAL, RejectionCause::Group, 8));
     assert_eq!(
         (
             members.state(0, Some(1))["times"].as_u64(),
