--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -44,9 +44,8 @@
     /// Completions recorded while the core was running.
     completed: RefCell<VecDeque<sessions::Input>>,
     workers: ListedWorkers,
-    /// From a worker's local name to the id that all members know it by, and back: routers may reach a worker
-    /// at different addresses.
-    worker_ids: RefCell<Option<(WorkerNameLookup, WorkerNameLookup)>>,
+    /// Absent where each worker's name is its id.
+    worker_ids: RefCell<Option<WorkerIds>>,
     /// Whether this router has recently used copies of a function at a worker that still exist as far as is
     /// known.
     recently_used: RefCell<Option<RecentUseCheck>>,
@@ -58,6 +57,13 @@
 /// From one name of a worker to the other; absent for an unknown worker.
 pub type WorkerNameLookup = Box<dyn Fn(&str) -> Option<Name>>;
 
+/// From a worker's local name to the id that all members know it by, and back: routers may reach a worker at different
+/// addresses.
+struct WorkerIds {
+    id_of: WorkerNameLookup,
+    worker_of: WorkerNameLookup,
+}
+
 fn hash_of(value: impl std::hash::Hash) -> u64 {
     BuildHasherDefault::<DefaultHasher>::default().hash_one(value)
 }
@@ -111,8 +117,8 @@
     }
 
     /// The lookups from a worker's local name to its id, and back.
-    pub fn set_worker_ids(&self, id: WorkerNameLookup, worker: WorkerNameLookup) {
-        *self.worker_ids.borrow_mut() = Some((id, worker));
+    pub fn set_worker_ids(&self, id_of: WorkerNameLookup, worker_of: WorkerNameLookup) {
+        *self.worker_ids.borrow_mut() = Some(WorkerIds { id_of, worker_of });
     }
 
     /// Sets the check for recent use of a copy.
@@ -120,18 +126,17 @@
         *self.recently_used.borrow_mut() = Some(used);
     }
 
+    /// The id that all members know a worker by.
     fn id(&self, worker: &str) -> Name {
-        let id = self
-            .worker_ids
-            .borrow()
-            .as_ref()
-            .and_then(|(id, _)| id(worker));
+        let ids = self.worker_ids.borrow();
+        let id = ids.as_ref().and_then(|ids| (ids.id_of)(worker));
         id.unwrap_or_else(|| Name::from(worker))
     }
 
+    /// The local name of the worker with this id.
     fn worker(&self, id: Name) -> Option<Name> {
         match &*self.worker_ids.borrow() {
-            Some((_, worker)) => worker(&id),
+            Some(ids) => (ids.worker_of)(&id),
             None => Some(id),
         }
     }
@@ -139,17 +144,17 @@
     /// The input to hand to the core now, if any; a request that has to wait is forwarded later.
     pub fn filter(&self, input: Input) -> Option<Input> {
         match &input {
-            Input::Departed(delivery) => self.drop_waiting(|d| d == *delivery),
+            Input::Departed(delivery) => self.drop_waiting(|waiting| waiting == *delivery),
             Input::Front {
                 front,
                 state: FrontState::Down,
-            } => self.drop_waiting(|d| d.front == *front),
+            } => self.drop_waiting(|waiting| waiting.front == *front),
             Input::List { mode, workers } => self.update_workers(*mode, workers),
-            Input::Taken(taken) if taken.refused.is_none() => {
-                let Input::Taken(taken) = input else {
+            Input::Taken(request) if request.refused.is_none() => {
+                let Input::Taken(request) = input else {
                     return None;
                 };
-                return self.admit(taken).map(Input::Taken);
+                return self.admit(request).map(Input::Taken);
             }
             _ => {}
         }
@@ -193,8 +198,8 @@
     }
 
     /// A worker has lost the cached prefixes of these sessions.
-    pub fn prefix_lost(&self, worker: &str, of: &str, sessions: &[Arc<str>]) {
-        let model = Name::from(serving::model(of).0);
+    pub fn prefix_lost(&self, worker: &str, function: &str, sessions: &[Arc<str>]) {
+        let model = Name::from(serving::model(function).0);
         for session in sessions {
             let (model, worker, session) = (model.clone(), self.id(worker), session.clone());
             self.apply(sessions::Input::Lost {
@@ -205,7 +210,7 @@
         }
     }
 
-    /// Refuses requests that have waited too long, for as long as the router runs.
+    /// Rejects requests that have waited too long, for as long as the router runs.
     pub async fn run(self: Rc<Self>) {
         loop {
             self.alarm.rings(&self.context.clock).await;
@@ -224,29 +229,31 @@
     }
 
     /// Random, or derived from the identity of a request, so that a retry goes where the first attempt went.
-    fn draw(&self, taken: &Taken) -> u64 {
-        if let Some(identity) = taken.token.as_deref().or(taken.identity.as_deref()) {
-            return hash_of((taken.account, identity));
+    fn draw(&self, request: &Taken) -> u64 {
+        if let Some(identity) = request.token.as_deref().or(request.identity.as_deref()) {
+            return hash_of((request.account, identity));
         }
         self.draws.set(self.draws.get() + 1);
         hash_of((self.context.seed, self.draws.get()))
     }
 
-    fn admit(&self, mut taken: Taken) -> Option<Taken> {
-        let (model, version) = serving::model(&taken.function);
+    /// The request if it can go on at once; one of a session waits for a decision.
+    fn admit(&self, mut request: Taken) -> Option<Taken> {
+        let (model, version) = serving::model(&request.function);
         // A client that names a version gets that one.
         let upgrades = self.upgrades.as_ref().filter(|_| version.is_empty());
         if let Some(upgrades) = upgrades {
-            upgrades.record_invocation(model, taken.lanes, taken.copy_mb);
+            upgrades.record_invocation(model, request.lanes, request.copy_mb);
         }
-        let Some(session) = &taken.session else {
-            if let Some(function) = upgrades.and_then(|u| u.route(model, || self.draw(&taken))) {
-                taken.named = Some(std::mem::replace(&mut taken.function, function));
+        let Some(session) = &request.session else {
+            if let Some(function) = upgrades.and_then(|u| u.route(model, || self.draw(&request))) {
+                request.named = Some(std::mem::replace(&mut request.function, function));
             }
-            return Some(taken);
+            return Some(request);
         };
         let ticket = self.waiting.issue_ticket();
-        let proposes = upgrades.map(|u| u.propose_version(model, self.draw(&taken), session.start));
+        let proposes =
+            upgrades.map(|u| u.propose_version(model, self.draw(&request), session.start));
         let place_key = sessions::place_key(model, &session.id);
         let placed = self
             .shared
@@ -255,7 +262,8 @@
             .as_ref()
             .map(placement_of_note);
         let (model, session) = (Name::from(model), session.id.clone());
-        self.waiting.insert(ticket, taken, self.context.clock.now());
+        self.waiting
+            .insert(ticket, request, self.context.clock.now());
         self.apply(sessions::Input::Arrives {
             ticket,
             model,
@@ -275,33 +283,35 @@
             sessions.next_due()
         };
         self.alarm.set(due);
-        for output in outputs {
-            match output {
-                sessions::Output::Choose { key, version, kept } => {
-                    if let Some(shared) = &self.shared {
-                        shared.choose(key, Bytes::copy_from_slice(version.as_bytes()), kept);
-                    }
-                }
-                sessions::Output::Goes {
-                    ticket,
-                    version,
-                    prefers,
-                    anew,
-                } => {
-                    self.forward(ticket, version, prefers, anew);
-                }
-                sessions::Output::Refused { ticket, why } => {
-                    let reason = match why {
-                        Refused::NoMajority => Reason::NoMajority,
-                        Refused::Full => Reason::Size,
-                    };
-                    self.reject(ticket, reason);
+        outputs
+            .into_iter()
+            .for_each(|output| self.carry_out(output));
+    }
+
+    fn carry_out(&self, output: sessions::Output) {
+        match output {
+            sessions::Output::Choose { key, version, kept } => {
+                if let Some(shared) = &self.shared {
+                    shared.choose(key, Bytes::copy_from_slice(version.as_bytes()), kept);
                 }
-                sessions::Output::Place { key, placed, kept } => {
-                    if let Some(shared) = &self.shared {
-                        let value = Bytes::copy_from_slice(placed.worker.as_bytes());
-                        shared.note(key, (placed.number, 0), value, kept);
-                    }
+            }
+            sessions::Output::Goes {
+                ticket,
+                version,
+                prefers,
+                anew,
+            } => self.forward(ticket, version, prefers, anew),
+            sessions::Output::Refused { ticket, why } => {
+                let reason = match why {
+                    Refused::NoMajority => Reason::NoMajority,
+                    Refused::Full => Reason::Size,
+                };
+                self.reject(ticket, reason);
+            }
+            sessions::Output::Place { key, placed, kept } => {
+                if let Some(shared) = &self.shared {
+                    let value = Bytes::copy_from_slice(placed.worker.as_bytes());
+                    shared.note(key, (placed.number, 0), value, kept);
                 }
             }
         }
@@ -319,65 +329,68 @@
         self.waiting.release(ticket, self.context.clock.now())
     }
 
+    /// Hands a request on to the core. `version`: of its model, if bound to one; `prefers`: id of the worker that the
+    /// session prefers; `anew`: the session comes from another router.
     fn forward(&self, ticket: u64, version: Option<Name>, prefers: Option<Name>, anew: bool) {
-        let Some(mut taken) = self.release(ticket) else {
+        let Some(mut request) = self.release(ticket) else {
             return;
         };
-        taken.prefers = prefers.and_then(|id| self.worker(id));
+        request.prefers = prefers.and_then(|id| self.worker(id));
         if let Some(version) = version {
-            let model = taken.function.clone();
-            if self
-                .upgrades
-                .as_ref()
-                .is_some_and(|u| u.sessions_ended(&model, &version))
-            {
-                taken.refused = Some((Fate::Errored, Reason::SessionOver));
-            }
-            taken.named = Some(std::mem::replace(
-                &mut taken.function,
-                function(&model, &version),
-            ));
+            self.assign_version(&mut request, &version);
         }
         // Guards against a warm copy being passed over: the session comes from another router and this one
         // has not heard of the copy that served it; or the module has forgotten all about a function as its
-        // homes moved, and would use a new home.
-        let used = |worker: &Name| {
-            self.recently_used
-                .borrow()
-                .as_ref()
-                .is_some_and(|used| used(worker, &taken.function))
-        };
-        if let Some(worker) = taken.prefers.clone().filter(|w| anew || used(w)) {
+        // preferred workers changed, and would use another one.
+        let preferred = request.prefers.clone();
+        if let Some(worker) =
+            preferred.filter(|worker| anew || self.is_recently_used(worker, &request.function))
+        {
             (self.forward_to_core)(Input::Held {
                 worker,
-                function: taken.function.clone(),
+                function: request.function.clone(),
                 copies: 1,
             });
         }
-        (self.forward_to_core)(Input::Taken(taken));
+        (self.forward_to_core)(Input::Taken(request));
+    }
+
+    fn assign_version(&self, request: &mut Taken, version: &Name) {
+        let model = request.function.clone();
+        let upgrades = self.upgrades.as_ref();
+        if upgrades.is_some_and(|u| u.sessions_ended(&model, version)) {
+            request.refused = Some((Fate::Errored, Reason::SessionOver));
+        }
+        let function = function(&model, version);
+        request.named = Some(std::mem::replace(&mut request.function, function));
+    }
+
+    fn is_recently_used(&self, worker: &Name, function: &Name) -> bool {
+        let check = self.recently_used.borrow();
+        check.as_ref().is_some_and(|check| check(worker, function))
     }
 
     /// Nothing has been sent from here; for a redelivered message that is not known of its earlier delivery.
     fn reject(&self, ticket: u64, reason: Reason) {
-        let Some(mut taken) = self.release(ticket) else {
+        let Some(mut request) = self.release(ticket) else {
             return;
         };
-        let fate = if taken.redelivered {
+        let fate = if request.redelivered {
             Fate::Errored
         } else {
             Fate::Throttled
         };
-        taken.refused = Some((fate, reason));
-        (self.forward_to_core)(Input::Taken(taken));
+        request.refused = Some((fate, reason));
+        (self.forward_to_core)(Input::Taken(request));
     }
 
     /// Guards against taking a message twice: when a front is lost, its messages that wait here will be
     /// delivered again.
-    fn drop_waiting(&self, whose: impl Fn(Delivery) -> bool) {
+    fn drop_waiting(&self, matches: impl Fn(Delivery) -> bool) {
         if self.waiting.is_empty() {
             return;
         }
-        for ticket in self.waiting.tickets_of(whose) {
+        for ticket in self.waiting.tickets_of(matches) {
             self.waiting.remove(ticket);
             self.apply(sessions::Input::Leaves { ticket });
         }
