--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -330,7 +330,7 @@
     }
 
     /// Hands a request on to the core. `version`: of its model, if bound to one; `prefers`: id of the worker that the
-    /// session prefers; `anew`: the session comes from another router.
+    /// session prefers; `anew`: another router has reported that worker since the last request.
     fn forward(&self, ticket: u64, version: Option<Name>, prefers: Option<Name>, anew: bool) {
         let Some(mut request) = self.release(ticket) else {
             return;
--- a/crates/gateway/tests/peer_envelope_bytes.rs
+++ b/crates/gateway/tests/peer_envelope_bytes.rs
@@ -43,10 +43,10 @@
     fn send(&self, _: u16, _: Bytes, _: SendOptions) {}
 }
 
-type Heard = Rc<RefCell<Vec<Told>>>;
+type Notifications = Rc<RefCell<Vec<Told>>>;
 
-/// Member 0 of three, and what its core is told.
-fn peers(restored: Option<RestoredState>) -> (Peers, Heard) {
+/// Member 0 of three, and the notifications to its core.
+fn peers(restored: Option<RestoredState>) -> (Peers, Notifications) {
     let members = ["r0", "r1", "r2"]
         .map(|m| format!("[[peers.member]]\nname = {m:?}\naddress = \"127.0.0.1:7101\"\n"));
     let text = format!(
@@ -56,8 +56,8 @@
         members.concat()
     );
     let parts = settings::read("router.toml", &text, false).unwrap_or_else(|e| panic!("{e}"));
-    let heard = Heard::default();
-    let told = heard.clone();
+    let notifications = Notifications::default();
+    let received = notifications.clone();
     let context = GatewayContext {
         clock: Clock::start(),
         executor: Rc::default(),
@@ -69,14 +69,14 @@
         malformed_inputs: Cell::new(0),
         core_input: Box::new(move |input| {
             if let Input::Group(message) = input {
-                told.borrow_mut().push(message);
+                received.borrow_mut().push(message);
             }
         }),
     };
     let settings = parts.peers.expect("peers");
     let transport = Box::new(Nowhere);
     let peers = Peers::new(Rc::new(context), &settings, 1, restored, None, transport);
-    (peers, heard)
+    (peers, notifications)
 }
 
 fn process() -> Process {
@@ -121,7 +121,7 @@
 }
 
 /// A question of each of both kinds, each with its kind's number in front.
-fn questions() -> Vec<Bytes> {
+fn requests() -> Vec<Bytes> {
     vec![
         Bytes::from(pinned("tagged-probe")),
         Bytes::from(pinned("tagged-prepare")),
@@ -139,7 +139,7 @@
         // Later than any clock of a test: it was not under way at all.
         echo: 9_000_000_000_000,
         echo_of: 1,
-        messages: questions(),
+        messages: requests(),
     }
 }
 
@@ -258,7 +258,7 @@
 #[test]
 fn pinned_stored_answers_are_returned_unchanged() {
     for (name, answer) in answers() {
-        let (peers, heard) = peers(Some(restored(pinned(name))));
+        let (peers, notifications) = peers(Some(restored(pinned(name))));
         let (key, need, redelivered) = (Key::from("k"), Need::Known, true);
         peers.request(Ask::Take {
             key: key.clone(),
@@ -267,6 +267,6 @@
         });
         let verdict = Verdict::Answer(answer);
         let expected = vec![Told::Verdict { key, verdict }];
-        assert_eq!(*heard.borrow(), expected, "{name}");
+        assert_eq!(*notifications.borrow(), expected, "{name}");
     }
 }
--- a/crates/gateway/tests/state_names.rs
+++ b/crates/gateway/tests/state_names.rs
@@ -125,7 +125,7 @@
 }
 
 /// With records of all stages, a member of another version and a stranger.
-fn shown() -> (Peers, Value) {
+fn state_with_all_stages() -> (Peers, Value) {
     let (here, there) = (peers("r0", Some(restored())), peers("r1", None));
     let mut other = there.envelope(0, Vec::new());
     other.version -= 1;
@@ -164,7 +164,7 @@
 }
 
 /// Values whose names are shown.
-fn states() -> Vec<String> {
+fn named_values() -> Vec<String> {
     let whys = [
         Why::NeverHeard,
         Why::Itself,
@@ -194,7 +194,7 @@
 }
 
 /// Compared with the file line by line; what was seen is left beside the program's other files.
-fn same_as_kept(name: &str, seen: &BTreeSet<String>) {
+fn assert_matches_fixture(name: &str, seen: &BTreeSet<String>) {
     let seen: String = seen.iter().map(|line| format!("{line}\n")).collect();
     let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&left, &seen).expect("written");
@@ -212,11 +212,11 @@
 
 #[test]
 fn state_key_names_are_pinned() {
-    let (_, state) = shown();
+    let (_, state) = state_with_all_stages();
     let mut all = BTreeSet::new();
     paths(&state, "", &mut all);
-    all.extend(states());
-    same_as_kept("state-names.txt", &all);
+    all.extend(named_values());
+    assert_matches_fixture("state-names.txt", &all);
 }
 
 #[test]
@@ -224,12 +224,12 @@
     let counts = serde_json::to_value(cedarpulley_upgrade::sessions::Counts::default());
     let mut all = BTreeSet::new();
     paths(&counts.expect("JSON"), "upgrade.sessions.counts", &mut all);
-    same_as_kept("session-count-names.txt", &all);
+    assert_matches_fixture("session-count-names.txt", &all);
 }
 
 #[test]
 fn member_state_is_one_of_four_names() {
-    let (here, state) = shown();
+    let (here, state) = state_with_all_stages();
     let standing = |n: usize| {
         state["members"][n]["standing"]
             .as_str()
@@ -258,7 +258,7 @@
 
 #[test]
 fn metric_names_are_pinned() {
-    let (here, _) = shown();
+    let (here, _) = state_with_all_stages();
     let text = state_endpoint::metrics(&here, TransportCounts::default());
     let (kinds, values): (Vec<&str>, Vec<&str>) = text
         .lines()
@@ -266,5 +266,5 @@
         .partition(|line| line.starts_with('#'));
     let mut all: BTreeSet<String> = values.into_iter().map(metric).collect();
     all.extend(kinds.into_iter().map(str::to_owned));
-    same_as_kept("metric-names.txt", &all);
+    assert_matches_fixture("metric-names.txt", &all);
 }
