--- a/crates/gateway/src/peer_store.rs
+++ b/crates/gateway/src/peer_store.rs
@@ -26,7 +26,7 @@
 use crate::peer_store_file::{
     self, FILE, SetAsideCause, WriteBatch, create_tables, set_aside, write_batch,
 };
-use crate::peers::{RestoredState, StoreChanges};
+use crate::stored_state::{RestoredState, StoreChanges};
 
 /// Delay after a failed write.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
--- a/crates/gateway/src/peer_store_file.rs
+++ b/crates/gateway/src/peer_store_file.rs
@@ -8,7 +8,7 @@
     Database, ReadOnlyTable, ReadTransaction, ReadableDatabase, ReadableTable, TableDefinition,
 };
 
-use crate::peers::{RestoredState, StoreChanges};
+use crate::stored_state::{RestoredState, StoreChanges};
 
 /// Name of the file in the store's folder.
 pub(crate) const FILE: &str = "group.redb";
--- a/crates/gateway/src/peer_transport.rs
+++ b/crates/gateway/src/peer_transport.rs
@@ -32,7 +32,8 @@
 use serde::Serialize;
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use crate::peers::{Peers, SendOptions, Transport};
+use crate::message_sending::{SendOptions, Transport};
+use crate::peers::Peers;
 use crate::rejected_envelopes::RejectionCause;
 use crate::state_endpoint;
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -18,6 +18,7 @@
 use smol::channel::{Receiver, Sender};
 
 use crate::context::GatewayContext;
+pub use crate::message_sending::{SendOptions, Transport};
 pub use crate::peer_envelopes::EnvelopeCounts;
 use crate::peer_envelopes::{EnvelopeExchange, EnvelopeReceiver};
 use crate::peer_events::{EventListener, NotificationQueue, PeerEvent};
@@ -25,21 +26,7 @@
 use crate::peer_requests::{dispatch_permission, ownership_verdict, replica_input};
 use crate::peer_settings::PeerSettings;
 use crate::rejected_envelopes::RejectionCause;
-
-/// Sends messages to other members. It must not block.
-pub trait Transport {
-    /// Takes an encoded message for a member.
-    fn send(&self, to: MemberIndex, message: Bytes, options: SendOptions);
-}
-
-/// How a message may be treated on its way.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SendOptions {
-    /// It may wait behind messages that a vote waits for.
-    pub bulk: bool,
-    /// It may be dropped if there is no room, as a later comparison of the records repairs the loss.
-    pub recoverable: bool,
-}
+pub use crate::stored_state::{RestoredState, StoreChanges};
 
 /// This router's state as part of its group, for reading.
 pub struct PeerStateView<'a> {
@@ -85,25 +72,6 @@
 
 type StateProvider = Box<dyn Fn() -> serde_json::Value>;
 
-/// State read from the store at start.
-#[derive(Default)]
-pub struct RestoredState {
-    /// Incarnation of the process that wrote it.
-    pub incarnation: u64,
-    /// The shared records by key.
-    pub records: Vec<(replica::Key, replica::Shared)>,
-}
-
-/// Changes of the shared records, for the store.
-pub struct StoreChanges {
-    /// Incarnation of this process.
-    pub incarnation: u64,
-    /// Serial of these changes, above those of all earlier ones.
-    pub serial: u64,
-    /// Records as they are now; absent ones were removed.
-    pub records: Vec<(replica::Key, Option<replica::Shared>)>,
-}
-
 impl Peers {
     /// `nonce`: unique for this process; `disabled_guard`: only in tests of the auditor, see
     /// `cedarpulley-replica`.
