--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -55,6 +55,7 @@
 pub mod request_handling;
 pub(crate) mod resources;
 pub mod rest;
+pub(crate) mod send_queue;
 pub mod serve;
 pub mod settings;
 pub mod shared_state;
--- a/crates/gateway/src/peer_transport.rs
+++ b/crates/gateway/src/peer_transport.rs
@@ -9,8 +9,7 @@
 //! 3. A queue is bounded in bytes. Beyond that, messages that a later comparison makes up for are dropped
 //!    first, then any. A member that reads slowly costs only what is meant for it.
 
-use std::cell::{Cell, RefCell};
-use std::collections::VecDeque;
+use std::cell::Cell;
 use std::convert::Infallible;
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -20,7 +19,7 @@
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
 use cedarpulley_membership::MemberIndex;
-use cedarpulley_net::{Bell, Stream, connect, micros};
+use cedarpulley_net::{Stream, connect, micros};
 use futures_lite::FutureExt;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -29,18 +28,15 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
-use serde::Serialize;
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
 use crate::message_sending::{SendOptions, Transport};
 use crate::peers::Peers;
 use crate::rejected_envelopes::RejectionCause;
+use crate::send_queue::SendQueue;
+pub use crate::send_queue::TransportCounts;
 use crate::state_endpoint;
 
-/// Bytes that may wait in one queue.
-const MAX_QUEUED_BYTES: usize = 4 << 20;
-/// Bytes in one POST: more than one part of a comparison, and less than keeps a link busy for long.
-const MAX_BATCH_BYTES: usize = 256 << 10;
 /// Bytes read of one POST or its response.
 const MAX_BODY_BYTES: usize = 8 << 20;
 const CONNECT_TIMEOUT: Micros = 250_000;
@@ -54,81 +50,6 @@
 const MAX_CONNECTIONS: usize = 512;
 const PATH: &str = "/peer";
 
-/// Counts of one queue, or of all. The serialized names are those of the state endpoint.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct TransportCounts {
-    /// POSTs sent.
-    pub posts: u64,
-    /// Bytes of their bodies.
-    pub bytes_sent: u64,
-    /// Attempts that failed, those without a connection included.
-    pub posts_failed: u64,
-    /// Messages dropped for want of room, or lost with a failed POST.
-    #[serde(rename = "letters_dropped")]
-    pub messages_dropped: u64,
-}
-
-/// An encoded message that waits to be sent.
-struct QueuedMessage {
-    bytes: Bytes,
-    /// It may be dropped if there is no room.
-    recoverable: bool,
-}
-
-/// Messages that wait for one member.
-struct SendQueue {
-    waiting: RefCell<VecDeque<QueuedMessage>>,
-    bytes: Cell<usize>,
-    bell: Bell,
-    counts: Cell<TransportCounts>,
-}
-
-impl SendQueue {
-    fn new() -> Self {
-        SendQueue {
-            waiting: RefCell::default(),
-            bytes: Cell::new(0),
-            bell: Bell::default(),
-            counts: Cell::new(TransportCounts::default()),
-        }
-    }
-
-    fn count(&self, change: impl FnOnce(&mut TransportCounts)) {
-        let mut counts = self.counts.get();
-        change(&mut counts);
-        self.counts.set(counts);
-    }
-
-    fn enqueue(&self, bytes: Bytes, recoverable: bool) {
-        let mut waiting = self.waiting.borrow_mut();
-        self.bytes.set(self.bytes.get() + bytes.len());
-        waiting.push_back(QueuedMessage { bytes, recoverable });
-        while self.bytes.get() > MAX_QUEUED_BYTES {
-            // Guards against a member that reads nothing, or is gone and not yet considered dead.
-            let first_recoverable = waiting.iter().position(|message| message.recoverable);
-            let Some(dropped) = waiting.remove(first_recoverable.unwrap_or(0)) else {
-                break;
-            };
-            self.bytes.set(self.bytes.get() - dropped.bytes.len());
-            self.count(|counts| counts.messages_dropped += 1);
-        }
-        self.bell.ring();
-    }
-
-    fn take_batch(&self) -> Vec<Bytes> {
-        let (mut batch, mut bytes) = (Vec::new(), 0);
-        let mut waiting = self.waiting.borrow_mut();
-        while bytes < MAX_BATCH_BYTES
-            && let Some(message) = waiting.pop_front()
-        {
-            bytes += message.bytes.len();
-            batch.push(message.bytes);
-        }
-        self.bytes.set(self.bytes.get() - bytes);
-        batch
-    }
-}
-
 /// An open connection to a member.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -178,7 +99,7 @@
     /// The sums over all queues.
     pub fn counts(&self) -> TransportCounts {
         let mut all = TransportCounts::default();
-        for counts in self.queues.iter().flatten().map(|queue| queue.counts.get()) {
+        for counts in self.queues.iter().flatten().map(|queue| queue.counts()) {
             all.posts += counts.posts;
             all.bytes_sent += counts.bytes_sent;
             all.posts_failed += counts.posts_failed;
--- a/crates/gateway/src/state_endpoint.rs
+++ b/crates/gateway/src/state_endpoint.rs
@@ -9,8 +9,8 @@
 use serde::Serialize;
 use serde_json::{Map, Value, json};
 
-use crate::peer_transport::TransportCounts;
 use crate::peers::{PeerStateView, Peers};
+use crate::send_queue::TransportCounts;
 
 fn liveness_name(standing: Standing) -> &'static str {
     match standing {
