--- a/crates/gateway/src/amqp_front.rs
+++ b/crates/gateway/src/amqp_front.rs
@@ -1,11 +1,11 @@
 //! The AMQP front: one connection for each consumed queue. It turns messages into requests for the core, and
-//! final answers into messages; the connection's state machine is in `cedarpulley_amqp::connection`.
+//! final answers into messages; the connection's state machine is in `cedarpulley_amqp::connection`, and messages are
+//! parsed in [`amqp_messages`](crate::amqp_messages).
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::Arc;
 
 use async_io::Timer;
 use bytes::Bytes;
@@ -16,11 +16,12 @@
 use cedarpulley_net::{Bell, connect};
 use cedarpulley_router::admission::FrontState;
 use cedarpulley_router::backoff::Backoff;
-use cedarpulley_router::{Answer, Delivery, FrontIndex, Input, Payload, Session, Taken};
+use cedarpulley_router::{Answer, Delivery, FrontIndex, Input};
 use futures_lite::io::{ReadHalf, WriteHalf, split};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
-use hdrhistogram::Histogram;
 
+use crate::amqp_messages;
+use crate::answer_times::AnswerTimes;
 use crate::context::GatewayContext;
 use crate::outcome_names::{fate_name, reason_name};
 use crate::tls::{BrokerStream, ClientTls};
@@ -36,72 +37,89 @@
 /// A broker's queue to consume from.
 #[derive(Clone, Debug)]
 pub struct AmqpSource {
+    /// Name of the front in logs and traces.
     pub name: String,
+    /// Address of the broker.
     pub broker: SocketAddr,
+    /// Virtual host at the broker.
     pub virtual_host: String,
+    /// User at the broker.
     pub user: String,
+    /// Password of `user`.
     pub password: String,
+    /// The queue consumed.
     pub queue: String,
+    /// Heartbeat interval in seconds; 0 for none.
     pub heartbeat_s: u16,
+    /// TLS to the broker, if it is used.
     pub tls: Option<ClientTls>,
 }
 
-/// Histograms over all AMQP fronts, in microseconds: from taking a message to its final answer, and until
-/// that answer was committed.
-pub struct AnswerTimes {
-    pub answered: RefCell<Histogram<u64>>,
-    pub committed: RefCell<Histogram<u64>>,
+/// A message that was taken and is not yet answered and committed.
+struct PendingAnswer {
+    /// Of the message: they say where its answer goes.
+    properties: AMQPProperties,
+    taken_at: Micros,
 }
 
-impl Default for AnswerTimes {
-    fn default() -> Self {
-        // From a microsecond to ten minutes with three digits; these bounds are always valid.
-        let times =
-            || RefCell::new(Histogram::new_with_bounds(1, 600_000_000, 3).expect("valid bounds"));
-        AnswerTimes {
-            answered: times(),
-            committed: times(),
-        }
+/// When to connect or open a channel again: the delays grow until the queue has been consumed for a while.
+struct ReopenBackoff<'a> {
+    ready_since: Cell<Micros>,
+    backoff: RefCell<&'a mut Backoff>,
+}
+
+impl ReopenBackoff<'_> {
+    fn delay(&self, now: Micros) -> Micros {
+        self.backoff
+            .borrow_mut()
+            .after(now - self.ready_since.get())
     }
 }
 
 /// The front of one consumed queue.
 pub struct AmqpFront {
-    pub ix: FrontIndex,
+    index: FrontIndex,
     source: AmqpSource,
     max_body_bytes: u64,
     context: Rc<GatewayContext>,
     times: Rc<AnswerTimes>,
     connection: RefCell<Option<Connection>>,
-    life: Cell<u32>,
+    /// Counts the channels opened; delivery tags are unique within one.
+    incarnation: Cell<u32>,
+    /// How many messages the core admits at once.
     granted: Cell<u32>,
-    /// By delivery tag of the current connection: where its answer goes, and when it was taken.
-    pending: RefCell<HashMap<u64, (AMQPProperties, Micros)>>,
-    bell: Bell,
+    /// By delivery tag of the current channel.
+    pending: RefCell<HashMap<u64, PendingAnswer>>,
+    /// Wakes the writer of the connection: there may be output.
+    output_ready: Bell,
+    /// The queue is being consumed.
     is_up: Cell<bool>,
+    /// When the channel is opened again, if the broker closed it.
     reopen_at: Cell<Option<Micros>>,
+    /// The router shuts down: the connection is not opened again.
     closing: Cell<bool>,
 }
 
 impl AmqpFront {
+    /// The front with this index; it does nothing until [`run`](Self::run).
     pub fn new(
-        ix: FrontIndex,
+        index: FrontIndex,
         source: AmqpSource,
         max_body_bytes: u64,
         context: Rc<GatewayContext>,
         times: Rc<AnswerTimes>,
     ) -> Self {
         AmqpFront {
-            ix,
+            index,
             source,
             max_body_bytes,
             context,
             times,
             connection: RefCell::default(),
-            life: Cell::new(0),
+            incarnation: Cell::new(0),
             granted: Cell::new(0),
             pending: RefCell::default(),
-            bell: Bell::default(),
+            output_ready: Bell::default(),
             is_up: Cell::new(false),
             reopen_at: Cell::new(None),
             closing: Cell::new(false),
@@ -111,45 +129,53 @@
     /// The core admits this many messages at once: the prefetch.
     pub fn grant(&self, most: u32) {
         self.granted.set(most);
-        if let Some(c) = self.connection.borrow_mut().as_mut() {
-            c.set_prefetch(most.min(u32::from(u16::MAX)) as u16);
+        if let Some(connection) = self.connection.borrow_mut().as_mut() {
+            connection.set_prefetch(most.min(u32::from(u16::MAX)) as u16);
         }
-        self.bell.ring();
+        self.output_ready.ring();
     }
 
-    /// Publishes an answer, unless its delivery belongs to an earlier connection.
+    /// Publishes an answer, unless its delivery belongs to an earlier channel.
     pub fn answer(&self, delivery: Delivery, answer: &Answer) {
-        if delivery.life != self.life.get() || !self.is_up.get() {
+        if delivery.life != self.incarnation.get() || !self.is_up.get() {
             return;
         }
         let pending = self.pending.borrow();
-        let Some((to, taken)) = pending.get(&delivery.tag) else {
+        let Some(PendingAnswer {
+            properties,
+            taken_at,
+        }) = pending.get(&delivery.tag)
+        else {
             return;
         };
         self.times
-            .answered
-            .borrow_mut()
-            .saturating_record((self.context.clock.now() - taken).max(0) as u64);
-        if let Some(c) = self.connection.borrow_mut().as_mut() {
-            let (f, r) = (fate_name(answer.fate), reason_name(answer.reason));
-            let properties =
-                meaning::answer(to, f, r, None, answer.return_after, answer.body.first);
-            let reply_to = to.reply_to().as_ref().map(|r| r.as_str());
-            c.answer(
+            .record_answered(self.context.clock.now() - taken_at);
+        if let Some(connection) = self.connection.borrow_mut().as_mut() {
+            let (outcome, reason) = (fate_name(answer.fate), reason_name(answer.reason));
+            let answer_properties = meaning::answer(
+                properties,
+                outcome,
+                reason,
+                None,
+                answer.return_after,
+                answer.body.first,
+            );
+            let reply_to = properties.reply_to().as_ref().map(|queue| queue.as_str());
+            connection.answer(
                 delivery.tag,
-                reply_to.map(|to| (to, properties, answer.body.bytes.as_ref())),
+                reply_to.map(|queue| (queue, answer_properties, answer.body.bytes.as_ref())),
             );
         }
-        self.bell.ring();
+        self.output_ready.ring();
     }
 
     /// Acknowledges a message without an answer.
     pub fn discard(&self, delivery: Delivery) {
-        if delivery.life == self.life.get()
-            && let Some(c) = self.connection.borrow_mut().as_mut()
+        if delivery.life == self.incarnation.get()
+            && let Some(connection) = self.connection.borrow_mut().as_mut()
         {
-            c.answer(delivery.tag, None);
-            self.bell.ring();
+            connection.answer(delivery.tag, None);
+            self.output_ready.ring();
         }
     }
 
@@ -159,43 +185,24 @@
         !self.is_up.get()
             || connection
                 .as_ref()
-                .is_none_or(|c| c.is_quiet() && c.unsafe_answers() == 0)
+                .is_none_or(|connection| connection.is_quiet() && connection.unsafe_answers() == 0)
     }
 
     /// Closes the connection and does not reconnect.
     pub fn close(&self, now: Micros) {
         self.closing.set(true);
-        if let Some(c) = self.connection.borrow_mut().as_mut() {
-            c.close(now);
+        if let Some(connection) = self.connection.borrow_mut().as_mut() {
+            connection.close(now);
         }
-        self.bell.ring();
+        self.output_ready.ring();
     }
 
     /// Connects, consumes, and reconnects, for as long as the router runs.
     pub async fn run(self: Rc<Self>) {
-        let mut backoff = Backoff::new(self.context.seed ^ u64::from(self.ix) << 32);
+        let mut backoff = Backoff::new(self.context.seed ^ u64::from(self.index) << 32);
         while !self.closing.get() {
             let began = self.context.clock.now();
-            match connect(
-                self.source.broker,
-                self.context.local_address,
-                CONNECT_TIMEOUT,
-            )
-            .await
-            {
-                Ok(stream) => match BrokerStream::connect(stream, self.source.tls.as_ref()).await {
-                    Ok(wire) => {
-                        let fault = self.run_connection(wire, &mut backoff).await;
-                        tracing::warn!(front = %self.source.name, cause = %fault, "connection to the broker ended");
-                    }
-                    Err(e) => {
-                        tracing::warn!(front = %self.source.name, cause = %e, "no TLS with the broker");
-                    }
-                },
-                Err(e) => {
-                    tracing::warn!(front = %self.source.name, cause = %e, "no connection to the broker")
-                }
-            }
+            self.connect_and_consume(&mut backoff).await;
             self.connection.borrow_mut().take();
             self.set_down();
             if self.closing.get() {
@@ -206,18 +213,43 @@
         }
     }
 
+    async fn connect_and_consume(self: &Rc<Self>, backoff: &mut Backoff) {
+        let (broker, local_address) = (self.source.broker, self.context.local_address);
+        let stream = match connect(broker, local_address, CONNECT_TIMEOUT).await {
+            Ok(stream) => stream,
+            Err(error) => {
+                tracing::warn!(front = %self.source.name, cause = %error, "no connection to the broker");
+                return;
+            }
+        };
+        match BrokerStream::connect(stream, self.source.tls.as_ref()).await {
+            Ok(stream) => {
+                let fault = self.run_connection(stream, backoff).await;
+                tracing::warn!(front = %self.source.name, cause = %fault, "connection to the broker ended");
+            }
+            Err(error) => {
+                tracing::warn!(front = %self.source.name, cause = %error, "TLS handshake with the broker failed");
+            }
+        }
+    }
+
+    fn set_state(&self, state: FrontState) {
+        self.context.feed(Input::Front {
+            front: self.index,
+            state,
+        });
+    }
+
     fn set_down(&self) {
         self.pending.borrow_mut().clear();
         self.reopen_at.set(None);
         if self.is_up.replace(false) {
-            self.context.feed(Input::Front {
-                front: self.ix,
-                state: FrontState::Down,
-            });
+            self.set_state(FrontState::Down);
         }
     }
 
-    async fn run_connection(self: &Rc<Self>, wire: BrokerStream, backoff: &mut Backoff) -> Fault {
+    /// Consumes the queue over one connection until it ends; returns why it ended.
+    async fn run_connection(self: &Rc<Self>, stream: BrokerStream, backoff: &mut Backoff) -> Fault {
         let login = Login {
             virtual_host: self.source.virtual_host.clone(),
             user: self.source.user.clone(),
@@ -233,138 +265,153 @@
         };
         *self.connection.borrow_mut() =
             Some(Connection::new(self.context.clock.now(), role, login));
-        let ready_since = Cell::new(self.context.clock.now());
-        let backoff = RefCell::new(backoff);
-        let (mut reads, mut writes) = split(wire);
-        let reading = self.read(&mut reads, &ready_since, &backoff);
-        let fault = reading.or(self.write(&mut writes)).await;
-        // Tells the broker why, if it still reads.
-        let last = self.connection.borrow_mut().as_mut().map(|c| {
+        let backoff = ReopenBackoff {
+            ready_since: Cell::new(self.context.clock.now()),
+            backoff: RefCell::new(backoff),
+        };
+        let (mut reader, mut writer) = split(stream);
+        let reading = self.read(&mut reader, &backoff);
+        let fault = reading.or(self.write(&mut writer)).await;
+        self.write_last_frames(&mut writer, &fault).await;
+        fault
+    }
+
+    /// Tells the broker why the connection ends, if it still reads; a broker that reads nothing is not waited for.
+    async fn write_last_frames(&self, stream: &mut WriteHalf<BrokerStream>, fault: &Fault) {
+        let last = self.connection.borrow_mut().as_mut().map(|connection| {
             if fault.code != 200 {
-                c.fail(self.context.clock.now(), &fault);
+                connection.fail(self.context.clock.now(), fault);
             }
-            c.output(self.context.clock.now())
+            connection.output(self.context.clock.now())
         });
-        if let Some(bytes) = last {
-            // A broker that reads nothing is not waited for.
-            let told = async {
-                let _ = writes.write_all(&bytes).await;
-                let _ = writes.flush().await;
-            };
-            let timeout = async {
-                Timer::after(CLOSE_TIMEOUT).await;
-            };
-            told.or(timeout).await;
-        }
-        fault
+        let Some(bytes) = last else {
+            return;
+        };
+        let written = async {
+            let _ = stream.write_all(&bytes).await;
+            let _ = stream.flush().await;
+        };
+        let timeout = async {
+            Timer::after(CLOSE_TIMEOUT).await;
+        };
+        written.or(timeout).await;
     }
 
+    /// Reads and handles frames until the connection ends.
     async fn read(
         self: &Rc<Self>,
         stream: &mut ReadHalf<BrokerStream>,
-        ready_since: &Cell<Micros>,
-        backoff: &RefCell<&mut Backoff>,
+        backoff: &ReopenBackoff<'_>,
     ) -> Fault {
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         let mut events = Vec::new();
         loop {
-            let n = match stream.read(&mut buffer).await {
+            let length = match stream.read(&mut buffer).await {
                 Ok(0) => return Fault::new(320, "the broker closed the connection"),
-                Ok(n) => n,
-                Err(e) => return Fault::new(320, e.to_string()),
+                Ok(length) => length,
+                Err(error) => return Fault::new(320, error.to_string()),
             };
             let now = self.context.clock.now();
             let received = match self.connection.borrow_mut().as_mut() {
-                Some(c) => c.receive(now, &buffer[..n], &mut events),
+                Some(connection) => connection.receive(now, &buffer[..length], &mut events),
                 None => return Fault::new(320, "closed"),
             };
             for event in events.drain(..) {
-                match event {
-                    Event::Ready => {
-                        self.life.set(self.life.get().wrapping_add(1));
-                        self.is_up.set(true);
-                        ready_since.set(now);
-                        tracing::info!(front = %self.source.name, queue = %self.source.queue, "consuming");
-                        self.context.feed(Input::Front {
-                            front: self.ix,
-                            state: FrontState::Up,
-                        });
-                    }
-                    Event::Delivered(message) => self.delivered(*message),
-                    Event::Committed(tags) => {
-                        for tag in tags {
-                            let pending = self.pending.borrow_mut().remove(&tag);
-                            if let Some((_, taken)) = pending {
-                                self.times
-                                    .committed
-                                    .borrow_mut()
-                                    .saturating_record((now - taken).max(0) as u64);
-                                let delivery = Delivery {
-                                    front: self.ix,
-                                    life: self.life.get(),
-                                    tag,
-                                };
-                                self.context.feed(Input::Safe(delivery));
-                            }
-                        }
-                    }
-                    Event::Blocked(blocked) => {
-                        tracing::warn!(front = %self.source.name, blocked, "the broker takes no publishes");
-                        let state = if blocked {
-                            FrontState::Blocked
-                        } else {
-                            FrontState::Up
-                        };
-                        self.context.feed(Input::Front {
-                            front: self.ix,
-                            state,
-                        });
-                    }
-                    Event::ChannelLost { code, text } => {
-                        tracing::warn!(front = %self.source.name, code, text, "the broker closed the channel");
-                        self.set_down();
-                        let wait = backoff.borrow_mut().after(now - ready_since.get());
-                        self.reopen_at.set(Some(now + wait));
-                    }
-                    Event::Cancelled => return Fault::new(320, "the queue is no longer consumed"),
-                    Event::Closed { code, text } => return Fault { code, text },
+                if let Err(fault) = self.handle_event(now, event, backoff) {
+                    return fault;
                 }
             }
             if let Err(fault) = received {
                 return fault;
             }
-            self.bell.ring();
+            self.output_ready.ring();
             // Guards against a broker that keeps sending but reads nothing: its output must not pile up here.
             while self
                 .connection
                 .borrow()
                 .as_ref()
-                .is_some_and(|c| c.waiting() > MAX_OUTPUT_BYTES)
+                .is_some_and(|connection| connection.waiting() > MAX_OUTPUT_BYTES)
             {
                 Timer::after(std::time::Duration::from_millis(1)).await;
             }
         }
     }
 
+    /// Handles one event of the connection; an error ends the connection.
+    fn handle_event(
+        &self,
+        now: Micros,
+        event: Event,
+        backoff: &ReopenBackoff<'_>,
+    ) -> Result<(), Fault> {
+        let front = self.source.name.as_str();
+        match event {
+            Event::Ready => {
+                self.incarnation.set(self.incarnation.get().wrapping_add(1));
+                self.is_up.set(true);
+                backoff.ready_since.set(now);
+                tracing::info!(front, queue = %self.source.queue, "consuming the queue");
+                self.set_state(FrontState::Up);
+            }
+            Event::Delivered(message) => self.handle_message(*message),
+            Event::Committed(tags) => tags.into_iter().for_each(|tag| self.committed(now, tag)),
+            Event::Blocked(true) => {
+                tracing::warn!(front, blocked = true, "the broker takes no publishes");
+                self.set_state(FrontState::Blocked);
+            }
+            Event::Blocked(false) => {
+                tracing::warn!(front, blocked = false, "the broker takes publishes again");
+                self.set_state(FrontState::Up);
+            }
+            Event::ChannelLost { code, text } => {
+                tracing::warn!(front, code, text, "the broker closed the channel");
+                self.set_down();
+                self.reopen_at.set(Some(now + backoff.delay(now)));
+            }
+            Event::Cancelled => return Err(Fault::new(320, "the queue is no longer consumed")),
+            Event::Closed { code, text } => return Err(Fault { code, text }),
+        }
+        Ok(())
+    }
+
+    /// The broker has committed the answer to this delivery, so that the core may forget the request.
+    fn committed(&self, now: Micros, tag: u64) {
+        let pending = self.pending.borrow_mut().remove(&tag);
+        if let Some(pending) = pending {
+            self.times.record_committed(now - pending.taken_at);
+            self.context.feed(Input::Safe(self.delivery(tag)));
+        }
+    }
+
+    fn delivery(&self, tag: u64) -> Delivery {
+        Delivery {
+            front: self.index,
+            life: self.incarnation.get(),
+            tag,
+        }
+    }
+
+    /// Writes output, and does what is due by time, until the connection ends.
     async fn write(self: &Rc<Self>, stream: &mut WriteHalf<BrokerStream>) -> Fault {
         loop {
             let now = self.context.clock.now();
             let (bytes, due) = {
                 let mut connection = self.connection.borrow_mut();
-                let Some(c) = connection.as_mut() else {
+                let Some(connection) = connection.as_mut() else {
                     return Fault::new(320, "closed");
                 };
-                if let Err(fault) = c.tick(now) {
+                if let Err(fault) = connection.tick(now) {
                     return fault;
                 }
                 if self.reopen_at.get().is_some_and(|at| at <= now) {
                     self.reopen_at.set(None);
-                    c.reopen(now);
+                    connection.reopen(now);
                 }
-                c.commit(now);
+                connection.commit(now);
                 (
-                    c.output(now),
-                    c.next_due()
+                    connection.output(now),
+                    connection
+                        .next_due()
                         .min(self.reopen_at.get().unwrap_or(Micros::MAX)),
                 )
             };
@@ -373,8 +420,8 @@
                     stream.write_all(&bytes).await?;
                     stream.flush().await
                 };
-                if let Err(e) = sent.await {
-                    return Fault::new(320, e.to_string());
+                if let Err(error) = sent.await {
+                    return Fault::new(320, error.to_string());
                 }
                 continue;
             }
@@ -386,118 +433,55 @@
                     }
                 }
             };
-            self.bell.heard().or(due).await;
+            self.output_ready.heard().or(due).await;
         }
     }
 
-    fn delivered(&self, message: Message) {
-        let delivery = Delivery {
-            front: self.ix,
-            life: self.life.get(),
-            tag: message.tag,
-        };
-        let understood = if message.oversized {
-            let cause = format!("larger than {} bytes", self.max_body_bytes);
-            Err(meaning::Misunderstood {
-                field: "body",
-                cause,
-            })
-        } else {
-            meaning::read(&message, self.context.clock.wall())
-                .and_then(|t| self.parse(&message, t, delivery))
-        };
-        match understood {
+    fn handle_message(&self, message: Message) {
+        let delivery = self.delivery(message.tag);
+        match amqp_messages::parse(&message, delivery, &self.context, self.max_body_bytes) {
             Ok(mut taken) => {
-                taken.body = Payload {
-                    bytes: Bytes::from(message.body),
-                    first: taken.body.first,
+                taken.body.bytes = Bytes::from(message.body);
+                let pending = PendingAnswer {
+                    properties: message.properties,
+                    taken_at: self.context.clock.now(),
                 };
-                self.pending
-                    .borrow_mut()
-                    .insert(message.tag, (message.properties, self.context.clock.now()));
+                self.pending.borrow_mut().insert(message.tag, pending);
                 self.context.feed(Input::Taken(taken));
             }
-            Err(wrong) => {
-                // Never requeued: it would be delivered again for ever.
-                tracing::debug!(front = %self.source.name, field = wrong.field, cause = %wrong.cause, "not understood");
-                self.context.count_malformed();
-                if let Some(c) = self.connection.borrow_mut().as_mut() {
-                    match message
-                        .properties
-                        .reply_to()
-                        .as_ref()
-                        .map(|r| r.as_str())
-                        .filter(|r| !r.is_empty())
-                    {
-                        Some(to) => {
-                            let p = &message.properties;
-                            let field = format!("{}: {}", wrong.field, wrong.cause);
-                            let answer = meaning::answer(
-                                p,
-                                "errored",
-                                "not-understood",
-                                Some(&field),
-                                None,
-                                None,
-                            );
-                            c.answer(message.tag, Some((to, answer, b"")));
-                        }
-                        None => c.reject(message.tag),
-                    }
-                }
-            }
+            Err(malformed) => self.refuse_malformed(&message, &malformed),
         }
     }
 
-    fn parse(
-        &self,
-        message: &Message,
-        trigger_message: meaning::Trigger,
-        delivery: Delivery,
-    ) -> Result<Taken, meaning::Misunderstood> {
-        let unknown = |field, name: &str| meaning::Misunderstood {
-            field,
-            cause: format!("'{name}' is unknown"),
+    /// Answers a malformed message with an error, or rejects it if it has no reply queue. It is never requeued: it
+    /// would be delivered again for ever.
+    fn refuse_malformed(&self, message: &Message, malformed: &meaning::Misunderstood) {
+        tracing::debug!(front = %self.source.name, field = malformed.field, cause = %malformed.cause, "malformed message");
+        self.context.count_malformed();
+        let mut connection = self.connection.borrow_mut();
+        let Some(connection) = connection.as_mut() else {
+            return;
         };
-        let trigger = self
-            .context
-            .names
-            .trigger(&trigger_message.kind)
-            .ok_or_else(|| unknown("type", &trigger_message.kind))?;
-        let account = self
-            .context
-            .names
-            .account(trigger_message.account.as_deref())
-            .ok_or_else(|| unknown("app-id", trigger_message.account.as_deref().unwrap_or("")))?;
-        let identity: Option<Arc<str>> = trigger_message.identity.map(Arc::from);
-        Ok(Taken {
-            delivery,
-            mark: identity.clone(),
-            identity,
-            redelivered: message.redelivered,
-            repeat: trigger_message.repeat,
-            trigger,
-            account,
-            function: Arc::from(trigger_message.function),
-            token: trigger_message.token.map(Arc::from),
-            waited: trigger_message.waited_us,
-            client_timeout: trigger_message.client_timeout_us.unwrap_or(Micros::MAX / 8),
-            cost_hint: trigger_message.cost_hint_us,
-            load_hint: trigger_message.load_hint_us,
-            copy_mb: trigger_message.copy_mb,
-            lanes: trigger_message.lanes,
-            session: trigger_message.session.map(|(id, start, end)| Session {
-                id: Arc::from(id),
-                start,
-                end,
-            }),
-            named: None,
-            prefers: None,
-            refused: None,
-            body: Payload {
-                bytes: Bytes::new(),
-                first: trigger_message.first_part,
-            },
-        })
+        let properties = &message.properties;
+        let reply_to = properties
+            .reply_to()
+            .as_ref()
+            .map(|queue| queue.as_str())
+            .filter(|queue| !queue.is_empty());
+        match reply_to {
+            Some(queue) => {
+                let cause = format!("{}: {}", malformed.field, malformed.cause);
+                let answer = meaning::answer(
+                    properties,
+                    "errored",
+                    "not-understood",
+                    Some(&cause),
+                    None,
+                    None,
+                );
+                connection.answer(message.tag, Some((queue, answer, b"")));
+            }
+            None => connection.reject(message.tag),
+        }
     }
 }
--- a/crates/gateway/src/client_listener.rs
+++ b/crates/gateway/src/client_listener.rs
@@ -32,18 +32,24 @@
 pub enum Protocol {
     /// HTTP/1.1 with JSON, optionally followed by raw tensors.
     Rest,
+    /// KServe v2 over gRPC.
     Grpc,
 }
 
 /// Configuration of one listener.
 #[derive(Clone, Debug)]
 pub struct ListenerSettings {
+    /// Name of the front in logs and traces.
     pub name: String,
+    /// Where it listens.
     pub address: SocketAddr,
+    /// What its clients speak.
     pub protocol: Protocol,
+    /// Limit on open connections; further ones are closed at once.
     pub max_connections: usize,
     /// Limit on concurrent requests of one connection, where the protocol has them.
     pub max_streams: u32,
+    /// Certificate files, if TLS is used.
     pub tls: Option<TlsFiles>,
 }
 
@@ -54,6 +60,7 @@
 }
 
 impl<S> StallGuard<S> {
+    /// Guards this stream.
     pub fn new(stream: S) -> Self {
         StallGuard {
             stream,
@@ -108,6 +115,7 @@
 
 /// One listener and its open connections.
 pub struct ClientListener {
+    /// Handles the requests of all connections.
     pub handler: Rc<RequestHandler>,
     settings: ListenerSettings,
     tls: Option<Rc<ServerTls>>,
@@ -122,6 +130,7 @@
 }
 
 impl ClientListener {
+    /// A listener without connections; it accepts them in [`run`](Self::run).
     pub fn new(
         handler: Rc<RequestHandler>,
         settings: ListenerSettings,
@@ -142,7 +151,7 @@
     }
 
     /// Tells open connections to take nothing new and to complete their open requests. Later connections are
-    /// still accepted and their requests turned away by the core: a connection closed at once would leave its
+    /// still accepted and their requests rejected by the core: a connection closed at once would leave its
     /// client unsure whether anything ran.
     pub fn stop(&self) {
         self.connections.borrow().values().for_each(Bell::ring);
@@ -152,17 +161,17 @@
     pub async fn run(self: Rc<Self>, listener: Async<TcpListener>) {
         let context = &self.handler.context;
         context.feed(Input::Front {
-            front: self.handler.ix,
+            front: self.handler.front,
             state: FrontState::Up,
         });
-        tracing::info!(front = %self.settings.name, address = %self.settings.address, "listening");
+        tracing::info!(front = %self.settings.name, address = %self.settings.address, "listening for clients");
         if let Some(tls) = self.tls.clone() {
             context
                 .executor
                 .spawn(tls.watch(context.clock, self.settings.name.clone()))
                 .detach();
         }
-        let mut serial = 0;
+        let mut next_connection = 0;
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 // Most likely out of file descriptors: wait until some are released.
@@ -174,27 +183,33 @@
                 continue;
             }
             let _ = stream.get_ref().set_nodelay(true);
-            let (listening, stop) = (self.clone(), Bell::default());
-            serial += 1;
-            let guard = ConnectionGuard(self.clone(), serial);
-            self.connections.borrow_mut().insert(serial, stop.clone());
-            let task = context.executor.spawn(async move {
-                let _guard = guard;
-                let client = Rc::new(ClientConnection::default());
-                // Boxed separately, so that ten thousand idle connections do not each take the room of the
-                // largest future.
-                let Some(tls) = listening.tls.clone() else {
-                    return Box::pin(listening.serve(client, StallGuard::new(stream), stop)).await;
-                };
-                let Some(stream) = Box::pin(listening.handshake(&client, &tls, stream)).await
-                else {
-                    return listening
-                        .refused_handshakes
-                        .set(listening.refused_handshakes.get() + 1);
-                };
-                Box::pin(listening.serve(client, StallGuard::new(stream), stop)).await;
-            });
-            task.detach();
+            next_connection += 1;
+            let guard = ConnectionGuard {
+                listener: self.clone(),
+                connection: next_connection,
+            };
+            let stop = Bell::default();
+            self.connections
+                .borrow_mut()
+                .insert(next_connection, stop.clone());
+            let served = self.clone().serve_stream(stream, stop, guard);
+            context.executor.spawn(served).detach();
+        }
+    }
+
+    /// Serves an accepted connection, after a handshake if TLS is used.
+    async fn serve_stream(self: Rc<Self>, stream: Stream, stop: Bell, _guard: ConnectionGuard) {
+        let client = Rc::new(ClientConnection::default());
+        // Boxed separately, so that ten thousand idle connections do not each take the memory of the largest future.
+        let Some(tls) = self.tls.clone() else {
+            return Box::pin(self.serve(client, StallGuard::new(stream), stop)).await;
+        };
+        let stream = Box::pin(self.handshake(&client, &tls, stream)).await;
+        match stream {
+            Some(stream) => Box::pin(self.serve(client, StallGuard::new(stream), stop)).await,
+            None => self
+                .refused_handshakes
+                .set(self.refused_handshakes.get() + 1),
         }
     }
 
@@ -235,10 +250,16 @@
 }
 
 /// Counts a connection as open until it is dropped.
-struct ConnectionGuard(Rc<ClientListener>, u64);
+struct ConnectionGuard {
+    listener: Rc<ClientListener>,
+    connection: u64,
+}
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.connections.borrow_mut().remove(&self.1);
+        self.listener
+            .connections
+            .borrow_mut()
+            .remove(&self.connection);
     }
 }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -14,12 +14,17 @@
 
 /// Shared by all parts of one router.
 pub struct GatewayContext {
+    /// The router's clock; its zero is the router's start.
     pub clock: Clock,
+    /// Runs all tasks, on the router's one thread.
     pub executor: Rc<LocalExecutor<'static>>,
+    /// The router's name.
     pub name: String,
+    /// Seed of all random draws.
     pub seed: u64,
     /// Local address that outgoing connections are bound to; the system chooses if absent.
     pub local_address: Option<IpAddr>,
+    /// The configured names, by their index.
     pub names: Names,
     /// Whether requests are assigned to sessions: models are upgraded here, or the warm index is reconciled.
     pub tracks_sessions: bool,
--- a/crates/gateway/src/core_settings.rs
+++ b/crates/gateway/src/core_settings.rs
@@ -8,11 +8,8 @@
 use cedarpulley_startup::Names;
 
 use crate::config_reader::Section;
+use crate::config_values::{DAY_MS, MAX_NUMBER, NEVER, zone_index};
 use crate::pool::PoolSettings;
-use crate::settings::{DAY_MS, MAX_NUMBER, zone_index};
-
-/// Later than any time of a clock, in microseconds.
-pub(crate) const NEVER: Micros = i64::MAX / 8;
 
 /// The section `[router]`. Times are in microseconds.
 pub(crate) struct RouterSection {
@@ -168,33 +165,33 @@
     limits: &DispatchLimits,
     names: &mut Names,
 ) -> (Vec<TriggerType>, Vec<bool>) {
-    let (mut triggers, mut alone) = (Vec::new(), Vec::new());
-    for t in root.sections("trigger") {
-        let name = t.string("name", None);
+    let (mut triggers, mut sends_alone) = (Vec::new(), Vec::new());
+    for section in root.sections("trigger") {
+        let name = section.string("name", None);
         if names.triggers.contains(&name) {
-            t.error("name", &format!("'{name}' is named twice"));
+            section.error("name", &format!("'{name}' is named twice"));
         }
         names.triggers.push(name);
-        triggers.push(trigger(&t, limits));
-        alone.push(sends_without_majority(&t));
-        t.finish();
+        triggers.push(trigger(&section, limits));
+        sends_alone.push(sends_without_majority(&section));
+        section.finish();
     }
     if triggers.is_empty() {
         root.error("trigger", "no trigger type is given");
     }
-    (triggers, alone)
+    (triggers, sends_alone)
 }
 
 /// Reads the accounts, and the certificate names bound to them; their names go into `names`.
 pub(crate) fn accounts(root: &Section, names: &mut Names) -> (Vec<Account>, Speakers) {
     let mut accounts = Vec::new();
     let mut certificate_accounts = Speakers::default();
-    for a in root.sections("account") {
-        names.accounts.push(a.string("name", None));
-        if a.has("certificate_names") {
-            for name in a.strings("certificate_names") {
+    for section in root.sections("account") {
+        names.accounts.push(section.string("name", None));
+        if section.has("certificate_names") {
+            for name in section.strings("certificate_names") {
                 if !certificate_accounts.give(name.clone(), accounts.len() as u32) {
-                    a.error(
+                    section.error(
                         "certificate_names",
                         &format!("'{name}' speaks for another account"),
                     );
@@ -202,14 +199,17 @@
             }
         }
         accounts.push(Account {
-            quota_per_s: a.number("allowance_per_s", 0.0..MAX_NUMBER, Some(MAX_NUMBER)),
-            share: a.number("share", 0.0..1.0, Some(1.0)),
+            quota_per_s: section.number("allowance_per_s", 0.0..MAX_NUMBER, Some(MAX_NUMBER)),
+            share: section.number("share", 0.0..1.0, Some(1.0)),
         });
-        a.finish();
+        section.finish();
     }
-    let all: f64 = accounts.iter().map(|a| a.share).sum();
-    if accounts.len() > 1 && all > 1.0 + 1e-9 && root.has("account") {
-        root.error("account", &format!("the shares sum to {all}, above 1"));
+    let share_sum: f64 = accounts.iter().map(|account| account.share).sum();
+    if accounts.len() > 1 && share_sum > 1.0 + 1e-9 && root.has("account") {
+        root.error(
+            "account",
+            &format!("the shares sum to {share_sum}, above 1"),
+        );
     }
 
     (accounts, certificate_accounts)
@@ -228,65 +228,77 @@
     }
 }
 
-fn trigger(t: &Section, limits: &DispatchLimits) -> TriggerType {
-    let group = match t.string("repeats_dropped_by", Some("all")).as_str() {
+/// One trigger type, without its name.
+fn trigger(section: &Section, limits: &DispatchLimits) -> TriggerType {
+    let effect = effect(section);
+    check_hedging(section, effect, limits);
+    let latency_objective = section.millis_as_micros("latency_objective_ms", 1..DAY_MS, None);
+    let client_timeout = section.millis_as_micros("client_timeout_ms", 1..DAY_MS, None);
+    if latency_objective > client_timeout {
+        section.error("latency_objective_ms", "is above the client timeout");
+    }
+    TriggerType {
+        effect,
+        latency_objective,
+        objective_work_multiple: section.number("objective_stretch", 0.0..MAX_NUMBER, Some(0.0)),
+        client_timeout,
+        billed_value: section.number("billed_value", 0.0..MAX_NUMBER, Some(1.0)),
+        late_value_fraction: section.number("late_part", 0.0..1.0, Some(0.0)),
+        streamed: false,
+    }
+}
+
+/// What executing an invocation twice would do, and where duplicates are dropped.
+fn effect(section: &Section) -> Effect {
+    let scope = match section.string("repeats_dropped_by", Some("all")).as_str() {
         "all" => DeduplicationScope::All,
         "zone" => DeduplicationScope::Zone,
         "cell" => DeduplicationScope::Cell,
         _ => {
-            t.error("repeats_dropped_by", "is none of all, zone, cell");
+            section.error("repeats_dropped_by", "is none of all, zone, cell");
             DeduplicationScope::Cell
         }
     };
-    let effect = match t.string("effect", None).as_str() {
+    match section.string("effect", None).as_str() {
         "idempotent" => Effect::Idempotent,
         "tokened" => Effect::IdempotentByKey {
-            scope: group,
-            window: t.millis_as_micros("window_ms", 0..DAY_MS, None),
+            scope,
+            window: section.millis_as_micros("window_ms", 0..DAY_MS, None),
         },
-        "non-idempotent" => Effect::NonIdempotent,
-        "" => Effect::NonIdempotent,
+        // An absent key has been reported already.
+        "non-idempotent" | "" => Effect::NonIdempotent,
         _ => {
-            t.error("effect", "is none of idempotent, tokened, non-idempotent");
+            section.error("effect", "is none of idempotent, tokened, non-idempotent");
             Effect::NonIdempotent
         }
-    };
-    if t.boolean("second_copies", Some(false)) {
-        if effect == Effect::NonIdempotent {
-            t.error(
-                "second_copies",
-                "what must never run twice may have no second copy",
-            );
-        } else if !limits.hedged_requests {
-            t.error(
-                "second_copies",
-                "second copies are not allowed under [dispatch]",
-            );
-        }
     }
-    let latency_objective = t.millis_as_micros("latency_objective_ms", 1..DAY_MS, None);
-    let client_timeout = t.millis_as_micros("client_timeout_ms", 1..DAY_MS, None);
-    if latency_objective > client_timeout {
-        t.error("latency_objective_ms", "is above the client timeout");
+}
+
+/// Hedged requests have to be safe for the trigger type, and allowed for the router.
+fn check_hedging(section: &Section, effect: Effect, limits: &DispatchLimits) {
+    if !section.boolean("second_copies", Some(false)) {
+        return;
     }
-    TriggerType {
-        effect,
-        latency_objective,
-        objective_work_multiple: t.number("objective_stretch", 0.0..MAX_NUMBER, Some(0.0)),
-        client_timeout,
-        billed_value: t.number("billed_value", 0.0..MAX_NUMBER, Some(1.0)),
-        late_value_fraction: t.number("late_part", 0.0..1.0, Some(0.0)),
-        streamed: false,
+    if effect == Effect::NonIdempotent {
+        section.error(
+            "second_copies",
+            "what must never run twice may have no second copy",
+        );
+    } else if !limits.hedged_requests {
+        section.error(
+            "second_copies",
+            "second copies are not allowed under [dispatch]",
+        );
     }
 }
 
 /// Whether a trigger type is sent without a majority of the group.
-fn sends_without_majority(t: &Section) -> bool {
-    match t.string("without_majority", Some("refuse")).as_str() {
+fn sends_without_majority(section: &Section) -> bool {
+    match section.string("without_majority", Some("refuse")).as_str() {
         "refuse" => false,
         "alone" => true,
         _ => {
-            t.error("without_majority", "is none of refuse, alone");
+            section.error("without_majority", "is none of refuse, alone");
             false
         }
     }
--- a/crates/gateway/src/fault_injection.rs
+++ b/crates/gateway/src/fault_injection.rs
@@ -5,6 +5,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::sync::Arc;
 
 use async_io::Timer;
 use cedarpulley::interface::{EndpointState, Micros, WorkerIndex};
@@ -26,6 +27,7 @@
 const LATE_DELAY: Micros = 8_000_000;
 /// Extra copies of each request to a cold worker.
 const OVERLOAD_COPIES: usize = 60;
+/// Extra load orders for each order of the core.
 const EXCESS_ORDERS: usize = 12;
 /// Microseconds between corruptions, so that there are several in each round of a test. Their number is
 /// limited, so that beliefs can become true again before it ends.
@@ -33,6 +35,7 @@
 const MAX_CORRUPTIONS: u64 = 150;
 /// Separates these random draws from all others.
 const CORRUPTION_SEED: u64 = 0x5b01;
+/// Beliefs remembered as corruptible.
 const MAX_TARGETS: usize = 1_000;
 /// A version that no upgrade plan of a test uses.
 const UNUSED_VERSION: &str = "977";
@@ -155,38 +158,37 @@
             return;
         }
         let mut chance = Chance::new(self.context.seed ^ CORRUPTION_SEED);
-        let mut spoilt = 0;
-        while spoilt < MAX_CORRUPTIONS {
+        let mut corrupted = 0;
+        while corrupted < MAX_CORRUPTIONS {
             Timer::after(micros(CORRUPTION_INTERVAL)).await;
             let Some((worker, function, copies)) = self.wrong_belief(&mut chance) else {
                 continue;
             };
-            if reconciliation
-                .as_ref()
-                .is_some_and(|f| !f.corrupt_belief(&worker, &function, copies))
-            {
+            if reconciliation.as_ref().is_some_and(|reconciliation| {
+                !reconciliation.corrupt_belief(&worker, &function, copies)
+            }) {
                 continue;
             }
-            spoilt += 1;
+            corrupted += 1;
             self.context.feed(Input::Held {
                 worker: worker.into(),
                 function: function.into(),
                 copies,
             });
         }
-        tracing::info!(spoilt, "meddled: no more is spoilt");
+        tracing::info!(spoilt = corrupted, "meddled: no more is spoilt");
     }
 
     /// A wrong belief: a copy forgotten, one that may not exist, too many copies, or a version that nobody
     /// has.
     fn wrong_belief(&self, chance: &mut Chance) -> Option<(String, String, u32)> {
         let sent = self.sent.borrow();
-        let mut one = || {
+        let mut random_target = || {
             sent.iter()
                 .nth((chance.draw() * sent.len() as f64) as usize)
                 .cloned()
         };
-        let ((worker, function), (_, another)) = (one()?, one()?);
+        let ((worker, function), (_, another)) = (random_target()?, random_target()?);
         Some(match (chance.draw() * 4.0) as u32 {
             0 => (worker, function, 0),
             1 => (worker, another, 1),
@@ -225,7 +227,7 @@
         self.fault == Some(InjectedFault::LostAnswer) && self.is_due()
     }
 
-    /// Sees each output of the core, and sends more than the core asked for.
+    /// Sees each output of the core, and sends more than the core requested.
     pub fn observe(&self, output: &Output) {
         match (self.fault, output) {
             (
@@ -233,19 +235,13 @@
                 Output::Send {
                     worker, function, ..
                 },
-            ) => {
-                let mut sent = self.sent.borrow_mut();
-                if let Some(address) = (self.address)(*worker).filter(|_| sent.len() < MAX_TARGETS)
-                {
-                    sent.insert((address.to_string(), function.to_string()));
-                }
-            }
+            ) => self.remember_target(*worker, function),
             (Some(InjectedFault::RepeatedDispatch), Output::Send { .. }) if self.is_due() => {
                 self.send_copies(output, 1)
             }
             (Some(InjectedFault::OverloadedColdWorker), Output::Send { worker, .. }) => {
-                let address = (self.address)(*worker).map(|a| a.to_string());
-                if address.is_some_and(|a| self.cold_workers.borrow().contains(&a)) {
+                let address = (self.address)(*worker).map(|address| address.to_string());
+                if address.is_some_and(|address| self.cold_workers.borrow().contains(&address)) {
                     self.send_copies(output, OVERLOAD_COPIES);
                 }
             }
@@ -259,28 +255,41 @@
                 },
             ) if *copies > 0 => {
                 for _ in 0..EXCESS_ORDERS {
-                    let (pool, address_of) = (self.pool.clone(), self.address.clone());
-                    let (worker, function) = (ticket.worker, function.clone());
-                    let order = async move {
-                        let Some(address) = address_of(worker) else {
-                            return;
-                        };
-                        let request = requests::load(
-                            &address.to_string(),
-                            &function,
-                            1,
-                            None,
-                            requests::Orderer::default(),
-                        );
-                        let _ = pool.order(address, request, LATE_DELAY).await;
-                    };
-                    self.context.executor.spawn(order).detach();
+                    self.send_excess_order(ticket.worker, function.clone());
                 }
             }
             _ => {}
         }
     }
 
+    /// Notes where this router sent what, up to a limit.
+    fn remember_target(&self, worker: WorkerIndex, function: &str) {
+        let mut sent = self.sent.borrow_mut();
+        if let Some(address) = (self.address)(worker).filter(|_| sent.len() < MAX_TARGETS) {
+            sent.insert((address.to_string(), function.to_owned()));
+        }
+    }
+
+    /// Orders one more copy; no one waits for the answer.
+    fn send_excess_order(&self, worker: WorkerIndex, function: Arc<str>) {
+        let (pool, address_of) = (self.pool.clone(), self.address.clone());
+        let order = async move {
+            let Some(address) = address_of(worker) else {
+                return;
+            };
+            let request = requests::load(
+                &address.to_string(),
+                &function,
+                1,
+                None,
+                requests::Orderer::default(),
+            );
+            let _ = pool.order(address, request, LATE_DELAY).await;
+        };
+        self.context.executor.spawn(order).detach();
+    }
+
+    /// Repeats a dispatch this many times, past the core.
     fn send_copies(&self, output: &Output, times: usize) {
         let Output::Send {
             worker,
@@ -335,8 +344,8 @@
         };
         for worker in slices
             .iter_mut()
-            .flat_map(|s| &mut s.entries)
-            .map(|e| &mut e.worker)
+            .flat_map(|slice| &mut slice.entries)
+            .map(|entry| &mut entry.worker)
         {
             match self.fault {
                 Some(InjectedFault::IgnoredDrains) => worker.standing = EndpointState::InService,
--- a/crates/gateway/src/front_settings.rs
+++ b/crates/gateway/src/front_settings.rs
@@ -10,36 +10,39 @@
 use crate::amqp_front::AmqpSource;
 use crate::client_listener::{ListenerSettings, Protocol};
 use crate::config_reader::Section;
-use crate::settings::path_of;
+use crate::config_values::path_of;
 use crate::tls::{self, ClientTls, ServerTls, TlsFiles};
 
 /// What front settings refer to.
 pub(crate) struct References<'a> {
+    /// Folder of the settings file; paths are relative to it.
     pub(crate) folder: &'a Path,
+    /// The configured names, by their index.
     pub(crate) names: &'a Names,
+    /// The configured accounts.
     pub(crate) accounts: &'a [Account],
 }
 
 /// Reads the queues to consume from; their weights are appended to `weights`.
 pub(crate) fn amqp_sources(
     root: &Section,
-    to: &References,
+    references: &References,
     weights: &mut Vec<f64>,
 ) -> Vec<AmqpSource> {
     let mut amqp_sources = Vec::new();
-    for s in root.sections("amqp") {
-        weights.push(front_weight(&s, to));
+    for section in root.sections("amqp") {
+        weights.push(front_weight(&section, references));
         amqp_sources.push(AmqpSource {
-            name: s.string("name", Some("amqp")),
-            broker: s.loopback_address("broker"),
-            virtual_host: s.string("virtual_host", Some("/")),
-            user: s.string("user", Some("guest")),
-            password: s.string("password", Some("guest")),
-            queue: s.string("queue", None),
-            heartbeat_s: s.integer("heartbeat_s", 0..65_535, Some(10)) as u16,
-            tls: client_tls(&s, to.folder),
+            name: section.string("name", Some("amqp")),
+            broker: section.loopback_address("broker"),
+            virtual_host: section.string("virtual_host", Some("/")),
+            user: section.string("user", Some("guest")),
+            password: section.string("password", Some("guest")),
+            queue: section.string("queue", None),
+            heartbeat_s: section.integer("heartbeat_s", 0..65_535, Some(10)) as u16,
+            tls: client_tls(&section, references.folder),
         });
-        s.finish();
+        section.finish();
     }
     amqp_sources
 }
@@ -47,36 +50,37 @@
 /// Reads the KServe listeners; their weights are appended to `weights`.
 pub(crate) fn kserve_listeners(
     root: &Section,
-    to: &References,
+    references: &References,
     weights: &mut Vec<f64>,
 ) -> Vec<ListenerSettings> {
     let mut listeners: Vec<ListenerSettings> = Vec::new();
-    for s in root.sections("kserve") {
-        weights.push(front_weight(&s, to));
-        let protocol = match s.string("protocol", Some("rest")).as_str() {
+    for section in root.sections("kserve") {
+        weights.push(front_weight(&section, references));
+        let protocol = match section.string("protocol", Some("rest")).as_str() {
             "rest" => Protocol::Rest,
             "grpc" => Protocol::Grpc,
             _ => {
-                s.error("protocol", "is none of rest, grpc");
+                section.error("protocol", "is none of rest, grpc");
                 Protocol::Rest
             }
         };
-        let listen = ListenerSettings {
-            name: s.string("name", Some("kserve")),
-            address: s.loopback_address("listen"),
+        let listener = ListenerSettings {
+            name: section.string("name", Some("kserve")),
+            address: section.loopback_address("listen"),
             protocol,
-            tls: server_tls_files(&s, to.folder, protocol),
-            max_streams: s.integer("most_streams", 1..10_000, Some(100)) as u32,
-            max_connections: s.integer("most_connections", 1..1_000_000, Some(10_000)) as usize,
+            tls: server_tls_files(&section, references.folder, protocol),
+            max_streams: section.integer("most_streams", 1..10_000, Some(100)) as u32,
+            max_connections: section.integer("most_connections", 1..1_000_000, Some(10_000))
+                as usize,
         };
         if listeners
             .iter()
-            .any(|l| l.address == listen.address && l.address.port() != 0)
+            .any(|other| other.address == listener.address && other.address.port() != 0)
         {
-            s.error("listen", "is given twice");
+            section.error("listen", "is given twice");
         }
-        listeners.push(listen);
-        s.finish();
+        listeners.push(listener);
+        section.finish();
     }
     listeners
 }
@@ -84,26 +88,29 @@
 fn wall_time() -> Micros {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |d| d.as_micros() as Micros)
+        .map_or(0, |since| since.as_micros() as Micros)
 }
 
-fn report_certificate(s: &Section, why: &certificates::Refused, clients: &str) {
-    let key = match why.which {
+fn report_certificate(section: &Section, refused: &certificates::Refused, clients: &str) {
+    let key = match refused.which {
         Which::Certificate => "certificate",
         Which::Key => "key",
         Which::Clients => clients,
     };
-    s.error(key, &why.cause);
+    section.error(key, &refused.cause);
 }
 
-fn server_tls_files(s: &Section, folder: &Path, protocol: Protocol) -> Option<TlsFiles> {
-    let (certificate, key) = (path_of(s, "certificate", folder), path_of(s, "key", folder));
-    let clients = path_of(s, "clients", folder);
+fn server_tls_files(section: &Section, folder: &Path, protocol: Protocol) -> Option<TlsFiles> {
+    let (certificate, key) = (
+        path_of(section, "certificate", folder),
+        path_of(section, "key", folder),
+    );
+    let clients = path_of(section, "clients", folder);
     let (certificate, key) = match (certificate, key) {
         (Some(certificate), Some(key)) => (certificate, key),
         (None, None) if clients.is_none() => return None,
         _ => {
-            s.error(
+            section.error(
                 "certificate",
                 "certificate and key belong together, and clients need both",
             );
@@ -121,19 +128,22 @@
         clients,
         alpn,
     };
-    if let Err(why) = ServerTls::open(files.clone(), wall_time()) {
-        report_certificate(s, &why, "clients");
+    if let Err(refused) = ServerTls::open(files.clone(), wall_time()) {
+        report_certificate(section, &refused, "clients");
     }
     Some(files)
 }
 
-fn client_tls(s: &Section, folder: &Path) -> Option<ClientTls> {
-    let roots = path_of(s, "authorities", folder);
-    let (certificate, key) = (path_of(s, "certificate", folder), path_of(s, "key", folder));
-    let name = s.string("server_name", Some("localhost"));
+fn client_tls(section: &Section, folder: &Path) -> Option<ClientTls> {
+    let roots = path_of(section, "authorities", folder);
+    let (certificate, key) = (
+        path_of(section, "certificate", folder),
+        path_of(section, "key", folder),
+    );
+    let name = section.string("server_name", Some("localhost"));
     let Some(roots) = roots else {
-        if certificate.is_some() || key.is_some() || s.has("server_name") {
-            s.error(
+        if certificate.is_some() || key.is_some() || section.has("server_name") {
+            section.error(
                 "authorities",
                 "TLS needs the authorities that the broker's certificate is from",
             );
@@ -141,27 +151,32 @@
         return None;
     };
     if certificate.is_some() != key.is_some() {
-        s.error("certificate", "certificate and key belong together");
+        section.error("certificate", "certificate and key belong together");
         return None;
     }
     let own = certificate.as_deref().zip(key.as_deref());
     match tls::client_tls(&roots, own, &name, wall_time()) {
         Ok(config) => Some(config),
-        Err(why) => {
-            report_certificate(s, &why, "authorities");
+        Err(refused) => {
+            report_certificate(section, &refused, "authorities");
             None
         }
     }
 }
 
 /// A front's weight: its own, or an account's share.
-fn front_weight(s: &Section, to: &References) -> f64 {
-    match s.string("share_of", Some("")).as_str() {
-        "" => s.number("weight", 1e-3..1e3, Some(1.0)),
-        name => match to.names.accounts.iter().position(|n| n == name) {
-            Some(i) => to.accounts[i].share.max(1e-3),
+fn front_weight(section: &Section, references: &References) -> f64 {
+    match section.string("share_of", Some("")).as_str() {
+        "" => section.number("weight", 1e-3..1e3, Some(1.0)),
+        name => match references
+            .names
+            .accounts
+            .iter()
+            .position(|account| account == name)
+        {
+            Some(index) => references.accounts[index].share.max(1e-3),
             None => {
-                s.error("share_of", &format!("there is no account '{name}'"));
+                section.error("share_of", &format!("there is no account '{name}'"));
                 1.0
             }
         },
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -10,7 +10,8 @@
 use cedarpulley_router::{FrontIndex, Input, Router};
 
 use crate::admission::Admission;
-use crate::amqp_front::{AmqpFront, AnswerTimes};
+use crate::amqp_front::AmqpFront;
+use crate::answer_times::AnswerTimes;
 use crate::client_listener::ClientListener;
 use crate::context::GatewayContext;
 use crate::fault_injection::FaultInjector;
--- a/crates/gateway/src/grpc.rs
+++ b/crates/gateway/src/grpc.rs
@@ -1,5 +1,6 @@
 //! The KServe v2 front over gRPC. `cedarpulley_kserve::rpc` interprets calls and `serving` their headers;
-//! here are HTTP/2 streams and limits; what this shares with REST is in `request_handling.rs`.
+//! here are HTTP/2 streams and limits; what this shares with REST is in [`request_handling`](crate::request_handling) and
+//! [`request_parsing`](crate::request_parsing).
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -11,12 +12,13 @@
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
 use cedarpulley_kserve::rpc::inference as wire;
-use cedarpulley_kserve::rpc::{self, Code, Method};
-use cedarpulley_kserve::serving::{self, function};
-use cedarpulley_kserve::tensors;
+use cedarpulley_kserve::rpc::{self, Code, InvalidCall, Method};
+use cedarpulley_kserve::sequences::NoSequence;
+use cedarpulley_kserve::serving::{self, Misunderstood, function};
+use cedarpulley_kserve::tensors::{self, ConversionError};
 use cedarpulley_net::{Bell, micros};
 use cedarpulley_router::entry::Entry;
-use cedarpulley_router::{Answer, Fate, Payload, Reason};
+use cedarpulley_router::{Answer, Fate, Payload, Reason, Taken};
 use futures_lite::{AsyncRead, AsyncWrite};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -26,12 +28,12 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use prost::Message;
 use smol_hyper::rt::{FuturesIo, SmolTimer};
+use thiserror::Error;
 
+use crate::answer_body::{AnswerBody, Reply, UnreadAnswer};
 use crate::outcome_names::{fate_name, reason_name, rejection_name};
-use crate::request_handling::{
-    AnswerBody, BodyError, ClientConnection, Reply, RequestHandler, UnreadAnswer, parse_head,
-    parse_session, read_body, serve_until_closed, with_body_timeout,
-};
+use crate::request_handling::{ClientConnection, RequestHandler, serve_until_closed};
+use crate::request_parsing::{BodyError, parse_head, parse_session, read_body, with_body_timeout};
 
 const MAX_HEADER_BYTES: u32 = 32 * 1024;
 /// Bytes that a peer may send on one stream, and on all its streams, before they are read. This bounds what
@@ -60,6 +62,7 @@
     }
 }
 
+/// Serves one HTTP/2 connection until it ends.
 pub(crate) async fn serve(
     handler: Rc<RequestHandler>,
     client: Rc<ClientConnection>,
@@ -86,7 +89,10 @@
         async move { Ok::<_, Infallible>(handled.await) }
     });
     let connection = pin!(builder.serve_connection(FuturesIo::new(stream), service));
-    serve_until_closed(connection, stop, |c| c.graceful_shutdown()).await;
+    serve_until_closed(connection, stop, |connection| {
+        connection.graceful_shutdown()
+    })
+    .await;
 }
 
 fn response(body: Bytes, trailers: HeaderMap, unread: Option<UnreadAnswer>) -> Reply {
@@ -112,19 +118,46 @@
     response(Bytes::new(), rpc::trailers(code, cause, None), None)
 }
 
-/// Ends a call without a message, with fate and reason beside the code.
+/// Ends a call without a message, with outcome and reason beside the code. `retry_after`: in microseconds.
 fn status_response(
     code: Code,
-    fate: &'static str,
-    why: &'static str,
-    come_back: Option<Micros>,
+    outcome: &'static str,
+    reason: &'static str,
+    retry_after: Option<Micros>,
 ) -> Reply {
-    let mut trailers = rpc::trailers(code, why, come_back);
-    trailers.insert(serving::FATE, HeaderValue::from_static(fate));
-    trailers.insert(serving::REASON, HeaderValue::from_static(why));
+    let mut trailers = rpc::trailers(code, reason, retry_after);
+    trailers.insert(serving::FATE, HeaderValue::from_static(outcome));
+    trailers.insert(serving::REASON, HeaderValue::from_static(reason));
     response(Bytes::new(), trailers, None)
 }
 
+/// Why an inference call cannot be used; shown to the client.
+#[derive(Debug, Error)]
+enum MalformedCall {
+    #[error(transparent)]
+    Header(#[from] Misunderstood),
+    #[error("{}: {}", rpc::TIMEOUT, .0.cause())]
+    Timeout(InvalidCall),
+    #[error("larger than {max_bytes} bytes")]
+    TooLarge { max_bytes: u64 },
+    #[error("{}", .0.cause())]
+    Frame(InvalidCall),
+    #[error("the message cannot be read")]
+    Message(#[from] prost::DecodeError),
+    #[error("model_name: no model has such a name")]
+    ModelName,
+    #[error(transparent)]
+    Tensors(#[from] ConversionError),
+    #[error(transparent)]
+    Session(#[from] NoSequence),
+}
+
+/// Rejects a malformed call, and counts it.
+fn malformed_response(handler: &RequestHandler, malformed: &MalformedCall) -> Reply {
+    handler.context.count_malformed();
+    error_response(Code::InvalidArgument, &malformed.to_string())
+}
+
 async fn handle(
     handler: Rc<RequestHandler>,
     client: Rc<ClientConnection>,
@@ -133,7 +166,7 @@
     let content = request
         .headers()
         .get(CONTENT_TYPE)
-        .and_then(|v| v.to_str().ok())
+        .and_then(|value| value.to_str().ok())
         .unwrap_or_default();
     if !content.starts_with(rpc::CONTENT) || request.method() != hyper::Method::POST {
         let mut reply = Response::new(AnswerBody::new(Bytes::new(), None, None));
@@ -146,24 +179,19 @@
         None => return error_response(Code::Unimplemented, "no such method"),
     };
     // None of these requests carries more than a name.
-    let body = match read_body(
-        request.into_body(),
-        Bytes::new(),
-        u64::from(MAX_HEADER_BYTES),
-    )
-    .await
-    {
+    let max_bytes = u64::from(MAX_HEADER_BYTES);
+    let body = match read_body(request.into_body(), Bytes::new(), max_bytes).await {
         Ok(body) => body,
-        Err(why) => return body_error_response(why),
-    };
-    let message = match rpc::unframe(body) {
-        Ok(message) => message,
-        Err(why) => return error_response(Code::InvalidArgument, why.cause()),
-    };
-    let named = |message: Bytes| match wire::ModelReadyRequest::decode(message) {
-        Ok(m) => function(&m.name, &m.version).ok_or("no model has such a name"),
-        Err(_) => Err("the message cannot be read"),
+        Err(error) => return body_error_response(error),
     };
+    match rpc::unframe(body) {
+        Ok(message) => query_response(&handler, method, message),
+        Err(error) => error_response(Code::InvalidArgument, error.cause()),
+    }
+}
+
+/// Answers the methods that ask about the server and its models.
+fn query_response(handler: &RequestHandler, method: Method, message: Bytes) -> Reply {
     match method {
         Method::ServerLive => message_response(&wire::ServerLiveResponse { live: true }),
         Method::ServerReady => message_response(&wire::ServerReadyResponse {
@@ -174,49 +202,58 @@
             version: env!("CARGO_PKG_VERSION").into(),
             extensions: serving::EXTENSIONS.map(str::to_owned).to_vec(),
         }),
-        Method::ModelReady => match named(message) {
-            // Functions are loaded on demand: any may be asked for.
+        Method::ModelReady => match requested_function(message) {
+            // Functions are loaded on demand: any may be requested.
             Ok(_) => message_response(&wire::ModelReadyResponse { ready: true }),
-            Err(why) => error_response(Code::InvalidArgument, why),
+            Err(cause) => error_response(Code::InvalidArgument, cause),
         },
-        // Its request message is the same as that of readiness.
-        Method::ModelMetadata => match named(message) {
-            Ok(function) => {
-                let (name, version) = serving::model(&function);
-                let versions = if version.is_empty() {
-                    vec![]
-                } else {
-                    vec![version.to_owned()]
-                };
-                let name = name.to_owned();
-                message_response(&wire::ModelMetadataResponse {
-                    name,
-                    versions,
-                    ..Default::default()
-                })
-            }
-            Err(why) => error_response(Code::InvalidArgument, why),
+        Method::ModelMetadata => match requested_function(message) {
+            Ok(function) => model_metadata_response(&function),
+            Err(cause) => error_response(Code::InvalidArgument, cause),
         },
-        Method::RepositoryIndex => {
-            let models = (handler.resources.functions)().into_iter().map(|f| {
-                let (name, version) = serving::model(&f);
-                wire::repository_index_response::ModelIndex {
-                    name: name.into(),
-                    version: version.into(),
-                    state: "READY".into(),
-                    reason: String::new(),
-                }
-            });
-            message_response(&wire::RepositoryIndexResponse {
-                models: models.collect(),
-            })
-        }
+        Method::RepositoryIndex => repository_index_response(&(handler.resources.functions)()),
         Method::ModelInfer => error_response(Code::Internal, "not here"),
     }
 }
 
-fn body_error_response(why: BodyError) -> Reply {
-    match why {
+/// The function that a request for readiness or metadata names; the two have the same message.
+fn requested_function(message: Bytes) -> Result<String, &'static str> {
+    let request =
+        wire::ModelReadyRequest::decode(message).map_err(|_| "the message cannot be read")?;
+    function(&request.name, &request.version).ok_or("no model has such a name")
+}
+
+fn model_metadata_response(function: &str) -> Reply {
+    let (name, version) = serving::model(function);
+    let versions = if version.is_empty() {
+        vec![]
+    } else {
+        vec![version.to_owned()]
+    };
+    message_response(&wire::ModelMetadataResponse {
+        name: name.to_owned(),
+        versions,
+        ..Default::default()
+    })
+}
+
+fn repository_index_response(functions: &[String]) -> Reply {
+    let models = functions.iter().map(|function| {
+        let (name, version) = serving::model(function);
+        wire::repository_index_response::ModelIndex {
+            name: name.into(),
+            version: version.into(),
+            state: "READY".into(),
+            reason: String::new(),
+        }
+    });
+    message_response(&wire::RepositoryIndexResponse {
+        models: models.collect(),
+    })
+}
+
+fn body_error_response(error: BodyError) -> Reply {
+    match error {
         BodyError::TooLarge => error_response(Code::InvalidArgument, "the message is too large"),
         BodyError::Interrupted => error_response(Code::InvalidArgument, "the message broke off"),
         BodyError::TimedOut => {
@@ -250,95 +287,106 @@
     request: Request<Incoming>,
 ) -> Reply {
     let (head, mut body) = request.into_parts();
-    let misunderstood = |cause: &str| {
-        handler.context.count_malformed();
-        error_response(Code::InvalidArgument, cause)
-    };
-    let mut taken = match parse_head(&handler, &client, &head.headers, String::new()) {
+    let mut taken = match parse_infer_head(&handler, &client, &head.headers) {
         Ok(taken) => taken,
-        Err(e) => return misunderstood(&format!("{}: {}", e.field, e.cause)),
+        Err(malformed) => return malformed_response(&handler, &malformed),
     };
-    match rpc::timeout(&head.headers) {
-        Ok(None) => {}
-        Ok(Some(timeout)) => taken.client_timeout = taken.client_timeout.min(timeout),
-        Err(cause) => return misunderstood(&format!("{}: {cause}", rpc::TIMEOUT)),
-    }
     let began = handler.context.clock.now();
     let first = match read_length(&mut body).await {
         Ok(first) => first,
-        Err(why) => return body_error_response(why),
+        Err(error) => return body_error_response(error),
     };
     let message_length = u32::from_be_bytes([first[1], first[2], first[3], first[4]]);
     let announced_bytes = rpc::FRAME as u64 + u64::from(message_length);
     if announced_bytes > handler.max_body_bytes {
-        return misunderstood(&format!("larger than {} bytes", handler.max_body_bytes));
+        let malformed = MalformedCall::TooLarge {
+            max_bytes: handler.max_body_bytes,
+        };
+        return malformed_response(&handler, &malformed);
     }
     taken.waited += handler.context.clock.now() - began;
-    // Turned away before it is taken: no other answer is owed, and nothing of it has run.
+    // Rejected before it is taken: no other answer is owed, and nothing of it was executed.
     let open = match handler.admit(&client, &taken, announced_bytes) {
         Ok(open) => open,
-        Err(Entry::TurnedAway { why, come_back }) => {
-            return status_response(
-                Code::ResourceExhausted,
-                "throttled",
-                rejection_name(why),
-                Some(come_back),
-            );
-        }
-        Err(Entry::Enter) => return error_response(Code::Internal, "no entry was found"),
+        Err(entry) => return rejection_response(entry),
     };
     let body = match read_body(body, first, announced_bytes).await {
         Ok(body) => body,
-        Err(why) => return body_error_response(why),
-    };
-    let message = match rpc::unframe(body) {
-        Ok(message) => message,
-        Err(why) => return misunderstood(why.cause()),
-    };
-    let Ok(message) = wire::ModelInferRequest::decode(message) else {
-        return misunderstood("the message cannot be read");
-    };
-    let Some(function) = function(&message.model_name, &message.model_version) else {
-        return misunderstood("model_name: no model has such a name");
-    };
-    let rest = match tensors::request(&message) {
-        Ok(rest) => rest,
-        Err(cause) => return misunderstood(&cause.to_string()),
-    };
-    taken.function = Arc::from(function);
-    taken.body = Payload {
-        bytes: rest.bytes,
-        first: rest.json,
-    };
-    taken.session = match parse_session(&handler, &taken.body) {
-        Ok(session) => session,
-        Err(why) => return misunderstood(&why.to_string()),
+        Err(error) => return body_error_response(error),
     };
+    if let Err(malformed) = parse_infer_body(&handler, body, &mut taken) {
+        return malformed_response(&handler, &malformed);
+    }
     match open.answer(taken).await {
         Some((answer, unread)) => answer_response(answer, unread),
         None => error_response(Code::Internal, "no answer was found"),
     }
 }
 
+/// Parses the headers of an inference call.
+fn parse_infer_head(
+    handler: &RequestHandler,
+    client: &ClientConnection,
+    headers: &HeaderMap,
+) -> Result<Taken, MalformedCall> {
+    let mut taken = parse_head(handler, client, headers, String::new())?;
+    if let Some(timeout) = rpc::timeout(headers).map_err(MalformedCall::Timeout)? {
+        taken.client_timeout = taken.client_timeout.min(timeout);
+    }
+    Ok(taken)
+}
+
+/// Parses the message of an inference call into `taken`.
+fn parse_infer_body(
+    handler: &RequestHandler,
+    body: Bytes,
+    taken: &mut Taken,
+) -> Result<(), MalformedCall> {
+    let message = rpc::unframe(body).map_err(MalformedCall::Frame)?;
+    let message = wire::ModelInferRequest::decode(message)?;
+    let function =
+        function(&message.model_name, &message.model_version).ok_or(MalformedCall::ModelName)?;
+    let rest_body = tensors::request(&message)?;
+    taken.function = Arc::from(function);
+    taken.body = Payload {
+        bytes: rest_body.bytes,
+        first: rest_body.json,
+    };
+    taken.session = parse_session(handler, &taken.body)?;
+    Ok(())
+}
+
+fn rejection_response(entry: Entry) -> Reply {
+    match entry {
+        Entry::TurnedAway { why, come_back } => status_response(
+            Code::ResourceExhausted,
+            "throttled",
+            rejection_name(why),
+            Some(come_back),
+        ),
+        Entry::Enter => error_response(Code::Internal, "no entry was found"),
+    }
+}
+
 fn answer_response(answer: Answer, unread: UnreadAnswer) -> Reply {
-    let why = reason_name(answer.reason);
+    let reason = reason_name(answer.reason);
     match answer.fate {
         Fate::Succeeded => {
-            let rest = tensors::Rest {
+            let rest_body = tensors::Rest {
                 bytes: answer.body.bytes,
                 json: answer.body.first,
             };
-            match tensors::response(&rest) {
+            match tensors::response(&rest_body) {
                 Ok(message) => {
                     let mut trailers = rpc::trailers(Code::Ok, "", None);
                     trailers.insert(
                         serving::FATE,
                         HeaderValue::from_static(fate_name(answer.fate)),
                     );
-                    trailers.insert(serving::REASON, HeaderValue::from_static(why));
+                    trailers.insert(serving::REASON, HeaderValue::from_static(reason));
                     response(rpc::frame(&message), trailers, Some(unread))
                 }
-                // It has run, but its result cannot be expressed here.
+                // It was executed, but its result cannot be expressed here.
                 Err(cause) => {
                     error_response(Code::Unknown, &format!("the worker's answer: {cause}"))
                 }
@@ -347,12 +395,12 @@
         Fate::Throttled => status_response(
             Code::ResourceExhausted,
             "throttled",
-            why,
+            reason,
             answer.return_after,
         ),
         Fate::Errored if answer.reason == Reason::Overdue => {
-            status_response(Code::DeadlineExceeded, "errored", why, None)
+            status_response(Code::DeadlineExceeded, "errored", reason, None)
         }
-        Fate::Errored => status_response(Code::Unknown, "errored", why, None),
+        Fate::Errored => status_response(Code::Unknown, "errored", reason, None),
     }
 }
--- a/crates/gateway/src/outcome_names.rs
+++ b/crates/gateway/src/outcome_names.rs
@@ -3,6 +3,7 @@
 use cedarpulley_router::entry::Short;
 use cedarpulley_router::{Fate, Reason};
 
+/// The outcome of a request that was taken.
 pub(crate) fn fate_name(fate: Fate) -> &'static str {
     match fate {
         Fate::Succeeded => "succeeded",
@@ -11,6 +12,7 @@
     }
 }
 
+/// Why a request that was taken ended with its outcome.
 pub(crate) fn reason_name(reason: Reason) -> &'static str {
     match reason {
         Reason::Worker => "worker",
@@ -27,9 +29,9 @@
     }
 }
 
-/// Why a request was turned away before it was taken.
-pub(crate) fn rejection_name(why: Short) -> &'static str {
-    match why {
+/// Why a request was rejected before it was taken.
+pub(crate) fn rejection_name(reason: Short) -> &'static str {
+    match reason {
         Short::Stopping => "stopping",
         Short::Memory => "no-memory",
         Short::All => "full",
--- a/crates/gateway/src/outputs.rs
+++ b/crates/gateway/src/outputs.rs
@@ -7,6 +7,8 @@
 use cedarpulley::interface::{DispatchOutcome, LoadReport, Micros, WorkerIndex};
 use cedarpulley_kserve::{endings, reports, requests};
 use cedarpulley_router::core::Call;
+use cedarpulley_router::entry::Entry;
+use cedarpulley_router::group::Ask;
 use cedarpulley_router::{
     Answer, Delivery, FrontIndex, Input, OrderTicket, Output, Payload, Ticket,
 };
@@ -44,16 +46,8 @@
         self.fault_injector.observe(&output);
         match output {
             Output::Answer { delivery, answer } => self.deliver(delivery, answer),
-            Output::Entry { delivery, entry } => {
-                if let Some(handler) = self.handler(delivery.front) {
-                    handler.set_decision(entry);
-                }
-            }
-            Output::Discard(delivery) => {
-                if let Some(front) = self.fronts.get(delivery.front as usize) {
-                    front.discard(delivery);
-                }
-            }
+            Output::Entry { delivery, entry } => self.decide_admission(delivery, entry),
+            Output::Discard(delivery) => self.discard(delivery),
             Output::Grant { front, most } => self.grant(front, most),
             Output::Send {
                 ticket,
@@ -62,16 +56,14 @@
                 trigger,
                 account,
                 call,
-            } => {
-                self.begin_dispatch(Dispatch {
-                    ticket,
-                    worker,
-                    function,
-                    trigger,
-                    account,
-                    call,
-                });
-            }
+            } => self.begin_dispatch(Dispatch {
+                ticket,
+                worker,
+                function,
+                trigger,
+                account,
+                call,
+            }),
             Output::Withdraw(ticket) => self.pool.cancel(ticket),
             Output::Order {
                 ticket,
@@ -80,48 +72,50 @@
                 copies,
                 within,
                 term,
-            } => {
-                let order = LoadOrder {
-                    ticket,
-                    function,
-                    account,
-                    copies,
-                    within,
-                    term,
-                };
-                self.context
-                    .executor
-                    .spawn(self.clone().order_load(order))
-                    .detach();
-            }
+            } => self.spawn(self.clone().order_load(LoadOrder {
+                ticket,
+                function,
+                account,
+                copies,
+                within,
+                term,
+            })),
             Output::Unload {
                 worker,
                 function,
                 term,
-            } => {
-                self.context
-                    .executor
-                    .spawn(self.clone().order_unload(worker, function, term))
-                    .detach();
-            }
-            Output::Probe { worker } => {
-                self.context
-                    .executor
-                    .spawn(self.clone().probe(worker))
-                    .detach();
-            }
+            } => self.spawn(self.clone().order_unload(worker, function, term)),
+            Output::Probe { worker } => self.spawn(self.clone().probe(worker)),
             // The watch retries by itself, with spread-out delays.
             Output::AskList => {}
-            Output::Group(request) => {
-                if let Some(peer_group) = &self.peer_group {
-                    peer_group.request(request);
-                }
-            }
+            Output::Group(request) => self.request_of_group(request),
+        }
+    }
+
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) {
+        self.context.executor.spawn(task).detach();
+    }
+
+    fn decide_admission(&self, delivery: Delivery, entry: Entry) {
+        if let Some(handler) = self.handler(delivery.front) {
+            handler.set_decision(entry);
+        }
+    }
+
+    fn discard(&self, delivery: Delivery) {
+        if let Some(front) = self.fronts.get(delivery.front as usize) {
+            front.discard(delivery);
+        }
+    }
+
+    fn request_of_group(&self, request: Ask) {
+        if let Some(peer_group) = &self.peer_group {
+            peer_group.request(request);
         }
     }
 
     fn deliver(&self, delivery: Delivery, answer: Answer) {
-        tracing::debug!(fate = ?answer.fate, reason = ?answer.reason, "answered");
+        tracing::debug!(outcome = ?answer.fate, reason = ?answer.reason, "request answered");
         if let Some(front) = self.fronts.get(delivery.front as usize) {
             return self.fault_injector.answer(front, delivery, answer);
         }
@@ -154,12 +148,14 @@
         let (ticket, worker, function) =
             (dispatch.ticket, dispatch.worker, dispatch.function.clone());
         let result = self.exchange(dispatch).await;
-        let read = endings::infer(&ending_of(&result, &function));
+        let ending = endings::infer(&ending_of(&result, &function));
         let held = result.as_ref().ok().and_then(|r| reports::held(&r.headers));
         let body = match result {
-            Ok(reply) if read.outcome == DispatchOutcome::Succeeded => {
-                let json = endings::json_length(&reply.headers, &reply.body);
-                let first = json.filter(|n| *n < reply.body.len()).map(|n| n as u32);
+            Ok(reply) if ending.outcome == DispatchOutcome::Succeeded => {
+                let json_length = endings::json_length(&reply.headers, &reply.body);
+                let first = json_length
+                    .filter(|length| *length < reply.body.len())
+                    .map(|length| length as u32);
                 Payload {
                     bytes: reply.body,
                     first,
@@ -167,14 +163,20 @@
             }
             _ => Payload::default(),
         };
-        tracing::debug!(inv = ticket.inv, dispatch = ticket.dispatch, worker, outcome = ?read.outcome, "ended");
+        tracing::debug!(
+            invocation = ticket.inv,
+            dispatch = ticket.dispatch,
+            worker,
+            outcome = ?ending.outcome,
+            "dispatch ended"
+        );
         self.pool.finished(ticket);
         self.feed(Input::DispatchEnded {
             ticket,
-            outcome: read.outcome,
-            note: read.note,
-            crowd: read.crowd,
-            report: read.report,
+            outcome: ending.outcome,
+            note: ending.note,
+            crowd: ending.crowd,
+            report: ending.report,
             held,
             body,
         });
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -18,7 +18,7 @@
 use cedarpulley_router::Ticket;
 use futures_lite::{AsyncRead, AsyncWrite, FutureExt};
 use http_body_util::{BodyExt, Full};
-use hyper::body::Body;
+use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper::{HeaderMap, Request, StatusCode};
 use smol_hyper::rt::FuturesIo;
@@ -34,9 +34,13 @@
 pub struct PoolSettings {
     /// Local address that connections are bound to.
     pub local_address: Option<IpAddr>,
+    /// Time limit for connecting.
     pub connect_timeout: Micros,
+    /// Concurrent requests at one worker.
     pub max_connections: usize,
+    /// Idle connections are closed after this time.
     pub idle_timeout: Micros,
+    /// Largest body of an answer.
     pub max_answer_bytes: usize,
 }
 
@@ -63,8 +67,8 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
-        if let Poll::Ready(Ok(n)) = polled {
-            self.written.set(self.written.get() + n as u64);
+        if let Poll::Ready(Ok(bytes)) = polled {
+            self.written.set(self.written.get() + bytes as u64);
         }
         polled
     }
@@ -95,31 +99,40 @@
 
 /// A complete answer.
 pub struct Reply {
+    /// Status of the answer.
     pub status: StatusCode,
+    /// Headers of the answer.
     pub headers: HeaderMap,
+    /// Its whole body.
     pub body: Bytes,
 }
 
-/// Why there is no complete answer. `sent`: at least one byte of the request has left.
+/// Why there is no complete answer.
 pub enum ExchangeError {
+    /// The worker did not accept a connection in time.
     NoConnection,
+    /// The limit on concurrent requests at the worker is reached.
     NoRoom,
     /// The last check before the first byte found that it may no longer be sent.
     HeldBack,
+    /// The connection broke off before the head of an answer, or an order timed out.
     Interrupted {
+        /// At least one byte of the request has left.
         sent: bool,
     },
+    /// The answer breaks the protocol, or broke off.
     Garbled,
+    /// The answer's body is above the limit.
     TooLarge,
 }
 
 /// The input of the ending table for an exchange about this function.
 pub fn ending_of<'a>(result: &'a Result<Reply, ExchangeError>, function: &'a str) -> Ended<'a> {
     match result {
-        Ok(r) => Ended::Answered {
-            status: r.status,
-            headers: &r.headers,
-            body: &r.body,
+        Ok(reply) => Ended::Answered {
+            status: reply.status,
+            headers: &reply.headers,
+            body: &reply.body,
             function,
         },
         Err(ExchangeError::NoConnection) => Ended::NoConnection,
@@ -152,11 +165,11 @@
     fn acquire(pool: &'a Pool, worker: SocketAddr, is_order: bool) -> Option<Self> {
         let mut workers = pool.workers.borrow_mut();
         let connections = workers.entry(worker).or_default();
-        let (count, most) = match is_order {
+        let (count, limit) = match is_order {
             true => (&mut connections.orders, MAX_ORDERS),
             false => (&mut connections.requests, pool.settings.max_connections),
         };
-        if *count >= most {
+        if *count >= limit {
             return None;
         }
         *count += 1;
@@ -217,14 +230,14 @@
         let cutoff = self.clock.now() - self.settings.idle_timeout;
         let mut closed = Vec::new();
         for connections in self.workers.borrow_mut().values_mut() {
-            closed.extend(
-                connections
-                    .idle
-                    .extract_if(.., |(c, since)| *since < cutoff || c.sender.is_closed()),
-            );
+            closed.extend(connections.idle.extract_if(.., |(connection, since)| {
+                *since < cutoff || connection.sender.is_closed()
+            }));
         }
         drop(closed);
-        let in_use = |l: &WorkerConnections| !l.idle.is_empty() || l.requests > 0 || l.orders > 0;
+        let in_use = |connections: &WorkerConnections| {
+            !connections.idle.is_empty() || connections.requests > 0 || connections.orders > 0
+        };
         self.workers
             .borrow_mut()
             .retain(|_, connections| in_use(connections));
@@ -259,7 +272,7 @@
         })
     }
 
-    /// Sends one request and reads its whole answer. `may_send` is asked last, right before the first byte:
+    /// Sends one request and reads its whole answer. `may_send` is checked last, right before the first byte:
     /// connecting takes time, and the process may have been suspended meanwhile.
     pub async fn exchange(
         &self,
@@ -279,18 +292,33 @@
         if !may_send() {
             return Err(ExchangeError::HeldBack);
         }
-        let before = connection.written.get();
+        let written_before = connection.written.get();
         let answer = connection.sender.send_request(request.map(Full::new)).await;
-        let answer = answer.map_err(|e| {
-            if connection.written.get() == before {
+        let answer = answer.map_err(|error| {
+            if connection.written.get() == written_before {
                 ExchangeError::Interrupted { sent: false }
-            } else if e.is_parse() {
+            } else if error.is_parse() {
                 ExchangeError::Garbled
             } else {
                 ExchangeError::Interrupted { sent: true }
             }
         })?;
-        let (head, mut body) = answer.into_parts();
+        let (head, body) = answer.into_parts();
+        let body = self.read_body(body).await?;
+        if connection.sender.ready().await.is_ok()
+            && let Some(connections) = self.workers.borrow_mut().get_mut(&address)
+        {
+            connections.idle.push((connection, self.clock.now()));
+        }
+        Ok(Reply {
+            status: head.status,
+            headers: head.headers,
+            body,
+        })
+    }
+
+    /// Reads the whole body of an answer, up to the limit.
+    async fn read_body(&self, mut body: Incoming) -> Result<Bytes, ExchangeError> {
         let max_bytes = self.settings.max_answer_bytes;
         if body.size_hint().lower() > max_bytes as u64 {
             return Err(ExchangeError::TooLarge);
@@ -309,20 +337,10 @@
                 chunks.push(data);
             }
         }
-        let body = if chunks.len() == 1 {
+        Ok(if chunks.len() == 1 {
             chunks.swap_remove(0)
         } else {
             Bytes::from(chunks.concat())
-        };
-        if connection.sender.ready().await.is_ok()
-            && let Some(connections) = self.workers.borrow_mut().get_mut(&address)
-        {
-            connections.idle.push((connection, self.clock.now()));
-        }
-        Ok(Reply {
-            status: head.status,
-            headers: head.headers,
-            body,
         })
     }
 
--- a/crates/gateway/src/request_handling.rs
+++ b/crates/gateway/src/request_handling.rs
@@ -1,45 +1,28 @@
-//! What the KServe fronts have in common: which requests are open, who waits for which answer, and how much
-//! of the answers clients have not read yet. The protocols are in `rest.rs` and `grpc.rs`, connections come
-//! from `client_listener.rs`; whether a request is admitted is decided in the core
-//! (`cedarpulley_router::entry`).
+//! What the KServe fronts have in common: which requests are open, and who waits for which answer. Requests are parsed
+//! in [`request_parsing`](crate::request_parsing), answers written by [`answer_body`](crate::answer_body). The protocols
+//! are in `rest.rs` and `grpc.rs`, connections come from `client_listener.rs`; whether a request is admitted is decided
+//! in the core (`cedarpulley_router::entry`).
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
-use std::convert::Infallible;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::sync::Arc;
-use std::task::{Context, Poll};
 
-use async_io::Timer;
-use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_kserve::sequences;
-use cedarpulley_kserve::serving::{self, Misunderstood};
-use cedarpulley_net::{Bell, micros};
+use cedarpulley_net::Bell;
 use cedarpulley_router::entry::{Entry, Knock};
-use cedarpulley_router::{Answer, Delivery, FrontIndex, Input, Payload, Session, Taken};
+use cedarpulley_router::{Answer, Delivery, FrontIndex, Input, Taken};
 use futures_lite::FutureExt;
-use http_body_util::BodyExt;
-use hyper::body::{Body, Frame, Incoming, SizeHint};
-use hyper::{HeaderMap, Response};
 use smol::channel::{Sender, bounded};
 
+use crate::answer_body::UnreadAnswer;
 use crate::context::GatewayContext;
 
-/// A body has to be complete within this time after its head, in microseconds.
-const BODY_TIMEOUT: Micros = 10_000_000;
-/// Answers are handed to the connection in chunks of this size, so that little is copied for a client that
-/// does not read.
-const CHUNK_BYTES: usize = 64 * 1024;
-/// Correlates the logs of clients, routers and workers.
-const REQUEST_ID: &str = "x-request-id";
-
 /// One connection's share of what is open.
 #[derive(Default)]
 pub struct ClientConnection {
-    open: Cell<u32>,
-    unread: Cell<u32>,
+    open_requests: Cell<u32>,
+    unread_answers: Cell<u32>,
     /// Of the last 32 requests, a set bit for each that was abandoned before its answer; and when that last
     /// happened.
     abandoned: Cell<u32>,
@@ -58,6 +41,26 @@
     pub fn bind_account(&self, account: u32) {
         self.account.set(Some(account));
     }
+
+    /// An answer begins to be written.
+    pub(crate) fn begin_unread_answer(&self) {
+        self.unread_answers.set(self.unread_answers.get() + 1);
+    }
+
+    /// An answer was read whole, or is no longer written.
+    pub(crate) fn end_unread_answer(&self) {
+        self.unread_answers
+            .set(self.unread_answers.get().saturating_sub(1));
+    }
+
+    /// Notes whether a request that ends was abandoned before its answer.
+    fn note_ending(&self, abandoned: bool, now: Micros) {
+        self.abandoned
+            .set(self.abandoned.get() << 1 | u32::from(abandoned));
+        if abandoned {
+            self.last_abandoned_at.set(now);
+        }
+    }
 }
 
 /// Shared by all KServe fronts of a router.
@@ -70,12 +73,17 @@
 
 /// The state of one KServe front.
 pub struct RequestHandler {
-    pub ix: FrontIndex,
+    /// Index of this front, for the core.
+    pub front: FrontIndex,
+    /// The context of the router.
     pub context: Rc<GatewayContext>,
+    /// Shared with the other KServe fronts.
     pub resources: Rc<HandlerResources>,
+    /// Largest body of a request.
     pub max_body_bytes: u64,
     /// Limit on concurrent requests of one connection, where the protocol has them.
     pub max_streams: u32,
+    /// How many requests the core admits at once.
     granted: Cell<u32>,
     open_requests: Cell<u32>,
     /// Connections with at least one open request.
@@ -85,12 +93,12 @@
     waiting: RefCell<HashMap<u64, Sender<Answer>>>,
 }
 
-/// An admitted request. If its client disconnects, this is dropped, and the core is told.
+/// An admitted request. If its client disconnects, this is dropped, and the core is notified.
 pub struct OpenRequest {
     handler: Rc<RequestHandler>,
     client: Rc<ClientConnection>,
     delivery: Delivery,
-    began: Micros,
+    admitted_at: Micros,
     answered: bool,
 }
 
@@ -100,19 +108,16 @@
         handler
             .open_requests
             .set(handler.open_requests.get().saturating_sub(1));
-        client.open.set(client.open.get().saturating_sub(1));
-        if client.open.get() == 0 {
+        client
+            .open_requests
+            .set(client.open_requests.get().saturating_sub(1));
+        if client.open_requests.get() == 0 {
             handler
                 .connections
                 .set(handler.connections.get().saturating_sub(1));
         }
         handler.waiting.borrow_mut().remove(&self.delivery.tag);
-        client
-            .abandoned
-            .set(client.abandoned.get() << 1 | u32::from(!self.answered));
-        if !self.answered {
-            client.last_abandoned_at.set(handler.context.clock.now());
-        }
+        client.note_ending(!self.answered, handler.context.clock.now());
         let input = match self.answered {
             true => Input::Safe(self.delivery),
             false => Input::Departed(self.delivery),
@@ -127,59 +132,6 @@
     }
 }
 
-/// Why a body could not be read whole.
-pub enum BodyError {
-    TooLarge,
-    Interrupted,
-    TimedOut,
-}
-
-/// Limits the time for reading a body.
-pub(crate) async fn with_body_timeout<T>(
-    reading: impl Future<Output = Result<T, BodyError>>,
-) -> Result<T, BodyError> {
-    let timeout = async {
-        Timer::after(micros(BODY_TIMEOUT)).await;
-        Err(BodyError::TimedOut)
-    };
-    reading.or(timeout).await
-}
-
-/// Reads a whole body of up to `limit` bytes; `first` are the bytes already read.
-pub(crate) async fn read_body(
-    mut body: Incoming,
-    first: Bytes,
-    max_bytes: u64,
-) -> Result<Bytes, BodyError> {
-    with_body_timeout(async {
-        let mut size = first.len() as u64;
-        let mut chunks = vec![first];
-        loop {
-            if size > max_bytes {
-                return Err(BodyError::TooLarge);
-            }
-            match body.frame().await {
-                None => break,
-                Some(Ok(frame)) => {
-                    if let Ok(data) = frame.into_data() {
-                        size += data.len() as u64;
-                        chunks.push(data);
-                    }
-                }
-                Some(Err(_)) => return Err(BodyError::Interrupted),
-            }
-        }
-        Ok(match chunks.iter().filter(|p| !p.is_empty()).count() {
-            1 => chunks
-                .into_iter()
-                .find(|p| !p.is_empty())
-                .unwrap_or_default(),
-            _ => Bytes::from(chunks.concat()),
-        })
-    })
-    .await
-}
-
 /// Serves a connection until it ends. On a stop signal it announces the shutdown and completes its open
 /// requests. How it ended does not matter: requests still open then were dropped.
 pub(crate) async fn serve_until_closed<C: Future>(
@@ -201,202 +153,34 @@
     }
 }
 
-/// Parses a request's head and resolves all names; the body is read later.
-pub(crate) fn parse_head(
-    handler: &RequestHandler,
-    client: &ClientConnection,
-    headers: &HeaderMap,
-    function: String,
-) -> Result<Taken, Misunderstood> {
-    let context = &handler.context;
-    let metadata = serving::wanted(headers, context.clock.wall())?;
-    let unknown = |field, what: &str| Misunderstood {
-        field,
-        cause: format!("'{what}' is unknown"),
-    };
-    let trigger = context.names.trigger(&metadata.kind);
-    let trigger = trigger.ok_or_else(|| unknown("cedarpulley-trigger-type", &metadata.kind))?;
-    let claimed = context.names.account(metadata.account.as_deref());
-    let claimed = claimed.ok_or_else(|| {
-        unknown(
-            "cedarpulley-account",
-            metadata.account.as_deref().unwrap_or_default(),
-        )
-    })?;
-    let account = match client.account() {
-        None => claimed,
-        Some(own) if metadata.account.is_none() || claimed == own => own,
-        Some(_) => {
-            let cause = "is not the one that the client's certificate speaks for".to_owned();
-            return Err(Misunderstood {
-                field: "cedarpulley-account",
-                cause,
-            });
-        }
-    };
-    Ok(Taken {
-        delivery: handler.delivery(),
-        identity: None,
-        mark: headers
-            .get(REQUEST_ID)
-            .and_then(|v| v.to_str().ok())
-            .map(Arc::from),
-        redelivered: false,
-        repeat: metadata.repeat,
-        trigger,
-        account,
-        function: Arc::from(function),
-        token: metadata.token.map(Arc::from),
-        waited: metadata.waited,
-        client_timeout: metadata.client_timeout.unwrap_or(Micros::MAX / 8),
-        cost_hint: metadata.cost_hint,
-        load_hint: metadata.load_hint,
-        copy_mb: metadata.copy_mb,
-        lanes: metadata.lanes,
-        session: None,
-        named: None,
-        prefers: None,
-        refused: None,
-        body: Payload {
-            bytes: Bytes::new(),
-            first: metadata.json,
-        },
-    })
-}
-
-/// The session given in a request's body, if sessions are tracked.
-pub(crate) fn parse_session(
-    handler: &RequestHandler,
-    body: &Payload,
-) -> Result<Option<Session>, sequences::NoSequence> {
-    if !handler.context.tracks_sessions {
-        return Ok(None);
-    }
-    let json = body.first.map_or(&body.bytes[..], |n| {
-        body.bytes.get(..n as usize).unwrap_or_default()
-    });
-    let of = |s: sequences::Sequence| Session {
-        id: Arc::from(s.id),
-        start: s.start,
-        end: s.end,
-    };
-    Ok(sequences::of(json)?.map(of))
-}
-
 impl OpenRequest {
     /// Hands the request to the core and waits for its answer; absent only by a defect of the core.
     pub async fn answer(mut self, mut taken: Taken) -> Option<(Answer, UnreadAnswer)> {
-        let (answers, answered) = bounded(1);
+        let (sender, receiver) = bounded(1);
         self.handler
             .waiting
             .borrow_mut()
-            .insert(self.delivery.tag, answers);
-        taken.waited += self.handler.context.clock.now() - self.began;
+            .insert(self.delivery.tag, sender);
+        taken.waited += self.handler.context.clock.now() - self.admitted_at;
         self.handler.context.feed(Input::Taken(taken));
-        let answer = answered.recv().await.ok()?;
+        let answer = receiver.recv().await.ok()?;
         self.answered = true;
-        let unread = UnreadAnswer::begin(&self.handler, &self.client, answer.body.len());
+        let unread = UnreadAnswer::begin(&self.handler.resources, &self.client, answer.body.len());
         Some((answer, unread))
     }
 }
 
-/// An answer on its way to a client: its undelivered bytes count against what may be admitted.
-pub struct UnreadAnswer {
-    resources: Rc<HandlerResources>,
-    client: Rc<ClientConnection>,
-    bytes: u64,
-}
-
-impl UnreadAnswer {
-    fn begin(handler: &Rc<RequestHandler>, client: &Rc<ClientConnection>, bytes: usize) -> Self {
-        handler
-            .resources
-            .unread_bytes
-            .set(handler.resources.unread_bytes.get() + bytes as u64);
-        client.unread.set(client.unread.get() + 1);
-        UnreadAnswer {
-            resources: handler.resources.clone(),
-            client: client.clone(),
-            bytes: bytes as u64,
-        }
-    }
-
-    fn delivered(&mut self, bytes: usize) {
-        let delivered = self.bytes.min(bytes as u64);
-        self.bytes -= delivered;
-        self.resources
-            .unread_bytes
-            .set(self.resources.unread_bytes.get().saturating_sub(delivered));
-    }
-}
-
-impl Drop for UnreadAnswer {
-    fn drop(&mut self) {
-        self.delivered(usize::MAX);
-        self.client
-            .unread
-            .set(self.client.unread.get().saturating_sub(1));
-    }
-}
-
-pub(crate) type Reply = Response<AnswerBody>;
-
-/// The body of an answer in chunks, followed by trailers if there are any.
-pub struct AnswerBody {
-    remaining: Bytes,
-    trailers: Option<HeaderMap>,
-    unread: Option<UnreadAnswer>,
-}
-
-impl AnswerBody {
-    pub fn new(body: Bytes, trailers: Option<HeaderMap>, unread: Option<UnreadAnswer>) -> Self {
-        AnswerBody {
-            remaining: body,
-            trailers,
-            unread,
-        }
-    }
-}
-
-impl Body for AnswerBody {
-    type Data = Bytes;
-    type Error = Infallible;
-
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        _: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if !self.remaining.is_empty() {
-            let limit = self.remaining.len().min(CHUNK_BYTES);
-            let chunk = self.remaining.split_to(limit);
-            if let Some(unread) = &mut self.unread {
-                unread.delivered(chunk.len());
-            }
-            return Poll::Ready(Some(Ok(Frame::data(chunk))));
-        }
-        self.unread = None;
-        Poll::Ready(self.trailers.take().map(|t| Ok(Frame::trailers(t))))
-    }
-
-    fn is_end_stream(&self) -> bool {
-        self.remaining.is_empty() && self.trailers.is_none()
-    }
-
-    fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.remaining.len() as u64)
-    }
-}
-
 impl RequestHandler {
+    /// A front without requests; it is ready once the core has granted some.
     pub fn new(
-        ix: FrontIndex,
+        front: FrontIndex,
         context: Rc<GatewayContext>,
         resources: Rc<HandlerResources>,
         max_body_bytes: u64,
         max_streams: u32,
     ) -> Self {
         RequestHandler {
-            ix,
+            front,
             context,
             resources,
             max_body_bytes,
@@ -427,9 +211,9 @@
 
     /// Hands an answer to the request that waits for it.
     pub fn deliver(&self, delivery: Delivery, answer: Answer) {
-        if let Some(waits) = self.waiting.borrow_mut().remove(&delivery.tag) {
-            // A client that has just disconnected is told nothing.
-            let _ = waits.try_send(answer);
+        if let Some(waiter) = self.waiting.borrow_mut().remove(&delivery.tag) {
+            // A client that has just disconnected gets no answer.
+            let _ = waiter.try_send(answer);
         }
     }
 
@@ -443,13 +227,13 @@
         let tag = self.next_tag.get();
         self.next_tag.set(tag + 1);
         Delivery {
-            front: self.ix,
+            front: self.front,
             life: 1,
             tag,
         }
     }
 
-    /// Asks the core to admit a request with a body of up to `bytes`; otherwise returns the rejection.
+    /// Requests admission from the core for a request with a body of up to `bytes`; otherwise returns the rejection.
     pub fn admit(
         self: &Rc<Self>,
         client: &Rc<ClientConnection>,
@@ -462,8 +246,8 @@
             account: taken.account,
             waited: taken.waited,
             bytes,
-            here: client.open.get(),
-            unread: client.unread.get(),
+            here: client.open_requests.get(),
+            unread: client.unread_answers.get(),
             left: client.abandoned.get().count_ones(),
             left_ago: self.context.clock.now() - client.last_abandoned_at.get(),
             connections: self.connections.get().max(1),
@@ -473,22 +257,22 @@
         self.context.feed(Input::Knock { delivery, knock });
         match self.decision.take() {
             Some(Entry::Enter) => {}
-            Some(turned_away) => return Err(turned_away),
+            Some(rejection) => return Err(rejection),
             // The core decides for each request, so that this is a defect of the core.
             None => return Err(Entry::Enter),
         }
         self.open_requests.set(self.open_requests.get() + 1);
-        if client.open.get() == 0 {
+        if client.open_requests.get() == 0 {
             self.connections.set(self.connections.get() + 1);
         }
-        client.open.set(client.open.get() + 1);
+        client.open_requests.set(client.open_requests.get() + 1);
         let (handler, client) = (self.clone(), client.clone());
-        let began = self.context.clock.now();
+        let admitted_at = self.context.clock.now();
         Ok(OpenRequest {
             handler,
             client,
             delivery,
-            began,
+            admitted_at,
             answered: false,
         })
     }
--- a/crates/gateway/src/resources.rs
+++ b/crates/gateway/src/resources.rs
@@ -30,7 +30,7 @@
 /// A KServe listener with its TLS configuration, if it has one.
 pub(crate) type ListenerWithTls = (ListenerSettings, Option<Rc<ServerTls>>);
 
-/// All that the parts of a router are made of.
+/// All that the parts of a router are built from.
 pub(crate) struct Resources {
     pub(crate) name: String,
     pub(crate) clock: Clock,
@@ -39,7 +39,6 @@
     pub(crate) router: Router,
     pub(crate) trace_recorder: Option<TraceRecorder>,
     pub(crate) metering: Option<Metering>,
-    pub(crate) peer_group: Option<PeerGroupResources>,
     pub(crate) amqp_sources: Vec<AmqpSource>,
     pub(crate) listeners: Vec<ListenerWithTls>,
     /// The bound sockets of `listeners`, in the same order.
@@ -47,14 +46,20 @@
     pub(crate) certificate_accounts: Rc<Speakers>,
     pub(crate) max_body_bytes: u64,
     pub(crate) pool: PoolSettings,
+    pub(crate) group: GroupResources,
+    pub(crate) fault: Option<InjectedFault>,
+}
+
+/// What the parts are built from that rest on the peer group and on the workers' reports.
+pub(crate) struct GroupResources {
+    pub(crate) peer_group: Option<PeerGroupResources>,
     pub(crate) upgrade: Option<UpgradeSettings>,
     pub(crate) reconcile: Option<ReconcileSettings>,
     pub(crate) sessions: Option<sessions::Terms>,
-    /// How long the module believes in a copy after its last use, in microseconds.
-    pub(crate) idle_kept: Micros,
-    /// Memory by kind of worker.
-    pub(crate) kinds_mb: Vec<f64>,
-    pub(crate) fault: Option<InjectedFault>,
+    /// How long the decision module assumes that a copy exists after its last use, in microseconds.
+    pub(crate) idle_retention: Micros,
+    /// Memory in MB by kind of worker.
+    pub(crate) memory_mb: Vec<f64>,
 }
 
 impl Resources {
@@ -70,30 +75,22 @@
             .seed
             .unwrap_or_else(|| clock.wall() as u64 ^ u64::from(std::process::id()) << 40);
         let trace_recorder = begin_trace(name, &settings, &clock, seed)?;
-        let disabled_guard = fault.and_then(InjectedFault::guard);
+        let disabled_check = fault.and_then(InjectedFault::guard);
         let peer_group = match settings.peers {
-            Some(peers) => Some(PeerGroupResources::acquire(peers, &clock, disabled_guard)?),
+            Some(peers) => Some(PeerGroupResources::acquire(peers, &clock, disabled_check)?),
             None => None,
         };
-        let control = settings.startup.balancer(seed);
         let sockets = settings
             .listeners
             .iter()
-            .map(|l| listen(l.address))
+            .map(|listener| listen(listener.address))
             .collect::<Result<_, _>>()?;
         let listeners = with_tls(settings.listeners, &clock)?;
-        let (idle_kept, kinds_mb) = (
-            settings.startup.loads.idle_retention,
-            settings.startup.loads.memory_mb,
-        );
-        let mut router = Router::new(control, settings.startup.triggers, settings.core_terms);
         let metering = begin_metering(name, settings.ledger_folder, &settings.names, &clock)?;
-        if let Some(trace_recorder) = &trace_recorder {
-            router.watched_by(Box::new(trace_recorder.clone()));
-        }
-        if let Some(metering) = &metering {
-            router.watched_by(Box::new(metering.clone()));
-        }
+        let balancer = settings.startup.balancer(seed);
+        let loads = settings.startup.loads;
+        let mut router = Router::new(balancer, settings.startup.triggers, settings.core_terms);
+        observe(&mut router, trace_recorder.as_ref(), metering.as_ref());
         Ok(Resources {
             name: name.to_owned(),
             clock,
@@ -102,23 +99,39 @@
             router,
             trace_recorder,
             metering,
-            peer_group,
             amqp_sources: settings.amqp_sources,
             listeners,
             sockets,
             certificate_accounts: Rc::new(settings.certificate_accounts),
             max_body_bytes: settings.max_body_bytes,
             pool: settings.pool,
-            upgrade: settings.upgrade,
-            reconcile: settings.reconcile,
-            sessions: settings.sessions,
-            idle_kept,
-            kinds_mb,
+            group: GroupResources {
+                peer_group,
+                upgrade: settings.upgrade,
+                reconcile: settings.reconcile,
+                sessions: settings.sessions,
+                idle_retention: loads.idle_retention,
+                memory_mb: loads.memory_mb,
+            },
             fault,
         })
     }
 }
 
+/// Registers what records the core's events.
+fn observe(
+    router: &mut Router,
+    trace_recorder: Option<&TraceRecorder>,
+    metering: Option<&Metering>,
+) {
+    if let Some(trace_recorder) = trace_recorder {
+        router.watched_by(Box::new(trace_recorder.clone()));
+    }
+    if let Some(metering) = metering {
+        router.watched_by(Box::new(metering.clone()));
+    }
+}
+
 fn begin_trace(
     name: &str,
     settings: &RouterSettings,
@@ -128,7 +141,10 @@
     let Some(trace) = settings.trace.clone() else {
         return Ok(None);
     };
-    let sources = settings.amqp_sources.iter().map(|s| s.name.clone());
+    let sources = settings
+        .amqp_sources
+        .iter()
+        .map(|source| source.name.clone());
     let start = Start {
         router: name.to_owned(),
         module: module_digest(),
@@ -138,7 +154,12 @@
         triggers_named: settings.names.triggers.clone(),
         accounts_named: settings.names.accounts.clone(),
         fronts_named: sources
-            .chain(settings.listeners.iter().map(|l| l.name.clone()))
+            .chain(
+                settings
+                    .listeners
+                    .iter()
+                    .map(|listener| listener.name.clone()),
+            )
             .collect(),
         seed,
         startup: settings.startup.clone(),
@@ -156,7 +177,7 @@
             None => None,
             Some(files) => {
                 let opened = ServerTls::open(files.clone(), clock.wall());
-                Some(opened.map_err(|e| std::io::Error::other(e.cause))?)
+                Some(opened.map_err(|refused| std::io::Error::other(refused.cause))?)
             }
         };
         all.push((listener, tls));
--- a/crates/gateway/src/rest.rs
+++ b/crates/gateway/src/rest.rs
@@ -1,5 +1,6 @@
 //! The KServe v2 front over HTTP/1.1. `cedarpulley_kserve::serving` interprets requests; here are sockets and
-//! limits; what this shares with gRPC is in `request_handling.rs`.
+//! limits; what this shares with gRPC is in [`request_handling`](crate::request_handling) and
+//! [`request_parsing`](crate::request_parsing).
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -20,11 +21,10 @@
 use hyper::{Request, Response, StatusCode};
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
+use crate::answer_body::{AnswerBody, Reply, UnreadAnswer};
 use crate::outcome_names::{fate_name, reason_name, rejection_name};
-use crate::request_handling::{
-    AnswerBody, BodyError, ClientConnection, Reply, RequestHandler, UnreadAnswer, parse_head,
-    parse_session, read_body, serve_until_closed,
-};
+use crate::request_handling::{ClientConnection, RequestHandler, serve_until_closed};
+use crate::request_parsing::{BodyError, parse_head, parse_session, read_body};
 
 /// Time limit for a head, and for the next one on a kept-alive connection. In microseconds.
 const HEADER_TIMEOUT: Micros = 30_000_000;
@@ -44,6 +44,7 @@
     reply(status, serving::error(cause), None)
 }
 
+/// Serves one HTTP/1.1 connection until it ends.
 pub(crate) async fn serve(
     handler: Rc<RequestHandler>,
     client: Rc<ClientConnection>,
@@ -62,7 +63,10 @@
         .max_headers(MAX_HEADERS)
         .max_buf_size(MAX_HEAD_BYTES);
     let connection = pin!(builder.serve_connection(FuturesIo::new(stream), service));
-    serve_until_closed(connection, stop, |c| c.graceful_shutdown()).await;
+    serve_until_closed(connection, stop, |connection| {
+        connection.graceful_shutdown()
+    })
+    .await;
 }
 
 async fn handle(
@@ -82,7 +86,7 @@
             let body = serde_json::json!({"name": "cedarpulley", "version": version, "extensions": extensions});
             reply(StatusCode::OK, body.to_string(), None)
         }
-        // Functions are loaded on demand: any may be asked for.
+        // Functions are loaded on demand: any may be requested.
         Asked::ModelReady(_) => reply(StatusCode::OK, "", None),
         Asked::ModelMetadata(function) => reply(StatusCode::OK, serving::metadata(&function), None),
         Asked::Index => reply(
@@ -107,62 +111,33 @@
     let (head, body) = request.into_parts();
     let mut taken = match parse_head(&handler, &client, &head.headers, function) {
         Ok(taken) => taken,
-        Err(e) => {
-            handler.context.count_malformed();
-            return error_response(
-                StatusCode::BAD_REQUEST,
-                &format!("{}: {}", e.field, e.cause),
-            );
+        Err(malformed) => {
+            let cause = format!("{}: {}", malformed.field, malformed.cause);
+            return malformed_response(&handler, &cause);
         }
     };
     if body.size_hint().lower() > handler.max_body_bytes {
-        return error_response(
-            StatusCode::PAYLOAD_TOO_LARGE,
-            &format!("larger than {} bytes", handler.max_body_bytes),
-        );
+        return body_error_response(BodyError::TooLarge, handler.max_body_bytes);
     }
     // A body without a content length may be as long as the limit.
     let announced_bytes = body.size_hint().exact().unwrap_or(handler.max_body_bytes);
-    // Turned away before it is taken: no other answer is owed, and nothing of it has run.
+    // Rejected before it is taken: no other answer is owed, and nothing of it was executed.
     let open = match handler.admit(&client, &taken, announced_bytes) {
         Ok(open) => open,
         Err(entry) => return rejection_response(entry),
     };
     taken.body.bytes = match read_body(body, Bytes::new(), handler.max_body_bytes).await {
         Ok(body) => body,
-        Err(BodyError::TooLarge) => {
-            return error_response(
-                StatusCode::PAYLOAD_TOO_LARGE,
-                &format!("larger than {} bytes", handler.max_body_bytes),
-            );
-        }
-        Err(BodyError::Interrupted) => {
-            return error_response(StatusCode::BAD_REQUEST, "the body broke off");
-        }
-        Err(BodyError::TimedOut) => {
-            return error_response(
-                StatusCode::REQUEST_TIMEOUT,
-                "the body was not whole in time",
-            );
-        }
+        Err(error) => return body_error_response(error, handler.max_body_bytes),
     };
-    if taken
-        .body
-        .first
-        .is_some_and(|json| json as usize > taken.body.len())
-    {
-        handler.context.count_malformed();
-        return error_response(
-            StatusCode::BAD_REQUEST,
-            &format!("{JSON_LENGTH}: is beyond the body's end"),
-        );
+    let json_length = taken.body.first.map(|length| length as usize);
+    if json_length.is_some_and(|length| length > taken.body.len()) {
+        let cause = format!("{JSON_LENGTH}: is beyond the body's end");
+        return malformed_response(&handler, &cause);
     }
     taken.session = match parse_session(&handler, &taken.body) {
         Ok(session) => session,
-        Err(why) => {
-            handler.context.count_malformed();
-            return error_response(StatusCode::BAD_REQUEST, &why.to_string());
-        }
+        Err(malformed) => return malformed_response(&handler, &malformed.to_string()),
     };
     // Every request taken is answered; a missing answer would be a defect of the core.
     match open.answer(taken).await {
@@ -171,6 +146,26 @@
     }
 }
 
+/// A request that is rejected because it is malformed; the rejection is counted.
+fn malformed_response(handler: &RequestHandler, cause: &str) -> Reply {
+    handler.context.count_malformed();
+    error_response(StatusCode::BAD_REQUEST, cause)
+}
+
+fn body_error_response(error: BodyError, max_body_bytes: u64) -> Reply {
+    match error {
+        BodyError::TooLarge => error_response(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            &format!("larger than {max_body_bytes} bytes"),
+        ),
+        BodyError::Interrupted => error_response(StatusCode::BAD_REQUEST, "the body broke off"),
+        BodyError::TimedOut => error_response(
+            StatusCode::REQUEST_TIMEOUT,
+            "the body was not whole in time",
+        ),
+    }
+}
+
 fn rejection_response(entry: Entry) -> Reply {
     let Entry::TurnedAway { why, come_back } = entry else {
         return error_response(StatusCode::INTERNAL_SERVER_ERROR, "no entry was found");
@@ -221,8 +216,8 @@
         serving::REASON,
         HeaderValue::from_static(reason_name(answer.reason)),
     );
-    if let Some(advice) = answer.return_after {
-        headers.insert(RETRY_AFTER, HeaderValue::from(serving::retry_after(advice)));
+    if let Some(delay) = answer.return_after {
+        headers.insert(RETRY_AFTER, HeaderValue::from(serving::retry_after(delay)));
     }
     reply
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -29,8 +29,10 @@
 /// Why a router does not start.
 #[derive(Debug, Error)]
 pub enum StartError {
+    /// A file, a socket or another resource of the system.
     #[error("{0}")]
     System(#[from] std::io::Error),
+    /// The peer group.
     #[error(transparent)]
     Group(#[from] PeerGroupError),
 }
@@ -52,11 +54,11 @@
     settings: RouterSettings,
     fault: Option<InjectedFault>,
 ) -> Result<bool, StartError> {
-    let longest = settings
+    let longest_client_timeout = settings
         .startup
         .triggers
         .iter()
-        .map(|t| t.client_timeout)
+        .map(|trigger| trigger.client_timeout)
         .max()
         .unwrap_or(0);
     let workers = settings.workers.clone();
@@ -69,7 +71,7 @@
         start_tasks(&gateway, workers, sockets);
         tracing::info!(router = name, "running");
         signals.next().await;
-        Ok(gateway.stop(longest).await)
+        Ok(gateway.stop(longest_client_timeout).await)
     }))
 }
 
@@ -96,7 +98,10 @@
         executor.spawn(upgrades.clone().run()).detach();
         executor.spawn(upgrades.clone().reload_on_sighup()).detach();
     }
-    gateway.reconciliation.iter().for_each(|r| r.run());
+    gateway
+        .reconciliation
+        .iter()
+        .for_each(|reconciliation| reconciliation.run());
     let corrupting = gateway
         .fault_injector
         .clone()
@@ -118,7 +123,7 @@
                 let event = fault_injector.filter_list_event(event);
                 reconciliation
                     .iter()
-                    .for_each(|r| r.observe_list_event(&event));
+                    .for_each(|reconciliation| reconciliation.observe_list_event(&event));
                 event
             };
             let watch = worker_list::watch(gateway.context.clone(), address, filter);
@@ -138,7 +143,13 @@
     loop {
         Timer::after(FLUSH_INTERVAL).await;
         let now = gateway.context.clock.now();
-        gateway.trace_recorder.iter().for_each(|r| r.flush_old(now));
-        gateway.metering.iter().for_each(|m| m.flush_due(now));
+        gateway
+            .trace_recorder
+            .iter()
+            .for_each(|recorder| recorder.flush_old(now));
+        gateway
+            .metering
+            .iter()
+            .for_each(|metering| metering.flush_due(now));
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,8 +1,10 @@
 //! The settings of one router, read from TOML and refused whole if anything is wrong. Each part of the program is
-//! handed only its own; docs/operate/settings.md documents the keys. The sections are read in `core_settings.rs`,
-//! `front_settings.rs` and `group_settings.rs`.
+//! handed only its own; docs/operate/settings.md documents the keys.
+//!
+//! This module knows all sections and checks them against each other. Each section is read in `core_settings`,
+//! `front_settings`, `group_settings`, `storage_settings` or `worker_settings`; these use `config_values` and
+//! [`config_reader`](crate::config_reader), and never this module.
 
-use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 use cedarpulley::interface::*;
@@ -10,53 +12,52 @@
 use cedarpulley_reconcile::asking::slowest;
 use cedarpulley_router::Terms;
 use cedarpulley_router::group::Sharing;
-use cedarpulley_router::roster::Listed;
 pub use cedarpulley_startup::Names;
 use cedarpulley_startup::StartupSettings;
-use cedarpulley_trace::keeping::Bounds;
 use cedarpulley_trace::start::digest;
 use cedarpulley_upgrade::sessions;
 
 use crate::amqp_front::AmqpSource;
 use crate::client_listener::ListenerSettings;
 use crate::config_reader::{ConfigDocument, ConfigErrors, Section};
-use crate::core_settings::{self, NEVER, RouterSection};
+use crate::config_values::{DAY_MS, NEVER};
+use crate::core_settings::{self, RouterSection};
 use crate::front_settings::{self, References};
 use crate::group_settings::{self, DEFAULT_SESSION_TERMS};
 use crate::peer_settings::PeerSettings;
 use crate::pool::PoolSettings;
 use crate::reconciliation::ReconcileSettings;
+use crate::storage_settings;
 use crate::trace_recorder::TraceSettings;
 use crate::upgrades::UpgradeSettings;
-
-/// A day in milliseconds: no time in the file is longer.
-pub(crate) const DAY_MS: u64 = 86_400_000;
-/// Larger than any number in the file that is not limited otherwise.
-pub(crate) const MAX_NUMBER: f64 = 1e12;
-
-/// Where the workers are listed.
-#[derive(Clone, Debug)]
-pub enum WorkerList {
-    Fixed(Vec<Listed>),
-    Watched(SocketAddr),
-}
+use crate::worker_settings;
+pub use crate::worker_settings::WorkerList;
 
 /// All settings, handed on to the parts one by one.
 pub struct RouterSettings {
     /// Without one each start draws differently.
     pub seed: Option<u64>,
+    /// What the decision module starts with.
     pub startup: StartupSettings,
+    /// The names of zones, kinds of workers, trigger types and accounts, by their index.
     pub names: Names,
+    /// Limits of the core.
     pub core_terms: Terms,
+    /// The queues to consume from.
     pub amqp_sources: Vec<AmqpSource>,
+    /// The addresses to listen on for KServe clients.
     pub listeners: Vec<ListenerSettings>,
+    /// Where the workers are listed.
     pub workers: WorkerList,
+    /// Limits of the connections to workers.
     pub pool: PoolSettings,
+    /// Largest body of a request.
     pub max_body_bytes: u64,
+    /// The accounts that names in client certificates are bound to.
     pub certificate_accounts: Speakers,
-    /// Where a trace is kept, if it is.
+    /// Where a trace is recorded, if it is.
     pub trace: Option<TraceSettings>,
-    /// Where memory-seconds are kept, if they are.
+    /// Folder of the usage ledger (memory-seconds), if usage is metered.
     pub ledger_folder: Option<PathBuf>,
     /// Digest of the settings' text.
     pub digest: [u8; 32],
@@ -79,138 +80,187 @@
     let folder = Path::new(file).parent().unwrap_or(Path::new(""));
     let root = Section::root(&document, &table);
     let mut settings = assemble(&root, folder);
-    let r = root.section("rig");
-    if r.is_present() && !rig {
+    let test_section = root.section("rig");
+    if test_section.is_present() && !rig {
         root.error("rig", "is for tests only; take it out, or start with --rig");
     }
     let day = DAY_MS as f64;
-    settings.clock_offset = (r.number("clock_offset_ms", -day..day, Some(0.0)) * 1000.0) as Micros;
-    r.finish();
+    settings.clock_offset =
+        (test_section.number("clock_offset_ms", -day..day, Some(0.0)) * 1000.0) as Micros;
+    test_section.finish();
     settings.digest = digest(text.as_bytes());
     document.finish(settings)
 }
 
 fn assemble(root: &Section, folder: &Path) -> RouterSettings {
-    let mut names = Names::default();
-    let router = core_settings::router(&root.section("router"), &mut names);
-    let (limits, pool) = core_settings::dispatch(&root.section("dispatch"), router.local_address);
-    let rules = core_settings::rules(&root.section("rules"));
-    let memory_mb = core_settings::kinds(root, &mut names);
-    let loads = core_settings::loads(&root.section("loads"), memory_mb);
-    let prices = core_settings::prices(&root.section("prices"));
-    let (triggers, alone) = core_settings::triggers(root, &limits, &mut names);
-    let shortest = triggers
-        .iter()
-        .map(|t| t.client_timeout)
-        .min()
-        .unwrap_or(NEVER);
-    if router.answer_margin >= shortest {
-        root.section("router").error(
-            "answer_margin_ms",
-            "is not below the shortest client timeout",
-        );
-    }
-    let (accounts, certificate_accounts) = core_settings::accounts(root, &mut names);
-
-    let mut front_weights = Vec::new();
-    let references = References {
+    let core = CoreSections::read(root);
+    let fronts = FrontSections::read(root, folder, &core);
+    let peers = group_settings::peers(
+        &root.section("peers"),
         folder,
-        names: &names,
-        accounts: &accounts,
-    };
-    let amqp_sources = front_settings::amqp_sources(root, &references, &mut front_weights);
-    let listeners = front_settings::kserve_listeners(root, &references, &mut front_weights);
-    let longest = triggers.iter().map(|t| t.client_timeout).max().unwrap_or(0);
-    let peers = group_settings::peers(&root.section("peers"), folder, longest);
-    check_fronts(
-        root,
-        amqp_sources.is_empty() && listeners.is_empty(),
-        peers.as_ref(),
-    );
-    let Shared {
-        upgrade,
-        reconcile,
-        sessions,
-    } = shared(root, folder, peers.as_ref(), &triggers, &loads);
-    let sharing = peers.as_ref().map(|p| Sharing {
-        alone,
-        leave_kept: p.send_lease(),
-    });
-    let workers = workers(&root.section("workers"), &names);
-    let trace = trace(&root.section("trace"), folder);
-    let ledger_folder = ledger_folder(&root.section("meter"), folder);
-    let reports = core_settings::reports(root);
-    let core_terms = core_terms(
-        &router,
-        &accounts,
-        &loads,
-        front_weights,
-        sharing,
-        rules.drain_grace,
+        core.longest_client_timeout(),
     );
+    check_fronts(root, fronts.is_empty(), peers.as_ref());
+    let group = GroupSections::read(root, folder, peers.as_ref(), &core);
+    let workers = worker_settings::workers(&root.section("workers"), &core.names);
+    let trace = storage_settings::trace(&root.section("trace"), folder);
+    let ledger_folder = storage_settings::ledger_folder(&root.section("meter"), folder);
     for known in [
         "router", "dispatch", "rules", "loads", "prices", "workers", "kind", "trace", "meter",
         "rig",
     ] {
         root.has(known);
     }
-    let fleet = router.fleet;
-    let startup = StartupSettings {
-        fleet,
-        limits,
-        rules,
-        triggers,
-        accounts,
-        loads,
-        prices,
-        reports,
-    };
     RouterSettings {
-        seed: router.seed,
-        startup,
-        names,
-        core_terms,
-        amqp_sources,
-        listeners,
+        seed: core.router.seed,
+        core_terms: core.terms(fronts.weights, peers.as_ref()),
+        amqp_sources: fronts.amqp_sources,
+        listeners: fronts.listeners,
         workers,
-        pool,
-        max_body_bytes: router.max_body_bytes,
-        certificate_accounts,
+        max_body_bytes: core.router.max_body_bytes,
         trace,
         ledger_folder,
         digest: [0; 32],
         clock_offset: 0,
         peers,
-        upgrade,
-        reconcile,
-        sessions,
+        upgrade: group.upgrade,
+        reconcile: group.reconcile,
+        sessions: group.sessions,
+        startup: StartupSettings {
+            fleet: core.router.fleet,
+            limits: core.limits,
+            rules: core.rules,
+            triggers: core.triggers,
+            accounts: core.accounts,
+            loads: core.loads,
+            prices: core.prices,
+            reports: core.reports,
+        },
+        names: core.names,
+        pool: core.pool,
+        certificate_accounts: core.certificate_accounts,
+    }
+}
+
+/// The sections of the ways in for requests.
+struct FrontSections {
+    amqp_sources: Vec<AmqpSource>,
+    listeners: Vec<ListenerSettings>,
+    /// By front, AMQP before KServe.
+    weights: Vec<f64>,
+}
+
+impl FrontSections {
+    fn read(root: &Section, folder: &Path, core: &CoreSections) -> FrontSections {
+        let references = References {
+            folder,
+            names: &core.names,
+            accounts: &core.accounts,
+        };
+        let mut weights = Vec::new();
+        let amqp_sources = front_settings::amqp_sources(root, &references, &mut weights);
+        let listeners = front_settings::kserve_listeners(root, &references, &mut weights);
+        FrontSections {
+            amqp_sources,
+            listeners,
+            weights,
+        }
+    }
+
+    fn is_empty(&self) -> bool {
+        self.amqp_sources.is_empty() && self.listeners.is_empty()
     }
 }
 
-fn core_terms(
-    router: &RouterSection,
-    accounts: &[Account],
-    loads: &LoadSettings,
-    front_weights: Vec<f64>,
-    sharing: Option<Sharing>,
-    drain_grace: Micros,
-) -> Terms {
-    Terms {
-        answer_margin: router.answer_margin,
-        clock_margin: router.clock_margin,
-        memory_bytes: router.memory_bytes,
-        front_weights,
-        account_shares: accounts.iter().map(|a| a.share).collect(),
-        order_answered_within: loads.order_timeout,
-        module_alone: false,
-        sharing,
-        drain_grace,
+/// The sections that the core and its decision module are made from.
+struct CoreSections {
+    names: Names,
+    router: RouterSection,
+    limits: DispatchLimits,
+    pool: PoolSettings,
+    rules: RuleLimits,
+    loads: LoadSettings,
+    prices: Prices,
+    triggers: Vec<TriggerType>,
+    /// By trigger type: whether it is sent without a majority of the group.
+    sends_without_majority: Vec<bool>,
+    accounts: Vec<Account>,
+    certificate_accounts: Speakers,
+    reports: ReportSource,
+}
+
+impl CoreSections {
+    fn read(root: &Section) -> CoreSections {
+        let mut names = Names::default();
+        let router = core_settings::router(&root.section("router"), &mut names);
+        let (limits, pool) =
+            core_settings::dispatch(&root.section("dispatch"), router.local_address);
+        let rules = core_settings::rules(&root.section("rules"));
+        let memory_mb = core_settings::kinds(root, &mut names);
+        let loads = core_settings::loads(&root.section("loads"), memory_mb);
+        let prices = core_settings::prices(&root.section("prices"));
+        let (triggers, sends_without_majority) = core_settings::triggers(root, &limits, &mut names);
+        let shortest_client_timeout = triggers
+            .iter()
+            .map(|trigger| trigger.client_timeout)
+            .min()
+            .unwrap_or(NEVER);
+        if router.answer_margin >= shortest_client_timeout {
+            root.section("router").error(
+                "answer_margin_ms",
+                "is not below the shortest client timeout",
+            );
+        }
+        let (accounts, certificate_accounts) = core_settings::accounts(root, &mut names);
+        let reports = core_settings::reports(root);
+        CoreSections {
+            names,
+            router,
+            limits,
+            pool,
+            rules,
+            loads,
+            prices,
+            triggers,
+            sends_without_majority,
+            accounts,
+            certificate_accounts,
+            reports,
+        }
+    }
+
+    fn longest_client_timeout(&self) -> Micros {
+        self.triggers
+            .iter()
+            .map(|trigger| trigger.client_timeout)
+            .max()
+            .unwrap_or(0)
+    }
+
+    /// The limits of the core. `front_weights`: by front, AMQP before KServe.
+    fn terms(&self, front_weights: Vec<f64>, peers: Option<&PeerSettings>) -> Terms {
+        Terms {
+            answer_margin: self.router.answer_margin,
+            clock_margin: self.router.clock_margin,
+            memory_bytes: self.router.memory_bytes,
+            front_weights,
+            account_shares: self.accounts.iter().map(|account| account.share).collect(),
+            order_answered_within: self.loads.order_timeout,
+            module_alone: false,
+            sharing: peers.map(|peers| Sharing {
+                alone: self.sends_without_majority.clone(),
+                leave_kept: peers.send_lease(),
+            }),
+            drain_grace: self.rules.drain_grace,
+        }
     }
 }
 
+/// Requests need a front; a witness has none.
 fn check_fronts(root: &Section, no_front: bool, peers: Option<&PeerSettings>) {
-    let witness = peers.is_some_and(|p| p.group.members[p.group.me as usize].witness);
-    match (no_front, witness) {
+    let is_witness =
+        peers.is_some_and(|peers| peers.group.members[peers.group.me as usize].witness);
+    match (no_front, is_witness) {
         (true, false) => root.error(
             "amqp",
             "neither a broker's queue nor an address to listen on is given",
@@ -223,129 +273,46 @@
     }
 }
 
-/// What rests on the workers' reports and on the group.
-struct Shared {
+/// The sections that rest on the workers' reports and on the group.
+struct GroupSections {
     upgrade: Option<UpgradeSettings>,
     reconcile: Option<ReconcileSettings>,
     sessions: Option<sessions::Terms>,
 }
 
-fn shared(
-    root: &Section,
-    folder: &Path,
-    peers: Option<&PeerSettings>,
-    triggers: &[TriggerType],
-    loads: &LoadSettings,
-) -> Shared {
-    let (upgrade, sessions) = group_settings::upgrade(
-        &root.section("upgrade"),
-        folder,
-        peers,
-        root.has("reconcile"),
-    );
-    let reconcile = group_settings::reconcile(&root.section("reconcile"));
-    let asked_within = reconcile.map_or(0, |r| slowest(r.interval));
-    let upgrade = upgrade.map(|ordered| UpgradeSettings {
-        latency_objectives: triggers.iter().map(|t| t.latency_objective).collect(),
-        memory_mb: loads.memory_mb.clone(),
-        terms: ordered.terms.beside(asked_within, loads.idle_retention),
-        ..ordered
-    });
-    // Without upgrades, sessions are tracked only for their workers.
-    let sessions = sessions.or(reconcile.map(|_| DEFAULT_SESSION_TERMS));
-    Shared {
-        upgrade,
-        reconcile,
-        sessions,
-    }
-}
-
-fn workers(section: &Section, names: &Names) -> WorkerList {
-    let workers = match (section.has("watch"), section.has("list")) {
-        (true, false) => WorkerList::Watched(section.loopback_address("watch")),
-        (false, true) => WorkerList::Fixed(fixed_workers(section, names)),
-        _ => {
-            section.error("watch", "give either a list to watch or a list here");
-            WorkerList::Fixed(Vec::new())
-        }
-    };
-    section.check_unknown_keys();
-    workers
-}
-
-fn trace(section: &Section, folder: &Path) -> Option<TraceSettings> {
-    let trace = section.is_present().then(|| {
-        let bounds = Bounds {
-            file_bytes: section.integer("file_mb", 1..1 << 16, Some(64)) << 20,
-            file_age: section.millis_as_micros("file_minutes", 1..DAY_MS / 60_000 + 1, Some(60))
-                * 60_000,
-            budget: section.integer("budget_mb", 2..1 << 24, Some(1024)) << 20,
-        };
-        if bounds.budget < bounds.file_bytes * 2 {
-            section.error("budget_mb", "is below two files");
-        }
-        TraceSettings {
-            folder: folder.join(section.string("folder", None)),
-            bounds,
-        }
-    });
-    section.check_unknown_keys();
-    trace
-}
-
-fn ledger_folder(section: &Section, folder: &Path) -> Option<PathBuf> {
-    let ledger_folder = section
-        .is_present()
-        .then(|| folder.join(section.string("folder", None)));
-    section.check_unknown_keys();
-    ledger_folder
-}
-
-/// A path given in the settings, relative to their folder.
-pub(crate) fn path_of(s: &Section, key: &str, folder: &Path) -> Option<PathBuf> {
-    s.has(key).then(|| folder.join(s.string(key, Some(""))))
-}
-
-pub(crate) fn zone_index(s: &Section, key: &str, zones: &[String]) -> u32 {
-    let name = s.string(key, Some(""));
-    if name.is_empty() {
-        return 0;
-    }
-    zones.iter().position(|z| *z == name).map_or_else(
-        || {
-            s.error(key, &format!("'{name}' is not among the zones"));
-            0
-        },
-        |i| i as u32,
-    )
-}
-
-fn fixed_workers(w: &Section, names: &Names) -> Vec<Listed> {
-    let mut list: Vec<Listed> = Vec::new();
-    for s in w.sections("list") {
-        let address = s.loopback_address("address").to_string();
-        if list.iter().any(|l| l.address == address) {
-            s.error("address", &format!("{address} is named twice"));
-        }
-        let kind = s.string("kind", Some(""));
-        let kind = match names.kinds.iter().position(|k| *k == kind) {
-            Some(i) => i as u32,
-            None if kind.is_empty() => 0,
-            None => {
-                s.error("kind", &format!("there is no kind '{kind}'"));
-                0
-            }
-        };
-        list.push(Listed {
-            address,
-            zone: zone_index(&s, "zone", &names.zones),
-            kind,
-            cell: s.integer("cell", 0..1 << 30, Some(0)) as u32,
-            standing: EndpointState::InService,
-            weight: s.number("weight", 0.0..MAX_NUMBER, Some(1.0)),
-            started: None,
+impl GroupSections {
+    fn read(
+        root: &Section,
+        folder: &Path,
+        peers: Option<&PeerSettings>,
+        core: &CoreSections,
+    ) -> GroupSections {
+        let (upgrade, sessions) = group_settings::upgrade(
+            &root.section("upgrade"),
+            folder,
+            peers,
+            root.has("reconcile"),
+        );
+        let reconcile = group_settings::reconcile(&root.section("reconcile"));
+        let slowest_poll = reconcile.map_or(0, |reconcile| slowest(reconcile.interval));
+        let upgrade = upgrade.map(|upgrade| UpgradeSettings {
+            latency_objectives: core
+                .triggers
+                .iter()
+                .map(|trigger| trigger.latency_objective)
+                .collect(),
+            memory_mb: core.loads.memory_mb.clone(),
+            terms: upgrade
+                .terms
+                .beside(slowest_poll, core.loads.idle_retention),
+            ..upgrade
         });
-        s.finish();
+        // Without upgrades, sessions are tracked only for their workers.
+        let sessions = sessions.or(reconcile.map(|_| DEFAULT_SESSION_TERMS));
+        GroupSections {
+            upgrade,
+            reconcile,
+            sessions,
+        }
     }
-    list
 }
--- /dev/null
+++ b/crates/gateway/src/storage_settings.rs
@@ -0,0 +1,39 @@
+//! The settings of what a router records on disk: the trace (`[trace]`) and the usage ledger (`[meter]`).
+
+use std::path::{Path, PathBuf};
+
+use cedarpulley_trace::keeping::Bounds;
+
+use crate::config_reader::Section;
+use crate::config_values::DAY_MS;
+use crate::trace_recorder::TraceSettings;
+
+/// Reads `[trace]`; absent if no trace is recorded.
+pub(crate) fn trace(section: &Section, folder: &Path) -> Option<TraceSettings> {
+    let trace = section.is_present().then(|| {
+        let bounds = Bounds {
+            file_bytes: section.integer("file_mb", 1..1 << 16, Some(64)) << 20,
+            file_age: section.millis_as_micros("file_minutes", 1..DAY_MS / 60_000 + 1, Some(60))
+                * 60_000,
+            budget: section.integer("budget_mb", 2..1 << 24, Some(1024)) << 20,
+        };
+        if bounds.budget < bounds.file_bytes * 2 {
+            section.error("budget_mb", "is below two files");
+        }
+        TraceSettings {
+            folder: folder.join(section.string("folder", None)),
+            bounds,
+        }
+    });
+    section.check_unknown_keys();
+    trace
+}
+
+/// Reads `[meter]`: the folder of the usage ledger; absent if usage is not metered.
+pub(crate) fn ledger_folder(section: &Section, folder: &Path) -> Option<PathBuf> {
+    let ledger_folder = section
+        .is_present()
+        .then(|| folder.join(section.string("folder", None)));
+    section.check_unknown_keys();
+    ledger_folder
+}
--- a/crates/gateway/src/tls.rs
+++ b/crates/gateway/src/tls.rs
@@ -35,17 +35,22 @@
 /// The certificate files of one listener.
 #[derive(Clone, Debug)]
 pub struct TlsFiles {
+    /// The certificate chain, in PEM.
     pub certificate: PathBuf,
+    /// The private key, in PEM.
     pub key: PathBuf,
     /// Certificate authorities for clients; if given, a client has to present a certificate.
     pub clients: Option<PathBuf>,
+    /// The protocol that is negotiated (ALPN).
     pub alpn: &'static [u8],
 }
 
 /// Client configuration for the connection to a broker.
 #[derive(Clone, Debug)]
 pub struct ClientTls {
+    /// Trusted authorities, and our own certificate.
     pub config: Arc<ClientConfig>,
+    /// The name that the broker's certificate has to be for.
     pub name: ServerName<'static>,
 }
 
@@ -64,21 +69,19 @@
     })
 }
 
-fn unreadable(which: Which, e: &io::Error) -> Refused {
+fn refused(which: Which, cause: impl std::fmt::Display) -> Refused {
     Refused {
         which,
-        cause: e.to_string(),
+        cause: cause.to_string(),
     }
 }
 
 fn authorities(bytes: &[u8]) -> Result<RootCertStore, Refused> {
     let mut roots = RootCertStore::empty();
-    for one in certificates::chain(Which::Clients, bytes)? {
-        let cause = |_| Refused {
-            which: Which::Clients,
-            cause: "is no authority's certificate".into(),
-        };
-        roots.add(one).map_err(cause)?;
+    for authority in certificates::chain(Which::Clients, bytes)? {
+        roots
+            .add(authority)
+            .map_err(|_| refused(Which::Clients, "is no authority's certificate"))?;
     }
     Ok(roots)
 }
@@ -88,16 +91,10 @@
     clients: Option<&[u8]>,
     alpn: &[u8],
 ) -> Result<Arc<ServerConfig>, Refused> {
-    let wrong = |which| {
-        move |e: &dyn std::fmt::Display| Refused {
-            which,
-            cause: e.to_string(),
-        }
-    };
     let provider = Arc::new(ring::default_provider());
     let builder = ServerConfig::builder_with_provider(provider.clone())
         .with_safe_default_protocol_versions()
-        .map_err(|e| wrong(Which::Certificate)(&e))?;
+        .map_err(|error| refused(Which::Certificate, error))?;
     let builder = match clients {
         None => builder.with_no_client_auth(),
         Some(bytes) => {
@@ -106,12 +103,14 @@
                 provider,
             )
             .build();
-            builder.with_client_cert_verifier(verifier.map_err(|e| wrong(Which::Clients)(&e))?)
+            builder.with_client_cert_verifier(
+                verifier.map_err(|error| refused(Which::Clients, error))?,
+            )
         }
     };
     let mut config = builder
         .with_single_cert(served.chain, served.key)
-        .map_err(|e| wrong(Which::Key)(&e))?;
+        .map_err(|error| refused(Which::Key, error))?;
     config.alpn_protocols = vec![alpn.to_vec()];
     Ok(Arc::new(config))
 }
@@ -134,12 +133,12 @@
     /// Reads and validates the files at `wall`, in microseconds since 1970.
     pub fn open(files: TlsFiles, wall: Micros) -> Result<Rc<ServerTls>, Refused> {
         let certificate =
-            read_file(&files.certificate).map_err(|e| unreadable(Which::Certificate, &e))?;
-        let key = read_file(&files.key).map_err(|e| unreadable(Which::Key, &e))?;
+            read_file(&files.certificate).map_err(|error| refused(Which::Certificate, error))?;
+        let key = read_file(&files.key).map_err(|error| refused(Which::Key, error))?;
         let clients = match &files.clients {
             Some(path) => Some(
                 read_file(path)
-                    .map_err(|e| unreadable(Which::Clients, &e))?
+                    .map_err(|error| refused(Which::Clients, error))?
                     .bytes,
             ),
             None => None,
@@ -177,45 +176,47 @@
         loop {
             Timer::after(POLL_INTERVAL).await;
             let wall = clock.wall();
-            // A disk that hangs must not block the router's one thread.
-            let TlsFiles {
-                certificate, key, ..
-            } = self.files.clone();
-            let pair = smol::unblock(move || {
-                Ok::<_, io::Error>((read_file(&certificate)?, read_file(&key)?))
-            })
-            .await;
+            let pair = self.read_pair().await;
             let step = self.keeper.borrow_mut().offered(wall, pair.ok());
             match step {
                 Step::Keep | Step::LookAgain => {}
-                Step::Refuse(why) => {
-                    tracing::error!(front, file = ?why.which, cause = why.cause, "not replaced; the old one goes on");
-                }
-                Step::Replace(served) => {
-                    match server_config(served, self.clients.borrow().as_deref(), self.files.alpn) {
-                        Ok(config) => {
-                            *self.acceptor.borrow_mut() = config.into();
-                            tracing::info!(front, "the certificate was replaced");
-                        }
-                        Err(why) => {
-                            tracing::error!(front, file = ?why.which, cause = why.cause, "not replaced");
-                        }
-                    }
-                }
+                Step::Refuse(refused) => log_refused(&front, &refused),
+                Step::Replace(served) => match self.replace(served) {
+                    Ok(()) => tracing::info!(front, "the certificate was replaced"),
+                    Err(refused) => log_refused(&front, &refused),
+                },
             }
-            let left = self.keeper.borrow().ends_soon(wall);
-            if let Some(left) =
-                left.filter(|_| clock.now().saturating_sub(last_warned) > EXPIRY_WARNING_INTERVAL)
-            {
+            let expires_in = self.keeper.borrow().ends_soon(wall);
+            let is_due = clock.now().saturating_sub(last_warned) > EXPIRY_WARNING_INTERVAL;
+            if let Some(expires_in) = expires_in.filter(|_| is_due) {
                 last_warned = clock.now();
                 tracing::warn!(
                     front,
-                    hours = left / 3_600_000_000,
-                    "the certificate ends soon"
+                    hours = expires_in / 3_600_000_000,
+                    "the certificate expires soon"
                 );
             }
         }
     }
+
+    /// Reads certificate and key on another thread: a disk that hangs must not block the router's one thread.
+    async fn read_pair(&self) -> io::Result<(Read, Read)> {
+        let TlsFiles {
+            certificate, key, ..
+        } = self.files.clone();
+        smol::unblock(move || Ok((read_file(&certificate)?, read_file(&key)?))).await
+    }
+
+    /// Uses another certificate from now on.
+    fn replace(&self, served: Served) -> Result<(), Refused> {
+        let config = server_config(served, self.clients.borrow().as_deref(), self.files.alpn)?;
+        *self.acceptor.borrow_mut() = config.into();
+        Ok(())
+    }
+}
+
+fn log_refused(front: &str, refused: &Refused) {
+    tracing::error!(front, file = ?refused.which, cause = refused.cause, "the certificate was not replaced; the previous one stays in use");
 }
 
 /// For a broker: the trusted authorities, and our own certificate and key if the broker requires one.
@@ -225,42 +226,36 @@
     name: &str,
     wall: Micros,
 ) -> Result<ClientTls, Refused> {
-    let clients = read_file(roots).map_err(|e| unreadable(Which::Clients, &e))?;
+    let clients = read_file(roots).map_err(|error| refused(Which::Clients, error))?;
     let builder = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
         .with_safe_default_protocol_versions()
-        .map_err(|e| Refused {
-            which: Which::Clients,
-            cause: e.to_string(),
-        })?
+        .map_err(|error| refused(Which::Clients, error))?
         .with_root_certificates(authorities(&clients.bytes)?);
     let config = match own {
         None => builder.with_no_client_auth(),
         Some((certificate, key)) => {
             let certificate =
-                read_file(certificate).map_err(|e| unreadable(Which::Certificate, &e))?;
-            let key = read_file(key).map_err(|e| unreadable(Which::Key, &e))?;
+                read_file(certificate).map_err(|error| refused(Which::Certificate, error))?;
+            let key = read_file(key).map_err(|error| refused(Which::Key, error))?;
             let served = certificates::judge(&certificate, &key, wall)?;
             builder
                 .with_client_auth_cert(served.chain, served.key)
-                .map_err(|e| Refused {
-                    which: Which::Key,
-                    cause: e.to_string(),
-                })?
+                .map_err(|error| refused(Which::Key, error))?
         }
     };
-    let cause = |_| Refused {
-        which: Which::Clients,
-        cause: format!("'{name}' is no server's name"),
-    };
+    let name = ServerName::try_from(name.to_owned())
+        .map_err(|_| refused(Which::Clients, format!("'{name}' is no server's name")))?;
     Ok(ClientTls {
         config: Arc::new(config),
-        name: ServerName::try_from(name.to_owned()).map_err(cause)?,
+        name,
     })
 }
 
 /// A connection to a broker, with or without TLS.
 pub enum BrokerStream {
+    /// Without TLS.
     Plain(Stream),
+    /// With TLS.
     Tls(Box<client::TlsStream<Stream>>),
 }
 
@@ -283,11 +278,12 @@
     }
 }
 
-macro_rules! either {
-    ($it:expr, $of:pat => $do:expr) => {
-        match $it.get_mut() {
-            BrokerStream::Plain($of) => $do,
-            BrokerStream::Tls($of) => $do,
+/// Applies an expression to the stream in either variant.
+macro_rules! with_stream {
+    ($broker:expr, $stream:pat => $call:expr) => {
+        match $broker.get_mut() {
+            BrokerStream::Plain($stream) => $call,
+            BrokerStream::Tls($stream) => $call,
         }
     };
 }
@@ -298,20 +294,20 @@
         cx: &mut Context,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        either!(self, s => Pin::new(s).poll_read(cx, buf))
+        with_stream!(self, stream => Pin::new(stream).poll_read(cx, buf))
     }
 }
 
 impl AsyncWrite for BrokerStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        either!(self, s => Pin::new(s).poll_write(cx, buf))
+        with_stream!(self, stream => Pin::new(stream).poll_write(cx, buf))
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        either!(self, s => Pin::new(s).poll_flush(cx))
+        with_stream!(self, stream => Pin::new(stream).poll_flush(cx))
     }
 
     fn poll_close(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        either!(self, s => Pin::new(s).poll_close(cx))
+        with_stream!(self, stream => Pin::new(stream).poll_close(cx))
     }
 }
--- a/crates/gateway/src/wiring.rs
+++ b/crates/gateway/src/wiring.rs
@@ -14,16 +14,17 @@
 use cedarpulley_upgrade::{Held, WorkerSeen};
 
 use crate::admission::Admission;
-use crate::amqp_front::{AmqpFront, AnswerTimes};
+use crate::amqp_front::{AmqpFront, AmqpSource};
+use crate::answer_times::AnswerTimes;
 use crate::client_listener::ClientListener;
 use crate::context::GatewayContext;
-use crate::fault_injection::FaultInjector;
+use crate::fault_injection::{FaultInjector, InjectedFault};
 use crate::gateway::{Gateway, worker_address};
 use crate::peer_group::PeerGroup;
 use crate::pool::Pool;
 use crate::reconciliation::Reconciliation;
 use crate::request_handling::{HandlerResources, RequestHandler};
-use crate::resources::{ListenerWithTls, Resources};
+use crate::resources::{GroupResources, ListenerWithTls, Resources};
 use crate::shared_state::SharedState;
 use crate::upgrades::Upgrades;
 
@@ -49,52 +50,16 @@
         max_body_bytes: resources.max_body_bytes,
         certificate_accounts: resources.certificate_accounts,
     };
-    let fronts = resources
-        .amqp_sources
-        .into_iter()
-        .enumerate()
-        .map(|(index, source)| {
-            let max_body_bytes = resources.max_body_bytes;
-            Rc::new(AmqpFront::new(
-                index as u32,
-                source,
-                max_body_bytes,
-                context.clone(),
-                times.clone(),
-            ))
-        });
-    let fronts = fronts.collect();
-    let peer_group = resources
-        .peer_group
-        .map(|group| PeerGroup::new(&context, group));
-    let shared = peer_group.as_ref().map(PeerGroup::shared_state);
-    let upgrades = shared.clone().zip(resources.upgrade);
-    let upgrades =
-        upgrades.map(|(shared, settings)| Upgrades::new(context.clone(), shared, settings));
-    let admission = resources.sessions.map(|terms| {
-        let (shared, upgrades) = (shared.clone(), upgrades.clone());
-        Admission::new(
-            context.clone(),
-            terms,
-            shared,
-            upgrades,
-            core_past_admission(gateway.clone()),
-        )
-    });
-    let reconciliation = resources.reconcile.map(|settings| {
-        let (context, pool) = (context.clone(), pool.clone());
-        let (idle_kept, kinds_mb) = (resources.idle_kept, resources.kinds_mb);
-        Reconciliation::new(context, pool, shared.clone(), settings, idle_kept, kinds_mb)
-    });
-    let address_router = router.clone();
-    let address = Rc::new(move |worker| worker_address(&address_router, worker));
+    let fronts = amqp_fronts(
+        resources.amqp_sources,
+        resources.max_body_bytes,
+        &context,
+        &times,
+    );
+    let group = GroupParts::build(resources.group, &context, &pool, gateway);
+    let fault_injector = fault_injector(resources.fault, &context, &pool, &router);
     let gateway = Gateway {
-        fault_injector: Rc::new(FaultInjector::new(
-            resources.fault,
-            context.clone(),
-            pool.clone(),
-            address,
-        )),
+        fault_injector,
         router,
         times,
         trace_recorder: resources.trace_recorder,
@@ -102,17 +67,98 @@
         fronts,
         client_listeners: kserve.listeners(resources.listeners),
         pool,
-        peer_group,
-        upgrades,
-        admission,
-        reconciliation,
+        peer_group: group.peer_group,
+        upgrades: group.upgrades,
+        admission: group.admission,
+        reconciliation: group.reconciliation,
         alarm: Alarm::default(),
         context,
     };
-    connect(&gateway, shared.as_ref());
+    connect(&gateway, group.shared.as_ref());
     gateway
 }
 
+/// The parts that rest on the peer group and on the workers' reports; each only if it is configured.
+struct GroupParts {
+    peer_group: Option<PeerGroup>,
+    shared: Option<SharedState>,
+    upgrades: Option<Rc<Upgrades>>,
+    admission: Option<Rc<Admission>>,
+    reconciliation: Option<Rc<Reconciliation>>,
+}
+
+impl GroupParts {
+    fn build(
+        resources: GroupResources,
+        context: &Rc<GatewayContext>,
+        pool: &Rc<Pool>,
+        gateway: &Weak<Gateway>,
+    ) -> GroupParts {
+        let peer_group = resources
+            .peer_group
+            .map(|group| PeerGroup::new(context, group));
+        let shared = peer_group.as_ref().map(PeerGroup::shared_state);
+        let upgrades = shared
+            .clone()
+            .zip(resources.upgrade)
+            .map(|(shared, settings)| Upgrades::new(context.clone(), shared, settings));
+        let admission = resources.sessions.map(|terms| {
+            let (shared, upgrades) = (shared.clone(), upgrades.clone());
+            let core = core_past_admission(gateway.clone());
+            Admission::new(context.clone(), terms, shared, upgrades, core)
+        });
+        let reconciliation = resources.reconcile.map(|settings| {
+            Reconciliation::new(
+                context.clone(),
+                pool.clone(),
+                shared.clone(),
+                settings,
+                resources.idle_retention,
+                resources.memory_mb,
+            )
+        });
+        GroupParts {
+            peer_group,
+            shared,
+            upgrades,
+            admission,
+            reconciliation,
+        }
+    }
+}
+
+fn amqp_fronts(
+    sources: Vec<AmqpSource>,
+    max_body_bytes: u64,
+    context: &Rc<GatewayContext>,
+    times: &Rc<AnswerTimes>,
+) -> Vec<Rc<AmqpFront>> {
+    let front = |(index, source): (usize, AmqpSource)| {
+        let (context, times) = (context.clone(), times.clone());
+        let index = index as u32;
+        Rc::new(AmqpFront::new(
+            index,
+            source,
+            max_body_bytes,
+            context,
+            times,
+        ))
+    };
+    sources.into_iter().enumerate().map(front).collect()
+}
+
+fn fault_injector(
+    fault: Option<InjectedFault>,
+    context: &Rc<GatewayContext>,
+    pool: &Rc<Pool>,
+    router: &Rc<RefCell<Router>>,
+) -> Rc<FaultInjector> {
+    let router = router.clone();
+    let address = Rc::new(move |worker| worker_address(&router, worker));
+    let (context, pool) = (context.clone(), pool.clone());
+    Rc::new(FaultInjector::new(fault, context, pool, address))
+}
+
 fn context(
     resources: &Resources,
     executor: &Rc<LocalExecutor<'static>>,
@@ -125,7 +171,7 @@
         seed: resources.seed,
         local_address: resources.pool.local_address,
         names: resources.names.clone(),
-        tracks_sessions: resources.sessions.is_some() || resources.reconcile.is_some(),
+        tracks_sessions: resources.group.sessions.is_some() || resources.group.reconcile.is_some(),
         malformed_inputs: Cell::new(0),
         core_input: Box::new(move |input| {
             if let Some(gateway) = gateway.upgrade() {
@@ -151,7 +197,7 @@
     })
 }
 
-/// What all KServe fronts are made of.
+/// What all KServe fronts are built from.
 struct KserveFronts {
     /// Index of the first; those of the AMQP fronts come before.
     first_index: usize,
@@ -163,8 +209,8 @@
 
 impl KserveFronts {
     fn listeners(&self, listeners: Vec<ListenerWithTls>) -> Vec<Rc<ClientListener>> {
-        let listener = |(n, (settings, tls)): (usize, ListenerWithTls)| {
-            let index = (self.first_index + n) as u32;
+        let listener = |(position, (settings, tls)): (usize, ListenerWithTls)| {
+            let index = (self.first_index + position) as u32;
             let (context, shared) = (self.context.clone(), self.shared.clone());
             let handler = RequestHandler::new(
                 index,
@@ -219,8 +265,10 @@
 fn connect_upgrades(reconciliation: &Rc<Reconciliation>, upgrades: &Rc<Upgrades>) {
     let source = reconciliation.clone();
     upgrades.set_holdings_source(Box::new(move || source.observed(to_worker_seen)));
-    let claiming = upgrades.clone();
-    reconciliation.set_claims_provider(Box::new(move |functions| claims(&claiming, functions)));
+    let claiming_plans = upgrades.clone();
+    reconciliation.set_claims_provider(Box::new(move |functions| {
+        claims(&claiming_plans, functions)
+    }));
     let upgrades = upgrades.clone();
     // Nor is a copy that a plan has retired loaded again.
     let managed_or_retired = move |function: &str| {
@@ -251,15 +299,18 @@
 /// plan is in progress it alone decides: a version retired here may still be needed elsewhere to keep the
 /// plan's minimum of copies.
 fn claims(upgrades: &Upgrades, functions: &[Arc<str>]) -> Claims {
-    let retired = |f: &&Arc<str>| {
-        let (model, version) = serving::model(f);
-        upgrades.is_retired(model, version) && !upgrades.manages(f)
+    let retired = |function: &&Arc<str>| {
+        let (model, version) = serving::model(function);
+        upgrades.is_retired(model, version) && !upgrades.manages(function)
     };
     let claims = upgrades.claims();
     Claims {
-        terms: claims.iter().filter_map(|c| c.term.clone()).collect(),
+        terms: claims
+            .iter()
+            .filter_map(|claim| claim.term.clone())
+            .collect(),
         retired: functions.iter().filter(retired).cloned().collect(),
-        functions: claims.into_iter().map(|c| c.function).collect(),
+        functions: claims.into_iter().map(|claim| claim.function).collect(),
     }
 }
 
@@ -269,15 +320,15 @@
     worker: &Arc<str>,
     seen_at: Micros,
     memory_mb: f64,
-    said: &Observation,
+    observation: &Observation,
 ) -> WorkerSeen {
-    let held = |e: &Entry| Held {
-        function: e.function.clone(),
-        copies: e.copies,
-        lanes: e.copies,
-        busy: e.busy.unwrap_or(0),
-        loading: e.loading,
-        sessions: e.sequences.as_ref().map_or(0, |ids| ids.len() as u32),
+    let held = |entry: &Entry| Held {
+        function: entry.function.clone(),
+        copies: entry.copies,
+        lanes: entry.copies,
+        busy: entry.busy.unwrap_or(0),
+        loading: entry.loading,
+        sessions: entry.sequences.as_ref().map_or(0, |ids| ids.len() as u32),
         copy_mb: 0,
     };
     WorkerSeen {
@@ -287,6 +338,6 @@
         seen_at,
         memory_mb: memory_mb as u32,
         used_mb: 0,
-        holds: said.entries.iter().map(held).collect(),
+        holds: observation.entries.iter().map(held).collect(),
     }
 }
--- a/crates/gateway/src/worker_list.rs
+++ b/crates/gateway/src/worker_list.rs
@@ -39,19 +39,19 @@
     address: SocketAddr,
     filter: impl Fn(News) -> News,
 ) {
-    let mut roster = Roster::default();
+    let mut endpoint_list = Roster::default();
     let mut backoff = Backoff::new(context.seed ^ 0x11_57);
     let mut next = Step::List;
     loop {
         let began = context.clock.now();
         let event = match &next {
             Step::Watch(version) => {
-                follow_watch(&context, address, *version, &mut roster, &filter).await
+                follow_watch(&context, address, *version, &mut endpoint_list, &filter).await
             }
             _ => fetch_list(&context, address).await,
         };
         let failed = matches!(event, News::Broken { .. });
-        next = apply(&context, &mut roster, filter(event)).unwrap_or(Step::List);
+        next = apply(&context, &mut endpoint_list, filter(event)).unwrap_or(Step::List);
         if failed || matches!(next, Step::List) {
             let now = context.clock.now();
             Timer::at(context.clock.instant(now + backoff.after(now - began))).await;
@@ -60,9 +60,9 @@
 }
 
 /// Reports an event to the core; returns the next step.
-fn apply(context: &GatewayContext, roster: &mut Roster, event: News) -> Option<Step> {
+fn apply(context: &GatewayContext, endpoint_list: &mut Roster, event: News) -> Option<Step> {
     let mut next = None;
-    for step in roster.news(context.clock.now(), event) {
+    for step in endpoint_list.news(context.clock.now(), event) {
         match step {
             Step::Tell { mode, workers } => context.feed(Input::List { mode, workers }),
             step => next = Some(step),
@@ -94,15 +94,15 @@
     let request = Request::get(path)
         .header("host", address.to_string())
         .header("accept", "application/json");
-    let asked = sender.send_request(request.body(Empty::<Bytes>::new()).ok()?);
+    let response = sender.send_request(request.body(Empty::<Bytes>::new()).ok()?);
     let timeout = async {
         Timer::after(micros(LIST_TIMEOUT)).await;
         None
     };
-    let answer = async { asked.await.ok() }.or(timeout).await?;
+    let response = async { response.await.ok() }.or(timeout).await?;
     Some(StreamingResponse {
-        status: answer.status().as_u16(),
-        body: answer.into_body(),
+        status: response.status().as_u16(),
+        body: response.into_body(),
         _driver,
     })
 }
@@ -117,7 +117,7 @@
         };
         match self.body.frame().or(timeout).await {
             Some(Ok(frame)) => {
-                buffer.extend_from_slice(frame.data_ref().map_or(&[], |d| d.as_ref()));
+                buffer.extend_from_slice(frame.data_ref().map_or(&[], |data| data.as_ref()));
                 true
             }
             _ => false,
@@ -129,7 +129,7 @@
     let broken = News::Broken { too_old: false };
     let Some(mut response) = get(context, address, PATH)
         .await
-        .filter(|r| r.status == 200)
+        .filter(|response| response.status == 200)
     else {
         return broken;
     };
@@ -149,7 +149,7 @@
             version,
             slices: items
                 .iter()
-                .filter_map(|i| parse_slice(context, i))
+                .filter_map(|item| parse_slice(context, item))
                 .collect(),
         },
         None => broken,
@@ -160,7 +160,7 @@
     context: &GatewayContext,
     address: SocketAddr,
     from: u64,
-    roster: &mut Roster,
+    endpoint_list: &mut Roster,
     filter: &impl Fn(News) -> News,
 ) -> News {
     let broken = |too_old| News::Broken { too_old };
@@ -189,11 +189,11 @@
                         version,
                     }),
                 Some("BOOKMARK") => resource_version(object).map(News::Bookmark),
-                // A status object; 410: the requested version is no longer kept.
+                // A status object; 410: the requested version is no longer retained.
                 _ => return broken(object["code"].as_u64() == Some(410)),
             };
             if let Some(event) = event {
-                apply(context, roster, filter(event));
+                apply(context, endpoint_list, filter(event));
             }
         }
         if buffer.len() > MAX_LINE_BYTES {
@@ -212,59 +212,89 @@
     let name = object["metadata"]["name"].as_str()?.to_owned();
     let version = resource_version(object)?;
     let port = object["ports"].as_array()?.first()?["port"].as_u64()?;
-    let annotation = |key: &str| object["metadata"]["annotations"][key].as_str();
-    let index = |names: &[String], name: Option<&str>| {
-        name.and_then(|n| names.iter().position(|k| k == n))
-            .unwrap_or(0) as u32
-    };
-    // The start by the wall clock, converted to the router's clock.
-    let started = annotation("cedarpulley/started-at-us").and_then(|t| t.parse::<Micros>().ok());
-    let started = started
-        .filter(|&s| s > 0)
-        .map(|s| context.clock.now() - (context.clock.wall() - s));
-    let mut entries = Vec::new();
-    for endpoint in object["endpoints"]
+    let annotations = SliceAnnotations::parse(context, &object["metadata"]["annotations"]);
+    let entries = object["endpoints"]
         .as_array()
         .map(Vec::as_slice)
         .unwrap_or_default()
-    {
-        let Some(ip) = endpoint["addresses"][0].as_str() else {
-            continue;
-        };
-        let Ok(address) = format!("{ip}:{port}").parse::<SocketAddr>() else {
-            continue;
-        };
-        if !address.ip().is_loopback() {
-            continue;
-        }
-        let conditions = &endpoint["conditions"];
-        // An absent condition means ready, by the format's specification.
-        let ready = conditions["ready"].as_bool().unwrap_or(true);
-        let draining = conditions["terminating"].as_bool().unwrap_or(false) || !ready;
-        let worker = Listed {
-            address: address.to_string(),
-            zone: index(&context.names.zones, endpoint["zone"].as_str()),
-            kind: index(&context.names.kinds, annotation("cedarpulley/kind")),
-            cell: annotation("cedarpulley/cell")
-                .and_then(|c| c.parse().ok())
-                .unwrap_or(0),
-            standing: if draining {
-                EndpointState::Draining
-            } else {
-                EndpointState::InService
-            },
-            weight: 1.0,
-            started,
-        };
-        let start_mark = endpoint["targetRef"]["uid"]
-            .as_str()
-            .unwrap_or_default()
-            .to_owned();
-        entries.push(Entry { worker, start_mark });
-    }
+        .iter()
+        .filter_map(|endpoint| parse_endpoint(context, endpoint, port, &annotations))
+        .collect();
     Some(Slice {
         name,
         version,
         entries,
     })
 }
+
+/// What a slice's annotations say of all its endpoints.
+struct SliceAnnotations {
+    kind: u32,
+    cell: u32,
+    /// When its workers started, by the router's clock.
+    started: Option<Micros>,
+}
+
+impl SliceAnnotations {
+    fn parse(context: &GatewayContext, annotations: &Value) -> SliceAnnotations {
+        // By the wall clock, converted to the router's clock.
+        let started = annotations["cedarpulley/started-at-us"]
+            .as_str()
+            .and_then(|text| text.parse::<Micros>().ok())
+            .filter(|&started| started > 0)
+            .map(|started| context.clock.now() - (context.clock.wall() - started));
+        SliceAnnotations {
+            kind: name_index(
+                &context.names.kinds,
+                annotations["cedarpulley/kind"].as_str(),
+            ),
+            cell: annotations["cedarpulley/cell"]
+                .as_str()
+                .and_then(|text| text.parse().ok())
+                .unwrap_or(0),
+            started,
+        }
+    }
+}
+
+/// The index of a configured name; 0 if it is unknown or absent.
+fn name_index(names: &[String], name: Option<&str>) -> u32 {
+    name.and_then(|name| names.iter().position(|known| known == name))
+        .unwrap_or(0) as u32
+}
+
+/// Absent if it has no loopback address.
+fn parse_endpoint(
+    context: &GatewayContext,
+    endpoint: &Value,
+    port: u64,
+    annotations: &SliceAnnotations,
+) -> Option<Entry> {
+    let ip = endpoint["addresses"][0].as_str()?;
+    let address = format!("{ip}:{port}").parse::<SocketAddr>().ok()?;
+    if !address.ip().is_loopback() {
+        return None;
+    }
+    let conditions = &endpoint["conditions"];
+    // An absent condition means ready, by the format's specification.
+    let ready = conditions["ready"].as_bool().unwrap_or(true);
+    let draining = conditions["terminating"].as_bool().unwrap_or(false) || !ready;
+    let worker = Listed {
+        address: address.to_string(),
+        zone: name_index(&context.names.zones, endpoint["zone"].as_str()),
+        kind: annotations.kind,
+        cell: annotations.cell,
+        standing: if draining {
+            EndpointState::Draining
+        } else {
+            EndpointState::InService
+        },
+        weight: 1.0,
+        started: annotations.started,
+    };
+    let start_mark = endpoint["targetRef"]["uid"]
+        .as_str()
+        .unwrap_or_default()
+        .to_owned();
+    Some(Entry { worker, start_mark })
+}
