--- /dev/null
+++ b/crates/gateway/src/amqp_front/broker_session.rs
@@ -0,0 +1,282 @@
+//! One connection of an AMQP front to its broker: frames are read, handled and written until it ends.
+
+use std::cell::{Cell, RefCell};
+
+use async_io::Timer;
+use bytes::Bytes;
+use cedarpulley::interface::Micros;
+use cedarpulley_amqp::connection::Login;
+use cedarpulley_amqp::{Connection, Event, Fault, Message, Role, meaning};
+use cedarpulley_router::Input;
+use cedarpulley_router::admission::FrontState;
+use cedarpulley_router::backoff::Backoff;
+use futures_lite::io::{ReadHalf, WriteHalf, split};
+use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
+
+use super::{AmqpFront, PendingAnswer};
+use crate::amqp_messages;
+use crate::tls::BrokerStream;
+
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Limit on writing the last frames to a broker: one that reads nothing must not delay the shutdown.
+const CLOSE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(500);
+/// Output that may wait for a broker that reads slowly; beyond, nothing more is read from it either.
+const MAX_OUTPUT_BYTES: usize = 4 * 1024 * 1024;
+
+/// A front while it is connected.
+pub(super) struct BrokerSession<'a> {
+    front: &'a AmqpFront,
+    ready_since: Cell<Micros>,
+    /// Delays before the channel is opened again; they grow until the queue has been consumed for a while.
+    backoff: RefCell<&'a mut Backoff>,
+}
+
+impl<'a> BrokerSession<'a> {
+    /// Consumes the queue over one connection until it ends; returns why it ended.
+    pub(super) async fn run(
+        front: &'a AmqpFront,
+        stream: BrokerStream,
+        backoff: &'a mut Backoff,
+    ) -> Fault {
+        let login = Login {
+            virtual_host: front.source.virtual_host.clone(),
+            user: front.source.user.clone(),
+            password: front.source.password.clone(),
+            heartbeat_s: front.source.heartbeat_s,
+            name: front.context.name.clone(),
+            most_body: front.max_body_bytes,
+        };
+        let prefetch = front.granted.get().clamp(1, u32::from(u16::MAX)) as u16;
+        let role = Role::Answers {
+            queue: front.source.queue.clone(),
+            prefetch,
+        };
+        *front.connection.borrow_mut() =
+            Some(Connection::new(front.context.clock.now(), role, login));
+        let session = BrokerSession {
+            front,
+            ready_since: Cell::new(front.context.clock.now()),
+            backoff: RefCell::new(backoff),
+        };
+        let (mut reader, mut writer) = split(stream);
+        let fault = session
+            .read(&mut reader)
+            .or(session.write(&mut writer))
+            .await;
+        session.write_last_frames(&mut writer, &fault).await;
+        fault
+    }
+
+    /// Tells the broker why the connection ends, if it still reads; a broker that reads nothing is not waited for.
+    async fn write_last_frames(&self, stream: &mut WriteHalf<BrokerStream>, fault: &Fault) {
+        let last = self
+            .front
+            .connection
+            .borrow_mut()
+            .as_mut()
+            .map(|connection| {
+                if fault.code != 200 {
+                    connection.fail(self.front.context.clock.now(), fault);
+                }
+                connection.output(self.front.context.clock.now())
+            });
+        let Some(bytes) = last else {
+            return;
+        };
+        let written = async {
+            let _ = stream.write_all(&bytes).await;
+            let _ = stream.flush().await;
+        };
+        let timeout = async {
+            Timer::after(CLOSE_TIMEOUT).await;
+        };
+        written.or(timeout).await;
+    }
+
+    /// Reads and handles frames until the connection ends.
+    async fn read(&self, stream: &mut ReadHalf<BrokerStream>) -> Fault {
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
+        let mut events = Vec::new();
+        loop {
+            let length = match stream.read(&mut buffer).await {
+                Ok(0) => return Fault::new(320, "the broker closed the connection"),
+                Ok(length) => length,
+                Err(error) => return Fault::new(320, error.to_string()),
+            };
+            let now = self.front.context.clock.now();
+            let received = match self.front.connection.borrow_mut().as_mut() {
+                Some(connection) => connection.receive(now, &buffer[..length], &mut events),
+                None => return Fault::new(320, "closed"),
+            };
+            for event in events.drain(..) {
+                if let Err(fault) = self.handle_event(now, event) {
+                    return fault;
+                }
+            }
+            if let Err(fault) = received {
+                return fault;
+            }
+            self.front.output_ready.ring();
+            // Guards against a broker that keeps sending but reads nothing: its output must not pile up here.
+            while self
+                .front
+                .connection
+                .borrow()
+                .as_ref()
+                .is_some_and(|connection| connection.waiting() > MAX_OUTPUT_BYTES)
+            {
+                Timer::after(std::time::Duration::from_millis(1)).await;
+            }
+        }
+    }
+
+    /// Handles one event of the connection; an error ends the connection.
+    fn handle_event(&self, now: Micros, event: Event) -> Result<(), Fault> {
+        let front = self.front.source.name.as_str();
+        match event {
+            Event::Ready => {
+                self.front
+                    .incarnation
+                    .set(self.front.incarnation.get().wrapping_add(1));
+                self.front.is_up.set(true);
+                self.ready_since.set(now);
+                tracing::info!(front, queue = %self.front.source.queue, "consuming the queue");
+                self.front.set_state(FrontState::Up);
+            }
+            Event::Delivered(message) => self.handle_message(*message),
+            Event::Committed(tags) => tags.into_iter().for_each(|tag| self.committed(now, tag)),
+            Event::Blocked(true) => {
+                tracing::warn!(front, blocked = true, "the broker takes no publishes");
+                self.front.set_state(FrontState::Blocked);
+            }
+            Event::Blocked(false) => {
+                tracing::warn!(front, blocked = false, "the broker takes publishes again");
+                self.front.set_state(FrontState::Up);
+            }
+            Event::ChannelLost { code, text } => {
+                tracing::warn!(front, code, text, "the broker closed the channel");
+                self.front.set_down();
+                self.front.reopen_at.set(Some(now + self.reopen_delay(now)));
+            }
+            Event::Cancelled => return Err(Fault::new(320, "the queue is no longer consumed")),
+            Event::Closed { code, text } => return Err(Fault { code, text }),
+        }
+        Ok(())
+    }
+
+    /// The broker has committed the answer to this delivery, so that the core may forget the request.
+    fn committed(&self, now: Micros, tag: u64) {
+        let pending = self.front.pending.borrow_mut().remove(&tag);
+        if let Some(pending) = pending {
+            self.front.times.record_committed(now - pending.taken_at);
+            self.front
+                .context
+                .feed(Input::Safe(self.front.delivery(tag)));
+        }
+    }
+
+    /// Writes output, and does what is due by time, until the connection ends.
+    async fn write(&self, stream: &mut WriteHalf<BrokerStream>) -> Fault {
+        loop {
+            let now = self.front.context.clock.now();
+            let (bytes, due) = {
+                let mut connection = self.front.connection.borrow_mut();
+                let Some(connection) = connection.as_mut() else {
+                    return Fault::new(320, "closed");
+                };
+                if let Err(fault) = connection.tick(now) {
+                    return fault;
+                }
+                if self.front.reopen_at.get().is_some_and(|at| at <= now) {
+                    self.front.reopen_at.set(None);
+                    connection.reopen(now);
+                }
+                connection.commit(now);
+                (
+                    connection.output(now),
+                    connection
+                        .next_due()
+                        .min(self.front.reopen_at.get().unwrap_or(Micros::MAX)),
+                )
+            };
+            if !bytes.is_empty() {
+                let sent = async {
+                    stream.write_all(&bytes).await?;
+                    stream.flush().await
+                };
+                if let Err(error) = sent.await {
+                    return Fault::new(320, error.to_string());
+                }
+                continue;
+            }
+            let due = async {
+                match due {
+                    Micros::MAX => std::future::pending().await,
+                    due => {
+                        Timer::at(self.front.context.clock.instant(due)).await;
+                    }
+                }
+            };
+            self.front.output_ready.heard().or(due).await;
+        }
+    }
+
+    fn handle_message(&self, message: Message) {
+        let delivery = self.front.delivery(message.tag);
+        match amqp_messages::parse(
+            &message,
+            delivery,
+            &self.front.context,
+            self.front.max_body_bytes,
+        ) {
+            Ok(mut taken) => {
+                taken.body.bytes = Bytes::from(message.body);
+                let pending = PendingAnswer {
+                    properties: message.properties,
+                    taken_at: self.front.context.clock.now(),
+                };
+                self.front.pending.borrow_mut().insert(message.tag, pending);
+                self.front.context.feed(Input::Taken(taken));
+            }
+            Err(malformed) => self.refuse_malformed(&message, &malformed),
+        }
+    }
+
+    /// Answers a malformed message with an error, or rejects it if it has no reply queue. It is never requeued: it
+    /// would be delivered again for ever.
+    fn refuse_malformed(&self, message: &Message, malformed: &meaning::Misunderstood) {
+        tracing::debug!(front = %self.front.source.name, field = malformed.field, cause = %malformed.cause, "malformed message");
+        self.front.context.count_malformed();
+        let mut connection = self.front.connection.borrow_mut();
+        let Some(connection) = connection.as_mut() else {
+            return;
+        };
+        let properties = &message.properties;
+        let reply_to = properties
+            .reply_to()
+            .as_ref()
+            .map(|queue| queue.as_str())
+            .filter(|queue| !queue.is_empty());
+        match reply_to {
+            Some(queue) => {
+                let cause = format!("{}: {}", malformed.field, malformed.cause);
+                let answer = meaning::answer(
+                    properties,
+                    "errored",
+                    "not-understood",
+                    Some(&cause),
+                    None,
+                    None,
+                );
+                connection.answer(message.tag, Some((queue, answer, b"")));
+            }
+            None => connection.reject(message.tag),
+        }
+    }
+
+    fn reopen_delay(&self, now: Micros) -> Micros {
+        self.backoff
+            .borrow_mut()
+            .after(now - self.ready_since.get())
+    }
+}
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -70,10 +70,14 @@
     )
 }
 
-/// So many exchanges one after the other, within a time.
-fn outcomes(address: SocketAddr, most: usize, times: usize) -> Vec<DispatchOutcome> {
+/// The outcomes of `times` exchanges one after the other, each within a time limit.
+fn outcomes(address: SocketAddr, max_connections: usize, times: usize) -> Vec<DispatchOutcome> {
     let executor = Rc::new(LocalExecutor::new());
-    let pool = Pool::new(executor.clone(), Clock::start(), pool_settings(most));
+    let pool = Pool::new(
+        executor.clone(),
+        Clock::start(),
+        pool_settings(max_connections),
+    );
     async_io::block_on(executor.run(async {
         let mut all = Vec::new();
         for _ in 0..times {
@@ -95,23 +99,23 @@
 const GOOD: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}";
 
 #[test]
-fn connections_are_used_again() {
-    let address = worker(|mut s, n| {
-        assert_eq!(n, 0, "one connection is enough");
+fn idle_connections_are_reused() {
+    let address = worker(|mut stream, connections_before| {
+        assert_eq!(connections_before, 0, "one connection is enough");
         std::thread::spawn(move || {
-            while request(&mut s) {
-                s.write_all(GOOD).expect("written");
+            while request(&mut stream) {
+                stream.write_all(GOOD).expect("written");
             }
         });
     });
     assert_eq!(outcomes(address, 4, 3), [DispatchOutcome::Succeeded; 3]);
 }
 
-/// Its connection came up, and meanwhile it could not leave any more: no byte of it does.
+/// The connection was established, but meanwhile the dispatch may no longer be sent: no byte of it leaves.
 #[test]
-fn what_is_held_back_at_the_last_look_never_ran() {
-    let address = worker(|mut s, _| {
-        assert_eq!(s.read(&mut [0; 1]).unwrap_or(0), 0, "a byte has left");
+fn dispatch_stopped_at_the_last_check_sends_no_byte() {
+    let address = worker(|mut stream, _| {
+        assert_eq!(stream.read(&mut [0; 1]).unwrap_or(0), 0, "a byte has left");
     });
     let executor = Rc::new(LocalExecutor::new());
     let pool = Pool::new(executor.clone(), Clock::start(), pool_settings(1));
@@ -124,7 +128,7 @@
 }
 
 #[test]
-fn a_refused_connection_never_ran() {
+fn refused_connection_is_reported_as_unreachable() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     drop(listener);
@@ -132,44 +136,44 @@
 }
 
 #[test]
-fn half_an_answer_may_have_run() {
-    let address = worker(|mut s, _| {
-        request(&mut s);
-        let _ = s.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf");
+fn truncated_answer_is_reported_as_connection_lost() {
+    let address = worker(|mut stream, _| {
+        request(&mut stream);
+        let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf");
     });
     assert_eq!(outcomes(address, 4, 1), [DispatchOutcome::ConnectionLost]);
 }
 
 #[test]
-fn a_connection_cut_after_the_request_may_have_run() {
-    let address = worker(|mut s, _| {
-        request(&mut s);
+fn connection_closed_after_the_request_is_reported_as_lost() {
+    let address = worker(|mut stream, _| {
+        request(&mut stream);
     });
     assert_eq!(outcomes(address, 4, 1), [DispatchOutcome::ConnectionLost]);
 }
 
 #[test]
-fn headers_without_end_are_cut_off() {
-    let address = worker(|mut s, _| {
-        request(&mut s);
-        let _ = s.write_all(b"HTTP/1.1 200 OK\r\n");
+fn endless_headers_end_the_connection() {
+    let address = worker(|mut stream, _| {
+        request(&mut stream);
+        let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n");
         let line = [b"x-more: ".as_slice(), &[b'y'; 1000], b"\r\n"].concat();
-        while s.write_all(&line).is_ok() {}
+        while stream.write_all(&line).is_ok() {}
     });
     assert_eq!(outcomes(address, 4, 1), [DispatchOutcome::ConnectionLost]);
 }
 
 #[test]
-fn a_hundred_megabytes_are_not_read() {
+fn answers_above_the_size_limit_are_not_read() {
     for head in [
         "content-length: 104857600\r\n\r\n",
         "transfer-encoding: chunked\r\n\r\n",
     ] {
-        let address = worker(move |mut s, _| {
-            request(&mut s);
-            let _ = s.write_all(format!("HTTP/1.1 200 OK\r\n{head}").as_bytes());
+        let address = worker(move |mut stream, _| {
+            request(&mut stream);
+            let _ = stream.write_all(format!("HTTP/1.1 200 OK\r\n{head}").as_bytes());
             let chunk = [b"10000\r\n".as_slice(), &[b'z'; 65_536], b"\r\n"].concat();
-            while s.write_all(&chunk).is_ok() {}
+            while stream.write_all(&chunk).is_ok() {}
         });
         assert_eq!(outcomes(address, 4, 1), [DispatchOutcome::Errored]);
     }
@@ -177,27 +181,29 @@
 
 /// The worker closes an idle connection; the next request either goes on a new one or is known not to have left.
 #[test]
-fn an_idle_connection_that_closes_proves_nothing_ran() {
-    let address = worker(|mut s, _| {
-        request(&mut s);
-        let _ = s.write_all(GOOD);
+fn request_on_a_closed_idle_connection_is_reported_as_not_sent() {
+    let address = worker(|mut stream, _| {
+        request(&mut stream);
+        let _ = stream.write_all(GOOD);
     });
-    let seen = outcomes(address, 4, 20);
+    let observed = outcomes(address, 4, 20);
     assert!(
-        seen.iter()
-            .all(|o| matches!(o, DispatchOutcome::Succeeded | DispatchOutcome::NotSent)),
-        "{seen:?}"
+        observed.iter().all(|outcome| matches!(
+            outcome,
+            DispatchOutcome::Succeeded | DispatchOutcome::NotSent
+        )),
+        "{observed:?}"
     );
 }
 
 #[test]
-fn beyond_the_cap_nothing_is_sent_and_calling_back_gives_the_place_back() {
-    let address = worker(|s, _| {
+fn requests_above_the_connection_limit_are_rejected_until_one_is_cancelled() {
+    let address = worker(|stream, _| {
         std::thread::spawn(move || {
-            let mut s = s;
-            request(&mut s);
+            let mut stream = stream;
+            request(&mut stream);
             // Silent until the other side closes.
-            let _ = s.read(&mut [0; 1]);
+            let _ = stream.read(&mut [0; 1]);
         });
     });
     let executor = Rc::new(LocalExecutor::new());
@@ -233,7 +239,7 @@
             async_io::Timer::after(Duration::from_millis(200)).await;
             None
         };
-        // There is room again: the exchange goes out and waits for this silent worker.
+        // The slot is free again: the exchange goes out and waits for this silent worker.
         let again = async { Some(pool.exchange(address, infer(address), false, || true).await) }
             .or(late)
             .await;
