--- a/crates/gateway/src/amqp_front/broker_session.rs
+++ b/crates/gateway/src/amqp_front/broker_session.rs
@@ -17,6 +17,10 @@
 use crate::amqp_messages;
 use crate::tls::BrokerStream;
 
+/// Reply code of a connection that ends for a reason outside the protocol.
+const CONNECTION_FORCED: u16 = 320;
+/// Reply code of a connection that was closed in good order.
+const REPLY_SUCCESS: u16 = 200;
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Limit on writing the last frames to a broker: one that reads nothing must not delay the shutdown.
 const CLOSE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(500);
@@ -75,7 +79,7 @@
             .borrow_mut()
             .as_mut()
             .map(|connection| {
-                if fault.code != 200 {
+                if fault.code != REPLY_SUCCESS {
                     connection.fail(self.front.context.clock.now(), fault);
                 }
                 connection.output(self.front.context.clock.now())
@@ -99,14 +103,14 @@
         let mut events = Vec::new();
         loop {
             let length = match stream.read(&mut buffer).await {
-                Ok(0) => return Fault::new(320, "the broker closed the connection"),
+                Ok(0) => return Fault::new(CONNECTION_FORCED, "the broker closed the connection"),
                 Ok(length) => length,
-                Err(error) => return Fault::new(320, error.to_string()),
+                Err(error) => return Fault::new(CONNECTION_FORCED, error.to_string()),
             };
             let now = self.front.context.clock.now();
             let received = match self.front.connection.borrow_mut().as_mut() {
                 Some(connection) => connection.receive(now, &buffer[..length], &mut events),
-                None => return Fault::new(320, "closed"),
+                None => return Fault::new(CONNECTION_FORCED, "closed"),
             };
             for event in events.drain(..) {
                 if let Err(fault) = self.handle_event(now, event) {
@@ -158,7 +162,12 @@
                 self.front.set_down();
                 self.front.reopen_at.set(Some(now + self.reopen_delay(now)));
             }
-            Event::Cancelled => return Err(Fault::new(320, "the queue is no longer consumed")),
+            Event::Cancelled => {
+                return Err(Fault::new(
+                    CONNECTION_FORCED,
+                    "the queue is no longer consumed",
+                ));
+            }
             Event::Closed { code, text } => return Err(Fault { code, text }),
         }
         Ok(())
@@ -182,7 +191,7 @@
             let (bytes, due) = {
                 let mut connection = self.front.connection.borrow_mut();
                 let Some(connection) = connection.as_mut() else {
-                    return Fault::new(320, "closed");
+                    return Fault::new(CONNECTION_FORCED, "closed");
                 };
                 if let Err(fault) = connection.tick(now) {
                     return fault;
@@ -205,7 +214,7 @@
                     stream.flush().await
                 };
                 if let Err(error) = sent.await {
-                    return Fault::new(320, error.to_string());
+                    return Fault::new(CONNECTION_FORCED, error.to_string());
                 }
                 continue;
             }
--- a/crates/gateway/src/answer_body.rs
+++ b/crates/gateway/src/answer_body.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::{HeaderMap, Response};
 
-use crate::request_handling::{ClientConnection, HandlerResources};
+use crate::client_connection::{ClientConnection, HandlerResources};
 
 /// Answers are handed to the connection in chunks of this size, so that little is copied for a client that
 /// does not read.
--- a/crates/gateway/src/client_listener.rs
+++ b/crates/gateway/src/client_listener.rs
@@ -19,7 +19,8 @@
 use futures_lite::{AsyncRead, AsyncWrite};
 use futures_rustls::server::TlsStream;
 
-use crate::request_handling::{ClientConnection, RequestHandler};
+use crate::client_connection::ClientConnection;
+use crate::request_handling::RequestHandler;
 use crate::tls::{ServerTls, TlsFiles};
 use crate::{grpc, rest};
 
--- a/crates/gateway/src/config_reader.rs
+++ b/crates/gateway/src/config_reader.rs
@@ -70,7 +70,13 @@
 
     /// The errors found so far, in the order of their lines.
     pub fn into_errors(self) -> ConfigErrors {
-        ConfigErrors(self.errors.into_inner().into_iter().map(|w| w.1).collect())
+        ConfigErrors(
+            self.errors
+                .into_inner()
+                .into_iter()
+                .map(|(_line, error)| error)
+                .collect(),
+        )
     }
 
     /// The value, if no error was found.
@@ -83,7 +89,7 @@
     }
 }
 
-/// One table of the file. A key that was never asked for is reported as unknown.
+/// One table of the file. A key that was never read is reported as unknown.
 pub struct Section<'a, 'i> {
     document: &'a ConfigDocument<'i>,
     table: Option<&'a DeTable<'i>>,
@@ -302,7 +308,7 @@
         std::net::SocketAddr::from(([127, 0, 0, 1], 0))
     }
 
-    /// Nothing more is asked of this section: the keys left in it are reported as unknown.
+    /// Nothing more is read from this section: the keys left in it are reported as unknown.
     pub fn finish(self) {
         self.check_unknown_keys();
     }
--- a/crates/gateway/src/fault_injection.rs
+++ b/crates/gateway/src/fault_injection.rs
@@ -40,7 +40,7 @@
 /// A version that no upgrade plan of a test uses.
 const UNUSED_VERSION: &str = "977";
 
-/// The rule or guard to break.
+/// The rule or safety check to break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     /// Rule 1: answers after the client has given up.
@@ -67,18 +67,18 @@
     VoteWithoutMemory,
     /// Takes missing knowledge as proof that nothing was sent.
     AbsenceAsProof,
-    /// Takes an owner that is gone for one that sent nothing.
+    /// Takes an owner that has failed for one that sent nothing.
     DeadOwnerAsProof,
     /// After all members have restarted, trusts what none of them remembers.
     TrustAfterFullRestart,
     /// Votes on choices before its store has them.
     VoteBeforePersisted,
-    /// Switches no guard off: makes its own beliefs about copies at workers wrong, again and again.
+    /// Switches no safety check off: corrupts the router's own beliefs about copies at workers, repeatedly.
     CorruptedBelief,
 }
 
 impl InjectedFault {
-    /// The guard of the group's shared state that this fault switches off, if any.
+    /// The safety check of the group's shared state that this fault switches off, if any.
     pub fn guard(self) -> Option<Guard> {
         Some(match self {
             InjectedFault::SendWithoutMajority => Guard::Majority,
--- a/crates/gateway/src/grpc.rs
+++ b/crates/gateway/src/grpc.rs
@@ -31,8 +31,9 @@
 use thiserror::Error;
 
 use crate::answer_body::{AnswerBody, Reply, UnreadAnswer};
+use crate::client_connection::ClientConnection;
 use crate::outcome_names::{fate_name, reason_name, rejection_name};
-use crate::request_handling::{ClientConnection, RequestHandler, serve_until_closed};
+use crate::request_handling::{RequestHandler, serve_until_closed};
 use crate::request_parsing::{BodyError, parse_head, parse_session, read_body, with_body_timeout};
 
 const MAX_HEADER_BYTES: u32 = 32 * 1024;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,8 +4,9 @@
 //!
 //! Begin reading at [`serve`], with `resources` (what a router must have), `wiring` (puts the parts
 //! together), `gateway` (the running router), `outputs` and `shutdown`; these alone know the whole.
-//! [`settings`] reads the configuration. Then: [`context`] (what every part may use), [`amqp_front`] (AMQP),
-//! [`client_listener`] with [`rest`] and [`grpc`] (KServe v2), [`pool`] (connections to workers),
+//! [`settings`] reads the configuration. Then: [`context`] (what every part may use), [`amqp_front`] with
+//! `amqp_messages` (AMQP), [`client_listener`] with [`rest`], [`grpc`], [`request_parsing`], [`request_handling`],
+//! [`answer_body`] and [`client_connection`] (KServe v2), [`pool`] (connections to workers),
 //! [`worker_list`], [`admission`] (sessions and versions, before the core), [`peer_group`] with [`peers`],
 //! [`peer_transport`] and [`peer_store`] (the state that routers of a group share), and [`shared_state`], the
 //! interface of that state for the other parts. No module depends on one that stands above it.
@@ -18,6 +19,7 @@
 pub(crate) mod amqp_messages;
 pub mod answer_body;
 pub mod answer_times;
+pub mod client_connection;
 pub mod client_listener;
 pub mod config_reader;
 pub(crate) mod config_values;
--- a/crates/gateway/src/request_handling.rs
+++ b/crates/gateway/src/request_handling.rs
@@ -16,61 +16,9 @@
 use smol::channel::{Sender, bounded};
 
 use crate::answer_body::UnreadAnswer;
+use crate::client_connection::{ClientConnection, HandlerResources};
 use crate::context::GatewayContext;
 
-/// One connection's share of what is open.
-#[derive(Default)]
-pub struct ClientConnection {
-    open_requests: Cell<u32>,
-    unread_answers: Cell<u32>,
-    /// Of the last 32 requests, a set bit for each that was abandoned before its answer; and when that last
-    /// happened.
-    abandoned: Cell<u32>,
-    last_abandoned_at: Cell<Micros>,
-    /// The account that the client's certificate is bound to.
-    account: Cell<Option<u32>>,
-}
-
-impl ClientConnection {
-    /// The account that the client's certificate is bound to.
-    pub fn account(&self) -> Option<u32> {
-        self.account.get()
-    }
-
-    /// All requests of this connection are for this account.
-    pub fn bind_account(&self, account: u32) {
-        self.account.set(Some(account));
-    }
-
-    /// An answer begins to be written.
-    pub(crate) fn begin_unread_answer(&self) {
-        self.unread_answers.set(self.unread_answers.get() + 1);
-    }
-
-    /// An answer was read whole, or is no longer written.
-    pub(crate) fn end_unread_answer(&self) {
-        self.unread_answers
-            .set(self.unread_answers.get().saturating_sub(1));
-    }
-
-    /// Notes whether a request that ends was abandoned before its answer.
-    fn note_ending(&self, abandoned: bool, now: Micros) {
-        self.abandoned
-            .set(self.abandoned.get() << 1 | u32::from(abandoned));
-        if abandoned {
-            self.last_abandoned_at.set(now);
-        }
-    }
-}
-
-/// Shared by all KServe fronts of a router.
-pub struct HandlerResources {
-    /// Bytes of answers that clients have not read yet.
-    pub unread_bytes: Cell<u64>,
-    /// The functions that the core knows.
-    pub functions: Box<dyn Fn() -> Vec<String>>,
-}
-
 /// The state of one KServe front.
 pub struct RequestHandler {
     /// Index of this front, for the core.
@@ -104,20 +52,17 @@
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        let (handler, client) = (&self.handler, &self.client);
+        let handler = &self.handler;
         handler
             .open_requests
             .set(handler.open_requests.get().saturating_sub(1));
-        client
-            .open_requests
-            .set(client.open_requests.get().saturating_sub(1));
-        if client.open_requests.get() == 0 {
+        let now = handler.context.clock.now();
+        if self.client.end_request(!self.answered, now) {
             handler
                 .connections
                 .set(handler.connections.get().saturating_sub(1));
         }
         handler.waiting.borrow_mut().remove(&self.delivery.tag);
-        client.note_ending(!self.answered, handler.context.clock.now());
         let input = match self.answered {
             true => Input::Safe(self.delivery),
             false => Input::Departed(self.delivery),
@@ -246,10 +191,10 @@
             account: taken.account,
             waited: taken.waited,
             bytes,
-            here: client.open_requests.get(),
-            unread: client.unread_answers.get(),
-            left: client.abandoned.get().count_ones(),
-            left_ago: self.context.clock.now() - client.last_abandoned_at.get(),
+            here: client.open_requests(),
+            unread: client.unread_answers(),
+            left: client.abandoned_requests(),
+            left_ago: self.context.clock.now() - client.last_abandoned_at(),
             connections: self.connections.get().max(1),
             unread_bytes: self.resources.unread_bytes.get(),
         };
@@ -262,10 +207,9 @@
             None => return Err(Entry::Enter),
         }
         self.open_requests.set(self.open_requests.get() + 1);
-        if client.open_requests.get() == 0 {
+        if client.begin_request() {
             self.connections.set(self.connections.get() + 1);
         }
-        client.open_requests.set(client.open_requests.get() + 1);
         let (handler, client) = (self.clone(), client.clone());
         let admitted_at = self.context.clock.now();
         Ok(OpenRequest {
--- a/crates/gateway/src/request_parsing.rs
+++ b/crates/gateway/src/request_parsing.rs
@@ -15,7 +15,8 @@
 use hyper::HeaderMap;
 use hyper::body::Incoming;
 
-use crate::request_handling::{ClientConnection, RequestHandler};
+use crate::client_connection::ClientConnection;
+use crate::request_handling::RequestHandler;
 
 /// A body has to be complete within this time after its head, in microseconds.
 const BODY_TIMEOUT: Micros = 10_000_000;
--- a/crates/gateway/src/resources.rs
+++ b/crates/gateway/src/resources.rs
@@ -70,10 +70,7 @@
         fault: Option<InjectedFault>,
     ) -> Result<Resources, StartError> {
         let clock = Clock::off_by(settings.clock_offset);
-        // Without a configured seed each start draws differently.
-        let seed = settings
-            .seed
-            .unwrap_or_else(|| clock.wall() as u64 ^ u64::from(std::process::id()) << 40);
+        let seed = settings.seed.unwrap_or_else(|| fresh_seed(&clock));
         let trace_recorder = begin_trace(name, &settings, &clock, seed)?;
         let disabled_check = fault.and_then(InjectedFault::guard);
         let peer_group = match settings.peers {
@@ -118,6 +115,11 @@
     }
 }
 
+/// A seed that differs between starts, for routers without a configured one.
+fn fresh_seed(clock: &Clock) -> u64 {
+    clock.wall() as u64 ^ u64::from(std::process::id()) << 40
+}
+
 /// Registers what records the core's events.
 fn observe(
     router: &mut Router,
--- a/crates/gateway/src/rest.rs
+++ b/crates/gateway/src/rest.rs
@@ -22,8 +22,9 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
 use crate::answer_body::{AnswerBody, Reply, UnreadAnswer};
+use crate::client_connection::ClientConnection;
 use crate::outcome_names::{fate_name, reason_name, rejection_name};
-use crate::request_handling::{ClientConnection, RequestHandler, serve_until_closed};
+use crate::request_handling::{RequestHandler, serve_until_closed};
 use crate::request_parsing::{BodyError, parse_head, parse_session, read_body};
 
 /// Time limit for a head, and for the next one on a kept-alive connection. In microseconds.
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs one router until it is told to stop: all on one thread, so that the core's decisions need no locks.
+//! Runs one router until a signal stops it: all on one thread, so that the core's decisions need no locks.
 
 use std::net::TcpListener;
 use std::rc::Rc;
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one router, read from TOML and refused whole if anything is wrong. Each part of the program is
+//! The settings of one router, read from TOML and rejected as a whole if anything is wrong. Each part of the program is
 //! handed only its own; docs/operate/settings.md documents the keys.
 //!
 //! This module knows all sections and checks them against each other. Each section is read in `core_settings`,
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -26,13 +26,13 @@
     }
 }
 
-/// A worker that does this with each connection.
-fn worker(act: impl Fn(TcpStream, usize) + Send + 'static) -> SocketAddr {
+/// A worker that handles each connection with this function, given the number of connections before it.
+fn worker(handle: impl Fn(TcpStream, usize) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
-        for (n, stream) in listener.incoming().flatten().enumerate() {
-            act(stream, n);
+        for (connections_before, stream) in listener.incoming().flatten().enumerate() {
+            handle(stream, connections_before);
         }
     });
     address
@@ -40,11 +40,11 @@
 
 /// Reads one request head and body of the size that all tests send.
 fn request(stream: &mut TcpStream) -> bool {
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     let mut part = [0; 4096];
-    while !got.ends_with(b"{}") {
+    while !received.ends_with(b"{}") {
         match stream.read(&mut part) {
-            Ok(n) if n > 0 => got.extend_from_slice(&part[..n]),
+            Ok(length) if length > 0 => received.extend_from_slice(&part[..length]),
             _ => return false,
         }
     }
