--- a/crates/gateway/src/amqp_front.rs
+++ b/crates/gateway/src/amqp_front.rs
@@ -106,10 +106,10 @@
     }
 
     /// The core admits this many messages at once: the prefetch.
-    pub fn grant(&self, most: u32) {
-        self.granted.set(most);
+    pub fn grant(&self, limit: u32) {
+        self.granted.set(limit);
         if let Some(connection) = self.connection.borrow_mut().as_mut() {
-            connection.set_prefetch(most.min(u32::from(u16::MAX)) as u16);
+            connection.set_prefetch(limit.min(u32::from(u16::MAX)) as u16);
         }
         self.output_ready.ring();
     }
--- a/crates/gateway/src/config_reader.rs
+++ b/crates/gateway/src/config_reader.rs
@@ -38,9 +38,9 @@
         };
         match DeTable::parse(text) {
             Ok(table) => Ok((document, table)),
-            Err(e) => {
-                let offset = e.span().map_or(0, |s| s.start);
-                document.error(offset, "", &e.message().replace('\n', ", "));
+            Err(error) => {
+                let offset = error.span().map_or(0, |span| span.start);
+                document.error(offset, "", &error.message().replace('\n', ", "));
                 Err(document.into_errors())
             }
         }
@@ -195,7 +195,7 @@
     /// A string of at most 255 bytes. Without a default the key is required.
     pub fn string(&self, name: &str, default: Option<&str>) -> String {
         match self.find(name) {
-            Some((DeValue::String(s), _)) if s.len() <= 255 => s.clone().into_owned(),
+            Some((DeValue::String(text), _)) if text.len() <= 255 => text.clone().into_owned(),
             Some(_) => {
                 self.error(name, "is not a text of at most 255 bytes");
                 String::new()
@@ -234,8 +234,10 @@
     /// A number within `range`, both ends included. Without a default the key is required.
     pub fn number(&self, name: &str, range: Range<f64>, default: Option<f64>) -> f64 {
         let value = match self.find(name) {
-            Some((DeValue::Integer(n), _)) if n.radix() == 10 => n.as_str().parse::<f64>().ok(),
-            Some((DeValue::Float(x), _)) => x.as_str().parse::<f64>().ok(),
+            Some((DeValue::Integer(number), _)) if number.radix() == 10 => {
+                number.as_str().parse::<f64>().ok()
+            }
+            Some((DeValue::Float(number), _)) => number.as_str().parse::<f64>().ok(),
             Some(_) => None,
             None => match default {
                 Some(value) => return value,
@@ -246,11 +248,11 @@
             },
         };
         match value {
-            Some(v) if v >= range.start && v <= range.end => v,
-            Some(v) => {
+            Some(value) if value >= range.start && value <= range.end => value,
+            Some(value) => {
                 self.error(
                     name,
-                    &format!("{v} is not within {} to {}", range.start, range.end),
+                    &format!("{value} is not within {} to {}", range.start, range.end),
                 );
                 range.start
             }
@@ -266,7 +268,7 @@
         let value = self.number(
             name,
             range.start as f64..range.end as f64,
-            default.map(|a| a as f64),
+            default.map(|value| value as f64),
         );
         if value.fract() != 0.0 {
             self.error(name, "is not a whole number");
@@ -277,18 +279,18 @@
     /// A duration, in milliseconds in the file and in microseconds in the result.
     pub fn millis_as_micros(&self, name: &str, range: Range<u64>, default: Option<u64>) -> i64 {
         let range = range.start as f64..range.end as f64;
-        (self.number(name, range, default.map(|a| a as f64)) * 1000.0) as i64
+        (self.number(name, range, default.map(|value| value as f64)) * 1000.0) as i64
     }
 
     /// True or false. Without a default the key is required.
     pub fn boolean(&self, name: &str, default: Option<bool>) -> bool {
         match (self.find(name), default) {
-            (Some((DeValue::Boolean(b), _)), _) => *b,
+            (Some((DeValue::Boolean(value), _)), _) => *value,
             (Some(_), _) => {
                 self.error(name, "is neither true nor false");
                 false
             }
-            (None, Some(b)) => b,
+            (None, Some(value)) => value,
             (None, None) => {
                 self.error(name, "is missing");
                 false
--- a/crates/gateway/src/fault_injection.rs
+++ b/crates/gateway/src/fault_injection.rs
@@ -79,7 +79,7 @@
 
 impl InjectedFault {
     /// The safety check of the group's shared state that this fault switches off, if any.
-    pub fn guard(self) -> Option<Guard> {
+    pub fn disabled_check(self) -> Option<Guard> {
         Some(match self {
             InjectedFault::SendWithoutMajority => Guard::Majority,
             InjectedFault::UnfencedTakeover => Guard::Fence,
--- a/crates/gateway/src/outputs.rs
+++ b/crates/gateway/src/outputs.rs
@@ -127,12 +127,12 @@
         }
     }
 
-    fn grant(&self, front: FrontIndex, most: u32) {
+    fn grant(&self, front: FrontIndex, limit: u32) {
         match self.fronts.get(front as usize) {
-            Some(front) => front.grant(most),
+            Some(front) => front.grant(limit),
             None => {
                 if let Some(handler) = self.handler(front) {
-                    handler.grant(most);
+                    handler.grant(limit);
                 }
             }
         }
@@ -202,7 +202,10 @@
                 .map_or("", String::as_str),
             account: names.accounts.get(account as usize).map(String::as_str),
             time_left: call.time_left,
-            session: call.session.as_ref().map(|s| (&*s.id, s.start, s.end)),
+            session: call
+                .session
+                .as_ref()
+                .map(|session| (&*session.id, session.start, session.end)),
         };
         let Some(address) = self.address(worker) else {
             return Err(ExchangeError::NoConnection);
--- a/crates/gateway/src/resources.rs
+++ b/crates/gateway/src/resources.rs
@@ -72,7 +72,7 @@
         let clock = Clock::off_by(settings.clock_offset);
         let seed = settings.seed.unwrap_or_else(|| fresh_seed(&clock));
         let trace_recorder = begin_trace(name, &settings, &clock, seed)?;
-        let disabled_check = fault.and_then(InjectedFault::guard);
+        let disabled_check = fault.and_then(InjectedFault::disabled_check);
         let peer_group = match settings.peers {
             Some(peers) => Some(PeerGroupResources::acquire(peers, &clock, disabled_check)?),
             None => None,
