--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,37 +1,34 @@
 //! Admission between the fronts and the core: each request is assigned the version of its model and, within a
 //! session, the worker that it prefers. The decisions are made in `cedarpulley-upgrade`; here requests wait
 //! for a majority to confirm a binding, bounded in number and time. Everything from the fronts and the worker
-//! list passes through [`Admission::filter`]. Completions are recorded by [`Admission::observer`] while the
+//! list passes through [`Admission::filter`]. Completions are recorded by `Admission::observer` while the
 //! core is running, and handled in [`Admission::process_completed`] afterwards.
 
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 use std::rc::Rc;
 use std::sync::Arc;
 
 use bytes::Bytes;
-use cedarpulley::interface::{
-    Action, DispatchOutcome, EndpointListKind, EndpointState, Event, InvocationIndex, Micros,
-};
-use cedarpulley_kserve::client_requests;
-use cedarpulley_net::DeadlineTimer;
+use cedarpulley::interface::{DispatchOutcome, EndpointListKind};
+use cedarpulley_kserve::serving;
+use cedarpulley_net::Alarm;
 use cedarpulley_replica as replica;
-use cedarpulley_router::admission_control::RejectionReason;
-use cedarpulley_router::concurrency_limit::FrontState;
-use cedarpulley_router::endpoint_list::ListedWorker;
-use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, UsageSource, WorkerUsage};
-use cedarpulley_router::{
-    AnswerReason, Delivery, FinalOutcome, FrontIndex, IncomingInvocation, Input,
-};
+use cedarpulley_router::admission::FrontState;
+use cedarpulley_router::roster::Listed;
+use cedarpulley_router::watch::{By, Used};
+use cedarpulley_router::{Delivery, Fate, Input, Reason, Taken};
 use cedarpulley_upgrade::sessions::{self, Placed, Refused, Sessions};
 use cedarpulley_upgrade::{Name, function};
 use serde_json::{Value, json};
 
 use crate::context::GatewayContext;
+use crate::listed_workers::ListedWorkers;
 use crate::peer_events::PeerEvent;
 use crate::shared_state::SharedState;
 use crate::upgrades::Upgrades;
+use crate::waiting_requests::WaitingRequests;
 
 /// Requests that wait for a decision of the group, and the sessions known here.
 pub struct Admission {
@@ -41,20 +38,18 @@
     /// The way into the core that skips this admission.
     forward_to_core: Box<dyn Fn(Input)>,
     sessions: RefCell<Sessions>,
-    /// Waiting requests by ticket, each with the time since when it waits.
-    waiting: RefCell<HashMap<u64, (IncomingInvocation, Micros)>>,
-    next_ticket: Cell<u64>,
+    waiting: WaitingRequests,
+    /// Random draws so far.
     draws: Cell<u64>,
     /// Completions recorded while the core was running.
     completed: RefCell<VecDeque<sessions::Input>>,
-    workers: Rc<RefCell<BTreeMap<Name, ListedWorker>>>,
-    /// From a worker's local name to the id that all members know it by, and back: routers may reach a worker
-    /// at different addresses.
-    worker_ids: RefCell<Option<(WorkerNameLookup, WorkerNameLookup)>>,
+    workers: ListedWorkers,
+    /// Absent where each worker's name is its id.
+    worker_ids: RefCell<Option<WorkerIds>>,
     /// Whether this router has recently used copies of a function at a worker that still exist as far as is
     /// known.
     recently_used: RefCell<Option<RecentUseCheck>>,
-    alarm: DeadlineTimer,
+    alarm: Alarm,
 }
 
 /// Called with the worker's local name and the function.
@@ -62,8 +57,15 @@
 /// From one name of a worker to the other; absent for an unknown worker.
 pub type WorkerNameLookup = Box<dyn Fn(&str) -> Option<Name>>;
 
-fn hash_of(of: impl std::hash::Hash) -> u64 {
-    BuildHasherDefault::<DefaultHasher>::default().hash_one(of)
+/// From a worker's local name to the id that all members know it by, and back: routers may reach a worker at different
+/// addresses.
+struct WorkerIds {
+    id_of: WorkerNameLookup,
+    worker_of: WorkerNameLookup,
+}
+
+fn hash_of(value: impl std::hash::Hash) -> u64 {
+    BuildHasherDefault::<DefaultHasher>::default().hash_one(value)
 }
 
 /// The placement that a note encodes in its version and value.
@@ -90,14 +92,13 @@
             upgrades,
             forward_to_core,
             sessions: RefCell::new(Sessions::new(terms)),
-            waiting: RefCell::default(),
-            next_ticket: Cell::new(0),
+            waiting: WaitingRequests::default(),
             draws: Cell::new(0),
             completed: RefCell::default(),
-            workers: Rc::default(),
+            workers: ListedWorkers::default(),
             worker_ids: RefCell::default(),
             recently_used: RefCell::default(),
-            alarm: DeadlineTimer::default(),
+            alarm: Alarm::default(),
         });
         if let Some(shared) = &admission.shared {
             let admission = Rc::downgrade(&admission);
@@ -110,14 +111,14 @@
             });
         }
         if let Some(upgrades) = &admission.upgrades {
-            upgrades.set_workers(admission.workers.clone());
+            upgrades.set_workers(admission.workers.map());
         }
         admission
     }
 
     /// The lookups from a worker's local name to its id, and back.
-    pub fn set_worker_ids(&self, id: WorkerNameLookup, worker: WorkerNameLookup) {
-        *self.worker_ids.borrow_mut() = Some((id, worker));
+    pub fn set_worker_ids(&self, id_of: WorkerNameLookup, worker_of: WorkerNameLookup) {
+        *self.worker_ids.borrow_mut() = Some(WorkerIds { id_of, worker_of });
     }
 
     /// Sets the check for recent use of a copy.
@@ -125,18 +126,17 @@
         *self.recently_used.borrow_mut() = Some(used);
     }
 
+    /// The id that all members know a worker by.
     fn id(&self, worker: &str) -> Name {
-        let id = self
-            .worker_ids
-            .borrow()
-            .as_ref()
-            .and_then(|(id, _)| id(worker));
+        let ids = self.worker_ids.borrow();
+        let id = ids.as_ref().and_then(|ids| (ids.id_of)(worker));
         id.unwrap_or_else(|| Name::from(worker))
     }
 
+    /// The local name of the worker with this id.
     fn worker(&self, id: Name) -> Option<Name> {
         match &*self.worker_ids.borrow() {
-            Some((_, worker)) => worker(&id),
+            Some(ids) => (ids.worker_of)(&id),
             None => Some(id),
         }
     }
@@ -144,29 +144,39 @@
     /// The input to hand to the core now, if any; a request that has to wait is forwarded later.
     pub fn filter(&self, input: Input) -> Option<Input> {
         match &input {
-            Input::ClientLeft(delivery) => self.drop_waiting(|d| d == *delivery),
-            Input::FrontChanged {
+            Input::Departed(delivery) => self.drop_waiting(|waiting| waiting == *delivery),
+            Input::Front {
                 front,
                 state: FrontState::Down,
-            } => self.drop_waiting(|d| d.front == *front),
-            Input::EndpointList {
-                kind: mode,
-                workers,
-            } => self.update_workers(*mode, workers),
-            Input::MessageArrived(taken) if taken.predetermined_answer.is_none() => {
-                let Input::MessageArrived(taken) = input else {
+            } => self.drop_waiting(|waiting| waiting.front == *front),
+            Input::List { mode, workers } => self.update_workers(*mode, workers),
+            Input::Taken(request) if request.refused.is_none() => {
+                let Input::Taken(request) = input else {
                     return None;
                 };
-                return self.admit(taken).map(Input::MessageArrived);
+                return self.admit(request).map(Input::Taken);
             }
             _ => {}
         }
         Some(input)
     }
 
-    /// To be registered with the core, which reports the completions of dispatches.
-    pub fn observer(self: &Rc<Self>) -> Box<dyn RouterObserver> {
-        Box::new(CoreObserver(self.clone()))
+    /// Records the end of a dispatch or a load order; called while the core is running.
+    pub(crate) fn record_completion(&self, used: &Used) {
+        if let Some(upgrades) = &self.upgrades {
+            upgrades.record_use(used);
+        }
+        if let (By::Dispatch(DispatchOutcome::Succeeded, _), Some(session)) =
+            (used.by, used.session)
+        {
+            let answered = sessions::Input::Answered {
+                model: Name::from(serving::model(used.function).0),
+                session: Name::from(session),
+                worker: self.id(used.worker_name),
+                ends: used.ends,
+            };
+            self.completed.borrow_mut().push_back(answered);
+        }
     }
 
     /// Handles the completions recorded while the core was running.
@@ -184,12 +194,12 @@
 
     /// No request waits here.
     pub fn is_empty(&self) -> bool {
-        self.waiting.borrow().is_empty()
+        self.waiting.is_empty()
     }
 
     /// A worker has lost the cached prefixes of these sessions.
-    pub fn prefix_lost(&self, worker: &str, of: &str, sessions: &[Arc<str>]) {
-        let model = Name::from(client_requests::split_version(of).0);
+    pub fn prefix_lost(&self, worker: &str, function: &str, sessions: &[Arc<str>]) {
+        let model = Name::from(serving::model(function).0);
         for session in sessions {
             let (model, worker, session) = (model.clone(), self.id(worker), session.clone());
             self.apply(sessions::Input::Lost {
@@ -200,10 +210,10 @@
         }
     }
 
-    /// Refuses requests that have waited too long, for as long as the router runs.
+    /// Rejects requests that have waited too long, for as long as the router runs.
     pub async fn run(self: Rc<Self>) {
         loop {
-            self.alarm.elapsed(&self.context.clock).await;
+            self.alarm.rings(&self.context.clock).await;
             self.apply(sessions::Input::Tick);
         }
     }
@@ -219,35 +229,31 @@
     }
 
     /// Random, or derived from the identity of a request, so that a retry goes where the first attempt went.
-    fn draw(&self, taken: &IncomingInvocation) -> u64 {
-        if let Some(together) = taken
-            .idempotency_key
-            .as_deref()
-            .or(taken.identity.as_deref())
-        {
-            return hash_of((taken.account, together));
+    fn draw(&self, request: &Taken) -> u64 {
+        if let Some(identity) = request.token.as_deref().or(request.identity.as_deref()) {
+            return hash_of((request.account, identity));
         }
         self.draws.set(self.draws.get() + 1);
         hash_of((self.context.seed, self.draws.get()))
     }
 
-    fn admit(&self, mut taken: IncomingInvocation) -> Option<IncomingInvocation> {
-        let (model, version) = client_requests::split_version(&taken.function);
+    /// The request if it can go on at once; one of a session waits for a decision.
+    fn admit(&self, mut request: Taken) -> Option<Taken> {
+        let (model, version) = serving::model(&request.function);
         // A client that names a version gets that one.
         let upgrades = self.upgrades.as_ref().filter(|_| version.is_empty());
         if let Some(upgrades) = upgrades {
-            upgrades.record_invocation(model, taken.lanes, taken.copy_mb);
+            upgrades.record_invocation(model, request.lanes, request.copy_mb);
         }
-        let Some(session) = &taken.session else {
-            if let Some(way) = upgrades.and_then(|u| u.route(model, || self.draw(&taken))) {
-                taken.requested_function = Some(std::mem::replace(&mut taken.function, way));
+        let Some(session) = &request.session else {
+            if let Some(function) = upgrades.and_then(|u| u.route(model, || self.draw(&request))) {
+                request.named = Some(std::mem::replace(&mut request.function, function));
             }
-            return Some(taken);
+            return Some(request);
         };
-        let ticket = self.next_ticket.get();
-        self.next_ticket.set(ticket + 1);
+        let ticket = self.waiting.issue_ticket();
         let proposes =
-            upgrades.map(|u| u.propose_version(model, self.draw(&taken), session.is_first));
+            upgrades.map(|u| u.propose_version(model, self.draw(&request), session.start));
         let place_key = sessions::place_key(model, &session.id);
         let placed = self
             .shared
@@ -257,8 +263,7 @@
             .map(placement_of_note);
         let (model, session) = (Name::from(model), session.id.clone());
         self.waiting
-            .borrow_mut()
-            .insert(ticket, (taken, self.context.clock.now()));
+            .insert(ticket, request, self.context.clock.now());
         self.apply(sessions::Input::Arrives {
             ticket,
             model,
@@ -271,40 +276,42 @@
 
     fn apply(&self, input: sessions::Input) {
         let now = self.context.clock.now();
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         let due = {
             let mut sessions = self.sessions.borrow_mut();
-            sessions.handle(now, input, &mut out);
+            sessions.handle(now, input, &mut outputs);
             sessions.next_due()
         };
-        self.alarm.set_deadline(due);
-        for output in out {
-            match output {
-                sessions::Output::Choose { key, version, kept } => {
-                    if let Some(shared) = &self.shared {
-                        shared.choose(key, Bytes::copy_from_slice(version.as_bytes()), kept);
-                    }
-                }
-                sessions::Output::Goes {
-                    ticket,
-                    version,
-                    prefers,
-                    anew,
-                } => {
-                    self.forward(ticket, version, prefers, anew);
-                }
-                sessions::Output::Refused { ticket, why } => {
-                    let reason = match why {
-                        Refused::NoMajority => AnswerReason::NoMajority,
-                        Refused::Full => AnswerReason::Size,
-                    };
-                    self.reject(ticket, reason);
+        self.alarm.set(due);
+        outputs
+            .into_iter()
+            .for_each(|output| self.carry_out(output));
+    }
+
+    fn carry_out(&self, output: sessions::Output) {
+        match output {
+            sessions::Output::Choose { key, version, kept } => {
+                if let Some(shared) = &self.shared {
+                    shared.choose(key, Bytes::copy_from_slice(version.as_bytes()), kept);
                 }
-                sessions::Output::Place { key, placed, kept } => {
-                    if let Some(shared) = &self.shared {
-                        let value = Bytes::copy_from_slice(placed.worker.as_bytes());
-                        shared.note(key, (placed.number, 0), value, kept);
-                    }
+            }
+            sessions::Output::Goes {
+                ticket,
+                version,
+                prefers,
+                anew,
+            } => self.forward(ticket, version, prefers, anew),
+            sessions::Output::Refused { ticket, why } => {
+                let reason = match why {
+                    Refused::NoMajority => Reason::NoMajority,
+                    Refused::Full => Reason::Size,
+                };
+                self.reject(ticket, reason);
+            }
+            sessions::Output::Place { key, placed, kept } => {
+                if let Some(shared) = &self.shared {
+                    let value = Bytes::copy_from_slice(placed.worker.as_bytes());
+                    shared.note(key, (placed.number, 0), value, kept);
                 }
             }
         }
@@ -318,152 +325,81 @@
         self.apply(sessions::Input::Decided { key, version });
     }
 
-    fn release(&self, ticket: u64) -> Option<IncomingInvocation> {
-        let (mut taken, since) = self.waiting.borrow_mut().remove(&ticket)?;
-        taken.waited = taken
-            .waited
-            .saturating_add(self.context.clock.now() - since);
-        Some(taken)
+    fn release(&self, ticket: u64) -> Option<Taken> {
+        self.waiting.release(ticket, self.context.clock.now())
     }
 
+    /// Hands a request on to the core. `version`: of its model, if bound to one; `prefers`: id of the worker that the
+    /// session prefers; `anew`: another router has reported that worker since the last request.
     fn forward(&self, ticket: u64, version: Option<Name>, prefers: Option<Name>, anew: bool) {
-        let Some(mut taken) = self.release(ticket) else {
+        let Some(mut request) = self.release(ticket) else {
             return;
         };
-        taken.preferred_worker = prefers.and_then(|id| self.worker(id));
+        request.prefers = prefers.and_then(|id| self.worker(id));
         if let Some(version) = version {
-            let model = taken.function.clone();
-            if self
-                .upgrades
-                .as_ref()
-                .is_some_and(|u| u.sessions_ended(&model, &version))
-            {
-                taken.predetermined_answer =
-                    Some((FinalOutcome::Errored, AnswerReason::SessionOver));
-            }
-            taken.requested_function = Some(std::mem::replace(
-                &mut taken.function,
-                function(&model, &version),
-            ));
+            self.assign_version(&mut request, &version);
         }
         // Guards against a warm copy being passed over: the session comes from another router and this one
         // has not heard of the copy that served it; or the module has forgotten all about a function as its
-        // homes moved, and would use a new home.
-        let used = |worker: &Name| {
-            self.recently_used
-                .borrow()
-                .as_ref()
-                .is_some_and(|used| used(worker, &taken.function))
-        };
-        if let Some(worker) = taken.preferred_worker.clone().filter(|w| anew || used(w)) {
-            (self.forward_to_core)(Input::CopiesReported {
+        // preferred workers changed, and would use another one.
+        let preferred = request.prefers.clone();
+        if let Some(worker) =
+            preferred.filter(|worker| anew || self.is_recently_used(worker, &request.function))
+        {
+            (self.forward_to_core)(Input::Held {
                 worker,
-                function: taken.function.clone(),
+                function: request.function.clone(),
                 copies: 1,
             });
         }
-        (self.forward_to_core)(Input::MessageArrived(taken));
+        (self.forward_to_core)(Input::Taken(request));
+    }
+
+    fn assign_version(&self, request: &mut Taken, version: &Name) {
+        let model = request.function.clone();
+        let upgrades = self.upgrades.as_ref();
+        if upgrades.is_some_and(|u| u.sessions_ended(&model, version)) {
+            request.refused = Some((Fate::Errored, Reason::SessionOver));
+        }
+        let function = function(&model, version);
+        request.named = Some(std::mem::replace(&mut request.function, function));
+    }
+
+    fn is_recently_used(&self, worker: &Name, function: &Name) -> bool {
+        let check = self.recently_used.borrow();
+        check.as_ref().is_some_and(|check| check(worker, function))
     }
 
     /// Nothing has been sent from here; for a redelivered message that is not known of its earlier delivery.
-    fn reject(&self, ticket: u64, reason: AnswerReason) {
-        let Some(mut taken) = self.release(ticket) else {
+    fn reject(&self, ticket: u64, reason: Reason) {
+        let Some(mut request) = self.release(ticket) else {
             return;
         };
-        let fate = if taken.redelivered {
-            FinalOutcome::Errored
+        let fate = if request.redelivered {
+            Fate::Errored
         } else {
-            FinalOutcome::Throttled
+            Fate::Throttled
         };
-        taken.predetermined_answer = Some((fate, reason));
-        (self.forward_to_core)(Input::MessageArrived(taken));
+        request.refused = Some((fate, reason));
+        (self.forward_to_core)(Input::Taken(request));
     }
 
     /// Guards against taking a message twice: when a front is lost, its messages that wait here will be
     /// delivered again.
-    fn drop_waiting(&self, whose: impl Fn(Delivery) -> bool) {
-        if self.waiting.borrow().is_empty() {
+    fn drop_waiting(&self, matches: impl Fn(Delivery) -> bool) {
+        if self.waiting.is_empty() {
             return;
         }
-        let gone: Vec<u64> = self
-            .waiting
-            .borrow()
-            .iter()
-            .filter(|(_, (taken, _))| whose(taken.delivery))
-            .map(|(n, _)| *n)
-            .collect();
-        for ticket in gone {
-            self.waiting.borrow_mut().remove(&ticket);
+        for ticket in self.waiting.tickets_of(matches) {
+            self.waiting.remove(ticket);
             self.apply(sessions::Input::Leaves { ticket });
         }
     }
 
-    fn update_workers(&self, mode: EndpointListKind, workers: &[ListedWorker]) {
-        let mut gone = Vec::new();
-        {
-            let mut known = self.workers.borrow_mut();
-            if matches!(mode, EndpointListKind::Complete | EndpointListKind::Cached) {
-                let stays = |name: &Name| workers.iter().any(|w| *w.address == **name);
-                gone.extend(known.keys().filter(|n| !stays(n)).cloned());
-            }
-            for w in workers {
-                let name = Name::from(&*w.address);
-                let again = known
-                    .get(&name)
-                    .is_some_and(|s| s.started_at != w.started_at);
-                if again || w.state == EndpointState::Gone {
-                    gone.push(name.clone());
-                }
-                if w.state != EndpointState::Gone {
-                    known.insert(name, w.clone());
-                }
-            }
-            for name in &gone {
-                if workers
-                    .iter()
-                    .all(|w| *w.address != **name || w.state == EndpointState::Gone)
-                {
-                    known.remove(name);
-                }
-            }
-        }
-        for worker in gone {
+    fn update_workers(&self, mode: EndpointListKind, workers: &[Listed]) {
+        for worker in self.workers.apply_update(mode, workers) {
             let worker = self.id(&worker);
             self.apply(sessions::Input::Gone { worker });
         }
     }
 }
-
-/// Records the completions that the core reports.
-struct CoreObserver(Rc<Admission>);
-
-impl RouterObserver for CoreObserver {
-    fn decided(&mut self, _: Micros, _: &Event, _: &[Action], _: Names) {}
-
-    fn accepted(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {
-    }
-
-    fn answered(&mut self, _: Micros, _: AnswerGiven) {}
-
-    fn rejected(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: RejectionReason) {}
-
-    fn used(&mut self, _: Micros, used: WorkerUsage) {
-        let admission = &self.0;
-        if let Some(upgrades) = &admission.upgrades {
-            upgrades.record_use(&used);
-        }
-        if let (UsageSource::Dispatch(DispatchOutcome::Succeeded, _), Some(session)) =
-            (used.source, used.session)
-        {
-            admission
-                .completed
-                .borrow_mut()
-                .push_back(sessions::Input::Answered {
-                    model: Name::from(client_requests::split_version(used.function).0),
-                    session: Name::from(session),
-                    worker: admission.id(used.worker_name),
-                    ends: used.ends_session,
-                });
-        }
-    }
-}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,8 +4,9 @@
 //!
 //! Begin reading at [`serve`], with `resources` (what a router must have), `wiring` (puts the parts
 //! together), `gateway` (the running router), `outputs` and `shutdown`; these alone know the whole.
-//! [`settings`] reads the configuration. Then: [`context`] (what every part may use), [`amqp_front`] (AMQP),
-//! [`client_listener`] with [`rest`] and [`grpc`] (KServe v2), [`pool`] (connections to workers),
+//! [`settings`] reads the configuration. Then: [`context`] (what every part may use), [`amqp_front`] with
+//! `amqp_messages` (AMQP), [`client_listener`] with [`rest`], [`grpc`], [`request_parsing`], [`request_handling`],
+//! [`answer_body`] and [`client_connection`] (KServe v2), [`pool`] (connections to workers),
 //! [`worker_list`], [`admission`] (sessions and versions, before the core), [`peer_group`] with [`peers`],
 //! [`peer_transport`] and [`peer_store`] (the state that routers of a group share), and [`shared_state`], the
 //! interface of that state for the other parts. No module depends on one that stands above it.
@@ -14,41 +15,67 @@
 //! *core* is the router's state machine; the decision module it drives is called *the module*.
 
 pub mod admission;
+pub(crate) mod admission_observer;
 pub mod amqp_front;
+pub(crate) mod amqp_messages;
+pub mod answer_body;
+pub mod answer_times;
+pub mod client_connection;
 pub mod client_listener;
 pub mod config_reader;
+pub(crate) mod config_values;
 pub mod context;
+pub(crate) mod copy_inventory;
 pub(crate) mod core_settings;
 pub mod fault_injection;
+pub(crate) mod file_names;
 pub(crate) mod front_settings;
 pub(crate) mod gateway;
 pub(crate) mod group_settings;
 pub mod grpc;
+pub(crate) mod listed_workers;
+pub(crate) mod message_sending;
 pub mod metering;
 pub mod outcome_names;
 pub(crate) mod outputs;
+pub(crate) mod peer_envelopes;
 pub mod peer_events;
 pub mod peer_group;
 pub mod peer_messages;
+pub(crate) mod peer_requests;
 pub mod peer_settings;
 pub mod peer_store;
+pub(crate) mod peer_store_file;
 pub mod peer_transport;
 pub mod peers;
+pub(crate) mod plan_conversions;
 pub mod pool;
 pub mod reconciliation;
+pub(crate) mod reconciliation_hooks;
+pub(crate) mod reconciliation_log;
 pub(crate) mod reconciliation_notes;
 pub(crate) mod reconciliation_observer;
+pub(crate) mod reconciliation_query;
+pub(crate) mod reconciliation_workers;
+pub mod rejected_envelopes;
 pub mod request_handling;
+pub mod request_parsing;
 pub(crate) mod resources;
 pub mod rest;
+pub(crate) mod send_queue;
 pub mod serve;
 pub mod settings;
 pub mod shared_state;
 pub(crate) mod shutdown;
 pub mod state_endpoint;
+pub(crate) mod storage_settings;
+pub(crate) mod stored_state;
 pub mod tls;
 pub mod trace_recorder;
-pub mod unknown_members;
+pub(crate) mod upgrade_orders;
 pub mod upgrades;
+pub(crate) mod version_statistics;
+pub(crate) mod waiting_requests;
 pub(crate) mod wiring;
 pub mod worker_list;
+pub(crate) mod worker_settings;
--- a/crates/gateway/src/metering.rs
+++ b/crates/gateway/src/metering.rs
@@ -10,41 +10,45 @@
 
 use cedarpulley::interface::{Action, Event, InvocationIndex, LoadOrderResult, Micros};
 use cedarpulley_router::FrontIndex;
-use cedarpulley_router::admission_control::RejectionReason;
-use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, UsageSource, WorkerUsage};
-use cedarpulley_usage_metering::{DispatchUsage, LoadUsage, Meter, Source, UsageDelta};
-use cedarpulley_usage_store::{Ledger, StoreError, WriteSchedule};
+use cedarpulley_router::entry::Short;
+use cedarpulley_router::watch::{By, Given, Names, Used, Watch};
+use cedarpulley_usage_metering::{Ended, Load, Meter, Part, Source};
+use cedarpulley_usage_store::{Failed, Ledger, Writing};
+
+use crate::file_names::file_name_of;
 
 /// On shutdown the ledger has this long, and is polled this often.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 const UNKNOWN_ACCOUNT: &str = "(unknown)";
 
-struct Inner {
+struct MeteringState {
     meter: Meter,
-    writing: WriteSchedule,
+    writing: Writing,
     accounts: Vec<String>,
     wall_at_zero: Micros,
     /// At most one write is in flight.
-    parts: Option<SyncSender<UsageDelta>>,
+    parts: Option<SyncSender<Part>>,
     in_flight: bool,
-    done: Receiver<Result<(), (UsageDelta, String)>>,
+    /// For each part: written, or returned with the cause.
+    done: Receiver<Result<(), (Part, String)>>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Cheap to clone: one is registered with the core, one is kept for closing.
+/// The metering of one router. Cheap to clone: one is registered with the core, one is kept for closing.
 #[derive(Clone)]
-pub struct Metering(Rc<RefCell<Inner>>);
+pub struct Metering(Rc<RefCell<MeteringState>>);
 
 /// Writes each part that comes; one that could not be written is returned.
 fn write_loop(
     file: PathBuf,
     router: String,
     source: Source,
-    parts: Receiver<UsageDelta>,
-    done: SyncSender<Result<(), (UsageDelta, String)>>,
+    parts: Receiver<Part>,
+    done: SyncSender<Result<(), (Part, String)>>,
 ) {
-    let (mut ledger, mut quarantine) = (None, WriteSchedule::default());
+    // Only for its limit on ledgers set aside.
+    let (mut ledger, mut set_aside_limit) = (None, Writing::default());
     for part in parts {
         let opened = match ledger.take() {
             Some(open) => Ok(open),
@@ -56,9 +60,9 @@
             ledger = added.is_ok().then_some(open);
             added
         });
-        let told = added.map(|_| ()).map_err(|failed| {
-            if let StoreError::Unreadable(_) = &failed
-                && quarantine.may_set_aside()
+        let result = added.map(|_| ()).map_err(|failed| {
+            if let Failed::Unreadable(_) = &failed
+                && set_aside_limit.sets_aside()
             {
                 let other = file.with_extension(format!("unreadable-{:032x}", source));
                 if std::fs::rename(&file, &other).is_ok() {
@@ -67,7 +71,7 @@
             }
             (part, failed.to_string())
         });
-        if done.send(told).is_err() {
+        if done.send(result).is_err() {
             return;
         }
     }
@@ -84,20 +88,16 @@
         wall_at_zero: Micros,
     ) -> std::io::Result<Metering> {
         std::fs::create_dir_all(&folder)?;
-        let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '_' };
-        let file = folder.join(format!(
-            "{}.ledger",
-            name.chars().map(plain).take(64).collect::<String>()
-        ));
+        let file = folder.join(format!("{}.ledger", file_name_of(name)));
         let (parts, received) = sync_channel(1);
-        let (told, done) = sync_channel(1);
+        let (results, done) = sync_channel(1);
         let router = name.to_owned();
         let thread = std::thread::Builder::new()
             .name("ledger".into())
-            .spawn(move || write_loop(file, router, source, received, told))?;
-        Ok(Metering(Rc::new(RefCell::new(Inner {
+            .spawn(move || write_loop(file, router, source, received, results))?;
+        Ok(Metering(Rc::new(RefCell::new(MeteringState {
             meter: Meter::default(),
-            writing: WriteSchedule::default(),
+            writing: Writing::default(),
             accounts,
             wall_at_zero,
             parts: Some(parts),
@@ -109,44 +109,44 @@
 
     /// Hands over what there is, if a write is due.
     pub fn flush_due(&self, now: Micros) {
-        let mut inner = self.0.borrow_mut();
-        inner.collect_result(now);
-        if inner.writing.is_due(now) {
-            inner.send();
+        let mut state = self.0.borrow_mut();
+        state.collect_result(now);
+        if state.writing.is_due(now) {
+            state.send();
         }
     }
 
     /// Writes what is left; false if not everything was written in time.
     pub fn close(&self, now: Micros) -> bool {
-        let mut inner = self.0.borrow_mut();
-        let (deadline, failures) = (Instant::now() + CLOSE_TIMEOUT, inner.writing.failures);
+        let mut state = self.0.borrow_mut();
+        let (deadline, failures) = (Instant::now() + CLOSE_TIMEOUT, state.writing.failures);
         loop {
-            inner.collect_result(now);
-            if !inner.in_flight && !inner.send() {
+            state.collect_result(now);
+            if !state.in_flight && !state.send() {
                 break;
             }
-            if Instant::now() >= deadline || inner.writing.failures > failures {
+            if Instant::now() >= deadline || state.writing.failures > failures {
                 return false;
             }
             std::thread::sleep(CLOSE_POLL_INTERVAL);
         }
-        inner.parts = None;
-        inner.thread.take().is_none_or(|t| t.join().is_ok())
+        state.parts = None;
+        state.thread.take().is_none_or(|t| t.join().is_ok())
     }
 }
 
-impl Inner {
+impl MeteringState {
     fn collect_result(&mut self, now: Micros) {
         let Ok(done) = self.done.try_recv() else {
             return;
         };
         self.in_flight = false;
         match done {
-            Ok(()) => self.writing.on_written(now),
+            Ok(()) => self.writing.wrote(now),
             Err((part, why)) => {
-                self.meter.restore(&part);
-                self.writing.on_failed(now);
-                let (failures, left_out) = (self.writing.failures, self.meter.dropped_readings);
+                self.meter.give_back(&part);
+                self.writing.failed(now);
+                let (failures, left_out) = (self.writing.failures, self.meter.left_out);
                 tracing::error!(why, failures, left_out, "the ledger was not written");
             }
         }
@@ -157,7 +157,7 @@
         if self.in_flight {
             return true;
         }
-        let part = self.meter.take_delta();
+        let part = self.meter.take();
         let Some(parts) = self.parts.as_ref().filter(|_| !part.is_empty()) else {
             return false;
         };
@@ -166,66 +166,67 @@
             Err(e) => {
                 let (std::sync::mpsc::TrySendError::Full(part)
                 | std::sync::mpsc::TrySendError::Disconnected(part)) = e;
-                self.meter.restore(&part);
+                self.meter.give_back(&part);
             }
         }
         true
     }
 }
 
-impl RouterObserver for Metering {
+impl Watch for Metering {
     fn decided(&mut self, _: Micros, _: &Event, _: &[Action], _: Names) {}
 
-    fn accepted(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {
-    }
+    fn taken(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {}
 
-    fn answered(&mut self, _: Micros, _: AnswerGiven) {}
+    fn answered(&mut self, _: Micros, _: Given) {}
 
-    fn rejected(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: RejectionReason) {}
+    fn turned_away(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: Short) {}
 
-    fn used(&mut self, now: Micros, u: WorkerUsage) {
-        let mut inner = self.0.borrow_mut();
-        let wall = inner.wall_at_zero + now;
-        let account = inner.accounts.get(u.account as usize).cloned();
+    fn used(&mut self, now: Micros, used: Used) {
+        let mut state = self.0.borrow_mut();
+        let wall = state.wall_at_zero + now;
+        let account = state.accounts.get(used.account as usize).cloned();
         let account = account.as_deref().unwrap_or(UNKNOWN_ACCOUNT);
-        let WorkerUsage {
+        let Used {
             worker,
             function,
             took,
             lanes,
-            memory_held: held,
+            held,
+            by,
+            copy_mb,
             ..
-        } = u;
-        let copy_bytes = (u.copy_mb.max(0.0) * 1e6) as u64;
-        match u.source {
-            UsageSource::Dispatch(outcome, note) => {
-                inner.meter.record_dispatch(DispatchUsage {
-                    ended_at: wall,
+        } = used;
+        let copy_bytes = (copy_mb.max(0.0) * 1e6) as u64;
+        match by {
+            By::Dispatch(outcome, note) => {
+                state.meter.ended(Ended {
+                    wall,
                     worker,
                     account,
                     function,
                     outcome,
-                    copy_status: note,
+                    note,
                     took,
                     copy_bytes,
                     lanes,
-                    totals: held,
+                    held,
                 });
             }
-            UsageSource::Order(result) => {
+            By::Order(result) => {
                 let never_began = matches!(
                     result,
                     LoadOrderResult::Unreachable | LoadOrderResult::NoCapacity
                 );
-                inner.meter.record_load(LoadUsage {
-                    ended_at: wall,
+                state.meter.loaded(Load {
+                    wall,
                     worker,
                     account,
                     function,
                     took,
                     copy_bytes,
-                    not_started: never_began,
-                    totals: held,
+                    never_began,
+                    held,
                 });
             }
         }
--- a/crates/gateway/src/outcome_names.rs
+++ b/crates/gateway/src/outcome_names.rs
@@ -1,41 +1,43 @@
 //! The names by which all fronts report the outcome of a request. They are part of the public interface.
 
-use cedarpulley_router::admission_control::RejectionReason;
-use cedarpulley_router::{AnswerReason, FinalOutcome};
+use cedarpulley_router::entry::Short;
+use cedarpulley_router::{Fate, Reason};
 
-pub(crate) fn fate_name(fate: FinalOutcome) -> &'static str {
+/// The outcome of a request that was taken.
+pub(crate) fn fate_name(fate: Fate) -> &'static str {
     match fate {
-        FinalOutcome::Succeeded => "succeeded",
-        FinalOutcome::Throttled => "throttled",
-        FinalOutcome::Errored => "errored",
+        Fate::Succeeded => "succeeded",
+        Fate::Throttled => "throttled",
+        Fate::Errored => "errored",
     }
 }
 
-pub(crate) fn reason_name(reason: AnswerReason) -> &'static str {
+/// Why a request that was taken ended with its outcome.
+pub(crate) fn reason_name(reason: Reason) -> &'static str {
     match reason {
-        AnswerReason::Worker => "worker",
-        AnswerReason::GivenUp => "given-up",
-        AnswerReason::Expired => "expired",
-        AnswerReason::MayHaveRun => "may-have-run",
-        AnswerReason::Overdue => "overdue",
-        AnswerReason::Functions => "too-many-functions",
-        AnswerReason::Size => "no-memory",
-        AnswerReason::Share => "beyond-share",
-        AnswerReason::NoMajority => "no-majority",
-        AnswerReason::SessionOver => "session-over",
-        AnswerReason::Alone => "worker-alone",
+        Reason::Worker => "worker",
+        Reason::GivenUp => "given-up",
+        Reason::Expired => "expired",
+        Reason::MayHaveRun => "may-have-run",
+        Reason::Overdue => "overdue",
+        Reason::Functions => "too-many-functions",
+        Reason::Size => "no-memory",
+        Reason::Share => "beyond-share",
+        Reason::NoMajority => "no-majority",
+        Reason::SessionOver => "session-over",
+        Reason::Alone => "worker-alone",
     }
 }
 
-/// Why a request was turned away before it was taken.
-pub(crate) fn rejection_name(why: RejectionReason) -> &'static str {
-    match why {
-        RejectionReason::Stopping => "stopping",
-        RejectionReason::Memory => "no-memory",
-        RejectionReason::All => "full",
-        RejectionReason::Front => "front-beyond-share",
-        RejectionReason::Account => "beyond-share",
-        RejectionReason::Connection => "connection-beyond-share",
-        RejectionReason::Worth => "kept-for-dearer",
+/// Why a request was rejected before it was taken.
+pub(crate) fn rejection_name(reason: Short) -> &'static str {
+    match reason {
+        Short::Stopping => "stopping",
+        Short::Memory => "no-memory",
+        Short::All => "full",
+        Short::Front => "front-beyond-share",
+        Short::Account => "beyond-share",
+        Short::Connection => "connection-beyond-share",
+        Short::Worth => "kept-for-dearer",
     }
 }
--- a/crates/gateway/src/outputs.rs
+++ b/crates/gateway/src/outputs.rs
@@ -5,8 +5,10 @@
 use std::sync::Arc;
 
 use cedarpulley::interface::{DispatchOutcome, LoadReport, Micros, WorkerIndex};
-use cedarpulley_kserve::{outcomes, response_headers, worker_requests};
-use cedarpulley_router::core::DispatchRequest;
+use cedarpulley_kserve::{endings, reports, requests};
+use cedarpulley_router::core::Call;
+use cedarpulley_router::entry::Entry;
+use cedarpulley_router::group::Ask;
 use cedarpulley_router::{
     Answer, Delivery, FrontIndex, Input, OrderTicket, Output, Payload, Ticket,
 };
@@ -25,7 +27,7 @@
     function: Arc<str>,
     trigger: u32,
     account: u32,
-    call: DispatchRequest,
+    call: Call,
 }
 
 /// An order to load copies at a worker or, with `copies` 0, a query how many exist.
@@ -44,20 +46,9 @@
         self.fault_injector.observe(&output);
         match output {
             Output::Answer { delivery, answer } => self.deliver(delivery, answer),
-            Output::Admission {
-                delivery,
-                decision: entry,
-            } => {
-                if let Some(handler) = self.handler(delivery.front) {
-                    handler.set_decision(entry);
-                }
-            }
-            Output::Discard(delivery) => {
-                if let Some(front) = self.fronts.get(delivery.front as usize) {
-                    front.discard(delivery);
-                }
-            }
-            Output::Grant { front, limit: most } => self.grant(front, most),
+            Output::Entry { delivery, entry } => self.decide_admission(delivery, entry),
+            Output::Discard(delivery) => self.discard(delivery),
+            Output::Grant { front, most } => self.grant(front, most),
             Output::Send {
                 ticket,
                 worker,
@@ -65,17 +56,15 @@
                 trigger,
                 account,
                 call,
-            } => {
-                self.begin_dispatch(Dispatch {
-                    ticket,
-                    worker,
-                    function,
-                    trigger,
-                    account,
-                    call,
-                });
-            }
-            Output::Cancel(ticket) => self.pool.cancel(ticket),
+            } => self.begin_dispatch(Dispatch {
+                ticket,
+                worker,
+                function,
+                trigger,
+                account,
+                call,
+            }),
+            Output::Withdraw(ticket) => self.pool.cancel(ticket),
             Output::Order {
                 ticket,
                 function,
@@ -83,48 +72,50 @@
                 copies,
                 within,
                 term,
-            } => {
-                let order = LoadOrder {
-                    ticket,
-                    function,
-                    account,
-                    copies,
-                    within,
-                    term,
-                };
-                self.context
-                    .executor
-                    .spawn(self.clone().order_load(order))
-                    .detach();
-            }
+            } => self.spawn(self.clone().order_load(LoadOrder {
+                ticket,
+                function,
+                account,
+                copies,
+                within,
+                term,
+            })),
             Output::Unload {
                 worker,
                 function,
                 term,
-            } => {
-                self.context
-                    .executor
-                    .spawn(self.clone().order_unload(worker, function, term))
-                    .detach();
-            }
-            Output::Probe { worker } => {
-                self.context
-                    .executor
-                    .spawn(self.clone().probe(worker))
-                    .detach();
-            }
+            } => self.spawn(self.clone().order_unload(worker, function, term)),
+            Output::Probe { worker } => self.spawn(self.clone().probe(worker)),
             // The watch retries by itself, with spread-out delays.
-            Output::RequestEndpointList => {}
-            Output::Replication(request) => {
-                if let Some(peer_group) = &self.peer_group {
-                    peer_group.request(request);
-                }
-            }
+            Output::AskList => {}
+            Output::Group(request) => self.request_of_group(request),
+        }
+    }
+
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) {
+        self.context.executor.spawn(task).detach();
+    }
+
+    fn decide_admission(&self, delivery: Delivery, entry: Entry) {
+        if let Some(handler) = self.handler(delivery.front) {
+            handler.set_decision(entry);
+        }
+    }
+
+    fn discard(&self, delivery: Delivery) {
+        if let Some(front) = self.fronts.get(delivery.front as usize) {
+            front.discard(delivery);
+        }
+    }
+
+    fn request_of_group(&self, request: Ask) {
+        if let Some(peer_group) = &self.peer_group {
+            peer_group.request(request);
         }
     }
 
     fn deliver(&self, delivery: Delivery, answer: Answer) {
-        tracing::debug!(fate = ?answer.outcome, reason = ?answer.reason, "answered");
+        tracing::debug!(outcome = ?answer.fate, reason = ?answer.reason, "request answered");
         if let Some(front) = self.fronts.get(delivery.front as usize) {
             return self.fault_injector.answer(front, delivery, answer);
         }
@@ -136,12 +127,12 @@
         }
     }
 
-    fn grant(&self, front: FrontIndex, most: u32) {
+    fn grant(&self, front: FrontIndex, limit: u32) {
         match self.fronts.get(front as usize) {
-            Some(front) => front.grant(most),
+            Some(front) => front.grant(limit),
             None => {
                 if let Some(handler) = self.handler(front) {
-                    handler.grant(most);
+                    handler.grant(limit);
                 }
             }
         }
@@ -157,31 +148,36 @@
         let (ticket, worker, function) =
             (dispatch.ticket, dispatch.worker, dispatch.function.clone());
         let result = self.exchange(dispatch).await;
-        let read = outcomes::classify_inference(&ending_of(&result, &function));
-        let held = result
-            .as_ref()
-            .ok()
-            .and_then(|r| response_headers::memory_usage(&r.headers));
+        let ending = endings::infer(&ending_of(&result, &function));
+        let held = result.as_ref().ok().and_then(|r| reports::held(&r.headers));
         let body = match result {
-            Ok(reply) if read.outcome == DispatchOutcome::Succeeded => {
-                let json = outcomes::json_length(&reply.headers, &reply.body);
-                let first = json.filter(|n| *n < reply.body.len()).map(|n| n as u32);
+            Ok(reply) if ending.outcome == DispatchOutcome::Succeeded => {
+                let json_length = endings::json_length(&reply.headers, &reply.body);
+                let first = json_length
+                    .filter(|length| *length < reply.body.len())
+                    .map(|length| length as u32);
                 Payload {
                     bytes: reply.body,
-                    first_part_length: first,
+                    first,
                 }
             }
             _ => Payload::default(),
         };
-        tracing::debug!(inv = ticket.invocation, dispatch = ticket.dispatch, worker, outcome = ?read.outcome, "ended");
+        tracing::debug!(
+            invocation = ticket.inv,
+            dispatch = ticket.dispatch,
+            worker,
+            outcome = ?ending.outcome,
+            "dispatch ended"
+        );
         self.pool.finished(ticket);
         self.feed(Input::DispatchEnded {
             ticket,
-            outcome: read.outcome,
-            copy_status: read.copy_status,
-            function_load: read.function_load,
-            report: read.report,
-            memory_held: held,
+            outcome: ending.outcome,
+            note: ending.note,
+            crowd: ending.crowd,
+            report: ending.report,
+            held,
             body,
         });
     }
@@ -196,11 +192,11 @@
             call,
         } = dispatch;
         let names = &self.context.names;
-        let marks = worker_requests::InvocationHeaders {
-            invocation: call.name.as_deref(),
+        let marks = requests::Marks {
+            invocation: call.mark.as_deref(),
             dispatch: ticket.dispatch,
-            idempotency_key: call.idempotency_key.as_deref(),
-            trigger_type: names
+            token: call.token.as_deref(),
+            trigger: names
                 .triggers
                 .get(trigger as usize)
                 .map_or("", String::as_str),
@@ -209,18 +205,17 @@
             session: call
                 .session
                 .as_ref()
-                .map(|s| (&*s.id, s.is_first, s.is_last)),
+                .map(|session| (&*session.id, session.start, session.end)),
         };
         let Some(address) = self.address(worker) else {
             return Err(ExchangeError::NoConnection);
         };
         let (host, body) = (address.to_string(), call.body);
-        let request =
-            worker_requests::infer(&host, &function, marks, body.bytes, body.first_part_length);
+        let request = requests::infer(&host, &function, marks, body.bytes, body.first);
         let may_send = || {
             self.router
                 .borrow()
-                .may_send(self.context.clock.now(), ticket)
+                .may_leave(self.context.clock.now(), ticket)
         };
         self.pool.exchange(address, request, false, may_send).await
     }
@@ -239,7 +234,7 @@
         };
         let host = address.to_string();
         let request = match copies {
-            0 => worker_requests::ready(&host, &function),
+            0 => requests::ready(&host, &function),
             copies => {
                 let account = self
                     .context
@@ -247,7 +242,7 @@
                     .accounts
                     .get(account as usize)
                     .map(String::as_str);
-                worker_requests::load(
+                requests::load(
                     &host,
                     &function,
                     copies,
@@ -257,16 +252,13 @@
             }
         };
         let result = self.pool.order(address, request, within).await;
-        let held = result
-            .as_ref()
-            .ok()
-            .and_then(|r| response_headers::memory_usage(&r.headers));
-        let (result, copies) = outcomes::classify_load_order(&ending_of(&result, &function));
+        let held = result.as_ref().ok().and_then(|r| reports::held(&r.headers));
+        let (result, copies) = endings::order(&ending_of(&result, &function));
         self.feed(Input::OrderEnded {
             ticket,
             result,
             copies,
-            memory_held: held,
+            held,
         });
     }
 
@@ -279,7 +271,7 @@
         let Some(address) = self.address(worker) else {
             return;
         };
-        let request = worker_requests::unload(
+        let request = requests::unload(
             &address.to_string(),
             &function,
             self.orderer(term.as_deref()),
@@ -292,14 +284,14 @@
         let began = self.context.clock.now();
         let (outcome, report) = match self.address(worker) {
             Some(address) => {
-                let request = worker_requests::live(&address.to_string());
+                let request = requests::live(&address.to_string());
                 let result = self.pool.order(address, request, CONTROL_TIMEOUT).await;
-                outcomes::classify_health_check(&ending_of(&result, ""))
+                endings::probe(&ending_of(&result, ""))
             }
             None => (DispatchOutcome::Unreachable, LoadReport::default()),
         };
         let took = self.context.clock.now() - began;
-        self.feed(Input::ProbeEnded {
+        self.feed(Input::Probed {
             worker,
             outcome,
             took,
@@ -308,8 +300,8 @@
     }
 
     /// What load orders tell workers of their origin, if routers are to be told apart.
-    fn orderer<'a>(&'a self, term: Option<&'a str>) -> worker_requests::OrderIssuer<'a> {
-        worker_requests::OrderIssuer {
+    fn orderer<'a>(&'a self, term: Option<&'a str>) -> requests::Orderer<'a> {
+        requests::Orderer {
             router: self.peer_group.as_ref().map(PeerGroup::name),
             term,
         }
--- a/crates/gateway/src/peer_group.rs
+++ b/crates/gateway/src/peer_group.rs
@@ -11,8 +11,8 @@
 use cedarpulley_errors::Remedy;
 use cedarpulley_membership::MemberIndex;
 use cedarpulley_net::{Clock, listen};
-use cedarpulley_replica::{self as replica, SafetyCheck};
-use cedarpulley_router::replication::ReplicationRequest;
+use cedarpulley_replica::{self as replica, Guard};
+use cedarpulley_router::group::Ask;
 use futures_lite::{FutureExt, StreamExt};
 use thiserror::Error;
 
@@ -29,11 +29,15 @@
 /// Why the group's part cannot start.
 #[derive(Debug, Error)]
 pub enum PeerGroupError {
+    /// The address cannot be listened on.
     #[error("the group's listener at {address}: {source}")]
     Listen {
+        /// The address that was configured.
         address: SocketAddr,
+        /// The cause that the operating system gave.
         source: std::io::Error,
     },
+    /// The store cannot be opened.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
@@ -55,7 +59,7 @@
     listener: Async<TcpListener>,
     store: Option<PeerStore>,
     restored: Option<RestoredState>,
-    disabled_guard: Option<SafetyCheck>,
+    disabled_guard: Option<Guard>,
 }
 
 impl PeerGroupResources {
@@ -64,7 +68,7 @@
     pub fn acquire(
         settings: PeerSettings,
         clock: &Clock,
-        disabled_guard: Option<SafetyCheck>,
+        disabled_guard: Option<Guard>,
     ) -> Result<PeerGroupResources, PeerGroupError> {
         let listen_error = |source| PeerGroupError::Listen {
             address: settings.listen,
@@ -74,9 +78,9 @@
         let (store, restored) = match &settings.state_folder {
             None => (None, None),
             Some(path) => {
-                let identity = settings.group.fingerprint ^ u64::from(settings.group.own_index);
+                let identity = settings.group.mark ^ u64::from(settings.group.me);
                 let (store, restored) =
-                    PeerStore::open(path, identity, clock.wall_time(), settings.retention)?;
+                    PeerStore::open(path, identity, clock.wall(), settings.retention)?;
                 (Some(store), restored)
             }
         };
@@ -127,7 +131,7 @@
             transport_handle,
         ));
         let (store, listener) = (store.map(Rc::new), RefCell::new(Some(listener)));
-        let name = settings.group.members[settings.group.own_index as usize]
+        let name = settings.group.members[settings.group.me as usize]
             .name
             .clone();
         PeerGroup {
@@ -135,13 +139,13 @@
             transport,
             store,
             listener,
-            own_index: settings.group.own_index,
+            own_index: settings.group.me,
             name,
         }
     }
 
     /// Takes a request of the core to the group.
-    pub fn request(&self, request: ReplicationRequest) {
+    pub fn request(&self, request: Ask) {
         self.peers.request(request);
     }
 
@@ -178,29 +182,29 @@
         };
         executor.spawn(tick_task).detach();
         if let Some(store) = self.store.clone() {
-            let (peers, clock) = (self.peers.clone(), context.clock);
-            let write_task = async move {
-                let (mut interval, mut reported_serial) =
-                    (Timer::interval(STORE_WRITE_INTERVAL), 0);
-                loop {
-                    let due = async { interval.next().await.is_some() };
-                    let requested = async {
-                        peers.write_requested().or(store.write_finished()).await;
-                        false
-                    };
-                    let due = due.or(requested).await;
-                    let serial = store.persisted_serial();
-                    if std::mem::replace(&mut reported_serial, serial) != serial {
-                        peers.apply_replica(replica::Input::Persisted { serial });
-                    }
-                    // One write at a time: changes that come meanwhile go together into the next.
-                    if store.is_idle() && (due || peers.awaits_store()) {
-                        let (turn, serial, changes) = peers.changes();
-                        store.write(turn, serial, clock.wall_time(), changes);
-                    }
-                }
-            };
+            let write_task = write_changes(self.peers.clone(), store, context.clock);
             executor.spawn(write_task).detach();
         }
     }
 }
+
+/// Writes changes of the shared state to the store, for as long as the router runs.
+async fn write_changes(peers: Rc<Peers>, store: Rc<PeerStore>, clock: Clock) {
+    let (mut interval, mut reported_serial) = (Timer::interval(STORE_WRITE_INTERVAL), 0);
+    loop {
+        let due = async { interval.next().await.is_some() };
+        let requested = async {
+            peers.write_requested().or(store.write_finished()).await;
+            false
+        };
+        let due = due.or(requested).await;
+        let serial = store.persisted_serial();
+        if std::mem::replace(&mut reported_serial, serial) != serial {
+            peers.apply_replica(replica::Input::Kept { serial });
+        }
+        // One write at a time: changes that come meanwhile go together into the next.
+        if store.is_idle() && (due || peers.awaits_store()) {
+            store.write(peers.changes(), clock.wall());
+        }
+    }
+}
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -3,26 +3,32 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::{self as membership, Incarnation, MemberIndex};
+use cedarpulley_membership::{self as membership, MemberIndex, Process};
 use cedarpulley_replica as replica;
-use cedarpulley_router::{Answer, AnswerReason, FinalOutcome, Payload};
+use cedarpulley_router::{Answer, Fate, Payload, Reason};
 use serde::{Deserialize, Serialize};
 
 /// Everything that one member sends to another in one request, encoded with `postcard`. The order of fields
 /// is the wire format.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Envelope {
+    /// Version of the protocol between members.
     pub version: u16,
     /// Fingerprint of the whole group: routers of another group, or with other members configured, have
     /// another one.
     pub group: u64,
+    /// The sender.
     pub from: MemberIndex,
+    /// The receiver.
     pub to: MemberIndex,
-    pub process: Incarnation,
-    /// The sender's own clock; then the receiver's clock as the sender last saw it, and the process it
-    /// belonged to. With these the receiver bounds the transit time by its own clock alone. In microseconds.
+    /// The sender's process.
+    pub process: Process,
+    /// The sender's own clock in microseconds.
     pub clock: Micros,
+    /// The receiver's clock as the sender last saw it, in microseconds. With it the receiver bounds the transit
+    /// time by its own clock alone.
     pub echo: Micros,
+    /// The receiver's process that `echo` belongs to.
     pub echo_of: u64,
     /// Encoded messages, each by itself: one that cannot be decoded does not affect the others.
     pub messages: Vec<Bytes>,
@@ -45,12 +51,12 @@
 
 /// Only successful answers are shared.
 pub(crate) fn encode_answer(answer: &Answer) -> Bytes {
-    let encode_answer = SharedAnswer {
-        alone: answer.reason == AnswerReason::Alone,
-        first: answer.body.first_part_length,
+    let shared = SharedAnswer {
+        alone: answer.reason == Reason::Alone,
+        first: answer.body.first,
         body: answer.body.bytes.clone(),
     };
-    postcard::to_stdvec(&encode_answer)
+    postcard::to_stdvec(&shared)
         .map(Bytes::from)
         .unwrap_or_default()
 }
@@ -58,18 +64,11 @@
 /// Absent if the bytes are of another form.
 pub(crate) fn decode_answer(bytes: &[u8]) -> Option<Answer> {
     let SharedAnswer { alone, first, body } = postcard::from_bytes(bytes).ok()?;
-    let reason = if alone {
-        AnswerReason::Alone
-    } else {
-        AnswerReason::Worker
-    };
+    let reason = if alone { Reason::Alone } else { Reason::Worker };
     Some(Answer {
-        outcome: FinalOutcome::Succeeded,
+        fate: Fate::Succeeded,
         reason,
-        retry_after: None,
-        body: Payload {
-            bytes: body,
-            first_part_length: first,
-        },
+        return_after: None,
+        body: Payload { bytes: body, first },
     })
 }
--- a/crates/gateway/src/peer_transport.rs
+++ b/crates/gateway/src/peer_transport.rs
@@ -9,8 +9,7 @@
 //! 3. A queue is bounded in bytes. Beyond that, messages that a later comparison makes up for are dropped
 //!    first, then any. A member that reads slowly costs only what is meant for it.
 
-use std::cell::{Cell, RefCell};
-use std::collections::VecDeque;
+use std::cell::Cell;
 use std::convert::Infallible;
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -20,7 +19,7 @@
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
 use cedarpulley_membership::MemberIndex;
-use cedarpulley_net::{Notifier, Stream, connect, duration_from_micros};
+use cedarpulley_net::{Stream, connect, micros};
 use futures_lite::FutureExt;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -29,17 +28,15 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
-use serde::Serialize;
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use crate::peers::{Peers, Transport};
+use crate::message_sending::{SendOptions, Transport};
+use crate::peers::Peers;
+use crate::rejected_envelopes::RejectionCause;
+use crate::send_queue::SendQueue;
+pub use crate::send_queue::TransportCounts;
 use crate::state_endpoint;
-use crate::unknown_members::RefusalCause;
 
-/// Bytes that may wait in one queue.
-const MAX_QUEUED_BYTES: usize = 4 << 20;
-/// Bytes in one POST: more than one part of a comparison, and less than keeps a link busy for long.
-const MAX_BATCH_BYTES: usize = 256 << 10;
 /// Bytes read of one POST or its response.
 const MAX_BODY_BYTES: usize = 8 << 20;
 const CONNECT_TIMEOUT: Micros = 250_000;
@@ -53,69 +50,11 @@
 const MAX_CONNECTIONS: usize = 512;
 const PATH: &str = "/peer";
 
-/// Counts of one queue, or of all. The serialized names are those of the state endpoint.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct TransportCounts {
-    pub posts: u64,
-    pub bytes_sent: u64,
-    pub posts_failed: u64,
-    /// Messages dropped for want of room, or lost with a failed POST.
-    #[serde(rename = "letters_dropped")]
-    pub messages_dropped: u64,
-}
-
-/// Encoded messages that wait for one member, each with whether it may be dropped.
-struct SendQueue {
-    waiting: RefCell<VecDeque<(Bytes, bool)>>,
-    bytes: Cell<usize>,
-    bell: Notifier,
-    counts: Cell<TransportCounts>,
-}
-
-impl SendQueue {
-    fn new() -> Self {
-        SendQueue {
-            waiting: RefCell::default(),
-            bytes: Cell::new(0),
-            bell: Notifier::default(),
-            counts: Cell::new(TransportCounts::default()),
-        }
-    }
-
-    fn count(&self, change: impl FnOnce(&mut TransportCounts)) {
-        let mut counts = self.counts.get();
-        change(&mut counts);
-        self.counts.set(counts);
-    }
-
-    fn enqueue(&self, message: Bytes, recoverable: bool) {
-        let mut waiting = self.waiting.borrow_mut();
-        self.bytes.set(self.bytes.get() + message.len());
-        waiting.push_back((message, recoverable));
-        while self.bytes.get() > MAX_QUEUED_BYTES {
-            // Guards against a member that reads nothing, or is gone and not yet considered dead.
-            let at = waiting.iter().position(|w| w.1).unwrap_or(0);
-            let Some((message, _)) = waiting.remove(at) else {
-                break;
-            };
-            self.bytes.set(self.bytes.get() - message.len());
-            self.count(|counts| counts.messages_dropped += 1);
-        }
-        self.bell.notify();
-    }
-
-    fn take_batch(&self) -> Vec<Bytes> {
-        let (mut taken, mut bytes) = (Vec::new(), 0);
-        let mut waiting = self.waiting.borrow_mut();
-        while bytes < MAX_BATCH_BYTES
-            && let Some((message, _)) = waiting.pop_front()
-        {
-            bytes += message.len();
-            taken.push(message);
-        }
-        self.bytes.set(self.bytes.get() - bytes);
-        taken
-    }
+/// An open connection to a member.
+struct Connection {
+    sender: SendRequest<Full<Bytes>>,
+    /// Drives the connection until this is dropped.
+    _driver: Task<()>,
 }
 
 /// The queues of all members; [`PeerTransport::run`] sends what is put into them.
@@ -131,9 +70,9 @@
 pub struct TransportHandle(pub Rc<PeerTransport>);
 
 impl Transport for TransportHandle {
-    fn send(&self, to: MemberIndex, message: Bytes, bulk: bool, recoverable: bool) {
+    fn send(&self, to: MemberIndex, message: Bytes, options: SendOptions) {
         if let Some(queues) = self.0.queues.get(to as usize) {
-            queues[usize::from(bulk)].enqueue(message, recoverable);
+            queues[usize::from(options.bulk)].enqueue(message, options.recoverable);
         }
     }
 }
@@ -160,7 +99,7 @@
     /// The sums over all queues.
     pub fn counts(&self) -> TransportCounts {
         let mut all = TransportCounts::default();
-        for counts in self.queues.iter().flatten().map(|queue| queue.counts.get()) {
+        for counts in self.queues.iter().flatten().map(|queue| queue.counts()) {
             all.posts += counts.posts;
             all.bytes_sent += counts.bytes_sent;
             all.posts_failed += counts.posts_failed;
@@ -182,62 +121,57 @@
 
     async fn send_loop(self: Rc<Self>, peers: Rc<Peers>, to: MemberIndex, queue_index: usize) {
         let queue = &self.queues[to as usize][queue_index];
-        let mut connection: Option<(SendRequest<Full<Bytes>>, Task<()>)> = None;
+        let mut connection: Option<Connection> = None;
         loop {
             let messages = queue.take_batch();
             if messages.is_empty() {
-                queue.bell.notified().await;
+                queue.bell.heard().await;
                 continue;
             }
             let count = messages.len() as u64;
-            if connection
-                .as_ref()
-                .is_none_or(|(sender, _)| !sender.is_ready())
-            {
+            if connection.as_ref().is_none_or(|c| !c.sender.is_ready()) {
                 connection = self.open_connection(self.addresses[to as usize]).await;
             }
-            let answered = match &mut connection {
+            let response = match &mut connection {
                 None => None,
-                Some((sender, _)) => {
-                    let Ok(body) =
-                        postcard::to_stdvec(&peers.envelope(to, messages)).map(Bytes::from)
-                    else {
+                Some(connection) => {
+                    let envelope = peers.envelope(to, messages);
+                    let Ok(body) = postcard::to_stdvec(&envelope).map(Bytes::from) else {
                         continue;
                     };
                     queue.count(|counts| {
                         counts.posts += 1;
                         counts.bytes_sent += body.len() as u64;
                     });
-                    exchange(sender, self.addresses[to as usize], body).await
+                    exchange(&mut connection.sender, self.addresses[to as usize], body).await
                 }
             };
-            match answered {
-                Some(answer) => {
-                    // Refused envelopes are counted and logged by `Peers`.
-                    let from = Some(self.addresses[to as usize].ip());
-                    let _ = peers.receive(from, &answer).map(|replies| {
-                        replies
-                            .messages
-                            .into_iter()
-                            .for_each(|message| queue.enqueue(message, false));
-                    });
-                }
+            match response {
+                Some(response) => self.receive_response(&peers, to, queue, &response),
                 None => {
                     connection = None;
                     queue.count(|counts| {
                         counts.posts_failed += 1;
                         counts.messages_dropped += count;
                     });
-                    Timer::after(duration_from_micros(RETRY_DELAY)).await;
+                    Timer::after(micros(RETRY_DELAY)).await;
                 }
             }
         }
     }
 
-    async fn open_connection(
-        &self,
-        address: SocketAddr,
-    ) -> Option<(SendRequest<Full<Bytes>>, Task<()>)> {
+    /// Processes the envelope in a response; what follows from it goes into the queue of the request.
+    fn receive_response(&self, peers: &Peers, to: MemberIndex, queue: &SendQueue, body: &[u8]) {
+        let from = Some(self.addresses[to as usize].ip());
+        // Rejected envelopes are counted and logged by `Peers`.
+        if let Ok(replies) = peers.receive(from, body) {
+            for message in replies.messages {
+                queue.enqueue(message, false);
+            }
+        }
+    }
+
+    async fn open_connection(&self, address: SocketAddr) -> Option<Connection> {
         let stream = connect(address, self.local_address, CONNECT_TIMEOUT)
             .await
             .ok()?;
@@ -246,7 +180,10 @@
             // A failure shows in the next POST.
             let _ = connection.await;
         });
-        Some((sender, driver))
+        Some(Connection {
+            sender,
+            _driver: driver,
+        })
     }
 }
 
@@ -271,7 +208,7 @@
         ok.then_some(body)
     };
     let timeout = async {
-        Timer::after(duration_from_micros(RESPONSE_TIMEOUT)).await;
+        Timer::after(micros(RESPONSE_TIMEOUT)).await;
         None
     };
     exchanged.or(timeout).await
@@ -310,10 +247,10 @@
             {
                 Ok(Ok(answer)) => reply(StatusCode::OK, "application/octet-stream", answer),
                 Ok(Err(_)) => reply(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", ""),
-                Err(RefusalCause::Unreadable) => reply(
+                Err(RejectionCause::Unreadable) => reply(
                     StatusCode::BAD_REQUEST,
                     "text/plain",
-                    RefusalCause::Unreadable.to_string(),
+                    RejectionCause::Unreadable.to_string(),
                 ),
                 Err(cause) => reply(StatusCode::FORBIDDEN, "text/plain", cause.to_string()),
             }
@@ -344,7 +281,7 @@
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             // Most likely out of file descriptors: wait until some are released.
-            Timer::after(duration_from_micros(RETRY_DELAY)).await;
+            Timer::after(micros(RETRY_DELAY)).await;
             continue;
         };
         if open_connections.get() >= MAX_CONNECTIONS {
@@ -371,7 +308,7 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(SmolTimer::new())
-        .header_read_timeout(duration_from_micros(HEADER_TIMEOUT));
+        .header_read_timeout(micros(HEADER_TIMEOUT));
     // However the connection ends, the other side notices it by itself.
     let _ = builder
         .serve_connection(FuturesIo::new(stream), service)
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -6,57 +6,49 @@
 //! member, and [`Peers::tick`] whenever [`Peers::wait_until_due`] returns.
 
 use std::cell::RefCell;
-use std::collections::VecDeque;
 use std::net::IpAddr;
 use std::rc::Rc;
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_errors::Remedy;
-use cedarpulley_membership::{self as membership, MemberIndex, Membership, StableView};
-use cedarpulley_net::DeadlineTimer;
-use cedarpulley_replica::{self as replica, Durability, Replica, SafetyCheck};
-use cedarpulley_router::replication::{self, ReplicationEvent, ReplicationRequest};
-use serde::Serialize;
+use cedarpulley_membership::{self as membership, Believed, MemberIndex, Membership};
+use cedarpulley_net::Alarm;
+use cedarpulley_replica::{self as replica, Guard, Replica};
+use cedarpulley_router::group::{Ask, Told};
 use smol::channel::{Receiver, Sender};
 
 use crate::context::GatewayContext;
-use crate::peer_events::{EventListener, Notification, PeerEvent};
-use crate::peer_messages::{Envelope, PeerMessage, decode_answer, encode_answer};
+pub use crate::message_sending::{SendOptions, Transport};
+pub use crate::peer_envelopes::EnvelopeCounts;
+use crate::peer_envelopes::{EnvelopeExchange, EnvelopeReceiver};
+use crate::peer_events::{EventListener, NotificationQueue, PeerEvent};
+use crate::peer_messages::{Envelope, PeerMessage};
+use crate::peer_requests::{dispatch_permission, ownership_verdict, replica_input};
 use crate::peer_settings::PeerSettings;
-use crate::unknown_members::{Refusal, RefusalCause, UnknownMembers};
-
-/// Assumed transit time of a member's message while nothing bounds it: long before any router began. In
-/// microseconds.
-const UNKNOWN_TRANSIT: Micros = Micros::MAX / 4;
-
-/// Sends messages to other members. It must not block.
-pub trait Transport {
-    /// `bulk`: may wait behind messages that a vote waits for. `recoverable`: may be dropped if there is no
-    /// room, as a later comparison of the records repairs the loss.
-    fn send(&self, to: MemberIndex, message: Bytes, bulk: bool, recoverable: bool);
-}
-
-/// Envelopes received and those refused, by cause. The names are those of the state endpoint.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Counts {
-    pub envelopes: u64,
-    pub other_version: u64,
-    pub other_group: u64,
-    pub other_member: u64,
-    pub unreadable: u64,
-    /// Answers stored by another member that could not be decoded here.
-    pub unreadable_answers: u64,
+use crate::rejected_envelopes::RejectionCause;
+pub use crate::stored_state::{RestoredState, StoreChanges};
+
+/// This router's state as part of its group, for reading.
+pub struct PeerStateView<'a> {
+    /// This router's clock in microseconds.
+    pub now: Micros,
+    /// Who is alive, as detected.
+    pub membership: &'a Membership,
+    /// Who is alive, as acted upon.
+    pub believed: &'a Believed,
+    /// The shared records.
+    pub replica: &'a Replica,
+    /// Envelopes received and rejected.
+    pub counts: &'a EnvelopeCounts,
+    /// This process was started from a store that was older than what other members knew.
+    pub store_was_older: bool,
 }
 
 struct State {
     membership: Membership,
-    believed: StableView,
+    believed: Believed,
     replica: Replica,
-    /// By member: its clock as last received (microseconds), and the process that it belongs to.
-    clocks: Vec<(Micros, u64)>,
-    counts: Counts,
-    unknown_members: UnknownMembers,
+    envelopes: EnvelopeExchange,
     /// While an envelope is processed: its sender and the messages that go back in the reply.
     replies: Option<(MemberIndex, Vec<Bytes>)>,
     /// This process was started from a stored state; and that state was older than what other members know of
@@ -67,34 +59,19 @@
 
 /// This router's membership and shared records, with the queue of notifications that follow from them.
 pub struct Peers {
-    pub(crate) context: Rc<GatewayContext>,
-    nonce: u64,
-    group_fingerprint: u64,
-    own_index: MemberIndex,
-    members: usize,
+    context: Rc<GatewayContext>,
     state: RefCell<State>,
     transport: Box<dyn Transport>,
-    /// Waiting to be delivered to the core and to listeners, in order.
-    pub(crate) notifications: RefCell<VecDeque<Notification>>,
-    /// Listeners with the key prefix that each subscribed to.
-    pub(crate) listeners: RefCell<Vec<(&'static str, EventListener)>>,
-    pub(crate) is_notifying: std::cell::Cell<bool>,
+    notifications: NotificationQueue,
     /// Further sections of the state endpoint, by name.
     state_providers: RefCell<Vec<(&'static str, StateProvider)>>,
-    alarm: DeadlineTimer,
+    alarm: Alarm,
     /// Signals that a vote waits for the store to be written.
     write_request: (Sender<()>, Receiver<()>),
 }
 
 type StateProvider = Box<dyn Fn() -> serde_json::Value>;
 
-/// State read from the store at start.
-#[derive(Default)]
-pub struct RestoredState {
-    pub turn: u64,
-    pub records: Vec<(replica::Key, replica::RecordCopy)>,
-}
-
 impl Peers {
     /// `nonce`: unique for this process; `disabled_guard`: only in tests of the auditor, see
     /// `cedarpulley-replica`.
@@ -103,288 +80,147 @@
         settings: &PeerSettings,
         nonce: u64,
         restored: Option<RestoredState>,
-        disabled_guard: Option<SafetyCheck>,
+        disabled_guard: Option<Guard>,
         transport: Box<dyn Transport>,
     ) -> Self {
         let now = context.clock.now();
         let group = settings.group.clone();
-        let (group_fingerprint, own_index, member_count) =
-            (group.fingerprint, group.own_index, group.len());
-        let terms = membership::FailureDetectorSettings {
-            probe_interval: settings.probe_interval,
-            answer_timeout: settings.probe_timeout,
-            suspicion_timeout: settings.suspicion_timeout,
-            seed: context.seed,
-        };
-        let (turn, was_restored) = (
-            restored.as_ref().map_or(0, |state| state.turn),
-            restored.is_some(),
-        );
-        let membership = Membership::new(now, group.clone(), terms, nonce, turn);
-        let terms = replica::ReplicaSettings {
-            max_records: settings.max_records,
-            catch_up_bytes_per_s: settings.catch_up_bytes_per_s,
-            is_persistent: settings.state_folder.is_some(),
-            disabled_check: disabled_guard,
-            ..replica::ReplicaSettings::with_defaults(
-                settings.retention,
-                settings.replication_timeout,
-                context.seed,
-            )
+        let receiver = EnvelopeReceiver {
+            group: group.mark,
+            own_index: group.me,
+            members: group.len(),
         };
-        let replica = Replica::new(
-            now,
-            group,
-            terms,
-            nonce,
-            restored.map(|state| state.records),
-        );
+        let believed = Believed::new(now, group.len(), settings.belief_delay);
+        let was_restored = restored.is_some();
+        let (incarnation, records) =
+            restored.map_or((0, None), |r| (r.incarnation, Some(r.records)));
+        let limits = settings.membership_terms(context.seed);
+        let membership = Membership::new(now, group.clone(), limits, nonce, incarnation);
+        let limits = settings.replica_terms(context.seed, disabled_guard);
         let state = State {
             membership,
-            believed: StableView::new(now, member_count, settings.belief_delay),
-            replica,
-            clocks: vec![(0, 0); member_count],
-            counts: Counts::default(),
-            unknown_members: UnknownMembers::new(member_count),
+            believed,
+            replica: Replica::new(now, group, limits, nonce, records),
+            envelopes: EnvelopeExchange::new(receiver, nonce),
             replies: None,
             was_restored,
             store_was_older: false,
         };
         Peers {
             context,
-            nonce,
-            group_fingerprint,
-            own_index,
-            members: member_count,
             state: RefCell::new(state),
             transport,
-            notifications: RefCell::default(),
-            listeners: RefCell::default(),
-            is_notifying: std::cell::Cell::new(false),
+            notifications: NotificationQueue::default(),
             state_providers: RefCell::default(),
-            alarm: DeadlineTimer::default(),
+            alarm: Alarm::default(),
             write_request: smol::channel::bounded(1),
         }
     }
 
     /// Takes a request of the core to its group.
-    pub fn request(&self, request: ReplicationRequest) {
-        let input = match request {
-            ReplicationRequest::Announce {
-                key,
-                durability: need,
-                redelivered,
-            } => {
-                let need = match need {
-                    replication::Durability::Notified => Durability::Local,
-                    replication::Durability::MajorityStored => Durability::Majority,
-                };
-                replica::Input::Take {
-                    key,
-                    durability: need,
-                    redelivered,
-                }
-            }
-            ReplicationRequest::RequestPermission {
-                key,
-                attempt: sending,
-                deduplication_domain: place,
-                without_majority: alone,
-            } => replica::Input::RequestDispatch {
-                key,
-                dispatch: sending,
-                deduplication_scope: place,
-                without_majority: alone,
-            },
-            ReplicationRequest::AttemptSent {
-                key,
-                attempt: sending,
-                deduplication_domain: place,
-            } => replica::Input::Dispatched {
-                key,
-                dispatch: sending,
-                deduplication_scope: place,
-            },
-            ReplicationRequest::AttemptEnded {
-                key,
-                attempt: sending,
-                may_have_run,
-            } => replica::Input::DispatchEnded {
-                key,
-                dispatch: sending,
-                may_have_run,
-            },
-            ReplicationRequest::Answered { key, answer } => replica::Input::Answered {
-                key,
-                answer: encode_answer(&answer),
-            },
-            ReplicationRequest::AnswerDelivered { key } => replica::Input::Closed { key },
-            ReplicationRequest::Abandoned { key } => replica::Input::Dropped { key },
-        };
-        self.apply_replica(input);
+    pub fn request(&self, request: Ask) {
+        self.apply_replica(replica_input(request));
     }
 
     /// Hands an input to the shared records and carries out the outputs.
     pub fn apply_replica(&self, input: replica::Input) {
         let now = self.context.clock.now();
-        let mut out = Vec::new();
-        self.state.borrow_mut().replica.handle(now, input, &mut out);
-        self.apply_replica_outputs(out);
+        let mut outputs = Vec::new();
+        self.state
+            .borrow_mut()
+            .replica
+            .handle(now, input, &mut outputs);
+        self.apply_replica_outputs(outputs);
     }
 
-    /// Handles everything that has become due.
-    pub fn tick(&self) {
-        let now = self.context.clock.now();
-        let mut out = Vec::new();
+    fn handle_membership(&self, now: Micros, input: membership::Input) {
+        let mut outputs = Vec::new();
         self.state
             .borrow_mut()
             .membership
-            .handle(now, membership::Input::Tick, &mut out);
-        self.apply_membership(out);
+            .handle(now, input, &mut outputs);
+        self.apply_membership(outputs);
+    }
+
+    /// Handles everything that has become due.
+    pub fn tick(&self) {
+        self.handle_membership(self.context.clock.now(), membership::Input::Tick);
         self.apply_replica(replica::Input::Tick);
     }
 
     /// Returns when something is due: call [`Peers::tick`] then.
     pub async fn wait_until_due(&self) {
-        self.alarm.elapsed(&self.context.clock).await;
+        self.alarm.rings(&self.context.clock).await;
     }
 
     /// Processes an encoded envelope received from `address`; returns the envelope to reply with. One of
-    /// another version, group or receiver is counted, logged and refused.
-    pub fn receive(&self, address: Option<IpAddr>, bytes: &[u8]) -> Result<Envelope, RefusalCause> {
+    /// another version, group or receiver is counted, logged and rejected.
+    pub fn receive(
+        &self,
+        address: Option<IpAddr>,
+        bytes: &[u8],
+    ) -> Result<Envelope, RejectionCause> {
         let now = self.context.clock.now();
-        let envelope = self.decode(bytes).map_err(|refused| {
-            let refused = Refusal { address, ..refused };
-            self.record_refusal(now, refused);
-            refused.why
-        })?;
+        let (envelope, transit) = self.accept(now, address, bytes)?;
         let (from, process) = (envelope.from, envelope.process);
-        let transit = {
-            let mut state = self.state.borrow_mut();
-            state.counts.envelopes += 1;
-            state.unknown_members.accepted(from);
-            state.clocks[from as usize] = (envelope.clock, process.nonce);
-            state.replies = Some((from, Vec::new()));
-            match envelope.echo_of == self.nonce {
-                true => (now - envelope.echo).max(0),
-                false => UNKNOWN_TRANSIT,
-            }
-        };
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         self.state
             .borrow_mut()
             .membership
-            .record_contact(now, from, process, &mut out);
-        self.apply_membership(out);
+            .came_from(now, from, process, &mut outputs);
+        self.apply_membership(outputs);
         for message in envelope.messages {
-            let Ok(message) = postcard::from_bytes::<PeerMessage>(&message) else {
-                self.state.borrow_mut().counts.unreadable += 1;
-                continue;
-            };
-            match message {
-                PeerMessage::Membership(message) => {
-                    let mut out = Vec::new();
-                    let input = membership::Input::Received {
+            match postcard::from_bytes::<PeerMessage>(&message) {
+                Ok(PeerMessage::Membership(message)) => {
+                    let input = membership::Input::Heard {
                         from,
-                        incarnation: process,
+                        process,
                         message,
                     };
-                    self.state
-                        .borrow_mut()
-                        .membership
-                        .handle(now, input, &mut out);
-                    self.apply_membership(out);
-                }
-                PeerMessage::Replica(message) => {
-                    self.apply_replica(replica::Input::MessageReceived {
-                        from,
-                        nonce: process.nonce,
-                        transit,
-                        message,
-                    });
+                    self.handle_membership(now, input);
                 }
+                Ok(PeerMessage::Replica(message)) => self.apply_replica(replica::Input::Heard {
+                    from,
+                    nonce: process.nonce,
+                    transit,
+                    message,
+                }),
+                Err(_) => self.state.borrow_mut().envelopes.count_unreadable_message(),
             }
         }
-        let messages = self
-            .state
-            .borrow_mut()
-            .replies
-            .take()
-            .map(|r| r.1)
-            .unwrap_or_default();
+        let replies = self.state.borrow_mut().replies.take();
+        let messages = replies.map(|(_, messages)| messages).unwrap_or_default();
         Ok(self.envelope(from, messages))
     }
 
-    /// Decodes an envelope that is of this group and for this member.
-    fn decode(&self, bytes: &[u8]) -> Result<Envelope, Refusal> {
-        let unidentified = Refusal {
-            why: RefusalCause::Unreadable,
-            version: None,
-            from: None,
-            address: None,
-        };
-        // All versions have the version in front, whatever follows it.
-        let Ok((version, _)) = postcard::take_from_bytes::<u16>(bytes) else {
-            return Err(unidentified);
-        };
-        let read = postcard::from_bytes::<Envelope>(bytes).ok();
-        let of_group = read.as_ref().filter(|e| e.group == self.group_fingerprint);
-        let from =
-            of_group.filter(|e| e.from != self.own_index && (e.from as usize) < self.members);
-        let from = from.map(|e| (e.from, e.process.nonce));
-        let why = match &read {
-            _ if version != replica::VERSION => RefusalCause::Version,
-            None => RefusalCause::Unreadable,
-            Some(e) if e.group != self.group_fingerprint => RefusalCause::Group,
-            Some(e) if e.to != self.own_index || from.is_none() => RefusalCause::Member,
-            Some(_) => return read.ok_or(unidentified),
-        };
-        Err(Refusal {
-            why,
-            version: Some(version),
-            from,
-            address: None,
-        })
-    }
-
-    fn record_refusal(&self, now: Micros, refused: Refusal) {
+    /// Decodes an envelope, with the longest time that it can have been under way (microseconds); collects the
+    /// replies to it from now on.
+    fn accept(
+        &self,
+        now: Micros,
+        address: Option<IpAddr>,
+        bytes: &[u8],
+    ) -> Result<(Envelope, Micros), RejectionCause> {
         let mut state = self.state.borrow_mut();
-        state.counts.envelopes += 1;
-        *match refused.why {
-            RefusalCause::Version => &mut state.counts.other_version,
-            RefusalCause::Group => &mut state.counts.other_group,
-            RefusalCause::Member => &mut state.counts.other_member,
-            RefusalCause::Unreadable => &mut state.counts.unreadable,
-        } += 1;
-        if state.unknown_members.record(now, refused) {
-            let members = &state.membership.group().members;
-            let member = refused.from.map(|(m, _)| members[m as usize].name.as_str());
-            let (version, address) = (refused.version, refused.address.map(|a| a.to_string()));
-            tracing::warn!(
-                member,
-                version,
-                address,
-                "group: refused: {}",
-                refused.why.line()
-            );
-        }
+        let State {
+            membership,
+            envelopes,
+            replies,
+            ..
+        } = &mut *state;
+        let members = &membership.group().members;
+        let name_of = |member: MemberIndex| members[member as usize].name.as_str();
+        let accepted = envelopes.accept(now, address, bytes, name_of)?;
+        *replies = Some((accepted.0.from, Vec::new()));
+        Ok(accepted)
     }
 
     /// An envelope with these encoded messages for a member.
     pub fn envelope(&self, to: MemberIndex, messages: Vec<Bytes>) -> Envelope {
-        let state = self.state.borrow();
-        let (echo, echo_of) = state.clocks.get(to as usize).copied().unwrap_or_default();
-        Envelope {
-            version: replica::VERSION,
-            group: self.group_fingerprint,
-            from: self.own_index,
-            to,
-            process: state.membership.own_incarnation(),
-            clock: self.context.clock.now(),
-            echo,
-            echo_of,
-            messages,
-        }
+        let (now, state) = (self.context.clock.now(), self.state.borrow());
+        state
+            .envelopes
+            .envelope(now, to, state.membership.me(), messages)
     }
 
     fn apply_membership(&self, outputs: Vec<membership::Output>) {
@@ -392,7 +228,7 @@
         for output in outputs {
             match output {
                 membership::Output::Send { to, message } => {
-                    self.send(to, PeerMessage::Membership(message), false, false)
+                    self.send(to, PeerMessage::Membership(message), SendOptions::default())
                 }
                 membership::Output::Changed(member) => self.member_changed(now, member),
             }
@@ -403,23 +239,24 @@
     fn member_changed(&self, now: Micros, member: MemberIndex) {
         let (known, alive, name) = {
             let mut state = self.state.borrow_mut();
-            let known = state.membership.status(member);
+            let known = state.membership.known(member);
             // Other members knew a later process of this member than its store did. A member that was only
             // suspected for a while and refuted that has no older store, and must not be reported with one.
-            let outdated = state.membership.counts.outdated_store_signs > 0;
-            state.store_was_older |= member == self.own_index && state.was_restored && outdated;
+            let outdated = state.membership.counts.outdated > 0;
+            state.store_was_older |=
+                member == state.membership.group().me && state.was_restored && outdated;
             (
                 known,
-                state.membership.is_alive(member),
+                state.membership.lives(member),
                 state.membership.group().members[member as usize]
                     .name
                     .clone(),
             )
         };
-        tracing::info!(member = name, standing = ?known.state, why = ?known.reason, turn = known.incarnation.number, "group");
-        self.apply_replica(replica::Input::MemberChanged {
+        tracing::info!(member = name, standing = ?known.standing, why = ?known.why, turn = known.process.turn, "group: member state changed");
+        self.apply_replica(replica::Input::Member {
             member,
-            nonce: known.incarnation.nonce,
+            nonce: known.process.nonce,
             alive,
         });
         self.update_believed(now);
@@ -433,91 +270,91 @@
                 believed,
                 ..
             } = &mut *state;
-            let changed = believed.observe(now, |m| membership.is_alive(m));
+            let changed = believed.see(now, |m| membership.lives(m));
             if changed {
-                tracing::info!(alive = ?believed.alive_members(), version = believed.version(), "group: believed alive");
+                tracing::info!(alive = ?believed.alive(), version = believed.version(), "group: believed alive");
             }
             changed
         };
         if changed {
-            self.queue_event(PeerEvent::BelievedMembersChanged);
-            self.notify();
+            self.notifications
+                .push_event(PeerEvent::BelievedMembersChanged);
+            self.notifications.deliver(&self.context);
         }
     }
 
-    fn send(&self, to: MemberIndex, message: PeerMessage, bulk: bool, recoverable: bool) {
+    fn send(&self, to: MemberIndex, message: PeerMessage, options: SendOptions) {
         // Encoding these types cannot fail.
         let Ok(message) = postcard::to_stdvec(&message).map(Bytes::from) else {
             return;
         };
-        if let Some((asker, replies)) = self.state.borrow_mut().replies.as_mut()
-            && *asker == to
+        if let Some((sender, replies)) = self.state.borrow_mut().replies.as_mut()
+            && *sender == to
         {
             return replies.push(message);
         }
-        self.transport.send(to, message, bulk, recoverable);
+        self.transport.send(to, message, options);
     }
 
     fn apply_replica_outputs(&self, outputs: Vec<replica::Output>) {
         for output in outputs {
             match output {
                 replica::Output::Send { to, message } => {
-                    let (bulk, recoverable) = (message.is_bulk(), message.is_made_up_for());
-                    self.send(to, PeerMessage::Replica(message), bulk, recoverable);
+                    let options = SendOptions {
+                        bulk: message.is_bulk(),
+                        recoverable: message.is_made_up_for(),
+                    };
+                    self.send(to, PeerMessage::Replica(message), options);
                 }
-                replica::Output::Decision {
-                    key,
-                    decision: verdict,
-                } => {
-                    let verdict = self.convert_verdict(verdict);
+                replica::Output::Verdict { key, verdict } => {
+                    let verdict = ownership_verdict(verdict, || {
+                        self.state.borrow_mut().envelopes.count_unreadable_answer();
+                    });
                     self.notifications
-                        .borrow_mut()
-                        .push_back(Notification::Core(ReplicationEvent::Decision {
-                            key,
-                            decision: verdict,
-                        }));
+                        .push_for_core(Told::Verdict { key, verdict });
                 }
-                replica::Output::DispatchPermission {
-                    dispatch: sending,
-                    permission: left,
-                    ..
-                } => {
-                    let left = left.map_err(|lack| match lack {
-                        replica::NoMajorityReason::OwnedElsewhere => {
-                            replication::PermissionRefusal::Elsewhere
-                        }
-                        _ => replication::PermissionRefusal::NoMajority,
-                    });
+                replica::Output::Leave { sending, left, .. } => {
+                    let left = dispatch_permission(left);
                     self.notifications
-                        .borrow_mut()
-                        .push_back(Notification::Core(ReplicationEvent::Permission {
-                            attempt: sending,
-                            result: left,
-                        }));
+                        .push_for_core(Told::Leave { sending, left });
                 }
-                replica::Output::Recovered => {
+                replica::Output::Whole => {
                     tracing::info!("group: this router remembers enough to vote")
                 }
-                replica::Output::ProposalEnded { key, outcome } => {
-                    self.queue_event(PeerEvent::Decided(key, outcome))
+                replica::Output::Decided { key, outcome } => {
+                    let event = PeerEvent::Decided(key, outcome);
+                    self.notifications.push_event(event);
+                }
+                replica::Output::Noticed(key) => {
+                    self.notifications.push_event(PeerEvent::Updated(key));
                 }
-                replica::Output::RecordChanged(key) => self.queue_event(PeerEvent::Updated(key)),
             }
         }
+        self.schedule();
+        self.notifications.deliver(&self.context);
+    }
+
+    /// Sets the alarm, and requests a write of the store if a vote waits for it.
+    fn schedule(&self) {
         let (due, urgent) = {
             let state = self.state.borrow();
             let members = state.membership.next_due().min(state.believed.next_due());
             (
                 members.min(state.replica.next_due()),
-                state.replica.awaits_batch(),
+                state.replica.awaits_folder(),
             )
         };
-        self.alarm.set_deadline(due);
+        self.alarm.set(due);
         if urgent {
             // A full channel already carries the signal.
             let _ = self.write_request.0.try_send(());
         }
-        self.notify();
+    }
+
+    /// From now on `listener` receives events of keys with this prefix, and every change of the believed
+    /// members.
+    pub fn subscribe(&self, prefix: &'static str, listener: EventListener) {
+        self.notifications.subscribe(prefix, listener);
     }
 
     /// Adds a section of this name to the state endpoint.
@@ -534,46 +371,20 @@
             .collect()
     }
 
-    fn convert_verdict(
-        &self,
-        verdict: replica::OwnershipDecision,
-    ) -> replication::ReplicationDecision {
-        match verdict {
-            replica::OwnershipDecision::Dispatch {
-                first_dispatch_ago: first_ago,
-            } => replication::ReplicationDecision::RunHere {
-                first_attempt_ago: first_ago,
-            },
-            replica::OwnershipDecision::Wait => replication::ReplicationDecision::AwaitPeer,
-            replica::OwnershipDecision::Answer(bytes) => match decode_answer(&bytes) {
-                Some(answer) => replication::ReplicationDecision::Answer(answer),
-                None => {
-                    self.state.borrow_mut().counts.unreadable_answers += 1;
-                    replication::ReplicationDecision::MayHaveRun
-                }
-            },
-            replica::OwnershipDecision::Indeterminate(because) => {
-                tracing::debug!(?because, "group: may have run");
-                replication::ReplicationDecision::MayHaveRun
-            }
-            replica::OwnershipDecision::NoMajority(lack) => {
-                tracing::warn!(?lack, "group: no majority");
-                replication::ReplicationDecision::NoMajority
-            }
-        }
-    }
-
-    /// Changes since the last call, for the store: the incarnation of this process, the serial of the
-    /// changes, and the records (absent ones were removed).
-    pub fn changes(&self) -> (u64, u64, Vec<(replica::Key, Option<replica::RecordCopy>)>) {
+    /// Changes since the last call.
+    pub fn changes(&self) -> StoreChanges {
         let mut state = self.state.borrow_mut();
-        let (serial, changes) = state.replica.changes(self.context.clock.now());
-        (state.membership.own_incarnation().number, serial, changes)
+        let (serial, records) = state.replica.changes(self.context.clock.now());
+        StoreChanges {
+            incarnation: state.membership.me().turn,
+            serial,
+            records,
+        }
     }
 
     /// A vote waits for changes that have not been fetched with [`Peers::changes`].
     pub fn awaits_store(&self) -> bool {
-        self.state.borrow().replica.awaits_batch()
+        self.state.borrow().replica.awaits_folder()
     }
 
     /// Returns when a vote waits for the store, once for each signal since the last call.
@@ -582,37 +393,23 @@
         let _ = self.write_request.1.recv().await;
     }
 
-    /// Refused envelopes in the name of this member or, without one, of all senders that cannot be
+    /// Rejected envelopes in the name of this member or, without one, of all senders that cannot be
     /// identified. JSON null if there are none.
-    pub fn refusals(&self, member: Option<MemberIndex>) -> serde_json::Value {
-        self.state
-            .borrow()
-            .unknown_members
-            .state(self.context.clock.now(), member)
+    pub fn rejections(&self, member: Option<MemberIndex>) -> serde_json::Value {
+        let now = self.context.clock.now();
+        self.state.borrow().envelopes.rejections(now, member)
     }
 
-    /// Gives access to the state for reading: time, membership, believed members, records, counts, and
-    /// whether the store was older than what others knew.
-    pub fn inspect<R>(
-        &self,
-        inspect: impl FnOnce(Micros, &Membership, &StableView, &Replica, &Counts, bool) -> R,
-    ) -> R {
+    /// Gives access to the state for reading.
+    pub fn inspect<R>(&self, inspect: impl FnOnce(PeerStateView) -> R) -> R {
         let state = self.state.borrow();
-        let State {
-            membership,
-            believed,
-            replica,
-            counts,
-            store_was_older,
-            ..
-        } = &*state;
-        inspect(
-            self.context.clock.now(),
-            membership,
-            believed,
-            replica,
-            counts,
-            *store_was_older,
-        )
+        inspect(PeerStateView {
+            now: self.context.clock.now(),
+            membership: &state.membership,
+            believed: &state.believed,
+            replica: &state.replica,
+            counts: state.envelopes.counts(),
+            store_was_older: state.store_was_older,
+        })
     }
 }
--- a/crates/gateway/src/state_endpoint.rs
+++ b/crates/gateway/src/state_endpoint.rs
@@ -3,42 +3,42 @@
 
 use std::collections::BTreeMap;
 
-use cedarpulley_membership::{MemberIndex, MemberState};
-use cedarpulley_replica::{IntentState as SentState, Record};
+use cedarpulley_membership::{Member, MemberIndex, Standing};
+use cedarpulley_replica::{Record, Replica, Sent as SentState};
 use metrics_exporter_prometheus::PrometheusBuilder;
 use serde::Serialize;
 use serde_json::{Map, Value, json};
 
-use crate::peer_transport::TransportCounts;
-use crate::peers::Peers;
+use crate::peers::{PeerStateView, Peers};
+use crate::send_queue::TransportCounts;
 
-fn liveness_name(standing: MemberState) -> &'static str {
+fn liveness_name(standing: Standing) -> &'static str {
     match standing {
-        MemberState::Unknown => "unknown",
-        MemberState::Alive => "alive",
-        MemberState::Suspected => "suspected",
-        MemberState::Dead => "dead",
+        Standing::Unknown => "unknown",
+        Standing::Alive => "alive",
+        Standing::Suspected => "suspected",
+        Standing::Dead => "dead",
     }
 }
 
 /// The name of the stage that a record has reached.
 fn record_stage(record: &Record) -> &'static str {
     match record {
-        Record::Invocation(e) if e.closed => "closed",
-        Record::Invocation(e) if e.has_conflict => "fault",
-        Record::Invocation(e) if e.answer.is_some() => "answered",
-        Record::Invocation(e)
-            if e.intents
+        Record::Effect(e) if e.closed => "closed",
+        Record::Effect(e) if e.fault => "fault",
+        Record::Effect(e) if e.answer.is_some() => "answered",
+        Record::Effect(e)
+            if e.sendings
                 .values()
-                .any(|s| s.state == SentState::Indeterminate) =>
+                .any(|s| s.state == SentState::MayHaveRun) =>
         {
             "may-have-run"
         }
-        Record::Invocation(e) if e.intents.values().any(|s| s.state == SentState::Intended) => {
+        Record::Effect(e) if e.sendings.values().any(|s| s.state == SentState::Intended) => {
             "intended"
         }
-        Record::Invocation(e) if e.taken => "taken",
-        Record::Invocation(_) => "fenced",
+        Record::Effect(e) if e.taken => "taken",
+        Record::Effect(_) => "fenced",
         Record::Choice(_) => "choice",
         Record::Note(_) => "note",
     }
@@ -79,49 +79,73 @@
     state
 }
 
+/// Records by stage; and by owner and stage, those that a member that fails now would leave to the others.
+#[derive(Default)]
+struct RecordCounts<'a> {
+    by_stage: BTreeMap<&'a str, u64>,
+    open: BTreeMap<&'a str, BTreeMap<&'a str, u64>>,
+}
+
+fn count_records<'a>(members: &'a [Member], replica: &Replica) -> RecordCounts<'a> {
+    let mut counts = RecordCounts::default();
+    for (_, slot) in replica.records() {
+        let stage = record_stage(&slot.record);
+        *counts.by_stage.entry(stage).or_default() += 1;
+        if let (Record::Effect(effect), "taken" | "intended") = (&slot.record, stage) {
+            let owner = members.get(effect.owner.ballot.member as usize);
+            let owner = owner.map_or("", |member| member.name.as_str());
+            *counts
+                .open
+                .entry(owner)
+                .or_default()
+                .entry(stage)
+                .or_default() += 1;
+        }
+    }
+    counts
+}
+
 fn group_state(peers: &Peers, transport: TransportCounts) -> Value {
-    peers.inspect(|now, membership, believed, replica, counts, store_was_older| {
+    peers.inspect(|view| {
+        let PeerStateView {
+            now,
+            membership,
+            believed,
+            replica,
+            counts,
+            store_was_older,
+        } = view;
         let group = membership.group();
         let member = |m: MemberIndex| {
-            let (known, settings) = (membership.status(m), &group.members[m as usize]);
+            let (known, settings) = (membership.known(m), &group.members[m as usize]);
             json!({
                 "name": settings.name, "region": settings.region, "weight": settings.weight, "witness": settings.witness,
-                "standing": liveness_name(known.state), "why": known.reason, "for_us": now - known.since,
-                "turn": known.incarnation.number, "process": format!("{:016x}", known.incarnation.nonce),
-                "heard_us_ago": known.last_received.map(|at| now - at), "believed_alive": believed.is_alive(m),
-                "refused": peers.refusals(Some(m)),
+                "standing": liveness_name(known.standing), "why": known.why, "for_us": now - known.since,
+                "turn": known.process.turn, "process": format!("{:016x}", known.process.nonce),
+                "heard_us_ago": known.heard.map(|at| now - at), "believed_alive": believed.is_alive(m),
+                "refused": peers.rejections(Some(m)),
             })
         };
-        let mut records: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut open: BTreeMap<&str, BTreeMap<&str, u64>> = BTreeMap::new();
-        for (_, slot) in replica.records() {
-            let stage = record_stage(&slot.record);
-            *records.entry(stage).or_default() += 1;
-            if let (Record::Invocation(e), "taken" | "intended") = (&slot.record, stage) {
-                let owner = group.members.get(e.owner.ballot.member as usize).map_or("", |m| m.name.as_str());
-                *open.entry(owner).or_default().entry(stage).or_default() += 1;
-            }
-        }
+        let RecordCounts { by_stage, open } = count_records(&group.members, replica);
         let mut claims: BTreeMap<&str, u64> = BTreeMap::new();
-        for (_, claim) in replica.claims() {
-            *claims.entry(claim.stage_name()).or_default() += 1;
+        for (_, claim) in replica.claimed() {
+            *claims.entry(claim.word()).or_default() += 1;
         }
         json!({
             "group": group.name,
-            "member": group.members[group.own_index as usize].name,
-            "memory": replica.recovery_state(),
+            "member": group.members[group.me as usize].name,
+            "memory": replica.memory(),
             "folder_was_older": store_was_older,
             "view": {"version": membership.version(), "believed": believed.version()},
             "members": (0..group.len() as MemberIndex).map(member).collect::<Vec<_>>(),
-            "strangers": peers.refusals(None),
-            "majority_alive": group.is_majority((0..group.len() as MemberIndex).filter(|m| membership.is_alive(*m))),
-            "records": records,
-            // By owner: what a member that fails now would leave to the others.
+            "strangers": peers.rejections(None),
+            "majority_alive": group.is_majority((0..group.len() as MemberIndex).filter(|m| membership.lives(*m))),
+            "records": by_stage,
             "open": open,
             "claims": claims,
-            "lacking_leaves": replica.differing_leaves(),
-            "conflicts": replica.conflicts(),
-            "counts": merged_counts(&[&replica.counts, &membership.counts, counts, &transport]),
+            "lacking_leaves": replica.lacking(),
+            "conflicts": replica.faults(),
+            "counts": merged_counts(&[&replica.counts, &membership.counts, &counts, &transport]),
         })
     })
 }
--- a/crates/gateway/src/tls.rs
+++ b/crates/gateway/src/tls.rs
@@ -16,10 +16,9 @@
 use async_io::Timer;
 use cedarpulley::interface::Micros;
 use cedarpulley_certificates::{
-    self as certificates, CertificateFile, CertificateReloader, FileRole, MAX_FILE_BYTES,
-    RejectedFile, ReloadStep, ServedCertificate,
+    self as certificates, Keeper, MOST_FILE, Read, Refused, Served, Step, Which,
 };
-use cedarpulley_net::{Clock, Stream, duration_from_micros};
+use cedarpulley_net::{Clock, Stream, micros};
 use futures_lite::{AsyncRead, AsyncWrite, FutureExt};
 use futures_rustls::rustls::pki_types::ServerName;
 use futures_rustls::rustls::server::WebPkiClientVerifier;
@@ -36,69 +35,66 @@
 /// The certificate files of one listener.
 #[derive(Clone, Debug)]
 pub struct TlsFiles {
+    /// The certificate chain, in PEM.
     pub certificate: PathBuf,
+    /// The private key, in PEM.
     pub key: PathBuf,
     /// Certificate authorities for clients; if given, a client has to present a certificate.
     pub clients: Option<PathBuf>,
+    /// The protocol that is negotiated (ALPN).
     pub alpn: &'static [u8],
 }
 
 /// Client configuration for the connection to a broker.
 #[derive(Clone, Debug)]
 pub struct ClientTls {
+    /// Trusted authorities, and our own certificate.
     pub config: Arc<ClientConfig>,
+    /// The name that the broker's certificate has to be for.
     pub name: ServerName<'static>,
 }
 
 /// Reads a certificate or key with its file mode; fails if it is too large.
-pub fn read_file(path: &Path) -> io::Result<CertificateFile> {
+pub fn read_file(path: &Path) -> io::Result<Read> {
     let file = File::open(path)?;
     let metadata = file.metadata()?;
-    if metadata.len() > MAX_FILE_BYTES {
+    if metadata.len() > MOST_FILE {
         return Err(io::Error::other("is too large for a certificate"));
     }
     let mut bytes = Vec::new();
-    file.take(MAX_FILE_BYTES).read_to_end(&mut bytes)?;
-    Ok(CertificateFile {
+    file.take(MOST_FILE).read_to_end(&mut bytes)?;
+    Ok(Read {
         bytes,
         mode: metadata.permissions().mode(),
     })
 }
 
-fn unreadable(which: FileRole, e: &io::Error) -> RejectedFile {
-    RejectedFile {
-        role: which,
-        cause: e.to_string(),
+fn refused(which: Which, cause: impl std::fmt::Display) -> Refused {
+    Refused {
+        which,
+        cause: cause.to_string(),
     }
 }
 
-fn authorities(bytes: &[u8]) -> Result<RootCertStore, RejectedFile> {
+fn authorities(bytes: &[u8]) -> Result<RootCertStore, Refused> {
     let mut roots = RootCertStore::empty();
-    for one in certificates::parse_chain(FileRole::Clients, bytes)? {
-        let cause = |_| RejectedFile {
-            role: FileRole::Clients,
-            cause: "is no authority's certificate".into(),
-        };
-        roots.add(one).map_err(cause)?;
+    for authority in certificates::chain(Which::Clients, bytes)? {
+        roots
+            .add(authority)
+            .map_err(|_| refused(Which::Clients, "is no authority's certificate"))?;
     }
     Ok(roots)
 }
 
 fn server_config(
-    served: ServedCertificate,
+    served: Served,
     clients: Option<&[u8]>,
     alpn: &[u8],
-) -> Result<Arc<ServerConfig>, RejectedFile> {
-    let wrong = |which| {
-        move |e: &dyn std::fmt::Display| RejectedFile {
-            role: which,
-            cause: e.to_string(),
-        }
-    };
+) -> Result<Arc<ServerConfig>, Refused> {
     let provider = Arc::new(ring::default_provider());
     let builder = ServerConfig::builder_with_provider(provider.clone())
         .with_safe_default_protocol_versions()
-        .map_err(|e| wrong(FileRole::Certificate)(&e))?;
+        .map_err(|error| refused(Which::Certificate, error))?;
     let builder = match clients {
         None => builder.with_no_client_auth(),
         Some(bytes) => {
@@ -107,12 +103,14 @@
                 provider,
             )
             .build();
-            builder.with_client_cert_verifier(verifier.map_err(|e| wrong(FileRole::Clients)(&e))?)
+            builder.with_client_cert_verifier(
+                verifier.map_err(|error| refused(Which::Clients, error))?,
+            )
         }
     };
     let mut config = builder
         .with_single_cert(served.chain, served.key)
-        .map_err(|e| wrong(FileRole::Key)(&e))?;
+        .map_err(|error| refused(Which::Key, error))?;
     config.alpn_protocols = vec![alpn.to_vec()];
     Ok(Arc::new(config))
 }
@@ -120,7 +118,7 @@
 /// Server configuration of one listener.
 pub struct ServerTls {
     files: TlsFiles,
-    keeper: RefCell<CertificateReloader>,
+    keeper: RefCell<Keeper>,
     clients: RefCell<Option<Vec<u8>>>,
     acceptor: RefCell<TlsAcceptor>,
 }
@@ -133,24 +131,24 @@
 
 impl ServerTls {
     /// Reads and validates the files at `wall`, in microseconds since 1970.
-    pub fn open(files: TlsFiles, wall: Micros) -> Result<Rc<ServerTls>, RejectedFile> {
+    pub fn open(files: TlsFiles, wall: Micros) -> Result<Rc<ServerTls>, Refused> {
         let certificate =
-            read_file(&files.certificate).map_err(|e| unreadable(FileRole::Certificate, &e))?;
-        let key = read_file(&files.key).map_err(|e| unreadable(FileRole::Key, &e))?;
+            read_file(&files.certificate).map_err(|error| refused(Which::Certificate, error))?;
+        let key = read_file(&files.key).map_err(|error| refused(Which::Key, error))?;
         let clients = match &files.clients {
             Some(path) => Some(
                 read_file(path)
-                    .map_err(|e| unreadable(FileRole::Clients, &e))?
+                    .map_err(|error| refused(Which::Clients, error))?
                     .bytes,
             ),
             None => None,
         };
-        let served = certificates::validate(&certificate, &key, wall)?;
-        let ends = served.expires_at;
+        let served = certificates::judge(&certificate, &key, wall)?;
+        let ends = served.ends;
         let config = server_config(served, clients.as_deref(), files.alpn)?;
         Ok(Rc::new(ServerTls {
             files,
-            keeper: RefCell::new(CertificateReloader::new(certificate, key, ends)),
+            keeper: RefCell::new(Keeper::new(certificate, key, ends)),
             clients: RefCell::new(clients),
             acceptor: RefCell::new(config.into()),
         }))
@@ -165,7 +163,7 @@
     pub async fn accept(&self, stream: Stream) -> io::Result<server::TlsStream<Stream>> {
         let acceptor = self.acceptor.borrow().clone();
         let timeout = async {
-            Timer::after(duration_from_micros(HANDSHAKE_TIMEOUT)).await;
+            Timer::after(micros(HANDSHAKE_TIMEOUT)).await;
             Err(io::ErrorKind::TimedOut.into())
         };
         acceptor.accept(stream).or(timeout).await
@@ -177,46 +175,48 @@
         let mut last_warned = Micros::MIN;
         loop {
             Timer::after(POLL_INTERVAL).await;
-            let wall = clock.wall_time();
-            // A disk that hangs must not block the router's one thread.
-            let TlsFiles {
-                certificate, key, ..
-            } = self.files.clone();
-            let pair = smol::unblock(move || {
-                Ok::<_, io::Error>((read_file(&certificate)?, read_file(&key)?))
-            })
-            .await;
-            let step = self.keeper.borrow_mut().on_files_read(wall, pair.ok());
+            let wall = clock.wall();
+            let pair = self.read_pair().await;
+            let step = self.keeper.borrow_mut().offered(wall, pair.ok());
             match step {
-                ReloadStep::Keep | ReloadStep::ReadAgain => {}
-                ReloadStep::Reject(why) => {
-                    tracing::error!(front, file = ?why.role, cause = why.cause, "not replaced; the old one goes on");
-                }
-                ReloadStep::Replace(served) => {
-                    match server_config(served, self.clients.borrow().as_deref(), self.files.alpn) {
-                        Ok(config) => {
-                            *self.acceptor.borrow_mut() = config.into();
-                            tracing::info!(front, "the certificate was replaced");
-                        }
-                        Err(why) => {
-                            tracing::error!(front, file = ?why.role, cause = why.cause, "not replaced");
-                        }
-                    }
-                }
+                Step::Keep | Step::LookAgain => {}
+                Step::Refuse(refused) => log_refused(&front, &refused),
+                Step::Replace(served) => match self.replace(served) {
+                    Ok(()) => tracing::info!(front, "the certificate was replaced"),
+                    Err(refused) => log_refused(&front, &refused),
+                },
             }
-            let left = self.keeper.borrow().time_left_if_expiring(wall);
-            if let Some(left) =
-                left.filter(|_| clock.now().saturating_sub(last_warned) > EXPIRY_WARNING_INTERVAL)
-            {
+            let expires_in = self.keeper.borrow().ends_soon(wall);
+            let is_due = clock.now().saturating_sub(last_warned) > EXPIRY_WARNING_INTERVAL;
+            if let Some(expires_in) = expires_in.filter(|_| is_due) {
                 last_warned = clock.now();
                 tracing::warn!(
                     front,
-                    hours = left / 3_600_000_000,
-                    "the certificate ends soon"
+                    hours = expires_in / 3_600_000_000,
+                    "the certificate expires soon"
                 );
             }
         }
     }
+
+    /// Reads certificate and key on another thread: a disk that hangs must not block the router's one thread.
+    async fn read_pair(&self) -> io::Result<(Read, Read)> {
+        let TlsFiles {
+            certificate, key, ..
+        } = self.files.clone();
+        smol::unblock(move || Ok((read_file(&certificate)?, read_file(&key)?))).await
+    }
+
+    /// Uses another certificate from now on.
+    fn replace(&self, served: Served) -> Result<(), Refused> {
+        let config = server_config(served, self.clients.borrow().as_deref(), self.files.alpn)?;
+        *self.acceptor.borrow_mut() = config.into();
+        Ok(())
+    }
+}
+
+fn log_refused(front: &str, refused: &Refused) {
+    tracing::error!(front, file = ?refused.which, cause = refused.cause, "the certificate was not replaced; the previous one stays in use");
 }
 
 /// For a broker: the trusted authorities, and our own certificate and key if the broker requires one.
@@ -225,43 +225,37 @@
     own: Option<(&Path, &Path)>,
     name: &str,
     wall: Micros,
-) -> Result<ClientTls, RejectedFile> {
-    let clients = read_file(roots).map_err(|e| unreadable(FileRole::Clients, &e))?;
+) -> Result<ClientTls, Refused> {
+    let clients = read_file(roots).map_err(|error| refused(Which::Clients, error))?;
     let builder = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
         .with_safe_default_protocol_versions()
-        .map_err(|e| RejectedFile {
-            role: FileRole::Clients,
-            cause: e.to_string(),
-        })?
+        .map_err(|error| refused(Which::Clients, error))?
         .with_root_certificates(authorities(&clients.bytes)?);
     let config = match own {
         None => builder.with_no_client_auth(),
         Some((certificate, key)) => {
             let certificate =
-                read_file(certificate).map_err(|e| unreadable(FileRole::Certificate, &e))?;
-            let key = read_file(key).map_err(|e| unreadable(FileRole::Key, &e))?;
-            let served = certificates::validate(&certificate, &key, wall)?;
+                read_file(certificate).map_err(|error| refused(Which::Certificate, error))?;
+            let key = read_file(key).map_err(|error| refused(Which::Key, error))?;
+            let served = certificates::judge(&certificate, &key, wall)?;
             builder
                 .with_client_auth_cert(served.chain, served.key)
-                .map_err(|e| RejectedFile {
-                    role: FileRole::Key,
-                    cause: e.to_string(),
-                })?
+                .map_err(|error| refused(Which::Key, error))?
         }
     };
-    let cause = |_| RejectedFile {
-        role: FileRole::Clients,
-        cause: format!("'{name}' is no server's name"),
-    };
+    let name = ServerName::try_from(name.to_owned())
+        .map_err(|_| refused(Which::Clients, format!("'{name}' is no server's name")))?;
     Ok(ClientTls {
         config: Arc::new(config),
-        name: ServerName::try_from(name.to_owned()).map_err(cause)?,
+        name,
     })
 }
 
 /// A connection to a broker, with or without TLS.
 pub enum BrokerStream {
+    /// Without TLS.
     Plain(Stream),
+    /// With TLS.
     Tls(Box<client::TlsStream<Stream>>),
 }
 
@@ -273,7 +267,7 @@
         };
         let connector = TlsConnector::from(tls.config.clone());
         let timeout = async {
-            Timer::after(duration_from_micros(HANDSHAKE_TIMEOUT)).await;
+            Timer::after(micros(HANDSHAKE_TIMEOUT)).await;
             Err(io::ErrorKind::TimedOut.into())
         };
         let stream = connector
@@ -284,11 +278,12 @@
     }
 }
 
-macro_rules! either {
-    ($it:expr, $of:pat => $do:expr) => {
-        match $it.get_mut() {
-            BrokerStream::Plain($of) => $do,
-            BrokerStream::Tls($of) => $do,
+/// Applies an expression to the stream in either variant.
+macro_rules! with_stream {
+    ($broker:expr, $stream:pat => $call:expr) => {
+        match $broker.get_mut() {
+            BrokerStream::Plain($stream) => $call,
+            BrokerStream::Tls($stream) => $call,
         }
     };
 }
@@ -299,20 +294,20 @@
         cx: &mut Context,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        either!(self, s => Pin::new(s).poll_read(cx, buf))
+        with_stream!(self, stream => Pin::new(stream).poll_read(cx, buf))
     }
 }
 
 impl AsyncWrite for BrokerStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        either!(self, s => Pin::new(s).poll_write(cx, buf))
+        with_stream!(self, stream => Pin::new(stream).poll_write(cx, buf))
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        either!(self, s => Pin::new(s).poll_flush(cx))
+        with_stream!(self, stream => Pin::new(stream).poll_flush(cx))
     }
 
     fn poll_close(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        either!(self, s => Pin::new(s).poll_close(cx))
+        with_stream!(self, stream => Pin::new(stream).poll_close(cx))
     }
 }
--- a/crates/gateway/src/trace_recorder.rs
+++ b/crates/gateway/src/trace_recorder.rs
@@ -12,13 +12,15 @@
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::{Action, Event, InvocationIndex, Micros};
 use cedarpulley_router::FrontIndex;
-use cedarpulley_router::admission_control::RejectionReason;
-use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, WorkerUsage};
-use cedarpulley_trace::blocks::{BlockBuilder, visit_named_indices};
-use cedarpulley_trace::records::{NameKind, Record};
-use cedarpulley_trace::retention::RetentionLimits;
-use cedarpulley_trace::start::StartRecord;
-use cedarpulley_trace::writer::{FileSeries, NameLock, WriterMessage, run_writer};
+use cedarpulley_router::entry::Short;
+use cedarpulley_router::watch::{Given, Names, Used, Watch};
+use cedarpulley_trace::blocks::{Gather, event_uses};
+use cedarpulley_trace::keeping::Bounds;
+use cedarpulley_trace::records::{Record, Space};
+use cedarpulley_trace::start::Start;
+use cedarpulley_trace::writer::{Note, Own, Row, run};
+
+use crate::file_names::file_name_of;
 
 /// Blocks of some 128 KB that may wait for the writer.
 const MAX_QUEUED_BLOCKS: usize = 32;
@@ -31,15 +33,18 @@
 /// Where to write the trace, and how much of it to keep.
 #[derive(Clone, Debug)]
 pub struct TraceSettings {
+    /// Folder of the trace files.
     pub folder: PathBuf,
-    pub bounds: RetentionLimits,
+    /// Limits on what is retained.
+    pub bounds: Bounds,
 }
 
-struct Inner {
-    block: BlockBuilder,
-    notes: SyncSender<WriterMessage>,
+struct RecorderState {
+    block: Gather,
+    notes: SyncSender<Note>,
     writer: Option<JoinHandle<()>>,
-    _own: NameLock,
+    /// Reserves the name that this process writes under.
+    _own: Own,
     /// Lost since the last block handed over: number of records, first and last time.
     lost: Option<(u64, Micros, Micros)>,
     /// Lost in all.
@@ -47,24 +52,20 @@
     now: Micros,
 }
 
-/// Cheap to clone: one is registered with the core, one is kept for closing.
+/// The trace of one router. Cheap to clone: one is registered with the core, one is kept for closing.
 #[derive(Clone)]
-pub struct TraceRecorder(Rc<RefCell<Inner>>);
+pub struct TraceRecorder(Rc<RefCell<RecorderState>>);
 
 impl TraceRecorder {
     /// Starts the writer's thread. Fails if the folder cannot be created or the thread cannot start.
     pub fn begin(
         settings: TraceSettings,
         name: &str,
-        start: StartRecord,
+        start: Start,
     ) -> std::io::Result<TraceRecorder> {
         std::fs::create_dir_all(&settings.folder)?;
-        let name: String = name
-            .chars()
-            .map(|c| if c.is_ascii_alphanumeric() { c } else { '_' })
-            .take(64)
-            .collect();
-        let own = NameLock::acquire(&settings.folder, &name)?;
+        let name = file_name_of(name);
+        let own = Own::take(&settings.folder, &name)?;
         if own.name != name {
             tracing::warn!(
                 name,
@@ -72,18 +73,18 @@
                 "another router of this name writes its trace here"
             );
         }
-        let row = FileSeries {
+        let row = Row {
             folder: settings.folder,
             name: own.name.clone(),
-            started_at_ms: (start.wall_at_zero / 1000) as u64,
+            run: (start.wall_at_zero / 1000) as u64,
         };
         let (notes, received) = sync_channel(MAX_QUEUED_BLOCKS);
-        let log_failure = |why: &str| tracing::error!(why, "trace");
+        let log_failure = |why: &str| tracing::error!(why, "the trace cannot be written");
         let writer = std::thread::Builder::new()
             .name("trace".into())
-            .spawn(move || run_writer(row, start, settings.bounds, received, log_failure))?;
-        Ok(TraceRecorder(Rc::new(RefCell::new(Inner {
-            block: BlockBuilder::default(),
+            .spawn(move || run(row, start, settings.bounds, received, log_failure))?;
+        Ok(TraceRecorder(Rc::new(RefCell::new(RecorderState {
+            block: Gather::default(),
             notes,
             writer: Some(writer),
             _own: own,
@@ -101,27 +102,27 @@
     /// Writes what is left; false if the writer failed or was not done in time: a disk that hangs must not
     /// keep a router from ending.
     pub fn close(&self) -> bool {
-        let mut inner = self.0.borrow_mut();
-        let until = Instant::now() + CLOSE_TIMEOUT;
-        let mut pending = vec![WriterMessage::End];
-        if !inner.block.is_empty() {
-            pending.push(WriterMessage::Block(inner.now, inner.block.close()));
+        let mut state = self.0.borrow_mut();
+        let deadline = Instant::now() + CLOSE_TIMEOUT;
+        let mut pending = vec![Note::End];
+        if !state.block.is_empty() {
+            pending.push(Note::Block(state.now, state.block.close()));
         }
         while let Some(note) = pending.pop() {
-            match inner.notes.try_send(note) {
+            match state.notes.try_send(note) {
                 Ok(()) => {}
-                Err(TrySendError::Full(note)) if Instant::now() < until => {
+                Err(TrySendError::Full(note)) if Instant::now() < deadline => {
                     pending.push(note);
                     std::thread::sleep(CLOSE_POLL_INTERVAL);
                 }
                 Err(_) => return false,
             }
         }
-        let Some(writer) = inner.writer.take() else {
+        let Some(writer) = state.writer.take() else {
             return true;
         };
         while !writer.is_finished() {
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return false;
             }
             std::thread::sleep(CLOSE_POLL_INTERVAL);
@@ -135,15 +136,11 @@
     }
 }
 
-impl Inner {
+impl RecorderState {
     fn send_block(&mut self) {
         let raw = self.block.close();
         let (records, first, last) = (u64::from(raw.records), raw.first, raw.last);
-        if self
-            .notes
-            .try_send(WriterMessage::Block(self.now, raw))
-            .is_err()
-        {
+        if self.notes.try_send(Note::Block(self.now, raw)).is_err() {
             // The disk is slower than the router: the trace gets a gap, and the router goes on.
             let (before, from, _) = self.lost.unwrap_or((0, first, last));
             self.lost = Some((before + records, from, last));
@@ -176,23 +173,23 @@
     }
 }
 
-impl RouterObserver for TraceRecorder {
+impl Watch for TraceRecorder {
     fn decided(&mut self, now: Micros, event: &Event, actions: &[Action], names: Names) {
-        let mut inner = self.0.borrow_mut();
-        inner.prepare(now);
-        visit_named_indices(event, actions, &mut |space, ix| {
+        let mut state = self.0.borrow_mut();
+        state.prepare(now);
+        event_uses(event, actions, &mut |space, index| {
             let name = match space {
-                NameKind::Function => names.function(ix),
-                NameKind::Worker => names.worker(ix),
+                Space::Function => names.function(index),
+                Space::Worker => names.worker(index),
             };
             if let Some(name) = name {
-                inner.block.name(now, space, ix, name);
+                state.block.name(now, space, index, name);
             }
         });
-        inner.block.decided(now, event, actions);
+        state.block.decided(now, event, actions);
     }
 
-    fn accepted(
+    fn taken(
         &mut self,
         now: Micros,
         inv: InvocationIndex,
@@ -200,38 +197,38 @@
         mark: Option<&str>,
         redelivered: bool,
     ) {
-        let mut inner = self.0.borrow_mut();
-        inner.prepare(now);
+        let mut state = self.0.borrow_mut();
+        state.prepare(now);
         let mark = mark.map(fingerprint);
-        inner.block.record(
+        state.block.record(
             now,
-            &Record::Accepted {
-                invocation: inv,
+            &Record::Taken {
+                inv,
                 front,
-                correlation_hash: mark,
+                mark,
                 redelivered,
             },
         );
     }
 
-    fn answered(&mut self, now: Micros, g: AnswerGiven) {
-        let mut inner = self.0.borrow_mut();
-        inner.prepare(now);
-        let AnswerGiven {
-            invocation: inv,
+    fn answered(&mut self, now: Micros, given: Given) {
+        let mut state = self.0.borrow_mut();
+        state.prepare(now);
+        let Given {
+            inv,
             front,
-            outcome: fate,
+            fate,
             reason,
             trigger,
             account,
             took,
-        } = g;
-        inner.block.record(
+        } = given;
+        state.block.record(
             now,
             &Record::Answered {
-                invocation: inv,
+                inv,
                 front,
-                outcome: fate,
+                fate,
                 reason,
                 trigger,
                 account,
@@ -240,27 +237,27 @@
         );
     }
 
-    fn rejected(
+    fn turned_away(
         &mut self,
         now: Micros,
         front: FrontIndex,
         trigger: u32,
         account: u32,
-        why: RejectionReason,
+        why: Short,
     ) {
-        let mut inner = self.0.borrow_mut();
-        inner.prepare(now);
-        inner.block.record(
+        let mut state = self.0.borrow_mut();
+        state.prepare(now);
+        state.block.record(
             now,
-            &Record::Rejected {
+            &Record::TurnedAway {
                 front,
                 trigger,
                 account,
-                reason: why,
+                why,
             },
         );
     }
 
     /// Not part of the format: the module does not learn what a worker reports it held.
-    fn used(&mut self, _: Micros, _: WorkerUsage) {}
+    fn used(&mut self, _: Micros, _: Used) {}
 }
--- a/crates/gateway/src/worker_list.rs
+++ b/crates/gateway/src/worker_list.rs
@@ -8,12 +8,10 @@
 use async_io::Timer;
 use bytes::Bytes;
 use cedarpulley::interface::{EndpointState, Micros};
-use cedarpulley_net::{connect, duration_from_micros};
+use cedarpulley_net::{connect, micros};
 use cedarpulley_router::Input;
 use cedarpulley_router::backoff::Backoff;
-use cedarpulley_router::endpoint_list::{
-    EndpointList, EndpointSlice, ListAction, ListedWorker, SliceEntry, WatchEvent,
-};
+use cedarpulley_router::roster::{Entry, Listed, News, Roster, Slice, Step};
 use futures_lite::FutureExt;
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
@@ -39,44 +37,34 @@
 pub async fn watch(
     context: Rc<GatewayContext>,
     address: SocketAddr,
-    filter: impl Fn(WatchEvent) -> WatchEvent,
+    filter: impl Fn(News) -> News,
 ) {
-    let mut roster = EndpointList::default();
+    let mut endpoint_list = Roster::default();
     let mut backoff = Backoff::new(context.seed ^ 0x11_57);
-    let mut next = ListAction::RequestListing;
+    let mut next = Step::List;
     loop {
         let began = context.clock.now();
         let event = match &next {
-            ListAction::Watch(version) => {
-                follow_watch(&context, address, *version, &mut roster, &filter).await
+            Step::Watch(version) => {
+                follow_watch(&context, address, *version, &mut endpoint_list, &filter).await
             }
             _ => fetch_list(&context, address).await,
         };
-        let failed = matches!(event, WatchEvent::WatchEnded { .. });
-        next = apply(&context, &mut roster, filter(event)).unwrap_or(ListAction::RequestListing);
-        if failed || matches!(next, ListAction::RequestListing) {
+        let failed = matches!(event, News::Broken { .. });
+        next = apply(&context, &mut endpoint_list, filter(event)).unwrap_or(Step::List);
+        if failed || matches!(next, Step::List) {
             let now = context.clock.now();
-            Timer::at(context.clock.instant(now + backoff.next_delay(now - began))).await;
+            Timer::at(context.clock.instant(now + backoff.after(now - began))).await;
         }
     }
 }
 
 /// Reports an event to the core; returns the next step.
-fn apply(
-    context: &GatewayContext,
-    roster: &mut EndpointList,
-    event: WatchEvent,
-) -> Option<ListAction> {
+fn apply(context: &GatewayContext, endpoint_list: &mut Roster, event: News) -> Option<Step> {
     let mut next = None;
-    for step in roster.handle(context.clock.now(), event) {
+    for step in endpoint_list.news(context.clock.now(), event) {
         match step {
-            ListAction::UpdateRouter {
-                kind: mode,
-                workers,
-            } => context.feed(Input::EndpointList {
-                kind: mode,
-                workers,
-            }),
+            Step::Tell { mode, workers } => context.feed(Input::List { mode, workers }),
             step => next = Some(step),
         }
     }
@@ -106,15 +94,15 @@
     let request = Request::get(path)
         .header("host", address.to_string())
         .header("accept", "application/json");
-    let asked = sender.send_request(request.body(Empty::<Bytes>::new()).ok()?);
+    let response = sender.send_request(request.body(Empty::<Bytes>::new()).ok()?);
     let timeout = async {
-        Timer::after(duration_from_micros(LIST_TIMEOUT)).await;
+        Timer::after(micros(LIST_TIMEOUT)).await;
         None
     };
-    let answer = async { asked.await.ok() }.or(timeout).await?;
+    let response = async { response.await.ok() }.or(timeout).await?;
     Some(StreamingResponse {
-        status: answer.status().as_u16(),
-        body: answer.into_body(),
+        status: response.status().as_u16(),
+        body: response.into_body(),
         _driver,
     })
 }
@@ -124,12 +112,12 @@
     /// data.
     async fn read_more(&mut self, buffer: &mut Vec<u8>, limit: Micros) -> bool {
         let timeout = async {
-            Timer::after(duration_from_micros(limit)).await;
+            Timer::after(micros(limit)).await;
             None
         };
         match self.body.frame().or(timeout).await {
             Some(Ok(frame)) => {
-                buffer.extend_from_slice(frame.data_ref().map_or(&[], |d| d.as_ref()));
+                buffer.extend_from_slice(frame.data_ref().map_or(&[], |data| data.as_ref()));
                 true
             }
             _ => false,
@@ -137,11 +125,11 @@
     }
 }
 
-async fn fetch_list(context: &GatewayContext, address: SocketAddr) -> WatchEvent {
-    let broken = WatchEvent::WatchEnded { too_old: false };
+async fn fetch_list(context: &GatewayContext, address: SocketAddr) -> News {
+    let broken = News::Broken { too_old: false };
     let Some(mut response) = get(context, address, PATH)
         .await
-        .filter(|r| r.status == 200)
+        .filter(|response| response.status == 200)
     else {
         return broken;
     };
@@ -157,11 +145,11 @@
         .map(Vec::as_slice)
         .unwrap_or_default();
     match version {
-        Some(version) => WatchEvent::Listing {
+        Some(version) => News::Listing {
             version,
             slices: items
                 .iter()
-                .filter_map(|i| parse_slice(context, i))
+                .filter_map(|item| parse_slice(context, item))
                 .collect(),
         },
         None => broken,
@@ -172,10 +160,10 @@
     context: &GatewayContext,
     address: SocketAddr,
     from: u64,
-    roster: &mut EndpointList,
-    filter: &impl Fn(WatchEvent) -> WatchEvent,
-) -> WatchEvent {
-    let broken = |too_old| WatchEvent::WatchEnded { too_old };
+    endpoint_list: &mut Roster,
+    filter: &impl Fn(News) -> News,
+) -> News {
+    let broken = |too_old| News::Broken { too_old };
     let path = format!("{PATH}?watch=1&allowWatchBookmarks=true&resourceVersion={from}");
     let Some(mut response) = get(context, address, &path).await else {
         return broken(false);
@@ -192,20 +180,20 @@
             };
             let object = &value["object"];
             let event = match value["type"].as_str() {
-                Some("ADDED" | "MODIFIED") => parse_slice(context, object).map(WatchEvent::Changed),
+                Some("ADDED" | "MODIFIED") => parse_slice(context, object).map(News::Changed),
                 Some("DELETED") => object["metadata"]["name"]
                     .as_str()
                     .zip(resource_version(object))
-                    .map(|(name, version)| WatchEvent::Removed {
+                    .map(|(name, version)| News::Removed {
                         name: name.to_owned(),
                         version,
                     }),
-                Some("BOOKMARK") => resource_version(object).map(WatchEvent::Bookmark),
-                // A status object; 410: the requested version is no longer kept.
+                Some("BOOKMARK") => resource_version(object).map(News::Bookmark),
+                // A status object; 410: the requested version is no longer retained.
                 _ => return broken(object["code"].as_u64() == Some(410)),
             };
             if let Some(event) = event {
-                apply(context, roster, filter(event));
+                apply(context, endpoint_list, filter(event));
             }
         }
         if buffer.len() > MAX_LINE_BYTES {
@@ -220,63 +208,93 @@
 }
 
 /// Parses one slice; endpoints that are malformed are left out.
-fn parse_slice(context: &GatewayContext, object: &Value) -> Option<EndpointSlice> {
+fn parse_slice(context: &GatewayContext, object: &Value) -> Option<Slice> {
     let name = object["metadata"]["name"].as_str()?.to_owned();
     let version = resource_version(object)?;
     let port = object["ports"].as_array()?.first()?["port"].as_u64()?;
-    let annotation = |key: &str| object["metadata"]["annotations"][key].as_str();
-    let index = |names: &[String], name: Option<&str>| {
-        name.and_then(|n| names.iter().position(|k| k == n))
-            .unwrap_or(0) as u32
-    };
-    // The start by the wall clock, converted to the router's clock.
-    let started = annotation("cedarpulley/started-at-us").and_then(|t| t.parse::<Micros>().ok());
-    let started = started
-        .filter(|&s| s > 0)
-        .map(|s| context.clock.now() - (context.clock.wall_time() - s));
-    let mut entries = Vec::new();
-    for endpoint in object["endpoints"]
+    let annotations = SliceAnnotations::parse(context, &object["metadata"]["annotations"]);
+    let entries = object["endpoints"]
         .as_array()
         .map(Vec::as_slice)
         .unwrap_or_default()
-    {
-        let Some(ip) = endpoint["addresses"][0].as_str() else {
-            continue;
-        };
-        let Ok(address) = format!("{ip}:{port}").parse::<SocketAddr>() else {
-            continue;
-        };
-        if !address.ip().is_loopback() {
-            continue;
-        }
-        let conditions = &endpoint["conditions"];
-        // An absent condition means ready, by the format's specification.
-        let ready = conditions["ready"].as_bool().unwrap_or(true);
-        let draining = conditions["terminating"].as_bool().unwrap_or(false) || !ready;
-        let worker = ListedWorker {
-            address: address.to_string(),
-            zone: index(&context.names.zones, endpoint["zone"].as_str()),
-            machine_kind: index(&context.names.machine_kinds, annotation("cedarpulley/kind")),
-            cell: annotation("cedarpulley/cell")
-                .and_then(|c| c.parse().ok())
-                .unwrap_or(0),
-            state: if draining {
-                EndpointState::Draining
-            } else {
-                EndpointState::InService
-            },
-            weight: 1.0,
-            started_at: started,
-        };
-        let start_mark = endpoint["targetRef"]["uid"]
-            .as_str()
-            .unwrap_or_default()
-            .to_owned();
-        entries.push(SliceEntry { worker, start_mark });
-    }
-    Some(EndpointSlice {
+        .iter()
+        .filter_map(|endpoint| parse_endpoint(context, endpoint, port, &annotations))
+        .collect();
+    Some(Slice {
         name,
         version,
         entries,
     })
 }
+
+/// What a slice's annotations say of all its endpoints.
+struct SliceAnnotations {
+    kind: u32,
+    cell: u32,
+    /// When its workers started, by the router's clock.
+    started: Option<Micros>,
+}
+
+impl SliceAnnotations {
+    fn parse(context: &GatewayContext, annotations: &Value) -> SliceAnnotations {
+        // By the wall clock, converted to the router's clock.
+        let started = annotations["cedarpulley/started-at-us"]
+            .as_str()
+            .and_then(|text| text.parse::<Micros>().ok())
+            .filter(|&started| started > 0)
+            .map(|started| context.clock.now() - (context.clock.wall() - started));
+        SliceAnnotations {
+            kind: name_index(
+                &context.names.kinds,
+                annotations["cedarpulley/kind"].as_str(),
+            ),
+            cell: annotations["cedarpulley/cell"]
+                .as_str()
+                .and_then(|text| text.parse().ok())
+                .unwrap_or(0),
+            started,
+        }
+    }
+}
+
+/// The index of a configured name; 0 if it is unknown or absent.
+fn name_index(names: &[String], name: Option<&str>) -> u32 {
+    name.and_then(|name| names.iter().position(|known| known == name))
+        .unwrap_or(0) as u32
+}
+
+/// Absent if it has no loopback address.
+fn parse_endpoint(
+    context: &GatewayContext,
+    endpoint: &Value,
+    port: u64,
+    annotations: &SliceAnnotations,
+) -> Option<Entry> {
+    let ip = endpoint["addresses"][0].as_str()?;
+    let address = format!("{ip}:{port}").parse::<SocketAddr>().ok()?;
+    if !address.ip().is_loopback() {
+        return None;
+    }
+    let conditions = &endpoint["conditions"];
+    // An absent condition means ready, by the format's specification.
+    let ready = conditions["ready"].as_bool().unwrap_or(true);
+    let draining = conditions["terminating"].as_bool().unwrap_or(false) || !ready;
+    let worker = Listed {
+        address: address.to_string(),
+        zone: name_index(&context.names.zones, endpoint["zone"].as_str()),
+        kind: annotations.kind,
+        cell: annotations.cell,
+        standing: if draining {
+            EndpointState::Draining
+        } else {
+            EndpointState::InService
+        },
+        weight: 1.0,
+        started: annotations.started,
+    };
+    let start_mark = endpoint["targetRef"]["uid"]
+        .as_str()
+        .unwrap_or_default()
+        .to_owned();
+    Some(Entry { worker, start_mark })
+}
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -7,28 +7,28 @@
 use cedarpulley_gateway::admission::Admission;
 use cedarpulley_gateway::context::GatewayContext;
 use cedarpulley_net::Clock;
-use cedarpulley_router::observer::{UsageSource, WorkerUsage};
-use cedarpulley_router::{Delivery, IncomingInvocation, Input, Session};
+use cedarpulley_router::watch::{By, Used};
+use cedarpulley_router::{Delivery, Input, Session, Taken};
 use cedarpulley_startup::Names;
 use cedarpulley_upgrade::sessions::Terms;
 
 const WORKER: &str = "127.0.0.1:9000";
 
-fn turn(tag: u64) -> IncomingInvocation {
-    IncomingInvocation {
+fn turn(tag: u64) -> Taken {
+    Taken {
         delivery: Delivery {
             front: 0,
-            incarnation: 0,
+            life: 0,
             tag,
         },
         identity: None,
-        name: None,
+        mark: None,
         redelivered: false,
-        client_retry: false,
+        repeat: false,
         trigger: 0,
         account: 0,
         function: "f".into(),
-        idempotency_key: None,
+        token: None,
         waited: 0,
         client_timeout: 1_000_000,
         cost_hint: None,
@@ -37,12 +37,12 @@
         lanes: 1,
         session: Some(Session {
             id: "s".into(),
-            is_first: false,
-            is_last: false,
+            start: false,
+            end: false,
         }),
-        requested_function: None,
-        preferred_worker: None,
-        predetermined_answer: None,
+        named: None,
+        prefers: None,
+        refused: None,
         body: Default::default(),
     }
 }
@@ -50,7 +50,7 @@
 /// Guards against sessions leaving their warm worker: a function's homes move, and the module forgets all
 /// that it believed of it.
 #[test]
-fn a_copy_that_was_used_lately_is_told_again_before_each_turn() {
+fn recently_used_copy_is_reported_to_the_core_before_each_turn() {
     let passed: Rc<RefCell<Vec<Input>>> = Rc::default();
     let context = Rc::new(GatewayContext {
         clock: Clock::start(),
@@ -62,7 +62,7 @@
             triggers: vec!["t".into()],
             accounts: vec![],
             zones: vec![],
-            machine_kinds: vec![],
+            kinds: vec![],
         },
         tracks_sessions: true,
         malformed_inputs: Cell::new(0),
@@ -88,43 +88,43 @@
     admission.set_recent_use_check(Box::new(move |worker, function| {
         used.get() && worker == WORKER && function == "f"
     }));
-    // Whether the core is told of the copy, and which worker the invocation prefers.
-    let told = |tag| {
-        assert!(admission.filter(Input::MessageArrived(turn(tag))).is_none());
+    // Whether the copy is reported to the core, and which worker the invocation prefers.
+    let filter_turn = |tag| {
+        assert!(admission.filter(Input::Taken(turn(tag))).is_none());
         let passed = std::mem::take(&mut *passed.borrow_mut());
-        let held = passed.iter().any(
-            |i| matches!(i, Input::CopiesReported { worker, copies: 1, .. } if **worker == *WORKER),
-        );
-        let Some(Input::MessageArrived(taken)) = passed.into_iter().last() else {
+        let held = passed
+            .iter()
+            .any(|i| matches!(i, Input::Held { worker, copies: 1, .. } if **worker == *WORKER));
+        let Some(Input::Taken(taken)) = passed.into_iter().last() else {
             panic!("it goes on")
         };
-        (held, taken.preferred_worker)
+        (held, taken.prefers)
     };
-    assert_eq!(told(1), (false, None));
-    let by = UsageSource::Dispatch(DispatchOutcome::Succeeded, CopyStatus::Warm);
+    assert_eq!(filter_turn(1), (false, None));
+    let by = By::Dispatch(DispatchOutcome::Succeeded, CopyStatus::Warm);
     admission.observer().used(
         0,
-        WorkerUsage {
+        Used {
             worker: 0,
             worker_name: WORKER,
             function: "f",
             session: Some("s"),
-            ends_session: false,
+            ends: false,
             trigger: 0,
             account: 0,
-            source: by,
+            by,
             took: 1,
             copy_mb: 1.0,
             lanes: 1,
-            memory_held: None,
+            held: None,
         },
     );
     admission.process_completed();
     assert_eq!(
-        (told(2), told(3)),
+        (filter_turn(2), filter_turn(3)),
         ((true, Some(WORKER.into())), (true, Some(WORKER.into())))
     );
-    // The copy is not known to be in use any more: nothing is told.
+    // The copy is not known to be in use any more: nothing is reported.
     stands.set(false);
-    assert_eq!(told(4), (false, Some(WORKER.into())));
+    assert_eq!(filter_turn(4), (false, Some(WORKER.into())));
 }
--- a/crates/gateway/tests/peer_envelope_bytes.rs
+++ b/crates/gateway/tests/peer_envelope_bytes.rs
@@ -7,16 +7,14 @@
 use bytes::Bytes;
 use cedarpulley_gateway::context::GatewayContext;
 use cedarpulley_gateway::peer_messages::Envelope;
-use cedarpulley_gateway::peers::{Peers, RestoredState, Transport};
+use cedarpulley_gateway::peers::{Peers, RestoredState, SendOptions, Transport};
 use cedarpulley_gateway::settings;
-use cedarpulley_membership::{self as membership, Incarnation, MemberState, MemberUpdate};
+use cedarpulley_membership::{self as membership, Process, Row, Standing};
 use cedarpulley_net::Clock;
 use cedarpulley_replica::store::Origin;
-use cedarpulley_replica::{Invocation, Key, Record, RecordCopy, StoredAnswer, VERSION};
-use cedarpulley_router::replication::{
-    Durability, ReplicationDecision, ReplicationEvent, ReplicationRequest,
-};
-use cedarpulley_router::{Answer, AnswerReason, FinalOutcome, Input, Payload};
+use cedarpulley_replica::{Answered, Effect, Key, Record, Shared, VERSION};
+use cedarpulley_router::group::{Ask, Need, Told, Verdict};
+use cedarpulley_router::{Answer, Fate, Input, Payload, Reason};
 
 /// By line: a name, and the bytes.
 const PINNED: &str = include_str!("fixtures/peer_envelope.hex");
@@ -42,13 +40,13 @@
 struct Nowhere;
 
 impl Transport for Nowhere {
-    fn send(&self, _: u16, _: Bytes, _: bool, _: bool) {}
+    fn send(&self, _: u16, _: Bytes, _: SendOptions) {}
 }
 
-type Heard = Rc<RefCell<Vec<ReplicationEvent>>>;
+type Notifications = Rc<RefCell<Vec<Told>>>;
 
-/// Member 0 of three, and what its core is told.
-fn peers(restored: Option<RestoredState>) -> (Peers, Heard) {
+/// Member 0 of three, and the notifications to its core.
+fn peers(restored: Option<RestoredState>) -> (Peers, Notifications) {
     let members = ["r0", "r1", "r2"]
         .map(|m| format!("[[peers.member]]\nname = {m:?}\naddress = \"127.0.0.1:7101\"\n"));
     let text = format!(
@@ -58,8 +56,8 @@
         members.concat()
     );
     let parts = settings::read("router.toml", &text, false).unwrap_or_else(|e| panic!("{e}"));
-    let heard = Heard::default();
-    let told = heard.clone();
+    let notifications = Notifications::default();
+    let received = notifications.clone();
     let context = GatewayContext {
         clock: Clock::start(),
         executor: Rc::default(),
@@ -70,60 +68,60 @@
         tracks_sessions: false,
         malformed_inputs: Cell::new(0),
         core_input: Box::new(move |input| {
-            if let Input::Replication(message) = input {
-                told.borrow_mut().push(message);
+            if let Input::Group(message) = input {
+                received.borrow_mut().push(message);
             }
         }),
     };
     let settings = parts.peers.expect("peers");
     let transport = Box::new(Nowhere);
     let peers = Peers::new(Rc::new(context), &settings, 1, restored, None, transport);
-    (peers, heard)
+    (peers, notifications)
 }
 
-fn process() -> Incarnation {
-    Incarnation {
-        number: 300,
+fn process() -> Process {
+    Process {
+        turn: 300,
         nonce: 0x1122_3344_5566_7788,
     }
 }
 
-fn rows() -> Vec<MemberUpdate> {
+fn rows() -> Vec<Row> {
     let standings = [
-        MemberState::Unknown,
-        MemberState::Alive,
-        MemberState::Suspected,
-        MemberState::Dead,
+        Standing::Unknown,
+        Standing::Alive,
+        Standing::Suspected,
+        Standing::Dead,
     ];
-    let row = |(standing, member)| MemberUpdate {
+    let row = |(standing, member)| Row {
         member,
-        incarnation: process(),
-        state: standing,
+        process: process(),
+        standing,
     };
     standings.into_iter().zip(400..).map(row).collect()
 }
 
 fn membership_messages() -> [(&'static str, membership::Message); 3] {
     let probe = membership::Message::Probe {
-        sequence: 500,
-        digest: 0xFFEE_DDCC_BBAA_9988,
-        updates: rows(),
+        serial: 500,
+        table: 0xFFEE_DDCC_BBAA_9988,
+        rows: rows(),
     };
     let answer = membership::Message::Answer {
-        sequence: 501,
-        answered_by: 2,
-        digest: 0x8899_AABB_CCDD_EEFF,
-        updates: rows(),
+        serial: 501,
+        of: 2,
+        table: 0x8899_AABB_CCDD_EEFF,
+        rows: rows(),
     };
-    let ask_for = membership::Message::IndirectProbe {
-        sequence: 502,
-        target: 3,
+    let ask_for = membership::Message::AskFor {
+        serial: 502,
+        whom: 3,
     };
     [("probe", probe), ("answer", answer), ("ask-for", ask_for)]
 }
 
 /// A question of each of both kinds, each with its kind's number in front.
-fn questions() -> Vec<Bytes> {
+fn requests() -> Vec<Bytes> {
     vec![
         Bytes::from(pinned("tagged-probe")),
         Bytes::from(pinned("tagged-prepare")),
@@ -141,12 +139,12 @@
         // Later than any clock of a test: it was not under way at all.
         echo: 9_000_000_000_000,
         echo_of: 1,
-        messages: questions(),
+        messages: requests(),
     }
 }
 
 #[test]
-fn membership_messages_keep_their_bytes() {
+fn membership_message_bytes_are_pinned() {
     for (name, message) in membership_messages() {
         assert_pinned(name, &postcard::to_stdvec(&message).expect("encoded"));
         let read: membership::Message = postcard::from_bytes(&pinned(name)).expect("decoded");
@@ -155,7 +153,7 @@
 }
 
 #[test]
-fn an_envelope_keeps_its_bytes() {
+fn envelope_bytes_are_pinned() {
     let expected = envelope();
     assert_pinned(
         "envelope",
@@ -166,7 +164,7 @@
 }
 
 #[test]
-fn a_group_of_the_same_settings_keeps_its_fingerprint() {
+fn group_fingerprint_is_pinned() {
     let sent = peers(None).0.envelope(2, Vec::new());
     let expected = (VERSION, envelope().group, 0, 2);
     assert_eq!((sent.version, sent.group, sent.from, sent.to), expected);
@@ -174,10 +172,10 @@
 
 /// The kind of a message is its first byte: 0 of the membership, 1 of the shared records.
 #[test]
-fn a_pinned_envelope_is_answered_with_pinned_messages() {
+fn pinned_envelope_is_answered_with_pinned_messages() {
     let (peers, _) = peers(None);
     let answer = peers.receive(None, &pinned("envelope")).expect("received");
-    let unreadable = peers.inspect(|_, _, _, _, counts, _| counts.unreadable);
+    let unreadable = peers.inspect(|state| state.counts.unreadable);
     assert_eq!((unreadable, answer.to), (0, 1));
     let replies = ["reply-compare", "reply-answer", "reply-overtaken"];
     assert_eq!(answer.messages.len(), replies.len());
@@ -188,90 +186,87 @@
 
 fn answers() -> [(&'static str, Answer); 2] {
     let answer = |reason, first| Answer {
-        outcome: FinalOutcome::Succeeded,
+        fate: Fate::Succeeded,
         reason,
-        retry_after: None,
+        return_after: None,
         body: Payload {
             bytes: Bytes::from_static(b"head and tail"),
-            first_part_length: first,
+            first,
         },
     };
     [
-        ("kept-answer", answer(AnswerReason::Worker, None)),
-        ("kept-answer-alone", answer(AnswerReason::Alone, Some(300))),
+        ("kept-answer", answer(Reason::Worker, None)),
+        ("kept-answer-alone", answer(Reason::Alone, Some(300))),
     ]
 }
 
 /// As this build keeps it.
 fn answer_bytes(answer: Answer) -> Bytes {
     let (peers, key) = (peers(None).0, Key::from("k"));
-    let (need, redelivered) = (Durability::Notified, false);
-    peers.request(ReplicationRequest::Announce {
+    let (need, redelivered) = (Need::Known, false);
+    peers.request(Ask::Take {
         key: key.clone(),
-        durability: need,
+        need,
         redelivered,
     });
     let (sending, place) = (5, 0);
-    peers.request(ReplicationRequest::AttemptSent {
+    peers.request(Ask::Left {
         key: key.clone(),
-        attempt: sending,
-        deduplication_domain: place,
+        sending,
+        place,
     });
-    peers.request(ReplicationRequest::Answered { key, answer });
-    let record = peers.inspect(|_, _, _, replica, _, _| replica.record("k").cloned());
-    let Some(Record::Invocation(effect)) = record else {
+    peers.request(Ask::Answered { key, answer });
+    let record = peers.inspect(|state| state.replica.record("k").cloned());
+    let Some(Record::Effect(effect)) = record else {
         panic!("{record:?}")
     };
     match effect.answer {
-        Some(StoredAnswer::Stored(bytes)) => bytes,
+        Some(Answered::Kept(bytes)) => bytes,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn answers_kept_in_records_keep_their_bytes() {
+fn stored_answer_bytes_are_pinned() {
     for (name, answer) in answers() {
         assert_pinned(name, &answer_bytes(answer));
     }
 }
 
 fn restored(answer: Vec<u8>) -> RestoredState {
-    let effect = Invocation {
+    let effect = Effect {
         taken: true,
-        answer: Some(StoredAnswer::Stored(Bytes::from(answer))),
-        ..Invocation::default()
+        answer: Some(Answered::Kept(Bytes::from(answer))),
+        ..Effect::default()
     };
-    let shared = RecordCopy {
-        record: Record::Invocation(effect),
+    let shared = Shared {
+        record: Record::Effect(effect),
         origin: Origin {
             nonce: 99,
             serial: 1,
         },
-        expires_in: 60_000_000,
-        first_dispatch_ago: None,
-        proof_expires_in: None,
+        left: 60_000_000,
+        first_ago: None,
+        proves_left: None,
     };
     RestoredState {
-        turn: 1,
+        incarnation: 1,
         records: vec![(Key::from("k"), shared)],
     }
 }
 
 #[test]
-fn pinned_answers_are_given_again_as_they_were() {
+fn pinned_stored_answers_are_returned_unchanged() {
     for (name, answer) in answers() {
-        let (peers, heard) = peers(Some(restored(pinned(name))));
-        let (key, need, redelivered) = (Key::from("k"), Durability::Notified, true);
-        peers.request(ReplicationRequest::Announce {
+        let (peers, notifications) = peers(Some(restored(pinned(name))));
+        let (key, need, redelivered) = (Key::from("k"), Need::Known, true);
+        peers.request(Ask::Take {
             key: key.clone(),
-            durability: need,
+            need,
             redelivered,
         });
-        let verdict = ReplicationDecision::Answer(answer);
-        let expected = vec![ReplicationEvent::Decision {
-            key,
-            decision: verdict,
-        }];
-        assert_eq!(*heard.borrow(), expected, "{name}");
+        let verdict = Verdict::Answer(answer);
+        let expected = vec![Told::Verdict { key, verdict }];
+        assert_eq!(*notifications.borrow(), expected, "{name}");
     }
 }
--- a/crates/gateway/tests/peer_store_bytes.rs
+++ b/crates/gateway/tests/peer_store_bytes.rs
@@ -7,12 +7,10 @@
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
 use cedarpulley_gateway::peer_store::{PeerStore, StoreError};
-use cedarpulley_gateway::peers::RestoredState;
+use cedarpulley_gateway::peers::{RestoredState, StoreChanges};
 use cedarpulley_replica::record::Choice;
 use cedarpulley_replica::store::Origin;
-use cedarpulley_replica::{
-    Ballot, DispatchIntent, IntentState, Invocation, Key, Note, Record, RecordCopy, StoredAnswer,
-};
+use cedarpulley_replica::{Answered, Ballot, Effect, Key, Note, Record, Sending, Sent, Shared};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 /// A whole file, as it was written once.
@@ -36,59 +34,55 @@
     }
 }
 
-fn shared(record: Record, left: Micros) -> RecordCopy {
-    RecordCopy {
+fn shared(record: Record, left: Micros) -> Shared {
+    Shared {
         record,
         origin: Origin {
             nonce: 99,
             serial: 77,
         },
-        expires_in: left,
-        first_dispatch_ago: Some(3 * S),
-        proof_expires_in: Some(40 * S),
+        left,
+        first_ago: Some(3 * S),
+        proves_left: Some(40 * S),
     }
 }
 
-fn effect(answer: Option<StoredAnswer>) -> Invocation {
-    let mut effect = Invocation::default();
+fn effect(answer: Option<Answered>) -> Effect {
+    let mut effect = Effect::default();
     effect.owner.ballot = ballot(1_000);
     effect.taken = true;
-    let states = [
-        IntentState::Intended,
-        IntentState::NotExecuted,
-        IntentState::Indeterminate,
-    ];
+    let states = [Sent::Intended, Sent::NeverRan, Sent::MayHaveRun];
     for (state, n) in states.into_iter().zip(1..) {
         let (member, place) = (n, 300 + u32::from(n));
-        let sending = DispatchIntent {
+        let sending = Sending {
             member,
             state,
-            deduplication_scope: place,
+            place,
         };
-        effect.intents.insert((5, u64::from(n)), sending);
+        effect.sendings.insert((5, u64::from(n)), sending);
     }
     effect.answer = answer;
     effect
 }
 
-fn closed() -> Invocation {
+fn closed() -> Effect {
     let mut effect = effect(None);
-    effect.owner.released = true;
+    effect.owner.let_go = true;
     effect.close();
     effect
 }
 
-fn doubtful() -> Invocation {
-    Invocation {
-        may_lack_intents: true,
-        ..effect(Some(StoredAnswer::Stored(Bytes::from_static(b"yes"))))
+fn doubtful() -> Effect {
+    Effect {
+        doubtful: true,
+        ..effect(Some(Answered::Kept(Bytes::from_static(b"yes"))))
     }
 }
 
-fn faulty() -> Invocation {
-    Invocation {
-        has_conflict: true,
-        ..effect(Some(StoredAnswer::TooLarge))
+fn faulty() -> Effect {
+    Effect {
+        fault: true,
+        ..effect(Some(Answered::TooLarge))
     }
 }
 
@@ -107,24 +101,24 @@
 }
 
 /// One record of each kind and form, in the order of their keys.
-fn records() -> Vec<(Key, RecordCopy)> {
+fn records() -> Vec<(Key, Shared)> {
     let records = [
         ("choice", shared(Record::Choice(choice()), 600 * S)),
-        ("closed", shared(Record::Invocation(closed()), 50 * S)),
-        ("doubtful", shared(Record::Invocation(doubtful()), 60 * S)),
+        ("closed", shared(Record::Effect(closed()), 50 * S)),
+        ("doubtful", shared(Record::Effect(doubtful()), 60 * S)),
         ("empty", shared(Record::Choice(Choice::default()), 700 * S)),
-        ("faulty", shared(Record::Invocation(faulty()), 70 * S)),
+        ("faulty", shared(Record::Effect(faulty()), 70 * S)),
         ("note", shared(Record::Note(note()), 800 * S)),
     ];
     records.map(|(key, s)| (Arc::from(key), s)).to_vec()
 }
 
 /// The same by a process that starts 20 seconds later.
-fn later(shared: &RecordCopy) -> RecordCopy {
-    RecordCopy {
-        expires_in: shared.expires_in - 20 * S,
-        first_dispatch_ago: Some(23 * S),
-        proof_expires_in: Some(20 * S),
+fn later(shared: &Shared) -> Shared {
+    Shared {
+        left: shared.left - 20 * S,
+        first_ago: Some(23 * S),
+        proves_left: Some(20 * S),
         ..shared.clone()
     }
 }
@@ -143,7 +137,12 @@
     let (store, restored) = open(folder, WALL);
     assert!(restored.is_none());
     let records = records().into_iter().map(|(key, s)| (key, Some(s)));
-    store.write(41, 1, WALL, records.collect());
+    let changes = StoreChanges {
+        incarnation: 41,
+        serial: 1,
+        records: records.collect(),
+    };
+    store.write(changes, WALL);
     smol::block_on(store.write_finished());
     assert_eq!(store.persisted_serial(), 1);
     drop(store);
@@ -191,14 +190,14 @@
 }
 
 #[test]
-fn a_group_file_keeps_the_rows_of_its_tables() {
+fn store_file_rows_are_pinned() {
     let folder = tempfile::tempdir().expect("a folder");
     write(folder.path());
     assert_eq!(rows(&folder.path().join("group.redb")), ROWS);
 }
 
 #[test]
-fn a_group_file_of_format_2_is_restored_with_each_kind_of_record() {
+fn store_file_of_format_2_is_restored_with_each_kind_of_record() {
     let folder = tempfile::tempdir().expect("a folder");
     assert_eq!(rows(&pinned_file(folder.path())), ROWS);
     let restored = open(folder.path(), WALL + 20 * S).1.expect("restored");
@@ -206,11 +205,11 @@
         .iter()
         .map(|(k, s)| (k.clone(), later(s)))
         .collect();
-    assert_eq!((restored.turn, restored.records), (41, expected));
+    assert_eq!((restored.incarnation, restored.records), (41, expected));
 }
 
 #[test]
-fn a_group_file_of_format_2_is_not_set_aside() {
+fn store_file_of_format_2_is_not_set_aside() {
     let folder = tempfile::tempdir().expect("a folder");
     pinned_file(folder.path());
     drop(open(folder.path(), WALL));
--- a/crates/gateway/tests/state_names.rs
+++ b/crates/gateway/tests/state_names.rs
@@ -10,16 +10,14 @@
 use bytes::Bytes;
 use cedarpulley_gateway::context::GatewayContext;
 use cedarpulley_gateway::peer_transport::TransportCounts;
-use cedarpulley_gateway::peers::{Peers, RestoredState, Transport};
+use cedarpulley_gateway::peers::{Peers, RestoredState, SendOptions, Transport};
 use cedarpulley_gateway::{settings, state_endpoint};
-use cedarpulley_membership::{MemberState, StateReason};
+use cedarpulley_membership::{Standing, Why};
 use cedarpulley_net::Clock;
 use cedarpulley_reconcile::drift::KINDS;
 use cedarpulley_replica::record::Choice;
 use cedarpulley_replica::store::Origin;
-use cedarpulley_replica::{
-    DispatchIntent, IntentState, Invocation, Note, Record, RecordCopy, RecoveryState, StoredAnswer,
-};
+use cedarpulley_replica::{Answered, Effect, Memory, Note, Record, Sending, Sent, Shared};
 use cedarpulley_upgrade::{Phase, Stage};
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -27,7 +25,7 @@
 struct Nowhere;
 
 impl Transport for Nowhere {
-    fn send(&self, _: u16, _: Bytes, _: bool, _: bool) {}
+    fn send(&self, _: u16, _: Bytes, _: SendOptions) {}
 }
 
 fn context() -> Rc<GatewayContext> {
@@ -60,35 +58,35 @@
 
 /// One record at each stage.
 fn records() -> Vec<Record> {
-    let taken = Invocation {
+    let taken = Effect {
         taken: true,
         ..Default::default()
     };
-    let sent = |state| Invocation {
-        intents: BTreeMap::from([(
+    let sent = |state| Effect {
+        sendings: BTreeMap::from([(
             (1, 1),
-            DispatchIntent {
+            Sending {
                 member: 0,
                 state,
-                deduplication_scope: 0,
+                place: 0,
             },
         )]),
         ..taken.clone()
     };
     let effects = [
-        Invocation::default(),
+        Effect::default(),
         taken.clone(),
-        sent(IntentState::Intended),
-        sent(IntentState::Indeterminate),
-        Invocation {
-            answer: Some(StoredAnswer::TooLarge),
+        sent(Sent::Intended),
+        sent(Sent::MayHaveRun),
+        Effect {
+            answer: Some(Answered::TooLarge),
             ..taken.clone()
         },
-        Invocation {
-            has_conflict: true,
+        Effect {
+            fault: true,
             ..taken.clone()
         },
-        Invocation {
+        Effect {
             closed: true,
             ..taken.clone()
         },
@@ -103,7 +101,7 @@
     };
     let others = [Record::Choice(choice), Record::Note(note)];
     effects
-        .map(Record::Invocation)
+        .map(Record::Effect)
         .into_iter()
         .chain(others)
         .collect()
@@ -111,23 +109,23 @@
 
 fn restored() -> RestoredState {
     let shared = |(n, record)| {
-        let shared = RecordCopy {
+        let shared = Shared {
             record,
             origin: Origin::default(),
-            expires_in: 60_000_000,
-            first_dispatch_ago: None,
-            proof_expires_in: None,
+            left: 60_000_000,
+            first_ago: None,
+            proves_left: None,
         };
         (format!("key-{n}").into(), shared)
     };
     RestoredState {
-        turn: 1,
+        incarnation: 1,
         records: records().into_iter().enumerate().map(shared).collect(),
     }
 }
 
 /// With records of all stages, a member of another version and a stranger.
-fn shown() -> (Peers, Value) {
+fn state_with_all_stages() -> (Peers, Value) {
     let (here, there) = (peers("r0", Some(restored())), peers("r1", None));
     let mut other = there.envelope(0, Vec::new());
     other.version -= 1;
@@ -166,15 +164,15 @@
 }
 
 /// Values whose names are shown.
-fn states() -> Vec<String> {
+fn named_values() -> Vec<String> {
     let whys = [
-        StateReason::NothingReceived,
-        StateReason::Itself,
-        StateReason::Answered,
-        StateReason::AnsweredIndirectly,
-        StateReason::Unresponsive,
-        StateReason::SuspicionTimedOut,
-        StateReason::ReportedByPeer,
+        Why::NeverHeard,
+        Why::Itself,
+        Why::Answered,
+        Why::AnsweredOthers,
+        Why::Silent,
+        Why::SilentTooLong,
+        Why::Told,
     ];
     let phases = [
         Phase::Waiting,
@@ -188,14 +186,7 @@
     ];
     let stages = [Stage::Before, Stage::Loading, Stage::Draining, Stage::Done];
     let mut all = names("members[].why", whys);
-    all.extend(names(
-        "memory",
-        [
-            RecoveryState::Empty,
-            RecoveryState::Restored,
-            RecoveryState::Complete,
-        ],
-    ));
+    all.extend(names("memory", [Memory::Lost, Memory::Kept, Memory::Whole]));
     all.extend(names("upgrade.plans[].phase", phases));
     all.extend(names("upgrade.plans[].regions[].stage", stages));
     all.extend(names("reconcile.workers[].found", KINDS));
@@ -203,7 +194,7 @@
 }
 
 /// Compared with the file line by line; what was seen is left beside the program's other files.
-fn same_as_kept(name: &str, seen: &BTreeSet<String>) {
+fn assert_matches_fixture(name: &str, seen: &BTreeSet<String>) {
     let seen: String = seen.iter().map(|line| format!("{line}\n")).collect();
     let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&left, &seen).expect("written");
@@ -220,25 +211,25 @@
 }
 
 #[test]
-fn state_keeps_its_names() {
-    let (_, state) = shown();
+fn state_key_names_are_pinned() {
+    let (_, state) = state_with_all_stages();
     let mut all = BTreeSet::new();
     paths(&state, "", &mut all);
-    all.extend(states());
-    same_as_kept("state-names.txt", &all);
+    all.extend(named_values());
+    assert_matches_fixture("state-names.txt", &all);
 }
 
 #[test]
-fn counts_of_sessions_keep_their_names() {
+fn session_count_names_are_pinned() {
     let counts = serde_json::to_value(cedarpulley_upgrade::sessions::Counts::default());
     let mut all = BTreeSet::new();
     paths(&counts.expect("JSON"), "upgrade.sessions.counts", &mut all);
-    same_as_kept("session-count-names.txt", &all);
+    assert_matches_fixture("session-count-names.txt", &all);
 }
 
 #[test]
-fn members_are_shown_as_one_of_four_standings() {
-    let (here, state) = shown();
+fn member_state_is_one_of_four_names() {
+    let (here, state) = state_with_all_stages();
     let standing = |n: usize| {
         state["members"][n]["standing"]
             .as_str()
@@ -246,8 +237,8 @@
             .to_owned()
     };
     assert_eq!([standing(0), standing(1)], ["alive", "unknown"]);
-    let known = here.inspect(|_, membership, _, _, _, _| membership.status(1).state);
-    assert_eq!(known, MemberState::Unknown);
+    let known = here.inspect(|state| state.membership.known(1).standing);
+    assert_eq!(known, Standing::Unknown);
 }
 
 /// A metric's name with its labels, without their values but those that are names of states.
@@ -266,8 +257,8 @@
 }
 
 #[test]
-fn metrics_keep_their_names() {
-    let (here, _) = shown();
+fn metric_names_are_pinned() {
+    let (here, _) = state_with_all_stages();
     let text = state_endpoint::metrics(&here, TransportCounts::default());
     let (kinds, values): (Vec<&str>, Vec<&str>) = text
         .lines()
@@ -275,5 +266,5 @@
         .partition(|line| line.starts_with('#'));
     let mut all: BTreeSet<String> = values.into_iter().map(metric).collect();
     all.extend(kinds.into_iter().map(str::to_owned));
-    same_as_kept("metric-names.txt", &all);
+    assert_matches_fixture("metric-names.txt", &all);
 }
--- a/crates/gateway/tests/unknown_members.rs
+++ b/crates/gateway/tests/unknown_members.rs
@@ -6,15 +6,17 @@
 use bytes::Bytes;
 use cedarpulley_gateway::context::GatewayContext;
 use cedarpulley_gateway::peer_transport::TransportCounts;
-use cedarpulley_gateway::peers::{Peers, Transport};
-use cedarpulley_gateway::unknown_members::RefusalCause;
+use cedarpulley_gateway::peers::{Peers, SendOptions, Transport};
+use cedarpulley_gateway::rejected_envelopes::{
+    LOG_INTERVAL, RejectedEnvelopes, Rejection, RejectionCause,
+};
 use cedarpulley_gateway::{settings, state_endpoint};
 use cedarpulley_net::Clock;
 
 struct Nowhere;
 
 impl Transport for Nowhere {
-    fn send(&self, _: u16, _: Bytes, _: bool, _: bool) {}
+    fn send(&self, _: u16, _: Bytes, _: SendOptions) {}
 }
 
 fn peers(name: &str) -> Peers {
@@ -49,7 +51,7 @@
 }
 
 #[test]
-fn a_member_of_another_version_is_refused_counted_and_shown_until_it_is_of_this_one() {
+fn envelopes_of_another_version_are_rejected_counted_and_shown_until_the_version_matches() {
     let (here, there) = (peers("r0"), peers("r1"));
     let good = there.envelope(0, Vec::new());
     let (version, bytes) = (good.version, postcard::to_stdvec(&good).expect("encoded"));
@@ -59,9 +61,9 @@
     let state = || state_endpoint::state(&here, TransportCounts::default());
     // Of an envelope in another version's form, nothing more than its version can be known.
     for (said, why) in [
-        (&other[..], RefusalCause::Version),
-        (&other[..1], RefusalCause::Version),
-        (&bytes[..9], RefusalCause::Unreadable),
+        (&other[..], RejectionCause::Version),
+        (&other[..1], RejectionCause::Version),
+        (&bytes[..9], RejectionCause::Unreadable),
     ] {
         assert_eq!(here.receive(None, said).err(), Some(why));
     }
@@ -85,3 +87,34 @@
     assert!(here.receive(None, &bytes).is_ok());
     assert!(state()["members"][1]["refused"].is_null(), "{}", state());
 }
+
+#[test]
+fn refusals_are_logged_once_a_process_and_cause_and_rate_limited_for_two_under_one_name() {
+    let mut members = RejectedEnvelopes::new(3);
+    let of = |cause, process| Rejection {
+        cause,
+        version: Some(1),
+        from: Some((1, process)),
+        address: None,
+    };
+    let mut logged = |now, cause, process| members.record(now, of(cause, process));
+    assert!(logged(0, RejectionCause::Version, 7));
+    // Once, however long it continues.
+    assert!((1..1000).all(|n| !logged(n * LOG_INTERVAL, RejectionCause::Version, 7)));
+    assert!(logged(1000 * LOG_INTERVAL, RejectionCause::Version, 8));
+    assert!((1..1000).all(|n| !logged(
+        1000 * LOG_INTERVAL + n,
+        RejectionCause::Version,
+        7 + n as u64 % 2
+    )));
+    assert!(logged(1001 * LOG_INTERVAL, RejectionCause::Group, 8));
+    assert_eq!(
+        (
+            members.state(0, Some(1))["times"].as_u64(),
+            members.state(0, Some(2))
+        ),
+        (Some(2001), serde_json::Value::Null)
+    );
+    members.accepted(1);
+    assert_eq!(members.state(0, Some(1)), serde_json::Value::Null);
+}
