--- a/crates/benchlink/src/codec.rs
+++ b/crates/benchlink/src/codec.rs
@@ -102,7 +102,7 @@
             .split_once(':')
             .ok_or_else(|| malformed("report", pair))?;
         let value: f64 = value.parse().map_err(|_| malformed("report", pair))?;
-        ReportField::tell(&mut report, fields, name, value);
+        ReportField::set_in_report(&mut report, fields, name, value);
     }
     Ok(report)
 }
--- a/crates/benchlink/src/decoder.rs
+++ b/crates/benchlink/src/decoder.rs
@@ -1,7 +1,7 @@
 //! Decodes the fields of the protocol's events, whose words differ from the balancer's terms.
 
 use cedarpulley::interface::*;
-use cedarpulley_startup::micros;
+use cedarpulley_startup::micros_from_nanos;
 
 use crate::codec::{self, unknown_word};
 use crate::error::Result;
@@ -107,7 +107,9 @@
             account,
             function,
             fingerprint,
-            cost_hint: cost_hint.filter(|_| bits & HAS_COST_HINT != 0).map(micros),
+            cost_hint: cost_hint
+                .filter(|_| bits & HAS_COST_HINT != 0)
+                .map(micros_from_nanos),
             load_hint: load_ms.map(|ms| (ms * 1e3) as Micros),
             copy_mb,
             lanes: lanes.unwrap_or(1.0).max(1.0) as u32,
@@ -212,7 +214,7 @@
             started_at: fields
                 .optional::<i64>("startTime")?
                 .filter(|nanos| *nanos != 0)
-                .map(micros),
+                .map(micros_from_nanos),
         };
         fields.finish()?;
         Ok(endpoint)
--- a/crates/benchlink/src/field_reader.rs
+++ b/crates/benchlink/src/field_reader.rs
@@ -3,7 +3,7 @@
 use std::str::{FromStr, Split};
 
 use cedarpulley::interface::Micros;
-use cedarpulley_startup::micros;
+use cedarpulley_startup::micros_from_nanos;
 
 use crate::error::{ProtocolError, Result};
 
@@ -52,7 +52,7 @@
 
     /// A time: nanoseconds on the wire, microseconds as returned.
     pub fn time(&mut self, name: &'static str) -> Result<Micros> {
-        self.required(name).map(micros)
+        self.required(name).map(micros_from_nanos)
     }
 
     /// `1` or `0`.
--- a/crates/benchlink/src/instance.rs
+++ b/crates/benchlink/src/instance.rs
@@ -61,12 +61,12 @@
 impl Instance {
     /// Starts a balancer with the settings in this text.
     pub fn start(router: u32, seed: u64, settings: &str) -> Result<Self> {
-        let raw = RawSettings::pairs(settings)?;
+        let raw = RawSettings::from_pairs(settings)?;
         let settings = StartupSettings::read(&raw)?;
         Ok(Instance {
             router,
             balancer: settings.balancer(seed),
-            report_fields: ReportField::named(&raw),
+            report_fields: ReportField::from_settings(&raw),
             reports_function_load: settings.loads.reports_function_load,
             trigger_count: settings.triggers.len() as u32,
             invocations: InvocationIds::default(),
--- a/crates/cli/benches/three_ways.rs
+++ b/crates/cli/benches/three_ways.rs
@@ -18,12 +18,12 @@
 use std::time::Instant;
 
 use cedarpulley_emulators::lock;
-use cedarpulley_emulators::worker::{Held, Worker};
-use cedarpulley_invariant_checker::Why;
-use cedarpulley_test_cluster::client::{Arrival, Asks};
-use cedarpulley_test_cluster::fleet::Fleet;
+use cedarpulley_emulators::worker::{LoadedFunctionInfo, Worker};
+use cedarpulley_invariant_checker::RebuildCause;
+use cedarpulley_test_cluster::amqp_client::{Arrival, FunctionOverride};
+use cedarpulley_test_cluster::cluster::Cluster;
 use cedarpulley_test_cluster::operator;
-use cedarpulley_test_cluster::plan::Day;
+use cedarpulley_test_cluster::scenario::Scenario;
 use cedarpulley_test_cluster::script::Script;
 use cedarpulley_test_cluster::until;
 use serde_json::Value;
@@ -75,7 +75,7 @@
         .unwrap_or(usual)
 }
 
-fn compared(seed: u64, way: Way) -> Day {
+fn compared(seed: u64, way: Way) -> Scenario {
     let mut day = slow_to_load(seed, SECONDS);
     if way != Way::Planner {
         day.settings.upgrade.clear();
@@ -87,8 +87,11 @@
     format!("{model}{NEW}")
 }
 
-fn held(worker: &Worker, function: &str) -> Option<Held> {
-    worker.held().into_iter().find(|h| h.function == function)
+fn held(worker: &Worker, function: &str) -> Option<LoadedFunctionInfo> {
+    worker
+        .loaded_functions()
+        .into_iter()
+        .find(|h| h.function == function)
 }
 
 fn is_over(worker: &Worker) -> bool {
@@ -108,7 +111,7 @@
 }
 
 /// Until nothing old has come back for a while: by a miss, or by a router that did not expect the copy to go.
-fn by_hand(f: &Fleet, way: Way) {
+fn by_hand(f: &Cluster, way: Way) {
     f.log
         .write("upgrade", serde_json::json!({"models": MODELS}));
     let since = Instant::now();
@@ -129,20 +132,22 @@
         }
         quiet.elapsed() > SETTLED
     });
-    f.upgrade_over(&MODELS);
+    f.end_upgrade(&MODELS);
 }
 
 /// By what stands; while nothing does, by what is being loaded.
-fn by_what_stands(f: &Fleet, seed: u64) -> Asks {
+fn by_what_stands(f: &Cluster, seed: u64) -> FunctionOverride {
     let (workers, of) = (
         f.workers.clone(),
         Mutex::new(HashMap::<String, bool>::new()),
     );
     Arc::new(move |a: &Arrival| {
-        let all: Vec<Held> = workers.iter().flat_map(Worker::held).collect();
+        let all: Vec<LoadedFunctionInfo> =
+            workers.iter().flat_map(Worker::loaded_functions).collect();
         let (old, new) = (a.function.clone(), new(&a.function));
         let count = |function: &str, ready: bool| {
-            let counts = |h: &&Held| h.function == function && (!ready || h.state == "READY");
+            let counts =
+                |h: &&LoadedFunctionInfo| h.function == function && (!ready || h.state == "READY");
             all.iter().filter(counts).count() as u64
         };
         let any = count(&old, true) + count(&new, true) > 0;
@@ -168,7 +173,7 @@
 fn copies_told(played: &Played) -> Vec<(i64, String, String, String)> {
     let mut all = Vec::new();
     let of_models = |f: &str| MODELS.iter().any(|m| f == *m || f == new(m));
-    for worker in (0..played.fleet.workers.len()).map(|w| played.fleet.worker(w)) {
+    for worker in (0..played.fleet.workers.len()).map(|w| played.fleet.worker_name(w)) {
         let file = played
             .fleet
             .folder()
@@ -245,7 +250,7 @@
             .at(ORDERED_MS, settles)
             .at(ORDERED_MS + 1, move |f| by_hand(f, way)),
     };
-    let asks = |f: &Fleet| (way != Way::Planner).then(|| by_what_stands(f, seed));
+    let asks = |f: &Cluster| (way != Way::Planner).then(|| by_what_stands(f, seed));
     let played = play_asking(&day, None, stands_everywhere, asks, script, PATIENCE);
     let v = &played.verdict;
     if way == Way::Planner {
@@ -264,7 +269,7 @@
         100.0 * v.within_objective as f64 / played.sent as f64,
         p.found as f64,
         p.rebuilt as f64,
-        (p.rebuilt - p.why(Why::Died)) as f64,
+        (p.rebuilt - p.caused_by(RebuildCause::Died)) as f64,
         promise("sessions"),
         reason("session-over"),
         promise("floor"),
--- a/crates/cli/src/emulator.rs
+++ b/crates/cli/src/emulator.rs
@@ -5,11 +5,11 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use cedarpulley_emulators::Ground;
+use cedarpulley_emulators::Host;
 use cedarpulley_emulators::broker::Broker;
-use cedarpulley_emulators::list::{List, Row};
+use cedarpulley_emulators::endpoint_list::{EndpointList, EndpointRecord};
 use cedarpulley_emulators::store::{self, Store};
-use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
+use cedarpulley_emulators::worker::{IdempotencyStore, InvocationProfile, Worker, WorkerProfile};
 use clap::{Args, Subcommand};
 
 use crate::error::CliError;
@@ -91,8 +91,8 @@
     }
 }
 
-fn host(logs: Option<PathBuf>) -> Result<Ground, CliError> {
-    Ground::new(2, logs.as_deref()).map_err(CliError::EmulatorStart)
+fn host(logs: Option<PathBuf>) -> Result<Host, CliError> {
+    Host::new(2, logs.as_deref()).map_err(CliError::EmulatorStart)
 }
 
 /// Starts one emulator; returns only if it cannot start.
@@ -113,13 +113,13 @@
 }
 
 fn run_worker(args: WorkerArgs) -> Result<(), CliError> {
-    let program = Program {
-        work: Duration::from_secs_f64(args.work_ms / 1e3),
+    let program = InvocationProfile {
+        mean_work: Duration::from_secs_f64(args.work_ms / 1e3),
         copy_mb: 1.0,
-        start_up: Duration::from_millis(10),
+        start_up_time: Duration::from_millis(10),
         lanes: args.lanes,
-        window: None,
-        prefix: Duration::ZERO,
+        idempotency_window: None,
+        prefix_rebuild_work: Duration::ZERO,
     };
     let (listen, store) = (
         require_loopback(args.listen)?,
@@ -130,20 +130,20 @@
         "worker",
         listen,
         1,
-        Nature::roomy(args.cores),
+        WorkerProfile::unlimited(args.cores),
         store,
         HashMap::from([(args.trigger, program)]),
-        Memory::default(),
+        IdempotencyStore::default(),
     )
     .map_err(CliError::EmulatorStart)?;
     run_forever("worker", worker.address)
 }
 
 fn run_store(args: StoreArgs) -> Result<(), CliError> {
-    let profile = store::Nature {
+    let profile = store::StoreProfile {
         mb_per_s: 1000.0,
-        abreast: 8,
-        most: 1000,
+        full_rate_fetches: 8,
+        max_fetches: 1000,
     };
     let listen = require_loopback(args.listen);
     let store = Store::start(&host(args.logs)?, "store", listen?, profile)
@@ -153,16 +153,17 @@
 
 fn run_list(args: ListArgs) -> Result<(), CliError> {
     let listen = require_loopback(args.listen);
-    let list = List::start(&host(args.logs)?, "list", listen?).map_err(CliError::EmulatorStart)?;
+    let list =
+        EndpointList::start(&host(args.logs)?, "list", listen?).map_err(CliError::EmulatorStart)?;
     for (index, address) in args.worker.into_iter().enumerate() {
-        list.put(&format!("worker-{index}"), in_service(address));
+        list.publish(&format!("worker-{index}"), in_service(address));
     }
     run_forever("list", list.server.address)
 }
 
 /// The list entry of a worker in service.
-fn in_service(address: SocketAddr) -> Row {
-    Row {
+fn in_service(address: SocketAddr) -> EndpointRecord {
+    EndpointRecord {
         address,
         zone: String::new(),
         kind: String::new(),
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -45,7 +45,7 @@
     Node(#[from] cedarpulley_platform_node::StartError),
     /// A scenario could not be read, or its cluster not be run.
     #[error(transparent)]
-    TestCluster(#[from] cedarpulley_test_cluster::wrong::Wrong),
+    TestCluster(#[from] cedarpulley_test_cluster::error::ClusterError),
     /// A router of a scenario had to be killed at its end.
     #[error("a router did not end in good order")]
     UncleanShutdown,
@@ -57,7 +57,7 @@
     RouterStart(#[source] io::Error),
     /// A run that was left in a folder cannot be judged.
     #[error(transparent)]
-    InvariantCheck(#[from] cedarpulley_invariant_checker::Unjudged),
+    InvariantCheck(#[from] cedarpulley_invariant_checker::CheckError),
     /// A trace file, or the files of one router, could not be read or written.
     #[error("{of}")]
     Trace {
@@ -68,7 +68,7 @@
     #[error("{file}")]
     UsageStore {
         file: String,
-        source: cedarpulley_usage_store::Failed,
+        source: cedarpulley_usage_store::StoreError,
     },
     /// Sizes in bytes.
     #[error("{file}: a secret of {size} bytes, where {least} are the least")]
@@ -109,7 +109,9 @@
     }
 
     /// For `map_err`: an error of this usage store.
-    pub fn usage_store(file: &Path) -> impl FnOnce(cedarpulley_usage_store::Failed) -> CliError {
+    pub fn usage_store(
+        file: &Path,
+    ) -> impl FnOnce(cedarpulley_usage_store::StoreError) -> CliError {
         move |source| CliError::UsageStore {
             file: file.display().to_string(),
             source,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -191,7 +191,7 @@
 
 /// Checks the invariants of a run that was left in a folder.
 fn audit(folder: &Path, json: bool) -> Result<bool, CliError> {
-    let verdict = cedarpulley_invariant_checker::judge(folder)?;
+    let verdict = cedarpulley_invariant_checker::check(folder)?;
     scenario::print_verdict(&verdict, json)?;
     Ok(verdict.broken() == 0)
 }
--- a/crates/cli/src/measure/mod.rs
+++ b/crates/cli/src/measure/mod.rs
@@ -17,7 +17,7 @@
 use async_io::Timer;
 use cedarpulley_emulators::lock;
 use cedarpulley_gateway::client_listener::Protocol;
-use cedarpulley_test_cluster::client::Times;
+use cedarpulley_test_cluster::amqp_client::LatencyRecorder;
 use clap::Args;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
@@ -153,7 +153,7 @@
         let (args, broker) = (self.args, &self.surroundings.broker);
         self.until_ready().await;
         let began = Instant::now();
-        let times: Times = Arc::new(Mutex::new((histogram(), began + WARM_UP)));
+        let times: LatencyRecorder = Arc::new(Mutex::new((histogram(), began + WARM_UP)));
         // Dropped at the end of this function: the clients stay connected until then.
         let _clients = self.surroundings.start_clients(args, began, &times);
         Timer::at(began + WARM_UP).await;
@@ -164,7 +164,7 @@
         let direct = direct::latencies(self.surroundings.workers[0].address, args.seconds).await;
         Timer::at(began + WARM_UP + Duration::from_secs_f64(args.seconds)).await;
         let router_after = ProcessUsage::of(self.router_pid);
-        let left_at_broker = broker.waiting(QUEUE);
+        let left_at_broker = broker.ready_messages(QUEUE);
         let own_cpu_us = cpu_between_us(own_before, ProcessUsage::of(std::process::id()));
         let witnesses_cpu_us = self.witnesses_cpu_us() - witnesses_before_us;
         let group_traffic = GroupTraffic::of(self.group).since(group_before);
--- a/crates/cli/src/measure/resources.rs
+++ b/crates/cli/src/measure/resources.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use cedarpulley_test_cluster::verdict::state;
+use cedarpulley_test_cluster::router_state::fetch_state;
 use serde_json::Value;
 
 /// Use of a process since it began.
@@ -44,7 +44,9 @@
 impl GroupTraffic {
     /// Sums over the members that answer.
     pub fn of(members: &[SocketAddr]) -> Self {
-        let states = members.iter().filter_map(|member| state(*member).ok());
+        let states = members
+            .iter()
+            .filter_map(|member| fetch_state(*member).ok());
         let count = |state: &Value, name: &str| state["counts"][name].as_u64().unwrap_or(0);
         states.fold(GroupTraffic::default(), |sum, state| GroupTraffic {
             bytes: sum.bytes + count(&state, "bytes_sent"),
--- a/crates/cli/src/measure/surroundings.rs
+++ b/crates/cli/src/measure/surroundings.rs
@@ -4,11 +4,11 @@
 use std::time::{Duration, Instant};
 
 use async_executor::Task;
-use cedarpulley_emulators::Ground;
+use cedarpulley_emulators::Host;
 use cedarpulley_emulators::broker::Broker;
 use cedarpulley_emulators::store::{self, Store};
-use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
-use cedarpulley_test_cluster::client::{Arrival, Client, Times};
+use cedarpulley_emulators::worker::{IdempotencyStore, InvocationProfile, Worker, WorkerProfile};
+use cedarpulley_test_cluster::amqp_client::{AmqpClient, Arrival, LatencyRecorder};
 
 use super::{ANY_PORT, BODY, MeasureArgs, QUEUE, TIMEOUT_MS, TRIGGER, WARM_UP, function};
 use crate::error::CliError;
@@ -22,42 +22,42 @@
     pub workers: Vec<Worker>,
     _store: Store,
     pub broker: Broker,
-    pub host: Ground,
+    pub host: Host,
 }
 
 impl Surroundings {
     /// Starts all of them on free ports.
     pub fn start(args: &MeasureArgs) -> Result<Self, CliError> {
-        let host = Ground::new(THREADS, None).map_err(CliError::EmulatorStart)?;
+        let host = Host::new(THREADS, None).map_err(CliError::EmulatorStart)?;
         let broker =
             Broker::start(&host, "broker", ANY_PORT.into()).map_err(CliError::EmulatorStart)?;
         broker.declare(QUEUE);
-        let profile = store::Nature {
+        let profile = store::StoreProfile {
             mb_per_s: 1e6,
-            abreast: 100,
-            most: 1000,
+            full_rate_fetches: 100,
+            max_fetches: 1000,
         };
         let store = Store::start(&host, "store", ANY_PORT.into(), profile)
             .map_err(CliError::EmulatorStart)?;
         let mut workers = Vec::new();
         for index in 0..WORKERS {
-            let program = Program {
-                work: Duration::from_secs_f64(args.work_ms / 1e3),
+            let program = InvocationProfile {
+                mean_work: Duration::from_secs_f64(args.work_ms / 1e3),
                 copy_mb: 1.0,
-                start_up: Duration::from_millis(1),
+                start_up_time: Duration::from_millis(1),
                 lanes: args.lanes as usize,
-                window: None,
-                prefix: Duration::ZERO,
+                idempotency_window: None,
+                prefix_rebuild_work: Duration::ZERO,
             };
             let worker = Worker::start(
                 &host,
                 &format!("worker-{index}"),
                 ANY_PORT.into(),
                 1,
-                Nature::roomy(1e6),
+                WorkerProfile::unlimited(1e6),
                 store.server.address,
                 HashMap::from([(TRIGGER.to_owned(), program)]),
-                Memory::default(),
+                IdempotencyStore::default(),
             );
             workers.push(worker.map_err(CliError::EmulatorStart)?);
         }
@@ -74,13 +74,13 @@
         &self,
         args: &MeasureArgs,
         began: Instant,
-        latencies: &Times,
+        latencies: &LatencyRecorder,
     ) -> Vec<Task<()>> {
         let invocations = ((WARM_UP.as_secs_f64() + args.seconds) * args.rate) as usize;
         let arrival = |number: usize| Arrival {
             at: Duration::from_secs_f64(number as f64 / args.rate),
             id: format!("m{number}"),
-            kind: TRIGGER.into(),
+            trigger_type: TRIGGER.into(),
             function: function(number as u64),
             account: String::new(),
             queue: QUEUE.into(),
@@ -89,22 +89,22 @@
             lanes: args.lanes,
             body: BODY.into(),
             retries: 0,
-            calls: false,
+            over_kserve: false,
             turn: None,
         };
         let start = |client: usize| {
-            let client = Client {
+            let client = AmqpClient {
                 broker: self.broker.address,
                 from: [127, 0, 2, 1 + client as u8].into(),
-                replies: format!("replies-{client}"),
+                reply_queue: format!("replies-{client}"),
                 began,
                 arrivals: (client..invocations)
                     .step_by(CLIENTS)
                     .map(arrival)
                     .collect(),
-                times: Some(latencies.clone()),
+                latencies: Some(latencies.clone()),
                 answers: None,
-                asks: None,
+                function_override: None,
             };
             self.host.executor.spawn(client.run())
         };
--- a/crates/cli/src/scenario/faults.rs
+++ b/crates/cli/src/scenario/faults.rs
@@ -8,11 +8,11 @@
 use cedarpulley_emulators::lock;
 use cedarpulley_emulators::worker::Worker;
 use cedarpulley_errors::Remedy;
-use cedarpulley_test_cluster::fleet::Fleet;
-use cedarpulley_test_cluster::links::Fault as LinkFault;
-use cedarpulley_test_cluster::plan::{Trouble, What};
-use cedarpulley_test_cluster::process::State;
-use cedarpulley_test_cluster::wrong::Wrong as ClusterError;
+use cedarpulley_test_cluster::cluster::Cluster;
+use cedarpulley_test_cluster::error::ClusterError;
+use cedarpulley_test_cluster::links::LinkFault;
+use cedarpulley_test_cluster::router_process::StateAtStart;
+use cedarpulley_test_cluster::scenario::{FaultKind, ScenarioFault};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
@@ -23,8 +23,8 @@
 
 /// One fault of a scenario, with what it strikes.
 pub struct FaultInjection<'a> {
-    cluster: &'a Arc<Fleet>,
-    fault: &'a Trouble,
+    cluster: &'a Arc<Cluster>,
+    fault: &'a ScenarioFault,
     zones: &'a [String],
     lasts: Duration,
     /// Indices of the workers that it strikes.
@@ -35,8 +35,8 @@
 impl<'a> FaultInjection<'a> {
     /// Draws the workers that the fault strikes, unless the scenario names them.
     pub fn new(
-        cluster: &'a Arc<Fleet>,
-        fault: &'a Trouble,
+        cluster: &'a Arc<Cluster>,
+        fault: &'a ScenarioFault,
         zones: &'a [String],
         mut random: Pcg64Mcg,
     ) -> Self {
@@ -59,42 +59,51 @@
     /// Begins the fault and, if it lasts, ends it.
     pub async fn inject(mut self) {
         match self.fault.what {
-            What::Hang => {
-                self.while_it_lasts(|worker| worker.hang(true), |worker| worker.hang(false))
-                    .await;
+            FaultKind::Hang => {
+                self.while_it_lasts(
+                    |worker| worker.set_hanging(true),
+                    |worker| worker.set_hanging(false),
+                )
+                .await;
             }
-            What::Slow => {
+            FaultKind::Slow => {
                 let factor = self.fault.size;
-                self.while_it_lasts(|worker| worker.slow(factor), |worker| worker.slow(1.0))
-                    .await;
+                self.while_it_lasts(
+                    |worker| worker.set_slowdown(factor),
+                    |worker| worker.set_slowdown(1.0),
+                )
+                .await;
             }
-            What::ClassFail => {
+            FaultKind::ClassFail => {
                 let trigger = self.fault.trigger.as_deref();
-                self.while_it_lasts(|worker| worker.mute(trigger), |worker| worker.mute(None))
-                    .await;
+                self.while_it_lasts(
+                    |worker| worker.stop_answering(trigger),
+                    |worker| worker.stop_answering(None),
+                )
+                .await;
             }
-            What::Pauses => self.pause_workers_repeatedly().await,
-            What::Crash => self.crash_workers().await,
-            What::Preempt => self.preempt_workers().await,
-            What::DrainWave => self.drain_workers_in_turn().await,
-            What::ZoneCut => self.cut_zone().await,
-            What::Flush => self.struck_workers().for_each(Worker::flush_copies),
-            What::StoreSlow => self.slow_store().await,
-            What::ListLate => self.delay_list().await,
-            What::ChannelDrop => self.drop_channels(),
-            What::ConnectionDrop => self.drop_connections(),
-            What::BrokerRestart => self.restart_broker().await,
-            What::BrokerBlock => self.block_broker().await,
-            What::RouterKill => self.kill_routers().await,
-            What::RouterPause => self.pause_routers().await,
-            What::StaleState => self.restore_older_state().await,
-            What::PeerCut | What::RegionCut => self.partition().await,
+            FaultKind::Pauses => self.pause_workers_repeatedly().await,
+            FaultKind::Crash => self.crash_workers().await,
+            FaultKind::Preempt => self.preempt_workers().await,
+            FaultKind::DrainWave => self.drain_workers_in_turn().await,
+            FaultKind::ZoneCut => self.cut_zone().await,
+            FaultKind::Flush => self.struck_workers().for_each(Worker::evict_all_idle),
+            FaultKind::StoreSlow => self.slow_store().await,
+            FaultKind::ListLate => self.delay_list().await,
+            FaultKind::ChannelDrop => self.drop_channels(),
+            FaultKind::ConnectionDrop => self.drop_connections(),
+            FaultKind::BrokerRestart => self.restart_broker().await,
+            FaultKind::BrokerBlock => self.block_broker().await,
+            FaultKind::RouterKill => self.kill_routers().await,
+            FaultKind::RouterPause => self.pause_routers().await,
+            FaultKind::StaleState => self.restore_older_state().await,
+            FaultKind::PeerCut | FaultKind::RegionCut => self.partition().await,
             // These are in the arrivals.
-            What::HotFunction
-            | What::Scan
-            | What::TrafficShift
-            | What::RetryAbuse
-            | What::Flood => {}
+            FaultKind::HotFunction
+            | FaultKind::Scan
+            | FaultKind::TrafficShift
+            | FaultKind::RetryAbuse
+            | FaultKind::Flood => {}
         }
     }
 
@@ -113,9 +122,11 @@
     async fn pause_workers_repeatedly(&self) {
         let until = Instant::now() + self.lasts;
         while Instant::now() < until {
-            self.struck_workers().for_each(|worker| worker.pause(true));
+            self.struck_workers()
+                .for_each(|worker| worker.set_paused(true));
             Timer::after(Duration::from_secs_f64(self.fault.size)).await;
-            self.struck_workers().for_each(|worker| worker.pause(false));
+            self.struck_workers()
+                .for_each(|worker| worker.set_paused(false));
             Timer::after(Duration::from_secs_f64(self.fault.size * 2.0)).await;
         }
     }
@@ -131,7 +142,8 @@
     /// They are said to drain, crash after the notice period, and come back.
     async fn preempt_workers(&self) {
         for &worker in &self.struck {
-            self.cluster.row(worker, |entry| entry.draining = true);
+            self.cluster
+                .update_endpoint(worker, |entry| entry.draining = true);
         }
         Timer::after(Duration::from_secs_f64(self.fault.size / 1e3)).await;
         self.struck_workers().for_each(Worker::crash);
@@ -143,29 +155,29 @@
     fn remove_from_list(&self) {
         self.struck
             .iter()
-            .for_each(|worker| self.cluster.gone(*worker));
+            .for_each(|worker| self.cluster.withdraw_worker(*worker));
     }
 
     fn start_workers_again(&self) {
         self.struck
             .iter()
-            .for_each(|worker| self.cluster.starts_again(*worker));
+            .for_each(|worker| self.cluster.restart_worker(*worker));
     }
 
     async fn drain_workers_in_turn(&self) {
         for &worker in &self.struck {
             let (cluster, lasts) = (self.cluster.clone(), self.lasts);
             let drain_and_restart = async move {
-                cluster.row(worker, |entry| entry.draining = true);
+                cluster.update_endpoint(worker, |entry| entry.draining = true);
                 Timer::after(DRAIN_LASTS / 2).await;
                 cluster.workers[worker].drain();
                 Timer::after(DRAIN_LASTS / 2).await;
                 cluster.workers[worker].crash();
-                cluster.gone(worker);
+                cluster.withdraw_worker(worker);
                 Timer::after(lasts).await;
-                cluster.starts_again(worker);
+                cluster.restart_worker(worker);
             };
-            let executor = &self.cluster.ground.executor;
+            let executor = &self.cluster.host.executor;
             executor.spawn(drain_and_restart).detach();
             Timer::after(Duration::from_secs_f64(self.fault.size)).await;
         }
@@ -186,22 +198,24 @@
             .collect();
         inside
             .iter()
-            .for_each(|worker| workers[*worker].cut(!(1 << zone)));
+            .for_each(|worker| workers[*worker].partition_from(!(1 << zone)));
         Timer::after(self.lasts).await;
-        inside.iter().for_each(|worker| workers[*worker].cut(0));
+        inside
+            .iter()
+            .for_each(|worker| workers[*worker].partition_from(0));
     }
 
     async fn slow_store(&self) {
-        self.cluster.store.slow(self.fault.size);
+        self.cluster.store.set_slowdown(self.fault.size);
         Timer::after(self.lasts).await;
-        self.cluster.store.slow(1.0);
+        self.cluster.store.set_slowdown(1.0);
     }
 
     async fn delay_list(&self) {
         let delay = Duration::from_secs_f64(self.fault.size);
-        self.cluster.list.late(delay);
+        self.cluster.list.set_delay(delay);
         Timer::after(self.lasts).await;
-        self.cluster.list.late(Duration::ZERO);
+        self.cluster.list.set_delay(Duration::ZERO);
     }
 
     async fn restart_broker(&self) {
@@ -211,9 +225,9 @@
     }
 
     async fn block_broker(&self) {
-        self.cluster.broker.block(true);
+        self.cluster.broker.set_blocked(true);
         Timer::after(self.lasts).await;
-        self.cluster.broker.block(false);
+        self.cluster.broker.set_blocked(false);
     }
 
     fn drop_channels(&mut self) {
@@ -245,7 +259,7 @@
         Timer::after(self.lasts).await;
         routers
             .iter()
-            .for_each(|router| log_failure(cluster.start_router(*router, State::Kept)));
+            .for_each(|router| log_failure(cluster.start_router(*router, StateAtStart::Kept)));
     }
 
     async fn pause_routers(&self) {
@@ -277,7 +291,7 @@
         Timer::after(self.lasts / 2).await;
         for &router in routers {
             let copy = self.older_state(router);
-            log_failure(cluster.start_router(router, State::Older(&copy)));
+            log_failure(cluster.start_router(router, StateAtStart::Older(&copy)));
         }
     }
 
@@ -290,10 +304,12 @@
     async fn partition(&self) {
         let fault = self.fault;
         let set_links = |link_fault: LinkFault| match (fault.what, &fault.region) {
-            (What::RegionCut, Some(region)) => self.cluster.cut_region(region, link_fault),
+            (FaultKind::RegionCut, Some(region)) => {
+                self.cluster.set_region_fault(region, link_fault)
+            }
             _ => self
                 .cluster
-                .cut_peers(&fault.which, fault.one_way, link_fault),
+                .set_peer_faults(&fault.which, fault.one_way, link_fault),
         };
         set_links(if fault.lost {
             LinkFault::Lost
--- a/crates/cli/src/scenario/mod.rs
+++ b/crates/cli/src/scenario/mod.rs
@@ -9,8 +9,8 @@
 
 use async_io::Timer;
 use cedarpulley_invariant_checker::Verdict;
-use cedarpulley_test_cluster::fleet::{Fleet, Launch};
-use cedarpulley_test_cluster::plan::{self, Day};
+use cedarpulley_test_cluster::cluster::{Cluster, ClusterOptions};
+use cedarpulley_test_cluster::scenario::{self, Scenario};
 use cedarpulley_test_cluster::traffic::Traffic;
 use clap::Args;
 use rand::SeedableRng;
@@ -56,7 +56,7 @@
 
 /// Plays a scenario and leaves traffic and verdict in its folder; true if every invariant holds.
 pub fn play(args: ScenarioArgs) -> Result<bool, CliError> {
-    let mut scenario = plan::read(&args.scenario)?;
+    let mut scenario = scenario::read(&args.scenario)?;
     scenario.seed = args.seed.unwrap_or(scenario.seed);
     let out = args.out.unwrap_or_else(|| {
         std::env::temp_dir().join(format!("cedarpulley-day-{}", std::process::id()))
@@ -66,10 +66,10 @@
         .router
         .map_or_else(std::env::current_exe, Ok)
         .map_err(CliError::RouterStart)?;
-    let cluster = Arc::new(Fleet::prepare(
+    let cluster = Arc::new(Cluster::prepare(
         &scenario,
-        Launch {
-            out: out.clone(),
+        ClusterOptions {
+            folder: out.clone(),
             program,
             tamper: args.tamper,
             trace,
@@ -104,14 +104,14 @@
 }
 
 /// Runs traffic and faults to their end; false if a router had to be killed.
-async fn run(scenario: &Day, cluster: &Arc<Fleet>) -> Result<bool, CliError> {
+async fn run(scenario: &Scenario, cluster: &Arc<Cluster>) -> Result<bool, CliError> {
     cluster.start_routers()?;
     let traffic = Traffic::begin(scenario, cluster);
     let began = traffic.began;
     let mut fault_tasks = Vec::new();
-    for (index, fault) in scenario.troubles.iter().cloned().enumerate() {
+    for (index, fault) in scenario.faults.iter().cloned().enumerate() {
         let (cluster, zones) = (cluster.clone(), scenario.zones.clone());
-        let executor = cluster.ground.executor.clone();
+        let executor = cluster.host.executor.clone();
         let random = Pcg64Mcg::seed_from_u64(scenario.seed ^ (index as u64 + 1) << 32);
         let task = async move {
             Timer::at(began + Duration::from_secs_f64(fault.at_s)).await;
--- a/crates/cli/src/trace/compare.rs
+++ b/crates/cli/src/trace/compare.rs
@@ -7,8 +7,8 @@
 use std::process::Command;
 
 use cedarpulley_trace::Error;
-use cedarpulley_trace::compare::{Compare, Compared, Kind};
-use cedarpulley_trace::replay::{Decisions, Step, drive, told};
+use cedarpulley_trace::compare::{Comparison, ComparisonResult, DifferenceKind};
+use cedarpulley_trace::replay::{DecisionReader, ReplayStep, describe_event, replay_steps};
 use serde_json::json;
 
 use super::input::{IncarnationFiles, by_incarnation, open};
@@ -33,26 +33,26 @@
     Ok(comparison.differing == 0)
 }
 
-fn print_table(comparison: &Compared) {
+fn print_table(comparison: &ComparisonResult) {
     print_line!("{:<44} {:>16} {:>10}", "kind", "first in a life", "later");
     for (kind, count) in &comparison.by_kind {
         let kind = match kind {
-            Kind::Instead(before, now) => format!("{before:?} before, now {now:?}"),
+            DifferenceKind::OtherDecision(before, now) => format!("{before:?} before, now {now:?}"),
             other => format!("{other:?}"),
         };
         print_line!("{kind:<44} {:>16} {:>10}", count.first, count.later);
     }
     print_line!(
         "{} of {} lives differ, {} of {} decisions; {} decisions are exact, up to the first difference of each life",
-        comparison.rows_differing,
-        comparison.rows,
+        comparison.incarnations_differing,
+        comparison.incarnations,
         comparison.differing,
         comparison.decisions,
         comparison.decisions_exact
     );
 }
 
-fn compare_with_build(files: &[PathBuf], program: &Path) -> Result<Compared, CliError> {
+fn compare_with_build(files: &[PathBuf], program: &Path) -> Result<ComparisonResult, CliError> {
     let folder = std::env::temp_dir().join(format!("cedarpulley-redone-{}", std::process::id()));
     let comparison = redo_with_build(program, files, &folder)
         .and_then(|()| compare_incarnations(files, Some(&folder)));
@@ -83,12 +83,15 @@
 }
 
 /// With what was recorded, or with what another build has left in the folder `redone`.
-fn compare_incarnations(files: &[PathBuf], redone: Option<&Path>) -> Result<Compared, CliError> {
-    let mut comparison = Compare::default();
+fn compare_incarnations(
+    files: &[PathBuf],
+    redone: Option<&Path>,
+) -> Result<ComparisonResult, CliError> {
+    let mut comparison = Comparison::default();
     for (index, incarnation) in by_incarnation(files)?.into_iter().enumerate() {
-        comparison.row();
+        comparison.begin_incarnation();
         let other_decisions = match redone {
-            Some(folder) => Some(Decisions::new(open(&redone_file(folder, index))?)),
+            Some(folder) => Some(DecisionReader::new(open(&redone_file(folder, index))?)),
             None => None,
         };
         compare_incarnation(incarnation, other_decisions, &mut comparison)?;
@@ -98,13 +101,13 @@
 
 fn compare_incarnation(
     mut incarnation: IncarnationFiles,
-    mut other_decisions: Option<Decisions<BufReader<File>>>,
-    comparison: &mut Compare,
+    mut other_decisions: Option<DecisionReader<BufReader<File>>>,
+    comparison: &mut Comparison,
 ) -> Result<(), CliError> {
-    let result = drive(&mut incarnation.readers, |step| {
-        let Step::Decided {
+    let result = replay_steps(&mut incarnation.readers, |step| {
+        let ReplayStep::Decided {
             at,
-            happened,
+            event: happened,
             recorded,
             replayed,
         } = step
@@ -116,12 +119,12 @@
             return Ok(true);
         };
         let Some((other_at, other_event, other_actions)) = other_decisions.next()? else {
-            return Err(Error::Other {
+            return Err(Error::OtherBuild {
                 how: "went less far",
             });
         };
-        if other_at != at || told(&other_event) != told(&happened) {
-            return Err(Error::Other {
+        if other_at != at || describe_event(&other_event) != describe_event(&happened) {
+            return Err(Error::OtherBuild {
                 how: "was not told the same",
             });
         }
--- a/crates/cli/src/trace/explain.rs
+++ b/crates/cli/src/trace/explain.rs
@@ -2,14 +2,14 @@
 
 use std::path::PathBuf;
 
-use cedarpulley_trace::explain::Explain;
+use cedarpulley_trace::explain::CauseRanker;
 
 use super::input::TraceFile;
 use crate::error::CliError;
 
 /// Prints the causes, dearest first, of the invocations in this span of wall time (microseconds since 1970).
 pub fn explain(files: &[PathBuf], span_us: (i64, i64), json: bool) -> Result<(), CliError> {
-    let mut explain = Explain::default();
+    let mut explain = CauseRanker::default();
     // Sources are numbered on over all files.
     let mut first_source = 0;
     for path in files {
--- a/crates/cli/src/trace/input.rs
+++ b/crates/cli/src/trace/input.rs
@@ -5,10 +5,10 @@
 use std::io::BufReader;
 use std::path::{Path, PathBuf};
 
-use cedarpulley_trace::reader::{Found, Reader};
+use cedarpulley_trace::reader::{BlockRead, Reader};
 use cedarpulley_trace::records::Record;
 use cedarpulley_trace::start::Source;
-use cedarpulley_trace::writer::traces;
+use cedarpulley_trace::writer::trace_files;
 
 use crate::error::CliError;
 
@@ -20,7 +20,7 @@
     let mut files = Vec::new();
     for path in paths {
         match path.is_dir() {
-            true => files.extend(traces(path).map_err(CliError::file(path))?),
+            true => files.extend(trace_files(path).map_err(CliError::file(path))?),
             false => files.push(path.clone()),
         }
     }
@@ -78,7 +78,10 @@
             .map_err(CliError::trace(self.path.display()))?
         {
             match found {
-                Found::Block { records, place } => {
+                BlockRead::Block {
+                    records,
+                    location: place,
+                } => {
                     let source = &sources[place.source as usize];
                     for (at, record) in &records {
                         visit(RecordInFile {
@@ -89,7 +92,7 @@
                         });
                     }
                 }
-                Found::Damaged { .. } => damaged_blocks += 1,
+                BlockRead::Damaged { .. } => damaged_blocks += 1,
             }
         }
         Ok(damaged_blocks)
@@ -111,14 +114,14 @@
     for file in files {
         for source in 0..open(file)?.sources.len() {
             let mut reader = open(file)?;
-            reader.only = Some(source as u32);
+            reader.only_source = Some(source as u32);
             let start = &reader.sources[source].start;
             let folder = file.parent().map(Path::to_owned).unwrap_or_default();
             let key = (folder, start.router.clone(), start.wall_at_zero);
             incarnations
                 .entry(key)
                 .or_default()
-                .push((start.file, reader));
+                .push((start.file_number, reader));
         }
     }
     let in_file_order = |((_, router, wall_at_zero), mut numbered): (_, Vec<(u64, FileReader)>)| {
--- a/crates/cli/src/trace/replay.rs
+++ b/crates/cli/src/trace/replay.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use cedarpulley_trace::replay::{self, Difference, told};
+use cedarpulley_trace::replay::{self, Difference, describe_event};
 use serde_json::json;
 
 use super::input::{IncarnationFiles, by_incarnation};
@@ -76,7 +76,7 @@
         difference.decision,
         difference.at
     );
-    print_line!("  told:     {}", told(&difference.happened));
+    print_line!("  told:     {}", describe_event(&difference.event));
     print_line!("  recorded: {:?}", difference.recorded);
     print_line!("  replayed: {:?}", difference.replayed);
     difference
--- a/crates/cli/src/trace/rewrite.rs
+++ b/crates/cli/src/trace/rewrite.rs
@@ -7,8 +7,8 @@
 use cedarpulley_trace::Error;
 use cedarpulley_trace::merge::{self, Offsets};
 use cedarpulley_trace::rewrite::{self, Rewritten};
-use cedarpulley_trace::select::Wanted;
-use cedarpulley_trace::strip::Strip;
+use cedarpulley_trace::selection::SelectionCriteria;
+use cedarpulley_trace::strip::Pseudonymizer;
 use clap::Args;
 
 use super::input::{FileReader, open};
@@ -44,13 +44,13 @@
 
 /// Copies the selected part of a file; true if no block of it is damaged.
 pub fn cut(args: CutArgs) -> Result<bool, CliError> {
-    let selection = Wanted {
+    let selection = SelectionCriteria {
         from: args.from.map(micros),
         until: args.until.map(micros),
         function: args.function,
         account: args.account,
         worker: args.worker,
-        mark: args.invocation,
+        correlation_id: args.invocation,
     };
     rewrite_file(&args.file, &args.out, |reader, writer| {
         rewrite::cut(reader, &selection, writer)
@@ -68,7 +68,7 @@
             least: LEAST_SECRET,
         });
     }
-    let mut strip = Strip::new(&secret);
+    let mut strip = Pseudonymizer::new(&secret);
     rewrite_file(file, out, |reader, writer| {
         rewrite::strip(reader, &mut strip, writer)
     })
--- a/crates/cli/src/trace/rules.rs
+++ b/crates/cli/src/trace/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::path::PathBuf;
 
-use cedarpulley_trace::rules::Rules;
+use cedarpulley_trace::rule_check::RuleChecker;
 
 use super::input::TraceFile;
 use crate::error::CliError;
@@ -11,7 +11,7 @@
 /// Prints what breaks a rule; true if nothing does.
 pub fn check_rules(files: &[PathBuf], json: bool) -> Result<bool, CliError> {
     // Sources are numbered on over all files.
-    let (mut rules, mut all_sources) = (Rules::default(), HashMap::new());
+    let (mut rules, mut all_sources) = (RuleChecker::default(), HashMap::new());
     for path in files {
         let mut file = TraceFile::open(path)?;
         let first_source = all_sources.len() as u32;
@@ -22,11 +22,14 @@
         all_sources.extend((first_source..).zip(file.sources().to_vec()));
     }
     let report = rules.finish(&all_sources);
-    let broken: u64 = report.rules.values().sum();
+    let broken: u64 = report.violations_by_rule.values().sum();
     if json {
         print_line!("{}", serde_json::to_string_pretty(&report)?);
     } else {
-        report.breaks.iter().for_each(|line| print_line!("{line}"));
+        report
+            .violations
+            .iter()
+            .for_each(|line| print_line!("{line}"));
         let (invocations, open) = (report.invocations, report.unseen);
         print_line!(
             "{invocations} invocations, {broken} breaks of rules 1, 2, 3 and 5; {open} still open where their trace ends"
--- a/crates/cli/src/trace/show.rs
+++ b/crates/cli/src/trace/show.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use cedarpulley_trace::show::Follow;
+use cedarpulley_trace::invocation_history::InvocationHistory;
 
 use super::input::TraceFile;
 use crate::error::CliError;
@@ -12,7 +12,11 @@
     let mut lines = Vec::new();
     for path in files {
         let mut file = TraceFile::open(path)?;
-        let mut histories: Vec<Follow> = file.sources().iter().map(|_| Follow::new(mark)).collect();
+        let mut histories: Vec<InvocationHistory> = file
+            .sources()
+            .iter()
+            .map(|_| InvocationHistory::new(mark))
+            .collect();
         file.for_each_record(|entry| {
             histories[entry.source_index as usize].record(entry.source, entry.at, entry.record);
         })?;
--- a/crates/cli/src/trace/summary.rs
+++ b/crates/cli/src/trace/summary.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 
 use cedarpulley_trace::chart;
-use cedarpulley_trace::course::Course;
-use cedarpulley_trace::summary::{Counter, SPAN_S};
+use cedarpulley_trace::summary::{SummaryBuilder, WORST_SPAN_SECONDS};
+use cedarpulley_trace::timeline::Timeline;
 
 use super::input::{RecordInFile, TraceFile};
 use super::output::write_atomically;
@@ -14,24 +14,24 @@
 /// Counts every record of every file, and shows each to `visit` as well.
 fn count(
     files: &[PathBuf],
-    counter: &mut Counter,
+    counter: &mut SummaryBuilder,
     mut visit: impl FnMut(&RecordInFile),
 ) -> Result<(), CliError> {
     for path in files {
         let mut file = TraceFile::open(path)?;
-        counter.file(file.sources());
+        counter.begin_file(file.sources());
         let damaged_blocks = file.for_each_record(|entry| {
             counter.record(entry.source_index, entry.source, entry.at, entry.record);
             visit(&entry);
         })?;
-        (0..damaged_blocks).for_each(|_| counter.damaged());
+        (0..damaged_blocks).for_each(|_| counter.damaged_block());
     }
     Ok(())
 }
 
 /// Prints the summary as a table or as JSON.
 pub fn summary(files: &[PathBuf], json: bool) -> Result<(), CliError> {
-    let mut counter = Counter::default();
+    let mut counter = SummaryBuilder::default();
     count(files, &mut counter, |_| {})?;
     let summary = counter.finish();
     match json {
@@ -43,7 +43,7 @@
 
 /// Writes the drawing (SVG) to `out` and prints its path.
 pub fn chart(files: &[PathBuf], out: &Path) -> Result<(), CliError> {
-    let (mut counter, mut timeline) = (Counter::default(), Course::default());
+    let (mut counter, mut timeline) = (SummaryBuilder::default(), Timeline::default());
     count(files, &mut counter, |entry| {
         timeline.record(entry.source, entry.at, entry.record)
     })?;
@@ -57,9 +57,12 @@
         "{} invocations, {} {routers}",
         summary.invocations, summary.routers
     );
-    let worst_span_us = summary
-        .worst
-        .map(|(start_s, _)| (start_s * 1_000_000, (start_s + SPAN_S) * 1_000_000));
+    let worst_span_us = summary.worst.map(|(start_s, _)| {
+        (
+            start_s * 1_000_000,
+            (start_s + WORST_SPAN_SECONDS) * 1_000_000,
+        )
+    });
     let svg =
         chart::svg(&timeline, &title, worst_span_us).map_err(CliError::trace(out.display()))?;
     write_atomically(out, |writer| {
--- a/crates/cli/src/trace/verify.rs
+++ b/crates/cli/src/trace/verify.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use cedarpulley_errors::Remedy;
-use cedarpulley_trace::reader::{Ended, Found};
+use cedarpulley_trace::reader::{BlockRead, FileEnd};
 
 use super::input::{FileReader, open};
 use crate::error::CliError;
@@ -27,23 +27,23 @@
     let (mut blocks, mut record_count, mut damaged_blocks) = (0, 0, 0);
     while let Some(found) = reader.next().map_err(CliError::trace(file.display()))? {
         match found {
-            Found::Block { records, .. } => {
+            BlockRead::Block { records, .. } => {
                 blocks += 1;
                 record_count += records.len();
             }
-            Found::Damaged { offset, cause } => {
+            BlockRead::Damaged { offset, cause } => {
                 damaged_blocks += 1;
                 print_line!("{}: damaged at byte {offset}: {cause}", file.display());
             }
         }
     }
     let end = match &reader.ended {
-        Some(Ended::Cut { offset }) => format!("cut after byte {offset}"),
+        Some(FileEnd::Truncated { offset }) => format!("cut after byte {offset}"),
         _ => "ended well".to_owned(),
     };
     print_line!(
         "{}: {blocks} blocks, {record_count} records, {damaged_blocks} damaged, {end}",
         file.display()
     );
-    Ok(damaged_blocks == 0 && reader.ended == Some(Ended::Well))
+    Ok(damaged_blocks == 0 && reader.ended == Some(FileEnd::Complete))
 }
--- a/crates/cli/src/usage/reconcile.rs
+++ b/crates/cli/src/usage/reconcile.rs
@@ -5,7 +5,7 @@
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 
-use cedarpulley_usage_metering::{Kind, Sum};
+use cedarpulley_usage_metering::{Usage, UsageKind};
 use serde_json::{Value, json};
 
 use super::stores::{self, expand_folders};
@@ -17,7 +17,7 @@
 const MAX_UNCERTAIN: f64 = 0.01;
 
 /// Tenant, and what its memory was used for.
-type UsageKey = (String, Kind);
+type UsageKey = (String, UsageKind);
 
 /// What the emulated workers logged, in byte-microseconds.
 #[derive(Default)]
@@ -49,9 +49,9 @@
     fn add(&mut self, line: &Value) {
         let bytes = u128::from(line["bytes"].as_u64().unwrap_or(0));
         let kinds = [
-            ("running", Kind::Running),
-            ("loading", Kind::Loading),
-            ("idle", Kind::Idle),
+            ("running", UsageKind::Running),
+            ("loading", UsageKind::Loading),
+            ("idle", UsageKind::Idle),
         ];
         for (name, kind) in kinds {
             let byte_us = bytes * u128::from(line[name].as_u64().unwrap_or(0));
@@ -86,8 +86,8 @@
 }
 
 impl Reconciliation {
-    fn of(metered: &BTreeMap<UsageKey, Sum>, logged: &LoggedUsage) -> Self {
-        let comparable = [Kind::Running, Kind::Loading, Kind::Idle];
+    fn of(metered: &BTreeMap<UsageKey, Usage>, logged: &LoggedUsage) -> Self {
+        let comparable = [UsageKind::Running, UsageKind::Loading, UsageKind::Idle];
         let mut keys: Vec<_> = metered
             .keys()
             .filter(|key| comparable.contains(&key.1))
@@ -110,7 +110,9 @@
         let mut rows: Vec<TenantComparison> = keys.into_iter().map(row).collect();
         let total_logged = rows.iter().map(|row| row.logged).sum();
         rows.sort_by(|a, b| b.difference.abs().total_cmp(&a.difference.abs()));
-        let uncertain = metered.iter().filter(|(key, _)| key.1 == Kind::Uncertain);
+        let uncertain = metered
+            .iter()
+            .filter(|(key, _)| key.1 == UsageKind::Uncertain);
         Reconciliation {
             rows,
             uncertain: uncertain.fold(0.0, |total, (_, sum)| total + sum.mb_seconds()),
@@ -188,7 +190,7 @@
 pub fn reconcile(folder: &Path, json: bool) -> Result<bool, CliError> {
     let sums = stores::read(&expand_folders(&[folder.join("meter")])?)?.sums();
     let logged = LoggedUsage::read(&folder.join("traffic"))?;
-    let metered = sums.by(|key| (key.account.to_string(), key.kind));
+    let metered = sums.group_by(|key| (key.account.to_string(), key.kind));
     let reconciliation = Reconciliation::of(&metered, &logged);
     if json {
         reconciliation.print_json()?;
--- a/crates/cli/src/usage/report.rs
+++ b/crates/cli/src/usage/report.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use cedarpulley_usage_metering::{Key, Sum};
+use cedarpulley_usage_metering::{Usage, UsageKey};
 use serde_json::{Map, Value, json};
 
 use super::GroupBy;
@@ -18,7 +18,7 @@
 }
 
 /// Sums by the values of the columns.
-type Rows = BTreeMap<Vec<String>, Sum>;
+type Rows = BTreeMap<Vec<String>, Usage>;
 
 impl GroupBy {
     /// The column's name in every format.
@@ -32,7 +32,7 @@
     }
 
     /// The column's value; an hour as the second since 1970 at which it begins.
-    fn value(self, key: &Key) -> String {
+    fn value(self, key: &UsageKey) -> String {
         match self {
             GroupBy::Tenant => key.account.to_string(),
             GroupBy::Function => key.function.to_string(),
@@ -45,7 +45,7 @@
 /// Prints the usage in the files.
 pub fn report(files: &[PathBuf], by: &[GroupBy], format: OutputFormat) -> Result<(), CliError> {
     let sums = stores::read(files)?.sums();
-    let rows = sums.by(|key| {
+    let rows = sums.group_by(|key| {
         by.iter()
             .map(|column| column.value(key))
             .collect::<Vec<_>>()
@@ -62,7 +62,7 @@
     }
 }
 
-fn print_json(columns: &[&str], rows: &Rows, total: &Sum) -> Result<(), CliError> {
+fn print_json(columns: &[&str], rows: &Rows, total: &Usage) -> Result<(), CliError> {
     let rows: Vec<Value> = rows
         .iter()
         .map(|(values, sum)| row_as_json(columns, values, sum))
@@ -72,7 +72,7 @@
     Ok(())
 }
 
-fn row_as_json(columns: &[&str], values: &[String], sum: &Sum) -> Value {
+fn row_as_json(columns: &[&str], values: &[String], sum: &Usage) -> Value {
     let mut row: Map<String, Value> = columns
         .iter()
         .zip(values)
@@ -102,7 +102,7 @@
     Ok(())
 }
 
-fn print_table(columns: &[&str], rows: &Rows, total: &Sum) {
+fn print_table(columns: &[&str], rows: &Rows, total: &Usage) {
     let padded = |cell: &str| format!("{cell:<20}");
     let head: String = columns.iter().map(|column| padded(column)).collect();
     print_line!("{head}{:>16} {:>10}", "MB-s", "count");
--- a/crates/cli/src/usage/stores.rs
+++ b/crates/cli/src/usage/stores.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use cedarpulley_usage_metering::Book;
+use cedarpulley_usage_metering::UsageReport;
 use cedarpulley_usage_store::Ledger;
 
 use crate::error::CliError;
@@ -32,8 +32,8 @@
 }
 
 /// The usage in all files together; a store that is given twice counts once.
-pub fn read(files: &[PathBuf]) -> Result<Book, CliError> {
-    let mut usage = Book::default();
+pub fn read(files: &[PathBuf]) -> Result<UsageReport, CliError> {
+    let mut usage = UsageReport::default();
     for file in files {
         // Opening a store that is not there would create it.
         if !file.is_file() {
@@ -41,9 +41,9 @@
                 file: file.display().to_string(),
             });
         }
-        usage.join(
+        usage.merge(
             Ledger::open(file)
-                .and_then(|store| store.book())
+                .and_then(|store| store.report())
                 .map_err(CliError::usage_store(file))?,
         );
     }
@@ -54,11 +54,11 @@
 pub fn merge(files: &[PathBuf], out: &Path) -> Result<(), CliError> {
     let usage = read(files)?;
     Ledger::open(out)
-        .and_then(|store| store.join(&usage))
+        .and_then(|store| store.merge(&usage))
         .map_err(CliError::usage_store(out))?;
     print_line!(
         "{} lives of routers in {}",
-        usage.measured.len(),
+        usage.by_source.len(),
         out.display()
     );
     Ok(())
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -186,29 +186,29 @@
 
 #[test]
 fn ledgers_are_reported_and_merged_and_wrong_ones_refused() {
-    use cedarpulley_usage_metering::sums::{Key, Kind, Sum, Sums};
+    use cedarpulley_usage_metering::usage::{Usage, UsageByKey, UsageKey, UsageKind};
     use cedarpulley_usage_store::Ledger;
     let folder = PathBuf::from(out("ledgers"));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
     for (source, router) in [(1, "one"), (2, "other")] {
-        let mut sums = Sums::default();
+        let mut sums = UsageByKey::default();
         let (account, function) = ("amber, inc".into(), "f".into());
-        let key = Key {
+        let key = UsageKey {
             hour: 480_000,
             account,
             function,
-            kind: Kind::Running,
+            kind: UsageKind::Running,
         };
         sums.add(
             key,
-            Sum {
+            Usage {
                 byte_us: 3_000_000_000_000,
                 count: source as u64,
             },
         );
         let ledger = Ledger::open(&folder.join(format!("{router}.ledger"))).expect("it opens");
-        let part = cedarpulley_usage_metering::Part {
+        let part = cedarpulley_usage_metering::UsageDelta {
             sums,
             ..Default::default()
         };
--- a/crates/cli/tests/fleets/mod.rs
+++ b/crates/cli/tests/fleets/mod.rs
@@ -7,10 +7,10 @@
 
 use cedarpulley_emulators::lock;
 use cedarpulley_invariant_checker::Verdict;
-use cedarpulley_test_cluster::client::Asks;
-use cedarpulley_test_cluster::fleet::{BROKER, Fleet, LIST, Launch};
-use cedarpulley_test_cluster::links::Fault;
-use cedarpulley_test_cluster::plan::{self, Day};
+use cedarpulley_test_cluster::amqp_client::FunctionOverride;
+use cedarpulley_test_cluster::cluster::{BROKER, Cluster, ClusterOptions, LIST};
+use cedarpulley_test_cluster::links::LinkFault;
+use cedarpulley_test_cluster::scenario::{self, Scenario};
 use cedarpulley_test_cluster::script::Script;
 use cedarpulley_test_cluster::traffic::Traffic;
 use cedarpulley_test_cluster::until;
@@ -28,11 +28,11 @@
 pub const LONG_MS: u64 = 4_200;
 
 /// A small one of the day with two regions, without its troubles.
-pub fn day(change: impl FnOnce(&mut Day)) -> Day {
+pub fn day(change: impl FnOnce(&mut Scenario)) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/regions.toml");
-    let mut day = plan::read(&file).expect("a day");
+    let mut day = scenario::read(&file).expect("a day");
     (day.seed, day.seconds, day.rate_per_s, day.routers) = (5, 6.0, 25.0, 3);
-    day.troubles.clear();
+    day.faults.clear();
     day.peers = false;
     day.workers
         .iter_mut()
@@ -49,7 +49,7 @@
         t.window_ms = if t.window_ms > 0 { 30_000 } else { 0 };
     }
     // Nothing is turned away for want of room.
-    (day.nature.most_waiting, day.nature.most_loads) = (1000, 100);
+    (day.worker_limits.most_waiting, day.worker_limits.most_loads) = (1000, 100);
     day.settings
         .loads
         .insert("order_answered_within_ms".into(), 20_000.into());
@@ -63,7 +63,7 @@
 }
 
 pub struct Played {
-    pub fleet: Fleet,
+    pub fleet: Cluster,
     pub verdict: Verdict,
     pub answers: HashMap<String, Vec<String>>,
     pub sent: usize,
@@ -82,15 +82,15 @@
     }
 }
 
-pub fn play(day: &Day, tamper: Option<&str>, script: Script, patience: Duration) -> Played {
+pub fn play(day: &Scenario, tamper: Option<&str>, script: Script, patience: Duration) -> Played {
     play_from(day, tamper, |_| {}, script, patience)
 }
 
 /// `before`: the routers start.
 pub fn play_from(
-    day: &Day,
+    day: &Scenario,
     tamper: Option<&str>,
-    before: impl FnOnce(&Fleet),
+    before: impl FnOnce(&Cluster),
     script: Script,
     patience: Duration,
 ) -> Played {
@@ -99,28 +99,28 @@
 
 /// `asks`: what the clients ask for, where it is not what the day says.
 pub fn play_asking(
-    day: &Day,
+    day: &Scenario,
     tamper: Option<&str>,
-    before: impl FnOnce(&Fleet),
-    asks: impl FnOnce(&Fleet) -> Option<Asks>,
+    before: impl FnOnce(&Cluster),
+    asks: impl FnOnce(&Cluster) -> Option<FunctionOverride>,
     script: Script,
     patience: Duration,
 ) -> Played {
     let _turn = TURNS.acquire_blocking();
     let folder = tempfile::tempdir().expect("a folder");
     let (out, tamper) = (folder.path().to_owned(), tamper.map(str::to_owned));
-    let launch = Launch {
-        out,
+    let launch = ClusterOptions {
+        folder: out,
         program: PROGRAM.into(),
         tamper,
         trace: true,
     };
-    let fleet = Fleet::prepare(day, launch).expect("a fleet");
+    let fleet = Cluster::prepare(day, launch).expect("a fleet");
     before(&fleet);
     fleet.start_routers().expect("they come up");
-    let traffic = Traffic::begin_asking(day, &fleet, asks(&fleet));
-    script.play(&fleet, traffic.began);
-    traffic.is_answered(patience);
+    let traffic = Traffic::begin_with(day, &fleet, asks(&fleet));
+    script.run(&fleet, traffic.began);
+    traffic.wait_until_answered(patience);
     let states = (0..fleet.routers.len()).map(|n| fleet.state(n)).collect();
     let stopped = fleet.stop(PATIENCE);
     let verdict = fleet.verdict().expect("a verdict");
@@ -144,7 +144,7 @@
             let file = self
                 .fleet
                 .folder()
-                .join(format!("traffic/{}.ndjson", self.fleet.worker(w)));
+                .join(format!("traffic/{}.ndjson", self.fleet.worker_name(w)));
             for line in std::fs::read_to_string(file).expect("a log").lines() {
                 let line: serde_json::Value = serde_json::from_str(line).expect("JSON");
                 if line["what"] == "ran" && line["type"] == kind {
@@ -187,12 +187,12 @@
     }
 }
 
-pub const PASS: Fault = Fault::Pass;
-pub const LATE: Fault = Fault::Late {
+pub const PASS: LinkFault = LinkFault::Pass;
+pub const LATE: LinkFault = LinkFault::Delayed {
     by: Duration::from_millis(50),
     spread: Duration::from_millis(100),
 };
-pub const SLOW: Fault = Fault::Throttled { bytes_per_s: 3000 };
+pub const SLOW: LinkFault = LinkFault::Throttled { bytes_per_s: 3000 };
 
 /// Of router 1's links, but for a region's.
 #[derive(Clone, Copy)]
@@ -204,35 +204,37 @@
 }
 
 /// What is set on the way there, and on the way back.
-pub fn set(fleet: &Fleet, on: On, out: Fault, back: Fault) {
+pub fn set(fleet: &Cluster, on: On, out: LinkFault, back: LinkFault) {
     let far = match on {
-        On::Region(name) => return fleet.cut_region(name, out),
+        On::Region(name) => return fleet.set_region_fault(name, out),
         On::Broker => vec![BROKER.to_owned()],
         On::List => vec![LIST.to_owned()],
-        On::Workers => (0..fleet.workers.len()).map(|w| fleet.worker(w)).collect(),
+        On::Workers => (0..fleet.workers.len())
+            .map(|w| fleet.worker_name(w))
+            .collect(),
     };
     for far in far {
-        fleet.links.set(&fleet.router(1), &far, out);
-        fleet.links.set(&far, &fleet.router(1), back);
+        fleet.links.set(&fleet.router_name(1), &far, out);
+        fleet.links.set(&far, &fleet.router_name(1), back);
     }
 }
 
 /// Mostly of what must not run twice.
-pub fn once(day: &mut Day) {
+pub fn once(day: &mut Scenario) {
     day.triggers
         .iter_mut()
         .for_each(|t| t.part = if t.name == "reserve" { 0.9 } else { 0.05 });
 }
 
 /// Handed out in turn: each router has some, which have run and are not answered.
-pub fn hold_unanswered(f: &Fleet) {
-    f.workers.iter().for_each(|w| w.hang(true));
+pub fn hold_unanswered(f: &Cluster) {
+    f.workers.iter().for_each(|w| w.set_hanging(true));
     assert!(
         until(PATIENCE, || f.broker.unacked() >= 12),
         "they have work"
     );
 }
 
-pub fn answer_again(f: &Fleet) {
-    f.workers.iter().for_each(|w| w.hang(false));
+pub fn answer_again(f: &Cluster) {
+    f.workers.iter().for_each(|w| w.set_hanging(false));
 }
--- a/crates/cli/tests/group.rs
+++ b/crates/cli/tests/group.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use cedarpulley_emulators::lock;
-use cedarpulley_test_cluster::fleet::{BROKER, Fleet};
-use cedarpulley_test_cluster::links::Fault;
-use cedarpulley_test_cluster::plan::Day;
-use cedarpulley_test_cluster::process::State;
+use cedarpulley_test_cluster::cluster::{BROKER, Cluster};
+use cedarpulley_test_cluster::links::LinkFault;
+use cedarpulley_test_cluster::router_process::StateAtStart;
+use cedarpulley_test_cluster::scenario::Scenario;
 use cedarpulley_test_cluster::script::Script;
 use cedarpulley_test_cluster::until;
 use rand::RngExt;
@@ -29,7 +29,7 @@
 const SOME: u64 = 3;
 
 /// So many of its records stand so far.
-fn records(f: &Fleet, n: usize, advanced: &str) -> u64 {
+fn records(f: &Cluster, n: usize, advanced: &str) -> u64 {
     f.state(n)
         .map_or(0, |s| s["records"][advanced].as_u64().unwrap_or(0))
 }
@@ -47,16 +47,18 @@
 }
 
 /// How many a router has taken that stand so.
-fn claims(f: &Fleet, n: usize, how: &str) -> u64 {
+fn claims(f: &Cluster, n: usize, how: &str) -> u64 {
     f.state(n)
         .map_or(0, |s| s["claims"][how].as_u64().unwrap_or(0))
 }
 
 /// What one router sent of what must not run twice has begun at a worker.
-fn ran_of(f: &Fleet, n: usize) -> usize {
+fn ran_of(f: &Cluster, n: usize) -> usize {
     f.workers.iter().for_each(|w| w.flush());
-    let logs =
-        (0..f.workers.len()).map(|w| f.folder().join(format!("traffic/{}.ndjson", f.worker(w))));
+    let logs = (0..f.workers.len()).map(|w| {
+        f.folder()
+            .join(format!("traffic/{}.ndjson", f.worker_name(w)))
+    });
     let lines = logs.flat_map(|log| {
         let text = std::fs::read_to_string(log).expect("a log");
         text.lines()
@@ -69,7 +71,7 @@
             continue;
         };
         match line["what"].as_str() {
-            Some("received") if line["from"] == f.router(n) => came.insert(id),
+            Some("received") if line["from"] == f.router_name(n) => came.insert(id),
             Some("ran") if line["type"] == "reserve" => ran.insert(id),
             _ => false,
         };
@@ -78,37 +80,37 @@
 }
 
 /// Started, and heard of.
-fn back(f: &Fleet, n: usize, state: State) {
+fn back(f: &Cluster, n: usize, state: StateAtStart) {
     f.start_router(n, state).expect("it starts");
     comes("it is back", || f.state(n).is_some());
 }
 
-fn hang(f: &Fleet, on: bool) {
-    f.workers.iter().for_each(|w| w.hang(on));
+fn hang(f: &Cluster, on: bool) {
+    f.workers.iter().for_each(|w| w.set_hanging(on));
 }
 
 const STILL: f64 = 1e6;
 /// So long an owner does not hear of votes. What it asks meanwhile must not count as late: that is after a sixteenth of
 /// what is kept.
-const UNTOLD: Fault = Fault::Late {
+const UNTOLD: LinkFault = LinkFault::Delayed {
     by: Duration::from_millis(300),
     spread: Duration::ZERO,
 };
 
 /// No copy is loaded yet, and no worker loads by itself: all that is taken waits until the store goes on.
-fn stalled(d: &mut Day) {
+fn stalled(d: &mut Scenario) {
     d.settings
         .loads
         .insert("loads_when_absent".into(), false.into());
     d.store.mb_per_s /= STILL;
 }
 
-fn store_goes_on(f: &Fleet) {
-    f.store.slow(1.0 / STILL);
+fn store_goes_on(f: &Cluster) {
+    f.store.set_slowdown(1.0 / STILL);
 }
 
 /// Longer than a crowded machine takes for any step, where the fault must come about.
-fn patient(d: &mut Day) {
+fn patient(d: &mut Scenario) {
     waits(d, 2 * WAITS_MS);
     d.settings.peers.insert(
         "copied_within_ms".into(),
@@ -117,19 +119,19 @@
 }
 
 /// All comes within a second, and there is time for each step.
-fn all_at_once(d: &mut Day) {
+fn all_at_once(d: &mut Scenario) {
     patient(d);
     (d.seconds, d.rate_per_s) = (1.0, 40.0);
 }
 
 /// It has nothing in hand.
-fn idle(f: &Fleet, n: usize) -> bool {
+fn idle(f: &Cluster, n: usize) -> bool {
     f.state(n)
         .is_some_and(|s| s["claims"].as_object().is_some_and(|c| c.is_empty()))
 }
 
 /// So many are taken by the one, and nothing of it is asked for yet; the others have heard of them.
-fn taken(f: &Fleet, owner: usize) {
+fn taken(f: &Cluster, owner: usize) {
     comes("messages are taken", || claims(f, owner, "mine") >= SOME);
     let known = records(f, owner, "taken");
     comes("others hear of them", || {
@@ -161,7 +163,7 @@
     Acknowledged,
 }
 
-fn bring(f: &Fleet, after: After, owner: usize) {
+fn bring(f: &Cluster, after: After, owner: usize) {
     let all = others(f, owner);
     // What ran before was answered.
     let before = Cell::new(0);
@@ -176,7 +178,7 @@
     };
     match after {
         After::TakenUntold => {
-            towards(f, owner, &all, Fault::Lost);
+            towards(f, owner, &all, LinkFault::Lost);
             comes("messages are taken", || {
                 claims(f, owner, "mine") >= 2 * SOME
             });
@@ -184,7 +186,7 @@
         After::Taken => taken(f, owner),
         After::Intended => {
             taken(f, owner);
-            towards(f, owner, &all, Fault::Lost);
+            towards(f, owner, &all, LinkFault::Lost);
             store_goes_on(f);
             comes("intents", || count(f, owner, "intents") >= SOME);
         }
@@ -199,7 +201,7 @@
                 } else {
                     &all[..1]
                 },
-                Fault::Lost,
+                LinkFault::Lost,
             );
             store_goes_on(f);
             sent();
@@ -230,18 +232,19 @@
             sent();
         }
         After::Ended => {
-            f.links.set(&f.router(owner), BROKER, Fault::Lost);
+            f.links.set(&f.router_name(owner), BROKER, LinkFault::Lost);
             hangs();
             sent();
             for w in 0..f.workers.len() {
-                f.links.set(&f.router(owner), &f.worker(w), Fault::Reset);
+                f.links
+                    .set(&f.router_name(owner), &f.worker_name(w), LinkFault::Reset);
             }
             comes("endings are told", || {
                 records(f, all[0], "may-have-run") >= 1
             });
         }
         After::Answered => {
-            f.links.set(&f.router(owner), BROKER, Fault::Lost);
+            f.links.set(&f.router_name(owner), BROKER, LinkFault::Lost);
             comes("answers", || claims(f, owner, "answered") >= SOME);
             comes("answers are told", || {
                 records(f, all[0], "answered") >= SOME
@@ -249,10 +252,10 @@
         }
         After::Acknowledged => {
             // Something is out as the link goes, however fast the machine is.
-            f.workers.iter().for_each(|w| w.pause(true));
+            f.workers.iter().for_each(|w| w.set_paused(true));
             comes("messages are taken", || claims(f, owner, "mine") >= SOME);
-            f.links.set(BROKER, &f.router(owner), Fault::Lost);
-            f.workers.iter().for_each(|w| w.pause(false));
+            f.links.set(BROKER, &f.router_name(owner), LinkFault::Lost);
+            f.workers.iter().for_each(|w| w.set_paused(false));
             comes("answers", || claims(f, owner, "answered") >= 1);
         }
     }
@@ -267,7 +270,12 @@
 }
 
 /// The owner dies there, for good until nothing is to be judged by it any more.
-fn owner_dies(after: After, owner: usize, tamper: Option<&str>, change: fn(&mut Day)) -> Played {
+fn owner_dies(
+    after: After,
+    owner: usize,
+    tamper: Option<&str>,
+    change: fn(&mut Scenario),
+) -> Played {
     let day = shared(3, |d| {
         if waits_for_loads(after) {
             stalled(d);
@@ -284,7 +292,7 @@
             hang(f, false);
             f.links.heal();
         })
-        .at(6000, |f| back(f, owner, State::Kept));
+        .at(6000, |f| back(f, owner, StateAtStart::Kept));
     play(
         &day,
         tamper,
@@ -297,7 +305,7 @@
     )
 }
 
-fn nothing(_: &mut Day) {}
+fn nothing(_: &mut Scenario) {}
 
 const UNSENT: Shown = |p| p.counted("proven_unsent") > 0;
 const UNSURE: Shown = |p| p.counted("takeovers") > 0 && p.verdict.answers["errored"] > 0;
@@ -362,8 +370,8 @@
 
 const POSTS_LOST: Shown = |p| p.counted("posts_failed") > 0 && p.counted("letters_dropped") > 0;
 
-fn all_unruly(f: &Fleet) {
-    let fault = Fault::Unruly {
+fn all_unruly(f: &Cluster) {
+    let fault = LinkFault::UnreliableMessages {
         drop: 0.2,
         twice: 0.2,
         after: 0.2,
@@ -375,19 +383,19 @@
 enum Cut {
     OneWayOut,
     OneWayIn,
-    BothWays(Fault),
-    West(Fault),
+    BothWays(LinkFault),
+    West(LinkFault),
     AllUnruly,
 }
 
-fn cut(f: &Fleet, cut: Cut) {
+fn cut(f: &Cluster, cut: Cut) {
     match cut {
-        Cut::OneWayOut => towards(f, OWNER, &others(f, OWNER), Fault::Held),
+        Cut::OneWayOut => towards(f, OWNER, &others(f, OWNER), LinkFault::Held),
         Cut::OneWayIn => others(f, OWNER)
             .iter()
-            .for_each(|m| towards(f, *m, &[OWNER], Fault::Held)),
+            .for_each(|m| towards(f, *m, &[OWNER], LinkFault::Held)),
         Cut::BothWays(fault) => both_ways(f, fault),
-        Cut::West(fault) => f.cut_region("west", fault),
+        Cut::West(fault) => f.set_region_fault("west", fault),
         Cut::AllUnruly => all_unruly(f),
     }
 }
@@ -395,10 +403,10 @@
 #[rstest]
 #[case::one_way_out(3, Cut::OneWayOut, LACKING)]
 #[case::one_way_in(3, Cut::OneWayIn, LACKING)]
-#[case::both_ways(3, Cut::BothWays(Fault::Held), LACKING)]
-#[case::both_ways_lost(3, Cut::BothWays(Fault::Lost), LACKING)]
-#[case::minority_with_the_owner(3, Cut::West(Fault::Held), LACKING)]
-#[case::equal_regions(4, Cut::West(Fault::Lost), LACKING)]
+#[case::both_ways(3, Cut::BothWays(LinkFault::Held), LACKING)]
+#[case::both_ways_lost(3, Cut::BothWays(LinkFault::Lost), LACKING)]
+#[case::minority_with_the_owner(3, Cut::West(LinkFault::Held), LACKING)]
+#[case::equal_regions(4, Cut::West(LinkFault::Lost), LACKING)]
 #[case::unruly(3, Cut::AllUnruly, POSTS_LOST)]
 fn rules_hold_while_routers_are_cut_apart(
     #[case] routers: u32,
@@ -429,7 +437,7 @@
 /// Links of one carry a few messages a second; the other two are a majority and go on.
 #[test]
 fn a_member_that_reads_slowly_stalls_nobody() {
-    let held = |f: &Fleet| count(f, 0, "held") + count(f, 2, "held");
+    let held = |f: &Cluster| count(f, 0, "held") + count(f, 2, "held");
     let script = Script::new(1)
         .at(1000, |f| both_ways(f, SLOW))
         .at(2500, |f| {
@@ -449,10 +457,12 @@
 /// Its folder grows old while its disk is full, and is written again once there is room.
 #[test]
 fn a_full_disk_of_its_folder_stops_no_member() {
-    let file = |f: &Fleet| f.folder().join(format!("routers/state-{OWNER}/group.redb"));
+    let file = |f: &Cluster| f.folder().join(format!("routers/state-{OWNER}/group.redb"));
     let script = Script::new(1)
         .at(500, |f| {
-            lock(&f.routers[OWNER]).limit_files(Some(0)).expect("set")
+            lock(&f.routers[OWNER])
+                .limit_file_size(Some(0))
+                .expect("set")
         })
         .at(1500, |f| {
             let before = count(f, OWNER, "held");
@@ -468,7 +478,9 @@
         })
         .at(2500, |f| {
             let lifted = std::time::SystemTime::now();
-            lock(&f.routers[OWNER]).limit_files(None).expect("lifted");
+            lock(&f.routers[OWNER])
+                .limit_file_size(None)
+                .expect("lifted");
             let written = || {
                 std::fs::metadata(file(f))
                     .and_then(|m| m.modified())
@@ -478,8 +490,8 @@
         })
         .at(3500, |f| {
             f.kill_router(OWNER);
-            back(f, OWNER, State::Kept);
-            comes("it remembers", || f.remembers(OWNER));
+            back(f, OWNER, StateAtStart::Kept);
+            comes("it remembers", || f.may_vote(OWNER));
         });
     let played = play(&shared(3, nothing), None, script, PATIENCE);
     played.holds();
@@ -489,9 +501,9 @@
 #[test]
 fn a_witness_gives_its_region_the_majority_in_a_cut() {
     let day = shared(5, |d| d.witness = true);
-    let held = |f: &Fleet| count(f, 0, "held") + count(f, 2, "held");
+    let held = |f: &Cluster| count(f, 0, "held") + count(f, 2, "held");
     let script = Script::new(1)
-        .at(1000, |f| f.cut_region("west", Fault::Lost))
+        .at(1000, |f| f.set_region_fault("west", LinkFault::Lost))
         // By then the others are held for dead.
         .at(3500, |f| {
             let before = held(f);
@@ -512,9 +524,16 @@
 fn a_flapping_link_breaks_no_rule() {
     let cut = Cell::new(false);
     let script = Script::new(2)
-        .often(500..5000, 150.0, |f, _| {
+        .repeatedly(500..5000, 150.0, |f, _| {
             cut.set(!cut.get());
-            both_ways(f, if cut.get() { Fault::Lost } else { Fault::Pass });
+            both_ways(
+                f,
+                if cut.get() {
+                    LinkFault::Lost
+                } else {
+                    LinkFault::Pass
+                },
+            );
         })
         .at(5000, |f| f.links.heal());
     let played = play(&shared(3, nothing), None, script, PATIENCE);
@@ -522,25 +541,27 @@
     assert!(POSTS_LOST(&played), "{:?}", played.states);
 }
 
-fn of_others(f: &Fleet, name: &str) -> u64 {
+fn of_others(f: &Cluster, name: &str) -> u64 {
     others(f, OWNER).iter().map(|n| count(f, *n, name)).sum()
 }
 
 /// What it sent lies on its way as others take over; it wakes when they are done with it.
 #[test]
 fn an_owner_stopped_over_a_takeover_with_dispatches_in_its_buffers_runs_nothing_twice() {
-    let workers = |f: &Fleet, fault| {
-        (0..f.workers.len()).for_each(|w| f.links.set(&f.router(OWNER), &f.worker(w), fault));
+    let workers = |f: &Cluster, fault| {
+        (0..f.workers.len())
+            .for_each(|w| f.links.set(&f.router_name(OWNER), &f.worker_name(w), fault));
     };
     let script = Script::new(1)
         .at(1000, |f| {
-            workers(f, Fault::Held);
+            workers(f, LinkFault::Held);
             let before = count(f, OWNER, "held");
             comes("leave is given", || {
                 count(f, OWNER, "held") >= before + SOME
             });
             f.pause_router(OWNER, true).expect("it stands still");
-            f.broker.drop_connections(|from| from == f.router(OWNER));
+            f.broker
+                .drop_connections(|from| from == f.router_name(OWNER));
             comes("others take over", || of_others(f, "takeovers") > 0);
             let dead = |n: &usize| {
                 f.state(*n)
@@ -550,7 +571,7 @@
             comes("what it had leave for may have run", || {
                 of_others(f, "may_have_run") > 0
             });
-            workers(f, Fault::Pass);
+            workers(f, LinkFault::Pass);
         })
         .at(1000, |f| f.pause_router(OWNER, false).expect("it goes on"));
     let played = play(&shared(3, nothing), None, script, PATIENCE);
@@ -559,17 +580,18 @@
 }
 
 /// Its intents reach nobody, and others run what it has.
-fn overtaken(f: &Fleet, out: Fault) {
+fn overtaken(f: &Cluster, out: LinkFault) {
     taken(f, OWNER);
-    both_ways(f, Fault::Lost);
+    both_ways(f, LinkFault::Lost);
     towards(f, OWNER, &others(f, OWNER), out);
     store_goes_on(f);
     comes("intents", || count(f, OWNER, "intents") >= SOME);
 }
 
 /// The broker sees it gone, and it does not see that.
-fn unheard(f: &Fleet) {
-    f.links.set(&f.router(OWNER), BROKER, Fault::HalfOpen);
+fn unheard(f: &Cluster) {
+    f.links
+        .set(&f.router_name(OWNER), BROKER, LinkFault::HalfOpen);
     comes("others run what never left", || {
         of_others(f, "proven_unsent") >= SOME
     });
@@ -578,10 +600,10 @@
 #[test]
 fn an_owner_that_wakes_with_late_intents_is_refused() {
     let script = Script::new(1).at(1000, |f| {
-        overtaken(f, Fault::Lost);
+        overtaken(f, LinkFault::Lost);
         f.pause_router(OWNER, true).expect("it stands still");
         unheard(f);
-        both_ways(f, Fault::Pass);
+        both_ways(f, LinkFault::Pass);
         f.pause_router(OWNER, false).expect("it goes on");
         comes("it is refused", || count(f, OWNER, "lost_to_others") > 0);
         f.links.heal();
@@ -592,7 +614,7 @@
 /// Intents come through after others have promised not to hold them.
 fn late_intents(tamper: Option<&str>) -> Played {
     let script = Script::new(1).at(1000, |f| {
-        overtaken(f, Fault::Held);
+        overtaken(f, LinkFault::Held);
         unheard(f);
         // They say nothing more of it by themselves.
         comes("others are done", || {
@@ -600,8 +622,8 @@
         });
         others(f, OWNER)
             .iter()
-            .for_each(|m| towards(f, *m, &[OWNER], Fault::Pass));
-        towards(f, OWNER, &others(f, OWNER), Fault::Pass);
+            .for_each(|m| towards(f, *m, &[OWNER], LinkFault::Pass));
+        towards(f, OWNER, &others(f, OWNER), LinkFault::Pass);
         comes("it hears of it", || {
             count(f, OWNER, "lost_to_others") + count(f, OWNER, "held") > 0
         });
@@ -635,9 +657,9 @@
 /// The broker hands out again what a router that lives still works on.
 #[test]
 fn two_routers_given_one_message_answer_it_once() {
-    let slow = |d: &mut Day| d.triggers.iter_mut().for_each(|t| t.work_ms = 500.0);
-    let script = Script::new(4).often(500..5500, 200.0, |f, random| {
-        let router = f.router(random.random_range(0..3));
+    let slow = |d: &mut Scenario| d.triggers.iter_mut().for_each(|t| t.work_ms = 500.0);
+    let script = Script::new(4).repeatedly(500..5500, 200.0, |f, random| {
+        let router = f.router_name(random.random_range(0..3));
         f.broker.drop_channels(|from| from == router);
     });
     let played = play(&shared(3, slow), None, script, PATIENCE);
@@ -652,25 +674,25 @@
 /// Of an owner and one other that hold the intents, the other starts anew with nothing, and then the owner dies.
 fn both_holders_die(tamper: Option<&str>) -> Played {
     let process =
-        |f: &Fleet, n: usize, of: usize| f.state(n).map(|s| s["members"][of]["process"].clone());
+        |f: &Cluster, n: usize, of: usize| f.state(n).map(|s| s["members"][of]["process"].clone());
     let script = Script::new(1)
         .at(1000, |f| {
             taken(f, OWNER);
             hang(f, true);
-            towards(f, OWNER, &[2], Fault::Lost);
+            towards(f, OWNER, &[2], LinkFault::Lost);
             store_goes_on(f);
             comes("dispatches run", || ran_of(f, OWNER) as u64 >= SOME);
-            towards(f, OWNER, &[0], Fault::Lost);
-            towards(f, 0, &[OWNER], Fault::Lost);
+            towards(f, OWNER, &[0], LinkFault::Lost);
+            towards(f, 0, &[OWNER], LinkFault::Lost);
             f.kill_router(0);
-            back(f, 0, State::Removed);
+            back(f, 0, StateAtStart::Removed);
             let met = |n, of| process(f, of, of).is_some_and(|p| process(f, n, of) == Some(p));
             comes("the other two know each other", || met(0, 2) && met(2, 0));
             f.kill_router(OWNER);
             hang(f, false);
             f.links.heal();
         })
-        .at(6000, |f| back(f, OWNER, State::Removed));
+        .at(6000, |f| back(f, OWNER, StateAtStart::Removed));
     let patience = if tamper.is_some() {
         Duration::from_secs(6)
     } else {
@@ -717,11 +739,11 @@
 const WRITTEN_MS: u64 = 1000;
 
 fn all_die(found: Found, tamper: Option<&str>) -> Played {
-    let older = |f: &Fleet, n: usize| f.folder().join(format!("older-{n}"));
-    let start = |f: &Fleet, n: usize| match (found, n) {
-        (Found::Kept, _) | (Found::Mixed, 0) => back(f, n, State::Kept),
-        (Found::Lost, _) | (Found::Mixed, 1) => back(f, n, State::Removed),
-        _ => back(f, n, State::Older(&older(f, n))),
+    let older = |f: &Cluster, n: usize| f.folder().join(format!("older-{n}"));
+    let start = |f: &Cluster, n: usize| match (found, n) {
+        (Found::Kept, _) | (Found::Mixed, 0) => back(f, n, StateAtStart::Kept),
+        (Found::Lost, _) | (Found::Mixed, 1) => back(f, n, StateAtStart::Removed),
+        _ => back(f, n, StateAtStart::Older(&older(f, n))),
     };
     let script = Script::new(1)
         .at(700, |f| taken(f, OWNER))
@@ -739,11 +761,11 @@
             // What remembers something may vote before it is given what was requeued.
             let waits = matches!(found, Found::Kept | Found::Older);
             if waits {
-                (0..3).for_each(|n| f.links.set(&f.router(n), BROKER, Fault::Held));
+                (0..3).for_each(|n| f.links.set(&f.router_name(n), BROKER, LinkFault::Held));
             }
             (0..3).for_each(|n| start(f, n));
             if waits {
-                comes("they may vote", || f.all_remember());
+                comes("they may vote", || f.all_may_vote());
                 f.links.heal();
             }
         });
@@ -782,7 +804,7 @@
 /// A copy from before two restarts is put back.
 #[test]
 fn a_stale_folder_put_back_is_told_apart_and_made_up_for() {
-    let copy = |f: &Fleet| f.folder().join("older");
+    let copy = |f: &Cluster| f.folder().join("older");
     let script = Script::new(1)
         .at(1500, |f| {
             lock(&f.routers[OWNER])
@@ -791,15 +813,15 @@
             // One start alone takes the turn that the copy takes, too.
             for _ in 0..2 {
                 f.kill_router(OWNER);
-                back(f, OWNER, State::Kept);
-                comes("it remembers", || f.remembers(OWNER));
+                back(f, OWNER, StateAtStart::Kept);
+                comes("it remembers", || f.may_vote(OWNER));
                 std::thread::sleep(Duration::from_millis(WRITTEN_MS));
             }
         })
         .at(3000, |f| {
             f.kill_router(OWNER);
-            back(f, OWNER, State::Older(&copy(f)));
-            comes("it remembers", || f.remembers(OWNER));
+            back(f, OWNER, StateAtStart::Older(&copy(f)));
+            comes("it remembers", || f.may_vote(OWNER));
         });
     let played = play(&shared(3, nothing), None, script, PATIENCE);
     played.holds();
@@ -816,23 +838,23 @@
 #[test]
 fn damaged_and_foreign_folders_are_set_aside() {
     let file =
-        |f: &Fleet, n: usize, name: &str| f.folder().join(format!("routers/state-{n}/{name}"));
+        |f: &Cluster, n: usize, name: &str| f.folder().join(format!("routers/state-{n}/{name}"));
     let script = Script::new(1)
         .at(1500, |f| {
             f.kill_router(OWNER);
             std::fs::write(file(f, OWNER, "group.redb"), "no file of a group").expect("written");
-            back(f, OWNER, State::Kept);
+            back(f, OWNER, StateAtStart::Kept);
             assert!(file(f, OWNER, "group.damaged-1").exists());
-            comes("it remembers", || f.remembers(OWNER));
+            comes("it remembers", || f.may_vote(OWNER));
         })
         .at(3000, |f| {
             f.kill_router(OWNER);
             f.kill_router(0);
             std::fs::copy(file(f, 0, "group.redb"), file(f, OWNER, "group.redb")).expect("copied");
-            back(f, 0, State::Kept);
-            back(f, OWNER, State::Kept);
+            back(f, 0, StateAtStart::Kept);
+            back(f, OWNER, StateAtStart::Kept);
             assert!(file(f, OWNER, "group.foreign-1").exists());
-            comes("they remember", || f.all_remember());
+            comes("they remember", || f.all_may_vote());
         });
     let played = play(&shared(3, nothing), None, script, PATIENCE);
     played.holds();
@@ -845,12 +867,12 @@
 
 #[test]
 fn clocks_apart_by_minutes_break_no_rule() {
-    let apart = |d: &mut Day| d.clock_offsets_ms = vec![0, 180_000, -180_000];
+    let apart = |d: &mut Scenario| d.clock_offsets_ms = vec![0, 180_000, -180_000];
     let script = Script::new(1)
         .at(1500, |f| f.kill_router(2))
-        .at(1500, |f| back(f, 2, State::Kept))
+        .at(1500, |f| back(f, 2, StateAtStart::Kept))
         .at(3000, |f| f.kill_router(0))
-        .at(3000, |f| back(f, 0, State::Kept));
+        .at(3000, |f| back(f, 0, StateAtStart::Kept));
     let played = play(&shared(3, apart), None, script, PATIENCE);
     played.holds();
     let requeued = played.logged(BROKER, "requeued") > 0;
@@ -870,7 +892,7 @@
     #[case] reason: &str,
     #[case] counted: &str,
 ) {
-    let chosen = |d: &mut Day| {
+    let chosen = |d: &mut Scenario| {
         d.triggers
             .iter_mut()
             .for_each(|t| t.without_majority = Some(how.into()));
@@ -879,8 +901,8 @@
             .insert("copied_within_ms".into(), 300.into());
     };
     let script = Script::new(1)
-        .at(1000, |f| both_ways(f, Fault::Lost))
-        .at(CUT_MS, |f| both_ways(f, Fault::Pass));
+        .at(1000, |f| both_ways(f, LinkFault::Lost))
+        .at(CUT_MS, |f| both_ways(f, LinkFault::Pass));
     let played = play(&shared(3, chosen), None, script, PATIENCE);
     played.holds();
     assert!(
@@ -898,7 +920,7 @@
 
 /// One that sent alone dies, and nobody else had heard of it.
 fn alone_and_gone(tamper: Option<&str>) -> Played {
-    let alone = |d: &mut Day| {
+    let alone = |d: &mut Scenario| {
         if tamper.is_some() {
             patient(d);
         }
@@ -912,7 +934,7 @@
         d.seconds = 4.0;
     };
     let script = Script::new(1)
-        .at(0, |f| both_ways(f, Fault::Lost))
+        .at(0, |f| both_ways(f, LinkFault::Lost))
         .at(1000, |f| {
             hang(f, true);
             let before = ran_of(f, OWNER) as u64;
@@ -923,7 +945,7 @@
             hang(f, false);
             f.links.heal();
         })
-        .at(5000, |f| back(f, OWNER, State::Kept));
+        .at(5000, |f| back(f, OWNER, StateAtStart::Kept));
     let patience = if tamper.is_some() {
         Duration::from_secs(6)
     } else {
@@ -962,22 +984,22 @@
             comes("others take over", || of_others(f, "takeovers") > 0);
             hang(f, false);
         })
-        .often(800..5500, 250.0, move |f, random| {
+        .repeatedly(800..5500, 250.0, move |f, random| {
             let (a, b) = (random.random_range(0..n), random.random_range(0..n));
             match random.random_range(0..7) {
                 0 => f.kill_router(a),
-                1 => f.start_router(a, State::Kept).expect("it starts"),
-                2 => f.start_router(a, State::Removed).expect("it starts"),
+                1 => f.start_router(a, StateAtStart::Kept).expect("it starts"),
+                2 => f.start_router(a, StateAtStart::Removed).expect("it starts"),
                 3 => f.pause_router(a, true).expect("it stands still"),
                 4 => (0..n).for_each(|n| f.pause_router(n, false).expect("it goes on")),
-                5 if a != b => f.cut_peers(&[a, b], random.random(), Fault::Lost),
+                5 if a != b => f.set_peer_faults(&[a, b], random.random(), LinkFault::Lost),
                 _ => f.links.heal(),
             }
         })
         .at(6000, move |f| {
             f.links.heal();
             (0..n).for_each(|n| f.pause_router(n, false).expect("it goes on"));
-            (0..n).for_each(|n| back(f, n, State::Kept));
+            (0..n).for_each(|n| back(f, n, StateAtStart::Kept));
         });
     let more = shared(routers, |d| d.rate_per_s = 40.0);
     let played = play(&more, None, script, PATIENCE);
--- a/crates/cli/tests/grpc.rs
+++ b/crates/cli/tests/grpc.rs
@@ -8,9 +8,9 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use cedarpulley_kserve::rpc::inference::model_infer_request::InferInputTensor;
-use cedarpulley_kserve::rpc::inference::*;
-use cedarpulley_kserve::rpc::{frame, unframe};
+use cedarpulley_kserve::grpc::inference::model_infer_request::InferInputTensor;
+use cedarpulley_kserve::grpc::inference::*;
+use cedarpulley_kserve::grpc::{frame, unframe};
 use http_body_util::{BodyExt, Full, StreamBody};
 use hyper::body::{Bytes, Frame};
 use hyper::client::conn::http2::{self, SendRequest};
--- a/crates/cli/tests/processes.rs
+++ b/crates/cli/tests/processes.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use cedarpulley_emulators::lock;
-use cedarpulley_test_cluster::fleet::{BROKER, Fleet};
-use cedarpulley_test_cluster::links::Fault;
-use cedarpulley_test_cluster::process::State;
-use cedarpulley_test_cluster::relay::Reserved;
+use cedarpulley_test_cluster::cluster::{BROKER, Cluster};
+use cedarpulley_test_cluster::links::LinkFault;
+use cedarpulley_test_cluster::relay::ReservedPort;
+use cedarpulley_test_cluster::router_process::StateAtStart;
 use cedarpulley_test_cluster::script::Script;
 use cedarpulley_test_cluster::until;
 use rand::RngExt;
@@ -32,21 +32,26 @@
 const ELSEWHERE: Shown = |_| true;
 
 #[rstest]
-#[case::cut_from_the_broker(On::Broker, Fault::Held, Fault::Held, HELD)]
-#[case::cut_to_the_broker(On::Broker, Fault::Held, PASS, HELD)]
-#[case::cut_of_the_broker(On::Broker, PASS, Fault::Held, HELD)]
+#[case::cut_from_the_broker(On::Broker, LinkFault::Held, LinkFault::Held, HELD)]
+#[case::cut_to_the_broker(On::Broker, LinkFault::Held, PASS, HELD)]
+#[case::cut_of_the_broker(On::Broker, PASS, LinkFault::Held, HELD)]
 #[case::late_with_the_broker(On::Broker, LATE, LATE, ELSEWHERE)]
-#[case::cut_from_the_list(On::List, Fault::Held, Fault::Held, ELSEWHERE)]
-#[case::cut_from_the_workers(On::Workers, Fault::Held, Fault::Held, UNSURE)]
-#[case::cut_to_the_workers(On::Workers, Fault::Held, PASS, UNSURE)]
-#[case::lost_of_the_workers(On::Workers, PASS, Fault::Lost, UNSURE)]
-#[case::half_open_to_the_workers(On::Workers, Fault::HalfOpen, PASS, ELSEWHERE)]
-#[case::half_open_of_the_workers(On::Workers, PASS, Fault::HalfOpen, ELSEWHERE)]
-#[case::refused_by_the_workers(On::Workers, Fault::Refused, PASS, ELSEWHERE)]
+#[case::cut_from_the_list(On::List, LinkFault::Held, LinkFault::Held, ELSEWHERE)]
+#[case::cut_from_the_workers(On::Workers, LinkFault::Held, LinkFault::Held, UNSURE)]
+#[case::cut_to_the_workers(On::Workers, LinkFault::Held, PASS, UNSURE)]
+#[case::lost_of_the_workers(On::Workers, PASS, LinkFault::Lost, UNSURE)]
+#[case::half_open_to_the_workers(On::Workers, LinkFault::HalfOpen, PASS, ELSEWHERE)]
+#[case::half_open_of_the_workers(On::Workers, PASS, LinkFault::HalfOpen, ELSEWHERE)]
+#[case::refused_by_the_workers(On::Workers, LinkFault::Refused, PASS, ELSEWHERE)]
 #[case::throttled_to_the_workers(On::Workers, SLOW, PASS, ELSEWHERE)]
-#[case::region_cut(On::Region("west"), Fault::Held, Fault::Held, UNSURE)]
-#[case::region_lost(On::Region("east"), Fault::Lost, Fault::Lost, UNSURE)]
-fn rules_hold_under(#[case] on: On, #[case] out: Fault, #[case] back: Fault, #[case] shown: Shown) {
+#[case::region_cut(On::Region("west"), LinkFault::Held, LinkFault::Held, UNSURE)]
+#[case::region_lost(On::Region("east"), LinkFault::Lost, LinkFault::Lost, UNSURE)]
+fn rules_hold_under(
+    #[case] on: On,
+    #[case] out: LinkFault,
+    #[case] back: LinkFault,
+    #[case] shown: Shown,
+) {
     let script = Script::new(1)
         .at(1000, |f| set(f, on, out, back))
         .at(1000 + LONG_MS, |f| set(f, on, PASS, PASS));
@@ -62,7 +67,7 @@
         .at(1000, |f| f.kill_router(1))
         .at(1000, answer_again)
         .at(2500, |f| {
-            f.start_router(1, State::Removed).expect("it starts")
+            f.start_router(1, StateAtStart::Removed).expect("it starts")
         });
     let played = play(&day(once), None, script, PATIENCE);
     played.holds();
@@ -74,9 +79,11 @@
 fn answers_lost_on_their_way_to_the_broker_run_nothing_twice() {
     let script = Script::new(1)
         .at(1000, hold_unanswered)
-        .at(1000, |f| set(f, On::Broker, Fault::Lost, Fault::Lost))
+        .at(1000, |f| {
+            set(f, On::Broker, LinkFault::Lost, LinkFault::Lost)
+        })
         .at(1000, answer_again)
-        .at(1600, |f| set(f, On::Broker, Fault::Reset, PASS))
+        .at(1600, |f| set(f, On::Broker, LinkFault::Reset, PASS))
         .at(1600, |f| set(f, On::Broker, PASS, PASS));
     let played = play(&day(once), None, script, PATIENCE);
     played.holds();
@@ -98,19 +105,19 @@
 
 #[test]
 fn storms_of_resets_on_all_links_break_no_rule() {
-    let storm = Script::new(3).often(500..4500, 120.0, |f, random| {
+    let storm = Script::new(3).repeatedly(500..4500, 120.0, |f, random| {
         let router = random.random_range(0..3);
         let far = match random.random_range(0..4) {
             0 => BROKER.to_owned(),
-            _ => f.worker(random.random_range(0..f.workers.len())),
+            _ => f.worker_name(random.random_range(0..f.workers.len())),
         };
-        f.links.set(&f.router(router), &far, Fault::Reset);
-        f.links.set(&f.router(router), &far, PASS);
+        f.links.set(&f.router_name(router), &far, LinkFault::Reset);
+        f.links.set(&f.router_name(router), &far, PASS);
     });
     // In any case, some are reset while they hold what is unanswered.
     let script = storm.at(4600, |f| {
         hold_unanswered(f);
-        (0..3).for_each(|n| f.links.set(&f.router(n), BROKER, Fault::Reset));
+        (0..3).for_each(|n| f.links.set(&f.router_name(n), BROKER, LinkFault::Reset));
         f.links.heal();
         answer_again(f);
     });
@@ -121,10 +128,10 @@
 
 #[test]
 fn a_full_disk_stops_no_router() {
-    let lifted = |f: &Fleet| lock(&f.routers[1]).limit_files(None).expect("lifted");
+    let lifted = |f: &Cluster| lock(&f.routers[1]).limit_file_size(None).expect("lifted");
     let script = Script::new(1)
         .at(500, |f| {
-            lock(&f.routers[1]).limit_files(Some(0)).expect("set")
+            lock(&f.routers[1]).limit_file_size(Some(0)).expect("set")
         })
         .at(4000, lifted);
     let played = play(&day(|_| {}), None, script, PATIENCE);
@@ -137,7 +144,7 @@
 #[test]
 fn a_full_disk_of_its_log_ends_no_router() {
     let folder = tempfile::tempdir().expect("a folder");
-    let at = Reserved::at([127, 0, 0, 1].into()).expect("a port");
+    let at = ReservedPort::at([127, 0, 0, 1].into()).expect("a port");
     let text = format!(
         "[[trigger]]\nname = \"once\"\neffect = \"non-idempotent\"\nlatency_objective_ms = 900\n\
          client_timeout_ms = 900\n[[kserve]]\nlisten = \"{}\"\n[workers]\nlist = []\n",
@@ -217,10 +224,10 @@
 #[case("repeat", "2")]
 fn a_tampered_router_is_caught(#[case] kind: &str, #[case] rule: &str) {
     let script = Script::new(1)
-        .at(1000, |f| f.cut_region("west", Fault::Held))
+        .at(1000, |f| f.set_region_fault("west", LinkFault::Held))
         .at(1000, |f| f.pause_router(2, true).expect("paused"))
         .at(2000, |f| f.pause_router(2, false).expect("goes on"))
-        .at(2500, |f| f.cut_region("west", PASS));
+        .at(2500, |f| f.set_region_fault("west", PASS));
     // It meddles with one in fifteen: some of them must be of those that show it.
     let more = day(|d| {
         once(d);
--- a/crates/cli/tests/reconciled.rs
+++ b/crates/cli/tests/reconciled.rs
@@ -9,10 +9,10 @@
 use std::net::TcpStream;
 use std::path::Path;
 
-use cedarpulley_emulators::worker::{Held, Lies};
-use cedarpulley_test_cluster::fleet::{Fleet, Launch};
-use cedarpulley_test_cluster::links::Fault;
-use cedarpulley_test_cluster::plan::Day;
+use cedarpulley_emulators::worker::{FalseReport, LoadedFunctionInfo};
+use cedarpulley_test_cluster::cluster::{Cluster, ClusterOptions};
+use cedarpulley_test_cluster::links::LinkFault;
+use cedarpulley_test_cluster::scenario::Scenario;
 use cedarpulley_test_cluster::traffic::Traffic;
 use cedarpulley_test_cluster::until;
 use fleets::{PATIENCE, PROGRAM, TURNS, day};
@@ -23,7 +23,7 @@
 /// Orphans are unloaded after twice the time that copies are believed in.
 const SHORT_KEPT_MS: u64 = 3_000;
 
-fn reconciled(kept_ms: u64, change: impl FnOnce(&mut Day)) -> Day {
+fn reconciled(kept_ms: u64, change: impl FnOnce(&mut Scenario)) -> Scenario {
     day(|d| {
         (d.peers, d.seconds) = (true, 4.0);
         d.settings
@@ -37,7 +37,7 @@
 }
 
 /// All copies are ordered, and so have somebody's name.
-fn ordered(day: &mut Day) {
+fn ordered(day: &mut Scenario) {
     day.settings
         .loads
         .insert("loads_when_absent".into(), false.into());
@@ -45,41 +45,41 @@
 
 /// Played to the end of its traffic; what happens next is up to the test.
 struct After {
-    fleet: Fleet,
+    fleet: Cluster,
     _folder: tempfile::TempDir,
 }
 
-fn after(day: &Day, before: impl FnOnce(&Fleet), meanwhile: impl FnOnce(&Fleet)) -> After {
+fn after(day: &Scenario, before: impl FnOnce(&Cluster), meanwhile: impl FnOnce(&Cluster)) -> After {
     after_tampered(day, None, before, meanwhile)
 }
 
 fn after_tampered(
-    day: &Day,
+    day: &Scenario,
     tamper: Option<&str>,
-    before: impl FnOnce(&Fleet),
-    meanwhile: impl FnOnce(&Fleet),
+    before: impl FnOnce(&Cluster),
+    meanwhile: impl FnOnce(&Cluster),
 ) -> After {
     let folder = tempfile::tempdir().expect("a folder");
     let (out, tamper) = (folder.path().to_owned(), tamper.map(str::to_owned));
-    let launch = Launch {
-        out,
+    let launch = ClusterOptions {
+        folder: out,
         program: PROGRAM.into(),
         tamper,
         trace: false,
     };
-    let fleet = Fleet::prepare(day, launch).expect("a fleet");
+    let fleet = Cluster::prepare(day, launch).expect("a fleet");
     before(&fleet);
     fleet.start_routers().expect("they come up");
     let traffic = Traffic::begin(day, &fleet);
     meanwhile(&fleet);
-    traffic.is_answered(PATIENCE);
+    traffic.wait_until_answered(PATIENCE);
     After {
         fleet,
         _folder: folder,
     }
 }
 
-fn ready(held: Vec<Held>) -> BTreeSet<String> {
+fn ready(held: Vec<LoadedFunctionInfo>) -> BTreeSet<String> {
     held.into_iter()
         .filter(|h| h.state == "READY")
         .map(|h| h.function)
@@ -89,7 +89,7 @@
 impl After {
     /// What a router says of a worker, if it answers and knows it.
     fn of_worker(&self, router: usize, worker: usize) -> Option<Value> {
-        let id = format!("{}-", self.fleet.worker(worker));
+        let id = format!("{}-", self.fleet.worker_name(worker));
         let state = self.fleet.state(router)?;
         let all = state["reconcile"]["workers"].as_array()?.clone();
         all.into_iter()
@@ -113,7 +113,7 @@
         routers.iter().all(|r| {
             workers.iter().all(|w| {
                 self.believes(*r, *w)
-                    .is_some_and(|b| b.is_subset(&ready(self.fleet.workers[*w].held())))
+                    .is_some_and(|b| b.is_subset(&ready(self.fleet.workers[*w].loaded_functions())))
             })
         })
     }
@@ -124,7 +124,7 @@
                 .iter()
                 .flat_map(|r| workers.iter().map(move |w| (*r, *w)))
             {
-                let holds = ready(self.fleet.workers[w].held());
+                let holds = ready(self.fleet.workers[w].loaded_functions());
                 eprintln!(
                     "router {r}, worker {w}: {:?}, it holds {holds:?}",
                     self.of_worker(r, w)
@@ -147,8 +147,8 @@
     }
 
     fn metrics(&self, router: usize) -> String {
-        let mut stream =
-            TcpStream::connect(self.fleet.peer(router).expect("a member")).expect("it listens");
+        let mut stream = TcpStream::connect(self.fleet.peer_address(router).expect("a member"))
+            .expect("it listens");
         stream
             .write_all(b"GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
             .expect("sent");
@@ -161,7 +161,7 @@
     fn is_believed_in(&self, workers: &[usize]) {
         let in_any = |w: &usize| {
             (0..3).any(|r| self.believes(r, *w).is_some_and(|b| !b.is_empty()))
-                && !ready(self.fleet.workers[*w].held()).is_empty()
+                && !ready(self.fleet.workers[*w].loaded_functions()).is_empty()
         };
         assert!(
             until(PATIENCE, || workers.iter().all(in_any)),
@@ -175,7 +175,7 @@
             &self
                 .fleet
                 .folder()
-                .join(format!("traffic/{}.ndjson", self.fleet.worker(worker))),
+                .join(format!("traffic/{}.ndjson", self.fleet.worker_name(worker))),
         )
     }
 
@@ -376,7 +376,7 @@
 fn flushes_evictions_and_restarts_at_the_same_address_are_found() {
     let _turn = TURNS.acquire_blocking();
     // Most sessions have turns left when the traffic ends: their prefixes are believed in.
-    let sessions = |d: &mut Day| {
+    let sessions = |d: &mut Scenario| {
         d.triggers
             .iter_mut()
             .for_each(|t| (t.sessions, t.turns, t.pause_ms) = (0.5, 30, 400));
@@ -387,13 +387,13 @@
     it.comes_true(&ROUTERS, &all);
     // Nothing was wrong, and nothing was taken for it.
     let before = (it.count("phantom"), it.count("other_incarnation"));
-    it.fleet.workers[0].flush_copies();
+    it.fleet.workers[0].evict_all_idle();
     let evicted: usize = (1..3)
         .map(|w| it.fleet.workers[w].evict_idle(7, 2).len())
         .sum();
     let answers = it.answers();
     it.fleet.workers[3].crash();
-    it.fleet.workers[3].start_again().expect("it starts");
+    it.fleet.workers[3].restart().expect("it starts");
     assert!(evicted > 0);
     it.comes_true(&ROUTERS, &all);
     assert!(it.count("phantom") > before.0 && it.count("other_incarnation") > before.1);
@@ -420,13 +420,13 @@
 #[test]
 fn lost_loads_and_lost_copies_under_load_are_found_and_no_rule_is_broken() {
     let _turn = TURNS.acquire_blocking();
-    let lose = |f: &Fleet| f.workers.iter().for_each(|w| w.lose_orders(2, 0));
-    let meanwhile = |f: &Fleet| {
+    let lose = |f: &Cluster| f.workers.iter().for_each(|w| w.lose_orders(2, 0));
+    let meanwhile = |f: &Cluster| {
         for n in 0..12u64 {
             std::thread::sleep(std::time::Duration::from_millis(250));
             let w = &f.workers[n as usize % f.workers.len()];
             if n % 3 == 0 {
-                w.flush_copies()
+                w.evict_all_idle()
             } else {
                 drop(w.evict_idle(n, 1))
             }
@@ -445,12 +445,17 @@
     let _turn = TURNS.acquire_blocking();
     let it = after(&reconciled(SHORT_KEPT_MS, ordered), |_| {}, |_| {});
     let by = |name: &str| {
-        let held = it.fleet.workers.iter().flat_map(|w| w.held());
-        held.filter(|h| h.by.router.as_deref() == Some(name))
+        let held = it.fleet.workers.iter().flat_map(|w| w.loaded_functions());
+        held.filter(|h| h.ordered_by.router.as_deref() == Some(name))
             .count()
     };
     let (dead, others) = (by("r1"), by("r0") + by("r2"));
-    let all: Vec<_> = it.fleet.workers.iter().map(|w| w.held()).collect();
+    let all: Vec<_> = it
+        .fleet
+        .workers
+        .iter()
+        .map(|w| w.loaded_functions())
+        .collect();
     assert!(dead > 0, "it had copies ordered: {all:?}");
     it.fleet.workers.iter().for_each(|w| w.lose_orders(0, 1));
     it.fleet.kill_router(1);
@@ -472,8 +477,8 @@
     let it = after(&reconciled(KEPT_MS, |_| {}), |_| {}, |_| {});
     let all = it.all();
     it.is_believed_in(&all);
-    it.fleet.cut_region("west", Fault::Held);
-    it.fleet.workers.iter().for_each(|w| w.flush_copies());
+    it.fleet.set_region_fault("west", LinkFault::Held);
+    it.fleet.workers.iter().for_each(|w| w.evict_all_idle());
     // Routers 0 and 2 and the first two workers are in the east.
     it.comes_true(&[0, 2], &all[..2]);
     it.comes_true(&[1], &all[2..]);
@@ -486,16 +491,16 @@
 fn an_index_that_lies_is_noticed_and_in_the_end_belief_is_true() {
     let _turn = TURNS.acquire_blocking();
     let lie = |on: bool| {
-        move |f: &Fleet| {
+        move |f: &Cluster| {
             for (n, w) in f.workers.iter().enumerate() {
-                let lies = Lies {
+                let lies = FalseReport {
                     seed: n as u64,
                     dropped: 0.3,
                     added: 0.2,
                     miscounted: 0.3,
                     contradicted: 0.3,
                 };
-                w.lies(on.then_some(lies));
+                w.falsify_index(on.then_some(lies));
             }
         }
     };
--- a/crates/cli/tests/running/mod.rs
+++ b/crates/cli/tests/running/mod.rs
@@ -9,9 +9,9 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-use cedarpulley_emulators::Ground;
+use cedarpulley_emulators::Host;
 use cedarpulley_emulators::store::{self, Store};
-use cedarpulley_emulators::worker::{Memory, Nature, Program, Worker};
+use cedarpulley_emulators::worker::{IdempotencyStore, InvocationProfile, Worker, WorkerProfile};
 use rustix::process::{Pid, Signal, kill_process};
 
 pub const MOST_BODY: usize = 64 * 1024;
@@ -69,23 +69,23 @@
     let _ = std::fs::remove_dir_all(folder.join("traces"));
     std::fs::create_dir_all(&folder).expect("a folder");
     let logs = folder.join("traffic");
-    let ground = Ground::new(2, Some(&logs)).expect("a ground");
+    let ground = Host::new(2, Some(&logs)).expect("a ground");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let nature = store::Nature {
+    let nature = store::StoreProfile {
         mb_per_s: 1e6,
-        abreast: 8,
-        most: 100,
+        full_rate_fetches: 8,
+        max_fetches: 100,
     };
     let store = Store::start(&ground, "store", any, nature).expect("a store");
-    let nature = Nature::roomy(100.0);
+    let nature = WorkerProfile::unlimited(100.0);
     let (start_up, prefix) = (Duration::from_millis(1), Duration::ZERO);
-    let program = Program {
-        work,
+    let program = InvocationProfile {
+        mean_work: work,
         copy_mb: 1.0,
-        start_up,
+        start_up_time: start_up,
         lanes: 50,
-        window: None,
-        prefix,
+        idempotency_window: None,
+        prefix_rebuild_work: prefix,
     };
     let programs = ["once", "again", "patient"].map(|k| (k.to_owned(), program.clone()));
     let (at, programs) = (store.server.address, HashMap::from(programs));
@@ -97,7 +97,7 @@
         nature,
         at,
         programs,
-        Memory::default(),
+        IdempotencyStore::default(),
     )
     .expect("a worker");
     let address = free_address();
--- a/crates/cli/tests/running_state_names.rs
+++ b/crates/cli/tests/running_state_names.rs
@@ -7,7 +7,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use cedarpulley_test_cluster::fleet::{Fleet, Launch};
+use cedarpulley_test_cluster::cluster::{Cluster, ClusterOptions};
 use cedarpulley_test_cluster::traffic::Traffic;
 use cedarpulley_test_cluster::until;
 
@@ -37,8 +37,8 @@
     text.lines().map(str::to_owned).collect()
 }
 
-fn metrics(fleet: &Fleet, n: usize) -> Option<String> {
-    let mut stream = TcpStream::connect(fleet.peer(n)?).ok()?;
+fn metrics(fleet: &Cluster, n: usize) -> Option<String> {
+    let mut stream = TcpStream::connect(fleet.peer_address(n)?).ok()?;
     let request = b"GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
     stream.write_all(request).ok()?;
     let mut answer = String::new();
@@ -64,7 +64,7 @@
 }
 
 impl Seen {
-    fn look(&mut self, fleet: &Fleet) {
+    fn look(&mut self, fleet: &Cluster) {
         for n in 0..fleet.routers.len() {
             if let Some(state) = fleet.state(n) {
                 paths(&state, "", &OPEN, &mut self.state);
@@ -80,14 +80,14 @@
 fn a_running_group_keeps_the_names_of_its_state_and_metrics() {
     let _turn = TURNS.acquire_blocking();
     let folder = tempfile::tempdir().expect("a folder");
-    let launch = Launch {
-        out: folder.path().to_owned(),
+    let launch = ClusterOptions {
+        folder: folder.path().to_owned(),
         program: PROGRAM.into(),
         tamper: None,
         trace: false,
     };
     let day = upgrading(|day| day.seconds = 15.0);
-    let fleet = Fleet::prepare(&day, launch).expect("a fleet");
+    let fleet = Cluster::prepare(&day, launch).expect("a fleet");
     orders_nothing(&fleet);
     fleet.start_routers().expect("they come up");
     let _traffic = Traffic::begin(&day, &fleet);
--- a/crates/cli/tests/sharing/mod.rs
+++ b/crates/cli/tests/sharing/mod.rs
@@ -5,9 +5,9 @@
 use std::cell::Cell;
 use std::time::Instant;
 
-use cedarpulley_test_cluster::fleet::Fleet;
-use cedarpulley_test_cluster::links::Fault;
-use cedarpulley_test_cluster::plan::Day;
+use cedarpulley_test_cluster::cluster::Cluster;
+use cedarpulley_test_cluster::links::LinkFault;
+use cedarpulley_test_cluster::scenario::Scenario;
 use cedarpulley_test_cluster::script::Script;
 use cedarpulley_test_cluster::until;
 use serde_json::Value;
@@ -25,7 +25,7 @@
 }
 
 /// Of so many routers that share.
-pub fn shared(routers: u32, change: impl FnOnce(&mut Day)) -> Day {
+pub fn shared(routers: u32, change: impl FnOnce(&mut Scenario)) -> Scenario {
     day(|d| {
         once(d);
         (d.routers, d.peers) = (routers, true);
@@ -39,24 +39,24 @@
 }
 
 /// A count in what a router says of its group; 0 while it says nothing.
-pub fn count(f: &Fleet, n: usize, name: &str) -> u64 {
+pub fn count(f: &Cluster, n: usize, name: &str) -> u64 {
     f.state(n)
         .map_or(0, |s| s["counts"][name].as_u64().unwrap_or(0))
 }
 
 /// All others than the one.
-pub fn others(f: &Fleet, one: usize) -> Vec<usize> {
+pub fn others(f: &Cluster, one: usize) -> Vec<usize> {
     (0..f.routers.len()).filter(|n| *n != one).collect()
 }
 
 /// On what goes from one router to others, by itself.
-pub fn towards(f: &Fleet, from: usize, to: &[usize], fault: Fault) {
+pub fn towards(f: &Cluster, from: usize, to: &[usize], fault: LinkFault) {
     to.iter()
-        .for_each(|m| f.links.set(&f.router(from), &f.router(*m), fault));
+        .for_each(|m| f.links.set(&f.router_name(from), &f.router_name(*m), fault));
 }
 
 /// For so long clients wait, and what is late for them is not given up before.
-pub fn waits(d: &mut Day, ms: u64) {
+pub fn waits(d: &mut Scenario, ms: u64) {
     d.triggers
         .iter_mut()
         .for_each(|t| (t.client_timeout_ms, t.latency_objective_ms) = (ms, ms - 1000));
@@ -69,7 +69,7 @@
 /// Without a majority some are told so.
 pub const LACKING: Shown = |p| p.verdict.by_reason.contains_key("no-majority");
 
-pub fn both_ways(f: &Fleet, fault: Fault) {
+pub fn both_ways(f: &Cluster, fault: LinkFault) {
     let all = others(f, OWNER);
     towards(f, OWNER, &all, fault);
     all.iter().for_each(|m| towards(f, *m, &[OWNER], fault));
@@ -86,7 +86,7 @@
     pub holds: f64,
 }
 
-pub fn heals(f: &Fleet, cut_off: &[usize]) -> Healed {
+pub fn heals(f: &Cluster, cut_off: &[usize]) -> Healed {
     let all = f.routers.len();
     let holds_one_for_dead = |n: &usize| {
         let state = f.state(*n).unwrap_or_default();
@@ -174,11 +174,11 @@
             (d.seed, d.seconds, d.rate_per_s) = (seed, 12.0, 60.0)
         });
         let healed = Cell::new(Healed::default());
-        let cut = |f: &Fleet| {
+        let cut = |f: &Cluster| {
             if self.region {
-                f.cut_region("west", Fault::Lost)
+                f.set_region_fault("west", LinkFault::Lost)
             } else {
-                both_ways(f, Fault::Lost)
+                both_ways(f, LinkFault::Lost)
             }
         };
         let script = Script::new(seed)
--- a/crates/cli/tests/tls.rs
+++ b/crates/cli/tests/tls.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use async_io::{Async, Timer};
-use cedarpulley_emulators::Ground;
+use cedarpulley_emulators::Host;
 use cedarpulley_emulators::broker::Broker;
 use futures_rustls::client::TlsStream;
 use futures_rustls::rustls::pki_types::pem::PemObject;
@@ -293,7 +293,7 @@
         .expect("a pair");
     let acceptor = TlsAcceptor::from(Arc::new(config));
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let ground = Ground::new(2, Some(&here.join("broker"))).expect("a ground");
+    let ground = Host::new(2, Some(&here.join("broker"))).expect("a ground");
     let broker = Broker::start(&ground, "broker", any).expect("a broker");
     broker.declare("q");
     let (inner, listener) = (
--- a/crates/cli/tests/upgraded.rs
+++ b/crates/cli/tests/upgraded.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use cedarpulley_emulators::lock;
-use cedarpulley_invariant_checker::Why;
-use cedarpulley_test_cluster::fleet::{BROKER, Fleet};
+use cedarpulley_invariant_checker::RebuildCause;
+use cedarpulley_test_cluster::cluster::{BROKER, Cluster};
 use cedarpulley_test_cluster::links;
-use cedarpulley_test_cluster::plan::Day;
-use cedarpulley_test_cluster::process::State;
+use cedarpulley_test_cluster::router_process::StateAtStart;
+use cedarpulley_test_cluster::scenario::Scenario;
 use cedarpulley_test_cluster::script::Script;
 use cedarpulley_test_cluster::until;
 use rstest::rstest;
@@ -27,7 +27,7 @@
 /// Fleets at a time: each of these is busy for most of a minute, with less than one core.
 static BUSY: Semaphore = Semaphore::new(2);
 
-fn played(day: &Day, script: Script) -> Played {
+fn played(day: &Scenario, script: Script) -> Played {
     let _busy = BUSY.acquire_blocking();
     let played = play_from(day, None, orders_nothing, script, PATIENCE);
     played.holds();
@@ -52,7 +52,7 @@
 }
 
 /// A region of the first plan is there, at this router.
-fn stage(f: &Fleet, n: usize, stage: &str) -> bool {
+fn stage(f: &Cluster, n: usize, stage: &str) -> bool {
     let state = f.state(n).unwrap_or_default();
     let regions = state["upgrade"]["plans"][0]["regions"]
         .as_array()
@@ -62,7 +62,7 @@
 }
 
 /// A step of a plan, as its state calls it, at which something befalls it.
-fn reaches(f: &Fleet, step: &str) {
+fn reaches(f: &Cluster, step: &str) {
     assert!(
         until(PLANNED, || stage(f, 1, step)),
         "it comes to {step}: {:#}",
@@ -82,13 +82,16 @@
     played.ended_as("Done");
     // Nothing died, was cut off or short of room. What the operator's limit cuts short is built again elsewhere.
     let p = &played.verdict.prefixes;
-    for why in [Why::Died, Why::Room, Why::Cut] {
-        assert_eq!(p.why(why), 0, "{p:?}");
+    for why in [RebuildCause::Died, RebuildCause::Room, RebuildCause::Cut] {
+        assert_eq!(p.caused_by(why), 0, "{p:?}");
     }
     // Only as a function's homes move does a router's module let go of the copies that it knew, and the turn that comes
     // just then goes to a new home: about once at each router but the first, for both versions of both models.
     let moves = (played.fleet.routers.len() - 1) * 2 * MODELS.len();
-    assert!(p.found > 0 && p.why(Why::Astray) <= moves as u64, "{p:?}");
+    assert!(
+        p.found > 0 && p.caused_by(RebuildCause::Astray) <= moves as u64,
+        "{p:?}"
+    );
 }
 
 /// The planner's way of `benches/three_ways.rs`, with the limit on draining that the other tests have.
@@ -121,13 +124,14 @@
     LoadsLost,
 }
 
-fn befalls(f: &Fleet, fault: Fault) {
+fn befalls(f: &Cluster, fault: Fault) {
     let pause = || std::thread::sleep(Duration::from_millis(LONG_MS));
     match fault {
         Fault::Dies => {
             f.kill_router(0);
             pause();
-            f.start_router(0, State::Kept).expect("it starts again");
+            f.start_router(0, StateAtStart::Kept)
+                .expect("it starts again");
         }
         Fault::Stands => {
             f.pause_router(0, true).expect("it stands still");
@@ -135,14 +139,14 @@
             f.pause_router(0, false).expect("it goes on");
         }
         Fault::Cut => {
-            f.cut_region("west", links::Fault::Held);
+            f.set_region_fault("west", links::LinkFault::Held);
             pause();
-            f.cut_region("west", links::Fault::Pass);
+            f.set_region_fault("west", links::LinkFault::Pass);
         }
         Fault::WorkerDies => {
             f.workers[0].crash();
             pause();
-            f.starts_again(0);
+            f.restart_worker(0);
         }
         Fault::LoadsLost => f.workers.iter().for_each(|w| w.lose_orders(2, 0)),
     }
@@ -169,19 +173,22 @@
 }
 
 /// All routers are killed, and start again from what they kept.
-fn all_die(f: &Fleet) {
+fn all_die(f: &Cluster) {
     (0..3).for_each(|n| f.kill_router(n));
-    (0..3).for_each(|n| f.start_router(n, State::Kept).expect("it starts again"));
-    assert!(until(PLANNED, || f.all_remember()), "they remember");
+    (0..3).for_each(|n| {
+        f.start_router(n, StateAtStart::Kept)
+            .expect("it starts again")
+    });
+    assert!(until(PLANNED, || f.all_may_vote()), "they remember");
 }
 
 /// Nothing can be written any more by routers that run, until they start again.
-fn disks_are_full(f: &Fleet) {
-    (0..3).for_each(|n| lock(&f.routers[n]).limit_files(Some(0)).expect("set"));
+fn disks_are_full(f: &Cluster) {
+    (0..3).for_each(|n| lock(&f.routers[n]).limit_file_size(Some(0)).expect("set"));
 }
 
 /// Many sessions; the canaries stay, so that what is proposed differs from session to session.
-fn many_sessions(seconds: f64, turns: u32) -> Day {
+fn many_sessions(seconds: f64, turns: u32) -> Scenario {
     upgrading(|day| {
         (day.seconds, day.rate_per_s) = (seconds, 60.0);
         for t in &mut day.triggers {
@@ -196,7 +203,7 @@
 /// Once while bindings are made, and once after a time in which nothing could be written.
 #[test]
 fn sessions_stay_when_all_routers_die_at_once() {
-    let bind = |_: &Fleet| std::thread::sleep(Duration::from_millis(1_500));
+    let bind = |_: &Cluster| std::thread::sleep(Duration::from_millis(1_500));
     let script = Script::new(1)
         .at(ORDERED_MS, |f| order(f, DRAIN_LIMIT_MS))
         .at(LATER, |f| reaches(f, "Canary"))
@@ -222,11 +229,13 @@
 }
 
 /// Sessions of which a turn has run on a new version.
-fn sessions_on_new_versions(f: &Fleet) -> HashSet<String> {
+fn sessions_on_new_versions(f: &Cluster) -> HashSet<String> {
     let mut sessions = HashSet::new();
     for (n, worker) in f.workers.iter().enumerate() {
         worker.flush();
-        let file = f.folder().join(format!("traffic/{}.ndjson", f.worker(n)));
+        let file = f
+            .folder()
+            .join(format!("traffic/{}.ndjson", f.worker_name(n)));
         let text = std::fs::read_to_string(file).expect("a log");
         // The last line may be half written.
         let lines = text
@@ -254,7 +263,7 @@
 /// death of all, and go on on the old one, which is proposed for what had begun before.
 #[test]
 fn bindings_that_are_not_kept_are_seen() {
-    let new_sessions_begin = |f: &Fleet| {
+    let new_sessions_begin = |f: &Cluster| {
         let before = sessions_on_new_versions(f);
         let begun = || sessions_on_new_versions(f).difference(&before).count();
         assert!(
@@ -294,13 +303,13 @@
 /// not taken twice.
 #[test]
 fn what_waits_for_a_majority_as_its_front_is_lost_runs_once() {
-    let others = |f: &Fleet, on| {
+    let others = |f: &Cluster, on| {
         (1..3).for_each(|n| f.pause_router(n, on).expect("it stands still or goes on"))
     };
     let script = Script::new(1)
         .at(3_000, move |f| others(f, true))
         .at(4_000, |f| {
-            f.broker.drop_channels(|from| from == f.router(0))
+            f.broker.drop_channels(|from| from == f.router_name(0))
         })
         .at(4_200, move |f| others(f, false));
     let _busy = BUSY.acquire_blocking();
@@ -315,7 +324,7 @@
 }
 
 /// Ordered straight at a worker; whether it stands then.
-fn load_straight(f: &Fleet, worker: usize, model: &str) -> bool {
+fn load_straight(f: &Cluster, worker: usize, model: &str) -> bool {
     let mut stream = TcpStream::connect(f.workers[worker].address).expect("it listens");
     let head = format!("POST /v2/repository/models/{model}/load HTTP/1.1\r\nhost: x\r\n");
     let sent = format!("{head}content-length: 0\r\nconnection: close\r\n\r\n");
@@ -326,11 +335,11 @@
 }
 
 /// Who had this function unloaded at a worker since it was ordered straight there, once for each order.
-fn unload_orders(f: &Fleet, worker: usize, function: &str) -> Vec<String> {
+fn unload_orders(f: &Cluster, worker: usize, function: &str) -> Vec<String> {
     f.workers[worker].flush();
     let file = f
         .folder()
-        .join(format!("traffic/{}.ndjson", f.worker(worker)));
+        .join(format!("traffic/{}.ndjson", f.worker_name(worker)));
     let text = std::fs::read_to_string(file).expect("a log");
     // The last line may be half written.
     let lines: Vec<Value> = text
@@ -355,11 +364,16 @@
 #[test]
 fn an_old_version_that_no_plan_wants_is_unloaded_when_it_is_idle() {
     const OLD: &str = MODELS[0];
-    let held = |f: &Fleet, w: usize| f.workers[w].held().iter().any(|h| h.function == OLD);
-    let left = |f: &Fleet| {
+    let held = |f: &Cluster, w: usize| {
+        f.workers[w]
+            .loaded_functions()
+            .iter()
+            .any(|h| h.function == OLD)
+    };
+    let left = |f: &Cluster| {
         assert!(all(f, 0, |phase| phase == "Done"), "{:?}", f.state(0));
         assert!((0..2).all(|w| load_straight(f, w, OLD)), "it stands");
-        assert!(f.workers[1].use_unseen(OLD, true));
+        assert!(f.workers[1].set_unseen_user(OLD, true));
         f.workers[0].lose_orders(0, 1);
         let unloaded = until(PLANNED, || !held(f, 0));
         let (idle, used) = (unload_orders(f, 0, OLD), unload_orders(f, 1, OLD));
@@ -368,7 +382,7 @@
             "{idle:?}"
         );
         assert!(used.is_empty() && held(f, 1), "in use: {used:?}");
-        assert!(f.workers[1].use_unseen(OLD, false));
+        assert!(f.workers[1].set_unseen_user(OLD, false));
         assert!(until(PLANNED, || !held(f, 1)), "idle by now");
         let used = unload_orders(f, 1, OLD);
         assert!(used.len() == 1, "{used:?}");
@@ -389,12 +403,12 @@
     assert!(found >= 3, "each time it was seen idle: {found}");
     // Nobody touched what is in service.
     for w in 0..played.fleet.workers.len() {
-        let held = played.fleet.workers[w].held();
+        let held = played.fleet.workers[w].loaded_functions();
         eprintln!("{w}: {held:?}");
         let file = played
             .fleet
             .folder()
-            .join(format!("traffic/{}.ndjson", played.fleet.worker(w)));
+            .join(format!("traffic/{}.ndjson", played.fleet.worker_name(w)));
         let text = std::fs::read_to_string(file).expect("a log");
         let unload = |l: &&str| l.contains(r#""what":"unload""#) && l.contains("/versions/2");
         assert_eq!(text.lines().filter(unload).count(), 0);
@@ -404,15 +418,15 @@
 /// Orders that cannot be read are refused whole, with a line a cause, and those before stay.
 #[test]
 fn a_wrong_file_changes_nothing() {
-    let write = |f: &Fleet, text: &str| {
+    let write = |f: &Cluster, text: &str| {
         f.write_upgrade(text).expect("written");
-        f.hang_up(0).expect("told");
+        f.signal_reload(0).expect("told");
     };
     let order = |model: &str, to: &str| {
         format!("[[order]]\nmodel = {model:?}\nto = {to:?}\nserial = 1\ndrain_limit_ms = 1\n")
     };
-    let known = |f: &Fleet| f.state(0).unwrap_or_default()["upgrade"]["orders"].clone();
-    let log = |f: &Fleet| {
+    let known = |f: &Cluster| f.state(0).unwrap_or_default()["upgrade"]["orders"].clone();
+    let log = |f: &Cluster| {
         std::fs::read_to_string(f.folder().join("routers/router-0.log")).unwrap_or_default()
     };
     let script = Script::new(1)
@@ -454,7 +468,7 @@
         .at(0, |f| {
             f.workers
                 .iter()
-                .for_each(|w| w.ail("/versions/2", 0.5, 1.0))
+                .for_each(|w| w.set_version_fault("/versions/2", 0.5, 1.0))
         })
         .at(ORDERED_MS, |f| order(f, DRAIN_LIMIT_MS))
         .at(LATER, ends);
--- a/crates/cli/tests/upgrading/mod.rs
+++ b/crates/cli/tests/upgrading/mod.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use cedarpulley_emulators::worker::Worker;
-use cedarpulley_test_cluster::fleet::Fleet;
+use cedarpulley_test_cluster::cluster::Cluster;
 use cedarpulley_test_cluster::operator;
-use cedarpulley_test_cluster::plan::Day;
+use cedarpulley_test_cluster::scenario::Scenario;
 use cedarpulley_test_cluster::until;
 use serde_json::Value;
 
@@ -25,7 +25,7 @@
 /// Several of the times in which each worker is asked what it holds.
 pub const SETTLED: Duration = Duration::from_secs(3);
 
-pub fn upgrading(change: impl FnOnce(&mut Day)) -> Day {
+pub fn upgrading(change: impl FnOnce(&mut Scenario)) -> Scenario {
     day(|day| {
         (day.seconds, day.rate_per_s, day.peers) = (32.0, 30.0, true);
         (day.floor, day.floor_known_ms) = (FLOOR, 5_000);
@@ -52,16 +52,16 @@
 }
 
 /// What stands at all workers.
-pub fn copies(f: &Fleet) -> usize {
+pub fn copies(f: &Cluster) -> usize {
     f.workers
         .iter()
-        .flat_map(|w| w.held())
+        .flat_map(|w| w.loaded_functions())
         .map(|h| h.copies)
         .sum()
 }
 
 /// What stands then the floor is of: nothing is loaded any more, and routers have heard of all.
-pub fn settles(f: &Fleet) {
+pub fn settles(f: &Cluster) {
     let (mut stood, mut since) = (0, Instant::now());
     let settled = until(PLANNED, || {
         let stands = copies(f);
@@ -74,7 +74,7 @@
 }
 
 /// To the second version, of both models.
-pub fn order(f: &Fleet, drain_limit_ms: u64) {
+pub fn order(f: &Cluster, drain_limit_ms: u64) {
     settles(f);
     let one = |model: &&str| {
         format!(
@@ -97,7 +97,7 @@
         .collect()
 }
 
-pub fn all(f: &Fleet, n: usize, phase: impl Fn(&str) -> bool) -> bool {
+pub fn all(f: &Cluster, n: usize, phase: impl Fn(&str) -> bool) -> bool {
     let plans = f.state(n).map(|s| plans(&s)).unwrap_or_default();
     plans.len() == MODELS.len() && plans.iter().all(|p| phase(&p.1))
 }
@@ -107,20 +107,20 @@
 }
 
 /// Waits for it; whether it came about shows at the end.
-pub fn ends(f: &Fleet) {
+pub fn ends(f: &Cluster) {
     let over = |n| all(f, n, is_over);
     until(PLANNED, || (0..f.routers.len()).all(over));
-    f.upgrade_over(&MODELS);
+    f.end_upgrade(&MODELS);
 }
 
-pub fn orders_nothing(f: &Fleet) {
+pub fn orders_nothing(f: &Cluster) {
     f.write_upgrade("").expect("an empty file");
 }
 
 /// Longer than the objective, as loads of models are; `upgrading`'s are short.
 const SLOW_START_UP_MS: u64 = 1_500;
 /// Of models that load slowly, while invocations arrive for `seconds`.
-pub fn slow_to_load(seed: u64, seconds: f64) -> Day {
+pub fn slow_to_load(seed: u64, seconds: f64) -> Scenario {
     upgrading(|day| {
         (day.seed, day.seconds) = (seed, seconds);
         day.triggers
@@ -140,7 +140,7 @@
 }
 
 /// Before the routers start: the old versions stand everywhere, and nothing is ordered.
-pub fn stands_everywhere(f: &Fleet) {
+pub fn stands_everywhere(f: &Cluster) {
     load_all(&f.workers.iter().collect::<Vec<_>>(), str::to_owned);
     orders_nothing(f);
 }
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -12,15 +12,15 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::{DispatchOutcome, EndpointListKind};
-use cedarpulley_kserve::serving;
-use cedarpulley_net::Alarm;
+use cedarpulley_kserve::client_requests;
+use cedarpulley_net::DeadlineTimer;
 use cedarpulley_replica as replica;
-use cedarpulley_router::admission::FrontState;
-use cedarpulley_router::roster::Listed;
-use cedarpulley_router::watch::{By, Used};
-use cedarpulley_router::{Delivery, Fate, Input, Reason, Taken};
-use cedarpulley_upgrade::sessions::{self, Placed, Refused, Sessions};
-use cedarpulley_upgrade::{Name, function};
+use cedarpulley_router::concurrency_limit::FrontState;
+use cedarpulley_router::endpoint_list::ListedWorker;
+use cedarpulley_router::observer::{UsageSource, WorkerUsage};
+use cedarpulley_router::{AnswerReason, Delivery, FinalOutcome, IncomingInvocation, Input};
+use cedarpulley_upgrade::sessions::{self, RejectionReason, SessionPlacement, Sessions};
+use cedarpulley_upgrade::{Name, function_name};
 use serde_json::{Value, json};
 
 use crate::context::GatewayContext;
@@ -49,7 +49,7 @@
     /// Whether this router has recently used copies of a function at a worker that still exist as far as is
     /// known.
     recently_used: RefCell<Option<RecentUseCheck>>,
-    alarm: Alarm,
+    alarm: DeadlineTimer,
 }
 
 /// Called with the worker's local name and the function.
@@ -69,8 +69,8 @@
 }
 
 /// The placement that a note encodes in its version and value.
-fn placement_of_note(note: &replica::Note) -> Placed {
-    Placed {
+fn placement_of_note(note: &replica::Note) -> SessionPlacement {
+    SessionPlacement {
         number: note.version.0,
         worker: Name::from(&*String::from_utf8_lossy(&note.value)),
     }
@@ -81,7 +81,7 @@
     /// hands an input to the core without passing here again.
     pub fn new(
         context: Rc<GatewayContext>,
-        terms: sessions::Terms,
+        terms: sessions::SessionSettings,
         shared: Option<SharedState>,
         upgrades: Option<Rc<Upgrades>>,
         forward_to_core: Box<dyn Fn(Input)>,
@@ -98,11 +98,11 @@
             workers: ListedWorkers::default(),
             worker_ids: RefCell::default(),
             recently_used: RefCell::default(),
-            alarm: Alarm::default(),
+            alarm: DeadlineTimer::default(),
         });
         if let Some(shared) = &admission.shared {
             let admission = Rc::downgrade(&admission);
-            shared.subscribe(sessions::BOUND, move |event| {
+            shared.subscribe(sessions::BINDING_PREFIX, move |event| {
                 if let (Some(admission), PeerEvent::Decided(key, outcome)) =
                     (admission.upgrade(), event)
                 {
@@ -144,17 +144,17 @@
     /// The input to hand to the core now, if any; a request that has to wait is forwarded later.
     pub fn filter(&self, input: Input) -> Option<Input> {
         match &input {
-            Input::Departed(delivery) => self.drop_waiting(|waiting| waiting == *delivery),
-            Input::Front {
+            Input::ClientLeft(delivery) => self.drop_waiting(|waiting| waiting == *delivery),
+            Input::FrontChanged {
                 front,
                 state: FrontState::Down,
             } => self.drop_waiting(|waiting| waiting.front == *front),
-            Input::List { mode, workers } => self.update_workers(*mode, workers),
-            Input::Taken(request) if request.refused.is_none() => {
-                let Input::Taken(request) = input else {
+            Input::EndpointList { kind, workers } => self.update_workers(*kind, workers),
+            Input::MessageArrived(request) if request.predetermined_answer.is_none() => {
+                let Input::MessageArrived(request) = input else {
                     return None;
                 };
-                return self.admit(request).map(Input::Taken);
+                return self.admit(request).map(Input::MessageArrived);
             }
             _ => {}
         }
@@ -162,18 +162,18 @@
     }
 
     /// Records the end of a dispatch or a load order; called while the core is running.
-    pub(crate) fn record_completion(&self, used: &Used) {
+    pub(crate) fn record_completion(&self, used: &WorkerUsage) {
         if let Some(upgrades) = &self.upgrades {
             upgrades.record_use(used);
         }
-        if let (By::Dispatch(DispatchOutcome::Succeeded, _), Some(session)) =
-            (used.by, used.session)
+        if let (UsageSource::Dispatch(DispatchOutcome::Succeeded, _), Some(session)) =
+            (used.source, used.session)
         {
             let answered = sessions::Input::Answered {
-                model: Name::from(serving::model(used.function).0),
+                model: Name::from(client_requests::split_version(used.function).0),
                 session: Name::from(session),
                 worker: self.id(used.worker_name),
-                ends: used.ends,
+                ends: used.ends_session,
             };
             self.completed.borrow_mut().push_back(answered);
         }
@@ -199,7 +199,7 @@
 
     /// A worker has lost the cached prefixes of these sessions.
     pub fn prefix_lost(&self, worker: &str, function: &str, sessions: &[Arc<str>]) {
-        let model = Name::from(serving::model(function).0);
+        let model = Name::from(client_requests::split_version(function).0);
         for session in sessions {
             let (model, worker, session) = (model.clone(), self.id(worker), session.clone());
             self.apply(sessions::Input::Lost {
@@ -213,7 +213,7 @@
     /// Rejects requests that have waited too long, for as long as the router runs.
     pub async fn run(self: Rc<Self>) {
         loop {
-            self.alarm.rings(&self.context.clock).await;
+            self.alarm.elapsed(&self.context.clock).await;
             self.apply(sessions::Input::Tick);
         }
     }
@@ -222,15 +222,19 @@
     pub fn state(&self) -> Value {
         let sessions = self.sessions.borrow();
         let mut bound: BTreeMap<&str, u64> = BTreeMap::new();
-        for version in sessions.known() {
+        for version in sessions.bound_versions() {
             *bound.entry(version).or_default() += 1;
         }
-        json!({"bound": bound, "waiting": sessions.waiting(), "counts": sessions.counts})
+        json!({"bound": bound, "waiting": sessions.waiting_count(), "counts": sessions.counts})
     }
 
     /// Random, or derived from the identity of a request, so that a retry goes where the first attempt went.
-    fn draw(&self, request: &Taken) -> u64 {
-        if let Some(identity) = request.token.as_deref().or(request.identity.as_deref()) {
+    fn draw(&self, request: &IncomingInvocation) -> u64 {
+        if let Some(identity) = request
+            .idempotency_key
+            .as_deref()
+            .or(request.identity.as_deref())
+        {
             return hash_of((request.account, identity));
         }
         self.draws.set(self.draws.get() + 1);
@@ -238,8 +242,8 @@
     }
 
     /// The request if it can go on at once; one of a session waits for a decision.
-    fn admit(&self, mut request: Taken) -> Option<Taken> {
-        let (model, version) = serving::model(&request.function);
+    fn admit(&self, mut request: IncomingInvocation) -> Option<IncomingInvocation> {
+        let (model, version) = client_requests::split_version(&request.function);
         // A client that names a version gets that one.
         let upgrades = self.upgrades.as_ref().filter(|_| version.is_empty());
         if let Some(upgrades) = upgrades {
@@ -247,14 +251,15 @@
         }
         let Some(session) = &request.session else {
             if let Some(function) = upgrades.and_then(|u| u.route(model, || self.draw(&request))) {
-                request.named = Some(std::mem::replace(&mut request.function, function));
+                request.requested_function =
+                    Some(std::mem::replace(&mut request.function, function));
             }
             return Some(request);
         };
         let ticket = self.waiting.issue_ticket();
         let proposes =
-            upgrades.map(|u| u.propose_version(model, self.draw(&request), session.start));
-        let place_key = sessions::place_key(model, &session.id);
+            upgrades.map(|u| u.propose_version(model, self.draw(&request), session.is_first));
+        let place_key = sessions::placement_key(model, &session.id);
         let placed = self
             .shared
             .as_ref()
@@ -264,7 +269,7 @@
         let (model, session) = (Name::from(model), session.id.clone());
         self.waiting
             .insert(ticket, request, self.context.clock.now());
-        self.apply(sessions::Input::Arrives {
+        self.apply(sessions::Input::Arrived {
             ticket,
             model,
             session,
@@ -282,7 +287,7 @@
             sessions.handle(now, input, &mut outputs);
             sessions.next_due()
         };
-        self.alarm.set(due);
+        self.alarm.set_deadline(due);
         outputs
             .into_iter()
             .for_each(|output| self.carry_out(output));
@@ -290,28 +295,39 @@
 
     fn carry_out(&self, output: sessions::Output) {
         match output {
-            sessions::Output::Choose { key, version, kept } => {
+            sessions::Output::RequestBinding {
+                key,
+                version,
+                retention,
+            } => {
                 if let Some(shared) = &self.shared {
-                    shared.choose(key, Bytes::copy_from_slice(version.as_bytes()), kept);
+                    shared.choose(key, Bytes::copy_from_slice(version.as_bytes()), retention);
                 }
             }
-            sessions::Output::Goes {
+            sessions::Output::Forward {
                 ticket,
                 version,
-                prefers,
-                anew,
-            } => self.forward(ticket, version, prefers, anew),
-            sessions::Output::Refused { ticket, why } => {
+                preferred_worker,
+                placed_by_other_router,
+            } => self.forward(ticket, version, preferred_worker, placed_by_other_router),
+            sessions::Output::Reject {
+                ticket,
+                reason: why,
+            } => {
                 let reason = match why {
-                    Refused::NoMajority => Reason::NoMajority,
-                    Refused::Full => Reason::Size,
+                    RejectionReason::NoMajority => AnswerReason::NoMajority,
+                    RejectionReason::Full => AnswerReason::Size,
                 };
                 self.reject(ticket, reason);
             }
-            sessions::Output::Place { key, placed, kept } => {
+            sessions::Output::PublishPlacement {
+                key,
+                placed,
+                retention,
+            } => {
                 if let Some(shared) = &self.shared {
                     let value = Bytes::copy_from_slice(placed.worker.as_bytes());
-                    shared.note(key, (placed.number, 0), value, kept);
+                    shared.note(key, (placed.number, 0), value, retention);
                 }
             }
         }
@@ -325,7 +341,7 @@
         self.apply(sessions::Input::Decided { key, version });
     }
 
-    fn release(&self, ticket: u64) -> Option<Taken> {
+    fn release(&self, ticket: u64) -> Option<IncomingInvocation> {
         self.waiting.release(ticket, self.context.clock.now())
     }
 
@@ -335,34 +351,34 @@
         let Some(mut request) = self.release(ticket) else {
             return;
         };
-        request.prefers = prefers.and_then(|id| self.worker(id));
+        request.preferred_worker = prefers.and_then(|id| self.worker(id));
         if let Some(version) = version {
             self.assign_version(&mut request, &version);
         }
         // Guards against a warm copy being passed over: the session comes from another router and this one
         // has not heard of the copy that served it; or the module has forgotten all about a function as its
         // preferred workers changed, and would use another one.
-        let preferred = request.prefers.clone();
+        let preferred = request.preferred_worker.clone();
         if let Some(worker) =
             preferred.filter(|worker| anew || self.is_recently_used(worker, &request.function))
         {
-            (self.forward_to_core)(Input::Held {
+            (self.forward_to_core)(Input::CopiesReported {
                 worker,
                 function: request.function.clone(),
                 copies: 1,
             });
         }
-        (self.forward_to_core)(Input::Taken(request));
+        (self.forward_to_core)(Input::MessageArrived(request));
     }
 
-    fn assign_version(&self, request: &mut Taken, version: &Name) {
+    fn assign_version(&self, request: &mut IncomingInvocation, version: &Name) {
         let model = request.function.clone();
         let upgrades = self.upgrades.as_ref();
         if upgrades.is_some_and(|u| u.sessions_ended(&model, version)) {
-            request.refused = Some((Fate::Errored, Reason::SessionOver));
+            request.predetermined_answer = Some((FinalOutcome::Errored, AnswerReason::SessionOver));
         }
-        let function = function(&model, version);
-        request.named = Some(std::mem::replace(&mut request.function, function));
+        let function = function_name(&model, version);
+        request.requested_function = Some(std::mem::replace(&mut request.function, function));
     }
 
     fn is_recently_used(&self, worker: &Name, function: &Name) -> bool {
@@ -371,17 +387,17 @@
     }
 
     /// Nothing has been sent from here; for a redelivered message that is not known of its earlier delivery.
-    fn reject(&self, ticket: u64, reason: Reason) {
+    fn reject(&self, ticket: u64, reason: AnswerReason) {
         let Some(mut request) = self.release(ticket) else {
             return;
         };
         let fate = if request.redelivered {
-            Fate::Errored
+            FinalOutcome::Errored
         } else {
-            Fate::Throttled
+            FinalOutcome::Throttled
         };
-        request.refused = Some((fate, reason));
-        (self.forward_to_core)(Input::Taken(request));
+        request.predetermined_answer = Some((fate, reason));
+        (self.forward_to_core)(Input::MessageArrived(request));
     }
 
     /// Guards against taking a message twice: when a front is lost, its messages that wait here will be
@@ -392,11 +408,11 @@
         }
         for ticket in self.waiting.tickets_of(matches) {
             self.waiting.remove(ticket);
-            self.apply(sessions::Input::Leaves { ticket });
+            self.apply(sessions::Input::Left { ticket });
         }
     }
 
-    fn update_workers(&self, mode: EndpointListKind, workers: &[Listed]) {
+    fn update_workers(&self, mode: EndpointListKind, workers: &[ListedWorker]) {
         for worker in self.workers.apply_update(mode, workers) {
             let worker = self.id(&worker);
             self.apply(sessions::Input::Gone { worker });
--- a/crates/gateway/src/admission_observer.rs
+++ b/crates/gateway/src/admission_observer.rs
@@ -4,8 +4,8 @@
 
 use cedarpulley::interface::{Action, Event, InvocationIndex, Micros};
 use cedarpulley_router::FrontIndex;
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::watch::{Given, Names, Used, Watch};
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, WorkerUsage};
 
 use crate::admission::Admission;
 
@@ -14,21 +14,22 @@
 
 impl Admission {
     /// To be registered with the core, which reports the completions of dispatches.
-    pub fn observer(self: &Rc<Self>) -> Box<dyn Watch> {
+    pub fn observer(self: &Rc<Self>) -> Box<dyn RouterObserver> {
         Box::new(CoreObserver(self.clone()))
     }
 }
 
-impl Watch for CoreObserver {
+impl RouterObserver for CoreObserver {
     fn decided(&mut self, _: Micros, _: &Event, _: &[Action], _: Names) {}
 
-    fn taken(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {}
+    fn accepted(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {
+    }
 
-    fn answered(&mut self, _: Micros, _: Given) {}
+    fn answered(&mut self, _: Micros, _: AnswerGiven) {}
 
-    fn turned_away(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: Short) {}
+    fn rejected(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: RejectionReason) {}
 
-    fn used(&mut self, _: Micros, used: Used) {
+    fn used(&mut self, _: Micros, used: WorkerUsage) {
         self.0.record_completion(&used);
     }
 }
--- a/crates/gateway/src/amqp_front.rs
+++ b/crates/gateway/src/amqp_front.rs
@@ -10,10 +10,10 @@
 use async_io::Timer;
 use cedarpulley::interface::Micros;
 use cedarpulley_amqp::protocol::basic::AMQPProperties;
-use cedarpulley_amqp::{Connection, meaning};
-use cedarpulley_net::{Bell, connect};
-use cedarpulley_router::admission::FrontState;
+use cedarpulley_amqp::{Connection, trigger};
+use cedarpulley_net::{Notifier, connect};
 use cedarpulley_router::backoff::Backoff;
+use cedarpulley_router::concurrency_limit::FrontState;
 use cedarpulley_router::{Answer, Delivery, FrontIndex, Input};
 
 use crate::answer_times::AnswerTimes;
@@ -70,7 +70,7 @@
     /// By delivery tag of the current channel.
     pending: RefCell<HashMap<u64, PendingAnswer>>,
     /// Wakes the writer of the connection: there may be output.
-    output_ready: Bell,
+    output_ready: Notifier,
     /// The queue is being consumed.
     is_up: Cell<bool>,
     /// When the channel is opened again, if the broker closed it.
@@ -98,7 +98,7 @@
             incarnation: Cell::new(0),
             granted: Cell::new(0),
             pending: RefCell::default(),
-            output_ready: Bell::default(),
+            output_ready: Notifier::default(),
             is_up: Cell::new(false),
             reopen_at: Cell::new(None),
             closing: Cell::new(false),
@@ -111,12 +111,12 @@
         if let Some(connection) = self.connection.borrow_mut().as_mut() {
             connection.set_prefetch(limit.min(u32::from(u16::MAX)) as u16);
         }
-        self.output_ready.ring();
+        self.output_ready.notify();
     }
 
     /// Publishes an answer, unless its delivery belongs to an earlier channel.
     pub fn answer(&self, delivery: Delivery, answer: &Answer) {
-        if delivery.life != self.incarnation.get() || !self.is_up.get() {
+        if delivery.incarnation != self.incarnation.get() || !self.is_up.get() {
             return;
         }
         let pending = self.pending.borrow();
@@ -130,14 +130,14 @@
         self.times
             .record_answered(self.context.clock.now() - taken_at);
         if let Some(connection) = self.connection.borrow_mut().as_mut() {
-            let (outcome, reason) = (fate_name(answer.fate), reason_name(answer.reason));
-            let answer_properties = meaning::answer(
+            let (outcome, reason) = (fate_name(answer.outcome), reason_name(answer.reason));
+            let answer_properties = trigger::answer_properties(
                 properties,
                 outcome,
                 reason,
                 None,
-                answer.return_after,
-                answer.body.first,
+                answer.retry_after,
+                answer.body.first_part_length,
             );
             let reply_to = properties.reply_to().as_ref().map(|queue| queue.as_str());
             connection.answer(
@@ -145,16 +145,16 @@
                 reply_to.map(|queue| (queue, answer_properties, answer.body.bytes.as_ref())),
             );
         }
-        self.output_ready.ring();
+        self.output_ready.notify();
     }
 
     /// Acknowledges a message without an answer.
     pub fn discard(&self, delivery: Delivery) {
-        if delivery.life == self.incarnation.get()
+        if delivery.incarnation == self.incarnation.get()
             && let Some(connection) = self.connection.borrow_mut().as_mut()
         {
             connection.answer(delivery.tag, None);
-            self.output_ready.ring();
+            self.output_ready.notify();
         }
     }
 
@@ -162,9 +162,9 @@
     pub fn is_drained(&self) -> bool {
         let connection = self.connection.borrow();
         !self.is_up.get()
-            || connection
-                .as_ref()
-                .is_none_or(|connection| connection.is_quiet() && connection.unsafe_answers() == 0)
+            || connection.as_ref().is_none_or(|connection| {
+                connection.has_stopped_consuming() && connection.uncommitted_answers() == 0
+            })
     }
 
     /// Closes the connection and does not reconnect.
@@ -173,7 +173,7 @@
         if let Some(connection) = self.connection.borrow_mut().as_mut() {
             connection.close(now);
         }
-        self.output_ready.ring();
+        self.output_ready.notify();
     }
 
     /// Connects, consumes, and reconnects, for as long as the router runs.
@@ -188,7 +188,12 @@
                 return;
             }
             let now = self.context.clock.now();
-            Timer::at(self.context.clock.instant(now + backoff.after(now - began))).await;
+            Timer::at(
+                self.context
+                    .clock
+                    .instant(now + backoff.next_delay(now - began)),
+            )
+            .await;
         }
     }
 
@@ -213,7 +218,7 @@
     }
 
     fn set_state(&self, state: FrontState) {
-        self.context.feed(Input::Front {
+        self.context.feed(Input::FrontChanged {
             front: self.index,
             state,
         });
@@ -230,7 +235,7 @@
     fn delivery(&self, tag: u64) -> Delivery {
         Delivery {
             front: self.index,
-            life: self.incarnation.get(),
+            incarnation: self.incarnation.get(),
             tag,
         }
     }
--- a/crates/gateway/src/amqp_front/broker_session.rs
+++ b/crates/gateway/src/amqp_front/broker_session.rs
@@ -6,10 +6,10 @@
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
 use cedarpulley_amqp::connection::Login;
-use cedarpulley_amqp::{Connection, Event, Fault, Message, Role, meaning};
+use cedarpulley_amqp::{Connection, ConnectionError, Event, Message, Role, trigger};
 use cedarpulley_router::Input;
-use cedarpulley_router::admission::FrontState;
 use cedarpulley_router::backoff::Backoff;
+use cedarpulley_router::concurrency_limit::FrontState;
 use futures_lite::io::{ReadHalf, WriteHalf, split};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 
@@ -41,17 +41,17 @@
         front: &'a AmqpFront,
         stream: BrokerStream,
         backoff: &'a mut Backoff,
-    ) -> Fault {
+    ) -> ConnectionError {
         let login = Login {
             virtual_host: front.source.virtual_host.clone(),
             user: front.source.user.clone(),
             password: front.source.password.clone(),
             heartbeat_s: front.source.heartbeat_s,
             name: front.context.name.clone(),
-            most_body: front.max_body_bytes,
+            max_body: front.max_body_bytes,
         };
         let prefetch = front.granted.get().clamp(1, u32::from(u16::MAX)) as u16;
-        let role = Role::Answers {
+        let role = Role::Responder {
             queue: front.source.queue.clone(),
             prefetch,
         };
@@ -72,7 +72,11 @@
     }
 
     /// Tells the broker why the connection ends, if it still reads; a broker that reads nothing is not waited for.
-    async fn write_last_frames(&self, stream: &mut WriteHalf<BrokerStream>, fault: &Fault) {
+    async fn write_last_frames(
+        &self,
+        stream: &mut WriteHalf<BrokerStream>,
+        fault: &ConnectionError,
+    ) {
         let last = self
             .front
             .connection
@@ -80,7 +84,7 @@
             .as_mut()
             .map(|connection| {
                 if fault.code != REPLY_SUCCESS {
-                    connection.fail(self.front.context.clock.now(), fault);
+                    connection.close_with_error(self.front.context.clock.now(), fault);
                 }
                 connection.output(self.front.context.clock.now())
             });
@@ -98,19 +102,24 @@
     }
 
     /// Reads and handles frames until the connection ends.
-    async fn read(&self, stream: &mut ReadHalf<BrokerStream>) -> Fault {
+    async fn read(&self, stream: &mut ReadHalf<BrokerStream>) -> ConnectionError {
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         let mut events = Vec::new();
         loop {
             let length = match stream.read(&mut buffer).await {
-                Ok(0) => return Fault::new(CONNECTION_FORCED, "the broker closed the connection"),
+                Ok(0) => {
+                    return ConnectionError::new(
+                        CONNECTION_FORCED,
+                        "the broker closed the connection",
+                    );
+                }
                 Ok(length) => length,
-                Err(error) => return Fault::new(CONNECTION_FORCED, error.to_string()),
+                Err(error) => return ConnectionError::new(CONNECTION_FORCED, error.to_string()),
             };
             let now = self.front.context.clock.now();
             let received = match self.front.connection.borrow_mut().as_mut() {
                 Some(connection) => connection.receive(now, &buffer[..length], &mut events),
-                None => return Fault::new(CONNECTION_FORCED, "closed"),
+                None => return ConnectionError::new(CONNECTION_FORCED, "closed"),
             };
             for event in events.drain(..) {
                 if let Err(fault) = self.handle_event(now, event) {
@@ -120,14 +129,14 @@
             if let Err(fault) = received {
                 return fault;
             }
-            self.front.output_ready.ring();
+            self.front.output_ready.notify();
             // Guards against a broker that keeps sending but reads nothing: its output must not pile up here.
             while self
                 .front
                 .connection
                 .borrow()
                 .as_ref()
-                .is_some_and(|connection| connection.waiting() > MAX_OUTPUT_BYTES)
+                .is_some_and(|connection| connection.unsent_bytes() > MAX_OUTPUT_BYTES)
             {
                 Timer::after(std::time::Duration::from_millis(1)).await;
             }
@@ -135,7 +144,7 @@
     }
 
     /// Handles one event of the connection; an error ends the connection.
-    fn handle_event(&self, now: Micros, event: Event) -> Result<(), Fault> {
+    fn handle_event(&self, now: Micros, event: Event) -> Result<(), ConnectionError> {
         let front = self.front.source.name.as_str();
         match event {
             Event::Ready => {
@@ -163,12 +172,12 @@
                 self.front.reopen_at.set(Some(now + self.reopen_delay(now)));
             }
             Event::Cancelled => {
-                return Err(Fault::new(
+                return Err(ConnectionError::new(
                     CONNECTION_FORCED,
                     "the queue is no longer consumed",
                 ));
             }
-            Event::Closed { code, text } => return Err(Fault { code, text }),
+            Event::Closed { code, text } => return Err(ConnectionError { code, text }),
         }
         Ok(())
     }
@@ -180,18 +189,18 @@
             self.front.times.record_committed(now - pending.taken_at);
             self.front
                 .context
-                .feed(Input::Safe(self.front.delivery(tag)));
+                .feed(Input::AnswerDelivered(self.front.delivery(tag)));
         }
     }
 
     /// Writes output, and does what is due by time, until the connection ends.
-    async fn write(&self, stream: &mut WriteHalf<BrokerStream>) -> Fault {
+    async fn write(&self, stream: &mut WriteHalf<BrokerStream>) -> ConnectionError {
         loop {
             let now = self.front.context.clock.now();
             let (bytes, due) = {
                 let mut connection = self.front.connection.borrow_mut();
                 let Some(connection) = connection.as_mut() else {
-                    return Fault::new(CONNECTION_FORCED, "closed");
+                    return ConnectionError::new(CONNECTION_FORCED, "closed");
                 };
                 if let Err(fault) = connection.tick(now) {
                     return fault;
@@ -214,7 +223,7 @@
                     stream.flush().await
                 };
                 if let Err(error) = sent.await {
-                    return Fault::new(CONNECTION_FORCED, error.to_string());
+                    return ConnectionError::new(CONNECTION_FORCED, error.to_string());
                 }
                 continue;
             }
@@ -226,12 +235,12 @@
                     }
                 }
             };
-            self.front.output_ready.heard().or(due).await;
+            self.front.output_ready.notified().or(due).await;
         }
     }
 
     fn handle_message(&self, message: Message) {
-        let delivery = self.front.delivery(message.tag);
+        let delivery = self.front.delivery(message.delivery_tag);
         match amqp_messages::parse(
             &message,
             delivery,
@@ -244,8 +253,11 @@
                     properties: message.properties,
                     taken_at: self.front.context.clock.now(),
                 };
-                self.front.pending.borrow_mut().insert(message.tag, pending);
-                self.front.context.feed(Input::Taken(taken));
+                self.front
+                    .pending
+                    .borrow_mut()
+                    .insert(message.delivery_tag, pending);
+                self.front.context.feed(Input::MessageArrived(taken));
             }
             Err(malformed) => self.refuse_malformed(&message, &malformed),
         }
@@ -253,7 +265,7 @@
 
     /// Answers a malformed message with an error, or rejects it if it has no reply queue. It is never requeued: it
     /// would be delivered again for ever.
-    fn refuse_malformed(&self, message: &Message, malformed: &meaning::Misunderstood) {
+    fn refuse_malformed(&self, message: &Message, malformed: &trigger::InvalidField) {
         tracing::debug!(front = %self.front.source.name, field = malformed.field, cause = %malformed.cause, "malformed message");
         self.front.context.count_malformed();
         let mut connection = self.front.connection.borrow_mut();
@@ -269,7 +281,7 @@
         match reply_to {
             Some(queue) => {
                 let cause = format!("{}: {}", malformed.field, malformed.cause);
-                let answer = meaning::answer(
+                let answer = trigger::answer_properties(
                     properties,
                     "errored",
                     "not-understood",
@@ -277,15 +289,15 @@
                     None,
                     None,
                 );
-                connection.answer(message.tag, Some((queue, answer, b"")));
+                connection.answer(message.delivery_tag, Some((queue, answer, b"")));
             }
-            None => connection.reject(message.tag),
+            None => connection.reject(message.delivery_tag),
         }
     }
 
     fn reopen_delay(&self, now: Micros) -> Micros {
         self.backoff
             .borrow_mut()
-            .after(now - self.ready_since.get())
+            .next_delay(now - self.ready_since.get())
     }
 }
--- a/crates/gateway/src/amqp_messages.rs
+++ b/crates/gateway/src/amqp_messages.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_amqp::meaning::Misunderstood;
-use cedarpulley_amqp::{Message, meaning};
-use cedarpulley_router::{Delivery, Payload, Session, Taken};
+use cedarpulley_amqp::trigger::InvalidField;
+use cedarpulley_amqp::{Message, trigger};
+use cedarpulley_router::{Delivery, IncomingInvocation, Payload, Session};
 
 use crate::context::GatewayContext;
 
@@ -17,56 +17,56 @@
     delivery: Delivery,
     context: &GatewayContext,
     max_body_bytes: u64,
-) -> Result<Taken, Misunderstood> {
+) -> Result<IncomingInvocation, InvalidField> {
     if message.oversized {
-        return Err(Misunderstood {
+        return Err(InvalidField {
             field: "body",
             cause: format!("larger than {max_body_bytes} bytes"),
         });
     }
-    let invocation = meaning::read(message, context.clock.wall())?;
+    let invocation = trigger::parse(message, context.clock.wall_time())?;
     let trigger = context
         .names
-        .trigger(&invocation.kind)
-        .ok_or_else(|| unknown("type", &invocation.kind))?;
+        .trigger_index(&invocation.trigger_type)
+        .ok_or_else(|| unknown("type", &invocation.trigger_type))?;
     let account = context
         .names
-        .account(invocation.account.as_deref())
+        .account_index(invocation.account.as_deref())
         .ok_or_else(|| unknown("app-id", invocation.account.as_deref().unwrap_or("")))?;
     let identity: Option<Arc<str>> = invocation.identity.map(Arc::from);
-    Ok(Taken {
+    Ok(IncomingInvocation {
         delivery,
-        mark: identity.clone(),
+        name: identity.clone(),
         identity,
         redelivered: message.redelivered,
-        repeat: invocation.repeat,
+        client_retry: invocation.repeat,
         trigger,
         account,
         function: Arc::from(invocation.function),
-        token: invocation.token.map(Arc::from),
+        idempotency_key: invocation.idempotency_key.map(Arc::from),
         waited: invocation.waited_us,
         client_timeout: invocation.client_timeout_us.unwrap_or(Micros::MAX / 8),
         cost_hint: invocation.cost_hint_us,
         load_hint: invocation.load_hint_us,
         copy_mb: invocation.copy_mb,
         lanes: invocation.lanes,
-        session: invocation.session.map(|(id, start, end)| Session {
+        session: invocation.session.map(|(id, is_first, is_last)| Session {
             id: Arc::from(id),
-            start,
-            end,
+            is_first,
+            is_last,
         }),
-        named: None,
-        prefers: None,
-        refused: None,
+        requested_function: None,
+        preferred_worker: None,
+        predetermined_answer: None,
         body: Payload {
             bytes: Bytes::new(),
-            first: invocation.first_part,
+            first_part_length: invocation.first_part,
         },
     })
 }
 
-fn unknown(field: &'static str, name: &str) -> Misunderstood {
-    Misunderstood {
+fn unknown(field: &'static str, name: &str) -> InvalidField {
+    InvalidField {
         field,
         cause: format!("'{name}' is unknown"),
     }
--- a/crates/gateway/src/client_listener.rs
+++ b/crates/gateway/src/client_listener.rs
@@ -12,10 +12,10 @@
 
 use async_io::{Async, Timer};
 use cedarpulley::interface::Micros;
-use cedarpulley_certificates::Speakers;
-use cedarpulley_net::{Bell, Stream, micros};
+use cedarpulley_certificates::ClientAccounts;
+use cedarpulley_net::{Notifier, Stream, duration_from_micros};
 use cedarpulley_router::Input;
-use cedarpulley_router::admission::FrontState;
+use cedarpulley_router::concurrency_limit::FrontState;
 use futures_lite::{AsyncRead, AsyncWrite};
 use futures_rustls::server::TlsStream;
 
@@ -76,7 +76,7 @@
         }
         let timer = self
             .stall_timer
-            .get_or_insert_with(|| Timer::after(micros(WRITE_STALL_TIMEOUT)));
+            .get_or_insert_with(|| Timer::after(duration_from_micros(WRITE_STALL_TIMEOUT)));
         match Pin::new(timer).poll(cx) {
             Poll::Ready(_) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
@@ -121,9 +121,9 @@
     settings: ListenerSettings,
     tls: Option<Rc<ServerTls>>,
     /// Which certificate is bound to which account.
-    certificate_accounts: Rc<Speakers>,
+    certificate_accounts: Rc<ClientAccounts>,
     /// Open connections, each with the signal that tells it to stop.
-    connections: RefCell<HashMap<u64, Bell>>,
+    connections: RefCell<HashMap<u64, Notifier>>,
     /// Connections closed at once because `max_connections` was reached.
     pub over_limit: Cell<u64>,
     /// Connections closed for a failed handshake, or a certificate that is bound to no account.
@@ -136,7 +136,7 @@
         handler: Rc<RequestHandler>,
         settings: ListenerSettings,
         tls: Option<Rc<ServerTls>>,
-        certificate_accounts: Rc<Speakers>,
+        certificate_accounts: Rc<ClientAccounts>,
     ) -> Self {
         let (connections, over_limit, refused_handshakes) =
             (RefCell::default(), Cell::new(0), Cell::new(0));
@@ -155,13 +155,16 @@
     /// still accepted and their requests rejected by the core: a connection closed at once would leave its
     /// client unsure whether anything ran.
     pub fn stop(&self) {
-        self.connections.borrow().values().for_each(Bell::ring);
+        self.connections
+            .borrow()
+            .values()
+            .for_each(Notifier::notify);
     }
 
     /// Accepts connections until the router ends.
     pub async fn run(self: Rc<Self>, listener: Async<TcpListener>) {
         let context = &self.handler.context;
-        context.feed(Input::Front {
+        context.feed(Input::FrontChanged {
             front: self.handler.front,
             state: FrontState::Up,
         });
@@ -176,7 +179,7 @@
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 // Most likely out of file descriptors: wait until some are released.
-                Timer::after(micros(10_000)).await;
+                Timer::after(duration_from_micros(10_000)).await;
                 continue;
             };
             if self.connections.borrow().len() >= self.settings.max_connections {
@@ -189,7 +192,7 @@
                 listener: self.clone(),
                 connection: next_connection,
             };
-            let stop = Bell::default();
+            let stop = Notifier::default();
             self.connections
                 .borrow_mut()
                 .insert(next_connection, stop.clone());
@@ -199,7 +202,7 @@
     }
 
     /// Serves an accepted connection, after a handshake if TLS is used.
-    async fn serve_stream(self: Rc<Self>, stream: Stream, stop: Bell, _guard: ConnectionGuard) {
+    async fn serve_stream(self: Rc<Self>, stream: Stream, stop: Notifier, _guard: ConnectionGuard) {
         let client = Rc::new(ClientConnection::default());
         // Boxed separately, so that ten thousand idle connections do not each take the memory of the largest future.
         let Some(tls) = self.tls.clone() else {
@@ -237,7 +240,7 @@
         self: Rc<Self>,
         client: Rc<ClientConnection>,
         stream: impl AsyncRead + AsyncWrite + Unpin + 'static,
-        stop: Bell,
+        stop: Notifier,
     ) {
         match self.settings.protocol {
             Protocol::Rest => {
--- a/crates/gateway/src/copy_inventory.rs
+++ b/crates/gateway/src/copy_inventory.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 
 use cedarpulley::interface::EndpointState;
-use cedarpulley_kserve::serving;
-use cedarpulley_router::roster::Listed;
-use cedarpulley_upgrade::{Name, WorkerSeen};
+use cedarpulley_kserve::client_requests;
+use cedarpulley_router::endpoint_list::ListedWorker;
+use cedarpulley_upgrade::{Name, ObservedWorker};
 
 use crate::context::GatewayContext;
 
@@ -16,9 +16,9 @@
 const MAX_SIZES: usize = 20_000;
 
 /// The copies that workers hold, as far as known.
-pub type HoldingsSource = Box<dyn Fn() -> Vec<WorkerSeen>>;
+pub type HoldingsSource = Box<dyn Fn() -> Vec<ObservedWorker>>;
 /// Workers of the list, by name.
-pub type WorkerMap = Rc<RefCell<BTreeMap<Name, Listed>>>;
+pub type WorkerMap = Rc<RefCell<BTreeMap<Name, ListedWorker>>>;
 
 /// Size of a model's copies, as its last invocation stated.
 #[derive(Clone, Copy)]
@@ -80,14 +80,14 @@
     }
 
     /// The copies at workers, with region and state of the workers and sizes of the copies.
-    pub(crate) fn observed_workers(&self) -> Vec<WorkerSeen> {
+    pub(crate) fn observed_workers(&self) -> Vec<ObservedWorker> {
         let workers = self.workers.borrow().clone().unwrap_or_default();
         let workers = workers.borrow();
         let holdings = self.holdings.borrow();
         let reported = holdings.as_ref().map(|source| source()).unwrap_or_default();
-        let mut reported: BTreeMap<Name, WorkerSeen> =
+        let mut reported: BTreeMap<Name, ObservedWorker> =
             reported.into_iter().map(|w| (w.name.clone(), w)).collect();
-        let describe = |(name, listed): (&Name, &Listed)| {
+        let describe = |(name, listed): (&Name, &ListedWorker)| {
             reported
                 .remove(name)
                 .map(|worker| self.describe(worker, listed))
@@ -96,19 +96,19 @@
     }
 
     /// Completes a worker's report.
-    fn describe(&self, mut worker: WorkerSeen, listed: &Listed) -> WorkerSeen {
+    fn describe(&self, mut worker: ObservedWorker, listed: &ListedWorker) -> ObservedWorker {
         let zone = self.context.names.zones.get(listed.zone as usize);
         let zone = zone.map_or("", String::as_str);
         let region = self.regions.get(zone).map_or(zone, String::as_str);
         worker.region = Name::from(region);
-        worker.takes_new = listed.standing == EndpointState::InService;
+        worker.accepts_copies = listed.state == EndpointState::InService;
         if worker.memory_mb == 0 {
-            let by_kind = self.memory_mb.get(listed.kind as usize);
+            let by_kind = self.memory_mb.get(listed.machine_kind as usize);
             worker.memory_mb = by_kind.map_or(0, |mb| *mb as u32);
         }
         let sizes = self.sizes.borrow();
-        for copies in &mut worker.holds {
-            if let Some(size) = sizes.get(serving::model(&copies.function).0) {
+        for copies in &mut worker.copies {
+            if let Some(size) = sizes.get(client_requests::split_version(&copies.function).0) {
                 copies.lanes = copies.copies * size.lanes;
                 copies.copy_mb = size.copy_mb as u32;
             }
--- a/crates/gateway/src/core_settings.rs
+++ b/crates/gateway/src/core_settings.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 
 use cedarpulley::interface::*;
-use cedarpulley_certificates::Speakers;
+use cedarpulley_certificates::ClientAccounts;
 use cedarpulley_startup::Names;
 
 use crate::config_reader::Section;
@@ -110,7 +110,7 @@
 pub(crate) fn kinds(root: &Section, names: &mut Names) -> Vec<f64> {
     let mut memory_mb = Vec::new();
     for kind in root.sections("kind") {
-        names.kinds.push(kind.string("name", None));
+        names.machine_kinds.push(kind.string("name", None));
         memory_mb.push(kind.number("memory_mb", 1.0..MAX_NUMBER, None));
         kind.finish();
     }
@@ -183,14 +183,14 @@
 }
 
 /// Reads the accounts, and the certificate names bound to them; their names go into `names`.
-pub(crate) fn accounts(root: &Section, names: &mut Names) -> (Vec<Account>, Speakers) {
+pub(crate) fn accounts(root: &Section, names: &mut Names) -> (Vec<Account>, ClientAccounts) {
     let mut accounts = Vec::new();
-    let mut certificate_accounts = Speakers::default();
+    let mut certificate_accounts = ClientAccounts::default();
     for section in root.sections("account") {
         names.accounts.push(section.string("name", None));
         if section.has("certificate_names") {
             for name in section.strings("certificate_names") {
-                if !certificate_accounts.give(name.clone(), accounts.len() as u32) {
+                if !certificate_accounts.bind(name.clone(), accounts.len() as u32) {
                     section.error(
                         "certificate_names",
                         &format!("'{name}' speaks for another account"),
--- a/crates/gateway/src/fault_injection.rs
+++ b/crates/gateway/src/fault_injection.rs
@@ -9,11 +9,11 @@
 
 use async_io::Timer;
 use cedarpulley::interface::{EndpointState, Micros, WorkerIndex};
-use cedarpulley_kserve::{requests, serving};
-use cedarpulley_net::micros;
-use cedarpulley_reconcile::asking::Chance;
-use cedarpulley_replica::Guard;
-use cedarpulley_router::roster::News;
+use cedarpulley_kserve::{client_requests, worker_requests};
+use cedarpulley_net::duration_from_micros;
+use cedarpulley_reconcile::polling::SeededRandom;
+use cedarpulley_replica::SafetyCheck;
+use cedarpulley_router::endpoint_list::WatchEvent;
 use cedarpulley_router::{Answer, Delivery, Input, Output};
 
 use crate::amqp_front::AmqpFront;
@@ -79,16 +79,16 @@
 
 impl InjectedFault {
     /// The safety check of the group's shared state that this fault switches off, if any.
-    pub fn disabled_check(self) -> Option<Guard> {
+    pub fn disabled_check(self) -> Option<SafetyCheck> {
         Some(match self {
-            InjectedFault::SendWithoutMajority => Guard::Majority,
-            InjectedFault::UnfencedTakeover => Guard::Fence,
-            InjectedFault::BrokenPromise => Guard::Promise,
-            InjectedFault::VoteWithoutMemory => Guard::Abstaining,
-            InjectedFault::AbsenceAsProof => Guard::Presence,
-            InjectedFault::DeadOwnerAsProof => Guard::Gone,
-            InjectedFault::TrustAfterFullRestart => Guard::Doubt,
-            InjectedFault::VoteBeforePersisted => Guard::Kept,
+            InjectedFault::SendWithoutMajority => SafetyCheck::MajorityBeforeDispatch,
+            InjectedFault::UnfencedTakeover => SafetyCheck::FencedTakeover,
+            InjectedFault::BrokenPromise => SafetyCheck::KeptPromise,
+            InjectedFault::VoteWithoutMemory => SafetyCheck::NoVoteWithoutState,
+            InjectedFault::AbsenceAsProof => SafetyCheck::KnownToBeTaken,
+            InjectedFault::DeadOwnerAsProof => SafetyCheck::GoneOwnerMayHaveRun,
+            InjectedFault::TrustAfterFullRestart => SafetyCheck::DoubtAfterRestarts,
+            InjectedFault::VoteBeforePersisted => SafetyCheck::PersistBeforeVote,
             _ => return None,
         })
     }
@@ -157,10 +157,10 @@
         if self.fault != Some(InjectedFault::CorruptedBelief) {
             return;
         }
-        let mut chance = Chance::new(self.context.seed ^ CORRUPTION_SEED);
+        let mut chance = SeededRandom::new(self.context.seed ^ CORRUPTION_SEED);
         let mut corrupted = 0;
         while corrupted < MAX_CORRUPTIONS {
-            Timer::after(micros(CORRUPTION_INTERVAL)).await;
+            Timer::after(duration_from_micros(CORRUPTION_INTERVAL)).await;
             let Some((worker, function, copies)) = self.wrong_belief(&mut chance) else {
                 continue;
             };
@@ -170,7 +170,7 @@
                 continue;
             }
             corrupted += 1;
-            self.context.feed(Input::Held {
+            self.context.feed(Input::CopiesReported {
                 worker: worker.into(),
                 function: function.into(),
                 copies,
@@ -181,7 +181,7 @@
 
     /// A wrong belief: a copy forgotten, one that may not exist, too many copies, or a version that nobody
     /// has.
-    fn wrong_belief(&self, chance: &mut Chance) -> Option<(String, String, u32)> {
+    fn wrong_belief(&self, chance: &mut SeededRandom) -> Option<(String, String, u32)> {
         let sent = self.sent.borrow();
         let mut random_target = || {
             sent.iter()
@@ -193,7 +193,11 @@
             0 => (worker, function, 0),
             1 => (worker, another, 1),
             2 => (worker, function, 2 + (chance.draw() * 3.0) as u32),
-            _ => (worker, serving::function(&function, UNUSED_VERSION)?, 1),
+            _ => (
+                worker,
+                client_requests::function_name(&function, UNUSED_VERSION)?,
+                1,
+            ),
         })
     }
 
@@ -213,7 +217,7 @@
             Some(InjectedFault::LateAnswer) if self.is_due() => {
                 let front = front.clone();
                 let late = async move {
-                    Timer::after(micros(LATE_DELAY)).await;
+                    Timer::after(duration_from_micros(LATE_DELAY)).await;
                     front.answer(delivery, &answer);
                 };
                 self.context.executor.spawn(late).detach();
@@ -277,12 +281,12 @@
             let Some(address) = address_of(worker) else {
                 return;
             };
-            let request = requests::load(
+            let request = worker_requests::load(
                 &address.to_string(),
                 &function,
                 1,
                 None,
-                requests::Orderer::default(),
+                worker_requests::OrderIssuer::default(),
             );
             let _ = pool.order(address, request, LATE_DELAY).await;
         };
@@ -313,21 +317,21 @@
                 let Some(address) = address_of(worker) else {
                     return;
                 };
-                let marks = requests::Marks {
-                    invocation: call.mark.as_deref(),
+                let marks = worker_requests::InvocationHeaders {
+                    invocation: call.name.as_deref(),
                     dispatch: 99,
-                    token: None,
-                    trigger: &context.names.triggers[trigger],
+                    idempotency_key: None,
+                    trigger_type: &context.names.triggers[trigger],
                     account: None,
                     time_left: call.time_left,
                     session: None,
                 };
-                let request = requests::infer(
+                let request = worker_requests::infer(
                     &address.to_string(),
                     &function,
                     marks,
                     call.body.bytes,
-                    call.body.first,
+                    call.body.first_part_length,
                 );
                 let _ = pool.exchange(address, request, false, || true).await;
             };
@@ -336,10 +340,10 @@
     }
 
     /// The worker list event, as far as the fault lets it through.
-    pub fn filter_list_event(&self, mut event: News) -> News {
+    pub fn filter_list_event(&self, mut event: WatchEvent) -> WatchEvent {
         let slices = match &mut event {
-            News::Listing { slices, .. } => slices.as_mut_slice(),
-            News::Changed(slice) => std::slice::from_mut(slice),
+            WatchEvent::Listing { slices, .. } => slices.as_mut_slice(),
+            WatchEvent::Changed(slice) => std::slice::from_mut(slice),
             _ => return event,
         };
         for worker in slices
@@ -348,17 +352,17 @@
             .map(|entry| &mut entry.worker)
         {
             match self.fault {
-                Some(InjectedFault::IgnoredDrains) => worker.standing = EndpointState::InService,
-                Some(InjectedFault::OverloadedColdWorker) if worker.started.is_some() => {
+                Some(InjectedFault::IgnoredDrains) => worker.state = EndpointState::InService,
+                Some(InjectedFault::OverloadedColdWorker) if worker.started_at.is_some() => {
                     self.cold_workers.borrow_mut().push(worker.address.clone());
-                    worker.started = None;
+                    worker.started_at = None;
                 }
                 _ => {}
             }
         }
         match (self.fault, &event) {
-            (Some(InjectedFault::IgnoredDrains), News::Removed { version, .. }) => {
-                News::Bookmark(*version)
+            (Some(InjectedFault::IgnoredDrains), WatchEvent::Removed { version, .. }) => {
+                WatchEvent::Bookmark(*version)
             }
             _ => event,
         }
--- a/crates/gateway/src/front_settings.rs
+++ b/crates/gateway/src/front_settings.rs
@@ -4,7 +4,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use cedarpulley::interface::{Account, Micros};
-use cedarpulley_certificates::{self as certificates, Which};
+use cedarpulley_certificates::{self as certificates, FileRole};
 use cedarpulley_startup::Names;
 
 use crate::amqp_front::AmqpSource;
@@ -91,11 +91,11 @@
         .map_or(0, |since| since.as_micros() as Micros)
 }
 
-fn report_certificate(section: &Section, refused: &certificates::Refused, clients: &str) {
-    let key = match refused.which {
-        Which::Certificate => "certificate",
-        Which::Key => "key",
-        Which::Clients => clients,
+fn report_certificate(section: &Section, refused: &certificates::RejectedFile, clients: &str) {
+    let key = match refused.role {
+        FileRole::Certificate => "certificate",
+        FileRole::Key => "key",
+        FileRole::Clients => clients,
     };
     section.error(key, &refused.cause);
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use cedarpulley::interface::{Micros, WorkerIndex};
-use cedarpulley_net::Alarm;
+use cedarpulley_net::DeadlineTimer;
 use cedarpulley_router::{FrontIndex, Input, Router};
 
 use crate::admission::Admission;
@@ -39,7 +39,7 @@
     pub(crate) upgrades: Option<Rc<Upgrades>>,
     pub(crate) admission: Option<Rc<Admission>>,
     pub(crate) reconciliation: Option<Rc<Reconciliation>>,
-    pub(crate) alarm: Alarm,
+    pub(crate) alarm: DeadlineTimer,
 }
 
 /// The address of a worker, while the core knows it.
@@ -65,7 +65,7 @@
     pub(crate) fn feed_core(self: &Rc<Self>, input: Input) {
         let mut outputs = Vec::new();
         let listed = match (&self.reconciliation, &input) {
-            (Some(_), Input::List { mode, workers }) => Some((*mode, workers.clone())),
+            (Some(_), Input::EndpointList { kind, workers }) => Some((*kind, workers.clone())),
             _ => None,
         };
         let due = {
@@ -73,15 +73,15 @@
             router.handle(self.context.clock.now(), input, &mut outputs);
             router.next_due().unwrap_or(Micros::MAX)
         };
-        self.alarm.set(due);
+        self.alarm.set_deadline(due);
         for output in outputs {
             self.carry_out(output);
         }
         if let Some(admission) = &self.admission {
             admission.process_completed();
         }
-        if let (Some(reconciliation), Some((mode, workers))) = (&self.reconciliation, listed) {
-            reconciliation.list_applied(mode, &workers);
+        if let (Some(reconciliation), Some((kind, workers))) = (&self.reconciliation, listed) {
+            reconciliation.list_applied(kind, &workers);
         }
     }
 
@@ -103,7 +103,7 @@
     /// Tells the core whenever something is due, for as long as the router runs.
     pub(crate) async fn run_timers(self: Rc<Self>) {
         loop {
-            self.alarm.rings(&self.context.clock).await;
+            self.alarm.elapsed(&self.context.clock).await;
             self.feed(Input::Tick);
         }
     }
--- a/crates/gateway/src/group_settings.rs
+++ b/crates/gateway/src/group_settings.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::group::MOST_WEIGHT;
+use cedarpulley_membership::group::MAX_WEIGHT;
 use cedarpulley_membership::{Group, Member};
-use cedarpulley_replica::kept_for;
+use cedarpulley_replica::retention_for;
 use cedarpulley_upgrade::sessions;
 
 use crate::config_reader::Section;
@@ -25,11 +25,11 @@
 
 /// Defaults for sessions: retention for three pauses of a person who reads; more sessions than a router has
 /// invocations in a minute; as many waiting as a majority answers in some tens of milliseconds.
-pub(crate) const DEFAULT_SESSION_TERMS: sessions::Terms = sessions::Terms {
-    kept: 600_000_000,
-    patience: 1_000_000,
-    most_known: 100_000,
-    most_waiting: 1_000,
+pub(crate) const DEFAULT_SESSION_TERMS: sessions::SessionSettings = sessions::SessionSettings {
+    retention: 600_000_000,
+    majority_timeout: 1_000_000,
+    max_sessions: 100_000,
+    max_waiting: 1_000,
 };
 
 /// The group, if there is one. `longest_client_timeout`: in microseconds.
@@ -84,7 +84,7 @@
 
 /// How long the group's records are retained, in microseconds.
 fn record_retention(section: &Section, longest_client_timeout: Micros) -> Micros {
-    let default_retention = kept_for(longest_client_timeout + RETENTION_MARGIN);
+    let default_retention = retention_for(longest_client_timeout + RETENTION_MARGIN);
     let retention = section.millis_as_micros(
         "kept_ms",
         1..DAY_MS,
@@ -106,7 +106,7 @@
         let member = Member {
             name: entry.string("name", None),
             region: entry.string("region", Some("")),
-            weight: entry.integer("weight", 0..u64::from(MOST_WEIGHT), Some(1)) as u32,
+            weight: entry.integer("weight", 0..u64::from(MAX_WEIGHT), Some(1)) as u32,
             witness: entry.boolean("witness", Some(false)),
         };
         addresses.insert(member.name.clone(), entry.loopback_address("address"));
@@ -134,7 +134,7 @@
     folder: &Path,
     peers: Option<&PeerSettings>,
     reconciles: bool,
-) -> (Option<UpgradeSettings>, Option<sessions::Terms>) {
+) -> (Option<UpgradeSettings>, Option<sessions::SessionSettings>) {
     if !section.is_present() {
         return (None, None);
     }
@@ -174,63 +174,63 @@
 }
 
 /// The limits and times of upgrades; a key that is absent has the planner's default.
-fn upgrade_terms(section: &Section) -> cedarpulley_upgrade::Terms {
-    let defaults = cedarpulley_upgrade::Terms::default();
+fn upgrade_terms(section: &Section) -> cedarpulley_upgrade::PlannerSettings {
+    let defaults = cedarpulley_upgrade::PlannerSettings::default();
     let time = |key, default: Micros| {
         section.millis_as_micros(key, 0..DAY_MS, Some((default / 1_000) as u64))
     };
     let default_lease_ms = (defaults.lease / 1_000) as u64;
-    cedarpulley_upgrade::Terms {
+    cedarpulley_upgrade::PlannerSettings {
         lease: section.millis_as_micros("lease_ms", 500..DAY_MS, Some(default_lease_ms)),
-        loads_at_once: section.integer(
+        concurrent_loads: section.integer(
             "loads_at_once",
             1..1_000,
-            Some(u64::from(defaults.loads_at_once)),
+            Some(u64::from(defaults.concurrent_loads)),
         ) as u32,
-        load_within: time("load_within_ms", defaults.load_within),
-        hold_back: time("hold_back_ms", defaults.hold_back),
-        shown_for: time("shown_ms", defaults.shown_for),
-        canary_least: time("canary_ms", defaults.canary_least),
-        canary_most: time("canary_most_ms", defaults.canary_most),
-        paused_most: time("paused_most_ms", defaults.paused_most),
-        gone_after: time("gone_after_ms", defaults.gone_after),
+        load_timeout: time("load_within_ms", defaults.load_timeout),
+        load_backoff: time("hold_back_ms", defaults.load_backoff),
+        announcement_time: time("shown_ms", defaults.announcement_time),
+        canary_min_time: time("canary_ms", defaults.canary_min_time),
+        canary_max_time: time("canary_most_ms", defaults.canary_max_time),
+        pause_limit: time("paused_most_ms", defaults.pause_limit),
+        member_gone_after: time("gone_after_ms", defaults.member_gone_after),
         ..defaults
     }
 }
 
 /// The limits of sessions. `replication_timeout`: the time limit for a majority, in microseconds.
-fn session_terms(section: &Section, replication_timeout: Micros) -> sessions::Terms {
-    let patience = section.millis_as_micros(
+fn session_terms(section: &Section, replication_timeout: Micros) -> sessions::SessionSettings {
+    let majority_timeout = section.millis_as_micros(
         "session_wait_ms",
         10..DAY_MS,
-        Some((2 * replication_timeout).max(DEFAULT_SESSION_TERMS.patience) as u64 / 1_000),
+        Some((2 * replication_timeout).max(DEFAULT_SESSION_TERMS.majority_timeout) as u64 / 1_000),
     );
-    let kept = section.millis_as_micros(
+    let retention = section.millis_as_micros(
         "session_kept_ms",
         1_000..DAY_MS,
-        Some(DEFAULT_SESSION_TERMS.kept as u64 / 1_000),
+        Some(DEFAULT_SESSION_TERMS.retention as u64 / 1_000),
     );
-    if kept < MIN_WAITS_IN_RETENTION * patience.max(replication_timeout) {
+    if retention < MIN_WAITS_IN_RETENTION * majority_timeout.max(replication_timeout) {
         section.error(
             "session_kept_ms",
             "is below ten times what an invocation waits for a majority",
         );
     }
-    let most_known = section.integer(
+    let max_sessions = section.integer(
         "most_sessions",
         100..10_000_000,
-        Some(DEFAULT_SESSION_TERMS.most_known as u64),
+        Some(DEFAULT_SESSION_TERMS.max_sessions as u64),
     ) as usize;
-    let most_waiting = section.integer(
+    let max_waiting = section.integer(
         "most_waiting",
         1..1_000_000,
-        Some(DEFAULT_SESSION_TERMS.most_waiting as u64),
+        Some(DEFAULT_SESSION_TERMS.max_waiting as u64),
     ) as usize;
-    sessions::Terms {
-        kept,
-        patience,
-        most_known,
-        most_waiting,
+    sessions::SessionSettings {
+        retention,
+        majority_timeout,
+        max_sessions,
+        max_waiting,
     }
 }
 
