--- a/crates/gateway/src/grpc.rs
+++ b/crates/gateway/src/grpc.rs
@@ -11,14 +11,14 @@
 use async_executor::LocalExecutor;
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_kserve::rpc::inference as wire;
-use cedarpulley_kserve::rpc::{self, Code, InvalidCall, Method};
-use cedarpulley_kserve::sequences::NoSequence;
-use cedarpulley_kserve::serving::{self, Misunderstood, function};
+use cedarpulley_kserve::client_requests::{self, InvalidField, function_name};
+use cedarpulley_kserve::grpc::inference as wire;
+use cedarpulley_kserve::grpc::{self, Code, InvalidCall, Method};
+use cedarpulley_kserve::sequences::InvalidSequence;
 use cedarpulley_kserve::tensors::{self, ConversionError};
-use cedarpulley_net::{Bell, micros};
-use cedarpulley_router::entry::Entry;
-use cedarpulley_router::{Answer, Fate, Payload, Reason, Taken};
+use cedarpulley_net::{Notifier, duration_from_micros};
+use cedarpulley_router::admission_control::AdmissionDecision;
+use cedarpulley_router::{Answer, AnswerReason, FinalOutcome, IncomingInvocation, Payload};
 use futures_lite::{AsyncRead, AsyncWrite};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -36,6 +36,8 @@
 use crate::request_handling::{RequestHandler, serve_until_closed};
 use crate::request_parsing::{BodyError, parse_head, parse_session, read_body, with_body_timeout};
 
+mod queries;
+
 const MAX_HEADER_BYTES: u32 = 32 * 1024;
 /// Bytes that a peer may send on one stream, and on all its streams, before they are read. This bounds what
 /// waits for each connection, however many requests are open.
@@ -68,7 +70,7 @@
     handler: Rc<RequestHandler>,
     client: Rc<ClientConnection>,
     stream: impl AsyncRead + AsyncWrite + Unpin + 'static,
-    stop: Bell,
+    stop: Notifier,
 ) {
     let mut builder = http2::Builder::new(LocalTasks(handler.context.executor.clone()));
     builder.timer(SmolTimer::new());
@@ -83,8 +85,8 @@
         .max_pending_accept_reset_streams(MAX_RESETS)
         .max_local_error_reset_streams(MAX_RESETS);
     builder
-        .keep_alive_interval(micros(PING_INTERVAL))
-        .keep_alive_timeout(micros(PING_TIMEOUT));
+        .keep_alive_interval(duration_from_micros(PING_INTERVAL))
+        .keep_alive_timeout(duration_from_micros(PING_TIMEOUT));
     let service = service_fn(|request| {
         let handled = handle(handler.clone(), client.clone(), request);
         async move { Ok::<_, Infallible>(handled.await) }
@@ -107,16 +109,20 @@
     };
     reply
         .headers_mut()
-        .insert(CONTENT_TYPE, HeaderValue::from_static(rpc::CONTENT));
+        .insert(CONTENT_TYPE, HeaderValue::from_static(grpc::CONTENT_TYPE));
     reply
 }
 
 fn message_response(message: &impl Message) -> Reply {
-    response(rpc::frame(message), rpc::trailers(Code::Ok, "", None), None)
+    response(
+        grpc::frame(message),
+        grpc::trailers(Code::Ok, "", None),
+        None,
+    )
 }
 
 fn error_response(code: Code, cause: &str) -> Reply {
-    response(Bytes::new(), rpc::trailers(code, cause, None), None)
+    response(Bytes::new(), grpc::trailers(code, cause, None), None)
 }
 
 /// Ends a call without a message, with outcome and reason beside the code. `retry_after`: in microseconds.
@@ -126,9 +132,9 @@
     reason: &'static str,
     retry_after: Option<Micros>,
 ) -> Reply {
-    let mut trailers = rpc::trailers(code, reason, retry_after);
-    trailers.insert(serving::FATE, HeaderValue::from_static(outcome));
-    trailers.insert(serving::REASON, HeaderValue::from_static(reason));
+    let mut trailers = grpc::trailers(code, reason, retry_after);
+    trailers.insert(client_requests::OUTCOME, HeaderValue::from_static(outcome));
+    trailers.insert(client_requests::REASON, HeaderValue::from_static(reason));
     response(Bytes::new(), trailers, None)
 }
 
@@ -136,8 +142,8 @@
 #[derive(Debug, Error)]
 enum MalformedCall {
     #[error(transparent)]
-    Header(#[from] Misunderstood),
-    #[error("{}: {}", rpc::TIMEOUT, .0.cause())]
+    Header(#[from] InvalidField),
+    #[error("{}: {}", grpc::TIMEOUT, .0.cause())]
     Timeout(InvalidCall),
     #[error("larger than {max_bytes} bytes")]
     TooLarge { max_bytes: u64 },
@@ -150,7 +156,7 @@
     #[error(transparent)]
     Tensors(#[from] ConversionError),
     #[error(transparent)]
-    Session(#[from] NoSequence),
+    Session(#[from] InvalidSequence),
 }
 
 /// Rejects a malformed call, and counts it.
@@ -169,12 +175,12 @@
         .get(CONTENT_TYPE)
         .and_then(|value| value.to_str().ok())
         .unwrap_or_default();
-    if !content.starts_with(rpc::CONTENT) || request.method() != hyper::Method::POST {
+    if !content.starts_with(grpc::CONTENT_TYPE) || request.method() != hyper::Method::POST {
         let mut reply = Response::new(AnswerBody::new(Bytes::new(), None, None));
         *reply.status_mut() = StatusCode::UNSUPPORTED_MEDIA_TYPE;
         return reply;
     }
-    let method = match rpc::method(request.uri().path()) {
+    let method = match grpc::method(request.uri().path()) {
         Some(Method::ModelInfer) => return infer(handler, client, request).await,
         Some(method) => method,
         None => return error_response(Code::Unimplemented, "no such method"),
@@ -185,74 +191,12 @@
         Ok(body) => body,
         Err(error) => return body_error_response(error),
     };
-    match rpc::unframe(body) {
-        Ok(message) => query_response(&handler, method, message),
+    match grpc::unframe(body) {
+        Ok(message) => queries::query_response(&handler, method, message),
         Err(error) => error_response(Code::InvalidArgument, error.cause()),
     }
 }
 
-/// Answers the methods that ask about the server and its models.
-fn query_response(handler: &RequestHandler, method: Method, message: Bytes) -> Reply {
-    match method {
-        Method::ServerLive => message_response(&wire::ServerLiveResponse { live: true }),
-        Method::ServerReady => message_response(&wire::ServerReadyResponse {
-            ready: handler.is_ready(),
-        }),
-        Method::ServerMetadata => message_response(&wire::ServerMetadataResponse {
-            name: "cedarpulley".into(),
-            version: env!("CARGO_PKG_VERSION").into(),
-            extensions: serving::EXTENSIONS.map(str::to_owned).to_vec(),
-        }),
-        Method::ModelReady => match requested_function(message) {
-            // Functions are loaded on demand: any may be requested.
-            Ok(_) => message_response(&wire::ModelReadyResponse { ready: true }),
-            Err(cause) => error_response(Code::InvalidArgument, cause),
-        },
-        Method::ModelMetadata => match requested_function(message) {
-            Ok(function) => model_metadata_response(&function),
-            Err(cause) => error_response(Code::InvalidArgument, cause),
-        },
-        Method::RepositoryIndex => repository_index_response(&(handler.resources.functions)()),
-        Method::ModelInfer => error_response(Code::Internal, "not here"),
-    }
-}
-
-/// The function that a request for readiness or metadata names; the two have the same message.
-fn requested_function(message: Bytes) -> Result<String, &'static str> {
-    let request =
-        wire::ModelReadyRequest::decode(message).map_err(|_| "the message cannot be read")?;
-    function(&request.name, &request.version).ok_or("no model has such a name")
-}
-
-fn model_metadata_response(function: &str) -> Reply {
-    let (name, version) = serving::model(function);
-    let versions = if version.is_empty() {
-        vec![]
-    } else {
-        vec![version.to_owned()]
-    };
-    message_response(&wire::ModelMetadataResponse {
-        name: name.to_owned(),
-        versions,
-        ..Default::default()
-    })
-}
-
-fn repository_index_response(functions: &[String]) -> Reply {
-    let models = functions.iter().map(|function| {
-        let (name, version) = serving::model(function);
-        wire::repository_index_response::ModelIndex {
-            name: name.into(),
-            version: version.into(),
-            state: "READY".into(),
-            reason: String::new(),
-        }
-    });
-    message_response(&wire::RepositoryIndexResponse {
-        models: models.collect(),
-    })
-}
-
 fn body_error_response(error: BodyError) -> Reply {
     match error {
         BodyError::TooLarge => error_response(Code::InvalidArgument, "the message is too large"),
@@ -267,7 +211,7 @@
 async fn read_length(body: &mut Incoming) -> Result<Bytes, BodyError> {
     with_body_timeout(async {
         let mut first = Vec::new();
-        while first.len() < rpc::FRAME {
+        while first.len() < grpc::FRAME_HEADER_BYTES {
             match body.frame().await {
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
@@ -298,7 +242,7 @@
         Err(error) => return body_error_response(error),
     };
     let message_length = u32::from_be_bytes([first[1], first[2], first[3], first[4]]);
-    let announced_bytes = rpc::FRAME as u64 + u64::from(message_length);
+    let announced_bytes = grpc::FRAME_HEADER_BYTES as u64 + u64::from(message_length);
     if announced_bytes > handler.max_body_bytes {
         let malformed = MalformedCall::TooLarge {
             max_bytes: handler.max_body_bytes,
@@ -329,9 +273,9 @@
     handler: &RequestHandler,
     client: &ClientConnection,
     headers: &HeaderMap,
-) -> Result<Taken, MalformedCall> {
+) -> Result<IncomingInvocation, MalformedCall> {
     let mut taken = parse_head(handler, client, headers, String::new())?;
-    if let Some(timeout) = rpc::timeout(headers).map_err(MalformedCall::Timeout)? {
+    if let Some(timeout) = grpc::timeout(headers).map_err(MalformedCall::Timeout)? {
         taken.client_timeout = taken.client_timeout.min(timeout);
     }
     Ok(taken)
@@ -341,51 +285,54 @@
 fn parse_infer_body(
     handler: &RequestHandler,
     body: Bytes,
-    taken: &mut Taken,
+    taken: &mut IncomingInvocation,
 ) -> Result<(), MalformedCall> {
-    let message = rpc::unframe(body).map_err(MalformedCall::Frame)?;
+    let message = grpc::unframe(body).map_err(MalformedCall::Frame)?;
     let message = wire::ModelInferRequest::decode(message)?;
-    let function =
-        function(&message.model_name, &message.model_version).ok_or(MalformedCall::ModelName)?;
-    let rest_body = tensors::request(&message)?;
+    let function = function_name(&message.model_name, &message.model_version)
+        .ok_or(MalformedCall::ModelName)?;
+    let rest_body = tensors::encode_request(&message)?;
     taken.function = Arc::from(function);
     taken.body = Payload {
         bytes: rest_body.bytes,
-        first: rest_body.json,
+        first_part_length: rest_body.json_length,
     };
     taken.session = parse_session(handler, &taken.body)?;
     Ok(())
 }
 
-fn rejection_response(entry: Entry) -> Reply {
+fn rejection_response(entry: AdmissionDecision) -> Reply {
     match entry {
-        Entry::TurnedAway { why, come_back } => status_response(
+        AdmissionDecision::Rejected {
+            reason,
+            retry_after,
+        } => status_response(
             Code::ResourceExhausted,
             "throttled",
-            rejection_name(why),
-            Some(come_back),
+            rejection_name(reason),
+            Some(retry_after),
         ),
-        Entry::Enter => error_response(Code::Internal, "no entry was found"),
+        AdmissionDecision::Admitted => error_response(Code::Internal, "no entry was found"),
     }
 }
 
 fn answer_response(answer: Answer, unread: UnreadAnswer) -> Reply {
     let reason = reason_name(answer.reason);
-    match answer.fate {
-        Fate::Succeeded => {
-            let rest_body = tensors::Rest {
+    match answer.outcome {
+        FinalOutcome::Succeeded => {
+            let rest_body = tensors::InferenceBody {
                 bytes: answer.body.bytes,
-                json: answer.body.first,
+                json_length: answer.body.first_part_length,
             };
-            match tensors::response(&rest_body) {
+            match tensors::decode_response(&rest_body) {
                 Ok(message) => {
-                    let mut trailers = rpc::trailers(Code::Ok, "", None);
+                    let mut trailers = grpc::trailers(Code::Ok, "", None);
                     trailers.insert(
-                        serving::FATE,
-                        HeaderValue::from_static(fate_name(answer.fate)),
+                        client_requests::OUTCOME,
+                        HeaderValue::from_static(fate_name(answer.outcome)),
                     );
-                    trailers.insert(serving::REASON, HeaderValue::from_static(reason));
-                    response(rpc::frame(&message), trailers, Some(unread))
+                    trailers.insert(client_requests::REASON, HeaderValue::from_static(reason));
+                    response(grpc::frame(&message), trailers, Some(unread))
                 }
                 // It was executed, but its result cannot be expressed here.
                 Err(cause) => {
@@ -393,15 +340,15 @@
                 }
             }
         }
-        Fate::Throttled => status_response(
+        FinalOutcome::Throttled => status_response(
             Code::ResourceExhausted,
             "throttled",
             reason,
-            answer.return_after,
+            answer.retry_after,
         ),
-        Fate::Errored if answer.reason == Reason::Overdue => {
+        FinalOutcome::Errored if answer.reason == AnswerReason::Overdue => {
             status_response(Code::DeadlineExceeded, "errored", reason, None)
         }
-        Fate::Errored => status_response(Code::Unknown, "errored", reason, None),
+        FinalOutcome::Errored => status_response(Code::Unknown, "errored", reason, None),
     }
 }
--- a/crates/gateway/src/listed_workers.rs
+++ b/crates/gateway/src/listed_workers.rs
@@ -5,21 +5,25 @@
 use std::rc::Rc;
 
 use cedarpulley::interface::{EndpointListKind, EndpointState};
-use cedarpulley_router::roster::Listed;
+use cedarpulley_router::endpoint_list::ListedWorker;
 use cedarpulley_upgrade::Name;
 
 /// Workers by name, shared with the parts that read them.
 #[derive(Default)]
-pub(crate) struct ListedWorkers(Rc<RefCell<BTreeMap<Name, Listed>>>);
+pub(crate) struct ListedWorkers(Rc<RefCell<BTreeMap<Name, ListedWorker>>>);
 
 impl ListedWorkers {
     /// The map itself, which follows all updates.
-    pub(crate) fn map(&self) -> Rc<RefCell<BTreeMap<Name, Listed>>> {
+    pub(crate) fn map(&self) -> Rc<RefCell<BTreeMap<Name, ListedWorker>>> {
         self.0.clone()
     }
 
     /// Applies an update; returns the workers that are gone, or were replaced by another process.
-    pub(crate) fn apply_update(&self, mode: EndpointListKind, workers: &[Listed]) -> Vec<Name> {
+    pub(crate) fn apply_update(
+        &self,
+        mode: EndpointListKind,
+        workers: &[ListedWorker],
+    ) -> Vec<Name> {
         let mut gone = Vec::new();
         let mut known = self.0.borrow_mut();
         if matches!(mode, EndpointListKind::Complete | EndpointListKind::Cached) {
@@ -29,18 +33,18 @@
         for worker in workers {
             let name = Name::from(&*worker.address);
             let previous = known.get(&name);
-            let restarted = previous.is_some_and(|p| p.started != worker.started);
-            if restarted || worker.standing == EndpointState::Gone {
+            let restarted = previous.is_some_and(|p| p.started_at != worker.started_at);
+            if restarted || worker.state == EndpointState::Gone {
                 gone.push(name.clone());
             }
-            if worker.standing != EndpointState::Gone {
+            if worker.state != EndpointState::Gone {
                 known.insert(name, worker.clone());
             }
         }
         let is_absent = |name: &Name| {
             workers
                 .iter()
-                .all(|w| *w.address != **name || w.standing == EndpointState::Gone)
+                .all(|w| *w.address != **name || w.state == EndpointState::Gone)
         };
         for name in gone.iter().filter(|name| is_absent(name)) {
             known.remove(name);
--- a/crates/gateway/src/metering.rs
+++ b/crates/gateway/src/metering.rs
@@ -10,10 +10,10 @@
 
 use cedarpulley::interface::{Action, Event, InvocationIndex, LoadOrderResult, Micros};
 use cedarpulley_router::FrontIndex;
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::watch::{By, Given, Names, Used, Watch};
-use cedarpulley_usage_metering::{Ended, Load, Meter, Part, Source};
-use cedarpulley_usage_store::{Failed, Ledger, Writing};
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, UsageSource, WorkerUsage};
+use cedarpulley_usage_metering::{DispatchUsage, LoadUsage, Meter, Source, UsageDelta};
+use cedarpulley_usage_store::{Ledger, StoreError, WriteSchedule};
 
 use crate::file_names::file_name_of;
 
@@ -24,14 +24,14 @@
 
 struct MeteringState {
     meter: Meter,
-    writing: Writing,
+    writing: WriteSchedule,
     accounts: Vec<String>,
     wall_at_zero: Micros,
     /// At most one write is in flight.
-    parts: Option<SyncSender<Part>>,
+    parts: Option<SyncSender<UsageDelta>>,
     in_flight: bool,
     /// For each part: written, or returned with the cause.
-    done: Receiver<Result<(), (Part, String)>>,
+    done: Receiver<Result<(), (UsageDelta, String)>>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -44,11 +44,11 @@
     file: PathBuf,
     router: String,
     source: Source,
-    parts: Receiver<Part>,
-    done: SyncSender<Result<(), (Part, String)>>,
+    parts: Receiver<UsageDelta>,
+    done: SyncSender<Result<(), (UsageDelta, String)>>,
 ) {
     // Only for its limit on ledgers set aside.
-    let (mut ledger, mut set_aside_limit) = (None, Writing::default());
+    let (mut ledger, mut set_aside_limit) = (None, WriteSchedule::default());
     for part in parts {
         let opened = match ledger.take() {
             Some(open) => Ok(open),
@@ -61,8 +61,8 @@
             added
         });
         let result = added.map(|_| ()).map_err(|failed| {
-            if let Failed::Unreadable(_) = &failed
-                && set_aside_limit.sets_aside()
+            if let StoreError::Unreadable(_) = &failed
+                && set_aside_limit.may_set_aside()
             {
                 let other = file.with_extension(format!("unreadable-{:032x}", source));
                 if std::fs::rename(&file, &other).is_ok() {
@@ -97,7 +97,7 @@
             .spawn(move || write_loop(file, router, source, received, results))?;
         Ok(Metering(Rc::new(RefCell::new(MeteringState {
             meter: Meter::default(),
-            writing: Writing::default(),
+            writing: WriteSchedule::default(),
             accounts,
             wall_at_zero,
             parts: Some(parts),
@@ -142,11 +142,11 @@
         };
         self.in_flight = false;
         match done {
-            Ok(()) => self.writing.wrote(now),
+            Ok(()) => self.writing.on_written(now),
             Err((part, why)) => {
-                self.meter.give_back(&part);
-                self.writing.failed(now);
-                let (failures, left_out) = (self.writing.failures, self.meter.left_out);
+                self.meter.restore(&part);
+                self.writing.on_failed(now);
+                let (failures, left_out) = (self.writing.failures, self.meter.dropped_readings);
                 tracing::error!(why, failures, left_out, "the ledger was not written");
             }
         }
@@ -157,7 +157,7 @@
         if self.in_flight {
             return true;
         }
-        let part = self.meter.take();
+        let part = self.meter.take_delta();
         let Some(parts) = self.parts.as_ref().filter(|_| !part.is_empty()) else {
             return false;
         };
@@ -166,67 +166,68 @@
             Err(e) => {
                 let (std::sync::mpsc::TrySendError::Full(part)
                 | std::sync::mpsc::TrySendError::Disconnected(part)) = e;
-                self.meter.give_back(&part);
+                self.meter.restore(&part);
             }
         }
         true
     }
 }
 
-impl Watch for Metering {
+impl RouterObserver for Metering {
     fn decided(&mut self, _: Micros, _: &Event, _: &[Action], _: Names) {}
 
-    fn taken(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {}
+    fn accepted(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {
+    }
 
-    fn answered(&mut self, _: Micros, _: Given) {}
+    fn answered(&mut self, _: Micros, _: AnswerGiven) {}
 
-    fn turned_away(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: Short) {}
+    fn rejected(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: RejectionReason) {}
 
-    fn used(&mut self, now: Micros, used: Used) {
+    fn used(&mut self, now: Micros, used: WorkerUsage) {
         let mut state = self.0.borrow_mut();
-        let wall = state.wall_at_zero + now;
+        let ended_at = state.wall_at_zero + now;
         let account = state.accounts.get(used.account as usize).cloned();
         let account = account.as_deref().unwrap_or(UNKNOWN_ACCOUNT);
-        let Used {
+        let WorkerUsage {
             worker,
             function,
             took,
             lanes,
-            held,
-            by,
+            memory_held: totals,
+            source,
             copy_mb,
             ..
         } = used;
         let copy_bytes = (copy_mb.max(0.0) * 1e6) as u64;
-        match by {
-            By::Dispatch(outcome, note) => {
-                state.meter.ended(Ended {
-                    wall,
+        match source {
+            UsageSource::Dispatch(outcome, copy_status) => {
+                state.meter.record_dispatch(DispatchUsage {
+                    ended_at,
                     worker,
                     account,
                     function,
                     outcome,
-                    note,
+                    copy_status,
                     took,
                     copy_bytes,
                     lanes,
-                    held,
+                    totals,
                 });
             }
-            By::Order(result) => {
-                let never_began = matches!(
+            UsageSource::Order(result) => {
+                let not_started = matches!(
                     result,
                     LoadOrderResult::Unreachable | LoadOrderResult::NoCapacity
                 );
-                state.meter.loaded(Load {
-                    wall,
+                state.meter.record_load(LoadUsage {
+                    ended_at,
                     worker,
                     account,
                     function,
                     took,
                     copy_bytes,
-                    never_began,
-                    held,
+                    not_started,
+                    totals,
                 });
             }
         }
--- a/crates/gateway/src/outputs.rs
+++ b/crates/gateway/src/outputs.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 
 use cedarpulley::interface::{DispatchOutcome, LoadReport, Micros, WorkerIndex};
-use cedarpulley_kserve::{endings, reports, requests};
-use cedarpulley_router::core::Call;
-use cedarpulley_router::entry::Entry;
-use cedarpulley_router::group::Ask;
+use cedarpulley_kserve::{outcomes, response_headers, worker_requests};
+use cedarpulley_router::admission_control::AdmissionDecision;
+use cedarpulley_router::core::DispatchRequest;
+use cedarpulley_router::replication::ReplicationRequest;
 use cedarpulley_router::{
     Answer, Delivery, FrontIndex, Input, OrderTicket, Output, Payload, Ticket,
 };
@@ -27,7 +27,7 @@
     function: Arc<str>,
     trigger: u32,
     account: u32,
-    call: Call,
+    call: DispatchRequest,
 }
 
 /// An order to load copies at a worker or, with `copies` 0, a query how many exist.
@@ -46,9 +46,9 @@
         self.fault_injector.observe(&output);
         match output {
             Output::Answer { delivery, answer } => self.deliver(delivery, answer),
-            Output::Entry { delivery, entry } => self.decide_admission(delivery, entry),
+            Output::Admission { delivery, decision } => self.decide_admission(delivery, decision),
             Output::Discard(delivery) => self.discard(delivery),
-            Output::Grant { front, most } => self.grant(front, most),
+            Output::Grant { front, limit } => self.grant(front, limit),
             Output::Send {
                 ticket,
                 worker,
@@ -64,7 +64,7 @@
                 account,
                 call,
             }),
-            Output::Withdraw(ticket) => self.pool.cancel(ticket),
+            Output::Cancel(ticket) => self.pool.cancel(ticket),
             Output::Order {
                 ticket,
                 function,
@@ -87,8 +87,8 @@
             } => self.spawn(self.clone().order_unload(worker, function, term)),
             Output::Probe { worker } => self.spawn(self.clone().probe(worker)),
             // The watch retries by itself, with spread-out delays.
-            Output::AskList => {}
-            Output::Group(request) => self.request_of_group(request),
+            Output::RequestEndpointList => {}
+            Output::Replication(request) => self.request_of_group(request),
         }
     }
 
@@ -96,7 +96,7 @@
         self.context.executor.spawn(task).detach();
     }
 
-    fn decide_admission(&self, delivery: Delivery, entry: Entry) {
+    fn decide_admission(&self, delivery: Delivery, entry: AdmissionDecision) {
         if let Some(handler) = self.handler(delivery.front) {
             handler.set_decision(entry);
         }
@@ -108,14 +108,14 @@
         }
     }
 
-    fn request_of_group(&self, request: Ask) {
+    fn request_of_group(&self, request: ReplicationRequest) {
         if let Some(peer_group) = &self.peer_group {
             peer_group.request(request);
         }
     }
 
     fn deliver(&self, delivery: Delivery, answer: Answer) {
-        tracing::debug!(outcome = ?answer.fate, reason = ?answer.reason, "request answered");
+        tracing::debug!(outcome = ?answer.outcome, reason = ?answer.reason, "request answered");
         if let Some(front) = self.fronts.get(delivery.front as usize) {
             return self.fault_injector.answer(front, delivery, answer);
         }
@@ -148,23 +148,26 @@
         let (ticket, worker, function) =
             (dispatch.ticket, dispatch.worker, dispatch.function.clone());
         let result = self.exchange(dispatch).await;
-        let ending = endings::infer(&ending_of(&result, &function));
-        let held = result.as_ref().ok().and_then(|r| reports::held(&r.headers));
+        let ending = outcomes::classify_inference(&ending_of(&result, &function));
+        let memory_held = result
+            .as_ref()
+            .ok()
+            .and_then(|r| response_headers::memory_usage(&r.headers));
         let body = match result {
             Ok(reply) if ending.outcome == DispatchOutcome::Succeeded => {
-                let json_length = endings::json_length(&reply.headers, &reply.body);
-                let first = json_length
+                let json_length = outcomes::json_length(&reply.headers, &reply.body);
+                let first_part_length = json_length
                     .filter(|length| *length < reply.body.len())
                     .map(|length| length as u32);
                 Payload {
                     bytes: reply.body,
-                    first,
+                    first_part_length,
                 }
             }
             _ => Payload::default(),
         };
         tracing::debug!(
-            invocation = ticket.inv,
+            invocation = ticket.invocation,
             dispatch = ticket.dispatch,
             worker,
             outcome = ?ending.outcome,
@@ -174,10 +177,10 @@
         self.feed(Input::DispatchEnded {
             ticket,
             outcome: ending.outcome,
-            note: ending.note,
-            crowd: ending.crowd,
+            copy_status: ending.copy_status,
+            function_load: ending.function_load,
             report: ending.report,
-            held,
+            memory_held,
             body,
         });
     }
@@ -192,11 +195,11 @@
             call,
         } = dispatch;
         let names = &self.context.names;
-        let marks = requests::Marks {
-            invocation: call.mark.as_deref(),
+        let marks = worker_requests::InvocationHeaders {
+            invocation: call.name.as_deref(),
             dispatch: ticket.dispatch,
-            token: call.token.as_deref(),
-            trigger: names
+            idempotency_key: call.idempotency_key.as_deref(),
+            trigger_type: names
                 .triggers
                 .get(trigger as usize)
                 .map_or("", String::as_str),
@@ -205,17 +208,18 @@
             session: call
                 .session
                 .as_ref()
-                .map(|session| (&*session.id, session.start, session.end)),
+                .map(|session| (&*session.id, session.is_first, session.is_last)),
         };
         let Some(address) = self.address(worker) else {
             return Err(ExchangeError::NoConnection);
         };
         let (host, body) = (address.to_string(), call.body);
-        let request = requests::infer(&host, &function, marks, body.bytes, body.first);
+        let request =
+            worker_requests::infer(&host, &function, marks, body.bytes, body.first_part_length);
         let may_send = || {
             self.router
                 .borrow()
-                .may_leave(self.context.clock.now(), ticket)
+                .may_send(self.context.clock.now(), ticket)
         };
         self.pool.exchange(address, request, false, may_send).await
     }
@@ -234,7 +238,7 @@
         };
         let host = address.to_string();
         let request = match copies {
-            0 => requests::ready(&host, &function),
+            0 => worker_requests::ready(&host, &function),
             copies => {
                 let account = self
                     .context
@@ -242,7 +246,7 @@
                     .accounts
                     .get(account as usize)
                     .map(String::as_str);
-                requests::load(
+                worker_requests::load(
                     &host,
                     &function,
                     copies,
@@ -252,13 +256,16 @@
             }
         };
         let result = self.pool.order(address, request, within).await;
-        let held = result.as_ref().ok().and_then(|r| reports::held(&r.headers));
-        let (result, copies) = endings::order(&ending_of(&result, &function));
+        let memory_held = result
+            .as_ref()
+            .ok()
+            .and_then(|r| response_headers::memory_usage(&r.headers));
+        let (result, copies) = outcomes::classify_load_order(&ending_of(&result, &function));
         self.feed(Input::OrderEnded {
             ticket,
             result,
             copies,
-            held,
+            memory_held,
         });
     }
 
@@ -271,7 +278,7 @@
         let Some(address) = self.address(worker) else {
             return;
         };
-        let request = requests::unload(
+        let request = worker_requests::unload(
             &address.to_string(),
             &function,
             self.orderer(term.as_deref()),
@@ -284,14 +291,14 @@
         let began = self.context.clock.now();
         let (outcome, report) = match self.address(worker) {
             Some(address) => {
-                let request = requests::live(&address.to_string());
+                let request = worker_requests::live(&address.to_string());
                 let result = self.pool.order(address, request, CONTROL_TIMEOUT).await;
-                endings::probe(&ending_of(&result, ""))
+                outcomes::classify_health_check(&ending_of(&result, ""))
             }
             None => (DispatchOutcome::Unreachable, LoadReport::default()),
         };
         let took = self.context.clock.now() - began;
-        self.feed(Input::Probed {
+        self.feed(Input::ProbeEnded {
             worker,
             outcome,
             took,
@@ -300,8 +307,8 @@
     }
 
     /// What load orders tell workers of their origin, if routers are to be told apart.
-    fn orderer<'a>(&'a self, term: Option<&'a str>) -> requests::Orderer<'a> {
-        requests::Orderer {
+    fn orderer<'a>(&'a self, term: Option<&'a str>) -> worker_requests::OrderIssuer<'a> {
+        worker_requests::OrderIssuer {
             router: self.peer_group.as_ref().map(PeerGroup::name),
             term,
         }
--- a/crates/gateway/src/peer_envelopes.rs
+++ b/crates/gateway/src/peer_envelopes.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
 use cedarpulley_errors::Remedy;
-use cedarpulley_membership::{MemberIndex, Process};
+use cedarpulley_membership::{Incarnation, MemberIndex};
 use cedarpulley_replica as replica;
 use serde::Serialize;
 use serde_json::Value;
@@ -172,7 +172,7 @@
         &self,
         now: Micros,
         to: MemberIndex,
-        process: Process,
+        process: Incarnation,
         messages: Vec<Bytes>,
     ) -> Envelope {
         let clock = self.clocks.get(to as usize).copied().unwrap_or_default();
--- a/crates/gateway/src/peer_events.rs
+++ b/crates/gateway/src/peer_events.rs
@@ -7,7 +7,7 @@
 
 use cedarpulley_replica as replica;
 use cedarpulley_router::Input;
-use cedarpulley_router::group::Told;
+use cedarpulley_router::replication::ReplicationEvent;
 
 use crate::context::GatewayContext;
 
@@ -27,7 +27,7 @@
 
 /// A queued notification.
 enum Notification {
-    Core(Told),
+    Core(ReplicationEvent),
     Listeners(PeerEvent),
 }
 
@@ -48,7 +48,7 @@
     }
 
     /// Queues a notification for the core.
-    pub(crate) fn push_for_core(&self, notification: Told) {
+    pub(crate) fn push_for_core(&self, notification: ReplicationEvent) {
         let notification = Notification::Core(notification);
         self.waiting.borrow_mut().push_back(notification);
     }
@@ -72,7 +72,7 @@
                 break;
             };
             match next {
-                Notification::Core(notification) => context.feed(Input::Group(notification)),
+                Notification::Core(notification) => context.feed(Input::Replication(notification)),
                 Notification::Listeners(event) => self.call_listeners(&event),
             }
         }
--- a/crates/gateway/src/peer_group.rs
+++ b/crates/gateway/src/peer_group.rs
@@ -11,8 +11,8 @@
 use cedarpulley_errors::Remedy;
 use cedarpulley_membership::MemberIndex;
 use cedarpulley_net::{Clock, listen};
-use cedarpulley_replica::{self as replica, Guard};
-use cedarpulley_router::group::Ask;
+use cedarpulley_replica::{self as replica, SafetyCheck};
+use cedarpulley_router::replication::ReplicationRequest;
 use futures_lite::{FutureExt, StreamExt};
 use thiserror::Error;
 
@@ -59,7 +59,7 @@
     listener: Async<TcpListener>,
     store: Option<PeerStore>,
     restored: Option<RestoredState>,
-    disabled_guard: Option<Guard>,
+    disabled_guard: Option<SafetyCheck>,
 }
 
 impl PeerGroupResources {
@@ -68,7 +68,7 @@
     pub fn acquire(
         settings: PeerSettings,
         clock: &Clock,
-        disabled_guard: Option<Guard>,
+        disabled_guard: Option<SafetyCheck>,
     ) -> Result<PeerGroupResources, PeerGroupError> {
         let listen_error = |source| PeerGroupError::Listen {
             address: settings.listen,
@@ -78,9 +78,9 @@
         let (store, restored) = match &settings.state_folder {
             None => (None, None),
             Some(path) => {
-                let identity = settings.group.mark ^ u64::from(settings.group.me);
+                let identity = settings.group.fingerprint ^ u64::from(settings.group.own_index);
                 let (store, restored) =
-                    PeerStore::open(path, identity, clock.wall(), settings.retention)?;
+                    PeerStore::open(path, identity, clock.wall_time(), settings.retention)?;
                 (Some(store), restored)
             }
         };
@@ -131,7 +131,7 @@
             transport_handle,
         ));
         let (store, listener) = (store.map(Rc::new), RefCell::new(Some(listener)));
-        let name = settings.group.members[settings.group.me as usize]
+        let name = settings.group.members[settings.group.own_index as usize]
             .name
             .clone();
         PeerGroup {
@@ -139,13 +139,13 @@
             transport,
             store,
             listener,
-            own_index: settings.group.me,
+            own_index: settings.group.own_index,
             name,
         }
     }
 
     /// Takes a request of the core to the group.
-    pub fn request(&self, request: Ask) {
+    pub fn request(&self, request: ReplicationRequest) {
         self.peers.request(request);
     }
 
@@ -200,11 +200,11 @@
         let due = due.or(requested).await;
         let serial = store.persisted_serial();
         if std::mem::replace(&mut reported_serial, serial) != serial {
-            peers.apply_replica(replica::Input::Kept { serial });
+            peers.apply_replica(replica::Input::Persisted { serial });
         }
         // One write at a time: changes that come meanwhile go together into the next.
         if store.is_idle() && (due || peers.awaits_store()) {
-            store.write(peers.changes(), clock.wall());
+            store.write(peers.changes(), clock.wall_time());
         }
     }
 }
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -3,9 +3,9 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::{self as membership, MemberIndex, Process};
+use cedarpulley_membership::{self as membership, Incarnation, MemberIndex};
 use cedarpulley_replica as replica;
-use cedarpulley_router::{Answer, Fate, Payload, Reason};
+use cedarpulley_router::{Answer, AnswerReason, FinalOutcome, Payload};
 use serde::{Deserialize, Serialize};
 
 /// Everything that one member sends to another in one request, encoded with `postcard`. The order of fields
@@ -22,7 +22,7 @@
     /// The receiver.
     pub to: MemberIndex,
     /// The sender's process.
-    pub process: Process,
+    pub process: Incarnation,
     /// The sender's own clock in microseconds.
     pub clock: Micros,
     /// The receiver's clock as the sender last saw it, in microseconds. With it the receiver bounds the transit
@@ -52,8 +52,8 @@
 /// Only successful answers are shared.
 pub(crate) fn encode_answer(answer: &Answer) -> Bytes {
     let shared = SharedAnswer {
-        alone: answer.reason == Reason::Alone,
-        first: answer.body.first,
+        alone: answer.reason == AnswerReason::Alone,
+        first: answer.body.first_part_length,
         body: answer.body.bytes.clone(),
     };
     postcard::to_stdvec(&shared)
@@ -64,11 +64,18 @@
 /// Absent if the bytes are of another form.
 pub(crate) fn decode_answer(bytes: &[u8]) -> Option<Answer> {
     let SharedAnswer { alone, first, body } = postcard::from_bytes(bytes).ok()?;
-    let reason = if alone { Reason::Alone } else { Reason::Worker };
+    let reason = if alone {
+        AnswerReason::Alone
+    } else {
+        AnswerReason::Worker
+    };
     Some(Answer {
-        fate: Fate::Succeeded,
+        outcome: FinalOutcome::Succeeded,
         reason,
-        return_after: None,
-        body: Payload { bytes: body, first },
+        retry_after: None,
+        body: Payload {
+            bytes: body,
+            first_part_length: first,
+        },
     })
 }
--- a/crates/gateway/src/peer_requests.rs
+++ b/crates/gateway/src/peer_requests.rs
@@ -1,98 +1,102 @@
 //! Translation between the core's requests to its group and the replicated state that answers them.
 
-use cedarpulley_replica::{self as replica, Need};
-use cedarpulley_router::group::{self, Ask};
+use cedarpulley_replica::{self as replica, Durability};
+use cedarpulley_router::replication::{self, ReplicationRequest};
 
 use crate::peer_messages::{decode_answer, encode_answer};
 
 /// The input of the replicated state that a request of the core amounts to.
-pub(crate) fn replica_input(request: Ask) -> replica::Input {
+pub(crate) fn replica_input(request: ReplicationRequest) -> replica::Input {
     match request {
-        Ask::Take {
+        ReplicationRequest::Announce {
             key,
-            need,
+            durability,
             redelivered,
         } => replica::Input::Take {
             key,
-            need: required_durability(need),
+            durability: required_durability(durability),
             redelivered,
         },
-        Ask::Leave {
+        ReplicationRequest::RequestPermission {
             key,
-            sending,
-            place,
-            alone,
-        } => replica::Input::Intend {
+            attempt: dispatch,
+            deduplication_domain: deduplication_scope,
+            without_majority,
+        } => replica::Input::RequestDispatch {
             key,
-            sending,
-            place,
-            alone,
+            dispatch,
+            deduplication_scope,
+            without_majority,
         },
-        Ask::Left {
+        ReplicationRequest::AttemptSent {
             key,
-            sending,
-            place,
-        } => replica::Input::Left {
+            attempt: dispatch,
+            deduplication_domain: deduplication_scope,
+        } => replica::Input::Dispatched {
             key,
-            sending,
-            place,
+            dispatch,
+            deduplication_scope,
         },
-        Ask::Ended {
+        ReplicationRequest::AttemptEnded {
             key,
-            sending,
+            attempt: dispatch,
             may_have_run,
-        } => replica::Input::Ended {
+        } => replica::Input::DispatchEnded {
             key,
-            sending,
+            dispatch,
             may_have_run,
         },
-        Ask::Answered { key, answer } => replica::Input::Answered {
+        ReplicationRequest::Answered { key, answer } => replica::Input::Answered {
             key,
             answer: encode_answer(&answer),
         },
-        Ask::Closed { key } => replica::Input::Closed { key },
-        Ask::Dropped { key } => replica::Input::Dropped { key },
+        ReplicationRequest::AnswerDelivered { key } => replica::Input::Closed { key },
+        ReplicationRequest::Abandoned { key } => replica::Input::Dropped { key },
     }
 }
 
 /// The core's form of a need.
-fn required_durability(need: group::Need) -> Need {
+fn required_durability(need: replication::Durability) -> Durability {
     match need {
-        group::Need::Known => Need::Known,
-        group::Need::Held => Need::Held,
+        replication::Durability::Notified => Durability::Local,
+        replication::Durability::MajorityStored => Durability::Majority,
     }
 }
 
 /// What the core learns of a permission to dispatch.
-pub(crate) fn dispatch_permission<T>(left: Result<T, replica::Lack>) -> Result<T, group::Refusal> {
+pub(crate) fn dispatch_permission<T>(
+    left: Result<T, replica::NoMajorityReason>,
+) -> Result<T, replication::PermissionRefusal> {
     left.map_err(|lack| match lack {
-        replica::Lack::Elsewhere => group::Refusal::Elsewhere,
-        _ => group::Refusal::NoMajority,
+        replica::NoMajorityReason::OwnedElsewhere => replication::PermissionRefusal::Elsewhere,
+        _ => replication::PermissionRefusal::NoMajority,
     })
 }
 
 /// What the core learns of an ownership decision. `on_unreadable`: called if it holds an answer that cannot be decoded.
-pub(crate) fn ownership_verdict(
-    verdict: replica::Verdict,
+pub(crate) fn ownership_decision(
+    decision: replica::OwnershipDecision,
     on_unreadable: impl FnOnce(),
-) -> group::Verdict {
-    match verdict {
-        replica::Verdict::Go { first_ago } => group::Verdict::Go { first_ago },
-        replica::Verdict::Waits => group::Verdict::Waits,
-        replica::Verdict::Answer(bytes) => match decode_answer(&bytes) {
-            Some(answer) => group::Verdict::Answer(answer),
+) -> replication::ReplicationDecision {
+    match decision {
+        replica::OwnershipDecision::Dispatch {
+            first_dispatch_ago: first_attempt_ago,
+        } => replication::ReplicationDecision::RunHere { first_attempt_ago },
+        replica::OwnershipDecision::Wait => replication::ReplicationDecision::AwaitPeer,
+        replica::OwnershipDecision::Answer(bytes) => match decode_answer(&bytes) {
+            Some(answer) => replication::ReplicationDecision::Answer(answer),
             None => {
                 on_unreadable();
-                group::Verdict::MayHaveRun
+                replication::ReplicationDecision::MayHaveRun
             }
         },
-        replica::Verdict::MayHaveRun(because) => {
+        replica::OwnershipDecision::Indeterminate(because) => {
             tracing::debug!(?because, "group: may have run");
-            group::Verdict::MayHaveRun
+            replication::ReplicationDecision::MayHaveRun
         }
-        replica::Verdict::NoMajority(lack) => {
+        replica::OwnershipDecision::NoMajority(lack) => {
             tracing::warn!(?lack, "group: no majority");
-            group::Verdict::NoMajority
+            replication::ReplicationDecision::NoMajority
         }
     }
 }
--- a/crates/gateway/src/peer_settings.rs
+++ b/crates/gateway/src/peer_settings.rs
@@ -5,7 +5,7 @@
 
 use cedarpulley::interface::Micros;
 use cedarpulley_membership::{self as membership, Group};
-use cedarpulley_replica::{self as replica, Guard};
+use cedarpulley_replica::{self as replica, SafetyCheck};
 
 /// Configuration of the group and of this router's place in it. All times are in microseconds.
 #[derive(Clone, Debug)]
@@ -44,23 +44,31 @@
     }
 
     /// Settings of the failure detector. `seed`: of its random draws.
-    pub(crate) fn membership_terms(&self, seed: u64) -> membership::Terms {
-        membership::Terms {
-            probe_every: self.probe_interval,
-            answer_within: self.probe_timeout,
-            suspected_for: self.suspicion_timeout,
+    pub(crate) fn membership_terms(&self, seed: u64) -> membership::FailureDetectorSettings {
+        membership::FailureDetectorSettings {
+            probe_interval: self.probe_interval,
+            answer_timeout: self.probe_timeout,
+            suspicion_timeout: self.suspicion_timeout,
             seed,
         }
     }
 
     /// Settings of the replicated state. `seed`: of its random draws; `disabled`: a guard that a test switches off.
-    pub(crate) fn replica_terms(&self, seed: u64, disabled: Option<Guard>) -> replica::Terms {
-        replica::Terms {
-            most_records: self.max_records,
+    pub(crate) fn replica_terms(
+        &self,
+        seed: u64,
+        disabled: Option<SafetyCheck>,
+    ) -> replica::ReplicaSettings {
+        replica::ReplicaSettings {
+            max_records: self.max_records,
             catch_up_bytes_per_s: self.catch_up_bytes_per_s,
-            written: self.state_folder.is_some(),
-            without: disabled,
-            ..replica::Terms::usual(self.retention, self.replication_timeout, seed)
+            is_persistent: self.state_folder.is_some(),
+            disabled_check: disabled,
+            ..replica::ReplicaSettings::with_defaults(
+                self.retention,
+                self.replication_timeout,
+                seed,
+            )
         }
     }
 }
--- a/crates/gateway/src/peer_store/tests.rs
+++ b/crates/gateway/src/peer_store/tests.rs
@@ -2,7 +2,9 @@
 
 use bytes::Bytes;
 use cedarpulley_replica::record::Choice;
-use cedarpulley_replica::{Answered, Effect, Key, Record, Sending, Sent, Shared};
+use cedarpulley_replica::{
+    DispatchIntent, IntentState, Invocation, Key, Record, RecordCopy, StoredAnswer,
+};
 
 use redb::Database;
 
@@ -16,26 +18,26 @@
 /// Fails when a record's encoding changes: raise [`FORMAT`], then record the new bytes.
 #[test]
 fn record_bytes_match_the_format_version() {
-    let mut effect = Effect {
+    let mut effect = Invocation {
         taken: true,
-        doubtful: true,
-        ..Effect::default()
+        may_lack_intents: true,
+        ..Invocation::default()
     };
-    effect.sendings.insert(
+    effect.intents.insert(
         (5, 6),
-        Sending {
+        DispatchIntent {
             member: 7,
-            state: Sent::MayHaveRun,
-            place: 8,
+            state: IntentState::Indeterminate,
+            deduplication_scope: 8,
         },
     );
-    effect.answer = Some(Answered::Kept(Bytes::from_static(b"9")));
-    let shared = Shared {
-        record: Record::Effect(effect),
+    effect.answer = Some(StoredAnswer::Stored(Bytes::from_static(b"9")));
+    let shared = RecordCopy {
+        record: Record::Invocation(effect),
         origin: Default::default(),
-        left: 1,
-        first_ago: Some(2),
-        proves_left: Some(3),
+        expires_in: 1,
+        first_dispatch_ago: Some(2),
+        proof_expires_in: Some(3),
     };
     let bytes = postcard::to_stdvec(&shared).expect("encoded");
     assert_eq!((FORMAT, &bytes[..]), (2, &RECORD[..]));
@@ -70,24 +72,24 @@
 fn restored_records_age_by_the_time_without_a_process() {
     const SECOND: Micros = 1_000_000;
     let folder = tempfile::tempdir().expect("a folder");
-    let record = Record::Effect(Effect {
+    let record = Record::Invocation(Invocation {
         taken: true,
-        ..Effect::default()
+        ..Invocation::default()
     });
-    let shared = Shared {
+    let shared = RecordCopy {
         record,
         origin: Default::default(),
-        left: 50 * SECOND,
-        first_ago: Some(SECOND),
-        proves_left: Some(30 * SECOND),
+        expires_in: 50 * SECOND,
+        first_dispatch_ago: Some(SECOND),
+        proof_expires_in: Some(30 * SECOND),
     };
     // Choices are retained for longer than any invocation.
     let record = Record::Choice(Choice::default());
-    let choice = Shared {
+    let choice = RecordCopy {
         record,
-        left: 600 * SECOND,
-        first_ago: None,
-        proves_left: None,
+        expires_in: 600 * SECOND,
+        first_dispatch_ago: None,
+        proof_expires_in: None,
         ..shared.clone()
     };
     let (store, _) = PeerStore::open(folder.path(), 1, 0, 60 * SECOND).expect("opened");
@@ -113,9 +115,13 @@
     let [(_, choice), (_, effect)] = &restored.records[..] else {
         panic!("both records")
     };
-    assert_eq!(choice.left, 600 * SECOND - 20 * SECOND);
+    assert_eq!(choice.expires_in, 600 * SECOND - 20 * SECOND);
     assert_eq!(
-        (effect.left, effect.first_ago, effect.proves_left),
+        (
+            effect.expires_in,
+            effect.first_dispatch_ago,
+            effect.proof_expires_in
+        ),
         (30 * SECOND, Some(21 * SECOND), Some(10 * SECOND))
     );
 }
--- a/crates/gateway/src/peer_store_file.rs
+++ b/crates/gateway/src/peer_store_file.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use cedarpulley::interface::Micros;
-use cedarpulley_replica::{Key, Record, Shared};
+use cedarpulley_replica::{Key, Record, RecordCopy};
 use redb::{
     Database, ReadOnlyTable, ReadTransaction, ReadableDatabase, ReadableTable, TableDefinition,
 };
@@ -111,17 +111,18 @@
     snapshot: &ReadTransaction,
     wall: Micros,
     retention: Micros,
-) -> Result<Vec<(Key, Shared)>, SetAsideCause> {
+) -> Result<Vec<(Key, RecordCopy)>, SetAsideCause> {
     let mut records = Vec::new();
     let table = snapshot.open_table(RECORDS).map_err(redb::Error::from)?;
     for row in table.iter().map_err(redb::Error::from)? {
         let (key, value) = row.map_err(redb::Error::from)?;
         let (expires_at, bytes) = value.value();
-        let mut shared: Shared = postcard::from_bytes(bytes).map_err(|_| SetAsideCause::Damaged)?;
+        let mut shared: RecordCopy =
+            postcard::from_bytes(bytes).map_err(|_| SetAsideCause::Damaged)?;
         let left = expires_at - wall;
         // Sessions and upgrade plans are retained for longer than any invocation: the limit on retention must
         // not drop them at each start.
-        let is_not_an_invocation = !matches!(shared.record, Record::Effect(_));
+        let is_not_an_invocation = !matches!(shared.record, Record::Invocation(_));
         if left > 0 && (left <= retention || is_not_an_invocation) {
             age(&mut shared, left);
             records.push((Key::from(key.value()), shared));
@@ -132,11 +133,15 @@
 
 /// The time that no process ran counts for the record's age: otherwise a token's first sending would look as young as
 /// at the shutdown, and its retry would go to workers that have forgotten it. `left`: until it expires, in microseconds.
-fn age(shared: &mut Shared, left: Micros) {
-    let elapsed = shared.left.saturating_sub(left).max(0);
-    shared.left = left;
-    shared.first_ago = shared.first_ago.map(|ago| ago.saturating_add(elapsed));
-    shared.proves_left = shared.proves_left.map(|left| left.saturating_sub(elapsed));
+fn age(shared: &mut RecordCopy, left: Micros) {
+    let elapsed = shared.expires_in.saturating_sub(left).max(0);
+    shared.expires_in = left;
+    shared.first_dispatch_ago = shared
+        .first_dispatch_ago
+        .map(|ago| ago.saturating_add(elapsed));
+    shared.proof_expires_in = shared
+        .proof_expires_in
+        .map(|left| left.saturating_sub(elapsed));
 }
 
 /// Renames a file that cannot be used; returns its new path.
@@ -169,7 +174,10 @@
                     };
                     records.insert(
                         &**key,
-                        (batch.wall.saturating_add(shared.left), bytes.as_slice()),
+                        (
+                            batch.wall.saturating_add(shared.expires_in),
+                            bytes.as_slice(),
+                        ),
                     )?;
                 }
             }
--- a/crates/gateway/src/peer_transport.rs
+++ b/crates/gateway/src/peer_transport.rs
@@ -19,7 +19,7 @@
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
 use cedarpulley_membership::MemberIndex;
-use cedarpulley_net::{Stream, connect, micros};
+use cedarpulley_net::{Stream, connect, duration_from_micros};
 use futures_lite::FutureExt;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -125,7 +125,7 @@
         loop {
             let messages = queue.take_batch();
             if messages.is_empty() {
-                queue.bell.heard().await;
+                queue.bell.notified().await;
                 continue;
             }
             let count = messages.len() as u64;
@@ -154,7 +154,7 @@
                         counts.posts_failed += 1;
                         counts.messages_dropped += count;
                     });
-                    Timer::after(micros(RETRY_DELAY)).await;
+                    Timer::after(duration_from_micros(RETRY_DELAY)).await;
                 }
             }
         }
@@ -208,7 +208,7 @@
         ok.then_some(body)
     };
     let timeout = async {
-        Timer::after(micros(RESPONSE_TIMEOUT)).await;
+        Timer::after(duration_from_micros(RESPONSE_TIMEOUT)).await;
         None
     };
     exchanged.or(timeout).await
@@ -281,7 +281,7 @@
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             // Most likely out of file descriptors: wait until some are released.
-            Timer::after(micros(RETRY_DELAY)).await;
+            Timer::after(duration_from_micros(RETRY_DELAY)).await;
             continue;
         };
         if open_connections.get() >= MAX_CONNECTIONS {
@@ -308,7 +308,7 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(SmolTimer::new())
-        .header_read_timeout(micros(HEADER_TIMEOUT));
+        .header_read_timeout(duration_from_micros(HEADER_TIMEOUT));
     // However the connection ends, the other side notices it by itself.
     let _ = builder
         .serve_connection(FuturesIo::new(stream), service)
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -11,10 +11,10 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_membership::{self as membership, Believed, MemberIndex, Membership};
-use cedarpulley_net::Alarm;
-use cedarpulley_replica::{self as replica, Guard, Replica};
-use cedarpulley_router::group::{Ask, Told};
+use cedarpulley_membership::{self as membership, MemberIndex, Membership, StableView};
+use cedarpulley_net::DeadlineTimer;
+use cedarpulley_replica::{self as replica, Replica, SafetyCheck};
+use cedarpulley_router::replication::{ReplicationEvent, ReplicationRequest};
 use smol::channel::{Receiver, Sender};
 
 use crate::context::GatewayContext;
@@ -23,7 +23,7 @@
 use crate::peer_envelopes::{EnvelopeExchange, EnvelopeReceiver};
 use crate::peer_events::{EventListener, NotificationQueue, PeerEvent};
 use crate::peer_messages::{Envelope, PeerMessage};
-use crate::peer_requests::{dispatch_permission, ownership_verdict, replica_input};
+use crate::peer_requests::{dispatch_permission, ownership_decision, replica_input};
 use crate::peer_settings::PeerSettings;
 use crate::rejected_envelopes::RejectionCause;
 pub use crate::stored_state::{RestoredState, StoreChanges};
@@ -35,7 +35,7 @@
     /// Who is alive, as detected.
     pub membership: &'a Membership,
     /// Who is alive, as acted upon.
-    pub believed: &'a Believed,
+    pub believed: &'a StableView,
     /// The shared records.
     pub replica: &'a Replica,
     /// Envelopes received and rejected.
@@ -46,7 +46,7 @@
 
 struct State {
     membership: Membership,
-    believed: Believed,
+    believed: StableView,
     replica: Replica,
     envelopes: EnvelopeExchange,
     /// While an envelope is processed: its sender and the messages that go back in the reply.
@@ -65,7 +65,7 @@
     notifications: NotificationQueue,
     /// Further sections of the state endpoint, by name.
     state_providers: RefCell<Vec<(&'static str, StateProvider)>>,
-    alarm: Alarm,
+    alarm: DeadlineTimer,
     /// Signals that a vote waits for the store to be written.
     write_request: (Sender<()>, Receiver<()>),
 }
@@ -80,17 +80,17 @@
         settings: &PeerSettings,
         nonce: u64,
         restored: Option<RestoredState>,
-        disabled_guard: Option<Guard>,
+        disabled_guard: Option<SafetyCheck>,
         transport: Box<dyn Transport>,
     ) -> Self {
         let now = context.clock.now();
         let group = settings.group.clone();
         let receiver = EnvelopeReceiver {
-            group: group.mark,
-            own_index: group.me,
+            group: group.fingerprint,
+            own_index: group.own_index,
             members: group.len(),
         };
-        let believed = Believed::new(now, group.len(), settings.belief_delay);
+        let believed = StableView::new(now, group.len(), settings.belief_delay);
         let was_restored = restored.is_some();
         let (incarnation, records) =
             restored.map_or((0, None), |r| (r.incarnation, Some(r.records)));
@@ -112,13 +112,13 @@
             transport,
             notifications: NotificationQueue::default(),
             state_providers: RefCell::default(),
-            alarm: Alarm::default(),
+            alarm: DeadlineTimer::default(),
             write_request: smol::channel::bounded(1),
         }
     }
 
     /// Takes a request of the core to its group.
-    pub fn request(&self, request: Ask) {
+    pub fn request(&self, request: ReplicationRequest) {
         self.apply_replica(replica_input(request));
     }
 
@@ -150,7 +150,7 @@
 
     /// Returns when something is due: call [`Peers::tick`] then.
     pub async fn wait_until_due(&self) {
-        self.alarm.rings(&self.context.clock).await;
+        self.alarm.elapsed(&self.context.clock).await;
     }
 
     /// Processes an encoded envelope received from `address`; returns the envelope to reply with. One of
@@ -162,29 +162,31 @@
     ) -> Result<Envelope, RejectionCause> {
         let now = self.context.clock.now();
         let (envelope, transit) = self.accept(now, address, bytes)?;
-        let (from, process) = (envelope.from, envelope.process);
+        let (from, incarnation) = (envelope.from, envelope.process);
         let mut outputs = Vec::new();
         self.state
             .borrow_mut()
             .membership
-            .came_from(now, from, process, &mut outputs);
+            .record_contact(now, from, incarnation, &mut outputs);
         self.apply_membership(outputs);
         for message in envelope.messages {
             match postcard::from_bytes::<PeerMessage>(&message) {
                 Ok(PeerMessage::Membership(message)) => {
-                    let input = membership::Input::Heard {
+                    let input = membership::Input::Received {
                         from,
-                        process,
+                        incarnation,
                         message,
                     };
                     self.handle_membership(now, input);
                 }
-                Ok(PeerMessage::Replica(message)) => self.apply_replica(replica::Input::Heard {
-                    from,
-                    nonce: process.nonce,
-                    transit,
-                    message,
-                }),
+                Ok(PeerMessage::Replica(message)) => {
+                    self.apply_replica(replica::Input::MessageReceived {
+                        from,
+                        nonce: incarnation.nonce,
+                        transit,
+                        message,
+                    })
+                }
                 Err(_) => self.state.borrow_mut().envelopes.count_unreadable_message(),
             }
         }
@@ -220,7 +222,7 @@
         let (now, state) = (self.context.clock.now(), self.state.borrow());
         state
             .envelopes
-            .envelope(now, to, state.membership.me(), messages)
+            .envelope(now, to, state.membership.own_incarnation(), messages)
     }
 
     fn apply_membership(&self, outputs: Vec<membership::Output>) {
@@ -239,24 +241,24 @@
     fn member_changed(&self, now: Micros, member: MemberIndex) {
         let (known, alive, name) = {
             let mut state = self.state.borrow_mut();
-            let known = state.membership.known(member);
+            let known = state.membership.status(member);
             // Other members knew a later process of this member than its store did. A member that was only
             // suspected for a while and refuted that has no older store, and must not be reported with one.
-            let outdated = state.membership.counts.outdated > 0;
+            let outdated = state.membership.counts.outdated_store_signs > 0;
             state.store_was_older |=
-                member == state.membership.group().me && state.was_restored && outdated;
+                member == state.membership.group().own_index && state.was_restored && outdated;
             (
                 known,
-                state.membership.lives(member),
+                state.membership.is_alive(member),
                 state.membership.group().members[member as usize]
                     .name
                     .clone(),
             )
         };
-        tracing::info!(member = name, standing = ?known.standing, why = ?known.why, turn = known.process.turn, "group: member state changed");
-        self.apply_replica(replica::Input::Member {
+        tracing::info!(member = name, standing = ?known.state, why = ?known.reason, turn = known.incarnation.number, "group: member state changed");
+        self.apply_replica(replica::Input::MemberChanged {
             member,
-            nonce: known.process.nonce,
+            nonce: known.incarnation.nonce,
             alive,
         });
         self.update_believed(now);
@@ -270,9 +272,9 @@
                 believed,
                 ..
             } = &mut *state;
-            let changed = believed.see(now, |m| membership.lives(m));
+            let changed = believed.observe(now, |m| membership.is_alive(m));
             if changed {
-                tracing::info!(alive = ?believed.alive(), version = believed.version(), "group: believed alive");
+                tracing::info!(alive = ?believed.alive_members(), version = believed.version(), "group: believed alive");
             }
             changed
         };
@@ -306,26 +308,33 @@
                     };
                     self.send(to, PeerMessage::Replica(message), options);
                 }
-                replica::Output::Verdict { key, verdict } => {
-                    let verdict = ownership_verdict(verdict, || {
+                replica::Output::Decision { key, decision } => {
+                    let decision = ownership_decision(decision, || {
                         self.state.borrow_mut().envelopes.count_unreadable_answer();
                     });
                     self.notifications
-                        .push_for_core(Told::Verdict { key, verdict });
+                        .push_for_core(ReplicationEvent::Decision { key, decision });
                 }
-                replica::Output::Leave { sending, left, .. } => {
-                    let left = dispatch_permission(left);
+                replica::Output::DispatchPermission {
+                    dispatch,
+                    permission,
+                    ..
+                } => {
+                    let result = dispatch_permission(permission);
                     self.notifications
-                        .push_for_core(Told::Leave { sending, left });
+                        .push_for_core(ReplicationEvent::Permission {
+                            attempt: dispatch,
+                            result,
+                        });
                 }
-                replica::Output::Whole => {
+                replica::Output::Recovered => {
                     tracing::info!("group: this router remembers enough to vote")
                 }
-                replica::Output::Decided { key, outcome } => {
+                replica::Output::ProposalEnded { key, outcome } => {
                     let event = PeerEvent::Decided(key, outcome);
                     self.notifications.push_event(event);
                 }
-                replica::Output::Noticed(key) => {
+                replica::Output::RecordChanged(key) => {
                     self.notifications.push_event(PeerEvent::Updated(key));
                 }
             }
@@ -341,10 +350,10 @@
             let members = state.membership.next_due().min(state.believed.next_due());
             (
                 members.min(state.replica.next_due()),
-                state.replica.awaits_folder(),
+                state.replica.awaits_batch(),
             )
         };
-        self.alarm.set(due);
+        self.alarm.set_deadline(due);
         if urgent {
             // A full channel already carries the signal.
             let _ = self.write_request.0.try_send(());
@@ -376,7 +385,7 @@
         let mut state = self.state.borrow_mut();
         let (serial, records) = state.replica.changes(self.context.clock.now());
         StoreChanges {
-            incarnation: state.membership.me().turn,
+            incarnation: state.membership.own_incarnation().number,
             serial,
             records,
         }
@@ -384,7 +393,7 @@
 
     /// A vote waits for changes that have not been fetched with [`Peers::changes`].
     pub fn awaits_store(&self) -> bool {
-        self.state.borrow().replica.awaits_folder()
+        self.state.borrow().replica.awaits_batch()
     }
 
     /// Returns when a vote waits for the store, once for each signal since the last call.
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -13,8 +13,8 @@
 use async_executor::{LocalExecutor, Task};
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_kserve::Ended;
-use cedarpulley_net::{Clock, Stream, connect, micros};
+use cedarpulley_kserve::ExchangeOutcome;
+use cedarpulley_net::{Clock, Stream, connect, duration_from_micros};
 use cedarpulley_router::Ticket;
 use futures_lite::{AsyncRead, AsyncWrite, FutureExt};
 use http_body_util::{BodyExt, Full};
@@ -127,20 +127,25 @@
 }
 
 /// The input of the ending table for an exchange about this function.
-pub fn ending_of<'a>(result: &'a Result<Reply, ExchangeError>, function: &'a str) -> Ended<'a> {
+pub fn ending_of<'a>(
+    result: &'a Result<Reply, ExchangeError>,
+    function: &'a str,
+) -> ExchangeOutcome<'a> {
     match result {
-        Ok(reply) => Ended::Answered {
+        Ok(reply) => ExchangeOutcome::Responded {
             status: reply.status,
             headers: &reply.headers,
             body: &reply.body,
             function,
         },
-        Err(ExchangeError::NoConnection) => Ended::NoConnection,
-        Err(ExchangeError::NoRoom) => Ended::NoRoom,
-        Err(ExchangeError::HeldBack) => Ended::Broke { left: false },
-        Err(ExchangeError::Interrupted { sent }) => Ended::Broke { left: *sent },
-        Err(ExchangeError::Garbled) => Ended::Garbled,
-        Err(ExchangeError::TooLarge) => Ended::TooLarge,
+        Err(ExchangeError::NoConnection) => ExchangeOutcome::Unreachable,
+        Err(ExchangeError::NoRoom) => ExchangeOutcome::ConnectionLimit,
+        Err(ExchangeError::HeldBack) => ExchangeOutcome::ConnectionLost { bytes_sent: false },
+        Err(ExchangeError::Interrupted { sent }) => {
+            ExchangeOutcome::ConnectionLost { bytes_sent: *sent }
+        }
+        Err(ExchangeError::Garbled) => ExchangeOutcome::MalformedResponse,
+        Err(ExchangeError::TooLarge) => ExchangeOutcome::ResponseTooLarge,
     }
 }
 
@@ -368,7 +373,7 @@
         within: Micros,
     ) -> Result<Reply, ExchangeError> {
         let timeout = async {
-            async_io::Timer::after(micros(within)).await;
+            async_io::Timer::after(duration_from_micros(within)).await;
             Err(ExchangeError::Interrupted { sent: true })
         };
         self.exchange(address, request, true, || true)
--- a/crates/gateway/src/reconciliation.rs
+++ b/crates/gateway/src/reconciliation.rs
@@ -11,12 +11,13 @@
 
 use async_io::Timer;
 use cedarpulley::interface::{EndpointListKind, Micros};
-use cedarpulley_net::Alarm;
+use cedarpulley_net::DeadlineTimer;
 use cedarpulley_reconcile::{
-    Change, Input as ReconcilerInput, Observation, Output as ReconcilerOutput, Reconciler, Terms,
+    Change, Input as ReconcilerInput, Observation, Output as ReconcilerOutput, Reconciler,
+    ReconcilerSettings,
 };
 use cedarpulley_router::Input;
-use cedarpulley_router::roster::{Listed, News as ListNews};
+use cedarpulley_router::endpoint_list::{ListedWorker, WatchEvent as ListNews};
 use serde_json::{Value, json};
 
 use crate::context::GatewayContext;
@@ -57,7 +58,7 @@
     hooks: ReconciliationHooks,
     log: ReconciliationLog,
     reconciler: RefCell<Reconciler>,
-    alarm: Alarm,
+    alarm: DeadlineTimer,
 }
 
 impl Reconciliation {
@@ -80,12 +81,12 @@
                 .map(|f| f.name.clone())
         });
         let own_name: Arc<str> = Arc::from(member.unwrap_or_else(|| context.name.clone()));
-        let terms = Terms {
-            me: own_name.clone(),
-            every: settings.interval,
-            grace: settings.grace_period,
-            kept: belief_retention,
-            asks_per_s: settings.queries_per_s,
+        let terms = ReconcilerSettings {
+            router_name: own_name.clone(),
+            poll_interval: settings.interval,
+            grace_period: settings.grace_period,
+            belief_lifetime: belief_retention,
+            polls_per_s: settings.queries_per_s,
             repairs_per_s: settings.repairs_per_s,
             // A separate seed: the module's draws are the same with and without reconciliation.
             seed: context.seed ^ 0x7ec0,
@@ -99,7 +100,7 @@
             hooks: ReconciliationHooks::default(),
             log: ReconciliationLog::default(),
             reconciler: RefCell::new(reconciler),
-            alarm: Alarm::default(),
+            alarm: DeadlineTimer::default(),
         });
         if let Some(notes) = &reconciliation.notes {
             let weak = Rc::downgrade(&reconciliation);
@@ -153,13 +154,13 @@
     pub fn corrupt_belief(&self, worker: &str, function: &str, copies: u32) -> bool {
         let (now, mut reconciler) = (self.context.clock.now(), self.reconciler.borrow_mut());
         self.log.enable_details();
-        if reconciler.under_way(worker, function) {
+        if reconciler.is_loading(worker, function) {
             return false;
         }
-        let input = ReconcilerInput::Believes {
+        let input = ReconcilerInput::BeliefChanged {
             worker,
             function,
-            change: Change::Spoilt { copies },
+            change: Change::Corrupted { copies },
         };
         reconciler.handle(now, input, &mut Vec::new());
         self.log.belief_corrupted(now, worker, function, copies);
@@ -180,7 +181,7 @@
     pub fn used_lately(&self, worker: &str, function: &str) -> bool {
         self.reconciler
             .borrow()
-            .used_lately(self.context.clock.now(), worker, function)
+            .used_recently(self.context.clock.now(), worker, function)
     }
 
     /// An event of the worker list, before the core receives it.
@@ -189,17 +190,17 @@
     }
 
     /// The update of the list that the core has just received.
-    pub fn list_applied(self: &Rc<Self>, mode: EndpointListKind, workers: &[Listed]) {
+    pub fn list_applied(self: &Rc<Self>, mode: EndpointListKind, workers: &[ListedWorker]) {
         if !self.workers.apply_update(mode, workers) {
             return;
         }
-        let seats = self.workers.seats();
-        let ids = seats.iter().map(|s| &s.id);
+        let polled_workers = self.workers.polled_workers();
+        let ids = polled_workers.iter().map(|s| &s.id);
         let new: Vec<Arc<str>> = ids
             .filter(|id| self.worker_of(id).is_none())
             .cloned()
             .collect();
-        self.apply(ReconcilerInput::Workers(seats));
+        self.apply(ReconcilerInput::Workers(polled_workers));
         // Notes of other members from before these workers were on the list here.
         if let Some(notes) = &self.notes {
             let now = || self.context.clock.now();
@@ -211,7 +212,7 @@
 
     /// The core's belief in copies of a function at a worker has changed.
     pub(crate) fn belief_changed(&self, now: Micros, worker: &str, function: &str, change: Change) {
-        let input = ReconcilerInput::Believes {
+        let input = ReconcilerInput::BeliefChanged {
             worker,
             function,
             change,
@@ -237,7 +238,7 @@
 
     fn note_received(self: &Rc<Self>, note: Option<ReceivedNote>) {
         if let Some(note) = note {
-            self.apply(ReconcilerInput::Noted {
+            self.apply(ReconcilerInput::NoteReceived {
                 id: &note.worker_id,
                 version: note.version,
                 transit: note.transit,
@@ -263,7 +264,7 @@
                     notes.publish_clock_if_due(context.clock.now());
                 }
                 reconciliation.apply(ReconcilerInput::Tick);
-                reconciliation.alarm.rings(&context.clock).await;
+                reconciliation.alarm.elapsed(&context.clock).await;
             }
         };
         self.context.executor.spawn(ticks).detach();
@@ -285,11 +286,11 @@
     /// For the state endpoint.
     pub fn state(&self) -> Value {
         let reconciler = self.reconciler.borrow();
-        let workers: Vec<_> = reconciler.shown().collect();
+        let workers: Vec<_> = reconciler.worker_statuses().collect();
         json!({
             "workers": workers,
             "counts": reconciler.counts,
-            "repairs_waiting": reconciler.repairs_waiting(),
+            "repairs_waiting": reconciler.queued_repairs(),
         })
     }
 
@@ -307,36 +308,36 @@
             let notes_due = self.notes.as_ref().map(NoteExchange::next_due);
             reconciler.next_due().min(notes_due.unwrap_or(Micros::MAX))
         };
-        self.alarm.set(due);
+        self.alarm.set_deadline(due);
         outputs.into_iter().for_each(|o| self.carry_out(o));
     }
 
     fn carry_out(self: &Rc<Self>, output: ReconcilerOutput) {
         match output {
-            ReconcilerOutput::Ask { worker } => {
+            ReconcilerOutput::Poll { worker } => {
                 let reconciliation = self.clone();
                 let query = async move { reconciliation.query(&worker).await };
                 self.context.executor.spawn(query).detach();
             }
-            ReconcilerOutput::Held {
+            ReconcilerOutput::CorrectCopies {
                 worker,
                 function,
                 copies,
             } => {
-                self.context.feed(Input::Held {
+                self.context.feed(Input::CopiesReported {
                     worker,
                     function,
                     copies,
                 });
             }
-            ReconcilerOutput::Want { worker, function } => self.restore_copy(worker, function),
+            ReconcilerOutput::Load { worker, function } => self.restore_copy(worker, function),
             ReconcilerOutput::Unload {
                 worker,
                 function,
                 term,
             } => {
                 self.log.unloaded(&worker, &function);
-                self.context.feed(Input::Unwanted {
+                self.context.feed(Input::CopyUnwanted {
                     worker,
                     function,
                     term,
@@ -347,12 +348,12 @@
                 function,
                 sessions,
             } => self.hooks.prefix_lost(&worker, &function, &sessions),
-            ReconcilerOutput::Note { id, version, value } => {
+            ReconcilerOutput::SendNote { id, version, value } => {
                 if let Some(notes) = &self.notes {
                     notes.publish(self.context.clock.now(), &id, version, value);
                 }
             }
-            ReconcilerOutput::Found(drift) => {
+            ReconcilerOutput::DriftFound(drift) => {
                 let (worker, function) = (&*drift.worker, drift.function.as_deref());
                 self.log.drift(worker, function, drift.kind, drift.cause);
             }
@@ -364,7 +365,7 @@
     fn restore_copy(&self, worker: Arc<str>, function: Arc<str>) {
         if !self.hooks.is_planned(&function) {
             let like = function.clone();
-            self.context.feed(Input::Wanted {
+            self.context.feed(Input::CopyWanted {
                 worker,
                 function,
                 like,
@@ -376,14 +377,14 @@
     async fn query(self: Rc<Self>, worker: &str) {
         let began = self.context.clock.now();
         let Some(report) = query_worker(&self.pool, worker).await else {
-            return self.apply(ReconcilerInput::Silent { worker });
+            return self.apply(ReconcilerInput::Unresponsive { worker });
         };
         let WorkerReport {
             memory_mb,
             observation,
         } = report;
         if memory_mb.is_some_and(|memory_mb| self.workers.record_memory(worker, memory_mb)) {
-            self.apply(ReconcilerInput::Workers(self.workers.seats()));
+            self.apply(ReconcilerInput::Workers(self.workers.polled_workers()));
         }
         let functions: Vec<Arc<str>> = observation
             .entries
@@ -393,7 +394,7 @@
         if let Some(claims) = self.hooks.claims_of(&functions) {
             self.apply(ReconcilerInput::Claims(claims));
         }
-        self.apply(ReconcilerInput::Said {
+        self.apply(ReconcilerInput::Reported {
             worker,
             began,
             observation,
--- a/crates/gateway/src/reconciliation_log.rs
+++ b/crates/gateway/src/reconciliation_log.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_reconcile::{Cause, Kind, Observation};
+use cedarpulley_reconcile::{DriftCause, DriftKind, Observation};
 use serde_json::{Value, json};
 
 /// The log of one router's reconciliation.
@@ -68,10 +68,19 @@
     }
 
     /// Differences that are part of normal operation are logged for debugging only.
-    pub(crate) fn drift(&self, worker: &str, function: Option<&str>, kind: Kind, cause: Cause) {
+    pub(crate) fn drift(
+        &self,
+        worker: &str,
+        function: Option<&str>,
+        kind: DriftKind,
+        cause: DriftCause,
+    ) {
         let is_expected = matches!(
             (kind, cause),
-            (Kind::Unseen, Cause::LoadedElsewhere | Cause::LoadedOnMiss)
+            (
+                DriftKind::Unseen,
+                DriftCause::LoadedElsewhere | DriftCause::LoadedOnMiss
+            )
         );
         if is_expected && !self.has_details() {
             tracing::debug!(worker, function, ?kind, ?cause, "reconcile: drift");
--- a/crates/gateway/src/reconciliation_observer.rs
+++ b/crates/gateway/src/reconciliation_observer.rs
@@ -8,8 +8,8 @@
 };
 use cedarpulley_reconcile::Change;
 use cedarpulley_router::FrontIndex;
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::watch::{By, Given, Names, Used, Watch};
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, UsageSource, WorkerUsage};
 
 use crate::reconciliation::Reconciliation;
 
@@ -35,7 +35,7 @@
 
 impl Reconciliation {
     /// To be registered with the core, which reports its decisions.
-    pub fn watch(self: &Rc<Self>) -> Box<dyn Watch> {
+    pub fn watch(self: &Rc<Self>) -> Box<dyn RouterObserver> {
         Box::new(CoreObserver {
             reconciliation: self.clone(),
             open: Vec::new(),
@@ -71,10 +71,10 @@
             }
             Event::DispatchEnded(end) => {
                 let OpenInvocation { function, copy_mb } = self.invocation(end.invocation);
-                let (stands, found) = copy_evidence(end.outcome, end.copy_status);
-                let ended = Change::Ended {
-                    stands,
-                    found,
+                let (present, was_present) = copy_evidence(end.outcome, end.copy_status);
+                let ended = Change::DispatchEnded {
+                    present,
+                    was_present,
                     copy_mb,
                 };
                 let (worker, function) = (names.worker(end.worker), names.function(function));
@@ -87,7 +87,7 @@
                 copies,
                 ..
             } => {
-                let stands = match result {
+                let present = match result {
                     LoadOrderResult::Loaded
                     | LoadOrderResult::NoCapacity
                     | LoadOrderResult::LoadFailed => Some(*copies > 0),
@@ -95,8 +95,8 @@
                     | LoadOrderResult::Unreachable
                     | LoadOrderResult::TimedOut => None,
                 };
-                let ended = Change::OrderEnded {
-                    stands,
+                let ended = Change::LoadOrderEnded {
+                    present,
                     copies: (*copies > 0).then_some(*copies),
                 };
                 let (worker, function) = (names.worker(*worker), names.function(*function));
@@ -111,10 +111,14 @@
         let (worker, function, change) = match action {
             Action::Dispatch {
                 invocation, worker, ..
-            } => (*worker, self.invocation(*invocation).function, Change::Sent),
+            } => (
+                *worker,
+                self.invocation(*invocation).function,
+                Change::Dispatched,
+            ),
             Action::LoadOrder {
                 worker, function, ..
-            } => (*worker, *function, Change::Ordered),
+            } => (*worker, *function, Change::LoadOrdered),
             Action::Unload { worker, function } => (*worker, *function, Change::Unloaded),
             _ => return,
         };
@@ -132,7 +136,7 @@
     }
 }
 
-impl Watch for CoreObserver {
+impl RouterObserver for CoreObserver {
     fn decided(&mut self, now: Micros, event: &Event, actions: &[Action], names: Names) {
         self.follow_event(now, event, names);
         for action in actions {
@@ -140,17 +144,20 @@
         }
     }
 
-    fn taken(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {}
+    fn accepted(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {
+    }
 
-    fn answered(&mut self, _: Micros, _: Given) {}
+    fn answered(&mut self, _: Micros, _: AnswerGiven) {}
 
-    fn turned_away(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: Short) {}
+    fn rejected(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: RejectionReason) {}
 
-    fn used(&mut self, now: Micros, used: Used) {
-        if let (Some(id), By::Dispatch(DispatchOutcome::Succeeded, _)) = (used.session, used.by) {
-            let change = Change::Session {
+    fn used(&mut self, now: Micros, used: WorkerUsage) {
+        if let (Some(id), UsageSource::Dispatch(DispatchOutcome::Succeeded, _)) =
+            (used.session, used.source)
+        {
+            let change = Change::SessionUsed {
                 id: Arc::from(id),
-                over: used.ends,
+                is_last: used.ends_session,
             };
             self.change(now, Some(used.worker_name), Some(used.function), change);
         }
--- a/crates/gateway/src/reconciliation_query.rs
+++ b/crates/gateway/src/reconciliation_query.rs
@@ -5,8 +5,8 @@
 
 use cedarpulley::interface::Micros;
 use cedarpulley_errors::Remedy;
-use cedarpulley_kserve::{index, requests};
-use cedarpulley_reconcile::{Entry, Observation};
+use cedarpulley_kserve::{repository_index, worker_requests};
+use cedarpulley_reconcile::{FunctionReport, Observation};
 
 use crate::pool::{ExchangeError, Pool};
 
@@ -23,11 +23,13 @@
 /// Queries a worker; absent if it is silent, or responds with something else than a report, which is logged.
 pub(crate) async fn query_worker(pool: &Pool, worker: &str) -> Option<WorkerReport> {
     let address = worker.parse::<SocketAddr>().ok()?;
-    let request = requests::index(&address.to_string());
+    let request = worker_requests::index(&address.to_string());
     let response = pool.order(address, request, QUERY_TIMEOUT).await;
     let parsed = match response {
-        Ok(reply) => index::of(reply.status.as_u16(), &reply.headers, &reply.body),
-        Err(ExchangeError::Garbled | ExchangeError::TooLarge) => Err(index::NoIndex::Form),
+        Ok(reply) => repository_index::parse(reply.status.as_u16(), &reply.headers, &reply.body),
+        Err(ExchangeError::Garbled | ExchangeError::TooLarge) => {
+            Err(repository_index::InvalidIndex::Malformed)
+        }
         Err(_) => return None,
     };
     match parsed {
@@ -46,9 +48,9 @@
     }
 }
 
-fn observation_of(index: index::Index) -> Observation {
+fn observation_of(index: repository_index::RepositoryIndex) -> Observation {
     let arc = |text: String| Arc::from(text);
-    let entry = |m: index::Model| Entry {
+    let entry = |m: repository_index::ModelEntry| FunctionReport {
         function: Arc::from(m.function),
         copies: m.copies,
         loading: m.loading,
@@ -56,11 +58,11 @@
         idle: m.idle,
         ordered_by: m.ordered_by.map(arc),
         term: m.term.map(arc),
-        sequences: m.sequences.map(|ids| ids.into_iter().map(arc).collect()),
+        sessions: m.sequences.map(|ids| ids.into_iter().map(arc).collect()),
     };
     Observation {
-        life: index.life,
+        incarnation: index.incarnation,
         entries: index.models.into_iter().map(entry).collect(),
-        cut: index.cut,
+        truncated: index.truncated,
     }
 }
--- a/crates/gateway/src/reconciliation_workers.rs
+++ b/crates/gateway/src/reconciliation_workers.rs
@@ -7,15 +7,15 @@
 use std::sync::Arc;
 
 use cedarpulley::interface::{EndpointListKind, EndpointState};
-use cedarpulley_reconcile::Seat;
-use cedarpulley_router::roster::{Listed, News as ListNews};
+use cedarpulley_reconcile::PolledWorker;
+use cedarpulley_router::endpoint_list::{ListedWorker, WatchEvent as ListNews};
 
 /// Start marks of departed workers are kept up to this number, as the list may name them before it reports
 /// them in service.
 const MAX_DEPARTED_MARKS: usize = 1_000;
 
 /// Workers of the list, by address.
-pub type WorkerListing = Rc<RefCell<BTreeMap<Arc<str>, Listed>>>;
+pub type WorkerListing = Rc<RefCell<BTreeMap<Arc<str>, ListedWorker>>>;
 
 /// Listed workers with their start marks and memory.
 pub(crate) struct WorkerDirectory {
@@ -59,7 +59,7 @@
     }
 
     /// Applies an update of the list; false if it reports a failure and changes nothing.
-    pub(crate) fn apply_update(&self, mode: EndpointListKind, workers: &[Listed]) -> bool {
+    pub(crate) fn apply_update(&self, mode: EndpointListKind, workers: &[ListedWorker]) -> bool {
         {
             let mut listing = self.listing.borrow_mut();
             match mode {
@@ -68,7 +68,7 @@
                 EndpointListKind::Failed => return false,
             }
             for worker in workers {
-                match worker.standing {
+                match worker.state {
                     EndpointState::InService | EndpointState::Draining => {
                         listing.insert(Arc::from(worker.address.as_str()), worker.clone());
                     }
@@ -106,24 +106,24 @@
     }
 
     /// The listed workers in the form that the reconciler takes.
-    pub(crate) fn seats(&self) -> Vec<Seat> {
+    pub(crate) fn polled_workers(&self) -> Vec<PolledWorker> {
         let start_marks = self.start_marks.borrow();
         let reported = self.reported_memory_mb.borrow();
-        let seat = |(address, worker): (&Arc<str>, &Listed)| {
+        let polled_worker = |(address, worker): (&Arc<str>, &ListedWorker)| {
             let mark = start_marks.get(&**address).filter(|m| !m.is_empty());
             let id = mark.map_or(address.clone(), |m| Arc::from(m.as_str()));
             let by_kind = self
                 .memory_mb_by_kind
-                .get(worker.kind as usize)
+                .get(worker.machine_kind as usize)
                 .copied()
                 .unwrap_or(0.0);
             let memory_mb = reported.get(&**address).copied().unwrap_or(by_kind);
-            Seat {
+            PolledWorker {
                 worker: address.clone(),
                 id,
                 memory_mb,
             }
         };
-        self.listing.borrow().iter().map(seat).collect()
+        self.listing.borrow().iter().map(polled_worker).collect()
     }
 }
--- a/crates/gateway/src/request_handling.rs
+++ b/crates/gateway/src/request_handling.rs
@@ -9,9 +9,9 @@
 use std::rc::Rc;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_net::Bell;
-use cedarpulley_router::entry::{Entry, Knock};
-use cedarpulley_router::{Answer, Delivery, FrontIndex, Input, Taken};
+use cedarpulley_net::Notifier;
+use cedarpulley_router::admission_control::{AdmissionDecision, AdmissionRequest};
+use cedarpulley_router::{Answer, Delivery, FrontIndex, IncomingInvocation, Input};
 use futures_lite::FutureExt;
 use smol::channel::{Sender, bounded};
 
@@ -37,7 +37,7 @@
     /// Connections with at least one open request.
     connections: Cell<u32>,
     next_tag: Cell<u64>,
-    decision: Cell<Option<Entry>>,
+    decision: Cell<Option<AdmissionDecision>>,
     waiting: RefCell<HashMap<u64, Sender<Answer>>>,
 }
 
@@ -64,8 +64,8 @@
         }
         handler.waiting.borrow_mut().remove(&self.delivery.tag);
         let input = match self.answered {
-            true => Input::Safe(self.delivery),
-            false => Input::Departed(self.delivery),
+            true => Input::AnswerDelivered(self.delivery),
+            false => Input::ClientLeft(self.delivery),
         };
         // Not called directly: a drop may happen while the core is running.
         let context = handler.context.clone();
@@ -81,11 +81,11 @@
 /// requests. How it ended does not matter: requests still open then were dropped.
 pub(crate) async fn serve_until_closed<C: Future>(
     mut connection: Pin<&mut C>,
-    stop: Bell,
+    stop: Notifier,
     shut_down: impl FnOnce(Pin<&mut C>),
 ) {
     let stopped = async {
-        stop.heard().await;
+        stop.notified().await;
         false
     };
     let ended = async {
@@ -100,14 +100,14 @@
 
 impl OpenRequest {
     /// Hands the request to the core and waits for its answer; absent only by a defect of the core.
-    pub async fn answer(mut self, mut taken: Taken) -> Option<(Answer, UnreadAnswer)> {
+    pub async fn answer(mut self, mut taken: IncomingInvocation) -> Option<(Answer, UnreadAnswer)> {
         let (sender, receiver) = bounded(1);
         self.handler
             .waiting
             .borrow_mut()
             .insert(self.delivery.tag, sender);
         taken.waited += self.handler.context.clock.now() - self.admitted_at;
-        self.handler.context.feed(Input::Taken(taken));
+        self.handler.context.feed(Input::MessageArrived(taken));
         let answer = receiver.recv().await.ok()?;
         self.answered = true;
         let unread = UnreadAnswer::begin(&self.handler.resources, &self.client, answer.body.len());
@@ -150,7 +150,7 @@
     }
 
     /// The core's decision on the request that is being admitted.
-    pub fn set_decision(&self, entry: Entry) {
+    pub fn set_decision(&self, entry: AdmissionDecision) {
         self.decision.set(Some(entry));
     }
 
@@ -173,7 +173,7 @@
         self.next_tag.set(tag + 1);
         Delivery {
             front: self.front,
-            life: 1,
+            incarnation: 1,
             tag,
         }
     }
@@ -182,29 +182,30 @@
     pub fn admit(
         self: &Rc<Self>,
         client: &Rc<ClientConnection>,
-        taken: &Taken,
+        taken: &IncomingInvocation,
         bytes: u64,
-    ) -> Result<OpenRequest, Entry> {
+    ) -> Result<OpenRequest, AdmissionDecision> {
         let delivery = taken.delivery;
-        let knock = Knock {
+        let request = AdmissionRequest {
             trigger: taken.trigger,
             account: taken.account,
             waited: taken.waited,
             bytes,
-            here: client.open_requests(),
-            unread: client.unread_answers(),
-            left: client.abandoned_requests(),
-            left_ago: self.context.clock.now() - client.last_abandoned_at(),
-            connections: self.connections.get().max(1),
+            connection_in_flight: client.open_requests(),
+            unread_answers: client.unread_answers(),
+            abandoned: client.abandoned_requests(),
+            last_abandoned_ago: self.context.clock.now() - client.last_abandoned_at(),
+            active_connections: self.connections.get().max(1),
             unread_bytes: self.resources.unread_bytes.get(),
         };
         self.decision.set(None);
-        self.context.feed(Input::Knock { delivery, knock });
+        self.context
+            .feed(Input::RequestArrived { delivery, request });
         match self.decision.take() {
-            Some(Entry::Enter) => {}
+            Some(AdmissionDecision::Admitted) => {}
             Some(rejection) => return Err(rejection),
             // The core decides for each request, so that this is a defect of the core.
-            None => return Err(Entry::Enter),
+            None => return Err(AdmissionDecision::Admitted),
         }
         self.open_requests.set(self.open_requests.get() + 1);
         if client.begin_request() {
--- a/crates/gateway/src/request_parsing.rs
+++ b/crates/gateway/src/request_parsing.rs
@@ -6,10 +6,10 @@
 use async_io::Timer;
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
+use cedarpulley_kserve::client_requests::{self, InvalidField};
 use cedarpulley_kserve::sequences;
-use cedarpulley_kserve::serving::{self, Misunderstood};
-use cedarpulley_net::micros;
-use cedarpulley_router::{Payload, Session, Taken};
+use cedarpulley_net::duration_from_micros;
+use cedarpulley_router::{IncomingInvocation, Payload, Session};
 use futures_lite::FutureExt;
 use http_body_util::BodyExt;
 use hyper::HeaderMap;
@@ -38,7 +38,7 @@
     reading: impl Future<Output = Result<T, BodyError>>,
 ) -> Result<T, BodyError> {
     let timeout = async {
-        Timer::after(micros(BODY_TIMEOUT)).await;
+        Timer::after(duration_from_micros(BODY_TIMEOUT)).await;
         Err(BodyError::TimedOut)
     };
     reading.or(timeout).await
@@ -87,27 +87,27 @@
     client: &ClientConnection,
     headers: &HeaderMap,
     function: String,
-) -> Result<Taken, Misunderstood> {
+) -> Result<IncomingInvocation, InvalidField> {
     let context = &handler.context;
-    let metadata = serving::wanted(headers, context.clock.wall())?;
+    let metadata = client_requests::parse_infer_headers(headers, context.clock.wall_time())?;
     let trigger = context
         .names
-        .trigger(&metadata.kind)
-        .ok_or_else(|| unknown("cedarpulley-trigger-type", &metadata.kind))?;
+        .trigger_index(&metadata.trigger_type)
+        .ok_or_else(|| unknown("cedarpulley-trigger-type", &metadata.trigger_type))?;
     let account = account(handler, client, metadata.account.as_deref())?;
-    Ok(Taken {
+    Ok(IncomingInvocation {
         delivery: handler.delivery(),
         identity: None,
-        mark: headers
+        name: headers
             .get(REQUEST_ID)
             .and_then(|value| value.to_str().ok())
             .map(Arc::from),
         redelivered: false,
-        repeat: metadata.repeat,
+        client_retry: metadata.repeat,
         trigger,
         account,
         function: Arc::from(function),
-        token: metadata.token.map(Arc::from),
+        idempotency_key: metadata.idempotency_key.map(Arc::from),
         waited: metadata.waited,
         client_timeout: metadata.client_timeout.unwrap_or(Micros::MAX / 8),
         cost_hint: metadata.cost_hint,
@@ -115,12 +115,12 @@
         copy_mb: metadata.copy_mb,
         lanes: metadata.lanes,
         session: None,
-        named: None,
-        prefers: None,
-        refused: None,
+        requested_function: None,
+        preferred_worker: None,
+        predetermined_answer: None,
         body: Payload {
             bytes: Bytes::new(),
-            first: metadata.json,
+            first_part_length: metadata.json_length,
         },
     })
 }
@@ -130,24 +130,24 @@
     handler: &RequestHandler,
     client: &ClientConnection,
     named: Option<&str>,
-) -> Result<u32, Misunderstood> {
+) -> Result<u32, InvalidField> {
     let claimed = handler
         .context
         .names
-        .account(named)
+        .account_index(named)
         .ok_or_else(|| unknown("cedarpulley-account", named.unwrap_or_default()))?;
     match client.account() {
         None => Ok(claimed),
         Some(own) if named.is_none() || claimed == own => Ok(own),
-        Some(_) => Err(Misunderstood {
+        Some(_) => Err(InvalidField {
             field: "cedarpulley-account",
             cause: "is not the one that the client's certificate speaks for".to_owned(),
         }),
     }
 }
 
-fn unknown(field: &'static str, name: &str) -> Misunderstood {
-    Misunderstood {
+fn unknown(field: &'static str, name: &str) -> InvalidField {
+    InvalidField {
         field,
         cause: format!("'{name}' is unknown"),
     }
@@ -157,17 +157,17 @@
 pub(crate) fn parse_session(
     handler: &RequestHandler,
     body: &Payload,
-) -> Result<Option<Session>, sequences::NoSequence> {
+) -> Result<Option<Session>, sequences::InvalidSequence> {
     if !handler.context.tracks_sessions {
         return Ok(None);
     }
-    let json = body.first.map_or(&body.bytes[..], |length| {
+    let json = body.first_part_length.map_or(&body.bytes[..], |length| {
         body.bytes.get(..length as usize).unwrap_or_default()
     });
     let to_session = |sequence: sequences::Sequence| Session {
         id: Arc::from(sequence.id),
-        start: sequence.start,
-        end: sequence.end,
+        is_first: sequence.start,
+        is_last: sequence.end,
     };
-    Ok(sequences::of(json)?.map(to_session))
+    Ok(sequences::parse(json)?.map(to_session))
 }
--- a/crates/gateway/src/resources.rs
+++ b/crates/gateway/src/resources.rs
@@ -7,11 +7,11 @@
 
 use async_io::Async;
 use cedarpulley::interface::Micros;
-use cedarpulley_certificates::Speakers;
+use cedarpulley_certificates::ClientAccounts;
 use cedarpulley_net::{Clock, listen};
 use cedarpulley_router::Router;
 use cedarpulley_startup::Names;
-use cedarpulley_trace::start::{Start, module_digest};
+use cedarpulley_trace::start::{StartRecord, module_digest};
 use cedarpulley_upgrade::sessions;
 
 use crate::amqp_front::AmqpSource;
@@ -43,7 +43,7 @@
     pub(crate) listeners: Vec<ListenerWithTls>,
     /// The bound sockets of `listeners`, in the same order.
     pub(crate) sockets: Vec<Async<TcpListener>>,
-    pub(crate) certificate_accounts: Rc<Speakers>,
+    pub(crate) certificate_accounts: Rc<ClientAccounts>,
     pub(crate) max_body_bytes: u64,
     pub(crate) pool: PoolSettings,
     pub(crate) group: GroupResources,
@@ -55,7 +55,7 @@
     pub(crate) peer_group: Option<PeerGroupResources>,
     pub(crate) upgrade: Option<UpgradeSettings>,
     pub(crate) reconcile: Option<ReconcileSettings>,
-    pub(crate) sessions: Option<sessions::Terms>,
+    pub(crate) sessions: Option<sessions::SessionSettings>,
     /// How long the decision module assumes that a copy exists after its last use, in microseconds.
     pub(crate) idle_retention: Micros,
     /// Memory in MB by kind of worker.
@@ -69,7 +69,7 @@
         settings: RouterSettings,
         fault: Option<InjectedFault>,
     ) -> Result<Resources, StartError> {
-        let clock = Clock::off_by(settings.clock_offset);
+        let clock = Clock::with_wall_offset(settings.clock_offset);
         let seed = settings.seed.unwrap_or_else(|| fresh_seed(&clock));
         let trace_recorder = begin_trace(name, &settings, &clock, seed)?;
         let disabled_check = fault.and_then(InjectedFault::disabled_check);
@@ -117,7 +117,7 @@
 
 /// A seed that differs between starts, for routers without a configured one.
 fn fresh_seed(clock: &Clock) -> u64 {
-    clock.wall() as u64 ^ u64::from(std::process::id()) << 40
+    clock.wall_time() as u64 ^ u64::from(std::process::id()) << 40
 }
 
 /// Registers what records the core's events.
@@ -127,10 +127,10 @@
     metering: Option<&Metering>,
 ) {
     if let Some(trace_recorder) = trace_recorder {
-        router.watched_by(Box::new(trace_recorder.clone()));
+        router.add_observer(Box::new(trace_recorder.clone()));
     }
     if let Some(metering) = metering {
-        router.watched_by(Box::new(metering.clone()));
+        router.add_observer(Box::new(metering.clone()));
     }
 }
 
@@ -147,15 +147,15 @@
         .amqp_sources
         .iter()
         .map(|source| source.name.clone());
-    let start = Start {
+    let start = StartRecord {
         router: name.to_owned(),
-        module: module_digest(),
-        settings: settings.digest,
-        file: 0,
-        wall_at_zero: clock.wall() - clock.now(),
-        triggers_named: settings.names.triggers.clone(),
-        accounts_named: settings.names.accounts.clone(),
-        fronts_named: sources
+        module_digest: module_digest(),
+        settings_digest: settings.digest,
+        file_number: 0,
+        wall_at_zero: clock.wall_time() - clock.now(),
+        trigger_names: settings.names.triggers.clone(),
+        account_names: settings.names.accounts.clone(),
+        front_names: sources
             .chain(
                 settings
                     .listeners
@@ -178,7 +178,7 @@
         let tls = match &listener.tls {
             None => None,
             Some(files) => {
-                let opened = ServerTls::open(files.clone(), clock.wall());
+                let opened = ServerTls::open(files.clone(), clock.wall_time());
                 Some(opened.map_err(|refused| std::io::Error::other(refused.cause))?)
             }
         };
@@ -198,6 +198,6 @@
     };
     // Unique among processes with all but certainty.
     let source = uuid::Uuid::new_v4().as_u128();
-    let wall_at_zero = clock.wall() - clock.now();
+    let wall_at_zero = clock.wall_time() - clock.now();
     Metering::begin(folder, name, source, names.accounts.clone(), wall_at_zero).map(Some)
 }
--- a/crates/gateway/src/rest.rs
+++ b/crates/gateway/src/rest.rs
@@ -8,11 +8,11 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
-use cedarpulley_kserve::requests::JSON_LENGTH;
-use cedarpulley_kserve::serving::{self, Asked};
-use cedarpulley_net::{Bell, micros};
-use cedarpulley_router::entry::Entry;
-use cedarpulley_router::{Answer, Fate};
+use cedarpulley_kserve::client_requests::{self, ClientRequest};
+use cedarpulley_kserve::worker_requests::JSON_LENGTH;
+use cedarpulley_net::{Notifier, duration_from_micros};
+use cedarpulley_router::admission_control::AdmissionDecision;
+use cedarpulley_router::{Answer, FinalOutcome};
 use futures_lite::{AsyncRead, AsyncWrite};
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
@@ -42,7 +42,7 @@
 }
 
 fn error_response(status: StatusCode, cause: &str) -> Reply {
-    reply(status, serving::error(cause), None)
+    reply(status, client_requests::error(cause), None)
 }
 
 /// Serves one HTTP/1.1 connection until it ends.
@@ -50,7 +50,7 @@
     handler: Rc<RequestHandler>,
     client: Rc<ClientConnection>,
     stream: impl AsyncRead + AsyncWrite + Unpin,
-    stop: Bell,
+    stop: Notifier,
 ) {
     let service = service_fn(|request| {
         let handled = handle(handler.clone(), client.clone(), request);
@@ -59,7 +59,7 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(SmolTimer::new())
-        .header_read_timeout(micros(HEADER_TIMEOUT));
+        .header_read_timeout(duration_from_micros(HEADER_TIMEOUT));
     builder
         .max_headers(MAX_HEADERS)
         .max_buf_size(MAX_HEAD_BYTES);
@@ -75,29 +75,33 @@
     client: Rc<ClientConnection>,
     request: Request<Incoming>,
 ) -> Reply {
-    match serving::asked(request.method(), request.uri().path()) {
-        Asked::ServerLive => reply(StatusCode::OK, r#"{"live":true}"#, None),
-        Asked::ServerReady if handler.is_ready() => {
+    match client_requests::parse_path(request.method(), request.uri().path()) {
+        ClientRequest::ServerLive => reply(StatusCode::OK, r#"{"live":true}"#, None),
+        ClientRequest::ServerReady if handler.is_ready() => {
             reply(StatusCode::OK, r#"{"ready":true}"#, None)
         }
-        Asked::ServerReady => reply(StatusCode::SERVICE_UNAVAILABLE, r#"{"ready":false}"#, None),
-        Asked::ServerMetadata => {
-            let extensions = serving::EXTENSIONS;
+        ClientRequest::ServerReady => {
+            reply(StatusCode::SERVICE_UNAVAILABLE, r#"{"ready":false}"#, None)
+        }
+        ClientRequest::ServerMetadata => {
+            let extensions = client_requests::EXTENSIONS;
             let version = env!("CARGO_PKG_VERSION");
             let body = serde_json::json!({"name": "cedarpulley", "version": version, "extensions": extensions});
             reply(StatusCode::OK, body.to_string(), None)
         }
         // Functions are loaded on demand: any may be requested.
-        Asked::ModelReady(_) => reply(StatusCode::OK, "", None),
-        Asked::ModelMetadata(function) => reply(StatusCode::OK, serving::metadata(&function), None),
-        Asked::Index => reply(
+        ClientRequest::ModelReady(_) => reply(StatusCode::OK, "", None),
+        ClientRequest::ModelMetadata(function) => {
+            reply(StatusCode::OK, client_requests::metadata(&function), None)
+        }
+        ClientRequest::RepositoryIndex => reply(
             StatusCode::OK,
-            serving::index(&(handler.resources.functions)()),
+            client_requests::index(&(handler.resources.functions)()),
             None,
         ),
-        Asked::Infer(function) => infer(handler, client, function, request).await,
-        Asked::Unknown => error_response(StatusCode::NOT_FOUND, "no such path"),
-        Asked::WrongMethod => {
+        ClientRequest::Infer(function) => infer(handler, client, function, request).await,
+        ClientRequest::Unknown => error_response(StatusCode::NOT_FOUND, "no such path"),
+        ClientRequest::WrongMethod => {
             error_response(StatusCode::METHOD_NOT_ALLOWED, "another method is wanted")
         }
     }
@@ -131,7 +135,7 @@
         Ok(body) => body,
         Err(error) => return body_error_response(error, handler.max_body_bytes),
     };
-    let json_length = taken.body.first.map(|length| length as usize);
+    let json_length = taken.body.first_part_length.map(|length| length as usize);
     if json_length.is_some_and(|length| length > taken.body.len()) {
         let cause = format!("{JSON_LENGTH}: is beyond the body's end");
         return malformed_response(&handler, &cause);
@@ -167,28 +171,35 @@
     }
 }
 
-fn rejection_response(entry: Entry) -> Reply {
-    let Entry::TurnedAway { why, come_back } = entry else {
+fn rejection_response(entry: AdmissionDecision) -> Reply {
+    let AdmissionDecision::Rejected {
+        reason,
+        retry_after,
+    } = entry
+    else {
         return error_response(StatusCode::INTERNAL_SERVER_ERROR, "no entry was found");
     };
-    let mut reply = error_response(StatusCode::TOO_MANY_REQUESTS, rejection_name(why));
+    let mut reply = error_response(StatusCode::TOO_MANY_REQUESTS, rejection_name(reason));
     let headers = reply.headers_mut();
-    headers.insert(serving::FATE, HeaderValue::from_static("throttled"));
     headers.insert(
-        serving::REASON,
-        HeaderValue::from_static(rejection_name(why)),
+        client_requests::OUTCOME,
+        HeaderValue::from_static("throttled"),
+    );
+    headers.insert(
+        client_requests::REASON,
+        HeaderValue::from_static(rejection_name(reason)),
     );
     headers.insert(
         RETRY_AFTER,
-        HeaderValue::from(serving::retry_after(come_back)),
+        HeaderValue::from(client_requests::retry_after(retry_after)),
     );
     reply
 }
 
 fn answer_response(answer: Answer, unread: UnreadAnswer) -> Reply {
-    let mut reply = match answer.fate {
-        Fate::Succeeded => {
-            let json = answer.body.first;
+    let mut reply = match answer.outcome {
+        FinalOutcome::Succeeded => {
+            let json = answer.body.first_part_length;
             let mut reply = reply(StatusCode::OK, answer.body.bytes, Some(unread));
             if let Some(json) = json {
                 let headers = reply.headers_mut();
@@ -201,24 +212,27 @@
             reply
         }
         other => {
-            let is_safe_to_retry = other == Fate::Throttled;
+            let is_safe_to_retry = other == FinalOutcome::Throttled;
             error_response(
-                serving::status(is_safe_to_retry),
+                client_requests::failure_status(is_safe_to_retry),
                 reason_name(answer.reason),
             )
         }
     };
     let headers = reply.headers_mut();
     headers.insert(
-        serving::FATE,
-        HeaderValue::from_static(fate_name(answer.fate)),
+        client_requests::OUTCOME,
+        HeaderValue::from_static(fate_name(answer.outcome)),
     );
     headers.insert(
-        serving::REASON,
+        client_requests::REASON,
         HeaderValue::from_static(reason_name(answer.reason)),
     );
-    if let Some(delay) = answer.return_after {
-        headers.insert(RETRY_AFTER, HeaderValue::from(serving::retry_after(delay)));
+    if let Some(delay) = answer.retry_after {
+        headers.insert(
+            RETRY_AFTER,
+            HeaderValue::from(client_requests::retry_after(delay)),
+        );
     }
     reply
 }
--- a/crates/gateway/src/send_queue.rs
+++ b/crates/gateway/src/send_queue.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use cedarpulley_net::Bell;
+use cedarpulley_net::Notifier;
 use serde::Serialize;
 
 /// Bytes that may wait in one queue.
@@ -38,7 +38,7 @@
     waiting: RefCell<VecDeque<QueuedMessage>>,
     bytes: Cell<usize>,
     /// Rings when a message has come.
-    pub(crate) bell: Bell,
+    pub(crate) bell: Notifier,
     counts: Cell<TransportCounts>,
 }
 
@@ -47,7 +47,7 @@
         SendQueue {
             waiting: RefCell::default(),
             bytes: Cell::new(0),
-            bell: Bell::default(),
+            bell: Notifier::default(),
             counts: Cell::new(TransportCounts::default()),
         }
     }
@@ -77,7 +77,7 @@
             self.bytes.set(self.bytes.get() - dropped.bytes.len());
             self.count(|counts| counts.messages_dropped += 1);
         }
-        self.bell.ring();
+        self.bell.notify();
     }
 
     /// Takes out the messages of one POST.
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -112,8 +112,8 @@
 
 fn start_worker_list(gateway: &Rc<Gateway>, workers: WorkerList) {
     match workers {
-        WorkerList::Fixed(workers) => gateway.feed(Input::List {
-            mode: EndpointListKind::Complete,
+        WorkerList::Fixed(workers) => gateway.feed(Input::EndpointList {
+            kind: EndpointListKind::Complete,
             workers,
         }),
         WorkerList::Watched(address) => {
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -8,10 +8,10 @@
 use std::path::{Path, PathBuf};
 
 use cedarpulley::interface::*;
-use cedarpulley_certificates::Speakers;
-use cedarpulley_reconcile::asking::slowest;
-use cedarpulley_router::Terms;
-use cedarpulley_router::group::Sharing;
+use cedarpulley_certificates::ClientAccounts;
+use cedarpulley_reconcile::polling::longest_interval;
+use cedarpulley_router::CoreSettings;
+use cedarpulley_router::replication::ReplicationSettings;
 pub use cedarpulley_startup::Names;
 use cedarpulley_startup::StartupSettings;
 use cedarpulley_trace::start::digest;
@@ -42,7 +42,7 @@
     /// The names of zones, kinds of workers, trigger types and accounts, by their index.
     pub names: Names,
     /// Limits of the core.
-    pub core_terms: Terms,
+    pub core_terms: CoreSettings,
     /// The queues to consume from.
     pub amqp_sources: Vec<AmqpSource>,
     /// The addresses to listen on for KServe clients.
@@ -54,7 +54,7 @@
     /// Largest body of a request.
     pub max_body_bytes: u64,
     /// The accounts that names in client certificates are bound to.
-    pub certificate_accounts: Speakers,
+    pub certificate_accounts: ClientAccounts,
     /// Where a trace is recorded, if it is.
     pub trace: Option<TraceSettings>,
     /// Folder of the usage ledger (memory-seconds), if usage is metered.
@@ -70,7 +70,7 @@
     /// Reconciliation of the warm index with the workers' reports, if configured.
     pub reconcile: Option<ReconcileSettings>,
     /// Tracking of sessions, if configured.
-    pub sessions: Option<sessions::Terms>,
+    pub sessions: Option<sessions::SessionSettings>,
 }
 
 /// Reads the settings from `text`, and the certificates that it names relative to the folder of `file`.
@@ -185,7 +185,7 @@
     /// By trigger type: whether it is sent without a majority of the group.
     sends_without_majority: Vec<bool>,
     accounts: Vec<Account>,
-    certificate_accounts: Speakers,
+    certificate_accounts: ClientAccounts,
     reports: ReportSource,
 }
 
@@ -238,18 +238,18 @@
     }
 
     /// The limits of the core. `front_weights`: by front, AMQP before KServe.
-    fn terms(&self, front_weights: Vec<f64>, peers: Option<&PeerSettings>) -> Terms {
-        Terms {
+    fn terms(&self, front_weights: Vec<f64>, peers: Option<&PeerSettings>) -> CoreSettings {
+        CoreSettings {
             answer_margin: self.router.answer_margin,
             clock_margin: self.router.clock_margin,
             memory_bytes: self.router.memory_bytes,
             front_weights,
             account_shares: self.accounts.iter().map(|account| account.share).collect(),
-            order_answered_within: self.loads.order_timeout,
-            module_alone: false,
-            sharing: peers.map(|peers| Sharing {
-                alone: self.sends_without_majority.clone(),
-                leave_kept: peers.send_lease(),
+            order_timeout: self.loads.order_timeout,
+            balancer_only: false,
+            replication: peers.map(|peers| ReplicationSettings {
+                without_majority: self.sends_without_majority.clone(),
+                permission_validity: peers.send_lease(),
             }),
             drain_grace: self.rules.drain_grace,
         }
@@ -259,7 +259,7 @@
 /// Requests need a front; a witness has none.
 fn check_fronts(root: &Section, no_front: bool, peers: Option<&PeerSettings>) {
     let is_witness =
-        peers.is_some_and(|peers| peers.group.members[peers.group.me as usize].witness);
+        peers.is_some_and(|peers| peers.group.members[peers.group.own_index as usize].witness);
     match (no_front, is_witness) {
         (true, false) => root.error(
             "amqp",
@@ -277,7 +277,7 @@
 struct GroupSections {
     upgrade: Option<UpgradeSettings>,
     reconcile: Option<ReconcileSettings>,
-    sessions: Option<sessions::Terms>,
+    sessions: Option<sessions::SessionSettings>,
 }
 
 impl GroupSections {
@@ -294,7 +294,7 @@
             root.has("reconcile"),
         );
         let reconcile = group_settings::reconcile(&root.section("reconcile"));
-        let slowest_poll = reconcile.map_or(0, |reconcile| slowest(reconcile.interval));
+        let slowest_poll = reconcile.map_or(0, |reconcile| longest_interval(reconcile.interval));
         let upgrade = upgrade.map(|upgrade| UpgradeSettings {
             latency_objectives: core
                 .triggers
@@ -304,7 +304,7 @@
             memory_mb: core.loads.memory_mb.clone(),
             terms: upgrade
                 .terms
-                .beside(slowest_poll, core.loads.idle_retention),
+                .adjusted_to(slowest_poll, core.loads.idle_retention),
             ..upgrade
         });
         // Without upgrades, sessions are tracked only for their workers.
--- a/crates/gateway/src/shared_state.rs
+++ b/crates/gateway/src/shared_state.rs
@@ -42,11 +42,11 @@
     /// Publishes an observation; a later observation of the same thing needs a higher version. It is
     /// forgotten after `retention` (microseconds).
     pub fn note(&self, key: Key, version: (u64, u64), value: Bytes, retention: Micros) {
-        self.0.apply_replica(Input::Noted {
+        self.0.apply_replica(Input::PublishNote {
             key,
             version,
             value,
-            kept: retention,
+            retention,
         });
     }
 
@@ -56,17 +56,14 @@
         self.0.apply_replica(Input::Choose {
             key,
             value,
-            kept: retention,
+            retention,
         });
     }
 
     /// Asks for the leadership of a key; [`PeerEvent::Decided`] tells whether this member may write in a
     /// term.
     pub fn lead(&self, key: Key, retention: Micros) {
-        self.0.apply_replica(Input::Lead {
-            key,
-            kept: retention,
-        });
+        self.0.apply_replica(Input::Lead { key, retention });
     }
 
     /// Writes a value in a term that this member leads. Within a term, each value extends the previous one
@@ -76,7 +73,7 @@
             key,
             ballot,
             value,
-            kept: retention,
+            retention,
         });
     }
 
@@ -140,7 +137,7 @@
 
     /// This router's index among the members.
     pub fn own_index(&self) -> MemberIndex {
-        self.0.inspect(|state| state.membership.group().me)
+        self.0.inspect(|state| state.membership.group().own_index)
     }
 
     /// All members by index. `alive` is as believed, so that a flapping link does not show.
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -52,7 +52,7 @@
 
     /// No request is open in the core, waits for admission, or has an answer on its way.
     fn is_drained(&self) -> bool {
-        self.router.borrow().open() == 0
+        self.router.borrow().unfinished() == 0
             && self
                 .admission
                 .as_ref()
--- a/crates/gateway/src/state_endpoint.rs
+++ b/crates/gateway/src/state_endpoint.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use cedarpulley_membership::{Member, MemberIndex, Standing};
-use cedarpulley_replica::{Record, Replica, Sent as SentState};
+use cedarpulley_membership::{Member, MemberIndex, MemberState};
+use cedarpulley_replica::{IntentState as SentState, Record, Replica};
 use metrics_exporter_prometheus::PrometheusBuilder;
 use serde::Serialize;
 use serde_json::{Map, Value, json};
@@ -12,33 +12,33 @@
 use crate::peers::{PeerStateView, Peers};
 use crate::send_queue::TransportCounts;
 
-fn liveness_name(standing: Standing) -> &'static str {
+fn liveness_name(standing: MemberState) -> &'static str {
     match standing {
-        Standing::Unknown => "unknown",
-        Standing::Alive => "alive",
-        Standing::Suspected => "suspected",
-        Standing::Dead => "dead",
+        MemberState::Unknown => "unknown",
+        MemberState::Alive => "alive",
+        MemberState::Suspected => "suspected",
+        MemberState::Dead => "dead",
     }
 }
 
 /// The name of the stage that a record has reached.
 fn record_stage(record: &Record) -> &'static str {
     match record {
-        Record::Effect(e) if e.closed => "closed",
-        Record::Effect(e) if e.fault => "fault",
-        Record::Effect(e) if e.answer.is_some() => "answered",
-        Record::Effect(e)
-            if e.sendings
+        Record::Invocation(e) if e.closed => "closed",
+        Record::Invocation(e) if e.has_conflict => "fault",
+        Record::Invocation(e) if e.answer.is_some() => "answered",
+        Record::Invocation(e)
+            if e.intents
                 .values()
-                .any(|s| s.state == SentState::MayHaveRun) =>
+                .any(|s| s.state == SentState::Indeterminate) =>
         {
             "may-have-run"
         }
-        Record::Effect(e) if e.sendings.values().any(|s| s.state == SentState::Intended) => {
+        Record::Invocation(e) if e.intents.values().any(|s| s.state == SentState::Intended) => {
             "intended"
         }
-        Record::Effect(e) if e.taken => "taken",
-        Record::Effect(_) => "fenced",
+        Record::Invocation(e) if e.taken => "taken",
+        Record::Invocation(_) => "fenced",
         Record::Choice(_) => "choice",
         Record::Note(_) => "note",
     }
@@ -91,7 +91,7 @@
     for (_, slot) in replica.records() {
         let stage = record_stage(&slot.record);
         *counts.by_stage.entry(stage).or_default() += 1;
-        if let (Record::Effect(effect), "taken" | "intended") = (&slot.record, stage) {
+        if let (Record::Invocation(effect), "taken" | "intended") = (&slot.record, stage) {
             let owner = members.get(effect.owner.ballot.member as usize);
             let owner = owner.map_or("", |member| member.name.as_str());
             *counts
@@ -117,34 +117,34 @@
         } = view;
         let group = membership.group();
         let member = |m: MemberIndex| {
-            let (known, settings) = (membership.known(m), &group.members[m as usize]);
+            let (known, settings) = (membership.status(m), &group.members[m as usize]);
             json!({
                 "name": settings.name, "region": settings.region, "weight": settings.weight, "witness": settings.witness,
-                "standing": liveness_name(known.standing), "why": known.why, "for_us": now - known.since,
-                "turn": known.process.turn, "process": format!("{:016x}", known.process.nonce),
-                "heard_us_ago": known.heard.map(|at| now - at), "believed_alive": believed.is_alive(m),
+                "standing": liveness_name(known.state), "why": known.reason, "for_us": now - known.since,
+                "turn": known.incarnation.number, "process": format!("{:016x}", known.incarnation.nonce),
+                "heard_us_ago": known.last_received.map(|at| now - at), "believed_alive": believed.is_alive(m),
                 "refused": peers.rejections(Some(m)),
             })
         };
         let RecordCounts { by_stage, open } = count_records(&group.members, replica);
         let mut claims: BTreeMap<&str, u64> = BTreeMap::new();
-        for (_, claim) in replica.claimed() {
-            *claims.entry(claim.word()).or_default() += 1;
+        for (_, claim) in replica.claims() {
+            *claims.entry(claim.stage_name()).or_default() += 1;
         }
         json!({
             "group": group.name,
-            "member": group.members[group.me as usize].name,
-            "memory": replica.memory(),
+            "member": group.members[group.own_index as usize].name,
+            "memory": replica.recovery_state(),
             "folder_was_older": store_was_older,
             "view": {"version": membership.version(), "believed": believed.version()},
             "members": (0..group.len() as MemberIndex).map(member).collect::<Vec<_>>(),
             "strangers": peers.rejections(None),
-            "majority_alive": group.is_majority((0..group.len() as MemberIndex).filter(|m| membership.lives(*m))),
+            "majority_alive": group.is_majority((0..group.len() as MemberIndex).filter(|m| membership.is_alive(*m))),
             "records": by_stage,
             "open": open,
             "claims": claims,
-            "lacking_leaves": replica.lacking(),
-            "conflicts": replica.faults(),
+            "lacking_leaves": replica.differing_leaves(),
+            "conflicts": replica.conflicts(),
             "counts": merged_counts(&[&replica.counts, &membership.counts, &counts, &transport]),
         })
     })
--- a/crates/gateway/src/storage_settings.rs
+++ b/crates/gateway/src/storage_settings.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use cedarpulley_trace::keeping::Bounds;
+use cedarpulley_trace::retention::RetentionLimits;
 
 use crate::config_reader::Section;
 use crate::config_values::DAY_MS;
@@ -11,13 +11,13 @@
 /// Reads `[trace]`; absent if no trace is recorded.
 pub(crate) fn trace(section: &Section, folder: &Path) -> Option<TraceSettings> {
     let trace = section.is_present().then(|| {
-        let bounds = Bounds {
+        let bounds = RetentionLimits {
             file_bytes: section.integer("file_mb", 1..1 << 16, Some(64)) << 20,
             file_age: section.millis_as_micros("file_minutes", 1..DAY_MS / 60_000 + 1, Some(60))
                 * 60_000,
-            budget: section.integer("budget_mb", 2..1 << 24, Some(1024)) << 20,
+            budget_bytes: section.integer("budget_mb", 2..1 << 24, Some(1024)) << 20,
         };
-        if bounds.budget < bounds.file_bytes * 2 {
+        if bounds.budget_bytes < bounds.file_bytes * 2 {
             section.error("budget_mb", "is below two files");
         }
         TraceSettings {
--- a/crates/gateway/src/stored_state.rs
+++ b/crates/gateway/src/stored_state.rs
@@ -1,6 +1,6 @@
 //! What passes between the group's state and its store.
 
-use cedarpulley_replica::{Key, Shared};
+use cedarpulley_replica::{Key, RecordCopy};
 
 /// State read from the store at start.
 #[derive(Default)]
@@ -8,7 +8,7 @@
     /// Incarnation of the process that wrote it.
     pub incarnation: u64,
     /// The shared records by key.
-    pub records: Vec<(Key, Shared)>,
+    pub records: Vec<(Key, RecordCopy)>,
 }
 
 /// Changes of the shared records, for the store.
@@ -18,5 +18,5 @@
     /// Serial of these changes, above those of all earlier ones.
     pub serial: u64,
     /// Records as they are now; absent ones were removed.
-    pub records: Vec<(Key, Option<Shared>)>,
+    pub records: Vec<(Key, Option<RecordCopy>)>,
 }
--- a/crates/gateway/src/tls.rs
+++ b/crates/gateway/src/tls.rs
@@ -16,9 +16,10 @@
 use async_io::Timer;
 use cedarpulley::interface::Micros;
 use cedarpulley_certificates::{
-    self as certificates, Keeper, MOST_FILE, Read, Refused, Served, Step, Which,
+    self as certificates, CertificateFile, CertificateReloader, FileRole, MAX_FILE_BYTES,
+    RejectedFile, ReloadStep, ServedCertificate,
 };
-use cedarpulley_net::{Clock, Stream, micros};
+use cedarpulley_net::{Clock, Stream, duration_from_micros};
 use futures_lite::{AsyncRead, AsyncWrite, FutureExt};
 use futures_rustls::rustls::pki_types::ServerName;
 use futures_rustls::rustls::server::WebPkiClientVerifier;
@@ -55,46 +56,46 @@
 }
 
 /// Reads a certificate or key with its file mode; fails if it is too large.
-pub fn read_file(path: &Path) -> io::Result<Read> {
+pub fn read_file(path: &Path) -> io::Result<CertificateFile> {
     let file = File::open(path)?;
     let metadata = file.metadata()?;
-    if metadata.len() > MOST_FILE {
+    if metadata.len() > MAX_FILE_BYTES {
         return Err(io::Error::other("is too large for a certificate"));
     }
     let mut bytes = Vec::new();
-    file.take(MOST_FILE).read_to_end(&mut bytes)?;
-    Ok(Read {
+    file.take(MAX_FILE_BYTES).read_to_end(&mut bytes)?;
+    Ok(CertificateFile {
         bytes,
         mode: metadata.permissions().mode(),
     })
 }
 
-fn refused(which: Which, cause: impl std::fmt::Display) -> Refused {
-    Refused {
-        which,
+fn refused(role: FileRole, cause: impl std::fmt::Display) -> RejectedFile {
+    RejectedFile {
+        role,
         cause: cause.to_string(),
     }
 }
 
-fn authorities(bytes: &[u8]) -> Result<RootCertStore, Refused> {
+fn authorities(bytes: &[u8]) -> Result<RootCertStore, RejectedFile> {
     let mut roots = RootCertStore::empty();
-    for authority in certificates::chain(Which::Clients, bytes)? {
+    for authority in certificates::parse_chain(FileRole::Clients, bytes)? {
         roots
             .add(authority)
-            .map_err(|_| refused(Which::Clients, "is no authority's certificate"))?;
+            .map_err(|_| refused(FileRole::Clients, "is no authority's certificate"))?;
     }
     Ok(roots)
 }
 
 fn server_config(
-    served: Served,
+    served: ServedCertificate,
     clients: Option<&[u8]>,
     alpn: &[u8],
-) -> Result<Arc<ServerConfig>, Refused> {
+) -> Result<Arc<ServerConfig>, RejectedFile> {
     let provider = Arc::new(ring::default_provider());
     let builder = ServerConfig::builder_with_provider(provider.clone())
         .with_safe_default_protocol_versions()
-        .map_err(|error| refused(Which::Certificate, error))?;
+        .map_err(|error| refused(FileRole::Certificate, error))?;
     let builder = match clients {
         None => builder.with_no_client_auth(),
         Some(bytes) => {
@@ -104,13 +105,13 @@
             )
             .build();
             builder.with_client_cert_verifier(
-                verifier.map_err(|error| refused(Which::Clients, error))?,
+                verifier.map_err(|error| refused(FileRole::Clients, error))?,
             )
         }
     };
     let mut config = builder
         .with_single_cert(served.chain, served.key)
-        .map_err(|error| refused(Which::Key, error))?;
+        .map_err(|error| refused(FileRole::Key, error))?;
     config.alpn_protocols = vec![alpn.to_vec()];
     Ok(Arc::new(config))
 }
@@ -118,7 +119,7 @@
 /// Server configuration of one listener.
 pub struct ServerTls {
     files: TlsFiles,
-    keeper: RefCell<Keeper>,
+    keeper: RefCell<CertificateReloader>,
     clients: RefCell<Option<Vec<u8>>>,
     acceptor: RefCell<TlsAcceptor>,
 }
@@ -131,24 +132,24 @@
 
 impl ServerTls {
     /// Reads and validates the files at `wall`, in microseconds since 1970.
-    pub fn open(files: TlsFiles, wall: Micros) -> Result<Rc<ServerTls>, Refused> {
+    pub fn open(files: TlsFiles, wall: Micros) -> Result<Rc<ServerTls>, RejectedFile> {
         let certificate =
-            read_file(&files.certificate).map_err(|error| refused(Which::Certificate, error))?;
-        let key = read_file(&files.key).map_err(|error| refused(Which::Key, error))?;
+            read_file(&files.certificate).map_err(|error| refused(FileRole::Certificate, error))?;
+        let key = read_file(&files.key).map_err(|error| refused(FileRole::Key, error))?;
         let clients = match &files.clients {
             Some(path) => Some(
                 read_file(path)
-                    .map_err(|error| refused(Which::Clients, error))?
+                    .map_err(|error| refused(FileRole::Clients, error))?
                     .bytes,
             ),
             None => None,
         };
-        let served = certificates::judge(&certificate, &key, wall)?;
-        let ends = served.ends;
+        let served = certificates::validate(&certificate, &key, wall)?;
+        let ends = served.expires_at;
         let config = server_config(served, clients.as_deref(), files.alpn)?;
         Ok(Rc::new(ServerTls {
             files,
-            keeper: RefCell::new(Keeper::new(certificate, key, ends)),
+            keeper: RefCell::new(CertificateReloader::new(certificate, key, ends)),
             clients: RefCell::new(clients),
             acceptor: RefCell::new(config.into()),
         }))
@@ -163,7 +164,7 @@
     pub async fn accept(&self, stream: Stream) -> io::Result<server::TlsStream<Stream>> {
         let acceptor = self.acceptor.borrow().clone();
         let timeout = async {
-            Timer::after(micros(HANDSHAKE_TIMEOUT)).await;
+            Timer::after(duration_from_micros(HANDSHAKE_TIMEOUT)).await;
             Err(io::ErrorKind::TimedOut.into())
         };
         acceptor.accept(stream).or(timeout).await
@@ -175,18 +176,18 @@
         let mut last_warned = Micros::MIN;
         loop {
             Timer::after(POLL_INTERVAL).await;
-            let wall = clock.wall();
+            let wall = clock.wall_time();
             let pair = self.read_pair().await;
-            let step = self.keeper.borrow_mut().offered(wall, pair.ok());
+            let step = self.keeper.borrow_mut().on_files_read(wall, pair.ok());
             match step {
-                Step::Keep | Step::LookAgain => {}
-                Step::Refuse(refused) => log_refused(&front, &refused),
-                Step::Replace(served) => match self.replace(served) {
+                ReloadStep::Keep | ReloadStep::ReadAgain => {}
+                ReloadStep::Reject(refused) => log_refused(&front, &refused),
+                ReloadStep::Replace(served) => match self.replace(served) {
                     Ok(()) => tracing::info!(front, "the certificate was replaced"),
                     Err(refused) => log_refused(&front, &refused),
                 },
             }
-            let expires_in = self.keeper.borrow().ends_soon(wall);
+            let expires_in = self.keeper.borrow().time_left_if_expiring(wall);
             let is_due = clock.now().saturating_sub(last_warned) > EXPIRY_WARNING_INTERVAL;
             if let Some(expires_in) = expires_in.filter(|_| is_due) {
                 last_warned = clock.now();
@@ -200,7 +201,7 @@
     }
 
     /// Reads certificate and key on another thread: a disk that hangs must not block the router's one thread.
-    async fn read_pair(&self) -> io::Result<(Read, Read)> {
+    async fn read_pair(&self) -> io::Result<(CertificateFile, CertificateFile)> {
         let TlsFiles {
             certificate, key, ..
         } = self.files.clone();
@@ -208,15 +209,15 @@
     }
 
     /// Uses another certificate from now on.
-    fn replace(&self, served: Served) -> Result<(), Refused> {
+    fn replace(&self, served: ServedCertificate) -> Result<(), RejectedFile> {
         let config = server_config(served, self.clients.borrow().as_deref(), self.files.alpn)?;
         *self.acceptor.borrow_mut() = config.into();
         Ok(())
     }
 }
 
-fn log_refused(front: &str, refused: &Refused) {
-    tracing::error!(front, file = ?refused.which, cause = refused.cause, "the certificate was not replaced; the previous one stays in use");
+fn log_refused(front: &str, refused: &RejectedFile) {
+    tracing::error!(front, file = ?refused.role, cause = refused.cause, "the certificate was not replaced; the previous one stays in use");
 }
 
 /// For a broker: the trusted authorities, and our own certificate and key if the broker requires one.
@@ -225,26 +226,26 @@
     own: Option<(&Path, &Path)>,
     name: &str,
     wall: Micros,
-) -> Result<ClientTls, Refused> {
-    let clients = read_file(roots).map_err(|error| refused(Which::Clients, error))?;
+) -> Result<ClientTls, RejectedFile> {
+    let clients = read_file(roots).map_err(|error| refused(FileRole::Clients, error))?;
     let builder = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
         .with_safe_default_protocol_versions()
-        .map_err(|error| refused(Which::Clients, error))?
+        .map_err(|error| refused(FileRole::Clients, error))?
         .with_root_certificates(authorities(&clients.bytes)?);
     let config = match own {
         None => builder.with_no_client_auth(),
         Some((certificate, key)) => {
             let certificate =
-                read_file(certificate).map_err(|error| refused(Which::Certificate, error))?;
-            let key = read_file(key).map_err(|error| refused(Which::Key, error))?;
-            let served = certificates::judge(&certificate, &key, wall)?;
+                read_file(certificate).map_err(|error| refused(FileRole::Certificate, error))?;
+            let key = read_file(key).map_err(|error| refused(FileRole::Key, error))?;
+            let served = certificates::validate(&certificate, &key, wall)?;
             builder
                 .with_client_auth_cert(served.chain, served.key)
-                .map_err(|error| refused(Which::Key, error))?
+                .map_err(|error| refused(FileRole::Key, error))?
         }
     };
     let name = ServerName::try_from(name.to_owned())
-        .map_err(|_| refused(Which::Clients, format!("'{name}' is no server's name")))?;
+        .map_err(|_| refused(FileRole::Clients, format!("'{name}' is no server's name")))?;
     Ok(ClientTls {
         config: Arc::new(config),
         name,
@@ -267,7 +268,7 @@
         };
         let connector = TlsConnector::from(tls.config.clone());
         let timeout = async {
-            Timer::after(micros(HANDSHAKE_TIMEOUT)).await;
+            Timer::after(duration_from_micros(HANDSHAKE_TIMEOUT)).await;
             Err(io::ErrorKind::TimedOut.into())
         };
         let stream = connector
--- a/crates/gateway/src/trace_recorder.rs
+++ b/crates/gateway/src/trace_recorder.rs
@@ -12,13 +12,13 @@
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::{Action, Event, InvocationIndex, Micros};
 use cedarpulley_router::FrontIndex;
-use cedarpulley_router::entry::Short;
-use cedarpulley_router::watch::{Given, Names, Used, Watch};
-use cedarpulley_trace::blocks::{Gather, event_uses};
-use cedarpulley_trace::keeping::Bounds;
-use cedarpulley_trace::records::{Record, Space};
-use cedarpulley_trace::start::Start;
-use cedarpulley_trace::writer::{Note, Own, Row, run};
+use cedarpulley_router::admission_control::RejectionReason;
+use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, WorkerUsage};
+use cedarpulley_trace::blocks::{BlockBuilder, visit_named_indices};
+use cedarpulley_trace::records::{NameKind, Record};
+use cedarpulley_trace::retention::RetentionLimits;
+use cedarpulley_trace::start::StartRecord;
+use cedarpulley_trace::writer::{FileSeries, NameLock, WriterMessage, run_writer};
 
 use crate::file_names::file_name_of;
 
@@ -36,15 +36,15 @@
     /// Folder of the trace files.
     pub folder: PathBuf,
     /// Limits on what is retained.
-    pub bounds: Bounds,
+    pub bounds: RetentionLimits,
 }
 
 struct RecorderState {
-    block: Gather,
-    notes: SyncSender<Note>,
+    block: BlockBuilder,
+    notes: SyncSender<WriterMessage>,
     writer: Option<JoinHandle<()>>,
     /// Reserves the name that this process writes under.
-    _own: Own,
+    _own: NameLock,
     /// Lost since the last block handed over: number of records, first and last time.
     lost: Option<(u64, Micros, Micros)>,
     /// Lost in all.
@@ -61,11 +61,11 @@
     pub fn begin(
         settings: TraceSettings,
         name: &str,
-        start: Start,
+        start: StartRecord,
     ) -> std::io::Result<TraceRecorder> {
         std::fs::create_dir_all(&settings.folder)?;
         let name = file_name_of(name);
-        let own = Own::take(&settings.folder, &name)?;
+        let own = NameLock::acquire(&settings.folder, &name)?;
         if own.name != name {
             tracing::warn!(
                 name,
@@ -73,18 +73,18 @@
                 "another router of this name writes its trace here"
             );
         }
-        let row = Row {
+        let row = FileSeries {
             folder: settings.folder,
             name: own.name.clone(),
-            run: (start.wall_at_zero / 1000) as u64,
+            started_at_ms: (start.wall_at_zero / 1000) as u64,
         };
         let (notes, received) = sync_channel(MAX_QUEUED_BLOCKS);
         let log_failure = |why: &str| tracing::error!(why, "the trace cannot be written");
         let writer = std::thread::Builder::new()
             .name("trace".into())
-            .spawn(move || run(row, start, settings.bounds, received, log_failure))?;
+            .spawn(move || run_writer(row, start, settings.bounds, received, log_failure))?;
         Ok(TraceRecorder(Rc::new(RefCell::new(RecorderState {
-            block: Gather::default(),
+            block: BlockBuilder::default(),
             notes,
             writer: Some(writer),
             _own: own,
@@ -104,9 +104,9 @@
     pub fn close(&self) -> bool {
         let mut state = self.0.borrow_mut();
         let deadline = Instant::now() + CLOSE_TIMEOUT;
-        let mut pending = vec![Note::End];
+        let mut pending = vec![WriterMessage::End];
         if !state.block.is_empty() {
-            pending.push(Note::Block(state.now, state.block.close()));
+            pending.push(WriterMessage::Block(state.now, state.block.close()));
         }
         while let Some(note) = pending.pop() {
             match state.notes.try_send(note) {
@@ -140,7 +140,11 @@
     fn send_block(&mut self) {
         let raw = self.block.close();
         let (records, first, last) = (u64::from(raw.records), raw.first, raw.last);
-        if self.notes.try_send(Note::Block(self.now, raw)).is_err() {
+        if self
+            .notes
+            .try_send(WriterMessage::Block(self.now, raw))
+            .is_err()
+        {
             // The disk is slower than the router: the trace gets a gap, and the router goes on.
             let (before, from, _) = self.lost.unwrap_or((0, first, last));
             self.lost = Some((before + records, from, last));
@@ -173,14 +177,14 @@
     }
 }
 
-impl Watch for TraceRecorder {
+impl RouterObserver for TraceRecorder {
     fn decided(&mut self, now: Micros, event: &Event, actions: &[Action], names: Names) {
         let mut state = self.0.borrow_mut();
         state.prepare(now);
-        event_uses(event, actions, &mut |space, index| {
+        visit_named_indices(event, actions, &mut |space, index| {
             let name = match space {
-                Space::Function => names.function(index),
-                Space::Worker => names.worker(index),
+                NameKind::Function => names.function(index),
+                NameKind::Worker => names.worker(index),
             };
             if let Some(name) = name {
                 state.block.name(now, space, index, name);
@@ -189,35 +193,35 @@
         state.block.decided(now, event, actions);
     }
 
-    fn taken(
+    fn accepted(
         &mut self,
         now: Micros,
-        inv: InvocationIndex,
+        invocation: InvocationIndex,
         front: FrontIndex,
-        mark: Option<&str>,
+        correlation_hash: Option<&str>,
         redelivered: bool,
     ) {
         let mut state = self.0.borrow_mut();
         state.prepare(now);
-        let mark = mark.map(fingerprint);
+        let correlation_hash = correlation_hash.map(fingerprint);
         state.block.record(
             now,
-            &Record::Taken {
-                inv,
+            &Record::Accepted {
+                invocation,
                 front,
-                mark,
+                correlation_hash,
                 redelivered,
             },
         );
     }
 
-    fn answered(&mut self, now: Micros, given: Given) {
+    fn answered(&mut self, now: Micros, given: AnswerGiven) {
         let mut state = self.0.borrow_mut();
         state.prepare(now);
-        let Given {
-            inv,
+        let AnswerGiven {
+            invocation,
             front,
-            fate,
+            outcome,
             reason,
             trigger,
             account,
@@ -226,9 +230,9 @@
         state.block.record(
             now,
             &Record::Answered {
-                inv,
+                invocation,
                 front,
-                fate,
+                outcome,
                 reason,
                 trigger,
                 account,
@@ -237,27 +241,27 @@
         );
     }
 
-    fn turned_away(
+    fn rejected(
         &mut self,
         now: Micros,
         front: FrontIndex,
         trigger: u32,
         account: u32,
-        why: Short,
+        reason: RejectionReason,
     ) {
         let mut state = self.0.borrow_mut();
         state.prepare(now);
         state.block.record(
             now,
-            &Record::TurnedAway {
+            &Record::Rejected {
                 front,
                 trigger,
                 account,
-                why,
+                reason,
             },
         );
     }
 
     /// Not part of the format: the module does not learn what a worker reports it held.
-    fn used(&mut self, _: Micros, _: Used) {}
+    fn used(&mut self, _: Micros, _: WorkerUsage) {}
 }
--- a/crates/gateway/src/upgrade_orders.rs
+++ b/crates/gateway/src/upgrade_orders.rs
@@ -4,7 +4,7 @@
 
 use cedarpulley_errors::Remedy;
 use cedarpulley_upgrade::Order;
-use cedarpulley_upgrade::orders::{Asked, MOST_DRAIN_MS, MOST_ORDERS};
+use cedarpulley_upgrade::orders::{MAX_DRAIN_MS, MAX_ORDERS, OrderLine};
 
 use crate::config_reader::{ConfigDocument, ConfigErrors, Section};
 
@@ -33,16 +33,16 @@
         }
         section.finish();
     }
-    if orders.len() > MOST_ORDERS {
-        root.error("order", &format!("there are more than {MOST_ORDERS}"));
+    if orders.len() > MAX_ORDERS {
+        root.error("order", &format!("there are more than {MAX_ORDERS}"));
     }
     root.finish();
     document.finish(orders)
 }
 
 /// One order as written, with the defaults of what it leaves out.
-fn parse_order(section: &Section) -> Asked {
-    Asked {
+fn parse_order(section: &Section) -> OrderLine {
+    OrderLine {
         model: section.string("model", None),
         from: section.string("from", Some("")),
         to: section.string("to", None),
@@ -50,7 +50,7 @@
         canary: section.integer("canary", 0..1_000, Some(1)) as u32,
         canary_part: section.number("canary_part", 0.0..1.0, Some(0.05)),
         floor: section.number("floor", 0.0..1.0, Some(0.8)),
-        drain_limit_ms: section.integer("drain_limit_ms", 0..MOST_DRAIN_MS, None),
+        drain_limit_ms: section.integer("drain_limit_ms", 0..MAX_DRAIN_MS, None),
         copy_mb: section.integer("copy_mb", 0..1 << 30, Some(0)) as u32,
         withdrawn: section.boolean("withdrawn", Some(false)),
     }
--- a/crates/gateway/src/upgrades.rs
+++ b/crates/gateway/src/upgrades.rs
@@ -12,11 +12,11 @@
 use async_signal::{Signal, Signals};
 use bytes::Bytes;
 use cedarpulley::interface::{LoadOrderResult, Micros};
-use cedarpulley_kserve::serving;
-use cedarpulley_net::Alarm;
+use cedarpulley_kserve::client_requests;
+use cedarpulley_net::DeadlineTimer;
 use cedarpulley_replica as replica;
 use cedarpulley_router::Input;
-use cedarpulley_router::watch::{By, Used};
+use cedarpulley_router::observer::{UsageSource, WorkerUsage};
 use cedarpulley_upgrade::{self as upgrade, Name, Order, Output, Planner};
 use futures_lite::{FutureExt, StreamExt};
 use serde_json::{Value, json};
@@ -50,7 +50,7 @@
     /// The orders as read at start.
     pub orders: Vec<Order>,
     /// Limits and times of the planner.
-    pub terms: upgrade::Terms,
+    pub terms: upgrade::PlannerSettings,
     /// Region by zone, for zones whose region has another name.
     pub regions: BTreeMap<String, String>,
     /// Latency objective by trigger type, in microseconds.
@@ -73,7 +73,7 @@
     inventory: CopyInventory,
     /// Ended loads, recorded while the core was running.
     completed: RefCell<VecDeque<upgrade::Input>>,
-    alarm: Alarm,
+    alarm: DeadlineTimer,
 }
 
 impl Upgrades {
@@ -106,7 +106,7 @@
             statistics,
             inventory,
             completed: RefCell::default(),
-            alarm: Alarm::default(),
+            alarm: DeadlineTimer::default(),
         });
         let weak = Rc::downgrade(&upgrades);
         for prefix in [PLAN_PREFIX, STATS_PREFIX] {
@@ -135,7 +135,7 @@
         let planner = self.planner.borrow();
         planner.models().any(|m| **m == *model).then_some(())?;
         planner
-            .goes_to(model, &self.region, draw(), false)
+            .route(model, &self.region, draw(), false)
             .map(|route| route.function)
     }
 
@@ -144,7 +144,7 @@
         let planned = self
             .planner
             .borrow()
-            .proposes(model, &self.region, draw, begins);
+            .version_to_propose(model, &self.region, draw, begins);
         planned.unwrap_or_else(|| {
             let orders = self.orders.borrow();
             let first = orders
@@ -157,21 +157,21 @@
 
     /// A plan has taken this version out of service.
     pub fn is_retired(&self, model: &str, version: &str) -> bool {
-        self.planner.borrow().over(model, version)
+        self.planner.borrow().copies_evicted(model, version)
     }
 
     /// A plan has ended the sessions of this version.
     pub fn sessions_ended(&self, model: &str, version: &str) -> bool {
-        self.planner.borrow().sessions_over(model, version)
+        self.planner.borrow().sessions_ended(model, version)
     }
 
     /// An upgrade plan in progress manages this function's copies, of the old or the new version.
     pub fn manages(&self, function: &str) -> bool {
-        let (model, claims) = (serving::model(function).0, self.claims());
+        let (model, claims) = (client_requests::split_version(function).0, self.claims());
         // A completed plan claims only one of its versions.
         let of_model = claims
             .iter()
-            .filter(|c| serving::model(&c.function).0 == model)
+            .filter(|c| client_requests::split_version(&c.function).0 == model)
             .count();
         of_model > 1 && claims.iter().any(|c| *c.function == *function)
     }
@@ -182,13 +182,13 @@
     }
 
     /// Records the end of a dispatch or a load order; called while the core is running.
-    pub fn record_use(&self, used: &Used) {
-        let model = serving::model(used.function).0;
+    pub fn record_use(&self, used: &WorkerUsage) {
+        let model = client_requests::split_version(used.function).0;
         if !self.planner.borrow().models().any(|m| **m == *model) {
             return;
         }
-        match used.by {
-            By::Order(result) => {
+        match used.source {
+            UsageSource::Order(result) => {
                 let load_ended = upgrade::Input::LoadEnded {
                     worker: Name::from(used.worker_name),
                     function: Name::from(used.function),
@@ -196,7 +196,7 @@
                 };
                 self.completed.borrow_mut().push_back(load_ended);
             }
-            By::Dispatch(outcome, status) => self.statistics.record(used, outcome, status),
+            UsageSource::Dispatch(outcome, status) => self.statistics.record(used, outcome, status),
         }
     }
 
@@ -222,7 +222,7 @@
             |o: &Order| json!({"model": o.model, "serial": o.serial, "from": o.from, "to": o.to});
         json!({
             "orders": orders.iter().map(order).collect::<Vec<_>>(),
-            "plans": self.planner.borrow().shown(),
+            "plans": self.planner.borrow().status(),
             "sessions": sessions,
         })
     }
@@ -244,7 +244,7 @@
             let poll = async {
                 Timer::after(POLL_INTERVAL).await;
             };
-            self.alarm.rings(&self.context.clock).or(poll).await;
+            self.alarm.elapsed(&self.context.clock).or(poll).await;
         }
     }
 
@@ -278,33 +278,33 @@
             planner.handle(self.context.clock.now(), input, &mut outputs);
             planner.next_due()
         };
-        self.alarm.set(due);
+        self.alarm.set_deadline(due);
         for output in outputs {
             match output {
-                Output::Lead { key } => self.shared.lead(key, PLAN_RETENTION),
-                Output::Write { key, ballot, value } => {
+                Output::RequestLeadership { key } => self.shared.lead(key, PLAN_RETENTION),
+                Output::Propose { key, ballot, value } => {
                     self.shared
                         .write(key, to_replica(ballot), value, PLAN_RETENTION);
                 }
-                Output::Want {
+                Output::LoadCopy {
                     worker,
                     function,
-                    like,
+                    similar: like,
                     term,
                 } => {
-                    self.context.feed(Input::Wanted {
+                    self.context.feed(Input::CopyWanted {
                         worker,
                         function,
                         like,
                         term: Some(term),
                     });
                 }
-                Output::Unwant {
+                Output::UnloadCopies {
                     worker,
                     function,
                     term,
                 } => {
-                    self.context.feed(Input::Unwanted {
+                    self.context.feed(Input::CopyUnwanted {
                         worker,
                         function,
                         term: Some(term),
@@ -343,16 +343,16 @@
     fn update_members(&self) {
         let members = self.shared.members();
         self.apply(upgrade::Input::Members {
-            me: self.shared.own_index(),
+            own_index: self.shared.own_index(),
             alive: members.iter().map(|f| f.alive).collect(),
             regions: members.iter().map(|f| Name::from(&*f.region)).collect(),
         });
     }
 
     fn plan_received(&self, key: &str, ballot: replica::Ballot, bytes: Bytes) {
-        if let Some(model) = upgrade::model_of(key) {
+        if let Some(model) = upgrade::model_of_key(key) {
             let (model, ballot) = (Name::from(model), from_replica(ballot));
-            self.apply(upgrade::Input::PlanHeard {
+            self.apply(upgrade::Input::PlanReceived {
                 model,
                 ballot,
                 bytes,
@@ -369,10 +369,10 @@
         };
         // What another release encoded differently is ignored.
         if let Ok(VersionStats { goes_by, counts }) = postcard::from_bytes(&note.value) {
-            self.apply(upgrade::Input::Counted {
+            self.apply(upgrade::Input::MemberReported {
                 member,
                 model: Name::from(model),
-                goes_by,
+                rule: goes_by,
                 counts,
             });
         }
@@ -383,7 +383,7 @@
         let (me, now) = (self.shared.own_index(), self.context.clock.now());
         let models: Vec<Name> = self.planner.borrow().models().cloned().collect();
         for model in models {
-            let goes_by = self.planner.borrow().goes_by(&model);
+            let goes_by = self.planner.borrow().routing_rule(&model);
             let counts = self.statistics.of_model(&model);
             let stats = VersionStats { goes_by, counts };
             let Some(note) = self.statistics.due_note(now, &model, &stats) else {
@@ -393,10 +393,10 @@
             self.shared
                 .note(key, note.version, note.value, STATS_RETENTION);
             let VersionStats { goes_by, counts } = stats;
-            self.apply(upgrade::Input::Counted {
+            self.apply(upgrade::Input::MemberReported {
                 member: me,
                 model,
-                goes_by,
+                rule: goes_by,
                 counts,
             });
         }
--- a/crates/gateway/src/version_statistics.rs
+++ b/crates/gateway/src/version_statistics.rs
@@ -7,9 +7,9 @@
 
 use bytes::Bytes;
 use cedarpulley::interface::{CopyStatus, DispatchOutcome, Micros};
-use cedarpulley_kserve::serving;
-use cedarpulley_router::watch::Used;
-use cedarpulley_upgrade::{Count, GoesBy, Name};
+use cedarpulley_kserve::client_requests;
+use cedarpulley_router::observer::WorkerUsage;
+use cedarpulley_upgrade::{Name, RoutingRule, VersionCounters};
 use serde::{Deserialize, Serialize};
 
 use crate::context::GatewayContext;
@@ -21,8 +21,8 @@
 /// the format.
 #[derive(Serialize, Deserialize, PartialEq)]
 pub(crate) struct VersionStats {
-    pub(crate) goes_by: GoesBy,
-    pub(crate) counts: Vec<Count>,
+    pub(crate) goes_by: RoutingRule,
+    pub(crate) counts: Vec<VersionCounters>,
 }
 
 /// What was published last, and when.
@@ -46,7 +46,7 @@
     context: Rc<GatewayContext>,
     /// Latency objective by trigger type, in microseconds.
     latency_objectives: Vec<Micros>,
-    counts: RefCell<BTreeMap<CountKey, Count>>,
+    counts: RefCell<BTreeMap<CountKey, VersionCounters>>,
     published: RefCell<BTreeMap<Name, PublishedStats>>,
     /// Wall time of this process's start: its statistics supersede those of an earlier process.
     started_at: u64,
@@ -56,7 +56,7 @@
 impl VersionStatistics {
     pub(crate) fn new(context: Rc<GatewayContext>, latency_objectives: Vec<Micros>) -> Self {
         VersionStatistics {
-            started_at: context.clock.wall().max(0) as u64,
+            started_at: context.clock.wall_time().max(0) as u64,
             context,
             latency_objectives,
             counts: RefCell::default(),
@@ -67,35 +67,35 @@
 
     /// Records the end of a dispatch. Failures of a connection, or of a full worker, say nothing about the
     /// version.
-    pub(crate) fn record(&self, used: &Used, outcome: DispatchOutcome, status: CopyStatus) {
+    pub(crate) fn record(&self, used: &WorkerUsage, outcome: DispatchOutcome, status: CopyStatus) {
         use DispatchOutcome::{Errored, Succeeded, TimedOut};
         if !matches!(outcome, Succeeded | Errored | TimedOut) {
             return;
         }
-        let (model, version) = serving::model(used.function);
+        let (model, version) = client_requests::split_version(used.function);
         let (version, trigger) = (Name::from(version), used.trigger as usize);
         let mut counts = self.counts.borrow_mut();
         let count = counts
             .entry((Name::from(model), version.clone(), used.trigger))
             .or_insert_with(|| {
                 let trigger = self.context.names.triggers.get(trigger);
-                Count {
+                VersionCounters {
                     version,
                     trigger: Name::from(trigger.map_or("", String::as_str)),
-                    ..Count::default()
+                    ..VersionCounters::default()
                 }
             });
         let objective = self.latency_objectives.get(trigger).copied();
         // A dispatch that waited for a load is late because of the load.
         let late =
             status != CopyStatus::LoadStarted && used.took > objective.unwrap_or(Micros::MAX);
-        count.ended += 1;
+        count.completed += 1;
         count.errored += u64::from(outcome != Succeeded);
         count.late += u64::from(outcome == Succeeded && late);
     }
 
     /// The counts of a model, by version and trigger type.
-    pub(crate) fn of_model(&self, model: &Name) -> Vec<Count> {
+    pub(crate) fn of_model(&self, model: &Name) -> Vec<VersionCounters> {
         let counts = self.counts.borrow();
         let first: CountKey = (model.clone(), Name::default(), 0);
         let of_model = counts.range(first..).take_while(|((m, ..), _)| m == model);
--- a/crates/gateway/src/waiting_requests.rs
+++ b/crates/gateway/src/waiting_requests.rs
@@ -4,11 +4,11 @@
 use std::collections::HashMap;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_router::{Delivery, Taken};
+use cedarpulley_router::{Delivery, IncomingInvocation};
 
 /// A request, with when it began to wait (microseconds).
 struct WaitingRequest {
-    request: Taken,
+    request: IncomingInvocation,
     since: Micros,
 }
 
@@ -30,7 +30,7 @@
     }
 
     /// Lets a request wait under a ticket.
-    pub(crate) fn insert(&self, ticket: u64, request: Taken, now: Micros) {
+    pub(crate) fn insert(&self, ticket: u64, request: IncomingInvocation, now: Micros) {
         let waiting = WaitingRequest {
             request,
             since: now,
@@ -39,7 +39,7 @@
     }
 
     /// Takes a request out; the time that it waited here is added to it.
-    pub(crate) fn release(&self, ticket: u64, now: Micros) -> Option<Taken> {
+    pub(crate) fn release(&self, ticket: u64, now: Micros) -> Option<IncomingInvocation> {
         let WaitingRequest { mut request, since } = self.by_ticket.borrow_mut().remove(&ticket)?;
         request.waited = request.waited.saturating_add(now - since);
         Some(request)
--- a/crates/gateway/src/wiring.rs
+++ b/crates/gateway/src/wiring.rs
@@ -6,12 +6,12 @@
 
 use async_executor::LocalExecutor;
 use cedarpulley::interface::Micros;
-use cedarpulley_certificates::Speakers;
-use cedarpulley_kserve::serving;
-use cedarpulley_net::Alarm;
-use cedarpulley_reconcile::{Claims, Entry, Observation};
+use cedarpulley_certificates::ClientAccounts;
+use cedarpulley_kserve::client_requests;
+use cedarpulley_net::DeadlineTimer;
+use cedarpulley_reconcile::{Claims, FunctionReport, Observation};
 use cedarpulley_router::{Input, Router};
-use cedarpulley_upgrade::{Held, WorkerSeen};
+use cedarpulley_upgrade::{FunctionCopies, ObservedWorker};
 
 use crate::admission::Admission;
 use crate::amqp_front::{AmqpFront, AmqpSource};
@@ -72,7 +72,7 @@
         upgrades: group.upgrades,
         admission: group.admission,
         reconciliation: group.reconciliation,
-        alarm: Alarm::default(),
+        alarm: DeadlineTimer::default(),
         context,
     };
     connect(&gateway, group.shared.as_ref());
@@ -205,7 +205,7 @@
     context: Rc<GatewayContext>,
     shared: Rc<HandlerResources>,
     max_body_bytes: u64,
-    certificate_accounts: Rc<Speakers>,
+    certificate_accounts: Rc<ClientAccounts>,
 }
 
 impl KserveFronts {
@@ -242,10 +242,10 @@
         ..
     } = gateway;
     if let Some(admission) = admission {
-        router.borrow_mut().watched_by(admission.observer());
+        router.borrow_mut().add_observer(admission.observer());
     }
     if let Some(reconciliation) = reconciliation {
-        router.borrow_mut().watched_by(reconciliation.watch());
+        router.borrow_mut().add_observer(reconciliation.watch());
         if let Some(shared) = shared {
             let source = reconciliation.clone();
             shared.add_state_provider("reconcile", move || source.state());
@@ -273,7 +273,7 @@
     let upgrades = upgrades.clone();
     // Nor is a copy that a plan has retired loaded again.
     let managed_or_retired = move |function: &str| {
-        let (model, version) = serving::model(function);
+        let (model, version) = client_requests::split_version(function);
         upgrades.manages(function) || upgrades.is_retired(model, version)
     };
     reconciliation.set_plan_check(Box::new(managed_or_retired));
@@ -301,7 +301,7 @@
 /// plan's minimum of copies.
 fn claims(upgrades: &Upgrades, functions: &[Arc<str>]) -> Claims {
     let retired = |function: &&Arc<str>| {
-        let (model, version) = serving::model(function);
+        let (model, version) = client_requests::split_version(function);
         upgrades.is_retired(model, version) && !upgrades.manages(function)
     };
     let claims = upgrades.claims();
@@ -319,26 +319,26 @@
 /// known here.
 fn to_worker_seen(
     worker: &Arc<str>,
-    seen_at: Micros,
+    observed_at: Micros,
     memory_mb: f64,
     observation: &Observation,
-) -> WorkerSeen {
-    let held = |entry: &Entry| Held {
+) -> ObservedWorker {
+    let held = |entry: &FunctionReport| FunctionCopies {
         function: entry.function.clone(),
         copies: entry.copies,
         lanes: entry.copies,
-        busy: entry.busy.unwrap_or(0),
+        busy_lanes: entry.busy.unwrap_or(0),
         loading: entry.loading,
-        sessions: entry.sequences.as_ref().map_or(0, |ids| ids.len() as u32),
+        sessions: entry.sessions.as_ref().map_or(0, |ids| ids.len() as u32),
         copy_mb: 0,
     };
-    WorkerSeen {
+    ObservedWorker {
         name: worker.clone(),
         region: Arc::from(""),
-        takes_new: false,
-        seen_at,
+        accepts_copies: false,
+        observed_at,
         memory_mb: memory_mb as u32,
         used_mb: 0,
-        holds: observation.entries.iter().map(held).collect(),
+        copies: observation.entries.iter().map(held).collect(),
     }
 }
--- a/crates/gateway/src/worker_list.rs
+++ b/crates/gateway/src/worker_list.rs
@@ -8,10 +8,12 @@
 use async_io::Timer;
 use bytes::Bytes;
 use cedarpulley::interface::{EndpointState, Micros};
-use cedarpulley_net::{connect, micros};
+use cedarpulley_net::{connect, duration_from_micros};
 use cedarpulley_router::Input;
 use cedarpulley_router::backoff::Backoff;
-use cedarpulley_router::roster::{Entry, Listed, News, Roster, Slice, Step};
+use cedarpulley_router::endpoint_list::{
+    EndpointList, EndpointSlice, ListAction, ListedWorker, SliceEntry, WatchEvent,
+};
 use futures_lite::FutureExt;
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
@@ -37,34 +39,41 @@
 pub async fn watch(
     context: Rc<GatewayContext>,
     address: SocketAddr,
-    filter: impl Fn(News) -> News,
+    filter: impl Fn(WatchEvent) -> WatchEvent,
 ) {
-    let mut endpoint_list = Roster::default();
+    let mut endpoint_list = EndpointList::default();
     let mut backoff = Backoff::new(context.seed ^ 0x11_57);
-    let mut next = Step::List;
+    let mut next = ListAction::RequestListing;
     loop {
         let began = context.clock.now();
         let event = match &next {
-            Step::Watch(version) => {
+            ListAction::Watch(version) => {
                 follow_watch(&context, address, *version, &mut endpoint_list, &filter).await
             }
             _ => fetch_list(&context, address).await,
         };
-        let failed = matches!(event, News::Broken { .. });
-        next = apply(&context, &mut endpoint_list, filter(event)).unwrap_or(Step::List);
-        if failed || matches!(next, Step::List) {
+        let failed = matches!(event, WatchEvent::WatchEnded { .. });
+        next = apply(&context, &mut endpoint_list, filter(event))
+            .unwrap_or(ListAction::RequestListing);
+        if failed || matches!(next, ListAction::RequestListing) {
             let now = context.clock.now();
-            Timer::at(context.clock.instant(now + backoff.after(now - began))).await;
+            Timer::at(context.clock.instant(now + backoff.next_delay(now - began))).await;
         }
     }
 }
 
 /// Reports an event to the core; returns the next step.
-fn apply(context: &GatewayContext, endpoint_list: &mut Roster, event: News) -> Option<Step> {
+fn apply(
+    context: &GatewayContext,
+    endpoint_list: &mut EndpointList,
+    event: WatchEvent,
+) -> Option<ListAction> {
     let mut next = None;
-    for step in endpoint_list.news(context.clock.now(), event) {
+    for step in endpoint_list.handle(context.clock.now(), event) {
         match step {
-            Step::Tell { mode, workers } => context.feed(Input::List { mode, workers }),
+            ListAction::UpdateRouter { kind, workers } => {
+                context.feed(Input::EndpointList { kind, workers })
+            }
             step => next = Some(step),
         }
     }
@@ -96,7 +105,7 @@
         .header("accept", "application/json");
     let response = sender.send_request(request.body(Empty::<Bytes>::new()).ok()?);
     let timeout = async {
-        Timer::after(micros(LIST_TIMEOUT)).await;
+        Timer::after(duration_from_micros(LIST_TIMEOUT)).await;
         None
     };
     let response = async { response.await.ok() }.or(timeout).await?;
@@ -112,7 +121,7 @@
     /// data.
     async fn read_more(&mut self, buffer: &mut Vec<u8>, limit: Micros) -> bool {
         let timeout = async {
-            Timer::after(micros(limit)).await;
+            Timer::after(duration_from_micros(limit)).await;
             None
         };
         match self.body.frame().or(timeout).await {
@@ -125,8 +134,8 @@
     }
 }
 
-async fn fetch_list(context: &GatewayContext, address: SocketAddr) -> News {
-    let broken = News::Broken { too_old: false };
+async fn fetch_list(context: &GatewayContext, address: SocketAddr) -> WatchEvent {
+    let broken = WatchEvent::WatchEnded { too_old: false };
     let Some(mut response) = get(context, address, PATH)
         .await
         .filter(|response| response.status == 200)
@@ -145,7 +154,7 @@
         .map(Vec::as_slice)
         .unwrap_or_default();
     match version {
-        Some(version) => News::Listing {
+        Some(version) => WatchEvent::Listing {
             version,
             slices: items
                 .iter()
@@ -160,10 +169,10 @@
     context: &GatewayContext,
     address: SocketAddr,
     from: u64,
-    endpoint_list: &mut Roster,
-    filter: &impl Fn(News) -> News,
-) -> News {
-    let broken = |too_old| News::Broken { too_old };
+    endpoint_list: &mut EndpointList,
+    filter: &impl Fn(WatchEvent) -> WatchEvent,
+) -> WatchEvent {
+    let broken = |too_old| WatchEvent::WatchEnded { too_old };
     let path = format!("{PATH}?watch=1&allowWatchBookmarks=true&resourceVersion={from}");
     let Some(mut response) = get(context, address, &path).await else {
         return broken(false);
@@ -180,15 +189,15 @@
             };
             let object = &value["object"];
             let event = match value["type"].as_str() {
-                Some("ADDED" | "MODIFIED") => parse_slice(context, object).map(News::Changed),
+                Some("ADDED" | "MODIFIED") => parse_slice(context, object).map(WatchEvent::Changed),
                 Some("DELETED") => object["metadata"]["name"]
                     .as_str()
                     .zip(resource_version(object))
-                    .map(|(name, version)| News::Removed {
+                    .map(|(name, version)| WatchEvent::Removed {
                         name: name.to_owned(),
                         version,
                     }),
-                Some("BOOKMARK") => resource_version(object).map(News::Bookmark),
+                Some("BOOKMARK") => resource_version(object).map(WatchEvent::Bookmark),
                 // A status object; 410: the requested version is no longer retained.
                 _ => return broken(object["code"].as_u64() == Some(410)),
             };
@@ -208,7 +217,7 @@
 }
 
 /// Parses one slice; endpoints that are malformed are left out.
-fn parse_slice(context: &GatewayContext, object: &Value) -> Option<Slice> {
+fn parse_slice(context: &GatewayContext, object: &Value) -> Option<EndpointSlice> {
     let name = object["metadata"]["name"].as_str()?.to_owned();
     let version = resource_version(object)?;
     let port = object["ports"].as_array()?.first()?["port"].as_u64()?;
@@ -220,7 +229,7 @@
         .iter()
         .filter_map(|endpoint| parse_endpoint(context, endpoint, port, &annotations))
         .collect();
-    Some(Slice {
+    Some(EndpointSlice {
         name,
         version,
         entries,
@@ -242,10 +251,10 @@
             .as_str()
             .and_then(|text| text.parse::<Micros>().ok())
             .filter(|&started| started > 0)
-            .map(|started| context.clock.now() - (context.clock.wall() - started));
+            .map(|started| context.clock.now() - (context.clock.wall_time() - started));
         SliceAnnotations {
             kind: name_index(
-                &context.names.kinds,
+                &context.names.machine_kinds,
                 annotations["cedarpulley/kind"].as_str(),
             ),
             cell: annotations["cedarpulley/cell"]
@@ -269,7 +278,7 @@
     endpoint: &Value,
     port: u64,
     annotations: &SliceAnnotations,
-) -> Option<Entry> {
+) -> Option<SliceEntry> {
     let ip = endpoint["addresses"][0].as_str()?;
     let address = format!("{ip}:{port}").parse::<SocketAddr>().ok()?;
     if !address.ip().is_loopback() {
@@ -279,22 +288,22 @@
     // An absent condition means ready, by the format's specification.
     let ready = conditions["ready"].as_bool().unwrap_or(true);
     let draining = conditions["terminating"].as_bool().unwrap_or(false) || !ready;
-    let worker = Listed {
+    let worker = ListedWorker {
         address: address.to_string(),
         zone: name_index(&context.names.zones, endpoint["zone"].as_str()),
-        kind: annotations.kind,
+        machine_kind: annotations.kind,
         cell: annotations.cell,
-        standing: if draining {
+        state: if draining {
             EndpointState::Draining
         } else {
             EndpointState::InService
         },
         weight: 1.0,
-        started: annotations.started,
+        started_at: annotations.started,
     };
     let start_mark = endpoint["targetRef"]["uid"]
         .as_str()
         .unwrap_or_default()
         .to_owned();
-    Some(Entry { worker, start_mark })
+    Some(SliceEntry { worker, start_mark })
 }
--- a/crates/gateway/src/worker_settings.rs
+++ b/crates/gateway/src/worker_settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use cedarpulley::interface::EndpointState;
-use cedarpulley_router::roster::Listed;
+use cedarpulley_router::endpoint_list::ListedWorker;
 use cedarpulley_startup::Names;
 
 use crate::config_reader::Section;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub enum WorkerList {
     /// In the settings; the list never changes.
-    Fixed(Vec<Listed>),
+    Fixed(Vec<ListedWorker>),
     /// At a server of endpoint slices, whose watch events are followed.
     Watched(SocketAddr),
 }
@@ -33,30 +33,34 @@
 }
 
 /// Reads the list of workers; addresses are unique.
-fn fixed_workers(section: &Section, names: &Names) -> Vec<Listed> {
-    let mut listed: Vec<Listed> = Vec::new();
+fn fixed_workers(section: &Section, names: &Names) -> Vec<ListedWorker> {
+    let mut listed: Vec<ListedWorker> = Vec::new();
     for entry in section.sections("list") {
         let address = entry.loopback_address("address").to_string();
         if listed.iter().any(|other| other.address == address) {
             entry.error("address", &format!("{address} is named twice"));
         }
-        let kind = entry.string("kind", Some(""));
-        let kind = match names.kinds.iter().position(|name| *name == kind) {
+        let machine_kind = entry.string("kind", Some(""));
+        let machine_kind = match names
+            .machine_kinds
+            .iter()
+            .position(|name| *name == machine_kind)
+        {
             Some(index) => index as u32,
-            None if kind.is_empty() => 0,
+            None if machine_kind.is_empty() => 0,
             None => {
-                entry.error("kind", &format!("there is no kind '{kind}'"));
+                entry.error("kind", &format!("there is no kind '{machine_kind}'"));
                 0
             }
         };
-        listed.push(Listed {
+        listed.push(ListedWorker {
             address,
             zone: zone_index(&entry, "zone", &names.zones),
-            kind,
+            machine_kind,
             cell: entry.integer("cell", 0..1 << 30, Some(0)) as u32,
-            standing: EndpointState::InService,
+            state: EndpointState::InService,
             weight: entry.number("weight", 0.0..MAX_NUMBER, Some(1.0)),
-            started: None,
+            started_at: None,
         });
         entry.finish();
     }
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -7,28 +7,28 @@
 use cedarpulley_gateway::admission::Admission;
 use cedarpulley_gateway::context::GatewayContext;
 use cedarpulley_net::Clock;
-use cedarpulley_router::watch::{By, Used};
-use cedarpulley_router::{Delivery, Input, Session, Taken};
+use cedarpulley_router::observer::{UsageSource, WorkerUsage};
+use cedarpulley_router::{Delivery, IncomingInvocation, Input, Session};
 use cedarpulley_startup::Names;
-use cedarpulley_upgrade::sessions::Terms;
+use cedarpulley_upgrade::sessions::SessionSettings;
 
 const WORKER: &str = "127.0.0.1:9000";
 
-fn turn(tag: u64) -> Taken {
-    Taken {
+fn turn(tag: u64) -> IncomingInvocation {
+    IncomingInvocation {
         delivery: Delivery {
             front: 0,
-            life: 0,
+            incarnation: 0,
             tag,
         },
         identity: None,
-        mark: None,
+        name: None,
         redelivered: false,
-        repeat: false,
+        client_retry: false,
         trigger: 0,
         account: 0,
         function: "f".into(),
-        token: None,
+        idempotency_key: None,
         waited: 0,
         client_timeout: 1_000_000,
         cost_hint: None,
@@ -37,12 +37,12 @@
         lanes: 1,
         session: Some(Session {
             id: "s".into(),
-            start: false,
-            end: false,
+            is_first: false,
+            is_last: false,
         }),
-        named: None,
-        prefers: None,
-        refused: None,
+        requested_function: None,
+        preferred_worker: None,
+        predetermined_answer: None,
         body: Default::default(),
     }
 }
@@ -62,18 +62,18 @@
             triggers: vec!["t".into()],
             accounts: vec![],
             zones: vec![],
-            kinds: vec![],
+            machine_kinds: vec![],
         },
         tracks_sessions: true,
         malformed_inputs: Cell::new(0),
         core_input: Box::new(|_| {}),
     });
     let minute: Micros = 60_000_000;
-    let terms = Terms {
-        kept: 10 * minute,
-        patience: minute,
-        most_known: 10,
-        most_waiting: 10,
+    let terms = SessionSettings {
+        retention: 10 * minute,
+        majority_timeout: minute,
+        max_sessions: 10,
+        max_waiting: 10,
     };
     let core = passed.clone();
     let admission = Admission::new(
@@ -90,33 +90,33 @@
     }));
     // Whether the copy is reported to the core, and which worker the invocation prefers.
     let filter_turn = |tag| {
-        assert!(admission.filter(Input::Taken(turn(tag))).is_none());
+        assert!(admission.filter(Input::MessageArrived(turn(tag))).is_none());
         let passed = std::mem::take(&mut *passed.borrow_mut());
-        let held = passed
-            .iter()
-            .any(|i| matches!(i, Input::Held { worker, copies: 1, .. } if **worker == *WORKER));
-        let Some(Input::Taken(taken)) = passed.into_iter().last() else {
+        let held = passed.iter().any(
+            |i| matches!(i, Input::CopiesReported { worker, copies: 1, .. } if **worker == *WORKER),
+        );
+        let Some(Input::MessageArrived(taken)) = passed.into_iter().last() else {
             panic!("it goes on")
         };
-        (held, taken.prefers)
+        (held, taken.preferred_worker)
     };
     assert_eq!(filter_turn(1), (false, None));
-    let by = By::Dispatch(DispatchOutcome::Succeeded, CopyStatus::Warm);
+    let by = UsageSource::Dispatch(DispatchOutcome::Succeeded, CopyStatus::Warm);
     admission.observer().used(
         0,
-        Used {
+        WorkerUsage {
             worker: 0,
             worker_name: WORKER,
             function: "f",
             session: Some("s"),
-            ends: false,
+            ends_session: false,
             trigger: 0,
             account: 0,
-            by,
+            source: by,
             took: 1,
             copy_mb: 1.0,
             lanes: 1,
-            held: None,
+            memory_held: None,
         },
     );
     admission.process_completed();
--- a/crates/gateway/tests/metering.rs
+++ b/crates/gateway/tests/metering.rs
@@ -5,8 +5,8 @@
 
 use cedarpulley::interface::{CopyStatus, DispatchOutcome, Micros};
 use cedarpulley_gateway::metering::Metering;
-use cedarpulley_router::watch::{By, Used, Watch};
-use cedarpulley_usage_metering::{Held, Kind, Sum};
+use cedarpulley_router::observer::{RouterObserver, UsageSource, WorkerUsage};
+use cedarpulley_usage_metering::{MemoryTotals, Usage, UsageKind};
 use cedarpulley_usage_store::Ledger;
 
 const SECOND: Micros = 1_000_000;
@@ -24,27 +24,27 @@
 
 /// Records one use for each of `times`, each of 30 byte-microseconds.
 fn record_uses(metering: &Metering, times: std::ops::Range<u128>) {
-    let by = By::Dispatch(DispatchOutcome::Succeeded, CopyStatus::Warm);
+    let by = UsageSource::Dispatch(DispatchOutcome::Succeeded, CopyStatus::Warm);
     for n in times {
-        let held = Some(Held {
-            life: 9,
+        let held = Some(MemoryTotals {
+            incarnation: 9,
             running: 30 * (n + 1),
             loading: 0,
             idle: 0,
         });
-        let used = Used {
+        let used = WorkerUsage {
             worker: 0,
             worker_name: "w",
             function: "f",
             session: None,
-            ends: false,
+            ends_session: false,
             trigger: 0,
             account: 0,
-            by,
+            source: by,
             took: 9,
             copy_mb: 1.0,
             lanes: 1,
-            held,
+            memory_held: held,
         };
         metering.clone().used(0, used);
     }
@@ -64,11 +64,14 @@
     }
 }
 
-fn ledger_sum(file: &Path) -> Sum {
-    let book = Ledger::open(file).expect("it opens").book().expect("read");
+fn ledger_sum(file: &Path) -> Usage {
+    let book = Ledger::open(file)
+        .expect("it opens")
+        .report()
+        .expect("read");
     book.sums()
-        .by(|k| k.kind)
-        .remove(&Kind::Running)
+        .group_by(|k| k.kind)
+        .remove(&UsageKind::Running)
         .unwrap_or_default()
 }
 
@@ -92,7 +95,7 @@
     assert!(metering.close(80_000_000 * SECOND), "written in the end");
     assert_eq!(
         ledger_sum(&file),
-        Sum {
+        Usage {
             byte_us: 5 * 30,
             count: 5
         }
@@ -112,7 +115,7 @@
     assert!(metering.close(80_000_000 * SECOND));
     assert_eq!(
         ledger_sum(&file),
-        Sum {
+        Usage {
             byte_us: 120,
             count: 4
         }
--- a/crates/gateway/tests/peer_envelope_bytes.rs
+++ b/crates/gateway/tests/peer_envelope_bytes.rs
@@ -9,12 +9,14 @@
 use cedarpulley_gateway::peer_messages::Envelope;
 use cedarpulley_gateway::peers::{Peers, RestoredState, SendOptions, Transport};
 use cedarpulley_gateway::settings;
-use cedarpulley_membership::{self as membership, Process, Row, Standing};
+use cedarpulley_membership::{self as membership, Incarnation, MemberState, MemberUpdate};
 use cedarpulley_net::Clock;
 use cedarpulley_replica::store::Origin;
-use cedarpulley_replica::{Answered, Effect, Key, Record, Shared, VERSION};
-use cedarpulley_router::group::{Ask, Need, Told, Verdict};
-use cedarpulley_router::{Answer, Fate, Input, Payload, Reason};
+use cedarpulley_replica::{Invocation, Key, Record, RecordCopy, StoredAnswer, VERSION};
+use cedarpulley_router::replication::{
+    Durability, ReplicationDecision, ReplicationEvent, ReplicationRequest,
+};
+use cedarpulley_router::{Answer, AnswerReason, FinalOutcome, Input, Payload};
 
 /// By line: a name, and the bytes.
 const PINNED: &str = include_str!("fixtures/peer_envelope.hex");
@@ -43,7 +45,7 @@
     fn send(&self, _: u16, _: Bytes, _: SendOptions) {}
 }
 
-type Notifications = Rc<RefCell<Vec<Told>>>;
+type Notifications = Rc<RefCell<Vec<ReplicationEvent>>>;
 
 /// Member 0 of three, and the notifications to its core.
 fn peers(restored: Option<RestoredState>) -> (Peers, Notifications) {
@@ -68,7 +70,7 @@
         tracks_sessions: false,
         malformed_inputs: Cell::new(0),
         core_input: Box::new(move |input| {
-            if let Input::Group(message) = input {
+            if let Input::Replication(message) = input {
                 received.borrow_mut().push(message);
             }
         }),
@@ -79,43 +81,43 @@
     (peers, notifications)
 }
 
-fn process() -> Process {
-    Process {
-        turn: 300,
+fn process() -> Incarnation {
+    Incarnation {
+        number: 300,
         nonce: 0x1122_3344_5566_7788,
     }
 }
 
-fn rows() -> Vec<Row> {
+fn rows() -> Vec<MemberUpdate> {
     let standings = [
-        Standing::Unknown,
-        Standing::Alive,
-        Standing::Suspected,
-        Standing::Dead,
+        MemberState::Unknown,
+        MemberState::Alive,
+        MemberState::Suspected,
+        MemberState::Dead,
     ];
-    let row = |(standing, member)| Row {
+    let row = |(standing, member)| MemberUpdate {
         member,
-        process: process(),
-        standing,
+        incarnation: process(),
+        state: standing,
     };
     standings.into_iter().zip(400..).map(row).collect()
 }
 
 fn membership_messages() -> [(&'static str, membership::Message); 3] {
     let probe = membership::Message::Probe {
-        serial: 500,
-        table: 0xFFEE_DDCC_BBAA_9988,
-        rows: rows(),
+        sequence: 500,
+        digest: 0xFFEE_DDCC_BBAA_9988,
+        updates: rows(),
     };
     let answer = membership::Message::Answer {
-        serial: 501,
-        of: 2,
-        table: 0x8899_AABB_CCDD_EEFF,
-        rows: rows(),
+        sequence: 501,
+        answered_by: 2,
+        digest: 0x8899_AABB_CCDD_EEFF,
+        updates: rows(),
     };
-    let ask_for = membership::Message::AskFor {
-        serial: 502,
-        whom: 3,
+    let ask_for = membership::Message::IndirectProbe {
+        sequence: 502,
+        target: 3,
     };
     [("probe", probe), ("answer", answer), ("ask-for", ask_for)]
 }
@@ -186,42 +188,42 @@
 
 fn answers() -> [(&'static str, Answer); 2] {
     let answer = |reason, first| Answer {
-        fate: Fate::Succeeded,
+        outcome: FinalOutcome::Succeeded,
         reason,
-        return_after: None,
+        retry_after: None,
         body: Payload {
             bytes: Bytes::from_static(b"head and tail"),
-            first,
+            first_part_length: first,
         },
     };
     [
-        ("kept-answer", answer(Reason::Worker, None)),
-        ("kept-answer-alone", answer(Reason::Alone, Some(300))),
+        ("kept-answer", answer(AnswerReason::Worker, None)),
+        ("kept-answer-alone", answer(AnswerReason::Alone, Some(300))),
     ]
 }
 
 /// As this build keeps it.
 fn answer_bytes(answer: Answer) -> Bytes {
     let (peers, key) = (peers(None).0, Key::from("k"));
-    let (need, redelivered) = (Need::Known, false);
-    peers.request(Ask::Take {
+    let (need, redelivered) = (Durability::Notified, false);
+    peers.request(ReplicationRequest::Announce {
         key: key.clone(),
-        need,
+        durability: need,
         redelivered,
     });
     let (sending, place) = (5, 0);
-    peers.request(Ask::Left {
+    peers.request(ReplicationRequest::AttemptSent {
         key: key.clone(),
-        sending,
-        place,
+        attempt: sending,
+        deduplication_domain: place,
     });
-    peers.request(Ask::Answered { key, answer });
+    peers.request(ReplicationRequest::Answered { key, answer });
     let record = peers.inspect(|state| state.replica.record("k").cloned());
-    let Some(Record::Effect(effect)) = record else {
+    let Some(Record::Invocation(effect)) = record else {
         panic!("{record:?}")
     };
     match effect.answer {
-        Some(Answered::Kept(bytes)) => bytes,
+        Some(StoredAnswer::Stored(bytes)) => bytes,
         other => panic!("{other:?}"),
     }
 }
@@ -234,20 +236,20 @@
 }
 
 fn restored(answer: Vec<u8>) -> RestoredState {
-    let effect = Effect {
+    let effect = Invocation {
         taken: true,
-        answer: Some(Answered::Kept(Bytes::from(answer))),
-        ..Effect::default()
+        answer: Some(StoredAnswer::Stored(Bytes::from(answer))),
+        ..Invocation::default()
     };
-    let shared = Shared {
-        record: Record::Effect(effect),
+    let shared = RecordCopy {
+        record: Record::Invocation(effect),
         origin: Origin {
             nonce: 99,
             serial: 1,
         },
-        left: 60_000_000,
-        first_ago: None,
-        proves_left: None,
+        expires_in: 60_000_000,
+        first_dispatch_ago: None,
+        proof_expires_in: None,
     };
     RestoredState {
         incarnation: 1,
@@ -259,14 +261,17 @@
 fn pinned_stored_answers_are_returned_unchanged() {
     for (name, answer) in answers() {
         let (peers, notifications) = peers(Some(restored(pinned(name))));
-        let (key, need, redelivered) = (Key::from("k"), Need::Known, true);
-        peers.request(Ask::Take {
+        let (key, need, redelivered) = (Key::from("k"), Durability::Notified, true);
+        peers.request(ReplicationRequest::Announce {
             key: key.clone(),
-            need,
+            durability: need,
             redelivered,
         });
-        let verdict = Verdict::Answer(answer);
-        let expected = vec![Told::Verdict { key, verdict }];
+        let verdict = ReplicationDecision::Answer(answer);
+        let expected = vec![ReplicationEvent::Decision {
+            key,
+            decision: verdict,
+        }];
         assert_eq!(*notifications.borrow(), expected, "{name}");
     }
 }
--- a/crates/gateway/tests/peer_store_bytes.rs
+++ b/crates/gateway/tests/peer_store_bytes.rs
@@ -10,7 +10,9 @@
 use cedarpulley_gateway::peers::{RestoredState, StoreChanges};
 use cedarpulley_replica::record::Choice;
 use cedarpulley_replica::store::Origin;
-use cedarpulley_replica::{Answered, Ballot, Effect, Key, Note, Record, Sending, Sent, Shared};
+use cedarpulley_replica::{
+    Ballot, DispatchIntent, IntentState, Invocation, Key, Note, Record, RecordCopy, StoredAnswer,
+};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 /// A whole file, as it was written once.
@@ -34,55 +36,59 @@
     }
 }
 
-fn shared(record: Record, left: Micros) -> Shared {
-    Shared {
+fn shared(record: Record, left: Micros) -> RecordCopy {
+    RecordCopy {
         record,
         origin: Origin {
             nonce: 99,
             serial: 77,
         },
-        left,
-        first_ago: Some(3 * S),
-        proves_left: Some(40 * S),
+        expires_in: left,
+        first_dispatch_ago: Some(3 * S),
+        proof_expires_in: Some(40 * S),
     }
 }
 
-fn effect(answer: Option<Answered>) -> Effect {
-    let mut effect = Effect::default();
+fn effect(answer: Option<StoredAnswer>) -> Invocation {
+    let mut effect = Invocation::default();
     effect.owner.ballot = ballot(1_000);
     effect.taken = true;
-    let states = [Sent::Intended, Sent::NeverRan, Sent::MayHaveRun];
+    let states = [
+        IntentState::Intended,
+        IntentState::NotExecuted,
+        IntentState::Indeterminate,
+    ];
     for (state, n) in states.into_iter().zip(1..) {
         let (member, place) = (n, 300 + u32::from(n));
-        let sending = Sending {
+        let sending = DispatchIntent {
             member,
             state,
-            place,
+            deduplication_scope: place,
         };
-        effect.sendings.insert((5, u64::from(n)), sending);
+        effect.intents.insert((5, u64::from(n)), sending);
     }
     effect.answer = answer;
     effect
 }
 
-fn closed() -> Effect {
+fn closed() -> Invocation {
     let mut effect = effect(None);
-    effect.owner.let_go = true;
+    effect.owner.released = true;
     effect.close();
     effect
 }
 
-fn doubtful() -> Effect {
-    Effect {
-        doubtful: true,
-        ..effect(Some(Answered::Kept(Bytes::from_static(b"yes"))))
+fn doubtful() -> Invocation {
+    Invocation {
+        may_lack_intents: true,
+        ..effect(Some(StoredAnswer::Stored(Bytes::from_static(b"yes"))))
     }
 }
 
-fn faulty() -> Effect {
-    Effect {
-        fault: true,
-        ..effect(Some(Answered::TooLarge))
+fn faulty() -> Invocation {
+    Invocation {
+        has_conflict: true,
+        ..effect(Some(StoredAnswer::TooLarge))
     }
 }
 
@@ -101,24 +107,24 @@
 }
 
 /// One record of each kind and form, in the order of their keys.
-fn records() -> Vec<(Key, Shared)> {
+fn records() -> Vec<(Key, RecordCopy)> {
     let records = [
         ("choice", shared(Record::Choice(choice()), 600 * S)),
-        ("closed", shared(Record::Effect(closed()), 50 * S)),
-        ("doubtful", shared(Record::Effect(doubtful()), 60 * S)),
+        ("closed", shared(Record::Invocation(closed()), 50 * S)),
+        ("doubtful", shared(Record::Invocation(doubtful()), 60 * S)),
         ("empty", shared(Record::Choice(Choice::default()), 700 * S)),
-        ("faulty", shared(Record::Effect(faulty()), 70 * S)),
+        ("faulty", shared(Record::Invocation(faulty()), 70 * S)),
         ("note", shared(Record::Note(note()), 800 * S)),
     ];
     records.map(|(key, s)| (Arc::from(key), s)).to_vec()
 }
 
 /// The same by a process that starts 20 seconds later.
-fn later(shared: &Shared) -> Shared {
-    Shared {
-        left: shared.left - 20 * S,
-        first_ago: Some(23 * S),
-        proves_left: Some(20 * S),
+fn later(shared: &RecordCopy) -> RecordCopy {
+    RecordCopy {
+        expires_in: shared.expires_in - 20 * S,
+        first_dispatch_ago: Some(23 * S),
+        proof_expires_in: Some(20 * S),
         ..shared.clone()
     }
 }
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use cedarpulley::interface::DispatchOutcome;
 use cedarpulley_gateway::pool::{Pool, PoolSettings, ending_of};
-use cedarpulley_kserve::{endings, requests};
+use cedarpulley_kserve::{outcomes, worker_requests};
 use cedarpulley_net::Clock;
 use cedarpulley_router::Ticket;
 use futures_lite::FutureExt;
@@ -52,16 +52,16 @@
 }
 
 fn infer(address: SocketAddr) -> hyper::Request<Bytes> {
-    let marks = requests::Marks {
+    let marks = worker_requests::InvocationHeaders {
         invocation: Some("i"),
         dispatch: 0,
-        token: None,
-        trigger: "t",
+        idempotency_key: None,
+        trigger_type: "t",
         account: None,
         time_left: 1_000_000,
         session: None,
     };
-    requests::infer(
+    worker_requests::infer(
         &address.to_string(),
         "f",
         marks,
@@ -89,7 +89,7 @@
                 .exchange(address, infer(address), false, || true)
                 .or(late)
                 .await;
-            all.push(endings::infer(&ending_of(&result, "f")).outcome);
+            all.push(outcomes::classify_inference(&ending_of(&result, "f")).outcome);
             async_io::Timer::after(Duration::from_millis(30)).await;
         }
         all
@@ -122,7 +122,7 @@
     let result =
         async_io::block_on(executor.run(pool.exchange(address, infer(address), false, || false)));
     assert_eq!(
-        endings::infer(&ending_of(&result, "f")).outcome,
+        outcomes::classify_inference(&ending_of(&result, "f")).outcome,
         DispatchOutcome::NotSent
     );
 }
@@ -214,7 +214,7 @@
     ));
     async_io::block_on(executor.run(async {
         let ticket = Ticket {
-            inv: 0,
+            invocation: 0,
             dispatch: 0,
             generation: 0,
         };
@@ -230,7 +230,7 @@
         async_io::Timer::after(Duration::from_millis(100)).await;
         let result = pool.exchange(address, infer(address), false, || true).await;
         assert_eq!(
-            endings::infer(&ending_of(&result, "f")).outcome,
+            outcomes::classify_inference(&ending_of(&result, "f")).outcome,
             DispatchOutcome::Rejected
         );
         pool.cancel(ticket);
