--- a/crates/gateway/tests/state_names.rs
+++ b/crates/gateway/tests/state_names.rs
@@ -12,12 +12,14 @@
 use cedarpulley_gateway::peer_transport::TransportCounts;
 use cedarpulley_gateway::peers::{Peers, RestoredState, SendOptions, Transport};
 use cedarpulley_gateway::{settings, state_endpoint};
-use cedarpulley_membership::{Standing, Why};
+use cedarpulley_membership::{MemberState, StateReason};
 use cedarpulley_net::Clock;
-use cedarpulley_reconcile::drift::KINDS;
+use cedarpulley_reconcile::drift::DRIFT_KINDS;
 use cedarpulley_replica::record::Choice;
 use cedarpulley_replica::store::Origin;
-use cedarpulley_replica::{Answered, Effect, Memory, Note, Record, Sending, Sent, Shared};
+use cedarpulley_replica::{
+    DispatchIntent, IntentState, Invocation, Note, Record, RecordCopy, RecoveryState, StoredAnswer,
+};
 use cedarpulley_upgrade::{Phase, Stage};
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -58,35 +60,35 @@
 
 /// One record at each stage.
 fn records() -> Vec<Record> {
-    let taken = Effect {
+    let taken = Invocation {
         taken: true,
         ..Default::default()
     };
-    let sent = |state| Effect {
-        sendings: BTreeMap::from([(
+    let sent = |state| Invocation {
+        intents: BTreeMap::from([(
             (1, 1),
-            Sending {
+            DispatchIntent {
                 member: 0,
                 state,
-                place: 0,
+                deduplication_scope: 0,
             },
         )]),
         ..taken.clone()
     };
     let effects = [
-        Effect::default(),
+        Invocation::default(),
         taken.clone(),
-        sent(Sent::Intended),
-        sent(Sent::MayHaveRun),
-        Effect {
-            answer: Some(Answered::TooLarge),
+        sent(IntentState::Intended),
+        sent(IntentState::Indeterminate),
+        Invocation {
+            answer: Some(StoredAnswer::TooLarge),
             ..taken.clone()
         },
-        Effect {
-            fault: true,
+        Invocation {
+            has_conflict: true,
             ..taken.clone()
         },
-        Effect {
+        Invocation {
             closed: true,
             ..taken.clone()
         },
@@ -101,7 +103,7 @@
     };
     let others = [Record::Choice(choice), Record::Note(note)];
     effects
-        .map(Record::Effect)
+        .map(Record::Invocation)
         .into_iter()
         .chain(others)
         .collect()
@@ -109,12 +111,12 @@
 
 fn restored() -> RestoredState {
     let shared = |(n, record)| {
-        let shared = Shared {
+        let shared = RecordCopy {
             record,
             origin: Origin::default(),
-            left: 60_000_000,
-            first_ago: None,
-            proves_left: None,
+            expires_in: 60_000_000,
+            first_dispatch_ago: None,
+            proof_expires_in: None,
         };
         (format!("key-{n}").into(), shared)
     };
@@ -166,30 +168,37 @@
 /// Values whose names are shown.
 fn named_values() -> Vec<String> {
     let whys = [
-        Why::NeverHeard,
-        Why::Itself,
-        Why::Answered,
-        Why::AnsweredOthers,
-        Why::Silent,
-        Why::SilentTooLong,
-        Why::Told,
+        StateReason::NothingReceived,
+        StateReason::Itself,
+        StateReason::Answered,
+        StateReason::AnsweredIndirectly,
+        StateReason::Unresponsive,
+        StateReason::SuspicionTimedOut,
+        StateReason::ReportedByPeer,
     ];
     let phases = [
         Phase::Waiting,
         Phase::Canary,
         Phase::Rolling,
         Phase::Paused,
-        Phase::Back,
+        Phase::RollingBack,
         Phase::Done,
         Phase::RolledBack,
-        Phase::Ended,
+        Phase::Cancelled,
     ];
-    let stages = [Stage::Before, Stage::Loading, Stage::Draining, Stage::Done];
+    let stages = [Stage::Pending, Stage::Loading, Stage::Draining, Stage::Done];
     let mut all = names("members[].why", whys);
-    all.extend(names("memory", [Memory::Lost, Memory::Kept, Memory::Whole]));
+    all.extend(names(
+        "memory",
+        [
+            RecoveryState::Empty,
+            RecoveryState::Restored,
+            RecoveryState::Complete,
+        ],
+    ));
     all.extend(names("upgrade.plans[].phase", phases));
     all.extend(names("upgrade.plans[].regions[].stage", stages));
-    all.extend(names("reconcile.workers[].found", KINDS));
+    all.extend(names("reconcile.workers[].found", DRIFT_KINDS));
     all
 }
 
@@ -237,8 +246,8 @@
             .to_owned()
     };
     assert_eq!([standing(0), standing(1)], ["alive", "unknown"]);
-    let known = here.inspect(|state| state.membership.known(1).standing);
-    assert_eq!(known, Standing::Unknown);
+    let known = here.inspect(|state| state.membership.status(1).state);
+    assert_eq!(known, MemberState::Unknown);
 }
 
 /// A metric's name with its labels, without their values but those that are names of states.
--- a/crates/reconcile/src/belief.rs
+++ b/crates/reconcile/src/belief.rs
@@ -20,36 +20,36 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// An order to load was sent.
-    Ordered,
+    LoadOrdered,
     /// An order to load ended.
-    OrderEnded {
+    LoadOrderEnded {
         /// Copies are there, none are, or nobody knows.
-        stands: Option<bool>,
+        present: Option<bool>,
         /// How many, where it is known.
         copies: Option<u32>,
     },
     /// An invocation was dispatched to it.
-    Sent,
+    Dispatched,
     /// A dispatch ended.
-    Ended {
+    DispatchEnded {
         /// Copies are there, none are, or nobody knows.
-        stands: Option<bool>,
+        present: Option<bool>,
         /// The copy was there before the dispatch.
-        found: bool,
+        was_present: bool,
         /// The size of a copy, 0 if unknown.
         copy_mb: f64,
     },
     /// A session's invocation succeeded there.
-    Session {
+    SessionUsed {
         /// The session.
         id: Arc<str>,
         /// It was the last one of the session.
-        over: bool,
+        is_last: bool,
     },
     /// This router had it unloaded.
     Unloaded,
     /// An injected fault, in tests: this many copies are believed from now on, whatever is true.
-    Spoilt {
+    Corrupted {
         /// The number that is believed.
         copies: u32,
     },
@@ -102,33 +102,33 @@
     /// True if the change refutes the worker's own last report. `lifetime`: how long copies are believed after a use.
     pub fn change(&mut self, now: Micros, lifetime: Micros, change: Change) -> bool {
         match change {
-            Change::Ordered => {
+            Change::LoadOrdered => {
                 self.orders_in_flight = self.orders_in_flight.saturating_add(1);
                 (self.load_seen, self.changed) = (now, now);
             }
-            Change::OrderEnded { stands, copies } => {
+            Change::LoadOrderEnded { present, copies } => {
                 self.orders_in_flight = self.orders_in_flight.saturating_sub(1);
-                self.ordered_unused = stands == Some(true);
-                self.set(now, lifetime, stands, copies);
+                self.ordered_unused = present == Some(true);
+                self.set(now, lifetime, present, copies);
             }
-            Change::Sent => {
+            Change::Dispatched => {
                 if !self.is_believed(now) {
                     (self.cold_start, self.load_seen) = (true, now);
                 }
                 self.dispatches_in_flight = self.dispatches_in_flight.saturating_add(1);
             }
-            Change::Ended {
-                stands,
-                found,
+            Change::DispatchEnded {
+                present,
+                was_present,
                 copy_mb,
             } => {
-                let refuted = found && self.reported_absent && self.orders_in_flight == 0;
-                self.on_dispatch_ended(now, lifetime, stands, copy_mb);
+                let refuted = was_present && self.reported_absent && self.orders_in_flight == 0;
+                self.on_dispatch_ended(now, lifetime, present, copy_mb);
                 return refuted;
             }
-            Change::Session { id, over } => self.on_session_used(now, id, over),
+            Change::SessionUsed { id, is_last } => self.on_session_used(now, id, is_last),
             Change::Unloaded => self.set(now, lifetime, Some(false), None),
-            Change::Spoilt { copies } => self.set_copies(now, lifetime, copies),
+            Change::Corrupted { copies } => self.set_copies(now, lifetime, copies),
         }
         false
     }
--- a/crates/reconcile/src/drift.rs
+++ b/crates/reconcile/src/drift.rs
@@ -7,7 +7,7 @@
 /// How belief and report differ. The names are keys of `/state`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum DriftKind {
     /// Believed, and not there.
     Phantom,
     /// There, and not believed.
@@ -25,18 +25,18 @@
 }
 
 /// All kinds, in the order of their numbers.
-pub const KINDS: [Kind; 7] = [
-    Kind::Phantom,
-    Kind::Unseen,
-    Kind::OlderVersion,
-    Kind::OtherIncarnation,
-    Kind::Miscounted,
-    Kind::PrefixLost,
-    Kind::Orphan,
+pub const DRIFT_KINDS: [DriftKind; 7] = [
+    DriftKind::Phantom,
+    DriftKind::Unseen,
+    DriftKind::OlderVersion,
+    DriftKind::OtherIncarnation,
+    DriftKind::Miscounted,
+    DriftKind::PrefixLost,
+    DriftKind::Orphan,
 ];
 
-impl Kind {
-    /// The position in [`KINDS`].
+impl DriftKind {
+    /// The position in [`DRIFT_KINDS`].
     pub fn index(self) -> usize {
         self as usize
     }
@@ -45,7 +45,7 @@
 /// What most likely made a difference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Cause {
+pub enum DriftCause {
     /// The worker took it out to make place.
     Evicted,
     /// Nothing at all is left of what was believed there.
@@ -68,10 +68,10 @@
     PlanEnded,
 }
 
-impl Cause {
+impl DriftCause {
     /// Whether this is ordinary work of others rather than a fault.
     pub fn is_ordinary(self) -> bool {
-        matches!(self, Cause::LoadedElsewhere | Cause::LoadedOnMiss)
+        matches!(self, DriftCause::LoadedElsewhere | DriftCause::LoadedOnMiss)
     }
 }
 
@@ -79,9 +79,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Drift {
     /// How belief and report differ.
-    pub kind: Kind,
+    pub kind: DriftKind,
     /// What most likely made it.
-    pub cause: Cause,
+    pub cause: DriftCause,
     /// The worker, as this router knows it.
     pub worker: Arc<str>,
     /// Absent where it is about the whole worker.
--- a/crates/reconcile/src/lib.rs
+++ b/crates/reconcile/src/lib.rs
@@ -20,8 +20,8 @@
 mod repair;
 
 pub use belief::Change;
-pub use drift::{Cause, Drift, Kind};
-pub use observation::{Entry, Observation};
-#[doc(hidden)]
-pub use polling as asking;
-pub use reconciler::{Claims, Counts, Input, Output, Reconciler, Seat, Terms, WorkerStatus};
+pub use drift::{Drift, DriftCause, DriftKind};
+pub use observation::{FunctionReport, Observation};
+pub use reconciler::{
+    Claims, Counts, Input, Output, PolledWorker, Reconciler, ReconcilerSettings, WorkerStatus,
+};
--- a/crates/reconcile/src/observation.rs
+++ b/crates/reconcile/src/observation.rs
@@ -19,7 +19,7 @@
 
 /// A worker's report of one function.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct FunctionReport {
     /// The function's name.
     pub function: Arc<str>,
     /// 0: it is not there.
@@ -35,13 +35,13 @@
     /// The term of the plan for which it was ordered.
     pub term: Option<Arc<str>>,
     /// Sessions whose prefix is cached; absent if the worker reports nothing of them.
-    pub sequences: Option<Vec<Arc<str>>>,
+    pub sessions: Option<Vec<Arc<str>>>,
 }
 
-impl Entry {
+impl FunctionReport {
     /// An entry that tells only the number of copies.
-    pub fn plain(function: &str, copies: u32) -> Entry {
-        Entry {
+    pub fn with_copies(function: &str, copies: u32) -> FunctionReport {
+        FunctionReport {
             function: Arc::from(function),
             copies,
             loading: false,
@@ -49,7 +49,7 @@
             idle: None,
             ordered_by: None,
             term: None,
-            sequences: None,
+            sessions: None,
         }
     }
 
@@ -64,17 +64,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
     /// The incarnation of the worker's process, where it tells one.
-    pub life: Option<u64>,
+    pub incarnation: Option<u64>,
     /// One for each function.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<FunctionReport>,
     /// Entries were left out: what is not named may be there all the same.
-    pub cut: bool,
+    pub truncated: bool,
 }
 
 /// What is consistent in an observation.
 pub struct Consistency<'a> {
     /// The consistent entries, by function.
-    pub entries: BTreeMap<&'a str, &'a Entry>,
+    pub entries: BTreeMap<&'a str, &'a FunctionReport>,
     /// Functions of which nothing is concluded.
     pub unclear: Vec<&'a str>,
     /// Number of contradictions.
@@ -85,7 +85,7 @@
     /// Checks the observation against itself. `copy_mb`: the size of a function's copy, 0 if unknown; `memory_mb` of the
     /// worker, 0 if unknown.
     pub fn consistency(&self, copy_mb: impl Fn(&str) -> f64, memory_mb: f64) -> Consistency<'_> {
-        let mut entries: BTreeMap<&str, &Entry> = BTreeMap::new();
+        let mut entries: BTreeMap<&str, &FunctionReport> = BTreeMap::new();
         let (mut unclear, mut contradictions) = (Vec::new(), 0);
         for entry in &self.entries {
             let differs = entries
--- a/crates/reconcile/src/polling.rs
+++ b/crates/reconcile/src/polling.rs
@@ -65,15 +65,15 @@
 
 /// Random numbers from a seed, the same in every run.
 #[derive(Clone, Debug)]
-pub struct Chance {
+pub struct SeededRandom {
     seed: u64,
     drawn: u64,
 }
 
-impl Chance {
+impl SeededRandom {
     /// A sequence of its own for each seed.
     pub fn new(seed: u64) -> Self {
-        Chance { seed, drawn: 0 }
+        SeededRandom { seed, drawn: 0 }
     }
 
     /// The next number, in 0..1.
@@ -111,21 +111,21 @@
         self.current = match result {
             PollResult::Drifted => (self.usual / DRIFT_SPEEDUP).max(1),
             PollResult::Changed => self.usual,
-            PollResult::Clean => (self.current * 2).min(slowest(self.usual)),
-            PollResult::Unresponsive => slowest(self.usual),
+            PollResult::Clean => (self.current * 2).min(longest_interval(self.usual)),
+            PollResult::Unresponsive => longest_interval(self.usual),
         };
         self.current
     }
 }
 
 /// The longest interval for a usual one: no worker that answers is left unpolled for longer.
-pub fn slowest(interval: Micros) -> Micros {
+pub fn longest_interval(interval: Micros) -> Micros {
     interval.saturating_mul(MAX_INTERVAL_FACTOR)
 }
 
 /// When nothing was heard of a worker for this long, the next member in rank polls it.
 pub fn takeover_after(interval: Micros) -> Micros {
-    slowest(interval).saturating_mul(TAKEOVER_INTERVALS)
+    longest_interval(interval).saturating_mul(TAKEOVER_INTERVALS)
 }
 
 /// A token bucket: a number of polls a second, and as many at once.
--- a/crates/reconcile/src/reconciler.rs
+++ b/crates/reconcile/src/reconciler.rs
@@ -29,7 +29,7 @@
 use self::worker_table::WorkerTable;
 use crate::belief::{Belief, Change};
 use crate::observation::Observation;
-use crate::polling::{Chance, PollResult};
+use crate::polling::{PollResult, SeededRandom};
 use crate::repair::{Repair, RepairAction, RepairQueue};
 
 mod comparison;
@@ -42,34 +42,34 @@
 mod worker_state;
 mod worker_table;
 
-pub use self::event::{Input, Output, Seat, Terms};
+pub use self::event::{Input, Output, PolledWorker, ReconcilerSettings};
 pub use self::ownership::Claims;
 pub use self::status::{Counts, WorkerStatus};
 
 /// Keeps the warm index of one router true to what its workers report.
 #[derive(Debug)]
 pub struct Reconciler {
-    settings: Terms,
+    settings: ReconcilerSettings,
     now: Micros,
     workers: WorkerTable,
     schedule: PollSchedule,
     ownership: Ownership,
     repairs: RepairQueue,
-    random: Chance,
+    random: SeededRandom,
     /// All that was seen and done since the start.
     pub counts: Counts,
 }
 
 impl Reconciler {
     /// Knows no workers and no members yet.
-    pub fn new(now: Micros, settings: Terms) -> Self {
+    pub fn new(now: Micros, settings: ReconcilerSettings) -> Self {
         Reconciler {
             now,
             workers: WorkerTable::default(),
-            schedule: PollSchedule::new(now, settings.every, settings.asks_per_s),
-            ownership: Ownership::new(settings.me.clone(), settings.grace),
+            schedule: PollSchedule::new(now, settings.poll_interval, settings.polls_per_s),
+            ownership: Ownership::new(settings.router_name.clone(), settings.grace_period),
             repairs: RepairQueue::new(settings.repairs_per_s),
-            random: Chance::new(settings.seed),
+            random: SeededRandom::new(settings.seed),
             counts: Counts::default(),
             settings,
         }
@@ -81,18 +81,18 @@
         match input {
             Input::Workers(listed) => self.on_workers(&listed),
             Input::Members(members) => self.on_members(members),
-            Input::Believes {
+            Input::BeliefChanged {
                 worker,
                 function,
                 change,
             } => return self.on_change(worker, function, change),
-            Input::Said {
+            Input::Reported {
                 worker,
                 began,
                 observation,
             } => self.on_observed(worker, began, &observation, out),
-            Input::Silent { worker } => self.on_unresponsive(worker, out),
-            Input::Noted {
+            Input::Unresponsive { worker } => self.on_unresponsive(worker, out),
+            Input::NoteReceived {
                 id,
                 version,
                 transit,
@@ -111,7 +111,7 @@
     }
 
     /// Another process behind a known name is a worker of its own, which inherits only its earlier incarnations.
-    fn on_workers(&mut self, listed: &[Seat]) {
+    fn on_workers(&mut self, listed: &[PolledWorker]) {
         let named: BTreeSet<&str> = listed.iter().map(|l| &*l.worker).collect();
         let gone: Vec<Arc<str>> = self
             .workers
@@ -151,7 +151,7 @@
 
     fn on_change(&mut self, worker: &str, function: &str, change: Change) {
         if let Some((_, state, budget)) = self.workers.get_mut(worker) {
-            let (now, lifetime) = (self.now, self.settings.kept);
+            let (now, lifetime) = (self.now, self.settings.belief_lifetime);
             state.change(now, lifetime, function, change, budget, &mut self.counts);
         }
     }
@@ -167,7 +167,7 @@
         if self.ownership.has_peers()
             && let Some(value) = Note::encode_unresponsive()
         {
-            out.push(Output::Note { id, version, value });
+            out.push(Output::SendNote { id, version, value });
         }
         self.schedule.schedule_next(
             self.now,
@@ -190,7 +190,7 @@
         self.counts.answers += 1;
         self.schedule.on_poll_ended(&worker);
         let source = ReportSource::OwnPoll;
-        let origin = state.accept(began, observation.life, source, &mut self.counts);
+        let origin = state.accept(began, observation.incarnation, source, &mut self.counts);
         let mut result = PollResult::Changed;
         if let Some(origin) = origin {
             self.schedule.on_heard(self.now, &worker);
@@ -199,7 +199,7 @@
                 && let Some(value) = Note::encode_observed(self.now - began, observation)
             {
                 let id = state.id().clone();
-                out.push(Output::Note { id, version, value });
+                out.push(Output::SendNote { id, version, value });
             }
             let compared = self.compare(&worker, began, observation, origin, source, out);
             result = compared.unwrap_or(result);
@@ -239,7 +239,7 @@
                 .saturating_sub(transit.max(0))
                 .saturating_sub(ago.max(0));
             let source = ReportSource::PeerNote;
-            let origin = state.accept(began, observation.life, source, &mut self.counts);
+            let origin = state.accept(began, observation.incarnation, source, &mut self.counts);
             if let Some(origin) = origin {
                 self.compare(&worker, began, &observation, origin, source, out);
             }
@@ -306,7 +306,7 @@
         match repair.action {
             RepairAction::Load => {
                 self.counts.wanted += 1;
-                out.push(Output::Want { worker, function });
+                out.push(Output::Load { worker, function });
             }
             RepairAction::Unload { term } => {
                 self.counts.unloaded += 1;
@@ -314,7 +314,7 @@
                     // If the order is lost, the copy is found again and unloaded after another grace period.
                     state.clear_unclaimed(&function);
                     if let Some(belief) = state.belief_mut(&function) {
-                        belief.change(now, self.settings.kept, Change::Unloaded);
+                        belief.change(now, self.settings.belief_lifetime, Change::Unloaded);
                     }
                 }
                 out.push(Output::Unload {
@@ -345,25 +345,25 @@
     }
 
     /// Repairs in the queue.
-    pub fn repairs_waiting(&self) -> usize {
+    pub fn queued_repairs(&self) -> usize {
         self.repairs.len()
     }
 
     /// Each worker, for whoever operates the router.
-    pub fn shown(&self) -> impl Iterator<Item = WorkerStatus<'_>> {
+    pub fn worker_statuses(&self) -> impl Iterator<Item = WorkerStatus<'_>> {
         self.workers
             .iter()
             .map(|(worker, state)| WorkerStatus::new(self.now, worker, state, &self.schedule))
     }
 
     /// Whether this router believes that copies are there.
-    pub fn believes_in(&self, worker: &str, function: &str) -> bool {
+    pub fn is_believed(&self, worker: &str, function: &str) -> bool {
         self.belief(worker, function)
             .is_some_and(|belief| belief.is_believed(self.now))
     }
 
     /// Whether a load is under way there, as far as this router knows by itself.
-    pub fn under_way(&self, worker: &str, function: &str) -> bool {
+    pub fn is_loading(&self, worker: &str, function: &str) -> bool {
         self.belief(worker, function)
             .is_some_and(|belief| belief.is_loading(self.now))
     }
@@ -371,8 +371,8 @@
     /// Whether copies are believed there that this router itself has used so lately that the balancer would still
     /// believe in them by that use alone: corrected to the same again, it believes in them for no more than twice the
     /// lifetime of a belief (`BELIEVED_FOR` in `comparison`).
-    pub fn used_lately(&self, now: Micros, worker: &str, function: &str) -> bool {
-        let lifetime = self.settings.kept;
+    pub fn used_recently(&self, now: Micros, worker: &str, function: &str) -> bool {
+        let lifetime = self.settings.belief_lifetime;
         self.belief(worker, function)
             .is_some_and(|belief| belief.is_believed(now) && belief.used_within(now, lifetime))
     }
--- a/crates/reconcile/src/reconciler/comparison.rs
+++ b/crates/reconcile/src/reconciler/comparison.rs
@@ -21,10 +21,10 @@
 use super::trust::ReportOrigin;
 use super::worker_state::WorkerState;
 use super::worker_table::BeliefBudget;
-use super::{Counts, Output, Terms};
-use crate::drift::{Cause, Drift, Kind};
-use crate::observation::{Consistency, Entry, Observation};
-use crate::polling::{Chance, PollResult, slowest};
+use super::{Counts, Output, ReconcilerSettings};
+use crate::drift::{Drift, DriftCause, DriftKind};
+use crate::observation::{Consistency, FunctionReport, Observation};
+use crate::polling::{PollResult, SeededRandom, longest_interval};
 use crate::repair::{Repair, RepairAction, RepairQueue};
 
 /// A function is under load while its uses, halved with each lifetime of a belief, are at least this.
@@ -36,11 +36,11 @@
 /// What of the reconciler takes part in a comparison.
 pub(super) struct ComparisonContext<'a> {
     pub(super) now: Micros,
-    pub(super) settings: &'a Terms,
+    pub(super) settings: &'a ReconcilerSettings,
     pub(super) ownership: &'a Ownership,
     pub(super) budget: &'a mut BeliefBudget,
     pub(super) repairs: &'a mut RepairQueue,
-    pub(super) random: &'a mut Chance,
+    pub(super) random: &'a mut SeededRandom,
     pub(super) counts: &'a mut Counts,
     pub(super) out: &'a mut Vec<Output>,
 }
@@ -86,9 +86,9 @@
             self.state.on_contradiction();
         }
         if self.is_new_incarnation() {
-            self.report_drift(None, Kind::OtherIncarnation, Cause::Restarted);
+            self.report_drift(None, DriftKind::OtherIncarnation, DriftCause::Restarted);
         }
-        self.compare_absent(&consistency, observation.cut);
+        self.compare_absent(&consistency, observation.truncated);
         for entry in consistency.entries.values().filter(|e| e.copies > 0) {
             let function = entry.function.clone();
             if self.state.follow(function, self.context.budget) {
@@ -97,13 +97,13 @@
                 self.context.counts.beliefs_left_out += 1;
             }
         }
-        if !observation.cut {
+        if !observation.truncated {
             let entries = &consistency.entries;
             self.state.retain_unclaimed(|function| {
                 entries.get(&**function).is_some_and(|e| e.copies > 0)
             });
         }
-        let lifetime = self.context.settings.kept;
+        let lifetime = self.context.settings.belief_lifetime;
         self.state
             .forget_idle(self.context.now, lifetime, self.context.budget);
         self.state.on_compared(consistency.contradictions == 0);
@@ -119,7 +119,7 @@
             self.context.out[first_output..]
                 .iter()
                 .filter_map(|output| match output {
-                    Output::Found(drift) => Some(drift.cause),
+                    Output::DriftFound(drift) => Some(drift.cause),
                     _ => None,
                 });
         // Symptom: what other routers load is news all day, and all workers are polled at the shortest interval for ever.
@@ -137,7 +137,7 @@
         let (missing, all) = self.missing(consistency, cut);
         for function in missing {
             // That the incarnation is another one was found before, and is no reason for doubt.
-            if !self.is_new_incarnation() && !self.is_credible(&function, Kind::Phantom) {
+            if !self.is_new_incarnation() && !self.is_credible(&function, DriftKind::Phantom) {
                 continue;
             }
             self.correct_absent(&function, all);
@@ -168,7 +168,7 @@
     }
 
     fn correct_absent(&mut self, function: &Arc<str>, all_missing: bool) {
-        let (now, lifetime) = (self.context.now, self.context.settings.kept);
+        let (now, lifetime) = (self.context.now, self.context.settings.belief_lifetime);
         let Some(belief) = self.state.belief_mut(function) else {
             return;
         };
@@ -181,11 +181,11 @@
         self.release_sessions(function, sessions);
         if !self.is_new_incarnation() {
             let cause = match (all_missing, ordered_unused) {
-                (true, _) => Cause::Flushed,
-                (_, true) => Cause::LostLoad,
-                _ => Cause::Evicted,
+                (true, _) => DriftCause::Flushed,
+                (_, true) => DriftCause::LostLoad,
+                _ => DriftCause::Evicted,
             };
-            self.report_drift(Some(function), Kind::Phantom, cause);
+            self.report_drift(Some(function), DriftKind::Phantom, cause);
         }
         if self.may_repair && uses >= UNDER_LOAD {
             self.queue_repair(function, RepairAction::Load, uses);
@@ -193,7 +193,7 @@
     }
 
     /// Compares what the worker reports to be there.
-    fn compare_present(&mut self, entry: &Entry) {
+    fn compare_present(&mut self, entry: &FunctionReport) {
         let now = self.context.now;
         let unclaimed = self.context.ownership.unclaimed_reason(entry);
         let Some(belief) = self.state.belief(&entry.function) else {
@@ -210,10 +210,14 @@
         let function = &entry.function;
         match self.present_outcome(entry, unclaimed.is_some()) {
             PresentOutcome::Miscounted => {
-                if self.is_credible(function, Kind::Miscounted) {
+                if self.is_credible(function, DriftKind::Miscounted) {
                     self.correct_present(entry);
                     self.context.counts.corrected += 1;
-                    self.report_drift(Some(function), Kind::Miscounted, Cause::PartlyEvicted);
+                    self.report_drift(
+                        Some(function),
+                        DriftKind::Miscounted,
+                        DriftCause::PartlyEvicted,
+                    );
                 }
             }
             PresentOutcome::Renew => {
@@ -227,10 +231,10 @@
             }
             PresentOutcome::Ignored => {}
             PresentOutcome::Unseen => {
-                if self.is_credible(function, Kind::Unseen) {
+                if self.is_credible(function, DriftKind::Unseen) {
                     self.correct_present(entry);
                     self.context.counts.corrected += 1;
-                    self.report_drift(Some(function), Kind::Unseen, self.load_cause(entry));
+                    self.report_drift(Some(function), DriftKind::Unseen, self.load_cause(entry));
                 }
             }
         }
@@ -240,9 +244,9 @@
         }
     }
 
-    fn present_outcome(&self, entry: &Entry, is_unclaimed: bool) -> PresentOutcome {
-        let (now, lifetime) = (self.context.now, self.context.settings.kept);
-        let longest = slowest(self.context.settings.every);
+    fn present_outcome(&self, entry: &FunctionReport, is_unclaimed: bool) -> PresentOutcome {
+        let (now, lifetime) = (self.context.now, self.context.settings.belief_lifetime);
+        let longest = longest_interval(self.context.settings.poll_interval);
         let Some(belief) = self.state.belief(&entry.function) else {
             return PresentOutcome::Ignored;
         };
@@ -267,16 +271,16 @@
         }
     }
 
-    fn load_cause(&self, entry: &Entry) -> Cause {
+    fn load_cause(&self, entry: &FunctionReport) -> DriftCause {
         match &entry.ordered_by {
-            Some(by) if self.context.ownership.is_me(by) => Cause::LostLoad,
-            Some(_) => Cause::LoadedElsewhere,
-            None => Cause::LoadedOnMiss,
+            Some(by) if self.context.ownership.is_me(by) => DriftCause::LostLoad,
+            Some(_) => DriftCause::LoadedElsewhere,
+            None => DriftCause::LoadedOnMiss,
         }
     }
 
-    fn correct_present(&mut self, entry: &Entry) {
-        let (now, lifetime) = (self.context.now, self.context.settings.kept);
+    fn correct_present(&mut self, entry: &FunctionReport) {
+        let (now, lifetime) = (self.context.now, self.context.settings.belief_lifetime);
         if let Some(belief) = self.state.belief_mut(&entry.function) {
             belief.correct(now, self.began, lifetime, entry.copies);
         }
@@ -284,13 +288,13 @@
     }
 
     /// Releases sessions whose prefix is lost.
-    fn compare_prefixes(&mut self, entry: &Entry) {
+    fn compare_prefixes(&mut self, entry: &FunctionReport) {
         let (began, is_new_incarnation) = (self.began, self.is_new_incarnation());
         let Some(belief) = self.state.belief(&entry.function) else {
             return;
         };
         // Of a worker that reports nothing of sessions it is known only that a new incarnation has none.
-        let is_cached = |id: &Arc<str>| match &entry.sequences {
+        let is_cached = |id: &Arc<str>| match &entry.sessions {
             Some(cached) => cached.contains(id),
             None => !is_new_incarnation,
         };
@@ -299,7 +303,7 @@
             .filter(|(id, used)| *used < began && !is_cached(id))
             .map(|(id, _)| id.clone())
             .collect();
-        if lost.is_empty() || !self.is_credible(&entry.function, Kind::PrefixLost) {
+        if lost.is_empty() || !self.is_credible(&entry.function, DriftKind::PrefixLost) {
             return;
         }
         if let Some(belief) = self.state.belief_mut(&entry.function) {
@@ -310,13 +314,13 @@
 
     /// Finds a copy that nobody claims, and queues its unload after the grace period.
     /// Symptom: a router died, or a plan ended, with copies ordered; they fill memory, and nobody ever invokes them.
-    fn compare_claims(&mut self, entry: &Entry, unclaimed: Option<UnclaimedReason>) {
+    fn compare_claims(&mut self, entry: &FunctionReport, unclaimed: Option<UnclaimedReason>) {
         let (now, function) = (self.context.now, &entry.function);
         let settings = self.context.settings;
         // A use is a claim, whoever's: so long as any router may still believe in the copy, it is not touched.
         let idle_for = settings
-            .grace
-            .max(settings.kept.saturating_mul(BELIEVED_FOR));
+            .grace_period
+            .max(settings.belief_lifetime.saturating_mul(BELIEVED_FOR));
         let used = self
             .state
             .belief(function)
@@ -325,37 +329,37 @@
             self.state.clear_unclaimed(function);
             return;
         };
-        if !self.is_credible(function, Kind::Orphan) {
+        if !self.is_credible(function, DriftKind::Orphan) {
             return;
         }
         let known = self.state.unclaimed_since(function, &reason);
         let since = known.unwrap_or(now);
         if known.is_none() {
             let (kind, cause) = match &reason {
-                UnclaimedReason::OwnerGone(_) => (Kind::Orphan, Cause::RouterGone),
-                UnclaimedReason::PlanEnded(_) => (Kind::Orphan, Cause::PlanEnded),
-                UnclaimedReason::Retired => (Kind::OlderVersion, Cause::LostUnload),
+                UnclaimedReason::OwnerGone(_) => (DriftKind::Orphan, DriftCause::RouterGone),
+                UnclaimedReason::PlanEnded(_) => (DriftKind::Orphan, DriftCause::PlanEnded),
+                UnclaimedReason::Retired => (DriftKind::OlderVersion, DriftCause::LostUnload),
             };
             self.state.set_unclaimed(now, function, reason);
             self.report_drift(Some(function), kind, cause);
         }
         // Where the worker does not tell for how long it was idle, it counts from when it was first seen so.
         let idle = entry.idle.unwrap_or(now - since);
-        if now - since >= settings.grace && idle >= idle_for {
+        if now - since >= settings.grace_period && idle >= idle_for {
             let term = entry.term.clone();
             self.queue_repair(function, RepairAction::Unload { term }, 0.0);
         }
     }
 
     /// Whether a difference may be believed now; if not, that is counted.
-    fn is_credible(&mut self, function: &Arc<str>, kind: Kind) -> bool {
+    fn is_credible(&mut self, function: &Arc<str>, kind: DriftKind) -> bool {
         let credible = self.state.is_credible(function, kind);
         self.context.counts.left_doubted += u64::from(!credible);
         credible
     }
 
     fn push_correction(&mut self, function: &Arc<str>, copies: u32) {
-        self.context.out.push(Output::Held {
+        self.context.out.push(Output::CorrectCopies {
             worker: self.worker.clone(),
             function: function.clone(),
             copies,
@@ -372,7 +376,7 @@
             function: function.clone(),
             sessions,
         });
-        self.report_drift(Some(function), Kind::PrefixLost, Cause::Evicted);
+        self.report_drift(Some(function), DriftKind::PrefixLost, DriftCause::Evicted);
     }
 
     fn queue_repair(&mut self, function: &Arc<str>, action: RepairAction, urgency: f64) {
@@ -389,10 +393,10 @@
         }
     }
 
-    fn report_drift(&mut self, function: Option<&Arc<str>>, kind: Kind, cause: Cause) {
+    fn report_drift(&mut self, function: Option<&Arc<str>>, kind: DriftKind, cause: DriftCause) {
         self.state.count_drift(kind);
         self.context.counts.count_drift(kind);
-        self.context.out.push(Output::Found(Drift {
+        self.context.out.push(Output::DriftFound(Drift {
             kind,
             cause,
             worker: self.worker.clone(),
--- a/crates/reconcile/src/reconciler/event.rs
+++ b/crates/reconcile/src/reconciler/event.rs
@@ -11,17 +11,17 @@
 
 /// The settings of a reconciler. Times are in microseconds.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct ReconcilerSettings {
     /// The name by which the members and the workers know this router.
-    pub me: Arc<str>,
+    pub router_name: Arc<str>,
     /// The usual time between two polls of a worker.
-    pub every: Micros,
+    pub poll_interval: Micros,
     /// What nobody claims is left alone for this long.
-    pub grace: Micros,
+    pub grace_period: Micros,
     /// The balancer believes in a copy for this long after its last use.
-    pub kept: Micros,
+    pub belief_lifetime: Micros,
     /// Polls a second, over all workers.
-    pub asks_per_s: f64,
+    pub polls_per_s: f64,
     /// Repairs a second, over all workers.
     pub repairs_per_s: f64,
     /// Of the random times.
@@ -30,7 +30,7 @@
 
 /// A worker of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seat {
+pub struct PolledWorker {
     /// As this router knows it.
     pub worker: Arc<str>,
     /// As all members know it; another one once the list tells of another process.
@@ -43,11 +43,11 @@
 #[derive(Debug)]
 pub enum Input<'a> {
     /// The endpoint list, whole.
-    Workers(Vec<Seat>),
+    Workers(Vec<PolledWorker>),
     /// The members that are believed alive, this one among them.
     Members(Vec<Arc<str>>),
     /// What this router's own orders and dispatches show; what it leads to comes with the next input.
-    Believes {
+    BeliefChanged {
         /// The worker.
         worker: &'a str,
         /// The function.
@@ -56,7 +56,7 @@
         change: Change,
     },
     /// A worker's answer to a poll.
-    Said {
+    Reported {
         /// The worker.
         worker: &'a str,
         /// When the poll was sent.
@@ -65,12 +65,12 @@
         observation: Observation,
     },
     /// A worker did not answer a poll.
-    Silent {
+    Unresponsive {
         /// The worker.
         worker: &'a str,
     },
     /// Another member's note.
-    Noted {
+    NoteReceived {
         /// The worker, as all members know it.
         id: &'a str,
         /// A later note has a higher version.
@@ -90,12 +90,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Poll a worker.
-    Ask {
+    Poll {
         /// The worker.
         worker: Arc<str>,
     },
     /// Correct the balancer: so many copies are there, whatever was believed.
-    Held {
+    CorrectCopies {
         /// The worker.
         worker: Arc<str>,
         /// The function.
@@ -104,7 +104,7 @@
         copies: u32,
     },
     /// Ask the balancer for a load.
-    Want {
+    Load {
         /// The worker.
         worker: Arc<str>,
         /// The function.
@@ -129,7 +129,7 @@
         sessions: Vec<Arc<str>>,
     },
     /// Send a note to the other members.
-    Note {
+    SendNote {
         /// The worker, as all members know it.
         id: Arc<str>,
         /// A later note has a higher version.
@@ -138,5 +138,5 @@
         value: Vec<u8>,
     },
     /// A difference was found.
-    Found(Drift),
+    DriftFound(Drift),
 }
--- a/crates/reconcile/src/reconciler/observations.rs
+++ b/crates/reconcile/src/reconciler/observations.rs
@@ -48,14 +48,14 @@
         }
         let mut truncated = observation.clone();
         for entry in &mut truncated.entries {
-            entry.sequences = None;
+            entry.sessions = None;
         }
         let value = encode(truncated.clone())?;
         if fits(&value) {
             return Some(value);
         }
         truncated.entries.truncate(MAX_TRUNCATED_ENTRIES);
-        truncated.cut = true;
+        truncated.truncated = true;
         encode(truncated).filter(fits)
     }
 }
--- a/crates/reconcile/src/reconciler/ownership.rs
+++ b/crates/reconcile/src/reconciler/ownership.rs
@@ -11,7 +11,7 @@
 
 use cedarpulley::interface::Micros;
 
-use crate::observation::Entry;
+use crate::observation::FunctionReport;
 use crate::polling::PollerRank;
 
 /// What plans of upgrades claim.
@@ -86,7 +86,7 @@
     }
 
     /// Why no router and no plan claims a copy, if none does.
-    pub(super) fn unclaimed_reason(&self, entry: &Entry) -> Option<UnclaimedReason> {
+    pub(super) fn unclaimed_reason(&self, entry: &FunctionReport) -> Option<UnclaimedReason> {
         if let Some(claims) = &self.claims {
             if claims.functions.contains(&entry.function) {
                 return None;
--- a/crates/reconcile/src/reconciler/schedule.rs
+++ b/crates/reconcile/src/reconciler/schedule.rs
@@ -13,7 +13,9 @@
 use cedarpulley::interface::Micros;
 
 use super::{Counts, Output};
-use crate::polling::{Chance, PollInterval, PollResult, PollerRank, RateLimit, takeover_after};
+use crate::polling::{
+    PollInterval, PollResult, PollerRank, RateLimit, SeededRandom, takeover_after,
+};
 
 /// An answer that has not come by then never does: whoever polls gives up long before.
 const POLL_LOST_AFTER: Micros = 30_000_000;
@@ -54,7 +56,7 @@
         worker: &Arc<str>,
         rank: PollerRank,
         restarted: bool,
-        random: &mut Chance,
+        random: &mut SeededRandom,
     ) {
         let within = if restarted {
             self.interval / 8
@@ -98,7 +100,7 @@
         now: Micros,
         worker: &Arc<str>,
         rank: PollerRank,
-        random: &mut Chance,
+        random: &mut SeededRandom,
     ) {
         let soon = now + random.jittered(self.interval);
         let Some(polls) = self.workers.get_mut(worker) else {
@@ -136,7 +138,7 @@
         now: Micros,
         worker: &Arc<str>,
         result: PollResult,
-        random: &mut Chance,
+        random: &mut SeededRandom,
     ) {
         let Some(polls) = self.workers.get_mut(worker) else {
             return;
@@ -176,7 +178,7 @@
             counts.asks += 1;
             counts.asks_for_another += u64::from(!is_first);
             self.reschedule(&worker, now + POLL_LOST_AFTER);
-            out.push(Output::Ask { worker });
+            out.push(Output::Poll { worker });
         }
     }
 
--- a/crates/reconcile/src/reconciler/status.rs
+++ b/crates/reconcile/src/reconciler/status.rs
@@ -13,7 +13,7 @@
 
 use super::schedule::PollSchedule;
 use super::worker_state::{DriftTally, WorkerState};
-use crate::drift::{KINDS, Kind};
+use crate::drift::{DRIFT_KINDS, DriftKind};
 
 /// Functions that are shown of a worker.
 const MAX_SHOWN: usize = 100;
@@ -51,19 +51,19 @@
     pub contradictions: u64,
     /// Reports refuted by an invocation's outcome.
     pub refuted: u64,
-    /// Drifts of [`Kind::Phantom`].
+    /// Drifts of [`DriftKind::Phantom`].
     pub phantom: u64,
-    /// Drifts of [`Kind::Unseen`].
+    /// Drifts of [`DriftKind::Unseen`].
     pub unseen: u64,
-    /// Drifts of [`Kind::OlderVersion`].
+    /// Drifts of [`DriftKind::OlderVersion`].
     pub older_version: u64,
-    /// Drifts of [`Kind::OtherIncarnation`].
+    /// Drifts of [`DriftKind::OtherIncarnation`].
     pub other_incarnation: u64,
-    /// Drifts of [`Kind::Miscounted`].
+    /// Drifts of [`DriftKind::Miscounted`].
     pub miscounted: u64,
-    /// Drifts of [`Kind::PrefixLost`].
+    /// Drifts of [`DriftKind::PrefixLost`].
     pub prefix_lost: u64,
-    /// Drifts of [`Kind::Orphan`].
+    /// Drifts of [`DriftKind::Orphan`].
     pub orphan: u64,
     /// Beliefs corrected.
     pub corrected: u64,
@@ -82,15 +82,15 @@
 }
 
 impl Counts {
-    pub(super) fn count_drift(&mut self, kind: Kind) {
+    pub(super) fn count_drift(&mut self, kind: DriftKind) {
         let count = match kind {
-            Kind::Phantom => &mut self.phantom,
-            Kind::Unseen => &mut self.unseen,
-            Kind::OlderVersion => &mut self.older_version,
-            Kind::OtherIncarnation => &mut self.other_incarnation,
-            Kind::Miscounted => &mut self.miscounted,
-            Kind::PrefixLost => &mut self.prefix_lost,
-            Kind::Orphan => &mut self.orphan,
+            DriftKind::Phantom => &mut self.phantom,
+            DriftKind::Unseen => &mut self.unseen,
+            DriftKind::OlderVersion => &mut self.older_version,
+            DriftKind::OtherIncarnation => &mut self.other_incarnation,
+            DriftKind::Miscounted => &mut self.miscounted,
+            DriftKind::PrefixLost => &mut self.prefix_lost,
+            DriftKind::Orphan => &mut self.orphan,
         };
         *count += 1;
     }
@@ -121,10 +121,10 @@
     pub reports: u64,
     /// Drifts found, by kind.
     #[serde(rename = "found")]
-    pub drifts: BTreeMap<Kind, u64>,
+    pub drifts: BTreeMap<DriftKind, u64>,
     /// By which report each kind was found last.
     #[serde(rename = "found_by")]
-    pub last_found_by: BTreeMap<Kind, u64>,
+    pub last_found_by: BTreeMap<DriftKind, u64>,
 }
 
 impl<'a> WorkerStatus<'a> {
@@ -135,7 +135,7 @@
         schedule: &PollSchedule,
     ) -> Self {
         let by_kind = |value: fn(DriftTally) -> u64| {
-            KINDS
+            DRIFT_KINDS
                 .iter()
                 .map(|kind| (*kind, value(state.drift_tally(*kind))))
                 .filter(|(_, value)| *value > 0)
--- a/crates/reconcile/src/reconciler/trust.rs
+++ b/crates/reconcile/src/reconciler/trust.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::drift::Kind;
+use crate::drift::DriftKind;
 
 /// Doubt that one contradiction adds, that one refutation adds, and at most: so many consistent reports lift it.
 const CONTRADICTION_DOUBT: u8 = 2;
@@ -36,7 +36,7 @@
 pub(super) struct Doubt {
     level: u8,
     /// Differences that were reported while it was doubted, and in which report.
-    unconfirmed: BTreeMap<(Arc<str>, Kind), u64>,
+    unconfirmed: BTreeMap<(Arc<str>, DriftKind), u64>,
 }
 
 impl Doubt {
@@ -56,7 +56,12 @@
     }
 
     /// True if a difference in the report of this number may be believed now.
-    pub(super) fn is_credible(&mut self, function: &Arc<str>, kind: Kind, report: u64) -> bool {
+    pub(super) fn is_credible(
+        &mut self,
+        function: &Arc<str>,
+        kind: DriftKind,
+        report: u64,
+    ) -> bool {
         if self.level == 0 {
             return true;
         }
--- a/crates/reconcile/src/reconciler/worker_state.rs
+++ b/crates/reconcile/src/reconciler/worker_state.rs
@@ -9,9 +9,9 @@
 use super::ownership::UnclaimedReason;
 use super::trust::{Doubt, Incarnations, ReportOrigin, ReportSource};
 use super::worker_table::BeliefBudget;
-use super::{Counts, Seat};
+use super::{Counts, PolledWorker};
 use crate::belief::{Belief, Change};
-use crate::drift::{KINDS, Kind};
+use crate::drift::{DRIFT_KINDS, DriftKind};
 use crate::observation::Observation;
 
 /// How often a kind of drift was found, and in which report last.
@@ -36,11 +36,11 @@
     unclaimed: BTreeMap<Arc<str>, (Micros, UnclaimedReason)>,
     /// The last report of this incarnation, without what contradicts itself.
     observed: Option<Observation>,
-    drifts: [DriftTally; KINDS.len()],
+    drifts: [DriftTally; DRIFT_KINDS.len()],
 }
 
 impl WorkerState {
-    pub(super) fn new(listed: &Seat) -> WorkerState {
+    pub(super) fn new(listed: &PolledWorker) -> WorkerState {
         WorkerState {
             id: listed.id.clone(),
             memory_mb: listed.memory_mb,
@@ -52,7 +52,7 @@
             beliefs: BTreeMap::new(),
             unclaimed: BTreeMap::new(),
             observed: None,
-            drifts: [DriftTally::default(); KINDS.len()],
+            drifts: [DriftTally::default(); DRIFT_KINDS.len()],
         }
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// True if this difference may be believed now.
-    pub(super) fn is_credible(&mut self, function: &Arc<str>, kind: Kind) -> bool {
+    pub(super) fn is_credible(&mut self, function: &Arc<str>, kind: DriftKind) -> bool {
         self.doubt.is_credible(function, kind, self.reports)
     }
 
@@ -176,7 +176,7 @@
         self.doubt.on_compared(self.reports, was_consistent);
     }
 
-    pub(super) fn count_drift(&mut self, kind: Kind) {
+    pub(super) fn count_drift(&mut self, kind: DriftKind) {
         let tally = &mut self.drifts[kind.index()];
         tally.found += 1;
         tally.last_report = self.reports;
@@ -260,7 +260,7 @@
         self.reports
     }
 
-    pub(super) fn drift_tally(&self, kind: Kind) -> DriftTally {
+    pub(super) fn drift_tally(&self, kind: DriftKind) -> DriftTally {
         self.drifts[kind.index()]
     }
 }
--- a/crates/reconcile/src/reconciler/worker_table.rs
+++ b/crates/reconcile/src/reconciler/worker_table.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::Seat;
+use super::PolledWorker;
 use super::worker_state::WorkerState;
 
 /// Beliefs over all workers; what is beyond is not followed, and counted.
@@ -36,7 +36,7 @@
 
 impl WorkerTable {
     /// Updates a worker that is known by this name and id; false if there is none.
-    pub(super) fn update(&mut self, listed: &Seat) -> bool {
+    pub(super) fn update(&mut self, listed: &PolledWorker) -> bool {
         let known = self
             .workers
             .get_mut(&listed.worker)
@@ -49,7 +49,7 @@
     }
 
     /// Adds a worker; `before` is the process that had its name.
-    pub(super) fn insert(&mut self, listed: &Seat, before: Option<WorkerState>) {
+    pub(super) fn insert(&mut self, listed: &PolledWorker, before: Option<WorkerState>) {
         let mut state = WorkerState::new(listed);
         if let Some(before) = before {
             state.inherit(before);
--- a/crates/reconcile/src/repair.rs
+++ b/crates/reconcile/src/repair.rs
@@ -11,7 +11,7 @@
 
 use cedarpulley::interface::Micros;
 
-use crate::polling::Chance;
+use crate::polling::SeededRandom;
 
 /// Repairs in the queue; the next rounds find what was dropped.
 const MAX_QUEUED: usize = 1024;
@@ -56,7 +56,7 @@
     }
 
     /// False if another one was dropped because the queue is full.
-    pub fn push(&mut self, now: Micros, random: &mut Chance, repair: Repair) -> bool {
+    pub fn push(&mut self, now: Micros, random: &mut SeededRandom, repair: Repair) -> bool {
         if self.queued.is_empty() {
             self.next = self
                 .next
@@ -80,7 +80,7 @@
     pub fn pop(
         &mut self,
         now: Micros,
-        random: &mut Chance,
+        random: &mut SeededRandom,
         mut is_needed: impl FnMut(&Repair) -> bool,
     ) -> Option<Repair> {
         while now >= self.next {
--- a/crates/reconcile/tests/drift_kinds.rs
+++ b/crates/reconcile/tests/drift_kinds.rs
@@ -21,13 +21,13 @@
 
 impl TestRouter {
     fn new() -> TestRouter {
-        let (every, grace) = (2 * S, 5 * S);
-        let terms = Terms {
-            me: arc("r0"),
-            every,
-            grace,
-            kept: KEPT,
-            asks_per_s: 50.0,
+        let (poll_interval, grace_period) = (2 * S, 5 * S);
+        let terms = ReconcilerSettings {
+            router_name: arc("r0"),
+            poll_interval,
+            grace_period,
+            belief_lifetime: KEPT,
+            polls_per_s: 50.0,
             repairs_per_s: 10.0,
             seed: 3,
         };
@@ -36,7 +36,7 @@
             now: 0,
             out: Vec::new(),
         };
-        let seat = |w: &str| Seat {
+        let seat = |w: &str| PolledWorker {
             worker: arc(w),
             id: arc(&format!("{w}-1")),
             memory_mb: 1000.0,
@@ -61,7 +61,7 @@
     }
 
     fn believes(&mut self, function: &str, change: Change) {
-        self.tell(Input::Believes {
+        self.tell(Input::BeliefChanged {
             worker: "w",
             function,
             change,
@@ -70,11 +70,11 @@
 
     /// An order ended well a while ago.
     fn loaded(&mut self, function: &str) {
-        self.believes(function, Change::Ordered);
+        self.believes(function, Change::LoadOrdered);
         self.believes(
             function,
-            Change::OrderEnded {
-                stands: Some(true),
+            Change::LoadOrderEnded {
+                present: Some(true),
                 copies: Some(1),
             },
         );
@@ -85,39 +85,39 @@
         self.ran(function, true);
     }
 
-    fn ran(&mut self, function: &str, found: bool) {
-        self.believes(function, Change::Sent);
+    fn ran(&mut self, function: &str, was_present: bool) {
+        self.believes(function, Change::Dispatched);
         self.believes(
             function,
-            Change::Ended {
-                stands: Some(true),
-                found,
+            Change::DispatchEnded {
+                present: Some(true),
+                was_present,
                 copy_mb: 10.0,
             },
         );
         self.pass(S);
     }
 
-    fn answer(&mut self, began: Micros, life: u64, entries: &[Entry]) -> Vec<Output> {
+    fn answer(&mut self, began: Micros, life: u64, entries: &[FunctionReport]) -> Vec<Output> {
         self.out.clear();
         let observation = Observation {
-            life: Some(life),
+            incarnation: Some(life),
             entries: entries.to_vec(),
-            cut: false,
+            truncated: false,
         };
-        self.tell(Input::Said {
+        self.tell(Input::Reported {
             worker: "w",
             began,
             observation,
         });
         self.out
             .drain(..)
-            .filter(|o| !matches!(o, Output::Ask { .. }))
+            .filter(|o| !matches!(o, Output::Poll { .. }))
             .collect()
     }
 
     /// Asked now, answered a little later.
-    fn says(&mut self, entries: &[Entry]) -> Vec<Output> {
+    fn says(&mut self, entries: &[FunctionReport]) -> Vec<Output> {
         let began = self.now;
         self.pass(10_000);
         let out = self.answer(began, 1, entries);
@@ -127,16 +127,16 @@
 }
 
 fn held(function: &str, copies: u32) -> Output {
-    Output::Held {
+    Output::CorrectCopies {
         worker: arc("w"),
         function: arc(function),
         copies,
     }
 }
 
-fn found(kind: Kind, cause: Cause, function: &str) -> Output {
+fn found(kind: DriftKind, cause: DriftCause, function: &str) -> Output {
     let function = (!function.is_empty()).then(|| arc(function));
-    Output::Found(Drift {
+    Output::DriftFound(Drift {
         kind,
         cause,
         worker: arc("w"),
@@ -144,8 +144,8 @@
     })
 }
 
-fn one(function: &str) -> Entry {
-    Entry::plain(function, 1)
+fn one(function: &str) -> FunctionReport {
+    FunctionReport::with_copies(function, 1)
 }
 
 #[test]
@@ -161,12 +161,12 @@
         evicted,
         [
             held("busy", 0),
-            found(Kind::Phantom, Cause::Evicted, "busy")
+            found(DriftKind::Phantom, DriftCause::Evicted, "busy")
         ]
     );
     router.pass(S);
     assert!(
-        router.out.contains(&Output::Want {
+        router.out.contains(&Output::Load {
             worker: arc("w"),
             function: arc("busy")
         }),
@@ -178,14 +178,14 @@
         lost,
         [
             held("idle", 0),
-            found(Kind::Phantom, Cause::LostLoad, "idle")
+            found(DriftKind::Phantom, DriftCause::LostLoad, "idle")
         ]
     );
     router.ran("busy", false);
     let flushed = router.says(&[]);
-    let cause = |o: &&Output| **o == found(Kind::Phantom, Cause::Flushed, "busy");
+    let cause = |o: &&Output| **o == found(DriftKind::Phantom, DriftCause::Flushed, "busy");
     assert!(flushed.iter().any(|o| cause(&o)), "{flushed:?}");
-    assert!(!router.reconciler.believes_in("w", "idle") && router.reconciler.counts.wanted >= 1);
+    assert!(!router.reconciler.is_believed("w", "idle") && router.reconciler.counts.wanted >= 1);
     // Nothing is found twice.
     assert_eq!(router.says(&[]), []);
 }
@@ -193,7 +193,7 @@
 #[test]
 fn a_recent_use_is_known_for_the_lifetime_of_a_belief() {
     let mut router = TestRouter::new();
-    let lately = |router: &TestRouter, f: &str| router.reconciler.used_lately(router.now, "w", f);
+    let lately = |router: &TestRouter, f: &str| router.reconciler.used_recently(router.now, "w", f);
     router.used("a");
     router.loaded("b");
     router.says(&[one("a"), one("b"), one("c")]);
@@ -202,7 +202,7 @@
         ["a", "b", "c"].map(|f| lately(&router, f)),
         [true, false, false]
     );
-    assert!(router.reconciler.believes_in("w", "b") && router.reconciler.believes_in("w", "c"));
+    assert!(router.reconciler.is_believed("w", "b") && router.reconciler.is_believed("w", "c"));
     router.used("b");
     router.says(&[one("a")]);
     assert_eq!(["a", "b"].map(|f| lately(&router, f)), [true, false]);
@@ -210,27 +210,30 @@
     router.pass(KEPT - 8 * S);
     router.says(&[one("a")]);
     router.pass(8 * S);
-    assert!(router.reconciler.believes_in("w", "a") && !lately(&router, "a"));
+    assert!(router.reconciler.is_believed("w", "a") && !lately(&router, "a"));
 }
 
 #[test]
 fn an_unseen_copy_is_believed_and_renewed() {
     let mut router = TestRouter::new();
-    let by = |who: &str| Entry {
+    let by = |who: &str| FunctionReport {
         ordered_by: Some(arc(who)),
         ..one("b")
     };
     assert_eq!(
         router.says(&[one("a")]),
-        [held("a", 1), found(Kind::Unseen, Cause::LoadedOnMiss, "a")]
+        [
+            held("a", 1),
+            found(DriftKind::Unseen, DriftCause::LoadedOnMiss, "a")
+        ]
     );
     assert!(
-        !router.out.contains(&Output::Ask { worker: arc("w") }),
+        !router.out.contains(&Output::Poll { worker: arc("w") }),
         "what others load makes no haste"
     );
     assert_eq!(
         router.says(&[one("a"), by("r1")])[1],
-        found(Kind::Unseen, Cause::LoadedElsewhere, "b")
+        found(DriftKind::Unseen, DriftCause::LoadedElsewhere, "b")
     );
     router.pass(KEPT - 10 * S);
     // Renewed before the module stops believing, and no drift.
@@ -239,7 +242,7 @@
         [held("a", 1), held("b", 1)]
     );
     // One that will be evicted for idleness soon is left to run out.
-    let idle = Entry {
+    let idle = FunctionReport {
         idle: Some(KEPT - S),
         ..one("c")
     };
@@ -250,12 +253,12 @@
 fn a_miscount_of_copies_is_corrected() {
     let mut router = TestRouter::new();
     router.loaded("a");
-    let many = Entry::plain("a", 3);
+    let many = FunctionReport::with_copies("a", 3);
     assert_eq!(
         router.says(&[many]),
         [
             held("a", 3),
-            found(Kind::Miscounted, Cause::PartlyEvicted, "a")
+            found(DriftKind::Miscounted, DriftCause::PartlyEvicted, "a")
         ]
     );
     assert_eq!(router.says(&[one("a")]).len(), 2);
@@ -266,12 +269,18 @@
 fn a_lost_prefix_releases_its_session() {
     let mut router = TestRouter::new();
     router.used("a");
-    for (id, over) in [("s1", false), ("s2", false), ("s3", false), ("s3", true)] {
-        router.believes("a", Change::Session { id: arc(id), over });
+    for (id, is_last) in [("s1", false), ("s2", false), ("s3", false), ("s3", true)] {
+        router.believes(
+            "a",
+            Change::SessionUsed {
+                id: arc(id),
+                is_last,
+            },
+        );
     }
     router.pass(S);
-    let with = |ids: &[&str]| Entry {
-        sequences: Some(ids.iter().map(|i| arc(i)).collect()),
+    let with = |ids: &[&str]| FunctionReport {
+        sessions: Some(ids.iter().map(|i| arc(i)).collect()),
         ..one("a")
     };
     // A worker that says nothing of sessions proves nothing; one that ended is not missed.
@@ -287,16 +296,19 @@
     };
     assert_eq!(
         router.says(&[with(&["s2"])]),
-        [lost(&["s1"]), found(Kind::PrefixLost, Cause::Evicted, "a")]
+        [
+            lost(&["s1"]),
+            found(DriftKind::PrefixLost, DriftCause::Evicted, "a")
+        ]
     );
     // One that began after the ask did is not missed.
     let began = router.now;
     router.pass(S);
     router.believes(
         "a",
-        Change::Session {
+        Change::SessionUsed {
             id: arc("s4"),
-            over: false,
+            is_last: false,
         },
     );
     assert_eq!(router.answer(began, 1, &[with(&["s2"])]), []);
@@ -319,7 +331,7 @@
     assert_eq!(
         again,
         [
-            found(Kind::OtherIncarnation, Cause::Restarted, ""),
+            found(DriftKind::OtherIncarnation, DriftCause::Restarted, ""),
             held("a", 0)
         ]
     );
@@ -329,22 +341,22 @@
         (late, router.reconciler.counts.void_of_earlier_process),
         (vec![], 1)
     );
-    assert!(!router.reconciler.believes_in("w", "a") && router.reconciler.believes_in("w", "b"));
+    assert!(!router.reconciler.is_believed("w", "a") && router.reconciler.is_believed("w", "b"));
     // Told by the list, it is asked in haste, and nothing is believed.
-    let seat = |w: &str, n: u32| Seat {
+    let seat = |w: &str, n: u32| PolledWorker {
         worker: arc(w),
         id: arc(&format!("{w}-{n}")),
         memory_mb: 0.0,
     };
     router.tell(Input::Workers(vec![seat("w", 2), seat("v", 1)]));
     router.out.clear();
-    assert!(!router.reconciler.believes_in("w", "b"));
+    assert!(!router.reconciler.is_believed("w", "b"));
     router.pass(S / 4);
-    assert!(router.out.contains(&Output::Ask { worker: arc("w") }));
+    assert!(router.out.contains(&Output::Poll { worker: arc("w") }));
     router.used("c");
     router.answer(router.now, 2, &[one("c"), one("z")]);
     assert!(
-        !router.reconciler.believes_in("w", "z"),
+        !router.reconciler.is_believed("w", "z"),
         "the list said that this process is gone"
     );
 }
@@ -357,7 +369,7 @@
     router.loaded("a");
     assert_eq!(router.answer(began, 1, &[]), []);
     assert!(
-        router.reconciler.believes_in("w", "a") && router.reconciler.counts.left_belief_newer == 1
+        router.reconciler.is_believed("w", "a") && router.reconciler.counts.left_belief_newer == 1
     );
     // Nor does one that is older than what was taken already.
     assert_eq!(router.says(&[one("a"), one("b")]).len(), 2);
@@ -376,12 +388,12 @@
     router.used("a");
     router.used("b");
     router.used("c");
-    router.believes("a", Change::Ordered);
+    router.believes("a", Change::LoadOrdered);
     router.pass(S);
     // Nor is it taken up before its load has ended, though another copy stands there.
-    router.believes("d", Change::Ordered);
+    router.believes("d", Change::LoadOrdered);
     router.pass(S);
-    let loading = Entry {
+    let loading = FunctionReport {
         loading: true,
         copies: 0,
         ..one("b")
@@ -394,25 +406,28 @@
     let said = router.answer(router.now - 1, 1, std::slice::from_ref(&loading));
     assert_eq!(
         said,
-        [held("c", 0), found(Kind::Phantom, Cause::Evicted, "c")]
+        [
+            held("c", 0),
+            found(DriftKind::Phantom, DriftCause::Evicted, "c")
+        ]
     );
     assert_eq!(router.reconciler.counts.left_under_load, 4);
     // What was to be loaded again and is being loaded by now is not asked for.
-    router.believes("c", Change::Sent);
+    router.believes("c", Change::Dispatched);
     router.pass(5 * S);
     assert_eq!(router.reconciler.counts.wanted, 0);
     router.believes(
         "c",
-        Change::Ended {
-            stands: None,
-            found: false,
+        Change::DispatchEnded {
+            present: None,
+            was_present: false,
             copy_mb: 0.0,
         },
     );
     router.believes(
         "a",
-        Change::OrderEnded {
-            stands: Some(true),
+        Change::LoadOrderEnded {
+            present: Some(true),
             copies: Some(1),
         },
     );
@@ -425,7 +440,7 @@
     let mut router = TestRouter::new();
     router.loaded("a");
     router.loaded("b");
-    let two = [one("a"), Entry::plain("a", 2), one("b")];
+    let two = [one("a"), FunctionReport::with_copies("a", 2), one("b")];
     assert_eq!(
         (router.says(&two), router.reconciler.counts.contradictions),
         (vec![], 1)
@@ -449,7 +464,7 @@
     assert_eq!(router.says(&[one("a")]).len(), 2, "said twice in a row");
     // More than its memory.
     router.used("a");
-    let large = Entry::plain("a", 400);
+    let large = FunctionReport::with_copies("a", 400);
     assert_eq!(router.says(std::slice::from_ref(&large)), []);
     assert_eq!(router.says(&[large]).len(), 2);
 }
@@ -458,7 +473,7 @@
 fn a_former_incarnation_is_accepted_after_two_reports() {
     let mut router = TestRouter::new();
     router.used("a");
-    let mut say = |life, what: &[Entry]| {
+    let mut say = |life, what: &[FunctionReport]| {
         router.pass(S);
         router.answer(router.now, life, what).len()
     };
@@ -479,9 +494,9 @@
     router
 }
 
-fn orphan(function: &str, by: &str, term: Option<&str>) -> Entry {
+fn orphan(function: &str, by: &str, term: Option<&str>) -> FunctionReport {
     let (ordered_by, term) = (Some(arc(by)), term.map(arc));
-    Entry {
+    FunctionReport {
         ordered_by,
         term,
         busy: Some(0),
@@ -510,20 +525,20 @@
         orphan("wanted", "r1", None),
         orphan("planned", "r1", Some("7.1")),
         orphan("mine", "r0", None),
-        Entry {
+        FunctionReport {
             busy: Some(1),
             ..orphan("busy", "r1", None)
         },
-        Entry {
+        FunctionReport {
             idle: Some(S),
             ..orphan("lately", "r1", None)
         },
     ];
     let kinds = [
-        found(Kind::Orphan, Cause::PlanEnded, "ended"),
-        found(Kind::Orphan, Cause::RouterGone, "gone"),
-        found(Kind::Orphan, Cause::RouterGone, "lately"),
-        found(Kind::OlderVersion, Cause::LostUnload, "old"),
+        found(DriftKind::Orphan, DriftCause::PlanEnded, "ended"),
+        found(DriftKind::Orphan, DriftCause::RouterGone, "gone"),
+        found(DriftKind::Orphan, DriftCause::RouterGone, "lately"),
+        found(DriftKind::OlderVersion, DriftCause::LostUnload, "old"),
     ];
     assert_eq!(router.says(&said), kinds);
     let unloads = |router: &mut TestRouter| {
@@ -556,9 +571,9 @@
         terms: [arc("6.0")].into(),
         ..Claims::default()
     }));
-    assert_eq!(router.reconciler.repairs_waiting(), 3);
+    assert_eq!(router.reconciler.queued_repairs(), 3);
     router.pass(3 * S);
-    assert_eq!(router.reconciler.repairs_waiting(), 0);
+    assert_eq!(router.reconciler.queued_repairs(), 0);
     assert_eq!(unloads(&mut router), Vec::<String>::new());
 }
 
@@ -572,12 +587,12 @@
     router.says(&[orphan("gone", "r1", None)]);
     router.pass(6 * S);
     router.answer(router.now - 1, 1, &[orphan("gone", "r1", None)]);
-    assert_eq!(router.reconciler.repairs_waiting(), 1);
+    assert_eq!(router.reconciler.queued_repairs(), 1);
     router.tell(Input::Members(vec![arc("r0"), arc(&other)]));
     router.pass(S);
     assert_eq!(
         (
-            router.reconciler.repairs_waiting(),
+            router.reconciler.queued_repairs(),
             router.reconciler.counts.unloaded
         ),
         (0, 0)
@@ -590,30 +605,30 @@
     let (mut unloads, mut asks) = (0, 0);
     for m in &members {
         let mut router = TestRouter::new();
-        let terms = Terms {
-            me: m.clone(),
-            every: 2 * S,
-            grace: 0,
-            kept: 1,
-            asks_per_s: 50.0,
+        let terms = ReconcilerSettings {
+            router_name: m.clone(),
+            poll_interval: 2 * S,
+            grace_period: 0,
+            belief_lifetime: 1,
+            polls_per_s: 50.0,
             repairs_per_s: 10.0,
             seed: 3,
         };
         router.reconciler = Reconciler::new(0, terms);
         router.tell(Input::Members(members.clone()));
-        router.tell(Input::Workers(vec![Seat {
+        router.tell(Input::Workers(vec![PolledWorker {
             worker: arc("w"),
             id: arc("w-1"),
             memory_mb: 0.0,
         }]));
-        let said = [Entry {
+        let said = [FunctionReport {
             idle: Some(KEPT),
             ..orphan("gone", "x", None)
         }];
         // All ask at once, as after a change of view.
         let out = (router.says(&said), router.says(&said)).0;
         let note = out.iter().find_map(|o| match o {
-            Output::Note { id, version, value } => Some((id.clone(), *version, value.clone())),
+            Output::SendNote { id, version, value } => Some((id.clone(), *version, value.clone())),
             _ => None,
         });
         let (id, version, value) = note.expect("each shares what it heard");
@@ -621,7 +636,7 @@
         let unloaded = router.reconciler.counts.unloaded;
         unloads += u64::from(unloaded > 0);
         asks += u64::from(router.reconciler.counts.asks > 0);
-        router.tell(Input::Noted {
+        router.tell(Input::NoteReceived {
             id: &id,
             version: (0, version.1 + 9),
             transit: 0,
@@ -640,14 +655,15 @@
 fn a_note_is_dated_by_its_longest_transit() {
     let mut other = TestRouter::new();
     other.tell(Input::Members(["r0", "r1"].map(arc).to_vec()));
-    let Some(Output::Note { id, value, .. }) = other.says(&[one("b")]).into_iter().next() else {
+    let Some(Output::SendNote { id, value, .. }) = other.says(&[one("b")]).into_iter().next()
+    else {
         panic!()
     };
     let mut router = TestRouter::new();
     router.loaded("a");
     let mut note = |version, transit, value: &[u8]| {
         router.out.clear();
-        router.tell(Input::Noted {
+        router.tell(Input::NoteReceived {
             id: &id,
             version: (0, version),
             transit,
@@ -656,7 +672,7 @@
         router
             .out
             .iter()
-            .filter(|o| matches!(o, Output::Held { .. }))
+            .filter(|o| matches!(o, Output::CorrectCopies { .. }))
             .count()
     };
     assert_eq!(
@@ -684,12 +700,12 @@
     for n in 0..40 {
         let function = format!("f{n}");
         for _ in 0..=n % 8 {
-            router.believes(&function, Change::Sent);
+            router.believes(&function, Change::Dispatched);
             router.believes(
                 &function,
-                Change::Ended {
-                    stands: Some(true),
-                    found: true,
+                Change::DispatchEnded {
+                    present: Some(true),
+                    was_present: true,
                     copy_mb: 1.0,
                 },
             );
@@ -700,7 +716,7 @@
         router
             .says(&[])
             .iter()
-            .filter(|o| matches!(o, Output::Held { copies: 0, .. }))
+            .filter(|o| matches!(o, Output::CorrectCopies { copies: 0, .. }))
             .count(),
         40
     );
@@ -708,7 +724,7 @@
         router
             .out
             .iter()
-            .filter(|o| matches!(o, Output::Want { .. }))
+            .filter(|o| matches!(o, Output::Load { .. }))
             .count()
     };
     assert!(
@@ -717,7 +733,7 @@
         wanted(&router)
     );
     let first = router.out.iter().find_map(|o| match o {
-        Output::Want { function, .. } => Some(function.to_string()),
+        Output::Load { function, .. } => Some(function.to_string()),
         _ => None,
     });
     assert_eq!(
@@ -725,42 +741,42 @@
         Some(7)
     );
     router.pass(20 * S);
-    assert!(router.reconciler.counts.wanted <= 40 && router.reconciler.repairs_waiting() == 0);
+    assert!(router.reconciler.counts.wanted <= 40 && router.reconciler.queued_repairs() == 0);
 }
 
 #[test]
 fn an_unresponsive_worker_is_polled_rarely_and_the_next_in_rank_takes_over() {
     let mut router = TestRouter::new();
-    router.tell(Input::Silent { worker: "w" });
+    router.tell(Input::Unresponsive { worker: "w" });
     router.out.clear();
     router.pass(6 * S);
-    assert!(!router.out.contains(&Output::Ask { worker: arc("w") }));
+    assert!(!router.out.contains(&Output::Poll { worker: arc("w") }));
     router.pass(3 * S);
-    assert!(router.out.contains(&Output::Ask { worker: arc("w") }));
+    assert!(router.out.contains(&Output::Poll { worker: arc("w") }));
     // Of three, each has a rank of its own; whoever hears nothing asks in turn.
     let members = ["r0", "r1", "r2"].map(arc);
     let mut at = Vec::new();
     for me in &members {
         let mut router = TestRouter::new();
-        let terms = Terms {
-            me: me.clone(),
-            every: 2 * S,
-            grace: S,
-            kept: S,
-            asks_per_s: 5.0,
+        let terms = ReconcilerSettings {
+            router_name: me.clone(),
+            poll_interval: 2 * S,
+            grace_period: S,
+            belief_lifetime: S,
+            polls_per_s: 5.0,
             repairs_per_s: 1.0,
             seed: 1,
         };
         router.reconciler = Reconciler::new(0, terms);
         router.tell(Input::Members(members.to_vec()));
-        router.tell(Input::Workers(vec![Seat {
+        router.tell(Input::Workers(vec![PolledWorker {
             worker: arc("w"),
             id: arc("w-1"),
             memory_mb: 0.0,
         }]));
         router.out.clear();
         let began = router.now;
-        while !router.out.contains(&Output::Ask { worker: arc("w") }) {
+        while !router.out.contains(&Output::Poll { worker: arc("w") }) {
             router.pass(S);
         }
         at.push((router.now - began) / (24 * S));
--- a/crates/reconcile/tests/observation.rs
+++ b/crates/reconcile/tests/observation.rs
@@ -1,19 +1,19 @@
 //! Which entries of an observation are consistent.
 
-use cedarpulley_reconcile::{Entry, Observation};
+use cedarpulley_reconcile::{FunctionReport, Observation};
 
 #[test]
 fn inconsistent_entries_are_left_out() {
-    let busy = Entry {
+    let busy = FunctionReport {
         busy: Some(1),
-        ..Entry::plain("c", 0)
+        ..FunctionReport::with_copies("c", 0)
     };
     let entries = vec![
-        Entry::plain("a", 1),
-        Entry::plain("a", 2),
-        Entry::plain("b", 1),
+        FunctionReport::with_copies("a", 1),
+        FunctionReport::with_copies("a", 2),
+        FunctionReport::with_copies("b", 1),
         busy,
-        Entry::plain("d", 99_999),
+        FunctionReport::with_copies("d", 99_999),
     ];
     let said = Observation {
         entries,
@@ -30,7 +30,7 @@
     );
     // The same said twice is no contradiction; more than its memory is.
     let twice = Observation {
-        entries: vec![Entry::plain("a", 2); 2],
+        entries: vec![FunctionReport::with_copies("a", 2); 2],
         ..Observation::default()
     };
     assert_eq!(twice.consistency(|_| 50.0, 100.0).contradictions, 0);
--- a/crates/reconcile/tests/simulated.rs
+++ b/crates/reconcile/tests/simulated.rs
@@ -4,7 +4,7 @@
 
 mod world;
 
-use cedarpulley_reconcile::Kind;
+use cedarpulley_reconcile::DriftKind;
 use proptest::prelude::*;
 use world::*;
 
@@ -111,7 +111,7 @@
         let drift: Vec<_> = world
             .found
             .iter()
-            .filter(|d| d.kind != Kind::Unseen)
+            .filter(|d| d.kind != DriftKind::Unseen)
             .collect();
         assert!(
             drift.is_empty() && world.wants == 0 && world.unloads.is_empty(),
@@ -153,7 +153,7 @@
     let phantoms = world
         .found
         .iter()
-        .filter(|d| d.kind == Kind::Phantom)
+        .filter(|d| d.kind == DriftKind::Phantom)
         .count();
     (
         (after - before) as f64 / workers as f64 / 60.0,
--- a/crates/reconcile/tests/world/mod.rs
+++ b/crates/reconcile/tests/world/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use cedarpulley::interface::Micros;
-use cedarpulley_reconcile::polling::Chance;
+use cedarpulley_reconcile::polling::SeededRandom;
 use cedarpulley_reconcile::*;
 
 pub const S: Micros = 1_000_000;
@@ -125,7 +125,7 @@
     due: BinaryHeap<Reverse<(Micros, u64)>>,
     events: BTreeMap<u64, Due>,
     serial: u64,
-    chance: Chance,
+    chance: SeededRandom,
     /// When the observation began that is being taken in.
     began: Micros,
     pub found: Vec<Drift>,
@@ -141,19 +141,19 @@
     pub fn new(seed: u64, routers: usize, workers: usize, asks_per_s: f64) -> World {
         let members: Vec<Arc<str>> = (0..routers).map(|r| arc(&router(r))).collect();
         let seats = |_| {
-            (0..workers).map(|w| Seat {
+            (0..workers).map(|w| PolledWorker {
                 worker: arc(&worker(w)),
                 id: arc(&worker(w)),
                 memory_mb: 0.0,
             })
         };
         let machine = |r: usize| {
-            let terms = Terms {
-                me: members[r].clone(),
-                every: EVERY,
-                grace: GRACE,
-                kept: KEPT,
-                asks_per_s,
+            let terms = ReconcilerSettings {
+                router_name: members[r].clone(),
+                poll_interval: EVERY,
+                grace_period: GRACE,
+                belief_lifetime: KEPT,
+                polls_per_s: asks_per_s,
                 repairs_per_s: 20.0,
                 seed: seed + r as u64,
             };
@@ -180,7 +180,7 @@
             due: BinaryHeap::new(),
             events: BTreeMap::new(),
             serial: 0,
-            chance: Chance::new(seed ^ 0x77),
+            chance: SeededRandom::new(seed ^ 0x77),
             began: 0,
             found: Vec::new(),
             wants: 0,
@@ -233,7 +233,7 @@
 
     pub fn order(&mut self, r: usize, w: usize, f: &str) {
         if self.cores[r].alive {
-            self.believes(r, w, f, Change::Ordered);
+            self.believes(r, w, f, Change::LoadOrdered);
             *self.cores[r]
                 .under_way
                 .entry((w, f.to_owned()))
@@ -252,7 +252,7 @@
 
     pub fn dispatch(&mut self, r: usize, w: usize, f: &str) {
         if self.cores[r].alive {
-            self.believes(r, w, f, Change::Sent);
+            self.believes(r, w, f, Change::Dispatched);
             *self.cores[r]
                 .under_way
                 .entry((w, f.to_owned()))
@@ -283,7 +283,7 @@
     fn believes(&mut self, r: usize, w: usize, f: &str, change: Change) {
         self.handle(
             r,
-            Input::Believes {
+            Input::BeliefChanged {
                 worker: &worker(w),
                 function: f,
                 change,
@@ -303,7 +303,7 @@
     fn carry_out(&mut self, r: usize, output: Output) {
         let index_of = |worker: &str| worker[1..].parse::<usize>().expect("a number");
         match output {
-            Output::Ask { worker } => {
+            Output::Poll { worker } => {
                 let (w, now) = (index_of(&worker), self.now);
                 self.workers[w].polls += 1;
                 self.later(
@@ -315,7 +315,7 @@
                     },
                 );
             }
-            Output::Held {
+            Output::CorrectCopies {
                 worker,
                 function,
                 copies,
@@ -328,7 +328,7 @@
                     _ => drop(core.believes.insert(key, self.now + KEPT)),
                 }
             }
-            Output::Want { worker, function } => {
+            Output::Load { worker, function } => {
                 self.wants += 1;
                 let (w, f) = (index_of(&worker), function.to_string());
                 if self.cores[r].under_way.contains_key(&(w, f.clone())) {
@@ -361,7 +361,7 @@
                 }
                 self.set(w, &f, 0);
             }
-            Output::Note { id, version, value } => {
+            Output::SendNote { id, version, value } => {
                 let (left, began, value) = (self.now, self.began, Arc::<[u8]>::from(value));
                 for to in 0..self.routers.len() {
                     if to == r {
@@ -382,7 +382,7 @@
                 }
             }
             Output::PrefixLost { .. } => {}
-            Output::Found(drift) => self.found.push(drift),
+            Output::DriftFound(drift) => self.found.push(drift),
         }
     }
 
@@ -430,7 +430,7 @@
         let shown = |it: &World| {
             let name = worker(w);
             it.routers[r]
-                .shown()
+                .worker_statuses()
                 .find(|s| s.worker == name)
                 .map(|s| (s.doubt, s.incarnation))
                 .expect("it knows it")
@@ -448,7 +448,7 @@
             return;
         }
         let life = shown(self).1;
-        if life != said.life {
+        if life != said.incarnation {
             return;
         }
         let believed = self.cores[r]
@@ -517,18 +517,18 @@
                 };
             }
             let (busy, idle, loading) = (Some(0), Some(now - c.used), c.loading > 0);
-            entries.push(Entry {
+            entries.push(FunctionReport {
                 busy,
                 idle,
                 loading,
                 ordered_by: c.by.clone(),
-                ..Entry::plain(name, copies)
+                ..FunctionReport::with_copies(name, copies)
             });
         }
         Observation {
-            life: Some(self.workers[w].life),
+            incarnation: Some(self.workers[w].life),
             entries,
-            cut: false,
+            truncated: false,
         }
     }
 
@@ -561,7 +561,7 @@
                     let observation = observation.clone();
                     it.handle(
                         router,
-                        Input::Said {
+                        Input::Reported {
                             worker: &worker(w),
                             began,
                             observation,
@@ -570,7 +570,7 @@
                 });
             }
             Due::Silent { router, worker: w } => {
-                self.handle(router, Input::Silent { worker: &worker(w) })
+                self.handle(router, Input::Unresponsive { worker: &worker(w) })
             }
             Due::Noted { .. } => self.on_note(due),
             Due::Loads {
@@ -601,7 +601,7 @@
         self.began = began;
         self.handle(
             router,
-            Input::Noted {
+            Input::NoteReceived {
                 id: &id,
                 version,
                 transit,
@@ -716,13 +716,13 @@
             None
         };
         let change = match order {
-            true => Change::OrderEnded {
-                stands,
+            true => Change::LoadOrderEnded {
+                present: stands,
                 copies: None,
             },
-            false => Change::Ended {
-                stands,
-                found,
+            false => Change::DispatchEnded {
+                present: stands,
+                was_present: found,
                 copy_mb: 10.0,
             },
         };
--- a/crates/upgrade/src/cluster_state.rs
+++ b/crates/upgrade/src/cluster_state.rs
@@ -5,8 +5,8 @@
 use cedarpulley_membership::MemberIndex;
 
 use crate::Name;
-use crate::observed_state::WorkerSeen;
-use crate::settings::Terms;
+use crate::observed_state::ObservedWorker;
+use crate::settings::PlannerSettings;
 
 #[derive(Clone, Debug)]
 struct Member {
@@ -21,7 +21,7 @@
 pub(crate) struct ClusterState {
     own_index: MemberIndex,
     members: Vec<Member>,
-    workers: Vec<WorkerSeen>,
+    workers: Vec<ObservedWorker>,
 }
 
 impl ClusterState {
@@ -47,7 +47,7 @@
         self.members = members;
     }
 
-    pub fn set_workers(&mut self, workers: Vec<WorkerSeen>) {
+    pub fn set_workers(&mut self, workers: Vec<ObservedWorker>) {
         self.workers = workers;
     }
 
@@ -62,7 +62,7 @@
         Some(&member.region)
     }
 
-    pub fn view<'a>(&'a self, now: Micros, settings: &'a Terms) -> ClusterView<'a> {
+    pub fn view<'a>(&'a self, now: Micros, settings: &'a PlannerSettings) -> ClusterView<'a> {
         ClusterView {
             now,
             settings,
@@ -75,18 +75,18 @@
 /// A snapshot of the cluster at one time.
 pub(crate) struct ClusterView<'a> {
     pub now: Micros,
-    pub settings: &'a Terms,
+    pub settings: &'a PlannerSettings,
     members: &'a [Member],
-    workers: &'a [WorkerSeen],
+    workers: &'a [ObservedWorker],
 }
 
 impl ClusterView<'_> {
-    pub fn workers(&self) -> &[WorkerSeen] {
+    pub fn workers(&self) -> &[ObservedWorker] {
         self.workers
     }
 
-    pub fn workers_in<'a>(&'a self, region: &'a str) -> impl Iterator<Item = &'a WorkerSeen> {
-        let in_region = move |worker: &&WorkerSeen| *worker.region == *region;
+    pub fn workers_in<'a>(&'a self, region: &'a str) -> impl Iterator<Item = &'a ObservedWorker> {
+        let in_region = move |worker: &&ObservedWorker| *worker.region == *region;
         self.workers.iter().filter(in_region)
     }
 
@@ -100,8 +100,8 @@
     }
 
     /// The observation of this worker is recent enough to rely on.
-    pub fn is_fresh(&self, worker: &WorkerSeen) -> bool {
-        self.now.saturating_sub(worker.seen_at) <= self.settings.observation_lifetime
+    pub fn is_fresh(&self, worker: &ObservedWorker) -> bool {
+        self.now.saturating_sub(worker.observed_at) <= self.settings.observation_lifetime
     }
 
     pub fn all_fresh_in(&self, region: &str) -> bool {
@@ -119,7 +119,7 @@
     /// The member has been away for so long that it routes nothing any more.
     pub fn is_gone(&self, member: usize) -> bool {
         self.members.get(member).is_some_and(|member| {
-            !member.is_alive && self.now - member.changed_at >= self.settings.gone_after
+            !member.is_alive && self.now - member.changed_at >= self.settings.member_gone_after
         })
     }
 
--- a/crates/upgrade/src/events.rs
+++ b/crates/upgrade/src/events.rs
@@ -4,10 +4,10 @@
 use cedarpulley_membership::MemberIndex;
 
 use crate::Name;
-use crate::observed_state::WorkerSeen;
+use crate::observed_state::ObservedWorker;
 use crate::orders::Order;
-use crate::plan::{Ballot, GoesBy};
-use crate::version_comparison::Count;
+use crate::plan::{Ballot, RoutingRule};
+use crate::version_comparison::VersionCounters;
 
 /// A majority's answer to a request under a key.
 #[derive(Clone, Debug, PartialEq)]
@@ -38,24 +38,24 @@
     /// The members of the group; whenever they change.
     Members {
         /// This router's index.
-        me: MemberIndex,
+        own_index: MemberIndex,
         /// Whether each member is believed alive.
         alive: Vec<bool>,
         /// The region of each member, in the same order.
         regions: Vec<Name>,
     },
     /// All known workers; whenever one of them changes, and at least once a second.
-    Workers(Vec<WorkerSeen>),
+    Workers(Vec<ObservedWorker>),
     /// What a member (this one too) observed of the versions of a model. Shared among all members, whenever it changes.
-    Counted {
+    MemberReported {
         /// The member that observed it.
         member: MemberIndex,
         /// The model.
         model: Name,
         /// The step by which that member routes ([`Planner::goes_by`](crate::Planner::goes_by)).
-        goes_by: GoesBy,
+        rule: RoutingRule,
         /// Its counters.
-        counts: Vec<Count>,
+        counts: Vec<VersionCounters>,
     },
     /// The answer to [`Output::Lead`] or [`Output::Write`].
     Decided {
@@ -65,7 +65,7 @@
         outcome: Outcome,
     },
     /// The value that the shared state holds as accepted for a model: at start, and whenever it changes.
-    PlanHeard {
+    PlanReceived {
         /// The model.
         model: Name,
         /// The ballot under which it was accepted.
@@ -90,12 +90,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Ask a majority for leadership under this key.
-    Lead {
+    RequestLeadership {
         /// The key of the model's record.
         key: Name,
     },
     /// Propose a value to a majority.
-    Write {
+    Propose {
         /// The key of the model's record.
         key: Name,
         /// The ballot of this leader.
@@ -104,18 +104,18 @@
         value: Bytes,
     },
     /// Load a copy on a worker, or renew it there.
-    Want {
+    LoadCopy {
         /// The worker.
         worker: Name,
         /// The function to load.
         function: Name,
         /// A function whose invocations resemble those that this one will get.
-        like: Name,
+        similar: Name,
         /// The term of the leader that requests it.
         term: Name,
     },
     /// Unload idle copies from a worker.
-    Unwant {
+    UnloadCopies {
         /// The worker.
         worker: Name,
         /// The function to unload.
--- a/crates/upgrade/src/leadership.rs
+++ b/crates/upgrade/src/leadership.rs
@@ -12,7 +12,7 @@
 use crate::events::Output;
 use crate::plan::{Ballot, Plan, plan_key};
 use crate::rollout::ProposedStep;
-use crate::settings::Terms;
+use crate::settings::PlannerSettings;
 
 /// A clock may run faster or slower than another by one part in so many of a lease: far more than any does.
 const CLOCK_DRIFT_DIVISOR: Micros = 10;
@@ -88,7 +88,7 @@
     }
 
     /// Another member leads, or the majority cannot be reached: back off for a part of a lease.
-    pub fn back_off(&mut self, now: Micros, settings: &Terms) {
+    pub fn back_off(&mut self, now: Micros, settings: &PlannerSettings) {
         self.step_down(now.saturating_add(settings.lease / 2));
     }
 
@@ -99,7 +99,7 @@
         now: Micros,
         known_ballot: Ballot,
         has_work: bool,
-        settings: &Terms,
+        settings: &PlannerSettings,
     ) -> bool {
         if matches!(&self.role, Role::Leader(term) if known_ballot > term.ballot) {
             self.back_off(now, settings);
@@ -126,7 +126,7 @@
         now: Micros,
         ballot: Ballot,
         agreed: Option<Plan>,
-        settings: &Terms,
+        settings: &PlannerSettings,
     ) -> Micros {
         let wait =
             settings.lease + settings.lease / CLOCK_DRIFT_DIVISOR + settings.order_delivery_timeout;
@@ -200,7 +200,7 @@
     }
 
     /// What is left of the lease; 0 or less once it has run out.
-    pub fn lease_left(&self, now: Micros, settings: &Terms) -> Micros {
+    pub fn lease_left(&self, now: Micros, settings: &PlannerSettings) -> Micros {
         self.confirmed_at
             .map_or(0, |at| at.saturating_add(settings.lease) - now)
     }
@@ -214,7 +214,7 @@
         out: &mut Vec<Output>,
     ) {
         step.plan.proposed_by = self.ballot;
-        out.push(Output::Write {
+        out.push(Output::Propose {
             key: plan_key(model),
             ballot: self.ballot,
             value: step.plan.encode(),
--- a/crates/upgrade/src/lib.rs
+++ b/crates/upgrade/src/lib.rs
@@ -42,10 +42,12 @@
 pub type Name = Arc<str>;
 
 pub use events::{Input, Outcome, Output};
-pub use observed_state::{Held, WorkerSeen};
-pub use orders::{Asked, Order, OrderError};
-pub use plan::{Ballot, GoesBy, Phase, Plan, Region, Stage, function, model_of, plan_key};
+pub use observed_state::{FunctionCopies, ObservedWorker};
+pub use orders::{Order, OrderError, OrderLine};
+pub use plan::{
+    Ballot, Phase, Plan, Region, RoutingRule, Stage, function_name, model_of_key, plan_key,
+};
 pub use planner::{Claim, Planner, RouteChoice};
-pub use settings::Terms;
+pub use settings::PlannerSettings;
 pub use status::{PlanStatus, RegionStatus};
-pub use version_comparison::Count;
+pub use version_comparison::VersionCounters;
--- a/crates/upgrade/src/model_upgrade.rs
+++ b/crates/upgrade/src/model_upgrade.rs
@@ -9,11 +9,11 @@
 use crate::events::{Outcome, Output};
 use crate::leadership::Leadership;
 use crate::orders::Order;
-use crate::plan::{Ballot, GoesBy, Phase, Plan, Region, function, plan_key};
+use crate::plan::{Ballot, Phase, Plan, Region, RoutingRule, function_name, plan_key};
 use crate::rollout::{ProposedStep, RolloutExecutor, floor_lanes};
-use crate::settings::Terms;
+use crate::settings::PlannerSettings;
 use crate::status::{PlanStatus, RegionStatus};
-use crate::version_comparison::{Count, VersionComparison};
+use crate::version_comparison::{VersionComparison, VersionCounters};
 
 /// Why a plan waits is logged again only after so long, however often the reason changes.
 const WAIT_LOG_INTERVAL: Micros = 10_000_000;
@@ -40,7 +40,7 @@
 }
 
 impl ModelUpgrade {
-    pub fn new(now: Micros, settings: &Terms) -> ModelUpgrade {
+    pub fn new(now: Micros, settings: &PlannerSettings) -> ModelUpgrade {
         ModelUpgrade {
             ballot: Ballot::default(),
             plan: None,
@@ -65,10 +65,10 @@
     }
 
     /// By which step this router routes.
-    pub fn routing_rule(&self) -> Option<GoesBy> {
+    pub fn routing_rule(&self) -> Option<RoutingRule> {
         let step = self.plan.as_ref()?.step;
         let ballot = self.ballot;
-        Some(GoesBy { ballot, step })
+        Some(RoutingRule { ballot, step })
     }
 
     pub fn clear_orders(&mut self) {
@@ -80,7 +80,12 @@
     }
 
     /// What a member observed of the versions, and by which step it routes.
-    pub fn member_reported(&mut self, member: MemberIndex, rule: GoesBy, counts: Vec<Count>) {
+    pub fn member_reported(
+        &mut self,
+        member: MemberIndex,
+        rule: RoutingRule,
+        counts: Vec<VersionCounters>,
+    ) {
         self.executor.record_router(member, rule);
         let order = self.plan.as_ref().map(|plan| &plan.order);
         let (old, new) = order.map_or(("", ""), |order| (&*order.from, &*order.to));
@@ -93,14 +98,20 @@
         worker: &Name,
         function: &Name,
         ok: bool,
-        settings: &Terms,
+        settings: &PlannerSettings,
     ) {
         self.executor
             .load_ended(now, worker, function, ok, settings);
     }
 
     /// Takes in a plan that a majority accepted, unless a later one is known.
-    pub fn plan_received(&mut self, now: Micros, ballot: Ballot, plan: Plan, settings: &Terms) {
+    pub fn plan_received(
+        &mut self,
+        now: Micros,
+        ballot: Ballot,
+        plan: Plan,
+        settings: &PlannerSettings,
+    ) {
         let known = self.plan.as_ref().map(|known| (self.ballot, known.step));
         if known.is_some_and(|known| known >= (ballot, plan.step)) {
             return;
@@ -136,7 +147,7 @@
     }
 
     /// A member has to lead: something has to be begun, is under way, or its record has to be refreshed.
-    pub fn has_work(&self, now: Micros, settings: &Terms) -> bool {
+    pub fn has_work(&self, now: Micros, settings: &PlannerSettings) -> bool {
         match &self.plan {
             None => self.executor.has_orders_after(None),
             Some(plan) if plan.phase.is_over() => {
@@ -149,12 +160,12 @@
         }
     }
 
-    fn is_refresh_due(&self, now: Micros, settings: &Terms) -> bool {
+    fn is_refresh_due(&self, now: Micros, settings: &PlannerSettings) -> bool {
         now - self.plan_received_at >= settings.record_refresh_interval
     }
 
     /// When the record has to be refreshed; nothing without a plan.
-    pub fn refresh_at(&self, settings: &Terms) -> Option<Micros> {
+    pub fn refresh_at(&self, settings: &PlannerSettings) -> Option<Micros> {
         self.plan.as_ref()?;
         Some(
             self.plan_received_at
@@ -163,7 +174,7 @@
     }
 
     /// This member leads or has asked to, or has reason to ask.
-    pub fn is_active(&self, now: Micros, settings: &Terms) -> bool {
+    pub fn is_active(&self, now: Micros, settings: &PlannerSettings) -> bool {
         self.has_work(now, settings) || !self.leadership.is_follower()
     }
 
@@ -172,7 +183,7 @@
         &mut self,
         now: Micros,
         outcome: Outcome,
-        settings: &Terms,
+        settings: &PlannerSettings,
         out: &mut Vec<Output>,
     ) {
         match outcome {
@@ -221,7 +232,7 @@
                 .leadership
                 .update(view.now, self.ballot, has_work, view.settings)
             {
-                out.push(Output::Lead {
+                out.push(Output::RequestLeadership {
                     key: plan_key(model),
                 });
             }
@@ -332,7 +343,7 @@
     ) -> RegionStatus {
         let capacity = |version: &Name| {
             self.executor
-                .capacity(view, &region.name, &function(model, version))
+                .capacity(view, &region.name, &function_name(model, version))
         };
         let old = capacity(&plan.order.from);
         RegionStatus {
--- a/crates/upgrade/src/observed_state.rs
+++ b/crates/upgrade/src/observed_state.rs
@@ -7,26 +7,26 @@
 
 /// What a worker was last known to hold.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorkerSeen {
+pub struct ObservedWorker {
     /// Its name.
     pub name: Name,
     /// Its region.
     pub region: Name,
     /// It is on the endpoint list and accepts copies and invocations.
-    pub takes_new: bool,
+    pub accepts_copies: bool,
     /// The earliest time at which this observation was true, by this router's clock: when the worker was polled.
-    pub seen_at: Micros,
+    pub observed_at: Micros,
     /// Memory for copies; 0: unknown.
     pub memory_mb: u32,
     /// Memory that copies use.
     pub used_mb: u32,
     /// Its copies, by function.
-    pub holds: Vec<Held>,
+    pub copies: Vec<FunctionCopies>,
 }
 
 /// The copies of one function on a worker.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
+pub struct FunctionCopies {
     /// The function.
     pub function: Name,
     /// Warm copies.
@@ -34,7 +34,7 @@
     /// Lanes of all these copies together.
     pub lanes: u32,
     /// Lanes in use.
-    pub busy: u32,
+    pub busy_lanes: u32,
     /// A copy is being loaded.
     pub loading: bool,
     /// Active sessions whose prefix is cached here.
@@ -43,20 +43,20 @@
     pub copy_mb: u32,
 }
 
-impl WorkerSeen {
+impl ObservedWorker {
     /// The copies of a function, warm or loading.
-    pub(crate) fn copies_of(&self, function: &str) -> Option<&Held> {
-        self.holds.iter().find(|held| *held.function == *function)
+    pub(crate) fn copies_of(&self, function: &str) -> Option<&FunctionCopies> {
+        self.copies.iter().find(|held| *held.function == *function)
     }
 
     /// The copies of a function if any is warm.
-    pub(crate) fn warm_copies_of(&self, function: &str) -> Option<&Held> {
+    pub(crate) fn warm_copies_of(&self, function: &str) -> Option<&FunctionCopies> {
         self.copies_of(function).filter(|held| held.copies > 0)
     }
 
     /// Whether a copy of any function is being loaded.
     pub(crate) fn is_loading(&self) -> bool {
-        self.holds.iter().any(|held| held.loading)
+        self.copies.iter().any(|held| held.loading)
     }
 
     /// Whether a copy of this size fits; true where the worker's memory is unknown.
--- a/crates/upgrade/src/orders.rs
+++ b/crates/upgrade/src/orders.rs
@@ -1,4 +1,4 @@
-//! What an operator wants: an [`Asked`] is a line of the file as written, an [`Order`] is one that can be carried out
+//! What an operator wants: an [`OrderLine`] is a line of the file as written, an [`Order`] is one that can be carried out
 //! ([`Order::try_from`]).
 
 use cedarpulley::interface::Micros;
@@ -8,19 +8,19 @@
 use crate::Name;
 
 /// Most orders in a file: an operator has a few dozen models under way at most.
-pub const MOST_ORDERS: usize = 256;
+pub const MAX_ORDERS: usize = 256;
 /// Longest name, in bytes: names stand in records that all members store.
 pub const MAX_NAME_BYTES: usize = 200;
 /// Most canaries: more than a worker each in any region is no canary any more.
 pub const MAX_CANARIES: u32 = 64;
 /// Longest drain limit, a day: sessions that last longer are not waited for.
-pub const MOST_DRAIN_MS: u64 = 86_400_000;
+pub const MAX_DRAIN_MS: u64 = 86_400_000;
 const MICROS_PER_MS: Micros = 1_000;
 
 /// One order as the file has it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Asked {
+pub struct OrderLine {
     /// The model.
     pub model: String,
     /// The old version. Empty: the copies without a version.
@@ -108,7 +108,7 @@
     #[error("order {0}: the drain limit is longer than a day")]
     DrainLimit(u64),
     /// Too many orders in the file.
-    #[error("there are more orders than {MOST_ORDERS}")]
+    #[error("there are more orders than {MAX_ORDERS}")]
     TooManyOrders,
     /// Two orders for this model with this serial.
     #[error("two orders for model '{0}' have the serial {1}")]
@@ -146,10 +146,10 @@
         .then(|| (share * 1000.0).round() as u16)
 }
 
-impl TryFrom<Asked> for Order {
+impl TryFrom<OrderLine> for Order {
     type Error = OrderError;
 
-    fn try_from(line: Asked) -> Result<Order, OrderError> {
+    fn try_from(line: OrderLine) -> Result<Order, OrderError> {
         if !is_valid_name(&line.model) {
             return Err(OrderError::ModelName(line.serial));
         }
@@ -162,7 +162,7 @@
         if line.canary == 0 || line.canary > MAX_CANARIES {
             return Err(OrderError::CanaryCount(line.serial));
         }
-        if line.drain_limit_ms > MOST_DRAIN_MS {
+        if line.drain_limit_ms > MAX_DRAIN_MS {
             return Err(OrderError::DrainLimit(line.serial));
         }
         let (Some(canary_part), Some(floor)) =
@@ -186,8 +186,8 @@
 }
 
 /// All orders of a file, or the error of the first one that is rejected.
-pub fn all(lines: Vec<Asked>) -> Result<Vec<Order>, OrderError> {
-    if lines.len() > MOST_ORDERS {
+pub fn parse_orders(lines: Vec<OrderLine>) -> Result<Vec<Order>, OrderError> {
+    if lines.len() > MAX_ORDERS {
         return Err(OrderError::TooManyOrders);
     }
     let orders: Vec<Order> = lines
--- a/crates/upgrade/src/plan.rs
+++ b/crates/upgrade/src/plan.rs
@@ -25,12 +25,12 @@
 }
 
 /// The model whose record has this key.
-pub fn model_of(key: &str) -> Option<&str> {
+pub fn model_of_key(key: &str) -> Option<&str> {
     key.strip_prefix(KEY_PREFIX)
 }
 
 /// The name under which a version's copies are loaded and called.
-pub fn function(model: &str, version: &str) -> Name {
+pub fn function_name(model: &str, version: &str) -> Name {
     if version.is_empty() {
         Name::from(model)
     } else {
@@ -62,7 +62,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub struct GoesBy {
+pub struct RoutingRule {
     /// The ballot of the step's leader.
     pub ballot: Ballot,
     /// The number of the step.
@@ -82,20 +82,20 @@
     Paused,
     /// It is being rolled back.
     #[serde(rename = "Back")]
-    Back,
+    RollingBack,
     /// All regions have the new version.
     Done,
     /// All regions have the old version again.
     RolledBack,
     /// Cancelled before anything was done, with the reason.
     #[serde(rename = "Ended")]
-    Ended,
+    Cancelled,
 }
 
 impl Phase {
     /// Nothing more comes of it.
     pub fn is_over(self) -> bool {
-        matches!(self, Phase::Done | Phase::RolledBack | Phase::Ended)
+        matches!(self, Phase::Done | Phase::RolledBack | Phase::Cancelled)
     }
 }
 
@@ -104,7 +104,7 @@
 pub enum Stage {
     /// Nothing was done yet.
     #[serde(rename = "Before")]
-    Before,
+    Pending,
     /// Copies of the incoming version are loaded.
     Loading,
     /// New work is routed to the incoming version; the outgoing one's sessions end.
@@ -209,7 +209,10 @@
 
     /// It is being undone, or was.
     pub fn is_rolling_back(&self) -> bool {
-        matches!(self.phase, Phase::Back | Phase::RolledBack | Phase::Ended)
+        matches!(
+            self.phase,
+            Phase::RollingBack | Phase::RolledBack | Phase::Cancelled
+        )
     }
 
     /// The outgoing and the incoming version.
@@ -251,13 +254,15 @@
 
     /// What comes after this step, for an operator.
     pub fn next_action(&self) -> String {
-        let is_current = |region: &&Region| !matches!(region.stage, Stage::Before | Stage::Done);
+        let is_current = |region: &&Region| !matches!(region.stage, Stage::Pending | Stage::Done);
         let current = self.regions.iter().find(is_current);
         match (self.phase, current) {
             (Phase::Waiting, _) => "loads canaries".into(),
             (Phase::Canary, _) => "the first region, or back".into(),
             (Phase::Paused, _) => "goes on, or back".into(),
-            (Phase::Rolling | Phase::Back, Some(region)) if region.stage == Stage::Loading => {
+            (Phase::Rolling | Phase::RollingBack, Some(region))
+                if region.stage == Stage::Loading =>
+            {
                 format!(
                     "sends what begins in {} to the copies that have come",
                     region.name
@@ -270,10 +275,10 @@
                 ),
                 None => format!("lets old copies in {} go, then is done", region.name),
             },
-            (Phase::Back, Some(region)) => format!("lets new copies in {} go", region.name),
+            (Phase::RollingBack, Some(region)) => format!("lets new copies in {} go", region.name),
             (Phase::Rolling, None) => "the next region, or the end".into(),
-            (Phase::Back, None) => "the end".into(),
-            (Phase::Done | Phase::RolledBack | Phase::Ended, _) => match self.queued.first() {
+            (Phase::RollingBack, None) => "the end".into(),
+            (Phase::Done | Phase::RolledBack | Phase::Cancelled, _) => match self.queued.first() {
                 Some(order) => format!("order {}", order.serial),
                 None => String::new(),
             },
@@ -283,7 +288,7 @@
     fn untouched_region_beside(&self, region: &Region) -> Option<&Region> {
         self.regions
             .iter()
-            .find(|other| other.stage == Stage::Before && other.name != region.name)
+            .find(|other| other.stage == Stage::Pending && other.name != region.name)
     }
 
     /// The version that new work is routed to. `draw`: random, or the same for what has to stay together.
--- a/crates/upgrade/src/planner.rs
+++ b/crates/upgrade/src/planner.rs
@@ -10,8 +10,8 @@
 use crate::events::{Input, Output};
 use crate::model_upgrade::ModelUpgrade;
 use crate::orders::Order;
-use crate::plan::{GoesBy, Plan, function, model_of};
-use crate::settings::Terms;
+use crate::plan::{Plan, RoutingRule, function_name, model_of_key};
+use crate::settings::PlannerSettings;
 use crate::status::PlanStatus;
 
 /// Models with an order or a plan; each costs a majority's round for every lease.
@@ -38,7 +38,7 @@
 /// The upgrades of all models, as one router takes part in them.
 #[derive(Clone, Debug)]
 pub struct Planner {
-    settings: Terms,
+    settings: PlannerSettings,
     cluster: ClusterState,
     models: BTreeMap<Name, ModelUpgrade>,
     /// The time of the last event.
@@ -47,7 +47,7 @@
 
 impl Planner {
     /// A planner that knows of no worker and no plan.
-    pub fn new(settings: Terms) -> Planner {
+    pub fn new(settings: PlannerSettings) -> Planner {
         Planner {
             settings,
             cluster: ClusterState::default(),
@@ -60,27 +60,31 @@
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Orders(orders) => self.set_orders(now, orders),
-            Input::Members { me, alive, regions } => {
-                self.cluster.set_members(now, me, alive, regions);
+            Input::Members {
+                own_index,
+                alive,
+                regions,
+            } => {
+                self.cluster.set_members(now, own_index, alive, regions);
             }
             Input::Workers(workers) => self.cluster.set_workers(workers),
-            Input::Counted {
+            Input::MemberReported {
                 member,
                 model,
-                goes_by,
+                rule,
                 counts,
             } => {
                 if let Some(upgrade) = self.upgrade_of(now, &model) {
-                    upgrade.member_reported(member, goes_by, counts);
+                    upgrade.member_reported(member, rule, counts);
                 }
             }
             Input::Decided { key, outcome } => {
-                let upgrade = model_of(&key).and_then(|model| self.models.get_mut(model));
+                let upgrade = model_of_key(&key).and_then(|model| self.models.get_mut(model));
                 if let Some(upgrade) = upgrade {
                     upgrade.decided(now, outcome, &self.settings, out);
                 }
             }
-            Input::PlanHeard {
+            Input::PlanReceived {
                 model,
                 ballot,
                 bytes,
@@ -150,7 +154,7 @@
     }
 
     /// The settings it was made with.
-    pub fn terms(&self) -> &Terms {
+    pub fn settings(&self) -> &PlannerSettings {
         &self.settings
     }
 
@@ -165,7 +169,7 @@
     }
 
     /// By which step this router routes, for [`Input::Counted`].
-    pub fn goes_by(&self, model: &str) -> GoesBy {
+    pub fn routing_rule(&self, model: &str) -> RoutingRule {
         let upgrade = self.models.get(model);
         upgrade
             .and_then(ModelUpgrade::routing_rule)
@@ -174,7 +178,7 @@
 
     /// Where new work that names no version is routed; absent: there is no plan, it is left unchanged. `draw`: a random
     /// number of the whole range.
-    pub fn goes_to(
+    pub fn route(
         &self,
         model: &str,
         region: &str,
@@ -183,20 +187,26 @@
     ) -> Option<RouteChoice> {
         let version = self.plan(model)?.version_for(region, draw, session);
         Some(RouteChoice {
-            function: function(model, version),
+            function: function_name(model, version),
             version: version.clone(),
         })
     }
 
     /// A majority has to bind a session to a version before its first dispatch from here. Once all routers know that a
     /// plan is over, only sessions that do not begin need it: they may have begun while the plan was under way.
-    pub fn wants_binding(&self, model: &str, begins: bool) -> bool {
+    pub fn needs_binding(&self, model: &str, begins: bool) -> bool {
         self.plan(model)
             .is_some_and(|plan| !plan.settled || !begins)
     }
 
     /// The version to propose for a session: one that does not begin and has no record was there before the plan.
-    pub fn proposes(&self, model: &str, region: &str, draw: u64, begins: bool) -> Option<Name> {
+    pub fn version_to_propose(
+        &self,
+        model: &str,
+        region: &str,
+        draw: u64,
+        begins: bool,
+    ) -> Option<Name> {
         let plan = self.plan(model)?;
         let version = if begins || plan.phase.is_over() {
             plan.version_for(region, draw, true)
@@ -207,7 +217,7 @@
     }
 
     /// Copies of this version are unloaded in this member's region, whoever uses them.
-    pub fn over(&self, model: &str, version: &str) -> bool {
+    pub fn copies_evicted(&self, model: &str, version: &str) -> bool {
         let Some(plan) = self.plan(model) else {
             return false;
         };
@@ -220,7 +230,7 @@
     /// Sessions of this version are answered that they are over, as no region keeps copies for them any more. Symptom
     /// otherwise: routers take from one queue and dispatch to all regions; sessions that had begun a moment ago where the
     /// version was still in service ended when a router of a region past its limit got a request, or a worker there.
-    pub fn sessions_over(&self, model: &str, version: &str) -> bool {
+    pub fn sessions_ended(&self, model: &str, version: &str) -> bool {
         let Some(plan) = self.plan(model) else {
             return false;
         };
@@ -236,7 +246,7 @@
             let (outgoing, incoming) = plan.versions();
             let outgoing = Some(outgoing).filter(|_| !plan.phase.is_over());
             claims.extend([incoming].into_iter().chain(outgoing).map(|version| Claim {
-                function: function(model, version),
+                function: function_name(model, version),
                 term: Some(upgrade.term()),
             }));
         }
@@ -244,7 +254,7 @@
     }
 
     /// All plans, for `GET /state`.
-    pub fn shown(&self) -> Vec<PlanStatus> {
+    pub fn status(&self) -> Vec<PlanStatus> {
         let view = self.cluster.view(self.now, &self.settings);
         self.models
             .iter()
--- a/crates/upgrade/src/rollout/assessment.rs
+++ b/crates/upgrade/src/rollout/assessment.rs
@@ -5,8 +5,8 @@
 use super::unloads::PendingUnloads;
 use crate::Name;
 use crate::cluster_state::ClusterView;
-use crate::observed_state::WorkerSeen;
-use crate::plan::{Phase, Plan, Region, Stage, WHOLE, function};
+use crate::observed_state::ObservedWorker;
+use crate::plan::{Phase, Plan, Region, Stage, WHOLE, function_name};
 
 /// An unload may be declined for a copy that is called by its version's name; after so many attempts it stays.
 const MAX_UNLOAD_ATTEMPTS: u32 = 5;
@@ -40,7 +40,7 @@
             capacity.copies += held.copies;
             capacity.sessions += held.sessions;
             let is_going = unloads.is_pending(worker, function, view.settings);
-            if view.is_fresh(worker) && worker.takes_new && !is_going {
+            if view.is_fresh(worker) && worker.accepts_copies && !is_going {
                 capacity.lanes += held.lanes;
             }
         }
@@ -72,7 +72,7 @@
 
 /// A copy that can make room for an incoming one.
 pub(super) struct DisplaceableCopy<'a> {
-    pub worker: &'a WorkerSeen,
+    pub worker: &'a ObservedWorker,
     pub lanes: u32,
 }
 
@@ -99,7 +99,7 @@
         unloads: &'a PendingUnloads,
     ) -> RegionAssessment<'a> {
         let version = |version: &Name| {
-            let function = function(&plan.order.model, version);
+            let function = function_name(&plan.order.model, version);
             let capacity = VersionCapacity::observe(view, unloads, &region.name, &function);
             RegionVersion { function, capacity }
         };
@@ -127,7 +127,7 @@
         }
     }
 
-    pub fn is_being_unloaded(&self, worker: &WorkerSeen, function: &Name) -> bool {
+    pub fn is_being_unloaded(&self, worker: &ObservedWorker, function: &Name) -> bool {
         self.unloads
             .is_pending(worker, function, self.view.settings)
     }
@@ -159,8 +159,8 @@
                 || self.is_being_unloaded(worker, outgoing)
                 || worker.copies_of(incoming).is_some_and(|held| held.loading)
         });
-        let may_fit = |worker: &WorkerSeen| {
-            worker.takes_new
+        let may_fit = |worker: &ObservedWorker| {
+            worker.accepts_copies
                 && worker.copies_of(incoming).is_none()
                 && !self.loads.is_failing(self.view.now, &worker.name)
                 && (!self.view.is_fresh(worker) || worker.has_memory_for(mb))
@@ -175,11 +175,13 @@
         let (view, region) = (self.view, self.region);
         let candidates = view
             .workers_in(&region.name)
-            .filter(|worker| view.is_fresh(worker) && worker.takes_new)
+            .filter(|worker| view.is_fresh(worker) && worker.accepts_copies)
             .filter_map(|worker| {
                 let held = worker
                     .warm_copies_of(&self.outgoing.function)
-                    .filter(|held| held.busy == 0 && (displace_sessions || held.sessions == 0))?;
+                    .filter(|held| {
+                        held.busy_lanes == 0 && (displace_sessions || held.sessions == 0)
+                    })?;
                 let retained_mb = worker.used_mb.saturating_sub(held.copies * held.copy_mb);
                 let fits = worker.memory_mb.saturating_sub(retained_mb) >= mb
                     && worker.copies_of(&self.incoming.function).is_none();
@@ -229,7 +231,7 @@
                 plan.order.canary * lanes_per_copy
             }
             (Phase::Rolling, Stage::Loading | Stage::Draining | Stage::Done) => region.base_lanes,
-            (Phase::Back, Stage::Loading | Stage::Draining) => region.base_lanes,
+            (Phase::RollingBack, Stage::Loading | Stage::Draining) => region.base_lanes,
             (_, _) if self.incoming_share == WHOLE => self.floor_lanes,
             _ => 0,
         };
--- a/crates/upgrade/src/rollout/canary.rs
+++ b/crates/upgrade/src/rollout/canary.rs
@@ -73,9 +73,9 @@
         let compared = self.comparison.compared;
         let enough = compared >= MIN_COMPARED;
         let are_good = enough
-            && age >= settings.canary_least
+            && age >= settings.canary_min_time
             && self.comparison.verdict == Verdict::Equivalent;
-        if age < settings.canary_most && !are_good {
+        if age < settings.canary_max_time && !are_good {
             self.wait.note(format!(
                 "{compared} of {MIN_COMPARED} invocations of the canaries were compared"
             ));
@@ -103,7 +103,7 @@
             }
             Verdict::Equivalent => {
                 let mut regions = plan.regions.iter();
-                let has_begun = regions.any(|region| region.stage != Stage::Before);
+                let has_begun = regions.any(|region| region.stage != Stage::Pending);
                 self.next.phase = if has_begun {
                     Phase::Rolling
                 } else {
@@ -114,7 +114,7 @@
             }
             _ => {}
         }
-        if self.context.timing.phase_age(view.now) >= view.settings.paused_most {
+        if self.context.timing.phase_age(view.now) >= view.settings.pause_limit {
             return Some(self.roll_back("the new version stayed later".into()));
         }
         self.wait
--- a/crates/upgrade/src/rollout/copies.rs
+++ b/crates/upgrade/src/rollout/copies.rs
@@ -12,9 +12,9 @@
 use crate::Name;
 use crate::cluster_state::ClusterView;
 use crate::events::Output;
-use crate::observed_state::WorkerSeen;
+use crate::observed_state::ObservedWorker;
 use crate::plan::{Ballot, Phase, Plan, Region, Stage};
-use crate::settings::Terms;
+use crate::settings::PlannerSettings;
 
 #[derive(Clone, Debug)]
 pub(super) struct CopyController {
@@ -25,7 +25,7 @@
 }
 
 impl CopyController {
-    pub fn new(settings: &Terms) -> CopyController {
+    pub fn new(settings: &PlannerSettings) -> CopyController {
         CopyController {
             loads: PendingLoads::new(settings),
             unloads: PendingUnloads::default(),
@@ -45,7 +45,7 @@
         worker: &Name,
         function: &Name,
         ok: bool,
-        settings: &Terms,
+        settings: &PlannerSettings,
     ) {
         self.loads.ended(now, worker, function, ok, settings);
     }
@@ -142,10 +142,10 @@
         region: &'a str,
         target: &LoadTarget,
         mb: u32,
-    ) -> Option<&'a WorkerSeen> {
-        let can_load = |worker: &&WorkerSeen| {
+    ) -> Option<&'a ObservedWorker> {
+        let can_load = |worker: &&ObservedWorker| {
             view.is_fresh(worker)
-                && worker.takes_new
+                && worker.accepts_copies
                 && worker.copies_of(&target.function).is_none()
                 && !worker.is_loading()
                 && worker.has_memory_for(mb)
@@ -177,7 +177,7 @@
                 .into_iter()
                 .collect()
         }
-        Stage::Before
+        Stage::Pending
             if assessment.missing_incoming_lanes() > 0 && assessment.incoming_share == 0 =>
         {
             worker_to_displace(context, assessment, wait)
@@ -202,11 +202,11 @@
     if !region.drain_limit_passed && !is_unused {
         return Vec::new();
     }
-    let is_idle = |worker: &&WorkerSeen| {
+    let is_idle = |worker: &&ObservedWorker| {
         view.is_fresh(worker)
             && worker
                 .warm_copies_of(&outgoing.function)
-                .is_some_and(|held| held.busy == 0)
+                .is_some_and(|held| held.busy_lanes == 0)
             && !assessment.is_being_unloaded(worker, &outgoing.function)
     };
     view.workers_in(&region.name)
@@ -256,16 +256,16 @@
     similar: &Name,
     ballot: Ballot,
 ) -> Output {
-    Output::Want {
+    Output::LoadCopy {
         worker: worker.clone(),
         function: function.clone(),
-        like: similar.clone(),
+        similar: similar.clone(),
         term: ballot.term(),
     }
 }
 
 fn unload_request(worker: &Name, function: &Name, ballot: Ballot) -> Output {
-    Output::Unwant {
+    Output::UnloadCopies {
         worker: worker.clone(),
         function: function.clone(),
         term: ballot.term(),
--- a/crates/upgrade/src/rollout/first_plan.rs
+++ b/crates/upgrade/src/rollout/first_plan.rs
@@ -6,7 +6,7 @@
 use crate::Name;
 use crate::cluster_state::ClusterView;
 use crate::orders::Order;
-use crate::plan::{Ballot, Phase, Plan, Region, Stage, function};
+use crate::plan::{Ballot, Phase, Plan, Region, Stage, function_name};
 
 /// The plan for the order that comes next; nothing if there is none. The error is the reason why it has to wait.
 pub(super) fn first_plan(
@@ -76,12 +76,12 @@
     name: Name,
     step: u64,
 ) -> Region {
-    let old_function = function(&order.model, &order.from);
+    let old_function = function_name(&order.model, &order.from);
     Region {
         base_lanes: copies.capacity(view, &name, &old_function).lanes,
         name,
         new_share: 0,
-        stage: Stage::Before,
+        stage: Stage::Pending,
         drain_limit_passed: false,
         routing_step: step,
     }
--- a/crates/upgrade/src/rollout/loads.rs
+++ b/crates/upgrade/src/rollout/loads.rs
@@ -13,8 +13,8 @@
 
 use crate::Name;
 use crate::cluster_state::ClusterView;
-use crate::observed_state::WorkerSeen;
-use crate::settings::Terms;
+use crate::observed_state::ObservedWorker;
+use crate::settings::PlannerSettings;
 
 /// A load is slow if it takes this many times as long as usual: loads of one function are alike, so it is the store or
 /// the worker.
@@ -53,9 +53,9 @@
 }
 
 impl PendingLoads {
-    pub fn new(settings: &Terms) -> PendingLoads {
+    pub fn new(settings: &PlannerSettings) -> PendingLoads {
         PendingLoads {
-            extra_loads: settings.loads_at_once.saturating_sub(1),
+            extra_loads: settings.concurrent_loads.saturating_sub(1),
             ..PendingLoads::default()
         }
     }
@@ -114,7 +114,7 @@
         worker: &Name,
         function: &Name,
         ok: bool,
-        settings: &Terms,
+        settings: &PlannerSettings,
     ) {
         let Some(load) = self.loads.get_mut(&(worker.clone(), function.clone())) else {
             return;
@@ -128,7 +128,7 @@
         }
     }
 
-    fn succeeded(&mut self, worker: &Name, duration: Micros, settings: &Terms) {
+    fn succeeded(&mut self, worker: &Name, duration: Micros, settings: &PlannerSettings) {
         self.backoffs.remove(worker);
         self.failures_in_a_row = 0;
         let usual = *self.usual_duration.get_or_insert(duration);
@@ -139,18 +139,19 @@
         }
         if self.good_loads >= GOOD_LOADS_TO_GROW {
             self.good_loads = 0;
-            self.extra_loads = (self.extra_loads + 1).min(settings.loads_at_once.saturating_sub(1));
+            self.extra_loads =
+                (self.extra_loads + 1).min(settings.concurrent_loads.saturating_sub(1));
         }
         self.usual_duration = Some(usual + (duration - usual) / DURATION_WEIGHT_DIVISOR);
     }
 
-    fn failed(&mut self, now: Micros, worker: &Name, function: &Name, settings: &Terms) {
+    fn failed(&mut self, now: Micros, worker: &Name, function: &Name, settings: &PlannerSettings) {
         self.loads.remove(&(worker.clone(), function.clone()));
         self.load_one_at_a_time();
         self.failures_in_a_row = self.failures_in_a_row.saturating_add(1);
         let backoff = self.backoffs.entry(worker.clone()).or_default();
         let doublings = backoff.failures.min(MAX_BACKOFF_DOUBLINGS);
-        backoff.until = now.saturating_add(settings.hold_back << doublings);
+        backoff.until = now.saturating_add(settings.load_backoff << doublings);
         backoff.failures += 1;
     }
 
@@ -178,7 +179,7 @@
     fn observe_load(
         &mut self,
         view: &ClusterView,
-        worker: &WorkerSeen,
+        worker: &ObservedWorker,
         function: &Name,
         load: Load,
     ) {
@@ -187,17 +188,17 @@
         let delivered_by = load.since.saturating_add(settings.order_delivery_timeout);
         let is_loading = worker.copies_of(function).is_some_and(|held| held.loading);
         let is_slow = |usual: Micros| now - load.since > usual.saturating_mul(SLOW_FACTOR);
-        if worker.warm_copies_of(function).is_some() && worker.seen_at > load.since {
+        if worker.warm_copies_of(function).is_some() && worker.observed_at > load.since {
             self.loads.remove(&copy);
             if load.ended.is_none() {
-                self.succeeded(&worker.name, worker.seen_at - load.since, settings);
+                self.succeeded(&worker.name, worker.observed_at - load.since, settings);
             }
-        } else if worker.seen_at > delivered_by && !is_loading {
+        } else if worker.observed_at > delivered_by && !is_loading {
             self.loads.remove(&copy);
             let backoff = self.backoffs.entry(copy.0).or_default();
             let retry_at = now.saturating_add(settings.order_delivery_timeout);
             backoff.until = backoff.until.max(retry_at);
-        } else if now > load.since.saturating_add(settings.load_within) {
+        } else if now > load.since.saturating_add(settings.load_timeout) {
             self.failed(now, &worker.name, function, settings);
         } else if self.usual_duration.is_some_and(is_slow) {
             self.load_one_at_a_time();
--- a/crates/upgrade/src/rollout/mod.rs
+++ b/crates/upgrade/src/rollout/mod.rs
@@ -42,8 +42,8 @@
 use crate::cluster_state::ClusterView;
 use crate::events::Output;
 use crate::orders::Order;
-use crate::plan::{Ballot, GoesBy, Phase, Plan};
-use crate::settings::Terms;
+use crate::plan::{Ballot, Phase, Plan, RoutingRule};
+use crate::settings::PlannerSettings;
 use crate::version_comparison::ComparisonSummary;
 pub(crate) use assessment::{VersionCapacity, floor_lanes};
 use copies::CopyController;
@@ -91,7 +91,7 @@
 }
 
 impl RolloutExecutor {
-    pub fn new(settings: &Terms) -> RolloutExecutor {
+    pub fn new(settings: &PlannerSettings) -> RolloutExecutor {
         RolloutExecutor {
             orders: OrderFile::default(),
             routers: RouterProgress::default(),
@@ -102,7 +102,7 @@
     }
 
     /// Another plan has begun: only the orders and the progress of the routers remain.
-    pub fn reset(&mut self, now: Micros, settings: &Terms) {
+    pub fn reset(&mut self, now: Micros, settings: &PlannerSettings) {
         self.timing = RolloutTiming::default();
         self.timing.phase_changed(now);
         self.copies = CopyController::new(settings);
@@ -125,7 +125,7 @@
         }
     }
 
-    pub fn record_router(&mut self, member: MemberIndex, rule: GoesBy) {
+    pub fn record_router(&mut self, member: MemberIndex, rule: RoutingRule) {
         self.routers.record(member, rule);
     }
 
@@ -148,7 +148,7 @@
         worker: &Name,
         function: &Name,
         ok: bool,
-        settings: &Terms,
+        settings: &PlannerSettings,
     ) {
         self.copies.load_ended(now, worker, function, ok, settings);
     }
--- a/crates/upgrade/src/rollout/regions.rs
+++ b/crates/upgrade/src/rollout/regions.rs
@@ -30,7 +30,7 @@
             return Some(self.complete());
         };
         let region = &plan.regions[first];
-        if region.stage == Stage::Before {
+        if region.stage == Stage::Pending {
             if view.is_unreachable(&region.name) {
                 self.wait.note(format!("region {} is cut off", region.name));
                 return None;
@@ -68,7 +68,7 @@
         match region.stage {
             Stage::Loading => self.advance_loading(index, &assessment),
             Stage::Draining => self.advance_draining(index, &assessment),
-            Stage::Before | Stage::Done => None,
+            Stage::Pending | Stage::Done => None,
         }
     }
 
--- a/crates/upgrade/src/rollout/renewals.rs
+++ b/crates/upgrade/src/rollout/renewals.rs
@@ -9,7 +9,7 @@
 use super::copies::load_request;
 use crate::Name;
 use crate::events::Output;
-use crate::observed_state::{Held, WorkerSeen};
+use crate::observed_state::{FunctionCopies, ObservedWorker};
 use crate::plan::{Ballot, Phase, Stage, WHOLE};
 
 /// When each copy was last renewed, by worker and function.
@@ -45,9 +45,9 @@
     ) {
         let view = region.view;
         let mut wanted_lanes = wanted_lanes(region, function);
-        let mut copies: Vec<(&WorkerSeen, &Held)> = view
+        let mut copies: Vec<(&ObservedWorker, &FunctionCopies)> = view
             .workers_in(&region.region.name)
-            .filter(|worker| view.is_fresh(worker) && worker.takes_new)
+            .filter(|worker| view.is_fresh(worker) && worker.accepts_copies)
             .filter_map(|worker| Some((worker, worker.warm_copies_of(function)?)))
             .collect();
         copies.sort_by_key(|(_, held)| Reverse(held.sessions));
@@ -77,7 +77,7 @@
     let gets_new_work = if *function == assessment.outgoing.function {
         assessment.incoming_share < WHOLE
     } else {
-        region.stage != Stage::Before || assessment.incoming_share > 0
+        region.stage != Stage::Pending || assessment.incoming_share > 0
     };
     // While paused, nobody knows yet which version will be needed.
     let is_needed =
--- a/crates/upgrade/src/rollout/router_progress.rs
+++ b/crates/upgrade/src/rollout/router_progress.rs
@@ -6,21 +6,21 @@
 
 use super::RolloutContext;
 use super::wait_reason::WaitReason;
-use crate::plan::{GoesBy, Region};
+use crate::plan::{Region, RoutingRule};
 
 /// The routing rule that each member reported last.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RouterProgress {
-    rules: BTreeMap<MemberIndex, GoesBy>,
+    rules: BTreeMap<MemberIndex, RoutingRule>,
 }
 
 impl RouterProgress {
-    pub fn record(&mut self, member: MemberIndex, rule: GoesBy) {
+    pub fn record(&mut self, member: MemberIndex, rule: RoutingRule) {
         self.rules.insert(member, rule);
     }
 
     /// The member routes by this rule or a later one.
-    fn has_reached(&self, member: usize, rule: GoesBy) -> bool {
+    fn has_reached(&self, member: usize, rule: RoutingRule) -> bool {
         self.rules
             .get(&(member as MemberIndex))
             .is_some_and(|known| *known >= rule)
@@ -31,7 +31,7 @@
     /// All routers of the region route by a step of this leader that has the last change of routing there. A member that
     /// is away for long routes nothing any more.
     pub(super) fn routers_follow(&self, region: &Region, wait: &mut WaitReason) -> bool {
-        let wanted = GoesBy {
+        let wanted = RoutingRule {
             ballot: self.ballot,
             step: region.routing_step,
         };
@@ -49,7 +49,7 @@
 
     /// Every router of the group routes by this step of this leader or a later one.
     pub(super) fn all_routers_follow(&self, step: u64, wait: &mut WaitReason) -> bool {
-        let wanted = GoesBy {
+        let wanted = RoutingRule {
             ballot: self.ballot,
             step,
         };
--- a/crates/upgrade/src/rollout/steps.rs
+++ b/crates/upgrade/src/rollout/steps.rs
@@ -79,8 +79,8 @@
                 .react_to_regression()
                 .or_else(|| self.advance_regions()),
             Phase::Paused => self.resume_or_roll_back(),
-            Phase::Back => self.advance_regions(),
-            Phase::Done | Phase::RolledBack | Phase::Ended => None,
+            Phase::RollingBack => self.advance_regions(),
+            Phase::Done | Phase::RolledBack | Phase::Cancelled => None,
         }
     }
 
@@ -144,13 +144,13 @@
         let next = &mut self.next;
         next.reason = reason;
         if before.phase == Phase::Waiting {
-            next.phase = Phase::Ended;
+            next.phase = Phase::Cancelled;
             return format!("ended before it began: {}", next.reason);
         }
-        next.phase = Phase::Back;
+        next.phase = Phase::RollingBack;
         for (region, was) in next.regions.iter_mut().zip(&before.regions) {
             let assessment = self.copies.assess(self.context.view, &before, was);
-            let is_untouched = was.stage == Stage::Before
+            let is_untouched = was.stage == Stage::Pending
                 && was.new_share == 0
                 && assessment.incoming.capacity.copies == 0;
             let old_lanes_suffice = was.new_share == 0
@@ -202,11 +202,12 @@
 
     fn reason_not_to_start(&self) -> Option<String> {
         let (plan, view) = (self.context.plan, self.context.view);
-        if self.context.timing.phase_age(view.now) < view.settings.shown_for {
+        if self.context.timing.phase_age(view.now) < view.settings.announcement_time {
             return Some("it is shown before it begins".into());
         }
         let mut workers = view.workers().iter();
-        if let Some(stale) = workers.find(|worker| worker.takes_new && !view.is_fresh(worker)) {
+        if let Some(stale) = workers.find(|worker| worker.accepts_copies && !view.is_fresh(worker))
+        {
             return Some(format!("worker {} was not seen for a while", stale.name));
         }
         let mut regions = plan.regions.iter();
--- a/crates/upgrade/src/rollout/timing.rs
+++ b/crates/upgrade/src/rollout/timing.rs
@@ -48,6 +48,6 @@
         let began = self.region_since(view.now, region).max(self.leading_since);
         let after = began.saturating_add(view.settings.order_delivery_timeout);
         view.workers_in(region)
-            .all(|worker| !worker.takes_new || worker.seen_at > after)
+            .all(|worker| !worker.accepts_copies || worker.observed_at > after)
     }
 }
--- a/crates/upgrade/src/rollout/unloads.rs
+++ b/crates/upgrade/src/rollout/unloads.rs
@@ -7,8 +7,8 @@
 
 use crate::Name;
 use crate::cluster_state::ClusterView;
-use crate::observed_state::WorkerSeen;
-use crate::settings::Terms;
+use crate::observed_state::ObservedWorker;
+use crate::settings::PlannerSettings;
 
 #[derive(Clone, Copy, Debug)]
 struct Unload {
@@ -18,11 +18,11 @@
 
 impl Unload {
     /// The worker's observation shows what the request has done.
-    fn is_observed(&self, worker: &WorkerSeen, settings: &Terms) -> bool {
+    fn is_observed(&self, worker: &ObservedWorker, settings: &PlannerSettings) -> bool {
         let delivered_by = self
             .requested_at
             .saturating_add(settings.order_delivery_timeout);
-        worker.seen_at > delivered_by
+        worker.observed_at > delivered_by
     }
 }
 
@@ -34,7 +34,12 @@
 
 impl PendingUnloads {
     /// The request may still be in flight, or has done what is not yet observed.
-    pub fn is_pending(&self, worker: &WorkerSeen, function: &Name, settings: &Terms) -> bool {
+    pub fn is_pending(
+        &self,
+        worker: &ObservedWorker,
+        function: &Name,
+        settings: &PlannerSettings,
+    ) -> bool {
         self.unloads
             .get(&(worker.name.clone(), function.clone()))
             .is_some_and(|unload| !unload.is_observed(worker, settings))
--- a/crates/upgrade/src/sessions/events.rs
+++ b/crates/upgrade/src/sessions/events.rs
@@ -9,20 +9,20 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SessionSettings {
     /// A session without any invocation for so long is over; records are retained for as long.
-    pub kept: Micros,
+    pub retention: Micros,
     /// How long invocations wait for a majority.
-    pub patience: Micros,
+    pub majority_timeout: Micros,
     /// Most sessions known here.
-    pub most_known: usize,
+    pub max_sessions: usize,
     /// Most invocations that wait.
-    pub most_waiting: usize,
+    pub max_waiting: usize,
 }
 
 /// An event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// An invocation of a session, before it is forwarded.
-    Arrives {
+    Arrived {
         /// Unlike that of any other that waits.
         ticket: u64,
         /// The model.
@@ -32,10 +32,10 @@
         /// The version to bind the session to if a majority knows of none; absent where sessions are not bound.
         proposes: Option<Name>,
         /// What other routers published last.
-        placed: Option<Placed>,
+        placed: Option<SessionPlacement>,
     },
     /// An invocation is not waited for any more.
-    Leaves {
+    Left {
         /// Its ticket.
         ticket: u64,
     },
@@ -77,7 +77,7 @@
 
 /// Where a session was answered last. The one with the higher number is the later one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Placed {
+pub struct SessionPlacement {
     /// Grows with each change.
     pub number: u64,
     /// The worker; empty: none any more.
@@ -86,7 +86,7 @@
 
 /// Why an invocation is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum RejectionReason {
     /// No majority answered in time.
     NoMajority,
     /// Too many wait already.
@@ -97,40 +97,40 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// A majority is to choose a version once.
-    Choose {
+    RequestBinding {
         /// The key of the record.
         key: Name,
         /// The version to propose.
         version: Name,
         /// How long the record is retained.
-        kept: Micros,
+        retention: Micros,
     },
     /// An invocation may be forwarded.
-    Goes {
+    Forward {
         /// Its ticket.
         ticket: u64,
         /// The version that its session is bound to; absent where sessions are not bound.
         version: Option<Name>,
         /// The worker that answered the session last.
-        prefers: Option<Name>,
+        preferred_worker: Option<Name>,
         /// Another router has published this worker since the session's last invocation here.
-        anew: bool,
+        placed_by_other_router: bool,
     },
     /// An invocation is rejected.
-    Refused {
+    Reject {
         /// Its ticket.
         ticket: u64,
         /// The reason.
-        why: Refused,
+        reason: RejectionReason,
     },
     /// The other routers are to be notified of the session's worker.
-    Place {
+    PublishPlacement {
         /// The key of the note.
         key: Name,
         /// The worker.
-        placed: Placed,
+        placed: SessionPlacement,
         /// How long the note is retained.
-        kept: Micros,
+        retention: Micros,
     },
 }
 
--- a/crates/upgrade/src/sessions/mod.rs
+++ b/crates/upgrade/src/sessions/mod.rs
@@ -17,26 +17,23 @@
 use cedarpulley::interface::Micros;
 
 use crate::Name;
-/// The earlier name, until the gateway uses the new one.
-#[doc(hidden)]
-pub use events::SessionSettings as Terms;
-pub use events::{Counts, Input, Output, Placed, Refused, SessionSettings};
+pub use events::{Counts, Input, Output, RejectionReason, SessionPlacement, SessionSettings};
 use table::{Binding, SessionTable, WaitingInvocation};
 
 /// A part of the retention by which clocks may differ between two members.
 const CLOCK_DRIFT_DIVISOR: Micros = 8;
 /// Before model and session in the key of a binding's record.
-pub const BOUND: &str = "s\n";
+pub const BINDING_PREFIX: &str = "s\n";
 /// Before model and session in the key of a placement's note.
 const PLACEMENT_PREFIX: &str = "p\n";
 
 /// The key of the record that a majority stores. No session's name has the separator.
-pub fn key(model: &str, session: &str) -> Name {
-    Name::from([BOUND, model, "\n", session].concat())
+pub fn binding_key(model: &str, session: &str) -> Name {
+    Name::from([BINDING_PREFIX, model, "\n", session].concat())
 }
 
 /// The key of the note that other routers get.
-pub fn place_key(model: &str, session: &str) -> Name {
+pub fn placement_key(model: &str, session: &str) -> Name {
     Name::from([PLACEMENT_PREFIX, model, "\n", session].concat())
 }
 
@@ -45,7 +42,7 @@
     ticket: u64,
     key: Name,
     proposes: Option<Name>,
-    placed: Option<Placed>,
+    placed: Option<SessionPlacement>,
 }
 
 /// The sessions of one router.
@@ -73,7 +70,7 @@
     /// Takes in an event, and does what is due.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Arrives {
+            Input::Arrived {
                 ticket,
                 model,
                 session,
@@ -82,13 +79,13 @@
             } => {
                 let arrival = Arrival {
                     ticket,
-                    key: key(&model, &session),
+                    key: binding_key(&model, &session),
                     proposes,
                     placed,
                 };
                 self.arrived(now, arrival, out);
             }
-            Input::Leaves { ticket } => self.left(ticket),
+            Input::Left { ticket } => self.left(ticket),
             Input::Decided { key, version } => self.decided(&key, version, out),
             Input::Answered {
                 model,
@@ -104,7 +101,7 @@
                 session,
                 worker,
             } => {
-                let known = self.sessions.get(&key(&model, &session));
+                let known = self.sessions.get(&binding_key(&model, &session));
                 if known.is_some_and(|session| session.placement.worker == worker) {
                     self.place(now, &model, &session, Name::default(), out);
                 }
@@ -113,7 +110,7 @@
             Input::Tick => {}
         }
         self.reject_overdue(now, out);
-        self.sessions.expire(now, self.settings.kept);
+        self.sessions.expire(now, self.settings.retention);
     }
 
     /// When [`Input::Tick`] is wanted.
@@ -122,12 +119,12 @@
     }
 
     /// Invocations that wait for a majority.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.deadlines.len()
     }
 
     /// The versions of all bindings known here.
-    pub fn known(&self) -> impl Iterator<Item = &Name> {
+    pub fn bound_versions(&self) -> impl Iterator<Item = &Name> {
         self.sessions
             .values()
             .filter_map(|session| session.binding.as_ref().map(|binding| &binding.version))
@@ -135,9 +132,9 @@
 
     fn arrived(&mut self, now: Micros, arrival: Arrival, out: &mut Vec<Output>) {
         let settings = self.settings;
-        let is_full = self.deadlines.len() >= settings.most_waiting;
+        let is_full = self.deadlines.len() >= settings.max_waiting;
         self.counts.sessions_forgotten +=
-            self.sessions.make_room(&arrival.key, settings.most_known);
+            self.sessions.make_room(&arrival.key, settings.max_sessions);
         let session = self.sessions.touch(now, &arrival.key);
         let current = session.placement.number;
         if let Some(placed) = arrival.placed.filter(|placed| placed.number > current) {
@@ -153,26 +150,26 @@
             .filter(|binding| now < binding.valid_until);
         if valid.is_none() && is_full {
             self.counts.sessions_refused_full += 1;
-            return out.push(Output::Refused {
+            return out.push(Output::Reject {
                 ticket,
-                why: Refused::Full,
+                reason: RejectionReason::Full,
             });
         }
         // Renewed while in use once half of its time has passed.
         let needs_request = valid
             .as_ref()
-            .is_none_or(|binding| binding.valid_until - now < settings.kept / 2);
+            .is_none_or(|binding| binding.valid_until - now < settings.retention / 2);
         if needs_request && let Some(version) = session.request_binding(now, proposes) {
-            out.push(Output::Choose {
+            out.push(Output::RequestBinding {
                 key: arrival.key.clone(),
                 version,
-                kept: settings.kept,
+                retention: settings.retention,
             });
         }
         if let Some(binding) = valid {
             return out.push(session.forward(ticket, Some(binding.version)));
         }
-        let deadline = now.saturating_add(settings.patience);
+        let deadline = now.saturating_add(settings.majority_timeout);
         session.waiting.push(WaitingInvocation { ticket, deadline });
         self.deadlines.insert((deadline, ticket, arrival.key));
     }
@@ -213,9 +210,9 @@
         }
         let Some(version) = version else {
             self.counts.sessions_without_majority += waiting.len() as u64;
-            return out.extend(waiting.into_iter().map(|invocation| Output::Refused {
+            return out.extend(waiting.into_iter().map(|invocation| Output::Reject {
                 ticket: invocation.ticket,
-                why: Refused::NoMajority,
+                reason: RejectionReason::NoMajority,
             }));
         };
         match &session.binding {
@@ -224,18 +221,18 @@
             Some(_) => self.counts.sessions_rebound += 1,
         }
         // By any clock, a majority retains it at least for so long from when it was requested.
-        let kept = self.settings.kept;
+        let kept = self.settings.retention;
         session.binding = Some(Binding {
             version: version.clone(),
             valid_until: requested_at.saturating_add(kept - kept / CLOCK_DRIFT_DIVISOR),
         });
         let prefers = session.preferred_worker();
-        let anew = session.take_placed_by_other();
-        out.extend(waiting.into_iter().map(|invocation| Output::Goes {
+        let placed_by_other_router = session.take_placed_by_other();
+        out.extend(waiting.into_iter().map(|invocation| Output::Forward {
             ticket: invocation.ticket,
             version: Some(version.clone()),
-            prefers: prefers.clone(),
-            anew,
+            preferred_worker: prefers.clone(),
+            placed_by_other_router,
         }));
     }
 
@@ -248,22 +245,22 @@
         worker: Name,
         out: &mut Vec<Output>,
     ) {
-        let binding_key = key(model, session);
-        let capacity = self.settings.most_known;
+        let binding_key = binding_key(model, session);
+        let capacity = self.settings.max_sessions;
         self.counts.sessions_forgotten += self.sessions.make_room(&binding_key, capacity);
         let known = self.sessions.touch(now, &binding_key);
         if known.placement.worker == worker {
             return;
         }
-        known.placement = Placed {
+        known.placement = SessionPlacement {
             number: known.placement.number + 1,
             worker,
         };
         self.counts.sessions_moved += 1;
-        out.push(Output::Place {
-            key: place_key(model, session),
+        out.push(Output::PublishPlacement {
+            key: placement_key(model, session),
             placed: known.placement.clone(),
-            kept: self.settings.kept,
+            retention: self.settings.retention,
         });
     }
 
@@ -279,9 +276,9 @@
                 session.request_again = true;
             }
             self.counts.sessions_without_majority += 1;
-            out.push(Output::Refused {
+            out.push(Output::Reject {
                 ticket,
-                why: Refused::NoMajority,
+                reason: RejectionReason::NoMajority,
             });
         }
     }
--- a/crates/upgrade/src/sessions/table.rs
+++ b/crates/upgrade/src/sessions/table.rs
@@ -4,7 +4,7 @@
 
 use cedarpulley::interface::Micros;
 
-use super::events::{Output, Placed};
+use super::events::{Output, SessionPlacement};
 use crate::Name;
 
 /// The version of a session.
@@ -30,7 +30,7 @@
     /// An answer is overdue: the next invocation asks again.
     pub request_again: bool,
     pub waiting: Vec<WaitingInvocation>,
-    pub placement: Placed,
+    pub placement: SessionPlacement,
     /// The placement was published by another router, and nothing was forwarded there from here since.
     pub placed_by_other: bool,
     last_used: Micros,
@@ -49,11 +49,11 @@
 
     /// Forwards an invocation to the version, if the session is bound to one.
     pub fn forward(&mut self, ticket: u64, version: Option<Name>) -> Output {
-        Output::Goes {
+        Output::Forward {
             ticket,
             version,
-            prefers: self.preferred_worker(),
-            anew: self.take_placed_by_other(),
+            preferred_worker: self.preferred_worker(),
+            placed_by_other_router: self.take_placed_by_other(),
         }
     }
 
--- a/crates/upgrade/src/settings.rs
+++ b/crates/upgrade/src/settings.rs
@@ -10,7 +10,7 @@
 
 /// Settings of a [`Planner`](crate::Planner).
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct PlannerSettings {
     /// How long a leader may act after its last step was proposed, once that was agreed; on its own clock.
     pub lease: Micros,
     /// Interval between two evaluations of the observed state.
@@ -25,30 +25,30 @@
     /// `observation_lifetime`.
     pub quiet_period: Micros,
     /// Concurrent loads of one plan, over all regions.
-    pub loads_at_once: u32,
+    pub concurrent_loads: u32,
     /// A load that takes longer has failed.
-    pub load_within: Micros,
+    pub load_timeout: Micros,
     /// Backoff of a worker after a load that failed there; doubled with each further one.
-    pub hold_back: Micros,
+    pub load_backoff: Micros,
     /// Interval at which copies in use are renewed; well within the time after which idle ones are evicted.
     pub renewal_interval: Micros,
     /// How long a plan can be read before anything is done.
-    pub shown_for: Micros,
+    pub announcement_time: Micros,
     /// Canaries are observed for at least this long.
-    pub canary_least: Micros,
+    pub canary_min_time: Micros,
     /// Canaries are observed for at most this long where too few invocations come to compare the versions.
-    pub canary_most: Micros,
+    pub canary_max_time: Micros,
     /// A slower new version is observed for this long before it is rolled back.
-    pub paused_most: Micros,
+    pub pause_limit: Micros,
     /// A member that is away for longer routes nothing any more.
-    pub gone_after: Micros,
+    pub member_gone_after: Micros,
     /// Interval at which the record of a finished plan is written again; records are retained for at least twice as long.
     pub record_refresh_interval: Micros,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms {
+impl Default for PlannerSettings {
+    fn default() -> PlannerSettings {
+        PlannerSettings {
             // Many times two rounds to a majority, and a dead leader is missed for no longer than a load takes.
             lease: 5_000_000,
             evaluation_interval: 500_000,
@@ -57,30 +57,30 @@
             observation_lifetime: 10_000_000,
             quiet_period: 15_000_000,
             // One in progress while another one is waited for.
-            loads_at_once: 2,
-            load_within: 300_000_000,
-            hold_back: 5_000_000,
+            concurrent_loads: 2,
+            load_timeout: 300_000_000,
+            load_backoff: 5_000_000,
             renewal_interval: 5_000_000,
-            shown_for: 2_000_000,
-            canary_least: 30_000_000,
-            canary_most: 600_000_000,
-            paused_most: 60_000_000,
-            gone_after: 60_000_000,
+            announcement_time: 2_000_000,
+            canary_min_time: 30_000_000,
+            canary_max_time: 600_000_000,
+            pause_limit: 60_000_000,
+            member_gone_after: 60_000_000,
             record_refresh_interval: 600_000_000,
         }
     }
 }
 
-impl Terms {
+impl PlannerSettings {
     /// The settings adjusted to workers that are polled within `polled_within` and evict idle copies after `idle_kept`.
-    pub fn beside(self, polled_within: Micros, idle_kept: Micros) -> Terms {
+    pub fn adjusted_to(self, polled_within: Micros, idle_kept: Micros) -> PlannerSettings {
         let observation_lifetime = self
             .observation_lifetime
             .max(polled_within.saturating_add(polled_within / POLL_MARGIN_DIVISOR));
         let quiet_period = self
             .quiet_period
             .max(observation_lifetime.saturating_add(observation_lifetime / POLL_MARGIN_DIVISOR));
-        Terms {
+        PlannerSettings {
             observation_lifetime,
             quiet_period,
             renewal_interval: self
--- a/crates/upgrade/src/version_comparison.rs
+++ b/crates/upgrade/src/version_comparison.rs
@@ -36,13 +36,13 @@
 /// What one member observed of one version by one trigger type since its process began; counters only grow. What this
 /// router itself rejected (a session that is over, no majority) is in none of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Count {
+pub struct VersionCounters {
     /// The version; empty: copies without a version.
     pub version: Name,
     /// The trigger type.
     pub trigger: Name,
     /// Invocations that ended.
-    pub ended: u64,
+    pub completed: u64,
     /// Those that ended in an error.
     pub errored: u64,
     /// Those that ended after their latency objective.
@@ -164,7 +164,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct VersionComparison {
     /// The last counters of each member, by version and trigger type.
-    last: BTreeMap<MemberIndex, Vec<Count>>,
+    last: BTreeMap<MemberIndex, Vec<VersionCounters>>,
     /// By member and trigger type.
     open_pairs: BTreeMap<(MemberIndex, Name), Pair>,
     /// Invocations of the new and of the old version in closed pairs.
@@ -184,7 +184,13 @@
     }
 
     /// Takes in the counters of a member; counters of other versions than these two are ignored.
-    pub fn record(&mut self, member: MemberIndex, counts: Vec<Count>, old: &str, new: &str) {
+    pub fn record(
+        &mut self,
+        member: MemberIndex,
+        counts: Vec<VersionCounters>,
+        old: &str,
+        new: &str,
+    ) {
         let mut touched = Vec::new();
         // A member heard of for the first time has counted before the plan, too.
         if let Some(before) = self.last.get(&member) {
@@ -255,14 +261,16 @@
 }
 
 /// Adds by how much a counter has grown since the member's last report.
-fn add_increase(samples: &mut Samples, count: &Count, before: &[Count]) {
+fn add_increase(samples: &mut Samples, count: &VersionCounters, before: &[VersionCounters]) {
     let was = before
         .iter()
         .find(|was| was.version == count.version && was.trigger == count.trigger);
     // A process that began anew counts from zero.
-    let zero = Count::default();
-    let was = was.filter(|was| was.ended <= count.ended).unwrap_or(&zero);
-    samples.ended += count.ended - was.ended;
+    let zero = VersionCounters::default();
+    let was = was
+        .filter(|was| was.completed <= count.completed)
+        .unwrap_or(&zero);
+    samples.ended += count.completed - was.completed;
     samples.errored += count.errored.saturating_sub(was.errored);
     samples.late += count.late.saturating_sub(was.late);
 }
--- a/crates/upgrade/tests/orders_and_plans.rs
+++ b/crates/upgrade/tests/orders_and_plans.rs
@@ -2,16 +2,16 @@
 
 mod plans;
 
-use cedarpulley_upgrade::orders::all;
+use cedarpulley_upgrade::orders::parse_orders;
 use cedarpulley_upgrade::*;
 use plans::{order_line, plan};
 
 #[test]
 fn an_invalid_order_is_rejected_with_its_error() {
-    let one = |change: fn(&mut Asked)| {
+    let one = |change: fn(&mut OrderLine)| {
         let mut a = order_line();
         change(&mut a);
-        all(vec![a]).map(|o| o.len())
+        parse_orders(vec![a]).map(|o| o.len())
     };
     assert_eq!(one(|_| ()), Ok(1));
     assert_eq!(one(|a| a.from.clear()), Ok(1));
@@ -29,10 +29,13 @@
         Err(OrderError::DrainLimit(7))
     );
     assert_eq!(
-        all(vec![order_line(), order_line()]),
+        parse_orders(vec![order_line(), order_line()]),
         Err(OrderError::DuplicateSerial("m".into(), 7))
     );
-    assert_eq!(all(vec![order_line(); 257]), Err(OrderError::TooManyOrders));
+    assert_eq!(
+        parse_orders(vec![order_line(); 257]),
+        Err(OrderError::TooManyOrders)
+    );
 }
 
 #[test]
@@ -55,7 +58,7 @@
     };
     let mut p = plan(1);
     assert_eq!((goes(&p, false), goes(&p, true)), (300, 600));
-    p.phase = Phase::Back;
+    p.phase = Phase::RollingBack;
     // Going back, the old ones are what stays: 700, and so all sessions.
     assert_eq!((goes(&p, false), goes(&p, true)), (300, 0));
     assert_eq!(&**p.version_for("b", 0, false), "1");
--- a/crates/upgrade/tests/planner.rs
+++ b/crates/upgrade/tests/planner.rs
@@ -11,7 +11,7 @@
 fn leads(planner: &mut Planner) -> Micros {
     let (mut now, mut inputs) = (0, Vec::new());
     inputs.push(Input::Members {
-        me: 0,
+        own_index: 0,
         alive: vec![true],
         regions: vec!["a".into()],
     });
@@ -21,11 +21,11 @@
     loop {
         now += 200_000;
         inputs.push(Input::Workers(vec![worker(now)]));
-        let goes_by = planner.goes_by("m");
-        inputs.push(Input::Counted {
+        let rule = planner.routing_rule("m");
+        inputs.push(Input::MemberReported {
             member: 0,
             model: "m".into(),
-            goes_by,
+            rule,
             counts: Vec::new(),
         });
         let mut out = Vec::new();
@@ -38,45 +38,45 @@
                 ..Ballot::default()
             };
             match output {
-                Output::Lead { key } => {
+                Output::RequestLeadership { key } => {
                     inputs.push(Input::Decided {
                         key,
                         outcome: Outcome::Leads { ballot, last: None },
                     });
                 }
-                Output::Write { key, .. } => {
+                Output::Propose { key, .. } => {
                     inputs.push(Input::Decided {
                         key,
                         outcome: Outcome::Written { ballot },
                     });
                 }
-                Output::Want { .. } => return now,
+                Output::LoadCopy { .. } => return now,
                 _ => {}
             }
         }
-        assert!(now < 60_000_000, "{:?}", planner.shown());
+        assert!(now < 60_000_000, "{:?}", planner.status());
     }
 }
 
-fn worker(now: Micros) -> WorkerSeen {
-    let held = Held {
-        function: function("m", "1"),
+fn worker(now: Micros) -> ObservedWorker {
+    let held = FunctionCopies {
+        function: function_name("m", "1"),
         copies: 1,
         lanes: 2,
-        busy: 0,
+        busy_lanes: 0,
         loading: false,
         sessions: 0,
         copy_mb: 10,
     };
     let (name, region) = ("w".into(), "a".into());
-    WorkerSeen {
+    ObservedWorker {
         name,
         region,
-        takes_new: true,
-        seen_at: now,
+        accepts_copies: true,
+        observed_at: now,
         memory_mb: 100,
         used_mb: 10,
-        holds: vec![held],
+        copies: vec![held],
     }
 }
 
@@ -84,14 +84,14 @@
 fn a_leader_past_its_lease_requests_nothing_before_a_step_is_agreed_again() {
     let orders = |out: &[Output]| {
         out.iter()
-            .any(|o| matches!(o, Output::Want { .. } | Output::Unwant { .. }))
+            .any(|o| matches!(o, Output::LoadCopy { .. } | Output::UnloadCopies { .. }))
     };
-    let mut planner = Planner::new(Terms::default());
-    let now = leads(&mut planner) + Terms::default().lease;
+    let mut planner = Planner::new(PlannerSettings::default());
+    let now = leads(&mut planner) + PlannerSettings::default().lease;
     let mut out = Vec::new();
     planner.handle(now, Input::Workers(vec![worker(now)]), &mut out);
     assert!(
-        !orders(&out) && matches!(out[..], [Output::Write { .. }]),
+        !orders(&out) && matches!(out[..], [Output::Propose { .. }]),
         "{out:?}"
     );
     let (key, ballot) = (
@@ -116,17 +116,17 @@
     #[test]
     fn decoding_arbitrary_bytes_as_a_plan_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = Plan::decode(&bytes);
-        let mut planner = Planner::new(Terms::default());
-        let heard = Input::PlanHeard { model: "m".into(), ballot: Ballot::default(), bytes: bytes.into() };
+        let mut planner = Planner::new(PlannerSettings::default());
+        let heard = Input::PlanReceived { model: "m".into(), ballot: Ballot::default(), bytes: bytes.into() };
         planner.handle(0, heard, &mut Vec::new());
     }
 }
 
 #[test]
 fn observations_live_longer_where_workers_are_polled_seldom() {
-    let usual = Terms::default();
-    assert_eq!(usual.clone().beside(2_000_000, 60_000_000), usual);
-    let seldom = usual.clone().beside(40_000_000, 8_000_000);
+    let usual = PlannerSettings::default();
+    assert_eq!(usual.clone().adjusted_to(2_000_000, 60_000_000), usual);
+    let seldom = usual.clone().adjusted_to(40_000_000, 8_000_000);
     assert_eq!(
         (
             seldom.observation_lifetime,
@@ -141,7 +141,7 @@
 struct Resumes {
     planner: Planner,
     heard: u16,
-    old: Held,
+    old: FunctionCopies,
 }
 
 impl Resumes {
@@ -150,19 +150,19 @@
         (plan.phase, plan.regions[0].stage, plan.regions[0].new_share) = (phase, stage, part);
         plan.order.drain_limit = 600_000_000;
         plan.regions.truncate(1);
-        let old = worker(0).holds.remove(0);
+        let old = worker(0).copies.remove(0);
         let mut it = Resumes {
-            planner: Planner::new(Terms::default()),
+            planner: Planner::new(PlannerSettings::default()),
             heard: 2,
             old,
         };
         let members = Input::Members {
-            me: 0,
+            own_index: 0,
             alive: vec![true; 2],
             regions: vec!["a".into(); 2],
         };
         it.planner.handle(0, members, &mut Vec::new());
-        let heard = Input::PlanHeard {
+        let heard = Input::PlanReceived {
             model: "m".into(),
             ballot: Ballot::default(),
             bytes: plan.encode(),
@@ -204,17 +204,17 @@
 
     /// One look at everything; what was ordered, and the last step written.
     fn look(&mut self, now: Micros) -> (usize, Option<Plan>) {
-        let (mut out, goes_by) = (Vec::new(), self.planner.goes_by("m"));
-        let w = WorkerSeen {
-            holds: vec![self.old.clone()],
+        let (mut out, rule) = (Vec::new(), self.planner.routing_rule("m"));
+        let w = ObservedWorker {
+            copies: vec![self.old.clone()],
             ..worker(now)
         };
         self.planner.handle(now, Input::Workers(vec![w]), &mut out);
         for member in 0..self.heard {
-            let counted = Input::Counted {
+            let counted = Input::MemberReported {
                 member,
                 model: "m".into(),
-                goes_by,
+                rule,
                 counts: Vec::new(),
             };
             self.planner.handle(now, counted, &mut out);
@@ -222,8 +222,8 @@
         let (mut orders, mut step) = (0, None);
         for o in &out {
             match o {
-                Output::Want { .. } | Output::Unwant { .. } => orders += 1,
-                Output::Write { value, .. } => {
+                Output::LoadCopy { .. } | Output::UnloadCopies { .. } => orders += 1,
+                Output::Propose { value, .. } => {
                     step = Plan::decode(value);
                     self.planner.handle(now, self.written(), &mut Vec::new());
                 }
@@ -237,7 +237,7 @@
 #[test]
 fn a_new_leader_waits_for_the_lease_and_the_requests_of_the_earlier_one() {
     let mut it = Resumes::new(Phase::Rolling, Stage::Loading, 0);
-    let t = Terms::default();
+    let t = PlannerSettings::default();
     let acts = t.lease + t.lease / 10 + t.order_delivery_timeout;
     for now in (0..acts).step_by(200_000) {
         assert_eq!(it.look(now).0, 0, "at {now}");
@@ -253,8 +253,8 @@
 fn draining_copies_are_unloaded_after_the_quiet_period_only() {
     let mut it = Resumes::new(Phase::Rolling, Stage::Draining, 1000);
     it.old.sessions = 1;
-    let unloads = |it: &Resumes| it.planner.shown()[0].regions[0].old_lanes == 0;
-    let (mut now, quiet) = (0, Terms::default().quiet_period);
+    let unloads = |it: &Resumes| it.planner.status()[0].regions[0].old_lanes == 0;
+    let (mut now, quiet) = (0, PlannerSettings::default().quiet_period);
     while now < 12_000_000 {
         now += 200_000;
         it.look(now);
@@ -277,29 +277,29 @@
         assert!(it.look(now).1.is_none_or(|p| !p.settled));
     }
     assert!(
-        it.planner.wants_binding("m", true),
+        it.planner.needs_binding("m", true),
         "sessions that begin are bound meanwhile"
     );
     it.heard = 2;
     (30_000_000..32_000_000)
         .step_by(200_000)
         .for_each(|now| drop(it.look(now)));
-    assert!(!it.planner.wants_binding("m", true) && it.planner.wants_binding("m", false));
+    assert!(!it.planner.needs_binding("m", true) && it.planner.needs_binding("m", false));
 }
 
 #[test]
 fn sessions_end_once_no_region_retains_copies_for_them() {
-    let mut planner = Planner::new(Terms::default());
+    let mut planner = Planner::new(PlannerSettings::default());
     let mut handle = |input| planner.handle(0, input, &mut Vec::new());
     let regions = vec![Name::from("a"), Name::from("b")];
     handle(Input::Members {
-        me: 0,
+        own_index: 0,
         alive: vec![true; 2],
         regions,
     });
     let mut plan = plan(3);
     (plan.regions[0].stage, plan.regions[0].drain_limit_passed) = (Stage::Draining, true);
-    handle(Input::PlanHeard {
+    handle(Input::PlanReceived {
         model: "m".into(),
         ballot: plan.proposed_by,
         bytes: plan.encode(),
@@ -308,18 +308,18 @@
     (later.step, later.regions[0].stage) = (4, Stage::Done);
     (later.regions[1].stage, later.regions[1].drain_limit_passed) = (Stage::Draining, true);
     assert!(
-        planner.over("m", "1") && !planner.sessions_over("m", "1"),
+        planner.copies_evicted("m", "1") && !planner.sessions_ended("m", "1"),
         "region b keeps its copies"
     );
     planner.handle(
         0,
-        Input::PlanHeard {
+        Input::PlanReceived {
             model: "m".into(),
             ballot: later.proposed_by,
             bytes: later.encode(),
         },
         &mut Vec::new(),
     );
-    assert!(planner.sessions_over("m", "1"));
-    assert!(!planner.sessions_over("m", "2") && !planner.sessions_over("other", "1"));
+    assert!(planner.sessions_ended("m", "1"));
+    assert!(!planner.sessions_ended("m", "2") && !planner.sessions_ended("other", "1"));
 }
--- a/crates/upgrade/tests/plans/mod.rs
+++ b/crates/upgrade/tests/plans/mod.rs
@@ -2,8 +2,8 @@
 
 use cedarpulley_upgrade::*;
 
-pub fn order_line() -> Asked {
-    Asked {
+pub fn order_line() -> OrderLine {
+    OrderLine {
         model: "m".into(),
         from: "1".into(),
         to: "2".into(),
--- a/crates/upgrade/tests/sessions.rs
+++ b/crates/upgrade/tests/sessions.rs
@@ -7,9 +7,11 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use cedarpulley_replica::{Guard, Input as Shared, Outcome};
+use cedarpulley_replica::{Input as Shared, Outcome, SafetyCheck};
 use cedarpulley_upgrade::Name;
-use cedarpulley_upgrade::sessions::{Input, Output, Placed, Refused, SessionSettings, Sessions};
+use cedarpulley_upgrade::sessions::{
+    Input, Output, RejectionReason, SessionPlacement, SessionSettings, Sessions,
+};
 use common::{MS, World};
 use proptest::prelude::*;
 
@@ -18,10 +20,10 @@
 
 fn terms() -> SessionSettings {
     SessionSettings {
-        kept: KEPT,
-        patience: 1_000 * MS,
-        most_known: 8,
-        most_waiting: 64,
+        retention: KEPT,
+        majority_timeout: 1_000 * MS,
+        max_sessions: 8,
+        max_waiting: 64,
     }
 }
 
@@ -31,14 +33,14 @@
     tickets: u64,
     /// Of each ticket, its session and what became of it.
     of: BTreeMap<u64, Name>,
-    refused: Vec<(u64, Refused)>,
+    refused: Vec<(u64, RejectionReason)>,
     /// Of each session, when it went to which version.
     went: BTreeMap<Name, Vec<(i64, Name)>>,
     chosen: usize,
 }
 
 impl Routers {
-    fn new(n: usize, without: Option<Guard>) -> Routers {
+    fn new(n: usize, without: Option<SafetyCheck>) -> Routers {
         Routers {
             world: World::new(n, without),
             sessions: (0..n).map(|_| Sessions::new(terms())).collect(),
@@ -55,7 +57,11 @@
         self.sessions[r].handle(self.world.now, input, &mut out);
         for o in &out {
             match o {
-                Output::Choose { key, version, kept } => {
+                Output::RequestBinding {
+                    key,
+                    version,
+                    retention: kept,
+                } => {
                     self.chosen += 1;
                     let value = Bytes::copy_from_slice(version.as_bytes());
                     self.world.feed(
@@ -63,11 +69,11 @@
                         Shared::Choose {
                             key: key.clone(),
                             value,
-                            kept: *kept,
+                            retention: *kept,
                         },
                     );
                 }
-                Output::Goes {
+                Output::Forward {
                     ticket, version, ..
                 } => {
                     let version = version.clone().expect("a version");
@@ -76,8 +82,11 @@
                         .or_default()
                         .push((self.world.now, version));
                 }
-                Output::Refused { ticket, why } => self.refused.push((*ticket, *why)),
-                Output::Place { .. } => {}
+                Output::Reject {
+                    ticket,
+                    reason: why,
+                } => self.refused.push((*ticket, *why)),
+                Output::PublishPlacement { .. } => {}
             }
         }
         self.hear();
@@ -114,7 +123,7 @@
         let proposes = Some(Name::from(proposes));
         self.feed(
             r,
-            Input::Arrives {
+            Input::Arrived {
                 ticket,
                 model: "m".into(),
                 session,
@@ -177,7 +186,7 @@
     ]
 }
 
-fn play(ops: &[Op], without: Option<Guard>) -> Result<(), String> {
+fn play(ops: &[Op], without: Option<SafetyCheck>) -> Result<(), String> {
     let mut it = Routers::new(3, without);
     for op in ops {
         let on_way = it.world.net.len().max(1);
@@ -194,7 +203,7 @@
                 let transit = it.world.now - sent;
                 it.world.feed(
                     to as usize,
-                    Shared::Heard {
+                    Shared::MessageReceived {
                         from,
                         nonce,
                         transit,
@@ -249,7 +258,7 @@
         Op::Settles,
     ];
     assert_eq!(play(&ops, None), Ok(()));
-    assert!(play(&ops, Some(Guard::Adopted)).is_err());
+    assert!(play(&ops, Some(SafetyCheck::AdoptAcceptedValue)).is_err());
     // Nor does a router that forgot help itself.
     ops.insert(2, Op::Dies(1, false));
     assert_eq!(play(&ops, None), Ok(()));
@@ -261,7 +270,10 @@
     it.arrives(0, "s", "1");
     it.pass(100 * MS);
     for _ in 0..20 {
-        assert!(matches!(it.arrives(0, "s", "2")[..], [Output::Goes { .. }]));
+        assert!(matches!(
+            it.arrives(0, "s", "2")[..],
+            [Output::Forward { .. }]
+        ));
     }
     assert_eq!((it.chosen, it.went["s"].len()), (1, 21));
     // For three times as long as a record is kept, each use goes on at once, and nobody else changes it meanwhile.
@@ -269,7 +281,7 @@
         it.pass(1_000 * MS);
         let out = it.arrives(0, "s", "2");
         assert!(
-            out.iter().any(|o| matches!(o, Output::Goes { .. })),
+            out.iter().any(|o| matches!(o, Output::Forward { .. })),
             "{n}: {out:?}"
         );
     }
@@ -288,25 +300,28 @@
         it.world.crash(m);
         it.world.sees(0, m, false);
     });
-    assert!(matches!(it.arrives(0, "s", "2")[..], [Output::Goes { .. }]));
+    assert!(matches!(
+        it.arrives(0, "s", "2")[..],
+        [Output::Forward { .. }]
+    ));
     it.arrives(0, "t", "2");
-    assert_eq!(it.refused, [(3, Refused::NoMajority)]);
+    assert_eq!(it.refused, [(3, RejectionReason::NoMajority)]);
     // What is known is used for less than a majority would keep it.
     it.world.now += KEPT - KEPT / 8;
     it.arrives(0, "s", "2");
-    assert_eq!(it.refused.last(), Some(&(4, Refused::NoMajority)));
+    assert_eq!(it.refused.last(), Some(&(4, RejectionReason::NoMajority)));
 }
 
 #[test]
 fn waiting_invocations_are_bounded_in_number_and_time() {
     let mut s = Sessions::new(SessionSettings {
-        most_waiting: 2,
+        max_waiting: 2,
         ..terms()
     });
     let arrives = |s: &mut Sessions, ticket| {
         let mut out = Vec::new();
         let session = Name::from(format!("s{ticket}"));
-        let input = Input::Arrives {
+        let input = Input::Arrived {
             ticket,
             model: "m".into(),
             session,
@@ -316,23 +331,26 @@
         s.handle(0, input, &mut out);
         out
     };
-    assert!((0..2).all(|t| matches!(arrives(&mut s, t)[..], [Output::Choose { .. }])));
+    assert!((0..2).all(|t| matches!(arrives(&mut s, t)[..], [Output::RequestBinding { .. }])));
     assert_eq!(
         arrives(&mut s, 2),
-        [Output::Refused {
+        [Output::Reject {
             ticket: 2,
-            why: Refused::Full
+            reason: RejectionReason::Full
         }]
     );
     let mut out = Vec::new();
-    s.handle(1, Input::Leaves { ticket: 0 }, &mut out);
-    assert_eq!((s.waiting(), s.next_due()), (1, terms().patience));
+    s.handle(1, Input::Left { ticket: 0 }, &mut out);
+    assert_eq!(
+        (s.waiting_count(), s.next_due()),
+        (1, terms().majority_timeout)
+    );
     s.handle(s.next_due(), Input::Tick, &mut out);
     assert_eq!(
         out,
-        [Output::Refused {
+        [Output::Reject {
             ticket: 1,
-            why: Refused::NoMajority
+            reason: RejectionReason::NoMajority
         }]
     );
     assert_eq!(s.next_due(), i64::MAX);
@@ -347,7 +365,7 @@
     }
     assert_eq!(
         (
-            it.sessions[0].known().count(),
+            it.sessions[0].bound_versions().count(),
             it.sessions[0].counts.sessions_forgotten
         ),
         (8, 12)
@@ -362,7 +380,7 @@
         let (model, session) = ("m".into(), "s".into());
         s.handle(
             9,
-            Input::Arrives {
+            Input::Arrived {
                 ticket: 1,
                 model,
                 session,
@@ -372,7 +390,12 @@
             &mut out,
         );
         match out.as_slice() {
-            [Output::Goes { prefers, .. }] => prefers.clone(),
+            [
+                Output::Forward {
+                    preferred_worker: prefers,
+                    ..
+                },
+            ] => prefers.clone(),
             other => panic!("{other:?}"),
         }
     };
@@ -400,7 +423,7 @@
     );
     assert_eq!(prefers(&mut s, None), Some("a".into()));
     let later = |number, worker: &str| {
-        Some(Placed {
+        Some(SessionPlacement {
             number,
             worker: worker.into(),
         })
--- a/crates/upgrade/tests/simulated.rs
+++ b/crates/upgrade/tests/simulated.rs
@@ -241,7 +241,7 @@
     w.orders(w.now, vec![withdrawn.clone()]);
     w.run(w.now + 60 * S, settled);
     assert!(
-        matches!(w.phase(), Some(Phase::Ended | Phase::RolledBack)),
+        matches!(w.phase(), Some(Phase::Cancelled | Phase::RolledBack)),
         "{:#?}",
         w.log
     );
--- a/crates/upgrade/tests/version_comparison.rs
+++ b/crates/upgrade/tests/version_comparison.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
-use cedarpulley_upgrade::Count;
+use cedarpulley_upgrade::VersionCounters;
 use cedarpulley_upgrade::version_comparison::{Verdict, VersionComparison};
 
 fn happens(of: (u64, u64), rate: f64) -> u64 {
@@ -16,10 +16,10 @@
     for (t, _) in types.iter().enumerate() {
         for v in ["1", "2"] {
             let (version, trigger) = (v.into(), format!("t{t}").into());
-            counts.push(Count {
+            counts.push(VersionCounters {
                 version,
                 trigger,
-                ..Count::default()
+                ..VersionCounters::default()
             });
         }
     }
@@ -31,7 +31,7 @@
                 let c = &mut counts[t * 2 + side];
                 for _ in 0..*n {
                     draws += 1;
-                    c.ended += 1;
+                    c.completed += 1;
                     c.errored += happens((seed, draws), *rate);
                 }
             }
@@ -75,10 +75,10 @@
 #[test]
 fn counters_of_a_new_incarnation_start_at_zero() {
     let mut comparison = VersionComparison::default();
-    let count = |v: &str, ended, errored| Count {
+    let count = |v: &str, completed, errored| VersionCounters {
         version: v.into(),
         trigger: "t".into(),
-        ended,
+        completed,
         errored,
         late: 0,
     };
--- a/crates/upgrade/tests/world/baselines.rs
+++ b/crates/upgrade/tests/world/baselines.rs
@@ -68,7 +68,7 @@
         let (was, is) = (count(&old()), count(&new()));
         let version = session.and_then(|id| self.sessions.get(&id)?.version.clone());
         match version {
-            Some(v) if count(&function(MODEL, &v)) > 0 => v,
+            Some(v) if count(&function_name(MODEL, &v)) > 0 => v,
             _ if draw % (was + is).max(1) < is => "2".into(),
             _ => "".into(),
         }
--- a/crates/upgrade/tests/world/invariants.rs
+++ b/crates/upgrade/tests/world/invariants.rs
@@ -15,11 +15,11 @@
         if it.region != *region || !self.is_running(m) || away || !it.caught_up {
             return None;
         }
-        let shown = it.planner.shown();
+        let shown = it.planner.status();
         let plan = shown.first()?;
         if !matches!(
             plan.phase,
-            Phase::Canary | Phase::Rolling | Phase::Paused | Phase::Back
+            Phase::Canary | Phase::Rolling | Phase::Paused | Phase::RollingBack
         ) {
             return None;
         }
@@ -32,7 +32,10 @@
             };
             self.workers.iter().filter(is_warm).count() as u32 * LANES
         };
-        let (from, to) = (function(MODEL, &plan.from), function(MODEL, &plan.to));
+        let (from, to) = (
+            function_name(MODEL, &plan.from),
+            function_name(MODEL, &plan.to),
+        );
         let usable_lanes = match r.new_share {
             0 => lanes(&from),
             1000 => lanes(&to),
--- a/crates/upgrade/tests/world/mod.rs
+++ b/crates/upgrade/tests/world/mod.rs
@@ -31,23 +31,23 @@
 const OBJECTIVE: Micros = 600 * MS;
 const QUEUE_TIMEOUT: Micros = 3 * S;
 
-pub fn terms() -> Terms {
-    Terms {
+pub fn terms() -> PlannerSettings {
+    PlannerSettings {
         lease: 3 * S,
         evaluation_interval: 200 * MS,
         majority_timeout: 4 * S,
         order_delivery_timeout: 1500 * MS,
         observation_lifetime: 4 * S,
         quiet_period: 6 * S,
-        loads_at_once: 2,
-        load_within: 25 * S,
-        hold_back: 2 * S,
+        concurrent_loads: 2,
+        load_timeout: 25 * S,
+        load_backoff: 2 * S,
         renewal_interval: 3 * S,
-        shown_for: S,
-        canary_least: 5 * S,
-        canary_most: 30 * S,
-        paused_most: 15 * S,
-        gone_after: 15 * S,
+        announcement_time: S,
+        canary_min_time: 5 * S,
+        canary_max_time: 30 * S,
+        pause_limit: 15 * S,
+        member_gone_after: 15 * S,
         record_refresh_interval: 600 * S,
     }
 }
@@ -103,7 +103,7 @@
     nonce: u64,
     believed: Vec<(bool, Micros)>,
     announced: Vec<bool>,
-    counts: BTreeMap<Name, Count>,
+    counts: BTreeMap<Name, VersionCounters>,
     bindings: BTreeMap<u64, Name>,
     /// Of 1000: how fast its clock goes.
     clock_rate: Micros,
@@ -248,11 +248,11 @@
 }
 
 pub fn old() -> Name {
-    function(MODEL, "")
+    function_name(MODEL, "")
 }
 
 pub fn new() -> Name {
-    function(MODEL, "2")
+    function_name(MODEL, "2")
 }
 
 impl World {
@@ -391,7 +391,7 @@
     pub fn shown(&self) -> Option<PlanStatus> {
         let plans = (0..self.members.len())
             .filter(|m| self.is_running(*m))
-            .flat_map(|m| self.members[m].planner.shown());
+            .flat_map(|m| self.members[m].planner.status());
         plans.max_by_key(|s| (s.is_leader, s.step))
     }
 
--- a/crates/upgrade/tests/world/network.rs
+++ b/crates/upgrade/tests/world/network.rs
@@ -108,7 +108,7 @@
                         let when = self.members[m].paused_until + 2 * DT;
                         self.at(when, Event::In { m, nonce, input });
                     } else {
-                        self.members[m].caught_up |= matches!(input, Input::PlanHeard { .. });
+                        self.members[m].caught_up |= matches!(input, Input::PlanReceived { .. });
                         self.handle(m, input);
                     }
                 }
@@ -128,7 +128,7 @@
         if let Some((ballot, bytes)) = self.register.1.clone().filter(|_| hears) {
             self.send_input(
                 m,
-                Input::PlanHeard {
+                Input::PlanReceived {
                     model: MODEL.into(),
                     ballot,
                     bytes: bytes.into(),
--- a/crates/upgrade/tests/world/routers.rs
+++ b/crates/upgrade/tests/world/routers.rs
@@ -38,7 +38,7 @@
                 self.handle(
                     m,
                     Input::Members {
-                        me: m as u16,
+                        own_index: m as u16,
                         alive,
                         regions,
                     },
@@ -66,30 +66,30 @@
                         .values()
                         .filter(|p| self.now - p.1 < SESSION_IDLE)
                         .count() as u32;
-                    Held {
+                    FunctionCopies {
                         function: f.clone(),
                         copies: u32::from(ready),
                         lanes: if ready { LANES } else { 0 },
-                        busy: c.busy.len() as u32,
+                        busy_lanes: c.busy.len() as u32,
                         loading: !ready,
                         sessions,
                         copy_mb: COPY_MB,
                     }
                 });
-                seen.push(WorkerSeen {
+                seen.push(ObservedWorker {
                     name: it.name.clone(),
                     region: it.region.clone(),
-                    takes_new: it.dead_until <= self.now,
-                    seen_at: self.clock(m),
+                    accepts_copies: it.dead_until <= self.now,
+                    observed_at: self.clock(m),
                     memory_mb: it.memory,
                     used_mb: it.copies.len() as u32 * COPY_MB,
-                    holds: holds.collect(),
+                    copies: holds.collect(),
                 });
             }
             // Who cannot be reached stays known as it was last seen; what is gone from the list is not.
             self.send_input(m, Input::Workers(seen));
-            let goes_by = self.members[m].planner.goes_by(MODEL);
-            let counts: Vec<Count> = self.members[m].counts.values().cloned().collect();
+            let rule = self.members[m].planner.routing_rule(MODEL);
+            let counts: Vec<VersionCounters> = self.members[m].counts.values().cloned().collect();
             for o in (0..self.members.len())
                 .filter(|o| self.connected(m, *o))
                 .collect::<Vec<_>>()
@@ -97,10 +97,10 @@
                 let (member, model, counts) = (m as u16, MODEL.into(), counts.clone());
                 self.send_input(
                     o,
-                    Input::Counted {
+                    Input::MemberReported {
                         member,
                         model,
-                        goes_by,
+                        rule,
                         counts,
                     },
                 );
@@ -119,8 +119,8 @@
         for output in out {
             let soon = self.now + 20 * MS + self.draw(400) as Micros * MS;
             match output {
-                Output::Lead { key } => self.at(soon, Event::Lead { m, nonce, key }),
-                Output::Write { key, ballot, value } => {
+                Output::RequestLeadership { key } => self.at(soon, Event::Lead { m, nonce, key }),
+                Output::Propose { key, ballot, value } => {
                     self.check_term(m, &ballot.term());
                     self.at(
                         soon,
@@ -133,13 +133,13 @@
                         },
                     );
                 }
-                Output::Want {
+                Output::LoadCopy {
                     worker,
                     function,
                     term,
                     ..
                 } => self.send_request(m, worker, function, true, term),
-                Output::Unwant {
+                Output::UnloadCopies {
                     worker,
                     function,
                     term,
@@ -195,7 +195,7 @@
         if !self.can_reach(m, w) || self.lost_requests_until > self.now && self.draw(2) == 0 {
             return;
         }
-        let shown = self.members[m].planner.shown();
+        let shown = self.members[m].planner.status();
         let region = shown.first().and_then(|s| {
             s.regions
                 .iter()
--- a/crates/upgrade/tests/world/traffic.rs
+++ b/crates/upgrade/tests/world/traffic.rs
@@ -70,23 +70,27 @@
         let known = session.and_then(|id| self.members[m].bindings.get(&id).cloned());
         let version = match session {
             _ if self.policy != Policy::Planner => self.baseline_version(session, &region, draw),
-            Some(id) if known.is_none() && p.wants_binding(MODEL, begins) => {
+            Some(id) if known.is_none() && p.needs_binding(MODEL, begins) => {
                 if !self.has_majority(m) {
                     self.totals.refused += 1;
                     return;
                 }
-                let wished = p.proposes(MODEL, &region, draw, begins).unwrap_or_default();
+                let wished = p
+                    .version_to_propose(MODEL, &region, draw, begins)
+                    .unwrap_or_default();
                 let version = self.bindings.entry(id).or_insert(wished).clone();
                 self.members[m].bindings.insert(id, version.clone());
                 version
             }
             Some(_) if known.is_some() => known.unwrap_or_default(),
             _ => p
-                .goes_to(MODEL, &region, draw, session.is_some())
+                .route(MODEL, &region, draw, session.is_some())
                 .map_or(Name::from(""), |w| w.version),
         };
         if let Some(id) = session {
-            if self.policy == Policy::Planner && self.members[m].planner.over(MODEL, &version) {
+            if self.policy == Policy::Planner
+                && self.members[m].planner.copies_evicted(MODEL, &version)
+            {
                 self.totals.sessions_over += 1;
                 self.sessions.remove(&id);
                 return;
@@ -112,7 +116,7 @@
             member: m,
             region,
             session,
-            function: function(MODEL, &version),
+            function: function_name(MODEL, &version),
             version,
             at: self.now,
         });
@@ -202,7 +206,7 @@
             .entry(invocation.version.clone())
             .or_default();
         (count.version, count.trigger) = (invocation.version.clone(), "t".into());
-        count.ended += 1;
+        count.completed += 1;
         count.errored += u64::from(errored);
         count.late += u64::from(late);
     }
