--- a/crates/gateway/src/grpc.rs
+++ b/crates/gateway/src/grpc.rs
@@ -36,6 +36,8 @@
 use crate::request_handling::{RequestHandler, serve_until_closed};
 use crate::request_parsing::{BodyError, parse_head, parse_session, read_body, with_body_timeout};
 
+mod queries;
+
 const MAX_HEADER_BYTES: u32 = 32 * 1024;
 /// Bytes that a peer may send on one stream, and on all its streams, before they are read. This bounds what
 /// waits for each connection, however many requests are open.
@@ -186,73 +188,11 @@
         Err(error) => return body_error_response(error),
     };
     match rpc::unframe(body) {
-        Ok(message) => query_response(&handler, method, message),
+        Ok(message) => queries::query_response(&handler, method, message),
         Err(error) => error_response(Code::InvalidArgument, error.cause()),
     }
 }
 
-/// Answers the methods that ask about the server and its models.
-fn query_response(handler: &RequestHandler, method: Method, message: Bytes) -> Reply {
-    match method {
-        Method::ServerLive => message_response(&wire::ServerLiveResponse { live: true }),
-        Method::ServerReady => message_response(&wire::ServerReadyResponse {
-            ready: handler.is_ready(),
-        }),
-        Method::ServerMetadata => message_response(&wire::ServerMetadataResponse {
-            name: "cedarpulley".into(),
-            version: env!("CARGO_PKG_VERSION").into(),
-            extensions: serving::EXTENSIONS.map(str::to_owned).to_vec(),
-        }),
-        Method::ModelReady => match requested_function(message) {
-            // Functions are loaded on demand: any may be requested.
-            Ok(_) => message_response(&wire::ModelReadyResponse { ready: true }),
-            Err(cause) => error_response(Code::InvalidArgument, cause),
-        },
-        Method::ModelMetadata => match requested_function(message) {
-            Ok(function) => model_metadata_response(&function),
-            Err(cause) => error_response(Code::InvalidArgument, cause),
-        },
-        Method::RepositoryIndex => repository_index_response(&(handler.resources.functions)()),
-        Method::ModelInfer => error_response(Code::Internal, "not here"),
-    }
-}
-
-/// The function that a request for readiness or metadata names; the two have the same message.
-fn requested_function(message: Bytes) -> Result<String, &'static str> {
-    let request =
-        wire::ModelReadyRequest::decode(message).map_err(|_| "the message cannot be read")?;
-    function(&request.name, &request.version).ok_or("no model has such a name")
-}
-
-fn model_metadata_response(function: &str) -> Reply {
-    let (name, version) = serving::model(function);
-    let versions = if version.is_empty() {
-        vec![]
-    } else {
-        vec![version.to_owned()]
-    };
-    message_response(&wire::ModelMetadataResponse {
-        name: name.to_owned(),
-        versions,
-        ..Default::default()
-    })
-}
-
-fn repository_index_response(functions: &[String]) -> Reply {
-    let models = functions.iter().map(|function| {
-        let (name, version) = serving::model(function);
-        wire::repository_index_response::ModelIndex {
-            name: name.into(),
-            version: version.into(),
-            state: "READY".into(),
-            reason: String::new(),
-        }
-    });
-    message_response(&wire::RepositoryIndexResponse {
-        models: models.collect(),
-    })
-}
-
 fn body_error_response(error: BodyError) -> Reply {
     match error {
         BodyError::TooLarge => error_response(Code::InvalidArgument, "the message is too large"),
