--- a/crates/cli/tests/group.rs
+++ b/crates/cli/tests/group.rs
@@ -163,6 +163,10 @@
     Acknowledged,
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn bring(f: &Cluster, after: After, owner: usize) {
     let all = others(f, owner);
     // What ran before was answered.
--- a/crates/cli/tests/grpc.rs
+++ b/crates/cli/tests/grpc.rs
@@ -134,6 +134,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn methods_answer_and_wrong_calls_are_named() {
     let r = start_with("grpc-plain", Duration::from_millis(5), 64, 1, GRPC);
     run(async |local| {
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -466,6 +466,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn the_channel_breaks_moves_and_goes_on_where_it_was() {
     let w = World::new(7);
     let second = Shared::default();
--- a/crates/cli/tests/platform/mod.rs
+++ b/crates/cli/tests/platform/mod.rs
@@ -62,6 +62,10 @@
     });
 }
 
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 pub fn serve(stream: TcpStream, seen: &Shared) {
     let mut lines = BufReader::new(stream.try_clone().expect("clone"));
     let mut out = stream;
--- a/crates/cli/tests/rest.rs
+++ b/crates/cli/tests/rest.rs
@@ -82,6 +82,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn a_router_told_to_stop_answers_what_it_took_and_ends_well() {
     let mut r = start("rest-stop", Duration::from_secs(3));
     let marked = |n: usize| format!("{PATIENT}x-request-id: call-{n}\r\n");
--- a/crates/cli/tests/running/mod.rs
+++ b/crates/cli/tests/running/mod.rs
@@ -57,6 +57,10 @@
 }
 
 /// With bodies up to `body_kb`, so many megabytes for all of them, and more lines for its front.
+#[allow(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 pub fn start_with(
     name: &str,
     work: Duration,
--- a/crates/cli/tests/tls.rs
+++ b/crates/cli/tests/tls.rs
@@ -279,6 +279,10 @@
 
 /// The broker stand-in speaks no TLS: something before it does.
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn a_queue_is_consumed_over_tls() {
     let (authority, here) = (Authority::new(), folder("tls-broker"));
     let server = authority.pair("broker", 2100);
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -50,6 +50,10 @@
 /// Guards against sessions leaving their warm worker: a function's homes move, and the module forgets all
 /// that it believed of it.
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn recently_used_copy_is_reported_to_the_core_before_each_turn() {
     let passed: Rc<RefCell<Vec<Input>>> = Rc::default();
     let context = Rc::new(GatewayContext {
--- a/crates/invariant-checker/tests/rules.rs
+++ b/crates/invariant-checker/tests/rules.rs
@@ -155,6 +155,10 @@
 
 /// Given up at 9 s, answered at 12 s.
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn an_answer_may_be_late_only_while_its_router_is_paused_or_partitioned() {
     let told = |name: &str, answer: Vec<Value>, more: Vec<Value>| {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
--- a/crates/invariant-checker/tests/warm_capacity.rs
+++ b/crates/invariant-checker/tests/warm_capacity.rs
@@ -113,6 +113,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn a_rebuilt_prefix_has_one_cause() {
     let of = |name: &str, between: Vec<(&'static str, Value)>| {
         let mut lines = vec![("w0", loaded("m:1"))];
@@ -285,6 +289,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn an_order_that_takes_lanes_below_the_floor_breaks_it() {
     let half = json!({"floor_part": 0.75});
     let of = |name: &str, then: &[(&str, Value)]| {
--- a/crates/kserve/tests/codec.rs
+++ b/crates/kserve/tests/codec.rs
@@ -13,6 +13,10 @@
 use prost::Message;
 use serde_json::{Value, json};
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn contents() -> impl Strategy<Value = (&'static str, InferTensorContents)> {
     let c = InferTensorContents::default;
     prop_oneof![
@@ -171,6 +175,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn an_inconvertible_tensor_is_an_error_that_names_it() {
     let one = |datatype: &str, c: InferTensorContents| {
         let input = InferInputTensor {
--- a/crates/platform/tests/worker_protocol.rs
+++ b/crates/platform/tests/worker_protocol.rs
@@ -91,6 +91,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn exchange_ends_map_to_outcomes() {
     use ExchangeEnd::*;
     for (end, outcome, not_executed) in [
--- a/crates/reconcile/tests/drift_kinds.rs
+++ b/crates/reconcile/tests/drift_kinds.rs
@@ -506,6 +506,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn an_unclaimed_copy_is_unloaded_after_the_grace_period() {
     let claims = Claims {
         terms: [arc("7.1")].into(),
--- a/crates/reconcile/tests/world/mod.rs
+++ b/crates/reconcile/tests/world/mod.rs
@@ -300,6 +300,10 @@
         out.into_iter().for_each(|o| self.carry_out(r, o));
     }
 
+    #[allow(
+        clippy::too_many_lines,
+        reason = "one scenario or table of cases, told in order"
+    )]
     fn carry_out(&mut self, r: usize, output: Output) {
         let index_of = |worker: &str| worker[1..].parse::<usize>().expect("a number");
         match output {
@@ -419,6 +423,10 @@
 
     /// A word was taken in: what it says otherwise than is believed, and may say, is found by this round; of a doubted
     /// worker by the second one in a row that says so.
+    #[allow(
+        clippy::too_many_lines,
+        reason = "one scenario or table of cases, told in order"
+    )]
     fn rounds(
         &mut self,
         r: usize,
--- a/crates/replica/src/ownership/claim_table/tests.rs
+++ b/crates/replica/src/ownership/claim_table/tests.rs
@@ -10,6 +10,10 @@
 
 /// The next due time is the one that a look at all claims finds, whatever happens to them.
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn next_due_time_is_the_earliest_of_all_claims() {
     let member = |n: usize| Member {
         name: format!("r{n}"),
--- a/crates/replica/tests/explorer.rs
+++ b/crates/replica/tests/explorer.rs
@@ -342,6 +342,10 @@
         }
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one scenario or table of cases, told in order"
+    )]
     fn steps(
         &self,
         without: Option<SafetyCheck>,
@@ -700,6 +704,10 @@
 const THREADS: usize = 4;
 
 /// All states within so many steps, or until so many were seen.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn explore(first: World, without: Option<SafetyCheck>, depth: usize, most: usize) -> Found {
     let mut seen: HashSet<u128> = HashSet::from([first.mark()]);
     let mut trail: Vec<(usize, Label)> = vec![(0, ("", 0, 0, 0))];
--- a/crates/replica/tests/message_bytes.rs
+++ b/crates/replica/tests/message_bytes.rs
@@ -148,6 +148,10 @@
     }
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn messages_on_invocations() -> Vec<(&'static str, Message)> {
     let (key, ballot) = (key("k"), ballot(2));
     let intend = Message::StoreIntent {
--- a/crates/replica/tests/persistence.rs
+++ b/crates/replica/tests/persistence.rs
@@ -195,6 +195,10 @@
 
 /// A seeded run: choices and terms, disks that write at random times, messages lost and reordered, and power cuts of all
 /// members at once. Returns how many values were chosen and written.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn play(without: Option<SafetyCheck>, seed: u64) -> Result<(usize, usize), String> {
     let mut dice = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut draw = move |most: usize| {
--- a/crates/replica/tests/random_faults.rs
+++ b/crates/replica/tests/random_faults.rs
@@ -541,6 +541,10 @@
         (self.w.verdicts[r], self.w.leaves[r], self.w.decided[r]) = Default::default();
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one scenario or table of cases, told in order"
+    )]
     fn step(&mut self, op: Op) {
         let within = |r: usize| r % self.n;
         match op {
--- a/crates/trace/tests/compared.rs
+++ b/crates/trace/tests/compared.rs
@@ -42,6 +42,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn each_kind_of_difference_is_reported() {
     let send = |worker| Action::Dispatch {
         invocation: 1,
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -188,6 +188,10 @@
 
 /// Symptom: a disk takes a name and no bytes. The name is spent; the row goes on under the next, and its loss is told.
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn writing_goes_on_after_a_file_that_could_not_be_begun() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("spent");
     let _ = std::fs::remove_dir_all(&folder);
@@ -289,6 +293,10 @@
     )
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn event() -> impl Strategy<Value = Event<'static>> {
     let n = any::<u32>;
     let t = any::<i64>;
--- a/crates/trace/tests/rewriting.rs
+++ b/crates/trace/tests/rewriting.rs
@@ -199,6 +199,10 @@
 
 /// The wall's clocks differ by minutes; what the list told both routers shows by how much.
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn clock_offsets_are_estimated_from_endpoint_list_changes() {
     use cedarpulley::interface::{Endpoint, EndpointListKind, EndpointState};
     use cedarpulley_trace::blocks::BlockBuilder;
--- a/crates/trace/tests/ruled.rs
+++ b/crates/trace/tests/ruled.rs
@@ -41,6 +41,10 @@
 }
 use RecordedStep::*;
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn record(step: &RecordedStep) -> Vec<Record> {
     let decided = |event, actions| {
         vec![Record::Decided {
@@ -226,6 +230,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario or table of cases, told in order"
+)]
 fn rule_2_non_idempotent_work_is_not_repeated() {
     let again = |first: DispatchOutcome, effect| {
         let steps = [
--- a/crates/upgrade/tests/world/mod.rs
+++ b/crates/upgrade/tests/world/mod.rs
@@ -257,6 +257,10 @@
 
 impl World {
     /// Three routers in one region, two in the other; `workers` in each. `room`: copies that fit on a worker.
+    #[allow(
+        clippy::too_many_lines,
+        reason = "one scenario or table of cases, told in order"
+    )]
     pub fn new(seed: u64, policy: Policy, workers: usize, room: u32) -> World {
         let region = |n: usize| Name::from(if n.is_multiple_of(2) { "a" } else { "b" });
         let mut w = World {
--- a/crates/upgrade/tests/world/network.rs
+++ b/crates/upgrade/tests/world/network.rs
@@ -34,6 +34,10 @@
         self.at(when, Event::In { m, nonce, input });
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one scenario or table of cases, told in order"
+    )]
     pub(super) fn deliver_events(&mut self) {
         while let Some(entry) = self.events.first_entry().filter(|e| e.key().0 <= self.now) {
             let event = entry.remove();
--- a/crates/upgrade/tests/world/traffic.rs
+++ b/crates/upgrade/tests/world/traffic.rs
@@ -52,6 +52,10 @@
         }
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one scenario or table of cases, told in order"
+    )]
     pub(super) fn invoke(&mut self, region: Name, session: Option<u64>) {
         let near: Vec<usize> = (0..self.members.len())
             .filter(|m| {
@@ -122,6 +126,10 @@
         });
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one scenario or table of cases, told in order"
+    )]
     pub(super) fn dispatch(&mut self) {
         for invocation in std::mem::take(&mut self.waiting) {
             if self.now - invocation.at > QUEUE_TIMEOUT {
--- a/crates/upgrade/tests/world/workers.rs
+++ b/crates/upgrade/tests/world/workers.rs
@@ -3,6 +3,10 @@
 use super::*;
 
 impl World {
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one scenario or table of cases, told in order"
+    )]
     pub(super) fn receive_request(&mut self, request: &CopyRequest) {
         let CopyRequest {
             member,
