--- a/crates/cli/tests/upgraded.rs
+++ b/crates/cli/tests/upgraded.rs
@@ -446,7 +446,7 @@
         })
         .at(103, |f| {
             assert!(
-                until(PLANNED, || log(f).contains("orders refused")),
+                until(PLANNED, || log(f).contains("orders rejected")),
                 "it is told"
             )
         })
