--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: a dispatch with its timeout, what follows its end, and the final answer.
+//! Attempts: dispatches with their timeouts, retries, and final answers.
 
 use super::Balancer;
 use super::functions::Function;
@@ -6,26 +6,27 @@
 use super::readiness::Readiness;
 use crate::interface::*;
 
-/// Silent for so many long but normal latencies, a worker hangs.
+/// A worker that has not answered for this multiple of the upper bound of the expected latency counts as hanging.
 pub(super) const SILENCE_MULTIPLE: Micros = 2;
-/// An attempt is timed out after so many; sooner would repeat what was only slow.
+/// The timeout of an attempt, as a multiple of the upper bound of the expected latency. A smaller multiple would
+/// repeat attempts that are only slow.
 const TIMEOUT_MULTIPLE: Micros = 6;
-/// An outlier is probed again after this part of the shortest latency objective.
+/// The interval between probes of an outlier is the shortest latency objective divided by this.
 const PROBE_INTERVAL_DIVISOR: Micros = 2;
-/// Retry-After is this part of the latency objective.
+/// Retry-After is the latency objective divided by this.
 const RETRY_AFTER_DIVISOR: Micros = 4;
 
 /// How long an attempt may take.
 struct AttemptLimits {
-    /// Without any answer of the worker for so long, it is an outlier.
+    /// The worker becomes an outlier if it sends no answer at all for this time.
     silence: Micros,
-    /// After so long the attempt ends; absent where no further one could follow.
+    /// The attempt ends after this time; absent if no further attempt could follow.
     timeout: Option<Micros>,
 }
 
 impl Balancer {
-    /// Sends the invocation to a worker, or has the worker checked first where it is not known to be ready; with
-    /// `loads_copy` the worker has to load the function.
+    /// Sends the invocation to a worker. If the worker is not known to be ready, the invocation is queued and a
+    /// health check is sent instead. `loads_copy` says that the worker has to load the function first.
     pub(super) fn dispatch(
         &mut self,
         index: InvocationIndex,
@@ -77,6 +78,8 @@
         recent.record(now);
     }
 
+    /// Computes the limits of the next attempt from the expected service time and, with `waits_for_load`, the
+    /// expected load time.
     fn attempt_limits(
         &self,
         invocation: &Invocation,
@@ -89,10 +92,11 @@
         } else {
             0
         };
-        // Symptom: work far shorter than this router's own pauses; each pause would look like every worker's.
+        // The router handles events only every `granularity`. Without this term, a pause of the router would make
+        // all workers with very short work look silent.
         let due = service.upper_bound() + load + self.settings.fleet.granularity;
         let timeout = TIMEOUT_MULTIPLE * due;
-        // A further dispatch only if the time left then exceeds the time it is expected to take.
+        // A retry after the timeout is useful only if it could still finish before the client's timeout.
         let left = invocation.client_timeout_at - self.now;
         let may_retry = self.settings.triggers[invocation.trigger].effect != Effect::NonIdempotent
             && invocation.dispatches.len() as u32 + 1 < self.settings.limits.max_dispatches
@@ -103,7 +107,8 @@
         }
     }
 
-    /// A dispatch ended: learns from it, then retries or answers the invocation, and fills the freed lane.
+    /// Handles the end of a dispatch: updates the estimates, retries or answers the invocation, and fills the freed
+    /// lane.
     pub(super) fn on_dispatch_ended(&mut self, ended: &DispatchEnded, out: &mut Vec<Action>) {
         let Some(attempt) = self.close_dispatch(ended) else {
             return;
@@ -117,7 +122,7 @@
         self.retry_queued(Some(attempt.function), out);
     }
 
-    /// After a dispatch without success: another one, or the final answer at once.
+    /// Retries an unanswered invocation without dispatches in flight, or answers it at once if no retry is possible.
     fn retry_or_answer(&mut self, index: InvocationIndex, out: &mut Vec<Action>) {
         let Some((invocation, function)) = self
             .find_invocation(index)
@@ -134,8 +139,8 @@
         }
     }
 
-    /// The final answer of an invocation that gets no success: a rejection where it surely did not run, or where
-    /// a retry by the client is harmless; else an error.
+    /// Gives the final answer to an invocation that did not succeed: a rejection if the invocation certainly did not
+    /// run or a retry by the client is harmless, otherwise an error.
     pub(super) fn answer_without_success(&mut self, index: InvocationIndex, out: &mut Vec<Action>) {
         let Some((invocation, _)) = self
             .find_invocation(index)
@@ -168,7 +173,8 @@
         self.mark_answered(index);
     }
 
-    /// Symptom: work is done for clients that have left. What still waits at a worker is cancelled.
+    /// Handles the departure of a client. Its dispatches in flight are cancelled, so that workers do no work for
+    /// clients that have left.
     pub(super) fn on_client_left(&mut self, index: InvocationIndex, out: &mut Vec<Action>) {
         if let Some(invocation) = self
             .invocations
@@ -186,7 +192,7 @@
         self.mark_answered(index);
     }
 
-    /// The invocation has its final answer, or its client has left.
+    /// Records that the invocation has its final answer or that its client has left.
     pub(super) fn mark_answered(&mut self, index: InvocationIndex) {
         self.dequeue(index);
         if let Some(invocation) = self.invocations.get_mut(index) {
@@ -195,7 +201,7 @@
         self.remove_if_finished(index);
     }
 
-    /// Forgets an invocation that is answered and has nothing in flight.
+    /// Removes the invocation if it is answered and has no dispatch in flight.
     fn remove_if_finished(&mut self, index: InvocationIndex) {
         if let Some(invocation) = self.invocations.take_if_finished(index) {
             self.functions[invocation.function as usize].open_invocations -= 1;
--- a/src/balancer/eligibility.rs
+++ b/src/balancer/eligibility.rs
@@ -1,16 +1,19 @@
-//! Which workers an invocation may go to by the rules, which are fit for it, and which have capacity.
+//! Filters for workers: those to which the rules allow an invocation to be sent, those eligible for it, and those
+//! with capacity.
 
 use super::Balancer;
 use super::invocations::Invocation;
 use super::workers;
 use crate::interface::*;
 
-/// A worker is crowded with so many times the mean load, and so many dispatches in any case.
-const CROWDED_FACTOR: f64 = 1.5;
-const CROWDED_MIN: f64 = 1.0;
+/// A worker is crowded when this router's dispatches in flight there reach this multiple of the mean load, plus
+/// [`CROWDED_MIN_DISPATCHES`].
+const CROWDED_MEAN_LOAD_MULTIPLE: f64 = 1.5;
+/// Dispatches in flight that every worker is allowed, whatever the mean load.
+const CROWDED_MIN_DISPATCHES: f64 = 1.0;
 
 impl Balancer {
-    /// Rules 2 and 3: whether the rules let this invocation go to this worker, ever.
+    /// Rules 2 and 3: whether the invocation may be sent to this worker at all.
     pub(super) fn may_dispatch(&self, invocation: &Invocation, worker: usize) -> bool {
         if invocation.answered
             || invocation.in_flight()
@@ -33,7 +36,7 @@
         }
     }
 
-    /// Whether `worker` recognizes the idempotency keys of what `earlier` ran.
+    /// Whether `worker` recognizes the idempotency keys of invocations that ran on `earlier`.
     fn shares_keys(&self, scope: DeduplicationScope, earlier: usize, worker: usize) -> bool {
         let (earlier, worker) = (&self.workers[earlier], &self.workers[worker]);
         match scope {
@@ -43,8 +46,9 @@
         }
     }
 
-    /// Fit for this invocation: allowed, fast enough, within its slow-start budget, and no outlier, or an outlier
-    /// due for a probe with what can go elsewhere afterwards.
+    /// Whether the worker is eligible for this invocation: it is allowed by the rules, fast enough, within its
+    /// slow-start budget, and not an outlier. An outlier is eligible if a probe is due and this is the first
+    /// dispatch of an invocation that may be repeated elsewhere.
     pub(super) fn is_eligible(&self, invocation: &Invocation, worker: usize) -> bool {
         if !self.may_dispatch(invocation, worker)
             || !self.has_slow_start_budget(worker)
@@ -66,19 +70,22 @@
                 .probe_due(worker, invocation.trigger, self.now)
     }
 
-    /// Symptom: heavy invocations, dear where value goes by work, come late from slow machines even when
-    /// idle. For a while they wait for a machine kind on which their time suffices, if there is one.
+    /// Whether the worker's machine kind is too slow for the invocation's latency objective while another kind is
+    /// fast enough. Without this check, heavy invocations, which are valuable where the value grows with the work,
+    /// are answered late by slow machines even if these are idle. Such an invocation waits for a faster machine, but
+    /// no longer than its own expected work takes.
     fn is_too_slow(&self, invocation: &Invocation, worker: usize) -> bool {
-        let left = (invocation.objective_at - self.now) as f64;
+        let time_left = (invocation.objective_at - self.now) as f64;
         let work = invocation.work_hint as f64;
         let kind = self.workers[worker].machine_kind;
         let (slowness, fastest) = self.slowness.of_kind_and_fastest(kind);
-        work * slowness > left
-            && work * fastest < left
+        work * slowness > time_left
+            && work * fastest < time_left
             && self.now - invocation.arrived_at < invocation.work_hint
     }
 
-    /// This router's dispatches in flight for each worker of full capacity, over the workers in service.
+    /// The mean number of this router's dispatches in flight per worker in service, where a worker in slow start
+    /// counts as the fraction of its full capacity.
     pub(super) fn mean_load(&self) -> f64 {
         let (in_flight, capacity) =
             workers::in_service(&self.workers).fold((0.0, 0.0), |(in_flight, capacity), worker| {
@@ -90,15 +97,16 @@
         in_flight / f64::max(capacity, 0.1)
     }
 
-    /// Symptom: lanes are free but the cores behind them are not (many functions there, a worker in slow start or a
-    /// slow one): more of this router's work than its part of all of it. A lane there does not count as free.
+    /// Whether the worker has clearly more of this router's dispatches in flight than the mean for its capacity, or
+    /// has reached its concurrency limit. A lane of a crowded worker does not count as free: its cores may all be
+    /// busy, as many functions are loaded there, or as the worker is slow or in slow start.
     pub(super) fn is_crowded(&self, worker: usize, mean_load: f64) -> bool {
         let in_flight = f64::from(self.outliers.in_flight(worker));
-        let fair_part = CROWDED_FACTOR * mean_load * self.capacity_fraction(worker);
-        self.concurrency_limit_reached(worker) || in_flight >= fair_part + CROWDED_MIN
+        let fair_share = CROWDED_MEAN_LOAD_MULTIPLE * mean_load * self.capacity_fraction(worker);
+        self.concurrency_limit_reached(worker) || in_flight >= fair_share + CROWDED_MIN_DISPATCHES
     }
 
-    /// Whether this router has as much in flight at the worker as that was seen to answer in time.
+    /// Whether this router's dispatches in flight at the worker have reached the concurrency limit.
     pub(super) fn concurrency_limit_reached(&self, worker: usize) -> bool {
         let in_flight = f64::from(self.outliers.in_flight(worker));
         self.workers[worker].concurrency_limit.is_reached(in_flight)
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -1,12 +1,12 @@
-//! The endpoint list: workers that come, drain, restart and go.
+//! The endpoint list: workers that join, drain, restart and leave.
 
 use super::Balancer;
-use super::estimates::LONG_AGO;
+use super::estimates::DISTANT_PAST;
 use super::workers::WorkerState;
 use crate::interface::*;
 
 impl Balancer {
-    /// The endpoint list, or a change of it.
+    /// Handles a complete endpoint list or a change of it.
     pub(super) fn on_endpoint_list(
         &mut self,
         kind: EndpointListKind,
@@ -21,8 +21,8 @@
         if failed {
             return;
         }
-        self.make_room_for(endpoints);
-        let mut emptied = if kind == EndpointListKind::Changes {
+        self.grow_for(endpoints);
+        let mut workers_without_copies = if kind == EndpointListKind::Changes {
             Vec::new()
         } else {
             self.mark_missing_gone(endpoints)
@@ -31,8 +31,8 @@
             .iter()
             .filter(|endpoint| self.update_worker(endpoint))
             .map(|endpoint| endpoint.worker as usize);
-        emptied.extend(changed);
-        for worker in emptied {
+        workers_without_copies.extend(changed);
+        for worker in workers_without_copies {
             self.forget_copies(worker);
         }
         for function in 0..self.functions.len() {
@@ -43,7 +43,8 @@
         self.retry_queued(None, out);
     }
 
-    fn make_room_for(&mut self, endpoints: &[Endpoint]) {
+    /// Extends all tables that are indexed by worker to include these endpoints.
+    fn grow_for(&mut self, endpoints: &[Endpoint]) {
         let workers = endpoints
             .iter()
             .map(|endpoint| endpoint.worker as usize + 1)
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Marks the workers that a complete list does not name, and returns them.
+    /// Marks the workers that are missing from a complete list as gone, and returns them.
     fn mark_missing_gone(&mut self, endpoints: &[Endpoint]) -> Vec<usize> {
         let is_missing = |worker: &usize| {
             !endpoints
@@ -70,21 +71,21 @@
         missing
     }
 
-    /// Takes in one worker's entry; true if its process is another one now, or gone.
+    /// Updates a worker from its entry in the list; true if its process has been replaced or restarted, or is gone.
     fn update_worker(&mut self, endpoint: &Endpoint) -> bool {
         let worker = endpoint.worker as usize;
-        let is_another = self.workers[worker].fingerprint != endpoint.fingerprint;
-        if is_another {
-            // The index of one that is gone was given out again: nothing of it is the new one's.
+        let is_new_worker = self.workers[worker].fingerprint != endpoint.fingerprint;
+        if is_new_worker {
+            // The index of a removed worker has been reused: the new worker must not inherit its state.
             self.workers[worker] = WorkerState::default();
             self.outliers.reset(worker);
             self.readiness.reset(worker);
         }
         let state = &mut self.workers[worker];
         let started_at = endpoint.started_at.unwrap_or(state.started_at);
-        let is_restarted = state.started_at != started_at;
+        let process_restarted = state.started_at != started_at;
         if endpoint.state == EndpointState::Draining && state.state == EndpointState::InService {
-            // A quarter of the grace is left as a margin.
+            // A quarter of the drain grace is kept as a safety margin.
             state.drains_until = self.now + self.settings.rules.drain_grace * 3 / 4;
         }
         state.fingerprint = endpoint.fingerprint;
@@ -94,13 +95,13 @@
         state.state = endpoint.state;
         state.started_at = started_at;
         self.slowness.add_kind(endpoint.machine_kind);
-        is_another || is_restarted || endpoint.state == EndpointState::Gone
+        is_new_worker || process_restarted || endpoint.state == EndpointState::Gone
     }
 
-    /// A restarted process has no copies, and its outcomes do not count yet.
+    /// Drops the expected copies and the recorded outcomes of a worker whose process has been restarted or is gone.
     pub(super) fn forget_copies(&mut self, worker: usize) {
         self.outliers.forget_outcomes(worker);
-        self.workers[worker].no_load_until = LONG_AGO;
+        self.workers[worker].no_load_until = DISTANT_PAST;
         for function in &mut self.functions {
             function.set_cold(worker);
             function
--- a/src/balancer/estimates.rs
+++ b/src/balancer/estimates.rs
@@ -1,20 +1,22 @@
-//! Running estimates: latencies, decaying sums, counts over a sliding window, and the pace of machine kinds.
+//! Running estimates: latencies, decaying sums, counts over a sliding window, and the slowness of machine kinds.
+//! Also the source of pseudo-random draws.
 
 use std::collections::VecDeque;
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
 use crate::interface::Micros;
 
-/// A latency estimate moves by one part in so many with each sample (as for round trips in TCP).
-const GAIN_DIVISOR: Micros = 8;
-/// The upper bound of a latency: its mean and so many deviations.
+/// Each sample moves a latency estimate by its difference divided by this, as in TCP's round-trip estimate.
+const LATENCY_GAIN_DIVISOR: Micros = 8;
+/// The upper bound of a latency is its mean plus this many mean deviations.
 const UPPER_BOUND_DEVIATIONS: Micros = 4;
-/// The slowness of a machine kind moves by one part in so many with each sample.
+/// Each sample moves the slowness of a machine kind by its difference divided by this.
 const SLOWNESS_GAIN_DIVISOR: f64 = 32.0;
-/// A slowness sample counts as so much at most.
+/// Larger slowness samples are cut to this value.
 const MAX_SLOWNESS_SAMPLE: f64 = 8.0;
-/// The start of a time span that has not begun: before any point in time, and safe to subtract.
-pub(super) const LONG_AGO: Micros = Micros::MIN / 2;
+/// A point in time before all others, for events that have not happened yet. It can be subtracted from any other
+/// point in time without overflow.
+pub(super) const DISTANT_PAST: Micros = Micros::MIN / 2;
 
 /// Exponentially weighted mean of a latency, and its mean absolute deviation.
 #[derive(Clone, Copy, Default)]
@@ -26,7 +28,7 @@
 }
 
 impl LatencyEstimate {
-    /// The first of these that has samples, else one around `guess`.
+    /// Returns the first of these estimates that has samples, or else an estimate around `guess`.
     pub(super) fn first_known<const N: usize>(known: [Self; N], guess: Micros) -> Self {
         known
             .into_iter()
@@ -37,7 +39,7 @@
             })
     }
 
-    /// An estimate made of a client's hint, before there is any sample.
+    /// Creates an estimate from a client's hint, for use before there is any sample.
     pub(super) fn from_hint(hint: Micros) -> Self {
         LatencyEstimate {
             mean: hint.max(1),
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Takes in a measured latency.
+    /// Adds a measured latency.
     pub(super) fn record(&mut self, sample: Micros) {
         if self.mean == 0 {
             *self = LatencyEstimate {
@@ -53,18 +55,18 @@
                 deviation: sample / 2,
             };
         } else {
-            self.deviation += ((sample - self.mean).abs() - self.deviation) / GAIN_DIVISOR;
-            self.mean += (sample - self.mean) / GAIN_DIVISOR;
+            self.deviation += ((sample - self.mean).abs() - self.deviation) / LATENCY_GAIN_DIVISOR;
+            self.mean += (sample - self.mean) / LATENCY_GAIN_DIVISOR;
         }
     }
 
-    /// A long but normal latency.
+    /// The upper bound of the normal range: a longer latency is unusual.
     pub(super) fn upper_bound(&self) -> Micros {
         self.mean + UPPER_BOUND_DEVIATIONS * self.deviation
     }
 }
 
-/// A sum whose parts lose weight exponentially with age.
+/// A sum whose terms decay exponentially with their age.
 #[derive(Clone, Copy, Default)]
 pub(super) struct DecayingSum {
     sum: f64,
@@ -72,7 +74,8 @@
 }
 
 impl DecayingSum {
-    /// Adds `amount` after decay with the time constant `decay_time`; returns the decayed sum without it.
+    /// Decays the sum with the time constant `decay_time` (microseconds), adds `amount`, and returns the decayed sum
+    /// without `amount`.
     pub(super) fn add(&mut self, now: Micros, decay_time: f64, amount: f64) -> f64 {
         let before = self.sum * (-(now - self.updated_at) as f64 / decay_time).exp();
         *self = DecayingSum {
@@ -88,24 +91,24 @@
     }
 }
 
-/// The points in time at which something happened, oldest first, for counts over a sliding window.
+/// The times of recorded events, oldest first, for counts over a sliding window.
 #[derive(Default)]
 pub(super) struct SlidingWindow {
     times: VecDeque<Micros>,
 }
 
 impl SlidingWindow {
-    /// Notes that it happened now.
+    /// Records an event at `now`.
     pub(super) fn record(&mut self, now: Micros) {
         self.times.push_back(now);
     }
 
-    /// How often it happened after `since`.
+    /// Counts the events after `since`.
     pub(super) fn count_after(&self, since: Micros) -> usize {
         self.times.iter().filter(|&&time| time > since).count()
     }
 
-    /// Drops what happened up to `until`.
+    /// Drops the events up to and including `until`.
     pub(super) fn forget_until(&mut self, until: Micros) {
         while self.times.front().is_some_and(|&time| time <= until) {
             self.times.pop_front();
@@ -113,53 +116,59 @@
     }
 }
 
-/// By machine kind: the time that work takes there, as a multiple of the client's cost hint.
+/// The slowness of each machine kind: the time that work takes there, as a multiple of the client's cost hint.
 #[derive(Default)]
 pub(super) struct MachineSlowness {
+    /// By index of the machine kind.
     by_kind: Vec<f64>,
 }
 
 impl MachineSlowness {
-    /// Makes room for a machine kind; without samples its hints are taken as they are.
+    /// Adds a machine kind; without samples its slowness is 1, so cost hints are used unchanged.
     pub(super) fn add_kind(&mut self, kind: u32) {
         let kinds = self.by_kind.len().max(kind as usize + 1);
         self.by_kind.resize(kinds, 1.0);
     }
 
-    /// Takes in that work with this hint took so long on this kind.
+    /// Records that work with the cost hint `hint` took the time `took` on this machine kind.
     pub(super) fn record(&mut self, kind: u32, took: Micros, hint: Micros) {
         let slowness = &mut self.by_kind[kind as usize];
         *slowness += ((took as f64 / hint as f64).min(MAX_SLOWNESS_SAMPLE) - *slowness)
             / SLOWNESS_GAIN_DIVISOR;
     }
 
-    /// The slowness of this kind and that of the fastest kind.
+    /// Returns the slowness of this machine kind and that of the fastest kind.
     pub(super) fn of_kind_and_fastest(&self, kind: u32) -> (f64, f64) {
         let own = self.by_kind[kind as usize];
         (own, self.by_kind.iter().copied().fold(own, f64::min))
     }
 }
 
-/// Pseudo-random draws: the same seed gives the same draws in the same order.
+/// A source of pseudo-random draws: the same seed gives the same draws in the same order.
 #[derive(Default)]
-pub(super) struct Draws {
+pub(super) struct RandomDraws {
     seed: u64,
-    drawn: u64,
+    /// Number of draws so far.
+    draw_count: u64,
 }
 
-impl Draws {
+impl RandomDraws {
+    /// Creates a source with this seed.
     pub(super) fn new(seed: u64) -> Self {
-        Draws { seed, drawn: 0 }
+        RandomDraws {
+            seed,
+            draw_count: 0,
+        }
     }
 
-    /// The next draw.
+    /// Returns the next draw.
     pub(super) fn draw(&mut self) -> u64 {
-        self.drawn += 1;
-        hash_pair((self.seed, self.drawn))
+        self.draw_count += 1;
+        hash_pair((self.seed, self.draw_count))
     }
 }
 
-/// A hash without key: the same at every router.
+/// Hashes a pair without a key, so that all routers get the same result.
 pub(super) fn hash_pair(pair: (u64, u64)) -> u64 {
     BuildHasherDefault::<DefaultHasher>::default().hash_one(pair)
 }
--- a/src/balancer/functions.rs
+++ b/src/balancer/functions.rs
@@ -1,6 +1,6 @@
 //! What this router knows of a function, and of the function at each worker.
 
-use super::estimates::{DecayingSum, LONG_AGO, LatencyEstimate};
+use super::estimates::{DISTANT_PAST, DecayingSum, LatencyEstimate};
 use crate::interface::*;
 
 /// A function at one worker.
@@ -16,7 +16,7 @@
     fn default() -> Self {
         FunctionWorkerState {
             in_flight: 0,
-            warm_until: LONG_AGO,
+            warm_until: DISTANT_PAST,
         }
     }
 }
@@ -24,7 +24,7 @@
 impl FunctionWorkerState {
     /// Whether a copy is believed to be loaded.
     fn is_warm(&self, now: Micros) -> bool {
-        self.in_flight > 0 && self.warm_until > LONG_AGO || self.warm_until > now
+        self.in_flight > 0 && self.warm_until > DISTANT_PAST || self.warm_until > now
     }
 }
 
@@ -96,7 +96,7 @@
 
     /// No copy is believed to be loaded there.
     pub(super) fn set_cold(&mut self, worker: usize) {
-        self.at_workers[worker].warm_until = LONG_AGO;
+        self.at_workers[worker].warm_until = DISTANT_PAST;
     }
 
     /// Whether a load is in progress at this worker.
--- a/src/balancer/load_orders.rs
+++ b/src/balancer/load_orders.rs
@@ -1,7 +1,7 @@
 //! Loads of copies: by order or by dispatch, the quota of orders, and the loads in progress.
 
 use super::Balancer;
-use super::estimates::{LONG_AGO, SlidingWindow};
+use super::estimates::{DISTANT_PAST, SlidingWindow};
 use super::readiness::Readiness;
 use crate::interface::*;
 
@@ -158,7 +158,7 @@
         let was_loading = state.is_loading_on(worker);
         if was_loading {
             state.loading_on = None;
-            self.workers[worker].no_load_until = LONG_AGO;
+            self.workers[worker].no_load_until = DISTANT_PAST;
         }
         was_loading
     }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,35 +1,43 @@
-//! All decisions of the router. A caller makes one [`Balancer`] per router with [`Balancer::new`] and calls
-//! [`Balancer::handle`] for each event, in order; it returns the actions to carry out at once. Events, actions and
-//! settings are in [`crate::interface`]. The same settings, seed and events give the same actions.
+//! The decision module: a deterministic state machine that makes all routing decisions of a router.
 //!
-//! Where to read on, in this order:
+//! A caller creates one [`Balancer`] per router with [`Balancer::new`] and calls [`Balancer::handle`] for each event,
+//! in order; the call returns the actions to carry out at once. Events, actions and settings are defined in
+//! [`crate::interface`]. The same settings, seed and events always give the same actions.
+//!
+//! Suggested reading order:
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `routing.rs` | the ordinary path of an invocation, `Balancer::route`; its source is in docs/design.md |
-//! | `eligibility.rs` | which workers an invocation may go to, and which have capacity |
+//! | `routing.rs` | the ordinary path of an invocation, `Balancer::route`; docs/design.md names its source |
+//! | `eligibility.rs` | the workers that an invocation may be sent to, and which of them have capacity |
 //! | `queue.rs` | invocations that wait for a lane |
 //! | `attempts.rs` | dispatches with their timeouts, retries, final answers |
-//! | `feedback.rs` | what is learned from the end of a dispatch |
+//! | `feedback.rs` | updates of the estimates and of worker state when a dispatch ends |
 //! | `load_orders.rs` | loads of copies: orders, their quota, loads in progress |
-//! | `endpoints.rs` | the endpoint list: workers that come, drain, restart and go |
+//! | `endpoints.rs` | the endpoint list: workers that join, drain, restart and leave |
 //! | `readiness.rs` | health checks while the endpoint list may be out of date |
 //!
 //! Mechanisms beside the ordinary path:
 //!
-//! 1. Outlier detection (`outlier_detection.rs`): by a worker's last outcomes and silence, for each trigger type; an
-//!    outlier gets rare probes.
-//! 2. Attempt timeouts (`attempts.rs`): what may run again is dispatched with a timeout and goes elsewhere if time
-//!    is left.
-//! 3. Slow start (`slow_start.rs`): a worker that has just started gets this router's part of its capacity.
-//! 4. Preferred workers (`placement.rs`): a busy function has several, by its part of the work and the load reported;
-//!    each router begins with another one.
+//! 1. Outlier detection (`outlier_detection.rs`): a worker becomes an outlier for a trigger type by failing in its
+//!    most recent outcomes or by staying silent. An outlier receives only rare probes.
+//! 2. Attempt timeouts (`attempts.rs`): an invocation that may run again is dispatched with a timeout, and retried
+//!    at another worker if enough time is left.
+//! 3. Slow start (`slow_start.rs`): a worker that has just started is sent at most this router's part of the
+//!    capacity that it has at its age.
+//! 4. Preferred workers (`placement.rs`): a busy function has several preferred workers. Their number follows from
+//!    the function's part of the work and from the load that workers report; each router starts with another one.
 //! 5. Load shedding (`load_shedding.rs`, `account_quota.rs`, the concurrency limit in `workers.rs`): late answers and
-//!    rejections limit this router's work on a worker; when there are many, nothing is explored; what earns little
-//!    (late, beyond a quota, a cheap type, a client soon gone) is begun only while few answers are late.
-//! 6. Draining (`endpoints.rs`, `workers.rs`): a warm worker told to drain serves on within the grace.
+//!    rejections lower the limit on this router's concurrency at a worker. While there are many of them, exploration
+//!    stops, and invocations of low expected value (late ones, ones beyond a quota, ones of a low-value trigger type
+//!    or with a short client timeout) are rejected.
+//! 6. Draining (`endpoints.rs`, `workers.rs`): a warm worker that drains is still sent work within the drain grace.
+//!
+//! Comments refer to five numbered safety rules: 1. each invocation gets one final answer in time; 2. an invocation
+//! runs again only if its effect allows that; 3. a worker gets no new work once its drain grace is over; 4. a worker
+//! in slow start is not overloaded; 5. load orders stay within their quota.
 //!
-//! State: `functions.rs`, `workers.rs`, `invocations.rs`; `estimates.rs` and `latencies.rs` hold what is measured.
+//! State: `functions.rs`, `workers.rs`, `invocations.rs`. Measurements: `estimates.rs`, `latencies.rs`.
 
 mod account_quota;
 mod attempts;
@@ -51,7 +59,7 @@
 mod workers;
 
 use crate::interface::*;
-use estimates::{DecayingSum, Draws, MachineSlowness};
+use estimates::{DecayingSum, MachineSlowness, RandomDraws};
 use functions::Function;
 use invocations::{Invocation, Invocations};
 use latencies::Latencies;
@@ -62,14 +70,15 @@
 use readiness::ReadinessChecks;
 use workers::WorkerState;
 
-/// While invocations wait, they are retried this often (the design's pace).
+/// Interval between ticks while invocations are queued, as the design prescribes; also the shortest tick interval.
 const RETRY_INTERVAL: Micros = 10_000;
-/// Without any, upkeep runs so often within the idle retention time.
-const UPKEEPS_PER_RETENTION: Micros = 100;
-/// A function unused for so many times the idle retention time is forgotten.
+/// Number of ticks within the idle retention time while the queue is empty.
+const IDLE_TICKS_PER_RETENTION: Micros = 100;
+/// The state of a function is dropped after the function has been unused for this multiple of the idle retention
+/// time.
 const FORGET_AFTER_RETENTIONS: Micros = 4;
 
-/// The settings of a run; they do not change.
+/// The settings of a balancer. They are fixed when it is created.
 #[derive(Default)]
 struct Settings {
     fleet: FleetPosition,
@@ -79,14 +88,14 @@
     loads: LoadSettings,
 }
 
-/// The decision module: decides which worker runs an invocation, and when.
+/// Decides which worker runs an invocation, and when.
 #[derive(Default)]
 pub struct Balancer {
     settings: Settings,
-    draws: Draws,
-    /// When the present event happened.
+    draws: RandomDraws,
+    /// The time of the event being handled.
     now: Micros,
-    /// When the next tick is due.
+    /// When the next tick is due; `None` if no tick is scheduled.
     next_tick: Option<Micros>,
     /// By worker index.
     workers: Vec<WorkerState>,
@@ -100,14 +109,15 @@
     order_quota: LoadOrderQuota,
     latencies: Latencies,
     slowness: MachineSlowness,
-    /// Work accepted, of all functions, within about the idle retention time.
+    /// Expected work (microseconds) of the invocations accepted for all functions, decaying with the idle retention
+    /// time.
     work_accepted: DecayingSum,
-    /// Invocations that succeeded within some overload windows, for each worker in service at the time.
+    /// Successful invocations per worker in service, decaying over a few overload windows.
     completions_per_worker: DecayingSum,
 }
 
 impl Balancer {
-    /// A balancer that knows no workers yet. All its draws come from `seed`.
+    /// Creates a balancer without workers. All its pseudo-random draws derive from `seed`.
     #[expect(
         clippy::too_many_arguments,
         reason = "one argument for each record of the start message"
@@ -124,7 +134,7 @@
         _reports: ReportSource,
     ) -> Self {
         Balancer {
-            draws: Draws::new(seed),
+            draws: RandomDraws::new(seed),
             load_shedder: LoadShedder::new(&triggers, &accounts, fleet.routers, &prices),
             latencies: Latencies::new(triggers.len()),
             outliers: OutlierDetector::new(triggers.len(), loads.idle_retention),
@@ -139,7 +149,7 @@
         }
     }
 
-    /// The one entry point: `event` happened at `now`; the actions to carry out are appended to `out`.
+    /// Handles an event that happened at `now`, and appends the actions to carry out to `out`.
     pub fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
         self.now = now;
         match *event {
@@ -188,9 +198,10 @@
         self.schedule_tick(out);
     }
 
+    /// Sets a timer for the next tick, unless an earlier tick is already scheduled.
     fn schedule_tick(&mut self, out: &mut Vec<Action>) {
         let interval = if self.queue.is_empty() {
-            self.settings.loads.idle_retention / UPKEEPS_PER_RETENTION
+            self.settings.loads.idle_retention / IDLE_TICKS_PER_RETENTION
         } else {
             RETRY_INTERVAL
         };
@@ -205,7 +216,7 @@
         }
     }
 
-    /// Upkeep, and a retry of all that wait.
+    /// Drops expired state and retries all queued invocations.
     fn tick(&mut self, out: &mut Vec<Action>) {
         self.next_tick = None;
         self.order_quota
@@ -220,6 +231,7 @@
         self.release_unused_functions(out);
     }
 
+    /// Drops the state of functions that have long been unused, and releases their indices.
     fn release_unused_functions(&mut self, out: &mut Vec<Action>) {
         let unused_after = FORGET_AFTER_RETENTIONS * self.settings.loads.idle_retention;
         for (index, function) in self.functions.iter_mut().enumerate() {
@@ -234,7 +246,7 @@
         }
     }
 
-    /// Takes in a new invocation and what it tells of its function.
+    /// Records a new invocation, and updates its function from the fields of the arrival.
     fn accept(&mut self, arrival: &Arrival) {
         let now = self.now;
         let over_quota = self.load_shedder.use_quota(arrival.account as usize, now);
@@ -270,7 +282,7 @@
         self.update_placement(arrival.function);
     }
 
-    /// Notes a function, known or new.
+    /// Creates the state of a function or updates the existing one.
     fn register_function(&mut self, info: &FunctionInfo) {
         let index = info.function as usize;
         if self.functions.len() <= index {
@@ -288,7 +300,7 @@
         }
     }
 
-    /// An unfinished invocation and its function.
+    /// Returns an unfinished invocation and its function.
     fn find_invocation(&self, index: InvocationIndex) -> Option<(&Invocation, &Function)> {
         let invocation = self.invocations.get(index)?;
         Some((invocation, &self.functions[invocation.function as usize]))
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -3,7 +3,7 @@
 //! Passive: it goes by the outcomes of ordinary dispatches. An outlier is passed over, but for a rare probe: an
 //! ordinary invocation that may go elsewhere afterwards.
 
-use super::estimates::LONG_AGO;
+use super::estimates::DISTANT_PAST;
 use crate::interface::Micros;
 
 /// A worker is judged by so many last outcomes; few, so that a hang shows at once and is soon forgiven.
@@ -34,9 +34,9 @@
             in_flight: 0,
             outcomes: 0,
             samples: 0,
-            sampled_at: LONG_AGO,
-            response_due: LONG_AGO,
-            probe_from: LONG_AGO,
+            sampled_at: DISTANT_PAST,
+            response_due: DISTANT_PAST,
+            probe_from: DISTANT_PAST,
         }
     }
 }
--- a/src/balancer/workers.rs
+++ b/src/balancer/workers.rs
@@ -1,6 +1,6 @@
 //! What this router knows of each worker, and the limit on its own concurrency there.
 
-use super::estimates::{LONG_AGO, SlidingWindow};
+use super::estimates::{DISTANT_PAST, SlidingWindow};
 use crate::interface::*;
 
 /// An answer after the latency objective, or a rejection, leaves so much of a concurrency limit.
@@ -17,7 +17,7 @@
     fn default() -> Self {
         ConcurrencyLimit {
             limit: f64::INFINITY,
-            decreased_at: LONG_AGO,
+            decreased_at: DISTANT_PAST,
         }
     }
 }
@@ -84,10 +84,10 @@
             cell: 0,
             machine_kind: 0,
             state: EndpointState::Gone,
-            started_at: LONG_AGO,
-            drains_until: LONG_AGO,
+            started_at: DISTANT_PAST,
+            drains_until: DISTANT_PAST,
             concurrency_limit: ConcurrencyLimit::default(),
-            no_load_until: LONG_AGO,
+            no_load_until: DISTANT_PAST,
             recent_dispatches: SlidingWindow::default(),
         }
     }
