--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -113,7 +113,7 @@
         let Some(attempt) = self.close_dispatch(ended) else {
             return;
         };
-        self.learn_from(&attempt, ended);
+        self.record_result(&attempt, ended);
         if ended.answered {
             self.mark_answered(ended.invocation);
         }
--- a/src/balancer/feedback.rs
+++ b/src/balancer/feedback.rs
@@ -1,4 +1,5 @@
-//! What the end of a dispatch tells: of the worker, of the function, and of how far the workers are overloaded.
+//! Feedback: when a dispatch ends, its result updates the estimates for the worker and the function, and the
+//! measure of how far the workers are overloaded.
 
 use super::Balancer;
 use super::attempts::SILENCE_MULTIPLE;
@@ -16,12 +17,12 @@
     work_hint: Micros,
     objective_at: Micros,
     short_timeout: bool,
-    /// This router's dispatches in flight at the worker, this one included.
+    /// This router's dispatches in flight at the worker just before this one ended, this one included.
     in_flight: f64,
 }
 
 impl Balancer {
-    /// Notes the end of a dispatch; nothing if it had ended before or its invocation is unknown.
+    /// Marks a dispatch as ended and returns it; `None` if it had already ended or its invocation is unknown.
     pub(super) fn close_dispatch(&mut self, ended: &DispatchEnded) -> Option<EndedDispatch> {
         let worker = ended.worker as usize;
         let invocation = self.invocations.get_mut(ended.invocation)?;
@@ -50,8 +51,8 @@
         Some(attempt)
     }
 
-    /// Takes in what the end of a dispatch tells.
-    pub(super) fn learn_from(&mut self, attempt: &EndedDispatch, ended: &DispatchEnded) {
+    /// Updates estimates, outlier detection and load shedding from the result of a dispatch.
+    pub(super) fn record_result(&mut self, attempt: &EndedDispatch, ended: &DispatchEnded) {
         let &EndedDispatch {
             function,
             trigger,
@@ -61,7 +62,7 @@
         self.record_function_load(function, ended.function_load, attempt.sent_at);
         self.record_overload(attempt, ended.outcome);
         match ended.outcome {
-            DispatchOutcome::Succeeded => self.learn_from_success(attempt, ended),
+            DispatchOutcome::Succeeded => self.record_success(attempt, ended),
             DispatchOutcome::NotLoaded => self.functions[function as usize].set_cold(worker),
             DispatchOutcome::Rejected => {
                 let objective = self.settings.triggers[trigger].latency_objective;
@@ -72,25 +73,27 @@
                 );
             }
             DispatchOutcome::NotSent | DispatchOutcome::Cancelled => {}
-            // A load that fails, as with an order; of the worker it tells something if the function has run.
+            // A failed load delays the next load of the function, as after a failed load order. It counts against
+            // the worker only if the function has run before: otherwise the function itself may be at fault.
             DispatchOutcome::Errored if attempt.loads_copy => {
                 self.delay_loads(function, ended.took);
                 if self.functions[function as usize].service_time.mean > 0 {
                     self.outliers.record(worker, trigger, self.now, false);
                 }
             }
-            // An attempt that its client ended before an answer was due tells nothing.
+            // The attempt ended before an answer was due, so the timeout is no evidence against the worker.
             DispatchOutcome::TimedOut if ended.took < self.normal_service(function) => {}
             _ => self.outliers.record(worker, trigger, self.now, false),
         }
     }
 
-    /// A long but normal service time of the function.
+    /// The upper bound of the function's normal service time.
     fn normal_service(&self, function: FunctionIndex) -> Micros {
         self.service_time(&self.functions[function as usize])
             .upper_bound()
     }
 
+    /// Updates the load shedder's estimates from the result of a dispatch.
     fn record_overload(&mut self, attempt: &EndedDispatch, outcome: DispatchOutcome) {
         let answered = outcome == DispatchOutcome::Succeeded;
         if attempt.short_timeout && (answered || outcome == DispatchOutcome::TimedOut) {
@@ -102,7 +105,8 @@
         }
     }
 
-    fn learn_from_success(&mut self, attempt: &EndedDispatch, ended: &DispatchEnded) {
+    /// Updates the estimates for the worker and the function after a successful dispatch.
+    fn record_success(&mut self, attempt: &EndedDispatch, ended: &DispatchEnded) {
         let &EndedDispatch {
             function,
             trigger,
@@ -118,7 +122,7 @@
         let loaded_at = self.workers[worker].no_load_until.max(now);
         let next_due = loaded_at + SILENCE_MULTIPLE * service.upper_bound();
         self.outliers.set_response_due(worker, trigger, next_due);
-        // One answered at once found the copy loaded.
+        // If the answer came sooner than a load could take, the copy was already loaded.
         let immediate = took - service.mean <= load.mean / IMMEDIATE_DIVISOR;
         let was_warm = match ended.copy_status {
             CopyStatus::Warm => true,
--- a/src/balancer/invocations.rs
+++ b/src/balancer/invocations.rs
@@ -1,22 +1,23 @@
-//! Invocations without a final answer or with dispatches in flight, and what is known of each dispatch.
+//! The state of unfinished invocations (those without a final answer or with dispatches in flight) and of their
+//! dispatches.
 
 use crate::interface::*;
 
-/// What is known of a dispatch.
+/// The state of a dispatch.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum DispatchState {
     /// It has not ended.
     InFlight,
-    /// It surely did not run.
+    /// It certainly did not run.
     NotExecuted,
-    /// It did not run, as the worker was full.
+    /// It did not run because the worker rejected it for lack of capacity.
     Overloaded,
     /// It ran or may have run.
     Indeterminate,
 }
 
 impl DispatchState {
-    /// The state that an outcome leaves.
+    /// The state of a dispatch that ended with this outcome.
     pub(super) fn after(outcome: DispatchOutcome) -> Self {
         match outcome {
             DispatchOutcome::Rejected => DispatchState::Overloaded,
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Whether it surely did not run.
+    /// Whether the dispatch certainly did not run.
     pub(super) fn not_executed(self) -> bool {
         matches!(self, DispatchState::NotExecuted | DispatchState::Overloaded)
     }
@@ -36,7 +37,7 @@
     pub(super) worker: WorkerIndex,
     pub(super) sent_at: Micros,
     pub(super) state: DispatchState,
-    /// It makes the worker load the function.
+    /// Whether the dispatch makes the worker load the function.
     pub(super) loads_copy: bool,
 }
 
@@ -46,35 +47,36 @@
     pub(super) function: FunctionIndex,
     /// Index of its [`TriggerType`].
     pub(super) trigger: usize,
-    /// It is beyond its account's quota.
+    /// Whether it is beyond its account's quota.
     pub(super) over_quota: bool,
-    /// Its client leaves before the latency objective.
+    /// Whether its client's timeout is shorter than the latency objective.
     pub(super) short_timeout: bool,
-    /// Its work by the client's cost hint; 0 where there is none.
+    /// The expected work according to the client's cost hint; 0 if there is no hint.
     pub(super) work_hint: Micros,
-    /// The worker that has its session's state.
+    /// The worker that has the state of the invocation's session.
     pub(super) preferred_worker: Option<WorkerIndex>,
     pub(super) arrived_at: Micros,
     /// An answer after this is late.
     pub(super) objective_at: Micros,
-    /// The client waits no longer than this.
+    /// When the client stops waiting.
     pub(super) client_timeout_at: Micros,
-    /// It has its final answer, or its client has left.
+    /// Whether it has its final answer or its client has left.
     pub(super) answered: bool,
     /// All its dispatches, by their number.
     pub(super) dispatches: Vec<Dispatch>,
 }
 
 impl Invocation {
-    /// Whether a dispatch of it is in flight.
+    /// Whether a dispatch of the invocation is in flight.
     pub(super) fn in_flight(&self) -> bool {
         self.dispatches
             .iter()
             .any(|dispatch| dispatch.state == DispatchState::InFlight)
     }
 
-    /// Symptom: a full worker answers at once, has the fewest in flight, and is sent the same invocation
-    /// again until its dispatches are used up. Its copy is loaded all the same.
+    /// Whether this worker has rejected the invocation for lack of capacity. Without this check, a full worker, which
+    /// rejects at once and so has the fewest dispatches in flight, is sent the same invocation again until its
+    /// dispatches are used up. The worker's copy still counts as loaded.
     pub(super) fn was_rejected_by(&self, worker: usize) -> bool {
         self.dispatches.iter().any(|dispatch| {
             dispatch.state == DispatchState::Overloaded && dispatch.worker as usize == worker
@@ -89,6 +91,7 @@
 }
 
 impl Invocations {
+    /// Stores an invocation under this index.
     pub(super) fn insert(&mut self, index: InvocationIndex, invocation: Invocation) {
         if self.slots.len() <= index as usize {
             self.slots.resize_with(index as usize + 1, || None);
@@ -96,15 +99,17 @@
         self.slots[index as usize] = Some(invocation);
     }
 
+    /// Returns the invocation with this index, unless it has been removed.
     pub(super) fn get(&self, index: InvocationIndex) -> Option<&Invocation> {
         self.slots[index as usize].as_ref()
     }
 
+    /// Returns the invocation with this index for changes, unless it has been removed.
     pub(super) fn get_mut(&mut self, index: InvocationIndex) -> Option<&mut Invocation> {
         self.slots[index as usize].as_mut()
     }
 
-    /// Removes it if it is answered and no dispatch is in flight.
+    /// Removes and returns the invocation if it is answered and has no dispatch in flight.
     pub(super) fn take_if_finished(&mut self, index: InvocationIndex) -> Option<Invocation> {
         self.slots[index as usize]
             .take_if(|invocation| invocation.answered && !invocation.in_flight())
--- a/src/balancer/latencies.rs
+++ b/src/balancer/latencies.rs
@@ -1,14 +1,14 @@
-//! Expected times of running and of loading a function, with what they fall back on without samples.
+//! Expected service times and load times of functions, with fallbacks for functions without samples.
 
 use super::Balancer;
 use super::estimates::LatencyEstimate;
 use super::functions::Function;
 use crate::interface::*;
 
-/// Without samples a service time is taken to be this part of the latency objective.
+/// Without samples, the expected service time is the latency objective divided by this.
 const OBJECTIVE_PER_SERVICE: Micros = 8;
 
-/// Estimates over all functions, for those without their own.
+/// Estimates over all functions, used for functions without samples of their own.
 #[derive(Default)]
 pub(super) struct Latencies {
     service_by_trigger: Vec<LatencyEstimate>,
@@ -16,6 +16,7 @@
 }
 
 impl Latencies {
+    /// Creates estimates without samples for this number of trigger types.
     pub(super) fn new(trigger_types: usize) -> Self {
         Latencies {
             service_by_trigger: vec![LatencyEstimate::default(); trigger_types],
@@ -23,19 +24,19 @@
         }
     }
 
-    /// An invocation of the function took so long on a loaded copy.
+    /// Records that an invocation of the function took `took` on a loaded copy.
     pub(super) fn record_service(&mut self, function: &mut Function, trigger: usize, took: Micros) {
         function.service_time.record(took);
         self.service_by_trigger[trigger].record(took);
     }
 
-    /// A load of the function took so long.
+    /// Records that a load of the function took `took`.
     pub(super) fn record_load(&mut self, function: &mut Function, took: Micros) {
         function.load_time.record(took);
         self.load.record(took);
     }
 
-    /// The longest upper bound of the trigger types' service times; absent without types.
+    /// The longest of the upper bounds of the trigger types' service times; `None` if there are no trigger types.
     pub(super) fn longest_service(&self, triggers: &[TriggerType]) -> Option<Micros> {
         self.service_by_trigger
             .iter()
@@ -49,7 +50,8 @@
 }
 
 impl Balancer {
-    /// The expected time of running the function: its own, that of its trigger type, a part of the objective.
+    /// The expected service time of the function: from its own samples, else from those of its trigger type, else a
+    /// part of the latency objective.
     pub(super) fn service_time(&self, function: &Function) -> LatencyEstimate {
         let of_type = self.latencies.service_by_trigger[function.trigger];
         let objective = self.settings.triggers[function.trigger].latency_objective;
@@ -59,7 +61,8 @@
         )
     }
 
-    /// The expected time of loading the function: its own (or the hint), that of all loads, the objective.
+    /// The expected load time of the function: from its own samples or its hint, else from all loads, else the
+    /// latency objective.
     pub(super) fn load_time(&self, function: &Function) -> LatencyEstimate {
         LatencyEstimate::first_known(
             [function.load_time, self.latencies.load],
--- a/src/balancer/load_orders.rs
+++ b/src/balancer/load_orders.rs
@@ -1,14 +1,14 @@
-//! Loads of copies: by order or by dispatch, the quota of orders, and the loads in progress.
+//! Loads of copies, caused by load orders or by dispatches; the quota of load orders; the loads in progress.
 
 use super::Balancer;
 use super::estimates::{DISTANT_PAST, SlidingWindow};
 use super::readiness::Readiness;
 use crate::interface::*;
 
-/// A load that took less than this part of its usual time found the copy loaded.
+/// If a load took less than its expected time divided by this, the copy was already loaded.
 pub(super) const IMMEDIATE_DIVISOR: Micros = 8;
 
-/// The load orders and the invocations accepted within the window of the quota.
+/// The load orders and the accepted invocations within the quota's window.
 #[derive(Default)]
 pub(super) struct LoadOrderQuota {
     ordered: SlidingWindow,
@@ -16,16 +16,18 @@
 }
 
 impl LoadOrderQuota {
+    /// Records an accepted invocation, which increases the quota.
     pub(super) fn record_accepted(&mut self, now: Micros) {
         self.accepted.record(now);
     }
 
+    /// Drops orders and invocations up to and including `until`.
     pub(super) fn forget_until(&mut self, until: Micros) {
         self.ordered.forget_until(until);
         self.accepted.forget_until(until);
     }
 
-    /// Rule 5: one more order is within the quota of its window.
+    /// Rule 5: whether one more order is within the quota.
     fn allows_one_more(&self, now: Micros, loads: &LoadSettings) -> bool {
         let since = now - loads.order_quota_window;
         let accepted = self.accepted.count_after(since) as f64;
@@ -46,20 +48,23 @@
 }
 
 impl Balancer {
-    /// Rule 5: one more order is within the quota.
+    /// Rule 5: whether one more order is within the quota.
     pub(super) fn has_order_quota(&self) -> bool {
         self.order_quota
             .allows_one_more(self.now, &self.settings.loads)
     }
 
-    /// Symptom: of hundreds of routers each orders a copy that is loaded already, for each function it meets.
-    /// With no copy known and workers that load by themselves, the invocation goes there without an order.
+    /// Whether the next load for this invocation is caused by a dispatch and needs no order. This is so if orders are
+    /// not allowed, or if no worker is expected to have a copy and workers load functions on demand. Otherwise, with
+    /// hundreds of routers, each router would order a copy of every function new to it, and nearly all of these
+    /// copies are already loaded.
     pub(super) fn loads_on_dispatch(&self, index: InvocationIndex) -> bool {
         let loads = &self.settings.loads;
         !loads.load_orders || loads.loads_when_absent && !self.has_warm_worker(index)
     }
 
-    /// Begins a load; where it is ordered the invocation stays, for whichever lane is free first.
+    /// Starts a load at the worker. If the load is ordered, the invocation is not dispatched with it and takes the
+    /// first lane that becomes free, at any worker.
     pub(super) fn begin_load(
         &mut self,
         index: InvocationIndex,
@@ -77,6 +82,7 @@
         }
     }
 
+    /// Orders one copy of the function at the worker.
     fn order_copy(&mut self, worker: usize, function: FunctionIndex, out: &mut Vec<Action>) {
         self.order_quota.ordered.record(self.now);
         out.push(Action::LoadOrder {
@@ -89,8 +95,10 @@
         state.set_warm_until(worker, self.now + self.settings.loads.idle_retention);
     }
 
-    /// Symptom: an upgrade's plan loads beside the invocations, beyond the quota, onto crowded workers. What
-    /// it wants is ordered as any other load, or not at all; a copy that is loaded there is renewed.
+    /// Handles a request for a copy that no invocation needs yet, as from the plan of an upgrade. Such a load is
+    /// subject to the same conditions as any other load, so that it neither exceeds the quota nor goes to a crowded
+    /// worker; if they are not met, it is skipped. A copy that is already loaded is ordered again to renew its idle
+    /// retention.
     pub(super) fn on_copy_wanted(
         &mut self,
         worker: usize,
@@ -121,8 +129,8 @@
         }
     }
 
-    /// Symptom: a copy was evicted, or another router loaded one; no event here tells of either. What waits
-    /// leaves for a copy that is there, and loads one anew where none is.
+    /// Handles a worker's report of its loaded copies. Only such reports reveal evicted copies and copies loaded by
+    /// other routers. Queued invocations of the function are retried: they use a reported copy or start a new load.
     pub(super) fn on_copies_reported(
         &mut self,
         worker: usize,
@@ -145,14 +153,14 @@
         self.retry_queued(Some(function), out);
     }
 
-    /// A load of this function there is in progress.
+    /// Records that a load of this function has started at the worker.
     pub(super) fn load_started(&mut self, function: FunctionIndex, worker: usize) {
-        let usual = self.load_time(&self.functions[function as usize]).mean;
+        let expected_load_time = self.load_time(&self.functions[function as usize]).mean;
         self.functions[function as usize].loading_on = Some(worker as WorkerIndex);
-        self.workers[worker].no_load_until = self.now + usual;
+        self.workers[worker].no_load_until = self.now + expected_load_time;
     }
 
-    /// The load of this function there, if one was in progress, is over; true if so.
+    /// Records the end of the load of this function at the worker; false if none was in progress.
     pub(super) fn load_finished(&mut self, function: FunctionIndex, worker: usize) -> bool {
         let state = &mut self.functions[function as usize];
         let was_loading = state.is_loading_on(worker);
@@ -163,21 +171,22 @@
         was_loading
     }
 
-    /// A load of the function took so long.
+    /// Records that a load of the function took `took`.
     pub(super) fn record_load(&mut self, function: FunctionIndex, took: Micros) {
         self.latencies
             .record_load(&mut self.functions[function as usize], took);
         self.shrink_placement(function);
     }
 
-    /// Symptom: a function that nobody can load fails at once on one worker after the other, and with each of
-    /// them an outlier none is left for other loads. It waits itself, a load's usual time in all.
+    /// Delays the next load of the function after a failed one; the failed load and the delay last the expected load
+    /// time together. Without the delay, a function that no worker can load fails at one worker after the other, and
+    /// if each of them then counts as an outlier, no worker is left for other loads.
     pub(super) fn delay_loads(&mut self, function: FunctionIndex, took: Micros) {
-        let usual = self.load_time(&self.functions[function as usize]).mean;
-        self.functions[function as usize].no_load_before = self.now + usual - took;
+        let expected_load_time = self.load_time(&self.functions[function as usize]).mean;
+        self.functions[function as usize].no_load_before = self.now + expected_load_time - took;
     }
 
-    /// A load order ended.
+    /// Handles the end of a load order.
     pub(super) fn on_order_ended(&mut self, ended: &OrderEnded, out: &mut Vec<Action>) {
         let &OrderEnded {
             worker,
@@ -189,7 +198,7 @@
         if !self.functions[function as usize].known {
             return;
         }
-        let usual = self.load_time(&self.functions[function as usize]).mean;
+        let expected_load_time = self.load_time(&self.functions[function as usize]).mean;
         let was_loading = self.load_finished(function, worker);
         let state = &mut self.functions[function as usize];
         state.orders_in_flight = state.orders_in_flight.saturating_sub(1);
@@ -199,8 +208,8 @@
         );
         if answered && copies > 0 {
             state.extend_warm_until(worker, self.now + self.settings.loads.idle_retention);
-            // One answered at once found the copy loaded.
-            if was_loading && took > usual / IMMEDIATE_DIVISOR {
+            // If the order ended sooner than a load could take, the copy was already loaded.
+            if was_loading && took > expected_load_time / IMMEDIATE_DIVISOR {
                 self.record_load(function, took);
             }
         } else if result != LoadOrderResult::Loaded || state.at_workers[worker].in_flight == 0 {
@@ -208,10 +217,10 @@
         }
         match result {
             LoadOrderResult::Loaded => {}
-            // Symptom: a worker without capacity for a copy says so at once and is asked again at once. It takes
-            // no load from here for a load's usual time.
+            // A worker without capacity for the copy answers at once. Without this pause of the expected load time,
+            // it would be sent the next order at once.
             LoadOrderResult::NoCapacity => {
-                self.workers[worker].no_load_until = self.now + usual;
+                self.workers[worker].no_load_until = self.now + expected_load_time;
             }
             LoadOrderResult::LoadFailed => self.delay_loads(function, took),
             LoadOrderResult::ConnectionLost
--- a/src/balancer/load_shedding.rs
+++ b/src/balancer/load_shedding.rs
@@ -1,41 +1,46 @@
-//! Load shedding: how far the workers are overloaded, what an answer is expected to earn, and what is therefore
-//! not begun.
+//! Load shedding: measures how far the workers are overloaded (the pressure), estimates the value of an answer, and
+//! rejects invocations whose expected value is too low for the pressure.
 
 use super::Balancer;
 use super::account_quota::{self, AccountQuotas};
 use super::invocations::Invocation;
 use crate::interface::*;
 
-/// Workers are overloaded when over this part of the answers is late or a rejection.
+/// Workers are overloaded when more than this fraction of the answers are late or rejections.
 const OVERLOAD_THRESHOLD: f64 = 0.2;
-/// That part is averaged over as many answers as it takes to tell the least that is compared with it, but no more
-/// than would see it too late. Values are averaged over as many.
+/// Upper bound of the number of answers over which the late fraction is averaged; over more answers it would follow
+/// an overload too slowly. Values of invocations and successes of those with short timeouts are averaged over this
+/// number.
 const MAX_AVERAGED_ANSWERS: f64 = 32.0;
+/// Lower bound of the number of answers over which the late fraction is averaged. The number used between these
+/// bounds is large enough to resolve the smallest value fraction with which the late fraction is compared.
 const MIN_AVERAGED_ANSWERS: f64 = 8.0;
 
-/// The part of the answers that are late or a rejection.
+/// The running fraction of answers that are late or rejections.
 #[derive(Default)]
 struct Pressure {
     late_fraction: f64,
-    /// Averaged over so many answers.
+    /// The number of answers over which `late_fraction` is averaged.
     averaged_answers: f64,
     last_answer_at: Micros,
 }
 
-/// Decides by expected value what is begun while workers are overloaded.
+/// Decides by expected value which invocations are served while workers are overloaded.
 #[derive(Default)]
 pub(super) struct LoadShedder {
     pressure: Pressure,
     quotas: AccountQuotas,
-    /// What an invocation beyond its quota is worth, as a fraction of one within it.
+    /// The value of an invocation beyond its quota, as a fraction of the value within it.
     over_quota_value: f64,
-    /// What invocations are worth here on average, by those accepted lately.
+    /// The mean value of the invocations that this router has recently accepted.
     mean_value: f64,
-    /// Fraction that is answered of the dispatches whose clients leave before the objective.
+    /// The fraction of dispatches that were answered, among those whose client's timeout is shorter than the latency
+    /// objective.
     short_timeout_success: f64,
 }
 
 impl LoadShedder {
+    /// Creates a load shedder without measurements.
     pub(super) fn new(
         triggers: &[TriggerType],
         accounts: &[Account],
@@ -66,12 +71,12 @@
         }
     }
 
-    /// Uses the account's quota for one more invocation; true if that is beyond it.
+    /// Takes one invocation from the account's quota; true if the invocation is beyond it.
     pub(super) fn use_quota(&mut self, account: usize, now: Micros) -> bool {
         self.quotas.use_one(account, now)
     }
 
-    /// An invocation of this value was accepted.
+    /// Records that an invocation of this value was accepted.
     pub(super) fn record_value(&mut self, value: f64) {
         self.mean_value += (value - self.mean_value)
             / if self.mean_value > 0.0 {
@@ -81,8 +86,8 @@
             };
     }
 
-    /// An answer came: late (or a rejection), or in time. Timeouts do not count: they tell of faults or of
-    /// clients, not of load.
+    /// Records an answer, where a rejection counts as late. Timeouts are not recorded: their causes are faults or
+    /// impatient clients rather than load.
     pub(super) fn record_answer(&mut self, now: Micros, late: bool) {
         let pressure = &mut self.pressure;
         pressure.last_answer_at = now;
@@ -90,20 +95,21 @@
             (f64::from(u8::from(late)) - pressure.late_fraction) / pressure.averaged_answers;
     }
 
-    /// A dispatch whose client leaves before the objective was answered, or not.
+    /// Records whether a dispatch was answered whose client's timeout is shorter than the latency objective.
     pub(super) fn record_short_timeout(&mut self, answered: bool) {
         self.short_timeout_success +=
             (f64::from(u8::from(answered)) - self.short_timeout_success) / MAX_AVERAGED_ANSWERS;
     }
 
-    /// Symptom: with all rejected under pressure, no answer comes that could tell of its end.
+    /// Resets the pressure after the idle retention time without any answer. Without this, a router that rejects all
+    /// invocations because of the pressure gets no answers that could lower it.
     pub(super) fn expire_pressure(&mut self, now: Micros, retention: Micros) {
         if now - self.pressure.last_answer_at > retention {
             self.pressure.late_fraction = 0.0;
         }
     }
 
-    /// Whether workers can spare the loads of exploration.
+    /// Whether the pressure is low enough for exploratory loads.
     pub(super) fn allows_exploration(&self) -> bool {
         self.pressure.late_fraction < OVERLOAD_THRESHOLD
     }
@@ -113,40 +119,41 @@
         self.pressure.late_fraction > OVERLOAD_THRESHOLD
     }
 
-    /// What an answer earns, in time or late. Symptom: clients that leave before the objective, and come
-    /// again, fill the workers with what nobody waits for. Theirs earn the part of such that is answered.
+    /// The expected value of an answer that is in time or late. The value of invocations whose client's timeout is
+    /// shorter than the latency objective is multiplied by the fraction of them that is answered: clients that leave
+    /// and retry would otherwise fill the workers with work whose answers are no longer awaited.
     fn expected_value(&self, trigger: &TriggerType, invocation: &Invocation, late: bool) -> f64 {
-        let of_quota = if invocation.over_quota {
+        let quota_factor = if invocation.over_quota {
             self.over_quota_value
         } else {
             1.0
         };
-        let of_short_timeout = if invocation.short_timeout {
+        let short_timeout_factor = if invocation.short_timeout {
             self.short_timeout_success
         } else {
             1.0
         };
-        let of_lateness = if late {
+        let lateness_factor = if late {
             trigger.late_value_fraction
         } else {
             1.0
         };
-        trigger.billed_value * of_quota * of_short_timeout * of_lateness
+        trigger.billed_value * quota_factor * short_timeout_factor * lateness_factor
     }
 }
 
 impl Balancer {
-    /// Symptom: under pressure, what counts little takes the place of what counts much. An invocation
-    /// costs more than it earns if it makes another late, with about the chance at which answers are late
-    /// now, and that other is worth what invocations are worth here on average.
-    pub(super) fn costs_more_than_it_earns(&self, invocation: &Invocation, late: bool) -> bool {
+    /// Whether serving the invocation is expected to cost more value than its answer has. Each served invocation may
+    /// make another one late, with about the probability at which answers are late now; the other one is assumed to
+    /// have the mean value. Without this check, invocations of low value displace those of high value under pressure.
+    pub(super) fn cost_exceeds_value(&self, invocation: &Invocation, late: bool) -> bool {
         let shedder = &self.load_shedder;
         let trigger = &self.settings.triggers[invocation.trigger];
         shedder.pressure.late_fraction * shedder.mean_value
             > shedder.expected_value(trigger, invocation, late)
     }
 
-    /// What an answer still earns, in thousandths; nothing is lost by serving the dearest first.
+    /// The expected value of an answer now, in thousandths. Queued invocations of the highest value are served first.
     pub(super) fn queue_priority(&self, invocation: &Invocation) -> i64 {
         let service = self.service_time(&self.functions[invocation.function as usize]);
         let late = self.now + service.mean + service.deviation > invocation.objective_at;
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -94,7 +94,7 @@
         };
         let service = self.service_time(function);
         // While many are late, an answer that can only be late takes the place of one in time.
-        let ends_at = match self.costs_more_than_it_earns(invocation, true) {
+        let ends_at = match self.cost_exceeds_value(invocation, true) {
             true if self.load_shedder.is_overloaded() => {
                 invocation.objective_at - service.deviation
             }
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -18,7 +18,7 @@
         let (now, service) = (self.now, self.service_time(function).mean);
         let late = invocation.objective_at - now <= service;
         if invocation.client_timeout_at - now <= service
-            || self.costs_more_than_it_earns(invocation, late)
+            || self.cost_exceeds_value(invocation, late)
         {
             return self.answer_without_success(index, out);
         }
