--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,30 +1,31 @@
-//! Outlier detection: which workers fail or stay silent, by trigger type.
+//! Outlier detection: finds the workers that fail or stay silent, for each trigger type.
 //!
-//! Passive: it goes by the outcomes of ordinary dispatches. An outlier is passed over, but for a rare probe: an
-//! ordinary invocation that may go elsewhere afterwards.
+//! Detection is passive: it uses the outcomes of ordinary dispatches. An outlier receives no invocations except rare
+//! probes, which are ordinary invocations that may be retried elsewhere.
 
 use super::estimates::DISTANT_PAST;
 use crate::interface::Micros;
 
-/// A worker is judged by so many last outcomes; few, so that a hang shows at once and is soon forgiven.
+/// Number of most recent outcomes that are evaluated. It is small so that a hanging worker is detected quickly and
+/// readmitted soon after it recovers.
 const OUTCOME_WINDOW: u32 = 8;
-/// Probes of outliers: one in so many dispatches at most.
+/// At most one in this many dispatches is a probe of an outlier.
 const PROBE_ONE_IN: i32 = 10;
 
-/// How a worker has answered of late, for one trigger type or for all.
+/// The recent outcomes of a worker, for one trigger type or for all types.
 #[derive(Clone)]
 struct AnswerHistory {
     /// This router's dispatches in flight.
     in_flight: u32,
-    /// Last outcomes, newest in the lowest bit (1: success).
+    /// The last outcomes, one bit each, the newest in the lowest bit (1: success).
     outcomes: u32,
-    /// How many of them count.
+    /// Number of valid bits in `outcomes`.
     samples: u32,
-    /// When the last one came.
+    /// When the last outcome was recorded.
     sampled_at: Micros,
-    /// While dispatches are in flight: an answer should have come by then.
+    /// While dispatches are in flight, the time by which an answer is expected.
     response_due: Micros,
-    /// No probe before.
+    /// The earliest time of the next probe.
     probe_from: Micros,
 }
 
@@ -42,21 +43,25 @@
 }
 
 impl AnswerHistory {
+    /// Whether an answer is overdue or the worker is failing.
     fn is_suspect(&self, now: Micros, retention: Micros) -> bool {
         self.in_flight > 0 && now > self.response_due || self.is_failing(now, retention)
     }
 
+    /// Whether there are outcomes and the last one is not too old to count.
     fn is_recent(&self, now: Micros, retention: Micros) -> bool {
         self.samples > 0 && now - self.sampled_at < retention
     }
 
+    /// Whether fewer than half of the recent outcomes are successes.
     fn is_failing(&self, now: Micros, retention: Micros) -> bool {
         self.is_recent(now, retention) && self.outcomes.count_ones() * 2 < self.samples
     }
 
+    /// Adds an outcome.
     fn record(&mut self, now: Micros, retention: Micros, succeeded: bool) {
         if succeeded && self.is_failing(now, retention) || !self.is_recent(now, retention) {
-            // An outlier that succeeds starts anew, and so does one long not heard from.
+            // The history starts again when an outlier succeeds, or when the earlier outcomes are too old to count.
             (self.samples, self.outcomes) = (0, 0);
         }
         self.outcomes = (self.outcomes << 1 | u32::from(succeeded)) & ((1 << OUTCOME_WINDOW) - 1);
@@ -65,20 +70,22 @@
     }
 }
 
-/// How workers have answered of late, by trigger type and over all types. Symptom: a worker leaves one type
-/// unanswered and serves the others. A type not yet seen there goes by all of them.
+/// The recent outcomes of all workers, by trigger type and over all types. Trigger types are kept apart because a
+/// worker may fail to answer one type while it serves the others. For a type without recent outcomes at a worker, the
+/// history over all types is used.
 #[derive(Default)]
 pub(super) struct OutlierDetector {
     trigger_types: usize,
-    /// Outcomes count for so long.
+    /// How long outcomes count.
     retention: Micros,
-    /// For each worker one history a trigger type, then the one over all types.
+    /// For each worker, one history for each trigger type, followed by the history over all types.
     histories: Vec<AnswerHistory>,
-    /// Dispatches until an outlier may be probed; 0 or less: now.
+    /// Number of dispatches until an outlier may be probed; a probe is allowed at 0 or less.
     dispatches_to_probe: i32,
 }
 
 impl OutlierDetector {
+    /// Creates a detector without workers.
     pub(super) fn new(trigger_types: usize, retention: Micros) -> Self {
         OutlierDetector {
             trigger_types,
@@ -87,13 +94,14 @@
         }
     }
 
-    /// Makes room for so many workers.
+    /// Extends the histories to this number of workers.
     pub(super) fn grow(&mut self, workers: usize) {
         let histories = workers * (self.trigger_types + 1);
         self.histories.resize(histories, AnswerHistory::default());
     }
 
-    /// The worker's index was given to another worker; dispatches in flight still count until they end.
+    /// Drops the histories of a worker whose index has been given to another worker. Dispatches in flight still count
+    /// until they end.
     pub(super) fn reset(&mut self, worker: usize) {
         for history in self.all_histories(worker) {
             *history = AnswerHistory {
@@ -103,19 +111,20 @@
         }
     }
 
-    /// The worker's process was restarted: its outcomes count no more.
+    /// Drops the outcomes of a worker whose process has been restarted.
     pub(super) fn forget_outcomes(&mut self, worker: usize) {
         for history in self.all_histories(worker) {
             history.samples = 0;
         }
     }
 
+    /// The histories of a worker: one for each trigger type and the one over all types.
     fn all_histories(&mut self, worker: usize) -> &mut [AnswerHistory] {
         let [first, all] = self.slots(worker, 0);
         &mut self.histories[first..=all]
     }
 
-    /// The places of a worker's history for one trigger type and of that over all types.
+    /// The indices in `histories` of a worker's history for one trigger type and of its history over all types.
     fn slots(&self, worker: usize, trigger: usize) -> [usize; 2] {
         let first = worker * (self.trigger_types + 1);
         [first + trigger, first + self.trigger_types]
@@ -126,14 +135,16 @@
         self.histories[self.slots(worker, 0)[1]].in_flight
     }
 
-    /// Symptom: errors, lost or refused connections, timeouts (few successes among the last outcomes), or
-    /// dispatches in flight and nothing heard past the time an answer was due (a hang or a silent cut).
+    /// Whether the worker is an outlier for this trigger type: there are few successes among its last outcomes (errors,
+    /// lost or refused connections, timeouts), or dispatches are in flight and no answer arrived by the time it was
+    /// due (a hanging worker or a network cut without an error).
     pub(super) fn is_outlier(&self, worker: usize, trigger: usize, now: Micros) -> bool {
-        let [of_type, of_all] = self
+        let [type_history, overall_history] = self
             .slots(worker, trigger)
             .map(|slot| &self.histories[slot]);
-        of_type.is_suspect(now, self.retention)
-            || !of_type.is_recent(now, self.retention) && of_all.is_suspect(now, self.retention)
+        type_history.is_suspect(now, self.retention)
+            || !type_history.is_recent(now, self.retention)
+                && overall_history.is_suspect(now, self.retention)
     }
 
     /// Whether an outlier may be sent a probe.
@@ -142,20 +153,20 @@
         self.histories[slot].probe_from <= now && self.dispatches_to_probe <= 0
     }
 
-    /// A probe was sent; the next one goes there at `next_probe_at` at the earliest.
+    /// Records that a probe was sent to the worker; the next one is sent at `next_probe_at` or later.
     pub(super) fn probe_sent(&mut self, worker: usize, trigger: usize, next_probe_at: Micros) {
         let [slot, _] = self.slots(worker, trigger);
         self.histories[slot].probe_from = next_probe_at;
         self.dispatches_to_probe = PROBE_ONE_IN;
     }
 
-    /// Symptom: with every worker an outlier nothing is sent, and probes, due by the count of dispatches, never
-    /// are. A tick without anything in flight counts as a dispatch.
+    /// Counts a tick without any dispatch in flight as a dispatch. Probes become due by the count of dispatches, so
+    /// without this no probe would ever be sent once every worker is an outlier.
     pub(super) fn count_stalled_tick(&mut self) {
         self.dispatches_to_probe -= 1;
     }
 
-    /// A dispatch was sent whose answer is due by then.
+    /// Records that a dispatch was sent, with its answer due at `response_due`.
     pub(super) fn dispatch_sent(&mut self, worker: usize, trigger: usize, response_due: Micros) {
         self.dispatches_to_probe -= 1;
         for slot in self.slots(worker, trigger) {
@@ -169,7 +180,7 @@
         }
     }
 
-    /// A dispatch ended.
+    /// Records that a dispatch ended.
     pub(super) fn dispatch_ended(&mut self, worker: usize, trigger: usize) {
         for slot in self.slots(worker, trigger) {
             let history = &mut self.histories[slot];
@@ -177,19 +188,19 @@
         }
     }
 
-    /// An outcome that tells something of the worker.
+    /// Records an outcome that is evidence for or against the worker.
     pub(super) fn record(&mut self, worker: usize, trigger: usize, now: Micros, succeeded: bool) {
         for slot in self.slots(worker, trigger) {
             self.histories[slot].record(now, self.retention, succeeded);
         }
     }
 
-    /// A load order failed. It is of no trigger type, and counts twice in the history over all types.
+    /// Records a failed load order. It has no trigger type, and counts twice in the history over all types.
     pub(super) fn record_order_failure(&mut self, worker: usize, now: Micros) {
         self.record(worker, self.trigger_types, now, false);
     }
 
-    /// The worker has just answered: the next answer is due by then.
+    /// Records that the worker has just answered and that its next answer is due at `due`.
     pub(super) fn set_response_due(&mut self, worker: usize, trigger: usize, due: Micros) {
         for slot in self.slots(worker, trigger) {
             self.histories[slot].response_due = due;
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -1,18 +1,20 @@
-//! Placement: the preferred workers of a function, by rendezvous hashing, and where its next copy is loaded.
+//! Placement: chooses the preferred workers of a function by rendezvous hashing, and the worker for its next load.
 
 use super::Balancer;
 use super::estimates::hash_pair;
 use super::workers;
 use crate::interface::*;
 
-/// Preferred workers of a function for each worker's worth of work.
+/// Number of preferred workers of a function for each worker that its part of the work would keep busy.
 const PREFERRED_PER_WORKER_OF_WORK: f64 = 2.0;
-/// More with so many invocations a lane at one of them.
-const CROWDED_PER_LANE: u32 = 2;
+/// The number of preferred workers grows when one of them reports this many invocations in flight per lane.
+const CROWDED_INVOCATIONS_PER_LANE: u32 = 2;
 
 impl Balancer {
-    /// Symptom: many routers bring a busy function to the same first workers. It gets preferred workers by its part of
-    /// the work accepted here, a power of two so that few move; this router's position tells which one is its first.
+    /// Sets the number of preferred workers from the function's part of the work that this router has accepted. The
+    /// number is a power of two, so that few routers change their first worker when it grows. This router's position
+    /// determines its first preferred worker: without that, many routers would send a busy function to the same
+    /// first workers.
     pub(super) fn update_placement(&mut self, function: FunctionIndex) {
         let decay_time = self.settings.loads.idle_retention.max(1) as f64;
         let work = self.service_time(&self.functions[function as usize]).mean as f64;
@@ -25,7 +27,8 @@
         self.grow_placement(function, wanted.ceil() as usize);
     }
 
-    /// A dispatch sent at `sent_at` found so many of the function in flight at its worker.
+    /// Increases the number of preferred workers if a worker reports many invocations of the function in flight.
+    /// Dispatches sent before the number last changed are ignored.
     pub(super) fn record_function_load(
         &mut self,
         function: FunctionIndex,
@@ -33,12 +36,17 @@
         sent_at: Micros,
     ) {
         let state = &self.functions[function as usize];
-        let crowd = in_flight.unwrap_or(0) / (CROWDED_PER_LANE * state.lanes);
-        if crowd > 0 && sent_at >= state.preferred_since {
-            self.grow_placement(function, state.preferred_workers * crowd as usize * 2);
+        let overload_factor = in_flight.unwrap_or(0) / (CROWDED_INVOCATIONS_PER_LANE * state.lanes);
+        if overload_factor > 0 && sent_at >= state.preferred_since {
+            self.grow_placement(
+                function,
+                state.preferred_workers * overload_factor as usize * 2,
+            );
         }
     }
 
+    /// Raises the number of preferred workers to `wanted`, rounded up to a power of two. If this changes the router's
+    /// first worker, no copy counts as loaded any longer.
     fn grow_placement(&mut self, function: FunctionIndex, wanted: usize) {
         let position = self.settings.fleet.position as usize;
         let state = &mut self.functions[function as usize];
@@ -55,7 +63,8 @@
         }
     }
 
-    /// A load was needed at a preferred worker: where there are many, none is used often enough to keep its copy.
+    /// Halves the number of preferred workers after a load was needed: with too many of them, each is used too rarely
+    /// to keep its copy. The number stays for at least the idle retention time after a change.
     pub(super) fn shrink_placement(&mut self, function: FunctionIndex) {
         let state = &mut self.functions[function as usize];
         if state.preferred_workers > 1
@@ -66,7 +75,7 @@
         }
     }
 
-    /// Sorts the workers in service by the hash order of the function: the same at every router.
+    /// Sorts the workers in service into the function's rendezvous order, which is the same at every router.
     pub(super) fn rank_workers(&mut self, function: FunctionIndex) {
         let (workers, state) = (&self.workers, &mut self.functions[function as usize]);
         state.ranked_workers = workers::in_service(workers)
@@ -77,8 +86,9 @@
         });
     }
 
-    /// Where a new load goes: this router's preferred worker, the other ones, then the shared order, so that routers
-    /// find each other's copies. One load in progress per function and, for its usual time, per worker.
+    /// Chooses the worker for a new load: this router's first preferred worker, then the other preferred workers, then
+    /// the rest of the rendezvous order, so that routers find each other's copies. A function has one load in progress
+    /// at a time, and a worker is given no second load within the expected time of the first.
     pub(super) fn pick_load_target(&self, index: InvocationIndex) -> Option<usize> {
         let (invocation, function) = self.find_invocation(index)?;
         if function.loading_on.is_some()
@@ -103,7 +113,8 @@
                 && self.is_eligible(invocation, *worker)
         };
         let is_near = |worker: &usize| self.workers[*worker].zone == fleet.zone && can_load(worker);
-        // Those in its own zone first, where each preferred worker still has two routers or more.
+        // Preferred workers in the router's own zone come first, provided that there are at least two routers for each
+        // preferred worker.
         let zone_first = if preferred * 2 <= fleet.routers as usize {
             preferred
         } else {
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -3,14 +3,17 @@
 use super::Balancer;
 use crate::interface::*;
 
-/// Waiting invocations, by function, in the order in which they began to wait.
+/// The queued invocations of each function, in the order in which they were queued.
 #[derive(Default)]
 pub(super) struct WaitingQueue {
+    /// By function index.
     by_function: Vec<Vec<InvocationIndex>>,
+    /// Number of queued invocations of all functions.
     waiting: u32,
 }
 
 impl WaitingQueue {
+    /// Appends an invocation, unless it is queued already.
     fn push(&mut self, function: FunctionIndex, invocation: InvocationIndex) {
         if self.by_function.len() <= function as usize {
             self.by_function
@@ -23,6 +26,7 @@
         }
     }
 
+    /// Removes an invocation if it is queued.
     fn remove(&mut self, function: FunctionIndex, invocation: InvocationIndex) {
         if let Some(queue) = self.by_function.get_mut(function as usize) {
             let removed = queue.extract_if(.., |waiting| *waiting == invocation);
@@ -30,20 +34,21 @@
         }
     }
 
-    /// The waiting invocations of a function.
+    /// The queued invocations of a function.
     pub(super) fn of(&self, function: FunctionIndex) -> &[InvocationIndex] {
         self.by_function
             .get(function as usize)
             .map_or(&[], Vec::as_slice)
     }
 
+    /// Whether no invocation is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.waiting == 0
     }
 }
 
 impl Balancer {
-    /// Whether a further invocation would leave the queue within what its objective leaves beside the work.
+    /// Whether the invocation, if queued, is expected to leave the queue in time to meet its latency objective.
     pub(super) fn queue_has_room(&self, index: InvocationIndex) -> bool {
         let Some((invocation, function)) = self.find_invocation(index) else {
             return false;
@@ -55,21 +60,23 @@
         wait < (invocation.objective_at - self.now - service).max(0)
     }
 
-    /// The invocation waits for a lane, or for its worker's health check; one that waits already keeps its place.
+    /// Queues the invocation until a lane is free or a health check ends. An invocation that is already queued keeps
+    /// its place.
     pub(super) fn enqueue(&mut self, index: InvocationIndex) {
         if let Some(invocation) = self.invocations.get(index) {
             self.queue.push(invocation.function, index);
         }
     }
 
-    /// The invocation waits no longer.
+    /// Removes the invocation from the queue.
     pub(super) fn dequeue(&mut self, index: InvocationIndex) {
         if let Some(invocation) = self.invocations.get(index) {
             self.queue.remove(invocation.function, index);
         }
     }
 
-    /// Waiting invocations of one function, or of all, leave for the lanes that have become free.
+    /// Retries the queued invocations of the function `only`, or of all functions, in descending order of value and
+    /// then by age.
     pub(super) fn retry_queued(&mut self, only: Option<FunctionIndex>, out: &mut Vec<Action>) {
         let all = 0..self.functions.len() as FunctionIndex;
         let functions = only.map_or(all, |function| function..function + 1);
@@ -88,12 +95,14 @@
         }
     }
 
+    /// Answers a queued invocation if its time has run out; otherwise dispatches it or starts a load if possible.
     fn retry_one_queued(&mut self, index: InvocationIndex, out: &mut Vec<Action>) {
         let Some((invocation, function)) = self.find_invocation(index) else {
             return;
         };
         let service = self.service_time(function);
-        // While many are late, an answer that can only be late takes the place of one in time.
+        // Under pressure, an invocation that can only be answered late displaces one that could be answered in time.
+        // It is therefore kept only until its latency objective, not until its client's timeout.
         let ends_at = match self.cost_exceeds_value(invocation, true) {
             true if self.load_shedder.is_overloaded() => {
                 invocation.objective_at - service.deviation
--- a/src/balancer/readiness.rs
+++ b/src/balancer/readiness.rs
@@ -1,29 +1,29 @@
-//! Readiness: which workers get new work while the endpoint list may be out of date.
+//! Readiness: decides which workers get new work while the endpoint list may be out of date.
 //!
-//! Symptom: discovery is out of reach, workers drain or restart, and this router goes on by the last list for as long as
-//! the outage lasts. The list is relied on until its lease ends ([`Event::EndpointListLease`]). From then on a worker
-//! gets new work only for a while after it has passed a health check. Workers are checked as work is wanted there, so
-//! that a large fleet is not probed as a whole; what wants to go there waits in the queue meanwhile.
+//! During an outage of discovery, workers drain or restart and the router does not learn of it. The router therefore
+//! relies on the list only until its lease ends ([`Event::EndpointListLease`]). After that, a worker gets new work
+//! only for a limited time after it has passed a health check. A worker is checked only when there is work for it, so
+//! that a large fleet is not probed as a whole; the invocation waits in the queue meanwhile.
 
 use super::Balancer;
 use crate::interface::*;
 
-/// The answer of a health check counts for this part (numerator, denominator) of the drain grace: a worker that began
-/// to drain right after it may still be sent work for the whole of it.
-const CHECK_VALIDITY: (Micros, Micros) = (3, 4);
-/// A worker that was not ready for at least so long may have been restarted meanwhile.
-const RESTART_TIME: Micros = 1_000_000;
+/// How long the result of a health check is valid, as a fraction (numerator, denominator) of the drain grace. A worker
+/// that began to drain right after the check may still be sent work for the whole of the drain grace.
+const CHECK_VALIDITY_OF_DRAIN_GRACE: (Micros, Micros) = (3, 4);
+/// A worker that was not ready for at least this time may have been restarted.
+const MIN_RESTART_TIME: Micros = 1_000_000;
 
-/// Whether a worker takes new work, as far as this router knows; the better ones first.
+/// Whether a worker accepts new work, as far as this router knows; ordered from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Readiness {
-    /// The list can be relied on, or the worker has just passed a health check.
+    /// The list can be relied on, or the worker has recently passed a health check.
     Ready,
-    /// Nothing recent is known.
+    /// There is no recent information about the worker.
     Unknown,
     /// A health check is in flight.
     Checking,
-    /// It has just failed a health check.
+    /// The worker has recently failed a health check.
     NotReady,
 }
 
@@ -32,37 +32,39 @@
 struct HealthCheck {
     in_flight: bool,
     passed: bool,
-    /// The last answer counts until then.
+    /// When the last result ceases to be valid.
     valid_until: Micros,
-    /// Since when it has failed its checks.
+    /// Since when the worker has failed its checks; `None` if it passed the last one.
     not_ready_since: Option<Micros>,
 }
 
 /// The lease of the endpoint list, and the health checks since it ended.
 #[derive(Default)]
 pub(super) struct ReadinessChecks {
-    /// The list can be relied on until then; without a lease, always.
+    /// When the lease of the list ends; without a lease the list can always be relied on.
     lease_until: Option<Micros>,
     /// By worker index.
     checks: Vec<HealthCheck>,
 }
 
 impl ReadinessChecks {
-    /// Makes room for so many workers.
+    /// Extends the table to this number of workers.
     pub(super) fn grow(&mut self, workers: usize) {
         self.checks.resize(workers, HealthCheck::default());
     }
 
-    /// The worker's index was given to another worker.
+    /// Drops the checks of a worker whose index has been given to another worker.
     pub(super) fn reset(&mut self, worker: usize) {
         self.checks[worker] = HealthCheck::default();
     }
 
+    /// Whether the list can be relied on.
     fn list_is_current(&self, now: Micros) -> bool {
         self.lease_until.is_none_or(|until| now < until)
     }
 
-    /// The list is up to date, and says more than any check before.
+    /// Renews the lease of the list. An up-to-date list takes precedence over earlier health checks, so their results
+    /// are dropped.
     fn renew(&mut self, until: Micros) {
         self.lease_until = Some(until);
         for check in &mut self.checks {
@@ -74,6 +76,7 @@
         }
     }
 
+    /// The readiness of a worker according to its health checks.
     fn of(&self, worker: usize, now: Micros) -> Readiness {
         let check = &self.checks[worker];
         let is_valid = now < check.valid_until;
@@ -85,14 +88,13 @@
         }
     }
 
-    /// True if a check is to be sent now; false while one is in flight.
+    /// Marks a check as in flight; false if one already was.
     fn begin(&mut self, worker: usize) -> bool {
         !std::mem::replace(&mut self.checks[worker].in_flight, true)
     }
 
-    /// A check that was sent at `sent_at` has passed or failed; true if the worker may have been restarted since it was
-    /// ready before.
-    fn record(&mut self, worker: usize, now: Micros, ended: &EndedCheck) -> bool {
+    /// Records the result of a check; true if the worker may have been restarted since it was last ready.
+    fn record(&mut self, worker: usize, now: Micros, ended: &CheckResult) -> bool {
         let check = &mut self.checks[worker];
         check.passed = ended.passed;
         if !ended.passed {
@@ -102,19 +104,20 @@
         }
         check.valid_until = ended.sent_at + ended.validity;
         let not_ready_since = check.not_ready_since.take();
-        not_ready_since.is_some_and(|since| now - since >= RESTART_TIME)
+        not_ready_since.is_some_and(|since| now - since >= MIN_RESTART_TIME)
     }
 }
 
-/// How a health check ended.
-struct EndedCheck {
+/// The result of a health check.
+struct CheckResult {
     passed: bool,
     sent_at: Micros,
+    /// How long the result is valid: a pass counts from `sent_at`, a failure from the end of the check.
     validity: Micros,
 }
 
 impl Balancer {
-    /// The endpoint list is up to date, and may be relied on until then.
+    /// Handles a lease: the endpoint list is up to date and can be relied on until `until`.
     pub(super) fn on_list_lease(&mut self, until: Micros, out: &mut Vec<Action>) {
         let was_current = self.readiness.list_is_current(self.now);
         self.readiness.renew(until);
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Whether the worker takes new work, as far as is known.
+    /// The readiness of a worker: ready while the list can be relied on, otherwise according to its health checks.
     pub(super) fn readiness_of(&self, worker: usize) -> Readiness {
         if self.readiness.list_is_current(self.now) {
             Readiness::Ready
@@ -132,13 +135,13 @@
         }
     }
 
-    /// Rule 3: whether new work may go there, once it is known to be ready.
+    /// Rule 3: whether the worker may get new work, if necessary after it has passed a health check.
     pub(super) fn accepts_new_work(&self, worker: usize) -> bool {
         self.workers[worker].accepts_new_work(self.now)
             && self.readiness_of(worker) != Readiness::NotReady
     }
 
-    /// The invocation waits until the worker has answered a health check.
+    /// Queues the invocation until the worker has answered a health check.
     pub(super) fn await_readiness(
         &mut self,
         index: InvocationIndex,
@@ -149,7 +152,7 @@
         self.check_readiness(worker, out);
     }
 
-    /// Has a worker checked, unless that is under way.
+    /// Sends a health check to the worker, unless one is in flight.
     pub(super) fn check_readiness(&mut self, worker: usize, out: &mut Vec<Action>) {
         if self.readiness.begin(worker) {
             out.push(Action::Probe {
@@ -158,7 +161,7 @@
         }
     }
 
-    /// A health check ended.
+    /// Handles the end of a health check.
     pub(super) fn on_probe_ended(
         &mut self,
         worker: usize,
@@ -170,13 +173,13 @@
             return;
         }
         self.readiness.checks[worker].in_flight = false;
-        // One that did not leave says nothing about the worker. The next tick sends another: at once it could end in
-        // the same way again, and again, without a pause.
+        // A check that was not sent is no evidence about the worker. The next tick sends another one: a check sent
+        // here at once could fail in the same way, in an endless loop.
         if outcome == DispatchOutcome::NotSent {
             return;
         }
-        let (numerator, denominator) = CHECK_VALIDITY;
-        let ended = EndedCheck {
+        let (numerator, denominator) = CHECK_VALIDITY_OF_DRAIN_GRACE;
+        let ended = CheckResult {
             passed: outcome == DispatchOutcome::Succeeded,
             sent_at: self.now - took,
             validity: self.settings.rules.drain_grace * numerator / denominator,
@@ -189,7 +192,8 @@
         }
     }
 
-    /// Symptom: a worker restarts during the outage, its start counts as announced, and it is sent as much as before.
+    /// Treats a worker as just started. Without this, a worker that restarts while discovery is unreachable would be
+    /// sent as much work as before, as the restart is not announced.
     fn assume_restarted(&mut self, worker: usize) {
         self.workers[worker].started_at = self.now;
         self.forget_copies(worker);
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -1,20 +1,21 @@
-//! The ordinary path of an invocation: Saarthi's adaptive request balancer (docs/design.md).
+//! The ordinary path of an invocation, after Saarthi's adaptive request balancer (docs/design.md).
 
 use super::Balancer;
 use crate::interface::*;
 
-/// With every warm lane busy, one draw in so many loads another copy (the paper's 20%).
+/// When all warm lanes are busy, one invocation in this many loads another copy (20% in the Saarthi paper).
 const EXPLORE_ONE_IN: u64 = 5;
 
 impl Balancer {
-    /// The ordinary path of an invocation, from top to bottom.
+    /// Decides what happens to an invocation that has no dispatch in flight: it is answered, dispatched or queued.
     pub(super) fn route(&mut self, index: InvocationIndex, out: &mut Vec<Action>) {
         let Some((invocation, function)) = self.find_invocation(index) else {
             return;
         };
         let first_attempt = invocation.dispatches.is_empty();
-        // Symptom: attempts too short for the work fill the workers with what no one waits for any more, or work
-        // beyond an account's quota, or too late for its objective, crowds out what is within and in time.
+        // Attempts with too little time for the work would fill the workers with invocations whose clients no longer
+        // wait. Under pressure, work that is beyond an account's quota or too late for its objective would displace
+        // work that is within its quota and in time.
         let (now, service) = (self.now, self.service_time(function).mean);
         let late = invocation.objective_at - now <= service;
         if invocation.client_timeout_at - now <= service
@@ -22,11 +23,12 @@
         {
             return self.answer_without_success(index, out);
         }
-        // A warm worker with a free lane, fewest own in flight.
+        // First choice: a warm worker with a free lane.
         if let Some(worker) = self.pick_free_lane(index) {
             return self.dispatch(index, worker, false, out);
         }
-        // All lanes busy: one in five loads. No warm worker: load at once, within the bound.
+        // Without a warm worker a copy is loaded at once, within the quota of load orders. If all lanes are busy, one
+        // invocation in five loads a further copy.
         let is_warm = self.has_warm_worker(index);
         let explores = first_attempt
             && self.load_shedder.allows_exploration()
@@ -42,19 +44,19 @@
                 return;
             }
         }
-        // Otherwise it waits for a lane, while the queue has room.
+        // Otherwise the invocation waits for a lane while the queue has room.
         if self.queue_has_room(index) {
             return self.enqueue(index);
         }
-        // Queue full: the busy warm worker with the lowest ratio of work to lanes.
+        // If the queue is full, the invocation goes to the least busy warm worker.
         match self.pick_least_busy(index) {
             Some(worker) => self.dispatch(index, worker, false, out),
             None => self.enqueue(index),
         }
     }
 
-    /// A warm worker with a free lane: the one with the session's state, else one of those with the fewest of this
-    /// router's dispatches in flight. It draws in any case.
+    /// Picks a warm worker with a free lane: the one with the session's state, else one of those with the fewest of
+    /// this router's dispatches in flight, chosen by a pseudo-random draw. A draw is made even if it is not needed.
     pub(super) fn pick_free_lane(&mut self, index: InvocationIndex) -> Option<usize> {
         let draw = self.draws.draw();
         let (invocation, function) = self.find_invocation(index)?;
@@ -71,21 +73,21 @@
         let mut candidates: Vec<usize> = (0..function.at_workers.len())
             .filter(has_free_lane)
             .collect();
-        // Symptom: a session's next invocation goes elsewhere, and what came before is built up again.
+        // At another worker, the session's state would have to be rebuilt.
         let preferred = invocation.preferred_worker.map(|worker| worker as usize);
         if let Some(worker) = preferred.filter(|worker| candidates.contains(worker)) {
             return Some(worker);
         }
-        let readiest = candidates.iter().map(|&worker| self.readiness_of(worker));
-        let readiest = readiest.min()?;
-        candidates.retain(|&worker| self.readiness_of(worker) == readiest);
+        let best_readiness = candidates.iter().map(|&worker| self.readiness_of(worker));
+        let best_readiness = best_readiness.min()?;
+        candidates.retain(|&worker| self.readiness_of(worker) == best_readiness);
         let in_flight = |worker: usize| self.outliers.in_flight(worker);
         let fewest = candidates.iter().copied().map(in_flight).min()?;
         candidates.retain(|&worker| in_flight(worker) == fewest);
         Some(candidates[(draw % candidates.len() as u64) as usize])
     }
 
-    /// Whether a worker that the invocation may go to has a copy, busy or not.
+    /// Whether an eligible worker is expected to have a copy, busy or not.
     pub(super) fn has_warm_worker(&self, index: InvocationIndex) -> bool {
         self.find_invocation(index)
             .is_some_and(|(invocation, function)| {
@@ -95,8 +97,8 @@
             })
     }
 
-    /// The busy warm worker with the fewest of this router's dispatches of the function, within its concurrency
-    /// limit.
+    /// Picks the warm worker with the fewest of this router's dispatches of the function in flight, among those below
+    /// their concurrency limit.
     fn pick_least_busy(&self, index: InvocationIndex) -> Option<usize> {
         let (invocation, function) = self.find_invocation(index)?;
         function
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,19 +1,22 @@
-//! Slow start (rule 4): what a worker that has just started is sent.
+//! Slow start (rule 4): limits the dispatches to a worker that has just started.
 
 use super::Balancer;
 use super::estimates::hash_pair;
 use super::workers;
 use crate::interface::Micros;
 
-/// The part of the budget that is used, as arrivals are uneven.
+/// The fraction of the budget that is used. The rest is a margin for uneven arrivals.
 const BUDGET_FRACTION: f64 = 0.7;
-/// The throughput of workers is averaged over so many overload windows.
+/// The time constant over which the throughput of workers is averaged, in overload windows.
 const THROUGHPUT_WINDOWS: f64 = 3.0;
 
 impl Balancer {
-    /// Rule 4: the capacity that a worker in slow start surely has is its part, at its age, of what this router has
-    /// seen one carry on average, and of what one core does; all routers doing so keep to the whole budget. A
-    /// part under one dispatch is granted by chance, anew in each window.
+    /// Rule 4: whether this router may send one more dispatch to the worker within the overload window.
+    ///
+    /// The budget is a fraction, which grows with the worker's age, of the mean throughput per worker that this router
+    /// has observed, or of this router's part of one core's throughput if that is higher. If all routers do the same,
+    /// they keep to the whole budget together. A budget below one dispatch is granted with that probability, drawn
+    /// again in each window.
     pub(super) fn has_slow_start_budget(&self, worker: usize) -> bool {
         let rules = &self.settings.rules;
         let window = rules.overload_window.max(1);
@@ -21,21 +24,22 @@
         if self.now - state.started_at >= rules.slow_start_duration {
             return true;
         }
-        let carried = self.completions_per_worker.value() / THROUGHPUT_WINDOWS;
+        let mean_throughput = self.completions_per_worker.value() / THROUGHPUT_WINDOWS;
         let per_core = self.core_throughput(window);
         let budget = BUDGET_FRACTION
             * rules.overload_multiple
             * self.capacity_fraction(worker)
-            * carried.max(per_core);
+            * mean_throughput.max(per_core);
         let sent = state.recent_dispatches.count_after(self.now - window) as f64;
-        let turn = (
+        let draw_key = (
             state.fingerprint ^ u64::from(self.settings.fleet.position),
             (self.now / window) as u64,
         );
-        sent + 1.0 <= budget || sent == 0.0 && hash_pair(turn) as f64 / (u64::MAX as f64) < budget
+        sent + 1.0 <= budget
+            || sent == 0.0 && hash_pair(draw_key) as f64 / (u64::MAX as f64) < budget
     }
 
-    /// This router's part of the invocations that one core runs in a window.
+    /// This router's part of the number of invocations that one core runs in a window (microseconds).
     fn core_throughput(&self, window: Micros) -> f64 {
         let service = self
             .latencies
@@ -45,7 +49,7 @@
         window as f64 / service as f64 / f64::from(self.settings.fleet.routers.max(1))
     }
 
-    /// The fraction of its full capacity that a worker surely has at its age.
+    /// The fraction of its full capacity that a worker is sure to have at its age.
     pub(super) fn capacity_fraction(&self, worker: usize) -> f64 {
         let rules = &self.settings.rules;
         let progress = (self.now - self.workers[worker].started_at).max(0) as f64
@@ -53,8 +57,9 @@
         rules.slow_start_fraction + (1.0 - rules.slow_start_fraction) * progress.min(1.0)
     }
 
-    /// An invocation succeeded: the workers carry as much. Symptom: many workers go at once, and what all of them
-    /// carried counts as carried by those that are left. So it is divided by those that are there now.
+    /// Records a success in the mean throughput per worker. Each success is divided by the number of workers in service
+    /// at that time. Otherwise, when many workers leave at once, the throughput of all of them would be attributed to
+    /// the remaining ones.
     pub(super) fn record_completion(&mut self) {
         let window = self.settings.rules.overload_window.max(1) as f64;
         let in_service = workers::in_service(&self.workers).count().max(1);
--- a/src/balancer/workers.rs
+++ b/src/balancer/workers.rs
@@ -1,13 +1,13 @@
-//! What this router knows of each worker, and the limit on its own concurrency there.
+//! The state that this router keeps for each worker, and the limit on its own concurrency at the worker.
 
 use super::estimates::{DISTANT_PAST, SlidingWindow};
 use crate::interface::*;
 
-/// An answer after the latency objective, or a rejection, leaves so much of a concurrency limit.
+/// An answer after the latency objective, or a rejection, multiplies the concurrency limit by this factor.
 const DECREASE_FACTOR: f64 = 0.8;
 
-/// How many dispatches of this router a worker answers in time, as far as has been seen (additive increase,
-/// multiplicative decrease).
+/// An estimate of how many concurrent dispatches of this router a worker answers in time. It is adapted by additive
+/// increase and multiplicative decrease.
 pub(super) struct ConcurrencyLimit {
     limit: f64,
     decreased_at: Micros,
@@ -23,13 +23,13 @@
 }
 
 impl ConcurrencyLimit {
-    /// Whether so many in flight leave no capacity for one more.
+    /// Whether `in_flight` dispatches reach the limit, so that no further one may be sent.
     pub(super) fn is_reached(&self, in_flight: f64) -> bool {
         in_flight >= self.limit
     }
 
-    /// Symptom: answers late though the copy was loaded. The worker's limit is then less than what was in
-    /// flight there; with answers in time it grows slowly.
+    /// Records an answer from a loaded copy. If it is late, the limit falls below the number of dispatches that were in
+    /// flight; if it is in time, the limit grows slowly. The limit falls at most once within the time of an answer.
     pub(super) fn record(
         &mut self,
         now: Micros,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// A rejection counts as an answer later than any objective. Symptom: a full worker answers fastest of
-    /// all and so looks idle.
+    /// Records a rejection, which counts as an answer later than any objective. Without this, a full worker would look
+    /// idle, as it rejects faster than other workers answer.
     pub(super) fn record_rejection(
         &mut self,
         now: Micros,
@@ -59,20 +59,21 @@
     }
 }
 
-/// One worker.
+/// The state of one worker.
 pub(super) struct WorkerState {
+    /// A hash of the worker's name, the same at every router.
     pub(super) fingerprint: u64,
     pub(super) zone: u32,
     pub(super) cell: u32,
     pub(super) machine_kind: u32,
     pub(super) state: EndpointState,
     pub(super) started_at: Micros,
-    /// While it drains: it is given work until then.
+    /// While the worker drains, the time until which it is given new work.
     pub(super) drains_until: Micros,
     pub(super) concurrency_limit: ConcurrencyLimit,
-    /// It takes no further load from here until then: one is in progress, or it has no capacity.
+    /// This router starts no load at the worker until this time, as one is in progress or the worker has no capacity.
     pub(super) no_load_until: Micros,
-    /// Dispatches within the overload window.
+    /// This router's dispatches to the worker within the overload window.
     pub(super) recent_dispatches: SlidingWindow,
 }
 
@@ -94,7 +95,7 @@
 }
 
 impl WorkerState {
-    /// Rule 3: in service, or told to drain so short a time ago that the grace still runs.
+    /// Rule 3: whether the worker is in service, or is draining and within the drain grace.
     pub(super) fn accepts_new_work(&self, now: Micros) -> bool {
         match self.state {
             EndpointState::InService => true,
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -4,12 +4,12 @@
 use std::collections::HashMap;
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
 
-/// A hash of an external id that is the same at every router (indices are not).
+/// Hashes an external id. The hash is the same at every router, unlike the index of the id.
 pub fn fingerprint(id: &str) -> u64 {
     BuildHasherDefault::<DefaultHasher>::default().hash_one(id)
 }
 
-/// External ids and their indices. The index of a released id is reused.
+/// A mapping between external ids and indices. The index of a released id is reused.
 #[derive(Debug, Default)]
 pub struct Interner<K> {
     indices: HashMap<K, u32>,
@@ -18,7 +18,7 @@
 }
 
 impl<K: Eq + Hash + Clone> Interner<K> {
-    /// The index of an id; a new one if it has none.
+    /// Returns the index of an id, which is assigned if the id has none.
     pub fn intern<Q>(&mut self, id: &Q) -> u32
     where
         K: Borrow<Q>,
@@ -36,7 +36,7 @@
         index
     }
 
-    /// The index of an id, if it has one.
+    /// Returns the index of an id, if it has one.
     pub fn find<Q>(&self, id: &Q) -> Option<u32>
     where
         K: Borrow<Q>,
@@ -45,12 +45,12 @@
         self.indices.get(id).copied()
     }
 
-    /// The id that has this index.
+    /// Returns the id that has this index, if any.
     pub fn id(&self, index: u32) -> Option<&K> {
         self.ids.get(index as usize)?.as_ref()
     }
 
-    /// Frees the index for another id; does nothing if it is free.
+    /// Frees the index for another id. Has no effect if the index is already free.
     pub fn release(&mut self, index: u32) {
         if let Some(id) = self.ids.get_mut(index as usize).and_then(Option::take) {
             self.indices.remove(&id);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,10 +1,10 @@
-//! The types that the decision module ([`crate::Balancer`]) speaks: the settings it starts with, the events it is
-//! told of and the actions it asks for. They are free of any wire format.
+//! The interface of the decision module ([`crate::Balancer`]): the settings it is created with, the events it handles
+//! and the actions it returns. The types are independent of any wire format.
 //!
 //! Times are whole microseconds ([`Micros`]); points in time are read from one monotonic clock. Workers, functions
-//! and invocations are named by small dense indices (see [`crate::ids`]), which are reused:
+//! and invocations are identified by small dense indices (see [`crate::ids`]), which are reused:
 //!
-//! * the index of an invocation, once it has its final answer and all its dispatches have ended;
+//! * the index of an invocation, once the invocation has its final answer and all its dispatches have ended;
 //! * the index of a function, after [`Action::ReleaseFunction`];
 //! * the index of a worker, once the worker is gone and no invocation or order refers to it. An [`Endpoint`] with
 //!   another fingerprint under the same index announces the new worker.
@@ -27,12 +27,12 @@
     pub position: u32,
     /// The zone this router runs in.
     pub zone: u32,
-    /// Shortest time between two calls of the module with events.
+    /// Shortest interval between two calls that hand events to the module, in microseconds.
     pub granularity: Micros,
 }
 
-/// The set of workers that recognize a repeat by its idempotency key: a repeat is dropped by every worker of the set
-/// that ran the first one.
+/// The set of workers that share a record of idempotency keys. If one worker of the set has run an invocation, every
+/// worker of the set recognizes a repeat by its key and drops it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All workers.
@@ -43,10 +43,10 @@
     Cell,
 }
 
-/// What running an invocation twice does.
+/// The effect of running an invocation more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing more than running it once: it may be repeated anywhere.
+    /// The same as running it once: it may be repeated anywhere.
     Idempotent,
     /// Workers drop repeats with the same idempotency key.
     IdempotentByKey {
@@ -55,26 +55,26 @@
         /// How long a key is remembered after an attempt.
         window: Micros,
     },
-    /// Another effect: it must not run twice.
+    /// A further effect: it must not run twice.
     NonIdempotent,
 }
 
 /// The settings of one type (class) of invocations.
 #[derive(Clone, Copy, Debug)]
 pub struct TriggerType {
-    /// What running an invocation twice does.
+    /// The effect of running an invocation more than once.
     pub effect: Effect,
     /// Latency objective: an answer within this time earns the full value.
     pub latency_objective: Micros,
-    /// The latency objective grows by this multiple of the invocation's own work.
+    /// The latency objective of an invocation is extended by this multiple of its cost hint.
     pub objective_work_multiple: f64,
-    /// The client stops waiting after this time, over all its retries.
+    /// Time after which the client stops waiting, over all its retries.
     pub client_timeout: Micros,
     /// Value of an answer within the latency objective.
     pub billed_value: f64,
     /// Fraction of the billed value that an answer after the latency objective still earns, 0 to 1.
     pub late_value_fraction: f64,
-    /// Answers are streamed.
+    /// Whether answers are streamed.
     pub streamed: bool,
 }
 
@@ -90,96 +90,96 @@
 /// What the router may do to serve one invocation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DispatchLimits {
-    /// Dispatches of one invocation at most, the first included.
+    /// Maximum number of dispatches of one invocation, the first included.
     pub max_dispatches: u32,
-    /// Hedged requests are allowed: two dispatches of one invocation in flight at a time.
+    /// Whether hedged requests are allowed: two dispatches of one invocation in flight at a time.
     pub hedged_requests: bool,
-    /// Dispatches may be cancelled.
+    /// Whether dispatches may be cancelled.
     pub cancellation: bool,
-    /// Health checks may be sent to workers.
+    /// Whether health checks may be sent to workers.
     pub probes: bool,
     /// Time allowed for connecting to a worker.
     pub connect_timeout: Micros,
-    /// Longest Retry-After that clients heed; 0 where none may be given.
+    /// Longest Retry-After that clients honour; 0 if none may be given.
     pub max_retry_after: Micros,
 }
 
-/// Bounds that the safety rules set.
+/// Limits that the safety rules impose.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RuleLimits {
     /// How late a final answer may be after the client's timeout.
     pub answer_slack: Micros,
-    /// How long a draining worker may still be given work.
+    /// How long a draining worker may still be given new work.
     pub drain_grace: Micros,
-    /// Where the endpoint list comes only on request: a request for it takes at most this long.
+    /// Longest time that a request for the endpoint list takes, if the list is only sent on request.
     pub list_request_timeout: Micros,
-    /// The endpoint list comes only on request.
+    /// Whether the endpoint list is only sent on request.
     pub list_on_request: bool,
     /// Fraction of its full capacity that a worker has when its process starts, 0 to 1.
     pub slow_start_fraction: f64,
-    /// After this time since its start a worker has its full capacity.
+    /// Time after the start of its process until a worker has its full capacity.
     pub slow_start_duration: Micros,
-    /// A worker in slow start may be sent this multiple of its present capacity.
+    /// Dispatches to a worker in slow start are limited to this multiple of its present capacity.
     pub overload_multiple: f64,
-    /// The window over which that is counted.
+    /// The window over which these dispatches are counted.
     pub overload_window: Micros,
 }
 
 /// How workers load copies of functions, and what loading may cost.
 #[derive(Clone, Debug, Default)]
 pub struct LoadSettings {
-    /// An idle copy stays loaded at least this long.
+    /// Shortest time for which an idle copy stays loaded.
     pub idle_retention: Micros,
-    /// Copies may be ordered ([`Action::LoadOrder`]).
+    /// Whether load orders may be sent ([`Action::LoadOrder`]).
     pub load_orders: bool,
-    /// A worker that is sent an invocation of a function it lacks loads the function by itself.
+    /// Whether a worker loads a function on demand when it is sent an invocation and has no copy.
     pub loads_when_absent: bool,
-    /// An order without a result ends after this time.
+    /// Time after which a load order without a result ends.
     pub order_timeout: Micros,
     /// Quota of load orders: within any window of this length at most `order_quota_base` +
     /// `order_quota_per_invocation` × invocations accepted in it. 0: no quota.
     pub order_quota_window: Micros,
-    /// Orders allowed in each window whatever the traffic.
+    /// Number of orders allowed in each window regardless of traffic.
     pub order_quota_base: f64,
-    /// Further orders allowed for each accepted invocation.
+    /// Number of further orders allowed for each accepted invocation.
     pub order_quota_per_invocation: f64,
-    /// Answers say whether the copy was warm ([`CopyStatus`]).
+    /// Whether answers report the status of the copy ([`CopyStatus`]).
     pub reports_copy_status: bool,
-    /// Answers say how many invocations of the function were in flight at the worker.
+    /// Whether answers report how many invocations of the function were in flight at the worker.
     pub reports_function_load: bool,
     /// Memory of a worker in megabytes, by machine kind.
     pub memory_mb: Vec<f64>,
 }
 
-/// Costs, as fractions of the value that is served.
+/// Costs, as fractions of the value of the served invocations.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Prices {
-    /// Of a dispatch to another zone.
+    /// Cost of a dispatch to another zone.
     pub crossing: f64,
-    /// Of fetching a function from the store.
+    /// Cost of fetching a function from the store.
     pub fetch: f64,
-    /// Of worker time that served no answer.
+    /// Cost of worker time that produced no answer.
     pub waste: f64,
-    /// Of a health check.
+    /// Cost of a health check.
     pub probe: f64,
-    /// Of an error after the latency objective.
+    /// Cost of an error after the latency objective.
     pub late_error: f64,
     /// Value of an invocation beyond its account's quota, as a fraction of one within it.
     pub over_quota: f64,
 }
 
-/// Where load reports come from.
+/// The source of load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
-    /// They come with answers.
+    /// Answers contain load reports.
     Answers,
-    /// They come with health checks.
+    /// Results of health checks contain load reports.
     Probes,
-    /// There are none.
+    /// Workers send no load reports.
     Nothing,
 }
 
-/// A worker's load report; what the worker does not report is absent.
+/// A worker's load report; values that the worker does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Invocations at the worker, running or queued.
@@ -197,11 +197,11 @@
 /// The state of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes new work.
+    /// The worker accepts new work.
     InService,
-    /// It finishes what it has and is then removed.
+    /// The worker finishes its present work and is then removed.
     Draining,
-    /// It is not in the list (any more).
+    /// The worker is not in the list, or no longer.
     #[default]
     Gone,
 }
@@ -227,16 +227,16 @@
     pub started_at: Option<Micros>,
 }
 
-/// What an endpoint list holds.
+/// The contents of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListKind {
     /// Only the workers that changed.
     Changes,
-    /// All workers: one that is not named is gone.
+    /// All workers; a worker that is missing from the list is gone.
     Complete,
-    /// All workers, as cached before a restart of the router; it may be stale.
+    /// All workers, as cached before a restart of the router; the list may be stale.
     Cached,
-    /// Nothing: the list could not be had.
+    /// No workers, as the list could not be obtained.
     Failed,
 }
 
@@ -245,21 +245,21 @@
 pub enum DispatchOutcome {
     /// The worker answered with success.
     Succeeded,
-    /// The worker answered with an error; it may have run.
+    /// The worker answered with an error; the invocation may have run.
     Errored,
-    /// The worker was full and rejected it unread.
+    /// The worker had no capacity and rejected the invocation without reading it.
     Rejected,
     /// There was no answer within the time allowed.
     TimedOut,
-    /// No connection could be made.
+    /// No connection to the worker could be made.
     Unreachable,
-    /// The connection was lost after the request had begun to leave.
+    /// The connection was lost after part of the request had been sent.
     ConnectionLost,
-    /// The router cancelled it.
+    /// The router cancelled the dispatch.
     Cancelled,
-    /// It never left the router.
+    /// No part of the request was sent.
     NotSent,
-    /// The worker had no copy and was loading none, or the load that it awaited failed.
+    /// The worker had no copy and was loading none, or the load for which the invocation waited failed.
     NotLoaded,
 }
 
@@ -276,12 +276,12 @@
     }
 }
 
-/// What an answer says of the copy that served it.
+/// The status of the copy that served an invocation, as reported by the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyStatus {
-    /// Nothing.
+    /// The answer reports no status.
     Unreported,
-    /// The copy was loaded when the invocation came.
+    /// The copy was loaded when the invocation arrived.
     Warm,
     /// This invocation started the load.
     LoadStarted,
@@ -296,7 +296,7 @@
 pub enum LoadOrderResult {
     /// The copies are loaded.
     Loaded,
-    /// The worker has no capacity for all of them, or is draining.
+    /// The worker has no capacity for all of the copies, or is draining.
     NoCapacity,
     /// A load failed.
     LoadFailed,
@@ -331,15 +331,16 @@
     pub lanes: u32,
     /// Time left until the final answer is due.
     pub client_timeout_in: Micros,
-    /// How long the client had been waiting when this arrived; its latency objective counts from its sending.
+    /// How long the client had been waiting when the invocation arrived; the latency objective counts from the time at
+    /// which the client sent it.
     pub waited: Micros,
-    /// The client marks it as a retry of its own.
+    /// Whether the client has marked the invocation as a retry.
     pub repeat: bool,
-    /// The worker where the earlier invocations of its session left their state.
+    /// The worker that has the state of the invocation's session.
     pub preferred_worker: Option<WorkerIndex>,
 }
 
-/// What the module has to know of a function that no invocation may have asked for yet.
+/// A function for which no invocation may have arrived yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FunctionInfo {
     /// Its index.
@@ -359,41 +360,41 @@
     pub invocation: InvocationIndex,
     /// Number of the dispatch within its invocation, from 0.
     pub dispatch: u32,
-    /// The worker it went to.
+    /// The worker that the invocation was sent to.
     pub worker: WorkerIndex,
-    /// How it ended.
+    /// How the dispatch ended.
     pub outcome: DispatchOutcome,
-    /// Time since the module asked for it.
+    /// Time since the module returned the dispatch action.
     pub took: Micros,
-    /// The invocation has its final answer.
+    /// Whether the invocation has its final answer.
     pub answered: bool,
-    /// What the answer says of the copy that served it.
+    /// The status of the copy that served the invocation.
     pub copy_status: CopyStatus,
-    /// Invocations of the same function in flight at the worker when this one came, if reported.
+    /// Invocations of the same function in flight at the worker when this one arrived, if reported.
     pub function_load: Option<u32>,
     /// The worker's load report.
     pub report: LoadReport,
 }
 
-/// Something that happened, of which the module is told.
+/// An event that the module handles.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// The endpoint list, or a change of it.
     EndpointList {
-        /// What `endpoints` holds.
+        /// The contents of `endpoints`.
         kind: EndpointListKind,
         /// The workers.
         endpoints: &'a [Endpoint],
     },
-    /// The endpoint list is up to date. Until the time given it may be relied on although nothing more is heard of it;
-    /// without any such event it always is.
+    /// The endpoint list is up to date, and can be relied on until the lease ends even if no update arrives. If there
+    /// has never been a lease, the list can always be relied on.
     EndpointListLease {
         /// When the lease ends, unless it is renewed.
         until: Micros,
     },
     /// An invocation was accepted.
     Invocation(Arrival),
-    /// The client has left: no answer is owed.
+    /// The client has left: the invocation needs no answer any longer.
     ClientLeft {
         /// The client's invocation.
         invocation: InvocationIndex,
@@ -411,62 +412,62 @@
     DispatchEnded(DispatchEnded),
     /// An order to load copies ended.
     OrderEnded {
-        /// The worker that was to load them.
+        /// The worker that the order was sent to.
         worker: WorkerIndex,
         /// The function.
         function: FunctionIndex,
         /// How the order ended.
         result: LoadOrderResult,
-        /// Time since the module asked for it.
+        /// Time since the module returned the order.
         took: Micros,
-        /// Copies loaded at the worker now.
+        /// Copies of the function that are loaded at the worker now.
         copies: u32,
     },
     /// A health check ended.
     ProbeEnded {
         /// The worker that was checked.
         worker: WorkerIndex,
-        /// How it ended.
+        /// How the health check ended.
         outcome: DispatchOutcome,
-        /// How long it took.
+        /// How long the health check took.
         took: Micros,
         /// The worker's load report.
         report: LoadReport,
     },
-    /// A timer that the module set is due.
+    /// A timer that the module has set ([`Action::Timer`]) is due.
     Timer {
         /// The timer's token.
         token: u64,
     },
-    /// A copy is wanted in addition to what invocations ask for, or its idle time is to be renewed: an upgrade's plan
-    /// says so, or a copy that was believed loaded is gone.
+    /// A copy is wanted that no invocation needs yet, or the idle retention of a copy is to be renewed. This follows
+    /// from the plan of an upgrade, or from the loss of a copy that was expected to be loaded.
     CopyWanted {
-        /// The worker where it is wanted.
+        /// The worker where the copy is wanted.
         worker: WorkerIndex,
         /// The function.
         function: FunctionInfo,
     },
-    /// A worker reports the copies that it holds of a function.
+    /// A worker has reported how many copies of a function it has.
     CopiesReported {
         /// The worker.
         worker: WorkerIndex,
         /// The function.
         function: FunctionIndex,
-        /// Copies loaded there; 0: none.
+        /// Number of copies that are loaded there; 0 if none is.
         copies: u32,
     },
 }
 
-/// Something that the module asks for.
+/// An action that the caller of the module has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
     /// Send the invocation to a worker.
     Dispatch {
         /// The invocation.
         invocation: InvocationIndex,
-        /// Where it goes.
+        /// The worker that the invocation is sent to.
         worker: WorkerIndex,
-        /// Timeout of this attempt; absent: it ends when the final answer is due.
+        /// Timeout of this attempt; if absent, the attempt ends when the final answer is due.
         timeout: Option<Micros>,
     },
     /// Cancel a dispatch.
@@ -476,25 +477,25 @@
         /// Number of the dispatch within its invocation.
         dispatch: u32,
     },
-    /// Final answer: it did not run, and a retry by the client is harmless.
+    /// Give the final answer: a rejection. The invocation did not run, or a retry by the client is harmless.
     Reject {
         /// The invocation.
         invocation: InvocationIndex,
         /// When the client should retry (Retry-After).
         retry_after: Option<Micros>,
     },
-    /// Final answer: an error; it may have run.
+    /// Give the final answer: an error. The invocation may have run.
     Fail {
         /// The invocation.
         invocation: InvocationIndex,
     },
-    /// Order a worker to hold at least this many copies.
+    /// Order a worker to have at least this many copies loaded.
     LoadOrder {
         /// The worker.
         worker: WorkerIndex,
         /// The function.
         function: FunctionIndex,
-        /// Copies to hold; 0 only asks how many are loaded.
+        /// Number of copies; with 0 the order only queries how many are loaded.
         copies: u32,
     },
     /// Unload idle copies.
@@ -511,17 +512,17 @@
     },
     /// Set a timer: [`Event::Timer`] follows.
     Timer {
-        /// Names the timer.
+        /// Identifies the timer.
         token: u64,
-        /// When it is due, from now.
+        /// Time from now until the timer is due.
         after: Micros,
     },
     /// Request the endpoint list.
     RequestEndpointList {
-        /// Keep watching it for changes; otherwise only once.
+        /// Whether to keep watching the list for changes; otherwise it is requested once.
         watch: bool,
     },
-    /// The function's index may be reused.
+    /// Release the index of a function: it may be reused.
     ReleaseFunction {
         /// The function.
         function: FunctionIndex,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! cedarpulley decides which worker runs an invocation, before workers that keep only some of many
-//! programs loaded.
+//! The decision module of cedarpulley: decides which worker runs an invocation, where each worker keeps only some of
+//! many functions or models loaded. It does no I/O.
 //!
 //! * [`balancer`]: all decisions, behind one entry point, [`Balancer::handle`].
-//! * [`interface`]: the plain event, action and settings types that it speaks; no wire.
-//! * [`ids`]: maps outside ids to the small indices used by both, for any caller.
+//! * [`interface`]: the types of the balancer's events, actions and settings, independent of any wire format.
+//! * [`ids`]: maps external ids to the small indices that both of them use.
 
 #![warn(missing_docs)]
 
@@ -28,8 +28,8 @@
     };
 }
 
-/// All source files of the decision module, in a fixed order: a digest over their texts names the build behind a
-/// recorded decision.
+/// All source files of the decision module, in a fixed order. A digest over their texts identifies the build that made
+/// a recorded decision.
 pub const MODULE_SOURCES: &[ModuleSource] = sources![
     "balancer/mod.rs",
     "balancer/account_quota.rs",
