--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -135,9 +135,9 @@
         self.histories[self.slots(worker, 0)[1]].in_flight
     }
 
-    /// Whether the worker is an outlier for this trigger type: there are few successes among its last outcomes (errors,
-    /// lost or refused connections, timeouts), or dispatches are in flight and no answer arrived by the time it was
-    /// due (a hanging worker or a network cut without an error).
+    /// Whether the worker is an outlier for this trigger type: there are few successes among its last outcomes
+    /// (errors, lost or refused connections, timeouts), or dispatches are in flight and no answer arrived by the time
+    /// it was due (a hanging worker or a network cut without an error).
     pub(super) fn is_outlier(&self, worker: usize, trigger: usize, now: Micros) -> bool {
         let [type_history, overall_history] = self
             .slots(worker, trigger)
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -57,9 +57,9 @@
         rules.slow_start_fraction + (1.0 - rules.slow_start_fraction) * progress.min(1.0)
     }
 
-    /// Records a success in the mean throughput per worker. Each success is divided by the number of workers in service
-    /// at that time. Otherwise, when many workers leave at once, the throughput of all of them would be attributed to
-    /// the remaining ones.
+    /// Records a success in the mean throughput per worker. Each success is divided by the number of workers in
+    /// service at that time. Otherwise, when many workers leave at once, the throughput of all of them would be
+    /// attributed to the remaining ones.
     pub(super) fn record_completion(&mut self) {
         let window = self.settings.rules.overload_window.max(1) as f64;
         let in_service = workers::in_service(&self.workers).count().max(1);
--- a/src/balancer/workers.rs
+++ b/src/balancer/workers.rs
@@ -28,8 +28,9 @@
         in_flight >= self.limit
     }
 
-    /// Records an answer from a loaded copy. If it is late, the limit falls below the number of dispatches that were in
-    /// flight; if it is in time, the limit grows slowly. The limit falls at most once within the time of an answer.
+    /// Records an answer from a loaded copy. If it is late, the limit falls below the number of dispatches that were
+    /// in flight; if it is in time, the limit grows slowly. The limit falls at most once within the time of an
+    /// answer.
     pub(super) fn record(
         &mut self,
         now: Micros,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -100,7 +100,7 @@
     pub probes: bool,
     /// Time allowed for connecting to a worker.
     pub connect_timeout: Micros,
-    /// Longest Retry-After that clients honour; 0 if none may be given.
+    /// Longest Retry-After that clients follow; 0 if none may be given.
     pub max_retry_after: Micros,
 }
 
--- a/tests/decisions/attempts.rs
+++ b/tests/decisions/attempts.rs
@@ -1,15 +1,16 @@
-//! Attempts, retries and final answers.
+//! Attempts, retries and final answers. The test heads name the simulated site and the scenario in which a failure was
+//! found.
 
 use crate::helpers::{answer, sent, warm_up};
 use crate::script::*;
 use cedarpulley::interface::*;
 
-/// All deployments: an invocation that must not run again gets its answer as soon as that is known.
+/// An invocation that must not run again must be answered as soon as an attempt that may have run has failed.
 #[test]
 fn a_non_idempotent_invocation_that_may_have_run_is_answered_at_once() {
     let mut script = Script::new(10, PLAIN, 4);
     let (invocation, _) = script.arrive(2, 0, 1, 2 * SECOND);
-    script.pass(50 * MS);
+    script.advance(50 * MS);
     let actions = script.end(
         invocation,
         0,
@@ -19,9 +20,10 @@
     assert!(actions.contains(&Action::Fail { invocation }));
 }
 
-/// i93b1a3: attempts too short for the work were begun anew each time and filled the workers for nobody.
+/// Attempts that were too short for the work were repeated again and again, and filled the workers with work whose
+/// clients had left.
 #[test]
-fn an_attempt_too_short_for_the_work_is_not_begun() {
+fn an_attempt_too_short_for_the_work_is_not_dispatched() {
     let mut script = Script::new(14, PLAIN, 4);
     warm_up(&mut script, 0, 4);
     for _ in 0..8 {
@@ -35,18 +37,19 @@
     );
 }
 
-/// kumamoto-office-later, retry_abuse: what is in flight for a client that has left is cancelled.
+/// Site kumamoto-office-later, scenario retry_abuse: dispatches in flight for a client that has left must be
+/// cancelled.
 #[test]
 fn a_dispatch_whose_client_left_is_cancelled() {
     let mut script = Script::new(18, PLAIN, 2);
     let (invocation, _) = script.arrive(0, 0, 1, 2 * SECOND);
-    assert!(script.depart(invocation).contains(&Action::Cancel {
+    assert!(script.client_leaves(invocation).contains(&Action::Cancel {
         invocation,
         dispatch: 0
     }));
 }
 
-/// An invocation of this trigger type goes to the one warm worker, which is full for it.
+/// Sends an invocation of this trigger type to the only warm worker, which rejects it for lack of capacity.
 fn rejected_by_warm_worker(
     seed: u64,
     trigger: u32,
@@ -55,7 +58,7 @@
     let warm_worker = warm_up(&mut script, 0, 4);
     let (invocation, actions) = script.arrive(trigger, 0, 4, 2 * SECOND);
     assert_eq!(sent(&actions), [warm_worker]);
-    script.pass(MS);
+    script.advance(MS);
     let actions = script.end(
         invocation,
         0,
@@ -65,8 +68,8 @@
     (script, invocation, warm_worker, actions)
 }
 
-/// catania-main on sockets, wide+reset+stale: a full worker, the fastest to answer, was sent the same
-/// invocation again until its dispatches were used up.
+/// Site catania-main over sockets, scenario wide+reset+stale: a full worker, which was the fastest to answer, was
+/// sent the same invocation again until the invocation's dispatches were used up.
 #[test]
 fn an_invocation_is_not_retried_at_a_worker_that_rejected_it() {
     let (_, invocation, warm_worker, actions) = rejected_by_warm_worker(23, 2);
@@ -74,11 +77,11 @@
     assert!(!actions.contains(&Action::Fail { invocation }));
 }
 
-/// slot-service-later, deploy+flush: a worker that was full counted as not warm, so each invocation that it
-/// rejected loaded its function on one more worker at once, until the store stopped.
+/// Site slot-service-later, scenario deploy+flush: a full worker counted as not warm, so each invocation that it
+/// rejected loaded its function at one more worker, until the store stopped.
 #[test]
 fn an_invocation_rejected_by_the_only_warm_worker_is_queued_and_loads_no_copy() {
     let (mut script, invocation, _, actions) = rejected_by_warm_worker(24, 0);
-    assert!(sent(&actions).is_empty() && script.owes(invocation));
-    assert!(sent(&script.pass(40 * MS)).is_empty() && script.owes(invocation));
+    assert!(sent(&actions).is_empty() && script.is_unanswered(invocation));
+    assert!(sent(&script.advance(40 * MS)).is_empty() && script.is_unanswered(invocation));
 }
--- a/tests/decisions/load_orders.rs
+++ b/tests/decisions/load_orders.rs
@@ -1,15 +1,16 @@
-//! Loads of copies: orders, their quota, failures, reports.
+//! Loads of copies: orders, their quota, failures, reports. The test heads name the simulated site and the scenario
+//! in which a failure was found.
 
 use std::collections::BTreeSet;
 
-use crate::helpers::{ORDERED, answer, ordered, sent, warm_up};
+use crate::helpers::{LOADS_ONLY_ON_ORDER, answer, ordered, sent, warm_up};
 use crate::script::*;
 use cedarpulley::interface::*;
 
-/// catania-main, hot_key+zone_cut: querying where copies are loaded kept far too many of them warm.
+/// Site catania-main, scenario hot_key+zone_cut: queries for the loaded copies kept far too many copies warm.
 #[test]
 fn where_orders_are_allowed_one_copy_is_ordered_and_the_invocation_waits_in_the_queue() {
-    let mut script = Script::new(8, ORDERED, 6);
+    let mut script = Script::new(8, LOADS_ONLY_ON_ORDER, 6);
     let (invocation, actions) = script.arrive(2, 0, 1, 2 * SECOND);
     let orders: Vec<_> = actions
         .iter()
@@ -17,19 +18,20 @@
         .collect();
     assert_eq!((orders.len(), sent(&actions).len()), (1, 0));
     let worker = ordered(&actions)[0];
-    script.pass(400 * MS);
-    let stand = Event::OrderEnded {
+    script.advance(400 * MS);
+    let loaded = Event::OrderEnded {
         worker,
         function: 0,
         result: LoadOrderResult::Loaded,
         took: 400 * MS,
         copies: 1,
     };
-    assert_eq!(sent(&script.tell(&stand)), [worker]);
-    assert!(script.owes(invocation));
+    assert_eq!(sent(&script.handle(&loaded)), [worker]);
+    assert!(script.is_unanswered(invocation));
 }
 
-/// kumamoto-office: with as many loads in progress as workers, queued invocations expired; a load counts for its usual time.
+/// Site kumamoto-office: with as many loads in progress as there are workers, queued invocations expired. A load must
+/// block its worker for further loads only for the expected load time.
 #[test]
 fn a_load_occupies_its_worker_for_the_expected_load_time_only() {
     let mut script = Script::new(12, PLAIN, 1);
@@ -38,14 +40,15 @@
     }
     assert_eq!(sent(&script.arrive(0, 0, 1, 2 * SECOND).1), [0]);
     assert!(sent(&script.arrive(0, 1, 1, 2 * SECOND).1).is_empty());
-    assert!(sent(&script.pass(300 * MS)).is_empty());
-    assert_eq!(sent(&script.pass(400 * MS)), [0]);
+    assert!(sent(&script.advance(300 * MS)).is_empty());
+    assert_eq!(sent(&script.advance(400 * MS)), [0]);
 }
 
-/// catania-main-later, class_fail: one router ordered the same copy 2,200 times from a worker without capacity.
+/// Site catania-main-later, scenario class_fail: one router ordered the same copy 2,200 times from a worker without
+/// capacity.
 #[test]
 fn a_worker_without_capacity_gets_no_further_load_order_at_once() {
-    let mut script = Script::new(17, ORDERED, 1);
+    let mut script = Script::new(17, LOADS_ONLY_ON_ORDER, 1);
     let (_, actions) = script.arrive(0, 0, 1, 2 * SECOND);
     let worker = ordered(&actions)[0];
     let full = Event::OrderEnded {
@@ -55,16 +58,18 @@
         took: MS,
         copies: 0,
     };
-    assert!(ordered(&script.tell(&full)).is_empty() && ordered(&script.pass(100 * MS)).is_empty());
-    assert_eq!(ordered(&script.pass(SECOND)), [worker]);
+    assert!(
+        ordered(&script.handle(&full)).is_empty() && ordered(&script.advance(100 * MS)).is_empty()
+    );
+    assert_eq!(ordered(&script.advance(SECOND)), [worker]);
 }
 
-/// catania-main on sockets, rude clients: a function that no worker knows fails to load at once on each in
-/// turn. With the workers taken for outliers, each took no load for a while, and what had no copy anywhere was
-/// queued until it was answered without success.
+/// Site catania-main over sockets, misbehaving clients: a function unknown to all workers fails to load at one
+/// worker after the other. All workers then counted as outliers and took no loads for a while, so invocations of
+/// functions without a copy were queued until they were answered without success.
 #[test]
 fn a_function_that_fails_to_load_does_not_block_loads_of_others() {
-    let mut script = Script::new(22, ORDERED, 3);
+    let mut script = Script::new(22, LOADS_ONLY_ON_ORDER, 3);
     let (_, actions) = script.arrive(0, 0, 1, 2 * SECOND);
     let mut targets = ordered(&actions);
     let mut orders = 0;
@@ -77,11 +82,14 @@
             took: MS,
             copies: 0,
         };
-        script.pass(MS);
-        targets = ordered(&script.tell(&failed));
-        assert!(orders < 5, "it goes from worker to worker");
+        script.advance(MS);
+        targets = ordered(&script.handle(&failed));
+        assert!(
+            orders < 5,
+            "the load is tried at one worker after the other"
+        );
     }
-    // Every worker takes a load of something else at once.
+    // Every worker still accepts a load of another function at once.
     let mut taken = BTreeSet::new();
     for function in 1..=3 {
         taken.extend(ordered(&script.arrive(0, function, 1, 2 * SECOND).1));
@@ -89,8 +97,8 @@
     assert_eq!(taken.len(), 3);
 }
 
-/// Fleet test, all days: each of 300 routers ordered a copy of each function that it met, 64 orders for 100
-/// invocations, and nearly all of them were loaded already.
+/// Simulated fleet, all scenarios: each of 300 routers ordered a copy of every function new to it, which made 64
+/// orders for 100 invocations, and nearly all of these copies were already loaded.
 #[test]
 fn the_first_invocation_is_dispatched_without_an_order_where_workers_load_on_demand() {
     let mut script = Script::new(
@@ -104,17 +112,19 @@
     let (invocation, actions) = script.arrive(0, 0, 1, 2 * SECOND);
     assert_eq!((sent(&actions).len(), ordered(&actions).len()), (1, 0));
     let warm_worker = sent(&actions)[0];
-    // Answered at once, the copy stood: no load was needed, and the next one finds its way there.
+    // The answer came too soon for a load, so the copy was already loaded; the next invocation uses it.
     answer(&mut script, invocation, 20 * MS);
     assert_eq!(sent(&script.arrive(0, 0, 1, 2 * SECOND).1), [warm_worker]);
-    // Its one lane is taken: the draws of one in five are orders, as nothing need wait for them.
+    // The only lane is taken. The one invocation in five that explores sends a load order, as no invocation has to
+    // wait for that load.
     let drawn: Vec<Action> = (0..20)
         .flat_map(|_| script.arrive(0, 0, 1, 2 * SECOND).1)
         .collect();
     assert!(sent(&drawn).is_empty() && !ordered(&drawn).is_empty());
 }
 
-/// The same: draws had used up the quota of orders, and what needs no order was queued for it.
+/// Simulated fleet, all scenarios: exploration had used up the quota of load orders, and invocations whose load needed
+/// no order were queued for it.
 #[test]
 fn a_load_by_dispatch_needs_no_order_quota() {
     let mut script = Script::new(
@@ -133,37 +143,43 @@
         .map(|n| script.arrive(0, n % 5, 1, 2 * SECOND).1)
         .map(|actions| ordered(&actions).len())
         .sum();
-    assert_eq!(orders, 2, "the order_quota is used up");
+    assert_eq!(orders, 2, "the quota of load orders is used up");
     assert_eq!(sent(&script.arrive(0, 5, 1, 2 * SECOND).1).len(), 1);
 }
 
-/// The same through dispatches: a function that nobody can load must not have the workers taken for outliers, one
-/// that has run before is no excuse for a worker that fails everything.
+/// Loads by dispatch: a function that no worker can load must not turn workers into outliers. If the function has run
+/// before, however, a failed load must count against the worker.
 #[test]
 fn a_failed_load_counts_against_the_worker_only_once_the_function_has_run() {
-    let failed = |known: bool| {
+    let sent_after_failure = |known: bool| {
         let mut script = Script::new(28, PLAIN, 1);
         let other = warm_up(&mut script, 1, 4);
         if known {
             warm_up(&mut script, 0, 4);
             let (invocation, _) = script.arrive(0, 0, 4, 2 * SECOND);
             answer(&mut script, invocation, 20 * MS);
-            script.pass(IDLE_RETENTION + SECOND);
+            script.advance(IDLE_RETENTION + SECOND);
             warm_up(&mut script, 1, 4);
         }
         let (invocation, actions) = script.arrive(2, 0, 4, 2 * SECOND);
         assert_eq!(sent(&actions), [other]);
-        script.pass(MS);
+        script.advance(MS);
         script.end(
             invocation,
             0,
             DispatchOutcome::Errored,
             CopyStatus::Unreported,
         );
-        // What must not run twice goes to no worker that is judged bad.
+        // A non-idempotent invocation is never sent to an outlier.
         sent(&script.arrive(2, 1, 4, 2 * SECOND).1)
     };
-    assert_eq!((failed(false).len(), failed(true).len()), (1, 0));
+    assert_eq!(
+        (
+            sent_after_failure(false).len(),
+            sent_after_failure(true).len()
+        ),
+        (1, 0)
+    );
 }
 
 #[test]
@@ -172,20 +188,20 @@
         1,
         Site {
             order_quota: true,
-            ..ORDERED
+            ..LOADS_ONLY_ON_ORDER
         },
         4,
     );
-    // Nobody has asked for it yet.
-    assert_eq!(ordered(&script.want(2, 5)), [2]);
-    // One in progress for the function; the quota of the script is two in five seconds.
-    assert!(ordered(&script.want(3, 5)).is_empty());
-    assert_eq!(ordered(&script.want(3, 6)), [3]);
-    assert!(ordered(&script.want(1, 7)).is_empty());
-    script.pass(6 * SECOND);
+    // No invocation of the function has arrived yet.
+    assert_eq!(ordered(&script.request_copy(2, 5)), [2]);
+    // A function has one load in progress at a time; the script's quota is two orders in five seconds.
+    assert!(ordered(&script.request_copy(3, 5)).is_empty());
+    assert_eq!(ordered(&script.request_copy(3, 6)), [3]);
+    assert!(ordered(&script.request_copy(1, 7)).is_empty());
+    script.advance(6 * SECOND);
     let ended = |script: &mut Script, worker, function| {
         let (result, took) = (LoadOrderResult::Loaded, 400 * MS);
-        script.tell(&Event::OrderEnded {
+        script.handle(&Event::OrderEnded {
             worker,
             function,
             result,
@@ -194,17 +210,17 @@
         });
     };
     ended(&mut script, 2, 5);
-    // One that stands is renewed, though it needs no load; one that drains takes none.
-    assert_eq!(ordered(&script.want(2, 5)), [2]);
-    script.list(
+    // A loaded copy is ordered again to renew its idle retention; a draining worker gets no order.
+    assert_eq!(ordered(&script.request_copy(2, 5)), [2]);
+    script.send_list(
         EndpointListKind::Changes,
         &[entry(0, EndpointState::Draining, None)],
     );
-    script.pass(SECOND);
-    assert!(ordered(&script.want(0, 8)).is_empty());
+    script.advance(SECOND);
+    assert!(ordered(&script.request_copy(0, 8)).is_empty());
     let mut script = Script::new(1, PLAIN, 4);
     assert!(
-        ordered(&script.want(2, 5)).is_empty(),
+        ordered(&script.request_copy(2, 5)).is_empty(),
         "orders are not allowed there"
     );
 }
@@ -213,24 +229,24 @@
 fn reported_copies_are_ignored_while_a_load_is_in_progress() {
     let mut script = Script::new(1, PLAIN, 4);
     let warm_worker = sent(&script.arrive(0, 0, 2, 4 * SECOND).1)[0];
-    script.tell(&Event::CopiesReported {
+    script.handle(&Event::CopiesReported {
         worker: warm_worker,
         function: 0,
         copies: 0,
     });
-    // The second lane of what is being loaded.
+    // The invocation takes the second lane of the copy that is being loaded.
     assert_eq!(sent(&script.arrive(0, 0, 2, 4 * SECOND).1), [warm_worker]);
 }
 
 #[test]
 fn reported_copies_override_the_expected_state() {
-    let mut script = Script::new(1, ORDERED, 4);
+    let mut script = Script::new(1, LOADS_ONLY_ON_ORDER, 4);
     let (_, actions) = script.arrive(0, 0, 1, 4 * SECOND);
     let warm_worker = ordered(&actions)[0];
-    // Another router has loaded it elsewhere: what waits leaves at once.
+    // Another router has loaded a copy elsewhere: the queued invocation is dispatched there at once.
     let other = (0..4).find(|w| *w != warm_worker).expect("one of four");
     assert_eq!(
-        sent(&script.tell(&Event::CopiesReported {
+        sent(&script.handle(&Event::CopiesReported {
             worker: other,
             function: 0,
             copies: 1
@@ -238,20 +254,20 @@
         [other]
     );
     let (result, took) = (LoadOrderResult::Loaded, 400 * MS);
-    script.tell(&Event::OrderEnded {
+    script.handle(&Event::OrderEnded {
         worker: warm_worker,
         function: 0,
         result,
         took,
         copies: 1,
     });
-    // Gone without a word: the next one loads anew, somewhere.
-    script.tell(&Event::CopiesReported {
+    // Both copies have been evicted: the next invocation starts a new load.
+    script.handle(&Event::CopiesReported {
         worker: warm_worker,
         function: 0,
         copies: 0,
     });
-    script.tell(&Event::CopiesReported {
+    script.handle(&Event::CopiesReported {
         worker: other,
         function: 0,
         copies: 0,
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision module; none needs the bench.
+//! Tests of the decision module, which run without the benchmark.
 
 mod attempts;
 mod helpers;
--- a/tests/decisions/outlier_detection.rs
+++ b/tests/decisions/outlier_detection.rs
@@ -1,10 +1,12 @@
-//! Which workers are outliers, and how they come back.
+//! Outlier detection and the readmission of outliers. The test heads name the simulated site and the scenario in
+//! which a failure was found.
 
 use crate::helpers::{answer, sent, warm_up};
 use crate::script::*;
 use cedarpulley::interface::*;
 
-/// Symptom of hangs and cut links: work in flight and no answer at all. Only what may run again attempts the worker.
+/// A hanging worker or a cut link leaves dispatches in flight without any answer. Only invocations that may run again
+/// may then be sent to the worker.
 #[test]
 fn a_silent_worker_is_an_outlier() {
     let mut script = Script::new(11, PLAIN, 4);
@@ -15,21 +17,22 @@
     }
     let (_, actions) = script.arrive(0, 0, 4, 2 * SECOND);
     assert_eq!(sent(&actions), [warm_worker]);
-    script.pass(1_500 * MS);
+    script.advance(1_500 * MS);
     let (_, actions) = script.arrive(2, 0, 4, 2 * SECOND);
     assert!(!sent(&actions).contains(&warm_worker));
 }
 
-/// All dispatches in flight time out at once (the router's own process was stopped, say), and so does the first probe.
+/// All dispatches in flight time out at once, as after a stop of the router's own process, and so does the first
+/// probe. Probes must go on although every worker is an outlier.
 #[test]
-fn with_every_worker_an_outlier_probes_go_on() {
+fn probes_continue_when_every_worker_is_an_outlier() {
     let mut script = Script::new(1, PLAIN, 1);
     warm_up(&mut script, 0, 8);
-    let tries: Vec<InvocationIndex> = (0..8)
+    let attempts: Vec<InvocationIndex> = (0..8)
         .map(|_| script.arrive(0, 0, 8, 2 * SECOND).0)
         .collect();
-    script.pass(1_500 * MS);
-    tries
+    script.advance(1_500 * MS);
+    attempts
         .iter()
         .filter(|invocation| script.is_in_flight(**invocation))
         .copied()
@@ -45,7 +48,7 @@
         });
     // The first probe is lost too.
     let (invocation, _) = script.arrive(0, 0, 8, 2 * SECOND);
-    script.pass(600 * MS);
+    script.advance(600 * MS);
     assert!(script.is_in_flight(invocation));
     script.end(
         invocation,
@@ -53,13 +56,14 @@
         DispatchOutcome::TimedOut,
         CopyStatus::Unreported,
     );
-    script.pass(500 * MS);
+    script.advance(500 * MS);
     let (_, now) = script.arrive(0, 0, 8, 2 * SECOND);
-    let later = script.pass(SECOND);
+    let later = script.advance(SECOND);
     assert_eq!(sent(&now).len() + sent(&later).len(), 1);
 }
 
-/// catania-main-later, class_fail: a worker silent for one trigger type keeps serving the others.
+/// Site catania-main-later, scenario class_fail: a worker that does not answer one trigger type must keep serving the
+/// others.
 #[test]
 fn outliers_are_detected_by_trigger_type() {
     let mut script = Script::new(15, PLAIN, 2);
@@ -70,7 +74,7 @@
     let (invocation, actions) = script.arrive(2, 2, 4, 2 * SECOND);
     let silent = sent(&actions)[0];
     let (other, _) = script.arrive(2, 2, 4, 2 * SECOND);
-    script.pass(2 * SECOND);
+    script.advance(2 * SECOND);
     script.end(
         invocation,
         0,
@@ -80,40 +84,41 @@
     script.end(other, 0, DispatchOutcome::TimedOut, CopyStatus::Unreported);
     let (_, actions) = script.arrive(2, 2, 4, 2 * SECOND);
     assert!(!sent(&actions).contains(&silent));
-    // The other type goes by its own record there, whichever worker it is warm on.
+    // The other trigger type has its own history at both workers, so it is sent to the worker where it is warm.
     let (_, actions) = script.arrive(0, 0, 4, 2 * SECOND);
     assert_eq!(sent(&actions).len(), 1);
 }
 
-/// catania-main on sockets, long days: the index of a worker that has gone is given to a new one, which must
-/// not inherit the old one's outcomes.
+/// Site catania-main over sockets, long scenarios: the index of a worker that is gone is given to a new worker, which
+/// must not inherit the outcomes of the old one.
 #[test]
 fn a_new_worker_under_a_reused_index_starts_without_outcomes_or_copies() {
     let mut script = Script::new(21, PLAIN, 1);
     let warm_worker = warm_up(&mut script, 0, 2);
-    // It was full with one, and broke another: it bears little, and is judged bad.
+    // The worker rejects one invocation and loses the connection of another: it gets a low concurrency limit and
+    // becomes an outlier.
     for (trigger, outcome) in [
         (0, DispatchOutcome::Rejected),
         (2, DispatchOutcome::ConnectionLost),
     ] {
         let (invocation, _) = script.arrive(trigger, 0, 2, 2 * SECOND);
-        script.pass(50 * MS);
+        script.advance(50 * MS);
         script.end(invocation, 0, outcome, CopyStatus::Unreported);
     }
     assert!(sent(&script.arrive(2, 0, 2, 2 * SECOND).1).is_empty());
-    script.list(
+    script.send_list(
         EndpointListKind::Changes,
         &[entry(warm_worker, EndpointState::Gone, None)],
     );
-    script.pass(3 * SECOND);
+    script.advance(3 * SECOND);
     let new = Endpoint {
         fingerprint: 4711,
         ..entry(warm_worker, EndpointState::InService, None)
     };
-    script.list(EndpointListKind::Changes, &[new]);
+    script.send_list(EndpointListKind::Changes, &[new]);
     let (invocation, actions) = script.arrive(2, 0, 2, 2 * SECOND);
     assert_eq!(sent(&actions), [warm_worker]);
-    script.pass(600 * MS);
+    script.advance(600 * MS);
     script.end(
         invocation,
         0,
--- a/tests/decisions/readiness.rs
+++ b/tests/decisions/readiness.rs
@@ -1,10 +1,12 @@
-//! Work while the endpoint list may be out of date: only for workers that have just passed a health check.
+//! Readiness: while the endpoint list may be out of date, only workers that have recently passed a health check get
+//! new work.
 
 use crate::helpers::*;
 use crate::script::*;
 use cedarpulley::interface::DispatchOutcome::{Rejected, Succeeded, Unreachable};
 use cedarpulley::interface::*;
 
+/// The workers to which these actions send health checks.
 fn probed(actions: &[Action]) -> Vec<WorkerIndex> {
     let to = |action: &Action| match action {
         Action::Probe { worker } => Some(*worker),
@@ -13,19 +15,19 @@
     actions.iter().filter_map(to).collect()
 }
 
-/// One worker has the function loaded, and the lease of the list has just ended.
-fn out_of_reach(site: Site, workers: u32) -> (Script, WorkerIndex) {
+/// A script in which one worker has function 0 loaded and the lease of the endpoint list has just ended.
+fn with_ended_lease(site: Site, workers: u32) -> (Script, WorkerIndex) {
     let mut script = Script::new(1, site, workers);
     script.renew_lease(2 * SECOND);
     let warm_worker = warm_up(&mut script, 0, 1);
-    script.pass(2 * SECOND);
+    script.advance(2 * SECOND);
     (script, warm_worker)
 }
 
-/// Discovery outage: workers drained, and work went to them for as long as it lasted.
+/// During an outage of discovery, workers that drained were sent new work until the outage ended.
 #[test]
-fn after_the_lease_work_waits_for_a_health_check() {
-    let (mut script, warm_worker) = out_of_reach(PLAIN, 3);
+fn after_the_lease_ends_invocations_wait_for_a_health_check() {
+    let (mut script, warm_worker) = with_ended_lease(PLAIN, 3);
     let (first, actions) = script.arrive(0, 0, 1, 2 * SECOND);
     assert_eq!(
         (sent(&actions), probed(&actions)),
@@ -33,63 +35,63 @@
     );
     let (_, actions) = script.arrive(0, 0, 1, 2 * SECOND);
     assert!(sent(&actions).is_empty() && probed(&actions).is_empty());
-    script.pass(5 * MS);
-    let actions = script.probed(warm_worker, Succeeded, 5 * MS);
+    script.advance(5 * MS);
+    let actions = script.end_probe(warm_worker, Succeeded, 5 * MS);
     assert_eq!(sent(&actions), [warm_worker]);
-    // Checked a short time ago, it need not be again; later it does.
+    // The result of a recent health check is still valid; after the drain grace a new check is needed.
     let actions = answer(&mut script, first, 100 * MS);
     assert_eq!(
         (sent(&actions), probed(&actions)),
         (vec![warm_worker], vec![])
     );
-    script.pass(DRAIN_GRACE);
+    script.advance(DRAIN_GRACE);
     let (_, actions) = script.arrive(0, 0, 1, 2 * SECOND);
     assert!(sent(&actions).is_empty());
 }
 
 #[test]
-fn a_worker_that_fails_its_health_check_is_passed_over() {
-    let (mut script, draining) = out_of_reach(PLAIN, 2);
+fn a_worker_that_fails_its_health_check_gets_no_new_work() {
+    let (mut script, draining) = with_ended_lease(PLAIN, 2);
     script.arrive(0, 0, 1, 2 * SECOND);
-    script.pass(5 * MS);
-    let actions = script.probed(draining, Rejected, 5 * MS);
+    script.advance(5 * MS);
+    let actions = script.end_probe(draining, Rejected, 5 * MS);
     let other = 1 - draining;
     assert_eq!((sent(&actions), probed(&actions)), (vec![], vec![other]));
-    script.pass(5 * MS);
-    assert_eq!(sent(&script.probed(other, Succeeded, 5 * MS)), [other]);
-    // The list is up to date again: it says who takes new work.
+    script.advance(5 * MS);
+    assert_eq!(sent(&script.end_probe(other, Succeeded, 5 * MS)), [other]);
+    // The list is up to date again and takes precedence over the failed check.
     script.renew_lease(2 * SECOND);
     let (_, actions) = script.arrive(0, 0, 1, 2 * SECOND);
     assert_eq!((sent(&actions), probed(&actions)), (vec![draining], vec![]));
 }
 
-/// Discovery outage: one of the sends to draining workers was an order to load.
+/// During an outage of discovery, a load order was sent to a draining worker.
 #[test]
-fn after_the_lease_no_load_is_ordered_without_a_health_check() {
-    let (mut script, _) = out_of_reach(
+fn after_the_lease_ends_no_load_is_ordered_without_a_health_check() {
+    let (mut script, _) = with_ended_lease(
         Site {
             orders: true,
             ..PLAIN
         },
         2,
     );
-    let actions = script.want(0, 7);
+    let actions = script.request_copy(0, 7);
     assert_eq!((ordered(&actions), probed(&actions)), (vec![], vec![0]));
-    script.probed(0, Succeeded, 5 * MS);
-    assert_eq!(ordered(&script.want(0, 7)), [0]);
+    script.end_probe(0, Succeeded, 5 * MS);
+    assert_eq!(ordered(&script.request_copy(0, 7)), [0]);
 }
 
-/// A worker restarts while discovery is out of reach: nobody says that it has just started.
+/// A worker that restarts during an outage of discovery must get slow start although its restart is not announced.
 #[test]
-fn a_worker_that_was_away_starts_slowly_and_without_copies() {
+fn a_worker_that_was_unreachable_gets_slow_start_and_has_no_copies() {
     for away in [200 * MS, 3 * SECOND] {
-        let (mut script, worker) = out_of_reach(PLAIN, 1);
+        let (mut script, worker) = with_ended_lease(PLAIN, 1);
         let (first, _) = script.arrive(0, 0, 40, 2 * SECOND);
-        script.probed(worker, Unreachable, 5 * MS);
-        script.depart(first);
-        script.pass(away);
+        script.end_probe(worker, Unreachable, 5 * MS);
+        script.client_leaves(first);
+        script.advance(away);
         let mut at_once = sent(&script.arrive(0, 0, 40, 2 * SECOND).1).len();
-        at_once += sent(&script.probed(worker, Succeeded, 5 * MS)).len();
+        at_once += sent(&script.end_probe(worker, Succeeded, 5 * MS)).len();
         for _ in 0..40 {
             at_once += sent(&script.arrive(0, 0, 40, 2 * SECOND).1).len();
         }
@@ -97,13 +99,13 @@
     }
 }
 
-/// A shortage of this router's own says nothing about the worker. Symptom: without a connection left a check ends within
-/// the step that sends it, and sent again in that step it would never come to an end.
+/// A health check that the router could not send is no evidence about the worker. If no connection is available, a
+/// check ends in the same step that sends it; sending it again in that step would never end.
 #[test]
-fn a_health_check_that_did_not_leave_is_sent_again_at_the_next_tick() {
-    let (mut script, warm_worker) = out_of_reach(PLAIN, 2);
+fn a_health_check_that_was_not_sent_is_retried_at_the_next_tick() {
+    let (mut script, warm_worker) = with_ended_lease(PLAIN, 2);
     script.arrive(0, 0, 1, 2 * SECOND);
-    let actions = script.probed(warm_worker, DispatchOutcome::NotSent, 0);
+    let actions = script.end_probe(warm_worker, DispatchOutcome::NotSent, 0);
     assert_eq!((probed(&actions), sent(&actions)), (vec![], vec![]));
-    assert_eq!(probed(&script.pass(10 * MS)), [warm_worker]);
+    assert_eq!(probed(&script.advance(10 * MS)), [warm_worker]);
 }
--- a/tests/decisions/routing.rs
+++ b/tests/decisions/routing.rs
@@ -1,4 +1,5 @@
-//! The ordinary path: free lanes, exploration, the queue, sessions, draining, placement.
+//! The ordinary path of invocations: free lanes, exploration, the queue, sessions, draining, placement. The test heads
+//! name the simulated site and the scenario in which a failure was found.
 
 use std::collections::BTreeSet;
 
@@ -7,12 +8,12 @@
 use cedarpulley::interface::*;
 
 #[test]
-fn a_free_warm_lane_is_used_and_a_queued_invocation_follows_into_it() {
+fn a_free_warm_lane_is_used_and_is_then_taken_by_a_queued_invocation() {
     let mut script = Script::new(1, PLAIN, 4);
     let warm_worker = warm_up(&mut script, 0, 1);
     let (first, actions) = script.arrive(0, 0, 1, 2 * SECOND);
     assert_eq!(sent(&actions), [warm_worker]);
-    // The lane is taken: most are queued, one in five loads.
+    // The lane is taken: most invocations are queued, one in five loads a further copy.
     let mut queued = None;
     for _ in 0..3 {
         let (invocation, actions) = script.arrive(0, 0, 1, 2 * SECOND);
@@ -59,10 +60,10 @@
 }
 
 #[test]
-fn warmth_expires_and_the_next_load_goes_to_the_shared_hash_order() {
+fn the_warm_state_expires_and_the_next_load_follows_the_rendezvous_order() {
     let mut script = Script::new(6, PLAIN, 6);
     let warm_worker = warm_up(&mut script, 0, 1);
-    script.pass(IDLE_RETENTION + SECOND);
+    script.advance(IDLE_RETENTION + SECOND);
     let mut other = Script::new(
         99,
         Site {
@@ -79,29 +80,31 @@
     );
 }
 
-/// slot-service, deploy: a warm worker told to drain serves on within the grace, and nothing goes there after it.
+/// Site slot-service, scenario deploy: a warm worker that drains must be used within the drain grace, and must get no
+/// work after it.
 #[test]
-fn a_draining_worker_serves_within_the_grace_only() {
+fn a_draining_worker_gets_work_only_within_the_drain_grace() {
     let mut script = Script::new(7, PLAIN, 4);
     let warm_worker = warm_up(&mut script, 0, 2);
-    script.list(
+    script.send_list(
         EndpointListKind::Changes,
         &[entry(warm_worker, EndpointState::Draining, None)],
     );
-    script.pass(100 * MS);
+    script.advance(100 * MS);
     let (_, actions) = script.arrive(0, 0, 2, 2 * SECOND);
     assert_eq!(sent(&actions), [warm_worker]);
-    script.pass(DRAIN_GRACE);
+    script.advance(DRAIN_GRACE);
     let (_, actions) = script.arrive(0, 0, 2, 2 * SECOND);
     assert!(!sent(&actions).contains(&warm_worker));
 }
 
-/// catania-main-later: each router saw a small part of a busy function and all brought it to the same worker.
+/// Site catania-main-later: each router saw only a small part of a busy function, and all routers sent it to the same
+/// worker.
 #[test]
 fn many_routers_spread_a_busy_function_over_several_preferred_workers() {
-    let mut homes = BTreeSet::new();
+    let mut first_workers = BTreeSet::new();
     for position in 0..16 {
-        let mut script = Script::at(
+        let mut script = Script::at_position(
             position,
             position.into(),
             Site {
@@ -116,19 +119,19 @@
             last = sent(&actions)[0];
             answer(&mut script, invocation, 100 * MS);
         }
-        homes.insert(last);
+        first_workers.insert(last);
     }
-    // All are in one zone, as are four of the eight workers; those homes come first.
-    assert!(homes.len() >= 4, "{homes:?}");
+    // All routers are in one zone, as are four of the eight workers; the preferred workers in that zone come first.
+    assert!(first_workers.len() >= 4, "{first_workers:?}");
 }
 
 #[test]
 fn a_session_sticks_to_its_worker_if_a_lane_there_is_free() {
     let mut script = Script::new(1, PLAIN, 4);
     let warm_worker = warm_up(&mut script, 0, 2);
-    // Another one that holds a copy, too.
+    // Another worker has a copy, too.
     let other = (0..4).find(|w| *w != warm_worker).expect("one of four");
-    script.tell(&Event::CopiesReported {
+    script.handle(&Event::CopiesReported {
         worker: other,
         function: 0,
         copies: 1,
@@ -139,21 +142,22 @@
         assert_eq!(sent(&actions), [at]);
         answer(&mut script, invocation, 50 * MS);
     }
-    // With its lanes taken it goes to the other, and with neither warm as any other.
+    // If all lanes of the session's worker are taken, the session goes to another warm worker.
     script.preferred_worker = Some(warm_worker);
     let to: Vec<_> = (0..4)
         .flat_map(|_| sent(&script.arrive(0, 0, 2, 2 * SECOND).1))
         .collect();
     assert_eq!((to[0], to.contains(&other)), (warm_worker, true), "{to:?}");
-    let stranger = (0..4)
+    // If the session's worker is not warm, the session is routed as any other invocation.
+    let cold_worker = (0..4)
         .find(|w| *w != warm_worker && *w != other)
         .expect("one of four");
     let mut script = Script::new(1, PLAIN, 4);
     let warm_worker = warm_up(&mut script, 0, 2);
-    script.preferred_worker = Some(if warm_worker == stranger {
+    script.preferred_worker = Some(if warm_worker == cold_worker {
         other
     } else {
-        stranger
+        cold_worker
     });
     assert_eq!(sent(&script.arrive(0, 0, 2, 2 * SECOND).1), [warm_worker]);
 }
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -1,4 +1,4 @@
-//! Seeded random runs: whatever the workers do, the five rules hold after every step.
+//! Seeded random runs: the five safety rules hold after every step, whatever the workers do.
 
 use std::collections::BTreeMap;
 
@@ -18,6 +18,7 @@
         function: FunctionIndex,
         client_timeout_in: Micros,
     },
+    /// The client of the last invocation but `nth` leaves.
     Leave {
         nth: usize,
     },
@@ -27,43 +28,48 @@
     Restart {
         worker: WorkerIndex,
     },
-    Mood {
+    /// From now on the worker behaves as [`ending`] describes.
+    Behave {
         worker: WorkerIndex,
-        mood: u32,
+        behavior: u32,
     },
+    /// A copy is wanted.
     Want {
         worker: WorkerIndex,
         function: FunctionIndex,
     },
-    Hold {
+    /// A worker reports its copies.
+    Report {
         worker: WorkerIndex,
         function: FunctionIndex,
         copies: u32,
     },
-    /// Discovery is in reach: all drains are announced, and the list is relied on for a while.
+    /// Discovery is reachable: all drains are announced, and the lease of the list is renewed.
     Renew {
         span: Micros,
     },
-    DrainUnheard {
+    /// A worker begins to drain while discovery is unreachable, so the router is not notified.
+    DrainUnnoticed {
         worker: WorkerIndex,
     },
 }
 
-/// As [`steps`], with discovery out of reach now and then.
+/// Random steps as in [`steps`], with outages of discovery.
 fn steps_with_outages() -> impl Strategy<Value = Vec<(Micros, Step)>> {
     let step = prop_oneof![
         60 => (0..3u32, 0..FUNCTIONS, 300..2_000i64)
             .prop_map(|(trigger, function, ms)| Step::Arrive { trigger, function, client_timeout_in: ms * MS }),
-        2 => (0..WORKERS, 0..6u32).prop_map(|(worker, mood)| Step::Mood { worker, mood }),
+        2 => (0..WORKERS, 0..6u32).prop_map(|(worker, behavior)| Step::Behave { worker, behavior }),
         3 => (0..WORKERS, 0..FUNCTIONS).prop_map(|(worker, function)| Step::Want { worker, function }),
         1 => (0..WORKERS).prop_map(|worker| Step::Drain { worker }),
         2 => (0..WORKERS).prop_map(|worker| Step::Restart { worker }),
-        2 => (0..WORKERS).prop_map(|worker| Step::DrainUnheard { worker }),
+        2 => (0..WORKERS).prop_map(|worker| Step::DrainUnnoticed { worker }),
         2 => (0..1_000i64).prop_map(|ms| Step::Renew { span: ms * MS }),
     ];
     proptest::collection::vec((0..40 * MS, step), 100..500)
 }
 
+/// Random steps without outages of discovery.
 fn steps() -> impl Strategy<Value = Vec<(Micros, Step)>> {
     let step = prop_oneof![
         60 => (0..3u32, 0..FUNCTIONS, 300..2_000i64)
@@ -71,27 +77,28 @@
         1 => (0..50usize).prop_map(|nth| Step::Leave { nth }),
         1 => (0..WORKERS).prop_map(|worker| Step::Drain { worker }),
         2 => (0..WORKERS).prop_map(|worker| Step::Restart { worker }),
-        2 => (0..WORKERS, 0..6u32).prop_map(|(worker, mood)| Step::Mood { worker, mood }),
+        2 => (0..WORKERS, 0..6u32).prop_map(|(worker, behavior)| Step::Behave { worker, behavior }),
         3 => (0..WORKERS, 0..FUNCTIONS).prop_map(|(worker, function)| Step::Want { worker, function }),
         3 => (0..WORKERS, 0..FUNCTIONS, 0..2u32)
-            .prop_map(|(worker, function, copies)| Step::Hold { worker, function, copies }),
+            .prop_map(|(worker, function, copies)| Step::Report { worker, function, copies }),
     ];
     proptest::collection::vec((0..40 * MS, step), 100..500)
 }
 
+/// Random sites.
 fn sites() -> impl Strategy<Value = Site> {
-    let groups = [
+    let key_scopes = [
         DeduplicationScope::All,
         DeduplicationScope::Zone,
         DeduplicationScope::Cell,
     ];
     (any::<[bool; 3]>(), 0..3usize).prop_map(
-        move |([orders, hedged_requests, order_quota], group)| Site {
+        move |([orders, hedged_requests, order_quota], key_scope)| Site {
             orders,
             loads_when_absent: !orders || hedged_requests,
             hedged_requests,
             order_quota: orders && order_quota,
-            key_scope: groups[group],
+            key_scope: key_scopes[key_scope],
             routers: 1,
             quota_per_s: PLAIN.quota_per_s,
             third_type_value: if orders { 4.0 } else { 1.0 },
@@ -99,15 +106,16 @@
     )
 }
 
-/// How a worker in this mood ends a dispatch, and after what time.
-fn ending(mood: u32, draw: u64, warm: bool) -> (DispatchOutcome, Micros, CopyStatus) {
+/// How a worker with this behavior ends a dispatch, after what time, and with which status of the copy. 1 hangs, 2
+/// rejects, 3 is unreachable, 4 loses half of the connections, 5 gives errors and fails to load, all others succeed.
+fn ending(behavior: u32, draw: u64, warm: bool) -> (DispatchOutcome, Micros, CopyStatus) {
     let work = (20 + draw % 150) as Micros * MS;
-    let (note, load) = if warm {
+    let (copy_status, load) = if warm {
         (CopyStatus::Warm, 0)
     } else {
         (CopyStatus::LoadStarted, 500 * MS)
     };
-    match mood {
+    match behavior {
         1 => (
             DispatchOutcome::TimedOut,
             Micros::MAX,
@@ -126,11 +134,11 @@
         ),
         5 if draw.is_multiple_of(2) => (DispatchOutcome::Errored, work, CopyStatus::Unreported),
         5 if draw.is_multiple_of(3) => (DispatchOutcome::NotLoaded, 3 * MS, CopyStatus::LoadFailed),
-        _ => (DispatchOutcome::Succeeded, work + load, note),
+        _ => (DispatchOutcome::Succeeded, work + load, copy_status),
     }
 }
 
-/// What comes back from a worker.
+/// The result of an action at a worker.
 enum WorkerResult {
     Dispatch {
         invocation: InvocationIndex,
@@ -153,12 +161,12 @@
     },
 }
 
-/// The script with workers that answer.
-struct World {
+/// A script with simulated workers that answer.
+struct Simulation {
     script: Script,
-    /// By time and serial number.
+    /// Results of workers that have not been delivered yet, by time and serial number.
     due: BTreeMap<(Micros, u64), WorkerResult>,
-    moods: [u32; WORKERS as usize],
+    behaviors: [u32; WORKERS as usize],
     serial: u64,
     /// The function of each invocation, and the number of its last dispatch.
     functions: Vec<FunctionIndex>,
@@ -166,12 +174,12 @@
     log: Vec<Action>,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, site: Site) -> Self {
-        World {
+        Simulation {
             script: Script::new(seed, site, WORKERS),
             due: BTreeMap::new(),
-            moods: [0; WORKERS as usize],
+            behaviors: [0; WORKERS as usize],
             serial: 0,
             functions: Vec::new(),
             last_dispatch: BTreeMap::new(),
@@ -179,7 +187,7 @@
         }
     }
 
-    /// Carries out what the balancer asks for.
+    /// Simulates the balancer's actions and appends them to the log.
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in &actions {
             self.serial += 1;
@@ -212,10 +220,11 @@
         self.log.extend(actions);
     }
 
-    /// The worker answers what is true as the health check leaves; it may begin to drain right after.
+    /// Simulates a health check. The worker answers with its state at the time when the check is sent, and may begin
+    /// to drain right after.
     fn probe(&mut self, worker: WorkerIndex, draw: u64) {
-        let is_draining = self.script.unheard_drains.contains_key(&worker);
-        let (outcome, took) = match self.moods[worker as usize] {
+        let is_draining = self.script.unnoticed_drains.contains_key(&worker);
+        let (outcome, took) = match self.behaviors[worker as usize] {
             1 => (DispatchOutcome::ConnectionLost, 250 * MS),
             3 => (DispatchOutcome::Unreachable, 250 * MS),
             _ if is_draining => (DispatchOutcome::Rejected, 5 * MS),
@@ -230,6 +239,7 @@
             .insert((self.script.now + took, self.serial), result);
     }
 
+    /// Simulates a dispatch.
     fn dispatch(
         &mut self,
         invocation: InvocationIndex,
@@ -245,7 +255,7 @@
         let function = self.functions[invocation as usize];
         let is_warm = self.script.warm.contains(&(worker, function));
         let (mut outcome, after, mut copy_status) =
-            ending(self.moods[worker as usize], draw, is_warm);
+            ending(self.behaviors[worker as usize], draw, is_warm);
         let mut at = self.script.now.saturating_add(after);
         let client_timeout_at = self.script.client_timeout_at(invocation);
         let limit = timeout.map_or(client_timeout_at, |timeout| {
@@ -289,12 +299,12 @@
                 copies,
                 took,
             } => {
-                let result = match self.moods[worker as usize] {
+                let result = match self.behaviors[worker as usize] {
                     3 => LoadOrderResult::Unreachable,
                     5 => LoadOrderResult::LoadFailed,
                     _ => LoadOrderResult::Loaded,
                 };
-                self.script.tell(&Event::OrderEnded {
+                self.script.handle(&Event::OrderEnded {
                     worker,
                     function,
                     result,
@@ -306,7 +316,7 @@
                 worker,
                 outcome,
                 took,
-            } => self.script.probed(worker, outcome, took),
+            } => self.script.end_probe(worker, outcome, took),
         }
     }
 
@@ -315,11 +325,11 @@
         loop {
             let due = self.due.keys().next().map(|(at, _)| *at);
             let due = due.filter(|at| *at <= until);
-            // Timer by timer, as what one sends may be due before the next.
+            // Each timer is handled alone, as its actions may have results that are due before the next timer.
             let now = self.script.now;
             let timer = self.script.timers.first().map_or(until, |t| t.0).max(now);
             let next = due.unwrap_or(until).max(now).min(timer);
-            let actions = self.script.pass(next - now);
+            let actions = self.script.advance(next - now);
             self.carry_out(actions);
             if due.is_none_or(|at| at > next) {
                 if next < until {
@@ -335,6 +345,7 @@
         }
     }
 
+    /// Simulates one step and returns the balancer's actions.
     fn step(&mut self, step: &Step) -> Vec<Action> {
         let script = &mut self.script;
         let state = |worker, state, started| [entry(worker, state, started)];
@@ -350,66 +361,67 @@
                 script.arrive(trigger, function, lanes, client_timeout_in).1
             }
             Step::Leave { nth } => match self.functions.len().checked_sub(nth + 1) {
-                Some(invocation) if script.owes(invocation as InvocationIndex) => {
-                    script.depart(invocation as InvocationIndex)
+                Some(invocation) if script.is_unanswered(invocation as InvocationIndex) => {
+                    script.client_leaves(invocation as InvocationIndex)
                 }
                 _ => Vec::new(),
             },
             Step::Drain { worker } => {
                 let draining = state(worker, EndpointState::Draining, None);
-                script.list(EndpointListKind::Changes, &draining)
+                script.send_list(EndpointListKind::Changes, &draining)
             }
             Step::Restart { worker } => {
-                self.moods[worker as usize] = 0;
-                script.unheard_drains.remove(&worker);
+                self.behaviors[worker as usize] = 0;
+                script.unnoticed_drains.remove(&worker);
                 let restarted = state(worker, EndpointState::InService, Some(script.now));
-                script.list(EndpointListKind::Changes, &restarted)
+                script.send_list(EndpointListKind::Changes, &restarted)
             }
-            Step::Mood { worker, mood } => {
-                self.moods[worker as usize] = mood;
+            Step::Behave { worker, behavior } => {
+                self.behaviors[worker as usize] = behavior;
                 Vec::new()
             }
-            // Of trigger type 0, as the script asks for it.
-            Step::Want { worker, function } => script.want(worker, function * 3),
-            Step::Hold {
+            // The index is a multiple of 3 as the script requests copies of functions of trigger type 0.
+            Step::Want { worker, function } => script.request_copy(worker, function * 3),
+            Step::Report {
                 worker,
                 function,
                 copies,
-            } => script.tell(&Event::CopiesReported {
+            } => script.handle(&Event::CopiesReported {
                 worker,
                 function: function * 3,
                 copies,
             }),
             Step::Renew { span } => {
-                let gone: Vec<Endpoint> = std::mem::take(&mut script.unheard_drains)
+                let gone: Vec<Endpoint> = std::mem::take(&mut script.unnoticed_drains)
                     .into_keys()
                     .map(|worker| entry(worker, EndpointState::Gone, None))
                     .collect();
-                let mut actions = script.list(EndpointListKind::Changes, &gone);
+                let mut actions = script.send_list(EndpointListKind::Changes, &gone);
                 actions.extend(script.renew_lease(span));
                 actions
             }
-            Step::DrainUnheard { worker } => {
+            Step::DrainUnnoticed { worker } => {
                 let now = script.now;
-                script.unheard_drains.entry(worker).or_insert(now);
+                script.unnoticed_drains.entry(worker).or_insert(now);
                 Vec::new()
             }
         }
     }
 }
 
+/// Simulates these steps and then 6 s without steps, and returns all actions.
 fn run(seed: u64, site: Site, steps: &[(Micros, Step)]) -> Vec<Action> {
-    let mut world = World::new(seed, site);
+    let mut simulation = Simulation::new(seed, site);
     let quiet = [(100 * MS, None); 60];
     let steps = steps.iter().map(|(span, step)| (*span, Some(step)));
     for (span, step) in steps.chain(quiet) {
-        world.pass_until(world.script.now + span);
+        simulation.pass_until(simulation.script.now + span);
         if let Some(step) = step {
-            let actions = world.step(step);
-            world.carry_out(actions);
+            let actions = simulation.step(step);
+            simulation.carry_out(actions);
         }
     }
-    world.log
+    simulation.log
 }
 
 #[test]
@@ -437,7 +449,7 @@
 }
 
 #[test]
-fn the_rules_hold_while_discovery_is_out_of_reach() {
+fn the_rules_hold_while_discovery_is_unreachable() {
     let config = Config {
         cases: 100,
         rng_seed: RngSeed::Fixed(20_261_202),
--- a/tests/decisions/script.rs
+++ b/tests/decisions/script.rs
@@ -1,4 +1,5 @@
-//! A small script of outcomes around one router, and records of each invocation that check the five rules after every step.
+//! A scripted environment for one router: a test sends events to the balancer and ends its dispatches. Records of each
+//! invocation are used to check the five safety rules after every event.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,16 +14,18 @@
 pub const SLOW_START_FRACTION: f64 = 0.2;
 pub const OVERLOAD_WINDOW: Micros = SECOND;
 pub const OVERLOAD_MULTIPLE: f64 = 1.0;
-/// What an invocation takes on average in the random runs.
+/// Mean service time of an invocation in the random runs.
 pub const MEAN_WORK: Micros = 95 * MS;
-/// Under a quarter of the objective, which would be given otherwise.
+/// Less than a quarter of the latency objective, so that this limit determines the Retry-After.
 pub const MAX_RETRY_AFTER: Micros = 100 * MS;
 pub const IDLE_RETENTION: Micros = 10 * SECOND;
 
-/// The plain ways in which a site may differ.
+/// The settings in which the simulated sites differ.
 #[derive(Clone, Copy, Debug)]
 pub struct Site {
+    /// Whether load orders may be sent.
     pub orders: bool,
+    /// Whether workers load functions on demand.
     pub loads_when_absent: bool,
     pub hedged_requests: bool,
     pub order_quota: bool,
@@ -33,6 +36,7 @@
     pub third_type_value: f64,
 }
 
+/// The default site: workers load functions on demand only.
 pub const PLAIN: Site = Site {
     orders: false,
     loads_when_absent: true,
@@ -44,14 +48,15 @@
     third_type_value: 1.0,
 };
 
+/// The three trigger types, one for each effect: idempotent, idempotent by key, non-idempotent.
 pub fn triggers(site: Site) -> Vec<TriggerType> {
-    let tokened = Effect::IdempotentByKey {
+    let idempotent_by_key = Effect::IdempotentByKey {
         scope: site.key_scope,
         window: 1_200 * MS,
     };
     [
         (Effect::Idempotent, 1.0),
-        (tokened, 1.0),
+        (idempotent_by_key, 1.0),
         (Effect::NonIdempotent, site.third_type_value),
     ]
     .map(|(effect, billed_value)| TriggerType {
@@ -66,6 +71,7 @@
     .to_vec()
 }
 
+/// Creates the balancer of the router at this position.
 fn router(seed: u64, position: u32, site: Site) -> Balancer {
     Balancer::new(
         seed,
@@ -115,6 +121,7 @@
     )
 }
 
+/// An entry of the endpoint list: workers alternate between two zones, and a cell has two workers.
 pub fn entry(worker: WorkerIndex, state: EndpointState, started_at: Option<Micros>) -> Endpoint {
     let fingerprint = 0x9e37_79b9_u64.wrapping_mul(u64::from(worker) + 1);
     let zone = worker % 2;
@@ -130,6 +137,7 @@
     }
 }
 
+/// A dispatch that the balancer has sent.
 struct SentDispatch {
     worker: WorkerIndex,
     at: Micros,
@@ -143,6 +151,7 @@
     }
 }
 
+/// An invocation with all its dispatches.
 struct InvocationRecord {
     effect: Effect,
     client_timeout_at: Micros,
@@ -150,22 +159,22 @@
     sent: Vec<SentDispatch>,
 }
 
-/// The balancer, the clock, what is on its way back, and a record of each invocation.
+/// The balancer, its clock and timers, and the records from which the rules are checked.
 pub struct Script {
     pub balancer: Balancer,
     pub now: Micros,
-    /// Of what arrives; the objective grows by as much.
+    /// The cost hint of arriving invocations; the latency objective is extended by it.
     pub cost_hint: Option<Micros>,
-    /// The worker with the session of what arrives.
+    /// The worker that has the session of arriving invocations.
     pub preferred_worker: Option<WorkerIndex>,
     site: Site,
     records: Vec<InvocationRecord>,
     open: BTreeSet<(Micros, InvocationIndex)>,
     /// When the router was notified that a worker drains or is gone.
     drained_at: BTreeMap<WorkerIndex, Micros>,
-    /// When workers began to drain of which the router was not notified.
-    pub unheard_drains: BTreeMap<WorkerIndex, Micros>,
-    /// What happens until then has been heard, or has not happened.
+    /// When workers began to drain, for drains of which the router was not notified.
+    pub unnoticed_drains: BTreeMap<WorkerIndex, Micros>,
+    /// When the lease of the endpoint list ends; the router is notified of every drain until then.
     lease_until: Option<Micros>,
     started: BTreeMap<WorkerIndex, Micros>,
     sends: Vec<(Micros, WorkerIndex)>,
@@ -177,12 +186,13 @@
 }
 
 impl Script {
+    /// Creates the first router of the site, with this number of workers.
     pub fn new(seed: u64, site: Site, workers: u32) -> Self {
-        Script::at(0, seed, site, workers)
+        Script::at_position(0, seed, site, workers)
     }
 
-    /// The router at this place among them.
-    pub fn at(position: u32, seed: u64, site: Site, workers: u32) -> Self {
+    /// Creates the router at this position among the routers of the site.
+    pub fn at_position(position: u32, seed: u64, site: Site, workers: u32) -> Self {
         let mut script = Script {
             balancer: router(seed, position, site),
             now: 1_000 * SECOND,
@@ -192,7 +202,7 @@
             records: Vec::new(),
             open: BTreeSet::new(),
             drained_at: BTreeMap::new(),
-            unheard_drains: BTreeMap::new(),
+            unnoticed_drains: BTreeMap::new(),
             lease_until: None,
             started: BTreeMap::new(),
             sends: Vec::new(),
@@ -205,11 +215,12 @@
         let entries: Vec<_> = (0..workers)
             .map(|w| entry(w, EndpointState::InService, None))
             .collect();
-        script.list(EndpointListKind::Cached, &entries);
+        script.send_list(EndpointListKind::Cached, &entries);
         script
     }
 
-    pub fn list(&mut self, kind: EndpointListKind, endpoints: &[Endpoint]) -> Vec<Action> {
+    /// Sends an endpoint list.
+    pub fn send_list(&mut self, kind: EndpointListKind, endpoints: &[Endpoint]) -> Vec<Action> {
         for e in endpoints {
             match e.state {
                 EndpointState::InService => {
@@ -224,24 +235,24 @@
                 }
             }
         }
-        self.tell(&Event::EndpointList { kind, endpoints })
+        self.handle(&Event::EndpointList { kind, endpoints })
     }
 
-    /// The list is up to date, and relied on for so long.
+    /// Renews the lease of the endpoint list for this span of time.
     pub fn renew_lease(&mut self, span: Micros) -> Vec<Action> {
         let until = self.now + span;
         self.lease_until = Some(until);
-        self.tell(&Event::EndpointListLease { until })
+        self.handle(&Event::EndpointListLease { until })
     }
 
-    /// A health check that was sent so long ago has ended.
-    pub fn probed(
+    /// Ends a health check that was sent `took` ago.
+    pub fn end_probe(
         &mut self,
         worker: WorkerIndex,
         outcome: DispatchOutcome,
         took: Micros,
     ) -> Vec<Action> {
-        self.tell(&Event::ProbeEnded {
+        self.handle(&Event::ProbeEnded {
             worker,
             outcome,
             took,
@@ -249,6 +260,7 @@
         })
     }
 
+    /// Sends an invocation, and returns its index and the actions.
     pub fn arrive(
         &mut self,
         trigger: u32,
@@ -282,28 +294,29 @@
             repeat: false,
             preferred_worker: self.preferred_worker,
         };
-        (invocation, self.tell(&Event::Invocation(arrival)))
+        (invocation, self.handle(&Event::Invocation(arrival)))
     }
 
-    /// A copy is wanted there.
-    pub fn want(&mut self, worker: WorkerIndex, function: FunctionIndex) -> Vec<Action> {
-        let asked = FunctionInfo {
+    /// Requests a copy at this worker.
+    pub fn request_copy(&mut self, worker: WorkerIndex, function: FunctionIndex) -> Vec<Action> {
+        let function_info = FunctionInfo {
             function,
             fingerprint: 77 + u64::from(function),
             trigger: 0,
             lanes: 1,
         };
-        self.tell(&Event::CopyWanted {
+        self.handle(&Event::CopyWanted {
             worker,
-            function: asked,
+            function: function_info,
         })
     }
 
-    /// Whether the router still owes an answer.
-    pub fn owes(&self, invocation: InvocationIndex) -> bool {
+    /// Whether the invocation has no final answer yet.
+    pub fn is_unanswered(&self, invocation: InvocationIndex) -> bool {
         !self.records[invocation as usize].answered
     }
 
+    /// Whether a dispatch of the invocation is in flight.
     pub fn is_in_flight(&self, invocation: InvocationIndex) -> bool {
         self.records[invocation as usize]
             .sent
@@ -311,15 +324,18 @@
             .any(|d| d.in_flight)
     }
 
+    /// When the client of the invocation stops waiting.
     pub fn client_timeout_at(&self, invocation: InvocationIndex) -> Micros {
         self.records[invocation as usize].client_timeout_at
     }
 
-    pub fn depart(&mut self, invocation: InvocationIndex) -> Vec<Action> {
+    /// Lets the client of the invocation leave.
+    pub fn client_leaves(&mut self, invocation: InvocationIndex) -> Vec<Action> {
         self.records[invocation as usize].answered = true;
-        self.tell(&Event::ClientLeft { invocation })
+        self.handle(&Event::ClientLeft { invocation })
     }
 
+    /// Ends a dispatch in flight.
     pub fn end(
         &mut self,
         invocation: InvocationIndex,
@@ -347,23 +363,24 @@
             function_load: None,
             report: LoadReport::default(),
         };
-        self.tell(&Event::DispatchEnded(ending))
+        self.handle(&Event::DispatchEnded(ending))
     }
 
-    /// Moves the clock and rings the timers that fall due.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
+    /// Advances the clock and sends the events of all timers that become due.
+    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let until = self.now + span;
         let mut all = Vec::new();
         while let Some(&(at, token)) = self.timers.first().filter(|(at, _)| *at <= until) {
             self.timers.remove(&(at, token));
             self.now = self.now.max(at);
-            all.extend(self.tell(&Event::Timer { token }));
+            all.extend(self.handle(&Event::Timer { token }));
         }
         self.now = until;
         all
     }
 
-    pub fn tell(&mut self, event: &Event) -> Vec<Action> {
+    /// Sends an event to the balancer, and checks the rules against the returned actions.
+    pub fn handle(&mut self, event: &Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
@@ -383,6 +400,7 @@
         actions
     }
 
+    /// Checks the rules for one action and records it.
     fn check(&mut self, action: &Action) {
         match *action {
             Action::Dispatch {
@@ -440,7 +458,7 @@
                     };
                     assert!(
                         same && now - earlier.at < window,
-                        "rule 2: {invocation} is repeated where not dropped"
+                        "rule 2: {invocation} is repeated where workers do not drop the repeat"
                     );
                 }
             }
@@ -460,7 +478,7 @@
     /// Rules 3 and 5.
     fn check_order(&mut self, worker: WorkerIndex) {
         let now = self.now;
-        assert!(self.site.orders, "an order where none may be given");
+        assert!(self.site.orders, "a load order where none is allowed");
         self.check_draining(worker);
         self.orders.push(now);
         let within = |q: &[Micros]| q.iter().filter(|t| now - **t < 5 * SECOND).count() as f64;
@@ -493,6 +511,7 @@
         record.answered = true;
     }
 
+    /// Rule 3.
     fn check_draining(&self, worker: WorkerIndex) {
         let late = self
             .drained_at
@@ -500,17 +519,18 @@
             .is_some_and(|t| self.now - t > DRAIN_GRACE);
         assert!(
             !late,
-            "rule 3: worker {worker} is sent new work after the grace"
+            "rule 3: worker {worker} is sent new work after the drain grace"
         );
-        let told = self.unheard_drains.get(&worker);
-        let told = told.map(|&at| self.lease_until.map_or(at, |until| until.max(at)));
+        let drain_start = self.unnoticed_drains.get(&worker);
+        let drain_start = drain_start.map(|&at| self.lease_until.map_or(at, |until| until.max(at)));
         assert!(
-            told.is_none_or(|told| self.now - told <= DRAIN_GRACE),
-            "rule 3: worker {worker} drains unheard and is sent new work"
+            drain_start.is_none_or(|drain_start| self.now - drain_start <= DRAIN_GRACE),
+            "rule 3: worker {worker} drains without notice and is sent new work after the drain grace"
         );
     }
 
-    /// Rule 4, by what the busiest warm worker has been seen to carry, or one core alone does: it can do that.
+    /// Rule 4. The full capacity of a worker is taken to be the highest throughput of any worker in the last overload
+    /// windows, or the throughput of one core if that is higher.
     fn check_slow_start(&self, worker: WorkerIndex) {
         let Some(age) = self
             .started
@@ -528,7 +548,7 @@
                 .take_while(|(t, _)| *t > from);
             recent.filter(|(_, v)| *v == w).count() as f64
         };
-        let carried = (0..16)
+        let full_capacity = (0..16)
             .flat_map(|w| (0..4).map(move |k| (w, k)))
             .map(|(w, k)| {
                 within(
@@ -541,7 +561,7 @@
             .fold(OVERLOAD_WINDOW as f64 / MEAN_WORK as f64, f64::max);
         let capacity_fraction = SLOW_START_FRACTION
             + (1.0 - SLOW_START_FRACTION) * age as f64 / SLOW_START_DURATION as f64;
-        let most = (OVERLOAD_MULTIPLE * capacity_fraction * carried).max(1.0);
+        let most = (OVERLOAD_MULTIPLE * capacity_fraction * full_capacity).max(1.0);
         let sent = within(&self.sends, worker, self.now - OVERLOAD_WINDOW, self.now);
         assert!(
             sent <= most,
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -1,5 +1,6 @@
-//! Rule 4 over a whole fleet: a worker that has just started gets no more than its capacity from all routers together, be
-//! they few or many, evenly or unevenly loaded, running for a while or all restarted at once.
+//! Rule 4 (slow start) over a whole fleet: a worker that has just started gets no more than its capacity from all
+//! routers together. The fleets have few or many routers, which are evenly or unevenly loaded, and which have run for
+//! a while or are all restarted at once.
 
 use std::collections::BTreeMap;
 
@@ -10,41 +11,45 @@
 
 const WARM_WORKERS: u32 = 4;
 const STARTING: WorkerIndex = WARM_WORKERS;
-/// Cores of a worker: what it serves at once without becoming slower.
+/// Cores of a worker: the number of invocations that it runs at once without becoming slower.
 const CORES: usize = 3;
+/// Simulated time between two steps.
 const STEP: Micros = 10 * MS;
-/// Long enough for what workers carry to be known.
+/// Long enough for routers to measure the throughput of workers.
 const WARM_UP: Micros = 3 * SECOND;
-/// The ramp is steepest in its first part.
-const WATCHED: Micros = 5 * SECOND / 2;
+/// How long the starting worker is observed. The relative growth of its capacity is largest in the first part of slow
+/// start.
+const OBSERVED_TIME: Micros = 5 * SECOND / 2;
 const FUNCTION: FunctionIndex = 0;
 const LANES: u32 = 64;
 
-/// How a fleet of routers is loaded.
+/// The load of a fleet of routers.
 #[derive(Clone, Copy, Debug)]
 struct Load {
     routers: u32,
-    /// Calls that the starting worker can take in a window as it starts.
+    /// Invocations that the starting worker can take in the first overload window.
     starting_capacity: f64,
-    /// Every fifth router gets so many times what the others get.
+    /// Every fifth router gets this multiple of the invocations of the other routers.
     uneven: f64,
-    /// Calls that come, of what the warm workers serve.
+    /// Arriving invocations, as a multiple of the capacity of the warm workers.
     demand: f64,
-    /// The routers start together with the worker.
+    /// Whether the routers start together with the worker.
     restarted: bool,
 }
 
 impl Load {
-    /// Calls that a warm worker serves in a window.
+    /// Invocations that a warm worker serves in an overload window.
     fn capacity(&self) -> f64 {
         self.starting_capacity / (SLOW_START_FRACTION * OVERLOAD_MULTIPLE)
     }
 
+    /// Time that a core works on one invocation.
     fn work(&self) -> Micros {
         (OVERLOAD_WINDOW as f64 * CORES as f64 / self.capacity())
             .clamp(MS as f64, 300.0 * MS as f64) as Micros
     }
 
+    /// The relative number of invocations that this router gets.
     fn weight(&self, router: usize) -> f64 {
         if router.is_multiple_of(5) {
             self.uneven
@@ -53,31 +58,33 @@
         }
     }
 
-    /// Calls that the worker can take in a window at this age, with the slack that the rule has for chance.
+    /// Invocations that the worker may be sent in an overload window at this age, with the tolerance that the rule
+    /// has for random variation.
     fn allowed(&self, age: Micros) -> f64 {
         let capacity_fraction = SLOW_START_FRACTION
             + (1.0 - SLOW_START_FRACTION) * age as f64 / SLOW_START_DURATION as f64;
-        let calls = OVERLOAD_MULTIPLE * capacity_fraction * self.capacity();
-        if calls < 30.0 {
-            calls + 3.0 * calls.sqrt() + 3.0
+        let invocations = OVERLOAD_MULTIPLE * capacity_fraction * self.capacity();
+        if invocations < 30.0 {
+            invocations + 3.0 * invocations.sqrt() + 3.0
         } else {
-            calls + 2.0 * calls.sqrt() + 2.0
+            invocations + 2.0 * invocations.sqrt() + 2.0
         }
     }
 }
 
-/// Attempts in flight, by when they end: at which router, for which invocation, and how.
+/// Attempts in flight with their outcomes, by end time, router and invocation.
 type InFlight = BTreeMap<(Micros, usize, InvocationIndex), DispatchOutcome>;
 
+/// Routers with simulated workers.
 struct Fleet {
     load: Load,
-    /// By worker: when each core has done what it was given.
+    /// By worker: when each core becomes idle.
     free_at: Vec<[Micros; CORES]>,
     routers: Vec<Script>,
     in_flight: InFlight,
-    /// When each attempt at the starting worker began.
+    /// When each attempt was sent to the starting worker.
     sent: Vec<Micros>,
-    /// Parts of a call that have not arrived yet.
+    /// By router: the fraction of the next invocation that has accumulated so far.
     arriving: Vec<f64>,
 }
 
@@ -89,7 +96,7 @@
             ..PLAIN
         };
         let routers = (0..load.routers)
-            .map(|p| Script::at(p, u64::from(p), site, WARM_WORKERS))
+            .map(|p| Script::at_position(p, u64::from(p), site, WARM_WORKERS))
             .collect();
         let arriving = (0..load.routers)
             .map(|p| f64::from(p) / f64::from(load.routers))
@@ -109,6 +116,7 @@
         self.routers[0].now
     }
 
+    /// Simulates the dispatches among these actions of a router.
     fn carry_out(&mut self, router: usize, actions: &[Action]) {
         for action in actions {
             if let Action::Dispatch {
@@ -137,11 +145,12 @@
         }
     }
 
-    /// The copy is loaded everywhere: nothing but the rule keeps calls from the starting worker.
+    /// Reports to all routers that these workers have a copy loaded, so that only rule 4 limits the invocations at the
+    /// starting worker.
     fn report_copies(&mut self, workers: std::ops::Range<WorkerIndex>) {
         for router in 0..self.routers.len() {
             for worker in workers.clone() {
-                let actions = self.routers[router].tell(&Event::CopiesReported {
+                let actions = self.routers[router].handle(&Event::CopiesReported {
                     worker,
                     function: FUNCTION,
                     copies: 1,
@@ -151,9 +160,10 @@
         }
     }
 
+    /// Simulates one step: timers, attempts that end, and arriving invocations.
     fn step(&mut self) {
         for router in 0..self.routers.len() {
-            let actions = self.routers[router].pass(STEP);
+            let actions = self.routers[router].advance(STEP);
             self.carry_out(router, &actions);
         }
         while let Some(first) = self
@@ -167,9 +177,9 @@
         }
         let weights: f64 = (0..self.routers.len()).map(|r| self.load.weight(r)).sum();
         let capacity = self.load.capacity() * f64::from(WARM_WORKERS);
-        let calls = self.load.demand * capacity * STEP as f64 / OVERLOAD_WINDOW as f64;
+        let invocations = self.load.demand * capacity * STEP as f64 / OVERLOAD_WINDOW as f64;
         for router in 0..self.routers.len() {
-            self.arriving[router] += calls * self.load.weight(router) / weights;
+            self.arriving[router] += invocations * self.load.weight(router) / weights;
             while self.arriving[router] >= 1.0 {
                 self.arriving[router] -= 1.0;
                 let (_, actions) = self.routers[router].arrive(0, FUNCTION, LANES, 2 * SECOND);
@@ -178,6 +188,7 @@
         }
     }
 
+    /// Simulates this span of time.
     fn run(&mut self, span: Micros) {
         let until = self.now() + span;
         while self.now() < until {
@@ -185,8 +196,8 @@
         }
     }
 
-    /// The most that the starting worker got in a window, over its capacity then.
-    fn worst(&self, started: Micros) -> f64 {
+    /// The largest ratio, over all overload windows, of the attempts sent to the starting worker to those allowed.
+    fn worst_share(&self, started: Micros) -> f64 {
         let share = |(n, at): (usize, &Micros)| {
             let within = self.sent[..=n]
                 .iter()
@@ -199,8 +210,10 @@
     }
 }
 
-/// The part of its allowance that a starting worker gets at the worst, and the calls that it got in all.
-fn play(load: Load, into_window: Micros) -> (f64, usize) {
+/// Simulates a fleet to which a worker is added; `into_window` shifts the worker's start within the routers' overload
+/// windows. Returns the largest share of its allowance that the worker is sent, and the number of all attempts sent to
+/// it.
+fn simulate(load: Load, into_window: Micros) -> (f64, usize) {
     let mut fleet = Fleet::new(load);
     if !load.restarted {
         fleet.run(SECOND);
@@ -210,23 +223,24 @@
     let started = fleet.now();
     let starting = entry(STARTING, EndpointState::InService, Some(started));
     for router in 0..fleet.routers.len() {
-        let actions = fleet.routers[router].list(EndpointListKind::Changes, &[starting]);
+        let actions = fleet.routers[router].send_list(EndpointListKind::Changes, &[starting]);
         fleet.carry_out(router, &actions);
     }
     fleet.step();
     fleet.report_copies(0..STARTING + 1);
-    fleet.run(WATCHED);
-    (fleet.worst(started), fleet.sent.len())
+    fleet.run(OBSERVED_TIME);
+    (fleet.worst_share(started), fleet.sent.len())
 }
 
 #[test]
 fn a_fleet_keeps_to_the_slow_start_budget() {
     for routers in [1, 3, 30, 300] {
         for starting_capacity in [1.0, 12.0, 100.0, 400.0] {
-            // More than is served, as well, where it takes the test no long time to queue it.
+            // Demand above the capacity is tested only for small capacities, where the queued invocations cost the
+            // test little time.
             let overloads = if starting_capacity < 400.0 { 1 } else { 0 };
             for (uneven, demand) in [(5.0, 1.0), (1.0, 1.3)].into_iter().take(1 + overloads) {
-                // A worker starts at any moment of the routers' windows.
+                // The worker starts at different moments within the routers' windows.
                 let into_window =
                     OVERLOAD_WINDOW * i64::from(routers % 7) / 10 + OVERLOAD_WINDOW / 2;
                 let load = Load {
@@ -236,7 +250,7 @@
                     demand,
                     restarted: false,
                 };
-                let (worst, _) = play(load, into_window);
+                let (worst, _) = simulate(load, into_window);
                 assert!(worst <= 1.0, "{load:?}: {worst:.2} of its capacity");
             }
         }
@@ -254,16 +268,17 @@
                 demand: 1.0,
                 restarted: true,
             };
-            let (worst, _) = play(load, 0);
+            let (worst, _) = simulate(load, 0);
             assert!(worst <= 1.0, "{load:?}: {worst:.2} of its capacity");
         }
     }
 }
 
-/// The rule must not starve a worker that starts: of its capacity it gets a quarter or more.
+/// Rule 4 must not starve a starting worker: it gets at least a quarter of its capacity.
 #[test]
 fn a_worker_in_slow_start_is_used_by_few_routers_and_by_many() {
-    // With fewer calls to a worker than its capacity for each router, a part of one call may find none to take it.
+    // These capacities are large enough for the number of routers. With smaller ones, a budget below one invocation
+    // may be granted in a window in which the router has no invocation to send.
     for (routers, starting_capacity) in [
         (1, 30.0),
         (1, 100.0),
@@ -279,16 +294,17 @@
             demand: 1.0,
             restarted: false,
         };
-        let (_, calls) = play(load, 0);
-        let windows = (WATCHED / OVERLOAD_WINDOW) as f64;
+        let (_, invocations) = simulate(load, 0);
+        let windows = (OBSERVED_TIME / OVERLOAD_WINDOW) as f64;
         assert!(
-            calls as f64 > starting_capacity * windows / 4.0,
-            "{load:?}: {calls} calls"
+            invocations as f64 > starting_capacity * windows / 4.0,
+            "{load:?}: {invocations} invocations"
         );
     }
 }
 
-/// Rule 4 over all routers: each alone may send a just started worker less than one dispatch a window.
+/// Rule 4 over all routers: the budget of each single router for the starting worker is below one dispatch in a
+/// window.
 #[test]
 fn many_routers_do_not_overload_a_worker_in_slow_start() {
     let site = Site {
@@ -297,8 +313,8 @@
     };
     let mut sends = 0;
     for position in 0..100 {
-        let mut script = Script::at(position, position.into(), site, 1);
-        script.list(
+        let mut script = Script::at_position(position, position.into(), site, 1);
+        script.send_list(
             EndpointListKind::Cached,
             &[entry(0, EndpointState::InService, Some(script.now))],
         );
@@ -306,6 +322,6 @@
             sends += sent(&script.arrive(trigger, trigger, 1, 500 * MS).1).len();
         }
     }
-    // With 100 ms of work each its cores do ten a window or more, a cold fifth of that at first.
+    // With 100 ms of work per invocation, the worker runs ten or more in a window, and a fifth of that at first.
     assert!(sends <= 10, "{sends}");
 }
--- a/tests/decisions/sources.rs
+++ b/tests/decisions/sources.rs
@@ -1,10 +1,11 @@
-//! The list of the module's sources is whole, and the same as in the deploy file.
+//! Checks that the list of the module's source files is complete and equals the list in the deploy file.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-fn listed() -> BTreeSet<String> {
+/// The paths in `MODULE_SOURCES`.
+fn listed_sources() -> BTreeSet<String> {
     let sources = cedarpulley::MODULE_SOURCES.iter();
     sources.map(|source| source.path.to_owned()).collect()
 }
@@ -18,7 +19,7 @@
         .map(|name| format!("balancer/{}", name.to_string_lossy()))
         .collect();
     expected.insert("interface.rs".to_owned());
-    assert_eq!(listed(), expected);
+    assert_eq!(listed_sources(), expected);
     for source in cedarpulley::MODULE_SOURCES {
         let text = fs::read_to_string(src.join(source.path)).expect("a source");
         assert_eq!(source.text, text, "{}", source.path);
@@ -38,5 +39,5 @@
         .map(|file| file.trim_start_matches("src/").to_owned())
         .collect();
     files.insert("interface.rs".to_owned());
-    assert_eq!(listed(), files);
+    assert_eq!(listed_sources(), files);
 }
