--- a/crates/benchlink/src/codec.rs
+++ b/crates/benchlink/src/codec.rs
@@ -1,4 +1,4 @@
-//! The protocol's words, and the lines for actions.
+//! Converts the words of the protocol to the balancer's types, and writes actions as lines.
 
 use std::io::Write;
 
@@ -10,7 +10,7 @@
 
 const NANOS_PER_MICRO: i64 = 1_000;
 
-/// The error for a word that the protocol does not have in this field.
+/// The error for a word that the protocol does not define for this field.
 pub fn unknown_word(field: &'static str, word: &str) -> ProtocolError {
     ProtocolError::UnknownWord {
         what: field,
@@ -18,7 +18,7 @@
     }
 }
 
-/// The outcome of a dispatch or a probe.
+/// Parses the outcome of a dispatch or a probe.
 pub fn dispatch_outcome(word: &str) -> Result<DispatchOutcome> {
     Ok(match word {
         "success" => DispatchOutcome::Succeeded,
@@ -34,7 +34,7 @@
     })
 }
 
-/// The result of a load order.
+/// Parses the result of a load order.
 pub fn load_order_result(word: &str) -> Result<LoadOrderResult> {
     Ok(match word {
         "success" => LoadOrderResult::Loaded,
@@ -47,7 +47,7 @@
     })
 }
 
-/// What an endpoint list contains.
+/// Parses the kind of an endpoint list.
 pub fn list_kind(word: &str) -> Result<EndpointListKind> {
     Ok(match word {
         "INCREMENTAL" => EndpointListKind::Changes,
@@ -58,7 +58,7 @@
     })
 }
 
-/// The state of an endpoint.
+/// Parses the state of an endpoint.
 pub fn endpoint_state(word: &str) -> Result<EndpointState> {
     Ok(match word {
         "in_service" => EndpointState::InService,
@@ -68,8 +68,8 @@
     })
 }
 
-/// Splits a remark into the status of the copy (its lowest three bits) and the load of the function, which is only
-/// meaningful if workers report it and this one processed the request.
+/// Splits the field `remark` into the status of the copy (its lowest three bits) and the load of the function (the
+/// other bits). The load is only meaningful if workers report it and the worker answered or rejected the request.
 pub fn remark(
     value: Option<u32>,
     outcome: DispatchOutcome,
@@ -91,7 +91,7 @@
     (copy_status, reported.then_some(value / 8))
 }
 
-/// A load report: name:value pairs set apart by commas, or `-`.
+/// Parses a load report: `name:value` pairs separated by commas, or `-` for none.
 pub fn load_report(text: &str, fields: &[ReportField]) -> Result<LoadReport> {
     let mut report = LoadReport::default();
     if text == "-" {
@@ -107,7 +107,7 @@
     Ok(report)
 }
 
-/// The benchmark's ids for the indices in actions.
+/// Provides the benchmark's ids for the indices in actions.
 pub trait ExternalIds {
     /// The id of the invocation with this index; an error if there is none.
     fn invocation_id(&self, index: InvocationIndex) -> Result<&str>;
@@ -117,11 +117,12 @@
     fn worker_id(&self, index: WorkerIndex) -> Result<&str>;
 }
 
+/// Converts a time to nanoseconds.
 fn nanos(time: Micros) -> i64 {
     time.saturating_mul(NANOS_PER_MICRO)
 }
 
-/// Writes an action of an instance as a line. An action that only concerns the host writes nothing.
+/// Writes an action of an instance as a line. [`Action::ReleaseFunction`] only concerns the host and writes nothing.
 pub fn write_action(
     out: &mut Vec<u8>,
     router: u32,
@@ -165,7 +166,7 @@
     Ok(())
 }
 
-/// Writes an action that concerns no single invocation.
+/// Writes an action that does not concern an invocation.
 fn write_host_action(
     out: &mut Vec<u8>,
     router: u32,
@@ -202,7 +203,8 @@
     Ok(())
 }
 
-/// No time left is -1 and expires at once: 0 would mean no limit.
+/// Writes a timeout in nanoseconds, or `-` for none. A timeout of no time at all is written as -1, which expires at
+/// once, as 0 would mean no limit.
 fn write_timeout(out: &mut Vec<u8>, timeout: Option<Micros>) -> std::io::Result<()> {
     match timeout {
         None => writeln!(out, "-"),
@@ -211,6 +213,7 @@
     }
 }
 
+/// Writes a Retry-After in nanoseconds, or `-` for none.
 fn write_retry_after(out: &mut Vec<u8>, retry_after: Option<Micros>) -> std::io::Result<()> {
     match retry_after {
         Some(time) if time > 0 => writeln!(out, "{}", nanos(time)),
--- a/crates/benchlink/src/decoder.rs
+++ b/crates/benchlink/src/decoder.rs
@@ -1,4 +1,4 @@
-//! Decodes the fields of the protocol's events, whose words differ from the balancer's terms.
+//! Decodes the events of the protocol, which names things differently than the balancer.
 
 use cedarpulley::interface::*;
 use cedarpulley_startup::micros_from_nanos;
@@ -8,17 +8,18 @@
 use crate::field_reader::FieldReader;
 use crate::instance::Instance;
 
-/// Bits of an invocation's field `bits`.
+/// Mask in an invocation's field `bits`: the field `costGuess` is valid.
 const HAS_COST_HINT: u32 = 1;
-const IS_REPEAT: u32 = 2;
+/// Mask in an invocation's field `bits`: the client has marked the invocation as a retry.
+const IS_CLIENT_RETRY: u32 = 2;
 
-/// An event that is handed to a running instance.
+/// The kinds of events that are decoded for the balancer of a running instance.
 #[derive(Clone, Copy)]
 pub enum BalancerEvent {
     Invocation,
     ClientLeft,
     AnswerStarted,
-    /// A message of another router.
+    /// A message from another router, which is checked and ignored.
     PeerMessage,
     Timer,
     OrderEnded,
@@ -26,18 +27,18 @@
     ProbeEnded,
 }
 
-/// What a line within a batch announces.
+/// The kinds of lines within a batch.
 #[derive(Clone, Copy)]
 pub enum EventKind {
     StartInstance,
     StopInstance,
-    /// The entries follow, a line each.
+    /// The header of an endpoint list; each entry follows on a line of its own.
     EndpointList,
     ForBalancer(BalancerEvent),
 }
 
 impl EventKind {
-    /// The kind that a line's first word names.
+    /// Returns the kind for the first word of a line.
     pub fn from_word(word: &str) -> Result<Self> {
         Ok(match word {
             "born" => EventKind::StartInstance,
@@ -56,8 +57,8 @@
     }
 }
 
-/// The kind of an endpoint list and the number of its entries.
-pub fn list_head(mut fields: FieldReader) -> Result<(EndpointListKind, usize)> {
+/// Decodes the header of an endpoint list: its kind and the number of its entries.
+pub fn decode_list_header(mut fields: FieldReader) -> Result<(EndpointListKind, usize)> {
     let _epoch: Option<i64> = fields.optional("epoch")?;
     let kind = codec::list_kind(fields.text("mode")?)?;
     let entries = fields.optional("membersList")?.unwrap_or(0);
@@ -66,7 +67,7 @@
 }
 
 impl Instance {
-    /// Decodes the fields after the instance's id. None: the balancer need not be notified.
+    /// Decodes the fields after the instance's id. Returns `None` if the balancer need not be notified.
     pub fn decode(
         &mut self,
         event: BalancerEvent,
@@ -115,7 +116,7 @@
             lanes: lanes.unwrap_or(1.0).max(1.0) as u32,
             client_timeout_in,
             waited: 0,
-            repeat: bits & IS_REPEAT != 0,
+            repeat: bits & IS_CLIENT_RETRY != 0,
             preferred_worker: None,
         }))
     }
@@ -200,7 +201,7 @@
         })
     }
 
-    /// An entry of an endpoint list.
+    /// Decodes an entry of an endpoint list.
     pub fn decode_endpoint(&mut self, mut fields: FieldReader) -> Result<Endpoint> {
         let (worker, fingerprint) = self.list_worker(fields.text("worker")?);
         let endpoint = Endpoint {
@@ -227,7 +228,8 @@
     Ok(Event::Timer { token })
 }
 
-/// The balancer exchanges no messages with other routers: what comes is only checked.
+/// Checks the fields of a message from another router. The message is otherwise ignored, as the balancer exchanges no
+/// messages with other routers.
 fn check_peer_message(mut fields: FieldReader) -> Result<()> {
     fields.required::<u32>("srcPeer")?;
     fields.text("payload")?;
--- a/crates/benchlink/src/error.rs
+++ b/crates/benchlink/src/error.rs
@@ -1,42 +1,54 @@
-//! Protocol errors. Any of them ends the process, and the instances that it hosted are gone.
+//! Protocol errors. Any of them ends the process with all the instances that it hosts.
 
 use cedarpulley_errors::Remedy;
 use thiserror::Error;
 
-/// Why the input cannot be taken. The texts are listed in `docs/operate/errors.md`.
+/// The reason why the input cannot be processed. The texts are listed in `docs/operate/errors.md`.
 #[derive(Debug, Error)]
 pub enum ProtocolError {
-    /// With the number of the line, from 1 on.
+    /// An error in the line with this number, counted from 1.
     #[error("line {line}")]
     InLine {
         line: u64,
         source: Box<ProtocolError>,
     },
+    /// The line has no value for a required field.
     #[error("{what} is missing")]
     MissingField { what: &'static str },
+    /// A value does not parse as the type of its field.
     #[error("{what} '{value}' cannot be read")]
     MalformedField { what: &'static str, value: String },
+    /// A word is not among those that the protocol defines for its place.
     #[error("{what} '{word}' is unknown")]
     UnknownWord { what: &'static str, word: String },
+    /// The line has more fields than its message.
     #[error("more values than expected")]
     ExtraFields,
-    #[error("'{word}' comes {place}")]
+    /// A message is not allowed at this place in the input.
+    #[error("unexpected message '{word}' {place}")]
     UnexpectedMessage { word: String, place: &'static str },
+    /// The input ended before the batch was committed.
     #[error("the input ends within a batch")]
     TruncatedBatch,
-    #[error("instance {router} is not alive")]
+    /// A message is for an instance that has not been started or has been stopped.
+    #[error("instance {router} does not exist")]
     NoSuchInstance { router: u32 },
+    /// A new invocation has the id of an unfinished one.
     #[error("requestId '{id}' is in use")]
     InvocationIdInUse { id: String },
-    #[error("worker '{id}' was on no list")]
+    /// A message refers to a worker that no endpoint list has contained.
+    #[error("worker '{id}' has not been in any endpoint list")]
     UnknownWorker { id: String },
-    /// The balancer returned an action with an index that it was never given.
-    #[error("an action names an unknown {what}")]
+    /// The balancer returned an action with an index that has no external id.
+    #[error("an action refers to an unknown {what}")]
     UnknownIndex { what: &'static str },
+    /// The line is not valid UTF-8.
     #[error("the line is not UTF-8")]
     InvalidUtf8,
-    #[error("nobody is born with these settings")]
+    /// An instance cannot be started with the given settings.
+    #[error("the settings of the instance are invalid")]
     Settings(#[from] cedarpulley_startup::SettingsError),
+    /// Reading standard input or writing standard output failed.
     #[error("standard input or output failed")]
     Stream(#[from] std::io::Error),
 }
@@ -50,26 +62,30 @@
             | ProtocolError::UnknownWord { .. }
             | ProtocolError::ExtraFields
             | ProtocolError::InvalidUtf8 => {
-                "use a bench and a build that speak the same version of the wire"
+                "use a benchmark and a build with the same version of the protocol"
             }
             ProtocolError::UnexpectedMessage { .. } | ProtocolError::TruncatedBatch => {
-                "keep events between clock and commit, lists whole"
+                "send events only between clock and commit, and send every entry of a list"
             }
             ProtocolError::NoSuchInstance { .. } => {
-                "let an instance be born before it hears anything"
+                "start the instance (born) before sending messages to it"
+            }
+            ProtocolError::InvocationIdInUse { .. } => {
+                "use a different id for each open invocation"
             }
-            ProtocolError::InvocationIdInUse { .. } => "give each open invocation an id of its own",
             ProtocolError::UnknownWorker { .. } => {
-                "name a worker in a list before anything comes from it"
+                "send an endpoint list that contains the worker before messages about it"
             }
             ProtocolError::UnknownIndex { .. } => {
-                "a fault of this build: keep the input and report it"
+                "this is a bug in this build: keep the input and report it"
             }
             ProtocolError::Settings(source) => source.remedy(),
-            ProtocolError::Stream(_) => "see whether the bench still runs and what it says",
+            ProtocolError::Stream(_) => {
+                "check whether the benchmark still runs, and read its messages"
+            }
         }
     }
 }
 
-/// The result of reading input.
+/// The result of processing input.
 pub type Result<T> = std::result::Result<T, ProtocolError>;
--- a/crates/benchlink/src/field_reader.rs
+++ b/crates/benchlink/src/field_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of one line: values set apart by single spaces, `-` where an optional one is absent.
+//! Reads the fields of one line: values separated by single spaces, where `-` means that an optional value is absent.
 
 use std::str::{FromStr, Split};
 
@@ -7,6 +7,7 @@
 
 use crate::error::{ProtocolError, Result};
 
+/// The error for a field without a value.
 fn missing(name: &'static str) -> ProtocolError {
     ProtocolError::MissingField { what: name }
 }
@@ -19,16 +20,16 @@
     }
 }
 
-/// The fields of one line, in order. Each method takes the next field; names are for errors only.
+/// The fields of one line, in order. Each method reads the next field; the names are used only in errors.
 pub struct FieldReader<'a>(Split<'a, char>);
 
 impl<'a> FieldReader<'a> {
-    /// Reads this line, without its line break.
+    /// Creates a reader of this line, which must not contain its line break.
     pub fn new(line: &'a str) -> Self {
         Self(line.split(' '))
     }
 
-    /// A text that is not empty.
+    /// Reads a text that is not empty.
     pub fn text(&mut self, name: &'static str) -> Result<&'a str> {
         match self.0.next() {
             Some(text) if !text.is_empty() => Ok(text),
@@ -36,7 +37,7 @@
         }
     }
 
-    /// A value that may be absent (`-`).
+    /// Reads a value that may be absent (`-`).
     pub fn optional<T: FromStr>(&mut self, name: &'static str) -> Result<Option<T>> {
         let text = self.text(name)?;
         if text == "-" {
@@ -45,17 +46,17 @@
         text.parse().map(Some).map_err(|_| malformed(name, text))
     }
 
-    /// A value that must be there.
+    /// Reads a value that must not be absent.
     pub fn required<T: FromStr>(&mut self, name: &'static str) -> Result<T> {
         self.optional(name)?.ok_or_else(|| missing(name))
     }
 
-    /// A time: nanoseconds on the wire, microseconds as returned.
+    /// Reads a time, which the protocol gives in nanoseconds, and returns it in microseconds.
     pub fn time(&mut self, name: &'static str) -> Result<Micros> {
         self.required(name).map(micros_from_nanos)
     }
 
-    /// `1` or `0`.
+    /// Reads a flag, which is `1` or `0`.
     pub fn flag(&mut self, name: &'static str) -> Result<bool> {
         match self.text(name)? {
             "1" => Ok(true),
@@ -64,7 +65,7 @@
         }
     }
 
-    /// All that is left of the line.
+    /// Returns the rest of the line.
     pub fn rest(mut self) -> String {
         let mut text = self.0.next().unwrap_or("").to_owned();
         for part in self.0 {
--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -1,14 +1,15 @@
-//! Hosts the instances of one process: reads batches of lines and hands each event to its instance.
+//! Hosts the instances of the process: parses batches of lines and hands each event to its instance.
 
 use std::collections::BTreeMap;
 
 use cedarpulley::interface::*;
 
-use crate::decoder::{BalancerEvent, EventKind, list_head};
+use crate::decoder::{BalancerEvent, EventKind, decode_list_header};
 use crate::error::{ProtocolError, Result};
 use crate::field_reader::FieldReader;
 use crate::instance::Instance;
 
+/// The error for a message that is not allowed at this place.
 fn unexpected(word: &str, place: &'static str) -> ProtocolError {
     ProtocolError::UnexpectedMessage {
         word: word.to_owned(),
@@ -16,25 +17,26 @@
     }
 }
 
-/// An endpoint list of which entries are still to come.
+/// An endpoint list whose entries have not all been read.
 struct PartialList {
     router: u32,
     kind: EndpointListKind,
-    missing: usize,
+    /// Number of entries that have not been read.
+    entries_left: usize,
     endpoints: Vec<Endpoint>,
 }
 
-/// Reads the lines of the input, one after the other.
+/// Processes the lines of the input, one after the other.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
-    /// The time of the batch that is being read.
+    /// The time of the batch that is being read; `None` between batches.
     batch_time: Option<Micros>,
     partial_list: Option<PartialList>,
 }
 
 impl Host {
-    /// Input may end between batches only.
+    /// Checks that the input ends between batches.
     pub fn end_of_input(&self) -> Result<()> {
         if self.batch_time.is_some() {
             Err(ProtocolError::TruncatedBatch)
@@ -43,13 +45,13 @@
         }
     }
 
-    /// Takes one line; true if it closed a batch, whose reply is then complete.
+    /// Processes one line; true if the line ended a batch, so that `reply` is complete.
     pub fn handle_line(&mut self, line: &str, reply: &mut Vec<u8>) -> Result<bool> {
         let mut fields = FieldReader::new(line);
         let word = fields.text("message")?;
         if let Some(list) = self.partial_list.take() {
             if word != "m" {
-                return Err(unexpected(word, "where a list entry is due"));
+                return Err(unexpected(word, "where a list entry is expected"));
             }
             self.handle_list_entry(list, fields, reply)?;
             return Ok(false);
@@ -75,12 +77,14 @@
         Ok(false)
     }
 
+    /// The running instance with this id.
     fn instance(&mut self, router: u32) -> Result<&mut Instance> {
         self.instances
             .get_mut(&router)
             .ok_or(ProtocolError::NoSuchInstance { router })
     }
 
+    /// Processes an event within a batch.
     fn handle_event(
         &mut self,
         now: Micros,
@@ -105,11 +109,11 @@
             }
             EventKind::EndpointList => {
                 self.instance(router)?;
-                let (kind, entries) = list_head(fields)?;
+                let (kind, entries) = decode_list_header(fields)?;
                 let list = PartialList {
                     router,
                     kind,
-                    missing: entries,
+                    entries_left: entries,
                     endpoints: Vec::new(),
                 };
                 self.handle_list(now, list, reply)
@@ -118,6 +122,7 @@
         }
     }
 
+    /// Decodes an event and hands it to the balancer of its instance.
     fn forward(
         &mut self,
         now: Micros,
@@ -133,6 +138,7 @@
         }
     }
 
+    /// Adds an entry to the endpoint list that is being read.
     fn handle_list_entry(
         &mut self,
         mut list: PartialList,
@@ -144,13 +150,13 @@
         };
         let endpoint = self.instance(list.router)?.decode_endpoint(fields)?;
         list.endpoints.push(endpoint);
-        list.missing -= 1;
+        list.entries_left -= 1;
         self.handle_list(now, list, reply)
     }
 
-    /// Hands a complete list to its instance, and keeps a partial one for its next entry.
+    /// Hands the list to its instance if it is complete; otherwise keeps it until its next entry.
     fn handle_list(&mut self, now: Micros, list: PartialList, reply: &mut Vec<u8>) -> Result<()> {
-        if list.missing > 0 {
+        if list.entries_left > 0 {
             self.partial_list = Some(list);
             return Ok(());
         }
--- a/crates/benchlink/src/instance.rs
+++ b/crates/benchlink/src/instance.rs
@@ -1,4 +1,4 @@
-//! One hosted balancer, and the ids that the benchmark uses for its invocations, functions and workers.
+//! A hosted balancer with the benchmark's ids of its invocations, functions and workers.
 
 use cedarpulley::Balancer;
 use cedarpulley::ids::{Interner, fingerprint};
@@ -8,14 +8,15 @@
 use crate::codec::{self, ExternalIds};
 use crate::error::{ProtocolError, Result};
 
-/// What still needs the id of an invocation.
+/// The state of an invocation that determines whether its id is still needed.
 #[derive(Clone, Copy, Default)]
 struct InvocationState {
+    /// Whether the invocation has its final answer or its client has left.
     ended: bool,
     dispatches_in_flight: u32,
 }
 
-/// Ids of invocations, each until its invocation has ended and no dispatch of it is in flight.
+/// The ids of invocations. An id is kept until its invocation has ended and has no dispatch in flight.
 #[derive(Default)]
 struct InvocationIds {
     ids: Interner<String>,
@@ -24,6 +25,7 @@
 }
 
 impl InvocationIds {
+    /// Assigns an index to a new invocation.
     fn insert(&mut self, id: &str) -> InvocationIndex {
         let index = self.ids.intern(id);
         if self.states.len() <= index as usize {
@@ -34,10 +36,12 @@
         index
     }
 
+    /// The state of the invocation with this index.
     fn state(&mut self, index: InvocationIndex) -> &mut InvocationState {
         &mut self.states[index as usize]
     }
 
+    /// Releases the index if the invocation has ended and has no dispatch in flight.
     fn release_if_unused(&mut self, index: InvocationIndex) {
         let state = self.states[index as usize];
         if state.ended && state.dispatches_in_flight == 0 {
@@ -46,8 +50,9 @@
     }
 }
 
-/// A balancer under the id `router`.
+/// A hosted balancer.
 pub struct Instance {
+    /// The benchmark's id of the instance.
     router: u32,
     balancer: Balancer,
     report_fields: Vec<ReportField>,
@@ -59,7 +64,7 @@
 }
 
 impl Instance {
-    /// Starts a balancer with the settings in this text.
+    /// Starts a balancer with the settings in `settings`, a text of `name=value` pairs.
     pub fn start(router: u32, seed: u64, settings: &str) -> Result<Self> {
         let raw = RawSettings::from_pairs(settings)?;
         let settings = StartupSettings::read(&raw)?;
@@ -75,11 +80,11 @@
         })
     }
 
-    /// Hands an event to the balancer and writes its actions.
+    /// Hands an event to the balancer and appends its actions to `reply`.
     pub fn handle(&mut self, now: Micros, event: &Event, reply: &mut Vec<u8>) -> Result<()> {
         let mut actions = Vec::new();
         self.balancer.handle(now, event, &mut actions);
-        let concerned = self.note_event(event);
+        let event_invocation = self.track_event(event);
         for action in &actions {
             codec::write_action(reply, self.router, action, self)?;
             match *action {
@@ -92,7 +97,7 @@
                 _ => {}
             }
         }
-        // Only once every action is written: a later one may name the same index.
+        // Indices are released only after all actions are written, as a later action may refer to the same index.
         for action in &actions {
             match *action {
                 Action::Reject { invocation, .. } | Action::Fail { invocation } => {
@@ -102,14 +107,14 @@
                 _ => {}
             }
         }
-        if let Some(invocation) = concerned {
+        if let Some(invocation) = event_invocation {
             self.invocations.release_if_unused(invocation);
         }
         Ok(())
     }
 
-    /// Follows the state of the invocation that the event concerns, and gives its index.
-    fn note_event(&mut self, event: &Event) -> Option<InvocationIndex> {
+    /// Updates the state of the invocation that the event concerns, and returns its index.
+    fn track_event(&mut self, event: &Event) -> Option<InvocationIndex> {
         match *event {
             Event::Invocation(Arrival { invocation, .. }) => Some(invocation),
             Event::ClientLeft { invocation } => {
@@ -130,24 +135,24 @@
         }
     }
 
-    /// A worker that was on a list.
+    /// Returns the index of a worker that has been in an endpoint list.
     pub fn known_worker(&self, id: &str) -> Result<WorkerIndex> {
         self.workers
             .find(id)
             .ok_or_else(|| ProtocolError::UnknownWorker { id: id.to_owned() })
     }
 
-    /// A worker on a list, with the fingerprint of its id.
+    /// Returns the index of a worker in an endpoint list, which is assigned if need be, and the fingerprint of its id.
     pub fn list_worker(&mut self, id: &str) -> (WorkerIndex, u64) {
         (self.workers.intern(id), fingerprint(id))
     }
 
-    /// An invocation that still has its id.
+    /// Returns the index of an invocation whose id has not been released.
     pub fn find_invocation(&self, id: &str) -> Option<InvocationIndex> {
         self.invocations.ids.find(id)
     }
 
-    /// Gives a new invocation its index; its id must not be in use.
+    /// Assigns an index to a new invocation, whose id must not be in use.
     pub fn new_invocation(&mut self, id: &str) -> Result<InvocationIndex> {
         if self.find_invocation(id).is_some() {
             return Err(ProtocolError::InvocationIdInUse { id: id.to_owned() });
@@ -155,12 +160,12 @@
         Ok(self.invocations.insert(id))
     }
 
-    /// A function that the balancer has not released.
+    /// Returns the index of a function that the balancer has not released.
     pub fn find_function(&self, name: &str) -> Option<FunctionIndex> {
         self.functions.find(name)
     }
 
-    /// A function's index, which is new if need be, and the fingerprint of its name.
+    /// Returns the index of a function, which is assigned if need be, and the fingerprint of its name.
     pub fn intern_function(&mut self, name: &str) -> (FunctionIndex, u64) {
         (self.functions.intern(name), fingerprint(name))
     }
@@ -175,7 +180,7 @@
         &self.report_fields
     }
 
-    /// Whether remarks contain the load of a function.
+    /// Whether the field `remark` contains the load of the function.
     pub fn reports_function_load(&self) -> bool {
         self.reports_function_load
     }
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts balancer instances for a benchmark that speaks a line protocol: batches of events come in on standard input,
-//! the actions that they lead to go out on standard output.
+//! Hosts balancer instances for a benchmark over a line protocol: reads batches of events from standard input and
+//! writes the resulting actions to standard output.
 
 mod codec;
 mod decoder;
@@ -15,10 +15,10 @@
 use error::{ProtocolError, Result};
 use host::Host;
 
-/// Largest reply buffer that is reused for the next batch.
+/// Largest reply buffer, in bytes, that is kept for the next batch.
 const MAX_REUSED_BYTES: usize = 1 << 20;
 
-/// Answers each batch before the next is read, until the input ends.
+/// Serves batches until the input ends. The reply to each batch is written before the next batch is read.
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<()> {
     let mut host = Host::default();
     let mut line = Vec::new();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -27,7 +27,7 @@
     pub position: u32,
     /// The zone this router runs in.
     pub zone: u32,
-    /// Shortest interval between two calls that hand events to the module, in microseconds.
+    /// Shortest interval between two calls that hand events to the balancer, in microseconds.
     pub granularity: Micros,
 }
 
@@ -364,7 +364,7 @@
     pub worker: WorkerIndex,
     /// How the dispatch ended.
     pub outcome: DispatchOutcome,
-    /// Time since the module returned the dispatch action.
+    /// Time since the balancer returned the dispatch action.
     pub took: Micros,
     /// Whether the invocation has its final answer.
     pub answered: bool,
@@ -376,7 +376,7 @@
     pub report: LoadReport,
 }
 
-/// An event that the module handles.
+/// An event that the balancer handles.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// The endpoint list, or a change of it.
@@ -418,7 +418,7 @@
         function: FunctionIndex,
         /// How the order ended.
         result: LoadOrderResult,
-        /// Time since the module returned the order.
+        /// Time since the balancer returned the order.
         took: Micros,
         /// Copies of the function that are loaded at the worker now.
         copies: u32,
@@ -434,7 +434,7 @@
         /// The worker's load report.
         report: LoadReport,
     },
-    /// A timer that the module has set ([`Action::Timer`]) is due.
+    /// A timer that the balancer has set ([`Action::Timer`]) is due.
     Timer {
         /// The timer's token.
         token: u64,
@@ -458,7 +458,7 @@
     },
 }
 
-/// An action that the caller of the module has to carry out.
+/// An action that the caller of the balancer has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
     /// Send the invocation to a worker.
