--- a/crates/router/src/core/balancer_actions.rs
+++ b/crates/router/src/core/balancer_actions.rs
@@ -1,4 +1,4 @@
-//! Calls the decision module and carries out its actions.
+//! Calls the balancer and carries out its actions.
 
 use cedarpulley::interface::{Action, DispatchOutcome, Event, InvocationIndex, Micros};
 
@@ -8,15 +8,15 @@
 use crate::observer::Names;
 use crate::{Answer, AnswerReason, FinalOutcome, Ticket};
 
-/// A dispatch that ended within the step that decided it.
+/// A dispatch that ended while the actions of one balancer call were carried out.
 pub(super) struct EndedImmediately {
     pub(super) ticket: Ticket,
     pub(super) outcome: DispatchOutcome,
 }
 
 impl Router {
-    /// Calls the module and carries out its actions, in order. Dispatches that end at once are reported to the module as
-    /// further events, after all actions of this step.
+    /// Passes the event to the balancer and carries out its actions, in order. Dispatches that end immediately are
+    /// reported to the balancer as further events, after all actions of this call.
     pub(super) fn decide(&mut self, event: &Event, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -70,7 +70,7 @@
                 term: self.plan_term.clone(),
             }),
             Action::Probe { worker } => {
-                // Its index stays the worker's until the check has ended.
+                // The worker's index must not be reused before the health check has ended.
                 self.workers.reserve(worker);
                 self.counts.health_checks += 1;
                 out.push(Output::Probe { worker });
@@ -113,7 +113,7 @@
         retry_after: Option<Micros>,
         out: &mut Vec<Output>,
     ) {
-        // A redelivered invocation may have run elsewhere, which the module cannot know.
+        // A redelivered invocation may have run at another router, which the balancer does not know.
         let may_run_elsewhere = self
             .invocations
             .get(index)
--- a/crates/router/src/core/completion.rs
+++ b/crates/router/src/core/completion.rs
@@ -1,5 +1,4 @@
-//! How an invocation ends: its one final answer, what the limits and observers learn of it, and when its index
-//! becomes free.
+//! The end of an invocation: sends its one final answer, reports it to the limits and observers, and frees its index.
 
 use cedarpulley::interface::{Effect, InvocationIndex, Micros};
 
@@ -11,20 +10,20 @@
 use crate::replication::{ReplicationRequest, ReplicationStage};
 use crate::{Answer, AnswerReason, Delivery, FinalOutcome};
 
-/// What an answer is about, as the observers are told.
+/// The invocation that an answer belongs to, as reported to the observers.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AnsweredInvocation {
-    /// Absent where the module knows no invocation for it.
+    /// Index of the invocation; absent if the balancer does not know it.
     pub(super) index: Option<InvocationIndex>,
-    /// Trigger type; `u32::MAX` where it is not known any more.
+    /// Index of the trigger type; `u32::MAX` if it is no longer known.
     pub(super) trigger: u32,
-    /// Account; `u32::MAX` where it is not known any more.
+    /// Index of the account; `u32::MAX` if it is no longer known.
     pub(super) account: u32,
     pub(super) accepted_at: Micros,
 }
 
 impl AnsweredInvocation {
-    /// Of a delivery of which nothing is known any more.
+    /// For a delivery whose invocation is no longer known.
     pub(super) fn unknown(now: Micros) -> Self {
         AnsweredInvocation {
             index: None,
@@ -35,7 +34,7 @@
     }
 }
 
-/// Answers.
+/// Answers to deliveries.
 impl Router {
     /// Sends the answer to one delivery and counts it.
     pub(super) fn answer(
@@ -60,7 +59,8 @@
         out.push(Output::Answer { delivery, answer });
     }
 
-    /// Gives the invocation its final answer. All deliveries that wait for it get it; only the first call has an effect.
+    /// Sends the final answer of the invocation to all deliveries that wait for it. Only the first call for an
+    /// invocation has an effect.
     pub(super) fn give_answer(
         &mut self,
         index: InvocationIndex,
@@ -73,7 +73,7 @@
         };
         let slot = invocation.answer_slot();
         let answered = AnsweredInvocation {
-            // An invocation that the module does not know, or no longer, counts as answered at once.
+            // An invocation that the balancer does not know (any more) is reported as answered without the balancer.
             index: invocation.is_known_to_balancer().then_some(index),
             trigger: invocation.request.trigger,
             account: invocation.request.account,
@@ -85,8 +85,8 @@
         self.share_answer(index, &answer, out);
         self.conclude(index, signal);
         let waiters = slot.map_or_else(Vec::new, |slot| self.answers.give(slot, &answer));
-        // With no front to answer, a success is retained for when the message is delivered again. A failure is not:
-        // nobody may be promised that it did not run, or told an error, on behalf of whoever has the message now.
+        // If no delivery waits, a success is retained and repeated when the message is delivered again. A failure is
+        // not: another router may have the message now, and this router's failure says nothing about the result there.
         if waiters.is_empty() && answer.outcome != FinalOutcome::Succeeded {
             self.end_answer_record(index);
         }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// What the limits learn from an answer with this outcome, given now.
+    /// The signal that an answer with this outcome, given now, is to the concurrency limits.
     fn load_signal(&self, invocation: &Invocation, outcome: FinalOutcome) -> LoadSignal {
         match outcome {
             FinalOutcome::Succeeded if self.is_late(invocation) => LoadSignal::Late,
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Whether its latency objective, extended for long calls, has passed since it was accepted.
+    /// Whether the latency objective, extended in proportion to the expected execution time, has passed since the
+    /// invocation was accepted.
     fn is_late(&self, invocation: &Invocation) -> bool {
         let request = &invocation.request;
         let trigger = &self.triggers[request.trigger as usize];
@@ -114,7 +115,7 @@
         self.now - request.accepted_at > trigger.latency_objective + extension
     }
 
-    /// Caches a success under its idempotency key, for its client's retries.
+    /// Caches a successful answer under the idempotency key, for retries by the client.
     fn cache_answer(&mut self, index: InvocationIndex, answer: &Answer) {
         let Some(invocation) = self.invocations.get(index) else {
             return;
@@ -129,12 +130,13 @@
         }
     }
 
-    /// What is answered instead, where the group was lost or not asked.
+    /// Returns the answer to send in place of `answer`, which differs if the invocation was orphaned while it was
+    /// replicated, or ran without the group.
     fn adjust_answer(&self, index: InvocationIndex, answer: Answer) -> Answer {
         let Some(invocation) = self.invocations.get(index) else {
             return answer;
         };
-        // While it was orphaned another router may have run it: nobody can promise that it did not run.
+        // Another router may have run the invocation while it was orphaned, so it cannot be reported as not run.
         if answer.outcome == FinalOutcome::Throttled && invocation.was_orphaned_while_replicated() {
             return Answer::without_body(FinalOutcome::Errored, AnswerReason::MayHaveRun);
         }
@@ -148,7 +150,8 @@
         answer
     }
 
-    /// Tells the group of a success, once: other routers may be delivered the same message, and answer alike.
+    /// Sends a successful answer to the group, once. A router to which the same message is delivered repeats the
+    /// answer.
     fn share_answer(&mut self, index: InvocationIndex, answer: &Answer, out: &mut Vec<Output>) {
         if answer.outcome != FinalOutcome::Succeeded {
             return;
@@ -162,7 +165,7 @@
         }
     }
 
-    /// A final answer that the core itself decides; the module is told that the client left.
+    /// Gives a final answer that the core itself decided, and reports to the balancer that the client left.
     pub(super) fn final_answer(
         &mut self,
         index: InvocationIndex,
@@ -175,8 +178,9 @@
         self.release(index, out);
     }
 
-    /// The final answer is due. All attempts in flight time out now, upon which the module can answer; if it does not,
-    /// the core does. That happens to a queued invocation whose turn did not come between two of the module's timers.
+    /// Handles that the final answer is due. All attempts in flight time out, upon which the balancer can answer; if it
+    /// does not, the core answers. The core has to answer, for example, for an invocation that is still queued because
+    /// it was not dispatched between two timers of the balancer.
     pub(super) fn answer_overdue(&mut self, handle: InvocationHandle, out: &mut Vec<Output>) {
         let invocation = self.invocations.get(handle.index);
         let attempts = invocation.map(|found| found.attempts_where(Attempt::is_in_flight));
@@ -187,8 +191,8 @@
         let Some(invocation) = invocation.filter(|invocation| invocation.is_open()) else {
             return;
         };
-        let harmless = self.is_safe_to_retry(invocation) && !invocation.may_run_elsewhere();
-        let outcome = if harmless {
+        let safe_to_retry = self.is_safe_to_retry(invocation) && !invocation.may_run_elsewhere();
+        let outcome = if safe_to_retry {
             FinalOutcome::Throttled
         } else {
             FinalOutcome::Errored
@@ -196,7 +200,7 @@
         self.final_answer(handle.index, outcome, AnswerReason::Overdue, out);
     }
 
-    /// As far as this router's own attempts are concerned.
+    /// Whether a retry is harmless, as far as the attempts of this router are concerned.
     fn is_safe_to_retry(&self, invocation: &Invocation) -> bool {
         let effect = self.triggers[invocation.request.trigger as usize].effect;
         effect == Effect::Idempotent || !invocation.may_have_run()
@@ -205,7 +209,8 @@
 
 /// The end of an invocation.
 impl Router {
-    /// Marks the invocation as concluded, and tells the limits; true the first time.
+    /// Marks the invocation as concluded and reports it to the limits. Returns true the first time, false if it was
+    /// concluded before.
     pub(super) fn conclude(&mut self, index: InvocationIndex, signal: LoadSignal) -> bool {
         let invocation = self.invocations.get_mut(index);
         let Some(invocation) = invocation.filter(|invocation| invocation.is_open()) else {
@@ -229,8 +234,8 @@
             .attempts()
             .first()
             .map_or(took, |first| first.decided_at - request.accepted_at);
-        // What waited for a load was not crowded out: otherwise a slow store makes all invocations wait, and whoever has
-        // more of them open is limited for it.
+        // Time spent waiting for a load is no sign of overload. If it counted as one, a slow model store would delay
+        // all invocations, and the fronts and accounts with the most open invocations would be limited for it.
         let waited_for_load = self
             .orders
             .waited_for_load(request.function_index, request.accepted_at);
@@ -251,7 +256,7 @@
         self.admission.ended(self.now, ended, request.admitted);
     }
 
-    /// Frees the index of an invocation that is over.
+    /// Frees the index of the invocation, if it is over.
     pub(super) fn release(&mut self, index: InvocationIndex, out: &mut Vec<Output>) {
         if !self.invocations.get(index).is_some_and(Invocation::is_over) {
             return;
--- a/crates/router/src/core/dispatch.rs
+++ b/crates/router/src/core/dispatch.rs
@@ -1,4 +1,5 @@
-//! An attempt is decided, permitted by the group where that is needed, sent, and ended.
+//! The attempts of an invocation: created as the balancer decides, permitted by the group if necessary, sent, and
+//! ended.
 
 use cedarpulley::interface::{
     CopyStatus, DispatchEnded, DispatchOutcome, Effect, Event, InvocationIndex, LoadReport, Micros,
@@ -16,7 +17,7 @@
 use crate::replication::ReplicationRequest;
 use crate::{Answer, AnswerReason, FinalOutcome, Payload, Ticket};
 
-/// How a dispatch ended, and what its worker reported; the fields are those of [`Input::DispatchEnded`].
+/// The result of a dispatch and the report of its worker; the fields are those of [`Input::DispatchEnded`].
 ///
 /// [`Input::DispatchEnded`]: super::Input::DispatchEnded
 pub(super) struct DispatchResult {
@@ -29,7 +30,7 @@
 }
 
 impl DispatchResult {
-    /// Of a dispatch whose worker reported nothing.
+    /// The result of a dispatch without an answer from its worker.
     pub(super) fn without_answer(outcome: DispatchOutcome) -> Self {
         DispatchResult {
             outcome,
@@ -42,9 +43,10 @@
     }
 }
 
-/// Sending.
+/// Sending of attempts.
 impl Router {
-    /// The module wants the invocation sent to a worker.
+    /// Creates an attempt to run the invocation at a worker, as the balancer decided, and sends it or requests
+    /// permission for it.
     pub(super) fn dispatch(
         &mut self,
         index: InvocationIndex,
@@ -57,7 +59,8 @@
             return;
         };
         let attempt = invocation.add_attempt(self.now, worker, timeout, self.serials.next());
-        // An answer was given, or the workers no longer recognise repeats: the module is told that it was not sent.
+        // No attempt may be sent once the final answer was given or the workers no longer recognise repeats. The
+        // attempt is then reported to the balancer as not sent.
         let may_dispatch = invocation.may_dispatch(self.now);
         let time_left = invocation.request.answer_due_at - self.now;
         let ticket = self.invocations.handle(index).ticket(attempt);
@@ -68,7 +71,7 @@
                 outcome: DispatchOutcome::NotSent,
             });
         }
-        // Without a timeout of its own the dispatch ends when the answer is due.
+        // Without a shorter timeout, the dispatch ends when the final answer is due.
         if let Some(timeout) = timeout.filter(|&timeout| timeout < time_left) {
             self.set_timer(self.now + timeout, Timer::DispatchTimeout(ticket));
         }
@@ -77,7 +80,8 @@
         }
     }
 
-    /// Tells the group of a new attempt, if it has to know. True if the attempt must wait for the group's permission.
+    /// Notifies the group of a new attempt, if the invocation is replicated. Returns true if the attempt must wait for
+    /// the group's permission.
     fn request_permission(&mut self, ticket: Ticket, out: &mut Vec<Output>) -> bool {
         let Some(invocation) = self.invocations.get(ticket.invocation) else {
             return false;
@@ -90,28 +94,28 @@
         };
         let trigger = invocation.request.trigger;
         let effect = self.triggers[trigger as usize].effect;
-        let (key, sending) = (replication.key.clone(), attempt.serial);
+        let (key, serial) = (replication.key.clone(), attempt.serial);
         let deduplication_domain = self.workers.deduplication_domain(attempt.worker, effect);
         if !attempt.awaits_permission() {
             out.push(Output::Replication(ReplicationRequest::AttemptSent {
                 key,
-                attempt: sending,
+                attempt: serial,
                 deduplication_domain,
             }));
             return false;
         }
         let without_majority = self.may_go_unreplicated(trigger);
-        self.replication.permission_requested(sending, ticket);
+        self.replication.permission_requested(serial, ticket);
         out.push(Output::Replication(ReplicationRequest::RequestPermission {
             key,
-            attempt: sending,
+            attempt: serial,
             deduplication_domain,
             without_majority,
         }));
         true
     }
 
-    /// Sends the attempt now.
+    /// Sends the attempt.
     pub(super) fn send(&mut self, ticket: Ticket, out: &mut Vec<Output>) {
         let Some(invocation) = self.invocations.get(ticket.invocation) else {
             return;
@@ -126,12 +130,13 @@
             function: request.function.clone(),
             trigger: request.trigger,
             account: request.account,
-            call: call(invocation, attempt, self.now),
+            call: dispatch_request(invocation, attempt, self.now),
         });
         self.counts.dispatches += 1;
     }
 
-    /// Whether a dispatch may still be sent: asked again right before its first byte, as connecting takes time.
+    /// Whether a dispatch may still be sent. The connection to the worker checks this again right before it writes the
+    /// first byte, as connecting takes time.
     pub fn may_send(&self, now: Micros, ticket: Ticket) -> bool {
         let Some(attempt) = self.invocations.attempt_in_flight(ticket) else {
             return false;
@@ -146,9 +151,10 @@
             && self.within_deduplication_window(now, invocation)
     }
 
-    /// Rule 2 at the moment of sending: workers drop repeats with the same idempotency key only within their window,
-    /// counted from each attempt that may have run. Connecting may take longer than what was left of it when the attempt
-    /// was decided.
+    /// Whether the workers still recognise repeats of the invocation. This enforces safety rule 2 (no effect twice) at
+    /// the moment of sending: workers drop repeats with the same idempotency key only within their window, counted from
+    /// each attempt that may have run. Connecting may take longer than the time that was left when the attempt was
+    /// decided.
     fn within_deduplication_window(&self, now: Micros, invocation: &Invocation) -> bool {
         let Effect::IdempotentByKey { window, .. } =
             self.triggers[invocation.request.trigger as usize].effect
@@ -163,15 +169,15 @@
     }
 }
 
-/// Endings.
+/// Ends of attempts.
 impl Router {
-    /// The dispatch has its timeout, or its invocation's answer is due.
+    /// Ends a dispatch whose timeout has passed, or whose invocation's final answer is due.
     pub(super) fn dispatch_timed_out(&mut self, ticket: Ticket, out: &mut Vec<Output>) {
         let Some(attempt) = self.invocations.attempt_in_flight(ticket) else {
             return;
         };
         if attempt.awaits_permission() {
-            // It waited for permission all the time: nothing can have run.
+            // It still waits for permission, so it was never sent and cannot have run.
             return self.dispatch_not_sent(ticket, out);
         }
         out.push(Output::Cancel(ticket));
@@ -182,7 +188,7 @@
         );
     }
 
-    /// The dispatch ended before it was sent.
+    /// Ends a dispatch that was not sent.
     pub(super) fn dispatch_not_sent(&mut self, ticket: Ticket, out: &mut Vec<Output>) {
         self.dispatch_ended(
             ticket,
@@ -191,7 +197,7 @@
         );
     }
 
-    /// Ends a dispatch. A success is the invocation's answer; anything else the module decides upon.
+    /// Ends a dispatch. A success answers the invocation; for any other outcome the balancer decides what to do next.
     pub(super) fn dispatch_ended(
         &mut self,
         ticket: Ticket,
@@ -199,7 +205,7 @@
         out: &mut Vec<Output>,
     ) {
         let Some(ended) = self.end_attempt(ticket, result.outcome) else {
-            // A worker may answer after the dispatch timed out or was cancelled; that end was reported then.
+            // A worker may answer after the dispatch timed out or was cancelled. Its end was already reported.
             self.counts.too_late += 1;
             return;
         };
@@ -237,7 +243,7 @@
         self.release(index, out);
     }
 
-    /// Marks the attempt as ended; nothing if it had ended before.
+    /// Marks the attempt as ended; returns `None` if it had ended before.
     fn end_attempt(&mut self, ticket: Ticket, outcome: DispatchOutcome) -> Option<EndedAttempt> {
         let invocation = self.invocations.find_mut(ticket.into())?;
         let ended = invocation.end_attempt(ticket.dispatch, self.now, outcome)?;
@@ -261,7 +267,7 @@
         }
     }
 
-    /// Tells the observers what the attempt used of its worker.
+    /// Reports to the observers how the attempt used its worker.
     fn report_attempt_use(
         &mut self,
         index: InvocationIndex,
@@ -297,8 +303,8 @@
         }
     }
 
-    /// Nobody waits here for an orphaned invocation whose attempt failed; whoever has the message now decides what comes
-    /// next.
+    /// Concludes the invocation if it is orphaned, after an attempt of it failed. No delivery waits for it at this
+    /// router; the router that receives the message next decides whether to try again.
     fn conclude_orphaned(&mut self, index: InvocationIndex) {
         let invocation = self.invocations.get(index);
         if invocation.is_some_and(|invocation| invocation.is_orphaned() && invocation.is_open()) {
@@ -308,14 +314,14 @@
     }
 }
 
-fn call(invocation: &Invocation, attempt: &Attempt, now: Micros) -> DispatchRequest {
+fn dispatch_request(invocation: &Invocation, attempt: &Attempt, now: Micros) -> DispatchRequest {
     let request = &invocation.request;
     let time_left = request.answer_due_at - now;
     let already_waited = now - attempt.decided_at;
     let until_timeout = |timeout: Micros| (timeout - already_waited).clamp(0, time_left.max(0));
     DispatchRequest {
-        name: request.mark.clone(),
-        idempotency_key: request.token.clone(),
+        name: request.name.clone(),
+        idempotency_key: request.idempotency_key.clone(),
         time_left,
         timeout: attempt.timeout.map_or(time_left, until_timeout),
         cost_hint: request.cost_hint,
--- a/crates/router/src/core/intake.rs
+++ b/crates/router/src/core/intake.rs
@@ -1,4 +1,4 @@
-//! A message arrives: it is answered at once, joins the open invocation for it, or becomes a new invocation.
+//! Handles an arriving message: it is answered at once, joins an open invocation, or becomes a new invocation.
 
 use std::sync::Arc;
 
@@ -17,37 +17,38 @@
 use crate::replication::{self, Durability, Key, ReplicationState};
 use crate::{Answer, AnswerReason, Delivery, FinalOutcome, IncomingInvocation};
 
-/// Why a message becomes no invocation of its own.
+/// What is done with a message that does not become a new invocation.
 enum Resolution {
-    /// It is answered at once.
+    /// The message is answered at once.
     Answer(Answer),
-    /// The same message was accepted before.
+    /// The same message was accepted before; the delivery waits for its answer, or gets the stored one.
     SameMessage(AnswerSlot),
-    /// Another message with the same idempotency key is open; the answer is due to this one's client at `due`.
+    /// An invocation with the same idempotency key is open, and the delivery joins it. Its own client must be answered
+    /// by `due`.
     SameKey { slot: AnswerSlot, due: Micros },
 }
 
 impl Resolution {
-    fn bare(outcome: FinalOutcome, reason: AnswerReason) -> Self {
+    fn without_body(outcome: FinalOutcome, reason: AnswerReason) -> Self {
         Resolution::Answer(Answer::without_body(outcome, reason))
     }
 }
 
-/// What was decided of a message that becomes an invocation.
+/// Properties of a new invocation that the checks of its message determined.
 struct Acceptance {
-    /// It was admitted before its body was read.
+    /// Whether it was admitted before its body was read.
     admitted: bool,
-    /// How long its client had waited.
+    /// How long its client had waited before the message arrived.
     waited: Micros,
     /// When the final answer is due.
     answer_due_at: Micros,
-    /// No attempt may be sent from then on.
+    /// Time from which on no attempt may be sent, if there is one.
     dispatch_until: Option<Micros>,
     idempotency_key: Option<idempotency_keys::Key>,
     replication: Option<ReplicationState>,
 }
 
-/// Requests that are decided upon before their body is read.
+/// Admission of requests before their body is read.
 impl Router {
     /// Decides whether a request is admitted.
     pub(super) fn request_arrived(
@@ -68,9 +69,9 @@
     }
 }
 
-/// Whole messages.
+/// Acceptance of whole messages.
 impl Router {
-    /// Handles a message that was received.
+    /// Handles a message whose body has been read.
     pub(super) fn message_arrived(&mut self, message: IncomingInvocation, out: &mut Vec<Output>) {
         self.counts.arrived += 1;
         let admitted = self.admission.body_arrived(message.delivery);
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Applies all checks, in an order that matters: what is known of the message comes before what it would cost.
+    /// Applies all checks. The order matters: an answer or invocation that already exists for the message takes
+    /// precedence over the limits.
     fn check(
         &mut self,
         message: &IncomingInvocation,
@@ -88,7 +90,7 @@
     ) -> Result<Acceptance, Resolution> {
         let trigger = self.triggers[message.trigger as usize];
         if let Some((outcome, reason)) = message.predetermined_answer {
-            return Err(Resolution::bare(outcome, reason));
+            return Err(Resolution::without_body(outcome, reason));
         }
         let waited = message.waited.max(0);
         let timeout = message.client_timeout.min(trigger.client_timeout);
@@ -106,11 +108,12 @@
             answer_due_at,
             dispatch_until: dispatch_within.map(|left| self.now + left),
             idempotency_key,
-            replication: durability.map(|(key, need)| ReplicationState::announced(key, need)),
+            replication: durability
+                .map(|(key, durability)| ReplicationState::announced(key, durability)),
         })
     }
 
-    /// What has to be agreed with the group; nothing without one.
+    /// Key and durability with which the invocation is replicated; `None` if it is not, or if there is no group.
     fn required_durability(
         &self,
         message: &IncomingInvocation,
@@ -120,7 +123,8 @@
         replication::required_durability(message, trigger, self.settings.clock_margin)
     }
 
-    /// Whether the message may run, if it was delivered before, and within which time its attempts must be sent.
+    /// Checks whether a message that was delivered before may run. Returns the time within which its attempts must be
+    /// sent, if that is limited.
     fn check_redelivery(
         &mut self,
         message: &IncomingInvocation,
@@ -131,12 +135,12 @@
         let (prior, slot) = self.answers.lookup(message.identity.as_deref());
         let margin = self.settings.clock_margin;
         let decision = match prior {
-            // The group may know more than is known here.
+            // The group decides: another router may have run it.
             PriorDelivery::Nothing | PriorDelivery::NeverRan if replicated => {
                 RedeliveryDecision::UNRESTRICTED
             }
-            // It was rejected here after its channel was lost. Before it came here again it may have run at another
-            // router, which the group knows: the old answer must not be repeated.
+            // The message was rejected here after its channel was lost. Another router may have run it before it was
+            // delivered here again, so the old answer must not be repeated. The group knows whether it ran.
             PriorDelivery::Answered
                 if replicated && slot.is_some_and(|slot| self.answers.was_retracted(slot)) =>
             {
@@ -152,7 +156,7 @@
             (RedeliveryDecision::Accept { dispatch_within }, _) => Ok(dispatch_within),
             (RedeliveryDecision::Refuse, _) => {
                 self.counts.refused_redelivered += 1;
-                Err(Resolution::bare(
+                Err(Resolution::without_body(
                     FinalOutcome::Errored,
                     AnswerReason::MayHaveRun,
                 ))
@@ -160,22 +164,25 @@
         }
     }
 
-    /// The message's idempotency key, unless it is a retry of what is open or was answered under the same one.
+    /// Returns the message's idempotency key, if it has one. A retry of an open or answered invocation with the same
+    /// key is resolved instead.
     fn check_idempotency_key(
         &mut self,
         message: &IncomingInvocation,
         due: Micros,
     ) -> Result<Option<idempotency_keys::Key>, Resolution> {
-        let token = message
+        let idempotency_key = message
             .idempotency_key
             .as_deref()
             .filter(|_| !self.settings.balancer_only);
-        let Some(token) = token else { return Ok(None) };
+        let Some(idempotency_key) = idempotency_key else {
+            return Ok(None);
+        };
         let key = idempotency_keys::key(
             message.account,
             message.trigger,
             message.requested_name(),
-            token,
+            idempotency_key,
         );
         match self.idempotency_keys.status(self.now, &key) {
             KeyStatus::InFlight(slot) => Err(Resolution::SameKey { slot, due }),
@@ -187,8 +194,8 @@
         }
     }
 
-    /// Whether its client still waits. Its time may have run out while the message was queued at a broker; it is then
-    /// never dispatched, but if it was delivered before it may have run.
+    /// Checks whether the client still waits for an answer. The client timeout may have passed while the message was
+    /// queued at a broker. Such a message is never dispatched, but if it was delivered before, it may have run.
     fn check_expiry(
         &self,
         message: &IncomingInvocation,
@@ -204,20 +211,21 @@
         } else {
             FinalOutcome::Throttled
         };
-        Err(Resolution::bare(outcome, AnswerReason::Expired))
+        Err(Resolution::without_body(outcome, AnswerReason::Expired))
     }
 
     fn check_functions(&self, message: &IncomingInvocation) -> Result<(), Resolution> {
         if self.functions.has_capacity_for(&message.function) {
             return Ok(());
         }
-        Err(Resolution::bare(
+        Err(Resolution::without_body(
             FinalOutcome::Errored,
             AnswerReason::Functions,
         ))
     }
 
-    /// Whether its account and its body are within the limits; if so, it counts against them from now on.
+    /// Checks whether the message is within the share of its account and front and the memory for bodies. If so, it
+    /// counts against both from now on.
     fn check_limits(
         &mut self,
         message: &IncomingInvocation,
@@ -234,13 +242,13 @@
             .accept(self.now, arrived)
             .map_err(|exceeded| match exceeded {
                 LimitExceeded::Share => {
-                    Resolution::bare(FinalOutcome::Throttled, AnswerReason::Share)
+                    Resolution::without_body(FinalOutcome::Throttled, AnswerReason::Share)
                 }
                 LimitExceeded::Memory if message.redelivered => {
-                    Resolution::bare(FinalOutcome::Errored, AnswerReason::Size)
+                    Resolution::without_body(FinalOutcome::Errored, AnswerReason::Size)
                 }
                 LimitExceeded::Memory => {
-                    Resolution::bare(FinalOutcome::Throttled, AnswerReason::Size)
+                    Resolution::without_body(FinalOutcome::Throttled, AnswerReason::Size)
                 }
             })
     }
@@ -266,7 +274,8 @@
         }
     }
 
-    /// Makes the message an invocation, of which the module is told now or after the group's verdict.
+    /// Creates an invocation from the message. It is submitted to the balancer at once, or, if it is replicated, after
+    /// the group's decision.
     fn accept(
         &mut self,
         message: IncomingInvocation,
@@ -306,8 +315,8 @@
             account: message.account,
             function_index: self.functions.register(&message.function, profile),
             function: message.function,
-            token: message.idempotency_key,
-            mark: message.name,
+            idempotency_key: message.idempotency_key,
+            name: message.name,
             cost_hint: message.cost_hint,
             load_hint: message.load_hint,
             copy_mb: message.copy_mb,
@@ -317,7 +326,7 @@
             body: message.body,
             waited: acceptance.waited,
             redelivered: message.redelivered,
-            repeat: message.client_retry,
+            client_retry: message.client_retry,
             accepted_at: self.now,
             answer_due_at: acceptance.answer_due_at,
         };
@@ -329,7 +338,7 @@
         ))
     }
 
-    /// Opens the record under which the invocation's answer is given, and registers its idempotency key.
+    /// Opens the record of the invocation's answer, and registers its idempotency key.
     fn open_answer_record(
         &mut self,
         index: InvocationIndex,
--- a/crates/router/src/core/load_orders.rs
+++ b/crates/router/src/core/load_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to load copies at workers, queries for how many are loaded, and what workers report of their copies.
+//! Load orders, queries for the number of loaded copies, and the copies that workers report.
 
 use std::sync::Arc;
 
@@ -15,9 +15,9 @@
 use crate::OrderTicket;
 use crate::observer::{UsageSource, WorkerUsage};
 
-/// Orders.
+/// Load orders.
 impl Router {
-    /// The module wants so many copies to be loaded at a worker; 0 only queries how many are.
+    /// Orders a worker to load `copies` copies, as the balancer decided; 0 only queries how many are loaded.
     pub(super) fn order(
         &mut self,
         worker: WorkerIndex,
@@ -53,12 +53,12 @@
         });
     }
 
-    /// Whether an order may still be sent, as [`Router::may_leave`] for dispatches.
+    /// Whether an order may still be sent; the counterpart of [`Router::may_send`] for load orders.
     pub fn may_send_order(&self, now: Micros, ticket: OrderTicket) -> bool {
         self.orders.is_in_flight(ticket) && self.workers.accepts(now, ticket.worker)
     }
 
-    /// Ends an order; one that had ended before is ignored. `copies` are loaded at the worker now.
+    /// Ends an order; does nothing if it had ended before. `copies` is the number of copies loaded at the worker now.
     pub(super) fn order_ended(
         &mut self,
         ticket: OrderTicket,
@@ -84,7 +84,7 @@
         self.decide(&event, out);
     }
 
-    /// The result of an order is overdue.
+    /// Ends an order whose timeout has passed.
     pub(super) fn order_timed_out(&mut self, ticket: OrderTicket, out: &mut Vec<Output>) {
         self.order_ended(ticket, LoadOrderResult::TimedOut, 0, None, out);
     }
@@ -95,7 +95,7 @@
         self.order_ended(ticket, LoadOrderResult::Loaded, 1, None, out);
     }
 
-    /// Tells the observers what the load used of its worker.
+    /// Reports to the observers how the load order used its worker.
     fn report_order_use(
         &mut self,
         ticket: OrderTicket,
@@ -125,10 +125,10 @@
     }
 }
 
-/// What others than the module want of copies, and what workers report.
+/// Requests for copies that do not come from the balancer, and reports of workers.
 impl Router {
-    /// A copy is wanted at a worker; the module decides whether it is ordered. Nothing is ordered for a function if
-    /// neither it nor the one it is `like` is known here.
+    /// Passes a request for a copy at a worker to the balancer, which decides whether to order it. The request is
+    /// ignored if this router knows neither `function` nor the similar function `like`.
     pub(super) fn copy_wanted(
         &mut self,
         worker: &str,
@@ -161,7 +161,7 @@
         self.plan_term = None;
     }
 
-    /// Idle copies of a function are to be unloaded from a worker.
+    /// Orders a worker to unload its idle copies of a function.
     pub(super) fn copy_unwanted(
         &self,
         worker: &str,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// A worker reports how many copies of a function it has.
+    /// Passes the number of copies that a worker reported to the balancer.
     pub(super) fn copies_reported(
         &mut self,
         worker: &str,
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -1,5 +1,5 @@
-//! What goes into the core and what comes out of it: [`Input`] and [`Output`]. All times are microseconds ([`Micros`]),
-//! all sizes bytes unless a name says otherwise.
+//! The inputs and outputs of the core: [`Input`] and [`Output`]. All times are in microseconds ([`Micros`]), and all
+//! sizes in bytes unless a name says otherwise.
 
 use std::sync::Arc;
 
@@ -21,64 +21,64 @@
 pub enum Input {
     /// A front's connection changed its state.
     FrontChanged {
-        /// Which front.
+        /// The front.
         front: FrontIndex,
-        /// Its state from now on.
+        /// Its new state.
         state: FrontState,
     },
-    /// A request arrived at a front that can reject it before its body is read. If it is admitted, an [`Input::Taken`] or
-    /// [`Input::Departed`] with this delivery follows.
+    /// A request arrived at a front that can reject it before its body is read. If it is admitted, an
+    /// [`Input::MessageArrived`] or [`Input::ClientLeft`] with this delivery follows.
     RequestArrived {
         /// Identifies the request until it is answered or its client has left.
         delivery: Delivery,
-        /// What is known of the request before its body was read.
+        /// What is known of the request before its body is read.
         request: AdmissionRequest,
     },
     /// A whole message or request arrived.
     MessageArrived(IncomingInvocation),
-    /// The answer to this delivery was delivered and cannot be lost any more.
+    /// The answer to this delivery was delivered and can no longer be lost.
     AnswerDelivered(Delivery),
-    /// The client has left; no answer is owed.
+    /// The client of this delivery has left and needs no answer.
     ClientLeft(Delivery),
-    /// The endpoint list, or a change of it.
+    /// The endpoint list, or changes of it.
     EndpointList {
-        /// What `workers` holds.
+        /// Whether `workers` is the complete list, a cached one or only the changes, or the list could not be obtained.
         kind: EndpointListKind,
         /// The workers.
         workers: Vec<ListedWorker>,
     },
-    /// The endpoint list is up to date, and may be relied on until then although nothing more is heard. A front that never
-    /// says so has its list relied on always.
+    /// The endpoint list is up to date, and remains valid until the end of the lease even without further updates. If
+    /// no lease is ever granted, the list is always valid.
     EndpointListLease {
         /// When the lease ends, unless it is renewed.
         until: Micros,
     },
-    /// A dispatch ended, with the worker's answer or without.
+    /// A dispatch ended, with or without an answer from the worker.
     DispatchEnded {
         /// The dispatch, as in [`Output::Send`].
         ticket: Ticket,
         /// How it ended.
         outcome: DispatchOutcome,
-        /// What the answer says of the copy that served it.
+        /// Status of the copy that served the dispatch, as reported in the answer.
         copy_status: CopyStatus,
-        /// Invocations of the same function in flight at the worker when this one arrived, if reported.
+        /// Number of invocations of the same function in flight at the worker when this one arrived, if reported.
         function_load: Option<u32>,
         /// The worker's load report.
         report: LoadReport,
-        /// Memory held so far for its account and function, as the worker reports it.
+        /// Memory held so far for the account and function, as reported by the worker.
         memory_held: Option<MemoryTotals>,
-        /// Body of the worker's answer; used only if it succeeded.
+        /// Body of the worker's answer; used only if the dispatch succeeded.
         body: Payload,
     },
-    /// A load order, or a query for the number of copies, ended.
+    /// A load order, or a query for the number of loaded copies, ended.
     OrderEnded {
         /// The order, as in [`Output::Order`].
         ticket: OrderTicket,
         /// How it ended.
         result: LoadOrderResult,
-        /// Copies that are loaded at the worker now.
+        /// Number of copies that are loaded at the worker now.
         copies: u32,
-        /// Memory held so far for the account and function, as the worker reports it.
+        /// Memory held so far for the account and function, as reported by the worker.
         memory_held: Option<MemoryTotals>,
     },
     /// A health check ended.
@@ -87,86 +87,88 @@
         worker: WorkerIndex,
         /// How the health check ended.
         outcome: DispatchOutcome,
-        /// How long it took.
+        /// Duration of the health check.
         took: Micros,
         /// The worker's load report.
         report: LoadReport,
     },
     /// An event from the group of routers.
     Replication(ReplicationEvent),
-    /// A copy is wanted at a worker beside those that invocations need. The decision module may order it or not.
+    /// A copy of a function is requested at a worker, independently of any invocation. The balancer decides whether to
+    /// order it.
     CopyWanted {
         /// The worker, by its name in the endpoint list.
         worker: Arc<str>,
         /// The function to load.
         function: Arc<str>,
-        /// A known function with similar invocations; used if `function` itself is not known yet.
+        /// A known function with similar invocations, whose properties are used if `function` itself is not known yet.
         like: Arc<str>,
-        /// The term of the upgrade plan that wants it, if one does.
+        /// Term of the upgrade plan that requested it, if one did.
         term: Option<Arc<str>>,
     },
-    /// Idle copies of a function are to be unloaded from a worker.
+    /// Idle copies of a function must be unloaded from a worker.
     CopyUnwanted {
         /// The worker, by its name in the endpoint list.
         worker: Arc<str>,
         /// The function to unload.
         function: Arc<str>,
-        /// The term of the upgrade plan that wants it, if one does.
+        /// Term of the upgrade plan that requested it, if one did.
         term: Option<Arc<str>>,
     },
-    /// The copies that a worker reports.
+    /// A worker reported the number of its copies of a function.
     CopiesReported {
         /// The worker, by its name in the endpoint list.
         worker: Arc<str>,
         /// The function.
         function: Arc<str>,
-        /// Number of its copies.
+        /// Number of copies.
         copies: u32,
     },
-    /// Only time has passed.
+    /// No event; handles the timers that are due.
     Tick,
-    /// Graceful shutdown: accept nothing new and answer what was accepted.
+    /// Graceful shutdown: nothing new is accepted, and accepted invocations are still answered.
     Stop,
 }
 
-/// What is to be done; the outputs of one input are to be carried out in their order.
+/// A task for the caller of the core. The outputs of one input must be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// The final answer to a delivery.
     Answer {
-        /// The delivery it answers.
+        /// The delivery to answer.
         delivery: Delivery,
         /// The answer.
         answer: Answer,
     },
-    /// Whether a request is admitted.
+    /// The decision whether a request is admitted.
     Admission {
-        /// As in [`Input::Knock`].
+        /// The request, as in [`Input::RequestArrived`].
         delivery: Delivery,
         /// The decision.
         decision: AdmissionDecision,
     },
-    /// The same message was delivered twice at once: acknowledge this delivery without an answer of its own.
+    /// Acknowledge this delivery without an answer: the same message was delivered a second time while its first
+    /// delivery still waits.
     Discard(Delivery),
     /// Send a dispatch to a worker.
     Send {
-        /// Identifies the dispatch in [`Input::DispatchEnded`] and [`Output::Withdraw`].
+        /// Identifies the dispatch in [`Input::DispatchEnded`] and [`Output::Cancel`].
         ticket: Ticket,
-        /// Where it goes.
+        /// The worker to send it to.
         worker: WorkerIndex,
-        /// The function it calls.
+        /// The function to run.
         function: Arc<str>,
         /// Trigger type of the invocation.
         trigger: u32,
         /// Account of the invocation.
         account: u32,
-        /// What the dispatch carries.
+        /// Content of the dispatch.
         call: DispatchRequest,
     },
-    /// Cancel a dispatch. The module is told of its end in the same step; what the worker still answers is
-    /// ignored.
+    /// Cancel a dispatch. The balancer is notified of its end in the same step, and an answer that the worker still
+    /// sends is ignored.
     Cancel(Ticket),
-    /// Ask a worker to load copies of a function, or with `copies` 0 only how many are loaded.
+    /// Order a worker to load copies of a function, or, if `copies` is 0, query how many are loaded.
     Order {
         /// Identifies the order in [`Input::OrderEnded`].
         ticket: OrderTicket,
@@ -174,23 +176,23 @@
         function: Arc<str>,
         /// The account whose invocation requested the function last.
         account: u32,
-        /// Copies that are to be loaded; 0 only queries their number.
+        /// Number of copies to load; 0 only queries how many are loaded.
         copies: u32,
-        /// The order times out after this time.
+        /// Timeout of the order.
         within: Micros,
-        /// The term of the upgrade plan that wants it, if one does.
+        /// Term of the upgrade plan that requested it, if one did.
         term: Option<Arc<str>>,
     },
-    /// Ask a worker to unload idle copies of a function.
+    /// Order a worker to unload idle copies of a function.
     Unload {
         /// The worker.
         worker: WorkerIndex,
         /// The function.
         function: Arc<str>,
-        /// The term of the upgrade plan that wants it, if one does.
+        /// Term of the upgrade plan that requested it, if one did.
         term: Option<Arc<str>>,
     },
-    /// Ask a worker for its load report.
+    /// Send a health check to a worker, which answers with its load report.
     Probe {
         /// The worker.
         worker: WorkerIndex,
@@ -199,16 +201,16 @@
     RequestEndpointList,
     /// A request or event for the group of routers.
     Replication(ReplicationRequest),
-    /// How many invocations a front may have in flight.
+    /// Set the limit on the number of invocations that a front may have in flight.
     Grant {
-        /// Which front.
+        /// The front.
         front: FrontIndex,
-        /// The limit; 0: nothing new.
+        /// The limit; 0 means that the front must accept nothing new.
         limit: u32,
     },
 }
 
-/// What a dispatch carries.
+/// The content of a dispatch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DispatchRequest {
     /// The invocation's name as its client gave it.
@@ -219,15 +221,15 @@
     pub time_left: Micros,
     /// Timeout of this dispatch; not more than `time_left`.
     pub timeout: Micros,
-    /// How long the invocation will run, as its client expects.
+    /// Expected execution time, if the client gave a hint.
     pub cost_hint: Option<Micros>,
-    /// How long a copy takes to load, as the client expects.
+    /// Expected time to load a copy, if the client gave a hint.
     pub load_hint: Option<Micros>,
     /// Size of a copy in megabytes.
     pub copy_mb: f64,
     /// Invocations that one copy runs at a time.
     pub lanes: u32,
-    /// The session it belongs to.
+    /// The session that the invocation belongs to.
     pub session: Option<Session>,
     /// The request's body.
     pub body: Payload,
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -1,19 +1,20 @@
-//! The router core: [`Router`] passes events between the parts of its state, and asks the decision module
-//! (`cedarpulley::Balancer`) about every event.
+//! The router core: [`Router`] holds the state of one router, passes every event to the balancer (the decision module,
+//! `cedarpulley::Balancer`) and carries out its actions.
 //!
-//! Call [`Router::handle`] with each [`Input`], and again with [`Input::Tick`] at [`Router::next_due`]; carry out the
-//! [`Output`]s in their order. `messages` defines inputs and outputs, `settings` and `counters` what their names
-//! say. `state` holds the types that own the state, each its part. The other modules handle events:
+//! The caller calls [`Router::handle`] with each [`Input`], and with [`Input::Tick`] at the time that
+//! [`Router::next_due`] returns, and carries out the [`Output`]s in order. `messages` defines the inputs and outputs,
+//! `settings` the settings and `counters` the counters. `state` holds the types that own the parts of the state. The
+//! other modules handle events:
 //!
-//! * `intake`: requests and messages arrive.
-//! * `submission`: the module is told of an invocation.
-//! * `waiting_deliveries`: deliveries join an invocation or leave it.
-//! * `balancer_actions`: the module is called and its actions are carried out.
-//! * `dispatch`: attempts are sent to workers and end.
-//! * `load_orders`: copies are ordered, and workers report theirs.
-//! * `replication`: what is agreed with a group of routers.
-//! * `completion`: the final answer, and the end of an invocation.
-//! * `timers`: what is done as time passes.
+//! * `intake`: accepts or answers requests and messages that arrive.
+//! * `submission`: submits an invocation to the balancer.
+//! * `waiting_deliveries`: handles deliveries that join or leave an open invocation.
+//! * `balancer_actions`: calls the balancer and carries out its actions.
+//! * `dispatch`: sends attempts to workers and handles their results.
+//! * `load_orders`: sends load orders and handles the copies that workers report.
+//! * `replication`: coordinates invocations with the group of routers.
+//! * `completion`: sends the final answer and ends an invocation.
+//! * `timers`: handles timers that fire.
 
 mod balancer_actions;
 mod completion;
@@ -56,18 +57,18 @@
 
 /// The state of one router, free of I/O: the same inputs at the same times give the same outputs.
 pub struct Router {
-    /// The decision module.
+    /// Decides which worker each invocation is sent to.
     balancer: Balancer,
     settings: CoreSettings,
     /// Trigger types by index.
     triggers: Vec<TriggerType>,
-    /// Time of the last input; never goes back.
+    /// Time of the last input in microseconds; never decreases.
     now: Micros,
     invocations: InvocationTable,
     functions: FunctionTable,
     workers: WorkerDirectory,
     orders: LoadOrders,
-    /// Term of the upgrade plan on behalf of which the module is being called now.
+    /// Term of the upgrade plan whose request the balancer is handling; absent otherwise.
     plan_term: Option<Arc<str>>,
     answers: AnswerRegistry,
     idempotency_keys: IdempotencyKeys,
@@ -76,12 +77,13 @@
     timers: TimerQueue,
     serials: SerialNumbers,
     observers: Observers,
-    /// What was decided so far.
+    /// Counters of the decisions since the start.
     pub counts: RouterCounters,
 }
 
 impl Router {
-    /// A router without workers and fronts. `triggers` are the trigger types that the decision module knows, too.
+    /// Creates a router without workers and fronts. `triggers` must be the trigger types that `balancer` was created
+    /// with.
     pub fn new(balancer: Balancer, triggers: Vec<TriggerType>, settings: CoreSettings) -> Self {
         let admission = Admission::new(
             &settings.front_weights,
@@ -109,13 +111,13 @@
         }
     }
 
-    /// Adds an observer, which is notified of all that happens from now on.
+    /// Adds an observer, which is notified of all events from now on.
     pub fn add_observer(&mut self, observer: Box<dyn RouterObserver>) {
         self.observers.add(observer);
     }
 
-    /// Handles what happened at `now`, and all timers that are due by then. Appends what is to be done to `out`, in
-    /// order. A clock that goes back counts as standing still.
+    /// Handles an input that occurred at `now` (in microseconds), and all timers that are due by then. Appends the
+    /// resulting outputs to `out`, in order. If `now` is earlier than that of the last input, the last one is used.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.apply(input, out);
@@ -158,12 +160,12 @@
                 };
                 self.dispatch_ended(ticket, result, out);
             }
-            of_workers => self.apply_of_workers(of_workers, out),
+            worker_input => self.apply_worker_input(worker_input, out),
         }
     }
 
-    /// As [`Router::apply`], of news about workers and the copies that they hold.
-    fn apply_of_workers(&mut self, input: Input, out: &mut Vec<Output>) {
+    /// Passes inputs about workers and their copies to their handlers; [`Router::apply`] handles all others.
+    fn apply_worker_input(&mut self, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::EndpointList { kind, workers } => self.update_workers(kind, &workers, out),
             Input::EndpointListLease { until } => {
@@ -211,7 +213,7 @@
         }
     }
 
-    /// The endpoint list, or a change of it.
+    /// Applies the endpoint list, or changes of it.
     fn update_workers(
         &mut self,
         kind: EndpointListKind,
@@ -226,7 +228,7 @@
         self.decide(&event, out);
     }
 
-    /// Takes over what a health check says of its worker.
+    /// Records the result of a health check.
     fn health_check_ended(&mut self, worker: WorkerIndex, outcome: DispatchOutcome, took: Micros) {
         self.workers.unreserve(worker);
         if outcome == DispatchOutcome::Succeeded {
@@ -236,28 +238,28 @@
         }
     }
 
-    /// When [`Input::Tick`] is next wanted.
+    /// When the next timer is due; [`Router::handle`] must be called with [`Input::Tick`] then.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.next_due()
     }
 
-    /// How much is unfinished: invocations that are owed an answer or have an attempt in flight, or deliveries whose
-    /// answer can still be lost, whichever are more.
+    /// Amount of unfinished work: the number of invocations that have no final answer or have an attempt in flight, or
+    /// the number of deliveries whose answer can still be lost, whichever is larger.
     pub fn unfinished(&self) -> usize {
         self.invocations.len().max(self.answers.undelivered())
     }
 
-    /// The worker's name in the list.
+    /// Name of the worker in the endpoint list.
     pub fn worker_name(&self, worker: WorkerIndex) -> Option<&str> {
         self.workers.name(worker)
     }
 
-    /// The index of the worker with this name in the list.
+    /// Index of the worker with this name in the endpoint list.
     pub fn worker_index(&self, name: &str) -> Option<WorkerIndex> {
         self.workers.find(name)
     }
 
-    /// Names of the functions that are known at present.
+    /// Names of the functions that are currently known.
     pub fn functions(&self) -> impl Iterator<Item = &str> {
         self.functions
             .names()
@@ -266,12 +268,12 @@
             .filter(|name| !name.is_empty())
     }
 
-    /// How many invocations may be in flight at present.
+    /// Current limit on the number of invocations in flight.
     pub fn limit(&self) -> f64 {
         self.admission.limit()
     }
 
-    /// Size of the bodies of all invocations that are open, in bytes.
+    /// Total size of the bodies of all open invocations, in bytes.
     pub fn body_bytes(&self) -> u64 {
         self.admission.body_bytes()
     }
--- a/crates/router/src/core/replication.rs
+++ b/crates/router/src/core/replication.rs
@@ -1,7 +1,7 @@
-//! What the core asks of the group of routers, and what it does with the group's verdicts and permissions.
+//! Sends requests to the group of routers, and handles the group's decisions and permissions.
 //!
-//! A replicated invocation is first announced to the group, which gives a [`Verdict`]. Where the effect demands it, each
-//! of its attempts then waits for the group's permission to be sent ([`DispatchPermission`]).
+//! A replicated invocation is first announced to the group, which replies with a [`ReplicationDecision`]. If its
+//! effect requires it, each of its attempts then waits for the group's permission to be sent ([`DispatchPermission`]).
 
 use cedarpulley::interface::{Effect, Event, InvocationIndex, Micros};
 
@@ -15,19 +15,21 @@
 };
 use crate::{Answer, AnswerReason, FinalOutcome, Ticket};
 
-/// Announcements and verdicts.
+/// Announcements of invocations, and the group's decisions.
 impl Router {
-    /// Handles what the group says. It may speak of an invocation that is over here by now.
+    /// Handles an event from the group. Events for invocations that are already over at this router are ignored.
     pub(super) fn replication_event(&mut self, event: ReplicationEvent, out: &mut Vec<Output>) {
         match event {
             ReplicationEvent::Permission { attempt, result } => {
                 self.permission_answered(attempt, result, out)
             }
-            ReplicationEvent::Decision { key, decision } => self.verdict_given(&key, decision, out),
+            ReplicationEvent::Decision { key, decision } => {
+                self.decision_received(&key, decision, out)
+            }
         }
     }
 
-    /// Announces a new invocation to the group, upon which a verdict follows.
+    /// Announces a new invocation to the group, which replies with a decision.
     pub(super) fn announce(
         &mut self,
         index: InvocationIndex,
@@ -43,12 +45,13 @@
             .announce(key.clone(), self.invocations.handle(index));
         out.push(Output::Replication(ReplicationRequest::Announce {
             key,
-            durability: replication.need,
+            durability: replication.durability,
             redelivered,
         }));
     }
 
-    /// Tells the group that nobody waits for the invocation here any more, unless a success was shared.
+    /// Notifies the group that no delivery waits for the invocation at this router any more, unless the group has its
+    /// successful answer.
     pub(super) fn leave_replication(
         &mut self,
         index: InvocationIndex,
@@ -61,16 +64,21 @@
         }
     }
 
-    fn verdict_given(&mut self, key: &Key, verdict: ReplicationDecision, out: &mut Vec<Output>) {
+    fn decision_received(
+        &mut self,
+        key: &Key,
+        decision: ReplicationDecision,
+        out: &mut Vec<Output>,
+    ) {
         let Some(handle) = self.replication.announced(key) else {
             return;
         };
         let invocation = self.invocations.find(handle);
-        if !invocation.is_some_and(Invocation::awaits_verdict) {
+        if !invocation.is_some_and(Invocation::awaits_replication_decision) {
             return;
         }
         let index = handle.index;
-        match verdict {
+        match decision {
             ReplicationDecision::RunHere { first_attempt_ago } => {
                 self.permit(index, first_attempt_ago, out)
             }
@@ -90,12 +98,17 @@
         }
     }
 
-    /// The invocation may run here. `first_ago` as in [`Verdict::Go`].
-    fn permit(&mut self, index: InvocationIndex, first_ago: Option<Micros>, out: &mut Vec<Output>) {
+    /// Submits an invocation that may run at this router. `first_attempt_ago` as in [`ReplicationDecision::RunHere`].
+    fn permit(
+        &mut self,
+        index: InvocationIndex,
+        first_attempt_ago: Option<Micros>,
+        out: &mut Vec<Output>,
+    ) {
         let Some(invocation) = self.invocations.get(index) else {
             return;
         };
-        let window_left = self.deduplication_window_left(invocation, first_ago);
+        let window_left = self.deduplication_window_left(invocation, first_attempt_ago);
         if window_left.is_some_and(|left| left <= 0) {
             return self.refuse_as_may_have_run(index, out);
         }
@@ -106,28 +119,31 @@
         self.submit_to_balancer(index, out);
     }
 
-    /// For how long workers surely recognise repeats of it; absent where they need not.
+    /// Remaining time in which the workers are certain to recognise repeats of the invocation; `None` if the time is
+    /// not limited.
     fn deduplication_window_left(
         &self,
         invocation: &Invocation,
-        first_ago: Option<Micros>,
+        first_attempt_ago: Option<Micros>,
     ) -> Option<Micros> {
         let request = &invocation.request;
         let Effect::IdempotentByKey { window, .. } = self.triggers[request.trigger as usize].effect
         else {
             return None;
         };
-        // The group's clocks tell how long ago the first attempt was sent.
-        if let Some(ago) = first_ago {
+        // The group's clocks measure how long ago the first attempt was sent.
+        if let Some(ago) = first_attempt_ago {
             return Some(window - ago);
         }
-        // Without them only the client's clock bounds it.
-        let need = invocation.replication().map(|replication| replication.need);
-        let by_client = request.redelivered && need == Some(Durability::Notified);
-        by_client.then(|| window - request.waited - self.settings.clock_margin)
+        // Otherwise only the time at which the client sent the message bounds the time of the first attempt.
+        let durability = invocation
+            .replication()
+            .map(|replication| replication.durability);
+        let bounded_by_client = request.redelivered && durability == Some(Durability::Notified);
+        bounded_by_client.then(|| window - request.waited - self.settings.clock_margin)
     }
 
-    /// No attempt of the invocation may be sent from `until` on.
+    /// Prevents attempts of the invocation from being sent at or after `until`.
     fn limit_dispatches(&mut self, index: InvocationIndex, until: Micros) {
         if let Some(invocation) = self.invocations.get_mut(index) {
             invocation.limit_dispatches(until);
@@ -155,16 +171,16 @@
         self.final_answer(index, FinalOutcome::Errored, AnswerReason::MayHaveRun, out);
     }
 
-    /// The group has no majority: the invocation runs without it if its operator accepts that and no other router can
-    /// have had it; otherwise not at all.
+    /// Handles that the group has no majority. The invocation runs without the group if the operator allows it and no
+    /// other router can have received the message; otherwise it is answered without running.
     fn handle_no_majority(&mut self, index: InvocationIndex, out: &mut Vec<Output>) {
         let Some(invocation) = self.invocations.get(index) else {
             return;
         };
         let redelivered = invocation.request.redelivered;
-        let first_here =
+        let first_delivery =
             !redelivered && invocation.replication_stage() == Some(ReplicationStage::Announced);
-        if first_here && self.may_go_unreplicated(invocation.request.trigger) {
+        if first_delivery && self.may_go_unreplicated(invocation.request.trigger) {
             self.set_replication_stage(index, ReplicationStage::Unreplicated);
             return self.submit_to_balancer(index, out);
         }
@@ -177,21 +193,21 @@
         self.final_answer(index, outcome, AnswerReason::NoMajority, out);
     }
 
-    /// Whether invocations of this trigger type run without a majority, as the operator accepts.
+    /// Whether the operator allows invocations of this trigger type to run without a majority.
     pub(super) fn may_go_unreplicated(&self, trigger: u32) -> bool {
-        let sharing = self.settings.replication.as_ref();
-        let alone = sharing.and_then(|sharing| sharing.without_majority.get(trigger as usize));
-        alone == Some(&true)
+        let settings = self.settings.replication.as_ref();
+        let allowed = settings.and_then(|settings| settings.without_majority.get(trigger as usize));
+        allowed == Some(&true)
     }
 }
 
 /// Permission to send attempts.
 impl Router {
-    /// The group's answer to [`Ask::Leave`].
+    /// Handles the group's reply to [`ReplicationRequest::RequestPermission`].
     fn permission_answered(
         &mut self,
         serial: u64,
-        answer: Result<bool, PermissionRefusal>,
+        result: Result<bool, PermissionRefusal>,
         out: &mut Vec<Output>,
     ) {
         let Some(ticket) = self.replication.end_request(serial) else {
@@ -200,17 +216,25 @@
         if self.invocations.attempt_in_flight(ticket).is_none() {
             return;
         }
-        match answer {
-            Ok(alone) => self.permission_granted(ticket, alone, out),
+        match result {
+            Ok(without_majority) => self.permission_granted(ticket, without_majority, out),
             Err(refusal) => self.permission_refused(ticket.invocation, refusal, out),
         }
     }
 
-    /// `alone`: without a majority, as the operator accepts.
-    fn permission_granted(&mut self, ticket: Ticket, alone: bool, out: &mut Vec<Output>) {
+    /// Sends an attempt that was permitted. `without_majority`: the operator allows it to be sent without a majority,
+    /// and the group has none.
+    fn permission_granted(
+        &mut self,
+        ticket: Ticket,
+        without_majority: bool,
+        out: &mut Vec<Output>,
+    ) {
         if let Some(invocation) = self.invocations.find_mut(ticket.into()) {
             invocation.grant_permission(ticket.dispatch, self.now);
-            if alone && invocation.replication_stage() == Some(ReplicationStage::Permitted) {
+            if without_majority
+                && invocation.replication_stage() == Some(ReplicationStage::Permitted)
+            {
                 invocation.set_replication_stage(ReplicationStage::Unreplicated);
             }
         }
@@ -236,7 +260,7 @@
         }
     }
 
-    /// Tells the module that the client left. Attempts that wait for permission were never sent.
+    /// Reports to the balancer that the client left. Attempts that wait for permission end as not sent.
     pub(super) fn withdraw_from_balancer(&mut self, index: InvocationIndex, out: &mut Vec<Output>) {
         let Some(invocation) = self.invocations.get_mut(index) else {
             return;
@@ -253,8 +277,8 @@
         }
     }
 
-    /// Whether permission is not needed (any more), or was granted and has not expired. A process that was stopped with
-    /// a permission may resume when other routers have long answered.
+    /// Whether an attempt needs no permission, or has one that has not expired. Permissions expire because a process
+    /// that is paused while it holds one may resume after other routers have answered the invocation.
     pub(super) fn is_permitted(&self, now: Micros, permission: DispatchPermission) -> bool {
         match permission {
             DispatchPermission::NotNeeded => true,
@@ -263,7 +287,7 @@
                 .settings
                 .replication
                 .as_ref()
-                .is_some_and(|sharing| now - at <= sharing.permission_validity),
+                .is_some_and(|settings| now - at <= settings.permission_validity),
         }
     }
 }
--- a/crates/router/src/core/settings.rs
+++ b/crates/router/src/core/settings.rs
@@ -1,28 +1,28 @@
-//! The settings of the core.
+//! The settings of the router core.
 
 use cedarpulley::interface::Micros;
 
 use crate::replication::ReplicationSettings;
 
-/// Settings of the core beside those that the decision module is created with.
+/// Settings of the core, apart from those that the balancer is created with. All times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct CoreSettings {
-    /// The final answer is due this long before the client's timeout: the front needs that time to send it.
+    /// Time before the client timeout at which the final answer is due; the front needs this time to send it.
     pub answer_margin: Micros,
     /// Largest difference expected between a client's clock and this router's.
     pub clock_margin: Micros,
-    /// Limit for the bodies of all invocations that are open, in bytes.
+    /// Limit on the total size of the bodies of all open invocations, in bytes.
     pub memory_bytes: u64,
     /// Weight of each front relative to the others, by front index.
     pub front_weights: Vec<f64>,
     /// Share of each account, by account index; empty if all invocations belong to one account.
     pub account_shares: Vec<f64>,
-    /// An order without a result after this time ends as timed out.
+    /// Timeout of load orders.
     pub order_timeout: Micros,
-    /// Only the decision module decides: no shares between accounts and no joining by idempotency key. The bounds on
-    /// memory and functions still apply.
+    /// Only the balancer decides: no shares between accounts are enforced, and retries do not join invocations by
+    /// idempotency key. The limits on memory and on the number of functions still apply.
     pub balancer_only: bool,
-    /// How long new dispatches may still be sent to a worker after it was reported draining.
+    /// How long new dispatches may still be sent to a worker after it was reported as draining.
     pub drain_grace: Micros,
     /// Set if this router is a member of a group that shares its invocations.
     pub replication: Option<ReplicationSettings>,
--- a/crates/router/src/core/state/admission.rs
+++ b/crates/router/src/core/state/admission.rs
@@ -1,5 +1,5 @@
-//! The limits on what is accepted: requests that are decided upon before their body is read, messages from brokers,
-//! and the memory for their bodies.
+//! The limits on accepted work: on requests that are admitted or rejected before their body is read, on messages from
+//! brokers, and on the memory for their bodies.
 
 use std::collections::HashMap;
 
@@ -12,7 +12,7 @@
 /// A request that was admitted before its body was read, and has not left yet.
 struct AdmittedRequest {
     account: u32,
-    /// Size of its body until that has arrived, in bytes; then 0.
+    /// Size of its body in bytes while the body has not arrived; 0 from then on.
     pending_bytes: u64,
 }
 
@@ -20,7 +20,7 @@
 #[derive(Default)]
 struct AdmittedRequests {
     requests: HashMap<Delivery, AdmittedRequest>,
-    /// Sum over all requests.
+    /// Sum of `pending_bytes` over all requests, in bytes.
     pending_bytes: u64,
 }
 
@@ -51,9 +51,9 @@
     pub(crate) front: FrontIndex,
     pub(crate) account: u32,
     pub(crate) body_bytes: usize,
-    /// It was admitted before its body was read, and is counted already.
+    /// Whether it was admitted before its body was read, and already counts against the limits.
     pub(crate) admitted: bool,
-    /// Its account's share applies to it.
+    /// Whether the message is rejected if its account or front exceeds its share.
     pub(crate) share_applies: bool,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl Admission {
-    /// Arguments as of [`ConcurrencyLimiter::new`].
+    /// Creates the limits. The arguments are those of [`ConcurrencyLimiter::new`].
     pub(crate) fn new(front_weights: &[f64], account_weights: &[f64], memory_bytes: u64) -> Self {
         Admission {
             limiter: ConcurrencyLimiter::new(front_weights, account_weights, memory_bytes),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Decides upon a request before its body is read.
+    /// Decides whether to admit a request before its body is read.
     pub(crate) fn decide(
         &mut self,
         now: Micros,
@@ -117,12 +117,13 @@
         decision
     }
 
-    /// The body of a message has arrived. Whether the message was admitted before.
+    /// Records that the body of a message has arrived. Returns whether the request was admitted before its body was
+    /// read.
     pub(crate) fn body_arrived(&mut self, delivery: Delivery) -> bool {
         self.admitted.body_arrived(delivery)
     }
 
-    /// The request has left, answered or not, and no longer counts against the limits.
+    /// Handles that a request was answered or its client left; it no longer counts against the limits.
     pub(crate) fn request_left(&mut self, delivery: Delivery) {
         if let Some(request) = self.admitted.remove(delivery) {
             self.limiter.departed(delivery.front, request.account);
@@ -139,7 +140,8 @@
         if !message.admitted {
             self.limiter.arrived(now, front, account);
         }
-        // Without this one account's flood fills the queue, and the messages of all other accounts are late behind it.
+        // Without this check, an account that floods the router fills the queue, and the messages of all other accounts
+        // behind it are late.
         if message.share_applies && self.limiter.over_share(now, front, account) {
             return Err(LimitExceeded::Share);
         }
@@ -150,7 +152,8 @@
         Ok(())
     }
 
-    /// An accepted invocation ended. `admitted` as in [`ArrivedMessage`]: it counts until its request has left.
+    /// Handles the end of an accepted invocation. If it was `admitted` before its body was read, it counts against the
+    /// limits until its request has left.
     pub(crate) fn ended(&mut self, now: Micros, ended: EndedInvocation, admitted: bool) {
         if !admitted {
             self.limiter.departed(ended.front, ended.account);
@@ -159,27 +162,27 @@
         self.control.answered(now);
     }
 
-    /// A front's connection changed its state.
+    /// Handles a change of the state of a front's connection.
     pub(crate) fn front_changed(&mut self, front: FrontIndex, state: FrontState) {
         self.limiter.front_changed(front, state);
     }
 
-    /// Graceful shutdown: nothing new is to be accepted.
+    /// Starts the graceful shutdown: nothing new is accepted from now on.
     pub(crate) fn stop(&mut self) {
         self.limiter.stop();
     }
 
-    /// As [`ConcurrencyLimiter::changed_grants`].
+    /// Reports changed grants, as [`ConcurrencyLimiter::changed_grants`].
     pub(crate) fn changed_grants(&mut self, notify: impl FnMut(FrontIndex, u32)) {
         self.limiter.changed_grants(notify);
     }
 
-    /// The limit on invocations in flight.
+    /// The current limit on invocations in flight.
     pub(crate) fn limit(&self) -> f64 {
         self.limiter.limit()
     }
 
-    /// Size of all bodies held, in bytes.
+    /// Total size of all bodies held, in bytes.
     pub(crate) fn body_bytes(&self) -> u64 {
         self.limiter.body_bytes()
     }
--- a/crates/router/src/core/state/attempt.rs
+++ b/crates/router/src/core/state/attempt.rs
@@ -1,46 +1,46 @@
-//! One attempt to have a worker run an invocation.
+//! An attempt to run an invocation at a worker.
 
 use cedarpulley::interface::{DispatchOutcome, Micros, WorkerIndex};
 
 use crate::replication::DispatchPermission;
 
-/// How far an attempt is, and what its end proves.
+/// Whether an attempt has ended, and whether the worker can have run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptOutcome {
-    /// It has not ended: it is at the worker, on its way there, or waits for permission to be sent.
+    /// The attempt has not ended: it is at the worker, on its way there, or waits for permission to be sent.
     InFlight,
-    /// It ended, and the worker did not run it.
+    /// The attempt ended, and the worker did not run it.
     NotExecuted,
-    /// It ended, and the worker may have run it.
+    /// The attempt ended, and the worker may have run it.
     Indeterminate,
 }
 
-/// One attempt (dispatch) to have a worker run the invocation.
+/// An attempt (dispatch) to run an invocation at a worker.
 pub(crate) struct Attempt {
     pub(crate) worker: WorkerIndex,
-    /// When the module decided it.
+    /// When the balancer decided on the attempt.
     pub(crate) decided_at: Micros,
     pub(crate) outcome: AttemptOutcome,
-    /// Timeout counted from `decided_at`; absent: it ends when the answer is due.
+    /// Timeout, counted from `decided_at`. If it is absent, the attempt ends when the final answer is due.
     pub(crate) timeout: Option<Micros>,
-    /// Number by which the group knows this attempt.
+    /// Number of the attempt in requests to the group.
     pub(crate) serial: u64,
     /// Whether the group's permission is needed, requested or granted.
     pub(crate) permission: DispatchPermission,
 }
 
 impl Attempt {
-    /// It has not ended.
+    /// Whether the attempt has not ended.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.outcome == AttemptOutcome::InFlight
     }
 
-    /// The group permits it.
+    /// Records that the group granted permission to send the attempt.
     pub(crate) fn grant_permission(&mut self, now: Micros) {
         self.permission = DispatchPermission::Granted(now);
     }
 
-    /// It ends. What is known of it then.
+    /// Marks the attempt as ended, and returns what is known of it.
     pub(crate) fn end(&mut self, now: Micros, outcome: DispatchOutcome) -> EndedAttempt {
         self.outcome = if outcome.not_executed() {
             AttemptOutcome::NotExecuted
@@ -56,13 +56,13 @@
         }
     }
 
-    /// It may have run at a worker, or may run yet.
+    /// Whether the attempt may have run at a worker, or may still run.
     pub(crate) fn may_have_run(&self) -> bool {
         self.outcome != AttemptOutcome::NotExecuted
             && self.permission != DispatchPermission::Requested
     }
 
-    /// It waits for the group's permission: nothing of it can have reached a worker.
+    /// Whether the attempt waits for the group's permission. It has not been sent then, and cannot have run.
     pub(crate) fn awaits_permission(&self) -> bool {
         self.is_in_flight() && self.permission == DispatchPermission::Requested
     }
@@ -73,7 +73,7 @@
 pub(crate) struct EndedAttempt {
     pub(crate) worker: WorkerIndex,
     pub(crate) took: Micros,
-    /// Number by which the group knows it.
+    /// Number of the attempt in requests to the group.
     pub(crate) serial: u64,
     pub(crate) may_have_run: bool,
 }
--- a/crates/router/src/core/state/functions.rs
+++ b/crates/router/src/core/state/functions.rs
@@ -6,11 +6,11 @@
 use cedarpulley::ids::Interner;
 use cedarpulley::interface::FunctionIndex;
 
-/// Functions known at once at most: the decision module stores a few figures of each function for
-/// every worker.
+/// Maximum number of functions known at a time. It bounds the memory of the balancer, which stores a few figures of
+/// each function for every worker.
 const MAX_FUNCTIONS: usize = 20_000;
 
-/// Properties of a function, as of its last invocation or of the function that it was said to be like.
+/// Properties of a function, taken from its last invocation or from the similar function named in a request for a copy.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FunctionProfile {
     pub(crate) account: u32,
@@ -22,28 +22,28 @@
 }
 
 impl FunctionProfile {
-    /// Of an index that was never given to a function.
+    /// Profile for an index that was never assigned to a function.
     const UNUSED: FunctionProfile = FunctionProfile {
         account: 0,
         copy_mb: 0.0,
         lanes: 1,
         trigger: 0,
     };
-    /// Of a function that no invocation has requested.
+    /// Profile of a function that no invocation has requested.
     pub(crate) const UNKNOWN: FunctionProfile = FunctionProfile {
         account: u32::MAX,
         ..FunctionProfile::UNUSED
     };
 }
 
-/// Functions by index; the index of a forgotten function is given out again.
+/// Functions by index; the index of a forgotten function is reused.
 #[derive(Default)]
 pub(crate) struct FunctionTable {
     indices: Interner<String>,
-    /// By index; empty where the function was forgotten.
+    /// Names by index; empty for a forgotten function.
     names: Vec<Arc<str>>,
     profiles: Vec<FunctionProfile>,
-    /// Functions that the decision module was told of by an invocation, and that it has not forgotten.
+    /// Functions that the balancer knows from an invocation and has not released.
     known_to_balancer: HashSet<FunctionIndex>,
 }
 
@@ -53,12 +53,12 @@
         self.indices.find(name)
     }
 
-    /// Whether this function is known, or another one may still be added.
+    /// Whether the function is known already, or can be added within the maximum number of functions.
     pub(crate) fn has_capacity_for(&self, name: &str) -> bool {
         self.find(name).is_some() || self.indices.len() < MAX_FUNCTIONS
     }
 
-    /// Adds the function if it is new, and notes its profile.
+    /// Adds the function if it is new, and stores its profile.
     pub(crate) fn register(&mut self, name: &Arc<str>, profile: FunctionProfile) -> FunctionIndex {
         let function = self.indices.intern(name.as_ref());
         let index = function as usize;
@@ -76,22 +76,22 @@
         self.profiles.get(function as usize).copied()
     }
 
-    /// The name of a function that the decision module speaks of.
+    /// The name of a function that has an index.
     pub(crate) fn name(&self, function: FunctionIndex) -> Arc<str> {
         self.names[function as usize].clone()
     }
 
-    /// All names by index; empty where the function was forgotten.
+    /// All names by index; empty for a forgotten function.
     pub(crate) fn names(&self) -> &[Arc<str>] {
         &self.names
     }
 
-    /// Notes that the decision module is told of the function by an invocation; true the first time.
+    /// Records that the balancer receives an invocation of the function; returns true the first time.
     pub(crate) fn mark_known_to_balancer(&mut self, function: FunctionIndex) -> bool {
         self.known_to_balancer.insert(function)
     }
 
-    /// The decision module has forgotten the function; its index may be given out again.
+    /// Removes a function that the balancer has released; its index may be reused.
     pub(crate) fn forget(&mut self, function: FunctionIndex) {
         self.known_to_balancer.remove(&function);
         self.indices.release(function);
--- a/crates/router/src/core/state/invocation.rs
+++ b/crates/router/src/core/state/invocation.rs
@@ -12,7 +12,7 @@
 use crate::replication::{DispatchPermission, Durability, ReplicationStage, ReplicationState};
 use crate::{FrontIndex, Payload, Session, Ticket};
 
-/// Refers to one invocation, even after its index was reused for another one.
+/// Identifies one invocation uniquely, even if its index is reused for another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct InvocationHandle {
     pub(crate) index: InvocationIndex,
@@ -40,20 +40,20 @@
     }
 }
 
-/// What an invocation asks for; it does not change after it was accepted.
+/// The request of an invocation, which does not change after it was accepted.
 pub(crate) struct AcceptedRequest {
     pub(crate) front: FrontIndex,
-    /// It was admitted before its body was read; it then counts against the limits until its front says that it has
-    /// left, not until it is answered.
+    /// Whether it was admitted before its body was read. If so, it counts against the limits until its front reports
+    /// that the answer was delivered or the client left, not until it is answered.
     pub(crate) admitted: bool,
     pub(crate) trigger: u32,
     pub(crate) account: u32,
     pub(crate) function: Arc<str>,
     pub(crate) function_index: FunctionIndex,
     /// The idempotency key by which workers recognise repeats.
-    pub(crate) token: Option<Arc<str>>,
-    /// The invocation's name as its client gave it.
-    pub(crate) mark: Option<Arc<str>>,
+    pub(crate) idempotency_key: Option<Arc<str>>,
+    /// Name of the invocation, given by its client.
+    pub(crate) name: Option<Arc<str>>,
     pub(crate) cost_hint: Option<Micros>,
     pub(crate) load_hint: Option<Micros>,
     /// Size of a copy of its function, in megabytes.
@@ -61,46 +61,47 @@
     /// Invocations that one copy runs at a time; at least 1.
     pub(crate) lanes: u32,
     pub(crate) session: Option<Session>,
-    /// Name of the worker where its session is warm.
+    /// Name, in the endpoint list, of the worker that holds the state of its session.
     pub(crate) preferred_worker: Option<Arc<str>>,
     pub(crate) body: Payload,
-    /// How long its client had waited when it was accepted.
+    /// How long its client had already waited when it was accepted.
     pub(crate) waited: Micros,
-    /// The message was delivered before.
+    /// Whether its message was delivered before.
     pub(crate) redelivered: bool,
-    /// Its client marks it as a retry.
-    pub(crate) repeat: bool,
+    /// Whether its client marked it as a retry.
+    pub(crate) client_retry: bool,
     pub(crate) accepted_at: Micros,
     /// When the final answer is due.
     pub(crate) answer_due_at: Micros,
 }
 
-/// Who waits for an invocation's answer at this router.
+/// Whether a delivery waits for an invocation's answer at this router.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Waiting {
-    /// A delivery.
+enum DeliveryState {
+    /// A delivery waits for the answer.
     Attached,
-    /// Nobody: its front lost its connection, and the message has not been delivered again yet.
+    /// No delivery waits: its front lost its connection, and the message has not been delivered again.
     Orphaned,
 }
 
 /// One invocation that this router has accepted, until it has its final answer and all its attempts have ended.
 pub(crate) struct Invocation {
     pub(crate) request: AcceptedRequest,
-    /// Where its answer is registered; absent once that record was forgotten.
+    /// Slot of its answer record; absent if the record was dropped.
     answer_slot: Option<AnswerSlot>,
-    /// By which retries of its client are recognised, until it is over.
+    /// Key by which retries of its client are recognised; absent once it is concluded or its answer record was dropped.
     idempotency_key: Option<idempotency_keys::Key>,
-    /// No attempt may be sent from then on, where workers forget repeats by that time.
+    /// Time from which on no attempt may be sent, as the workers may no longer recognise repeats; absent if there is
+    /// none.
     dispatch_until: Option<Micros>,
-    /// It has its final answer, or none is owed any more.
+    /// Whether it has its final answer, or no longer needs one.
     concluded: bool,
-    waiting: Waiting,
-    /// It was orphaned once while replicated to the group, which may have given it to another router.
+    delivery_state: DeliveryState,
+    /// Whether it was orphaned once while it was replicated. The group may have let another router run it meanwhile.
     was_orphaned_while_replicated: bool,
-    /// The decision module was told of it, and not that its client left.
+    /// Whether it was submitted to the balancer, and not withdrawn since.
     known_to_balancer: bool,
-    /// Absent if it is not replicated to the group.
+    /// State of its replication; absent if it is not replicated.
     replication: Option<ReplicationState>,
     attempts: Vec<Attempt>,
 }
@@ -118,7 +119,7 @@
             idempotency_key,
             dispatch_until,
             concluded: false,
-            waiting: Waiting::Attached,
+            delivery_state: DeliveryState::Attached,
             was_orphaned_while_replicated: false,
             known_to_balancer: false,
             replication,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Where its answer is registered.
+    /// Slot of its answer record.
     pub(crate) fn answer_slot(&self) -> Option<AnswerSlot> {
         self.answer_slot
     }
@@ -139,43 +140,43 @@
         self.idempotency_key.as_ref()
     }
 
-    /// Its key, which from now on no longer leads to it.
+    /// Removes and returns its idempotency key.
     pub(crate) fn take_idempotency_key(&mut self) -> Option<idempotency_keys::Key> {
         self.idempotency_key.take()
     }
 
-    /// Its final answer is still owed.
+    /// Whether its final answer has yet to be given.
     pub(crate) fn is_open(&self) -> bool {
         !self.concluded
     }
 
-    /// It has its final answer, or none is owed any more.
+    /// Marks that it has its final answer, or no longer needs one.
     pub(crate) fn conclude(&mut self) {
         self.concluded = true;
     }
 
-    /// Its final answer is not owed any more and all its attempts have ended.
+    /// Whether it is concluded and all its attempts have ended.
     pub(crate) fn is_over(&self) -> bool {
         self.concluded && !self.has_attempt_in_flight()
     }
 
-    /// No delivery waits for it any more.
+    /// Records that no delivery waits for it any more.
     pub(crate) fn orphan(&mut self) {
-        self.waiting = Waiting::Orphaned;
+        self.delivery_state = DeliveryState::Orphaned;
     }
 
     pub(crate) fn is_orphaned(&self) -> bool {
-        self.waiting == Waiting::Orphaned
+        self.delivery_state == DeliveryState::Orphaned
     }
 
-    /// A client's retry waits for the same answer.
+    /// Records that a client's retry waits for its answer.
     pub(crate) fn join(&mut self) {
-        self.waiting = Waiting::Attached;
+        self.delivery_state = DeliveryState::Attached;
     }
 
-    /// Its message was delivered again after its front had lost its connection.
+    /// Records that its message was delivered again after its front had lost its connection.
     pub(crate) fn rejoin(&mut self) {
-        self.waiting = Waiting::Attached;
+        self.delivery_state = DeliveryState::Attached;
         self.was_orphaned_while_replicated = self.replication.is_some();
     }
 
@@ -187,12 +188,12 @@
         self.known_to_balancer
     }
 
-    /// Sets whether the decision module knows it, and returns whether it did before.
+    /// Sets whether the balancer knows it, and returns the previous value.
     pub(crate) fn set_known_to_balancer(&mut self, known: bool) -> bool {
         std::mem::replace(&mut self.known_to_balancer, known)
     }
 
-    /// No attempt may be sent from this time on.
+    /// Time from which on no attempt may be sent, if there is one.
     pub(crate) fn dispatch_until(&self) -> Option<Micros> {
         self.dispatch_until
     }
@@ -230,15 +231,16 @@
         }
     }
 
-    /// The group knows its success from now on. Its state, if that is new.
+    /// Records that the group has its successful answer. Returns its replication state the first time, `None` after
+    /// that.
     pub(crate) fn mark_answer_shared(&mut self) -> Option<&ReplicationState> {
         let replication = self.replication.as_mut()?;
         let is_new = !std::mem::replace(&mut replication.answered, true);
         is_new.then_some(replication)
     }
 
-    /// The group has yet to say what becomes of it.
-    pub(crate) fn awaits_verdict(&self) -> bool {
+    /// Whether it is open and waits for a decision of the group.
+    pub(crate) fn awaits_replication_decision(&self) -> bool {
         let stage = self.replication_stage();
         self.is_open()
             && matches!(
@@ -247,7 +249,7 @@
             )
     }
 
-    /// Another router may have run it, or may run it yet.
+    /// Whether another router may have run it, or may still run it.
     pub(crate) fn may_run_elsewhere(&self) -> bool {
         let stage = self.replication_stage();
         let announced_again =
@@ -260,7 +262,7 @@
     /// Whether each attempt needs the group's permission to be sent.
     fn needs_permission(&self) -> bool {
         self.replication.as_ref().is_some_and(|replication| {
-            replication.need == Durability::MajorityStored
+            replication.durability == Durability::MajorityStored
                 && replication.stage == ReplicationStage::Permitted
         })
     }
@@ -268,7 +270,7 @@
 
 /// Attempts.
 impl Invocation {
-    /// Adds an attempt that was decided now, and returns its number.
+    /// Adds an attempt that is decided at `now`, and returns its number.
     pub(crate) fn add_attempt(
         &mut self,
         now: Micros,
@@ -308,7 +310,7 @@
             .filter(|attempt| attempt.is_in_flight())
     }
 
-    /// The group permits an attempt. False if it has ended.
+    /// Records that the group granted permission for an attempt. Returns false if the attempt has ended.
     pub(crate) fn grant_permission(&mut self, number: u32, now: Micros) -> bool {
         let Some(attempt) = self.attempt_in_flight(number) else {
             return false;
@@ -317,7 +319,7 @@
         true
     }
 
-    /// Marks the attempt as ended; nothing if it had ended before.
+    /// Marks the attempt as ended; returns `None` if it had ended before.
     pub(crate) fn end_attempt(
         &mut self,
         number: u32,
@@ -328,28 +330,28 @@
             .map(|attempt| attempt.end(now, outcome))
     }
 
-    /// An attempt has not ended.
+    /// Whether an attempt has not ended.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// An attempt has not ended and may be on its way to a worker.
+    /// Whether an attempt has not ended and may be on its way to a worker.
     pub(crate) fn has_attempt_sent(&self) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.is_in_flight() && !attempt.awaits_permission())
     }
 
-    /// An attempt may have run at a worker, or may run yet.
+    /// Whether an attempt may have run at a worker, or may still run.
     pub(crate) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_run)
     }
 
-    /// Numbers of the attempts for which this holds, in the order in which they were decided.
-    pub(crate) fn attempts_where(&self, holds: fn(&Attempt) -> bool) -> Vec<u32> {
+    /// Numbers of the attempts that match the predicate, in the order in which they were decided.
+    pub(crate) fn attempts_where(&self, predicate: fn(&Attempt) -> bool) -> Vec<u32> {
         let numbered = self.attempts.iter().zip(0..);
         numbered
-            .filter_map(|(attempt, number)| holds(attempt).then_some(number))
+            .filter_map(|(attempt, number)| predicate(attempt).then_some(number))
             .collect()
     }
 }
--- a/crates/router/src/core/state/invocation_table.rs
+++ b/crates/router/src/core/state/invocation_table.rs
@@ -1,4 +1,4 @@
-//! The open invocations by index.
+//! The accepted invocations by index.
 
 use cedarpulley::interface::InvocationIndex;
 
@@ -7,7 +7,7 @@
 use crate::Ticket;
 use crate::slot_map::SlotMap;
 
-/// Invocations that this router has accepted and that are not over; the index of one that is over is reused.
+/// Invocations that this router has accepted and that are not over; the index of an invocation that is over is reused.
 #[derive(Default)]
 pub(crate) struct InvocationTable {
     invocations: SlotMap<Invocation>,
@@ -29,7 +29,7 @@
         self.invocations.get_mut(index)
     }
 
-    /// Takes the invocation out; its index may be reused.
+    /// Removes and returns the invocation; its index may be reused.
     pub(crate) fn remove(&mut self, index: InvocationIndex) -> Option<Invocation> {
         self.invocations.remove(index)
     }
--- a/crates/router/src/core/state/load_orders.rs
+++ b/crates/router/src/core/state/load_orders.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct LoadOrder {
     pub(crate) sent_at: Micros,
-    /// It loads copies; otherwise it only queries how many are loaded.
+    /// Whether the order loads copies; otherwise it only queries how many are loaded.
     pub(crate) loads: bool,
     /// The account whose invocation requested the function last.
     pub(crate) account: u32,
@@ -19,7 +19,7 @@
     pub(crate) copy_mb: f64,
 }
 
-/// Orders in flight, and which invocations waited for them.
+/// Load orders in flight, and the record of loads by which invocations that waited for one are recognised.
 #[derive(Default)]
 pub(crate) struct LoadOrders {
     in_flight: HashMap<OrderTicket, LoadOrder>,
@@ -40,7 +40,7 @@
         self.in_flight.contains_key(&ticket)
     }
 
-    /// Ends the order; nothing if it had ended before.
+    /// Ends the order and returns it; returns `None` if it had ended before.
     pub(crate) fn ended(&mut self, now: Micros, ticket: OrderTicket) -> Option<LoadOrder> {
         let order = self.in_flight.remove(&ticket)?;
         if order.loads {
@@ -49,7 +49,7 @@
         Some(order)
     }
 
-    /// A dispatch that succeeded found a warm copy of the function.
+    /// Records that a successful dispatch found a warm copy of the function.
     pub(crate) fn warm_copy_found(&mut self, now: Micros, function: FunctionIndex) {
         self.queueing_delay.warm_copy_found(now, function);
     }
@@ -59,7 +59,7 @@
         self.queueing_delay.waited_for_load(function, accepted_at)
     }
 
-    /// The function's index may be reused.
+    /// Removes the records of a function whose index may be reused.
     pub(crate) fn forget_function(&mut self, function: FunctionIndex) {
         self.queueing_delay.forget(function);
     }
--- a/crates/router/src/core/state/mod.rs
+++ b/crates/router/src/core/state/mod.rs
@@ -1,5 +1,5 @@
-//! The state of the router, by concern. Each type owns its part behind a few methods; the event handlers in the parent
-//! module pass events between them.
+//! The types that hold the state of the router. Each type owns one part and exposes a few methods; the event handlers
+//! in the parent module coordinate them.
 
 pub(super) mod admission;
 pub(super) mod attempt;
--- a/crates/router/src/core/state/observers.rs
+++ b/crates/router/src/core/state/observers.rs
@@ -30,7 +30,7 @@
         index: InvocationIndex,
         request: &AcceptedRequest,
     ) {
-        let name = request.mark.as_deref();
+        let name = request.name.as_deref();
         for observer in &mut self.observers {
             observer.accepted(now, index, request.front, name, request.redelivered);
         }
--- a/crates/router/src/core/state/pending_replication.rs
+++ b/crates/router/src/core/state/pending_replication.rs
@@ -1,4 +1,4 @@
-//! What the group was asked and may still answer.
+//! Requests to the group that may still be answered.
 
 use std::collections::HashMap;
 
@@ -8,27 +8,28 @@
 use crate::Ticket;
 use crate::replication::Key;
 
-/// Announced invocations, and dispatches that wait for permission.
+/// Announced invocations, and dispatches that wait for the group's permission.
 #[derive(Default)]
 pub(crate) struct PendingReplication {
-    /// Dispatches that wait for permission, by the number under which the group knows them.
+    /// Dispatches that wait for permission, by the number of the attempt in requests to the group.
     awaiting_permission: HashMap<u64, Ticket>,
     /// The last invocation that was announced under each key.
     announced: HashMap<Key, InvocationHandle>,
 }
 
 impl PendingReplication {
-    /// Permission to send the dispatch is being requested.
+    /// Records that permission to send the dispatch is being requested.
     pub(crate) fn permission_requested(&mut self, serial: u64, ticket: Ticket) {
         self.awaiting_permission.insert(serial, ticket);
     }
 
-    /// The request for permission is answered or not needed any more; the dispatch that waited, if one did.
+    /// Ends a request for permission that was answered or is no longer needed. Returns the dispatch that waited for it,
+    /// if there is one.
     pub(crate) fn end_request(&mut self, serial: u64) -> Option<Ticket> {
         self.awaiting_permission.remove(&serial)
     }
 
-    /// The invocation is being announced under this key.
+    /// Records that the invocation is being announced under this key.
     pub(crate) fn announce(&mut self, key: Key, handle: InvocationHandle) {
         self.announced.insert(key, handle);
     }
@@ -38,7 +39,8 @@
         self.announced.get(key).copied()
     }
 
-    /// The invocation is over. False if another one was announced under its key since.
+    /// Removes the announcement of an invocation that is over. Returns false if another invocation has since been
+    /// announced under its key.
     pub(crate) fn retract(&mut self, key: &Key, index: InvocationIndex) -> bool {
         let is_last = self
             .announced
--- a/crates/router/src/core/state/timers.rs
+++ b/crates/router/src/core/state/timers.rs
@@ -1,4 +1,4 @@
-//! The one timer queue of the core, and the serial numbers that order its timers.
+//! The timer queue of the core, and the serial numbers that order timers of the same time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,24 +8,24 @@
 use super::invocation::InvocationHandle;
 use crate::{Delivery, OrderTicket, Ticket};
 
-/// What a timer waits for. Timers are not cancelled: what has ended in the meantime is recognised when they fire.
+/// What a timer triggers. Timers are never cancelled: when a timer fires, its handler checks whether it still applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The decision module requested it, with this token.
+    /// A timer that the balancer requested, with its token.
     Balancer(u64),
-    /// The dispatch has its timeout.
+    /// The timeout of the dispatch has passed.
     DispatchTimeout(Ticket),
-    /// The invocation's final answer is due.
+    /// The final answer of the invocation is due.
     AnswerDue(InvocationHandle),
-    /// From now on no dispatch of the invocation may be sent: workers no longer recognise repeats of it.
+    /// No further dispatch of the invocation may be sent, as the workers no longer recognise repeats of it.
     DispatchWindowEnds(InvocationHandle),
-    /// The answer is due to a delivery that joined another one's invocation.
+    /// The answer is due to a delivery that joined the invocation of another delivery.
     JoinedAnswerDue(Delivery),
-    /// The result of the load order is overdue.
+    /// The timeout of the load order has passed.
     OrderTimeout(OrderTicket),
 }
 
-/// Numbers of timers, load orders and dispatches: no two are alike.
+/// Generates unique serial numbers for timers, load orders and dispatches.
 #[derive(Debug, Default)]
 pub(crate) struct SerialNumbers {
     last: u64,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Ordered by time; timers of the same time fire in the order in which they were set.
+/// A timer in the queue. Timers are ordered by time, and timers of the same time by the order in which they were set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledTimer {
     due: Micros,
@@ -47,7 +47,7 @@
     timer: Timer,
 }
 
-/// Timers by the time at which they are due.
+/// Queue of timers, ordered by the time at which they are due.
 #[derive(Default)]
 pub(crate) struct TimerQueue {
     heap: BinaryHeap<Reverse<ScheduledTimer>>,
@@ -65,7 +65,7 @@
         self.heap.peek().map(|scheduled| scheduled.0.due)
     }
 
-    /// Takes out the first timer that is due by now.
+    /// Removes and returns the first timer, if it is due by now.
     pub(crate) fn pop_due(&mut self, now: Micros) -> Option<Timer> {
         self.next_due().filter(|&due| due <= now)?;
         self.heap.pop().map(|scheduled| scheduled.0.timer)
--- a/crates/router/src/core/state/workers.rs
+++ b/crates/router/src/core/state/workers.rs
@@ -9,18 +9,18 @@
 use crate::endpoint_list::ListedWorker;
 use crate::worker_index_allocator::WorkerIndexAllocator;
 
-/// Where a worker runs, as the endpoint list says.
+/// The zone and cell of a worker, from the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 struct Location {
     zone: u32,
     cell: u32,
 }
 
-/// All workers that have an index.
+/// All workers to which an index is assigned.
 pub(crate) struct WorkerDirectory {
-    /// Names in the endpoint list.
+    /// Names in the endpoint list, by worker index.
     names: Interner<String>,
-    /// By worker index.
+    /// Locations by worker index.
     locations: Vec<Location>,
     drain_gate: DrainGate,
     indices: WorkerIndexAllocator,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes over a list or its changes, and gives each worker its index.
+    /// Applies an endpoint list or changes of it, and assigns an index to each worker.
     pub(crate) fn update(
         &mut self,
         now: Micros,
@@ -96,17 +96,18 @@
         self.drain_gate.accepts(now, worker)
     }
 
-    /// The list is up to date, and says all that is announced until then.
+    /// Extends the lease of the endpoint list: the list is up to date and remains valid until then.
     pub(crate) fn renew_lease(&mut self, until: Micros) {
         self.drain_gate.renew_lease(until);
     }
 
-    /// The worker has passed a health check that was sent at `sent_at`.
+    /// Records that the worker passed a health check that was sent at `sent_at`.
     pub(crate) fn passed_health_check(&mut self, worker: WorkerIndex, sent_at: Micros) {
         self.drain_gate.passed_health_check(worker, sent_at);
     }
 
-    /// The group of workers that recognise repeats of what is sent to this one; 0 where there is only one group.
+    /// Identifies the workers that share the record of idempotency keys with this one: its zone or cell, depending on
+    /// the deduplication scope, or 0 if all workers share one record.
     pub(crate) fn deduplication_domain(&self, worker: WorkerIndex, effect: Effect) -> u32 {
         let location = self.locations.get(worker as usize);
         let location = location.copied().unwrap_or_default();
@@ -123,17 +124,17 @@
         }
     }
 
-    /// Counts a reference to the worker: its index is not reused until it is ended.
+    /// Adds a reference to the worker. Its index is not reused until all references are removed.
     pub(crate) fn reserve(&mut self, worker: WorkerIndex) {
         self.indices.reserve(worker);
     }
 
-    /// Ends a reference to the worker.
+    /// Removes a reference to the worker.
     pub(crate) fn unreserve(&mut self, worker: WorkerIndex) {
         self.indices.unreserve(worker);
     }
 
-    /// Lets the indices of workers be reused that are gone and to which nothing refers any more.
+    /// Releases the indices of workers that have left the endpoint list and have no references left.
     pub(crate) fn release_unused(&mut self) {
         for worker in self.indices.take_released() {
             self.names.release(worker);
--- a/crates/router/src/core/submission.rs
+++ b/crates/router/src/core/submission.rs
@@ -1,4 +1,4 @@
-//! The decision module is told of an invocation.
+//! Submits invocations to the balancer.
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::{Arrival, Event, FunctionInfo, InvocationIndex, WorkerIndex};
@@ -6,7 +6,7 @@
 use super::{Output, Router};
 
 impl Router {
-    /// Tells the module of the invocation.
+    /// Submits the invocation to the balancer.
     pub(super) fn submit_to_balancer(&mut self, index: InvocationIndex, out: &mut Vec<Output>) {
         let Some(invocation) = self.invocations.get_mut(index) else {
             return;
@@ -31,7 +31,7 @@
         self.release(index, out);
     }
 
-    /// What the module is told of the invocation.
+    /// Builds the description of the invocation that the balancer receives.
     fn arrival(&self, index: InvocationIndex) -> Option<Arrival> {
         let request = &self.invocations.get(index)?.request;
         Some(Arrival {
@@ -46,7 +46,7 @@
             lanes: request.lanes,
             client_timeout_in: request.answer_due_at - self.now,
             waited: request.waited + self.now - request.accepted_at,
-            repeat: request.repeat,
+            repeat: request.client_retry,
             preferred_worker: request
                 .preferred_worker
                 .as_deref()
@@ -54,10 +54,11 @@
         })
     }
 
-    /// Makes a function known to the module as loaded at a worker, where the first invocation of it here belongs to a
-    /// session that is warm there. Without this the module, which ignores reports on functions that it does not know,
-    /// sends the invocation to another worker. The module learns of the function as wanted at that worker; the order
-    /// that it gives for it is not sent, as another router has just reported that the copy is loaded.
+    /// Makes a function known to the balancer as loaded at a worker. This is done when the first invocation of a
+    /// function at this router belongs to a session whose state that worker holds. The balancer ignores reports on
+    /// functions that it does not know, and would otherwise send the invocation to another worker. The function is
+    /// introduced through a request for a copy at that worker. The load order that the balancer then returns is not
+    /// sent, as another router has just reported that the copy is loaded.
     fn introduce_warm_function(
         &mut self,
         worker: WorkerIndex,
@@ -78,7 +79,7 @@
                 other => out.push(other),
             }
         }
-        // The module may have given no order, and then does not know yet that the copy is loaded.
+        // If the balancer returned no load order, it does not yet know that the copy is loaded.
         self.decide(
             &Event::CopiesReported {
                 worker,
--- a/crates/router/src/core/timers.rs
+++ b/crates/router/src/core/timers.rs
@@ -1,4 +1,4 @@
-//! What is done when a timer fires.
+//! Handles timers that fire.
 
 use cedarpulley::interface::{Event, Micros};
 
@@ -14,7 +14,7 @@
         self.timers.set(due, serial, timer);
     }
 
-    /// Handles all timers that are due, also those that are set meanwhile.
+    /// Handles all timers that are due, including those that are set by the handlers.
     pub(super) fn run_timers(&mut self, out: &mut Vec<Output>) {
         while let Some(timer) = self.timers.pop_due(self.now) {
             self.timer_fired(timer, out);
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Answers an invocation that no attempt may be sent for any more and that has none in flight: a redelivered one that
-    /// is still queued must not be sent once the workers no longer recognise it as a repeat.
+    /// Answers an invocation without an attempt in flight for which no attempt may be sent any more. A redelivered
+    /// invocation that is still queued must not be sent once the workers no longer recognise it as a repeat.
     fn dispatch_window_ended(&mut self, handle: InvocationHandle, out: &mut Vec<Output>) {
         let invocation = self.invocations.find(handle);
         if invocation.is_some_and(|found| found.is_open() && !found.has_attempt_in_flight()) {
--- a/crates/router/src/core/waiting_deliveries.rs
+++ b/crates/router/src/core/waiting_deliveries.rs
@@ -1,5 +1,5 @@
-//! Who waits for the answer of an open invocation: deliveries join it, and leave it as their client or their front's
-//! connection is lost.
+//! Deliveries that wait for the answer of an open invocation: they join it when a message is delivered again or
+//! retried, and leave it when their client leaves or their front loses its connection.
 
 use cedarpulley::interface::{InvocationIndex, Micros};
 
@@ -12,16 +12,17 @@
 use crate::replication::ReplicationRequest;
 use crate::{Answer, AnswerReason, Delivery, FinalOutcome, FrontIndex};
 
-/// Deliveries that join.
+/// Deliveries that join an invocation.
 impl Router {
-    /// The same message is delivered again after its delivery was lost with a front's connection.
+    /// Handles another delivery of a message that was accepted before, usually after a front lost its connection and
+    /// with it the earlier delivery.
     pub(super) fn rejoin(&mut self, slot: AnswerSlot, delivery: Delivery, out: &mut Vec<Output>) {
         if !self.answers.rejoin(slot, delivery) {
             self.counts.discarded += 1;
             return out.push(Output::Discard(delivery));
         }
         if let Some(answer) = self.answers.answer(slot).cloned() {
-            // The very same answer; it was counted the first time.
+            // The stored answer, which was counted when it was first given.
             self.counts.repeated += 1;
             return out.push(Output::Answer { delivery, answer });
         }
@@ -31,8 +32,8 @@
         }
     }
 
-    /// A client's own retry joins the open invocation that has its idempotency key: it waits for the same answer, until
-    /// its own is due.
+    /// Handles a client's retry of an open invocation with the same idempotency key. The delivery waits for the answer
+    /// of that invocation, at most until `due`.
     pub(super) fn join(
         &mut self,
         slot: AnswerSlot,
@@ -51,14 +52,14 @@
         }
     }
 
-    /// The open invocation whose answer is registered there.
+    /// The open invocation whose answer is registered in this slot.
     fn invocation_of(&mut self, slot: AnswerSlot) -> Option<&mut Invocation> {
         let index = self.answers.invocation(slot)?;
         self.invocations.get_mut(index)
     }
 
-    /// Answers a delivery that still waits for the invocation it joined, whose own client has more time: that invocation
-    /// goes on and may run.
+    /// Answers a delivery that joined an invocation and whose own answer is now due. The invocation's first client may
+    /// wait longer, so the invocation continues and may still run.
     pub(super) fn joined_answer_overdue(&mut self, delivery: Delivery, out: &mut Vec<Output>) {
         if self.answers.is_waiting(delivery) {
             self.answers.remove_waiter(delivery);
@@ -68,9 +69,9 @@
     }
 }
 
-/// Deliveries that leave.
+/// Deliveries that leave an invocation.
 impl Router {
-    /// The delivery's answer cannot be lost any more.
+    /// Handles that the answer to the delivery was delivered and can no longer be lost.
     pub(super) fn answer_delivered(&mut self, delivery: Delivery, out: &mut Vec<Output>) {
         self.admission.request_left(delivery);
         if let Some(key) = self.answers.delivered(delivery) {
@@ -80,7 +81,8 @@
         }
     }
 
-    /// The delivery's client has left. The invocation goes on while another delivery waits for the same answer.
+    /// Handles that the delivery's client has left. The invocation continues only while another delivery waits for the
+    /// same answer.
     pub(super) fn client_left(&mut self, delivery: Delivery, out: &mut Vec<Output>) {
         self.admission.request_left(delivery);
         let Some((slot, true)) = self.answers.remove_waiter(delivery) else {
@@ -93,9 +95,10 @@
         }
     }
 
-    /// A front's connection changed its state. As it drops, its broker delivers what was open to whoever is next, perhaps
-    /// to this router again. What may be on its way to a worker is waited for, in case it comes back here; what is not is
-    /// over, and known never to have run.
+    /// Handles a change of the state of a front's connection. When the connection is lost, the broker redelivers the
+    /// unanswered messages to any router, possibly to this one. Invocations with an attempt that may be on its way to a
+    /// worker stay open, in case their message is redelivered here. All others end; their answer records retain whether
+    /// they may have run.
     pub(super) fn front_changed(
         &mut self,
         front: FrontIndex,
@@ -115,7 +118,7 @@
         }
     }
 
-    /// There was no room for the invocation's answer record.
+    /// Handles that the invocation's answer record was dropped, as there were too many without a waiting delivery.
     fn answer_record_forgotten(&mut self, index: InvocationIndex) {
         let Some(invocation) = self.invocations.get_mut(index) else {
             return;
@@ -126,7 +129,7 @@
         }
     }
 
-    /// No delivery waits for the invocation any more, and its message may be delivered again.
+    /// Handles that the invocation lost its last waiting delivery, and its message may be delivered again.
     fn orphan(&mut self, index: InvocationIndex, out: &mut Vec<Output>) {
         let Some(invocation) = self.invocations.get_mut(index) else {
             return;
@@ -140,7 +143,7 @@
         }
     }
 
-    /// The answer record ends without an answer; it retains whether the invocation may have run.
+    /// Ends the answer record without an answer; the record retains whether the invocation may have run.
     pub(super) fn end_answer_record(&mut self, index: InvocationIndex) {
         if let Some(invocation) = self.invocations.get(index)
             && let Some(slot) = invocation.answer_slot()
@@ -149,7 +152,7 @@
         }
     }
 
-    /// Ends an invocation whose answer nobody is owed: nothing more is to be sent for it.
+    /// Ends an invocation for which no delivery waits: no further attempts are sent for it.
     fn abandon(&mut self, index: InvocationIndex, out: &mut Vec<Output>) {
         if self.conclude(index, LoadSignal::Neutral) {
             self.withdraw_from_balancer(index, out);
--- a/crates/router/src/interface.rs
+++ b/crates/router/src/interface.rs
@@ -1,4 +1,5 @@
-//! The types that fronts, workers' connections and the core exchange: deliveries, messages, answers and tickets.
+//! The types that the fronts, the connections to the workers and the core exchange: deliveries, messages, answers and
+//! tickets.
 
 use std::sync::Arc;
 
@@ -8,84 +9,84 @@
 /// Index of a front: a listener for clients, or a connection to a broker.
 pub type FrontIndex = u32;
 
-/// Identifies a message that a front handed over, so that the answer finds its way back.
+/// Identifies a message or request that a front passed to the core, so that its answer can be returned to that front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Delivery {
-    /// The front.
+    /// The front that received the message.
     pub front: FrontIndex,
-    /// Incarnation of the front's connection, which changes whenever it loses its connection or channel: what was handed
-    /// over in an earlier one can no longer be answered there.
+    /// Incarnation of the front's connection. It changes whenever the front loses its connection or channel; a message
+    /// of an earlier incarnation can no longer be answered.
     pub incarnation: u32,
     /// Number of the message within the incarnation.
     pub tag: u64,
 }
 
-/// Identifies one dispatch; never given out twice while its invocation's index may be reused.
+/// Identifies one dispatch. Unique even if the index of its invocation is reused, owing to the generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket {
-    /// The invocation.
+    /// Index of the invocation.
     pub invocation: InvocationIndex,
     /// Number of the dispatch within its invocation, from 0.
     pub dispatch: u32,
-    /// Generation of the invocation's index; the end of a dispatch of an earlier generation is ignored.
+    /// Generation of the invocation's index; results of dispatches of an earlier generation are ignored.
     pub generation: u32,
 }
 
-/// Identifies one load order, or one query for the number of copies.
+/// Identifies one load order, or one query for the number of loaded copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrderTicket {
-    /// The worker that loads.
+    /// The worker that receives the order.
     pub worker: WorkerIndex,
     /// The function to load.
     pub function: FunctionIndex,
-    /// Unlike that of any other order.
+    /// Serial number, unique among all orders of this router.
     pub serial: u64,
 }
 
-/// The outcome of an invocation, as its client is told.
+/// The outcome of an invocation, as reported to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum FinalOutcome {
-    /// A worker ran it and answered.
+    /// A worker ran the invocation and answered.
     Succeeded,
-    /// It did not run: a retry is harmless.
+    /// The invocation did not run, or may safely run again: a retry is harmless.
     Throttled,
-    /// Anything may have happened.
+    /// The invocation failed; whether it ran is not known.
     Errored,
 }
 
-/// Why an answer is what it is; sent to the client and counted.
+/// The reason for an answer; sent to the client and counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum AnswerReason {
     /// A worker answered.
     Worker,
-    /// The decision module gave it up.
+    /// The balancer gave the invocation up.
     GivenUp,
-    /// The client's time had run out before it arrived here.
+    /// The client timeout had passed before the message arrived at this router.
     Expired,
-    /// It was delivered before and may have run.
+    /// The message was delivered before, and the invocation may have run.
     MayHaveRun,
-    /// There was no answer by the time the client gives up.
+    /// There was no answer by the time at which the final answer was due.
     Overdue,
-    /// The router knows as many functions as it can.
+    /// The router already knows the maximum number of functions.
     Functions,
-    /// It is larger than the free memory for bodies.
+    /// The body is larger than the free memory for bodies.
     Size,
-    /// Its account or front floods the router, and others suffer from it.
+    /// Its account or front exceeds its share and thereby delays the invocations of others.
     Share,
-    /// It needs a majority of the group, and there was none.
+    /// The invocation needs a majority of the group, and there was none.
     NoMajority,
-    /// The version of its session is out of service.
+    /// The function version that its session is bound to is out of service.
     SessionOver,
-    /// A worker answered; it ran without a majority of the group, as its operator accepts.
+    /// A worker answered; the invocation ran without a majority of the group, which the operator's settings allow.
     Alone,
 }
 
-/// A body to a worker or from one. Only its length matters to decisions.
+/// The body of a request or of an answer. Decisions depend on its length only.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Payload {
     /// The whole body.
     pub bytes: Bytes,
-    /// Length of the first part of a body that has two.
+    /// Length in bytes of the first part, if the body consists of two parts.
     pub first_part_length: Option<u32>,
 }
 
@@ -95,7 +96,7 @@
         self.bytes.len()
     }
 
-    /// There is nothing in it.
+    /// Whether the body is empty.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
@@ -113,11 +114,11 @@
 /// The session that an invocation belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Session {
-    /// Name of the session.
+    /// Identifier of the session.
     pub id: Arc<str>,
-    /// The invocation is its first one.
+    /// Whether the invocation is the first one of the session.
     pub is_first: bool,
-    /// The invocation is its last one.
+    /// Whether the invocation is the last one of the session.
     pub is_last: bool,
 }
 
@@ -126,16 +127,16 @@
 pub struct Answer {
     /// The outcome.
     pub outcome: FinalOutcome,
-    /// Why.
+    /// The reason for the outcome.
     pub reason: AnswerReason,
-    /// When the client should retry (Retry-After), if it is told.
+    /// Delay after which the client should retry (Retry-After), if one is sent.
     pub retry_after: Option<Micros>,
-    /// The worker's answer.
+    /// Body of the worker's answer; empty if no worker answered.
     pub body: Payload,
 }
 
 impl Answer {
-    /// An answer without body and Retry-After.
+    /// Creates an answer without a body and without Retry-After.
     pub fn without_body(outcome: FinalOutcome, reason: AnswerReason) -> Self {
         Answer {
             outcome,
@@ -146,32 +147,34 @@
     }
 }
 
-/// A message or request as its front understood it.
+/// A message or request as parsed by its front.
 #[derive(Clone, Debug)]
 pub struct IncomingInvocation {
-    /// Where the answer goes.
+    /// The delivery to answer.
     pub delivery: Delivery,
-    /// The same for every delivery of the same message and for no other; absent if the message has none.
+    /// Identity of the message: the same for every delivery of one message, unique among messages; absent if the
+    /// message has none.
     pub identity: Option<Arc<str>>,
-    /// The invocation's name as the worker is told; nothing is decided by it.
+    /// Name of the invocation, passed on to the worker. No decision depends on it.
     pub name: Option<Arc<str>>,
-    /// It was delivered before, to this router or another.
+    /// Whether the message was delivered before, to this router or another.
     pub redelivered: bool,
-    /// The client marks it as a retry of its own.
+    /// Whether the client marked the message as a retry.
     pub client_retry: bool,
-    /// Index of its trigger type.
+    /// Index of the trigger type.
     pub trigger: u32,
-    /// Index of its account.
+    /// Index of the account.
     pub account: u32,
     /// The function to run.
     pub function: Arc<str>,
-    /// The idempotency key, by which a repeat is recognised.
+    /// The idempotency key, by which repeats are recognised.
     pub idempotency_key: Option<Arc<str>>,
-    /// How long the client had been waiting when it arrived.
+    /// How long the client had already waited when the message arrived.
     pub waited: Micros,
-    /// How long the client waits over all, from its sending on; not longer than the trigger type's timeout.
+    /// How long the client waits in total, counted from when it sent the message; at most the trigger type's client
+    /// timeout.
     pub client_timeout: Micros,
-    /// Expected work, if the client gives a hint.
+    /// Expected execution time, if the client gives a hint.
     pub cost_hint: Option<Micros>,
     /// Expected time to load a copy, if the client gives a hint.
     pub load_hint: Option<Micros>,
@@ -179,20 +182,21 @@
     pub copy_mb: f64,
     /// Invocations that one copy runs at a time.
     pub lanes: u32,
-    /// The session it belongs to.
+    /// The session that the invocation belongs to.
     pub session: Option<Session>,
-    /// The function's name as its client calls it, where that is another one: a retry may be routed to yet another.
+    /// The function name that the client requested, if it differs from `function`. A retry of the same request may be
+    /// routed to a different function.
     pub requested_function: Option<Arc<str>>,
-    /// The worker, by its name in the endpoint list, where the earlier invocations of its session left their state.
+    /// The worker, by its name in the endpoint list, that holds the state of the session's earlier invocations.
     pub preferred_worker: Option<Arc<str>>,
-    /// Its final answer, if that is decided already: it is then only answered and counted.
+    /// The final answer, if the front has already decided it. The message is then only answered and counted.
     pub predetermined_answer: Option<(FinalOutcome, AnswerReason)>,
-    /// Its body.
+    /// The body of the message.
     pub body: Payload,
 }
 
 impl IncomingInvocation {
-    /// The function as its client calls it.
+    /// The function name that the client requested.
     pub fn requested_name(&self) -> &str {
         self.requested_function.as_deref().unwrap_or(&self.function)
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,24 +1,27 @@
-//! The router core: receives invocations from any front, asks the decision module about every event, and says what is to
-//! be sent where. Begin reading at [`Router::handle`] in `core/mod.rs`.
+//! The router core: receives invocations from all fronts, passes every event to the balancer (the decision module), and
+//! returns the messages to send. The entry point is [`Router::handle`] in `core/mod.rs`.
 //!
-//! It never touches a socket, a clock or a thread: time and events go in, outputs come out, and the same events give the
-//! same outputs. Where an invocation goes, the decision module (`cedarpulley::Balancer`) decides. Beside it stand small
-//! modules, each with its own state and used alone in the tests:
+//! The core performs no I/O, reads no clock and starts no threads. The caller passes in the time and the events and
+//! carries out the outputs; the same events at the same times give the same outputs. The balancer
+//! (`cedarpulley::Balancer`) decides which worker an invocation is sent to. The other decisions are made by small
+//! modules, each of which has its own state and can be tested on its own:
 //!
-//! * [`interface`]: the types that fronts, workers' connections and the core exchange.
-//! * [`concurrency_limit`]: how many invocations may be in flight, from which front.
+//! * [`interface`]: the types that the fronts, the connections to the workers and the core exchange.
+//! * [`concurrency_limit`]: how many invocations may be in flight, in total and per front.
 //! * [`admission_control`]: whether a request is admitted before its body is read.
-//! * [`fair_share`]: which part of the limit each front and account may use when one floods the router.
-//! * [`redelivery`]: what may be done with a message that was delivered before.
-//! * [`answer_registry`]: which final answer was given to which message, until it is delivered.
-//! * [`idempotency_keys`]: what a client's own retry with the same idempotency key gets.
-//! * [`replication`]: what the other routers of a group are asked and told.
-//! * [`endpoint_list`]: what the published endpoint list says, though its watch breaks, repeats or goes back in time.
-//! * [`drain_gate`]: until when new work may be sent to a worker.
+//! * [`fair_share`]: the share of the limit that each front and account may use when one of them floods the
+//!   router.
+//! * [`redelivery`]: whether a message that was delivered before may run again.
+//! * [`answer_registry`]: the final answer of each message, stored until it is delivered.
+//! * [`idempotency_keys`]: the answer to a client's retry with the same idempotency key.
+//! * [`replication`]: the messages between this router and its group of routers.
+//! * [`endpoint_list`]: the published endpoint list, kept correct when its watch breaks, repeats events or goes back in
+//!   time.
+//! * [`drain_gate`]: whether new work may still be sent to a draining worker.
 //! * [`worker_index_allocator`]: when the index of a removed worker may be reused.
 //! * [`queueing_delay`]: whether an invocation waited for a load or for a lane.
-//! * [`observer`]: who is notified, and never decides.
-//! * [`backoff`]: how long to wait before connecting to something again.
+//! * [`observer`]: the interface of observers, which are notified of events and decisions.
+//! * [`backoff`]: the delay before a failed connection is attempted again.
 
 #![warn(missing_docs)]
 
--- a/crates/router/src/observer.rs
+++ b/crates/router/src/observer.rs
@@ -1,4 +1,5 @@
-//! Observers of what the core receives and decides. They never decide anything themselves: the trace, the usage ledger.
+//! Observers of the core, such as the trace and the usage ledger: they are notified of what the core receives and
+//! decides, and have no influence on its decisions.
 
 use std::sync::Arc;
 
@@ -11,7 +12,7 @@
 use crate::admission_control::RejectionReason;
 use crate::{AnswerReason, FinalOutcome, FrontIndex};
 
-/// Names of the indices in events and actions.
+/// Looks up the names that belong to the function and worker indices in events and actions.
 #[derive(Clone, Copy)]
 pub struct Names<'a> {
     pub(crate) functions: &'a [Arc<str>],
@@ -19,7 +20,7 @@
 }
 
 impl<'a> Names<'a> {
-    /// The function's name.
+    /// Name of the function, if a function has this index.
     pub fn function(&self, index: u32) -> Option<&'a str> {
         self.functions
             .get(index as usize)
@@ -27,7 +28,7 @@
             .filter(|name| !name.is_empty())
     }
 
-    /// The worker's name in the endpoint list.
+    /// Name of the worker in the endpoint list, if a worker has this index.
     pub fn worker(&self, index: u32) -> Option<&'a str> {
         self.workers.id(index).map(String::as_str)
     }
@@ -36,23 +37,23 @@
 /// A final answer that was sent to a delivery.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerGiven {
-    /// Absent if it was answered without the decision module.
+    /// Index of the invocation; absent if it was answered without the balancer.
     pub invocation: Option<InvocationIndex>,
-    /// The front of the delivery.
+    /// The front that the answer is sent to.
     pub front: FrontIndex,
     /// The outcome.
     pub outcome: FinalOutcome,
-    /// Why.
+    /// The reason for the outcome.
     pub reason: AnswerReason,
-    /// Index of the trigger type; `u32::MAX` where it is not known any more.
+    /// Index of the trigger type; `u32::MAX` if it is no longer known.
     pub trigger: u32,
-    /// Index of the account; `u32::MAX` where it is not known any more.
+    /// Index of the account; `u32::MAX` if it is no longer known.
     pub account: u32,
     /// Time since the invocation was accepted.
     pub took: Micros,
 }
 
-/// What one dispatch, or one load order, used of a worker.
+/// The use of a worker by one dispatch or one load order.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerUsage<'a> {
     /// Index of the worker.
@@ -61,50 +62,53 @@
     pub worker_name: &'a str,
     /// Name of the function.
     pub function: &'a str,
-    /// The session it belongs to.
+    /// The session that the invocation belongs to; absent for a load order.
     pub session: Option<&'a str>,
-    /// It was the last invocation of the session.
+    /// Whether the invocation is the last one of the session.
     pub ends_session: bool,
     /// Index of the trigger type.
     pub trigger: u32,
-    /// The account of the invocation; of an order: the account that requested the function last.
+    /// Index of the account of the invocation; for a load order, of the account that requested the function last.
     pub account: u32,
-    /// What used the worker.
+    /// Whether a dispatch or a load order used the worker, and how it ended.
     pub source: UsageSource,
-    /// How long it took.
+    /// Duration of the dispatch or load order.
     pub took: Micros,
     /// Size of a copy in megabytes.
     pub copy_mb: f64,
     /// Invocations that one copy runs at a time.
     pub lanes: u32,
-    /// Memory held so far for the account and function, as the worker reports it.
+    /// Memory that the worker has held so far for the account and function, as reported by the worker.
     pub memory_held: Option<MemoryTotals>,
 }
 
-/// What used a worker, and how that ended.
+/// What used a worker, and how it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UsageSource {
-    /// A dispatch.
+    /// A dispatch, with its outcome and the status of the copy that served it.
     Dispatch(DispatchOutcome, CopyStatus),
-    /// A load order.
+    /// A load order, with its result.
     Order(LoadOrderResult),
 }
 
-/// Notified in the order in which things happened, on the deciding path: no method may wait for anything.
+/// Receives notifications in the order of the events. The methods are called within [`Router::handle`], so none of them
+/// may block.
+///
+/// [`Router::handle`]: crate::Router::handle
 pub trait RouterObserver {
-    /// The decision module was told of the event and asked for the actions.
+    /// The balancer handled the event and returned the actions.
     fn decided(&mut self, now: Micros, event: &Event, actions: &[Action], names: Names);
-    /// An invocation was accepted; the module is told of it next. `mark`: its name as its client gave it.
+    /// An invocation was accepted and is submitted to the balancer next. `name` is the name that its client gave it.
     fn accepted(
         &mut self,
         now: Micros,
-        inv: InvocationIndex,
+        invocation: InvocationIndex,
         front: FrontIndex,
-        mark: Option<&str>,
+        name: Option<&str>,
         redelivered: bool,
     );
     /// A final answer was sent.
-    fn answered(&mut self, now: Micros, given: AnswerGiven);
+    fn answered(&mut self, now: Micros, answer: AnswerGiven);
     /// A request was rejected before its body was read.
     fn rejected(
         &mut self,
@@ -112,8 +116,8 @@
         front: FrontIndex,
         trigger: u32,
         account: u32,
-        why: RejectionReason,
+        reason: RejectionReason,
     );
     /// A dispatch or a load order ended.
-    fn used(&mut self, now: Micros, used: WorkerUsage);
+    fn used(&mut self, now: Micros, usage: WorkerUsage);
 }
--- a/crates/router/src/replication.rs
+++ b/crates/router/src/replication.rs
@@ -1,12 +1,13 @@
-//! What the other routers of a group are asked and told of an invocation, before it can do harm. The core asks [`need`]
-//! once for each message; how the group agrees is not known here (`cedarpulley-replica`).
+//! The requests and events that the core exchanges with its group of routers, so that an invocation that must not run
+//! twice does not run at two routers. The core calls [`required_durability`] once for each message. How the group
+//! reaches agreement is implemented in `cedarpulley-replica`.
 //!
 //! Mechanisms:
-//! 1. An attempt of an invocation that must not run twice and can be delivered again at another router is sent only with
-//!    the group's permission, each time.
-//! 2. Invocations with an idempotency key need no permission where every repeat comes within the workers' window; the
-//!    group is told all the same.
-//! 3. A permission is valid for a short time: a process that was stopped requests it again.
+//! 1. If an invocation must not run twice and its message can be redelivered to another router, each of its attempts is
+//!    sent only with the group's permission.
+//! 2. An invocation with an idempotency key needs no permission if every repeat arrives within the time in which the
+//!    workers recognise repeats; the group is still notified of its attempts.
+//! 3. A permission is valid for a short time only, so that a process that was paused must request a new one.
 
 use std::sync::Arc;
 
@@ -14,29 +15,29 @@
 
 use crate::{Answer, IncomingInvocation, idempotency_keys};
 
-/// By which a group knows an invocation: the same at all its routers.
+/// Key under which a group replicates an invocation; the same at all routers of the group.
 pub type Key = Arc<str>;
 
-/// How a router shares its invocations with its group.
+/// Settings for the replication of invocations to the group.
 #[derive(Clone, Debug)]
 pub struct ReplicationSettings {
-    /// By trigger type: whether invocations run without the group where it has no majority, as the operator accepts.
+    /// By trigger type: whether the operator allows invocations to run without a majority of the group.
     pub without_majority: Vec<bool>,
-    /// How long a permission is valid.
+    /// How long a permission to send is valid.
     pub permission_validity: Micros,
 }
 
-/// How far the group must have recorded an attempt before it is sent.
+/// How durably the group must have recorded an attempt before it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// The group is told, and nothing is waited for.
+    /// The group is notified; the attempt is sent without waiting for a reply.
     Notified,
-    /// A majority stores each intent before the attempt is sent.
+    /// A majority of the group stores the intent before the attempt is sent.
     MajorityStored,
 }
 
-/// Under which key an invocation is replicated, and how far. Nothing if it may run again, or no other router can ever
-/// know it.
+/// Returns the key under which an invocation is replicated, and the required durability. Returns `None` if the
+/// invocation may run more than once, or if it has nothing by which another router could recognise it.
 pub fn required_durability(
     message: &IncomingInvocation,
     trigger: &TriggerType,
@@ -52,53 +53,53 @@
             ))
         }
         Effect::IdempotentByKey { scope, window } => {
-            let token = message.idempotency_key.as_deref()?;
+            let idempotency_key = message.idempotency_key.as_deref()?;
             let key = idempotency_keys::key(
                 message.account,
                 message.trigger,
                 message.requested_name(),
-                token,
+                idempotency_key,
             );
             let repeats_recognised =
                 scope == DeduplicationScope::All && trigger.client_timeout + clock_margin < window;
-            let need = if repeats_recognised {
+            let durability = if repeats_recognised {
                 Durability::Notified
             } else {
                 Durability::MajorityStored
             };
-            Some((Arc::from(format!("t\n{key}")), need))
+            Some((Arc::from(format!("t\n{key}")), durability))
         }
     }
 }
 
-/// What the group is asked or told.
+/// A request or notification to the group.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicationRequest {
-    /// An invocation was accepted here; a [`ReplicationDecision`] follows.
+    /// An invocation was accepted at this router; the group replies with a [`ReplicationDecision`].
     Announce {
         /// The invocation.
         key: Key,
-        /// How far its attempts must be recorded.
+        /// How durably its attempts must be recorded.
         durability: Durability,
-        /// Its message was delivered before.
+        /// Whether its message was delivered before.
         redelivered: bool,
     },
     /// A request for permission to send an attempt.
     RequestPermission {
         /// The invocation.
         key: Key,
-        /// Number of the attempt, unlike any other of this process.
+        /// Number of the attempt, unique within this process.
         attempt: u64,
         /// The workers that recognise repeats of the attempt.
         deduplication_domain: u32,
-        /// It may be sent without a majority.
+        /// Whether the attempt may be sent without a majority.
         without_majority: bool,
     },
-    /// An attempt was sent without permission.
+    /// An attempt that needs no permission was sent.
     AttemptSent {
         /// The invocation.
         key: Key,
-        /// Number of the attempt, unlike any other of this process.
+        /// Number of the attempt, unique within this process.
         attempt: u64,
         /// The workers that recognise repeats of the attempt.
         deduplication_domain: u32,
@@ -109,7 +110,7 @@
         key: Key,
         /// Number of the attempt.
         attempt: u64,
-        /// The worker may have run it.
+        /// Whether the worker may have run the attempt.
         may_have_run: bool,
     },
     /// The invocation succeeded.
@@ -119,107 +120,109 @@
         /// Its answer.
         answer: Answer,
     },
-    /// The answer was delivered: the message cannot be delivered again.
+    /// The answer was delivered; the message will not be delivered again.
     AnswerDelivered {
         /// The invocation.
         key: Key,
     },
-    /// Nobody waits for the invocation at this router any more.
+    /// No delivery waits for the invocation at this router any more.
     Abandoned {
         /// The invocation.
         key: Key,
     },
 }
 
-/// Why the group gives no permission.
+/// Why the group refuses permission to send an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PermissionRefusal {
-    /// There is no majority.
+    /// The group has no majority.
     NoMajority,
-    /// Another router has the invocation; a verdict follows.
+    /// Another router owns the invocation; a [`ReplicationDecision`] follows.
     Elsewhere,
 }
 
-/// What becomes of an invocation that was announced.
+/// The group's decision on an invocation that was announced.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicationDecision {
-    /// It may run here.
+    /// The invocation may run at this router.
     RunHere {
-        /// If an attempt of it may have run: how long ago the first one was sent.
+        /// How long ago the first attempt was sent, if an attempt may have run.
         first_attempt_ago: Option<Micros>,
     },
-    /// It is in flight at another router; another verdict follows.
+    /// The invocation is in flight at another router; another decision follows.
     AwaitPeer,
-    /// It was answered before, with this answer.
+    /// The invocation was already answered, with this answer.
     Answer(Answer),
-    /// It may have run: it must not run again.
+    /// The invocation may have run, and must not run again.
     MayHaveRun,
     /// The group has no majority.
     NoMajority,
 }
 
-/// What the group says.
+/// An event from the group.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicationEvent {
-    /// What becomes of an invocation.
+    /// The decision on an invocation that was announced.
     Decision {
         /// The invocation.
         key: Key,
-        /// The verdict.
+        /// The decision.
         decision: ReplicationDecision,
     },
-    /// The answer to [`ReplicationRequest::Leave`].
+    /// The reply to [`ReplicationRequest::RequestPermission`].
     Permission {
         /// Number of the attempt.
         attempt: u64,
-        /// Whether it may be sent; `Ok(true)`: without a majority, as the operator accepts.
+        /// `Ok(false)`: the attempt may be sent. `Ok(true)`: it may be sent without a majority, which the operator's
+        /// settings allow.
         result: Result<bool, PermissionRefusal>,
     },
 }
 
-/// How far the group has agreed on an invocation.
+/// Stage of the replication of an invocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReplicationStage {
-    /// It was announced; the module does not know of it yet.
+    /// The invocation was announced, and the group has not decided yet. It is not yet submitted to the balancer.
     Announced,
-    /// It may run here.
+    /// The group permits the invocation to run at this router.
     Permitted,
-    /// It runs without the group.
+    /// The invocation runs without the group.
     Unreplicated,
-    /// It is in flight at another router.
+    /// The invocation is in flight at another router.
     AwaitingPeer,
 }
 
-/// What is agreed with the group on one invocation.
+/// State of the replication of one invocation.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplicationState {
-    /// By which the group knows it.
+    /// Key under which the group replicates the invocation.
     pub(crate) key: Key,
-    pub(crate) need: Durability,
+    /// How durably its attempts must be recorded.
+    pub(crate) durability: Durability,
     pub(crate) stage: ReplicationStage,
-    /// Its success was sent to the group, or came from it.
+    /// Whether its successful answer was sent to the group or received from it.
     pub(crate) answered: bool,
 }
 
 impl ReplicationState {
-    /// Of an invocation that is being announced.
-    pub(crate) fn announced(key: Key, need: Durability) -> Self {
+    /// Creates the state of an invocation that is being announced.
+    pub(crate) fn announced(key: Key, durability: Durability) -> Self {
         ReplicationState {
             key,
-            need,
+            durability,
             stage: ReplicationStage::Announced,
             answered: false,
         }
     }
 }
 
-/// Whether the group permits an attempt to be sent.
+/// State of the group's permission to send an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DispatchPermission {
-    /// No permission is needed (any more).
+    /// No permission is needed, or the attempt has ended.
     NotNeeded,
-    /// It was requested and has not been answered.
+    /// Permission was requested, and the group has not replied.
     Requested,
-    /// It was granted at this time.
+    /// Permission was granted at this time.
     Granted(Micros),
 }
