--- a/crates/router/src/core/replication.rs
+++ b/crates/router/src/core/replication.rs
@@ -172,7 +172,7 @@
     }
 
     /// Handles that the group has no majority. The invocation runs without the group if the operator allows it and no
-    /// other router can have received the message; otherwise it is answered without running.
+    /// other router can have received the message. Otherwise it is answered, and no further attempt is sent.
     fn handle_no_majority(&mut self, index: InvocationIndex, out: &mut Vec<Output>) {
         let Some(invocation) = self.invocations.get(index) else {
             return;
--- a/crates/router/src/core/settings.rs
+++ b/crates/router/src/core/settings.rs
@@ -17,7 +17,7 @@
     pub front_weights: Vec<f64>,
     /// Share of each account, by account index; empty if all invocations belong to one account.
     pub account_shares: Vec<f64>,
-    /// Timeout of load orders.
+    /// Time after which a load order without a result ends as timed out.
     pub order_timeout: Micros,
     /// Only the balancer decides: no shares between accounts are enforced, and retries do not join invocations by
     /// idempotency key. The limits on memory and on the number of functions still apply.
--- a/crates/router/src/core/state/admission.rs
+++ b/crates/router/src/core/state/admission.rs
@@ -172,7 +172,7 @@
         self.limiter.stop();
     }
 
-    /// Reports changed grants, as [`ConcurrencyLimiter::changed_grants`].
+    /// Calls `notify` for each changed grant, see [`ConcurrencyLimiter::changed_grants`].
     pub(crate) fn changed_grants(&mut self, notify: impl FnMut(FrontIndex, u32)) {
         self.limiter.changed_grants(notify);
     }
--- a/crates/router/src/observer.rs
+++ b/crates/router/src/observer.rs
@@ -91,8 +91,8 @@
     Order(LoadOrderResult),
 }
 
-/// Receives notifications in the order of the events. The methods are called within [`Router::handle`], so none of them
-/// may block.
+/// Receives notifications in the order of the events. The methods are called on the decision path, within
+/// [`Router::handle`], so none of them may block.
 ///
 /// [`Router::handle`]: crate::Router::handle
 pub trait RouterObserver {
