--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -1,45 +1,50 @@
-//! How long to wait before connecting again to something outside the router (a broker, the endpoint list). Delays grow
-//! while attempts fail and are randomised, so that many routers that lost the same thing do not reconnect all at once.
+//! The delay before the router reconnects to an external service (a broker, the publisher of the endpoint list). Delays
+//! grow while attempts fail. They are randomised, so that routers that lost the same service do not all reconnect at the
+//! same time.
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
 use cedarpulley::interface::Micros;
 
-/// The first delay: about the least time that a process takes to restart on the same machine.
+/// The first delay, in microseconds: about the shortest time in which a process restarts on the same machine.
 const INITIAL_DELAY: Micros = 100_000;
-/// The longest delay: the end of an outage is noticed within this time.
+/// The default longest delay, in microseconds: the end of an outage is noticed within this time.
 const MAX_DELAY: Micros = 5_000_000;
-/// A connection that lasted this long counts as a success; a shorter one failed, too.
-const STABLE_AFTER: Micros = 2_000_000;
+/// A connection that lasted at least this long, in microseconds, counts as a success; a shorter one counts as a failed
+/// attempt.
+const MIN_STABLE_DURATION: Micros = 2_000_000;
 
 /// Exponential backoff with jitter.
 #[derive(Debug)]
 pub struct Backoff {
     seed: u64,
+    /// Number of random values drawn so far.
     draws: u64,
+    /// The upper bound of the next delay.
     delay: Micros,
     max_delay: Micros,
 }
 
 impl Backoff {
-    /// A backoff of up to five seconds. `seed` determines the jitter.
+    /// Creates a backoff with delays of up to five seconds. `seed` determines the jitter.
     pub fn new(seed: u64) -> Self {
         Backoff::with_max_delay(seed, MAX_DELAY)
     }
 
-    /// A backoff with another longest delay.
-    pub fn with_max_delay(seed: u64, longest: Micros) -> Self {
+    /// Creates a backoff with delays of up to `max_delay`.
+    pub fn with_max_delay(seed: u64, max_delay: Micros) -> Self {
         Backoff {
             seed,
             draws: 0,
             delay: INITIAL_DELAY,
-            max_delay: longest,
+            max_delay,
         }
     }
 
-    /// The delay after an attempt whose connection lasted for `stood`; drawn from the upper half of the present step.
-    pub fn next_delay(&mut self, stood: Micros) -> Micros {
-        if stood >= STABLE_AFTER {
+    /// Returns the delay after an attempt whose connection lasted for `connected_for` (0 if it could not be established),
+    /// in microseconds. The delay is drawn at random between half of its present upper bound and the bound.
+    pub fn next_delay(&mut self, connected_for: Micros) -> Micros {
+        if connected_for >= MIN_STABLE_DURATION {
             self.delay = INITIAL_DELAY;
         }
         let step = self.delay;
--- a/crates/router/src/drain_gate.rs
+++ b/crates/router/src/drain_gate.rs
@@ -1,26 +1,32 @@
-//! Until when new work may be sent to a worker: a last check for dispatches that were decided a while ago and are
-//! about to be sent. Call [`DrainGate::update`] with each endpoint list, [`DrainGate::renew_lease`] whenever the list is
-//! known to be up to date, and [`DrainGate::passed_health_check`]; [`DrainGate::accepts`] answers.
+//! Decides whether new work may still be sent to a worker. This is the last check right before a dispatch is sent,
+//! because the worker may have begun to drain since the dispatch was decided.
+//!
+//! The caller reports each endpoint list to [`DrainGate::update`], each confirmation that the list is up to date to
+//! [`DrainGate::renew_lease`], and each passed health check to [`DrainGate::passed_health_check`].
+//! [`DrainGate::accepts`] returns the decision.
 
 use cedarpulley::interface::{Endpoint, EndpointListKind, EndpointState, Micros, WorkerIndex};
 
-/// Before any time.
-const NEVER: Micros = Micros::MIN;
+/// A point in time before all others, for events that have not happened yet.
+const DISTANT_PAST: Micros = Micros::MIN;
 
-/// The time from which each worker accepts no new work.
+/// Records for each worker the time from which it accepts no new work.
 #[derive(Debug, Default)]
 pub struct DrainGate {
+    /// How long a worker may still be sent work after it was reported as draining.
     drain_grace: Micros,
-    /// By worker index.
+    /// When each worker stops accepting new work, by worker index.
     closes_at: Vec<Micros>,
-    /// Until then the list says all that was announced; `None`: always.
+    /// Until when the endpoint list is known to contain all announced drains. `None`: no lease is used, and the list is
+    /// always relied on.
     lease_until: Option<Micros>,
-    /// By worker index: when the last health check that it passed was sent.
+    /// When the last health check that each worker passed was sent, by worker index.
     healthy_at: Vec<Micros>,
 }
 
 impl DrainGate {
-    /// `drain_grace`: for how long a worker may still be sent work after it was reported draining.
+    /// Creates a gate that accepts no worker yet. `drain_grace`: how long a worker may still be sent work after it was
+    /// reported as draining, in microseconds.
     pub fn new(drain_grace: Micros) -> Self {
         DrainGate {
             drain_grace,
@@ -28,14 +34,14 @@
         }
     }
 
-    /// Takes over the states of the endpoint list.
+    /// Applies the workers' states from an endpoint list received at `now`.
     pub fn update(&mut self, now: Micros, kind: EndpointListKind, endpoints: &[Endpoint]) {
         if kind == EndpointListKind::Failed {
             return;
         }
         let grace_ends = now + self.drain_grace;
         if kind != EndpointListKind::Changes {
-            // A worker that a complete list does not name is gone, like one that is reported gone.
+            // A worker that is missing from a complete list is gone, the same as one that is reported as gone.
             let is_named = |index: usize| {
                 endpoints
                     .iter()
@@ -48,60 +54,61 @@
         for endpoint in endpoints {
             let index = endpoint.worker as usize;
             if self.closes_at.len() <= index {
-                self.closes_at.resize(index + 1, NEVER);
+                self.closes_at.resize(index + 1, DISTANT_PAST);
             }
             let closes_at = self.closes_at[index];
             self.closes_at[index] = match endpoint.state {
                 EndpointState::InService => Micros::MAX,
-                // Symptom: the worker drained and was removed while the list was unreachable, and dispatches
-                // that wait for a connection leave within a grace that ended long ago. Holding them back loses
-                // nothing: nobody is there to serve them.
+                // If a drain grace began now, a worker that drained and was removed while the list was unreachable
+                // would still be sent the dispatches that wait for a connection to it, although its grace has ended
+                // long ago. Holding them back loses nothing, since the worker can no longer run them.
                 EndpointState::Gone => closes_at.min(now),
-                // The first report counts: of a worker first heard of now, or one that is reported again.
-                EndpointState::Draining if closes_at == NEVER => grace_ends,
+                // The grace starts with the first report of the drain; further reports do not extend it.
+                EndpointState::Draining if closes_at == DISTANT_PAST => grace_ends,
                 EndpointState::Draining => closes_at.min(grace_ends),
             };
         }
     }
 
-    /// The list is up to date, and says all that is announced until then.
+    /// Records that the endpoint list is up to date and can be relied on until `until`.
     pub fn renew_lease(&mut self, until: Micros) {
         self.lease_until = Some(until);
     }
 
-    /// The worker has passed a health check that was sent at `sent_at`: it had not begun to drain by then.
+    /// Records that the worker passed a health check that was sent at `sent_at`, so it had not begun to drain by then.
     pub fn passed_health_check(&mut self, worker: WorkerIndex, sent_at: Micros) {
         let index = worker as usize;
         if self.healthy_at.len() <= index {
-            self.healthy_at.resize(index + 1, NEVER);
+            self.healthy_at.resize(index + 1, DISTANT_PAST);
         }
         self.healthy_at[index] = sent_at;
     }
 
-    /// The index will be reused for another worker.
+    /// Forgets a worker whose index may be reused for another worker.
     pub fn forget(&mut self, worker: WorkerIndex) {
         if let Some(healthy_at) = self.healthy_at.get_mut(worker as usize) {
-            *healthy_at = NEVER;
+            *healthy_at = DISTANT_PAST;
         }
         if let Some(closes_at) = self.closes_at.get_mut(worker as usize) {
-            *closes_at = NEVER;
+            *closes_at = DISTANT_PAST;
         }
     }
 
-    /// Whether new work may be sent to the worker.
+    /// Returns whether new work may be sent to the worker at `now`.
     pub fn accepts(&self, now: Micros, worker: WorkerIndex) -> bool {
         let closes_at = self.closes_at.get(worker as usize);
-        closes_at.is_some_and(|closes_at| now < *closes_at) && self.announcements_known(now, worker)
+        closes_at.is_some_and(|closes_at| now < *closes_at)
+            && self.ended_drain_would_be_known(now, worker)
     }
 
-    /// Whether a drain of this worker would have been heard, but for one whose grace still runs: by the list, or by a
-    /// health check after the list's lease has ended.
-    fn announcements_known(&self, now: Micros, worker: WorkerIndex) -> bool {
+    /// Returns whether any drain of this worker whose grace has ended would be known by now: from the endpoint list
+    /// while its lease lasts, or from a health check after the lease has ended.
+    fn ended_drain_would_be_known(&self, now: Micros, worker: WorkerIndex) -> bool {
         let Some(lease_until) = self.lease_until else {
             return true;
         };
         let healthy_at = self.healthy_at.get(worker as usize);
-        let known_until = lease_until.max(healthy_at.copied().unwrap_or(NEVER));
+        let known_until = lease_until.max(healthy_at.copied().unwrap_or(DISTANT_PAST));
         now < known_until.saturating_add(self.drain_grace)
     }
 }
--- a/crates/router/src/idempotency_keys.rs
+++ b/crates/router/src/idempotency_keys.rs
@@ -1,13 +1,13 @@
-//! What a client's own retry with the same idempotency key gets. The core asks [`IdempotencyKeys::status`] for each
-//! invocation that has a key, and reports what started and how it ended. Keys hold for all fronts alike: one is
-//! identified by its account, trigger type and function, whichever front it came through.
+//! Answers a client's own retry that has the same idempotency key as an earlier invocation. The core looks up the key of
+//! each invocation with [`IdempotencyKeys::status`], and reports the start and the end of each invocation with a key.
+//! A key is valid for one account, trigger type and function, and is shared by all fronts.
 //!
 //! Mechanisms:
-//! 1. While the first invocation is open, a retry joins it: no second dispatch, the same answer.
-//! 2. A success is cached for the workers' deduplication window; within it a retry gets that answer. Other outcomes
-//!    are not cached: a retry may run again, under the safety rules.
-//! 3. The cache is bounded in number and bytes; the oldest answer is evicted first, and the workers still drop
-//!    repeats.
+//! 1. While the first invocation is open, a retry joins it: there is no second dispatch, and both get the same answer.
+//! 2. The answer of a success is cached for the workers' deduplication window, and a retry within the window gets it.
+//!    Other outcomes are not cached: a retry may run again, under the safety rules.
+//! 3. The cache is limited in the number of answers and in bytes. The oldest answer is evicted first; the workers still
+//!    drop repeats of its invocation.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -17,24 +17,24 @@
 use crate::Answer;
 use crate::answer_registry::AnswerSlot;
 
-/// Answers cached at most.
+/// Maximum number of cached answers.
 const MAX_ANSWERS: usize = 20_000;
-/// Size of the cached answers at most, with their bodies.
+/// Maximum total size of the cached answers with their bodies, in bytes.
 const MAX_BYTES: usize = 32 << 20;
-/// Size of a cached answer beside its body: the key and the entries of the tables.
-const ENTRY_OVERHEAD: usize = 256;
+/// Estimated size of a cached answer without its body, in bytes: the key and the entries in the tables.
+const ENTRY_OVERHEAD_BYTES: usize = 256;
 
 /// An idempotency key together with its account, trigger type and function, see [`key`].
 pub type Key = Arc<str>;
 
-/// What is known of an idempotency key.
+/// What this router knows about an idempotency key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyStatus {
-    /// Nothing: the invocation may run.
+    /// The key is not known: the invocation may run.
     Unknown,
-    /// An invocation with this key is open.
+    /// An invocation with this key is open; its answer is registered in this slot.
     InFlight(AnswerSlot),
-    /// An invocation with this key succeeded, with this answer.
+    /// An invocation with this key succeeded with this answer.
     Answered(Answer),
 }
 
@@ -45,30 +45,34 @@
 }
 
 impl CachedAnswer {
+    /// Size in bytes that counts against [`MAX_BYTES`].
     fn size(&self) -> usize {
-        self.answer.body.len() + ENTRY_OVERHEAD
+        self.answer.body.len() + ENTRY_OVERHEAD_BYTES
     }
 }
 
-/// The keys of open invocations and the cached answers.
+/// Holds the keys of open invocations and the cached answers of those that succeeded.
 #[derive(Debug, Default)]
 pub struct IdempotencyKeys {
     in_flight: HashMap<Key, AnswerSlot>,
     answers: HashMap<Key, CachedAnswer>,
-    /// Expiry of each cached answer, in the order of caching.
+    /// Expiry and key of each cached answer, in the order in which they were cached.
     eviction_order: VecDeque<(Micros, Key)>,
+    /// Total size of the cached answers, in bytes.
     bytes: usize,
-    /// Answers evicted before their expiry, as the cache was full.
+    /// Number of answers evicted before their expiry because the cache was full.
     pub forgotten: u64,
 }
 
-/// The key under which an invocation is known.
-pub fn key(account: u32, trigger: u32, function: &str, token: &str) -> Key {
-    Arc::from(format!("{account}\n{trigger}\n{function}\n{token}"))
+/// Combines a client's idempotency key with the account, trigger type and function of the invocation.
+pub fn key(account: u32, trigger: u32, function: &str, idempotency_key: &str) -> Key {
+    Arc::from(format!(
+        "{account}\n{trigger}\n{function}\n{idempotency_key}"
+    ))
 }
 
 impl IdempotencyKeys {
-    /// What a new invocation with this key gets.
+    /// Returns what is known about the key of a new invocation.
     pub fn status(&self, now: Micros, key: &str) -> KeyStatus {
         if let Some(&slot) = self.in_flight.get(key) {
             return KeyStatus::InFlight(slot);
@@ -79,18 +83,18 @@
         }
     }
 
-    /// An invocation with this key was accepted.
+    /// Records that an invocation with this key was accepted. `slot`: where its answer is registered.
     pub fn started(&mut self, key: Key, slot: AnswerSlot) {
         self.in_flight.insert(key, slot);
     }
 
-    /// The invocation with this key is over without an answer to cache.
+    /// Records that the invocation with this key ended without an answer to cache.
     pub fn ended(&mut self, now: Micros, key: &Key) {
         self.in_flight.remove(key);
         self.evict(now);
     }
 
-    /// The invocation with this key succeeded; its answer is cached until `expires_at`.
+    /// Records that the invocation with this key succeeded, and caches its answer until `expires_at`.
     pub fn succeeded(&mut self, now: Micros, key: &Key, answer: Answer, expires_at: Micros) {
         self.in_flight.remove(key);
         let cached = CachedAnswer { answer, expires_at };
@@ -102,7 +106,7 @@
         self.evict(now);
     }
 
-    /// Removes expired answers, and the oldest ones while the cache is full.
+    /// Removes expired answers, and the oldest answers while the cache exceeds its limits.
     fn evict(&mut self, now: Micros) {
         while let Some((expires_at, _)) = self.eviction_order.front() {
             let full = self.answers.len() > MAX_ANSWERS || self.bytes > MAX_BYTES;
@@ -110,7 +114,8 @@
                 break;
             }
             self.forgotten += u64::from(*expires_at > now);
-            // A later answer for the same key has its own entry in the eviction order.
+            // If the answer was replaced by a later one for the same key, the later one has its own entry in the
+            // eviction order.
             if let Some((expires_at, key)) = self.eviction_order.pop_front()
                 && self
                     .answers
--- a/crates/router/src/redelivery.rs
+++ b/crates/router/src/redelivery.rs
@@ -1,54 +1,55 @@
-//! What may be done with a message that was delivered before. Call [`decide`] for every message. A redelivered one may
-//! have been dispatched by a router that died or was disconnected, so the second safety rule (no effect twice) rests on
-//! what this router can prove.
+//! Decides whether a message that was delivered before may run. [`decide`] is called for every message. A redelivered
+//! message may already have been dispatched by a router that crashed or was disconnected, so the second safety rule (no
+//! effect happens twice) depends on what this router can prove.
 //!
 //! Mechanisms:
-//! 1. An own record comes first: an open invocation is joined, an answer that was given is repeated.
-//! 2. Without a record only the effect counts: idempotent invocations run, those with an idempotency key run while the
-//!    first attempt is surely within the workers' window, non-idempotent ones never.
+//! 1. A record of this router takes precedence: a delivery joins an open invocation, and an answer that was already given
+//!    is repeated.
+//! 2. Without a record, the effect decides: idempotent invocations run, those that are idempotent by key run while the
+//!    first attempt is certainly within the workers' deduplication window, and non-idempotent ones never run.
 
 use cedarpulley::interface::{DeduplicationScope, Effect, Micros};
 
-/// What this router itself knows of an earlier delivery.
+/// What this router itself knows about an earlier delivery of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PriorDelivery {
-    /// Nothing.
+    /// It has no record of the message.
     Nothing,
-    /// It was accepted here and is open.
+    /// It accepted the message, and the invocation is open.
     Open,
-    /// Its final answer was given, but is not known to be delivered.
+    /// It gave the final answer, which is not known to be delivered.
     Answered,
-    /// It was accepted here and is proven not to have run.
+    /// It accepted the message, and the invocation certainly did not run.
     NeverRan,
-    /// It was accepted here, dispatched, and may have run.
+    /// It accepted the message and dispatched the invocation, which may have run.
     MayHaveRun,
 }
 
-/// What is done with a message.
+/// How a message is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RedeliveryDecision {
-    /// It is accepted like any other.
+    /// The message is accepted as a new invocation.
     Accept {
-        /// Its attempts must be sent within this time, if there is one.
+        /// Time in microseconds within which all attempts must be sent; `None`: no limit.
         dispatch_within: Option<Micros>,
     },
-    /// The open invocation answers this delivery, too.
+    /// The delivery waits for the answer of the open invocation.
     Join,
-    /// It gets the answer that was given before.
+    /// The delivery gets the answer that was given before.
     Repeat,
-    /// It is answered with an error, which promises nothing.
+    /// The delivery is answered with an error that leaves open whether the invocation ran.
     Refuse,
 }
 
 impl RedeliveryDecision {
-    /// It is accepted without a time limit for its attempts.
+    /// The message is accepted without a time limit for its attempts.
     pub const UNRESTRICTED: RedeliveryDecision = RedeliveryDecision::Accept {
         dispatch_within: None,
     };
 }
 
-/// Decides upon a message. `waited`: how long ago its client sent it; `clock_margin`: by how much the client's clock and
-/// this router's may differ.
+/// Decides how a message is handled. `waited`: how long ago its client sent it; `clock_margin`: the maximum difference
+/// between the clocks of the client and of this router; both in microseconds.
 pub fn decide(
     prior: PriorDelivery,
     redelivered: bool,
@@ -62,8 +63,9 @@
         PriorDelivery::NeverRan | PriorDelivery::Nothing if !redelivered => {
             return RedeliveryDecision::UNRESTRICTED;
         }
-        // Only the router that accepted it on its first delivery may ever dispatch an invocation that must not run twice
-        // (every other refuses it, below). So a record here that it did not run is proof for all routers.
+        // An invocation that must not run twice is only ever dispatched by the router that accepted its first delivery;
+        // every other router refuses it, see below. So a record of this router that it did not run is proof for all
+        // routers.
         PriorDelivery::NeverRan if runs_only_at_first_router(effect) => {
             return RedeliveryDecision::UNRESTRICTED;
         }
@@ -71,8 +73,9 @@
     }
     match effect {
         Effect::Idempotent => RedeliveryDecision::UNRESTRICTED,
-        // Symptom: a router died while it was in flight. The first attempt was sent after the client had sent the
-        // message, so the window is surely open until the client's time of sending plus the window.
+        // A router may have crashed while the invocation was in flight. The first attempt was sent after the client had
+        // sent the message, so the deduplication window is certainly open until the client's sending time plus the
+        // window.
         Effect::IdempotentByKey {
             scope: DeduplicationScope::All,
             window,
@@ -82,11 +85,12 @@
             },
             _ => RedeliveryDecision::Refuse,
         },
-        // Which workers drop repeats of it is not known here.
+        // With another deduplication scope, this router does not know which workers drop repeats of the invocation.
         Effect::IdempotentByKey { .. } | Effect::NonIdempotent => RedeliveryDecision::Refuse,
     }
 }
 
+/// Returns whether only the router that accepted the first delivery may dispatch an invocation with this effect.
 fn runs_only_at_first_router(effect: Effect) -> bool {
     !matches!(
         effect,
--- a/crates/router/src/slot_map.rs
+++ b/crates/router/src/slot_map.rs
@@ -1,4 +1,5 @@
-//! Values under small dense indices that are reused; each index has a generation, which tells its users apart.
+//! A map from small, dense, reusable indices to values. Each index has a generation, which distinguishes the values that
+//! were stored under it one after another.
 
 #[derive(Debug)]
 struct Slot<T> {
@@ -7,7 +8,7 @@
     value: Option<T>,
 }
 
-/// A map from reusable indices to values.
+/// A map from small, dense, reusable indices to values.
 #[derive(Debug)]
 pub(crate) struct SlotMap<T> {
     slots: Vec<Slot<T>>,
@@ -37,24 +38,24 @@
         index
     }
 
-    /// The value at this index, if there is one.
+    /// Returns the value at this index, if there is one.
     pub(crate) fn get(&self, index: u32) -> Option<&T> {
         self.slots.get(index as usize)?.value.as_ref()
     }
 
-    /// The value at this index, if there is one.
+    /// Returns a mutable reference to the value at this index, if there is one.
     pub(crate) fn get_mut(&mut self, index: u32) -> Option<&mut T> {
         self.slots.get_mut(index as usize)?.value.as_mut()
     }
 
-    /// How many values were removed from this index.
+    /// The generation of the index: how many values were removed from it, modulo 2³².
     pub(crate) fn generation(&self, index: u32) -> u32 {
         self.slots
             .get(index as usize)
             .map_or(0, |slot| slot.generation)
     }
 
-    /// Takes the value out; its index may be reused.
+    /// Removes and returns the value; its index may be reused.
     pub(crate) fn remove(&mut self, index: u32) -> Option<T> {
         let slot = self.slots.get_mut(index as usize)?;
         let value = slot.value.take()?;
--- a/crates/router/src/worker_index_allocator.rs
+++ b/crates/router/src/worker_index_allocator.rs
@@ -1,31 +1,34 @@
-//! When the index of a removed worker may be reused: once nothing refers to it. Symptom: over a long day new
-//! workers replace old ones, and all state that is kept by worker grows without bound.
+//! Determines when the index of a removed worker may be reused: once nothing refers to it any more. Without reuse, all
+//! state that is stored by worker index would grow without bound as new workers replace old ones.
 //!
-//! Call [`WorkerIndexAllocator::update`] with each endpoint list, and [`WorkerIndexAllocator::reserve`] and
-//! [`WorkerIndexAllocator::unreserve`] for each reference to a worker; [`WorkerIndexAllocator::take_released`]
+//! The caller reports each endpoint list to [`WorkerIndexAllocator::update`], and each reference to a worker to
+//! [`WorkerIndexAllocator::reserve`] and [`WorkerIndexAllocator::unreserve`]. [`WorkerIndexAllocator::take_released`]
 //! returns the indices that have become free.
 
 use cedarpulley::interface::{Endpoint, EndpointListKind, EndpointState, WorkerIndex};
 
+/// The state of one worker index.
 #[derive(Clone, Copy, Debug, Default)]
 struct IndexState {
-    /// References by invocations and load orders.
+    /// Number of references by invocations and load orders.
     references: u32,
+    /// Whether its worker is in the endpoint list.
     listed: bool,
-    /// Assigned to a worker and not released yet.
+    /// Whether the index is assigned to a worker and was not released yet.
     assigned: bool,
 }
 
-/// Reference counts of worker indices.
+/// Counts the references to each worker index.
 #[derive(Debug, Default)]
 pub struct WorkerIndexAllocator {
-    /// By worker index.
+    /// The state of each index, by worker index.
     states: Vec<IndexState>,
+    /// The indices released since the last call of [`WorkerIndexAllocator::take_released`].
     released: Vec<WorkerIndex>,
 }
 
 impl WorkerIndexAllocator {
-    /// Takes over which workers are in the endpoint list.
+    /// Applies an endpoint list: records which workers are in it, and releases unused indices.
     pub fn update(&mut self, kind: EndpointListKind, endpoints: &[Endpoint]) {
         if kind == EndpointListKind::Failed {
             return;
@@ -46,14 +49,15 @@
         (0..self.states.len() as WorkerIndex).for_each(|worker| self.release_if_unused(worker));
     }
 
-    /// Counts a reference: a load order in flight, or a dispatch (ended or not) of an open invocation.
+    /// Counts a reference to the worker: a load order in flight, or a dispatch of an open invocation, even one that has
+    /// ended.
     pub fn reserve(&mut self, worker: WorkerIndex) {
         if let Some(state) = self.states.get_mut(worker as usize) {
             state.references += 1;
         }
     }
 
-    /// Ends a reference counted by [`WorkerIndexAllocator::reserve`].
+    /// Removes a reference counted by [`WorkerIndexAllocator::reserve`].
     pub fn unreserve(&mut self, worker: WorkerIndex) {
         if let Some(state) = self.states.get_mut(worker as usize) {
             state.references = state.references.saturating_sub(1);
@@ -69,7 +73,7 @@
         }
     }
 
-    /// The indices released since the last call.
+    /// Returns the indices released since the last call.
     pub fn take_released(&mut self) -> Vec<WorkerIndex> {
         std::mem::take(&mut self.released)
     }
