--- a/crates/router/src/admission_control.rs
+++ b/crates/router/src/admission_control.rs
@@ -1,48 +1,53 @@
-//! Whether a request is admitted before its body is read. A broker holds what is beyond the limit; a client that calls
-//! directly can be told at once, at no harm, when to retry. Call [`AdmissionControl::decide`] for each request and
-//! [`AdmissionControl::answered`] for each answer.
+//! Decides whether a request is admitted before its body is read. Messages above the limit stay at their broker, but a
+//! client that sends requests directly must be answered: it can be rejected at once and without harm, with the time after
+//! which to retry. The caller calls [`AdmissionControl::decide`] for each request and [`AdmissionControl::answered`] for
+//! each answer.
 //!
 //! Mechanisms:
-//! 1. Hard bounds first: stopping, memory, the limit on all, the caps of its front and its account.
-//! 2. A connection may have a few times its equal part once little capacity is left: one client's many streams do not
-//!    shut out the others. A connection that mostly abandons its requests, or reads no answers, is admitted next to
-//!    nothing.
-//! 3. The last part of the limit is reserved for what is worth more: the lower its expected value among recent ones, the
-//!    sooner it is rejected. One that will be late is worth what a late answer earns.
-//! 4. Retry-After: as long as it takes to serve those that were rejected recently, spread out.
+//! 1. Hard limits are checked first: shutdown, memory, the limit on all invocations, the caps of the front and of the
+//!    account.
+//! 2. While the router is busy, a connection may have a small multiple of its equal part in flight, so that the many
+//!    streams of one client do not shut out the others. A connection whose client abandons most of its requests, or does
+//!    not read its answers, is rejected.
+//! 3. The last part of the limit is reserved for requests of higher expected value: the lower the expected value of a
+//!    request compared with recent ones, the sooner it is rejected. A request whose answer will be late has the value of
+//!    a late answer.
+//! 4. Retry-After is the time that it takes to serve the recently rejected requests, randomised.
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
 use cedarpulley::interface::{Micros, TriggerType};
 
-/// Requests of the highest expected value may use the whole limit, those of the lowest all but this part of it.
+/// Requests of the highest expected value may use the whole limit; those of the lowest may not use this fraction of it.
 const RESERVED_FRACTION: f64 = 0.25;
-/// Expected values of so many requests are retained: enough to tell deciles apart, few enough to follow a change.
+/// Number of recent requests whose expected values are retained: enough to distinguish deciles, few enough to follow
+/// changes.
 const RECENT_VALUES: usize = 128;
-/// A connection is held to its part only where more than this part of the limit is used.
+/// A connection is limited to its part only while more than this fraction of the concurrency limit is used.
 const BUSY_FRACTION: f64 = 0.5;
-/// Multiple of its equal part that a connection may have: clients are not equally busy.
+/// Multiple of its equal part that a connection may have in flight, since clients are not equally busy.
 const CONNECTION_LEEWAY: f64 = 2.0;
-/// A connection may always have so many requests in flight.
+/// Number of requests that the limit on a connection always allows in flight.
 const MIN_PER_CONNECTION: u32 = 4;
-/// Answers that a connection has not read, from which on no more of its requests are admitted: a client that does not
-/// read its answers has no use for more.
-const MAX_UNREAD: u32 = 32;
-/// A connection that abandoned so many of its last 32 requests is admitted again once [`INTERVAL`] has passed without.
-const MAX_ABANDONED: u32 = 24;
-/// Rejections and answers are counted by intervals of this length.
+/// Number of unread answers from which on no further requests of a connection are admitted: a client that does not read
+/// its answers has no use for more.
+const MAX_UNREAD_ANSWERS: u32 = 32;
+/// If at least this many of the last 32 requests of a connection were abandoned, its requests are rejected until none was
+/// abandoned for one [`INTERVAL`].
+const RESET_FLOOD_THRESHOLD: u32 = 24;
+/// Length of the intervals in which rejections and answers are counted, in microseconds.
 const INTERVAL: Micros = 1_000_000;
-/// Shortest Retry-After: a sooner retry would find the same.
+/// Shortest Retry-After, in microseconds: nothing would have changed by an earlier retry.
 const MIN_RETRY_AFTER: Micros = 100_000;
-/// Longest Retry-After: by then all may be well.
+/// Longest Retry-After, in microseconds: the load may well have passed by then.
 const MAX_RETRY_AFTER: Micros = 10_000_000;
 
-/// Why a request was rejected: it never ran, and is counted by this.
+/// Why a request was rejected before it ran; rejections are counted by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RejectionReason {
     /// The router is shutting down.
     Stopping,
-    /// There is no memory for its body.
+    /// There is not enough memory for its body.
     Memory,
     /// The limit on all invocations is reached.
     All,
@@ -50,103 +55,105 @@
     Front,
     /// Its account is at its cap, or paced by its own successes.
     Account,
-    /// Its connection has too many requests in flight, or misbehaves.
+    /// Its connection has too many requests in flight, does not read its answers, or abandons most of its requests.
     Connection,
-    /// Little capacity is left, and it is reserved for what is worth more.
+    /// Little capacity is left, and it is reserved for requests of higher expected value.
     Worth,
 }
 
-/// What is known of a request before its body is read.
+/// What is known about a request before its body is read.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
     /// Index of its trigger type.
     pub trigger: u32,
     /// Index of its account.
     pub account: u32,
-    /// How long its client has waited already.
+    /// How long its client has already waited, in microseconds.
     pub waited: Micros,
-    /// Size of its body; the largest size allowed where it is not given.
+    /// Size of its body in bytes; the largest allowed size if the request does not state it.
     pub bytes: u64,
-    /// Requests of its connection that are in flight, without this one.
+    /// Number of other requests of its connection in flight.
     pub connection_in_flight: u32,
-    /// Answers that its connection has not read.
+    /// Number of answers that its client has not read from the connection.
     pub unread_answers: u32,
     /// How many of the last 32 requests of its connection were abandoned by the client.
     pub abandoned: u32,
-    /// Time since the last of them was abandoned.
+    /// Time since the last of them was abandoned, in microseconds.
     pub last_abandoned_ago: Micros,
-    /// Connections of its front that have requests in flight.
+    /// Number of connections of its front that have requests in flight.
     pub active_connections: u32,
-    /// Size of the answers that clients have not read, on all fronts, in bytes.
+    /// Total size of the answers that clients have not read, on all fronts, in bytes.
     pub unread_bytes: u64,
 }
 
 impl AdmissionRequest {
-    /// Symptom: a client opens streams and resets them as fast as it can; each costs a dispatch that may run on.
+    /// Whether the client opens streams and resets them in quick succession. Each of them costs a dispatch that may
+    /// continue to run after the reset.
     fn is_reset_flood(&self) -> bool {
-        self.abandoned >= MAX_ABANDONED && self.last_abandoned_ago < INTERVAL
+        self.abandoned >= RESET_FLOOD_THRESHOLD && self.last_abandoned_ago < INTERVAL
     }
 
-    /// Its connection has more than its part of a busy router.
+    /// Whether the router is busy and its connection already has its maximum number of requests in flight.
     fn exceeds_connection_part(&self, occupancy: &Occupancy) -> bool {
         let equal_part = occupancy.front.cap / f64::from(self.active_connections.max(1));
-        let most = (equal_part * CONNECTION_LEEWAY).max(f64::from(MIN_PER_CONNECTION));
+        let max_in_flight = (equal_part * CONNECTION_LEEWAY).max(f64::from(MIN_PER_CONNECTION));
         f64::from(occupancy.in_flight) > BUSY_FRACTION * occupancy.limit
-            && f64::from(self.connection_in_flight) >= most
+            && f64::from(self.connection_in_flight) >= max_in_flight
     }
 }
 
-/// What one front or account has in flight.
+/// How much of its share a front or account uses.
 #[derive(Clone, Copy, Debug)]
 pub struct PartyOccupancy {
-    /// Its invocations in flight.
+    /// Number of its invocations in flight.
     pub in_flight: u32,
-    /// How many it may have in flight.
+    /// Maximum number of its invocations in flight.
     pub cap: f64,
-    /// It is paced by its own successes and has used up its credit.
+    /// Whether it is paced by its own successes and has used up its credit.
     pub lacks_credit: bool,
 }
 
 impl PartyOccupancy {
+    /// Whether no further invocation may be admitted.
     fn is_exhausted(&self) -> bool {
         f64::from(self.in_flight) >= self.cap || self.lacks_credit
     }
 }
 
-/// How full the router is.
+/// How much of its limits the router uses.
 #[derive(Clone, Copy, Debug)]
 pub struct Occupancy {
     /// The limit on invocations in flight.
     pub limit: f64,
-    /// Invocations in flight.
+    /// Number of invocations in flight.
     pub in_flight: u32,
     /// The front of the request.
     pub front: PartyOccupancy,
     /// The account of the request, on that front.
     pub account: PartyOccupancy,
-    /// Free memory for bodies, less those that were admitted and have not arrived yet.
+    /// Free memory for bodies in bytes, less the bodies of admitted requests that have not arrived yet.
     pub free_bytes: u64,
-    /// Usual time of an answer.
+    /// Average latency of an answer, in microseconds.
     pub typical_latency: Micros,
-    /// The router is shutting down.
+    /// Whether the router is shutting down.
     pub stopping: bool,
 }
 
 /// Whether a request is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It is admitted.
+    /// The request is admitted.
     Admitted,
-    /// It is rejected.
+    /// The request is rejected.
     Rejected {
-        /// Why.
+        /// Why the request is rejected.
         reason: RejectionReason,
-        /// When the client should retry.
+        /// Time after which the client should retry, in microseconds.
         retry_after: Micros,
     },
 }
 
-/// Counts of one interval and the one before it.
+/// The counts of the current interval and of the one before it.
 #[derive(Clone, Copy, Debug, Default)]
 struct IntervalCount {
     current: u32,
@@ -158,7 +165,7 @@
         self.current + self.previous
     }
 
-    /// Starts a new interval; `follows`: it directly follows the last one.
+    /// Starts a new interval. `follows`: whether it directly follows the interval counted last.
     fn roll(&mut self, follows: bool) {
         *self = IntervalCount {
             current: 0,
@@ -170,18 +177,20 @@
 /// Decides which requests are admitted.
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
-    /// Expected values of the last requests, a ring.
+    /// Expected values of the most recent requests, as a ring buffer.
     recent_values: Vec<f64>,
-    /// Position in the ring that is overwritten next.
+    /// Position in the ring buffer that is overwritten next.
     next: usize,
-    /// Number of the present interval.
+    /// Number of the current interval.
     interval: i64,
     rejected: IntervalCount,
     answered: IntervalCount,
+    /// Number of random values drawn so far.
     draws: u64,
 }
 
-/// What an answer would earn by the time it can be given.
+/// The value of an answer at the time at which it can be expected. `waited`: how long the client has already waited;
+/// `typical_latency`: the average latency of an answer; both in microseconds.
 pub fn expected_value(trigger: &TriggerType, waited: Micros, typical_latency: Micros) -> f64 {
     let late = waited + typical_latency > trigger.latency_objective;
     trigger.billed_value
@@ -193,7 +202,7 @@
 }
 
 impl AdmissionControl {
-    /// Applies all checks in their order; `expected_value` as [`expected_value`] returns it.
+    /// Decides whether the request is admitted. `expected_value`: as returned by [`expected_value`].
     pub fn decide(
         &mut self,
         now: Micros,
@@ -215,13 +224,13 @@
         }
     }
 
-    /// An invocation was answered.
+    /// Records that an invocation was answered.
     pub fn answered(&mut self, now: Micros) {
         self.advance(now);
         self.answered.current += 1;
     }
 
-    /// Fraction of the recent requests that are worth more than this one, which is then recorded.
+    /// Returns the fraction of the recent requests with a higher expected value, and records the value.
     fn rank(&mut self, expected_value: f64) -> f64 {
         let recent = &mut self.recent_values;
         let higher = recent
@@ -238,17 +247,20 @@
         higher_fraction
     }
 
+    /// The Retry-After of a rejected request, in microseconds.
     fn retry_after(&mut self, typical_latency: Micros) -> Micros {
         let rejected = f64::from(self.rejected.sum());
         let answered = f64::from(self.answered.sum()).max(1.0);
         let wait = typical_latency as f64 + rejected / answered * INTERVAL as f64;
-        // Symptom: all clients that were rejected come back together. From half to one and a half of the time.
+        // Without randomisation, all rejected clients would retry at the same time. The wait is multiplied by a random
+        // factor from 0.5 to 1.5.
         self.draws += 1;
         let drawn = BuildHasherDefault::<DefaultHasher>::default().hash_one(self.draws) % 1024;
         let spread = 0.5 + drawn as f64 / 1024.0;
         (wait * spread).clamp(MIN_RETRY_AFTER as f64, MAX_RETRY_AFTER as f64) as Micros
     }
 
+    /// Starts a new interval if the current one has ended.
     fn advance(&mut self, now: Micros) {
         let interval = now.div_euclid(INTERVAL);
         if interval == self.interval {
@@ -261,7 +273,8 @@
     }
 }
 
-/// The first bound that the request exceeds. `higher_fraction`: fraction of the recent requests worth more.
+/// The first limit that the request exceeds. `higher_fraction`: fraction of the recent requests with a higher expected
+/// value.
 fn rejection_reason(
     request: &AdmissionRequest,
     higher_fraction: f64,
@@ -278,7 +291,7 @@
         Some(RejectionReason::Front)
     } else if occupancy.account.is_exhausted() {
         Some(RejectionReason::Account)
-    } else if request.unread_answers >= MAX_UNREAD
+    } else if request.unread_answers >= MAX_UNREAD_ANSWERS
         || request.exceeds_connection_part(occupancy)
         || request.is_reset_flood()
     {
--- a/crates/router/src/answer_registry.rs
+++ b/crates/router/src/answer_registry.rs
@@ -1,14 +1,15 @@
-//! Which final answer was given to which message, until its front has delivered it: never a second one, never a different
-//! one. The core reports to [`AnswerRegistry`] what was accepted, answered, delivered and lost; it says what is known of a
-//! message that is delivered again.
+//! Stores the final answer of each message until its front has delivered it, so that no message gets a second or a
+//! different answer. The core reports to [`AnswerRegistry`] which messages were accepted, answered, delivered or lost.
+//! When a message is delivered again, the registry returns what is known about it.
 //!
 //! Mechanisms:
-//! 1. One delivery of the message, and those that joined by their idempotency key, wait for an answer; all get the same
-//!    one. Where a front loses its channel, its deliveries no longer wait; the same message delivered again takes their
-//!    place.
-//! 2. A record for which no delivery waits is forgotten when its client has given up, or, with too many of them, the one
-//!    that expires first: what is delivered again is then judged by its effect alone.
-//! 3. A given answer never changes; its record goes once its front reports that it was delivered.
+//! 1. One delivery of the message and the deliveries that joined it by their idempotency key wait for the answer; all of
+//!    them get the same one. When a front loses its channel, its deliveries no longer wait. The same message, delivered
+//!    again, takes their place.
+//! 2. A record without a waiting delivery is forgotten when its client has given up. If there are too many such records,
+//!    the one that expires first is forgotten; if its message is delivered again, it is treated according to its effect
+//!    alone.
+//! 3. A given answer never changes. Its record is removed once the front reports that the answer was delivered.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -18,49 +19,54 @@
 use crate::redelivery::PriorDelivery;
 use crate::{Answer, Delivery, FinalOutcome, FrontIndex};
 
-/// Records without a waiting delivery at most; each is a few hundred bytes. A message whose record was forgotten is only
-/// treated more strictly.
+/// Maximum number of records without a waiting delivery; each takes a few hundred bytes. Forgetting a record is safe: its
+/// message is only treated more strictly when it is delivered again.
 const MAX_ORPHANS: usize = 10_000;
 
-/// Deliveries that may wait for one answer.
+/// Maximum number of deliveries that wait for one answer.
 const MAX_WAITERS: usize = 16;
 
-/// Where an answer is registered; reused once its record was forgotten.
+/// Index of the record of an answer; reused once the record was forgotten.
 pub type AnswerSlot = u32;
 
+/// What is known about the answer of a record.
 #[derive(Debug)]
 enum RecordState {
     /// The invocation has no answer yet.
     Open(InvocationIndex),
-    /// The final answer.
+    /// The final answer was given.
     Given(Answer),
-    /// The invocation ended while nobody could be answered.
+    /// The invocation ended without an answer to retain while no delivery waited for it.
     Ended { may_have_run: bool },
 }
 
+/// A delivery that waits for the answer of a record.
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
     delivery: Delivery,
-    /// Another message with the same idempotency key.
+    /// Whether it is a delivery of another message with the same idempotency key.
     joined: bool,
 }
 
+/// The answer of one invocation, given or owed.
 #[derive(Debug)]
 struct AnswerRecord {
+    /// Identity of its message, if it has one.
     identity: Option<Arc<str>>,
-    /// The key under which the group of routers knows it.
-    shared: Option<Arc<str>>,
+    /// The key of its invocation in the group of routers, if it is shared with the group.
+    group_key: Option<Arc<str>>,
     waiters: Vec<Waiter>,
     state: RecordState,
+    /// When its client gives up.
     expires_at: Micros,
 }
 
-/// What became of the invocations whose deliveries a front lost.
+/// The open invocations affected by the loss of a front's channel.
 #[derive(Debug, Default)]
 pub struct LostDeliveries {
-    /// Open invocations for which no delivery waits any more.
+    /// Open invocations that lost their last waiting delivery.
     pub open: Vec<InvocationIndex>,
-    /// Open invocations whose record was forgotten, as there were too many without a waiting delivery.
+    /// Open invocations whose record was forgotten, as there were too many records without a waiting delivery.
     pub forgotten: Vec<InvocationIndex>,
 }
 
@@ -72,9 +78,9 @@
     free: Vec<AnswerSlot>,
     by_identity: HashMap<Arc<str>, AnswerSlot>,
     by_waiter: HashMap<Delivery, AnswerSlot>,
-    /// Records without a waiting delivery, by expiry.
+    /// The records whose last waiting delivery was lost with its front's channel, by expiry.
     orphans: BTreeSet<(Micros, AnswerSlot)>,
-    /// Records forgotten before their expiry, as there were too many.
+    /// Number of records forgotten before their expiry, as there were too many without a waiting delivery.
     pub forgotten: u64,
 }
 
@@ -85,7 +91,7 @@
 }
 
 impl AnswerRegistry {
-    /// A registry with at most so many records without a waiting delivery.
+    /// Creates a registry that retains at most `max_orphans` records without a waiting delivery.
     pub fn bounded(max_orphans: usize) -> Self {
         AnswerRegistry {
             max_orphans,
@@ -103,17 +109,17 @@
         self.records.len() - self.free.len()
     }
 
-    /// There is no record.
+    /// Whether there is no record.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Number of deliveries whose answer is owed, or given and not known to be delivered.
+    /// Number of deliveries whose answer was not given yet, or is not known to be delivered.
     pub fn undelivered(&self) -> usize {
         self.by_waiter.len()
     }
 
-    /// What this router knows of a message, and its record.
+    /// Returns what this router knows about a message, and the record of its answer.
     pub fn lookup(&self, identity: Option<&str>) -> (PriorDelivery, Option<AnswerSlot>) {
         let Some(&slot) = identity.and_then(|identity| self.by_identity.get(identity)) else {
             return (PriorDelivery::Nothing, None);
@@ -133,8 +139,8 @@
         (prior, Some(slot))
     }
 
-    /// Opens the record of a new invocation. `identity`: of its message, if it has one; an older record of the same message
-    /// is forgotten. `expires_at`: when its client gives up.
+    /// Creates the record of a new invocation. `identity`: the identity of its message, if it has one; an older record of
+    /// the same message is forgotten. `expires_at`: when its client gives up.
     pub fn open(
         &mut self,
         identity: Option<Arc<str>>,
@@ -154,7 +160,7 @@
         }];
         let record = AnswerRecord {
             identity: identity.clone(),
-            shared: None,
+            group_key: None,
             waiters,
             state: RecordState::Open(index),
             expires_at,
@@ -171,7 +177,7 @@
         slot
     }
 
-    /// The invocation, while it has no answer.
+    /// The invocation of the record, while it is open.
     pub fn invocation(&self, slot: AnswerSlot) -> Option<InvocationIndex> {
         match self.records.get(slot as usize)?.as_ref()?.state {
             RecordState::Open(index) => Some(index),
@@ -179,8 +185,8 @@
         }
     }
 
-    /// The same message is delivered again and waits for the answer. False if an earlier delivery of it still waits: then
-    /// the message was published twice, and the one answer goes to the first.
+    /// Records that the same message was delivered again and waits for the answer. Returns false if an earlier delivery of
+    /// the message still waits: then the message was published twice, and the only answer goes to the first delivery.
     pub fn rejoin(&mut self, slot: AnswerSlot, waiter: Delivery) -> bool {
         let Some(record) = self.records[slot as usize].as_mut() else {
             return false;
@@ -197,7 +203,8 @@
         true
     }
 
-    /// Another message with the same idempotency key waits for the same answer. False if too many do already.
+    /// Records that another message with the same idempotency key waits for the same answer. Returns false if there is no
+    /// record or too many deliveries already wait.
     pub fn join(&mut self, slot: AnswerSlot, waiter: Delivery) -> bool {
         let record = self.records.get_mut(slot as usize).and_then(Option::as_mut);
         let Some(record) = record.filter(|record| record.waiters.len() < MAX_WAITERS) else {
@@ -212,14 +219,15 @@
         true
     }
 
-    /// Whether this delivery waits for an answer that was not given yet.
+    /// Whether the delivery waits for an answer that was not given yet.
     pub fn is_waiting(&self, delivery: Delivery) -> bool {
         self.by_waiter
             .get(&delivery)
             .is_some_and(|&slot| self.invocation(slot).is_some())
     }
 
-    /// This delivery waits no more. The record it waited for, and whether no other delivery waits for that now.
+    /// Records that the delivery no longer waits. Returns the record for which it waited, and whether no other delivery
+    /// waits for that record now.
     pub fn remove_waiter(&mut self, delivery: Delivery) -> Option<(AnswerSlot, bool)> {
         let slot = self.by_waiter.remove(&delivery)?;
         let record = self.records.get_mut(slot as usize)?.as_mut()?;
@@ -227,7 +235,7 @@
         Some((slot, record.waiters.is_empty()))
     }
 
-    /// The answer that was given, if one was.
+    /// The answer that was given, if any.
     pub fn answer(&self, slot: AnswerSlot) -> Option<&Answer> {
         match &self.records.get(slot as usize)?.as_ref()?.state {
             RecordState::Given(answer) => Some(answer),
@@ -235,7 +243,8 @@
         }
     }
 
-    /// It was answered as not run, and no delivery is left to hear that: another router may have accepted it since.
+    /// Whether the invocation was answered as not run, but no delivery waits to receive that answer. Another router may
+    /// have accepted its message since.
     pub fn was_retracted(&self, slot: AnswerSlot) -> bool {
         let record = self.records.get(slot as usize).and_then(Option::as_ref);
         record.is_some_and(|record| match &record.state {
@@ -246,7 +255,7 @@
         })
     }
 
-    /// Registers the final answer, and returns the deliveries to send it to. A later answer has no effect.
+    /// Registers the final answer, and returns the deliveries to which it must be sent. Any later answer is ignored.
     pub fn give(&mut self, slot: AnswerSlot, answer: &Answer) -> Vec<Delivery> {
         match self.records.get_mut(slot as usize) {
             Some(Some(record)) if matches!(record.state, RecordState::Open(_)) => {
@@ -261,38 +270,39 @@
         }
     }
 
-    /// The invocation ended while nobody could be answered, and without an answer to retain.
+    /// Records that the invocation ended without an answer to retain, while no delivery waited for it.
     pub fn end(&mut self, slot: AnswerSlot, may_have_run: bool) {
         if let Some(Some(record)) = self.records.get_mut(slot as usize) {
             record.state = RecordState::Ended { may_have_run };
         }
     }
 
-    /// The group of routers knows it under this key.
+    /// Records the key of the invocation in the group of routers.
     pub fn share(&mut self, slot: AnswerSlot, key: Arc<str>) {
         if let Some(Some(record)) = self.records.get_mut(slot as usize) {
-            record.shared = Some(key);
+            record.group_key = Some(key);
         }
     }
 
-    /// The front has delivered the answer: the message cannot be delivered again. The key under which the group knows it, if
-    /// no other delivery waits.
+    /// Records that the front delivered the answer, so that the message cannot be delivered again. If no other delivery
+    /// waits, the record is removed, and the key of the invocation in the group of routers is returned unless an
+    /// answer to another delivery of the same record was reported before.
     pub fn delivered(&mut self, delivery: Delivery) -> Option<Arc<str>> {
-        let (slot, last) = self.remove_waiter(delivery)?;
-        let shared = self
+        let (slot, was_last) = self.remove_waiter(delivery)?;
+        let group_key = self
             .records
             .get_mut(slot as usize)
             .and_then(Option::as_mut)
-            .and_then(|record| record.shared.take());
-        if last {
+            .and_then(|record| record.group_key.take());
+        if was_last {
             self.forget(slot);
         }
-        shared.filter(|_| last)
+        group_key.filter(|_| was_last)
     }
 
-    /// A front lost its channel: its deliveries no longer wait, until their messages are delivered again.
+    /// Records that a front lost its channel: its deliveries no longer wait. Their messages may be delivered again.
     pub fn front_lost(&mut self, front: FrontIndex) -> LostDeliveries {
-        let mut invocations = LostDeliveries::default();
+        let mut result = LostDeliveries::default();
         for (record, slot) in self.records.iter_mut().zip(0..) {
             let Some(record) = record else { continue };
             let lost: Vec<Delivery> = record
@@ -308,20 +318,20 @@
             }
             self.orphans.insert((record.expires_at, slot));
             if let RecordState::Open(index) = record.state {
-                invocations.open.push(index);
+                result.open.push(index);
             }
         }
         while self.orphans.len() > self.max_orphans
             && let Some(&(_, slot)) = self.orphans.first()
         {
             self.forgotten += 1;
-            invocations.forgotten.extend(self.invocation(slot));
+            result.forgotten.extend(self.invocation(slot));
             self.forget(slot);
         }
-        invocations
+        result
     }
 
-    /// Forgets the records whose clients have given up.
+    /// Forgets the records without a waiting delivery whose clients have given up.
     pub fn expire(&mut self, now: Micros) {
         while let Some(&(expires_at, slot)) = self.orphans.first()
             && expires_at <= now
@@ -330,7 +340,7 @@
         }
     }
 
-    /// Forgets a record, with all who wait for its answer.
+    /// Forgets a record and all deliveries that wait for its answer.
     pub fn forget(&mut self, slot: AnswerSlot) {
         let Some(record) = self.records.get_mut(slot as usize).and_then(Option::take) else {
             return;
--- a/crates/router/src/concurrency_limit.rs
+++ b/crates/router/src/concurrency_limit.rs
@@ -1,17 +1,19 @@
-//! How many invocations this router may have in flight, and from which front. Each accepted one is an obligation, so
-//! what is beyond the limit stays at its broker, or is rejected before its body is read ([`admission_control`], which
-//! decides by [`ConcurrencyLimiter::occupancy`]).
+//! Limits how many invocations this router may have in flight, in total and per front. The router must answer every
+//! invocation that it accepts. Messages above the limit therefore stay at their broker, and requests above it are
+//! rejected before their body is read (by [`admission_control`], according to [`ConcurrencyLimiter::occupancy`]).
 //!
-//! Call [`ConcurrencyLimiter::arrived`], [`ConcurrencyLimiter::admitted`], [`ConcurrencyLimiter::departed`],
-//! [`ConcurrencyLimiter::reserve_body`], [`ConcurrencyLimiter::ended`] and [`ConcurrencyLimiter::front_changed`];
-//! [`ConcurrencyLimiter::changed_grants`] says how many each front may now have in flight.
+//! The caller reports all events to [`ConcurrencyLimiter::arrived`], [`ConcurrencyLimiter::admitted`],
+//! [`ConcurrencyLimiter::departed`], [`ConcurrencyLimiter::reserve_body`], [`ConcurrencyLimiter::ended`] and
+//! [`ConcurrencyLimiter::front_changed`]. [`ConcurrencyLimiter::changed_grants`] reports the grant of each front: how many
+//! invocations it may have in flight.
 //!
 //! Mechanisms:
-//! 1. The limit grows while it is used and answers are on time, and shrinks when too many are late.
-//! 2. Memory: never more than the bodies that still fit, by their usual size.
-//! 3. Fronts share the limit by weight; what one does not use, the others may; each keeps at least one. A front or an
-//!    account whose flood crowds out others is capped ([`fair_share`](crate::fair_share)).
-//! 4. A front that cannot send its answers is granted next to nothing, one that is stopping nothing.
+//! 1. The limit grows while it is used and answers are on time, and shrinks when too many answers are late.
+//! 2. No more invocations are granted than there is memory for, by the average size of a body.
+//! 3. Fronts share the limit by weight. Capacity that one front does not use is available to the others, and each front
+//!    is granted at least one invocation. A front or an account whose flood crowds out others is capped
+//!    ([`fair_share`](crate::fair_share)).
+//! 4. A front that cannot send its answers is granted one invocation. During a shutdown nothing is granted.
 //!
 //! [`admission_control`]: crate::admission_control
 
@@ -21,60 +23,64 @@
 use crate::admission_control::{Occupancy, PartyOccupancy};
 use crate::fair_share::{CrowdingSignal, FairShare};
 
-/// The initial limit. What is accepted waits in the module's order, by value and time left, and shows the module the
-/// demand for loads; what stays at the broker waits first come, first served, until all of it is late. A few hundred
-/// bodies cost little.
+/// The initial limit on invocations in flight. Accepted invocations wait in the order that the balancer chooses, by value
+/// and remaining time, and show the balancer the demand for loads. Messages that stay at the broker wait in first-in,
+/// first-out order until all of them are late. The memory for a few hundred bodies is small.
 const INITIAL_LIMIT: f64 = 256.0;
-/// Least limit, so that the module still sees the demand.
+/// The lowest limit, at which the balancer still sees the demand.
 const MIN_LIMIT: f64 = 32.0;
-/// Above this fraction of late answers the limit shrinks, at most once in the usual time of an answer.
+/// The limit shrinks while more than this fraction of the answers is late, at most once in the average latency of an
+/// answer.
 const LATE_FRACTION: f64 = 0.2;
-/// The limit shrinks to this part of itself.
-const SHRINK: f64 = 0.8;
-/// The late fraction, the usual time and the usual body size are averages over about so many invocations.
-const AVERAGED_OVER: f64 = 16.0;
-/// The limit counts as used when this part of it is in flight; otherwise timely answers say nothing about more.
+/// Each reduction multiplies the limit by this factor.
+const LIMIT_REDUCTION_FACTOR: f64 = 0.8;
+/// The fraction of late answers, the latency and the body size are averaged over about this many invocations.
+const AVERAGED_INVOCATIONS: f64 = 16.0;
+/// The limit may only grow while at least this fraction of it is in flight. With less in flight, timely answers do not
+/// show that a higher limit would work.
 const USED_FRACTION: f64 = 0.75;
-/// A front that needs less than its part of the limit keeps this margin above what it has in flight, and leaves the
-/// rest to others.
+/// A front that needs less than its part of the limit keeps this fraction more than it has in flight, and leaves the rest
+/// to others.
 const GRANT_MARGIN: f64 = 0.25;
-/// Added to that margin, so that a front with little in flight can grow.
+/// Number of invocations added to that margin, so that a front with few in flight can grow.
 const GRANT_GROWTH: f64 = 4.0;
-/// A grant changes by at least this part, so that a front is not notified of every small change.
+/// A grant changes by at least this fraction, so that a front is not notified of every small change.
 const GRANT_STEP: f64 = 0.125;
-/// A late answer was crowded out if it waited here for more than this part of its time: less is its own work.
+/// A late invocation was crowded out if it waited here for more than this fraction of its total time; otherwise it was
+/// late because of its own execution time.
 const CROWDED_FRACTION: f64 = 0.25;
-/// An answer that waited here for more than this part of its latency objective was nearly crowded out: whatever waits
-/// behind it may be late.
+/// An invocation that was on time but waited here for more than this fraction of its latency objective was nearly crowded
+/// out: the invocations behind it may be late.
 const NEARLY_CROWDED_FRACTION: f64 = 0.4;
-/// Largest grant that a protocol can express (AMQP counts in 16 bits).
+/// The largest grant: AMQP expresses it in 16 bits.
 const MAX_GRANT: f64 = 65_535.0;
 
 /// The state of a front's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrontState {
-    /// It receives messages and sends answers.
+    /// The front is connected: it receives messages and sends answers.
     Up,
-    /// It is connected but cannot send answers now.
+    /// The front is connected but cannot send answers at present.
     Blocked,
-    /// It is not connected.
+    /// The front is not connected.
     Down,
 }
 
-/// What an invocation that ended says about the limit.
+/// What the end of an invocation indicates about the load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadSignal {
-    /// It was answered within its latency objective.
+    /// The invocation was answered within its latency objective.
     OnTime,
-    /// It was answered after its latency objective, counted from its arrival: time lost before is not this router's.
+    /// The invocation was answered after its latency objective. The time is counted from its arrival at this router, which
+    /// is not responsible for earlier delays.
     Late,
-    /// The module rejected it, as no lane became free for it.
+    /// The balancer rejected the invocation, as no lane became free for it.
     Rejected,
-    /// Nothing: it was rejected or failed for reasons that are no sign of load.
+    /// The invocation was rejected or failed for reasons that do not depend on the load.
     Neutral,
 }
 
-/// An invocation that ended, as far as the limit is concerned.
+/// The data of an ended invocation that the limits depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedInvocation {
     /// Its front.
@@ -83,17 +89,18 @@
     pub account: u32,
     /// Size of its body, in bytes.
     pub body_bytes: usize,
-    /// Time since it was accepted.
+    /// Time since it was accepted, in microseconds.
     pub took: Micros,
-    /// How long of that it waited for a lane.
+    /// The part of that time for which it waited for a lane, in microseconds.
     pub queued: Micros,
-    /// Its latency objective.
+    /// Its latency objective, in microseconds.
     pub latency_objective: Micros,
-    /// What its end says about load.
+    /// What its end indicates about the load.
     pub signal: LoadSignal,
 }
 
 impl EndedInvocation {
+    /// Whether the invocation was crowded out by others.
     fn crowding(&self) -> CrowdingSignal {
         let queued = self.queued as f64;
         match self.signal {
@@ -112,17 +119,18 @@
     }
 }
 
-/// There is no memory left for a body.
+/// Error: there is not enough free memory for a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyTooLarge;
 
+/// The limits and the grant of one front.
 #[derive(Debug)]
 struct Front {
     state: FrontState,
     weight: f64,
-    /// Shares of the accounts on this front: what an account floods on one front is not held against it on another.
+    /// Shares of the accounts on this front; a flood on this front does not restrict the account on another front.
     accounts: FairShare,
-    /// The grant that the front was last notified of.
+    /// The last grant that the front was notified of.
     granted: u32,
 }
 
@@ -130,28 +138,29 @@
 #[derive(Debug)]
 pub struct ConcurrencyLimiter {
     limit: f64,
-    /// The limit grows by one with each timely answer, until the first late ones.
+    /// Until the limit is first reduced, it grows by one with each timely answer.
     slow_start: bool,
-    /// Fraction of late answers, averaged.
+    /// Fraction of late answers, as a moving average.
     late_fraction: f64,
-    /// Usual time of an answer, in microseconds, averaged.
+    /// Latency of an answer in microseconds, as a moving average.
     typical_latency: f64,
     reduced_at: Micros,
+    /// Memory for all bodies together, in bytes.
     memory_bytes: u64,
-    /// Size of all bodies held, in bytes.
+    /// Total size of all bodies held, in bytes.
     body_bytes: u64,
-    /// Size of a body in bytes, averaged.
-    usual_body: f64,
+    /// Size of a body in bytes, as a moving average.
+    average_body_bytes: f64,
     fronts: Vec<Front>,
     front_shares: FairShare,
     stopping: bool,
-    /// Something changed since the grants were last worked out.
+    /// Whether anything changed since the grants were last computed.
     grants_stale: bool,
 }
 
 impl ConcurrencyLimiter {
-    /// `front_weights`: one for each front, above 0. `account_weights`: one for each account; empty if there is only
-    /// one. `memory_bytes`: for all bodies together.
+    /// Creates a limiter whose fronts are all down. `front_weights`: one for each front, above 0. `account_weights`: one
+    /// for each account; empty if there is only one. `memory_bytes`: the memory for all bodies together, in bytes.
     pub fn new(front_weights: &[f64], account_weights: &[f64], memory_bytes: u64) -> Self {
         let front = |&weight: &f64| Front {
             state: FrontState::Down,
@@ -167,7 +176,7 @@
             reduced_at: 0,
             memory_bytes,
             body_bytes: 0,
-            usual_body: 0.0,
+            average_body_bytes: 0.0,
             fronts: front_weights.iter().map(front).collect(),
             front_shares: FairShare::new(front_weights),
             stopping: false,
@@ -175,7 +184,7 @@
         }
     }
 
-    /// A front's connection changed its state.
+    /// Records that a front's connection changed its state.
     pub fn front_changed(&mut self, front: FrontIndex, state: FrontState) {
         let front = &mut self.fronts[front as usize];
         front.state = state;
@@ -186,13 +195,13 @@
         }
     }
 
-    /// Graceful shutdown: nothing new is to be accepted.
+    /// Starts the graceful shutdown: nothing new is granted from now on.
     pub fn stop(&mut self) {
         self.stopping = true;
         self.grants_stale = true;
     }
 
-    /// An invocation arrived, from a client or a broker; whether it is admitted is decided next.
+    /// Records that an invocation arrived from a client or a broker, before it is decided whether it is admitted.
     pub fn arrived(&mut self, now: Micros, front: FrontIndex, account: u32) {
         self.front_shares.arrived(now, front as usize);
         self.fronts[front as usize]
@@ -200,7 +209,7 @@
             .arrived(now, account as usize);
     }
 
-    /// An invocation was admitted and counts as in flight.
+    /// Records that an invocation was admitted; it counts as in flight from now on.
     pub fn admitted(&mut self, now: Micros, front: FrontIndex, account: u32) {
         self.grants_stale = true;
         self.front_shares.admitted(now, front as usize);
@@ -209,7 +218,7 @@
             .admitted(now, account as usize);
     }
 
-    /// An invocation is no longer in flight.
+    /// Records that an invocation is no longer in flight.
     pub fn departed(&mut self, front: FrontIndex, account: u32) {
         self.grants_stale = true;
         self.front_shares.departed(front as usize);
@@ -222,10 +231,10 @@
     ///
     /// # Errors
     ///
-    /// If there is not enough left, the invocation has to be rejected.
+    /// Returns [`BodyTooLarge`] if there is not enough free memory; the invocation has to be rejected.
     pub fn reserve_body(&mut self, bytes: usize) -> Result<(), BodyTooLarge> {
         self.grants_stale = true;
-        self.usual_body += (bytes as f64 - self.usual_body) / AVERAGED_OVER;
+        self.average_body_bytes += (bytes as f64 - self.average_body_bytes) / AVERAGED_INVOCATIONS;
         if self.body_bytes + bytes as u64 > self.memory_bytes {
             return Err(BodyTooLarge);
         }
@@ -233,8 +242,9 @@
         Ok(())
     }
 
-    /// Whether the account is at its cap, or it or its front is paced and has no credit. What a broker delivers beyond
-    /// that is rejected at once: a broker delivers first come, first served, and the messages of others wait behind.
+    /// Returns whether the account is at its cap, or the account or its front is paced and has no credit. A message that a
+    /// broker delivers in this state is rejected at once: a broker delivers in first-in, first-out order, so the messages
+    /// of other accounts would wait behind it.
     pub fn over_share(&self, now: Micros, front: FrontIndex, account: u32) -> bool {
         let (front, account) = (front as usize, account as usize);
         let accounts = &self.fronts[front].accounts;
@@ -243,8 +253,8 @@
             || self.front_shares.lacks_credit(now, front)
     }
 
-    /// How full the router is, for admission control. `pending_bytes`: size of bodies that were admitted and have not
-    /// arrived yet.
+    /// Returns how much of its limits the router uses, for admission control. `pending_bytes`: total size of the bodies of
+    /// admitted requests that have not arrived yet.
     pub fn occupancy(
         &self,
         now: Micros,
@@ -252,7 +262,7 @@
         account: u32,
         pending_bytes: u64,
     ) -> Occupancy {
-        let of = |shares: &FairShare, party: usize| PartyOccupancy {
+        let party_occupancy = |shares: &FairShare, party: usize| PartyOccupancy {
             in_flight: shares.in_flight(party),
             cap: shares.cap(party, self.limit),
             lacks_credit: shares.lacks_credit(now, party),
@@ -260,8 +270,8 @@
         Occupancy {
             limit: self.limit,
             in_flight: self.in_flight(),
-            front: of(&self.front_shares, front as usize),
-            account: of(&self.fronts[front as usize].accounts, account as usize),
+            front: party_occupancy(&self.front_shares, front as usize),
+            account: party_occupancy(&self.fronts[front as usize].accounts, account as usize),
             free_bytes: self
                 .memory_bytes
                 .saturating_sub(self.body_bytes + pending_bytes),
@@ -270,7 +280,8 @@
         }
     }
 
-    /// An invocation ended. Its memory is freed; it stays in flight until [`ConcurrencyLimiter::departed`].
+    /// Records that an invocation ended and frees the memory of its body. The invocation counts as in flight until
+    /// [`ConcurrencyLimiter::departed`] is called.
     pub fn ended(&mut self, now: Micros, ended: EndedInvocation) {
         self.grants_stale = true;
         let limit_used = f64::from(self.in_flight()) >= USED_FRACTION * self.limit;
@@ -283,22 +294,24 @@
         self.fronts[front]
             .accounts
             .ended(now, account, self.limit, typical_latency, crowding);
-        // What the module rejects in a burst says nothing about how much may be accepted.
+        // The balancer rejects invocations in bursts, which do not indicate how many may be accepted.
         if matches!(ended.signal, LoadSignal::Rejected | LoadSignal::Neutral) {
             return;
         }
         let late = ended.signal == LoadSignal::Late;
-        self.typical_latency += (ended.took as f64 - self.typical_latency) / AVERAGED_OVER;
-        self.late_fraction += (f64::from(u8::from(late)) - self.late_fraction) / AVERAGED_OVER;
+        self.typical_latency += (ended.took as f64 - self.typical_latency) / AVERAGED_INVOCATIONS;
+        self.late_fraction +=
+            (f64::from(u8::from(late)) - self.late_fraction) / AVERAGED_INVOCATIONS;
         self.adjust_limit(now, limit_used && !late);
     }
 
+    /// Shrinks the limit if too many answers are late; otherwise raises it if `may_grow`.
     fn adjust_limit(&mut self, now: Micros, may_grow: bool) {
-        // Symptom: answers are late because too much waits here. Reduced once in the usual time of an answer, so that
-        // what was accepted under the old limit is not counted against the new one.
+        // Answers are late because too many invocations wait here. The limit is reduced at most once in the average latency
+        // of an answer, so that the invocations accepted under the old limit do not count against the new one.
         if self.late_fraction > LATE_FRACTION {
             if now - self.reduced_at > self.typical_latency as Micros {
-                self.limit = (self.limit * SHRINK).max(MIN_LIMIT);
+                self.limit = (self.limit * LIMIT_REDUCTION_FACTOR).max(MIN_LIMIT);
                 self.reduced_at = now;
                 self.slow_start = false;
             }
@@ -317,18 +330,18 @@
         self.limit
     }
 
-    /// Invocations in flight.
+    /// Number of invocations in flight.
     pub fn in_flight(&self) -> u32 {
         self.front_shares.total_in_flight()
     }
 
-    /// Size of all bodies held, in bytes.
+    /// Total size of all bodies held, in bytes.
     pub fn body_bytes(&self) -> u64 {
         self.body_bytes
     }
 
-    /// Calls `notify` with how many invocations a front may have in flight, for each front whose grant changed. 0:
-    /// nothing new at all.
+    /// Calls `notify` for each front whose grant changed, with the number of invocations that the front may have in
+    /// flight. 0: the front may not receive anything new.
     pub fn changed_grants(&mut self, mut notify: impl FnMut(FrontIndex, u32)) {
         if !std::mem::take(&mut self.grants_stale) {
             return;
@@ -353,12 +366,13 @@
 
     /// The part of the limit for each front, by front index.
     fn divide_limit(&self) -> Vec<u32> {
-        // Fronts that want less than their part leave the rest: smallest wish for its weight first.
+        // A front that needs less than its part leaves the rest to the others. The fronts are therefore served in the order
+        // of their demand relative to their weight, lowest first.
         let mut order: Vec<usize> = (0..self.fronts.len())
             .filter(|&front| self.fronts[front].state == FrontState::Up && !self.stopping)
             .collect();
-        let relative_wish = |front: usize| self.wish(front) / self.fronts[front].weight;
-        order.sort_by(|&a, &b| relative_wish(a).total_cmp(&relative_wish(b)));
+        let relative_demand = |front: usize| self.demand(front) / self.fronts[front].weight;
+        order.sort_by(|&a, &b| relative_demand(a).total_cmp(&relative_demand(b)));
         let mut left = self.limit.min(self.memory_capacity());
         let mut weights: f64 = order.iter().map(|&front| self.fronts[front].weight).sum();
         let mut shares = vec![0u32; self.fronts.len()];
@@ -368,7 +382,7 @@
             let share = if is_last {
                 part
             } else {
-                part.min(self.wish(front))
+                part.min(self.demand(front))
             };
             let share = share.min(self.front_shares.cap(front, self.limit));
             left -= share;
@@ -378,19 +392,19 @@
         shares
     }
 
-    /// How many invocations fit into memory, by the usual size of a body.
+    /// How many invocations fit into memory, by the average size of a body.
     fn memory_capacity(&self) -> f64 {
-        if self.usual_body < 1.0 {
+        if self.average_body_bytes < 1.0 {
             return MAX_GRANT;
         }
         let free_bytes = self.memory_bytes - self.body_bytes.min(self.memory_bytes);
-        f64::from(self.in_flight()) + free_bytes as f64 / self.usual_body
+        f64::from(self.in_flight()) + free_bytes as f64 / self.average_body_bytes
     }
 
-    /// How many invocations the front could have in flight before long.
-    fn wish(&self, front: usize) -> f64 {
+    /// How many invocations the front is expected to need in flight, with a margin for growth.
+    fn demand(&self, front: usize) -> f64 {
         let in_flight = f64::from(self.front_shares.in_flight(front));
-        let wish = in_flight * (1.0 + GRANT_MARGIN) + GRANT_GROWTH;
-        wish.min(self.front_shares.cap(front, self.limit))
+        let demand = in_flight * (1.0 + GRANT_MARGIN) + GRANT_GROWTH;
+        demand.min(self.front_shares.cap(front, self.limit))
     }
 }
--- a/crates/router/src/endpoint_list.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -1,28 +1,30 @@
-//! What the published endpoint list says, though its watch breaks, repeats itself or goes back in time. The list is
-//! published in slices (as Kubernetes does with endpoint slices: a listing, then a watch of changes from its version on).
-//! Call [`EndpointList::news`] with each watch event; it says what the core is to be told and what to request next.
+//! Follows the published endpoint list, even if its watch breaks, repeats events or goes back in time. The list is
+//! published in slices, as Kubernetes does with endpoint slices: first a listing of all slices, then a watch of the
+//! changes since the version of the listing. The caller passes each watch event to [`EndpointList::handle`], which
+//! returns what to report to the core and what to request next.
 //!
 //! Mechanisms:
-//! 1. Each slice has a version; one that is not newer than the known one changes nothing.
-//! 2. A listing older than what is known is not believed until it has come a few times (the publisher restarted with new
-//!    version numbers); the last view holds meanwhile.
-//! 3. A worker named in several slices has the state of the newest slice; among equally new ones, the most cautious state.
-//! 4. A worker's incarnation is known by its start mark; a worker with a new mark has just started, whatever its clock
-//!    says.
+//! 1. Each slice has a version. A slice whose version is not newer than the known one changes nothing.
+//! 2. A listing that is older than the known version is only accepted after several such listings in a row, which mean
+//!    that the publisher restarted with new version numbers. Until then the last view remains in effect.
+//! 3. A worker that is named in several slices has its state in the newest of them; if their versions are equal, the most
+//!    cautious state.
+//! 4. A worker's incarnation is identified by its start mark. A worker with a new start mark has just started, whatever
+//!    start time its own clock gives.
 
 use std::collections::{BTreeMap, HashMap};
 
 use cedarpulley::interface::{EndpointListKind, EndpointState, Micros};
 
-/// So many listings in a row that go back in time mean that the publisher has restarted.
-const RESTARTED_AFTER: u32 = 3;
-/// Workers known at once at most; what a list names beyond is left out and counted.
+/// This many listings in a row that go back in time mean that the publisher has restarted.
+const STALE_LISTINGS_AFTER_RESTART: u32 = 3;
+/// Maximum number of workers in a view; further workers are left out and counted.
 const MAX_WORKERS: usize = 20_000;
 
 /// One worker of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedWorker {
-    /// Its name: its address, or its id where the list gives one.
+    /// The name of the worker: its address, or its identifier if the list contains one.
     pub address: String,
     /// The zone it runs in.
     pub zone: u32,
@@ -34,16 +36,16 @@
     pub state: EndpointState,
     /// Its weight relative to other workers.
     pub weight: f64,
-    /// When its process started, on the router's clock, if known.
+    /// When its process started, in microseconds on the router's clock; `None` if not known.
     pub started_at: Option<Micros>,
 }
 
-/// One worker as a slice names it.
+/// One worker as it is named in a slice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SliceEntry {
     /// The worker.
     pub worker: ListedWorker,
-    /// Changes whenever the worker's process is restarted.
+    /// Identifies the incarnation of the worker; changes whenever its process is restarted.
     pub start_mark: String,
 }
 
@@ -52,16 +54,16 @@
 pub struct EndpointSlice {
     /// Name of the slice.
     pub name: String,
-    /// Grows with each change.
+    /// Version of the slice; increases with each change.
     pub version: u64,
     /// The workers in it.
     pub entries: Vec<SliceEntry>,
 }
 
-/// What the publisher sent, or how the watch ended.
+/// An event of the watch: what the publisher sent, or that the watch ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
-    /// A whole listing.
+    /// A complete listing.
     Listing {
         /// Version of the listing.
         version: u64,
@@ -77,26 +79,26 @@
         /// Version of the removal.
         version: u64,
     },
-    /// Nothing changed up to this version.
+    /// All changes up to this version were sent.
     Bookmark(u64),
     /// The watch ended or could not be started.
     WatchEnded {
-        /// The publisher no longer has the version asked for.
+        /// Whether the publisher no longer has the version from which the watch was to start.
         too_old: bool,
     },
 }
 
-/// What is to be done next.
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListAction {
-    /// Tell the core.
+    /// Pass the workers to the core.
     UpdateRouter {
-        /// What `workers` holds.
+        /// What `workers` contains.
         kind: EndpointListKind,
         /// The workers.
         workers: Vec<ListedWorker>,
     },
-    /// Request a whole listing.
+    /// Request a complete listing.
     RequestListing,
     /// Watch for changes after this version.
     Watch(u64),
@@ -109,30 +111,31 @@
     started_at: Option<Micros>,
 }
 
-/// The published list as it is known.
+/// The published endpoint list, as far as it is known.
 #[derive(Debug, Default)]
 pub struct EndpointList {
+    /// The newest version seen.
     version: u64,
-    /// By name.
+    /// The slices, by name.
     slices: BTreeMap<String, EndpointSlice>,
-    /// The workers that the core was told of last, by name.
+    /// The workers last passed to the core, by name.
     published: BTreeMap<String, ListedWorker>,
-    /// By name of the worker.
+    /// The known incarnation of each worker, by name of the worker.
     incarnations: HashMap<String, Incarnation>,
-    /// Listings in a row that went back in time.
-    went_back: u32,
-    /// There was a listing.
-    listed: bool,
-    /// The core was told of a view, so a worker not in it is new.
-    viewed: bool,
-    /// Events that were older than what is known.
+    /// Number of listings in a row that went back in time.
+    stale_listings: u32,
+    /// Whether a listing was accepted.
+    has_listing: bool,
+    /// Whether there was a view before, so that a worker that it did not contain is new.
+    has_view: bool,
+    /// Number of events ignored because they were not newer than the known state.
     pub stale: u64,
-    /// Workers left out, as there were too many.
+    /// Number of times that a worker was left out of a view because there were too many workers.
     pub left_out: u64,
 }
 
 impl EndpointList {
-    /// Handles a watch event, and says what is to be done, in order.
+    /// Handles a watch event that was received at `now`, and returns the actions to carry out, in order.
     pub fn handle(&mut self, now: Micros, event: WatchEvent) -> Vec<ListAction> {
         match event {
             WatchEvent::Listing { version, slices } => self.listing(now, version, slices),
@@ -142,24 +145,29 @@
                 self.version = self.version.max(version);
                 Vec::new()
             }
-            WatchEvent::WatchEnded { too_old } => self.watch_broken(too_old),
+            WatchEvent::WatchEnded { too_old } => self.watch_ended(too_old),
         }
     }
 
+    /// Handles a complete listing, which replaces all slices unless it is stale.
     fn listing(
         &mut self,
         now: Micros,
         version: u64,
         slices: Vec<EndpointSlice>,
     ) -> Vec<ListAction> {
-        if self.listed && version < self.version && self.went_back + 1 < RESTARTED_AFTER {
-            // Symptom: a lagging replica of the publisher answers. Workers long gone would come back.
-            self.went_back += 1;
+        if self.has_listing
+            && version < self.version
+            && self.stale_listings + 1 < STALE_LISTINGS_AFTER_RESTART
+        {
+            // A lagging replica of the publisher may have answered. If its listing were accepted, workers that are long
+            // gone would appear again.
+            self.stale_listings += 1;
             self.stale += 1;
             return vec![ListAction::RequestListing];
         }
-        self.went_back = 0;
-        self.listed = true;
+        self.stale_listings = 0;
+        self.has_listing = true;
         self.version = version;
         self.slices = slices
             .into_iter()
@@ -179,13 +187,13 @@
             .slices
             .get(&slice.name)
             .map_or(0, |known| known.version);
-        if slice.version <= known || !self.listed {
+        if slice.version <= known || !self.has_listing {
             self.stale += 1;
             return Vec::new();
         }
         self.version = self.version.max(slice.version);
         self.slices.insert(slice.name.clone(), slice);
-        self.tell_changes(now)
+        self.publish_changes(now)
     }
 
     fn slice_removed(&mut self, now: Micros, name: &str, version: u64) -> Vec<ListAction> {
@@ -196,15 +204,16 @@
         }
         self.version = self.version.max(version);
         self.slices.remove(name);
-        self.tell_changes(now)
+        self.publish_changes(now)
     }
 
-    fn watch_broken(&self, too_old: bool) -> Vec<ListAction> {
+    /// Handles the end of the watch, and resumes it if possible.
+    fn watch_ended(&self, too_old: bool) -> Vec<ListAction> {
         let failed = ListAction::UpdateRouter {
             kind: EndpointListKind::Failed,
             workers: Vec::new(),
         };
-        let next = if self.listed && !too_old {
+        let next = if self.has_listing && !too_old {
             ListAction::Watch(self.version)
         } else {
             ListAction::RequestListing
@@ -212,8 +221,8 @@
         vec![failed, next]
     }
 
-    /// The workers that differ from what the core was told last.
-    fn tell_changes(&mut self, now: Micros) -> Vec<ListAction> {
+    /// Passes to the core all workers that changed since its last update, if any.
+    fn publish_changes(&mut self, now: Micros) -> Vec<ListAction> {
         let view = self.view(now);
         let mut workers: Vec<ListedWorker> = view
             .iter()
@@ -238,14 +247,14 @@
         }]
     }
 
-    /// Every worker once, by name.
+    /// Computes the current view: every worker once, by name, with its start time.
     fn view(&mut self, now: Micros) -> BTreeMap<String, ListedWorker> {
         let newest = newest_entries(&self.slices);
         self.left_out += newest.len().saturating_sub(MAX_WORKERS) as u64;
         let mut view = BTreeMap::new();
         for (name, entry) in newest.into_iter().take(MAX_WORKERS) {
             let known = self.incarnations.get(name);
-            let started_at = started_at(now, entry, known, self.viewed);
+            let started_at = started_at(now, entry, known, self.has_view);
             let incarnation = Incarnation {
                 start_mark: entry.start_mark.clone(),
                 started_at,
@@ -257,34 +266,35 @@
             };
             view.insert(name.to_owned(), worker);
         }
-        self.viewed = true;
+        self.has_view = true;
         self.incarnations
             .retain(|name, _| view.contains_key(name) || self.published.contains_key(name));
         view
     }
 }
 
-/// When the worker's process started. `known`: its last known incarnation; `viewed`: there was a view before.
+/// When the worker's process started. `known`: its last known incarnation; `has_view`: whether there was a view before.
 fn started_at(
     now: Micros,
     entry: &SliceEntry,
     known: Option<&Incarnation>,
-    viewed: bool,
+    has_view: bool,
 ) -> Option<Micros> {
     match known {
-        // The same process: its start is what was first concluded, whatever is said of it now.
+        // The process is the same, so its first known start time remains, whatever the list says now.
         Some(known) if known.start_mark == entry.start_mark => known.started_at,
-        // Symptom: a restarted worker whose clock is off looks old and is overloaded while it is cold.
+        // The start time in the list comes from the worker's clock, which may be wrong. A restarted worker that seems to
+        // have run for long would be overloaded while it has no warm copies.
         Some(_) => Some(now),
-        // One that joins later and does not say since when has just started, for all that is known.
+        // A worker that joins later and is listed without a start time is assumed to have just started.
         None => {
-            let said = entry.worker.started_at.map(|started| started.min(now));
-            said.or(viewed.then_some(now))
+            let listed = entry.worker.started_at.map(|started| started.min(now));
+            listed.or(has_view.then_some(now))
         }
     }
 }
 
-/// The entry that counts of each worker, by name.
+/// The entry of each worker in its newest slice, by name of the worker.
 fn newest_entries(slices: &BTreeMap<String, EndpointSlice>) -> BTreeMap<&str, &SliceEntry> {
     let caution = |state: EndpointState| match state {
         EndpointState::InService => 0,
--- a/crates/router/src/fair_share.rs
+++ b/crates/router/src/fair_share.rs
@@ -1,61 +1,71 @@
-//! Which part of the concurrency limit each party (a front, or an account) may use when one floods the router and
-//! others suffer. Call [`FairShare::arrived`], [`FairShare::admitted`], [`FairShare::departed`] and
-//! [`FairShare::ended`]; [`FairShare::cap`] is how many a party may have in flight, and [`FairShare::lacks_credit`]
-//! whether it has to wait for successes of its own.
+//! Limits how much of the concurrency limit each party (a front, or an account) may use when one party floods the router
+//! and crowds out the invocations of others.
+//!
+//! The caller reports the invocations of each party to [`FairShare::arrived`], [`FairShare::admitted`],
+//! [`FairShare::departed`] and [`FairShare::ended`]. [`FairShare::cap`] returns how many invocations a party may have in
+//! flight, and [`FairShare::lacks_credit`] whether it has to wait until more of its own invocations succeed.
 //!
 //! Mechanisms:
-//! 1. No party is capped until another suffers: what others leave unused is free to all.
-//! 2. A party suffers if an invocation of it is late, or rejected after waiting here, or nearly so. A party pays that
-//!    arrives much more often than the one that suffers and has more in flight, or has much more in flight, relative
-//!    to the weights of both: its cap falls by steps, never below as much as the suffering party has. So all come to
-//!    have as much, relative to their weights, as the one that suffers, or none suffers.
-//! 3. A party that sees no crowding itself pays nothing: lanes are not short then, and less of its work would not
-//!    help the other.
-//! 4. A cap rises again with each timely answer, and is removed once it limits nothing.
-//! 5. Invocations rejected at once take no time in flight, so no cap limits them. Therefore a party that arrives much
-//!    more often than one that suffers, and sees crowding, is paced by its own successes for a while: each timely
-//!    answer is credit for one invocation and a little more, so that it finds free capacity.
+//! 1. No party is capped until another one is crowded out: any party may use the capacity that others leave unused.
+//! 2. A party is crowded out if one of its invocations is late after it waited here for a lane, is rejected because no
+//!    lane became free, or waited here for so long that it was nearly late. The cap of another party is reduced if, relative to the weights of both, invocations of the other party
+//!    arrive much more often and more of them are in flight, or if many more of them are in flight. The cap falls in
+//!    steps, but never below the number that the crowded-out party has in flight, relative to the weights. This continues
+//!    until all parties have equally many invocations in flight, relative to their weights, or no party is crowded out.
+//! 3. The cap of a party that is not crowded itself is not reduced: lanes are not short for it, so less of its work would
+//!    not help the other party.
+//! 4. A cap rises again with each timely answer, and is removed once it is no lower than the concurrency limit.
+//! 5. Invocations that are rejected at once spend no time in flight, so a cap does not limit them. A party whose
+//!    invocations arrive much more often than those of a crowded-out party, and which is crowded itself, is therefore
+//!    paced by its own successes for a while: each timely answer is credit for slightly more than one invocation, so that
+//!    the party can find out whether there is free capacity.
 
 use cedarpulley::interface::Micros;
 
-/// A cap falls to this part of what its party has in flight, so that the others notice the first step.
-const SHRINK: f64 = 0.8;
-/// A party may always have a few in flight, or it could never show that it is on time.
+/// A cap is reduced to this fraction of its party's invocations in flight, so that the first step already takes effect
+/// for the others.
+const CAP_REDUCTION_FACTOR: f64 = 0.8;
+/// Lowest cap, and also the credit that a paced party gains per second. Without a few invocations a party could never show
+/// that its answers are on time.
 const MIN_CAP: f64 = 4.0;
 /// The cap of a party that is not capped.
 const UNCAPPED: f64 = f64::INFINITY;
-/// Two reductions of a cap are the usual time of an answer apart, but at least this: answers of one burst come together
-/// and are one sign, not many.
+/// Minimum time between two reductions of a cap, in microseconds; the typical latency of an answer applies if it is
+/// longer. The answers to one burst arrive together and must count as one signal.
 const MIN_REDUCTION_INTERVAL: Micros = 50_000;
-/// A party sees crowding if so many of its last 32 invocations did: a few late ones are normal.
+/// A party counts as crowded if at least this many of its last 32 invocations were crowded or nearly crowded; a few late
+/// ones are normal.
 const CROWDED_THRESHOLD: u32 = 4;
 
-/// A party that arrives so many times as often as the one that suffers, relative to the weights of both, floods: less
-/// is ordinary variation.
+/// A party floods if its arrival rate, relative to the weights of both, is more than this multiple of the crowded-out
+/// party's rate. Smaller differences are ordinary variation.
 const FLOOD_RATIO: f64 = 2.0;
-/// Time constant of the arrival rate.
+/// Time constant over which the arrival rate is averaged, in microseconds.
 const RATE_TIME_CONSTANT: Micros = 1_000_000;
-/// A party is paced until no other has suffered for this time: two rounds of a client that retries after a second.
-const PACING_TIME: Micros = 2_000_000;
-/// Credit for a timely answer: with more, as many would fail as it is above one, and press on all.
+/// A party is paced until no other party was crowded out for this time, in microseconds: long enough for two retries of a
+/// client that retries after one second.
+const PACING_DURATION: Micros = 2_000_000;
+/// Credit for a timely answer. The part above one lets a paced party find free capacity; without free capacity, that part
+/// of its invocations fails and raises the pressure on all parties, so it must stay small.
 const CREDIT_PER_SUCCESS: f64 = 1.05;
-/// Credit at most: arrivals are uneven.
+/// Maximum credit; a party may save up some credit because arrivals are uneven.
 const MAX_CREDIT: f64 = 8.0;
 
-/// What an invocation that ended says about crowding.
+/// Whether an invocation that ended was crowded out by others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrowdingSignal {
-    /// It was on time.
+    /// The invocation was answered on time.
     OnTime,
-    /// It was late, and spent much of its time waiting here for a lane; or it was rejected in the end.
+    /// The invocation was late and spent much of its time waiting here for a lane, or it was rejected in the end.
     Crowded,
-    /// It was on time, but after waiting here for much of its latency objective: the next ones may be late.
+    /// The invocation was on time, but waited here for much of its latency objective; the next ones may be late.
     NearlyCrowded,
-    /// Nothing: it was late by its own work, or its end says nothing about load.
+    /// The invocation gives no signal: it was late because of its own execution time, or it ended for a reason that does
+    /// not depend on the load.
     Neutral,
 }
 
-/// A value and when it was last updated.
+/// A value and the time of its last update.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sample {
     value: f64,
@@ -63,23 +73,26 @@
 }
 
 impl Sample {
-    /// The value decayed until `now`.
+    /// The value after exponential decay until `now`.
     fn decayed(self, now: Micros) -> f64 {
         self.value * (-((now - self.at) as f64) / RATE_TIME_CONSTANT as f64).exp()
     }
 }
 
+/// The state of one front or account.
 #[derive(Clone, Copy, Debug)]
 struct Party {
     weight: f64,
     in_flight: u32,
+    /// Maximum number of invocations in flight, or [`UNCAPPED`].
     cap: f64,
-    /// A bit for each of its last 32 invocations that gave a signal, set if it was crowded.
+    /// One bit for each of its last 32 invocations that gave a signal, set if the invocation was crowded or nearly crowded.
     crowding_history: u32,
     cap_reduced_at: Micros,
+    /// Arrivals, decayed with [`RATE_TIME_CONSTANT`].
     arrivals: Sample,
     paced_until: Micros,
-    /// How many more may be admitted while it is paced.
+    /// How many more invocations may be admitted while the party is paced.
     credit: Sample,
 }
 
@@ -97,7 +110,8 @@
         }
     }
 
-    /// Some credit is added each second, or a party could never show that it succeeds.
+    /// The credit at `now`. It grows by [`MIN_CAP`] per second, since a party without credit could never show that its
+    /// invocations succeed.
     fn credit(&self, now: Micros) -> f64 {
         let added = MIN_CAP * (now - self.credit.at) as f64 / 1e6;
         (self.credit.value + added).min(MAX_CREDIT)
@@ -107,6 +121,7 @@
         now < self.paced_until
     }
 
+    /// Raises the cap after a timely answer, and removes it once it reaches `limit`.
     fn raise_cap(&mut self, limit: f64) {
         if self.cap < UNCAPPED {
             self.cap += 1.0 / self.cap;
@@ -116,39 +131,40 @@
         }
     }
 
-    /// Another party, `suffering`, was crowded out: pays for it where this one floods or has much more in flight.
-    fn charge(&mut self, now: Micros, suffering: &Party, typical_latency: Micros) {
-        let ratio = self.weight / suffering.weight;
-        let fair_rate = suffering.arrivals.decayed(now) * ratio;
+    /// Reduces the cap of this party or paces it, if it may have caused that the other party, `crowded_out`, was crowded
+    /// out: if it floods or has many more invocations in flight.
+    fn restrict(&mut self, now: Micros, crowded_out: &Party, typical_latency: Micros) {
+        let ratio = self.weight / crowded_out.weight;
+        let fair_rate = crowded_out.arrivals.decayed(now) * ratio;
         let floods = self.arrivals.decayed(now) > FLOOD_RATIO * fair_rate.max(1.0);
-        // Symptom: all arrive alike and wait for the first loads, and one of them pays for it. A party that does
-        // not arrive more often has to have much more in flight.
+        // A party that does not flood is only restricted if it has many more invocations in flight. Without this, one of
+        // several equally busy parties would be restricted while all of them wait for the first loads.
         let tolerance = if floods { 1.0 } else { FLOOD_RATIO };
-        let fair_in_flight = f64::from(suffering.in_flight) * ratio * tolerance;
-        let (in_flight, least) = (f64::from(self.in_flight), fair_in_flight.max(MIN_CAP));
-        let sees_crowding = self.crowding_history.count_ones() >= CROWDED_THRESHOLD;
+        let fair_in_flight = f64::from(crowded_out.in_flight) * ratio * tolerance;
+        let (in_flight, min_cap) = (f64::from(self.in_flight), fair_in_flight.max(MIN_CAP));
+        let is_crowded = self.crowding_history.count_ones() >= CROWDED_THRESHOLD;
         let interval = typical_latency.max(MIN_REDUCTION_INTERVAL);
-        if in_flight > least && sees_crowding && now - self.cap_reduced_at >= interval {
-            self.cap = (self.cap.min(in_flight) * SHRINK).max(least);
+        if in_flight > min_cap && is_crowded && now - self.cap_reduced_at >= interval {
+            self.cap = (self.cap.min(in_flight) * CAP_REDUCTION_FACTOR).max(min_cap);
             self.cap_reduced_at = now;
         }
-        // Symptom: what arrives too often is rejected at once; it fills no lane, but uses up its account's quota and
-        // presses on all, so that the module rejects the quiet party's invocations too.
-        if floods && (sees_crowding || self.is_paced(now)) {
-            self.paced_until = now + PACING_TIME;
+        // Without pacing, the invocations of a flooding party that are rejected at once occupy no lane, but use up the
+        // quota of their account and raise the pressure, so that the balancer rejects the other party's invocations too.
+        if floods && (is_crowded || self.is_paced(now)) {
+            self.paced_until = now + PACING_DURATION;
         }
     }
 }
 
-/// The parties that share one limit.
+/// The parties that share one concurrency limit.
 #[derive(Debug)]
 pub struct FairShare {
     parties: Vec<Party>,
 }
 
 impl FairShare {
-    /// `weights`: one for each party, which are then known by their position; a weight of 0 counts as next to nothing.
-    /// Without weights there is one party.
+    /// Creates one party for each weight; a party is identified by its position in `weights`. A weight of 0 is replaced by
+    /// a very small one. If `weights` is empty, there is one party.
     pub fn new(weights: &[f64]) -> Self {
         let parties = (0..weights.len().max(1))
             .map(|party| weights.get(party).map_or(1.0, |weight| weight.max(1e-6)))
@@ -157,7 +173,7 @@
         FairShare { parties }
     }
 
-    /// An invocation of the party arrived, whether or not it will be admitted.
+    /// Records that an invocation of the party arrived, whether or not it will be admitted.
     pub fn arrived(&mut self, now: Micros, party: usize) {
         let arrivals = &mut self.parties[party].arrivals;
         *arrivals = Sample {
@@ -166,13 +182,13 @@
         };
     }
 
-    /// The party is paced by its own successes and has used up its credit.
+    /// Returns whether the party is paced by its own successes and has used up its credit.
     pub fn lacks_credit(&self, now: Micros, party: usize) -> bool {
         let party = &self.parties[party];
         party.is_paced(now) && party.credit(now) < 1.0
     }
 
-    /// An invocation of the party was admitted and counts as in flight.
+    /// Records that an invocation of the party was admitted; it counts as in flight from now on.
     pub fn admitted(&mut self, now: Micros, party: usize) {
         let party = &mut self.parties[party];
         party.in_flight += 1;
@@ -182,28 +198,29 @@
         };
     }
 
-    /// An invocation of the party is no longer in flight.
+    /// Records that an invocation of the party is no longer in flight.
     pub fn departed(&mut self, party: usize) {
         let in_flight = &mut self.parties[party].in_flight;
         *in_flight = in_flight.saturating_sub(1);
     }
 
-    /// Invocations of the party in flight.
+    /// Number of invocations of the party in flight.
     pub fn in_flight(&self, party: usize) -> u32 {
         self.parties[party].in_flight
     }
 
-    /// Invocations of all parties in flight.
+    /// Number of invocations of all parties in flight.
     pub fn total_in_flight(&self) -> u32 {
         self.parties.iter().map(|party| party.in_flight).sum()
     }
 
-    /// How many invocations the party may have in flight.
+    /// Maximum number of invocations that the party may have in flight. `limit`: the concurrency limit of all parties.
     pub fn cap(&self, party: usize, limit: f64) -> f64 {
         self.parties[party].cap.min(limit)
     }
 
-    /// An invocation of the party ended. `limit`: of all parties together; `typical_latency`: the usual time of an answer.
+    /// Records that an invocation of the party ended. `limit`: the concurrency limit of all parties together;
+    /// `typical_latency`: the average latency of an answer, in microseconds.
     pub fn ended(
         &mut self,
         now: Micros,
@@ -230,15 +247,16 @@
         if on_time {
             return ended.raise_cap(limit);
         }
-        // Symptom: a flooding party that is paced has little in flight, suffers, and makes the quiet one pay.
+        // A paced party that floods has few invocations in flight and is crowded out. Without this check, that would
+        // restrict the other parties.
         if ended.is_paced(now) {
             return;
         }
-        // Symptom: one front's flood fills the lanes, and the few invocations of another wait behind it.
-        let suffering = *ended;
+        // If one front floods the router and occupies the lanes, the few invocations of another front wait behind them.
+        let crowded_out = *ended;
         for (index, other) in self.parties.iter_mut().enumerate() {
             if index != party {
-                other.charge(now, &suffering, typical_latency);
+                other.restrict(now, &crowded_out, typical_latency);
             }
         }
     }
--- a/crates/router/src/worker_index_allocator.rs
+++ b/crates/router/src/worker_index_allocator.rs
@@ -10,7 +10,7 @@
 /// The state of one worker index.
 #[derive(Clone, Copy, Debug, Default)]
 struct IndexState {
-    /// Number of references by invocations and load orders.
+    /// Number of references by invocations, load orders and health checks.
     references: u32,
     /// Whether its worker is in the endpoint list.
     listed: bool,
@@ -49,8 +49,8 @@
         (0..self.states.len() as WorkerIndex).for_each(|worker| self.release_if_unused(worker));
     }
 
-    /// Counts a reference to the worker: a load order in flight, or a dispatch of an open invocation, even one that has
-    /// ended.
+    /// Counts a reference to the worker: a load order, query or health check in flight, or a dispatch of an open
+    /// invocation, even one that has ended.
     pub fn reserve(&mut self, worker: WorkerIndex) {
         if let Some(state) = self.states.get_mut(worker as usize) {
             state.references += 1;
