--- a/crates/router/tests/admission_control.rs
+++ b/crates/router/tests/admission_control.rs
@@ -1,14 +1,15 @@
-//! Which requests are admitted before their body is read.
+//! Tests of the decision whether a request is admitted before its body is read.
 
-mod world;
+mod harness;
 
 use cedarpulley::interface::{Micros, TriggerType};
 use cedarpulley_router::admission_control::{
     self, AdmissionControl, AdmissionDecision, AdmissionRequest, Occupancy, PartyOccupancy,
     RejectionReason,
 };
-use world::SECOND;
+use harness::SECOND;
 
+/// A small request, and a router with `in_flight` of 100 invocations in flight.
 fn request_at(in_flight: u32) -> (AdmissionRequest, Occupancy) {
     let request = AdmissionRequest {
         trigger: 0,
@@ -39,6 +40,7 @@
     (request, occupancy)
 }
 
+/// The reason for the rejection, if any; checks the range of its Retry-After.
 fn rejection(decision: AdmissionDecision) -> Option<RejectionReason> {
     match decision {
         AdmissionDecision::Admitted => None,
@@ -55,12 +57,12 @@
     }
 }
 
-/// Why a fresh admission control rejects the request, if it does.
+/// Why an admission control without history rejects the request, if it does.
 fn decided(request: AdmissionRequest, occupancy: Occupancy) -> Option<RejectionReason> {
     rejection(AdmissionControl::default().decide(0, &request, 1.0, &occupancy))
 }
 
-/// All changed from a request that is admitted while 60 of 100 are in flight.
+/// Each case differs in one value from a request that is admitted while 60 of 100 invocations are in flight.
 #[test]
 fn each_admission_bound_has_its_rejection_reason() {
     let (request, occupancy) = request_at(60);
@@ -93,7 +95,7 @@
     assert_eq!(decided(request, full), Some(RejectionReason::All));
 }
 
-/// A front or an account that is at its cap, or is paced and has no credit.
+/// A front or an account is exhausted if it is at its cap, or if it is paced and has no credit.
 #[test]
 fn exhausted_front_or_account_is_rejected_with_its_reason() {
     let (request, occupancy) = request_at(60);
@@ -120,7 +122,8 @@
     }
 }
 
-/// Half of all is used: of 10 connections each may have 20; one that reads nothing gets nothing.
+/// While more than half of the limit is used, each of 10 connections may have up to 20 requests in flight. A connection
+/// that does not read its answers, or abandons most of its requests, is rejected.
 #[test]
 fn connection_beyond_its_part_or_misbehaving_is_rejected() {
     let (request, occupancy) = request_at(60);
@@ -159,36 +162,37 @@
 #[test]
 fn requests_worth_less_or_late_are_rejected_first() {
     let mut control = AdmissionControl::default();
-    let dear = TriggerType {
+    let valuable = TriggerType {
         billed_value: 5.0,
-        ..world::triggers()[0]
+        ..harness::triggers()[0]
     };
-    let cheap = world::triggers()[0];
+    let cheap = harness::triggers()[0];
     let (request, occupancy) = request_at(80);
-    let worth = |t: &TriggerType, waited| admission_control::expected_value(t, waited, 0);
+    let value = |t: &TriggerType, waited| admission_control::expected_value(t, waited, 0);
     (0..100).for_each(|n| {
         control.decide(
             0,
             &request,
-            worth(if n % 2 == 0 { &dear } else { &cheap }, 0),
+            value(if n % 2 == 0 { &valuable } else { &cheap }, 0),
             &request_at(10).1,
         );
     });
     assert_eq!(
-        rejection(control.decide(0, &request, worth(&dear, 0), &occupancy)),
+        rejection(control.decide(0, &request, value(&valuable, 0), &occupancy)),
         None
     );
     assert_eq!(
-        rejection(control.decide(0, &request, worth(&cheap, 0), &request_at(90).1)),
+        rejection(control.decide(0, &request, value(&cheap, 0), &request_at(90).1)),
         Some(RejectionReason::Worth)
     );
-    // The dear one that comes too late earns a tenth: less than the cheap one in time.
+    // A valuable request whose answer will be late has a tenth of its value, which is less than that of a cheap one
+    // in time.
     assert_eq!(
-        rejection(control.decide(0, &request, worth(&dear, SECOND), &request_at(90).1)),
+        rejection(control.decide(0, &request, value(&valuable, SECOND), &request_at(90).1)),
         Some(RejectionReason::Worth)
     );
     assert_eq!(
-        rejection(control.decide(0, &request, worth(&dear, 0), &request_at(99).1)),
+        rejection(control.decide(0, &request, value(&valuable, 0), &request_at(99).1)),
         None
     );
 }
@@ -198,7 +202,7 @@
     let mut control = AdmissionControl::default();
     let (request, occupancy) = request_at(100);
     (0..20).for_each(|_| control.answered(0));
-    let advice = |control: &mut AdmissionControl, n: usize| {
+    let retry_after_values = |control: &mut AdmissionControl, n: usize| {
         (0..n)
             .filter_map(|_| match control.decide(1, &request, 1.0, &occupancy) {
                 AdmissionDecision::Rejected { retry_after, .. } => Some(retry_after),
@@ -206,8 +210,8 @@
             })
             .collect::<Vec<_>>()
     };
-    let few = advice(&mut control, 10);
-    let many = advice(&mut control, 100);
+    let few = retry_after_values(&mut control, 10);
+    let many = retry_after_values(&mut control, 100);
     let mean = |of: &[Micros]| of.iter().sum::<Micros>() / of.len() as Micros;
     assert!(mean(&many[90..]) > 3 * mean(&few), "{few:?} {many:?}");
     assert!(many.iter().collect::<std::collections::HashSet<_>>().len() > 50);
--- a/crates/router/tests/answer_registry.rs
+++ b/crates/router/tests/answer_registry.rs
@@ -1,4 +1,4 @@
-//! Which final answer was given to which message.
+//! Tests of the registry of final answers.
 
 use std::sync::Arc;
 
--- a/crates/router/tests/balancer_only.rs
+++ b/crates/router/tests/balancer_only.rs
@@ -1,34 +1,34 @@
-//! The core where only the decision module decides, and the last check before a dispatch is sent.
+//! Tests of a router core in which only the balancer decides, and of the last check before a dispatch is sent.
 
 use bytes::Bytes;
 use cedarpulley::interface::*;
 use cedarpulley_router::*;
 
-mod world;
-use world::*;
+mod harness;
+use harness::*;
 
-/// Symptom: a retry with the same token is given an answer that no worker made for it.
+/// Guards against a retry with the same idempotency key that gets an answer which no worker gave to it.
 #[test]
 fn balancer_only_router_does_not_join_retries_with_the_same_idempotency_key() {
-    let mut w = World::alone(2);
+    let mut router = RouterHarness::balancer_only(2);
     let first = IncomingInvocation {
         identity: None,
-        ..w.message("t", TOKENED, 0, 1)
+        ..router.message("t", IDEMPOTENT_BY_KEY, 0, 1)
     };
     let retry = IncomingInvocation {
         identity: None,
-        ..w.message("t", TOKENED, 0, 2)
+        ..router.message("t", IDEMPOTENT_BY_KEY, 0, 2)
     };
-    w.feed(Input::MessageArrived(first));
-    let sent = w.sent();
-    w.feed(Input::MessageArrived(retry.clone()));
-    assert!(w.answers().is_empty());
-    w.end(sent[0], DispatchOutcome::Succeeded);
+    router.handle(Input::MessageArrived(first));
+    let sent = router.sent_tickets();
+    router.handle(Input::MessageArrived(retry.clone()));
+    assert!(router.answers().is_empty());
+    router.end_dispatch(sent[0], DispatchOutcome::Succeeded);
     assert_eq!(
-        w.answers(),
+        router.answers(),
         [(1, FinalOutcome::Succeeded, AnswerReason::Worker)]
     );
-    // And one after the answer is given nothing from memory.
+    // A retry after the answer does not get the answer from a cache.
     let late = IncomingInvocation {
         delivery: Delivery {
             tag: 3,
@@ -36,91 +36,104 @@
         },
         ..retry
     };
-    w.feed(Input::MessageArrived(late));
-    assert!(w.answers().is_empty());
+    router.handle(Input::MessageArrived(late));
+    assert!(router.answers().is_empty());
     assert_eq!(
         (
-            w.router.counts.joined_by_idempotency_key,
-            w.router.counts.answered_from_cache
+            router.core.counts.joined_by_idempotency_key,
+            router.core.counts.answered_from_cache
         ),
         (0, 0)
     );
 }
 
-/// Symptom: an account floods, and the core holds it back though the module would not.
+/// Guards against a core that rejects the invocations of a flooding account although the balancer would not.
 #[test]
 fn balancer_only_router_does_not_cap_a_flooding_account() {
-    let mut w = World::alone(2);
+    let mut router = RouterHarness::balancer_only(2);
     for tag in 0..3_000 {
         let message = IncomingInvocation {
             identity: None,
             idempotency_key: None,
-            ..w.message("f", IDEMPOTENT, 0, tag)
+            ..router.message("f", IDEMPOTENT, 0, tag)
         };
-        w.feed(Input::MessageArrived(message));
-        assert!(w.answers().iter().all(|a| a.2 != AnswerReason::Share));
-        if let Some(ticket) = w.sent().first().copied().filter(|_| tag % 2 == 0) {
-            w.end(ticket, DispatchOutcome::Errored);
+        router.handle(Input::MessageArrived(message));
+        assert!(router.answers().iter().all(|a| a.2 != AnswerReason::Share));
+        if let Some(ticket) = router
+            .sent_tickets()
+            .first()
+            .copied()
+            .filter(|_| tag % 2 == 0)
+        {
+            router.end_dispatch(ticket, DispatchOutcome::Errored);
         }
     }
 }
 
-/// Symptom: connecting takes time, and the dispatch leaves for a worker past its grace, or for nobody.
+/// Guards against a dispatch that is sent after its worker's drain grace has ended or its client has left, because
+/// connecting to the worker took time.
 #[test]
 fn dispatch_is_not_sent_once_its_worker_or_client_is_gone() {
-    let mut w = World::alone(1);
-    w.take("a", NON_IDEMPOTENT, 0, 1);
-    let ticket = w.sent()[0];
-    assert!(w.router.may_send(w.now, ticket));
-    w.list(&[("127.0.0.1:9000", EndpointState::Draining)]);
-    assert!(w.router.may_send(w.now + 999 * MS, ticket));
-    assert!(!w.router.may_send(w.now + SECOND, ticket));
-    assert!(!w.router.may_send(w.now + TIMEOUT, ticket));
-    w.feed(Input::ClientLeft(Delivery {
+    let mut router = RouterHarness::balancer_only(1);
+    router.receive("a", NON_IDEMPOTENT, 0, 1);
+    let ticket = router.sent_tickets()[0];
+    assert!(router.core.may_send(router.now, ticket));
+    router.update_endpoints(&[("127.0.0.1:9000", EndpointState::Draining)]);
+    assert!(router.core.may_send(router.now + 999 * MILLISECOND, ticket));
+    assert!(!router.core.may_send(router.now + SECOND, ticket));
+    assert!(!router.core.may_send(router.now + CLIENT_TIMEOUT, ticket));
+    router.handle(Input::ClientLeft(Delivery {
         front: 0,
         incarnation: 0,
         tag: 1,
     }));
-    assert!(!w.router.may_send(w.now, ticket));
+    assert!(!router.core.may_send(router.now, ticket));
 }
 
-/// Workers drop repeats only within a window from the first sending. The last look before the first byte sees that it is
-/// over, however long the connection took.
+/// Guards against a retry that is sent after the deduplication window. Workers drop repeats only within that window from
+/// the first sending, so the check right before the first byte must notice its end, however long connecting took.
 #[test]
 fn retry_is_not_sent_after_its_deduplication_window() {
-    for (trigger, outcome, still_leaves) in [
-        (TOKENED, DispatchOutcome::ConnectionLost, false),
-        (TOKENED, DispatchOutcome::Unreachable, true),
+    for (trigger, outcome, may_still_be_sent) in [
+        (IDEMPOTENT_BY_KEY, DispatchOutcome::ConnectionLost, false),
+        (IDEMPOTENT_BY_KEY, DispatchOutcome::Unreachable, true),
         (IDEMPOTENT, DispatchOutcome::ConnectionLost, true),
     ] {
-        let mut w = World::alone(2);
-        w.take("a", trigger, 0, 1);
-        let first = w.sent()[0];
-        let began = w.now;
-        w.pass(MS);
-        w.end(first, outcome);
-        let again = w.sent()[0];
-        assert!(w.router.may_send(w.now, again) && w.router.may_send(began + WINDOW - 1, again));
+        let mut router = RouterHarness::balancer_only(2);
+        router.receive("a", trigger, 0, 1);
+        let first = router.sent_tickets()[0];
+        let first_sent_at = router.now;
+        router.advance(MILLISECOND);
+        router.end_dispatch(first, outcome);
+        let retry = router.sent_tickets()[0];
+        assert!(
+            router.core.may_send(router.now, retry)
+                && router
+                    .core
+                    .may_send(first_sent_at + DEDUPLICATION_WINDOW - 1, retry)
+        );
         assert_eq!(
-            w.router.may_send(began + WINDOW, again),
-            still_leaves,
+            router
+                .core
+                .may_send(first_sent_at + DEDUPLICATION_WINDOW, retry),
+            may_still_be_sent,
             "{outcome:?}"
         );
     }
 }
 
-/// Bodies beyond the bound are refused, whoever chooses.
+/// Bodies above the memory limit are rejected, even if only the balancer decides.
 #[test]
 fn balancer_only_router_still_bounds_memory() {
-    let mut w = World::alone(1);
+    let mut router = RouterHarness::balancer_only(1);
     let body = Bytes::from(vec![0; 2 << 20]).into();
     let large = IncomingInvocation {
         body,
-        ..w.message("l", IDEMPOTENT, 0, 1)
+        ..router.message("l", IDEMPOTENT, 0, 1)
     };
-    w.feed(Input::MessageArrived(large));
+    router.handle(Input::MessageArrived(large));
     assert_eq!(
-        w.answers(),
+        router.answers(),
         [(1, FinalOutcome::Throttled, AnswerReason::Size)]
     );
 }
--- a/crates/router/tests/drain_gate.rs
+++ b/crates/router/tests/drain_gate.rs
@@ -1,10 +1,10 @@
-//! Until when new work may be sent to a worker.
+//! Tests of the check whether new work may still be sent to a worker.
 
-mod world;
+mod harness;
 
 use cedarpulley::interface::{Endpoint, EndpointListKind, EndpointState, WorkerIndex};
 use cedarpulley_router::drain_gate::DrainGate;
-use world::{MS, SECOND};
+use harness::{MILLISECOND, SECOND};
 
 fn endpoint(worker: WorkerIndex, state: EndpointState) -> Endpoint {
     Endpoint {
@@ -21,7 +21,7 @@
 
 #[test]
 fn drain_grace_counts_from_the_first_report() {
-    let mut gate = DrainGate::new(500 * MS);
+    let mut gate = DrainGate::new(500 * MILLISECOND);
     assert!(!gate.accepts(0, 0));
     gate.update(
         0,
@@ -34,16 +34,18 @@
         &[endpoint(0, EndpointState::Draining)],
     );
     gate.update(
-        SECOND + 300 * MS,
+        SECOND + 300 * MILLISECOND,
         EndpointListKind::Changes,
         &[endpoint(0, EndpointState::Draining)],
     );
     gate.update(
-        SECOND + 400 * MS,
+        SECOND + 400 * MILLISECOND,
         EndpointListKind::Complete,
         &[endpoint(0, EndpointState::Draining)],
     );
-    assert!(gate.accepts(SECOND + 499 * MS, 0) && !gate.accepts(SECOND + 500 * MS, 0));
+    assert!(
+        gate.accepts(SECOND + 499 * MILLISECOND, 0) && !gate.accepts(SECOND + 500 * MILLISECOND, 0)
+    );
     gate.update(3 * SECOND, EndpointListKind::Failed, &[]);
     gate.update(
         3 * SECOND,
@@ -53,18 +55,18 @@
     assert!(gate.accepts(9 * SECOND, 0));
     gate.forget(0);
     assert!(!gate.accepts(9 * SECOND, 0));
-    // One first heard of as it drains was told so now.
+    // For a worker that is already draining when it is first listed, the grace starts with that list.
     gate.update(
         10 * SECOND,
         EndpointListKind::Changes,
         &[endpoint(0, EndpointState::Draining)],
     );
-    assert!(gate.accepts(10 * SECOND + 499 * MS, 0) && !gate.accepts(11 * SECOND, 0));
+    assert!(gate.accepts(10 * SECOND + 499 * MILLISECOND, 0) && !gate.accepts(11 * SECOND, 0));
 }
 
 #[test]
 fn removed_worker_accepts_no_dispatch_within_its_drain_grace() {
-    let mut gate = DrainGate::new(500 * MS);
+    let mut gate = DrainGate::new(500 * MILLISECOND);
     gate.update(
         0,
         EndpointListKind::Complete,
@@ -73,30 +75,37 @@
             endpoint(1, EndpointState::Draining),
         ],
     );
-    assert!(gate.accepts(MS, 0) && gate.accepts(MS, 1));
+    assert!(gate.accepts(MILLISECOND, 0) && gate.accepts(MILLISECOND, 1));
     gate.update(
-        MS,
+        MILLISECOND,
         EndpointListKind::Changes,
         &[
             endpoint(0, EndpointState::Gone),
             endpoint(1, EndpointState::Gone),
         ],
     );
-    assert!(!gate.accepts(MS, 0) && !gate.accepts(MS, 1));
+    assert!(!gate.accepts(MILLISECOND, 0) && !gate.accepts(MILLISECOND, 1));
 }
 
-/// Discovery outage: a dispatch that was decided in time waits for its connection while the list's lease ends.
+/// Guards against a dispatch to a drained worker during a discovery outage: the dispatch was decided in time, but the lease
+/// of the endpoint list ends while the dispatch waits for its connection.
 #[test]
-fn list_without_a_lease_holds_back_what_no_health_check_covers() {
-    let mut gate = DrainGate::new(500 * MS);
+fn expired_list_lease_blocks_workers_without_a_recent_health_check() {
+    let mut gate = DrainGate::new(500 * MILLISECOND);
     let listed = [0, 1].map(|worker| endpoint(worker, EndpointState::InService));
     gate.update(0, EndpointListKind::Complete, &listed);
-    assert!(gate.accepts(60 * SECOND, 0), "no lease is kept here");
+    assert!(
+        gate.accepts(60 * SECOND, 0),
+        "without a lease the list is relied on"
+    );
     gate.renew_lease(SECOND);
-    assert!(gate.accepts(1_499 * MS, 0) && !gate.accepts(1_500 * MS, 0));
+    assert!(gate.accepts(1_499 * MILLISECOND, 0) && !gate.accepts(1_500 * MILLISECOND, 0));
     gate.passed_health_check(0, 2 * SECOND);
-    assert!(gate.accepts(2_499 * MS, 0) && !gate.accepts(2_500 * MS, 0));
-    assert!(!gate.accepts(2_100 * MS, 1), "checks count for one worker");
+    assert!(gate.accepts(2_499 * MILLISECOND, 0) && !gate.accepts(2_500 * MILLISECOND, 0));
+    assert!(
+        !gate.accepts(2_100 * MILLISECOND, 1),
+        "a health check counts for its own worker only"
+    );
     gate.renew_lease(9 * SECOND);
     assert!(gate.accepts(9 * SECOND, 1));
     gate.update(
@@ -107,17 +116,18 @@
     gate.passed_health_check(0, 9 * SECOND);
     assert!(
         !gate.accepts(9 * SECOND, 0),
-        "it has gone, whatever it says"
+        "a removed worker accepts nothing, even if it passes a health check"
     );
     gate.forget(1);
     assert!(!gate.accepts(9 * SECOND, 1));
 }
 
-/// A whole list is sent again after a gap, and a worker is missing: it may have gone long ago, and what still waits for a
-/// connection to it must not leave within a grace that counts from the hearing.
+/// Guards against dispatches to a worker that is missing from a complete list received after an outage. The worker may be
+/// gone for long, so dispatches that wait for a connection to it must not be sent within a drain grace that starts with
+/// that list.
 #[test]
 fn worker_missing_from_a_complete_list_accepts_no_dispatch() {
-    let mut gate = DrainGate::new(500 * MS);
+    let mut gate = DrainGate::new(500 * MILLISECOND);
     gate.update(
         0,
         EndpointListKind::Complete,
@@ -126,11 +136,15 @@
             endpoint(1, EndpointState::Draining),
         ],
     );
-    assert!(gate.accepts(MS, 0) && gate.accepts(MS, 1));
+    assert!(gate.accepts(MILLISECOND, 0) && gate.accepts(MILLISECOND, 1));
     gate.update(
-        MS,
+        MILLISECOND,
         EndpointListKind::Complete,
         &[endpoint(2, EndpointState::InService)],
     );
-    assert!(!gate.accepts(MS, 0) && !gate.accepts(MS, 1) && gate.accepts(MS, 2));
+    assert!(
+        !gate.accepts(MILLISECOND, 0)
+            && !gate.accepts(MILLISECOND, 1)
+            && gate.accepts(MILLISECOND, 2)
+    );
 }
--- a/crates/router/tests/endpoint_list.rs
+++ b/crates/router/tests/endpoint_list.rs
@@ -1,19 +1,19 @@
-//! The published endpoint list, whose watch breaks, repeats and goes back in time.
+//! Tests of the endpoint list with a watch that breaks, repeats events or goes back in time.
 
-mod world;
+mod harness;
 
 use EndpointState::{Draining, Gone, InService};
 use cedarpulley::interface::{EndpointListKind, EndpointState};
 use cedarpulley_router::endpoint_list::{
     EndpointList, EndpointSlice, ListAction, SliceEntry, WatchEvent,
 };
-use world::SECOND;
+use harness::SECOND;
 
-fn worker(port: u16, standing: EndpointState, mark: &str) -> SliceEntry {
-    let worker = world::listed(&format!("127.0.0.1:{port}"), standing);
+fn entry(port: u16, state: EndpointState, start_mark: &str) -> SliceEntry {
+    let worker = harness::listed_worker(&format!("127.0.0.1:{port}"), state);
     SliceEntry {
         worker,
-        start_mark: mark.into(),
+        start_mark: start_mark.into(),
     }
 }
 
@@ -29,39 +29,40 @@
     WatchEvent::Listing { version, slices }
 }
 
-fn told(steps: &[ListAction]) -> Vec<(EndpointListKind, Vec<(String, EndpointState)>)> {
-    let tell = |s: &ListAction| match s {
+/// The updates passed to the core: their kind, and name and state of each worker.
+fn updates(actions: &[ListAction]) -> Vec<(EndpointListKind, Vec<(String, EndpointState)>)> {
+    let update = |action: &ListAction| match action {
         ListAction::UpdateRouter { kind, workers } => Some((
             *kind,
             workers
                 .iter()
-                .map(|w| (w.address.clone(), w.state))
+                .map(|worker| (worker.address.clone(), worker.state))
                 .collect(),
         )),
         _ => None,
     };
-    steps.iter().filter_map(tell).collect()
+    actions.iter().filter_map(update).collect()
 }
 
 #[test]
 fn worker_in_two_slices_has_the_state_of_the_newest() {
     let mut list = EndpointList::default();
-    let a = slice("a", 5, vec![worker(1, InService, "x")]);
-    let b = slice("b", 7, vec![worker(1, Draining, "x")]);
-    let steps = list.handle(0, listing(7, vec![a, b]));
+    let a = slice("a", 5, vec![entry(1, InService, "x")]);
+    let b = slice("b", 7, vec![entry(1, Draining, "x")]);
+    let actions = list.handle(0, listing(7, vec![a, b]));
     assert_eq!(
-        told(&steps),
+        updates(&actions),
         [(
             EndpointListKind::Complete,
             vec![("127.0.0.1:1".into(), Draining)]
         )]
     );
-    assert_eq!(steps[1], ListAction::Watch(7));
-    // Equally new: the most cautious.
-    let a = slice("a", 9, vec![worker(1, Draining, "x")]);
-    let b = slice("b", 9, vec![worker(1, InService, "x")]);
-    let steps = list.handle(0, listing(9, vec![a, b]));
-    assert_eq!(told(&steps)[0].1[0].1, Draining);
+    assert_eq!(actions[1], ListAction::Watch(7));
+    // Of two equally new slices, the most cautious state counts.
+    let a = slice("a", 9, vec![entry(1, Draining, "x")]);
+    let b = slice("b", 9, vec![entry(1, InService, "x")]);
+    let actions = list.handle(0, listing(9, vec![a, b]));
+    assert_eq!(updates(&actions)[0].1[0].1, Draining);
 }
 
 #[test]
@@ -69,10 +70,10 @@
     let mut list = EndpointList::default();
     list.handle(
         0,
-        listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]),
+        listing(5, vec![slice("a", 5, vec![entry(1, InService, "x")])]),
     );
     assert_eq!(
-        told(&list.handle(0, listing(6, vec![]))),
+        updates(&list.handle(0, listing(6, vec![]))),
         [(EndpointListKind::Complete, vec![])]
     );
 }
@@ -82,15 +83,18 @@
     let mut list = EndpointList::default();
     list.handle(
         0,
-        listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]),
+        listing(5, vec![slice("a", 5, vec![entry(1, InService, "x")])]),
     );
-    let drains = WatchEvent::Changed(slice("a", 8, vec![worker(1, Draining, "x")]));
-    assert_eq!(told(&list.handle(0, drains.clone()))[0].1[0].1, Draining);
-    assert!(list.handle(0, drains).is_empty());
+    let draining = WatchEvent::Changed(slice("a", 8, vec![entry(1, Draining, "x")]));
+    assert_eq!(
+        updates(&list.handle(0, draining.clone()))[0].1[0].1,
+        Draining
+    );
+    assert!(list.handle(0, draining).is_empty());
     assert!(
         list.handle(
             0,
-            WatchEvent::Changed(slice("a", 6, vec![worker(1, InService, "x")]))
+            WatchEvent::Changed(slice("a", 6, vec![entry(1, InService, "x")]))
         )
         .is_empty()
     );
@@ -104,12 +108,12 @@
         )
         .is_empty()
     );
-    // A lagging publisher lists an old state: asked again, and believed only when it insists.
-    let old = || listing(4, vec![slice("a", 4, vec![worker(1, InService, "x")])]);
-    assert_eq!(list.handle(0, old()), [ListAction::RequestListing]);
-    assert_eq!(list.handle(0, old()), [ListAction::RequestListing]);
+    // A listing of an older version is requested again, and accepted only when it is the third in a row.
+    let stale = || listing(4, vec![slice("a", 4, vec![entry(1, InService, "x")])]);
+    assert_eq!(list.handle(0, stale()), [ListAction::RequestListing]);
+    assert_eq!(list.handle(0, stale()), [ListAction::RequestListing]);
     assert_eq!(
-        told(&list.handle(0, old()))[0].0,
+        updates(&list.handle(0, stale()))[0].0,
         EndpointListKind::Complete
     );
     assert_eq!(list.stale, 5);
@@ -120,13 +124,16 @@
     let mut list = EndpointList::default();
     list.handle(
         0,
-        listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]),
+        listing(5, vec![slice("a", 5, vec![entry(1, InService, "x")])]),
+    );
+    let mut restarted = entry(1, InService, "y");
+    restarted.worker.started_at = Some(-100 * SECOND);
+    let actions = list.handle(
+        9 * SECOND,
+        WatchEvent::Changed(slice("a", 6, vec![restarted])),
     );
-    let mut again = worker(1, InService, "y");
-    again.worker.started_at = Some(-100 * SECOND);
-    let steps = list.handle(9 * SECOND, WatchEvent::Changed(slice("a", 6, vec![again])));
     assert!(
-        matches!(&steps[0], ListAction::UpdateRouter { workers, .. } if workers[0].started_at == Some(9 * SECOND))
+        matches!(&actions[0], ListAction::UpdateRouter { workers, .. } if workers[0].started_at == Some(9 * SECOND))
     );
 }
 
@@ -139,7 +146,7 @@
     );
     list.handle(
         0,
-        listing(5, vec![slice("a", 5, vec![worker(1, InService, "x")])]),
+        listing(5, vec![slice("a", 5, vec![entry(1, InService, "x")])]),
     );
     list.handle(0, WatchEvent::Bookmark(40));
     assert_eq!(
@@ -150,7 +157,7 @@
         list.handle(0, WatchEvent::WatchEnded { too_old: true })[1],
         ListAction::RequestListing
     );
-    let gone = list.handle(
+    let removal = list.handle(
         0,
         WatchEvent::Removed {
             name: "a".into(),
@@ -158,7 +165,7 @@
         },
     );
     assert_eq!(
-        told(&gone),
+        updates(&removal),
         [(
             EndpointListKind::Changes,
             vec![("127.0.0.1:1".into(), Gone)]
--- a/crates/router/tests/fair_share.rs
+++ b/crates/router/tests/fair_share.rs
@@ -1,4 +1,4 @@
-//! The parts of the limit that parties may use when one of them floods.
+//! Tests of the shares of the limit that parties may use when one of them floods the router.
 
 use cedarpulley::interface::Micros;
 use cedarpulley_router::fair_share::{CrowdingSignal, FairShare};
@@ -13,7 +13,8 @@
     (0..5).for_each(|_| shares.admitted(0, 1));
     (0..20 * 90).for_each(|n| shares.arrived(n * SECOND / 90, 0));
     let caps = |shares: &FairShare| (shares.cap(0, limit), shares.cap(1, limit));
-    // Its own trouble caps nobody, nor does lateness by one's own work, nor one who feels no crowding itself.
+    // No party is capped because of its own crowding, because of an invocation that gives no signal, or while it is not
+    // crowded itself.
     shares.ended(0, 1, limit, 1, CrowdingSignal::Crowded);
     shares.ended(0, 1, limit, 1, CrowdingSignal::Neutral);
     assert_eq!(caps(&shares), (limit, limit));
@@ -21,21 +22,21 @@
     assert_eq!(caps(&shares), (limit, limit));
     shares.ended(0, 1, limit, 1, CrowdingSignal::Crowded);
     assert_eq!(caps(&shares), (72.0, limit));
-    // One burst is one sign.
+    // The answers to one burst count as one signal.
     shares.ended(1, 1, limit, 1, CrowdingSignal::Crowded);
     assert_eq!(caps(&shares), (72.0, limit));
     (1..20).for_each(|n| shares.ended(n * SECOND, 1, limit, 1, CrowdingSignal::Crowded));
     assert_eq!(
         shares.cap(0, limit),
         10.0,
-        "as much, for its weight, as the one that suffers"
+        "as many, relative to its weight, as the crowded-out party"
     );
-    // It comes back with timely answers, and at last is free.
+    // The cap rises with timely answers and is removed in the end.
     (0..6000).for_each(|_| shares.ended(20 * SECOND, 0, limit, 1, CrowdingSignal::OnTime));
     assert_eq!(caps(&shares), (limit, limit));
 }
 
-/// Symptom: one front's function fails for ever, and the other is strangled for it.
+/// Guards against a cap on a front whose answers are on time, while the function of another front always fails.
 #[test]
 fn party_on_time_is_not_capped() {
     let mut shares = FairShare::new(&[1.0, 1.0]);
@@ -48,34 +49,36 @@
     assert_eq!(shares.cap(0, 100.0), 100.0);
 }
 
-/// Symptom: a flood is given up at once and fills no lane, yet uses up what all are allowed.
+/// Guards against a flood whose invocations are rejected at once: they occupy no lane, but use up the quota that all
+/// parties share.
 #[test]
 fn flooding_party_is_paced_by_its_own_successes() {
     let mut shares = FairShare::new(&[1.0, 1.0]);
-    let ms = SECOND / 1000;
-    let (mut entered, mut turned) = (0, 0);
+    let millisecond = SECOND / 1000;
+    let (mut admitted, mut refused) = (0, 0);
     for n in 0..4_000_i64 {
-        let now = n * ms;
-        // The one comes 500 times a second, of which 100 succeed; the other 20 times.
+        let now = n * millisecond;
+        // Party 0 floods: its invocations arrive 1000 times per second, and a fifth of the admitted ones succeeds. Those of
+        // party 1 arrive 20 times per second.
         shares.arrived(now, 0);
         if shares.lacks_credit(now, 0) {
-            turned += 1;
+            refused += 1;
         } else {
             shares.admitted(now, 0);
             shares.departed(0);
-            entered += 1;
-            let signal = if entered % 5 == 0 {
+            admitted += 1;
+            let signal = if admitted % 5 == 0 {
                 CrowdingSignal::OnTime
             } else {
                 CrowdingSignal::Crowded
             };
-            shares.ended(now, 0, 100.0, ms, signal);
+            shares.ended(now, 0, 100.0, millisecond, signal);
         }
         if n % 50 == 0 {
             shares.arrived(now, 1);
             assert!(
                 !shares.lacks_credit(now, 1),
-                "who comes seldom waits for nothing"
+                "a party whose invocations arrive rarely is not paced"
             );
             shares.admitted(now, 1);
             shares.departed(1);
@@ -84,19 +87,20 @@
             } else {
                 CrowdingSignal::OnTime
             };
-            shares.ended(now, 1, 100.0, ms, signal);
+            shares.ended(now, 1, 100.0, millisecond, signal);
         }
     }
-    // With a fifth of successes, what each lets in fades to the few of each second.
+    // If only a fifth succeeds, the credit for successes decreases until only the credit per second is left.
     assert!(
-        turned > 3_000 && entered > 20,
-        "{entered} entered, {turned} did not"
+        refused > 3_000 && admitted > 20,
+        "{admitted} admitted, {refused} refused"
     );
-    // Nobody has suffered for two seconds: all is free again.
-    assert!(!shares.lacks_credit(4_100 * ms, 0));
+    // No other party was crowded out for two seconds, so the pacing has ended.
+    assert!(!shares.lacks_credit(4_100 * millisecond, 0));
 }
 
-/// Symptom: in a cold start all come alike and wait for loads, and one pays for it.
+/// Guards against a cap on one of several equally busy parties: after a cold start, the invocations of all of them wait for
+/// loads.
 #[test]
 fn party_that_arrives_no_more_often_is_capped_only_for_much_more_in_flight() {
     let mut shares = FairShare::new(&[1.0, 1.0]);
@@ -114,11 +118,12 @@
     assert_eq!(
         shares.cap(0, 100.0),
         10.0,
-        "twelve are more than twice five"
+        "twelve in flight are more than twice five"
     );
 }
 
-/// Symptom: a flood that is held to its pace has little out, suffers, and makes the quiet one pay.
+/// Guards against a cap caused by a paced party: a flooding party that is paced has few invocations in flight and is
+/// crowded out, which would restrict the other party.
 #[test]
 fn paced_party_causes_no_cap_on_others() {
     let mut shares = FairShare::new(&[1.0, 1.0]);
@@ -127,32 +132,32 @@
     (0..20).for_each(|_| shares.admitted(0, 1));
     (0..8).for_each(|_| shares.ended(40, 1, 100.0, 1, CrowdingSignal::Crowded));
     (0..20).for_each(|_| shares.admitted(41, 0));
-    assert!(shares.lacks_credit(41, 0), "it is held");
+    assert!(shares.lacks_credit(41, 0), "it is paced");
     (0..20).for_each(|_| shares.departed(0));
     shares.ended(42, 0, 100.0, 1, CrowdingSignal::Crowded);
     assert_eq!(shares.cap(1, 100.0), 100.0);
 }
 
-/// What succeeds enters as it came, though somebody else suffers.
+/// A paced party whose invocations all succeed is hardly slowed down, even while another party is crowded out.
 #[test]
 fn successful_party_is_not_slowed_by_pacing() {
     let mut shares = FairShare::new(&[1.0, 1.0]);
-    let (ms, mut turned) = (SECOND / 1000, 0);
-    (0..8).for_each(|_| shares.ended(0, 0, 100.0, ms, CrowdingSignal::Crowded));
+    let (millisecond, mut refused) = (SECOND / 1000, 0);
+    (0..8).for_each(|_| shares.ended(0, 0, 100.0, millisecond, CrowdingSignal::Crowded));
     for n in 0..3_000_i64 {
-        let now = n * 2 * ms;
+        let now = n * 2 * millisecond;
         shares.arrived(now, 0);
         if shares.lacks_credit(now, 0) {
-            turned += 1;
+            refused += 1;
         } else {
             shares.admitted(now, 0);
             shares.departed(0);
-            shares.ended(now, 0, 100.0, ms, CrowdingSignal::OnTime);
+            shares.ended(now, 0, 100.0, millisecond, CrowdingSignal::OnTime);
         }
         if n % 100 == 0 {
             shares.arrived(now, 1);
-            shares.ended(now, 1, 100.0, ms, CrowdingSignal::Crowded);
+            shares.ended(now, 1, 100.0, millisecond, CrowdingSignal::Crowded);
         }
     }
-    assert!(turned < 300, "{turned}");
+    assert!(refused < 300, "{refused} refused");
 }
--- a/crates/router/tests/worker_index_allocator.rs
+++ b/crates/router/tests/worker_index_allocator.rs
@@ -1,12 +1,12 @@
-//! When the index of a removed worker may be reused.
+//! Tests of the reuse of the indices of removed workers.
 
-mod world;
+mod harness;
 
 use cedarpulley::interface::{
     DispatchOutcome, Endpoint, EndpointListKind, EndpointState, WorkerIndex,
 };
 use cedarpulley_router::worker_index_allocator::WorkerIndexAllocator;
-use world::{IDEMPOTENT, World};
+use harness::{IDEMPOTENT, RouterHarness};
 
 fn endpoint(worker: WorkerIndex, state: EndpointState) -> Endpoint {
     Endpoint {
@@ -21,29 +21,34 @@
     }
 }
 
-/// Symptom: over a long day new workers take the place of old ones, and all that is kept by worker grows for
-/// ever.
+/// Guards against unbounded growth of the state that is stored by worker index while new workers replace old ones.
 #[test]
 fn index_of_a_removed_worker_is_reused_once_unreferenced() {
-    let mut w = World::alone(1);
-    w.take("a", IDEMPOTENT, 0, 1);
-    let (ticket, old) = (w.sent()[0], w.router.worker_index("127.0.0.1:9000"));
-    w.list(&[
+    let mut router = RouterHarness::balancer_only(1);
+    router.receive("a", IDEMPOTENT, 0, 1);
+    let (ticket, old) = (
+        router.sent_tickets()[0],
+        router.core.worker_index("127.0.0.1:9000"),
+    );
+    router.update_endpoints(&[
         ("127.0.0.1:9000", EndpointState::Gone),
         ("s-1", EndpointState::InService),
     ]);
-    // A dispatch is still out there.
-    assert_eq!(w.router.worker_index("127.0.0.1:9000"), old);
-    assert_ne!(w.router.worker_index("s-1"), old);
-    w.end(ticket, DispatchOutcome::Succeeded);
-    assert_eq!(w.router.worker_index("127.0.0.1:9000"), None);
+    // A dispatch to the old worker is still in flight.
+    assert_eq!(router.core.worker_index("127.0.0.1:9000"), old);
+    assert_ne!(router.core.worker_index("s-1"), old);
+    router.end_dispatch(ticket, DispatchOutcome::Succeeded);
+    assert_eq!(router.core.worker_index("127.0.0.1:9000"), None);
     for n in 2..500 {
-        let (was, is) = (format!("s-{}", n - 1), format!("s-{n}"));
-        w.list(&[(&is, EndpointState::InService), (&was, EndpointState::Gone)]);
-        assert!(w.router.worker_index(&is).expect("listed") < 3);
-        w.take(&is, IDEMPOTENT, 0, n);
-        let ticket = w.sent()[0];
-        w.end(ticket, DispatchOutcome::Succeeded);
+        let (previous, current) = (format!("s-{}", n - 1), format!("s-{n}"));
+        router.update_endpoints(&[
+            (&current, EndpointState::InService),
+            (&previous, EndpointState::Gone),
+        ]);
+        assert!(router.core.worker_index(&current).expect("listed") < 3);
+        router.receive(&current, IDEMPOTENT, 0, n);
+        let ticket = router.sent_tickets()[0];
+        router.end_dispatch(ticket, DispatchOutcome::Succeeded);
     }
 }
 
@@ -65,7 +70,7 @@
     assert!(indices.take_released().is_empty());
     indices.unreserve(1);
     assert_eq!(indices.take_released(), [1]);
-    // Told again that it is gone, under an index that was free: freed again, once.
+    // The worker is reported as gone again, under an index that is free: the index is released again, once.
     indices.update(
         EndpointListKind::Changes,
         &[endpoint(1, EndpointState::Gone)],
