--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Returns the delay after an attempt whose connection lasted for `connected_for` (0 if it could not be established),
-    /// in microseconds. The delay is drawn at random between half of its present upper bound and the bound.
+    /// Returns the delay after an attempt whose connection lasted for `connected_for`, both in microseconds. The delay is
+    /// drawn at random between half of its present upper bound and the bound.
     pub fn next_delay(&mut self, connected_for: Micros) -> Micros {
         if connected_for >= MIN_STABLE_DURATION {
             self.delay = INITIAL_DELAY;
