--- a/crates/platform/src/attempt_outcome.rs
+++ b/crates/platform/src/attempt_outcome.rs
@@ -1,20 +1,21 @@
-//! What the end of an exchange with a worker proves about the request: the only table of that mapping. "Not executed" is
-//! claimed only where it is proven, because a request that may have run must not be retried as if it had not.
+//! Maps the end of an exchange with a worker to what it proves about the request. This mapping is defined only here.
+//! A request is reported as not executed only if that is proven: one that may have run must not be retried as if it had
+//! not.
 
 use cedarpulley::interface::{DispatchOutcome, LoadOrderResult};
 
-/// The status in a worker's answer; each has its own word in lower case on the wire.
+/// The status in an answer of a worker. On the wire each status is a word in lower case, given below.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerStatus {
-    /// `ok`: the request succeeded and its body follows; or a load order is fulfilled.
+    /// `ok`: the request succeeded and its body follows, or the load order was carried out.
     Ok,
-    /// `nothing`: the function is not loaded, nothing was executed.
+    /// `nothing`: the function is not loaded; nothing was executed.
     NotLoaded,
-    /// `refused`: the worker is at capacity or draining, nothing was executed.
+    /// `refused`: the worker is at capacity or draining; nothing was executed.
     Rejected,
-    /// `error`: it failed, and may have been executed.
+    /// `error`: the request failed, and may have been executed.
     Error,
-    /// `stale`: its deadline had passed before it began on the worker, nothing was executed.
+    /// `stale`: the deadline passed before the worker began the request; nothing was executed.
     Expired,
     /// `yes`, to a probe: the worker is healthy.
     Healthy,
@@ -23,7 +24,7 @@
 }
 
 impl AnswerStatus {
-    /// The status for a word on the wire; `None` for a word that the protocol does not have.
+    /// The status for a word on the wire; `None` if the protocol does not define the word.
     pub fn from_wire(word: &[u8]) -> Option<Self> {
         Some(match word {
             b"ok" => AnswerStatus::Ok,
@@ -45,12 +46,12 @@
     Answered(AnswerStatus),
     /// No connection to the worker could be established.
     ConnectFailed,
-    /// The connection ended, or was closed from here, before the kernel had accepted every byte of the message.
+    /// The connection ended, or this router closed it, before the kernel had accepted every byte of the message.
     NotSent,
-    /// This router did not send its first byte: the deadline had passed, the client had disconnected, the worker no
+    /// This router sent no byte of the message: the deadline had passed, the client had disconnected, the worker no
     /// longer accepts requests, or no further connection may be opened.
     Withheld,
-    /// The connection ended after the whole message was written, or delivered bytes that are not of the protocol.
+    /// The connection ended after the whole message was written, or delivered bytes that violate the protocol.
     ConnectionLost,
 }
 
@@ -61,21 +62,22 @@
         ExchangeEnd::Answered(AnswerStatus::NotLoaded) => DispatchOutcome::NotLoaded,
         ExchangeEnd::Answered(AnswerStatus::Rejected) => DispatchOutcome::Rejected,
         ExchangeEnd::Answered(AnswerStatus::Error) => DispatchOutcome::Errored,
-        // It never began on the worker, which says nothing about the worker.
+        // The worker did not begin the request in time. That is no sign of a fault of the worker.
         ExchangeEnd::Answered(AnswerStatus::Expired) => DispatchOutcome::NotSent,
-        // These answer probes only. To an invocation they prove nothing: it may have run.
+        // These statuses are defined for probes only. As an answer to an invocation they prove nothing: it may have
+        // run.
         ExchangeEnd::Answered(AnswerStatus::Healthy | AnswerStatus::Unhealthy) => {
             DispatchOutcome::ConnectionLost
         }
         ExchangeEnd::ConnectFailed => DispatchOutcome::Unreachable,
         // Nothing ran. A connection that is reset while idle or just after it was established does not show that the
-        // worker is down; the next attempt to connect will.
+        // worker is down. If it is down, the next attempt to connect fails.
         ExchangeEnd::NotSent | ExchangeEnd::Withheld => DispatchOutcome::NotSent,
         ExchangeEnd::ConnectionLost => DispatchOutcome::ConnectionLost,
     }
 }
 
-/// What the end of a load order proves.
+/// What the end of a load order proves about the load.
 pub fn load_order_result(end: ExchangeEnd) -> LoadOrderResult {
     match end {
         ExchangeEnd::Answered(AnswerStatus::Ok) => LoadOrderResult::Loaded,
@@ -88,13 +90,14 @@
     }
 }
 
-/// What the end of a probe shows about its worker.
+/// What the end of a probe shows about the probed worker.
 pub fn probe_outcome(end: ExchangeEnd) -> DispatchOutcome {
     match end {
         ExchangeEnd::Answered(AnswerStatus::Healthy) => DispatchOutcome::Succeeded,
         ExchangeEnd::Answered(AnswerStatus::Unhealthy) => DispatchOutcome::Rejected,
         ExchangeEnd::ConnectFailed => DispatchOutcome::Unreachable,
-        // A shortage here, or an idle connection that was closed, says nothing about the worker.
+        // A lack of connections in this router, or an idle connection that was closed, is no sign of a fault of the
+        // worker.
         ExchangeEnd::NotSent | ExchangeEnd::Withheld => DispatchOutcome::NotSent,
         ExchangeEnd::Answered(_) | ExchangeEnd::ConnectionLost => DispatchOutcome::ConnectionLost,
     }
--- a/crates/platform/src/chunked.rs
+++ b/crates/platform/src/chunked.rs
@@ -1,13 +1,14 @@
-//! Bodies in the chunked transfer encoding of HTTP/1.1, for requests of clients and responses of discovery alike.
+//! Decodes bodies in the chunked transfer encoding of HTTP/1.1. Requests from clients and responses from discovery use
+//! it.
 
 use std::ops::Range;
 
 use httparse::Status;
 
-/// What ends the data of a chunk.
+/// The bytes that end the data of a chunk.
 const CHUNK_END: &[u8] = b"\r\n";
 
-/// The first chunk in some bytes.
+/// The state of the first chunk in a buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Chunk {
     /// The line with the chunk's size has not been received completely.
@@ -16,23 +17,25 @@
     DataIncomplete,
     /// The chunk is complete; the last one of a body has no data.
     Complete {
-        /// Where its data is.
+        /// The position of its data in the buffer.
         data: Range<usize>,
-        /// Bytes of the whole chunk.
+        /// Length of the whole chunk, with size line and line ends, in bytes.
         length: usize,
     },
 }
 
-/// Why no chunk can be read.
+/// Why a chunk cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChunkError {
-    /// Its size or its end is malformed; after the last chunk, further fields count as such.
+    /// The size or the end of the chunk is malformed. Trailer fields after the last chunk are not supported and count
+    /// as a malformed end.
     Malformed,
-    /// Its size line or its data is beyond the limit.
+    /// The size line or the data is longer than its limit.
     TooLarge,
 }
 
-/// Parses the first chunk. `max_data`, `max_size_line`: limits of its two parts, in bytes.
+/// Parses the first chunk in `bytes`. `max_data` and `max_size_line` limit the lengths of its data and of its size
+/// line, in bytes.
 pub(crate) fn parse_chunk(
     bytes: &[u8],
     max_data: usize,
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration file of a router, as JSON: [`StartupConfig`] is made of its text, and [`discovery_address_of`] reads from a
-//! replaced file what may change while the router runs.
+//! The configuration file of a router, in JSON. [`StartupConfig`] is parsed from its text. When the file is replaced
+//! while the router runs, [`discovery_address_of`] reads the only value that may change then.
 
 use std::net::SocketAddr;
 
@@ -13,40 +13,40 @@
 
 use crate::discovery::EventBatch;
 
-/// Why no router starts with a configuration, or a replaced one is not applied.
+/// Why a configuration file is not accepted, at startup or when it replaces an earlier one.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// It is no JSON, or a part is missing.
-    #[error("the configuration is not as the platform has it")]
+    /// The file is not valid JSON, or a part is missing or has the wrong type.
+    #[error("the configuration is not valid JSON of the expected form")]
     Malformed(#[from] serde_json::Error),
     /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The address of discovery is malformed.
-    #[error("channel '{channel}' is no address")]
+    /// The address of the discovery service is malformed.
+    #[error("channel '{channel}' is not an IP address with a port")]
     DiscoveryAddress {
         /// The address given, under the key `channel`.
         channel: String,
     },
-    /// There is no trigger type.
+    /// The settings define no trigger type; the list `services` holds them.
     #[error("the settings name no services")]
     NoTriggers,
-    /// A name is missing.
+    /// A trigger type or an account has no name.
     #[error("setting {path} is missing")]
     MissingName {
-        /// The setting where it belongs.
+        /// The path of the missing setting.
         path: String,
     },
-    /// A limit leaves no room for anything.
-    #[error("limits.{which} is not above 0")]
+    /// A resource limit is zero, negative or not a number.
+    #[error("limits.{which} must be above 0")]
     LimitNotPositive {
-        /// The limit's key.
+        /// The key of the limit.
         which: &'static str,
     },
     /// The seed is malformed.
     #[error("seed {seed} is neither hex digits nor a whole number")]
     Seed {
-        /// The seed given.
+        /// The value given as the seed.
         seed: Value,
     },
 }
@@ -55,14 +55,16 @@
     fn remedy(&self) -> &'static str {
         match self {
             ConfigError::Malformed(_) => {
-                "give seed, limits, channel, known and settings as docs/operate/platform.md has them"
+                "write seed, limits, channel, known and settings as docs/operate/platform.md describes them"
             }
             ConfigError::Settings(error) => error.remedy(),
             ConfigError::DiscoveryAddress { .. } => "give the channel as an IP address and a port",
             ConfigError::NoTriggers | ConfigError::MissingName { .. } => {
                 "give each service and org its name in the settings"
             }
-            ConfigError::LimitNotPositive { .. } => "give the router some memory and some sockets",
+            ConfigError::LimitNotPositive { .. } => {
+                "set limits.memory_mb and limits.sockets above 0"
+            }
             ConfigError::Seed { .. } => {
                 "give the seed as up to 16 hex digits in quotes, or as a whole number"
             }
@@ -72,7 +74,7 @@
 
 type Result<T> = std::result::Result<T, ConfigError>;
 
-/// The file as it is written.
+/// The JSON structure of the file. Other keys are ignored.
 #[derive(Debug, Deserialize)]
 struct File {
     seed: Value,
@@ -84,55 +86,55 @@
     settings: Value,
 }
 
-/// What the platform allows one process.
+/// The resources that the platform allows one router process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
     /// Memory, in megabytes.
     pub memory_mb: f64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: u64,
 }
 
-/// What the settings say about connections to workers.
+/// The settings of connections to workers.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerConnectionSettings {
-    /// Exchanges at once on one connection.
+    /// Most concurrent exchanges on one connection.
     pub max_streams: usize,
-    /// For how long workers keep an idle connection, in microseconds.
+    /// Time after which workers close an idle connection, in microseconds.
     pub keepalive: Micros,
-    /// Within which a connection is established or counts as failed, in microseconds.
+    /// Time after which a connection that is not established counts as failed, in microseconds.
     pub connect_timeout: Micros,
 }
 
 /// A valid configuration.
 #[derive(Debug)]
 pub struct StartupConfig {
-    /// For random numbers; new with each start.
+    /// Seed of the random number generator; each start of a router has another one.
     pub seed: u64,
-    /// What the process may use.
+    /// The resources that the process may use.
     pub limits: Limits,
-    /// Where discovery listens.
+    /// The address at which the discovery service listens.
     pub discovery_address: SocketAddr,
-    /// Discovery's events up to the start.
+    /// The watch events that discovery had published when the router was started.
     pub initial_events: EventBatch,
-    /// What the policy module starts with.
+    /// The settings of the decision module.
     pub settings: StartupSettings,
-    /// The values in load reports.
+    /// The values in load reports of workers.
     pub report_fields: Vec<ReportField>,
-    /// Names on the wire.
+    /// Names of trigger types, accounts, zones and kinds of machine, as they are on the wire.
     pub names: Names,
-    /// Of connections to workers.
+    /// The settings of connections to workers.
     pub worker_connections: WorkerConnectionSettings,
-    /// Memory of the largest machine, in megabytes: a copy of a function that is larger fits on no worker. Unbounded if
-    /// the settings do not say.
+    /// Memory of the largest machine, in megabytes: a larger copy of a function fits on no worker. It is `f64::MAX` if
+    /// the settings give no memory sizes.
     pub largest_machine_mb: f64,
 }
 
-/// Streams of a connection to a worker, where the settings leave them out.
+/// Concurrent exchanges on a connection to a worker if the settings do not give their number.
 const DEFAULT_MAX_STREAMS: f64 = 1.0;
-/// For how long workers keep an idle connection, where the settings leave it out, in microseconds.
+/// Time after which workers close an idle connection if the settings do not give it, in microseconds.
 const DEFAULT_KEEPALIVE: Micros = 15_000_000;
-/// Within which a connection is established, where the settings leave it out, in microseconds.
+/// Time within which a connection must be established if the settings do not give it, in microseconds.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 
 impl StartupConfig {
@@ -187,7 +189,7 @@
     if largest > 0.0 { largest } else { f64::MAX }
 }
 
-/// The names in a list of objects.
+/// The names of the first `count` objects in the settings list `list`.
 fn names_in(raw: &RawSettings, list: &str, count: usize) -> Result<Vec<String>> {
     let name = |index: usize| {
         let path = format!("{list}.{index}.name");
@@ -210,13 +212,13 @@
     }
 }
 
-/// A replaced file that cannot be read, perhaps because it is still being written, is read again so much later, in
-/// microseconds, and [`MAX_RELOADS`] times in all: for about as long as discovery goes on at its old address.
+/// Pause before a replaced file that could not be read is read again, in microseconds: it may still be being written.
+/// With [`MAX_RELOADS`] reads in all, the retries last about as long as discovery stays at its old address.
 pub const RELOAD_PAUSE: Micros = 100_000;
-/// How often a replaced file is read before it is given up; see [`RELOAD_PAUSE`].
+/// Number of times that a replaced file is read before the router ignores it; see [`RELOAD_PAUSE`].
 pub const MAX_RELOADS: u32 = 20;
 
-/// The address of discovery in a file that has replaced the first one.
+/// The address of the discovery service in the text of a file that replaced an earlier one.
 pub fn discovery_address_of(text: &str) -> Result<SocketAddr> {
     #[derive(Deserialize)]
     struct Replaced {
@@ -233,7 +235,7 @@
         .map_err(|_| ConfigError::DiscoveryAddress { channel })
 }
 
-/// Hex digits, or a plain number.
+/// Parses a seed: a string of hex digits or a whole number.
 fn parse_seed(value: &Value) -> Result<u64> {
     let seed = match value {
         Value::String(text) => u64::from_str_radix(text, 16).ok(),
--- a/crates/platform/src/discovery/contact.rs
+++ b/crates/platform/src/discovery/contact.rs
@@ -1,40 +1,41 @@
-//! [`DiscoveryContact`]: whether discovery is in reach, for the log: one message when it has been lost for too long, and
-//! one when it is back.
+//! [`DiscoveryContact`] decides when the log reports that discovery does not respond: once when the silence has
+//! outlasted the lease of the endpoint list, and once when discovery responds again.
 
 use cedarpulley::interface::Micros;
 
 use super::LIST_LEASE;
 
-/// Discovery has been lost, or is back, after so many microseconds without a response.
+/// A time without a response from discovery, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Silence(pub Micros);
 
-/// When discovery was last heard, and whether its loss has been reported.
+/// The time of the last response from discovery, and whether the silence since then has been reported.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryContact {
-    last_heard: Micros,
+    last_response: Micros,
     reported: bool,
 }
 
 impl DiscoveryContact {
-    /// The router starts at `now`, with the list in its configuration.
+    /// The router starts at `now` with the endpoint list in its configuration, which counts as a response.
     pub fn new(now: Micros) -> Self {
         DiscoveryContact {
-            last_heard: now,
+            last_response: now,
             reported: false,
         }
     }
 
-    /// A response arrived; returns the silence that it ends, if its beginning was reported.
+    /// Records a response; returns the silence that it ends if [`DiscoveryContact::failed`] has reported that silence.
     pub fn heard(&mut self, now: Micros) -> Option<Silence> {
-        let silence = Silence(now - self.last_heard);
-        self.last_heard = now;
+        let silence = Silence(now - self.last_response);
+        self.last_response = now;
         std::mem::take(&mut self.reported).then_some(silence)
     }
 
-    /// A poll failed; returns the silence so far, once, when it has outlasted the list's lease.
+    /// Records a failed poll; returns the silence so far if it has outlasted the lease of the endpoint list and has not
+    /// been reported yet.
     pub fn failed(&mut self, now: Micros) -> Option<Silence> {
-        let silence = now - self.last_heard;
+        let silence = now - self.last_response;
         if self.reported || silence < LIST_LEASE {
             return None;
         }
--- a/crates/platform/src/discovery/error.rs
+++ b/crates/platform/src/discovery/error.rs
@@ -1,62 +1,62 @@
-//! Why a response of discovery, or the events in the configuration, are not applied.
+//! Why a response from discovery, or the events in the configuration, are not applied.
 
 use cedarpulley_errors::Remedy;
 use thiserror::Error;
 
 use super::response_reader::MAX_RESPONSE_BYTES;
 
-/// Why nothing of a response of discovery, or of the events in the configuration, is applied. The texts stand in
-/// `docs/operate/errors.md` with their placeholders, `MOST_ANSWER` among them.
+/// Why a response from discovery, or the events in the configuration, are not applied. An error rejects all of them.
+/// The texts are listed in `docs/operate/errors.md` with their placeholders, `max_bytes` among them.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
-    /// A worker's state is not one of the protocol.
+    /// The protocol does not define the state of a worker.
     #[error("state '{state}' of worker '{id}' is unknown")]
     UnknownState {
         /// The worker's id.
         id: String,
-        /// The state given.
+        /// The state in the event.
         state: String,
     },
     /// A worker's address is malformed.
-    #[error("address '{address}' of worker '{id}' cannot be read")]
+    #[error("address '{address}' of worker '{id}' is not an IP address with a port")]
     MalformedAddress {
         /// The worker's id.
         id: String,
-        /// The address given.
+        /// The address in the event.
         address: String,
     },
     /// The head of a response is malformed.
-    #[error("the head of an answer cannot be read")]
+    #[error("the head of a discovery response is malformed")]
     MalformedHead(#[source] httparse::Error),
-    /// The head of a response goes beyond its limit.
-    #[error("the head of an answer has no end")]
+    /// The head of a response is longer than its limit.
+    #[error("the head of a discovery response is too long")]
     HeadTooLong,
-    /// A response has another HTTP status than 200.
-    #[error("an answer of status {status}")]
+    /// The HTTP status of a response is not 200.
+    #[error("discovery responded with HTTP status {status}")]
     Status {
         /// The status.
         status: u16,
     },
-    /// The length of a response is no number.
-    #[error("the content-length of an answer cannot be read")]
+    /// The length of a response is not a number.
+    #[error("the content-length of a discovery response is malformed")]
     MalformedLength,
-    /// A response has neither a length nor chunks, or both.
-    #[error("an answer without a length")]
+    /// A response declares neither a length nor a transfer encoding, or both.
+    #[error("a discovery response needs either a content-length or a transfer-encoding")]
     NoLength,
-    /// The length of a response is beyond the limit.
-    #[error("an answer of {size} bytes, more than {MOST_ANSWER}", MOST_ANSWER = MAX_RESPONSE_BYTES)]
+    /// The declared length of a response is above the limit.
+    #[error("a discovery response of {size} bytes exceeds the limit of {max_bytes}", max_bytes = MAX_RESPONSE_BYTES)]
     TooLong {
-        /// The length, in bytes.
+        /// The declared length, in bytes.
         size: usize,
     },
-    /// The chunks of a response go beyond the limit.
-    #[error("an answer in chunks goes beyond {MOST_ANSWER} bytes", MOST_ANSWER = MAX_RESPONSE_BYTES)]
+    /// The chunks of a response are longer than the limit.
+    #[error("a chunked discovery response exceeds the limit of {max_bytes} bytes", max_bytes = MAX_RESPONSE_BYTES)]
     ChunksTooLong,
-    /// A chunk has no size or no end.
-    #[error("a chunk of an answer cannot be read")]
+    /// The size or the end of a chunk is malformed.
+    #[error("a chunk of a discovery response is malformed")]
     MalformedChunk,
     /// The events in a response are malformed.
-    #[error("the events of an answer cannot be read")]
+    #[error("the events of a discovery response are malformed")]
     MalformedEvents(#[source] serde_json::Error),
 }
 
@@ -64,12 +64,12 @@
     fn remedy(&self) -> &'static str {
         match self {
             DiscoveryError::UnknownState { .. } | DiscoveryError::MalformedAddress { .. } => {
-                "have the list of workers say it as the platform has it"
+                "correct the state or the address of this worker in the endpoint list"
             }
             DiscoveryError::TooLong { .. } | DiscoveryError::ChunksTooLong => {
-                "have the channel tell fewer workers at once"
+                "make the discovery channel send fewer workers in one response"
             }
-            _ => "see what listens at the channel's address",
+            _ => "check which service listens at the address of the channel",
         }
     }
 }
--- a/crates/platform/src/discovery/events.rs
+++ b/crates/platform/src/discovery/events.rs
@@ -1,14 +1,15 @@
-//! Watch events in the form they have on the wire, as JSON. Parse errors name these types, and operators know those
-//! messages: so the types keep the names of the platform's pages here, and have the usual ones outside this file.
+//! Watch events as they are on the wire, in JSON. Parse errors contain the names of these types, and operators know
+//! those messages. In this file the types therefore keep the names that the platform's documentation uses; the parent
+//! module exports them under the usual terms.
 
 use serde::Deserialize;
 
-/// One response of discovery: what has happened since the event that the poll named.
+/// One response from discovery: the events after the number that the poll gave.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EventBatch {
     /// The number of the last event.
     pub cursor: u64,
-    /// The events, by rising numbers.
+    /// The events, in ascending order of their numbers.
     #[serde(default, rename = "cmds")]
     pub events: Vec<Command>,
 }
@@ -16,47 +17,48 @@
 /// One event.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Command {
-    /// Its number; numbering starts from 1 at each start of a router.
+    /// The number of the event. Numbers begin with 1 at each start of a router.
     pub cursor: u64,
-    /// How it changes the list of workers, if it does.
+    /// The change of the endpoint list, if the event has one.
     #[serde(rename = "nodes")]
     pub worker_list: Option<Nodes>,
 }
 
-/// A change of the list of workers, or the complete list.
+/// A change of the endpoint list, or the complete list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Nodes {
-    /// It is the complete list: whichever worker is not named is gone.
+    /// Whether this is the complete list, so that every worker that it does not contain is gone.
     #[serde(default, rename = "full")]
     pub is_complete: bool,
-    /// The workers that are listed or have changed.
+    /// The workers of the complete list, or those that have changed.
     #[serde(default, rename = "servers")]
     pub workers: Vec<Server>,
 }
 
-/// One worker.
+/// One worker of the endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Server {
-    /// Its id, which no other worker ever has.
+    /// The id of the worker. Ids are never reused.
     pub id: String,
-    /// IP address and port; may be empty for one that has gone.
+    /// IP address and port; may be empty for a worker that is gone.
     #[serde(default, rename = "addr")]
     pub address: String,
     /// The name of its zone.
     #[serde(default)]
     pub zone: String,
-    /// The name of its kind of machine.
+    /// The name of the kind of machine that the worker runs on.
     #[serde(default)]
     pub kind: String,
-    /// The number of its cell, a group of workers that discard repeated requests together.
+    /// The number of its cell: a deduplication scope, in which workers share a record of idempotency keys.
     #[serde(default)]
     pub cell: u32,
     /// `active`, `leaving` or `left`.
     pub state: String,
-    /// Its share of the work, where the settings use weights.
+    /// Its share of the work relative to other workers, if the settings use weights.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// When it started, in Unix milliseconds, if it joined late; 0 otherwise.
+    /// The Unix time at which the worker started, in milliseconds, if it joined after the start of the platform; 0
+    /// otherwise.
     #[serde(default)]
     pub started_ms: i64,
 }
--- a/crates/platform/src/discovery/follower.rs
+++ b/crates/platform/src/discovery/follower.rs
@@ -1,4 +1,4 @@
-//! Follows the list of workers from event to event.
+//! Applies watch events to the endpoint list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,38 +10,39 @@
 use super::{DiscoveryError, EventBatch, Result, WorkerEntry, WorkerListEvent};
 use crate::config::Names;
 
-/// A drain that is read later than this part of its grace has none left: the policy module and the last check before
-/// sending use up all but this part.
-const GRACE_DIVISOR: Micros = 4;
+/// A drain that may be older than the drain grace divided by this number is read as having no grace left: the decision
+/// module and the last check before sending use up the rest of the grace.
+const DRAIN_GRACE_DIVISOR: Micros = 4;
 /// Most workers in the list; further ones are ignored and counted.
 const MAX_WORKERS: usize = 20_000;
-/// Set in the number of a zone that the settings do not name, so that it is like none that they do.
+/// The bit that is set in the index of every zone that the settings do not name. Indexes of named zones do not have it.
 const UNNAMED_ZONE: u32 = 1 << 31;
 
-/// A change of the list of workers, in the terms of the router's core.
+/// A change of the endpoint list, in the types of the router core.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
-    /// Whether it is the complete list or changes of it.
+    /// Whether `workers` is the complete list or only the changed workers.
     pub mode: EndpointListKind,
-    /// The workers, by their ids.
+    /// The workers. Their `address` is the id of the worker, not its network address.
     pub workers: Vec<ListedWorker>,
-    /// Ids of workers that have gone or moved: nothing more is sent on connections that are open to them.
+    /// Ids of workers that are gone or have moved: nothing more may be sent on connections that are open to them.
     pub retired: Vec<String>,
 }
 
-/// An entry of an event, understood.
+/// An entry of an event with its names and numbers resolved. `address` is `None` if the entry has no valid address,
+/// which is allowed for a worker that is gone.
 struct ResolvedWorker {
     listed: ListedWorker,
     address: Option<SocketAddr>,
 }
 
-/// What an event does to the list.
+/// The change of the endpoint list by one event.
 struct ListChange {
     mode: EndpointListKind,
     workers: Vec<ResolvedWorker>,
 }
 
-/// Follows the list of workers from event to event.
+/// The endpoint list as of the last event applied.
 #[derive(Debug, Default)]
 pub struct WorkerListFollower {
     last_cursor: u64,
@@ -52,7 +53,7 @@
 }
 
 impl WorkerListFollower {
-    /// `drain_grace`: for how long after the announcement a draining worker may get new requests, in microseconds.
+    /// `drain_grace`: time after the announcement of a drain in which the worker may get new requests, in microseconds.
     pub fn new(drain_grace: Micros) -> Self {
         WorkerListFollower {
             drain_grace,
@@ -60,8 +61,8 @@
         }
     }
 
-    /// The poll for the events after the last one applied, encoded. `wait`: for how long it may be held open, in
-    /// microseconds.
+    /// Encodes the poll for the events after the last one applied. `wait`: the longest time for which discovery may
+    /// hold the poll open, in microseconds.
     pub fn poll_request(&self, host: &str, wait: Micros) -> Vec<u8> {
         let (cursor, wait_ms) = (self.last_cursor, wait / 1_000);
         format!("GET /cmd/next?resume={cursor}&block={wait_ms} HTTP/1.1\r\nHost: {host}\r\n\r\n")
@@ -73,41 +74,41 @@
         self.last_cursor
     }
 
-    /// Where a listed worker listens.
+    /// The network address of a worker in the list.
     pub fn address(&self, id: &str) -> Option<SocketAddr> {
         self.addresses.get(id).copied()
     }
 
-    /// Events that had been applied before and were ignored, so far.
+    /// Number of events so far that were ignored because they had been applied before.
     pub fn repeated_events(&self) -> u64 {
         self.repeated_events
     }
 
-    /// Workers that were ignored because the list was full, so far.
+    /// Number of entries so far that were ignored because the list was full.
     pub fn ignored_workers(&self) -> u64 {
         self.ignored_workers
     }
 
-    /// Whether a response comes from a server that has fewer events than were applied already: it does not show that the
-    /// list is up to date.
+    /// Whether the last event of a response is older than the last event applied. The server that sent it lags behind,
+    /// so the response does not show that the list is up to date.
     pub fn is_behind(&self, batch: &EventBatch) -> bool {
         batch.cursor < self.last_cursor
     }
 
-    /// The updates in a batch, in order; all of them or, where a part is malformed, nothing. `wall_at_zero`: the Unix time
-    /// at which the router's clock began, in microseconds. `unheard_for`: the batch may have been in the channel for so
-    /// many microseconds before it was read.
+    /// Applies a batch of events and returns the updates in order. If any part of the batch is malformed, nothing is
+    /// applied. `wall_at_zero`: the Unix time at which the router's clock was 0, in microseconds. `max_age`: the
+    /// longest time for which the batch may have waited in the channel before it was read, in microseconds.
     pub fn apply_batch(
         &mut self,
         batch: &EventBatch,
         names: &Names,
         wall_at_zero: Micros,
-        unheard_for: Micros,
+        max_age: Micros,
     ) -> Result<Vec<ListUpdate>> {
         let context = EntryContext {
             names,
             wall_at_zero,
-            grace_is_over: unheard_for > self.drain_grace / GRACE_DIVISOR,
+            drain_grace_expired: max_age > self.drain_grace / DRAIN_GRACE_DIVISOR,
         };
         let (mut changes, mut last_cursor, mut repeated) = (Vec::new(), self.last_cursor, 0);
         for event in &batch.events {
@@ -117,7 +118,7 @@
             }
             last_cursor = event.cursor;
             if let Some(worker_list) = &event.worker_list {
-                changes.push(context.understand_event(worker_list)?);
+                changes.push(context.resolve_event(worker_list)?);
             }
         }
         self.last_cursor = last_cursor.max(batch.cursor);
@@ -141,7 +142,7 @@
         let mut workers = Vec::new();
         for ResolvedWorker { listed, address } in change.workers {
             let id = &listed.address;
-            let former = match address.filter(|_| listed.state != EndpointState::Gone) {
+            let previous = match address.filter(|_| listed.state != EndpointState::Gone) {
                 None => self.addresses.remove(id),
                 Some(_) if self.is_full() && !self.addresses.contains_key(id) => {
                     self.ignored_workers += 1;
@@ -150,9 +151,9 @@
                 Some(address) => self
                     .addresses
                     .insert(id.clone(), address)
-                    .filter(|former| *former != address),
+                    .filter(|previous| *previous != address),
             };
-            if former.is_some() {
+            if previous.is_some() {
                 retired.push(id.clone());
             }
             workers.push(listed);
@@ -169,18 +170,18 @@
     }
 }
 
-/// What the entries of a batch are understood by.
+/// The values that are needed to resolve the entries of a batch.
 struct EntryContext<'a> {
     names: &'a Names,
-    /// The Unix time at which the router's clock began, in microseconds.
+    /// The Unix time at which the router's clock was 0, in microseconds.
     wall_at_zero: Micros,
-    /// A drain in this batch may have been announced so long ago that it has no grace left.
-    grace_is_over: bool,
+    /// Whether a drain in this batch may have been announced so long ago that none of its grace is left.
+    drain_grace_expired: bool,
 }
 
 impl EntryContext<'_> {
-    fn understand_event(&self, event: &WorkerListEvent) -> Result<ListChange> {
-        let workers = event.workers.iter().map(|entry| self.understand(entry));
+    fn resolve_event(&self, event: &WorkerListEvent) -> Result<ListChange> {
+        let workers = event.workers.iter().map(|entry| self.resolve_worker(entry));
         Ok(ListChange {
             mode: if event.is_complete {
                 EndpointListKind::Complete
@@ -191,7 +192,7 @@
         })
     }
 
-    fn understand(&self, entry: &WorkerEntry) -> Result<ResolvedWorker> {
+    fn resolve_worker(&self, entry: &WorkerEntry) -> Result<ResolvedWorker> {
         let state = self.state(entry)?;
         let address = entry.address.parse().ok();
         if address.is_none() && state != EndpointState::Gone {
@@ -205,7 +206,7 @@
             .map(|millis| millis.saturating_mul(1_000))
             .map(|micros| micros.saturating_sub(self.wall_at_zero));
         let unnamed_zone = || fingerprint(&entry.zone) as u32 | UNNAMED_ZONE;
-        // All kinds that the settings do not name count as one kind more.
+        // All kinds of machine that the settings do not name share the index after the last named kind.
         let unnamed_kind = self.names.machine_kinds.len() as u32;
         let listed = ListedWorker {
             address: entry.id.clone(),
@@ -222,7 +223,7 @@
     fn state(&self, entry: &WorkerEntry) -> Result<EndpointState> {
         match entry.state.as_str() {
             "active" => Ok(EndpointState::InService),
-            "leaving" if !self.grace_is_over => Ok(EndpointState::Draining),
+            "leaving" if !self.drain_grace_expired => Ok(EndpointState::Draining),
             "leaving" | "left" => Ok(EndpointState::Gone),
             other => Err(DiscoveryError::UnknownState {
                 id: entry.id.clone(),
--- a/crates/platform/src/discovery/response_reader.rs
+++ b/crates/platform/src/discovery/response_reader.rs
@@ -1,34 +1,35 @@
-//! Cuts complete responses out of the bytes of a connection to discovery.
+//! Decodes complete responses from the bytes of a connection to discovery.
 
 use httparse::Status;
 
 use super::{DiscoveryError, EventBatch, Result};
 use crate::chunked::{Chunk, ChunkError, parse_chunk};
 
-/// Largest response, in bytes: it names some thousands of workers at most.
+/// Longest response, in bytes: it lists a few thousand workers at most.
 pub(super) const MAX_RESPONSE_BYTES: usize = 4 << 20;
-/// Largest head of a response, in bytes: a few short fields.
+/// Longest head of a response, in bytes: it has a few short fields.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Most fields of a head.
+/// Most header fields of a response.
 const MAX_FIELDS: usize = 32;
 
-/// The bytes of one connection that are not yet a complete response. A malformed response ends the connection.
+/// Decodes responses from the bytes of one connection, and buffers those of an incomplete response. After a malformed
+/// response the connection must be closed.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
     bytes: Vec<u8>,
 }
 
-/// How the end of a response's body is found.
+/// How the end of a response body is determined.
 enum BodyFraming {
-    /// After so many bytes.
+    /// By the length of the body, in bytes.
     Sized(usize),
-    /// After the last chunk.
+    /// By the last chunk.
     Chunked,
 }
 
-/// A complete head.
+/// The parsed head of a response.
 struct Head {
-    /// Bytes of the head.
+    /// Length of the head, in bytes.
     length: usize,
     framing: BodyFraming,
 }
@@ -39,7 +40,7 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The events of the next complete response, if there is one.
+    /// Removes the next complete response, if there is one, and returns its events.
     pub fn next_batch(&mut self) -> Result<Option<EventBatch>> {
         let Some(head) = parse_head(&self.bytes)? else {
             return Ok(None);
@@ -65,7 +66,7 @@
     }
 }
 
-/// Parses the head that `bytes` begin with; `None` while it is incomplete.
+/// Parses the head at the start of `bytes`; returns `None` while it is incomplete.
 fn parse_head(bytes: &[u8]) -> Result<Option<Head>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut head = httparse::Response::new(&mut headers);
@@ -101,7 +102,8 @@
     Ok(Some(Head { length, framing }))
 }
 
-/// The body in chunks that `bytes` begin with, and the bytes that it took; `None` while it is incomplete.
+/// Decodes the chunked body at the start of `bytes`; returns the body and its encoded length in bytes, or `None` while
+/// it is incomplete.
 fn decode_chunks(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>> {
     let (mut body, mut position) = (Vec::new(), 0);
     loop {
--- a/crates/platform/src/event_loop_lag.rs
+++ b/crates/platform/src/event_loop_lag.rs
@@ -1,26 +1,27 @@
-//! Estimates for how long bytes may have been waiting in the kernel because the process was not running.
+//! Estimates how long bytes may have waited in the kernel because the process was not running.
 //!
-//! A process that shares its core, or was stopped, reads bytes later than they arrived. Times that are counted from
-//! the read (a client's deadline, the grace of a draining worker) would then be too generous. The event loop calls
-//! [`EventLoopLag::beat`] at a fixed period; [`EventLoopLag::lag`] is how far behind it may be.
+//! A process that shares its core, or that was stopped, reads bytes later than they arrived. Times that are counted
+//! from the read, such as the deadline of a client or the drain grace of a worker, would then end too late. The event
+//! loop calls [`EventLoopLag::beat`] at a fixed period; [`EventLoopLag::lag`] estimates its delay from those calls.
 
 use cedarpulley::interface::Micros;
 
-/// Beats that may pass unnoticed: bytes read between two beats arrived at most one period ago, and the beat itself may
-/// run before or after the reads that the same wake-up brings.
-const BEATS_IN_FLIGHT: Micros = 2;
+/// Number of timer periods that do not count as lag. The last catch-up that is known is that of the previous beat, up
+/// to two periods ago: one period passes between two beats, and a beat may run before or after the reads of the same
+/// wake-up.
+const TOLERATED_PERIODS: Micros = 2;
 
-/// How late the event loop may be, from the times at which its periodic timer ran.
+/// Estimates the lag of the event loop from the times at which its periodic timer ran.
 #[derive(Clone, Copy, Debug)]
 pub struct EventLoopLag {
     period: Micros,
     last_beat: Micros,
-    /// The beat before the last one: everything that had arrived by then has been read since.
+    /// Time of the beat before the last one: the loop has since read everything that had arrived by then.
     caught_up_at: Micros,
 }
 
 impl EventLoopLag {
-    /// `period`: time between two beats, in microseconds. The loop counts as caught up at `now`.
+    /// `period`: time between two beats, in microseconds. At `now`, on the router's clock, no lag is assumed.
     pub fn new(period: Micros, now: Micros) -> Self {
         EventLoopLag {
             period,
@@ -29,14 +30,15 @@
         }
     }
 
-    /// The periodic timer ran.
+    /// Records that the periodic timer ran at `now`.
     pub fn beat(&mut self, now: Micros) {
         self.caught_up_at = self.last_beat;
         self.last_beat = now;
     }
 
-    /// Bytes read now may have arrived this many microseconds ago; 0 while the loop keeps its period.
+    /// The longest time for which bytes that are read at `now` may have waited, in microseconds. It is 0 while the
+    /// timer runs at its period.
     pub fn lag(&self, now: Micros) -> Micros {
-        (now - self.caught_up_at - BEATS_IN_FLIGHT * self.period).max(0)
+        (now - self.caught_up_at - TOLERATED_PERIODS * self.period).max(0)
     }
 }
--- a/crates/platform/src/graceful_shutdown.rs
+++ b/crates/platform/src/graceful_shutdown.rs
@@ -1,31 +1,32 @@
-//! Decides what a router still accepts after the signal to stop, and when it may exit. Call
+//! Decides which requests a router accepts after the signal to stop, and when it may exit. Call
 //! [`GracefulShutdown::begin`] on the signal and [`GracefulShutdown::accepts`] for each request, and poll
 //! [`GracefulShutdown::may_exit`] until it is true.
 
 use cedarpulley::interface::Micros;
 
-/// Clients that have not noticed the shutdown yet have their requests accepted for this long, by the protocol.
+/// Time after the signal to stop in which requests are still accepted, in microseconds. The protocol requires it,
+/// because clients do not notice the shutdown at once.
 const ACCEPT_PERIOD: Micros = 700_000;
-/// Beyond the deadline of the last accepted request, its answer has this long to reach the client.
+/// Time that the last response gets to reach its client after the client's deadline, in microseconds.
 const EXIT_MARGIN: Micros = 500_000;
 
 /// The state of a graceful shutdown; times are microseconds of the router's clock.
 #[derive(Debug)]
 pub struct GracefulShutdown {
-    longest_deadline: Micros,
+    max_client_timeout: Micros,
     begun_at: Option<Micros>,
 }
 
 impl GracefulShutdown {
-    /// `longest_deadline`: the longest that any client may wait for its answer.
-    pub fn new(longest_deadline: Micros) -> Self {
+    /// `max_client_timeout`: the longest time that a client may wait for its response, in microseconds.
+    pub fn new(max_client_timeout: Micros) -> Self {
         GracefulShutdown {
-            longest_deadline,
+            max_client_timeout,
             begun_at: None,
         }
     }
 
-    /// The signal to stop arrived; a repeated one changes nothing.
+    /// Records the signal to stop. A repeated signal changes nothing.
     pub fn begin(&mut self, now: Micros) {
         self.begun_at.get_or_insert(now);
     }
@@ -41,14 +42,14 @@
             .is_none_or(|begun| arrived - begun <= ACCEPT_PERIOD)
     }
 
-    /// Whether the process may exit now. `unfinished`: a request is unanswered, partly received, or may be in one of the
-    /// kernel's buffers. The caller must have checked those buffers right before the call: a request that is in one
-    /// counts as accepted although nobody has read it. The time limit is for clients that never finish.
+    /// Whether the process may exit now. `unfinished`: a request is unanswered, partly received, or may be in a buffer
+    /// of the kernel. The caller must check those buffers right before the call: a request in one of them counts as
+    /// accepted although the process has not read it. The time limit covers clients that never finish their request.
     pub fn may_exit(&self, now: Micros, unfinished: bool) -> bool {
         let Some(begun) = self.begun_at else {
             return false;
         };
-        let overdue = now - begun > ACCEPT_PERIOD + self.longest_deadline + EXIT_MARGIN;
+        let overdue = now - begun > ACCEPT_PERIOD + self.max_client_timeout + EXIT_MARGIN;
         overdue || !unfinished && !self.accepts(now)
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,18 +1,19 @@
-//! The protocols and decisions of a router on the users' platform, free of I/O: bytes and times in, typed events and
-//! bytes out. No sockets, clocks or threads; where a request goes is decided by the policy module.
+//! Wire protocols and state machines of a router on the users' platform, without I/O: they take bytes and times and
+//! return typed events and bytes. The crate uses no sockets, clocks or threads, and it does not choose the worker for a
+//! request: the decision module does.
 //!
-//! Begin reading at [`client_protocol`] and [`worker_protocol`].
+//! [`client_protocol`] and [`worker_protocol`] are the best places to start reading.
 //!
 //! * [`config`]: the configuration file.
-//! * [`discovery`]: the watch events of the worker list, each applied once and in order.
-//! * [`client_protocol`]: requests of clients and the responses to them.
-//! * [`worker_protocol`]: the line protocol spoken with workers.
-//! * [`attempt_outcome`]: what the end of an exchange with a worker proves.
-//! * [`connection_pool`]: decides which connection to a worker carries what, and when one is closed.
+//! * [`discovery`]: the watch events that change the endpoint list, each applied once and in order.
+//! * [`client_protocol`]: requests from clients and the responses to them.
+//! * [`worker_protocol`]: the line protocol between router and workers.
+//! * [`attempt_outcome`]: what the end of an exchange with a worker proves about the request.
+//! * [`connection_pool`]: decides which connection to a worker carries an exchange, and when connections are closed.
 //! * [`connection_limiter`]: decides which client connections stay open.
-//! * [`resource_limits`]: decides how the descriptors and memory that the platform allows are divided.
+//! * [`resource_limits`]: divides the descriptors and the memory that the platform allows.
 //! * [`event_loop_lag`]: estimates how late the process reads bytes that have arrived.
-//! * [`graceful_shutdown`]: decides what is still accepted after the signal to stop, and when the process exits.
+//! * [`graceful_shutdown`]: decides which requests are accepted after the signal to stop, and when the process exits.
 
 #![warn(missing_docs)]
 
--- a/crates/platform/src/resource_limits.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -1,33 +1,35 @@
-//! Decides how the descriptors and the memory that the platform allows are divided. Call [`ResourceLimits::of`] once.
+//! Divides the file descriptors and the memory that the platform allows between clients, workers and the router itself.
+//! Call [`ResourceLimits::of`] once, at startup.
 
 use crate::config::Limits;
 
-/// Descriptors for everything that is neither a client's nor a worker's connection: the listener, discovery, signals,
-/// the runtime's own, connections that are just being closed, and those that are rejected when they connect.
+/// Number of descriptors that are kept for everything but admitted clients and workers: the listener, discovery,
+/// signals, the runtime, connections that are being closed, and clients that were rejected when they connected.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Clients get one descriptor in this many. Well-behaved ones use a third at most, so idle ones do not crowd them out.
-const CLIENTS_DIVISOR: usize = 2;
-/// Bodies of requests in flight get one byte in this many: the program and its tables need the rest.
-const BODIES_DIVISOR: f64 = 8.0;
-/// No machine gives more descriptors than this.
+/// Client connections get the descriptors divided by this number. Well-behaved clients use at most a third of all
+/// descriptors, so a half leaves them enough even when other clients stay idle.
+const CLIENT_DESCRIPTORS_DIVISOR: usize = 2;
+/// Bodies of requests in flight get the memory divided by this number. The program and its tables need the rest.
+const BODY_MEMORY_DIVISOR: f64 = 8.0;
+/// Upper limit on the configured number of descriptors: no machine allows a process more.
 const MAX_DESCRIPTORS: u64 = 1 << 20;
 
 /// The resources of one router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
-    /// Connections of clients that may be open at once.
+    /// Most client connections that are open at once.
     pub clients: usize,
-    /// Connections to workers that may be open at once.
+    /// Most connections to workers that are open at once.
     pub workers: usize,
-    /// Bodies of all requests in flight, in bytes.
+    /// Most memory for the bodies of all requests in flight, in bytes.
     pub body_bytes: u64,
 }
 
 impl ResourceLimits {
-    /// Divides what the platform's configuration allows; every part gets at least one.
+    /// Divides the configured limits. Clients and workers get at least one connection each.
     pub fn of(limits: Limits) -> Self {
         let descriptors = limits.sockets.min(MAX_DESCRIPTORS) as usize;
-        let clients = (descriptors / CLIENTS_DIVISOR).max(1);
+        let clients = (descriptors / CLIENT_DESCRIPTORS_DIVISOR).max(1);
         let workers = descriptors
             .saturating_sub(clients + RESERVED_DESCRIPTORS)
             .max(1);
@@ -35,7 +37,7 @@
         ResourceLimits {
             clients,
             workers,
-            body_bytes: (memory_bytes / BODIES_DIVISOR) as u64,
+            body_bytes: (memory_bytes / BODY_MEMORY_DIVISOR) as u64,
         }
     }
 }
--- a/crates/platform/src/worker_protocol.rs
+++ b/crates/platform/src/worker_protocol.rs
@@ -1,8 +1,9 @@
-//! The line protocol spoken with workers: [`write_call`], [`write_cancellation`], [`write_load_order`],
+//! The line protocol between router and workers: [`write_call`], [`write_cancellation`], [`write_load_order`],
 //! [`write_unload_order`] and [`write_probe`] encode messages, [`AnswerReader`] decodes answers.
 //!
-//! An answer that is malformed, has no end of line within its limit or claims a body beyond its limit ends its
-//! connection: nothing after it can be trusted, and no memory is allocated for a length that is only claimed.
+//! A connection is closed after an answer that is malformed, whose line is longer than its limit, or that declares a
+//! body longer than its limit: the bytes after it cannot be attributed to answers. No memory is allocated for a
+//! declared length before the bytes arrive.
 
 use std::io::Write;
 
@@ -12,17 +13,17 @@
 
 use crate::attempt_outcome::AnswerStatus;
 
-/// Largest line of an answer, in bytes: an id, a status, a few figures, a length.
+/// Longest line of an answer, in bytes: it holds an id, a status, a few numbers and a length.
 const MAX_LINE_BYTES: usize = 1 << 10;
-/// Largest body of an answer, in bytes.
+/// Longest body of an answer, in bytes.
 const MAX_BODY_BYTES: usize = 256 << 10;
-/// Largest answer, in bytes: line, body, and the line end after each.
+/// Longest answer, in bytes: the line, the body, and the two bytes that end each of them.
 pub const MAX_ANSWER_BYTES: usize = MAX_LINE_BYTES + MAX_BODY_BYTES + 4;
 
-/// What ends a line, and a body.
+/// The bytes that end a line and a body.
 const LINE_END: &[u8] = b"\r\n";
 
-/// An invocation, as it is sent to a worker.
+/// An attempt of an invocation, as it is sent to a worker.
 pub struct Call<'a> {
     /// The request's id, 16 hex digits.
     pub id: &'a str,
@@ -30,20 +31,21 @@
     pub trigger: &'a str,
     /// The function's id, 16 hex digits.
     pub function: &'a str,
-    /// How long the router still waits, in microseconds; sent in whole milliseconds, at least 1.
+    /// Time until the router stops waiting for the answer, in microseconds. It is sent in whole milliseconds, at least
+    /// 1.
     pub time_left: Micros,
-    /// The idempotency key.
+    /// The idempotency key, if the client sent one.
     pub idempotency_key: Option<&'a str>,
     /// The body, forwarded unchanged.
     pub body: &'a [u8],
 }
 
-/// Appends formatted text. Writing to memory cannot fail.
+/// Appends formatted text. The result is ignored because writing to a vector cannot fail.
 fn append(buffer: &mut Vec<u8>, text: std::fmt::Arguments) {
     let _ = buffer.write_fmt(text);
 }
 
-/// Appends a request: `FN ID FIELDS LENGTH` and the body.
+/// Appends a call: the line `FN ID FIELDS LENGTH`, then the body.
 pub fn write_call(buffer: &mut Vec<u8>, call: &Call) {
     let millis = (call.time_left / 1_000).max(1);
     append(
@@ -61,12 +63,12 @@
     buffer.extend_from_slice(LINE_END);
 }
 
-/// Appends the cancellation of a request: `KILL ID`. The worker sends no answer.
+/// Appends the cancellation of a call: `KILL ID`. The worker sends no answer to it.
 pub fn write_cancellation(buffer: &mut Vec<u8>, id: &str) {
     append(buffer, format_args!("KILL {id}\r\n"));
 }
 
-/// Appends an order to have `copies` copies of a function loaded: `SPAWN TAG obj=..,n=..`.
+/// Appends an order to keep `copies` copies of a function loaded: `SPAWN TAG obj=..,n=..`.
 pub fn write_load_order(buffer: &mut Vec<u8>, tag: &str, function: &str, copies: u32) {
     append(
         buffer,
@@ -74,7 +76,7 @@
     );
 }
 
-/// Appends an order to unload a function's idle copies: `REAP FUNCTION`. The worker sends no answer.
+/// Appends an order to unload the idle copies of a function: `REAP FUNCTION`. The worker sends no answer to it.
 pub fn write_unload_order(buffer: &mut Vec<u8>, function: &str) {
     append(buffer, format_args!("REAP {function}\r\n"));
 }
@@ -84,18 +86,18 @@
     append(buffer, format_args!("TOP {tag}\r\n"));
 }
 
-/// A complete answer.
+/// A complete answer of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
     /// The id of the request, or the tag of the load order or probe.
     pub id: String,
     /// The result.
     pub status: AnswerStatus,
-    /// Invocations of the same function that the worker had in flight when this one arrived.
+    /// Number of invocations of the same function that the worker had in flight when this one arrived.
     pub function_load: u32,
-    /// Copies of the function that are loaded.
+    /// Number of copies of the function that are loaded.
     pub copies: u32,
-    /// The load report, where the settings define its values.
+    /// The load report: the values of the answer that the settings define.
     pub report: LoadReport,
     /// The body; empty unless the request succeeded.
     pub body: Bytes,
@@ -104,23 +106,23 @@
 /// Which part of an answer is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerError {
-    /// The line: it is not an id, a status, fields and a length, ended by CR LF.
+    /// The line does not consist of an id, a status, fields and a length, followed by CR LF.
     Line,
-    /// The line does not end within its limit.
+    /// The line is longer than its limit.
     LineTooLong,
-    /// The fields of the line.
+    /// The fields of the line are malformed.
     Fields,
-    /// The length of the body is no number, or beyond its limit.
+    /// The length of the body is not a number, or is above the limit.
     Length,
-    /// The body does not end where its length says.
+    /// CR LF does not follow the body at its declared length.
     BodyEnd,
 }
 
-/// Decodes the answers on one connection from the bytes received.
+/// Decodes answers from the bytes received on one connection.
 #[derive(Debug, Default)]
 pub struct AnswerReader {
     bytes: Vec<u8>,
-    /// So many bytes are known to have no end of line among them.
+    /// Number of leading bytes that are known to contain no line feed.
     searched: usize,
 }
 
@@ -135,15 +137,16 @@
         !self.bytes.is_empty()
     }
 
-    /// The next complete answer, if there is one. After an error nothing more can be read from the connection.
-    pub fn next(&mut self, fields: &[ReportField]) -> Result<Option<Answer>, AnswerError> {
+    /// Removes and returns the next complete answer, if there is one. `report_fields` are the values of the load report
+    /// to decode. After an error, no further answer can be read from the connection.
+    pub fn next(&mut self, report_fields: &[ReportField]) -> Result<Option<Answer>, AnswerError> {
         let Some(line_length) = self.line_length()? else {
             return Ok(None);
         };
         let line = self.bytes[..line_length]
             .strip_suffix(b"\r")
             .ok_or(AnswerError::Line)?;
-        let (mut answer, body_length) = parse_line(line, fields)?;
+        let (mut answer, body_length) = parse_line(line, report_fields)?;
         let body_start = line_length + 1;
         let body_end = body_start + body_length;
         let answer_end = body_end + LINE_END.len();
@@ -158,7 +161,7 @@
         Ok(Some(answer))
     }
 
-    /// Bytes before the next line feed, if it has been received.
+    /// Number of bytes before the next line feed, or `None` if it has not been received.
     fn line_length(&mut self) -> Result<Option<usize>, AnswerError> {
         let start = self.searched.min(self.bytes.len());
         let line_feed = self.bytes[start..].iter().position(|byte| *byte == b'\n');
@@ -169,7 +172,7 @@
         Ok(line_feed.map(|_| self.searched))
     }
 
-    /// Removes an answer's bytes. Idle connections keep no buffer.
+    /// Removes the bytes of an answer, and frees the buffer if nothing is left: idle connections keep no buffer.
     fn discard(&mut self, answer_end: usize) {
         self.searched = 0;
         if self.bytes.len() == answer_end {
@@ -180,8 +183,8 @@
     }
 }
 
-/// An answer without its body, and the length of that body.
-fn parse_line(line: &[u8], report: &[ReportField]) -> Result<(Answer, usize), AnswerError> {
+/// Parses the line of an answer; returns the answer without its body, and the length of the body in bytes.
+fn parse_line(line: &[u8], report_fields: &[ReportField]) -> Result<(Answer, usize), AnswerError> {
     let line = std::str::from_utf8(line).map_err(|_| AnswerError::Line)?;
     let mut words = line.split(' ');
     let (Some(id), Some(status), Some(fields), Some(length), None) = (
@@ -209,22 +212,22 @@
         report: LoadReport::default(),
         body: Bytes::new(),
     };
-    parse_fields(&mut answer, fields, report)?;
+    parse_fields(&mut answer, fields, report_fields)?;
     Ok((answer, length))
 }
 
-/// A number of digits and nothing else.
+/// Parses a number that consists of decimal digits only.
 fn parse_count(text: &str) -> Option<u32> {
     text.bytes()
         .all(|byte| byte.is_ascii_digit())
         .then(|| text.parse().ok())?
 }
 
-/// `name=value`, separated by commas; `-` for none. Unknown names are ignored.
+/// Parses the fields of a line: `name=value`, separated by commas, or `-` if there are none. Unknown names are ignored.
 fn parse_fields(
     answer: &mut Answer,
     text: &str,
-    report: &[ReportField],
+    report_fields: &[ReportField],
 ) -> Result<(), AnswerError> {
     if text == "-" {
         return Ok(());
@@ -234,15 +237,15 @@
         match name {
             "same" => answer.function_load = parse_count(value).ok_or(AnswerError::Fields)?,
             "n" => answer.copies = parse_count(value).ok_or(AnswerError::Fields)?,
-            "gauges" => answer.report = parse_report(value, report)?,
+            "gauges" => answer.report = parse_report(value, report_fields)?,
             _ => {}
         }
     }
     Ok(())
 }
 
-/// `name:value`, separated by semicolons.
-fn parse_report(text: &str, fields: &[ReportField]) -> Result<LoadReport, AnswerError> {
+/// Parses a load report: `name:value`, separated by semicolons.
+fn parse_report(text: &str, report_fields: &[ReportField]) -> Result<LoadReport, AnswerError> {
     let mut report = LoadReport::default();
     for pair in text.split(';').filter(|pair| !pair.is_empty()) {
         let (name, value) = pair.split_once(':').ok_or(AnswerError::Fields)?;
@@ -251,7 +254,7 @@
             .ok()
             .filter(|value: &f64| value.is_finite())
             .ok_or(AnswerError::Fields)?;
-        ReportField::set_in_report(&mut report, fields, name, value);
+        ReportField::set_in_report(&mut report, report_fields, name, value);
     }
     Ok(report)
 }
