--- a/crates/platform/src/connection_limiter.rs
+++ b/crates/platform/src/connection_limiter.rs
@@ -1,16 +1,18 @@
 //! Decides which client connections stay open, and which one is closed when there are too many.
 //!
 //! Call [`ConnectionLimiter::connected`] for each new connection and report its progress: [`receiving`], [`pending`],
-//! [`responding`], [`idle`], [`closing`], [`closed`]. [`ConnectionLimiter::overdue`] names those that are to be closed.
+//! [`responding`], [`idle`], [`closing`], [`closed`]. [`ConnectionLimiter::overdue`] returns the connections to close.
 //!
 //! * The first request of a connection must be complete soon after the client connected, each later one soon after its
-//!   first byte. Otherwise hundreds that connect and send nothing, or a byte now and then, would use up all descriptors.
-//! * With the table full one is evicted: those that should have sent their request by now and have not, then those that
-//!   got their last answer a while ago, then the one idle for longest, then whoever is still sending. A
-//!   connection that waits for an answer, or of which a complete request has arrived, read or not, is never evicted.
-//! * When nobody can be evicted the new one is rejected. A few rejected ones stay open until the client has read the
-//!   rejection: closing with its request unread would reset the connection and destroy the answer.
-//! * A connection that has had its answer may stay idle for as long as clients keep theirs open.
+//!   first byte. Otherwise hundreds of clients that send nothing, or a byte now and then, would use up all descriptors.
+//! * When the table is full, a new connection evicts another one, in this order: connections that have sent nothing for
+//!   longer than a request takes to arrive, connections that got their last response a while ago, idle connections, and
+//!   connections that are new, sending or reading. In each group the one longest in its state goes first. A connection
+//!   that waits for a response, or on which a complete request has arrived, read by the process or not, is never evicted.
+//! * When no connection can be evicted, the new one is rejected. A few rejected connections stay open until the client
+//!   has
+//!   read the rejection: closing a connection with an unread request resets it, and the client loses the response.
+//! * After a response, a connection may stay idle a little longer than clients keep theirs open.
 //!
 //! [`receiving`]: ConnectionLimiter::receiving
 //! [`pending`]: ConnectionLimiter::pending
@@ -23,66 +25,71 @@
 
 use cedarpulley::interface::Micros;
 
-/// Identifies a client's connection; never used again.
+/// Identifies a client connection. Ids are never reused.
 pub type ClientId = u64;
 
-/// A client sends its request in one go, and the protocol's worst client must be rejected or closed within 3 s of
-/// connecting. An answer without a deadline of its own may take as long to be read.
+/// Time within which a request must be complete, in microseconds. Clients send a request in one piece, and the protocol
+/// requires that a misbehaving client is rejected or closed within 3 s of connecting. A response must be read within
+/// the same time, unless the client's own deadline is later.
 const REQUEST_TIMEOUT: Micros = 2_000_000;
-/// A client that got its last answer closes at once, or is still sending what nobody reads.
+/// Time after the last response at which a connection is closed, in microseconds. A well-behaved client closes it at
+/// once; any other may still be sending input, which is discarded.
 const LINGER_TIMEOUT: Micros = 1_500_000;
-/// A request that was sent together with the connection has arrived by then: some round trips, and the pauses of this
-/// process. A client that got its last answer has read it by then.
-const EVICTABLE_AFTER: Micros = 250_000;
-/// Clients close what has been idle for 4 s; those that never do are closed a little later.
+/// Time, in microseconds, within which a request that was sent right after connecting has arrived, and a client has
+/// read its last response: a few round trips, and the pauses of this process.
+const EVICTION_GRACE: Micros = 250_000;
+/// Time after which an idle connection is closed, in microseconds. Clients close theirs after 4 s; this timeout is for
+/// clients that do not.
 const IDLE_TIMEOUT: Micros = 5_000_000;
-/// Rejected connections that stay open until their rejection is read: a part of the reserved descriptors.
+/// Most rejected connections that stay open until their rejection is read. They use reserved descriptors.
 pub const MAX_REJECTED: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Has sent nothing yet.
+    /// The client has connected and sent nothing yet.
     New,
-    /// Between two requests.
+    /// The last response is written, and no byte of the next request has arrived.
     Idle,
     /// A part of a request has arrived.
     Receiving,
-    /// Waits for an answer.
+    /// A complete request waits for its response.
     Pending,
-    /// Its answer is being written, and has until then to be read.
+    /// The response is being written; the client must have read it at `until`.
     Responding { until: Micros },
-    /// Its last answer is written; input is discarded until the client closes.
+    /// The last response is written; input is discarded until the client closes the connection.
     Closing,
-    /// Was rejected when it connected; input is discarded until the client closes.
+    /// The client was rejected when it connected; input is discarded until the client closes the connection.
     Rejected,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Client {
     state: State,
+    /// Time at which the connection entered its state; for the first request, time at which the client connected.
     since: Micros,
 }
 
-/// What becomes of a new connection.
+/// The decision on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admission {
-    /// The new connection.
+    /// The id of the new connection.
     pub id: ClientId,
-    /// It gets a rejection and nothing else.
+    /// Whether the new connection gets a rejection and is served no request.
     pub rejected: bool,
-    /// This one has to be closed at once to free its descriptor.
+    /// The connection that has to be closed at once to free its descriptor, if any.
     pub evicts: Option<ClientId>,
 }
 
-/// The order in which connections are evicted.
+/// Groups of connections, in the order in which they are evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionClass {
-    /// Should have sent its request by now.
+    /// The client has sent nothing for longer than [`EVICTION_GRACE`].
     Silent,
-    /// Should have read its last answer by now.
+    /// The last response was written more than [`EVICTION_GRACE`] ago.
     Answered,
+    /// The connection is between two requests.
     Idle,
-    /// Just connected, or still sending or reading.
+    /// The client has just connected, is sending a request, or may still be reading its last response.
     Active,
 }
 
@@ -97,7 +104,7 @@
 }
 
 impl ConnectionLimiter {
-    /// `max_connections`: open at once, beside at most [`MAX_REJECTED`] rejected ones.
+    /// `max_connections`: most connections open at once, not counting at most [`MAX_REJECTED`] rejected ones.
     pub fn new(max_connections: usize) -> Self {
         ConnectionLimiter {
             max_connections,
@@ -108,7 +115,8 @@
         }
     }
 
-    /// A client connected. `has_request`: whether a complete request of a client has arrived, read so far or not.
+    /// Decides on a new connection. `has_request`: whether a complete request has arrived on a connection, read by the
+    /// process or not.
     pub fn connected(&mut self, now: Micros, has_request: impl Fn(ClientId) -> bool) -> Admission {
         let full = self.count() >= self.max_connections;
         let evictable = if full {
@@ -142,7 +150,7 @@
         }
     }
 
-    /// Whether a new connection would be admitted now.
+    /// Whether a new connection would be admitted now. `has_request`: as for [`ConnectionLimiter::connected`].
     pub fn has_capacity(&self, now: Micros, has_request: impl Fn(ClientId) -> bool) -> bool {
         self.count() < self.max_connections || self.eviction_candidate(now, has_request).is_some()
     }
@@ -153,8 +161,8 @@
         has_request: impl Fn(ClientId) -> bool,
     ) -> Option<ClientId> {
         let class = |client: &Client| match client.state {
-            State::New if now - client.since > EVICTABLE_AFTER => Some(EvictionClass::Silent),
-            State::Closing if now - client.since > EVICTABLE_AFTER => Some(EvictionClass::Answered),
+            State::New if now - client.since > EVICTION_GRACE => Some(EvictionClass::Silent),
+            State::Closing if now - client.since > EVICTION_GRACE => Some(EvictionClass::Answered),
             State::Idle => Some(EvictionClass::Idle),
             State::New | State::Receiving | State::Closing => Some(EvictionClass::Active),
             State::Pending | State::Responding { .. } | State::Rejected => None,
@@ -165,20 +173,20 @@
             .filter_map(|(id, client)| Some((class(client)?, client.since, *id)))
             .collect();
         candidates.sort_unstable();
-        // What a client sends after its last answer is not served.
+        // Requests that a client sends after its last response are not served.
         let may_request = |id: &ClientId| {
             self.clients
                 .get(id)
                 .is_some_and(|client| client.state != State::Closing)
         };
-        let awaits_answer = |id: &ClientId| may_request(id) && has_request(*id);
+        let awaits_response = |id: &ClientId| may_request(id) && has_request(*id);
         candidates
             .into_iter()
             .map(|(_, _, id)| id)
-            .find(|id| !awaits_answer(id))
+            .find(|id| !awaits_response(id))
     }
 
-    /// The rejected connection that has been open for longest, once there are as many as may be.
+    /// The rejected connection that has been open the longest, if there are [`MAX_REJECTED`] of them.
     fn oldest_rejected(&self) -> Option<ClientId> {
         let mut rejected = self
             .clients
@@ -188,7 +196,7 @@
         oldest.filter(|_| rejected.count() + 1 >= MAX_REJECTED)
     }
 
-    fn set(&mut self, id: ClientId, state: State, now: Micros) {
+    fn set_state(&mut self, id: ClientId, state: State, now: Micros) {
         if let Some(client) = self
             .clients
             .get_mut(&id)
@@ -198,7 +206,7 @@
         }
     }
 
-    /// A part of a request arrived. The time limit of a connection's first request counts from connecting.
+    /// Records that a part of a request arrived. The time limit for the first request counts from connecting.
     pub fn receiving(&mut self, now: Micros, id: ClientId) {
         let Some(client) = self.clients.get_mut(&id) else {
             return;
@@ -215,35 +223,35 @@
         }
     }
 
-    /// A complete request arrived.
+    /// Records that a complete request arrived.
     pub fn pending(&mut self, now: Micros, id: ClientId) {
-        self.set(id, State::Pending, now);
+        self.set_state(id, State::Pending, now);
     }
 
-    /// Its answer is being written; the client waits for it until `deadline`, if it has given one.
+    /// Records that the response is being written. `deadline`: the time until which the client waits for it, if known.
     pub fn responding(&mut self, now: Micros, id: ClientId, deadline: Option<Micros>) {
         let earliest = now + REQUEST_TIMEOUT;
         let until = deadline.map_or(earliest, |deadline| deadline.max(earliest));
-        self.set(id, State::Responding { until }, now);
+        self.set_state(id, State::Responding { until }, now);
     }
 
-    /// Its answer is written, and the connection stays open.
+    /// Records that the response is written and that the connection stays open.
     pub fn idle(&mut self, now: Micros, id: ClientId) {
-        self.set(id, State::Idle, now);
+        self.set_state(id, State::Idle, now);
     }
 
-    /// Its last answer is written.
+    /// Records that the last response is written.
     pub fn closing(&mut self, now: Micros, id: ClientId) {
-        self.set(id, State::Closing, now);
+        self.set_state(id, State::Closing, now);
     }
 
-    /// The connection is closed.
+    /// Removes a closed connection from the table.
     pub fn closed(&mut self, id: ClientId) {
         self.clients.remove(&id);
     }
 
-    /// Connections that are to be closed now. One of which a complete request has arrived is not: it is this process that
-    /// has not read it in time.
+    /// The connections to close now. A connection on which a complete request has arrived is not overdue: the delay is
+    /// in this process, which has not read the request yet.
     pub fn overdue(&self, now: Micros, has_request: impl Fn(ClientId) -> bool) -> Vec<ClientId> {
         let is_overdue = |id: ClientId, client: &Client| match client.state {
             State::New | State::Receiving => {
@@ -261,7 +269,7 @@
             .collect()
     }
 
-    /// Connections on which nothing is in progress: closed when no further requests are accepted.
+    /// The connections on which no request is in progress. They are closed when no further requests are accepted.
     pub fn without_request(&self, has_request: impl Fn(ClientId) -> bool) -> Vec<ClientId> {
         self.clients
             .iter()
@@ -271,7 +279,7 @@
             .collect()
     }
 
-    /// Whether a request is partly received, unanswered, or its answer not completely written.
+    /// Whether any request is partly received or unanswered, or any response is not completely written.
     pub fn has_unfinished(&self) -> bool {
         self.clients.values().any(|client| {
             matches!(
@@ -281,12 +289,12 @@
         })
     }
 
-    /// Connections in the table, without rejected ones.
+    /// Number of connections in the table, without rejected ones.
     pub fn count(&self) -> usize {
         self.clients.len() - self.count_rejected()
     }
 
-    /// Rejected connections that are still open.
+    /// Number of rejected connections that are still open.
     pub fn count_rejected(&self) -> usize {
         self.clients
             .values()
@@ -294,12 +302,12 @@
             .count()
     }
 
-    /// Connections that were closed to make room for another so far.
+    /// Number of connections so far that were closed to free a descriptor for another.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// Connections that were rejected so far.
+    /// Number of connections so far that were rejected.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
--- a/crates/platform/src/connection_pool/mod.rs
+++ b/crates/platform/src/connection_pool/mod.rs
@@ -1,62 +1,66 @@
-//! Decides which connection to a worker carries what, when one is opened, and when one is closed. Call
-//! [`ConnectionPool::place`] for each exchange, and report what became of it: [`ConnectionPool::connected`],
+//! Decides which connection to a worker carries an exchange, when a connection is opened, and when it is closed. Call
+//! [`ConnectionPool::place`] for each exchange, and report its progress: [`ConnectionPool::connected`],
 //! [`ConnectionPool::received`], [`ConnectionPool::exchange_ended`], [`ConnectionPool::lost`],
-//! [`ConnectionPool::closed`]; [`ConnectionPool::due_for_close`] names those to close now.
+//! [`ConnectionPool::closed`]. [`ConnectionPool::due_for_close`] returns the connections to close now.
 //!
-//! 1. Each exchange has a connection of its own, as long as descriptors allow: a malformed answer to one affects no
-//!    other. Beyond that the connection with the fewest exchanges is shared, up to the streams allowed.
-//! 2. The idle connection used last is used next: it is the least likely to have been closed meanwhile.
-//! 3. A connection on which an exchange ended without its answer takes no further exchange: a late answer cannot be
-//!    taken for that of a later attempt with the same id. Besides, when a worker's machine vanishes, its connections
-//!    stay open and lose whatever is sent, while a new one is not established and so proves that nothing ran.
-//! 4. An idle connection is reused only for as long as idle ones were found alive ([`idle_trust`]). Otherwise, where a
-//!    worker drops idle ones early and without closing them, the next request on one is reset, and nothing proves that
-//!    it has not run.
+//! 1. Each exchange has its own connection while the connection limit allows it, so that a malformed answer affects no
+//!    other exchange. At the limit, the connection with the fewest exchanges is shared, up to the configured number of
+//!    streams.
+//! 2. The most recently used idle connection is reused first: it is the least likely to have been closed meanwhile.
+//! 3. A connection on which an exchange ended without its answer takes no further exchange. Otherwise a late answer
+//!    could
+//!    be attributed to a later attempt with the same id. Also, when the machine of a worker vanishes, its connections stay
+//!    open and lose everything that is sent, while a new connection is not established, which proves that nothing ran.
+//! 4. An idle connection is reused only for as long as earlier ones were found alive when idle ([`idle_reuse`]). If a
+//!    worker
+//!    drops idle connections early without closing them, the next request on one is reset, and nothing proves that the
+//!    request did not run.
 
-mod idle_trust;
+mod idle_reuse;
 
 use std::collections::BTreeMap;
 
 use cedarpulley::interface::{Micros, WorkerIndex};
 
-use idle_trust::IdleTrust;
+use idle_reuse::IdleReuseLimit;
 
-/// Identifies a connection to a worker; never used again.
+/// Identifies a connection to a worker. Ids are never reused.
 pub type ConnectionId = u64;
 
-/// Where an exchange goes.
+/// The connection that carries an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// On this connection, which is open or being established.
+    /// This connection, which is open or being established.
     Existing(ConnectionId),
-    /// On a new connection, which has this number from now on and is to be established.
+    /// A new connection with this id, which the caller has to establish.
     New(ConnectionId),
-    /// Nowhere: no further connection may be opened, and none may be shared further.
+    /// No connection: no further connection may be opened, and no existing one has a free stream.
     Exhausted,
 }
 
 /// Whether the worker may still answer an exchange that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LateAnswer {
-    /// It has answered, it answers no message of this kind, or it was sent nothing.
+    /// The worker has answered, sends no answer to this kind of message, or was sent nothing.
     Impossible,
-    /// It may answer at any time.
+    /// The worker may still answer at any time.
     Possible,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Connection {
     worker: WorkerIndex,
-    /// Exchanges in flight.
+    /// Number of exchanges in flight.
     in_flight: usize,
     established: bool,
-    /// When an exchange last began or ended.
+    /// Time at which an exchange last began or ended.
     last_used: Micros,
-    /// For how long it had been idle when it was last used; `None` once bytes have arrived since.
+    /// Time for which the connection had been idle before its current use; `None` if it was not idle, or once bytes
+    /// have arrived since.
     idle_before: Option<Micros>,
-    /// Since when an answer has been received in part.
+    /// Time since which the last answer has been incomplete; `None` if no answer is partly received.
     partial_since: Option<Micros>,
-    /// It takes no further exchange, and closes once all on it have ended.
+    /// The connection takes no further exchange, and is closed when all exchanges on it have ended.
     retired: bool,
 }
 
@@ -84,7 +88,7 @@
     max_connections: usize,
     max_streams: usize,
     answer_timeout: Micros,
-    idle_trust: IdleTrust,
+    idle_reuse_limit: IdleReuseLimit,
     connections: BTreeMap<ConnectionId, Connection>,
     by_worker: BTreeMap<WorkerIndex, Vec<ConnectionId>>,
     last_id: ConnectionId,
@@ -92,9 +96,9 @@
 }
 
 impl ConnectionPool {
-    /// `max_connections`: open at once to all workers; `max_streams`: exchanges at once on one connection; `keepalive`:
-    /// for how long workers keep idle connections; `answer_timeout`: within which the rest of an answer arrives once its
-    /// first byte has.
+    /// `max_connections`: most connections open at once, to all workers together. `max_streams`: most concurrent
+    /// exchanges on one connection. `keepalive`: time after which workers close idle connections. `answer_timeout`:
+    /// time within which an answer must be complete after its first bytes. Both times are in microseconds.
     pub fn new(
         max_connections: usize,
         max_streams: usize,
@@ -105,7 +109,7 @@
             max_connections,
             max_streams,
             answer_timeout,
-            idle_trust: IdleTrust::new(keepalive),
+            idle_reuse_limit: IdleReuseLimit::new(keepalive),
             connections: BTreeMap::new(),
             by_worker: BTreeMap::new(),
             last_id: 0,
@@ -113,11 +117,11 @@
         }
     }
 
-    /// Where the next exchange with this worker goes; it counts as in flight there from now on.
+    /// Chooses the connection for the next exchange with this worker. The exchange counts as in flight from now on.
     pub fn place(&mut self, now: Micros, worker: WorkerIndex) -> Placement {
         let can_open = self.connections.len() < self.max_connections;
         let reused = self
-            .trusted_idle(now, worker)
+            .reusable_idle(now, worker)
             .or_else(|| self.least_shared(worker).filter(|_| !can_open));
         match reused {
             Some(id) => {
@@ -137,7 +141,7 @@
         }
     }
 
-    /// This worker's connections that may take another exchange, by rising id.
+    /// The connections of this worker that are not retired, in ascending order of their ids.
     fn usable(&self, worker: WorkerIndex) -> impl Iterator<Item = (ConnectionId, &Connection)> {
         self.ids_of(worker)
             .iter()
@@ -149,16 +153,16 @@
         self.by_worker.get(&worker).map_or(&[][..], Vec::as_slice)
     }
 
-    /// The idle connection used last, if it is trusted to be alive.
-    fn trusted_idle(&self, now: Micros, worker: WorkerIndex) -> Option<ConnectionId> {
+    /// The most recently used idle connection, if it has not been idle for longer than the reuse limit.
+    fn reusable_idle(&self, now: Micros, worker: WorkerIndex) -> Option<ConnectionId> {
         self.usable(worker)
             .filter(|(_, connection)| connection.is_idle())
             .max_by_key(|(_, connection)| connection.last_used)
-            .filter(|(_, connection)| self.idle_trust.allows(now - connection.last_used))
+            .filter(|(_, connection)| self.idle_reuse_limit.allows(now - connection.last_used))
             .map(|(id, _)| id)
     }
 
-    /// The connection with the fewest exchanges in flight that has a stream left.
+    /// The connection with the fewest exchanges in flight, if it has a free stream.
     fn least_shared(&self, worker: WorkerIndex) -> Option<ConnectionId> {
         self.usable(worker)
             .filter(|(_, connection)| connection.in_flight < self.max_streams)
@@ -174,14 +178,14 @@
         self.last_id
     }
 
-    /// The connection is established.
+    /// Records that the connection is established.
     pub fn connected(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.established = true;
         }
     }
 
-    /// Bytes arrived. `partial`: the last of them belong to an answer that is not complete yet.
+    /// Records that bytes arrived. `partial`: the last of them belong to an answer that is not complete yet.
     pub fn received(&mut self, now: Micros, id: ConnectionId, partial: bool) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -192,11 +196,11 @@
             None
         };
         if let Some(idle) = connection.idle_before.take() {
-            self.idle_trust.found_alive(idle);
+            self.idle_reuse_limit.found_alive(idle);
         }
     }
 
-    /// One exchange has ended; true if the connection is to be closed now.
+    /// Records the end of an exchange; returns true if the connection has to be closed now.
     pub fn exchange_ended(&mut self, now: Micros, id: ConnectionId, late: LateAnswer) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else {
             return false;
@@ -207,18 +211,18 @@
         connection.retired && connection.in_flight == 0
     }
 
-    /// The connection ended without being closed from here.
+    /// Records that the connection ended without being closed by this router, and removes it from the table.
     pub fn lost(&mut self, now: Micros, id: ConnectionId) {
         if let Some(connection) = self.connections.get(&id)
             && connection.in_flight > 0
             && let Some(idle) = connection.idle_before
         {
-            self.idle_trust.lost(idle, now - connection.last_used);
+            self.idle_reuse_limit.lost(idle, now - connection.last_used);
         }
         self.closed(id);
     }
 
-    /// The connection is closed, and no longer counts.
+    /// Removes a closed connection from the table.
     pub fn closed(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.remove(&id)
             && let Some(ids) = self.by_worker.get_mut(&connection.worker)
@@ -230,8 +234,9 @@
         }
     }
 
-    /// Nothing new goes to this worker at its present address: its connections close once they are idle. Those that are
-    /// not established yet are returned, to be closed at once: the address may belong to another worker by then.
+    /// Retires all connections to this worker because its address is no longer valid: they take no further exchange and
+    /// are closed once they are idle. Returns the connections that are not established yet. They have to be closed at
+    /// once: the address may belong to another worker by the time that they are established.
     pub fn retire(&mut self, worker: WorkerIndex) -> Vec<ConnectionId> {
         let mut connecting = Vec::new();
         for id in self.by_worker.get(&worker).into_iter().flatten() {
@@ -245,18 +250,20 @@
         connecting
     }
 
-    /// Whether nothing more may be sent on this connection.
+    /// Whether the connection takes no further exchange, because it is retired or no longer in the table.
     pub fn is_retired(&self, id: ConnectionId) -> bool {
         self.connections
             .get(&id)
             .is_none_or(|connection| connection.retired)
     }
 
-    /// Connections to be closed now: retired and idle, idle for too long, or with an answer that stopped half-way.
+    /// The connections to close now: retired and idle ones, those that have been idle for too long, and those on which
+    /// an answer has been incomplete for too long.
     pub fn due_for_close(&self, now: Micros) -> Vec<ConnectionId> {
         let is_due = |connection: &Connection| {
             let unused = connection.is_idle()
-                && (connection.retired || !self.idle_trust.allows(now - connection.last_used));
+                && (connection.retired
+                    || !self.idle_reuse_limit.allows(now - connection.last_used));
             let stopped = connection
                 .partial_since
                 .is_some_and(|since| now - since > self.answer_timeout);
@@ -269,12 +276,12 @@
             .collect()
     }
 
-    /// Connections in the table, established or not.
+    /// Number of connections in the table, established or not.
     pub fn count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Exchanges that could not be placed so far.
+    /// Number of exchanges so far for which no connection was available.
     pub fn exhausted(&self) -> u64 {
         self.exhausted
     }
