--- a/crates/platform/src/client_protocol/call_fields.rs
+++ b/crates/platform/src/client_protocol/call_fields.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of a call of a function, and checks them against what the settings allow.
+//! Parses the header fields of a call and checks them against the settings.
 
 use std::sync::Arc;
 
@@ -10,14 +10,14 @@
 
 /// Longest idempotency key, in characters.
 const MAX_KEY_LENGTH: usize = 64;
-/// Longest time in a field, in milliseconds: hints beyond an hour of work are no hints.
+/// Longest time in a field, in milliseconds: an estimate of more than one hour is not plausible.
 const MAX_MILLIS: f64 = 3.6e6;
-/// More lanes than a machine has are no hint either.
+/// Most lanes in a field: more than a machine could run is not plausible.
 const MAX_LANES: f64 = 1024.0;
 
 type Result<T> = std::result::Result<T, RequestError>;
 
-/// The call that a request's fields describe; its body arrives later.
+/// Parses a call from the header fields of a request. Its body is empty, because it has not been received yet.
 pub(super) fn parse_call(function: &str, fields: &Fields, rules: &RequestRules) -> Result<Call> {
     let id = Some(fields.required("req-id")?)
         .filter(|id| is_id(id))
@@ -53,7 +53,7 @@
     })
 }
 
-/// The account that the request names. Where the settings know no accounts, clients need not name one.
+/// The index of the account that the request names. If the settings define no accounts, the field is optional.
 fn parse_account(fields: &Fields, rules: &RequestRules) -> Result<u32> {
     let name = fields.optional("req-owner")?;
     if name.is_none() && !rules.names.accounts.is_empty() {
@@ -88,7 +88,7 @@
     Ok(key)
 }
 
-/// The hints in the field `X-Extras`: `name:value`, separated by semicolons. Unknown names are ignored.
+/// The hints in the field `X-Extras`: pairs `name:value`, separated by semicolons. Unknown names are ignored.
 #[derive(Debug, Default)]
 struct Hints {
     memory_mb: Option<f64>,
@@ -114,7 +114,7 @@
         Ok(hints)
     }
 
-    /// A whole number, at least 1.
+    /// The number of lanes, 1 if there is no hint. It must be a whole number, at least 1.
     fn lanes(&self) -> Result<u32> {
         let lanes = self.lanes.unwrap_or(1.0);
         if lanes < 1.0 || lanes.fract() != 0.0 {
@@ -124,11 +124,12 @@
     }
 }
 
+/// Converts milliseconds to microseconds.
 fn micros(millis: f64) -> Micros {
     (millis * 1e3) as Micros
 }
 
-/// A decimal number from 0 up to `max`.
+/// Parses a decimal number from 0 to `max`.
 fn parse_number(text: &str, max: f64) -> Result<f64> {
     let value: f64 = text.parse().map_err(|_| RequestError::InvalidField)?;
     if value.is_finite() && (0.0..=max).contains(&value) {
--- a/crates/platform/src/client_protocol/head.rs
+++ b/crates/platform/src/client_protocol/head.rs
@@ -1,38 +1,42 @@
-//! Parses the head of a request: what it asks for, how its body is framed, whether the connection stays open.
+//! Parses the head of a request: the kind of the request, the framing of its body, and whether the connection stays
+//! open.
 
 use httparse::Status;
 
 use super::call_fields::parse_call;
 use super::{MAX_BODY_BYTES, MAX_HEAD_BYTES, Request, RequestError, RequestKind, RequestRules};
 
-/// Most fields of a head; the protocol has a dozen.
+/// Most header fields of a request. The protocol defines about a dozen.
 const MAX_FIELDS: usize = 48;
 
-/// A call's path: the function's id stands between these two.
+/// The path of a call is this prefix, the function's id, and [`CALL_PATH_END`].
 const CALL_PATH_START: &str = "/api/v2/";
+/// The end of the path of a call, after the function's id.
 const CALL_PATH_END: &str = "/call";
+/// The path of a question whether the router is healthy.
 const HEALTH_PATH: &str = "/-/healthy";
 
-/// How the end of a request's body is found.
+/// How the end of a request body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyFraming {
-    /// After so many bytes.
+    /// By the length of the body, in bytes.
     Sized(usize),
-    /// After the last chunk.
+    /// By the last chunk.
     Chunked,
 }
 
-/// A complete head.
+/// The parsed head of a request.
 #[derive(Debug)]
 pub(super) struct Head {
-    /// The request, still without its body.
+    /// The request, with an empty body.
     pub request: Request,
+    /// How the end of the body is determined.
     pub framing: BodyFraming,
-    /// Bytes of the head.
+    /// Length of the head, in bytes.
     pub length: usize,
 }
 
-/// Parses the head that `bytes` begin with; `None` while it is incomplete.
+/// Parses the head at the start of `bytes`; returns `None` while it is incomplete.
 pub(super) fn parse_head(bytes: &[u8], rules: &RequestRules) -> Result<Option<Head>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut head = httparse::Request::new(&mut headers);
@@ -73,7 +77,8 @@
     }))
 }
 
-/// A request with both kinds of length may hide another request in its body, so it is rejected.
+/// Determines how the end of the body is found. A request with both a length and a transfer encoding may hide another
+/// request in its body, so it is rejected.
 fn body_framing(fields: &Fields, version: Option<u8>) -> Result<BodyFraming, RequestError> {
     let field = |name| {
         fields
@@ -94,8 +99,8 @@
     Ok(BodyFraming::Sized(length as usize))
 }
 
-/// Whether the client keeps the connection for no further request: HTTP/1.1 keeps it unless told otherwise, HTTP/1.0
-/// closes it unless told otherwise.
+/// Whether the connection is to be closed after the response: by default HTTP/1.1 keeps it open and HTTP/1.0 closes it,
+/// and the field `Connection` overrides the default.
 fn closes_connection(fields: &Fields, version: Option<u8>) -> Result<bool, RequestError> {
     let connection = fields.optional("connection")?;
     let has_option = |option: &str| {
@@ -108,12 +113,12 @@
     Ok(has_option("close") || version == Some(0) && !has_option("keep-alive"))
 }
 
-/// The fields of a head.
+/// The header fields of a request.
 pub(super) struct Fields<'a, 'b>(&'a [httparse::Header<'b>]);
 
 impl<'b> Fields<'_, 'b> {
-    /// The value of a field that comes at most once and is text. HTTP allows blanks and tabs around it; any other space
-    /// is a part of the value.
+    /// The value of an optional field, which must be valid UTF-8 and must not be repeated. Spaces and tabs around the
+    /// value are removed, as HTTP defines; any other whitespace is a part of the value.
     pub fn optional(&self, name: &str) -> Result<Option<&'b str>, RequestError> {
         let mut found = self
             .0
@@ -129,17 +134,18 @@
         Ok(Some(text.trim_matches([' ', '\t'])))
     }
 
-    /// The value of a field that must come exactly once.
+    /// The value of a field that must be present exactly once.
     pub fn required(&self, name: &str) -> Result<&'b str, RequestError> {
         self.optional(name)?.ok_or(RequestError::InvalidField)
     }
 }
 
-/// Whether a text is 16 hex digits.
+/// Whether `text` is an id: 16 hex digits.
 pub(super) fn is_id(text: &str) -> bool {
     text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
+/// Parses a number that consists of decimal digits only.
 fn parse_digits(text: &str) -> Option<u64> {
     (!text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit()))
         .then(|| text.parse().ok())?
--- a/crates/platform/src/client_protocol/mod.rs
+++ b/crates/platform/src/client_protocol/mod.rs
@@ -1,9 +1,9 @@
-//! The protocol spoken with clients, free of I/O: [`RequestQueue`] decodes the requests in the bytes of one connection,
-//! [`write_response`] encodes what goes back.
+//! The protocol between clients and router, without I/O: [`RequestQueue`] decodes requests from the bytes of one
+//! connection, [`write_response`] encodes responses.
 //!
-//! A request that is not beyond doubt is rejected before anything reaches a worker, and its connection closes after the
-//! rejection: where one request ends and the next begins is then no longer certain. A request with both kinds of length
-//! may hide a second one in its body.
+//! A malformed or ambiguous request is rejected before anything reaches a worker, and its connection is closed after
+//! the rejection, because it is no longer certain where the next request begins. For example, a request with both kinds
+//! of length may hide a second request in its body.
 
 mod call_fields;
 mod head;
@@ -21,38 +21,38 @@
 pub use queue::{QueuedRequest, RequestQueue};
 pub use response::{Response, STATUS_REJECTED, health_status, status_of, write_response};
 
-/// Largest body of a request, in bytes, by the protocol.
+/// Longest body of a request, in bytes, as the protocol defines it.
 pub const MAX_BODY_BYTES: usize = 16 << 10;
-/// What a client still sends after its last answer is read and discarded up to here, in bytes: the largest body that the
-/// protocol's clients try, and more.
+/// Most input that is read and discarded after the last response on a connection, in bytes. It is more than the largest
+/// body that clients of the protocol try to send.
 pub const MAX_DISCARDED_BYTES: usize = 80 << 20;
-/// Largest head of a request, in bytes: one with every field of the protocol takes a few hundred.
+/// Longest head of a request, in bytes. A head with every field of the protocol takes a few hundred.
 const MAX_HEAD_BYTES: usize = 8 << 10;
 
-/// What the settings say about the requests of one trigger type.
+/// The rules in the settings for requests of one trigger type.
 #[derive(Clone, Copy, Debug)]
 pub struct TriggerRules {
-    /// The longest that a client may wait, in microseconds.
+    /// The longest client timeout that a request may ask for, in microseconds.
     pub max_client_timeout: Micros,
-    /// Each request must carry an idempotency key.
+    /// Whether each request must have an idempotency key.
     pub needs_idempotency_key: bool,
 }
 
-/// What the settings say about requests.
+/// The rules in the settings for all requests.
 #[derive(Clone, Debug, Default)]
 pub struct RequestRules {
     /// Names of trigger types and accounts.
     pub names: Names,
-    /// By index of the trigger type.
+    /// The rules of each trigger type, by its index.
     pub triggers: Vec<TriggerRules>,
-    /// Memory of the largest machine, in megabytes: no copy of a function is larger.
+    /// Memory of the largest machine, in megabytes: the largest size of a copy that a request may state.
     pub largest_machine_mb: f64,
 }
 
 /// A call of a function.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// The request's id: 16 hex digits, new with every request.
+    /// The request's id: 16 hex digits, different for every request.
     pub id: Arc<str>,
     /// The function's id: 16 hex digits.
     pub function: Arc<str>,
@@ -60,71 +60,71 @@
     pub trigger: u32,
     /// Index of the account.
     pub account: u32,
-    /// How long the client waits, in microseconds from its last byte.
+    /// Time for which the client waits for the response, in microseconds, counted from the last byte of the request.
     pub client_timeout: Micros,
-    /// By which a repeat of the same request is recognized.
+    /// The idempotency key, which identifies repeats of the same request.
     pub idempotency_key: Option<Arc<str>>,
-    /// A rough hint at the execution time, in microseconds.
+    /// The client's rough estimate of the execution time, in microseconds.
     pub cost_hint: Option<Micros>,
-    /// A rough hint at the time to load the function, in microseconds.
+    /// The client's rough estimate of the time to load the function, in microseconds.
     pub load_hint: Option<Micros>,
     /// Memory of one copy of the function, in megabytes; 0 if unknown.
     pub copy_mb: f64,
-    /// Requests that one copy serves at once.
+    /// Number of invocations that one copy runs at once.
     pub lanes: u32,
-    /// The body, unchanged.
+    /// The body, which is forwarded unchanged.
     pub body: Bytes,
 }
 
-/// What a request asks for.
+/// The kind of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestKind {
-    /// Whether the router is healthy.
+    /// A question whether the router is healthy.
     Health,
-    /// The execution of a function.
+    /// A call of a function.
     Call(Call),
 }
 
 /// A well-formed request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// What it asks for.
+    /// The kind of the request, with its content.
     pub kind: RequestKind,
-    /// The client keeps the connection for no further request.
+    /// Whether the client wants the connection closed after the response.
     pub close: bool,
 }
 
-/// Why a request is rejected before it reaches the router's core.
+/// Why a request is rejected before it reaches the router core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RequestError {
     /// The head is malformed.
     MalformedHead,
     /// The head is too long or has too many fields.
     HeadTooLong,
-    /// The path has another method.
+    /// The path does not allow the method.
     MethodNotAllowed,
     /// The path is unknown.
     UnknownPath,
-    /// Both kinds of length, or one that is repeated or malformed.
+    /// The request has both a length and a transfer encoding, or one of them is repeated, malformed or unsupported.
     InvalidLength,
     /// The body is too long.
     BodyTooLong,
-    /// The chunks of a body are malformed.
+    /// The chunks of the body are malformed.
     MalformedChunks,
-    /// A field of the protocol is repeated, missing or has an invalid value.
+    /// A header field of the protocol is repeated, is missing or has an invalid value.
     InvalidField,
-    /// The client expects something of the server that it does not support.
+    /// The request has the field `Expect`, which is not supported.
     UnsupportedExpectation,
     /// A request with the same id is in flight.
     IdInUse,
-    /// More requests were sent ahead of their answers than are kept.
+    /// The client sent more requests ahead of their responses than the router stores.
     TooManyPipelined,
-    /// The request was not complete in time.
+    /// The request was not complete within its time limit.
     RequestTimeout,
 }
 
 impl RequestError {
-    /// The HTTP status that the client gets.
+    /// The HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             RequestError::MalformedHead
@@ -137,12 +137,12 @@
             RequestError::BodyTooLong => 413,
             RequestError::UnsupportedExpectation => 417,
             RequestError::IdInUse => 409,
-            // Nothing of it has run, and a retry is harmless.
+            // Nothing of the request has run, so the client may safely retry.
             RequestError::TooManyPipelined | RequestError::RequestTimeout => STATUS_REJECTED,
         }
     }
 
-    /// Whether the requests after this one on the same connection can still be told apart.
+    /// Whether the next request on the same connection can still be parsed.
     pub fn leaves_stream_readable(self) -> bool {
         self == RequestError::TooManyPipelined
     }
--- a/crates/platform/src/client_protocol/parser.rs
+++ b/crates/platform/src/client_protocol/parser.rs
@@ -1,13 +1,14 @@
-//! Cuts complete requests out of the bytes of one connection: the state machine over head and body.
+//! Decodes complete requests from the bytes of one connection, with a state machine over head and body.
 
 use super::head::{BodyFraming, Head, parse_head};
 use super::{MAX_BODY_BYTES, Request, RequestError, RequestKind, RequestRules};
 use crate::chunked::{Chunk, ChunkError, parse_chunk};
 
-/// Largest body in chunks on the wire, in bytes: chunks of one byte each would cost more than they carry.
+/// Longest encoded form of a chunked body, in bytes. Without this limit a client could send chunks of one byte each,
+/// whose encoding takes several times the bytes of the body.
 const MAX_CHUNKED_BYTES: usize = 4 * MAX_BODY_BYTES;
 
-/// What is expected next.
+/// The part of a request that is expected next.
 #[derive(Debug, Default)]
 enum State {
     #[default]
@@ -20,11 +21,11 @@
         request: Request,
         body: ChunkedBody,
     },
-    /// Nothing after this error can be read.
+    /// The request is malformed, and nothing after it can be parsed.
     Failed(RequestError),
 }
 
-/// The bytes of one connection that are not yet a complete request.
+/// Buffers and decodes the bytes of one connection that do not form a complete request yet.
 #[derive(Debug, Default)]
 pub(super) struct Parser {
     bytes: Vec<u8>,
@@ -44,7 +45,7 @@
         !self.bytes.is_empty() || !matches!(self.state, State::Head)
     }
 
-    /// Bytes in memory.
+    /// Number of buffered bytes, those of a partly decoded chunked body included.
     pub fn bytes(&self) -> usize {
         let body = match &self.state {
             State::ChunkedBody { body, .. } => body.data.len(),
@@ -53,7 +54,8 @@
         self.bytes.len() + body
     }
 
-    /// The next complete request, if there is one; or what is wrong, and the same again from then on.
+    /// Removes and returns the next complete request, if there is one. After an error, every further call returns the
+    /// same error.
     pub fn next(&mut self, rules: &RequestRules) -> Result<Option<Request>, RequestError> {
         let next = self.advance(rules);
         match &next {
@@ -100,7 +102,7 @@
         }
     }
 
-    /// HTTP allows empty lines before a request.
+    /// Removes empty lines before a request, which HTTP allows.
     fn skip_empty_lines(&mut self) {
         let empty = self
             .bytes
@@ -131,16 +133,16 @@
     request
 }
 
-/// A body in chunks, as far as it has been received.
+/// The part of a chunked body that has been received.
 #[derive(Debug, Default)]
 struct ChunkedBody {
     data: Vec<u8>,
-    /// Bytes that its chunks took on the wire.
+    /// Encoded length of the chunks received, in bytes.
     wire_bytes: usize,
 }
 
 impl ChunkedBody {
-    /// Takes the complete chunks out of `bytes`; true if the last one is among them.
+    /// Moves the data of all complete chunks from `bytes` into the body; returns true after the last chunk.
     fn take_chunks(&mut self, bytes: &mut Vec<u8>) -> Result<bool, RequestError> {
         loop {
             let max_data = MAX_BODY_BYTES - self.data.len();
--- a/crates/platform/src/client_protocol/queue.rs
+++ b/crates/platform/src/client_protocol/queue.rs
@@ -1,8 +1,8 @@
-//! The requests of one connection, in order. Clients may pipeline: send requests ahead of their answers.
+//! The requests of one connection, in order. Clients may pipeline requests: send them ahead of earlier responses.
 //!
-//! Everything that arrives is read at once, so that a client that closes its connection is noticed, and so that the
-//! timeout of each request counts from when its last byte arrived. What is kept is bounded: of the requests beyond the
-//! bound only the number is kept, and each of them is rejected when its turn comes.
+//! All input is read as soon as it arrives, so that a closed connection is detected, and so that the timeout of each
+//! request counts from the arrival of its last byte. Memory is bounded: requests above the limits are only counted, and
+//! each of them is rejected when its turn comes.
 
 use std::collections::VecDeque;
 
@@ -11,17 +11,18 @@
 use super::parser::Parser;
 use super::{MAX_BODY_BYTES, MAX_HEAD_BYTES, Request, RequestError, RequestKind, RequestRules};
 
-/// Bytes of bodies and undecoded text that are kept ahead of an answer: those of one more request.
+/// Limit on the bytes of bodies and undecoded input that are stored while a response is pending: the size of one more
+/// request. No further request is stored once it is reached.
 const MAX_PIPELINED_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
-/// Requests that are kept ahead of an answer.
+/// Most requests that are stored while a response is pending.
 const MAX_PIPELINED_REQUESTS: usize = 8;
 
-/// A request whose turn has come.
+/// A request that was removed from the queue to be served or rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueuedRequest {
     /// The request, or why it is rejected.
     pub request: Result<Request, RequestError>,
-    /// When its last byte arrived, in microseconds of the router's clock.
+    /// Time at which its last byte arrived, in microseconds of the router's clock.
     pub arrived: Micros,
 }
 
@@ -37,24 +38,24 @@
     }
 }
 
-/// The requests that were read from one connection and not yet served.
+/// The requests of one connection that have arrived and are not served yet.
 #[derive(Debug, Default)]
 pub struct RequestQueue {
     parser: Parser,
     queued: VecDeque<QueuedRequest>,
-    /// Complete requests after the queued ones, of which only the number is kept.
+    /// Number of complete requests after the queued ones that were not stored.
     overflow: u64,
-    /// A request that cannot be read; none after it can.
+    /// The malformed request, until it is taken. Nothing after it can be parsed.
     malformed: Option<QueuedRequest>,
-    /// Such a request has arrived.
-    ended: bool,
+    /// Whether a malformed request has arrived, so that all further input is ignored.
+    input_ended: bool,
     last_arrival: Micros,
 }
 
 impl RequestQueue {
-    /// Appends bytes that arrived at `arrived`, in microseconds of the router's clock.
+    /// Decodes bytes that arrived at `arrived`, in microseconds of the router's clock.
     pub fn put(&mut self, arrived: Micros, bytes: &[u8], rules: &RequestRules) {
-        if self.ended {
+        if self.input_ended {
             return;
         }
         self.parser.put(bytes);
@@ -63,7 +64,7 @@
             let next = QueuedRequest { request, arrived };
             if next.request.is_err() {
                 self.malformed = Some(next);
-                self.ended = true;
+                self.input_ended = true;
                 return;
             }
             if self.overflow > 0 || self.is_full() {
@@ -78,7 +79,8 @@
         self.queued.len() >= MAX_PIPELINED_REQUESTS || self.bytes() >= MAX_PIPELINED_BYTES
     }
 
-    /// Removes the next complete request; after the queued ones come those that overflowed, each as a rejection.
+    /// Removes and returns the next request: first the stored ones, then a [`RequestError::TooManyPipelined`] for each
+    /// request that was not stored, then the malformed one.
     pub fn take(&mut self) -> Option<QueuedRequest> {
         if let Some(next) = self.queued.pop_front() {
             return Some(next);
@@ -93,17 +95,17 @@
         self.malformed.take()
     }
 
-    /// Whether a complete request waits for its turn.
+    /// Whether [`RequestQueue::take`] would return a request.
     pub fn has_request(&self) -> bool {
         !self.queued.is_empty() || self.overflow > 0 || self.malformed.is_some()
     }
 
     /// Whether a request has been received in part.
     pub fn is_receiving(&self) -> bool {
-        !self.ended && self.parser.has_partial_request()
+        !self.input_ended && self.parser.has_partial_request()
     }
 
-    /// Bytes in memory.
+    /// Number of bytes that are stored for this connection.
     pub fn bytes(&self) -> usize {
         let bodies: usize = self.queued.iter().map(QueuedRequest::body_bytes).sum();
         self.parser.bytes() + bodies
--- a/crates/platform/src/client_protocol/response.rs
+++ b/crates/platform/src/client_protocol/response.rs
@@ -6,7 +6,7 @@
 use cedarpulley::interface::Micros;
 use cedarpulley_router::FinalOutcome;
 
-/// The status of a rejection, which says that a retry is harmless.
+/// The HTTP status of a rejection. It tells the client that nothing ran, so that a retry is safe.
 pub const STATUS_REJECTED: u16 = 503;
 
 /// A response to a client.
@@ -14,16 +14,16 @@
 pub struct Response {
     /// The HTTP status.
     pub status: u16,
-    /// For how long a rejected client is told to stay away, in microseconds.
+    /// Time for which a rejected client should wait before a retry, in microseconds.
     pub retry_after: Option<Micros>,
-    /// The body; with status 200 as the worker gave it.
+    /// The body; with status 200, the unchanged body of the worker's answer.
     pub body: Bytes,
-    /// Whether the connection closes after it.
+    /// Whether the connection is closed after the response.
     pub close: bool,
 }
 
 impl Response {
-    /// A response of a status only.
+    /// A response without a body.
     pub fn bare(status: u16, close: bool) -> Self {
         Response {
             status,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The status for a request's final outcome.
+/// The HTTP status for the final outcome of a request.
 pub fn status_of(outcome: FinalOutcome) -> u16 {
     match outcome {
         FinalOutcome::Succeeded => 200,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The status of the router's health: not healthy while it shuts down.
+/// The HTTP status of the response to a health request. A router is not healthy while it shuts down.
 pub fn health_status(shutting_down: bool) -> u16 {
     if shutting_down { STATUS_REJECTED } else { 200 }
 }
@@ -63,18 +63,18 @@
     }
 }
 
-/// Appends an encoded response.
+/// Encodes a response and appends it to `buffer`.
 pub fn write_response(buffer: &mut Vec<u8>, response: &Response) {
     let status = response.status;
     let reason = reason_phrase(status);
-    // Writing to memory cannot fail.
+    // The result is ignored because writing to a vector cannot fail.
     let _ = write!(
         buffer,
         "HTTP/1.1 {status} {reason}\r\nContent-Length: {}\r\n",
         response.body.len()
     );
     if let Some(retry_after) = response.retry_after {
-        // Rounded up: a client that comes back earlier would be rejected again.
+        // Rounded up to whole milliseconds: a client that retries earlier would be rejected again.
         let _ = write!(buffer, "Srv-Wait-Ms: {}\r\n", (retry_after + 999) / 1_000);
     }
     buffer.extend_from_slice(if response.close {
--- a/crates/platform/src/connection_limiter.rs
+++ b/crates/platform/src/connection_limiter.rs
@@ -8,7 +8,8 @@
 //! * When the table is full, a new connection evicts another one, in this order: connections that have sent nothing for
 //!   longer than a request takes to arrive, connections that got their last response a while ago, idle connections, and
 //!   connections that are new, sending or reading. In each group the one longest in its state goes first. A connection
-//!   that waits for a response, or on which a complete request has arrived, read by the process or not, is never evicted.
+//!   that waits for a response, or on which a complete request has arrived, whether the process has read it or not, is
+//!   never evicted.
 //! * When no connection can be evicted, the new one is rejected. A few rejected connections stay open until the client
 //!   has
 //!   read the rejection: closing a connection with an unread request resets it, and the client loses the response.
--- a/crates/platform/src/connection_pool/idle_reuse.rs
+++ b/crates/platform/src/connection_pool/idle_reuse.rs
@@ -14,7 +14,7 @@
 /// The limit grows only after a connection was found alive that had been idle for at least the limit divided by this
 /// number: shorter idle times do not show that longer ones are safe.
 const EVIDENCE_DIVISOR: Micros = 2;
-/// Each time the limit grows, it grows by itself divided by this number.
+/// The limit grows in steps of the limit divided by this number.
 const GROWTH_DIVISOR: Micros = 32;
 /// Lowest limit, in microseconds: a much lower one could not grow again.
 const MIN_LIMIT: Micros = 1_000;
