--- a/crates/platform/tests/client_protocol.rs
+++ b/crates/platform/tests/client_protocol.rs
@@ -1,4 +1,5 @@
-//! Requests of clients: well-formed ones however their bytes are split, and one case for each way to be rejected.
+//! Tests requests from clients: well-formed requests are parsed for any split of their bytes, and malformed, oversized
+//! and excess requests are rejected. Also tests the encoding of responses.
 
 use bytes::Bytes;
 use cedarpulley_platform::client_protocol::*;
@@ -7,8 +8,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
+/// The id of a function.
 const FUNCTION: &str = "7f3a9c21e0b4d655";
 
+/// Rules with two trigger types, of which the second one requires an idempotency key, and two accounts.
 fn rules() -> RequestRules {
     let names = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     RequestRules {
@@ -31,6 +34,7 @@
     }
 }
 
+/// An encoded call with `extra` header fields. `Content-Length` is added unless `extra` determines the framing.
 fn request(id: &str, extra: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!(
         "POST /api/v2/{FUNCTION}/call HTTP/1.1\r\nHost: backend.local\r\nX-Class: plain\r\nReq-Id: {id}\r\n\
@@ -48,7 +52,7 @@
 }
 
 /// A well-formed request with one field replaced.
-fn with(field: &str, value: &str) -> Vec<u8> {
+fn request_with_field(field: &str, value: &str) -> Vec<u8> {
     let text = String::from_utf8(request("00000000000000aa", "", b"hi")).expect("text");
     let lines = text.split("\r\n").map(|line| match line.split_once(": ") {
         Some((name, _)) if name == field => format!("{field}: {value}"),
@@ -57,17 +61,20 @@
     lines.collect::<Vec<_>>().join("\r\n").into_bytes()
 }
 
+/// A queue that has received `bytes`.
 fn queue(bytes: &[u8]) -> RequestQueue {
     let mut queue = RequestQueue::default();
     queue.put(0, bytes, &rules());
     queue
 }
 
-fn read(bytes: &[u8]) -> Result<Request, RequestError> {
+/// Decodes the first request in `bytes`, which must be complete or malformed.
+fn read_first(bytes: &[u8]) -> Result<Request, RequestError> {
     queue(bytes).take().expect("whole").request
 }
 
-/// Symptom: an account whose name ends in a Unicode space is mistaken for another, and all its requests fail.
+/// Guards against trimming Unicode spaces from field values: an account whose name ends in one would be mistaken for
+/// another account, and all its requests would fail.
 #[test]
 fn account_names_may_contain_any_text_a_field_can_carry() {
     for name in [
@@ -85,7 +92,7 @@
         };
         let rules = RequestRules { names, ..rules() };
         let mut queue = RequestQueue::default();
-        queue.put(0, &with("Req-Owner", name), &rules);
+        queue.put(0, &request_with_field("Req-Owner", name), &rules);
         let request = queue.take().expect("whole").request.expect(name);
         let RequestKind::Call(call) = request.kind else {
             panic!("a call")
@@ -94,6 +101,7 @@
     }
 }
 
+/// The call in a valid request.
 fn call(found: Result<Request, RequestError>) -> Call {
     match found.expect("good").kind {
         RequestKind::Call(call) => call,
@@ -105,7 +113,11 @@
 fn all_fields_of_a_call_are_parsed() {
     let extra = "Req-Token: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\nReq-Cost: 8.2\r\n\
                  X-Extras: memory_mb:512;lanes:2;load_ms:70.5\r\n";
-    let call = call(read(&request("9b1f03aa5c7e2d41", extra, b"\0body\r\n")));
+    let call = call(read_first(&request(
+        "9b1f03aa5c7e2d41",
+        extra,
+        b"\0body\r\n",
+    )));
     assert_eq!((&*call.id, &*call.function), ("9b1f03aa5c7e2d41", FUNCTION));
     assert_eq!(
         (call.trigger, call.account, call.client_timeout),
@@ -127,16 +139,16 @@
 
 #[test]
 fn health_request_has_no_body_and_connection_close_is_parsed() {
-    let found = read(b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n").expect("good");
+    let found = read_first(b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n").expect("good");
     assert_eq!((found.kind, found.close), (RequestKind::Health, false));
     assert!(
-        read(&request("00000000000000aa", "Connection: close\r\n", b""))
+        read_first(&request("00000000000000aa", "Connection: close\r\n", b""))
             .expect("good")
             .close
     );
 }
 
-/// A client must be able to find the end of a response, and on a rejection how long to back off.
+/// Guards against responses whose end a client cannot find, and against rejections that do not state the backoff.
 #[test]
 fn responses_are_encoded_with_status_retry_after_and_close() {
     assert_eq!(
@@ -173,7 +185,8 @@
     );
 }
 
-/// Symptom: a request with both lengths hides another one in its body.
+/// Guards against request smuggling: a request with both a length and a transfer encoding can hide another request in
+/// its body.
 #[test]
 fn requests_with_both_length_fields_are_rejected() {
     for extra in [
@@ -183,7 +196,7 @@
         "Transfer-Encoding: identity\r\nContent-Length: 5\r\n",
     ] {
         assert_eq!(
-            read(&request("00000000000000aa", extra, b"0\r\n\r\n")),
+            read_first(&request("00000000000000aa", extra, b"0\r\n\r\n")),
             Err(RequestError::InvalidLength),
             "{extra}"
         );
@@ -205,36 +218,40 @@
     ] {
         let extra = format!("Content-Length: {length}\r\n");
         assert_eq!(
-            read(&request("00000000000000aa", &extra, b"hello")),
+            read_first(&request("00000000000000aa", &extra, b"hello")),
             Err(RequestError::InvalidLength),
             "{length}"
         );
     }
     let twice = "Content-Length: 5\r\nContent-Length: 5\r\n";
     assert_eq!(
-        read(&request("00000000000000aa", twice, b"hello")),
+        read_first(&request("00000000000000aa", twice, b"hello")),
         Err(RequestError::InvalidLength)
     );
     let coding = "Transfer-Encoding: gzip, chunked\r\n";
     assert_eq!(
-        read(&request("00000000000000aa", coding, b"0\r\n\r\n")),
+        read_first(&request("00000000000000aa", coding, b"0\r\n\r\n")),
         Err(RequestError::InvalidLength)
     );
 }
 
 #[test]
-fn body_beyond_the_limit_is_rejected_by_its_head() {
+fn body_above_the_limit_is_rejected_by_its_declared_length() {
     for length in [MAX_BODY_BYTES + 1, 60 << 20, usize::MAX] {
         let extra = format!("Content-Length: {length}\r\n");
         assert_eq!(
-            read(&request("00000000000000aa", &extra, b"")),
+            read_first(&request("00000000000000aa", &extra, b"")),
             Err(RequestError::BodyTooLong)
         );
     }
     assert_eq!(
-        call(read(&request("00000000000000aa", "", &[7; MAX_BODY_BYTES])))
-            .body
-            .len(),
+        call(read_first(&request(
+            "00000000000000aa",
+            "",
+            &[7; MAX_BODY_BYTES]
+        )))
+        .body
+        .len(),
         MAX_BODY_BYTES
     );
 }
@@ -242,7 +259,7 @@
 #[test]
 fn chunked_bodies_are_decoded_within_the_limit() {
     let extra = "Transfer-Encoding: chunked\r\n";
-    let body = call(read(&request(
+    let body = call(read_first(&request(
         "00000000000000aa",
         extra,
         b"3\r\nabc\r\nA;x=y\r\n0123456789\r\n0\r\n\r\n",
@@ -250,21 +267,21 @@
     .body;
     assert_eq!(&body[..], b"abc0123456789");
     assert_eq!(
-        read(&request("00000000000000aa", extra, b"zz\r\nabc\r\n")),
+        read_first(&request("00000000000000aa", extra, b"zz\r\nabc\r\n")),
         Err(RequestError::MalformedChunks)
     );
     assert_eq!(
-        read(&request("00000000000000aa", extra, b"3\r\nabcd\r\n")),
+        read_first(&request("00000000000000aa", extra, b"3\r\nabcd\r\n")),
         Err(RequestError::MalformedChunks)
     );
     assert_eq!(
-        read(&request("00000000000000aa", extra, b"ffffffff\r\n")),
+        read_first(&request("00000000000000aa", extra, b"ffffffff\r\n")),
         Err(RequestError::BodyTooLong)
     );
-    // One byte a chunk: far more on the wire than in the body.
+    // With one byte in each chunk, the encoded body is far longer than the body.
     let endless = b"1\r\nx\r\n".repeat(20_000);
     assert_eq!(
-        read(&request("00000000000000aa", extra, &endless)),
+        read_first(&request("00000000000000aa", extra, &endless)),
         Err(RequestError::BodyTooLong)
     );
 }
@@ -292,7 +309,7 @@
     ] {
         for value in values {
             assert_eq!(
-                read(&with(field, value)),
+                read_first(&request_with_field(field, value)),
                 Err(RequestError::InvalidField),
                 "{field}: {value}"
             );
@@ -316,21 +333,21 @@
         "X-Class: plain\r\n",
     ] {
         assert_eq!(
-            read(&request("00000000000000aa", extra, b"")),
+            read_first(&request("00000000000000aa", extra, b"")),
             Err(RequestError::InvalidField),
             "{extra}"
         );
     }
-    // Where repeats are recognized by an idempotency key, it must be there.
+    // The trigger type `keyed` requires an idempotency key, which identifies repeats.
     assert_eq!(
-        read(&with("X-Class", "keyed")),
+        read_first(&request_with_field("X-Class", "keyed")),
         Err(RequestError::InvalidField)
     );
 }
 
 #[test]
 fn unknown_methods_paths_and_endless_heads_are_rejected() {
-    let start = |line: &str| read(format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
+    let start = |line: &str| read_first(format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
     assert_eq!(
         start("PUT /api/v2/7f3a9c21e0b4d655/call"),
         Err(RequestError::MethodNotAllowed)
@@ -353,7 +370,7 @@
         );
     }
     assert_eq!(
-        read(b"\x16\x03\x01 hello\r\n\r\n"),
+        read_first(b"\x16\x03\x01 hello\r\n\r\n"),
         Err(RequestError::MalformedHead)
     );
     let endless = [
@@ -361,12 +378,12 @@
         &[b'a'; 20_000],
     ]
     .concat();
-    assert_eq!(read(&endless), Err(RequestError::HeadTooLong));
+    assert_eq!(read_first(&endless), Err(RequestError::HeadTooLong));
     let many = format!("GET /-/healthy HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(200));
-    assert_eq!(read(many.as_bytes()), Err(RequestError::HeadTooLong));
+    assert_eq!(read_first(many.as_bytes()), Err(RequestError::HeadTooLong));
 }
 
-/// Where the settings know no accounts, clients need not name one.
+/// If the settings define no accounts, a request may leave out the account.
 #[test]
 fn owner_is_optional_when_the_settings_have_no_accounts() {
     let mut rules = rules();
@@ -379,7 +396,7 @@
     }
 }
 
-/// The timeout of each counts from when its last byte arrived; what arrives after a malformed request is not read.
+/// The timeout of each request counts from the arrival of its last byte. Input after a malformed request is ignored.
 #[test]
 fn pipelined_requests_keep_their_arrival_times() {
     let (good, rules) = (request("00000000000000aa", "", b"hi"), rules());
@@ -388,7 +405,7 @@
     queue.put(30, &good[20..], &rules);
     queue.put(
         70,
-        &[&good[..], &with("X-Class", "none"), &good].concat(),
+        &[&good[..], &request_with_field("X-Class", "none"), &good].concat(),
         &rules,
     );
     let next = |queue: &mut RequestQueue| queue.take().map(|q| (q.request.is_ok(), q.arrived));
@@ -400,8 +417,8 @@
     assert!(next(&mut queue).is_none() && queue.bytes() == 0 && !queue.is_receiving());
 }
 
-/// A client that sends far ahead is read all the same, so that its disconnection is noticed; of the requests beyond the
-/// limits only the number is kept, and each is rejected in its turn.
+/// Guards against unbounded memory and against an undetected disconnection when a client sends many requests ahead of
+/// their responses. All input is read; requests above the limits are only counted, and each is rejected in its turn.
 #[test]
 fn pipelined_requests_beyond_the_limits_are_rejected_without_being_stored() {
     let (short, long) = (
@@ -425,7 +442,7 @@
             assert!(n < stored || request == Err(RequestError::TooManyPipelined));
         }
         assert!(queue.take().is_none() && queue.is_receiving());
-        // Then there is room again.
+        // Once the queue is empty, requests are stored again.
         queue.put(1, &text[10..], &rules());
         assert!(queue.take().expect("the next").request.is_ok());
     }
@@ -442,7 +459,7 @@
     })]
 
     #[test]
-    fn requests_are_parsed_alike_however_the_bytes_are_split(
+    fn requests_are_parsed_identically_for_any_split_of_the_bytes(
         bodies in prop::collection::vec((any::<bool>(), prop::collection::vec(any::<u8>(), 0..40)), 1..5),
         cuts in prop::collection::vec(1..50usize, 1..80),
     ) {
--- a/crates/platform/tests/config.rs
+++ b/crates/platform/tests/config.rs
@@ -1,9 +1,10 @@
-//! The configuration file.
+//! Tests the parsing of the configuration file.
 
 use cedarpulley_errors::Remedy;
 use cedarpulley_platform::config::{StartupConfig, discovery_address_of};
 
-const START: &str = r#"{"name":"n0","listen":"127.0.0.1:1","seed":"6444882f5c620abb",
+/// A valid configuration file.
+const CONFIG_JSON: &str = r#"{"name":"n0","listen":"127.0.0.1:1","seed":"6444882f5c620abb",
     "channel":"127.0.0.1:7070",
     "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"known":{"cursor":0,"cmds":[]},"unknown":[1],
     "settings":{"granularity":1000000,"zones":["east"],"kinds":["std"],
@@ -13,26 +14,30 @@
     "permissions":{"streamsPerConn":100,"keepalive":15000000000}}}"#;
 
 #[test]
-fn configuration_is_read_in_the_simulators_names_and_units() {
-    let start = StartupConfig::parse(START).expect("good");
+fn configuration_is_parsed_with_the_names_and_units_of_the_platform() {
+    let config = StartupConfig::parse(CONFIG_JSON).expect("good");
     assert_eq!(
-        (start.seed, start.limits.sockets, start.largest_machine_mb),
+        (
+            config.seed,
+            config.limits.sockets,
+            config.largest_machine_mb
+        ),
         (0x6444_882f_5c62_0abb, 256, 250.5)
     );
     assert_eq!(
         (
-            start.worker_connections.max_streams,
-            start.worker_connections.keepalive
+            config.worker_connections.max_streams,
+            config.worker_connections.keepalive
         ),
         (100, 15_000_000)
     );
-    let trigger = &start.settings.triggers[0];
+    let trigger = &config.settings.triggers[0];
     assert_eq!(
         (trigger.latency_objective, trigger.client_timeout),
         (400_000, 1_000_000)
     );
-    assert!(start.settings.loads.load_orders && start.settings.loads.memory_mb == [100.0, 250.5]);
-    assert_eq!(start.names.accounts, ["acme"]);
+    assert!(config.settings.loads.load_orders && config.settings.loads.memory_mb == [100.0, 250.5]);
+    assert_eq!(config.names.accounts, ["acme"]);
     assert_eq!(
         discovery_address_of(r#"{"channel":"127.0.0.2:9"}"#)
             .expect("good")
@@ -52,7 +57,7 @@
         ("\"sockets\":256", "\"sockets\":0"),
         ("}}}", ""),
     ] {
-        let error = StartupConfig::parse(&START.replace(from, to))
+        let error = StartupConfig::parse(&CONFIG_JSON.replace(from, to))
             .expect_err(to)
             .line();
         assert!(
--- a/crates/platform/tests/connections.rs
+++ b/crates/platform/tests/connections.rs
@@ -1,4 +1,5 @@
-//! Which connection to a worker carries what, which clients' connections stay open, and how descriptors are divided.
+//! Tests which connection to a worker carries an exchange, which client connections stay open, and how descriptors are
+//! divided.
 
 use cedarpulley_platform::config::Limits;
 use cedarpulley_platform::connection_limiter::{
@@ -11,14 +12,18 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const MS: i64 = 1_000;
+/// Microseconds in a millisecond.
+const MILLISECOND: i64 = 1_000;
+/// Microseconds in a second.
 const SECOND: i64 = 1_000_000;
 
+/// A pool with 3 streams on a connection, a keepalive of 10 s and an answer timeout of 250 ms.
 fn pool(max_connections: usize) -> ConnectionPool {
-    ConnectionPool::new(max_connections, 3, 10 * SECOND, 250 * MS)
+    ConnectionPool::new(max_connections, 3, 10 * SECOND, 250 * MILLISECOND)
 }
 
-fn opened(pool: &mut ConnectionPool, now: i64, worker: u32) -> u64 {
+/// Places an exchange, which must get a new connection, and establishes the connection.
+fn open_connection(pool: &mut ConnectionPool, now: i64, worker: u32) -> u64 {
     match pool.place(now, worker) {
         Placement::New(id) => {
             pool.connected(id);
@@ -31,8 +36,11 @@
 #[test]
 fn exchanges_share_connections_only_at_the_connection_limit() {
     let mut pool = pool(2);
-    let (first, second) = (opened(&mut pool, 0, 7), opened(&mut pool, 0, 7));
-    // Then the one with the fewest exchanges in flight is shared, up to the streams allowed.
+    let (first, second) = (
+        open_connection(&mut pool, 0, 7),
+        open_connection(&mut pool, 0, 7),
+    );
+    // At the limit, the connection with the fewest exchanges in flight is shared, up to its number of streams.
     for _ in 0..4 {
         assert!(matches!(pool.place(1, 7), Placement::Existing(id) if id == first || id == second));
     }
@@ -48,41 +56,44 @@
 #[test]
 fn most_recently_used_idle_connection_is_reused_first() {
     let mut pool = pool(10);
-    let (first, second) = (opened(&mut pool, 0, 7), opened(&mut pool, 0, 7));
+    let (first, second) = (
+        open_connection(&mut pool, 0, 7),
+        open_connection(&mut pool, 0, 7),
+    );
     pool.exchange_ended(5, second, Impossible);
     pool.exchange_ended(6, first, Impossible);
     assert_eq!(pool.place(7, 7), Placement::Existing(first));
     assert_eq!(pool.place(7, 7), Placement::Existing(second));
 }
 
-/// Symptom: a late answer is taken for that of a later attempt; or everything sent on the open connection to a vanished
-/// machine is lost.
+/// Guards against two faults of reuse: a late answer is attributed to a later attempt, and everything that is sent on
+/// the open connection to a vanished machine is lost.
 #[test]
 fn connection_with_an_outstanding_answer_is_not_reused() {
     let mut pool = pool(10);
-    let id = opened(&mut pool, 0, 7);
+    let id = open_connection(&mut pool, 0, 7);
     assert!(pool.exchange_ended(5, id, Possible));
     assert!(matches!(pool.place(6, 7), Placement::New(_)));
     assert_eq!(pool.due_for_close(6), [id]);
 }
 
-/// Symptom: an answer stops half-way, the connection stays open, and its exchanges wait for ever.
+/// Guards against exchanges that wait forever because an answer stays incomplete while the connection stays open.
 #[test]
 fn partial_answer_times_out() {
     let mut pool = pool(10);
-    let id = opened(&mut pool, 0, 7);
-    pool.received(100 * MS, id, true);
-    pool.received(200 * MS, id, true);
-    assert!(pool.due_for_close(340 * MS).is_empty());
-    assert_eq!(pool.due_for_close(351 * MS), [id]);
-    pool.received(352 * MS, id, false);
-    assert!(pool.due_for_close(900 * MS).is_empty());
+    let id = open_connection(&mut pool, 0, 7);
+    pool.received(100 * MILLISECOND, id, true);
+    pool.received(200 * MILLISECOND, id, true);
+    assert!(pool.due_for_close(340 * MILLISECOND).is_empty());
+    assert_eq!(pool.due_for_close(351 * MILLISECOND), [id]);
+    pool.received(352 * MILLISECOND, id, false);
+    assert!(pool.due_for_close(900 * MILLISECOND).is_empty());
 }
 
 #[test]
 fn idle_connection_is_closed_before_the_worker_closes_it() {
     let mut pool = pool(10);
-    let id = opened(&mut pool, 0, 7);
+    let id = open_connection(&mut pool, 0, 7);
     pool.exchange_ended(SECOND, id, Impossible);
     assert!(pool.due_for_close(8 * SECOND).is_empty());
     assert_eq!(pool.due_for_close(9 * SECOND + 1), [id]);
@@ -90,24 +101,25 @@
     assert_eq!(pool.count(), 0);
 }
 
-/// Symptom: a worker drops idle connections early and without closing them, and the next request on one is reset.
+/// Guards against repeated resets when a worker drops idle connections early without closing them: the next request on
+/// such a connection is reset.
 #[test]
 fn idle_reuse_time_shrinks_on_reset_and_grows_back() {
     let mut pool = pool(10);
-    let id = opened(&mut pool, 0, 7);
+    let id = open_connection(&mut pool, 0, 7);
     pool.received(1, id, false);
     pool.exchange_ended(1, id, Impossible);
-    // Idle for 200 ms, then reset at once.
-    assert_eq!(pool.place(200 * MS, 7), Placement::Existing(id));
-    pool.lost(200 * MS + 80, id);
+    // The connection was idle for 200 ms and is reset right after its next use.
+    assert_eq!(pool.place(200 * MILLISECOND, 7), Placement::Existing(id));
+    pool.lost(200 * MILLISECOND + 80, id);
     let mut now = SECOND;
-    let mut connection = opened(&mut pool, now, 7);
+    let mut connection = open_connection(&mut pool, now, 7);
     let (mut reused, mut renewed) = (0, 0);
     for _ in 0..400 {
         pool.received(now, connection, false);
         pool.exchange_ended(now, connection, Impossible);
-        // Idle for more than half of the time that was too long.
-        now += 101 * MS;
+        // The connection is idle for more than half of the idle time after which the first one was reset.
+        now += 101 * MILLISECOND;
         match pool.place(now, 7) {
             Placement::Existing(id) => {
                 assert_eq!(id, connection);
@@ -121,31 +133,35 @@
             Placement::Exhausted => panic!("there is room"),
         }
         if renewed == 1 && reused == 0 {
-            // After shorter idle times they are alive, and the trusted time grows back.
+            // Connections are found alive after shorter idle times, and the reuse limit grows back.
             for _ in 0..400 {
                 pool.received(now, connection, false);
                 pool.exchange_ended(now, connection, Impossible);
-                now += 60 * MS;
+                now += 60 * MILLISECOND;
                 assert_eq!(pool.place(now, 7), Placement::Existing(connection));
             }
         }
     }
     assert_eq!((renewed, reused), (1, 399));
-    // One that is lost while the worker executes a request shows nothing about idle ones.
-    pool.lost(now + 50 * MS, connection);
-    let last = opened(&mut pool, now + 60 * MS, 7);
-    pool.exchange_ended(now + 60 * MS, last, Impossible);
-    assert_eq!(pool.place(now + 160 * MS, 7), Placement::Existing(last));
+    // A connection that is lost while the worker executes a request does not change the reuse limit.
+    pool.lost(now + 50 * MILLISECOND, connection);
+    let last = open_connection(&mut pool, now + 60 * MILLISECOND, 7);
+    pool.exchange_ended(now + 60 * MILLISECOND, last, Impossible);
+    assert_eq!(
+        pool.place(now + 160 * MILLISECOND, 7),
+        Placement::Existing(last)
+    );
 }
 
 #[test]
 fn retired_worker_gets_no_new_exchanges_on_its_connections() {
     let mut pool = pool(10);
-    let id = opened(&mut pool, 0, 7);
+    let id = open_connection(&mut pool, 0, 7);
     let Placement::New(connecting) = pool.place(0, 7) else {
         panic!("a new one")
     };
-    // One that is not established yet is to be closed at once: its address may be another worker's by then.
+    // A connection that is not established yet has to be closed at once: its address may belong to another worker by
+    // the time that it is established.
     assert_eq!(pool.retire(7), [connecting]);
     assert!(pool.is_retired(id) && pool.is_retired(connecting));
     let Placement::New(next) = pool.place(1, 7) else {
@@ -154,15 +170,17 @@
     assert!(!pool.is_retired(next) && pool.exchange_ended(2, id, Impossible));
 }
 
-/// No client has sent a complete request.
-const NONE: fn(ClientId) -> bool = |_| false;
+/// States that no client has sent a complete request.
+const NO_REQUEST: fn(ClientId) -> bool = |_| false;
 
-fn connected(limiter: &mut ConnectionLimiter, now: i64) -> Admission {
-    limiter.connected(now, NONE)
+/// Connects a client while no complete request has arrived on any connection.
+fn connect(limiter: &mut ConnectionLimiter, now: i64) -> Admission {
+    limiter.connected(now, NO_REQUEST)
 }
 
-fn admitted(limiter: &mut ConnectionLimiter, now: i64) -> ClientId {
-    let admission = connected(limiter, now);
+/// Connects a client that must be admitted without an eviction.
+fn admit(limiter: &mut ConnectionLimiter, now: i64) -> ClientId {
+    let admission = connect(limiter, now);
     assert!(
         !admission.rejected && admission.evicts.is_none(),
         "{admission:?}"
@@ -173,20 +191,20 @@
 #[test]
 fn silent_connections_are_evicted_first() {
     let mut limiter = ConnectionLimiter::new(3);
-    let idle = admitted(&mut limiter, 0);
+    let idle = admit(&mut limiter, 0);
     limiter.pending(10, idle);
     limiter.idle(20, idle);
-    let busy = admitted(&mut limiter, 30);
+    let busy = admit(&mut limiter, 30);
     limiter.pending(40, busy);
-    let silent = admitted(&mut limiter, 50);
-    let next = connected(&mut limiter, 300 * MS);
+    let silent = admit(&mut limiter, 50);
+    let next = connect(&mut limiter, 300 * MILLISECOND);
     assert_eq!((next.rejected, next.evicts), (false, Some(silent)));
-    limiter.pending(300 * MS, next.id);
-    let last = connected(&mut limiter, 301 * MS);
+    limiter.pending(300 * MILLISECOND, next.id);
+    let last = connect(&mut limiter, 301 * MILLISECOND);
     assert_eq!((last.rejected, last.evicts), (false, Some(idle)));
-    limiter.pending(302 * MS, last.id);
-    // All wait for an answer: none is evicted, and the new one is rejected.
-    let rejected = connected(&mut limiter, 303 * MS);
+    limiter.pending(302 * MILLISECOND, last.id);
+    // All connections wait for a response: none is evicted, and the new one is rejected.
+    let rejected = connect(&mut limiter, 303 * MILLISECOND);
     assert_eq!((rejected.rejected, rejected.evicts), (true, None));
     assert_eq!(
         (
@@ -198,64 +216,71 @@
         (3, 1, 2, 1)
     );
     limiter.closed(rejected.id);
-    assert!(limiter.overdue(60 * SECOND, NONE).is_empty());
+    assert!(limiter.overdue(60 * SECOND, NO_REQUEST).is_empty());
 }
 
-/// Otherwise the response that is being written is cut off, and its request is lost.
+/// Guards against an eviction that cuts off a response while it is being written, so that its request is lost.
 #[test]
 fn connection_being_written_to_is_not_evicted() {
     let mut limiter = ConnectionLimiter::new(1);
-    let busy = admitted(&mut limiter, 0);
+    let busy = admit(&mut limiter, 0);
     limiter.pending(0, busy);
-    limiter.responding(MS, busy, None);
-    assert!(!limiter.has_capacity(SECOND, NONE) && connected(&mut limiter, SECOND).rejected);
+    limiter.responding(MILLISECOND, busy, None);
+    assert!(!limiter.has_capacity(SECOND, NO_REQUEST) && connect(&mut limiter, SECOND).rejected);
     limiter.idle(SECOND, busy);
-    assert!(limiter.has_capacity(SECOND, NONE) && !limiter.has_capacity(SECOND, |_| true));
+    assert!(limiter.has_capacity(SECOND, NO_REQUEST) && !limiter.has_capacity(SECOND, |_| true));
 }
 
-/// A request is unread on a connection that looks idle: closing it would lose the request.
+/// Guards against losing a request that has arrived on a connection that counts as idle because the process has not
+/// read it.
 #[test]
 fn connection_with_an_unread_request_is_neither_evicted_nor_overdue() {
     let mut limiter = ConnectionLimiter::new(2);
-    let (first, second) = (admitted(&mut limiter, 0), admitted(&mut limiter, 1));
+    let (first, second) = (admit(&mut limiter, 0), admit(&mut limiter, 1));
     let has_request = |id| id == first;
     assert_eq!(
-        limiter.connected(300 * MS, has_request).evicts,
+        limiter.connected(300 * MILLISECOND, has_request).evicts,
         Some(second)
     );
     assert!(
         !limiter.overdue(10 * SECOND, has_request).contains(&first)
-            && limiter.overdue(10 * SECOND, NONE).contains(&first)
+            && limiter.overdue(10 * SECOND, NO_REQUEST).contains(&first)
     );
     assert!(
         !limiter.without_request(has_request).contains(&first)
-            && limiter.without_request(NONE).contains(&first)
+            && limiter.without_request(NO_REQUEST).contains(&first)
     );
 }
 
-/// Otherwise a client that floods the router even after its rejection would keep everybody else out.
+/// Guards against a client that keeps sending after its last response, such as a rejection, and so would keep all other
+/// clients out.
 #[test]
 fn connection_sending_after_its_last_answer_is_evictable() {
     let mut limiter = ConnectionLimiter::new(1);
-    let flooding = admitted(&mut limiter, 0);
-    limiter.closing(MS, flooding);
-    assert_eq!(limiter.connected(2 * MS, |_| true).evicts, Some(flooding));
+    let flooding = admit(&mut limiter, 0);
+    limiter.closing(MILLISECOND, flooding);
+    assert_eq!(
+        limiter.connected(2 * MILLISECOND, |_| true).evicts,
+        Some(flooding)
+    );
 }
 
-/// A rejection that is lost by a reset is a request without an answer; but rejected connections must not use up the
-/// reserved descriptors.
+/// Guards against two faults: a reset that destroys a rejection leaves a request without a response, and too many open
+/// rejected connections use up the reserved descriptors.
 #[test]
 fn rejected_connections_stay_open_up_to_a_limit() {
     let mut limiter = ConnectionLimiter::new(1);
-    let busy = admitted(&mut limiter, 0);
+    let busy = admit(&mut limiter, 0);
     limiter.pending(0, busy);
-    let rejected: Vec<Admission> = (0..20).map(|n| connected(&mut limiter, n * MS)).collect();
+    let rejected: Vec<Admission> = (0..20)
+        .map(|n| connect(&mut limiter, n * MILLISECOND))
+        .collect();
     assert!(
         rejected.iter().all(|a| a.rejected)
             && limiter.count() == 1
             && limiter.count_rejected() == MAX_REJECTED
     );
-    // The one rejected first is evicted first, and none before there are too many.
+    // The earliest rejected connection is evicted first, and none is evicted below the limit.
     let evicted: Vec<_> = rejected.iter().filter_map(|a| a.evicts).collect();
     assert_eq!(
         evicted,
@@ -264,77 +289,86 @@
             .map(|a| a.id)
             .collect::<Vec<_>>()
     );
-    // One that goes on sending is not admitted by that, and times out.
+    // A rejected connection that keeps sending stays rejected, and times out.
     let last = rejected[19].id;
-    limiter.pending(30 * MS, last);
-    limiter.receiving(30 * MS, last);
+    limiter.pending(30 * MILLISECOND, last);
+    limiter.receiving(30 * MILLISECOND, last);
     assert_eq!(
         (limiter.count(), limiter.count_rejected()),
         (1, MAX_REJECTED)
     );
     assert!(
-        limiter.overdue(SECOND, NONE).is_empty()
-            && limiter.overdue(2 * SECOND, NONE).contains(&last)
+        limiter.overdue(SECOND, NO_REQUEST).is_empty()
+            && limiter.overdue(2 * SECOND, NO_REQUEST).contains(&last)
     );
 }
 
-/// Symptom: when many connect at once, a well-behaved client is evicted between its connecting and its request.
+/// Guards against evicting a well-behaved client between its connecting and its request when many clients connect at
+/// once.
 #[test]
 fn idle_connections_are_evicted_before_new_ones() {
     let mut limiter = ConnectionLimiter::new(2);
-    let idle = admitted(&mut limiter, 0);
-    limiter.pending(MS, idle);
-    limiter.idle(2 * MS, idle);
-    let new = admitted(&mut limiter, 300 * MS);
-    assert_eq!(connected(&mut limiter, 301 * MS).evicts, Some(idle));
-    assert_eq!(connected(&mut limiter, 302 * MS).evicts, Some(new));
+    let idle = admit(&mut limiter, 0);
+    limiter.pending(MILLISECOND, idle);
+    limiter.idle(2 * MILLISECOND, idle);
+    let new = admit(&mut limiter, 300 * MILLISECOND);
+    assert_eq!(connect(&mut limiter, 301 * MILLISECOND).evicts, Some(idle));
+    assert_eq!(connect(&mut limiter, 302 * MILLISECOND).evicts, Some(new));
 }
 
-/// A client in the middle of its request is evicted after all that have none in progress, and so is one that may not yet
-/// have read its last response.
+/// A client that is sending a request, or that may still be reading its last response, is evicted only after all
+/// clients that do neither.
 #[test]
 fn sending_and_reading_clients_are_evicted_last() {
     let mut limiter = ConnectionLimiter::new(3);
-    let sending = admitted(&mut limiter, 0);
+    let sending = admit(&mut limiter, 0);
     limiter.receiving(0, sending);
-    let reading = admitted(&mut limiter, MS);
-    limiter.closing(400 * MS, reading);
-    let idle = admitted(&mut limiter, 2 * MS);
-    limiter.idle(401 * MS, idle);
-    let next = connected(&mut limiter, 500 * MS);
+    let reading = admit(&mut limiter, MILLISECOND);
+    limiter.closing(400 * MILLISECOND, reading);
+    let idle = admit(&mut limiter, 2 * MILLISECOND);
+    limiter.idle(401 * MILLISECOND, idle);
+    let next = connect(&mut limiter, 500 * MILLISECOND);
     assert_eq!(next.evicts, Some(idle));
-    limiter.pending(500 * MS, next.id);
-    // Long enough to have read its response.
-    assert_eq!(connected(&mut limiter, 700 * MS).evicts, Some(reading));
+    limiter.pending(500 * MILLISECOND, next.id);
+    // Enough time has passed for the client to have read its response.
+    assert_eq!(
+        connect(&mut limiter, 700 * MILLISECOND).evicts,
+        Some(reading)
+    );
 }
 
 #[test]
 fn request_response_and_idle_timeouts_are_enforced() {
     let mut limiter = ConnectionLimiter::new(10);
-    let slow = admitted(&mut limiter, 0);
+    let slow = admit(&mut limiter, 0);
     limiter.receiving(SECOND, slow);
-    assert!(limiter.has_unfinished() && limiter.overdue(2 * SECOND, NONE).is_empty());
+    assert!(limiter.has_unfinished() && limiter.overdue(2 * SECOND, NO_REQUEST).is_empty());
     // A misbehaving client must be closed within three seconds of connecting.
-    assert_eq!(limiter.overdue(2 * SECOND + 1, NONE), [slow]);
+    assert_eq!(limiter.overdue(2 * SECOND + 1, NO_REQUEST), [slow]);
     limiter.closed(slow);
-    let good = admitted(&mut limiter, 0);
+    let good = admit(&mut limiter, 0);
     limiter.pending(0, good);
-    // A client has as long to read its response as to send its request, or until its own deadline if that is later.
+    // A client has as much time to read its response as to send its request, or until its own deadline if that is
+    // later.
     limiter.responding(0, good, None);
-    assert!(limiter.has_unfinished() && limiter.overdue(2 * SECOND, NONE).is_empty());
-    assert_eq!(limiter.overdue(2 * SECOND + 1, NONE), [good]);
+    assert!(limiter.has_unfinished() && limiter.overdue(2 * SECOND, NO_REQUEST).is_empty());
+    assert_eq!(limiter.overdue(2 * SECOND + 1, NO_REQUEST), [good]);
     limiter.responding(0, good, Some(3 * SECOND));
     assert!(
-        limiter.overdue(3 * SECOND, NONE).is_empty()
-            && limiter.overdue(3 * SECOND + 1, NONE) == [good]
+        limiter.overdue(3 * SECOND, NO_REQUEST).is_empty()
+            && limiter.overdue(3 * SECOND + 1, NO_REQUEST) == [good]
     );
     limiter.idle(0, good);
     assert!(!limiter.has_unfinished());
-    assert!(limiter.overdue(4 * SECOND + 500 * MS, NONE).is_empty());
-    assert_eq!(limiter.overdue(6 * SECOND, NONE), [good]);
+    assert!(
+        limiter
+            .overdue(4 * SECOND + 500 * MILLISECOND, NO_REQUEST)
+            .is_empty()
+    );
+    assert_eq!(limiter.overdue(6 * SECOND, NO_REQUEST), [good]);
     limiter.receiving(4 * SECOND, good);
-    assert!(limiter.overdue(6 * SECOND, NONE).is_empty());
-    assert_eq!(limiter.overdue(6 * SECOND + 1, NONE), [good]);
+    assert!(limiter.overdue(6 * SECOND, NO_REQUEST).is_empty());
+    assert_eq!(limiter.overdue(6 * SECOND + 1, NO_REQUEST), [good]);
 }
 
 #[test]
@@ -363,7 +397,7 @@
         rng_seed: RngSeed::Fixed(19), failure_persistence: None, cases: 200, ..ProptestConfig::default()
     })]
 
-    /// The tables stay within their limits, and no connection carries more exchanges than its streams.
+    /// The tables stay within their limits, and no connection has more exchanges in flight than streams.
     #[test]
     fn connection_limits_hold_for_any_sequence_of_events(
         steps in prop::collection::vec((0..6u8, 0..4u32, any::<prop::sample::Index>()), 0..200),
@@ -371,7 +405,7 @@
         let (mut pool, mut limiter) = (pool(6), ConnectionLimiter::new(4));
         let (mut in_flight, mut clients): (Vec<u64>, Vec<u64>) = Default::default();
         for (n, (step, worker, pick)) in steps.into_iter().enumerate() {
-            let now = n as i64 * 40 * MS;
+            let now = n as i64 * 40 * MILLISECOND;
             match step {
                 0 | 1 => match pool.place(now, worker) {
                     Placement::New(id) => {
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery channel: events of the worker list, and the responses that carry them.
+//! Tests the discovery channel: the events that change the endpoint list, and the responses that contain them.
 
 use cedarpulley::interface::{EndpointListKind, EndpointState::Draining, EndpointState::Gone};
 use cedarpulley_platform::config::Names;
@@ -6,6 +6,7 @@
     EventBatch, ListUpdate, POLL_WAIT, ResponseReader, WorkerListFollower,
 };
 
+/// The zones and kinds of machine that the settings name.
 fn names() -> Names {
     let list = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     Names {
@@ -15,11 +16,12 @@
     }
 }
 
+/// Parses a batch of events from JSON.
 fn batch(text: &str) -> EventBatch {
     serde_json::from_str(text).expect("events")
 }
 
-/// An event as JSON. `servers`: id, state and address of each.
+/// An event in JSON. `servers`: id, state and address of each worker.
 fn event(cursor: u32, full: bool, servers: &[(&str, &str, &str)]) -> String {
     let server = |(id, state, address): &(&str, &str, &str)| {
         format!(
@@ -31,6 +33,7 @@
     format!(r#"{{"cursor":{cursor},"nodes":{{"full":{full},"servers":[{servers}]}}}}"#)
 }
 
+/// Applies events, given in JSON, as one batch that was read without delay.
 fn apply_events(follower: &mut WorkerListFollower, events: &[String]) -> Vec<ListUpdate> {
     let text = format!(r#"{{"cursor":0,"cmds":[{}]}}"#, events.join(","));
     follower
@@ -73,7 +76,7 @@
     );
 }
 
-/// Symptom: a connection to a worker that has gone or moved is used for the worker that has its address now.
+/// Guards against using a connection to a worker that is gone or has moved for the worker that has its address now.
 #[test]
 fn workers_are_identified_by_id_and_stale_connections_are_retired() {
     let (mut follower, address, other_address) = (
@@ -127,7 +130,8 @@
     );
 }
 
-/// Symptom: a worker began to drain while the channel was disconnected, and its grace began when that was read.
+/// Guards against counting the drain grace from the time of the read when a worker began to drain while the channel was
+/// disconnected.
 #[test]
 fn drain_announced_while_disconnected_has_no_grace_left() {
     let (mut follower, address) = (WorkerListFollower::default(), "127.0.0.9:5050");
@@ -165,7 +169,7 @@
 }
 
 #[test]
-fn unnamed_zones_and_kinds_match_no_named_one() {
+fn unnamed_zones_and_kinds_differ_from_named_ones() {
     let mut follower = WorkerListFollower::default();
     let unnamed = |cursor, id| {
         event(cursor, true, &[(id, "active", "127.0.0.9:1")])
@@ -188,7 +192,7 @@
 }
 
 #[test]
-fn discovery_responses_are_decoded_whole_or_not_at_all() {
+fn discovery_responses_are_decoded_only_when_complete() {
     let body = r#"{"cursor":4,"cmds":[]}"#;
     let sized = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -231,7 +235,7 @@
     }
 }
 
-/// Operators know these names from the logs; they stay although the types are called otherwise.
+/// Operators know these names from the logs, so the messages keep them although the exported types have other names.
 #[test]
 fn parse_errors_keep_the_names_of_the_wire_types() {
     for (text, name) in [
--- a/crates/platform/tests/worker_protocol.rs
+++ b/crates/platform/tests/worker_protocol.rs
@@ -1,4 +1,4 @@
-//! The line protocol spoken with workers, and what the end of an exchange proves.
+//! Tests the line protocol between router and workers, and what the end of an exchange proves.
 
 use cedarpulley::interface::{DispatchOutcome, LoadOrderResult};
 use cedarpulley_platform::attempt_outcome::{self, AnswerStatus, ExchangeEnd};
@@ -6,7 +6,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn read(bytes: &[u8]) -> Result<Vec<worker_protocol::Answer>, AnswerError> {
+/// Decodes all complete answers in `bytes`.
+fn read_answers(bytes: &[u8]) -> Result<Vec<worker_protocol::Answer>, AnswerError> {
     let mut reader = AnswerReader::default();
     reader.put(bytes);
     let mut found = Vec::new();
@@ -40,7 +41,7 @@
 
 #[test]
 fn answers_are_decoded_in_any_order() {
-    let found = read(
+    let found = read_answers(
         b"b ok same=3,gauges=busy:0.61;x1:2 2\r\n\r\n\r\na refused - 0\r\n\r\nt ok n=2 0\r\n\r\n",
     )
     .expect("good");
@@ -77,15 +78,15 @@
         (b"a ok - 0\r\nb ok - 0\r\n", AnswerError::BodyEnd),
     ] {
         assert_eq!(
-            read(bytes),
+            read_answers(bytes),
             Err(error),
             "{}",
             String::from_utf8_lossy(bytes)
         );
     }
-    assert_eq!(read(&[b'x'; 5_000]), Err(AnswerError::LineTooLong));
+    assert_eq!(read_answers(&[b'x'; 5_000]), Err(AnswerError::LineTooLong));
     assert_eq!(
-        read(&[&[b'x'; 5_000][..], b"\r\n"].concat()),
+        read_answers(&[&[b'x'; 5_000][..], b"\r\n"].concat()),
         Err(AnswerError::LineTooLong)
     );
 }
@@ -181,9 +182,9 @@
     })]
 
     #[test]
-    fn answers_are_decoded_alike_however_the_bytes_are_split(
+    fn answers_are_decoded_identically_for_any_split_of_the_bytes(
         bodies in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..30), 1..6),
-        cut in 1..40usize,
+        piece_bytes in 1..40usize,
     ) {
         let mut bytes = Vec::new();
         for (n, body) in bodies.iter().enumerate() {
@@ -192,7 +193,7 @@
             bytes.extend_from_slice(b"\r\n");
         }
         let (mut reader, mut found) = (AnswerReader::default(), Vec::new());
-        for piece in bytes.chunks(cut) {
+        for piece in bytes.chunks(piece_bytes) {
             reader.put(piece);
             while let Some(answer) = reader.next(&[]).expect("good") {
                 found.push(answer.body.to_vec());
