--- a/crates/platform/src/connection_limiter.rs
+++ b/crates/platform/src/connection_limiter.rs
@@ -11,8 +11,7 @@
 //!   that waits for a response, or on which a complete request has arrived, whether the process has read it or not, is
 //!   never evicted.
 //! * When no connection can be evicted, the new one is rejected. A few rejected connections stay open until the client
-//!   has
-//!   read the rejection: closing a connection with an unread request resets it, and the client loses the response.
+//!   has read the rejection: closing a connection with an unread request resets it, and the client loses the response.
 //! * After a response, a connection may stay idle a little longer than clients keep theirs open.
 //!
 //! [`receiving`]: ConnectionLimiter::receiving
--- a/crates/platform/src/connection_pool/mod.rs
+++ b/crates/platform/src/connection_pool/mod.rs
@@ -8,14 +8,12 @@
 //!    streams.
 //! 2. The most recently used idle connection is reused first: it is the least likely to have been closed meanwhile.
 //! 3. A connection on which an exchange ended without its answer takes no further exchange. Otherwise a late answer
-//!    could
-//!    be attributed to a later attempt with the same id. Also, when the machine of a worker vanishes, its connections
-//!    stay open and lose everything that is sent, while a new connection is not established, which proves that nothing
-//!    ran.
-//! 4. An idle connection is reused only for as long as earlier ones were found alive when idle ([`idle_reuse`]). If a
-//!    worker
-//!    drops idle connections early without closing them, the next request on one is reset, and nothing proves that the
-//!    request did not run.
+//!    could be attributed to a later attempt with the same id. Also, when the machine of a worker vanishes, its
+//!    connections stay open and lose everything that is sent, while a new connection is not established, which proves
+//!    that nothing ran.
+//! 4. An idle connection is reused only after idle times for which connections were found alive ([`idle_reuse`]). If a
+//!    worker drops idle connections early without closing them, the next request on one is reset, and nothing proves
+//!    that the request did not run.
 
 mod idle_reuse;
 
--- a/crates/platform/src/discovery/mod.rs
+++ b/crates/platform/src/discovery/mod.rs
@@ -8,8 +8,7 @@
 //! 3. A worker is identified by its id. A new worker may have the address of one that is gone, and a worker may move to
 //!    another address: a connection to the earlier worker or address must not be used afterwards.
 //! 4. The drain grace counts from the announcement of the drain, not from when the announcement was read. If it may
-//!    have
-//!    been read late, because the channel was not connected or this process was not running, no grace is left.
+//!    have been read late, because the channel was not connected or this process was not running, no grace is left.
 
 mod contact;
 mod error;
--- a/crates/platform/src/worker_protocol.rs
+++ b/crates/platform/src/worker_protocol.rs
@@ -31,8 +31,8 @@
     pub trigger: &'a str,
     /// The function's id, 16 hex digits.
     pub function: &'a str,
-    /// Time until the router stops waiting for the answer, in microseconds. It is sent in whole milliseconds, at least
-    /// 1.
+    /// Time until the router stops waiting for the answer, in microseconds. It is sent in whole milliseconds, and as 1
+    /// if it is shorter.
     pub time_left: Micros,
     /// The idempotency key, if the client sent one.
     pub idempotency_key: Option<&'a str>,
