--- a/crates/platform/src/connection_limiter.rs
+++ b/crates/platform/src/connection_limiter.rs
@@ -46,9 +46,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The client has connected and sent nothing yet.
+    /// The client has connected, and the process has read nothing from it yet.
     New,
-    /// The last response is written, and no byte of the next request has arrived.
+    /// The last response is written, and the process has read no byte of the next request yet.
     Idle,
     /// A part of a request has arrived.
     Receiving,
