--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -117,7 +117,7 @@
     pub discovery_address: SocketAddr,
     /// The watch events that discovery had published when the router was started.
     pub initial_events: EventBatch,
-    /// The settings of the decision module.
+    /// The settings of the balancer.
     pub settings: StartupSettings,
     /// The values in load reports of workers.
     pub report_fields: Vec<ReportField>,
--- a/crates/platform/src/discovery/follower.rs
+++ b/crates/platform/src/discovery/follower.rs
@@ -10,8 +10,8 @@
 use super::{DiscoveryError, EventBatch, Result, WorkerEntry, WorkerListEvent};
 use crate::config::Names;
 
-/// A drain that may be older than the drain grace divided by this number is read as having no grace left: the decision
-/// module and the last check before sending use up the rest of the grace.
+/// A drain that may be older than the drain grace divided by this number is read as having no grace left: the balancer
+/// and the last check before sending use up the rest of the grace.
 const DRAIN_GRACE_DIVISOR: Micros = 4;
 /// Most workers in the list; further ones are ignored and counted.
 const MAX_WORKERS: usize = 20_000;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,6 +1,6 @@
 //! Wire protocols and state machines of a router on the users' platform, without I/O: they take bytes and times and
 //! return typed events and bytes. The crate uses no sockets, clocks or threads, and it does not choose the worker for a
-//! request: the decision module does.
+//! request: the balancer (the decision module, `cedarpulley::Balancer`) does.
 //!
 //! [`client_protocol`] and [`worker_protocol`] are the best places to start reading.
 //!
