--- a/crates/errors/tests/one_line.rs
+++ b/crates/errors/tests/one_line.rs
@@ -1,9 +1,10 @@
-//! An error's line for logs and standard error.
+//! Tests the line that an error has in the log and on standard error.
 
 use std::error::Error;
 
 use cedarpulley_errors::Remedy;
 
+/// An error with a message and an optional source.
 #[derive(Debug)]
 struct TestError(&'static str, Option<Box<TestError>>);
 
@@ -21,15 +22,15 @@
 
 impl Remedy for TestError {
     fn remedy(&self) -> &'static str {
-        "mend it"
+        "fix the syntax"
     }
 }
 
 #[test]
-fn causes_and_remedy_are_one_line() {
+fn causes_and_remedy_fit_on_one_line() {
     let source = TestError("it broke\n\n  at byte 3", None);
     assert_eq!(
         TestError("a.toml", Some(source.into())).line(),
-        "a.toml: it broke, at byte 3; mend it"
+        "a.toml: it broke, at byte 3; fix the syntax"
     );
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,8 @@
-//! What every process of this product uses of the network and the clock: connecting from a given address, listening,
-//! clocks, a notifier between tasks and a timer for the next deadline. It decides nothing.
+//! Network and time primitives shared by the processes of this project: TCP connections from a given local address, TCP
+//! listeners, clocks, a notifier between tasks and a timer for the earliest of several deadlines. The crate contains no
+//! decision logic.
 //!
-//! Begin reading at [`connect`] and [`listen`]; then [`Clock`], [`Notifier`], [`DeadlineTimer`].
+//! Start reading at [`connect`] and [`listen`]; then [`Clock`], [`Notifier`], [`DeadlineTimer`].
 #![warn(missing_docs)]
 
 mod clock;
--- a/crates/net/src/notifier.rs
+++ b/crates/net/src/notifier.rs
@@ -1,8 +1,9 @@
-//! Wakes one task from another.
+//! [`Notifier`]: wakes one task from another.
 
 use smol::channel::{Receiver, Sender, bounded};
 
-/// Notifies a waiting task. Notifications that nobody waited for yet are merged into one. Clones share it.
+/// Notifies a waiting task. Notifications that arrive while no task waits are merged into one, which the next waiting
+/// task receives. Clones of a notifier share its state.
 #[derive(Clone, Debug)]
 pub struct Notifier {
     sender: Sender<()>,
@@ -17,13 +18,13 @@
 }
 
 impl Notifier {
-    /// Wakes the task that waits, or else the next one that does.
+    /// Wakes one waiting task, or the next task that waits if there is none.
     pub fn notify(&self) {
-        // A full channel holds a notification that nobody has taken yet.
+        // If the channel is full, a notification is pending already.
         let _ = self.sender.try_send(());
     }
 
-    /// Waits for a notification and takes it: of several waiting tasks one is woken.
+    /// Waits for a notification and consumes it. If several tasks wait, one of them is woken.
     pub async fn notified(&self) {
         let _ = self.receiver.recv().await;
     }
--- a/crates/net/src/tcp.rs
+++ b/crates/net/src/tcp.rs
@@ -13,43 +13,47 @@
 /// A TCP connection.
 pub type Stream = Async<TcpStream>;
 
-/// `EINPROGRESS` on Linux: a non-blocking connect has begun.
-const IN_PROGRESS: i32 = 115;
-/// Connections that wait to be accepted. Symptom: a thousand clients connect at once, and those beyond the system's
-/// short default retry only a second later.
-const BACKLOG: i32 = 4096;
+/// `EINPROGRESS` on Linux: a non-blocking connect has been started and is not complete yet.
+const EINPROGRESS: i32 = 115;
+/// Most connections that may wait to be accepted. The system's default is short: when a thousand clients connect at
+/// once, the connections above it are dropped, and their clients retry only a second later.
+const LISTEN_BACKLOG: i32 = 4096;
 
 /// Listens at an address.
-pub fn listen(at: SocketAddr) -> io::Result<Async<TcpListener>> {
-    let socket = tcp_socket(at)?;
-    // A router that restarts binds its address again while its old connections are still in TIME_WAIT.
+pub fn listen(address: SocketAddr) -> io::Result<Async<TcpListener>> {
+    let socket = tcp_socket(address)?;
+    // A restarted router must be able to bind its address while its previous connections are still in TIME_WAIT.
     socket.set_reuse_address(true)?;
-    socket.bind(&at.into())?;
-    socket.listen(BACKLOG)?;
+    socket.bind(&address.into())?;
+    socket.listen(LISTEN_BACKLOG)?;
     Async::new(TcpListener::from(socket))
 }
 
-/// Connects to an address, from the given local one if that is of the same family. After `timeout` the error is
-/// [`io::ErrorKind::TimedOut`].
-pub async fn connect(to: SocketAddr, from: Option<IpAddr>, timeout: Micros) -> io::Result<Stream> {
+/// Connects to `remote`, from the address `local` if there is one of the same address family. After `timeout`
+/// microseconds without a connection, the error is [`io::ErrorKind::TimedOut`].
+pub async fn connect(
+    remote: SocketAddr,
+    local: Option<IpAddr>,
+    timeout: Micros,
+) -> io::Result<Stream> {
     let timed_out = async {
         Timer::after(duration_from_micros(timeout)).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    connect_from(to, from).or(timed_out).await
+    connect_from(remote, local).or(timed_out).await
 }
 
-async fn connect_from(to: SocketAddr, from: Option<IpAddr>) -> io::Result<Stream> {
-    let socket = tcp_socket(to)?;
+async fn connect_from(remote: SocketAddr, local: Option<IpAddr>) -> io::Result<Stream> {
+    let socket = tcp_socket(remote)?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
-    if let Some(from) = from.filter(|from| from.is_ipv4() == to.is_ipv4()) {
-        socket.bind(&SocketAddr::new(from, 0).into())?;
+    if let Some(local) = local.filter(|local| local.is_ipv4() == remote.is_ipv4()) {
+        socket.bind(&SocketAddr::new(local, 0).into())?;
     }
-    match socket.connect(&to.into()) {
+    match socket.connect(&remote.into()) {
         Ok(()) => {}
         Err(e)
-            if e.raw_os_error() == Some(IN_PROGRESS) || e.kind() == io::ErrorKind::WouldBlock => {}
+            if e.raw_os_error() == Some(EINPROGRESS) || e.kind() == io::ErrorKind::WouldBlock => {}
         Err(e) => return Err(e),
     }
     let stream = Async::new_nonblocking(TcpStream::from(socket))?;
@@ -60,7 +64,7 @@
     }
 }
 
-/// A TCP socket of the address's family.
+/// Creates a TCP socket for the family of this address.
 fn tcp_socket(address: SocketAddr) -> io::Result<Socket> {
     let domain = if address.is_ipv4() {
         Domain::IPV4
--- a/crates/net/src/timer.rs
+++ b/crates/net/src/timer.rs
@@ -1,4 +1,4 @@
-//! A timer for the next of many deadlines.
+//! [`DeadlineTimer`]: a timer for the earliest of several deadlines.
 
 use std::cell::Cell;
 
@@ -9,33 +9,34 @@
 use crate::clock::Clock;
 use crate::notifier::Notifier;
 
-/// Elapses at the earliest deadline that it was set to, also if that is set while a task waits.
+/// Elapses at the earliest deadline that was set, even if that deadline is set while a task already waits.
 #[derive(Debug)]
 pub struct DeadlineTimer {
-    /// [`Micros::MAX`] if none is set.
+    /// The earliest deadline on the clock's scale, in microseconds; [`Micros::MAX`] if none is set.
     deadline: Cell<Micros>,
-    deadline_moved: Notifier,
+    /// Notified when an earlier deadline is set, so that a waiting task starts its wait anew.
+    deadline_changed: Notifier,
 }
 
 impl Default for DeadlineTimer {
     fn default() -> Self {
         DeadlineTimer {
             deadline: Cell::new(Micros::MAX),
-            deadline_moved: Notifier::default(),
+            deadline_changed: Notifier::default(),
         }
     }
 }
 
 impl DeadlineTimer {
-    /// Sets a deadline; a later one than that already set is ignored.
+    /// Sets a deadline, in microseconds on the clock's scale. A deadline later than the current one is ignored.
     pub fn set_deadline(&self, deadline: Micros) {
         if deadline < self.deadline.get() {
             self.deadline.set(deadline);
-            self.deadline_moved.notify();
+            self.deadline_changed.notify();
         }
     }
 
-    /// Waits for the deadline and clears it.
+    /// Waits until the deadline has passed, then clears it.
     pub async fn elapsed(&self, clock: &Clock) {
         loop {
             let deadline = self.deadline.get();
@@ -49,7 +50,7 @@
                 true
             };
             let moved = async {
-                self.deadline_moved.notified().await;
+                self.deadline_changed.notified().await;
                 false
             };
             if elapsed.or(moved).await {
--- a/crates/startup/src/error.rs
+++ b/crates/startup/src/error.rs
@@ -1,50 +1,50 @@
-//! Why settings are rejected.
+//! [`SettingsError`]: the reasons for which settings are rejected.
 
 use cedarpulley_errors::Remedy;
 use thiserror::Error;
 
-/// Why settings are rejected.
+/// The reason for which settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// The nested form is no JSON object.
-    #[error("the settings are no object")]
+    /// The nested form is not a JSON object.
+    #[error("the settings are not a JSON object")]
     NotAnObject,
-    /// A pair without `=`.
+    /// A pair has no `=`.
     #[error("setting '{part}' has no =")]
     NotAPair {
-        /// The text that was given.
+        /// The text of the pair.
         part: String,
     },
-    /// A setting is nested deeper than any that is known.
-    #[error("setting {path} lies too deep")]
+    /// A setting is nested more deeply than any known setting.
+    #[error("setting {path} is nested too deeply")]
     TooDeep {
-        /// Its path.
+        /// The setting's path.
         path: String,
     },
-    /// A value of another type than the setting's.
+    /// A value does not have the type of its setting.
     #[error("setting {path}={value} is not {expected}")]
     WrongType {
         /// The setting's path.
         path: String,
-        /// The value that was given.
+        /// The value given.
         value: String,
-        /// What it should have been.
+        /// The type that is expected.
         expected: &'static str,
     },
-    /// A value that is none of those the setting can have.
-    #[error("setting {path}={value} is a word that has no meaning here")]
+    /// A value is not among the values that its setting can have.
+    #[error("setting {path}={value} is not one of the known values")]
     UnknownValue {
         /// The setting's path.
         path: String,
-        /// The value that was given.
+        /// The value given.
         value: String,
     },
-    /// A list's length is no whole number, or more than was given.
-    #[error("setting {path}={value} does not fit the settings that were given")]
+    /// The length of a list is negative, is not a whole number, or exceeds the number of all settings given.
+    #[error("setting {path}={value} is not a valid list length")]
     InvalidCount {
-        /// The path of the length.
+        /// The path of the setting that gives the length.
         path: String,
-        /// The length that was given.
+        /// The length given.
         value: String,
     },
 }
@@ -54,18 +54,18 @@
         match self {
             SettingsError::NotAnObject => "give the settings as one JSON object",
             SettingsError::NotAPair { .. } => {
-                "give each setting as PATH=VALUE, set apart by blanks"
-            }
-            SettingsError::TooDeep { .. } => {
-                "take it out: no setting that counts here nests so deep"
+                "give each setting as PATH=VALUE, separated by spaces"
             }
+            SettingsError::TooDeep { .. } => "remove it: no known setting is nested that deeply",
             SettingsError::WrongType { .. } => {
-                "give it what the cause names; times are whole nanoseconds, flags true or false"
+                "give a value of that type; times are whole nanoseconds, flags are true or false"
             }
             SettingsError::UnknownValue { .. } => {
-                "give one of the words that this build knows, or run a newer build"
+                "use a value that this build supports, or run a newer build"
+            }
+            SettingsError::InvalidCount { .. } => {
+                "set the length to the number of entries in the list"
             }
-            SettingsError::InvalidCount { .. } => "give as many entries as the count says",
         }
     }
 }
--- a/crates/startup/src/names.rs
+++ b/crates/startup/src/names.rs
@@ -1,26 +1,26 @@
-//! Names of trigger types, accounts, zones and machine kinds, and their indices.
+//! [`Names`]: the names of trigger types, accounts, zones and machine kinds, and their indices.
 
-/// Names used in protocols and settings. A name's place in its list is the index that the policy module uses.
+/// Names used in protocols and settings. The position of a name in its list is the index that the balancer uses.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Of trigger types.
+    /// Names of the trigger types.
     pub triggers: Vec<String>,
-    /// Of accounts; if empty, there is one account without a name.
+    /// Names of the accounts. If the list is empty, there is one account, which has no name.
     pub accounts: Vec<String>,
-    /// Of zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Of machine kinds.
+    /// Names of the kinds of machines.
     pub machine_kinds: Vec<String>,
 }
 
 impl Names {
-    /// The index of a trigger type; none if there is none of this name.
+    /// The index of a trigger type; `None` if no trigger type has this name.
     pub fn trigger_index(&self, name: &str) -> Option<u32> {
         index_of(&self.triggers, name)
     }
 
-    /// The index of an account: the first one without a name or where no accounts are named; none if there is none of
-    /// this name.
+    /// The index of an account; `None` if no account has this name. Without a name, or if no accounts are listed, it is
+    /// that of the first account.
     pub fn account_index(&self, name: Option<&str>) -> Option<u32> {
         match name {
             None => Some(0),
--- a/crates/startup/src/raw_settings.rs
+++ b/crates/startup/src/raw_settings.rs
@@ -1,4 +1,4 @@
-//! Settings as given, before their meaning: pairs of path and value, or nested JSON.
+//! [`RawSettings`]: settings as given, in pairs of path and value or in nested JSON, before they are converted to types.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -8,27 +8,28 @@
 
 use crate::error::{Result, SettingsError, wrong_type};
 
-/// No setting is nested as deep as this.
+/// Nesting depth of JSON from which settings are rejected; all known settings are nested less deeply.
 const MAX_DEPTH: usize = 16;
 const NANOS_PER_MICRO: i64 = 1_000;
 
-/// Nanoseconds, as outside this product, in whole microseconds, rounded down.
+/// Converts nanoseconds, the unit of times in settings, to whole microseconds, rounded down.
 pub fn micros_from_nanos(nanos: i64) -> Micros {
     nanos.div_euclid(NANOS_PER_MICRO)
 }
 
-/// Settings as given: each value under its path, as in `services.0.aim`. A list of objects has its length under `.count`.
+/// Settings as given: each value under its path, such as `services.0.aim`. The length of a list of objects is the value
+/// at the path of the list followed by `.count`.
 #[derive(Debug, Default)]
 pub struct RawSettings<'a> {
-    /// By path. None: given as absent, which pairs write as `-` and JSON as null.
+    /// The values by path. `None`: the setting is given as absent, which is `-` in pairs and null in JSON.
     values: HashMap<Cow<'a, str>, Option<Cow<'a, str>>>,
-    /// Lists of plain values in the nested form, by path. Their values may contain commas, so that joined as in pairs
-    /// they could not be separated again.
+    /// Lists of plain values in nested JSON, by path. Their values may contain commas, so they could not be separated
+    /// again after being joined with commas as in pairs.
     lists: HashMap<String, Vec<String>>,
 }
 
 impl<'a> RawSettings<'a> {
-    /// Reads pairs `path=value` separated by blanks.
+    /// Reads pairs `path=value` that are separated by spaces.
     pub fn from_pairs(text: &'a str) -> Result<Self> {
         let mut values = HashMap::new();
         for part in text.split(' ').filter(|p| !p.is_empty()) {
@@ -56,6 +57,7 @@
         Ok(raw)
     }
 
+    /// Adds the values of a JSON value at `path`, and those of everything nested in it.
     fn flatten(&mut self, path: String, value: &Value, depth: usize) -> Result<()> {
         if depth >= MAX_DEPTH {
             return Err(SettingsError::TooDeep { path });
@@ -84,7 +86,7 @@
             }
             Value::Array(items) => {
                 let items: Vec<String> = items.iter().map(plain_text).collect();
-                // A setting of one value finds the joined list, and rejects it.
+                // A setting that expects a single value reads the joined list, and rejects it.
                 self.values
                     .insert(path.clone().into(), Some(items.join(",").into()));
                 self.lists.insert(path, items);
@@ -98,12 +100,12 @@
         Ok(())
     }
 
-    /// The value at a path; none if it is absent.
+    /// The value at a path; `None` if it is absent.
     pub fn text(&self, path: &str) -> Option<&str> {
         self.values.get(path)?.as_deref()
     }
 
-    /// The values of a list of plain values; empty if it is absent.
+    /// The values of a list of plain values; empty if the list is absent.
     pub fn list(&self, path: &str) -> impl Iterator<Item = &str> {
         let from_json = self.lists.get(path);
         let joined = self.text(path).filter(|_| from_json.is_none());
@@ -118,7 +120,7 @@
             .chain(joined)
     }
 
-    /// A finite number, or `default` if it is absent.
+    /// The finite number at a path, or `default` if it is absent.
     pub fn number(&self, path: &str, default: f64) -> Result<f64> {
         match self.text(path) {
             None => Ok(default),
@@ -129,28 +131,30 @@
         }
     }
 
-    /// A time in microseconds, given in whole nanoseconds, or `default` if it is absent.
+    /// The time at a path, or `default` if it is absent. Settings have times in whole nanoseconds; the result and
+    /// `default` are in microseconds.
     pub fn time(&self, path: &str, default: Micros) -> Result<Micros> {
         match self.text(path) {
             None => Ok(default),
             Some(value) => value
                 .parse::<i64>()
                 .map(micros_from_nanos)
-                .map_err(|_| wrong_type(path, value, "a time")),
+                .map_err(|_| wrong_type(path, value, "a time in whole nanoseconds")),
         }
     }
 
-    /// A flag, or `default` if it is absent.
+    /// The flag at a path, or `default` if it is absent.
     pub fn flag(&self, path: &str, default: bool) -> Result<bool> {
         match self.text(path) {
             None => Ok(default),
             Some("true" | "1") => Ok(true),
             Some("false" | "0") => Ok(false),
-            Some(value) => Err(wrong_type(path, value, "a bool")),
+            Some(value) => Err(wrong_type(path, value, "true or false")),
         }
     }
 
-    /// The length of a list of objects; 0 if it is absent. More than there are settings is an error.
+    /// The length of a list of objects; 0 if the list is absent. A length above the number of all settings is an error:
+    /// it cannot be the length of a list among them.
     pub fn count(&self, list: &str) -> Result<usize> {
         let length = self.number(&format!("{list}.count"), 0.0)?;
         if length < 0.0 || length.fract() != 0.0 || length > self.values.len() as f64 {
@@ -163,6 +167,7 @@
     }
 }
 
+/// The text that a plain JSON value has in pairs.
 fn plain_text(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
--- a/crates/startup/src/report_field.rs
+++ b/crates/startup/src/report_field.rs
@@ -1,28 +1,28 @@
-//! The values of a worker's load report that a site uses.
+//! [`ReportField`]: the fields of workers' load reports that a site uses.
 
 use cedarpulley::interface::LoadReport;
 
 use crate::raw_settings::RawSettings;
 
-/// One value of a load report.
+/// One field of a load report, by its name in settings and protocols.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
     /// `rif`: invocations in flight.
     InFlight,
     /// `q`: invocations queued.
     Queued,
-    /// `busy`: fraction of the cores in use.
+    /// `busy`: fraction of the cores that are in use.
     Utilization,
     /// `x1`: loads of copies in progress.
     LoadsInProgress,
-    /// `x0`: fraction of the memory that cannot be freed.
+    /// `x0`: fraction of the memory that is in use and cannot be freed.
     MemoryFraction,
     /// Any other name; its value is ignored.
     Other,
 }
 
 impl ReportField {
-    /// The fields that the settings list, in that order.
+    /// The fields that the setting `stats.fields` lists, in that order.
     pub fn from_settings(raw: &RawSettings) -> Vec<Self> {
         raw.list("stats.fields").map(Self::from_name).collect()
     }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Sets the value of this name in the report if it is one of the listed `fields`.
+    /// Sets the field called `name` in the report if it is one of the listed `fields`; otherwise ignores the value.
     pub fn set_in_report(report: &mut LoadReport, fields: &[Self], name: &str, value: f64) {
         let field = Self::from_name(name);
         let reported = match field {
--- a/crates/startup/src/startup_settings.rs
+++ b/crates/startup/src/startup_settings.rs
@@ -1,5 +1,5 @@
-//! What the policy module starts with, read from [`RawSettings`]. The names and units of the settings are those of the
-//! simulator and of the platform.
+//! [`StartupSettings`]: the settings that the balancer starts with, converted from [`RawSettings`]. The simulator and the
+//! platform use the same names and units for them.
 
 use cedarpulley::Balancer;
 use cedarpulley::interface::{
@@ -10,32 +10,33 @@
 use crate::error::{Result, unknown_value, wrong_type};
 use crate::raw_settings::RawSettings;
 
-/// In effect an unlimited time, for rules that a site leaves out; small enough to be added up without overflow.
-const UNLIMITED: Micros = i64::MAX / 8;
+/// A time, in microseconds, that is in effect unlimited, for rules that a site does not set. It is small enough for
+/// several such times to be added without overflow.
+const UNLIMITED_TIME: Micros = i64::MAX / 8;
 
-/// What the policy module starts with.
+/// The settings that the balancer starts with.
 #[derive(Clone, Debug)]
 pub struct StartupSettings {
-    /// This router's place among all routers.
+    /// This router's position among all routers.
     pub fleet: FleetPosition,
-    /// Which attempts are allowed.
+    /// The attempts that are allowed.
     pub limits: DispatchLimits,
-    /// Times and fractions of the site's rules.
+    /// The times and fractions in the site's rules.
     pub rules: RuleLimits,
-    /// Trigger types, by index.
+    /// The trigger types, by index.
     pub triggers: Vec<TriggerType>,
-    /// Accounts, by index; may be empty.
+    /// The accounts, by index; may be empty.
     pub accounts: Vec<Account>,
     /// How copies of functions are loaded.
     pub loads: LoadSettings,
     /// Costs of the actions that a site charges for.
     pub prices: Prices,
-    /// Where load reports come from.
+    /// The source of load reports.
     pub reports: ReportSource,
 }
 
 impl StartupSettings {
-    /// A policy module with these settings; `seed` is that of its random draws.
+    /// Creates a balancer with these settings; `seed` seeds its random number generator.
     pub fn balancer(&self, seed: u64) -> Balancer {
         Balancer::new(
             seed,
@@ -50,7 +51,7 @@
         )
     }
 
-    /// Reads the settings; the error is that of the first wrong one.
+    /// Converts raw settings; the error describes the first invalid setting.
     pub fn read(raw: &RawSettings) -> Result<Self> {
         let fleet = fleet_position(raw)?;
         let limits = dispatch_limits(raw)?;
@@ -101,7 +102,7 @@
     Ok(RuleLimits {
         answer_slack: raw.time("rules.answerSlack", 0)?,
         drain_grace: raw.time("rules.stopSendingWithin", 0)?,
-        list_request_timeout: raw.time("rules.askWithin", UNLIMITED)?,
+        list_request_timeout: raw.time("rules.askWithin", UNLIMITED_TIME)?,
         list_on_request: match raw.text("discovery") {
             Some("on_request") => true,
             Some("pushed") | None => false,
@@ -122,7 +123,7 @@
         Some("cell") => DeduplicationScope::Cell,
         Some(value) => return Err(unknown_value(&key("keyScope"), value)),
     };
-    let client_timeout = raw.time(&key("hardLimit"), UNLIMITED)?;
+    let client_timeout = raw.time(&key("hardLimit"), UNLIMITED_TIME)?;
     Ok(TriggerType {
         effect: match raw.text(&key("effect")) {
             Some("retryable") => Effect::Idempotent,
@@ -133,8 +134,9 @@
             Some("fragile") | None => Effect::NonIdempotent,
             Some(value) => return Err(unknown_value(&key("effect"), value)),
         },
-        // Without an objective an answer is in time until the client gives up. It must not be unlimited: the module
-        // first takes an invocation's work to be a part of it, and rejects what cannot be in time.
+        // Without an objective, an answer is in time until the client timeout. An unlimited objective would be wrong:
+        // the balancer's first estimate of an invocation's work is a fraction of the objective, and the balancer
+        // rejects invocations that cannot be answered in time.
         latency_objective: raw.time(&key("aim"), client_timeout)?,
         objective_work_multiple: raw.number(&key("aimStretch"), 0.0)?,
         client_timeout,
@@ -167,8 +169,8 @@
             Some("miss") => false,
             Some(value) => return Err(unknown_value("familyInfo.whenAbsent", value)),
         },
-        // Without a timeout of its own, an order to load gets the longest client timeout. With 0 it would time out
-        // at once, and the worker would be held responsible.
+        // Without a configured timeout, load orders have the longest client timeout. With a timeout of 0, each of them
+        // would time out at once, and the balancer would count that as a failure of the worker.
         order_timeout: raw.time("familyInfo.answerWithin", longest_client_timeout(triggers))?,
         order_quota_window: raw.time("familyInfo.loadWindow", 0)?,
         order_quota_base: raw.number("familyInfo.freeLoads", 0.0)?,
@@ -204,5 +206,5 @@
         .iter()
         .map(|trigger| trigger.client_timeout)
         .max()
-        .unwrap_or(UNLIMITED)
+        .unwrap_or(UNLIMITED_TIME)
 }
--- a/crates/startup/tests/settings.rs
+++ b/crates/startup/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings with unusual names and values, in both forms.
+//! Tests how settings with unusual names and values are read, in pairs and in JSON.
 
 use cedarpulley::interface::{
     Action, Arrival, Endpoint, EndpointListKind, EndpointState, Event, Micros,
@@ -10,10 +10,10 @@
 
 fn read(settings: &Value) -> StartupSettings {
     let raw = RawSettings::from_json(settings).expect("an object");
-    StartupSettings::read(&raw).expect("good settings")
+    StartupSettings::read(&raw).expect("valid settings")
 }
 
-/// The policy module's actions for one worker in service and one invocation of the first trigger type.
+/// The balancer's actions for one worker in service and one invocation of the first trigger type.
 fn first_actions(settings: &StartupSettings, client_timeout: Micros) -> Vec<Action> {
     let mut balancer = settings.balancer(1);
     let worker = Endpoint {
@@ -54,7 +54,8 @@
     actions
 }
 
-/// Symptom: a zone named `hall a, north` counts as two, and every zone after it has the wrong place in the list.
+/// Guards against splitting list values at commas: a zone named `hall a, north` would count as two zones, and every
+/// zone after it would have a wrong index.
 #[test]
 fn a_list_value_may_contain_a_comma() {
     let settings = json!({"zones": ["hall a, north", "", "hall b"], "kinds": []});
@@ -66,7 +67,7 @@
     assert_eq!(raw.list("kinds").count() + raw.list("absent").count(), 0);
 }
 
-/// Values in pairs contain no commas themselves.
+/// In pairs, the values of a list are joined by commas and cannot contain commas themselves.
 #[test]
 fn lists_in_pairs_are_separated_by_commas() {
     let raw = RawSettings::from_pairs("zones=a,b_c kinds=").expect("pairs");
@@ -74,8 +75,8 @@
     assert_eq!(raw.list("kinds").count(), 0);
 }
 
-/// Symptom: without an objective the module takes the work of a trigger type to be unlimited and rejects each invocation
-/// at once.
+/// Guards against an unlimited default objective: the balancer would estimate the work of the trigger type as unlimited,
+/// and reject each invocation at once.
 #[test]
 fn a_trigger_type_without_a_latency_objective_is_dispatched() {
     let service =
@@ -97,7 +98,7 @@
     assert_eq!(settings.triggers[0].latency_objective, 2 * SECOND);
 }
 
-/// Symptom: without a timeout of its own each order to load times out as soon as it is sent.
+/// Guards against a default timeout of 0, with which each load order would time out as soon as it is sent.
 #[test]
 fn a_load_order_defaults_to_the_longest_client_timeout() {
     let service = |limit: i64| json!({"name": "run", "hardLimit": limit, "aim": 300_000_000});
@@ -108,9 +109,10 @@
     assert_eq!(read(&named).loads.order_timeout, 7 * SECOND);
 }
 
-/// Symptom: a tenant is called `-`, and the router does not start, as its name is missing.
+/// Guards against reading `-` in JSON as absence: with a tenant called `-`, the router would not start, because
+/// the tenant's name would seem to be missing.
 #[test]
-fn a_hyphen_is_absence_in_pairs_and_a_value_in_json() {
+fn a_hyphen_means_absent_in_pairs_and_is_a_value_in_json() {
     let settings = json!({"orgs": [{"name": "-", "share": null}]});
     let raw = RawSettings::from_json(&settings).expect("an object");
     assert_eq!(raw.text("orgs.0.name"), Some("-"));
@@ -118,7 +120,7 @@
         (raw.text("orgs.0.share"), raw.text("orgs.1.name")),
         (None, None)
     );
-    // In pairs it means that the value is absent.
+    // In pairs, a hyphen means that the value is absent.
     assert_eq!(
         RawSettings::from_pairs("orgs.0.name=-")
             .expect("pairs")
@@ -127,13 +129,13 @@
     );
 }
 
-/// Symptom: a list where one value is expected is ignored as if it were absent.
+/// Guards against ignoring a list where a single value is expected, as if the setting were absent.
 #[test]
 fn a_list_where_one_value_is_expected_is_rejected() {
     for aim in [json!([1, 2]), json!([])] {
         let raw = json!({"services": [{"name": "run", "aim": aim}]});
         let raw = RawSettings::from_json(&raw).expect("an object");
-        let error = StartupSettings::read(&raw).expect_err("no time");
+        let error = StartupSettings::read(&raw).expect_err("a list is not a time");
         assert!(error.to_string().contains("services.0.aim"), "{error}");
     }
 }
