--- a/crates/errors/src/lib.rs
+++ b/crates/errors/src/lib.rs
@@ -1,6 +1,6 @@
 //! The trait [`Remedy`], which the error types of all packages implement: [`Remedy::remedy`] says what an operator can
-//! do about an error, and [`Remedy::line`] formats its causes and its remedy on one line. Each package has its own error
-//! enum; `docs/operate/errors.md` lists all of them.
+//! do about an error, and [`Remedy::line`] formats its causes and its remedy on one line. Each package has its own
+//! error enum; `docs/operate/errors.md` lists all of them.
 #![warn(missing_docs)]
 
 use std::error::Error;
--- a/crates/platform-node/src/client_connections/accept.rs
+++ b/crates/platform-node/src/client_connections/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections.
+//! Accepts the connections of clients.
 
 use std::io::ErrorKind;
 use std::net::TcpListener;
@@ -10,21 +10,22 @@
 
 use crate::node::Node;
 
-/// After a failure to accept, usually for want of descriptors, before the next try.
+/// Pause after a failure to accept a connection, before the next attempt. The usual cause is a lack of file
+/// descriptors.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Accepts connections for as long as the router runs.
+/// Accepts connections while the router runs.
 pub(crate) async fn accept_clients(node: Rc<Node>, listener: Rc<Async<TcpListener>>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 if !node.clients.has_capacity(&node) {
-                    // A burst was accepted before any of it was served. Those that get their answer at once free
-                    // their connections.
+                    // A burst of connections may have been accepted before any of them was served. The other tasks run
+                    // first: connections whose requests are answered at once make room for this one.
                     yield_now().await;
                 }
                 if node.clients.admit(&node, stream) {
-                    // The evicted connection's descriptor is free again before the next one is accepted.
+                    // The evicted connection closes its descriptor before the next connection is accepted.
                     yield_now().await;
                 }
             }
@@ -36,7 +37,7 @@
     }
 }
 
-/// Accepts every connection in the listener's backlog; false if some had to be left there.
+/// Accepts all connections in the listener's backlog; returns false if an error left some of them there.
 pub(crate) fn accept_backlog(node: &Rc<Node>, listener: &Async<TcpListener>) -> bool {
     loop {
         let accepted = listener
--- a/crates/platform-node/src/client_connections/connection.rs
+++ b/crates/platform-node/src/client_connections/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: its bytes, its requests, and its answer on the way back.
+//! [`ClientConnection`]: a connection of a client, with the requests read from it and the answer to be written.
 
 use std::cell::{Cell, RefCell};
 use std::io::{ErrorKind, Write};
@@ -13,22 +13,23 @@
 use crate::node::Node;
 use crate::read_buffer::ReadResult;
 
-/// Reads in a row: a client that never stops sending delays others no longer than that.
+/// Most reads in a row. The limit bounds the delay that a client causes to others by sending without a pause.
 const MAX_READS: usize = 4;
 
-/// Why a connection has to end although its client has not closed it.
+/// The reason for which this router ends a connection that its client has not closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// Its descriptor is needed at once.
+    /// Another connection needs its descriptor at once.
     Evicted,
-    /// It is overdue, or the router shuts down.
+    /// A time limit of the connection has passed, or the router is shutting down.
     TimedOut,
 }
 
+/// A connection of a client. One task serves it; the other tasks wake that task.
 pub(super) struct ClientConnection {
     id: ClientId,
     stream: Stream,
-    /// Rung when an answer has arrived, the client has disconnected, or the connection has to end.
+    /// Notified when an answer has arrived, the client has disconnected, or the connection has to end.
     wake: Notifier,
     answer: RefCell<Option<Answer>>,
     disconnected: Cell<bool>,
@@ -53,43 +54,44 @@
         self.id
     }
 
-    /// Has the connection's task look at the connection again.
+    /// Wakes the connection's task, which then checks the state of the connection.
     pub fn wake(&self) {
         self.wake.notify();
     }
 
-    /// Has the connection's task end the connection.
-    pub fn end(&self, reason: CloseReason) {
+    /// Requests that the connection's task end the connection.
+    pub fn request_close(&self, reason: CloseReason) {
         self.close_reason.set(Some(reason));
         self.wake();
     }
 
-    /// Why the connection has to end, if it has to.
+    /// The reason for which the connection has to end; `None` if it may stay open.
     pub fn close_reason(&self) -> Option<CloseReason> {
         self.close_reason.get()
     }
 
-    /// The connection has to end no longer.
+    /// Withdraws the request to end the connection.
     pub fn clear_close_reason(&self) {
         self.close_reason.set(None);
     }
 
-    /// The answer to the pending request, for the connection's task.
+    /// Stores the answer to the pending request, and wakes the connection's task.
     pub fn deliver(&self, answer: Answer) {
         self.answer.replace(Some(answer));
         self.wake();
     }
 
+    /// Takes the answer to the pending request; `None` if there is none yet.
     pub fn take_answer(&self) -> Option<Answer> {
         self.answer.take()
     }
 
-    /// Whether the client has closed its side, or the connection has failed, as far as it has been read.
+    /// Whether a read has shown that the client closed its sending side, or that the connection failed.
     pub fn is_disconnected(&self) -> bool {
         self.disconnected.get()
     }
 
-    /// Waits until there is something to read, or the connection is woken.
+    /// Waits until the connection is readable or its task is woken.
     pub async fn wait(&self) {
         let readable = async {
             let _ = self.stream.readable().await;
@@ -97,19 +99,20 @@
         self.wake.notified().or(readable).await;
     }
 
-    /// Reads all that has arrived, so that a disconnection is seen together with what the client sent before.
+    /// Reads what has arrived, in at most [`MAX_READS`] reads, so that a disconnection is detected together with the
+    /// bytes that the client sent before it.
     pub fn read_available(&self, node: &Node) {
         let arrived = node.arrival_time();
         for _ in 0..MAX_READS {
             if self.disconnected.get() {
                 return;
             }
-            let put = |bytes: &[u8]| {
+            let add_bytes = |bytes: &[u8]| {
                 self.requests
                     .borrow_mut()
                     .put(arrived, bytes, node.clients.rules())
             };
-            match node.read(&self.stream, put) {
+            match node.read(&self.stream, add_bytes) {
                 ReadResult::Bytes(()) => {}
                 ReadResult::Nothing => return,
                 ReadResult::Ended => self.disconnected.set(true),
@@ -117,12 +120,12 @@
         }
     }
 
-    /// Reads once and discards what arrived; the number of bytes.
+    /// Reads once and discards the bytes; returns their number.
     pub fn discard_available(&self, node: &Node) -> ReadResult<usize> {
         node.read(&self.stream, <[u8]>::len)
     }
 
-    /// Whether bytes are unread in the kernel's buffer, or a complete request is read and not yet served.
+    /// Whether the kernel's buffer contains unread bytes, or a complete request has been read and not served yet.
     pub fn has_unserved_input(&self) -> bool {
         let in_kernel = || {
             let peeked = self.stream.get_ref().peek(&mut [0]);
@@ -131,21 +134,22 @@
         self.has_request() || in_kernel()
     }
 
-    /// Whether a complete request is read and not yet served.
+    /// Whether a complete request has been read and not served yet.
     pub fn has_request(&self) -> bool {
         self.requests.borrow().has_request()
     }
 
-    /// Whether a request is read in part.
+    /// Whether a request has been read in part.
     pub fn is_receiving(&self) -> bool {
         self.requests.borrow().is_receiving()
     }
 
+    /// Takes the next request that has been read and not served yet.
     pub fn take_request(&self) -> Option<QueuedRequest> {
         self.requests.borrow_mut().take()
     }
 
-    /// Writes all bytes; false if the client has disconnected, or the connection has to end before the kernel has room.
+    /// Writes all bytes. Returns false if the connection has failed, or has to end while the kernel's buffer is full.
     pub async fn write(&self, mut bytes: &[u8]) -> bool {
         while !bytes.is_empty() {
             match self.stream.get_ref().write(bytes) {
@@ -166,7 +170,7 @@
         true
     }
 
-    /// Tells the client that nothing more will be sent; false if the connection has failed.
+    /// Closes the sending side of the connection; returns false if the connection has failed.
     pub fn shut_down_writing(&self) -> bool {
         self.stream.get_ref().shutdown(Shutdown::Write).is_ok()
     }
--- a/crates/platform-node/src/client_connections/mod.rs
+++ b/crates/platform-node/src/client_connections/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: one task for each reads requests, hands them to the core and writes the responses.
+//! Connections of clients. Each has a task that reads requests, passes them to the core and writes the responses.
 
 mod accept;
 mod connection;
@@ -21,20 +21,20 @@
 
 use crate::node::Node;
 
-/// What has happened to clients so far.
+/// Counts of connections and rejected requests, for the log.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientCounts {
-    /// Connections that are open now.
+    /// Number of connections that are open now.
     pub open: usize,
-    /// Connections that were closed to make room for others.
+    /// Number of connections that were closed to make room for others.
     pub evicted: u64,
-    /// Connections that were rejected because the table was full.
+    /// Number of connections that were rejected at the connection limit.
     pub rejected_connections: u64,
-    /// Requests that did not reach the core, by cause.
+    /// Number of requests that were rejected before they reached the core, by cause.
     pub rejected_requests: BTreeMap<RequestError, u64>,
 }
 
-/// All connections of clients and the requests that are pending on them.
+/// All connections of clients, and the pending requests on them.
 pub(crate) struct ClientConnections {
     rules: RequestRules,
     limiter: RefCell<ConnectionLimiter>,
@@ -58,7 +58,7 @@
         &self.rules
     }
 
-    /// Whether none of the tables that an output of the core may change is borrowed.
+    /// Whether none of the tables that outputs of the core may change is borrowed.
     pub fn is_unborrowed(&self) -> bool {
         self.pending.is_unborrowed() && self.limiter.try_borrow_mut().is_ok()
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether a request is unanswered or partly received, or bytes of one are unread in a kernel buffer.
+    /// Whether a request is unanswered or partly received, or a kernel buffer contains unread bytes.
     pub fn has_unfinished(&self) -> bool {
         let has_unserved_input = || {
             let connections = self.connections.borrow();
@@ -92,7 +92,8 @@
             .has_capacity(node.clock.now(), has_request)
     }
 
-    /// Takes a new connection, if only to reject it; true if another one has to close for it.
+    /// Starts the task of a new connection, which serves or rejects the connection. Returns true if another connection
+    /// is evicted to make room.
     pub fn admit(&self, node: &Rc<Node>, stream: Stream) -> bool {
         let _ = stream.get_ref().set_nodelay(true);
         let has_request = |id| self.has_request(node, id);
@@ -116,37 +117,39 @@
         let Some(evicted) = admission.evicts else {
             return false;
         };
-        self.end(evicted, CloseReason::Evicted);
+        self.request_close(evicted, CloseReason::Evicted);
         true
     }
 
-    /// The connection has ended.
+    /// Removes a connection that has ended.
     fn remove(&self, id: ClientId) {
         self.limiter.borrow_mut().closed(id);
         self.connections.borrow_mut().remove(&id);
     }
 
-    /// Whether a complete request of this client has arrived, read so far or not.
+    /// Whether a complete request has arrived on this connection; reads what is in the kernel's buffer first.
     fn has_request(&self, node: &Node, id: ClientId) -> bool {
         let Some(connection) = self.connections.borrow().get(&id).cloned() else {
             return false;
         };
         connection.read_available(node);
         if connection.has_request() || connection.is_disconnected() {
-            // Its own task waits for bytes that are read already.
+            // The connection's task waits for the connection to be readable, but its bytes have just been read here.
             connection.wake();
         }
         connection.has_request()
     }
 
-    fn end(&self, id: ClientId, reason: CloseReason) {
+    /// Requests that the connection's task end the connection.
+    fn request_close(&self, id: ClientId, reason: CloseReason) {
         if let Some(connection) = self.connections.borrow().get(&id) {
-            tracing::debug!(connection = id, ?reason, "client connection to be closed");
-            connection.end(reason);
+            tracing::debug!(connection = id, ?reason, "closing client connection");
+            connection.request_close(reason);
         }
     }
 
-    /// Closes overdue connections. A request that has arrived and is not read yet is served all the same.
+    /// Closes overdue connections, and in a shutdown those without a request. A connection with a request that has
+    /// arrived but is not read yet stays open, and the request is served.
     pub fn sweep(&self, node: &Node) {
         let now = node.clock.now();
         let has_request = |id| self.has_request(node, id);
@@ -156,10 +159,10 @@
         }
         ending
             .into_iter()
-            .for_each(|id| self.end(id, CloseReason::TimedOut));
+            .for_each(|id| self.request_close(id, CloseReason::TimedOut));
     }
 
-    /// Delivers the core's answer to the connection that waits for it, and acknowledges it to the core.
+    /// Delivers the core's answer to the connection of its request, and reports the delivery to the core.
     pub fn answer(&self, node: &Rc<Node>, delivery: Delivery, answer: Answer) {
         if let Some((id, connection)) = self.pending.remove(delivery.tag) {
             tracing::debug!(%id, outcome = ?answer.outcome, reason = ?answer.reason, "request answered");
@@ -168,8 +171,8 @@
         node.feed(Input::AnswerDelivered(delivery));
     }
 
-    /// Whether the client of this request has disconnected, asked right before an attempt is sent: the disconnection may
-    /// have arrived since this process last read. If so, the core is notified.
+    /// Whether the client of this request has disconnected; if so, the core is notified. This is checked right before
+    /// an attempt is sent, because the disconnection may have arrived since the last read from the connection.
     pub fn has_disconnected(&self, node: &Rc<Node>, request_id: &str) -> bool {
         let Some((tag, connection)) = self.pending.find(request_id) else {
             return true;
@@ -183,22 +186,24 @@
         true
     }
 
-    /// Notifies the core that nobody waits for the answer to a request, unless it has been answered.
+    /// Notifies the core that the client has disconnected from a request, unless the request has been answered.
     fn notify_departure(&self, node: &Rc<Node>, tag: Tag) {
         if let Some((id, _)) = self.pending.remove(tag) {
-            tracing::debug!(%id, "client left before its answer");
+            tracing::debug!(%id, "client disconnected before the answer");
             node.feed(Input::ClientLeft(delivery(tag)));
         }
     }
 
+    /// Counts a request that was rejected before it reached the core.
     fn count_rejection(&self, error: RequestError) {
-        tracing::debug!(?error, "request rejected before the core");
+        tracing::debug!(?error, "request rejected before reaching the router core");
         let mut rejected = self.rejected_requests.borrow_mut();
         *rejected.entry(error).or_default() += 1;
     }
 }
 
-/// By what the core knows a request: the platform has one front, which never restarts without its router.
+/// Identifies a request in the inputs and outputs of the core. The platform has a single front, which never restarts
+/// without its router, so that the front and its incarnation are always 0.
 fn delivery(tag: Tag) -> Delivery {
     Delivery {
         front: 0,
--- a/crates/platform-node/src/client_connections/pending.rs
+++ b/crates/platform-node/src/client_connections/pending.rs
@@ -1,4 +1,4 @@
-//! [`PendingRequests`]: the requests that were handed to the core and have no answer yet.
+//! [`PendingRequests`]: the requests that were passed to the core and have not been answered yet.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -7,15 +7,16 @@
 
 use super::connection::ClientConnection;
 
-/// Identifies a request towards the core; never used again.
+/// Identifies a request in the inputs and outputs of the core. Tags are never reused.
 pub(super) type Tag = u64;
 
+/// A request without an answer, and the connection on which it arrived.
 struct PendingRequest {
     connection: Rc<ClientConnection>,
     id: Arc<str>,
 }
 
-/// All pending requests, by tag and by the id that the client gave them.
+/// All pending requests, by their tags and by the ids that their clients gave them.
 #[derive(Default)]
 pub(super) struct PendingRequests {
     by_tag: RefCell<HashMap<Tag, PendingRequest>>,
@@ -40,14 +41,14 @@
         self.tags.borrow().contains_key(id)
     }
 
-    /// The pending request with this id: its tag, and the connection that waits for its answer.
+    /// The tag of the pending request with this id, and the connection on which its answer is sent.
     pub fn find(&self, id: &str) -> Option<(Tag, Rc<ClientConnection>)> {
         let tag = self.tags.borrow().get(id).copied()?;
         let connection = self.by_tag.borrow().get(&tag)?.connection.clone();
         Some((tag, connection))
     }
 
-    /// Removes a request, and returns its id and the connection that waits for its answer.
+    /// Removes a request, and returns its id and the connection on which its answer is sent.
     pub fn remove(&self, tag: Tag) -> Option<(Arc<str>, Rc<ClientConnection>)> {
         let pending = self.by_tag.borrow_mut().remove(&tag)?;
         self.tags.borrow_mut().remove(&pending.id);
--- a/crates/platform-node/src/client_connections/session.rs
+++ b/crates/platform-node/src/client_connections/session.rs
@@ -1,4 +1,4 @@
-//! [`Session`]: the task of one connection. It serves the connection's requests in order, until the connection ends.
+//! [`Session`]: the task of a client connection, which serves the requests on it in order until the connection ends.
 
 use std::cell::RefMut;
 use std::rc::Rc;
@@ -17,13 +17,14 @@
 use crate::node::Node;
 use crate::read_buffer::ReadResult;
 
-/// A response, and until when the client waits for it, if it has given a deadline.
+/// A response, and the deadline of its request if there is one, in microseconds of the router's clock.
 struct Reply {
     response: Response,
     deadline: Option<Micros>,
 }
 
 impl Reply {
+    /// A reply with an empty body and without a deadline. `close`: whether the connection is closed after it.
     fn bare(status: u16, close: bool) -> Self {
         Reply {
             response: Response::bare(status, close),
@@ -32,14 +33,14 @@
     }
 }
 
-/// Whether a connection goes on.
+/// Whether a connection stays open after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
     Open,
     Ended,
 }
 
-/// The task of one connection.
+/// The task of a client connection.
 pub(super) struct Session {
     node: Rc<Node>,
     connection: Rc<ClientConnection>,
@@ -62,12 +63,12 @@
         self.node.clock.now()
     }
 
-    /// Removes the connection from the tables; it closes when its last owner is dropped.
+    /// Removes the connection from the tables. Its socket is closed when the last reference to it is dropped.
     pub fn close(&self) {
         self.clients().remove(self.connection.id());
     }
 
-    /// Tells the client of a connection beyond the limit to retry elsewhere.
+    /// Rejects a connection above the connection limit, so that its client retries at another router.
     pub async fn reject_connection(&self) {
         self.respond(Reply::bare(STATUS_REJECTED, true)).await;
     }
@@ -81,7 +82,7 @@
                 if reason == CloseReason::Evicted || !connection.has_request() {
                     return self.reject_remaining(reason).await;
                 }
-                // A request arrived just when the connection became overdue: it is served.
+                // A request arrived at the moment when the connection became overdue, and is served.
                 connection.clear_close_reason();
             }
             if let Some(queued) = connection.take_request() {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// The connection has to end. A request that has arrived meanwhile, or a part of one, is rejected.
+    /// Rejects a request that has arrived, completely or in part, on a connection that has to end.
     async fn reject_remaining(&self, reason: CloseReason) {
         let connection = &*self.connection;
         let has_input = connection.has_request() || connection.is_receiving();
@@ -116,7 +117,8 @@
         self.clients().count_rejection(error);
         let reply = Reply::bare(error.status(), true);
         match reason {
-            // Its descriptor is needed at once: the rejection fits into any socket's buffer, and nothing is waited for.
+            // Another connection needs the descriptor at once, so the client is not waited for. The rejection fits into
+            // the buffer of any socket.
             CloseReason::Evicted => {
                 connection.write(&encode(&reply.response)).await;
             }
@@ -127,7 +129,7 @@
         }
     }
 
-    /// The reply to a request; `None` once its client has disconnected.
+    /// Processes a request and returns the reply; `None` if the client has disconnected.
     async fn process(&self, queued: QueuedRequest) -> Option<Reply> {
         let arrived = queued.arrived;
         let request = match queued.request {
@@ -142,10 +144,10 @@
         let close = request.close;
         let mut reply = match request.kind {
             RequestKind::Health => Reply::bare(health_status(self.node.is_shutting_down()), close),
-            // Nothing is begun for a client that does not wait for it.
+            // A request whose client has disconnected is not executed.
             RequestKind::Call(_) if self.connection.is_disconnected() => return None,
             RequestKind::Call(call) if !self.node.accepts(arrived) => {
-                tracing::debug!(id = %call.id, "request refused in shutdown");
+                tracing::debug!(id = %call.id, "request rejected during shutdown");
                 Reply::bare(STATUS_REJECTED, close)
             }
             RequestKind::Call(call) => {
@@ -160,18 +162,20 @@
                 Reply { response, deadline }
             }
         };
-        // Pipelined requests are answered, too, before a shutdown closes the connection.
+        // In a shutdown, pipelined requests are answered before the connection is closed.
         reply.response.close |= self.node.is_shutting_down() && !self.connection.has_request();
         Some(reply)
     }
 
+    /// Counts a rejected request and returns the reply to it. The connection stays open only if a further request can
+    /// be read from it and has arrived.
     fn reject(&self, error: RequestError) -> Reply {
         self.clients().count_rejection(error);
-        let goes_on = error.leaves_stream_readable() && self.connection.has_request();
-        Reply::bare(error.status(), !goes_on)
+        let keep_open = error.leaves_stream_readable() && self.connection.has_request();
+        Reply::bare(error.status(), !keep_open)
     }
 
-    /// Hands a call to the core and waits for its answer; `None` once the client has disconnected.
+    /// Passes a call to the core and waits for the answer; `None` if the client has disconnected before it.
     async fn execute(&self, call: Call, arrived: Micros) -> Option<Answer> {
         let connection = &self.connection;
         let id = call.id.clone();
@@ -184,9 +188,9 @@
                 return Some(answer);
             }
             if connection.is_disconnected() {
-                // A client may close its sending side while its answer is unread on a worker's connection, and
-                // both are found in one wake-up. The answer is read first: notified of the disconnection first, the
-                // core would cancel the attempt.
+                // A client may close its sending side while its answer is unread on a connection to a worker, so that
+                // one wake-up finds both. The answer is read first: if the core were notified of the disconnection
+                // first, it would cancel the attempt.
                 self.node.workers.read_answers_to(&self.node, &id);
                 self.clients().notify_departure(&self.node, tag);
                 return connection.take_answer();
@@ -196,8 +200,8 @@
         }
     }
 
-    /// Writes a response. After the last one, what the client still sends is read and discarded for a while: closing with
-    /// bytes unread would reset the connection, and the response might be lost.
+    /// Writes a response. After the last response on a connection, further bytes from the client are read and discarded
+    /// for a while: closing the connection with unread bytes would reset it, and the response might be lost.
     async fn respond(&self, reply: Reply) -> ConnectionState {
         let id = self.connection.id();
         self.limiter().responding(self.now(), id, reply.deadline);
@@ -213,7 +217,8 @@
         ConnectionState::Ended
     }
 
-    /// Closes the sending side, and discards what the client sends until it closes its own.
+    /// Closes the sending side, then discards input until the client closes its side. It ends earlier if the connection
+    /// has to end, or after [`MAX_DISCARDED_BYTES`].
     async fn discard_input(&self) {
         let connection = &*self.connection;
         if !connection.shut_down_writing() {
@@ -228,19 +233,21 @@
                 ReadResult::Nothing => remaining,
                 ReadResult::Ended => 0,
             };
-            // Other connections are served between two reads of a flood.
+            // Other tasks run between two reads, also while this client sends without a pause.
             yield_now().await;
         }
     }
 }
 
+/// The bytes of a response.
 fn encode(response: &Response) -> Vec<u8> {
     let mut bytes = Vec::new();
     write_response(&mut bytes, response);
     bytes
 }
 
-/// A call as the core takes it. `waited`: since its last byte arrived, in microseconds.
+/// Converts a call to the input of the core. `waited`: the time since the last byte of the call arrived, in
+/// microseconds.
 fn incoming(delivery: Delivery, call: Call, waited: Micros) -> IncomingInvocation {
     IncomingInvocation {
         delivery,
--- a/crates/platform-node/src/config_file.rs
+++ b/crates/platform-node/src/config_file.rs
@@ -1,4 +1,4 @@
-//! The configuration file. It may be replaced while the router runs.
+//! [`ConfigFile`]: the configuration file, which may be replaced while the router runs.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 
 type Result<T> = std::result::Result<T, StartError>;
 
-/// The file's place; each method reads it anew.
+/// The path of the configuration file. Each method that returns settings reads the file again.
 pub(crate) struct ConfigFile {
     path: PathBuf,
 }
@@ -20,39 +20,39 @@
         ConfigFile { path }
     }
 
-    /// The whole configuration.
+    /// Reads the whole configuration.
     pub fn read(&self) -> Result<StartupConfig> {
-        StartupConfig::parse(&self.text()?).map_err(|source| self.invalid(source))
+        StartupConfig::parse(&self.text()?).map_err(|source| self.config_error(source))
     }
 
-    /// The address of discovery, as the file has it now.
+    /// Reads the address of discovery that the file contains now.
     pub fn discovery_address(&self) -> Result<SocketAddr> {
-        discovery_address_of(&self.text()?).map_err(|source| self.invalid(source))
+        discovery_address_of(&self.text()?).map_err(|source| self.config_error(source))
     }
 
-    /// The error for invalid events in the file.
-    pub fn invalid_events(&self, source: DiscoveryError) -> StartError {
+    /// The error for invalid discovery events in the file.
+    pub fn initial_events_error(&self, source: DiscoveryError) -> StartError {
         StartError::InitialEvents {
-            path: self.name(),
+            path: self.display_path(),
             source,
         }
     }
 
-    fn invalid(&self, source: ConfigError) -> StartError {
+    fn config_error(&self, source: ConfigError) -> StartError {
         StartError::Config {
-            path: self.name(),
+            path: self.display_path(),
             source,
         }
     }
 
     fn text(&self) -> Result<String> {
         std::fs::read_to_string(&self.path).map_err(|source| StartError::File {
-            path: self.name(),
+            path: self.display_path(),
             source,
         })
     }
 
-    fn name(&self) -> String {
+    fn display_path(&self) -> String {
         self.path.display().to_string()
     }
 }
--- a/crates/platform-node/src/core_loop.rs
+++ b/crates/platform-node/src/core_loop.rs
@@ -1,4 +1,4 @@
-//! [`CoreLoop`]: the router's core with the queue of its inputs and the alarm for its timers.
+//! [`CoreLoop`]: the router core with the queue of its inputs and the timer for its next deadline.
 
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::VecDeque;
@@ -7,13 +7,15 @@
 use cedarpulley_net::{Clock, DeadlineTimer};
 use cedarpulley_router::{Input, Output, Router};
 
-/// Hands inputs to the core, one after the other.
+/// Passes inputs to the router core, one at a time.
 pub(crate) struct CoreLoop {
     router: RefCell<Router>,
     /// Inputs that the core has not processed yet.
     inputs: RefCell<VecDeque<Input>>,
+    /// Whether a call of [`CoreLoop::feed`] is processing inputs.
     is_running: Cell<bool>,
-    alarm: DeadlineTimer,
+    /// Elapses when the next of the core's timers is due.
+    deadline_timer: DeadlineTimer,
 }
 
 impl CoreLoop {
@@ -22,13 +24,13 @@
             router: RefCell::new(router),
             inputs: RefCell::default(),
             is_running: Cell::new(false),
-            alarm: DeadlineTimer::default(),
+            deadline_timer: DeadlineTimer::default(),
         }
     }
 
-    /// Processes an input and carries out the core's outputs in order. Carrying one out may bring a further input: that
-    /// is queued, and processed before the outermost call returns.
-    pub fn feed(&self, clock: &Clock, input: Input, mut carry_out: impl FnMut(Output)) {
+    /// Processes an input, and passes the core's outputs to `execute` in order. Executing an output may call this
+    /// function again with a further input: that input is queued, and processed before the outermost call returns.
+    pub fn feed(&self, clock: &Clock, input: Input, mut execute: impl FnMut(Output)) {
         self.inputs.borrow_mut().push_back(input);
         if self.is_running.replace(true) {
             return;
@@ -40,8 +42,8 @@
                 router.handle(clock.now(), input, &mut outputs);
                 router.next_due().unwrap_or(Micros::MAX)
             };
-            self.alarm.set_deadline(due);
-            outputs.drain(..).for_each(&mut carry_out);
+            self.deadline_timer.set_deadline(due);
+            outputs.drain(..).for_each(&mut execute);
         }
         self.is_running.set(false);
     }
@@ -50,12 +52,13 @@
         self.inputs.borrow_mut().pop_front()
     }
 
-    /// Waits until one of the core's timers is due.
-    pub async fn timer(&self, clock: &Clock) {
-        self.alarm.elapsed(clock).await;
+    /// Waits until a timer of the core is due.
+    pub async fn wait_for_timer(&self, clock: &Clock) {
+        self.deadline_timer.elapsed(clock).await;
     }
 
-    /// The core, to query it. It must not be borrowed while an input is fed.
+    /// Borrows the core for queries. The borrow must end before [`CoreLoop::feed`] is called, which borrows the core
+    /// mutably.
     pub fn router(&self) -> Ref<'_, Router> {
         self.router.borrow()
     }
--- a/crates/platform-node/src/discovery.rs
+++ b/crates/platform-node/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Follows the discovery channel: polls for the events after the last one, and connects again after a disconnection, a
-//! silence or a change of its address.
+//! Follows the discovery channel: polls for the events after the last one applied, and reconnects after a
+//! disconnection, after a poll without a response, and when the address of the channel changes.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -20,20 +20,22 @@
 
 use crate::node::Node;
 
-/// Bytes of a response that are read at a time.
+/// Most bytes of a response that one read returns.
 const READ_SIZE: usize = 4 << 10;
 
-/// The discovery channel's address, and the list of workers as its events have it.
+/// The address of the discovery channel, and the endpoint list according to its events.
 pub(crate) struct Discovery {
     names: Names,
     address: Cell<SocketAddr>,
-    moved: Notifier,
+    /// Notified when the address has changed.
+    address_changed: Notifier,
     worker_list: RefCell<WorkerListFollower>,
     contact: Cell<DiscoveryContact>,
 }
 
 impl Discovery {
-    /// `names`: the zones and kinds of workers. `now`: when the router starts.
+    /// `names`: those of the zones and of the kinds of machines in the events. `now`: the time at which the router
+    /// starts, in microseconds of its clock.
     pub fn new(
         address: SocketAddr,
         names: Names,
@@ -43,75 +45,76 @@
         Discovery {
             names,
             address: Cell::new(address),
-            moved: Notifier::default(),
+            address_changed: Notifier::default(),
             worker_list: RefCell::new(worker_list),
             contact: Cell::new(DiscoveryContact::new(now)),
         }
     }
 
-    /// Has the channel followed at another address from now on.
-    pub fn move_to(&self, address: SocketAddr) {
+    /// Changes the address at which the channel is followed.
+    pub fn set_address(&self, address: SocketAddr) {
         self.address.set(address);
-        self.moved.notify();
+        self.address_changed.notify();
     }
 
-    /// Where a listed worker listens.
+    /// The address at which a worker listens; `None` if the worker is not listed.
     pub fn worker_address(&self, id: &str) -> Option<SocketAddr> {
         self.worker_list.borrow().address(id)
     }
 
-    /// Applies a batch to the list, and returns the updates in it. `wall_at_zero`, `unheard_for`: as for
-    /// [`WorkerListFollower`].
-    pub fn updates(
+    /// Applies a batch of events, and returns the updates of the endpoint list in order. For `wall_at_zero` and
+    /// `max_age` see [`WorkerListFollower::apply_batch`].
+    pub fn apply_batch(
         &self,
         batch: &EventBatch,
         wall_at_zero: Micros,
-        unheard_for: Micros,
+        max_age: Micros,
     ) -> Result<Vec<ListUpdate>, DiscoveryError> {
         self.worker_list
             .borrow_mut()
-            .apply_batch(batch, &self.names, wall_at_zero, unheard_for)
+            .apply_batch(batch, &self.names, wall_at_zero, max_age)
     }
 
-    /// A response was applied.
-    fn heard(&self, now: Micros) {
+    /// Records that a response was applied, and logs it if discovery had been reported as unreachable.
+    fn record_response(&self, now: Micros) {
         let mut contact = self.contact.get();
         if let Some(Silence(silence)) = contact.heard(now) {
-            tracing::warn!(unheard_ms = silence / 1_000, "discovery is in reach again");
+            tracing::warn!(unheard_ms = silence / 1_000, "discovery is reachable again");
         }
         self.contact.set(contact);
     }
 
-    /// A poll failed.
-    fn failed(&self, now: Micros, error: &ChannelError) {
+    /// Records that a poll failed. Logs once that discovery is unreachable when the silence has outlasted the lease of
+    /// the endpoint list.
+    fn record_failure(&self, now: Micros, error: &ChannelError) {
         let (address, error) = (self.address.get(), error.line());
         tracing::debug!(%address, error, "discovery connection ended");
         let mut contact = self.contact.get();
         if let Some(Silence(silence)) = contact.failed(now) {
             let last_event = self.worker_list.borrow().last_cursor();
             let unheard_ms = silence / 1_000;
-            tracing::warn!(%address, error, last_event, unheard_ms, "discovery is out of reach");
+            tracing::warn!(%address, error, last_event, unheard_ms, "discovery is unreachable");
         }
         self.contact.set(contact);
     }
 
-    /// Repeated events and workers beyond the limit that were ignored so far.
-    pub fn ignored(&self) -> (u64, u64) {
+    /// The number of repeated events and the number of workers above the limit that have been ignored so far.
+    pub fn ignored_counts(&self) -> (u64, u64) {
         let list = self.worker_list.borrow();
         (list.repeated_events(), list.ignored_workers())
     }
 }
 
-/// Why the channel is connected to again.
+/// The reason for which the router reconnects to the channel.
 #[derive(Debug, Error)]
 enum ChannelError {
-    #[error("the discovery channel's connection failed")]
+    #[error("the connection to the discovery channel failed")]
     Io(#[from] std::io::Error),
-    #[error("the discovery channel gave no answer in time")]
+    #[error("the discovery channel did not respond in time")]
     Timeout,
-    #[error("the discovery channel closed its connection")]
+    #[error("the discovery channel closed the connection")]
     Closed,
-    #[error("the discovery channel has fewer events than it had")]
+    #[error("the discovery channel has fewer events than before")]
     Behind,
     #[error(transparent)]
     Response(#[from] DiscoveryError),
@@ -122,27 +125,33 @@
         match self {
             ChannelError::Response(error) => error.remedy(),
             ChannelError::Behind => {
-                "see whether the channel was restored from an older state; restart the routers if it was"
+                "check whether the channel was restored from an older state; if so, restart the routers"
+            }
+            _ => {
+                "nothing if it is occasional; otherwise check that the channel runs and is reachable"
             }
-            _ => "nothing, if it comes now and then; else see that the channel runs and is reached",
         }
     }
 }
 
-/// Follows the channel for as long as the router runs. `seed`: for the backoff's jitter.
+/// Follows the channel while the router runs. `seed`: that of the random jitter in the backoff.
 pub(crate) async fn follow(node: Rc<Node>, seed: u64) {
     let mut backoff = Backoff::with_max_delay(seed, MAX_BACKOFF);
     loop {
         let connected_at = node.clock.now();
         let poll_and_back_off = async {
             if let Err(error) = poll_on_one_connection(&node).await {
-                node.discovery.failed(node.clock.now(), &error);
+                node.discovery.record_failure(node.clock.now(), &error);
             }
             let pause = backoff.next_delay(node.clock.now() - connected_at);
             Timer::after(duration_from_micros(pause)).await;
         };
-        // After a move there is no backoff at the new address.
-        node.discovery.moved.notified().or(poll_and_back_off).await;
+        // A change of the address ends a poll or a backoff at once: there is no backoff before the new address is used.
+        node.discovery
+            .address_changed
+            .notified()
+            .or(poll_and_back_off)
+            .await;
     }
 }
 
@@ -151,8 +160,9 @@
     let address = node.discovery.address.get();
     let mut stream = connect(address, None, POLL_WAIT).await?;
     let mut responses = ResponseReader::default();
-    // The events of the first response may have happened while nobody was connected; later ones arrive as they happen.
-    let mut unheard_for = Micros::MAX;
+    // The events in the first response may have any age, as they may have happened while this router was not connected.
+    // Later events arrive as they happen.
+    let mut max_age = Micros::MAX;
     let mut wait = FIRST_POLL_WAIT;
     loop {
         let request = node
@@ -169,15 +179,16 @@
             .or(timeout)
             .await?;
         let arrived = node.arrival_time();
-        // Such a server does not know what is announced. What it tells once it has caught up is heard late, as all that a
-        // new connection tells first.
+        // A channel that has fewer events than this router has applied lacks announced events, so its response does not
+        // renew the lease. The events that it sends after it has caught up may have waited there. They are read on a
+        // new connection, and count as delayed like all events in a first response.
         if node.discovery.worker_list.borrow().is_behind(&batch) {
             return Err(ChannelError::Behind);
         }
-        node.apply_events(&batch, unheard_for.max(node.lag()))?;
-        node.discovery.heard(node.clock.now());
+        node.apply_events(&batch, max_age.max(node.lag()))?;
+        node.discovery.record_response(node.clock.now());
         node.renew_list_lease(arrived + LIST_LEASE);
-        unheard_for = 0;
+        max_age = 0;
         wait = POLL_WAIT;
     }
 }
--- a/crates/platform-node/src/lib.rs
+++ b/crates/platform-node/src/lib.rs
@@ -1,9 +1,10 @@
-//! The router process on the users' platform (`cedarpulley node`): sockets, signals and the configuration file around
-//! the core in `cedarpulley-router`. It decides nothing: what arrived goes to the core, and what the core puts out is
-//! carried out in order. `cedarpulley-platform` decides which connection carries what, and which stays open.
+//! The router process on the users' platform (`cedarpulley node`): it adds sockets, signals and the configuration file
+//! to the router core in `cedarpulley-router`. It contains no decision logic: it passes to the core what has arrived,
+//! and executes the outputs of the core in order. `cedarpulley-platform` decides which connection carries an exchange,
+//! and which connections stay open.
 //!
-//! Begin reading at [`run`] in `startup`; then `node` (ties the parts together) and `core_loop`, `client_connections`,
-//! `worker_connections`, `discovery`, `signals` and `shutdown`.
+//! Start reading at [`run`] in `startup`; then `node` (which connects the components) and `core_loop`,
+//! `client_connections`, `worker_connections`, `discovery`, `signals` and `shutdown`.
 
 #![warn(missing_docs)]
 
--- a/crates/platform-node/src/node.rs
+++ b/crates/platform-node/src/node.rs
@@ -1,4 +1,4 @@
-//! [`Node`]: ties the core, the connections of clients and workers, discovery and shutdown together.
+//! [`Node`]: connects the router core, the connections of clients and workers, discovery and shutdown.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -20,10 +20,10 @@
 use crate::read_buffer::{ReadBuffer, ReadResult};
 use crate::worker_connections::{Attempt, LoadOrder, WorkerConnections};
 
-/// How often overdue connections are closed, and the event loop's lag is measured.
+/// Time between two sweeps, each of which closes overdue connections and measures the lag of the event loop.
 const SWEEP_PERIOD: Duration = Duration::from_millis(50);
 
-/// One router with its connections.
+/// A router with its connections.
 pub(crate) struct Node {
     pub clock: Clock,
     pub clients: ClientConnections,
@@ -36,7 +36,7 @@
     read_buffer: ReadBuffer,
 }
 
-/// What a node is made of.
+/// The components from which a [`Node`] is created.
 pub(crate) struct NodeParts {
     pub router: Router,
     pub clients: ClientConnections,
@@ -60,29 +60,29 @@
         }
     }
 
-    /// Runs a task and all those that it spawns on this thread, until the first one ends.
+    /// Runs a task, and all tasks that it spawns, on this thread until that first task ends.
     pub fn block_on(&self, task: impl Future<Output = ()>) {
         async_io::block_on(self.executor.run(task));
     }
 
-    /// Starts a task that runs beside the others.
+    /// Starts a task that runs concurrently with the others.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
 
-    /// Hands the core an input and carries out its outputs.
+    /// Passes an input to the core and executes the outputs.
     pub fn feed(self: &Rc<Self>, input: Input) {
-        // Outputs for other connections are carried out before this returns: a table that the caller has borrowed would
-        // be borrowed twice.
+        // Outputs are executed before this function returns, also those for other connections. A table that the caller
+        // has borrowed would be borrowed a second time, which panics.
         debug_assert!(
             self.clients.is_unborrowed() && self.workers.is_unborrowed(),
-            "fed with a table borrowed"
+            "feed was called while a table is borrowed"
         );
         self.core
-            .feed(&self.clock, input, |output| self.carry_out(output));
+            .feed(&self.clock, input, |output| self.execute(output));
     }
 
-    fn carry_out(self: &Rc<Self>, output: Output) {
+    fn execute(self: &Rc<Self>, output: Output) {
         match output {
             Output::Answer { delivery, answer } => self.clients.answer(self, delivery, answer),
             Output::Send {
@@ -122,8 +122,9 @@
                 worker, function, ..
             } => self.workers.unload(self, worker, &function),
             Output::Probe { worker } => self.workers.probe(self, worker),
-            // The core polls no list, as discovery is followed all the time; clients ask for no admission before they
-            // send; there is no front that acknowledges deliveries; routers of the platform share nothing.
+            // Endpoint lists need not be requested, as the discovery channel is polled all the time. Clients do not ask
+            // for admission before they send a request. No front acknowledges deliveries. Routers on this platform
+            // share no state.
             Output::RequestEndpointList
             | Output::Admission { .. }
             | Output::Discard(_)
@@ -132,50 +133,52 @@
         }
     }
 
-    /// Whether an attempt may still be sent, asked right before its first byte.
+    /// Whether an attempt may still be sent; checked right before its first byte is written.
     pub fn may_send(&self, ticket: Ticket) -> bool {
         self.core.router().may_send(self.clock.now(), ticket)
     }
 
-    /// Whether a load order may still be sent, asked right before its first byte.
-    pub fn may_order(&self, ticket: OrderTicket) -> bool {
+    /// Whether a load order may still be sent; checked right before its first byte is written.
+    pub fn may_send_order(&self, ticket: OrderTicket) -> bool {
         self.core.router().may_send_order(self.clock.now(), ticket)
     }
 
-    /// The worker's name in the list, for the log.
+    /// The worker's name in the endpoint list, for the log; empty if the worker is not listed.
     pub fn worker_name(&self, worker: WorkerIndex) -> String {
         let router = self.core.router();
         router.worker_name(worker).unwrap_or_default().to_owned()
     }
 
-    /// Where a worker listens, if it is listed.
+    /// The address at which a worker listens; `None` if the worker is not listed.
     pub fn worker_address(&self, worker: WorkerIndex) -> Option<SocketAddr> {
         self.discovery
             .worker_address(self.core.router().worker_name(worker)?)
     }
 
-    /// Applies a batch of discovery's events. `unheard_for`: it may have been in the channel for so many microseconds
-    /// before it was read.
+    /// Applies a batch of discovery events. `max_age`: the longest time for which the batch may have waited in the
+    /// channel before it was read, in microseconds.
     pub fn apply_events(
         self: &Rc<Self>,
         batch: &EventBatch,
-        unheard_for: Micros,
+        max_age: Micros,
     ) -> Result<(), DiscoveryError> {
         let wall_at_zero = self.clock.wall_time() - self.clock.now();
-        let updates = self.discovery.updates(batch, wall_at_zero, unheard_for)?;
+        let updates = self.discovery.apply_batch(batch, wall_at_zero, max_age)?;
         updates.into_iter().for_each(|update| self.apply(update));
         Ok(())
     }
 
-    /// The list of workers is up to date, and may be relied on until then. Where the platform allows no health checks,
-    /// nothing could be asked once a lease has ended, and the list is always relied on.
+    /// Records that the endpoint list is up to date and may be relied on until `until`, in microseconds of the router's
+    /// clock. If the platform allows no health checks, the list has no lease and is always relied on: after the end of
+    /// a lease there would be no way to check a worker.
     pub fn renew_list_lease(self: &Rc<Self>, until: Micros) {
         if self.workers.protocol().health_checks {
-            self.workers.forget_failed_checks();
+            self.workers.clear_failed_checks();
             self.feed(Input::EndpointListLease { until });
         }
     }
 
+    /// Applies a change of the endpoint list.
     fn apply(self: &Rc<Self>, update: ListUpdate) {
         for id in &update.retired {
             if let Some(worker) = self.core.router().worker_index(id) {
@@ -193,15 +196,15 @@
         self.read_buffer.read(stream, process)
     }
 
-    /// Has the core handle its timers, for as long as the router runs.
+    /// Notifies the core whenever one of its timers is due, while the router runs.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
-            self.core.timer(&self.clock).await;
+            self.core.wait_for_timer(&self.clock).await;
             self.feed(Input::Tick);
         }
     }
 
-    /// Closes overdue connections, for as long as the router runs.
+    /// Measures the lag of the event loop and closes overdue connections periodically, while the router runs.
     pub async fn run_sweeps(self: Rc<Self>) {
         loop {
             Timer::after(SWEEP_PERIOD).await;
@@ -213,22 +216,24 @@
         }
     }
 
-    /// The event loop has only now begun to run: what was read before does not count as late.
+    /// Measures the lag of the event loop from now on, when the loop starts to run. The time before, in which nothing
+    /// could be read, does not count.
     pub fn reset_lag(&self) {
         self.event_loop_lag.set(new_event_loop_lag(&self.clock));
     }
 
-    /// What is read now may have arrived so many microseconds ago, beyond what the time limits allow for.
+    /// The longest time, in microseconds, for which bytes that are read now may have waited, beyond the delay that the
+    /// time limits allow for.
     pub fn lag(&self) -> Micros {
         self.event_loop_lag.get().lag(self.clock.now())
     }
 
-    /// The earliest time at which what is read now may have arrived.
+    /// The earliest time at which bytes that are read now may have arrived, in microseconds of the router's clock.
     pub fn arrival_time(&self) -> Micros {
         self.clock.now() - self.lag()
     }
 
-    /// The signal to stop has arrived.
+    /// Starts the shutdown; called when the signal to stop has arrived.
     pub fn begin_shutdown(&self) {
         self.shutdown.borrow_mut().begin(self.clock.now());
     }
@@ -238,12 +243,12 @@
         self.shutdown.borrow().begun()
     }
 
-    /// Whether a request whose last byte arrived at `arrived` is still accepted.
+    /// Whether a request is accepted whose last byte arrived at `arrived`, in microseconds of the router's clock.
     pub fn accepts(&self, arrived: Micros) -> bool {
         self.shutdown.borrow().accepts(arrived)
     }
 
-    /// Whether the process may exit now. `backlog_empty`: no connection waits to be accepted.
+    /// Whether the process may exit now. `backlog_empty`: whether no connection is waiting to be accepted.
     pub fn may_exit(&self, backlog_empty: bool) -> bool {
         let unfinished =
             !backlog_empty || self.core.router().unfinished() > 0 || self.clients.has_unfinished();
@@ -252,7 +257,7 @@
             .may_exit(self.clock.now(), unfinished)
     }
 
-    /// Logs the counts of what happened while the router ran.
+    /// Logs the counts of requests and connections since the router was started.
     pub fn log_counts(&self) {
         tracing::info!(counts = ?self.core.router().counts, "request counts");
         let clients = self.clients.counts();
@@ -262,11 +267,11 @@
             clients.rejected_connections,
             "client connection counts"
         );
-        tracing::info!(rejected = ?clients.rejected_requests, "requests rejected before the core");
+        tracing::info!(rejected = ?clients.rejected_requests, "requests rejected before reaching the router core");
         let unplaced = self.workers.unplaced_exchanges();
         tracing::info!(unplaced, "exchanges without a worker connection");
-        let (repeated_events, ignored_workers) = self.discovery.ignored();
-        tracing::info!(repeated_events, ignored_workers, "worker list counts");
+        let (repeated_events, ignored_workers) = self.discovery.ignored_counts();
+        tracing::info!(repeated_events, ignored_workers, "endpoint list counts");
     }
 }
 
--- a/crates/platform-node/src/signals.rs
+++ b/crates/platform-node/src/signals.rs
@@ -1,5 +1,5 @@
-//! Signals: SIGHUP reloads the configuration file, SIGTERM and SIGINT shut the router down. All of them are handled until
-//! the process exits: discovery may move while the router shuts down.
+//! Signals: SIGHUP reloads the configuration file, SIGTERM and SIGINT shut the router down. All of them are handled
+//! until the process exits, because the address of discovery may change while the router shuts down.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,10 +14,11 @@
 use crate::config_file::ConfigFile;
 use crate::node::Node;
 
-/// After a failure of the stream of signals, so that the process does not spin.
+/// Pause after a failure of the stream of signals. Without it, a lasting failure would make the process loop at full
+/// speed.
 const FAILURE_PAUSE: Duration = Duration::from_millis(100);
 
-/// Handles signals for as long as the router runs; rings `stop` on a signal to shut down.
+/// Handles signals while the router runs; notifies `stop` of a signal to shut down.
 pub(crate) async fn handle_signals(
     node: Rc<Node>,
     mut signals: Signals,
@@ -36,7 +37,7 @@
             match signals.next().await {
                 Some(Ok(Signal::Hup)) => reload_requested.notify(),
                 Some(Ok(_)) => stop.notify(),
-                // Neither a failure nor the end of the stream is a signal to stop: requests are still served.
+                // A failure or the end of the stream is not a signal to stop: the router continues to serve requests.
                 Some(Err(error)) => {
                     tracing::warn!(%error, "reading a signal failed");
                     Timer::after(FAILURE_PAUSE).await;
@@ -48,13 +49,14 @@
     receiving.or(reloading).await
 }
 
-/// Follows discovery to the address in the replaced file. If none can be read, the old address stays.
+/// Reads the address of discovery from the file again, and follows discovery at that address. If no attempt to read it
+/// succeeds, the previous address is kept.
 async fn reload(node: &Node, file: &ConfigFile) {
     for _ in 0..MAX_RELOADS {
         match file.discovery_address() {
             Ok(address) => {
                 tracing::info!(%address, "configuration reloaded");
-                node.discovery.move_to(address);
+                node.discovery.set_address(address);
                 return;
             }
             Err(error) => {
--- a/crates/platform-node/src/startup.rs
+++ b/crates/platform-node/src/startup.rs
@@ -1,4 +1,5 @@
-//! [`run`]: starts one router from its environment, and runs it until it is told to stop, all on one thread.
+//! [`run`]: starts a router with the settings that its environment variables name, and runs it on one thread until a
+//! signal stops it.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -29,38 +30,38 @@
 use crate::signals::handle_signals;
 use crate::worker_connections::{WorkerConnections, WorkerProtocol};
 
-/// Why no router runs.
+/// The reason for which a router cannot start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The process cannot handle signals.
-    #[error("signals cannot be heard")]
+    /// The process cannot install its signal handlers.
+    #[error("signal handlers cannot be installed")]
     Signals(#[source] io::Error),
     /// An environment variable is missing.
     #[error("{name} is not set")]
     NotSet {
-        /// The variable.
+        /// The variable's name.
         name: &'static str,
     },
-    /// The address to listen at is malformed.
-    #[error("BALANCER_LISTEN '{at}' is not an address")]
+    /// `BALANCER_LISTEN` is not an IP address with a port.
+    #[error("BALANCER_LISTEN '{at}' is not an IP address with a port")]
     Address {
-        /// The text given.
+        /// The variable's value.
         at: String,
     },
-    /// The address cannot be listened at.
-    #[error("BALANCER_LISTEN {address}: it cannot be listened at")]
+    /// The router cannot listen at the address.
+    #[error("BALANCER_LISTEN {address}: cannot listen at this address")]
     Listen {
-        /// The address given.
+        /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The configuration file cannot be read.
-    #[error("{path}: it cannot be read")]
+    #[error("{path}: cannot read the file")]
     File {
         /// The file's path.
         path: String,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The configuration is invalid.
@@ -71,8 +72,8 @@
         /// What is invalid.
         source: ConfigError,
     },
-    /// The events of discovery in the configuration are invalid.
-    #[error("{path}: known")]
+    /// The initial discovery events in the configuration (`known`) are invalid.
+    #[error("{path}: invalid events in 'known'")]
     InitialEvents {
         /// The file's path.
         path: String,
@@ -84,15 +85,15 @@
 impl Remedy for StartError {
     fn remedy(&self) -> &'static str {
         match self {
-            StartError::Signals(_) => "see that the system has descriptors left",
+            StartError::Signals(_) => "check that the process can open more file descriptors",
             StartError::NotSet { .. } => {
-                "set BALANCER_CONFIG to the configuration's file, BALANCER_LISTEN to IP:PORT"
+                "set BALANCER_CONFIG to the path of the configuration file, BALANCER_LISTEN to IP:PORT"
             }
             StartError::Address { .. } => "set BALANCER_LISTEN to an IP address and a port",
             StartError::Listen { .. } => {
-                "set BALANCER_LISTEN to an address of this machine that nobody else has"
+                "set BALANCER_LISTEN to an address of this machine that no other process uses"
             }
-            StartError::File { .. } => "see that BALANCER_CONFIG names a file that may be read",
+            StartError::File { .. } => "check that BALANCER_CONFIG is the path of a readable file",
             StartError::Config { source, .. } => source.remedy(),
             StartError::InitialEvents { source, .. } => source.remedy(),
         }
@@ -101,36 +102,38 @@
 
 type Result<T> = std::result::Result<T, StartError>;
 
-/// Runs one router until it is told to stop.
+/// Starts a router, and runs it until its graceful shutdown, which SIGTERM or SIGINT starts, is complete.
 pub fn run() -> Result<()> {
-    // Before anything else: a signal that arrives while the router starts must not end the process.
+    // The handlers are installed first: a signal that arrives while the router starts must not end the process.
     let signals =
         Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(StartError::Signals)?;
-    let file = ConfigFile::new(PathBuf::from(variable("BALANCER_CONFIG")?));
+    let file = ConfigFile::new(PathBuf::from(env_variable("BALANCER_CONFIG")?));
     let address = listen_address()?;
-    let start = file.read()?;
-    let (seed, initial_events) = (start.seed, start.initial_events.clone());
+    let config = file.read()?;
+    let (seed, initial_events) = (config.seed, config.initial_events.clone());
     let clock = Clock::start();
-    let node = Rc::new(Node::new(clock, node_parts(start, clock.now())));
-    // The events in the configuration may be of any age.
+    let node = Rc::new(Node::new(clock, node_parts(config, clock.now())));
+    // The initial events may have happened at any time in the past.
     node.apply_events(&initial_events, Micros::MAX)
-        .map_err(|source| file.invalid_events(source))?;
-    // They may be out of date: the lease begins with discovery's first answer.
+        .map_err(|source| file.initial_events_error(source))?;
+    // The list from the initial events may be out of date, so its lease ends now; the first response of discovery
+    // renews it.
     node.renew_list_lease(clock.now());
     let listener = listen(address).map_err(|source| StartError::Listen { address, source })?;
     node.block_on(serve(node.clone(), Rc::new(listener), signals, file, seed));
     Ok(())
 }
 
-fn variable(name: &'static str) -> Result<String> {
+fn env_variable(name: &'static str) -> Result<String> {
     std::env::var(name).map_err(|_| StartError::NotSet { name })
 }
 
 fn listen_address() -> Result<SocketAddr> {
-    let at = variable("BALANCER_LISTEN")?;
+    let at = env_variable("BALANCER_LISTEN")?;
     at.parse().map_err(|_| StartError::Address { at })
 }
 
+/// Runs all tasks of the router, and returns when its shutdown is complete.
 async fn serve(
     node: Rc<Node>,
     listener: Rc<Async<TcpListener>>,
@@ -151,10 +154,10 @@
     node.log_counts();
 }
 
-fn node_parts(start: StartupConfig, now: Micros) -> NodeParts {
-    let settings = &start.settings;
-    let limits = ResourceLimits::of(start.limits);
-    let connections = start.worker_connections;
+fn node_parts(config: StartupConfig, now: Micros) -> NodeParts {
+    let settings = &config.settings;
+    let limits = ResourceLimits::of(config.limits);
+    let connections = config.worker_connections;
     let pool = ConnectionPool::new(
         limits.workers,
         connections.max_streams,
@@ -162,8 +165,8 @@
         connections.connect_timeout,
     );
     let protocol = WorkerProtocol {
-        trigger_names: start.names.triggers.clone(),
-        report_fields: start.report_fields.clone(),
+        trigger_names: config.names.triggers.clone(),
+        report_fields: config.report_fields.clone(),
         reports_function_load: settings.loads.reports_function_load,
         connect_timeout: connections.connect_timeout,
         health_checks: settings.limits.probes,
@@ -171,17 +174,17 @@
     let worker_list = WorkerListFollower::new(settings.rules.drain_grace);
     NodeParts {
         router: Router::new(
-            settings.balancer(start.seed),
+            settings.balancer(config.seed),
             settings.triggers.clone(),
             router_settings(settings, limits),
         ),
         clients: ClientConnections::new(
-            request_rules(&start),
+            request_rules(&config),
             ConnectionLimiter::new(limits.clients),
         ),
         workers: WorkerConnections::new(protocol, pool),
-        shutdown: GracefulShutdown::new(longest_deadline(settings)),
-        discovery: Discovery::new(start.discovery_address, start.names, worker_list, now),
+        shutdown: GracefulShutdown::new(longest_client_timeout(settings)),
+        discovery: Discovery::new(config.discovery_address, config.names, worker_list, now),
     }
 }
 
@@ -203,15 +206,15 @@
     }
 }
 
-fn request_rules(start: &StartupConfig) -> RequestRules {
-    let settings = &start.settings;
+fn request_rules(config: &StartupConfig) -> RequestRules {
+    let settings = &config.settings;
     let triggers = settings.triggers.iter();
     RequestRules {
-        names: start.names.clone(),
+        names: config.names.clone(),
         triggers: triggers
             .map(|trigger| trigger_rules(trigger, settings))
             .collect(),
-        largest_machine_mb: start.largest_machine_mb,
+        largest_machine_mb: config.largest_machine_mb,
     }
 }
 
@@ -222,7 +225,8 @@
     }
 }
 
-fn longest_deadline(settings: &StartupSettings) -> Micros {
+/// The longest client timeout of all trigger types, in microseconds.
+fn longest_client_timeout(settings: &StartupSettings) -> Micros {
     let triggers = settings.triggers.iter();
     triggers
         .map(|trigger| trigger.client_timeout)
--- a/crates/platform-node/src/worker_connections/connection.rs
+++ b/crates/platform-node/src/worker_connections/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a worker: the exchanges in flight on it, and the bytes on their way.
+//! [`WorkerConnection`]: a connection to a worker, with the exchanges in flight on it and the messages to be written.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -15,7 +15,7 @@
 use cedarpulley_startup::ReportField;
 use futures_lite::FutureExt;
 
-/// What an exchange is for.
+/// The purpose of an exchange.
 #[derive(Clone, Copy)]
 pub(super) enum Purpose {
     /// An attempt to execute a request.
@@ -25,18 +25,18 @@
     /// A health check.
     Probe {
         worker: WorkerIndex,
-        /// When it was posted, in microseconds of the router's clock.
+        /// Time at which the health check was started, in microseconds of the router's clock.
         started: Micros,
     },
 }
 
-/// A message that was sent, or is queued, and gets an answer.
+/// A message that is queued or sent, and to which the worker sends an answer.
 pub(super) struct Exchange {
     pub purpose: Purpose,
-    /// Its answer is not waited for any longer after this time, in microseconds of the router's clock; attempts are
-    /// cancelled by the core instead.
+    /// Time after which the exchange ends without its answer, in microseconds of the router's clock. Attempts have no
+    /// such time, because the core cancels them.
     pub deadline: Micros,
-    /// Where its message ends in the bytes written to the connection; `None` while nothing of it is sent.
+    /// Offset of the end of the message in the bytes written to the connection; `None` while no byte of it is sent.
     end_offset: Option<u64>,
 }
 
@@ -49,37 +49,38 @@
         }
     }
 
-    /// Whether the kernel has accepted any byte of its message.
-    pub fn is_begun(&self) -> bool {
+    /// Whether the kernel has accepted at least one byte of the message.
+    pub fn has_sent_bytes(&self) -> bool {
         self.end_offset.is_some()
     }
 }
 
-/// A request as the core has it sent.
+/// An attempt that the core has ordered to be sent.
 pub(super) struct OutgoingCall {
     pub trigger: u32,
     pub function: Arc<str>,
-    /// Until when the worker's answer is waited for, in microseconds of the router's clock.
+    /// Time until which the worker may answer, in microseconds of the router's clock.
     pub deadline: Micros,
     pub call: DispatchRequest,
 }
 
-/// A message of which nothing is sent yet.
+/// A message of which no byte has been sent.
 pub(super) enum Message {
-    /// Encoded when its turn comes, as it carries the time that is left.
+    /// An attempt. It is encoded right before it is sent, because the message contains the time left for the answer.
     Call(OutgoingCall),
+    /// The bytes of any other message.
     Encoded(Vec<u8>),
 }
 
-/// A message that waits for its turn.
+/// A message in the queue of a connection.
 pub(super) struct QueuedMessage {
-    /// The id of its exchange; empty if the message gets no answer.
+    /// The id of its exchange; empty if the worker sends no answer to the message.
     pub id: String,
     pub message: Message,
 }
 
 impl QueuedMessage {
-    /// A message that gets no answer.
+    /// A message to which the worker sends no answer.
     pub fn one_way(bytes: Vec<u8>) -> Self {
         QueuedMessage {
             id: String::new(),
@@ -88,31 +89,33 @@
     }
 }
 
-/// What the kernel did with bytes.
+/// The result of one write to a connection.
 pub(super) enum WriteResult {
-    /// It accepted so many.
+    /// The kernel accepted this number of bytes.
     Accepted(usize),
-    /// Its buffer is full.
+    /// The kernel's buffer is full.
     BufferFull,
     /// The connection has failed.
     Failed,
 }
 
+/// A connection to a worker. Its task establishes it and reads answers; messages are written by any task.
 pub(super) struct WorkerConnection {
     id: ConnectionId,
-    /// Once it is established, until it has ended.
+    /// The stream, from the establishment of the connection until its end.
     stream: RefCell<Option<Rc<Stream>>>,
     queue: RefCell<VecDeque<QueuedMessage>>,
-    /// The rest of a message that the kernel has accepted in part.
+    /// The remaining bytes of a message that the kernel has accepted in part.
     unwritten: RefCell<Vec<u8>>,
-    /// Bytes that the kernel has accepted so far.
+    /// Number of bytes that the kernel has accepted so far.
     written: Cell<u64>,
+    /// The exchanges in flight, by their ids.
     exchanges: RefCell<HashMap<String, Exchange>>,
     answers: RefCell<AnswerReader>,
-    /// Rung when there is something to write or the connection has to end.
+    /// Notified when there are bytes to write, or when the connection has to end.
     wake: Notifier,
     ending: Cell<bool>,
-    closed_here: Cell<bool>,
+    closed_locally: Cell<bool>,
 }
 
 impl WorkerConnection {
@@ -127,7 +130,7 @@
             answers: RefCell::default(),
             wake: Notifier::default(),
             ending: Cell::new(false),
-            closed_here: Cell::new(false),
+            closed_locally: Cell::new(false),
         }
     }
 
@@ -135,12 +138,12 @@
         self.id
     }
 
-    /// Has the connection's task look at the connection again.
+    /// Wakes the connection's task, which then checks the state of the connection.
     pub fn wake(&self) {
         self.wake.notify();
     }
 
-    /// The connection is established.
+    /// Records that the connection is established.
     pub fn established(&self, stream: Stream) {
         self.stream.replace(Some(Rc::new(stream)));
     }
@@ -152,12 +155,12 @@
 
     /// Closes the connection from this side.
     pub fn close(&self) {
-        self.closed_here.set(true);
-        self.end();
+        self.closed_locally.set(true);
+        self.request_end();
     }
 
-    /// Has the connection's task end the connection.
-    pub fn end(&self) {
+    /// Requests that the connection's task end the connection.
+    pub fn request_end(&self) {
         self.ending.set(true);
         self.wake();
     }
@@ -168,18 +171,18 @@
     }
 
     /// Whether this router closed the connection, not the worker.
-    pub fn is_closed_here(&self) -> bool {
-        self.closed_here.get()
+    pub fn is_closed_locally(&self) -> bool {
+        self.closed_locally.get()
     }
 
     /// Waits until the connection has to end.
-    pub async fn ended(&self) {
+    pub async fn end_requested(&self) {
         while !self.is_ending() {
             self.wake.notified().await;
         }
     }
 
-    /// Waits until there is something to read, something to write and room for it, or the connection is woken.
+    /// Waits until the connection is readable, or has bytes to write and is writable, or its task is woken.
     pub async fn wait(&self, stream: &Stream) {
         let readable = async {
             let _ = stream.readable().await;
@@ -194,7 +197,7 @@
         read_or_woken.or(writable).await;
     }
 
-    /// The connection has ended; the exchanges that were in flight on it, with their ids.
+    /// Marks the connection as ended, and takes the exchanges that were in flight on it, with their ids.
     pub fn take_exchanges(&self) -> Vec<(String, Exchange)> {
         self.ending.set(true);
         self.stream.replace(None);
@@ -202,7 +205,7 @@
     }
 }
 
-/// Exchanges.
+/// The table of exchanges.
 impl WorkerConnection {
     pub fn add_exchange(&self, id: String, exchange: Exchange) {
         self.exchanges.borrow_mut().insert(id, exchange);
@@ -213,16 +216,17 @@
     }
 
     /// Whether an exchange with this id is in flight.
-    pub fn carries(&self, id: &str) -> bool {
+    pub fn has_exchange(&self, id: &str) -> bool {
         self.exchanges.borrow().contains_key(id)
     }
 
+    /// The purpose of the exchange with this id; `None` if no such exchange is in flight.
     pub fn purpose_of(&self, id: &str) -> Option<Purpose> {
         let exchanges = self.exchanges.borrow();
         exchanges.get(id).map(|exchange| exchange.purpose)
     }
 
-    /// Ids of the exchanges whose answers are no longer waited for.
+    /// The ids of the exchanges whose deadlines have passed.
     pub fn overdue_exchanges(&self, now: Micros) -> Vec<String> {
         self.exchanges
             .borrow()
@@ -232,14 +236,14 @@
             .collect()
     }
 
-    /// Whether the kernel has accepted every byte of this exchange's message.
+    /// Whether the kernel has accepted all bytes of this exchange's message.
     pub fn is_sent(&self, exchange: &Exchange) -> bool {
         exchange
             .end_offset
             .is_some_and(|offset| offset <= self.written.get())
     }
 
-    /// Whether an exchange with this id is in flight whose message is not sent completely.
+    /// Whether an exchange with this id is in flight and its message has not been sent completely.
     pub fn is_unsent(&self, id: &str) -> bool {
         let exchanges = self.exchanges.borrow();
         exchanges
@@ -259,7 +263,7 @@
         self.queue.borrow_mut().pop_front()
     }
 
-    /// Puts a message back that could not be begun.
+    /// Puts a message of which no byte could be written back at the front of the queue.
     pub fn put_back(&self, message: QueuedMessage) {
         self.queue.borrow_mut().push_front(message);
     }
@@ -269,17 +273,18 @@
         self.queue.borrow_mut().retain(|message| message.id != id);
     }
 
-    /// Whether a message is queued, or sent in part.
+    /// Whether a message is queued or has been sent in part.
     pub fn has_unwritten(&self) -> bool {
         self.has_unfinished_message() || !self.queue.borrow().is_empty()
     }
 
-    /// Whether a message is sent in part.
+    /// Whether a message has been sent in part.
     pub fn has_unfinished_message(&self) -> bool {
         !self.unwritten.borrow().is_empty()
     }
 
-    /// Writes the first bytes of a message.
+    /// Writes as many bytes of a new message as the kernel accepts. The previous message must have been sent
+    /// completely.
     pub fn begin_message(&self, stream: &Stream, id: &str, bytes: &[u8]) -> WriteResult {
         let result = write_once(stream, bytes);
         if let WriteResult::Accepted(length) = result {
@@ -293,7 +298,7 @@
         result
     }
 
-    /// Writes more of the message that is sent in part.
+    /// Writes further bytes of the message that has been sent in part.
     pub fn continue_message(&self, stream: &Stream) -> WriteResult {
         let mut unwritten = self.unwritten.borrow_mut();
         let result = write_once(stream, &unwritten);
@@ -307,22 +312,23 @@
 
 /// Reading.
 impl WorkerConnection {
-    /// Bytes arrived.
-    pub fn put(&self, bytes: &[u8]) {
+    /// Adds bytes that have arrived.
+    pub fn add_bytes(&self, bytes: &[u8]) {
         self.answers.borrow_mut().put(bytes);
     }
 
-    /// The next complete answer among the bytes that arrived.
+    /// The next complete answer in the bytes that have arrived.
     pub fn next_answer(&self, fields: &[ReportField]) -> Result<Option<Answer>, AnswerError> {
         self.answers.borrow_mut().next(fields)
     }
 
-    /// Whether an answer has arrived in part.
+    /// Whether the last answer has arrived only in part.
     pub fn has_partial_answer(&self) -> bool {
         self.answers.borrow().has_partial_answer()
     }
 }
 
+/// Writes once without waiting.
 fn write_once(stream: &Stream, bytes: &[u8]) -> WriteResult {
     loop {
         match stream.get_ref().write(bytes) {
--- a/crates/platform-node/src/worker_connections/mod.rs
+++ b/crates/platform-node/src/worker_connections/mod.rs
@@ -1,5 +1,5 @@
-//! Connections to workers: one task for each reads; messages are written at once, as far as the kernel accepts them. That
-//! a message was never sent is proven by the count of bytes that the kernel accepted.
+//! Connections to workers. Each has a task that reads answers. Messages are written at once, as far as the kernel
+//! accepts them. The number of bytes that the kernel has accepted proves whether a message was sent.
 
 mod connection;
 mod readiness_log;
@@ -27,22 +27,22 @@
 use sending::Sender;
 use session::Session;
 
-/// What the settings say about the protocol spoken with workers.
+/// The settings of the protocol between router and workers.
 pub(crate) struct WorkerProtocol {
-    /// By index of the trigger type.
+    /// The names of the trigger types, by index.
     pub trigger_names: Vec<String>,
-    /// The values in load reports.
+    /// The fields of load reports that are used.
     pub report_fields: Vec<ReportField>,
     /// Whether workers report how many invocations of the same function they have in flight.
     pub reports_function_load: bool,
-    /// Within which a connection is established and a probe answered, in microseconds.
+    /// Time limit for establishing a connection, and for the answer to a health check, in microseconds.
     pub connect_timeout: Micros,
     /// Whether workers may be sent health checks.
     pub health_checks: bool,
 }
 
 impl WorkerProtocol {
-    /// The name of a trigger type; empty if it has none.
+    /// The name of a trigger type; empty if the index is unknown.
     pub fn trigger_name(&self, trigger: u32) -> &str {
         self.trigger_names
             .get(trigger as usize)
@@ -64,11 +64,11 @@
     pub ticket: OrderTicket,
     pub function: Arc<str>,
     pub copies: u32,
-    /// In microseconds.
+    /// Time limit for the worker's answer, in microseconds.
     pub timeout: Micros,
 }
 
-/// Where an attempt is in flight.
+/// The connection on which an attempt is in flight, and the id of its request.
 struct AttemptLocation {
     connection: ConnectionId,
     request_id: String,
@@ -80,7 +80,8 @@
     pool: RefCell<ConnectionPool>,
     connections: RefCell<HashMap<ConnectionId, Rc<WorkerConnection>>>,
     attempts: RefCell<HashMap<Ticket, AttemptLocation>>,
-    last_tag: Cell<u64>,
+    /// Number of the last id assigned to a load order or a health check.
+    last_exchange_number: Cell<u64>,
     readiness: ReadinessLog,
 }
 
@@ -91,7 +92,7 @@
             pool: RefCell::new(pool),
             connections: RefCell::default(),
             attempts: RefCell::default(),
-            last_tag: Cell::new(0),
+            last_exchange_number: Cell::new(0),
             readiness: ReadinessLog::default(),
         }
     }
@@ -100,17 +101,18 @@
         &self.protocol
     }
 
-    /// The list of workers is up to date, and says who takes new work.
-    pub fn forget_failed_checks(&self) {
+    /// Clears the failed health checks in the readiness log. Called when the endpoint list is up to date: the list then
+    /// determines which workers receive new work.
+    pub fn clear_failed_checks(&self) {
         self.readiness.clear();
     }
 
-    /// Exchanges for which no connection was available so far.
+    /// Number of exchanges for which no connection was available.
     pub fn unplaced_exchanges(&self) -> u64 {
         self.pool.borrow().exhausted()
     }
 
-    /// Whether none of the tables that an output of the core may change is borrowed.
+    /// Whether none of the tables that outputs of the core may change is borrowed.
     pub fn is_unborrowed(&self) -> bool {
         self.pool.try_borrow_mut().is_ok()
             && self.connections.try_borrow_mut().is_ok()
@@ -118,7 +120,7 @@
     }
 }
 
-/// Outputs of the core.
+/// Execution of the core's outputs.
 impl WorkerConnections {
     /// Sends an attempt.
     pub fn send(&self, node: &Rc<Node>, attempt: Attempt) {
@@ -132,7 +134,7 @@
         });
         log_attempt(node, &id, &attempt.ticket, attempt.worker);
         let exchange = Exchange::new(Purpose::Attempt(attempt.ticket), Micros::MAX);
-        self.post(
+        self.start_exchange(
             node,
             attempt.worker,
             exchange,
@@ -142,33 +144,33 @@
 
     /// Orders a worker to load copies of a function.
     pub fn order(&self, node: &Rc<Node>, order: LoadOrder) {
-        let (id, mut bytes) = (self.new_tag(), Vec::new());
+        let (id, mut bytes) = (self.new_exchange_id(), Vec::new());
         worker_protocol::write_load_order(&mut bytes, &id, &order.function, order.copies);
         let deadline = node.clock.now() + order.timeout;
         let exchange = Exchange::new(Purpose::LoadOrder(order.ticket), deadline);
         let message = Message::Encoded(bytes);
         let queued = QueuedMessage { id, message };
-        self.post(node, order.ticket.worker, exchange, queued);
+        self.start_exchange(node, order.ticket.worker, exchange, queued);
     }
 
     /// Sends a worker a health check.
     pub fn probe(&self, node: &Rc<Node>, worker: WorkerIndex) {
-        let (id, mut bytes, started) = (self.new_tag(), Vec::new(), node.clock.now());
+        let (id, mut bytes, started) = (self.new_exchange_id(), Vec::new(), node.clock.now());
         worker_protocol::write_probe(&mut bytes, &id);
         let deadline = started + self.protocol.connect_timeout;
         let exchange = Exchange::new(Purpose::Probe { worker, started }, deadline);
         let message = Message::Encoded(bytes);
-        self.post(node, worker, exchange, QueuedMessage { id, message });
+        self.start_exchange(node, worker, exchange, QueuedMessage { id, message });
     }
 
-    /// Orders a worker to unload idle copies of a function. The worker sends no answer, and nobody waits for one.
+    /// Orders a worker to unload idle copies of a function. The worker sends no answer to this order.
     pub fn unload(&self, node: &Rc<Node>, worker: WorkerIndex, function: &str) {
         let mut bytes = Vec::new();
         worker_protocol::write_unload_order(&mut bytes, function);
         if let Ok(connection) = self.place(node, worker) {
             connection.enqueue(QueuedMessage::one_way(bytes));
             Sender::new(node, &connection).flush();
-            // If the connection is to be closed now, the next sweep does it.
+            // If the connection is now due to be closed, the next sweep closes it.
             self.pool.borrow_mut().exchange_ended(
                 node.clock.now(),
                 connection.id(),
@@ -177,7 +179,8 @@
         }
     }
 
-    /// The core has cancelled this attempt.
+    /// Cancels an attempt. If its message was sent completely, a cancellation is sent to the worker. If the message was
+    /// sent in part, the connection is closed.
     pub fn cancel(&self, node: &Rc<Node>, ticket: Ticket) {
         let Some(location) = self.attempts.borrow_mut().remove(&ticket) else {
             return;
@@ -188,7 +191,7 @@
         let Some(exchange) = connection.remove_exchange(&location.request_id) else {
             return;
         };
-        let late_answer = if !exchange.is_begun() {
+        let late_answer = if !exchange.has_sent_bytes() {
             connection.dequeue(&location.request_id);
             LateAnswer::Impossible
         } else if connection.is_sent(&exchange) {
@@ -198,19 +201,20 @@
             Sender::new(node, &connection).flush();
             LateAnswer::Possible
         } else {
-            // A part of it was sent: the worker must never receive the rest.
+            // A part of the message was sent: the worker must never receive the rest.
             return connection.close();
         };
         self.release(node, &connection, late_answer);
     }
 
-    fn new_tag(&self) -> String {
-        self.last_tag.set(self.last_tag.get() + 1);
-        format!("t{}", self.last_tag.get())
+    fn new_exchange_id(&self) -> String {
+        self.last_exchange_number
+            .set(self.last_exchange_number.get() + 1);
+        format!("t{}", self.last_exchange_number.get())
     }
 
-    /// Sends a message that gets an answer.
-    fn post(
+    /// Starts an exchange: sends a message to which the worker sends an answer.
+    fn start_exchange(
         &self,
         node: &Rc<Node>,
         worker: WorkerIndex,
@@ -220,7 +224,11 @@
         let connection = match self.place(node, worker) {
             Ok(connection) => connection,
             Err(end) => {
-                tracing::debug!(id = queued.id, ?end, "exchange without a connection");
+                tracing::debug!(
+                    id = queued.id,
+                    ?end,
+                    "no connection for an exchange with a worker"
+                );
                 return report_end(node, exchange.purpose, end, None);
             }
         };
@@ -243,7 +251,8 @@
         self.connections.borrow().get(&id).cloned()
     }
 
-    /// The connection for one more exchange, which counts as in flight there; or how the exchange ends without one.
+    /// The connection for the next exchange with a worker, on which the exchange then counts as in flight. The error is
+    /// the result of the exchange if no connection is available.
     fn place(
         &self,
         node: &Rc<Node>,
@@ -259,6 +268,7 @@
         }
     }
 
+    /// Opens a connection to a worker and starts its task; `None` if the address of the worker is unknown.
     fn open(
         &self,
         node: &Rc<Node>,
@@ -280,18 +290,19 @@
         Some(connection)
     }
 
-    /// Whether nothing more may be sent on this connection.
+    /// Whether this connection is retired, so that no further attempt or load order may be sent on it.
     fn is_retired(&self, connection: &WorkerConnection) -> bool {
         self.pool.borrow().is_retired(connection.id())
     }
 
-    /// Nothing new goes to the connections that this worker has now.
+    /// Retires the current connections to a worker whose address is no longer valid: no further exchange is placed on
+    /// them. Those that are still being established are closed at once.
     pub fn retire(&self, worker: WorkerIndex) {
         let connecting = self.pool.borrow_mut().retire(worker);
         self.close(connecting);
     }
 
-    /// Closes connections that are due, and ends exchanges whose answers are no longer waited for.
+    /// Ends the exchanges whose deadlines have passed, and closes the connections that are due to be closed.
     pub fn sweep(&self, node: &Rc<Node>) {
         let now = node.clock.now();
         let connections: Vec<Rc<WorkerConnection>> =
@@ -313,28 +324,28 @@
             .for_each(|connection| connection.close());
     }
 
-    /// Reads what has arrived on the connections where this request is in flight.
+    /// Reads what has arrived on the connections on which this request is in flight.
     pub fn read_answers_to(&self, node: &Rc<Node>, request_id: &str) {
-        let carrying: Vec<Rc<WorkerConnection>> = self
+        let connections: Vec<Rc<WorkerConnection>> = self
             .connections
             .borrow()
             .values()
-            .filter(|connection| connection.carries(request_id))
+            .filter(|connection| connection.has_exchange(request_id))
             .cloned()
             .collect();
-        for connection in carrying {
+        for connection in connections {
             Session::new(node, &connection).read_answers_to(request_id);
         }
     }
 }
 
-/// Events of connections.
+/// Handling of connection events.
 impl WorkerConnections {
     fn established(&self, connection: &WorkerConnection) {
         self.pool.borrow_mut().connected(connection.id());
     }
 
-    /// Bytes arrived, and the complete answers among them are processed.
+    /// Records that bytes have arrived; called after the complete answers in them have been processed.
     fn received(&self, node: &Node, connection: &WorkerConnection) {
         let partial = connection.has_partial_answer();
         self.pool
@@ -342,7 +353,7 @@
             .received(node.clock.now(), connection.id(), partial);
     }
 
-    /// One exchange on a connection has ended, with an answer or without.
+    /// Ends an exchange on a connection, with an answer or without one, and reports the end to the core.
     fn exchange_ended(
         &self,
         node: &Rc<Node>,
@@ -367,7 +378,7 @@
         report_end(node, exchange.purpose, end, answer);
     }
 
-    /// An exchange no longer counts as in flight on its connection.
+    /// Records that an exchange is no longer in flight on its connection, and closes the connection if it is due.
     fn release(&self, node: &Node, connection: &WorkerConnection, late_answer: LateAnswer) {
         let close_now =
             self.pool
@@ -378,8 +389,8 @@
         }
     }
 
-    /// The connection has ended, and all exchanges on it. `unsent`: how those end whose messages were not sent
-    /// completely.
+    /// Removes a connection that has ended, and ends all exchanges on it. `unsent`: the result of the exchanges whose
+    /// messages were not sent completely.
     fn connection_ended(
         &self,
         node: &Rc<Node>,
@@ -387,7 +398,7 @@
         unsent: ExchangeEnd,
     ) {
         let mut pool = self.pool.borrow_mut();
-        if connection.is_closed_here() {
+        if connection.is_closed_locally() {
             pool.closed(connection.id());
         } else {
             pool.lost(node.clock.now(), connection.id());
@@ -409,10 +420,15 @@
     }
 }
 
-/// Logs which worker an attempt goes to. The name is looked up only where it is logged.
+/// Logs the worker to which an attempt is assigned. The worker's name is looked up only if the line is logged.
 fn log_attempt(node: &Node, request_id: &str, ticket: &Ticket, worker: WorkerIndex) {
     if tracing::enabled!(tracing::Level::DEBUG) {
         let (attempt, worker) = (ticket.dispatch, node.worker_name(worker));
-        tracing::debug!(id = request_id, attempt, worker, "attempt decided");
+        tracing::debug!(
+            id = request_id,
+            attempt,
+            worker,
+            "attempt assigned to a worker"
+        );
     }
 }
--- a/crates/platform-node/src/worker_connections/readiness_log.rs
+++ b/crates/platform-node/src/worker_connections/readiness_log.rs
@@ -1,18 +1,18 @@
-//! [`ReadinessLog`]: logs when a worker fails a health check, and when it passes one again.
+//! [`ReadinessLog`]: logs when a worker fails its health checks, and when it passes them again.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
 
 use cedarpulley::interface::DispatchOutcome;
 
-/// Names of the workers whose last health check failed; empty unless workers are checked.
+/// The names of the workers whose last health check failed. It stays empty if no health checks are sent.
 #[derive(Default)]
 pub(super) struct ReadinessLog {
     not_ready: RefCell<HashSet<String>>,
 }
 
 impl ReadinessLog {
-    /// A health check ended. A worker is logged only when its state changes.
+    /// Records the result of a health check. A line is logged only when the readiness of the worker changes.
     pub fn check_ended(&self, worker: String, outcome: DispatchOutcome) {
         let mut not_ready = self.not_ready.borrow_mut();
         match outcome {
@@ -31,7 +31,8 @@
         }
     }
 
-    /// The list of workers is up to date again, and says who takes new work.
+    /// Clears the failed health checks. Called when the endpoint list is up to date: the list then determines which
+    /// workers receive new work.
     pub fn clear(&self) {
         self.not_ready.borrow_mut().clear();
     }
--- a/crates/platform-node/src/worker_connections/report.rs
+++ b/crates/platform-node/src/worker_connections/report.rs
@@ -1,4 +1,4 @@
-//! Reports to the core how exchanges ended.
+//! Reports the results of exchanges with workers to the core.
 
 use std::rc::Rc;
 
@@ -10,7 +10,7 @@
 use super::connection::Purpose;
 use crate::node::Node;
 
-/// Reports the end of an exchange. `answer`: the worker's, if it gave one.
+/// Reports the end of an exchange. `answer`: the worker's answer, if one arrived.
 pub(super) fn report_end(
     node: &Rc<Node>,
     purpose: Purpose,
@@ -45,6 +45,8 @@
     node.feed(input);
 }
 
+/// The input that reports the end of an attempt. The load of the function is reported only if the settings say that
+/// workers report it, and only for an attempt that succeeded or was rejected.
 fn attempt_ended(
     node: &Node,
     ticket: Ticket,
--- a/crates/platform-node/src/worker_connections/sending.rs
+++ b/crates/platform-node/src/worker_connections/sending.rs
@@ -1,4 +1,5 @@
-//! Writing to workers. Whether a message may still be sent is checked right before its first byte.
+//! [`Sender`]: writes messages to workers. Whether a message may still be sent is checked right before its first byte
+//! is written.
 
 use std::rc::Rc;
 
@@ -12,15 +13,16 @@
 };
 use crate::node::Node;
 
-/// Whether writing to a connection can go on.
+/// Whether writing to a connection can continue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
-    GoOn,
-    /// Nothing is left to write, or the kernel's buffer is full.
+    /// Further bytes may be written.
+    Continue,
+    /// No bytes are left to write, or the kernel's buffer is full.
     Stop,
 }
 
-/// Writes the messages of one connection.
+/// Writes the messages of a connection.
 #[derive(Clone, Copy)]
 pub(super) struct Sender<'a> {
     node: &'a Rc<Node>,
@@ -32,7 +34,7 @@
         Sender { node, connection }
     }
 
-    /// Writes what is queued, as far as the kernel accepts it; the connection's task is woken for the rest.
+    /// Writes the queued messages as far as the kernel accepts them, and wakes the connection's task to write the rest.
     pub fn flush(self) {
         self.write();
         if self.connection.has_unwritten() {
@@ -40,8 +42,9 @@
         }
     }
 
-    /// The same from the connection's own task, which then waits for room. It must not wake itself: it would run without
-    /// a pause for as long as the worker reads nothing, and no other task would.
+    /// Writes the queued messages as far as the kernel accepts them. The connection's own task calls this instead of
+    /// [`Sender::flush`], and then waits until the connection is writable. If that task woke itself, it would run
+    /// without a pause while the worker does not read, and no other task would run.
     pub fn write(self) {
         let Some(stream) = self.connection.stream() else {
             return;
@@ -63,8 +66,9 @@
         self.progress_after(result)
     }
 
-    /// Begins the next message. One that finds the kernel's buffer full keeps its place, and is checked once more when
-    /// there is room: its deadline may have passed, its client disconnected, or its worker's drain grace ended by then.
+    /// Writes the first bytes of the next message if it may still be sent. If the kernel's buffer is full, the message
+    /// stays first in the queue, and is checked again when the connection is writable: by then its deadline may have
+    /// passed, its client may have disconnected, or the drain grace of its worker may have ended.
     fn begin_message(self, stream: &Stream) -> Progress {
         let Some(queued) = self.connection.next_message() else {
             return Progress::Stop;
@@ -73,7 +77,7 @@
             let end = ExchangeEnd::Withheld;
             let workers = &self.node.workers;
             workers.exchange_ended(self.node, self.connection, &queued.id, end, None);
-            return Progress::GoOn;
+            return Progress::Continue;
         }
         let bytes = self.encode(&queued);
         let result = self.connection.begin_message(stream, &queued.id, &bytes);
@@ -85,15 +89,16 @@
 
     fn progress_after(self, result: WriteResult) -> Progress {
         match result {
-            WriteResult::Accepted(_) => Progress::GoOn,
+            WriteResult::Accepted(_) => Progress::Continue,
             WriteResult::BufferFull => Progress::Stop,
             WriteResult::Failed => {
-                self.connection.end();
-                Progress::GoOn
+                self.connection.request_end();
+                Progress::Continue
             }
         }
     }
 
+    /// Whether a message may still be sent.
     fn may_send(self, queued: &QueuedMessage) -> bool {
         let purpose = self.connection.purpose_of(&queued.id);
         let in_time = match &queued.message {
@@ -108,8 +113,8 @@
                     && self.node.may_send(ticket)
                     && !self.node.clients.has_disconnected(self.node, &queued.id)
             }
-            Some(Purpose::LoadOrder(ticket)) => !is_retired() && self.node.may_order(ticket),
-            // A probe, a cancellation or an order to unload.
+            Some(Purpose::LoadOrder(ticket)) => !is_retired() && self.node.may_send_order(ticket),
+            // A health check, a cancellation or an order to unload.
             Some(Purpose::Probe { .. }) | None => true,
         }
     }
@@ -135,6 +140,7 @@
         bytes
     }
 
+    /// Time until the deadline of an attempt, in microseconds; negative after the deadline.
     fn time_left(self, call: &OutgoingCall) -> Micros {
         call.deadline - self.node.clock.now()
     }
--- a/crates/platform-node/src/worker_connections/session.rs
+++ b/crates/platform-node/src/worker_connections/session.rs
@@ -1,4 +1,5 @@
-//! [`Session`]: the task of one connection. It establishes the connection, then reads answers until the connection ends.
+//! [`Session`]: the task of a connection to a worker. It establishes the connection, then reads answers until the
+//! connection ends.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,11 +15,11 @@
 use crate::node::Node;
 use crate::read_buffer::{READ_SIZE, ReadResult};
 
-/// No more is read in a row than the longest answer takes, so that a worker that never stops sending delays nobody for
-/// longer.
+/// Most reads in a row: the number of reads that the longest answer takes. The limit bounds the delay that a worker
+/// causes to other connections by sending without a pause.
 const MAX_READS: usize = MAX_ANSWER_BYTES.div_ceil(READ_SIZE);
 
-/// One connection and its node.
+/// A connection to a worker, and the node to which it belongs.
 #[derive(Clone, Copy)]
 pub(super) struct Session<'a> {
     node: &'a Rc<Node>,
@@ -30,16 +31,16 @@
         Session { node, connection }
     }
 
-    /// Connects, serves the connection, and reports the end of what was in flight on it.
+    /// Establishes and serves the connection, and reports the end of the exchanges that were in flight on it.
     pub async fn run(self, address: SocketAddr, connect_timeout: Micros) {
         let connecting = async { connect(address, None, connect_timeout).await.ok() };
         let cancelled = async {
-            self.connection.ended().await;
+            self.connection.end_requested().await;
             None
         };
         let Some(stream) = connecting.or(cancelled).await else {
-            // Cancelled from here, it shows nothing about the worker.
-            let end = if self.connection.is_closed_here() {
+            // A connection attempt that this router cancelled shows nothing about the worker.
+            let end = if self.connection.is_closed_locally() {
                 ExchangeEnd::Withheld
             } else {
                 ExchangeEnd::ConnectFailed
@@ -53,12 +54,13 @@
         self.end(ExchangeEnd::NotSent);
     }
 
+    /// Ends the connection. `unsent`: the result of the exchanges whose messages were not sent completely.
     fn end(self, unsent: ExchangeEnd) {
         let workers = &self.node.workers;
         workers.connection_ended(self.node, self.connection, unsent);
     }
 
-    /// Writes what is queued and reads answers until the connection ends.
+    /// Writes queued messages and reads answers until the connection ends.
     async fn serve(self) {
         let Some(stream) = self.connection.stream() else {
             return;
@@ -75,23 +77,26 @@
         }
     }
 
-    /// Reads what has arrived for as long as this request is in flight on the connection. That the connection has ended
-    /// is left for its own task to find.
+    /// Reads what has arrived while this request is in flight on the connection. If the connection has ended, its own
+    /// task detects and handles that.
     pub fn read_answers_to(self, request_id: &str) {
         let Some(stream) = self.connection.stream() else {
             return;
         };
         for _ in 0..MAX_READS {
-            let is_awaited = !self.connection.is_ending() && self.connection.carries(request_id);
+            let is_awaited =
+                !self.connection.is_ending() && self.connection.has_exchange(request_id);
             if !is_awaited || !matches!(self.read(&stream), ReadResult::Bytes(())) {
                 return;
             }
         }
     }
 
-    /// Reads once without waiting, and processes the answers that are complete.
+    /// Reads once without waiting, and processes the complete answers.
     fn read(self, stream: &Stream) -> ReadResult<()> {
-        let result = self.node.read(stream, |bytes| self.connection.put(bytes));
+        let result = self
+            .node
+            .read(stream, |bytes| self.connection.add_bytes(bytes));
         if let ReadResult::Bytes(()) = result {
             self.process_answers();
         }
@@ -105,11 +110,11 @@
                 .connection
                 .next_answer(&workers.protocol().report_fields)
             {
-                // Nobody can have answered what was not sent completely.
+                // A worker cannot have answered a message that was not sent completely.
                 Ok(Some(answer)) if self.connection.is_unsent(&answer.id) => {
                     return self.connection.close();
                 }
-                // An answer with an unknown id is late, repeated or unsolicited, and is ignored.
+                // An answer with an unknown id is late, repeated or unsolicited, and is ignored by `exchange_ended`.
                 Ok(Some(answer)) => {
                     let id = answer.id.clone();
                     let end = ExchangeEnd::Answered(answer.status);
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reads the settings that the balancer (the decision module, `cedarpulley::Balancer`) starts with. A site gives them in
-//! one of two forms, pairs of path and value or nested JSON, with the same names and units. [`RawSettings`] holds the
-//! values as given, and [`StartupSettings::read`] converts them to typed settings. A caller that needs further settings
-//! reads them from [`RawSettings`].
+//! Reads the settings that the balancer (the decision module, `cedarpulley::Balancer`) starts with. A site gives them
+//! in one of two forms, pairs of path and value or nested JSON, with the same names and units. [`RawSettings`] holds
+//! the values as given, and [`StartupSettings::read`] converts them to typed settings. A caller that needs further
+//! settings reads them from [`RawSettings`].
 #![warn(missing_docs)]
 
 mod error;
--- a/crates/startup/src/raw_settings.rs
+++ b/crates/startup/src/raw_settings.rs
@@ -1,4 +1,5 @@
-//! [`RawSettings`]: settings as given, in pairs of path and value or in nested JSON, before they are converted to types.
+//! [`RawSettings`]: settings as given, in pairs of path and value or in nested JSON, before they are converted to
+//! types.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
--- a/crates/startup/src/startup_settings.rs
+++ b/crates/startup/src/startup_settings.rs
@@ -1,5 +1,5 @@
-//! [`StartupSettings`]: the settings that the balancer starts with, converted from [`RawSettings`]. The simulator and the
-//! platform use the same names and units for them.
+//! [`StartupSettings`]: the settings that the balancer starts with, converted from [`RawSettings`]. The simulator and
+//! the platform use the same names and units for them.
 
 use cedarpulley::Balancer;
 use cedarpulley::interface::{
--- a/crates/startup/tests/settings.rs
+++ b/crates/startup/tests/settings.rs
@@ -75,8 +75,8 @@
     assert_eq!(raw.list("kinds").count(), 0);
 }
 
-/// Guards against an unlimited default objective: the balancer would estimate the work of the trigger type as unlimited,
-/// and reject each invocation at once.
+/// Guards against an unlimited default objective: the balancer would estimate the work of the trigger type as
+/// unlimited, and reject each invocation at once.
 #[test]
 fn a_trigger_type_without_a_latency_objective_is_dispatched() {
     let service =
