--- a/crates/upgrade/src/cluster_state.rs
+++ b/crates/upgrade/src/cluster_state.rs
@@ -8,10 +8,11 @@
 use crate::observed_state::ObservedWorker;
 use crate::settings::PlannerSettings;
 
+/// One member of the group.
 #[derive(Clone, Debug)]
 struct Member {
     is_alive: bool,
-    /// When `is_alive` changed last, or the member became known.
+    /// When `is_alive` last changed, or when the member became known.
     changed_at: Micros,
     region: Name,
 }
@@ -51,7 +52,7 @@
         self.workers = workers;
     }
 
-    /// The lowest member believed alive leads.
+    /// Whether this member has the lowest index of all members considered alive, and so should lead.
     pub fn should_lead(&self) -> bool {
         let lowest = self.members.iter().position(|member| member.is_alive);
         lowest == Some(usize::from(self.own_index))
@@ -99,7 +100,7 @@
         names
     }
 
-    /// The observation of this worker is recent enough to rely on.
+    /// Whether the observation of this worker is recent enough to rely on.
     pub fn is_fresh(&self, worker: &ObservedWorker) -> bool {
         self.now.saturating_sub(worker.observed_at) <= self.settings.observation_lifetime
     }
@@ -116,21 +117,21 @@
         (0..self.members.len()).filter(move |index| *self.members[*index].region == *region)
     }
 
-    /// The member has been away for so long that it routes nothing any more.
+    /// Whether the member has been absent for so long that it certainly routes nothing any more.
     pub fn is_gone(&self, member: usize) -> bool {
         self.members.get(member).is_some_and(|member| {
             !member.is_alive && self.now - member.changed_at >= self.settings.member_gone_after
         })
     }
 
-    /// The region has routers, and none of them is believed alive.
+    /// Whether the region has routers and none of them is considered alive.
     pub fn is_unreachable(&self, region: &str) -> bool {
         let mut members = self.members_in(region).peekable();
         members.peek().is_some() && members.all(|index| !self.members[index].is_alive)
     }
 
-    /// Memory of one copy of `function`: as observed, else as ordered (0: not given), else as observed of `similar`; 0 if
-    /// unknown.
+    /// Memory of one copy of `function` in MB: as observed, else as given in the order (0: not given), else as observed
+    /// for `similar`; 0 if unknown.
     pub fn copy_mb(&self, function: &Name, ordered_mb: u32, similar: &Name) -> u32 {
         let observed = |function: &Name| {
             let copies = self.workers.iter();
@@ -145,7 +146,7 @@
             .unwrap_or(0)
     }
 
-    /// Lanes of one copy of `function`: as observed, else as observed of `similar`; at least 1.
+    /// Lanes of one copy of `function`: as observed, else as observed for `similar`; at least 1.
     pub fn lanes_per_copy(&self, function: &Name, similar: &Name) -> u32 {
         let observed = |function: &Name| {
             let copies = self.workers.iter();
--- a/crates/upgrade/src/events.rs
+++ b/crates/upgrade/src/events.rs
@@ -1,4 +1,4 @@
-//! What goes into a [`Planner`](crate::Planner) and what comes out of it.
+//! The inputs and outputs of a [`Planner`](crate::Planner).
 
 use bytes::Bytes;
 use cedarpulley_membership::MemberIndex;
@@ -9,14 +9,14 @@
 use crate::plan::{Ballot, RoutingRule};
 use crate::version_comparison::VersionCounters;
 
-/// A majority's answer to a request under a key.
+/// A majority's answer to a request for a key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// This member leads with this ballot.
     Leads {
         /// The ballot that the majority promised.
         ballot: Ballot,
-        /// The value accepted last, if any.
+        /// The last accepted value, if there is one.
         last: Option<Bytes>,
     },
     /// The value was accepted.
@@ -30,41 +30,42 @@
     NoMajority,
 }
 
-/// An event.
+/// An input event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// The whole of the operator's file, as read last.
+    /// All orders of the operator's file, whenever it was read.
     Orders(Vec<Order>),
-    /// The members of the group; whenever they change.
+    /// The members of the group, whenever they change.
     Members {
         /// This router's index.
         own_index: MemberIndex,
-        /// Whether each member is believed alive.
+        /// Whether each member is considered alive.
         alive: Vec<bool>,
         /// The region of each member, in the same order.
         regions: Vec<Name>,
     },
-    /// All known workers; whenever one of them changes, and at least once a second.
+    /// All known workers, whenever one of them changes and at least once a second.
     Workers(Vec<ObservedWorker>),
-    /// What a member (this one too) observed of the versions of a model. Shared among all members, whenever it changes.
+    /// Counters that a member, possibly this one, has for the versions of a model, and the step by which it routes.
+    /// Shared with all members whenever they change.
     MemberReported {
-        /// The member that observed it.
+        /// The member that counted.
         member: MemberIndex,
         /// The model.
         model: Name,
-        /// The step by which that member routes ([`Planner::goes_by`](crate::Planner::goes_by)).
+        /// The step by which that member routes ([`Planner::routing_rule`](crate::Planner::routing_rule)).
         rule: RoutingRule,
         /// Its counters.
         counts: Vec<VersionCounters>,
     },
-    /// The answer to [`Output::Lead`] or [`Output::Write`].
+    /// The answer to [`Output::RequestLeadership`] or [`Output::Propose`].
     Decided {
         /// The key of the request.
         key: Name,
         /// The answer.
         outcome: Outcome,
     },
-    /// The value that the shared state holds as accepted for a model: at start, and whenever it changes.
+    /// The accepted value of a model's record in the shared state: at start, and whenever it changes.
     PlanReceived {
         /// The model.
         model: Name,
@@ -73,23 +74,23 @@
         /// The encoded [`Plan`](crate::Plan).
         bytes: Bytes,
     },
-    /// A worker finished loading a copy.
+    /// A load of a copy has ended at a worker.
     LoadEnded {
         /// The worker.
         worker: Name,
         /// The function loaded.
         function: Name,
-        /// False: the load failed.
+        /// Whether the load succeeded.
         ok: bool,
     },
-    /// Time has passed.
+    /// Only the time has advanced.
     Tick,
 }
 
 /// A request of the planner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Ask a majority for leadership under this key.
+    /// Ask a majority for leadership of this key.
     RequestLeadership {
         /// The key of the model's record.
         key: Name,
@@ -103,18 +104,18 @@
         /// The encoded [`Plan`](crate::Plan).
         value: Bytes,
     },
-    /// Load a copy on a worker, or renew it there.
+    /// Load a copy at a worker, or renew the copy that is warm there.
     LoadCopy {
         /// The worker.
         worker: Name,
         /// The function to load.
         function: Name,
-        /// A function whose invocations resemble those that this one will get.
+        /// A function whose invocations are expected to resemble those of this one.
         similar: Name,
         /// The term of the leader that requests it.
         term: Name,
     },
-    /// Unload idle copies from a worker.
+    /// Unload the idle copies of a function at a worker.
     UnloadCopies {
         /// The worker.
         worker: Name,
--- a/crates/upgrade/src/leadership.rs
+++ b/crates/upgrade/src/leadership.rs
@@ -1,10 +1,11 @@
 //! Which member leads the upgrade of one model, and for how long it may act.
 //!
 //! Mechanisms:
-//! 1. The lowest member believed alive leads, by a ballot that a majority has promised; an earlier leader is overtaken.
-//! 2. A step is proposed to the majority first, and acted upon once it is agreed.
-//! 3. A leader acts for a lease from when its last agreed step was proposed. A new leader waits for the earlier one's
-//!    lease and last requests to pass, so that no two act at once.
+//! 1. The member with the lowest index of those considered alive leads, by a ballot that a majority has promised. Its
+//!    ballot overtakes that of an earlier leader.
+//! 2. A leader proposes each step to the majority and acts on it only once it is agreed.
+//! 3. A leader acts for one lease from when it proposed its last agreed step. A new leader waits until the earlier
+//!    leader's lease has expired and its last requests have been delivered, so that no two leaders act at once.
 
 use cedarpulley::interface::Micros;
 
@@ -14,19 +15,18 @@
 use crate::rollout::ProposedStep;
 use crate::settings::PlannerSettings;
 
-/// A clock may run faster or slower than another by one part in so many of a lease: far more than any does.
+/// Two clocks may differ by up to the lease divided by this number over the time of a lease: much more than real clocks
+/// do.
 const CLOCK_DRIFT_DIVISOR: Micros = 10;
 
+/// The role of this member.
 #[derive(Clone, Debug)]
 enum Role {
     /// Leadership may be requested from `retry_at` on.
-    Follower {
-        retry_at: Micros,
-    },
-    /// A majority was asked for leadership.
-    Candidate {
-        since: Micros,
-    },
+    Follower { retry_at: Micros },
+    /// This member has asked a majority for leadership.
+    Candidate { since: Micros },
+    /// A majority granted leadership for this term.
     Leader(Box<Term>),
 }
 
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Term {
     ballot: Ballot,
-    /// Before, an earlier leader may still act.
+    /// Until this time an earlier leader may still act.
     may_act_from: Micros,
     /// The last step that a majority agreed on.
     agreed: Option<Plan>,
@@ -57,6 +57,7 @@
     proposal: Option<Proposal>,
 }
 
+/// A step that was proposed and is not yet agreed.
 #[derive(Clone, Debug)]
 struct Proposal {
     since: Micros,
@@ -87,13 +88,13 @@
         self.role = Role::Follower { retry_at };
     }
 
-    /// Another member leads, or the majority cannot be reached: back off for a part of a lease.
+    /// Steps down for half a lease, because another member leads or no majority can be reached.
     pub fn back_off(&mut self, now: Micros, settings: &PlannerSettings) {
         self.step_down(now.saturating_add(settings.lease / 2));
     }
 
-    /// Steps down where overtaken or without an answer for too long; true where leadership has to be requested now.
-    /// `known_ballot`: of the latest plan known here.
+    /// Steps down if another member has overtaken this one or a majority has not answered in time. Returns true if
+    /// leadership has to be requested now. `known_ballot` is the ballot of the latest plan known here.
     pub fn update(
         &mut self,
         now: Micros,
@@ -119,8 +120,8 @@
         false
     }
 
-    /// A majority granted leadership; the time from which this member may act. Symptom without the wait: two leaders each
-    /// unload one copy, and together they undercut the floor.
+    /// A majority granted leadership. Returns the time from which this member may act. Without the wait, two leaders
+    /// could each unload a copy and together take the lanes below the floor.
     pub fn granted(
         &mut self,
         now: Micros,
@@ -130,7 +131,7 @@
     ) -> Micros {
         let wait =
             settings.lease + settings.lease / CLOCK_DRIFT_DIVISOR + settings.order_delivery_timeout;
-        // If no step of another member was agreed since this member's own, no other may act.
+        // If the last agreed step is this member's own, no other member may act.
         let own_term = self.last_term.filter(|term| {
             agreed
                 .as_ref()
@@ -154,7 +155,7 @@
         now.max(may_act_from)
     }
 
-    /// A majority agreed on what was proposed with this ballot; the step, if it is one of the current term.
+    /// A majority agreed on the value proposed with this ballot. Returns the step if it belongs to the current term.
     pub fn agreed(&mut self, ballot: Ballot) -> Option<ProposedStep> {
         let Role::Leader(term) = &mut self.role else {
             return None;
@@ -190,7 +191,7 @@
         self.proposal.is_some()
     }
 
-    /// A step was agreed in this term.
+    /// Whether a step was agreed in this term.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed_at.is_some()
     }
@@ -199,7 +200,7 @@
         now >= self.may_act_from
     }
 
-    /// What is left of the lease; 0 or less once it has run out.
+    /// Remaining time of the lease; 0 or less once it has expired.
     pub fn lease_left(&self, now: Micros, settings: &PlannerSettings) -> Micros {
         self.confirmed_at
             .map_or(0, |at| at.saturating_add(settings.lease) - now)
--- a/crates/upgrade/src/lib.rs
+++ b/crates/upgrade/src/lib.rs
@@ -1,25 +1,25 @@
-//! Rolling upgrades of a model, region after region, while active sessions stay on the workers whose prefix cache is
-//! warm.
+//! Rolling upgrades of a model, one region after another. Active sessions stay on the workers that have cached their
+//! prefix.
 //!
-//! The crate does no I/O. Observations and the time go into [`Planner::handle`]; load and unload requests and steps that a
-//! majority has to agree on come out. Start reading at [`planner`]; the design and its reasons are in
+//! The crate does no I/O. Observations and the time go into [`Planner::handle`]; load and unload requests and steps for
+//! a majority to agree on come out. Start reading at [`planner`]; the design and its reasons are in
 //! docs/design/upgrade.md.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | [`planner`] | the entry point of a router: passes events on, answers routing questions |
-//! | [`events`], [`settings`], [`status`] | inputs and outputs; intervals and limits; what an operator can read |
-//! | [`orders`] | what an operator wants, and which orders are rejected |
-//! | [`plan`] | the replicated state of one upgrade, and which version a request is routed to by it |
-//! | `model_upgrade`, `leadership` | one model: its latest plan; which member leads, for how long it may act |
+//! | [`events`], [`settings`], [`status`] | inputs and outputs; intervals and limits; the state shown to an operator |
+//! | [`orders`] | the operator's orders, and why an order is rejected |
+//! | [`plan`] | the replicated state of one upgrade, and the version to which it routes a request |
+//! | `model_upgrade`, `leadership` | one model: its latest plan; which member leads, and for how long it may act |
 //! | `cluster_state` | members and workers as this router observes them |
 //! | [`observed_state`] | the copies of one worker, as last reported |
-//! | `rollout` | what a leader does: the next step of the plan, and the copies it loads, renews and unloads |
+//! | `rollout` | what a leader does: the next step of the plan, and the copies that it loads, renews and unloads |
 //! | [`version_comparison`] | the new version against the old one, paired by trigger type |
-//! | [`sessions`] | which version a session is bound to, and which worker has it warm |
+//! | [`sessions`] | the version to which a session is bound, and the worker that has cached its prefix |
 //!
-//! Three rules hold throughout: nobody acts on a step that no majority holds; the warm lanes of a region are never taken
-//! below its floor; no copy that sessions use is unloaded before the operator's drain limit.
+//! Three rules hold throughout: a member acts on a step only after a majority has accepted it; the planner never takes
+//! the warm lanes of a region below its floor; no copy that sessions use is unloaded before the operator's drain limit.
 #![warn(missing_docs)]
 
 mod cluster_state;
--- a/crates/upgrade/src/model_upgrade.rs
+++ b/crates/upgrade/src/model_upgrade.rs
@@ -1,5 +1,5 @@
-//! The upgrade of one model as this router takes part in it: the latest plan, by which it routes, and what it does while
-//! it leads.
+//! The part that this router takes in the upgrade of one model: it routes by the latest plan, and advances the plan
+//! while it leads.
 
 use cedarpulley::interface::Micros;
 use cedarpulley_membership::MemberIndex;
@@ -15,21 +15,22 @@
 use crate::status::{PlanStatus, RegionStatus};
 use crate::version_comparison::{VersionComparison, VersionCounters};
 
-/// Why a plan waits is logged again only after so long, however often the reason changes.
+/// Minimum time between two log lines about why a plan waits, however often the reason changes.
 const WAIT_LOG_INTERVAL: Micros = 10_000_000;
-/// A record of another release is read again after so long.
+/// Time after which leadership is requested again for a model whose record was written by another release.
 const FOREIGN_RECORD_RETRY: Micros = 60_000_000;
 
-/// The wait reason that was logged last.
+/// The last logged wait reason.
 #[derive(Clone, Debug)]
 struct WaitLog {
     reason: String,
     at: Micros,
 }
 
+/// The upgrade of one model.
 #[derive(Clone, Debug)]
 pub(crate) struct ModelUpgrade {
-    /// Of the latest plan.
+    /// The ballot of the latest plan.
     ballot: Ballot,
     plan: Option<Plan>,
     plan_received_at: Micros,
@@ -64,7 +65,7 @@
         self.ballot.term()
     }
 
-    /// By which step this router routes.
+    /// The step by which this router routes; absent without a plan.
     pub fn routing_rule(&self) -> Option<RoutingRule> {
         let step = self.plan.as_ref()?.step;
         let ballot = self.ballot;
@@ -79,7 +80,7 @@
         self.executor.add_order(order);
     }
 
-    /// What a member observed of the versions, and by which step it routes.
+    /// Takes in the counters of a member for both versions, and the step by which it routes.
     pub fn member_reported(
         &mut self,
         member: MemberIndex,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// A member has to lead: something has to be begun, is under way, or its record has to be refreshed.
+    /// Whether a member has to lead: a plan has to begin or is in progress, or its record has to be refreshed.
     pub fn has_work(&self, now: Micros, settings: &PlannerSettings) -> bool {
         match &self.plan {
             None => self.executor.has_orders_after(None),
@@ -164,7 +165,7 @@
         now - self.plan_received_at >= settings.record_refresh_interval
     }
 
-    /// When the record has to be refreshed; nothing without a plan.
+    /// When the record has to be refreshed; absent without a plan.
     pub fn refresh_at(&self, settings: &PlannerSettings) -> Option<Micros> {
         self.plan.as_ref()?;
         Some(
@@ -173,12 +174,12 @@
         )
     }
 
-    /// This member leads or has asked to, or has reason to ask.
+    /// Whether this member leads, has requested leadership, or has a reason to request it.
     pub fn is_active(&self, now: Micros, settings: &PlannerSettings) -> bool {
         self.has_work(now, settings) || !self.leadership.is_follower()
     }
 
-    /// A majority's answer.
+    /// Takes in a majority's answer.
     pub fn decided(
         &mut self,
         now: Micros,
@@ -191,7 +192,8 @@
                 let agreed = match last.as_deref().map(Plan::decode) {
                     Some(None) => {
                         out.push(Output::Log(
-                            "its record is of another release; it is left alone".into(),
+                            "the plan record was written by another release and is left unchanged"
+                                .into(),
                         ));
                         let retry_at = now.saturating_add(FOREIGN_RECORD_RETRY);
                         return self.leadership.step_down(retry_at);
@@ -218,7 +220,8 @@
         }
     }
 
-    /// Does what is due: requests leadership, proposes a step, or requests loads and unloads by the last one.
+    /// Does what is due: requests leadership, proposes a step, or requests the loads and unloads of the last agreed
+    /// step.
     pub fn update(
         &mut self,
         model: &Name,
@@ -304,7 +307,7 @@
         }
     }
 
-    /// For an operator; nothing without a plan.
+    /// The state shown to an operator; absent without a plan.
     pub fn status(&self, model: &Name, view: &ClusterView) -> Option<PlanStatus> {
         let plan = self.plan.as_ref()?;
         let order = &plan.order;
--- a/crates/upgrade/src/orders.rs
+++ b/crates/upgrade/src/orders.rs
@@ -1,5 +1,5 @@
-//! What an operator wants: an [`OrderLine`] is a line of the file as written, an [`Order`] is one that can be carried out
-//! ([`Order::try_from`]).
+//! The operator's orders. An [`OrderLine`] is an order as written in the file; an [`Order`] has passed the checks of
+//! [`Order::try_from`] and can be carried out.
 
 use cedarpulley::interface::Micros;
 use cedarpulley_errors::Remedy;
@@ -7,13 +7,13 @@
 
 use crate::Name;
 
-/// Most orders in a file: an operator has a few dozen models under way at most.
+/// Maximum number of orders in a file: an operator upgrades a few dozen models at a time at most.
 pub const MAX_ORDERS: usize = 256;
-/// Longest name, in bytes: names stand in records that all members store.
+/// Longest name, in bytes: names are part of records that all members store.
 pub const MAX_NAME_BYTES: usize = 200;
-/// Most canaries: more than a worker each in any region is no canary any more.
+/// Maximum number of canaries: in any region, more would be over one per worker, and no canaries any more.
 pub const MAX_CANARIES: u32 = 64;
-/// Longest drain limit, a day: sessions that last longer are not waited for.
+/// Longest drain limit, in milliseconds: one day. A plan does not wait for sessions that last longer.
 pub const MAX_DRAIN_MS: u64 = 86_400_000;
 const MICROS_PER_MS: Micros = 1_000;
 
@@ -28,23 +28,23 @@
     pub from: String,
     /// The new version.
     pub to: String,
-    /// Grows with each order for the model: what was carried out once is not begun again.
+    /// Increases with each order for the model, so that no order is carried out twice.
     pub serial: u64,
-    /// Copies of the new version to compare with the old one.
+    /// Number of copies of the new version that are compared with the old version.
     #[serde(default = "default_canary")]
     pub canary: u32,
     /// Share of new work in the first region for the canaries, from 0 to 1.
     #[serde(default = "default_canary_part")]
     pub canary_part: f64,
-    /// Share of the warm lanes at the beginning that stays available in each region at every moment, from 0 to 1.
+    /// Share of the lanes warm at the beginning that stays available in each region at all times, from 0 to 1.
     #[serde(default = "default_floor")]
     pub floor: f64,
-    /// How long sessions of the outgoing version are waited for, in milliseconds.
+    /// How long the plan waits for sessions of the outgoing version, in milliseconds.
     pub drain_limit_ms: u64,
-    /// Memory of a copy of the new version; 0: the same as the old one's.
+    /// Memory of a copy of the new version, in MB; 0: as much as a copy of the old version.
     #[serde(default)]
     pub copy_mb: u32,
-    /// Taken back: what has been done of it is rolled back.
+    /// Whether the order was withdrawn: what was done for it is rolled back.
     #[serde(default)]
     pub withdrawn: bool,
 }
@@ -61,7 +61,7 @@
     0.8
 }
 
-/// One order that can be carried out.
+/// One order that has passed the checks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// The model.
@@ -70,47 +70,47 @@
     pub from: Name,
     /// The new version.
     pub to: Name,
-    /// Grows with each order for the model.
+    /// Increases with each order for the model.
     pub serial: u64,
-    /// Copies of the new version to compare with the old one.
+    /// Number of copies of the new version that are compared with the old version.
     pub canary: u32,
     /// Share of new work in the first region for the canaries, in thousandths.
     pub canary_part: u16,
-    /// Share of the warm lanes at the beginning that stays available, in thousandths.
+    /// Share of the lanes warm at the beginning that stays available, in thousandths.
     pub floor: u16,
-    /// How long sessions of the outgoing version are waited for.
+    /// How long the plan waits for sessions of the outgoing version, in microseconds.
     pub drain_limit: Micros,
-    /// Memory of a copy of the new version; 0: the same as the old one's.
+    /// Memory of a copy of the new version, in MB; 0: as much as a copy of the old version.
     pub copy_mb: u32,
-    /// Taken back: what has been done of it is rolled back.
+    /// Whether the order was withdrawn: what was done for it is rolled back.
     pub withdrawn: bool,
 }
 
-/// Why an order is rejected; each with the order's serial.
+/// Why an order is rejected. Errors of a single order have its serial.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OrderError {
-    /// The model's name.
+    /// The model's name is empty, too long or contains a newline.
     #[error("order {0}: the model has no name, or one that is too long")]
     ModelName(u64),
-    /// A version's name.
-    #[error("order {0}: a version is empty, has a slash in it or is too long")]
+    /// A version's name is empty, too long or contains a slash or a newline.
+    #[error("order {0}: a version is empty, contains a slash or is too long")]
     VersionName(u64),
-    /// Nothing to upgrade.
-    #[error("order {0}: the new version is the old one")]
+    /// The old and the new version are the same.
+    #[error("order {0}: the new version equals the old one")]
     SameVersion(u64),
-    /// The number of canaries.
-    #[error("order {0}: its canaries are none or too many")]
+    /// The number of canaries is 0 or above [`MAX_CANARIES`].
+    #[error("order {0}: the number of canaries is 0 or too large")]
     CanaryCount(u64),
-    /// A share that is not from 0 to 1.
-    #[error("order {0}: canary_part or floor is not within 0 and 1")]
+    /// A share is not from 0 to 1.
+    #[error("order {0}: canary_part or floor is not between 0 and 1")]
     Share(u64),
-    /// The drain limit.
+    /// The drain limit is above [`MAX_DRAIN_MS`].
     #[error("order {0}: the drain limit is longer than a day")]
     DrainLimit(u64),
-    /// Too many orders in the file.
+    /// The file has more than [`MAX_ORDERS`] orders.
     #[error("there are more orders than {MAX_ORDERS}")]
     TooManyOrders,
-    /// Two orders for this model with this serial.
+    /// Two orders for this model have this serial.
     #[error("two orders for model '{0}' have the serial {1}")]
     DuplicateSerial(String, u64),
 }
@@ -118,15 +118,17 @@
 impl Remedy for OrderError {
     fn remedy(&self) -> &'static str {
         match self {
-            OrderError::ModelName(_) => "name the model as its callers do, in at most 200 bytes",
+            OrderError::ModelName(_) => {
+                "use the name by which clients call the model, in at most 200 bytes"
+            }
             OrderError::VersionName(_) => {
-                "name the version as it stands behind /versions/; only `from` may be empty"
+                "name the version as in the path after /versions/; only `from` may be empty"
             }
-            OrderError::SameVersion(_) => "set `to` to the version that is to come",
+            OrderError::SameVersion(_) => "set `to` to the new version",
             OrderError::CanaryCount(_) => "set `canary` from 1 to 64",
             OrderError::Share(_) => "set `canary_part` and `floor` between 0 and 1",
             OrderError::DrainLimit(_) => "set `drain_limit_ms` to at most 86400000",
-            OrderError::TooManyOrders => "take orders that are carried out from the file",
+            OrderError::TooManyOrders => "remove orders that were carried out from the file",
             OrderError::DuplicateSerial(..) => "give the later order the higher serial",
         }
     }
@@ -185,7 +187,7 @@
     }
 }
 
-/// All orders of a file, or the error of the first one that is rejected.
+/// The orders of a file, or the error of the first order that is rejected.
 pub fn parse_orders(lines: Vec<OrderLine>) -> Result<Vec<Order>, OrderError> {
     if lines.len() > MAX_ORDERS {
         return Err(OrderError::TooManyOrders);
--- a/crates/upgrade/src/plan.rs
+++ b/crates/upgrade/src/plan.rs
@@ -1,5 +1,5 @@
-//! The replicated state of one upgrade, one record a model: the steps as a majority agrees on them, and which version new
-//! work is routed to by each. Read with [`Plan::decode`], written with [`Plan::encode`].
+//! The replicated state of one upgrade, one record per model. A majority agrees on each step of a plan, and each step
+//! determines the version to which new work is routed. [`Plan::decode`] reads a record, [`Plan::encode`] writes it.
 
 use bytes::Bytes;
 use cedarpulley_membership::MemberIndex;
@@ -8,16 +8,17 @@
 use crate::Name;
 use crate::orders::Order;
 
-/// Before the model in a record's key.
+/// Precedes the model in a record's key.
 const KEY_PREFIX: &str = "u\n";
-/// Between model and version, as in KServe's paths.
+/// Separates model and version, as in KServe's paths.
 const VERSION_SEPARATOR: &str = "/versions/";
-/// A step's number comes first, its highest byte first: within a term the later value is the greater one.
+/// A record starts with the number of its step in big-endian order, so that within a term a later record is the greater
+/// value.
 const STEP_BYTES: usize = size_of::<u64>();
-/// All of a share: shares are in thousandths.
-pub const WHOLE: u16 = 1000;
-/// Largest record: it is sent to all members at every step.
-pub const MAX_BYTES: usize = 64 * 1024;
+/// A share of 100 percent: shares are in thousandths.
+pub const FULL_SHARE: u16 = 1000;
+/// Largest record, in bytes: it is sent to all members at every step.
+pub const MAX_PLAN_BYTES: usize = 64 * 1024;
 
 /// The key of a model's record in the shared state.
 pub fn plan_key(model: &str) -> Name {
@@ -43,22 +44,22 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Ballot {
-    /// Its number; a higher one overtakes.
+    /// Its number; a ballot with a higher number overtakes.
     pub number: u32,
     /// The member that leads with it.
     pub member: MemberIndex,
-    /// Distinguishes incarnations of the member.
+    /// Distinguishes the incarnations of the member.
     pub nonce: u64,
 }
 
 impl Ballot {
-    /// The term as workers are sent it; no two leaders have the same.
+    /// The term as it is sent to workers; no two leaders have the same term.
     pub fn term(&self) -> Name {
         Name::from(format!("{}.{}.{:x}", self.number, self.member, self.nonce))
     }
 }
 
-/// A step and whose it is: two leaders may have given the same number to different steps.
+/// A step and the ballot of its leader: two leaders may have given the same number to different steps.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -80,26 +81,26 @@
     Rolling,
     /// The new version is slower than the old one; no more of it is loaded.
     Paused,
-    /// It is being rolled back.
+    /// The plan is being rolled back.
     #[serde(rename = "Back")]
     RollingBack,
     /// All regions have the new version.
     Done,
     /// All regions have the old version again.
     RolledBack,
-    /// Cancelled before anything was done, with the reason.
+    /// Cancelled before anything was done.
     #[serde(rename = "Ended")]
     Cancelled,
 }
 
 impl Phase {
-    /// Nothing more comes of it.
+    /// Whether the plan has reached its end.
     pub fn is_over(self) -> bool {
         matches!(self, Phase::Done | Phase::RolledBack | Phase::Cancelled)
     }
 }
 
-/// The stage of a region. While rolling back, read with old and new exchanged.
+/// The stage of a region. While the plan is rolled back, the incoming version is the old one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
     /// Nothing was done yet.
@@ -107,9 +108,9 @@
     Pending,
     /// Copies of the incoming version are loaded.
     Loading,
-    /// New work is routed to the incoming version; the outgoing one's sessions end.
+    /// New work is routed to the incoming version; the plan waits for the sessions of the outgoing version to end.
     Draining,
-    /// The outgoing version is gone.
+    /// The copies of the outgoing version are unloaded.
     Done,
 }
 
@@ -124,33 +125,41 @@
     pub new_share: u16,
     /// Its stage.
     pub stage: Stage,
-    /// The drain limit has passed. While draining, sessions of the outgoing version are answered that they are over;
-    /// before, copies with sessions may be displaced too where both versions do not fit.
+    /// Whether the drain limit has passed. In stage `Draining`, the routers then answer sessions of the outgoing
+    /// version that they are over. In earlier stages, copies with sessions may then be displaced too if both versions
+    /// do not fit.
     pub drain_limit_passed: bool,
-    /// The last step that changed routing here: a router that routes by an earlier one may still use outgoing copies.
+    /// The last step that changed routing here: a router that routes by an earlier step may still use outgoing copies.
     pub routing_step: u64,
 }
 
 impl Region {
-    /// Outgoing copies are unloaded, whoever uses them.
+    /// Whether outgoing copies are unloaded even if sessions use them.
     pub(crate) fn is_evicting(&self) -> bool {
         self.drain_limit_passed && self.stage == Stage::Draining
     }
 
-    /// No outgoing copies are retained for sessions any more.
-    pub(crate) fn has_let_go(&self) -> bool {
+    /// Whether no outgoing copies are retained for sessions any more.
+    pub(crate) fn has_released_outgoing(&self) -> bool {
         self.stage == Stage::Done || self.is_evicting()
     }
 
-    /// The share for sessions goes twice as often to the copies that stay. Symptom otherwise: where memory is too small
-    /// for both versions, sessions go on beginning on outgoing copies, and none of these can ever be displaced.
+    /// The share of new work for the new version. While new work is split, sessions are routed to the incoming version
+    /// twice as often as other work. Without this, where memory is too small for both versions, new sessions would keep
+    /// starting on outgoing copies, and none of these copies could ever be displaced.
     fn share_for(&self, is_session: bool, rolling_back: bool) -> u16 {
-        let is_split = self.new_share > 0 && self.new_share != WHOLE;
+        let is_split = self.new_share > 0 && self.new_share != FULL_SHARE;
         if !is_session || self.stage != Stage::Loading || !is_split {
             return self.new_share;
         }
-        let directed = |share| if rolling_back { WHOLE - share } else { share };
-        directed(directed(self.new_share).saturating_mul(2).min(WHOLE))
+        let directed = |share| {
+            if rolling_back {
+                FULL_SHARE - share
+            } else {
+                share
+            }
+        };
+        directed(directed(self.new_share).saturating_mul(2).min(FULL_SHARE))
     }
 }
 
@@ -161,32 +170,32 @@
     pub step: u64,
     /// The ballot of the leader that proposed it.
     pub proposed_by: Ballot,
-    /// The order that is carried out.
+    /// The order that the plan carries out.
     pub order: Order,
     /// Its phase.
     pub phase: Phase,
     /// The regions, in the order in which they are upgraded.
     pub regions: Vec<Region>,
-    /// Orders for the same model that come after this one.
+    /// Orders for the same model that are queued after this one.
     pub queued: Vec<Order>,
-    /// Why it was paused or rolled back.
+    /// Why the plan was paused or rolled back.
     pub reason: String,
-    /// It is over and all routers know: sessions that begin need no binding any more.
+    /// Whether the plan is over and all routers know it: sessions that begin need no binding any more.
     pub settled: bool,
 }
 
 impl Plan {
-    /// The record.
+    /// The encoded record.
     pub fn encode(&self) -> Bytes {
         let mut bytes = self.step.to_be_bytes().to_vec();
-        // A plan has nothing that this codec cannot write.
+        // The codec can write every value that a plan can have.
         bytes.extend(postcard::to_stdvec(self).unwrap_or_default());
         Bytes::from(bytes)
     }
 
-    /// Absent for what no member of this release has written.
+    /// The plan in a record; absent if no member of this release can have written the record.
     pub fn decode(bytes: &[u8]) -> Option<Plan> {
-        if bytes.len() > MAX_BYTES {
+        if bytes.len() > MAX_PLAN_BYTES {
             return None;
         }
         let (number, rest) = bytes.split_first_chunk::<STEP_BYTES>()?;
@@ -207,7 +216,7 @@
         self.regions.iter().find(|region| *region.name == *name)
     }
 
-    /// It is being undone, or was.
+    /// Whether the plan is being rolled back, was rolled back or was cancelled.
     pub fn is_rolling_back(&self) -> bool {
         matches!(
             self.phase,
@@ -225,16 +234,16 @@
         }
     }
 
-    /// Between the share of the new version and the share of the incoming one; the same in both directions.
+    /// Converts the share of the new version to the share of the incoming version, and back.
     pub(crate) fn directed_share(&self, share: u16) -> u16 {
         if self.is_rolling_back() {
-            WHOLE - share
+            FULL_SHARE - share
         } else {
             share
         }
     }
 
-    /// The version that new work is routed to once the plan is over.
+    /// The version to which new work is routed once the plan is over.
     pub(crate) fn version_in_service(&self) -> &Name {
         if self.phase == Phase::Done {
             &self.order.to
@@ -247,37 +256,34 @@
         **self.versions().0 == *version
     }
 
-    /// The plan has taken this version out of service in all regions.
+    /// Whether the plan has taken this version out of service in all regions.
     pub(crate) fn is_out_of_service(&self, version: &str) -> bool {
         self.is_outgoing(version) && matches!(self.phase, Phase::Done | Phase::RolledBack)
     }
 
-    /// What comes after this step, for an operator.
+    /// What the plan does after this step, as text for an operator.
     pub fn next_action(&self) -> String {
         let is_current = |region: &&Region| !matches!(region.stage, Stage::Pending | Stage::Done);
         let current = self.regions.iter().find(is_current);
         match (self.phase, current) {
             (Phase::Waiting, _) => "loads canaries".into(),
-            (Phase::Canary, _) => "the first region, or back".into(),
-            (Phase::Paused, _) => "goes on, or back".into(),
+            (Phase::Canary, _) => "upgrades the first region, or rolls back".into(),
+            (Phase::Paused, _) => "resumes, or rolls back".into(),
             (Phase::Rolling | Phase::RollingBack, Some(region))
                 if region.stage == Stage::Loading =>
             {
-                format!(
-                    "sends what begins in {} to the copies that have come",
-                    region.name
-                )
+                format!("routes new work in {} to the incoming version", region.name)
             }
-            (Phase::Rolling, Some(region)) => match self.untouched_region_beside(region) {
+            (Phase::Rolling, Some(region)) => match self.next_pending_region(region) {
                 Some(next) => format!(
-                    "lets old copies in {} go, then loads in {}",
+                    "unloads old copies in {}, then loads new copies in {}",
                     region.name, next.name
                 ),
-                None => format!("lets old copies in {} go, then is done", region.name),
+                None => format!("unloads old copies in {}, then completes", region.name),
             },
-            (Phase::RollingBack, Some(region)) => format!("lets new copies in {} go", region.name),
-            (Phase::Rolling, None) => "the next region, or the end".into(),
-            (Phase::RollingBack, None) => "the end".into(),
+            (Phase::RollingBack, Some(region)) => format!("unloads new copies in {}", region.name),
+            (Phase::Rolling, None) => "upgrades the next region, or completes".into(),
+            (Phase::RollingBack, None) => "completes the rollback".into(),
             (Phase::Done | Phase::RolledBack | Phase::Cancelled, _) => match self.queued.first() {
                 Some(order) => format!("order {}", order.serial),
                 None => String::new(),
@@ -285,21 +291,22 @@
         }
     }
 
-    fn untouched_region_beside(&self, region: &Region) -> Option<&Region> {
+    fn next_pending_region(&self, region: &Region) -> Option<&Region> {
         self.regions
             .iter()
             .find(|other| other.stage == Stage::Pending && other.name != region.name)
     }
 
-    /// The version that new work is routed to. `draw`: random, or the same for what has to stay together.
+    /// The version to which new work is routed. `draw` is a random number, or the same number for all work that has to
+    /// be routed to the same version.
     pub fn version_for(&self, region: &str, draw: u64, is_session: bool) -> &Name {
         let share = match (self.phase, self.region(region)) {
-            (Phase::Done, _) => WHOLE,
+            (Phase::Done, _) => FULL_SHARE,
             (phase, _) if phase.is_over() => 0,
             (_, None) => 0,
             (_, Some(region)) => region.share_for(is_session, self.is_rolling_back()),
         };
-        if draw % u64::from(WHOLE) < u64::from(share) {
+        if draw % u64::from(FULL_SHARE) < u64::from(share) {
             &self.order.to
         } else {
             &self.order.from
--- a/crates/upgrade/src/planner.rs
+++ b/crates/upgrade/src/planner.rs
@@ -1,5 +1,5 @@
-//! One [`Planner`] for each router: events come in at [`Planner::handle`], [`Planner::next_due`] says when
-//! [`Input::Tick`] is wanted, and the router asks where to route new work and which sessions have ended.
+//! Each router has one [`Planner`]. [`Planner::handle`] takes events, [`Planner::next_due`] returns when
+//! [`Input::Tick`] is due, and further methods tell the router where to route new work and which sessions have ended.
 
 use std::collections::BTreeMap;
 
@@ -14,28 +14,28 @@
 use crate::settings::PlannerSettings;
 use crate::status::PlanStatus;
 
-/// Models with an order or a plan; each costs a majority's round for every lease.
+/// Maximum number of models with an order or a plan: each of them costs one round to a majority per lease.
 const MAX_MODELS: usize = 256;
 
-/// Where new work is routed.
+/// The destination of new work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteChoice {
     /// The function to invoke.
     pub function: Name,
-    /// The version that it is.
+    /// The version of that function.
     pub version: Name,
 }
 
-/// Copies that a plan needs: nobody may unload them as forgotten.
+/// Copies that a plan needs: they must not be unloaded as orphans.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// The function of the copies.
     pub function: Name,
-    /// The term of the plan's leader, as its requests have it; absent where nobody leads yet.
+    /// The term of the plan's leader, as in its requests; absent while no member leads yet.
     pub term: Option<Name>,
 }
 
-/// The upgrades of all models, as one router takes part in them.
+/// The part that one router takes in the upgrades of all models.
 #[derive(Clone, Debug)]
 pub struct Planner {
     settings: PlannerSettings,
@@ -46,7 +46,7 @@
 }
 
 impl Planner {
-    /// A planner that knows of no worker and no plan.
+    /// A planner that knows no worker and no plan yet.
     pub fn new(settings: PlannerSettings) -> Planner {
         Planner {
             settings,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes in an event, and does what is due.
+    /// Handles an event and does what is due; `now` is in microseconds.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Orders(orders) => self.set_orders(now, orders),
@@ -110,7 +110,7 @@
         self.update(now, out);
     }
 
-    /// The upgrade of a model, begun if it is not known; nothing if there are too many.
+    /// The upgrade of a model, created if it is not known; absent if there are too many.
     fn upgrade_of(&mut self, now: Micros, model: &Name) -> Option<&mut ModelUpgrade> {
         if self.models.len() >= MAX_MODELS && !self.models.contains_key(model) {
             return None;
@@ -139,7 +139,7 @@
         }
     }
 
-    /// When [`Input::Tick`] is wanted.
+    /// When [`Input::Tick`] is due, in microseconds; the maximum if it is not needed.
     pub fn next_due(&self) -> Micros {
         if !self.cluster.should_lead() {
             return Micros::MAX;
@@ -153,7 +153,7 @@
         refreshes.min().unwrap_or(Micros::MAX)
     }
 
-    /// The settings it was made with.
+    /// The settings with which the planner was created.
     pub fn settings(&self) -> &PlannerSettings {
         &self.settings
     }
@@ -162,13 +162,16 @@
         self.models.get(model)?.plan()
     }
 
-    /// Models with a plan here; requests for other ones are left unchanged.
+    /// The models with a plan known here; requests for other models are not changed.
     pub fn models(&self) -> impl Iterator<Item = &Name> {
-        let planned = self.models.iter().filter(|(_, up)| up.plan().is_some());
+        let planned = self
+            .models
+            .iter()
+            .filter(|(_, upgrade)| upgrade.plan().is_some());
         planned.map(|(model, _)| model)
     }
 
-    /// By which step this router routes, for [`Input::Counted`].
+    /// The step by which this router routes, for [`Input::MemberReported`].
     pub fn routing_rule(&self, model: &str) -> RoutingRule {
         let upgrade = self.models.get(model);
         upgrade
@@ -176,8 +179,8 @@
             .unwrap_or_default()
     }
 
-    /// Where new work that names no version is routed; absent: there is no plan, it is left unchanged. `draw`: a random
-    /// number of the whole range.
+    /// The destination of new work that names no version; absent if there is no plan and the work is not changed.
+    /// `draw` is a random number from the whole range.
     pub fn route(
         &self,
         model: &str,
@@ -192,14 +195,16 @@
         })
     }
 
-    /// A majority has to bind a session to a version before its first dispatch from here. Once all routers know that a
-    /// plan is over, only sessions that do not begin need it: they may have begun while the plan was under way.
+    /// Whether a majority has to bind a session to a version before its first dispatch from here. Once all routers know
+    /// that a plan is over, only a session that does not begin with this invocation needs a binding: it may have begun
+    /// while the plan was in progress.
     pub fn needs_binding(&self, model: &str, begins: bool) -> bool {
         self.plan(model)
             .is_some_and(|plan| !plan.settled || !begins)
     }
 
-    /// The version to propose for a session: one that does not begin and has no record was there before the plan.
+    /// The version to propose for a session. A session that does not begin with this invocation and has no record
+    /// existed before the plan, so it is bound to the old version while the plan is in progress.
     pub fn version_to_propose(
         &self,
         model: &str,
@@ -216,7 +221,7 @@
         Some(version.clone())
     }
 
-    /// Copies of this version are unloaded in this member's region, whoever uses them.
+    /// Whether copies of this version are unloaded in this member's region even if sessions use them.
     pub fn copies_evicted(&self, model: &str, version: &str) -> bool {
         let Some(plan) = self.plan(model) else {
             return false;
@@ -227,18 +232,23 @@
             || plan.is_outgoing(version) && region.is_some_and(|region| region.is_evicting())
     }
 
-    /// Sessions of this version are answered that they are over, as no region keeps copies for them any more. Symptom
-    /// otherwise: routers take from one queue and dispatch to all regions; sessions that had begun a moment ago where the
-    /// version was still in service ended when a router of a region past its limit got a request, or a worker there.
+    /// Whether sessions of this version are answered that they are over, because no region retains copies for them any
+    /// more. All regions count, because routers consume from one queue and dispatch to all regions. Without this, a
+    /// session that had just begun in a region where the version was still in service would end when a router or a
+    /// worker of a region past its drain limit got one of its requests.
     pub fn sessions_ended(&self, model: &str, version: &str) -> bool {
         let Some(plan) = self.plan(model) else {
             return false;
         };
         plan.is_out_of_service(version)
-            || plan.is_outgoing(version) && plan.regions.iter().all(|region| region.has_let_go())
+            || plan.is_outgoing(version)
+                && plan
+                    .regions
+                    .iter()
+                    .all(|region| region.has_released_outgoing())
     }
 
-    /// Copies that nobody may unload as forgotten.
+    /// The copies that must not be unloaded as orphans, for all plans.
     pub fn claims(&self) -> Vec<Claim> {
         let mut claims = Vec::new();
         for (model, upgrade) in &self.models {
--- a/crates/upgrade/src/rollout/assessment.rs
+++ b/crates/upgrade/src/rollout/assessment.rs
@@ -1,26 +1,27 @@
-//! One region of a plan, read in the plan's direction: the version that goes out and the one that comes in, their lanes,
-//! the floor, and where memory can be found.
+//! The assessment of one region of a plan, in the plan's direction: the outgoing and the incoming version, their lanes,
+//! the floor, and where memory can be freed.
 
 use super::loads::PendingLoads;
 use super::unloads::PendingUnloads;
 use crate::Name;
 use crate::cluster_state::ClusterView;
 use crate::observed_state::ObservedWorker;
-use crate::plan::{Phase, Plan, Region, Stage, WHOLE, function_name};
+use crate::plan::{FULL_SHARE, Phase, Plan, Region, Stage, function_name};
 
-/// An unload may be declined for a copy that is called by its version's name; after so many attempts it stays.
+/// Number of unload requests after which a copy is left loaded: a worker may decline to unload a copy that clients call
+/// by its version's name.
 const MAX_UNLOAD_ATTEMPTS: u32 = 5;
 
 /// The copies of one function in one region.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct VersionCapacity {
-    /// Lanes that are warm, observed lately, and not requested to go.
+    /// Warm lanes in fresh observations, without those of copies whose unload was requested.
     pub lanes: u32,
-    /// Copies in any state, even those requested to go.
+    /// Warm copies, including those whose unload was requested.
     pub copies: u32,
-    /// Workers that load one.
+    /// Workers that are loading a copy.
     pub loading: u32,
-    /// Active sessions.
+    /// Active sessions on these copies.
     pub sessions: u32,
 }
 
@@ -39,8 +40,8 @@
             capacity.loading += u32::from(held.loading);
             capacity.copies += held.copies;
             capacity.sessions += held.sessions;
-            let is_going = unloads.is_pending(worker, function, view.settings);
-            if view.is_fresh(worker) && worker.accepts_copies && !is_going {
+            let is_unloading = unloads.is_pending(worker, function, view.settings);
+            if view.is_fresh(worker) && worker.accepts_copies && !is_unloading {
                 capacity.lanes += held.lanes;
             }
         }
@@ -51,8 +52,8 @@
 /// Lanes that have to stay available in a region.
 pub(crate) fn floor_lanes(plan: &Plan, region: &Region) -> u32 {
     let floor = u64::from(region.base_lanes) * u64::from(plan.order.floor);
-    let lanes = floor.div_ceil(u64::from(WHOLE)) as u32;
-    // A region that had lanes keeps at least one: nothing is routed to where no copy is warm.
+    let lanes = floor.div_ceil(u64::from(FULL_SHARE)) as u32;
+    // A region that had lanes keeps at least one: a region without a warm copy gets no work.
     lanes.max(u32::from(region.base_lanes > 0))
 }
 
@@ -65,18 +66,18 @@
 /// Copies to load in a region.
 pub(super) struct LoadTarget {
     pub function: Name,
-    /// The other version: its copies are taken as similar.
+    /// The other version, whose copies are assumed to be similar.
     pub similar: Name,
     pub missing_lanes: u32,
 }
 
-/// A copy that can make room for an incoming one.
+/// An outgoing copy that can be unloaded to make room for an incoming copy.
 pub(super) struct DisplaceableCopy<'a> {
     pub worker: &'a ObservedWorker,
     pub lanes: u32,
 }
 
-/// A region in the direction of the plan.
+/// The assessment of a region in the direction of the plan.
 pub(super) struct RegionAssessment<'a> {
     pub view: &'a ClusterView<'a>,
     pub plan: &'a Plan,
@@ -117,12 +118,12 @@
         }
     }
 
-    /// Lanes that new work counts on.
+    /// Lanes of the versions to which new work is routed.
     pub fn usable_lanes(&self) -> u32 {
         let (outgoing, incoming) = (self.outgoing.capacity.lanes, self.incoming.capacity.lanes);
         match self.incoming_share {
             0 => outgoing,
-            WHOLE => incoming,
+            FULL_SHARE => incoming,
             _ => outgoing + incoming,
         }
     }
@@ -132,7 +133,7 @@
             .is_pending(worker, function, self.view.settings)
     }
 
-    /// Every worker with a copy of the outgoing version was requested to unload it as often as is worth trying.
+    /// Whether every worker with a warm copy of the outgoing version has got the maximum number of unload requests.
     pub fn unload_attempts_exhausted(&self) -> bool {
         let outgoing = &self.outgoing.function;
         self.view
@@ -149,7 +150,7 @@
         )
     }
 
-    /// No incoming copy fits anywhere in the region, and none is on its way.
+    /// Whether no incoming copy fits anywhere in the region, no load is in progress there, and no unload is pending.
     pub fn is_memory_full(&self) -> bool {
         let (incoming, outgoing) = (&self.incoming.function, &self.outgoing.function);
         let mb = self.incoming_copy_mb();
@@ -168,8 +169,8 @@
         !in_progress && !workers().any(may_fit)
     }
 
-    /// The outgoing copy to make room for an incoming one: one without sessions; with `displace_sessions`, the one with
-    /// the fewest.
+    /// The outgoing copy to unload to make room for an incoming one: a copy without sessions or, with
+    /// `displace_sessions`, the copy with the fewest sessions.
     pub fn displaceable_copy(&self, displace_sessions: bool) -> Option<DisplaceableCopy<'a>> {
         let mb = self.incoming_copy_mb();
         let (view, region) = (self.view, self.region);
@@ -193,8 +194,8 @@
         Some(DisplaceableCopy { worker, lanes })
     }
 
-    /// Both versions do not fit, and no further copy can be displaced without taking the outgoing version below the
-    /// floor: new work has to be routed to both.
+    /// Whether new work has to be routed to both versions, because both do not fit and no further copy can be displaced
+    /// without taking the outgoing version below the floor.
     pub fn must_split_traffic(&self) -> bool {
         let undercuts =
             |copy: DisplaceableCopy| self.outgoing.capacity.lanes < self.floor_lanes + copy.lanes;
@@ -205,14 +206,14 @@
                 .is_some_and(undercuts)
     }
 
-    /// Nothing but sessions on outgoing copies keeps an incoming one from being loaded.
+    /// Whether only sessions on outgoing copies prevent an incoming copy from being loaded.
     pub fn is_blocked_by_sessions(&self) -> bool {
         self.is_memory_full()
             && self.displaceable_copy(false).is_none()
             && self.displaceable_copy(true).is_some()
     }
 
-    /// Lanes of loads in flight, at so many a copy.
+    /// Lanes of the loads in flight, at `lanes_per_copy` each.
     fn loading_lanes(&self, function: &Name, lanes_per_copy: u32) -> u32 {
         let loading = self
             .view
@@ -221,7 +222,7 @@
         loading.count() as u32 * lanes_per_copy
     }
 
-    /// Lanes of the incoming version that are neither warm nor loading, by the stage.
+    /// Lanes of the incoming version that the phase and the stage require and that are neither warm nor loading.
     pub fn missing_incoming_lanes(&self) -> u32 {
         let (plan, region) = (self.plan, self.region);
         let incoming = &self.incoming.function;
@@ -232,15 +233,15 @@
             }
             (Phase::Rolling, Stage::Loading | Stage::Draining | Stage::Done) => region.base_lanes,
             (Phase::RollingBack, Stage::Loading | Stage::Draining) => region.base_lanes,
-            (_, _) if self.incoming_share == WHOLE => self.floor_lanes,
+            (_, _) if self.incoming_share == FULL_SHARE => self.floor_lanes,
             _ => 0,
         };
         let expected = self.incoming.capacity.lanes + self.loading_lanes(incoming, lanes_per_copy);
         goal.saturating_sub(expected)
     }
 
-    /// What to load. Outgoing copies come first where all new work still goes to them and too few are left. Symptom
-    /// otherwise: a worker dies or evicts copies, and new work has less than the floor.
+    /// What to load. Outgoing copies are loaded first where all new work is still routed to them and too few are left.
+    /// Without this, new work would have fewer lanes than the floor after a worker has died or evicted copies.
     pub fn load_target(&self) -> LoadTarget {
         let (outgoing, incoming) = (&self.outgoing.function, &self.incoming.function);
         let lanes_per_copy = self.view.lanes_per_copy(outgoing, incoming);
--- a/crates/upgrade/src/rollout/canary.rs
+++ b/crates/upgrade/src/rollout/canary.rs
@@ -1,23 +1,24 @@
-//! Canaries: a few copies of the new version in the first region, compared with the old version before the rollout goes
-//! on; and what follows from a comparison later on.
+//! Canaries: a few copies of the new version in the first region, which are compared with the old version before the
+//! rollout continues. Also the reactions to later results of the comparison.
 
 use super::assessment::RegionAssessment;
 use super::steps::StepPlanner;
-use crate::plan::{Phase, Region, Stage, WHOLE};
+use crate::plan::{FULL_SHARE, Phase, Region, Stage};
 use crate::version_comparison::{MIN_COMPARED, Verdict};
 
-/// Canaries that fail to load so often in a row, on changing workers, are not the workers' fault.
+/// Number of failed loads in a row after which the version, and not the workers, is considered faulty: the loads are
+/// tried on changing workers.
 const MAX_CANARY_LOAD_FAILURES: u32 = 6;
 
 impl StepPlanner<'_> {
-    /// More errors roll back, more latency pauses.
+    /// Rolls back if the new version has more errors, and pauses if it is slower.
     pub(super) fn react_to_regression(&mut self) -> Option<String> {
         match self.comparison.verdict {
             Verdict::MoreErrors => Some(self.roll_back("the new version errs more".into())),
             Verdict::Slower => {
                 self.next.phase = Phase::Paused;
                 self.next.reason = "the new version is later".into();
-                Some("pauses: the new version is later".into())
+                Some("pauses: the new version is slower".into())
             }
             _ => None,
         }
@@ -31,7 +32,8 @@
             return Some(self.roll_back("no worker loads the new version".into()));
         }
         if view.is_unreachable(&region.name) {
-            self.wait.note(format!("region {} is cut off", region.name));
+            self.wait
+                .note(format!("region {} is unreachable", region.name));
             return None;
         }
         let assessment = self.assess(region);
@@ -42,10 +44,10 @@
         if region.new_share == 0 && plan.order.canary_part > 0 {
             let step = self.next.step;
             let region = self.next.regions.first_mut()?;
-            region.new_share = plan.order.canary_part.min(WHOLE - 1);
+            region.new_share = plan.order.canary_part.min(FULL_SHARE - 1);
             region.routing_step = step;
             return Some(format!(
-                "canaries stand, and get {} in 1000",
+                "canaries are warm and get {} in 1000 of new work",
                 region.new_share
             ));
         }
@@ -56,12 +58,12 @@
         if self.context.past_drain_limit(assessment) {
             self.next.regions.first_mut()?.drain_limit_passed = true;
             return Some(format!(
-                "region {}: the limit is past, an old copy with sessions gives way",
+                "region {}: the drain limit has passed, an old copy with sessions is displaced",
                 assessment.region.name
             ));
         }
         self.wait.note(format!(
-            "{} of {} canaries stand",
+            "{} of {} canaries are warm",
             assessment.incoming.capacity.copies, self.context.plan.order.canary
         ));
         None
@@ -86,7 +88,7 @@
         let because = if enough {
             "were as good as the old version"
         } else {
-            "had long enough"
+            "reached their time limit"
         };
         Some(format!(
             "canaries {because}; region {} is next",
@@ -94,7 +96,7 @@
         ))
     }
 
-    /// A paused plan goes on once the new version is no slower by now, and rolls back after a time.
+    /// A paused plan resumes once the new version is no longer slower, and rolls back after the pause limit.
     pub(super) fn resume_or_roll_back(&mut self) -> Option<String> {
         let (plan, view) = (self.context.plan, self.context.view);
         match self.comparison.verdict {
@@ -110,7 +112,7 @@
                     Phase::Canary
                 };
                 self.next.reason.clear();
-                return Some("goes on: the new version is no later by now".into());
+                return Some("resumes: the new version is no longer slower".into());
             }
             _ => {}
         }
@@ -118,7 +120,7 @@
             return Some(self.roll_back("the new version stayed later".into()));
         }
         self.wait
-            .note("the new version was later; watched for a while");
+            .note("the new version was slower; it is observed until the pause limit");
         None
     }
 }
--- a/crates/upgrade/src/rollout/copies.rs
+++ b/crates/upgrade/src/rollout/copies.rs
@@ -1,4 +1,4 @@
-//! Loads, renewals and unloads that a leader requests, and those in flight ([`CopyController`]).
+//! The loads, renewals and unloads that a leader requests, and those in flight ([`CopyController`]).
 
 use cedarpulley::interface::Micros;
 
@@ -16,6 +16,7 @@
 use crate::plan::{Ballot, Phase, Plan, Region, Stage};
 use crate::settings::PlannerSettings;
 
+/// Requests loads, renewals and unloads, and keeps track of those in flight.
 #[derive(Clone, Debug)]
 pub(super) struct CopyController {
     loads: PendingLoads,
@@ -90,7 +91,7 @@
                 out.push(unload_request(&worker, &outgoing, context.ballot));
             }
             if region.stage != Stage::Done || !plan.is_rolling_back() {
-                // Assessed again: what was just requested to go no longer counts.
+                // Assessed again, because copies whose unload was just requested no longer count.
                 let target = self.assess(view, plan, region).load_target();
                 self.load(context, region, target, wait, out);
             }
@@ -113,14 +114,14 @@
         while missing_lanes > 0 {
             if !self.loads.has_capacity() {
                 return wait.note(format!(
-                    "{} loads are under way, {} at once",
+                    "{} loads are in progress, the limit is {}",
                     self.loads.len(),
                     self.loads.concurrency_limit()
                 ));
             }
             let Some(worker) = self.worker_for(view, &region.name, &target, mb) else {
                 return wait.note(format!(
-                    "region {}: no worker takes a copy of {function}",
+                    "region {}: no worker can load a copy of {function}",
                     region.name
                 ));
             };
@@ -160,7 +161,7 @@
     }
 }
 
-/// The workers of the region to unload outgoing copies from.
+/// The workers of the region that are to unload outgoing copies.
 fn workers_to_unload(
     drains: &mut DrainMonitor,
     context: &RolloutContext,
@@ -188,7 +189,8 @@
     }
 }
 
-/// Workers whose outgoing copies are idle, once no session uses the version in the region or the drain limit has passed.
+/// Workers whose outgoing copies are idle. There are none until no session uses the version in the region any more or
+/// the drain limit has passed.
 fn drained_workers(drains: &mut DrainMonitor, assessment: &RegionAssessment) -> Vec<Name> {
     let (view, region) = (assessment.view, assessment.region);
     let outgoing = &assessment.outgoing;
@@ -215,7 +217,8 @@
         .collect()
 }
 
-/// The worker whose outgoing copy makes room for an incoming one, where nothing else fits and the floor allows it.
+/// The worker that is to unload an outgoing copy to make room for an incoming one; absent if there is room elsewhere or
+/// the floor does not allow it.
 fn worker_to_displace(
     context: &RolloutContext,
     assessment: &RegionAssessment,
@@ -228,14 +231,18 @@
     let name = &region.name;
     let Some(copy) = assessment.displaceable_copy(region.drain_limit_passed) else {
         wait.note(match assessment.displaceable_copy(true) {
-            Some(_) => format!("region {name}: no memory, and no old copy without sessions"),
-            None => format!("region {name}: no memory, and no old copy that can be let go"),
+            Some(_) => {
+                format!("region {name}: no free memory, and no outgoing copy without sessions")
+            }
+            None => {
+                format!("region {name}: no free memory, and no outgoing copy that can be unloaded")
+            }
         });
         return None;
     };
     if assessment.usable_lanes() < assessment.floor_lanes + copy.lanes {
         wait.note(format!(
-            "region {name}: no memory, and no old copy can go without undercutting the floor"
+            "region {name}: no free memory, and unloading an outgoing copy would undercut the floor"
         ));
         return None;
     }
--- a/crates/upgrade/src/rollout/drain_monitor.rs
+++ b/crates/upgrade/src/rollout/drain_monitor.rs
@@ -1,4 +1,4 @@
-//! When copies that drain were last in use.
+//! When draining copies were last in use.
 
 use std::collections::BTreeMap;
 
@@ -7,24 +7,25 @@
 use crate::Name;
 use crate::plan::Region;
 
+/// The last time at which the draining copies of a region may have been in use.
 #[derive(Clone, Copy, Debug)]
 struct LastUse {
-    /// The step that routed new work elsewhere.
+    /// The last step that changed routing in the region.
     routing_step: u64,
     at: Micros,
 }
 
-/// When sessions were last observed on the copies of each region that drain, or all its routers were first known to send
-/// nothing there any more.
+/// For each region, when sessions were last observed on its draining copies or, if none were, when all its routers were
+/// first known not to route new work to them any more.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DrainMonitor {
     last_uses: BTreeMap<Name, LastUse>,
 }
 
 impl DrainMonitor {
-    /// No session was observed on copies that drain for the quiet period. Symptom without it: a worker dies, and its
-    /// sessions come to a copy that was just observed without any; or one began there since the observation, through a
-    /// router that did not yet know the step.
+    /// Whether no session was observed on draining copies for the quiet period. Without this period, two kinds of
+    /// sessions would be missed: sessions of a worker that has died move to a copy that was just observed without any,
+    /// and a router that did not yet know the step may have started a session there since the observation.
     pub fn is_quiet(
         &mut self,
         now: Micros,
--- a/crates/upgrade/src/rollout/first_plan.rs
+++ b/crates/upgrade/src/rollout/first_plan.rs
@@ -1,4 +1,4 @@
-//! The first step of an order, before anything is done about it.
+//! The first step of a plan, which announces an order before it is carried out.
 
 use super::ProposedStep;
 use super::copies::CopyController;
@@ -8,7 +8,7 @@
 use crate::orders::Order;
 use crate::plan::{Ballot, Phase, Plan, Region, Stage, function_name};
 
-/// The plan for the order that comes next; nothing if there is none. The error is the reason why it has to wait.
+/// The plan for the next order; absent if there is none. The error is the reason why the order has to wait.
 pub(super) fn first_plan(
     view: &ClusterView,
     orders: &OrderFile,
@@ -26,7 +26,7 @@
             version
         };
         return Err(format!(
-            "order {} is from '{}', but what begins goes to {version}",
+            "order {} upgrades from '{}', but new work is routed to {version}",
             order.serial, order.from
         ));
     }
@@ -41,7 +41,7 @@
         .filter(|queued| queued.serial > order.serial)
         .cloned()
         .collect();
-    let log = format!("order {} is taken", order.serial);
+    let log = format!("order {} is accepted", order.serial);
     let plan = Plan {
         step,
         proposed_by: Ballot::default(),
@@ -55,7 +55,7 @@
     Ok(Some(ProposedStep { plan, log }))
 }
 
-/// All regions with workers, before anything is done there.
+/// All regions with workers, in their initial state.
 pub(super) fn regions(
     view: &ClusterView,
     copies: &CopyController,
@@ -68,7 +68,7 @@
         .collect()
 }
 
-/// A region before anything is done there.
+/// A region in its initial state.
 pub(super) fn new_region(
     view: &ClusterView,
     copies: &CopyController,
--- a/crates/upgrade/src/rollout/loads.rs
+++ b/crates/upgrade/src/rollout/loads.rs
@@ -1,11 +1,11 @@
-//! Copies that were requested and are not yet observed.
+//! Loads that were requested and whose copies are not yet observed.
 //!
 //! Mechanisms:
-//! 1. A load that fails starts a backoff of its worker, longer with each failure in a row.
-//! 2. After a failure or a load that took far longer than usual, loads run one at a time; after some good ones one more
-//!    again.
-//! 3. A worker's module may decline a request without an answer: a copy that is neither loading nor warm when observed is
-//!    forgotten, and its worker left alone for a moment.
+//! 1. A failed load starts a backoff of its worker, which grows with each failure in a row.
+//! 2. After a failure or a load that took much longer than usual, loads run one at a time. Each series of good loads
+//!    then allows one more concurrent load.
+//! 3. The router's balancer may decline a request without an answer. If a copy is neither loading nor warm when its
+//!    worker is observed, its load is dropped, and the worker gets no request for a short time.
 
 use std::collections::BTreeMap;
 
@@ -16,16 +16,17 @@
 use crate::observed_state::ObservedWorker;
 use crate::settings::PlannerSettings;
 
-/// A load is slow if it takes this many times as long as usual: loads of one function are alike, so it is the store or
-/// the worker.
+/// A load is slow if it takes this many times as long as usual. Loads of one function take similar times, so the cause
+/// is then the store or the worker.
 const SLOW_FACTOR: Micros = 2;
-/// Good loads in a row before one more runs concurrently.
+/// Number of good loads in a row after which one more load may run concurrently.
 const GOOD_LOADS_TO_GROW: u32 = 3;
-/// A failure doubles its worker's backoff, up to this many times.
+/// Maximum number of times that failures double a worker's backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// A new load's weight in the usual duration is one in so many.
+/// The weight of a new load in the average duration is 1 divided by this number.
 const DURATION_WEIGHT_DIVISOR: Micros = 4;
 
+/// A load in flight.
 #[derive(Clone, Copy, Debug)]
 struct Load {
     since: Micros,
@@ -33,6 +34,7 @@
     ended: Option<Micros>,
 }
 
+/// The backoff of a worker after failed loads.
 #[derive(Clone, Copy, Debug, Default)]
 struct Backoff {
     until: Micros,
@@ -42,10 +44,10 @@
 /// Loads in flight, the backoff of each worker, and how many loads may run concurrently.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingLoads {
-    /// By worker and function.
+    /// Loads in flight, by worker and function.
     loads: BTreeMap<(Name, Name), Load>,
     backoffs: BTreeMap<Name, Backoff>,
-    /// Concurrent loads beyond the first.
+    /// Number of concurrent loads allowed beyond the first.
     extra_loads: u32,
     good_loads: u32,
     usual_duration: Option<Micros>,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// One more load may begin.
+    /// Whether one more load may begin.
     pub fn has_capacity(&self) -> bool {
         self.loads.len() <= self.extra_loads as usize
     }
@@ -77,7 +79,7 @@
         self.failures_in_a_row
     }
 
-    /// The worker has no load in flight and no backoff.
+    /// Whether the worker has neither a load in flight nor a backoff.
     pub fn may_load_on(&self, now: Micros, worker: &str) -> bool {
         self.loads.keys().all(|(loading, _)| **loading != *worker)
             && self
@@ -86,7 +88,8 @@
                 .is_none_or(|backoff| backoff.until <= now)
     }
 
-    /// The worker failed more than once in a row and is left alone: others have to make room.
+    /// Whether the worker is in a backoff after more than one failure in a row, so that other workers have to make
+    /// room.
     pub fn is_failing(&self, now: Micros, worker: &str) -> bool {
         self.backoffs
             .get(worker)
@@ -107,7 +110,7 @@
         self.loads.insert((worker.clone(), function.clone()), load);
     }
 
-    /// The worker reported the end of a load.
+    /// Takes in a worker's report that a load has ended.
     pub fn ended(
         &mut self,
         now: Micros,
@@ -159,7 +162,7 @@
         (self.extra_loads, self.good_loads) = (0, 0);
     }
 
-    /// Compares all loads in flight with what the workers were observed to hold.
+    /// Compares all loads in flight with the observed copies of the workers.
     pub fn observe(&mut self, view: &ClusterView) {
         let find = |name: &str| view.workers().iter().find(|worker| *worker.name == *name);
         self.backoffs
--- a/crates/upgrade/src/rollout/mod.rs
+++ b/crates/upgrade/src/rollout/mod.rs
@@ -1,24 +1,25 @@
-//! What a leader does about one plan: the next step that it wants agreed ([`RolloutExecutor::next_step`]), and the loads,
-//! renewals and unloads by the last step that was ([`RolloutExecutor::execute`]). Nothing here changes a plan but by a
-//! step that goes to the majority first.
+//! What a leader does for one plan. [`RolloutExecutor::next_step`] decides the next step to propose, and
+//! [`RolloutExecutor::execute`] requests the loads, renewals and unloads of the last agreed step. A plan changes only
+//! by steps that a majority has accepted.
 //!
 //! Mechanisms:
-//! 1. One rule for both directions: rolling back is the same work with the old and the new version exchanged.
-//! 2. New work counts on the lanes of the old version while none is routed to the new one, of the new version once all
-//!    is, and of both in between. No unload is requested that would take these lanes below the floor.
-//! 3. Where both versions do not fit, old copies without sessions are displaced one at a time; then new work is routed to
-//!    both versions in proportion to their lanes.
-//! 4. Old copies of a region are unloaded for good once all its routers route by a step that sends nothing there, and no
-//!    session is left or the drain limit has passed.
-//! 5. A region whose routers are all unreachable is left as it is.
+//! 1. One procedure for both directions: a rollback is an upgrade with the old and the new version exchanged.
+//! 2. The lanes available to new work are those of the old version while no new work is routed to the new version,
+//!    those of the new version once all new work is, and those of both in between. A leader requests no unload that
+//!    would take these lanes below the floor.
+//! 3. Where both versions do not fit, old copies without sessions are displaced one at a time. New work is then routed
+//!    to both versions in proportion to their lanes.
+//! 4. The old copies of a region are unloaded for good once all routers of the region route by a step that sends no new
+//!    work to them, and no session is left or the drain limit has passed.
+//! 5. A region whose routers are all unreachable is not changed.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | `steps`, `canary`, `regions`, `first_plan` | deciding the next step of a plan |
 //! | `copies` | requesting loads, renewals and unloads |
-//! | `assessment` | one region as the plan's direction has it: lanes, floor, memory, copies that can be displaced |
-//! | `loads`, `unloads`, `renewals`, `drain_monitor` | what was requested and is not yet observed |
-//! | `order_file`, `router_progress`, `timing`, `wait_reason` | what a step depends on beside the cluster |
+//! | `assessment` | one region in the plan's direction: lanes, floor, memory, copies that can be displaced |
+//! | `loads`, `unloads`, `renewals`, `drain_monitor` | requests in flight, and when copies were last in use |
+//! | `order_file`, `router_progress`, `timing`, `wait_reason` | what a step depends on besides the state of the cluster |
 
 mod assessment;
 mod canary;
@@ -57,7 +58,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ProposedStep {
     pub plan: Plan,
-    /// Empty: the step only confirms the one before.
+    /// Empty if the step only confirms the step before.
     pub log: String,
 }
 
@@ -71,7 +72,7 @@
     }
 }
 
-/// What the decisions about a plan depend on.
+/// The state on which the decisions about a plan depend.
 struct RolloutContext<'a> {
     view: &'a ClusterView<'a>,
     ballot: Ballot,
@@ -80,7 +81,8 @@
     timing: &'a RolloutTiming,
 }
 
-/// What a leader retains of one model beside the plan; all of it can be lost.
+/// The state that a leader keeps for one model in addition to the plan. It is not replicated: a new leader starts
+/// without it.
 #[derive(Clone, Debug)]
 pub(crate) struct RolloutExecutor {
     orders: OrderFile,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Another plan has begun: only the orders and the progress of the routers remain.
+    /// Another plan has begun: clears everything but the orders and the progress of the routers.
     pub fn reset(&mut self, now: Micros, settings: &PlannerSettings) {
         self.timing = RolloutTiming::default();
         self.timing.phase_changed(now);
@@ -117,7 +119,7 @@
         self.orders.add(order);
     }
 
-    /// There are orders that are not withdrawn and come after the plan, if there is one.
+    /// Whether there are orders that are not withdrawn and, if there is a plan, have a higher serial than its order.
     pub fn has_orders_after(&self, plan: Option<&Plan>) -> bool {
         match plan {
             None => self.orders.has_active(),
@@ -137,7 +139,7 @@
         self.timing.region_changed(now, region);
     }
 
-    /// This member leads and may act from then on.
+    /// This member leads and may act from the time `at` on.
     pub fn leading_from(&mut self, at: Micros) {
         self.timing.leading_from(at);
     }
@@ -153,7 +155,7 @@
         self.copies.load_ended(now, worker, function, ok, settings);
     }
 
-    /// Takes in what the workers were observed to hold.
+    /// Takes in the observed copies of the workers.
     pub fn observe(&mut self, view: &ClusterView) {
         self.copies.observe(view);
     }
@@ -162,7 +164,7 @@
         self.copies.capacity(view, region, function)
     }
 
-    /// Why nothing happens at the moment; empty otherwise.
+    /// Why the plan does not advance at the moment; empty otherwise.
     pub fn wait_reason(&self) -> &str {
         self.wait_reason.as_str()
     }
@@ -171,12 +173,12 @@
         self.wait_reason.clear();
     }
 
-    /// The leader before may still act, so nothing is done.
+    /// Notes that this leader does not act yet, because the previous leader may still act.
     pub fn wait_for_earlier_leader(&mut self) {
-        self.wait_reason.note("whoever led before may still act");
+        self.wait_reason.note("the previous leader may still act");
     }
 
-    /// The first step of the next order, after the plan before it if there was one.
+    /// The first step of the plan for the next order; `previous` is the plan before it.
     pub fn first_step(
         &mut self,
         view: &ClusterView,
@@ -191,6 +193,7 @@
         }
     }
 
+    /// The next step of a plan, or the first step of the plan after it; absent if the plan has to wait.
     pub fn next_step(
         &mut self,
         view: &ClusterView,
@@ -236,7 +239,7 @@
             routers: &self.routers,
             timing: &self.timing,
         };
-        // The cause (a copy that cannot be loaded) takes precedence over its effect (a step that cannot be taken).
+        // The cause (a copy cannot be loaded) takes precedence over its effect (the next step cannot be taken).
         let step_reason = self.wait_reason.take();
         self.copies.execute(&context, &mut self.wait_reason, out);
         self.wait_reason.note(step_reason);
--- a/crates/upgrade/src/rollout/order_file.rs
+++ b/crates/upgrade/src/rollout/order_file.rs
@@ -1,8 +1,9 @@
-//! The operator's orders for one model, as the file has them now.
+//! The current orders of the operator's file for one model.
 
 use crate::orders::Order;
 use crate::plan::Plan;
 
+/// The orders of the file for one model.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OrderFile {
     orders: Vec<Order>,
@@ -35,7 +36,7 @@
         self.active().filter(move |order| order.serial > serial)
     }
 
-    /// The order to carry out after this plan: the lowest serial that is queued there or in the file.
+    /// The order to carry out after this plan: the order with the lowest serial in the plan's queue and in the file.
     pub fn following(&self, previous: Option<&Plan>) -> Option<Order> {
         let queued = previous.map(|plan| &plan.queued[..]).unwrap_or_default();
         let is_next = |order: &&Order| {
--- a/crates/upgrade/src/rollout/renewals.rs
+++ b/crates/upgrade/src/rollout/renewals.rs
@@ -1,4 +1,4 @@
-//! Copies in use are renewed, so that workers do not evict them as idle.
+//! Renews copies in use, so that workers do not evict them as idle.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 use crate::Name;
 use crate::events::Output;
 use crate::observed_state::{FunctionCopies, ObservedWorker};
-use crate::plan::{Ballot, Phase, Stage, WHOLE};
+use crate::plan::{Ballot, FULL_SHARE, Phase, Stage};
 
 /// When each copy was last renewed, by worker and function.
 #[derive(Clone, Debug, Default)]
@@ -24,7 +24,8 @@
         self.renewed_at.retain(|_, at| now - *at < interval);
     }
 
-    /// Renews copies of both versions of the region: lanes up to those at the plan's beginning, and all with sessions.
+    /// Renews copies of both versions in the region: as many lanes as were warm when the plan began, and all copies
+    /// with sessions.
     pub fn renew(&mut self, region: &RegionAssessment, ballot: Ballot, out: &mut Vec<Output>) {
         if region.region.stage == Stage::Done && region.plan.is_rolling_back() {
             return;
@@ -70,16 +71,16 @@
     }
 }
 
-/// Lanes of a version that new work counts on, or may count on soon.
+/// Lanes of a version that new work needs, or may need soon.
 fn wanted_lanes(assessment: &RegionAssessment, function: &Name) -> u32 {
     let (phase, region) = (assessment.plan.phase, assessment.region);
     let is_incoming = *function == assessment.incoming.function;
     let gets_new_work = if *function == assessment.outgoing.function {
-        assessment.incoming_share < WHOLE
+        assessment.incoming_share < FULL_SHARE
     } else {
         region.stage != Stage::Pending || assessment.incoming_share > 0
     };
-    // While paused, nobody knows yet which version will be needed.
+    // While the plan is paused, either version may be needed next.
     let is_needed =
         gets_new_work || phase == Phase::Paused || phase == Phase::Canary && is_incoming;
     if is_needed {
--- a/crates/upgrade/src/rollout/router_progress.rs
+++ b/crates/upgrade/src/rollout/router_progress.rs
@@ -1,4 +1,4 @@
-//! By which step each router of the group routes.
+//! The step by which each router of the group routes.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
         self.rules.insert(member, rule);
     }
 
-    /// The member routes by this rule or a later one.
+    /// Whether the member routes by this rule or a later one.
     fn has_reached(&self, member: usize, rule: RoutingRule) -> bool {
         self.rules
             .get(&(member as MemberIndex))
@@ -28,8 +28,8 @@
 }
 
 impl RolloutContext<'_> {
-    /// All routers of the region route by a step of this leader that has the last change of routing there. A member that
-    /// is away for long routes nothing any more.
+    /// Whether all routers of the region route by a step of this leader that includes the last change of routing there.
+    /// Members that have been absent for long route nothing any more and are ignored. Notes the reason if not.
     pub(super) fn routers_follow(&self, region: &Region, wait: &mut WaitReason) -> bool {
         let wanted = RoutingRule {
             ballot: self.ballot,
@@ -40,14 +40,14 @@
         });
         if let Some(member) = behind {
             wait.note(format!(
-                "{}: member {member} goes by an earlier step",
+                "region {}: member {member} routes by an earlier step",
                 region.name
             ));
         }
         behind.is_none()
     }
 
-    /// Every router of the group routes by this step of this leader or a later one.
+    /// Whether every router of the group routes by this step of this leader or a later one. Notes the reason if not.
     pub(super) fn all_routers_follow(&self, step: u64, wait: &mut WaitReason) -> bool {
         let wanted = RoutingRule {
             ballot: self.ballot,
@@ -56,7 +56,7 @@
         let behind =
             (0..self.view.member_count()).find(|member| !self.routers.has_reached(*member, wanted));
         if let Some(member) = behind {
-            wait.note(format!("member {member} has not heard of it"));
+            wait.note(format!("member {member} has not reported this plan"));
         }
         behind.is_none()
     }
--- a/crates/upgrade/src/rollout/steps.rs
+++ b/crates/upgrade/src/rollout/steps.rs
@@ -1,4 +1,4 @@
-//! The next step of a plan: by the operator's orders, by regions that are new, or by its phase.
+//! The next step of a plan, which follows from the operator's orders, from new regions or from the plan's phase.
 
 use super::assessment::RegionAssessment;
 use super::copies::CopyController;
@@ -6,13 +6,13 @@
 use super::wait_reason::WaitReason;
 use super::{ProposedStep, RolloutContext, first_plan};
 use crate::Name;
-use crate::plan::{Phase, Plan, Region, Stage, WHOLE};
+use crate::plan::{FULL_SHARE, Phase, Plan, Region, Stage};
 use crate::version_comparison::ComparisonSummary;
 
-/// Later orders of a model are ignored while so many are queued.
+/// Maximum number of queued orders of a model: further orders are ignored while the queue is full.
 const MAX_QUEUED_ORDERS: usize = 8;
 
-/// Decides one step. Its methods change `next` and return the step's log line, or note why they wait.
+/// Decides one step. The methods change `next` and return the step's log line, or note why the plan waits.
 pub(super) struct StepPlanner<'a> {
     pub context: RolloutContext<'a>,
     orders: &'a OrderFile,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The next step of a plan that is not settled; nothing if it has to wait.
+    /// The next step of a plan that is not settled; absent if the plan has to wait.
     pub fn next_step(mut self) -> Option<ProposedStep> {
         let log = if self.context.plan.phase.is_over() {
             self.settle()
@@ -66,7 +66,7 @@
             return None;
         }
         self.next.settled = true;
-        Some("all routers know that it is over".into())
+        Some("all routers know that the plan is over".into())
     }
 
     fn advance_phase(&mut self) -> Option<String> {
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Takes in the orders of the file: later ones are queued; a withdrawn order, or one that reverses this one, rolls
-    /// back.
+    /// Takes in the orders of the file. Later orders are queued. The plan is rolled back if its order was withdrawn or
+    /// the next order reverses it.
     fn follow_orders(&mut self) -> Option<String> {
         let plan = self.context.plan;
         self.update_queue();
@@ -106,7 +106,7 @@
         }
         (self.next.queued != plan.queued).then(|| {
             let serials: Vec<u64> = self.next.queued.iter().map(|order| order.serial).collect();
-            format!("orders {serials:?} wait for its end")
+            format!("orders {serials:?} are queued")
         })
     }
 
@@ -122,7 +122,7 @@
         queued.sort_by_key(|order| order.serial);
     }
 
-    /// A worker of a region that the plan does not have has appeared.
+    /// Adds the region of a worker if the plan does not have it.
     fn add_region(&mut self) -> Option<String> {
         let (plan, view) = (self.context.plan, self.context.view);
         if plan.is_rolling_back() || plan.phase == Phase::Waiting {
@@ -132,20 +132,20 @@
         let worker = workers.find(|worker| plan.region(&worker.region).is_none())?;
         let name = worker.region.clone();
         let region = first_plan::new_region(view, self.copies, &plan.order, name, self.next.step);
-        let log = format!("region {} is new", region.name);
+        let log = format!("region {} is added", region.name);
         self.next.regions.push(region);
         Some(log)
     }
 
-    /// Reverses the plan's direction. What is usable stays usable: where too few lanes of the old version are left, they
-    /// are loaded first, and where they were no longer used, renewed first.
+    /// Reverses the plan's direction. The lanes available to new work stay available: where too few lanes of the old
+    /// version are left, copies are loaded first, and where its copies were no longer in use, they are renewed first.
     pub fn roll_back(&mut self, reason: String) -> String {
         let before = self.next.clone();
         let next = &mut self.next;
         next.reason = reason;
         if before.phase == Phase::Waiting {
             next.phase = Phase::Cancelled;
-            return format!("ended before it began: {}", next.reason);
+            return format!("cancelled before it began: {}", next.reason);
         }
         next.phase = Phase::RollingBack;
         for (region, was) in next.regions.iter_mut().zip(&before.regions) {
@@ -154,7 +154,7 @@
                 && was.new_share == 0
                 && assessment.incoming.capacity.copies == 0;
             let old_lanes_suffice = was.new_share == 0
-                || was.new_share < WHOLE
+                || was.new_share < FULL_SHARE
                     && assessment.outgoing.capacity.lanes >= assessment.floor_lanes;
             region.drain_limit_passed = false;
             if is_untouched {
@@ -167,17 +167,18 @@
                 region.stage = Stage::Loading;
             }
         }
-        format!("goes back: {}", next.reason)
+        format!("rolls back: {}", next.reason)
     }
 
-    /// From the announcement to canaries.
+    /// Advances an announced plan to its canaries.
     fn start(&mut self) -> Option<String> {
         let (plan, view) = (self.context.plan, self.context.view);
         if let Some(reason) = self.reason_not_to_start() {
             self.wait.note(reason);
             return None;
         }
-        // Symptom otherwise: a router that knows of no plan routes a session's later invocations to another version.
+        // Without this, a router that does not know the plan would route later invocations of a session to another
+        // version.
         if !self.context.all_routers_follow(0, self.wait) {
             return None;
         }
@@ -190,7 +191,7 @@
         let base_lanes: u32 = regions.iter().map(|region| region.base_lanes).sum();
         if base_lanes == 0 && regions.iter().any(has_unversioned) {
             self.wait.note(format!(
-                "no copy of version '{}' stands, but copies without one do",
+                "no copy of version '{}' is warm, but copies without a version are",
                 plan.order.from
             ));
             return None;
@@ -203,15 +204,18 @@
     fn reason_not_to_start(&self) -> Option<String> {
         let (plan, view) = (self.context.plan, self.context.view);
         if self.context.timing.phase_age(view.now) < view.settings.announcement_time {
-            return Some("it is shown before it begins".into());
+            return Some("the plan is announced before it begins".into());
         }
         let mut workers = view.workers().iter();
         if let Some(stale) = workers.find(|worker| worker.accepts_copies && !view.is_fresh(worker))
         {
-            return Some(format!("worker {} was not seen for a while", stale.name));
+            return Some(format!(
+                "the last observation of worker {} is stale",
+                stale.name
+            ));
         }
         let mut regions = plan.regions.iter();
         let unreachable = regions.find(|region| view.is_unreachable(&region.name))?;
-        Some(format!("region {} is cut off", unreachable.name))
+        Some(format!("region {} is unreachable", unreachable.name))
     }
 }
--- a/crates/upgrade/src/rollout/timing.rs
+++ b/crates/upgrade/src/rollout/timing.rs
@@ -1,4 +1,4 @@
-//! Since when a plan is in its phase and each region in its stage, by this router's clock.
+//! When a plan entered its phase and each region its stage, by this router's clock.
 
 use std::collections::BTreeMap;
 
@@ -7,12 +7,13 @@
 use crate::Name;
 use crate::cluster_state::ClusterView;
 
+/// Start times of the phase, of each region's stage and of this member's leadership.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RolloutTiming {
-    /// When each region's stage changed last, or whether new work is split there.
+    /// When each region last changed its stage, or whether any new work is routed to the new version there.
     region_since: BTreeMap<Name, Micros>,
     phase_since: Micros,
-    /// Since when this member leads and may act.
+    /// The time from which this member leads and may act.
     leading_since: Micros,
 }
 
@@ -41,9 +42,9 @@
         self.region_since.get(region).copied().unwrap_or(now)
     }
 
-    /// The copies that are counted on have been renewed: all workers were observed after this leader's first renewals
-    /// there. Symptom otherwise: the plan was without a leader for a while, or copies were unused for a while, and copies
-    /// that are counted on are evicted as idle.
+    /// Whether the copies that new work needs have been renewed, because all workers of the region were observed after
+    /// this leader's first renewals there. Without this, copies that new work needs could be evicted as idle after a
+    /// time without a leader, or after a time in which they were not used.
     pub fn renewals_done(&self, view: &ClusterView, region: &Name) -> bool {
         let began = self.region_since(view.now, region).max(self.leading_since);
         let after = began.saturating_add(view.settings.order_delivery_timeout);
--- a/crates/upgrade/src/rollout/unloads.rs
+++ b/crates/upgrade/src/rollout/unloads.rs
@@ -1,5 +1,5 @@
-//! Copies that were requested to go and are not yet observed to be gone. A copy counts as gone until its worker was
-//! observed after the time within which the request must have been delivered.
+//! Unloads that were requested and whose effect is not yet observed. A copy counts as gone until its worker is observed
+//! at a time by which the request must have been delivered.
 
 use std::collections::BTreeMap;
 
@@ -10,6 +10,7 @@
 use crate::observed_state::ObservedWorker;
 use crate::settings::PlannerSettings;
 
+/// The last unload request for one function at one worker.
 #[derive(Clone, Copy, Debug)]
 struct Unload {
     requested_at: Micros,
@@ -17,7 +18,7 @@
 }
 
 impl Unload {
-    /// The worker's observation shows what the request has done.
+    /// Whether the worker was observed after the request must have been delivered.
     fn is_observed(&self, worker: &ObservedWorker, settings: &PlannerSettings) -> bool {
         let delivered_by = self
             .requested_at
@@ -33,7 +34,7 @@
 }
 
 impl PendingUnloads {
-    /// The request may still be in flight, or has done what is not yet observed.
+    /// Whether the request may still be in flight, or its effect is not yet observed.
     pub fn is_pending(
         &self,
         worker: &ObservedWorker,
@@ -63,7 +64,7 @@
         unload.attempts += 1;
     }
 
-    /// Forgets unloads that were carried out, and those of workers that are gone.
+    /// Forgets unloads that were carried out, and unloads at workers that are gone.
     pub fn observe(&mut self, view: &ClusterView) {
         self.unloads.retain(|(worker, function), unload| {
             let observed = view.workers().iter().find(|known| known.name == *worker);
--- a/crates/upgrade/src/rollout/wait_reason.rs
+++ b/crates/upgrade/src/rollout/wait_reason.rs
@@ -1,11 +1,11 @@
-//! Why nothing happens at the moment.
+//! Why a plan does not advance at the moment.
 
-/// The first reason noted since it was cleared; empty if there is none.
+/// The first reason noted since the last clearing; empty if there is none.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WaitReason(String);
 
 impl WaitReason {
-    /// Retains the reason unless there is an earlier one.
+    /// Keeps the reason unless one was noted before.
     pub fn note(&mut self, reason: impl Into<String>) {
         if self.0.is_empty() {
             self.0 = reason.into();
--- a/crates/upgrade/src/sessions/events.rs
+++ b/crates/upgrade/src/sessions/events.rs
@@ -1,49 +1,49 @@
-//! What goes into [`Sessions`](super::Sessions) and what comes out, its settings and counters.
+//! The inputs and outputs of [`Sessions`](super::Sessions), its settings and its counters.
 
 use cedarpulley::interface::Micros;
 use serde::Serialize;
 
 use crate::Name;
 
-/// Limits and times, in microseconds.
+/// Limits of [`Sessions`](super::Sessions). All times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SessionSettings {
-    /// A session without any invocation for so long is over; records are retained for as long.
+    /// Time without an invocation after which a session is over; records are retained for the same time.
     pub retention: Micros,
-    /// How long invocations wait for a majority.
+    /// Longest time for which an invocation waits for a majority.
     pub majority_timeout: Micros,
-    /// Most sessions known here.
+    /// Maximum number of sessions known here.
     pub max_sessions: usize,
-    /// Most invocations that wait.
+    /// Maximum number of invocations that wait for a majority.
     pub max_waiting: usize,
 }
 
-/// An event.
+/// An input event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// An invocation of a session, before it is forwarded.
+    /// An invocation of a session has arrived and is to be forwarded.
     Arrived {
-        /// Unlike that of any other that waits.
+        /// Identifies the invocation among all that wait.
         ticket: u64,
         /// The model.
         model: Name,
         /// The session.
         session: Name,
-        /// The version to bind the session to if a majority knows of none; absent where sessions are not bound.
+        /// The version to which the session is bound if a majority has no binding; absent where sessions are not bound.
         proposes: Option<Name>,
-        /// What other routers published last.
+        /// The placement that another router published last.
         placed: Option<SessionPlacement>,
     },
-    /// An invocation is not waited for any more.
+    /// The client no longer waits for the invocation.
     Left {
         /// Its ticket.
         ticket: u64,
     },
-    /// A majority's answer to [`Output::Choose`].
+    /// A majority's answer to [`Output::RequestBinding`].
     Decided {
         /// The key of the request.
         key: Name,
-        /// The version chosen; absent: there was no majority.
+        /// The chosen version; absent if there was no majority.
         version: Option<Name>,
     },
     /// A worker has answered an invocation of the session.
@@ -54,7 +54,7 @@
         session: Name,
         /// The worker.
         worker: Name,
-        /// It was the session's last invocation.
+        /// Whether it was the session's last invocation.
         ends: bool,
     },
     /// The session's prefix is no longer cached on this worker.
@@ -66,21 +66,21 @@
         /// The worker.
         worker: Name,
     },
-    /// The worker is gone, or a new incarnation of it has begun.
+    /// The worker is gone, or has restarted as a new incarnation.
     Gone {
         /// The worker.
         worker: Name,
     },
-    /// Time has passed.
+    /// Only the time has advanced.
     Tick,
 }
 
-/// Where a session was answered last. The one with the higher number is the later one.
+/// The worker that answered a session last. Of two placements, the one with the higher number is later.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionPlacement {
-    /// Grows with each change.
+    /// Increases with each change.
     pub number: u64,
-    /// The worker; empty: none any more.
+    /// The worker; empty if there is none any more.
     pub worker: Name,
 }
 
@@ -89,14 +89,14 @@
 pub enum RejectionReason {
     /// No majority answered in time.
     NoMajority,
-    /// Too many wait already.
+    /// Too many invocations wait already.
     Full,
 }
 
-/// A request or a decision.
+/// A request to the router, or a decision about an invocation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// A majority is to choose a version once.
+    /// Ask a majority to choose the version of a session, once for all routers.
     RequestBinding {
         /// The key of the record.
         key: Name,
@@ -105,29 +105,30 @@
         /// How long the record is retained.
         retention: Micros,
     },
-    /// An invocation may be forwarded.
+    /// Forward an invocation.
     Forward {
         /// Its ticket.
         ticket: u64,
-        /// The version that its session is bound to; absent where sessions are not bound.
+        /// The version to which its session is bound; absent where sessions are not bound.
         version: Option<Name>,
         /// The worker that answered the session last.
         preferred_worker: Option<Name>,
-        /// Another router has published this worker since the session's last invocation here.
+        /// Whether another router published this worker and this is the first invocation of the session here since
+        /// then.
         placed_by_other_router: bool,
     },
-    /// An invocation is rejected.
+    /// Reject an invocation.
     Reject {
         /// Its ticket.
         ticket: u64,
         /// The reason.
         reason: RejectionReason,
     },
-    /// The other routers are to be notified of the session's worker.
+    /// Notify the other routers of the session's worker.
     PublishPlacement {
         /// The key of the note.
         key: Name,
-        /// The worker.
+        /// The placement to publish.
         placed: SessionPlacement,
         /// How long the note is retained.
         retention: Micros,
@@ -139,16 +140,16 @@
 pub struct Counts {
     /// Sessions bound here for the first time.
     pub sessions_bound: u64,
-    /// Bindings renewed with the version known here.
+    /// Bindings that a majority renewed with the version known here.
     pub sessions_renewed: u64,
-    /// Invocations rejected for want of a majority.
+    /// Invocations rejected because no majority answered.
     pub sessions_without_majority: u64,
     /// Invocations rejected because too many waited.
     pub sessions_refused_full: u64,
-    /// Sessions evicted for want of room; their next invocation requests the binding again.
+    /// Sessions evicted because the table was full; their next invocation requests the binding again.
     pub sessions_forgotten: u64,
-    /// A majority chose another version than was known here: its record had expired.
+    /// Sessions for which a majority chose another version than the one known here, because its record had expired.
     pub sessions_rebound: u64,
-    /// Changes of a session's worker.
+    /// Changes of the worker of a session.
     pub sessions_moved: u64,
 }
--- a/crates/upgrade/src/sessions/mod.rs
+++ b/crates/upgrade/src/sessions/mod.rs
@@ -1,13 +1,14 @@
-//! Which version a session is bound to, and which worker has it warm. Called with [`Sessions::handle`] for each event, and
-//! with [`Input::Tick`] when [`Sessions::next_due`] says so.
+//! Keeps the version to which each session is bound and the worker that has cached its prefix. [`Sessions::handle`]
+//! takes each event; [`Sessions::next_due`] returns when [`Input::Tick`] is due.
 //!
 //! Mechanisms:
-//! 1. A majority chooses once to which version a session is bound, before the first dispatch from here. Its answer is
-//!    cached and not requested again.
-//! 2. The majority's record is retained for a time beyond its last use and renewed while the session goes on. The cached
-//!    answer is used for a little less than that: when it has expired at all others, it has expired here.
+//! 1. Before the first dispatch from here, a majority chooses the version to which a session is bound. It chooses only
+//!    once. Its answer is cached.
+//! 2. The majority retains its record for a time after the last request, and the record is renewed while the session is
+//!    in use. The cached answer is valid for a slightly shorter time, so that it expires here before the record expires
+//!    at the other members.
 //! 3. Invocations that wait for a majority are bounded in number and time.
-//! 4. The worker that answered a session last is preferred. Other routers are notified when it changes.
+//! 4. The worker that answered a session last is preferred. The other routers are notified when it changes.
 
 mod events;
 mod table;
@@ -20,19 +21,19 @@
 pub use events::{Counts, Input, Output, RejectionReason, SessionPlacement, SessionSettings};
 use table::{Binding, SessionTable, WaitingInvocation};
 
-/// A part of the retention by which clocks may differ between two members.
+/// Two members' clocks may differ by up to the retention divided by this number over the time of the retention.
 const CLOCK_DRIFT_DIVISOR: Micros = 8;
-/// Before model and session in the key of a binding's record.
+/// Precedes model and session in the key of a binding's record.
 pub const BINDING_PREFIX: &str = "s\n";
-/// Before model and session in the key of a placement's note.
+/// Precedes model and session in the key of a placement's note.
 const PLACEMENT_PREFIX: &str = "p\n";
 
-/// The key of the record that a majority stores. No session's name has the separator.
+/// The key of the binding's record that a majority stores. Names of sessions do not contain the separator.
 pub fn binding_key(model: &str, session: &str) -> Name {
     Name::from([BINDING_PREFIX, model, "\n", session].concat())
 }
 
-/// The key of the note that other routers get.
+/// The key of the note by which other routers are notified of a placement.
 pub fn placement_key(model: &str, session: &str) -> Name {
     Name::from([PLACEMENT_PREFIX, model, "\n", session].concat())
 }
@@ -57,7 +58,7 @@
 }
 
 impl Sessions {
-    /// Knows no session.
+    /// A table without any session.
     pub fn new(settings: SessionSettings) -> Sessions {
         Sessions {
             settings,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Takes in an event, and does what is due.
+    /// Handles an event and does what is due; `now` is in microseconds.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Arrived {
@@ -113,12 +114,12 @@
         self.sessions.expire(now, self.settings.retention);
     }
 
-    /// When [`Input::Tick`] is wanted.
+    /// When [`Input::Tick`] is due, in microseconds; the maximum if it is not needed.
     pub fn next_due(&self) -> Micros {
         self.deadlines.first().map_or(Micros::MAX, |first| first.0)
     }
 
-    /// Invocations that wait for a majority.
+    /// Number of invocations that wait for a majority.
     pub fn waiting_count(&self) -> usize {
         self.deadlines.len()
     }
@@ -155,7 +156,7 @@
                 reason: RejectionReason::Full,
             });
         }
-        // Renewed while in use once half of its time has passed.
+        // A binding in use is renewed once less than half of the retention is left.
         let needs_request = valid
             .as_ref()
             .is_none_or(|binding| binding.valid_until - now < settings.retention / 2);
@@ -174,7 +175,8 @@
         self.deadlines.insert((deadline, ticket, arrival.key));
     }
 
-    /// Other routers may publish a worker that is gone; it is not found on the endpoint list.
+    /// Clears a worker that is gone from all placements. Other routers may still publish it; the endpoint list then
+    /// does not contain it.
     fn forget_worker(&mut self, worker: &Name) {
         for session in self.sessions.values_mut() {
             if session.placement.worker == *worker {
@@ -198,7 +200,7 @@
         let Some(session) = self.sessions.get_mut(key) else {
             return;
         };
-        // Not requested from here, or forgotten meanwhile: since when the record exists is not known.
+        // The session was not requested from here or was evicted since, so it is not known when the record was created.
         let Some(requested_at) = session.requested_at.take() else {
             return;
         };
@@ -220,23 +222,23 @@
             Some(known) if known.version == version => self.counts.sessions_renewed += 1,
             Some(_) => self.counts.sessions_rebound += 1,
         }
-        // By any clock, a majority retains it at least for so long from when it was requested.
-        let kept = self.settings.retention;
+        // Whatever its clocks, a majority retains the record for at least this time after the request.
+        let retention = self.settings.retention;
         session.binding = Some(Binding {
             version: version.clone(),
-            valid_until: requested_at.saturating_add(kept - kept / CLOCK_DRIFT_DIVISOR),
+            valid_until: requested_at.saturating_add(retention - retention / CLOCK_DRIFT_DIVISOR),
         });
-        let prefers = session.preferred_worker();
+        let preferred_worker = session.preferred_worker();
         let placed_by_other_router = session.take_placed_by_other();
         out.extend(waiting.into_iter().map(|invocation| Output::Forward {
             ticket: invocation.ticket,
             version: Some(version.clone()),
-            preferred_worker: prefers.clone(),
+            preferred_worker: preferred_worker.clone(),
             placed_by_other_router,
         }));
     }
 
-    /// The session is warm on this worker now; empty: on none.
+    /// The session's prefix is now cached at this worker; an empty name means at none.
     fn place(
         &mut self,
         now: Micros,
@@ -264,8 +266,8 @@
         });
     }
 
-    /// Symptom without it: a majority's answer is lost on the way here, and the invocations that wait for it are never
-    /// answered.
+    /// Rejects invocations past their deadline. Without this, invocations that wait for a majority's answer would never
+    /// be answered if the answer is lost in transit.
     fn reject_overdue(&mut self, now: Micros, out: &mut Vec<Output>) {
         while let Some((deadline, ticket, key)) = self.deadlines.first().cloned()
             && deadline <= now
--- a/crates/upgrade/src/sessions/table.rs
+++ b/crates/upgrade/src/sessions/table.rs
@@ -1,4 +1,4 @@
-//! The sessions known here, in the order of their last use.
+//! The sessions known here, by key and in the order of their last use.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,11 +7,11 @@
 use super::events::{Output, SessionPlacement};
 use crate::Name;
 
-/// The version of a session.
+/// The version to which a session is bound.
 #[derive(Clone, Debug)]
 pub(super) struct Binding {
     pub version: Name,
-    /// Until when the majority's record is certain to exist.
+    /// The time until which the majority's record certainly exists.
     pub valid_until: Micros,
 }
 
@@ -22,16 +22,17 @@
     pub deadline: Micros,
 }
 
+/// One session.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Session {
     pub binding: Option<Binding>,
-    /// When a majority that has not answered yet was first asked.
+    /// When the binding was first requested from a majority that has not answered yet.
     pub requested_at: Option<Micros>,
-    /// An answer is overdue: the next invocation asks again.
+    /// An answer is overdue, so the next invocation repeats the request.
     pub request_again: bool,
     pub waiting: Vec<WaitingInvocation>,
     pub placement: SessionPlacement,
-    /// The placement was published by another router, and nothing was forwarded there from here since.
+    /// The placement was published by another router, and this router has not forwarded an invocation there since then.
     pub placed_by_other: bool,
     last_used: Micros,
 }
@@ -47,7 +48,7 @@
         std::mem::take(&mut self.placed_by_other)
     }
 
-    /// Forwards an invocation to the version, if the session is bound to one.
+    /// Forwards an invocation; `version` is absent if the session is not bound.
     pub fn forward(&mut self, ticket: u64, version: Option<Name>) -> Output {
         Output::Forward {
             ticket,
@@ -57,8 +58,8 @@
         }
     }
 
-    /// The version to request of a majority, if it has to be asked now: the one known here, whatever the plan says by now,
-    /// else the one proposed.
+    /// The version to request from a majority: the version known here, even if the plan has changed, else the proposed
+    /// one. Absent if no request has to be sent now.
     pub fn request_binding(&mut self, now: Micros, proposed: Name) -> Option<Name> {
         if self.requested_at.is_some() && !std::mem::take(&mut self.request_again) {
             return None;
@@ -73,7 +74,7 @@
     }
 }
 
-/// All sessions, by the key of their binding.
+/// All sessions, by the key of their binding's record.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SessionTable {
     sessions: HashMap<Name, Session>,
@@ -97,8 +98,8 @@
         self.sessions.values_mut()
     }
 
-    /// Evicts the sessions used longest ago until there is room for this one; how many. Sessions with waiting invocations
-    /// stay.
+    /// Evicts the least recently used sessions until there is room for this one, and returns their number. Sessions
+    /// with waiting invocations are not evicted.
     pub fn make_room(&mut self, key: &Name, capacity: usize) -> u64 {
         let mut evicted = 0;
         while self.sessions.len() >= capacity.max(1) && !self.sessions.contains_key(key) {
@@ -119,7 +120,7 @@
             .is_some_and(|session| !session.waiting.is_empty())
     }
 
-    /// The session, created if it is not known, used now.
+    /// Returns the session, created if it is not known, and sets its last use to `now`.
     pub fn touch(&mut self, now: Micros, key: &Name) -> &mut Session {
         if let Some(known) = self.sessions.get(key) {
             self.by_last_use.remove(&(known.last_used, key.clone()));
@@ -130,7 +131,8 @@
         session
     }
 
-    /// Forgets sessions unused for longer than the retention, up to the first with waiting invocations.
+    /// Forgets the sessions that were unused for longer than the retention, in the order of their last use, up to the
+    /// first session with waiting invocations.
     pub fn expire(&mut self, now: Micros, retention: Micros) {
         while let Some((last_used, key)) = self.by_last_use.first().cloned()
             && now.saturating_sub(last_used) > retention
--- a/crates/upgrade/src/settings.rs
+++ b/crates/upgrade/src/settings.rs
@@ -2,61 +2,62 @@
 
 use cedarpulley::interface::Micros;
 
-/// An observation has to outlive the slowest poll interval by this part of it: a poll is delayed at random, and its
-/// answer takes time.
+/// An observation stays valid for longer than the slowest poll interval, by the interval divided by this number: polls
+/// are delayed at random, and an answer takes time.
 const POLL_MARGIN_DIVISOR: Micros = 2;
-/// Renewals within the time after which an idle copy is evicted: some may be declined.
+/// Number of renewals within the time after which an idle copy is evicted: a worker may decline some of them.
 const RENEWALS_PER_IDLE_TIME: Micros = 4;
 
 /// Settings of a [`Planner`](crate::Planner).
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannerSettings {
-    /// How long a leader may act after its last step was proposed, once that was agreed; on its own clock.
+    /// How long a leader may act, by its own clock, from when it proposed its last agreed step.
     pub lease: Micros,
     /// Interval between two evaluations of the observed state.
     pub evaluation_interval: Micros,
-    /// A request to a majority is repeated if it was not answered within this.
+    /// Time after which an unanswered request to a majority is repeated.
     pub majority_timeout: Micros,
-    /// A load or unload request has reached its worker within this, or never does.
+    /// Longest time for which a load or unload request is in transit: later it cannot reach its worker any more.
     pub order_delivery_timeout: Micros,
     /// How long an observation of a worker is valid.
     pub observation_lifetime: Micros,
-    /// A session whose worker is gone is observed on another one within this, if it goes on; not below
+    /// Time within which a continuing session whose worker is gone is observed on another worker; at least
     /// `observation_lifetime`.
     pub quiet_period: Micros,
-    /// Concurrent loads of one plan, over all regions.
+    /// Maximum number of concurrent loads of one plan, over all regions.
     pub concurrent_loads: u32,
-    /// A load that takes longer has failed.
+    /// Time after which a load counts as failed.
     pub load_timeout: Micros,
-    /// Backoff of a worker after a load that failed there; doubled with each further one.
+    /// Backoff of a worker after a failed load; doubled with each further failure.
     pub load_backoff: Micros,
-    /// Interval at which copies in use are renewed; well within the time after which idle ones are evicted.
+    /// Interval at which copies in use are renewed; much shorter than the time after which idle copies are evicted.
     pub renewal_interval: Micros,
-    /// How long a plan can be read before anything is done.
+    /// How long a plan is shown to operators before it begins.
     pub announcement_time: Micros,
-    /// Canaries are observed for at least this long.
+    /// Minimum time for which canaries are observed.
     pub canary_min_time: Micros,
-    /// Canaries are observed for at most this long where too few invocations come to compare the versions.
+    /// Maximum time for which canaries are observed if too few invocations arrive to compare the versions.
     pub canary_max_time: Micros,
-    /// A slower new version is observed for this long before it is rolled back.
+    /// How long a plan stays paused, with a new version that is slower, before it is rolled back.
     pub pause_limit: Micros,
-    /// A member that is away for longer routes nothing any more.
+    /// Time after which an absent member certainly routes nothing any more.
     pub member_gone_after: Micros,
-    /// Interval at which the record of a finished plan is written again; records are retained for at least twice as long.
+    /// Interval at which the record of a finished plan is rewritten; records are retained for at least twice this time.
     pub record_refresh_interval: Micros,
 }
 
 impl Default for PlannerSettings {
     fn default() -> PlannerSettings {
         PlannerSettings {
-            // Many times two rounds to a majority, and a dead leader is missed for no longer than a load takes.
+            // Many times as long as two rounds to a majority. A dead leader delays the plan for no longer than a load
+            // takes.
             lease: 5_000_000,
             evaluation_interval: 500_000,
             majority_timeout: 10_000_000,
             order_delivery_timeout: 3_000_000,
             observation_lifetime: 10_000_000,
             quiet_period: 15_000_000,
-            // One in progress while another one is waited for.
+            // One load can run while another one is delayed.
             concurrent_loads: 2,
             load_timeout: 300_000_000,
             load_backoff: 5_000_000,
@@ -72,7 +73,8 @@
 }
 
 impl PlannerSettings {
-    /// The settings adjusted to workers that are polled within `polled_within` and evict idle copies after `idle_kept`.
+    /// The settings adjusted to workers that are polled at least every `polled_within` and evict idle copies after
+    /// `idle_kept`, both in microseconds.
     pub fn adjusted_to(self, polled_within: Micros, idle_kept: Micros) -> PlannerSettings {
         let observation_lifetime = self
             .observation_lifetime
--- a/crates/upgrade/src/status.rs
+++ b/crates/upgrade/src/status.rs
@@ -5,7 +5,7 @@
 use crate::Name;
 use crate::plan::{Phase, Stage};
 
-/// One plan.
+/// The state of one plan.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PlanStatus {
     /// The model.
@@ -14,7 +14,7 @@
     pub from: Name,
     /// The new version.
     pub to: Name,
-    /// The serial of the order that is carried out.
+    /// The serial of the order that the plan carries out.
     pub serial: u64,
     /// The number of the latest step.
     pub step: u64,
@@ -23,24 +23,24 @@
     /// Whether this router leads.
     #[serde(rename = "leads")]
     pub is_leader: bool,
-    /// The term of the step's leader.
+    /// The term of the leader that proposed the step.
     pub term: Option<Name>,
     /// The regions, in the order in which they are upgraded.
     pub regions: Vec<RegionStatus>,
-    /// Why nothing happens at the moment; empty otherwise.
+    /// Why the plan does not advance at the moment; empty otherwise.
     #[serde(rename = "waits")]
     pub wait_reason: String,
-    /// What comes after this step.
+    /// What the plan does after this step.
     #[serde(rename = "next")]
     pub next_action: String,
     /// Why the plan was paused or rolled back.
     pub reason: String,
-    /// The serials of the orders that come after this one.
+    /// The serials of the orders that are queued after this one.
     #[serde(rename = "queued")]
     pub queued_serials: Vec<u64>,
 }
 
-/// One region of a plan.
+/// The state of one region of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RegionStatus {
     /// Its name.
@@ -58,7 +58,7 @@
     pub floor_lanes: u32,
     /// Active sessions on copies of the old version.
     pub old_sessions: u32,
-    /// The drain limit has passed.
+    /// Whether the drain limit has passed.
     #[serde(rename = "over")]
     pub drain_limit_passed: bool,
 }
--- a/crates/upgrade/src/version_comparison.rs
+++ b/crates/upgrade/src/version_comparison.rs
@@ -1,12 +1,12 @@
-//! The new version against the old one, from what all members observed of both ([`VersionComparison::record`], then
-//! [`VersionComparison::verdict`]).
+//! Compares the new version with the old one by the counters of all members: [`VersionComparison::record`] takes them,
+//! [`VersionComparison::verdict`] returns the result.
 //!
 //! Mechanisms:
-//! 1. Paired: only what one member observed of both versions by one trigger type within one stretch of time is compared,
-//!    so that a busy hour, a far region or a slow trigger type speaks for neither version.
-//! 2. Counts of two versions against those that would come by chance if the versions were alike: the
-//!    Cochran-Mantel-Haenszel sum over all pairs, which tolerates pairs with few samples. It has to be far off, and the
-//!    difference large enough to matter.
+//! 1. Pairs: only invocations of both versions that one member counted for one trigger type within one period are
+//!    compared, so that a busy hour, a distant region or a slow trigger type does not favor either version.
+//! 2. The Cochran-Mantel-Haenszel test over all pairs, which tolerates pairs with few samples, compares the counts with
+//!    those expected if both versions behaved alike. A result counts only if it is significant and the difference is
+//!    large enough to matter.
 
 use std::collections::BTreeMap;
 
@@ -15,60 +15,61 @@
 
 use crate::Name;
 
-/// A pair is closed once both its sides have so many: with fewer it says nothing, with many more it spans a change of
-/// load.
+/// Invocations that both sides of a pair need before the pair is closed. Fewer carry no information; many more would
+/// span changes of load.
 const PAIR_SAMPLES: u64 = 5;
-/// Invocations of the new version to compare, and of the old one beside it: with fewer, one broken worker looks like a
-/// broken version.
+/// Invocations of each version that have to be compared before there is a result: with fewer, one broken worker would
+/// look like a broken version.
 pub const MIN_COMPARED: u64 = 40;
-/// A difference is significant at so many standard deviations. It is evaluated every second for hours: by chance alone,
-/// at 4 one plan in some hundreds is stopped; at 2, most would be.
+/// Standard deviations from which on a difference is significant. The comparison is evaluated every second for hours:
+/// by chance alone, 4 deviations stop one plan in some hundreds, and 2 would stop most plans.
 const SIGNIFICANT_DEVIATIONS: f64 = 4.0;
-/// Below so many standard deviations a difference that was significant is gone: within chance at one evaluation.
+/// Standard deviations below which a difference counts as none: at a single evaluation it is within chance.
 const INSIGNIFICANT_DEVIATIONS: f64 = 2.0;
-/// One of a hundred more that end in an error is worth rolling back for.
+/// Smallest increase of the error rate that justifies a rollback: one more error in a hundred invocations.
 const RELEVANT_ERROR_DIFFERENCE: f64 = 0.01;
-/// Caches of a copy that was just loaded are cold; one of twenty more late is beyond that.
+/// Smallest increase of the rate of late invocations that justifies a pause: one in twenty. It exceeds the effect of
+/// the cold caches of newly loaded copies.
 const RELEVANT_LATE_DIFFERENCE: f64 = 0.05;
-/// Most open pairs: members times trigger types. Counts of further ones are left out.
+/// Maximum number of open pairs (members times trigger types). Counts of further pairs are ignored.
 const MAX_OPEN_PAIRS: usize = 4096;
 
-/// What one member observed of one version by one trigger type since its process began; counters only grow. What this
-/// router itself rejected (a session that is over, no majority) is in none of them.
+/// Invocations of one version by one trigger type that one member has counted since its process started. The counters
+/// only grow. Invocations that the router itself rejected (session over, no majority) are not included.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionCounters {
-    /// The version; empty: copies without a version.
+    /// The version; empty for copies without a version.
     pub version: Name,
     /// The trigger type.
     pub trigger: Name,
-    /// Invocations that ended.
+    /// Number of invocations that ended.
     pub completed: u64,
-    /// Those that ended in an error.
+    /// Number of invocations that ended in an error.
     pub errored: u64,
-    /// Those that ended after their latency objective.
+    /// Number of invocations that ended after their latency objective.
     pub late: u64,
 }
 
 /// The result of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Too few samples on one side.
+    /// One of the versions has too few samples.
     TooFewSamples,
-    /// No difference, or none that matters.
+    /// There is no significant difference.
     Equivalent,
-    /// Neither significant nor gone.
+    /// There may be a difference, but it is not significant.
     Inconclusive,
     /// The new version misses its latency objective more often.
     Slower,
-    /// The new version ends in errors more often.
+    /// Invocations of the new version end in an error more often.
     MoreErrors,
 }
 
-/// A verdict and what it rests on.
+/// A verdict and the number of invocations that it is based on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ComparisonSummary {
     pub verdict: Verdict,
-    /// Invocations of the new version that were compared.
+    /// Number of invocations of the new version that were compared.
     pub compared: u64,
 }
 
@@ -90,7 +91,7 @@
     }
 }
 
-/// How many of all had an event.
+/// The number of invocations with an event, and of all invocations.
 #[derive(Clone, Copy, Debug)]
 struct Proportion {
     events: f64,
@@ -110,21 +111,23 @@
     }
 }
 
-/// What a member observed of both versions by one trigger type since the last pair was closed.
+/// Invocations of both versions that a member counted for one trigger type since its last pair was closed.
 #[derive(Clone, Copy, Debug, Default)]
 struct Pair {
     new: Samples,
     old: Samples,
 }
 
-/// The Cochran-Mantel-Haenszel sum of one kind of event.
+/// The sums of the Cochran-Mantel-Haenszel test for one kind of event.
 #[derive(Clone, Copy, Debug, Default)]
 struct MantelHaenszel {
-    /// Events of the new version beyond the expected number, and their variance.
+    /// Events of the new version beyond the expected number.
     excess: f64,
+    /// The variance of `excess`.
     variance: f64,
-    /// Differences of rates, weighted, and the weights.
+    /// Sum of the weighted differences of the rates.
     difference: f64,
+    /// Sum of the weights.
     weight: f64,
 }
 
@@ -163,22 +166,23 @@
 /// The comparison of the two versions of a plan.
 #[derive(Clone, Debug, Default)]
 pub struct VersionComparison {
-    /// The last counters of each member, by version and trigger type.
-    last: BTreeMap<MemberIndex, Vec<VersionCounters>>,
-    /// By member and trigger type.
+    /// The last counters of each member, one entry per version and trigger type.
+    last_counters: BTreeMap<MemberIndex, Vec<VersionCounters>>,
+    /// The open pairs, by member and trigger type.
     open_pairs: BTreeMap<(MemberIndex, Name), Pair>,
-    /// Invocations of the new and of the old version in closed pairs.
+    /// Invocations of the new version in closed pairs.
     compared_new: u64,
+    /// Invocations of the old version in closed pairs.
     compared_old: u64,
     errors: MantelHaenszel,
     late: MantelHaenszel,
 }
 
 impl VersionComparison {
-    /// Begins again: what was counted so far is not compared any more.
+    /// Starts the comparison again; invocations that were counted so far are not compared any more.
     pub fn restart(&mut self) {
         *self = VersionComparison {
-            last: std::mem::take(&mut self.last),
+            last_counters: std::mem::take(&mut self.last_counters),
             ..VersionComparison::default()
         };
     }
@@ -191,9 +195,9 @@
         old: &str,
         new: &str,
     ) {
-        let mut touched = Vec::new();
-        // A member heard of for the first time has counted before the plan, too.
-        if let Some(before) = self.last.get(&member) {
+        let mut updated_pairs = Vec::new();
+        // The first report of a member is only a baseline: its counters also contain invocations from before the plan.
+        if let Some(before) = self.last_counters.get(&member) {
             for count in &counts {
                 if *count.version != *new && *count.version != *old {
                     continue;
@@ -209,11 +213,11 @@
                     &mut open.old
                 };
                 add_increase(samples, count, before);
-                touched.push(pair);
+                updated_pairs.push(pair);
             }
         }
-        self.last.insert(member, counts);
-        for pair in touched {
+        self.last_counters.insert(member, counts);
+        for pair in updated_pairs {
             self.close_if_full(&pair);
         }
     }
@@ -247,7 +251,7 @@
         }
     }
 
-    /// Invocations of the new version that were compared.
+    /// Number of invocations of the new version that were compared.
     pub fn compared(&self) -> u64 {
         self.compared_new
     }
@@ -260,17 +264,17 @@
     }
 }
 
-/// Adds by how much a counter has grown since the member's last report.
+/// Adds the increase of the counters since the member's last report.
 fn add_increase(samples: &mut Samples, count: &VersionCounters, before: &[VersionCounters]) {
-    let was = before
+    let previous = before
         .iter()
-        .find(|was| was.version == count.version && was.trigger == count.trigger);
-    // A process that began anew counts from zero.
+        .find(|previous| previous.version == count.version && previous.trigger == count.trigger);
+    // A restarted process counts from zero.
     let zero = VersionCounters::default();
-    let was = was
-        .filter(|was| was.completed <= count.completed)
+    let previous = previous
+        .filter(|previous| previous.completed <= count.completed)
         .unwrap_or(&zero);
-    samples.ended += count.completed - was.completed;
-    samples.errored += count.errored.saturating_sub(was.errored);
-    samples.late += count.late.saturating_sub(was.late);
+    samples.ended += count.completed - previous.completed;
+    samples.errored += count.errored.saturating_sub(previous.errored);
+    samples.late += count.late.saturating_sub(previous.late);
 }
--- a/crates/upgrade/tests/simulated.rs
+++ b/crates/upgrade/tests/simulated.rs
@@ -41,7 +41,7 @@
             } else {
                 since
             };
-            let short = l.contains("the limit is past") && second(l) - since < 39;
+            let short = l.contains("the drain limit has passed") && second(l) - since < 39;
             assert!(!short, "{:#?}", w.log);
         }
     }
@@ -226,7 +226,7 @@
     w.fault(w.now, Fault::Slower(25 * S));
     if w.run(200 * S, |w| w.phase() == Some(Phase::Paused)) {
         w.run(w.now + 300 * S, settled);
-        assert!(w.log.iter().any(|l| l.contains("goes on")), "{:#?}", w.log);
+        assert!(w.log.iter().any(|l| l.contains("resumes")), "{:#?}", w.log);
     }
 }
 
@@ -314,7 +314,10 @@
 #[test]
 fn a_router_with_an_old_plan_delays_steps_that_would_harm_it() {
     // From before the order, and from before its region is shifted.
-    for (from, waits) in [(0, "has not heard of it"), (1, "goes by an earlier step")] {
+    for (from, waits) in [
+        (0, "has not reported this plan"),
+        (1, "routes by an earlier step"),
+    ] {
         let mut w = match from {
             0 => World::new(17, Policy::Planner, 4, 3),
             _ => at(17, 3, Phase::Rolling, Some(Stage::Loading)),
