--- a/crates/upgrade/src/events.rs
+++ b/crates/upgrade/src/events.rs
@@ -33,7 +33,7 @@
 /// An input event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// All orders of the operator's file, whenever it was read.
+    /// All orders of the operator's file, as last read.
     Orders(Vec<Order>),
     /// The members of the group, whenever they change.
     Members {
--- a/crates/upgrade/src/leadership.rs
+++ b/crates/upgrade/src/leadership.rs
@@ -15,8 +15,8 @@
 use crate::rollout::ProposedStep;
 use crate::settings::PlannerSettings;
 
-/// Two clocks may differ by up to the lease divided by this number over the time of a lease: much more than real clocks
-/// do.
+/// Over the time of a lease, two clocks may drift apart by up to the lease divided by this number. Real clocks drift
+/// much less.
 const CLOCK_DRIFT_DIVISOR: Micros = 10;
 
 /// The role of this member.
--- a/crates/upgrade/src/orders.rs
+++ b/crates/upgrade/src/orders.rs
@@ -11,7 +11,7 @@
 pub const MAX_ORDERS: usize = 256;
 /// Longest name, in bytes: names are part of records that all members store.
 pub const MAX_NAME_BYTES: usize = 200;
-/// Maximum number of canaries: in any region, more would be over one per worker, and no canaries any more.
+/// Maximum number of canaries: in any region, more would be over one per worker, and then they are no longer canaries.
 pub const MAX_CANARIES: u32 = 64;
 /// Longest drain limit, in milliseconds: one day. A plan does not wait for sessions that last longer.
 pub const MAX_DRAIN_MS: u64 = 86_400_000;
--- a/crates/upgrade/src/plan.rs
+++ b/crates/upgrade/src/plan.rs
@@ -125,9 +125,8 @@
     pub new_share: u16,
     /// Its stage.
     pub stage: Stage,
-    /// Whether the drain limit has passed. In stage `Draining`, the routers then answer sessions of the outgoing
-    /// version that they are over. In earlier stages, copies with sessions may then be displaced too if both versions
-    /// do not fit.
+    /// Whether the drain limit has passed. In stage `Draining`, outgoing copies are then unloaded even if sessions use
+    /// them. In earlier stages, copies with sessions may then be displaced too if both versions do not fit.
     pub drain_limit_passed: bool,
     /// The last step that changed routing here: a router that routes by an earlier step may still use outgoing copies.
     pub routing_step: u64,
@@ -144,9 +143,9 @@
         self.stage == Stage::Done || self.is_evicting()
     }
 
-    /// The share of new work for the new version. While new work is split, sessions are routed to the incoming version
-    /// twice as often as other work. Without this, where memory is too small for both versions, new sessions would keep
-    /// starting on outgoing copies, and none of these copies could ever be displaced.
+    /// The share of new work for the new version. While a region in stage `Loading` splits new work, sessions are routed
+    /// to the incoming version twice as often as other work. Without this, where memory is too small for both versions,
+    /// new sessions would keep starting on outgoing copies, and none of these copies could ever be displaced.
     fn share_for(&self, is_session: bool, rolling_back: bool) -> u16 {
         let is_split = self.new_share > 0 && self.new_share != FULL_SHARE;
         if !is_session || self.stage != Stage::Loading || !is_split {
--- a/crates/upgrade/src/rollout/assessment.rs
+++ b/crates/upgrade/src/rollout/assessment.rs
@@ -17,7 +17,7 @@
 pub(crate) struct VersionCapacity {
     /// Warm lanes in fresh observations, without those of copies whose unload was requested.
     pub lanes: u32,
-    /// Warm copies, including those whose unload was requested.
+    /// Warm copies, including those whose unload was requested and those in stale observations.
     pub copies: u32,
     /// Workers that are loading a copy.
     pub loading: u32,
--- a/crates/upgrade/src/rollout/unloads.rs
+++ b/crates/upgrade/src/rollout/unloads.rs
@@ -1,5 +1,5 @@
-//! Unloads that were requested and whose effect is not yet observed. A copy counts as gone until its worker is observed
-//! at a time by which the request must have been delivered.
+//! Unloads that were requested and whose effect is not yet observed. An unload is pending until its worker is observed
+//! at a time by which the request must have been delivered. Until then its copy counts as gone.
 
 use std::collections::BTreeMap;
 
--- a/crates/upgrade/src/sessions/events.rs
+++ b/crates/upgrade/src/sessions/events.rs
@@ -34,7 +34,7 @@
         /// The placement that another router published last.
         placed: Option<SessionPlacement>,
     },
-    /// The client no longer waits for the invocation.
+    /// The invocation was dropped while it waited, for example because its front was lost.
     Left {
         /// Its ticket.
         ticket: u64,
--- a/crates/upgrade/src/sessions/mod.rs
+++ b/crates/upgrade/src/sessions/mod.rs
@@ -21,7 +21,8 @@
 pub use events::{Counts, Input, Output, RejectionReason, SessionPlacement, SessionSettings};
 use table::{Binding, SessionTable, WaitingInvocation};
 
-/// Two members' clocks may differ by up to the retention divided by this number over the time of the retention.
+/// Over the time of the retention, the clocks of two members may drift apart by up to the retention divided by this
+/// number.
 const CLOCK_DRIFT_DIVISOR: Micros = 8;
 /// Precedes model and session in the key of a binding's record.
 pub const BINDING_PREFIX: &str = "s\n";
--- a/crates/upgrade/src/version_comparison.rs
+++ b/crates/upgrade/src/version_comparison.rs
@@ -55,9 +55,9 @@
 pub enum Verdict {
     /// One of the versions has too few samples.
     TooFewSamples,
-    /// There is no significant difference.
+    /// The versions do not differ beyond chance.
     Equivalent,
-    /// There may be a difference, but it is not significant.
+    /// There may be a difference, but it is not significant or too small to matter.
     Inconclusive,
     /// The new version misses its latency objective more often.
     Slower,
--- a/crates/upgrade/tests/simulated.rs
+++ b/crates/upgrade/tests/simulated.rs
@@ -12,6 +12,7 @@
     sim.phase().is_some_and(Phase::is_over)
 }
 
+/// Guards against floors that are undercut and sessions that are ended early, also where both versions do not fit.
 #[test]
 fn an_upgrade_completes_in_all_regions_and_respects_floors_and_sessions() {
     for (seed, copies_per_worker) in [(1, 3), (2, 2), (3, 1), (4, 1)] {
@@ -156,6 +157,7 @@
     (Phase::Rolling, Some(Stage::Done)),
 ];
 
+/// Guards against a plan that stops, or two leaders that act at once, after the leader has crashed or paused.
 #[test]
 fn a_leader_that_crashes_or_pauses_in_any_step_is_succeeded() {
     for (phase, stage) in PHASES_AND_STAGES {
@@ -175,6 +177,7 @@
     }
 }
 
+/// Guards against steps in a region whose routers cannot be reached, which may still route by an earlier step.
 #[test]
 fn a_partitioned_region_freezes_in_any_step_and_resumes_later() {
     for (phase, stage) in PHASES_AND_STAGES {
@@ -197,6 +200,7 @@
     }
 }
 
+/// Guards against a faulty version that stays in service, and against a rollback that undercuts the floors.
 #[test]
 fn a_version_with_more_errors_is_rolled_back_from_any_step_and_floors_hold() {
     for (seed, copies_per_worker) in [(8, 3), (9, 1)] {
@@ -223,6 +227,7 @@
     }
 }
 
+/// Guards against a rollback for a slowness that passes, and against a slow version that stays in service.
 #[test]
 fn a_slower_version_pauses_the_plan_which_resumes_or_rolls_back() {
     let mut sim = simulation_in(10, 3, Phase::Canary, None);
@@ -247,6 +252,7 @@
     }
 }
 
+/// Guards against orders that are lost, carried out twice or carried out although they were withdrawn.
 #[test]
 fn orders_are_queued_withdrawn_and_not_started_twice() {
     // An order that is withdrawn, before and after its plan begins.
@@ -293,6 +299,7 @@
     );
 }
 
+/// Guards against loads that are repeated without a pause, and against concurrent loads that overload a slow store.
 #[test]
 fn a_failing_worker_backs_off_and_a_slow_store_gets_one_load_at_a_time() {
     let mut sim = Simulation::new(15, Policy::Planner, 4, 3);
@@ -337,6 +344,8 @@
     }
 }
 
+/// Guards against steps that assume that all routers know the plan: a router without it would route sessions to another
+/// version, or to copies that are unloaded.
 #[test]
 fn a_router_with_an_old_plan_delays_steps_that_would_harm_it() {
     // The router misses the plan from before the order, or from before new work is routed elsewhere in its region.
@@ -361,6 +370,7 @@
     }
 }
 
+/// Guards against sessions that move from a dead worker to an idle outgoing copy that is then unloaded.
 #[test]
 fn sessions_of_a_worker_that_dies_during_a_drain_reach_copies_that_stay() {
     for seed in 20..36 {
--- a/crates/upgrade/tests/simulation/baselines.rs
+++ b/crates/upgrade/tests/simulation/baselines.rs
@@ -19,7 +19,7 @@
         if self.policy == Policy::OneByOne && self.replaced_workers < all {
             let w = self.replaced_workers;
             match self.workers[w].copies.get(&new_function()) {
-                Some(c) if c.ready_at <= self.now => self.replaced_workers += 1,
+                Some(copy) if copy.ready_at <= self.now => self.replaced_workers += 1,
                 Some(_) => {}
                 None => {
                     self.workers[w].copies.remove(&old_function());
@@ -30,7 +30,7 @@
         let all_warm = self.workers.iter().all(|w| {
             w.copies
                 .get(&new_function())
-                .is_some_and(|c| c.is_warm(self.now))
+                .is_some_and(|copy| copy.is_warm(self.now))
         });
         let done = if self.policy == Policy::OneByOne {
             self.replaced_workers == all
@@ -41,31 +41,31 @@
             self.totals.done_at = Some(started_at);
         }
         // The new copies are not evicted as idle, and neither are the old ones before the upgrade is done.
-        for c in self
+        for copy in self
             .workers
             .iter_mut()
             .filter_map(|w| w.copies.get_mut(&new_function()))
         {
-            c.last_used = c.last_used.max(self.now);
+            copy.last_used = copy.last_used.max(self.now);
         }
         let in_progress = self.totals.done_at.is_none();
-        for c in self
+        for copy in self
             .workers
             .iter_mut()
             .filter_map(|w| w.copies.get_mut(&old_function()))
             .filter(|_| in_progress)
         {
-            c.last_used = c.last_used.max(self.now);
+            copy.last_used = copy.last_used.max(self.now);
         }
     }
 
     /// A version with copies in the region, chosen in proportion to their number. A session keeps its version as long
     /// as the region has copies of it.
     pub(super) fn baseline_version(&self, session: Option<u64>, region: &Name, draw: u64) -> Name {
-        let count = |f: &Name| {
+        let count = |function: &Name| {
             self.workers
                 .iter()
-                .filter(|w| w.region == *region && w.copies.contains_key(f))
+                .filter(|w| w.region == *region && w.copies.contains_key(function))
                 .count() as u64
         };
         let (old, new) = (count(&old_function()), count(&new_function()));
--- a/crates/upgrade/tests/simulation/invariants.rs
+++ b/crates/upgrade/tests/simulation/invariants.rs
@@ -25,11 +25,13 @@
             return None;
         }
         let r = plan.regions.iter().find(|r| r.region == *region)?;
-        let lanes = |f: &Name| {
+        let lanes = |function: &Name| {
             let is_warm = |w: &&Worker| {
                 w.region == *region
                     && w.dead_until <= self.now
-                    && w.copies.get(f).is_some_and(|c| c.is_warm(self.now))
+                    && w.copies
+                        .get(function)
+                        .is_some_and(|copy| copy.is_warm(self.now))
             };
             self.workers.iter().filter(is_warm).count() as u32 * LANES_PER_COPY
         };
--- a/crates/upgrade/tests/simulation/mod.rs
+++ b/crates/upgrade/tests/simulation/mod.rs
@@ -439,7 +439,7 @@
         ];
         self.check_floors &= faults_that_keep_capacity
             .iter()
-            .any(|f| std::mem::discriminant(f) == std::mem::discriminant(&fault));
+            .any(|kind| std::mem::discriminant(kind) == std::mem::discriminant(&fault));
         self.schedule(at, Event::InjectFault(fault));
     }
 
@@ -510,19 +510,19 @@
     }
 
     /// Number of workers with a copy of the function, warm or loading.
-    pub fn workers_with(&self, f: &Name) -> usize {
+    pub fn workers_with(&self, function: &Name) -> usize {
         self.workers
             .iter()
-            .filter(|w| w.copies.contains_key(f))
+            .filter(|w| w.copies.contains_key(function))
             .count()
     }
 
     /// Number of workers that are loading a copy of the function.
-    pub fn workers_loading(&self, f: &Name) -> usize {
+    pub fn workers_loading(&self, function: &Name) -> usize {
         self.workers
             .iter()
-            .filter_map(|w| w.copies.get(f))
-            .filter(|c| c.ready_at > self.now)
+            .filter_map(|w| w.copies.get(function))
+            .filter(|copy| copy.ready_at > self.now)
             .count()
     }
 }
--- a/crates/upgrade/tests/simulation/network.rs
+++ b/crates/upgrade/tests/simulation/network.rs
@@ -16,7 +16,7 @@
     /// Whether a member can reach a majority of all members, itself included.
     pub(super) fn has_majority(&self, m: usize) -> bool {
         (0..self.members.len())
-            .filter(|o| self.connected(m, *o))
+            .filter(|other| self.connected(m, *other))
             .count()
             * 2
             > self.members.len()
@@ -101,11 +101,11 @@
                             input: Input::Decided { key, outcome },
                         },
                     );
-                    for o in (0..self.members.len())
-                        .filter(|o| self.connected(m, *o))
+                    for other in (0..self.members.len())
+                        .filter(|other| self.connected(m, *other))
                         .collect::<Vec<_>>()
                     {
-                        self.send_plan(o);
+                        self.send_plan(other);
                     }
                 }
                 Event::Input { m, nonce, input } => {
--- a/crates/upgrade/tests/simulation/routers.rs
+++ b/crates/upgrade/tests/simulation/routers.rs
@@ -22,10 +22,10 @@
                 self.members[m].caught_up = self.register.1.is_none();
                 self.send_plan(m);
             }
-            for o in 0..self.members.len() {
-                let connected = self.connected(m, o);
+            for other in 0..self.members.len() {
+                let connected = self.connected(m, other);
                 let now = self.now;
-                let (alive, agreed_at) = &mut self.members[m].considered_alive[o];
+                let (alive, agreed_at) = &mut self.members[m].considered_alive[other];
                 if connected == *alive {
                     *agreed_at = now;
                 } else if now - *agreed_at > 2 * SECOND {
@@ -64,18 +64,18 @@
                 if worker.dead_until > self.now + SECOND || !self.can_reach(m, w) {
                     continue;
                 }
-                let copies = worker.copies.iter().map(|(f, c)| {
-                    let ready = c.is_warm(self.now);
-                    let sessions = c
+                let copies = worker.copies.iter().map(|(function, copy)| {
+                    let ready = copy.is_warm(self.now);
+                    let sessions = copy
                         .prefixes
                         .values()
                         .filter(|p| self.now - p.1 < PREFIX_RETENTION)
                         .count() as u32;
                     FunctionCopies {
-                        function: f.clone(),
+                        function: function.clone(),
                         copies: u32::from(ready),
                         lanes: if ready { LANES_PER_COPY } else { 0 },
-                        busy_lanes: c.busy.len() as u32,
+                        busy_lanes: copy.busy.len() as u32,
                         loading: !ready,
                         sessions,
                         copy_mb: COPY_MB,
@@ -95,13 +95,13 @@
             self.send_input(m, Input::Workers(observed));
             let rule = self.members[m].planner.routing_rule(MODEL);
             let counts: Vec<VersionCounters> = self.members[m].counts.values().cloned().collect();
-            for o in (0..self.members.len())
-                .filter(|o| self.connected(m, *o))
+            for other in (0..self.members.len())
+                .filter(|other| self.connected(m, *other))
                 .collect::<Vec<_>>()
             {
                 let (member, model, counts) = (m as u16, MODEL.into(), counts.clone());
                 self.send_input(
-                    o,
+                    other,
                     Input::MemberReported {
                         member,
                         model,
--- a/crates/upgrade/tests/simulation/workers.rs
+++ b/crates/upgrade/tests/simulation/workers.rs
@@ -13,7 +13,7 @@
         let CopyRequest {
             member,
             worker,
-            function: f,
+            function,
             term,
             sessions_known_until,
             region_drains,
@@ -28,21 +28,21 @@
         };
         if request.load {
             let declined = self.draw(10) == 0;
-            if let Some(c) = self.workers[w].copies.get_mut(f) {
-                c.last_used = self.now;
+            if let Some(copy) = self.workers[w].copies.get_mut(function) {
+                copy.last_used = self.now;
             } else if !declined && self.has_memory(w) {
-                self.load(w, f, *member);
+                self.load(w, function, *member);
             }
             return;
         }
-        let Some(c) = self.workers[w]
+        let Some(copy) = self.workers[w]
             .copies
-            .get(f)
-            .filter(|c| c.busy.is_empty() && c.ready_at <= self.now)
+            .get(function)
+            .filter(|copy| copy.busy.is_empty() && copy.ready_at <= self.now)
         else {
             return;
         };
-        let lost: Vec<u64> = c
+        let lost: Vec<u64> = copy
             .prefixes
             .iter()
             .filter(|(id, p)| {
@@ -55,7 +55,7 @@
             .collect();
         if !lost.is_empty() && !*drain_limit_passed {
             self.violations.push(format!(
-                "{} s: {f} is unloaded from {worker} in term {term} with sessions {lost:?}",
+                "{} s: {function} is unloaded from {worker} in term {term} with sessions {lost:?}",
                 self.now / SECOND
             ));
         }
@@ -63,7 +63,7 @@
         let before: Vec<_> = (0..self.members.len())
             .map(|r| self.usable_lanes(r, &region))
             .collect();
-        self.workers[w].copies.remove(f);
+        self.workers[w].copies.remove(function);
         for (r, lanes_before) in before.into_iter().enumerate() {
             if let (Some((lanes_before, floor)), Some((lanes, _))) =
                 (lanes_before, self.usable_lanes(r, &region))
@@ -85,13 +85,13 @@
     }
 
     /// Starts a load. Loads in progress at any worker slow it down.
-    pub(super) fn load(&mut self, w: usize, f: &Name, loaded_by: usize) {
+    pub(super) fn load(&mut self, w: usize, function: &Name, loaded_by: usize) {
         self.totals.loads += 1;
         let other_loads = self
             .workers
             .iter()
             .flat_map(|w| w.copies.values())
-            .filter(|c| c.ready_at > self.now)
+            .filter(|copy| copy.ready_at > self.now)
             .count();
         let factor = if self.slow_store_until > self.now {
             4
@@ -110,24 +110,29 @@
             last_used: self.now + duration,
             ..Copy::default()
         };
-        self.workers[w].copies.insert(f.clone(), copy);
+        self.workers[w].copies.insert(function.clone(), copy);
     }
 
     /// Ends loads and invocations that are due, and evicts expired prefixes and idle copies.
     pub(super) fn advance_workers(&mut self) {
         let (now, mut ended) = (self.now, Vec::new());
         for w in &mut self.workers {
-            w.copies.retain(|f, c| {
-                let just_ended = c.ready_at <= now && c.ready_at > now - TIME_STEP;
+            w.copies.retain(|function, copy| {
+                let just_ended = copy.ready_at <= now && copy.ready_at > now - TIME_STEP;
                 if just_ended {
-                    ended.push((c.loaded_by, w.name.clone(), f.clone(), !c.fails));
+                    ended.push((
+                        copy.loaded_by,
+                        w.name.clone(),
+                        function.clone(),
+                        !copy.fails,
+                    ));
                 }
-                c.busy.retain(|until| *until > now);
-                c.prefixes.retain(|_, p| now - p.1 < PREFIX_RETENTION);
-                !(just_ended && c.fails)
-                    && (c.ready_at > now
-                        || now - c.last_used < IDLE_COPY_RETENTION
-                        || !c.busy.is_empty())
+                copy.busy.retain(|until| *until > now);
+                copy.prefixes.retain(|_, p| now - p.1 < PREFIX_RETENTION);
+                !(just_ended && copy.fails)
+                    && (copy.ready_at > now
+                        || now - copy.last_used < IDLE_COPY_RETENTION
+                        || !copy.busy.is_empty())
             });
         }
         for (m, worker, function, ok) in ended {
