--- a/crates/upgrade/src/plan.rs
+++ b/crates/upgrade/src/plan.rs
@@ -266,23 +266,26 @@
         let current = self.regions.iter().find(is_current);
         match (self.phase, current) {
             (Phase::Waiting, _) => "loads canaries".into(),
-            (Phase::Canary, _) => "upgrades the first region, or rolls back".into(),
-            (Phase::Paused, _) => "resumes, or rolls back".into(),
+            (Phase::Canary, _) => "the first region, or back".into(),
+            (Phase::Paused, _) => "goes on, or back".into(),
             (Phase::Rolling | Phase::RollingBack, Some(region))
                 if region.stage == Stage::Loading =>
             {
-                format!("routes new work in {} to the incoming version", region.name)
+                format!(
+                    "sends what begins in {} to the copies that have come",
+                    region.name
+                )
             }
             (Phase::Rolling, Some(region)) => match self.next_pending_region(region) {
                 Some(next) => format!(
-                    "unloads old copies in {}, then loads new copies in {}",
+                    "lets old copies in {} go, then loads in {}",
                     region.name, next.name
                 ),
-                None => format!("unloads old copies in {}, then completes", region.name),
+                None => format!("lets old copies in {} go, then is done", region.name),
             },
-            (Phase::RollingBack, Some(region)) => format!("unloads new copies in {}", region.name),
-            (Phase::Rolling, None) => "upgrades the next region, or completes".into(),
-            (Phase::RollingBack, None) => "completes the rollback".into(),
+            (Phase::RollingBack, Some(region)) => format!("lets new copies in {} go", region.name),
+            (Phase::Rolling, None) => "the next region, or the end".into(),
+            (Phase::RollingBack, None) => "the end".into(),
             (Phase::Done | Phase::RolledBack | Phase::Cancelled, _) => match self.queued.first() {
                 Some(order) => format!("order {}", order.serial),
                 None => String::new(),
--- a/crates/upgrade/src/rollout/canary.rs
+++ b/crates/upgrade/src/rollout/canary.rs
@@ -32,8 +32,7 @@
             return Some(self.roll_back("no worker loads the new version".into()));
         }
         if view.is_unreachable(&region.name) {
-            self.wait
-                .note(format!("region {} is unreachable", region.name));
+            self.wait.note(format!("region {} is cut off", region.name));
             return None;
         }
         let assessment = self.assess(region);
@@ -63,7 +62,7 @@
             ));
         }
         self.wait.note(format!(
-            "{} of {} canaries are warm",
+            "{} of {} canaries stand",
             assessment.incoming.capacity.copies, self.context.plan.order.canary
         ));
         None
@@ -120,7 +119,7 @@
             return Some(self.roll_back("the new version stayed later".into()));
         }
         self.wait
-            .note("the new version was slower; it is observed until the pause limit");
+            .note("the new version was later; watched for a while");
         None
     }
 }
--- a/crates/upgrade/src/rollout/copies.rs
+++ b/crates/upgrade/src/rollout/copies.rs
@@ -114,14 +114,14 @@
         while missing_lanes > 0 {
             if !self.loads.has_capacity() {
                 return wait.note(format!(
-                    "{} loads are in progress, the limit is {}",
+                    "{} loads are under way, {} at once",
                     self.loads.len(),
                     self.loads.concurrency_limit()
                 ));
             }
             let Some(worker) = self.worker_for(view, &region.name, &target, mb) else {
                 return wait.note(format!(
-                    "region {}: no worker can load a copy of {function}",
+                    "region {}: no worker takes a copy of {function}",
                     region.name
                 ));
             };
@@ -231,18 +231,14 @@
     let name = &region.name;
     let Some(copy) = assessment.displaceable_copy(region.drain_limit_passed) else {
         wait.note(match assessment.displaceable_copy(true) {
-            Some(_) => {
-                format!("region {name}: no free memory, and no outgoing copy without sessions")
-            }
-            None => {
-                format!("region {name}: no free memory, and no outgoing copy that can be unloaded")
-            }
+            Some(_) => format!("region {name}: no memory, and no old copy without sessions"),
+            None => format!("region {name}: no memory, and no old copy that can be let go"),
         });
         return None;
     };
     if assessment.usable_lanes() < assessment.floor_lanes + copy.lanes {
         wait.note(format!(
-            "region {name}: no free memory, and unloading an outgoing copy would undercut the floor"
+            "region {name}: no memory, and no old copy can go without undercutting the floor"
         ));
         return None;
     }
--- a/crates/upgrade/src/rollout/first_plan.rs
+++ b/crates/upgrade/src/rollout/first_plan.rs
@@ -26,7 +26,7 @@
             version
         };
         return Err(format!(
-            "order {} upgrades from '{}', but new work is routed to {version}",
+            "order {} is from '{}', but what begins goes to {version}",
             order.serial, order.from
         ));
     }
--- a/crates/upgrade/src/rollout/mod.rs
+++ b/crates/upgrade/src/rollout/mod.rs
@@ -175,7 +175,7 @@
 
     /// Notes that this leader does not act yet, because the previous leader may still act.
     pub fn wait_for_earlier_leader(&mut self) {
-        self.wait_reason.note("the previous leader may still act");
+        self.wait_reason.note("whoever led before may still act");
     }
 
     /// The first step of the plan for the next order; `previous` is the plan before it.
--- a/crates/upgrade/src/rollout/regions.rs
+++ b/crates/upgrade/src/rollout/regions.rs
@@ -33,8 +33,7 @@
         let region = &plan.regions[first];
         if region.stage == Stage::Pending {
             if view.is_unreachable(&region.name) {
-                self.wait
-                    .note(format!("region {} is unreachable", region.name));
+                self.wait.note(format!("region {} is cut off", region.name));
                 return None;
             }
             self.next.regions[first].stage = Stage::Loading;
@@ -63,8 +62,7 @@
     fn advance_region(&mut self, index: usize) -> Option<String> {
         let region = &self.context.plan.regions[index];
         if self.context.view.is_unreachable(&region.name) {
-            self.wait
-                .note(format!("region {} is unreachable", region.name));
+            self.wait.note(format!("region {} is cut off", region.name));
             return None;
         }
         let assessment = self.assess(region);
@@ -107,7 +105,7 @@
             ));
         }
         self.wait.note(format!(
-            "region {name}: {} of {} lanes of the incoming version are warm",
+            "region {name}: {} of {} lanes stand",
             incoming.lanes, assessment.floor_lanes
         ));
         None
@@ -144,12 +142,11 @@
             ));
         }
         if !all_fresh {
-            self.wait.note(format!(
-                "region {name}: the last observation of a worker is stale"
-            ));
+            self.wait
+                .note(format!("region {name}: a worker was not seen for a while"));
         }
         self.wait.note(format!(
-            "region {name}: {} sessions on {} outgoing copies",
+            "region {name}: {} sessions on {} copies",
             outgoing.sessions, outgoing.copies
         ));
         None
--- a/crates/upgrade/src/rollout/router_progress.rs
+++ b/crates/upgrade/src/rollout/router_progress.rs
@@ -40,7 +40,7 @@
         });
         if let Some(member) = behind {
             wait.note(format!(
-                "region {}: member {member} routes by an earlier step",
+                "{}: member {member} goes by an earlier step",
                 region.name
             ));
         }
@@ -56,7 +56,7 @@
         let behind =
             (0..self.view.member_count()).find(|member| !self.routers.has_reached(*member, wanted));
         if let Some(member) = behind {
-            wait.note(format!("member {member} has not reported this plan"));
+            wait.note(format!("member {member} has not heard of it"));
         }
         behind.is_none()
     }
--- a/crates/upgrade/src/rollout/steps.rs
+++ b/crates/upgrade/src/rollout/steps.rs
@@ -191,7 +191,7 @@
         let base_lanes: u32 = regions.iter().map(|region| region.base_lanes).sum();
         if base_lanes == 0 && regions.iter().any(has_unversioned) {
             self.wait.note(format!(
-                "no copy of version '{}' is warm, but copies without a version are",
+                "no copy of version '{}' stands, but copies without one do",
                 plan.order.from
             ));
             return None;
@@ -204,18 +204,15 @@
     fn reason_not_to_start(&self) -> Option<String> {
         let (plan, view) = (self.context.plan, self.context.view);
         if self.context.timing.phase_age(view.now) < view.settings.announcement_time {
-            return Some("the plan is announced before it begins".into());
+            return Some("it is shown before it begins".into());
         }
         let mut workers = view.workers().iter();
         if let Some(stale) = workers.find(|worker| worker.accepts_copies && !view.is_fresh(worker))
         {
-            return Some(format!(
-                "the last observation of worker {} is stale",
-                stale.name
-            ));
+            return Some(format!("worker {} was not seen for a while", stale.name));
         }
         let mut regions = plan.regions.iter();
         let unreachable = regions.find(|region| view.is_unreachable(&region.name))?;
-        Some(format!("region {} is unreachable", unreachable.name))
+        Some(format!("region {} is cut off", unreachable.name))
     }
 }
--- a/crates/upgrade/tests/simulated.rs
+++ b/crates/upgrade/tests/simulated.rs
@@ -349,10 +349,7 @@
 #[test]
 fn a_router_with_an_old_plan_delays_steps_that_would_harm_it() {
     // The router misses the plan from before the order, or from before new work is routed elsewhere in its region.
-    for (missed_from, wait_reason) in [
-        (0, "has not reported this plan"),
-        (1, "routes by an earlier step"),
-    ] {
+    for (missed_from, wait_reason) in [(0, "has not heard of it"), (1, "goes by an earlier step")] {
         let mut sim = match missed_from {
             0 => Simulation::new(17, Policy::Planner, 4, 3),
             _ => simulation_in(17, 3, Phase::Rolling, Some(Stage::Loading)),
