--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,8 +1,8 @@
-//! Admission between the fronts and the core: each request is assigned the version of its model and, within a
-//! session, the worker that it prefers. The decisions are made in `cedarpulley-upgrade`; here requests wait
-//! for a majority to confirm a binding, bounded in number and time. Everything from the fronts and the worker
-//! list passes through [`Admission::filter`]. Completions are recorded by `Admission::observer` while the
-//! core is running, and handled in [`Admission::process_completed`] afterwards.
+//! Admission between the fronts and the core: assigns each request a version of its model and, within a
+//! session, a preferred worker. `cedarpulley-upgrade` makes these decisions; this module holds requests, limited
+//! in number and time, until a majority has confirmed the binding of their session. All inputs from the fronts
+//! and the worker list pass through [`Admission::filter`]. `Admission::observer` records completions while the
+//! core is running, and [`Admission::process_completed`] handles them afterwards.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -30,35 +30,35 @@
 use crate::upgrades::Upgrades;
 use crate::waiting_requests::WaitingRequests;
 
-/// Requests that wait for a decision of the group, and the sessions known here.
+/// Holds requests that wait for a decision of the group, and tracks the sessions of this router.
 pub struct Admission {
     context: Rc<GatewayContext>,
     shared: Option<SharedState>,
     upgrades: Option<Rc<Upgrades>>,
-    /// The way into the core that skips this admission.
+    /// Hands an input to the core without passing through this admission.
     forward_to_core: Box<dyn Fn(Input)>,
     sessions: RefCell<Sessions>,
     waiting: WaitingRequests,
-    /// Random draws so far.
-    draws: Cell<u64>,
-    /// Completions recorded while the core was running.
+    /// Number of random values drawn so far; an input of the next one.
+    draw_count: Cell<u64>,
+    /// Completions recorded while the core was running, not yet handled.
     completed: RefCell<VecDeque<sessions::Input>>,
     workers: ListedWorkers,
-    /// Absent where each worker's name is its id.
+    /// `None` if the local name of each worker is also its id.
     worker_ids: RefCell<Option<WorkerIds>>,
-    /// Whether this router has recently used copies of a function at a worker that still exist as far as is
-    /// known.
+    /// Tells whether this router has recently used copies of a function at a worker and they probably still
+    /// exist.
     recently_used: RefCell<Option<RecentUseCheck>>,
     alarm: DeadlineTimer,
 }
 
-/// Called with the worker's local name and the function.
+/// Checks for recent use of a copy; called with the worker's local name and the function.
 pub type RecentUseCheck = Box<dyn Fn(&str, &str) -> bool>;
-/// From one name of a worker to the other; absent for an unknown worker.
+/// Translates between a worker's local name and its id; `None` for an unknown worker.
 pub type WorkerNameLookup = Box<dyn Fn(&str) -> Option<Name>>;
 
-/// From a worker's local name to the id that all members know it by, and back: routers may reach a worker at different
-/// addresses.
+/// Translates between a worker's local name and the id that all members of the group use: routers may reach the same
+/// worker at different addresses.
 struct WorkerIds {
     id_of: WorkerNameLookup,
     worker_of: WorkerNameLookup,
@@ -77,11 +77,11 @@
 }
 
 impl Admission {
-    /// `shared`: absent for a router without a group, which has no one to agree with. `forward_to_core`:
-    /// hands an input to the core without passing here again.
+    /// `shared`: `None` for a router without a group. `forward_to_core`: hands an input to the core without
+    /// passing through this admission again.
     pub fn new(
         context: Rc<GatewayContext>,
-        terms: sessions::SessionSettings,
+        settings: sessions::SessionSettings,
         shared: Option<SharedState>,
         upgrades: Option<Rc<Upgrades>>,
         forward_to_core: Box<dyn Fn(Input)>,
@@ -91,9 +91,9 @@
             shared,
             upgrades,
             forward_to_core,
-            sessions: RefCell::new(Sessions::new(terms)),
+            sessions: RefCell::new(Sessions::new(settings)),
             waiting: WaitingRequests::default(),
-            draws: Cell::new(0),
+            draw_count: Cell::new(0),
             completed: RefCell::default(),
             workers: ListedWorkers::default(),
             worker_ids: RefCell::default(),
@@ -116,17 +116,17 @@
         admission
     }
 
-    /// The lookups from a worker's local name to its id, and back.
+    /// Sets the lookups from a worker's local name to its id and back.
     pub fn set_worker_ids(&self, id_of: WorkerNameLookup, worker_of: WorkerNameLookup) {
         *self.worker_ids.borrow_mut() = Some(WorkerIds { id_of, worker_of });
     }
 
     /// Sets the check for recent use of a copy.
-    pub fn set_recent_use_check(&self, used: RecentUseCheck) {
-        *self.recently_used.borrow_mut() = Some(used);
+    pub fn set_recent_use_check(&self, check: RecentUseCheck) {
+        *self.recently_used.borrow_mut() = Some(check);
     }
 
-    /// The id that all members know a worker by.
+    /// The id that all members use for a worker.
     fn id(&self, worker: &str) -> Name {
         let ids = self.worker_ids.borrow();
         let id = ids.as_ref().and_then(|ids| (ids.id_of)(worker));
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The input to hand to the core now, if any; a request that has to wait is forwarded later.
+    /// Returns the input to hand to the core now, if any; a request that has to wait is forwarded later.
     pub fn filter(&self, input: Input) -> Option<Input> {
         match &input {
             Input::ClientLeft(delivery) => self.drop_waiting(|waiting| waiting == *delivery),
@@ -192,12 +192,12 @@
         }
     }
 
-    /// No request waits here.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// A worker has lost the cached prefixes of these sessions.
+    /// Handles a worker's loss of the cached prefixes of these sessions.
     pub fn prefix_lost(&self, worker: &str, function: &str, sessions: &[Arc<str>]) {
         let model = Name::from(client_requests::split_version(function).0);
         for session in sessions {
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Rejects requests that have waited too long, for as long as the router runs.
+    /// Rejects requests that have waited too long; runs until the router stops.
     pub async fn run(self: Rc<Self>) {
         loop {
             self.alarm.elapsed(&self.context.clock).await;
@@ -218,7 +218,7 @@
         }
     }
 
-    /// For the state endpoint: sessions bound to each version, and counts.
+    /// The section of the state endpoint: number of sessions bound to each version, and counts.
     pub fn state(&self) -> Value {
         let sessions = self.sessions.borrow();
         let mut bound: BTreeMap<&str, u64> = BTreeMap::new();
@@ -228,7 +228,8 @@
         json!({"bound": bound, "waiting": sessions.waiting_count(), "counts": sessions.counts})
     }
 
-    /// Random, or derived from the identity of a request, so that a retry goes where the first attempt went.
+    /// Draws a number that selects the version of a request. It is derived from the identity of the request, so
+    /// that a retry uses the same version as the first attempt, or random for a request without identity.
     fn draw(&self, request: &IncomingInvocation) -> u64 {
         if let Some(identity) = request
             .idempotency_key
@@ -237,14 +238,14 @@
         {
             return hash_of((request.account, identity));
         }
-        self.draws.set(self.draws.get() + 1);
-        hash_of((self.context.seed, self.draws.get()))
+        self.draw_count.set(self.draw_count.get() + 1);
+        hash_of((self.context.seed, self.draw_count.get()))
     }
 
-    /// The request if it can go on at once; one of a session waits for a decision.
+    /// Returns the request if it can be forwarded at once; a request of a session waits for a decision.
     fn admit(&self, mut request: IncomingInvocation) -> Option<IncomingInvocation> {
         let (model, version) = client_requests::split_version(&request.function);
-        // A client that names a version gets that one.
+        // A version requested by the client is used as is.
         let upgrades = self.upgrades.as_ref().filter(|_| version.is_empty());
         if let Some(upgrades) = upgrades {
             upgrades.record_invocation(model, request.lanes, request.copy_mb);
@@ -310,11 +311,8 @@
                 preferred_worker,
                 placed_by_other_router,
             } => self.forward(ticket, version, preferred_worker, placed_by_other_router),
-            sessions::Output::Reject {
-                ticket,
-                reason: why,
-            } => {
-                let reason = match why {
+            sessions::Output::Reject { ticket, reason } => {
+                let reason = match reason {
                     RejectionReason::NoMajority => AnswerReason::NoMajority,
                     RejectionReason::Full => AnswerReason::Size,
                 };
@@ -345,23 +343,30 @@
         self.waiting.release(ticket, self.context.clock.now())
     }
 
-    /// Hands a request on to the core. `version`: of its model, if bound to one; `prefers`: id of the worker that the
-    /// session prefers; `anew`: another router has reported that worker since the last request.
-    fn forward(&self, ticket: u64, version: Option<Name>, prefers: Option<Name>, anew: bool) {
+    /// Hands a waiting request to the core. `version`: the model version that the session is bound to, if any;
+    /// `preferred_id`: id of the session's preferred worker; `placed_by_other_router`: another router has reported
+    /// that worker since the last request.
+    fn forward(
+        &self,
+        ticket: u64,
+        version: Option<Name>,
+        preferred_id: Option<Name>,
+        placed_by_other_router: bool,
+    ) {
         let Some(mut request) = self.release(ticket) else {
             return;
         };
-        request.preferred_worker = prefers.and_then(|id| self.worker(id));
+        request.preferred_worker = preferred_id.and_then(|id| self.worker(id));
         if let Some(version) = version {
             self.assign_version(&mut request, &version);
         }
-        // Guards against a warm copy being passed over: the session comes from another router and this one
-        // has not heard of the copy that served it; or the module has forgotten all about a function as its
-        // preferred workers changed, and would use another one.
+        // Without this report the decision module could pass over the session's warm copy: either the session
+        // was served through another router and this router does not know the copy, or the decision module
+        // dropped what it knew of the function's copies when the preferred workers changed.
         let preferred = request.preferred_worker.clone();
-        if let Some(worker) =
-            preferred.filter(|worker| anew || self.is_recently_used(worker, &request.function))
-        {
+        if let Some(worker) = preferred.filter(|worker| {
+            placed_by_other_router || self.is_recently_used(worker, &request.function)
+        }) {
             (self.forward_to_core)(Input::CopiesReported {
                 worker,
                 function: request.function.clone(),
@@ -386,22 +391,23 @@
         check.as_ref().is_some_and(|check| check(worker, function))
     }
 
-    /// Nothing has been sent from here; for a redelivered message that is not known of its earlier delivery.
+    /// Rejects a waiting request. This delivery was not sent to a worker, but a redelivered message may have been
+    /// sent in an earlier delivery and is therefore answered as errored instead of throttled.
     fn reject(&self, ticket: u64, reason: AnswerReason) {
         let Some(mut request) = self.release(ticket) else {
             return;
         };
-        let fate = if request.redelivered {
+        let outcome = if request.redelivered {
             FinalOutcome::Errored
         } else {
             FinalOutcome::Throttled
         };
-        request.predetermined_answer = Some((fate, reason));
+        request.predetermined_answer = Some((outcome, reason));
         (self.forward_to_core)(Input::MessageArrived(request));
     }
 
-    /// Guards against taking a message twice: when a front is lost, its messages that wait here will be
-    /// delivered again.
+    /// Drops the waiting requests whose deliveries match, such as those of a lost front: the broker delivers its
+    /// messages again, and keeping them would process them twice.
     fn drop_waiting(&self, matches: impl Fn(Delivery) -> bool) {
         if self.waiting.is_empty() {
             return;
@@ -412,8 +418,8 @@
         }
     }
 
-    fn update_workers(&self, mode: EndpointListKind, workers: &[ListedWorker]) {
-        for worker in self.workers.apply_update(mode, workers) {
+    fn update_workers(&self, kind: EndpointListKind, workers: &[ListedWorker]) {
+        for worker in self.workers.apply_update(kind, workers) {
             let worker = self.id(&worker);
             self.apply(sessions::Input::Gone { worker });
         }
--- a/crates/gateway/src/admission_observer.rs
+++ b/crates/gateway/src/admission_observer.rs
@@ -1,4 +1,4 @@
-//! Follows the completions that the core reports, for the admission.
+//! Passes the completions that the core reports to the admission.
 
 use std::rc::Rc;
 
@@ -9,11 +9,11 @@
 
 use crate::admission::Admission;
 
-/// Records the completions that the core reports.
+/// Observer of the core that records completions in the admission.
 struct CoreObserver(Rc<Admission>);
 
 impl Admission {
-    /// To be registered with the core, which reports the completions of dispatches.
+    /// Returns an observer to register with the core; it records the ends of dispatches and load orders.
     pub fn observer(self: &Rc<Self>) -> Box<dyn RouterObserver> {
         Box::new(CoreObserver(self.clone()))
     }
--- a/crates/gateway/src/amqp_front.rs
+++ b/crates/gateway/src/amqp_front.rs
@@ -1,6 +1,6 @@
-//! The AMQP front: one connection for each consumed queue. It turns messages into requests for the core, and
-//! final answers into messages; the connection's state machine is in `cedarpulley_amqp::connection`, and messages are
-//! parsed in [`amqp_messages`](crate::amqp_messages).
+//! The AMQP front: one connection for each consumed queue. It converts messages into requests for the core, and
+//! final answers into messages. The connection's state machine is in `cedarpulley_amqp::connection`;
+//! [`amqp_messages`](crate::amqp_messages) parses messages.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
 
 use crate::answer_times::AnswerTimes;
 use crate::context::GatewayContext;
-use crate::outcome_names::{fate_name, reason_name};
+use crate::outcome_names::{outcome_name, reason_name};
 use crate::tls::{BrokerStream, ClientTls};
 use broker_session::BrokerSession;
 
@@ -44,15 +44,15 @@
     pub queue: String,
     /// Heartbeat interval in seconds; 0 for none.
     pub heartbeat_s: u16,
-    /// TLS to the broker, if it is used.
+    /// TLS configuration, if the connection uses TLS.
     pub tls: Option<ClientTls>,
 }
 
-/// A message that was taken and is not yet answered and committed.
+/// A received message whose answer is not yet committed by the broker.
 struct PendingAnswer {
-    /// Of the message: they say where its answer goes.
+    /// Properties of the message, which contain the reply queue.
     properties: AMQPProperties,
-    taken_at: Micros,
+    received_at: Micros,
 }
 
 /// The front of one consumed queue.
@@ -63,24 +63,24 @@
     context: Rc<GatewayContext>,
     times: Rc<AnswerTimes>,
     connection: RefCell<Option<Connection>>,
-    /// Counts the channels opened; delivery tags are unique within one.
+    /// Number of channels opened so far; delivery tags are unique within one channel.
     incarnation: Cell<u32>,
-    /// How many messages the core admits at once.
+    /// Number of messages that the core admits at once.
     granted: Cell<u32>,
-    /// By delivery tag of the current channel.
+    /// Unanswered messages by delivery tag of the current channel.
     pending: RefCell<HashMap<u64, PendingAnswer>>,
-    /// Wakes the writer of the connection: there may be output.
+    /// Wakes the task that writes to the connection when there may be output.
     output_ready: Notifier,
-    /// The queue is being consumed.
+    /// Whether the queue is being consumed.
     is_up: Cell<bool>,
-    /// When the channel is opened again, if the broker closed it.
+    /// When to reopen the channel, if the broker has closed it.
     reopen_at: Cell<Option<Micros>>,
-    /// The router shuts down: the connection is not opened again.
+    /// Whether the router is shutting down, so that the connection is not reopened.
     closing: Cell<bool>,
 }
 
 impl AmqpFront {
-    /// The front with this index; it does nothing until [`run`](Self::run).
+    /// Creates the front with this index; it is idle until [`run`](Self::run) is called.
     pub fn new(
         index: FrontIndex,
         source: AmqpSource,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The core admits this many messages at once: the prefetch.
+    /// Sets how many messages the core admits at once; used as the prefetch count.
     pub fn grant(&self, limit: u32) {
         self.granted.set(limit);
         if let Some(connection) = self.connection.borrow_mut().as_mut() {
@@ -122,15 +122,15 @@
         let pending = self.pending.borrow();
         let Some(PendingAnswer {
             properties,
-            taken_at,
+            received_at,
         }) = pending.get(&delivery.tag)
         else {
             return;
         };
         self.times
-            .record_answered(self.context.clock.now() - taken_at);
+            .record_answered(self.context.clock.now() - received_at);
         if let Some(connection) = self.connection.borrow_mut().as_mut() {
-            let (outcome, reason) = (fate_name(answer.outcome), reason_name(answer.reason));
+            let (outcome, reason) = (outcome_name(answer.outcome), reason_name(answer.reason));
             let answer_properties = trigger::answer_properties(
                 properties,
                 outcome,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Nothing more is delivered, and all answers are committed.
+    /// Returns whether no more messages are delivered and all answers are committed.
     pub fn is_drained(&self) -> bool {
         let connection = self.connection.borrow();
         !self.is_up.get()
@@ -176,7 +176,7 @@
         self.output_ready.notify();
     }
 
-    /// Connects, consumes, and reconnects, for as long as the router runs.
+    /// Connects, consumes and reconnects until the front is closed.
     pub async fn run(self: Rc<Self>) {
         let mut backoff = Backoff::new(self.context.seed ^ u64::from(self.index) << 32);
         while !self.closing.get() {
@@ -202,7 +202,7 @@
         let stream = match connect(broker, local_address, CONNECT_TIMEOUT).await {
             Ok(stream) => stream,
             Err(error) => {
-                tracing::warn!(front = %self.source.name, cause = %error, "no connection to the broker");
+                tracing::warn!(front = %self.source.name, cause = %error, "connecting to the broker failed");
                 return;
             }
         };
--- a/crates/gateway/src/amqp_front/broker_session.rs
+++ b/crates/gateway/src/amqp_front/broker_session.rs
@@ -1,4 +1,4 @@
-//! One connection of an AMQP front to its broker: frames are read, handled and written until it ends.
+//! One connection of an AMQP front to its broker: reads, handles and writes frames until the connection ends.
 
 use std::cell::{Cell, RefCell};
 
@@ -19,19 +19,20 @@
 
 /// Reply code of a connection that ends for a reason outside the protocol.
 const CONNECTION_FORCED: u16 = 320;
-/// Reply code of a connection that was closed in good order.
+/// Reply code of a connection that was closed normally.
 const REPLY_SUCCESS: u16 = 200;
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Limit on writing the last frames to a broker: one that reads nothing must not delay the shutdown.
+/// Time limit for writing the last frames: a broker that reads nothing must not delay the shutdown.
 const CLOSE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(500);
-/// Output that may wait for a broker that reads slowly; beyond, nothing more is read from it either.
+/// Limit on buffered output for a broker that reads slowly; above it, reading from the broker pauses.
 const MAX_OUTPUT_BYTES: usize = 4 * 1024 * 1024;
 
 /// A front while it is connected.
 pub(super) struct BrokerSession<'a> {
     front: &'a AmqpFront,
+    /// When consuming last began; until then, when the connection was established.
     ready_since: Cell<Micros>,
-    /// Delays before the channel is opened again; they grow until the queue has been consumed for a while.
+    /// Delays before the channel is reopened; they grow until the queue has been consumed for a while.
     backoff: RefCell<&'a mut Backoff>,
 }
 
@@ -71,7 +72,7 @@
         fault
     }
 
-    /// Tells the broker why the connection ends, if it still reads; a broker that reads nothing is not waited for.
+    /// Sends the reason for closing to the broker, and gives up after [`CLOSE_TIMEOUT`] if the broker does not read.
     async fn write_last_frames(
         &self,
         stream: &mut WriteHalf<BrokerStream>,
@@ -130,7 +131,7 @@
                 return fault;
             }
             self.front.output_ready.notify();
-            // Guards against a broker that keeps sending but reads nothing: its output must not pile up here.
+            // Output for a broker that keeps sending but does not read must not grow without bound.
             while self
                 .front
                 .connection
@@ -159,11 +160,11 @@
             Event::Delivered(message) => self.handle_message(*message),
             Event::Committed(tags) => tags.into_iter().for_each(|tag| self.committed(now, tag)),
             Event::Blocked(true) => {
-                tracing::warn!(front, blocked = true, "the broker takes no publishes");
+                tracing::warn!(front, blocked = true, "the broker blocked publishing");
                 self.front.set_state(FrontState::Blocked);
             }
             Event::Blocked(false) => {
-                tracing::warn!(front, blocked = false, "the broker takes publishes again");
+                tracing::warn!(front, blocked = false, "the broker unblocked publishing");
                 self.front.set_state(FrontState::Up);
             }
             Event::ChannelLost { code, text } => {
@@ -182,18 +183,19 @@
         Ok(())
     }
 
-    /// The broker has committed the answer to this delivery, so that the core may forget the request.
+    /// Notifies the core that the broker has committed the answer to this delivery, so that the core can drop the
+    /// request.
     fn committed(&self, now: Micros, tag: u64) {
         let pending = self.front.pending.borrow_mut().remove(&tag);
         if let Some(pending) = pending {
-            self.front.times.record_committed(now - pending.taken_at);
+            self.front.times.record_committed(now - pending.received_at);
             self.front
                 .context
                 .feed(Input::AnswerDelivered(self.front.delivery(tag)));
         }
     }
 
-    /// Writes output, and does what is due by time, until the connection ends.
+    /// Writes output and handles due timers until the connection ends.
     async fn write(&self, stream: &mut WriteHalf<BrokerStream>) -> ConnectionError {
         loop {
             let now = self.front.context.clock.now();
@@ -247,25 +249,25 @@
             &self.front.context,
             self.front.max_body_bytes,
         ) {
-            Ok(mut taken) => {
-                taken.body.bytes = Bytes::from(message.body);
+            Ok(mut invocation) => {
+                invocation.body.bytes = Bytes::from(message.body);
                 let pending = PendingAnswer {
                     properties: message.properties,
-                    taken_at: self.front.context.clock.now(),
+                    received_at: self.front.context.clock.now(),
                 };
                 self.front
                     .pending
                     .borrow_mut()
                     .insert(message.delivery_tag, pending);
-                self.front.context.feed(Input::MessageArrived(taken));
+                self.front.context.feed(Input::MessageArrived(invocation));
             }
-            Err(malformed) => self.refuse_malformed(&message, &malformed),
+            Err(malformed) => self.reject_malformed(&message, &malformed),
         }
     }
 
-    /// Answers a malformed message with an error, or rejects it if it has no reply queue. It is never requeued: it
-    /// would be delivered again for ever.
-    fn refuse_malformed(&self, message: &Message, malformed: &trigger::InvalidField) {
+    /// Answers a malformed message with an error, or rejects it if it has no reply queue. It is never requeued, as the
+    /// broker would deliver it again forever.
+    fn reject_malformed(&self, message: &Message, malformed: &trigger::InvalidField) {
         tracing::debug!(front = %self.front.source.name, field = malformed.field, cause = %malformed.cause, "malformed message");
         self.front.context.count_malformed();
         let mut connection = self.front.connection.borrow_mut();
--- a/crates/gateway/src/amqp_messages.rs
+++ b/crates/gateway/src/amqp_messages.rs
@@ -1,5 +1,5 @@
-//! Parses messages of a queue into requests for the core. `cedarpulley_amqp::meaning` interprets properties and
-//! headers; here names are resolved.
+//! Parses messages of a queue into requests for the core. `cedarpulley_amqp::trigger` interprets properties and
+//! headers; this module resolves the names in them.
 
 use std::sync::Arc;
 
@@ -11,7 +11,8 @@
 
 use crate::context::GatewayContext;
 
-/// Parses a message; the request's body is still empty, so that the message's bytes are not copied.
+/// Parses a message. The body of the returned request is empty; the caller moves the message's body into it without a
+/// copy.
 pub(crate) fn parse(
     message: &Message,
     delivery: Delivery,
--- a/crates/gateway/src/answer_body.rs
+++ b/crates/gateway/src/answer_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to KServe clients, handed to the connection in chunks, and the count of bytes that clients have
+//! Bodies of answers to KServe clients, passed to the connection in chunks, and the count of bytes that clients have
 //! not read yet.
 
 use std::convert::Infallible;
@@ -12,11 +12,11 @@
 
 use crate::client_connection::{ClientConnection, HandlerResources};
 
-/// Answers are handed to the connection in chunks of this size, so that little is copied for a client that
+/// Answers are passed to the connection in chunks of this size, so that little is buffered for a client that
 /// does not read.
 const CHUNK_BYTES: usize = 64 * 1024;
 
-/// An answer on its way to a client: its undelivered bytes count against what may be admitted.
+/// Counts the undelivered bytes of an answer; they reduce the memory available for admitting requests.
 pub struct UnreadAnswer {
     resources: Rc<HandlerResources>,
     client: Rc<ClientConnection>,
@@ -24,7 +24,7 @@
 }
 
 impl UnreadAnswer {
-    /// Counts an answer of this many bytes until it is delivered or dropped.
+    /// Starts counting an answer of `bytes` bytes, until it is delivered or dropped.
     pub(crate) fn begin(
         resources: &Rc<HandlerResources>,
         client: &Rc<ClientConnection>,
@@ -68,7 +68,7 @@
 }
 
 impl AnswerBody {
-    /// `unread` counts the body's bytes until they are handed over.
+    /// `unread` counts the body's bytes until they are passed to the connection.
     pub fn new(body: Bytes, trailers: Option<HeaderMap>, unread: Option<UnreadAnswer>) -> Self {
         AnswerBody {
             remaining: body,
--- a/crates/gateway/src/answer_times.rs
+++ b/crates/gateway/src/answer_times.rs
@@ -1,27 +1,27 @@
-//! How long answers of the AMQP fronts take.
+//! Latency histograms of the AMQP fronts.
 
 use std::cell::RefCell;
 
 use cedarpulley::interface::Micros;
 use hdrhistogram::Histogram;
 
-/// Histograms over all AMQP fronts, in microseconds, each from when a message was taken.
+/// Histograms over all AMQP fronts, in microseconds since a message was received.
 pub struct AnswerTimes {
-    /// Until its final answer.
+    /// Time until the final answer.
     pub answered: RefCell<Histogram<u64>>,
-    /// Until that answer was committed at the broker.
+    /// Time until the broker committed the answer.
     pub committed: RefCell<Histogram<u64>>,
 }
 
 impl AnswerTimes {
-    /// A message taken `elapsed` microseconds ago is answered.
+    /// Records the final answer to a message received `elapsed` microseconds ago.
     pub fn record_answered(&self, elapsed: Micros) {
         self.answered
             .borrow_mut()
             .saturating_record(elapsed.max(0) as u64);
     }
 
-    /// The answer to a message taken `elapsed` microseconds ago is committed.
+    /// Records the commit of the answer to a message received `elapsed` microseconds ago.
     pub fn record_committed(&self, elapsed: Micros) {
         self.committed
             .borrow_mut()
@@ -31,7 +31,7 @@
 
 impl Default for AnswerTimes {
     fn default() -> Self {
-        // From a microsecond to ten minutes with three digits; these bounds are always valid.
+        // 1 microsecond to 10 minutes with 3 significant digits; these bounds are always valid.
         let times =
             || RefCell::new(Histogram::new_with_bounds(1, 600_000_000, 3).expect("valid bounds"));
         AnswerTimes {
--- a/crates/gateway/src/client_listener.rs
+++ b/crates/gateway/src/client_listener.rs
@@ -1,5 +1,5 @@
-//! Connections of KServe clients: listening, TLS, the limit on connections, and handing each to its protocol.
-//! Requests are handled in `rest.rs`, `grpc.rs` and `request_handling.rs`.
+//! Connections of KServe clients: listens, performs TLS handshakes, limits the number of connections, and serves each
+//! with the protocol of its listener. Requests are handled in `rest.rs`, `grpc.rs` and `request_handling.rs`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -24,8 +24,7 @@
 use crate::tls::{ServerTls, TlsFiles};
 use crate::{grpc, rest};
 
-/// A client that reads nothing for this long, while something waits to be written to it, is considered gone.
-/// In microseconds.
+/// A connection is closed if the client reads nothing for this time while output is waiting. In microseconds.
 const WRITE_STALL_TIMEOUT: Micros = 30_000_000;
 
 /// The protocol of a listener.
@@ -42,26 +41,26 @@
 pub struct ListenerSettings {
     /// Name of the front in logs and traces.
     pub name: String,
-    /// Where it listens.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// What its clients speak.
+    /// Protocol of the listener.
     pub protocol: Protocol,
-    /// Limit on open connections; further ones are closed at once.
+    /// Limit on open connections; further connections are closed at once.
     pub max_connections: usize,
-    /// Limit on concurrent requests of one connection, where the protocol has them.
+    /// Limit on concurrent requests of one connection; applies to gRPC only.
     pub max_streams: u32,
     /// Certificate files, if TLS is used.
     pub tls: Option<TlsFiles>,
 }
 
-/// A connection that fails if nothing of what waits to be written is taken for too long.
+/// A stream that fails with a time-out if the peer accepts no pending output for too long.
 pub struct StallGuard<S> {
     stream: S,
     stall_timer: Option<Timer>,
 }
 
 impl<S> StallGuard<S> {
-    /// Guards this stream.
+    /// Wraps a stream.
     pub fn new(stream: S) -> Self {
         StallGuard {
             stream,
@@ -120,18 +119,18 @@
     pub handler: Rc<RequestHandler>,
     settings: ListenerSettings,
     tls: Option<Rc<ServerTls>>,
-    /// Which certificate is bound to which account.
+    /// The account that each client certificate is bound to.
     certificate_accounts: Rc<ClientAccounts>,
-    /// Open connections, each with the signal that tells it to stop.
+    /// Open connections, each with the notifier of its graceful shutdown.
     connections: RefCell<HashMap<u64, Notifier>>,
-    /// Connections closed at once because `max_connections` was reached.
+    /// Number of connections closed at once because `max_connections` was reached.
     pub over_limit: Cell<u64>,
-    /// Connections closed for a failed handshake, or a certificate that is bound to no account.
+    /// Number of connections closed after a failed handshake, or with a certificate that is bound to no account.
     pub refused_handshakes: Cell<u64>,
 }
 
 impl ClientListener {
-    /// A listener without connections; it accepts them in [`run`](Self::run).
+    /// Creates a listener; it accepts connections in [`run`](Self::run).
     pub fn new(
         handler: Rc<RequestHandler>,
         settings: ListenerSettings,
@@ -151,9 +150,9 @@
         }
     }
 
-    /// Tells open connections to take nothing new and to complete their open requests. Later connections are
-    /// still accepted and their requests rejected by the core: a connection closed at once would leave its
-    /// client unsure whether anything ran.
+    /// Tells open connections to accept no new requests and to complete the open ones. New connections are still
+    /// accepted, and the core rejects their requests: if a connection were closed at once, its client could not
+    /// tell whether the request was executed.
     pub fn stop(&self) {
         self.connections
             .borrow()
@@ -161,7 +160,7 @@
             .for_each(Notifier::notify);
     }
 
-    /// Accepts connections until the router ends.
+    /// Accepts connections until the router stops.
     pub async fn run(self: Rc<Self>, listener: Async<TcpListener>) {
         let context = &self.handler.context;
         context.feed(Input::FrontChanged {
@@ -178,7 +177,7 @@
         let mut next_connection = 0;
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                // Most likely out of file descriptors: wait until some are released.
+                // The likely cause is a lack of file descriptors: wait 10 ms for some to be released.
                 Timer::after(duration_from_micros(10_000)).await;
                 continue;
             };
@@ -204,7 +203,8 @@
     /// Serves an accepted connection, after a handshake if TLS is used.
     async fn serve_stream(self: Rc<Self>, stream: Stream, stop: Notifier, _guard: ConnectionGuard) {
         let client = Rc::new(ClientConnection::default());
-        // Boxed separately, so that ten thousand idle connections do not each take the memory of the largest future.
+        // Each future is boxed, so that an idle connection (there may be 10,000) does not take the memory of the
+        // largest of them.
         let Some(tls) = self.tls.clone() else {
             return Box::pin(self.serve(client, StallGuard::new(stream), stop)).await;
         };
@@ -217,7 +217,8 @@
         }
     }
 
-    /// Absent if the handshake failed, or if the certificate has to be bound to an account and is not.
+    /// Performs the TLS handshake. Returns `None` if it fails, or if the client's certificate has to be bound to an
+    /// account and is not.
     async fn handshake(
         &self,
         client: &ClientConnection,
@@ -235,7 +236,7 @@
         Some(stream)
     }
 
-    /// However it ends, its open requests have been dropped by then.
+    /// Serves the protocol until the connection ends; by then all its open requests have been dropped.
     async fn serve(
         self: Rc<Self>,
         client: Rc<ClientConnection>,
--- a/crates/gateway/src/config_reader.rs
+++ b/crates/gateway/src/config_reader.rs
@@ -1,5 +1,5 @@
-//! Reads TOML configuration with line numbers and collects all errors, so that an operator sees everything at
-//! once: one line for each, with file, line, key and cause.
+//! Reads TOML configuration with line numbers and collects all errors, so that an operator sees them all at
+//! once: one line for each error, with file, line, key and cause.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -68,7 +68,7 @@
             .insert((line, format!("{}:{line}: {key}{cause}", self.file_name)));
     }
 
-    /// The errors found so far, in the order of their lines.
+    /// Returns the errors found so far, in the order of their lines.
     pub fn into_errors(self) -> ConfigErrors {
         ConfigErrors(
             self.errors
@@ -79,7 +79,7 @@
         )
     }
 
-    /// The value, if no error was found.
+    /// Returns the value if no error was found, otherwise all errors.
     pub fn finish<T>(self, value: T) -> Result<T, ConfigErrors> {
         if self.errors.borrow().is_empty() {
             Ok(value)
@@ -89,7 +89,7 @@
     }
 }
 
-/// One table of the file. A key that was never read is reported as unknown.
+/// One table of the file. Keys that no reader requested are reported as unknown.
 pub struct Section<'a, 'i> {
     document: &'a ConfigDocument<'i>,
     table: Option<&'a DeTable<'i>>,
@@ -127,12 +127,12 @@
         Some((value.get_ref(), value.span()))
     }
 
-    /// The section is in the file.
+    /// Returns whether the section is in the file.
     pub fn is_present(&self) -> bool {
         self.table.is_some()
     }
 
-    /// The key is in the section; it counts as known from now on.
+    /// Returns whether the key is in the section, and marks the key as known.
     pub fn has(&self, name: &str) -> bool {
         self.find(name).is_some()
     }
@@ -143,7 +143,7 @@
         self.document.error(offset, &self.key(name), cause);
     }
 
-    /// The table of this name; one that is absent reads as empty.
+    /// The table of this name; an absent table is read as empty.
     pub fn section(&self, name: &str) -> Section<'a, 'i> {
         let (table, offset) = match self.find(name) {
             Some((DeValue::Table(table), span)) => (Some(table), span.start),
@@ -197,7 +197,7 @@
         match self.find(name) {
             Some((DeValue::String(text), _)) if text.len() <= 255 => text.clone().into_owned(),
             Some(_) => {
-                self.error(name, "is not a text of at most 255 bytes");
+                self.error(name, "is not a string of at most 255 bytes");
                 String::new()
             }
             None => match default {
@@ -219,12 +219,12 @@
                     .filter_map(|i| i.get_ref().as_str().map(str::to_owned));
                 let strings: Vec<String> = strings.collect();
                 if strings.len() < items.len() {
-                    self.error(name, "holds something that is not a text");
+                    self.error(name, "contains a value that is not a string");
                 }
                 strings
             }
             Some(_) => {
-                self.error(name, "is not a list of texts");
+                self.error(name, "is not a list of strings");
                 Vec::new()
             }
             None => Vec::new(),
@@ -298,7 +298,8 @@
         }
     }
 
-    /// A loopback address with a port: this stage of the program talks to nothing else. On an error, port 0.
+    /// A loopback address with a port; at this stage the program connects to loopback addresses only. On an error,
+    /// 127.0.0.1 with port 0.
     pub fn loopback_address(&self, name: &str) -> std::net::SocketAddr {
         let text = self.string(name, None);
         match text.parse::<std::net::SocketAddr>() {
@@ -310,18 +311,22 @@
         std::net::SocketAddr::from(([127, 0, 0, 1], 0))
     }
 
-    /// Nothing more is read from this section: the keys left in it are reported as unknown.
+    /// Ends the reading of this section: reports the keys that were not read as unknown.
     pub fn finish(self) {
         self.check_unknown_keys();
     }
 
-    /// The same, where errors may still be reported afterwards.
+    /// Reports the keys that were not read so far as unknown, without consuming the section, so that further errors can
+    /// be reported.
     pub fn check_unknown_keys(&self) {
         let known_keys = self.known_keys.borrow();
         for (key, _) in self.table.into_iter().flatten() {
             if !known_keys.contains(key.get_ref().as_ref()) {
                 let known: Vec<&str> = known_keys.iter().map(String::as_str).collect();
-                let cause = format!("is unknown here; known are {}", known.join(", "));
+                let cause = format!(
+                    "is unknown in this section; known keys: {}",
+                    known.join(", ")
+                );
                 self.document
                     .error(key.span().start, &self.key(key.get_ref()), &cause);
             }
--- a/crates/gateway/src/config_values.rs
+++ b/crates/gateway/src/config_values.rs
@@ -6,14 +6,14 @@
 
 use crate::config_reader::Section;
 
-/// A day in milliseconds: no time in the file is longer.
+/// A day in milliseconds: the upper limit of all durations in the settings.
 pub(crate) const DAY_MS: u64 = 86_400_000;
-/// Larger than any number in the file that is not limited otherwise.
+/// Upper limit of numbers in the settings that have no other limit.
 pub(crate) const MAX_NUMBER: f64 = 1e12;
-/// Later than any time of a clock, in microseconds.
+/// A time later than any clock reaches, in microseconds.
 pub(crate) const NEVER: Micros = i64::MAX / 8;
 
-/// A path given in the settings, relative to their folder.
+/// The path that a key gives, relative to the folder of the settings file; `None` without the key.
 pub(crate) fn path_of(section: &Section, key: &str, folder: &Path) -> Option<PathBuf> {
     section
         .has(key)
--- a/crates/gateway/src/copy_inventory.rs
+++ b/crates/gateway/src/copy_inventory.rs
@@ -1,5 +1,5 @@
-//! The copies at workers as upgrade plans take them: what workers report to hold, completed by the worker list and by
-//! the sizes that invocations state.
+//! The copies at workers, for upgrade plans: combines the workers' reports with the worker list and with the copy sizes
+//! stated by invocations.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -12,32 +12,33 @@
 
 use crate::context::GatewayContext;
 
-/// Models whose copy sizes are remembered, as many as a router accounts for; others count as having no size.
-const MAX_SIZES: usize = 20_000;
+/// Limit on models whose copy sizes are stored; equal to the number of models that a router accounts for. Copies of
+/// further models count as having no size.
+const MAX_MODEL_SIZES: usize = 20_000;
 
-/// The copies that workers hold, as far as known.
+/// Returns the copies that workers hold, as far as this router knows.
 pub type HoldingsSource = Box<dyn Fn() -> Vec<ObservedWorker>>;
-/// Workers of the list, by name.
+/// The workers of the worker list, by name.
 pub type WorkerMap = Rc<RefCell<BTreeMap<Name, ListedWorker>>>;
 
-/// Size of a model's copies, as its last invocation stated.
+/// Size of a model's copies, as stated by its last invocation.
 #[derive(Clone, Copy)]
 struct CopySize {
-    /// Invocations that a copy runs at once.
+    /// Number of invocations that a copy runs at once.
     lanes: u32,
     copy_mb: f64,
 }
 
-/// Where copies are, and how large.
+/// The copies at all workers, with their sizes.
 pub(crate) struct CopyInventory {
     context: Rc<GatewayContext>,
     /// Region by zone, for zones whose region has another name.
     regions: BTreeMap<String, String>,
-    /// Memory in MB by kind of worker.
+    /// Memory in MB, by index of the kind of worker.
     memory_mb: Vec<f64>,
     sizes: RefCell<HashMap<Name, CopySize>>,
     workers: RefCell<Option<WorkerMap>>,
-    /// Source of the copies that workers hold; the workers' region and state are added here.
+    /// Source of the copies that workers hold; this type adds the workers' region and state.
     holdings: RefCell<Option<HoldingsSource>>,
 }
 
@@ -65,7 +66,7 @@
         *self.holdings.borrow_mut() = Some(source);
     }
 
-    /// Learns the size of a model's copies from an invocation.
+    /// Stores the size of a model's copies as stated by an invocation.
     pub(crate) fn record_size(&self, model: &str, lanes: u32, copy_mb: f64) {
         let size = CopySize {
             lanes: lanes.max(1),
@@ -74,7 +75,7 @@
         let mut sizes = self.sizes.borrow_mut();
         if let Some(known) = sizes.get_mut(model) {
             *known = size;
-        } else if sizes.len() < MAX_SIZES {
+        } else if sizes.len() < MAX_MODEL_SIZES {
             sizes.insert(Name::from(model), size);
         }
     }
@@ -95,7 +96,7 @@
         workers.iter().filter_map(describe).collect()
     }
 
-    /// Completes a worker's report.
+    /// Completes a worker's report with data from the worker list and the copy sizes.
     fn describe(&self, mut worker: ObservedWorker, listed: &ListedWorker) -> ObservedWorker {
         let zone = self.context.names.zones.get(listed.zone as usize);
         let zone = zone.map_or("", String::as_str);
--- a/crates/gateway/src/core_settings.rs
+++ b/crates/gateway/src/core_settings.rs
@@ -1,5 +1,5 @@
-//! The settings of the core and its decision module: place in the fleet, dispatches, rules, loads, prices, trigger
-//! types and accounts.
+//! Reads the settings of the core and its decision module: position in the fleet, dispatches, rules, loads, prices,
+//! trigger types and accounts.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -11,7 +11,7 @@
 use crate::config_values::{DAY_MS, MAX_NUMBER, NEVER, zone_index};
 use crate::pool::PoolSettings;
 
-/// The section `[router]`. Times are in microseconds.
+/// The values of section `[router]`. Durations are in microseconds.
 pub(crate) struct RouterSection {
     pub(crate) seed: Option<u64>,
     pub(crate) fleet: FleetPosition,
@@ -22,7 +22,7 @@
     pub(crate) max_body_bytes: u64,
 }
 
-/// Reads `[router]`; the zones go into `names`.
+/// Reads `[router]`; adds the zones to `names`.
 pub(crate) fn router(section: &Section, names: &mut Names) -> RouterSection {
     let seed = section
         .has("seed")
@@ -65,7 +65,7 @@
     }
 }
 
-/// Reads `[dispatch]`: the limits of dispatches, and the connections to workers.
+/// Reads `[dispatch]`: the limits of dispatches and of the connections to workers.
 pub(crate) fn dispatch(
     section: &Section,
     local_address: Option<IpAddr>,
@@ -106,7 +106,7 @@
     rules
 }
 
-/// Reads the kinds of workers: their names go into `names`, their memory in MB is returned.
+/// Reads the kinds of workers: adds their names to `names` and returns their memory in MB.
 pub(crate) fn kinds(root: &Section, names: &mut Names) -> Vec<f64> {
     let mut memory_mb = Vec::new();
     for kind in root.sections("kind") {
@@ -117,7 +117,7 @@
     memory_mb
 }
 
-/// Reads `[loads]`. `memory_mb`: by kind of worker.
+/// Reads `[loads]`. `memory_mb`: memory by kind of worker.
 pub(crate) fn loads(section: &Section, memory_mb: Vec<f64>) -> LoadSettings {
     let loads = LoadSettings {
         idle_retention: section.millis_as_micros("idle_kept_ms", 1..DAY_MS, Some(30_000)),
@@ -138,7 +138,7 @@
     if !loads.load_orders && !loads.loads_when_absent {
         section.error(
             "loads_when_absent",
-            "without it and without orders nothing is ever loaded",
+            "is off, and so is orders: no copy would ever be loaded",
         );
     }
     section.check_unknown_keys();
@@ -159,13 +159,14 @@
     prices
 }
 
-/// Reads the trigger types, and for each whether it is sent without a majority; their names go into `names`.
+/// Reads the trigger types, and for each whether its invocations are sent without a majority of the group; adds their
+/// names to `names`.
 pub(crate) fn triggers(
     root: &Section,
     limits: &DispatchLimits,
     names: &mut Names,
 ) -> (Vec<TriggerType>, Vec<bool>) {
-    let (mut triggers, mut sends_alone) = (Vec::new(), Vec::new());
+    let (mut triggers, mut without_majority) = (Vec::new(), Vec::new());
     for section in root.sections("trigger") {
         let name = section.string("name", None);
         if names.triggers.contains(&name) {
@@ -173,16 +174,16 @@
         }
         names.triggers.push(name);
         triggers.push(trigger(&section, limits));
-        sends_alone.push(sends_without_majority(&section));
+        without_majority.push(sends_without_majority(&section));
         section.finish();
     }
     if triggers.is_empty() {
         root.error("trigger", "no trigger type is given");
     }
-    (triggers, sends_alone)
+    (triggers, without_majority)
 }
 
-/// Reads the accounts, and the certificate names bound to them; their names go into `names`.
+/// Reads the accounts and the certificate names bound to them; adds the accounts' names to `names`.
 pub(crate) fn accounts(root: &Section, names: &mut Names) -> (Vec<Account>, ClientAccounts) {
     let mut accounts = Vec::new();
     let mut certificate_accounts = ClientAccounts::default();
@@ -193,7 +194,7 @@
                 if !certificate_accounts.bind(name.clone(), accounts.len() as u32) {
                     section.error(
                         "certificate_names",
-                        &format!("'{name}' speaks for another account"),
+                        &format!("'{name}' is already bound to another account"),
                     );
                 }
             }
@@ -215,7 +216,7 @@
     (accounts, certificate_accounts)
 }
 
-/// Where workers' reports come from.
+/// Reads the source of the workers' load reports.
 pub(crate) fn reports(root: &Section) -> ReportSource {
     match root.string("reports", Some("answers")).as_str() {
         "answers" => ReportSource::Answers,
@@ -228,7 +229,7 @@
     }
 }
 
-/// One trigger type, without its name.
+/// Reads one trigger type, without its name.
 fn trigger(section: &Section, limits: &DispatchLimits) -> TriggerType {
     let effect = effect(section);
     check_hedging(section, effect, limits);
@@ -248,7 +249,7 @@
     }
 }
 
-/// What executing an invocation twice would do, and where duplicates are dropped.
+/// Reads the effect of executing an invocation twice, and the scope in which duplicates are dropped.
 fn effect(section: &Section) -> Effect {
     let scope = match section.string("repeats_dropped_by", Some("all")).as_str() {
         "all" => DeduplicationScope::All,
@@ -265,7 +266,7 @@
             scope,
             window: section.millis_as_micros("window_ms", 0..DAY_MS, None),
         },
-        // An absent key has been reported already.
+        // The empty string: the key is absent, which has already been reported.
         "non-idempotent" | "" => Effect::NonIdempotent,
         _ => {
             section.error("effect", "is none of idempotent, tokened, non-idempotent");
@@ -274,7 +275,7 @@
     }
 }
 
-/// Hedged requests have to be safe for the trigger type, and allowed for the router.
+/// Checks that hedged requests, if requested, are safe for the trigger type and allowed by `[dispatch]`.
 fn check_hedging(section: &Section, effect: Effect, limits: &DispatchLimits) {
     if !section.boolean("second_copies", Some(false)) {
         return;
@@ -292,7 +293,7 @@
     }
 }
 
-/// Whether a trigger type is sent without a majority of the group.
+/// Reads whether invocations of a trigger type are sent without a majority of the group.
 fn sends_without_majority(section: &Section) -> bool {
     match section.string("without_majority", Some("refuse")).as_str() {
         "refuse" => false,
--- a/crates/gateway/src/fault_injection.rs
+++ b/crates/gateway/src/fault_injection.rs
@@ -1,5 +1,6 @@
-//! Fault injection between the core and the sockets, only to test the auditor (`cedarpulley-invariant-checker`): one rule
-//! is broken on purpose, and the auditor has to find it. Without a fault, everything passes unchanged.
+//! Fault injection between the core and the sockets, used only to test the invariant checker
+//! (`cedarpulley-invariant-checker`): one rule is violated on purpose, and the checker has to detect it. Without a
+//! fault, all inputs and outputs pass unchanged.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -21,64 +22,65 @@
 use crate::pool::Pool;
 use crate::reconciliation::Reconciliation;
 
-/// A fault applies to one in this many events.
+/// A fault is applied to every 15th eligible event.
 const FAULT_EVERY: u64 = 15;
-/// In microseconds: longer than any client waits in a test.
+/// Delay of late answers and time limit of excess orders, in microseconds; longer than any client timeout in a test.
 const LATE_DELAY: Micros = 8_000_000;
-/// Extra copies of each request to a cold worker.
-const OVERLOAD_COPIES: usize = 60;
-/// Extra load orders for each order of the core.
+/// Number of duplicates sent of each dispatch to a cold worker.
+const OVERLOAD_DUPLICATES: usize = 60;
+/// Number of extra load orders sent for each load order of the core.
 const EXCESS_ORDERS: usize = 12;
-/// Microseconds between corruptions, so that there are several in each round of a test. Their number is
-/// limited, so that beliefs can become true again before it ends.
+/// Interval between corruptions in microseconds; short enough for several corruptions in each reconciliation round of a
+/// test.
 const CORRUPTION_INTERVAL: Micros = 40_000;
+/// Limit on corruptions, so that all beliefs can be corrected before a test ends.
 const MAX_CORRUPTIONS: u64 = 150;
-/// Separates these random draws from all others.
+/// Combined with the router's seed, so that these random numbers are independent of all others.
 const CORRUPTION_SEED: u64 = 0x5b01;
-/// Beliefs remembered as corruptible.
+/// Limit on the dispatch targets stored as candidates for corruption.
 const MAX_TARGETS: usize = 1_000;
 /// A version that no upgrade plan of a test uses.
 const UNUSED_VERSION: &str = "977";
 
-/// The rule or safety check to break.
+/// The rule or safety check to violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// Rule 1: answers after the client has given up.
+    /// Rule 1: an answer is sent after the client timeout.
     LateAnswer,
     /// Rule 1: an answer is never sent.
     LostAnswer,
-    /// Rule 1: two answers.
+    /// Rule 1: an answer is sent twice.
     DuplicateAnswer,
-    /// Rule 2: dispatches again what may have run.
+    /// Rule 2: an invocation that may have run is dispatched again.
     RepeatedDispatch,
-    /// Rule 3: ignores that workers drain or leave.
+    /// Rule 3: workers that drain or leave are treated as in service.
     IgnoredDrains,
-    /// Rule 4: sends many times over to workers that have just started.
+    /// Rule 4: workers that have just started receive each dispatch many times.
     OverloadedColdWorker,
-    /// Rule 5: many load orders instead of one.
+    /// Rule 5: many load orders are sent instead of one.
     ExcessOrders,
-    /// Rule 2, in a group: sends before a majority holds the intent.
+    /// Rule 2, in a group: a dispatch is sent before a majority has stored its intent.
     SendWithoutMajority,
-    /// Takes over invocations on its own knowledge, without fencing the owner.
+    /// Takes over invocations based on local knowledge, without fencing the owner.
     UnfencedTakeover,
-    /// Holds an intent that it has promised not to hold any more.
+    /// Stores an intent although it has promised not to store it any more.
     BrokenPromise,
-    /// Votes though it has lost its memory.
+    /// Votes although it has lost its state.
     VoteWithoutMemory,
-    /// Takes missing knowledge as proof that nothing was sent.
+    /// Treats the absence of a record as proof that nothing was sent.
     AbsenceAsProof,
-    /// Takes an owner that has failed for one that sent nothing.
+    /// Treats the failure of an owner as proof that the owner sent nothing.
     DeadOwnerAsProof,
-    /// After all members have restarted, trusts what none of them remembers.
+    /// After a restart of all members, assumes that what none of them remembers never happened.
     TrustAfterFullRestart,
-    /// Votes on choices before its store has them.
+    /// Votes on choices before they are written to its store.
     VoteBeforePersisted,
-    /// Switches no safety check off: corrupts the router's own beliefs about copies at workers, repeatedly.
+    /// Repeatedly corrupts the router's own beliefs about copies at workers; disables no safety check.
     CorruptedBelief,
 }
 
 impl InjectedFault {
-    /// The safety check of the group's shared state that this fault switches off, if any.
+    /// The safety check of the group's shared state that this fault disables, if any.
     pub fn disabled_check(self) -> Option<SafetyCheck> {
         Some(match self {
             InjectedFault::SendWithoutMajority => SafetyCheck::MajorityBeforeDispatch,
@@ -93,7 +95,7 @@
         })
     }
 
-    /// The fault of this name on the command line.
+    /// The fault with this name on the command line.
     pub fn from_name(name: &str) -> Option<Self> {
         Some(match name {
             "late" => InjectedFault::LateAnswer,
@@ -117,23 +119,25 @@
     }
 }
 
-/// The address of a worker, while it is known.
+/// Returns the address of a worker, if the core knows the worker.
 pub type AddressLookup = Rc<dyn Fn(WorkerIndex) -> Option<SocketAddr>>;
 
-/// Sees what passes between the core and the sockets, and breaks one rule in it.
+/// Observes the traffic between the core and the sockets and injects one kind of fault into it.
 pub struct FaultInjector {
     fault: Option<InjectedFault>,
     context: Rc<GatewayContext>,
     pool: Rc<Pool>,
     address: AddressLookup,
-    observed: Cell<u64>,
+    /// Number of events to which the fault could have been applied.
+    eligible_events: Cell<u64>,
+    /// Addresses of workers whose slow start is hidden from the core.
     cold_workers: RefCell<Vec<String>>,
-    /// Where this router sent what, as address and function: the beliefs that can be corrupted.
-    sent: RefCell<BTreeSet<(String, String)>>,
+    /// Worker address and function of each dispatch sent: the beliefs about these copies can be corrupted.
+    sent_targets: RefCell<BTreeSet<(String, String)>>,
 }
 
 impl FaultInjector {
-    /// Without a fault, everything passes unchanged.
+    /// Creates an injector; without a fault, all inputs and outputs pass unchanged.
     pub fn new(
         fault: Option<InjectedFault>,
         context: Rc<GatewayContext>,
@@ -145,23 +149,23 @@
             context,
             pool,
             address,
-            observed: Cell::new(0),
+            eligible_events: Cell::new(0),
             cold_workers: RefCell::default(),
-            sent: RefCell::default(),
+            sent_targets: RefCell::default(),
         }
     }
 
-    /// Corrupts beliefs if that is the fault: the module's, and those that the reconciliation follows, if
-    /// there is one to correct them.
+    /// If the fault is [`InjectedFault::CorruptedBelief`], corrupts beliefs of the decision module and, if it is
+    /// configured, of the reconciliation, which has to correct them.
     pub async fn corrupt_beliefs(self: Rc<Self>, reconciliation: Option<Rc<Reconciliation>>) {
         if self.fault != Some(InjectedFault::CorruptedBelief) {
             return;
         }
-        let mut chance = SeededRandom::new(self.context.seed ^ CORRUPTION_SEED);
+        let mut random = SeededRandom::new(self.context.seed ^ CORRUPTION_SEED);
         let mut corrupted = 0;
         while corrupted < MAX_CORRUPTIONS {
             Timer::after(duration_from_micros(CORRUPTION_INTERVAL)).await;
-            let Some((worker, function, copies)) = self.wrong_belief(&mut chance) else {
+            let Some((worker, function, copies)) = self.wrong_belief(&mut random) else {
                 continue;
             };
             if reconciliation.as_ref().is_some_and(|reconciliation| {
@@ -179,20 +183,20 @@
         tracing::info!(spoilt = corrupted, "meddled: no more is spoilt");
     }
 
-    /// A wrong belief: a copy forgotten, one that may not exist, too many copies, or a version that nobody
-    /// has.
-    fn wrong_belief(&self, chance: &mut SeededRandom) -> Option<(String, String, u32)> {
-        let sent = self.sent.borrow();
+    /// Draws a wrong belief as worker, function and number of copies: a forgotten copy, a copy that may not exist, too
+    /// many copies, or a copy of a version that no worker has.
+    fn wrong_belief(&self, random: &mut SeededRandom) -> Option<(String, String, u32)> {
+        let sent = self.sent_targets.borrow();
         let mut random_target = || {
             sent.iter()
-                .nth((chance.draw() * sent.len() as f64) as usize)
+                .nth((random.draw() * sent.len() as f64) as usize)
                 .cloned()
         };
         let ((worker, function), (_, another)) = (random_target()?, random_target()?);
-        Some(match (chance.draw() * 4.0) as u32 {
+        Some(match (random.draw() * 4.0) as u32 {
             0 => (worker, function, 0),
             1 => (worker, another, 1),
-            2 => (worker, function, 2 + (chance.draw() * 3.0) as u32),
+            2 => (worker, function, 2 + (random.draw() * 3.0) as u32),
             _ => (
                 worker,
                 client_requests::function_name(&function, UNUSED_VERSION)?,
@@ -202,11 +206,11 @@
     }
 
     fn is_due(&self) -> bool {
-        self.observed.set(self.observed.get() + 1);
-        self.observed.get().is_multiple_of(FAULT_EVERY)
+        self.eligible_events.set(self.eligible_events.get() + 1);
+        self.eligible_events.get().is_multiple_of(FAULT_EVERY)
     }
 
-    /// Delivers an answer through its front, as the fault has it.
+    /// Delivers an answer through its front, and applies the fault if it concerns answers.
     pub fn answer(&self, front: &Rc<AmqpFront>, delivery: Delivery, answer: Answer) {
         match self.fault {
             Some(InjectedFault::LostAnswer) if self.is_due() => front.discard(delivery),
@@ -226,12 +230,12 @@
         }
     }
 
-    /// Whether the answer to this request is to be lost.
+    /// Returns whether the current answer is to be lost.
     pub fn loses_answer(&self) -> bool {
         self.fault == Some(InjectedFault::LostAnswer) && self.is_due()
     }
 
-    /// Sees each output of the core, and sends more than the core requested.
+    /// Observes each output of the core, and sends additional requests if the fault requires them.
     pub fn observe(&self, output: &Output) {
         match (self.fault, output) {
             (
@@ -241,12 +245,12 @@
                 },
             ) => self.remember_target(*worker, function),
             (Some(InjectedFault::RepeatedDispatch), Output::Send { .. }) if self.is_due() => {
-                self.send_copies(output, 1)
+                self.send_duplicates(output, 1)
             }
             (Some(InjectedFault::OverloadedColdWorker), Output::Send { worker, .. }) => {
                 let address = (self.address)(*worker).map(|address| address.to_string());
                 if address.is_some_and(|address| self.cold_workers.borrow().contains(&address)) {
-                    self.send_copies(output, OVERLOAD_COPIES);
+                    self.send_duplicates(output, OVERLOAD_DUPLICATES);
                 }
             }
             (
@@ -266,15 +270,15 @@
         }
     }
 
-    /// Notes where this router sent what, up to a limit.
+    /// Stores the worker and function of a dispatch as a candidate for corruption, up to [`MAX_TARGETS`].
     fn remember_target(&self, worker: WorkerIndex, function: &str) {
-        let mut sent = self.sent.borrow_mut();
+        let mut sent = self.sent_targets.borrow_mut();
         if let Some(address) = (self.address)(worker).filter(|_| sent.len() < MAX_TARGETS) {
             sent.insert((address.to_string(), function.to_owned()));
         }
     }
 
-    /// Orders one more copy; no one waits for the answer.
+    /// Orders one more copy and ignores the answer.
     fn send_excess_order(&self, worker: WorkerIndex, function: Arc<str>) {
         let (pool, address_of) = (self.pool.clone(), self.address.clone());
         let order = async move {
@@ -293,8 +297,8 @@
         self.context.executor.spawn(order).detach();
     }
 
-    /// Repeats a dispatch this many times, past the core.
-    fn send_copies(&self, output: &Output, times: usize) {
+    /// Sends a dispatch `times` more times; the core does not learn of it.
+    fn send_duplicates(&self, output: &Output, times: usize) {
         let Output::Send {
             worker,
             function,
@@ -317,7 +321,7 @@
                 let Some(address) = address_of(worker) else {
                     return;
                 };
-                let marks = worker_requests::InvocationHeaders {
+                let headers = worker_requests::InvocationHeaders {
                     invocation: call.name.as_deref(),
                     dispatch: 99,
                     idempotency_key: None,
@@ -329,7 +333,7 @@
                 let request = worker_requests::infer(
                     &address.to_string(),
                     &function,
-                    marks,
+                    headers,
                     call.body.bytes,
                     call.body.first_part_length,
                 );
@@ -339,7 +343,7 @@
         }
     }
 
-    /// The worker list event, as far as the fault lets it through.
+    /// Returns the event of the worker list, changed if the fault concerns it.
     pub fn filter_list_event(&self, mut event: WatchEvent) -> WatchEvent {
         let slices = match &mut event {
             WatchEvent::Listing { slices, .. } => slices.as_mut_slice(),
--- a/crates/gateway/src/file_names.rs
+++ b/crates/gateway/src/file_names.rs
@@ -1,9 +1,10 @@
-//! File names made from a router's name.
+//! File names derived from a router's name.
 
-/// Characters of a router's name that go into a file name.
+/// Limit on the characters of a router's name that are used in a file name.
 const MAX_CHARACTERS: usize = 64;
 
-/// The start of a router's name, with `_` for all that is not an ASCII letter or digit.
+/// The first [`MAX_CHARACTERS`] characters of a router's name, with `_` in place of each character that is not an ASCII
+/// letter or digit.
 pub(crate) fn file_name_of(router: &str) -> String {
     let safe = |c: char| if c.is_ascii_alphanumeric() { c } else { '_' };
     router.chars().map(safe).take(MAX_CHARACTERS).collect()
--- a/crates/gateway/src/front_settings.rs
+++ b/crates/gateway/src/front_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the fronts: AMQP queues, KServe listeners, and their certificates.
+//! Reads the settings of the fronts: AMQP queues, KServe listeners, and their certificates.
 
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -13,17 +13,17 @@
 use crate::config_values::path_of;
 use crate::tls::{self, ClientTls, ServerTls, TlsFiles};
 
-/// What front settings refer to.
+/// Settings that the settings of fronts refer to.
 pub(crate) struct References<'a> {
     /// Folder of the settings file; paths are relative to it.
     pub(crate) folder: &'a Path,
-    /// The configured names, by their index.
+    /// The configured names, by index.
     pub(crate) names: &'a Names,
     /// The configured accounts.
     pub(crate) accounts: &'a [Account],
 }
 
-/// Reads the queues to consume from; their weights are appended to `weights`.
+/// Reads the queues to consume from; appends the fronts' weights to `weights`.
 pub(crate) fn amqp_sources(
     root: &Section,
     references: &References,
@@ -47,7 +47,7 @@
     amqp_sources
 }
 
-/// Reads the KServe listeners; their weights are appended to `weights`.
+/// Reads the KServe listeners; appends the fronts' weights to `weights`.
 pub(crate) fn kserve_listeners(
     root: &Section,
     references: &References,
@@ -112,7 +112,7 @@
         _ => {
             section.error(
                 "certificate",
-                "certificate and key belong together, and clients need both",
+                "certificate and key have to be set together, and clients requires both",
             );
             return None;
         }
@@ -145,13 +145,13 @@
         if certificate.is_some() || key.is_some() || section.has("server_name") {
             section.error(
                 "authorities",
-                "TLS needs the authorities that the broker's certificate is from",
+                "is missing; TLS requires the authorities that issued the broker's certificate",
             );
         }
         return None;
     };
     if certificate.is_some() != key.is_some() {
-        section.error("certificate", "certificate and key belong together");
+        section.error("certificate", "certificate and key have to be set together");
         return None;
     }
     let own = certificate.as_deref().zip(key.as_deref());
@@ -164,7 +164,7 @@
     }
 }
 
-/// A front's weight: its own, or an account's share.
+/// Reads a front's weight: given directly, or as the share of an account.
 fn front_weight(section: &Section, references: &References) -> f64 {
     match section.string("share_of", Some("")).as_str() {
         "" => section.number("weight", 1e-3..1e3, Some(1.0)),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,5 +1,5 @@
-//! A running router: the core with all parts around it, and the way of an event into the core. What the core puts
-//! out is carried out in `outputs.rs`; `wiring.rs` puts the parts together.
+//! A running router: the core with all components around it, and the input of events into the core. `outputs.rs`
+//! carries out the core's outputs; `wiring.rs` builds and connects the components.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 use crate::trace_recorder::TraceRecorder;
 use crate::upgrades::Upgrades;
 
-/// All parts of a running router.
+/// All components of a running router.
 pub(crate) struct Gateway {
     pub(crate) context: Rc<GatewayContext>,
     pub(crate) router: Rc<RefCell<Router>>,
@@ -32,7 +32,7 @@
     pub(crate) trace_recorder: Option<TraceRecorder>,
     pub(crate) metering: Option<Metering>,
     pub(crate) fronts: Vec<Rc<AmqpFront>>,
-    /// Their front indices follow those of `fronts`.
+    /// The KServe listeners; their front indices follow those of `fronts`.
     pub(crate) client_listeners: Vec<Rc<ClientListener>>,
     pub(crate) pool: Rc<Pool>,
     pub(crate) peer_group: Option<PeerGroup>,
@@ -44,12 +44,12 @@
 
 /// The address of a worker, while the core knows it.
 pub(crate) fn worker_address(router: &RefCell<Router>, worker: WorkerIndex) -> Option<SocketAddr> {
-    // Not cached by index, as the index of a departed worker is reused.
+    // Not cached by index, as the index of a removed worker is reused.
     router.borrow().worker_name(worker)?.parse().ok()
 }
 
 impl Gateway {
-    /// Hands an event to the core, through the admission if there is one, and carries out the outputs.
+    /// Hands an event to the core, through the admission if configured, and carries out the outputs.
     pub(crate) fn feed(self: &Rc<Self>, input: Input) {
         let input = match &self.admission {
             None => input,
@@ -61,7 +61,7 @@
         self.feed_core(input);
     }
 
-    /// The same, past the admission.
+    /// Hands an event to the core without passing through the admission, and carries out the outputs.
     pub(crate) fn feed_core(self: &Rc<Self>, input: Input) {
         let mut outputs = Vec::new();
         let listed = match (&self.reconciliation, &input) {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The KServe front of this index; absent for an AMQP front.
+    /// The handler of the KServe front with this index; `None` for an AMQP front.
     pub(crate) fn handler(&self, front: FrontIndex) -> Option<&Rc<RequestHandler>> {
         Some(
             &self
@@ -100,7 +100,7 @@
         worker_address(&self.router, worker)
     }
 
-    /// Tells the core whenever something is due, for as long as the router runs.
+    /// Notifies the core whenever one of its timers is due; runs until the router stops.
     pub(crate) async fn run_timers(self: Rc<Self>) {
         loop {
             self.alarm.elapsed(&self.context.clock).await;
--- a/crates/gateway/src/grpc.rs
+++ b/crates/gateway/src/grpc.rs
@@ -1,6 +1,6 @@
-//! The KServe v2 front over gRPC. `cedarpulley_kserve::rpc` interprets calls and `serving` their headers;
-//! here are HTTP/2 streams and limits; what this shares with REST is in [`request_handling`](crate::request_handling) and
-//! [`request_parsing`](crate::request_parsing).
+//! The KServe v2 front over gRPC. `cedarpulley_kserve::grpc` interprets calls, and `client_requests` there their
+//! headers; this module handles HTTP/2 streams and limits. Code shared with the REST front is in
+//! [`request_handling`](crate::request_handling) and [`request_parsing`](crate::request_parsing).
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -32,27 +32,28 @@
 
 use crate::answer_body::{AnswerBody, Reply, UnreadAnswer};
 use crate::client_connection::ClientConnection;
-use crate::outcome_names::{fate_name, reason_name, rejection_name};
+use crate::outcome_names::{outcome_name, reason_name, rejection_name};
 use crate::request_handling::{RequestHandler, serve_until_closed};
 use crate::request_parsing::{BodyError, parse_head, parse_session, read_body, with_body_timeout};
 
 mod queries;
 
 const MAX_HEADER_BYTES: u32 = 32 * 1024;
-/// Bytes that a peer may send on one stream, and on all its streams, before they are read. This bounds what
-/// waits for each connection, however many requests are open.
+/// Flow-control windows in bytes, of one stream and of a connection: the peer may send this much before it is read. The
+/// windows limit the unread data of each connection, however many requests are open.
 const STREAM_WINDOW: u32 = 64 * 1024;
 const CONNECTION_WINDOW: u32 = 1024 * 1024;
-/// Bytes of one answer handed over and not yet taken by the peer.
+/// Limit on the bytes of one answer that are buffered until the peer accepts them.
 const MAX_SEND_BYTES: usize = 64 * 1024;
-/// Streams reset before they were handled, or reset for our own errors; beyond, the connection is closed.
+/// Limit on streams that the peer resets before they are handled, and on streams reset by this router because of errors;
+/// above it, the connection is closed.
 const MAX_RESETS: usize = 32;
-/// A peer that answers no ping in time is gone; otherwise its streams would wait for the kernel's time-outs.
-/// In microseconds.
+/// Interval of pings and time limit for their answers, in microseconds. A connection whose peer does not answer is
+/// closed; without pings its streams would stay open until the kernel's time-outs.
 const PING_INTERVAL: Micros = 20_000_000;
 const PING_TIMEOUT: Micros = 10_000_000;
 
-/// Runs HTTP/2 streams on the router's one thread.
+/// Runs HTTP/2 streams on the router's single thread.
 #[derive(Clone)]
 struct LocalTasks(Rc<LocalExecutor<'static>>);
 
@@ -100,7 +101,7 @@
 
 fn response(body: Bytes, trailers: HeaderMap, unread: Option<UnreadAnswer>) -> Reply {
     let mut reply = if body.is_empty() {
-        // Head and trailers in one, as the protocol has it for calls that end without a message.
+        // The protocol combines head and trailers for calls that end without a message (trailers-only response).
         let mut reply = Response::new(AnswerBody::new(body, None, unread));
         *reply.headers_mut() = trailers;
         reply
@@ -125,7 +126,7 @@
     response(Bytes::new(), grpc::trailers(code, cause, None), None)
 }
 
-/// Ends a call without a message, with outcome and reason beside the code. `retry_after`: in microseconds.
+/// Ends a call without a message, with outcome and reason in addition to the code. `retry_after`: in microseconds.
 fn status_response(
     code: Code,
     outcome: &'static str,
@@ -138,7 +139,7 @@
     response(Bytes::new(), trailers, None)
 }
 
-/// Why an inference call cannot be used; shown to the client.
+/// Why an inference call is malformed; the texts are sent to the client.
 #[derive(Debug, Error)]
 enum MalformedCall {
     #[error(transparent)]
@@ -185,7 +186,7 @@
         Some(method) => method,
         None => return error_response(Code::Unimplemented, "no such method"),
     };
-    // None of these requests carries more than a name.
+    // None of these requests contains more than the name and version of a model.
     let max_bytes = u64::from(MAX_HEADER_BYTES);
     let body = match read_body(request.into_body(), Bytes::new(), max_bytes).await {
         Ok(body) => body,
@@ -207,7 +208,7 @@
     }
 }
 
-/// Reads as much as contains the message's length.
+/// Reads the start of a body, at least the frame header that contains the message's length.
 async fn read_length(body: &mut Incoming) -> Result<Bytes, BodyError> {
     with_body_timeout(async {
         let mut first = Vec::new();
@@ -232,8 +233,8 @@
     request: Request<Incoming>,
 ) -> Reply {
     let (head, mut body) = request.into_parts();
-    let mut taken = match parse_infer_head(&handler, &client, &head.headers) {
-        Ok(taken) => taken,
+    let mut invocation = match parse_infer_head(&handler, &client, &head.headers) {
+        Ok(invocation) => invocation,
         Err(malformed) => return malformed_response(&handler, &malformed),
     };
     let began = handler.context.clock.now();
@@ -249,20 +250,20 @@
         };
         return malformed_response(&handler, &malformed);
     }
-    taken.waited += handler.context.clock.now() - began;
-    // Rejected before it is taken: no other answer is owed, and nothing of it was executed.
-    let open = match handler.admit(&client, &taken, announced_bytes) {
+    invocation.waited += handler.context.clock.now() - began;
+    // A call rejected here has not been accepted: nothing was executed, and the rejection is its only answer.
+    let open = match handler.admit(&client, &invocation, announced_bytes) {
         Ok(open) => open,
-        Err(entry) => return rejection_response(entry),
+        Err(decision) => return rejection_response(decision),
     };
     let body = match read_body(body, first, announced_bytes).await {
         Ok(body) => body,
         Err(error) => return body_error_response(error),
     };
-    if let Err(malformed) = parse_infer_body(&handler, body, &mut taken) {
+    if let Err(malformed) = parse_infer_body(&handler, body, &mut invocation) {
         return malformed_response(&handler, &malformed);
     }
-    match open.answer(taken).await {
+    match open.answer(invocation).await {
         Some((answer, unread)) => answer_response(answer, unread),
         None => error_response(Code::Internal, "no answer was found"),
     }
@@ -274,35 +275,35 @@
     client: &ClientConnection,
     headers: &HeaderMap,
 ) -> Result<IncomingInvocation, MalformedCall> {
-    let mut taken = parse_head(handler, client, headers, String::new())?;
+    let mut invocation = parse_head(handler, client, headers, String::new())?;
     if let Some(timeout) = grpc::timeout(headers).map_err(MalformedCall::Timeout)? {
-        taken.client_timeout = taken.client_timeout.min(timeout);
+        invocation.client_timeout = invocation.client_timeout.min(timeout);
     }
-    Ok(taken)
+    Ok(invocation)
 }
 
-/// Parses the message of an inference call into `taken`.
+/// Parses the message of an inference call into `invocation`.
 fn parse_infer_body(
     handler: &RequestHandler,
     body: Bytes,
-    taken: &mut IncomingInvocation,
+    invocation: &mut IncomingInvocation,
 ) -> Result<(), MalformedCall> {
     let message = grpc::unframe(body).map_err(MalformedCall::Frame)?;
     let message = wire::ModelInferRequest::decode(message)?;
     let function = function_name(&message.model_name, &message.model_version)
         .ok_or(MalformedCall::ModelName)?;
     let rest_body = tensors::encode_request(&message)?;
-    taken.function = Arc::from(function);
-    taken.body = Payload {
+    invocation.function = Arc::from(function);
+    invocation.body = Payload {
         bytes: rest_body.bytes,
         first_part_length: rest_body.json_length,
     };
-    taken.session = parse_session(handler, &taken.body)?;
+    invocation.session = parse_session(handler, &invocation.body)?;
     Ok(())
 }
 
-fn rejection_response(entry: AdmissionDecision) -> Reply {
-    match entry {
+fn rejection_response(decision: AdmissionDecision) -> Reply {
+    match decision {
         AdmissionDecision::Rejected {
             reason,
             retry_after,
@@ -329,12 +330,12 @@
                     let mut trailers = grpc::trailers(Code::Ok, "", None);
                     trailers.insert(
                         client_requests::OUTCOME,
-                        HeaderValue::from_static(fate_name(answer.outcome)),
+                        HeaderValue::from_static(outcome_name(answer.outcome)),
                     );
                     trailers.insert(client_requests::REASON, HeaderValue::from_static(reason));
                     response(grpc::frame(&message), trailers, Some(unread))
                 }
-                // It was executed, but its result cannot be expressed here.
+                // The invocation was executed, but its result cannot be represented in gRPC.
                 Err(cause) => {
                     error_response(Code::Unknown, &format!("the worker's answer: {cause}"))
                 }
--- a/crates/gateway/src/grpc/queries.rs
+++ b/crates/gateway/src/grpc/queries.rs
@@ -1,4 +1,4 @@
-//! The methods that tell of the server and its models; they never reach the core.
+//! The methods that query the server and its models; they are answered without the core.
 
 use bytes::Bytes;
 use cedarpulley_kserve::client_requests::{self, function_name};
@@ -10,7 +10,7 @@
 use crate::answer_body::Reply;
 use crate::request_handling::RequestHandler;
 
-/// Answers the methods that tell of the server and its models.
+/// Answers the methods that query the server and its models.
 pub(super) fn query_response(handler: &RequestHandler, method: Method, message: Bytes) -> Reply {
     match method {
         Method::ServerLive => message_response(&wire::ServerLiveResponse { live: true }),
@@ -23,7 +23,7 @@
             extensions: client_requests::EXTENSIONS.map(str::to_owned).to_vec(),
         }),
         Method::ModelReady => match requested_function(message) {
-            // Functions are loaded on demand: any may be requested.
+            // Functions are loaded on demand, so every valid name is ready.
             Ok(_) => message_response(&wire::ModelReadyResponse { ready: true }),
             Err(cause) => error_response(Code::InvalidArgument, cause),
         },
@@ -36,7 +36,7 @@
     }
 }
 
-/// The function that a request for readiness or metadata names; the two have the same message.
+/// The function named by a request for readiness or metadata; both requests have the same message format.
 fn requested_function(message: Bytes) -> Result<String, &'static str> {
     let request =
         wire::ModelReadyRequest::decode(message).map_err(|_| "the message cannot be read")?;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,18 +1,19 @@
-//! One router as a process: sockets, timers, signals and configuration around the core in
-//! `cedarpulley-router`. It makes no routing decisions: every event goes to the core, and the core's outputs
-//! are carried out in order.
+//! One router as a process: sockets, timers, signals and configuration around the router core in
+//! `cedarpulley-router`. This package makes no routing decisions: it hands every event to the core and carries
+//! out the core's outputs in order.
 //!
-//! Begin reading at [`serve`], with `resources` (what a router must have), `wiring` (puts the parts
-//! together), `gateway` (the running router), `outputs` and `shutdown`; these alone know the whole.
-//! [`settings`] reads the configuration. Then: [`context`] (what every part may use), [`amqp_front`] with
+//! Start reading at [`serve`], with `resources` (the files, sockets and state a router needs), `wiring` (builds
+//! and connects the components), `gateway` (the running router), `outputs` and `shutdown`; only these modules
+//! depend on all components. [`settings`] reads the configuration. The components are: [`context`] (shared by
+//! all others), [`amqp_front`] with
 //! `amqp_messages` (AMQP), [`client_listener`] with [`rest`], [`grpc`], [`request_parsing`], [`request_handling`],
 //! [`answer_body`] and [`client_connection`] (KServe v2), [`pool`] (connections to workers),
 //! [`worker_list`], [`admission`] (sessions and versions, before the core), [`peer_group`] with [`peers`],
-//! [`peer_transport`] and [`peer_store`] (the state that routers of a group share), and [`shared_state`], the
-//! interface of that state for the other parts. No module depends on one that stands above it.
+//! [`peer_transport`] and [`peer_store`] (the state that routers of a group share), and [`shared_state`],
+//! through which the other components use that state. A module never depends on one listed before it.
 //!
 //! A *front* is a way in for requests: a queue consumed over AMQP, or a listener for KServe clients. The
-//! *core* is the router's state machine; the decision module it drives is called *the module*.
+//! *core* is the router's state machine; it drives the *decision module* (balancer).
 
 pub mod admission;
 pub(crate) mod admission_observer;
--- a/crates/gateway/src/listed_workers.rs
+++ b/crates/gateway/src/listed_workers.rs
@@ -1,4 +1,4 @@
-//! The workers of the list, and which of them an update shows to be gone.
+//! The workers of the worker list, and the detection of workers that an update removes or replaces.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,25 +8,25 @@
 use cedarpulley_router::endpoint_list::ListedWorker;
 use cedarpulley_upgrade::Name;
 
-/// Workers by name, shared with the parts that read them.
+/// Workers by name, shared with the components that read them.
 #[derive(Default)]
 pub(crate) struct ListedWorkers(Rc<RefCell<BTreeMap<Name, ListedWorker>>>);
 
 impl ListedWorkers {
-    /// The map itself, which follows all updates.
+    /// The shared map, which reflects all updates.
     pub(crate) fn map(&self) -> Rc<RefCell<BTreeMap<Name, ListedWorker>>> {
         self.0.clone()
     }
 
-    /// Applies an update; returns the workers that are gone, or were replaced by another process.
+    /// Applies an update; returns the workers that are gone or have restarted.
     pub(crate) fn apply_update(
         &self,
-        mode: EndpointListKind,
+        kind: EndpointListKind,
         workers: &[ListedWorker],
     ) -> Vec<Name> {
         let mut gone = Vec::new();
         let mut known = self.0.borrow_mut();
-        if matches!(mode, EndpointListKind::Complete | EndpointListKind::Cached) {
+        if matches!(kind, EndpointListKind::Complete | EndpointListKind::Cached) {
             let is_listed = |name: &Name| workers.iter().any(|w| *w.address == **name);
             gone.extend(known.keys().filter(|name| !is_listed(name)).cloned());
         }
--- a/crates/gateway/src/message_sending.rs
+++ b/crates/gateway/src/message_sending.rs
@@ -1,19 +1,19 @@
-//! How messages leave for other members: the interface between the group's state and its transport.
+//! The interface between the group's state and the transport that sends its messages to other members.
 
 use bytes::Bytes;
 use cedarpulley_membership::MemberIndex;
 
 /// Sends messages to other members. It must not block.
 pub trait Transport {
-    /// Takes an encoded message for a member.
+    /// Accepts an encoded message for a member, to be sent later.
     fn send(&self, to: MemberIndex, message: Bytes, options: SendOptions);
 }
 
-/// How a message may be treated on its way.
+/// How the transport may treat a message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SendOptions {
-    /// It may wait behind messages that a vote waits for.
+    /// The message may be delayed by messages that a vote depends on.
     pub bulk: bool,
-    /// It may be dropped if there is no room, as a later comparison of the records repairs the loss.
+    /// The message may be dropped if the queue is full, as a later comparison of the records repairs the loss.
     pub recoverable: bool,
 }
--- a/crates/gateway/src/metering.rs
+++ b/crates/gateway/src/metering.rs
@@ -1,5 +1,6 @@
-//! Metering of a router: hands usage to the accounting, and its sums to the ledger's thread, the only one
-//! that waits for the disk. What is in flight or could not be written stays here, and nothing here waits.
+//! Metering of a router: records usage in the meter and passes its sums to the ledger's thread, the only thread
+//! that waits for the disk. Usage whose write is in flight or has failed is kept, and no caller blocks, except in
+//! [`Metering::close`].
 
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -17,9 +18,11 @@
 
 use crate::file_names::file_name_of;
 
-/// On shutdown the ledger has this long, and is polled this often.
+/// Time limit for the last writes on shutdown.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How often the result of a write is polled on shutdown.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Account name in the ledger for usage whose account index has no name.
 const UNKNOWN_ACCOUNT: &str = "(unknown)";
 
 struct MeteringState {
@@ -28,35 +31,35 @@
     accounts: Vec<String>,
     wall_at_zero: Micros,
     /// At most one write is in flight.
-    parts: Option<SyncSender<UsageDelta>>,
+    deltas: Option<SyncSender<UsageDelta>>,
     in_flight: bool,
-    /// For each part: written, or returned with the cause.
-    done: Receiver<Result<(), (UsageDelta, String)>>,
+    /// For each delta: written, or returned with the cause of the failure.
+    results: Receiver<Result<(), (UsageDelta, String)>>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// The metering of one router. Cheap to clone: one is registered with the core, one is kept for closing.
+/// The metering of one router. Cheap to clone: one clone is registered with the core, another is kept for closing.
 #[derive(Clone)]
 pub struct Metering(Rc<RefCell<MeteringState>>);
 
-/// Writes each part that comes; one that could not be written is returned.
+/// Writes each received delta to the ledger; a delta that could not be written is returned with the cause.
 fn write_loop(
     file: PathBuf,
     router: String,
     source: Source,
-    parts: Receiver<UsageDelta>,
-    done: SyncSender<Result<(), (UsageDelta, String)>>,
+    deltas: Receiver<UsageDelta>,
+    results: SyncSender<Result<(), (UsageDelta, String)>>,
 ) {
-    // Only for its limit on ledgers set aside.
+    // Used only for its limit on renaming unreadable ledgers.
     let (mut ledger, mut set_aside_limit) = (None, WriteSchedule::default());
-    for part in parts {
+    for delta in deltas {
         let opened = match ledger.take() {
             Some(open) => Ok(open),
             None => Ledger::open(&file),
         };
         let added = opened.and_then(|open| {
-            let added = open.add(source, &router, &part);
-            // Reopened after a failure: its memory may differ from what is on disk.
+            let added = open.add(source, &router, &delta);
+            // After a failure the ledger is reopened, as its state in memory may differ from the file.
             ledger = added.is_ok().then_some(open);
             added
         });
@@ -66,20 +69,20 @@
             {
                 let other = file.with_extension(format!("unreadable-{:032x}", source));
                 if std::fs::rename(&file, &other).is_ok() {
-                    tracing::error!(other = %other.display(), "a ledger that cannot be read was set aside");
+                    tracing::error!(other = %other.display(), "an unreadable usage ledger was renamed");
                 }
             }
-            (part, failed.to_string())
+            (delta, failed.to_string())
         });
-        if done.send(result).is_err() {
+        if results.send(result).is_err() {
             return;
         }
     }
 }
 
 impl Metering {
-    /// `source`: random, unique to this process; `wall_at_zero`: wall time at the clock's zero, in
-    /// microseconds. Fails if the folder cannot be created or the thread cannot start.
+    /// Starts the ledger's thread. `source`: random, unique to this process; `wall_at_zero`: wall time at the zero of
+    /// the router's clock, in microseconds. Fails if the folder cannot be created or the thread cannot start.
     pub fn begin(
         folder: PathBuf,
         name: &str,
@@ -89,25 +92,25 @@
     ) -> std::io::Result<Metering> {
         std::fs::create_dir_all(&folder)?;
         let file = folder.join(format!("{}.ledger", file_name_of(name)));
-        let (parts, received) = sync_channel(1);
-        let (results, done) = sync_channel(1);
+        let (deltas, received) = sync_channel(1);
+        let (result_sender, results) = sync_channel(1);
         let router = name.to_owned();
         let thread = std::thread::Builder::new()
             .name("ledger".into())
-            .spawn(move || write_loop(file, router, source, received, results))?;
+            .spawn(move || write_loop(file, router, source, received, result_sender))?;
         Ok(Metering(Rc::new(RefCell::new(MeteringState {
             meter: Meter::default(),
             writing: WriteSchedule::default(),
             accounts,
             wall_at_zero,
-            parts: Some(parts),
+            deltas: Some(deltas),
             in_flight: false,
-            done,
+            results,
             thread: Some(thread),
         }))))
     }
 
-    /// Hands over what there is, if a write is due.
+    /// Passes the usage recorded so far to the ledger's thread, if a write is due.
     pub fn flush_due(&self, now: Micros) {
         let mut state = self.0.borrow_mut();
         state.collect_result(now);
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Writes what is left; false if not everything was written in time.
+    /// Writes the remaining usage; returns false if a write failed or the time limit passed.
     pub fn close(&self, now: Micros) -> bool {
         let mut state = self.0.borrow_mut();
         let (deadline, failures) = (Instant::now() + CLOSE_TIMEOUT, state.writing.failures);
@@ -130,43 +133,43 @@
             }
             std::thread::sleep(CLOSE_POLL_INTERVAL);
         }
-        state.parts = None;
+        state.deltas = None;
         state.thread.take().is_none_or(|t| t.join().is_ok())
     }
 }
 
 impl MeteringState {
     fn collect_result(&mut self, now: Micros) {
-        let Ok(done) = self.done.try_recv() else {
+        let Ok(result) = self.results.try_recv() else {
             return;
         };
         self.in_flight = false;
-        match done {
+        match result {
             Ok(()) => self.writing.on_written(now),
-            Err((part, why)) => {
-                self.meter.restore(&part);
+            Err((delta, why)) => {
+                self.meter.restore(&delta);
                 self.writing.on_failed(now);
                 let (failures, left_out) = (self.writing.failures, self.meter.dropped_readings);
-                tracing::error!(why, failures, left_out, "the ledger was not written");
+                tracing::error!(why, failures, left_out, "writing the usage ledger failed");
             }
         }
     }
 
-    /// False if there is nothing to send.
+    /// Sends a delta unless one is in flight; returns false if there is nothing to send.
     fn send(&mut self) -> bool {
         if self.in_flight {
             return true;
         }
-        let part = self.meter.take_delta();
-        let Some(parts) = self.parts.as_ref().filter(|_| !part.is_empty()) else {
+        let delta = self.meter.take_delta();
+        let Some(deltas) = self.deltas.as_ref().filter(|_| !delta.is_empty()) else {
             return false;
         };
-        match parts.try_send(part) {
+        match deltas.try_send(delta) {
             Ok(()) => self.in_flight = true,
             Err(e) => {
-                let (std::sync::mpsc::TrySendError::Full(part)
-                | std::sync::mpsc::TrySendError::Disconnected(part)) = e;
-                self.meter.restore(&part);
+                let (std::sync::mpsc::TrySendError::Full(delta)
+                | std::sync::mpsc::TrySendError::Disconnected(delta)) = e;
+                self.meter.restore(&delta);
             }
         }
         true
--- a/crates/gateway/src/outcome_names.rs
+++ b/crates/gateway/src/outcome_names.rs
@@ -1,18 +1,18 @@
-//! The names by which all fronts report the outcome of a request. They are part of the public interface.
+//! The names under which all fronts report the outcome of a request. They are part of the public interface.
 
 use cedarpulley_router::admission_control::RejectionReason;
 use cedarpulley_router::{AnswerReason, FinalOutcome};
 
-/// The outcome of a request that was taken.
-pub(crate) fn fate_name(fate: FinalOutcome) -> &'static str {
-    match fate {
+/// The name of the final outcome of an accepted request.
+pub(crate) fn outcome_name(outcome: FinalOutcome) -> &'static str {
+    match outcome {
         FinalOutcome::Succeeded => "succeeded",
         FinalOutcome::Throttled => "throttled",
         FinalOutcome::Errored => "errored",
     }
 }
 
-/// Why a request that was taken ended with its outcome.
+/// The name of the reason why an accepted request ended with its outcome.
 pub(crate) fn reason_name(reason: AnswerReason) -> &'static str {
     match reason {
         AnswerReason::Worker => "worker",
@@ -29,7 +29,7 @@
     }
 }
 
-/// Why a request was rejected before it was taken.
+/// The name of the reason why a request was rejected before it was accepted.
 pub(crate) fn rejection_name(reason: RejectionReason) -> &'static str {
     match reason {
         RejectionReason::Stopping => "stopping",
--- a/crates/gateway/src/rest.rs
+++ b/crates/gateway/src/rest.rs
@@ -1,5 +1,5 @@
-//! The KServe v2 front over HTTP/1.1. `cedarpulley_kserve::serving` interprets requests; here are sockets and
-//! limits; what this shares with gRPC is in [`request_handling`](crate::request_handling) and
+//! The KServe v2 front over HTTP/1.1. `cedarpulley_kserve::client_requests` interprets requests; this module handles
+//! connections and limits. Code shared with the gRPC front is in [`request_handling`](crate::request_handling) and
 //! [`request_parsing`](crate::request_parsing).
 
 use std::convert::Infallible;
@@ -23,11 +23,11 @@
 
 use crate::answer_body::{AnswerBody, Reply, UnreadAnswer};
 use crate::client_connection::ClientConnection;
-use crate::outcome_names::{fate_name, reason_name, rejection_name};
+use crate::outcome_names::{outcome_name, reason_name, rejection_name};
 use crate::request_handling::{RequestHandler, serve_until_closed};
 use crate::request_parsing::{BodyError, parse_head, parse_session, read_body};
 
-/// Time limit for a head, and for the next one on a kept-alive connection. In microseconds.
+/// Time limit for receiving a request head, also for the next one on a kept-alive connection. In microseconds.
 const HEADER_TIMEOUT: Micros = 30_000_000;
 const MAX_HEADERS: usize = 64;
 const MAX_HEAD_BYTES: usize = 32 * 1024;
@@ -89,7 +89,7 @@
             let body = serde_json::json!({"name": "cedarpulley", "version": version, "extensions": extensions});
             reply(StatusCode::OK, body.to_string(), None)
         }
-        // Functions are loaded on demand: any may be requested.
+        // Functions are loaded on demand, so every function is ready.
         ClientRequest::ModelReady(_) => reply(StatusCode::OK, "", None),
         ClientRequest::ModelMetadata(function) => {
             reply(StatusCode::OK, client_requests::metadata(&function), None)
@@ -114,8 +114,8 @@
     request: Request<Incoming>,
 ) -> Reply {
     let (head, body) = request.into_parts();
-    let mut taken = match parse_head(&handler, &client, &head.headers, function) {
-        Ok(taken) => taken,
+    let mut invocation = match parse_head(&handler, &client, &head.headers, function) {
+        Ok(invocation) => invocation,
         Err(malformed) => {
             let cause = format!("{}: {}", malformed.field, malformed.cause);
             return malformed_response(&handler, &cause);
@@ -124,34 +124,37 @@
     if body.size_hint().lower() > handler.max_body_bytes {
         return body_error_response(BodyError::TooLarge, handler.max_body_bytes);
     }
-    // A body without a content length may be as long as the limit.
+    // The limit is assumed for a body without content length.
     let announced_bytes = body.size_hint().exact().unwrap_or(handler.max_body_bytes);
-    // Rejected before it is taken: no other answer is owed, and nothing of it was executed.
-    let open = match handler.admit(&client, &taken, announced_bytes) {
+    // A request rejected here has not been accepted: nothing was executed, and the rejection is its only answer.
+    let open = match handler.admit(&client, &invocation, announced_bytes) {
         Ok(open) => open,
-        Err(entry) => return rejection_response(entry),
+        Err(decision) => return rejection_response(decision),
     };
-    taken.body.bytes = match read_body(body, Bytes::new(), handler.max_body_bytes).await {
+    invocation.body.bytes = match read_body(body, Bytes::new(), handler.max_body_bytes).await {
         Ok(body) => body,
         Err(error) => return body_error_response(error, handler.max_body_bytes),
     };
-    let json_length = taken.body.first_part_length.map(|length| length as usize);
-    if json_length.is_some_and(|length| length > taken.body.len()) {
+    let json_length = invocation
+        .body
+        .first_part_length
+        .map(|length| length as usize);
+    if json_length.is_some_and(|length| length > invocation.body.len()) {
         let cause = format!("{JSON_LENGTH}: is beyond the body's end");
         return malformed_response(&handler, &cause);
     }
-    taken.session = match parse_session(&handler, &taken.body) {
+    invocation.session = match parse_session(&handler, &invocation.body) {
         Ok(session) => session,
         Err(malformed) => return malformed_response(&handler, &malformed.to_string()),
     };
-    // Every request taken is answered; a missing answer would be a defect of the core.
-    match open.answer(taken).await {
+    // Every accepted request is answered; a missing answer would be a defect of the core.
+    match open.answer(invocation).await {
         Some((answer, unread)) => answer_response(answer, unread),
         None => error_response(StatusCode::INTERNAL_SERVER_ERROR, "no answer was found"),
     }
 }
 
-/// A request that is rejected because it is malformed; the rejection is counted.
+/// Rejects a malformed request, and counts it.
 fn malformed_response(handler: &RequestHandler, cause: &str) -> Reply {
     handler.context.count_malformed();
     error_response(StatusCode::BAD_REQUEST, cause)
@@ -171,11 +174,11 @@
     }
 }
 
-fn rejection_response(entry: AdmissionDecision) -> Reply {
+fn rejection_response(decision: AdmissionDecision) -> Reply {
     let AdmissionDecision::Rejected {
         reason,
         retry_after,
-    } = entry
+    } = decision
     else {
         return error_response(StatusCode::INTERNAL_SERVER_ERROR, "no entry was found");
     };
@@ -222,7 +225,7 @@
     let headers = reply.headers_mut();
     headers.insert(
         client_requests::OUTCOME,
-        HeaderValue::from_static(fate_name(answer.outcome)),
+        HeaderValue::from_static(outcome_name(answer.outcome)),
     );
     headers.insert(
         client_requests::REASON,
