--- a/crates/gateway/src/grpc.rs
+++ b/crates/gateway/src/grpc.rs
@@ -1,5 +1,5 @@
-//! The KServe v2 front over gRPC. `cedarpulley_kserve::grpc` interprets calls, and `client_requests` there their
-//! headers; this module handles HTTP/2 streams and limits. Code shared with the REST front is in
+//! The KServe v2 front over gRPC. `cedarpulley_kserve::grpc` interprets calls, and
+//! `cedarpulley_kserve::client_requests` their headers; this module handles HTTP/2 streams and limits. Code shared with the REST front is in
 //! [`request_handling`](crate::request_handling) and [`request_parsing`](crate::request_parsing).
 
 use std::convert::Infallible;
--- a/crates/gateway/src/outputs.rs
+++ b/crates/gateway/src/outputs.rs
@@ -1,5 +1,5 @@
-//! Carries out what the core puts out: answers go to their fronts, dispatches and load orders to workers through the
-//! pool, and requests for the group to the peer group. What they lead to comes back to the core as events.
+//! Carries out the core's outputs: passes answers to their fronts, sends dispatches and load orders to workers through
+//! the pool, and passes requests for the group to the peer group. The results return to the core as events.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,12 +15,12 @@
 
 use crate::gateway::Gateway;
 use crate::peer_group::PeerGroup;
-use crate::pool::{ExchangeError, Reply, ending_of};
+use crate::pool::{ExchangeError, Reply, exchange_outcome};
 
-/// A probe or an unload order is given up after this time, in microseconds.
+/// Time limit for a probe or an unload order, in microseconds.
 const CONTROL_TIMEOUT: Micros = 2_000_000;
 
-/// A dispatch to a worker.
+/// A dispatch to send to a worker; the fields are those of [`Output::Send`].
 struct Dispatch {
     ticket: Ticket,
     worker: WorkerIndex,
@@ -30,7 +30,7 @@
     call: DispatchRequest,
 }
 
-/// An order to load copies at a worker or, with `copies` 0, a query how many exist.
+/// An order to load copies at a worker or, with `copies` 0, a query for the number of copies.
 struct LoadOrder {
     ticket: OrderTicket,
     function: Arc<str>,
@@ -41,7 +41,7 @@
 }
 
 impl Gateway {
-    /// Begins to carry out one output; what takes time runs as a task.
+    /// Starts to carry out one output; requests to workers run as tasks.
     pub(crate) fn carry_out(self: &Rc<Self>, output: Output) {
         self.fault_injector.observe(&output);
         match output {
@@ -86,9 +86,9 @@
                 term,
             } => self.spawn(self.clone().order_unload(worker, function, term)),
             Output::Probe { worker } => self.spawn(self.clone().probe(worker)),
-            // The watch retries by itself, with spread-out delays.
+            // The watch of the worker list retries by itself, with randomized delays.
             Output::RequestEndpointList => {}
-            Output::Replication(request) => self.request_of_group(request),
+            Output::Replication(request) => self.request_from_group(request),
         }
     }
 
@@ -96,9 +96,9 @@
         self.context.executor.spawn(task).detach();
     }
 
-    fn decide_admission(&self, delivery: Delivery, entry: AdmissionDecision) {
+    fn decide_admission(&self, delivery: Delivery, decision: AdmissionDecision) {
         if let Some(handler) = self.handler(delivery.front) {
-            handler.set_decision(entry);
+            handler.set_decision(decision);
         }
     }
 
@@ -108,7 +108,7 @@
         }
     }
 
-    fn request_of_group(&self, request: ReplicationRequest) {
+    fn request_from_group(&self, request: ReplicationRequest) {
         if let Some(peer_group) = &self.peer_group {
             peer_group.request(request);
         }
@@ -148,13 +148,13 @@
         let (ticket, worker, function) =
             (dispatch.ticket, dispatch.worker, dispatch.function.clone());
         let result = self.exchange(dispatch).await;
-        let ending = outcomes::classify_inference(&ending_of(&result, &function));
+        let observed = outcomes::classify_inference(&exchange_outcome(&result, &function));
         let memory_held = result
             .as_ref()
             .ok()
             .and_then(|r| response_headers::memory_usage(&r.headers));
         let body = match result {
-            Ok(reply) if ending.outcome == DispatchOutcome::Succeeded => {
+            Ok(reply) if observed.outcome == DispatchOutcome::Succeeded => {
                 let json_length = outcomes::json_length(&reply.headers, &reply.body);
                 let first_part_length = json_length
                     .filter(|length| *length < reply.body.len())
@@ -170,16 +170,16 @@
             invocation = ticket.invocation,
             dispatch = ticket.dispatch,
             worker,
-            outcome = ?ending.outcome,
+            outcome = ?observed.outcome,
             "dispatch ended"
         );
         self.pool.finished(ticket);
         self.feed(Input::DispatchEnded {
             ticket,
-            outcome: ending.outcome,
-            copy_status: ending.copy_status,
-            function_load: ending.function_load,
-            report: ending.report,
+            outcome: observed.outcome,
+            copy_status: observed.copy_status,
+            function_load: observed.function_load,
+            report: observed.report,
             memory_held,
             body,
         });
@@ -195,7 +195,7 @@
             call,
         } = dispatch;
         let names = &self.context.names;
-        let marks = worker_requests::InvocationHeaders {
+        let headers = worker_requests::InvocationHeaders {
             invocation: call.name.as_deref(),
             dispatch: ticket.dispatch,
             idempotency_key: call.idempotency_key.as_deref(),
@@ -214,8 +214,13 @@
             return Err(ExchangeError::NoConnection);
         };
         let (host, body) = (address.to_string(), call.body);
-        let request =
-            worker_requests::infer(&host, &function, marks, body.bytes, body.first_part_length);
+        let request = worker_requests::infer(
+            &host,
+            &function,
+            headers,
+            body.bytes,
+            body.first_part_length,
+        );
         let may_send = || {
             self.router
                 .borrow()
@@ -251,7 +256,7 @@
                     &function,
                     copies,
                     account,
-                    self.orderer(term.as_deref()),
+                    self.order_issuer(term.as_deref()),
                 )
             }
         };
@@ -260,7 +265,7 @@
             .as_ref()
             .ok()
             .and_then(|r| response_headers::memory_usage(&r.headers));
-        let (result, copies) = outcomes::classify_load_order(&ending_of(&result, &function));
+        let (result, copies) = outcomes::classify_load_order(&exchange_outcome(&result, &function));
         self.feed(Input::OrderEnded {
             ticket,
             result,
@@ -281,9 +286,9 @@
         let request = worker_requests::unload(
             &address.to_string(),
             &function,
-            self.orderer(term.as_deref()),
+            self.order_issuer(term.as_deref()),
         );
-        // No one waits for the answer; the order only has to arrive.
+        // The answer is ignored: the order only has to reach the worker.
         let _ = self.pool.order(address, request, CONTROL_TIMEOUT).await;
     }
 
@@ -293,7 +298,7 @@
             Some(address) => {
                 let request = worker_requests::live(&address.to_string());
                 let result = self.pool.order(address, request, CONTROL_TIMEOUT).await;
-                outcomes::classify_health_check(&ending_of(&result, ""))
+                outcomes::classify_health_check(&exchange_outcome(&result, ""))
             }
             None => (DispatchOutcome::Unreachable, LoadReport::default()),
         };
@@ -306,8 +311,8 @@
         });
     }
 
-    /// What load orders tell workers of their origin, if routers are to be told apart.
-    fn orderer<'a>(&'a self, term: Option<&'a str>) -> worker_requests::OrderIssuer<'a> {
+    /// The issuer that load and unload orders name; contains the router's name only in a group.
+    fn order_issuer<'a>(&'a self, term: Option<&'a str>) -> worker_requests::OrderIssuer<'a> {
         worker_requests::OrderIssuer {
             router: self.peer_group.as_ref().map(PeerGroup::name),
             term,
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,6 +1,6 @@
-//! Connections to workers, with one request at a time on each; cancelling a request closes its connection.
-//! Each ending is interpreted by the table in `cedarpulley_kserve::endings`; the number of bytes accepted by
-//! the kernel proves whether anything was sent.
+//! Connections to workers, each carrying one request at a time; cancelling a request closes its connection.
+//! `cedarpulley_kserve::outcomes` classifies the result of each exchange; the number of bytes accepted by the kernel
+//! proves whether anything was sent.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,10 +23,10 @@
 use hyper::{HeaderMap, Request, StatusCode};
 use smol_hyper::rt::FuturesIo;
 
-/// Limits on the head of an answer: beyond, a worker sends headers without end.
+/// Limits on the head of an answer, against a worker that sends headers without end.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 const MAX_HEADERS: usize = 100;
-/// Concurrent load orders and queries at one worker, beside the invocations.
+/// Limit on concurrent load orders and queries at one worker, in addition to invocations.
 const MAX_ORDERS: usize = 32;
 
 /// Configuration of the connections; times in microseconds.
@@ -34,17 +34,17 @@
 pub struct PoolSettings {
     /// Local address that connections are bound to.
     pub local_address: Option<IpAddr>,
-    /// Time limit for connecting.
+    /// Time limit for connecting to a worker.
     pub connect_timeout: Micros,
-    /// Concurrent requests at one worker.
+    /// Limit on concurrent invocations at one worker.
     pub max_connections: usize,
     /// Idle connections are closed after this time.
     pub idle_timeout: Micros,
-    /// Largest body of an answer.
+    /// Size limit of an answer's body.
     pub max_answer_bytes: usize,
 }
 
-/// Counts the bytes that the kernel accepted.
+/// A stream that counts the bytes accepted by the kernel.
 struct CountingStream {
     stream: Stream,
     written: Rc<Cell<u64>>,
@@ -82,14 +82,15 @@
     }
 }
 
-/// Dropping it drops the driver, which closes the socket.
+/// An open connection. Dropping it drops its driver, which closes the socket.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
     _driver: Task<()>,
     written: Rc<Cell<u64>>,
 }
 
-/// The connections to one worker: idle ones with the time since when, and the slots in use.
+/// The connections to one worker: idle connections, each with the time at which it became idle, and the numbers of
+/// slots in use.
 #[derive(Default)]
 struct WorkerConnections {
     idle: Vec<(Connection, Micros)>,
@@ -103,31 +104,32 @@
     pub status: StatusCode,
     /// Headers of the answer.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// Complete body of the answer.
     pub body: Bytes,
 }
 
-/// Why there is no complete answer.
+/// Why an exchange produced no complete answer.
 pub enum ExchangeError {
     /// The worker did not accept a connection in time.
     NoConnection,
     /// The limit on concurrent requests at the worker is reached.
-    NoRoom,
-    /// The last check before the first byte found that it may no longer be sent.
-    HeldBack,
-    /// The connection broke off before the head of an answer, or an order timed out.
+    ConnectionLimit,
+    /// The last check before the first byte found that the request may no longer be sent.
+    NotSent,
+    /// The connection was lost before the head of an answer arrived, or an order timed out.
     Interrupted {
-        /// At least one byte of the request has left.
+        /// Whether at least one byte of the request was sent.
         sent: bool,
     },
-    /// The answer breaks the protocol, or broke off.
-    Garbled,
+    /// The answer violates the protocol, or was truncated.
+    MalformedAnswer,
     /// The answer's body is above the limit.
     TooLarge,
 }
 
-/// The input of the ending table for an exchange about this function.
-pub fn ending_of<'a>(
+/// Converts the result of an exchange about `function` to the input of the classification in
+/// `cedarpulley_kserve::outcomes`.
+pub fn exchange_outcome<'a>(
     result: &'a Result<Reply, ExchangeError>,
     function: &'a str,
 ) -> ExchangeOutcome<'a> {
@@ -139,12 +141,12 @@
             function,
         },
         Err(ExchangeError::NoConnection) => ExchangeOutcome::Unreachable,
-        Err(ExchangeError::NoRoom) => ExchangeOutcome::ConnectionLimit,
-        Err(ExchangeError::HeldBack) => ExchangeOutcome::ConnectionLost { bytes_sent: false },
+        Err(ExchangeError::ConnectionLimit) => ExchangeOutcome::ConnectionLimit,
+        Err(ExchangeError::NotSent) => ExchangeOutcome::ConnectionLost { bytes_sent: false },
         Err(ExchangeError::Interrupted { sent }) => {
             ExchangeOutcome::ConnectionLost { bytes_sent: *sent }
         }
-        Err(ExchangeError::Garbled) => ExchangeOutcome::MalformedResponse,
+        Err(ExchangeError::MalformedAnswer) => ExchangeOutcome::MalformedResponse,
         Err(ExchangeError::TooLarge) => ExchangeOutcome::ResponseTooLarge,
     }
 }
@@ -154,7 +156,7 @@
     executor: Rc<LocalExecutor<'static>>,
     clock: Clock,
     settings: PoolSettings,
-    /// By address, as the index of a departed worker is reused.
+    /// By address, as the index of a removed worker is reused.
     workers: RefCell<HashMap<SocketAddr, WorkerConnections>>,
     dispatches: RefCell<HashMap<Ticket, Task<()>>>,
 }
@@ -211,12 +213,12 @@
         }
     }
 
-    /// Keeps the task of a dispatch, so that it can be cancelled.
+    /// Stores the task of a dispatch, so that it can be cancelled.
     pub fn track(&self, ticket: Ticket, task: Task<()>) {
         self.dispatches.borrow_mut().insert(ticket, task);
     }
 
-    /// The dispatch's task is about to end by itself.
+    /// Stops tracking a dispatch whose task is about to end by itself.
     pub fn finished(&self, ticket: Ticket) {
         if let Some(task) = self.dispatches.borrow_mut().remove(&ticket) {
             task.detach();
@@ -225,7 +227,8 @@
 
     /// Cancels a dispatch: its connection closes.
     pub fn cancel(&self, ticket: Ticket) {
-        // Removed before it is dropped, as dropping it releases its slot and borrows the map of workers.
+        // The task is removed from the map before it is dropped, as dropping it releases its slot, which borrows the map
+        // of workers.
         let task = self.dispatches.borrow_mut().remove(&ticket);
         drop(task);
     }
@@ -267,7 +270,7 @@
             .max_headers(MAX_HEADERS);
         let (sender, connection) = builder.handshake(io).await.ok()?;
         let _driver = self.executor.spawn(async move {
-            // A failure is reported to whoever waits on the sender.
+            // A failure is also reported to the caller that waits on the sender.
             let _ = connection.await;
         });
         Some(Connection {
@@ -277,8 +280,8 @@
         })
     }
 
-    /// Sends one request and reads its whole answer. `may_send` is checked last, right before the first byte:
-    /// connecting takes time, and the process may have been suspended meanwhile.
+    /// Sends one request and reads its complete answer. `may_send` is checked immediately before the first byte is
+    /// sent: connecting takes time, and the process may have been suspended in the meantime.
     pub async fn exchange(
         &self,
         address: SocketAddr,
@@ -286,7 +289,8 @@
         is_order: bool,
         may_send: impl Fn() -> bool,
     ) -> Result<Reply, ExchangeError> {
-        let _slot = RequestSlot::acquire(self, address, is_order).ok_or(ExchangeError::NoRoom)?;
+        let _slot =
+            RequestSlot::acquire(self, address, is_order).ok_or(ExchangeError::ConnectionLimit)?;
         let mut connection = match self.take_idle(address) {
             Some(connection) => connection,
             None => self
@@ -295,7 +299,7 @@
                 .ok_or(ExchangeError::NoConnection)?,
         };
         if !may_send() {
-            return Err(ExchangeError::HeldBack);
+            return Err(ExchangeError::NotSent);
         }
         let written_before = connection.written.get();
         let answer = connection.sender.send_request(request.map(Full::new)).await;
@@ -303,7 +307,7 @@
             if connection.written.get() == written_before {
                 ExchangeError::Interrupted { sent: false }
             } else if error.is_parse() {
-                ExchangeError::Garbled
+                ExchangeError::MalformedAnswer
             } else {
                 ExchangeError::Interrupted { sent: true }
             }
@@ -322,7 +326,7 @@
         })
     }
 
-    /// Reads the whole body of an answer, up to the limit.
+    /// Reads the complete body of an answer, up to the size limit.
     async fn read_body(&self, mut body: Incoming) -> Result<Bytes, ExchangeError> {
         let max_bytes = self.settings.max_answer_bytes;
         if body.size_hint().lower() > max_bytes as u64 {
@@ -332,7 +336,7 @@
         let mut size = 0;
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
-                return Err(ExchangeError::Garbled);
+                return Err(ExchangeError::MalformedAnswer);
             };
             if let Ok(data) = frame.into_data() {
                 size += data.len();
@@ -349,7 +353,7 @@
         })
     }
 
-    /// The connection used last, as it is the least likely to have been closed.
+    /// Takes the idle connection that was used last, as it is the least likely to have been closed.
     fn take_idle(&self, worker: SocketAddr) -> Option<Connection> {
         let mut closed = Vec::new();
         let mut workers = self.workers.borrow_mut();
@@ -365,7 +369,7 @@
         found
     }
 
-    /// A load order or query, given up after `within` microseconds.
+    /// Sends a load order or query with a time limit of `within` microseconds.
     pub async fn order(
         &self,
         address: SocketAddr,
--- a/crates/gateway/src/reconciliation_query.rs
+++ b/crates/gateway/src/reconciliation_query.rs
@@ -27,7 +27,7 @@
     let response = pool.order(address, request, QUERY_TIMEOUT).await;
     let parsed = match response {
         Ok(reply) => repository_index::parse(reply.status.as_u16(), &reply.headers, &reply.body),
-        Err(ExchangeError::Garbled | ExchangeError::TooLarge) => {
+        Err(ExchangeError::MalformedAnswer | ExchangeError::TooLarge) => {
             Err(repository_index::InvalidIndex::Malformed)
         }
         Err(_) => return None,
--- a/crates/gateway/src/request_handling.rs
+++ b/crates/gateway/src/request_handling.rs
@@ -1,7 +1,7 @@
-//! What the KServe fronts have in common: which requests are open, and who waits for which answer. Requests are parsed
-//! in [`request_parsing`](crate::request_parsing), answers written by [`answer_body`](crate::answer_body). The protocols
-//! are in `rest.rs` and `grpc.rs`, connections come from `client_listener.rs`; whether a request is admitted is decided
-//! in the core (`cedarpulley_router::entry`).
+//! Shared by the KServe fronts: tracks the open requests and delivers each answer to its request.
+//! [`request_parsing`](crate::request_parsing) parses requests, and [`answer_body`](crate::answer_body) writes answers.
+//! `rest.rs` and `grpc.rs` implement the protocols, and `client_listener.rs` accepts connections. The core decides
+//! whether a request is admitted (`cedarpulley_router::admission_control`).
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,27 +21,27 @@
 
 /// The state of one KServe front.
 pub struct RequestHandler {
-    /// Index of this front, for the core.
+    /// Index of this front in the core.
     pub front: FrontIndex,
     /// The context of the router.
     pub context: Rc<GatewayContext>,
-    /// Shared with the other KServe fronts.
+    /// Resources shared with the other KServe fronts.
     pub resources: Rc<HandlerResources>,
-    /// Largest body of a request.
+    /// Size limit of a request's body, in bytes.
     pub max_body_bytes: u64,
-    /// Limit on concurrent requests of one connection, where the protocol has them.
+    /// Limit on concurrent requests of one connection; applies to gRPC only.
     pub max_streams: u32,
-    /// How many requests the core admits at once.
+    /// Number of requests that the core admits at once.
     granted: Cell<u32>,
     open_requests: Cell<u32>,
-    /// Connections with at least one open request.
+    /// Number of connections with at least one open request.
     connections: Cell<u32>,
     next_tag: Cell<u64>,
     decision: Cell<Option<AdmissionDecision>>,
     waiting: RefCell<HashMap<u64, Sender<Answer>>>,
 }
 
-/// An admitted request. If its client disconnects, this is dropped, and the core is notified.
+/// An admitted request. If its client disconnects, the request is dropped, which notifies the core.
 pub struct OpenRequest {
     handler: Rc<RequestHandler>,
     client: Rc<ClientConnection>,
@@ -67,7 +67,7 @@
             true => Input::AnswerDelivered(self.delivery),
             false => Input::ClientLeft(self.delivery),
         };
-        // Not called directly: a drop may happen while the core is running.
+        // Fed from a task, as the drop may happen while the core is running.
         let context = handler.context.clone();
         handler
             .context
@@ -77,8 +77,8 @@
     }
 }
 
-/// Serves a connection until it ends. On a stop signal it announces the shutdown and completes its open
-/// requests. How it ended does not matter: requests still open then were dropped.
+/// Serves a connection until it ends. When `stop` is notified, announces the shutdown to the client and completes the
+/// open requests. The result of the connection is ignored: requests still open at its end have been dropped.
 pub(crate) async fn serve_until_closed<C: Future>(
     mut connection: Pin<&mut C>,
     stop: Notifier,
@@ -99,15 +99,18 @@
 }
 
 impl OpenRequest {
-    /// Hands the request to the core and waits for its answer; absent only by a defect of the core.
-    pub async fn answer(mut self, mut taken: IncomingInvocation) -> Option<(Answer, UnreadAnswer)> {
+    /// Hands the request to the core and waits for its answer; `None` only in case of a defect of the core.
+    pub async fn answer(
+        mut self,
+        mut invocation: IncomingInvocation,
+    ) -> Option<(Answer, UnreadAnswer)> {
         let (sender, receiver) = bounded(1);
         self.handler
             .waiting
             .borrow_mut()
             .insert(self.delivery.tag, sender);
-        taken.waited += self.handler.context.clock.now() - self.admitted_at;
-        self.handler.context.feed(Input::MessageArrived(taken));
+        invocation.waited += self.handler.context.clock.now() - self.admitted_at;
+        self.handler.context.feed(Input::MessageArrived(invocation));
         let answer = receiver.recv().await.ok()?;
         self.answered = true;
         let unread = UnreadAnswer::begin(&self.handler.resources, &self.client, answer.body.len());
@@ -116,7 +119,7 @@
 }
 
 impl RequestHandler {
-    /// A front without requests; it is ready once the core has granted some.
+    /// Creates a front without requests; it is ready once the core admits requests.
     pub fn new(
         front: FrontIndex,
         context: Rc<GatewayContext>,
@@ -139,35 +142,35 @@
         }
     }
 
-    /// The core admits this many requests at once; none while it is 0.
+    /// Sets how many requests the core admits at once; 0 for none.
     pub fn grant(&self, limit: u32) {
         self.granted.set(limit);
     }
 
-    /// The front takes requests.
+    /// Returns whether the front accepts requests.
     pub fn is_ready(&self) -> bool {
         self.granted.get() > 0
     }
 
-    /// The core's decision on the request that is being admitted.
-    pub fn set_decision(&self, entry: AdmissionDecision) {
-        self.decision.set(Some(entry));
+    /// Stores the core's decision on the request that is being admitted.
+    pub fn set_decision(&self, decision: AdmissionDecision) {
+        self.decision.set(Some(decision));
     }
 
-    /// Hands an answer to the request that waits for it.
+    /// Passes an answer to the request that waits for it.
     pub fn deliver(&self, delivery: Delivery, answer: Answer) {
         if let Some(waiter) = self.waiting.borrow_mut().remove(&delivery.tag) {
-            // A client that has just disconnected gets no answer.
+            // Fails only if the client has just disconnected.
             let _ = waiter.try_send(answer);
         }
     }
 
-    /// No request is open here, and the answers of all KServe fronts have been read.
+    /// Returns whether no request of this front is open, and the answers of all KServe fronts have been read.
     pub fn is_drained(&self) -> bool {
         self.open_requests.get() == 0 && self.resources.unread_bytes.get() == 0
     }
 
-    /// A new identification for a request.
+    /// Creates a unique identification for a request.
     pub fn delivery(&self) -> Delivery {
         let tag = self.next_tag.get();
         self.next_tag.set(tag + 1);
@@ -182,14 +185,14 @@
     pub fn admit(
         self: &Rc<Self>,
         client: &Rc<ClientConnection>,
-        taken: &IncomingInvocation,
+        invocation: &IncomingInvocation,
         bytes: u64,
     ) -> Result<OpenRequest, AdmissionDecision> {
-        let delivery = taken.delivery;
+        let delivery = invocation.delivery;
         let request = AdmissionRequest {
-            trigger: taken.trigger,
-            account: taken.account,
-            waited: taken.waited,
+            trigger: invocation.trigger,
+            account: invocation.account,
+            waited: invocation.waited,
             bytes,
             connection_in_flight: client.open_requests(),
             unread_answers: client.unread_answers(),
@@ -204,7 +207,7 @@
         match self.decision.take() {
             Some(AdmissionDecision::Admitted) => {}
             Some(rejection) => return Err(rejection),
-            // The core decides for each request, so that this is a defect of the core.
+            // The core decides on each request at once; a missing decision is a defect of the core.
             None => return Err(AdmissionDecision::Admitted),
         }
         self.open_requests.set(self.open_requests.get() + 1);
--- a/crates/gateway/src/request_parsing.rs
+++ b/crates/gateway/src/request_parsing.rs
@@ -1,4 +1,4 @@
-//! Parses requests of KServe clients: heads with all names resolved, sessions, and bodies within their limits of size
+//! Parses requests of KServe clients: heads, whose names are resolved, and sessions. Reads bodies within limits of size
 //! and time.
 
 use std::sync::Arc;
@@ -18,22 +18,22 @@
 use crate::client_connection::ClientConnection;
 use crate::request_handling::RequestHandler;
 
-/// A body has to be complete within this time after its head, in microseconds.
+/// Time limit for reading a body after its head, in microseconds.
 const BODY_TIMEOUT: Micros = 10_000_000;
-/// Correlates the logs of clients, routers and workers.
+/// Header whose value correlates the logs of clients, routers and workers.
 const REQUEST_ID: &str = "x-request-id";
 
-/// Why a body could not be read whole.
+/// Why a body could not be read completely.
 pub enum BodyError {
-    /// It is longer than allowed.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The client disconnected, or broke the protocol.
+    /// The client disconnected, or violated the protocol.
     Interrupted,
-    /// It was not complete in time.
+    /// The body was not complete within the time limit.
     TimedOut,
 }
 
-/// Limits the time for reading a body.
+/// Runs `reading` with the time limit for a body.
 pub(crate) async fn with_body_timeout<T>(
     reading: impl Future<Output = Result<T, BodyError>>,
 ) -> Result<T, BodyError> {
@@ -44,7 +44,7 @@
     reading.or(timeout).await
 }
 
-/// Reads a whole body of up to `max_bytes`; `first` are the bytes already read.
+/// Reads a complete body of up to `max_bytes`; `first` contains the bytes already read.
 pub(crate) async fn read_body(
     mut body: Incoming,
     first: Bytes,
@@ -125,7 +125,8 @@
     })
 }
 
-/// The account of a request: the one that it names, which has to be that of the client's certificate, if there is one.
+/// The account of a request: that of the client's certificate, if it is bound to one, otherwise the account that the
+/// request names. A request may not name an account other than that of its certificate.
 fn account(
     handler: &RequestHandler,
     client: &ClientConnection,
@@ -153,7 +154,7 @@
     }
 }
 
-/// The session given in a request's body, if sessions are tracked.
+/// Parses the session in a request's body, if sessions are tracked.
 pub(crate) fn parse_session(
     handler: &RequestHandler,
     body: &Payload,
--- a/crates/gateway/src/resources.rs
+++ b/crates/gateway/src/resources.rs
@@ -1,5 +1,5 @@
-//! What a router must have before it runs: its files, its sockets and its core. Acquired in a fixed order, so that a
-//! router that cannot start fails with the same error each time.
+//! The resources that a router acquires before it runs: its files, sockets and core. They are acquired in a fixed
+//! order, so that a router that cannot start fails with the same error each time.
 
 use std::net::TcpListener;
 use std::path::PathBuf;
@@ -30,7 +30,7 @@
 /// A KServe listener with its TLS configuration, if it has one.
 pub(crate) type ListenerWithTls = (ListenerSettings, Option<Rc<ServerTls>>);
 
-/// All that the parts of a router are built from.
+/// The resources that the components of a router are built from.
 pub(crate) struct Resources {
     pub(crate) name: String,
     pub(crate) clock: Clock,
@@ -50,20 +50,20 @@
     pub(crate) fault: Option<InjectedFault>,
 }
 
-/// What the parts are built from that rest on the peer group and on the workers' reports.
+/// The resources of the components that depend on the peer group or on the workers' reports.
 pub(crate) struct GroupResources {
     pub(crate) peer_group: Option<PeerGroupResources>,
     pub(crate) upgrade: Option<UpgradeSettings>,
     pub(crate) reconcile: Option<ReconcileSettings>,
     pub(crate) sessions: Option<sessions::SessionSettings>,
-    /// How long the decision module assumes that a copy exists after its last use, in microseconds.
+    /// Time after a copy's last use in which the decision module assumes that the copy still exists, in microseconds.
     pub(crate) idle_retention: Micros,
-    /// Memory in MB by kind of worker.
+    /// Memory in MB, by index of the kind of worker.
     pub(crate) memory_mb: Vec<f64>,
 }
 
 impl Resources {
-    /// Opens files and binds sockets. Fails if an address is taken, or a file or folder cannot be used.
+    /// Opens files and binds sockets. Fails if an address is in use, or a file or folder cannot be used.
     pub(crate) fn acquire(
         name: &str,
         settings: RouterSettings,
@@ -86,8 +86,8 @@
         let metering = begin_metering(name, settings.ledger_folder, &settings.names, &clock)?;
         let balancer = settings.startup.balancer(seed);
         let loads = settings.startup.loads;
-        let mut router = Router::new(balancer, settings.startup.triggers, settings.core_terms);
-        observe(&mut router, trace_recorder.as_ref(), metering.as_ref());
+        let mut router = Router::new(balancer, settings.startup.triggers, settings.core_settings);
+        register_observers(&mut router, trace_recorder.as_ref(), metering.as_ref());
         Ok(Resources {
             name: name.to_owned(),
             clock,
@@ -115,13 +115,13 @@
     }
 }
 
-/// A seed that differs between starts, for routers without a configured one.
+/// A seed that differs between starts, for routers without a configured seed.
 fn fresh_seed(clock: &Clock) -> u64 {
     clock.wall_time() as u64 ^ u64::from(std::process::id()) << 40
 }
 
-/// Registers what records the core's events.
-fn observe(
+/// Registers the trace recorder and the metering, if configured, with the core.
+fn register_observers(
     router: &mut Router,
     trace_recorder: Option<&TraceRecorder>,
     metering: Option<&Metering>,
@@ -196,7 +196,7 @@
     let Some(folder) = folder else {
         return Ok(None);
     };
-    // Unique among processes with all but certainty.
+    // A random UUID, so that it is unique to this process.
     let source = uuid::Uuid::new_v4().as_u128();
     let wall_at_zero = clock.wall_time() - clock.now();
     Metering::begin(folder, name, source, names.accounts.clone(), wall_at_zero).map(Some)
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs one router until a signal stops it: all on one thread, so that the core's decisions need no locks.
+//! Runs one router until a signal stops it. All tasks run on one thread, so that the core needs no locks.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -20,19 +20,19 @@
 use crate::settings::{RouterSettings, WorkerList};
 use crate::{wiring, worker_list};
 
-/// How often idle connections are checked.
+/// Interval at which idle connections to workers are closed.
 const CLOSE_IDLE_INTERVAL: Duration = Duration::from_secs(5);
-/// How often blocks and sums that are old are written, though nothing more comes: otherwise a kill would lose what
-/// is minutes old.
+/// Interval at which old trace blocks and usage sums are written. Without it, a router that receives no further events
+/// would keep them in memory, and a kill would lose data that is minutes old.
 const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a router does not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// A file, a socket or another resource of the system.
+    /// A file, a socket or another resource of the operating system is not available.
     #[error("{0}")]
     System(#[from] std::io::Error),
-    /// The peer group.
+    /// The peer group cannot be joined.
     #[error(transparent)]
     Group(#[from] PeerGroupError),
 }
@@ -41,14 +41,14 @@
     fn remedy(&self) -> &'static str {
         match self {
             StartError::System(_) => {
-                "see that its addresses are free and its folders can be written to"
+                "check that the router's addresses are free and its folders are writable"
             }
             StartError::Group(failed) => failed.remedy(),
         }
     }
 }
 
-/// Runs one router until a signal to end. True if everything taken was answered.
+/// Runs one router until SIGTERM or SIGINT. Returns true if every accepted request was answered.
 pub fn run(
     name: &str,
     settings: RouterSettings,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,9 +1,9 @@
-//! The settings of one router, read from TOML and rejected as a whole if anything is wrong. Each part of the program is
-//! handed only its own; docs/operate/settings.md documents the keys.
+//! The settings of one router, read from TOML and rejected as a whole if they contain any error. Each component receives
+//! only its own settings; docs/operate/settings.md documents the keys.
 //!
-//! This module knows all sections and checks them against each other. Each section is read in `core_settings`,
-//! `front_settings`, `group_settings`, `storage_settings` or `worker_settings`; these use `config_values` and
-//! [`config_reader`](crate::config_reader), and never this module.
+//! This module reads all sections and checks them against each other. The sections are parsed in `core_settings`,
+//! `front_settings`, `group_settings`, `storage_settings` and `worker_settings`, which use `config_values` and
+//! [`config_reader`](crate::config_reader), but not this module.
 
 use std::path::{Path, PathBuf};
 
@@ -33,16 +33,16 @@
 use crate::worker_settings;
 pub use crate::worker_settings::WorkerList;
 
-/// All settings, handed on to the parts one by one.
+/// All settings of a router.
 pub struct RouterSettings {
-    /// Without one each start draws differently.
+    /// Seed of all random draws; without it, each start uses a different one.
     pub seed: Option<u64>,
-    /// What the decision module starts with.
+    /// Initial settings of the decision module.
     pub startup: StartupSettings,
-    /// The names of zones, kinds of workers, trigger types and accounts, by their index.
+    /// The names of zones, kinds of workers, trigger types and accounts, by index.
     pub names: Names,
     /// Limits of the core.
-    pub core_terms: CoreSettings,
+    pub core_settings: CoreSettings,
     /// The queues to consume from.
     pub amqp_sources: Vec<AmqpSource>,
     /// The addresses to listen on for KServe clients.
@@ -51,19 +51,19 @@
     pub workers: WorkerList,
     /// Limits of the connections to workers.
     pub pool: PoolSettings,
-    /// Largest body of a request.
+    /// Size limit of a request's body, in bytes.
     pub max_body_bytes: u64,
     /// The accounts that names in client certificates are bound to.
     pub certificate_accounts: ClientAccounts,
-    /// Where a trace is recorded, if it is.
+    /// Recording of a trace, if configured.
     pub trace: Option<TraceSettings>,
-    /// Folder of the usage ledger (memory-seconds), if usage is metered.
+    /// Folder of the usage ledger (memory-seconds), if metering is configured.
     pub ledger_folder: Option<PathBuf>,
     /// Digest of the settings' text.
     pub digest: [u8; 32],
-    /// Offset of the wall clock in microseconds; only where `[rig]` is allowed.
+    /// Offset of the wall clock in microseconds, for tests; only `[rig]` can set it.
     pub clock_offset: Micros,
-    /// The group that this router shares its records with, if any.
+    /// The group whose members this router shares records with, if any.
     pub peers: Option<PeerSettings>,
     /// Upgrades of models, if configured.
     pub upgrade: Option<UpgradeSettings>,
@@ -73,8 +73,8 @@
     pub sessions: Option<sessions::SessionSettings>,
 }
 
-/// Reads the settings from `text`, and the certificates that it names relative to the folder of `file`.
-/// `rig`: for a router under test, which may have `[rig]`. All errors are returned together.
+/// Reads the settings from `text`, and the certificates that they name; paths are relative to the folder of `file`.
+/// `rig`: allows the section `[rig]`, for a router under test. All errors are returned together.
 pub fn read(file: &str, text: &str, rig: bool) -> Result<RouterSettings, ConfigErrors> {
     let (document, table) = ConfigDocument::parse(file, text)?;
     let folder = Path::new(file).parent().unwrap_or(Path::new(""));
@@ -113,7 +113,7 @@
     }
     RouterSettings {
         seed: core.router.seed,
-        core_terms: core.terms(fronts.weights, peers.as_ref()),
+        core_settings: core.core_settings(fronts.weights, peers.as_ref()),
         amqp_sources: fronts.amqp_sources,
         listeners: fronts.listeners,
         workers,
@@ -142,11 +142,11 @@
     }
 }
 
-/// The sections of the ways in for requests.
+/// The settings of the fronts.
 struct FrontSections {
     amqp_sources: Vec<AmqpSource>,
     listeners: Vec<ListenerSettings>,
-    /// By front, AMQP before KServe.
+    /// Weights by front index, AMQP before KServe.
     weights: Vec<f64>,
 }
 
@@ -172,7 +172,7 @@
     }
 }
 
-/// The sections that the core and its decision module are made from.
+/// The settings of the core and its decision module.
 struct CoreSections {
     names: Names,
     router: RouterSection,
@@ -182,7 +182,7 @@
     loads: LoadSettings,
     prices: Prices,
     triggers: Vec<TriggerType>,
-    /// By trigger type: whether it is sent without a majority of the group.
+    /// By trigger type: whether its invocations are sent without a majority of the group.
     sends_without_majority: Vec<bool>,
     accounts: Vec<Account>,
     certificate_accounts: ClientAccounts,
@@ -237,8 +237,8 @@
             .unwrap_or(0)
     }
 
-    /// The limits of the core. `front_weights`: by front, AMQP before KServe.
-    fn terms(&self, front_weights: Vec<f64>, peers: Option<&PeerSettings>) -> CoreSettings {
+    /// The limits of the core. `front_weights`: weights by front index, AMQP before KServe.
+    fn core_settings(&self, front_weights: Vec<f64>, peers: Option<&PeerSettings>) -> CoreSettings {
         CoreSettings {
             answer_margin: self.router.answer_margin,
             clock_margin: self.router.clock_margin,
@@ -256,24 +256,24 @@
     }
 }
 
-/// Requests need a front; a witness has none.
+/// Checks that the router has at least one front, or none if it is a witness.
 fn check_fronts(root: &Section, no_front: bool, peers: Option<&PeerSettings>) {
     let is_witness =
         peers.is_some_and(|peers| peers.group.members[peers.group.own_index as usize].witness);
     match (no_front, is_witness) {
         (true, false) => root.error(
             "amqp",
-            "neither a broker's queue nor an address to listen on is given",
+            "no front is configured; set at least one amqp or kserve section",
         ),
         (false, true) => root.error(
             "peers",
-            "a witness takes no invocations; it needs no amqp and no kserve",
+            "a witness accepts no invocations; remove its amqp and kserve sections",
         ),
         _ => {}
     }
 }
 
-/// The sections that rest on the workers' reports and on the group.
+/// The settings of the components that depend on the workers' reports or on the group.
 struct GroupSections {
     upgrade: Option<UpgradeSettings>,
     reconcile: Option<ReconcileSettings>,
@@ -294,7 +294,8 @@
             root.has("reconcile"),
         );
         let reconcile = group_settings::reconcile(&root.section("reconcile"));
-        let slowest_poll = reconcile.map_or(0, |reconcile| longest_interval(reconcile.interval));
+        let longest_poll_interval =
+            reconcile.map_or(0, |reconcile| longest_interval(reconcile.interval));
         let upgrade = upgrade.map(|upgrade| UpgradeSettings {
             latency_objectives: core
                 .triggers
@@ -304,10 +305,10 @@
             memory_mb: core.loads.memory_mb.clone(),
             terms: upgrade
                 .terms
-                .adjusted_to(slowest_poll, core.loads.idle_retention),
+                .adjusted_to(longest_poll_interval, core.loads.idle_retention),
             ..upgrade
         });
-        // Without upgrades, sessions are tracked only for their workers.
+        // Without upgrades, sessions are tracked only to prefer their workers.
         let sessions = sessions.or(reconcile.map(|_| DEFAULT_SESSION_TERMS));
         GroupSections {
             upgrade,
--- a/crates/gateway/src/shared_state.rs
+++ b/crates/gateway/src/shared_state.rs
@@ -1,6 +1,6 @@
-//! The interface of the group's shared state for other parts of this router: [`SharedState`]. A part
-//! publishes notes, has a majority decide, reads what other members published, and subscribes to changes of
-//! its own keys. It needs to know neither the transport nor the agreement protocol.
+//! The interface of the group's shared state for the other components of this router: [`SharedState`]. A component
+//! publishes notes, has values decided by a majority, reads notes published by other members, and subscribes to
+//! changes of its own keys. It depends neither on the transport nor on the agreement protocol.
 
 use std::rc::Rc;
 
@@ -12,35 +12,35 @@
 use crate::peer_events::PeerEvent;
 use crate::peers::Peers;
 
-/// The shared state as other parts of this router use it. Cheap to clone.
+/// The shared state as used by the other components of this router. Cheap to clone.
 #[derive(Clone)]
 pub struct SharedState(Rc<Peers>);
 
-/// A member of the group, as other parts see it.
+/// A member of the group, as seen by the other components.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// Its name as configured.
+    /// Configured name of the member.
     pub name: String,
-    /// Its region as configured.
+    /// Configured region of the member.
     pub region: String,
-    /// It is believed to be alive.
+    /// Whether the failure detector considers the member alive.
     pub alive: bool,
 }
 
 impl SharedState {
-    /// The interface of this state.
+    /// Creates the interface of the state in `peers`.
     pub fn new(peers: Rc<Peers>) -> SharedState {
         SharedState(peers)
     }
 
-    /// `listener` receives events of keys with this prefix, and every change of the believed members. It is
-    /// called after the event, never from within a call to this type.
+    /// Subscribes to events of keys with this prefix, and to every change of the members considered alive. `listener`
+    /// is called after the event, never from within a call to this type.
     pub fn subscribe(&self, prefix: &'static str, listener: impl Fn(PeerEvent) + 'static) {
         self.0.subscribe(prefix, Rc::new(listener));
     }
 
-    /// Publishes an observation; a later observation of the same thing needs a higher version. It is
-    /// forgotten after `retention` (microseconds).
+    /// Publishes a note; a later note under the same key needs a higher version. It is deleted after `retention`
+    /// (microseconds).
     pub fn note(&self, key: Key, version: (u64, u64), value: Bytes, retention: Micros) {
         self.0.apply_replica(Input::PublishNote {
             key,
@@ -50,8 +50,8 @@
         });
     }
 
-    /// Has a majority decide the value of a key, one proposal at a time. The value decided, whoever proposed
-    /// it, comes as [`PeerEvent::Decided`].
+    /// Proposes a value for a key, to be decided by a majority; one proposal is processed at a time. The decided value,
+    /// which may have been proposed by another member, is reported as [`PeerEvent::Decided`].
     pub fn choose(&self, key: Key, value: Bytes, retention: Micros) {
         self.0.apply_replica(Input::Choose {
             key,
@@ -60,7 +60,7 @@
         });
     }
 
-    /// Asks for the leadership of a key; [`PeerEvent::Decided`] tells whether this member may write in a
+    /// Requests the leadership of a key; [`PeerEvent::Decided`] reports whether this member may write in a
     /// term.
     pub fn lead(&self, key: Key, retention: Micros) {
         self.0.apply_replica(Input::Lead { key, retention });
@@ -77,7 +77,7 @@
         });
     }
 
-    /// The latest note that this member knows under a key.
+    /// The latest note under a key that this member has stored.
     pub fn latest_note(&self, key: &str) -> Option<Note> {
         self.0.inspect(|state| match state.replica.record(key) {
             Some(Record::Note(note)) => Some(note.clone()),
@@ -85,7 +85,7 @@
         })
     }
 
-    /// The value that this member knows to have been accepted last; a majority may know a later one.
+    /// The value of a key that this member accepted last; a majority may have accepted a later one.
     pub fn accepted(&self, key: &str) -> Option<(Ballot, Bytes)> {
         self.0.inspect(|state| match state.replica.record(key) {
             Some(Record::Choice(choice)) => choice.accepted.clone(),
@@ -93,7 +93,7 @@
         })
     }
 
-    /// The same for all keys with this prefix.
+    /// The values of all keys with this prefix that this member accepted last.
     pub fn all_accepted(&self, prefix: &str) -> Vec<(Key, Ballot, Bytes)> {
         self.0.inspect(|state| {
             let matching = state
@@ -111,7 +111,7 @@
         })
     }
 
-    /// Adds a section of this name to `GET /state`.
+    /// Adds a section with this name to the response of `GET /state`.
     pub fn add_state_provider(
         &self,
         name: &'static str,
@@ -140,7 +140,8 @@
         self.0.inspect(|state| state.membership.group().own_index)
     }
 
-    /// All members by index. `alive` is as believed, so that a flapping link does not show.
+    /// All members, by index. [`MemberView::alive`] is taken from the stabilized view, so that a flapping link does not
+    /// change it repeatedly.
     pub fn members(&self) -> Vec<MemberView> {
         self.0.inspect(|state| {
             let members = state.membership.group().members.iter().zip(0..);
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown of a router: it takes nothing new, answers what was taken, and ends in good order.
+//! The graceful shutdown of a router: rejects new requests, answers accepted ones, and closes connections and files.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 
 use crate::gateway::Gateway;
 
-/// How long open requests have beyond the longest client timeout, in microseconds.
+/// Additional time for open requests after the longest client timeout, in microseconds.
 const STOP_MARGIN: Micros = 2_000_000;
-/// How often it is checked whether everything is answered.
+/// Interval at which the shutdown checks whether all requests are answered.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Gateway {
-    /// Takes nothing new, answers what was taken, acknowledges, and ends. `longest_client_timeout`: in
-    /// microseconds. True if everything taken was answered.
+    /// Shuts the router down: rejects new requests, answers and acknowledges accepted ones, and closes connections and
+    /// files. `longest_client_timeout`: in microseconds. Returns true if every accepted request was answered.
     pub(crate) async fn stop(self: &Rc<Self>, longest_client_timeout: Micros) -> bool {
         tracing::info!("graceful shutdown began");
         self.feed(Input::Stop);
@@ -25,8 +25,8 @@
             .for_each(|listener| listener.stop());
         let until = self.context.clock.now() + longest_client_timeout + STOP_MARGIN;
         while !self.is_drained() && self.context.clock.now() < until {
-            // Repeated, as a connection to the broker that came up during the shutdown would otherwise
-            // consume and never close in good order.
+            // Repeated, as a connection to the broker that is established during the shutdown would otherwise
+            // consume messages and not be closed normally.
             self.fronts.iter().for_each(|front| front.grant(0));
             Timer::after(STOP_POLL_INTERVAL).await;
         }
@@ -50,7 +50,7 @@
         clean
     }
 
-    /// No request is open in the core, waits for admission, or has an answer on its way.
+    /// Returns whether no request is open in the core, waits for admission, or has an undelivered answer.
     fn is_drained(&self) -> bool {
         self.router.borrow().unfinished() == 0
             && self
--- a/crates/gateway/src/state_endpoint.rs
+++ b/crates/gateway/src/state_endpoint.rs
@@ -12,8 +12,9 @@
 use crate::peers::{PeerStateView, Peers};
 use crate::send_queue::TransportCounts;
 
-fn liveness_name(standing: MemberState) -> &'static str {
-    match standing {
+/// The name of a member's state in the responses.
+fn liveness_name(state: MemberState) -> &'static str {
+    match state {
         MemberState::Unknown => "unknown",
         MemberState::Alive => "alive",
         MemberState::Suspected => "suspected",
@@ -24,37 +25,44 @@
 /// The name of the stage that a record has reached.
 fn record_stage(record: &Record) -> &'static str {
     match record {
-        Record::Invocation(e) if e.closed => "closed",
-        Record::Invocation(e) if e.has_conflict => "fault",
-        Record::Invocation(e) if e.answer.is_some() => "answered",
-        Record::Invocation(e)
-            if e.intents
+        Record::Invocation(entry) if entry.closed => "closed",
+        Record::Invocation(entry) if entry.has_conflict => "fault",
+        Record::Invocation(entry) if entry.answer.is_some() => "answered",
+        Record::Invocation(entry)
+            if entry
+                .intents
                 .values()
-                .any(|s| s.state == SentState::Indeterminate) =>
+                .any(|intent| intent.state == SentState::Indeterminate) =>
         {
             "may-have-run"
         }
-        Record::Invocation(e) if e.intents.values().any(|s| s.state == SentState::Intended) => {
+        Record::Invocation(entry)
+            if entry
+                .intents
+                .values()
+                .any(|intent| intent.state == SentState::Intended) =>
+        {
             "intended"
         }
-        Record::Invocation(e) if e.taken => "taken",
+        Record::Invocation(entry) if entry.taken => "taken",
         Record::Invocation(_) => "fenced",
         Record::Choice(_) => "choice",
         Record::Note(_) => "note",
     }
 }
 
-/// Merges the counts of several parts into one object; their names are distinct.
-fn merged_counts(parts: &[&dyn ToJson]) -> Value {
+/// Merges the counts of several components into one object; the names of the counts are distinct.
+fn merged_counts(components: &[&dyn ToJson]) -> Value {
     let mut all = Map::new();
-    for part in parts {
-        if let Value::Object(counts) = part.to_json() {
+    for component in components {
+        if let Value::Object(counts) = component.to_json() {
             all.extend(counts);
         }
     }
     Value::Object(all)
 }
 
+/// Conversion to JSON that can be called on a trait object.
 trait ToJson {
     fn to_json(&self) -> Value;
 }
@@ -65,7 +73,7 @@
     }
 }
 
-/// The whole state as JSON; docs/operate/group.md describes its keys.
+/// The complete state as JSON; docs/operate/group.md describes its keys.
 pub fn state(peers: &Peers, transport: TransportCounts) -> Value {
     let mut state = group_state(peers, transport);
     if let Value::Object(state) = &mut state {
@@ -79,10 +87,11 @@
     state
 }
 
-/// Records by stage; and by owner and stage, those that a member that fails now would leave to the others.
+/// Numbers of records.
 #[derive(Default)]
 struct RecordCounts<'a> {
     by_stage: BTreeMap<&'a str, u64>,
+    /// By owner and stage: the open invocations that the other members would take over if the owner failed now.
     open: BTreeMap<&'a str, BTreeMap<&'a str, u64>>,
 }
 
@@ -117,12 +126,12 @@
         } = view;
         let group = membership.group();
         let member = |m: MemberIndex| {
-            let (known, settings) = (membership.status(m), &group.members[m as usize]);
+            let (status, settings) = (membership.status(m), &group.members[m as usize]);
             json!({
                 "name": settings.name, "region": settings.region, "weight": settings.weight, "witness": settings.witness,
-                "standing": liveness_name(known.state), "why": known.reason, "for_us": now - known.since,
-                "turn": known.incarnation.number, "process": format!("{:016x}", known.incarnation.nonce),
-                "heard_us_ago": known.last_received.map(|at| now - at), "believed_alive": believed.is_alive(m),
+                "standing": liveness_name(status.state), "why": status.reason, "for_us": now - status.since,
+                "turn": status.incarnation.number, "process": format!("{:016x}", status.incarnation.nonce),
+                "heard_us_ago": status.last_received.map(|at| now - at), "believed_alive": believed.is_alive(m),
                 "refused": peers.rejections(Some(m)),
             })
         };
@@ -180,8 +189,8 @@
             ];
             metrics::gauge!("cedarpulley_group_member", &labels).set(1.0);
         }
-        let faults = state["conflicts"].as_u64().unwrap_or(0);
-        metrics::counter!("cedarpulley_group_conflicts_total").absolute(faults);
+        let conflicts = state["conflicts"].as_u64().unwrap_or(0);
+        metrics::counter!("cedarpulley_group_conflicts_total").absolute(conflicts);
     });
     handle.render()
 }
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -8,7 +8,7 @@
 use async_executor::LocalExecutor;
 use bytes::Bytes;
 use cedarpulley::interface::DispatchOutcome;
-use cedarpulley_gateway::pool::{Pool, PoolSettings, ending_of};
+use cedarpulley_gateway::pool::{Pool, PoolSettings, exchange_outcome};
 use cedarpulley_kserve::{outcomes, worker_requests};
 use cedarpulley_net::Clock;
 use cedarpulley_router::Ticket;
@@ -89,7 +89,7 @@
                 .exchange(address, infer(address), false, || true)
                 .or(late)
                 .await;
-            all.push(outcomes::classify_inference(&ending_of(&result, "f")).outcome);
+            all.push(outcomes::classify_inference(&exchange_outcome(&result, "f")).outcome);
             async_io::Timer::after(Duration::from_millis(30)).await;
         }
         all
@@ -122,7 +122,7 @@
     let result =
         async_io::block_on(executor.run(pool.exchange(address, infer(address), false, || false)));
     assert_eq!(
-        outcomes::classify_inference(&ending_of(&result, "f")).outcome,
+        outcomes::classify_inference(&exchange_outcome(&result, "f")).outcome,
         DispatchOutcome::NotSent
     );
 }
@@ -230,7 +230,7 @@
         async_io::Timer::after(Duration::from_millis(100)).await;
         let result = pool.exchange(address, infer(address), false, || true).await;
         assert_eq!(
-            outcomes::classify_inference(&ending_of(&result, "f")).outcome,
+            outcomes::classify_inference(&exchange_outcome(&result, "f")).outcome,
             DispatchOutcome::Rejected
         );
         pool.cancel(ticket);
