--- a/crates/gateway/src/copy_inventory.rs
+++ b/crates/gateway/src/copy_inventory.rs
@@ -43,6 +43,8 @@
 }
 
 impl CopyInventory {
+    /// Creates an inventory without copies. `memory_mb`: by index of the kind of worker, for workers that report no
+    /// memory.
     pub(crate) fn new(
         context: Rc<GatewayContext>,
         regions: BTreeMap<String, String>,
@@ -58,10 +60,12 @@
         }
     }
 
+    /// Sets the worker list.
     pub(crate) fn set_workers(&self, workers: WorkerMap) {
         *self.workers.borrow_mut() = Some(workers);
     }
 
+    /// Sets the source of the copies that workers hold.
     pub(crate) fn set_holdings_source(&self, source: HoldingsSource) {
         *self.holdings.borrow_mut() = Some(source);
     }
--- a/crates/gateway/src/front_settings.rs
+++ b/crates/gateway/src/front_settings.rs
@@ -91,13 +91,13 @@
         .map_or(0, |since| since.as_micros() as Micros)
 }
 
-fn report_certificate(section: &Section, refused: &certificates::RejectedFile, clients: &str) {
-    let key = match refused.role {
+fn report_certificate(section: &Section, rejected: &certificates::RejectedFile, clients: &str) {
+    let key = match rejected.role {
         FileRole::Certificate => "certificate",
         FileRole::Key => "key",
         FileRole::Clients => clients,
     };
-    section.error(key, &refused.cause);
+    section.error(key, &rejected.cause);
 }
 
 fn server_tls_files(section: &Section, folder: &Path, protocol: Protocol) -> Option<TlsFiles> {
@@ -128,8 +128,8 @@
         clients,
         alpn,
     };
-    if let Err(refused) = ServerTls::open(files.clone(), wall_time()) {
-        report_certificate(section, &refused, "clients");
+    if let Err(rejected) = ServerTls::open(files.clone(), wall_time()) {
+        report_certificate(section, &rejected, "clients");
     }
     Some(files)
 }
@@ -157,8 +157,8 @@
     let own = certificate.as_deref().zip(key.as_deref());
     match tls::client_tls(&roots, own, &name, wall_time()) {
         Ok(config) => Some(config),
-        Err(refused) => {
-            report_certificate(section, &refused, "authorities");
+        Err(rejected) => {
+            report_certificate(section, &rejected, "authorities");
             None
         }
     }
--- a/crates/gateway/src/resources.rs
+++ b/crates/gateway/src/resources.rs
@@ -179,7 +179,7 @@
             None => None,
             Some(files) => {
                 let opened = ServerTls::open(files.clone(), clock.wall_time());
-                Some(opened.map_err(|refused| std::io::Error::other(refused.cause))?)
+                Some(opened.map_err(|rejected| std::io::Error::other(rejected.cause))?)
             }
         };
         all.push((listener, tls));
--- a/crates/gateway/src/shared_state.rs
+++ b/crates/gateway/src/shared_state.rs
@@ -23,7 +23,7 @@
     pub name: String,
     /// Configured region of the member.
     pub region: String,
-    /// Whether the failure detector considers the member alive.
+    /// Whether the member is considered alive.
     pub alive: bool,
 }
 
--- a/crates/gateway/src/tls.rs
+++ b/crates/gateway/src/tls.rs
@@ -1,6 +1,6 @@
-//! TLS on sockets with rustls: certificates are read from files, and replaced at run time without affecting
-//! established connections. `cedarpulley_certificates` decides what may be served; here files are read and
-//! handshakes made.
+//! TLS on sockets with rustls. Certificates are read from files, and replaced at run time without affecting
+//! established connections. `cedarpulley_certificates` validates certificates; this module reads files and performs
+//! handshakes.
 
 use std::cell::RefCell;
 use std::fs::File;
@@ -28,9 +28,10 @@
 
 /// Time limit for a handshake, in microseconds.
 const HANDSHAKE_TIMEOUT: Micros = 10_000_000;
-/// How often files are checked: certificates change by the week, but whoever changes one waits for it.
+/// Interval at which certificate files are checked. Certificates change rarely (about weekly), but an operator who
+/// replaces one waits for the change to take effect.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// How often an expiring certificate is logged, in microseconds.
+/// Interval between warnings about an expiring certificate, in microseconds.
 const EXPIRY_WARNING_INTERVAL: Micros = 3_600_000_000;
 
 /// The certificate files of one listener.
@@ -40,7 +41,7 @@
     pub certificate: PathBuf,
     /// The private key, in PEM.
     pub key: PathBuf,
-    /// Certificate authorities for clients; if given, a client has to present a certificate.
+    /// Certificate authorities for client certificates; if given, each client has to present a certificate.
     pub clients: Option<PathBuf>,
     /// The protocol that is negotiated (ALPN).
     pub alpn: &'static [u8],
@@ -49,13 +50,13 @@
 /// Client configuration for the connection to a broker.
 #[derive(Clone, Debug)]
 pub struct ClientTls {
-    /// Trusted authorities, and our own certificate.
+    /// The trusted authorities and the router's client certificate, if it has one.
     pub config: Arc<ClientConfig>,
-    /// The name that the broker's certificate has to be for.
+    /// The server name that the broker's certificate has to contain.
     pub name: ServerName<'static>,
 }
 
-/// Reads a certificate or key with its file mode; fails if it is too large.
+/// Reads a certificate or key together with its file mode; fails if the file is too large.
 pub fn read_file(path: &Path) -> io::Result<CertificateFile> {
     let file = File::open(path)?;
     let metadata = file.metadata()?;
@@ -70,7 +71,7 @@
     })
 }
 
-fn refused(role: FileRole, cause: impl std::fmt::Display) -> RejectedFile {
+fn rejected(role: FileRole, cause: impl std::fmt::Display) -> RejectedFile {
     RejectedFile {
         role,
         cause: cause.to_string(),
@@ -80,9 +81,12 @@
 fn authorities(bytes: &[u8]) -> Result<RootCertStore, RejectedFile> {
     let mut roots = RootCertStore::empty();
     for authority in certificates::parse_chain(FileRole::Clients, bytes)? {
-        roots
-            .add(authority)
-            .map_err(|_| refused(FileRole::Clients, "is no authority's certificate"))?;
+        roots.add(authority).map_err(|_| {
+            rejected(
+                FileRole::Clients,
+                "contains an invalid authority certificate",
+            )
+        })?;
     }
     Ok(roots)
 }
@@ -95,7 +99,7 @@
     let provider = Arc::new(ring::default_provider());
     let builder = ServerConfig::builder_with_provider(provider.clone())
         .with_safe_default_protocol_versions()
-        .map_err(|error| refused(FileRole::Certificate, error))?;
+        .map_err(|error| rejected(FileRole::Certificate, error))?;
     let builder = match clients {
         None => builder.with_no_client_auth(),
         Some(bytes) => {
@@ -105,13 +109,13 @@
             )
             .build();
             builder.with_client_cert_verifier(
-                verifier.map_err(|error| refused(FileRole::Clients, error))?,
+                verifier.map_err(|error| rejected(FileRole::Clients, error))?,
             )
         }
     };
     let mut config = builder
         .with_single_cert(served.chain, served.key)
-        .map_err(|error| refused(FileRole::Key, error))?;
+        .map_err(|error| rejected(FileRole::Key, error))?;
     config.alpn_protocols = vec![alpn.to_vec()];
     Ok(Arc::new(config))
 }
@@ -119,7 +123,7 @@
 /// Server configuration of one listener.
 pub struct ServerTls {
     files: TlsFiles,
-    keeper: RefCell<CertificateReloader>,
+    reloader: RefCell<CertificateReloader>,
     clients: RefCell<Option<Vec<u8>>>,
     acceptor: RefCell<TlsAcceptor>,
 }
@@ -131,31 +135,31 @@
 }
 
 impl ServerTls {
-    /// Reads and validates the files at `wall`, in microseconds since 1970.
-    pub fn open(files: TlsFiles, wall: Micros) -> Result<Rc<ServerTls>, RejectedFile> {
-        let certificate =
-            read_file(&files.certificate).map_err(|error| refused(FileRole::Certificate, error))?;
-        let key = read_file(&files.key).map_err(|error| refused(FileRole::Key, error))?;
+    /// Reads the files and validates them at `wall_time`, in microseconds since 1970.
+    pub fn open(files: TlsFiles, wall_time: Micros) -> Result<Rc<ServerTls>, RejectedFile> {
+        let certificate = read_file(&files.certificate)
+            .map_err(|error| rejected(FileRole::Certificate, error))?;
+        let key = read_file(&files.key).map_err(|error| rejected(FileRole::Key, error))?;
         let clients = match &files.clients {
             Some(path) => Some(
                 read_file(path)
-                    .map_err(|error| refused(FileRole::Clients, error))?
+                    .map_err(|error| rejected(FileRole::Clients, error))?
                     .bytes,
             ),
             None => None,
         };
-        let served = certificates::validate(&certificate, &key, wall)?;
-        let ends = served.expires_at;
+        let served = certificates::validate(&certificate, &key, wall_time)?;
+        let expires_at = served.expires_at;
         let config = server_config(served, clients.as_deref(), files.alpn)?;
         Ok(Rc::new(ServerTls {
             files,
-            keeper: RefCell::new(CertificateReloader::new(certificate, key, ends)),
+            reloader: RefCell::new(CertificateReloader::new(certificate, key, expires_at)),
             clients: RefCell::new(clients),
             acceptor: RefCell::new(config.into()),
         }))
     }
 
-    /// Clients have to present a certificate.
+    /// Returns whether clients have to present a certificate.
     pub fn requires_client_certificate(&self) -> bool {
         self.files.clients.is_some()
     }
@@ -170,24 +174,27 @@
         acceptor.accept(stream).or(timeout).await
     }
 
-    /// Checks the files until the router ends. Established connections keep the certificate they were made
-    /// with.
+    /// Checks the files until the router stops, and replaces the certificate when they change. Established connections
+    /// keep their certificate.
     pub async fn watch(self: Rc<Self>, clock: Clock, front: String) {
         let mut last_warned = Micros::MIN;
         loop {
             Timer::after(POLL_INTERVAL).await;
-            let wall = clock.wall_time();
+            let wall_time = clock.wall_time();
             let pair = self.read_pair().await;
-            let step = self.keeper.borrow_mut().on_files_read(wall, pair.ok());
+            let step = self
+                .reloader
+                .borrow_mut()
+                .on_files_read(wall_time, pair.ok());
             match step {
                 ReloadStep::Keep | ReloadStep::ReadAgain => {}
-                ReloadStep::Reject(refused) => log_refused(&front, &refused),
+                ReloadStep::Reject(rejected) => log_rejected(&front, &rejected),
                 ReloadStep::Replace(served) => match self.replace(served) {
                     Ok(()) => tracing::info!(front, "the certificate was replaced"),
-                    Err(refused) => log_refused(&front, &refused),
+                    Err(rejected) => log_rejected(&front, &rejected),
                 },
             }
-            let expires_in = self.keeper.borrow().time_left_if_expiring(wall);
+            let expires_in = self.reloader.borrow().time_left_if_expiring(wall_time);
             let is_due = clock.now().saturating_sub(last_warned) > EXPIRY_WARNING_INTERVAL;
             if let Some(expires_in) = expires_in.filter(|_| is_due) {
                 last_warned = clock.now();
@@ -200,7 +207,7 @@
         }
     }
 
-    /// Reads certificate and key on another thread: a disk that hangs must not block the router's one thread.
+    /// Reads certificate and key on another thread, as a hanging disk must not block the router's single thread.
     async fn read_pair(&self) -> io::Result<(CertificateFile, CertificateFile)> {
         let TlsFiles {
             certificate, key, ..
@@ -208,7 +215,7 @@
         smol::unblock(move || Ok((read_file(&certificate)?, read_file(&key)?))).await
     }
 
-    /// Uses another certificate from now on.
+    /// Uses another certificate for new connections.
     fn replace(&self, served: ServedCertificate) -> Result<(), RejectedFile> {
         let config = server_config(served, self.clients.borrow().as_deref(), self.files.alpn)?;
         *self.acceptor.borrow_mut() = config.into();
@@ -216,36 +223,42 @@
     }
 }
 
-fn log_refused(front: &str, refused: &RejectedFile) {
-    tracing::error!(front, file = ?refused.role, cause = refused.cause, "the certificate was not replaced; the previous one stays in use");
+fn log_rejected(front: &str, rejected: &RejectedFile) {
+    tracing::error!(front, file = ?rejected.role, cause = rejected.cause, "the certificate was not replaced; the previous one stays in use");
 }
 
-/// For a broker: the trusted authorities, and our own certificate and key if the broker requires one.
+/// Reads the TLS configuration for connections to a broker. `roots`: file of the trusted authorities; `own`: the router's
+/// certificate and key, if the broker requires a certificate; `name`: the broker's server name; `wall_time`: in
+/// microseconds since 1970.
 pub fn client_tls(
     roots: &Path,
     own: Option<(&Path, &Path)>,
     name: &str,
-    wall: Micros,
+    wall_time: Micros,
 ) -> Result<ClientTls, RejectedFile> {
-    let clients = read_file(roots).map_err(|error| refused(FileRole::Clients, error))?;
+    let clients = read_file(roots).map_err(|error| rejected(FileRole::Clients, error))?;
     let builder = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
         .with_safe_default_protocol_versions()
-        .map_err(|error| refused(FileRole::Clients, error))?
+        .map_err(|error| rejected(FileRole::Clients, error))?
         .with_root_certificates(authorities(&clients.bytes)?);
     let config = match own {
         None => builder.with_no_client_auth(),
         Some((certificate, key)) => {
             let certificate =
-                read_file(certificate).map_err(|error| refused(FileRole::Certificate, error))?;
-            let key = read_file(key).map_err(|error| refused(FileRole::Key, error))?;
-            let served = certificates::validate(&certificate, &key, wall)?;
+                read_file(certificate).map_err(|error| rejected(FileRole::Certificate, error))?;
+            let key = read_file(key).map_err(|error| rejected(FileRole::Key, error))?;
+            let served = certificates::validate(&certificate, &key, wall_time)?;
             builder
                 .with_client_auth_cert(served.chain, served.key)
-                .map_err(|error| refused(FileRole::Key, error))?
+                .map_err(|error| rejected(FileRole::Key, error))?
         }
     };
-    let name = ServerName::try_from(name.to_owned())
-        .map_err(|_| refused(FileRole::Clients, format!("'{name}' is no server's name")))?;
+    let name = ServerName::try_from(name.to_owned()).map_err(|_| {
+        rejected(
+            FileRole::Clients,
+            format!("'{name}' is not a valid server name"),
+        )
+    })?;
     Ok(ClientTls {
         config: Arc::new(config),
         name,
@@ -261,7 +274,7 @@
 }
 
 impl BrokerStream {
-    /// Performs a handshake within its time limit, if TLS is configured.
+    /// Performs a handshake within its time limit if TLS is configured; otherwise uses the stream as is.
     pub async fn connect(stream: Stream, tls: Option<&ClientTls>) -> io::Result<BrokerStream> {
         let Some(tls) = tls else {
             return Ok(BrokerStream::Plain(stream));
@@ -279,7 +292,7 @@
     }
 }
 
-/// Applies an expression to the stream in either variant.
+/// Evaluates an expression on the stream of either variant.
 macro_rules! with_stream {
     ($broker:expr, $stream:pat => $call:expr) => {
         match $broker.get_mut() {
--- a/crates/gateway/src/trace_recorder.rs
+++ b/crates/gateway/src/trace_recorder.rs
@@ -1,6 +1,6 @@
-//! Records a router's trace: gathers what the core reports into blocks, and hands whole blocks to the
-//! writer's thread. It never waits: a block that does not fit the queue becomes a gap, recorded with its
-//! counts.
+//! Records a router's trace: collects the core's events in blocks, and passes complete blocks to the writer's
+//! thread. Recording never waits: a block that does not fit the queue is dropped, and a gap with the number of lost
+//! records is recorded in its place.
 
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -22,37 +22,40 @@
 
 use crate::file_names::file_name_of;
 
-/// Blocks of some 128 KB that may wait for the writer.
+/// Limit on blocks, of about 128 KB each, that wait for the writer.
 const MAX_QUEUED_BLOCKS: usize = 32;
-/// A block is closed at this age, so that a killed router loses little. In microseconds.
+/// Age at which a block is closed, so that a killed router loses few records. In microseconds.
 const MAX_BLOCK_AGE: Micros = 1_000_000;
-/// On shutdown the writer has this long, and is polled this often.
+/// Time limit for the writer to finish on shutdown.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval at which the writer is polled on shutdown.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Where to write the trace, and how much of it to keep.
+/// Where to write the trace, and how much of it to retain.
 #[derive(Clone, Debug)]
 pub struct TraceSettings {
     /// Folder of the trace files.
     pub folder: PathBuf,
-    /// Limits on what is retained.
+    /// Limits on the retained files.
     pub bounds: RetentionLimits,
 }
 
 struct RecorderState {
     block: BlockBuilder,
-    notes: SyncSender<WriterMessage>,
+    messages: SyncSender<WriterMessage>,
     writer: Option<JoinHandle<()>>,
-    /// Reserves the name that this process writes under.
-    _own: NameLock,
-    /// Lost since the last block handed over: number of records, first and last time.
+    /// Reserves the name under which this process writes its files.
+    _name_lock: NameLock,
+    /// Records lost since the last gap was recorded: their number, and the times of the first and the last, in
+    /// microseconds.
     lost: Option<(u64, Micros, Micros)>,
-    /// Lost in all.
+    /// Number of records lost since the start.
     lost_records: u64,
+    /// Time of the last event, in microseconds.
     now: Micros,
 }
 
-/// The trace of one router. Cheap to clone: one is registered with the core, one is kept for closing.
+/// The trace of one router. Cheap to clone: one clone is registered with the core, another is kept for closing.
 #[derive(Clone)]
 pub struct TraceRecorder(Rc<RefCell<RecorderState>>);
 
@@ -65,42 +68,42 @@
     ) -> std::io::Result<TraceRecorder> {
         std::fs::create_dir_all(&settings.folder)?;
         let name = file_name_of(name);
-        let own = NameLock::acquire(&settings.folder, &name)?;
-        if own.name != name {
+        let name_lock = NameLock::acquire(&settings.folder, &name)?;
+        if name_lock.name != name {
             tracing::warn!(
                 name,
-                writes_as = own.name,
-                "another router of this name writes its trace here"
+                writes_as = name_lock.name,
+                "another router with this name writes its trace to the same folder"
             );
         }
-        let row = FileSeries {
+        let series = FileSeries {
             folder: settings.folder,
-            name: own.name.clone(),
+            name: name_lock.name.clone(),
             started_at_ms: (start.wall_at_zero / 1000) as u64,
         };
-        let (notes, received) = sync_channel(MAX_QUEUED_BLOCKS);
+        let (messages, received) = sync_channel(MAX_QUEUED_BLOCKS);
         let log_failure = |why: &str| tracing::error!(why, "the trace cannot be written");
         let writer = std::thread::Builder::new()
             .name("trace".into())
-            .spawn(move || run_writer(row, start, settings.bounds, received, log_failure))?;
+            .spawn(move || run_writer(series, start, settings.bounds, received, log_failure))?;
         Ok(TraceRecorder(Rc::new(RefCell::new(RecorderState {
             block: BlockBuilder::default(),
-            notes,
+            messages,
             writer: Some(writer),
-            _own: own,
+            _name_lock: name_lock,
             lost: None,
             lost_records: 0,
             now: 0,
         }))))
     }
 
-    /// Hands over a block that is old, though nothing more came.
+    /// Passes the current block to the writer if it is old, even if no further event arrives.
     pub fn flush_old(&self, now: Micros) {
         self.0.borrow_mut().close_old(now);
     }
 
-    /// Writes what is left; false if the writer failed or was not done in time: a disk that hangs must not
-    /// keep a router from ending.
+    /// Writes the remaining records; returns false if the writer failed or exceeded the time limit, as a hanging disk
+    /// must not prevent a router from stopping.
     pub fn close(&self) -> bool {
         let mut state = self.0.borrow_mut();
         let deadline = Instant::now() + CLOSE_TIMEOUT;
@@ -108,11 +111,11 @@
         if !state.block.is_empty() {
             pending.push(WriterMessage::Block(state.now, state.block.close()));
         }
-        while let Some(note) = pending.pop() {
-            match state.notes.try_send(note) {
+        while let Some(message) = pending.pop() {
+            match state.messages.try_send(message) {
                 Ok(()) => {}
-                Err(TrySendError::Full(note)) if Instant::now() < deadline => {
-                    pending.push(note);
+                Err(TrySendError::Full(message)) if Instant::now() < deadline => {
+                    pending.push(message);
                     std::thread::sleep(CLOSE_POLL_INTERVAL);
                 }
                 Err(_) => return false,
@@ -130,7 +133,7 @@
         writer.join().is_ok()
     }
 
-    /// Records lost since the start.
+    /// Number of records lost since the start.
     pub fn lost_records(&self) -> u64 {
         self.0.borrow().lost_records
     }
@@ -141,11 +144,11 @@
         let raw = self.block.close();
         let (records, first, last) = (u64::from(raw.records), raw.first, raw.last);
         if self
-            .notes
+            .messages
             .try_send(WriterMessage::Block(self.now, raw))
             .is_err()
         {
-            // The disk is slower than the router: the trace gets a gap, and the router goes on.
+            // The disk is slower than the router: the block is dropped, and the trace gets a gap.
             let (before, from, _) = self.lost.unwrap_or((0, first, last));
             self.lost = Some((before + records, from, last));
             self.lost_records += records;
@@ -159,7 +162,7 @@
         }
     }
 
-    /// To be called before each record.
+    /// Prepares the current block for a record at `now`, and records a pending gap. Has to be called before each record.
     fn prepare(&mut self, now: Micros) {
         self.close_old(now);
         if self.block.is_empty()
@@ -262,6 +265,7 @@
         );
     }
 
-    /// Not part of the format: the module does not learn what a worker reports it held.
+    /// Not recorded: memory usage reported by workers is not an input of the decision module, and so not part of the
+    /// trace format.
     fn used(&mut self, _: Micros, _: WorkerUsage) {}
 }
--- a/crates/gateway/src/wiring.rs
+++ b/crates/gateway/src/wiring.rs
@@ -1,4 +1,5 @@
-//! Puts the parts of a router together: each gets the context and the other parts that it needs. Nothing runs yet.
+//! Builds the components of a router and connects them: each gets the context and the other components that it needs.
+//! No task is started here.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -29,8 +30,8 @@
 use crate::shared_state::SharedState;
 use crate::upgrades::Upgrades;
 
-/// The gateway of these resources. It is to be held until the executor has ended, so that events find it for as long
-/// as anything runs.
+/// Builds the gateway from its resources. The caller has to hold it until the executor has ended: events of tasks that
+/// still run are dropped once the gateway is dropped.
 pub(crate) fn build(resources: Resources, executor: &Rc<LocalExecutor<'static>>) -> Rc<Gateway> {
     Rc::new_cyclic(|gateway| assemble(resources, executor, gateway))
 }
@@ -57,7 +58,7 @@
         &context,
         &times,
     );
-    let group = GroupParts::build(resources.group, &context, &pool, gateway);
+    let group = GroupComponents::build(resources.group, &context, &pool, gateway);
     let fault_injector = fault_injector(resources.fault, &context, &pool, &router);
     let gateway = Gateway {
         fault_injector,
@@ -79,8 +80,8 @@
     gateway
 }
 
-/// The parts that rest on the peer group and on the workers' reports; each only if it is configured.
-struct GroupParts {
+/// The components that depend on the peer group or on the workers' reports; each is present only if configured.
+struct GroupComponents {
     peer_group: Option<PeerGroup>,
     shared: Option<SharedState>,
     upgrades: Option<Rc<Upgrades>>,
@@ -88,13 +89,13 @@
     reconciliation: Option<Rc<Reconciliation>>,
 }
 
-impl GroupParts {
+impl GroupComponents {
     fn build(
         resources: GroupResources,
         context: &Rc<GatewayContext>,
         pool: &Rc<Pool>,
         gateway: &Weak<Gateway>,
-    ) -> GroupParts {
+    ) -> GroupComponents {
         let peer_group = resources
             .peer_group
             .map(|group| PeerGroup::new(context, group));
@@ -105,7 +106,7 @@
             .map(|(shared, settings)| Upgrades::new(context.clone(), shared, settings));
         let admission = resources.sessions.map(|terms| {
             let (shared, upgrades) = (shared.clone(), upgrades.clone());
-            let core = core_past_admission(gateway.clone());
+            let core = core_input_after_admission(gateway.clone());
             Admission::new(context.clone(), terms, shared, upgrades, core)
         });
         let reconciliation = resources.reconcile.map(|settings| {
@@ -118,7 +119,7 @@
                 resources.memory_mb,
             )
         });
-        GroupParts {
+        GroupComponents {
             peer_group,
             shared,
             upgrades,
@@ -182,7 +183,7 @@
     })
 }
 
-fn core_past_admission(gateway: Weak<Gateway>) -> Box<dyn Fn(Input)> {
+fn core_input_after_admission(gateway: Weak<Gateway>) -> Box<dyn Fn(Input)> {
     Box::new(move |input| {
         if let Some(gateway) = gateway.upgrade() {
             gateway.feed_core(input);
@@ -198,9 +199,9 @@
     })
 }
 
-/// What all KServe fronts are built from.
+/// The settings and resources from which all KServe fronts are built.
 struct KserveFronts {
-    /// Index of the first; those of the AMQP fronts come before.
+    /// Index of the first KServe front; the AMQP fronts have the indices below it.
     first_index: usize,
     context: Rc<GatewayContext>,
     shared: Rc<HandlerResources>,
@@ -232,7 +233,7 @@
     }
 }
 
-/// Registers the parts with the core, the state endpoint and each other.
+/// Registers the components with the core, the state endpoint and each other.
 fn connect(gateway: &Gateway, shared: Option<&SharedState>) {
     let Gateway {
         router,
@@ -265,13 +266,13 @@
 
 fn connect_upgrades(reconciliation: &Rc<Reconciliation>, upgrades: &Rc<Upgrades>) {
     let source = reconciliation.clone();
-    upgrades.set_holdings_source(Box::new(move || source.observed(to_worker_seen)));
+    upgrades.set_holdings_source(Box::new(move || source.observed(to_observed_worker)));
     let claiming_plans = upgrades.clone();
     reconciliation.set_claims_provider(Box::new(move |functions| {
         claims(&claiming_plans, functions)
     }));
     let upgrades = upgrades.clone();
-    // Nor is a copy that a plan has retired loaded again.
+    // Includes retired versions, so that the reconciliation does not load their copies again.
     let managed_or_retired = move |function: &str| {
         let (model, version) = client_requests::split_version(function);
         upgrades.manages(function) || upgrades.is_retired(model, version)
@@ -287,8 +288,8 @@
     );
     admission.set_worker_ids(Box::new(id_of), Box::new(worker_of));
     let uses = reconciliation.clone();
-    let used_lately = move |worker: &str, function: &str| uses.used_lately(worker, function);
-    admission.set_recent_use_check(Box::new(used_lately));
+    let recently_used = move |worker: &str, function: &str| uses.used_lately(worker, function);
+    admission.set_recent_use_check(Box::new(recently_used));
     let admission = admission.clone();
     let prefix_lost = move |worker: &str, function: &str, sessions: &[Arc<str>]| {
         admission.prefix_lost(worker, function, sessions);
@@ -296,9 +297,9 @@
     reconciliation.on_prefix_lost(Box::new(prefix_lost));
 }
 
-/// What upgrade plans claim, and which of these functions are of a version that a plan has retired. While a
-/// plan is in progress it alone decides: a version retired here may still be needed elsewhere to keep the
-/// plan's minimum of copies.
+/// The claims of upgrade plans, and those of `functions` whose version a plan has retired. Functions managed by a plan
+/// in progress are not reported as retired: a version that is retired here may still be needed elsewhere to maintain
+/// the plan's minimum number of copies.
 fn claims(upgrades: &Upgrades, functions: &[Arc<str>]) -> Claims {
     let retired = |function: &&Arc<str>| {
         let (model, version) = client_requests::split_version(function);
@@ -315,15 +316,15 @@
     }
 }
 
-/// A worker's last report in the planner's form; the worker's region and state and the copies' sizes are not
-/// known here.
-fn to_worker_seen(
+/// Converts a worker's last report to the planner's type. The worker's region and state and the copies' sizes are not
+/// part of the report; `CopyInventory` adds them.
+fn to_observed_worker(
     worker: &Arc<str>,
     observed_at: Micros,
     memory_mb: f64,
     observation: &Observation,
 ) -> ObservedWorker {
-    let held = |entry: &FunctionReport| FunctionCopies {
+    let to_copies = |entry: &FunctionReport| FunctionCopies {
         function: entry.function.clone(),
         copies: entry.copies,
         lanes: entry.copies,
@@ -339,6 +340,6 @@
         observed_at,
         memory_mb: memory_mb as u32,
         used_mb: 0,
-        copies: observation.entries.iter().map(held).collect(),
+        copies: observation.entries.iter().map(to_copies).collect(),
     }
 }
--- a/crates/gateway/src/worker_list.rs
+++ b/crates/gateway/src/worker_list.rs
@@ -1,5 +1,5 @@
-//! Watches the worker list over HTTP in the form of Kubernetes endpoint slices (a listing, then a watch from
-//! its version). `cedarpulley_router::roster` decides what to make of it.
+//! Watches the worker list over HTTP, published as Kubernetes endpoint slices: requests a listing, then a watch from
+//! the version of the listing. `cedarpulley_router::endpoint_list` interprets the events.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,18 +24,22 @@
 
 use crate::context::GatewayContext;
 
+/// Path of the endpoint slices at the publisher.
 const PATH: &str = "/apis/discovery.k8s.io/v1/endpointslices";
+/// Time limit for connecting to the publisher, in microseconds.
 const CONNECT_TIMEOUT: Micros = 1_000_000;
 /// Time limit for a listing, in microseconds.
 const LIST_TIMEOUT: Micros = 5_000_000;
-/// A watch that is silent for longer is broken, as the publisher sends bookmarks. In microseconds.
+/// Time without data after which a watch is considered broken, as the publisher regularly sends bookmarks. In
+/// microseconds.
 const WATCH_IDLE_TIMEOUT: Micros = 15_000_000;
-/// Limits on a line of the watch and on a whole listing.
+/// Limit on one line of a watch.
 const MAX_LINE_BYTES: usize = 1 << 20;
+/// Limit on a complete listing.
 const MAX_LISTING_BYTES: usize = 64 << 20;
 
-/// Watches for as long as the router runs. `filter` sees and may change each event; it does so only in tests
-/// of the auditor.
+/// Watches the worker list until the router stops. `filter` receives each event and may change it; it changes events
+/// only when faults are injected.
 pub async fn watch(
     context: Rc<GatewayContext>,
     address: SocketAddr,
@@ -62,7 +66,7 @@
     }
 }
 
-/// Reports an event to the core; returns the next step.
+/// Applies an event to the list and reports resulting changes to the core; returns the next step.
 fn apply(
     context: &GatewayContext,
     endpoint_list: &mut EndpointList,
@@ -80,7 +84,7 @@
     next
 }
 
-/// A response being read; dropping it closes the connection.
+/// A response whose body is being read; dropping it closes the connection.
 struct StreamingResponse {
     status: u16,
     body: Incoming,
@@ -97,7 +101,7 @@
         .ok()?;
     let (mut sender, connection) = http1::handshake(FuturesIo::new(stream)).await.ok()?;
     let _driver = context.executor.spawn(async move {
-        // A failure shows in the body.
+        // A failure of the connection is also reported when the body is read.
         let _ = connection.await;
     });
     let request = Request::get(path)
@@ -117,8 +121,8 @@
 }
 
 impl StreamingResponse {
-    /// Appends the next part of the body to the buffer. False at the end, on errors and after `limit` without
-    /// data.
+    /// Appends the next chunk of the body to the buffer. Returns false at the end, on errors, and after `limit`
+    /// microseconds without data.
     async fn read_more(&mut self, buffer: &mut Vec<u8>, limit: Micros) -> bool {
         let timeout = async {
             Timer::after(duration_from_micros(limit)).await;
@@ -144,7 +148,7 @@
     };
     let mut buffer = Vec::new();
     while buffer.len() < MAX_LISTING_BYTES && response.read_more(&mut buffer, LIST_TIMEOUT).await {}
-    // A listing that broke off is not a complete value.
+    // A truncated listing is not valid JSON.
     let Ok(value) = serde_json::from_slice::<Value>(&buffer) else {
         return broken;
     };
@@ -198,7 +202,7 @@
                         version,
                     }),
                 Some("BOOKMARK") => resource_version(object).map(WatchEvent::Bookmark),
-                // A status object; 410: the requested version is no longer retained.
+                // A status object; code 410 means that the requested version is no longer retained.
                 _ => return broken(object["code"].as_u64() == Some(410)),
             };
             if let Some(event) = event {
@@ -216,7 +220,7 @@
     object["metadata"]["resourceVersion"].as_str()?.parse().ok()
 }
 
-/// Parses one slice; endpoints that are malformed are left out.
+/// Parses one slice; malformed endpoints are skipped.
 fn parse_slice(context: &GatewayContext, object: &Value) -> Option<EndpointSlice> {
     let name = object["metadata"]["name"].as_str()?.to_owned();
     let version = resource_version(object)?;
@@ -236,22 +240,22 @@
     })
 }
 
-/// What a slice's annotations say of all its endpoints.
+/// The annotations of a slice, which apply to all its endpoints.
 struct SliceAnnotations {
     kind: u32,
     cell: u32,
-    /// When its workers started, by the router's clock.
-    started: Option<Micros>,
+    /// When the slice's workers started, by the router's clock, in microseconds.
+    started_at: Option<Micros>,
 }
 
 impl SliceAnnotations {
     fn parse(context: &GatewayContext, annotations: &Value) -> SliceAnnotations {
-        // By the wall clock, converted to the router's clock.
-        let started = annotations["cedarpulley/started-at-us"]
+        // The annotation is in wall-clock time; it is converted to the router's clock.
+        let started_at = annotations["cedarpulley/started-at-us"]
             .as_str()
             .and_then(|text| text.parse::<Micros>().ok())
-            .filter(|&started| started > 0)
-            .map(|started| context.clock.now() - (context.clock.wall_time() - started));
+            .filter(|&wall_time| wall_time > 0)
+            .map(|wall_time| context.clock.now() - (context.clock.wall_time() - wall_time));
         SliceAnnotations {
             kind: name_index(
                 &context.names.machine_kinds,
@@ -261,7 +265,7 @@
                 .as_str()
                 .and_then(|text| text.parse().ok())
                 .unwrap_or(0),
-            started,
+            started_at,
         }
     }
 }
@@ -272,7 +276,7 @@
         .unwrap_or(0) as u32
 }
 
-/// Absent if it has no loopback address.
+/// Parses one endpoint; returns `None` if it has no loopback address.
 fn parse_endpoint(
     context: &GatewayContext,
     endpoint: &Value,
@@ -285,7 +289,7 @@
         return None;
     }
     let conditions = &endpoint["conditions"];
-    // An absent condition means ready, by the format's specification.
+    // The format's specification defines an absent condition as ready.
     let ready = conditions["ready"].as_bool().unwrap_or(true);
     let draining = conditions["terminating"].as_bool().unwrap_or(false) || !ready;
     let worker = ListedWorker {
@@ -299,7 +303,7 @@
             EndpointState::InService
         },
         weight: 1.0,
-        started_at: annotations.started,
+        started_at: annotations.started_at,
     };
     let start_mark = endpoint["targetRef"]["uid"]
         .as_str()
--- a/crates/gateway/src/worker_settings.rs
+++ b/crates/gateway/src/worker_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the worker list: the section `[workers]`.
+//! Reads the settings of the worker list: the section `[workers]`.
 
 use std::net::SocketAddr;
 
@@ -12,9 +12,9 @@
 /// Where the workers are listed.
 #[derive(Clone, Debug)]
 pub enum WorkerList {
-    /// In the settings; the list never changes.
+    /// A list in the settings; it never changes.
     Fixed(Vec<ListedWorker>),
-    /// At a server of endpoint slices, whose watch events are followed.
+    /// The address of a server that publishes endpoint slices; its list is watched.
     Watched(SocketAddr),
 }
 
@@ -24,7 +24,7 @@
         (true, false) => WorkerList::Watched(section.loopback_address("watch")),
         (false, true) => WorkerList::Fixed(fixed_workers(section, names)),
         _ => {
-            section.error("watch", "give either a list to watch or a list here");
+            section.error("watch", "set either watch or list, and not both");
             WorkerList::Fixed(Vec::new())
         }
     };
@@ -32,7 +32,7 @@
     workers
 }
 
-/// Reads the list of workers; addresses are unique.
+/// Reads the list of workers; a repeated address is an error.
 fn fixed_workers(section: &Section, names: &Names) -> Vec<ListedWorker> {
     let mut listed: Vec<ListedWorker> = Vec::new();
     for entry in section.sections("list") {
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -1,4 +1,5 @@
-//! What the admission tells the core of a session's worker before it forwards an invocation of the session.
+//! Tests that the admission reports the copy used by a session to the core before it forwards an invocation of the
+//! session.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,7 +15,8 @@
 
 const WORKER: &str = "127.0.0.1:9000";
 
-fn turn(tag: u64) -> IncomingInvocation {
+/// An invocation of session `s`.
+fn session_invocation(tag: u64) -> IncomingInvocation {
     IncomingInvocation {
         delivery: Delivery {
             front: 0,
@@ -47,15 +49,15 @@
     }
 }
 
-/// Guards against sessions leaving their warm worker: a function's homes move, and the module forgets all
-/// that it believed of it.
+/// Guards against a session being moved away from the worker with its warm copy: when the preferred workers of a function
+/// change, the decision module drops what it knew of the function's copies, and would choose another worker.
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario or table of cases, in order"
 )]
-fn recently_used_copy_is_reported_to_the_core_before_each_turn() {
-    let passed: Rc<RefCell<Vec<Input>>> = Rc::default();
+fn recently_used_copy_is_reported_to_the_core_before_each_invocation() {
+    let core_inputs: Rc<RefCell<Vec<Input>>> = Rc::default();
     let context = Rc::new(GatewayContext {
         clock: Clock::start(),
         executor: Rc::default(),
@@ -73,39 +75,43 @@
         core_input: Box::new(|_| {}),
     });
     let minute: Micros = 60_000_000;
-    let terms = SessionSettings {
+    let settings = SessionSettings {
         retention: 10 * minute,
         majority_timeout: minute,
         max_sessions: 10,
         max_waiting: 10,
     };
-    let core = passed.clone();
+    let core = core_inputs.clone();
     let admission = Admission::new(
         context,
-        terms,
+        settings,
         None,
         None,
         Box::new(move |input| core.borrow_mut().push(input)),
     );
-    let stands = Rc::new(Cell::new(true));
-    let used = stands.clone();
+    let recently_used = Rc::new(Cell::new(true));
+    let used = recently_used.clone();
     admission.set_recent_use_check(Box::new(move |worker, function| {
         used.get() && worker == WORKER && function == "f"
     }));
-    // Whether the copy is reported to the core, and which worker the invocation prefers.
-    let filter_turn = |tag| {
-        assert!(admission.filter(Input::MessageArrived(turn(tag))).is_none());
-        let passed = std::mem::take(&mut *passed.borrow_mut());
-        let held = passed.iter().any(
+    // Returns whether the copy is reported to the core, and the preferred worker of the invocation.
+    let filter_invocation = |tag| {
+        assert!(
+            admission
+                .filter(Input::MessageArrived(session_invocation(tag)))
+                .is_none()
+        );
+        let inputs = std::mem::take(&mut *core_inputs.borrow_mut());
+        let copy_reported = inputs.iter().any(
             |i| matches!(i, Input::CopiesReported { worker, copies: 1, .. } if **worker == *WORKER),
         );
-        let Some(Input::MessageArrived(taken)) = passed.into_iter().last() else {
-            panic!("it goes on")
+        let Some(Input::MessageArrived(invocation)) = inputs.into_iter().last() else {
+            panic!("the invocation is forwarded to the core")
         };
-        (held, taken.preferred_worker)
+        (copy_reported, invocation.preferred_worker)
     };
-    assert_eq!(filter_turn(1), (false, None));
-    let by = UsageSource::Dispatch(DispatchOutcome::Succeeded, CopyStatus::Warm);
+    assert_eq!(filter_invocation(1), (false, None));
+    let source = UsageSource::Dispatch(DispatchOutcome::Succeeded, CopyStatus::Warm);
     admission.observer().used(
         0,
         WorkerUsage {
@@ -116,7 +122,7 @@
             ends_session: false,
             trigger: 0,
             account: 0,
-            source: by,
+            source,
             took: 1,
             copy_mb: 1.0,
             lanes: 1,
@@ -125,10 +131,10 @@
     );
     admission.process_completed();
     assert_eq!(
-        (filter_turn(2), filter_turn(3)),
+        (filter_invocation(2), filter_invocation(3)),
         ((true, Some(WORKER.into())), (true, Some(WORKER.into())))
     );
-    // The copy is not known to be in use any more: nothing is reported.
-    stands.set(false);
-    assert_eq!(filter_turn(4), (false, Some(WORKER.into())));
+    // The copy no longer counts as recently used, so it is not reported.
+    recently_used.set(false);
+    assert_eq!(filter_invocation(4), (false, Some(WORKER.into())));
 }
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -1,4 +1,5 @@
-//! The pool against workers that misbehave on the socket, and what each ending proves.
+//! Tests the pool with workers that misbehave on the socket: how each failure is classified, and whether it proves that
+//! nothing was sent.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -26,8 +27,8 @@
     }
 }
 
-/// A worker that handles each connection with this function, given the number of connections before it.
-fn worker(handle: impl Fn(TcpStream, usize) + Send + 'static) -> SocketAddr {
+/// Starts a worker that calls `handle` for each connection, with the number of connections before it.
+fn start_worker(handle: impl Fn(TcpStream, usize) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
@@ -38,21 +39,21 @@
     address
 }
 
-/// Reads one request head and body of the size that all tests send.
-fn request(stream: &mut TcpStream) -> bool {
+/// Reads one request up to its body `{}`, which all tests send; returns false if the connection ends before.
+fn read_request(stream: &mut TcpStream) -> bool {
     let mut received = Vec::new();
-    let mut part = [0; 4096];
+    let mut buffer = [0; 4096];
     while !received.ends_with(b"{}") {
-        match stream.read(&mut part) {
-            Ok(length) if length > 0 => received.extend_from_slice(&part[..length]),
+        match stream.read(&mut buffer) {
+            Ok(length) if length > 0 => received.extend_from_slice(&buffer[..length]),
             _ => return false,
         }
     }
     true
 }
 
-fn infer(address: SocketAddr) -> hyper::Request<Bytes> {
-    let marks = worker_requests::InvocationHeaders {
+fn infer_request(address: SocketAddr) -> hyper::Request<Bytes> {
+    let headers = worker_requests::InvocationHeaders {
         invocation: Some("i"),
         dispatch: 0,
         idempotency_key: None,
@@ -64,13 +65,13 @@
     worker_requests::infer(
         &address.to_string(),
         "f",
-        marks,
+        headers,
         Bytes::from_static(b"{}"),
         None,
     )
 }
 
-/// The outcomes of `times` exchanges one after the other, each within a time limit.
+/// The outcomes of `times` successive exchanges, each within a time limit of 5 s.
 fn outcomes(address: SocketAddr, max_connections: usize, times: usize) -> Vec<DispatchOutcome> {
     let executor = Rc::new(LocalExecutor::new());
     let pool = Pool::new(
@@ -81,13 +82,13 @@
     async_io::block_on(executor.run(async {
         let mut all = Vec::new();
         for _ in 0..times {
-            let late = async {
+            let timeout = async {
                 async_io::Timer::after(Duration::from_secs(5)).await;
-                panic!("no end to the exchange")
+                panic!("the exchange did not end within 5 s")
             };
             let result = pool
-                .exchange(address, infer(address), false, || true)
-                .or(late)
+                .exchange(address, infer_request(address), false, || true)
+                .or(timeout)
                 .await;
             all.push(outcomes::classify_inference(&exchange_outcome(&result, "f")).outcome);
             async_io::Timer::after(Duration::from_millis(30)).await;
@@ -96,31 +97,35 @@
     }))
 }
 
-const GOOD: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}";
+const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}";
 
 #[test]
 fn idle_connections_are_reused() {
-    let address = worker(|mut stream, connections_before| {
-        assert_eq!(connections_before, 0, "one connection is enough");
+    let address = start_worker(|mut stream, connections_before| {
+        assert_eq!(connections_before, 0, "all requests use one connection");
         std::thread::spawn(move || {
-            while request(&mut stream) {
-                stream.write_all(GOOD).expect("written");
+            while read_request(&mut stream) {
+                stream.write_all(OK_RESPONSE).expect("written");
             }
         });
     });
     assert_eq!(outcomes(address, 4, 3), [DispatchOutcome::Succeeded; 3]);
 }
 
-/// The connection was established, but meanwhile the dispatch may no longer be sent: no byte of it leaves.
+/// While the connection was established, the permission to send the dispatch ended: no byte of it may be sent.
 #[test]
 fn dispatch_stopped_at_the_last_check_sends_no_byte() {
-    let address = worker(|mut stream, _| {
-        assert_eq!(stream.read(&mut [0; 1]).unwrap_or(0), 0, "a byte has left");
+    let address = start_worker(|mut stream, _| {
+        assert_eq!(stream.read(&mut [0; 1]).unwrap_or(0), 0, "a byte was sent");
     });
     let executor = Rc::new(LocalExecutor::new());
     let pool = Pool::new(executor.clone(), Clock::start(), pool_settings(1));
-    let result =
-        async_io::block_on(executor.run(pool.exchange(address, infer(address), false, || false)));
+    let result = async_io::block_on(executor.run(pool.exchange(
+        address,
+        infer_request(address),
+        false,
+        || false,
+    )));
     assert_eq!(
         outcomes::classify_inference(&exchange_outcome(&result, "f")).outcome,
         DispatchOutcome::NotSent
@@ -137,8 +142,8 @@
 
 #[test]
 fn truncated_answer_is_reported_as_connection_lost() {
-    let address = worker(|mut stream, _| {
-        request(&mut stream);
+    let address = start_worker(|mut stream, _| {
+        read_request(&mut stream);
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf");
     });
     assert_eq!(outcomes(address, 4, 1), [DispatchOutcome::ConnectionLost]);
@@ -146,16 +151,16 @@
 
 #[test]
 fn connection_closed_after_the_request_is_reported_as_lost() {
-    let address = worker(|mut stream, _| {
-        request(&mut stream);
+    let address = start_worker(|mut stream, _| {
+        read_request(&mut stream);
     });
     assert_eq!(outcomes(address, 4, 1), [DispatchOutcome::ConnectionLost]);
 }
 
 #[test]
 fn endless_headers_end_the_connection() {
-    let address = worker(|mut stream, _| {
-        request(&mut stream);
+    let address = start_worker(|mut stream, _| {
+        read_request(&mut stream);
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n");
         let line = [b"x-more: ".as_slice(), &[b'y'; 1000], b"\r\n"].concat();
         while stream.write_all(&line).is_ok() {}
@@ -169,8 +174,8 @@
         "content-length: 104857600\r\n\r\n",
         "transfer-encoding: chunked\r\n\r\n",
     ] {
-        let address = worker(move |mut stream, _| {
-            request(&mut stream);
+        let address = start_worker(move |mut stream, _| {
+            read_request(&mut stream);
             let _ = stream.write_all(format!("HTTP/1.1 200 OK\r\n{head}").as_bytes());
             let chunk = [b"10000\r\n".as_slice(), &[b'z'; 65_536], b"\r\n"].concat();
             while stream.write_all(&chunk).is_ok() {}
@@ -179,12 +184,13 @@
     }
 }
 
-/// The worker closes an idle connection; the next request either goes on a new one or is known not to have left.
+/// The worker closes an idle connection: the next request has to be sent on a new connection, or be reported as not
+/// sent.
 #[test]
 fn request_on_a_closed_idle_connection_is_reported_as_not_sent() {
-    let address = worker(|mut stream, _| {
-        request(&mut stream);
-        let _ = stream.write_all(GOOD);
+    let address = start_worker(|mut stream, _| {
+        read_request(&mut stream);
+        let _ = stream.write_all(OK_RESPONSE);
     });
     let observed = outcomes(address, 4, 20);
     assert!(
@@ -198,11 +204,11 @@
 
 #[test]
 fn requests_above_the_connection_limit_are_rejected_until_one_is_cancelled() {
-    let address = worker(|stream, _| {
+    let address = start_worker(|stream, _| {
         std::thread::spawn(move || {
             let mut stream = stream;
-            request(&mut stream);
-            // Silent until the other side closes.
+            read_request(&mut stream);
+            // Sends no answer, and waits until the pool closes the connection.
             let _ = stream.read(&mut [0; 1]);
         });
     });
@@ -223,26 +229,33 @@
             ticket,
             executor.spawn(async move {
                 let _ = first
-                    .exchange(address, infer(address), false, || true)
+                    .exchange(address, infer_request(address), false, || true)
                     .await;
             }),
         );
         async_io::Timer::after(Duration::from_millis(100)).await;
-        let result = pool.exchange(address, infer(address), false, || true).await;
+        let result = pool
+            .exchange(address, infer_request(address), false, || true)
+            .await;
         assert_eq!(
             outcomes::classify_inference(&exchange_outcome(&result, "f")).outcome,
             DispatchOutcome::Rejected
         );
         pool.cancel(ticket);
         async_io::Timer::after(Duration::from_millis(20)).await;
-        let late = async {
+        let timeout = async {
             async_io::Timer::after(Duration::from_millis(200)).await;
             None
         };
-        // The slot is free again: the exchange goes out and waits for this silent worker.
-        let again = async { Some(pool.exchange(address, infer(address), false, || true).await) }
-            .or(late)
-            .await;
+        // The slot is free again: the request is sent, and the exchange waits for the silent worker.
+        let again = async {
+            Some(
+                pool.exchange(address, infer_request(address), false, || true)
+                    .await,
+            )
+        }
+        .or(timeout)
+        .await;
         assert!(again.is_none());
     }));
 }
