--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,7 +1,7 @@
 //! Admission between the fronts and the core: assigns each request a version of its model and, within a
 //! session, a preferred worker. `cedarpulley-upgrade` makes these decisions; this module holds requests, limited
 //! in number and time, until a majority has confirmed the binding of their session. All inputs from the fronts
-//! and the worker list pass through [`Admission::filter`]. `Admission::observer` records completions while the
+//! and the endpoint list pass through [`Admission::filter`]. `Admission::observer` records completions while the
 //! core is running, and [`Admission::process_completed`] handles them afterwards.
 
 use std::cell::{Cell, RefCell};
@@ -360,8 +360,8 @@
         if let Some(version) = version {
             self.assign_version(&mut request, &version);
         }
-        // Without this report the decision module could pass over the session's warm copy: either the session
-        // was served through another router and this router does not know the copy, or the decision module
+        // Without this report the balancer could pass over the session's warm copy: either the session
+        // was served through another router and this router does not know the copy, or the balancer
         // dropped what it knew of the function's copies when the preferred workers changed.
         let preferred = request.preferred_worker.clone();
         if let Some(worker) = preferred.filter(|worker| {
--- a/crates/gateway/src/copy_inventory.rs
+++ b/crates/gateway/src/copy_inventory.rs
@@ -1,5 +1,5 @@
-//! The copies at workers, for upgrade plans: combines the workers' reports with the worker list and with the copy sizes
-//! stated by invocations.
+//! The copies at workers, for upgrade plans: combines the workers' reports with the endpoint list and with the copy
+//! sizes stated by invocations.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -18,7 +18,7 @@
 
 /// Returns the copies that workers hold, as far as this router knows.
 pub type HoldingsSource = Box<dyn Fn() -> Vec<ObservedWorker>>;
-/// The workers of the worker list, by name.
+/// The workers of the endpoint list, by name.
 pub type WorkerMap = Rc<RefCell<BTreeMap<Name, ListedWorker>>>;
 
 /// Size of a model's copies, as stated by its last invocation.
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Sets the worker list.
+    /// Sets the endpoint list.
     pub(crate) fn set_workers(&self, workers: WorkerMap) {
         *self.workers.borrow_mut() = Some(workers);
     }
@@ -100,7 +100,7 @@
         workers.iter().filter_map(describe).collect()
     }
 
-    /// Completes a worker's report with data from the worker list and the copy sizes.
+    /// Completes a worker's report with data from the endpoint list and the copy sizes.
     fn describe(&self, mut worker: ObservedWorker, listed: &ListedWorker) -> ObservedWorker {
         let zone = self.context.names.zones.get(listed.zone as usize);
         let zone = zone.map_or("", String::as_str);
--- a/crates/gateway/src/core_settings.rs
+++ b/crates/gateway/src/core_settings.rs
@@ -1,4 +1,4 @@
-//! Reads the settings of the core and its decision module: position in the fleet, dispatches, rules, loads, prices,
+//! Reads the settings of the core and its balancer: position in the fleet, dispatches, rules, loads, prices,
 //! trigger types and accounts.
 
 use std::net::{IpAddr, Ipv4Addr};
--- a/crates/gateway/src/worker_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Watches the worker list over HTTP, published as Kubernetes endpoint slices: requests a listing, then a watch from
+//! Watches the endpoint list over HTTP, published as Kubernetes endpoint slices: requests a listing, then a watch from
 //! the version of the listing. `cedarpulley_router::endpoint_list` interprets the events.
 
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 const PATH: &str = "/apis/discovery.k8s.io/v1/endpointslices";
 /// Time limit for connecting to the publisher, in microseconds.
 const CONNECT_TIMEOUT: Micros = 1_000_000;
-/// Time limit for a listing, in microseconds.
+/// Time limit for the head of a response, and for each chunk of a listing, in microseconds.
 const LIST_TIMEOUT: Micros = 5_000_000;
 /// Time without data after which a watch is considered broken, as the publisher regularly sends bookmarks. In
 /// microseconds.
@@ -38,7 +38,7 @@
 /// Limit on a complete listing.
 const MAX_LISTING_BYTES: usize = 64 << 20;
 
-/// Watches the worker list until the router stops. `filter` receives each event and may change it; it changes events
+/// Watches the endpoint list until the router stops. `filter` receives each event and may change it; it changes events
 /// only when faults are injected.
 pub async fn watch(
     context: Rc<GatewayContext>,
--- a/crates/gateway/src/fault_injection.rs
+++ b/crates/gateway/src/fault_injection.rs
@@ -155,7 +155,7 @@
         }
     }
 
-    /// If the fault is [`InjectedFault::CorruptedBelief`], corrupts beliefs of the decision module and, if it is
+    /// If the fault is [`InjectedFault::CorruptedBelief`], corrupts beliefs of the balancer and, if it is
     /// configured, of the reconciliation, which has to correct them.
     pub async fn corrupt_beliefs(self: Rc<Self>, reconciliation: Option<Rc<Reconciliation>>) {
         if self.fault != Some(InjectedFault::CorruptedBelief) {
@@ -343,7 +343,7 @@
         }
     }
 
-    /// Returns the event of the worker list, changed if the fault concerns it.
+    /// Returns the event of the endpoint list, changed if the fault concerns it.
     pub fn filter_list_event(&self, mut event: WatchEvent) -> WatchEvent {
         let slices = match &mut event {
             WatchEvent::Listing { slices, .. } => slices.as_mut_slice(),
--- a/crates/gateway/src/grpc.rs
+++ b/crates/gateway/src/grpc.rs
@@ -1,6 +1,6 @@
 //! The KServe v2 front over gRPC. `cedarpulley_kserve::grpc` interprets calls, and
-//! `cedarpulley_kserve::client_requests` their headers; this module handles HTTP/2 streams and limits. Code shared with the REST front is in
-//! [`request_handling`](crate::request_handling) and [`request_parsing`](crate::request_parsing).
+//! `cedarpulley_kserve::client_requests` their headers; this module handles HTTP/2 streams and limits. Code shared with
+//! the REST front is in [`request_handling`](crate::request_handling) and [`request_parsing`](crate::request_parsing).
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -45,8 +45,8 @@
 const CONNECTION_WINDOW: u32 = 1024 * 1024;
 /// Limit on the bytes of one answer that are buffered until the peer accepts them.
 const MAX_SEND_BYTES: usize = 64 * 1024;
-/// Limit on streams that the peer resets before they are handled, and on streams reset by this router because of errors;
-/// above it, the connection is closed.
+/// Limit on streams that the peer resets before they are handled, and on streams reset by this router because of
+/// errors; above it, the connection is closed.
 const MAX_RESETS: usize = 32;
 /// Interval of pings and time limit for their answers, in microseconds. A connection whose peer does not answer is
 /// closed; without pings its streams would stay open until the kernel's time-outs.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -2,18 +2,17 @@
 //! `cedarpulley-router`. This package makes no routing decisions: it hands every event to the core and carries
 //! out the core's outputs in order.
 //!
-//! Start reading at [`serve`], with `resources` (the files, sockets and state a router needs), `wiring` (builds
-//! and connects the components), `gateway` (the running router), `outputs` and `shutdown`; only these modules
-//! depend on all components. [`settings`] reads the configuration. The components are: [`context`] (shared by
-//! all others), [`amqp_front`] with
-//! `amqp_messages` (AMQP), [`client_listener`] with [`rest`], [`grpc`], [`request_parsing`], [`request_handling`],
-//! [`answer_body`] and [`client_connection`] (KServe v2), [`pool`] (connections to workers),
-//! [`worker_list`], [`admission`] (sessions and versions, before the core), [`peer_group`] with [`peers`],
-//! [`peer_transport`] and [`peer_store`] (the state that routers of a group share), and [`shared_state`],
-//! through which the other components use that state. A module never depends on one listed before it.
+//! Start reading at [`serve`], with `resources` (the files, sockets and state a router needs), `wiring` (builds and
+//! connects the components), `gateway` (the running router), `outputs` and `shutdown`; only these modules depend on all
+//! components. [`settings`] reads the configuration. The components are: [`context`] (shared by all others),
+//! [`amqp_front`] with `amqp_messages` (AMQP), [`client_listener`] with [`rest`], [`grpc`], [`request_parsing`],
+//! [`request_handling`], [`answer_body`] and [`client_connection`] (KServe v2), [`pool`] (connections to workers),
+//! [`endpoint_list`], [`admission`] (sessions and versions, before the core), [`peer_group`] with [`peers`],
+//! [`peer_transport`] and [`peer_store`] (the state that routers of a group share), and [`shared_state`], through which
+//! the other components use that state. A module never depends on one listed before it.
 //!
-//! A *front* is a way in for requests: a queue consumed over AMQP, or a listener for KServe clients. The
-//! *core* is the router's state machine; it drives the *decision module* (balancer).
+//! A *front* is a way in for requests: a queue consumed over AMQP, or a listener for KServe clients. The *core* is the
+//! router's state machine; it drives the *balancer*, the decision module in `cedarpulley`.
 
 pub mod admission;
 pub(crate) mod admission_observer;
@@ -28,6 +27,7 @@
 pub mod context;
 pub(crate) mod copy_inventory;
 pub(crate) mod core_settings;
+pub mod endpoint_list;
 pub mod fault_injection;
 pub(crate) mod file_names;
 pub(crate) mod front_settings;
@@ -78,5 +78,4 @@
 pub(crate) mod version_statistics;
 pub(crate) mod waiting_requests;
 pub(crate) mod wiring;
-pub mod worker_list;
 pub(crate) mod worker_settings;
--- a/crates/gateway/src/listed_workers.rs
+++ b/crates/gateway/src/listed_workers.rs
@@ -1,4 +1,4 @@
-//! The workers of the worker list, and the detection of workers that an update removes or replaces.
+//! The workers of the endpoint list, and the detection of workers that an update removes or replaces.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/gateway/src/outputs.rs
+++ b/crates/gateway/src/outputs.rs
@@ -86,7 +86,7 @@
                 term,
             } => self.spawn(self.clone().order_unload(worker, function, term)),
             Output::Probe { worker } => self.spawn(self.clone().probe(worker)),
-            // The watch of the worker list retries by itself, with randomized delays.
+            // The watch of the endpoint list retries by itself, with randomized delays.
             Output::RequestEndpointList => {}
             Output::Replication(request) => self.request_from_group(request),
         }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -227,8 +227,8 @@
 
     /// Cancels a dispatch: its connection closes.
     pub fn cancel(&self, ticket: Ticket) {
-        // The task is removed from the map before it is dropped, as dropping it releases its slot, which borrows the map
-        // of workers.
+        // The task is removed from the map before it is dropped, as dropping it releases its slot, which borrows the
+        // map of workers.
         let task = self.dispatches.borrow_mut().remove(&ticket);
         drop(task);
     }
--- a/crates/gateway/src/resources.rs
+++ b/crates/gateway/src/resources.rs
@@ -56,7 +56,7 @@
     pub(crate) upgrade: Option<UpgradeSettings>,
     pub(crate) reconcile: Option<ReconcileSettings>,
     pub(crate) sessions: Option<sessions::SessionSettings>,
-    /// Time after a copy's last use in which the decision module assumes that the copy still exists, in microseconds.
+    /// Time after a copy's last use in which the balancer assumes that the copy still exists, in microseconds.
     pub(crate) idle_retention: Micros,
     /// Memory in MB, by index of the kind of worker.
     pub(crate) memory_mb: Vec<f64>,
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -17,8 +17,8 @@
 use crate::gateway::Gateway;
 use crate::peer_group::PeerGroupError;
 use crate::resources::Resources;
-use crate::settings::{RouterSettings, WorkerList};
-use crate::{wiring, worker_list};
+use crate::settings::{EndpointListSource, RouterSettings};
+use crate::{endpoint_list, wiring};
 
 /// Interval at which idle connections to workers are closed.
 const CLOSE_IDLE_INTERVAL: Duration = Duration::from_secs(5);
@@ -75,10 +75,14 @@
     }))
 }
 
-fn start_tasks(gateway: &Rc<Gateway>, workers: WorkerList, sockets: Vec<Async<TcpListener>>) {
+fn start_tasks(
+    gateway: &Rc<Gateway>,
+    workers: EndpointListSource,
+    sockets: Vec<Async<TcpListener>>,
+) {
     let executor = &gateway.context.executor;
     executor.spawn(gateway.clone().run_timers()).detach();
-    start_worker_list(gateway, workers);
+    start_endpoint_list(gateway, workers);
     for front in &gateway.fronts {
         executor.spawn(front.clone().run()).detach();
     }
@@ -110,13 +114,13 @@
     executor.spawn(flush(gateway.clone())).detach();
 }
 
-fn start_worker_list(gateway: &Rc<Gateway>, workers: WorkerList) {
+fn start_endpoint_list(gateway: &Rc<Gateway>, workers: EndpointListSource) {
     match workers {
-        WorkerList::Fixed(workers) => gateway.feed(Input::EndpointList {
+        EndpointListSource::Fixed(workers) => gateway.feed(Input::EndpointList {
             kind: EndpointListKind::Complete,
             workers,
         }),
-        WorkerList::Watched(address) => {
+        EndpointListSource::Watched(address) => {
             let fault_injector = gateway.fault_injector.clone();
             let reconciliation = gateway.reconciliation.clone();
             let filter = move |event| {
@@ -126,7 +130,7 @@
                     .for_each(|reconciliation| reconciliation.observe_list_event(&event));
                 event
             };
-            let watch = worker_list::watch(gateway.context.clone(), address, filter);
+            let watch = endpoint_list::watch(gateway.context.clone(), address, filter);
             gateway.context.executor.spawn(watch).detach();
         }
     }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of one router, read from TOML and rejected as a whole if they contain any error. Each component receives
-//! only its own settings; docs/operate/settings.md documents the keys.
+//! The settings of one router, read from TOML and rejected as a whole if they contain any error. Each component
+//! receives only its own settings; docs/operate/settings.md documents the keys.
 //!
 //! This module reads all sections and checks them against each other. The sections are parsed in `core_settings`,
 //! `front_settings`, `group_settings`, `storage_settings` and `worker_settings`, which use `config_values` and
@@ -31,13 +31,13 @@
 use crate::trace_recorder::TraceSettings;
 use crate::upgrades::UpgradeSettings;
 use crate::worker_settings;
-pub use crate::worker_settings::WorkerList;
+pub use crate::worker_settings::EndpointListSource;
 
 /// All settings of a router.
 pub struct RouterSettings {
     /// Seed of all random draws; without it, each start uses a different one.
     pub seed: Option<u64>,
-    /// Initial settings of the decision module.
+    /// Initial settings of the balancer.
     pub startup: StartupSettings,
     /// The names of zones, kinds of workers, trigger types and accounts, by index.
     pub names: Names,
@@ -48,7 +48,7 @@
     /// The addresses to listen on for KServe clients.
     pub listeners: Vec<ListenerSettings>,
     /// Where the workers are listed.
-    pub workers: WorkerList,
+    pub workers: EndpointListSource,
     /// Limits of the connections to workers.
     pub pool: PoolSettings,
     /// Size limit of a request's body, in bytes.
@@ -172,7 +172,7 @@
     }
 }
 
-/// The settings of the core and its decision module.
+/// The settings of the core and its balancer.
 struct CoreSections {
     names: Names,
     router: RouterSection,
--- a/crates/gateway/src/tls.rs
+++ b/crates/gateway/src/tls.rs
@@ -174,8 +174,8 @@
         acceptor.accept(stream).or(timeout).await
     }
 
-    /// Checks the files until the router stops, and replaces the certificate when they change. Established connections
-    /// keep their certificate.
+    /// Checks the certificate and key files until the router stops, and replaces the certificate when they change.
+    /// Established connections keep their certificate.
     pub async fn watch(self: Rc<Self>, clock: Clock, front: String) {
         let mut last_warned = Micros::MIN;
         loop {
@@ -227,9 +227,9 @@
     tracing::error!(front, file = ?rejected.role, cause = rejected.cause, "the certificate was not replaced; the previous one stays in use");
 }
 
-/// Reads the TLS configuration for connections to a broker. `roots`: file of the trusted authorities; `own`: the router's
-/// certificate and key, if the broker requires a certificate; `name`: the broker's server name; `wall_time`: in
-/// microseconds since 1970.
+/// Reads the TLS configuration for connections to a broker. `roots`: file of the trusted authorities; `own`: the
+/// router's certificate and key, if the broker requires a certificate; `name`: the broker's server name; `wall_time`:
+/// in microseconds since 1970.
 pub fn client_tls(
     roots: &Path,
     own: Option<(&Path, &Path)>,
--- a/crates/gateway/src/trace_recorder.rs
+++ b/crates/gateway/src/trace_recorder.rs
@@ -162,7 +162,8 @@
         }
     }
 
-    /// Prepares the current block for a record at `now`, and records a pending gap. Has to be called before each record.
+    /// Prepares the current block for a record at `now`, and records a pending gap. Has to be called before each
+    /// record.
     fn prepare(&mut self, now: Micros) {
         self.close_old(now);
         if self.block.is_empty()
@@ -265,7 +266,7 @@
         );
     }
 
-    /// Not recorded: memory usage reported by workers is not an input of the decision module, and so not part of the
+    /// Not recorded: memory usage reported by workers is not an input of the balancer, and so not part of the
     /// trace format.
     fn used(&mut self, _: Micros, _: WorkerUsage) {}
 }
--- a/crates/gateway/src/worker_settings.rs
+++ b/crates/gateway/src/worker_settings.rs
@@ -1,4 +1,4 @@
-//! Reads the settings of the worker list: the section `[workers]`.
+//! Reads the settings of the endpoint list: the section `[workers]`.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 
 /// Where the workers are listed.
 #[derive(Clone, Debug)]
-pub enum WorkerList {
+pub enum EndpointListSource {
     /// A list in the settings; it never changes.
     Fixed(Vec<ListedWorker>),
     /// The address of a server that publishes endpoint slices; its list is watched.
@@ -19,13 +19,13 @@
 }
 
 /// Reads `[workers]`: the address of a server to watch, or the list itself.
-pub(crate) fn workers(section: &Section, names: &Names) -> WorkerList {
+pub(crate) fn workers(section: &Section, names: &Names) -> EndpointListSource {
     let workers = match (section.has("watch"), section.has("list")) {
-        (true, false) => WorkerList::Watched(section.loopback_address("watch")),
-        (false, true) => WorkerList::Fixed(fixed_workers(section, names)),
+        (true, false) => EndpointListSource::Watched(section.loopback_address("watch")),
+        (false, true) => EndpointListSource::Fixed(fixed_workers(section, names)),
         _ => {
             section.error("watch", "set either watch or list, and not both");
-            WorkerList::Fixed(Vec::new())
+            EndpointListSource::Fixed(Vec::new())
         }
     };
     section.check_unknown_keys();
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -49,12 +49,12 @@
     }
 }
 
-/// Guards against a session being moved away from the worker with its warm copy: when the preferred workers of a function
-/// change, the decision module drops what it knew of the function's copies, and would choose another worker.
+/// Guards against a session being moved away from the worker with its warm copy: when the preferred workers of a
+/// function change, the balancer drops what it knew of the function's copies, and would choose another worker.
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, in order"
+    reason = "one scenario or table of cases, told in order"
 )]
 fn recently_used_copy_is_reported_to_the_core_before_each_invocation() {
     let core_inputs: Rc<RefCell<Vec<Input>>> = Rc::default();
