--- a/crates/gateway/src/group_settings.rs
+++ b/crates/gateway/src/group_settings.rs
@@ -1,4 +1,5 @@
-//! The settings of what routers of a group share: its members, reconciliation, upgrades and sessions.
+//! Settings of what the routers of a group share: `[peers]` (the members), `[reconcile]`, and `[upgrade]` with the
+//! limits of sessions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,23 +17,25 @@
 use crate::reconciliation::ReconcileSettings;
 use crate::upgrades::{self, UpgradeSettings};
 
-/// By default, the group's records are retained this long beyond the longest client timeout (microseconds): a
-/// lost channel is noticed, and its messages are delivered again, well within it.
+/// By default, the group's records are retained for this long after the longest client timeout, in microseconds. It is
+/// enough for the loss of an AMQP channel to be noticed and for the channel's messages to be redelivered.
 const RETENTION_MARGIN: Micros = 4_000_000;
 
-/// A session's binding is trusted for somewhat less than a majority retains it; waiting must not use that up.
-const MIN_WAITS_IN_RETENTION: Micros = 10;
+/// Smallest ratio of a session's retention to the time limit for a majority. A router relies on a session's binding for
+/// somewhat less time than a majority retains it; waiting for the majority must not use up that time.
+const MIN_RETENTION_TO_TIMEOUT_RATIO: Micros = 10;
 
-/// Defaults for sessions: retention for three pauses of a person who reads; more sessions than a router has
-/// invocations in a minute; as many waiting as a majority answers in some tens of milliseconds.
-pub(crate) const DEFAULT_SESSION_TERMS: sessions::SessionSettings = sessions::SessionSettings {
+/// Default limits of sessions; times in microseconds. The retention covers three pauses in which a user reads an answer.
+/// The number of sessions is above the number of invocations that a router handles in a minute. The number of waiting
+/// invocations is what a majority answers in some tens of milliseconds.
+pub(crate) const DEFAULT_SESSION_SETTINGS: sessions::SessionSettings = sessions::SessionSettings {
     retention: 600_000_000,
     majority_timeout: 1_000_000,
     max_sessions: 100_000,
     max_waiting: 1_000,
 };
 
-/// The group, if there is one. `longest_client_timeout`: in microseconds.
+/// Reads `[peers]`; absent if the router belongs to no group. `longest_client_timeout`: in microseconds.
 pub(crate) fn peers(
     section: &Section,
     folder: &Path,
@@ -48,7 +51,7 @@
     let probe_interval = section.millis_as_micros("probe_ms", 10..DAY_MS, Some(250));
     let probe_timeout = section.millis_as_micros("answer_ms", 5..DAY_MS, Some(100));
     let suspicion_timeout = section.millis_as_micros("suspected_ms", 100..DAY_MS, Some(1_500));
-    let belief_delay = section.millis_as_micros("believed_ms", 100..DAY_MS, Some(3_000));
+    let stable_view_delay = section.millis_as_micros("believed_ms", 100..DAY_MS, Some(3_000));
     let replication_timeout = section.millis_as_micros("copied_within_ms", 10..DAY_MS, Some(500));
     let catch_up_kb_per_s = section.integer("catch_up_kb_per_s", 64..1 << 20, Some(16 << 10));
     let max_records = section.integer("most_records", 1_000..10_000_000, Some(200_000)) as usize;
@@ -74,7 +77,7 @@
         probe_interval,
         probe_timeout,
         suspicion_timeout,
-        belief_delay,
+        stable_view_delay,
         retention,
         replication_timeout,
         catch_up_bytes_per_s: catch_up_kb_per_s << 10,
@@ -82,7 +85,7 @@
     })
 }
 
-/// How long the group's records are retained, in microseconds.
+/// Reads how long the group's records are retained, in microseconds. `longest_client_timeout`: in microseconds.
 fn record_retention(section: &Section, longest_client_timeout: Micros) -> Micros {
     let default_retention = retention_for(longest_client_timeout + RETENTION_MARGIN);
     let retention = section.millis_as_micros(
@@ -93,13 +96,13 @@
     if retention < longest_client_timeout {
         section.error(
             "kept_ms",
-            "is below the longest client timeout: what may still be waited for would be forgotten",
+            "is below the longest client timeout: records of invocations that clients still wait for would expire",
         );
     }
     retention
 }
 
-/// The members, and the address of each by its name.
+/// Reads the members, and the address of each member by its name.
 fn members(section: &Section) -> (Vec<Member>, BTreeMap<String, SocketAddr>) {
     let (mut members, mut addresses) = (Vec::new(), BTreeMap::new());
     for entry in section.sections("member") {
@@ -116,7 +119,7 @@
     (members, addresses)
 }
 
-/// Whether and how the warm index is reconciled with the workers' reports.
+/// Reads `[reconcile]`: how the recorded warm copies are reconciled with the workers' reports; absent if they are not.
 pub(crate) fn reconcile(section: &Section) -> Option<ReconcileSettings> {
     let settings = section.is_present().then(|| ReconcileSettings {
         interval: section.millis_as_micros("every_ms", 50..DAY_MS, Some(2_000)),
@@ -128,7 +131,8 @@
     settings
 }
 
-/// Upgrades of models, if any, and the limits of sessions. `reconciles`: whether `[reconcile]` is given.
+/// Reads `[upgrade]`: the settings of upgrades and the limits of sessions; both are absent if the section is.
+/// `reconciles`: whether `[reconcile]` is configured.
 pub(crate) fn upgrade(
     section: &Section,
     folder: &Path,
@@ -141,13 +145,13 @@
     if !reconciles {
         section.error(
             "order",
-            "upgrades need to know what workers hold; give [reconcile]",
+            "upgrades need the workers' reports of their copies; configure [reconcile]",
         );
     }
     if peers.is_none() {
         section.error(
             "order",
-            "upgrades need a group that agrees on them; give [peers]",
+            "upgrades need a group that agrees on their plans; configure [peers]",
         );
     }
     let file = folder.join(section.string("order", None));
@@ -158,14 +162,14 @@
             .for_each(|line| section.error("order", line));
         Vec::new()
     });
-    let terms = upgrade_terms(section);
-    let sessions = session_terms(section, peers.map_or(0, |peers| peers.replication_timeout));
+    let planner_settings = planner_settings(section);
+    let sessions = session_settings(section, peers.map_or(0, |peers| peers.replication_timeout));
     let regions = regions(section);
     section.check_unknown_keys();
     let settings = UpgradeSettings {
         file,
         orders,
-        terms,
+        planner_settings,
         regions,
         latency_objectives: Vec::new(),
         memory_mb: Vec::new(),
@@ -173,8 +177,8 @@
     (Some(settings), Some(sessions))
 }
 
-/// The limits and times of upgrades; a key that is absent has the planner's default.
-fn upgrade_terms(section: &Section) -> cedarpulley_upgrade::PlannerSettings {
+/// Reads the limits and times of upgrades; an absent key has the planner's default.
+fn planner_settings(section: &Section) -> cedarpulley_upgrade::PlannerSettings {
     let defaults = cedarpulley_upgrade::PlannerSettings::default();
     let time = |key, default: Micros| {
         section.millis_as_micros(key, 0..DAY_MS, Some((default / 1_000) as u64))
@@ -198,33 +202,35 @@
     }
 }
 
-/// The limits of sessions. `replication_timeout`: the time limit for a majority, in microseconds.
-fn session_terms(section: &Section, replication_timeout: Micros) -> sessions::SessionSettings {
+/// Reads the limits of sessions. `replication_timeout`: the time limit for a majority, in microseconds.
+fn session_settings(section: &Section, replication_timeout: Micros) -> sessions::SessionSettings {
     let majority_timeout = section.millis_as_micros(
         "session_wait_ms",
         10..DAY_MS,
-        Some((2 * replication_timeout).max(DEFAULT_SESSION_TERMS.majority_timeout) as u64 / 1_000),
+        Some(
+            (2 * replication_timeout).max(DEFAULT_SESSION_SETTINGS.majority_timeout) as u64 / 1_000,
+        ),
     );
     let retention = section.millis_as_micros(
         "session_kept_ms",
         1_000..DAY_MS,
-        Some(DEFAULT_SESSION_TERMS.retention as u64 / 1_000),
+        Some(DEFAULT_SESSION_SETTINGS.retention as u64 / 1_000),
     );
-    if retention < MIN_WAITS_IN_RETENTION * majority_timeout.max(replication_timeout) {
+    if retention < MIN_RETENTION_TO_TIMEOUT_RATIO * majority_timeout.max(replication_timeout) {
         section.error(
             "session_kept_ms",
-            "is below ten times what an invocation waits for a majority",
+            "is below ten times the longest time for which an invocation waits for a majority",
         );
     }
     let max_sessions = section.integer(
         "most_sessions",
         100..10_000_000,
-        Some(DEFAULT_SESSION_TERMS.max_sessions as u64),
+        Some(DEFAULT_SESSION_SETTINGS.max_sessions as u64),
     ) as usize;
     let max_waiting = section.integer(
         "most_waiting",
         1..1_000_000,
-        Some(DEFAULT_SESSION_TERMS.max_waiting as u64),
+        Some(DEFAULT_SESSION_SETTINGS.max_waiting as u64),
     ) as usize;
     sessions::SessionSettings {
         retention,
@@ -234,7 +240,7 @@
     }
 }
 
-/// Region by zone.
+/// Reads the region of each zone.
 fn regions(section: &Section) -> BTreeMap<String, String> {
     let mut regions = BTreeMap::new();
     for region in section.sections("region") {
--- a/crates/gateway/src/peer_envelopes.rs
+++ b/crates/gateway/src/peer_envelopes.rs
@@ -1,4 +1,5 @@
-//! Which envelopes a router accepts, the members' clocks that envelopes carry, and counts of both.
+//! Creates envelopes, and accepts or rejects received ones. It counts both, and follows the members' clocks that
+//! envelopes contain.
 
 use std::net::IpAddr;
 
@@ -13,38 +14,40 @@
 use crate::peer_messages::Envelope;
 use crate::rejected_envelopes::{RejectedEnvelopes, Rejection, RejectionCause};
 
-/// Assumed transit time of a member's message while nothing bounds it: long before any router began. In
-/// microseconds.
+/// Assumed upper bound of the transit time of a member's message, in microseconds, if its envelope does not return a
+/// clock reading of this process. The message then counts as sent long before any router started.
 const UNKNOWN_TRANSIT: Micros = Micros::MAX / 4;
 
-/// Envelopes received and those rejected, by cause. The names are those of the state endpoint.
+/// Counts of received envelopes, and of rejected ones by cause. The field names appear in the state endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EnvelopeCounts {
-    /// All that were received, rejected ones included.
+    /// All received envelopes, including rejected ones.
     pub envelopes: u64,
-    /// Rejected: of another protocol version.
+    /// Rejected: the envelope has another protocol version.
     pub other_version: u64,
-    /// Rejected: of another group, or of one with other members configured.
+    /// Rejected: the sender belongs to another group, or to one with other members configured.
     pub other_group: u64,
-    /// Rejected: for another member, or from none.
+    /// Rejected: the envelope is for another member, or its sender is not a member.
     pub other_member: u64,
-    /// Rejected as they could not be decoded; and single messages that could not.
+    /// Envelopes rejected because they could not be decoded, and single messages that could not be decoded.
     pub unreadable: u64,
-    /// Answers stored by another member that could not be decoded here.
+    /// Answers that another member stored and this router could not decode.
     pub unreadable_answers: u64,
 }
 
-/// A member of a group as the receiver of envelopes.
+/// Identifies this member as the receiver of envelopes.
 pub(crate) struct EnvelopeReceiver {
-    /// Fingerprint of its group.
+    /// Fingerprint of the group.
     pub(crate) group: u64,
+    /// Index of this member.
     pub(crate) own_index: MemberIndex,
-    /// Members in its group.
+    /// Number of members of the group.
     pub(crate) members: usize,
 }
 
 impl EnvelopeReceiver {
-    /// Decodes an envelope that is of this group and for this member.
+    /// Decodes an envelope; rejects it unless it has this protocol version, comes from another member of this group and
+    /// is for this member.
     fn decode(&self, bytes: &[u8]) -> Result<Envelope, Rejection> {
         let unidentified = Rejection {
             cause: RejectionCause::Unreadable,
@@ -52,7 +55,7 @@
             from: None,
             address: None,
         };
-        // All versions have the version in front, whatever follows it.
+        // Every version of the protocol encodes its version first.
         let Ok((version, _)) = postcard::take_from_bytes::<u16>(bytes) else {
             return Err(unidentified);
         };
@@ -78,28 +81,28 @@
     }
 }
 
-/// Another member's clock as last received.
+/// The clock of another member, as last received.
 #[derive(Clone, Copy, Default)]
 struct PeerClock {
-    /// In microseconds.
+    /// The reading in microseconds.
     reading: Micros,
-    /// The process that it belongs to.
+    /// Nonce of the process whose clock it is.
     nonce: u64,
 }
 
-/// Accepts and makes the envelopes of one router.
+/// Creates and accepts the envelopes of one router.
 pub(crate) struct EnvelopeExchange {
     receiver: EnvelopeReceiver,
-    /// Of this process.
+    /// Nonce of this process.
     nonce: u64,
-    /// By member.
+    /// Last received clock of each member, by member index.
     clocks: Vec<PeerClock>,
     counts: EnvelopeCounts,
     rejected: RejectedEnvelopes,
 }
 
 impl EnvelopeExchange {
-    /// `nonce`: unique for this process.
+    /// Creates the exchange of a process. `nonce`: unique for this process.
     pub(crate) fn new(receiver: EnvelopeReceiver, nonce: u64) -> Self {
         EnvelopeExchange {
             clocks: vec![PeerClock::default(); receiver.members],
@@ -110,8 +113,8 @@
         }
     }
 
-    /// Decodes an envelope received from `address`, with the longest time that it can have been under way
-    /// (microseconds). One of another version, group or receiver is counted, logged and rejected.
+    /// Decodes an envelope received from `address`; returns it with an upper bound of its transit time in microseconds.
+    /// An envelope of another version, group or receiver is counted, logged and rejected.
     pub(crate) fn accept<'a>(
         &mut self,
         now: Micros,
@@ -147,6 +150,7 @@
         Ok((envelope, transit))
     }
 
+    /// Counts a rejection, and logs it if it is due to be logged.
     fn record_rejection<'a>(
         &mut self,
         now: Micros,
@@ -167,7 +171,7 @@
         }
     }
 
-    /// An envelope with these encoded messages for a member. `process`: this one.
+    /// Creates an envelope with these encoded messages for a member. `process`: incarnation of this process.
     pub(crate) fn envelope(
         &self,
         now: Micros,
@@ -189,19 +193,23 @@
         }
     }
 
+    /// Counts a message in an accepted envelope that could not be decoded.
     pub(crate) fn count_unreadable_message(&mut self) {
         self.counts.unreadable += 1;
     }
 
+    /// Counts a stored answer of another member that could not be decoded.
     pub(crate) fn count_unreadable_answer(&mut self) {
         self.counts.unreadable_answers += 1;
     }
 
+    /// The counts so far.
     pub(crate) fn counts(&self) -> &EnvelopeCounts {
         &self.counts
     }
 
-    /// Rejected envelopes in the name of this member or, without one, of all senders that cannot be identified.
+    /// For the state endpoint: the rejected envelopes that name this member as their sender or, if `member` is absent,
+    /// those of all senders that cannot be identified.
     pub(crate) fn rejections(&self, now: Micros, member: Option<MemberIndex>) -> Value {
         self.rejected.state(now, member)
     }
--- a/crates/gateway/src/peer_events.rs
+++ b/crates/gateway/src/peer_events.rs
@@ -1,5 +1,5 @@
-//! Notifications that follow from messages of the group: to the core, and to the parts of this router that subscribed.
-//! They are delivered one after the other: what a receiver causes is queued and delivered after it.
+//! Notifications about the group, for the router core and for the components of this router that subscribed to them.
+//! They are delivered one at a time: a notification that a receiver causes is queued and delivered later.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -11,18 +11,18 @@
 
 use crate::context::GatewayContext;
 
-/// What other parts of this router can learn about the group.
+/// An event of the group, for the other components of this router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerEvent {
-    /// The outcome of a proposal of this router.
+    /// A proposal of this router for this key has ended with this outcome.
     Decided(replica::Key, replica::Outcome),
     /// Another member published a note or a choice under this key.
     Updated(replica::Key),
-    /// The set of members believed to be alive has changed.
-    BelievedMembersChanged,
+    /// The set of members that are considered alive has changed.
+    AliveMembersChanged,
 }
 
-/// Called for each event that it subscribed to.
+/// A function that is called for each event of its subscription.
 pub type EventListener = Rc<dyn Fn(PeerEvent)>;
 
 /// A queued notification.
@@ -35,25 +35,26 @@
 #[derive(Default)]
 pub(crate) struct NotificationQueue {
     waiting: RefCell<VecDeque<Notification>>,
-    /// Listeners with the key prefix that each subscribed to.
+    /// The listeners, each with the key prefix of its subscription.
     listeners: RefCell<Vec<(&'static str, EventListener)>>,
+    /// Whether [`NotificationQueue::deliver`] is running.
     is_delivering: Cell<bool>,
 }
 
 impl NotificationQueue {
-    /// From now on `listener` receives events of keys with this prefix, and every change of the believed
-    /// members.
+    /// Subscribes `listener` to events of keys with this prefix, and to every change of the members that are considered
+    /// alive.
     pub(crate) fn subscribe(&self, prefix: &'static str, listener: EventListener) {
         self.listeners.borrow_mut().push((prefix, listener));
     }
 
-    /// Queues a notification for the core.
+    /// Queues a notification for the router core.
     pub(crate) fn push_for_core(&self, notification: ReplicationEvent) {
         let notification = Notification::Core(notification);
         self.waiting.borrow_mut().push_back(notification);
     }
 
-    /// Queues an event for the listeners; without listeners it is dropped.
+    /// Queues an event for the listeners; drops it if there are no listeners.
     pub(crate) fn push_event(&self, event: PeerEvent) {
         if !self.listeners.borrow().is_empty() {
             let notification = Notification::Listeners(event);
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Delivers what is queued. The core and listeners may make requests from within: whatever those queue is
-    /// delivered by the loop that already runs.
+    /// Delivers all queued notifications. The core and the listeners may send requests to the group while they are
+    /// called; the notifications that these requests queue are delivered by the loop that is already running.
     pub(crate) fn deliver(&self, context: &GatewayContext) {
         if self.is_delivering.replace(true) {
             return;
@@ -79,10 +80,11 @@
         self.is_delivering.set(false);
     }
 
+    /// Calls every listener whose subscription includes the event.
     fn call_listeners(&self, event: &PeerEvent) {
         let is_subscribed = |prefix: &str| match event {
             PeerEvent::Decided(key, _) | PeerEvent::Updated(key) => key.starts_with(prefix),
-            PeerEvent::BelievedMembersChanged => true,
+            PeerEvent::AliveMembersChanged => true,
         };
         let listeners = self.listeners.borrow().clone();
         listeners
--- a/crates/gateway/src/peer_group.rs
+++ b/crates/gateway/src/peer_group.rs
@@ -1,6 +1,5 @@
-//! The peer group as one part of the process: what has to be acquired before a router starts
-//! ([`PeerGroupResources::acquire`]: its listener and its store), and the tasks that run beside it
-//! ([`PeerGroup::run`]).
+//! The peer group as a component of the process: the listener and the store, which must be acquired before a router
+//! starts ([`PeerGroupResources::acquire`]), and the tasks of the running group ([`PeerGroup::run`]).
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
@@ -23,10 +22,11 @@
 use crate::peers::{Peers, RestoredState};
 use crate::shared_state::SharedState;
 
-/// Changes of the shared state are written to the store this often, and at once if a vote waits for them.
+/// Interval at which changes of the shared state are written to the store; they are written at once if a vote waits for
+/// them.
 const STORE_WRITE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why the group's part cannot start.
+/// Why the peer group cannot start.
 #[derive(Debug, Error)]
 pub enum PeerGroupError {
     /// The address cannot be listened on.
@@ -46,29 +46,29 @@
     fn remedy(&self) -> &'static str {
         match self {
             PeerGroupError::Listen { .. } => {
-                "give peers.listen an address of this machine that nobody else has"
+                "give peers.listen an address of this machine that no other process uses"
             }
             PeerGroupError::Store(failed) => failed.remedy(),
         }
     }
 }
 
-/// What must be available before a router starts.
+/// The listener, the store and the restored state of the group, acquired before a router starts.
 pub struct PeerGroupResources {
     settings: PeerSettings,
     listener: Async<TcpListener>,
     store: Option<PeerStore>,
     restored: Option<RestoredState>,
-    disabled_guard: Option<SafetyCheck>,
+    disabled_check: Option<SafetyCheck>,
 }
 
 impl PeerGroupResources {
-    /// Binds the listener and opens the store. `disabled_guard`: only in tests of the auditor, one guard of
-    /// the shared state is switched off. Fails if the address is taken or the store cannot be opened.
+    /// Binds the listener and opens the store. `disabled_check`: a safety check of the shared state to switch off, only
+    /// for tests of the invariant checker. Fails if the address is in use or the store cannot be opened.
     pub fn acquire(
         settings: PeerSettings,
         clock: &Clock,
-        disabled_guard: Option<SafetyCheck>,
+        disabled_check: Option<SafetyCheck>,
     ) -> Result<PeerGroupResources, PeerGroupError> {
         let listen_error = |source| PeerGroupError::Listen {
             address: settings.listen,
@@ -89,7 +89,7 @@
             listener,
             store,
             restored,
-            disabled_guard,
+            disabled_check,
         })
     }
 }
@@ -105,16 +105,16 @@
 }
 
 impl PeerGroup {
-    /// Connects the group's parts; nothing runs before [`PeerGroup::run`].
+    /// Creates and connects the components of the group; nothing runs before [`PeerGroup::run`].
     pub fn new(context: &Rc<GatewayContext>, resources: PeerGroupResources) -> PeerGroup {
         let PeerGroupResources {
             settings,
             listener,
             store,
             restored,
-            disabled_guard,
+            disabled_check,
         } = resources;
-        // Above 0, and unique among processes with all but certainty.
+        // Above 0, and a collision with the nonce of another process is practically impossible.
         let nonce = uuid::Uuid::new_v4().as_u64_pair().0 | 1;
         let transport = Rc::new(PeerTransport::new(
             context.executor.clone(),
@@ -127,7 +127,7 @@
             &settings,
             nonce,
             restored,
-            disabled_guard,
+            disabled_check,
             transport_handle,
         ));
         let (store, listener) = (store.map(Rc::new), RefCell::new(Some(listener)));
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Takes a request of the core to the group.
+    /// Passes a request of the router core to the group.
     pub fn request(&self, request: ReplicationRequest) {
         self.peers.request(request);
     }
@@ -154,12 +154,12 @@
         &self.name
     }
 
-    /// The interface of the shared state for other parts of this router.
+    /// The interface of the shared state for the other components of this router.
     pub fn shared_state(&self) -> SharedState {
         SharedState::new(self.peers.clone())
     }
 
-    /// Starts the tasks; does nothing when called again.
+    /// Starts the tasks of the group; further calls have no effect.
     pub fn run(&self, context: &Rc<GatewayContext>) {
         let Some(listener) = self.listener.borrow_mut().take() else {
             return;
@@ -188,7 +188,7 @@
     }
 }
 
-/// Writes changes of the shared state to the store, for as long as the router runs.
+/// Writes changes of the shared state to the store, until the router ends.
 async fn write_changes(peers: Rc<Peers>, store: Rc<PeerStore>, clock: Clock) {
     let (mut interval, mut reported_serial) = (Timer::interval(STORE_WRITE_INTERVAL), 0);
     loop {
@@ -202,7 +202,7 @@
         if std::mem::replace(&mut reported_serial, serial) != serial {
             peers.apply_replica(replica::Input::Persisted { serial });
         }
-        // One write at a time: changes that come meanwhile go together into the next.
+        // Only one write runs at a time: changes made during a write are written together by the next one.
         if store.is_idle() && (due || peers.awaits_store()) {
             store.write(peers.changes(), clock.wall_time());
         }
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -1,5 +1,5 @@
-//! What members of a group send to each other, encoded with `postcard`: envelopes, the messages in them, and the answers
-//! that are stored in shared records. The order of fields and variants is the wire format.
+//! The types that members of a group send to each other, encoded with `postcard`: envelopes, the messages in them, and
+//! the answers that are stored in shared records. The order of fields and variants is the wire format.
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
@@ -8,40 +8,40 @@
 use cedarpulley_router::{Answer, AnswerReason, FinalOutcome, Payload};
 use serde::{Deserialize, Serialize};
 
-/// Everything that one member sends to another in one request, encoded with `postcard`. The order of fields
-/// is the wire format.
+/// All that one member sends to another in one request or response, encoded with `postcard`. The order of fields is
+/// the wire format.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Envelope {
     /// Version of the protocol between members.
     pub version: u16,
-    /// Fingerprint of the whole group: routers of another group, or with other members configured, have
-    /// another one.
+    /// Fingerprint of the group's name and members. It differs for routers of another group, and for routers with other
+    /// members configured.
     pub group: u64,
-    /// The sender.
+    /// Index of the sender.
     pub from: MemberIndex,
-    /// The receiver.
+    /// Index of the receiver.
     pub to: MemberIndex,
-    /// The sender's process.
+    /// Incarnation of the sender's process.
     pub process: Incarnation,
-    /// The sender's own clock in microseconds.
+    /// Reading of the sender's clock in microseconds.
     pub clock: Micros,
-    /// The receiver's clock as the sender last saw it, in microseconds. With it the receiver bounds the transit
-    /// time by its own clock alone.
+    /// The last reading of the receiver's clock that the sender received, in microseconds. The receiver derives an upper
+    /// bound of the transit time from it, by its own clock alone.
     pub echo: Micros,
-    /// The receiver's process that `echo` belongs to.
+    /// Nonce of the receiver's process whose clock `echo` is.
     pub echo_of: u64,
-    /// Encoded messages, each by itself: one that cannot be decoded does not affect the others.
+    /// The messages, each encoded separately: a message that cannot be decoded does not affect the others.
     pub messages: Vec<Bytes>,
 }
 
-/// One message in an envelope.
+/// A message in an envelope.
 #[derive(Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
     Membership(membership::Message),
     Replica(replica::Message),
 }
 
-/// A successful answer as stored in a shared record.
+/// A successful answer as stored in a shared record. The order of fields is the format.
 #[derive(Serialize, Deserialize)]
 struct SharedAnswer {
     alone: bool,
@@ -49,7 +49,7 @@
     body: Bytes,
 }
 
-/// Only successful answers are shared.
+/// Encodes an answer for a shared record; only successful answers are shared.
 pub(crate) fn encode_answer(answer: &Answer) -> Bytes {
     let shared = SharedAnswer {
         alone: answer.reason == AnswerReason::Alone,
@@ -61,7 +61,7 @@
         .unwrap_or_default()
 }
 
-/// Absent if the bytes are of another form.
+/// Decodes an answer from a shared record; absent if the bytes have another format.
 pub(crate) fn decode_answer(bytes: &[u8]) -> Option<Answer> {
     let SharedAnswer { alone, first, body } = postcard::from_bytes(bytes).ok()?;
     let reason = if alone {
--- a/crates/gateway/src/peer_requests.rs
+++ b/crates/gateway/src/peer_requests.rs
@@ -1,11 +1,11 @@
-//! Translation between the core's requests to its group and the replicated state that answers them.
+//! Translation between the requests of the router core to its group and the inputs and outputs of the replicated state.
 
 use cedarpulley_replica::{self as replica, Durability};
 use cedarpulley_router::replication::{self, ReplicationRequest};
 
 use crate::peer_messages::{decode_answer, encode_answer};
 
-/// The input of the replicated state that a request of the core amounts to.
+/// The input of the replicated state for a request of the router core.
 pub(crate) fn replica_input(request: ReplicationRequest) -> replica::Input {
     match request {
         ReplicationRequest::Announce {
@@ -14,7 +14,7 @@
             redelivered,
         } => replica::Input::Take {
             key,
-            durability: required_durability(durability),
+            durability: replica_durability(durability),
             redelivered,
         },
         ReplicationRequest::RequestPermission {
@@ -55,25 +55,26 @@
     }
 }
 
-/// The core's form of a need.
-fn required_durability(need: replication::Durability) -> Durability {
-    match need {
+/// The durability that the replicated state must reach for the one that the router core requires.
+fn replica_durability(required: replication::Durability) -> Durability {
+    match required {
         replication::Durability::Notified => Durability::Local,
         replication::Durability::MajorityStored => Durability::Majority,
     }
 }
 
-/// What the core learns of a permission to dispatch.
+/// The router core's form of a permission to dispatch.
 pub(crate) fn dispatch_permission<T>(
-    left: Result<T, replica::NoMajorityReason>,
+    permission: Result<T, replica::NoMajorityReason>,
 ) -> Result<T, replication::PermissionRefusal> {
-    left.map_err(|lack| match lack {
+    permission.map_err(|reason| match reason {
         replica::NoMajorityReason::OwnedElsewhere => replication::PermissionRefusal::Elsewhere,
         _ => replication::PermissionRefusal::NoMajority,
     })
 }
 
-/// What the core learns of an ownership decision. `on_unreadable`: called if it holds an answer that cannot be decoded.
+/// The router core's form of an ownership decision. `on_unreadable`: called if the decision contains an answer that
+/// cannot be decoded.
 pub(crate) fn ownership_decision(
     decision: replica::OwnershipDecision,
     on_unreadable: impl FnOnce(),
--- a/crates/gateway/src/peer_settings.rs
+++ b/crates/gateway/src/peer_settings.rs
@@ -1,4 +1,4 @@
-//! The configuration of a peer group.
+//! Settings of a peer group and its members.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,44 +7,44 @@
 use cedarpulley_membership::{self as membership, Group};
 use cedarpulley_replica::{self as replica, SafetyCheck};
 
-/// Configuration of the group and of this router's place in it. All times are in microseconds.
+/// Settings of the group and of this router as its member. All times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct PeerSettings {
-    /// Address that members and operators connect to.
+    /// Address on which this router accepts connections of members and operators.
     pub listen: SocketAddr,
-    /// The group's members, and which of them this router is.
+    /// The members of the group, and which of them this router is.
     pub group: Group,
     /// Address of each member as reached from this router, by member index.
     pub addresses: Vec<SocketAddr>,
-    /// Folder of the store; absent: nothing outlasts the process.
+    /// Folder of the store; if absent, no state is restored after a restart.
     pub state_folder: Option<PathBuf>,
-    /// Between two probes of other members.
+    /// Time between two probes of other members.
     pub probe_interval: Micros,
-    /// A probe that is not answered in this time has failed.
+    /// Time limit for the answer to a probe, after which the probe has failed.
     pub probe_timeout: Micros,
-    /// A suspected member that does not refute it in this time is considered dead.
+    /// Time after which a suspected member is considered dead unless it refutes the suspicion.
     pub suspicion_timeout: Micros,
-    /// A change in who is alive is acted upon only after it has lasted this long.
-    pub belief_delay: Micros,
+    /// How long a change of the members that are detected as alive must last before the router acts on it.
+    pub stable_view_delay: Micros,
     /// How long a record is retained after its last change.
     pub retention: Micros,
-    /// How long the replication of a record is waited for.
+    /// Time limit for the replication of a record to a majority.
     pub replication_timeout: Micros,
-    /// Bytes per second sent to a member that lacks records.
+    /// Limit on the bytes per second that are sent to a member that lacks records.
     pub catch_up_bytes_per_s: u64,
-    /// Records retained at once.
+    /// Limit on the number of retained records.
     pub max_records: usize,
 }
 
 impl PeerSettings {
-    /// How long a permission to send an invocation stays valid. It ends before another member can consider
-    /// this one dead and take its invocations over.
+    /// How long a permission to dispatch an invocation stays valid, in microseconds. It ends before another member can
+    /// consider this one dead and take over its invocations.
     pub fn send_lease(&self) -> Micros {
         self.suspicion_timeout / 2
     }
 
-    /// Settings of the failure detector. `seed`: of its random draws.
-    pub(crate) fn membership_terms(&self, seed: u64) -> membership::FailureDetectorSettings {
+    /// Settings of the failure detector. `seed`: seed of its random numbers.
+    pub(crate) fn membership_settings(&self, seed: u64) -> membership::FailureDetectorSettings {
         membership::FailureDetectorSettings {
             probe_interval: self.probe_interval,
             answer_timeout: self.probe_timeout,
@@ -53,17 +53,18 @@
         }
     }
 
-    /// Settings of the replicated state. `seed`: of its random draws; `disabled`: a guard that a test switches off.
-    pub(crate) fn replica_terms(
+    /// Settings of the replicated state. `seed`: seed of its random numbers; `disabled_check`: a safety check that a test
+    /// switches off.
+    pub(crate) fn replica_settings(
         &self,
         seed: u64,
-        disabled: Option<SafetyCheck>,
+        disabled_check: Option<SafetyCheck>,
     ) -> replica::ReplicaSettings {
         replica::ReplicaSettings {
             max_records: self.max_records,
             catch_up_bytes_per_s: self.catch_up_bytes_per_s,
             is_persistent: self.state_folder.is_some(),
-            disabled_check: disabled,
+            disabled_check,
             ..replica::ReplicaSettings::with_defaults(
                 self.retention,
                 self.replication_timeout,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -73,14 +73,14 @@
 type StateProvider = Box<dyn Fn() -> serde_json::Value>;
 
 impl Peers {
-    /// `nonce`: unique for this process; `disabled_guard`: only in tests of the auditor, see
+    /// `nonce`: unique for this process; `disabled_check`: only in tests of the auditor, see
     /// `cedarpulley-replica`.
     pub fn new(
         context: Rc<GatewayContext>,
         settings: &PeerSettings,
         nonce: u64,
         restored: Option<RestoredState>,
-        disabled_guard: Option<SafetyCheck>,
+        disabled_check: Option<SafetyCheck>,
         transport: Box<dyn Transport>,
     ) -> Self {
         let now = context.clock.now();
@@ -90,13 +90,13 @@
             own_index: group.own_index,
             members: group.len(),
         };
-        let believed = StableView::new(now, group.len(), settings.belief_delay);
+        let believed = StableView::new(now, group.len(), settings.stable_view_delay);
         let was_restored = restored.is_some();
         let (incarnation, records) =
             restored.map_or((0, None), |r| (r.incarnation, Some(r.records)));
-        let limits = settings.membership_terms(context.seed);
+        let limits = settings.membership_settings(context.seed);
         let membership = Membership::new(now, group.clone(), limits, nonce, incarnation);
-        let limits = settings.replica_terms(context.seed, disabled_guard);
+        let limits = settings.replica_settings(context.seed, disabled_check);
         let state = State {
             membership,
             believed,
@@ -280,7 +280,7 @@
         };
         if changed {
             self.notifications
-                .push_event(PeerEvent::BelievedMembersChanged);
+                .push_event(PeerEvent::AliveMembersChanged);
             self.notifications.deliver(&self.context);
         }
     }
--- a/crates/gateway/src/reconciliation.rs
+++ b/crates/gateway/src/reconciliation.rs
@@ -226,7 +226,7 @@
 
     fn peer_event(self: &Rc<Self>, event: &PeerEvent) {
         match event {
-            PeerEvent::BelievedMembersChanged => self.update_members(),
+            PeerEvent::AliveMembersChanged => self.update_members(),
             PeerEvent::Updated(key) => {
                 if let Some(notes) = &self.notes {
                     self.note_received(notes.receive_latest(self.context.clock.now(), key));
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -23,7 +23,7 @@
 use crate::config_values::{DAY_MS, NEVER};
 use crate::core_settings::{self, RouterSection};
 use crate::front_settings::{self, References};
-use crate::group_settings::{self, DEFAULT_SESSION_TERMS};
+use crate::group_settings::{self, DEFAULT_SESSION_SETTINGS};
 use crate::peer_settings::PeerSettings;
 use crate::pool::PoolSettings;
 use crate::reconciliation::ReconcileSettings;
@@ -303,13 +303,13 @@
                 .map(|trigger| trigger.latency_objective)
                 .collect(),
             memory_mb: core.loads.memory_mb.clone(),
-            terms: upgrade
-                .terms
+            planner_settings: upgrade
+                .planner_settings
                 .adjusted_to(longest_poll_interval, core.loads.idle_retention),
             ..upgrade
         });
         // Without upgrades, sessions are tracked only to prefer their workers.
-        let sessions = sessions.or(reconcile.map(|_| DEFAULT_SESSION_TERMS));
+        let sessions = sessions.or(reconcile.map(|_| DEFAULT_SESSION_SETTINGS));
         GroupSections {
             upgrade,
             reconcile,
--- a/crates/gateway/src/upgrades.rs
+++ b/crates/gateway/src/upgrades.rs
@@ -50,7 +50,7 @@
     /// The orders as read at start.
     pub orders: Vec<Order>,
     /// Limits and times of the planner.
-    pub terms: upgrade::PlannerSettings,
+    pub planner_settings: upgrade::PlannerSettings,
     /// Region by zone, for zones whose region has another name.
     pub regions: BTreeMap<String, String>,
     /// Latency objective by trigger type, in microseconds.
@@ -100,7 +100,7 @@
             context,
             shared,
             region,
-            planner: RefCell::new(Planner::new(settings.terms.clone())),
+            planner: RefCell::new(Planner::new(settings.planner_settings.clone())),
             orders: RefCell::new(settings.orders.clone()),
             settings,
             statistics,
@@ -318,8 +318,8 @@
     fn peer_event(&self, prefix: &str, event: PeerEvent) {
         match event {
             // Both prefixes receive this event; one is enough.
-            PeerEvent::BelievedMembersChanged if prefix == PLAN_PREFIX => self.update_members(),
-            PeerEvent::BelievedMembersChanged => {}
+            PeerEvent::AliveMembersChanged if prefix == PLAN_PREFIX => self.update_members(),
+            PeerEvent::AliveMembersChanged => {}
             PeerEvent::Updated(key) if prefix == PLAN_PREFIX => {
                 if let Some((ballot, bytes)) = self.shared.accepted(&key) {
                     self.plan_received(&key, ballot, bytes);
--- a/crates/gateway/tests/upgrades.rs
+++ b/crates/gateway/tests/upgrades.rs
@@ -98,7 +98,7 @@
     assert_eq!(
         (
             upgrade.orders.len(),
-            upgrade.terms.lease,
+            upgrade.planner_settings.lease,
             upgrade.latency_objectives
         ),
         (1, 900_000, vec![100_000])
