--- a/crates/gateway/src/peer_store.rs
+++ b/crates/gateway/src/peer_store.rs
@@ -1,15 +1,15 @@
-//! Persistence of the group's state over a restart: one `redb` file, written asynchronously. For invocations
-//! it only makes a restart cheaper and proves nothing. Votes on choices rest on it: they wait until the state
-//! they stand for is on disk.
+//! Persistence of the group's state over a restart: one `redb` file, written asynchronously. For invocations the file
+//! only makes a restart cheaper; nothing relies on it. Votes on choices do rely on it: each vote waits until the state
+//! that backs it is on disk.
 //!
 //! Mechanisms:
-//! 1. Changes are gathered and written together, one batch at a time on a separate thread, which reports the
-//!    serial up to which everything is on disk. On a slow or full disk a batch is retried until it succeeds;
-//!    meanwhile the file grows stale and votes on choices wait, and nothing else does.
-//! 2. A file that is damaged, of another format, or of another member or group is recognized and renamed; the
-//!    router starts without it, and the other members have what it lacks.
-//! 3. Expiry times are stored by the wall clock. Expired records are skipped, and so are invocations that
-//!    would last longer than any invocation is retained.
+//! 1. Changes are collected and written in batches, one batch at a time, by a separate thread. The thread reports the
+//!    serial up to which all changes are on disk. On a slow or full disk a batch is retried until it succeeds;
+//!    meanwhile the file becomes stale and votes on choices wait, but nothing else waits.
+//! 2. A file that is damaged, has another format, or belongs to another member or group is recognized and renamed. The
+//!    router starts without it and obtains the missing records from the other members.
+//! 3. Expiry times are stored by the wall_time clock. Expired records are skipped when the file is read, and so are
+//!    invocations that would expire later than the longest retention of an invocation allows.
 
 use std::cell::Cell;
 use std::path::Path;
@@ -24,32 +24,32 @@
 use thiserror::Error;
 
 use crate::peer_store_file::{
-    self, FILE, SetAsideCause, WriteBatch, create_tables, set_aside, write_batch,
+    self, FILE_NAME, UnusableFileCause, WriteBatch, create_tables, rename_unusable, write_batch,
 };
 use crate::stored_state::{RestoredState, StoreChanges};
 
-/// Delay after a failed write.
+/// Delay before a failed write is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Why the store cannot be opened.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// Its folder cannot be made or written to.
+    /// The store's folder cannot be created or written to.
     #[error("the group's folder {folder}: {source}")]
     Folder {
-        /// The folder as configured.
+        /// Path of the folder.
         folder: String,
         /// The cause that the operating system gave.
         source: std::io::Error,
     },
-    /// Another process has its file open.
+    /// Another process has the store's file open.
     #[error("the group's file {file} is open in another process")]
     InUse {
         /// Path of the file.
         file: String,
     },
-    /// A new file cannot be made.
-    #[error("the group's file {file} cannot be begun: {source}")]
+    /// A new file cannot be created.
+    #[error("the group's file {file} cannot be created: {source}")]
     Create {
         /// Path of the file.
         file: String,
@@ -71,41 +71,43 @@
     fn remedy(&self) -> &'static str {
         match self {
             StoreError::Folder { .. } => {
-                "see that the folder named by peers.state can be made and written to"
+                "make sure that the folder given by peers.state can be created and written to"
             }
             StoreError::InUse { .. } => {
-                "give each router a folder of its own, or end the other process"
+                "give each router its own folder, or stop the other process"
             }
             StoreError::Create { .. } => {
-                "make room on the disk, or take peers.state out of the settings"
+                "free space on the disk, or remove peers.state from the settings"
             }
         }
     }
 }
 
-/// The handle of the writing thread, which ends when this is dropped.
+/// Handle of the store's writing thread, which ends when the handle is dropped.
 pub struct PeerStore {
     batches: SyncSender<WriteBatch>,
-    /// Serial of the last batch handed over, and of the last one on disk.
+    /// Serial of the last batch that was passed to the thread.
     submitted: Cell<u64>,
+    /// Serial of the last batch that is on disk.
     persisted: Arc<AtomicU64>,
+    /// Receives a signal when a batch has been written.
     written: smol::channel::Receiver<()>,
 }
 
-/// Opens the file and reads its state; absent if it was set aside.
+/// Opens the file and reads its state; absent if the file cannot be used and was renamed.
 fn open_existing(
     file: &Path,
     identity: u64,
-    wall: Micros,
+    wall_time: Micros,
     retention: Micros,
 ) -> Result<Option<(Database, RestoredState)>, StoreError> {
     let folder_error = |source| StoreError::folder(file.parent().unwrap_or(file), source);
     match Database::open(file) {
-        Ok(database) => match peer_store_file::read(&database, identity, wall, retention) {
+        Ok(database) => match peer_store_file::read(&database, identity, wall_time, retention) {
             Ok(restored) => return Ok(Some((database, restored))),
             Err(cause) => {
                 drop(database);
-                let to = set_aside(file, cause).map_err(folder_error)?;
+                let to = rename_unusable(file, cause).map_err(folder_error)?;
                 tracing::warn!(why = cause.name(), to = %to.display(), "the group's file was set aside");
             }
         },
@@ -114,15 +116,15 @@
             return Err(StoreError::InUse { file });
         }
         Err(e) => {
-            let to = set_aside(file, SetAsideCause::Damaged).map_err(folder_error)?;
+            let to = rename_unusable(file, UnusableFileCause::Damaged).map_err(folder_error)?;
             tracing::warn!(cause = %e, to = %to.display(), "the group's file was set aside as damaged");
         }
     }
     Ok(None)
 }
 
-/// Creates an empty file. Creating under another name and renaming guards against a kill halfway, which would leave an
-/// invalid file.
+/// Creates an empty file. It is created under another name and then renamed: a process that is killed in between would
+/// otherwise leave an invalid file.
 fn create(file: &Path, identity: u64) -> Result<Database, StoreError> {
     let create_error = |e: redb::Error| StoreError::Create {
         file: file.display().to_string(),
@@ -139,21 +141,21 @@
 }
 
 impl PeerStore {
-    /// Opens the store in `folder`, or creates it. `identity`: of this member and its group; `wall`: wall
-    /// time; `retention`: the longest time that an invocation is retained; both in microseconds. Returns the
-    /// stored state unless there is none or it was set aside.
+    /// Opens the store in `folder`, or creates it, and returns it with the stored state. The state is absent if there is
+    /// no file or the file cannot be used and was renamed. `identity`: identifies this member and its group;
+    /// `wall_time`: in microseconds; `retention`: longest retention of an invocation, in microseconds.
     pub fn open(
         folder: &Path,
         identity: u64,
-        wall: Micros,
+        wall_time: Micros,
         retention: Micros,
     ) -> Result<(PeerStore, Option<RestoredState>), StoreError> {
         let folder_error = |source| StoreError::folder(folder, source);
         std::fs::create_dir_all(folder).map_err(folder_error)?;
-        let file = folder.join(FILE);
+        let file = folder.join(FILE_NAME);
         let opened = match file.exists() {
             false => None,
-            true => open_existing(&file, identity, wall, retention)?,
+            true => open_existing(&file, identity, wall_time, retention)?,
         };
         let (database, restored) = match opened {
             Some((database, restored)) => (database, Some(restored)),
@@ -166,7 +168,7 @@
         let run = move || {
             write_loop(&file, database, &incoming, |serial| {
                 on_disk.store(serial, Ordering::Release);
-                // A full channel already carries the signal.
+                // If the channel is full, a signal is already pending.
                 let _ = report.try_send(());
             })
         };
@@ -185,34 +187,34 @@
         ))
     }
 
-    /// Everything up to this serial is on disk.
+    /// The serial up to which all changes are on disk.
     pub fn persisted_serial(&self) -> u64 {
         self.persisted.load(Ordering::Acquire)
     }
 
-    /// No batch is on its way to the disk.
+    /// Whether all batches that were passed to the thread are on disk.
     pub fn is_idle(&self) -> bool {
         self.persisted_serial() == self.submitted.get()
     }
 
-    /// Returns once a batch has reached the disk since the last call; never, if the writing thread has ended.
+    /// Returns when a batch has been written since the last call; never returns once the writing thread has ended.
     pub async fn write_finished(&self) {
         if self.written.recv().await.is_err() {
             std::future::pending().await
         }
     }
 
-    /// Hands over changes; call it only while idle. `wall`: wall time in microseconds.
-    pub fn write(&self, changes: StoreChanges, wall: Micros) {
+    /// Passes changes to the writing thread; must only be called while the store is idle. `wall_time`: in microseconds.
+    pub fn write(&self, changes: StoreChanges, wall_time: Micros) {
         if !changes.records.is_empty() {
             self.submitted.set(changes.serial);
-            // If the thread has ended, the store never becomes idle again and reports nothing more as
-            // persisted.
-            let _ = self.batches.try_send(WriteBatch { changes, wall });
+            // If the thread has ended, the store stays busy forever and reports no further changes as persisted.
+            let _ = self.batches.try_send(WriteBatch { changes, wall_time });
         }
     }
 }
 
+/// Writes each batch, and reports its serial once it is on disk; returns when the handle of the store is dropped.
 fn write_loop(
     file: &Path,
     database: Database,
@@ -222,8 +224,8 @@
     let mut open = Some(database);
     while let Ok(batch) = incoming.recv() {
         let mut failing = false;
-        // After one failure, such as a disk that is full for a moment, `redb` refuses everything until the
-        // file is opened again: so it is reopened for each retry.
+        // After any failure, such as a disk that is briefly full, `redb` rejects all operations until the file is
+        // reopened. So it is reopened for each retry.
         let mut attempt = || -> Result<(), redb::Error> {
             let database = open.take().map_or_else(|| Database::open(file), Ok)?;
             write_batch(&database, &batch)?;
@@ -231,11 +233,12 @@
             Ok(())
         };
         while let Err(e) = attempt() {
-            // The router goes on with a stale file, and the write is retried.
+            // The router continues with a stale file while the write is retried.
             if !std::mem::replace(&mut failing, true) {
                 tracing::warn!(cause = %e, "the group's file cannot be written");
             }
-            // No other batch comes while this one is under way: this waits, or learns that the router ends.
+            // No other batch is sent while this one is being written: this call waits for the delay, or fails because
+            // the router ends.
             if let Err(RecvTimeoutError::Disconnected) = incoming.recv_timeout(RETRY_DELAY) {
                 return;
             }
--- a/crates/gateway/src/peer_transport.rs
+++ b/crates/gateway/src/peer_transport.rs
@@ -1,13 +1,12 @@
-//! Transport between the members of a group: HTTP/1.1, one POST for everything that waits for a member, with
-//! that member's messages for this one in the response. The same listener serves operators `GET /state` and
-//! `GET /metrics`.
+//! Transport between the members of a group over HTTP/1.1. One POST contains the messages that are queued for a member;
+//! the response contains that member's replies. The same listener serves `GET /state` and `GET /metrics` to operators.
 //!
 //! Mechanisms:
-//! 1. Two queues for each member, each with a connection of its own: bulk transfer of records never delays a
+//! 1. Each member has two queues, each with its own connection, so that the bulk transfer of records never delays a
 //!    vote.
-//! 2. One POST at a time for each queue; messages that come meanwhile go together into the next.
-//! 3. A queue is bounded in bytes. Beyond that, messages that a later comparison makes up for are dropped
-//!    first, then any. A member that reads slowly costs only what is meant for it.
+//! 2. Each queue has one POST in transit at a time; messages queued meanwhile are sent together in the next one.
+//! 3. The size of a queue is limited. Above the limit, messages whose loss a later comparison of the records repairs are
+//!    dropped first, then any others. A member that reads slowly causes the loss of only its own messages.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -37,36 +36,39 @@
 pub use crate::send_queue::TransportCounts;
 use crate::state_endpoint;
 
-/// Bytes read of one POST or its response.
+/// Longest body of a POST or its response that is read, in bytes.
 const MAX_BODY_BYTES: usize = 8 << 20;
+/// Time limit for opening a connection to a member, in microseconds.
 const CONNECT_TIMEOUT: Micros = 250_000;
-/// A response that takes longer (microseconds) closes the connection: a silent peer would swallow everything
-/// sent to it.
+/// Time limit for the response to a POST, in microseconds, after which the connection is closed. Without it, a
+/// silent member would block its queue forever, and all messages for it would be lost.
 const RESPONSE_TIMEOUT: Micros = 1_000_000;
-/// Delay after a failed attempt, in microseconds.
+/// Delay after a failed POST or a failed accept, in microseconds.
 const RETRY_DELAY: Micros = 20_000;
+/// Time limit for reading the head of a request, in microseconds.
 const HEADER_TIMEOUT: Micros = 30_000_000;
-/// Open connections of members and operators: far fewer are ever needed.
+/// Limit on the open connections of members and operators; far fewer are needed in operation.
 const MAX_CONNECTIONS: usize = 512;
+/// Path of the POSTs between members.
 const PATH: &str = "/peer";
 
 /// An open connection to a member.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    /// Drives the connection until this is dropped.
+    /// Task that drives the connection; dropping it closes the connection.
     _driver: Task<()>,
 }
 
-/// The queues of all members; [`PeerTransport::run`] sends what is put into them.
+/// The send queues of all members; [`PeerTransport::run`] sends the messages that are put into them.
 pub struct PeerTransport {
     executor: Rc<LocalExecutor<'static>>,
     local_address: Option<IpAddr>,
     addresses: Vec<SocketAddr>,
-    /// By member: the queue for messages that something waits for, and the one for bulk transfer.
+    /// By member index: the queue for urgent messages, and the queue for bulk transfer.
     queues: Vec<[SendQueue; 2]>,
 }
 
-/// The [`Transport`] that puts messages into the queues.
+/// The implementation of [`Transport`] that puts messages into the queues.
 pub struct TransportHandle(pub Rc<PeerTransport>);
 
 impl Transport for TransportHandle {
@@ -78,7 +80,8 @@
 }
 
 impl PeerTransport {
-    /// `addresses`: by member index; `local_address`: that connections are bound to, if any.
+    /// Creates the transport. `addresses`: by member index; `local_address`: the address that connections are bound to, if
+    /// any.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         local_address: Option<IpAddr>,
@@ -96,7 +99,7 @@
         }
     }
 
-    /// The sums over all queues.
+    /// The sums of the counts of all queues.
     pub fn counts(&self) -> TransportCounts {
         let mut all = TransportCounts::default();
         for counts in self.queues.iter().flatten().map(|queue| queue.counts()) {
@@ -108,7 +111,7 @@
         all
     }
 
-    /// Starts sending, for as long as the router runs.
+    /// Starts the tasks that send the queued messages until the router ends.
     pub fn run(self: &Rc<Self>, peers: &Rc<Peers>, own_index: MemberIndex) {
         for to in (0..self.queues.len() as MemberIndex).filter(|m| *m != own_index) {
             for queue_index in 0..2 {
@@ -119,13 +122,14 @@
         }
     }
 
+    /// Sends the messages of one queue, one POST at a time.
     async fn send_loop(self: Rc<Self>, peers: Rc<Peers>, to: MemberIndex, queue_index: usize) {
         let queue = &self.queues[to as usize][queue_index];
         let mut connection: Option<Connection> = None;
         loop {
             let messages = queue.take_batch();
             if messages.is_empty() {
-                queue.bell.notified().await;
+                queue.message_added.notified().await;
                 continue;
             }
             let count = messages.len() as u64;
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Processes the envelope in a response; what follows from it goes into the queue of the request.
+    /// Processes the envelope in a response; the messages that reply to it are put into the queue of the request.
     fn receive_response(&self, peers: &Peers, to: MemberIndex, queue: &SendQueue, body: &[u8]) {
         let from = Some(self.addresses[to as usize].ip());
         // Rejected envelopes are counted and logged by `Peers`.
@@ -177,7 +181,7 @@
             .ok()?;
         let (sender, connection) = handshake(FuturesIo::new(stream)).await.ok()?;
         let driver = self.executor.spawn(async move {
-            // A failure shows in the next POST.
+            // A failure of the connection fails the next POST.
             let _ = connection.await;
         });
         Some(Connection {
@@ -187,6 +191,7 @@
     }
 }
 
+/// Sends one POST; returns the body of its response, absent on failure, timeout or a status other than 200.
 async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     to: SocketAddr,
@@ -197,9 +202,9 @@
         .body(Full::new(body))
         .ok()?;
     let exchanged = async {
-        let answer = sender.send_request(request).await.ok()?;
-        let ok = answer.status() == StatusCode::OK;
-        let body = Limited::new(answer.into_body(), MAX_BODY_BYTES)
+        let response = sender.send_request(request).await.ok()?;
+        let ok = response.status() == StatusCode::OK;
+        let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
             .collect()
             .await
             .ok()?
@@ -214,6 +219,7 @@
     exchanged.or(timeout).await
 }
 
+/// Creates a response. `kind`: its content type.
 fn reply(status: StatusCode, kind: &'static str, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut reply = Response::new(Full::new(body.into()));
     *reply.status_mut() = status;
@@ -223,6 +229,7 @@
     reply
 }
 
+/// Handles a request of a member or an operator.
 async fn handle(
     peers: &Peers,
     transport: &PeerTransport,
@@ -271,7 +278,7 @@
     }
 }
 
-/// Accepts connections of members and operators, for as long as the router runs.
+/// Accepts connections of members and operators until the router ends.
 pub async fn accept_connections(
     peers: Rc<Peers>,
     transport: Rc<PeerTransport>,
@@ -280,7 +287,7 @@
     let open_connections = Rc::new(Cell::new(0usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Most likely out of file descriptors: wait until some are released.
+            // The process has most likely run out of file descriptors: wait until some are released.
             Timer::after(duration_from_micros(RETRY_DELAY)).await;
             continue;
         };
@@ -299,6 +306,7 @@
     }
 }
 
+/// Serves the requests of one connection until it ends.
 async fn serve(stream: Stream, peers: Rc<Peers>, transport: Rc<PeerTransport>) {
     let from = stream.get_ref().peer_addr().ok().map(|a| a.ip());
     let service = service_fn(|request| {
@@ -309,7 +317,7 @@
     builder
         .timer(SmolTimer::new())
         .header_read_timeout(duration_from_micros(HEADER_TIMEOUT));
-    // However the connection ends, the other side notices it by itself.
+    // Errors are ignored: the other side detects the end of the connection itself.
     let _ = builder
         .serve_connection(FuturesIo::new(stream), service)
         .await;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,9 +1,9 @@
-//! The group that this router belongs to: who is alive (`cedarpulley-membership`) and what is shared
-//! (`cedarpulley-replica`). It makes no decisions: requests of the core and messages of other members go to
-//! those two state machines, and their outputs are carried out here, through the context and [`Transport`].
+//! This router's state as a member of its group: which members are alive (`cedarpulley-membership`) and the shared
+//! records (`cedarpulley-replica`). This module makes no decisions: it passes requests of the router core and messages
+//! of other members to those two state machines, and executes their outputs through the context and [`Transport`].
 //!
-//! The caller uses [`Peers::request`] for requests of the core, [`Peers::receive`] for an envelope from a
-//! member, and [`Peers::tick`] whenever [`Peers::wait_until_due`] returns.
+//! The caller uses [`Peers::request`] for requests of the router core, [`Peers::receive`] for an envelope from a member,
+//! and [`Peers::tick`] whenever [`Peers::wait_until_due`] returns.
 
 use std::cell::RefCell;
 use std::net::IpAddr;
@@ -28,53 +28,57 @@
 use crate::rejected_envelopes::RejectionCause;
 pub use crate::stored_state::{RestoredState, StoreChanges};
 
-/// This router's state as part of its group, for reading.
+/// A read-only view of this router's state as a member of its group.
 pub struct PeerStateView<'a> {
     /// This router's clock in microseconds.
     pub now: Micros,
-    /// Who is alive, as detected.
+    /// Which members are alive, as detected.
     pub membership: &'a Membership,
-    /// Who is alive, as acted upon.
-    pub believed: &'a StableView,
+    /// Which members are considered alive: the detected state, stabilized against flapping. The router acts on this view.
+    pub stable_view: &'a StableView,
     /// The shared records.
     pub replica: &'a Replica,
-    /// Envelopes received and rejected.
+    /// Counts of received and rejected envelopes.
     pub counts: &'a EnvelopeCounts,
-    /// This process was started from a store that was older than what other members knew.
+    /// Whether the store that this process started from was older than the other members' knowledge of this member.
     pub store_was_older: bool,
 }
 
+/// The state machines of the group, and what belongs to them.
 struct State {
     membership: Membership,
-    believed: StableView,
+    /// Which members are considered alive.
+    stable_view: StableView,
     replica: Replica,
     envelopes: EnvelopeExchange,
-    /// While an envelope is processed: its sender and the messages that go back in the reply.
+    /// While an envelope is processed: its sender, and the messages for the reply.
     replies: Option<(MemberIndex, Vec<Bytes>)>,
-    /// This process was started from a stored state; and that state was older than what other members know of
-    /// it.
+    /// Whether this process started from a stored state.
     was_restored: bool,
+    /// Whether that state was older than the other members' knowledge of this member.
     store_was_older: bool,
 }
 
-/// This router's membership and shared records, with the queue of notifications that follow from them.
+/// This router's membership and shared records, and the queue of the notifications that they cause.
 pub struct Peers {
     context: Rc<GatewayContext>,
     state: RefCell<State>,
     transport: Box<dyn Transport>,
     notifications: NotificationQueue,
-    /// Further sections of the state endpoint, by name.
+    /// Further sections of the state endpoint, with their names.
     state_providers: RefCell<Vec<(&'static str, StateProvider)>>,
+    /// Expires when [`Peers::tick`] is due.
     alarm: DeadlineTimer,
-    /// Signals that a vote waits for the store to be written.
+    /// Signals that a vote waits for a write of the store.
     write_request: (Sender<()>, Receiver<()>),
 }
 
+/// Returns the current content of a section of the state endpoint.
 type StateProvider = Box<dyn Fn() -> serde_json::Value>;
 
 impl Peers {
-    /// `nonce`: unique for this process; `disabled_check`: only in tests of the auditor, see
-    /// `cedarpulley-replica`.
+    /// Creates the state of a member. `nonce`: unique for this process; `disabled_check`: a safety check to switch off,
+    /// only for tests of the invariant checker (see `cedarpulley-replica`).
     pub fn new(
         context: Rc<GatewayContext>,
         settings: &PeerSettings,
@@ -90,7 +94,7 @@
             own_index: group.own_index,
             members: group.len(),
         };
-        let believed = StableView::new(now, group.len(), settings.stable_view_delay);
+        let stable_view = StableView::new(now, group.len(), settings.stable_view_delay);
         let was_restored = restored.is_some();
         let (incarnation, records) =
             restored.map_or((0, None), |r| (r.incarnation, Some(r.records)));
@@ -99,7 +103,7 @@
         let limits = settings.replica_settings(context.seed, disabled_check);
         let state = State {
             membership,
-            believed,
+            stable_view,
             replica: Replica::new(now, group, limits, nonce, records),
             envelopes: EnvelopeExchange::new(receiver, nonce),
             replies: None,
@@ -117,12 +121,12 @@
         }
     }
 
-    /// Takes a request of the core to its group.
+    /// Passes a request of the router core to the shared records.
     pub fn request(&self, request: ReplicationRequest) {
         self.apply_replica(replica_input(request));
     }
 
-    /// Hands an input to the shared records and carries out the outputs.
+    /// Passes an input to the shared records and executes the outputs.
     pub fn apply_replica(&self, input: replica::Input) {
         let now = self.context.clock.now();
         let mut outputs = Vec::new();
@@ -133,6 +137,7 @@
         self.apply_replica_outputs(outputs);
     }
 
+    /// Passes an input to the membership and executes the outputs.
     fn handle_membership(&self, now: Micros, input: membership::Input) {
         let mut outputs = Vec::new();
         self.state
@@ -142,19 +147,19 @@
         self.apply_membership(outputs);
     }
 
-    /// Handles everything that has become due.
+    /// Handles all timers that have become due.
     pub fn tick(&self) {
         self.handle_membership(self.context.clock.now(), membership::Input::Tick);
         self.apply_replica(replica::Input::Tick);
     }
 
-    /// Returns when something is due: call [`Peers::tick`] then.
+    /// Returns when a timer is due; the caller then calls [`Peers::tick`].
     pub async fn wait_until_due(&self) {
         self.alarm.elapsed(&self.context.clock).await;
     }
 
-    /// Processes an encoded envelope received from `address`; returns the envelope to reply with. One of
-    /// another version, group or receiver is counted, logged and rejected.
+    /// Processes an encoded envelope received from `address`; returns the envelope to reply with. An envelope of another
+    /// version, group or receiver is counted, logged and rejected.
     pub fn receive(
         &self,
         address: Option<IpAddr>,
@@ -195,8 +200,8 @@
         Ok(self.envelope(from, messages))
     }
 
-    /// Decodes an envelope, with the longest time that it can have been under way (microseconds); collects the
-    /// replies to it from now on.
+    /// Decodes an envelope; returns it with an upper bound of its transit time in microseconds. From then on the replies
+    /// to it are collected.
     fn accept(
         &self,
         now: Micros,
@@ -217,7 +222,7 @@
         Ok(accepted)
     }
 
-    /// An envelope with these encoded messages for a member.
+    /// Creates an envelope with these encoded messages for a member.
     pub fn envelope(&self, to: MemberIndex, messages: Vec<Bytes>) -> Envelope {
         let (now, state) = (self.context.clock.now(), self.state.borrow());
         state
@@ -225,6 +230,7 @@
             .envelope(now, to, state.membership.own_incarnation(), messages)
     }
 
+    /// Executes outputs of the membership.
     fn apply_membership(&self, outputs: Vec<membership::Output>) {
         let now = self.context.clock.now();
         for output in outputs {
@@ -235,15 +241,17 @@
                 membership::Output::Changed(member) => self.member_changed(now, member),
             }
         }
-        self.update_believed(now);
+        self.update_stable_view(now);
     }
 
+    /// Processes a change of a member's detected state.
     fn member_changed(&self, now: Micros, member: MemberIndex) {
         let (known, alive, name) = {
             let mut state = self.state.borrow_mut();
             let known = state.membership.status(member);
-            // Other members knew a later process of this member than its store did. A member that was only
-            // suspected for a while and refuted that has no older store, and must not be reported with one.
+            // The store is older if the other members know a later process of this member than the store contains. A
+            // member that was only suspected for a while, and refuted the suspicion, must not be reported to have an
+            // older store.
             let outdated = state.membership.counts.outdated_store_signs > 0;
             state.store_was_older |=
                 member == state.membership.group().own_index && state.was_restored && outdated;
@@ -261,20 +269,21 @@
             nonce: known.incarnation.nonce,
             alive,
         });
-        self.update_believed(now);
+        self.update_stable_view(now);
     }
 
-    fn update_believed(&self, now: Micros) {
+    /// Updates which members are considered alive, and notifies the listeners of a change.
+    fn update_stable_view(&self, now: Micros) {
         let changed = {
             let mut state = self.state.borrow_mut();
             let State {
                 membership,
-                believed,
+                stable_view,
                 ..
             } = &mut *state;
-            let changed = believed.observe(now, |m| membership.is_alive(m));
+            let changed = stable_view.observe(now, |m| membership.is_alive(m));
             if changed {
-                tracing::info!(alive = ?believed.alive_members(), version = believed.version(), "group: believed alive");
+                tracing::info!(alive = ?stable_view.alive_members(), version = stable_view.version(), "group: members considered alive changed");
             }
             changed
         };
@@ -285,6 +294,8 @@
         }
     }
 
+    /// Adds a message to the reply if its receiver sent the envelope that is being processed; otherwise passes it to the
+    /// transport.
     fn send(&self, to: MemberIndex, message: PeerMessage, options: SendOptions) {
         // Encoding these types cannot fail.
         let Ok(message) = postcard::to_stdvec(&message).map(Bytes::from) else {
@@ -298,6 +309,7 @@
         self.transport.send(to, message, options);
     }
 
+    /// Executes outputs of the shared records.
     fn apply_replica_outputs(&self, outputs: Vec<replica::Output>) {
         for output in outputs {
             match output {
@@ -328,7 +340,7 @@
                         });
                 }
                 replica::Output::Recovered => {
-                    tracing::info!("group: this router remembers enough to vote")
+                    tracing::info!("group: recovery complete, this router may vote")
                 }
                 replica::Output::ProposalEnded { key, outcome } => {
                     let event = PeerEvent::Decided(key, outcome);
@@ -343,25 +355,28 @@
         self.notifications.deliver(&self.context);
     }
 
-    /// Sets the alarm, and requests a write of the store if a vote waits for it.
+    /// Sets the alarm to the next timer that is due, and requests a write of the store if a vote waits for it.
     fn schedule(&self) {
-        let (due, urgent) = {
+        let (due, write_is_urgent) = {
             let state = self.state.borrow();
-            let members = state.membership.next_due().min(state.believed.next_due());
+            let membership_due = state
+                .membership
+                .next_due()
+                .min(state.stable_view.next_due());
             (
-                members.min(state.replica.next_due()),
+                membership_due.min(state.replica.next_due()),
                 state.replica.awaits_batch(),
             )
         };
         self.alarm.set_deadline(due);
-        if urgent {
-            // A full channel already carries the signal.
+        if write_is_urgent {
+            // If the channel is full, a signal is already pending.
             let _ = self.write_request.0.try_send(());
         }
     }
 
-    /// From now on `listener` receives events of keys with this prefix, and every change of the believed
-    /// members.
+    /// Subscribes `listener` to events of keys with this prefix, and to every change of the members that are considered
+    /// alive.
     pub fn subscribe(&self, prefix: &'static str, listener: EventListener) {
         self.notifications.subscribe(prefix, listener);
     }
@@ -371,7 +386,7 @@
         self.state_providers.borrow_mut().push((name, provider));
     }
 
-    /// The sections added with [`Peers::add_state_provider`], evaluated now.
+    /// The current content of the sections added with [`Peers::add_state_provider`], with their names.
     pub fn provided_state(&self) -> Vec<(&'static str, serde_json::Value)> {
         self.state_providers
             .borrow()
@@ -380,7 +395,7 @@
             .collect()
     }
 
-    /// Changes since the last call.
+    /// The changes of the shared records since the last call.
     pub fn changes(&self) -> StoreChanges {
         let mut state = self.state.borrow_mut();
         let (serial, records) = state.replica.changes(self.context.clock.now());
@@ -391,31 +406,31 @@
         }
     }
 
-    /// A vote waits for changes that have not been fetched with [`Peers::changes`].
+    /// Whether a vote waits for changes that have not been fetched with [`Peers::changes`].
     pub fn awaits_store(&self) -> bool {
         self.state.borrow().replica.awaits_batch()
     }
 
-    /// Returns when a vote waits for the store, once for each signal since the last call.
+    /// Returns when a vote waits for a write of the store; signals since the last call count as one.
     pub async fn write_requested(&self) {
-        // The sender is owned by `self`: the channel never closes.
+        // `self` owns the sender, so the channel never closes.
         let _ = self.write_request.1.recv().await;
     }
 
-    /// Rejected envelopes in the name of this member or, without one, of all senders that cannot be
-    /// identified. JSON null if there are none.
+    /// For the state endpoint: the rejected envelopes that name this member as their sender or, if `member` is absent,
+    /// those of all senders that cannot be identified; null if there are none.
     pub fn rejections(&self, member: Option<MemberIndex>) -> serde_json::Value {
         let now = self.context.clock.now();
         self.state.borrow().envelopes.rejections(now, member)
     }
 
-    /// Gives access to the state for reading.
+    /// Calls `inspect` with a read-only view of the state.
     pub fn inspect<R>(&self, inspect: impl FnOnce(PeerStateView) -> R) -> R {
         let state = self.state.borrow();
         inspect(PeerStateView {
             now: self.context.clock.now(),
             membership: &state.membership,
-            believed: &state.believed,
+            stable_view: &state.stable_view,
             replica: &state.replica,
             counts: state.envelopes.counts(),
             store_was_older: state.store_was_older,
--- a/crates/gateway/src/plan_conversions.rs
+++ b/crates/gateway/src/plan_conversions.rs
@@ -1,8 +1,9 @@
-//! Translation between the replicated state's terms and outcomes and those of the upgrade planner.
+//! Conversion of ballots and outcomes between the types of the replicated state and those of the upgrade planner.
 
 use cedarpulley_replica as replica;
 use cedarpulley_upgrade::{self as upgrade, Ballot};
 
+/// The planner's form of a ballot.
 pub(crate) fn from_replica(ballot: replica::Ballot) -> Ballot {
     Ballot {
         number: ballot.number,
@@ -11,6 +12,7 @@
     }
 }
 
+/// The replicated state's form of a ballot.
 pub(crate) fn to_replica(ballot: Ballot) -> replica::Ballot {
     replica::Ballot {
         number: ballot.number,
@@ -19,6 +21,7 @@
     }
 }
 
+/// The planner's form of the outcome of a proposal.
 pub(crate) fn planner_outcome(outcome: replica::Outcome) -> upgrade::Outcome {
     match outcome {
         replica::Outcome::Leads { ballot, last } => upgrade::Outcome::Leads {
--- a/crates/gateway/src/rejected_envelopes.rs
+++ b/crates/gateway/src/rejected_envelopes.rs
@@ -1,12 +1,12 @@
-//! Keeps track of rejected envelopes, by the member that the sender claims to be; senders that cannot be
-//! identified share one entry. Free of I/O: a rejection goes in with its time, and whether to log it comes out.
+//! Records rejected envelopes by the member that the sender claims to be; senders that cannot be identified share one
+//! entry. This module does no I/O: its caller passes each rejection with its time, and logs it if told to.
 //!
 //! Mechanisms:
-//! 1. Each process and cause is logged once: members of an earlier build are rejected many times a second, and
-//!    must be named in the log without filling it.
-//! 2. Two processes under one name share an entry; a different one is logged only `LOG_INTERVAL` after the
-//!    last log line.
-//! 3. Once an envelope of the member is accepted, it is no longer shown as rejected.
+//! 1. Each combination of process and cause is logged once: members of another build are rejected many times a second,
+//!    and must appear in the log without filling it.
+//! 2. Two processes with the name of one member share an entry. A different process or cause is logged only
+//!    [`LOG_INTERVAL`] after the last log line of the entry.
+//! 3. Once an envelope of a member is accepted, the member is no longer shown as rejected.
 
 use std::net::IpAddr;
 
@@ -18,16 +18,16 @@
 /// Why an envelope was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RejectionCause {
-    /// The sender speaks another version of the protocol.
+    /// The sender uses another version of the protocol.
     #[error("a member speaks another version")]
     Version,
-    /// The sender is of another group, or has other members configured.
+    /// The sender belongs to another group, or has other members configured.
     #[error("a member of another group, or with other members listed")]
     Group,
-    /// It is for another member, or its sender is not a member.
+    /// The envelope is for another member, or its sender is not a member.
     #[error("it is for another member, or from none")]
     Member,
-    /// It cannot be decoded.
+    /// The envelope cannot be decoded.
     #[error("it cannot be read")]
     Unreadable,
 }
@@ -45,32 +45,35 @@
     }
 }
 
-/// Minimum time between log lines of two processes that share an entry, in microseconds: an operator sees
-/// both, and the log is not filled.
+/// Minimum time between two log lines of one entry, in microseconds. Two processes with the name of one member both
+/// appear in the log, and do not fill it.
 pub const LOG_INTERVAL: Micros = 10_000_000;
 
-/// What is known of a rejected envelope.
+/// A rejected envelope, as far as it could be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// The cause.
+    /// Why it was rejected.
     pub cause: RejectionCause,
-    /// Wire version that it states, if any.
+    /// Version of the protocol that it states, if that can be decoded.
     pub version: Option<u16>,
-    /// Its sender, if known: the member that it claims to be, and its process.
+    /// Its sender, if known: the member that it claims to be, and the nonce of its process.
     pub from: Option<(MemberIndex, u64)>,
-    /// Address that it came from.
+    /// Address from which it was received.
     pub address: Option<IpAddr>,
 }
 
-/// The last rejection of one entry.
+/// An entry: the last rejection, and what was logged.
 struct RejectionRecord {
     last: Rejection,
+    /// Time of the last rejection, in microseconds.
     at: Micros,
+    /// Number of rejections.
     times: u64,
-    /// No envelope of it has been accepted since.
+    /// Whether no envelope of the member has been accepted since.
     is_active: bool,
-    /// Cause and process that were logged last.
+    /// Cause and process of the last log line.
     logged: (RejectionCause, u64),
+    /// Time of the last log line, in microseconds.
     logged_at: Micros,
 }
 
@@ -81,19 +84,20 @@
 }
 
 impl RejectedEnvelopes {
-    /// `members`: how many the group has.
+    /// Creates an empty record. `members`: number of members of the group.
     pub fn new(members: usize) -> Self {
         RejectedEnvelopes {
             records: (0..=members).map(|_| None).collect(),
         }
     }
 
+    /// Index of the entry for a sender.
     fn index(&self, from: Option<(MemberIndex, u64)>) -> usize {
         let others = self.records.len() - 1;
         from.map_or(others, |(m, _)| (m as usize).min(others))
     }
 
-    /// Records a rejection at `now` (microseconds); true if it is to be logged.
+    /// Records a rejection at `now` (microseconds); returns whether the caller should log it.
     pub fn record(&mut self, now: Micros, last: Rejection) -> bool {
         let (index, logged) = (
             self.index(last.from),
@@ -122,15 +126,15 @@
         should_log
     }
 
-    /// An envelope of this member was accepted.
+    /// Records that an envelope of this member was accepted.
     pub fn accepted(&mut self, from: MemberIndex) {
         if let Some(Some(record)) = self.records.get_mut(from as usize) {
             record.is_active = false;
         }
     }
 
-    /// For the state endpoint: the rejections of a member or, without one, of all unidentified senders; null
-    /// where nobody is rejected.
+    /// For the state endpoint: the rejections of a member or, if `member` is absent, of all senders that cannot be
+    /// identified; null if there are none.
     pub fn state(&self, now: Micros, member: Option<MemberIndex>) -> Value {
         let record = &self.records[self.index(member.map(|m| (m, 0)))];
         let Some(record) = record.as_ref().filter(|record| record.is_active) else {
--- a/crates/gateway/src/shared_state.rs
+++ b/crates/gateway/src/shared_state.rs
@@ -149,7 +149,7 @@
                 |(member, index): (&cedarpulley_membership::Member, MemberIndex)| MemberView {
                     name: member.name.clone(),
                     region: member.region.clone(),
-                    alive: state.believed.is_alive(index),
+                    alive: state.stable_view.is_alive(index),
                 };
             members.map(view).collect()
         })
--- a/crates/gateway/src/state_endpoint.rs
+++ b/crates/gateway/src/state_endpoint.rs
@@ -119,7 +119,7 @@
         let PeerStateView {
             now,
             membership,
-            believed,
+            stable_view,
             replica,
             counts,
             store_was_older,
@@ -131,7 +131,7 @@
                 "name": settings.name, "region": settings.region, "weight": settings.weight, "witness": settings.witness,
                 "standing": liveness_name(status.state), "why": status.reason, "for_us": now - status.since,
                 "turn": status.incarnation.number, "process": format!("{:016x}", status.incarnation.nonce),
-                "heard_us_ago": status.last_received.map(|at| now - at), "believed_alive": believed.is_alive(m),
+                "heard_us_ago": status.last_received.map(|at| now - at), "believed_alive": stable_view.is_alive(m),
                 "refused": peers.rejections(Some(m)),
             })
         };
@@ -145,7 +145,7 @@
             "member": group.members[group.own_index as usize].name,
             "memory": replica.recovery_state(),
             "folder_was_older": store_was_older,
-            "view": {"version": membership.version(), "believed": believed.version()},
+            "view": {"version": membership.version(), "believed": stable_view.version()},
             "members": (0..group.len() as MemberIndex).map(member).collect::<Vec<_>>(),
             "strangers": peers.rejections(None),
             "majority_alive": group.is_majority((0..group.len() as MemberIndex).filter(|m| membership.is_alive(*m))),
--- a/crates/gateway/src/storage_settings.rs
+++ b/crates/gateway/src/storage_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of what a router records on disk: the trace (`[trace]`) and the usage ledger (`[meter]`).
+//! Settings of the trace (`[trace]`) and the usage ledger (`[meter]`), which a router writes to disk.
 
 use std::path::{Path, PathBuf};
 
@@ -8,7 +8,7 @@
 use crate::config_values::DAY_MS;
 use crate::trace_recorder::TraceSettings;
 
-/// Reads `[trace]`; absent if no trace is recorded.
+/// Reads `[trace]`; absent if no trace is recorded. Relative paths start at `folder`.
 pub(crate) fn trace(section: &Section, folder: &Path) -> Option<TraceSettings> {
     let trace = section.is_present().then(|| {
         let bounds = RetentionLimits {
@@ -29,7 +29,7 @@
     trace
 }
 
-/// Reads `[meter]`: the folder of the usage ledger; absent if usage is not metered.
+/// Reads the folder of the usage ledger from `[meter]`; absent if usage is not metered. Relative paths start at `folder`.
 pub(crate) fn ledger_folder(section: &Section, folder: &Path) -> Option<PathBuf> {
     let ledger_folder = section
         .is_present()
--- a/crates/gateway/src/upgrade_orders.rs
+++ b/crates/gateway/src/upgrade_orders.rs
@@ -1,4 +1,4 @@
-//! The operator's orders of upgrades, a TOML file beside the configuration.
+//! Reads the operator's orders for upgrades from a TOML file next to the configuration file.
 
 use std::path::Path;
 
@@ -8,10 +8,10 @@
 
 use crate::config_reader::{ConfigDocument, ConfigErrors, Section};
 
-/// Largest number in the file.
-const MAX_NUMBER: u64 = 1 << 53;
+/// Upper limit of an order's serial.
+const MAX_SERIAL: u64 = 1 << 53;
 
-/// Reads an operator's orders; on any error all are refused, with one line for each cause.
+/// Reads the operator's orders. On any error all orders are rejected, with one line for each cause.
 pub fn read(file: &Path) -> Result<Vec<Order>, ConfigErrors> {
     let name = file.display().to_string();
     let text =
@@ -40,13 +40,13 @@
     document.finish(orders)
 }
 
-/// One order as written, with the defaults of what it leaves out.
+/// Parses one order; absent keys have their defaults.
 fn parse_order(section: &Section) -> OrderLine {
     OrderLine {
         model: section.string("model", None),
         from: section.string("from", Some("")),
         to: section.string("to", None),
-        serial: section.integer("serial", 0..MAX_NUMBER, None),
+        serial: section.integer("serial", 0..MAX_SERIAL, None),
         canary: section.integer("canary", 0..1_000, Some(1)) as u32,
         canary_part: section.number("canary_part", 0.0..1.0, Some(0.05)),
         floor: section.number("floor", 0.0..1.0, Some(0.8)),
