--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -289,12 +289,10 @@
             sessions.next_due()
         };
         self.alarm.set_deadline(due);
-        outputs
-            .into_iter()
-            .for_each(|output| self.carry_out(output));
+        outputs.into_iter().for_each(|output| self.execute(output));
     }
 
-    fn carry_out(&self, output: sessions::Output) {
+    fn execute(&self, output: sessions::Output) {
         match output {
             sessions::Output::RequestBinding {
                 key,
--- a/crates/gateway/src/fault_injection.rs
+++ b/crates/gateway/src/fault_injection.rs
@@ -169,7 +169,7 @@
                 continue;
             };
             if reconciliation.as_ref().is_some_and(|reconciliation| {
-                !reconciliation.corrupt_belief(&worker, &function, copies)
+                !reconciliation.corrupt_recorded_copies(&worker, &function, copies)
             }) {
                 continue;
             }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -75,7 +75,7 @@
         };
         self.alarm.set_deadline(due);
         for output in outputs {
-            self.carry_out(output);
+            self.execute(output);
         }
         if let Some(admission) = &self.admission {
             admission.process_completed();
--- a/crates/gateway/src/outputs.rs
+++ b/crates/gateway/src/outputs.rs
@@ -41,8 +41,8 @@
 }
 
 impl Gateway {
-    /// Starts to carry out one output; requests to workers run as tasks.
-    pub(crate) fn carry_out(self: &Rc<Self>, output: Output) {
+    /// Starts to execute one output; requests to workers run as tasks.
+    pub(crate) fn execute(self: &Rc<Self>, output: Output) {
         self.fault_injector.observe(&output);
         match output {
             Output::Answer { delivery, answer } => self.deliver(delivery, answer),
--- a/crates/gateway/src/reconciliation.rs
+++ b/crates/gateway/src/reconciliation.rs
@@ -1,8 +1,8 @@
-//! Reconciles the warm index with what workers report (`cedarpulley-reconcile`): it queries workers through the
-//! pool, exchanges notes with the group, and hands corrections to the core. It makes no decisions.
+//! Reconciles the recorded warm copies with the workers' reports (`cedarpulley-reconcile`). This module queries workers
+//! through the pool, exchanges notes with the group, and passes corrections to the router core. It makes no decisions.
 //!
-//! The caller uses [`Reconciliation::observe_list_event`] and [`Reconciliation::list_applied`] for the worker
-//! list, `Reconciliation::watch` (in `reconciliation_observer`) for the core, and [`Reconciliation::run`] once.
+//! The caller uses [`Reconciliation::observe_list_event`] and [`Reconciliation::list_applied`] for the endpoint list,
+//! `Reconciliation::watch` (in `reconciliation_observer`) for the router core, and calls [`Reconciliation::run`] once.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
     ReconcilerSettings,
 };
 use cedarpulley_router::Input;
-use cedarpulley_router::endpoint_list::{ListedWorker, WatchEvent as ListNews};
+use cedarpulley_router::endpoint_list::{ListedWorker, WatchEvent};
 use serde_json::{Value, json};
 
 use crate::context::GatewayContext;
@@ -32,19 +32,19 @@
 pub use crate::reconciliation_workers::WorkerListing;
 use crate::shared_state::SharedState;
 
-/// Counts are logged this often, if they have changed.
+/// Interval at which the counts are logged if they have changed.
 const LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Configuration; times in microseconds.
+/// Settings of the reconciliation; times in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct ReconcileSettings {
-    /// Between two queries of one worker.
+    /// Time between two queries of one worker.
     pub interval: Micros,
     /// How long a difference must last before it is corrected.
     pub grace_period: Micros,
-    /// Queries per second of this router, at most.
+    /// Limit on the queries of this router per second.
     pub queries_per_s: f64,
-    /// Corrections per second of this router, at most.
+    /// Limit on the corrections of this router per second.
     pub repairs_per_s: f64,
 }
 
@@ -52,46 +52,47 @@
 pub struct Reconciliation {
     context: Rc<GatewayContext>,
     pool: Rc<Pool>,
-    /// Absent for a router without a group.
+    /// Absent if the router belongs to no group.
     notes: Option<NoteExchange>,
     workers: WorkerDirectory,
     hooks: ReconciliationHooks,
     log: ReconciliationLog,
     reconciler: RefCell<Reconciler>,
+    /// Expires when the reconciler or the exchange of notes is due.
     alarm: DeadlineTimer,
 }
 
 impl Reconciliation {
-    /// The reconciliation of a router; nothing runs before [`Reconciliation::run`].
+    /// Creates the reconciliation of a router; nothing runs before [`Reconciliation::run`].
     ///
-    /// `belief_retention`: how long the module believes in a copy after its last use (microseconds);
-    /// `memory_mb_by_kind`: memory by kind of worker.
+    /// `record_lifetime`: how long the balancer records a copy as warm after its last use, in microseconds;
+    /// `memory_mb_by_kind`: memory of each kind of worker, in MB.
     pub fn new(
         context: Rc<GatewayContext>,
         pool: Rc<Pool>,
         shared: Option<SharedState>,
         settings: ReconcileSettings,
-        belief_retention: Micros,
+        record_lifetime: Micros,
         memory_mb_by_kind: Vec<f64>,
     ) -> Rc<Reconciliation> {
-        // The name within the group, if there is one: load orders carry the same name.
-        let member = shared.as_ref().and_then(|s| {
+        // The name within the group, if there is one, as it is the name that load orders contain.
+        let member_name = shared.as_ref().and_then(|s| {
             s.members()
                 .get(s.own_index() as usize)
-                .map(|f| f.name.clone())
+                .map(|member| member.name.clone())
         });
-        let own_name: Arc<str> = Arc::from(member.unwrap_or_else(|| context.name.clone()));
-        let terms = ReconcilerSettings {
+        let own_name: Arc<str> = Arc::from(member_name.unwrap_or_else(|| context.name.clone()));
+        let reconciler_settings = ReconcilerSettings {
             router_name: own_name.clone(),
             poll_interval: settings.interval,
             grace_period: settings.grace_period,
-            belief_lifetime: belief_retention,
+            belief_lifetime: record_lifetime,
             polls_per_s: settings.queries_per_s,
             repairs_per_s: settings.repairs_per_s,
-            // A separate seed: the module's draws are the same with and without reconciliation.
+            // A separate seed, so that the balancer's random numbers are the same with and without reconciliation.
             seed: context.seed ^ 0x7ec0,
         };
-        let reconciler = Reconciler::new(context.clock.now(), terms);
+        let reconciler = Reconciler::new(context.clock.now(), reconciler_settings);
         let reconciliation = Rc::new(Reconciliation {
             context,
             pool,
@@ -113,12 +114,12 @@
         reconciliation
     }
 
-    /// The workers as reported to the core; for other parts.
+    /// The listed workers, as reported to the router core; for other components.
     pub fn listing(&self) -> WorkerListing {
         self.workers.listing()
     }
 
-    /// Sets the source of what upgrade plans claim.
+    /// Sets the provider of the copies that upgrade plans claim.
     pub fn set_claims_provider(&self, provider: ClaimsProvider) {
         self.hooks.set_claims_provider(provider);
     }
@@ -133,8 +134,8 @@
         self.hooks.set_prefix_loss_listener(listener);
     }
 
-    /// Calls `each` for the last report of each worker: since when it holds (microseconds), and the worker's
-    /// memory in MB, 0 if unknown.
+    /// Calls `each` for the last report of each worker, with the time at which its query began (microseconds), the
+    /// worker's memory (MB, 0 if unknown) and the report; returns the results.
     pub fn observed<R>(
         &self,
         mut each: impl FnMut(&Arc<str>, Micros, f64, &Observation) -> R,
@@ -149,9 +150,9 @@
             .collect()
     }
 
-    /// Only for fault injection: from now on this many copies are believed, whatever is true. False if a load
-    /// is under way there, as far as this router knows.
-    pub fn corrupt_belief(&self, worker: &str, function: &str, copies: u32) -> bool {
+    /// Only for fault injection: records this number of copies as warm, whatever their real number is. Does nothing and
+    /// returns false if a load of the function is in progress at the worker, as far as this router knows.
+    pub fn corrupt_recorded_copies(&self, worker: &str, function: &str, copies: u32) -> bool {
         let (now, mut reconciler) = (self.context.clock.now(), self.reconciler.borrow_mut());
         self.log.enable_details();
         if reconciler.is_loading(worker, function) {
@@ -163,45 +164,47 @@
             change: Change::Corrupted { copies },
         };
         reconciler.handle(now, input, &mut Vec::new());
-        self.log.belief_corrupted(now, worker, function, copies);
+        self.log
+            .recorded_copies_corrupted(now, worker, function, copies);
         true
     }
 
-    /// The id that all members know a worker by, and back; absent for one that is not on the list.
+    /// The id of a worker, which is the same at all members; absent if the worker is not on the endpoint list.
     pub fn id_of(&self, worker: &str) -> Option<Arc<str>> {
         self.reconciler.borrow().id_of(worker).cloned()
     }
 
-    /// The local name of the worker with this id.
+    /// The address of the worker with this id; absent if it is not on the endpoint list.
     pub fn worker_of(&self, id: &str) -> Option<Arc<str>> {
         self.reconciler.borrow().worker_of(id).cloned()
     }
 
-    /// This router has recently used copies there, and has not heard since that they are gone.
-    pub fn used_lately(&self, worker: &str, function: &str) -> bool {
+    /// Whether this router has recently used copies of the function at the worker, and no report since then shows that
+    /// they are gone.
+    pub fn used_recently(&self, worker: &str, function: &str) -> bool {
         self.reconciler
             .borrow()
             .used_recently(self.context.clock.now(), worker, function)
     }
 
-    /// An event of the worker list, before the core receives it.
-    pub fn observe_list_event(&self, event: &ListNews) {
+    /// Processes an event of the endpoint list, before the router core receives it.
+    pub fn observe_list_event(&self, event: &WatchEvent) {
         self.workers.observe_list_event(event);
     }
 
-    /// The update of the list that the core has just received.
+    /// Processes an update of the endpoint list that the router core has just received.
     pub fn list_applied(self: &Rc<Self>, mode: EndpointListKind, workers: &[ListedWorker]) {
         if !self.workers.apply_update(mode, workers) {
             return;
         }
         let polled_workers = self.workers.polled_workers();
-        let ids = polled_workers.iter().map(|s| &s.id);
+        let ids = polled_workers.iter().map(|worker| &worker.id);
         let new: Vec<Arc<str>> = ids
             .filter(|id| self.worker_of(id).is_none())
             .cloned()
             .collect();
         self.apply(ReconcilerInput::Workers(polled_workers));
-        // Notes of other members from before these workers were on the list here.
+        // Other members may have published notes on these workers before the workers were on the list here.
         if let Some(notes) = &self.notes {
             let now = || self.context.clock.now();
             for id in &new {
@@ -210,20 +213,27 @@
         }
     }
 
-    /// The core's belief in copies of a function at a worker has changed.
-    pub(crate) fn belief_changed(&self, now: Micros, worker: &str, function: &str, change: Change) {
+    /// Processes a change of the recorded copies of a function at a worker.
+    pub(crate) fn recorded_copies_changed(
+        &self,
+        now: Micros,
+        worker: &str,
+        function: &str,
+        change: Change,
+    ) {
         let input = ReconcilerInput::BeliefChanged {
             worker,
             function,
             change,
         };
-        self.log.belief_changed(worker, function);
-        // This yields no outputs; what follows from it comes with the next report.
+        self.log.recorded_copies_changed(worker, function);
+        // This input has no outputs; its consequences are evaluated with the worker's next report.
         self.reconciler
             .borrow_mut()
             .handle(now, input, &mut Vec::new());
     }
 
+    /// Processes an event of the group.
     fn peer_event(self: &Rc<Self>, event: &PeerEvent) {
         match event {
             PeerEvent::AliveMembersChanged => self.update_members(),
@@ -236,6 +246,7 @@
         }
     }
 
+    /// Passes another member's note on a worker to the reconciler.
     fn note_received(self: &Rc<Self>, note: Option<ReceivedNote>) {
         if let Some(note) = note {
             self.apply(ReconcilerInput::NoteReceived {
@@ -247,17 +258,18 @@
         }
     }
 
+    /// Passes the members that are considered alive to the reconciler.
     fn update_members(self: &Rc<Self>) {
         if let Some(notes) = &self.notes {
             self.apply(ReconcilerInput::Members(notes.alive_members()));
         }
     }
 
-    /// Starts its tasks.
+    /// Starts the tasks of the reconciliation.
     pub fn run(self: &Rc<Self>) {
         self.update_members();
         let reconciliation = self.clone();
-        let ticks = async move {
+        let tick_task = async move {
             loop {
                 let context = &reconciliation.context;
                 if let Some(notes) = &reconciliation.notes {
@@ -267,9 +279,9 @@
                 reconciliation.alarm.elapsed(&context.clock).await;
             }
         };
-        self.context.executor.spawn(ticks).detach();
+        self.context.executor.spawn(tick_task).detach();
         let reconciliation = self.clone();
-        let logs = async move {
+        let log_task = async move {
             let mut before = Default::default();
             loop {
                 Timer::after(LOG_INTERVAL).await;
@@ -280,10 +292,10 @@
                 }
             }
         };
-        self.context.executor.spawn(logs).detach();
+        self.context.executor.spawn(log_task).detach();
     }
 
-    /// For the state endpoint.
+    /// The reconciliation's section of the state endpoint.
     pub fn state(&self) -> Value {
         let reconciler = self.reconciler.borrow();
         let workers: Vec<_> = reconciler.worker_statuses().collect();
@@ -294,11 +306,12 @@
         })
     }
 
-    /// Logs the counts, on shutdown.
+    /// Logs the counts at shutdown.
     pub fn log_counts(&self) {
         tracing::info!(counts = ?self.reconciler.borrow().counts, "reconcile: counts");
     }
 
+    /// Passes an input to the reconciler and executes the outputs.
     fn apply(self: &Rc<Self>, input: ReconcilerInput) {
         let mut outputs = Vec::new();
         let due = {
@@ -309,10 +322,11 @@
             reconciler.next_due().min(notes_due.unwrap_or(Micros::MAX))
         };
         self.alarm.set_deadline(due);
-        outputs.into_iter().for_each(|o| self.carry_out(o));
+        outputs.into_iter().for_each(|output| self.execute(output));
     }
 
-    fn carry_out(self: &Rc<Self>, output: ReconcilerOutput) {
+    /// Executes an output of the reconciler.
+    fn execute(self: &Rc<Self>, output: ReconcilerOutput) {
         match output {
             ReconcilerOutput::Poll { worker } => {
                 let reconciliation = self.clone();
@@ -360,8 +374,8 @@
         }
     }
 
-    /// Has a lost copy loaded again, unless an upgrade plan manages the function. Guards against a loop: a copy
-    /// unloaded by an upgrade plan must not be taken for lost and loaded again.
+    /// Requests that a lost copy is loaded again, unless an upgrade plan manages the function. A copy that an upgrade
+    /// plan unloaded would otherwise be treated as lost and loaded again, in a loop.
     fn restore_copy(&self, worker: Arc<str>, function: Arc<str>) {
         if !self.hooks.is_planned(&function) {
             let like = function.clone();
@@ -374,6 +388,7 @@
         }
     }
 
+    /// Queries a worker and passes its report to the reconciler.
     async fn query(self: Rc<Self>, worker: &str) {
         let began = self.context.clock.now();
         let Some(report) = query_worker(&self.pool, worker).await else {
--- a/crates/gateway/src/reconciliation_log.rs
+++ b/crates/gateway/src/reconciliation_log.rs
@@ -1,4 +1,5 @@
-//! What the reconciliation logs: differences found, and for tests that corrupt a belief all that matters to them.
+//! The log lines of the reconciliation: the drifts that it finds and, for tests that corrupt the recorded copies, the
+//! details that show when a corruption is corrected.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,36 +12,43 @@
 /// The log of one router's reconciliation.
 #[derive(Default)]
 pub(crate) struct ReconciliationLog {
-    /// Only once a test has corrupted a belief: since when each worker's last report holds; from then on all
-    /// that matters is logged.
+    /// Present once a test has corrupted the recorded copies, after which details are logged: by worker, when the query
+    /// for the last logged report began, in microseconds.
     logged_reports: RefCell<Option<BTreeMap<Arc<str>, Micros>>>,
 }
 
 impl ReconciliationLog {
-    /// From now on all that matters to tests is logged.
+    /// Enables the details for tests.
     pub(crate) fn enable_details(&self) {
         self.logged_reports
             .borrow_mut()
             .get_or_insert_with(BTreeMap::new);
     }
 
+    /// Whether details are logged.
     fn has_details(&self) -> bool {
         self.logged_reports.borrow().is_some()
     }
 
-    /// A test has corrupted a belief.
-    pub(crate) fn belief_corrupted(&self, now: Micros, worker: &str, function: &str, copies: u32) {
+    /// Logs that a test has corrupted the recorded copies of a function at a worker.
+    pub(crate) fn recorded_copies_corrupted(
+        &self,
+        now: Micros,
+        worker: &str,
+        function: &str,
+        copies: u32,
+    ) {
         tracing::info!(worker, function, copies, at = now, "meddled: spoilt");
     }
 
-    /// The core's belief in copies has changed.
-    pub(crate) fn belief_changed(&self, worker: &str, function: &str) {
+    /// Logs a change of the recorded copies, if details are enabled.
+    pub(crate) fn recorded_copies_changed(&self, worker: &str, function: &str) {
         if self.has_details() {
             tracing::info!(worker, function, "meddled: changed");
         }
     }
 
-    /// Logs reports just taken in, for tests that count rounds.
+    /// Logs each report that was not logged before, if details are enabled; tests count rounds of reports.
     pub(crate) fn reports<'a>(
         &self,
         reports: impl Iterator<Item = (&'a Arc<str>, Micros, &'a Observation)>,
@@ -56,18 +64,18 @@
             let entries = observation
                 .entries
                 .iter()
-                .map(|e| json!([&*e.function, e.copies, e.loading]));
+                .map(|entry| json!([&*entry.function, entry.copies, entry.loading]));
             let entries = Value::from_iter(entries);
             tracing::info!(worker = &**worker, at = began, said = %entries, "meddled: heard");
         }
     }
 
-    /// A copy that nobody claims is unloaded.
+    /// Logs that the orphaned copies of a function are unloaded.
     pub(crate) fn unloaded(&self, worker: &str, function: &str) {
-        tracing::info!(worker, function, "reconcile: unloaded, as nobody claims it");
+        tracing::info!(worker, function, "reconcile: orphaned copies unloaded");
     }
 
-    /// Differences that are part of normal operation are logged for debugging only.
+    /// Logs a drift. A drift that occurs in normal operation is logged at debug level.
     pub(crate) fn drift(
         &self,
         worker: &str,
--- a/crates/gateway/src/reconciliation_notes.rs
+++ b/crates/gateway/src/reconciliation_notes.rs
@@ -1,6 +1,6 @@
-//! The notes that reconciliation exchanges with the group. A note carries its sender's clock when it was sent, and each
-//! member's clock as the sender last saw it. With these the receiver bounds the note's transit time by its own clock,
-//! whatever the other clocks say and however long a link delayed it.
+//! The notes that the reconciliation exchanges with the group. A note contains the sender's clock when it was sent, and
+//! the last reading of each member's clock that the sender received. From these the receiver derives an upper bound of
+//! the note's transit time by its own clock, whatever the other clocks show and however long a link delayed the note.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,60 +13,74 @@
 use crate::peer_events::PeerEvent;
 use crate::shared_state::SharedState;
 
-/// Key prefixes of the notes in the shared state: of a worker, and of a member's clock.
+/// Key prefix of the notes in the shared state; the worker's id follows it.
 const NOTE_PREFIX: &str = "w\n";
+/// Key prefix of the notes that publish only a clock; the member's name follows it.
 const CLOCK_PREFIX: &str = "w\n\n";
-/// Retention of notes, in query intervals: longer than any worker that responds goes without a query.
+/// Retention of notes, in query intervals. It is longer than the longest time between two queries of a worker that
+/// responds.
 const RETENTION_INTERVALS: Micros = 30;
-/// Assumed transit time of a note that nothing bounds; long before any router began. In microseconds.
+/// Assumed upper bound of the transit time of a note, in microseconds, if the note contains no clock reading of this
+/// process. The note then counts as sent long before any router started.
 const UNKNOWN_TRANSIT: Micros = Micros::MAX / 4;
-/// Members whose clocks are published and remembered; groups are far smaller.
+/// Limit on the number of members whose clocks are stored and published; groups are far smaller.
 const MAX_CLOCKS: usize = 1_000;
 
 /// A note as it is encoded in the shared state. The order of fields is the format.
 #[derive(Serialize, Deserialize)]
 struct Note {
+    /// Name of the sender.
     from: String,
-    /// The sender's process, and its clock when the note was sent (microseconds).
+    /// Identifies the sender's process.
     process: u64,
+    /// Reading of the sender's clock when the note was sent, in microseconds.
     sent_at: Micros,
-    /// By member: its process, its clock as last seen, and how long ago that was (microseconds).
+    /// For each member: its name, its process, the last received reading of its clock, and the time since it was received
+    /// (both in microseconds).
     clocks: Vec<(String, u64, Micros, Micros)>,
-    /// Empty if only the clock is published.
+    /// The reconciler's note; empty if only the clock is published.
     payload: Vec<u8>,
 }
 
-/// Another member's clock: its process, its reading, and when that was received here (microseconds).
+/// The last received reading of another member's clock.
 struct PeerClock {
+    /// The member's process.
     process: u64,
-    remote: Micros,
-    local: Micros,
+    /// The reading, in microseconds.
+    reading: Micros,
+    /// When it was received by this router's clock, in microseconds.
+    received_at: Micros,
 }
 
 /// Another member's note on a worker, as received.
 pub(crate) struct ReceivedNote {
-    /// The worker's id, as all members know it.
+    /// Id of the worker, which is the same at all members.
     pub(crate) worker_id: String,
+    /// Version of the note.
     pub(crate) version: (u64, u64),
-    /// The longest time that the note can have been under way (microseconds).
+    /// Upper bound of the note's transit time, in microseconds.
     pub(crate) transit: Micros,
+    /// The reconciler's note.
     pub(crate) payload: Vec<u8>,
 }
 
-/// Publishes and receives the notes of one router, and follows the members' clocks.
+/// Publishes and receives notes for one router, and follows the members' clocks.
 pub(crate) struct NoteExchange {
     shared: SharedState,
+    /// Name of this router.
     own_name: Arc<str>,
-    /// Identifies this process among those of the same name.
+    /// Identifies this process among those with the same name.
     process: u64,
     /// Query interval in microseconds.
     interval: Micros,
+    /// Clocks by the member's name.
     clocks: RefCell<BTreeMap<String, PeerClock>>,
-    /// When something was last published to the group.
+    /// When this router last published a note, in microseconds.
     last_published_at: Cell<Micros>,
 }
 
 impl NoteExchange {
+    /// Creates the exchange of a router. `interval`: query interval in microseconds.
     pub(crate) fn new(shared: SharedState, own_name: Arc<str>, interval: Micros) -> Self {
         NoteExchange {
             shared,
@@ -78,18 +92,18 @@
         }
     }
 
-    /// Calls `listener` for each event of a note's key, and for changes of the members.
+    /// Subscribes `listener` to events of the notes' keys, and to every change of the members that are considered alive.
     pub(crate) fn subscribe(&self, listener: impl Fn(PeerEvent) + 'static) {
         self.shared.subscribe(NOTE_PREFIX, listener);
     }
 
-    /// Names of the members believed to be alive.
+    /// Names of the members that are considered alive.
     pub(crate) fn alive_members(&self) -> Vec<Arc<str>> {
         let alive = self.shared.members().into_iter().filter(|m| m.alive);
         alive.map(|m| Arc::from(m.name)).collect()
     }
 
-    /// When [`NoteExchange::publish_clock_if_due`] is due, in microseconds.
+    /// When [`NoteExchange::publish_clock_if_due`] is due next, in microseconds.
     pub(crate) fn next_due(&self) -> Micros {
         self.last_published_at.get().saturating_add(self.interval)
     }
@@ -105,6 +119,7 @@
         self.publish_key(now, format!("{NOTE_PREFIX}{worker_id}"), version, payload);
     }
 
+    /// Publishes a note under a key.
     fn publish_key(&self, now: Micros, key: String, version: (u64, u64), payload: Vec<u8>) {
         self.last_published_at.set(now);
         let note = Note {
@@ -125,22 +140,22 @@
         );
     }
 
-    /// The members' clocks as a note states them.
+    /// The members' clocks in the form that a note contains.
     fn clock_readings(&self, now: Micros) -> Vec<(String, u64, Micros, Micros)> {
         let clocks = self.clocks.borrow();
         let reading = |(member, clock): (&String, &PeerClock)| {
-            let age = now - clock.local;
-            (member.clone(), clock.process, clock.remote, age)
+            let age = now - clock.received_at;
+            (member.clone(), clock.process, clock.reading, age)
         };
         clocks.iter().map(reading).collect()
     }
 
-    /// A member that queries nobody publishes nothing else, and would never learn how old the notes of others
-    /// can be.
+    /// Publishes this router's clock if it has published no note for a query interval. A router that queries no workers
+    /// publishes no other notes; without its clock in their notes, it could not bound the age of the other members' notes.
     pub(crate) fn publish_clock_if_due(&self, now: Micros) {
         if self.next_due() <= now {
             let key = format!("{CLOCK_PREFIX}{}", self.own_name);
-            // Above that of an earlier process, whatever its clock was.
+            // The version must be above that of an earlier process, whatever that process's clock was.
             let before = self.shared.latest_note(&key).map_or(0, |n| n.version.0);
             self.publish_key(now, key, (before + 1, 0), Vec::new());
         }
@@ -151,7 +166,8 @@
         self.receive_latest(now, &format!("{NOTE_PREFIX}{worker_id}"))
     }
 
-    /// Receives the latest note under a key. Absent if it is one's own, malformed, or only a clock.
+    /// Receives the latest note under a key. Absent if there is none, if this process published it, if it is malformed, or
+    /// if it contains only a clock.
     pub(crate) fn receive_latest(&self, now: Micros, key: &str) -> Option<ReceivedNote> {
         let shared_note = self.shared.latest_note(key)?;
         let note = postcard::from_bytes::<Note>(&shared_note.value).ok()?;
@@ -169,28 +185,30 @@
         })
     }
 
-    /// The time since the sender last saw this router's clock, less how long ago that was when it sent.
+    /// Upper bound of a note's transit time, in microseconds: the time since the reading of this router's clock that the
+    /// note contains, less the time for which the sender had that reading before it sent the note.
     fn transit_of(&self, now: Micros, note: &Note) -> Micros {
         let own_clock = note
             .clocks
             .iter()
             .find(|c| *c.0 == *self.own_name && c.1 == self.process);
-        own_clock.map_or(UNKNOWN_TRANSIT, |(_, _, local, ago)| {
-            now.saturating_sub(*local)
+        own_clock.map_or(UNKNOWN_TRANSIT, |(_, _, reading, ago)| {
+            now.saturating_sub(*reading)
                 .saturating_sub(*ago)
                 .clamp(0, UNKNOWN_TRANSIT)
         })
     }
 
+    /// Records the reading of a member's clock if it is newer than the recorded one.
     fn record_clock(&self, now: Micros, member: String, process: u64, sent_at: Micros) {
         let mut clocks = self.clocks.borrow_mut();
         let known = clocks.get(&member);
-        let newer = known.is_none_or(|c| c.process != process || c.remote < sent_at);
+        let newer = known.is_none_or(|c| c.process != process || c.reading < sent_at);
         if newer && (known.is_some() || clocks.len() < MAX_CLOCKS) {
             let clock = PeerClock {
                 process,
-                remote: sent_at,
-                local: now,
+                reading: sent_at,
+                received_at: now,
             };
             clocks.insert(member, clock);
         }
--- a/crates/gateway/src/reconciliation_observer.rs
+++ b/crates/gateway/src/reconciliation_observer.rs
@@ -1,4 +1,5 @@
-//! Follows what the core decides, and with it what its module believes of copies at workers, for the reconciliation.
+//! Follows the events and actions of the router core for the reconciliation, and derives from them how the balancer's
+//! record of warm copies at workers changes.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,20 +14,22 @@
 
 use crate::reconciliation::Reconciliation;
 
-/// An open invocation's function, and the size of a copy of it.
+/// The function of an open invocation, and the size of one copy of the function.
 #[derive(Clone, Copy)]
 struct OpenInvocation {
+    /// Index of the function.
     function: u32,
+    /// Size in MB.
     copy_mb: f64,
 }
 
-/// Stands for an invocation whose beginning was not observed.
+/// Placeholder for an invocation whose start was not observed.
 const UNKNOWN_INVOCATION: OpenInvocation = OpenInvocation {
     function: u32::MAX,
     copy_mb: 0.0,
 };
 
-/// Follows what the core decides, and with it what its module believes.
+/// The observer of the router core.
 struct CoreObserver {
     reconciliation: Rc<Reconciliation>,
     /// By invocation index.
@@ -34,7 +37,7 @@
 }
 
 impl Reconciliation {
-    /// To be registered with the core, which reports its decisions.
+    /// Creates an observer, which the caller registers with the router core.
     pub fn watch(self: &Rc<Self>) -> Box<dyn RouterObserver> {
         Box::new(CoreObserver {
             reconciliation: self.clone(),
@@ -44,19 +47,21 @@
 }
 
 impl CoreObserver {
+    /// Reports a change of the recorded copies, if the worker and the function are known.
     fn change(&self, now: Micros, worker: Option<&str>, function: Option<&str>, change: Change) {
         if let (Some(worker), Some(function)) = (worker, function) {
             self.reconciliation
-                .belief_changed(now, worker, function, change);
+                .recorded_copies_changed(now, worker, function, change);
         }
     }
 
+    /// The open invocation with this index.
     fn invocation(&self, invocation: InvocationIndex) -> OpenInvocation {
         let open = self.open.get(invocation as usize).copied();
         open.unwrap_or(UNKNOWN_INVOCATION)
     }
 
-    /// What an event of the core shows of copies.
+    /// Derives changes of the recorded copies from an event of the router core.
     fn follow_event(&mut self, now: Micros, event: &Event, names: Names) {
         match event {
             Event::Invocation(invocation) => {
@@ -106,7 +111,7 @@
         }
     }
 
-    /// What an action of the module says of copies.
+    /// Derives a change of the recorded copies from an action of the balancer.
     fn follow_action(&self, now: Micros, action: &Action, names: Names) {
         let (worker, function, change) = match action {
             Action::Dispatch {
@@ -126,11 +131,12 @@
     }
 }
 
-/// What the end of a dispatch shows of the copy: whether it exists now, and whether it existed before.
-fn copy_evidence(outcome: DispatchOutcome, note: CopyStatus) -> (Option<bool>, bool) {
-    match (outcome, note) {
+/// What the end of a dispatch shows of the copy: whether it is loaded now (absent if unknown), and whether it certainly
+/// was warm before.
+fn copy_evidence(outcome: DispatchOutcome, status: CopyStatus) -> (Option<bool>, bool) {
+    match (outcome, status) {
         (_, CopyStatus::LoadFailed) | (DispatchOutcome::NotLoaded, _) => (Some(false), false),
-        (DispatchOutcome::Succeeded, note) => (Some(true), note == CopyStatus::Warm),
+        (DispatchOutcome::Succeeded, status) => (Some(true), status == CopyStatus::Warm),
         (_, CopyStatus::Warm) => (Some(true), true),
         _ => (None, false),
     }
--- a/crates/gateway/src/reconciliation_query.rs
+++ b/crates/gateway/src/reconciliation_query.rs
@@ -1,4 +1,4 @@
-//! One query of a worker for the copies that it holds, in the form that the reconciler takes.
+//! Queries a worker for its loaded copies, and converts the report into the reconciler's form.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,17 +10,18 @@
 
 use crate::pool::{ExchangeError, Pool};
 
-/// A worker that does not respond within this time counts as silent. In microseconds.
+/// Time limit for a worker's response, in microseconds, after which the worker counts as unresponsive.
 const QUERY_TIMEOUT: Micros = 2_000_000;
 
-/// A worker's report.
+/// A worker's report on itself.
 pub(crate) struct WorkerReport {
     /// Its memory in MB, absent if it states none.
     pub(crate) memory_mb: Option<f64>,
+    /// Its copies.
     pub(crate) observation: Observation,
 }
 
-/// Queries a worker; absent if it is silent, or responds with something else than a report, which is logged.
+/// Queries a worker. Absent if it does not respond, or if its response is not a valid report, which is logged.
 pub(crate) async fn query_worker(pool: &Pool, worker: &str) -> Option<WorkerReport> {
     let address = worker.parse::<SocketAddr>().ok()?;
     let request = worker_requests::index(&address.to_string());
@@ -48,17 +49,20 @@
     }
 }
 
+/// The reconciler's form of a worker's repository index.
 fn observation_of(index: repository_index::RepositoryIndex) -> Observation {
-    let arc = |text: String| Arc::from(text);
-    let entry = |m: repository_index::ModelEntry| FunctionReport {
-        function: Arc::from(m.function),
-        copies: m.copies,
-        loading: m.loading,
-        busy: m.busy,
-        idle: m.idle,
-        ordered_by: m.ordered_by.map(arc),
-        term: m.term.map(arc),
-        sessions: m.sequences.map(|ids| ids.into_iter().map(arc).collect()),
+    let shared_text = |text: String| Arc::from(text);
+    let entry = |model: repository_index::ModelEntry| FunctionReport {
+        function: Arc::from(model.function),
+        copies: model.copies,
+        loading: model.loading,
+        busy: model.busy,
+        idle: model.idle,
+        ordered_by: model.ordered_by.map(shared_text),
+        term: model.term.map(shared_text),
+        sessions: model
+            .sequences
+            .map(|ids| ids.into_iter().map(shared_text).collect()),
     };
     Observation {
         incarnation: index.incarnation,
--- a/crates/gateway/src/reconciliation_workers.rs
+++ b/crates/gateway/src/reconciliation_workers.rs
@@ -1,5 +1,5 @@
-//! The workers as the worker list and their own reports describe them, for the reconciliation: addresses, the ids that
-//! all members of the group know them by, and memory.
+//! The workers as described by the endpoint list and by their own reports, for the reconciliation: their addresses, their
+//! ids, which are the same at all members of the group, and their memory.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -8,27 +8,30 @@
 
 use cedarpulley::interface::{EndpointListKind, EndpointState};
 use cedarpulley_reconcile::PolledWorker;
-use cedarpulley_router::endpoint_list::{ListedWorker, WatchEvent as ListNews};
+use cedarpulley_router::endpoint_list::{ListedWorker, WatchEvent};
 
-/// Start marks of departed workers are kept up to this number, as the list may name them before it reports
-/// them in service.
-const MAX_DEPARTED_MARKS: usize = 1_000;
+/// Start marks of unlisted workers are removed when there are more than twice this number of start marks, and more than
+/// twice as many as listed workers. They are kept until then, because an event of the list may contain a worker's start
+/// mark before an update reports the worker in service.
+const MAX_UNLISTED_START_MARKS: usize = 1_000;
 
-/// Workers of the list, by address.
+/// The workers on the endpoint list, by address.
 pub type WorkerListing = Rc<RefCell<BTreeMap<Arc<str>, ListedWorker>>>;
 
 /// Listed workers with their start marks and memory.
 pub(crate) struct WorkerDirectory {
+    /// The listed workers.
     listing: WorkerListing,
-    /// By address: the list's mark that tells processes at one address apart.
+    /// By address: the start mark from the endpoint list, which differs between processes at the same address.
     start_marks: RefCell<HashMap<String, String>>,
-    /// By address: memory in MB as reported by the worker itself.
+    /// By address: the memory in MB that the worker itself reported.
     reported_memory_mb: RefCell<HashMap<String, f64>>,
-    /// By kind of worker: its memory in MB, for workers that have reported none.
+    /// By kind of worker: the memory in MB, used for workers that have reported none.
     memory_mb_by_kind: Vec<f64>,
 }
 
 impl WorkerDirectory {
+    /// Creates an empty directory. `memory_mb_by_kind`: memory of each kind of worker, in MB.
     pub(crate) fn new(memory_mb_by_kind: Vec<f64>) -> Self {
         WorkerDirectory {
             listing: WorkerListing::default(),
@@ -38,19 +41,20 @@
         }
     }
 
+    /// The listed workers; the result follows later updates of the list.
     pub(crate) fn listing(&self) -> WorkerListing {
         self.listing.clone()
     }
 
-    /// Records the start marks that an event of the worker list carries.
-    pub(crate) fn observe_list_event(&self, event: &ListNews) {
+    /// Records the start marks in an event of the endpoint list.
+    pub(crate) fn observe_list_event(&self, event: &WatchEvent) {
         let mut start_marks = self.start_marks.borrow_mut();
         let slices = match event {
-            ListNews::Listing { slices, .. } => {
+            WatchEvent::Listing { slices, .. } => {
                 start_marks.clear();
                 slices.as_slice()
             }
-            ListNews::Changed(slice) => std::slice::from_ref(slice),
+            WatchEvent::Changed(slice) => std::slice::from_ref(slice),
             _ => &[],
         };
         for entry in slices.iter().flat_map(|slice| &slice.entries) {
@@ -58,7 +62,7 @@
         }
     }
 
-    /// Applies an update of the list; false if it reports a failure and changes nothing.
+    /// Applies an update of the endpoint list. Returns false if the update reports a failure, which changes nothing.
     pub(crate) fn apply_update(&self, mode: EndpointListKind, workers: &[ListedWorker]) -> bool {
         {
             let mut listing = self.listing.borrow_mut();
@@ -76,36 +80,36 @@
                 }
             }
         }
-        self.forget_departed_workers();
+        self.remove_unlisted_workers();
         true
     }
 
-    /// Guards against unbounded growth: a list whose workers come and go for weeks must not leave all their
-    /// names here.
-    fn forget_departed_workers(&self) {
+    /// Removes data of workers that are no longer listed. Without this, the data of all workers that were ever listed
+    /// would accumulate while workers are replaced for weeks.
+    fn remove_unlisted_workers(&self) {
         let listing = self.listing.borrow();
         self.reported_memory_mb
             .borrow_mut()
             .retain(|address, _| listing.contains_key(&**address));
         let mut start_marks = self.start_marks.borrow_mut();
-        if start_marks.len() > 2 * listing.len().max(MAX_DEPARTED_MARKS) {
+        if start_marks.len() > 2 * listing.len().max(MAX_UNLISTED_START_MARKS) {
             start_marks.retain(|address, _| listing.contains_key(&**address));
         }
     }
 
-    /// Memory in MB as the worker reported it; 0 if it has not.
+    /// The memory in MB that a worker reported; 0 if it has reported none.
     pub(crate) fn reported_memory_mb(&self, worker: &str) -> f64 {
         let reported = self.reported_memory_mb.borrow();
         reported.get(worker).copied().unwrap_or(0.0)
     }
 
-    /// Records a worker's own report of its memory; true if it differs from the previous one.
+    /// Records the memory that a worker reported; returns whether it differs from the previous report.
     pub(crate) fn record_memory(&self, worker: &str, memory_mb: f64) -> bool {
         let mut reported = self.reported_memory_mb.borrow_mut();
         reported.insert(worker.to_owned(), memory_mb) != Some(memory_mb)
     }
 
-    /// The listed workers in the form that the reconciler takes.
+    /// The listed workers in the reconciler's form.
     pub(crate) fn polled_workers(&self) -> Vec<PolledWorker> {
         let start_marks = self.start_marks.borrow();
         let reported = self.reported_memory_mb.borrow();
--- a/crates/gateway/src/upgrades.rs
+++ b/crates/gateway/src/upgrades.rs
@@ -1,6 +1,6 @@
-//! Rolling upgrades, as this router takes part in them: the operator's orders from a file, the group's
-//! knowledge of plans and of the versions' health, and the copies that workers hold. `cedarpulley-upgrade`
-//! decides; its steps go to the group, and its load and unload requests to the core.
+//! This router's part in rolling upgrades. This module passes the operator's orders from a file, the plans and version
+//! statistics shared by the group, and the copies at workers to the planner in `cedarpulley-upgrade`, which makes the
+//! decisions. The planner's proposals are sent to the group, and its load and unload requests to the router core.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -30,32 +30,32 @@
 pub use crate::upgrade_orders::read;
 use crate::version_statistics::{VersionStatistics, VersionStats};
 
-/// Key prefixes in the shared state: before the model of a plan, and before model and member of version
-/// statistics.
+/// Key prefix of plans in the shared state; the model follows it.
 const PLAN_PREFIX: &str = "u\n";
+/// Key prefix of version statistics in the shared state; the model and the member follow it.
 const STATS_PREFIX: &str = "h\n";
-/// In microseconds. A plan tells which version serves long after its last step, for as long as a group
-/// exists.
+/// Retention of plans, in microseconds. A plan determines which version is in service long after its last step, as long
+/// as the group exists.
 const PLAN_RETENTION: Micros = 10 * 365 * 86_400_000_000;
-/// In microseconds. A member's statistics are published again before they are forgotten.
+/// Retention of version statistics, in microseconds. A member publishes its statistics again before they expire.
 const STATS_RETENTION: Micros = 600_000_000;
-/// How often workers and counts are examined.
+/// Interval at which the workers and the statistics are examined.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Configuration of upgrades.
+/// Settings of upgrades.
 #[derive(Clone, Debug)]
 pub struct UpgradeSettings {
-    /// The operator's orders, read at start and on SIGHUP.
+    /// File of the operator's orders, read at start and on SIGHUP.
     pub file: PathBuf,
     /// The orders as read at start.
     pub orders: Vec<Order>,
     /// Limits and times of the planner.
     pub planner_settings: upgrade::PlannerSettings,
-    /// Region by zone, for zones whose region has another name.
+    /// Region by zone, for zones whose region has a name other than the zone's.
     pub regions: BTreeMap<String, String>,
     /// Latency objective by trigger type, in microseconds.
     pub latency_objectives: Vec<Micros>,
-    /// Memory by kind of worker.
+    /// Memory in MB by kind of worker.
     pub memory_mb: Vec<f64>,
 }
 
@@ -66,28 +66,31 @@
     settings: UpgradeSettings,
     /// This router's own region.
     region: String,
+    /// The state machine that decides on the steps of plans.
     planner: RefCell<Planner>,
     /// The orders as last read from the file.
     orders: RefCell<Vec<Order>>,
     statistics: VersionStatistics,
     inventory: CopyInventory,
-    /// Ended loads, recorded while the core was running.
+    /// Ended load orders that were recorded while the router core was running, for
+    /// [`Upgrades::process_completed`].
     completed: RefCell<VecDeque<upgrade::Input>>,
+    /// Expires when the planner is due.
     alarm: DeadlineTimer,
 }
 
 impl Upgrades {
-    /// The upgrades of a router in this group; nothing runs before [`Upgrades::run`].
+    /// Creates the upgrades of a router in the group of `shared`; nothing runs before [`Upgrades::run`].
     pub fn new(
         context: Rc<GatewayContext>,
         shared: SharedState,
         settings: UpgradeSettings,
     ) -> Rc<Upgrades> {
-        let me = shared.own_index();
+        let own_index = shared.own_index();
         let region = shared
             .members()
-            .get(me as usize)
-            .map(|f| f.region.clone())
+            .get(own_index as usize)
+            .map(|member| member.region.clone())
             .unwrap_or_default();
         let statistics =
             VersionStatistics::new(context.clone(), settings.latency_objectives.clone());
@@ -125,12 +128,13 @@
         self.inventory.set_workers(workers);
     }
 
-    /// Sets the source of what workers report to hold.
+    /// Sets the source of the workers' reports of their copies.
     pub fn set_holdings_source(&self, source: HoldingsSource) {
         self.inventory.set_holdings_source(source);
     }
 
-    /// The function to use for a request without a session; absent: unchanged.
+    /// The function to use for a request without a session; absent if the requested function is used unchanged. `draw`: a
+    /// random number.
     pub fn route(&self, model: &str, draw: impl FnOnce() -> u64) -> Option<Name> {
         let planner = self.planner.borrow();
         planner.models().any(|m| **m == *model).then_some(())?;
@@ -139,7 +143,8 @@
             .map(|route| route.function)
     }
 
-    /// The version to propose for a session. Without a plan known here, the one in service.
+    /// The version to propose for a session. If no plan of the model is known here, it is the version in service, which the
+    /// first order of the model names, or an empty name without orders. `draw`: a random number; `begins`: whether the session begins with this request.
     pub fn propose_version(&self, model: &str, draw: u64, begins: bool) -> Name {
         let planned = self
             .planner
@@ -155,20 +160,20 @@
         })
     }
 
-    /// A plan has taken this version out of service.
+    /// Whether a plan has taken this version out of service.
     pub fn is_retired(&self, model: &str, version: &str) -> bool {
         self.planner.borrow().copies_evicted(model, version)
     }
 
-    /// A plan has ended the sessions of this version.
+    /// Whether a plan has ended the sessions of this version.
     pub fn sessions_ended(&self, model: &str, version: &str) -> bool {
         self.planner.borrow().sessions_ended(model, version)
     }
 
-    /// An upgrade plan in progress manages this function's copies, of the old or the new version.
+    /// Whether a plan in progress manages the copies of this function, which is the old or the new version of its model.
     pub fn manages(&self, function: &str) -> bool {
         let (model, claims) = (client_requests::split_version(function).0, self.claims());
-        // A completed plan claims only one of its versions.
+        // A plan in progress claims both of its versions, a completed plan only one.
         let of_model = claims
             .iter()
             .filter(|c| client_requests::split_version(&c.function).0 == model)
@@ -176,12 +181,12 @@
         of_model > 1 && claims.iter().any(|c| *c.function == *function)
     }
 
-    /// Learns the size of a model's copies from an invocation.
+    /// Records the size of a model's copies as stated by an invocation.
     pub fn record_invocation(&self, model: &str, lanes: u32, copy_mb: f64) {
         self.inventory.record_size(model, lanes, copy_mb);
     }
 
-    /// Records the end of a dispatch or a load order; called while the core is running.
+    /// Records the end of a dispatch or of a load order; called while the router core is running.
     pub fn record_use(&self, used: &WorkerUsage) {
         let model = client_requests::split_version(used.function).0;
         if !self.planner.borrow().models().any(|m| **m == *model) {
@@ -200,7 +205,7 @@
         }
     }
 
-    /// Handles what was recorded while the core was running.
+    /// Passes the load orders that ended while the router core was running to the planner.
     pub fn process_completed(&self) {
         loop {
             let Some(input) = self.completed.borrow_mut().pop_front() else {
@@ -210,12 +215,12 @@
         }
     }
 
-    /// The copies that plans are responsible for.
+    /// The copies that plans claim.
     pub fn claims(&self) -> Vec<upgrade::Claim> {
         self.planner.borrow().claims()
     }
 
-    /// For the state endpoint; `sessions` is included as is.
+    /// The section of upgrades for the state endpoint. `sessions`: its part on sessions, which is included unchanged.
     pub fn state(&self, sessions: Value) -> Value {
         let orders = self.orders.borrow();
         let order =
@@ -227,7 +232,7 @@
         })
     }
 
-    /// Takes part in upgrades for as long as the router runs.
+    /// Takes part in upgrades until the router ends.
     pub async fn run(self: Rc<Self>) {
         self.update_members();
         for (key, ballot, bytes) in self.shared.all_accepted(PLAN_PREFIX) {
@@ -257,11 +262,11 @@
         while signals.next().await.is_some() {
             match read(&self.settings.file) {
                 Ok(orders) => {
-                    tracing::info!(orders = orders.len(), "upgrade: the orders were read");
+                    tracing::info!(orders = orders.len(), "upgrade: orders read");
                     self.orders.replace(orders.clone());
                     self.apply(upgrade::Input::Orders(orders));
                 }
-                // The previous orders stay in force.
+                // The previous orders remain in effect.
                 Err(errors) => {
                     errors.0.iter().for_each(
                         |line| tracing::error!(cause = %line, "upgrade: orders rejected"),
@@ -271,6 +276,7 @@
         }
     }
 
+    /// Passes an input to the planner and executes the outputs.
     fn apply(&self, input: upgrade::Input) {
         let mut outputs = Vec::new();
         let due = {
@@ -315,16 +321,17 @@
         }
     }
 
+    /// Processes an event of the group. `prefix`: key prefix of the subscription.
     fn peer_event(&self, prefix: &str, event: PeerEvent) {
         match event {
-            // Both prefixes receive this event; one is enough.
+            // Both subscriptions receive this event; it is processed once.
             PeerEvent::AliveMembersChanged if prefix == PLAN_PREFIX => self.update_members(),
             PeerEvent::AliveMembersChanged => {}
             PeerEvent::Updated(key) if prefix == PLAN_PREFIX => {
                 if let Some((ballot, bytes)) = self.shared.accepted(&key) {
                     self.plan_received(&key, ballot, bytes);
                 }
-                // The leader waits until all members act on its step.
+                // The leader waits until the statistics of all members show that they route by its step.
                 self.publish_stats();
             }
             PeerEvent::Updated(key) => {
@@ -340,15 +347,20 @@
         }
     }
 
+    /// Passes the members that are considered alive to the planner.
     fn update_members(&self) {
         let members = self.shared.members();
         self.apply(upgrade::Input::Members {
             own_index: self.shared.own_index(),
-            alive: members.iter().map(|f| f.alive).collect(),
-            regions: members.iter().map(|f| Name::from(&*f.region)).collect(),
+            alive: members.iter().map(|member| member.alive).collect(),
+            regions: members
+                .iter()
+                .map(|member| Name::from(&*member.region))
+                .collect(),
         });
     }
 
+    /// Passes a plan that this member has accepted to the planner.
     fn plan_received(&self, key: &str, ballot: replica::Ballot, bytes: Bytes) {
         if let Some(model) = upgrade::model_of_key(key) {
             let (model, ballot) = (Name::from(model), from_replica(ballot));
@@ -360,43 +372,56 @@
         }
     }
 
+    /// Passes another member's statistics to the planner.
     fn stats_received(&self, key: &str, note: &replica::Note) {
-        let of = key
+        let model_and_member = key
             .strip_prefix(STATS_PREFIX)
             .and_then(|rest| rest.rsplit_once('\n'));
-        let Some((model, Ok(member))) = of.map(|(model, member)| (model, member.parse())) else {
+        let Some((model, Ok(member))) =
+            model_and_member.map(|(model, member)| (model, member.parse()))
+        else {
             return;
         };
-        // What another release encoded differently is ignored.
-        if let Ok(VersionStats { goes_by, counts }) = postcard::from_bytes(&note.value) {
+        // Statistics that another release encoded in a different format are ignored.
+        if let Ok(VersionStats {
+            routing_rule,
+            counts,
+        }) = postcard::from_bytes(&note.value)
+        {
             self.apply(upgrade::Input::MemberReported {
                 member,
                 model: Name::from(model),
-                rule: goes_by,
+                rule: routing_rule,
                 counts,
             });
         }
     }
 
-    /// Publishes this router's statistics where they have changed, or are due again.
+    /// Publishes this router's statistics on each model whose statistics have changed or are due to be published again.
     fn publish_stats(&self) {
-        let (me, now) = (self.shared.own_index(), self.context.clock.now());
+        let (own_index, now) = (self.shared.own_index(), self.context.clock.now());
         let models: Vec<Name> = self.planner.borrow().models().cloned().collect();
         for model in models {
-            let goes_by = self.planner.borrow().routing_rule(&model);
+            let routing_rule = self.planner.borrow().routing_rule(&model);
             let counts = self.statistics.of_model(&model);
-            let stats = VersionStats { goes_by, counts };
+            let stats = VersionStats {
+                routing_rule,
+                counts,
+            };
             let Some(note) = self.statistics.due_note(now, &model, &stats) else {
                 continue;
             };
-            let key = replica::Key::from(format!("{STATS_PREFIX}{model}\n{me}"));
+            let key = replica::Key::from(format!("{STATS_PREFIX}{model}\n{own_index}"));
             self.shared
                 .note(key, note.version, note.value, STATS_RETENTION);
-            let VersionStats { goes_by, counts } = stats;
+            let VersionStats {
+                routing_rule,
+                counts,
+            } = stats;
             self.apply(upgrade::Input::MemberReported {
-                member: me,
+                member: own_index,
                 model,
-                rule: goes_by,
+                rule: routing_rule,
                 counts,
             });
         }
--- a/crates/gateway/src/version_statistics.rs
+++ b/crates/gateway/src/version_statistics.rs
@@ -1,5 +1,5 @@
-//! Statistics of this router on the versions of models under upgrade, and when they are due to be published to the
-//! group.
+//! This router's statistics on the versions of models that are being upgraded: collects them, and determines when they
+//! are due to be published to the group.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,46 +14,56 @@
 
 use crate::context::GatewayContext;
 
-/// Unchanged statistics are published again after this time, in microseconds.
-const REPEAT_AFTER: Micros = 300_000_000;
+/// Time after which unchanged statistics are published again, in microseconds.
+const REPUBLISH_INTERVAL: Micros = 300_000_000;
 
 /// A member's statistics on the versions of a model, as encoded in the shared state. The order of fields is
 /// the format.
 #[derive(Serialize, Deserialize, PartialEq)]
 pub(crate) struct VersionStats {
-    pub(crate) goes_by: RoutingRule,
+    /// The rule by which the member routes requests of the model.
+    pub(crate) routing_rule: RoutingRule,
+    /// The counts by version and trigger type.
     pub(crate) counts: Vec<VersionCounters>,
 }
 
-/// What was published last, and when.
+/// The statistics of a model that were published last.
 #[derive(Default)]
 struct PublishedStats {
+    /// Their encoding.
     value: Bytes,
+    /// When they were published, in microseconds.
     at: Micros,
 }
 
-/// Statistics to publish: their version, and their encoding.
+/// A note with statistics to publish.
 pub(crate) struct StatisticsNote {
+    /// Version of the note.
     pub(crate) version: (u64, u64),
+    /// The encoded statistics.
     pub(crate) value: Bytes,
 }
 
-/// The version of a model, and a trigger type.
+/// A model, its version, and the index of a trigger type.
 type CountKey = (Name, Name, u32);
 
-/// Counts the dispatches of each version.
+/// Counts the dispatches to each version, by trigger type.
 pub(crate) struct VersionStatistics {
     context: Rc<GatewayContext>,
     /// Latency objective by trigger type, in microseconds.
     latency_objectives: Vec<Micros>,
     counts: RefCell<BTreeMap<CountKey, VersionCounters>>,
+    /// By model.
     published: RefCell<BTreeMap<Name, PublishedStats>>,
-    /// Wall time of this process's start: its statistics supersede those of an earlier process.
+    /// Wall time of this process's start in microseconds: the first part of the version of each note, so that the
+    /// statistics supersede those of an earlier process.
     started_at: u64,
+    /// Number of published notes: the second part of the version.
     serial: Cell<u64>,
 }
 
 impl VersionStatistics {
+    /// Creates empty statistics. `latency_objectives`: by trigger type, in microseconds.
     pub(crate) fn new(context: Rc<GatewayContext>, latency_objectives: Vec<Micros>) -> Self {
         VersionStatistics {
             started_at: context.clock.wall_time().max(0) as u64,
@@ -65,8 +75,8 @@
         }
     }
 
-    /// Records the end of a dispatch. Failures of a connection, or of a full worker, say nothing about the
-    /// version.
+    /// Records the end of a dispatch. Other outcomes than success, error and timeout, such as the failure of a connection
+    /// or a full worker, are not counted, as they do not depend on the version.
     pub(crate) fn record(&self, used: &WorkerUsage, outcome: DispatchOutcome, status: CopyStatus) {
         use DispatchOutcome::{Errored, Succeeded, TimedOut};
         if !matches!(outcome, Succeeded | Errored | TimedOut) {
@@ -86,7 +96,7 @@
                 }
             });
         let objective = self.latency_objectives.get(trigger).copied();
-        // A dispatch that waited for a load is late because of the load.
+        // A dispatch that waited for a load is not counted as late, as the load delayed it.
         let late =
             status != CopyStatus::LoadStarted && used.took > objective.unwrap_or(Micros::MAX);
         count.completed += 1;
@@ -102,7 +112,7 @@
         of_model.map(|(_, count)| count.clone()).collect()
     }
 
-    /// The note to publish for a model; absent if the last one is the same and recent.
+    /// The note to publish for a model; absent if the same statistics were published recently.
     pub(crate) fn due_note(
         &self,
         now: Micros,
@@ -112,7 +122,7 @@
         let value = postcard::to_stdvec(stats).map(Bytes::from).ok()?;
         let mut published = self.published.borrow_mut();
         let last = published.entry(model.clone()).or_default();
-        if last.value == value && now - last.at < REPEAT_AFTER {
+        if last.value == value && now - last.at < REPUBLISH_INTERVAL {
             return None;
         }
         *last = PublishedStats {
--- a/crates/gateway/src/wiring.rs
+++ b/crates/gateway/src/wiring.rs
@@ -288,7 +288,7 @@
     );
     admission.set_worker_ids(Box::new(id_of), Box::new(worker_of));
     let uses = reconciliation.clone();
-    let recently_used = move |worker: &str, function: &str| uses.used_lately(worker, function);
+    let recently_used = move |worker: &str, function: &str| uses.used_recently(worker, function);
     admission.set_recent_use_check(Box::new(recently_used));
     let admission = admission.clone();
     let prefix_lost = move |worker: &str, function: &str, sessions: &[Arc<str>]| {
