--- a/crates/gateway/tests/peer_envelope_bytes.rs
+++ b/crates/gateway/tests/peer_envelope_bytes.rs
@@ -1,5 +1,7 @@
-//! The bytes of what one member posts to another: the envelope, the messages of the membership and of the shared records
-//! in it, and the answers that are kept in records. The messages on records have their own test in `cedarpulley-replica`.
+//! Guards against a change of the bytes that members of a group exchange, after which routers of two builds with the same
+//! protocol version could not read each other's messages. Covered are the envelope, the messages of the membership in it,
+//! the replies to it, and the answers stored in records. The messages on records have their own test in
+//! `cedarpulley-replica`.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,36 +20,39 @@
 };
 use cedarpulley_router::{Answer, AnswerReason, FinalOutcome, Input, Payload};
 
-/// By line: a name, and the bytes.
+/// Each line contains a name and the expected bytes in hexadecimal.
 const PINNED: &str = include_str!("fixtures/peer_envelope.hex");
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
+/// The expected bytes with this name.
 fn pinned(name: &str) -> Vec<u8> {
     let prefix = format!("{name} ");
     let line = PINNED.lines().find_map(|l| l.strip_prefix(&prefix));
-    let hex = line.unwrap_or_else(|| panic!("{name} is not pinned"));
+    let hex = line.unwrap_or_else(|| panic!("{name} is not in the fixture"));
     (0..hex.len())
         .step_by(2)
         .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal"))
         .collect()
 }
 
+/// Compares bytes with the expected bytes of this name.
 fn assert_pinned(name: &str, bytes: &[u8]) {
     assert_eq!(hex(bytes), hex(&pinned(name)), "{name}");
 }
 
-struct Nowhere;
+/// A transport that discards all messages.
+struct DiscardingTransport;
 
-impl Transport for Nowhere {
+impl Transport for DiscardingTransport {
     fn send(&self, _: u16, _: Bytes, _: SendOptions) {}
 }
 
 type Notifications = Rc<RefCell<Vec<ReplicationEvent>>>;
 
-/// Member 0 of three, and the notifications to its core.
+/// Creates member 0 of three, and the list of the notifications that its router core receives.
 fn peers(restored: Option<RestoredState>) -> (Peers, Notifications) {
     let members = ["r0", "r1", "r2"]
         .map(|m| format!("[[peers.member]]\nname = {m:?}\naddress = \"127.0.0.1:7101\"\n"));
@@ -70,59 +75,64 @@
         tracks_sessions: false,
         malformed_inputs: Cell::new(0),
         core_input: Box::new(move |input| {
-            if let Input::Replication(message) = input {
-                received.borrow_mut().push(message);
+            if let Input::Replication(event) = input {
+                received.borrow_mut().push(event);
             }
         }),
     };
     let settings = parts.peers.expect("peers");
-    let transport = Box::new(Nowhere);
+    let transport = Box::new(DiscardingTransport);
     let peers = Peers::new(Rc::new(context), &settings, 1, restored, None, transport);
     (peers, notifications)
 }
 
-fn process() -> Incarnation {
+fn incarnation() -> Incarnation {
     Incarnation {
         number: 300,
         nonce: 0x1122_3344_5566_7788,
     }
 }
 
-fn rows() -> Vec<MemberUpdate> {
-    let standings = [
+/// An update of one member in each state.
+fn member_updates() -> Vec<MemberUpdate> {
+    let states = [
         MemberState::Unknown,
         MemberState::Alive,
         MemberState::Suspected,
         MemberState::Dead,
     ];
-    let row = |(standing, member)| MemberUpdate {
+    let update = |(state, member)| MemberUpdate {
         member,
-        incarnation: process(),
-        state: standing,
+        incarnation: incarnation(),
+        state,
     };
-    standings.into_iter().zip(400..).map(row).collect()
+    states.into_iter().zip(400..).map(update).collect()
 }
 
 fn membership_messages() -> [(&'static str, membership::Message); 3] {
     let probe = membership::Message::Probe {
         sequence: 500,
         digest: 0xFFEE_DDCC_BBAA_9988,
-        updates: rows(),
+        updates: member_updates(),
     };
     let answer = membership::Message::Answer {
         sequence: 501,
         answered_by: 2,
         digest: 0x8899_AABB_CCDD_EEFF,
-        updates: rows(),
+        updates: member_updates(),
     };
-    let ask_for = membership::Message::IndirectProbe {
+    let indirect_probe = membership::Message::IndirectProbe {
         sequence: 502,
         target: 3,
     };
-    [("probe", probe), ("answer", answer), ("ask-for", ask_for)]
+    [
+        ("probe", probe),
+        ("answer", answer),
+        ("ask-for", indirect_probe),
+    ]
 }
 
-/// A question of each of both kinds, each with its kind's number in front.
+/// An encoded request of each kind of message: of the membership and of the shared records.
 fn requests() -> Vec<Bytes> {
     vec![
         Bytes::from(pinned("tagged-probe")),
@@ -136,9 +146,9 @@
         group: 0x2367_9931_1E7D_56BB,
         from: 1,
         to: 0,
-        process: process(),
+        process: incarnation(),
         clock: 123_456_789,
-        // Later than any clock of a test: it was not under way at all.
+        // Later than any clock reading in a test, so that the transit time counts as 0.
         echo: 9_000_000_000_000,
         echo_of: 1,
         messages: requests(),
@@ -172,7 +182,7 @@
     assert_eq!((sent.version, sent.group, sent.from, sent.to), expected);
 }
 
-/// The kind of a message is its first byte: 0 of the membership, 1 of the shared records.
+/// The first byte of a message is its kind: 0 for the membership, 1 for the shared records.
 #[test]
 fn pinned_envelope_is_answered_with_pinned_messages() {
     let (peers, _) = peers(None);
@@ -202,27 +212,27 @@
     ]
 }
 
-/// As this build keeps it.
+/// The bytes of an answer as this build stores it in a record.
 fn answer_bytes(answer: Answer) -> Bytes {
     let (peers, key) = (peers(None).0, Key::from("k"));
-    let (need, redelivered) = (Durability::Notified, false);
+    let (durability, redelivered) = (Durability::Notified, false);
     peers.request(ReplicationRequest::Announce {
         key: key.clone(),
-        durability: need,
+        durability,
         redelivered,
     });
-    let (sending, place) = (5, 0);
+    let (attempt, deduplication_domain) = (5, 0);
     peers.request(ReplicationRequest::AttemptSent {
         key: key.clone(),
-        attempt: sending,
-        deduplication_domain: place,
+        attempt,
+        deduplication_domain,
     });
     peers.request(ReplicationRequest::Answered { key, answer });
     let record = peers.inspect(|state| state.replica.record("k").cloned());
-    let Some(Record::Invocation(effect)) = record else {
+    let Some(Record::Invocation(invocation)) = record else {
         panic!("{record:?}")
     };
-    match effect.answer {
+    match invocation.answer {
         Some(StoredAnswer::Stored(bytes)) => bytes,
         other => panic!("{other:?}"),
     }
@@ -235,14 +245,15 @@
     }
 }
 
+/// A restored state with one invocation and its stored answer.
 fn restored(answer: Vec<u8>) -> RestoredState {
-    let effect = Invocation {
+    let invocation = Invocation {
         taken: true,
         answer: Some(StoredAnswer::Stored(Bytes::from(answer))),
         ..Invocation::default()
     };
-    let shared = RecordCopy {
-        record: Record::Invocation(effect),
+    let record_copy = RecordCopy {
+        record: Record::Invocation(invocation),
         origin: Origin {
             nonce: 99,
             serial: 1,
@@ -253,7 +264,7 @@
     };
     RestoredState {
         incarnation: 1,
-        records: vec![(Key::from("k"), shared)],
+        records: vec![(Key::from("k"), record_copy)],
     }
 }
 
@@ -261,17 +272,14 @@
 fn pinned_stored_answers_are_returned_unchanged() {
     for (name, answer) in answers() {
         let (peers, notifications) = peers(Some(restored(pinned(name))));
-        let (key, need, redelivered) = (Key::from("k"), Durability::Notified, true);
+        let (key, durability, redelivered) = (Key::from("k"), Durability::Notified, true);
         peers.request(ReplicationRequest::Announce {
             key: key.clone(),
-            durability: need,
+            durability,
             redelivered,
         });
-        let verdict = ReplicationDecision::Answer(answer);
-        let expected = vec![ReplicationEvent::Decision {
-            key,
-            decision: verdict,
-        }];
+        let decision = ReplicationDecision::Answer(answer);
+        let expected = vec![ReplicationEvent::Decision { key, decision }];
         assert_eq!(*notifications.borrow(), expected, "{name}");
     }
 }
--- a/crates/gateway/tests/peer_store_bytes.rs
+++ b/crates/gateway/tests/peer_store_bytes.rs
@@ -1,5 +1,6 @@
-//! The tables of a group's file, row by row, and a whole file that an earlier build wrote. A later build of the same
-//! format must read both, and write the same rows.
+//! Guards against a change of the group's store file under the same format version, after which a build could not read
+//! the file of another build. The tests compare the written rows with expected rows, and read a whole file that an earlier
+//! build wrote.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -15,17 +16,21 @@
 };
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
-/// A whole file, as it was written once.
-const FILE: &[u8] = include_bytes!("fixtures/group.redb");
+/// A file that an earlier build wrote.
+const STORE_FILE: &[u8] = include_bytes!("fixtures/group.redb");
+/// The expected rows of its tables.
 const ROWS: &str = include_str!("fixtures/group_rows.txt");
 
 const ABOUT: TableDefinition<&str, u64> = TableDefinition::new("about");
 const RECORDS: TableDefinition<&str, (i64, &[u8])> = TableDefinition::new("records");
 
-const S: Micros = 1_000_000;
-/// When the file was written, by the wall clock that the test gives.
-const WALL: Micros = 1_700_000_000 * S;
-const RETENTION: Micros = 100 * S;
+/// Microseconds in a second.
+const SECOND: Micros = 1_000_000;
+/// Wall time at which the file was written, in microseconds.
+const WALL_TIME: Micros = 1_700_000_000 * SECOND;
+/// Longest retention of an invocation, in microseconds.
+const RETENTION: Micros = 100 * SECOND;
+/// Identifies the member and its group.
 const IDENTITY: u64 = 0x0102_0304_0506_0708;
 
 fn ballot(number: u32) -> Ballot {
@@ -36,59 +41,61 @@
     }
 }
 
-fn shared(record: Record, left: Micros) -> RecordCopy {
+/// A copy of a record. `expires_in`: in microseconds.
+fn record_copy(record: Record, expires_in: Micros) -> RecordCopy {
     RecordCopy {
         record,
         origin: Origin {
             nonce: 99,
             serial: 77,
         },
-        expires_in: left,
-        first_dispatch_ago: Some(3 * S),
-        proof_expires_in: Some(40 * S),
+        expires_in,
+        first_dispatch_ago: Some(3 * SECOND),
+        proof_expires_in: Some(40 * SECOND),
     }
 }
 
-fn effect(answer: Option<StoredAnswer>) -> Invocation {
-    let mut effect = Invocation::default();
-    effect.owner.ballot = ballot(1_000);
-    effect.taken = true;
+/// An invocation with an intent in each state.
+fn invocation(answer: Option<StoredAnswer>) -> Invocation {
+    let mut invocation = Invocation::default();
+    invocation.owner.ballot = ballot(1_000);
+    invocation.taken = true;
     let states = [
         IntentState::Intended,
         IntentState::NotExecuted,
         IntentState::Indeterminate,
     ];
     for (state, n) in states.into_iter().zip(1..) {
-        let (member, place) = (n, 300 + u32::from(n));
-        let sending = DispatchIntent {
+        let (member, deduplication_scope) = (n, 300 + u32::from(n));
+        let intent = DispatchIntent {
             member,
             state,
-            deduplication_scope: place,
+            deduplication_scope,
         };
-        effect.intents.insert((5, u64::from(n)), sending);
+        invocation.intents.insert((5, u64::from(n)), intent);
     }
-    effect.answer = answer;
-    effect
+    invocation.answer = answer;
+    invocation
 }
 
-fn closed() -> Invocation {
-    let mut effect = effect(None);
-    effect.owner.released = true;
-    effect.close();
-    effect
+fn closed_invocation() -> Invocation {
+    let mut invocation = invocation(None);
+    invocation.owner.released = true;
+    invocation.close();
+    invocation
 }
 
-fn doubtful() -> Invocation {
+fn invocation_that_may_lack_intents() -> Invocation {
     Invocation {
         may_lack_intents: true,
-        ..effect(Some(StoredAnswer::Stored(Bytes::from_static(b"yes"))))
+        ..invocation(Some(StoredAnswer::Stored(Bytes::from_static(b"yes"))))
     }
 }
 
-fn faulty() -> Invocation {
+fn conflicting_invocation() -> Invocation {
     Invocation {
         has_conflict: true,
-        ..effect(Some(StoredAnswer::TooLarge))
+        ..invocation(Some(StoredAnswer::TooLarge))
     }
 }
 
@@ -106,60 +113,85 @@
     }
 }
 
-/// One record of each kind and form, in the order of their keys.
+/// One record of each kind and form, in the order of the keys.
 fn records() -> Vec<(Key, RecordCopy)> {
     let records = [
-        ("choice", shared(Record::Choice(choice()), 600 * S)),
-        ("closed", shared(Record::Invocation(closed()), 50 * S)),
-        ("doubtful", shared(Record::Invocation(doubtful()), 60 * S)),
-        ("empty", shared(Record::Choice(Choice::default()), 700 * S)),
-        ("faulty", shared(Record::Invocation(faulty()), 70 * S)),
-        ("note", shared(Record::Note(note()), 800 * S)),
+        (
+            "choice",
+            record_copy(Record::Choice(choice()), 600 * SECOND),
+        ),
+        (
+            "closed",
+            record_copy(Record::Invocation(closed_invocation()), 50 * SECOND),
+        ),
+        (
+            "doubtful",
+            record_copy(
+                Record::Invocation(invocation_that_may_lack_intents()),
+                60 * SECOND,
+            ),
+        ),
+        (
+            "empty",
+            record_copy(Record::Choice(Choice::default()), 700 * SECOND),
+        ),
+        (
+            "faulty",
+            record_copy(Record::Invocation(conflicting_invocation()), 70 * SECOND),
+        ),
+        ("note", record_copy(Record::Note(note()), 800 * SECOND)),
     ];
-    records.map(|(key, s)| (Arc::from(key), s)).to_vec()
+    records
+        .map(|(key, record)| (Arc::from(key), record))
+        .to_vec()
 }
 
-/// The same by a process that starts 20 seconds later.
-fn later(shared: &RecordCopy) -> RecordCopy {
+/// The record as restored by a process that starts 20 seconds after the file was written.
+fn restored_after_20_seconds(record: &RecordCopy) -> RecordCopy {
     RecordCopy {
-        expires_in: shared.expires_in - 20 * S,
-        first_dispatch_ago: Some(23 * S),
-        proof_expires_in: Some(20 * S),
-        ..shared.clone()
+        expires_in: record.expires_in - 20 * SECOND,
+        first_dispatch_ago: Some(23 * SECOND),
+        proof_expires_in: Some(20 * SECOND),
+        ..record.clone()
     }
 }
 
-fn open(folder: &Path, wall: Micros) -> (PeerStore, Option<RestoredState>) {
+/// Opens the store, once the writing thread of an earlier one has ended.
+fn open(folder: &Path, wall_time: Micros) -> (PeerStore, Option<RestoredState>) {
     loop {
-        match PeerStore::open(folder, IDENTITY, wall, RETENTION) {
-            // The writing thread of the store before has not ended yet.
+        match PeerStore::open(folder, IDENTITY, wall_time, RETENTION) {
+            // The writing thread of the earlier store has not ended yet.
             Err(StoreError::InUse { .. }) => std::thread::yield_now(),
             opened => return opened.unwrap_or_else(|e| panic!("{e}")),
         }
     }
 }
 
+/// Writes all records to a new file.
 fn write(folder: &Path) {
-    let (store, restored) = open(folder, WALL);
+    let (store, restored) = open(folder, WALL_TIME);
     assert!(restored.is_none());
-    let records = records().into_iter().map(|(key, s)| (key, Some(s)));
+    let records = records()
+        .into_iter()
+        .map(|(key, record)| (key, Some(record)));
     let changes = StoreChanges {
         incarnation: 41,
         serial: 1,
         records: records.collect(),
     };
-    store.write(changes, WALL);
+    store.write(changes, WALL_TIME);
     smol::block_on(store.write_finished());
     assert_eq!(store.persisted_serial(), 1);
     drop(store);
-    // Once it opens again, the writing thread has ended.
-    drop(open(folder, WALL));
+    // When the store can be opened again, the writing thread has ended.
+    drop(open(folder, WALL_TIME));
 }
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
+/// Opens the file, once the writing thread has ended.
 fn open_file(file: &Path) -> Database {
     loop {
         match Database::open(file) {
@@ -169,7 +201,7 @@
     }
 }
 
-/// All rows of a file, by tables whose names and types are those of this test.
+/// All rows of a file. The table names and types are written out in this test, not taken from the code under test.
 fn rows(file: &Path) -> String {
     let database = open_file(file);
     let snapshot = database.begin_read().expect("begun");
@@ -182,16 +214,20 @@
     let records = snapshot.open_table(RECORDS).expect("records");
     for row in records.iter().expect("rows") {
         let (key, value) = row.expect("a row");
-        let (until, bytes) = value.value();
-        lines.push(format!("records {} {until} {}\n", key.value(), hex(bytes)));
+        let (expires_at, bytes) = value.value();
+        lines.push(format!(
+            "records {} {expires_at} {}\n",
+            key.value(),
+            hex(bytes)
+        ));
     }
     lines.concat()
 }
 
-/// A copy of the pinned file.
-fn pinned_file(folder: &Path) -> PathBuf {
+/// Writes the file of the earlier build into a folder.
+fn write_earlier_file(folder: &Path) -> PathBuf {
     let file = folder.join("group.redb");
-    std::fs::write(&file, FILE).expect("written");
+    std::fs::write(&file, STORE_FILE).expect("written");
     file
 }
 
@@ -205,20 +241,22 @@
 #[test]
 fn store_file_of_format_2_is_restored_with_each_kind_of_record() {
     let folder = tempfile::tempdir().expect("a folder");
-    assert_eq!(rows(&pinned_file(folder.path())), ROWS);
-    let restored = open(folder.path(), WALL + 20 * S).1.expect("restored");
+    assert_eq!(rows(&write_earlier_file(folder.path())), ROWS);
+    let restored = open(folder.path(), WALL_TIME + 20 * SECOND)
+        .1
+        .expect("restored");
     let expected: Vec<_> = records()
         .iter()
-        .map(|(k, s)| (k.clone(), later(s)))
+        .map(|(key, record)| (key.clone(), restored_after_20_seconds(record)))
         .collect();
     assert_eq!((restored.incarnation, restored.records), (41, expected));
 }
 
 #[test]
-fn store_file_of_format_2_is_not_set_aside() {
+fn store_file_of_format_2_is_not_renamed() {
     let folder = tempfile::tempdir().expect("a folder");
-    pinned_file(folder.path());
-    drop(open(folder.path(), WALL));
+    write_earlier_file(folder.path());
+    drop(open(folder.path(), WALL_TIME));
     let files = std::fs::read_dir(folder.path()).expect("read");
     let names: Vec<_> = files
         .map(|file| file.expect("a file").file_name())
--- a/crates/gateway/tests/unknown_members.rs
+++ b/crates/gateway/tests/rejected_envelopes.rs
@@ -1,4 +1,6 @@
-//! Members of two builds in one group: refused, counted, and shown with a remedy until they run one build.
+//! Guards against envelopes of another version or form that are accepted, that leave no trace for the operator, or that
+//! fill the log. They occur while the routers of a group run two builds, and are rejected, counted, and shown with a
+//! remedy until all routers run the same build.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,12 +15,14 @@
 use cedarpulley_gateway::{settings, state_endpoint};
 use cedarpulley_net::Clock;
 
-struct Nowhere;
+/// A transport that discards all messages.
+struct DiscardingTransport;
 
-impl Transport for Nowhere {
+impl Transport for DiscardingTransport {
     fn send(&self, _: u16, _: Bytes, _: SendOptions) {}
 }
 
+/// Creates the member of this name, in a group of three.
 fn peers(name: &str) -> Peers {
     let members = ["r0", "r1", "r2"]
         .map(|m| format!("[[peers.member]]\nname = {m:?}\naddress = \"127.0.0.1:7101\"\n"));
@@ -46,26 +50,29 @@
         1,
         None,
         None,
-        Box::new(Nowhere),
+        Box::new(DiscardingTransport),
     )
 }
 
 #[test]
 fn envelopes_of_another_version_are_rejected_counted_and_shown_until_the_version_matches() {
-    let (here, there) = (peers("r0"), peers("r1"));
-    let good = there.envelope(0, Vec::new());
-    let (version, bytes) = (good.version, postcard::to_stdvec(&good).expect("encoded"));
-    let mut other = good;
-    other.version -= 1;
-    let other = postcard::to_stdvec(&other).expect("encoded");
-    let state = || state_endpoint::state(&here, TransportCounts::default());
-    // Of an envelope in another version's form, nothing more than its version can be known.
-    for (said, why) in [
-        (&other[..], RejectionCause::Version),
-        (&other[..1], RejectionCause::Version),
+    let (receiver, sender) = (peers("r0"), peers("r1"));
+    let envelope = sender.envelope(0, Vec::new());
+    let (version, bytes) = (
+        envelope.version,
+        postcard::to_stdvec(&envelope).expect("encoded"),
+    );
+    let mut other_version = envelope;
+    other_version.version -= 1;
+    let other_version = postcard::to_stdvec(&other_version).expect("encoded");
+    let state = || state_endpoint::state(&receiver, TransportCounts::default());
+    // An envelope of another version may have another format, of which only the version can be decoded.
+    for (received, cause) in [
+        (&other_version[..], RejectionCause::Version),
+        (&other_version[..1], RejectionCause::Version),
         (&bytes[..9], RejectionCause::Unreadable),
     ] {
-        assert_eq!(here.receive(None, said).err(), Some(why));
+        assert_eq!(receiver.receive(None, received).err(), Some(cause));
     }
     let s = state();
     assert_eq!(
@@ -73,33 +80,33 @@
         (&2.into(), &1.into()),
         "{s}"
     );
-    let refused = &s["members"][1]["refused"];
+    let rejected = &s["members"][1]["refused"];
     assert_eq!(
-        (&refused["version"], &refused["times"]),
+        (&rejected["version"], &rejected["times"]),
         (&(version - 1).into(), &1.into()),
         "{s}"
     );
-    assert_eq!(refused["do"], "run one build in all routers of the group");
+    assert_eq!(rejected["do"], "run one build in all routers of the group");
     assert!(
         s["members"][2]["refused"].is_null() && s["strangers"]["times"] == 2,
         "{s}"
     );
-    assert!(here.receive(None, &bytes).is_ok());
+    assert!(receiver.receive(None, &bytes).is_ok());
     assert!(state()["members"][1]["refused"].is_null(), "{}", state());
 }
 
 #[test]
-fn refusals_are_logged_once_a_process_and_cause_and_rate_limited_for_two_under_one_name() {
-    let mut members = RejectedEnvelopes::new(3);
-    let of = |cause, process| Rejection {
+fn rejections_are_logged_once_per_process_and_cause_and_rate_limited_for_processes_of_one_name() {
+    let mut rejections = RejectedEnvelopes::new(3);
+    let rejection = |cause, process| Rejection {
         cause,
         version: Some(1),
         from: Some((1, process)),
         address: None,
     };
-    let mut logged = |now, cause, process| members.record(now, of(cause, process));
+    let mut logged = |now, cause, process| rejections.record(now, rejection(cause, process));
     assert!(logged(0, RejectionCause::Version, 7));
-    // Once, however long it continues.
+    // It is logged only once, however long the rejections continue.
     assert!((1..1000).all(|n| !logged(n * LOG_INTERVAL, RejectionCause::Version, 7)));
     assert!(logged(1000 * LOG_INTERVAL, RejectionCause::Version, 8));
     assert!((1..1000).all(|n| !logged(
@@ -110,11 +117,11 @@
     assert!(logged(1001 * LOG_INTERVAL, RejectionCause::Group, 8));
     assert_eq!(
         (
-            members.state(0, Some(1))["times"].as_u64(),
-            members.state(0, Some(2))
+            rejections.state(0, Some(1))["times"].as_u64(),
+            rejections.state(0, Some(2))
         ),
         (Some(2001), serde_json::Value::Null)
     );
-    members.accepted(1);
-    assert_eq!(members.state(0, Some(1)), serde_json::Value::Null);
+    rejections.accepted(1);
+    assert_eq!(rejections.state(0, Some(1)), serde_json::Value::Null);
 }
--- a/crates/gateway/tests/state_names.rs
+++ b/crates/gateway/tests/state_names.rs
@@ -1,6 +1,7 @@
-//! The names in `GET /state` and `GET /metrics` are those in `fixtures/state-names.txt` and
-//! `fixtures/metric-names.txt`: every key path, every name that stands for a state, and every metric with its labels.
-//! What only a running group shows is tested in `crates/cli/tests/running_state_names.rs`.
+//! Guards against a renamed type, field or metric that changes a name in `GET /state` or `GET /metrics`, on which
+//! operators' tools depend. Every key path, every name of a state, and every metric with its labels is compared with
+//! `fixtures/state-names.txt`, `fixtures/session-count-names.txt` and `fixtures/metric-names.txt`. Names that appear only
+//! in a running group are tested in `crates/cli/tests/running_state_names.rs`.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,9 +25,10 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-struct Nowhere;
+/// A transport that discards all messages.
+struct DiscardingTransport;
 
-impl Transport for Nowhere {
+impl Transport for DiscardingTransport {
     fn send(&self, _: u16, _: Bytes, _: SendOptions) {}
 }
 
@@ -44,6 +46,7 @@
     })
 }
 
+/// Creates the member of this name, in a group of three.
 fn peers(name: &str, restored: Option<RestoredState>) -> Peers {
     let members = ["r0", "r1", "r2"]
         .map(|m| format!("[[peers.member]]\nname = {m:?}\naddress = \"127.0.0.1:7101\"\n"));
@@ -55,16 +58,23 @@
     );
     let parts = settings::read("router.toml", &text, false).unwrap_or_else(|e| panic!("{e}"));
     let settings = parts.peers.expect("peers");
-    Peers::new(context(), &settings, 1, restored, None, Box::new(Nowhere))
+    Peers::new(
+        context(),
+        &settings,
+        1,
+        restored,
+        None,
+        Box::new(DiscardingTransport),
+    )
 }
 
 /// One record at each stage.
 fn records() -> Vec<Record> {
-    let taken = Invocation {
+    let accepted = Invocation {
         taken: true,
         ..Default::default()
     };
-    let sent = |state| Invocation {
+    let dispatched = |state| Invocation {
         intents: BTreeMap::from([(
             (1, 1),
             DispatchIntent {
@@ -73,24 +83,24 @@
                 deduplication_scope: 0,
             },
         )]),
-        ..taken.clone()
+        ..accepted.clone()
     };
-    let effects = [
+    let invocations = [
         Invocation::default(),
-        taken.clone(),
-        sent(IntentState::Intended),
-        sent(IntentState::Indeterminate),
+        accepted.clone(),
+        dispatched(IntentState::Intended),
+        dispatched(IntentState::Indeterminate),
         Invocation {
             answer: Some(StoredAnswer::TooLarge),
-            ..taken.clone()
+            ..accepted.clone()
         },
         Invocation {
             has_conflict: true,
-            ..taken.clone()
+            ..accepted.clone()
         },
         Invocation {
             closed: true,
-            ..taken.clone()
+            ..accepted.clone()
         },
     ];
     let choice = Choice {
@@ -102,72 +112,78 @@
         value: Bytes::new(),
     };
     let others = [Record::Choice(choice), Record::Note(note)];
-    effects
+    invocations
         .map(Record::Invocation)
         .into_iter()
         .chain(others)
         .collect()
 }
 
+/// A restored state with these records.
 fn restored() -> RestoredState {
-    let shared = |(n, record)| {
-        let shared = RecordCopy {
+    let entry = |(n, record)| {
+        let record_copy = RecordCopy {
             record,
             origin: Origin::default(),
             expires_in: 60_000_000,
             first_dispatch_ago: None,
             proof_expires_in: None,
         };
-        (format!("key-{n}").into(), shared)
+        (format!("key-{n}").into(), record_copy)
     };
     RestoredState {
         incarnation: 1,
-        records: records().into_iter().enumerate().map(shared).collect(),
+        records: records().into_iter().enumerate().map(entry).collect(),
     }
 }
 
-/// With records of all stages, a member of another version and a stranger.
+/// A member and its state, with records at all stages, rejected envelopes of a member with another version, and rejected
+/// envelopes of an unidentified sender.
 fn state_with_all_stages() -> (Peers, Value) {
-    let (here, there) = (peers("r0", Some(restored())), peers("r1", None));
-    let mut other = there.envelope(0, Vec::new());
-    other.version -= 1;
-    let other = postcard::to_stdvec(&other).expect("encoded");
-    assert!(here.receive(None, &other).is_err() && here.receive(None, &other[..1]).is_err());
+    let (receiver, sender) = (peers("r0", Some(restored())), peers("r1", None));
+    let mut other_version = sender.envelope(0, Vec::new());
+    other_version.version -= 1;
+    let other_version = postcard::to_stdvec(&other_version).expect("encoded");
+    assert!(
+        receiver.receive(None, &other_version).is_err()
+            && receiver.receive(None, &other_version[..1]).is_err()
+    );
     let counts = json!({"counts": cedarpulley_reconcile::Counts::default()});
-    here.add_state_provider("reconcile", Box::new(move || counts.clone()));
-    let state = state_endpoint::state(&here, TransportCounts::default());
-    (here, state)
+    receiver.add_state_provider("reconcile", Box::new(move || counts.clone()));
+    let state = state_endpoint::state(&receiver, TransportCounts::default());
+    (receiver, state)
 }
 
-/// All key paths below `path`, those of all elements of an array as one.
-fn paths(value: &Value, path: &str, all: &mut BTreeSet<String>) {
+/// Adds all key paths below `path` to `all`; the elements of an array share one path.
+fn key_paths(value: &Value, path: &str, all: &mut BTreeSet<String>) {
     match value {
         Value::Object(object) => {
             for (key, value) in object {
                 let dot = if path.is_empty() { "" } else { "." };
                 let path = format!("{path}{dot}{key}");
-                paths(value, &path, all);
+                key_paths(value, &path, all);
                 all.insert(path);
             }
         }
         Value::Array(array) => {
             for value in array {
-                paths(value, &format!("{path}[]"), all);
+                key_paths(value, &format!("{path}[]"), all);
             }
         }
         _ => {}
     }
 }
 
-fn names<T: Serialize>(of: &str, values: impl IntoIterator<Item = T>) -> Vec<String> {
+/// One line for each value, with its serialized name. `path`: key path at which the values appear.
+fn value_names<T: Serialize>(path: &str, values: impl IntoIterator<Item = T>) -> Vec<String> {
     let text = |value| serde_json::to_string(&value).expect("JSON");
-    let line = |value| format!("{of} = {}", text(value));
+    let line = |value| format!("{path} = {}", text(value));
     values.into_iter().map(line).collect()
 }
 
-/// Values whose names are shown.
+/// The names of all values that are shown by name.
 fn named_values() -> Vec<String> {
-    let whys = [
+    let reasons = [
         StateReason::NothingReceived,
         StateReason::Itself,
         StateReason::Answered,
@@ -187,8 +203,8 @@
         Phase::Cancelled,
     ];
     let stages = [Stage::Pending, Stage::Loading, Stage::Draining, Stage::Done];
-    let mut all = names("members[].why", whys);
-    all.extend(names(
+    let mut all = value_names("members[].why", reasons);
+    all.extend(value_names(
         "memory",
         [
             RecoveryState::Empty,
@@ -196,26 +212,26 @@
             RecoveryState::Complete,
         ],
     ));
-    all.extend(names("upgrade.plans[].phase", phases));
-    all.extend(names("upgrade.plans[].regions[].stage", stages));
-    all.extend(names("reconcile.workers[].found", DRIFT_KINDS));
+    all.extend(value_names("upgrade.plans[].phase", phases));
+    all.extend(value_names("upgrade.plans[].regions[].stage", stages));
+    all.extend(value_names("reconcile.workers[].found", DRIFT_KINDS));
     all
 }
 
-/// Compared with the file line by line; what was seen is left beside the program's other files.
-fn assert_matches_fixture(name: &str, seen: &BTreeSet<String>) {
-    let seen: String = seen.iter().map(|line| format!("{line}\n")).collect();
-    let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&left, &seen).expect("written");
-    let file = Path::new(env!("CARGO_MANIFEST_DIR"))
+/// Compares the lines with the fixture of this name, and writes them to a file in cargo's temporary directory for tests.
+fn assert_matches_fixture(name: &str, lines: &BTreeSet<String>) {
+    let actual: String = lines.iter().map(|line| format!("{line}\n")).collect();
+    let actual_file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&actual_file, &actual).expect("written");
+    let expected_file = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
         .join(name);
-    let kept = std::fs::read_to_string(&file).expect("a fixture");
+    let expected = std::fs::read_to_string(&expected_file).expect("a fixture");
     assert!(
-        seen == kept,
+        actual == expected,
         "{} differs from {}",
-        left.display(),
-        file.display()
+        actual_file.display(),
+        expected_file.display()
     );
 }
 
@@ -223,7 +239,7 @@
 fn state_key_names_are_pinned() {
     let (_, state) = state_with_all_stages();
     let mut all = BTreeSet::new();
-    paths(&state, "", &mut all);
+    key_paths(&state, "", &mut all);
     all.extend(named_values());
     assert_matches_fixture("state-names.txt", &all);
 }
@@ -232,25 +248,26 @@
 fn session_count_names_are_pinned() {
     let counts = serde_json::to_value(cedarpulley_upgrade::sessions::Counts::default());
     let mut all = BTreeSet::new();
-    paths(&counts.expect("JSON"), "upgrade.sessions.counts", &mut all);
+    key_paths(&counts.expect("JSON"), "upgrade.sessions.counts", &mut all);
     assert_matches_fixture("session-count-names.txt", &all);
 }
 
 #[test]
 fn member_state_is_one_of_four_names() {
-    let (here, state) = state_with_all_stages();
-    let standing = |n: usize| {
+    let (receiver, state) = state_with_all_stages();
+    let state_name = |n: usize| {
         state["members"][n]["standing"]
             .as_str()
             .expect("a name")
             .to_owned()
     };
-    assert_eq!([standing(0), standing(1)], ["alive", "unknown"]);
-    let known = here.inspect(|state| state.membership.status(1).state);
+    assert_eq!([state_name(0), state_name(1)], ["alive", "unknown"]);
+    let known = receiver.inspect(|state| state.membership.status(1).state);
     assert_eq!(known, MemberState::Unknown);
 }
 
-/// A metric's name with its labels, without their values but those that are names of states.
+/// The name and the labels of a metric in a line of the exposition format. Values of labels are replaced by `*`, except
+/// those that are names of states.
 fn metric(line: &str) -> String {
     let (name, _) = line.rsplit_once(' ').expect("a value");
     let Some((name, labels)) = name.trim_end_matches('}').split_once('{') else {
@@ -267,13 +284,13 @@
 
 #[test]
 fn metric_names_are_pinned() {
-    let (here, _) = state_with_all_stages();
-    let text = state_endpoint::metrics(&here, TransportCounts::default());
-    let (kinds, values): (Vec<&str>, Vec<&str>) = text
+    let (receiver, _) = state_with_all_stages();
+    let text = state_endpoint::metrics(&receiver, TransportCounts::default());
+    let (comments, values): (Vec<&str>, Vec<&str>) = text
         .lines()
         .filter(|line| !line.is_empty())
         .partition(|line| line.starts_with('#'));
     let mut all: BTreeSet<String> = values.into_iter().map(metric).collect();
-    all.extend(kinds.into_iter().map(str::to_owned));
+    all.extend(comments.into_iter().map(str::to_owned));
     assert_matches_fixture("metric-names.txt", &all);
 }
--- a/crates/gateway/tests/upgrades.rs
+++ b/crates/gateway/tests/upgrades.rs
@@ -1,4 +1,5 @@
-//! The settings of upgrades: their section, and the operator's orders in a file beside it.
+//! Tests the settings of upgrades: the section `[upgrade]`, and the operator's orders in a separate file. Guards against
+//! orders that are accepted in part, and against upgrades without a group or with an unreadable file of orders.
 
 use std::path::Path;
 
@@ -14,7 +15,8 @@
 address = "127.0.0.1:7101"
 "#;
 
-fn text(more: &str) -> String {
+/// A configuration without `[peers]`, followed by further sections.
+fn config_text(more: &str) -> String {
     format!(
         r#"
 [[trigger]]
@@ -30,11 +32,13 @@
     )
 }
 
+/// Reads a configuration with these further sections.
 fn read(folder: &Path, more: &str) -> Result<settings::RouterSettings, Vec<String>> {
     let file = folder.join("router.toml").display().to_string();
-    settings::read(&file, &text(more), false).map_err(|errors| errors.0)
+    settings::read(&file, &config_text(more), false).map_err(|errors| errors.0)
 }
 
+/// Reads orders from a file with this text; returns their number, or the error lines.
 fn orders(folder: &Path, text: &str) -> Result<usize, Vec<String>> {
     let file = folder.join("orders.toml");
     std::fs::write(&file, text).expect("written");
@@ -43,57 +47,63 @@
         .map_err(|errors| errors.0)
 }
 
-const GOOD: &str = "[[order]]\nmodel = \"m\"\nto = \"2\"\nserial = 1\ndrain_limit_ms = 9000\n";
+/// One valid order.
+const VALID_ORDER: &str =
+    "[[order]]\nmodel = \"m\"\nto = \"2\"\nserial = 1\ndrain_limit_ms = 9000\n";
 
 #[test]
 fn orders_are_accepted_or_rejected_as_a_whole_with_one_line_per_cause() {
     let folder = tempfile::tempdir().expect("a folder");
-    let at = folder.path();
-    assert_eq!(orders(at, ""), Ok(0));
-    assert_eq!(orders(at, GOOD), Ok(1));
+    let path = folder.path();
+    assert_eq!(orders(path, ""), Ok(0));
+    assert_eq!(orders(path, VALID_ORDER), Ok(1));
     assert_eq!(
         orders(
-            at,
-            &format!("{GOOD}{}", GOOD.replace("serial = 1", "serial = 2"))
+            path,
+            &format!(
+                "{VALID_ORDER}{}",
+                VALID_ORDER.replace("serial = 1", "serial = 2")
+            )
         ),
         Ok(2)
     );
-    let wrong = orders(
-        at,
+    let invalid = orders(
+        path,
         "[[order]]\nmodel = \"m\"\nto = \"2/3\"\nserial = 1\ndrain_limit_ms = 1\n\
          [[order]]\nmodel = \"n\"\nto = \"2\"\nserial = 1\ndrain_limit_ms = 1\nfloor = 2\nfloors = 1\n",
     )
     .expect_err("three causes");
-    assert_eq!(wrong.len(), 3, "{wrong:?}");
-    for (line, says) in wrong.iter().zip([
+    assert_eq!(invalid.len(), 3, "{invalid:?}");
+    for (line, expected) in invalid.iter().zip([
         "orders.toml:2: order[0].model",
         ":11: order[1].floor",
         ":12: ",
     ]) {
-        assert!(line.contains(says), "{line}");
+        assert!(line.contains(expected), "{line}");
     }
-    let twice = orders(at, &format!("{GOOD}{GOOD}")).expect_err("one serial for two");
-    assert!(twice[0].contains("two orders"), "{twice:?}");
-    std::fs::remove_file(at.join("orders.toml")).expect("removed");
-    assert!(upgrades::read(&at.join("orders.toml")).is_err());
+    let duplicate = orders(path, &format!("{VALID_ORDER}{VALID_ORDER}"))
+        .expect_err("one serial for two orders");
+    assert!(duplicate[0].contains("two orders"), "{duplicate:?}");
+    std::fs::remove_file(path.join("orders.toml")).expect("removed");
+    assert!(upgrades::read(&path.join("orders.toml")).is_err());
 }
 
 #[test]
 fn upgrades_are_off_by_default_and_require_a_group_and_readable_orders() {
     let folder = tempfile::tempdir().expect("a folder");
-    let at = folder.path();
+    let path = folder.path();
     let section = "[reconcile]\n[upgrade]\norder = \"orders.toml\"\n";
-    let plain = read(at, PEERS).unwrap_or_else(|e| panic!("{e:?}"));
-    assert!(plain.upgrade.is_none() && plain.sessions.is_none());
-    let no_file = read(at, &format!("{PEERS}{section}"))
+    let without_upgrades = read(path, PEERS).unwrap_or_else(|e| panic!("{e:?}"));
+    assert!(without_upgrades.upgrade.is_none() && without_upgrades.sessions.is_none());
+    let no_file = read(path, &format!("{PEERS}{section}"))
         .err()
-        .expect("no file");
+        .expect("no file of orders");
     assert!(no_file[0].contains("orders.toml"), "{no_file:?}");
-    std::fs::write(at.join("orders.toml"), GOOD).expect("written");
-    let alone = read(at, section).err().expect("no group");
-    assert!(alone[0].contains("[peers]"), "{alone:?}");
-    let parts =
-        read(at, &format!("{PEERS}{section}lease_ms = 900\n")).unwrap_or_else(|e| panic!("{e:?}"));
+    std::fs::write(path.join("orders.toml"), VALID_ORDER).expect("written");
+    let without_group = read(path, section).err().expect("no group");
+    assert!(without_group[0].contains("[peers]"), "{without_group:?}");
+    let parts = read(path, &format!("{PEERS}{section}lease_ms = 900\n"))
+        .unwrap_or_else(|e| panic!("{e:?}"));
     let upgrade = parts.upgrade.expect("upgrades");
     assert_eq!(
         (
@@ -104,12 +114,15 @@
         (1, 900_000, vec![100_000])
     );
     assert!(parts.sessions.is_some());
-    let short = read(at, &format!("{PEERS}{section}session_kept_ms = 2000\n"))
+    let short_retention = read(path, &format!("{PEERS}{section}session_kept_ms = 2000\n"))
         .err()
-        .expect("too short");
-    assert!(short[0].contains("session_kept_ms"), "{short:?}");
-    let unknown = read(at, &format!("{PEERS}{section}lease = 1\n"))
+        .expect("retention too short");
+    assert!(
+        short_retention[0].contains("session_kept_ms"),
+        "{short_retention:?}"
+    );
+    let unknown_key = read(path, &format!("{PEERS}{section}lease = 1\n"))
         .err()
-        .expect("unknown");
-    assert!(unknown[0].contains("lease"), "{unknown:?}");
+        .expect("unknown key");
+    assert!(unknown_key[0].contains("lease"), "{unknown_key:?}");
 }
