--- a/crates/gateway/src/fault_injection.rs
+++ b/crates/gateway/src/fault_injection.rs
@@ -33,7 +33,7 @@
 /// Interval between corruptions in microseconds; short enough for several corruptions in each reconciliation round of a
 /// test.
 const CORRUPTION_INTERVAL: Micros = 40_000;
-/// Limit on corruptions, so that all beliefs can be corrected before a test ends.
+/// Limit on corruptions, so that all recorded copies can be corrected before a test ends.
 const MAX_CORRUPTIONS: u64 = 150;
 /// Combined with the router's seed, so that these random numbers are independent of all others.
 const CORRUPTION_SEED: u64 = 0x5b01;
@@ -75,8 +75,8 @@
     TrustAfterFullRestart,
     /// Votes on choices before they are written to its store.
     VoteBeforePersisted,
-    /// Repeatedly corrupts the router's own beliefs about copies at workers; disables no safety check.
-    CorruptedBelief,
+    /// Repeatedly corrupts the router's record of warm copies at workers; disables no safety check.
+    CorruptedRecord,
 }
 
 impl InjectedFault {
@@ -113,7 +113,7 @@
             "gone" => InjectedFault::DeadOwnerAsProof,
             "undoubting" => InjectedFault::TrustAfterFullRestart,
             "unkept" => InjectedFault::VoteBeforePersisted,
-            "spoilt" => InjectedFault::CorruptedBelief,
+            "spoilt" => InjectedFault::CorruptedRecord,
             _ => return None,
         })
     }
@@ -132,7 +132,7 @@
     eligible_events: Cell<u64>,
     /// Addresses of workers whose slow start is hidden from the core.
     cold_workers: RefCell<Vec<String>>,
-    /// Worker address and function of each dispatch sent: the beliefs about these copies can be corrupted.
+    /// Worker address and function of each dispatch sent: the record of these copies can be corrupted.
     sent_targets: RefCell<BTreeSet<(String, String)>>,
 }
 
@@ -155,17 +155,17 @@
         }
     }
 
-    /// If the fault is [`InjectedFault::CorruptedBelief`], corrupts beliefs of the balancer and, if it is
-    /// configured, of the reconciliation, which has to correct them.
-    pub async fn corrupt_beliefs(self: Rc<Self>, reconciliation: Option<Rc<Reconciliation>>) {
-        if self.fault != Some(InjectedFault::CorruptedBelief) {
+    /// If the fault is [`InjectedFault::CorruptedRecord`], corrupts the warm copies recorded by the balancer and, if
+    /// it is configured, by the reconciliation, which has to correct them.
+    pub async fn corrupt_records(self: Rc<Self>, reconciliation: Option<Rc<Reconciliation>>) {
+        if self.fault != Some(InjectedFault::CorruptedRecord) {
             return;
         }
         let mut random = SeededRandom::new(self.context.seed ^ CORRUPTION_SEED);
         let mut corrupted = 0;
         while corrupted < MAX_CORRUPTIONS {
             Timer::after(duration_from_micros(CORRUPTION_INTERVAL)).await;
-            let Some((worker, function, copies)) = self.wrong_belief(&mut random) else {
+            let Some((worker, function, copies)) = self.wrong_record(&mut random) else {
                 continue;
             };
             if reconciliation.as_ref().is_some_and(|reconciliation| {
@@ -183,9 +183,9 @@
         tracing::info!(spoilt = corrupted, "meddled: no more is spoilt");
     }
 
-    /// Draws a wrong belief as worker, function and number of copies: a forgotten copy, a copy that may not exist, too
+    /// Draws a wrong record as worker, function and number of copies: a missing copy, a copy that may not exist, too
     /// many copies, or a copy of a version that no worker has.
-    fn wrong_belief(&self, random: &mut SeededRandom) -> Option<(String, String, u32)> {
+    fn wrong_record(&self, random: &mut SeededRandom) -> Option<(String, String, u32)> {
         let sent = self.sent_targets.borrow();
         let mut random_target = || {
             sent.iter()
@@ -239,7 +239,7 @@
     pub fn observe(&self, output: &Output) {
         match (self.fault, output) {
             (
-                Some(InjectedFault::CorruptedBelief),
+                Some(InjectedFault::CorruptedRecord),
                 Output::Send {
                     worker, function, ..
                 },
--- a/crates/gateway/src/group_settings.rs
+++ b/crates/gateway/src/group_settings.rs
@@ -17,8 +17,8 @@
 use crate::reconciliation::ReconcileSettings;
 use crate::upgrades::{self, UpgradeSettings};
 
-/// By default, the group's records are retained for this long after the longest client timeout, in microseconds. It is
-/// enough for the loss of an AMQP channel to be noticed and for the channel's messages to be redelivered.
+/// By default, the group's records are retained for this long after the longest client timeout, in microseconds. The
+/// loss of an AMQP channel is noticed, and the channel's messages are redelivered, in much less time.
 const RETENTION_MARGIN: Micros = 4_000_000;
 
 /// Smallest ratio of a session's retention to the time limit for a majority. A router relies on a session's binding for
@@ -59,8 +59,8 @@
     section.check_unknown_keys();
     let group = match Group::new(&group_name, members, &own_name) {
         Ok(group) => group,
-        Err(unfit) => {
-            section.error("member", &format!("{unfit}; {}", unfit.remedy()));
+        Err(error) => {
+            section.error("member", &format!("{error}; {}", error.remedy()));
             return None;
         }
     };
--- a/crates/gateway/src/peer_messages.rs
+++ b/crates/gateway/src/peer_messages.rs
@@ -37,15 +37,20 @@
 /// A message in an envelope.
 #[derive(Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
+    /// A message of the failure detector.
     Membership(membership::Message),
+    /// A message on the shared records.
     Replica(replica::Message),
 }
 
 /// A successful answer as stored in a shared record. The order of fields is the format.
 #[derive(Serialize, Deserialize)]
 struct SharedAnswer {
+    /// Whether the invocation ran without a majority of the group, which the operator allowed.
     alone: bool,
-    first: Option<u32>,
+    /// Length of the first part of a body that has two, in bytes.
+    first_part_length: Option<u32>,
+    /// The whole body.
     body: Bytes,
 }
 
@@ -53,7 +58,7 @@
 pub(crate) fn encode_answer(answer: &Answer) -> Bytes {
     let shared = SharedAnswer {
         alone: answer.reason == AnswerReason::Alone,
-        first: answer.body.first_part_length,
+        first_part_length: answer.body.first_part_length,
         body: answer.body.bytes.clone(),
     };
     postcard::to_stdvec(&shared)
@@ -63,7 +68,11 @@
 
 /// Decodes an answer from a shared record; absent if the bytes have another format.
 pub(crate) fn decode_answer(bytes: &[u8]) -> Option<Answer> {
-    let SharedAnswer { alone, first, body } = postcard::from_bytes(bytes).ok()?;
+    let SharedAnswer {
+        alone,
+        first_part_length,
+        body,
+    } = postcard::from_bytes(bytes).ok()?;
     let reason = if alone {
         AnswerReason::Alone
     } else {
@@ -75,7 +84,7 @@
         retry_after: None,
         body: Payload {
             bytes: body,
-            first_part_length: first,
+            first_part_length,
         },
     })
 }
--- a/crates/gateway/src/peer_store.rs
+++ b/crates/gateway/src/peer_store.rs
@@ -1,6 +1,6 @@
 //! Persistence of the group's state over a restart: one `redb` file, written asynchronously. For invocations the file
-//! only makes a restart cheaper; nothing relies on it. Votes on choices do rely on it: each vote waits until the state
-//! that backs it is on disk.
+//! only makes a restart cheaper; it proves nothing about them. Votes on choices rely on it: each vote waits until the
+//! state that backs it is on disk.
 //!
 //! Mechanisms:
 //! 1. Changes are collected and written in batches, one batch at a time, by a separate thread. The thread reports the
@@ -8,7 +8,7 @@
 //!    meanwhile the file becomes stale and votes on choices wait, but nothing else waits.
 //! 2. A file that is damaged, has another format, or belongs to another member or group is recognized and renamed. The
 //!    router starts without it and obtains the missing records from the other members.
-//! 3. Expiry times are stored by the wall_time clock. Expired records are skipped when the file is read, and so are
+//! 3. Expiry times are stored by the wall clock. Expired records are skipped when the file is read, and so are
 //!    invocations that would expire later than the longest retention of an invocation allows.
 
 use std::cell::Cell;
--- a/crates/gateway/src/peer_store_file.rs
+++ b/crates/gateway/src/peer_store_file.rs
@@ -19,7 +19,7 @@
 /// Numbers by name: `format` (the version of the format), `group` (identifies the member and its group) and `turn` (the
 /// incarnation).
 pub(crate) const METADATA: TableDefinition<&str, u64> = TableDefinition::new("about");
-/// By key: the expiry time by the wall_time clock in microseconds, and the encoded record.
+/// By key: the expiry time by the wall clock in microseconds, and the encoded record.
 const RECORDS: TableDefinition<&str, (i64, &[u8])> = TableDefinition::new("records");
 /// Limit on the number of renamed files for each cause; when it is reached, the last of them is overwritten.
 const MAX_RENAMED_FILES: u32 = 8;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -98,13 +98,14 @@
         let was_restored = restored.is_some();
         let (incarnation, records) =
             restored.map_or((0, None), |r| (r.incarnation, Some(r.records)));
-        let limits = settings.membership_settings(context.seed);
-        let membership = Membership::new(now, group.clone(), limits, nonce, incarnation);
-        let limits = settings.replica_settings(context.seed, disabled_check);
+        let membership_settings = settings.membership_settings(context.seed);
+        let membership =
+            Membership::new(now, group.clone(), membership_settings, nonce, incarnation);
+        let replica_settings = settings.replica_settings(context.seed, disabled_check);
         let state = State {
             membership,
             stable_view,
-            replica: Replica::new(now, group, limits, nonce, records),
+            replica: Replica::new(now, group, replica_settings, nonce, records),
             envelopes: EnvelopeExchange::new(receiver, nonce),
             replies: None,
             was_restored,
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -109,7 +109,7 @@
     let corrupting = gateway
         .fault_injector
         .clone()
-        .corrupt_beliefs(gateway.reconciliation.clone());
+        .corrupt_records(gateway.reconciliation.clone());
     executor.spawn(corrupting).detach();
     executor.spawn(flush(gateway.clone())).detach();
 }
--- a/crates/gateway/src/storage_settings.rs
+++ b/crates/gateway/src/storage_settings.rs
@@ -18,7 +18,7 @@
             budget_bytes: section.integer("budget_mb", 2..1 << 24, Some(1024)) << 20,
         };
         if bounds.budget_bytes < bounds.file_bytes * 2 {
-            section.error("budget_mb", "is below two files");
+            section.error("budget_mb", "is below twice file_mb");
         }
         TraceSettings {
             folder: folder.join(section.string("folder", None)),
