--- a/crates/gateway/src/reconciliation_log.rs
+++ b/crates/gateway/src/reconciliation_log.rs
@@ -75,7 +75,7 @@
         tracing::info!(worker, function, "reconcile: orphaned copies unloaded");
     }
 
-    /// Logs a drift. A drift that occurs in normal operation is logged at debug level.
+    /// Logs a drift. A drift that occurs in normal operation is logged at debug level unless details are enabled.
     pub(crate) fn drift(
         &self,
         worker: &str,
