--- a/crates/gateway/src/peer_transport.rs
+++ b/crates/gateway/src/peer_transport.rs
@@ -245,7 +245,7 @@
                 return reply(
                     StatusCode::PAYLOAD_TOO_LARGE,
                     "text/plain",
-                    "larger than the limit for a request between members",
+                    "larger than members say at once",
                 );
             };
             match peers
--- a/crates/gateway/src/rejected_envelopes.rs
+++ b/crates/gateway/src/rejected_envelopes.rs
@@ -19,16 +19,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RejectionCause {
     /// The sender uses another version of the protocol.
-    #[error("the sender uses another version of the protocol")]
+    #[error("a member speaks another version")]
     Version,
     /// The sender belongs to another group, or has other members configured.
-    #[error("the sender belongs to another group, or has other members configured")]
+    #[error("a member of another group, or with other members listed")]
     Group,
     /// The envelope is for another member, or its sender is not a member.
-    #[error("the envelope is for another member, or its sender is not a member")]
+    #[error("it is for another member, or from none")]
     Member,
     /// The envelope cannot be decoded.
-    #[error("the envelope cannot be decoded")]
+    #[error("it cannot be read")]
     Unreadable,
 }
 
@@ -38,9 +38,9 @@
             RejectionCause::Version => "run one build in all routers of the group",
             RejectionCause::Group => "give all routers of the group the same [[peers.member]] list",
             RejectionCause::Member => {
-                "check that each member's address in the settings reaches that member"
+                "see that each member's address in the settings leads to that member"
             }
-            RejectionCause::Unreadable => "check what else connects to peers.listen",
+            RejectionCause::Unreadable => "see what else connects to peers.listen",
         }
     }
 }
