--- a/crates/gateway/src/front_settings.rs
+++ b/crates/gateway/src/front_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the fronts: AMQP queues, KServe listeners, and their certificates.
+//! Reads the settings of the fronts: AMQP queues, KServe listeners, and their certificates.
 
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -13,17 +13,17 @@
 use crate::config_values::path_of;
 use crate::tls::{self, ClientTls, ServerTls, TlsFiles};
 
-/// What front settings refer to.
+/// Settings that the settings of fronts refer to.
 pub(crate) struct References<'a> {
     /// Folder of the settings file; paths are relative to it.
     pub(crate) folder: &'a Path,
-    /// The configured names, by their index.
+    /// The configured names, by index.
     pub(crate) names: &'a Names,
     /// The configured accounts.
     pub(crate) accounts: &'a [Account],
 }
 
-/// Reads the queues to consume from; their weights are appended to `weights`.
+/// Reads the queues to consume from; appends the fronts' weights to `weights`.
 pub(crate) fn amqp_sources(
     root: &Section,
     references: &References,
@@ -47,7 +47,7 @@
     amqp_sources
 }
 
-/// Reads the KServe listeners; their weights are appended to `weights`.
+/// Reads the KServe listeners; appends the fronts' weights to `weights`.
 pub(crate) fn kserve_listeners(
     root: &Section,
     references: &References,
@@ -91,13 +91,13 @@
         .map_or(0, |since| since.as_micros() as Micros)
 }
 
-fn report_certificate(section: &Section, refused: &certificates::RejectedFile, clients: &str) {
-    let key = match refused.role {
+fn report_certificate(section: &Section, rejected: &certificates::RejectedFile, clients: &str) {
+    let key = match rejected.role {
         FileRole::Certificate => "certificate",
         FileRole::Key => "key",
         FileRole::Clients => clients,
     };
-    section.error(key, &refused.cause);
+    section.error(key, &rejected.cause);
 }
 
 fn server_tls_files(section: &Section, folder: &Path, protocol: Protocol) -> Option<TlsFiles> {
@@ -112,7 +112,7 @@
         _ => {
             section.error(
                 "certificate",
-                "certificate and key belong together, and clients need both",
+                "certificate and key have to be set together, and clients requires both",
             );
             return None;
         }
@@ -128,8 +128,8 @@
         clients,
         alpn,
     };
-    if let Err(refused) = ServerTls::open(files.clone(), wall_time()) {
-        report_certificate(section, &refused, "clients");
+    if let Err(rejected) = ServerTls::open(files.clone(), wall_time()) {
+        report_certificate(section, &rejected, "clients");
     }
     Some(files)
 }
@@ -145,26 +145,26 @@
         if certificate.is_some() || key.is_some() || section.has("server_name") {
             section.error(
                 "authorities",
-                "TLS needs the authorities that the broker's certificate is from",
+                "is missing; TLS requires the authorities that issued the broker's certificate",
             );
         }
         return None;
     };
     if certificate.is_some() != key.is_some() {
-        section.error("certificate", "certificate and key belong together");
+        section.error("certificate", "certificate and key have to be set together");
         return None;
     }
     let own = certificate.as_deref().zip(key.as_deref());
     match tls::client_tls(&roots, own, &name, wall_time()) {
         Ok(config) => Some(config),
-        Err(refused) => {
-            report_certificate(section, &refused, "authorities");
+        Err(rejected) => {
+            report_certificate(section, &rejected, "authorities");
             None
         }
     }
 }
 
-/// A front's weight: its own, or an account's share.
+/// Reads a front's weight: given directly, or as the share of an account.
 fn front_weight(section: &Section, references: &References) -> f64 {
     match section.string("share_of", Some("")).as_str() {
         "" => section.number("weight", 1e-3..1e3, Some(1.0)),
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs one router until a signal stops it: all on one thread, so that the core's decisions need no locks.
+//! Runs one router until a signal stops it. All tasks run on one thread, so that the core needs no locks.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -17,22 +17,22 @@
 use crate::gateway::Gateway;
 use crate::peer_group::PeerGroupError;
 use crate::resources::Resources;
-use crate::settings::{RouterSettings, WorkerList};
-use crate::{wiring, worker_list};
+use crate::settings::{EndpointListSource, RouterSettings};
+use crate::{endpoint_list, wiring};
 
-/// How often idle connections are checked.
+/// Interval at which idle connections to workers are closed.
 const CLOSE_IDLE_INTERVAL: Duration = Duration::from_secs(5);
-/// How often blocks and sums that are old are written, though nothing more comes: otherwise a kill would lose what
-/// is minutes old.
+/// Interval at which old trace blocks and usage sums are written. Without it, a router that receives no further events
+/// would keep them in memory, and a kill would lose data that is minutes old.
 const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a router does not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// A file, a socket or another resource of the system.
+    /// A file, a socket or another resource of the operating system is not available.
     #[error("{0}")]
     System(#[from] std::io::Error),
-    /// The peer group.
+    /// The peer group cannot be joined.
     #[error(transparent)]
     Group(#[from] PeerGroupError),
 }
@@ -41,14 +41,14 @@
     fn remedy(&self) -> &'static str {
         match self {
             StartError::System(_) => {
-                "see that its addresses are free and its folders can be written to"
+                "check that the router's addresses are free and its folders are writable"
             }
             StartError::Group(failed) => failed.remedy(),
         }
     }
 }
 
-/// Runs one router until a signal to end. True if everything taken was answered.
+/// Runs one router until SIGTERM or SIGINT. Returns true if every accepted request was answered.
 pub fn run(
     name: &str,
     settings: RouterSettings,
@@ -75,10 +75,14 @@
     }))
 }
 
-fn start_tasks(gateway: &Rc<Gateway>, workers: WorkerList, sockets: Vec<Async<TcpListener>>) {
+fn start_tasks(
+    gateway: &Rc<Gateway>,
+    workers: EndpointListSource,
+    sockets: Vec<Async<TcpListener>>,
+) {
     let executor = &gateway.context.executor;
     executor.spawn(gateway.clone().run_timers()).detach();
-    start_worker_list(gateway, workers);
+    start_endpoint_list(gateway, workers);
     for front in &gateway.fronts {
         executor.spawn(front.clone().run()).detach();
     }
@@ -105,18 +109,18 @@
     let corrupting = gateway
         .fault_injector
         .clone()
-        .corrupt_beliefs(gateway.reconciliation.clone());
+        .corrupt_records(gateway.reconciliation.clone());
     executor.spawn(corrupting).detach();
     executor.spawn(flush(gateway.clone())).detach();
 }
 
-fn start_worker_list(gateway: &Rc<Gateway>, workers: WorkerList) {
+fn start_endpoint_list(gateway: &Rc<Gateway>, workers: EndpointListSource) {
     match workers {
-        WorkerList::Fixed(workers) => gateway.feed(Input::EndpointList {
+        EndpointListSource::Fixed(workers) => gateway.feed(Input::EndpointList {
             kind: EndpointListKind::Complete,
             workers,
         }),
-        WorkerList::Watched(address) => {
+        EndpointListSource::Watched(address) => {
             let fault_injector = gateway.fault_injector.clone();
             let reconciliation = gateway.reconciliation.clone();
             let filter = move |event| {
@@ -126,7 +130,7 @@
                     .for_each(|reconciliation| reconciliation.observe_list_event(&event));
                 event
             };
-            let watch = worker_list::watch(gateway.context.clone(), address, filter);
+            let watch = endpoint_list::watch(gateway.context.clone(), address, filter);
             gateway.context.executor.spawn(watch).detach();
         }
     }
