--- a/crates/trace/examples/pinned_trace.rs
+++ b/crates/trace/examples/pinned_trace.rs
@@ -1,5 +1,5 @@
-//! Writes the fixtures that `tests/kept_bytes.rs` holds the present format against, and `causes.trace` of the command
-//! line's tests: only for a new format, whose fixtures get new names.
+//! Writes the fixtures of `tests/format_stability.rs`, and `causes.trace` of the command line's tests. Run it only
+//! after the introduction of a new format, and give the fixtures new names.
 //!
 //! `cargo run -p cedarpulley-trace --example pinned_trace -- FOLDER`
 
--- a/crates/trace/src/compare.rs
+++ b/crates/trace/src/compare.rs
@@ -257,7 +257,7 @@
 
 /// The differences between two lists of actions; a kind is repeated for each difference of that kind. Empty if the
 /// lists are equal.
-pub fn kinds(one: &[Action], other: &[Action]) -> Vec<DifferenceKind> {
+pub fn differences(one: &[Action], other: &[Action]) -> Vec<DifferenceKind> {
     if same_encoding(one, other) {
         return Vec::new();
     }
@@ -292,7 +292,7 @@
 
     /// Compares the actions of both balancers for the next event.
     pub fn decision(&mut self, one: &[Action], other: &[Action]) {
-        let kinds = kinds(one, other);
+        let kinds = differences(one, other);
         self.result.decisions += 1;
         self.result.decisions_exact += u64::from(!self.differs);
         if kinds.is_empty() {
--- a/crates/trace/src/retention.rs
+++ b/crates/trace/src/retention.rs
@@ -11,9 +11,9 @@
 
 use cedarpulley::interface::Micros;
 
-/// The first and the longest backoff after a failure, in microseconds. A full disk is seldom cleared sooner than the
-/// longest backoff, and a cleared disk is noticed within it.
+/// The first backoff after a failure, in microseconds.
 const FIRST_BACKOFF: Micros = 1_000_000;
+/// The longest backoff, in microseconds. A full disk is seldom cleared sooner, and a cleared disk is noticed within it.
 const MAX_BACKOFF: Micros = 300_000_000;
 
 /// The limits of a router's trace files.
@@ -60,7 +60,7 @@
     }
 
     /// Records that a file was begun.
-    pub fn began(&mut self, now: Micros) {
+    pub fn file_begun(&mut self, now: Micros) {
         (self.written, self.began_at) = (0, now);
     }
 
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -135,7 +135,7 @@
         }
         let file = begun?;
         self.start.file_number += 1;
-        self.retention.began(now);
+        self.retention.file_begun(now);
         Ok(file)
     }
 
--- a/crates/trace/tests/compared.rs
+++ b/crates/trace/tests/compare.rs
@@ -1,39 +1,42 @@
-//! What two modules decide about the same events, told apart by kind; rows that are decided anew.
+//! Tests the comparison of decisions by kind of difference, and traces that are rewritten with the decisions of this
+//! build.
 
-mod small;
+mod sample_trace;
 
 use std::io::Cursor;
 
 use cedarpulley::interface::*;
 use cedarpulley_trace::compare::{
-    Comparison, ComparisonResult, Decision, DifferenceCount, DifferenceKind, kinds,
+    Comparison, ComparisonResult, Decision, DifferenceCount, DifferenceKind, differences,
 };
 use cedarpulley_trace::reader::Reader;
 use cedarpulley_trace::replay::{DecisionReader, ReplayStep, redo, replay, replay_steps};
 use cedarpulley_trace::start::Provenance;
-use small::written;
+use sample_trace::trace_file;
 
 fn open(bytes: Vec<u8>) -> Reader<Cursor<Vec<u8>>> {
     Reader::open(Cursor::new(bytes)).expect("a trace")
 }
 
-fn with_this_build(bytes: Vec<u8>) -> ComparisonResult {
-    let mut compare = Comparison::default();
-    compare.begin_incarnation();
-    let done = replay_steps(&mut [open(bytes)], |step| {
+/// Compares the recorded decisions with those of this build.
+fn compare_with_this_build(bytes: Vec<u8>) -> ComparisonResult {
+    let mut comparison = Comparison::default();
+    comparison.begin_incarnation();
+    let result = replay_steps(&mut [open(bytes)], |step| {
         if let ReplayStep::Decided {
             recorded, replayed, ..
         } = step
         {
-            compare.decision(&recorded, &replayed);
+            comparison.decision(&recorded, &replayed);
         }
         Ok(true)
     });
-    assert!(done.expect("driven").stopped.is_none());
-    compare.finish()
+    assert!(result.expect("replayed").stopped.is_none());
+    comparison.finish()
 }
 
-fn elsewhere(n: u64, actions: &mut [Action]) {
+/// Changes the worker of the dispatches in decisions 4 and 8.
+fn change_workers(n: u64, actions: &mut [Action]) {
     for action in actions.iter_mut().filter(|_| n == 4 || n == 8) {
         if let Action::Dispatch { worker, .. } = action {
             *worker = (*worker + 1) % 3;
@@ -44,29 +47,33 @@
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario or table of cases in order"
 )]
 fn each_kind_of_difference_is_reported() {
-    let send = |worker| Action::Dispatch {
+    let dispatch = |worker| Action::Dispatch {
         invocation: 1,
         worker,
         timeout: None,
     };
-    let order = |worker, function| Action::LoadOrder {
+    let load_order = |worker, function| Action::LoadOrder {
         worker,
         function,
         copies: 1,
     };
-    let throttle = Action::Reject {
+    let reject = Action::Reject {
         invocation: 1,
         retry_after: Some(5),
     };
     let timer = |token| Action::Timer { token, after: 9 };
     let cases: [(&[Action], &[Action], &[DifferenceKind]); 11] = [
-        (&[send(1)], &[send(1)], &[]),
-        (&[send(1)], &[send(2)], &[DifferenceKind::OtherWorker]),
+        (&[dispatch(1)], &[dispatch(1)], &[]),
         (
-            &[send(1)],
+            &[dispatch(1)],
+            &[dispatch(2)],
+            &[DifferenceKind::OtherWorker],
+        ),
+        (
+            &[dispatch(1)],
             &[],
             &[DifferenceKind::OtherDecision(
                 Decision::Dispatched,
@@ -75,14 +82,14 @@
         ),
         (
             &[],
-            &[throttle],
+            &[reject],
             &[DifferenceKind::OtherDecision(
                 Decision::Queued,
                 Decision::Throttled,
             )],
         ),
         (
-            &[throttle],
+            &[reject],
             &[Action::Reject {
                 invocation: 1,
                 retry_after: None,
@@ -90,30 +97,30 @@
             &[DifferenceKind::OtherParameters],
         ),
         (
-            &[order(1, 0)],
-            &[order(2, 0)],
+            &[load_order(1, 0)],
+            &[load_order(2, 0)],
             &[DifferenceKind::OtherLoadWorkers],
         ),
         (
-            &[order(1, 0)],
-            &[order(1, 0), order(2, 0)],
+            &[load_order(1, 0)],
+            &[load_order(1, 0), load_order(2, 0)],
             &[DifferenceKind::MoreLoadOrders],
         ),
-        (&[order(1, 0)], &[], &[DifferenceKind::FewerLoadOrders]),
+        (&[load_order(1, 0)], &[], &[DifferenceKind::FewerLoadOrders]),
         (&[timer(1)], &[timer(2)], &[DifferenceKind::Timers]),
         (
             &[Action::Probe { worker: 1 }],
             &[],
             &[DifferenceKind::Maintenance],
         ),
-        // Called back and sent again is a sending.
+        // An invocation that is cancelled and dispatched again counts as dispatched.
         (
             &[
                 Action::Cancel {
                     invocation: 1,
                     dispatch: 0,
                 },
-                send(1),
+                dispatch(1),
             ],
             &[Action::Cancel {
                 invocation: 1,
@@ -125,17 +132,17 @@
             )],
         ),
     ];
-    for (one, other, wanted) in cases {
-        assert_eq!(kinds(one, other), wanted, "{one:?} {other:?}");
+    for (one, other, expected) in cases {
+        assert_eq!(differences(one, other), expected, "{one:?} {other:?}");
     }
 }
 
 #[test]
-fn the_first_difference_of_an_incarnation_is_counted_apart() {
-    let same = with_this_build(written(5, |_, _| {}));
+fn the_first_difference_of_an_incarnation_is_counted_separately() {
+    let same = compare_with_this_build(trace_file(5, |_, _| {}));
     assert_eq!((same.incarnations_differing, same.differing), (0, 0));
     assert_eq!(same.decisions, same.decisions_exact);
-    let other = with_this_build(written(5, |n, actions| elsewhere(n, actions)));
+    let other = compare_with_this_build(trace_file(5, |n, actions| change_workers(n, actions)));
     assert_eq!(
         other.by_kind,
         [(
@@ -155,26 +162,32 @@
 
 #[test]
 fn a_redone_file_replays_without_difference_on_this_build() {
-    let changed = written(5, |n, actions| elsewhere(n, actions));
-    let mut anew = Vec::new();
-    redo(&mut [open(changed.clone())], &mut anew).expect("redone");
-    assert_eq!(open(anew.clone()).sources[0].provenance, Provenance::Redone);
+    let changed = trace_file(5, |n, actions| change_workers(n, actions));
+    let mut redone = Vec::new();
+    redo(&mut [open(changed.clone())], &mut redone).expect("redone");
+    assert_eq!(
+        open(redone.clone()).sources[0].provenance,
+        Provenance::Redone
+    );
     assert!(
-        replay(&mut [open(anew.clone())])
+        replay(&mut [open(redone.clone())])
             .expect("replayed")
             .difference
             .is_none()
     );
     let (mut one, mut other) = (
         DecisionReader::new(open(changed)),
-        DecisionReader::new(open(anew)),
+        DecisionReader::new(open(redone)),
     );
-    let (mut decisions, mut differ) = (0, 0);
+    let (mut decisions, mut differing) = (0, 0);
     while let Some((_, _, actions)) = one.next().expect("read") {
-        let (.., redone) = other.next().expect("read").expect("as many");
+        let (.., redone_actions) = other
+            .next()
+            .expect("read")
+            .expect("the same number of decisions");
         decisions += 1;
-        differ += usize::from(!kinds(&actions, &redone).is_empty());
+        differing += usize::from(!differences(&actions, &redone_actions).is_empty());
     }
     assert!(other.next().expect("read").is_none());
-    assert_eq!((decisions, differ), (41, 2));
+    assert_eq!((decisions, differing), (41, 2));
 }
--- a/crates/trace/tests/every_cause/mod.rs
+++ b/crates/trace/tests/every_cause/mod.rs
@@ -1,6 +1,6 @@
-//! A file of one router in which each cause that `explain` knows costs something, and each fate and action that
-//! `show`, `summary` and `rules` tell of occurs. Invented: no module decided it.
-#![allow(dead_code, reason = "each test binary uses its part")]
+//! A trace file of one router in which each cause that `explain` reports has a cost, and which contains each outcome
+//! and action that `show`, `summary` and `rules` report. The records are constructed; no balancer made these decisions.
+#![allow(dead_code, reason = "each test binary uses a part of this module")]
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::*;
@@ -11,17 +11,21 @@
 use cedarpulley_trace::start::StartRecord;
 use cedarpulley_trace::writer::TraceFileWriter;
 
-const MS: Micros = 1_000;
-/// Of a dispatch that finds its copy.
-const USUAL: Micros = 60 * MS;
-const LATE: Micros = 900 * MS;
-/// Records after this time are of loads, which count as one cause if there are many.
-pub const LOADS_AT: Micros = 100_000 * MS;
+/// Microseconds in a millisecond.
+const MILLISECOND: Micros = 1_000;
+/// Duration of a dispatch to a warm copy.
+const USUAL_DURATION: Micros = 60 * MILLISECOND;
+/// A duration that makes an invocation late.
+const LATE_DURATION: Micros = 900 * MILLISECOND;
+/// Router time from which on the records are about loads, which count as one cause if there are loads of many functions.
+pub const LOADS_AT: Micros = 100_000 * MILLISECOND;
 
+/// Builds the records.
 struct RecordingBuilder {
     block: BlockBuilder,
     now: Micros,
-    inv: u32,
+    /// Index of the last invocation.
+    last_invocation: u32,
 }
 
 impl RecordingBuilder {
@@ -29,9 +33,9 @@
         let mut recording = RecordingBuilder {
             block: BlockBuilder::default(),
             now: 0,
-            inv: 0,
+            last_invocation: 0,
         };
-        let entry = |worker: u32| Endpoint {
+        let endpoint = |worker: u32| Endpoint {
             worker,
             fingerprint: u64::from(worker) + 99,
             zone: 0,
@@ -52,7 +56,7 @@
         recording.record(Record::Decided {
             event: RecordedEvent::List {
                 kind: EndpointListKind::Complete,
-                endpoints: (0..5).map(entry).collect(),
+                endpoints: (0..5).map(endpoint).collect(),
             },
             actions: vec![Action::RequestEndpointList { watch: true }],
         });
@@ -71,14 +75,15 @@
         });
     }
 
+    /// Records an arrival with the actions that `act` returns for its index; returns the index.
     fn arrives(
         &mut self,
         function: u32,
         waited: Micros,
         act: impl FnOnce(u32) -> Vec<Action>,
     ) -> u32 {
-        self.inv += 1;
-        let invocation = self.inv;
+        self.last_invocation += 1;
+        let invocation = self.last_invocation;
         self.record(Record::Accepted {
             invocation,
             front: invocation % 2,
@@ -95,7 +100,7 @@
             load_hint: None,
             copy_mb: 1.0,
             lanes: 1,
-            client_timeout_in: 4_000 * MS,
+            client_timeout_in: 4_000 * MILLISECOND,
             waited,
             repeat: false,
             preferred_worker: None,
@@ -104,9 +109,10 @@
         invocation
     }
 
-    fn sent(&mut self, function: u32, worker: u32, waited: Micros) -> u32 {
+    /// Records an arrival that is dispatched immediately.
+    fn dispatched(&mut self, function: u32, worker: u32, waited: Micros) -> u32 {
         self.arrives(function, waited, |invocation| {
-            let timeout = Some(2_000 * MS);
+            let timeout = Some(2_000 * MILLISECOND);
             vec![Action::Dispatch {
                 invocation,
                 worker,
@@ -123,7 +129,7 @@
             reason,
             trigger: 1,
             account: 0,
-            took: 70 * MS,
+            took: 70 * MILLISECOND,
         });
     }
 
@@ -135,7 +141,7 @@
         outcome: DispatchOutcome,
         copy_status: CopyStatus,
     ) {
-        let ending = DispatchEnded {
+        let ended = DispatchEnded {
             invocation,
             dispatch: 0,
             worker,
@@ -146,31 +152,52 @@
             function_load: None,
             report: LoadReport::default(),
         };
-        let act = if outcome == DispatchOutcome::Succeeded {
+        let actions = if outcome == DispatchOutcome::Succeeded {
             vec![]
         } else {
             vec![Action::Fail { invocation }]
         };
-        self.decided(Event::DispatchEnded(ending), act);
+        self.decided(Event::DispatchEnded(ended), actions);
     }
 
-    fn succeeds(&mut self, inv: u32, worker: u32, took: Micros, note: CopyStatus) {
+    fn succeeds(&mut self, invocation: u32, worker: u32, took: Micros, copy_status: CopyStatus) {
         self.now += took;
-        self.answered(Some(inv), FinalOutcome::Succeeded, AnswerReason::Worker);
-        self.ended(inv, worker, took, DispatchOutcome::Succeeded, note);
+        self.answered(
+            Some(invocation),
+            FinalOutcome::Succeeded,
+            AnswerReason::Worker,
+        );
+        self.ended(
+            invocation,
+            worker,
+            took,
+            DispatchOutcome::Succeeded,
+            copy_status,
+        );
     }
 
-    /// Sent once, and lost as its dispatch ends so.
+    /// Records an invocation whose only dispatch ends with this outcome, and which fails.
     fn fails(&mut self, worker: u32, outcome: DispatchOutcome) {
-        let inv = self.sent(0, worker, 0);
-        self.now += USUAL;
-        self.ended(inv, worker, USUAL, outcome, CopyStatus::Unreported);
-        self.answered(Some(inv), FinalOutcome::Errored, AnswerReason::GivenUp);
+        let invocation = self.dispatched(0, worker, 0);
+        self.now += USUAL_DURATION;
+        self.ended(
+            invocation,
+            worker,
+            USUAL_DURATION,
+            outcome,
+            CopyStatus::Unreported,
+        );
+        self.answered(
+            Some(invocation),
+            FinalOutcome::Errored,
+            AnswerReason::GivenUp,
+        );
     }
 
+    /// Records an invocation that is queued, never dispatched and finally throttled.
     fn queued(&mut self, function: u32, act: impl FnOnce(u32) -> Vec<Action>) {
         let invocation = self.arrives(function, 0, act);
-        self.now += LATE;
+        self.now += LATE_DURATION;
         self.decided(
             Event::Timer { token: 7 },
             vec![Action::Reject {
@@ -194,15 +221,16 @@
         });
     }
 
+    /// Records invocations that a limit rejects.
     fn limits(&mut self) {
-        for why in [
+        for reason in [
             RejectionReason::Front,
             RejectionReason::Account,
             RejectionReason::Connection,
             RejectionReason::Memory,
             RejectionReason::Worth,
         ] {
-            self.rejected(why);
+            self.rejected(reason);
         }
         for reason in [
             AnswerReason::Share,
@@ -217,32 +245,36 @@
         }
     }
 
+    /// Records invocations that fail or are late at a worker.
     fn workers(&mut self) {
         for _ in 0..10 {
-            let inv = self.sent(0, 0, 0);
-            self.succeeds(inv, 0, USUAL, CopyStatus::Warm);
+            let invocation = self.dispatched(0, 0, 0);
+            self.succeeds(invocation, 0, USUAL_DURATION, CopyStatus::Warm);
         }
         self.fails(1, DispatchOutcome::TimedOut);
         self.fails(2, DispatchOutcome::Errored);
         self.fails(2, DispatchOutcome::Rejected);
         self.fails(2, DispatchOutcome::NotLoaded);
-        let slow = self.sent(0, 3, 0);
-        self.succeeds(slow, 3, LATE, CopyStatus::Warm);
-        let came_late = self.sent(0, 0, LATE);
-        self.succeeds(came_late, 0, USUAL, CopyStatus::Warm);
-        // Late by a little more than the objective, at the usual pace of nothing else.
-        let own = self.sent(0, 0, 750 * MS);
-        self.succeeds(own, 0, USUAL, CopyStatus::Warm);
-        let left = self.sent(0, 0, 0);
+        let slow = self.dispatched(0, 3, 0);
+        self.succeeds(slow, 3, LATE_DURATION, CopyStatus::Warm);
+        let expired = self.dispatched(0, 0, LATE_DURATION);
+        self.succeeds(expired, 0, USUAL_DURATION, CopyStatus::Warm);
+        // Slightly later than the objective, although the dispatch takes the usual time.
+        let own_execution = self.dispatched(0, 0, 750 * MILLISECOND);
+        self.succeeds(own_execution, 0, USUAL_DURATION, CopyStatus::Warm);
+        let cancelled = self.dispatched(0, 0, 0);
         self.decided(
-            Event::ClientLeft { invocation: left },
+            Event::ClientLeft {
+                invocation: cancelled,
+            },
             vec![Action::Cancel {
-                invocation: left,
+                invocation: cancelled,
                 dispatch: 0,
             }],
         );
     }
 
+    /// Records invocations that wait for loads of several functions.
     fn loads(&mut self) {
         self.now = LOADS_AT;
         for function in 1..4 {
@@ -257,6 +289,7 @@
     }
 }
 
+/// The start record of the router.
 pub fn start() -> StartRecord {
     StartRecord {
         file_number: 0,
@@ -264,6 +297,7 @@
     }
 }
 
+/// The whole trace file.
 pub fn file() -> Vec<u8> {
     let mut recording = RecordingBuilder::new();
     recording.limits();
@@ -275,9 +309,8 @@
         until: recording.now + 5,
     });
     recording.loads();
-    let mut sheet = TraceFileWriter::begin(Vec::new(), &[start().into()]).expect("written");
-    sheet
-        .write_block(0, &recording.block.close())
+    let mut file = TraceFileWriter::begin(Vec::new(), &[start().into()]).expect("written");
+    file.write_block(0, &recording.block.close())
         .expect("written");
-    sheet.finish().expect("written")
+    file.finish().expect("written")
 }
--- a/crates/trace/tests/every_record/mod.rs
+++ b/crates/trace/tests/every_record/mod.rs
@@ -1,5 +1,6 @@
-//! One value of every kind that a trace can hold, with numbers that differ from field to field.
-#![allow(dead_code, reason = "each test binary uses its part")]
+//! A value of every kind that a trace can contain. The numbers differ from field to field, so that exchanged fields are
+//! detected.
+#![allow(dead_code, reason = "each test binary uses a part of this module")]
 
 use cedarpulley::ids::fingerprint;
 use cedarpulley::interface::*;
@@ -13,22 +14,23 @@
 use cedarpulley_trace::start::{Provenance, Source, StartRecord};
 use cedarpulley_trace::writer::TraceFileWriter;
 
+/// Name of the only function.
 const FUNCTION: &str = "quote:7";
-/// Between two records of a block.
-const STEP: Micros = 5;
+/// Microseconds between two records of a block.
+const RECORD_INTERVAL: Micros = 5;
 
-pub const EXTENTS: [Provenance; 4] = [
+pub const PROVENANCES: [Provenance; 4] = [
     Provenance::Original,
     Provenance::Cut,
     Provenance::Stripped,
     Provenance::Redone,
 ];
-const REPORTS: [ReportSource; 3] = [
+const REPORT_SOURCES: [ReportSource; 3] = [
     ReportSource::Answers,
     ReportSource::Probes,
     ReportSource::Nothing,
 ];
-const OUTCOMES: [DispatchOutcome; 9] = [
+const DISPATCH_OUTCOMES: [DispatchOutcome; 9] = [
     DispatchOutcome::Succeeded,
     DispatchOutcome::Errored,
     DispatchOutcome::Rejected,
@@ -39,14 +41,14 @@
     DispatchOutcome::NotSent,
     DispatchOutcome::NotLoaded,
 ];
-const NOTES: [CopyStatus; 5] = [
+const COPY_STATUSES: [CopyStatus; 5] = [
     CopyStatus::Unreported,
     CopyStatus::Warm,
     CopyStatus::LoadStarted,
     CopyStatus::LoadAwaited,
     CopyStatus::LoadFailed,
 ];
-const RESULTS: [LoadOrderResult; 6] = [
+const LOAD_ORDER_RESULTS: [LoadOrderResult; 6] = [
     LoadOrderResult::Loaded,
     LoadOrderResult::NoCapacity,
     LoadOrderResult::LoadFailed,
@@ -54,23 +56,23 @@
     LoadOrderResult::Unreachable,
     LoadOrderResult::TimedOut,
 ];
-const MODES: [EndpointListKind; 4] = [
+const LIST_KINDS: [EndpointListKind; 4] = [
     EndpointListKind::Changes,
     EndpointListKind::Complete,
     EndpointListKind::Cached,
     EndpointListKind::Failed,
 ];
-const STANDINGS: [EndpointState; 3] = [
+const ENDPOINT_STATES: [EndpointState; 3] = [
     EndpointState::InService,
     EndpointState::Draining,
     EndpointState::Gone,
 ];
-pub const FATES: [FinalOutcome; 3] = [
+pub const FINAL_OUTCOMES: [FinalOutcome; 3] = [
     FinalOutcome::Succeeded,
     FinalOutcome::Throttled,
     FinalOutcome::Errored,
 ];
-pub const REASONS: [AnswerReason; 11] = [
+pub const ANSWER_REASONS: [AnswerReason; 11] = [
     AnswerReason::Worker,
     AnswerReason::GivenUp,
     AnswerReason::Expired,
@@ -83,7 +85,7 @@
     AnswerReason::SessionOver,
     AnswerReason::Alone,
 ];
-pub const SHORTS: [RejectionReason; 7] = [
+pub const REJECTION_REASONS: [RejectionReason; 7] = [
     RejectionReason::Stopping,
     RejectionReason::Memory,
     RejectionReason::All,
@@ -93,7 +95,7 @@
     RejectionReason::Worth,
 ];
 
-/// Every way of writing an optional field of a report, each alone and all together.
+/// Load reports without fields, with each field alone, and with all fields.
 fn reports() -> Vec<LoadReport> {
     let all = LoadReport {
         in_flight: Some(1.5),
@@ -130,17 +132,17 @@
 }
 
 fn list(kind: EndpointListKind) -> RecordedEvent {
-    let entry = |(n, standing): (usize, &EndpointState)| Endpoint {
+    let endpoint = |(n, state): (usize, &EndpointState)| Endpoint {
         worker: n as u32,
         fingerprint: 1_000 + n as u64,
         zone: 1,
         machine_kind: 2,
         cell: 3,
-        state: *standing,
+        state: *state,
         weight: 1.25,
         started_at: (n > 0).then_some(-17),
     };
-    let endpoints = STANDINGS.iter().enumerate().map(entry).collect();
+    let endpoints = ENDPOINT_STATES.iter().enumerate().map(endpoint).collect();
     RecordedEvent::List { kind, endpoints }
 }
 
@@ -162,7 +164,11 @@
     })
 }
 
-fn ending(outcome: DispatchOutcome, copy_status: CopyStatus, report: LoadReport) -> Event<'static> {
+fn dispatch_ended(
+    outcome: DispatchOutcome,
+    copy_status: CopyStatus,
+    report: LoadReport,
+) -> Event<'static> {
     Event::DispatchEnded(DispatchEnded {
         invocation: 11,
         dispatch: 2,
@@ -186,7 +192,7 @@
     }
 }
 
-fn probed(outcome: DispatchOutcome, report: LoadReport) -> Event<'static> {
+fn probe_ended(outcome: DispatchOutcome, report: LoadReport) -> Event<'static> {
     Event::ProbeEnded {
         worker: 2,
         outcome,
@@ -195,7 +201,7 @@
     }
 }
 
-/// Every event with every value of its enumerations.
+/// Every kind of event, with every value of its enumerations.
 pub fn events() -> Vec<RecordedEvent> {
     let mut events = vec![
         arrival(false, None),
@@ -223,27 +229,31 @@
         },
     ];
     let none = LoadReport::default();
-    events.extend(OUTCOMES.map(|outcome| ending(outcome, CopyStatus::Unreported, none)));
-    events.extend(NOTES.map(|note| ending(DispatchOutcome::Succeeded, note, none)));
+    events.extend(
+        DISPATCH_OUTCOMES.map(|outcome| dispatch_ended(outcome, CopyStatus::Unreported, none)),
+    );
+    events.extend(
+        COPY_STATUSES.map(|status| dispatch_ended(DispatchOutcome::Succeeded, status, none)),
+    );
     events.extend(
         reports()
             .into_iter()
-            .map(|r| ending(DispatchOutcome::Errored, CopyStatus::Warm, r)),
+            .map(|r| dispatch_ended(DispatchOutcome::Errored, CopyStatus::Warm, r)),
     );
-    events.extend(RESULTS.map(order_ended));
-    events.extend(OUTCOMES.map(|outcome| probed(outcome, none)));
+    events.extend(LOAD_ORDER_RESULTS.map(order_ended));
+    events.extend(DISPATCH_OUTCOMES.map(|outcome| probe_ended(outcome, none)));
     events.extend(
         reports()
             .into_iter()
-            .map(|r| probed(DispatchOutcome::Succeeded, r)),
+            .map(|r| probe_ended(DispatchOutcome::Succeeded, r)),
     );
-    let lists = MODES.into_iter().map(list);
+    let lists = LIST_KINDS.into_iter().map(list);
     lists
         .chain(events.into_iter().map(RecordedEvent::Other))
         .collect()
 }
 
-/// Every action; those with an optional field twice.
+/// Every kind of action; actions with an optional field occur with and without it.
 pub fn actions() -> Vec<Action> {
     let (invocation, worker, function) = (11, 1, 0);
     let dispatch = |timeout| Action::Dispatch {
@@ -283,10 +293,10 @@
 }
 
 fn names() -> Vec<Record> {
-    let name = |space, ix, text: &str| Record::Name {
-        kind: space,
-        index: ix,
-        name: text.into(),
+    let name = |kind, index, name: &str| Record::Name {
+        kind,
+        index,
+        name: name.into(),
     };
     let workers = (0..3).map(|w| name(NameKind::Worker, w, &format!("127.0.0.1:{w}")));
     let function = name(NameKind::Function, 0, FUNCTION);
@@ -303,13 +313,13 @@
         event: timer.clone(),
         actions: vec![action],
     };
-    let all = Record::Decided {
+    let with_all_actions = Record::Decided {
         event: timer.clone(),
         actions: actions(),
     };
     let events = events().into_iter().map(of_event);
     let actions = actions().into_iter().map(of_action);
-    events.chain(actions).chain([all]).collect()
+    events.chain(actions).chain([with_all_actions]).collect()
 }
 
 fn answered(
@@ -328,7 +338,7 @@
     }
 }
 
-/// Every record; function and workers are named first, as in any block.
+/// Every kind of record; the names of the function and the workers come first, as in any block.
 pub fn all() -> Vec<Record> {
     let mut all = names();
     all.extend(decided());
@@ -340,13 +350,13 @@
             redelivered: correlation_hash.is_some(),
         }),
     );
-    all.extend(FATES.map(|fate| answered(fate, AnswerReason::Worker, Some(11))));
-    all.extend(REASONS.map(|reason| answered(FinalOutcome::Throttled, reason, None)));
-    all.extend(SHORTS.map(|why| Record::Rejected {
+    all.extend(FINAL_OUTCOMES.map(|outcome| answered(outcome, AnswerReason::Worker, Some(11))));
+    all.extend(ANSWER_REASONS.map(|reason| answered(FinalOutcome::Throttled, reason, None)));
+    all.extend(REJECTION_REASONS.map(|reason| Record::Rejected {
         front: 1,
         trigger: 2,
         account: 3,
-        reason: why,
+        reason,
     }));
     all.push(Record::Gap {
         records: 300,
@@ -356,23 +366,23 @@
     all
 }
 
-/// Times of [`all`] in its block.
+/// The records of [`all`] with their router times.
 pub fn timed() -> Vec<(Micros, Record)> {
-    let at = (100..).step_by(STEP as usize);
+    let at = (100..).step_by(RECORD_INTERVAL as usize);
     at.zip(all()).collect()
 }
 
 fn triggers() -> Vec<TriggerType> {
-    let tokened = |scope| Effect::IdempotentByKey {
+    let idempotent_by_key = |scope| Effect::IdempotentByKey {
         scope,
         window: 8_000_000,
     };
     let effects = [
         Effect::Idempotent,
         Effect::NonIdempotent,
-        tokened(DeduplicationScope::All),
-        tokened(DeduplicationScope::Zone),
-        tokened(DeduplicationScope::Cell),
+        idempotent_by_key(DeduplicationScope::All),
+        idempotent_by_key(DeduplicationScope::Zone),
+        idempotent_by_key(DeduplicationScope::Cell),
     ];
     let trigger = |effect| TriggerType {
         effect,
@@ -386,7 +396,7 @@
     effects.map(trigger).into()
 }
 
-/// Flags alternate, so that two exchanged ones show.
+/// Flags alternate, so that exchanged flags are detected.
 fn startup(reports: ReportSource) -> StartupSettings {
     StartupSettings {
         fleet: FleetPosition {
@@ -448,7 +458,7 @@
     }
 }
 
-/// The start record of a router; the digest of the module is a fixed one, as that of a source file would change.
+/// The start record of a router. The digest of the balancer is a constant, since the digest of its source code changes.
 pub fn start(n: usize) -> StartRecord {
     StartRecord {
         router: format!("router-{n}"),
@@ -462,7 +472,7 @@
         account_names: vec!["amber".into(), "blue".into()],
         front_names: vec!["amqp".into(), "kserve".into()],
         seed: 9,
-        startup: startup(REPORTS[n % REPORTS.len()]),
+        startup: startup(REPORT_SOURCES[n % REPORT_SOURCES.len()]),
     }
 }
 
@@ -473,31 +483,31 @@
         clock_ahead: 1_500 * n as Micros,
         provenance: *provenance,
     };
-    EXTENTS.iter().enumerate().map(source).collect()
+    PROVENANCES.iter().enumerate().map(source).collect()
 }
 
-/// A whole file: all records in a block of its first source, one record in a block of its last.
+/// A whole file: all records in a block of the first source, and one record in a block of the last source.
 pub fn file() -> Vec<u8> {
-    let mut sheet = TraceFileWriter::begin(Vec::new(), &sources()).expect("written");
-    let mut gather = BlockBuilder::default();
+    let mut file = TraceFileWriter::begin(Vec::new(), &sources()).expect("written");
+    let mut block = BlockBuilder::default();
     for (at, record) in timed() {
-        gather.record(at, &record);
+        block.record(at, &record);
     }
-    sheet.write_block(0, &gather.close()).expect("written");
-    gather.record(
+    file.write_block(0, &block.close()).expect("written");
+    block.record(
         9_000,
         &answered(FinalOutcome::Errored, AnswerReason::Overdue, Some(12)),
     );
-    sheet.write_block(3, &gather.close()).expect("written");
-    sheet.finish().expect("written")
+    file.write_block(3, &block.close()).expect("written");
+    file.finish().expect("written")
 }
 
-/// A line for each record of [`all`]: its bytes in hexadecimal digits.
+/// A line for each record of [`all`] with its encoding in hexadecimal digits.
 pub fn lines() -> String {
     let line = |record: &Record| {
-        let mut put = Encoder::default();
-        record_codec::encode_record(&mut put, record);
-        let hex: String = put.bytes.iter().map(|b| format!("{b:02x}")).collect();
+        let mut encoder = Encoder::default();
+        record_codec::encode_record(&mut encoder, record);
+        let hex: String = encoder.bytes.iter().map(|b| format!("{b:02x}")).collect();
         hex + "\n"
     };
     all().iter().map(line).collect()
--- a/crates/trace/tests/explained.rs
+++ b/crates/trace/tests/explain.rs
@@ -1,4 +1,5 @@
-//! Three injected faults, each ranked first among the causes, and no cause where there is no fault.
+//! Guards against wrong causes in `trace explain`: each injected fault must be ranked as the right cause, and records
+//! without a fault must give no cause.
 
 use std::io::Cursor;
 
@@ -10,44 +11,47 @@
 use cedarpulley_trace::records::{NameKind, Record, RecordedEvent};
 use cedarpulley_trace::start::Source;
 
-const MS: Micros = 1_000;
+/// Microseconds in a millisecond.
+const MILLISECOND: Micros = 1_000;
 
+/// Passes constructed records of one router to a [`CauseRanker`].
 struct Recording {
     source: Source,
-    explain: CauseRanker,
+    ranker: CauseRanker,
     now: Micros,
-    inv: u32,
+    /// Index of the last invocation.
+    last_invocation: u32,
 }
 
 impl Recording {
     fn new() -> Recording {
         let kept = Cursor::new(include_bytes!("kept/format-1.trace"));
         let source = Reader::open(kept).expect("a trace").sources.swap_remove(0);
-        let mut t = Recording {
+        let mut recording = Recording {
             source,
-            explain: CauseRanker::default(),
+            ranker: CauseRanker::default(),
             now: 0,
-            inv: 0,
+            last_invocation: 0,
         };
         (0..4).for_each(|w| {
-            t.record(Record::Name {
+            recording.record(Record::Name {
                 kind: NameKind::Worker,
                 index: w,
                 name: format!("w{w}"),
             })
         });
         (0..4).for_each(|f| {
-            t.record(Record::Name {
+            recording.record(Record::Name {
                 kind: NameKind::Function,
                 index: f,
                 name: format!("f{f}"),
             })
         });
-        t
+        recording
     }
 
     fn record(&mut self, record: Record) {
-        self.explain.record(
+        self.ranker.record(
             0,
             &self.source,
             (Micros::MIN, Micros::MAX),
@@ -63,9 +67,10 @@
         });
     }
 
+    /// Records an arrival with the actions that `actions` returns for its index; returns the index.
     fn arrives(&mut self, function: u32, actions: impl FnOnce(u32) -> Vec<Action>) -> u32 {
-        self.inv += 1;
-        let invocation = self.inv;
+        self.last_invocation += 1;
+        let invocation = self.last_invocation;
         let arrival = Arrival {
             invocation,
             trigger: 0,
@@ -76,7 +81,7 @@
             load_hint: None,
             copy_mb: 1.0,
             lanes: 1,
-            client_timeout_in: 4_000 * MS,
+            client_timeout_in: 4_000 * MILLISECOND,
             waited: 0,
             repeat: false,
             preferred_worker: None,
@@ -85,7 +90,8 @@
         invocation
     }
 
-    /// A dispatch and its end after `took`; a success is answered before the module hears of it.
+    /// Records an invocation whose only dispatch ends after `took`. A success is answered before the balancer receives
+    /// the end of the dispatch.
     fn executes(
         &mut self,
         function: u32,
@@ -102,8 +108,8 @@
             }]
         });
         self.now += took;
-        let good = outcome == DispatchOutcome::Succeeded;
-        if good {
+        let succeeded = outcome == DispatchOutcome::Succeeded;
+        if succeeded {
             self.answered(
                 invocation,
                 FinalOutcome::Succeeded,
@@ -111,19 +117,19 @@
                 took,
             );
         }
-        let ending = DispatchEnded {
+        let ended = DispatchEnded {
             invocation,
             dispatch: 0,
             worker,
             outcome,
             took,
-            answered: good,
+            answered: succeeded,
             copy_status,
             function_load: None,
             report: LoadReport::default(),
         };
-        self.decided(Event::DispatchEnded(ending), vec![]);
-        if !good {
+        self.decided(Event::DispatchEnded(ended), vec![]);
+        if !succeeded {
             self.answered(
                 invocation,
                 FinalOutcome::Errored,
@@ -133,9 +139,15 @@
         }
     }
 
-    fn answered(&mut self, inv: u32, outcome: FinalOutcome, reason: AnswerReason, took: Micros) {
+    fn answered(
+        &mut self,
+        invocation: u32,
+        outcome: FinalOutcome,
+        reason: AnswerReason,
+        took: Micros,
+    ) {
         self.record(Record::Answered {
-            invocation: Some(inv),
+            invocation: Some(invocation),
             front: 0,
             outcome,
             reason,
@@ -146,48 +158,56 @@
     }
 
     fn ranked(self) -> Vec<RankedCause> {
-        self.explain.ranked()
+        self.ranker.ranked()
     }
 }
 
 #[test]
 fn invocations_in_time_have_no_cause() {
-    let mut t = Recording::new();
+    let mut recording = Recording::new();
     (0..50).for_each(|n| {
-        t.executes(
+        recording.executes(
             n % 4,
             n % 4,
-            60 * MS,
+            60 * MILLISECOND,
             DispatchOutcome::Succeeded,
             CopyStatus::Warm,
         )
     });
-    assert!(t.ranked().is_empty());
+    assert!(recording.ranked().is_empty());
 }
 
 #[test]
 fn an_unresponsive_worker_ranks_first_and_a_slow_one_is_distinguished() {
-    let mut t = Recording::new();
+    let mut recording = Recording::new();
     (0..40).for_each(|n| {
-        t.executes(
+        recording.executes(
             0,
             n % 2,
-            60 * MS,
+            60 * MILLISECOND,
             DispatchOutcome::Succeeded,
             CopyStatus::Warm,
         )
     });
     (0..5).for_each(|_| {
-        t.executes(
+        recording.executes(
             0,
             2,
-            900 * MS,
+            900 * MILLISECOND,
             DispatchOutcome::TimedOut,
             CopyStatus::Unreported,
         )
     });
-    (0..3).for_each(|_| t.executes(0, 3, 900 * MS, DispatchOutcome::Succeeded, CopyStatus::Warm));
-    let ranked = t.ranked();
+    (0..3).for_each(|_| {
+        recording.executes(
+            0,
+            3,
+            900 * MILLISECOND,
+            DispatchOutcome::Succeeded,
+            CopyStatus::Warm,
+        )
+    });
+    let ranked = recording.ranked();
     assert_eq!(
         (&ranked[0].cause, ranked[0].lost),
         (&Cause::WorkerUnresponsive("w2".into()), 5)
@@ -196,7 +216,7 @@
         (&ranked[1].cause, ranked[1].late),
         (&Cause::WorkerSlow("w3".into()), 3)
     );
-    // Of a billed value of 2.5 a late answer earns a tenth.
+    // A late answer earns a tenth of the billed value of 2.5.
     assert!(
         (ranked[0].cost - 12.5).abs() < 1e-9 && (ranked[1].cost - 6.75).abs() < 1e-9,
         "{ranked:?}"
@@ -205,33 +225,39 @@
 
 #[test]
 fn a_slow_store_is_one_cause_for_many_functions() {
-    let mut t = Recording::new();
-    t.executes(3, 0, 900 * MS, DispatchOutcome::Succeeded, CopyStatus::Warm);
+    let mut recording = Recording::new();
+    recording.executes(
+        3,
+        0,
+        900 * MILLISECOND,
+        DispatchOutcome::Succeeded,
+        CopyStatus::Warm,
+    );
     for function in 0..3 {
-        t.executes(
+        recording.executes(
             function,
             1,
-            1_500 * MS,
+            1_500 * MILLISECOND,
             DispatchOutcome::Succeeded,
             CopyStatus::LoadAwaited,
         );
-        // Held while its load was on order, and given up.
-        let inv = t.arrives(function, |_| {
+        // Queued while a load was in flight, and throttled.
+        let invocation = recording.arrives(function, |_| {
             vec![Action::LoadOrder {
                 worker: 1,
                 function,
                 copies: 1,
             }]
         });
-        t.now += 900 * MS;
-        t.answered(
-            inv,
+        recording.now += 900 * MILLISECOND;
+        recording.answered(
+            invocation,
             FinalOutcome::Throttled,
             AnswerReason::GivenUp,
-            900 * MS,
+            900 * MILLISECOND,
         );
     }
-    let ranked = t.ranked();
+    let ranked = recording.ranked();
     assert_eq!(
         ranked[0].cause,
         Cause::ManyFunctionLoads("3 functions".into())
@@ -241,33 +267,33 @@
 
 #[test]
 fn shares_queueing_and_load_capacity_are_distinct_causes() {
-    let mut t = Recording::new();
+    let mut recording = Recording::new();
     (0..4).for_each(|_| {
-        t.record(Record::Rejected {
+        recording.record(Record::Rejected {
             front: 0,
             trigger: 0,
             account: 0,
             reason: RejectionReason::Account,
         })
     });
-    t.record(Record::Rejected {
+    recording.record(Record::Rejected {
         front: 0,
         trigger: 0,
         account: 0,
         reason: RejectionReason::Worth,
     });
     for _ in 0..3 {
-        let inv = t.arrives(0, |_| vec![]);
-        t.now += 700 * MS;
-        t.answered(
-            inv,
+        let invocation = recording.arrives(0, |_| vec![]);
+        recording.now += 700 * MILLISECOND;
+        recording.answered(
+            invocation,
             FinalOutcome::Throttled,
             AnswerReason::GivenUp,
-            700 * MS,
+            700 * MILLISECOND,
         );
     }
     let result = LoadOrderResult::NoCapacity;
-    t.decided(
+    recording.decided(
         Event::OrderEnded {
             worker: 0,
             function: 1,
@@ -277,9 +303,18 @@
         },
         vec![],
     );
-    let inv = t.arrives(1, |_| vec![]);
-    t.answered(inv, FinalOutcome::Throttled, AnswerReason::GivenUp, 0);
-    let causes: Vec<(Cause, u64)> = t.ranked().into_iter().map(|r| (r.cause, r.lost)).collect();
+    let invocation = recording.arrives(1, |_| vec![]);
+    recording.answered(
+        invocation,
+        FinalOutcome::Throttled,
+        AnswerReason::GivenUp,
+        0,
+    );
+    let causes: Vec<(Cause, u64)> = recording
+        .ranked()
+        .into_iter()
+        .map(|r| (r.cause, r.lost))
+        .collect();
     assert_eq!(causes[0], (Cause::ShareExceeded("amber".into()), 4));
     assert_eq!(causes[1], (Cause::Queued("quote".into()), 3));
     assert!(
@@ -292,11 +327,12 @@
     );
 }
 
-/// A question for how many copies stand at another worker ends like an order; the load is still out.
+/// A query of the number of copies at another worker ends with the same event as a load order; it must not end the load
+/// that is in flight.
 #[test]
-fn the_end_of_a_copy_count_query_ends_no_load() {
-    let mut t = Recording::new();
-    let inv = t.arrives(0, |_| {
+fn the_end_of_a_copy_count_query_does_not_end_a_load() {
+    let mut recording = Recording::new();
+    let invocation = recording.arrives(0, |_| {
         vec![Action::LoadOrder {
             worker: 1,
             function: 0,
@@ -304,7 +340,7 @@
         }]
     });
     let result = LoadOrderResult::Loaded;
-    t.decided(
+    recording.decided(
         Event::OrderEnded {
             worker: 2,
             function: 0,
@@ -314,12 +350,17 @@
         },
         vec![],
     );
-    t.now += 900 * MS;
-    let second = t.arrives(0, |_| vec![]);
-    t.now += 900 * MS;
-    t.answered(inv, FinalOutcome::Throttled, AnswerReason::GivenUp, 0);
-    t.answered(second, FinalOutcome::Throttled, AnswerReason::GivenUp, 0);
-    let ranked = t.ranked();
+    recording.now += 900 * MILLISECOND;
+    let second = recording.arrives(0, |_| vec![]);
+    recording.now += 900 * MILLISECOND;
+    recording.answered(
+        invocation,
+        FinalOutcome::Throttled,
+        AnswerReason::GivenUp,
+        0,
+    );
+    recording.answered(second, FinalOutcome::Throttled, AnswerReason::GivenUp, 0);
+    let ranked = recording.ranked();
     assert_eq!(
         (&ranked[0].cause, ranked[0].lost),
         (&Cause::FunctionLoad("f0".into()), 2)
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/file_format.rs
@@ -1,6 +1,7 @@
-//! Files cut anywhere, damaged, unknown; records that round-trip; a replay that finds what was changed.
+//! Tests reading of truncated, damaged and unknown files, of files of earlier formats, round trips of records,
+//! retention, recovery of the writer, and replay.
 
-mod small;
+mod sample_trace;
 
 use std::io::Cursor;
 
@@ -15,24 +16,24 @@
 use cedarpulley_trace::start::StartRecord;
 use cedarpulley_trace::writer::{FileSeries, NameLock, WriterMessage, run_writer};
 use proptest::prelude::*;
-use small::{MS, block_locations, start, written};
+use sample_trace::{MILLISECOND, block_locations, start, trace_file};
 
-/// Whole blocks, damaged ones, and how it ended.
+/// The numbers of whole and of damaged blocks, and how the file ended; absent if the file cannot be opened.
 fn read(bytes: &[u8]) -> Option<(usize, usize, Option<FileEnd>)> {
-    let mut r = Reader::open(Cursor::new(bytes)).ok()?;
+    let mut reader = Reader::open(Cursor::new(bytes)).ok()?;
     let (mut whole, mut damaged) = (0, 0);
-    while let Some(found) = r.next().expect("memory does not fail") {
+    while let Some(found) = reader.next().expect("reading from memory cannot fail") {
         match found {
             BlockRead::Block { .. } => whole += 1,
             BlockRead::Damaged { .. } => damaged += 1,
         }
     }
-    Some((whole, damaged, r.ended))
+    Some((whole, damaged, reader.ended))
 }
 
 #[test]
 fn a_file_truncated_at_any_byte_is_read_up_to_its_last_whole_block() {
-    let bytes = written(4, |_, _| {});
+    let bytes = trace_file(4, |_, _| {});
     assert_eq!(read(&bytes), Some((4, 0, Some(FileEnd::Complete))));
     let index = block_locations(&bytes);
     let ends: Vec<u64> = index.iter().skip(1).map(|p| p.offset).collect();
@@ -40,9 +41,9 @@
         match read(&bytes[..cut]) {
             None => assert!((cut as u64) < index[0].offset, "{cut}"),
             Some((whole, damaged, ended)) => {
-                let wanted = ends.iter().filter(|e| **e <= cut as u64).count();
+                let complete = ends.iter().filter(|e| **e <= cut as u64).count();
                 assert!(
-                    damaged == 0 && (wanted..=wanted + 1).contains(&whole),
+                    damaged == 0 && (complete..=complete + 1).contains(&whole),
                     "{cut}: {whole}"
                 );
                 assert!(
@@ -56,13 +57,16 @@
 
 #[test]
 fn a_flipped_bit_costs_one_block_at_most() {
-    let bytes = written(4, |_, _| {});
+    let bytes = trace_file(4, |_, _| {});
     let first = block_locations(&bytes)[0].offset as usize;
     for at in 0..bytes.len() {
         let mut flipped = bytes.clone();
         flipped[at] ^= 1 << (at % 8);
         match read(&flipped) {
-            None => assert!(at < first, "{at}: only a damaged head makes it unreadable"),
+            None => assert!(
+                at < first,
+                "{at}: only a damaged header makes the file unreadable"
+            ),
             Some((whole, damaged, _)) => {
                 assert!(
                     whole + damaged >= 3 && whole >= 3 && damaged <= 1,
@@ -75,81 +79,89 @@
 
 #[test]
 fn unknown_formats_and_other_files_are_rejected_in_one_line() {
-    let mut bytes = written(1, |_, _| {});
-    let why = |bytes: &[u8]| {
+    let mut bytes = trace_file(1, |_, _| {});
+    let error = |bytes: &[u8]| {
         Reader::open(Cursor::new(bytes))
             .err()
-            .expect("refused")
+            .expect("rejected")
             .to_string()
     };
     bytes[8] = 200;
-    assert!(why(&bytes).contains("format 200"));
+    assert!(error(&bytes).contains("format 200"));
     assert_eq!(
-        why(b"PNG, perhaps, and long enough"),
+        error(b"PNG, perhaps, and long enough"),
         "the file is not a trace"
     );
-    assert!(why(b"").contains("too short"));
+    assert!(error(b"").contains("too short"));
 }
 
-/// Symptom: the index of a gone worker goes to another within a block, and what the new one did bears the old
-/// one's name.
+/// Guards against records with the name of the wrong worker, when the index of a removed worker is reused for another
+/// worker within a block.
 #[test]
 fn a_reassigned_index_is_named_again_within_its_block() {
-    let mut g = BlockBuilder::default();
+    let mut block = BlockBuilder::default();
     ["a", "a", "b", "b", "a"]
         .iter()
-        .for_each(|name| g.name(0, NameKind::Worker, 3, name));
-    assert_eq!(g.records(), 3);
+        .for_each(|name| block.name(0, NameKind::Worker, 3, name));
+    assert_eq!(block.records(), 3);
 }
 
-/// Kept from the day format 1 was made: it opens for ever.
+/// The file was written when format 1 was current; later builds must be able to read it.
 #[test]
 fn a_kept_file_of_format_1_opens() {
     let bytes = include_bytes!("kept/format-1.trace");
     assert_eq!(read(bytes), Some((4, 0, Some(FileEnd::Complete))));
-    let mut r = Reader::open(Cursor::new(bytes)).expect("a trace");
+    let mut reader = Reader::open(Cursor::new(bytes)).expect("a trace");
     assert_eq!(
         (
-            r.format,
-            r.sources[0].start.seed,
-            r.sources[0].start.router.as_str()
+            reader.format,
+            reader.sources[0].start.seed,
+            reader.sources[0].start.router.as_str()
         ),
         (1, 9, "router-0")
     );
-    let mut seen = 0;
-    let touched = r
-        .within(|_| (20 * MS, 21 * MS), |_| seen += 1)
+    let mut passed = 0;
+    let blocks_read = reader
+        .within(|_| (20 * MILLISECOND, 21 * MILLISECOND), |_| passed += 1)
         .expect("read");
-    assert_eq!((touched, seen), (1, 1), "by its index, without the rest");
+    assert_eq!(
+        (blocks_read, passed),
+        (1, 1),
+        "only the block in the span is read, by the index"
+    );
 }
 
-/// And one of format 2, with two sources.
+/// The file was written when format 2 was current, and has two sources.
 #[test]
 fn a_kept_file_of_format_2_opens() {
     let bytes = include_bytes!("kept/format-2.trace");
     assert_eq!(read(bytes), Some((6, 0, Some(FileEnd::Complete))));
-    let r = Reader::open(Cursor::new(bytes)).expect("a trace");
-    let names: Vec<&str> = r.sources.iter().map(|s| s.start.router.as_str()).collect();
+    let reader = Reader::open(Cursor::new(bytes)).expect("a trace");
+    let names: Vec<&str> = reader
+        .sources
+        .iter()
+        .map(|s| s.start.router.as_str())
+        .collect();
     assert_eq!(
-        (r.format, names, r.sources[1].clock_ahead),
-        (2, vec!["router-0", "router-0"], 5 * MS)
+        (reader.format, names, reader.sources[1].clock_ahead),
+        (2, vec!["router-0", "router-0"], 5 * MILLISECOND)
     );
 }
 
 #[test]
 fn a_replay_reports_no_difference_or_the_first_changed_decision() {
-    let rerun = |bytes: &[u8]| {
-        replay(&mut [Reader::open(Cursor::new(bytes)).expect("a trace")]).expect("a row")
+    let replay_file = |bytes: &[u8]| {
+        replay(&mut [Reader::open(Cursor::new(bytes)).expect("a trace")]).expect("a series")
     };
-    let same = rerun(&written(5, |_, _| {}));
+    let same = replay_file(&trace_file(5, |_, _| {}));
     assert!(same.same_module && same.difference.is_none() && same.stopped.is_none());
     assert!(same.decisions > 30, "{}", same.decisions);
-    let other = rerun(&written(5, |n, actions| {
+    let other = replay_file(&trace_file(5, |n, actions| {
         if n == 20 {
             actions.push(Action::RequestEndpointList { watch: false });
         }
     }));
-    let found = other.difference.expect("it was changed");
+    let found = other.difference.expect("the changed decision");
     assert_eq!(
         (found.decision, found.recorded.len()),
         (20, found.replayed.len() + 1)
@@ -158,105 +170,110 @@
 
 #[test]
 fn files_end_by_size_and_age_and_old_files_are_deleted() {
-    let bounds = RetentionLimits {
+    let limits = RetentionLimits {
         file_bytes: 100,
         file_age: 1000,
         budget_bytes: 350,
     };
-    let mut k = Retention::new(bounds);
-    k.began(0);
+    let mut retention = Retention::new(limits);
+    retention.file_begun(0);
     assert_eq!(
-        (k.wrote(1, 60), k.wrote(2, 60)),
+        (retention.wrote(1, 60), retention.wrote(2, 60)),
         (AfterWrite::KeepFile, AfterWrite::EndFile)
     );
-    k.began(2);
+    retention.file_begun(2);
     assert_eq!(
-        (k.wrote(3, 10), k.wrote(1002, 10)),
+        (retention.wrote(3, 10), retention.wrote(1002, 10)),
         (AfterWrite::KeepFile, AfterWrite::EndFile)
     );
     assert_eq!(
         (
-            k.files_to_delete(&[100, 100, 50]),
-            k.files_to_delete(&[100, 100, 51]),
-            k.files_to_delete(&[900])
+            retention.files_to_delete(&[100, 100, 50]),
+            retention.files_to_delete(&[100, 100, 51]),
+            retention.files_to_delete(&[900])
         ),
         (0, 1, 1)
     );
-    // A disk that fails is left alone for a while, longer each time.
-    k.failed(0);
-    assert!(!k.may_write(999_999) && k.may_write(1_000_000));
-    k.failed(1_000_000);
-    assert!(!k.may_write(2_999_999) && k.may_write(3_000_000));
+    // After a disk failure, nothing is written until the backoff has passed; it doubles with each failure.
+    retention.failed(0);
+    assert!(!retention.may_write(999_999) && retention.may_write(1_000_000));
+    retention.failed(1_000_000);
+    assert!(!retention.may_write(2_999_999) && retention.may_write(3_000_000));
 }
 
-/// Symptom: a disk takes a name and no bytes. The name is spent; the row goes on under the next, and its loss is told.
+/// Guards against a trace that stops for good when a file name is in use, as after a disk created a file but could not
+/// store its bytes. Writing must continue with the next number, and the lost records must be reported as a gap.
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario or table of cases in order"
 )]
 fn writing_goes_on_after_a_file_that_could_not_be_begun() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("spent");
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
-    let row = FileSeries {
+    let series = FileSeries {
         folder,
         name: "r".into(),
         started_at_ms: 7,
     };
-    std::fs::write(row.file(0), "spent").expect("written");
+    std::fs::write(series.file(0), "spent").expect("written");
     let block = |at: Micros| {
-        let mut g = BlockBuilder::default();
-        g.record(
+        let mut builder = BlockBuilder::default();
+        builder.record(
             at,
             &Record::Decided {
                 event: RecordedEvent::Other(Event::Timer { token: 1 }),
                 actions: vec![],
             },
         );
-        WriterMessage::Block(at, g.close())
+        WriterMessage::Block(at, builder.close())
     };
-    let (notes, received) = std::sync::mpsc::channel();
-    for note in [
+    let (messages, received) = std::sync::mpsc::channel();
+    for message in [
         block(0),
-        block(10 * MS),
-        block(2_000 * MS),
-        block(2_001 * MS),
+        block(10 * MILLISECOND),
+        block(2_000 * MILLISECOND),
+        block(2_001 * MILLISECOND),
         WriterMessage::End,
     ] {
-        notes.send(note).expect("sent");
+        messages.send(message).expect("sent");
     }
-    let complaints = std::cell::Cell::new(0);
-    let bounds = RetentionLimits {
+    let failures = std::cell::Cell::new(0);
+    let limits = RetentionLimits {
         file_bytes: 1 << 20,
         file_age: Micros::MAX,
         budget_bytes: 8 << 20,
     };
-    run_writer(row.clone(), start(), bounds, received, |_| {
-        complaints.set(complaints.get() + 1)
+    run_writer(series.clone(), start(), limits, received, |_| {
+        failures.set(failures.get() + 1)
     });
-    assert_eq!(complaints.get(), 1);
-    let mut r = Reader::open(std::fs::File::open(row.file(1)).expect("there")).expect("a trace");
+    assert_eq!(failures.get(), 1);
+    let mut reader =
+        Reader::open(std::fs::File::open(series.file(1)).expect("a file")).expect("a trace");
     assert_eq!(
-        r.sources[0].start.file_number, 0,
-        "the first of its row all the same"
+        reader.sources[0].start.file_number, 0,
+        "it is still the first file of the series"
     );
-    let mut told = Vec::new();
-    while let Some(BlockRead::Block { records, .. }) = r.next().expect("read") {
-        told.extend(records.into_iter().map(|(_, record)| record));
+    let mut read_records = Vec::new();
+    while let Some(BlockRead::Block { records, .. }) = reader.next().expect("read") {
+        read_records.extend(records.into_iter().map(|(_, record)| record));
     }
     assert!(
         matches!(
-            told[0],
+            read_records[0],
             Record::Gap {
                 records: 2,
                 from: 0,
                 until: 10_000
             }
         ),
-        "{told:?}"
+        "{read_records:?}"
+    );
+    assert_eq!(
+        (read_records.len(), reader.ended),
+        (3, Some(FileEnd::Complete))
     );
-    assert_eq!((told.len(), r.ended), (3, Some(FileEnd::Complete)));
 }
 
 #[test]
@@ -264,16 +281,16 @@
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("one-name");
     std::fs::create_dir_all(&folder).expect("a folder");
     let one = NameLock::acquire(&folder, "r").expect("the name");
-    let other = NameLock::acquire(&folder, "r").expect("another");
+    let other = NameLock::acquire(&folder, "r").expect("another name");
     assert_eq!((one.name.as_str(), other.name.as_str()), ("r", "r_2"));
     std::fs::write(folder.join("r_2-0000000000001-00000.trace"), b"theirs").expect("written");
-    let row = |own: &NameLock| FileSeries {
+    let series = |lock: &NameLock| FileSeries {
         folder: folder.clone(),
-        name: own.name.clone(),
+        name: lock.name.clone(),
         started_at_ms: 5,
     };
-    assert!(row(&one).earlier(0).expect("read").is_empty());
-    assert_eq!(row(&other).earlier(0).expect("read").len(), 1);
+    assert!(series(&one).earlier(0).expect("read").is_empty());
+    assert_eq!(series(&other).earlier(0).expect("read").len(), 1);
     drop(one);
     assert_eq!(
         NameLock::acquire(&folder, "r").expect("free again").name,
@@ -282,10 +299,10 @@
 }
 
 fn report() -> impl Strategy<Value = LoadReport> {
-    let f = || {
-        prop::option::of(any::<f64>().prop_filter("no NaN, as it equals nothing", |f| !f.is_nan()))
+    let field = || {
+        prop::option::of(any::<f64>().prop_filter("NaN is not equal to itself", |f| !f.is_nan()))
     };
-    (f(), f(), f(), f(), f()).prop_map(
+    (field(), field(), field(), field(), field()).prop_map(
         |(in_flight, queued, utilization, loads_in_progress, memory_fraction)| LoadReport {
             in_flight,
             queued,
@@ -298,7 +315,7 @@
 
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario or table of cases in order"
 )]
 fn event() -> impl Strategy<Value = Event<'static>> {
     let n = any::<u32>;
@@ -427,21 +444,21 @@
 
     #[test]
     fn any_decision_round_trips(event in event(), actions in prop::collection::vec(action(), 0..6)) {
-        let mut p = Encoder::default();
-        record_codec::encode_decided(&mut p, &event, &actions);
-        let mut g = Decoder::new(&p.bytes);
-        let back = record_codec::decode_record(&mut g, &|_| 0).expect("readable");
-        prop_assert!(g.is_empty());
-        let Record::Decided { event: happened, actions: read } = back else { panic!("another record") };
-        prop_assert_eq!(format!("{:?}", happened.event()), format!("{event:?}"));
-        prop_assert_eq!(read, actions);
+        let mut encoder = Encoder::default();
+        record_codec::encode_decided(&mut encoder, &event, &actions);
+        let mut decoder = Decoder::new(&encoder.bytes);
+        let decoded = record_codec::decode_record(&mut decoder, &|_| 0).expect("readable");
+        prop_assert!(decoder.is_empty());
+        let Record::Decided { event: decoded_event, actions: decoded_actions } = decoded else { panic!("another record") };
+        prop_assert_eq!(format!("{:?}", decoded_event.event()), format!("{event:?}"));
+        prop_assert_eq!(decoded_actions, actions);
     }
 
     #[test]
     fn arbitrary_bytes_never_panic_the_reader(bytes in prop::collection::vec(any::<u8>(), 0..200), at in any::<prop::sample::Index>()) {
         let _ = StartRecord::decode(&bytes);
         let _ = cedarpulley_trace::blocks::unpack(&bytes, 0, 3);
-        let mut whole = written(2, |_, _| {});
+        let mut whole = trace_file(2, |_, _| {});
         let at = at.index(whole.len());
         whole.splice(at..at, bytes);
         let _ = read(&whole);
--- a/crates/trace/tests/kept_bytes.rs
+++ b/crates/trace/tests/format_stability.rs
@@ -1,7 +1,7 @@
-//! The bytes of the present trace format, 3, are those of the build that wrote `fixtures/format-3.trace` (a whole file
-//! with sources, blocks, index and footer) and `fixtures/records.hex` (a line for each kind of record, event and
-//! action, and for each value of their enumerations). Both were written once; `every_record` has the values.
-//! That files of formats 1 and 2 open is tested in `files.rs`.
+//! Guards against unintended changes of the trace format 3: records must be encoded as in `fixtures/format-3.trace` (a
+//! whole file with sources, blocks, index and footer) and `fixtures/records.hex` (a line for each kind of record, event
+//! and action, and for each value of their enumerations). Both were written once; `every_record` has the values.
+//! `file_format.rs` tests that files of formats 1 and 2 can be read.
 
 mod every_record;
 
@@ -22,16 +22,17 @@
 const FILE: &[u8] = include_bytes!("fixtures/format-3.trace");
 const RECORDS: &str = include_str!("fixtures/records.hex");
 
+/// Decodes a line of hexadecimal digits.
 fn bytes(line: &str) -> Vec<u8> {
     let pairs = line.as_bytes().chunks(2);
     let byte = |pair| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16);
     pairs.map(|pair| byte(pair).expect("two digits")).collect()
 }
 
-/// A record with its source and time.
+/// A record with the number of its source and its router time.
 type Sourced = (u32, Micros, Record);
 
-/// All records of a file.
+/// Reads all records of a file.
 fn read(file: &[u8]) -> (Reader<Cursor<&[u8]>>, Vec<Sourced>) {
     let mut reader = Reader::open(Cursor::new(file)).expect("a trace");
     let mut all = Vec::new();
@@ -44,17 +45,16 @@
     (reader, all)
 }
 
-/// Writes what was read.
+/// Writes the records to a new file.
 fn written_again(sources: &[Source], records: &[Sourced]) -> Vec<u8> {
-    let mut sheet = TraceFileWriter::begin(Vec::new(), sources).expect("written");
-    for block in records.chunk_by(|a, b| a.0 == b.0) {
-        let mut gather = BlockBuilder::default();
-        block.iter().for_each(|(_, at, r)| gather.record(*at, r));
-        sheet
-            .write_block(block[0].0, &gather.close())
+    let mut file = TraceFileWriter::begin(Vec::new(), sources).expect("written");
+    for records in records.chunk_by(|a, b| a.0 == b.0) {
+        let mut block = BlockBuilder::default();
+        records.iter().for_each(|(_, at, r)| block.record(*at, r));
+        file.write_block(records[0].0, &block.close())
             .expect("written");
     }
-    sheet.finish().expect("written")
+    file.finish().expect("written")
 }
 
 #[test]
@@ -63,25 +63,25 @@
     assert_eq!(RECORDS.lines().count(), all.len());
     let function = fingerprint("quote:7");
     for (line, record) in RECORDS.lines().zip(&all) {
-        let (kept, mut put) = (bytes(line), Encoder::default());
-        record_codec::encode_record(&mut put, record);
-        assert_eq!(put.bytes, kept, "{record:?}");
-        let mut get = Decoder::new(&kept);
-        let decoded = record_codec::decode_record(&mut get, &|_| function).expect("readable");
-        assert!(get.is_empty(), "{record:?}");
+        let (expected, mut encoder) = (bytes(line), Encoder::default());
+        record_codec::encode_record(&mut encoder, record);
+        assert_eq!(encoder.bytes, expected, "{record:?}");
+        let mut decoder = Decoder::new(&expected);
+        let decoded = record_codec::decode_record(&mut decoder, &|_| function).expect("readable");
+        assert!(decoder.is_empty(), "{record:?}");
         assert_eq!(format!("{decoded:?}"), format!("{record:?}"));
     }
 }
 
 #[test]
-fn a_decision_without_copying_its_event_has_the_same_bytes() {
+fn a_decision_encoded_without_copying_its_event_has_the_same_bytes() {
     let lines = RECORDS.lines().zip(every_record::all());
     let mut decisions = 0;
     for (line, record) in lines {
         if let Record::Decided { event, actions } = record {
-            let mut put = Encoder::default();
-            record_codec::encode_decided(&mut put, &event.event(), &actions);
-            assert_eq!(put.bytes, bytes(line), "{event:?}, {actions:?}");
+            let mut encoder = Encoder::default();
+            record_codec::encode_decided(&mut encoder, &event.event(), &actions);
+            assert_eq!(encoder.bytes, bytes(line), "{event:?}, {actions:?}");
             decisions += 1;
         }
     }
@@ -93,7 +93,7 @@
     assert_eq!(FORMAT, 3);
     assert!(
         every_record::file() == FILE,
-        "the values are written as they were"
+        "the values are encoded as in the fixture"
     );
     let (reader, records) = read(FILE);
     assert_eq!(
@@ -102,17 +102,17 @@
     );
     assert!(
         written_again(&reader.sources, &records) == FILE,
-        "what was read is written as it was"
+        "records that were read are encoded as in the fixture"
     );
 }
 
 #[test]
 fn the_records_of_a_whole_file_keep_their_meaning() {
     let (_, records) = read(FILE);
-    let told = |records: &[(Micros, Record)]| format!("{records:#?}");
+    let text = |records: &[(Micros, Record)]| format!("{records:#?}");
     let first = records.iter().filter(|(source, ..)| *source == 0);
     let first: Vec<_> = first.map(|(_, at, r)| (*at, r.clone())).collect();
-    assert_eq!(told(&first), told(&every_record::timed()));
+    assert_eq!(text(&first), text(&every_record::timed()));
     let Some((
         3,
         9_000,
@@ -163,12 +163,12 @@
 fn start_records_keep_their_bytes() {
     let (reader, _) = read(FILE);
     let size = u32::from_le_bytes(FILE[12..16].try_into().expect("four bytes")) as usize;
-    let kept = &FILE[16..16 + size];
+    let expected = &FILE[16..16 + size];
     let values = every_record::sources();
-    assert_eq!(encode_sources(&values), kept);
+    assert_eq!(encode_sources(&values), expected);
     assert_eq!(
-        encode_sources(&decode_sources(FORMAT, kept).expect("sources")),
-        kept
+        encode_sources(&decode_sources(FORMAT, expected).expect("sources")),
+        expected
     );
     assert_eq!(format!("{:#?}", reader.sources), format!("{values:#?}"));
     let (source, fleet) = (&reader.sources[2], reader.sources[2].start.startup.fleet);
--- a/crates/trace/tests/printed_names.rs
+++ b/crates/trace/tests/printed_names.rs
@@ -1,5 +1,5 @@
-//! Names of events, actions, causes, kinds of differences and counts as `cedarpulley trace` prints them, in text and as
-//! JSON: those in `fixtures/printed-names.txt`.
+//! Guards against changes of the names that `cedarpulley trace` prints for events, actions, causes, kinds of
+//! differences and counts, in text and as JSON: they must equal `fixtures/printed-names.txt`.
 
 mod every_record;
 
@@ -13,8 +13,8 @@
 use cedarpulley_trace::summary::{LatencyQuantiles, OutcomeCounts, Summary, WorkerCounts};
 use serde::Serialize;
 
-/// In text as [`Debug`] has it, and as JSON.
-fn both(value: impl Serialize + Debug) -> String {
+/// The value as text in [`Debug`] format, and as JSON.
+fn text_and_json(value: impl Serialize + Debug) -> String {
     let json = serde_json::to_string(&value).expect("JSON");
     format!("{value:?} {json}\n")
 }
@@ -43,16 +43,16 @@
     causes.map(|cause| cause("subject".into())).into()
 }
 
-fn kinds() -> Vec<DifferenceKind> {
-    let did = [
+fn difference_kinds() -> Vec<DifferenceKind> {
+    let decisions = [
         Decision::Queued,
         Decision::Dispatched,
         Decision::Throttled,
         Decision::Errored,
         Decision::Cancelled,
     ];
-    let mut kinds: Vec<DifferenceKind> = did
-        .map(|d| DifferenceKind::OtherDecision(d, Decision::Queued))
+    let mut kinds: Vec<DifferenceKind> = decisions
+        .map(|decision| DifferenceKind::OtherDecision(decision, Decision::Queued))
         .into();
     kinds.extend([
         DifferenceKind::OtherWorker,
@@ -66,7 +66,7 @@
     kinds
 }
 
-fn ranked() -> RankedCause {
+fn ranked_cause() -> RankedCause {
     RankedCause {
         cause: Cause::Queued("subject".into()),
         cost: 1.5,
@@ -78,10 +78,10 @@
 }
 
 fn summary() -> Summary {
-    let (name, fates) = (|| "name".to_owned(), OutcomeCounts::default);
+    let (name, outcomes) = (|| "name".to_owned(), OutcomeCounts::default);
     Summary {
-        by_trigger: [(name(), fates())].into(),
-        by_account: [(name(), fates())].into(),
+        by_trigger: [(name(), outcomes())].into(),
+        by_account: [(name(), outcomes())].into(),
         by_reason: [(name(), 1)].into(),
         by_worker: [(name(), WorkerCounts::default())].into(),
         succeeded_in: LatencyQuantiles::default(),
@@ -89,42 +89,47 @@
     }
 }
 
-fn compared() -> ComparisonResult {
+fn comparison_result() -> ComparisonResult {
     ComparisonResult {
         by_kind: vec![(DifferenceKind::Timers, DifferenceCount::default())],
         ..Default::default()
     }
 }
 
-fn all() -> String {
+/// All names, in the order of the fixture.
+fn all_names() -> String {
     let events = every_record::events();
     let events = events.iter().map(|e| describe_event(e) + "\n");
     let actions = every_record::actions();
     let actions = actions.iter().map(|a| format!("{a:?}\n"));
-    let fates = every_record::FATES.map(|f| format!("{f:?}\n"));
-    let reasons = every_record::REASONS.map(|r| format!("{r:?}\n"));
-    let shorts = every_record::SHORTS.map(|s| format!("{s:?}\n"));
-    let words = fates.into_iter().chain(reasons).chain(shorts);
-    let named = causes().into_iter().map(both);
-    let kinds = kinds().into_iter().map(both);
+    let outcomes = every_record::FINAL_OUTCOMES.map(|o| format!("{o:?}\n"));
+    let answers = every_record::ANSWER_REASONS.map(|r| format!("{r:?}\n"));
+    let rejections = every_record::REJECTION_REASONS.map(|r| format!("{r:?}\n"));
+    let values = outcomes.into_iter().chain(answers).chain(rejections);
+    let causes = causes().into_iter().map(text_and_json);
+    let kinds = difference_kinds().into_iter().map(text_and_json);
     let objects = [
-        json(ranked()),
+        json(ranked_cause()),
         json(summary()),
-        json(compared()),
+        json(comparison_result()),
         json(RuleCheck::default()),
     ];
-    let lines = events.chain(actions).chain(words).chain(named).chain(kinds);
+    let lines = events
+        .chain(actions)
+        .chain(values)
+        .chain(causes)
+        .chain(kinds);
     lines.chain(objects).collect()
 }
 
-/// What was seen is left beside the other files of the build.
+/// The printed names are also written to the build folder, for comparison with the fixture.
 #[test]
-fn printed_names_stay() {
-    let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join("printed-names.txt");
-    std::fs::write(&left, all()).expect("written");
-    let kept = include_str!("fixtures/printed-names.txt");
-    for (seen, kept) in all().lines().zip(kept.lines()) {
-        assert_eq!(seen, kept);
+fn printed_names_equal_the_fixture() {
+    let output_file = Path::new(env!("CARGO_TARGET_TMPDIR")).join("printed-names.txt");
+    std::fs::write(&output_file, all_names()).expect("written");
+    let expected = include_str!("fixtures/printed-names.txt");
+    for (printed, expected) in all_names().lines().zip(expected.lines()) {
+        assert_eq!(printed, expected);
     }
-    assert!(all() == kept, "see {}", left.display());
+    assert!(all_names() == expected, "see {}", output_file.display());
 }
--- a/crates/trace/tests/ruled.rs
+++ b/crates/trace/tests/rule_check.rs
@@ -1,4 +1,5 @@
-//! Each rule is reported as violated for a trace that violates it, and as kept for one that does not.
+//! Guards against wrong results of the rule check: each rule must be reported as violated for a trace that violates it,
+//! and only for such a trace.
 
 use std::collections::HashMap;
 use std::io::Cursor;
@@ -10,26 +11,30 @@
 use cedarpulley_trace::rule_check::{RuleCheck, RuleChecker};
 use cedarpulley_trace::start::Source;
 
-/// No rule broken.
+/// The result if no rule is violated.
 const NO_RULE: [u8; 0] = [];
-const MS: Micros = 1_000;
-const KEPT: &[u8] = include_bytes!("kept/format-1.trace");
+/// Microseconds in a millisecond.
+const MILLISECOND: Micros = 1_000;
+/// A trace in format 1.
+const FORMAT_1_TRACE: &[u8] = include_bytes!("kept/format-1.trace");
 
+/// A source with one trigger type of this effect.
 fn source(effect: Effect) -> Source {
-    let mut s = Reader::open(Cursor::new(KEPT))
+    let mut source = Reader::open(Cursor::new(FORMAT_1_TRACE))
         .expect("a trace")
         .sources
         .swap_remove(0);
-    s.start.startup.triggers[0].effect = effect;
-    s.start.startup.rules.drain_grace = 500 * MS;
+    source.start.startup.triggers[0].effect = effect;
+    source.start.startup.rules.drain_grace = 500 * MILLISECOND;
     (
-        s.start.startup.loads.order_quota_window,
-        s.start.startup.loads.order_quota_base,
-        s.start.startup.loads.order_quota_per_invocation,
-    ) = (1_000 * MS, 2.0, 0.5);
-    s
+        source.start.startup.loads.order_quota_window,
+        source.start.startup.loads.order_quota_base,
+        source.start.startup.loads.order_quota_per_invocation,
+    ) = (1_000 * MILLISECOND, 2.0, 0.5);
+    source
 }
 
+/// An event or action in the trace of a router. Numbers are indices of invocations, workers and dispatches.
 enum RecordedStep {
     Arrives(u32),
     Dispatches(u32, u32),
@@ -43,9 +48,10 @@
 
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario or table of cases in order"
 )]
-fn record(step: &RecordedStep) -> Vec<Record> {
+/// The records of a step.
+fn records_of(step: &RecordedStep) -> Vec<Record> {
     let decided = |event, actions| {
         vec![Record::Decided {
             event: RecordedEvent::Other(event),
@@ -65,18 +71,18 @@
                 load_hint: None,
                 copy_mb: 1.0,
                 lanes: 1,
-                client_timeout_in: 2_000 * MS,
+                client_timeout_in: 2_000 * MILLISECOND,
                 waited: 0,
                 repeat: false,
                 preferred_worker: None,
             };
-            let taken = Record::Accepted {
+            let accepted = Record::Accepted {
                 invocation,
                 front: 0,
                 correlation_hash: Some(u64::from(invocation)),
                 redelivered: false,
             };
-            [vec![taken], decided(Event::Invocation(arrival), vec![])].concat()
+            [vec![accepted], decided(Event::Invocation(arrival), vec![])].concat()
         }
         Dispatches(invocation, worker) => decided(
             timer,
@@ -87,8 +93,9 @@
             }],
         ),
         DispatchEnds(invocation, dispatch, outcome) => {
-            let (took, copy_status, report) = (MS, CopyStatus::Unreported, LoadReport::default());
-            let ending = DispatchEnded {
+            let (took, copy_status, report) =
+                (MILLISECOND, CopyStatus::Unreported, LoadReport::default());
+            let ended = DispatchEnded {
                 invocation,
                 dispatch,
                 worker: 0,
@@ -99,14 +106,14 @@
                 function_load: None,
                 report,
             };
-            decided(Event::DispatchEnded(ending), vec![])
+            decided(Event::DispatchEnded(ended), vec![])
         }
-        Answered(invocation, fate) => {
-            let (reason, took) = (AnswerReason::GivenUp, MS);
+        Answered(invocation, outcome) => {
+            let (reason, took) = (AnswerReason::GivenUp, MILLISECOND);
             vec![Record::Answered {
                 invocation: Some(invocation),
                 front: 0,
-                outcome: fate,
+                outcome,
                 reason,
                 trigger: 0,
                 account: 0,
@@ -115,7 +122,7 @@
         }
         ClientLeaves(invocation) => decided(Event::ClientLeft { invocation }, vec![]),
         WorkerDrains(worker) => {
-            let entry = Endpoint {
+            let endpoint = Endpoint {
                 worker,
                 fingerprint: 1,
                 zone: worker,
@@ -125,12 +132,12 @@
                 weight: 1.0,
                 started_at: None,
             };
-            let happened = RecordedEvent::List {
+            let event = RecordedEvent::List {
                 kind: EndpointListKind::Changes,
-                endpoints: vec![entry],
+                endpoints: vec![endpoint],
             };
             vec![Record::Decided {
-                event: happened,
+                event,
                 actions: vec![],
             }]
         }
@@ -145,22 +152,24 @@
     }
 }
 
-/// Of one router, or of two that saw it one after the other.
-fn checked(effect: Effect, routers: &[&[(Micros, RecordedStep)]]) -> RuleCheck {
-    let (of, mut rules, mut sources) = (source(effect), RuleChecker::default(), HashMap::new());
+/// Checks the steps of each router, one router after the other. Steps have times in milliseconds.
+fn check(effect: Effect, routers: &[&[(Micros, RecordedStep)]]) -> RuleCheck {
+    let (source, mut checker, mut sources) =
+        (source(effect), RuleChecker::default(), HashMap::new());
     for (n, steps) in routers.iter().enumerate() {
-        sources.insert(n as u32, of.clone());
+        sources.insert(n as u32, source.clone());
         for (at, step) in *steps {
-            record(step)
+            records_of(step)
                 .iter()
-                .for_each(|r| rules.record(n as u32, &of, at * MS, r));
+                .for_each(|r| checker.record(n as u32, &source, at * MILLISECOND, r));
         }
     }
-    rules.finish(&sources)
+    checker.finish(&sources)
 }
 
+/// The numbers of the rules that the steps of one router violate.
 fn violated_rules(effect: Effect, steps: &[(Micros, RecordedStep)]) -> Vec<u8> {
-    checked(effect, &[steps])
+    check(effect, &[steps])
         .violations_by_rule
         .into_keys()
         .collect()
@@ -168,16 +177,16 @@
 
 const NON_IDEMPOTENT: Effect = Effect::NonIdempotent;
 const IDEMPOTENT: Effect = Effect::Idempotent;
-const BY_KEY: Effect = Effect::IdempotentByKey {
+const IDEMPOTENT_BY_KEY: Effect = Effect::IdempotentByKey {
     scope: DeduplicationScope::Zone,
-    window: 1_000 * MS,
+    window: 1_000 * MILLISECOND,
 };
 
 #[test]
 fn rule_1_one_answer_before_the_client_timeout() {
-    let good = (900, Answered(1, FinalOutcome::Succeeded));
+    let in_time = (900, Answered(1, FinalOutcome::Succeeded));
     assert_eq!(
-        violated_rules(IDEMPOTENT, &[(0, Arrives(1)), good, (9_000, OrdersLoad)]),
+        violated_rules(IDEMPOTENT, &[(0, Arrives(1)), in_time, (9_000, OrdersLoad)]),
         NO_RULE
     );
     assert_eq!(
@@ -195,11 +204,11 @@
         [1],
         "never answered"
     );
-    let cut = checked(IDEMPOTENT, &[&[(0, Arrives(1)), (1_000, OrdersLoad)]]);
+    let truncated = check(IDEMPOTENT, &[&[(0, Arrives(1)), (1_000, OrdersLoad)]]);
     assert_eq!(
-        (cut.violations_by_rule.len(), cut.unseen),
+        (truncated.violations_by_rule.len(), truncated.unseen),
         (0, 1),
-        "its trace ends before"
+        "the trace ends before the deadline"
     );
     assert_eq!(
         violated_rules(
@@ -207,35 +216,35 @@
             &[(0, Arrives(1)), (9, ClientLeaves(1)), (5_000, OrdersLoad)]
         ),
         NO_RULE,
-        "no answer is owed"
+        "no answer is due after the client disconnected"
     );
-    let after = [
+    let dispatched_after_answer = [
         (0, Arrives(1)),
         (9, Answered(1, FinalOutcome::Succeeded)),
         (10, Dispatches(1, 0)),
         (11, DispatchEnds(1, 0, DispatchOutcome::ConnectionLost)),
     ];
-    assert_eq!(violated_rules(IDEMPOTENT, &after), [1]);
-    let unsent = [
+    assert_eq!(violated_rules(IDEMPOTENT, &dispatched_after_answer), [1]);
+    let not_sent = [
         (0, Arrives(1)),
         (9, Answered(1, FinalOutcome::Succeeded)),
         (10, Dispatches(1, 0)),
         (10, DispatchEnds(1, 0, DispatchOutcome::NotSent)),
     ];
     assert_eq!(
-        violated_rules(IDEMPOTENT, &unsent),
+        violated_rules(IDEMPOTENT, &not_sent),
         NO_RULE,
-        "it never left"
+        "the dispatch was not sent"
     );
 }
 
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario or table of cases in order"
 )]
 fn rule_2_non_idempotent_work_is_not_repeated() {
-    let again = |first: DispatchOutcome, effect| {
+    let retried = |first: DispatchOutcome, effect| {
         let steps = [
             (0, Arrives(1)),
             (1, Dispatches(1, 0)),
@@ -246,11 +255,17 @@
         ];
         violated_rules(effect, &steps)
     };
-    assert_eq!(again(DispatchOutcome::Unreachable, NON_IDEMPOTENT), NO_RULE);
-    assert_eq!(again(DispatchOutcome::TimedOut, NON_IDEMPOTENT), [2]);
-    assert_eq!(again(DispatchOutcome::TimedOut, IDEMPOTENT), NO_RULE);
-    assert_eq!(again(DispatchOutcome::TimedOut, BY_KEY), NO_RULE);
-    let harmless = [
+    assert_eq!(
+        retried(DispatchOutcome::Unreachable, NON_IDEMPOTENT),
+        NO_RULE
+    );
+    assert_eq!(retried(DispatchOutcome::TimedOut, NON_IDEMPOTENT), [2]);
+    assert_eq!(retried(DispatchOutcome::TimedOut, IDEMPOTENT), NO_RULE);
+    assert_eq!(
+        retried(DispatchOutcome::TimedOut, IDEMPOTENT_BY_KEY),
+        NO_RULE
+    );
+    let throttled_after_dispatch = [
         (0, Arrives(1)),
         (1, Dispatches(1, 0)),
         (9, DispatchEnds(1, 0, DispatchOutcome::ConnectionLost)),
@@ -258,12 +273,12 @@
     ];
     assert_eq!(
         (
-            violated_rules(NON_IDEMPOTENT, &harmless),
-            violated_rules(IDEMPOTENT, &harmless)
+            violated_rules(NON_IDEMPOTENT, &throttled_after_dispatch),
+            violated_rules(IDEMPOTENT, &throttled_after_dispatch)
         ),
         (vec![2], vec![])
     );
-    let two = [
+    let concurrent = [
         (0, Arrives(1)),
         (1, Dispatches(1, 0)),
         (2, Dispatches(1, 1)),
@@ -271,11 +286,11 @@
         (9, Answered(1, FinalOutcome::Succeeded)),
     ];
     assert_eq!(
-        violated_rules(IDEMPOTENT, &two),
+        violated_rules(IDEMPOTENT, &concurrent),
         [2],
-        "second copies are forbidden"
+        "hedged requests are not allowed"
     );
-    // By the mark of the message: another router may have run it.
+    // The correlation id shows that another router dispatched the same message, which may have been executed.
     let first: &[(Micros, RecordedStep)] = &[
         (0, Arrives(1)),
         (1, Dispatches(1, 0)),
@@ -289,14 +304,14 @@
         (60, Answered(1, FinalOutcome::Succeeded)),
     ];
     assert_eq!(
-        checked(NON_IDEMPOTENT, &[first, second])
+        check(NON_IDEMPOTENT, &[first, second])
             .violations_by_rule
             .into_keys()
             .collect::<Vec<_>>(),
         [2]
     );
     assert!(
-        checked(IDEMPOTENT, &[first, second])
+        check(IDEMPOTENT, &[first, second])
             .violations_by_rule
             .is_empty()
     );
@@ -304,7 +319,7 @@
 
 #[test]
 fn rule_2_retries_by_key_stay_within_scope_and_window() {
-    let repeat = |worker: u32, at: Micros| {
+    let retried = |worker: u32, at: Micros| {
         let steps = [
             (0, WorkerDrains(0)),
             (0, WorkerDrains(1)),
@@ -315,30 +330,31 @@
             (at + 1, DispatchEnds(1, 1, DispatchOutcome::Succeeded)),
             (at + 1, Answered(1, FinalOutcome::Succeeded)),
         ];
-        violated_rules(BY_KEY, &steps)
+        violated_rules(IDEMPOTENT_BY_KEY, &steps)
     };
-    assert_eq!((repeat(0, 100), repeat(1, 100)), (vec![], vec![2]));
-    // Past the window, and past the grace of a drain too: one violation, the graver is reported.
-    assert_eq!(repeat(0, 1_100), [3]);
+    assert_eq!((retried(0, 100), retried(1, 100)), (vec![], vec![2]));
+    // The retry is after the deduplication window and after the drain grace; only the violation of rule 3 is reported.
+    assert_eq!(retried(0, 1_100), [3]);
 }
 
 #[test]
 fn rules_3_and_5_drain_grace_and_load_order_quota() {
-    let sent = |at: Micros| {
-        let ends = [
+    let dispatched_at = |at: Micros| {
+        let dispatch = [
             (at, Dispatches(1, 0)),
             (at + 1, DispatchEnds(1, 0, DispatchOutcome::Succeeded)),
             (at + 1, Answered(1, FinalOutcome::Succeeded)),
         ];
         let steps: Vec<(Micros, RecordedStep)> = [(0, WorkerDrains(0)), (0, Arrives(1))]
             .into_iter()
-            .chain(ends)
+            .chain(dispatch)
             .collect();
         violated_rules(IDEMPOTENT, &steps)
     };
-    assert_eq!((sent(400), sent(600)), (vec![], vec![3]));
-    let orders = |n: i64, apart: Micros| {
-        let steps: Vec<(Micros, RecordedStep)> = (0..n).map(|k| (k * apart, OrdersLoad)).collect();
+    assert_eq!((dispatched_at(400), dispatched_at(600)), (vec![], vec![3]));
+    let orders = |n: i64, interval: Micros| {
+        let steps: Vec<(Micros, RecordedStep)> =
+            (0..n).map(|k| (k * interval, OrdersLoad)).collect();
         violated_rules(IDEMPOTENT, &steps)
     };
     assert_eq!(
@@ -349,22 +365,22 @@
 
 #[test]
 fn the_format_1_fixture_violates_no_rule() {
-    let (mut r, mut rules) = (
-        Reader::open(Cursor::new(KEPT)).expect("a trace"),
+    let (mut reader, mut checker) = (
+        Reader::open(Cursor::new(FORMAT_1_TRACE)).expect("a trace"),
         RuleChecker::default(),
     );
-    let of = r.sources[0].clone();
-    while let Some(BlockRead::Block { records, .. }) = r.next().expect("read") {
+    let source = reader.sources[0].clone();
+    while let Some(BlockRead::Block { records, .. }) = reader.next().expect("read") {
         records
             .iter()
-            .for_each(|(at, x)| rules.record(0, &of, *at, x));
+            .for_each(|(at, record)| checker.record(0, &source, *at, record));
     }
-    let checked = rules.finish(&HashMap::from([(0, of)]));
+    let result = checker.finish(&HashMap::from([(0, source)]));
     assert_eq!(
         (
-            checked.invocations,
-            checked.violations_by_rule.len(),
-            checked.unseen
+            result.invocations,
+            result.violations_by_rule.len(),
+            result.unseen
         ),
         (16, 0, 0)
     );
--- a/crates/trace/tests/small/mod.rs
+++ b/crates/trace/tests/sample_trace/mod.rs
@@ -1,5 +1,5 @@
-//! A small router's trace, for tests; each uses its part.
-#![allow(dead_code, reason = "each test binary uses its part")]
+//! Trace files of a simulated router with one function and three workers, for tests.
+#![allow(dead_code, reason = "each test binary uses a part of this module")]
 
 use std::io::Cursor;
 
@@ -13,8 +13,10 @@
 use cedarpulley_trace::start::{StartRecord, module_digest};
 use cedarpulley_trace::writer::TraceFileWriter;
 
-pub const MS: Micros = 1_000;
+/// Microseconds in a millisecond.
+pub const MILLISECOND: Micros = 1_000;
 
+/// The start record of the simulated router.
 pub fn start() -> StartRecord {
     StartRecord {
         router: "router-0".into(),
@@ -36,28 +38,28 @@
             routers: 1,
             position: 0,
             zone: 0,
-            granularity: MS,
+            granularity: MILLISECOND,
         },
         limits: DispatchLimits {
             max_dispatches: 4,
             cancellation: true,
-            connect_timeout: 250 * MS,
+            connect_timeout: 250 * MILLISECOND,
             ..Default::default()
         },
         rules: RuleLimits {
             slow_start_fraction: 1.0,
             overload_multiple: 1e9,
-            overload_window: 1_000 * MS,
+            overload_window: 1_000 * MILLISECOND,
             ..Default::default()
         },
         triggers: vec![TriggerType {
             effect: Effect::IdempotentByKey {
                 scope: DeduplicationScope::Zone,
-                window: 8_000 * MS,
+                window: 8_000 * MILLISECOND,
             },
-            latency_objective: 800 * MS,
+            latency_objective: 800 * MILLISECOND,
             objective_work_multiple: 0.5,
-            client_timeout: 4_000 * MS,
+            client_timeout: 4_000 * MILLISECOND,
             billed_value: 2.5,
             late_value_fraction: 0.1,
             streamed: false,
@@ -67,7 +69,7 @@
             share: 1.0,
         }],
         loads: LoadSettings {
-            idle_retention: 30_000 * MS,
+            idle_retention: 30_000 * MILLISECOND,
             loads_when_absent: true,
             reports_copy_status: true,
             memory_mb: vec![4096.0],
@@ -81,8 +83,8 @@
     }
 }
 
-/// A small router with the present block of its trace.
-struct SmallRouter<F> {
+/// A simulated router with the current block of its trace.
+struct SimulatedRouter<F> {
     balancer: cedarpulley::Balancer,
     block: BlockBuilder,
     now: Micros,
@@ -91,8 +93,8 @@
     change: F,
 }
 
-impl<F: Fn(u64, &mut Vec<Action>)> SmallRouter<F> {
-    /// Records a decision; returns the actions as they were decided.
+impl<F: Fn(u64, &mut Vec<Action>)> SimulatedRouter<F> {
+    /// Records a decision; returns the actions before `change`.
     fn decide(&mut self, event: RecordedEvent) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, &event.event(), &mut actions);
@@ -104,6 +106,7 @@
         decided
     }
 
+    /// Records an endpoint list with three workers.
     fn list_workers(&mut self) {
         let endpoint = |worker| Endpoint {
             worker,
@@ -126,9 +129,9 @@
         });
     }
 
-    /// Accepts an invocation and succeeds at once in every dispatch.
+    /// Accepts an invocation; each dispatch of it succeeds after a millisecond.
     fn invoke(&mut self, invocation: InvocationIndex) {
-        self.now += 3 * MS;
+        self.now += 3 * MILLISECOND;
         let accepted = Record::Accepted {
             invocation,
             front: 0,
@@ -143,16 +146,16 @@
             function: 0,
             fingerprint: cedarpulley::ids::fingerprint("quote:7"),
             cost_hint: None,
-            load_hint: Some(50 * MS),
+            load_hint: Some(50 * MILLISECOND),
             copy_mb: 10.0,
             lanes: 8,
-            client_timeout_in: 3_000 * MS,
+            client_timeout_in: 3_000 * MILLISECOND,
             waited: 5,
             repeat: false,
             preferred_worker: None,
         };
         let actions = self.decide(RecordedEvent::Other(Event::Invocation(arrival)));
-        self.now += MS;
+        self.now += MILLISECOND;
         for action in actions {
             if let Action::Dispatch {
                 invocation, worker, ..
@@ -163,6 +166,7 @@
         }
     }
 
+    /// Records the successful answer and the end of a dispatch.
     fn succeed(&mut self, invocation: InvocationIndex, worker: WorkerIndex) {
         let answered = Record::Answered {
             invocation: Some(invocation),
@@ -171,7 +175,7 @@
             reason: AnswerReason::Worker,
             trigger: 0,
             account: 0,
-            took: MS,
+            took: MILLISECOND,
         };
         self.block.record(self.now, &answered);
         let ended = DispatchEnded {
@@ -179,7 +183,7 @@
             dispatch: 0,
             worker,
             outcome: DispatchOutcome::Succeeded,
-            took: MS,
+            took: MILLISECOND,
             answered: true,
             copy_status: CopyStatus::Warm,
             function_load: Some(1),
@@ -192,11 +196,12 @@
     }
 }
 
-/// What a small router would have seen, as its module decided it, in so many blocks.
-pub fn written(blocks: usize, change: impl Fn(u64, &mut Vec<Action>)) -> Vec<u8> {
+/// A trace file with the given number of blocks, with four invocations each. `change` may change the recorded actions
+/// of the decision whose number it is called with.
+pub fn trace_file(blocks: usize, change: impl Fn(u64, &mut Vec<Action>)) -> Vec<u8> {
     let start = start();
     let mut file = TraceFileWriter::begin(Vec::new(), &[start.clone().into()]).expect("written");
-    let mut router = SmallRouter {
+    let mut router = SimulatedRouter {
         balancer: start.balancer(),
         block: BlockBuilder::default(),
         now: 0,
@@ -216,7 +221,7 @@
     file.finish().expect("written")
 }
 
-/// Of all blocks, by the index.
+/// The locations of all blocks, from the index.
 pub fn block_locations(bytes: &[u8]) -> Vec<BlockLocation> {
     let mut reader = Reader::open(Cursor::new(bytes)).expect("a trace");
     assert!(reader.has_index());
--- a/crates/trace/tests/killed.rs
+++ b/crates/trace/tests/writer_kill.rs
@@ -1,6 +1,7 @@
-//! A writer that is killed outright, a hundred times: what is left is read without damage, in order, without a hole.
+//! Guards against trace files that cannot be read after the router was killed: a writer process is killed a hundred
+//! times at different moments, and the files must contain whole blocks only, in order and without missing records.
 
-mod small;
+mod sample_trace;
 
 use std::fs::File;
 use std::io::BufReader;
@@ -16,54 +17,58 @@
 use cedarpulley_trace::retention::RetentionLimits;
 use cedarpulley_trace::writer::{FileSeries, WriterMessage, run_writer, trace_files};
 
-/// Set for the process that is going to be killed.
-const FOLDER: &str = "CEDARPULLEY_TEST_TRACE_FOLDER";
+/// Environment variable with the folder of the process that will be killed.
+const FOLDER_VARIABLE: &str = "CEDARPULLEY_TEST_TRACE_FOLDER";
 
-/// Only with its folder set, as the process to be killed; it ends by itself, should nobody kill it.
+/// Runs only if the folder is set, as the process that will be killed; it ends after 50,000 blocks if it is not killed.
 #[test]
 fn child_process_writes_until_killed() {
-    let Some(folder) = std::env::var_os(FOLDER) else {
+    let Some(folder) = std::env::var_os(FOLDER_VARIABLE) else {
         return;
     };
-    let row = FileSeries {
+    let series = FileSeries {
         folder: PathBuf::from(folder),
         name: "r".into(),
         started_at_ms: 1,
     };
-    let bounds = RetentionLimits {
+    let limits = RetentionLimits {
         file_bytes: 20_000,
         file_age: i64::MAX,
         budget_bytes: u64::MAX,
     };
-    let (notes, received) = sync_channel(4);
+    let (messages, received) = sync_channel(4);
     let writer = std::thread::spawn(move || {
-        run_writer(row, small::start(), bounds, received, |why| panic!("{why}"))
+        run_writer(series, sample_trace::start(), limits, received, |failure| {
+            panic!("{failure}")
+        })
     });
     for block in 0..50_000_u64 {
-        let (mut g, now) = (BlockBuilder::default(), block as i64 * 100);
+        let (mut builder, now) = (BlockBuilder::default(), block as i64 * 100);
         for n in 0..100 {
-            // Tokens in order, as the records' numbers; spread so that they do not pack to nothing.
+            // The tokens are the numbers of the records. The delays are pseudo-random, so that the block does not
+            // compress to almost nothing.
             let token = block * 100 + n;
             let event = RecordedEvent::Other(Event::Timer { token });
             let after = (token.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 20) as i64;
             let actions = vec![cedarpulley::interface::Action::Timer { token, after }];
-            g.record(now + n as i64, &Record::Decided { event, actions });
+            builder.record(now + n as i64, &Record::Decided { event, actions });
         }
-        notes
-            .send(WriterMessage::Block(now, g.close()))
-            .expect("the writer stands");
+        messages
+            .send(WriterMessage::Block(now, builder.close()))
+            .expect("the writer is running");
     }
-    drop(notes);
-    writer.join().expect("it ends");
+    drop(messages);
+    writer.join().expect("the writer ends");
 }
 
-fn left(folder: &Path) -> (u64, usize) {
+/// Checks the files of a killed writer; returns the numbers of records and files.
+fn check_files(folder: &Path) -> (u64, usize) {
     let files = trace_files(folder).expect("a folder");
     let (mut next, last) = (0, files.len().saturating_sub(1));
     for (n, file) in files.iter().enumerate() {
         let input = BufReader::new(File::open(file).expect("a file"));
         let Ok(mut reader) = Reader::open(input) else {
-            // Killed before its head was whole.
+            // The writer was killed before the header was complete.
             assert_eq!(n, last, "{}", file.display());
             break;
         };
@@ -94,32 +99,32 @@
 
 #[test]
 fn a_writer_killed_at_any_moment_leaves_only_whole_blocks() {
-    let me = std::env::current_exe().expect("a path");
-    let (mut some, mut files) = (0, 0);
+    let test_binary = std::env::current_exe().expect("a path");
+    let (mut runs_with_records, mut files) = (0, 0);
     for n in 0..100_u64 {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("killed-{n}"));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
-        let mut child = Command::new(&me)
+        let mut child = Command::new(&test_binary)
             .args(["--exact", "child_process_writes_until_killed"])
-            .env(FOLDER, &folder)
+            .env(FOLDER_VARIABLE, &folder)
             .stdout(Stdio::null())
             .spawn()
             .expect("started");
-        // From before its first byte to many files on, by a fixed seed.
+        // The delays, from a fixed formula, range from before the first byte to after many files.
         std::thread::sleep(Duration::from_micros(
             2_000 + n.wrapping_mul(0x9E37_79B9) % 60_000,
         ));
         child.kill().expect("killed");
-        child.wait().expect("gone");
-        let (records, of) = left(&folder);
-        some += usize::from(records > 0);
-        files += of;
+        child.wait().expect("ended");
+        let (records, file_count) = check_files(&folder);
+        runs_with_records += usize::from(records > 0);
+        files += file_count;
         std::fs::remove_dir_all(&folder).expect("removed");
     }
-    // On the slowest disk too: enough to have been worth the trying.
+    // Also on a slow disk, enough runs must have written records for the test to be meaningful.
     assert!(
-        some > 10 && files > 20,
-        "{some} of a hundred had anything, in {files} files"
+        runs_with_records > 10 && files > 20,
+        "{runs_with_records} of a hundred runs wrote records, in {files} files"
     );
 }
