--- a/crates/trace/src/explain.rs
+++ b/crates/trace/src/explain.rs
@@ -329,7 +329,7 @@
         return cause;
     }
     match open.dispatched_to {
-        // The dispatch was in flight until the invocation ended.
+        // The dispatch was in flight until the client's timeout.
         Some(worker) => Cause::WorkerUnresponsive(state.worker(worker)),
         None if state.without_capacity.contains(&open.function) => {
             Cause::NoLoadCapacity(state.function(open.function))
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -186,8 +186,9 @@
 }
 
 /// Merges files into one that contains all their sources. The compressed blocks are copied in the order of the wall
-/// clock at which they begin. One block and the index of the merged file are in memory. `ahead` contains how far each
-/// file's clock is ahead in microseconds. Returns the number of damaged blocks that were left out.
+/// clock at which they begin. Only one block, the location of each file's next block and the index of the merged file
+/// are in memory. `ahead` contains how far each file's clock is ahead in microseconds. Returns the number of damaged
+/// blocks that were left out.
 pub fn merge<R: Read + Seek, W: Write>(
     readers: &mut [Reader<R>],
     ahead: &[Micros],
--- a/crates/trace/tests/file_format.rs
+++ b/crates/trace/tests/file_format.rs
@@ -208,7 +208,7 @@
     clippy::too_many_lines,
     reason = "one scenario or table of cases in order"
 )]
-fn writing_goes_on_after_a_file_that_could_not_be_begun() {
+fn writing_continues_after_a_file_could_not_be_begun() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("spent");
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
