--- a/crates/kserve/build.rs
+++ b/crates/kserve/build.rs
@@ -6,7 +6,7 @@
         println!("cargo::rerun-if-changed={file}");
     }
     let descriptors = protox::compile(files, ["proto"])?;
-    // Sorted maps: the same message always has the same bytes.
+    // Sorted maps make the encoding deterministic: equal messages have equal bytes.
     prost_build::Config::new()
         .btree_map(["."])
         .bytes(["."])
--- a/crates/kserve/src/client_requests.rs
+++ b/crates/kserve/src/client_requests.rs
@@ -1,5 +1,5 @@
-//! KServe v2 as a server over HTTP, free of I/O: what a client's path asks for, what its headers mean, and what the
-//! responses look like. `docs/operate/kserve-requests.md` has the table for operators.
+//! The server side of KServe v2 over HTTP, free of I/O: parses the paths and headers of clients' requests and builds
+//! the bodies of the responses. `docs/operate/kserve-requests.md` lists the headers for operators.
 
 use cedarpulley::interface::Micros;
 use cedarpulley_errors::Remedy;
@@ -10,56 +10,56 @@
 use crate::response_headers::text;
 use crate::worker_requests::{ACCOUNT, IDEMPOTENCY_KEY, JSON_LENGTH, TRIGGER_TYPE, VERSIONS};
 
-/// Milliseconds after which the client stops waiting.
+/// Request header: time after which the client stops waiting, in milliseconds.
 pub const CLIENT_TIMEOUT_MS: &str = "cedarpulley-client-timeout-ms";
-/// When the client sent the request, in microseconds since 1970.
+/// Request header: when the client sent the request, in microseconds since 1970.
 pub const SENT_AT_US: &str = "cedarpulley-sent-at-us";
-/// Expected work, in microseconds.
+/// Request header: expected duration of the work, in microseconds.
 pub const COST_HINT_US: &str = "cedarpulley-cost-hint-us";
-/// Expected time to load a copy, in microseconds.
+/// Request header: expected time to load a copy, in microseconds.
 pub const LOAD_HINT_US: &str = "cedarpulley-load-hint-us";
-/// Size of a copy, in megabytes.
+/// Request header: size of a copy, in megabytes.
 pub const COPY_MB: &str = "cedarpulley-copy-mb";
-/// Invocations that one copy runs at a time.
+/// Request header: number of invocations that one copy runs at a time.
 pub const LANES: &str = "cedarpulley-lanes";
-/// `true`: the request is the client's own retry.
-pub const REPEAT: &str = "cedarpulley-repeat";
-/// In responses: the final outcome.
+/// Request header: `true` marks the request as the client's own retry.
+pub const CLIENT_RETRY: &str = "cedarpulley-repeat";
+/// Response header: the final outcome.
 pub const OUTCOME: &str = "cedarpulley-fate";
-/// In responses: the reason for the outcome.
+/// Response header: the reason for the outcome.
 pub const REASON: &str = "cedarpulley-reason";
 
-/// A day: longer waits are not accepted, and longer clock differences are cut to this.
+/// One day, in microseconds: longer time-outs and hints are rejected, and a longer time since sending is clamped to it.
 const MAX_DURATION_US: i64 = 86_400_000_000;
 const MAX_LANES: i64 = 10_000;
 const MAX_NAME_BYTES: usize = 255;
 const MAX_COPY_MB: i64 = 1 << 30;
 
-/// What a client's request asks for, by its method and path. Functions are named with their version, if any.
+/// The kind of a client's request, by method and path. Functions are named with their version, if any.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientRequest {
     /// Whether the server is alive.
     ServerLive,
-    /// Whether the server takes requests.
+    /// Whether the server accepts requests.
     ServerReady,
     /// The server's name and extensions.
     ServerMetadata,
     /// The list of models.
     RepositoryIndex,
-    /// Whether a model takes requests.
+    /// Whether a model accepts requests.
     ModelReady(String),
-    /// A model's description.
+    /// The metadata of a model.
     ModelMetadata(String),
-    /// To run a model.
+    /// Runs a model.
     Infer(String),
-    /// There is no such path.
+    /// The path does not exist.
     Unknown,
     /// The path exists, but not for this method.
     WrongMethod,
 }
 
-/// The function that a model's name and version make. Absent if the name is empty or too long, or if one of them
-/// contains what separates them in a function's name.
+/// Returns the name of the function for a model's name and version. Returns `None` if the model's name is empty, if a
+/// name is longer than 255 bytes, or if the model's name or version contains the separator [`VERSIONS`].
 pub fn function_name(name: &str, version: &str) -> Option<String> {
     let is_valid = |text: &str| text.len() <= MAX_NAME_BYTES && !text.contains(VERSIONS);
     match (name, version) {
@@ -73,12 +73,12 @@
     }
 }
 
-/// Name and version of a function; the version is empty if it has none.
+/// Splits the name of a function into the model's name and version; the version is empty if the function has none.
 pub fn split_version(function: &str) -> (&str, &str) {
     function.split_once(VERSIONS).unwrap_or((function, ""))
 }
 
-/// Reads what is asked for from a request's method and path.
+/// Parses a request's method and path.
 pub fn parse_path(method: &Method, path: &str) -> ClientRequest {
     let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
     let decode = |segment: &str| {
@@ -126,7 +126,7 @@
     }
 }
 
-/// What the headers of an infer request say.
+/// The contents of the headers of an infer request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InferHeaders {
     /// Name of the trigger type.
@@ -135,41 +135,42 @@
     pub account: Option<String>,
     /// The idempotency key.
     pub idempotency_key: Option<String>,
-    /// Time since the client sent the request, 0 if it does not say when; at most a day.
+    /// Time since the client sent the request, in microseconds: 0 if the client does not state when it sent the
+    /// request, and at most a day.
     pub waited: Micros,
-    /// The client stops waiting after this time.
+    /// Time after which the client stops waiting, in microseconds.
     pub client_timeout: Option<Micros>,
-    /// Expected work.
+    /// Expected duration of the work, in microseconds.
     pub cost_hint: Option<Micros>,
-    /// Expected time to load a copy.
+    /// Expected time to load a copy, in microseconds.
     pub load_hint: Option<Micros>,
-    /// Size of a copy in megabytes, 0 if not known.
+    /// Size of a copy in megabytes; 0 if unknown.
     pub copy_mb: f64,
-    /// Invocations that one copy runs at a time, at least 1.
+    /// Number of invocations that one copy runs at a time; at least 1.
     pub lanes: u32,
-    /// The client marks the request as its own retry.
+    /// Whether the client marked the request as its own retry.
     pub repeat: bool,
-    /// Where raw tensors follow the JSON in the body: the length of the JSON in bytes.
+    /// Length of the JSON in bytes if raw tensors follow it in the body.
     pub json_length: Option<u32>,
 }
 
-/// A header that cannot be used; shown to the client.
+/// An invalid header; shown to the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {cause}")]
 pub struct InvalidField {
     /// Name of the header.
     pub field: &'static str,
-    /// What is wrong with its value.
+    /// Why the value is invalid.
     pub cause: String,
 }
 
 impl Remedy for InvalidField {
     fn remedy(&self) -> &'static str {
-        "have its client send that header as docs/operate/kserve-requests.md says"
+        "change the client to send the header as described in docs/operate/kserve-requests.md"
     }
 }
 
-/// Reads the headers of an infer request. `wall`: microseconds since 1970 by this router's clock.
+/// Parses the headers of an infer request. `wall`: the time by this router's clock, in microseconds since 1970.
 pub fn parse_infer_headers(
     headers: &HeaderMap,
     wall: Micros,
@@ -178,7 +179,7 @@
     let number = |name, max| whole_number(headers, name, max);
     let trigger_type = text(TRIGGER_TYPE)?.ok_or_else(|| InvalidField {
         field: TRIGGER_TYPE,
-        cause: "no trigger type is named".into(),
+        cause: "the header is missing".into(),
     })?;
     let sent_at = number(SENT_AT_US, i64::MAX)?;
     Ok(InferHeaders {
@@ -193,12 +194,12 @@
         load_hint: number(LOAD_HINT_US, MAX_DURATION_US)?,
         copy_mb: number(COPY_MB, MAX_COPY_MB)?.unwrap_or(0) as f64,
         lanes: number(LANES, MAX_LANES)?.unwrap_or(1).max(1) as u32,
-        repeat: text(REPEAT)?.as_deref() == Some("true"),
+        repeat: text(CLIENT_RETRY)?.as_deref() == Some("true"),
         json_length: number(JSON_LENGTH, i64::from(u32::MAX))?.map(|length| length as u32),
     })
 }
 
-/// A header's text of 1 to 255 bytes.
+/// Returns the value of a header if it is text of 1 to 255 bytes.
 fn short_text(headers: &HeaderMap, name: &'static str) -> Result<Option<String>, InvalidField> {
     if !headers.contains_key(name) {
         return Ok(None);
@@ -207,12 +208,12 @@
         Some(text) => Ok(Some(text.to_owned())),
         None => Err(InvalidField {
             field: name,
-            cause: "not a text of 1 to 255 bytes".into(),
+            cause: "not text of 1 to 255 bytes".into(),
         }),
     }
 }
 
-/// A header's whole number from 0 to `max`.
+/// Returns the value of a header if it is an integer from 0 to `max`.
 fn whole_number(
     headers: &HeaderMap,
     name: &'static str,
@@ -225,13 +226,13 @@
         Ok(number) if (0..=max).contains(&number) => Ok(Some(number)),
         _ => Err(InvalidField {
             field: name,
-            cause: format!("'{text}' is not within 0 to {max}"),
+            cause: format!("'{text}' is not an integer from 0 to {max}"),
         }),
     }
 }
 
-/// Status of a response to an invocation that failed. `not_executed`: it certainly did not run, so the client may
-/// safely retry; otherwise nothing is promised.
+/// Returns the status of the response to a failed invocation. `not_executed`: the invocation certainly did not run,
+/// so the client may safely retry; otherwise it may have run.
 pub fn failure_status(not_executed: bool) -> StatusCode {
     if not_executed {
         StatusCode::TOO_MANY_REQUESTS
@@ -240,7 +241,7 @@
     }
 }
 
-/// Value of the Retry-After header: whole seconds, rounded up so that no client comes back too early.
+/// Returns the value of the `Retry-After` header, in seconds. It is rounded up so that no client retries too early.
 pub fn retry_after(wait: Micros) -> i64 {
     (wait.max(0) + 999_999) / 1_000_000
 }
@@ -248,7 +249,8 @@
 /// The protocol extensions that this server offers.
 pub const EXTENSIONS: [&str; 2] = ["binary_tensor_data", "model_repository"];
 
-/// Body of the response with a model's metadata. Inputs and outputs are empty: only the workers know them.
+/// Builds the body of the response with a model's metadata. Inputs and outputs are empty because only the workers know
+/// them.
 pub fn metadata(function: &str) -> String {
     let (name, version) = split_version(function);
     let versions: Vec<&str> = if version.is_empty() {
@@ -260,8 +262,8 @@
         .to_string()
 }
 
-/// Body of the response with the list of models, for the functions that were recently asked for. Each is loaded on
-/// demand, and therefore reported as ready.
+/// Builds the body of the response with the list of models, for the functions that clients requested recently. All of
+/// them are reported as ready, because they are loaded on demand.
 pub fn index(functions: &[String]) -> String {
     let entry = |function: &String| {
         let (name, version) = split_version(function);
@@ -270,7 +272,7 @@
     serde_json::Value::Array(functions.iter().map(entry).collect()).to_string()
 }
 
-/// Body of the response to a request that failed.
+/// Builds the body of the response to a failed request.
 pub fn error(cause: &str) -> String {
     json!({ "error": cause }).to_string()
 }
--- a/crates/kserve/src/grpc.rs
+++ b/crates/kserve/src/grpc.rs
@@ -1,5 +1,5 @@
-//! KServe v2 as a server over gRPC, free of I/O: message frames, methods, time-outs and trailers. The headers beside
-//! a message are those of [`crate::client_requests`]: both protocols share one table.
+//! The server side of KServe v2 over gRPC, free of I/O: message frames, methods, time-outs and trailers. Calls have the
+//! same `cedarpulley-` headers as requests over HTTP; [`crate::client_requests`] parses them for both protocols.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
@@ -21,7 +21,7 @@
     include!(concat!(env!("OUT_DIR"), "/details.rs"));
 }
 
-/// Request header: time until the client stops waiting.
+/// Request header: the time for which the client waits for the response.
 pub const TIMEOUT: &str = "grpc-timeout";
 /// Trailer: the [`Code`].
 pub const STATUS: &str = "grpc-status";
@@ -29,27 +29,27 @@
 pub const MESSAGE: &str = "grpc-message";
 /// Trailer: the encoded `google.rpc.Status` with its details.
 pub const DETAILS: &str = "grpc-status-details-bin";
-/// Trailer: milliseconds after which a client's retry policy may retry.
-pub const PUSHBACK: &str = "grpc-retry-pushback-ms";
+/// Trailer: the number of milliseconds after which a client's retry policy may retry.
+pub const RETRY_PUSHBACK_MS: &str = "grpc-retry-pushback-ms";
 /// The content type of requests and responses.
 pub const CONTENT_TYPE: &str = "application/grpc";
-/// Bytes before each message: a compression flag and four bytes of length.
+/// Length of the header before each message, in bytes: one byte of compression flag and four bytes of length.
 pub const FRAME_HEADER_BYTES: usize = 5;
 
-/// The status codes that this server answers with.
+/// The gRPC status codes that this server uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
     /// Success.
     Ok = 0,
-    /// Failed, and may have run. No client retries this code by default.
+    /// The invocation failed and may have run. Clients do not retry this code by default.
     Unknown = 2,
-    /// The request cannot be used.
+    /// The request is invalid.
     InvalidArgument = 3,
-    /// Failed as its time ran out, and may have run.
+    /// The invocation timed out and may have run.
     DeadlineExceeded = 4,
-    /// Rejected: it did not run.
+    /// The invocation was rejected and did not run.
     ResourceExhausted = 8,
-    /// There is no such method.
+    /// The method does not exist.
     Unimplemented = 12,
     /// The response could not be built.
     Internal = 13,
@@ -60,21 +60,21 @@
 pub enum Method {
     /// Whether the server is alive.
     ServerLive,
-    /// Whether the server takes requests.
+    /// Whether the server accepts requests.
     ServerReady,
-    /// Whether a model takes requests.
+    /// Whether a model accepts requests.
     ModelReady,
     /// The server's name and extensions.
     ServerMetadata,
-    /// A model's description.
+    /// The metadata of a model.
     ModelMetadata,
-    /// To run a model.
+    /// Runs a model.
     ModelInfer,
     /// The list of models.
     RepositoryIndex,
 }
 
-/// The method of a call's path; absent if it is not offered.
+/// Returns the method that a call's path names, or `None` if this server does not offer it.
 pub fn method(path: &str) -> Option<Method> {
     match path.strip_prefix("/inference.GRPCInferenceService/")? {
         "ServerLive" => Some(Method::ServerLive),
@@ -88,28 +88,31 @@
     }
 }
 
-/// Why a call is not one message with a valid time-out; shown to the client.
+/// Why a call cannot be used: its body is not exactly one uncompressed message, or its time-out is malformed. Shown to
+/// the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.cause())]
 pub enum InvalidCall {
-    /// The body ends before the message does.
+    /// The body is shorter than the message.
     Truncated,
     /// The message is compressed.
     Compressed,
-    /// The body goes on after the message.
+    /// The body continues after the message.
     TrailingBytes,
     /// The time-out is malformed.
     Timeout,
 }
 
 impl InvalidCall {
-    /// The error message.
+    /// The text of the error.
     pub fn cause(self) -> &'static str {
         match self {
-            InvalidCall::Truncated => "the message broke off",
-            InvalidCall::Compressed => "compressed messages are not taken",
-            InvalidCall::TrailingBytes => "more than one message came",
-            InvalidCall::Timeout => "not up to eight digits and one of H, M, S, m, u, n",
+            InvalidCall::Truncated => "the message is incomplete",
+            InvalidCall::Compressed => "compressed messages are not supported",
+            InvalidCall::TrailingBytes => "the call contains more than one message",
+            InvalidCall::Timeout => {
+                "not one to eight digits followed by a unit (H, M, S, m, u or n)"
+            }
         }
     }
 }
@@ -117,15 +120,17 @@
 impl Remedy for InvalidCall {
     fn remedy(&self) -> &'static str {
         match self {
-            InvalidCall::Truncated => "see whether its client gave up, or lost its connection",
-            InvalidCall::Compressed => "have its client send without compression",
-            InvalidCall::TrailingBytes => "have its client send one message a call",
-            InvalidCall::Timeout => "have its client write the time-out as gRPC does",
+            InvalidCall::Truncated => {
+                "check whether the client cancelled the call or lost its connection"
+            }
+            InvalidCall::Compressed => "configure the client to send without compression",
+            InvalidCall::TrailingBytes => "change the client to send one message per call",
+            InvalidCall::Timeout => "change the client to send grpc-timeout in the format of gRPC",
         }
     }
 }
 
-/// Takes the one message of a unary call out of its frame.
+/// Returns the message of a unary call without its frame.
 pub fn unframe(body: Bytes) -> Result<Bytes, InvalidCall> {
     if body.len() < FRAME_HEADER_BYTES {
         return Err(InvalidCall::Truncated);
@@ -141,7 +146,7 @@
     }
 }
 
-/// Encodes a message within its frame. Empty if the message is too long for a frame.
+/// Encodes a message with its frame. Returns no bytes if the message is too long for a frame.
 pub fn frame(message: &impl Message) -> Bytes {
     let Ok(length) = u32::try_from(message.encoded_len()) else {
         return Bytes::new();
@@ -149,12 +154,12 @@
     let mut out = BytesMut::with_capacity(FRAME_HEADER_BYTES + length as usize);
     out.put_u8(0);
     out.put_u32(length);
-    // Encoding fails only for lack of space, and the buffer has the message's length.
+    // Encoding fails only if the buffer is too small, and this buffer has the message's length.
     let _ = message.encode(&mut out);
     out.freeze()
 }
 
-/// Reads [`TIMEOUT`]: up to eight digits and a unit. Absent if there is no such header.
+/// Parses the header [`TIMEOUT`]: one to eight digits and a unit. Returns `None` if there is no such header.
 pub fn timeout(headers: &HeaderMap) -> Result<Option<Micros>, InvalidCall> {
     let Some(value) = headers.get(TIMEOUT) else {
         return Ok(None);
@@ -174,26 +179,26 @@
         'S' => count * 1_000_000,
         'm' => count * 1_000,
         'u' => count,
-        // Rounded down, so that it is never later than the client's own time-out.
+        // Rounded down, so that the time-out here is never longer than the client's own.
         'n' => count / 1_000,
         _ => return Err(InvalidCall::Timeout),
     };
     Ok(Some(micros))
 }
 
-/// The trailers of a response. `retry_after`: the wait before a retry; only given where a retry is safe.
+/// Builds the trailers of a response. `retry_after`: the wait before a retry; given only if a retry is safe.
 pub fn trailers(code: Code, message: &str, retry_after: Option<Micros>) -> HeaderMap {
     let mut trailers = HeaderMap::new();
     trailers.insert(STATUS, (code as u32).into());
     if !message.is_empty()
-        && let Ok(value) = escape(message).parse()
+        && let Ok(value) = percent_encode(message).parse()
     {
         trailers.insert(MESSAGE, value);
     }
     if let Some(wait) = retry_after {
         let wait = wait.max(0);
         trailers.insert(
-            PUSHBACK,
+            RETRY_PUSHBACK_MS,
             (wait.div_euclid(1_000) + i64::from(wait % 1_000 > 0)).into(),
         );
         let status = retry_status(code, message, wait);
@@ -204,7 +209,7 @@
     trailers
 }
 
-/// The `google.rpc.Status` of a response with a `RetryInfo` as its only detail.
+/// Builds a `google.rpc.Status` with a `RetryInfo` as its only detail.
 fn retry_status(code: Code, message: &str, wait: Micros) -> details::Status {
     let info = details::RetryInfo {
         retry_delay: Some(details::Span {
@@ -223,8 +228,8 @@
     }
 }
 
-/// Percent-encodes what is not printable ASCII, as gRPC requires of [`MESSAGE`].
-fn escape(text: &str) -> String {
+/// Percent-encodes the percent sign and everything that is not printable ASCII, as gRPC requires for [`MESSAGE`].
+fn percent_encode(text: &str) -> String {
     const ESCAPED: percent_encoding::AsciiSet = percent_encoding::CONTROLS.add(b'%');
     percent_encoding::utf8_percent_encode(text, &ESCAPED).to_string()
 }
--- a/crates/kserve/src/lib.rs
+++ b/crates/kserve/src/lib.rs
@@ -1,18 +1,18 @@
 //! The KServe v2 inference protocol, free of I/O, in both directions: the router as a client of its workers, and the
 //! router as a server for its own clients.
 //!
-//! Towards workers:
-//! * [`worker_requests`]: infer, load, unload, index, ready and live, as HTTP requests.
+//! Requests to workers:
+//! * [`worker_requests`]: builds the HTTP requests infer, load, unload, index, ready and live.
 //! * [`outcomes`]: every way in which an exchange with a worker can end, and whether the worker may have run the
-//!   invocation; begin reading here.
-//! * [`response_headers`]: what a worker's response headers report: copy status, load, memory usage.
+//!   invocation; start reading here.
+//! * [`response_headers`]: parses copy status, load and memory usage from the headers of a worker's response.
 //! * [`repository_index`]: the list of models that a worker has loaded.
 //!
-//! Towards clients:
+//! Requests of clients:
 //! * [`client_requests`]: paths and headers of requests over HTTP, and the responses to them.
-//! * [`grpc`]: framing, methods, time-outs and trailers of calls over gRPC; its messages are generated from `proto/`.
-//! * [`tensors`]: conversion between gRPC messages and the JSON with raw tensors that workers speak.
-//! * [`sequences`]: the session that a request belongs to.
+//! * [`grpc`]: framing, methods, time-outs and trailers of calls over gRPC; the messages are generated from `proto/`.
+//! * [`tensors`]: conversion between gRPC messages and the JSON with raw tensors that workers use.
+//! * [`sequences`]: parses which session a request belongs to.
 
 #![warn(missing_docs)]
 
--- a/crates/kserve/src/outcomes.rs
+++ b/crates/kserve/src/outcomes.rs
@@ -1,9 +1,11 @@
-//! How an exchange with a worker ended, and what the decision module is told of it: the one table from socket events
-//! to a [`DispatchOutcome`].
+//! Classifies how an exchange with a worker ended. This is the only place that maps socket events and responses to the
+//! [`DispatchOutcome`] that the balancer receives.
 //!
-//! It rests on three rules. A request of which no byte was sent did not run. Once a byte was sent, any failure of the
-//! connection leaves open whether it ran. And a worker's rejection proves that it did not run only if the worker
-//! states so explicitly (`cedarpulley-ran: no`), which it does before it begins any work.
+//! The mapping follows three rules:
+//! 1. If no byte of a request was sent, the invocation did not run.
+//! 2. Once a byte was sent, the invocation may have run, whatever failure of the connection follows.
+//! 3. A worker's rejection proves that the invocation did not run only if the response has the header
+//!    `cedarpulley-ran: no`, which a worker sends only before it begins any work.
 
 use cedarpulley::interface::{CopyStatus, DispatchOutcome, LoadOrderResult, LoadReport};
 use http::{HeaderMap, StatusCode};
@@ -11,53 +13,54 @@
 use crate::response_headers;
 use crate::worker_requests::{JSON_LENGTH, VERSIONS};
 
-/// Bodies up to this many bytes are searched for the name of the model that answered.
+/// Larger response bodies, in bytes, are not parsed for the name of the model that answered.
 const MAX_BODY_SEARCHED_FOR_MODEL: usize = 64 * 1024;
 
 /// How an exchange with a worker ended.
 #[derive(Clone, Debug)]
 pub enum ExchangeOutcome<'a> {
-    /// The connection was refused, reset or not accepted in time.
+    /// No connection was established: it was refused, reset or timed out.
     Unreachable,
-    /// All connections that are allowed to this worker are in use.
+    /// The limit on connections to this worker is reached, and all of them are in use.
     ConnectionLimit,
     /// The connection failed before the response was complete.
     ConnectionLost {
-        /// At least one byte of the request was sent.
+        /// Whether at least one byte of the request was sent.
         bytes_sent: bool,
     },
-    /// The response is not HTTP, its head has no end, or its body broke off.
+    /// The response is not HTTP, or its headers or its body are incomplete.
     MalformedResponse,
-    /// The response exceeds the size limit and was not read to its end.
+    /// The response is larger than the size limit and was not read to its end.
     ResponseTooLarge,
     /// The worker sent a complete response.
     Responded {
-        /// Its status.
+        /// The status of the response.
         status: StatusCode,
-        /// Its headers.
+        /// The headers of the response.
         headers: &'a HeaderMap,
-        /// Its body.
+        /// The body of the response.
         body: &'a [u8],
-        /// The function that the request was for.
+        /// The function that the request named.
         function: &'a str,
     },
 }
 
-/// What an exchange for an invocation means to the decision module.
+/// The result of a dispatch, as it is passed to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InferenceResult {
     /// How the dispatch ended.
     pub outcome: DispatchOutcome,
-    /// The state of the copy that served it, if reported.
+    /// The state of the copy that served the invocation, if reported.
     pub copy_status: CopyStatus,
-    /// Invocations of the same function that were in flight at the worker when this one came, if reported.
+    /// Number of invocations of the same function that were in flight at the worker when this invocation arrived, if
+    /// reported.
     pub function_load: Option<u32>,
-    /// The worker's load report; empty if there is none.
+    /// The worker's load report; empty if the response has none.
     pub report: LoadReport,
 }
 
 impl InferenceResult {
-    /// The result of an exchange without a usable response.
+    /// Returns the result of an exchange without a usable response.
     fn without_response(outcome: DispatchOutcome) -> Self {
         InferenceResult {
             outcome,
@@ -68,17 +71,17 @@
     }
 }
 
-/// Interprets the exchange of an infer request.
+/// Classifies the exchange of an infer request.
 pub fn classify_inference(exchange: &ExchangeOutcome) -> InferenceResult {
     match exchange {
         ExchangeOutcome::Unreachable => {
             InferenceResult::without_response(DispatchOutcome::Unreachable)
         }
-        // For this router the worker is full, as if its queue were.
+        // Handled like a full queue at the worker: this router cannot send it any more requests.
         ExchangeOutcome::ConnectionLimit => {
             InferenceResult::without_response(DispatchOutcome::Rejected)
         }
-        // Symptom: the worker closes an idle connection just as a request is written to it.
+        // Happens when the worker closes an idle connection just as a request is written to it.
         ExchangeOutcome::ConnectionLost { bytes_sent: false } => {
             InferenceResult::without_response(DispatchOutcome::NotSent)
         }
@@ -111,7 +114,7 @@
 ) -> DispatchOutcome {
     let not_executed = response_headers::text(headers, response_headers::RAN) == Some("no");
     match status.as_u16() {
-        // Symptom: the headers announce raw tensors that the body does not have.
+        // Detects headers that announce raw tensors which the body does not contain.
         200 if json_length(headers, body).is_none() => DispatchOutcome::Errored,
         200 if is_from_other_model(headers, body, function) => DispatchOutcome::Errored,
         200 => DispatchOutcome::Succeeded,
@@ -121,8 +124,8 @@
     }
 }
 
-/// How many bytes of a response's body are JSON: all of them, unless the header of the binary-data extension names
-/// fewer. Absent if that header is malformed or names more than there are.
+/// Returns the length of the JSON in a response's body, in bytes: the whole body, unless the header of the binary-data
+/// extension states a shorter length. Returns `None` if that header is malformed or exceeds the length of the body.
 pub fn json_length(headers: &HeaderMap, body: &[u8]) -> Option<usize> {
     match headers.get(JSON_LENGTH) {
         None => Some(body.len()),
@@ -132,8 +135,8 @@
     }
 }
 
-/// Interprets the exchange of a load order or of a readiness query. Returns the result and the number of copies
-/// loaded at the worker now.
+/// Classifies the exchange of a load order or of a readiness query. Returns the result and the number of copies that
+/// are loaded at the worker now.
 pub fn classify_load_order(exchange: &ExchangeOutcome) -> (LoadOrderResult, u32) {
     match exchange {
         ExchangeOutcome::Unreachable => (LoadOrderResult::Unreachable, 0),
@@ -147,7 +150,7 @@
             let copies = response_headers::number(headers, response_headers::COPIES);
             match status.as_u16() {
                 200 => (LoadOrderResult::Loaded, copies.unwrap_or(1)),
-                // A readiness query's "not ready".
+                // The answer to a readiness query for a function that is not loaded.
                 404 => (LoadOrderResult::Loaded, 0),
                 429 | 503 | 507 => (LoadOrderResult::NoCapacity, copies.unwrap_or(0)),
                 _ => (LoadOrderResult::LoadFailed, copies.unwrap_or(0)),
@@ -156,7 +159,7 @@
     }
 }
 
-/// Interprets the exchange of a health check. Returns its outcome and the worker's load report.
+/// Classifies the exchange of a health check. Returns the outcome and the worker's load report.
 pub fn classify_health_check(exchange: &ExchangeOutcome) -> (DispatchOutcome, LoadReport) {
     match exchange {
         ExchangeOutcome::Responded {
@@ -173,10 +176,11 @@
     }
 }
 
-/// Symptom: a worker, or a proxy in front of it, answers for a model that was not asked for.
+/// Whether the response names another model than the requested one. Without this check, the wrong response of a worker,
+/// or of a proxy in front of it, would be passed to the client as a success.
 fn is_from_other_model(headers: &HeaderMap, body: &[u8], function: &str) -> bool {
     #[derive(serde::Deserialize)]
-    struct ResponseHead {
+    struct ResponseModel {
         model_name: Option<String>,
     }
     if let Some(name) = response_headers::text(headers, response_headers::MODEL) {
@@ -186,10 +190,10 @@
     if body.len() > MAX_BODY_SEARCHED_FOR_MODEL || body.first() != Some(&b'{') {
         return false;
     }
-    let answering_model = serde_json::from_slice::<ResponseHead>(body)
+    let answering_model = serde_json::from_slice::<ResponseModel>(body)
         .ok()
-        .and_then(|head| head.model_name);
-    // A worker names a model of a given version without the version.
+        .and_then(|response| response.model_name);
+    // A response names the model without the version, also where the request named a version.
     let unversioned = function
         .split_once(VERSIONS)
         .map_or(function, |(name, _)| name);
--- a/crates/kserve/src/repository_index.rs
+++ b/crates/kserve/src/repository_index.rs
@@ -1,6 +1,6 @@
-//! The model repository extension's index: which models a worker has loaded, as it answers
-//! `POST /v2/repository/index`. Workers that know this router add the number of copies, sessions and more in each
-//! entry's `parameters`; of any other worker a loaded model counts as one copy, and its sessions are not known.
+//! Parses the index of the model repository extension: the response of a worker to `POST /v2/repository/index`, which
+//! lists the models that it has loaded. Workers that support this router report the number of copies, the sessions and
+//! more in each entry's `parameters`. For other workers, a loaded model counts as one copy with unknown sessions.
 
 use std::collections::BTreeMap;
 
@@ -15,18 +15,18 @@
 use crate::response_headers::{number, text};
 use crate::worker_requests::VERSIONS;
 
-/// Response header: incarnation of the worker's process, any text that no other process of it uses.
+/// Response header: incarnation of the worker's process, a text that is different for each process of the worker.
 pub const INCARNATION: &str = "cedarpulley-life";
 /// Response header: memory of the worker in megabytes.
 pub const MEMORY_MB: &str = "cedarpulley-memory-mb";
 
-/// Entries beyond are left out, and the index counts as truncated.
+/// Largest number of entries that are read; an index with more entries is truncated.
 #[doc(hidden)]
 pub const MAX_ENTRIES: usize = 10_000;
-/// A longer list of an entry's sessions counts as not reported.
+/// Largest number of sessions per entry; a longer list counts as not reported.
 #[doc(hidden)]
 pub const MAX_SEQUENCES: usize = 4_096;
-/// Longest name, of a model, a version, a router or a sequence.
+/// Longest name of a model, version, router or sequence, in bytes.
 const MAX_NAME_BYTES: usize = 512;
 
 /// The models that a worker has loaded.
@@ -38,43 +38,43 @@
     pub memory_mb: f64,
     /// The models.
     pub models: Vec<ModelEntry>,
-    /// The worker reported more models than are listed here.
+    /// Whether the worker reported more models than are listed here.
     pub truncated: bool,
 }
 
 /// One model of the index.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ModelEntry {
-    /// The function, with its version if it has one.
+    /// Name of the function, with its version if it has one.
     pub function: String,
-    /// Loaded copies; 0: it is not loaded.
+    /// Number of loaded copies; 0 if the function is not loaded.
     pub copies: u32,
-    /// A load is in progress.
+    /// Whether a load is in progress.
     pub loading: bool,
-    /// Copies that are running an invocation, if reported.
+    /// Number of copies that are running an invocation, if reported.
     pub busy: Option<u32>,
-    /// How long its copies have been idle, if reported.
+    /// How long the copies have been idle, in microseconds, if reported.
     pub idle: Option<Micros>,
     /// The router that ordered the load, if reported.
     pub ordered_by: Option<String>,
     /// The term of the upgrade plan under which the load was ordered, if reported.
     pub term: Option<String>,
-    /// Ids of the sessions that it holds state of, if reported.
+    /// Ids of the sessions whose state the copies hold, if reported.
     pub sequences: Option<Vec<String>>,
 }
 
-/// Why a response is no index.
+/// Why a response is not a valid index.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidIndex {
-    /// The worker answered with another status than 200.
-    #[error("the worker answered the question for its index with status {0}")]
+    /// The status of the response is not 200.
+    #[error("the worker responded to the index query with status {0}")]
     Status(u16),
-    /// The body is no JSON list of entries.
-    #[error("the worker's index is no JSON list of models")]
+    /// The body is not a JSON list of entries.
+    #[error("the worker's index is not a JSON list of models")]
     Malformed,
-    /// The entry at this position, from 0, has no valid name.
+    /// The entry at this position, counted from 0, has no valid name.
     #[error(
-        "entry {0} of the worker's index has no name, or one longer than {MAX_NAME_BYTES} bytes"
+        "entry {0} of the worker's index has no name or a name longer than {MAX_NAME_BYTES} bytes"
     )]
     InvalidName(usize),
 }
@@ -83,15 +83,16 @@
     fn remedy(&self) -> &'static str {
         match self {
             InvalidIndex::Status(_) => {
-                "have the worker serve the model repository extension, or leave [reconcile] out"
+                "enable the model repository extension on the worker, or remove [reconcile] from the settings"
             }
             InvalidIndex::Malformed | InvalidIndex::InvalidName(_) => {
-                "see that the worker speaks KServe v2 and that nothing between changes its answers"
+                "check that the worker conforms to KServe v2 and that no proxy changes its responses"
             }
         }
     }
 }
 
+/// One entry of the response's JSON.
 #[derive(Deserialize)]
 struct WireEntry {
     #[serde(default)]
@@ -104,7 +105,7 @@
     parameters: BTreeMap<String, Value>,
 }
 
-/// Reads a worker's response. One invalid entry makes the whole index invalid.
+/// Parses a worker's response. One invalid entry makes the whole index invalid.
 pub fn parse(
     status: u16,
     headers: &HeaderMap,
@@ -139,7 +140,7 @@
         .map(str::to_owned)
 }
 
-/// Absent if the entry has no valid name.
+/// Converts an entry. Returns `None` if it has no valid name.
 fn model(entry: WireEntry) -> Option<ModelEntry> {
     if entry.name.is_empty() || entry.name.len() > MAX_NAME_BYTES {
         return None;
@@ -169,7 +170,7 @@
         idle: parameter("idle_us").and_then(Value::as_i64),
         ordered_by: parameter("ordered_by").and_then(valid_name),
         term: parameter("term").and_then(valid_name),
-        // A list that had to be cut would not say which sessions are not at this worker.
+        // A truncated list would not show which sessions are missing at this worker, so it counts as not reported.
         sequences: parameter("sequences")
             .and_then(Value::as_array)
             .filter(|ids| ids.len() <= MAX_SEQUENCES)
--- a/crates/kserve/src/response_headers.rs
+++ b/crates/kserve/src/response_headers.rs
@@ -1,42 +1,44 @@
-//! What the headers of a worker's response report: the copy that served the request, the worker's load, and the
-//! memory it has used for the account and function.
+//! Parses the headers of a worker's response: the state of the copy that served the request, the worker's load, and the
+//! memory that it has used for the account and function.
 
 use cedarpulley::interface::{CopyStatus, LoadReport};
 use cedarpulley_usage_metering::MemoryTotals;
 use http::HeaderMap;
 
-/// State of the copy when the invocation came: `found` (warm), `began` (this invocation started the load), `waited`
-/// (a load was in progress), `load-errored` or `absent`.
+/// Response header: state of the copy when the invocation arrived: `found` (warm), `began` (this invocation started
+/// the load), `waited` (a load was in progress), `load-errored` or `absent`.
 pub const COPY: &str = "cedarpulley-copy";
-/// Invocations of the same function that were in flight at the worker when this one came.
+/// Response header: number of invocations of the same function that were in flight at the worker when this invocation
+/// arrived.
 pub const FUNCTION_LOAD: &str = "cedarpulley-crowd";
-/// Number of loaded copies.
+/// Response header: number of loaded copies.
 pub const COPIES: &str = "cedarpulley-copies";
-/// `no`: the worker states, before any work, that it will not run the invocation.
+/// Response header: `no` means that the worker rejected the invocation before any work, so it did not run.
 pub const RAN: &str = "cedarpulley-ran";
-/// The model that answered.
+/// Response header: name of the model that sent the response.
 pub const MODEL: &str = "cedarpulley-model";
-/// Load reports in the text form of the Open Request Cost Aggregation (ORCA) standard.
+/// Response header: load report in the text format of the Open Request Cost Aggregation (ORCA) standard.
 pub const LOAD_METRICS: &str = "endpoint-load-metrics";
 
-/// Memory used in the worker's present incarnation for this account and function, in byte-microseconds:
+/// Response header: memory used in the worker's present incarnation for this account and function, in
+/// byte-microseconds, for example
 /// `life=9, running=3, loading=0, idle=7`.
 pub const MEMORY_USAGE: &str = "cedarpulley-held";
 
-/// Totals above this are discarded as nonsense: about a terabyte over thirty years, in byte-microseconds.
+/// Larger totals, in byte-microseconds, are discarded as implausible: this is about a terabyte over thirty years.
 const MAX_MEMORY_USAGE: u128 = 1 << 90;
 
-/// A header's value, if it is there and is text.
+/// Returns a header's value, or `None` if the header is missing or not text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// A header's value, if it is there and is a whole number.
+/// Returns a header's value, or `None` if the header is missing or not an unsigned integer.
 pub fn number(headers: &HeaderMap, name: &str) -> Option<u32> {
     text(headers, name)?.trim().parse().ok()
 }
 
-/// State of the copy that served the request, from [`COPY`].
+/// Parses the state of the copy that served the request from [`COPY`].
 pub fn copy_status(headers: &HeaderMap) -> CopyStatus {
     match text(headers, COPY) {
         Some("found") => CopyStatus::Warm,
@@ -47,7 +49,7 @@
     }
 }
 
-/// Memory usage, from [`MEMORY_USAGE`]; absent unless the incarnation and all three totals are reported.
+/// Parses the memory usage from [`MEMORY_USAGE`]. Returns `None` unless the incarnation and all three totals are valid.
 pub fn memory_usage(headers: &HeaderMap) -> Option<MemoryTotals> {
     let (mut incarnation, mut running, mut loading, mut idle) = (None, None, None, None);
     for (name, value) in text(headers, MEMORY_USAGE)?
@@ -75,7 +77,7 @@
     })
 }
 
-/// The worker's load, from [`LOAD_METRICS`], for example
+/// Parses the worker's load from [`LOAD_METRICS`], for example
 /// `TEXT cpu_utilization=0.3, mem_utilization=0.5, named_metrics.held=4`. Malformed values count as not reported.
 pub fn load_report(headers: &HeaderMap) -> LoadReport {
     let mut report = LoadReport::default();
--- a/crates/kserve/src/sequences.rs
+++ b/crates/kserve/src/sequences.rs
@@ -1,33 +1,34 @@
-//! The sequence extension of KServe v2: which session a request belongs to. A request's `parameters` name it by
-//! `sequence_id` (a text, or a whole number above 0), `sequence_start` and `sequence_end`.
+//! The sequence extension of KServe v2, which binds requests to a session. The `parameters` of a request contain
+//! `sequence_id` (a string, or an integer above 0), `sequence_start` and `sequence_end`.
 
 use cedarpulley_errors::Remedy;
 use serde::Deserialize;
 use serde_json::Value;
 use thiserror::Error;
 
-/// Header of requests to workers with the session's id, for messages whose body does not name it.
+/// Header of requests to workers: the session's id, for requests whose body does not contain it.
 pub const SEQUENCE_ID: &str = "cedarpulley-sequence-id";
-/// Header of requests to workers: `true` on the session's first request.
+/// Header of requests to workers: `true` in the session's first request.
 pub const SEQUENCE_START: &str = "cedarpulley-sequence-start";
-/// Header of requests to workers: `true` on the session's last request.
+/// Header of requests to workers: `true` in the session's last request.
 pub const SEQUENCE_END: &str = "cedarpulley-sequence-end";
 
 const MAX_ID_BYTES: usize = 255;
 
-/// A request's place in its session.
+/// The session that a request belongs to, and the request's position in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sequence {
     /// The session's id.
     pub id: String,
-    /// This is the session's first request.
+    /// Whether this is the session's first request.
     pub start: bool,
-    /// This is the session's last request.
+    /// Whether this is the session's last request.
     pub end: bool,
 }
 
 impl Sequence {
-    /// An empty `id` means no session. Fails if `id` is too long or has control characters.
+    /// Returns the session with this id, or `None` if `id` is empty. Fails if `id` is longer than 255 bytes or contains
+    /// control characters.
     pub fn new(id: &str, start: bool, end: bool) -> Result<Option<Sequence>, InvalidSequence> {
         match id.len() {
             0 => Ok(None),
@@ -43,30 +44,30 @@
     }
 }
 
-/// Why the parameters name no valid session; shown to the client.
+/// Why the sequence parameters are invalid; shown to the client.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidSequence {
     /// The id has a wrong type or length.
-    #[error("sequence_id is not a text of 1 to {MAX_ID_BYTES} bytes or a whole number above 0")]
+    #[error("sequence_id is neither a string of 1 to {MAX_ID_BYTES} bytes nor an integer above 0")]
     Id,
     /// A flag is not a boolean.
-    #[error("sequence_start and sequence_end are not true or false")]
+    #[error("sequence_start or sequence_end is not a boolean")]
     Flag,
 }
 
 impl Remedy for InvalidSequence {
     fn remedy(&self) -> &'static str {
-        "have its client send the sequence's parameters as KServe v2 has them, or none"
+        "change the client to send the sequence parameters of KServe v2, or none"
     }
 }
 
 #[derive(Default, Deserialize)]
-struct RequestHead {
+struct RequestParameters {
     #[serde(default)]
     parameters: Parameters,
 }
 
-/// Kept as JSON values because the id may be a text or a number; other parameters are ignored.
+/// The sequence parameters, as JSON values because the id may be a string or a number. Other parameters are ignored.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct Parameters {
@@ -75,10 +76,11 @@
     sequence_end: Value,
 }
 
-/// Reads the session from a request's JSON. A body that is not JSON belongs to no session: whether it can be read is
-/// for the worker to say.
+/// Parses the session from a request's JSON. A body that is not JSON has no session and causes no error here: the
+/// worker decides whether it accepts the body.
 pub fn parse(json: &[u8]) -> Result<Option<Sequence>, InvalidSequence> {
-    let Ok(RequestHead { parameters }) = serde_json::from_slice::<RequestHead>(json) else {
+    let Ok(RequestParameters { parameters }) = serde_json::from_slice::<RequestParameters>(json)
+    else {
         return Ok(None);
     };
     let id = match &parameters.sequence_id {
--- a/crates/kserve/src/tensors.rs
+++ b/crates/kserve/src/tensors.rs
@@ -1,6 +1,6 @@
-//! Conversion between the two forms of an inference: the gRPC message, and the JSON with raw tensors after it (the
-//! binary-data extension) that workers speak. Raw tensors stay raw and typed ones become JSON; what one form cannot
-//! express in the other is an error.
+//! Conversion between the two encodings of an inference: the gRPC message of the client, and the JSON followed by raw
+//! tensors (the binary-data extension) that workers use. Raw tensors stay raw, and typed tensors become JSON. Contents
+//! that the other encoding cannot represent are an error.
 
 mod decode;
 mod encode;
@@ -12,22 +12,22 @@
 pub use decode::decode_response;
 pub use encode::encode_request;
 
-/// Parameter of a tensor: how many of the raw bytes belong to it.
+/// Parameter of a tensor: its length in the raw bytes after the JSON.
 const BINARY_SIZE: &str = "binary_data_size";
-/// Parameter of a request: outputs are wanted raw.
+/// Parameter of a request: the client wants raw outputs.
 const BINARY_OUTPUT: &str = "binary_data_output";
 
-/// The body of an infer request to a worker, or of its response: JSON, and after it raw tensors if there are any.
+/// The body of an infer request to a worker, or of its response: JSON, followed by the raw tensors, if any.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InferenceBody {
     /// The whole body.
     pub bytes: Bytes,
-    /// Length of the JSON in bytes, if raw tensors follow it; absent if all of the body is JSON.
+    /// Length of the JSON in bytes if raw tensors follow it, or `None` if the whole body is JSON.
     pub json_length: Option<u32>,
 }
 
-/// Why one form cannot be converted into the other; shown to the client. Up to `TooLarge` the client's request is at
-/// fault, from there on the worker's response.
+/// Why a conversion failed; shown to the client. The variants up to `TooLarge` are errors in the client's request, the
+/// variants after it are errors in the worker's response.
 #[derive(Debug, Error)]
 pub enum ConversionError {
     /// An input of the request cannot be converted.
@@ -35,56 +35,56 @@
     Input {
         /// Name of the input.
         name: String,
-        /// What is wrong with it.
+        /// Why the input cannot be converted.
         cause: Box<ConversionError>,
     },
-    /// NaN or infinite.
-    #[error("{number} has no form in JSON")]
+    /// A number is NaN or infinite.
+    #[error("JSON cannot represent the number {number}")]
     NotFinite {
         /// The number.
         number: f64,
     },
-    /// Typed bytes that are not UTF-8.
-    #[error("bytes that are no text have to come raw")]
+    /// An element of typed `BYTES` contents is not UTF-8.
+    #[error("BYTES elements that are not UTF-8 must be sent as raw contents")]
     NotUtf8,
-    /// A data type without a typed form.
-    #[error("tensors of type '{datatype}' have to come raw")]
+    /// The data type has no typed contents.
+    #[error("tensors of type '{datatype}' must be sent as raw contents")]
     RawOnly {
         /// The data type.
         datatype: String,
     },
-    /// The number of raw contents is not the number of inputs.
-    #[error("raw_input_contents: not one for each input")]
+    /// The number of raw contents differs from the number of inputs.
+    #[error("raw_input_contents does not have one entry per input")]
     RawCount,
-    /// An input has typed contents although raw contents are given.
-    #[error("both typed and raw contents")]
+    /// An input has typed contents although the request has raw contents.
+    #[error("the input has both typed and raw contents")]
     TypedAndRaw,
-    /// The JSON is longer than its length can be stated.
-    #[error("too large")]
+    /// The JSON is longer than the header with its length can state (32 bits).
+    #[error("the request is too large")]
     TooLarge,
-    /// The header states a longer JSON than the body has.
-    #[error("the JSON is told to be longer than the answer")]
+    /// The stated length of the JSON exceeds the length of the body.
+    #[error("the stated length of the JSON is longer than the response")]
     JsonLength,
     /// The JSON cannot be parsed.
-    #[error("its head is no JSON: {0}")]
+    #[error("the response contains invalid JSON: {0}")]
     InvalidJson(#[from] serde_json::Error),
-    /// An element does not belong to the tensor's data type.
-    #[error("an element that is no {datatype}")]
+    /// An element is not a value of the tensor's data type.
+    #[error("an element is not a value of type {datatype}")]
     Element {
         /// The data type.
         datatype: String,
     },
-    /// A dimension of a shape is not a whole number.
-    #[error("a shape that is no number")]
+    /// A dimension of a shape is not an integer.
+    #[error("a dimension of a shape is not an integer")]
     Shape,
-    /// A raw tensor's size is not a whole number.
-    #[error("a binary_data_size that is no size")]
+    /// A raw tensor's size is not an unsigned integer.
+    #[error("binary_data_size is not an unsigned integer")]
     RawSize,
-    /// A raw tensor is longer than what is left of the body.
-    #[error("a raw tensor goes beyond the answer's end")]
+    /// A raw tensor is longer than the rest of the body.
+    #[error("a raw tensor extends beyond the end of the response")]
     RawOutOfBounds,
-    /// The body goes on after the last raw tensor.
-    #[error("raw bytes are left over")]
+    /// The body continues after the last raw tensor.
+    #[error("raw bytes are left over after the last tensor")]
     RawLeftOver,
 }
 
@@ -94,11 +94,13 @@
             ConversionError::Input { cause, .. } => cause.remedy(),
             ConversionError::NotFinite { .. }
             | ConversionError::NotUtf8
-            | ConversionError::RawOnly { .. } => "have it sent raw",
+            | ConversionError::RawOnly { .. } => {
+                "change the client to send the tensor as raw contents"
+            }
             ConversionError::RawCount | ConversionError::TypedAndRaw => {
-                "have its client send all tensors typed or all raw"
+                "change the client to send all tensors typed or all raw"
             }
-            ConversionError::TooLarge => "have its client send less at once",
+            ConversionError::TooLarge => "change the client to send smaller requests",
             ConversionError::JsonLength
             | ConversionError::InvalidJson(_)
             | ConversionError::Element { .. }
@@ -106,7 +108,7 @@
             | ConversionError::RawSize
             | ConversionError::RawOutOfBounds
             | ConversionError::RawLeftOver => {
-                "see what runs on the worker: its answer is no KServe v2"
+                "check what runs on the worker: its response does not conform to KServe v2"
             }
         }
     }
--- a/crates/kserve/src/tensors/decode.rs
+++ b/crates/kserve/src/tensors/decode.rs
@@ -1,4 +1,4 @@
-//! From the body of a worker's response to the gRPC message for the client.
+//! Conversion of the body of a worker's response into the gRPC message for the client.
 
 use std::collections::BTreeMap;
 
@@ -10,8 +10,8 @@
 use crate::grpc::inference::model_infer_response::InferOutputTensor;
 use crate::grpc::inference::{InferParameter, InferTensorContents, ModelInferResponse};
 
-/// The gRPC message for a worker's response, or why the response cannot be read. gRPC has either typed or raw
-/// outputs: where any output is raw, the others are converted to raw.
+/// Converts a worker's response into the gRPC message, or returns why it is invalid. A gRPC response has either only
+/// typed or only raw outputs: if any output is raw, the typed ones are converted to raw.
 pub fn decode_response(body: &InferenceBody) -> Result<ModelInferResponse, ConversionError> {
     let json_length = body
         .json_length
@@ -19,13 +19,13 @@
     if json_length > body.bytes.len() {
         return Err(ConversionError::JsonLength);
     }
-    let head: Value = serde_json::from_slice(&body.bytes[..json_length])?;
+    let response: Value = serde_json::from_slice(&body.bytes[..json_length])?;
     let mut raw_bytes = RawBytes {
         bytes: &body.bytes,
         position: json_length,
     };
     let (mut outputs, mut raw_contents) = (Vec::new(), Vec::new());
-    for tensor in array(&head, "outputs") {
+    for tensor in array(&response, "outputs") {
         let (output, raw) = output(tensor, &mut raw_bytes)?;
         outputs.push(output);
         raw_contents.push(raw);
@@ -47,18 +47,20 @@
         Vec::new()
     };
     Ok(ModelInferResponse {
-        model_name: text(&head, "model_name"),
-        model_version: text(&head, "model_version"),
-        id: text(&head, "id"),
-        parameters: parameters(&head),
+        model_name: text(&response, "model_name"),
+        model_version: text(&response, "model_version"),
+        id: text(&response, "id"),
+        parameters: parameters(&response),
         outputs,
         raw_output_contents,
     })
 }
 
-/// The raw tensors of a body, read one after the other.
+/// Reads the raw tensors of a body one after the other.
 struct RawBytes<'a> {
+    /// The whole body.
     bytes: &'a Bytes,
+    /// Start of the next raw tensor in the body, in bytes.
     position: usize,
 }
 
@@ -69,9 +71,9 @@
             .checked_add(size)
             .filter(|end| *end <= self.bytes.len())
             .ok_or(ConversionError::RawOutOfBounds)?;
-        let taken = self.bytes.slice(self.position..end);
+        let tensor_bytes = self.bytes.slice(self.position..end);
         self.position = end;
-        Ok(taken)
+        Ok(tensor_bytes)
     }
 
     fn is_at_end(&self) -> bool {
@@ -79,7 +81,7 @@
     }
 }
 
-/// One output, and its contents if they are raw.
+/// Converts one output. Returns it, and its contents separately if they are raw.
 fn output(
     tensor: &Value,
     raw_bytes: &mut RawBytes,
@@ -107,7 +109,7 @@
     Ok((output, raw))
 }
 
-/// Takes the size of a raw tensor out of its parameters; absent if the tensor is typed.
+/// Removes the size of a raw tensor, in bytes, from its parameters. Returns `None` if the tensor is typed.
 fn raw_size(
     parameters: &mut BTreeMap<String, InferParameter>,
 ) -> Result<Option<usize>, ConversionError> {
@@ -123,7 +125,7 @@
     }
 }
 
-/// The text of a member of an object; empty if there is none.
+/// Returns the string member `name` of an object; empty if there is none.
 fn text(object: &Value, name: &str) -> String {
     object
         .get(name)
@@ -132,7 +134,7 @@
         .to_owned()
 }
 
-/// The elements of a member of an object; none if it is no array.
+/// Returns the elements of the array member `name` of an object; none if it is not an array.
 fn array<'a>(object: &'a Value, name: &str) -> impl Iterator<Item = &'a Value> + use<'a> {
     object
         .get(name)
@@ -160,14 +162,15 @@
             (_, Some(value), _) => Some(ParameterChoice::Uint64Param(value)),
             (.., value) => value.map(ParameterChoice::DoubleParam),
         },
-        // gRPC parameters have no such type; the JSON text loses nothing.
+        // gRPC parameters have no arrays and objects; their JSON text preserves the whole value.
         Value::Array(_) | Value::Object(_) => Some(ParameterChoice::StringParam(value.to_string())),
         Value::Null => None,
     };
     InferParameter { parameter_choice }
 }
 
-/// Appends the elements of an array in row order, however deeply nested. The JSON parser bounds the depth.
+/// Appends the elements of an array, nested to any depth, in row-major order. The JSON parser limits the depth, and
+/// with it the recursion.
 fn flatten<'a>(value: &'a Value, elements: &mut Vec<&'a Value>) {
     match value {
         Value::Array(inner) => inner.iter().for_each(|value| flatten(value, elements)),
@@ -175,22 +178,24 @@
     }
 }
 
+/// Converts the JSON data of a tensor into typed contents.
 fn contents(datatype: &str, data: &Value) -> Result<InferTensorContents, ConversionError> {
     let mut elements = Vec::new();
     flatten(data, &mut elements);
     let invalid = || ConversionError::Element {
         datatype: datatype.to_owned(),
     };
-    let within = |value: &Value, min: i64, max: i64| {
+    let integer_within = |value: &Value, min: i64, max: i64| {
         value
             .as_i64()
             .filter(|number| (min..=max).contains(number))
             .ok_or_else(invalid)
     };
     let signed = |value, min: i32, max: i32| {
-        within(value, i64::from(min), i64::from(max)).map(|number| number as i32)
+        integer_within(value, i64::from(min), i64::from(max)).map(|number| number as i32)
     };
-    let unsigned = |value, max: u32| within(value, 0, i64::from(max)).map(|number| number as u32);
+    let unsigned =
+        |value, max: u32| integer_within(value, 0, i64::from(max)).map(|number| number as u32);
     let mut out = InferTensorContents::default();
     for value in elements {
         match datatype {
@@ -222,7 +227,7 @@
     Ok(out)
 }
 
-/// Typed contents as raw bytes: little endian, each text preceded by its length.
+/// Converts typed contents into raw bytes: little endian, each `BYTES` element preceded by its length in 4 bytes.
 fn to_raw(datatype: &str, contents: &InferTensorContents) -> Bytes {
     let mut out = BytesMut::new();
     for value in &contents.bool_contents {
--- a/crates/kserve/src/tensors/encode.rs
+++ b/crates/kserve/src/tensors/encode.rs
@@ -1,4 +1,4 @@
-//! From a client's gRPC request to the body that a worker is sent.
+//! Conversion of a client's gRPC request into the body of the request to a worker.
 
 use std::collections::BTreeMap;
 
@@ -10,34 +10,35 @@
 use crate::grpc::inference::model_infer_request::{InferInputTensor, InferRequestedOutputTensor};
 use crate::grpc::inference::{InferParameter, InferTensorContents, ModelInferRequest};
 
-/// The body to send to a worker for a gRPC request, or what is wrong with the request.
+/// Converts a gRPC request into the body of the request to a worker, or returns why the request cannot be converted.
 pub fn encode_request(message: &ModelInferRequest) -> Result<InferenceBody, ConversionError> {
     let raw_contents = &message.raw_input_contents;
     let is_raw = !raw_contents.is_empty();
     if is_raw && raw_contents.len() != message.inputs.len() {
         return Err(ConversionError::RawCount);
     }
-    let head = request_head(message, is_raw)?.to_string();
+    let json = request_json(message, is_raw)?.to_string();
     if !is_raw {
         return Ok(InferenceBody {
-            bytes: head.into(),
+            bytes: json.into(),
             json_length: None,
         });
     }
-    let json = u32::try_from(head.len()).map_err(|_| ConversionError::TooLarge)?;
-    let size = head.len() + raw_contents.iter().map(Bytes::len).sum::<usize>();
+    let json_length = u32::try_from(json.len()).map_err(|_| ConversionError::TooLarge)?;
+    let size = json.len() + raw_contents.iter().map(Bytes::len).sum::<usize>();
     let mut bytes = BytesMut::with_capacity(size);
-    bytes.put_slice(head.as_bytes());
+    bytes.put_slice(json.as_bytes());
     for contents in raw_contents {
         bytes.put_slice(contents);
     }
     Ok(InferenceBody {
         bytes: bytes.freeze(),
-        json_length: Some(json),
+        json_length: Some(json_length),
     })
 }
 
-fn request_head(message: &ModelInferRequest, is_raw: bool) -> Result<Value, ConversionError> {
+/// Builds the JSON of the body. `is_raw`: the tensors follow the JSON as raw bytes.
+fn request_json(message: &ModelInferRequest, is_raw: bool) -> Result<Value, ConversionError> {
     let mut inputs = Vec::with_capacity(message.inputs.len());
     for (position, tensor) in message.inputs.iter().enumerate() {
         let raw = is_raw.then(|| &message.raw_input_contents[position]);
@@ -46,9 +47,9 @@
             cause: Box::new(cause),
         })?);
     }
-    let mut head = Map::new();
+    let mut request = Map::new();
     if !message.id.is_empty() {
-        head.insert("id".into(), json!(message.id));
+        request.insert("id".into(), json!(message.id));
     }
     let mut request_parameters = parameters(&message.parameters)?;
     if is_raw {
@@ -56,16 +57,16 @@
             .entry(BINARY_OUTPUT)
             .or_insert(json!(true));
     }
-    insert_parameters(&mut head, request_parameters);
-    head.insert("inputs".into(), Value::Array(inputs));
+    insert_parameters(&mut request, request_parameters);
+    request.insert("inputs".into(), Value::Array(inputs));
     if !message.outputs.is_empty() {
         let outputs = message.outputs.iter().map(requested_output);
-        head.insert(
+        request.insert(
             "outputs".into(),
             Value::Array(outputs.collect::<Result<_, _>>()?),
         );
     }
-    Ok(Value::Object(head))
+    Ok(Value::Object(request))
 }
 
 fn input(tensor: &InferInputTensor, raw: Option<&Bytes>) -> Result<Value, ConversionError> {
@@ -135,7 +136,7 @@
     }
 }
 
-/// The typed contents that belong to the data type, as a JSON array.
+/// Converts the typed contents for the data type into a JSON array.
 fn data(datatype: &str, contents: &InferTensorContents) -> Result<Value, ConversionError> {
     Ok(match datatype {
         "BOOL" => json!(contents.bool_contents),
--- a/crates/kserve/tests/client_requests.rs
+++ b/crates/kserve/tests/client_requests.rs
@@ -1,4 +1,5 @@
-//! Paths and headers of a client's requests over HTTP.
+//! Parsing of the paths and headers of clients' requests over HTTP. Guards against a path or header that is accepted
+//! with a wrong meaning, and against errors that do not name the invalid header.
 
 use cedarpulley_kserve::client_requests::{
     CLIENT_TIMEOUT_MS, ClientRequest, LANES, SENT_AT_US, parse_infer_headers, parse_path,
@@ -29,11 +30,12 @@
         get("/v2/models/a/versions/2/ready"),
         ClientRequest::ModelReady("a/versions/2".into())
     );
-    let tricks = [
+    // An encoded or empty version would make the name of the function ambiguous.
+    let ambiguous_paths = [
         "/v2/models/a%2Fversions%2F2",
         "/v2/models/a/versions//ready",
     ];
-    for path in tricks.into_iter().chain([
+    for path in ambiguous_paths.into_iter().chain([
         "/",
         "/v1/models/a",
         "/v2/models/%FF/ready",
@@ -45,26 +47,26 @@
 
 #[test]
 fn an_invalid_header_is_named() {
-    let of = |pairs: &[(&'static str, &str)]| {
+    let parse = |pairs: &[(&'static str, &str)]| {
         let mut headers = HeaderMap::new();
         pairs.iter().for_each(|(name, value)| {
-            headers.insert(*name, value.parse().expect("a value"));
+            headers.insert(*name, value.parse().expect("a valid header value"));
         });
         parse_infer_headers(&headers, 10_000_000)
     };
-    assert_eq!(of(&[]).expect_err("no type").field, TRIGGER_TYPE);
+    assert_eq!(parse(&[]).expect_err("no trigger type").field, TRIGGER_TYPE);
     assert_eq!(
-        of(&[(TRIGGER_TYPE, "t"), (LANES, "-1")])
-            .expect_err("lanes")
+        parse(&[(TRIGGER_TYPE, "t"), (LANES, "-1")])
+            .expect_err("negative lanes")
             .field,
         LANES
     );
-    let headers = of(&[
+    let headers = parse(&[
         (TRIGGER_TYPE, "t"),
         (SENT_AT_US, "4000000"),
         (CLIENT_TIMEOUT_MS, "1500"),
     ])
-    .expect("good");
+    .expect("valid headers");
     assert_eq!(
         (headers.waited, headers.client_timeout, headers.lanes),
         (6_000_000, Some(1_500_000), 1)
--- a/crates/kserve/tests/codec.rs
+++ b/crates/kserve/tests/codec.rs
@@ -1,4 +1,5 @@
-//! The gRPC codec: random messages round trip, and malformed input is an error.
+//! Round trips of random messages through the gRPC codec. Guards against contents that change during conversion, and
+//! against malformed input that causes a panic instead of an error.
 
 use std::collections::BTreeMap;
 
@@ -13,18 +14,19 @@
 use prost::Message;
 use serde_json::{Value, json};
 
+/// Random typed contents with their data type.
 #[expect(
     clippy::too_many_lines,
     reason = "one scenario or table of cases, told in order"
 )]
-fn contents() -> impl Strategy<Value = (&'static str, InferTensorContents)> {
-    let c = InferTensorContents::default;
+fn typed_contents() -> impl Strategy<Value = (&'static str, InferTensorContents)> {
+    let empty = InferTensorContents::default;
     prop_oneof![
         prop::collection::vec(any::<bool>(), 0..5).prop_map(move |v| (
             "BOOL",
             InferTensorContents {
                 bool_contents: v,
-                ..c()
+                ..empty()
             }
         )),
         prop::collection::vec(any::<i8>(), 0..5).prop_map(move |v| {
@@ -32,7 +34,7 @@
                 "INT8",
                 InferTensorContents {
                     int_contents: v.into_iter().map(i32::from).collect(),
-                    ..c()
+                    ..empty()
                 },
             )
         }),
@@ -40,42 +42,42 @@
             "INT32",
             InferTensorContents {
                 int_contents: v,
-                ..c()
+                ..empty()
             }
         )),
         prop::collection::vec(any::<i64>(), 0..5).prop_map(move |v| (
             "INT64",
             InferTensorContents {
                 int64_contents: v,
-                ..c()
+                ..empty()
             }
         )),
         prop::collection::vec(any::<u32>(), 0..5).prop_map(move |v| (
             "UINT32",
             InferTensorContents {
                 uint_contents: v,
-                ..c()
+                ..empty()
             }
         )),
         prop::collection::vec(any::<u64>(), 0..5).prop_map(move |v| (
             "UINT64",
             InferTensorContents {
                 uint64_contents: v,
-                ..c()
+                ..empty()
             }
         )),
         prop::collection::vec(-1e30f32..1e30, 0..5).prop_map(move |v| (
             "FP32",
             InferTensorContents {
                 fp32_contents: v,
-                ..c()
+                ..empty()
             }
         )),
         prop::collection::vec(-1e300f64..1e300, 0..5).prop_map(move |v| (
             "FP64",
             InferTensorContents {
                 fp64_contents: v,
-                ..c()
+                ..empty()
             }
         )),
         prop::collection::vec("[a-zé\"\\\\]{0,6}", 0..5).prop_map(move |v| {
@@ -83,7 +85,7 @@
                 "BYTES",
                 InferTensorContents {
                     bytes_contents: v.into_iter().map(Bytes::from).collect(),
-                    ..c()
+                    ..empty()
                 },
             )
         }),
@@ -107,17 +109,19 @@
     prop::collection::btree_map("[a-c]{1,3}", parameter(), 0..3)
 }
 
-/// What a worker would answer that gives back its inputs as outputs.
-fn echoed(rest: &InferenceBody) -> InferenceBody {
-    let json = rest.json_length.map_or(rest.bytes.len(), |n| n as usize);
-    let head: Value = serde_json::from_slice(&rest.bytes[..json]).expect("JSON");
-    let whole = json!({"model_name": "m", "id": head["id"], "parameters": head["parameters"],
-        "outputs": head["inputs"]})
+/// The response of a worker that returns its inputs as outputs.
+fn echo_response(request: &InferenceBody) -> InferenceBody {
+    let json_length = request
+        .json_length
+        .map_or(request.bytes.len(), |length| length as usize);
+    let request_json: Value = serde_json::from_slice(&request.bytes[..json_length]).expect("JSON");
+    let response_json = json!({"model_name": "m", "id": request_json["id"], "parameters": request_json["parameters"],
+        "outputs": request_json["inputs"]})
     .to_string();
-    let bytes = Bytes::from([whole.as_bytes(), &rest.bytes[json..]].concat());
+    let bytes = Bytes::from([response_json.as_bytes(), &request.bytes[json_length..]].concat());
     InferenceBody {
         bytes,
-        json_length: rest.json_length.map(|_| whole.len() as u32),
+        json_length: request.json_length.map(|_| response_json.len() as u32),
     }
 }
 
@@ -126,24 +130,32 @@
 
     #[test]
     fn typed_tensors_round_trip(
-        tensors in prop::collection::vec((contents(), parameters()), 0..4), given in parameters(), id in "[a-z]{0,4}",
+        tensors in prop::collection::vec((typed_contents(), parameters()), 0..4),
+        request_parameters in parameters(),
+        id in "[a-z]{0,4}",
     ) {
-        let inputs = tensors.iter().enumerate().map(|(n, ((datatype, contents), given))| InferInputTensor {
+        let inputs = tensors.iter().enumerate().map(|(n, ((datatype, contents), tensor_parameters))| InferInputTensor {
             name: format!("t{n}"), datatype: (*datatype).into(), shape: vec![n as i64, -1],
-            parameters: given.clone(), contents: Some(contents.clone()),
+            parameters: tensor_parameters.clone(), contents: Some(contents.clone()),
         });
-        let r = ModelInferRequest { id, parameters: given, inputs: inputs.collect(), ..Default::default() };
-        let wire = unframe(frame(&r)).expect("one message");
-        prop_assert_eq!(&ModelInferRequest::decode(wire).expect("readable"), &r);
-        let back = decode_response(&echoed(&encode_request(&r).expect("sayable"))).expect("readable");
-        prop_assert_eq!(&back.id, &r.id);
-        prop_assert_eq!(&back.parameters, &r.parameters);
-        prop_assert!(back.raw_output_contents.is_empty());
-        for (o, i) in back.outputs.iter().zip(&r.inputs) {
-            prop_assert_eq!((&o.name, &o.datatype, &o.shape), (&i.name, &i.datatype, &i.shape));
-            prop_assert_eq!((&o.parameters, &o.contents), (&i.parameters, &i.contents));
+        let request = ModelInferRequest {
+            id, parameters: request_parameters, inputs: inputs.collect(), ..Default::default()
+        };
+        let wire = unframe(frame(&request)).expect("one message");
+        prop_assert_eq!(&ModelInferRequest::decode(wire).expect("a decodable message"), &request);
+        let response = decode_response(&echo_response(&encode_request(&request).expect("convertible")))
+            .expect("a valid response");
+        prop_assert_eq!(&response.id, &request.id);
+        prop_assert_eq!(&response.parameters, &request.parameters);
+        prop_assert!(response.raw_output_contents.is_empty());
+        for (output, input) in response.outputs.iter().zip(&request.inputs) {
+            prop_assert_eq!(
+                (&output.name, &output.datatype, &output.shape),
+                (&input.name, &input.datatype, &input.shape)
+            );
+            prop_assert_eq!((&output.parameters, &output.contents), (&input.parameters, &input.contents));
         }
-        prop_assert_eq!(back.outputs.len(), r.inputs.len());
+        prop_assert_eq!(response.outputs.len(), request.inputs.len());
     }
 
     #[test]
@@ -151,26 +163,32 @@
         let input = |n: usize| InferInputTensor { name: format!("t{n}"), datatype: "BF16".into(), ..Default::default() };
         let raw_input_contents: Vec<Bytes> = raws.into_iter().map(Bytes::from).collect();
         let inputs = (0..raw_input_contents.len()).map(input).collect();
-        let r = ModelInferRequest { inputs, raw_input_contents, ..Default::default() };
-        let back = decode_response(&echoed(&encode_request(&r).expect("sayable"))).expect("readable");
-        prop_assert_eq!(back.raw_output_contents, r.raw_input_contents);
+        let request = ModelInferRequest { inputs, raw_input_contents, ..Default::default() };
+        let response = decode_response(&echo_response(&encode_request(&request).expect("convertible")))
+            .expect("a valid response");
+        prop_assert_eq!(response.raw_output_contents, request.raw_input_contents);
     }
 
     #[test]
-    fn malformed_bodies_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), json in any::<Option<u16>>()) {
+    fn malformed_bodies_never_panic(
+        bytes in prop::collection::vec(any::<u8>(), 0..300),
+        json_length in any::<Option<u16>>(),
+    ) {
         let bytes = Bytes::from(bytes);
-        if let Ok(m) = unframe(bytes.clone()).and_then(|m| ModelInferRequest::decode(m).map_err(|_| cedarpulley_kserve::grpc::InvalidCall::Truncated)) {
-            let _ = encode_request(&m);
+        if let Ok(request) = unframe(bytes.clone()).and_then(|message| {
+            ModelInferRequest::decode(message).map_err(|_| cedarpulley_kserve::grpc::InvalidCall::Truncated)
+        }) {
+            let _ = encode_request(&request);
         }
-        let _ = decode_response(&InferenceBody { bytes, json_length: json.map(u32::from) });
+        let _ = decode_response(&InferenceBody { bytes, json_length: json_length.map(u32::from) });
     }
 
     #[test]
     fn timeouts_are_parsed_or_rejected(text in "[0-9]{0,10}[HMSmunx]?") {
-        let mut h = HeaderMap::new();
-        h.insert("grpc-timeout", text.parse().expect("a value"));
-        let fits = text.len() >= 2 && text.len() <= 9 && text.ends_with(|c| "HMSmun".contains(c));
-        prop_assert_eq!(timeout(&h).is_ok(), fits, "{}", text);
+        let mut headers = HeaderMap::new();
+        headers.insert("grpc-timeout", text.parse().expect("a header value"));
+        let is_valid = text.len() >= 2 && text.len() <= 9 && text.ends_with(|c| "HMSmun".contains(c));
+        prop_assert_eq!(timeout(&headers).is_ok(), is_valid, "{}", text);
     }
 }
 
@@ -180,11 +198,11 @@
     reason = "one scenario or table of cases, told in order"
 )]
 fn an_inconvertible_tensor_is_an_error_that_names_it() {
-    let one = |datatype: &str, c: InferTensorContents| {
+    let request_error = |datatype: &str, contents: InferTensorContents| {
         let input = InferInputTensor {
             name: "x".into(),
             datatype: datatype.into(),
-            contents: Some(c),
+            contents: Some(contents),
             ..Default::default()
         };
         let message = ModelInferRequest {
@@ -192,32 +210,32 @@
             ..Default::default()
         };
         encode_request(&message)
-            .expect_err("not sayable")
+            .expect_err("not convertible")
             .to_string()
     };
-    let c = InferTensorContents::default;
+    let empty = InferTensorContents::default;
     assert!(
-        one(
+        request_error(
             "FP32",
             InferTensorContents {
                 fp32_contents: vec![f32::NAN],
-                ..c()
+                ..empty()
             }
         )
         .contains("inputs 'x'")
     );
     assert!(
-        one(
+        request_error(
             "BYTES",
             InferTensorContents {
                 bytes_contents: vec![Bytes::from_static(&[0xff])],
-                ..c()
+                ..empty()
             }
         )
         .contains("raw")
     );
-    assert!(one("FP16", c()).contains("FP16"));
-    let rest = |text: &'static str, json_length| {
+    assert!(request_error("FP16", empty()).contains("FP16"));
+    let decode = |text: &'static str, json_length| {
         decode_response(&InferenceBody {
             bytes: Bytes::from_static(text.as_bytes()),
             json_length,
@@ -225,56 +243,65 @@
     };
     let raw = r#"{"outputs":[{"name":"y","datatype":"INT8","shape":[2],"parameters":{"binary_data_size":2}}]}"#;
     assert!(
-        rest(raw, None)
-            .expect_err("nothing raw is there")
+        decode(raw, None)
+            .expect_err("the raw bytes are missing")
             .to_string()
             .contains("beyond")
     );
     assert!(
-        rest("{}xx", Some(2))
-            .expect_err("two bytes over")
+        decode("{}xx", Some(2))
+            .expect_err("two extra bytes")
             .to_string()
             .contains("left over")
     );
     assert!(
-        rest("{}", Some(9))
-            .expect_err("nine of two")
+        decode("{}", Some(9))
+            .expect_err("stated length 9 of 2 bytes")
             .to_string()
             .contains("longer")
     );
     let large = r#"{"outputs":[{"name":"y","datatype":"INT8","shape":[1],"data":[300]}]}"#;
     assert!(
-        rest(large, None)
-            .expect_err("300 is no INT8")
+        decode(large, None)
+            .expect_err("300 is not an INT8")
             .to_string()
             .contains("INT8")
     );
-    // Where one output is raw, the typed ones become raw too.
+    // If one output is raw, the typed ones are converted to raw.
     let mixed = r#"{"outputs":[{"datatype":"INT16","shape":[1],"data":[-2]},{"datatype":"UINT8","shape":[1],"parameters":{"binary_data_size":1}}]}"#;
     let bytes = Bytes::from([mixed.as_bytes(), &[7]].concat());
-    let both = decode_response(&InferenceBody {
+    let response = decode_response(&InferenceBody {
         bytes,
         json_length: Some(mixed.len() as u32),
     })
-    .expect("readable");
-    assert_eq!(both.raw_output_contents, [&[0xfe, 0xff][..], &[7]]);
+    .expect("a valid response");
+    assert_eq!(response.raw_output_contents, [&[0xfe, 0xff][..], &[7]]);
 }
 
 #[test]
 fn only_safe_retries_get_a_pushback() {
-    let said =
-        |h: &HeaderMap, name: &str| h.get(name).map(|v| v.to_str().expect("text").to_owned());
-    let t = trailers(Code::ResourceExhausted, "voll, später", Some(1_500_001));
-    assert_eq!(said(&t, "grpc-status").as_deref(), Some("8"));
+    let value = |trailers: &HeaderMap, name: &str| {
+        trailers
+            .get(name)
+            .map(|v| v.to_str().expect("text").to_owned())
+    };
+    let retry = trailers(Code::ResourceExhausted, "voll, später", Some(1_500_001));
+    assert_eq!(value(&retry, "grpc-status").as_deref(), Some("8"));
     assert_eq!(
-        said(&t, "grpc-message").as_deref(),
+        value(&retry, "grpc-message").as_deref(),
         Some("voll, sp%C3%A4ter")
     );
-    assert_eq!(said(&t, "grpc-retry-pushback-ms").as_deref(), Some("1501"));
-    assert!(said(&t, "grpc-status-details-bin").is_some_and(|d| d.len() > 40 && !d.ends_with('=')));
-    let t = trailers(Code::Unknown, "x", None);
+    assert_eq!(
+        value(&retry, "grpc-retry-pushback-ms").as_deref(),
+        Some("1501")
+    );
+    assert!(
+        value(&retry, "grpc-status-details-bin")
+            .is_some_and(|details| details.len() > 40 && !details.ends_with('='))
+    );
+    let no_retry = trailers(Code::Unknown, "x", None);
     assert!(
-        said(&t, "grpc-status-details-bin").is_none()
-            && said(&t, "grpc-retry-pushback-ms").is_none()
+        value(&no_retry, "grpc-status-details-bin").is_none()
+            && value(&no_retry, "grpc-retry-pushback-ms").is_none()
     );
 }
--- a/crates/kserve/tests/outcomes.rs
+++ b/crates/kserve/tests/outcomes.rs
@@ -1,16 +1,17 @@
-//! The table from exchanges with a worker to dispatch outcomes.
+//! Classification of exchanges with a worker. Guards against an exchange after which the invocation may have run being
+//! taken for proof that it did not run, which would let a retry run it twice.
 
 use cedarpulley::interface::DispatchOutcome;
 use cedarpulley_kserve::ExchangeOutcome;
 use cedarpulley_kserve::outcomes::classify_inference;
 use http::{HeaderMap, StatusCode};
 
-fn answered(status: u16, pairs: &[(&'static str, &str)], body: &[u8]) -> DispatchOutcome {
+fn response_outcome(status: u16, pairs: &[(&'static str, &str)], body: &[u8]) -> DispatchOutcome {
     let mut headers = HeaderMap::new();
     for (name, value) in pairs {
-        headers.insert(*name, value.parse().expect("a header value"));
+        headers.insert(*name, value.parse().expect("a valid header value"));
     }
-    let status = StatusCode::from_u16(status).expect("a status");
+    let status = StatusCode::from_u16(status).expect("a valid status");
     classify_inference(&ExchangeOutcome::Responded {
         status,
         headers: &headers,
@@ -47,52 +48,59 @@
         outcome(ExchangeOutcome::ResponseTooLarge),
         DispatchOutcome::Errored
     );
-    assert_eq!(answered(200, &[], b"{}"), DispatchOutcome::Succeeded);
     assert_eq!(
-        answered(404, &[("cedarpulley-ran", "no")], b""),
+        response_outcome(200, &[], b"{}"),
+        DispatchOutcome::Succeeded
+    );
+    assert_eq!(
+        response_outcome(404, &[("cedarpulley-ran", "no")], b""),
         DispatchOutcome::NotLoaded
     );
     assert_eq!(
-        answered(503, &[("cedarpulley-ran", "no")], b""),
+        response_outcome(503, &[("cedarpulley-ran", "no")], b""),
         DispatchOutcome::Rejected
     );
     assert_eq!(
-        answered(500, &[("cedarpulley-ran", "no")], b""),
+        response_outcome(500, &[("cedarpulley-ran", "no")], b""),
         DispatchOutcome::Errored
     );
 }
 
-/// A rejection that does not state that it came before the work proves nothing.
+/// A rejection without `cedarpulley-ran: no` does not prove that the invocation did not run.
 #[test]
 fn a_rejection_without_ran_no_may_have_run() {
     for status in [404, 429, 503] {
-        assert!(!answered(status, &[], b"").not_executed());
+        assert!(!response_outcome(status, &[], b"").not_executed());
     }
 }
 
 #[test]
-fn a_response_of_another_model_is_an_error() {
+fn a_response_from_another_model_is_an_error() {
     assert_eq!(
-        answered(200, &[("cedarpulley-model", "g")], b""),
+        response_outcome(200, &[("cedarpulley-model", "g")], b""),
         DispatchOutcome::Errored
     );
     assert_eq!(
-        answered(200, &[], br#"{"model_name":"g","outputs":[]}"#),
+        response_outcome(200, &[], br#"{"model_name":"g","outputs":[]}"#),
         DispatchOutcome::Errored
     );
     assert_eq!(
-        answered(200, &[], br#"{"model_name":"f","outputs":[]}"#),
+        response_outcome(200, &[], br#"{"model_name":"f","outputs":[]}"#),
         DispatchOutcome::Succeeded
     );
-    let raw = |n| {
-        answered(
+    let outcome_with_json_length = |length| {
+        response_outcome(
             200,
-            &[("inference-header-content-length", n)],
+            &[("inference-header-content-length", length)],
             b"{\"model_name\":\"f\"}\x01",
         )
     };
     assert_eq!(
-        (raw("18"), raw("30"), raw("x")),
+        (
+            outcome_with_json_length("18"),
+            outcome_with_json_length("30"),
+            outcome_with_json_length("x")
+        ),
         (
             DispatchOutcome::Succeeded,
             DispatchOutcome::Errored,
