--- a/crates/amqp/src/connection.rs
+++ b/crates/amqp/src/connection.rs
@@ -1,11 +1,11 @@
-//! One connection to a broker with one channel on it. The owner of the socket calls [`Connection::receive`] with the
-//! bytes that arrived and [`Connection::tick`] at [`Connection::next_due`], and sends what [`Connection::output`]
-//! returns.
+//! The state machine of one connection to a broker, with one channel. The owner of the socket calls
+//! [`Connection::receive`] with received bytes and [`Connection::tick`] at [`Connection::next_due`], and sends the
+//! bytes that [`Connection::output`] returns.
 //!
-//! There is one channel to a connection because `basic.qos` with its global flag then means the same to every broker,
-//! whichever way it interprets that flag (see docs/design/amqp.md). An answer and the acknowledgement of its trigger
-//! go out in one transaction, so that no lost channel can leave one without the other; transactions are batched:
-//! while one is in flight, further answers are gathered for the next.
+//! Each connection has only one channel, because `basic.qos` with the global flag then has the same effect at every
+//! broker, however the broker interprets that flag (see docs/design/amqp.md). An answer and the acknowledgement of its
+//! trigger are sent in one transaction, so that the loss of the channel cannot separate them. Transactions are batched:
+//! while one is in flight, further answers are collected for the next.
 
 mod delivery;
 mod handshake;
@@ -34,26 +34,29 @@
 /// A duration or a point in time, in microseconds.
 pub type Micros = i64;
 
+/// Number of the only channel of a connection.
 const CHANNEL: u16 = 1;
-/// Longest text of the reason for closing a connection, in characters.
+/// Longest reason for closing a connection that is sent to the broker, in characters.
 const MAX_CLOSE_TEXT: usize = 80;
 
-/// The state machine of a connection.
+/// The state machine of a connection, as responder or requester.
 #[derive(Debug)]
 pub struct Connection {
     role: Role,
     login: Login,
     stage: Stage,
     reader: FrameReader,
-    /// Bytes to send.
+    /// Bytes that are ready to be sent.
     output: Vec<u8>,
-    /// Negotiated size of a whole frame in bytes.
+    /// Negotiated size limit of a whole frame in bytes.
     frame_max: u32,
-    /// The broker accepts no publishes.
+    /// Whether the broker has blocked the connection: it accepts no publishes.
     blocked: bool,
+    /// How many deliveries may be unacknowledged at a time, as a responder.
     prefetch: u16,
+    /// Whether the consumer is active.
     consuming: bool,
-    /// The consumer was cancelled, but not yet confirmed so; deliveries may still arrive.
+    /// Whether the broker has not yet confirmed that the consumer is cancelled; deliveries may still arrive.
     cancel_pending: bool,
     liveness: Liveness,
     deliveries: DeliveryAssembler,
@@ -61,7 +64,7 @@
 }
 
 impl Connection {
-    /// A connection whose socket was connected just now. The protocol header is the first output.
+    /// Creates the state of a connection whose socket was connected just now. The protocol header is the first output.
     pub fn new(now: Micros, role: Role, login: Login) -> Self {
         let prefetch = if let Role::Responder { prefetch, .. } = &role {
             (*prefetch).max(1)
@@ -88,22 +91,23 @@
         }
     }
 
-    /// The channel is open and consuming (or was, until [`Self::set_prefetch`] stopped it).
+    /// Whether the channel is open, with its consumer set up. Stays true when [`Self::set_prefetch`] cancels the
+    /// consumer.
     pub fn is_ready(&self) -> bool {
         self.stage == Stage::Ready
     }
 
-    /// No delivery can arrive any more: the consumer is cancelled, and the broker has confirmed it.
+    /// Whether no further delivery can arrive: the consumer is cancelled, and the broker has confirmed it.
     pub fn has_stopped_consuming(&self) -> bool {
         !self.consuming && !self.cancel_pending
     }
 
-    /// Number of deliveries whose answers are not committed: gathered or in flight.
+    /// Returns the number of deliveries whose answers are not committed: collected or in flight.
     pub fn uncommitted_answers(&self) -> usize {
         self.transactions.uncommitted()
     }
 
-    /// Takes out the bytes to send.
+    /// Returns the bytes to send, and removes them from the connection.
     pub fn output(&mut self, now: Micros) -> Vec<u8> {
         if !self.output.is_empty() {
             self.liveness.on_sent(now);
@@ -111,13 +115,13 @@
         std::mem::take(&mut self.output)
     }
 
-    /// Number of bytes that wait to be sent.
+    /// Returns the number of bytes that wait to be sent.
     pub fn unsent_bytes(&self) -> usize {
-        self.output.len() + self.transactions.gathered_bytes()
+        self.output.len() + self.transactions.collected_bytes()
     }
 
-    /// Takes in bytes that arrived, and appends what they mean to `events`. After an error the connection has to be
-    /// ended, and the broker told.
+    /// Processes received bytes, and appends the resulting events to `events`. After an error, the caller has to close
+    /// the connection with [`Self::close_with_error`].
     pub fn receive(
         &mut self,
         now: Micros,
@@ -132,7 +136,8 @@
         Ok(())
     }
 
-    /// Sends heartbeats, and fails if the broker is silent or makes no progress. To be called at [`Self::next_due`].
+    /// Sends a heartbeat if one is due. Fails if the broker is silent or does not reply in time. To be called at
+    /// [`Self::next_due`].
     pub fn tick(&mut self, now: Micros) -> Result<(), ConnectionError> {
         self.liveness.check(now, self.awaited())?;
         if self.liveness.is_heartbeat_due(now) {
@@ -142,11 +147,12 @@
         Ok(())
     }
 
-    /// When [`Self::tick`] has to be called next.
+    /// Returns when [`Self::tick`] has to be called next.
     pub fn next_due(&self) -> Micros {
         self.liveness.next_due(self.awaited())
     }
 
+    /// Returns the replies that the broker owes in the current state.
     fn awaited(&self) -> Awaited {
         Awaited {
             handshake: !matches!(self.stage, Stage::Ready | Stage::NoChannel),
@@ -179,11 +185,12 @@
         }
     }
 
-    /// Acknowledges a delivery together with its answer (queue, properties, body), if it gets one: both or neither.
-    /// Without effect unless the channel is open.
+    /// Acknowledges a delivery in one transaction with its answer (queue, properties, body), if it has one. Has no
+    /// effect unless the channel is open.
     ///
-    /// Symptom: a message or a commit arrived together with the loss of the channel, was handled first and caused an
-    /// answer; the answer went out on the next channel, while another consumer had the message again.
+    /// Without the check of the channel, an answer could be sent on the next channel although the broker has already
+    /// delivered the message again to another consumer. That happens when a message or a commit arrives together with
+    /// the loss of the channel, is handled first and causes an answer.
     pub fn answer(&mut self, tag: u64, answer: Option<(&str, AMQPProperties, &[u8])>) {
         if self.stage != Stage::Ready {
             return;
@@ -195,7 +202,7 @@
         self.transactions.acknowledge(tag);
     }
 
-    /// Rejects a delivery: it goes to the queue's dead-letter exchange, never back into the queue.
+    /// Rejects a delivery. The broker passes it to the queue's dead-letter exchange and does not requeue it.
     pub fn reject(&mut self, tag: u64) {
         if self.stage != Stage::Ready {
             return;
@@ -203,7 +210,7 @@
         self.transactions.reject(tag);
     }
 
-    /// Sends the gathered answers, unless a transaction is in flight. To be called after a batch of answers.
+    /// Sends the collected answers, unless a transaction is in flight. To be called after a batch of answers.
     pub fn commit(&mut self, now: Micros) {
         if self.stage == Stage::Ready && !self.blocked && self.transactions.send(&mut self.output) {
             self.liveness.on_commit_sent(now);
@@ -211,7 +218,7 @@
         }
     }
 
-    /// Publishes a trigger. False while the broker is blocked or the channel is not open.
+    /// Publishes a trigger. Returns false, without publishing, if the broker is blocked or the channel is not open.
     pub fn publish(&mut self, queue: &str, properties: AMQPProperties, body: &[u8]) -> bool {
         if self.stage != Stage::Ready || self.blocked {
             return false;
@@ -227,7 +234,7 @@
         true
     }
 
-    /// After [`Event::ChannelLost`]: opens the channel again.
+    /// Opens the channel again after [`Event::ChannelLost`].
     pub fn reopen(&mut self, now: Micros) {
         if self.stage == Stage::NoChannel {
             self.open_channel();
@@ -235,7 +242,7 @@
         }
     }
 
-    /// Ends the connection in good order; [`Event::Closed`] follows.
+    /// Closes the connection without an error; [`Event::Closed`] follows.
     pub fn close(&mut self, now: Micros) {
         if matches!(self.stage, Stage::Closing | Stage::Closed) {
             return;
@@ -243,9 +250,9 @@
         self.send_close(now, reply_code::SUCCESS, "done");
     }
 
-    /// Ends the connection because of an error, which the broker is told.
-    pub fn close_with_error(&mut self, now: Micros, fault: &ConnectionError) {
-        self.send_close(now, fault.code, &fault.text);
+    /// Closes the connection because of an error, and sends the error to the broker.
+    pub fn close_with_error(&mut self, now: Micros, error: &ConnectionError) {
+        self.send_close(now, error.code, &error.text);
     }
 
     fn send_close(&mut self, now: Micros, code: u16, text: &str) {
@@ -270,7 +277,7 @@
         self.stage = Stage::AwaitChannel;
     }
 
-    /// Whatever belonged to the channel is void.
+    /// Discards all state of the channel.
     fn on_channel_lost(&mut self) {
         self.deliveries.clear();
         self.transactions.clear();
@@ -290,7 +297,7 @@
             AMQPFrame::Method(0, AMQPClass::Connection(method)) => {
                 return self.on_connection_method(now, method, events);
             }
-            // Frames that were on their way when the channel was lost, or the connection closed, are ignored.
+            // Ignores frames that were in transit when the channel was lost or the connection was closed.
             _ if matches!(
                 self.stage,
                 Stage::NoChannel | Stage::Closing | Stage::Closed
@@ -352,8 +359,8 @@
                 self.commit(now);
             }
             (stage, _) => {
-                let what = format!("a method while {stage:?}");
-                return Err(ProtocolError::unexpected(what));
+                let description = format!("a method while {stage:?}");
+                return Err(ProtocolError::unexpected(description));
             }
         }
         Ok(())
@@ -428,7 +435,7 @@
         Ok(())
     }
 
-    /// The next step from an open channel to a consumer.
+    /// Sends the next request that sets up the consumer on the channel.
     fn on_channel_setup(&mut self, method: &AMQPClass) -> Result<(), ProtocolError> {
         let (request, next) = setup::next_step(self.stage, method, &self.role, self.prefetch)?;
         self.send(request);
--- a/crates/amqp/src/connection/delivery.rs
+++ b/crates/amqp/src/connection/delivery.rs
@@ -1,4 +1,4 @@
-//! Deliveries, assembled from their frames: method, header, and body in parts.
+//! Assembly of deliveries from their frames: method, content header, and the body in parts.
 
 use amq_protocol::protocol::basic::{self, AMQPProperties};
 
@@ -11,10 +11,11 @@
     tag: u64,
     redelivered: bool,
     routing_key: String,
-    /// Size of the body, and the properties.
+    /// Size of the body in bytes, and the properties; `None` until the content header arrives.
     header: Option<(u64, AMQPProperties)>,
-    /// Bytes of the body that have arrived.
+    /// Number of bytes of the body that have arrived.
     received: u64,
+    /// The body so far; stays empty if the body is oversized.
     body: Vec<u8>,
 }
 
@@ -26,10 +27,10 @@
     }
 }
 
-/// Puts the frames of one delivery after the other together.
+/// Assembles the frames of deliveries, which arrive one delivery after the other.
 #[derive(Debug)]
 pub(super) struct DeliveryAssembler {
-    /// Larger bodies are discarded while they arrive.
+    /// Size limit of a body in bytes; larger bodies are discarded while they arrive.
     max_body: u64,
     partial: Option<PartialDelivery>,
 }
@@ -42,15 +43,17 @@
         }
     }
 
-    /// Forgets the delivery that was arriving.
+    /// Discards the incomplete delivery.
     pub(super) fn clear(&mut self) {
         self.partial = None;
     }
 
-    /// The method that begins a delivery.
+    /// Handles the method `basic.deliver`, which starts a delivery.
     pub(super) fn on_deliver(&mut self, deliver: &basic::Deliver) -> Result<(), ProtocolError> {
         if self.partial.is_some() {
-            return Err(ProtocolError::unexpected("a delivery within another"));
+            return Err(ProtocolError::unexpected(
+                "a delivery before the previous one was complete",
+            ));
         }
         self.partial = Some(PartialDelivery {
             tag: deliver.delivery_tag,
@@ -63,7 +66,7 @@
         Ok(())
     }
 
-    /// The header frame. Returns the message if its body is empty.
+    /// Handles a content header frame. Returns the message if its body is empty.
     pub(super) fn on_header(
         &mut self,
         size: u64,
@@ -78,7 +81,7 @@
         Ok(self.take_complete())
     }
 
-    /// A body frame. Returns the message if this was its last part.
+    /// Handles a body frame. Returns the message if it is complete.
     pub(super) fn on_body(&mut self, part: &[u8]) -> Result<Option<Message>, ProtocolError> {
         let Some((size, partial)) = self
             .partial
--- a/crates/amqp/src/connection/handshake.rs
+++ b/crates/amqp/src/connection/handshake.rs
@@ -1,4 +1,4 @@
-//! What is negotiated when a connection opens: login, frame size and heartbeat.
+//! Negotiation when a connection opens: login, frame size and heartbeat interval.
 
 use amq_protocol::protocol::connection;
 use amq_protocol::types::{AMQPValue, FieldTable, LongString};
@@ -8,10 +8,10 @@
 use crate::ProtocolError;
 use crate::frames::MIN_FRAME_MAX;
 
-/// The largest frame asked for; larger messages come in several.
+/// The largest frame size that this client proposes, in bytes; larger messages are split into several frames.
 const FRAME_MAX: u32 = 128 * 1024;
 
-/// The reply to the broker's `start`: this client's name, capabilities and login.
+/// Builds the reply to the broker's `start`: this client's name, capabilities and login.
 pub(super) fn start_ok(
     login: &Login,
     start: &connection::Start,
@@ -37,26 +37,26 @@
     })
 }
 
-/// The limits that both sides have agreed on.
+/// The limits that both sides negotiated.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
-    /// Largest whole frame in bytes.
+    /// Size limit of a whole frame in bytes.
     pub(super) frame_max: u32,
-    /// Heartbeat interval in seconds; 0: no heartbeats.
+    /// Heartbeat interval in seconds; 0 if there are no heartbeats.
     pub(super) heartbeat_s: u16,
 }
 
 impl Limits {
-    /// The lower of both sides' proposals; 0 means that a side proposes no limit.
+    /// Returns the lower of both sides' proposals; 0 means that a side proposes no limit.
     pub(super) fn negotiate(tune: &connection::Tune, own_heartbeat_s: u16) -> Self {
         let frame_max = match tune.frame_max {
             0 => FRAME_MAX,
-            theirs => theirs.clamp(MIN_FRAME_MAX, FRAME_MAX),
+            broker_value => broker_value.clamp(MIN_FRAME_MAX, FRAME_MAX),
         };
         let heartbeat_s = match (tune.heartbeat, own_heartbeat_s) {
-            (0, own) => own,
-            (theirs, 0) => theirs,
-            (theirs, own) => theirs.min(own),
+            (0, own_value) => own_value,
+            (broker_value, 0) => broker_value,
+            (broker_value, own_value) => broker_value.min(own_value),
         };
         Limits {
             frame_max,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The reply to the broker's `tune`.
+    /// Builds the reply to the broker's `tune`.
     pub(super) fn tune_ok(self) -> connection::TuneOk {
         connection::TuneOk {
             channel_max: 1,
--- a/crates/amqp/src/connection/methods.rs
+++ b/crates/amqp/src/connection/methods.rs
@@ -1,4 +1,4 @@
-//! The methods that a client sends, with the arguments that are the same everywhere filled in.
+//! Constructors for the methods that this client sends, with fixed values for arguments that never vary.
 
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic};
 use amq_protocol::protocol::{AMQPClass, channel, connection, queue, tx};
@@ -6,8 +6,8 @@
 
 const CONSUMER_TAG: &str = "cedarpulley";
 
-/// A text as AMQP's short string; empty if it is too long. Texts come from settings that were checked, or from short
-/// strings that arrived.
+/// Converts text into AMQP's short string; empty if it is too long. All callers pass validated settings or text from
+/// received short strings, which are short enough.
 pub(super) fn short(text: &str) -> ShortString {
     ShortString::try_new(text).unwrap_or_default()
 }
@@ -80,7 +80,7 @@
     }))
 }
 
-/// To the queue of this name, over the default exchange.
+/// Publishes to the queue of this name through the default exchange.
 pub(super) fn publish(queue: &str) -> Basic {
     Basic::Publish(basic::Publish {
         exchange: short(""),
--- a/crates/amqp/src/connection/setup.rs
+++ b/crates/amqp/src/connection/setup.rs
@@ -1,4 +1,4 @@
-//! The steps from a new connection to a consumer on its channel.
+//! The stages of a connection, and the requests that set up a consumer on its channel.
 
 use amq_protocol::protocol::basic::AMQPMethod as Basic;
 use amq_protocol::protocol::{AMQPClass, channel, queue, tx};
@@ -6,7 +6,7 @@
 use super::{Role, methods};
 use crate::ProtocolError;
 
-/// The state of the handshake. The names appear in error messages.
+/// The stage of a connection. The names of the variants appear in error messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     AwaitStart,
@@ -17,6 +17,7 @@
     AwaitDeclare,
     AwaitQos,
     AwaitConsume,
+    /// The channel is open, with its consumer set up.
     Ready,
     /// The broker closed the channel; the owner decides when to open it again.
     NoChannel,
@@ -24,8 +25,8 @@
     Closed,
 }
 
-/// The request that follows a reply on the channel, and the stage that awaits its reply: select, qos and consume
-/// as a responder, declare and consume as a requester.
+/// Returns the next request after a reply on the channel, and the stage that awaits the reply to that request. The
+/// order is select, qos, consume as a responder, and declare, consume as a requester.
 pub(super) fn next_step(
     stage: Stage,
     reply: &AMQPClass,
@@ -56,8 +57,8 @@
         ) => (methods::consume(reply_queue, true), Stage::AwaitConsume),
         (stage, method, _) => {
             let (class, id) = (method.get_amqp_class_id(), method.get_amqp_method_id());
-            let what = format!("method {class}.{id} while {stage:?}");
-            return Err(ProtocolError::unexpected(what));
+            let description = format!("method {class}.{id} while {stage:?}");
+            return Err(ProtocolError::unexpected(description));
         }
     })
 }
--- a/crates/amqp/src/connection/transactions.rs
+++ b/crates/amqp/src/connection/transactions.rs
@@ -1,24 +1,24 @@
-//! Answers and acknowledgements, gathered and sent in transactions: at most one is in flight, and what is gathered
-//! meanwhile goes out with the next.
+//! Answers and acknowledgements, which are collected and sent in transactions. At most one transaction is in flight;
+//! answers that are collected in the meantime are part of the next one.
 
 use amq_protocol::protocol::basic::AMQPProperties;
 
 use super::{CHANNEL, methods};
 use crate::frames::{write_message, write_method};
 
-/// The answers that are not committed.
+/// The answers and acknowledgements that are not committed.
 #[derive(Debug, Default)]
 pub(super) struct Transactions {
-    /// Frames of the next transaction.
-    gathered: Vec<u8>,
-    /// Delivery tags that these settle.
-    gathered_tags: Vec<u64>,
+    /// Encoded frames of the next transaction.
+    collected_frames: Vec<u8>,
+    /// Delivery tags that the next transaction acknowledges or rejects.
+    collected_tags: Vec<u64>,
     /// Delivery tags of the transaction in flight.
     in_flight_tags: Vec<u64>,
 }
 
 impl Transactions {
-    /// Publishes an answer to the queue `reply_to`, together with what [`Self::acknowledge`] adds next.
+    /// Adds an answer to the queue `reply_to`. The caller calls [`Self::acknowledge`] next, for the same transaction.
     pub(super) fn publish(
         &mut self,
         reply_to: &str,
@@ -28,7 +28,7 @@
     ) {
         let publish = methods::publish(reply_to);
         write_message(
-            &mut self.gathered,
+            &mut self.collected_frames,
             CHANNEL,
             publish,
             properties,
@@ -38,23 +38,27 @@
     }
 
     pub(super) fn acknowledge(&mut self, tag: u64) {
-        write_method(&mut self.gathered, CHANNEL, methods::acknowledge(tag));
-        self.gathered_tags.push(tag);
+        write_method(
+            &mut self.collected_frames,
+            CHANNEL,
+            methods::acknowledge(tag),
+        );
+        self.collected_tags.push(tag);
     }
 
     pub(super) fn reject(&mut self, tag: u64) {
-        write_method(&mut self.gathered, CHANNEL, methods::reject(tag));
-        self.gathered_tags.push(tag);
+        write_method(&mut self.collected_frames, CHANNEL, methods::reject(tag));
+        self.collected_tags.push(tag);
     }
 
-    /// Appends what has been gathered to `out`, as the transaction in flight. False if nothing has been gathered or
-    /// a transaction is in flight already.
+    /// Appends the collected frames to `out`; they become the transaction in flight. Returns false, without effect, if
+    /// nothing has been collected or a transaction is already in flight.
     pub(super) fn send(&mut self, out: &mut Vec<u8>) -> bool {
-        if !self.in_flight_tags.is_empty() || self.gathered_tags.is_empty() {
+        if !self.in_flight_tags.is_empty() || self.collected_tags.is_empty() {
             return false;
         }
-        out.append(&mut self.gathered);
-        self.in_flight_tags = std::mem::take(&mut self.gathered_tags);
+        out.append(&mut self.collected_frames);
+        self.in_flight_tags = std::mem::take(&mut self.collected_tags);
         true
     }
 
@@ -62,24 +66,24 @@
         !self.in_flight_tags.is_empty()
     }
 
-    /// The transaction in flight is committed. Returns its delivery tags.
+    /// Ends the transaction in flight, which the broker has committed. Returns its delivery tags.
     pub(super) fn on_committed(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.in_flight_tags)
     }
 
-    /// The channel is lost, and with it whatever was not committed.
+    /// Discards everything that is not committed, as the channel is lost.
     pub(super) fn clear(&mut self) {
-        self.gathered.clear();
-        self.gathered_tags.clear();
+        self.collected_frames.clear();
+        self.collected_tags.clear();
         self.in_flight_tags.clear();
     }
 
-    /// Number of deliveries whose answers are not committed.
+    /// Returns the number of deliveries whose answers are not committed.
     pub(super) fn uncommitted(&self) -> usize {
-        self.gathered_tags.len() + self.in_flight_tags.len()
+        self.collected_tags.len() + self.in_flight_tags.len()
     }
 
-    pub(super) fn gathered_bytes(&self) -> usize {
-        self.gathered.len()
+    pub(super) fn collected_bytes(&self) -> usize {
+        self.collected_frames.len()
     }
 }
--- a/crates/amqp/src/connection/types.rs
+++ b/crates/amqp/src/connection/types.rs
@@ -1,4 +1,4 @@
-//! What the owner of a connection passes in, and what it gets back.
+//! The public types of a connection: its role and login, messages and events.
 
 use amq_protocol::protocol::basic::AMQPProperties;
 
@@ -12,14 +12,14 @@
         /// How many deliveries may be unacknowledged at a time.
         prefetch: u16,
     },
-    /// Publishes, and consumes the answers without acknowledging.
+    /// Publishes triggers, and consumes the answers without acknowledgements.
     Requester {
-        /// The queue of the answers; it is declared when the channel opens.
+        /// The queue for the answers; it is declared when the channel opens.
         reply_queue: String,
     },
 }
 
-/// How to log in, and what to ask for.
+/// The login, and the limits that this client proposes or applies.
 #[derive(Clone, Debug)]
 pub struct Login {
     /// The virtual host.
@@ -28,43 +28,43 @@
     pub user: String,
     /// The user's password.
     pub password: String,
-    /// Heartbeat interval in seconds; the lower of both sides' counts. 0 leaves it to the broker.
+    /// Proposed heartbeat interval in seconds; the lower proposal of both sides applies. 0 leaves it to the broker.
     pub heartbeat_s: u16,
-    /// The connection's name, for the broker's administrators.
+    /// The connection's name, as the broker shows it to its administrators.
     pub name: String,
-    /// Bodies of more bytes are discarded; see [`Message::oversized`].
+    /// Size limit of a message body in bytes; larger bodies are discarded, see [`Message::oversized`].
     pub max_body: u64,
 }
 
-/// A delivery.
+/// A message that the broker delivered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     /// The delivery tag: identifies the delivery on its channel.
     pub delivery_tag: u64,
-    /// The broker may have delivered the message before.
+    /// Whether the broker may have delivered the message before.
     pub redelivered: bool,
-    /// The routing key it was published with.
+    /// The routing key that the message was published with.
     pub routing_key: String,
-    /// The standard properties and the headers.
+    /// The standard properties, including the headers.
     pub properties: AMQPProperties,
     /// The body; empty if it is oversized.
     pub body: Vec<u8>,
-    /// The body exceeded the limit in [`Login`] and was discarded.
+    /// Whether the body exceeded [`Login::max_body`] and was discarded.
     pub oversized: bool,
 }
 
-/// What happened on a connection.
+/// An event on a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The channel is open and consuming. Delivery tags of an earlier channel are void.
+    /// The channel is open and consuming. Delivery tags of an earlier channel are no longer valid.
     Ready,
     /// A message was delivered.
     Delivered(Box<Message>),
     /// The answers to these deliveries are committed.
     Committed(Vec<u64>),
-    /// The broker accepts no publishes (true), or does again (false).
+    /// The broker blocked the connection and accepts no publishes (true), or unblocked it (false).
     Blocked(bool),
-    /// The broker closed the channel; all its deliveries are void.
+    /// The broker closed the channel; its delivery tags are no longer valid.
     ChannelLost {
         /// A reply code of the specification.
         code: u16,
@@ -73,7 +73,7 @@
     },
     /// The broker cancelled the consumer: it no longer delivers from the queue.
     Cancelled,
-    /// The connection ended in good order.
+    /// The connection was closed, by the broker or by this side.
     Closed {
         /// A reply code of the specification.
         code: u16,
--- a/crates/amqp/src/frames.rs
+++ b/crates/amqp/src/frames.rs
@@ -1,4 +1,4 @@
-//! Bytes to frames and back. Whatever arrives, memory use is bounded by the largest frame allowed.
+//! Conversion between bytes and frames. The largest allowed frame bounds the memory that received bytes can take.
 
 pub use amq_protocol::frame::AMQPFrame;
 use amq_protocol::frame::{AMQPContentHeader, WriteContext, gen_frame, parse_frame};
@@ -7,34 +7,34 @@
 
 use crate::ProtocolError;
 
-/// Bytes before a frame's payload: type, channel and size.
+/// Length of the header before a frame's payload, in bytes: type, channel and size.
 pub const HEADER_BYTES: usize = 7;
-/// The byte after a frame's payload.
+/// The byte that follows a frame's payload (the specification's frame-end).
 pub const FRAME_END: u8 = 0xCE;
-/// Every peer must accept frames of this size (the specification's frame-min-size).
+/// Frame size in bytes that every peer must accept (the specification's frame-min-size).
 pub const MIN_FRAME_MAX: u32 = 4096;
 
 const TYPE_METHOD: u8 = 1;
 const TYPE_BODY: u8 = 3;
 const TYPE_HEARTBEAT: u8 = 8;
 const CLASS_BASIC: u16 = 60;
-/// Once so many bytes of the buffer have been read, they are dropped.
+/// Once more than this number of bytes of the buffer have been read, they are removed from it.
 const COMPACTION_THRESHOLD: usize = 64 * 1024;
-/// Capacity reserved to write a frame: a method or header with its properties seldom needs more.
+/// Initial capacity of the buffer for a frame, in bytes: a method or header with its properties is rarely larger.
 const FRAME_CAPACITY: usize = 256;
 
-/// Splits a stream of bytes into frames.
+/// Splits a stream of received bytes into frames.
 #[derive(Debug)]
 pub struct FrameReader {
     buffer: Vec<u8>,
-    /// Bytes of the buffer that have been read.
+    /// Number of bytes of the buffer that have been read.
     position: usize,
-    /// Largest whole frame in bytes.
+    /// Size limit of a whole frame in bytes.
     frame_max: usize,
 }
 
 impl FrameReader {
-    /// A reader that accepts whole frames of up to `frame_max` bytes.
+    /// Creates a reader that accepts whole frames of up to `frame_max` bytes.
     pub fn new(frame_max: u32) -> Self {
         FrameReader {
             buffer: Vec::new(),
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Sets the negotiated size of whole frames in bytes.
+    /// Sets the negotiated size limit of whole frames in bytes.
     pub fn set_frame_max(&mut self, frame_max: u32) {
         self.frame_max = frame_max.max(MIN_FRAME_MAX) as usize;
     }
 
-    /// Takes in bytes that arrived.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         if self.position > COMPACTION_THRESHOLD || self.position == self.buffer.len() {
             self.buffer.drain(..self.position);
@@ -57,8 +57,8 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole frame, if it has arrived. A frame beyond the negotiated size is an error as soon as its header
-    /// is there.
+    /// Returns the next frame once all of it has arrived. A frame above the negotiated size is an error as soon as its
+    /// header has arrived.
     pub fn next_frame(&mut self) -> Result<Option<AMQPFrame>, ProtocolError> {
         let unread = &self.buffer[self.position..];
         if unread.len() < HEADER_BYTES {
@@ -66,7 +66,7 @@
         }
         let kind = unread[0];
         if !matches!(kind, TYPE_METHOD..=TYPE_BODY | TYPE_HEARTBEAT) {
-            // A broker that does not speak 0-9-1 answers with its own protocol header.
+            // A broker that does not support AMQP 0-9-1 sends its own protocol header, which has no valid frame type.
             return Err(ProtocolError::UnknownFrameType { kind });
         }
         let payload = u32::from_be_bytes([unread[3], unread[4], unread[5], unread[6]]) as usize;
@@ -74,7 +74,7 @@
         if length > self.frame_max {
             return Err(ProtocolError::FrameTooLarge {
                 size: payload,
-                most: self.frame_max,
+                limit: self.frame_max,
             });
         }
         if unread.len() < length {
@@ -96,20 +96,21 @@
     }
 }
 
-/// Appends a frame.
+/// Appends an encoded frame to `out`.
 pub fn write(out: &mut Vec<u8>, frame: &AMQPFrame) {
-    // Writing into memory fails for no frame that its types allow.
+    // Encoding into memory does not fail for any frame that the types can represent.
     if let Ok(context) = gen_frame(frame)(WriteContext::from(Vec::with_capacity(FRAME_CAPACITY))) {
         out.extend_from_slice(&context.write);
     }
 }
 
-/// Appends a method frame.
+/// Appends an encoded method frame to `out`.
 pub fn write_method(out: &mut Vec<u8>, channel: u16, method: AMQPClass) {
     write(out, &AMQPFrame::Method(channel, method));
 }
 
-/// Appends a whole message: method, header, and the body in as many frames as its size needs.
+/// Appends an encoded message to `out`: method, content header, and the body, split into frames of at most `frame_max`
+/// bytes.
 pub fn write_message(
     out: &mut Vec<u8>,
     channel: u16,
@@ -134,7 +135,7 @@
     }
 }
 
-/// A heartbeat frame.
+/// Returns a heartbeat frame.
 pub fn heartbeat() -> AMQPFrame {
     AMQPFrame::Heartbeat
 }
--- a/crates/amqp/src/lib.rs
+++ b/crates/amqp/src/lib.rs
@@ -1,13 +1,14 @@
-//! AMQP 0-9-1, free of I/O: bytes and time go in, bytes and events come out. No socket, clock or thread here.
+//! An AMQP 0-9-1 client, free of I/O: the caller passes in received bytes and the time, and gets back bytes to send and
+//! events. The crate uses no sockets, clocks or threads.
 //!
-//! * [`connection`]: one connection with one channel, as a responder (consumes, and answers in transactions) or as a
-//!   requester (publishes, and consumes the answers); begin reading here.
-//! * [`frames`]: bytes to frames and back, within the negotiated size.
-//! * [`trigger`]: what the properties and headers of a trigger message mean, and those of its answer.
-//! * [`error`]: why a connection ends, with the reply codes of the specification.
-//! * [`protocol_error`]: what a broker may not do.
+//! * [`connection`]: one connection with one channel, as a responder (consumes a queue, and answers in transactions) or
+//!   as a requester (publishes triggers, and consumes the answers); start reading here.
+//! * [`frames`]: converts between bytes and frames, within the negotiated frame size.
+//! * [`trigger`]: parses the properties and headers of a trigger message, and builds those of its answer.
+//! * [`error`]: the error that ends a connection, with the reply codes of the specification.
+//! * [`protocol_error`]: violations of the protocol by the broker.
 //!
-//! The frame codec is `amq-protocol`'s; the states are from the public specification of AMQP 0-9-1.
+//! The frame codec is from the crate `amq-protocol`; the states follow the public specification of AMQP 0-9-1.
 
 #![warn(missing_docs)]
 
--- a/crates/amqp/src/protocol_error.rs
+++ b/crates/amqp/src/protocol_error.rs
@@ -1,4 +1,4 @@
-//! What a broker does against the specification, or fails to do in time. It ends the connection.
+//! Violations of the specification by the broker, and its failures to reply in time. Each of them ends the connection.
 
 use cedarpulley_errors::Remedy;
 use thiserror::Error;
@@ -9,56 +9,58 @@
 /// A violation of the protocol by the broker.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
-    /// Opening or closing takes too long.
-    #[error("no progress in opening or closing")]
+    /// Opening or closing the connection or its channel takes too long.
+    #[error("opening or closing timed out")]
     HandshakeTimeout,
-    /// A commit is not confirmed in time.
-    #[error("no reply to a commit")]
+    /// The broker did not confirm a commit in time.
+    #[error("the broker did not confirm a commit in time")]
     CommitTimeout,
-    /// Not a byte has arrived for two heartbeat intervals.
-    #[error("nothing heard for two heartbeats")]
+    /// No byte has arrived for two heartbeat intervals.
+    #[error("no data received for two heartbeat intervals")]
     HeartbeatTimeout,
-    /// The login mechanism of this client is not offered.
-    #[error("the broker does not take PLAIN logins")]
+    /// The broker does not offer the login mechanism of this client.
+    #[error("the broker does not offer PLAIN logins")]
     PlainNotOffered,
-    /// The bytes are no frame of AMQP 0-9-1.
+    /// The received bytes are not a frame of AMQP 0-9-1.
     #[error("frame type {kind} is unknown")]
     UnknownFrameType {
-        /// The first byte.
+        /// The first byte of the frame.
         kind: u8,
     },
     /// A frame exceeds the negotiated size.
-    #[error("a frame of {size} bytes where {most} are agreed")]
+    #[error("a frame with a payload of {size} bytes exceeds the limit of {limit} bytes")]
     FrameTooLarge {
         /// Size of its payload in bytes.
         size: usize,
         /// Negotiated size of a whole frame in bytes.
-        most: usize,
+        limit: usize,
     },
-    /// A frame does not end with the end mark.
-    #[error("a frame without its end mark")]
+    /// A frame does not end with the frame-end byte.
+    #[error("a frame does not end with the frame-end byte")]
     MissingFrameEnd,
     /// A frame's payload cannot be parsed.
-    #[error("a frame that cannot be read or a method unknown here")]
+    #[error("a frame is malformed or has an unknown method")]
     MalformedFrame,
-    /// A message's body exceeds the size in its header.
-    #[error("a body longer than its header says")]
+    /// A message's body is longer than its header states.
+    #[error("a body is longer than its header states")]
     BodyTooLong,
-    /// A frame or method is not allowed in the present state.
-    #[error("out of turn: {what}")]
+    /// A frame or method is not allowed in the connection's current state.
+    #[error("unexpected: {description}")]
     Unexpected {
         /// The frame or method, and the state.
-        what: String,
+        description: String,
     },
 }
 
 impl ProtocolError {
-    /// Something that is not allowed in the present state.
-    pub(crate) fn unexpected(what: impl Into<String>) -> Self {
-        ProtocolError::Unexpected { what: what.into() }
+    /// Creates the error for a frame or method that is not allowed in the current state.
+    pub(crate) fn unexpected(description: impl Into<String>) -> Self {
+        ProtocolError::Unexpected {
+            description: description.into(),
+        }
     }
 
-    /// The reply code that the broker is sent.
+    /// Returns the reply code to send to the broker.
     pub fn code(&self) -> u16 {
         match self {
             ProtocolError::HandshakeTimeout
@@ -81,18 +83,18 @@
             ProtocolError::HandshakeTimeout
             | ProtocolError::CommitTimeout
             | ProtocolError::HeartbeatTimeout => {
-                "see whether the broker and the network to it are well; it is tried again by itself"
+                "check the broker and the network to it; the router reconnects by itself"
             }
-            ProtocolError::PlainNotOffered => "allow PLAIN logins at the broker",
+            ProtocolError::PlainNotOffered => "enable PLAIN logins at the broker",
             ProtocolError::UnknownFrameType { .. } => {
-                "let the settings name a port that speaks AMQP 0-9-1; TLS has one of its own"
+                "check the port in the settings: it must be one for AMQP 0-9-1; TLS uses a different port"
             }
             ProtocolError::FrameTooLarge { .. }
             | ProtocolError::MissingFrameEnd
             | ProtocolError::MalformedFrame
             | ProtocolError::BodyTooLong
             | ProtocolError::Unexpected { .. } => {
-                "see what stands between router and broker, and report it: a peer errs"
+                "check for proxies between router and broker, and report it: a peer violates the protocol"
             }
         }
     }
