--- a/crates/certificates/src/error.rs
+++ b/crates/certificates/src/error.rs
@@ -1,51 +1,51 @@
-//! Why files may not be served.
+//! The error for certificate and key files that cannot be served.
 
 use cedarpulley_errors::Remedy;
 use thiserror::Error;
 
 use crate::FileRole;
 
-/// Why files may not be served. A `number` is a certificate's position in its file, from 1.
+/// Why files cannot be served. `number` is the position of a certificate in its file, starting at 1.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CertificateError {
-    /// A file could not be read for some time.
-    #[error("cannot be read, nor can its key")]
+    /// The certificate file or the key file could not be read several times in a row.
+    #[error("cannot be read, or its key cannot be read")]
     Unreadable,
     /// The file is not PEM.
     #[error("is not PEM")]
     NotPem(FileRole),
-    /// The file has no certificate.
-    #[error("holds no certificate")]
+    /// The file contains no certificate.
+    #[error("contains no certificate")]
     Empty(FileRole),
     /// A certificate cannot be parsed.
-    #[error("number {number} cannot be read")]
+    #[error("certificate number {number} cannot be parsed")]
     Malformed {
-        /// The certificate.
+        /// Position of the certificate.
         number: usize,
     },
     /// A certificate has expired.
-    #[error("number {number} has expired")]
+    #[error("certificate number {number} has expired")]
     Expired {
-        /// The certificate.
+        /// Position of the certificate.
         number: usize,
     },
     /// A certificate is not valid yet.
-    #[error("number {number} is not valid yet")]
+    #[error("certificate number {number} is not valid yet")]
     NotYetValid {
-        /// The certificate.
+        /// Position of the certificate.
         number: usize,
     },
-    /// Others than its owner may read or write the key's file.
+    /// The mode of the key file allows access by other users than its owner.
     #[error("may be read by others (mode {mode:03o})")]
     KeyExposed {
         /// The permission bits of the file.
         mode: u32,
     },
-    /// The key's file has no private key.
-    #[error("holds no key")]
+    /// The key file contains no private key.
+    #[error("contains no private key")]
     NoKey,
-    /// The key is of a kind that is not supported.
-    #[error("is of no kind that can sign")]
+    /// The type of the key is not supported.
+    #[error("contains a key of an unsupported type")]
     UnsupportedKey,
     /// The key does not belong to the certificate.
     #[error("does not belong to the certificate")]
@@ -53,10 +53,10 @@
 }
 
 impl CertificateError {
-    /// The file that is at fault.
+    /// Returns the file that causes the error.
     pub fn role(&self) -> FileRole {
         match self {
-            CertificateError::NotPem(which) | CertificateError::Empty(which) => *which,
+            CertificateError::NotPem(role) | CertificateError::Empty(role) => *role,
             CertificateError::Unreadable
             | CertificateError::Malformed { .. }
             | CertificateError::Expired { .. }
@@ -73,34 +73,34 @@
     fn remedy(&self) -> &'static str {
         match self {
             CertificateError::Unreadable => {
-                "put both files back where the settings name them, readable for the router"
+                "provide both files at the paths in the settings, readable by the router"
             }
             CertificateError::NotPem(_) | CertificateError::Empty(_) => {
-                "write certificates into it as PEM, of a chain the own one first"
+                "provide the certificates in PEM format, the server's own certificate first"
             }
-            CertificateError::Malformed { .. } => "have that certificate made anew",
+            CertificateError::Malformed { .. } => "have that certificate issued again",
             CertificateError::Expired { .. } => {
-                "have a new certificate made and put it in its place"
+                "have a new certificate issued, and replace the expired one"
             }
             CertificateError::NotYetValid { .. } => {
-                "wait for its first day, or mend this machine's clock"
+                "wait until it is valid, or correct this machine's clock"
             }
-            CertificateError::KeyExposed { .. } => "give it mode 600",
-            CertificateError::NoKey => "write the private key as PEM",
-            CertificateError::UnsupportedKey => "make a key of kind RSA, ECDSA or Ed25519",
+            CertificateError::KeyExposed { .. } => "set its mode to 600",
+            CertificateError::NoKey => "provide the private key in PEM format",
+            CertificateError::UnsupportedKey => "use an RSA, ECDSA or Ed25519 key",
             CertificateError::KeyMismatch => {
-                "put the key beside the certificate that was made for it"
+                "provide the private key that belongs to the certificate"
             }
         }
     }
 }
 
-/// A file that may not be served.
+/// A file that cannot be served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedFile {
     /// The file.
     pub role: FileRole,
-    /// What is wrong with it, and what to do.
+    /// Why the file cannot be served, and what an operator can do.
     pub cause: String,
 }
 
--- a/crates/certificates/src/validation.rs
+++ b/crates/certificates/src/validation.rs
@@ -1,4 +1,4 @@
-//! Whether a certificate chain and its key may be served.
+//! Validation of a certificate chain and its private key.
 
 use cedarpulley::interface::Micros;
 use rustls::pki_types::pem::PemObject;
@@ -7,35 +7,36 @@
 
 use crate::{CertificateError, CertificateFile, FileRole};
 
-/// Bits of a file's mode by which others than its owner may access it.
+/// Bits of a file's mode that allow access by its group and by other users.
 const ACCESS_BY_OTHERS: u32 = 0o077;
+/// Bits of a file's mode that are permissions.
 const PERMISSION_BITS: u32 = 0o777;
 
-/// A chain and its key that may be served.
+/// A valid certificate chain and its private key.
 #[derive(Debug)]
 pub struct ServedCertificate {
-    /// The chain, its own certificate first.
+    /// The certificate chain, the server's own certificate first.
     pub chain: Vec<CertificateDer<'static>>,
     /// The private key.
     pub key: PrivateKeyDer<'static>,
-    /// When the first of the certificates expires, in microseconds since 1970.
+    /// The earliest expiry of a certificate in the chain, in microseconds since 1970.
     pub expires_at: Micros,
 }
 
-/// Reads the certificates of a file, of which there has to be at least one.
+/// Parses the certificates of a file. Fails if it contains none.
 pub fn parse_chain(
-    which: FileRole,
+    role: FileRole,
     bytes: &[u8],
 ) -> Result<Vec<CertificateDer<'static>>, CertificateError> {
     let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(bytes).collect();
     match chain {
         Ok(chain) if !chain.is_empty() => Ok(chain),
-        Ok(_) => Err(CertificateError::Empty(which)),
-        Err(_) => Err(CertificateError::NotPem(which)),
+        Ok(_) => Err(CertificateError::Empty(role)),
+        Err(_) => Err(CertificateError::NotPem(role)),
     }
 }
 
-/// Checks whether a certificate and its key may be served. `wall`: microseconds since 1970.
+/// Checks whether a certificate chain and its key can be served. `wall`: the current time in microseconds since 1970.
 pub fn validate(
     certificate: &CertificateFile,
     key: &CertificateFile,
@@ -57,7 +58,8 @@
     })
 }
 
-/// When the first of the certificates expires. Fails if one of them is not valid at `wall`.
+/// Returns the earliest expiry of the certificates, in microseconds since 1970. Fails if one of them is not valid at
+/// `wall`.
 fn earliest_expiry(chain: &[CertificateDer], wall: Micros) -> Result<Micros, CertificateError> {
     let mut earliest = Micros::MAX;
     for (number, der) in (1..).zip(chain) {
@@ -78,6 +80,7 @@
     Ok(earliest)
 }
 
+/// Checks that the key is supported and belongs to the first certificate of the chain.
 fn check_key(
     chain: &[CertificateDer<'static>],
     key: &PrivateKeyDer<'static>,
@@ -87,7 +90,7 @@
         .load_private_key(key.clone_key())
         .map_err(|_| CertificateError::UnsupportedKey)?;
     match rustls::sign::CertifiedKey::new(chain.to_vec(), signing_key).keys_match() {
-        // A kind of key that does not reveal its public half cannot be checked, and is accepted.
+        // A key type that does not provide its public key cannot be checked, and is accepted.
         Ok(()) | Err(rustls::Error::InconsistentKeys(rustls::InconsistentKeys::Unknown)) => Ok(()),
         Err(_) => Err(CertificateError::KeyMismatch),
     }
--- a/crates/certificates/tests/certificates.rs
+++ b/crates/certificates/tests/certificates.rs
@@ -1,4 +1,5 @@
-//! Invalid pairs, half-written files, and the accounts of client certificates.
+//! Validation and reload of certificate files, and the accounts of client certificates. Guards against serving an
+//! invalid or partly written pair of files, and against a client that is billed to the wrong account.
 
 use cedarpulley_certificates::{
     CertificateFile, CertificateReloader, ClientAccounts, FileRole, ReloadStep, validate,
@@ -6,44 +7,48 @@
 use rcgen::{CertificateParams, DnType, KeyPair, date_time_ymd};
 
 const DAY: i64 = 86_400_000_000;
-/// 1 January 2026.
+/// The current time in these tests: 1 January 2026, in microseconds since 1970.
 const WALL: i64 = 1_767_225_600_000_000;
 
-/// A pair valid over these years, by this common name.
+/// A certificate with this common name, valid from the start of the first year to the start of the second, and its key.
 fn pair(years: (i32, i32), name: &str) -> (CertificateFile, CertificateFile) {
-    let key = KeyPair::generate().expect("a key");
-    let mut params = CertificateParams::new(vec!["localhost".to_owned()]).expect("a name");
+    let key = KeyPair::generate().expect("a new key");
+    let mut params =
+        CertificateParams::new(vec!["localhost".to_owned()]).expect("valid parameters");
     (params.not_before, params.not_after) =
         (date_time_ymd(years.0, 1, 1), date_time_ymd(years.1, 1, 1));
     params.distinguished_name.push(DnType::CommonName, name);
-    let certificate = params.self_signed(&key).expect("signed");
-    let read = |text: String, mode| CertificateFile {
+    let certificate = params.self_signed(&key).expect("a self-signed certificate");
+    let file = |text: String, mode| CertificateFile {
         bytes: text.into_bytes(),
         mode,
     };
     (
-        read(certificate.pem(), 0o100_644),
-        read(key.serialize_pem(), 0o100_600),
+        file(certificate.pem(), 0o100_644),
+        file(key.serialize_pem(), 0o100_600),
     )
 }
 
 #[test]
 fn each_invalid_pair_is_rejected_with_its_cause() {
     let (certificate, key) = pair((2025, 2027), "a");
-    let served = validate(&certificate, &key, WALL).expect("good");
+    let served = validate(&certificate, &key, WALL).expect("a valid pair");
     assert_eq!(served.expires_at, WALL + 365 * DAY);
     let rejection = |certificate: &CertificateFile, key: &CertificateFile, wall| {
         validate(certificate, key, wall)
             .map(|_| ())
-            .expect_err("refused")
+            .expect_err("an invalid pair")
     };
-    let open = CertificateFile {
+    let exposed_key = CertificateFile {
         mode: 0o100_640,
         ..key.clone()
     };
-    assert_eq!(rejection(&certificate, &open, WALL).role(), FileRole::Key);
+    assert_eq!(
+        rejection(&certificate, &exposed_key, WALL).role(),
+        FileRole::Key
+    );
     assert!(
-        rejection(&certificate, &open, WALL)
+        rejection(&certificate, &exposed_key, WALL)
             .to_string()
             .contains("640")
     );
@@ -57,9 +62,9 @@
             .to_string()
             .contains("not valid yet")
     );
-    let (_, other) = pair((2025, 2027), "b");
+    let (_, other_key) = pair((2025, 2027), "b");
     assert!(
-        rejection(&certificate, &other, WALL)
+        rejection(&certificate, &other_key, WALL)
             .to_string()
             .contains("does not belong")
     );
@@ -81,32 +86,32 @@
 #[test]
 fn a_half_written_pair_is_read_again_and_an_invalid_one_not_served() {
     let (old, new) = (pair((2025, 2027), "a"), pair((2025, 2027), "a"));
-    let mut keeper = CertificateReloader::new(old.0.clone(), old.1.clone(), WALL + 365 * DAY);
+    let mut reloader = CertificateReloader::new(old.0.clone(), old.1.clone(), WALL + 365 * DAY);
     assert!(matches!(
-        keeper.on_files_read(WALL, Some(old.clone())),
+        reloader.on_files_read(WALL, Some(old.clone())),
         ReloadStep::Keep
     ));
-    // The certificate first, its key a moment later.
-    let half = (new.0.clone(), old.1.clone());
+    // The certificate is replaced first, its key later.
+    let half_written = (new.0.clone(), old.1.clone());
     assert!(matches!(
-        keeper.on_files_read(WALL, Some(half.clone())),
+        reloader.on_files_read(WALL, Some(half_written.clone())),
         ReloadStep::ReadAgain
     ));
     assert!(matches!(
-        keeper.on_files_read(WALL, None),
+        reloader.on_files_read(WALL, None),
         ReloadStep::ReadAgain
     ));
     assert!(matches!(
-        keeper.on_files_read(WALL, Some(new.clone())),
+        reloader.on_files_read(WALL, Some(new.clone())),
         ReloadStep::Replace(_)
     ));
     assert!(matches!(
-        keeper.on_files_read(WALL, Some(new.clone())),
+        reloader.on_files_read(WALL, Some(new.clone())),
         ReloadStep::Keep
     ));
     // A pair that stays invalid is reported once.
     let steps: Vec<ReloadStep> = (0..6)
-        .map(|_| keeper.on_files_read(WALL, Some(half.clone())))
+        .map(|_| reloader.on_files_read(WALL, Some(half_written.clone())))
         .collect();
     assert!(matches!(
         steps[..],
@@ -119,14 +124,14 @@
             ReloadStep::Keep
         ]
     ));
-    // The files are again those that are served.
+    // The files have the contents of the served ones again.
     assert!(matches!(
-        keeper.on_files_read(WALL, Some(new)),
+        reloader.on_files_read(WALL, Some(new)),
         ReloadStep::Keep
     ));
     assert!(
-        keeper.time_left_if_expiring(WALL).is_none()
-            && keeper.time_left_if_expiring(WALL + 360 * DAY) == Some(5 * DAY)
+        reloader.time_left_if_expiring(WALL).is_none()
+            && reloader.time_left_if_expiring(WALL + 360 * DAY) == Some(5 * DAY)
     );
 }
 
@@ -134,7 +139,10 @@
 fn a_client_certificate_is_bound_to_the_account_of_its_name() {
     let der = |name| {
         let (certificate, key) = pair((2025, 2027), name);
-        validate(&certificate, &key, WALL).expect("good").chain[0].to_vec()
+        validate(&certificate, &key, WALL)
+            .expect("a valid pair")
+            .chain[0]
+            .to_vec()
     };
     let mut accounts = ClientAccounts::default();
     assert!(accounts.bind("amber-client".into(), 0) && accounts.bind("birch-client".into(), 1));
