--- a/crates/usage-metering/src/lib.rs
+++ b/crates/usage-metering/src/lib.rs
@@ -1,7 +1,11 @@
-//! Metering of memory-seconds by account, free of I/O. Begin reading at [`meter`], which says what each dispatch and
-//! each load order costs whom; [`usage`] adds it up exactly, [`readings`] holds the totals that workers report, and
-//! [`report`] merges what many routers measured. Nothing here decides what is admitted or dispatched; storing is the
-//! task of `cedarpulley-usage-store`.
+//! Metering of memory-seconds by account, free of I/O.
+//!
+//! * [`meter`]: charges each dispatch and each load order to an account; start reading here.
+//! * [`usage`]: exact sums of usage by hour, account, function and kind.
+//! * [`readings`]: the totals that workers report.
+//! * [`report`]: merges the measurements of many routers.
+//!
+//! Metering has no influence on admission or dispatching. `cedarpulley-usage-store` stores the usage.
 
 #![warn(missing_docs)]
 
--- a/crates/usage-metering/src/meter.rs
+++ b/crates/usage-metering/src/meter.rs
@@ -1,18 +1,20 @@
-//! What each dispatch and each load order costs whom. [`Meter`] is told of each that ends, with the totals that the
-//! worker reports, and gives out what is new since the last time.
+//! Charges each dispatch and each load order to an account. The caller passes every dispatch and load order that has
+//! ended to [`Meter`], with the totals that the worker reported, and regularly takes out the new usage.
 //!
-//! How it works:
-//! 1. A worker reports, in each response, the totals of its present incarnation for that account and function. Of two
-//!    such readings the larger contains the other, whichever router read it and when: a lost response or a killed
-//!    router loses nothing that a later reading contains, and routers that share nothing count nothing twice.
-//! 2. The worker divides a copy's memory while it runs among the invocations that it runs at once. A load is charged
-//!    whole to whoever caused it; those that waited for it are shown as sharing it and pay nothing. Idle memory is
-//!    charged to whoever uses the copy next.
-//! 3. A dispatch that may have run, but was not reported on, is uncertain: it is charged its part of a copy from its
-//!    sending until it ended here. Once the same incarnation of that worker reports on that account and function
-//!    again, its totals contain the dispatch, and the uncertain usage is settled. It stays uncertain if the worker
-//!    next reports in another incarnation, or never.
-//! 4. What certainly did not run costs nothing, and is counted as such.
+//! Rules:
+//! 1. Each response of a worker contains the totals of the worker's current incarnation for that account and function.
+//!    Totals only grow, so the larger of two readings includes the smaller one, whichever routers read them and when. A
+//!    later reading therefore covers a lost response or a killed router, and routers that share no state do not count
+//!    usage twice.
+//! 2. The worker divides the memory of a running copy among the invocations that the copy runs at the same time. A load
+//!    is charged completely to the account that caused it; invocations that waited for the load are counted as sharing
+//!    it and are not charged. Idle memory is charged to the account that uses the copy next.
+//! 3. A dispatch that may have run, but whose usage no worker reported, is uncertain: it is charged with its share of
+//!    a copy from when it was sent until it ended at this router. When the same incarnation of that worker next
+//!    reports on that account and function, its totals include the dispatch, and the uncertain usage is settled. It
+//!    remains uncertain if the worker next reports in another incarnation, or never. The same applies to load orders,
+//!    which are charged with one whole copy.
+//! 4. A dispatch that certainly did not run is not charged, and is counted as such.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -22,19 +24,20 @@
 use crate::readings::Readings;
 use crate::usage::{MICROS_PER_HOUR, Usage, UsageByKey, UsageKey, UsageKind};
 
-/// Workers' lines with uncertain usage that may still be settled; what comes beyond stays uncertain.
+/// Largest number of combinations of worker, account and function with uncertain usage that can still be settled. The
+/// uncertain usage of further combinations remains uncertain.
 const MAX_UNSETTLED: usize = 100_000;
 
-/// Totals of a worker's present incarnation for one account and function, in byte-microseconds.
+/// Totals of a worker's current incarnation for one account and function, in byte-microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemoryTotals {
-    /// The incarnation: drawn at random when the worker's process starts.
+    /// The incarnation of the worker's process: a random number, chosen when the process starts.
     pub incarnation: u64,
     /// Memory of copies while they ran.
     pub running: u128,
     /// Memory of copies while they loaded.
     pub loading: u128,
-    /// Memory of copies between two uses.
+    /// Memory of copies while they were idle between two uses.
     pub idle: u128,
 }
 
@@ -51,66 +54,66 @@
     pub function: &'a str,
     /// How it ended.
     pub outcome: DispatchOutcome,
-    /// What the response says of the copy that served it.
+    /// The state of the copy that served it, as the response states it.
     pub copy_status: CopyStatus,
-    /// Time since it was sent.
+    /// Time from sending to its end, in microseconds.
     pub took: Micros,
     /// Size of a copy in bytes, as the client states it.
     pub copy_bytes: u64,
-    /// Invocations that one copy runs at a time.
+    /// Number of invocations that one copy runs at a time.
     pub lanes: u32,
     /// The totals that the worker reports, if there was a response with them.
     pub totals: Option<MemoryTotals>,
 }
 
-/// An order to load copies that has ended.
+/// A load order that has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadUsage<'a> {
     /// When it ended, in microseconds since 1970.
     pub ended_at: Micros,
     /// The worker it went to.
     pub worker: WorkerIndex,
-    /// Name of the account whose invocation called for it.
+    /// Name of the account whose invocation caused the order.
     pub account: &'a str,
     /// Name of the function.
     pub function: &'a str,
-    /// Time since it was sent.
+    /// Time from sending to its end, in microseconds.
     pub took: Micros,
     /// Size of a copy in bytes, as the client states it.
     pub copy_bytes: u64,
-    /// No load was started: the worker could not be reached, or had no capacity.
+    /// Whether no load was started, because the worker was unreachable or had no capacity.
     pub not_started: bool,
     /// The totals that the worker reports, if there was a response with them.
     pub totals: Option<MemoryTotals>,
 }
 
-/// The usage that is new since it was last taken out.
+/// The usage that was recorded since the previous delta.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UsageDelta {
-    /// What only this router can say: uncertain and settled usage, and the counts.
+    /// Usage that only this router can measure: uncertain and settled usage, and counts.
     pub sums: UsageByKey,
-    /// What workers report.
+    /// Totals that workers reported.
     pub readings: Readings,
 }
 
 impl UsageDelta {
-    /// Nothing is new.
+    /// Whether there is no new usage.
     pub fn is_empty(&self) -> bool {
         self.sums.is_empty() && self.readings.0.is_empty()
     }
 }
 
-/// Whose usage of which worker.
+/// Identifies the usage of one worker by one account for one function.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Line {
+struct WorkerUsageKey {
     worker: WorkerIndex,
     account: Arc<str>,
     function: Arc<str>,
 }
 
-impl Line {
+impl WorkerUsageKey {
     fn new(worker: WorkerIndex, account: &str, function: &str) -> Self {
-        Line {
+        WorkerUsageKey {
             worker,
             account: Arc::from(account),
             function: Arc::from(function),
@@ -127,12 +130,12 @@
     }
 }
 
-/// The uncertain usage of a line that may still be settled.
+/// Uncertain usage that can still be settled, for one [`WorkerUsageKey`].
 #[derive(Debug)]
 struct Unsettled {
-    /// The incarnation that the worker was known to have; absent if it had not reported any.
+    /// The worker's incarnation when the usage was recorded; `None` if the worker had not reported any.
     incarnation: Option<u64>,
-    /// By the hour in which it was counted.
+    /// The usage by the hour in which it was recorded.
     by_hour: BTreeMap<u32, Usage>,
 }
 
@@ -148,13 +151,14 @@
 /// Meters the dispatches and load orders of one router.
 #[derive(Debug, Default)]
 pub struct Meter {
-    /// Number of readings that were dropped for lack of space.
+    /// Number of readings that were dropped because the limit on their number was reached.
     pub dropped_readings: u64,
-    /// What is new since it was last taken out.
+    /// The usage since the previous call of [`Meter::take_delta`].
     delta: UsageDelta,
     /// The incarnation that each worker reported last.
     incarnations: HashMap<WorkerIndex, u64>,
-    unsettled: HashMap<Line, Unsettled>,
+    /// Uncertain usage that can still be settled.
+    unsettled: HashMap<WorkerUsageKey, Unsettled>,
 }
 
 fn byte_microseconds(bytes: u64, time: Micros) -> u128 {
@@ -168,75 +172,81 @@
 impl Meter {
     /// Records a dispatch that has ended.
     pub fn record_dispatch(&mut self, dispatch: DispatchUsage) {
-        let line = Line::new(dispatch.worker, dispatch.account, dispatch.function);
+        let worker_key = WorkerUsageKey::new(dispatch.worker, dispatch.account, dispatch.function);
         let hour = hour_of(dispatch.ended_at);
         match dispatch.totals {
             Some(totals) => {
-                self.record_totals(hour, &line, totals);
-                // A repeat that the worker dropped ran on no copy.
+                self.record_totals(hour, &worker_key, totals);
+                // Totals without a copy status mean that the worker dropped a repeat, which ran on no copy.
                 let kind = if dispatch.copy_status == CopyStatus::Unreported {
                     UsageKind::Nothing
                 } else {
                     UsageKind::Running
                 };
-                self.count(hour, &line, kind);
+                self.count(hour, &worker_key, kind);
                 if dispatch.copy_status == CopyStatus::LoadAwaited {
-                    self.count(hour, &line, UsageKind::Shared);
+                    self.count(hour, &worker_key, UsageKind::Shared);
                 }
             }
-            None if dispatch.outcome.not_executed() => self.count(hour, &line, UsageKind::Nothing),
+            None if dispatch.outcome.not_executed() => {
+                self.count(hour, &worker_key, UsageKind::Nothing)
+            }
             None => {
                 let bytes = dispatch.copy_bytes / u64::from(dispatch.lanes.max(1));
-                self.record_uncertain(hour, line, byte_microseconds(bytes, dispatch.took));
+                self.record_uncertain(hour, worker_key, byte_microseconds(bytes, dispatch.took));
             }
         }
     }
 
-    /// Records an order to load that has ended.
+    /// Records a load order that has ended.
     pub fn record_load(&mut self, load: LoadUsage) {
-        let line = Line::new(load.worker, load.account, load.function);
+        let worker_key = WorkerUsageKey::new(load.worker, load.account, load.function);
         let hour = hour_of(load.ended_at);
         match load.totals {
-            Some(totals) => self.record_totals(hour, &line, totals),
+            Some(totals) => self.record_totals(hour, &worker_key, totals),
             None if load.not_started => {}
             None => {
                 let byte_us = byte_microseconds(load.copy_bytes, load.took);
-                self.record_uncertain(hour, line, byte_us);
+                self.record_uncertain(hour, worker_key, byte_us);
             }
         }
     }
 
-    /// Takes out what is new since the last time.
+    /// Returns the usage since the previous call, and removes it from the meter.
     pub fn take_delta(&mut self) -> UsageDelta {
         std::mem::take(&mut self.delta)
     }
 
-    /// Takes back what was taken out but could not be stored.
+    /// Adds a delta back that could not be stored.
     pub fn restore(&mut self, delta: &UsageDelta) {
         self.delta.sums.add_all(&delta.sums);
-        // One by one, for their bound. Symptom: with a disk that fails for days, the lines of each part that comes
-        // back are added to those of the others.
+        // Added one by one so that the limit on their number applies. Without this, the readings of all restored deltas
+        // would accumulate without a limit while the disk fails for days.
         for ((incarnation, key), total) in &delta.readings.0 {
             self.record_reading(*incarnation, key.clone(), *total);
         }
     }
 
-    fn record_totals(&mut self, hour: u32, line: &Line, totals: MemoryTotals) {
-        self.incarnations.insert(line.worker, totals.incarnation);
+    fn record_totals(&mut self, hour: u32, worker_key: &WorkerUsageKey, totals: MemoryTotals) {
+        self.incarnations
+            .insert(worker_key.worker, totals.incarnation);
         let by_kind = [
             (UsageKind::Running, totals.running),
             (UsageKind::Loading, totals.loading),
             (UsageKind::Idle, totals.idle),
         ];
         for (kind, total) in by_kind.into_iter().filter(|(_, total)| *total > 0) {
-            self.record_reading(totals.incarnation, line.key(hour, kind), total);
+            self.record_reading(totals.incarnation, worker_key.key(hour, kind), total);
         }
-        // Symptom: a worker that was silent for a while, or whose response was lost, is charged for twice.
-        if let Some(unsettled) = self.unsettled.remove(line)
+        // Without this, usage would be charged twice after a worker was silent for a while or a response was lost: as
+        // uncertain usage, and as part of the reported totals.
+        if let Some(unsettled) = self.unsettled.remove(worker_key)
             && unsettled.incarnation == Some(totals.incarnation)
         {
             for (hour, sum) in unsettled.by_hour {
-                self.delta.sums.add(line.key(hour, UsageKind::Settled), sum);
+                self.delta
+                    .sums
+                    .add(worker_key.key(hour, UsageKind::Settled), sum);
             }
         }
     }
@@ -246,31 +256,31 @@
         self.dropped_readings += u64::from(!recorded);
     }
 
-    fn record_uncertain(&mut self, hour: u32, line: Line, byte_us: u128) {
+    fn record_uncertain(&mut self, hour: u32, worker_key: WorkerUsageKey, byte_us: u128) {
         let sum = Usage { byte_us, count: 1 };
         self.delta
             .sums
-            .add(line.key(hour, UsageKind::Uncertain), sum);
-        if self.unsettled.len() >= MAX_UNSETTLED && !self.unsettled.contains_key(&line) {
+            .add(worker_key.key(hour, UsageKind::Uncertain), sum);
+        if self.unsettled.len() >= MAX_UNSETTLED && !self.unsettled.contains_key(&worker_key) {
             return;
         }
-        let incarnation = self.incarnations.get(&line.worker).copied();
+        let incarnation = self.incarnations.get(&worker_key.worker).copied();
         let unsettled = self
             .unsettled
-            .entry(line)
+            .entry(worker_key)
             .or_insert_with(|| Unsettled::new(incarnation));
         if unsettled.incarnation != incarnation {
-            // The usage of the earlier incarnation stays uncertain.
+            // The usage of the earlier incarnation remains uncertain.
             *unsettled = Unsettled::new(incarnation);
         }
         unsettled.by_hour.entry(hour).or_default().add(sum);
     }
 
-    fn count(&mut self, hour: u32, line: &Line, kind: UsageKind) {
+    fn count(&mut self, hour: u32, worker_key: &WorkerUsageKey, kind: UsageKind) {
         let sum = Usage {
             byte_us: 0,
             count: 1,
         };
-        self.delta.sums.add(line.key(hour, kind), sum);
+        self.delta.sums.add(worker_key.key(hour, kind), sum);
     }
 }
--- a/crates/usage-metering/src/readings.rs
+++ b/crates/usage-metering/src/readings.rs
@@ -5,17 +5,17 @@
 
 use crate::usage::{MAX_KEYS, Usage, UsageByKey, UsageKey, UsageKind};
 
-/// The largest total that was read in each hour, by the worker's incarnation and by account, function and kind; in
+/// The largest total that was read in each hour, by the worker's incarnation, account, function and kind, in
 /// byte-microseconds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Readings(
-    /// By incarnation and key.
+    /// Totals by incarnation and key.
     pub BTreeMap<(u64, UsageKey), u128>,
 );
 
-/// Totals that only grow: those of one incarnation for one account, function and kind.
+/// Identifies a monotonically increasing total: that of one incarnation for one account, function and kind.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Line<'a> {
+struct TotalKey<'a> {
     incarnation: u64,
     account: &'a Arc<str>,
     function: &'a Arc<str>,
@@ -23,7 +23,8 @@
 }
 
 impl Readings {
-    /// Records a total. False if it had to be dropped for lack of space; a later reading contains it.
+    /// Records a total. Returns false if it was dropped because the limit on the number of readings is reached; a later
+    /// reading includes it.
     pub fn record(&mut self, incarnation: u64, key: UsageKey, total: u128) -> bool {
         let reading = (incarnation, key);
         if self.0.len() >= MAX_KEYS && !self.0.contains_key(&reading) {
@@ -34,7 +35,7 @@
         true
     }
 
-    /// Takes over all readings of `other`, without a bound.
+    /// Merges all readings of `other`, without a limit on their number.
     pub fn merge(&mut self, other: &Readings) {
         for (reading, total) in &other.0 {
             let largest = self.0.entry(reading.clone()).or_default();
@@ -42,31 +43,34 @@
         }
     }
 
-    /// The usage of each hour: by how much the totals exceed those of the hours before.
+    /// Returns the usage of each hour: the increase of each total over the largest total of the earlier hours.
     pub fn sums(&self) -> UsageByKey {
-        let mut by_line: BTreeMap<Line, BTreeMap<u32, u128>> = BTreeMap::new();
+        let mut by_total_key: BTreeMap<TotalKey, BTreeMap<u32, u128>> = BTreeMap::new();
         for ((incarnation, key), total) in &self.0 {
-            let line = Line {
+            let total_key = TotalKey {
                 incarnation: *incarnation,
                 account: &key.account,
                 function: &key.function,
                 kind: key.kind,
             };
-            by_line.entry(line).or_default().insert(key.hour, *total);
+            by_total_key
+                .entry(total_key)
+                .or_default()
+                .insert(key.hour, *total);
         }
         let mut sums = UsageByKey::default();
-        for (line, by_hour) in by_line {
-            let mut before = 0;
+        for (total_key, by_hour) in by_total_key {
+            let mut earlier_total = 0;
             for (hour, total) in by_hour {
                 let key = UsageKey {
                     hour,
-                    account: line.account.clone(),
-                    function: line.function.clone(),
-                    kind: line.kind,
+                    account: total_key.account.clone(),
+                    function: total_key.function.clone(),
+                    kind: total_key.kind,
                 };
-                let byte_us = total.saturating_sub(before);
+                let byte_us = total.saturating_sub(earlier_total);
                 sums.add(key, Usage { byte_us, count: 0 });
-                before = total.max(before);
+                earlier_total = total.max(earlier_total);
             }
         }
         sums
--- a/crates/usage-metering/src/report.rs
+++ b/crates/usage-metering/src/report.rs
@@ -1,35 +1,36 @@
-//! The usage that many routers measured, merged into one report.
+//! Merges the usage that many routers measured into one report.
 //!
-//! What workers report is the same whichever router read it: of two readings the larger counts. What only a router
-//! can say (what is uncertain, what did not run) stands under the router's own source with a version that grows with
-//! each write; of two states of one source the later contains the earlier. Merging therefore gives the same result in
-//! any order, and merging the same report twice changes nothing.
+//! Totals that workers report do not depend on the router that reads them: the larger of two readings applies. Usage
+//! that only a router can measure (uncertain usage, dispatches that did not run) is stored under the router's own
+//! source, with a write number that increases with each write; the later of two states of a source includes the
+//! earlier one. The result of merging therefore does not depend on the order, and merging the same report twice
+//! changes nothing.
 
 use std::collections::BTreeMap;
 
 use crate::readings::Readings;
 use crate::usage::UsageByKey;
 
-/// Who measured: drawn at random when a router's ledger is created.
+/// Identifies the ledger of a router: a random number, chosen when the ledger is created.
 pub type Source = u128;
 
-/// What one source measured, as of one of its writes.
+/// The usage that one source measured, as of one of its writes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SourceUsage {
-    /// Number of the write; grows with each.
+    /// Number of the write; increases with each write.
     pub number: u64,
-    /// The router's name, for people.
+    /// The router's name, for display.
     pub router: String,
     /// The usage.
     pub sums: UsageByKey,
 }
 
-/// The usage that any number of sources measured.
+/// The merged usage of any number of sources.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UsageReport {
-    /// What only the sources can say.
+    /// Usage that only the sources can measure.
     pub by_source: BTreeMap<Source, SourceUsage>,
-    /// What workers report.
+    /// Totals that workers reported.
     pub readings: Readings,
 }
 
@@ -37,17 +38,17 @@
     /// Merges another report into this one.
     pub fn merge(&mut self, other: UsageReport) {
         self.readings.merge(&other.readings);
-        for (source, theirs) in other.by_source {
+        for (source, other_usage) in other.by_source {
             match self.by_source.get(&source) {
-                Some(own) if own.number >= theirs.number => {}
+                Some(own_usage) if own_usage.number >= other_usage.number => {}
                 _ => {
-                    self.by_source.insert(source, theirs);
+                    self.by_source.insert(source, other_usage);
                 }
             }
         }
     }
 
-    /// The usage over all sources and readings, with settled usage no longer uncertain.
+    /// Returns the usage of all sources and readings, with settled usage subtracted from uncertain usage.
     pub fn sums(&self) -> UsageByKey {
         let mut all = self.readings.sums();
         for source in self.by_source.values() {
--- a/crates/usage-metering/src/usage.rs
+++ b/crates/usage-metering/src/usage.rs
@@ -1,5 +1,5 @@
-//! Usage by hour, account, function and kind. Byte-microseconds are whole numbers, so that parts add up exactly. They
-//! cannot overflow: a year of ten thousand workers with a terabyte each is below 2^119.
+//! Usage by hour, account, function and kind. Byte-microseconds are integers, so that sums are exact. They cannot
+//! overflow: a year of ten thousand workers with a terabyte of memory each is below 2^119.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,12 +7,12 @@
 use cedarpulley::interface::Micros;
 use serde::Serialize;
 
-/// An hour.
+/// One hour, in microseconds.
 pub const MICROS_PER_HOUR: Micros = 3_600_000_000;
-/// Keys that are held apart at a time; usage under further keys is added under [`OTHER_FUNCTIONS`], so that only the
+/// Largest number of separate keys; usage under further keys is added under [`OTHER_FUNCTIONS`], so that only the
 /// function's name is lost.
 pub(crate) const MAX_KEYS: usize = 100_000;
-/// Name that stands for all functions beyond the bound.
+/// Name that replaces the names of all functions above the limit on the number of keys.
 pub const OTHER_FUNCTIONS: &str = "(others)";
 
 const BYTE_MICROS_PER_MB_SECOND: f64 = 1e12;
@@ -21,19 +21,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UsageKind {
-    /// A copy's memory while it ran, divided among the invocations that it ran at once.
+    /// A copy's memory while it ran, divided among the invocations that it ran at the same time.
     Running,
-    /// A copy's memory from the order to load it until it was loaded, or the load failed.
+    /// A copy's memory from the load order until the copy was loaded or the load failed.
     Loading,
-    /// A copy's memory between two uses; charged to whoever uses it next.
+    /// A copy's memory between two uses; charged to the account that uses the copy next.
     Idle,
-    /// What may have been used by dispatches that no worker reported on: an estimate.
+    /// Estimated memory of dispatches that may have run, but whose usage no worker reported.
     Uncertain,
-    /// No memory: an invocation that waited for a load which is charged to another.
+    /// No memory: an invocation that waited for a load that is charged to another invocation.
     Shared,
     /// No memory: a repeat that the worker dropped, or an invocation that did not run.
     Nothing,
-    /// Was uncertain until its worker reported again, with totals that contain it.
+    /// Usage that was uncertain until its worker reported again, with totals that include it.
     Settled,
 }
 
@@ -49,7 +49,7 @@
         UsageKind::Settled,
     ];
 
-    /// The name in reports.
+    /// Returns the name in reports.
     pub fn name(self) -> &'static str {
         match self {
             UsageKind::Running => "running",
@@ -63,7 +63,7 @@
     }
 }
 
-/// Whose usage, when and what for.
+/// Identifies usage by hour, account, function and kind.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UsageKey {
     /// The hour since 1970 in which the dispatch ended or the total was read.
@@ -81,7 +81,7 @@
 pub struct Usage {
     /// Memory multiplied by time, in byte-microseconds.
     pub byte_us: u128,
-    /// Number of invocations, or of orders to load.
+    /// Number of invocations or of load orders.
     pub count: u64,
 }
 
@@ -103,15 +103,15 @@
     }
 }
 
-/// Amounts of usage by key.
+/// Usage by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UsageByKey(
-    /// In the order of keys.
+    /// Amounts by key.
     pub BTreeMap<UsageKey, Usage>,
 );
 
 impl UsageByKey {
-    /// Adds an amount under a key; if there are too many keys, under [`OTHER_FUNCTIONS`].
+    /// Adds an amount under a key, or under [`OTHER_FUNCTIONS`] if there are too many keys.
     pub fn add(&mut self, key: UsageKey, sum: Usage) {
         let key = if self.0.len() >= MAX_KEYS && !self.0.contains_key(&key) {
             UsageKey {
@@ -131,12 +131,12 @@
         }
     }
 
-    /// There is no amount.
+    /// Whether there is no usage.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The amounts added up by whatever `group` makes of their keys.
+    /// Returns the sums of the amounts, grouped by the result of `group` for their keys.
     pub fn group_by<K: Ord>(&self, group: impl Fn(&UsageKey) -> K) -> BTreeMap<K, Usage> {
         let mut groups: BTreeMap<K, Usage> = BTreeMap::new();
         for (key, sum) in &self.0 {
@@ -145,7 +145,7 @@
         groups
     }
 
-    /// The same with settled usage subtracted from uncertain usage, hour by hour.
+    /// Returns the usage with settled usage subtracted from uncertain usage for each hour, account and function.
     pub fn without_settled(&self) -> UsageByKey {
         let mut out = UsageByKey::default();
         for (key, sum) in self
@@ -167,7 +167,7 @@
         out
     }
 
-    /// All amounts added up.
+    /// Returns the sum of all amounts.
     pub fn total(&self) -> Usage {
         self.group_by(|_| ()).remove(&()).unwrap_or_default()
     }
--- a/crates/usage-metering/tests/metering.rs
+++ b/crates/usage-metering/tests/metering.rs
@@ -1,4 +1,5 @@
-//! What each dispatch and load order costs whom; sums that add up exactly; reports that merge in any order.
+//! Charges for dispatches and load orders, exact sums, and merging of reports. Guards against usage that is charged
+//! twice, to the wrong account or not at all, and against reports that depend on the order of merging.
 
 use std::sync::Arc;
 
@@ -10,14 +11,16 @@
 use cedarpulley_usage_metering::{DispatchUsage, LoadUsage, MemoryTotals, Meter, Readings};
 use proptest::prelude::*;
 
-const HELD: MemoryTotals = MemoryTotals {
+/// Totals that a worker reports.
+const REPORTED: MemoryTotals = MemoryTotals {
     incarnation: 9,
     running: 700,
     loading: 0,
     idle: 300,
 };
 
-fn ended(
+/// A dispatch that has ended.
+fn dispatch_usage(
     outcome: DispatchOutcome,
     copy_status: CopyStatus,
     totals: Option<MemoryTotals>,
@@ -38,91 +41,98 @@
     }
 }
 
-/// What the meter measured: sums and readings together.
+/// The report with the new usage of a meter.
 fn report_of(meter: &mut Meter) -> UsageReport {
-    let part = meter.take_delta();
+    let delta = meter.take_delta();
     assert!(meter.take_delta().is_empty());
-    let measured = SourceUsage {
+    let source_usage = SourceUsage {
         number: 1,
         router: "r".into(),
-        sums: part.sums,
+        sums: delta.sums,
     };
     UsageReport {
-        by_source: [(1, measured)].into(),
-        readings: part.readings,
+        by_source: [(1, source_usage)].into(),
+        readings: delta.readings,
     }
 }
 
-fn kinds(act: impl FnOnce(&mut Meter)) -> Vec<(UsageKind, u128)> {
+/// The byte-microseconds of each kind after `record`.
+fn usage_by_kind(record: impl FnOnce(&mut Meter)) -> Vec<(UsageKind, u128)> {
     let mut meter = Meter::default();
-    act(&mut meter);
+    record(&mut meter);
     report_of(&mut meter)
         .sums()
         .0
         .iter()
-        .map(|(k, s)| (k.kind, s.byte_us))
+        .map(|(key, usage)| (key.kind, usage.byte_us))
         .collect()
 }
 
 #[test]
 fn reported_usage_counts_and_unreported_usage_is_uncertain() {
-    let of = |outcome, note, held| kinds(|m| m.record_dispatch(ended(outcome, note, held)));
-    let found = of(DispatchOutcome::Succeeded, CopyStatus::Warm, Some(HELD));
-    assert_eq!(found, [(UsageKind::Running, 700), (UsageKind::Idle, 300)]);
-    // An invocation that errored held what it held.
+    let usage = |outcome, copy_status, totals| {
+        usage_by_kind(|meter| meter.record_dispatch(dispatch_usage(outcome, copy_status, totals)))
+    };
+    let warm = usage(DispatchOutcome::Succeeded, CopyStatus::Warm, Some(REPORTED));
+    assert_eq!(warm, [(UsageKind::Running, 700), (UsageKind::Idle, 300)]);
+    // An invocation that errored is charged for the memory that it used.
     assert_eq!(
-        of(DispatchOutcome::Errored, CopyStatus::Warm, Some(HELD)),
-        found
+        usage(DispatchOutcome::Errored, CopyStatus::Warm, Some(REPORTED)),
+        warm
     );
-    // A load that another began: shown, and not charged again.
+    // A load that another invocation started is counted as shared, and not charged again.
     let waited = [
         (UsageKind::Running, 700),
         (UsageKind::Idle, 300),
         (UsageKind::Shared, 0),
     ];
     assert_eq!(
-        of(
+        usage(
             DispatchOutcome::Succeeded,
             CopyStatus::LoadAwaited,
-            Some(HELD)
+            Some(REPORTED)
         ),
         waited
     );
     // A repeat that the worker dropped.
-    let repeat = Some(MemoryTotals {
+    let totals_of_repeat = Some(MemoryTotals {
         incarnation: 9,
         ..MemoryTotals::default()
     });
     assert_eq!(
-        of(DispatchOutcome::Succeeded, CopyStatus::Unreported, repeat),
+        usage(
+            DispatchOutcome::Succeeded,
+            CopyStatus::Unreported,
+            totals_of_repeat
+        ),
         [(UsageKind::Nothing, 0)]
     );
-    for silent in [
+    for may_have_run in [
         DispatchOutcome::TimedOut,
         DispatchOutcome::ConnectionLost,
         DispatchOutcome::Cancelled,
     ] {
         assert_eq!(
-            of(silent, CopyStatus::Unreported, None),
+            usage(may_have_run, CopyStatus::Unreported, None),
             [(UsageKind::Uncertain, 50 * 100 / 2)]
         );
     }
-    for never in [
+    for did_not_run in [
         DispatchOutcome::Rejected,
         DispatchOutcome::Unreachable,
         DispatchOutcome::NotSent,
         DispatchOutcome::NotLoaded,
     ] {
         assert_eq!(
-            of(never, CopyStatus::Unreported, None),
+            usage(did_not_run, CopyStatus::Unreported, None),
             [(UsageKind::Nothing, 0)]
         );
     }
 }
 
 #[test]
-fn a_load_is_charged_once_to_who_caused_it() {
-    let load = |not_started, totals| {
+fn a_load_is_charged_once_to_the_account_that_caused_it() {
+    let usage = |not_started, totals| {
         let (worker, account, function) = (1, "birch", "f");
         let load = LoadUsage {
             ended_at: 1,
@@ -134,42 +144,52 @@
             not_started,
             totals,
         };
-        kinds(|m| m.record_load(load))
+        usage_by_kind(|meter| meter.record_load(load))
     };
     let totals = MemoryTotals {
         incarnation: 9,
         loading: 80,
         ..MemoryTotals::default()
     };
-    assert_eq!(load(true, Some(totals)), [(UsageKind::Loading, 80)]);
-    assert_eq!(load(true, None), []);
-    assert_eq!(load(false, None), [(UsageKind::Uncertain, 90)]);
+    assert_eq!(usage(true, Some(totals)), [(UsageKind::Loading, 80)]);
+    assert_eq!(usage(true, None), []);
+    assert_eq!(usage(false, None), [(UsageKind::Uncertain, 90)]);
 }
 
-/// Symptom: a response is lost, or the router that received it killed; the next one has the whole total, whichever router
-/// receives it.
+/// Guards against usage that is lost or counted twice when a response is lost or the router that received it is killed.
+/// The next response has the complete total, whichever router receives it.
 #[test]
-fn a_lost_response_is_covered_by_the_next_and_two_routers_count_it_once() {
-    let told = |running| {
+fn a_lost_response_is_covered_by_the_next_one_and_two_routers_count_it_once() {
+    let totals = |running| {
         Some(MemoryTotals {
             running,
             idle: 0,
-            ..HELD
+            ..REPORTED
         })
     };
-    let answer = |running| ended(DispatchOutcome::Succeeded, CopyStatus::Warm, told(running));
-    let (mut one, mut other) = (Meter::default(), Meter::default());
-    one.record_dispatch(answer(700));
-    // The answer that told 1,400 never arrived.
-    other.record_dispatch(answer(2_100));
-    one.record_dispatch(answer(1_500));
-    let mut book = report_of(&mut one);
-    let mut theirs = report_of(&mut other);
-    theirs.by_source = theirs.by_source.into_values().map(|m| (2, m)).collect();
-    book.merge(theirs.clone());
-    book.merge(theirs);
+    let dispatch = |running| {
+        dispatch_usage(
+            DispatchOutcome::Succeeded,
+            CopyStatus::Warm,
+            totals(running),
+        )
+    };
+    let (mut first_meter, mut second_meter) = (Meter::default(), Meter::default());
+    first_meter.record_dispatch(dispatch(700));
+    // The response with a total of 1,400 is lost.
+    second_meter.record_dispatch(dispatch(2_100));
+    first_meter.record_dispatch(dispatch(1_500));
+    let mut report = report_of(&mut first_meter);
+    let mut second_report = report_of(&mut second_meter);
+    second_report.by_source = second_report
+        .by_source
+        .into_values()
+        .map(|usage| (2, usage))
+        .collect();
+    report.merge(second_report.clone());
+    report.merge(second_report);
     assert_eq!(
-        book.sums().group_by(|k| k.kind)[&UsageKind::Running],
+        report.sums().group_by(|key| key.kind)[&UsageKind::Running],
         Usage {
             byte_us: 2_100,
             count: 3
@@ -181,72 +201,84 @@
 fn a_reading_of_a_later_hour_counts_only_its_increase() {
     let mut meter = Meter::default();
     for (hour, running) in [(5, 700), (7, 1_000), (7, 1_100), (8, 1_100)] {
-        let told = Some(MemoryTotals {
+        let totals = Some(MemoryTotals {
             running,
             idle: 0,
-            ..HELD
+            ..REPORTED
         });
         meter.record_dispatch(DispatchUsage {
             ended_at: hour * MICROS_PER_HOUR,
-            ..ended(DispatchOutcome::Succeeded, CopyStatus::Warm, told)
+            ..dispatch_usage(DispatchOutcome::Succeeded, CopyStatus::Warm, totals)
         });
     }
-    let by: Vec<_> = report_of(&mut meter)
+    let by_hour: Vec<_> = report_of(&mut meter)
         .sums()
-        .group_by(|k| k.hour)
+        .group_by(|key| key.hour)
         .into_iter()
-        .map(|(h, s)| (h, s.byte_us))
+        .map(|(hour, usage)| (hour, usage.byte_us))
         .collect();
-    assert_eq!(by, [(5, 700), (7, 400), (8, 0)]);
+    assert_eq!(by_hour, [(5, 700), (7, 400), (8, 0)]);
 }
 
 #[test]
 fn uncertain_usage_is_settled_by_the_same_incarnation_only() {
-    let silent = ended(DispatchOutcome::TimedOut, CopyStatus::Unreported, None);
-    let heard = |incarnation| {
-        ended(
+    let unreported = dispatch_usage(DispatchOutcome::TimedOut, CopyStatus::Unreported, None);
+    let reported = |incarnation| {
+        dispatch_usage(
             DispatchOutcome::Succeeded,
             CopyStatus::Warm,
             Some(MemoryTotals {
                 incarnation,
-                ..HELD
+                ..REPORTED
             }),
         )
     };
-    let uncertain = |events: &[DispatchUsage<'static>]| {
+    let uncertain = |dispatches: &[DispatchUsage<'static>]| {
         let mut meter = Meter::default();
-        events.iter().for_each(|e| meter.record_dispatch(*e));
+        dispatches
+            .iter()
+            .for_each(|dispatch| meter.record_dispatch(*dispatch));
         report_of(&mut meter)
             .sums()
-            .group_by(|k| k.kind)
+            .group_by(|key| key.kind)
             .get(&UsageKind::Uncertain)
-            .map(|s| (s.byte_us, s.count))
+            .map(|usage| (usage.byte_us, usage.count))
     };
-    assert_eq!(uncertain(&[heard(9), silent, silent]), Some((5_000, 2)));
     assert_eq!(
-        uncertain(&[heard(9), silent, silent, heard(9)]),
+        uncertain(&[reported(9), unreported, unreported]),
+        Some((5_000, 2))
+    );
+    assert_eq!(
+        uncertain(&[reported(9), unreported, unreported, reported(9)]),
         Some((0, 0))
     );
-    // A worker that restarted took with it what it had not told.
-    assert_eq!(uncertain(&[heard(9), silent, heard(10)]), Some((2_500, 1)));
+    // A worker that restarted has lost the totals that it had not reported.
     assert_eq!(
-        uncertain(&[silent, heard(9)]),
+        uncertain(&[reported(9), unreported, reported(10)]),
+        Some((2_500, 1))
+    );
+    assert_eq!(
+        uncertain(&[unreported, reported(9)]),
         Some((2_500, 1)),
-        "of which life it was is not known"
+        "the incarnation in which the first dispatch ran is unknown"
     );
-    // In another function's line nothing is settled.
-    let other = DispatchUsage {
+    // A report for another function settles nothing.
+    let other_function = DispatchUsage {
         function: "g",
-        ..heard(9)
+        ..reported(9)
     };
-    assert_eq!(uncertain(&[heard(9), silent, other]), Some((2_500, 1)));
+    assert_eq!(
+        uncertain(&[reported(9), unreported, other_function]),
+        Some((2_500, 1))
+    );
 }
 
+/// Random usage with few different keys, so that keys coincide.
 fn sums() -> impl Strategy<Value = UsageByKey> {
     let key = (0..3u32, 0..3usize, 0..3usize, 0..7usize);
-    proptest::collection::vec((key, any::<u64>(), 0..9u64), 0..20).prop_map(|all| {
+    proptest::collection::vec((key, any::<u64>(), 0..9u64), 0..20).prop_map(|entries| {
         let mut sums = UsageByKey::default();
-        for ((hour, account, function, kind), byte_us, count) in all {
+        for ((hour, account, function, kind), byte_us, count) in entries {
             let name = |n: usize| Arc::from(["a", "b", "c"][n]);
             let key = UsageKey {
                 hour,
@@ -268,26 +300,28 @@
 
 proptest! {
     #[test]
-    fn parts_add_up_exactly(some in sums(), others in sums()) {
-        let mut all = some.clone();
-        all.add_all(&others);
-        let mut total = some.total();
-        total.add(others.total());
+    fn sums_are_exact(first in sums(), second in sums()) {
+        let mut all = first.clone();
+        all.add_all(&second);
+        let mut total = first.total();
+        total.add(second.total());
         prop_assert_eq!(all.total(), total);
-        let parts = all.group_by(|k| (k.account.clone(), k.kind));
+        let groups = all.group_by(|key| (key.account.clone(), key.kind));
         let mut sum = Usage::default();
-        parts.values().for_each(|s| sum.add(*s));
+        groups.values().for_each(|usage| sum.add(*usage));
         prop_assert_eq!(sum, total);
     }
 
     #[test]
-    fn reports_merge_in_any_order_and_twice(states in proptest::collection::vec((0..4u128, 0..5u64, sums()), 0..12)) {
-        // Of one source a number stands for one state.
-        let mut seen = std::collections::HashMap::new();
-        let books: Vec<UsageReport> = states
+    fn merging_is_independent_of_order_and_repetition(
+        states in proptest::collection::vec((0..4u128, 0..5u64, sums()), 0..12),
+    ) {
+        // For one source, a write number identifies one state.
+        let mut known_states = std::collections::HashMap::new();
+        let reports: Vec<UsageReport> = states
             .into_iter()
             .map(|(source, number, sums)| {
-                let sums = seen.entry((source, number)).or_insert(sums).clone();
+                let sums = known_states.entry((source, number)).or_insert(sums).clone();
                 let router = format!("r{source}");
                 let mut readings = Readings::default();
                 for (key, sum) in &sums.0 {
@@ -296,47 +330,51 @@
                 UsageReport { by_source: [(source, SourceUsage { number, router, sums })].into(), readings }
             })
             .collect();
-        let mut forth = UsageReport::default();
-        books.iter().cloned().for_each(|b| forth.merge(b));
-        let mut back = UsageReport::default();
-        books.iter().rev().chain(&books).cloned().for_each(|b| back.merge(b));
-        prop_assert_eq!(&forth, &back);
+        let mut in_order = UsageReport::default();
+        reports.iter().cloned().for_each(|report| in_order.merge(report));
+        let mut reversed_and_repeated = UsageReport::default();
+        reports.iter().rev().chain(&reports).cloned().for_each(|report| reversed_and_repeated.merge(report));
+        prop_assert_eq!(&in_order, &reversed_and_repeated);
     }
 }
 
-/// Symptom: the disk fails for days, and each part that comes back is kept on top of the others.
+/// Guards against unlimited memory use while the disk fails for days: every delta that cannot be stored is restored
+/// into the meter.
 #[test]
 fn restored_readings_are_bounded_and_dropped_ones_counted() {
-    let (mut meter, mut tried) = (Meter::default(), 0);
+    let (mut meter, mut recorded) = (Meter::default(), 0);
     for round in 0..3u64 {
-        let part = meter.take_delta();
+        let delta = meter.take_delta();
         for n in 0..60_000u64 {
             let name = format!("f{round}-{n}");
-            let e = ended(
+            let dispatch = dispatch_usage(
                 DispatchOutcome::Succeeded,
                 CopyStatus::Warm,
-                Some(MemoryTotals { idle: 0, ..HELD }),
+                Some(MemoryTotals {
+                    idle: 0,
+                    ..REPORTED
+                }),
             );
             meter.record_dispatch(DispatchUsage {
                 function: &name,
-                ..e
+                ..dispatch
             });
-            tried += 1;
+            recorded += 1;
         }
-        meter.restore(&part);
+        meter.restore(&delta);
     }
-    let left_out = meter.dropped_readings;
-    let book = report_of(&mut meter);
+    let dropped = meter.dropped_readings;
+    let report = report_of(&mut meter);
     assert!(
-        book.readings.0.len() <= 100_000,
+        report.readings.0.len() <= 100_000,
         "{}",
-        book.readings.0.len()
+        report.readings.0.len()
     );
-    assert_eq!(book.readings.0.len() as u64 + left_out, tried);
+    assert_eq!(report.readings.0.len() as u64 + dropped, recorded);
 }
 
 #[test]
-fn too_many_functions_lose_only_their_names() {
+fn usage_of_too_many_functions_loses_only_the_names() {
     let mut sums = UsageByKey::default();
     for n in 0..100_010u64 {
         let key = UsageKey {
@@ -361,7 +399,7 @@
         }
     );
     assert_eq!(
-        sums.group_by(|k| k.function.clone())[OTHER_FUNCTIONS].count,
+        sums.group_by(|key| key.function.clone())[OTHER_FUNCTIONS].count,
         10
     );
 }
