--- a/crates/usage-store/src/error.rs
+++ b/crates/usage-store/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a ledger cannot be read or written.
+//! Errors of reading and writing a ledger.
 
 use cedarpulley_errors::Remedy;
 use thiserror::Error;
@@ -8,36 +8,36 @@
 /// Why a ledger could not be read or written.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// Its contents cannot be used. The file is left as it is.
+    /// The contents of the ledger cannot be used. The file is not changed.
     #[error("the ledger cannot be read: {0}")]
     Unreadable(UnreadableReason),
-    /// Another process has it open.
+    /// Another process has the ledger open.
     #[error("another process has the ledger open")]
     InUse,
-    /// The write failed; what was acknowledged before is still there.
-    #[error("the disk did not take it: {0}")]
+    /// The write failed. Usage that was acknowledged before is still in the ledger.
+    #[error("the ledger cannot be written: {0}")]
     Unwritten(redb::Error),
 }
 
 /// Why the contents of a ledger cannot be used.
 #[derive(Debug, Error)]
 pub enum UnreadableReason {
-    /// A later build wrote it.
-    #[error("it is of format {format}; this build reads up to {most}", most = FORMAT)]
+    /// The file was written by a later build.
+    #[error("its format is {format}, but this build reads only up to {max}", max = FORMAT)]
     LaterFormat {
         /// The format's number.
         format: u64,
     },
-    /// The store's own checks failed.
+    /// The integrity checks of the database failed.
     #[error("it is damaged")]
     Damaged,
-    /// A row's number of a kind is unknown.
-    #[error("it has a kind of no meaning")]
+    /// A row has an unknown number for the kind of usage.
+    #[error("it contains an unknown kind of usage")]
     UnknownKind,
-    /// A row's source is unknown.
-    #[error("it has sums of no source")]
+    /// A row has a source that the file does not list.
+    #[error("it contains sums of an unknown source")]
     UnknownSource,
-    /// The store reports an error.
+    /// The database reported an error.
     #[error("{0}")]
     Store(redb::Error),
 }
@@ -45,13 +45,13 @@
 impl Remedy for StoreError {
     fn remedy(&self) -> &'static str {
         match self {
-            StoreError::Unreadable(UnreadableReason::LaterFormat { .. }) => "take a newer build",
+            StoreError::Unreadable(UnreadableReason::LaterFormat { .. }) => "use a newer build",
             StoreError::Unreadable(_) => {
-                "put a copy in its place; a router sets it aside by itself and begins a new one"
+                "replace it with a copy; a router renames it by itself and creates a new one"
             }
-            StoreError::InUse => "stop the other, or read a copy of the file",
+            StoreError::InUse => "stop the other process, or read a copy of the file",
             StoreError::Unwritten(_) => {
-                "make room, and see that the folder is there and may be written to"
+                "free disk space, and check that the folder exists and is writable"
             }
         }
     }
@@ -63,15 +63,18 @@
     }
 }
 
+/// The error of a failed read.
 pub(crate) fn unreadable(error: impl Into<redb::Error>) -> StoreError {
     StoreError::Unreadable(UnreadableReason::Store(error.into()))
 }
 
+/// The error of a failed write.
 pub(crate) fn unwritten(error: impl Into<redb::Error>) -> StoreError {
     StoreError::Unwritten(error.into())
 }
 
-/// Failure to open a file. One that another process has open, or that may not be accessed, is not damaged.
+/// The error of a failed attempt to open a file. A file that another process has open, or that this process may not
+/// access, does not count as damaged.
 pub(crate) fn unopened(error: redb::DatabaseError) -> StoreError {
     match &error {
         redb::DatabaseError::DatabaseAlreadyOpen => StoreError::InUse,
--- a/crates/usage-store/src/ledger.rs
+++ b/crates/usage-store/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The file of metered usage.
+//! The ledger: a file of metered usage.
 
 use std::path::Path;
 
@@ -10,19 +10,19 @@
 use crate::error::{StoreError, UnreadableReason, unopened, unreadable, unwritten};
 use crate::tables::{self, ABOUT, FORMAT, FORMAT_KEY, READINGS, SOURCES, SUMS};
 
-/// One file, open for writing by one process.
+/// A ledger file that this process has open for writing. No other process can open it at the same time.
 pub struct Ledger {
     database: Database,
 }
 
 impl Ledger {
-    /// Opens the file, or creates it if there is none. The file of a killed process is repaired; all of it is
-    /// checked.
+    /// Opens the file, or creates it if it does not exist. Repairs the file if its last process was killed, and
+    /// checks the integrity of the whole file.
     pub fn open(path: &Path) -> Result<Ledger, StoreError> {
         if !path.exists() {
             create(path)?;
         }
-        // Symptom: a flipped bit in the middle, at which the store's own checks panic.
+        // The integrity checks of redb panic on some damaged files, for example after a bit flip in the middle.
         let checked = std::panic::catch_unwind(|| -> Result<Database, StoreError> {
             let mut database = Database::open(path).map_err(unopened)?;
             database.check_integrity().map_err(unreadable)?;
@@ -32,7 +32,7 @@
         Ledger::with_format(database)
     }
 
-    /// Checks that the database is of this build's format; an empty one is given it.
+    /// Checks that the database has this build's format. Initializes an empty database with it.
     fn with_format(database: Database) -> Result<Ledger, StoreError> {
         match stored_format(&database)? {
             Some(FORMAT) => {}
@@ -42,7 +42,7 @@
         Ok(Ledger { database })
     }
 
-    /// Adds usage to what `source` measured, and merges its readings. The usage is on the disk when this returns.
+    /// Adds usage to that of `source`, and merges the readings. The usage is on disk when this function returns.
     /// Returns the number of the source's write.
     pub fn add(&self, source: Source, router: &str, delta: &UsageDelta) -> Result<u64, StoreError> {
         let writing = self.database.begin_write().map_err(unwritten)?;
@@ -75,7 +75,7 @@
         Ok(number)
     }
 
-    /// All usage in the file, as of one moment.
+    /// Reads all usage in the file, from one snapshot.
     pub fn report(&self) -> Result<UsageReport, StoreError> {
         let reading = self.database.begin_read().map_err(unreadable)?;
         let mut report = UsageReport::default();
@@ -85,7 +85,7 @@
         Ok(report)
     }
 
-    /// Merges the usage of other ledgers into this one: of each source the later state counts.
+    /// Merges the usage of other ledgers into this one. The later state of each source applies.
     pub fn merge(&self, other: &UsageReport) -> Result<(), StoreError> {
         let before = self.report()?;
         let mut merged = before.clone();
@@ -113,8 +113,8 @@
     }
 }
 
-/// Creates a file with empty tables. It is made under another name, as a kill between the first bytes of a new file
-/// would leave one that is no ledger.
+/// Creates a file with empty tables. The file has a temporary name until it is complete, because a kill while its first
+/// bytes are written would leave a file that is not a ledger.
 fn create(path: &Path) -> Result<(), StoreError> {
     let temporary = path.with_extension("new");
     if let Err(error) = std::fs::remove_file(&temporary)
@@ -139,7 +139,7 @@
     StoreError::Unwritten(redb::Error::Io(error))
 }
 
-/// Absent if the database is empty.
+/// Returns the format of the file, or `None` if the database is empty.
 fn stored_format(database: &Database) -> Result<Option<u64>, StoreError> {
     let reading = database.begin_read().map_err(unreadable)?;
     match reading.open_table(ABOUT) {
@@ -152,6 +152,7 @@
     }
 }
 
+/// Writes the format, and creates the tables.
 fn initialize(database: &Database) -> Result<(), StoreError> {
     let writing = database.begin_write().map_err(unwritten)?;
     {
--- a/crates/usage-store/src/lib.rs
+++ b/crates/usage-store/src/lib.rs
@@ -1,8 +1,8 @@
-//! A file of metered usage that survives crashes: what [`Ledger::add`] has acknowledged is there after a kill or a
-//! power cut at any moment. It rests on redb (copy-on-write pages with checksums, two roots).
+//! A crash-safe file of metered usage. Usage that [`Ledger::add`] has acknowledged survives a kill of the process or a
+//! power failure at any time. The file is a redb database (copy-on-write pages with checksums, two roots).
 //!
-//! Begin reading at [`Ledger`]. The write schedule decides, free of I/O, when to write and what to do after a
-//! failure. A failure never stops a router: usage that cannot be written stays in memory, bounded, and is written later.
+//! Start reading at [`Ledger`]. [`WriteSchedule`] decides, free of I/O, when to write and what to do after a failure. A
+//! failed write never stops a router: the usage stays in memory, which is bounded, and is written later.
 
 #![warn(missing_docs)]
 
--- a/crates/usage-store/tests/crash_safety.rs
+++ b/crates/usage-store/tests/crash_safety.rs
@@ -1,4 +1,6 @@
-//! A ledger whose writer is killed 200 times; files that are damaged, in use, or merged.
+//! A ledger whose writer is killed 200 times, and ledger files that are damaged, in use, or merged. Guards against
+//! the loss of acknowledged usage, against partial writes, and against a damaged file that is read as valid or causes
+//! a panic.
 
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -10,8 +12,10 @@
 use cedarpulley_usage_store::{Ledger, StoreError, WriteSchedule};
 use rand::{Rng, SeedableRng};
 
-const FILE: &str = "CEDARPULLEY_TEST_LEDGER";
+/// Environment variable with the ledger file for [`writes_until_killed`].
+const LEDGER_FILE_VARIABLE: &str = "CEDARPULLEY_TEST_LEDGER";
 
+/// An empty folder for one test.
 fn folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
@@ -19,18 +23,19 @@
     folder
 }
 
-fn one(n: u64) -> UsageDelta {
-    let mut part = UsageDelta::default();
+/// The usage of write number `n`, counted from 0.
+fn delta(n: u64) -> UsageDelta {
+    let mut delta = UsageDelta::default();
     let key = UsageKey {
         hour: 7,
         account: "a".into(),
         function: "g".into(),
         kind: UsageKind::Loading,
     };
-    part.readings.record(5, key, u128::from(n + 1));
+    delta.readings.record(5, key, u128::from(n + 1));
     for kind in [UsageKind::Running, UsageKind::Idle] {
         let function = format!("f{}", n % 50).into();
-        part.sums.add(
+        delta.sums.add(
             UsageKey {
                 hour: 7,
                 account: "a".into(),
@@ -43,18 +48,19 @@
             },
         );
     }
-    part
+    delta
 }
 
-/// Does something only with its file set, as the process to be killed: prints each number that was acknowledged.
+/// The process that is killed: writes to the file in the environment variable, and prints the number of each
+/// acknowledged write. Does nothing if the variable is not set.
 #[test]
 fn writes_until_killed() {
-    let Some(file) = std::env::var_os(FILE) else {
+    let Some(file) = std::env::var_os(LEDGER_FILE_VARIABLE) else {
         return;
     };
-    let ledger = Ledger::open(Path::new(&file)).expect("it opens");
+    let ledger = Ledger::open(Path::new(&file)).expect("the ledger opens");
     for n in 0..100_000 {
-        let number = ledger.add(1, "r", &one(n)).expect("written");
+        let number = ledger.add(1, "r", &delta(n)).expect("written");
         println!("acknowledged {number}");
     }
 }
@@ -62,143 +68,156 @@
 #[test]
 fn all_acknowledged_writes_survive_200_kills() {
     let file = folder("killed").join("meter.ledger");
-    let me = std::env::current_exe().expect("a path");
+    let test_binary = std::env::current_exe().expect("a path");
     let mut random = rand_pcg::Pcg64Mcg::seed_from_u64(5);
-    let mut last = 0;
+    let mut last_number = 0;
     for _ in 0..200 {
-        let mut child = Command::new(&me)
+        let mut child = Command::new(&test_binary)
             .args(["--exact", "writes_until_killed", "--nocapture"])
-            .env(FILE, &file)
+            .env(LEDGER_FILE_VARIABLE, &file)
             .stdout(Stdio::piped())
             .spawn()
             .expect("started");
-        let said = BufReader::new(child.stdout.take().expect("piped"))
+        let lines = BufReader::new(child.stdout.take().expect("piped"))
             .lines()
             .map_while(Result::ok);
-        let mut told = said.filter_map(|l| l.split("acknowledged ").nth(1)?.parse::<u64>().ok());
-        // After so many writings, or before the first, and a moment: so it dies within one, however slow the disk.
+        let mut acknowledged =
+            lines.filter_map(|line| line.split("acknowledged ").nth(1)?.parse::<u64>().ok());
+        // Waits for 0 to 3 acknowledged writes and up to 3 ms more, so that the kill comes during a write, however
+        // slow the disk is.
         let first = (0..random.next_u64() % 4)
-            .filter_map(|_| told.next())
+            .filter_map(|_| acknowledged.next())
             .last();
         std::thread::sleep(Duration::from_micros(random.next_u64() % 3_000));
         child.kill().expect("killed");
-        let told = told.last().or(first);
-        child.wait().expect("gone");
-        let book = Ledger::open(&file)
-            .expect("it opens")
+        let last_acknowledged = acknowledged.last().or(first);
+        child.wait().expect("the process has ended");
+        let report = Ledger::open(&file)
+            .expect("the ledger opens")
             .report()
             .expect("read");
-        // Nothing was begun, if it was killed before the file was.
-        let Some(m) = book.by_source.get(&1) else {
+        // The process was killed before its first write.
+        let Some(source_usage) = report.by_source.get(&1) else {
             continue;
         };
         assert!(
-            m.number >= told.unwrap_or(last).max(last),
-            "{} after {told:?} and {last}",
-            m.number
+            source_usage.number >= last_acknowledged.unwrap_or(last_number).max(last_number),
+            "write {} after {last_acknowledged:?} and {last_number}",
+            source_usage.number
         );
-        // Whole writings only: both kinds alike, and as many as the number says.
-        let by = m.sums.group_by(|k| k.kind);
+        // Only complete writes: both kinds have the same sums, which match the number of writes.
+        let by_kind = source_usage.sums.group_by(|key| key.kind);
         assert_eq!(
-            by[&UsageKind::Running],
+            by_kind[&UsageKind::Running],
             Usage {
-                byte_us: u128::from(m.number) * 1_000,
-                count: m.number
+                byte_us: u128::from(source_usage.number) * 1_000,
+                count: source_usage.number
             }
         );
-        assert_eq!(by[&UsageKind::Running], by[&UsageKind::Idle]);
-        // The largest reading of a life: the one of its longest writer.
+        assert_eq!(by_kind[&UsageKind::Running], by_kind[&UsageKind::Idle]);
+        // The largest reading is that of the process with the most writes.
         assert!(
-            book.readings
+            report
+                .readings
                 .0
                 .values()
-                .all(|total| *total >= 1 && *total <= u128::from(m.number))
+                .all(|total| *total >= 1 && *total <= u128::from(source_usage.number))
         );
-        last = m.number;
+        last_number = source_usage.number;
     }
-    assert!(last > 100, "{last} writings in 200 lives");
+    assert!(last_number > 100, "{last_number} writes by 200 processes");
 }
 
 #[test]
 fn a_damaged_file_is_rejected_or_intact_and_never_panics() {
-    let at = folder("damaged");
-    let file = at.join("meter.ledger");
-    let ledger = Ledger::open(&file).expect("it opens");
+    let folder = folder("damaged");
+    let file = folder.join("meter.ledger");
+    let ledger = Ledger::open(&file).expect("the ledger opens");
     (0..20).for_each(|n| {
-        ledger.add(1, "r", &one(n)).expect("written");
+        ledger.add(1, "r", &delta(n)).expect("written");
     });
-    let whole = ledger.report().expect("read");
+    let original_report = ledger.report().expect("read");
     drop(ledger);
     let bytes = std::fs::read(&file).expect("read");
     let mut random = rand_pcg::Pcg64Mcg::seed_from_u64(6);
-    let mut refused = 0;
+    let mut rejected = 0;
     for n in 0..60 {
         let mut damaged = bytes.clone();
-        let place = random.next_u64() as usize % damaged.len();
+        let position = random.next_u64() as usize % damaged.len();
         if n % 2 == 0 {
-            damaged.truncate(place)
+            damaged.truncate(position)
         } else {
-            damaged[place] ^= 0x10
+            damaged[position] ^= 0x10
         }
-        let other = at.join(format!("{n}.ledger"));
-        std::fs::write(&other, &damaged).expect("written");
-        let read = std::panic::catch_unwind(|| Ledger::open(&other).and_then(|l| l.report()));
+        let damaged_file = folder.join(format!("{n}.ledger"));
+        std::fs::write(&damaged_file, &damaged).expect("written");
+        let read = std::panic::catch_unwind(|| {
+            Ledger::open(&damaged_file).and_then(|ledger| ledger.report())
+        });
         match read {
-            Ok(Ok(book)) => assert!(book == whole, "{n}: another book"),
-            Ok(Err(_)) => refused += 1,
-            Err(_) => panic!("{n}: a panic at {place}"),
+            Ok(Ok(report)) => assert!(report == original_report, "{n}: a different report"),
+            Ok(Err(_)) => rejected += 1,
+            Err(_) => panic!("{n}: a panic after damage at byte {position}"),
         }
     }
-    assert!(refused > 10, "{refused}");
+    assert!(rejected > 10, "{rejected}");
 }
 
 #[test]
 fn ledgers_merge_in_any_order() {
-    let at = folder("joined");
-    let books: Vec<_> = (0..12u128)
+    let folder = folder("joined");
+    let reports: Vec<_> = (0..12u128)
         .map(|source| {
-            let ledger = Ledger::open(&at.join(format!("{source}.ledger"))).expect("it opens");
+            let ledger =
+                Ledger::open(&folder.join(format!("{source}.ledger"))).expect("the ledger opens");
             (0..=source as u64).for_each(|n| {
                 ledger
-                    .add(source, &format!("r{source}"), &one(n))
+                    .add(source, &format!("r{source}"), &delta(n))
                     .expect("written");
             });
             ledger.report().expect("read")
         })
         .collect();
-    let joined = |name: &str, order: &mut dyn Iterator<Item = usize>| {
-        let ledger = Ledger::open(&at.join(name)).expect("it opens");
-        order.for_each(|n| ledger.merge(&books[n]).expect("joined"));
+    let merged = |name: &str, order: &mut dyn Iterator<Item = usize>| {
+        let ledger = Ledger::open(&folder.join(name)).expect("the ledger opens");
+        order.for_each(|n| ledger.merge(&reports[n]).expect("merged"));
         ledger.report().expect("read")
     };
-    let forth = joined("forth", &mut (0..12));
-    assert_eq!(forth, joined("back", &mut (0..12).rev().chain(0..12)));
-    assert_eq!(forth.sums().total().count, 2 * (1..=12).sum::<u64>());
+    let in_order = merged("forth", &mut (0..12));
+    assert_eq!(in_order, merged("back", &mut (0..12).rev().chain(0..12)));
+    assert_eq!(in_order.sums().total().count, 2 * (1..=12).sum::<u64>());
 }
 
 #[test]
-fn writes_back_off_after_failures_and_one_file_is_set_aside() {
-    let mut w = WriteSchedule::default();
-    assert!(w.is_due(0));
-    w.on_written(0);
-    assert!(!w.is_due(999_999) && w.is_due(1_000_000));
+fn writes_back_off_after_failures_and_one_ledger_may_be_renamed() {
+    let mut schedule = WriteSchedule::default();
+    assert!(schedule.is_due(0));
+    schedule.on_written(0);
+    assert!(!schedule.is_due(999_999) && schedule.is_due(1_000_000));
     let mut now = 1_000_000;
-    for wait in [1, 2, 4, 8] {
-        w.on_failed(now);
-        assert!(!w.is_due(now + wait * 1_000_000 - 1) && w.is_due(now + wait * 1_000_000));
-        now += wait * 1_000_000;
+    for wait_s in [1, 2, 4, 8] {
+        schedule.on_failed(now);
+        assert!(
+            !schedule.is_due(now + wait_s * 1_000_000 - 1)
+                && schedule.is_due(now + wait_s * 1_000_000)
+        );
+        now += wait_s * 1_000_000;
     }
     assert_eq!(
-        (w.failures, w.may_set_aside(), w.may_set_aside()),
+        (
+            schedule.failures,
+            schedule.may_set_aside(),
+            schedule.may_set_aside()
+        ),
         (4, true, false)
     );
 }
 
 #[test]
-fn a_ledger_in_use_or_out_of_reach_is_an_error() {
+fn a_ledger_in_use_or_inaccessible_is_an_error() {
     let file = folder("twice").join("meter.ledger");
-    let _one = Ledger::open(&file).expect("it opens");
-    // Another's is not damaged, and must not be set aside.
+    let _open_ledger = Ledger::open(&file).expect("the ledger opens");
+    // A ledger that another process has open is not damaged, and must not be renamed.
     assert!(matches!(Ledger::open(&file), Err(StoreError::InUse)));
     assert!(matches!(
         Ledger::open(Path::new("/proc/none/meter.ledger")),
--- a/crates/usage-store/tests/file_rows.rs
+++ b/crates/usage-store/tests/file_rows.rs
@@ -1,5 +1,5 @@
-//! The tables of a ledger's file, row by row, and a whole file that an earlier build wrote. A later build must read
-//! both, and write the same rows.
+//! The rows in the tables of a ledger file, and a complete file that an earlier build wrote. Guards against a change
+//! of the file format: every build must read the earlier file, and must write the same rows.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -9,8 +9,9 @@
 use cedarpulley_usage_store::{FORMAT, Ledger};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
-/// A whole file, as it was written once.
+/// A complete ledger file that an earlier build wrote.
 const FILE: &[u8] = include_bytes!("fixtures/r7.ledger");
+/// The expected rows of that file, one per line.
 const ROWS: &str = include_str!("fixtures/rows.txt");
 
 const ABOUT: TableDefinition<&str, u64> = TableDefinition::new("about");
@@ -31,6 +32,7 @@
     UsageKind::Settled,
 ];
 
+/// An empty folder for one test.
 fn folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
@@ -47,52 +49,58 @@
     }
 }
 
-/// A sum of each kind, and readings of the kinds that workers tell.
-fn part(hour: u32) -> UsageDelta {
-    let mut part = UsageDelta::default();
+/// A sum of each kind, and readings of the kinds that workers report.
+fn delta(hour: u32) -> UsageDelta {
+    let mut delta = UsageDelta::default();
     for (kind, n) in KINDS.into_iter().zip(1..) {
         let byte_us = LARGE + u128::from(n);
-        part.sums.add(key(hour, kind), Usage { byte_us, count: n });
+        delta.sums.add(key(hour, kind), Usage { byte_us, count: n });
     }
     for (kind, n) in KINDS.into_iter().zip(1..).take(3) {
-        part.readings.record(90 + n, key(hour, kind), LARGE * 2);
+        delta.readings.record(90 + n, key(hour, kind), LARGE * 2);
     }
-    part
+    delta
 }
 
+/// Writes the ledger whose rows are [`ROWS`].
 fn write(file: &Path) {
-    let ledger = Ledger::open(file).expect("it opens");
-    assert_eq!(ledger.add(7, "r7", &part(500_000)).expect("written"), 1);
-    assert_eq!(ledger.add(7, "r7", &part(500_001)).expect("written"), 2);
-    assert_eq!(ledger.add(LARGE, "r8", &part(500_000)).expect("written"), 1);
+    let ledger = Ledger::open(file).expect("the file opens");
+    assert_eq!(ledger.add(7, "r7", &delta(500_000)).expect("written"), 1);
+    assert_eq!(ledger.add(7, "r7", &delta(500_001)).expect("written"), 2);
+    assert_eq!(
+        ledger.add(LARGE, "r8", &delta(500_000)).expect("written"),
+        1
+    );
 }
 
-fn expected() -> UsageReport {
-    let mut book = UsageReport::default();
-    let of = |number, router: &str, hours: &[u32]| {
-        let mut measured = SourceUsage {
+/// The report of the ledger whose rows are [`ROWS`].
+fn expected_report() -> UsageReport {
+    let mut report = UsageReport::default();
+    let source_usage = |number, router: &str, hours: &[u32]| {
+        let mut usage = SourceUsage {
             number,
             router: router.to_owned(),
             ..SourceUsage::default()
         };
         for hour in hours {
-            measured.sums.add_all(&part(*hour).sums);
+            usage.sums.add_all(&delta(*hour).sums);
         }
-        measured
+        usage
     };
-    book.by_source = BTreeMap::from([
-        (7, of(2, "r7", &[500_000, 500_001])),
-        (LARGE, of(1, "r8", &[500_000])),
+    report.by_source = BTreeMap::from([
+        (7, source_usage(2, "r7", &[500_000, 500_001])),
+        (LARGE, source_usage(1, "r8", &[500_000])),
     ]);
-    book.readings.merge(&part(500_000).readings);
-    book.readings.merge(&part(500_001).readings);
-    book
+    report.readings.merge(&delta(500_000).readings);
+    report.readings.merge(&delta(500_001).readings);
+    report
 }
 
-/// All rows of a file, by tables whose names and types are those of this test.
+/// All rows of a file, one per line. They are read with the table definitions of this test, not with those of the
+/// package.
 fn rows(file: &Path) -> String {
-    let database = Database::open(file).expect("it opens");
-    let snapshot = database.begin_read().expect("begun");
+    let database = Database::open(file).expect("the file opens");
+    let snapshot = database.begin_read().expect("a snapshot");
     let mut lines = Vec::new();
     for row in snapshot
         .open_table(ABOUT)
@@ -125,8 +133,8 @@
     lines.concat()
 }
 
-/// A copy of the pinned file.
-fn pinned_file(folder: &Path) -> PathBuf {
+/// Writes a copy of the file of the earlier build.
+fn earlier_file(folder: &Path) -> PathBuf {
     let file = folder.join("r7.ledger");
     std::fs::write(&file, FILE).expect("written");
     file
@@ -141,17 +149,17 @@
 
 #[test]
 fn a_file_of_the_first_format_is_read_with_all_its_rows() {
-    let file = pinned_file(&folder("pinned"));
+    let file = earlier_file(&folder("pinned"));
     assert_eq!(rows(&file), ROWS);
-    let ledger = Ledger::open(&file).expect("it opens");
-    assert_eq!(ledger.report().expect("read"), expected());
+    let ledger = Ledger::open(&file).expect("the file opens");
+    assert_eq!(ledger.report().expect("read"), expected_report());
 }
 
 #[test]
-fn a_file_of_the_first_format_is_added_to_under_the_same_rows() {
-    let file = pinned_file(&folder("added"));
-    let ledger = Ledger::open(&file).expect("it opens");
-    assert_eq!(ledger.add(7, "r7", &part(500_000)).expect("written"), 3);
+fn adding_to_a_file_of_the_first_format_updates_the_same_rows() {
+    let file = earlier_file(&folder("added"));
+    let ledger = Ledger::open(&file).expect("the file opens");
+    assert_eq!(ledger.add(7, "r7", &delta(500_000)).expect("written"), 3);
     drop(ledger);
     let (before, after) = (ROWS.lines().count(), rows(&file).lines().count());
     assert_eq!(before, after);
