--- a/crates/amqp/src/connection.rs
+++ b/crates/amqp/src/connection.rs
@@ -56,7 +56,7 @@
     prefetch: u16,
     /// Whether the consumer is active.
     consuming: bool,
-    /// Whether the broker has not yet confirmed that the consumer is cancelled; deliveries may still arrive.
+    /// Whether the broker still has to confirm that the consumer is cancelled; deliveries may arrive until then.
     cancel_pending: bool,
     liveness: Liveness,
     deliveries: DeliveryAssembler,
@@ -409,7 +409,7 @@
                     text: close.reply_text.as_str().to_owned(),
                 });
             }
-            // Replies to a changed prefetch or a renewed consumer.
+            // Replies to a changed prefetch, or to a consumer that was started again.
             (Stage::Ready, AMQPClass::Basic(Basic::QosOk(_) | Basic::ConsumeOk(_))) => {}
             (Stage::Ready, AMQPClass::Basic(Basic::CancelOk(_))) => self.cancel_pending = false,
             (Stage::Ready | Stage::AwaitConsume, AMQPClass::Basic(Basic::Deliver(deliver))) => {
--- a/crates/amqp/src/trigger.rs
+++ b/crates/amqp/src/trigger.rs
@@ -55,8 +55,8 @@
     pub account: Option<String>,
     /// The idempotency key, if the message has one.
     pub idempotency_key: Option<String>,
-    /// Identifies the message: equal for all deliveries of this message and different for every other message. `None`
-    /// if the message has no id.
+    /// Identifies the message: equal for all deliveries of this message, and different for every other message if
+    /// clients choose unique ids. `None` if the message has neither a message id nor a correlation id.
     pub identity: Option<String>,
     /// Time since the client sent the message, in microseconds: 0 if the client does not state when it sent the
     /// message, and at most a day.
--- a/crates/amqp/tests/protocol_violations.rs
+++ b/crates/amqp/tests/protocol_violations.rs
@@ -1,6 +1,6 @@
-//! Connections to brokers that violate the protocol, lose the channel or stop responding, and invalid trigger messages.
-//! Guards against panics on invalid input, against endless waits for a broker that does not reply, and against an answer
-//! that is sent without the acknowledgement of its trigger.
+//! Connections to brokers that violate the protocol, lose the channel or stop responding, and invalid trigger
+//! messages. Guards against panics on invalid input, against endless waits for a broker that does not reply, and
+//! against an answer that is sent without the acknowledgement of its trigger.
 
 use cedarpulley_amqp::connection::Login;
 use cedarpulley_amqp::frames::{self, AMQPFrame, FrameReader, write, write_message, write_method};
--- a/crates/kserve/src/tensors.rs
+++ b/crates/kserve/src/tensors.rs
@@ -27,7 +27,7 @@
 }
 
 /// Why a conversion failed; shown to the client. The variants up to `TooLarge` are errors in the client's request, the
-/// variants after it are errors in the worker's response.
+/// variants after it are errors in the worker's response. `RawOnly` can also be an error in the worker's response.
 #[derive(Debug, Error)]
 pub enum ConversionError {
     /// An input of the request cannot be converted.
@@ -45,10 +45,10 @@
         number: f64,
     },
     /// An element of typed `BYTES` contents is not UTF-8.
-    #[error("BYTES elements that are not UTF-8 must be sent as raw contents")]
+    #[error("BYTES elements that are not UTF-8 must be sent as raw data")]
     NotUtf8,
     /// The data type has no typed contents.
-    #[error("tensors of type '{datatype}' must be sent as raw contents")]
+    #[error("tensors of type '{datatype}' must be sent as raw data")]
     RawOnly {
         /// The data type.
         datatype: String,
@@ -94,9 +94,7 @@
             ConversionError::Input { cause, .. } => cause.remedy(),
             ConversionError::NotFinite { .. }
             | ConversionError::NotUtf8
-            | ConversionError::RawOnly { .. } => {
-                "change the client to send the tensor as raw contents"
-            }
+            | ConversionError::RawOnly { .. } => "send the tensor as raw data",
             ConversionError::RawCount | ConversionError::TypedAndRaw => {
                 "change the client to send all tensors typed or all raw"
             }
--- a/crates/usage-store/src/write_schedule.rs
+++ b/crates/usage-store/src/write_schedule.rs
@@ -23,7 +23,7 @@
     backoff: Micros,
     /// When the next write is due, in microseconds.
     due_at: Micros,
-    /// Whether a ledger that could not be read has been renamed.
+    /// Whether the one renaming of an unreadable ledger that each process is allowed has been used.
     ledger_renamed: bool,
     /// Number of writes that failed.
     pub failures: u64,
