--- a/crates/amqp/src/trigger.rs
+++ b/crates/amqp/src/trigger.rs
@@ -147,7 +147,7 @@
                 Ok(name.to_owned())
             }
             Some(_) => Err(invalid(FUNCTION, "not text of 1 to 255 bytes")),
-            None => Err(invalid(FUNCTION, "the header is missing")),
+            None => Err(invalid(FUNCTION, "no function is named")),
         }
     }
 
@@ -191,8 +191,8 @@
 pub fn parse(message: &Message, wall_us: i64) -> Result<TriggerMessage, InvalidField> {
     let properties = &message.properties;
     let headers = Headers(properties.headers().as_ref());
-    let trigger_type = non_empty(properties.kind())
-        .ok_or_else(|| invalid("type", "the property is missing or empty"))?;
+    let trigger_type =
+        non_empty(properties.kind()).ok_or_else(|| invalid("type", "no trigger type is named"))?;
     let function = headers.function()?;
     let client_timeout_us = client_timeout(properties)?;
     let waited_us = sent_at(properties, &headers)?.map_or(0, |sent_at| {
--- a/crates/kserve/src/client_requests.rs
+++ b/crates/kserve/src/client_requests.rs
@@ -179,7 +179,7 @@
     let number = |name, max| whole_number(headers, name, max);
     let trigger_type = text(TRIGGER_TYPE)?.ok_or_else(|| InvalidField {
         field: TRIGGER_TYPE,
-        cause: "the header is missing".into(),
+        cause: "no trigger type is named".into(),
     })?;
     let sent_at = number(SENT_AT_US, i64::MAX)?;
     Ok(InferHeaders {
