--- a/crates/amqp/src/trigger.rs
+++ b/crates/amqp/src/trigger.rs
@@ -36,7 +36,7 @@
 /// Header of an answer: name of the invalid field of the trigger message.
 pub const FIELD: &str = "field";
 /// Header of an answer: the wait before a retry, in microseconds.
-pub const RETURN_AFTER_US: &str = "return-after-us";
+pub const RETRY_AFTER_US: &str = "return-after-us";
 
 /// One day, in microseconds: longer time-outs and hints are rejected, and a longer time since sending is clamped to it.
 const MAX_DURATION_US: i64 = 86_400_000_000;
@@ -277,7 +277,7 @@
     outcome: &str,
     reason: &str,
     field: Option<&str>,
-    return_after_us: Option<i64>,
+    retry_after_us: Option<i64>,
     first_part: Option<u32>,
 ) -> AMQPProperties {
     let mut headers = FieldTable::default();
@@ -292,9 +292,9 @@
     if let Some(field) = field {
         put(FIELD, field);
     }
-    if let Some(us) = return_after_us {
+    if let Some(us) = retry_after_us {
         headers.insert(
-            ShortString::from(RETURN_AFTER_US),
+            ShortString::from(RETRY_AFTER_US),
             AMQPValue::LongLongInt(us),
         );
     }
