--- a/crates/amqp/src/connection/delivery.rs
+++ b/crates/amqp/src/connection/delivery.rs
@@ -51,9 +51,7 @@
     /// Handles the method `basic.deliver`, which starts a delivery.
     pub(super) fn on_deliver(&mut self, deliver: &basic::Deliver) -> Result<(), ProtocolError> {
         if self.partial.is_some() {
-            return Err(ProtocolError::unexpected(
-                "a delivery before the previous one was complete",
-            ));
+            return Err(ProtocolError::unexpected("a delivery within another"));
         }
         self.partial = Some(PartialDelivery {
             tag: deliver.delivery_tag,
--- a/crates/amqp/src/protocol_error.rs
+++ b/crates/amqp/src/protocol_error.rs
@@ -10,16 +10,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
     /// Opening or closing the connection or its channel takes too long.
-    #[error("opening or closing timed out")]
+    #[error("no progress in opening or closing")]
     HandshakeTimeout,
     /// The broker did not confirm a commit in time.
-    #[error("the broker did not confirm a commit in time")]
+    #[error("no reply to a commit")]
     CommitTimeout,
     /// No byte has arrived for two heartbeat intervals.
-    #[error("no data received for two heartbeat intervals")]
+    #[error("nothing heard for two heartbeats")]
     HeartbeatTimeout,
     /// The broker does not offer the login mechanism of this client.
-    #[error("the broker does not offer PLAIN logins")]
+    #[error("the broker does not take PLAIN logins")]
     PlainNotOffered,
     /// The received bytes are not a frame of AMQP 0-9-1.
     #[error("frame type {kind} is unknown")]
@@ -28,7 +28,7 @@
         kind: u8,
     },
     /// A frame exceeds the negotiated size.
-    #[error("a frame with a payload of {size} bytes exceeds the limit of {limit} bytes")]
+    #[error("a frame of {size} bytes where {most} are agreed", most = .limit)]
     FrameTooLarge {
         /// Size of its payload in bytes.
         size: usize,
@@ -36,16 +36,16 @@
         limit: usize,
     },
     /// A frame does not end with the frame-end byte.
-    #[error("a frame does not end with the frame-end byte")]
+    #[error("a frame without its end mark")]
     MissingFrameEnd,
     /// A frame's payload cannot be parsed.
-    #[error("a frame is malformed or has an unknown method")]
+    #[error("a frame that cannot be read or a method unknown here")]
     MalformedFrame,
     /// A message's body is longer than its header states.
-    #[error("a body is longer than its header states")]
+    #[error("a body longer than its header says")]
     BodyTooLong,
     /// A frame or method is not allowed in the connection's current state.
-    #[error("unexpected: {description}")]
+    #[error("out of turn: {what}", what = .description)]
     Unexpected {
         /// The frame or method, and the state.
         description: String,
--- a/crates/amqp/src/trigger.rs
+++ b/crates/amqp/src/trigger.rs
@@ -146,7 +146,7 @@
             Some(Some(name)) if !name.is_empty() && name.len() <= MAX_NAME_BYTES => {
                 Ok(name.to_owned())
             }
-            Some(_) => Err(invalid(FUNCTION, "not text of 1 to 255 bytes")),
+            Some(_) => Err(invalid(FUNCTION, "not a text of 1 to 255 bytes")),
             None => Err(invalid(FUNCTION, "no function is named")),
         }
     }
@@ -160,13 +160,10 @@
             (Some(text), _) => text.to_owned(),
             (None, Some(0)) => String::new(),
             (None, Some(n)) if n > 0 => n.to_string(),
-            _ => return Err(invalid(SEQUENCE_ID, "neither text nor an unsigned integer")),
+            _ => return Err(invalid(SEQUENCE_ID, "not a text or a whole number")),
         };
         if id.len() > MAX_NAME_BYTES || id.chars().any(char::is_control) {
-            return Err(invalid(
-                SEQUENCE_ID,
-                "not text of at most 255 bytes without control characters",
-            ));
+            return Err(invalid(SEQUENCE_ID, "not a text of at most 255 bytes"));
         }
         Ok((!id.is_empty()).then(|| (id, self.flag(SEQUENCE_START), self.flag(SEQUENCE_END))))
     }
@@ -178,11 +175,8 @@
         };
         match whole_number(value) {
             Some(n) if (0..=max).contains(&n) => Ok(Some(n)),
-            Some(n) => Err(invalid(
-                name,
-                format!("{n} is not an integer from 0 to {max}"),
-            )),
-            None => Err(invalid(name, "not an integer")),
+            Some(n) => Err(invalid(name, format!("{n} is not within 0 to {max}"))),
+            None => Err(invalid(name, "not a whole number")),
         }
     }
 }
@@ -236,7 +230,7 @@
         Ok(ms) if (0..=MAX_DURATION_US / 1000).contains(&ms) => Ok(Some(ms * 1000)),
         _ => Err(invalid(
             "expiration",
-            "not an integer number of milliseconds from 0 to one day",
+            "not a number of milliseconds up to a day",
         )),
     }
 }
--- a/crates/kserve/src/client_requests.rs
+++ b/crates/kserve/src/client_requests.rs
@@ -208,7 +208,7 @@
         Some(text) => Ok(Some(text.to_owned())),
         None => Err(InvalidField {
             field: name,
-            cause: "not text of 1 to 255 bytes".into(),
+            cause: "not a text of 1 to 255 bytes".into(),
         }),
     }
 }
@@ -226,7 +226,7 @@
         Ok(number) if (0..=max).contains(&number) => Ok(Some(number)),
         _ => Err(InvalidField {
             field: name,
-            cause: format!("'{text}' is not an integer from 0 to {max}"),
+            cause: format!("'{text}' is not within 0 to {max}"),
         }),
     }
 }
--- a/crates/kserve/src/grpc.rs
+++ b/crates/kserve/src/grpc.rs
@@ -107,12 +107,10 @@
     /// The text of the error.
     pub fn cause(self) -> &'static str {
         match self {
-            InvalidCall::Truncated => "the message is incomplete",
-            InvalidCall::Compressed => "compressed messages are not supported",
-            InvalidCall::TrailingBytes => "the call contains more than one message",
-            InvalidCall::Timeout => {
-                "not one to eight digits followed by a unit (H, M, S, m, u or n)"
-            }
+            InvalidCall::Truncated => "the message broke off",
+            InvalidCall::Compressed => "compressed messages are not taken",
+            InvalidCall::TrailingBytes => "more than one message came",
+            InvalidCall::Timeout => "not up to eight digits and one of H, M, S, m, u, n",
         }
     }
 }
--- a/crates/kserve/src/sequences.rs
+++ b/crates/kserve/src/sequences.rs
@@ -48,10 +48,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidSequence {
     /// The id has a wrong type or length.
-    #[error("sequence_id is neither a string of 1 to {MAX_ID_BYTES} bytes nor an integer above 0")]
+    #[error("sequence_id is not a text of 1 to {MAX_ID_BYTES} bytes or a whole number above 0")]
     Id,
     /// A flag is not a boolean.
-    #[error("sequence_start or sequence_end is not a boolean")]
+    #[error("sequence_start and sequence_end are not true or false")]
     Flag,
 }
 
--- a/crates/kserve/src/tensors.rs
+++ b/crates/kserve/src/tensors.rs
@@ -39,52 +39,52 @@
         cause: Box<ConversionError>,
     },
     /// A number is NaN or infinite.
-    #[error("JSON cannot represent the number {number}")]
+    #[error("{number} has no form in JSON")]
     NotFinite {
         /// The number.
         number: f64,
     },
     /// An element of typed `BYTES` contents is not UTF-8.
-    #[error("BYTES elements that are not UTF-8 must be sent as raw data")]
+    #[error("bytes that are no text have to come raw")]
     NotUtf8,
     /// The data type has no typed contents.
-    #[error("tensors of type '{datatype}' must be sent as raw data")]
+    #[error("tensors of type '{datatype}' have to come raw")]
     RawOnly {
         /// The data type.
         datatype: String,
     },
     /// The number of raw contents differs from the number of inputs.
-    #[error("raw_input_contents does not have one entry per input")]
+    #[error("raw_input_contents: not one for each input")]
     RawCount,
     /// An input has typed contents although the request has raw contents.
-    #[error("the input has both typed and raw contents")]
+    #[error("both typed and raw contents")]
     TypedAndRaw,
     /// The JSON is longer than the header with its length can state (32 bits).
-    #[error("the request is too large")]
+    #[error("too large")]
     TooLarge,
     /// The stated length of the JSON exceeds the length of the body.
-    #[error("the stated length of the JSON is longer than the response")]
+    #[error("the JSON is told to be longer than the answer")]
     JsonLength,
     /// The JSON cannot be parsed.
-    #[error("the response contains invalid JSON: {0}")]
+    #[error("its head is no JSON: {0}")]
     InvalidJson(#[from] serde_json::Error),
     /// An element is not a value of the tensor's data type.
-    #[error("an element is not a value of type {datatype}")]
+    #[error("an element that is no {datatype}")]
     Element {
         /// The data type.
         datatype: String,
     },
     /// A dimension of a shape is not an integer.
-    #[error("a dimension of a shape is not an integer")]
+    #[error("a shape that is no number")]
     Shape,
     /// A raw tensor's size is not an unsigned integer.
-    #[error("binary_data_size is not an unsigned integer")]
+    #[error("a binary_data_size that is no size")]
     RawSize,
     /// A raw tensor is longer than the rest of the body.
-    #[error("a raw tensor extends beyond the end of the response")]
+    #[error("a raw tensor goes beyond the answer's end")]
     RawOutOfBounds,
     /// The body continues after the last raw tensor.
-    #[error("raw bytes are left over after the last tensor")]
+    #[error("raw bytes are left over")]
     RawLeftOver,
 }
 
