--- a/crates/replica/src/acceptor.rs
+++ b/crates/replica/src/acceptor.rs
@@ -1,22 +1,24 @@
-//! The acceptor: this member's votes, on intents and fences of invocations and on prepared and proposed choices. Its
-//! state is what the records say ([`crate::record::Owner`] and [`crate::record::Choice`]), so that a vote and what it
-//! promises cannot come apart.
+//! The acceptor role: this member's votes on intents and fences of invocations, and on phases 1 and 2 of choices. Its
+//! state is stored in the records ([`crate::record::Owner`] and [`crate::record::Choice`]), so that a vote and the
+//! state that backs it cannot become inconsistent.
 //!
 //! # Safety
 //!
-//! Invariant: an acceptor never votes for a ballot below one that it has promised, and what it has voted for is in its
-//! store as long as a proof may rest on the vote.
+//! Invariant: an acceptor never votes for a ballot below one that it has promised, and it stores what it has voted for
+//! as long as a proof may rely on the vote.
 //!
 //! * Promise: [`promise_choice`] and [`promise_ownership`] only raise the promised ballot, and every vote is checked
-//!   against it first. Two majorities share a member, so a majority of promises leaves no majority to a lower ballot.
-//! * Crash: on choices, a vote is sent only once the disk has what it promises ([`crate::persistence`]). Votes on
-//!   invocations do not rely on the disk: a restarted member does not vote until it has caught up with members that
-//!   meet every majority, or until everything that it may have forgotten has expired ([`crate::recovery`]).
-//! * Lost disk: such a member is treated as above. Its earlier votes do not add up with its later ones, because a vote
-//!   names the processes that its voter knows ([`crate::votes`]).
-//! * Partition: an acceptor that is cut off gives no votes, and a vote that arrives late still states a fact. A request
-//!   that was under way for too long is rejected, as what it asks for would expire here before it expires at the sender.
-//! * First ballots are used without a promise. They are valid only at acceptors where no other owner has the record and
+//!   against it first. Two majorities share a member, so after a majority has promised, no lower ballot can obtain a
+//!   majority.
+//! * Crash: a vote on a choice is sent only once the state that backs it is on disk ([`crate::persistence`]). Votes on
+//!   invocations do not rely on the disk: a restarted member does not vote until it has caught up with a set of members
+//!   that intersects every majority, or until everything that it may have lost has expired ([`crate::recovery`]).
+//! * Lost disk: the member is treated as after a crash. Its earlier votes are not counted together with its later
+//!   votes, because a vote contains the processes that its voter knows ([`crate::votes`]).
+//! * Partition: an acceptor that is cut off casts no votes, and a vote that arrives late is still true. A request that
+//!   was in transit for too long is rejected, because the record that it asks for would expire here before it expires
+//!   at the sender.
+//! * First ballots are used without a promise. They are valid only at acceptors where the record has no other owner and
 //!   no dispatch of another process is known, so that two first ballots cannot both obtain a majority.
 
 use bytes::Bytes;
@@ -26,7 +28,8 @@
 use crate::hashed;
 use crate::member::LocalMember;
 use crate::record::{
-    Ballot, Choice, DispatchId, DispatchIntent, FIRST, IntentState, Invocation, Owner, Record,
+    Ballot, Choice, DispatchId, DispatchIntent, FIRST_BALLOT_NUMBER, IntentState, Invocation,
+    Owner, Record,
 };
 use crate::settings::SafetyCheck;
 use crate::store::{Key, MergeOutcome, Origin, RecordCopy, StoredRecord};
@@ -37,7 +40,7 @@
     pub(crate) key: Key,
     pub(crate) ballot: Ballot,
     pub(crate) dispatch: u64,
-    /// The ballot is a first one.
+    /// Whether the ballot is a first ballot, which is used without a promise.
     pub(crate) is_first: bool,
     pub(crate) record: RecordCopy,
 }
@@ -47,21 +50,23 @@
 pub(crate) enum IntentVote {
     /// The intent is stored here.
     Stored,
-    /// The request is admissible, but this member is recovering: it learns the record without a vote.
+    /// The request is admissible, but this member is recovering: it merges the record and does not vote.
     LearnOnly,
+    /// There is no vote, for this reason.
     Rejected(RejectionReason),
 }
 
-/// A request to promise that nothing is stored under a lower ballot.
+/// A request for the promise not to store any intent under a lower ballot.
 pub(crate) struct FenceRequest {
     pub(crate) key: Key,
     pub(crate) ballot: Ballot,
     pub(crate) origin: Origin,
-    /// How long the promise is kept.
+    /// How long the promise is kept, in microseconds.
     pub(crate) lifetime: Micros,
 }
 
-/// Votes on an intent, and stores it if the vote is given.
+/// Decides whether to vote for an intent, and stores the intent if so. `transit`: an upper bound of the time in
+/// transit.
 pub(crate) fn vote_on_intent(
     cx: &mut Context<'_>,
     request: &IntentRequest,
@@ -85,30 +90,32 @@
     }
 }
 
+/// Whether the promises and the intents stored here permit the requested intent.
 fn admits_intent(member: &LocalMember, request: &IntentRequest) -> bool {
     let ballot = request.ballot;
-    let Some(effect) = member.store().effect(&request.key) else {
+    let Some(invocation) = member.store().invocation(&request.key) else {
         return true;
     };
-    let promised = effect.owner.ballot;
-    if promised.number > FIRST && promised > ballot {
+    let promised = invocation.owner.ballot;
+    if promised.number > FIRST_BALLOT_NUMBER && promised > ballot {
         return member.is_disabled(SafetyCheck::KeptPromise);
     }
-    // Symptom: two routers were given one message. Its owner was broadcast here before its intent came, and another
-    // owner's intent is stored already: that one may have been permitted.
+    // Without this check, two routers that received the same message could both obtain a majority: this member may
+    // learn of the sender's ownership by broadcast before the sender's intent arrives, while it already stores the
+    // intent of another owner, which may have been permitted.
     if request.is_first {
-        let is_of_other = |(dispatch_id, sending): (&DispatchId, &DispatchIntent)| {
-            dispatch_id.0 != ballot.nonce && sending.state != IntentState::NotExecuted
+        let is_of_other = |(dispatch_id, intent): (&DispatchId, &DispatchIntent)| {
+            dispatch_id.0 != ballot.nonce && intent.state != IntentState::NotExecuted
         };
-        let is_over = effect.closed || effect.answer.is_some();
+        let is_over = invocation.closed || invocation.answer.is_some();
         let is_only_owner =
-            promised == ballot && !is_over && !effect.intents.iter().any(is_of_other);
+            promised == ballot && !is_over && !invocation.intents.iter().any(is_of_other);
         return is_only_owner || member.is_disabled(SafetyCheck::FirstBallotAlone);
     }
     true
 }
 
-/// Rejects an intent (its dispatch is named) or a fence.
+/// Rejects an intent (`dispatch` is given) or a fence (`dispatch` is absent).
 pub(crate) fn reject(
     cx: &mut Context<'_>,
     to: Sender,
@@ -129,13 +136,13 @@
     cx.send(to.member, message);
 }
 
-/// Whether this member may promise what a fence asks for.
+/// Whether this member may make the promise that a fence requests; otherwise, the reason for the rejection.
 pub(crate) fn check_fence(
     cx: &mut Context<'_>,
     request: &FenceRequest,
 ) -> Result<(), RejectionReason> {
     let store = cx.member.store();
-    let promised = store.effect(&request.key).map(|e| e.owner.ballot);
+    let promised = store.invocation(&request.key).map(|e| e.owner.ballot);
     if !cx.member.can_vote() {
         Err(RejectionReason::Recovering)
     } else if promised.is_some_and(|promised| promised > request.ballot) {
@@ -150,7 +157,7 @@
     }
 }
 
-/// Nothing is stored under a lower ballot from now on. False if the store is full.
+/// Records the promise not to store any intent under a lower ballot. Returns false if the store is full.
 pub(crate) fn promise_ownership(cx: &mut Context<'_>, request: &FenceRequest) -> bool {
     let FenceRequest { ballot, origin, .. } = *request;
     let owner = Owner {
@@ -166,17 +173,17 @@
         &request.key,
         || StoredRecord::new(record, origin, expires_at),
         |stored| {
-            if let Record::Invocation(effect) = &mut stored.record
-                && ballot > effect.owner.ballot
+            if let Record::Invocation(invocation) = &mut stored.record
+                && ballot > invocation.owner.ballot
             {
-                effect.owner = owner;
+                invocation.owner = owner;
                 (stored.origin, stored.expires_at) = (origin, expires_at);
             }
         },
     )
 }
 
-/// What this member promised and accepted under a key.
+/// The ballot that this member has promised under a key, and the value that it has accepted.
 pub(crate) fn choice(member: &LocalMember, key: &str) -> Option<Choice> {
     match member.store().get(key).map(|stored| &stored.record) {
         Some(Record::Choice(choice)) => Some(choice.clone()),
@@ -184,12 +191,14 @@
     }
 }
 
+/// Whether this member has promised a ballot above this one.
 fn has_promised_higher(member: &LocalMember, key: &str, ballot: Ballot) -> bool {
     let promised = choice(member, key).unwrap_or_default().promised;
     promised > ballot && !member.is_disabled(SafetyCheck::KeptPromise)
 }
 
-/// True if nothing below this ballot is accepted from now on.
+/// Promises not to accept any value below this ballot. Returns false if a higher ballot is promised already, or if the
+/// store is full.
 pub(crate) fn promise_choice(
     cx: &mut Context<'_>,
     key: &Key,
@@ -210,7 +219,8 @@
     })
 }
 
-/// True if the value is accepted under this ballot, which is then promised as well.
+/// Accepts a value under this ballot and promises the ballot. Returns false if a higher ballot is promised already, or
+/// if the store is full.
 pub(crate) fn accept_choice(
     cx: &mut Context<'_>,
     key: &Key,
@@ -222,14 +232,14 @@
         return false;
     }
     cx.member.store_mut().update(key, |stored| {
-        // Within a term the later value is the greater one, and messages may come out of order.
+        // Messages may be reordered. Within a term the greater value is the later one.
         if let Record::Choice(choice) = &mut stored.record {
             choice.accepted = choice.accepted.take().max(Some((ballot, value)));
         }
     })
 }
 
-/// Phase 1: promises the ballot, and returns what was accepted before.
+/// Phase 1: promises the ballot, and returns the acceptor's state with the value accepted before, if any.
 pub(crate) fn vote_on_prepare(
     cx: &mut Context<'_>,
     key: &Key,
@@ -247,7 +257,7 @@
     }
 }
 
-/// Phase 2: accepts the value, and returns its hash.
+/// Phase 2: accepts the value, and returns the hash of the value.
 pub(crate) fn vote_on_accept(
     cx: &mut Context<'_>,
     key: &Key,
@@ -265,7 +275,7 @@
     }
 }
 
-/// Rejects a prepared or proposed choice.
+/// Rejects phase 1 or phase 2 of a choice.
 pub(crate) fn nack(
     cx: &mut Context<'_>,
     to: Sender,
--- a/crates/replica/src/broadcast.rs
+++ b/crates/replica/src/broadcast.rs
@@ -1,4 +1,5 @@
-//! Changed records that the other members are sent soon. A lost broadcast is made up for by a later comparison.
+//! The queue of changed records to be broadcast to the other members. If a broadcast is lost, a later comparison of
+//! digests finds the difference ([`crate::catch_up`]).
 
 use std::collections::BTreeSet;
 
@@ -6,7 +7,7 @@
 
 use crate::store::Key;
 
-/// Keys of changed records, collected until the next broadcast.
+/// The keys of changed records, collected until the next broadcast.
 #[derive(Clone, Debug)]
 pub(crate) struct BroadcastQueue {
     keys: BTreeSet<Key>,
@@ -21,7 +22,7 @@
         }
     }
 
-    /// The record goes with the next broadcast, which is due by `due`.
+    /// Adds a record to the next broadcast, which takes place no later than `due`.
     pub(crate) fn add(&mut self, key: &Key, due: Micros) {
         self.keys.insert(key.clone());
         self.due = self.due.min(due);
@@ -35,7 +36,7 @@
         self.due
     }
 
-    /// The keys to broadcast now; none before the broadcast is due.
+    /// Removes and returns the keys to broadcast now. Returns no keys before the broadcast is due.
     pub(crate) fn take_due(&mut self, now: Micros) -> BTreeSet<Key> {
         if now < self.due {
             return BTreeSet::new();
--- a/crates/replica/src/byte_budget.rs
+++ b/crates/replica/src/byte_budget.rs
@@ -1,11 +1,12 @@
-//! A token bucket of bytes that limits the rate of catching up.
+//! A token bucket of bytes that limits the transfer rate of catching up.
 
 use cedarpulley::interface::Micros;
 
-/// The burst is this fraction (one part in so many) of a second's bytes.
-const BURST_FRACTION: u64 = 8;
+/// The burst is the number of bytes per second divided by this number.
+const BURST_DIVISOR: u64 = 8;
 
-/// Bytes that may be transferred now; negative after more was transferred.
+/// A token bucket: the bytes that may be transferred now. The balance is negative after a transfer that was larger than
+/// what was available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ByteBudget {
     available: i64,
@@ -20,9 +21,9 @@
         }
     }
 
-    /// Takes the bytes of a transfer, and returns when the next transfer may begin.
+    /// Takes the bytes of a transfer from the budget, and returns the time at which the next transfer may begin.
     pub(crate) fn take(&mut self, now: Micros, bytes_per_s: u64, bytes: usize) -> Micros {
-        let burst = (bytes_per_s / BURST_FRACTION) as i64;
+        let burst = (bytes_per_s / BURST_DIVISOR) as i64;
         let elapsed = (now - self.updated_at).clamp(0, 1_000_000);
         let refill = elapsed as i128 * bytes_per_s as i128 / 1_000_000;
         self.available = (self.available + refill as i64).min(burst);
--- a/crates/replica/src/catch_up.rs
+++ b/crates/replica/src/catch_up.rs
@@ -1,11 +1,12 @@
-//! Anti-entropy: finding and fetching the records that this member lacks. It compares its digests with one other member
-//! at a time. After a restart it compares with one member after the other; later comparisons make up for lost messages.
+//! Anti-entropy: finds and fetches the records that this member lacks. A member compares its digests with one other
+//! member at a time. After a restart it compares with one member after the other without a pause; later, periodic
+//! comparisons find differences that lost messages left behind.
 //!
-//! 1. The digests of groups are compared, then the digests of the leaves of those that differ, then the entries of the
-//!    leaves that differ: equal records are not sent, and the traffic grows with the difference.
-//! 2. With next to no records here, entries are left out and whole leaves are fetched, as a snapshot.
-//! 3. Fetching stays below a rate in bytes a second, and the next batch is requested only after the last one was taken
-//!    in. The member that serves does not wait for it.
+//! 1. The digests of all groups are compared, then the digests of the leaves of the groups that differ, then the
+//!    entries of the leaves that differ. Equal records are not sent, so the traffic is proportional to the difference.
+//! 2. If this member has very few records, no entries are listed, and whole leaves are fetched as a snapshot.
+//! 3. Fetching is limited to a rate in bytes per second, and the next batch is requested only after the previous batch
+//!    was merged. The serving member does not wait for this member.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -20,50 +21,52 @@
 use crate::store::{GROUPS, Key, LEAVES_PER_GROUP, Leaf, Store};
 use crate::wire::{Message, RecoveryState};
 
-/// The most leaves in one request.
+/// The maximum number of leaves in one request.
 pub(crate) const MAX_LEAVES_PER_REQUEST: usize = 64;
-/// With fewer records here than one for so many leaves that differ, entries are not worth listing.
-const LEAVES_PER_RECORD_OF_SNAPSHOT: usize = 4;
-/// The size of a record beside its key, answer or value, in bytes.
-const RECORD_BYTES: usize = 64;
-/// The size of a dispatch, in bytes.
-const DISPATCH_BYTES: usize = 16;
+/// Whole leaves are fetched if this member has less than one record for this number of leaves that differ: listing its
+/// entries would then save too little.
+const SNAPSHOT_LEAVES_PER_RECORD: usize = 4;
+/// The approximate size of a record without its key, intents, answer and value, in bytes.
+const RECORD_OVERHEAD_BYTES: usize = 64;
+/// The approximate size of the intent of a dispatch, in bytes.
+const INTENT_BYTES: usize = 16;
 
-/// The approximate size of a record in a message.
-pub(crate) fn size(key: &str, record: &Record) -> usize {
+/// The approximate size of a record in a message, in bytes.
+pub(crate) fn record_size(key: &str, record: &Record) -> usize {
     let content = match record {
-        Record::Invocation(effect) => {
-            let answer = match &effect.answer {
+        Record::Invocation(invocation) => {
+            let answer = match &invocation.answer {
                 Some(StoredAnswer::Stored(answer)) => answer.len(),
                 _ => 0,
             };
-            answer + effect.intents.len() * DISPATCH_BYTES
+            answer + invocation.intents.len() * INTENT_BYTES
         }
         Record::Choice(choice) => choice.accepted.as_ref().map_or(0, |a| a.1.len()),
         Record::Note(note) => note.value.len(),
     };
-    RECORD_BYTES + key.len() + content
+    RECORD_OVERHEAD_BYTES + key.len() + content
 }
 
-/// One comparison, from the digests to the last batch of records.
+/// A comparison with one member, from the exchange of digests to the last batch of records.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Comparison {
     with: MemberIndex,
-    /// Of the last request.
+    /// The number of the last request.
     serial: u64,
     deadline: Micros,
-    /// What the other member remembers, once it has answered, and whether it knows this process.
+    /// The other member's recovery state, and whether it knows this process, once it has answered.
     answer: Option<(RecoveryState, bool)>,
-    /// Leaves that differ and have not been requested yet.
+    /// The leaves that differ and have not been requested yet.
     differing: VecDeque<Leaf>,
+    /// Whether whole leaves are fetched.
     is_snapshot: bool,
-    /// A record could not be taken in: the comparison does not count for recovery.
+    /// A received record could not be stored: the comparison does not count for recovery.
     is_incomplete: bool,
-    /// Leaves requested at present.
+    /// The leaves of the current request.
     requested: Vec<Leaf>,
     /// The next request continues after this record.
     after: Option<(Leaf, Key)>,
-    /// When the next request is sent.
+    /// The time at which the next request is sent.
     next_request: Option<Micros>,
 }
 
@@ -87,19 +90,20 @@
         self.with == from && self.serial == serial
     }
 
-    /// Collects the leaves that the other member has records in and that differ here.
+    /// Collects the leaves that differ and in which the other member has records.
     fn add_differing(&mut self, store: &Store, groups: &BTreeMap<Leaf, Vec<u64>>) {
         for (group, digests) in groups.iter().filter(|(g, _)| **g < GROUPS) {
             let leaves = group * LEAVES_PER_GROUP..(group + 1) * LEAVES_PER_GROUP;
-            // What only this member has, the other one fetches itself.
+            // The other member itself fetches the records that only this member has.
             let differing = leaves
                 .zip(digests)
                 .filter(|(leaf, digest)| **digest != 0 && store.leaf_digest(*leaf) != **digest);
             self.differing.extend(differing.map(|(leaf, _)| leaf));
         }
-        // Symptom: with a tenth of the records lacking nearly all leaves differ, and everything was sent once more. A
-        // list of entries costs a fraction of what it saves.
-        self.is_snapshot = store.len() < self.differing.len() / LEAVES_PER_RECORD_OF_SNAPSHOT;
+        // Few differing records are enough for most leaves to differ: when a tenth of the records was missing, nearly
+        // all leaves differed, and fetching whole leaves transferred all records again. A list of entries costs a
+        // fraction of the traffic that it saves.
+        self.is_snapshot = store.len() < self.differing.len() / SNAPSHOT_LEAVES_PER_RECORD;
     }
 
     fn request_next_leaves(&mut self) {
@@ -109,30 +113,31 @@
     }
 }
 
-/// A batch of records that was taken in.
+/// Describes a received batch of records after its records were merged.
 pub(crate) struct ReceivedBatch {
+    /// The number of the request.
     pub(crate) serial: u64,
-    /// The size of its records.
+    /// The approximate size of its records, in bytes.
     pub(crate) bytes: usize,
-    /// A record could not be taken in.
+    /// Whether a record could not be stored.
     pub(crate) is_incomplete: bool,
-    /// There are more records after this one.
+    /// The last record of the batch, if the serving member has more records to send.
     pub(crate) more: Option<(Leaf, Key)>,
 }
 
-/// The side that compares and fetches; the other side is `record_server`.
+/// The side of anti-entropy that compares digests and fetches records. The other side is `record_server`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CatchUp {
     comparison: Option<Comparison>,
     next_comparison: Micros,
     last_serial: u64,
     budget: ByteBudget,
-    /// The member of the last comparison, so that the next is with another one.
+    /// The member of the last comparison; the next comparison is with another member.
     last_member: MemberIndex,
 }
 
 impl CatchUp {
-    /// The first comparison is due at once.
+    /// The state of a member that has just started; its first comparison is due immediately.
     pub fn new(now: Micros) -> Self {
         CatchUp {
             comparison: None,
@@ -143,7 +148,7 @@
         }
     }
 
-    /// When a comparison has to be begun, continued or given up.
+    /// The time at which a comparison is due to be begun, continued or abandoned.
     pub fn next_due(&self) -> Micros {
         match &self.comparison {
             None => self.next_comparison,
@@ -151,7 +156,7 @@
         }
     }
 
-    /// Leaves known to differ from the member that is compared with now.
+    /// The number of leaves known to differ from the member of the current comparison and not fetched completely.
     pub fn differing_leaves(&self) -> usize {
         let comparison = self.comparison.as_ref();
         comparison.map_or(0, |c| c.differing.len() + c.requested.len())
@@ -160,7 +165,8 @@
     pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
         if let Some(c) = &self.comparison {
             if cx.now >= c.deadline {
-                // Symptom: the connection was cut in the middle. Another member is asked.
+                // The other member has not answered in time, for example because the connection was lost during the
+                // comparison. The next comparison, with another member, begins immediately.
                 self.comparison = None;
                 self.next_comparison = cx.now;
             } else if c.next_request.is_some_and(|at| cx.now >= at) {
@@ -172,10 +178,10 @@
         }
     }
 
-    /// The member to compare with: during recovery, one that was not compared with yet.
+    /// The member for the next comparison. During recovery, members that were compared with already are skipped.
     fn next_member(&self, cx: &Context<'_>) -> Option<MemberIndex> {
         let recovery = cx.member.recovery();
-        let is_recovered = recovery.memory() == RecoveryState::Complete;
+        let is_recovered = recovery.state() == RecoveryState::Complete;
         let candidates = cx.member.group().others().filter(|m| {
             cx.member.is_alive(*m) && (is_recovered || !recovery.has_compared_with(*m))
         });
@@ -184,18 +190,18 @@
 
     fn compare(&mut self, cx: &mut Context<'_>) {
         let settings = cx.member.settings();
-        let interval = match cx.member.memory() {
+        let interval = match cx.member.recovery_state() {
             RecoveryState::Complete => settings.comparison_interval,
             _ => settings.resend_interval,
         };
-        // Spread, so that the members of a group do not all compare at once.
-        let spread =
+        // The jitter prevents all members of a group from comparing at the same time.
+        let jitter =
             hashed((settings.seed, self.last_serial)) % (interval.max(1) as u64 / 4).max(1);
         let deadline = cx.now.saturating_add(settings.comparison_timeout);
         self.next_comparison = cx
             .now
             .saturating_add(interval)
-            .saturating_add(spread as Micros);
+            .saturating_add(jitter as Micros);
         let Some(with) = self.next_member(cx) else {
             return;
         };
@@ -208,13 +214,14 @@
         cx.send(with, Message::CompareDigests { serial, groups });
     }
 
-    /// Another member has answered with the digests of groups that differ. `your_process`: which process it takes this one for.
+    /// Another member has answered with the leaf digests of the groups that differ. `your_process`: the process tag by
+    /// which the other member knows this process.
     pub(crate) fn on_differing_groups(
         &mut self,
         cx: &mut Context<'_>,
         from: MemberIndex,
         serial: u64,
-        memory: RecoveryState,
+        recovery_state: RecoveryState,
         your_process: u32,
         groups: &BTreeMap<Leaf, Vec<u64>>,
     ) {
@@ -222,7 +229,7 @@
         let Some(c) = comparison.filter(|c| c.is_answered_by(from, serial)) else {
             return;
         };
-        c.answer = Some((memory, your_process == cx.member.process()));
+        c.answer = Some((recovery_state, your_process == cx.member.process()));
         c.add_differing(cx.member.store(), groups);
         cx.counts.snapshots += u64::from(c.is_snapshot);
         self.fetch(cx);
@@ -237,16 +244,17 @@
             c.request_next_leaves();
         }
         if c.requested.is_empty() {
-            // The next comparison follows at once, as long as recovery needs one.
-            if let Some((memory, true)) = c.answer
+            // The next comparison begins immediately as long as recovery needs further comparisons.
+            if let Some((recovery_state, true)) = c.answer
                 && !c.is_incomplete
-                && recovery::on_compared(cx, c.with, memory)
+                && recovery::on_compared(cx, c.with, recovery_state)
             {
                 self.next_comparison = cx.now;
             }
             return;
         }
-        // Symptom: a batch that arrives twice is taken for the next one, which is never requested again.
+        // Each request has its own number. Without this, a batch that arrives twice would be taken for the next batch,
+        // which would then never be requested.
         self.last_serial += 1;
         c.serial = self.last_serial;
         let store = cx.member.store();
@@ -264,7 +272,7 @@
         self.comparison = Some(c);
     }
 
-    /// A batch of records has arrived and was taken in.
+    /// Continues the comparison after a batch of records has arrived and was merged.
     pub(crate) fn on_batch(
         &mut self,
         cx: &mut Context<'_>,
--- a/crates/replica/src/consensus.rs
+++ b/crates/replica/src/consensus.rs
@@ -1,27 +1,29 @@
-//! Single-value agreement by ballots, as in Paxos: a value chosen once and for all (which version a session is bound
-//! to), or one value after the other by the leader of a term (the step of a rollout plan). A term is a ballot. A
-//! proposer first asks a majority to promise its ballot, and learns what was accepted before (phase 1); a value is
-//! chosen once a majority has accepted it under that ballot (phase 2).
+//! Single-value agreement with ballots, as in Paxos. A key holds either a value that is chosen once (for example, the
+//! version that a session is bound to) or a series of values that the leader of a term writes (for example, the steps
+//! of a rollout plan). A term is identified by a ballot. In phase 1 a proposer asks a majority to promise its ballot
+//! and learns which values the members accepted before. In phase 2 a value is chosen once a majority has accepted it
+//! under that ballot.
 //!
 //! # Safety
 //!
-//! Invariant: if a value was chosen under a ballot, every value proposed under a higher ballot is that value (a choice
-//! made once), or was written by a leader that had learned it (terms).
+//! Invariant: if a value was chosen under a ballot, every value proposed under a higher ballot is the same value (for a
+//! value that is chosen once), or was written by a leader that had learned the chosen value (for terms).
 //!
 //! * Majorities intersect: a majority that promises a higher ballot contains a member that accepted the chosen value,
-//!   and a promise reports it. The proposer adopts the value accepted under the highest ballot, not its own.
-//! * Terms: a leader has won phase 1, so it knows the last value of all earlier terms, and no lower ballot can obtain a
-//!   majority any more. Within a term the values grow, byte by byte, as they begin with the number of a step: of two
-//!   acceptances under one ballot the greater one is the later one. An acceptance names the hash of its value, so a
-//!   late acceptance of an earlier value is not counted for the next one.
-//! * Ballots are unique: they contain the member and its process, so a restarted proposer never continues a proposal of
-//!   its earlier process.
-//! * Crash, and restart with the disk: promises and acceptances are on disk before they are sent or counted, the
-//!   proposer's own included ([`crate::persistence`]).
-//! * Restart with a lost disk: such a member gives no votes until it has caught up ([`crate::recovery`]), and votes
-//!   count together only if the voters agree on each other's processes ([`crate::votes`]).
-//! * Partition: a minority gets no majority. Its proposals end with [`Outcome::NoMajority`], which does not say that
-//!   the value was not chosen: a later proposal may find and complete it.
+//!   and the promise of that member reports the value. The proposer replaces its own value with the value accepted
+//!   under the highest ballot.
+//! * Terms: a leader has completed phase 1, so it knows the last value of all earlier terms, and no lower ballot can
+//!   obtain a majority any more. Values begin with a step number, so within a term each value compares greater, byte by
+//!   byte, than the one before: of two acceptances under one ballot the greater is the later. An acceptance contains
+//!   the hash of its value, so a delayed acceptance of an earlier value is not counted for the next value.
+//! * Ballots are unique: a ballot contains the member and its process, so a restarted proposer never continues a
+//!   proposal of its earlier process.
+//! * Crash and restart with the disk intact: promises and acceptances are on disk before they are sent or counted. This
+//!   includes the proposer's own votes ([`crate::persistence`]).
+//! * Restart with a lost disk: the member does not vote until it has caught up ([`crate::recovery`]), and votes are
+//!   counted together only if the voters agree on each other's processes ([`crate::votes`]).
+//! * Partition: a minority cannot obtain a majority. Its proposals end with [`Outcome::NoMajority`], which does not
+//!   mean that the value was not chosen: a later proposal may find the value and complete it.
 
 mod proposal;
 
@@ -36,7 +38,7 @@
 use crate::hashed;
 use crate::ownership::NoMajorityReason;
 use crate::persistence::{PendingVote, VotesAwaitingDisk, Withheld};
-use crate::record::{Ballot, Choice, FIRST};
+use crate::record::{Ballot, Choice, FIRST_BALLOT_NUMBER};
 use crate::settings::SafetyCheck;
 use crate::store::Key;
 use crate::votes::Views;
@@ -46,27 +48,27 @@
 /// How a proposal of this member ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// This value was chosen, whoever proposed it.
+    /// This value was chosen. Any member may have proposed it.
     Chosen(Bytes),
-    /// This member leads.
+    /// This member won a term and is the leader.
     Leads {
-        /// The term in which it may write.
+        /// The term in which this member may write.
         ballot: Ballot,
         /// The last value of all earlier terms.
         last: Option<Bytes>,
     },
-    /// The value is written.
+    /// A majority accepted the value that this member wrote.
     Written {
-        /// The term in which it was written.
+        /// The term in which the value was written.
         ballot: Ballot,
     },
-    /// A later term has begun: this member does not lead any more.
+    /// A later term has begun: this member is no longer the leader.
     Overtaken,
-    /// No majority answered in time.
+    /// No majority voted for the proposal in time, or none could be reached.
     NoMajority(NoMajorityReason),
 }
 
-/// The proposer: this member's proposals, by key, and the votes that wait for the disk.
+/// The proposer role: this member's proposals by key, and the votes that wait for the disk.
 #[derive(Clone, Debug, Default, Hash)]
 pub(crate) struct Consensus {
     proposals: BTreeMap<Key, Proposal>,
@@ -74,7 +76,7 @@
 }
 
 impl Consensus {
-    /// Proposes a value that is chosen once.
+    /// Proposes a value under a key whose value is chosen once.
     pub(crate) fn choose(
         &mut self,
         cx: &mut Context<'_>,
@@ -86,7 +88,7 @@
         self.propose(cx, key, proposal);
     }
 
-    /// Tries to win a term.
+    /// Tries to become the leader of a new term.
     pub(crate) fn lead(&mut self, cx: &mut Context<'_>, key: Key, retention: Micros) {
         let proposal = Proposal::new(cx, Goal::Lead, None, retention);
         self.propose(cx, key, proposal);
@@ -124,7 +126,10 @@
 
     fn begin_preparing(&mut self, cx: &mut Context<'_>, key: &Key) {
         let known = acceptor::choice(cx.member, key).unwrap_or_default();
-        let accepted = known.accepted.as_ref().map_or(FIRST, |a| a.0.number);
+        let accepted = known
+            .accepted
+            .as_ref()
+            .map_or(FIRST_BALLOT_NUMBER, |a| a.0.number);
         let number = known.promised.number.max(accepted).saturating_add(1);
         let ballot = cx.member.ballot(number);
         let Some(mut proposal) = self.proposals.remove(key) else {
@@ -138,7 +143,7 @@
         }
         self.proposals.insert(key.clone(), proposal);
         self.request_votes(cx, key);
-        self.vote_for_itself(cx, key, ballot, None);
+        self.cast_own_vote(cx, key, ballot, None);
     }
 
     fn begin_accepting(&mut self, cx: &mut Context<'_>, key: &Key) {
@@ -157,7 +162,7 @@
         proposal.accept();
         self.proposals.insert(key.clone(), proposal);
         self.request_votes(cx, key);
-        self.vote_for_itself(cx, key, ballot, Some(value_hash));
+        self.cast_own_vote(cx, key, ballot, Some(value_hash));
     }
 
     fn request_votes(&self, cx: &mut Context<'_>, key: &Key) {
@@ -167,7 +172,7 @@
         }
     }
 
-    fn vote_for_itself(
+    fn cast_own_vote(
         &mut self,
         cx: &mut Context<'_>,
         key: &Key,
@@ -177,7 +182,7 @@
         self.cast(cx, key, PendingVote::Own { ballot, value_hash });
     }
 
-    /// Sends or counts a vote that the acceptor has given, once the disk has what it promises.
+    /// Sends or counts a vote of this member's acceptor once the record that backs the vote is on disk.
     pub(crate) fn cast(&mut self, cx: &mut Context<'_>, key: &Key, vote: PendingVote) {
         let is_dirty = cx.member.store().is_dirty(key);
         let must_persist = cx.member.settings().is_persistent
@@ -200,31 +205,31 @@
             PendingVote::Remote { to, message } => return cx.send(to, message),
             PendingVote::Own { ballot, value_hash } => (ballot, value_hash),
         };
-        if let Some(proposal) = self.awaiting(key, ballot, value_hash) {
-            cx.member.vote_for_itself(&mut proposal.votes);
+        if let Some(proposal) = self.proposal_awaiting(key, ballot, value_hash) {
+            cx.member.add_own_vote(&mut proposal.votes);
             self.count_votes(cx, key);
         }
     }
 
-    /// All batches of changes up to this serial are on disk.
+    /// Releases the votes that waited for the batches of changes up to this serial, which are now on disk.
     pub(crate) fn on_persisted(&mut self, cx: &mut Context<'_>, serial: u64) {
         for (key, vote) in self.votes_awaiting_disk.persisted(serial) {
             self.release(cx, &key, vote);
         }
     }
 
-    /// Begins a batch of changes for the disk, unless it would be empty, and returns the serial of the last batch.
+    /// Begins a batch of changes for the disk if there are changes, and returns the serial of the last batch.
     pub(crate) fn begin_batch(&mut self, has_changes: bool) -> u64 {
         self.votes_awaiting_disk.begin_batch(has_changes)
     }
 
-    /// A vote waits for a batch that has not been begun.
+    /// Whether a vote waits for a batch that has not been begun.
     pub(crate) fn needs_batch(&self) -> bool {
         self.votes_awaiting_disk.needs_batch()
     }
 
-    /// The proposal under this key, if it waits for such a vote.
-    fn awaiting(
+    /// The proposal under this key, if it waits for a vote on this ballot and value (see [`Proposal::awaits`]).
+    fn proposal_awaiting(
         &mut self,
         key: &Key,
         ballot: Ballot,
@@ -234,7 +239,7 @@
         proposal.awaits(ballot, value_hash).then_some(proposal)
     }
 
-    /// Goes on with a proposal once a majority has voted for it.
+    /// Advances a proposal to its next phase or ends it once a majority has voted for it.
     fn count_votes(&mut self, cx: &mut Context<'_>, key: &Key) {
         let Some(proposal) = self.proposals.get_mut(key) else {
             return;
@@ -265,7 +270,7 @@
         cx.emit(Output::ProposalEnded { key, outcome });
     }
 
-    /// Phase 1: a member has promised the ballot.
+    /// Phase 1: counts the promise of another member.
     pub(crate) fn on_promise(
         &mut self,
         cx: &mut Context<'_>,
@@ -275,14 +280,14 @@
         choice: Choice,
         views: Views,
     ) {
-        if let Some(proposal) = self.awaiting(key, ballot, None) {
+        if let Some(proposal) = self.proposal_awaiting(key, ballot, None) {
             proposal.votes.put(from.member, from.process, views);
             proposal.learn_accepted(choice.accepted);
             self.count_votes(cx, key);
         }
     }
 
-    /// Phase 2: a member has accepted the value with this hash.
+    /// Phase 2: counts another member's acceptance of the value with this hash.
     pub(crate) fn on_accepted(
         &mut self,
         cx: &mut Context<'_>,
@@ -292,13 +297,13 @@
         value_hash: u64,
         views: Views,
     ) {
-        if let Some(proposal) = self.awaiting(key, ballot, Some(value_hash)) {
+        if let Some(proposal) = self.proposal_awaiting(key, ballot, Some(value_hash)) {
             proposal.votes.put(from.member, from.process, views);
             self.count_votes(cx, key);
         }
     }
 
-    /// A member rejects the ballot.
+    /// Handles a rejection of a proposal by another member.
     pub(crate) fn on_nack(
         &mut self,
         cx: &mut Context<'_>,
@@ -318,7 +323,7 @@
             return;
         }
         let (goal, tries, retention) = (proposal.goal, proposal.tries, proposal.retention);
-        // The next ballot has to be higher than the one promised there.
+        // The next ballot has to be higher than the ballot that the rejecting member has promised.
         if let Some(choice) = choice {
             acceptor::promise_choice(cx, key, choice.promised, retention);
         }
@@ -333,13 +338,13 @@
         }
     }
 
-    /// When a proposal has to be continued or given up.
+    /// The time at which the next proposal is due to be resent, restarted or abandoned.
     pub(crate) fn next_due(&self) -> Micros {
         let due = self.proposals.values().map(Proposal::due).min();
         due.unwrap_or(Micros::MAX)
     }
 
-    /// Sends requests again, begins anew after a backoff, and gives up after a deadline.
+    /// Resends requests, restarts proposals after their backoff, and abandons proposals after their deadline.
     pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
         let now = cx.now;
         let due = self.proposals.iter().filter(|(_, p)| p.due() <= now);
@@ -356,7 +361,7 @@
         };
         if cx.now >= proposal.deadline {
             self.proposals.remove(&key);
-            let outcome = Outcome::NoMajority(cx.member.deadline_reason());
+            let outcome = Outcome::NoMajority(cx.member.timeout_reason());
             return cx.emit(Output::ProposalEnded { key, outcome });
         }
         proposal.resend_at = resend_at;
--- a/crates/replica/src/consensus/proposal.rs
+++ b/crates/replica/src/consensus/proposal.rs
@@ -1,4 +1,4 @@
-//! One proposal of this member, from the request for promises to its end.
+//! One proposal of this member, from its request for promises to its outcome.
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
@@ -11,38 +11,42 @@
 use crate::votes::Votes;
 use crate::wire::Message;
 
-/// What a proposal is for.
+/// The purpose of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Goal {
-    /// Choose a value once.
+    /// Choose the value of a key that is chosen once.
     Choose,
     /// Win a term.
     Lead,
-    /// Write a value in a term.
+    /// Write a value in a term that this member won.
     Write,
 }
 
+/// The phase of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
     /// Phase 1: waits for promises.
     Preparing,
     /// Phase 2: waits for acceptances.
     Accepting,
-    /// A higher ballot was met; phase 1 begins anew at that time.
+    /// A member has promised a higher ballot; phase 1 is started again at this time.
     BackingOff { retry_at: Micros },
 }
 
+/// A proposal of this member for one key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Proposal {
     pub(super) goal: Goal,
     pub(super) ballot: Ballot,
     pub(super) phase: Phase,
-    /// In this phase.
+    /// The votes received in the current phase.
     pub(super) votes: Votes,
     pub(super) value: Option<Bytes>,
-    /// The value accepted under the highest ballot that a promise reported.
+    /// The accepted value with the highest ballot among those that promises reported.
     pub(super) highest_accepted: Option<(Ballot, Bytes)>,
+    /// How long the members retain the choice.
     pub(super) retention: Micros,
+    /// How often the proposal has backed off; selects the bound of the next backoff.
     pub(super) tries: u32,
     pub(super) resend_at: Micros,
     pub(super) deadline: Micros,
@@ -69,7 +73,7 @@
         }
     }
 
-    /// Begins phase 1; `accepted`: what this member has accepted itself.
+    /// Begins phase 1. `accepted`: the value that this member has accepted itself.
     pub(super) fn prepare(&mut self, ballot: Ballot, accepted: Option<(Ballot, Bytes)>) {
         (self.ballot, self.phase) = (ballot, Phase::Preparing);
         self.votes = Votes::default();
@@ -91,14 +95,15 @@
         self.highest_accepted = self.highest_accepted.take().max(accepted);
     }
 
-    /// A value that may have been chosen replaces the proposed one.
+    /// Replaces the proposed value with an accepted value, which may have been chosen already.
     pub(super) fn adopt_accepted_value(&mut self) {
         if let Some((_, value)) = &self.highest_accepted {
             self.value = Some(value.clone());
         }
     }
 
-    /// Whether it waits for such a vote: an acceptance of the value with this hash, or else a promise.
+    /// Whether the proposal waits for this vote: for an acceptance of the value with this hash or, without a hash, for
+    /// a promise.
     pub(super) fn awaits(&self, ballot: Ballot, value_hash: Option<u64>) -> bool {
         let is_in_phase = match value_hash {
             None => self.phase == Phase::Preparing,
@@ -109,6 +114,7 @@
         self.ballot == ballot && is_in_phase
     }
 
+    /// The time at which the proposal is due to be resent, restarted or abandoned.
     pub(super) fn due(&self) -> Micros {
         match self.phase {
             Phase::BackingOff { retry_at } => retry_at.min(self.deadline),
@@ -116,7 +122,7 @@
         }
     }
 
-    /// Asks those of the members that have not voted in this phase.
+    /// Requests votes from those of the given members that have not voted in this phase.
     pub(super) fn request_votes(&self, cx: &mut Context<'_>, key: &Key, members: &[MemberIndex]) {
         let (ballot, lifetime) = (self.ballot, self.retention);
         for to in members.iter().copied().filter(|m| !self.votes.has(*m)) {
--- a/crates/replica/src/context.rs
+++ b/crates/replica/src/context.rs
@@ -1,4 +1,4 @@
-//! What the roles of a replica share while one event is handled.
+//! The context in which the roles of a replica handle one event.
 
 use cedarpulley::interface::Micros;
 use cedarpulley_membership::MemberIndex;
@@ -9,17 +9,17 @@
 use crate::store::{Key, StoredRecord};
 use crate::wire::Message;
 
-/// Where a message came from.
+/// The sender of a message.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sender {
     pub(crate) member: MemberIndex,
-    /// The sender's process, as it is compared in votes.
+    /// The tag of the sender's process ([`crate::votes::process_tag`]).
     pub(crate) process: u32,
-    /// An upper bound of the time that the message was under way.
+    /// An upper bound of the time that the message was in transit.
     pub(crate) transit: Micros,
 }
 
-/// The time of an event, this member's shared state, and the outputs so far.
+/// The time of an event, the state of this member that all roles share, and the outputs so far.
 pub(crate) struct Context<'a> {
     pub(crate) now: Micros,
     pub(crate) member: &'a mut LocalMember,
@@ -50,29 +50,30 @@
         self.emit(Output::Send { to, message });
     }
 
-    /// When a request that is sent now is sent again.
+    /// The time at which a request that is sent now is sent again if it was not answered.
     pub(crate) fn resend_at(&self) -> Micros {
         self.now
             .saturating_add(self.member.settings().resend_interval)
     }
 
-    /// Until when something begun now may wait for a majority.
+    /// The deadline by which an intent, a takeover or a proposal that begins now must obtain a majority.
     pub(crate) fn replication_deadline(&self) -> Micros {
         self.now
             .saturating_add(self.member.settings().replication_timeout)
     }
 
-    /// The other members are sent this record soon.
+    /// Queues a record for the next broadcast to the other members.
     pub(crate) fn broadcast(&mut self, key: &Key) {
         self.member.queue_broadcast(self.now, key);
     }
 
     /// A new record of an invocation that this member takes under its first ballot.
-    pub(crate) fn new_effect(&mut self) -> StoredRecord {
-        self.member.new_effect(self.now)
+    pub(crate) fn new_invocation(&mut self) -> StoredRecord {
+        self.member.new_invocation(self.now)
     }
 
-    /// Changes a record, or the given one where there is none, and broadcasts it. False if the store is full.
+    /// Changes the record under a key, after inserting `absent` if there is none, and queues its broadcast. Returns
+    /// false if the store is full.
     pub(crate) fn change(
         &mut self,
         key: &Key,
@@ -87,15 +88,15 @@
         changed
     }
 
-    /// Changes the record of an invocation, if there is one, and broadcasts it.
-    pub(crate) fn update_effect(
+    /// Changes the record of an invocation and queues its broadcast. Returns false if there is no record.
+    pub(crate) fn update_invocation(
         &mut self,
         key: &Key,
         change: impl FnOnce(&mut Invocation),
     ) -> bool {
         let updated = self.member.store_mut().update(key, |stored| {
-            if let Record::Invocation(effect) = &mut stored.record {
-                change(effect);
+            if let Record::Invocation(invocation) = &mut stored.record {
+                change(invocation);
             }
         });
         if updated {
--- a/crates/replica/src/events.rs
+++ b/crates/replica/src/events.rs
@@ -1,4 +1,4 @@
-//! What goes into [`crate::Replica::handle`] and what comes out, and the counters of what was done.
+//! The inputs and outputs of [`crate::Replica::handle`], and the counters of a replica.
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
@@ -14,16 +14,16 @@
 /// An event that a replica handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// This router took an invocation; [`Output::Verdict`] says what to do with it.
+    /// This router took an invocation. [`Output::Decision`] is the answer.
     Take {
         /// The invocation's key.
         key: Key,
         /// Whether a dispatch needs a majority.
         durability: Durability,
-        /// The message was delivered before, here or elsewhere.
+        /// Whether the message was delivered before, to this router or another one.
         redelivered: bool,
     },
-    /// A dispatch asks for permission; [`Output::Leave`] answers.
+    /// The router requests permission for a dispatch. [`Output::DispatchPermission`] is the answer.
     RequestDispatch {
         /// The invocation's key.
         key: Key,
@@ -31,10 +31,10 @@
         dispatch: u64,
         /// Deduplication scope of the worker, where there are several.
         deduplication_scope: u32,
-        /// Permit the dispatch even if no majority can be reached.
+        /// Whether to permit the dispatch even if no majority can be reached.
         without_majority: bool,
     },
-    /// A dispatch was sent without asking, as it does not need a majority.
+    /// A dispatch that does not need a majority was sent without a request for permission.
     Dispatched {
         /// The invocation's key.
         key: Key,
@@ -49,7 +49,7 @@
         key: Key,
         /// The dispatch, unique within this process.
         dispatch: u64,
-        /// Whether it may have run; otherwise it certainly did not.
+        /// Whether the dispatch may have run; otherwise it certainly did not run.
         may_have_run: bool,
     },
     /// The invocation has an answer.
@@ -59,12 +59,12 @@
         /// The encoded answer.
         answer: Bytes,
     },
-    /// The answer was delivered for good.
+    /// The delivery of the answer is final.
     Closed {
         /// The invocation's key.
         key: Key,
     },
-    /// Nobody waits for the invocation at this router any more.
+    /// No client of this router waits for the invocation any more.
     Dropped {
         /// The invocation's key.
         key: Key,
@@ -73,14 +73,14 @@
     PublishNote {
         /// The note's key.
         key: Key,
-        /// Higher than the version of each earlier note under this key.
+        /// The version, higher than those of all earlier notes under this key.
         version: (u64, u64),
         /// The encoded observation.
         value: Bytes,
-        /// How long it is retained.
+        /// How long the note is retained, in microseconds.
         retention: Micros,
     },
-    /// Agree on this value, or learn the value that was agreed on.
+    /// Propose this value under a key whose value is chosen once. If a value was chosen already, learn that value.
     Choose {
         /// The choice's key.
         key: Key,
@@ -89,7 +89,7 @@
         /// How long the choice is retained.
         retention: Micros,
     },
-    /// Become the leader that writes this key, in a term of its own.
+    /// Become the leader that writes this key, in a new term.
     Lead {
         /// The choice's key.
         key: Key,
@@ -102,18 +102,18 @@
         key: Key,
         /// The term.
         ballot: Ballot,
-        /// The value; it extends the values written earlier in this term.
+        /// The value. It must compare greater, byte by byte, than the values written earlier in this term.
         value: Bytes,
         /// How long the choice is retained.
         retention: Micros,
     },
-    /// A message of another member has arrived.
+    /// A message from another member has arrived.
     MessageReceived {
         /// The sender.
         from: MemberIndex,
-        /// The sender's process.
+        /// The nonce of the sender's process.
         nonce: u64,
-        /// An upper bound of the time that the message was under way.
+        /// An upper bound of the time that the message was in transit.
         transit: Micros,
         /// The message.
         message: Message,
@@ -122,21 +122,21 @@
     MemberChanged {
         /// The member.
         member: MemberIndex,
-        /// Its current process.
+        /// The nonce of the member's current process.
         nonce: u64,
-        /// Whether it is believed to be alive.
+        /// Whether the membership service considers the member alive.
         alive: bool,
     },
-    /// All changes up to this serial of [`crate::Replica::changes`] are on disk.
+    /// All batches of [`crate::Replica::changes`] up to this serial are on disk.
     Persisted {
         /// The serial.
         serial: u64,
     },
-    /// Time has passed; see [`crate::Replica::next_due`].
+    /// Time has passed: handle everything that is due (see [`crate::Replica::next_due`]).
     Tick,
 }
 
-/// What a replica wants done, or reports.
+/// An action that a replica requests, or an event that it reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message.
@@ -146,7 +146,7 @@
         /// The message.
         message: Message,
     },
-    /// What to do with an invocation that was taken.
+    /// The decision on an invocation that this router took.
     Decision {
         /// The invocation's key.
         key: Key,
@@ -157,9 +157,10 @@
     DispatchPermission {
         /// The invocation's key.
         key: Key,
-        /// The dispatch that asked.
+        /// The dispatch for which permission was requested.
         dispatch: u64,
-        /// `Ok(false)`: a majority has stored the intent; `Ok(true)`: no other member has, which the operator allows.
+        /// `Ok(false)`: a majority has stored the intent. `Ok(true)`: no majority has stored the intent in time, and
+        /// the operator allows dispatches without a majority.
         permission: Result<bool, NoMajorityReason>,
     },
     /// The outcome of a proposal of this member.
@@ -171,21 +172,21 @@
     },
     /// Another member changed a note or a choice under this key.
     RecordChanged(Key),
-    /// Recovery is complete: this member votes from now on.
+    /// Recovery is complete: this member votes from this time on.
     Recovered,
 }
 
-/// Counters since the start. Their keys in `/state` are the names given by `serde`.
+/// Counters since the start of the process. Their keys in `/state` are their names in the `serde` encoding.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// Invocations taken.
     pub taken: u64,
-    /// Dispatches that asked for permission.
+    /// Dispatches for which permission was requested.
     pub intents: u64,
     /// Intents that a majority has stored.
     #[serde(rename = "held")]
     pub intents_replicated: u64,
-    /// Decisions and permissions refused for want of a majority.
+    /// Decisions and permissions that were refused because there was no majority.
     #[serde(rename = "lacking_majority")]
     pub without_majority: u64,
     /// Dispatches permitted without a majority.
@@ -193,22 +194,22 @@
     pub dispatched_without_majority: u64,
     /// Takeovers begun.
     pub takeovers: u64,
-    /// Invocations for which the outcome at another owner is awaited.
+    /// Invocations for which this router waited for the outcome at another owner.
     #[serde(rename = "joined")]
     pub awaiting_other_owner: u64,
-    /// Stored answers given again.
+    /// Stored answers that were returned again.
     #[serde(rename = "answers_known")]
     pub answers_repeated: u64,
-    /// Takeovers that proved that no dispatch was sent.
+    /// Takeovers that proved that no earlier dispatch may have run.
     #[serde(rename = "proven_unsent")]
     pub proven_not_dispatched: u64,
     /// Decisions that an invocation may have run.
     #[serde(rename = "may_have_run")]
     pub indeterminate: u64,
-    /// Claims lost to another owner.
+    /// Invocations whose ownership was lost to another owner.
     #[serde(rename = "lost_to_others")]
     pub ownership_lost: u64,
-    /// Requests on invocations that this member rejected.
+    /// Requests for votes on invocations that this member rejected.
     #[serde(rename = "refusals_given")]
     pub rejections_sent: u64,
     /// Records broadcast, counted once for each receiver.
@@ -217,7 +218,7 @@
     /// Records received after they had expired here.
     #[serde(rename = "forgotten_offers")]
     pub expired_records_received: u64,
-    /// Records rejected as the store was full.
+    /// Records rejected because the store was full.
     #[serde(rename = "full")]
     pub rejected_store_full: u64,
     /// Answers too long to be stored.
@@ -231,12 +232,12 @@
     /// Requests for records that were dropped.
     #[serde(rename = "wants_dropped")]
     pub fetch_requests_dropped: u64,
-    /// Comparisons with another number of digests.
+    /// Comparisons rejected because the sender has a different number of groups.
     #[serde(rename = "misfits")]
     pub malformed_comparisons: u64,
     /// Votes on choices that waited for the disk.
     #[serde(rename = "votes_withheld")]
     pub votes_deferred: u64,
-    /// Of these, votes dropped for want of room.
+    /// Votes on choices that waited for the disk and were dropped because too many votes waited.
     pub votes_dropped: u64,
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,28 +1,28 @@
-//! The replicated state of a group of routers: which router owns an invocation, which dispatches of it may have been
-//! sent, which answer was given; values that a majority agreed on; observations that members published.
+//! The replicated state of a group of routers: which router owns an invocation, which of its dispatches may have been
+//! sent and which answer it got; values that a majority agreed on; and observations that members published.
 //!
-//! The crate does no I/O. Events go into [`Replica::handle`] together with the time, and messages, decisions and
-//! permissions come out. Start reading at [`replica`]; the design and its reasons are in docs/design/replica.md.
+//! The crate does no I/O. [`Replica::handle`] takes an event with the time and produces messages, decisions and
+//! permissions. Start reading at [`replica`]; the design and its reasons are described in docs/design/replica.md.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`replica`] | the entry point; owns one member's state |
+//! | [`replica`] | the entry point; owns the state of one member |
 //! | [`events`], [`settings`] | inputs, outputs, counters; limits and intervals |
-//! | `roles` | passes each event to the role that handles it |
-//! | `member`, `context` | what all roles share: the group as seen here, the records, the outputs of one event |
+//! | `roles` | dispatches each event to the role that handles it |
+//! | `member`, `context` | state shared by all roles: the group, the records, the outputs of one event |
 //! | [`record`] | record kinds and their merge rule |
 //! | [`store`] | all records of a member, their expiry and their digests |
 //! | [`wire`], [`votes`] | messages between members; which votes may be counted together |
-//! | `acceptor` | votes of this member: stored intents, promises and accepted values |
+//! | `acceptor` | this member's votes: stored intents, promises and accepted values |
 //! | [`ownership`] | who may dispatch an invocation: replicated intents and fenced takeovers |
-//! | [`consensus`] | single-value agreement by ballots, and leadership in terms |
-//! | [`persistence`] | votes that wait until the disk has what they promise |
-//! | [`recovery`] | when a restarted member knows enough to vote |
+//! | [`consensus`] | single-value agreement with ballots, and leadership in terms |
+//! | [`persistence`] | votes that wait until the state that backs them is on disk |
+//! | [`recovery`] | when a restarted member may vote again |
 //! | [`catch_up`], `record_server`, `byte_budget` | anti-entropy between two members at a bounded rate |
-//! | `broadcast` | changed records that the other members are sent |
+//! | `broadcast` | the queue of changed records for the other members |
 //!
-//! Three rules hold throughout: a dispatch that must not run twice is sent only after a majority has stored its intent;
-//! a member votes only if it remembers its earlier votes; no proof relies on synchronized clocks.
+//! Three rules hold throughout the crate: a dispatch that must not run twice is sent only after a majority has stored
+//! its intent; a member votes only if it remembers its earlier votes; no proof relies on synchronized clocks.
 #![warn(missing_docs)]
 
 mod acceptor;
@@ -56,7 +56,7 @@
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
 
-/// A hash that is the same in every process of one build: members compare such hashes.
+/// A hash that is the same in every process of the same build. Members compare such hashes with each other.
 pub(crate) fn hashed(of: impl Hash) -> u64 {
     BuildHasherDefault::<DefaultHasher>::default().hash_one(of)
 }
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -1,5 +1,5 @@
-//! What all roles of one replica share: the group as this member sees it, its records, its recovery, and what it is
-//! about to broadcast.
+//! The state that all roles of a replica share: this member's view of the group, its records, its recovery, and its
+//! queue of broadcasts.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -10,39 +10,39 @@
 use crate::broadcast::BroadcastQueue;
 use crate::hashed;
 use crate::ownership::NoMajorityReason;
-use crate::record::{Ballot, FIRST, Invocation, Owner, Record};
+use crate::record::{Ballot, FIRST_BALLOT_NUMBER, Invocation, Owner, Record};
 use crate::recovery::Recovery;
-use crate::settings::{DRIFT_FRACTION, LATE_FRACTION, ReplicaSettings, SafetyCheck};
+use crate::settings::{CLOCK_DRIFT_DIVISOR, MAX_TRANSIT_DIVISOR, ReplicaSettings, SafetyCheck};
 use crate::store::{Key, Origin, RecordCopy, Store, StoredRecord};
 use crate::votes::{Views, Votes, process_tag};
 use crate::wire::RecoveryState;
 
-/// The largest exponent of a backoff.
+/// The bound of a backoff is doubled at most this number of times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// What this member knows of another one.
+/// What this member knows of a member's process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct PeerState {
-    /// Its process; 0 where nothing is known.
+    /// The nonce of the process; 0 if no process is known.
     nonce: u64,
     alive: bool,
 }
 
-/// This member's part of the state that is not of one role alone.
+/// The state of this member that is shared by all roles.
 #[derive(Clone, Debug)]
 pub(crate) struct LocalMember {
     group: Group,
     settings: ReplicaSettings,
     nonce: u64,
-    /// By member, this one included.
+    /// The known processes of all members, including this member, by index.
     peers: Vec<PeerState>,
     store: Store,
     recovery: Recovery,
     broadcasts: BroadcastQueue,
-    /// Of the last record made by this process.
+    /// The serial of the last record that this process created.
     last_serial: u64,
-    /// Backoffs drawn so far.
-    draws: u64,
+    /// The number of backoffs drawn so far.
+    backoffs_drawn: u64,
 }
 
 impl LocalMember {
@@ -53,7 +53,7 @@
         nonce: u64,
         restored: Option<Vec<(Key, RecordCopy)>>,
     ) -> Self {
-        let memory = match restored {
+        let recovery_state = match restored {
             Some(_) => RecoveryState::Restored,
             None => RecoveryState::Empty,
         };
@@ -69,10 +69,10 @@
             nonce,
             peers,
             store,
-            recovery: Recovery::new(now, memory),
+            recovery: Recovery::new(now, recovery_state),
             broadcasts: BroadcastQueue::new(),
             last_serial: 0,
-            draws: 0,
+            backoffs_drawn: 0,
         }
     }
 
@@ -84,7 +84,7 @@
         &self.settings
     }
 
-    pub(crate) fn me(&self) -> MemberIndex {
+    pub(crate) fn own_index(&self) -> MemberIndex {
         self.group.own_index
     }
 
@@ -92,7 +92,7 @@
         self.nonce
     }
 
-    /// This process, as it is compared in votes.
+    /// The tag of this process, which votes contain.
     pub(crate) fn process(&self) -> u32 {
         process_tag(self.nonce)
     }
@@ -109,13 +109,13 @@
         &self.recovery
     }
 
-    /// Recovery, with the group that it asks for majorities.
+    /// The recovery state, mutably, together with the group.
     pub(crate) fn recovery_mut(&mut self) -> (&mut Recovery, &Group) {
         (&mut self.recovery, &self.group)
     }
 
-    pub(crate) fn memory(&self) -> RecoveryState {
-        self.recovery.memory()
+    pub(crate) fn recovery_state(&self) -> RecoveryState {
+        self.recovery.state()
     }
 
     /// Whether a test has disabled this safety check.
@@ -123,9 +123,10 @@
         self.settings.disabled_check == Some(check)
     }
 
-    /// Whether it remembers its earlier votes, and so may vote, and take what needs votes.
+    /// Whether this member remembers its earlier votes. If so, it may vote, and may take invocations that need a
+    /// majority.
     pub(crate) fn can_vote(&self) -> bool {
-        self.memory() == RecoveryState::Complete
+        self.recovery_state() == RecoveryState::Complete
             || self.is_disabled(SafetyCheck::NoVoteWithoutState)
     }
 
@@ -141,46 +142,46 @@
         self.peers[member as usize].alive
     }
 
-    /// Which process this member takes another one for.
+    /// The tag of the process that this member knows for another member.
     pub(crate) fn process_of(&self, member: MemberIndex) -> u32 {
         process_tag(self.peers[member as usize].nonce)
     }
 
-    /// False if the member is unknown or this one.
+    /// Notes a change of another member's state. Returns false if the member is unknown or is this member.
     pub(crate) fn update_peer(&mut self, member: MemberIndex, nonce: u64, alive: bool) -> bool {
-        if member as usize >= self.group.len() || member == self.me() {
+        if member as usize >= self.group.len() || member == self.own_index() {
             return false;
         }
         self.peers[member as usize] = PeerState { nonce, alive };
         true
     }
 
-    /// The process is over, as far as is known: nobody will learn any more what it alone knew.
-    pub(crate) fn is_gone(&self, member: MemberIndex, nonce: u64) -> bool {
+    /// Whether a process has ended as far as this member knows. What only that process knew cannot be learned any more.
+    pub(crate) fn is_process_gone(&self, member: MemberIndex, nonce: u64) -> bool {
         self.peers
             .get(member as usize)
             .is_none_or(|peer| peer.nonce != nonce || !peer.alive)
     }
 
-    /// The owner is gone or has released the invocation.
-    pub(crate) fn is_free(&self, owner: &Owner) -> bool {
-        owner.released || self.is_gone(owner.ballot.member, owner.ballot.nonce)
+    /// Whether the invocation has no active owner: the owner's process has ended, or the owner has released it.
+    pub(crate) fn has_no_active_owner(&self, owner: &Owner) -> bool {
+        owner.released || self.is_process_gone(owner.ballot.member, owner.ballot.nonce)
     }
 
     pub(crate) fn views(&self) -> Views {
         Views(self.peers.iter().map(|p| process_tag(p.nonce)).collect())
     }
 
-    /// This member's own vote.
-    pub(crate) fn vote_for_itself(&self, votes: &mut Votes) {
-        votes.put(self.me(), self.process(), self.views());
+    /// Adds this member's own vote.
+    pub(crate) fn add_own_vote(&self, votes: &mut Votes) {
+        votes.put(self.own_index(), self.process(), self.views());
     }
 
     /// The voters whose votes may be counted together.
     pub(crate) fn agreeing(&self, votes: &Votes) -> Vec<MemberIndex> {
         match self.is_disabled(SafetyCheck::AgreeingVoters) {
             true => votes.voters().collect(),
-            false => votes.agreeing(self.me()),
+            false => votes.agreeing(self.own_index()),
         }
     }
 
@@ -189,7 +190,7 @@
         self.group.is_majority(alive)
     }
 
-    /// Why asking for a majority is hopeless at present.
+    /// The reason why no majority can be obtained at present, if there is one.
     pub(crate) fn majority_obstacle(&self) -> Option<NoMajorityReason> {
         if !self.can_vote() {
             Some(NoMajorityReason::Recovering)
@@ -200,21 +201,21 @@
         }
     }
 
-    /// Why there was no majority before a deadline.
-    pub(crate) fn deadline_reason(&self) -> NoMajorityReason {
+    /// The reason why no majority was obtained before a deadline.
+    pub(crate) fn timeout_reason(&self) -> NoMajorityReason {
         match self.is_majority_alive() {
             true => NoMajorityReason::TimedOut,
             false => NoMajorityReason::Unreachable,
         }
     }
 
-    /// A request was under way for so long that what is stored for it here would expire too early.
+    /// Whether a request was in transit for so long that the record stored for it here would expire too early.
     pub(crate) fn arrives_too_late(&self, transit: Micros) -> bool {
-        transit > self.settings.retention / LATE_FRACTION
+        transit > self.settings.retention / MAX_TRANSIT_DIVISOR
             && !self.is_disabled(SafetyCheck::NotTooLate)
     }
 
-    /// Whether a member without anything of this record still proves that it never had anything.
+    /// Whether the absence of this record at another member still proves that the other member never had it.
     pub(crate) fn absence_is_proof(&self, now: Micros, key: &str) -> bool {
         let until = self.store.get(key).and_then(|stored| stored.proof_until);
         until.is_some_and(|until| now < until) || self.is_disabled(SafetyCheck::NotTooLate)
@@ -223,7 +224,7 @@
     pub(crate) fn ballot(&self, number: u32) -> Ballot {
         Ballot {
             number,
-            member: self.me(),
+            member: self.own_index(),
             nonce: self.nonce,
         }
     }
@@ -237,9 +238,9 @@
         }
     }
 
-    pub(crate) fn new_effect(&mut self, now: Micros) -> StoredRecord {
+    pub(crate) fn new_invocation(&mut self, now: Micros) -> StoredRecord {
         let owner = Owner {
-            ballot: self.ballot(FIRST),
+            ballot: self.ballot(FIRST_BALLOT_NUMBER),
             released: false,
         };
         let record = Record::Invocation(Invocation {
@@ -248,17 +249,17 @@
             ..Invocation::default()
         });
         let expires_at = now.saturating_add(self.settings.retention);
-        let proof_until = expires_at.saturating_sub(self.settings.retention / DRIFT_FRACTION);
+        let proof_until = expires_at.saturating_sub(self.settings.retention / CLOCK_DRIFT_DIVISOR);
         StoredRecord {
             proof_until: Some(proof_until),
             ..StoredRecord::new(record, self.next_origin(), expires_at)
         }
     }
 
-    /// A random time below a bound that doubles with each try.
+    /// A random time below a bound that doubles with each earlier try.
     pub(crate) fn backoff(&mut self, tries: u32) -> Micros {
-        self.draws += 1;
-        let draw = hashed((self.settings.seed, self.nonce, self.draws));
+        self.backoffs_drawn += 1;
+        let draw = hashed((self.settings.seed, self.nonce, self.backoffs_drawn));
         let bound = self.settings.backoff << tries.min(MAX_BACKOFF_DOUBLINGS);
         if bound == 0 {
             0
@@ -292,7 +293,7 @@
             .min(self.recovery.next_due(self.settings.retention))
     }
 
-    /// Hashes everything that later steps depend on, apart from times.
+    /// Hashes all state that later steps depend on, except for times.
     pub(crate) fn hash_state(&self, state: &mut impl Hasher) {
         for (key, stored) in self.store.all() {
             (key, &stored.record).hash(state);
--- a/crates/replica/src/ownership/assessment.rs
+++ b/crates/replica/src/ownership/assessment.rs
@@ -1,4 +1,4 @@
-//! What a takeover has proven, once a majority has promised its ballot. Nothing here changes state.
+//! Assesses what a takeover has proven once a majority has promised its ballot. These functions do not change state.
 
 use cedarpulley::interface::Micros;
 use cedarpulley_membership::MemberIndex;
@@ -10,55 +10,57 @@
 use crate::settings::SafetyCheck;
 use crate::store::Key;
 
-/// What follows from a takeover.
+/// The result of a takeover.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Assessment {
-    /// The last decision.
+    /// This decision is final.
     Conclude(OwnershipDecision),
-    /// A dispatch of a living owner is in flight.
+    /// A dispatch of an owner that is alive is in flight.
     Wait,
-    /// It may be dispatched here; these dispatches never were permitted.
-    Dispatch { never_sent: Vec<DispatchId> },
+    /// This router may dispatch the invocation. The listed dispatches were never permitted.
+    Dispatch { never_permitted: Vec<DispatchId> },
 }
 
-/// The decision that an answer, or its loss, requires. Nothing if there is no answer.
-pub(super) fn decision_on_answer(effect: &Invocation) -> Option<OwnershipDecision> {
-    let reason = match &effect.answer {
-        _ if effect.has_conflict => IndeterminateReason::ConflictingAnswers,
+/// The decision that follows from a known answer, or from an answer that is not available any more. `None` if there was
+/// no answer.
+pub(super) fn decision_on_answer(invocation: &Invocation) -> Option<OwnershipDecision> {
+    let reason = match &invocation.answer {
+        _ if invocation.has_conflict => IndeterminateReason::ConflictingAnswers,
         Some(StoredAnswer::Stored(answer)) => {
             return Some(OwnershipDecision::Answer(answer.clone()));
         }
         Some(StoredAnswer::TooLarge) => IndeterminateReason::AnswerTooLarge,
-        None if effect.closed => IndeterminateReason::Closed,
+        None if invocation.closed => IndeterminateReason::Closed,
         None => return None,
     };
     Some(OwnershipDecision::Indeterminate(reason))
 }
 
-/// Assesses a takeover: `effect` is the record with all that the promises reported, `agreed` the majority of voters.
+/// Assesses a takeover. `invocation`: the record, merged with the records that the promises reported. `agreed`: the
+/// majority of voters.
 pub(super) fn assess(
     member: &LocalMember,
     now: Micros,
     key: &Key,
-    effect: &Invocation,
+    invocation: &Invocation,
     fencing: &Fencing,
     agreed: &[MemberIndex],
 ) -> Assessment {
-    if let Some(decision) = decision_on_answer(effect) {
+    if let Some(decision) = decision_on_answer(invocation) {
         return Assessment::Conclude(decision);
     }
     let indeterminate = |reason| Assessment::Conclude(OwnershipDecision::Indeterminate(reason));
-    let (mut is_in_flight, mut never_sent) = (false, Vec::new());
-    for (dispatch_id, sending) in &effect.intents {
-        match sending.state {
+    let (mut is_in_flight, mut never_permitted) = (false, Vec::new());
+    for (dispatch_id, intent) in &invocation.intents {
+        match intent.state {
             IntentState::NotExecuted => {}
             IntentState::Indeterminate => {
                 return indeterminate(IndeterminateReason::DispatchIndeterminate);
             }
             IntentState::Intended if was_never_permitted(member, fencing, agreed, dispatch_id) => {
-                never_sent.push(*dispatch_id);
+                never_permitted.push(*dispatch_id);
             }
-            IntentState::Intended if member.is_gone(sending.member, dispatch_id.0) => {
+            IntentState::Intended if member.is_process_gone(intent.member, dispatch_id.0) => {
                 if !member.is_disabled(SafetyCheck::GoneOwnerMayHaveRun) {
                     return indeterminate(IndeterminateReason::OwnerGone);
                 }
@@ -69,17 +71,17 @@
     if is_in_flight {
         return Assessment::Wait;
     }
-    if effect.may_lack_intents {
+    if invocation.may_lack_intents {
         return indeterminate(IndeterminateReason::StateLost);
     }
-    let is_proven = effect.taken && member.absence_is_proof(now, key);
+    let is_proven = invocation.taken && member.absence_is_proof(now, key);
     if !is_proven && !member.is_disabled(SafetyCheck::KnownToBeTaken) {
         return indeterminate(IndeterminateReason::Unknown);
     }
-    Assessment::Dispatch { never_sent }
+    Assessment::Dispatch { never_permitted }
 }
 
-/// No majority can have stored the intent, even if every member stored it that has not denied it.
+/// Whether no majority can have stored the intent, even if every member that has not denied it did store it.
 fn was_never_permitted(
     member: &LocalMember,
     fencing: &Fencing,
--- a/crates/replica/src/ownership/claim.rs
+++ b/crates/replica/src/ownership/claim.rs
@@ -1,4 +1,4 @@
-//! An invocation that this router has taken, and how far its ownership is settled.
+//! A claim: an invocation that this router has taken, and the state of its ownership.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 use cedarpulley_membership::MemberIndex;
 
 use crate::context::{Context, Sender};
-use crate::record::{Ballot, DispatchId, FIRST, Invocation};
+use crate::record::{Ballot, DispatchId, FIRST_BALLOT_NUMBER, Invocation};
 use crate::store::RecordCopy;
 use crate::votes::{Views, Votes};
 
@@ -14,26 +14,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingIntent {
     pub(super) votes: Votes,
-    /// Under a first ballot.
+    /// Whether the intent is stored under a first ballot.
     pub(super) is_first: bool,
-    /// The dispatch is permitted even without a majority.
-    pub(super) alone: bool,
+    /// Whether the dispatch is permitted at the deadline even without a majority.
+    pub(super) without_majority: bool,
     pub(super) resend_at: Micros,
     pub(super) deadline: Micros,
 }
 
-/// A takeover that collects promises.
+/// The promises that a takeover has collected.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Fencing {
     pub(super) votes: Votes,
-    /// The members known to have stored the intent of each dispatch.
+    /// For each dispatch, the members known to have stored its intent.
     pub(super) holders: BTreeMap<DispatchId, BTreeSet<MemberIndex>>,
     pub(super) resend_at: Micros,
     pub(super) deadline: Micros,
 }
 
 impl Fencing {
-    /// `own`: what this member has stored itself.
+    /// `own`: the record that this member has stored itself.
     pub(super) fn new(cx: &Context<'_>, deadline: Micros, own: Option<&Invocation>) -> Self {
         let mut fencing = Fencing {
             votes: Votes::default(),
@@ -41,14 +41,17 @@
             resend_at: cx.resend_at(),
             deadline,
         };
-        fencing.add_holder(cx.member.me(), own);
+        fencing.add_holder(cx.member.own_index(), own);
         fencing
     }
 
-    /// A promise, with what its voter has stored.
+    /// Adds a promise, with the record that its voter had stored.
     pub(super) fn add_vote(&mut self, from: Sender, views: Views, record: Option<&RecordCopy>) {
         self.votes.put(from.member, from.process, views);
-        self.add_holder(from.member, record.and_then(|copy| copy.record.effect()));
+        self.add_holder(
+            from.member,
+            record.and_then(|copy| copy.record.invocation()),
+        );
     }
 
     fn add_holder(&mut self, member: MemberIndex, stored: Option<&Invocation>) {
@@ -58,17 +61,19 @@
     }
 }
 
+/// The state of the ownership of a claimed invocation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Stage {
-    /// This router may dispatch it.
+    /// This router owns the invocation and may dispatch it.
     Owner,
-    /// It is being taken over.
+    /// This router is taking the invocation over.
     Fencing(Fencing),
-    /// A higher ballot was met during the takeover, which begins anew at that time.
+    /// The takeover met a higher ballot; it is started again at `retry_at` and abandoned at `deadline`.
     BackingOff { retry_at: Micros, deadline: Micros },
-    /// The outcome at another owner is awaited; with the promises, if it was taken over from that owner.
-    Watching(Option<Fencing>),
-    /// The last decision was given, or the answer.
+    /// This router waits for the outcome at another owner; with the promises, if it took the invocation over from that
+    /// owner.
+    AwaitingOwner(Option<Fencing>),
+    /// The final decision was given, or the invocation was answered.
     Decided,
 }
 
@@ -77,8 +82,9 @@
 pub struct Claim {
     pub(super) ballot: Ballot,
     pub(super) stage: Stage,
+    /// How often a takeover has backed off; selects the bound of the next backoff.
     pub(super) tries: u32,
-    /// By dispatch.
+    /// The intents that wait for a majority, by dispatch.
     pub(super) intents: BTreeMap<u64, PendingIntent>,
 }
 
@@ -92,31 +98,31 @@
         }
     }
 
-    /// Its first ballot was not replaced by a takeover.
+    /// Whether the claim still has its first ballot, which a takeover would have replaced.
     pub(super) fn is_first(&self) -> bool {
-        self.ballot.number == FIRST
+        self.ballot.number == FIRST_BALLOT_NUMBER
     }
 
-    pub(super) fn is_watching(&self) -> bool {
-        matches!(self.stage, Stage::Watching(_))
+    pub(super) fn is_awaiting_owner(&self) -> bool {
+        matches!(self.stage, Stage::AwaitingOwner(_))
     }
 
     /// The promises collected under this ballot.
     pub(super) fn fencing(&self, ballot: Ballot) -> Option<&Fencing> {
         match &self.stage {
-            Stage::Fencing(f) | Stage::Watching(Some(f)) if self.ballot == ballot => Some(f),
+            Stage::Fencing(f) | Stage::AwaitingOwner(Some(f)) if self.ballot == ballot => Some(f),
             _ => None,
         }
     }
 
     pub(super) fn fencing_mut(&mut self, ballot: Ballot) -> Option<&mut Fencing> {
         match &mut self.stage {
-            Stage::Fencing(f) | Stage::Watching(Some(f)) if self.ballot == ballot => Some(f),
+            Stage::Fencing(f) | Stage::AwaitingOwner(Some(f)) if self.ballot == ballot => Some(f),
             _ => None,
         }
     }
 
-    /// When something has to be sent again or given up.
+    /// The time at which a request of this claim is due to be resent or abandoned.
     pub(super) fn due(&self) -> Micros {
         let stage = match &self.stage {
             Stage::Fencing(f) => f.resend_at.min(f.deadline),
@@ -129,12 +135,12 @@
             .fold(stage, Micros::min)
     }
 
-    /// The stage's name in `/state`.
+    /// The name of the stage in `/state`.
     pub fn stage_name(&self) -> &'static str {
         match self.stage {
             Stage::Owner => "mine",
             Stage::Fencing(_) | Stage::BackingOff { .. } => "taking-over",
-            Stage::Watching(_) => "waiting-for-another",
+            Stage::AwaitingOwner(_) => "waiting-for-another",
             Stage::Decided => "answered",
         }
     }
--- a/crates/replica/src/ownership/claim_table.rs
+++ b/crates/replica/src/ownership/claim_table.rs
@@ -1,8 +1,8 @@
-//! The invocations that this router has taken, by key, and in the order in which something of them is due.
+//! The invocations that this router has taken, indexed by key and by due time.
 //!
-//! The order is kept up to date by [`ClaimTable::change`], through which every claim is changed. Symptom: each event
-//! looked at all claims, twice, for the next time that something is due. A router under load fell behind, each event
-//! cost more with every open claim, and a backlog of a second was not worked off any more.
+//! Every claim is changed through [`ClaimTable::change`], which keeps the index of due times up to date. Without the
+//! index, each event scanned all claims twice for the next due time: the cost of an event grew with the number of open
+//! claims, and a router under load that was a second behind could not catch up any more.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -12,14 +12,15 @@
 use super::Claim;
 use crate::store::Key;
 
+/// The claims of this router, with an index of their due times.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ClaimTable {
     claims: BTreeMap<Key, Claim>,
-    /// Of claims with something due; the others are left out.
+    /// The due times of the claims; claims that are never due are left out.
     due_times: BTreeSet<(Micros, Key)>,
 }
 
-/// The order of due times follows from the claims.
+/// The due times follow from the claims, so only the claims are hashed.
 impl Hash for ClaimTable {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.claims.hash(state);
@@ -35,7 +36,7 @@
         self.claims.iter()
     }
 
-    /// Replaces the claim under this key, if there is one.
+    /// Inserts a claim, and replaces the claim under this key if there is one.
     pub(super) fn insert(&mut self, key: Key, claim: Claim) {
         self.remove(&key);
         self.add_due_time(&key, claim.due());
@@ -48,7 +49,7 @@
         Some(claim)
     }
 
-    /// Changes a claim, and returns what `change` returns; nothing if there is no such claim.
+    /// Changes a claim and returns the result of `change`, or `None` if there is no claim under this key.
     pub(super) fn change<R>(
         &mut self,
         key: &Key,
@@ -69,7 +70,7 @@
         self.due_times.first().map_or(Micros::MAX, |d| d.0)
     }
 
-    /// The claims with something due by now.
+    /// The keys of the claims that are due by `now`, in the order of their due times.
     pub(super) fn due(&self, now: Micros) -> Vec<Key> {
         self.due_times
             .iter()
--- a/crates/replica/src/ownership/claim_table/tests.rs
+++ b/crates/replica/src/ownership/claim_table/tests.rs
@@ -1,4 +1,5 @@
-//! The order of due times, under random events.
+//! Tests of the index of due times with random events. Claims change in many places; a change that bypasses the index
+//! would leave a due time that is missing or wrong, and a request would be resent or abandoned at the wrong time.
 
 use cedarpulley_membership::{Group, Member};
 
@@ -8,7 +9,7 @@
 use crate::store::Key;
 use crate::{Input, Replica, ReplicaSettings, hashed};
 
-/// The next due time is the one that a look at all claims finds, whatever happens to them.
+/// After every event the index must return the same next due time as a scan of all claims.
 #[test]
 #[expect(
     clippy::too_many_lines,
@@ -30,7 +31,7 @@
         7,
         None,
     );
-    // By now this member votes: all that it may have forgotten has expired.
+    // At this time the member votes, because everything that it may have lost has expired.
     let (mut now, mut out) = (2 * retention, Vec::new());
     replica.handle(now, Input::Tick, &mut out);
     let (mut with_due_time, mut without) = (0, 0);
--- a/crates/replica/src/ownership/decision.rs
+++ b/crates/replica/src/ownership/decision.rs
@@ -1,44 +1,45 @@
-//! What ownership decides on an invocation, and why.
+//! The decisions of ownership on an invocation, and their reasons.
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
 
-/// What other members have to store before a dispatch is sent.
+/// How durably the group must have recorded an intent before its dispatch is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Durability {
-    /// Nothing: the invocation may run twice.
+    /// Nothing has to be stored at other members: the invocation may run twice.
     Local,
-    /// A majority stores the intent first.
+    /// A majority must have stored the intent.
     Majority,
 }
 
-/// Why there is no majority, or no permission.
+/// Why no majority was obtained, or no permission was given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum NoMajorityReason {
-    /// This member does not remember enough to vote yet.
+    /// This member is recovering and does not vote yet.
     Recovering,
     /// Too few members are alive.
     Unreachable,
-    /// Too few members answered in time.
+    /// Too few members voted in time.
     TimedOut,
     /// The store of this member is full.
     StoreFull,
-    /// Another owner has the invocation; a decision follows.
+    /// The invocation has another owner; a decision follows.
     OwnedElsewhere,
 }
 
-/// Why an invocation counts as one that may have run.
+/// Why an invocation is treated as one that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum IndeterminateReason {
     /// A dispatch ended without a certain outcome.
     DispatchIndeterminate,
-    /// Its owner is gone, and a dispatch was permitted.
+    /// The process of its owner is gone, and a dispatch may have been permitted.
     OwnerGone,
-    /// No member is known to have taken it, so none can say that it was not dispatched.
+    /// No member is known to have taken it, or records of it may have expired, so there is no proof that it was not
+    /// dispatched.
     Unknown,
-    /// All members that knew of it have restarted.
+    /// Members restarted, and intents of it may be lost.
     StateLost,
-    /// Its answer was delivered for good.
+    /// The delivery of its answer is final, and the answer is no longer stored.
     Closed,
     /// Its answer was too long to be stored.
     AnswerTooLarge,
@@ -46,20 +47,20 @@
     ConflictingAnswers,
 }
 
-/// What is to be done with an invocation that was taken.
+/// How this router proceeds with an invocation that it took.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OwnershipDecision {
-    /// It may be dispatched by this router.
+    /// This router may dispatch the invocation.
     Dispatch {
-        /// Where an earlier dispatch may have run: the time since the first one.
+        /// If an earlier dispatch may have run: the time since the first dispatch, in microseconds.
         first_dispatch_ago: Option<Micros>,
     },
-    /// Another owner has dispatched it: a further decision follows when that has ended.
+    /// Another owner has the invocation. A further decision follows when the outcome at that owner is known.
     Wait,
-    /// The answer that was given before.
+    /// The invocation was answered before; this is the encoded answer.
     Answer(Bytes),
-    /// It may have run; it is not dispatched again.
+    /// The invocation may have run and is not dispatched again.
     Indeterminate(IndeterminateReason),
-    /// It cannot be decided at present.
+    /// There is no majority, so no decision is possible at present.
     NoMajority(NoMajorityReason),
 }
--- a/crates/replica/src/ownership/intents.rs
+++ b/crates/replica/src/ownership/intents.rs
@@ -1,4 +1,4 @@
-//! Permissions to dispatch: an intent is stored by a majority before its dispatch is sent.
+//! Permissions to dispatch: a majority must have stored the intent of a dispatch before the dispatch is sent.
 
 use cedarpulley_membership::MemberIndex;
 
@@ -13,7 +13,7 @@
 use crate::wire::Message;
 
 /// Tells the router whether a dispatch may be sent.
-fn answer_dispatch(
+fn emit_dispatch_permission(
     cx: &mut Context<'_>,
     key: &Key,
     dispatch: u64,
@@ -27,7 +27,7 @@
     });
 }
 
-/// The change that adds the intent of a dispatch of this process to a record.
+/// Returns the change that adds the intent of a dispatch of this process to a record.
 fn intent_change(
     cx: &Context<'_>,
     dispatch: u64,
@@ -35,29 +35,35 @@
 ) -> impl FnOnce(&mut StoredRecord) + use<> {
     let (now, dispatch_id) = (cx.now, (cx.member.nonce(), dispatch));
     let intent = DispatchIntent {
-        member: cx.member.me(),
+        member: cx.member.own_index(),
         state: IntentState::Intended,
         deduplication_scope,
     };
     move |stored| {
         stored.first_dispatch.get_or_insert(now);
-        if let Record::Invocation(effect) = &mut stored.record {
-            effect.intents.insert(dispatch_id, intent);
+        if let Record::Invocation(invocation) = &mut stored.record {
+            invocation.intents.insert(dispatch_id, intent);
         }
     }
 }
 
-/// Advances the state of a dispatch of this process.
-pub(super) fn end_dispatch(cx: &mut Context<'_>, key: &Key, dispatch: u64, state: IntentState) {
+/// Advances the recorded state of a dispatch of this process.
+pub(super) fn advance_intent_state(
+    cx: &mut Context<'_>,
+    key: &Key,
+    dispatch: u64,
+    state: IntentState,
+) {
     let dispatch_id = (cx.member.nonce(), dispatch);
-    cx.update_effect(key, |effect| {
-        if let Some(known) = effect.intents.get_mut(&dispatch_id) {
+    cx.update_invocation(key, |invocation| {
+        if let Some(known) = invocation.intents.get_mut(&dispatch_id) {
             known.state = known.state.max(state);
         }
     });
 }
 
-/// These intents are abandoned: their dispatches are not sent.
+/// Abandons intents whose dispatches were not sent. If a reason is given, the router is told that there is no
+/// permission.
 pub(super) fn abandon(
     cx: &mut Context<'_>,
     key: &Key,
@@ -65,46 +71,48 @@
     reason: Option<NoMajorityReason>,
 ) {
     for dispatch in intents {
-        end_dispatch(cx, key, dispatch, IntentState::NotExecuted);
+        advance_intent_state(cx, key, dispatch, IntentState::NotExecuted);
         if let Some(reason) = reason {
-            answer_dispatch(cx, key, dispatch, Err(reason));
+            emit_dispatch_permission(cx, key, dispatch, Err(reason));
         }
     }
 }
 
 impl Ownership {
-    /// A dispatch asks for permission. `alone`: it is sent even if no majority can be reached.
+    /// Handles a request for permission to dispatch. `without_majority`: the dispatch is permitted even if no majority
+    /// can be reached.
     pub(crate) fn request_dispatch(
         &mut self,
         cx: &mut Context<'_>,
         key: &Key,
         dispatch: u64,
-        place: u32,
-        alone: bool,
+        deduplication_scope: u32,
+        without_majority: bool,
     ) {
         cx.counts.intents += 1;
-        let owner = cx.member.store().effect(key).map(|e| e.owner.ballot);
+        let owner = cx.member.store().invocation(key).map(|e| e.owner.ballot);
         let claim = self.claims.get(key).filter(|c| c.stage == Stage::Owner);
         let Some(claim) = claim.filter(|c| owner == Some(c.ballot)) else {
-            answer_dispatch(cx, key, dispatch, Err(NoMajorityReason::OwnedElsewhere));
+            emit_dispatch_permission(cx, key, dispatch, Err(NoMajorityReason::OwnedElsewhere));
             return self.on_record_changed(cx, key);
         };
         let is_first = claim.is_first();
-        if !alone && !cx.member.absence_is_proof(cx.now, key) {
-            // Other members may have forgotten who took it: it is too late for a first dispatch.
+        if !without_majority && !cx.member.absence_is_proof(cx.now, key) {
+            // The record may have expired at other members, so they may not know the owner any more. It is too late for
+            // a first dispatch.
             cx.counts.without_majority += 1;
-            return answer_dispatch(cx, key, dispatch, Err(NoMajorityReason::TimedOut));
+            return emit_dispatch_permission(cx, key, dispatch, Err(NoMajorityReason::TimedOut));
         }
-        // Not broadcast: the request for votes carries the record.
-        let record = cx.new_effect();
-        let intent = intent_change(cx, dispatch, place);
+        // The change is not broadcast, because the request for votes contains the record.
+        let record = cx.new_invocation();
+        let intent = intent_change(cx, dispatch, deduplication_scope);
         cx.member.store_mut().change(key, || record, intent);
         let mut votes = Votes::default();
-        cx.member.vote_for_itself(&mut votes);
+        cx.member.add_own_vote(&mut votes);
         let intent = PendingIntent {
             votes,
             is_first,
-            alone,
+            without_majority,
             resend_at: cx.resend_at(),
             deadline: cx.replication_deadline(),
         };
@@ -115,25 +123,25 @@
         self.count_votes_on_intent(cx, key, dispatch);
     }
 
-    /// A dispatch was sent that needs no majority.
+    /// Records a dispatch that was sent without a majority because it needs none.
     pub(crate) fn on_dispatched(
         &mut self,
         cx: &mut Context<'_>,
         key: &Key,
         dispatch: u64,
-        place: u32,
+        deduplication_scope: u32,
     ) {
-        let record = cx.new_effect();
-        let intent = intent_change(cx, dispatch, place);
+        let record = cx.new_invocation();
+        let intent = intent_change(cx, dispatch, deduplication_scope);
         cx.change(key, record, |stored| {
-            if let Record::Invocation(effect) = &mut stored.record {
-                effect.taken = true;
+            if let Record::Invocation(invocation) = &mut stored.record {
+                invocation.taken = true;
             }
             intent(stored);
         });
     }
 
-    /// A dispatch has ended.
+    /// Records the end of a dispatch.
     pub(crate) fn on_dispatch_ended(
         &mut self,
         cx: &mut Context<'_>,
@@ -147,12 +155,12 @@
             true => IntentState::Indeterminate,
             false => IntentState::NotExecuted,
         };
-        end_dispatch(cx, key, dispatch, state);
-        // A later claim of this router may have waited for it.
+        advance_intent_state(cx, key, dispatch, state);
+        // A later claim of this router may wait for the end of this dispatch.
         self.on_record_changed(cx, key);
     }
 
-    /// Asks those of the members that have not voted yet to store an intent.
+    /// Requests those of the given members that have not voted yet to store an intent.
     pub(super) fn request_votes_on_intent(
         &self,
         cx: &mut Context<'_>,
@@ -181,7 +189,7 @@
         }
     }
 
-    /// A member has stored an intent.
+    /// Counts the vote of another member that has stored an intent.
     pub(crate) fn on_intent_stored(
         &mut self,
         cx: &mut Context<'_>,
@@ -216,36 +224,36 @@
         self.claims
             .change(key, |claim| claim.intents.remove(&dispatch));
         cx.counts.intents_replicated += 1;
-        answer_dispatch(cx, key, dispatch, Ok(false));
+        emit_dispatch_permission(cx, key, dispatch, Ok(false));
     }
 
-    /// Sends requests again, and gives up intents after their deadline.
+    /// Resends requests, and abandons or permits intents after their deadline.
     pub(super) fn tick_intents(&mut self, cx: &mut Context<'_>, key: &Key) {
         let (now, resend_at) = (cx.now, cx.resend_at());
-        let (mut late, mut unanswered) = (Vec::new(), Vec::new());
+        let (mut timed_out, mut to_resend) = (Vec::new(), Vec::new());
         self.claims.change(key, |claim| {
             for (dispatch, intent) in &mut claim.intents {
                 if now >= intent.deadline {
-                    late.push((*dispatch, intent.alone));
+                    timed_out.push((*dispatch, intent.without_majority));
                 } else if now >= intent.resend_at {
                     intent.resend_at = resend_at;
-                    unanswered.push(*dispatch);
+                    to_resend.push(*dispatch);
                 }
             }
         });
-        for dispatch in unanswered {
+        for dispatch in to_resend {
             let others = cx.member.others();
             self.request_votes_on_intent(cx, key, dispatch, &others);
         }
-        for (dispatch, alone) in late {
+        for (dispatch, without_majority) in timed_out {
             self.claims
                 .change(key, |claim| claim.intents.remove(&dispatch));
             cx.counts.without_majority += 1;
-            if alone {
+            if without_majority {
                 cx.counts.dispatched_without_majority += 1;
-                answer_dispatch(cx, key, dispatch, Ok(true));
+                emit_dispatch_permission(cx, key, dispatch, Ok(true));
             } else {
-                let reason = cx.member.deadline_reason();
+                let reason = cx.member.timeout_reason();
                 abandon(cx, key, [dispatch], Some(reason));
             }
         }
--- a/crates/replica/src/ownership/mod.rs
+++ b/crates/replica/src/ownership/mod.rs
@@ -1,14 +1,15 @@
-//! Ownership of invocations: which router may dispatch one that must not run twice.
+//! Ownership of invocations: which router may dispatch an invocation that must not run twice.
 //!
-//! 1. First owner: nobody is asked before the first intent. Its ballot is valid only where no other owner has the
-//!    record.
-//! 2. Takeover: a majority promises a higher ballot and reports what it has stored. Then a known answer is given again,
-//!    what may have run is not dispatched again, what is in flight at a living owner is waited for, and what was never
-//!    dispatched is dispatched.
-//! 3. Loss: an owner that meets a higher ballot abandons what it has not sent, and waits for the new owner as long as
-//!    that one lives.
-//! 4. Without a majority in time an intent is abandoned and recorded as not sent; or, if the operator allows it, the
-//!    dispatch is sent all the same.
+//! 1. First owner: a router takes a new invocation without asking other members; the first request to them is for the
+//!    first intent. A first ballot is valid only where the record has no other owner.
+//! 2. Takeover: a majority promises a higher ballot and reports its records of the invocation. If an answer is known,
+//!    it is returned again. If a dispatch may have run, the invocation is not dispatched again. If a dispatch is in
+//!    flight at an owner that is alive, the new owner waits for its outcome. If nothing was dispatched, the new owner
+//!    dispatches the invocation.
+//! 3. Loss: an owner that meets a higher ballot abandons the dispatches that it has not sent, and waits for the new
+//!    owner as long as the new owner is alive.
+//! 4. An intent that has no majority in time is abandoned and recorded as not sent. If the operator allows dispatches
+//!    without a majority, the dispatch is sent instead.
 //!
 //! # Safety
 //!
@@ -16,19 +17,20 @@
 //! majority. This is fencing: a ballot is the fencing token, and the acceptors are the resource that checks it.
 //!
 //! * A dispatch is sent only after a majority has stored its intent under the owner's ballot. A takeover has the
-//!   promises of a majority to store nothing under a lower ballot. Two majorities share a member: it either stored the
-//!   intent before its promise, and reports it, or promised first, and rejects the intent. So a takeover knows every
-//!   intent that was or will be permitted under a lower ballot.
-//! * An intent counts as never permitted only if no majority can have stored it, even if every member stored it whose
-//!   answer is missing (`assessment`).
-//! * Crash: what a crashed owner had permitted is treated as run, since nobody can learn its outcome any more.
-//! * Partition: an owner that is cut off obtains no majority for a new intent; the dispatches that it sent before are
-//!   known to the new owner, which waits for them or treats them as run.
-//! * Restart with a lost disk: the restarted member gives no votes until it has caught up, and its new process is
-//!   another owner with other ballots. If all members that knew of an invocation have restarted, it is marked doubtful,
-//!   and the absence of an intent proves nothing ([`crate::recovery`]).
-//! * Expiry: the absence of a record proves something only while no member can have forgotten it, with a margin for
-//!   clocks that diverge ([`crate::store::StoredRecord::proof_until`]). No other step relies on clocks.
+//!   promises of a majority not to store any intent under a lower ballot. Two majorities share a member. This member
+//!   either stored the intent before its promise and reports it, or promised first and rejects the intent. So a
+//!   takeover knows every intent that was or will be permitted under a lower ballot.
+//! * An intent is considered never permitted only if no majority can have stored it, even if every member whose answer
+//!   is missing did store it (`assessment`).
+//! * Crash: a dispatch that a crashed owner had permitted is treated as one that may have run, because its outcome
+//!   cannot be determined any more.
+//! * Partition: an owner that is cut off obtains no majority for a new intent. The new owner knows the dispatches that
+//!   were sent before, and waits for them or treats them as dispatches that may have run.
+//! * Restart with a lost disk: the restarted member does not vote until it has caught up, and its new process is a
+//!   different owner with different ballots. If records of an invocation may be lost because several members restarted,
+//!   the invocation is marked, and the absence of an intent proves nothing ([`crate::recovery`]).
+//! * Expiry: the absence of a record is a proof only while the record cannot have expired at any member, with a margin
+//!   for clocks that diverge ([`crate::store::StoredRecord::proof_until`]). No other step relies on clocks.
 
 mod assessment;
 mod claim;
@@ -45,7 +47,7 @@
 
 use crate::context::{Context, Sender};
 use crate::events::Output;
-use crate::record::{Ballot, FIRST, IntentState, Invocation, StoredAnswer};
+use crate::record::{Ballot, FIRST_BALLOT_NUMBER, IntentState, Invocation, StoredAnswer};
 use crate::store::{Key, RecordCopy};
 use crate::wire::{Message, RejectionReason};
 use claim::Stage;
@@ -73,11 +75,11 @@
         &mut self,
         cx: &mut Context<'_>,
         key: &Key,
-        need: Durability,
+        durability: Durability,
         redelivered: bool,
     ) {
         cx.counts.taken += 1;
-        let known = cx.member.store().effect(key).cloned();
+        let known = cx.member.store().invocation(key).cloned();
         if let Some(Invocation {
             answer: Some(StoredAnswer::Stored(answer)),
             has_conflict: false,
@@ -88,7 +90,7 @@
             self.open_claim(cx, key, Stage::Decided);
             return emit_decision(cx, key, OwnershipDecision::Answer(answer.clone()));
         }
-        if need == Durability::Local {
+        if durability == Durability::Local {
             self.open_claim(cx, key, Stage::Owner);
             let first_dispatch_ago = time_since_first_dispatch(cx, key);
             return emit_decision(cx, key, OwnershipDecision::Dispatch { first_dispatch_ago });
@@ -104,7 +106,7 @@
         }
         match known {
             None if !redelivered => {
-                let record = cx.new_effect();
+                let record = cx.new_invocation();
                 cx.change(key, record, |_| {});
                 self.open_claim(cx, key, Stage::Owner);
                 emit_decision(
@@ -115,9 +117,10 @@
                     },
                 );
             }
-            // Delivered to two routers at once, to each for the first time: the owner goes on with it.
-            Some(e) if !redelivered && !cx.member.is_free(&e.owner) => {
-                self.open_claim(cx, key, Stage::Watching(None));
+            // The message was delivered to two routers at the same time, as a first delivery to each. The owner keeps
+            // the invocation, and this router waits for the outcome.
+            Some(e) if !redelivered && !cx.member.has_no_active_owner(&e.owner) => {
+                self.open_claim(cx, key, Stage::AwaitingOwner(None));
                 cx.counts.awaiting_other_owner += 1;
                 emit_decision(cx, key, OwnershipDecision::Wait);
                 self.on_record_changed(cx, key);
@@ -130,8 +133,9 @@
         }
     }
 
+    /// Creates a claim under this process's first ballot, or replaces the earlier claim.
     fn open_claim(&mut self, cx: &Context<'_>, key: &Key, stage: Stage) {
-        let claim = Claim::new(cx.member.ballot(FIRST), stage);
+        let claim = Claim::new(cx.member.ballot(FIRST_BALLOT_NUMBER), stage);
         self.claims.insert(key.clone(), claim);
     }
 
@@ -139,14 +143,14 @@
         self.claims.change(key, |claim| claim.stage = stage);
     }
 
-    /// Gives the last decision on an invocation.
+    /// Emits the final decision on an invocation.
     fn conclude(&mut self, cx: &mut Context<'_>, key: &Key, decision: OwnershipDecision) {
         match decision {
             OwnershipDecision::Answer(_) => cx.counts.answers_repeated += 1,
             OwnershipDecision::Indeterminate(_) => cx.counts.indeterminate += 1,
             OwnershipDecision::NoMajority(_) => {
                 cx.counts.without_majority += 1;
-                // No other member is to wait for this one.
+                // Other members must not wait for this member.
                 self.release(cx, key);
             }
             OwnershipDecision::Dispatch { .. } | OwnershipDecision::Wait => {}
@@ -177,8 +181,8 @@
             return;
         };
         match (rejection.reason, dispatch, &claim.stage) {
-            // Symptom: the two had not heard of each other for a while, so that nobody knew how long the request was
-            // under way. Now it is known.
+            // The two members had not communicated for a while, so the bound of the request's time in transit was too
+            // high. The rejection has made the bound accurate, so the request is sent again at once.
             (RejectionReason::TooLate, Some(dispatch), _) => {
                 self.request_votes_on_intent(cx, key, *dispatch, &[from.member]);
             }
@@ -194,22 +198,22 @@
             (RejectionReason::HigherBallot, Some(dispatch), Stage::Owner)
                 if claim.intents.contains_key(dispatch) =>
             {
-                self.lose(cx, key);
+                self.lose_ownership(cx, key);
             }
-            // Other reasons may pass: the request is sent again until its deadline.
+            // The other reasons may be temporary: the request is sent again until its deadline.
             _ => {}
         }
     }
 
-    /// Another owner has the invocation: dispatches that wait here for a majority are not sent.
-    pub(crate) fn lose(&mut self, cx: &mut Context<'_>, key: &Key) {
-        let lose = |claim: &mut Claim| {
+    /// Handles the loss of an invocation to another owner: dispatches that wait for a majority are not sent.
+    pub(crate) fn lose_ownership(&mut self, cx: &mut Context<'_>, key: &Key) {
+        let leave_owner_stage = |claim: &mut Claim| {
             (claim.stage == Stage::Owner).then(|| {
-                claim.stage = Stage::Watching(None);
+                claim.stage = Stage::AwaitingOwner(None);
                 std::mem::take(&mut claim.intents)
             })
         };
-        if let Some(intents) = self.claims.change(key, lose).flatten() {
+        if let Some(intents) = self.claims.change(key, leave_owner_stage).flatten() {
             cx.counts.ownership_lost += 1;
             intents::abandon(
                 cx,
@@ -220,29 +224,30 @@
         }
     }
 
-    /// The record of an invocation has changed, or the state of its owner.
+    /// Handles a change of the record of an invocation, or of the state of its owner.
     pub(crate) fn on_record_changed(&mut self, cx: &mut Context<'_>, key: &Key) {
         let Some(claim) = self.claims.get(key) else {
             return;
         };
-        let Some(effect) = cx.member.store().effect(key) else {
+        let Some(invocation) = cx.member.store().invocation(key) else {
             return;
         };
         match &claim.stage {
-            Stage::Owner if effect.owner.ballot != claim.ballot => {
-                self.lose(cx, key);
+            Stage::Owner if invocation.owner.ballot != claim.ballot => {
+                self.lose_ownership(cx, key);
                 self.on_record_changed(cx, key);
             }
-            Stage::Watching(Some(_)) => self.assess_takeover(cx, key, false),
-            Stage::Watching(None) => {
-                if let Some(decision) = assessment::decision_on_answer(effect) {
+            Stage::AwaitingOwner(Some(_)) => self.assess_takeover(cx, key, false),
+            Stage::AwaitingOwner(None) => {
+                if let Some(decision) = assessment::decision_on_answer(invocation) {
                     return self.conclude(cx, key, decision);
                 }
-                let owner = effect.owner;
-                // An older ballot of this process, or the owner is gone or has released it.
-                let is_own = owner.ballot.member == cx.member.me()
+                let owner = invocation.owner;
+                // The owner is this process under an earlier ballot, or the owner is gone or has released the
+                // invocation.
+                let is_own = owner.ballot.member == cx.member.own_index()
                     && owner.ballot.nonce == cx.member.nonce();
-                if is_own || cx.member.is_free(&owner) {
+                if is_own || cx.member.has_no_active_owner(&owner) {
                     let deadline = cx.replication_deadline();
                     self.begin_takeover(cx, key, deadline);
                 }
@@ -251,16 +256,19 @@
         }
     }
 
-    /// The state of a member has changed: claims that wait for its outcome are looked at again.
+    /// Handles a change of a member's state: assesses again all claims that wait for the outcome at another owner.
     pub(crate) fn on_members_changed(&mut self, cx: &mut Context<'_>) {
-        let watching = self.claims.iter().filter(|(_, claim)| claim.is_watching());
-        let watching: Vec<Key> = watching.map(|(key, _)| key.clone()).collect();
-        for key in watching {
+        let awaiting = self
+            .claims
+            .iter()
+            .filter(|(_, claim)| claim.is_awaiting_owner());
+        let awaiting: Vec<Key> = awaiting.map(|(key, _)| key.clone()).collect();
+        for key in awaiting {
             self.on_record_changed(cx, &key);
         }
     }
 
-    /// The invocation has an answer.
+    /// Stores the answer to an invocation.
     pub(crate) fn on_answered(&mut self, cx: &mut Context<'_>, key: &Key, answer: Bytes) {
         if cx.member.store().get(key).is_none() {
             return;
@@ -273,11 +281,11 @@
             }
         };
         let mut is_conflict = false;
-        cx.update_effect(key, |effect| match &effect.answer {
-            None if !effect.closed => effect.answer = Some(answer),
-            // Symptom: two routers gave different answers to one message.
-            Some(known) if *known != answer && !effect.has_conflict => {
-                (effect.has_conflict, is_conflict) = (true, true);
+        cx.update_invocation(key, |invocation| match &invocation.answer {
+            None if !invocation.closed => invocation.answer = Some(answer),
+            // Two routers have answered the same message differently.
+            Some(known) if *known != answer && !invocation.has_conflict => {
+                (invocation.has_conflict, is_conflict) = (true, true);
             }
             _ => {}
         });
@@ -290,13 +298,13 @@
         });
     }
 
-    /// The answer was delivered for good.
+    /// The delivery of the answer is final: drops the claim and the details of the record.
     pub(crate) fn on_closed(&mut self, cx: &mut Context<'_>, key: &Key) {
         self.claims.remove(key);
-        cx.update_effect(key, Invocation::close);
+        cx.update_invocation(key, Invocation::close);
     }
 
-    /// Nobody waits for the invocation at this router any more.
+    /// No client of this router waits for the invocation any more: drops the claim and releases the ownership.
     pub(crate) fn on_dropped(&mut self, cx: &mut Context<'_>, key: &Key) {
         let take_intents = |claim: &mut Claim| std::mem::take(&mut claim.intents);
         let intents = self.claims.change(key, take_intents).unwrap_or_default();
@@ -305,23 +313,23 @@
         self.claims.remove(key);
     }
 
-    /// This owner will not dispatch the invocation any more; others may take it over at once.
+    /// Releases an invocation that this router owns, so that other members may take it over immediately.
     fn release(&self, cx: &mut Context<'_>, key: &Key) {
         if let Some(ballot) = self.claims.get(key).map(|claim| claim.ballot) {
-            cx.update_effect(key, |effect| {
-                if effect.owner.ballot == ballot {
-                    effect.owner.released = true;
+            cx.update_invocation(key, |invocation| {
+                if invocation.owner.ballot == ballot {
+                    invocation.owner.released = true;
                 }
             });
         }
     }
 
-    /// The record has expired.
+    /// The record of the invocation has expired: drops the claim.
     pub(crate) fn on_expired(&mut self, key: &Key) {
         self.claims.remove(key);
     }
 
-    /// Sends requests again, and gives up after deadlines.
+    /// Resends requests, and abandons intents and takeovers after their deadlines.
     pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
         for key in self.claims.due(cx.now) {
             if !self.tick_takeover(cx, &key) {
@@ -330,12 +338,12 @@
         }
     }
 
-    /// When something has to be sent again or given up.
+    /// The time at which the next claim is due.
     pub(crate) fn next_due(&self) -> Micros {
         self.claims.next_due()
     }
 
-    /// Whether a vote may still count here; any other message may.
+    /// Whether a message may still have an effect here. This is false only for votes that this member no longer needs.
     pub(crate) fn awaits(&self, message: &Message) -> bool {
         let claim = |key: &Key| self.claims.get(key);
         match message {
@@ -368,8 +376,8 @@
 /// The time since the first dispatch, if any dispatch may have run.
 fn time_since_first_dispatch(cx: &Context<'_>, key: &Key) -> Option<Micros> {
     let stored = cx.member.store().get(key)?;
-    let sendings = &stored.record.effect()?.intents;
-    let may_have_run = sendings
+    let intents = &stored.record.invocation()?.intents;
+    let may_have_run = intents
         .values()
         .any(|s| s.state != IntentState::NotExecuted);
     let first = stored.first_dispatch.filter(|_| may_have_run)?;
--- a/crates/replica/src/ownership/takeover.rs
+++ b/crates/replica/src/ownership/takeover.rs
@@ -1,4 +1,4 @@
-//! Takeovers: this router becomes the owner of an invocation by fencing all earlier owners at a majority.
+//! Takeovers: this router becomes the owner of an invocation by fencing all earlier owners at a majority of members.
 
 use cedarpulley::interface::Micros;
 use cedarpulley_membership::MemberIndex;
@@ -8,21 +8,23 @@
 use super::{NoMajorityReason, Ownership, OwnershipDecision, emit_decision};
 use crate::acceptor::{self, FenceRequest};
 use crate::context::{Context, Sender};
-use crate::record::{Ballot, FIRST, IntentState, Record};
+use crate::record::{Ballot, FIRST_BALLOT_NUMBER, IntentState, Record};
 use crate::settings::SafetyCheck;
 use crate::store::{Key, MergeOutcome, RecordCopy};
 use crate::votes::Views;
 use crate::wire::Message;
 
 impl Ownership {
-    /// Asks all members to promise a ballot above all that are known.
+    /// Requests promises for a ballot above all known ballots from all members.
     pub(super) fn begin_takeover(&mut self, cx: &mut Context<'_>, key: &Key, deadline: Micros) {
         let Some(mut claim) = self.claims.remove(key) else {
             return;
         };
         cx.counts.takeovers += 1;
-        let before = cx.member.store().effect(key).cloned();
-        let known = before.as_ref().map_or(FIRST, |e| e.owner.ballot.number);
+        let before = cx.member.store().invocation(key).cloned();
+        let known = before
+            .as_ref()
+            .map_or(FIRST_BALLOT_NUMBER, |e| e.owner.ballot.number);
         let number = known.max(claim.ballot.number).saturating_add(1);
         claim.ballot = cx.member.ballot(number);
         let request = FenceRequest {
@@ -34,7 +36,7 @@
         let mut fencing = Fencing::new(cx, deadline, before.as_ref());
         let is_promised = acceptor::promise_ownership(cx, &request);
         if cx.member.is_disabled(SafetyCheck::FencedTakeover) {
-            // Decides by what is known here, without asking other members.
+            // Decides by this member's record, without promises of other members.
             claim.stage = Stage::Fencing(fencing);
             self.claims.insert(key.clone(), claim);
             return self.assess_takeover(cx, key, true);
@@ -47,7 +49,7 @@
                 OwnershipDecision::NoMajority(NoMajorityReason::StoreFull),
             );
         }
-        cx.member.vote_for_itself(&mut fencing.votes);
+        cx.member.add_own_vote(&mut fencing.votes);
         claim.stage = Stage::Fencing(fencing);
         self.claims.insert(key.clone(), claim);
         let others = cx.member.others();
@@ -55,7 +57,7 @@
         self.assess_takeover(cx, key, false);
     }
 
-    /// Asks those of the members that have not promised yet.
+    /// Requests promises from those of the given members that have not promised yet.
     pub(super) fn request_promises(
         &self,
         cx: &mut Context<'_>,
@@ -71,7 +73,7 @@
         let Some(stored) = cx.member.store().get(key) else {
             return;
         };
-        // The promise is kept as long as it is kept here, and no longer.
+        // Other members keep the promise as long as this member keeps the record, and no longer.
         let (origin, lifetime) = (stored.origin, stored.expires_at.saturating_sub(cx.now));
         for to in members.iter().copied().filter(|m| !fencing.votes.has(*m)) {
             let message = Message::Fence {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// A member has promised the ballot of a takeover, and reports what it had stored.
+    /// Another member has promised the ballot of a takeover and reports the record that it had stored.
     pub(crate) fn on_fenced(
         &mut self,
         cx: &mut Context<'_>,
@@ -97,8 +99,9 @@
         if let Some(record) = record {
             let store = cx.member.store_mut();
             if store.merge(cx.now, key, record, from.transit) == MergeOutcome::Expired {
-                // Symptom: after a pause, the reported record had expired on its way. A promise is no vote without what
-                // was stored beside it; asked again, that member reports it with the lifetime of the promise.
+                // After a pause of this process, the reported record may have expired in transit. A promise does not
+                // count as a vote without the record that was stored before it. When the request is sent again, that
+                // member reports the record with the lifetime of the promise.
                 cx.counts.expired_records_received += 1;
                 return;
             }
@@ -112,48 +115,49 @@
         }
     }
 
-    /// Decides on an invocation that is taken over, once a majority has promised (or without, if `unasked`).
-    pub(super) fn assess_takeover(&mut self, cx: &mut Context<'_>, key: &Key, unasked: bool) {
+    /// Decides on an invocation that is taken over once a majority has promised, or without a majority if
+    /// `skip_majority` is set.
+    pub(super) fn assess_takeover(&mut self, cx: &mut Context<'_>, key: &Key, skip_majority: bool) {
         let Some(claim) = self.claims.get(key) else {
             return;
         };
         let Some(fencing) = claim.fencing(claim.ballot) else {
             return;
         };
-        let was_watching = claim.is_watching();
+        let was_awaiting_owner = claim.is_awaiting_owner();
         let agreed = cx.member.agreeing(&fencing.votes);
-        if !unasked && !cx.member.group().is_majority(agreed.iter().copied()) {
+        if !skip_majority && !cx.member.group().is_majority(agreed.iter().copied()) {
             return;
         }
-        let Some(effect) = cx.member.store().effect(key) else {
+        let Some(invocation) = cx.member.store().invocation(key) else {
             return;
         };
-        if effect.owner.ballot != claim.ballot {
-            // Promised to another owner since.
-            self.set_stage(key, Stage::Watching(None));
+        if invocation.owner.ballot != claim.ballot {
+            // This member has promised a higher ballot to another owner in the meantime.
+            self.set_stage(key, Stage::AwaitingOwner(None));
             return self.on_record_changed(cx, key);
         }
-        match assessment::assess(cx.member, cx.now, key, effect, fencing, &agreed) {
+        match assessment::assess(cx.member, cx.now, key, invocation, fencing, &agreed) {
             Assessment::Conclude(decision) => self.conclude(cx, key, decision),
             Assessment::Wait => {
-                let stage = Stage::Watching(Some(fencing.clone()));
+                let stage = Stage::AwaitingOwner(Some(fencing.clone()));
                 self.set_stage(key, stage);
-                if !was_watching {
+                if !was_awaiting_owner {
                     cx.counts.awaiting_other_owner += 1;
                     emit_decision(cx, key, OwnershipDecision::Wait);
                 }
             }
-            Assessment::Dispatch { never_sent } => {
+            Assessment::Dispatch { never_permitted } => {
                 cx.counts.proven_not_dispatched += 1;
-                let record = cx.new_effect();
+                let record = cx.new_invocation();
                 cx.change(key, record, |stored| {
-                    let Record::Invocation(effect) = &mut stored.record else {
+                    let Record::Invocation(invocation) = &mut stored.record else {
                         return;
                     };
-                    effect.taken = true;
-                    for dispatch_id in &never_sent {
-                        if let Some(sending) = effect.intents.get_mut(dispatch_id) {
-                            sending.state = IntentState::NotExecuted;
+                    invocation.taken = true;
+                    for dispatch_id in &never_permitted {
+                        if let Some(intent) = invocation.intents.get_mut(dispatch_id) {
+                            intent.state = IntentState::NotExecuted;
                         }
                     }
                 });
@@ -169,7 +173,8 @@
         }
     }
 
-    /// True if the takeover was given up or begun anew.
+    /// Resends requests of a takeover, restarts it after a backoff, or abandons it after its deadline. Returns true if
+    /// it was abandoned or restarted.
     pub(super) fn tick_takeover(&mut self, cx: &mut Context<'_>, key: &Key) -> bool {
         let (now, resend_at) = (cx.now, cx.resend_at());
         let Some(claim) = self.claims.get(key) else {
@@ -177,7 +182,7 @@
         };
         match &claim.stage {
             Stage::Fencing(fencing) if now >= fencing.deadline => {
-                let decision = OwnershipDecision::NoMajority(cx.member.deadline_reason());
+                let decision = OwnershipDecision::NoMajority(cx.member.timeout_reason());
                 self.conclude(cx, key, decision);
                 true
             }
--- a/crates/replica/src/persistence.rs
+++ b/crates/replica/src/persistence.rs
@@ -1,14 +1,14 @@
-//! Votes on choices that wait until this member's disk has what they promise. A promise or an acceptance binds this
-//! member against every later proposal, so it has to outlive the process: otherwise a majority that crashes at once
-//! and restarts could choose a second, different value.
+//! Votes on choices that wait until the state that backs them is on this member's disk. A promise or an acceptance
+//! binds this member for all later proposals, so it has to survive a crash of the process: otherwise a majority that
+//! crashes and restarts at the same time could choose a second, different value.
 //!
-//! 1. Changes go to the disk in batches, and each batch has a serial. A vote waits for the batch with its record, so
-//!    that all votes given while one batch is written are released by the next.
-//! 2. The proposer's own vote waits like any other; the requests to the others are sent meanwhile.
-//! 3. The number of waiting votes is bounded. The oldest is dropped first: to the proposer it is a lost message, and it
-//!    asks again.
+//! 1. Changes are written to the disk in batches, and each batch has a serial. A vote waits for the batch that contains
+//!    its record, so all votes given while one batch is written are released together by the next batch.
+//! 2. The proposer's own vote waits like any other vote; the requests to the other members are sent in the meantime.
+//! 3. The number of waiting votes is bounded. The oldest vote is dropped first. For the proposer this is equivalent to
+//!    a lost message, and it sends its request again.
 //!
-//! Without a disk nothing waits. Votes on invocations do not wait either, as their proof does not rely on the disk.
+//! Without a disk no vote waits. Votes on invocations never wait, because their proofs do not rely on the disk.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -19,15 +19,15 @@
 use crate::store::Key;
 use crate::wire::Message;
 
-/// A few seconds of a thousand choices a second, on a disk that hangs.
-const MAX_WAITING: usize = 4096;
+/// The maximum number of waiting votes: enough for a few seconds at a thousand choices per second while the disk hangs.
+const MAX_WAITING_VOTES: usize = 4096;
 
-/// A vote that was given, but not counted or sent yet.
+/// A vote that was given but not yet counted or sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum PendingVote {
-    /// For another member.
+    /// A vote for a proposal of another member, with the message to send.
     Remote { to: MemberIndex, message: Message },
-    /// For a proposal of this member; `value_hash`: of the accepted value, or nothing for a promise.
+    /// A vote for a proposal of this member. `value_hash`: the hash of the accepted value; absent for a promise.
     Own {
         ballot: Ballot,
         value_hash: Option<u64>,
@@ -37,28 +37,29 @@
 /// Why a vote is not sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Withheld {
-    /// It waits for the disk.
+    /// The vote waits for the disk.
     Deferred {
-        /// The oldest waiting vote was dropped for it.
+        /// Whether the oldest waiting vote was dropped to make room.
         dropped_oldest: bool,
     },
-    /// The same vote waits already.
+    /// The same vote is waiting already.
     Duplicate,
 }
 
-/// The votes that wait for the disk, and the serials of the batches that go there.
+/// The votes that wait for the disk, and the serials of the batches of changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct VotesAwaitingDisk {
     last_batch: u64,
     last_persisted: u64,
     waiting: VecDeque<WaitingVote>,
-    /// Hashes of the waiting votes, so that none waits twice.
+    /// Hashes of the waiting votes, so that no vote is queued twice.
     hashes: BTreeSet<u64>,
 }
 
+/// A vote, and the batch for which it waits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct WaitingVote {
-    /// The batch with the vote's record.
+    /// The serial of the batch that contains the vote's record.
     batch: u64,
     key: Key,
     vote: PendingVote,
@@ -66,7 +67,8 @@
 }
 
 impl VotesAwaitingDisk {
-    /// Returns the vote if it may be sent now. `is_dirty`: the vote's record has changes that are in no batch yet; `must_persist`: whether votes wait at all.
+    /// Returns the vote if it may be sent now, and queues it otherwise. `is_dirty`: the vote's record has changes that
+    /// are not in a batch yet. `must_persist`: whether votes have to wait for the disk.
     pub(crate) fn submit(
         &mut self,
         key: &Key,
@@ -80,13 +82,14 @@
         if batch <= self.last_persisted || !must_persist {
             return Ok(vote);
         }
-        // Symptom: the disk is slow, and what is requested again every tenth of a second takes the room of other votes.
+        // Without this check, votes on requests that are resent every tenth of a second would displace other votes
+        // while the disk is slow.
         let hash = hashed((key, &vote));
         if !self.hashes.insert(hash) {
             return Err(Withheld::Duplicate);
         }
         let mut dropped_oldest = false;
-        if self.waiting.len() >= MAX_WAITING
+        if self.waiting.len() >= MAX_WAITING_VOTES
             && let Some(dropped) = self.waiting.pop_front()
         {
             self.hashes.remove(&dropped.hash);
@@ -101,7 +104,7 @@
         Err(Withheld::Deferred { dropped_oldest })
     }
 
-    /// All batches up to this serial are on disk: returns the votes that may be sent.
+    /// Notes that all batches up to this serial are on disk, and returns the votes that may be sent now.
     pub(crate) fn persisted(&mut self, serial: u64) -> Vec<(Key, PendingVote)> {
         self.last_persisted = self.last_persisted.max(serial.min(self.last_batch));
         let released = self
@@ -114,14 +117,14 @@
         released.into_iter().map(|w| (w.key, w.vote)).collect()
     }
 
-    /// A vote waits for a batch that has not been begun.
+    /// Whether a vote waits for a batch that has not been begun.
     pub(crate) fn needs_batch(&self) -> bool {
         self.waiting
             .back()
             .is_some_and(|w| w.batch > self.last_batch)
     }
 
-    /// Begins a batch, unless it would be empty, and returns the serial of the last batch.
+    /// Begins a batch if there are changes, and returns the serial of the last batch.
     pub(crate) fn begin_batch(&mut self, has_changes: bool) -> u64 {
         self.last_batch += u64::from(has_changes);
         self.last_batch
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -1,10 +1,10 @@
-//! The kinds of records, and the rule that merges two copies: [`Record::merge`]. Merging is commutative, associative and
-//! idempotent, so copies that have received the same updates in any order are equal.
+//! The kinds of records, and the rule for merging two copies of a record: [`Record::merge`]. Merging is commutative,
+//! associative and idempotent, so copies that have received the same updates in any order are equal.
 //!
-//! | kind | what it describes | copies that differ |
+//! | kind | content | result of merging copies that differ |
 //! | --- | --- | --- |
-//! | [`Invocation`] | an invocation, or an idempotency key | states only advance; the higher owner; two answers are a conflict |
-//! | [`Choice`] | a value that a majority agreed on, once or term after term | the higher ballot |
+//! | [`Invocation`] | an invocation, or an idempotency key | later states, the higher owner; two answers are a conflict |
+//! | [`Choice`] | a value that a majority agreed on, once or in successive terms | the higher ballot |
 //! | [`Note`] | an observation of one member | the higher version |
 
 use std::collections::BTreeMap;
@@ -26,32 +26,34 @@
     pub nonce: u64,
 }
 
-/// The number of a first ballot: used without a promise, valid only where no other owner has the record.
-pub const FIRST: u32 = 1;
+/// The number of a first ballot. A first ballot is used without a promise and is valid only where the record has no
+/// other owner.
+pub const FIRST_BALLOT_NUMBER: u32 = 1;
 
-/// The state of one dispatch. States only advance in this order, and the later one is the more cautious.
+/// The state of one dispatch. A state is only replaced by a later one in this order; the later state is the more
+/// cautious assumption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum IntentState {
-    /// It may be sent, or was sent.
+    /// The dispatch may be sent, or was sent.
     Intended,
-    /// It certainly did not run.
+    /// The dispatch certainly did not run.
     NotExecuted,
-    /// It may have run.
+    /// The dispatch may have run.
     Indeterminate,
 }
 
-/// A dispatch that a member intends to send, or has sent.
+/// The record of a dispatch that a member intends to send, or has sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DispatchIntent {
-    /// The member that sends it.
+    /// The member that sends the dispatch.
     pub member: MemberIndex,
-    /// How far it has come.
+    /// The state of the dispatch.
     pub state: IntentState,
-    /// The deduplication scope of its worker, where there are several.
+    /// The deduplication scope of the worker, if there are several scopes.
     pub deduplication_scope: u32,
 }
 
-/// A dispatch: the nonce of the sending process, and the dispatch's number there.
+/// Identifies a dispatch: the nonce of the sending process, and the number of the dispatch within that process.
 pub type DispatchId = (u64, u64);
 
 /// The answer to an invocation, as it is stored.
@@ -59,7 +61,7 @@
 pub enum StoredAnswer {
     /// The encoded answer.
     Stored(Bytes),
-    /// There was an answer, but it was too long to be stored.
+    /// The invocation was answered, but the answer was too long to be stored.
     TooLarge,
 }
 
@@ -68,28 +70,29 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Owner {
-    /// The highest ballot promised; the owner is its proposer.
+    /// The highest promised ballot. The owner is the proposer of this ballot.
     pub ballot: Ballot,
-    /// The owner has released the invocation, as nobody waits for it there any more.
+    /// Whether the owner has released the invocation, because no client waits for it there any more or because the
+    /// owner obtained no majority. The owner will not dispatch the invocation any more.
     pub released: bool,
 }
 
 /// The state of an invocation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Invocation {
-    /// Who may dispatch it.
+    /// The member that may dispatch the invocation.
     pub owner: Owner,
-    /// A member has taken the invocation. Otherwise the record only stores a promise.
+    /// Whether a member has taken the invocation. Otherwise the record only stores a promise.
     pub taken: bool,
-    /// Intents may be lost: the absence of an intent proves nothing.
+    /// Whether intents may be lost, so that the absence of an intent proves nothing.
     pub may_lack_intents: bool,
-    /// The dispatches known here.
+    /// The dispatches that this copy of the record contains.
     pub intents: BTreeMap<DispatchId, DispatchIntent>,
-    /// The answer, if there was one.
+    /// The answer, if the invocation was answered and is not closed.
     pub answer: Option<StoredAnswer>,
-    /// The answer was delivered for good; dispatches and answer are dropped.
+    /// Whether the delivery of the answer is final; dispatches and answer are then dropped.
     pub closed: bool,
-    /// Two different answers were given, and neither was delivered for good.
+    /// Whether two different answers were given, and the delivery of neither is final.
     pub has_conflict: bool,
 }
 
@@ -127,7 +130,7 @@
         self.drop_details_if_closed();
     }
 
-    /// The answer was delivered for good.
+    /// Records that the delivery of the answer is final, and drops the details.
     pub fn close(&mut self) {
         self.closed = true;
         self.drop_details_if_closed();
@@ -137,9 +140,9 @@
 /// The state of a Paxos acceptor for one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Choice {
-    /// Lower ballots are rejected.
+    /// The promised ballot: lower ballots are rejected.
     pub promised: Ballot,
-    /// The value accepted under the highest ballot, and that ballot.
+    /// The accepted value with the highest ballot, and that ballot.
     pub accepted: Option<(Ballot, Bytes)>,
 }
 
@@ -155,26 +158,26 @@
 /// An observation that a member published.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Note {
-    /// Compared in order: for a worker, its start and then the number of the observation.
+    /// The version, compared in the order of its parts: for a worker, its start and then the number of the observation.
     pub version: (u64, u64),
     /// The encoded observation.
     pub value: Bytes,
 }
 
-/// What is stored under one key.
+/// The content of a record, which is stored under one key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Record {
     /// An invocation.
     Invocation(Invocation),
-    /// A value agreed on.
+    /// A value that a majority agreed on.
     Choice(Choice),
-    /// An observation.
+    /// An observation of one member.
     Note(Note),
 }
 
 impl Record {
-    /// True if this copy has changed. Records of different kinds have different keys; a record of another kind changes
-    /// nothing.
+    /// Merges another copy into this one, and returns whether this copy has changed. Records of different kinds have
+    /// different keys; a record of another kind is ignored.
     pub fn merge(&mut self, other: &Record) -> bool {
         let before = self.clone();
         match (&mut *self, other) {
@@ -186,16 +189,17 @@
         *self != before
     }
 
-    /// The state of an invocation.
-    pub fn effect(&self) -> Option<&Invocation> {
+    /// The state of the invocation, if this is the record of an invocation.
+    pub fn invocation(&self) -> Option<&Invocation> {
         match self {
-            Record::Invocation(effect) => Some(effect),
+            Record::Invocation(invocation) => Some(invocation),
             _ => None,
         }
     }
 
-    /// The owner of an invocation. As long as it stays the same, so does the record's expiry.
+    /// The owner's ballot, if this is the record of an invocation. A change of owner
+    /// replaces the record's expiry.
     pub fn owner(&self) -> Option<Ballot> {
-        self.effect().map(|effect| effect.owner.ballot)
+        self.invocation().map(|invocation| invocation.owner.ballot)
     }
 }
--- a/crates/replica/src/record_server.rs
+++ b/crates/replica/src/record_server.rs
@@ -1,4 +1,5 @@
-//! Serving other members that catch up: answers to their digests, and batches of records at a bounded rate.
+//! The serving side of anti-entropy: compares digests with other members that catch up, and sends them batches of
+//! records at a bounded rate.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,17 +7,17 @@
 use cedarpulley_membership::MemberIndex;
 
 use crate::byte_budget::ByteBudget;
-use crate::catch_up::{MAX_LEAVES_PER_REQUEST, size};
+use crate::catch_up::{MAX_LEAVES_PER_REQUEST, record_size};
 use crate::context::Context;
 use crate::store::{GROUPS, Key, Leaf, RecordCopy, Store, StoredRecord};
 use crate::wire::Message;
 
-/// The size of one batch of records, small against what a link carries in a round trip.
+/// A batch of records ends once it has reached this size: small compared with what a link carries in a round trip.
 const BATCH_BYTES: usize = 48 << 10;
-/// The most requests that wait; a further one is dropped, and sent again by its sender.
-const MAX_WAITING: usize = 64;
+/// The maximum number of waiting requests. Further requests are dropped; their senders send them again.
+const MAX_WAITING_REQUESTS: usize = 64;
 
-/// The entries that a member has of a leaf: the hash of each key, with the digest of its record.
+/// The entries of a leaf that a member has: the hash of each key, with the digest of its record.
 type Entries = BTreeMap<u64, u64>;
 
 /// Another member's request for records.
@@ -24,9 +25,10 @@
 pub(crate) struct RecordRequest {
     pub(crate) from: MemberIndex,
     pub(crate) serial: u64,
-    /// Each leaf with the entries to leave out; without entries, all records are sent.
+    /// Each leaf with the entries that the requesting member has, which are left out of the answer. Without entries,
+    /// all records of the leaf are sent.
     pub(crate) leaves: Vec<(Leaf, Option<Entries>)>,
-    /// Continue after this record.
+    /// The answer continues after this record.
     pub(crate) after: Option<(Leaf, Key)>,
 }
 
@@ -34,6 +36,7 @@
 struct Batch {
     records: Vec<(Key, RecordCopy)>,
     bytes: usize,
+    /// The last record of this batch, if there are more to send.
     more: Option<(Leaf, Key)>,
 }
 
@@ -49,11 +52,11 @@
                 continue;
             }
             let after = self.after.as_ref().filter(|(first, _)| first == leaf);
-            for (key, stored) in store.in_leaf(*leaf, after.map(|(_, key)| key)) {
+            for (key, stored) in store.records_in_leaf(*leaf, after.map(|(_, key)| key)) {
                 if is_listed(entries.as_ref(), key, stored) {
                     continue;
                 }
-                batch.bytes += size(key, &stored.record);
+                batch.bytes += record_size(key, &stored.record);
                 batch.records.push((key.clone(), stored.to_copy(now)));
                 if batch.bytes >= BATCH_BYTES {
                     batch.more = Some((*leaf, key.clone()));
@@ -65,6 +68,7 @@
     }
 }
 
+/// Whether the entries contain this record in the same state.
 fn is_listed(entries: Option<&Entries>, key: &Key, stored: &StoredRecord) -> bool {
     entries.is_some_and(|entries| {
         let (hash, digest) = Store::entry(key, stored);
@@ -72,12 +76,12 @@
     })
 }
 
-/// The requests that wait, and the budget for their answers.
+/// The waiting requests for records, and the byte budget for the answers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct RecordServer {
     budget: ByteBudget,
     waiting: VecDeque<RecordRequest>,
-    /// When the next batch is sent, if the budget is spent.
+    /// The time at which the next batch is sent, if the budget is used up.
     next_batch: Micros,
 }
 
@@ -94,7 +98,7 @@
         self.next_batch
     }
 
-    /// Answers with the digests of the groups that differ.
+    /// Answers a comparison with the leaf digests of the groups that differ.
     pub(crate) fn on_compare(
         &self,
         cx: &mut Context<'_>,
@@ -111,20 +115,22 @@
         let differing = (0..GROUPS).filter(|g| ours[*g as usize] != theirs[*g as usize]);
         let message = Message::DifferingGroups {
             serial,
-            memory: cx.member.memory(),
+            memory: cx.member.recovery_state(),
             your_process: cx.member.process_of(from),
             groups: differing.map(|g| (g, store.leaf_digests(g))).collect(),
         };
         cx.send(from, message);
     }
 
-    /// Another member requests records.
+    /// Queues another member's request for records, and answers it if the budget permits.
     pub(crate) fn on_request(&mut self, cx: &mut Context<'_>, request: RecordRequest) {
-        if self.waiting.len() >= MAX_WAITING || request.leaves.len() > MAX_LEAVES_PER_REQUEST {
+        if self.waiting.len() >= MAX_WAITING_REQUESTS
+            || request.leaves.len() > MAX_LEAVES_PER_REQUEST
+        {
             cx.counts.fetch_requests_dropped += 1;
             return;
         }
-        // A later request of the same member replaces an earlier one.
+        // A later request of the same member replaces its earlier request.
         self.waiting.retain(|waiting| waiting.from != request.from);
         self.waiting.push_back(request);
         if self.next_batch == Micros::MAX {
@@ -139,7 +145,7 @@
         }
     }
 
-    /// Sends one batch for each request, the oldest first, until the budget is spent.
+    /// Sends one batch for each request, the oldest first, until the budget is used up.
     fn send_batches(&mut self, cx: &mut Context<'_>) {
         while let Some(request) = self.waiting.pop_front() {
             let batch = request.collect(cx.now, cx.member.store());
--- a/crates/replica/src/recovery.rs
+++ b/crates/replica/src/recovery.rs
@@ -1,13 +1,14 @@
-//! When a restarted member may vote. It stores and serves records from the start, but votes only once it remembers
-//! everything that it may have voted for.
+//! Decides when a restarted member may vote. The member stores and serves records from its start, but votes only once
+//! it remembers everything that it may have voted for.
 //!
-//! 1. Whatever a majority stored with this member's vote is also stored at another member of that majority. So this
-//!    member has caught up once it has compared its records with members that meet every majority, and each of them
-//!    knew it as the process that it is now.
-//! 2. Those members must remember something themselves. If one of them had restarted as well, what none of them has may
-//!    be lost: open invocations are marked doubtful, and the absence of an intent no longer proves anything.
-//! 3. Where those members cannot be reached, everything that this member may have forgotten has expired after the
-//!    retention time.
+//! 1. Everything that a majority stored with this member's vote is also stored at another member of that majority. So
+//!    this member has caught up once it has compared its records with a set of members that intersects every majority,
+//!    provided that each of them knew this member's current process.
+//! 2. A member that started without records and has not recovered does not count. If one of the members had restarted
+//!    with the records on its disk, records that none of them has may be lost. Open invocations are then marked with
+//!    [`crate::Invocation::may_lack_intents`], and the absence of an intent no longer proves anything.
+//! 3. If those members cannot be reached, recovery completes by time: after the retention time, with a margin for
+//!    clocks that diverge, everything that this member may have lost has expired.
 
 use std::collections::BTreeMap;
 
@@ -17,68 +18,68 @@
 use crate::context::Context;
 use crate::events::Output;
 use crate::record::Record;
-use crate::settings::{DRIFT_FRACTION, SafetyCheck};
+use crate::settings::{CLOCK_DRIFT_DIVISOR, SafetyCheck};
 use crate::store::Key;
 use crate::wire::RecoveryState;
 
-/// The progress of a restarted member.
+/// The recovery of a member after its start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Recovery {
     started_at: Micros,
-    memory: RecoveryState,
-    /// The members compared with, and what they remembered.
+    state: RecoveryState,
+    /// The members that this member has compared its records with, and their recovery states.
     compared: BTreeMap<MemberIndex, RecoveryState>,
 }
 
-/// What a finished comparison means for recovery.
+/// The progress of recovery after a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
-    /// Recovery was complete before, or the other member remembers nothing.
+    /// Recovery was complete already, or the other member has no memory of its votes.
     Nothing,
-    /// More members have to be compared with.
+    /// Comparisons with more members are needed.
     Incomplete,
     /// Recovery is complete.
     Complete {
-        /// One of the members compared with had restarted as well.
+        /// Whether one of the compared members had restarted as well and had not recovered.
         after_restarts: bool,
     },
 }
 
 impl Recovery {
-    /// `memory`: what this process started with.
-    pub fn new(now: Micros, memory: RecoveryState) -> Self {
+    /// `state`: what this process started with.
+    pub fn new(now: Micros, state: RecoveryState) -> Self {
         Recovery {
             started_at: now,
-            memory,
+            state,
             compared: BTreeMap::new(),
         }
     }
 
-    /// How much this member remembers.
-    pub fn memory(&self) -> RecoveryState {
-        self.memory
+    /// How much this member remembers of its earlier votes.
+    pub fn state(&self) -> RecoveryState {
+        self.state
     }
 
-    /// Whether the records were compared with this member since the start.
+    /// Whether this member has compared its records with the given member since its start.
     pub fn has_compared_with(&self, member: MemberIndex) -> bool {
         self.compared.contains_key(&member)
     }
 
-    /// When recovery completes by time alone.
+    /// The time at which recovery completes without comparisons, because everything that may be missing has expired.
     pub fn next_due(&self, retention: Micros) -> Micros {
-        match self.memory {
+        match self.state {
             RecoveryState::Complete => Micros::MAX,
             _ => self
                 .started_at
-                .saturating_add(retention.saturating_add(retention / DRIFT_FRACTION)),
+                .saturating_add(retention.saturating_add(retention / CLOCK_DRIFT_DIVISOR)),
         }
     }
 
-    /// True if recovery completes now, as everything that may be missing has expired.
+    /// Completes recovery if everything that may be missing has expired by now. Returns whether it did.
     fn complete_by_time(&mut self, now: Micros, retention: Micros) -> bool {
         let is_due = now >= self.next_due(retention);
         if is_due {
-            self.memory = RecoveryState::Complete;
+            self.state = RecoveryState::Complete;
         }
         is_due
     }
@@ -87,17 +88,17 @@
         &mut self,
         group: &Group,
         member: MemberIndex,
-        memory: RecoveryState,
+        state: RecoveryState,
     ) -> Progress {
-        if self.memory == RecoveryState::Complete || memory == RecoveryState::Empty {
+        if self.state == RecoveryState::Complete || state == RecoveryState::Empty {
             return Progress::Nothing;
         }
-        self.compared.insert(member, memory);
+        self.compared.insert(member, state);
         let with = self.compared.keys().copied().collect();
         if !group.intersects_every_majority(&with, group.own_index) {
             return Progress::Incomplete;
         }
-        self.memory = RecoveryState::Complete;
+        self.state = RecoveryState::Complete;
         Progress::Complete {
             after_restarts: self
                 .compared
@@ -120,19 +121,16 @@
     }
 }
 
-/// This member now has all records of another one. True if it has to be compared with a further member at once.
-pub(crate) fn on_compared(
-    cx: &mut Context<'_>,
-    member: MemberIndex,
-    memory: RecoveryState,
-) -> bool {
+/// Notes that this member now has all records of another member. Returns true if recovery needs a comparison with a
+/// further member immediately.
+pub(crate) fn on_compared(cx: &mut Context<'_>, member: MemberIndex, state: RecoveryState) -> bool {
     let (recovery, group) = cx.member.recovery_mut();
-    match recovery.on_compared(group, member, memory) {
+    match recovery.on_compared(group, member, state) {
         Progress::Nothing => false,
         Progress::Incomplete => true,
         Progress::Complete { after_restarts } => {
             if after_restarts && !cx.member.is_disabled(SafetyCheck::DoubtAfterRestarts) {
-                mark_doubtful(cx);
+                mark_intents_as_possibly_lost(cx);
             }
             cx.emit(Output::Recovered);
             false
@@ -140,8 +138,8 @@
     }
 }
 
-/// Marks all open invocations: intents of theirs may be lost.
-fn mark_doubtful(cx: &mut Context<'_>) {
+/// Marks all open invocations as invocations whose intents may be lost.
+fn mark_intents_as_possibly_lost(cx: &mut Context<'_>) {
     let is_open = |record: &Record| match record {
         Record::Invocation(e) => !e.closed && e.answer.is_none() && !e.may_lack_intents,
         _ => false,
@@ -152,6 +150,6 @@
         .map(|(key, _)| key.clone())
         .collect();
     for key in open {
-        cx.update_effect(&key, |effect| effect.may_lack_intents = true);
+        cx.update_invocation(&key, |invocation| invocation.may_lack_intents = true);
     }
 }
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -1,6 +1,6 @@
-//! One member's replicated state behind one entry point, [`Replica::handle`]: an event goes in with the time, and
-//! messages to other members, decisions and permissions come out. [`Replica::next_due`] says when [`Input::Tick`] is
-//! wanted.
+//! The replicated state of one member. [`Replica::handle`] is the only entry point for events: it takes an event with
+//! the time and produces messages to other members, decisions and permissions. [`Replica::next_due`] returns the time
+//! at which the next [`Input::Tick`] is due.
 
 use std::hash::Hasher;
 
@@ -22,13 +22,13 @@
 pub struct Replica {
     member: LocalMember,
     roles: Roles,
-    /// What was done since the start.
+    /// Counters since the start of the process.
     pub counts: Counts,
 }
 
 impl Replica {
-    /// `nonce`: identifies this process, above 0 and different from that of any other process. `restored`: the
-    /// records on this member's disk, if it has one.
+    /// Creates the replica of a process that has just started. `nonce`: identifies this process; it is above 0 and
+    /// different from the nonce of any other process. `restored`: the records on this member's disk, if it has a disk.
     pub fn new(
         now: Micros,
         group: Group,
@@ -43,19 +43,20 @@
         }
     }
 
-    /// Handles an event, and everything that is due.
+    /// Handles an event and everything that is due at `now`.
     pub fn handle(&mut self, now: Micros, input: Input, outputs: &mut Vec<Output>) {
         let mut cx = Context::new(now, &mut self.member, &mut self.counts, outputs);
         self.roles.handle(&mut cx, input);
     }
 
-    /// When [`Input::Tick`] is wanted next.
+    /// The time at which the next [`Input::Tick`] is due.
     pub fn next_due(&self) -> Micros {
         self.member.next_due().min(self.roles.next_due())
     }
 
-    /// Changes since the last call, for the disk: each record, or nothing if it was removed. The serial is to be
-    /// returned with [`Input::Kept`] once these and all earlier changes are on disk.
+    /// Returns the changes since the last call, to be written to disk: the key of each changed record with a copy, or
+    /// without one if the record was removed. The caller passes the serial to [`Input::Persisted`] once these and all
+    /// earlier changes are on disk.
     pub fn changes(&mut self, now: Micros) -> (u64, Vec<(Key, Option<RecordCopy>)>) {
         let dirty = self.member.store_mut().take_dirty();
         let serial = self.roles.consensus_mut().begin_batch(!dirty.is_empty());
@@ -72,7 +73,7 @@
         self.roles.consensus().needs_batch()
     }
 
-    /// Whether a vote may still count here; any other message may.
+    /// Whether a message may still have an effect here. This is false only for votes that this member no longer needs.
     pub fn awaits_vote(&self, message: &Message) -> bool {
         self.roles.ownership().awaits(message)
     }
@@ -87,27 +88,27 @@
         self.roles.ownership()
     }
 
-    /// Leaves known to differ from the member that records are compared with now.
+    /// The number of leaves known to differ from the member of the current comparison.
     pub fn differing_leaves(&self) -> usize {
         self.roles.catch_up().differing_leaves()
     }
 
-    /// Whether this member may vote, and take what needs votes.
+    /// Whether this member may vote, and may take invocations that need a majority.
     pub fn can_vote(&self) -> bool {
         self.member.can_vote()
     }
 
-    /// How much this member remembers.
+    /// How much this member remembers of its earlier votes.
     pub fn recovery_state(&self) -> RecoveryState {
-        self.member.memory()
+        self.member.recovery_state()
     }
 
-    /// The group, as this member sees it.
+    /// The group with this member's own index.
     pub fn group(&self) -> &Group {
         self.member.group()
     }
 
-    /// A copy of the record under a key, its times relative to `now`.
+    /// A copy of the record under a key, with times relative to `now`.
     pub fn copy(&self, now: Micros, key: &str) -> Option<RecordCopy> {
         self.member.store().copy(now, key)
     }
@@ -122,12 +123,12 @@
         self.member.store().all()
     }
 
-    /// How often two different answers to one invocation were found.
+    /// The number of times that two different answers to one invocation were found.
     pub fn conflicts(&self) -> u64 {
         self.member.store().conflicts()
     }
 
-    /// Hashes everything that later steps depend on, where nothing expires meanwhile.
+    /// Hashes all state that later steps depend on, provided that no record expires in the meantime.
     pub fn hash_state(&self, state: &mut impl Hasher) {
         self.member.hash_state(state);
         self.roles.hash_state(state);
--- a/crates/replica/src/roles/messages.rs
+++ b/crates/replica/src/roles/messages.rs
@@ -1,4 +1,4 @@
-//! Which role handles a message, and what else it concerns.
+//! Dispatches each message to the role that handles it, and passes its effects on to other roles.
 
 use bytes::Bytes;
 use cedarpulley::interface::Micros;
@@ -6,7 +6,7 @@
 
 use super::Roles;
 use crate::acceptor::{self, FenceRequest, IntentRequest, IntentVote};
-use crate::catch_up::{ReceivedBatch, size};
+use crate::catch_up::{ReceivedBatch, record_size};
 use crate::context::{Context, Sender};
 use crate::events::Output;
 use crate::ownership::Rejection;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Requests of owners, to this member as an acceptor.
+    /// Handles requests of owners, which this member answers as an acceptor.
     fn on_ownership_request(&mut self, cx: &mut Context<'_>, from: Sender, message: Message) {
         match message {
             Message::StoreIntent {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Answers of acceptors, to this member as an owner.
+    /// Handles answers of acceptors to requests of this member as an owner.
     fn on_ownership_answer(&mut self, cx: &mut Context<'_>, from: Sender, message: Message) {
         match message {
             Message::IntentStored {
@@ -245,8 +245,9 @@
         if let Err(reason) = acceptor::check_fence(cx, request) {
             return acceptor::reject(cx, from, key.clone(), ballot, None, reason);
         }
-        // What waits here for a majority under a lower ballot was not sent, and the new owner is told so at once.
-        self.ownership.lose(cx, key);
+        // Dispatches of this member that wait for a majority under a lower ballot are abandoned before the record is
+        // copied, so the promise reports them to the new owner as not sent.
+        self.ownership.lose_ownership(cx, key);
         let record = cx.member.store().copy(cx.now, key);
         acceptor::promise_ownership(cx, request);
         let message = Message::Fenced {
@@ -323,14 +324,14 @@
         };
         cx.counts.records_fetched += records.len() as u64;
         for (key, copy) in records {
-            batch.bytes += size(&key, &copy.record);
+            batch.bytes += record_size(&key, &copy.record);
             let outcome = self.learn(cx, &key, &copy, from.transit);
             batch.is_incomplete |= outcome == MergeOutcome::StoreFull;
         }
         self.catch_up.on_batch(cx, from.member, batch);
     }
 
-    /// Merges what another member has stored.
+    /// Merges a record from another member, and informs the roles of a change.
     fn learn(
         &mut self,
         cx: &mut Context<'_>,
@@ -349,19 +350,19 @@
         outcome
     }
 
-    /// Another member has changed a record.
+    /// Informs the roles, and the router for notes and choices, that another member has changed a record.
     fn on_record_changed(&mut self, cx: &mut Context<'_>, key: &Key) {
         self.ownership.on_record_changed(cx, key);
         let stored = cx.member.store().get(key);
-        if stored.is_some_and(|stored| stored.record.effect().is_none()) {
+        if stored.is_some_and(|stored| stored.record.invocation().is_none()) {
             cx.emit(Output::RecordChanged(key.clone()));
         }
     }
 }
 
-/// Rejects a request for a vote that was under way for too long; false for other messages. Symptom: a process that was
-/// stopped reads old requests, or its own messages arrive only after it was heard again. A promise from then on would
-/// end before what it is for.
+/// Rejects a request for a vote that was in transit for too long. Returns false for other messages. A process that was
+/// suspended reads old requests after it resumes, and its own messages may arrive after other members have received
+/// newer messages from it. A promise that is made from then on would expire before the record that it protects.
 fn reject_as_too_late(cx: &mut Context<'_>, from: Sender, message: &Message) -> bool {
     let reason = RejectionReason::TooLate;
     match message {
--- a/crates/replica/src/roles/mod.rs
+++ b/crates/replica/src/roles/mod.rs
@@ -1,5 +1,5 @@
-//! The roles of a replica, and which of them handles an event. Roles do not call each other: where one event concerns
-//! several, it is passed on here.
+//! The roles of a replica, and the dispatch of events to them. Roles do not call each other: an event that concerns
+//! several roles is passed to each of them here.
 
 mod messages;
 
@@ -19,7 +19,7 @@
 use crate::votes::process_tag;
 use crate::wire::Message;
 
-/// All roles that keep state of their own. The acceptor's state is in the records.
+/// The roles that have state of their own. The acceptor's state is in the records.
 #[derive(Clone, Debug)]
 pub(crate) struct Roles {
     ownership: Ownership,
@@ -68,8 +68,8 @@
     }
 
     pub(crate) fn handle(&mut self, cx: &mut Context<'_>, input: Input) {
-        // Records expire before anything is said of them. Symptom: a member that was stopped wakes and broadcasts what
-        // all others have forgotten.
+        // Records expire before the event is handled. Without this, a process that resumes after it was suspended would
+        // broadcast records that have expired at all other members.
         for key in cx.member.expire(cx.now) {
             self.ownership.on_expired(&key);
         }
@@ -104,7 +104,7 @@
                 message,
             } => {
                 let is_member = (from as usize) < cx.member.group().len();
-                if is_member && from != cx.member.me() {
+                if is_member && from != cx.member.own_index() {
                     let sender = Sender {
                         member: from,
                         process: process_tag(nonce),
@@ -124,11 +124,11 @@
             }
             Input::Persisted { serial } => self.consensus.on_persisted(cx, serial),
             Input::Tick => {}
-            invocation => self.route_to_ownership(cx, invocation),
+            invocation_event => self.route_to_ownership(cx, invocation_event),
         }
     }
 
-    /// Events of an invocation that this router has taken.
+    /// Passes an event of an invocation that this router takes or has taken to the ownership role.
     fn route_to_ownership(&mut self, cx: &mut Context<'_>, input: Input) {
         let ownership = &mut self.ownership;
         match input {
@@ -176,6 +176,7 @@
     }
 }
 
+/// Stores an observation of this member, and queues its broadcast.
 fn publish_note(cx: &mut Context<'_>, key: &Key, note: Note, retention: Micros) {
     let origin = cx.member.next_origin();
     let expires_at = cx.now.saturating_add(retention);
@@ -188,7 +189,7 @@
     });
 }
 
-/// Sends the records that have changed to all members that are alive.
+/// Sends the changed records that are due for broadcast to all members that are alive.
 fn broadcast(cx: &mut Context<'_>) {
     for key in cx.member.take_due_broadcasts(cx.now) {
         let Some(record) = cx.member.store().copy(cx.now, &key) else {
--- a/crates/replica/src/store/mod.rs
+++ b/crates/replica/src/store/mod.rs
@@ -1,10 +1,11 @@
 //! All records of one member, their expiry, and the digests by which two members find their differences.
 //!
-//! 1. Keys are spread over leaves by their hash, and leaves over groups: a hash tree of two levels. Each leaf has a
+//! 1. Keys are assigned to leaves by their hash, and leaves to groups: a hash tree of two levels. Each leaf has a
 //!    digest that is updated with every change.
-//! 2. Of expired invocations one number a process is remembered: its records expire in the order in which they were
-//!    made, and none of them is accepted again from a member that was away.
-//! 3. A copy expires no later than the record that it was made from: the time under way is subtracted.
+//! 2. For expired invocations, only one serial number per process is stored. The invocations of a process expire in the
+//!    order in which it created them, so the number is enough to reject copies of all expired invocations, for example
+//!    from a member that was disconnected.
+//! 3. A copy expires no later than the record from which it was made, because the time in transit is subtracted.
 
 mod stored_record;
 
@@ -20,10 +21,10 @@
 
 /// The key of a record.
 pub type Key = Arc<str>;
-/// A leaf of the hash tree, given by the highest bits of a key's hash: a hundred thousand records are about two dozen
-/// in each.
+/// The index of a leaf of the hash tree, given by the highest bits of a key's hash. With a hundred thousand records, a
+/// leaf has about two dozen records. Groups of leaves are numbered with the same type.
 pub type Leaf = u16;
-/// So many bits of a key's hash select its leaf.
+/// The number of bits of a key's hash that select its leaf.
 pub const LEAF_BITS: u32 = 12;
 /// The number of leaves.
 pub const LEAVES: Leaf = 1 << LEAF_BITS;
@@ -31,42 +32,43 @@
 pub const LEAVES_PER_GROUP: Leaf = 64;
 /// The number of groups.
 pub const GROUPS: Leaf = LEAVES / LEAVES_PER_GROUP;
-/// The most processes whose expired records are remembered; those that expired longest ago are dropped first. A member
-/// restarts a few times a day.
+/// The maximum number of processes for which the last expired record is stored; processes whose records expired longest
+/// ago are dropped first. A member restarts only a few times a day.
 const MAX_EXPIRED_PROCESSES: usize = 4096;
 
-/// What became of a copy that was merged into the store.
+/// The result of merging a copy into the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// The record here had everything already.
+    /// The stored record has not changed.
     Unchanged,
-    /// The record here has changed, or is new.
+    /// The stored record has changed, or is new.
     Changed,
-    /// The record has expired, here or on its way.
+    /// The record has expired here or in transit.
     Expired,
-    /// The store has no room for a further record.
+    /// The store is full, and the record is new.
     StoreFull,
 }
 
-/// The last expired record of a process.
+/// The expired invocations of a process: the serial of the last one, and the time of the last expiry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct ExpiredRecords {
     last_serial: u64,
     expired_at: Micros,
 }
 
-/// The records of one member. [`Store::merge`] takes copies of other members, [`Store::change`] changes of this one.
+/// The records of one member. [`Store::merge`] applies copies from other members, and [`Store::change`] applies changes
+/// by this member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Store {
     max_records: usize,
     records: BTreeMap<(Leaf, Key), StoredRecord>,
-    /// The order in which records expire.
+    /// The index of records by expiry time.
     expiries: BTreeSet<(Micros, Leaf, Key)>,
-    /// Of leaves that are not empty.
+    /// The digests of the leaves that are not empty.
     digests: BTreeMap<Leaf, u64>,
-    /// By process.
+    /// The expired invocations by the nonce of the process.
     expired: BTreeMap<u64, ExpiredRecords>,
-    /// Keys whose changes are not persisted yet, where records are persisted.
+    /// The keys of changes that [`Store::take_dirty`] has not returned yet; absent if records are not persisted.
     dirty: Option<BTreeSet<Key>>,
     conflicts: u64,
 }
@@ -76,12 +78,14 @@
     (hashed(key) >> (u64::BITS - LEAF_BITS)) as Leaf
 }
 
+/// The digest of a record. The digest of a leaf is the XOR of the digests of its records.
 fn digest(key: &str, record: &Record) -> u64 {
     hashed((key, record))
 }
 
 impl Store {
-    /// `max_records`: the most records at once; `persisted`: whether changes are collected for the disk.
+    /// Creates an empty store. `max_records`: the maximum number of records. `persisted`: whether changes are collected
+    /// for the disk.
     pub fn new(max_records: usize, persisted: bool) -> Self {
         Store {
             max_records,
@@ -100,7 +104,7 @@
         self.records.is_empty()
     }
 
-    /// Whether there is no room for a further record.
+    /// Whether the store has the maximum number of records.
     pub fn is_full(&self) -> bool {
         self.records.len() >= self.max_records
     }
@@ -111,8 +115,8 @@
     }
 
     /// The invocation under a key.
-    pub fn effect(&self, key: &str) -> Option<&Invocation> {
-        self.get(key)?.record.effect()
+    pub fn invocation(&self, key: &str) -> Option<&Invocation> {
+        self.get(key)?.record.invocation()
     }
 
     /// All records, in the order of their leaves.
@@ -120,8 +124,8 @@
         self.records.iter().map(|((_, key), stored)| (key, stored))
     }
 
-    /// The records of a leaf that follow this key, or all of them.
-    pub fn in_leaf(
+    /// The records of a leaf: those that follow the key `after`, or all of them.
+    pub fn records_in_leaf(
         &self,
         leaf: Leaf,
         after: Option<&Key>,
@@ -135,19 +139,19 @@
             .map(|((_, key), stored)| (key, stored))
     }
 
-    /// Whether a record of this origin has expired here.
+    /// Whether an invocation of this origin has expired here.
     pub fn has_expired(&self, origin: Origin) -> bool {
         self.expired
             .get(&origin.nonce)
             .is_some_and(|expired| origin.serial <= expired.last_serial)
     }
 
-    /// A copy of the record under a key, for other members or for the disk.
+    /// A copy of the record under a key, for other members or the disk.
     pub fn copy(&self, now: Micros, key: &str) -> Option<RecordCopy> {
         self.get(key).map(|stored| stored.to_copy(now))
     }
 
-    /// How often two different answers to one invocation were found.
+    /// The number of times that two different answers to one invocation were found.
     pub fn conflicts(&self) -> u64 {
         self.conflicts
     }
@@ -156,7 +160,7 @@
         self.conflicts += 1;
     }
 
-    /// Merges another member's copy. `transit`: an upper bound of the time that it was under way.
+    /// Merges a copy from another member. `transit`: an upper bound of the time that the copy was in transit.
     pub fn merge(
         &mut self,
         now: Micros,
@@ -165,10 +169,11 @@
         transit: Micros,
     ) -> MergeOutcome {
         let theirs = StoredRecord::from_copy(now, copy, transit);
-        // Symptom: a member that was cut off never hears of a plan that began long ago, as the records that its
-        // process made after that have expired. Only invocations expire in the order in which they were made.
-        let is_effect = matches!(theirs.record, Record::Invocation(_));
-        if theirs.expires_at <= now || is_effect && self.has_expired(theirs.origin) {
+        // Only invocations expire in the order in which they were created. If this check applied to other records, a
+        // member that was cut off would never learn of a rollout plan that began long ago, because later records of the
+        // same process have expired.
+        let is_invocation = matches!(theirs.record, Record::Invocation(_));
+        if theirs.expires_at <= now || is_invocation && self.has_expired(theirs.origin) {
             return MergeOutcome::Expired;
         }
         let at = (leaf(key), key.clone());
@@ -191,7 +196,7 @@
         }
     }
 
-    /// Changes a record, or the given one where there is none. False if there is no room for it.
+    /// Changes the record under a key, after inserting `absent` if there is none. Returns false if the store is full.
     pub fn change(
         &mut self,
         key: &Key,
@@ -208,7 +213,7 @@
         self.update(key, change)
     }
 
-    /// Changes the record under a key. False if there is none.
+    /// Changes the record under a key. Returns false if there is none.
     pub fn update(&mut self, key: &Key, change: impl FnOnce(&mut StoredRecord)) -> bool {
         let at = (leaf(key), key.clone());
         let Some(stored) = self.records.get_mut(&at) else {
@@ -254,7 +259,7 @@
         self.expiries.first().map_or(Micros::MAX, |e| e.0)
     }
 
-    /// Keys that have changed or expired since the last call, where records are persisted.
+    /// The keys of records that have changed or expired since the last call; empty if records are not persisted.
     pub fn take_dirty(&mut self) -> BTreeSet<Key> {
         self.dirty.as_mut().map(std::mem::take).unwrap_or_default()
     }
@@ -268,7 +273,7 @@
     pub fn group_digests(&self) -> Vec<u64> {
         let mut groups = vec![0; GROUPS as usize];
         for (leaf, digest) in &self.digests {
-            // Hashed with the leaf, as equal digests of two leaves would cancel each other out.
+            // The leaf is hashed with its digest, because equal digests of two leaves would cancel each other out.
             groups[(leaf / LEAVES_PER_GROUP) as usize] ^= hashed((leaf, digest));
         }
         groups
@@ -282,12 +287,12 @@
             .collect()
     }
 
-    /// The digest of a leaf; 0 if it is empty.
+    /// The digest of a leaf; 0 if the leaf is empty.
     pub fn leaf_digest(&self, leaf: Leaf) -> u64 {
         self.digests.get(&leaf).copied().unwrap_or(0)
     }
 
-    /// The hash of each key in a leaf, with the digest of its record.
+    /// The entries of a leaf: the hash of each key, with the digest of its record.
     pub fn entries(&self, leaf: Leaf) -> BTreeMap<u64, u64> {
         let within = (leaf, Key::from(""))..(leaf + 1, Key::from(""));
         self.records
@@ -296,7 +301,7 @@
             .collect()
     }
 
-    /// The hash and the digest by which [`Store::entries`] lists a record.
+    /// The hash of the key and the digest of the record that [`Store::entries`] lists for a record.
     pub fn entry(key: &str, stored: &StoredRecord) -> (u64, u64) {
         (hashed(key), digest(key, &stored.record))
     }
@@ -309,7 +314,8 @@
         self.update_digest(&at, digest, true);
     }
 
-    /// `digests`: the old and the new digest of the record, combined.
+    /// Updates the index of expiry times, the leaf's digest and the dirty keys after a change of a record.
+    /// `digests`: the old and the new digest of the record, combined by XOR.
     fn reindex(
         &mut self,
         at: (Leaf, Key),
@@ -325,6 +331,7 @@
         self.update_digest(&at, digests, changed || old_expiry != new_expiry);
     }
 
+    /// Combines `digests` with the leaf's digest by XOR, and marks the key as dirty if `persist` is set.
     fn update_digest(&mut self, at: &(Leaf, Key), digests: u64, persist: bool) {
         let digest = self.digests.entry(at.0).or_default();
         *digest ^= digests;
--- a/crates/replica/src/store/stored_record.rs
+++ b/crates/replica/src/store/stored_record.rs
@@ -1,45 +1,46 @@
-//! One record as a member stores it, and the copy of it that is sent and persisted.
+//! A record as a member stores it, and its copy that is sent to other members and persisted.
 
 use cedarpulley::interface::Micros;
 use serde::{Deserialize, Serialize};
 
 use crate::record::{Invocation, Record};
 
-/// Identifies a record by its process and its place in the order in which that process made its records.
+/// Identifies a record by the process that created it and by its position among the records of that process.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Origin {
-    /// The process.
+    /// The nonce of the process.
     pub nonce: u64,
-    /// Grows with each record of the process.
+    /// A number that increases with each record of the process.
     pub serial: u64,
 }
 
-/// A record as a member stores it; its times are of this member's clock.
+/// A record as a member stores it. Its times are times of this member's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StoredRecord {
     /// The record.
     pub record: Record,
-    /// Who made it; for an invocation, who owns it.
+    /// The process that created the record; for an invocation, the process of its owner.
     pub origin: Origin,
-    /// When it is removed.
+    /// When the record is removed.
     pub expires_at: Micros,
-    /// When the first dispatch was sent, where one was.
+    /// When the first dispatch was sent, if any was sent.
     pub first_dispatch: Option<Micros>,
-    /// Until then, a member without this record never had it, and new dispatches may be sent. A takeover does not
-    /// extend this time.
+    /// Until this time, a member that does not have this record has never had it, and new dispatches may be sent. A
+    /// takeover does not extend this time.
     pub proof_until: Option<Micros>,
 }
 
-/// A copy of a record, sent to other members or persisted; its times are relative to the time of the copy.
+/// A copy of a record, to be sent to other members or persisted. Its times are relative to the time at which the copy
+/// was made, in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RecordCopy {
     /// The record.
     pub record: Record,
-    /// Who made it; for an invocation, who owns it.
+    /// The process that created the record; for an invocation, the process of its owner.
     pub origin: Origin,
-    /// The time until it expires.
+    /// The time until the record expires.
     pub expires_in: Micros,
     /// The time since the first dispatch was sent.
     pub first_dispatch_ago: Option<Micros>,
@@ -47,12 +48,13 @@
     pub proof_expires_in: Option<Micros>,
 }
 
+/// The earlier of two times. If only one time is given, that time.
 fn earlier(a: Option<Micros>, b: Option<Micros>) -> Option<Micros> {
     a.zip(b).map(|(a, b)| a.min(b)).or(a).or(b)
 }
 
 impl StoredRecord {
-    /// A record of which nothing was dispatched and nothing is proven.
+    /// A record without a dispatch, whose absence at other members proves nothing.
     pub fn new(record: Record, origin: Origin, expires_at: Micros) -> Self {
         StoredRecord {
             record,
@@ -63,7 +65,7 @@
         }
     }
 
-    /// A copy for other members or for the disk.
+    /// A copy for other members or the disk.
     pub fn to_copy(&self, now: Micros) -> RecordCopy {
         RecordCopy {
             record: self.record.clone(),
@@ -74,7 +76,8 @@
         }
     }
 
-    /// `transit`: an upper bound of the time that the copy was under way.
+    /// Converts a copy to times of this member's clock. `transit`: an upper bound of the time that the copy was in
+    /// transit.
     pub(super) fn from_copy(now: Micros, copy: &RecordCopy, transit: Micros) -> Self {
         let after = |left: Micros| now.saturating_add(left.saturating_sub(transit));
         let before = |ago: Micros| now.saturating_sub(ago.saturating_add(transit));
@@ -87,7 +90,7 @@
         }
     }
 
-    /// True if the record has changed.
+    /// Merges another member's record into this one, and returns whether the content of this one has changed.
     pub(super) fn merge(&mut self, theirs: &StoredRecord) -> bool {
         let owner = self.record.owner();
         let changed = self.record.merge(&theirs.record);
@@ -101,7 +104,7 @@
         changed
     }
 
-    /// Two different answers are known.
+    /// Whether two different answers are known.
     pub(super) fn has_conflict(&self) -> bool {
         matches!(
             self.record,
--- a/crates/replica/src/votes.rs
+++ b/crates/replica/src/votes.rs
@@ -5,21 +5,21 @@
 use cedarpulley_membership::MemberIndex;
 use serde::{Deserialize, Serialize};
 
-/// Which process the voter takes each member for, by member. Votes are counted together only if their voters agree on
-/// each other's processes.
+/// The process tag ([`process_tag`]) of each member as the voter knows it, indexed by member. Votes are counted
+/// together only if their voters agree on each other's processes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Views(pub Vec<u32>);
 
-/// A vote: the process of the voter, as it says itself, and the processes that it knows.
+/// A vote: the voter's own process tag, and the process tags of all members as the voter knows them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Vote {
     process: u32,
     views: Views,
 }
 
-/// The votes for one request: a majority counts once its voters agree on each other's processes. Symptom: a member
-/// promises, restarts without its state and votes again; the promise of its earlier process must not be added to newer
-/// votes of others.
+/// The votes for one request. A majority counts only if its voters agree on each other's processes. Without this rule,
+/// a member could promise, restart without its state and vote again, and the promise of its earlier process would be
+/// counted together with newer votes of other members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Votes(BTreeMap<MemberIndex, Vote>);
 
@@ -29,7 +29,7 @@
         self.0.insert(from, Vote { process, views });
     }
 
-    /// All voters, whether they agree or not.
+    /// All voters, whether or not they agree on each other's processes.
     pub fn voters(&self) -> impl Iterator<Item = MemberIndex> + '_ {
         self.0.keys().copied()
     }
@@ -49,7 +49,8 @@
         self.0.is_empty()
     }
 
-    /// A set of voters that agree on each other's processes, collected in order of members after the proposer.
+    /// A set of voters that agree on each other's processes. Voters are added greedily: the proposer first, then the
+    /// others in the order of their indexes.
     pub fn agreeing(&self, proposer: MemberIndex) -> Vec<MemberIndex> {
         let knows = |a: MemberIndex, b: MemberIndex| {
             let (vote_of_a, vote_of_b) = (self.0.get(&a), self.0.get(&b));
@@ -72,7 +73,7 @@
     }
 }
 
-/// A process as it is compared in votes: its nonce, folded to 32 bits.
+/// The tag by which votes identify a process: its nonce, folded to 32 bits.
 pub fn process_tag(nonce: u64) -> u32 {
     (nonce ^ nonce >> 32) as u32
 }
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -1,5 +1,5 @@
-//! The messages between members. Each may be lost, duplicated, delayed or reordered. Proofs rest on votes alone, and a
-//! vote states a fact whenever it arrives.
+//! The messages between members. A message may be lost, duplicated, delayed or reordered. Proofs rely only on votes,
+//! and a vote states a fact that remains true no matter when the vote arrives.
 
 use std::collections::BTreeMap;
 
@@ -10,32 +10,33 @@
 use crate::store::{Key, Leaf, Origin, RecordCopy};
 use crate::votes::Views;
 
-/// Raised with every change of a message: members of different versions reject each other.
+/// The version of the message format. It is incremented with every change of a message; members of different versions
+/// reject each other's messages.
 pub const VERSION: u16 = 3;
 
-/// How much of its earlier votes a member remembers.
+/// How much a member remembers of its earlier votes.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum RecoveryState {
-    /// It started without records.
+    /// The member started without records.
     #[default]
     #[serde(rename = "lost")]
     Empty,
-    /// It started from its disk, which may be older than its last votes.
+    /// The member started with the records on its disk, which may be older than its last votes.
     #[serde(rename = "kept")]
     Restored,
-    /// It remembers all that it has voted for; nothing is missing.
+    /// The member remembers everything that it has voted for.
     #[serde(rename = "whole")]
     Complete,
 }
 
-/// Why an acceptor gave no vote.
+/// Why an acceptor did not vote for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RejectionReason {
-    /// A higher ballot was promised, or another owner has the record.
+    /// A higher ballot was promised, or the record has another owner.
     #[serde(rename = "owned")]
     HigherBallot,
     /// The acceptor's store is full.
@@ -47,15 +48,15 @@
     /// The record has expired at the acceptor.
     #[serde(rename = "forgotten")]
     Expired,
-    /// The request was under way for too long.
+    /// The request was in transit for too long.
     #[serde(rename = "late")]
     TooLate,
 }
 
-/// A message between members. Members exchange variants by their position: their order never changes.
+/// A message between members. Variants are encoded by their position, so their order must never change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// An owner asks to have the intent of a dispatch stored.
+    /// An owner requests that the intent of a dispatch be stored.
     StoreIntent {
         /// The invocation's key.
         key: Key,
@@ -63,7 +64,7 @@
         ballot: Ballot,
         /// The dispatch.
         dispatch: u64,
-        /// The ballot is a first one, valid only where no other owner has the record.
+        /// Whether the ballot is a first ballot, which is valid only where the record has no other owner.
         is_first_ballot: bool,
         /// The record with the intent.
         record: RecordCopy,
@@ -76,10 +77,10 @@
         ballot: Ballot,
         /// The dispatch.
         dispatch: u64,
-        /// Which processes the voter knows.
+        /// The processes of all members as the voter knows them.
         views: Views,
     },
-    /// A new owner asks for the promise to store nothing under a lower ballot.
+    /// A new owner requests the promise not to store any intent under a lower ballot.
     Fence {
         /// The invocation's key.
         key: Key,
@@ -87,10 +88,10 @@
         ballot: Ballot,
         /// The origin of the record under this ballot.
         origin: Origin,
-        /// How long the promise is to be kept.
+        /// How long the promise is to be kept, in microseconds.
         lifetime: i64,
     },
-    /// The vote on [`Message::Fence`]: the promise, and the record as it was before.
+    /// The vote on [`Message::Fence`]: the promise, with the record as it was before the promise.
     Fenced {
         /// The invocation's key.
         key: Key,
@@ -98,10 +99,10 @@
         ballot: Ballot,
         /// The voter's record.
         record: Option<RecordCopy>,
-        /// Which processes the voter knows.
+        /// The processes of all members as the voter knows them.
         views: Views,
     },
-    /// No vote on [`Message::StoreIntent`] or [`Message::Fence`].
+    /// The rejection of a [`Message::StoreIntent`] or [`Message::Fence`].
     Rejected {
         /// The invocation's key.
         key: Key,
@@ -114,13 +115,13 @@
         /// The acceptor's record.
         record: Option<RecordCopy>,
     },
-    /// Phase 1 of Paxos: a proposer asks for a promise.
+    /// Phase 1 of Paxos: a proposer requests a promise.
     Prepare {
         /// The choice's key.
         key: Key,
         /// The proposal's ballot.
         ballot: Ballot,
-        /// How long the promise is to be kept.
+        /// How long the promise is to be kept, in microseconds.
         lifetime: i64,
     },
     /// The vote on [`Message::Prepare`].
@@ -129,12 +130,12 @@
         key: Key,
         /// The proposal's ballot.
         ballot: Ballot,
-        /// What the voter promised and accepted.
+        /// The ballot that the voter has promised, and the value that it has accepted.
         choice: Choice,
-        /// Which processes the voter knows.
+        /// The processes of all members as the voter knows them.
         views: Views,
     },
-    /// Phase 2 of Paxos: a proposer asks to have a value accepted.
+    /// Phase 2 of Paxos: a proposer requests that a value be accepted.
     Accept {
         /// The choice's key.
         key: Key,
@@ -142,7 +143,7 @@
         ballot: Ballot,
         /// The value.
         value: Bytes,
-        /// How long the choice is to be kept.
+        /// How long the choice is to be kept, in microseconds.
         lifetime: i64,
     },
     /// The vote on [`Message::Accept`].
@@ -151,18 +152,19 @@
         key: Key,
         /// The proposal's ballot.
         ballot: Ballot,
-        /// The hash of the value. Symptom: a late acceptance of one value was counted for the next of the same term.
+        /// The hash of the value. Without it, a delayed acceptance of one value would be counted for the next value of
+        /// the same term.
         value_hash: u64,
-        /// Which processes the voter knows.
+        /// The processes of all members as the voter knows them.
         views: Views,
     },
-    /// No vote on [`Message::Prepare`] or [`Message::Accept`].
+    /// The rejection of a [`Message::Prepare`] or [`Message::Accept`].
     Nack {
         /// The choice's key.
         key: Key,
         /// The ballot that was rejected.
         ballot: Ballot,
-        /// What the acceptor promised and accepted.
+        /// The ballot that the acceptor has promised, and the value that it has accepted.
         choice: Option<Choice>,
         /// Why there is no vote.
         reason: RejectionReason,
@@ -174,7 +176,7 @@
         /// The record.
         record: RecordCopy,
     },
-    /// Begins a comparison: the sender asks which of its groups of leaves differ.
+    /// Begins a comparison: the sender requests the groups of leaves that differ.
     CompareDigests {
         /// The sender's number of this request.
         serial: u64,
@@ -185,21 +187,21 @@
     DifferingGroups {
         /// The number of the request.
         serial: u64,
-        /// How much the answering member remembers.
+        /// The recovery state of the answering member.
         memory: RecoveryState,
-        /// Which process the answering member takes the asking one for.
+        /// The process tag by which the answering member knows the requesting member.
         your_process: u32,
         /// The leaf digests of each group that differs.
         groups: BTreeMap<Leaf, Vec<u64>>,
     },
-    /// Asks for the records of some leaves.
+    /// Requests the records of some leaves.
     FetchRecords {
         /// The sender's number of this request.
         serial: u64,
-        /// Each leaf with the entries that the sender has, which are left out if they are the same; without entries,
-        /// all records of the leaf are sent.
+        /// Each leaf with the entries that the sender has. Records that equal one of these entries are left out of the
+        /// answer; without entries, all records of the leaf are sent.
         leaves: Vec<(Leaf, Option<BTreeMap<u64, u64>>)>,
-        /// Continue after this record.
+        /// The answer continues after this record.
         after: Option<(Leaf, Key)>,
     },
     /// The answer to [`Message::FetchRecords`].
@@ -208,13 +210,14 @@
         serial: u64,
         /// The records.
         records: Vec<(Key, RecordCopy)>,
-        /// There are more: ask again, continuing after this record.
+        /// The last record of this batch, if there are more records. The next request continues after this record.
         more: Option<(Leaf, Key)>,
     },
 }
 
 impl Message {
-    /// Carries many records, or asks for them: it is sent after messages that somebody waits for.
+    /// Whether the message belongs to a comparison of digests or a transfer of records. Such messages are sent with
+    /// lower priority, as no invocation waits for them.
     pub fn is_bulk(&self) -> bool {
         matches!(
             self,
@@ -225,7 +228,7 @@
         )
     }
 
-    /// If it is lost, a later comparison makes up for it.
+    /// Whether the message may be dropped, because a later comparison restores what it would have transferred.
     pub fn is_made_up_for(&self) -> bool {
         matches!(self, Message::Update { .. }) || self.is_bulk()
     }
