--- a/crates/replica/src/acceptor.rs
+++ b/crates/replica/src/acceptor.rs
@@ -142,7 +142,9 @@
     request: &FenceRequest,
 ) -> Result<(), RejectionReason> {
     let store = cx.member.store();
-    let promised = store.invocation(&request.key).map(|e| e.owner.ballot);
+    let promised = store
+        .invocation(&request.key)
+        .map(|invocation| invocation.owner.ballot);
     if !cx.member.can_vote() {
         Err(RejectionReason::Recovering)
     } else if promised.is_some_and(|promised| promised > request.ballot) {
--- a/crates/replica/src/events.rs
+++ b/crates/replica/src/events.rs
@@ -29,7 +29,7 @@
         key: Key,
         /// The dispatch, unique within this process.
         dispatch: u64,
-        /// Deduplication scope of the worker, where there are several.
+        /// The deduplication scope of the worker, if there are several scopes.
         deduplication_scope: u32,
         /// Whether to permit the dispatch even if no majority can be reached.
         without_majority: bool,
@@ -40,7 +40,7 @@
         key: Key,
         /// The dispatch, unique within this process.
         dispatch: u64,
-        /// Deduplication scope of the worker, where there are several.
+        /// The deduplication scope of the worker, if there are several scopes.
         deduplication_scope: u32,
     },
     /// A dispatch has ended.
@@ -86,14 +86,14 @@
         key: Key,
         /// The proposed value.
         value: Bytes,
-        /// How long the choice is retained.
+        /// How long the choice is retained, in microseconds.
         retention: Micros,
     },
     /// Become the leader that writes this key, in a new term.
     Lead {
         /// The choice's key.
         key: Key,
-        /// How long the choice is retained.
+        /// How long the choice is retained, in microseconds.
         retention: Micros,
     },
     /// Write a value in a term that this member won.
@@ -104,7 +104,7 @@
         ballot: Ballot,
         /// The value. It must compare greater, byte by byte, than the values written earlier in this term.
         value: Bytes,
-        /// How long the choice is retained.
+        /// How long the choice is retained, in microseconds.
         retention: Micros,
     },
     /// A message from another member has arrived.
--- a/crates/replica/src/ownership/claim.rs
+++ b/crates/replica/src/ownership/claim.rs
@@ -55,7 +55,10 @@
     }
 
     fn add_holder(&mut self, member: MemberIndex, stored: Option<&Invocation>) {
-        for dispatch_id in stored.iter().flat_map(|e| e.intents.keys()) {
+        for dispatch_id in stored
+            .iter()
+            .flat_map(|invocation| invocation.intents.keys())
+        {
             self.holders.entry(*dispatch_id).or_default().insert(member);
         }
     }
--- a/crates/replica/src/ownership/claim_table/tests.rs
+++ b/crates/replica/src/ownership/claim_table/tests.rs
@@ -32,9 +32,9 @@
         None,
     );
     // At this time the member votes, because everything that it may have lost has expired.
-    let (mut now, mut out) = (2 * retention, Vec::new());
-    replica.handle(now, Input::Tick, &mut out);
-    let (mut with_due_time, mut without) = (0, 0);
+    let (mut now, mut outputs) = (2 * retention, Vec::new());
+    replica.handle(now, Input::Tick, &mut outputs);
+    let (mut with_due_time, mut without_due_time) = (0, 0);
     for n in 0..20_000u64 {
         let draw = hashed(n);
         let (key, dispatch) = (Key::from(format!("k{}", draw % 40)), draw >> 8 & 3);
@@ -71,18 +71,18 @@
             _ => Input::Tick,
         };
         now += (draw >> 20 & 0xffff) as Micros / 4;
-        replica.handle(now, input, &mut out);
-        let least = replica
+        replica.handle(now, input, &mut outputs);
+        let earliest = replica
             .claims()
             .map(|(_, c)| c.due())
             .min()
             .unwrap_or(Micros::MAX);
-        assert_eq!(replica.ownership().next_due(), least, "after {n}");
-        with_due_time += u64::from(least < Micros::MAX);
-        without += u64::from(least == Micros::MAX);
+        assert_eq!(replica.ownership().next_due(), earliest, "after event {n}");
+        with_due_time += u64::from(earliest < Micros::MAX);
+        without_due_time += u64::from(earliest == Micros::MAX);
     }
     assert!(
-        with_due_time > 1_000 && without > 0,
-        "{with_due_time} {without}"
+        with_due_time > 1_000 && without_due_time > 0,
+        "{with_due_time} events with a due time, {without_due_time} without"
     );
 }
--- a/crates/replica/src/ownership/intents.rs
+++ b/crates/replica/src/ownership/intents.rs
@@ -90,7 +90,11 @@
         without_majority: bool,
     ) {
         cx.counts.intents += 1;
-        let owner = cx.member.store().invocation(key).map(|e| e.owner.ballot);
+        let owner = cx
+            .member
+            .store()
+            .invocation(key)
+            .map(|invocation| invocation.owner.ballot);
         let claim = self.claims.get(key).filter(|c| c.stage == Stage::Owner);
         let Some(claim) = claim.filter(|c| owner == Some(c.ballot)) else {
             emit_dispatch_permission(cx, key, dispatch, Err(NoMajorityReason::OwnedElsewhere));
--- a/crates/replica/src/ownership/mod.rs
+++ b/crates/replica/src/ownership/mod.rs
@@ -95,7 +95,7 @@
             let first_dispatch_ago = time_since_first_dispatch(cx, key);
             return emit_decision(cx, key, OwnershipDecision::Dispatch { first_dispatch_ago });
         }
-        if known.as_ref().is_some_and(|e| e.closed) {
+        if known.as_ref().is_some_and(|invocation| invocation.closed) {
             let decision = OwnershipDecision::Indeterminate(IndeterminateReason::Closed);
             return self.conclude(cx, key, decision);
         }
@@ -119,7 +119,9 @@
             }
             // The message was delivered to two routers at the same time, as a first delivery to each. The owner keeps
             // the invocation, and this router waits for the outcome.
-            Some(e) if !redelivered && !cx.member.has_no_active_owner(&e.owner) => {
+            Some(invocation)
+                if !redelivered && !cx.member.has_no_active_owner(&invocation.owner) =>
+            {
                 self.open_claim(cx, key, Stage::AwaitingOwner(None));
                 cx.counts.awaiting_other_owner += 1;
                 emit_decision(cx, key, OwnershipDecision::Wait);
--- a/crates/replica/src/ownership/takeover.rs
+++ b/crates/replica/src/ownership/takeover.rs
@@ -22,9 +22,9 @@
         };
         cx.counts.takeovers += 1;
         let before = cx.member.store().invocation(key).cloned();
-        let known = before
-            .as_ref()
-            .map_or(FIRST_BALLOT_NUMBER, |e| e.owner.ballot.number);
+        let known = before.as_ref().map_or(FIRST_BALLOT_NUMBER, |invocation| {
+            invocation.owner.ballot.number
+        });
         let number = known.max(claim.ballot.number).saturating_add(1);
         claim.ballot = cx.member.ballot(number);
         let request = FenceRequest {
--- a/crates/replica/src/recovery.rs
+++ b/crates/replica/src/recovery.rs
@@ -141,7 +141,9 @@
 /// Marks all open invocations as invocations whose intents may be lost.
 fn mark_intents_as_possibly_lost(cx: &mut Context<'_>) {
     let is_open = |record: &Record| match record {
-        Record::Invocation(e) => !e.closed && e.answer.is_none() && !e.may_lack_intents,
+        Record::Invocation(invocation) => {
+            !invocation.closed && invocation.answer.is_none() && !invocation.may_lack_intents
+        }
         _ => false,
     };
     let records = cx.member.store().all();
--- a/crates/replica/src/settings.rs
+++ b/crates/replica/src/settings.rs
@@ -99,7 +99,7 @@
     AgreeingVoters,
     /// An invocation that no member is known to have taken is not dispatched again.
     KnownToBeTaken,
-    /// After a restart of all members, the absence of an intent proves nothing.
+    /// After restarts in which intents may have been lost, the absence of an intent proves nothing.
     DoubtAfterRestarts,
     /// A member that has not answered is assumed to have stored an intent.
     UnansweredMayHold,
--- a/crates/replica/src/store/mod.rs
+++ b/crates/replica/src/store/mod.rs
@@ -28,7 +28,7 @@
 pub const LEAF_BITS: u32 = 12;
 /// The number of leaves.
 pub const LEAVES: Leaf = 1 << LEAF_BITS;
-/// The number of neighbouring leaves in one group.
+/// The number of adjacent leaves in one group.
 pub const LEAVES_PER_GROUP: Leaf = 64;
 /// The number of groups.
 pub const GROUPS: Leaf = LEAVES / LEAVES_PER_GROUP;
@@ -256,7 +256,7 @@
 
     /// When the next record expires.
     pub fn next_expiry(&self) -> Micros {
-        self.expiries.first().map_or(Micros::MAX, |e| e.0)
+        self.expiries.first().map_or(Micros::MAX, |expiry| expiry.0)
     }
 
     /// The keys of records that have changed or expired since the last call; empty if records are not persisted.
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -42,7 +42,7 @@
     /// The acceptor's store is full.
     #[serde(rename = "full")]
     StoreFull,
-    /// The acceptor does not remember enough to vote.
+    /// The acceptor is recovering and does not vote yet.
     #[serde(rename = "returning")]
     Recovering,
     /// The record has expired at the acceptor.
