--- a/crates/membership/src/counts.rs
+++ b/crates/membership/src/counts.rs
@@ -1,33 +1,33 @@
-//! Counts of the failure detector. The names under `/state` and in the metrics are those given to serde.
+//! Counters of the failure detector. The serde names are those shown under `/state` and in the metrics.
 
 use serde::Serialize;
 
-/// How often each thing happened since this process started; shown under `/state`.
+/// Counters since the start of this process; shown under `/state`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct MembershipCounts {
-    /// Probes of this member's own rounds.
+    /// Probes sent in this member's own probe rounds.
     #[serde(rename = "probes")]
     pub probes: u64,
-    /// Requests to others to probe a silent member.
+    /// Requests to other members to probe an unresponsive member.
     #[serde(rename = "asked_for")]
     pub indirect_probes: u64,
-    /// Members that this one began to suspect.
+    /// Suspicions that this member raised.
     #[serde(rename = "suspected")]
     pub suspicions: u64,
-    /// Wrong states of this member that it refuted.
+    /// Refutations by this member of a wrong state that others recorded of it.
     #[serde(rename = "refuted")]
     pub refutations: u64,
-    /// Refutations of another process of this member with an incarnation at least as high: this one started from an
-    /// older store.
+    /// Refutations of an update about another process of this member whose incarnation was at least as high. They show
+    /// that this process started from an outdated store.
     #[serde(rename = "outdated")]
     pub outdated_store_signs: u64,
     /// Suspected members that this one declared dead.
     #[serde(rename = "deaths")]
     pub deaths: u64,
-    /// Times that this process noticed it had been suspended.
+    /// Times that this process detected that it had been suspended.
     #[serde(rename = "woken")]
     pub resumptions: u64,
-    /// Probes on behalf of others that there was no room for.
+    /// Probes on behalf of other members that were rejected because too many were in flight.
     #[serde(rename = "unasked")]
     pub rejected_relays: u64,
 }
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,15 +1,16 @@
-//! Which members are alive, as far as this one can tell (after SWIM, Das, Gupta and Motivala 2002, for small groups: the
-//! whole table is sent where it differs). [`Membership::handle`] takes what was received or that time passed, and gives
-//! messages and changes; [`Membership::next_due`] says when it has to be called again.
+//! Failure detector after SWIM (Das, Gupta and Motivala 2002), adapted to small groups: a member sends its whole table
+//! to a member whose table differs. [`Membership::handle`] takes a received message or a tick and returns messages to
+//! send and changes of state; [`Membership::next_due`] returns the time by which it has to be called again.
 //!
 //! Mechanisms:
-//! 1. Probes: one member after the other, in an order drawn anew each round. One that does not answer is probed through
-//!    others too, so that one bad link makes nobody look dead.
-//! 2. Suspicion: a member that answers nobody is suspected, and dead if nothing is received in time. Dead members are
-//!    still probed.
-//! 3. Refutation: a member that reads that it is suspected, dead or another process raises its incarnation. The higher
-//!    incarnation wins, and within one incarnation the worse state.
-//! 4. Resuming: a process that was suspended does not hold its own silence against the others.
+//! 1. Probes: members are probed one after the other, in a random order that changes each round. A member that does not
+//!    answer is also probed indirectly, through other members, so that one bad link does not make it look dead.
+//! 2. Suspicion: a member that answers neither kind of probe is suspected. It is declared dead if nothing is received
+//!    from it before the suspicion times out. Dead members are still probed.
+//! 3. Refutation: a member raises its incarnation when it receives an update in which it is suspected or dead, or which
+//!    names another process of this member. The higher incarnation wins; within one incarnation the worse state wins.
+//! 4. Resumption: a process that was suspended discards the timeouts that passed meanwhile, since they do not show that
+//!    the other members were silent.
 
 use cedarpulley::interface::Micros;
 
@@ -21,12 +22,13 @@
 use crate::relayed_probes::{RelayedProbe, RelayedProbes};
 use crate::settings::FailureDetectorSettings;
 
-/// Members asked to probe a silent one. With a single one, that one's own bad link would decide.
+/// Number of members that are requested to probe an unresponsive member. With only one, a bad link of that member alone
+/// could cause a suspicion.
 const INDIRECT_PROBES: usize = 2;
-/// A call that is late by more than this many probe intervals: this process was suspended.
+/// If a call is late by more than this number of probe intervals, this process is taken to have been suspended.
 const SUSPENDED_INTERVALS: Micros = 4;
 
-/// What [`Membership::handle`] is called with.
+/// Input of [`Membership::handle`].
 #[derive(Debug)]
 pub enum Input {
     /// A message was received.
@@ -42,7 +44,7 @@
     Tick,
 }
 
-/// What [`Membership::handle`] asks its caller to do.
+/// Output of [`Membership::handle`], to be executed by its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message.
@@ -52,7 +54,7 @@
         /// The message.
         message: Message,
     },
-    /// This member's state, its reason or its incarnation changed.
+    /// The state of the given member, its reason or its incarnation changed.
     Changed(MemberIndex),
 }
 
@@ -64,15 +66,15 @@
     table: MemberTable,
     schedule: ProbeSchedule,
     relayed: RelayedProbes,
-    /// Number of the last probe that this member sent.
+    /// Sequence number of the last probe that this member sent.
     sequence: u64,
-    /// What happened since the start.
+    /// Counters since the start of this process.
     pub counts: MembershipCounts,
 }
 
 impl Membership {
-    /// `nonce` is different for each process; `last_incarnation` is the highest number that this member is known to have
-    /// had, from its store.
+    /// `nonce` is different for each process; `last_incarnation` is the highest incarnation number of this member in
+    /// its store.
     pub fn new(
         now: Micros,
         group: Group,
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Takes one input and appends what follows from it, and from the time, to `out`.
+    /// Handles one input and everything that is due at `now`; appends the outputs to `out`.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Received {
@@ -113,7 +115,7 @@
         self.on_time(now, out);
     }
 
-    /// When [`Membership::handle`] has to be called at the latest.
+    /// Latest time at which [`Membership::handle`] has to be called.
     pub fn next_due(&self) -> Micros {
         let next_death = self
             .table
@@ -130,17 +132,17 @@
         &self.group
     }
 
-    /// This member's own incarnation; it goes along with each message.
+    /// This member's own incarnation; it is sent with each message.
     pub fn own_incarnation(&self) -> Incarnation {
         self.table.own_incarnation()
     }
 
-    /// What is known of a member; unknown if there is none of this index.
+    /// The status of a member; `Unknown` if no member has this index.
     pub fn status(&self, member: MemberIndex) -> MemberStatus {
         self.table.status(member)
     }
 
-    /// Suspected members still count as alive: suspicions are often refuted.
+    /// Whether a member is considered alive. Suspected members still count as alive, as suspicions are often refuted.
     pub fn is_alive(&self, member: MemberIndex) -> bool {
         matches!(
             self.status(member).state,
@@ -148,12 +150,13 @@
         )
     }
 
-    /// Grows with each change of the table.
+    /// Version of the member table; it increases with each change.
     pub fn version(&self) -> u64 {
         self.table.version()
     }
 
-    /// Something that is no membership message was received from this member.
+    /// Records that a message was received from this member. Callers use it for messages that are not membership
+    /// messages.
     pub fn record_contact(
         &mut self,
         now: Micros,
@@ -205,7 +208,7 @@
             } => {
                 self.merge_all(now, &received, out);
                 self.on_answer(now, from, probe_sequence, responder, out);
-                // The sender lacks something that is known here, and gets it at once, not a round later.
+                // The tables differ: this one is sent to the sender at once, not one round later.
                 let is_own_answer = responder == from && sender_digest != 0;
                 if is_own_answer && sender_digest != self.table.digest() {
                     self.send_probe(from, true, out);
@@ -247,7 +250,7 @@
         }
     }
 
-    /// Probes a member on another one's behalf.
+    /// Probes a member on behalf of another member.
     fn relay_probe(
         &mut self,
         now: Micros,
@@ -277,10 +280,11 @@
         self.relayed.insert(sequence, probe);
     }
 
-    /// What is due by now.
+    /// Handles everything that is due at `now`.
     fn on_time(&mut self, now: Micros, out: &mut Vec<Output>) {
         if now - self.schedule.next_probe > SUSPENDED_INTERVALS * self.settings.probe_interval {
-            // Symptom: suspended for minutes and resumed, everybody is overdue at once. None of that is their silence.
+            // Without this, a process that resumes after minutes would find all other members overdue at once, although
+            // they were not silent.
             self.counts.resumptions += 1;
             self.schedule.pending = None;
             self.schedule.next_probe = now;
@@ -304,7 +308,7 @@
         }
     }
 
-    /// Suspicions that timed out.
+    /// Declares members dead whose suspicion timed out.
     fn declare_dead(&mut self, now: Micros, out: &mut Vec<Output>) {
         let is_overdue = |status: &MemberStatus| {
             status.state == MemberState::Suspected
@@ -347,7 +351,7 @@
             return;
         };
         self.counts.probes += 1;
-        // A member that is not known to be alive has to learn what is held of it.
+        // A member that is not recorded as alive has to receive this record to be able to refute it.
         let with_updates = self.status(target).state != MemberState::Alive;
         let sequence = self.send_probe(target, with_updates, out);
         self.schedule.pending = Some(PendingProbe {
@@ -375,13 +379,13 @@
         }
         self.schedule.pending = Some(PendingProbe {
             is_indirect: true,
-            // The indirect way is twice as long as the direct one.
+            // An indirect probe takes two round trips, a direct one takes one.
             due: now + 2 * self.settings.answer_timeout,
             ..probe
         });
     }
 
-    /// Gives the probe's number.
+    /// Sends a probe and returns its sequence number.
     fn send_probe(&mut self, to: MemberIndex, with_updates: bool, out: &mut Vec<Output>) -> u64 {
         self.sequence += 1;
         let message = Message::Probe {
--- a/crates/membership/src/group.rs
+++ b/crates/membership/src/group.rs
@@ -1,17 +1,17 @@
-//! The group as configured: its members, their weights and regions, and what a majority is. It never changes while a
-//! router runs, and two routers with different groups do not talk to each other.
+//! The group as configured: its members, their weights and regions, and the definition of a majority. It does not
+//! change while a router runs. Two routers that are configured with different groups do not communicate.
 
 use std::collections::BTreeSet;
 
 use crate::member_table::stable_hash;
 
-/// A member's place in [`Group::members`].
+/// Index of a member in [`Group::members`].
 pub type MemberIndex = u16;
 
-/// Each member probes every other one and holds an entry for each: with more of them, a second group is the better
-/// choice.
+/// Most members of a group. Each member probes every other member and has a table entry for it, so that a second group
+/// is the better choice above this number.
 pub const MAX_MEMBERS: usize = 64;
-/// Weights are small numbers, so that their sum is exact and a person can add them up.
+/// Highest weight of a member. Weights are small so that their sum is exact and easy to check by hand.
 pub const MAX_WEIGHT: u32 = 100;
 
 /// One member of a group.
@@ -19,45 +19,45 @@
 pub struct Member {
     /// Unique in the group.
     pub name: String,
-    /// Where it runs; any text.
+    /// The region where it runs; any text.
     pub region: String,
-    /// Its votes towards a majority; with 0 it only listens.
+    /// Weight of its vote towards a majority; a member of weight 0 receives records and does not count.
     pub weight: u32,
-    /// It votes and stores records, and takes no invocations.
+    /// Whether it only votes and stores records, and accepts no invocations.
     pub witness: bool,
 }
 
-/// Why a list of members is no group.
+/// The reason why a list of members is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GroupError {
-    /// There are no members.
+    /// The list is empty.
     #[error("the group has no member")]
     Empty,
-    /// There are more than [`MAX_MEMBERS`]: so many.
+    /// The list has this number of members, more than [`MAX_MEMBERS`].
     #[error("the group has {0} members, more than {MAX_MEMBERS}")]
     TooLarge(usize),
     /// Two members have this name.
-    #[error("member '{0}' is named twice")]
+    #[error("member '{0}' is listed twice")]
     DuplicateName(String),
-    /// This router's own name is no member's.
-    #[error("'{0}' is not among the group's members")]
+    /// No member has this router's own name.
+    #[error("'{0}' is not a member of the group")]
     NotAMember(String),
     /// All weights are 0.
-    #[error("no member of the group has a weight")]
+    #[error("no member of the group has a weight above 0")]
     NoWeight,
 }
 
 impl GroupError {
-    /// What an operator can do.
+    /// What an operator can do about the error.
     pub fn remedy(&self) -> &'static str {
         match self {
             GroupError::Empty => {
-                "name each router of the group under [[peers.member]], this one too"
+                "list each router of the group under [[peers.member]], including this one"
             }
             GroupError::TooLarge(_) => {
-                "part the routers into several groups, each with queues of its own"
+                "split the routers into several groups, each with its own queues"
             }
-            GroupError::DuplicateName(_) => "give each member a name of its own",
+            GroupError::DuplicateName(_) => "give each member a unique name",
             GroupError::NotAMember(_) => {
                 "set peers.name to the name of the member that this router is"
             }
@@ -66,21 +66,22 @@
     }
 }
 
-/// Equal at every member, apart from `me`.
+/// The group as configured. It is equal at every member, apart from `own_index`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Group {
     /// Its name.
     pub name: String,
-    /// In the order of their names.
+    /// Sorted by name.
     pub members: Vec<Member>,
-    /// Which member this router is.
+    /// The member that is this router.
     pub own_index: MemberIndex,
-    /// Hash of name and members. Members with another one are not talked to.
+    /// Hash of the name and the members. Routers with different fingerprints do not communicate.
     pub fingerprint: u64,
 }
 
 impl Group {
-    /// `own_name`: which member this router is. Members are sorted by name: their order in a file does not matter.
+    /// `own_name` is the name of this router. Members are sorted by name, so that their order in a file does not
+    /// matter.
     pub fn new(name: &str, mut members: Vec<Member>, own_name: &str) -> Result<Group, GroupError> {
         members.sort_by(|a, b| a.name.cmp(&b.name));
         if members.is_empty() {
@@ -106,12 +107,12 @@
         })
     }
 
-    /// How many members there are.
+    /// Number of members.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Never, as [`Group::new`] rejects it.
+    /// Always false, as [`Group::new`] rejects an empty group.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
@@ -126,7 +127,7 @@
         self.indices().filter(move |member| *member != own_index)
     }
 
-    /// The sum of these members' weights; each index counts as often as it is given.
+    /// Sum of the weights of `members`; an index that is given several times is counted several times.
     pub fn weight(&self, members: impl IntoIterator<Item = MemberIndex>) -> u32 {
         members
             .into_iter()
@@ -135,12 +136,13 @@
             .sum()
     }
 
-    /// These have more than half of all weight. Two majorities always have a member in common.
+    /// Whether `members` have more than half of the total weight. Any two majorities have a member in common.
     pub fn is_majority(&self, members: impl IntoIterator<Item = MemberIndex>) -> bool {
         self.weight(members) * 2 > self.weight(self.indices())
     }
 
-    /// Every majority has a member among these other than `excluded`: what any majority accepted, one of these knows.
+    /// Whether every majority has a member among `members` other than `excluded`, so that one of them has whatever a
+    /// majority accepted.
     pub fn intersects_every_majority(
         &self,
         members: &BTreeSet<MemberIndex>,
@@ -152,7 +154,8 @@
         !self.is_majority(rest)
     }
 
-    /// Regions whose members are a majority by themselves: cut off from the others, they can go on.
+    /// Regions whose members are a majority by themselves, so that they keep working when all other regions are
+    /// unreachable.
     pub fn regions_with_majority(&self) -> Vec<&str> {
         let regions: BTreeSet<&str> = self.members.iter().map(|m| m.region.as_str()).collect();
         let members_in = |region: &str| {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,14 +1,14 @@
-//! Membership of a group of routers: which members are alive, and when a change of that is acted upon. Free of I/O and
-//! without a leader. Begin reading at [`Membership::handle`] in `failure_detector.rs`.
+//! Membership of a group of routers: detects which members are alive, and debounces changes. It does no I/O and needs
+//! no leader. Begin reading at [`Membership::handle`] in `failure_detector.rs`.
 //!
-//! * [`group`]: the members as configured, their weights, and what a majority is.
-//! * [`message`]: what members send each other.
+//! * [`group`]: the members as configured, their weights, and the definition of a majority.
+//! * [`message`]: the messages between members.
 //! * [`failure_detector`]: probes, suspicion, refutation and indirect probes, as in SWIM.
 //! * [`member_table`]: the state of each member, merged by incarnation and compared by digest.
-//! * [`stable_view`]: debounces the table, so that a flapping link does not move work around.
+//! * [`stable_view`]: debounces the table, so that a flapping link does not cause work to be reassigned repeatedly.
 //!
-//! The result is a hint, never a proof: that a member is considered dead shortens waiting, while what may be dispatched
-//! is decided by the votes of `cedarpulley-replica`. This package holds no record of any invocation.
+//! The result is a hint and proves nothing: that a member is considered dead only shortens waiting, while the votes of
+//! `cedarpulley-replica` decide what may be dispatched. This package stores no records of invocations.
 #![warn(missing_docs)]
 
 pub mod counts;
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,5 +1,5 @@
-//! What this member holds of each member, with the rule by which two members' tables are merged: the higher incarnation
-//! wins, and within one incarnation the worse state. Only a member itself raises its incarnation.
+//! Table of the states of all members, with the rule by which the tables of two members are merged: the higher
+//! incarnation wins, and within one incarnation the worse state. Only a member itself raises its incarnation.
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
 
@@ -9,64 +9,64 @@
 use crate::group::MemberIndex;
 use crate::message::{Incarnation, MemberState, MemberUpdate};
 
-/// The reason of a member's present state.
+/// The reason for a member's present state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize)]
 pub enum StateReason {
-    /// Nothing was received from it yet.
+    /// Nothing has been received from the member yet.
     #[default]
     #[serde(rename = "never-heard")]
     NothingReceived,
-    /// It is this member.
+    /// The member is this process itself.
     #[serde(rename = "itself")]
     Itself,
-    /// It answered a probe, or sent something else.
+    /// The member answered a probe or sent any other message.
     #[serde(rename = "answered")]
     Answered,
-    /// It answered members that were asked to probe it.
+    /// The member answered indirect probes.
     #[serde(rename = "answered-others")]
     AnsweredIndirectly,
-    /// It answered neither this member nor those asked to probe it.
+    /// The member answered neither direct nor indirect probes.
     #[serde(rename = "silent")]
     Unresponsive,
-    /// It was suspected, and nothing was received in time.
+    /// The member was suspected, and the suspicion timed out without a refutation.
     #[serde(rename = "silent-too-long")]
     SuspicionTimedOut,
-    /// Another member reported it.
+    /// Another member reported the state.
     #[serde(rename = "told")]
     ReportedByPeer,
 }
 
-/// What is known of one member.
+/// Status of one member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberStatus {
     /// Its latest known incarnation.
     pub incarnation: Incarnation,
     /// The state of that incarnation.
     pub state: MemberState,
-    /// When it took this state.
+    /// Time at which it entered this state.
     pub since: Micros,
-    /// The reason of this state.
+    /// The reason for this state.
     pub reason: StateReason,
-    /// When anything was last received from it directly.
+    /// Time at which a message was last received directly from it.
     pub last_received: Option<Micros>,
 }
 
-/// What [`MemberTable::merge`] did.
+/// Result of [`MemberTable::merge`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MergeOutcome {
-    /// Nothing new.
+    /// The update contained nothing new.
     Unchanged,
-    /// The member's entry is replaced.
+    /// The member's entry was replaced.
     Updated,
-    /// It was wrong about this member, which has raised its incarnation.
+    /// The update was wrong about this member, which has raised its incarnation.
     Refuted {
-        /// It named another process of this member with an incarnation at least as high: the store that this one
-        /// started from is an older one.
+        /// The update was about another process of this member with an incarnation at least as high, which shows that
+        /// this process started from an outdated store.
         other_process: bool,
     },
 }
 
-/// The state of each member, by [`MemberIndex`].
+/// The status of each member, by [`MemberIndex`].
 #[derive(Debug)]
 pub(crate) struct MemberTable {
     own_index: MemberIndex,
@@ -75,7 +75,7 @@
 }
 
 impl MemberTable {
-    /// All unknown, apart from this member itself.
+    /// All members are `Unknown`, apart from this member itself.
     pub fn new(now: Micros, size: usize, own_index: MemberIndex, own: Incarnation) -> Self {
         let unknown = MemberStatus {
             since: now,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Grows with each change.
+    /// Increases with each change.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -104,12 +104,12 @@
         self.members[self.own_index as usize].incarnation
     }
 
-    /// It is a member of the group other than this one.
+    /// Whether `member` is a member of the group other than this one.
     pub fn is_other_member(&self, member: MemberIndex) -> bool {
         member != self.own_index && (member as usize) < self.members.len()
     }
 
-    /// Unknown if there is no such member.
+    /// The status of a member; `Unknown` if no member has this index.
     pub fn status(&self, member: MemberIndex) -> MemberStatus {
         self.members
             .get(member as usize)
@@ -117,17 +117,17 @@
             .unwrap_or_default()
     }
 
-    /// All members, by index.
+    /// The status of each member, with its index.
     pub fn statuses(&self) -> impl Iterator<Item = (MemberIndex, MemberStatus)> {
         (0..).zip(self.members.iter().copied())
     }
 
-    /// Something was received from a member of the group.
+    /// Records that a message was received from a member of the group.
     pub fn record_contact(&mut self, now: Micros, member: MemberIndex) {
         self.members[member as usize].last_received = Some(now);
     }
 
-    /// The times of all suspicions start anew.
+    /// Restarts the timeouts of all suspicions.
     pub fn restart_suspicions(&mut self, now: Micros) {
         for status in &mut self.members {
             if status.state == MemberState::Suspected {
@@ -136,11 +136,12 @@
         }
     }
 
-    /// A member answered others that probed it on this one's behalf. True if the reason of its state changed.
+    /// Records that a member answered an indirect probe of this member. Returns whether the reason for its state
+    /// changed.
     pub fn record_indirect_answer(&mut self, now: Micros, member: MemberIndex) -> bool {
         let status = &mut self.members[member as usize];
         if status.state == MemberState::Suspected {
-            // Those that reached it pass its refutation on; until that comes, the suspicion does not time out.
+            // The members that reached it forward its refutation; the suspicion must not time out before that arrives.
             status.since = now;
         } else if status.reason == StateReason::Unresponsive
             || status.reason == StateReason::NothingReceived
@@ -151,7 +152,7 @@
         false
     }
 
-    /// A new state of the same incarnation, found by this member.
+    /// Sets a new state within the same incarnation, as detected by this member.
     pub fn set_state(
         &mut self,
         now: Micros,
@@ -163,7 +164,7 @@
         self.replace(now, member, incarnation, state, reason);
     }
 
-    /// Takes in what another member, or a message of the member itself, says of a member.
+    /// Merges an update on a member, received from another member or implied by a message of the member itself.
     pub fn merge(
         &mut self,
         now: Micros,
@@ -186,7 +187,8 @@
         MergeOutcome::Updated
     }
 
-    /// Symptom: a late answer, a partition or an earlier process of this member leaves others with a wrong state of it.
+    /// Refutes a wrong state of this member by raising its incarnation. Without this, other members would keep a wrong
+    /// state of it after a late answer, a partition or an earlier process of this member.
     fn refute(&mut self, now: Micros, update: MemberUpdate, own: Incarnation) -> MergeOutcome {
         let other_process = update.incarnation.nonce != own.nonce;
         let is_wrong = update.state != MemberState::Alive || other_process;
@@ -226,7 +228,7 @@
         self.version += 1;
     }
 
-    /// What is sent of one member; none if nothing is known.
+    /// The update that is sent on one member; none if its state is `Unknown`.
     pub fn update_of(&self, member: MemberIndex) -> Option<MemberUpdate> {
         let status = self.status(member);
         (status.state != MemberState::Unknown).then_some(MemberUpdate {
@@ -236,14 +238,14 @@
         })
     }
 
-    /// What is sent of all members.
+    /// The updates that are sent on all members.
     pub fn updates(&self) -> Vec<MemberUpdate> {
         (0..self.members.len() as MemberIndex)
             .filter_map(|member| self.update_of(member))
             .collect()
     }
 
-    /// Equal at two members whose tables agree; never 0.
+    /// Digest of the table, equal at two members whose tables agree; never 0.
     pub fn digest(&self) -> u64 {
         stable_hash(self.updates()) | 1
     }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,40 +1,42 @@
-//! What members of a group send each other. Encoded with postcard: the order of variants and fields is the wire format.
+//! Messages between the members of a group. They are encoded with postcard, so that the order of variants and fields is
+//! part of the wire format.
 
 use serde::{Deserialize, Serialize};
 
 use crate::group::MemberIndex;
 
-/// One run of a member's process. The higher one is the later one.
+/// Identifies one run of a member's process. A later incarnation compares as greater.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Incarnation {
-    /// Only grows, over restarts too as long as the store is kept. A member raises it to refute what others hold of it.
+    /// Only increases, also over restarts as long as the store is retained. A member raises it to refute a wrong state
+    /// that others recorded of it.
     pub number: u64,
     /// Random, and different for each process.
     pub nonce: u64,
 }
 
-/// Liveness of one member. Of two states of the same incarnation the later one in this order wins.
+/// Liveness of one member. Of two states of the same incarnation, the later one in this order wins.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub enum MemberState {
-    /// Nothing was received from it, or about it, yet.
+    /// Nothing has been received from the member or about it yet.
     #[default]
     Unknown,
-    /// It answers.
+    /// The member answers.
     Alive,
-    /// It answered neither this member nor those asked to probe it; it still counts as alive.
+    /// The member answered neither direct nor indirect probes; it still counts as alive.
     Suspected,
-    /// It was suspected for too long.
+    /// The suspicion of the member timed out.
     Dead,
 }
 
-/// What the sender holds of one member.
+/// The sender's entry for one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member that this is about.
+    /// The member that the entry describes.
     pub member: MemberIndex,
     /// Its latest known incarnation.
     pub incarnation: Incarnation,
@@ -42,32 +44,32 @@
     pub state: MemberState,
 }
 
-/// One message between two members. The sender's table goes along only where the digests differ.
+/// One message between two members. It includes the sender's table only if the digests differ.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks the receiver for an [`Message::Answer`].
+    /// Requests an [`Message::Answer`] from the receiver.
     Probe {
-        /// Number of the probe, chosen by its sender.
+        /// Sequence number of the probe, chosen by its sender.
         sequence: u64,
         /// Digest of the sender's table.
         digest: u64,
         /// The sender's table, or empty.
         updates: Vec<MemberUpdate>,
     },
-    /// A probe was answered.
+    /// Answers a probe, or forwards the answer to an indirect probe.
     Answer {
-        /// Number of the probe that is answered.
+        /// Sequence number of the probe that is answered.
         sequence: u64,
-        /// The member that answered: the sender itself, or the target of the sender's probe on the receiver's behalf.
+        /// The member that answered: the sender itself, or the target of an indirect probe that the receiver requested.
         answered_by: MemberIndex,
-        /// Digest of the sender's table; 0 in an answer passed on.
+        /// Digest of the sender's table; 0 in a forwarded answer.
         digest: u64,
-        /// The sender's table, or empty; in an answer passed on, what the sender holds of the member that answered.
+        /// The sender's table, or empty; in a forwarded answer, the sender's entry for the member that answered.
         updates: Vec<MemberUpdate>,
     },
-    /// Asks the receiver to probe another member on the sender's behalf (SWIM's indirect probe).
+    /// Requests that the receiver probe another member on the sender's behalf (SWIM's indirect probe).
     IndirectProbe {
-        /// Number of the probe that remained unanswered.
+        /// Sequence number of the direct probe that was not answered.
         sequence: u64,
         /// The member to probe.
         target: MemberIndex,
--- a/crates/membership/src/probe_schedule.rs
+++ b/crates/membership/src/probe_schedule.rs
@@ -1,4 +1,4 @@
-//! Which member is probed next, and the probe that is in flight.
+//! Selects the member to probe next and tracks the probe in flight.
 
 use cedarpulley::interface::Micros;
 
@@ -10,23 +10,24 @@
 pub(crate) struct PendingProbe {
     pub target: MemberIndex,
     pub sequence: u64,
-    /// Other members were asked to probe the target too.
+    /// Whether other members were requested to probe the target too.
     pub is_indirect: bool,
-    /// Without an answer until then, the next step is taken.
+    /// Time at which the probe times out: a direct probe is then followed by indirect ones, and after these the target
+    /// is suspected.
     pub due: Micros,
 }
 
-/// One member after the other is probed, in an order drawn anew for each round.
+/// Probes one member after the other, in a random order that changes with each round.
 #[derive(Debug)]
 pub(crate) struct ProbeSchedule {
     seed: u64,
-    /// How many orders were drawn.
+    /// Number of shuffles so far; part of the seed of the next one.
     draws: u64,
-    /// Who is left in this round; the last one is next.
+    /// The members still to be probed in this round; the last one is next.
     round: Vec<MemberIndex>,
-    /// When the next probe is due.
+    /// Time at which the next probe is due.
     pub next_probe: Micros,
-    /// At most one at a time.
+    /// The probe in flight; at most one at a time.
     pub pending: Option<PendingProbe>,
 }
 
@@ -41,13 +42,13 @@
         }
     }
 
-    /// When the next probe is due or the pending one times out.
+    /// Time at which the next probe is due or the pending one times out.
     pub fn next_due(&self) -> Micros {
         self.pending
             .map_or(self.next_probe, |probe| probe.due.min(self.next_probe))
     }
 
-    /// The next one to probe; none in a group of one.
+    /// The next member to probe; none in a group of one member.
     pub fn next_target(&mut self, group: &Group) -> Option<MemberIndex> {
         if self.round.is_empty() {
             let mut round: Vec<MemberIndex> = group.others().collect();
@@ -57,19 +58,19 @@
         self.round.pop()
     }
 
-    /// Puts members in a drawn order.
+    /// Shuffles members; the order depends only on the seed and the number of shuffles before.
     pub fn shuffle(&mut self, members: &mut [MemberIndex]) {
         self.draws += 1;
         let draw = (self.seed, self.draws);
         members.sort_by_cached_key(|member| stable_hash((draw, *member)));
     }
 
-    /// The pending probe, if its time is over.
+    /// The pending probe, if it has timed out.
     pub fn timed_out(&self, now: Micros) -> Option<PendingProbe> {
         self.pending.filter(|probe| now >= probe.due)
     }
 
-    /// Ends the pending probe if this answers it.
+    /// Ends the pending probe if the answer belongs to it; returns whether it does.
     pub fn answered(&mut self, sequence: u64, target: MemberIndex) -> bool {
         let is_answer = self
             .pending
--- a/crates/membership/src/relayed_probes.rs
+++ b/crates/membership/src/relayed_probes.rs
@@ -1,4 +1,4 @@
-//! Probes that this member makes on behalf of others.
+//! Probes that this member sends on behalf of other members.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,21 @@
 
 use crate::group::MemberIndex;
 
-/// Relayed probes in flight at once. One more is rejected, and its requester suspects the target a little sooner.
+/// Most relayed probes in flight. Further requests are rejected, and their requesters suspect the target a little
+/// sooner.
 const MAX_RELAYED: usize = 256;
 
 /// One probe on behalf of another member.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RelayedProbe {
     pub requester: MemberIndex,
-    /// The requester's number of its own probe.
+    /// Sequence number of the requester's own probe.
     pub requested_sequence: u64,
     pub target: MemberIndex,
     pub expires_at: Micros,
 }
 
-/// By the number of this member's own probe.
+/// Relayed probes in flight, by the sequence number of this member's probe.
 #[derive(Debug, Default)]
 pub(crate) struct RelayedProbes {
     in_flight: BTreeMap<u64, RelayedProbe>,
@@ -34,7 +35,7 @@
         self.in_flight.insert(sequence, probe);
     }
 
-    /// The relayed probe that `answered_by` answered; it ends.
+    /// Removes the relayed probe of this sequence number and returns it if `answered_by` is its target.
     pub fn answered(&mut self, sequence: u64, answered_by: MemberIndex) -> Option<RelayedProbe> {
         let probe = self.in_flight.remove(&sequence)?;
         (probe.target == answered_by).then_some(probe)
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -2,15 +2,15 @@
 
 use cedarpulley::interface::Micros;
 
-/// Times of the failure detector.
+/// Settings of the failure detector; times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct FailureDetectorSettings {
-    /// Time between two probes; each goes to one member.
+    /// Time between two probes; each probe is sent to one member.
     pub probe_interval: Micros,
-    /// A probe not answered within this time is made through others too.
+    /// Time after which an unanswered probe is followed by indirect probes.
     pub answer_timeout: Micros,
-    /// A suspected member is dead after this time.
+    /// Time after which a suspected member is declared dead.
     pub suspicion_timeout: Micros,
-    /// Of the order in which members are probed.
+    /// Seed of the random order in which members are probed.
     pub seed: u64,
 }
--- a/crates/membership/src/stable_view.rs
+++ b/crates/membership/src/stable_view.rs
@@ -1,27 +1,27 @@
 //! A debounced view of which members are alive. [`StableView::observe`] is called after each change and at
-//! [`StableView::next_due`]; it says when the view has changed.
+//! [`StableView::next_due`]; it returns whether the view has changed.
 //!
 //! Mechanisms:
-//! 1. A change has to last for a delay before the view takes it.
-//! 2. For a member that flapped lately the delay doubles with each flap, so that a flapping link changes the view only
-//!    once it is quiet. Symptom: shares, placement and who polls whom are dealt anew with every flap.
+//! 1. A change has to last for a delay before the view adopts it.
+//! 2. The delay for a member doubles with each recent flap, so that a flapping link changes the view only once it is
+//!    stable. Without this, shares, placement and the assignment of polling would be recomputed with every flap.
 
 use cedarpulley::interface::Micros;
 
 use crate::group::MemberIndex;
 
-/// The delay grows to 64 times at most: a minute for a second's.
+/// The delay grows to at most 64 times its base: with a base of one second, to about a minute.
 const MAX_DOUBLINGS: u32 = 6;
-/// One flap is forgotten after this many delays without another.
+/// Number of delays without a flap after which one earlier flap no longer counts.
 const DELAYS_PER_FORGOTTEN_FLAP: Micros = 16;
 
 /// The debounced liveness of one member.
 #[derive(Clone, Copy, Debug)]
 struct DebouncedMember {
     is_alive: bool,
-    /// As last observed.
+    /// Whether the member was alive when last observed.
     observed_alive: bool,
-    /// When the observation last changed.
+    /// Time at which the observation last changed.
     changed_at: Micros,
     recent_flaps: u32,
 }
@@ -31,7 +31,8 @@
         self.observed_alive != self.is_alive
     }
 
-    /// When a pending change is taken: the first one after one delay, the next after two, and so on.
+    /// Time at which a pending change is adopted: after one delay for the first flap, two for the second, then four and
+    /// so on.
     fn settles_at(&self, delay: Micros) -> Micros {
         let doublings = self.recent_flaps.saturating_sub(1).min(MAX_DOUBLINGS);
         self.changed_at + (delay << doublings)
@@ -49,7 +50,7 @@
     }
 }
 
-/// Which members are alive, changed only by what lasts.
+/// Debounced view of which members are alive; it changes only by observations that last.
 #[derive(Debug)]
 pub struct StableView {
     delay: Micros,
@@ -58,7 +59,8 @@
 }
 
 impl StableView {
-    /// `delay`: how long a change of a member that did not flap has to last. All members are alive at first.
+    /// `delay` is the time for which a change has to last if the member did not flap before. All members are alive at
+    /// first.
     pub fn new(now: Micros, members: usize, delay: Micros) -> Self {
         let alive = DebouncedMember {
             is_alive: true,
@@ -73,7 +75,7 @@
         }
     }
 
-    /// `observed_alive`: whether a member is alive as observed now. True if the view has changed.
+    /// `observed_alive` tells whether a member is alive as observed now. Returns whether the view has changed.
     pub fn observe(&mut self, now: Micros, observed_alive: impl Fn(MemberIndex) -> bool) -> bool {
         let mut changed = false;
         for (index, member) in (0..).zip(&mut self.members) {
@@ -87,7 +89,7 @@
         changed
     }
 
-    /// When the next pending change is taken if it lasts.
+    /// Time at which the next pending change is adopted if it lasts.
     pub fn next_due(&self) -> Micros {
         self.members
             .iter()
@@ -97,7 +99,7 @@
             .unwrap_or(Micros::MAX)
     }
 
-    /// The members alive in this view.
+    /// The members that are alive in this view.
     pub fn alive_members(&self) -> Vec<MemberIndex> {
         (0..self.members.len() as MemberIndex)
             .filter(|member| self.is_alive(*member))
@@ -111,7 +113,7 @@
             .is_some_and(|member| member.is_alive)
     }
 
-    /// Grows with each change of the view.
+    /// Increases with each change of the view.
     pub fn version(&self) -> u64 {
         self.version
     }
--- a/crates/membership/tests/failure_detector.rs
+++ b/crates/membership/tests/failure_detector.rs
@@ -1,4 +1,6 @@
-//! Groups of failure detectors in virtual time, over links that lose, delay, duplicate and cut.
+//! Groups of failure detectors in virtual time, over links that lose, delay, duplicate or block messages. The tests
+//! guard against members that remain wrongly dead or alive in the tables of others after crashes, restarts, suspended
+//! processes and link faults.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +10,9 @@
 };
 use proptest::prelude::*;
 
-const MS: i64 = 1_000;
+/// Microseconds in a millisecond.
+const MILLISECOND: i64 = 1_000;
+/// Microseconds in a second.
 const SECOND: i64 = 1_000_000;
 
 /// A message on a link.
@@ -22,27 +26,32 @@
 struct Simulation {
     now: i64,
     members: Vec<Option<Membership>>,
-    /// Until then the member handles nothing, and messages to it wait.
+    /// Time until which each member is suspended: it handles nothing, and messages to it wait.
     suspended_until: Vec<i64>,
     /// By time of arrival and serial number.
     in_flight: BTreeMap<(i64, u64), InFlightMessage>,
     serial: u64,
     random: u64,
     loss_per_mille: u64,
-    /// Directed: sender and receiver.
+    /// Blocked links, each as sender and receiver; the opposite direction is not blocked.
     cut_links: Vec<(u16, u16)>,
     sent: u64,
     starts: u64,
 }
 
-fn group(n: usize, me: usize) -> Group {
+fn group(size: usize, own_index: usize) -> Group {
     let member = |i: usize| Member {
         name: format!("r{i:02}"),
         region: ["east", "west"][i % 2].to_owned(),
         weight: 1,
         witness: false,
     };
-    Group::new("g", (0..n).map(member).collect(), &format!("r{me:02}")).expect("a group")
+    Group::new(
+        "g",
+        (0..size).map(member).collect(),
+        &format!("r{own_index:02}"),
+    )
+    .expect("a valid group")
 }
 
 impl Simulation {
@@ -66,12 +75,12 @@
     fn start(&mut self, m: usize) {
         self.starts += 1;
         let settings = FailureDetectorSettings {
-            probe_interval: 200 * MS,
-            answer_timeout: 60 * MS,
-            suspicion_timeout: 800 * MS,
+            probe_interval: 200 * MILLISECOND,
+            answer_timeout: 60 * MILLISECOND,
+            suspicion_timeout: 800 * MILLISECOND,
             seed: self.starts,
         };
-        // Its store is lost: the incarnation starts anew.
+        // The store is lost: the incarnation number restarts from the beginning.
         self.members[m] = Some(Membership::new(
             self.now,
             group(self.members.len(), m),
@@ -104,7 +113,7 @@
                 continue;
             }
             for _ in 0..1 + u64::from(self.draw(1000) < self.loss_per_mille / 4) {
-                let at = self.now + MS + self.draw(15 * MS as u64) as i64;
+                let at = self.now + MILLISECOND + self.draw(15 * MILLISECOND as u64) as i64;
                 self.serial += 1;
                 let in_flight = InFlightMessage {
                     from: m as u16,
@@ -138,7 +147,7 @@
             }
             self.now = self.now.max(at);
             if next == Some(at) {
-                let (_, arrived) = self.in_flight.pop_first().expect("there");
+                let (_, arrived) = self.in_flight.pop_first().expect("a message is in flight");
                 let resumes_at = self.suspended_until[arrived.to as usize];
                 if resumes_at > self.now {
                     self.serial += 1;
@@ -167,21 +176,26 @@
     fn state(&self, at: usize, of: usize) -> MemberState {
         self.members[at]
             .as_ref()
-            .expect("it runs")
+            .expect("the member is running")
             .status(of as u16)
             .state
     }
 
-    /// All that run see all that run alive, each in its present incarnation, and the others dead.
+    /// Whether every running member considers all running members alive, each in its present incarnation, and all
+    /// others dead.
     fn all_agree(&self) -> bool {
         let up: Vec<usize> = (0..self.members.len())
             .filter(|m| self.members[*m].is_some())
             .collect();
         up.iter().all(|&a| {
             (0..self.members.len()).all(|b| match &self.members[b] {
-                Some(it) => {
-                    let known = self.members[a].as_ref().expect("up").status(b as u16);
-                    known.state == MemberState::Alive && known.incarnation == it.own_incarnation()
+                Some(member) => {
+                    let known = self.members[a]
+                        .as_ref()
+                        .expect("the member is running")
+                        .status(b as u16);
+                    known.state == MemberState::Alive
+                        && known.incarnation == member.own_incarnation()
                 }
                 None => self.state(a, b) == MemberState::Dead,
             })
@@ -200,11 +214,11 @@
     simulation.start(2);
     simulation.run(3 * SECOND);
     assert!(simulation.all_agree());
-    // Its earlier process had the same incarnation; the new one took the next.
+    // The earlier process had the same incarnation number, so the new process raised its own.
     assert!(
         simulation.members[2]
             .as_ref()
-            .expect("up")
+            .expect("the member is running")
             .own_incarnation()
             .number
             > 1
@@ -218,7 +232,7 @@
     simulation.cut_links = vec![(0, 1), (1, 0), (2, 1)];
     simulation.run(20 * SECOND);
     assert!((0..4).all(|a| (0..4).all(|b| simulation.state(a, b) != MemberState::Dead)));
-    // Cut off in one direction only, it receives from everybody and nobody receives from it.
+    // Member 1 is unreachable in one direction only: it receives messages from all others, and none of its own arrive.
     simulation.cut_links = vec![(1, 0), (1, 2), (1, 3)];
     simulation.run(6 * SECOND);
     assert!(
@@ -242,7 +256,10 @@
     );
     simulation.run(31 * SECOND);
     assert!(simulation.all_agree());
-    let counts = simulation.members[0].as_ref().expect("up").counts;
+    let counts = simulation.members[0]
+        .as_ref()
+        .expect("the member is running")
+        .counts;
     assert!(counts.resumptions > 0 && counts.deaths == 0, "{counts:?}");
 }
 
@@ -275,12 +292,12 @@
             match fault {
                 0 => simulation.members[a] = None,
                 1 if simulation.members[a].is_none() => simulation.start(a),
-                2 => simulation.suspended_until[a] = simulation.now + ms * MS,
+                2 => simulation.suspended_until[a] = simulation.now + ms * MILLISECOND,
                 3 => simulation.cut_links.push((a as u16, b as u16)),
                 4 => simulation.cut_links.clear(),
                 _ => simulation.loss_per_mille = (ms as u64) % 400,
             }
-            simulation.run(ms * MS);
+            simulation.run(ms * MILLISECOND);
         }
         (simulation.loss_per_mille, simulation.cut_links) = (0, Vec::new());
         simulation.run(20 * SECOND);
--- a/crates/membership/tests/group.rs
+++ b/crates/membership/tests/group.rs
@@ -1,4 +1,4 @@
-//! Groups as configured: which lists of members are rejected, and what a majority is.
+//! Groups as configured: invalid lists of members are rejected, and any two majorities have a member in common.
 
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn majorities_intersect_and_so_does_every_set_that_claims_to() {
+fn majorities_and_sets_that_intersect_every_majority_do_intersect() {
     for weights in [
         &[1, 1, 1][..],
         &[1, 1, 1, 1],
@@ -80,7 +80,7 @@
     let many = (0..65).map(|n| member(&n.to_string(), 1)).collect();
     assert_eq!(error(many, "1"), GroupError::TooLarge(65));
     assert!(!GroupError::Empty.remedy().is_empty());
-    // The order in the file does not matter, what is in it does.
+    // The fingerprint depends on the members, not on their order in the file.
     let fingerprint = |members| Group::new("g", members, "a").expect("valid").fingerprint;
     let (one, other) = (
         vec![member("a", 1), member("b", 1)],
--- a/crates/membership/tests/stable_view.rs
+++ b/crates/membership/tests/stable_view.rs
@@ -1,7 +1,9 @@
-//! The debounced view of which members are alive.
+//! The debounced view of which members are alive. Guards against a flapping link that changes the view, and with it
+//! shares and placement, at every flap.
 
 use cedarpulley_membership::StableView;
 
+/// Microseconds in a second.
 const SECOND: i64 = 1_000_000;
 
 #[test]
@@ -11,7 +13,7 @@
     assert!(!view.observe(now, |m| m == 0));
     now += SECOND;
     assert!(view.observe(now, |m| m == 0) && view.alive_members() == [0] && view.version() == 2);
-    // A link that flaps each second for a minute changes it at most once.
+    // A link that flaps every second for a minute changes the view at most once.
     let mut changes = 0;
     for n in 0..60 {
         now += SECOND;
