--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! A group in virtual time: replicas, a network whose messages can be held back, and the outputs.
+//! Harness for a group of replicas in virtual time: the replicas, a network whose messages can be delayed or dropped,
+//! and the recorded outputs.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::collections::BTreeMap;
 
@@ -11,134 +12,176 @@
     RecordCopy, Replica, ReplicaSettings, SafetyCheck,
 };
 
+/// Microseconds in a millisecond.
 pub const MS: i64 = 1_000;
-pub const KEPT: i64 = 6_000 * MS;
+/// Time in microseconds for which records of invocations are retained.
+pub const RETENTION: i64 = 6_000 * MS;
 
-pub fn terms(disabled_check: Option<SafetyCheck>, patience: i64) -> ReplicaSettings {
+/// Settings with one safety check disabled, or none, and a timeout for majorities in microseconds.
+pub fn settings(disabled_check: Option<SafetyCheck>, majority_timeout: i64) -> ReplicaSettings {
     ReplicaSettings {
         disabled_check,
-        ..ReplicaSettings::with_defaults(KEPT, patience, 1)
+        ..ReplicaSettings::with_defaults(RETENTION, majority_timeout, 1)
     }
 }
 
-pub fn group(n: usize, me: usize) -> Group {
+/// A group of `size` members of equal weight in two regions, as configured at the member `own_index`.
+pub fn group(size: usize, own_index: usize) -> Group {
     let member = |i: usize| Member {
         name: format!("r{i}"),
         region: ["east", "west"][i % 2].to_owned(),
         weight: 1,
         witness: false,
     };
-    Group::new("g", (0..n).map(member).collect(), &format!("r{me}")).expect("a group")
+    Group::new(
+        "g",
+        (0..size).map(member).collect(),
+        &format!("r{own_index}"),
+    )
+    .expect("a valid group")
 }
 
+/// A group of replicas in virtual time; vectors are indexed by member.
 pub struct World {
+    /// Virtual time in microseconds.
     pub now: i64,
-    pub without: Option<SafetyCheck>,
+    /// The safety check that is disabled at all replicas.
+    pub disabled_check: Option<SafetyCheck>,
+    /// The replicas; none for a member that has crashed.
     pub replicas: Vec<Option<Replica>>,
+    /// The nonce of each member's latest process.
     pub nonces: Vec<u64>,
-    /// From whom, to whom, of which process, when it was sent.
+    /// Messages in transit: sender, receiver, nonce of the sending process, time of sending and the message.
     pub net: Vec<(MemberIndex, MemberIndex, u64, i64, Message)>,
-    pub verdicts: Vec<BTreeMap<Key, Vec<OwnershipDecision>>>,
-    pub leaves: Vec<BTreeMap<u64, Result<bool, NoMajorityReason>>>,
+    /// Ownership decisions that each replica returned.
+    pub decisions: Vec<BTreeMap<Key, Vec<OwnershipDecision>>>,
+    /// Answer to each requested dispatch permission, by dispatch.
+    pub permissions: Vec<BTreeMap<u64, Result<bool, NoMajorityReason>>>,
+    /// Outcomes of the proposals of each replica.
     pub decided: Vec<BTreeMap<Key, Vec<Outcome>>>,
-    pub last: u64,
-    /// How long a majority is waited for.
-    pub patience: i64,
-    /// By how many thousandths each one's clock is fast, and since when.
-    pub rates: Vec<i64>,
-    pub since: i64,
-    /// Each has a folder: what is on its way there, and what is there. Choices alone are kept there for long enough.
-    pub written: bool,
-    pub takings: Vec<Option<Taking>>,
+    /// The last number given to a process (as its nonce) or to a dispatch.
+    pub last_id: u64,
+    /// Time in microseconds after which a replica stops waiting for a majority.
+    pub majority_timeout: i64,
+    /// Drift of each member's clock in thousandths; positive if the clock is fast.
+    pub clock_drift: Vec<i64>,
+    /// Time at which the drift started.
+    pub drift_since: i64,
+    /// Whether the replicas persist choices before they vote. Only choices are retained long enough on disk.
+    pub is_persistent: bool,
+    /// The batch that each member is writing to its disk.
+    pub pending_batches: Vec<Option<PendingBatch>>,
+    /// The records on each member's disk.
     pub disks: Vec<BTreeMap<Key, RecordCopy>>,
 }
 
-pub type Taking = (u64, Vec<(Key, Option<RecordCopy>)>);
+/// A batch of changed records with its serial number; a record of `None` was removed.
+pub type PendingBatch = (u64, Vec<(Key, Option<RecordCopy>)>);
 
 impl World {
-    /// All of them remember, as after a long time.
-    pub fn new(n: usize, without: Option<SafetyCheck>) -> World {
-        World::patient(n, without, 800 * MS)
+    /// A group whose members have all completed recovery.
+    pub fn new(n: usize, disabled_check: Option<SafetyCheck>) -> World {
+        World::with_majority_timeout(n, disabled_check, 800 * MS)
     }
 
-    pub fn patient(n: usize, without: Option<SafetyCheck>, patience: i64) -> World {
-        let mut w = World::made(n, without, patience, false);
-        w.pass(2 * KEPT);
+    /// As [`World::new`], with another timeout for majorities in microseconds.
+    pub fn with_majority_timeout(
+        n: usize,
+        disabled_check: Option<SafetyCheck>,
+        majority_timeout: i64,
+    ) -> World {
+        let mut w = World::build(n, disabled_check, majority_timeout, false);
+        w.pass(2 * RETENTION);
         w.net.clear();
         w
     }
 
-    pub fn fresh(n: usize, without: Option<SafetyCheck>) -> World {
-        World::made(n, without, 800 * MS, false)
+    /// A group whose members have just started and are still recovering.
+    pub fn recovering(n: usize, disabled_check: Option<SafetyCheck>) -> World {
+        World::build(n, disabled_check, 800 * MS, false)
     }
 
-    /// All of them remember, and have folders.
-    pub fn written(n: usize, without: Option<SafetyCheck>) -> World {
-        let mut w = World::made(n, without, 800 * MS, true);
-        w.pass(2 * KEPT);
+    /// A group whose members have all completed recovery and persist choices before they vote.
+    pub fn persistent(n: usize, disabled_check: Option<SafetyCheck>) -> World {
+        let mut w = World::build(n, disabled_check, 800 * MS, true);
+        w.pass(2 * RETENTION);
         w.net.clear();
         w
     }
 
-    fn made(n: usize, without: Option<SafetyCheck>, patience: i64, written: bool) -> World {
+    fn build(
+        n: usize,
+        disabled_check: Option<SafetyCheck>,
+        majority_timeout: i64,
+        is_persistent: bool,
+    ) -> World {
         let mut w = World {
             now: 0,
-            without,
+            disabled_check,
             replicas: (0..n).map(|_| None).collect(),
             nonces: vec![0; n],
             net: Vec::new(),
-            verdicts: vec![BTreeMap::new(); n],
-            leaves: vec![BTreeMap::new(); n],
+            decisions: vec![BTreeMap::new(); n],
+            permissions: vec![BTreeMap::new(); n],
             decided: vec![BTreeMap::new(); n],
-            last: 0,
-            patience,
-            rates: vec![0; n],
-            since: 0,
-            written,
-            takings: vec![None; n],
+            last_id: 0,
+            majority_timeout,
+            clock_drift: vec![0; n],
+            drift_since: 0,
+            is_persistent,
+            pending_batches: vec![None; n],
             disks: vec![BTreeMap::new(); n],
         };
         (0..n).for_each(|r| w.start(r, None));
         w
     }
 
-    pub fn start(&mut self, r: usize, folder: Option<Vec<(Key, RecordCopy)>>) {
+    /// Starts a new process of a member with the records restored from its store; `None` if the store is lost.
+    pub fn start(&mut self, r: usize, records: Option<Vec<(Key, RecordCopy)>>) {
         let n = self.replicas.len();
-        self.last += 1;
-        self.nonces[r] = self.last;
-        let terms = ReplicaSettings {
-            is_persistent: self.written,
-            ..terms(self.without, self.patience)
+        self.last_id += 1;
+        self.nonces[r] = self.last_id;
+        let settings = ReplicaSettings {
+            is_persistent: self.is_persistent,
+            ..settings(self.disabled_check, self.majority_timeout)
         };
         let group = group(n, r);
-        self.replicas[r] = Some(Replica::new(self.now, group, terms, self.last, folder));
-        (self.verdicts[r], self.leaves[r]) = (BTreeMap::new(), BTreeMap::new());
+        self.replicas[r] = Some(Replica::new(
+            self.now,
+            group,
+            settings,
+            self.last_id,
+            records,
+        ));
+        (self.decisions[r], self.permissions[r]) = (BTreeMap::new(), BTreeMap::new());
         for m in 0..n {
             self.sees(r, m, self.replicas[m].is_some());
             self.sees(m, r, true);
         }
     }
 
+    /// Stops a member's process and returns the records that it had.
     pub fn crash(&mut self, r: usize) -> Vec<(Key, RecordCopy)> {
-        let folder = self.folder(r);
+        let records = self.stored_records(r);
         self.replicas[r] = None;
-        folder
+        records
     }
 
-    /// What has changed is on its way to the disk, if nothing is.
-    pub fn takes(&mut self, r: usize) {
-        let now = self.clock(r);
-        let Some(it) = self.replicas[r]
+    /// Starts to write the changed records of a member to its disk, unless a batch is being written.
+    pub fn start_batch(&mut self, r: usize) {
+        let now = self.local_time(r);
+        let Some(replica) = self.replicas[r]
             .as_mut()
-            .filter(|_| self.takings[r].is_none())
+            .filter(|_| self.pending_batches[r].is_none())
         else {
             return;
         };
-        self.takings[r] = Some(it.changes(now));
+        self.pending_batches[r] = Some(replica.changes(now));
     }
 
-    pub fn commits(&mut self, r: usize) {
-        let Some((serial, changes)) = self.takings[r].take() else {
+    /// Completes the batch that a member is writing to its disk, if any.
+    pub fn commit_batch(&mut self, r: usize) {
+        let Some((serial, changes)) = self.pending_batches[r].take() else {
             return;
         };
         for (key, shared) in changes {
@@ -150,36 +193,40 @@
         self.feed(r, Input::Persisted { serial });
     }
 
-    /// It dies and starts from what is on its disk.
-    pub fn loses_power(&mut self, r: usize) {
-        (self.replicas[r], self.takings[r]) = (None, None);
-        let folder = self.disks[r]
+    /// Restarts a member after a power cut: only the records on its disk are restored.
+    pub fn restart_from_disk(&mut self, r: usize) {
+        (self.replicas[r], self.pending_batches[r]) = (None, None);
+        let records = self.disks[r]
             .iter()
             .map(|(key, shared)| (key.clone(), shared.clone()))
             .collect();
-        self.start(r, Some(folder));
+        self.start(r, Some(records));
     }
 
-    pub fn folder(&self, r: usize) -> Vec<(Key, RecordCopy)> {
-        self.at(r)
+    /// Copies of all records of a member.
+    pub fn stored_records(&self, r: usize) -> Vec<(Key, RecordCopy)> {
+        self.replica(r)
             .records()
             .map(|(k, s)| (k.clone(), s.to_copy(self.now)))
             .collect()
     }
 
-    /// What a member's own clock says.
-    pub fn clock(&self, r: usize) -> i64 {
-        self.clock_at(r, self.now)
+    /// The present time by a member's own clock.
+    pub fn local_time(&self, r: usize) -> i64 {
+        self.local_time_at(r, self.now)
     }
 
-    pub fn clock_at(&self, r: usize, now: i64) -> i64 {
-        now + (now - self.since) * self.rates[r] / 1_000
+    /// The time by a member's own clock at the virtual time `now`.
+    pub fn local_time_at(&self, r: usize, now: i64) -> i64 {
+        now + (now - self.drift_since) * self.clock_drift[r] / 1_000
     }
 
-    pub fn at(&self, r: usize) -> &Replica {
-        self.replicas[r].as_ref().expect("it runs")
+    /// A running replica.
+    pub fn replica(&self, r: usize) -> &Replica {
+        self.replicas[r].as_ref().expect("the replica is running")
     }
 
+    /// Reports to `r` whether the present process of `m` is alive.
     pub fn sees(&mut self, r: usize, m: usize, alive: bool) {
         let (member, nonce) = (m as MemberIndex, self.nonces[m]);
         self.feed(
@@ -192,13 +239,14 @@
         );
     }
 
+    /// Passes an input to a replica and records its outputs.
     pub fn feed(&mut self, r: usize, input: Input) {
-        let now = self.clock(r);
-        let Some(it) = self.replicas[r].as_mut() else {
+        let now = self.local_time(r);
+        let Some(replica) = self.replicas[r].as_mut() else {
             return;
         };
         let mut out = Vec::new();
-        it.handle(now, input, &mut out);
+        replica.handle(now, input, &mut out);
         for output in out {
             match output {
                 Output::Send { to, message } => {
@@ -206,14 +254,14 @@
                         .push((r as MemberIndex, to, self.nonces[r], self.now, message));
                 }
                 Output::Decision { key, decision } => {
-                    self.verdicts[r].entry(key).or_default().push(decision)
+                    self.decisions[r].entry(key).or_default().push(decision)
                 }
                 Output::DispatchPermission {
                     dispatch,
                     permission,
                     ..
                 } => {
-                    self.leaves[r].insert(dispatch, permission);
+                    self.permissions[r].insert(dispatch, permission);
                 }
                 Output::ProposalEnded { key, outcome } => {
                     self.decided[r].entry(key).or_default().push(outcome)
@@ -223,9 +271,13 @@
         }
     }
 
-    /// Delivers what is on the way and fits, and what follows from it.
-    pub fn deliver(&mut self, fits: impl Fn(MemberIndex, MemberIndex, &Message) -> bool) {
-        while let Some(n) = self.net.iter().position(|(f, t, _, _, m)| fits(*f, *t, m)) {
+    /// Delivers the messages in transit that match, and the messages sent in response if they match.
+    pub fn deliver(&mut self, selects: impl Fn(MemberIndex, MemberIndex, &Message) -> bool) {
+        while let Some(n) = self
+            .net
+            .iter()
+            .position(|(f, t, _, _, m)| selects(*f, *t, m))
+        {
             let (from, to, nonce, sent, message) = self.net.remove(n);
             let transit = self.now - sent;
             self.feed(
@@ -240,26 +292,28 @@
         }
     }
 
-    /// Time passes, in steps, and everything is delivered.
+    /// Advances the time in steps of 10 ms and delivers all messages.
     pub fn pass(&mut self, time: i64) {
-        self.pass_where(time, |_, _, _| true);
+        self.pass_delivering(time, |_, _, _| true);
     }
 
-    pub fn pass_where(
+    /// Advances the time in steps of 10 ms and delivers the messages that match; all others are lost.
+    pub fn pass_delivering(
         &mut self,
         time: i64,
-        fits: impl Fn(MemberIndex, MemberIndex, &Message) -> bool,
+        selects: impl Fn(MemberIndex, MemberIndex, &Message) -> bool,
     ) {
         let until = self.now + time;
         while self.now < until {
             self.now = (self.now + 10 * MS).min(until);
             (0..self.replicas.len()).for_each(|r| self.feed(r, Input::Tick));
-            self.deliver(&fits);
-            // What is cut off is lost.
+            self.deliver(&selects);
+            // Messages that were not delivered are lost.
             self.net.clear();
         }
     }
 
+    /// Announces an invocation to a replica; returns its latest decision on the invocation.
     pub fn take(&mut self, r: usize, key: &str, redelivered: bool) -> Option<OwnershipDecision> {
         self.feed(
             r,
@@ -269,16 +323,18 @@
                 redelivered,
             },
         );
-        self.verdict(r, key)
+        self.last_decision(r, key)
     }
 
-    pub fn verdict(&self, r: usize, key: &str) -> Option<OwnershipDecision> {
-        self.verdicts[r].get(key).and_then(|v| v.last()).cloned()
+    /// The latest decision of a replica on an invocation.
+    pub fn last_decision(&self, r: usize, key: &str) -> Option<OwnershipDecision> {
+        self.decisions[r].get(key).and_then(|v| v.last()).cloned()
     }
 
-    pub fn intend(&mut self, r: usize, key: &str) -> u64 {
-        self.last += 1;
-        let dispatch = self.last;
+    /// Requests permission for a dispatch; returns the number of the dispatch.
+    pub fn request_dispatch(&mut self, r: usize, key: &str) -> u64 {
+        self.last_id += 1;
+        let dispatch = self.last_id;
         self.feed(
             r,
             Input::RequestDispatch {
@@ -291,11 +347,15 @@
         dispatch
     }
 
-    pub fn left(&self, r: usize, sending: u64) -> bool {
-        self.leaves[r].get(&sending).is_some_and(|l| l.is_ok())
+    /// Whether a dispatch was permitted.
+    pub fn is_permitted(&self, r: usize, dispatch: u64) -> bool {
+        self.permissions[r]
+            .get(&dispatch)
+            .is_some_and(|permission| permission.is_ok())
     }
 
-    pub fn ended(&mut self, r: usize, key: &str, dispatch: u64, may_have_run: bool) {
+    /// Reports the end of a dispatch.
+    pub fn dispatch_ended(&mut self, r: usize, key: &str, dispatch: u64, may_have_run: bool) {
         self.feed(
             r,
             Input::DispatchEnded {
@@ -306,6 +366,7 @@
         );
     }
 
+    /// Reports the answer to an invocation.
     pub fn answered(&mut self, r: usize, key: &str, answer: &'static str) {
         self.feed(
             r,
--- a/crates/replica/tests/explorer.rs
+++ b/crates/replica/tests/explorer.rs
@@ -358,7 +358,8 @@
         };
         let runs = |r: usize| self.replicas[r].is_some() && !self.routers[r].stopped;
         for r in (0..N).filter(|r| runs(*r)) {
-            // All are alike at first, but for the order of their ballots: from the one in the middle it goes up and down.
+            // All are alike at first, but for the order of their ballots: from the one in the middle it goes up and
+            // down.
             let first = |again: bool| again || r == 1;
             if let Some(again) = self
                 .ready
--- a/crates/replica/tests/persistence.rs
+++ b/crates/replica/tests/persistence.rs
@@ -1,5 +1,5 @@
-//! Choices outlive a crash of all processes of a group: a vote is sent once the member's disk has what the vote
-//! promises. Disks here write late, lose what they had not written yet, or hang.
+//! Choices survive a crash of all processes of a group, because a vote is sent only once the state that backs it is on
+//! the member's disk. The simulated disks write late, lose what was not yet written, or hang.
 
 mod common;
 
@@ -7,9 +7,10 @@
 
 use bytes::Bytes;
 use cedarpulley_replica::{Ballot, Input, Key, Message, Outcome, RecoveryState, SafetyCheck};
-use common::{KEPT, MS, World};
+use common::{MS, RETENTION, World};
 
-const LONG: i64 = 1_000 * KEPT;
+/// Retention time of choices in microseconds; longer than any run.
+const LONG: i64 = 1_000 * RETENTION;
 
 fn choose(w: &mut World, r: usize, key: &str, value: u64) {
     let value = Bytes::from(format!("{value:08}"));
@@ -30,35 +31,36 @@
     })
 }
 
-fn writes(w: &mut World, r: usize) {
-    w.takes(r);
-    w.commits(r);
+/// Writes all changed records of a member to its disk.
+fn write_all(w: &mut World, r: usize) {
+    w.start_batch(r);
+    w.commit_batch(r);
 }
 
 #[test]
-fn a_vote_waits_for_the_disk_and_so_does_the_proposers_own() {
-    let mut w = World::written(3, None);
+fn votes_of_others_and_of_the_proposer_wait_for_the_disk() {
+    let mut w = World::persistent(3, None);
     choose(&mut w, 0, "s", 1);
     w.deliver(|_, _, _| true);
-    assert!((0..3).all(|r| w.at(r).awaits_batch()) && w.at(1).counts.votes_deferred == 1);
-    // Its own alone is none, and another one's beside it is a majority.
-    writes(&mut w, 0);
-    w.takes(1);
+    assert!((0..3).all(|r| w.replica(r).awaits_batch()) && w.replica(1).counts.votes_deferred == 1);
+    // The proposer's own vote is no majority; with the vote of one more member it is.
+    write_all(&mut w, 0);
+    w.start_batch(1);
     w.deliver(|_, _, _| true);
-    assert!(!w.at(1).awaits_batch(), "it is on its way");
-    w.commits(1);
-    // Promised; the acceptances wait again.
+    assert!(!w.replica(1).awaits_batch(), "the batch is being written");
+    w.commit_batch(1);
+    // The ballot is promised; the acceptances wait for the disks again.
     w.deliver(|_, _, _| true);
-    writes(&mut w, 1);
+    write_all(&mut w, 1);
     w.deliver(|_, _, _| true);
     assert_eq!(chosen(&w, 0, "s"), None);
-    writes(&mut w, 0);
+    write_all(&mut w, 0);
     assert_eq!(chosen(&w, 0, "s"), Some(Bytes::from("00000001")));
-    // What is on disk already waits for nothing.
+    // A vote whose state is already on disk is sent at once.
     w.net.clear();
     choose(&mut w, 2, "s", 2);
     for _ in 0..4 {
-        (0..3).for_each(|r| writes(&mut w, r));
+        (0..3).for_each(|r| write_all(&mut w, r));
         w.deliver(|_, _, _| true);
     }
     assert_eq!(chosen(&w, 2, "s"), Some(Bytes::from("00000001")));
@@ -66,15 +68,15 @@
 
 #[test]
 fn a_hanging_disk_defers_a_bounded_number_of_votes_and_no_invocations() {
-    let mut w = World::written(3, None);
+    let mut w = World::persistent(3, None);
     (0..5_000).for_each(|n| choose(&mut w, 0, &format!("s{n}"), 1));
     w.deliver(|_, to, _| to == 1);
-    let counts = w.at(1).counts;
+    let counts = w.replica(1).counts;
     assert_eq!(
         (counts.votes_deferred, counts.votes_dropped),
         (5_000, 5_000 - 4_096)
     );
-    // The same question again takes nobody's room.
+    // A repeated request is not deferred a second time.
     let last = Message::Prepare {
         key: "s4999".into(),
         ballot: ballot(&w, "s4999"),
@@ -89,29 +91,29 @@
             message: last,
         },
     );
-    assert_eq!(w.at(1).counts.votes_deferred, 5_000);
+    assert_eq!(w.replica(1).counts.votes_deferred, 5_000);
     w.take(0, "x", false);
-    let s = w.intend(0, "x");
+    let dispatch = w.request_dispatch(0, "x");
     w.deliver(|_, to, _| to != 2);
-    assert!(w.left(0, s));
-    w.pass_where(1_000 * MS, |_, _, _| false);
+    assert!(w.is_permitted(0, dispatch));
+    w.pass_delivering(1_000 * MS, |_, _, _| false);
     assert!(matches!(
         w.decided[0]["s4999"][..],
         [Outcome::NoMajority(_)]
     ));
-    // It goes on: those that were not dropped are asked again, and decided.
+    // The disk works again: a proposal whose votes were not dropped is repeated and decided.
     choose(&mut w, 0, "s4999", 1);
     for _ in 0..4 {
-        (0..3).for_each(|r| writes(&mut w, r));
+        (0..3).for_each(|r| write_all(&mut w, r));
         w.deliver(|_, _, _| true);
     }
     assert!(chosen(&w, 0, "s4999").is_some());
 }
 
 fn ballot(w: &World, key: &str) -> Ballot {
-    match w.at(0).record(key) {
+    match w.replica(0).record(key) {
         Some(cedarpulley_replica::Record::Choice(c)) => c.promised,
-        _ => panic!("it is promised"),
+        _ => panic!("no ballot is promised"),
     }
 }
 
@@ -141,22 +143,28 @@
     write(&mut w, b"1");
     w.deliver(|_, to, _| to == 1);
     write(&mut w, b"2");
-    // Nobody else has the second.
+    // No other member has accepted the second value.
     w.deliver(|from, to, m| (from, to) == (1, 0) && matches!(m, Message::Accepted { .. }));
     assert!(!w.decided[0]["plan"].contains(&Outcome::Written { ballot }));
     w.deliver(|_, _, _| true);
     assert!(w.decided[0]["plan"].contains(&Outcome::Written { ballot }));
 }
 
-struct Seen {
+/// The outcomes so far, checked for consistency.
+struct Outcomes {
+    /// The value chosen for each key.
     chosen: BTreeMap<Key, Bytes>,
+    /// The last value that was written under each ballot.
     written: BTreeMap<Ballot, Bytes>,
-    asked: BTreeMap<Ballot, Bytes>,
+    /// The last value whose write was requested under each ballot.
+    requested: BTreeMap<Ballot, Bytes>,
+    /// The ballot under which each member leads.
     leads: Vec<Option<Ballot>>,
 }
 
-impl Seen {
-    fn look(&mut self, w: &mut World) -> Result<(), String> {
+impl Outcomes {
+    /// Takes the outcomes from all members; an error describes a contradiction.
+    fn record_outcomes(&mut self, w: &mut World) -> Result<(), String> {
         for r in 0..w.replicas.len() {
             for (key, outcome) in std::mem::take(&mut w.decided[r])
                 .into_iter()
@@ -169,20 +177,20 @@
                             .entry(key.clone())
                             .or_insert_with(|| value.clone());
                         if *first != value {
-                            return Err(format!("two choices of {key}"));
+                            return Err(format!("two different values were chosen for {key}"));
                         }
                     }
                     Outcome::Leads { ballot, last } => {
                         let before = self.written.range(..ballot).next_back();
                         if before.is_some_and(|(_, value)| last.as_ref() < Some(value)) {
                             return Err(format!(
-                                "{ballot:?} goes on from {last:?}, not {before:?}"
+                                "{ballot:?} continues from {last:?}, not {before:?}"
                             ));
                         }
                         self.leads[r] = Some(ballot);
                     }
                     Outcome::Written { ballot } => {
-                        self.written.insert(ballot, self.asked[&ballot].clone());
+                        self.written.insert(ballot, self.requested[&ballot].clone());
                     }
                     Outcome::Overtaken => self.leads[r] = None,
                     Outcome::NoMajority(_) => {}
@@ -193,27 +201,28 @@
     }
 }
 
-/// A seeded run: choices and terms, disks that write at random times, messages lost and reordered, and power cuts of all
-/// members at once. Returns how many values were chosen and written.
+/// Runs a random scenario from a seed: proposals and leadership terms, disks that write at random times, lost and
+/// reordered messages, and power cuts of all members at once. Returns how many keys have a chosen value and how many
+/// ballots have a written one.
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario, in the order of its steps"
 )]
-fn play(without: Option<SafetyCheck>, seed: u64) -> Result<(usize, usize), String> {
-    let mut dice = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
+fn play(disabled_check: Option<SafetyCheck>, seed: u64) -> Result<(usize, usize), String> {
+    let mut random = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut draw = move |most: usize| {
-        dice = dice
+        random = random
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (dice >> 33) as usize % most
+        (random >> 33) as usize % most
     };
     let n = 3 + draw(3);
-    let mut w = World::written(n, without);
-    let (chosen, written, asked) = Default::default();
-    let mut seen = Seen {
+    let mut w = World::persistent(n, disabled_check);
+    let (chosen, written, requested) = Default::default();
+    let mut outcomes = Outcomes {
         chosen,
         written,
-        asked,
+        requested,
         leads: vec![None; n],
     };
     let mut values = 0;
@@ -232,10 +241,10 @@
                 },
             ),
             4..6 => {
-                if let Some(ballot) = seen.leads[r] {
+                if let Some(ballot) = outcomes.leads[r] {
                     values += 1;
                     let value = Bytes::from(format!("{values:08}"));
-                    seen.asked.insert(ballot, value.clone());
+                    outcomes.requested.insert(ballot, value.clone());
                     w.feed(
                         r,
                         Input::Write {
@@ -247,8 +256,12 @@
                     );
                 }
             }
-            6..9 => (0..n).filter(|_| draw(2) > 0).for_each(|r| w.takes(r)),
-            9..12 => (0..n).filter(|_| draw(2) > 0).for_each(|r| w.commits(r)),
+            6..9 => (0..n)
+                .filter(|_| draw(2) > 0)
+                .for_each(|r| w.start_batch(r)),
+            9..12 => (0..n)
+                .filter(|_| draw(2) > 0)
+                .for_each(|r| w.commit_batch(r)),
             12..17 => {
                 for _ in 0..w.net.len() {
                     let (from, to, nonce, _, message) = w.net.swap_remove(draw(w.net.len()));
@@ -270,26 +283,27 @@
                 (0..n).for_each(|r| w.feed(r, Input::Tick));
             }
             _ if draw(4) > 0 => {}
-            // At once: nobody hears of another that has not died.
+            // Power cut of all members at once: no member receives a message of a process from before the cut.
             _ => {
                 w.net.clear();
-                w.replicas.iter_mut().for_each(|it| *it = None);
-                (0..n).for_each(|r| w.loses_power(r));
-                seen.leads = vec![None; n];
-                let all =
-                    |w: &World| (0..n).all(|r| w.at(r).recovery_state() == RecoveryState::Complete);
+                w.replicas.iter_mut().for_each(|replica| *replica = None);
+                (0..n).for_each(|r| w.restart_from_disk(r));
+                outcomes.leads = vec![None; n];
+                let all = |w: &World| {
+                    (0..n).all(|r| w.replica(r).recovery_state() == RecoveryState::Complete)
+                };
                 for _ in 0..200 {
                     w.pass(10 * MS);
                     if all(&w) {
                         break;
                     }
                 }
-                assert!(all(&w), "all compare with each other");
+                assert!(all(&w), "a member did not complete recovery");
             }
         }
-        seen.look(&mut w)?;
+        outcomes.record_outcomes(&mut w)?;
     }
-    Ok((seen.chosen.len(), seen.written.len()))
+    Ok((outcomes.chosen.len(), outcomes.written.len()))
 }
 
 #[test]
@@ -300,21 +314,21 @@
         .unwrap_or(300);
     let (mut chosen, mut written) = (0, 0);
     for seed in 0..runs {
-        let (c, w) = play(None, seed).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+        let (c, w) = play(None, seed).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
         (chosen, written) = (chosen + c, written + w);
     }
-    println!("{runs} runs: {chosen} chosen, {written} terms written");
+    println!("{runs} runs: {chosen} values chosen, {written} terms with a write");
     assert!(chosen > 0 && written > 0);
     let found = (0..runs)
         .filter_map(|seed| play(Some(SafetyCheck::PersistBeforeVote), seed).err())
         .collect::<Vec<_>>();
     println!(
-        "without the guard: {} of {runs}, {:?}",
+        "with the safety check disabled: {} of {runs} runs fail, first {:?}",
         found.len(),
         found.first()
     );
     assert!(
         !found.is_empty(),
-        "votes that do not wait for the folder are found"
+        "no run fails with the safety check disabled"
     );
 }
--- a/crates/replica/tests/random_faults.rs
+++ b/crates/replica/tests/random_faults.rs
@@ -1,10 +1,11 @@
-//! Seeded random runs of groups of three to nine: messages lost, duplicated, late and reordered, clocks that diverge,
-//! processes that crash, pause, resume and restart with their state, with an older one or with none. The replicas are
-//! the real ones; broker, routers and workers around them are models.
+//! Seeded random runs of groups of three to nine members: messages are lost, duplicated, delayed and reordered, clocks
+//! diverge, and processes crash, pause, resume and restart with their state, with an older state or without any. The
+//! replicas are the real state machines; the broker, the routers and the workers around them are models.
 //!
-//! Checked after each step: no invocation has two effects, no dispatch is permitted beside another that may have run,
-//! there is one answer, chosen values never differ, a term has one writer and its successor continues from its last
-//! value, and no record outlives its time. At the end all faults are mended, and all members have the same records.
+//! Checked after each step: no invocation has two effects, no dispatch is permitted while another one may have run, all
+//! answers to an invocation are equal, all values chosen for a key are equal, a term has one writer and its successor
+//! continues from its last value, and no record outlives its retention time. At the end all faults are repaired, and
+//! all members have to reach the same records.
 
 mod common;
 
@@ -17,194 +18,240 @@
     Ballot, Durability, Input, Key, NoMajorityReason, Outcome, OwnershipDecision, Record,
     RecordCopy, Replica, SafetyCheck,
 };
-use common::{KEPT, MS, World, group, terms};
+use common::{MS, RETENTION, World, group, settings};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
+/// Number of invocations in a run.
 const KEYS: usize = 6;
+/// Sizes of the group.
 const MEMBERS: std::ops::RangeInclusive<usize> = 3..=9;
-/// What is chosen and observed outlives every run.
-const LONG: i64 = 1_000 * KEPT;
-/// Two clocks go apart by no more than the sixteenth part: in thousandths, one way and the other.
-const DRIFT: i64 = 30;
-const PATIENCE: i64 = 800 * MS;
+/// Retention time of choices and notes in microseconds; longer than any run.
+const LONG: i64 = 1_000 * RETENTION;
+/// Highest drift of a clock in thousandths, in either direction. Two clocks may diverge by at most one sixteenth.
+const MAX_DRIFT_PER_MILLE: i64 = 30;
+/// Timeout for majorities in microseconds.
+const MAJORITY_TIMEOUT: i64 = 800 * MS;
 
 #[derive(Clone, Copy, Debug)]
-enum Folder {
+/// The records with which a process restarts.
+enum RestartState {
+    /// None.
     Lost,
-    Kept,
-    /// An older copy was put back.
+    /// The latest ones written.
+    Latest,
+    /// An older copy that was restored.
     Stale,
 }
 
+/// One step of a run. An index of a member or a dispatch is taken modulo the number of candidates.
 #[derive(Clone, Copy, Debug)]
-enum Op {
-    /// What is on its way, in another order: so many of a hundred are lost, come twice, stay on their way.
-    Flow {
+enum Step {
+    /// Delivers the messages in transit in random order; `lost`, `doubled` and `held` are the percentages of messages
+    /// that are lost, duplicated and left in transit.
+    DeliverInTransit {
         seed: u64,
         lost: u8,
-        doubled: u8,
+        duplicated: u8,
         held: u8,
     },
+    /// Advances the time by microseconds.
     Pass(i64),
-    Give {
+    /// The broker delivers a message to a router.
+    Deliver {
         r: usize,
         key: usize,
     },
-    /// One message given to two at once, each for the first time.
-    Twins {
+    /// The broker delivers one message to two routers at once, to both as a first delivery.
+    DeliverTwice {
         r: usize,
         other: usize,
         key: usize,
     },
-    Intend {
+    /// A router requests permission for a dispatch.
+    RequestDispatch {
         which: usize,
     },
+    /// A permitted dispatch is sent; `ran` tells whether the worker ran it.
     Send {
         which: usize,
         ran: bool,
     },
-    /// `heard`: the worker's answer came.
+    /// A dispatch ends; `heard` tells whether the worker's answer was received.
     End {
         which: usize,
-        heard: bool,
+        answer_received: bool,
     },
-    LosesChannel {
+    /// A router loses its channel to the broker, which takes the message back.
+    LoseChannel {
         r: usize,
         key: usize,
     },
     Crash(usize),
+    /// A crashed process restarts.
     Start {
         r: usize,
-        folder: Folder,
+        restart_state: RestartState,
     },
-    Stop(usize),
-    Wake(usize),
-    See {
+    /// A process is suspended.
+    Suspend(usize),
+    /// A suspended process resumes.
+    Resume(usize),
+    /// `r` learns that the present process of `m` is alive.
+    ReportAlive {
         r: usize,
         m: usize,
     },
+    /// `r` considers `m` dead.
     Suspect {
         r: usize,
         m: usize,
     },
+    /// `r` proposes a new value for a key.
     Choose {
         r: usize,
         key: usize,
     },
+    /// A member starts a leadership term.
     Lead(usize),
-    Write(usize),
+    /// A leader writes a new value.
+    WriteValue(usize),
+    /// `r` publishes a note.
     Note {
         r: usize,
         key: usize,
     },
 }
 
-fn op() -> impl Strategy<Value = Op> {
+fn step() -> impl Strategy<Value = Step> {
     let (r, key) = (0..*MEMBERS.end(), 0..KEYS);
-    let flow = (any::<u64>(), 0u8..30, 0u8..30, 0u8..40);
-    let folder = prop::sample::select(vec![Folder::Lost, Folder::Kept, Folder::Stale]);
+    let deliver_in_transit = (any::<u64>(), 0u8..30, 0u8..30, 0u8..40);
+    let restart_state = prop::sample::select(vec![
+        RestartState::Lost,
+        RestartState::Latest,
+        RestartState::Stale,
+    ]);
     prop_oneof![
-        30 => flow.prop_map(|(seed, lost, doubled, held)| Op::Flow { seed, lost, doubled, held }),
-        12 => any::<u64>().prop_map(|seed| Op::Flow { seed, lost: 0, doubled: 0, held: 0 }),
-        8 => (1i64..250).prop_map(|ms| Op::Pass(ms * MS)),
-        2 => (KEPT / 8..KEPT).prop_map(Op::Pass),
-        24 => (r.clone(), key.clone()).prop_map(|(r, key)| Op::Give { r, key }),
-        2 => (r.clone(), r.clone(), key.clone()).prop_map(|(r, other, key)| Op::Twins { r, other, key }),
-        14 => any::<usize>().prop_map(|which| Op::Intend { which }),
-        8 => (any::<usize>(), any::<bool>()).prop_map(|(which, ran)| Op::Send { which, ran }),
-        5 => (any::<usize>(), any::<bool>()).prop_map(|(which, heard)| Op::End { which, heard }),
-        4 => (r.clone(), key.clone()).prop_map(|(r, key)| Op::LosesChannel { r, key }),
-        2 => r.clone().prop_map(Op::Crash),
-        6 => (r.clone(), folder).prop_map(|(r, folder)| Op::Start { r, folder }),
-        2 => r.clone().prop_map(Op::Stop),
-        6 => r.clone().prop_map(Op::Wake),
-        16 => (r.clone(), r.clone()).prop_map(|(r, m)| Op::See { r, m }),
-        1 => (r.clone(), r.clone()).prop_map(|(r, m)| Op::Suspect { r, m }),
-        2 => (r.clone(), key.clone()).prop_map(|(r, key)| Op::Choose { r, key }),
-        2 => r.clone().prop_map(Op::Lead),
-        3 => r.clone().prop_map(Op::Write),
-        2 => (r, key).prop_map(|(r, key)| Op::Note { r, key }),
+        30 => deliver_in_transit.prop_map(|(seed, lost, duplicated, held)| Step::DeliverInTransit { seed, lost, duplicated, held }),
+        12 => any::<u64>().prop_map(|seed| Step::DeliverInTransit { seed, lost: 0, duplicated: 0, held: 0 }),
+        8 => (1i64..250).prop_map(|ms| Step::Pass(ms * MS)),
+        2 => (RETENTION / 8..RETENTION).prop_map(Step::Pass),
+        24 => (r.clone(), key.clone()).prop_map(|(r, key)| Step::Deliver { r, key }),
+        2 => (r.clone(), r.clone(), key.clone()).prop_map(|(r, other, key)| Step::DeliverTwice { r, other, key }),
+        14 => any::<usize>().prop_map(|which| Step::RequestDispatch { which }),
+        8 => (any::<usize>(), any::<bool>()).prop_map(|(which, ran)| Step::Send { which, ran }),
+        5 => (any::<usize>(), any::<bool>()).prop_map(|(which, answer_received)| Step::End { which, answer_received }),
+        4 => (r.clone(), key.clone()).prop_map(|(r, key)| Step::LoseChannel { r, key }),
+        2 => r.clone().prop_map(Step::Crash),
+        6 => (r.clone(), restart_state).prop_map(|(r, restart_state)| Step::Start { r, restart_state }),
+        2 => r.clone().prop_map(Step::Suspend),
+        6 => r.clone().prop_map(Step::Resume),
+        16 => (r.clone(), r.clone()).prop_map(|(r, m)| Step::ReportAlive { r, m }),
+        1 => (r.clone(), r.clone()).prop_map(|(r, m)| Step::Suspect { r, m }),
+        2 => (r.clone(), key.clone()).prop_map(|(r, key)| Step::Choose { r, key }),
+        2 => r.clone().prop_map(Step::Lead),
+        3 => r.clone().prop_map(Step::WriteValue),
+        2 => (r, key).prop_map(|(r, key)| Step::Note { r, key }),
     ]
 }
 
-/// How many members; all else is the system's.
+/// Reference model of the property test. Its state is only the number of members; all checks are in [`Run`].
 struct Members;
 
 impl ReferenceStateMachine for Members {
     type State = usize;
-    type Transition = Op;
+    type Transition = Step;
 
     fn init_state() -> BoxedStrategy<usize> {
         MEMBERS.boxed()
     }
 
-    fn transitions(_: &usize) -> BoxedStrategy<Op> {
-        op().boxed()
+    fn transitions(_: &usize) -> BoxedStrategy<Step> {
+        step().boxed()
     }
 
-    fn apply(n: usize, _: &Op) -> usize {
+    fn apply(n: usize, _: &Step) -> usize {
         n
     }
 }
 
+/// State of a dispatch.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum State {
-    Asking,
+    /// Permission was requested.
+    Requested,
+    /// Permission was given, and the dispatch is not sent yet.
     Buffered,
+    /// The dispatch was sent; `ran` tells whether the worker ran it.
     Sent { ran: bool },
 }
 
+/// One dispatch of a router.
 #[derive(Clone, Copy, Debug)]
 struct Dispatch {
     r: usize,
     key: usize,
-    sending: u64,
+    dispatch: u64,
     state: State,
 }
 
+/// An unacknowledged message of the broker at a router.
 #[derive(Clone, Copy, Default)]
-struct Held {
-    goes: bool,
-    /// The broker has given it to somebody else, which this one has not found out.
+struct Delivery {
+    /// The router may request a dispatch.
+    may_dispatch: bool,
+    /// The broker has redelivered the message to another router, which this router does not know yet.
     lost: bool,
 }
 
-/// When it was written, and what.
+/// Records written to a member's store, with the time of writing.
 type Written = (i64, Vec<(Key, RecordCopy)>);
 
+/// One run: the replicas with models of the broker, the routers and the workers.
 struct Run {
     w: World,
+    /// Number of members.
     n: usize,
-    /// Of each, in thousandths.
+    /// Drift of each member's clock in thousandths.
     drift: Vec<i64>,
+    /// The latest nonce that each member knows of each other member.
     views: Vec<Vec<u64>>,
-    stopped: Vec<bool>,
-    /// What each has written to its folder, and when.
-    folders: Vec<Vec<Written>>,
-    /// The broker has it to give, and whether it was given before.
+    /// Whether each member is suspended.
+    suspended: Vec<bool>,
+    /// The copies of its records that each member has written to its store.
+    stores: Vec<Vec<Written>>,
+    /// For each message that the broker can deliver, whether it was delivered before.
     ready: [Option<bool>; KEYS],
-    held: Vec<BTreeMap<usize, Held>>,
+    /// The unacknowledged messages at each router.
+    held: Vec<BTreeMap<usize, Delivery>>,
     dispatches: Vec<Dispatch>,
+    /// How often each invocation ran.
     effects: [u32; KEYS],
+    /// The answer to each invocation.
     success: [Option<Bytes>; KEYS],
-    made: BTreeMap<(u64, u64), i64>,
+    /// Time at which a record was first seen, by the nonce and serial number of its origin.
+    created_at: BTreeMap<(u64, u64), i64>,
     chosen: BTreeMap<Key, Bytes>,
-    /// Of a term: its writer, and the last that a majority has. Of a value: its term.
+    /// For each term, its writer and the last value that a majority accepted.
     written: BTreeMap<Ballot, (usize, Bytes)>,
-    leads: Vec<Option<Ballot>>,
-    terms: BTreeMap<Bytes, Ballot>,
+    /// The term in which each member leads.
+    leading_term: Vec<Option<Ballot>>,
+    /// The term of each value whose write was requested.
+    term_of_value: BTreeMap<Bytes, Ballot>,
+    /// The last value that was proposed, written or published.
     values: u64,
 }
 
 thread_local! {
-    static WITHOUT: Cell<Option<SafetyCheck>> = const { Cell::new(None) };
+    /// The safety check that is disabled in the runs of this thread.
+    static DISABLED_CHECK: Cell<Option<SafetyCheck>> = const { Cell::new(None) };
+    /// Counts of permitted dispatches, answers, chosen values and written values.
     static COUNTS: Cell<[u64; 4]> = const { Cell::new([0; 4]) };
 }
 
-fn counted(what: usize) {
+fn count(what: usize) {
     COUNTS.with(|c| {
         let mut counts = c.get();
         counts[what] += 1;
@@ -218,109 +265,120 @@
 
 impl Run {
     fn new(n: usize) -> Run {
-        let w = World::patient(n, WITHOUT.get(), PATIENCE);
+        let w = World::with_majority_timeout(n, DISABLED_CHECK.get(), MAJORITY_TIMEOUT);
         let drift = (0..n as i64)
-            .map(|r| (r * 17 % (2 * DRIFT + 1)) - DRIFT)
+            .map(|r| (r * 17 % (2 * MAX_DRIFT_PER_MILLE + 1)) - MAX_DRIFT_PER_MILLE)
             .collect();
         let views = vec![w.nonces.clone(); n];
         let mut run = Run {
             n,
             drift,
             views,
-            stopped: vec![false; n],
-            folders: vec![Vec::new(); n],
+            suspended: vec![false; n],
+            stores: vec![Vec::new(); n],
             ready: [Some(false); KEYS],
             held: vec![BTreeMap::new(); n],
             dispatches: Vec::new(),
             effects: [0; KEYS],
             success: Default::default(),
-            made: BTreeMap::new(),
+            created_at: BTreeMap::new(),
             chosen: BTreeMap::new(),
             written: BTreeMap::new(),
-            leads: vec![None; n],
-            terms: BTreeMap::new(),
+            leading_term: vec![None; n],
+            term_of_value: BTreeMap::new(),
             values: 0,
             w,
         };
-        // From now on each has its own clock.
-        run.w.rates.clone_from(&run.drift);
-        run.w.since = run.w.now;
+        // From now on, each member has its own clock.
+        run.w.clock_drift.clone_from(&run.drift);
+        run.w.drift_since = run.w.now;
         run
     }
 
-    fn up(&self, r: usize) -> bool {
+    /// Whether the process exists, be it running or suspended.
+    fn has_process(&self, r: usize) -> bool {
         self.w.replicas[r].is_some()
     }
 
-    fn runs(&self, r: usize) -> bool {
-        self.up(r) && !self.stopped[r]
+    fn is_running(&self, r: usize) -> bool {
+        self.has_process(r) && !self.suspended[r]
     }
 
     fn feed(&mut self, r: usize, input: Input) {
-        if !self.runs(r) {
+        if !self.is_running(r) {
             return;
         }
         self.w.feed(r, input);
-        for (name, verdicts) in std::mem::take(&mut self.w.verdicts[r]) {
+        for (name, decisions) in std::mem::take(&mut self.w.decisions[r]) {
             let Some(k) = (0..KEYS).find(|k| *key(*k) == *name) else {
                 continue;
             };
-            verdicts.into_iter().for_each(|v| self.verdict(r, k, v));
+            decisions
+                .into_iter()
+                .for_each(|v| self.on_decision(r, k, v));
         }
-        for (sending, left) in std::mem::take(&mut self.w.leaves[r]) {
-            self.leave(r, sending, left);
+        for (dispatch, permission) in std::mem::take(&mut self.w.permissions[r]) {
+            self.on_permission(r, dispatch, permission);
         }
         for (name, outcomes) in std::mem::take(&mut self.w.decided[r]) {
-            outcomes.into_iter().for_each(|o| self.decided(r, &name, o));
+            outcomes
+                .into_iter()
+                .for_each(|o| self.on_outcome(r, &name, o));
         }
     }
 
-    fn verdict(&mut self, r: usize, k: usize, verdict: OwnershipDecision) {
-        match verdict {
+    fn on_decision(&mut self, r: usize, k: usize, decision: OwnershipDecision) {
+        match decision {
             OwnershipDecision::Dispatch { .. } => {
                 if let Some(held) = self.held[r].get_mut(&k) {
-                    held.goes = true;
+                    held.may_dispatch = true;
                 }
             }
             OwnershipDecision::Wait => {}
-            OwnershipDecision::Answer(answer) => self.answers(r, k, Some(answer)),
+            OwnershipDecision::Answer(answer) => self.answer(r, k, Some(answer)),
             OwnershipDecision::Indeterminate(_) | OwnershipDecision::NoMajority(_) => {
-                self.answers(r, k, None)
+                self.answer(r, k, None)
             }
         }
     }
 
-    fn may_run(&self, k: usize, beside: u64) -> bool {
+    fn may_run(&self, k: usize, other_than: u64) -> bool {
         let may = |d: &Dispatch| matches!(d.state, State::Buffered | State::Sent { ran: true });
         self.effects[k] > 0
             || self
                 .dispatches
                 .iter()
-                .any(|d| d.key == k && d.sending != beside && may(d))
+                .any(|d| d.key == k && d.dispatch != other_than && may(d))
     }
 
-    fn leave(&mut self, r: usize, sending: u64, left: Result<bool, NoMajorityReason>) {
-        let asks = |d: &Dispatch| d.r == r && d.sending == sending && d.state == State::Asking;
-        let Some(at) = self.dispatches.iter().position(asks) else {
+    fn on_permission(
+        &mut self,
+        r: usize,
+        dispatch: u64,
+        permission: Result<bool, NoMajorityReason>,
+    ) {
+        let is_requested =
+            |d: &Dispatch| d.r == r && d.dispatch == dispatch && d.state == State::Requested;
+        let Some(at) = self.dispatches.iter().position(is_requested) else {
             return;
         };
         let k = self.dispatches[at].key;
-        match left {
+        match permission {
             Ok(_) => {
-                counted(0);
+                count(0);
                 assert!(
-                    !self.may_run(k, sending),
-                    "leave for {sending} of {k} at {r} beside another"
+                    !self.may_run(k, dispatch),
+                    "dispatch {dispatch} of {k} is permitted at {r} while another one may have run"
                 );
                 self.dispatches[at].state = State::Buffered;
             }
             Err(lack) => {
                 self.dispatches.remove(at);
                 if let Some(held) = self.held[r].get_mut(&k) {
-                    held.goes = false;
+                    held.may_dispatch = false;
                 }
                 if lack != NoMajorityReason::OwnedElsewhere {
-                    self.answers(r, k, None);
+                    self.answer(r, k, None);
                 } else if !self.held[r].contains_key(&k) {
                     self.feed(r, Input::Dropped { key: key(k) });
                 }
@@ -328,21 +386,21 @@
         }
     }
 
-    fn is_out(&self, r: usize, k: usize) -> bool {
+    fn has_dispatch(&self, r: usize, k: usize) -> bool {
         self.dispatches.iter().any(|d| d.r == r && d.key == k)
     }
 
-    fn answers(&mut self, r: usize, k: usize, success: Option<Bytes>) {
+    fn answer(&mut self, r: usize, k: usize, success: Option<Bytes>) {
         let Some(held) = self.held[r].remove(&k) else {
             return;
         };
         if let Some(answer) = &success {
-            assert!(self.effects[k] > 0, "a success of {k} without an effect");
+            assert!(self.effects[k] > 0, "an answer to {k}, which did not run");
             let first = self.success[k].get_or_insert_with(|| answer.clone());
-            assert_eq!(first, answer, "two answers to {k}");
-            counted(1);
+            assert_eq!(first, answer, "two different answers to {k}");
+            count(1);
         }
-        if self.is_out(r, k) {
+        if self.has_dispatch(r, k) {
             return;
         }
         let end = match success {
@@ -352,49 +410,49 @@
         self.feed(r, end);
     }
 
-    fn decided(&mut self, r: usize, name: &Key, outcome: Outcome) {
+    fn on_outcome(&mut self, r: usize, name: &Key, outcome: Outcome) {
         match outcome {
             Outcome::Chosen(value) => {
                 let first = self
                     .chosen
                     .entry(name.clone())
                     .or_insert_with(|| value.clone());
-                assert_eq!(*first, value, "two choices of {name}");
-                counted(2);
+                assert_eq!(*first, value, "two different values were chosen for {name}");
+                count(2);
             }
             Outcome::Leads { ballot, last } => {
                 let before = self.written.range(..ballot).next_back();
                 if let Some((term, (_, value))) = before {
                     let last = last.expect("something was written");
-                    let of = self.terms[&last];
+                    let last_term = self.term_of_value[&last];
                     assert!(
-                        (of, &last) >= (*term, value),
-                        "{ballot:?} goes on from {last:?}, not {value:?}"
+                        (last_term, &last) >= (*term, value),
+                        "{ballot:?} continues from {last:?}, not {value:?}"
                     );
                 }
-                self.leads[r] = Some(ballot);
+                self.leading_term[r] = Some(ballot);
             }
             Outcome::Written { ballot } => {
-                // What is written here is the last that was asked for.
+                // The written value is the last one whose write was requested in this term.
                 let value = self
-                    .terms
+                    .term_of_value
                     .iter()
-                    .filter(|(_, of)| **of == ballot)
+                    .filter(|(_, term)| **term == ballot)
                     .map(|(v, _)| v.clone())
                     .max();
-                let value = value.expect("it was asked for");
+                let value = value.expect("its write was requested");
                 let (writer, last) = self.written.entry(ballot).or_insert((r, value.clone()));
                 assert_eq!(*writer, r, "two writers in one term");
                 *last = value;
-                counted(3);
+                count(3);
             }
-            Outcome::Overtaken => self.leads[r] = None,
+            Outcome::Overtaken => self.leading_term[r] = None,
             Outcome::NoMajority(_) => {}
         }
     }
 
     fn take(&mut self, r: usize, k: usize, redelivered: bool) {
-        self.held[r].insert(k, Held::default());
+        self.held[r].insert(k, Delivery::default());
         self.feed(
             r,
             Input::Take {
@@ -405,26 +463,26 @@
         );
     }
 
-    fn lost(&mut self, r: usize, k: usize) {
+    fn return_to_broker(&mut self, r: usize, k: usize) {
         if self.held[r].remove(&k).is_some_and(|h| !h.lost) {
             self.ready[k] = Some(true);
         }
     }
 
-    fn ends(&mut self, at: usize, heard: bool) {
+    fn end_dispatch(&mut self, at: usize, answer_received: bool) {
         let d = self.dispatches.remove(at);
         let ran = d.state == State::Sent { ran: true };
-        let may_have_run = d.state != State::Buffered && (ran || !heard);
+        let may_have_run = d.state != State::Buffered && (ran || !answer_received);
         self.feed(
             d.r,
             Input::DispatchEnded {
                 key: key(d.key),
-                dispatch: d.sending,
+                dispatch: d.dispatch,
                 may_have_run,
             },
         );
-        let answer = Bytes::from(d.sending.to_string());
-        if ran && heard {
+        let answer = Bytes::from(d.dispatch.to_string());
+        if ran && answer_received {
             self.feed(
                 d.r,
                 Input::Answered {
@@ -434,15 +492,15 @@
             );
         }
         match self.held[d.r].contains_key(&d.key) {
-            true if ran && heard => self.answers(d.r, d.key, Some(answer)),
-            true if may_have_run => self.answers(d.r, d.key, None),
+            true if ran && answer_received => self.answer(d.r, d.key, Some(answer)),
+            true if may_have_run => self.answer(d.r, d.key, None),
             true => {}
             false => self.feed(d.r, Input::Dropped { key: key(d.key) }),
         }
     }
 
     fn view(&mut self, r: usize, m: usize, nonce: u64, alive: bool) {
-        if r != m && nonce >= self.views[r][m] && self.runs(r) {
+        if r != m && nonce >= self.views[r][m] && self.is_running(r) {
             self.views[r][m] = nonce;
             self.feed(
                 r,
@@ -455,30 +513,30 @@
         }
     }
 
-    fn flow(&mut self, seed: u64, [lost, doubled, held]: [u8; 3]) {
-        let mut dice = seed | 1;
+    fn deliver_in_transit(&mut self, seed: u64, [lost, duplicated, held]: [u8; 3]) {
+        let mut random = seed | 1;
         let mut draw = || {
-            dice = dice
+            random = random
                 .wrapping_mul(6_364_136_223_846_793_005)
                 .wrapping_add(1_442_695_040_888_963_407);
-            dice >> 33
+            random >> 33
         };
         let mut on_their_way = std::mem::take(&mut self.w.net);
         while !on_their_way.is_empty() {
             let sent = on_their_way.swap_remove(draw() as usize % on_their_way.len());
             let to = sent.1 as usize;
-            let die = (draw() % 100) as u8;
-            if self.stopped[to] || die < held {
+            let percentile = (draw() % 100) as u8;
+            if self.suspended[to] || percentile < held {
                 self.w.net.push(sent);
                 continue;
             }
             if (draw() % 100) as u8 >= lost {
                 let (from, _, nonce, at, message) = sent.clone();
-                // Whose it is may be known from it, or not yet.
+                // The receiver may or may not learn the sender's present process from the message.
                 if draw() % 2 == 0 {
                     self.view(to, from as usize, nonce, true);
                 }
-                let transit = self.w.clock(to) - self.w.clock_at(to, at);
+                let transit = self.w.local_time(to) - self.w.local_time_at(to, at);
                 self.feed(
                     to,
                     Input::MessageReceived {
@@ -489,7 +547,7 @@
                     },
                 );
             }
-            if ((draw() % 100) as u8) < doubled {
+            if ((draw() % 100) as u8) < duplicated {
                 self.w.net.push(sent);
             }
         }
@@ -500,22 +558,22 @@
         (0..self.n).for_each(|r| self.feed(r, Input::Tick));
     }
 
-    fn start(&mut self, r: usize, folder: Folder) {
-        if self.up(r) {
+    fn start(&mut self, r: usize, restart_state: RestartState) {
+        if self.has_process(r) {
             return;
         }
-        let written = std::mem::take(&mut self.folders[r]);
-        let copy = match folder {
-            Folder::Lost => None,
-            Folder::Kept => written.into_iter().next_back(),
-            Folder::Stale => written.into_iter().next(),
+        let written = std::mem::take(&mut self.stores[r]);
+        let copy = match restart_state {
+            RestartState::Lost => None,
+            RestartState::Latest => written.into_iter().next_back(),
+            RestartState::Stale => written.into_iter().next(),
         };
         let records = copy.map(|(at, records)| {
-            let since = self.w.now - at;
+            let elapsed = self.w.now - at;
             let older = |(key, mut s): (Key, RecordCopy)| {
                 (s.expires_in, s.proof_expires_in) = (
-                    s.expires_in - since,
-                    s.proof_expires_in.map(|left| left - since),
+                    s.expires_in - elapsed,
+                    s.proof_expires_in.map(|remaining| remaining - elapsed),
                 );
                 (key, s)
             };
@@ -525,82 +583,93 @@
                 .filter(|(_, s)| s.expires_in > 0)
                 .collect()
         });
-        self.w.last += 1;
-        let nonce = self.w.last;
+        self.w.last_id += 1;
+        let nonce = self.w.last_id;
         self.w.nonces[r] = nonce;
-        let terms = terms(WITHOUT.get(), PATIENCE);
+        let settings = settings(DISABLED_CHECK.get(), MAJORITY_TIMEOUT);
         self.w.replicas[r] = Some(Replica::new(
-            self.w.clock(r),
+            self.w.local_time(r),
             group(self.n, r),
-            terms,
+            settings,
             nonce,
             records,
         ));
         (self.views[r], self.views[r][r]) = (vec![0; self.n], nonce);
-        (self.stopped[r], self.leads[r]) = (false, None);
-        (self.w.verdicts[r], self.w.leaves[r], self.w.decided[r]) = Default::default();
+        (self.suspended[r], self.leading_term[r]) = (false, None);
+        (
+            self.w.decisions[r],
+            self.w.permissions[r],
+            self.w.decided[r],
+        ) = Default::default();
     }
 
     #[expect(
         clippy::too_many_lines,
-        reason = "one scenario or table of cases, told in order"
+        reason = "one match with an arm for each kind of step"
     )]
-    fn step(&mut self, op: Op) {
+    fn step(&mut self, step: Step) {
         let within = |r: usize| r % self.n;
-        match op {
-            Op::Flow {
+        match step {
+            Step::DeliverInTransit {
                 seed,
                 lost,
-                doubled,
+                duplicated,
                 held,
-            } => self.flow(seed, [lost, doubled, held]),
-            Op::Pass(time) => self.pass(time),
-            Op::Give { r, key } => {
+            } => self.deliver_in_transit(seed, [lost, duplicated, held]),
+            Step::Pass(time) => self.pass(time),
+            Step::Deliver { r, key } => {
                 let r = within(r);
                 if let Some(again) = self.ready[key]
-                    && self.runs(r)
+                    && self.is_running(r)
                     && !self.held[r].contains_key(&key)
                 {
                     self.ready[key] = None;
                     self.take(r, key, again);
                 }
             }
-            Op::Twins { r, other, key } => {
+            Step::DeliverTwice { r, other, key } => {
                 let (r, other) = (within(r), within(other));
-                if self.ready[key] == Some(false) && r != other && self.runs(r) && self.runs(other)
+                if self.ready[key] == Some(false)
+                    && r != other
+                    && self.is_running(r)
+                    && self.is_running(other)
                 {
                     self.ready[key] = None;
                     self.take(r, key, false);
                     self.take(other, key, false);
                 }
             }
-            Op::Intend { which } => {
-                let may = |(r, k): &(usize, usize)| self.runs(*r) && !self.is_out(*r, *k);
-                let all = (0..self.n)
-                    .flat_map(|r| self.held[r].iter().map(move |(k, h)| ((r, *k), h.goes)));
+            Step::RequestDispatch { which } => {
+                let may =
+                    |(r, k): &(usize, usize)| self.is_running(*r) && !self.has_dispatch(*r, *k);
+                let all = (0..self.n).flat_map(|r| {
+                    self.held[r]
+                        .iter()
+                        .map(move |(k, h)| ((r, *k), h.may_dispatch))
+                });
                 let going: Vec<_> = all.filter(|g| g.1).map(|g| g.0).filter(may).collect();
                 if let Some((r, k)) = going.get(which % going.len().max(1)).copied() {
-                    self.w.last += 1;
-                    let sending = self.w.last;
+                    self.w.last_id += 1;
+                    let dispatch = self.w.last_id;
                     self.dispatches.push(Dispatch {
                         r,
                         key: k,
-                        sending,
-                        state: State::Asking,
+                        dispatch,
+                        state: State::Requested,
                     });
                     self.feed(
                         r,
                         Input::RequestDispatch {
                             key: key(k),
-                            dispatch: sending,
+                            dispatch,
                             deduplication_scope: 0,
                             without_majority: false,
                         },
                     );
                 }
             }
-            Op::Send { which, ran } => {
-                let fit = |d: &&mut Dispatch| d.state == State::Buffered && !self.stopped[d.r];
+            Step::Send { which, ran } => {
+                let fit = |d: &&mut Dispatch| d.state == State::Buffered && !self.suspended[d.r];
                 let fitting: Vec<&mut Dispatch> = self.dispatches.iter_mut().filter(fit).collect();
                 let count = fitting.len();
                 if let Some(d) = fitting.into_iter().nth(which % count.max(1)) {
@@ -609,67 +678,70 @@
                     assert!(self.effects[d.key] < 2, "a second effect of {}", d.key);
                 }
             }
-            Op::End { which, heard } => {
-                let fit = |d: &Dispatch| d.state != State::Asking && !self.stopped[d.r];
+            Step::End {
+                which,
+                answer_received,
+            } => {
+                let fit = |d: &Dispatch| d.state != State::Requested && !self.suspended[d.r];
                 let fitting: Vec<usize> = (0..self.dispatches.len())
                     .filter(|n| fit(&self.dispatches[*n]))
                     .collect();
                 if let Some(at) = fitting.get(which % fitting.len().max(1)) {
-                    self.ends(*at, heard);
+                    self.end_dispatch(*at, answer_received);
                 }
             }
-            Op::LosesChannel { r, key: k } => {
+            Step::LoseChannel { r, key: k } => {
                 let r = within(r);
-                if self.stopped[r] {
-                    // The broker gives it up, and this one does not know.
+                if self.suspended[r] {
+                    // The broker takes the message back, and the suspended router does not know it.
                     if let Some(held) = self.held[r].get_mut(&k).filter(|h| !h.lost) {
                         held.lost = true;
                         self.ready[k] = Some(true);
                     }
                 } else if self.held[r].contains_key(&k) {
-                    self.lost(r, k);
+                    self.return_to_broker(r, k);
                     self.dispatches
-                        .retain(|d| (d.r, d.key, d.state) != (r, k, State::Asking));
-                    if !self.is_out(r, k) {
+                        .retain(|d| (d.r, d.key, d.state) != (r, k, State::Requested));
+                    if !self.has_dispatch(r, k) {
                         self.feed(r, Input::Dropped { key: key(k) });
                     }
                 }
             }
-            Op::Crash(r) => {
+            Step::Crash(r) => {
                 let r = within(r);
-                if self.up(r) {
-                    let folder = self.folder(r);
-                    self.folders[r].push((self.w.now, folder));
+                if self.has_process(r) {
+                    let records = self.copy_records(r);
+                    self.stores[r].push((self.w.now, records));
                     self.w.replicas[r] = None;
-                    (0..KEYS).for_each(|k| self.lost(r, k));
+                    (0..KEYS).for_each(|k| self.return_to_broker(r, k));
                     self.dispatches.retain(|d| d.r != r);
                 }
             }
-            Op::Start { r, folder } => self.start(within(r), folder),
-            Op::Stop(r) => {
+            Step::Start { r, restart_state } => self.start(within(r), restart_state),
+            Step::Suspend(r) => {
                 let r = within(r);
-                if self.up(r) {
-                    let folder = self.folder(r);
-                    self.folders[r].push((self.w.now, folder));
-                    self.stopped[r] = true;
+                if self.has_process(r) {
+                    let records = self.copy_records(r);
+                    self.stores[r].push((self.w.now, records));
+                    self.suspended[r] = true;
                 }
             }
-            Op::Wake(r) => {
+            Step::Resume(r) => {
                 let r = within(r);
-                self.stopped[r] = false;
+                self.suspended[r] = false;
                 self.feed(r, Input::Tick);
             }
-            Op::See { r, m } => {
+            Step::ReportAlive { r, m } => {
                 let (r, m) = (within(r), within(m));
-                if self.up(m) {
+                if self.has_process(m) {
                     self.view(r, m, self.w.nonces[m], true);
                 }
             }
-            Op::Suspect { r, m } => {
+            Step::Suspect { r, m } => {
                 let (r, m) = (within(r), within(m));
                 self.view(r, m, self.views[r][m], false);
             }
-            Op::Choose { r, key } => {
+            Step::Choose { r, key } => {
                 self.values += 1;
                 let (key, value) = (
                     format!("c{key}").into(),
@@ -684,19 +756,19 @@
                     },
                 );
             }
-            Op::Lead(r) => self.feed(
+            Step::Lead(r) => self.feed(
                 within(r),
                 Input::Lead {
                     key: "plan".into(),
                     retention: LONG,
                 },
             ),
-            Op::Write(r) => {
+            Step::WriteValue(r) => {
                 let r = within(r);
-                if let Some(ballot) = self.leads[r].filter(|_| self.runs(r)) {
+                if let Some(ballot) = self.leading_term[r].filter(|_| self.is_running(r)) {
                     self.values += 1;
                     let value = Bytes::from(format!("{:08}", self.values));
-                    self.terms.insert(value.clone(), ballot);
+                    self.term_of_value.insert(value.clone(), ballot);
                     self.feed(
                         r,
                         Input::Write {
@@ -708,7 +780,7 @@
                     );
                 }
             }
-            Op::Note { r, key } => {
+            Step::Note { r, key } => {
                 self.values += 1;
                 let (key, version) = (format!("n{key}").into(), (1, self.values));
                 let value = Bytes::from(self.values.to_string());
@@ -725,52 +797,57 @@
         }
     }
 
-    fn folder(&self, r: usize) -> Vec<(Key, RecordCopy)> {
-        let now = self.w.clock(r);
+    fn copy_records(&self, r: usize) -> Vec<(Key, RecordCopy)> {
+        let now = self.w.local_time(r);
         self.w
-            .at(r)
+            .replica(r)
             .records()
             .map(|(k, s)| (k.clone(), s.to_copy(now)))
             .collect()
     }
 
-    /// Nothing outlives its time, at however many it stays.
-    fn aged(&mut self) {
+    /// Checks that no record of an invocation outlives its retention time, however many members forward it.
+    fn check_age(&mut self) {
         for r in 0..self.n {
-            if !self.runs(r) {
+            if !self.is_running(r) {
                 continue;
             }
             for (key, slot) in self.w.replicas[r].iter().flat_map(|it| it.records()) {
                 if let Record::Invocation(_) = slot.record {
-                    let made = *self
-                        .made
+                    let created_at = *self
+                        .created_at
                         .entry((slot.origin.nonce, slot.origin.serial))
                         .or_insert(self.w.now);
-                    let over = made + KEPT + KEPT / 8;
+                    let expiry = created_at + RETENTION + RETENTION / 8;
                     assert!(
-                        self.w.now <= over,
-                        "{key} at {r} is {} old",
-                        self.w.now - made
+                        self.w.now <= expiry,
+                        "{key} at {r} is {} us old",
+                        self.w.now - created_at
                     );
                 }
             }
         }
     }
 
-    /// Everybody runs and hears everybody.
+    /// Repairs all faults: all members run and receive all messages, until they have the same long-lived records.
     fn heal(&mut self) {
         for r in 0..self.n {
-            self.stopped[r] = false;
-            self.start(r, Folder::Kept);
+            self.suspended[r] = false;
+            self.start(r, RestartState::Latest);
         }
-        let all_the_same = |it: &Self| {
+        let all_the_same = |run: &Self| {
             let long = |r: usize| {
                 let lasting = |s: &Record| !matches!(s, Record::Invocation(_));
-                let all = it.w.at(r).records().filter(|(_, s)| lasting(&s.record));
+                let all = run
+                    .w
+                    .replica(r)
+                    .records()
+                    .filter(|(_, s)| lasting(&s.record));
                 all.map(|(k, s)| (k.clone(), s.record.clone()))
                     .collect::<BTreeMap<_, _>>()
             };
-            (1..it.n).all(|r| long(r) == long(0)) && (0..it.n).all(|r| it.w.at(r).can_vote())
+            (1..run.n).all(|r| long(r) == long(0))
+                && (0..run.n).all(|r| run.w.replica(r).can_vote())
         };
         for _ in 0..2_000 {
             for at in 0..self.n * self.n {
@@ -778,15 +855,16 @@
                 self.view(r, m, self.w.nonces[m], true);
             }
             self.pass(20 * MS);
-            (0..4).for_each(|seed| self.flow(seed, [0; 3]));
+            (0..4).for_each(|seed| self.deliver_in_transit(seed, [0; 3]));
             if all_the_same(self) {
                 return;
             }
         }
-        panic!("all run and hear each other, and hold different things");
+        panic!("all members run and communicate, and their records still differ");
     }
 }
 
+/// The system under test.
 struct Group;
 
 impl StateMachineTest for Group {
@@ -797,9 +875,9 @@
         Run::new(*n)
     }
 
-    fn apply(mut run: Run, _: &usize, op: Op) -> Run {
-        run.step(op);
-        run.aged();
+    fn apply(mut run: Run, _: &usize, step: Step) -> Run {
+        run.step(step);
+        run.check_age();
         run
     }
 
@@ -808,22 +886,22 @@
     }
 }
 
-/// The first failure in so many runs, each with other chance; `seed`: of all of them.
-fn play(without: Option<SafetyCheck>, seed: u8, cases: u32) -> Result<[u64; 4], String> {
-    WITHOUT.set(without);
+/// Runs `cases` random sequences of steps that are generated from `seed`. Returns the counts, or the first failure.
+fn play(disabled_check: Option<SafetyCheck>, seed: u8, cases: u32) -> Result<[u64; 4], String> {
+    DISABLED_CHECK.set(disabled_check);
     COUNTS.set([0; 4]);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
     let mut runner = TestRunner::new_with_rng(ProptestConfig::default(), rng);
     let strategy = Members::sequential_strategy(100..400);
     for case in 0..cases {
         let tree = strategy.new_tree(&mut runner).map_err(|e| e.to_string())?;
-        let (n, ops, seen) = tree.current();
+        let (n, steps, seen) = tree.current();
         let played = std::panic::catch_unwind(move || {
-            Group::test_sequential(ProptestConfig::default(), n, ops, seen);
+            Group::test_sequential(ProptestConfig::default(), n, steps, seen);
         });
-        if let Err(why) = played {
-            let text = why.downcast_ref::<String>().cloned();
-            let text = text.or_else(|| why.downcast_ref::<&str>().map(|s| s.to_string()));
+        if let Err(panic) = played {
+            let text = panic.downcast_ref::<String>().cloned();
+            let text = text.or_else(|| panic.downcast_ref::<&str>().map(|s| s.to_string()));
             return Err(format!(
                 "seed {seed}, run {case}: {}",
                 text.unwrap_or_default()
@@ -844,12 +922,15 @@
         .and_then(|s| s.parse().ok())
         .unwrap_or(1);
     let counts = play(None, seed, cases).unwrap_or_else(|e| panic!("{e}"));
-    println!("{cases} runs: left, succeeded, chosen, written {counts:?}");
+    println!(
+        "{cases} runs: permitted dispatches, answers, chosen values, written values {counts:?}"
+    );
     assert!(counts.iter().all(|c| *c > 0), "{counts:?}");
 }
 
-/// Each of the others needs a longer chain than chance makes in so few runs; the explorer and `recovery.rs` have them.
-const FOUND: [SafetyCheck; 5] = [
+/// The safety checks whose absence random runs detect. Each other check needs a sequence of steps that is too long for
+/// so few random runs; `explorer.rs` and `recovery.rs` cover those.
+const DETECTABLE_CHECKS: [SafetyCheck; 5] = [
     SafetyCheck::MajorityBeforeDispatch,
     SafetyCheck::KeptPromise,
     SafetyCheck::GoneOwnerMayHaveRun,
@@ -860,9 +941,9 @@
 #[test]
 fn disabled_safety_checks_are_found_by_random_runs() {
     std::panic::set_hook(Box::new(|_| {}));
-    for guard in FOUND {
-        let found = (1..3).find_map(|seed| play(Some(guard), seed, 300).err());
-        println!("without {guard:?}: {found:?}");
-        assert!(found.is_some(), "without {guard:?} nothing is found");
+    for check in DETECTABLE_CHECKS {
+        let found = (1..3).find_map(|seed| play(Some(check), seed, 300).err());
+        println!("without {check:?}: {found:?}");
+        assert!(found.is_some(), "no run fails without {check:?}");
     }
 }
--- a/crates/replica/tests/recovery.rs
+++ b/crates/replica/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! What a member that was absent, full, partitioned or slow must not take for a proof. Each case is a fault that the
-//! code once had.
+//! Guards against wrong conclusions by a member that was absent, full, partitioned or slow. Each test covers a fault
+//! that the code once had.
 
 mod common;
 
@@ -9,9 +9,10 @@
     IndeterminateReason, Input, Message, OwnershipDecision, RecoveryState, Replica,
     ReplicaSettings, SafetyCheck,
 };
-use common::{KEPT, MS, World, group, terms};
+use common::{MS, RETENTION, World, group, settings};
 
-const GO: OwnershipDecision = OwnershipDecision::Dispatch {
+/// Dispatch is allowed, and no earlier dispatch is known.
+const FIRST_DISPATCH: OwnershipDecision = OwnershipDecision::Dispatch {
     first_dispatch_ago: None,
 };
 
@@ -23,18 +24,23 @@
             key,
             version: (1, n),
             value,
-            retention: 10 * KEPT,
+            retention: 10 * RETENTION,
         },
     );
 }
 
-/// Delivers the first that fits, as one that was under way for so long.
-fn late(w: &mut World, to: usize, transit: i64, fits: impl Fn(MemberIndex, &Message) -> bool) {
+/// Delivers the first matching message with the given transit time in microseconds; all others remain in transit.
+fn deliver_late(
+    w: &mut World,
+    to: usize,
+    transit: i64,
+    selects: impl Fn(MemberIndex, &Message) -> bool,
+) {
     let fitting = |sent: &(MemberIndex, MemberIndex, u64, i64, Message)| {
-        sent.1 == to as u16 && fits(sent.0, &sent.4)
+        sent.1 == to as u16 && selects(sent.0, &sent.4)
     };
     let Some(n) = w.net.iter().position(fitting) else {
-        panic!("it is on its way")
+        panic!("no matching message is in transit")
     };
     let (from, _, nonce, _, message) = w.net.remove(n);
     w.feed(
@@ -49,15 +55,16 @@
 }
 
 #[test]
-fn a_duplicated_batch_does_not_stand_for_the_next_one() {
+fn a_duplicated_batch_does_not_replace_the_next_one() {
     let mut w = World::new(3, None);
     (0..3_000).for_each(|n| note(&mut w, 0, n));
     w.net.clear();
     w.crash(2);
     w.start(2, None);
-    // The second piece is lost, and the first comes twice. Only one of the other two has any of it.
+    // The second batch is lost and the first one arrives twice. Only one of the other two members has any of the
+    // records.
     let (mut first, mut lost) = (None, false);
-    while w.at(2).recovery_state() != RecoveryState::Complete && w.now < 4 * KEPT {
+    while w.replica(2).recovery_state() != RecoveryState::Complete && w.now < 4 * RETENTION {
         w.now += 10 * MS;
         (0..3).for_each(|r| w.feed(r, Input::Tick));
         while !w.net.is_empty() {
@@ -68,7 +75,7 @@
             if let Message::FetchedRecords { .. } = message {
                 match &first {
                     None => first = Some(message.clone()),
-                    Some(again) if !lost => (message, lost) = (again.clone(), true),
+                    Some(first_batch) if !lost => (message, lost) = (first_batch.clone(), true),
                     Some(_) => {}
                 }
             }
@@ -85,7 +92,10 @@
     }
     assert!(lost);
     assert_eq!(
-        (w.at(2).recovery_state(), w.at(2).records().count()),
+        (
+            w.replica(2).recovery_state(),
+            w.replica(2).records().count()
+        ),
         (RecoveryState::Complete, 3_000)
     );
 }
@@ -98,45 +108,49 @@
     }
     w.pass(20 * MS);
     w.crash(2);
-    let few = ReplicaSettings {
+    let small_store = ReplicaSettings {
         max_records: 2,
-        ..terms(None, 800 * MS)
+        ..settings(None, 800 * MS)
     };
-    w.replicas[2] = Some(Replica::new(w.now, group(3, 2), few, 99, None));
+    w.replicas[2] = Some(Replica::new(w.now, group(3, 2), small_store, 99, None));
     w.nonces[2] = 99;
     (0..3).for_each(|m| w.sees(2, m, true));
     (0..2).for_each(|r| w.sees(r, 2, true));
     w.pass(1_000 * MS);
     assert_eq!(
-        (w.at(2).recovery_state(), w.at(2).records().count()),
+        (
+            w.replica(2).recovery_state(),
+            w.replica(2).records().count()
+        ),
         (RecoveryState::Empty, 2)
     );
-    w.pass(2 * KEPT);
-    assert_eq!(w.at(2).recovery_state(), RecoveryState::Complete);
+    w.pass(2 * RETENTION);
+    assert_eq!(w.replica(2).recovery_state(), RecoveryState::Complete);
 }
 
-/// The first two agree on an intent; the third knows only that it was taken. Then the first is gone.
-fn sent_beside(w: &mut World, transit: i64) -> bool {
-    let s = w.intend(0, "x");
+/// Members 0 and 1 store an intent, while member 2 knows only that the invocation was accepted. Then member 0 crashes.
+/// Returns whether the dispatch was permitted.
+fn dispatch_at_two_members(w: &mut World, transit: i64) -> bool {
+    let dispatch = w.request_dispatch(0, "x");
     w.net.retain(|(_, to, ..)| *to == 1);
-    late(w, 1, transit, |_, m| {
+    deliver_late(w, 1, transit, |_, m| {
         matches!(m, Message::StoreIntent { .. })
     });
     w.deliver(|from, to, _| from == 1 && to == 0);
-    let left = w.left(0, s);
+    let permitted = w.is_permitted(0, dispatch);
     w.crash(0);
     w.net.clear();
-    left
+    permitted
 }
 
-/// It comes again at the third, which had heard of nobody meanwhile.
-fn comes_again(w: &mut World, after: i64) -> Option<OwnershipDecision> {
-    w.pass_where(after, |_, _, _| false);
+/// The invocation is redelivered to member 2, which received no messages for the time `after`. Returns its decision.
+fn redeliver_to_third(w: &mut World, after: i64) -> Option<OwnershipDecision> {
+    w.pass_delivering(after, |_, _, _| false);
     w.sees(2, 0, false);
     w.take(2, "x", true);
     w.deliver(|from, to, _| (from, to) != (0, 0));
     w.pass(300 * MS);
-    w.verdict(2, "x")
+    w.last_decision(2, "x")
 }
 
 #[test]
@@ -144,17 +158,17 @@
     let mut w = World::new(3, None);
     w.take(0, "x", false);
     w.pass(10 * MS);
-    // A later record of the same process was so long under way that it is forgotten before the first.
+    // A later record of the same process was in transit for so long that it expires before the first record.
     w.take(0, "y", false);
     w.now += 2 * MS;
     w.feed(0, Input::Tick);
-    late(&mut w, 2, KEPT * 2 / 3, |_, m| {
+    deliver_late(&mut w, 2, RETENTION * 2 / 3, |_, m| {
         matches!(m, Message::Update { .. })
     });
-    assert!(sent_beside(&mut w, 0));
-    let verdict = comes_again(&mut w, KEPT / 2);
+    assert!(dispatch_at_two_members(&mut w, 0));
+    let decision = redeliver_to_third(&mut w, RETENTION / 2);
     assert_eq!(
-        verdict,
+        decision,
         Some(OwnershipDecision::Indeterminate(
             IndeterminateReason::OwnerGone
         ))
@@ -163,25 +177,28 @@
 
 #[test]
 fn an_intent_that_arrives_too_late_gets_no_vote() {
-    let play = |without| {
-        let mut w = World::new(3, without);
+    let play = |disabled_check| {
+        let mut w = World::new(3, disabled_check);
         w.take(0, "x", false);
-        w.pass_where(10 * MS, |_, to, _| to == 2);
-        let left = sent_beside(&mut w, KEPT * 2 / 3);
-        (left, comes_again(&mut w, KEPT / 2))
+        w.pass_delivering(10 * MS, |_, to, _| to == 2);
+        let permitted = dispatch_at_two_members(&mut w, RETENTION * 2 / 3);
+        (permitted, redeliver_to_third(&mut w, RETENTION / 2))
     };
     assert!(!play(None).0);
-    assert_eq!(play(Some(SafetyCheck::NotTooLate)), (true, Some(GO)));
+    assert_eq!(
+        play(Some(SafetyCheck::NotTooLate)),
+        (true, Some(FIRST_DISPATCH))
+    );
 }
 
 #[test]
 fn near_its_expiry_a_record_neither_proves_nor_permits_anything() {
-    let play = |without| {
-        let mut w = World::new(3, without);
+    let play = |disabled_check| {
+        let mut w = World::new(3, disabled_check);
         w.take(0, "x", false);
-        w.pass_where(10 * MS, |_, to, _| to == 2);
-        assert!(sent_beside(&mut w, KEPT / 20));
-        comes_again(&mut w, KEPT - KEPT / 40)
+        w.pass_delivering(10 * MS, |_, to, _| to == 2);
+        assert!(dispatch_at_two_members(&mut w, RETENTION / 20));
+        redeliver_to_third(&mut w, RETENTION - RETENTION / 40)
     };
     assert_eq!(
         play(None),
@@ -189,46 +206,46 @@
             IndeterminateReason::Unknown
         ))
     );
-    assert_eq!(play(Some(SafetyCheck::NotTooLate)), Some(GO));
+    assert_eq!(play(Some(SafetyCheck::NotTooLate)), Some(FIRST_DISPATCH));
     let mut w = World::new(3, None);
     w.take(0, "x", false);
-    w.pass_where(KEPT - 100 * MS, |_, _, _| false);
-    let s = w.intend(0, "x");
+    w.pass_delivering(RETENTION - 100 * MS, |_, _, _| false);
+    let dispatch = w.request_dispatch(0, "x");
     w.deliver(|_, _, _| true);
-    assert!(!w.left(0, s));
+    assert!(!w.is_permitted(0, dispatch));
 }
 
 #[test]
-fn a_member_that_was_asked_too_late_is_asked_again_at_once() {
+fn a_request_that_arrives_too_late_is_sent_again_at_once() {
     let mut w = World::new(3, None);
     w.take(0, "x", false);
-    let s = w.intend(0, "x");
-    late(&mut w, 1, KEPT / 2, |_, m| {
+    let dispatch = w.request_dispatch(0, "x");
+    deliver_late(&mut w, 1, RETENTION / 2, |_, m| {
         matches!(m, Message::StoreIntent { .. })
     });
     w.deliver(|from, to, _| from + to == 1);
-    assert!(w.left(0, s));
+    assert!(w.is_permitted(0, dispatch));
     w.feed(0, Input::Dropped { key: "x".into() });
     w.pass(10 * MS);
     w.take(2, "x", true);
-    late(&mut w, 1, KEPT / 2, |_, m| {
+    deliver_late(&mut w, 1, RETENTION / 2, |_, m| {
         matches!(m, Message::Fence { .. })
     });
     w.deliver(|from, to, _| from + to == 3);
-    assert_eq!(w.verdict(2, "x"), Some(OwnershipDecision::Wait));
+    assert_eq!(w.last_decision(2, "x"), Some(OwnershipDecision::Wait));
 }
 
 #[test]
 fn a_long_lived_record_is_learned_after_a_later_invocation_has_expired() {
     let mut w = World::new(3, None);
     note(&mut w, 0, 1);
-    w.pass_where(10 * MS, |_, _, _| false);
+    w.pass_delivering(10 * MS, |_, _, _| false);
     w.take(0, "x", false);
-    w.pass_where(20 * MS, |_, _, m| {
+    w.pass_delivering(20 * MS, |_, _, m| {
         !matches!(m, Message::CompareDigests { .. })
     });
-    assert!(w.at(2).copy(w.now, "x").is_some() && w.at(2).copy(w.now, "n1").is_none());
-    w.pass_where(2 * KEPT, |_, _, _| false);
+    assert!(w.replica(2).copy(w.now, "x").is_some() && w.replica(2).copy(w.now, "n1").is_none());
+    w.pass_delivering(2 * RETENTION, |_, _, _| false);
     w.pass(5_000 * MS);
-    assert!((1..3).all(|r| w.at(r).copy(w.now, "n1").is_some()));
+    assert!((1..3).all(|r| w.replica(r).copy(w.now, "n1").is_some()));
 }
--- a/crates/replica/tests/scenarios.rs
+++ b/crates/replica/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Single cases, each as short as it can be; those of guards are played without the guard as well.
+//! Short scenarios of a group in virtual time. Scenarios for a safety check are also run with the check disabled, to
+//! show that the fault then occurs.
 
 mod common;
 
@@ -7,29 +8,31 @@
     Durability, IndeterminateReason, Input, Message, NoMajorityReason, Outcome, OwnershipDecision,
     Record, RecoveryState, ReplicaSettings, SafetyCheck,
 };
-use common::{KEPT, MS, World, group, terms};
+use common::{MS, RETENTION, World, group, settings};
 
-const GO: OwnershipDecision = OwnershipDecision::Dispatch {
+/// Dispatch is allowed, and no earlier dispatch is known.
+const FIRST_DISPATCH: OwnershipDecision = OwnershipDecision::Dispatch {
     first_dispatch_ago: None,
 };
 
 #[test]
 fn a_dispatch_needs_a_majority_and_the_next_router_waits_for_it() {
     let mut w = World::new(3, None);
-    assert_eq!(w.take(0, "x", false), Some(GO));
-    let s = w.intend(0, "x");
-    assert!(!w.left(0, s));
+    assert_eq!(w.take(0, "x", false), Some(FIRST_DISPATCH));
+    let dispatch = w.request_dispatch(0, "x");
+    assert!(!w.is_permitted(0, dispatch));
     w.deliver(|_, to, _| to != 2);
-    assert!(w.left(0, s));
-    // Its channel is lost; the message comes to another one, which waits for its end and answers alike.
+    assert!(w.is_permitted(0, dispatch));
+    // Router 0 loses its channel. The message is redelivered to router 2, which waits for the dispatch to end and then
+    // returns the same answer.
     assert_eq!(w.take(2, "x", true), None);
     w.deliver(|_, _, _| true);
-    assert_eq!(w.verdict(2, "x"), Some(OwnershipDecision::Wait));
-    w.ended(0, "x", s, true);
+    assert_eq!(w.last_decision(2, "x"), Some(OwnershipDecision::Wait));
+    w.dispatch_ended(0, "x", dispatch, true);
     w.answered(0, "x", "done");
     w.pass(20 * MS);
     assert_eq!(
-        w.verdict(2, "x"),
+        w.last_decision(2, "x"),
         Some(OwnershipDecision::Answer(Bytes::from_static(b"done")))
     );
     // A third delivery is answered at once.
@@ -42,8 +45,8 @@
 #[test]
 fn a_takeover_dispatches_what_was_never_sent_and_not_what_may_have_run() {
     let mut w = World::new(3, None);
-    for (key, ends, want) in [
-        ("never", Some(false), GO),
+    for (key, ended, want) in [
+        ("never", Some(false), FIRST_DISPATCH),
         (
             "ran",
             Some(true),
@@ -51,43 +54,44 @@
         ),
     ] {
         w.take(0, key, false);
-        let s = w.intend(0, key);
+        let dispatch = w.request_dispatch(0, key);
         w.deliver(|_, _, _| true);
-        if let Some(may_have_run) = ends {
-            w.ended(0, key, s, may_have_run);
+        if let Some(may_have_run) = ended {
+            w.dispatch_ended(0, key, dispatch, may_have_run);
         }
         w.feed(0, Input::Dropped { key: key.into() });
         w.pass(10 * MS);
         w.take(1, key, true);
         w.deliver(|_, _, _| true);
-        assert_eq!(w.verdict(1, key), Some(want), "{key}");
+        assert_eq!(w.last_decision(1, key), Some(want), "{key}");
     }
-    // Held in a queue only, by one that is gone: nobody holds an intent, and somebody says that it was taken.
+    // The invocation was only queued at a router that crashed: no member has an intent, and at least one member knows
+    // that the invocation was accepted.
     w.take(0, "queued", false);
     w.pass(10 * MS);
     w.crash(0);
     w.take(1, "queued", true);
     w.deliver(|_, _, _| true);
-    assert_eq!(w.verdict(1, "queued"), Some(GO));
-    let s = w.intend(1, "queued");
+    assert_eq!(w.last_decision(1, "queued"), Some(FIRST_DISPATCH));
+    let dispatch = w.request_dispatch(1, "queued");
     w.deliver(|_, _, _| true);
-    assert!(w.left(1, s));
+    assert!(w.is_permitted(1, dispatch));
 }
 
 #[test]
 fn a_permitted_dispatch_of_a_gone_owner_is_indeterminate() {
     let mut w = World::new(3, None);
     w.take(0, "x", false);
-    w.intend(0, "x");
+    w.request_dispatch(0, "x");
     w.deliver(|_, _, _| true);
     w.crash(0);
     w.take(1, "x", true);
     w.deliver(|_, _, _| true);
-    // Not known to be gone yet, it is waited for.
-    assert_eq!(w.verdict(1, "x"), Some(OwnershipDecision::Wait));
+    // As long as the owner is not known to have crashed, the takeover waits for it.
+    assert_eq!(w.last_decision(1, "x"), Some(OwnershipDecision::Wait));
     w.sees(1, 0, false);
     assert_eq!(
-        w.verdict(1, "x"),
+        w.last_decision(1, "x"),
         Some(OwnershipDecision::Indeterminate(
             IndeterminateReason::OwnerGone
         ))
@@ -98,36 +102,36 @@
 fn without_a_majority_only_dispatches_allowed_alone_are_sent() {
     let mut w = World::new(3, None);
     w.take(0, "x", false);
-    let s = w.intend(0, "x");
-    w.pass_where(1_000 * MS, |_, _, _| false);
-    assert_eq!(w.leaves[0][&s], Err(NoMajorityReason::TimedOut));
+    let dispatch = w.request_dispatch(0, "x");
+    w.pass_delivering(1_000 * MS, |_, _, _| false);
+    assert_eq!(w.permissions[0][&dispatch], Err(NoMajorityReason::TimedOut));
     w.take(0, "y", false);
-    w.last += 1;
-    let s = w.last;
+    w.last_id += 1;
+    let dispatch = w.last_id;
     w.feed(
         0,
         Input::RequestDispatch {
             key: "y".into(),
-            dispatch: s,
+            dispatch,
             deduplication_scope: 0,
             without_majority: true,
         },
     );
-    w.pass_where(1_000 * MS, |_, _, _| false);
-    assert_eq!(w.leaves[0][&s], Ok(true));
-    // Known to be alone, it is told at once; and one that has just started does not take it either.
+    w.pass_delivering(1_000 * MS, |_, _, _| false);
+    assert_eq!(w.permissions[0][&dispatch], Ok(true));
+    // A router that is known to be alone is denied a majority at once, and so is a router that has just started.
     w.sees(0, 1, false);
     w.sees(0, 2, false);
     assert_eq!(
         w.take(0, "z", false),
         Some(OwnershipDecision::NoMajority(NoMajorityReason::Unreachable))
     );
-    let mut w = World::fresh(3, None);
+    let mut w = World::recovering(3, None);
     assert_eq!(
         w.take(0, "z", false),
         Some(OwnershipDecision::NoMajority(NoMajorityReason::Recovering))
     );
-    // Tokened ones that need no copy are taken all the same.
+    // Invocations that need only a local record are accepted all the same.
     w.feed(
         0,
         Input::Take {
@@ -136,7 +140,7 @@
             redelivered: false,
         },
     );
-    assert_eq!(w.verdict(0, "t"), Some(GO));
+    assert_eq!(w.last_decision(0, "t"), Some(FIRST_DISPATCH));
 }
 
 #[test]
@@ -151,9 +155,9 @@
                 redelivered: false,
             },
         );
-        w.verdict(r, "t")
+        w.last_decision(r, "t")
     };
-    assert_eq!(take(&mut w, 0), Some(GO));
+    assert_eq!(take(&mut w, 0), Some(FIRST_DISPATCH));
     w.feed(
         0,
         Input::Dispatched {
@@ -176,7 +180,7 @@
         first_dispatch_ago: Some(ago),
     }) = take(&mut w, 2)
     else {
-        panic!("it may have run")
+        panic!("the first dispatch is not known")
     };
     assert!((500 * MS..520 * MS).contains(&ago), "{ago}");
     w.answered(0, "t", "done");
@@ -191,34 +195,35 @@
 fn conflicting_answers_are_reported_and_not_dispatched_again() {
     let mut w = World::new(3, None);
     w.take(0, "x", false);
-    let s = w.intend(0, "x");
+    let dispatch = w.request_dispatch(0, "x");
     w.deliver(|_, _, _| true);
-    w.ended(0, "x", s, true);
-    // Behind a cut each gives its own.
+    w.dispatch_ended(0, "x", dispatch, true);
+    // On the two sides of a partition, each router reports its own answer.
     w.answered(0, "x", "one");
     w.answered(1, "x", "other");
     w.pass(20 * MS);
-    assert!(w.at(0).conflicts() == 1 && w.at(2).conflicts() == 1);
+    assert!(w.replica(0).conflicts() == 1 && w.replica(2).conflicts() == 1);
     w.take(2, "x", true);
     w.deliver(|_, _, _| true);
     assert_eq!(
-        w.verdict(2, "x"),
+        w.last_decision(2, "x"),
         Some(OwnershipDecision::Indeterminate(
             IndeterminateReason::ConflictingAnswers
         ))
     );
 }
 
-/// Five members: a promise of an earlier process of the third must not count beside a later one of the fourth.
+/// Guards against a quorum of five members in which the promise of an earlier process of member 2 counts together with
+/// a later promise of member 3.
 #[test]
 fn votes_of_two_processes_of_one_member_do_not_add_up() {
-    let play = |without| {
-        let mut w = World::patient(5, without, KEPT);
+    let play = |disabled_check| {
+        let mut w = World::with_majority_timeout(5, disabled_check, RETENTION);
         w.take(0, "x", false);
         w.deliver(|_, _, _| true);
         w.pass(10 * MS);
-        let s = w.intend(0, "x");
-        // Another one fences; only the third has heard of it so far, and then loses its memory.
+        let dispatch = w.request_dispatch(0, "x");
+        // Router 1 fences the invocation. Only member 2 has received the fence, and then restarts without its state.
         w.take(1, "x", true);
         w.deliver(|from, to, m| matches!(m, Message::Fence { .. }) && to == 2 && from == 1);
         w.deliver(|from, to, m| matches!(m, Message::Fenced { .. }) && (from, to) == (2, 1));
@@ -227,8 +232,8 @@
         w.start(2, None);
         w.sees(1, 2, true);
         w.sees(2, 1, false);
-        // It compares with those that have not heard of the fence, and remembers enough.
-        w.pass_where(350 * MS, |from, to, m| match m {
+        // Member 2 compares records with members that have not received the fence, and completes recovery.
+        w.pass_delivering(350 * MS, |from, to, m| match m {
             Message::CompareDigests { .. } | Message::FetchRecords { .. } => from == 2 && to != 1,
             Message::DifferingGroups { .. } | Message::FetchedRecords { .. } => {
                 to == 2 && from != 1
@@ -236,44 +241,44 @@
             _ => false,
         });
         w.sees(2, 1, true);
-        assert_eq!(w.at(2).recovery_state(), RecoveryState::Complete);
+        assert_eq!(w.replica(2).recovery_state(), RecoveryState::Complete);
         assert_ne!(old, w.nonces[2]);
         w.net = net;
-        // The intent is held by the new process and one more; the fence is promised by that one after.
+        // The new process of member 2 and member 4 store the intent. Member 3 then promises the fence.
         w.deliver(|from, to, m| {
             matches!(m, Message::StoreIntent { .. }) && from == 0 && (to == 2 || to == 4)
         });
         w.deliver(|from, _, m| {
             matches!(m, Message::IntentStored { .. }) && (from == 2 || from == 4)
         });
-        let one = w.left(0, s);
+        let first = w.is_permitted(0, dispatch);
         w.deliver(|from, to, m| matches!(m, Message::Fence { .. }) && (from, to) == (1, 3));
         w.deliver(|from, _, m| matches!(m, Message::Fenced { .. }) && from == 3);
-        if w.verdict(1, "x") != Some(GO) {
-            return (one, false);
+        if w.last_decision(1, "x") != Some(FIRST_DISPATCH) {
+            return (first, false);
         }
-        let s = w.intend(1, "x");
+        let dispatch = w.request_dispatch(1, "x");
         w.deliver(|from, to, _| from != 0 && to != 0 && from != 4 && to != 4);
-        (one, w.left(1, s))
+        (first, w.is_permitted(1, dispatch))
     };
-    let (one, other) = play(None);
-    assert!(!(one && other), "{one} {other}");
+    let (first, second) = play(None);
+    assert!(!(first && second), "{first} {second}");
     assert_eq!(play(Some(SafetyCheck::AgreeingVoters)), (true, true));
 }
 
 #[test]
-fn an_invocation_nobody_is_known_to_have_taken_is_not_dispatched_again() {
-    let play = |without| {
-        let mut w = World::new(3, without);
+fn an_invocation_without_a_known_owner_is_not_dispatched_again() {
+    let play = |disabled_check| {
+        let mut w = World::new(3, disabled_check);
         w.take(0, "x", false);
-        let s = w.intend(0, "x");
+        let dispatch = w.request_dispatch(0, "x");
         w.deliver(|_, _, _| true);
-        assert!(w.left(0, s));
-        // It has run; its router is stopped, and all that is known of it is over before it comes again.
-        w.pass_where(KEPT + 10 * MS, |from, to, _| from != 0 && to != 0);
+        assert!(w.is_permitted(0, dispatch));
+        // The invocation has run and its router is stopped. All records of it expire before it is redelivered.
+        w.pass_delivering(RETENTION + 10 * MS, |from, to, _| from != 0 && to != 0);
         w.take(1, "x", true);
         w.deliver(|from, to, _| from != 0 && to != 0);
-        w.verdict(1, "x")
+        w.last_decision(1, "x")
     };
     assert_eq!(
         play(None),
@@ -281,32 +286,35 @@
             IndeterminateReason::Unknown
         ))
     );
-    assert_eq!(play(Some(SafetyCheck::KnownToBeTaken)), Some(GO));
+    assert_eq!(
+        play(Some(SafetyCheck::KnownToBeTaken)),
+        Some(FIRST_DISPATCH)
+    );
 }
 
 #[test]
 fn after_a_restart_of_all_members_a_missing_intent_proves_nothing() {
-    let play = |without| {
-        let mut w = World::new(3, without);
+    let play = |disabled_check| {
+        let mut w = World::new(3, disabled_check);
         w.take(0, "x", false);
         w.pass(10 * MS);
-        // Folders are written from time to time: these do not know of the intent.
-        let folders: Vec<_> = (0..3).map(|r| w.folder(r)).collect();
-        let s = w.intend(0, "x");
+        // Stores are written periodically: these copies were written before the intent.
+        let stores: Vec<_> = (0..3).map(|r| w.stored_records(r)).collect();
+        let dispatch = w.request_dispatch(0, "x");
         w.deliver(|_, _, _| true);
-        assert!(w.left(0, s));
+        assert!(w.is_permitted(0, dispatch));
         (0..3).for_each(|r| {
             w.crash(r);
         });
         w.net.clear();
-        for (r, folder) in folders.into_iter().enumerate() {
-            w.start(r, Some(folder));
+        for (r, records) in stores.into_iter().enumerate() {
+            w.start(r, Some(records));
         }
         w.pass(500 * MS);
-        assert!((0..3).all(|r| w.at(r).recovery_state() == RecoveryState::Complete));
+        assert!((0..3).all(|r| w.replica(r).recovery_state() == RecoveryState::Complete));
         w.take(1, "x", true);
         w.deliver(|_, _, _| true);
-        w.verdict(1, "x")
+        w.last_decision(1, "x")
     };
     assert_eq!(
         play(None),
@@ -314,13 +322,16 @@
             IndeterminateReason::StateLost
         ))
     );
-    assert_eq!(play(Some(SafetyCheck::DoubtAfterRestarts)), Some(GO));
+    assert_eq!(
+        play(Some(SafetyCheck::DoubtAfterRestarts)),
+        Some(FIRST_DISPATCH)
+    );
 }
 
 #[test]
-fn a_chosen_value_stands_against_later_proposals() {
-    let play = |without| {
-        let mut w = World::new(3, without);
+fn a_chosen_value_is_not_replaced_by_later_proposals() {
+    let play = |disabled_check| {
+        let mut w = World::new(3, disabled_check);
         let choose = |w: &mut World, r: usize, value: &'static str| {
             let value = Bytes::from_static(value.as_bytes());
             w.feed(
@@ -328,7 +339,7 @@
                 Input::Choose {
                     key: "s".into(),
                     value,
-                    retention: KEPT,
+                    retention: RETENTION,
                 },
             );
             w.deliver(|_, _, _| true);
@@ -355,7 +366,7 @@
             r,
             Input::Lead {
                 key: "plan".into(),
-                retention: KEPT,
+                retention: RETENTION,
             },
         );
         w.deliver(|_, _, _| true);
@@ -372,7 +383,7 @@
                 key: "plan".into(),
                 ballot,
                 value,
-                retention: KEPT,
+                retention: RETENTION,
             },
         );
         w.deliver(|_, _, _| true);
@@ -408,44 +419,50 @@
                 key,
                 version: (1, n),
                 value,
-                retention: 10 * KEPT,
+                retention: 10 * RETENTION,
             },
         );
     };
     (0..3_000).for_each(|n| note(&mut w, 0, n));
     w.pass(100 * MS);
-    let folder = w.crash(2);
+    let records = w.crash(2);
     (3_000..3_100).for_each(|n| note(&mut w, 1, n));
     w.pass(100 * MS);
-    // With its folder, a few pieces; without, a snapshot.
-    w.start(2, Some(folder));
+    // With its store, the member fetches only some leaves; without it, a snapshot.
+    w.start(2, Some(records));
     w.pass(600 * MS);
     assert_eq!(
-        (w.at(2).recovery_state(), w.at(2).records().count()),
+        (
+            w.replica(2).recovery_state(),
+            w.replica(2).records().count()
+        ),
         (RecoveryState::Complete, 3_100)
     );
     assert!(
-        w.at(2).counts.snapshots == 0 && w.at(2).counts.records_fetched < 1_000,
+        w.replica(2).counts.snapshots == 0 && w.replica(2).counts.records_fetched < 1_000,
         "{:?}",
-        w.at(2).counts
+        w.replica(2).counts
     );
     w.crash(2);
     w.start(2, None);
     w.pass(900 * MS);
     assert_eq!(
-        (w.at(2).recovery_state(), w.at(2).records().count()),
+        (
+            w.replica(2).recovery_state(),
+            w.replica(2).records().count()
+        ),
         (RecoveryState::Complete, 3_100)
     );
-    assert_eq!(w.at(2).counts.snapshots, 1);
-    // All without memory: only time helps.
+    assert_eq!(w.replica(2).counts.snapshots, 1);
+    // All members have lost their records: they recover only once the retention time has passed.
     (0..3).for_each(|r| {
         w.crash(r);
     });
     (0..3).for_each(|r| w.start(r, None));
-    w.pass(KEPT / 2);
-    assert!((0..3).all(|r| w.at(r).recovery_state() == RecoveryState::Empty));
-    w.pass(KEPT);
-    assert!((0..3).all(|r| w.at(r).recovery_state() == RecoveryState::Complete));
+    w.pass(RETENTION / 2);
+    assert!((0..3).all(|r| w.replica(r).recovery_state() == RecoveryState::Empty));
+    w.pass(RETENTION);
+    assert!((0..3).all(|r| w.replica(r).recovery_state() == RecoveryState::Complete));
 }
 
 #[test]
@@ -453,29 +470,30 @@
     let mut w = World::new(3, None);
     w.take(0, "x", false);
     w.pass(20 * MS);
-    let folder = w.crash(2);
-    w.pass(KEPT);
-    assert!(w.at(0).records().next().is_none());
-    // Its clock says that no time has passed.
-    w.start(2, Some(folder));
-    assert_eq!(w.at(2).records().count(), 1);
+    let records = w.crash(2);
+    w.pass(RETENTION);
+    assert!(w.replica(0).records().next().is_none());
+    // The restored records did not age while the member was down.
+    w.start(2, Some(records));
+    assert_eq!(w.replica(2).records().count(), 1);
     w.pass(3_000 * MS);
-    assert!(w.at(0).records().next().is_none() && w.at(1).records().next().is_none());
-    let offered = w.at(0).counts.expired_records_received + w.at(1).counts.expired_records_received;
-    assert!(offered > 0, "it was offered and refused");
+    assert!(w.replica(0).records().next().is_none() && w.replica(1).records().next().is_none());
+    let offered =
+        w.replica(0).counts.expired_records_received + w.replica(1).counts.expired_records_received;
+    assert!(offered > 0, "the expired record was offered and rejected");
 }
 
 #[test]
 fn a_full_store_rejects_new_records_with_its_reason() {
     let mut w = World::new(3, None);
-    let few = ReplicaSettings {
+    let small_store = ReplicaSettings {
         max_records: 2,
-        ..terms(None, 800 * MS)
+        ..settings(None, 800 * MS)
     };
     w.replicas[1] = Some(cedarpulley_replica::Replica::new(
         w.now,
         group(3, 1),
-        few,
+        small_store,
         99,
         None,
     ));
@@ -488,16 +506,16 @@
         w.take(1, key, false);
     }
     assert_eq!(
-        w.verdict(1, "c"),
+        w.last_decision(1, "c"),
         Some(OwnershipDecision::NoMajority(NoMajorityReason::StoreFull))
     );
-    // The others go on without its vote.
+    // The other members continue without its vote.
     w.take(0, "d", false);
-    let s = w.intend(0, "d");
+    let dispatch = w.request_dispatch(0, "d");
     w.deliver(|_, _, _| true);
-    assert!(w.left(0, s));
+    assert!(w.is_permitted(0, dispatch));
     let held = |r: usize| {
-        w.at(r)
+        w.replica(r)
             .records()
             .filter(|(_, s)| matches!(s.record, Record::Invocation(_)))
             .count()
