--- a/crates/replica/benches/sharing_cost.rs
+++ b/crates/replica/benches/sharing_cost.rs
@@ -1,6 +1,7 @@
-//! What sharing costs, in virtual time; prints the figures of `docs/measurements.md`.
+//! Measures the cost of replication in virtual time and prints the figures for `docs/measurements.md`.
 //!
-//! `cargo bench -p cedarpulley-replica --bench sharing_cost [catch_up|bytes_sent|open]`, in turn without a name.
+//! `cargo bench -p cedarpulley-replica --bench sharing_cost [catch_up|bytes_sent|open]` runs one measurement, or all of
+//! them if none is named.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -9,36 +10,38 @@
 
 use virtual_time::{CatchUp, bytes_sent, catch_up, work_beside_open};
 
+/// Prints the cost of a restart with different numbers of missing records.
 fn print_catch_up() {
-    const ALL: u64 = 100_000;
+    const RECORDS: u64 = 100_000;
     for answer in [0, 200] {
-        for (lacking, folder) in [
+        for (lacking, with_store) in [
             (1, true),
             (100, true),
             (1_000, true),
             (10_000, true),
-            (ALL, false),
+            (RECORDS, false),
         ] {
             let CatchUp {
                 waited_ms,
                 work_ms,
                 sent_mb,
-            } = catch_up(ALL, lacking, folder, answer);
+            } = catch_up(RECORDS, lacking, with_store, answer);
             println!(
-                "{ALL} records with {answer} bytes of answer, {lacking} lacking: {waited_ms:.0} ms of virtual time, \
+                "{RECORDS} records with {answer} bytes of answer, {lacking} lacking: {waited_ms:.0} ms of virtual time, \
                  {work_ms:.0} ms of work, {sent_mb:.2} MB"
             );
         }
     }
 }
 
+/// Prints the traffic of a router by the size of the fleet and of the groups.
 fn print_bytes_sent() {
     for (members, fleets) in [(3, [30, 90, 300]), (5, [30, 90, 300])] {
         for routers in fleets {
-            for a_second in [1, 10] {
-                let each = bytes_sent(members, routers / members, a_second);
+            for per_second in [1, 10] {
+                let each = bytes_sent(members, routers / members, per_second);
                 println!(
-                    "{routers} routers in groups of {members}, {a_second}/s each: {each:.0} bytes a router a second"
+                    "{routers} routers in groups of {members}, {per_second}/s each: {each:.0} bytes a router a second"
                 );
             }
         }
@@ -52,6 +55,7 @@
     }
 }
 
+/// Prints the processor time of one invocation by the number of open invocations.
 fn print_work_beside_open() {
     for open in [0, 100, 1_000, 10_000] {
         println!(
@@ -67,7 +71,7 @@
         ("bytes_sent", print_bytes_sent),
         ("open", print_work_beside_open),
     ];
-    // `cargo bench` adds options of its own.
+    // `cargo bench` passes additional options, which are ignored.
     let named = std::env::args().skip(1).find(|a| !a.starts_with("--"));
     for (name, print) in measurements {
         if named.as_deref().is_none_or(|n| n == name) {
--- a/crates/replica/tests/explorer.rs
+++ b/crates/replica/tests/explorer.rs
@@ -1,9 +1,11 @@
-//! Explores every order of events of one invocation in a group of three, up to a depth, with the real state machines:
-//! messages lost, duplicated and reordered, processes that crash, pause, resume and restart with and without their
-//! state, wrong suspicions and timeouts at any moment. Breadth first, so that counterexamples are short.
+//! Explores the possible orders of events of one invocation in a group of three members with the real state machines,
+//! up to a depth and a number of states. Faults may occur at any moment: messages are lost, duplicated and reordered,
+//! processes crash, pause, resume and restart with and without their state, members are wrongly suspected, and timeouts
+//! pass. The search is breadth-first, so that counterexamples are short.
 //!
-//! The routers around them are models: the broker delivers a message to one at a time; a permitted dispatch goes into a
-//! buffer, from which it is sent at any later time; a worker runs it each time that it arrives.
+//! The broker, the routers and the workers are models: the broker delivers a message to one router at a time; a
+//! permitted dispatch is put into a buffer, from which it is sent at any later time; a worker may run each dispatch
+//! that it receives.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet};
@@ -17,162 +19,191 @@
     Replica, ReplicaSettings, SafetyCheck,
 };
 
-const N: usize = 3;
-const KEPT: i64 = 1_000_000;
-/// All is new, and whatever was before is over; nothing takes time until somebody's time runs out.
-const NOW: i64 = 2 * KEPT;
-const LATE: i64 = NOW + 10_000;
-const X: &str = "x";
+/// Number of members.
+const MEMBERS: usize = 3;
+/// Time in microseconds for which records are retained.
+const RETENTION: i64 = 1_000_000;
+/// Time of all steps but timeouts, in microseconds. It is late enough that all members have completed recovery.
+const NOW: i64 = 2 * RETENTION;
+/// Time of a timeout step, in microseconds: all timeouts that are pending at [`NOW`] have passed.
+const AFTER_TIMEOUTS: i64 = NOW + 10_000;
+/// Key of the invocation.
+const KEY: &str = "x";
 
 /// How often each fault may occur.
 #[derive(Clone, Copy, Hash)]
 struct FaultBudget {
-    drops: u8,
+    /// Losses of a router's channel to the broker.
+    channel_losses: u8,
+    /// Crashes of a process.
     crashes: u8,
-    /// Of these, so many come back with what they had; the others without.
-    kept: u8,
-    stops: u8,
-    doubled: u8,
-    /// How often one hears what another holds.
-    told: u8,
+    /// Restarts with the records from before the crash; all other restarts are without.
+    restarts_with_records: u8,
+    /// Suspensions of a process.
+    suspensions: u8,
+    /// Messages that are delivered twice.
+    duplicates: u8,
+    /// Updates by which a member receives the record of another one.
+    updates: u8,
+    /// Running members that are considered dead.
     suspicions: u8,
-    late: u8,
-    /// It is delivered to two at once, each for the first time.
-    twins: u8,
+    /// Members whose timeouts pass.
+    timeouts: u8,
+    /// Deliveries of the message to two routers at once, to both as a first delivery.
+    double_deliveries: u8,
 }
 
-const NONE: FaultBudget = FaultBudget {
-    drops: 0,
+/// No faults.
+const NO_FAULTS: FaultBudget = FaultBudget {
+    channel_losses: 0,
     crashes: 0,
-    kept: 0,
-    stops: 0,
-    doubled: 0,
-    told: 0,
+    restarts_with_records: 0,
+    suspensions: 0,
+    duplicates: 0,
+    updates: 0,
     suspicions: 0,
-    late: 0,
-    twins: 0,
+    timeouts: 0,
+    double_deliveries: 0,
 };
 
+/// State of a dispatch.
 #[derive(Clone, Copy, Hash, PartialEq, Eq, Debug)]
-enum Out {
-    Asking,
-    /// Leave was given; it is in a buffer.
+enum DispatchState {
+    /// Permission was requested.
+    Requested,
+    /// Permission was given, and the dispatch is in a buffer.
     Buffered,
-    /// Came to a worker, which ran it or will never.
-    Sent {
-        ran: bool,
-    },
+    /// The dispatch was sent to a worker, which ran it or will never run it.
+    Sent { ran: bool },
 }
 
+/// Model of a router.
 #[derive(Clone, Default, Hash)]
 struct Router {
-    holds: bool,
-    goes: bool,
-    out: BTreeMap<u64, Out>,
-    stopped: bool,
-    /// The broker has given it to somebody else, which this one has not found out.
-    lost: bool,
+    /// The router has an unacknowledged delivery of the message.
+    has_delivery: bool,
+    /// The router may request a dispatch.
+    may_dispatch: bool,
+    /// The router's dispatches by number.
+    dispatches: BTreeMap<u64, DispatchState>,
+    /// The process is suspended.
+    suspended: bool,
+    /// The broker has taken the message back, which the router does not know yet.
+    taken_back: bool,
 }
 
-/// A message on its way, and its part in the world's mark.
+/// A message in transit, and its contribution to the hash of the state.
 #[derive(Clone)]
-struct Sent {
+struct MessageInTransit {
     from: u8,
     to: u8,
     nonce: u64,
     message: Arc<Message>,
-    mark: [u64; 2],
+    hash: [u64; 2],
 }
 
-impl Sent {
-    fn new(from: usize, to: MemberIndex, nonce: u64, message: Message) -> Sent {
+impl MessageInTransit {
+    fn new(from: usize, to: MemberIndex, nonce: u64, message: Message) -> MessageInTransit {
         let (from, to) = (from as u8, to as u8);
-        let mark = [1u64, 2].map(|salt| hashed((salt, from, to, nonce, &message)));
-        Sent {
+        let hash = [1u64, 2].map(|salt| hash_of((salt, from, to, nonce, &message)));
+        MessageInTransit {
             from,
             to,
             nonce,
             message: Arc::new(message),
-            mark,
+            hash,
         }
     }
 }
 
-fn hashed(of: impl Hash) -> u64 {
+fn hash_of(of: impl Hash) -> u64 {
     let mut h = DefaultHasher::new();
     of.hash(&mut h);
     h.finish()
 }
 
-/// What a crashed one leaves.
-type Folder = Arc<Vec<(Key, RecordCopy)>>;
+/// Records of a crashed process.
+type StoredRecords = Arc<Vec<(Key, RecordCopy)>>;
 
+/// A state of the group, the broker, the routers and the workers.
 #[derive(Clone)]
-struct World {
-    replicas: [Option<Arc<Replica>>; N],
-    /// Of each replica.
-    marks: [[u64; 2]; N],
-    folders: [Option<Folder>; N],
-    routers: [Router; N],
-    nonces: [u64; N],
-    /// What each knows of each other.
-    views: [[(u64, bool); N]; N],
-    net: Vec<Sent>,
-    /// The broker has it to give, and has given it before.
+struct GroupState {
+    replicas: [Option<Arc<Replica>>; MEMBERS],
+    /// Two hashes of the state of each replica.
+    replica_hashes: [[u64; 2]; MEMBERS],
+    /// Records of each crashed process.
+    stores: [Option<StoredRecords>; MEMBERS],
+    routers: [Router; MEMBERS],
+    nonces: [u64; MEMBERS],
+    /// For each member, the nonce that it knows of each other member and whether it considers that member alive.
+    views: [[(u64, bool); MEMBERS]; MEMBERS],
+    net: Vec<MessageInTransit>,
+    /// If the broker can deliver the message, whether it was delivered before.
     ready: Option<bool>,
+    /// Whether the final answer was a success.
     answered: Option<bool>,
+    /// How often a worker ran the invocation.
     effects: u8,
-    /// The first dispatch and a retry.
+    /// Dispatches that may still be requested: the first one and a retry.
     intents: u8,
-    left: FaultBudget,
-    twins: bool,
-    last: u64,
+    /// Faults that may still occur.
+    remaining_faults: FaultBudget,
+    /// Whether the message may be delivered to two routers at once.
+    may_deliver_twice: bool,
+    /// The last number given to a process (as its nonce) or to a dispatch.
+    last_id: u64,
 }
 
-fn terms(disabled_check: Option<SafetyCheck>) -> ReplicaSettings {
+fn settings(disabled_check: Option<SafetyCheck>) -> ReplicaSettings {
     ReplicaSettings {
-        resend_interval: KEPT / 4,
+        resend_interval: RETENTION / 4,
         broadcast_delay: 0,
-        comparison_interval: KEPT / 4,
+        comparison_interval: RETENTION / 4,
         comparison_timeout: 5_000,
         backoff: 0,
         disabled_check,
-        ..ReplicaSettings::with_defaults(KEPT, 5_000, 1)
+        ..ReplicaSettings::with_defaults(RETENTION, 5_000, 1)
     }
 }
 
-fn group(me: usize) -> Group {
+fn group(own_index: usize) -> Group {
     let member = |n: usize| Member {
         name: format!("r{n}"),
         region: String::new(),
         weight: 1,
         witness: false,
     };
-    Group::new("g", (0..N).map(member).collect(), &format!("r{me}")).expect("a group")
+    Group::new(
+        "g",
+        (0..MEMBERS).map(member).collect(),
+        &format!("r{own_index}"),
+    )
+    .expect("a valid group")
 }
 
-impl World {
-    fn new(left: FaultBudget, without: Option<SafetyCheck>) -> World {
-        let mut w = World {
+impl GroupState {
+    fn new(remaining_faults: FaultBudget, disabled_check: Option<SafetyCheck>) -> GroupState {
+        let mut w = GroupState {
             replicas: Default::default(),
-            marks: [[0; 2]; N],
-            folders: Default::default(),
+            replica_hashes: [[0; 2]; MEMBERS],
+            stores: Default::default(),
             routers: Default::default(),
             nonces: [1, 2, 3],
-            views: [[(0, false); N]; N],
+            views: [[(0, false); MEMBERS]; MEMBERS],
             net: Vec::new(),
             ready: Some(false),
             answered: None,
             effects: 0,
             intents: 2,
-            twins: left.twins > 0,
-            left,
-            last: 3,
+            may_deliver_twice: remaining_faults.double_deliveries > 0,
+            remaining_faults,
+            last_id: 3,
         };
-        for r in 0..N {
-            let mut replica = Replica::new(0, group(r), terms(without), w.nonces[r], None);
+        for r in 0..MEMBERS {
+            let mut replica =
+                Replica::new(0, group(r), settings(disabled_check), w.nonces[r], None);
             replica.handle(NOW, Input::Tick, &mut Vec::new());
-            for m in 0..N {
+            for m in 0..MEMBERS {
                 w.views[r][m] = (w.nonces[m], true);
                 let input = Input::MemberChanged {
                     member: m as MemberIndex,
@@ -183,14 +214,15 @@
             }
             assert!(replica.can_vote());
             w.replicas[r] = Some(Arc::new(replica));
-            w.marked(r);
+            w.update_replica_hashes(r);
         }
-        // What they compare at the start has no part in this.
+        // Comparisons at the start are not explored.
         w.net.clear();
         w
     }
 
-    fn marked(&mut self, r: usize) {
+    /// Recomputes the hashes of a replica.
+    fn update_replica_hashes(&mut self, r: usize) {
         let of = |salt: u64| {
             let mut h = DefaultHasher::new();
             salt.hash(&mut h);
@@ -201,28 +233,29 @@
                 .hash(&mut h);
             h.finish()
         };
-        self.marks[r] = [of(1), of(2)];
+        self.replica_hashes[r] = [of(1), of(2)];
     }
 
-    fn mark(&self) -> u128 {
+    /// Hash of the whole state, by which states that were already explored are recognized.
+    fn state_hash(&self) -> u128 {
         let half = |n: usize| {
             let net = self
                 .net
                 .iter()
-                .fold(0u64, |sum, sent| sum.wrapping_add(sent.mark[n]));
+                .fold(0u64, |sum, sent| sum.wrapping_add(sent.hash[n]));
             let rest = (
                 self.nonces,
                 self.views,
                 self.ready,
                 self.answered,
                 self.effects,
-                self.left,
-                (self.intents, self.last),
+                self.remaining_faults,
+                (self.intents, self.last_id),
             );
-            hashed((
+            hash_of((
                 n,
-                self.marks.map(|m| m[n]),
-                &self.folders,
+                self.replica_hashes.map(|m| m[n]),
+                &self.stores,
                 &self.routers,
                 net,
                 rest,
@@ -231,11 +264,24 @@
         u128::from(half(0)) << 64 | u128::from(half(1))
     }
 
-    /// Something that is out at any process and may still have its effect, or had it.
-    fn out_beside(&self, than: (usize, u64)) -> bool {
-        let out = (0..N).flat_map(|r| self.routers[r].out.iter().map(move |(s, o)| (r, *s, *o)));
-        let may = |o: Out| matches!(o, Out::Buffered | Out::Sent { ran: true });
-        self.effects > 0 || out.into_iter().any(|(r, s, o)| may(o) && than != (r, s))
+    /// Whether any dispatch other than `excluded` has run, or may still run.
+    fn may_run_besides(&self, excluded: (usize, u64)) -> bool {
+        let out = (0..MEMBERS).flat_map(|r| {
+            self.routers[r]
+                .dispatches
+                .iter()
+                .map(move |(s, o)| (r, *s, *o))
+        });
+        let may_run = |o: DispatchState| {
+            matches!(
+                o,
+                DispatchState::Buffered | DispatchState::Sent { ran: true }
+            )
+        };
+        self.effects > 0
+            || out
+                .into_iter()
+                .any(|(r, s, o)| may_run(o) && excluded != (r, s))
     }
 
     fn feed(&mut self, r: usize, now: i64, input: Input) -> Result<(), String> {
@@ -244,51 +290,56 @@
         };
         let mut out = Vec::new();
         Arc::make_mut(replica).handle(now, input, &mut out);
-        self.marked(r);
+        self.update_replica_hashes(r);
         for output in out {
             match output {
                 Output::Send { to, message } => {
-                    let sent = Sent::new(r, to, self.nonces[r], message);
-                    // What is told without being asked comes by a step of its own.
+                    let sent = MessageInTransit::new(r, to, self.nonces[r], message);
+                    // Unsolicited updates are modelled by a separate step.
                     if let Message::Update { .. } = *sent.message {
                         continue;
                     }
-                    // The same again is what doubling is for.
-                    if self.net.iter().all(|s| s.mark != sent.mark) {
+                    // A second equal message is modelled by the step that duplicates messages.
+                    if self.net.iter().all(|s| s.hash != sent.hash) {
                         self.net.push(sent);
                     }
                 }
-                Output::Decision { decision, .. } => self.verdict(r, decision)?,
+                Output::Decision { decision, .. } => self.on_decision(r, decision)?,
                 Output::DispatchPermission {
                     dispatch,
                     permission: Ok(_),
                     ..
                 } => {
-                    if self.routers[r].out.get(&dispatch) != Some(&Out::Asking) {
+                    if self.routers[r].dispatches.get(&dispatch) != Some(&DispatchState::Requested)
+                    {
                         continue;
                     }
-                    if self.out_beside((r, dispatch)) {
-                        return Err(format!("leave for {dispatch} at {r} beside another"));
+                    if self.may_run_besides((r, dispatch)) {
+                        return Err(format!(
+                            "dispatch {dispatch} is permitted at {r} while another one may run"
+                        ));
                     }
-                    self.routers[r].out.insert(dispatch, Out::Buffered);
+                    self.routers[r]
+                        .dispatches
+                        .insert(dispatch, DispatchState::Buffered);
                 }
                 Output::DispatchPermission {
                     dispatch,
                     permission: Err(lack),
                     ..
                 } => {
-                    self.routers[r].out.remove(&dispatch);
-                    self.routers[r].goes = false;
+                    self.routers[r].dispatches.remove(&dispatch);
+                    self.routers[r].may_dispatch = false;
                     if lack != NoMajorityReason::OwnedElsewhere {
-                        self.answers(r, false)?;
-                    } else if !self.routers[r].holds {
-                        self.feed(r, now, Input::Dropped { key: X.into() })?;
+                        self.answer(r, false)?;
+                    } else if !self.routers[r].has_delivery {
+                        self.feed(r, now, Input::Dropped { key: KEY.into() })?;
                     }
                 }
                 Output::ProposalEnded { .. } | Output::RecordChanged(_) | Output::Recovered => {}
             }
         }
-        // A vote for what is over counts for nothing, whenever it comes.
+        // Votes that the replica no longer awaits have no effect, and are removed to reduce the number of states.
         if let Some(it) = self.replicas[r].clone() {
             self.net
                 .retain(|s| s.to as usize != r || it.awaits_vote(&s.message));
@@ -296,104 +347,114 @@
         Ok(())
     }
 
-    fn verdict(&mut self, r: usize, verdict: OwnershipDecision) -> Result<(), String> {
-        if !self.routers[r].holds {
+    fn on_decision(&mut self, r: usize, decision: OwnershipDecision) -> Result<(), String> {
+        if !self.routers[r].has_delivery {
             return Ok(());
         }
-        match verdict {
+        match decision {
             OwnershipDecision::Dispatch { .. } => {
-                // It may have been overtaken by now; then it gets no leave.
-                self.routers[r].goes = true;
+                // If another router has taken over meanwhile, the dispatch will not be permitted.
+                self.routers[r].may_dispatch = true;
                 Ok(())
             }
             OwnershipDecision::Wait => Ok(()),
-            OwnershipDecision::Answer(_) => self.answers(r, true),
+            OwnershipDecision::Answer(_) => self.answer(r, true),
             OwnershipDecision::Indeterminate(_) | OwnershipDecision::NoMajority(_) => {
-                self.answers(r, false)
+                self.answer(r, false)
             }
         }
     }
 
-    /// The final answer, given and acknowledged in one.
-    fn answers(&mut self, r: usize, success: bool) -> Result<(), String> {
-        if !self.routers[r].holds {
+    /// Gives the final answer and acknowledges the message in one step.
+    fn answer(&mut self, r: usize, success: bool) -> Result<(), String> {
+        if !self.routers[r].has_delivery {
             return Ok(());
         }
-        let heard = !std::mem::take(&mut self.routers[r].lost);
-        if heard && self.answered.is_some() && !self.twins {
+        let is_acknowledged = !std::mem::take(&mut self.routers[r].taken_back);
+        if is_acknowledged && self.answered.is_some() && !self.may_deliver_twice {
             return Err("answered twice".into());
         }
         if success && self.effects == 0 {
-            return Err("a success without an effect".into());
+            return Err("a success of an invocation that did not run".into());
         }
-        if heard {
+        if is_acknowledged {
             self.answered = Some(success);
         }
-        (self.routers[r].holds, self.routers[r].goes) = (false, false);
+        (self.routers[r].has_delivery, self.routers[r].may_dispatch) = (false, false);
         let end = if success {
-            Input::Closed { key: X.into() }
+            Input::Closed { key: KEY.into() }
         } else {
-            Input::Dropped { key: X.into() }
+            Input::Dropped { key: KEY.into() }
         };
-        if self.routers[r].out.is_empty() {
+        if self.routers[r].dispatches.is_empty() {
             self.feed(r, NOW, end)
         } else {
             Ok(())
         }
     }
 
-    #[expect(
-        clippy::too_many_lines,
-        reason = "one scenario or table of cases, told in order"
-    )]
+    /// Passes each possible next step with the state after it, or the violated invariant, to `found`.
+    #[expect(clippy::too_many_lines, reason = "one list of all steps")]
     fn steps(
         &self,
-        without: Option<SafetyCheck>,
-        found: &mut dyn FnMut(Label, Result<World, String>),
+        disabled_check: Option<SafetyCheck>,
+        found: &mut dyn FnMut(Label, Result<GroupState, String>),
     ) {
-        let mut step = |label: Label, change: &dyn Fn(&mut World) -> Result<(), String>| {
+        let mut step = |label: Label, change: &dyn Fn(&mut GroupState) -> Result<(), String>| {
             let mut next = self.clone();
             let result = change(&mut next);
             found(label, result.map(|()| next));
         };
-        let runs = |r: usize| self.replicas[r].is_some() && !self.routers[r].stopped;
-        for r in (0..N).filter(|r| runs(*r)) {
-            // All are alike at first, but for the order of their ballots: from the one in the middle it goes up and
-            // down.
-            let first = |again: bool| again || r == 1;
-            if let Some(again) = self
+        let runs = |r: usize| self.replicas[r].is_some() && !self.routers[r].suspended;
+        for r in (0..MEMBERS).filter(|r| runs(*r)) {
+            // At first, the routers differ only in the order of their ballots. Starting with the middle one covers
+            // takeovers by a router with a higher and with a lower ballot.
+            let first = |redelivered: bool| redelivered || r == 1;
+            if let Some(redelivered) = self
                 .ready
-                .filter(|again| !self.routers[r].holds && first(*again))
+                .filter(|redelivered| !self.routers[r].has_delivery && first(*redelivered))
             {
                 step(
-                    ("delivered, and whether again", r, usize::from(again), 0),
+                    (
+                        "receives the message (1: redelivered)",
+                        r,
+                        usize::from(redelivered),
+                        0,
+                    ),
                     &|w| {
                         w.ready = None;
-                        w.taken(r, again)
+                        w.deliver(r, redelivered)
                     },
                 );
-                if !again && self.left.twins > 0 {
-                    for other in (0..N).filter(|o| *o != r && runs(*o)) {
-                        step(("delivered to both", r, other, 0), &|w| {
-                            (w.ready, w.left.twins) = (None, w.left.twins - 1);
-                            w.taken(r, false)?;
-                            w.taken(other, false)
+                if !redelivered && self.remaining_faults.double_deliveries > 0 {
+                    for other in (0..MEMBERS).filter(|o| *o != r && runs(*o)) {
+                        step(("receives the message together with", r, other, 0), &|w| {
+                            (w.ready, w.remaining_faults.double_deliveries) =
+                                (None, w.remaining_faults.double_deliveries - 1);
+                            w.deliver(r, false)?;
+                            w.deliver(other, false)
                         });
                     }
                 }
             }
             let router = &self.routers[r];
-            if router.goes && router.holds && router.out.is_empty() && self.intents > 0 {
-                step(("intends", r, r, self.last + 1), &|w| {
-                    w.last += 1;
-                    let dispatch = w.last;
+            if router.may_dispatch
+                && router.has_delivery
+                && router.dispatches.is_empty()
+                && self.intents > 0
+            {
+                step(("requests a dispatch", r, r, self.last_id + 1), &|w| {
+                    w.last_id += 1;
+                    let dispatch = w.last_id;
                     w.intents -= 1;
-                    w.routers[r].out.insert(dispatch, Out::Asking);
+                    w.routers[r]
+                        .dispatches
+                        .insert(dispatch, DispatchState::Requested);
                     w.feed(
                         r,
                         NOW,
                         Input::RequestDispatch {
-                            key: X.into(),
+                            key: KEY.into(),
                             dispatch,
                             deduplication_scope: 0,
                             without_majority: false,
@@ -401,15 +462,22 @@
                     )
                 });
             }
-            for (&dispatch, &o) in &router.out {
+            for (&dispatch, &o) in &router.dispatches {
                 match o {
-                    Out::Asking => {}
-                    Out::Buffered => {
+                    DispatchState::Requested => {}
+                    DispatchState::Buffered => {
                         for ran in [true, false] {
                             step(
-                                ("sends, and whether it ran", r, usize::from(ran), dispatch),
+                                (
+                                    "sends the dispatch (1: it runs)",
+                                    r,
+                                    usize::from(ran),
+                                    dispatch,
+                                ),
                                 &|w| {
-                                    w.routers[r].out.insert(dispatch, Out::Sent { ran });
+                                    w.routers[r]
+                                        .dispatches
+                                        .insert(dispatch, DispatchState::Sent { ran });
                                     w.effects += u8::from(ran);
                                     if w.effects > 1 {
                                         Err("a second effect".into())
@@ -419,127 +487,162 @@
                                 },
                             );
                         }
-                        step(("holds back", r, r, dispatch), &|w| {
-                            w.ends(r, dispatch, false, false)
+                        step(("discards the permitted dispatch", r, r, dispatch), &|w| {
+                            w.end_dispatch(r, dispatch, false, false)
                         });
                     }
-                    Out::Sent { ran } => {
+                    DispatchState::Sent { ran } => {
                         step(
-                            ("ends, and whether well", r, usize::from(ran), dispatch),
-                            &|w| w.ends(r, dispatch, ran, ran),
+                            (
+                                "receives the result of the dispatch (1: it ran)",
+                                r,
+                                usize::from(ran),
+                                dispatch,
+                            ),
+                            &|w| w.end_dispatch(r, dispatch, ran, ran),
+                        );
+                        step(
+                            ("loses the connection of the dispatch", r, r, dispatch),
+                            &|w| w.end_dispatch(r, dispatch, true, false),
                         );
-                        step(("breaks", r, r, dispatch), &|w| {
-                            w.ends(r, dispatch, true, false)
-                        });
                     }
                 }
             }
-            if router.holds && (self.left.drops > 0 || router.lost) {
-                step(("loses its channel", r, r, 0), &|w| {
-                    if !std::mem::take(&mut w.routers[r].lost) {
-                        (w.left.drops, w.ready) = (w.left.drops - 1, Some(true));
+            if router.has_delivery
+                && (self.remaining_faults.channel_losses > 0 || router.taken_back)
+            {
+                step(("loses its channel to the broker", r, r, 0), &|w| {
+                    if !std::mem::take(&mut w.routers[r].taken_back) {
+                        (w.remaining_faults.channel_losses, w.ready) =
+                            (w.remaining_faults.channel_losses - 1, Some(true));
                     }
-                    (w.routers[r].holds, w.routers[r].goes) = (false, false);
-                    let out = w.routers[r].out.values().any(|o| *o != Out::Asking);
-                    w.routers[r].out.retain(|_, o| *o != Out::Asking);
+                    (w.routers[r].has_delivery, w.routers[r].may_dispatch) = (false, false);
+                    let out = w.routers[r]
+                        .dispatches
+                        .values()
+                        .any(|o| *o != DispatchState::Requested);
+                    w.routers[r]
+                        .dispatches
+                        .retain(|_, o| *o != DispatchState::Requested);
                     if out {
                         Ok(())
                     } else {
-                        w.feed(r, NOW, Input::Dropped { key: X.into() })
+                        w.feed(r, NOW, Input::Dropped { key: KEY.into() })
                     }
                 });
             }
-            if self.left.stops > 0 {
-                step(("is stopped", r, r, 0), &|w| {
-                    (w.left.stops, w.routers[r].stopped) = (w.left.stops - 1, true);
+            if self.remaining_faults.suspensions > 0 {
+                step(("is suspended", r, r, 0), &|w| {
+                    (w.remaining_faults.suspensions, w.routers[r].suspended) =
+                        (w.remaining_faults.suspensions - 1, true);
                     Ok(())
                 });
             }
-            if self.left.late > 0 {
-                step(("is out of time", r, r, 0), &|w| {
-                    w.left.late -= 1;
-                    w.feed(r, LATE, Input::Tick)
+            if self.remaining_faults.timeouts > 0 {
+                step(("reaches its timeouts", r, r, 0), &|w| {
+                    w.remaining_faults.timeouts -= 1;
+                    w.feed(r, AFTER_TIMEOUTS, Input::Tick)
                 });
             }
-            for m in (0..N).filter(|m| *m != r) {
+            for m in (0..MEMBERS).filter(|m| *m != r) {
                 let now = (self.nonces[m], true);
                 if self.views[r][m] != now && self.replicas[m].is_some() {
-                    step(("hears that it is alive", r, m, 0), &|w| w.view(r, m, now));
+                    step(("learns of the process of", r, m, 0), &|w| {
+                        w.view(r, m, now)
+                    });
                 }
-                let holds = |r: usize| self.replicas[r].as_ref().and_then(|it| it.copy(NOW, X));
-                if self.left.told > 0 && holds(m).is_some() && holds(m) != holds(r) {
-                    step(("hears what it holds", r, m, 0), &|w| {
-                        w.left.told -= 1;
-                        w.tells(m, r)
+                let record_of =
+                    |r: usize| self.replicas[r].as_ref().and_then(|it| it.copy(NOW, KEY));
+                if self.remaining_faults.updates > 0
+                    && record_of(m).is_some()
+                    && record_of(m) != record_of(r)
+                {
+                    step(("receives the record of", r, m, 0), &|w| {
+                        w.remaining_faults.updates -= 1;
+                        w.deliver_update(m, r)
                     });
                 }
                 let dead = (self.views[r][m].0, false);
-                if self.views[r][m].1 && self.left.suspicions > 0 {
-                    step(("holds for dead", r, m, 0), &|w| {
-                        w.left.suspicions -= 1;
+                if self.views[r][m].1 && self.remaining_faults.suspicions > 0 {
+                    step(("considers dead", r, m, 0), &|w| {
+                        w.remaining_faults.suspicions -= 1;
                         w.view(r, m, dead)
                     });
                 }
             }
         }
-        for r in 0..N {
-            if self.routers[r].stopped && self.routers[r].holds && !self.routers[r].lost {
-                step(("is given up by the broker", r, r, 0), &|w| {
-                    (w.routers[r].lost, w.ready) = (true, Some(true));
-                    Ok(())
-                });
+        for r in 0..MEMBERS {
+            if self.routers[r].suspended
+                && self.routers[r].has_delivery
+                && !self.routers[r].taken_back
+            {
+                step(
+                    ("has its message taken back by the broker", r, r, 0),
+                    &|w| {
+                        (w.routers[r].taken_back, w.ready) = (true, Some(true));
+                        Ok(())
+                    },
+                );
             }
-            if self.routers[r].stopped {
-                step(("wakes", r, r, 0), &|w| {
-                    w.routers[r].stopped = false;
+            if self.routers[r].suspended {
+                step(("resumes", r, r, 0), &|w| {
+                    w.routers[r].suspended = false;
                     Ok(())
                 });
             }
-            if self.replicas[r].is_some() && self.left.crashes > 0 {
+            if self.replicas[r].is_some() && self.remaining_faults.crashes > 0 {
                 step(("crashes", r, r, 0), &|w| {
-                    w.left.crashes -= 1;
-                    if w.routers[r].holds && !w.routers[r].lost {
+                    w.remaining_faults.crashes -= 1;
+                    if w.routers[r].has_delivery && !w.routers[r].taken_back {
                         w.ready = Some(true);
                     }
                     w.routers[r] = Router::default();
-                    for to in (0..N).filter(|to| *to != r) {
-                        w.last_words(r, to);
+                    for to in (0..MEMBERS).filter(|to| *to != r) {
+                        w.send_last_update(r, to);
                     }
-                    let replica = w.replicas[r].take().ok_or("it runs")?;
+                    let replica = w.replicas[r].take().ok_or("no process is running")?;
                     let held = replica
                         .records()
                         .map(|(k, s)| (k.clone(), s.to_copy(NOW)))
                         .collect();
-                    w.folders[r] = Some(Arc::new(held));
-                    w.marked(r);
+                    w.stores[r] = Some(Arc::new(held));
+                    w.update_replica_hashes(r);
                     Ok(())
                 });
             }
             if self.replicas[r].is_none() {
-                let ways: &[bool] = if self.left.kept > 0 {
+                let choices: &[bool] = if self.remaining_faults.restarts_with_records > 0 {
                     &[true, false]
                 } else {
                     &[false]
                 };
-                for &kept in ways {
+                for &with_records in choices {
                     step(
                         (
-                            "starts anew, and whether with its memory",
+                            "restarts (1: with its records)",
                             r,
-                            usize::from(kept),
+                            usize::from(with_records),
                             0,
                         ),
                         &|w| {
-                            w.left.kept -= u8::from(kept);
-                            w.last += 1;
-                            w.nonces[r] = w.last;
-                            let folder = w.folders[r].take().filter(|_| kept).map(|f| f.to_vec());
-                            let replica =
-                                Replica::new(NOW, group(r), terms(without), w.nonces[r], folder);
+                            w.remaining_faults.restarts_with_records -= u8::from(with_records);
+                            w.last_id += 1;
+                            w.nonces[r] = w.last_id;
+                            let records = w.stores[r]
+                                .take()
+                                .filter(|_| with_records)
+                                .map(|f| f.to_vec());
+                            let replica = Replica::new(
+                                NOW,
+                                group(r),
+                                settings(disabled_check),
+                                w.nonces[r],
+                                records,
+                            );
                             w.replicas[r] = Some(Arc::new(replica));
-                            w.marked(r);
-                            w.views[r] = [(0, false); N];
-                            let others: Vec<usize> = (0..N)
+                            w.update_replica_hashes(r);
+                            w.views[r] = [(0, false); MEMBERS];
+                            let others: Vec<usize> = (0..MEMBERS)
                                 .filter(|m| *m != r && w.replicas[*m].is_some())
                                 .collect();
                             for m in others {
@@ -552,7 +655,7 @@
             }
         }
         for n in 0..self.net.len() {
-            let Sent {
+            let MessageInTransit {
                 from,
                 to,
                 nonce,
@@ -560,7 +663,7 @@
                 ..
             } = self.net[n];
             if runs(to as usize) {
-                let heard = |w: &mut World| {
+                let deliver_message = |w: &mut GroupState| {
                     let (from, message) = (MemberIndex::from(from), Message::clone(message));
                     w.feed(
                         to as usize,
@@ -573,77 +676,81 @@
                         },
                     )
                 };
-                step((word(message), to as usize, from as usize, 0), &|w| {
+                step((label_of(message), to as usize, from as usize, 0), &|w| {
                     w.net.swap_remove(n);
-                    heard(w)
+                    deliver_message(w)
                 });
-                if self.left.doubled > 0 {
-                    step((word(message), to as usize, from as usize, 2), &|w| {
-                        w.left.doubled -= 1;
-                        heard(w)
+                if self.remaining_faults.duplicates > 0 {
+                    step((label_of(message), to as usize, from as usize, 2), &|w| {
+                        w.remaining_faults.duplicates -= 1;
+                        deliver_message(w)
                     });
                 }
             }
         }
     }
 
-    fn taken(&mut self, r: usize, redelivered: bool) -> Result<(), String> {
-        self.routers[r].holds = true;
+    /// The broker delivers the message to a router.
+    fn deliver(&mut self, r: usize, redelivered: bool) -> Result<(), String> {
+        self.routers[r].has_delivery = true;
         self.feed(
             r,
             NOW,
             Input::Take {
-                key: X.into(),
+                key: KEY.into(),
                 durability: Durability::Majority,
                 redelivered,
             },
         )
     }
 
-    fn ends(
+    /// Ends a dispatch; `answer_received` tells whether an answer was received.
+    fn end_dispatch(
         &mut self,
         r: usize,
         dispatch: u64,
         may_have_run: bool,
-        well: bool,
+        answer_received: bool,
     ) -> Result<(), String> {
-        self.routers[r].out.remove(&dispatch);
+        self.routers[r].dispatches.remove(&dispatch);
         self.feed(
             r,
             NOW,
             Input::DispatchEnded {
-                key: X.into(),
+                key: KEY.into(),
                 dispatch,
                 may_have_run,
             },
         )?;
-        if well {
+        if answer_received {
             self.feed(
                 r,
                 NOW,
                 Input::Answered {
-                    key: X.into(),
+                    key: KEY.into(),
                     answer: Bytes::from_static(b"done"),
                 },
             )?;
         }
-        match self.routers[r].holds {
-            true if well || may_have_run => self.answers(r, well),
+        match self.routers[r].has_delivery {
+            true if answer_received || may_have_run => self.answer(r, answer_received),
             true => Ok(()),
-            false => self.feed(r, NOW, Input::Dropped { key: X.into() }),
+            false => self.feed(r, NOW, Input::Dropped { key: KEY.into() }),
         }
     }
 
-    fn told_by(&self, m: usize) -> Option<Message> {
-        let shared = self.replicas[m].as_ref()?.copy(NOW, X)?;
+    /// The update that a member would send.
+    fn update_from(&self, m: usize) -> Option<Message> {
+        let shared = self.replicas[m].as_ref()?.copy(NOW, KEY)?;
         Some(Message::Update {
-            key: X.into(),
+            key: KEY.into(),
             record: shared,
         })
     }
 
-    fn tells(&mut self, m: usize, r: usize) -> Result<(), String> {
-        let Some(message) = self.told_by(m) else {
+    /// Delivers an update of member `m` to member `r`.
+    fn deliver_update(&mut self, m: usize, r: usize) -> Result<(), String> {
+        let Some(message) = self.update_from(m) else {
             return Ok(());
         };
         let (from, nonce) = (m as MemberIndex, self.nonces[m]);
@@ -659,14 +766,19 @@
         )
     }
 
-    /// What it told before it crashed may come after.
-    fn last_words(&mut self, r: usize, to: usize) {
-        if let Some(message) = self.told_by(r) {
-            self.net
-                .push(Sent::new(r, to as MemberIndex, self.nonces[r], message));
+    /// Puts the last update of a crashing process in transit, as it may arrive after the crash.
+    fn send_last_update(&mut self, r: usize, to: usize) {
+        if let Some(message) = self.update_from(r) {
+            self.net.push(MessageInTransit::new(
+                r,
+                to as MemberIndex,
+                self.nonces[r],
+                message,
+            ));
         }
     }
 
+    /// Sets what member `r` knows of member `m`: its nonce, and whether it is alive.
     fn view(&mut self, r: usize, m: usize, view: (u64, bool)) -> Result<(), String> {
         self.views[r][m] = view;
         self.feed(
@@ -681,50 +793,59 @@
     }
 }
 
-fn word(message: &Message) -> &'static str {
+/// Label of the step in which a message is delivered.
+fn label_of(message: &Message) -> &'static str {
     match message {
-        Message::StoreIntent { .. } => "hears an intent from",
-        Message::IntentStored { .. } => "hears that it is held by",
-        Message::Fence { .. } => "hears a fence from",
-        Message::Fenced { .. } => "hears a promise from",
-        Message::Rejected { .. } => "hears a refusal from",
-        Message::Update { .. } => "hears last words from",
-        _ => "hears of a comparison from",
+        Message::StoreIntent { .. } => "receives an intent from",
+        Message::IntentStored { .. } => "receives a vote for its intent from",
+        Message::Fence { .. } => "receives a fence from",
+        Message::Fenced { .. } => "receives a promise from",
+        Message::Rejected { .. } => "receives a rejection from",
+        Message::Update { .. } => "receives a last update from",
+        _ => "receives a comparison message from",
     }
 }
 
-/// What was done, by whom, to whom or whether, and with which dispatch.
+/// Label of a step: what happened, the member that it happened to, the other member or a flag, and the dispatch; a 2 in
+/// the last place marks a duplicated message.
 type Label = (&'static str, usize, usize, u64);
 
-struct Found {
+/// Result of an exploration.
+struct Exploration {
+    /// Number of different states.
     states: usize,
+    /// Number of steps explored.
     depth: usize,
-    broken: Option<Vec<String>>,
+    /// Steps to the violation of an invariant, if one was found.
+    counterexample: Option<Vec<String>>,
 }
 
 const THREADS: usize = 4;
 
-/// All states within so many steps, or until so many were seen.
-#[expect(
-    clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
-)]
-fn explore(first: World, without: Option<SafetyCheck>, depth: usize, most: usize) -> Found {
-    let mut seen: HashSet<u128> = HashSet::from([first.mark()]);
-    let mut trail: Vec<(usize, Label)> = vec![(0, ("", 0, 0, 0))];
+/// Explores all states within `depth` steps, until `max_states` states were seen or an invariant was violated.
+#[expect(clippy::too_many_lines, reason = "one breadth-first search")]
+fn explore(
+    first: GroupState,
+    disabled_check: Option<SafetyCheck>,
+    depth: usize,
+    max_states: usize,
+) -> Exploration {
+    let mut seen: HashSet<u128> = HashSet::from([first.state_hash()]);
+    let mut predecessors: Vec<(usize, Label)> = vec![(0, ("", 0, 0, 0))];
     let mut level = vec![(0, first)];
     for at in 0..depth {
-        // By several threads, and joined in the order of the worlds that they began with: the same each time.
-        let expand = |part: &[(usize, World)]| {
+        // Several threads expand the states. Their results are joined in the order of these states, so that each run
+        // gives the same result.
+        let expand = |part: &[(usize, GroupState)]| {
             let mut steps = Vec::new();
-            for (ix, world) in part {
-                world.steps(without, &mut |label, result| {
-                    let marked = result.map(|w| (w.mark(), w));
-                    if marked
+            for (ix, state) in part {
+                state.steps(disabled_check, &mut |label, result| {
+                    let hashed = result.map(|w| (w.state_hash(), w));
+                    if hashed
                         .as_ref()
-                        .map_or(true, |(mark, _)| !seen.contains(mark))
+                        .map_or(true, |(hash, _)| !seen.contains(hash))
                     {
-                        steps.push((*ix, label, marked));
+                        steps.push((*ix, label, hashed));
                     }
                 });
             }
@@ -735,218 +856,291 @@
             let running: Vec<_> = chunks.map(|part| scope.spawn(|| expand(part))).collect();
             running
                 .into_iter()
-                .map(|t| t.join().expect("explored"))
+                .map(|t| t.join().expect("the thread does not panic"))
                 .collect()
         });
         let mut next = Vec::new();
         for (ix, label, result) in parts.into_iter().flatten() {
             match result {
-                Ok((mark, w)) => {
-                    if seen.len() < most && seen.insert(mark) {
-                        trail.push((ix, label));
-                        next.push((trail.len() - 1, w));
+                Ok((hash, w)) => {
+                    if seen.len() < max_states && seen.insert(hash) {
+                        predecessors.push((ix, label));
+                        next.push((predecessors.len() - 1, w));
                     }
                 }
-                Err(why) => {
-                    let (mut path, mut ix) = (vec![format!("{label:?}: {why}")], ix);
+                Err(violation) => {
+                    let (mut path, mut ix) = (vec![format!("{label:?}: {violation}")], ix);
                     while ix > 0 {
-                        path.push(format!("{:?}", trail[ix].1));
-                        ix = trail[ix].0;
+                        path.push(format!("{:?}", predecessors[ix].1));
+                        ix = predecessors[ix].0;
                     }
                     path.reverse();
-                    return Found {
+                    return Exploration {
                         states: seen.len(),
                         depth: at,
-                        broken: Some(path),
+                        counterexample: Some(path),
                     };
                 }
             }
         }
-        if next.is_empty() || seen.len() >= most {
-            return Found {
+        if next.is_empty() || seen.len() >= max_states {
+            return Exploration {
                 states: seen.len(),
                 depth: at,
-                broken: None,
+                counterexample: None,
             };
         }
         level = next;
     }
-    Found {
+    Exploration {
         states: seen.len(),
         depth,
-        broken: None,
+        counterexample: None,
     }
 }
 
-/// Where these steps lead, each named as it is found.
-fn after(
+/// The state after the steps of `path`; each is given by the first three parts of its label.
+fn state_after(
     faults: FaultBudget,
-    without: Option<SafetyCheck>,
+    disabled_check: Option<SafetyCheck>,
     path: &[(&str, usize, usize)],
-) -> World {
-    let mut at = World::new(faults, without);
+) -> GroupState {
+    let mut state = GroupState::new(faults, disabled_check);
     for (n, (what, a, b)) in path.iter().enumerate() {
         let mut next = None;
-        at.steps(without, &mut |label, result| {
+        state.steps(disabled_check, &mut |label, result| {
             if (label.0, label.1, label.2) == (*what, *a, *b) && next.is_none() {
                 next = result.ok();
             }
         });
-        at = next.unwrap_or_else(|| panic!("step {n}, {what}, is not possible"));
+        state = next.unwrap_or_else(|| panic!("step {n}, {what}, is not possible"));
     }
-    at
+    state
 }
 
-const DEEPEST: usize = 60;
+/// Greatest number of steps explored.
+const MAX_DEPTH: usize = 60;
 
-fn sound(what: &str, faults: FaultBudget, path: &[(&str, usize, usize)], most: usize) {
-    let found = explore(after(faults, None, path), None, DEEPEST, most);
+/// Checks that no invariant is violated in any explored state.
+fn assert_holds(what: &str, faults: FaultBudget, path: &[(&str, usize, usize)], max_states: usize) {
+    let found = explore(state_after(faults, None, path), None, MAX_DEPTH, max_states);
     println!(
         "{what}: {} states, {} steps deep",
         found.states, found.depth
     );
-    assert!(found.broken.is_none(), "{what}: {:#?}", found.broken);
+    assert!(
+        found.counterexample.is_none(),
+        "{what}: {:#?}",
+        found.counterexample
+    );
 }
 
-fn broken(guard: SafetyCheck, faults: FaultBudget, path: &[(&str, usize, usize)], most: usize) {
-    let found = explore(after(faults, Some(guard), path), Some(guard), DEEPEST, most);
+/// Checks that an invariant is violated if a safety check is disabled.
+fn assert_violation(
+    check: SafetyCheck,
+    faults: FaultBudget,
+    path: &[(&str, usize, usize)],
+    max_states: usize,
+) {
+    let found = explore(
+        state_after(faults, Some(check), path),
+        Some(check),
+        MAX_DEPTH,
+        max_states,
+    );
     println!(
-        "without {guard:?}: {} states, {} steps",
+        "without {check:?}: {} states, {} steps",
         found.states, found.depth
     );
     assert!(
-        found.broken.is_some(),
-        "without {guard:?} nothing is found in {} states",
+        found.counterexample.is_some(),
+        "without {check:?}, no invariant is violated in {} states",
         found.states
     );
 }
 
-const CHANNEL: FaultBudget = FaultBudget {
-    drops: 1,
-    told: 1,
-    ..NONE
+const CHANNEL_LOSS: FaultBudget = FaultBudget {
+    channel_losses: 1,
+    updates: 1,
+    ..NO_FAULTS
 };
-const TWINS: FaultBudget = FaultBudget {
-    twins: 1,
-    told: 1,
-    ..NONE
+const DOUBLE_DELIVERY: FaultBudget = FaultBudget {
+    double_deliveries: 1,
+    updates: 1,
+    ..NO_FAULTS
 };
-const STOPPED: FaultBudget = FaultBudget {
-    stops: 1,
+const SUSPENSION_AND_SUSPICION: FaultBudget = FaultBudget {
+    suspensions: 1,
     suspicions: 1,
-    told: 1,
-    ..NONE
+    updates: 1,
+    ..NO_FAULTS
+};
+const SUSPENSION: FaultBudget = FaultBudget {
+    suspensions: 1,
+    updates: 1,
+    ..NO_FAULTS
 };
-const WOKEN: FaultBudget = FaultBudget {
-    stops: 1,
-    told: 1,
-    ..NONE
+const SUSPENSION_AND_TIMEOUT: FaultBudget = FaultBudget {
+    suspensions: 1,
+    timeouts: 1,
+    ..NO_FAULTS
 };
-const LATE_STOP: FaultBudget = FaultBudget {
-    stops: 1,
-    late: 1,
-    ..NONE
+const CRASH: FaultBudget = FaultBudget {
+    crashes: 1,
+    ..NO_FAULTS
 };
-const CRASH: FaultBudget = FaultBudget { crashes: 1, ..NONE };
-const AMNESIA: FaultBudget = FaultBudget {
+const CRASH_AND_SUSPENSION: FaultBudget = FaultBudget {
     crashes: 1,
-    stops: 1,
-    told: 1,
-    ..NONE
+    suspensions: 1,
+    updates: 1,
+    ..NO_FAULTS
 };
 
-/// Its owner is stopped while its intent is on the way, and somebody else has it.
-const ASKING: &[(&str, usize, usize)] = &[
-    ("delivered, and whether again", 1, 0),
-    ("hears what it holds", 0, 1),
-    ("intends", 1, 1),
-    ("is stopped", 1, 1),
-    ("is given up by the broker", 1, 1),
-    ("delivered, and whether again", 0, 1),
+/// The owner is suspended while its intent is in transit, and the message is redelivered to another router.
+const OWNER_SUSPENDED_BEFORE_VOTES: &[(&str, usize, usize)] = &[
+    ("receives the message (1: redelivered)", 1, 0),
+    ("receives the record of", 0, 1),
+    ("requests a dispatch", 1, 1),
+    ("is suspended", 1, 1),
+    ("has its message taken back by the broker", 1, 1),
+    ("receives the message (1: redelivered)", 0, 1),
 ];
 
-/// Its owner is stopped with leave to send, and the other one that holds the intent has lost its memory.
-const FORGOTTEN: &[(&str, usize, usize)] = &[
-    ("delivered, and whether again", 1, 0),
-    ("hears what it holds", 0, 1),
-    ("intends", 1, 1),
-    ("hears an intent from", 2, 1),
-    ("hears that it is held by", 1, 2),
-    ("is stopped", 1, 1),
-    ("is given up by the broker", 1, 1),
+/// The owner is suspended with a permitted dispatch, and the other member that stored the intent restarts without its
+/// records.
+const OWNER_SUSPENDED_AND_VOTER_RESTARTED: &[(&str, usize, usize)] = &[
+    ("receives the message (1: redelivered)", 1, 0),
+    ("receives the record of", 0, 1),
+    ("requests a dispatch", 1, 1),
+    ("receives an intent from", 2, 1),
+    ("receives a vote for its intent from", 1, 2),
+    ("is suspended", 1, 1),
+    ("has its message taken back by the broker", 1, 1),
     ("crashes", 2, 2),
-    ("starts anew, and whether with its memory", 2, 0),
+    ("restarts (1: with its records)", 2, 0),
 ];
 
-/// The same with both holders of the intent started anew, one of them with what it had.
-const BOTH_ANEW: FaultBudget = FaultBudget {
+/// Both members that stored the intent restart, one of them with its records.
+const TWO_CRASHES: FaultBudget = FaultBudget {
     crashes: 2,
-    kept: 1,
-    told: 1,
-    ..NONE
+    restarts_with_records: 1,
+    updates: 1,
+    ..NO_FAULTS
 };
-const BOTH: &[(&str, usize, usize)] = &[
-    ("delivered, and whether again", 1, 0),
-    ("hears what it holds", 0, 1),
-    ("intends", 1, 1),
-    ("hears an intent from", 2, 1),
-    ("hears that it is held by", 1, 2),
-    ("sends, and whether it ran", 1, 1),
+/// The owner has sent its dispatch, and both members that stored the intent have crashed.
+const DISPATCHED_AND_BOTH_CRASHED: &[(&str, usize, usize)] = &[
+    ("receives the message (1: redelivered)", 1, 0),
+    ("receives the record of", 0, 1),
+    ("requests a dispatch", 1, 1),
+    ("receives an intent from", 2, 1),
+    ("receives a vote for its intent from", 1, 2),
+    ("sends the dispatch (1: it runs)", 1, 1),
     ("crashes", 1, 1),
     ("crashes", 2, 2),
 ];
 
 #[test]
 fn broker_channel_lost_at_any_moment() {
-    sound("channel", CHANNEL, &[], 300_000);
+    assert_holds("channel lost", CHANNEL_LOSS, &[], 300_000);
 }
 
 #[test]
 fn message_delivered_to_two_routers_at_once() {
-    sound("twins", TWINS, &[], 300_000);
+    assert_holds("delivered twice", DOUBLE_DELIVERY, &[], 300_000);
 }
 
 #[test]
 fn process_paused_at_any_moment_and_resumed_late() {
-    sound("stopped, out of time", LATE_STOP, &[], 150_000);
-    sound("stopped, taken for dead", STOPPED, &[], 150_000);
-    sound("stopped while it asks", STOPPED, ASKING, 100_000);
+    assert_holds(
+        "suspended, timeouts pass",
+        SUSPENSION_AND_TIMEOUT,
+        &[],
+        150_000,
+    );
+    assert_holds(
+        "suspended, considered dead",
+        SUSPENSION_AND_SUSPICION,
+        &[],
+        150_000,
+    );
+    assert_holds(
+        "suspended while it requests a dispatch",
+        SUSPENSION_AND_SUSPICION,
+        OWNER_SUSPENDED_BEFORE_VOTES,
+        100_000,
+    );
 }
 
 #[test]
 fn process_crashed_at_any_moment_and_restarted_without_state() {
-    sound("crash", CRASH, &[], 150_000);
-    sound("memory lost", AMNESIA, FORGOTTEN, 100_000);
-    sound("both started anew", BOTH_ANEW, BOTH, 100_000);
+    assert_holds("crash", CRASH, &[], 150_000);
+    assert_holds(
+        "records lost",
+        CRASH_AND_SUSPENSION,
+        OWNER_SUSPENDED_AND_VOTER_RESTARTED,
+        100_000,
+    );
+    assert_holds(
+        "both restarted",
+        TWO_CRASHES,
+        DISPATCHED_AND_BOTH_CRASHED,
+        100_000,
+    );
 }
 
 #[test]
 fn duplicated_messages() {
-    sound(
-        "doubled",
+    assert_holds(
+        "duplicated messages",
         FaultBudget {
-            doubled: 1,
-            stops: 1,
-            ..NONE
+            duplicates: 1,
+            suspensions: 1,
+            ..NO_FAULTS
         },
-        ASKING_UNTOLD,
+        INTENT_STORED_ONCE,
         100_000,
     );
 }
 
-const ASKING_UNTOLD: &[(&str, usize, usize)] = &[
-    ("delivered, and whether again", 1, 0),
-    ("intends", 1, 1),
-    ("hears an intent from", 2, 1),
+/// The owner has requested a dispatch, and one other member has stored its intent.
+const INTENT_STORED_ONCE: &[(&str, usize, usize)] = &[
+    ("receives the message (1: redelivered)", 1, 0),
+    ("requests a dispatch", 1, 1),
+    ("receives an intent from", 2, 1),
 ];
 
 #[test]
 fn each_disabled_safety_check_is_found() {
-    broken(SafetyCheck::MajorityBeforeDispatch, TWINS, &[], 10_000);
-    broken(SafetyCheck::FirstBallotAlone, TWINS, &[], 10_000);
-    broken(SafetyCheck::FencedTakeover, CHANNEL, &[], 20_000);
-    broken(SafetyCheck::KeptPromise, WOKEN, ASKING, 200_000);
-    broken(SafetyCheck::UnansweredMayHold, WOKEN, ASKING, 200_000);
-    broken(SafetyCheck::GoneOwnerMayHaveRun, STOPPED, ASKING, 200_000);
-    broken(SafetyCheck::NoVoteWithoutState, AMNESIA, FORGOTTEN, 100_000);
+    assert_violation(
+        SafetyCheck::MajorityBeforeDispatch,
+        DOUBLE_DELIVERY,
+        &[],
+        10_000,
+    );
+    assert_violation(SafetyCheck::FirstBallotAlone, DOUBLE_DELIVERY, &[], 10_000);
+    assert_violation(SafetyCheck::FencedTakeover, CHANNEL_LOSS, &[], 20_000);
+    assert_violation(
+        SafetyCheck::KeptPromise,
+        SUSPENSION,
+        OWNER_SUSPENDED_BEFORE_VOTES,
+        200_000,
+    );
+    assert_violation(
+        SafetyCheck::UnansweredMayHold,
+        SUSPENSION,
+        OWNER_SUSPENDED_BEFORE_VOTES,
+        200_000,
+    );
+    assert_violation(
+        SafetyCheck::GoneOwnerMayHaveRun,
+        SUSPENSION_AND_SUSPICION,
+        OWNER_SUSPENDED_BEFORE_VOTES,
+        200_000,
+    );
+    assert_violation(
+        SafetyCheck::NoVoteWithoutState,
+        CRASH_AND_SUSPENSION,
+        OWNER_SUSPENDED_AND_VOTER_RESTARTED,
+        100_000,
+    );
 }
--- a/crates/replica/tests/merge.rs
+++ b/crates/replica/tests/merge.rs
@@ -1,4 +1,5 @@
-//! Merging copies that differ gives the same result in any order and any number of times.
+//! Merging different copies of a record gives the same result in any order and for any number of repetitions. Guards
+//! against members whose records never converge after messages were reordered or duplicated.
 
 use bytes::Bytes;
 use cedarpulley_replica::record::{Choice, DispatchIntent, Owner};
@@ -21,7 +22,7 @@
     ])
 }
 
-fn sent() -> impl Strategy<Value = IntentState> {
+fn intent_state() -> impl Strategy<Value = IntentState> {
     prop::sample::select(vec![
         IntentState::Intended,
         IntentState::NotExecuted,
@@ -29,13 +30,13 @@
     ])
 }
 
-fn effect() -> impl Strategy<Value = Record> {
-    let sending = sent().prop_map(|state| DispatchIntent {
+fn invocation() -> impl Strategy<Value = Record> {
+    let intent = intent_state().prop_map(|state| DispatchIntent {
         member: 0,
         state,
         deduplication_scope: 0,
     });
-    let intents = prop::collection::btree_map((1u64..3, 0u64..3), sending, 0..4);
+    let intents = prop::collection::btree_map((1u64..3, 0u64..3), intent, 0..4);
     let answer = prop::option::of(prop_oneof![
         value().prop_map(StoredAnswer::Stored),
         Just(StoredAnswer::TooLarge)
@@ -44,7 +45,7 @@
     (ballot(), flags, intents, answer).prop_map(
         |(ballot, (released, taken, may_lack_intents, closed), intents, answer)| {
             let owner = Owner { ballot, released };
-            let mut e = Invocation {
+            let mut invocation = Invocation {
                 owner,
                 taken,
                 may_lack_intents,
@@ -53,9 +54,9 @@
                 ..Invocation::default()
             };
             if closed {
-                e.close();
+                invocation.close();
             }
-            Record::Invocation(e)
+            Record::Invocation(invocation)
         },
     )
 }
@@ -70,7 +71,7 @@
             .prop_map(|(version, value)| Record::Note(Note { version, value }))
     };
     prop_oneof![
-        [effect(), effect(), effect()],
+        [invocation(), invocation(), invocation()],
         [choice(), choice(), choice()],
         [note(), note(), note()],
     ]
@@ -94,7 +95,7 @@
         prop_assert_eq!(&merged(&ab, &ab), &ab);
     }
 
-    /// States only advance: whatever is merged, no dispatch goes back, no answer is lost, no ballot decreases.
+    /// Guards against a merge that returns a dispatch to an earlier state, loses an answer or lowers a ballot.
     #[test]
     fn states_only_advance([a, b, _] in record()) {
         let ab = merged(&a, &b);
@@ -106,13 +107,13 @@
     }
 }
 
-/// A choice is retained for longer than invocations: that later invocations of its process have expired says nothing
-/// about it.
+/// A choice is retained for longer than invocations are. Guards against a choice that is rejected as expired because a
+/// later invocation of the same process has expired.
 #[test]
 fn a_choice_is_learned_though_later_invocations_of_its_process_have_expired() {
     use cedarpulley_replica::RecordCopy;
     use cedarpulley_replica::store::{MergeOutcome, Origin, Store};
-    let shared = |record: Record, serial, expires_in| {
+    let copy_of = |record: Record, serial, expires_in| {
         let origin = Origin { nonce: 7, serial };
         RecordCopy {
             record,
@@ -123,19 +124,19 @@
         }
     };
     let mut store = Store::new(10, false);
-    let effect = || Record::Invocation(Invocation::default());
+    let invocation = || Record::Invocation(Invocation::default());
     assert_eq!(
-        store.merge(0, &"i".into(), &shared(effect(), 5, 10), 0),
+        store.merge(0, &"i".into(), &copy_of(invocation(), 5, 10), 0),
         MergeOutcome::Changed
     );
     store.expire(20);
     assert_eq!(
-        store.merge(20, &"j".into(), &shared(effect(), 4, 10), 0),
+        store.merge(20, &"j".into(), &copy_of(invocation(), 4, 10), 0),
         MergeOutcome::Expired
     );
     let choice = Record::Choice(Choice::default());
     assert_eq!(
-        store.merge(20, &"u".into(), &shared(choice, 3, 10), 0),
+        store.merge(20, &"u".into(), &copy_of(choice, 3, 10), 0),
         MergeOutcome::Changed
     );
 }
--- a/crates/replica/tests/message_bytes.rs
+++ b/crates/replica/tests/message_bytes.rs
@@ -1,5 +1,5 @@
-//! The bytes of every message between members, and the digests by which they compare records. Members of one version
-//! read each other's bytes: whoever changes them raises `VERSION` and records them anew.
+//! Pins the encoding of every message between members, and the digests by which members compare records. Members of the
+//! same version exchange these bytes. A change of the encoding has to raise `VERSION` and to update the fixtures.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,9 +14,9 @@
     RecoveryState, StoredAnswer, VERSION,
 };
 
-/// By line: a name, and the encoded message.
+/// One message per line: its name and its encoding in hexadecimal.
 const MESSAGES: &str = include_str!("fixtures/messages.hex");
-/// By line: a name, and numbers.
+/// One record per line: its key, its leaf, the two digests of its entry, and the digests of its leaf and its group.
 const DIGESTS: &str = include_str!("fixtures/digests.txt");
 
 fn key(name: &str) -> Key {
@@ -38,7 +38,7 @@
     }
 }
 
-fn shared(record: Record) -> RecordCopy {
+fn copy_of(record: Record) -> RecordCopy {
     RecordCopy {
         record,
         origin: origin(),
@@ -48,7 +48,7 @@
     }
 }
 
-fn sending(member: u16, state: IntentState, deduplication_scope: u32) -> DispatchIntent {
+fn intent(member: u16, state: IntentState, deduplication_scope: u32) -> DispatchIntent {
     DispatchIntent {
         member,
         state,
@@ -56,43 +56,43 @@
     }
 }
 
-fn effect(answer: Option<StoredAnswer>) -> Invocation {
-    let mut effect = Invocation::default();
-    effect.owner.ballot = ballot(1_000);
-    effect.taken = true;
-    effect
+fn invocation(answer: Option<StoredAnswer>) -> Invocation {
+    let mut invocation = Invocation::default();
+    invocation.owner.ballot = ballot(1_000);
+    invocation.taken = true;
+    invocation
         .intents
-        .insert((5, 6), sending(1, IntentState::Intended, 300));
-    effect
+        .insert((5, 6), intent(1, IntentState::Intended, 300));
+    invocation
         .intents
-        .insert((5, 7), sending(2, IntentState::NotExecuted, 301));
-    effect
+        .insert((5, 7), intent(2, IntentState::NotExecuted, 301));
+    invocation
         .intents
-        .insert((8, 1), sending(3, IntentState::Indeterminate, 302));
-    effect.answer = answer;
-    effect
+        .insert((8, 1), intent(3, IntentState::Indeterminate, 302));
+    invocation.answer = answer;
+    invocation
 }
 
-fn open_effect() -> Record {
-    let mut effect = effect(Some(StoredAnswer::Stored(Bytes::from_static(b"yes"))));
-    effect.may_lack_intents = true;
-    Record::Invocation(effect)
+fn open_invocation() -> Record {
+    let mut invocation = invocation(Some(StoredAnswer::Stored(Bytes::from_static(b"yes"))));
+    invocation.may_lack_intents = true;
+    Record::Invocation(invocation)
 }
 
-fn faulty_effect() -> Record {
-    let mut effect = effect(Some(StoredAnswer::TooLarge));
-    effect.has_conflict = true;
-    Record::Invocation(effect)
+fn conflicting_invocation() -> Record {
+    let mut invocation = invocation(Some(StoredAnswer::TooLarge));
+    invocation.has_conflict = true;
+    Record::Invocation(invocation)
 }
 
-fn closed_effect() -> Record {
-    let mut effect = effect(None);
-    effect.owner.released = true;
-    effect.close();
-    Record::Invocation(effect)
+fn closed_invocation() -> Record {
+    let mut invocation = invocation(None);
+    invocation.owner.released = true;
+    invocation.close();
+    Record::Invocation(invocation)
 }
 
-fn chosen() -> Choice {
+fn choice_record() -> Choice {
     Choice {
         promised: ballot(9),
         accepted: Some((ballot(8), Bytes::from_static(b"plan"))),
@@ -110,18 +110,18 @@
     Views(vec![11, 4_000_000_000, 33])
 }
 
-fn refused(reason: RejectionReason, dispatch: Option<u64>, shared: Option<RecordCopy>) -> Message {
+fn rejected(reason: RejectionReason, dispatch: Option<u64>, record: Option<RecordCopy>) -> Message {
     let (key, ballot) = (key("k"), ballot(2));
     Message::Rejected {
         key,
         ballot,
         dispatch,
         reason,
-        record: shared,
+        record,
     }
 }
 
-fn overtaken(reason: RejectionReason, choice: Option<Choice>) -> Message {
+fn nack(reason: RejectionReason, choice: Option<Choice>) -> Message {
     let (key, ballot) = (key("k"), ballot(2));
     Message::Nack {
         key,
@@ -131,15 +131,12 @@
     }
 }
 
-fn tell(record: Record) -> Message {
-    let (key, shared) = (key("k"), shared(record));
-    Message::Update {
-        key,
-        record: shared,
-    }
+fn update(record: Record) -> Message {
+    let (key, record) = (key("k"), copy_of(record));
+    Message::Update { key, record }
 }
 
-fn differ(memory: RecoveryState) -> Message {
+fn differing_groups(memory: RecoveryState) -> Message {
     Message::DifferingGroups {
         serial: 21,
         memory,
@@ -154,14 +151,14 @@
 )]
 fn messages_on_invocations() -> Vec<(&'static str, Message)> {
     let (key, ballot) = (key("k"), ballot(2));
-    let intend = Message::StoreIntent {
+    let store_intent = Message::StoreIntent {
         key: key.clone(),
         ballot,
         dispatch: 200,
         is_first_ballot: true,
-        record: shared(open_effect()),
+        record: copy_of(open_invocation()),
     };
-    let holds = Message::IntentStored {
+    let intent_stored = Message::IntentStored {
         key: key.clone(),
         ballot,
         dispatch: 200,
@@ -173,45 +170,45 @@
         origin: origin(),
         lifetime: -300,
     };
-    let fenced = |shared| Message::Fenced {
+    let fenced = |record| Message::Fenced {
         key: key.clone(),
         ballot,
-        record: shared,
+        record,
         views: views(),
     };
     vec![
-        ("intend", intend),
-        ("holds", holds),
+        ("store_intent", store_intent),
+        ("intent_stored", intent_stored),
         ("fence", fence),
-        ("fenced", fenced(Some(shared(open_effect())))),
+        ("fenced", fenced(Some(copy_of(open_invocation())))),
         ("fenced-nothing", fenced(None)),
         (
-            "refused-owned",
-            refused(
+            "rejected-higher_ballot",
+            rejected(
                 RejectionReason::HigherBallot,
                 Some(200),
-                Some(shared(open_effect())),
+                Some(copy_of(open_invocation())),
             ),
         ),
         (
-            "refused-full",
-            refused(RejectionReason::StoreFull, Some(200), None),
+            "rejected-store_full",
+            rejected(RejectionReason::StoreFull, Some(200), None),
         ),
         (
-            "refused-returning",
-            refused(
+            "rejected-recovering",
+            rejected(
                 RejectionReason::Recovering,
                 None,
-                Some(shared(closed_effect())),
+                Some(copy_of(closed_invocation())),
             ),
         ),
         (
-            "refused-forgotten",
-            refused(RejectionReason::Expired, None, None),
+            "rejected-expired",
+            rejected(RejectionReason::Expired, None, None),
         ),
         (
-            "refused-late",
-            refused(RejectionReason::TooLate, Some(0), None),
+            "rejected-too_late",
+            rejected(RejectionReason::TooLate, Some(0), None),
         ),
     ]
 }
@@ -223,10 +220,10 @@
         ballot,
         lifetime: 9_000_000,
     };
-    let prepared = Message::Promise {
+    let promise = Message::Promise {
         key: key.clone(),
         ballot,
-        choice: chosen(),
+        choice: choice_record(),
         views: views(),
     };
     let accept = Message::Accept {
@@ -243,70 +240,85 @@
     };
     vec![
         ("prepare", prepare),
-        ("prepared", prepared),
+        ("promise", promise),
         ("accept", accept),
         ("accepted", accepted),
         (
-            "overtaken",
-            overtaken(RejectionReason::HigherBallot, Some(chosen())),
-        ),
-        (
-            "overtaken-unknown",
-            overtaken(RejectionReason::TooLate, None),
+            "nack",
+            nack(RejectionReason::HigherBallot, Some(choice_record())),
         ),
+        ("nack-too_late", nack(RejectionReason::TooLate, None)),
     ]
 }
 
 fn messages_on_comparing() -> Vec<(&'static str, Message)> {
-    let compare = Message::CompareDigests {
+    let compare_digests = Message::CompareDigests {
         serial: 20,
         groups: vec![0, 1, u64::MAX],
     };
-    let want = |after| Message::FetchRecords {
+    let fetch_records = |after| Message::FetchRecords {
         serial: 22,
         leaves: vec![(7, None), (4_000, Some(BTreeMap::from([(1, 2), (3, 4)])))],
         after,
     };
-    let have = |more| Message::FetchedRecords {
+    let fetched_records = |more| Message::FetchedRecords {
         serial: 23,
         records: vec![
-            (key("a"), shared(open_effect())),
-            (key("b"), shared(Record::Choice(chosen()))),
-            (key("c"), shared(note())),
+            (key("a"), copy_of(open_invocation())),
+            (key("b"), copy_of(Record::Choice(choice_record()))),
+            (key("c"), copy_of(note())),
         ],
         more,
     };
     vec![
-        ("compare", compare),
-        ("differ-lost", differ(RecoveryState::Empty)),
-        ("differ-kept", differ(RecoveryState::Restored)),
-        ("differ-whole", differ(RecoveryState::Complete)),
-        ("want", want(None)),
-        ("want-after", want(Some((4_000, key("a"))))),
-        ("have", have(None)),
-        ("have-more", have(Some((4_000, key("c"))))),
+        ("compare_digests", compare_digests),
+        (
+            "differing_groups-empty",
+            differing_groups(RecoveryState::Empty),
+        ),
+        (
+            "differing_groups-restored",
+            differing_groups(RecoveryState::Restored),
+        ),
+        (
+            "differing_groups-complete",
+            differing_groups(RecoveryState::Complete),
+        ),
+        ("fetch_records", fetch_records(None)),
+        (
+            "fetch_records-after",
+            fetch_records(Some((4_000, key("a")))),
+        ),
+        ("fetched_records", fetched_records(None)),
+        (
+            "fetched_records-more",
+            fetched_records(Some((4_000, key("c")))),
+        ),
     ]
 }
 
 fn messages_on_records() -> Vec<(&'static str, Message)> {
-    let bare = RecordCopy {
+    let empty_copy = RecordCopy {
         record: Record::Choice(Choice::default()),
         origin: Origin::default(),
         expires_in: 0,
         first_dispatch_ago: None,
         proof_expires_in: None,
     };
-    let tell_bare = Message::Update {
+    let update_without_content = Message::Update {
         key: key(""),
-        record: bare,
+        record: empty_copy,
     };
     vec![
-        ("tell-effect", tell(open_effect())),
-        ("tell-faulty-effect", tell(faulty_effect())),
-        ("tell-closed-effect", tell(closed_effect())),
-        ("tell-choice", tell(Record::Choice(chosen()))),
-        ("tell-note", tell(note())),
-        ("tell-bare", tell_bare),
+        ("update-open_invocation", update(open_invocation())),
+        (
+            "update-conflicting_invocation",
+            update(conflicting_invocation()),
+        ),
+        ("update-closed_invocation", update(closed_invocation())),
+        ("update-choice", update(Record::Choice(choice_record()))),
+        ("update-note", update(note())),
+        ("update-empty", update_without_content),
     ]
 }
 
@@ -320,24 +332,24 @@
     .concat()
 }
 
-/// A further variant does not compile here until it has a name, and then needs a line among the fixtures.
+/// Name of a variant. A new variant does not compile here until it has a name, and then needs a line in the fixtures.
 fn variant(message: &Message) -> &'static str {
     match message {
-        Message::StoreIntent { .. } => "intend",
-        Message::IntentStored { .. } => "holds",
+        Message::StoreIntent { .. } => "store_intent",
+        Message::IntentStored { .. } => "intent_stored",
         Message::Fence { .. } => "fence",
         Message::Fenced { .. } => "fenced",
-        Message::Rejected { .. } => "refused",
+        Message::Rejected { .. } => "rejected",
         Message::Prepare { .. } => "prepare",
-        Message::Promise { .. } => "prepared",
+        Message::Promise { .. } => "promise",
         Message::Accept { .. } => "accept",
         Message::Accepted { .. } => "accepted",
-        Message::Nack { .. } => "overtaken",
-        Message::Update { .. } => "tell",
-        Message::CompareDigests { .. } => "compare",
-        Message::DifferingGroups { .. } => "differ",
-        Message::FetchRecords { .. } => "want",
-        Message::FetchedRecords { .. } => "have",
+        Message::Nack { .. } => "nack",
+        Message::Update { .. } => "update",
+        Message::CompareDigests { .. } => "compare_digests",
+        Message::DifferingGroups { .. } => "differing_groups",
+        Message::FetchRecords { .. } => "fetch_records",
+        Message::FetchedRecords { .. } => "fetched_records",
     }
 }
 
@@ -367,11 +379,13 @@
 }
 
 #[test]
-fn pinned_bytes_are_read_as_the_messages_they_were() {
+fn pinned_bytes_are_decoded_to_the_original_messages() {
     let messages = messages();
     assert_eq!(MESSAGES.lines().count(), messages.len());
     for (line, (name, message)) in MESSAGES.lines().zip(&messages) {
-        let encoded = line.strip_prefix(&format!("{name} ")).expect("its name");
+        let encoded = line
+            .strip_prefix(&format!("{name} "))
+            .expect("the line starts with the name of the message");
         let read: Message = postcard::from_bytes(&bytes(encoded)).expect("decoded");
         assert_eq!(read, *message, "{name}");
     }
@@ -390,14 +404,14 @@
 fn store() -> Store {
     let mut store = Store::new(100, false);
     let records = [
-        ("a", open_effect()),
-        ("b", faulty_effect()),
-        ("c", closed_effect()),
-        ("d", Record::Choice(chosen())),
+        ("a", open_invocation()),
+        ("b", conflicting_invocation()),
+        ("c", closed_invocation()),
+        ("d", Record::Choice(choice_record())),
         ("e", note()),
     ];
     for (name, record) in records {
-        store.merge(0, &key(name), &shared(record), 0);
+        store.merge(0, &key(name), &copy_of(record), 0);
     }
     store
 }
--- a/crates/replica/tests/random_faults.rs
+++ b/crates/replica/tests/random_faults.rs
@@ -134,7 +134,8 @@
         RestartState::Stale,
     ]);
     prop_oneof![
-        30 => deliver_in_transit.prop_map(|(seed, lost, duplicated, held)| Step::DeliverInTransit { seed, lost, duplicated, held }),
+        30 => deliver_in_transit
+            .prop_map(|(seed, lost, duplicated, held)| Step::DeliverInTransit { seed, lost, duplicated, held }),
         12 => any::<u64>().prop_map(|seed| Step::DeliverInTransit { seed, lost: 0, duplicated: 0, held: 0 }),
         8 => (1i64..250).prop_map(|ms| Step::Pass(ms * MS)),
         2 => (RETENTION / 8..RETENTION).prop_map(Step::Pass),
--- a/crates/replica/tests/sharing_cost.rs
+++ b/crates/replica/tests/sharing_cost.rs
@@ -1,4 +1,6 @@
-//! The scenarios that `benches/sharing_cost.rs` measures, at sizes for each run of the tests.
+//! Runs the scenarios that `benches/sharing_cost.rs` measures, at sizes that are small enough for a test. Guards
+//! against scenarios that no longer reach their expected outcome, and against traffic that grows with the number of
+//! groups.
 
 mod common;
 mod virtual_time;
@@ -7,10 +9,10 @@
 
 #[test]
 fn a_restarted_member_catches_up_with_all_records() {
-    const ALL: u64 = 10_000;
+    const RECORDS: u64 = 10_000;
     for answer in [0, 200] {
-        for (lacking, folder) in [(1, true), (100, true), (1_000, true), (ALL, false)] {
-            catch_up(ALL, lacking, folder, answer);
+        for (lacking, with_store) in [(1, true), (100, true), (1_000, true), (RECORDS, false)] {
+            catch_up(RECORDS, lacking, with_store, answer);
         }
     }
 }
@@ -22,7 +24,7 @@
     }
 }
 
-/// Three more members in the fleet, in a group of their own, cost the others nothing.
+/// A second group of three members adds no traffic for the members of the first group.
 #[test]
 fn traffic_of_a_router_does_not_grow_with_the_fleet() {
     let (one_group, two_groups) = (bytes_sent(3, 1, 10), bytes_sent(3, 2, 10));
--- a/crates/replica/tests/virtual_time/mod.rs
+++ b/crates/replica/tests/virtual_time/mod.rs
@@ -1,6 +1,7 @@
-//! A group of replicas in virtual time, with a one-way latency of 250 us, and the cost of replication. Each scenario
-//! checks its own outcome: `tests/sharing_cost.rs` runs them small, `benches/sharing_cost.rs` measures.
-#![allow(dead_code)] // Each target uses its part.
+//! Scenarios of a group of replicas in virtual time, with a one-way latency of 250 us, that measure the cost of
+//! replication. Each scenario checks its own outcome: `tests/sharing_cost.rs` runs them at small sizes, and
+//! `benches/sharing_cost.rs` measures them.
+#![allow(dead_code)] // Each target uses only some of the items.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -13,68 +14,79 @@
 
 use crate::common::{MS, group};
 
-const LINK: i64 = 250;
-const S: i64 = 1_000 * MS;
-const KEPT: i64 = 600 * S;
+/// One-way latency of a link in microseconds.
+const LINK_LATENCY: i64 = 250;
+/// Microseconds in a second.
+const SECOND: i64 = 1_000 * MS;
+/// Time in microseconds for which records are retained.
+const RETENTION: i64 = 600 * SECOND;
 
-fn bytes(what: &impl serde::Serialize) -> u64 {
-    postcard::to_stdvec(what).map_or(0, |b| b.len() as u64)
+/// Length of an encoded message in bytes.
+fn bytes(message: &impl serde::Serialize) -> u64 {
+    postcard::to_stdvec(message).map_or(0, |b| b.len() as u64)
 }
 
-enum Letter {
+/// A message between members, of either kind.
+enum PeerMessage {
     Replica(Message),
     Membership(membership::Message),
 }
 
 /// One group in virtual time.
-struct Net {
+struct SimulatedGroup {
+    /// Virtual time in microseconds.
     now: i64,
     replicas: Vec<Replica>,
     members: Vec<Membership>,
-    way: BinaryHeap<Reverse<(i64, u64)>>,
-    letters: std::collections::HashMap<u64, (MemberIndex, MemberIndex, Letter)>,
+    /// Time of arrival and serial number of each message in transit.
+    arrivals: BinaryHeap<Reverse<(i64, u64)>>,
+    /// Sender, receiver and content of each message in transit, by serial number.
+    messages: std::collections::HashMap<u64, (MemberIndex, MemberIndex, PeerMessage)>,
     serial: u64,
-    /// Sent, by all.
+    /// Bytes sent by all members.
     bytes: u64,
-    leaves: Vec<(usize, Key, u64)>,
+    /// Permitted dispatches: member, key and dispatch.
+    permitted_dispatches: Vec<(usize, Key, u64)>,
 }
 
-impl Net {
-    fn new(n: usize, seed: u64) -> Net {
-        let mut net = Net {
+impl SimulatedGroup {
+    fn new(n: usize, seed: u64) -> SimulatedGroup {
+        let mut simulation = SimulatedGroup {
             now: 0,
             replicas: Vec::new(),
             members: Vec::new(),
-            way: BinaryHeap::new(),
-            letters: Default::default(),
+            arrivals: BinaryHeap::new(),
+            messages: Default::default(),
             serial: 0,
             bytes: 0,
-            leaves: Vec::new(),
+            permitted_dispatches: Vec::new(),
         };
         for r in 0..n {
-            net.replicas.push(Replica::new(
+            simulation.replicas.push(Replica::new(
                 0,
                 group(n, r),
-                terms(seed + r as u64),
+                settings(seed + r as u64),
                 r as u64 + 1,
                 Some(Vec::new()),
             ));
-            let terms = membership::FailureDetectorSettings {
+            let settings = membership::FailureDetectorSettings {
                 probe_interval: 250 * MS,
                 answer_timeout: 100 * MS,
                 suspicion_timeout: 1_500 * MS,
                 seed: seed + r as u64,
             };
-            net.members
-                .push(Membership::new(0, group(n, r), terms, r as u64 + 1, 0));
+            simulation
+                .members
+                .push(Membership::new(0, group(n, r), settings, r as u64 + 1, 0));
         }
         for r in 0..n {
-            net.sees(r);
+            simulation.connect(r);
         }
-        net
+        simulation
     }
 
-    fn sees(&mut self, r: usize) {
+    /// Reports to `r` that all members are alive, and to all members that `r` is.
+    fn connect(&mut self, r: usize) {
         for m in 0..self.replicas.len() {
             let nonce = self.members[m].own_incarnation().nonce;
             self.feed(
@@ -97,13 +109,15 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: MemberIndex, letter: Letter) {
+    fn send(&mut self, from: usize, to: MemberIndex, message: PeerMessage) {
         self.serial += 1;
-        self.way.push(Reverse((self.now + LINK, self.serial)));
-        self.letters
-            .insert(self.serial, (from as MemberIndex, to, letter));
+        self.arrivals
+            .push(Reverse((self.now + LINK_LATENCY, self.serial)));
+        self.messages
+            .insert(self.serial, (from as MemberIndex, to, message));
     }
 
+    /// Passes an input to the replica of a member and sends its messages.
     fn feed(&mut self, r: usize, input: Input) {
         let mut out = Vec::new();
         self.replicas[r].handle(self.now, input, &mut out);
@@ -111,30 +125,31 @@
             match output {
                 Output::Send { to, message } => {
                     self.bytes += bytes(&message);
-                    self.send(r, to, Letter::Replica(message));
+                    self.send(r, to, PeerMessage::Replica(message));
                 }
                 Output::DispatchPermission {
                     key,
                     dispatch,
                     permission: Ok(_),
-                } => self.leaves.push((r, key, dispatch)),
+                } => self.permitted_dispatches.push((r, key, dispatch)),
                 _ => {}
             }
         }
     }
 
-    fn member(&mut self, r: usize, input: membership::Input) {
+    /// Passes an input to the failure detector of a member and sends its messages.
+    fn feed_membership(&mut self, r: usize, input: membership::Input) {
         let mut out = Vec::new();
         self.members[r].handle(self.now, input, &mut out);
         for output in out {
             if let membership::Output::Send { to, message } = output {
                 self.bytes += bytes(&message);
-                self.send(r, to, Letter::Membership(message));
+                self.send(r, to, PeerMessage::Membership(message));
             }
         }
     }
 
-    /// The next thing that is due before this time.
+    /// Handles the next event if it is due by `until`; otherwise advances the time to `until` and returns false.
     fn step(&mut self, until: i64) -> bool {
         let due = |r: usize| {
             self.replicas[r]
@@ -145,30 +160,30 @@
         let (at, r) = (0..self.replicas.len())
             .map(|r| (due(r), r))
             .min()
-            .expect("members");
-        match self.way.peek().map(|w| w.0) {
+            .expect("a group has members");
+        match self.arrivals.peek().map(|w| w.0) {
             Some((arrives, serial)) if arrives <= at && arrives <= until => {
-                self.way.pop();
+                self.arrivals.pop();
                 self.now = arrives;
-                let Some((from, to, letter)) = self.letters.remove(&serial) else {
+                let Some((from, to, message)) = self.messages.remove(&serial) else {
                     return true;
                 };
                 let incarnation = self.members[from as usize].own_incarnation();
                 let Incarnation { nonce, .. } = incarnation;
-                match letter {
-                    Letter::Replica(message) => {
+                match message {
+                    PeerMessage::Replica(message) => {
                         self.feed(
                             to as usize,
                             Input::MessageReceived {
                                 from,
                                 nonce,
-                                transit: LINK,
+                                transit: LINK_LATENCY,
                                 message,
                             },
                         );
                     }
-                    Letter::Membership(message) => {
-                        self.member(
+                    PeerMessage::Membership(message) => {
+                        self.feed_membership(
                             to as usize,
                             membership::Input::Received {
                                 from,
@@ -182,7 +197,7 @@
             }
             _ if at <= until => {
                 self.now = at;
-                self.member(r, membership::Input::Tick);
+                self.feed_membership(r, membership::Input::Tick);
                 self.feed(r, Input::Tick);
                 true
             }
@@ -193,106 +208,120 @@
         }
     }
 
+    /// Advances the time and handles all events that are due.
     fn pass(&mut self, time: i64) {
         let until = self.now + time;
         while self.step(until) {}
     }
 }
 
-fn terms(seed: u64) -> ReplicaSettings {
-    ReplicaSettings::with_defaults(KEPT, 500 * MS, seed)
+fn settings(seed: u64) -> ReplicaSettings {
+    ReplicaSettings::with_defaults(RETENTION, 500 * MS, seed)
 }
 
-/// What it took a member that started anew until it voted.
+/// Cost of a restart of a member until it can vote.
 pub struct CatchUp {
-    /// In virtual time.
+    /// Virtual time in milliseconds until the member can vote.
     pub waited_ms: f64,
-    /// Processor time of all members.
+    /// Processor time of all members in milliseconds.
     pub work_ms: f64,
+    /// Megabytes sent by all members.
     pub sent_mb: f64,
 }
 
-/// A member starts anew and lacks the last `lacking` of `all` records, of which each has an answer of `answer` bytes.
-/// `folder`: it has kept the others; without one it lacks them, too.
-pub fn catch_up(all: u64, lacking: u64, folder: bool, answer: usize) -> CatchUp {
-    let mut net = Net::new(3, 1);
-    net.pass(2 * S);
-    assert!(net.replicas.iter().all(|r| r.can_vote()));
+/// Restarts a member that lacks the last `lacking` of `all` records; each record has an answer of `answer` bytes. If
+/// `with_store` is true, the member restores the other records from its store; otherwise it lacks them as well.
+pub fn catch_up(all: u64, lacking: u64, with_store: bool, answer: usize) -> CatchUp {
+    let mut simulation = SimulatedGroup::new(3, 1);
+    simulation.pass(2 * SECOND);
+    assert!(simulation.replicas.iter().all(|r| r.can_vote()));
     let take = |n: u64| Input::Take {
         key: format!("i\norder-{n:08}").into(),
         durability: Durability::Majority,
         redelivered: false,
     };
-    let (mut held, mut cut): (Vec<(Key, RecordCopy)>, u64) = (Vec::new(), 0);
+    let (mut stored, mut first_lacking): (Vec<(Key, RecordCopy)>, u64) = (Vec::new(), 0);
     for n in 0..all {
         if n == all - lacking {
-            net.pass(S);
-            held = net.replicas[2]
+            simulation.pass(SECOND);
+            stored = simulation.replicas[2]
                 .records()
-                .map(|(k, s)| (k.clone(), s.to_copy(net.now)))
+                .map(|(k, s)| (k.clone(), s.to_copy(simulation.now)))
                 .collect();
-            cut = n;
+            first_lacking = n;
         }
-        net.feed(0, take(n));
+        simulation.feed(0, take(n));
         let key: Key = format!("i\norder-{n:08}").into();
         if answer > 0 {
             let answer = bytes::Bytes::from(vec![7; answer]);
-            net.feed(
+            simulation.feed(
                 0,
                 Input::Answered {
                     key: key.clone(),
                     answer,
                 },
             );
-            net.feed(0, Input::Dropped { key });
+            simulation.feed(0, Input::Dropped { key });
         } else {
-            net.feed(0, Input::Closed { key });
+            simulation.feed(0, Input::Closed { key });
         }
-        // As the routers' own work goes between.
+        // Lets the members exchange messages in between, as they do between the routers' own events.
         if n % 1_000 == 999 {
-            net.pass(10 * MS);
+            simulation.pass(10 * MS);
         }
     }
-    net.pass(S);
-    assert!(cut == all - lacking && net.replicas[1].records().count() as u64 == all);
+    simulation.pass(SECOND);
+    assert!(
+        first_lacking == all - lacking && simulation.replicas[1].records().count() as u64 == all
+    );
     let nonce = 99;
-    let folder = folder.then_some(held);
-    net.replicas[2] = Replica::new(net.now, group(3, 2), terms(3), nonce, folder);
-    net.members[2] = Membership::new(net.now, group(3, 2), *TERMS, nonce, 1);
-    let (began, at, before) = (Instant::now(), net.now, net.bytes);
-    net.sees(2);
-    while net.replicas[2].recovery_state() != RecoveryState::Complete {
-        net.step(i64::MAX);
+    let restored = with_store.then_some(stored);
+    simulation.replicas[2] =
+        Replica::new(simulation.now, group(3, 2), settings(3), nonce, restored);
+    simulation.members[2] = Membership::new(
+        simulation.now,
+        group(3, 2),
+        *RESTARTED_MEMBER_SETTINGS,
+        nonce,
+        1,
+    );
+    let (started, at, before) = (Instant::now(), simulation.now, simulation.bytes);
+    simulation.connect(2);
+    while simulation.replicas[2].recovery_state() != RecoveryState::Complete {
+        simulation.step(i64::MAX);
     }
-    assert_eq!(net.replicas[2].records().count() as u64, all);
+    assert_eq!(simulation.replicas[2].records().count() as u64, all);
     CatchUp {
-        waited_ms: (net.now - at) as f64 / 1e3,
-        work_ms: began.elapsed().as_secs_f64() * 1e3,
-        sent_mb: (net.bytes - before) as f64 / 1e6,
+        waited_ms: (simulation.now - at) as f64 / 1e3,
+        work_ms: started.elapsed().as_secs_f64() * 1e3,
+        sent_mb: (simulation.bytes - before) as f64 / 1e6,
     }
 }
 
-const TERMS: &membership::FailureDetectorSettings = &membership::FailureDetectorSettings {
-    probe_interval: 250 * MS,
-    answer_timeout: 100 * MS,
-    suspicion_timeout: 1_500 * MS,
-    seed: 9,
-};
+/// Settings of the failure detector of the restarted member.
+const RESTARTED_MEMBER_SETTINGS: &membership::FailureDetectorSettings =
+    &membership::FailureDetectorSettings {
+        probe_interval: 250 * MS,
+        answer_timeout: 100 * MS,
+        suspicion_timeout: 1_500 * MS,
+        seed: 9,
+    };
 
-/// Bytes that a router sends a second, with `a_second` non-idempotent invocations at each.
-pub fn bytes_sent(members: usize, groups: usize, a_second: i64) -> f64 {
+/// Bytes that a router sends per second, on average, if each router accepts `per_second` non-idempotent invocations per
+/// second.
+pub fn bytes_sent(members: usize, groups: usize, per_second: i64) -> f64 {
     const SECONDS: i64 = 10;
     let mut sent = 0;
     for g in 0..groups {
-        let mut net = Net::new(members, g as u64 * 100);
-        net.pass(2 * S);
-        let before = net.bytes;
+        let mut simulation = SimulatedGroup::new(members, g as u64 * 100);
+        simulation.pass(2 * SECOND);
+        let before = simulation.bytes;
         let mut serial = 1_000_000;
-        for tick in 0..SECONDS * a_second {
+        for tick in 0..SECONDS * per_second {
             for r in 0..members {
                 serial += 1;
                 let key: Key = format!("i\norder-{serial:08}").into();
-                net.feed(
+                simulation.feed(
                     r,
                     Input::Take {
                         key: key.clone(),
@@ -300,7 +329,7 @@
                         redelivered: false,
                     },
                 );
-                net.feed(
+                simulation.feed(
                     r,
                     Input::RequestDispatch {
                         key,
@@ -310,10 +339,10 @@
                     },
                 );
             }
-            net.pass(S / a_second / 2);
-            for (r, key, dispatch) in std::mem::take(&mut net.leaves) {
+            simulation.pass(SECOND / per_second / 2);
+            for (r, key, dispatch) in std::mem::take(&mut simulation.permitted_dispatches) {
                 let answer = bytes::Bytes::from_static(b"done");
-                net.feed(
+                simulation.feed(
                     r,
                     Input::DispatchEnded {
                         key: key.clone(),
@@ -321,32 +350,32 @@
                         may_have_run: true,
                     },
                 );
-                net.feed(
+                simulation.feed(
                     r,
                     Input::Answered {
                         key: key.clone(),
                         answer,
                     },
                 );
-                net.feed(r, Input::Closed { key });
+                simulation.feed(r, Input::Closed { key });
             }
-            net.pass(S / a_second - S / a_second / 2);
+            simulation.pass(SECOND / per_second - SECOND / per_second / 2);
             let _ = tick;
         }
-        sent += net.bytes - before;
+        sent += simulation.bytes - before;
     }
     sent as f64 / (members * groups) as f64 / SECONDS as f64
 }
 
-/// Microseconds of work that one invocation costs all three members, while `open` are open at its owner; the least of
-/// some rounds.
+/// Processor time in microseconds that one invocation costs all three members while `open` invocations are open at its
+/// owner; the minimum of ten rounds.
 pub fn work_beside_open(open: u64) -> f64 {
-    const EACH: u64 = 200;
-    let mut net = Net::new(3, 7);
-    net.pass(2 * S);
+    const INVOCATIONS_PER_ROUND: u64 = 200;
+    let mut simulation = SimulatedGroup::new(3, 7);
+    simulation.pass(2 * SECOND);
     let key = |n: u64| -> Key { format!("i\norder-{n:08}").into() };
-    let begin = |net: &mut Net, n: u64| {
-        net.feed(
+    let start_invocation = |simulation: &mut SimulatedGroup, n: u64| {
+        simulation.feed(
             0,
             Input::Take {
                 key: key(n),
@@ -354,7 +383,7 @@
                 redelivered: false,
             },
         );
-        net.feed(
+        simulation.feed(
             0,
             Input::RequestDispatch {
                 key: key(n),
@@ -365,20 +394,20 @@
         );
     };
     for n in 0..open {
-        begin(&mut net, n);
-        net.pass(MS / 10);
+        start_invocation(&mut simulation, n);
+        simulation.pass(MS / 10);
     }
-    net.pass(100 * MS);
-    assert_eq!(net.leaves.len() as u64, open);
-    net.leaves.clear();
+    simulation.pass(100 * MS);
+    assert_eq!(simulation.permitted_dispatches.len() as u64, open);
+    simulation.permitted_dispatches.clear();
     let mut least = f64::MAX;
     for round in 0..10 {
-        let began = Instant::now();
-        for n in 0..EACH {
-            let n = open + round * EACH + n;
-            begin(&mut net, n);
-            net.pass(MS);
-            net.feed(
+        let started = Instant::now();
+        for n in 0..INVOCATIONS_PER_ROUND {
+            let n = open + round * INVOCATIONS_PER_ROUND + n;
+            start_invocation(&mut simulation, n);
+            simulation.pass(MS);
+            simulation.feed(
                 0,
                 Input::DispatchEnded {
                     key: key(n),
@@ -386,19 +415,22 @@
                     may_have_run: true,
                 },
             );
-            net.feed(
+            simulation.feed(
                 0,
                 Input::Answered {
                     key: key(n),
                     answer: bytes::Bytes::from_static(b"done"),
                 },
             );
-            net.feed(0, Input::Closed { key: key(n) });
-            net.pass(MS);
+            simulation.feed(0, Input::Closed { key: key(n) });
+            simulation.pass(MS);
         }
-        assert_eq!(net.leaves.len() as u64, EACH);
-        net.leaves.clear();
-        least = least.min(began.elapsed().as_secs_f64() * 1e6 / EACH as f64);
+        assert_eq!(
+            simulation.permitted_dispatches.len() as u64,
+            INVOCATIONS_PER_ROUND
+        );
+        simulation.permitted_dispatches.clear();
+        least = least.min(started.elapsed().as_secs_f64() * 1e6 / INVOCATIONS_PER_ROUND as f64);
     }
     least
 }
