--- a/crates/replica/tests/explorer.rs
+++ b/crates/replica/tests/explorer.rs
@@ -139,11 +139,11 @@
     views: [[(u64, bool); MEMBERS]; MEMBERS],
     net: Vec<MessageInTransit>,
     /// If the broker can deliver the message, whether it was delivered before.
-    ready: Option<bool>,
-    /// Whether the final answer was a success.
+    deliverable: Option<bool>,
+    /// The final answer, if given: whether it was a success.
     answered: Option<bool>,
     /// How often a worker ran the invocation.
-    effects: u8,
+    executions: u8,
     /// Dispatches that may still be requested: the first one and a retry.
     intents: u8,
     /// Faults that may still occur.
@@ -191,9 +191,9 @@
             nonces: [1, 2, 3],
             views: [[(0, false); MEMBERS]; MEMBERS],
             net: Vec::new(),
-            ready: Some(false),
+            deliverable: Some(false),
             answered: None,
-            effects: 0,
+            executions: 0,
             intents: 2,
             may_deliver_twice: remaining_faults.double_deliveries > 0,
             remaining_faults,
@@ -246,9 +246,9 @@
             let rest = (
                 self.nonces,
                 self.views,
-                self.ready,
+                self.deliverable,
                 self.answered,
-                self.effects,
+                self.executions,
                 self.remaining_faults,
                 (self.intents, self.last_id),
             );
@@ -278,7 +278,7 @@
                 DispatchState::Buffered | DispatchState::Sent { ran: true }
             )
         };
-        self.effects > 0
+        self.executions > 0
             || out
                 .into_iter()
                 .any(|(r, s, o)| may_run(o) && excluded != (r, s))
@@ -325,12 +325,12 @@
                 }
                 Output::DispatchPermission {
                     dispatch,
-                    permission: Err(lack),
+                    permission: Err(reason),
                     ..
                 } => {
                     self.routers[r].dispatches.remove(&dispatch);
                     self.routers[r].may_dispatch = false;
-                    if lack != NoMajorityReason::OwnedElsewhere {
+                    if reason != NoMajorityReason::OwnedElsewhere {
                         self.answer(r, false)?;
                     } else if !self.routers[r].has_delivery {
                         self.feed(r, now, Input::Dropped { key: KEY.into() })?;
@@ -374,7 +374,7 @@
         if is_acknowledged && self.answered.is_some() && !self.may_deliver_twice {
             return Err("answered twice".into());
         }
-        if success && self.effects == 0 {
+        if success && self.executions == 0 {
             return Err("a success of an invocation that did not run".into());
         }
         if is_acknowledged {
@@ -405,13 +405,13 @@
             let result = change(&mut next);
             found(label, result.map(|()| next));
         };
-        let runs = |r: usize| self.replicas[r].is_some() && !self.routers[r].suspended;
-        for r in (0..MEMBERS).filter(|r| runs(*r)) {
+        let is_running = |r: usize| self.replicas[r].is_some() && !self.routers[r].suspended;
+        for r in (0..MEMBERS).filter(|r| is_running(*r)) {
             // At first, the routers differ only in the order of their ballots. Starting with the middle one covers
             // takeovers by a router with a higher and with a lower ballot.
             let first = |redelivered: bool| redelivered || r == 1;
             if let Some(redelivered) = self
-                .ready
+                .deliverable
                 .filter(|redelivered| !self.routers[r].has_delivery && first(*redelivered))
             {
                 step(
@@ -422,14 +422,14 @@
                         0,
                     ),
                     &|w| {
-                        w.ready = None;
+                        w.deliverable = None;
                         w.deliver(r, redelivered)
                     },
                 );
                 if !redelivered && self.remaining_faults.double_deliveries > 0 {
-                    for other in (0..MEMBERS).filter(|o| *o != r && runs(*o)) {
+                    for other in (0..MEMBERS).filter(|o| *o != r && is_running(*o)) {
                         step(("receives the message together with", r, other, 0), &|w| {
-                            (w.ready, w.remaining_faults.double_deliveries) =
+                            (w.deliverable, w.remaining_faults.double_deliveries) =
                                 (None, w.remaining_faults.double_deliveries - 1);
                             w.deliver(r, false)?;
                             w.deliver(other, false)
@@ -478,9 +478,9 @@
                                     w.routers[r]
                                         .dispatches
                                         .insert(dispatch, DispatchState::Sent { ran });
-                                    w.effects += u8::from(ran);
-                                    if w.effects > 1 {
-                                        Err("a second effect".into())
+                                    w.executions += u8::from(ran);
+                                    if w.executions > 1 {
+                                        Err("a second execution".into())
                                     } else {
                                         Ok(())
                                     }
@@ -513,7 +513,7 @@
             {
                 step(("loses its channel to the broker", r, r, 0), &|w| {
                     if !std::mem::take(&mut w.routers[r].taken_back) {
-                        (w.remaining_faults.channel_losses, w.ready) =
+                        (w.remaining_faults.channel_losses, w.deliverable) =
                             (w.remaining_faults.channel_losses - 1, Some(true));
                     }
                     (w.routers[r].has_delivery, w.routers[r].may_dispatch) = (false, false);
@@ -579,7 +579,7 @@
                 step(
                     ("has its message taken back by the broker", r, r, 0),
                     &|w| {
-                        (w.routers[r].taken_back, w.ready) = (true, Some(true));
+                        (w.routers[r].taken_back, w.deliverable) = (true, Some(true));
                         Ok(())
                     },
                 );
@@ -594,7 +594,7 @@
                 step(("crashes", r, r, 0), &|w| {
                     w.remaining_faults.crashes -= 1;
                     if w.routers[r].has_delivery && !w.routers[r].taken_back {
-                        w.ready = Some(true);
+                        w.deliverable = Some(true);
                     }
                     w.routers[r] = Router::default();
                     for to in (0..MEMBERS).filter(|to| *to != r) {
@@ -662,7 +662,7 @@
                 ref message,
                 ..
             } = self.net[n];
-            if runs(to as usize) {
+            if is_running(to as usize) {
                 let deliver_message = |w: &mut GroupState| {
                     let (from, message) = (MemberIndex::from(from), Message::clone(message));
                     w.feed(
--- a/crates/replica/tests/message_bytes.rs
+++ b/crates/replica/tests/message_bytes.rs
@@ -145,10 +145,7 @@
     }
 }
 
-#[expect(
-    clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
-)]
+#[expect(clippy::too_many_lines, reason = "one table of messages")]
 fn messages_on_invocations() -> Vec<(&'static str, Message)> {
     let (key, ballot) = (key("k"), ballot(2));
     let store_intent = Message::StoreIntent {
--- a/crates/replica/tests/persistence.rs
+++ b/crates/replica/tests/persistence.rs
@@ -10,7 +10,7 @@
 use common::{MS, RETENTION, World};
 
 /// Retention time of choices in microseconds; longer than any run.
-const LONG: i64 = 1_000 * RETENTION;
+const LONG_RETENTION: i64 = 1_000 * RETENTION;
 
 fn choose(w: &mut World, r: usize, key: &str, value: u64) {
     let value = Bytes::from(format!("{value:08}"));
@@ -19,7 +19,7 @@
         Input::Choose {
             key: key.into(),
             value,
-            retention: LONG,
+            retention: LONG_RETENTION,
         },
     );
 }
@@ -80,7 +80,7 @@
     let last = Message::Prepare {
         key: "s4999".into(),
         ballot: ballot(&w, "s4999"),
-        lifetime: LONG,
+        lifetime: LONG_RETENTION,
     };
     w.feed(
         1,
@@ -124,7 +124,7 @@
         0,
         Input::Lead {
             key: "plan".into(),
-            retention: LONG,
+            retention: LONG_RETENTION,
         },
     );
     w.deliver(|_, _, _| true);
@@ -136,7 +136,7 @@
                 key: "plan".into(),
                 ballot,
                 value: Bytes::from_static(value),
-                retention: LONG,
+                retention: LONG_RETENTION,
             },
         );
     };
@@ -210,11 +210,11 @@
 )]
 fn play(disabled_check: Option<SafetyCheck>, seed: u64) -> Result<(usize, usize), String> {
     let mut random = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
-    let mut draw = move |most: usize| {
+    let mut draw = move |bound: usize| {
         random = random
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (random >> 33) as usize % most
+        (random >> 33) as usize % bound
     };
     let n = 3 + draw(3);
     let mut w = World::persistent(n, disabled_check);
@@ -237,7 +237,7 @@
                 r,
                 Input::Lead {
                     key: "plan".into(),
-                    retention: LONG,
+                    retention: LONG_RETENTION,
                 },
             ),
             4..6 => {
@@ -251,7 +251,7 @@
                             key: "plan".into(),
                             ballot,
                             value,
-                            retention: LONG,
+                            retention: LONG_RETENTION,
                         },
                     );
                 }
--- a/crates/replica/tests/random_faults.rs
+++ b/crates/replica/tests/random_faults.rs
@@ -2,7 +2,7 @@
 //! diverge, and processes crash, pause, resume and restart with their state, with an older state or without any. The
 //! replicas are the real state machines; the broker, the routers and the workers around them are models.
 //!
-//! Checked after each step: no invocation has two effects, no dispatch is permitted while another one may have run, all
+//! Checked after each step: no invocation runs twice, no dispatch is permitted while another one may have run, all
 //! answers to an invocation are equal, all values chosen for a key are equal, a term has one writer and its successor
 //! continues from its last value, and no record outlives its retention time. At the end all faults are repaired, and
 //! all members have to reach the same records.
@@ -29,14 +29,14 @@
 /// Sizes of the group.
 const MEMBERS: std::ops::RangeInclusive<usize> = 3..=9;
 /// Retention time of choices and notes in microseconds; longer than any run.
-const LONG: i64 = 1_000 * RETENTION;
+const LONG_RETENTION: i64 = 1_000 * RETENTION;
 /// Highest drift of a clock in thousandths, in either direction. Two clocks may diverge by at most one sixteenth.
 const MAX_DRIFT_PER_MILLE: i64 = 30;
 /// Timeout for majorities in microseconds.
 const MAJORITY_TIMEOUT: i64 = 800 * MS;
 
-#[derive(Clone, Copy, Debug)]
 /// The records with which a process restarts.
+#[derive(Clone, Copy, Debug)]
 enum RestartState {
     /// None.
     Lost,
@@ -49,8 +49,8 @@
 /// One step of a run. An index of a member or a dispatch is taken modulo the number of candidates.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// Delivers the messages in transit in random order; `lost`, `doubled` and `held` are the percentages of messages
-    /// that are lost, duplicated and left in transit.
+    /// Delivers the messages in transit in random order; `lost`, `duplicated` and `held` are the percentages of
+    /// messages that are lost, duplicated and left in transit.
     DeliverInTransit {
         seed: u64,
         lost: u8,
@@ -60,35 +60,18 @@
     /// Advances the time by microseconds.
     Pass(i64),
     /// The broker delivers a message to a router.
-    Deliver {
-        r: usize,
-        key: usize,
-    },
+    Deliver { r: usize, key: usize },
     /// The broker delivers one message to two routers at once, to both as a first delivery.
-    DeliverTwice {
-        r: usize,
-        other: usize,
-        key: usize,
-    },
+    DeliverToTwo { r: usize, other: usize, key: usize },
     /// A router requests permission for a dispatch.
-    RequestDispatch {
-        which: usize,
-    },
+    RequestDispatch { index: usize },
     /// A permitted dispatch is sent; `ran` tells whether the worker ran it.
-    Send {
-        which: usize,
-        ran: bool,
-    },
-    /// A dispatch ends; `heard` tells whether the worker's answer was received.
-    End {
-        which: usize,
-        answer_received: bool,
-    },
+    Send { index: usize, ran: bool },
+    /// A dispatch ends; `answer_received` tells whether the worker's answer was received.
+    End { index: usize, answer_received: bool },
     /// A router loses its channel to the broker, which takes the message back.
-    LoseChannel {
-        r: usize,
-        key: usize,
-    },
+    LoseChannel { r: usize, key: usize },
+    /// A process crashes.
     Crash(usize),
     /// A crashed process restarts.
     Start {
@@ -100,31 +83,20 @@
     /// A suspended process resumes.
     Resume(usize),
     /// `r` learns that the present process of `m` is alive.
-    ReportAlive {
-        r: usize,
-        m: usize,
-    },
+    ReportAlive { r: usize, m: usize },
     /// `r` considers `m` dead.
-    Suspect {
-        r: usize,
-        m: usize,
-    },
+    Suspect { r: usize, m: usize },
     /// `r` proposes a new value for a key.
-    Choose {
-        r: usize,
-        key: usize,
-    },
+    Choose { r: usize, key: usize },
     /// A member starts a leadership term.
     Lead(usize),
     /// A leader writes a new value.
-    WriteValue(usize),
+    Write(usize),
     /// `r` publishes a note.
-    Note {
-        r: usize,
-        key: usize,
-    },
+    Note { r: usize, key: usize },
 }
 
+/// A random step.
 fn step() -> impl Strategy<Value = Step> {
     let (r, key) = (0..*MEMBERS.end(), 0..KEYS);
     let deliver_in_transit = (any::<u64>(), 0u8..30, 0u8..30, 0u8..40);
@@ -140,10 +112,10 @@
         8 => (1i64..250).prop_map(|ms| Step::Pass(ms * MS)),
         2 => (RETENTION / 8..RETENTION).prop_map(Step::Pass),
         24 => (r.clone(), key.clone()).prop_map(|(r, key)| Step::Deliver { r, key }),
-        2 => (r.clone(), r.clone(), key.clone()).prop_map(|(r, other, key)| Step::DeliverTwice { r, other, key }),
-        14 => any::<usize>().prop_map(|which| Step::RequestDispatch { which }),
-        8 => (any::<usize>(), any::<bool>()).prop_map(|(which, ran)| Step::Send { which, ran }),
-        5 => (any::<usize>(), any::<bool>()).prop_map(|(which, answer_received)| Step::End { which, answer_received }),
+        2 => (r.clone(), r.clone(), key.clone()).prop_map(|(r, other, key)| Step::DeliverToTwo { r, other, key }),
+        14 => any::<usize>().prop_map(|index| Step::RequestDispatch { index }),
+        8 => (any::<usize>(), any::<bool>()).prop_map(|(index, ran)| Step::Send { index, ran }),
+        5 => (any::<usize>(), any::<bool>()).prop_map(|(index, answer_received)| Step::End { index, answer_received }),
         4 => (r.clone(), key.clone()).prop_map(|(r, key)| Step::LoseChannel { r, key }),
         2 => r.clone().prop_map(Step::Crash),
         6 => (r.clone(), restart_state).prop_map(|(r, restart_state)| Step::Start { r, restart_state }),
@@ -153,7 +125,7 @@
         1 => (r.clone(), r.clone()).prop_map(|(r, m)| Step::Suspect { r, m }),
         2 => (r.clone(), key.clone()).prop_map(|(r, key)| Step::Choose { r, key }),
         2 => r.clone().prop_map(Step::Lead),
-        3 => r.clone().prop_map(Step::WriteValue),
+        3 => r.clone().prop_map(Step::Write),
         2 => (r, key).prop_map(|(r, key)| Step::Note { r, key }),
     ]
 }
@@ -192,8 +164,11 @@
 /// One dispatch of a router.
 #[derive(Clone, Copy, Debug)]
 struct Dispatch {
+    /// The router's member index.
     r: usize,
+    /// The invocation.
     key: usize,
+    /// Number of the dispatch.
     dispatch: u64,
     state: State,
 }
@@ -203,12 +178,12 @@
 struct Delivery {
     /// The router may request a dispatch.
     may_dispatch: bool,
-    /// The broker has redelivered the message to another router, which this router does not know yet.
-    lost: bool,
+    /// The broker has taken the message back, which the router does not know yet.
+    taken_back: bool,
 }
 
 /// Records written to a member's store, with the time of writing.
-type Written = (i64, Vec<(Key, RecordCopy)>);
+type StoredCopy = (i64, Vec<(Key, RecordCopy)>);
 
 /// One run: the replicas with models of the broker, the routers and the workers.
 struct Run {
@@ -218,22 +193,24 @@
     /// Drift of each member's clock in thousandths.
     drift: Vec<i64>,
     /// The latest nonce that each member knows of each other member.
-    views: Vec<Vec<u64>>,
+    known_nonces: Vec<Vec<u64>>,
     /// Whether each member is suspended.
     suspended: Vec<bool>,
     /// The copies of its records that each member has written to its store.
-    stores: Vec<Vec<Written>>,
+    stores: Vec<Vec<StoredCopy>>,
     /// For each message that the broker can deliver, whether it was delivered before.
-    ready: [Option<bool>; KEYS],
+    deliverable: [Option<bool>; KEYS],
     /// The unacknowledged messages at each router.
-    held: Vec<BTreeMap<usize, Delivery>>,
+    deliveries: Vec<BTreeMap<usize, Delivery>>,
+    /// All dispatches that have not ended.
     dispatches: Vec<Dispatch>,
     /// How often each invocation ran.
-    effects: [u32; KEYS],
+    executions: [u32; KEYS],
     /// The answer to each invocation.
-    success: [Option<Bytes>; KEYS],
+    first_answers: [Option<Bytes>; KEYS],
     /// Time at which a record was first seen, by the nonce and serial number of its origin.
     created_at: BTreeMap<(u64, u64), i64>,
+    /// The value chosen for each key.
     chosen: BTreeMap<Key, Bytes>,
     /// For each term, its writer and the last value that a majority accepted.
     written: BTreeMap<Ballot, (usize, Bytes)>,
@@ -252,14 +229,16 @@
     static COUNTS: Cell<[u64; 4]> = const { Cell::new([0; 4]) };
 }
 
-fn count(what: usize) {
+/// Increments one of [`COUNTS`].
+fn count(index: usize) {
     COUNTS.with(|c| {
         let mut counts = c.get();
-        counts[what] += 1;
+        counts[index] += 1;
         c.set(counts);
     });
 }
 
+/// Key of an invocation.
 fn key(k: usize) -> Key {
     format!("x{k}").into()
 }
@@ -270,18 +249,18 @@
         let drift = (0..n as i64)
             .map(|r| (r * 17 % (2 * MAX_DRIFT_PER_MILLE + 1)) - MAX_DRIFT_PER_MILLE)
             .collect();
-        let views = vec![w.nonces.clone(); n];
+        let known_nonces = vec![w.nonces.clone(); n];
         let mut run = Run {
             n,
             drift,
-            views,
+            known_nonces,
             suspended: vec![false; n],
             stores: vec![Vec::new(); n],
-            ready: [Some(false); KEYS],
-            held: vec![BTreeMap::new(); n],
+            deliverable: [Some(false); KEYS],
+            deliveries: vec![BTreeMap::new(); n],
             dispatches: Vec::new(),
-            effects: [0; KEYS],
-            success: Default::default(),
+            executions: [0; KEYS],
+            first_answers: Default::default(),
             created_at: BTreeMap::new(),
             chosen: BTreeMap::new(),
             written: BTreeMap::new(),
@@ -305,6 +284,7 @@
         self.has_process(r) && !self.suspended[r]
     }
 
+    /// Passes an input to a running replica and handles its outputs.
     fn feed(&mut self, r: usize, input: Input) {
         if !self.is_running(r) {
             return;
@@ -331,8 +311,8 @@
     fn on_decision(&mut self, r: usize, k: usize, decision: OwnershipDecision) {
         match decision {
             OwnershipDecision::Dispatch { .. } => {
-                if let Some(held) = self.held[r].get_mut(&k) {
-                    held.may_dispatch = true;
+                if let Some(delivery) = self.deliveries[r].get_mut(&k) {
+                    delivery.may_dispatch = true;
                 }
             }
             OwnershipDecision::Wait => {}
@@ -343,13 +323,15 @@
         }
     }
 
+    /// Whether any dispatch of an invocation other than `other_than` has run, or may still run.
     fn may_run(&self, k: usize, other_than: u64) -> bool {
-        let may = |d: &Dispatch| matches!(d.state, State::Buffered | State::Sent { ran: true });
-        self.effects[k] > 0
+        let may_have_run =
+            |d: &Dispatch| matches!(d.state, State::Buffered | State::Sent { ran: true });
+        self.executions[k] > 0
             || self
                 .dispatches
                 .iter()
-                .any(|d| d.key == k && d.dispatch != other_than && may(d))
+                .any(|d| d.key == k && d.dispatch != other_than && may_have_run(d))
     }
 
     fn on_permission(
@@ -373,31 +355,36 @@
                 );
                 self.dispatches[at].state = State::Buffered;
             }
-            Err(lack) => {
+            Err(reason) => {
                 self.dispatches.remove(at);
-                if let Some(held) = self.held[r].get_mut(&k) {
-                    held.may_dispatch = false;
+                if let Some(delivery) = self.deliveries[r].get_mut(&k) {
+                    delivery.may_dispatch = false;
                 }
-                if lack != NoMajorityReason::OwnedElsewhere {
+                if reason != NoMajorityReason::OwnedElsewhere {
                     self.answer(r, k, None);
-                } else if !self.held[r].contains_key(&k) {
+                } else if !self.deliveries[r].contains_key(&k) {
                     self.feed(r, Input::Dropped { key: key(k) });
                 }
             }
         }
     }
 
+    /// Whether a router has a dispatch of an invocation that has not ended.
     fn has_dispatch(&self, r: usize, k: usize) -> bool {
         self.dispatches.iter().any(|d| d.r == r && d.key == k)
     }
 
+    /// A router gives the final answer to an invocation; `None` if it is no success.
     fn answer(&mut self, r: usize, k: usize, success: Option<Bytes>) {
-        let Some(held) = self.held[r].remove(&k) else {
+        let Some(delivery) = self.deliveries[r].remove(&k) else {
             return;
         };
         if let Some(answer) = &success {
-            assert!(self.effects[k] > 0, "an answer to {k}, which did not run");
-            let first = self.success[k].get_or_insert_with(|| answer.clone());
+            assert!(
+                self.executions[k] > 0,
+                "an answer to {k}, which did not run"
+            );
+            let first = self.first_answers[k].get_or_insert_with(|| answer.clone());
             assert_eq!(first, answer, "two different answers to {k}");
             count(1);
         }
@@ -405,7 +392,7 @@
             return;
         }
         let end = match success {
-            Some(_) if !held.lost => Input::Closed { key: key(k) },
+            Some(_) if !delivery.taken_back => Input::Closed { key: key(k) },
             _ => Input::Dropped { key: key(k) },
         };
         self.feed(r, end);
@@ -452,8 +439,9 @@
         }
     }
 
+    /// The broker delivers a message to a router, which announces the invocation.
     fn take(&mut self, r: usize, k: usize, redelivered: bool) {
-        self.held[r].insert(k, Delivery::default());
+        self.deliveries[r].insert(k, Delivery::default());
         self.feed(
             r,
             Input::Take {
@@ -464,12 +452,14 @@
         );
     }
 
+    /// Takes the message of an invocation back to the broker, if the router has it.
     fn return_to_broker(&mut self, r: usize, k: usize) {
-        if self.held[r].remove(&k).is_some_and(|h| !h.lost) {
-            self.ready[k] = Some(true);
+        if self.deliveries[r].remove(&k).is_some_and(|h| !h.taken_back) {
+            self.deliverable[k] = Some(true);
         }
     }
 
+    /// Ends a dispatch; `answer_received` tells whether the worker's answer was received.
     fn end_dispatch(&mut self, at: usize, answer_received: bool) {
         let d = self.dispatches.remove(at);
         let ran = d.state == State::Sent { ran: true };
@@ -492,7 +482,7 @@
                 },
             );
         }
-        match self.held[d.r].contains_key(&d.key) {
+        match self.deliveries[d.r].contains_key(&d.key) {
             true if ran && answer_received => self.answer(d.r, d.key, Some(answer)),
             true if may_have_run => self.answer(d.r, d.key, None),
             true => {}
@@ -500,9 +490,10 @@
         }
     }
 
-    fn view(&mut self, r: usize, m: usize, nonce: u64, alive: bool) {
-        if r != m && nonce >= self.views[r][m] && self.is_running(r) {
-            self.views[r][m] = nonce;
+    /// Reports a process of `m` to `r`, unless `r` knows a later one.
+    fn report_member(&mut self, r: usize, m: usize, nonce: u64, alive: bool) {
+        if r != m && nonce >= self.known_nonces[r][m] && self.is_running(r) {
+            self.known_nonces[r][m] = nonce;
             self.feed(
                 r,
                 Input::MemberChanged {
@@ -514,6 +505,7 @@
         }
     }
 
+    /// Executes [`Step::DeliverInTransit`].
     fn deliver_in_transit(&mut self, seed: u64, [lost, duplicated, held]: [u8; 3]) {
         let mut random = seed | 1;
         let mut draw = || {
@@ -522,9 +514,9 @@
                 .wrapping_add(1_442_695_040_888_963_407);
             random >> 33
         };
-        let mut on_their_way = std::mem::take(&mut self.w.net);
-        while !on_their_way.is_empty() {
-            let sent = on_their_way.swap_remove(draw() as usize % on_their_way.len());
+        let mut in_transit = std::mem::take(&mut self.w.net);
+        while !in_transit.is_empty() {
+            let sent = in_transit.swap_remove(draw() as usize % in_transit.len());
             let to = sent.1 as usize;
             let percentile = (draw() % 100) as u8;
             if self.suspended[to] || percentile < held {
@@ -535,7 +527,7 @@
                 let (from, _, nonce, at, message) = sent.clone();
                 // The receiver may or may not learn the sender's present process from the message.
                 if draw() % 2 == 0 {
-                    self.view(to, from as usize, nonce, true);
+                    self.report_member(to, from as usize, nonce, true);
                 }
                 let transit = self.w.local_time(to) - self.w.local_time_at(to, at);
                 self.feed(
@@ -554,11 +546,13 @@
         }
     }
 
+    /// Advances the time by microseconds.
     fn pass(&mut self, time: i64) {
         self.w.now += time;
         (0..self.n).for_each(|r| self.feed(r, Input::Tick));
     }
 
+    /// Restarts a crashed process. Its records age by the time since they were written.
     fn start(&mut self, r: usize, restart_state: RestartState) {
         if self.has_process(r) {
             return;
@@ -571,7 +565,7 @@
         };
         let records = copy.map(|(at, records)| {
             let elapsed = self.w.now - at;
-            let older = |(key, mut s): (Key, RecordCopy)| {
+            let reduce_lifetime = |(key, mut s): (Key, RecordCopy)| {
                 (s.expires_in, s.proof_expires_in) = (
                     s.expires_in - elapsed,
                     s.proof_expires_in.map(|remaining| remaining - elapsed),
@@ -580,7 +574,7 @@
             };
             records
                 .into_iter()
-                .map(older)
+                .map(reduce_lifetime)
                 .filter(|(_, s)| s.expires_in > 0)
                 .collect()
         });
@@ -595,7 +589,7 @@
             nonce,
             records,
         ));
-        (self.views[r], self.views[r][r]) = (vec![0; self.n], nonce);
+        (self.known_nonces[r], self.known_nonces[r][r]) = (vec![0; self.n], nonce);
         (self.suspended[r], self.leading_term[r]) = (false, None);
         (
             self.w.decisions[r],
@@ -604,12 +598,13 @@
         ) = Default::default();
     }
 
+    /// Executes one step.
     #[expect(
         clippy::too_many_lines,
         reason = "one match with an arm for each kind of step"
     )]
-    fn step(&mut self, step: Step) {
-        let within = |r: usize| r % self.n;
+    fn execute(&mut self, step: Step) {
+        let member_index = |r: usize| r % self.n;
         match step {
             Step::DeliverInTransit {
                 seed,
@@ -619,37 +614,41 @@
             } => self.deliver_in_transit(seed, [lost, duplicated, held]),
             Step::Pass(time) => self.pass(time),
             Step::Deliver { r, key } => {
-                let r = within(r);
-                if let Some(again) = self.ready[key]
+                let r = member_index(r);
+                if let Some(redelivered) = self.deliverable[key]
                     && self.is_running(r)
-                    && !self.held[r].contains_key(&key)
+                    && !self.deliveries[r].contains_key(&key)
                 {
-                    self.ready[key] = None;
-                    self.take(r, key, again);
+                    self.deliverable[key] = None;
+                    self.take(r, key, redelivered);
                 }
             }
-            Step::DeliverTwice { r, other, key } => {
-                let (r, other) = (within(r), within(other));
-                if self.ready[key] == Some(false)
+            Step::DeliverToTwo { r, other, key } => {
+                let (r, other) = (member_index(r), member_index(other));
+                if self.deliverable[key] == Some(false)
                     && r != other
                     && self.is_running(r)
                     && self.is_running(other)
                 {
-                    self.ready[key] = None;
+                    self.deliverable[key] = None;
                     self.take(r, key, false);
                     self.take(other, key, false);
                 }
             }
-            Step::RequestDispatch { which } => {
-                let may =
+            Step::RequestDispatch { index } => {
+                let can_request =
                     |(r, k): &(usize, usize)| self.is_running(*r) && !self.has_dispatch(*r, *k);
                 let all = (0..self.n).flat_map(|r| {
-                    self.held[r]
+                    self.deliveries[r]
                         .iter()
                         .map(move |(k, h)| ((r, *k), h.may_dispatch))
                 });
-                let going: Vec<_> = all.filter(|g| g.1).map(|g| g.0).filter(may).collect();
-                if let Some((r, k)) = going.get(which % going.len().max(1)).copied() {
+                let candidates: Vec<_> = all
+                    .filter(|g| g.1)
+                    .map(|g| g.0)
+                    .filter(can_request)
+                    .collect();
+                if let Some((r, k)) = candidates.get(index % candidates.len().max(1)).copied() {
                     self.w.last_id += 1;
                     let dispatch = self.w.last_id;
                     self.dispatches.push(Dispatch {
@@ -669,37 +668,41 @@
                     );
                 }
             }
-            Step::Send { which, ran } => {
-                let fit = |d: &&mut Dispatch| d.state == State::Buffered && !self.suspended[d.r];
-                let fitting: Vec<&mut Dispatch> = self.dispatches.iter_mut().filter(fit).collect();
-                let count = fitting.len();
-                if let Some(d) = fitting.into_iter().nth(which % count.max(1)) {
+            Step::Send { index, ran } => {
+                let is_candidate =
+                    |d: &&mut Dispatch| d.state == State::Buffered && !self.suspended[d.r];
+                let candidates: Vec<&mut Dispatch> =
+                    self.dispatches.iter_mut().filter(is_candidate).collect();
+                let count = candidates.len();
+                if let Some(d) = candidates.into_iter().nth(index % count.max(1)) {
                     d.state = State::Sent { ran };
-                    self.effects[d.key] += u32::from(ran);
-                    assert!(self.effects[d.key] < 2, "a second effect of {}", d.key);
+                    self.executions[d.key] += u32::from(ran);
+                    assert!(self.executions[d.key] < 2, "{} ran a second time", d.key);
                 }
             }
             Step::End {
-                which,
+                index,
                 answer_received,
             } => {
-                let fit = |d: &Dispatch| d.state != State::Requested && !self.suspended[d.r];
-                let fitting: Vec<usize> = (0..self.dispatches.len())
-                    .filter(|n| fit(&self.dispatches[*n]))
+                let is_candidate =
+                    |d: &Dispatch| d.state != State::Requested && !self.suspended[d.r];
+                let candidates: Vec<usize> = (0..self.dispatches.len())
+                    .filter(|n| is_candidate(&self.dispatches[*n]))
                     .collect();
-                if let Some(at) = fitting.get(which % fitting.len().max(1)) {
+                if let Some(at) = candidates.get(index % candidates.len().max(1)) {
                     self.end_dispatch(*at, answer_received);
                 }
             }
             Step::LoseChannel { r, key: k } => {
-                let r = within(r);
+                let r = member_index(r);
                 if self.suspended[r] {
                     // The broker takes the message back, and the suspended router does not know it.
-                    if let Some(held) = self.held[r].get_mut(&k).filter(|h| !h.lost) {
-                        held.lost = true;
-                        self.ready[k] = Some(true);
+                    if let Some(delivery) = self.deliveries[r].get_mut(&k).filter(|h| !h.taken_back)
+                    {
+                        delivery.taken_back = true;
+                        self.deliverable[k] = Some(true);
                     }
-                } else if self.held[r].contains_key(&k) {
+                } else if self.deliveries[r].contains_key(&k) {
                     self.return_to_broker(r, k);
                     self.dispatches
                         .retain(|d| (d.r, d.key, d.state) != (r, k, State::Requested));
@@ -709,7 +712,7 @@
                 }
             }
             Step::Crash(r) => {
-                let r = within(r);
+                let r = member_index(r);
                 if self.has_process(r) {
                     let records = self.copy_records(r);
                     self.stores[r].push((self.w.now, records));
@@ -718,9 +721,9 @@
                     self.dispatches.retain(|d| d.r != r);
                 }
             }
-            Step::Start { r, restart_state } => self.start(within(r), restart_state),
+            Step::Start { r, restart_state } => self.start(member_index(r), restart_state),
             Step::Suspend(r) => {
-                let r = within(r);
+                let r = member_index(r);
                 if self.has_process(r) {
                     let records = self.copy_records(r);
                     self.stores[r].push((self.w.now, records));
@@ -728,19 +731,19 @@
                 }
             }
             Step::Resume(r) => {
-                let r = within(r);
+                let r = member_index(r);
                 self.suspended[r] = false;
                 self.feed(r, Input::Tick);
             }
             Step::ReportAlive { r, m } => {
-                let (r, m) = (within(r), within(m));
+                let (r, m) = (member_index(r), member_index(m));
                 if self.has_process(m) {
-                    self.view(r, m, self.w.nonces[m], true);
+                    self.report_member(r, m, self.w.nonces[m], true);
                 }
             }
             Step::Suspect { r, m } => {
-                let (r, m) = (within(r), within(m));
-                self.view(r, m, self.views[r][m], false);
+                let (r, m) = (member_index(r), member_index(m));
+                self.report_member(r, m, self.known_nonces[r][m], false);
             }
             Step::Choose { r, key } => {
                 self.values += 1;
@@ -749,23 +752,23 @@
                     Bytes::from(self.values.to_string()),
                 );
                 self.feed(
-                    within(r),
+                    member_index(r),
                     Input::Choose {
                         key,
                         value,
-                        retention: LONG,
+                        retention: LONG_RETENTION,
                     },
                 );
             }
             Step::Lead(r) => self.feed(
-                within(r),
+                member_index(r),
                 Input::Lead {
                     key: "plan".into(),
-                    retention: LONG,
+                    retention: LONG_RETENTION,
                 },
             ),
-            Step::WriteValue(r) => {
-                let r = within(r);
+            Step::Write(r) => {
+                let r = member_index(r);
                 if let Some(ballot) = self.leading_term[r].filter(|_| self.is_running(r)) {
                     self.values += 1;
                     let value = Bytes::from(format!("{:08}", self.values));
@@ -776,7 +779,7 @@
                             key: "plan".into(),
                             ballot,
                             value,
-                            retention: LONG,
+                            retention: LONG_RETENTION,
                         },
                     );
                 }
@@ -786,18 +789,19 @@
                 let (key, version) = (format!("n{key}").into(), (1, self.values));
                 let value = Bytes::from(self.values.to_string());
                 self.feed(
-                    within(r),
+                    member_index(r),
                     Input::PublishNote {
                         key,
                         version,
                         value,
-                        retention: LONG,
+                        retention: LONG_RETENTION,
                     },
                 );
             }
         }
     }
 
+    /// Copies of all records of a member, as written to its store.
     fn copy_records(&self, r: usize) -> Vec<(Key, RecordCopy)> {
         let now = self.w.local_time(r);
         self.w
@@ -831,33 +835,33 @@
     }
 
     /// Repairs all faults: all members run and receive all messages, until they have the same long-lived records.
-    fn heal(&mut self) {
+    fn repair_and_converge(&mut self) {
         for r in 0..self.n {
             self.suspended[r] = false;
             self.start(r, RestartState::Latest);
         }
-        let all_the_same = |run: &Self| {
-            let long = |r: usize| {
-                let lasting = |s: &Record| !matches!(s, Record::Invocation(_));
+        let all_records_agree = |run: &Self| {
+            let long_lived_records = |r: usize| {
+                let is_long_lived = |s: &Record| !matches!(s, Record::Invocation(_));
                 let all = run
                     .w
                     .replica(r)
                     .records()
-                    .filter(|(_, s)| lasting(&s.record));
+                    .filter(|(_, s)| is_long_lived(&s.record));
                 all.map(|(k, s)| (k.clone(), s.record.clone()))
                     .collect::<BTreeMap<_, _>>()
             };
-            (1..run.n).all(|r| long(r) == long(0))
+            (1..run.n).all(|r| long_lived_records(r) == long_lived_records(0))
                 && (0..run.n).all(|r| run.w.replica(r).can_vote())
         };
         for _ in 0..2_000 {
             for at in 0..self.n * self.n {
                 let (r, m) = (at / self.n, at % self.n);
-                self.view(r, m, self.w.nonces[m], true);
+                self.report_member(r, m, self.w.nonces[m], true);
             }
             self.pass(20 * MS);
             (0..4).for_each(|seed| self.deliver_in_transit(seed, [0; 3]));
-            if all_the_same(self) {
+            if all_records_agree(self) {
                 return;
             }
         }
@@ -877,13 +881,13 @@
     }
 
     fn apply(mut run: Run, _: &usize, step: Step) -> Run {
-        run.step(step);
+        run.execute(step);
         run.check_age();
         run
     }
 
     fn teardown(mut run: Run, _: usize) {
-        run.heal();
+        run.repair_and_converge();
     }
 }
 
@@ -897,10 +901,10 @@
     for case in 0..cases {
         let tree = strategy.new_tree(&mut runner).map_err(|e| e.to_string())?;
         let (n, steps, seen) = tree.current();
-        let played = std::panic::catch_unwind(move || {
+        let result = std::panic::catch_unwind(move || {
             Group::test_sequential(ProptestConfig::default(), n, steps, seen);
         });
-        if let Err(panic) = played {
+        if let Err(panic) = result {
             let text = panic.downcast_ref::<String>().cloned();
             let text = text.or_else(|| panic.downcast_ref::<&str>().map(|s| s.to_string()));
             return Err(format!(
--- a/crates/replica/tests/virtual_time/mod.rs
+++ b/crates/replica/tests/virtual_time/mod.rs
@@ -51,7 +51,7 @@
 
 impl SimulatedGroup {
     fn new(n: usize, seed: u64) -> SimulatedGroup {
-        let mut simulation = SimulatedGroup {
+        let mut sim = SimulatedGroup {
             now: 0,
             replicas: Vec::new(),
             members: Vec::new(),
@@ -62,7 +62,7 @@
             permitted_dispatches: Vec::new(),
         };
         for r in 0..n {
-            simulation.replicas.push(Replica::new(
+            sim.replicas.push(Replica::new(
                 0,
                 group(n, r),
                 settings(seed + r as u64),
@@ -75,14 +75,13 @@
                 suspicion_timeout: 1_500 * MS,
                 seed: seed + r as u64,
             };
-            simulation
-                .members
+            sim.members
                 .push(Membership::new(0, group(n, r), settings, r as u64 + 1, 0));
         }
         for r in 0..n {
-            simulation.connect(r);
+            sim.connect(r);
         }
-        simulation
+        sim
     }
 
     /// Reports to `r` that all members are alive, and to all members that `r` is.
@@ -232,9 +231,9 @@
 /// Restarts a member that lacks the last `lacking` of `all` records; each record has an answer of `answer` bytes. If
 /// `with_store` is true, the member restores the other records from its store; otherwise it lacks them as well.
 pub fn catch_up(all: u64, lacking: u64, with_store: bool, answer: usize) -> CatchUp {
-    let mut simulation = SimulatedGroup::new(3, 1);
-    simulation.pass(2 * SECOND);
-    assert!(simulation.replicas.iter().all(|r| r.can_vote()));
+    let mut sim = SimulatedGroup::new(3, 1);
+    sim.pass(2 * SECOND);
+    assert!(sim.replicas.iter().all(|r| r.can_vote()));
     let take = |n: u64| Input::Take {
         key: format!("i\norder-{n:08}").into(),
         durability: Durability::Majority,
@@ -243,58 +242,49 @@
     let (mut stored, mut first_lacking): (Vec<(Key, RecordCopy)>, u64) = (Vec::new(), 0);
     for n in 0..all {
         if n == all - lacking {
-            simulation.pass(SECOND);
-            stored = simulation.replicas[2]
+            sim.pass(SECOND);
+            stored = sim.replicas[2]
                 .records()
-                .map(|(k, s)| (k.clone(), s.to_copy(simulation.now)))
+                .map(|(k, s)| (k.clone(), s.to_copy(sim.now)))
                 .collect();
             first_lacking = n;
         }
-        simulation.feed(0, take(n));
+        sim.feed(0, take(n));
         let key: Key = format!("i\norder-{n:08}").into();
         if answer > 0 {
             let answer = bytes::Bytes::from(vec![7; answer]);
-            simulation.feed(
+            sim.feed(
                 0,
                 Input::Answered {
                     key: key.clone(),
                     answer,
                 },
             );
-            simulation.feed(0, Input::Dropped { key });
+            sim.feed(0, Input::Dropped { key });
         } else {
-            simulation.feed(0, Input::Closed { key });
+            sim.feed(0, Input::Closed { key });
         }
         // Lets the members exchange messages in between, as they do between the routers' own events.
         if n % 1_000 == 999 {
-            simulation.pass(10 * MS);
+            sim.pass(10 * MS);
         }
     }
-    simulation.pass(SECOND);
-    assert!(
-        first_lacking == all - lacking && simulation.replicas[1].records().count() as u64 == all
-    );
+    sim.pass(SECOND);
+    assert!(first_lacking == all - lacking && sim.replicas[1].records().count() as u64 == all);
     let nonce = 99;
     let restored = with_store.then_some(stored);
-    simulation.replicas[2] =
-        Replica::new(simulation.now, group(3, 2), settings(3), nonce, restored);
-    simulation.members[2] = Membership::new(
-        simulation.now,
-        group(3, 2),
-        *RESTARTED_MEMBER_SETTINGS,
-        nonce,
-        1,
-    );
-    let (started, at, before) = (Instant::now(), simulation.now, simulation.bytes);
-    simulation.connect(2);
-    while simulation.replicas[2].recovery_state() != RecoveryState::Complete {
-        simulation.step(i64::MAX);
+    sim.replicas[2] = Replica::new(sim.now, group(3, 2), settings(3), nonce, restored);
+    sim.members[2] = Membership::new(sim.now, group(3, 2), *RESTARTED_MEMBER_SETTINGS, nonce, 1);
+    let (started, at, before) = (Instant::now(), sim.now, sim.bytes);
+    sim.connect(2);
+    while sim.replicas[2].recovery_state() != RecoveryState::Complete {
+        sim.step(i64::MAX);
     }
-    assert_eq!(simulation.replicas[2].records().count() as u64, all);
+    assert_eq!(sim.replicas[2].records().count() as u64, all);
     CatchUp {
-        waited_ms: (simulation.now - at) as f64 / 1e3,
+        waited_ms: (sim.now - at) as f64 / 1e3,
         work_ms: started.elapsed().as_secs_f64() * 1e3,
-        sent_mb: (simulation.bytes - before) as f64 / 1e6,
+        sent_mb: (sim.bytes - before) as f64 / 1e6,
     }
 }
 
@@ -313,15 +303,15 @@
     const SECONDS: i64 = 10;
     let mut sent = 0;
     for g in 0..groups {
-        let mut simulation = SimulatedGroup::new(members, g as u64 * 100);
-        simulation.pass(2 * SECOND);
-        let before = simulation.bytes;
+        let mut sim = SimulatedGroup::new(members, g as u64 * 100);
+        sim.pass(2 * SECOND);
+        let before = sim.bytes;
         let mut serial = 1_000_000;
         for tick in 0..SECONDS * per_second {
             for r in 0..members {
                 serial += 1;
                 let key: Key = format!("i\norder-{serial:08}").into();
-                simulation.feed(
+                sim.feed(
                     r,
                     Input::Take {
                         key: key.clone(),
@@ -329,7 +319,7 @@
                         redelivered: false,
                     },
                 );
-                simulation.feed(
+                sim.feed(
                     r,
                     Input::RequestDispatch {
                         key,
@@ -339,10 +329,10 @@
                     },
                 );
             }
-            simulation.pass(SECOND / per_second / 2);
-            for (r, key, dispatch) in std::mem::take(&mut simulation.permitted_dispatches) {
+            sim.pass(SECOND / per_second / 2);
+            for (r, key, dispatch) in std::mem::take(&mut sim.permitted_dispatches) {
                 let answer = bytes::Bytes::from_static(b"done");
-                simulation.feed(
+                sim.feed(
                     r,
                     Input::DispatchEnded {
                         key: key.clone(),
@@ -350,19 +340,19 @@
                         may_have_run: true,
                     },
                 );
-                simulation.feed(
+                sim.feed(
                     r,
                     Input::Answered {
                         key: key.clone(),
                         answer,
                     },
                 );
-                simulation.feed(r, Input::Closed { key });
+                sim.feed(r, Input::Closed { key });
             }
-            simulation.pass(SECOND / per_second - SECOND / per_second / 2);
+            sim.pass(SECOND / per_second - SECOND / per_second / 2);
             let _ = tick;
         }
-        sent += simulation.bytes - before;
+        sent += sim.bytes - before;
     }
     sent as f64 / (members * groups) as f64 / SECONDS as f64
 }
@@ -371,11 +361,11 @@
 /// owner; the minimum of ten rounds.
 pub fn work_beside_open(open: u64) -> f64 {
     const INVOCATIONS_PER_ROUND: u64 = 200;
-    let mut simulation = SimulatedGroup::new(3, 7);
-    simulation.pass(2 * SECOND);
+    let mut sim = SimulatedGroup::new(3, 7);
+    sim.pass(2 * SECOND);
     let key = |n: u64| -> Key { format!("i\norder-{n:08}").into() };
-    let start_invocation = |simulation: &mut SimulatedGroup, n: u64| {
-        simulation.feed(
+    let start_invocation = |sim: &mut SimulatedGroup, n: u64| {
+        sim.feed(
             0,
             Input::Take {
                 key: key(n),
@@ -383,7 +373,7 @@
                 redelivered: false,
             },
         );
-        simulation.feed(
+        sim.feed(
             0,
             Input::RequestDispatch {
                 key: key(n),
@@ -394,20 +384,20 @@
         );
     };
     for n in 0..open {
-        start_invocation(&mut simulation, n);
-        simulation.pass(MS / 10);
+        start_invocation(&mut sim, n);
+        sim.pass(MS / 10);
     }
-    simulation.pass(100 * MS);
-    assert_eq!(simulation.permitted_dispatches.len() as u64, open);
-    simulation.permitted_dispatches.clear();
+    sim.pass(100 * MS);
+    assert_eq!(sim.permitted_dispatches.len() as u64, open);
+    sim.permitted_dispatches.clear();
     let mut least = f64::MAX;
     for round in 0..10 {
         let started = Instant::now();
         for n in 0..INVOCATIONS_PER_ROUND {
             let n = open + round * INVOCATIONS_PER_ROUND + n;
-            start_invocation(&mut simulation, n);
-            simulation.pass(MS);
-            simulation.feed(
+            start_invocation(&mut sim, n);
+            sim.pass(MS);
+            sim.feed(
                 0,
                 Input::DispatchEnded {
                     key: key(n),
@@ -415,21 +405,18 @@
                     may_have_run: true,
                 },
             );
-            simulation.feed(
+            sim.feed(
                 0,
                 Input::Answered {
                     key: key(n),
                     answer: bytes::Bytes::from_static(b"done"),
                 },
             );
-            simulation.feed(0, Input::Closed { key: key(n) });
-            simulation.pass(MS);
+            sim.feed(0, Input::Closed { key: key(n) });
+            sim.pass(MS);
         }
-        assert_eq!(
-            simulation.permitted_dispatches.len() as u64,
-            INVOCATIONS_PER_ROUND
-        );
-        simulation.permitted_dispatches.clear();
+        assert_eq!(sim.permitted_dispatches.len() as u64, INVOCATIONS_PER_ROUND);
+        sim.permitted_dispatches.clear();
         least = least.min(started.elapsed().as_secs_f64() * 1e6 / INVOCATIONS_PER_ROUND as f64);
     }
     least
