--- a/crates/reconcile/src/belief.rs
+++ b/crates/reconcile/src/copy_record.rs
@@ -1,94 +1,98 @@
-//! What this router believes of one function at one worker. It follows [`Change`]s in the order in which they happened,
-//! as the balancer does; a report may correct it only if [`Belief::is_older_than`] the report.
+//! The record that this router keeps of one function at one worker: whether copies are warm, and what is loading. It
+//! applies [`Change`]s in the order in which they happened, as the balancer does. A report may correct the record only
+//! if the record [`CopyRecord::is_older_than`] the report.
 //!
 //! Mechanisms:
-//! 1. Every change has its time: what was observed from before it tells nothing about it.
-//! 2. A load is under way while an order is in flight, and from a dispatch to a cold copy until its first ending.
-//! 3. Copies are believed for as long as the balancer believes in them, from their last use on.
+//! 1. Every change has a time: an observation that began before a change says nothing about it.
+//! 2. A load is in progress while a load order is in flight, and from a dispatch to a worker without a warm copy until
+//!    the end of a dispatch shows whether copies are loaded, or no dispatch is in flight any more.
+//! 3. Copies are recorded as warm for as long as the balancer expects them to be: one lifetime after the last use.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use cedarpulley::interface::Micros;
 
-/// Sessions retained for one function at one worker; the least recently used goes first.
+/// Most sessions retained for one function at one worker; the least recently used is removed first.
 const MAX_SESSIONS: usize = 256;
-/// A load of which nothing was heard for this long counts as over: its ending was lost.
-const LOAD_LOST_AFTER: Micros = 600_000_000;
+/// A load without any news for this long (microseconds) counts as ended: the message about its end was lost.
+const LOAD_LOST_AFTER_US: Micros = 600_000_000;
 
-/// What became known of a function at a worker.
+/// An event that changes what this router knows of a function at a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// An order to load was sent.
+    /// A load order was sent.
     LoadOrdered,
-    /// An order to load ended.
+    /// A load order ended.
     LoadOrderEnded {
-        /// Copies are there, none are, or nobody knows.
+        /// Whether copies are loaded; `None` if unknown.
         present: Option<bool>,
-        /// How many, where it is known.
+        /// Number of copies, if known.
         copies: Option<u32>,
     },
-    /// An invocation was dispatched to it.
+    /// An invocation was dispatched to the worker.
     Dispatched,
     /// A dispatch ended.
     DispatchEnded {
-        /// Copies are there, none are, or nobody knows.
+        /// Whether copies are loaded; `None` if unknown.
         present: Option<bool>,
-        /// The copy was there before the dispatch.
+        /// The copy was loaded before the dispatch.
         was_present: bool,
-        /// The size of a copy, 0 if unknown.
+        /// The size of a copy in megabytes, 0 if unknown.
         copy_mb: f64,
     },
-    /// A session's invocation succeeded there.
+    /// An invocation of a session succeeded at the worker.
     SessionUsed {
         /// The session.
         id: Arc<str>,
-        /// It was the last one of the session.
+        /// It was the last invocation of the session.
         is_last: bool,
     },
-    /// This router had it unloaded.
+    /// This router ordered the unload of the function.
     Unloaded,
-    /// An injected fault, in tests: this many copies are believed from now on, whatever is true.
+    /// An injected fault, in tests: from now on this number of copies is recorded, whether it is true or not.
     Corrupted {
-        /// The number that is believed.
+        /// The number of copies that is recorded.
         copies: u32,
     },
 }
 
+/// What this router knows of one function at one worker.
 #[derive(Clone, Debug)]
-pub struct Belief {
+pub struct CopyRecord {
     present: Option<bool>,
-    expires: Micros,
+    expires_at: Micros,
     copies: Option<u32>,
-    changed: Micros,
+    changed_at: Micros,
     orders_in_flight: u32,
     dispatches_in_flight: u32,
-    /// A dispatch met a cold copy, and none has ended since.
+    /// A dispatch was sent while no copy was recorded as warm. Cleared when a dispatch ends that shows whether copies are
+    /// loaded, or when no dispatch is in flight any more.
     cold_start: bool,
-    load_seen: Micros,
-    last_used: Option<Micros>,
-    /// Uses, halved with each `lifetime`.
+    load_seen_at: Micros,
+    last_used_at: Option<Micros>,
+    /// Number of uses, halved with each `lifetime` that passes.
     uses: f64,
     copy_mb: f64,
     ordered_unused: bool,
     reported_absent: bool,
-    /// By session, when its prefix was last known to be there.
+    /// By session, when its prefix was last known to be cached.
     sessions: BTreeMap<Arc<str>, Micros>,
 }
 
-impl Default for Belief {
-    /// Nothing was ever known.
+impl Default for CopyRecord {
+    /// A record of which nothing is known yet.
     fn default() -> Self {
-        Belief {
+        CopyRecord {
             present: None,
-            expires: Micros::MIN,
+            expires_at: Micros::MIN,
             copies: None,
-            changed: Micros::MIN,
+            changed_at: Micros::MIN,
             orders_in_flight: 0,
             dispatches_in_flight: 0,
             cold_start: false,
-            load_seen: Micros::MIN,
-            last_used: None,
+            load_seen_at: Micros::MIN,
+            last_used_at: None,
             uses: 0.0,
             copy_mb: 0.0,
             ordered_unused: false,
@@ -98,13 +102,14 @@
     }
 }
 
-impl Belief {
-    /// True if the change refutes the worker's own last report. `lifetime`: how long copies are believed after a use.
-    pub fn change(&mut self, now: Micros, lifetime: Micros, change: Change) -> bool {
+impl CopyRecord {
+    /// Applies a change. Returns true if the change refutes the last report of the worker. `lifetime`: how long copies
+    /// are recorded as warm after a use, in microseconds.
+    pub fn apply(&mut self, now: Micros, lifetime: Micros, change: Change) -> bool {
         match change {
             Change::LoadOrdered => {
                 self.orders_in_flight = self.orders_in_flight.saturating_add(1);
-                (self.load_seen, self.changed) = (now, now);
+                (self.load_seen_at, self.changed_at) = (now, now);
             }
             Change::LoadOrderEnded { present, copies } => {
                 self.orders_in_flight = self.orders_in_flight.saturating_sub(1);
@@ -112,8 +117,8 @@
                 self.set(now, lifetime, present, copies);
             }
             Change::Dispatched => {
-                if !self.is_believed(now) {
-                    (self.cold_start, self.load_seen) = (true, now);
+                if !self.is_warm(now) {
+                    (self.cold_start, self.load_seen_at) = (true, now);
                 }
                 self.dispatches_in_flight = self.dispatches_in_flight.saturating_add(1);
             }
@@ -148,14 +153,14 @@
         if present.is_some() {
             self.ordered_unused = false;
             self.uses = self.uses_at(now, lifetime) + 1.0;
-            self.last_used = Some(now);
+            self.last_used_at = Some(now);
             self.set(now, lifetime, present, self.copies);
         }
     }
 
-    fn on_session_used(&mut self, now: Micros, id: Arc<str>, over: bool) {
+    fn on_session_used(&mut self, now: Micros, id: Arc<str>, is_last: bool) {
         self.sessions.remove(&id);
-        if over {
+        if is_last {
             return;
         }
         while self.sessions.len() >= MAX_SESSIONS {
@@ -170,8 +175,8 @@
     }
 
     fn set(&mut self, now: Micros, lifetime: Micros, present: Option<bool>, copies: Option<u32>) {
-        (self.present, self.copies, self.changed) = (present, copies, now);
-        self.expires = now.saturating_add(lifetime);
+        (self.present, self.copies, self.changed_at) = (present, copies, now);
+        self.expires_at = now.saturating_add(lifetime);
         self.reported_absent = false;
         if present != Some(true) {
             (self.copies, self.ordered_unused) = (None, false);
@@ -184,7 +189,7 @@
         self.set(now, lifetime, Some(present), present.then_some(copies));
     }
 
-    /// As a worker reported, in an observation that began at `began`.
+    /// Sets the number of copies to what a worker reported in an observation that began at `began`.
     pub fn correct(&mut self, now: Micros, began: Micros, lifetime: Micros, copies: u32) {
         let sessions = std::mem::take(&mut self.sessions);
         self.set_copies(now, lifetime, copies);
@@ -192,85 +197,86 @@
             self.sessions = sessions;
         }
         self.reported_absent = copies == 0;
-        self.changed = began;
+        self.changed_at = began;
     }
 
-    /// Notes the number of copies; that they are there was believed already.
-    pub fn note_copies(&mut self, copies: u32) {
+    /// Sets the number of copies of a function that is already recorded as warm.
+    pub fn set_copy_count(&mut self, copies: u32) {
         self.copies = Some(copies);
     }
 
-    /// Forgets sessions whose prefix is lost.
-    pub fn forget_sessions(&mut self, lost: &[Arc<str>]) {
+    /// Removes the sessions whose prefix is lost.
+    pub fn remove_sessions(&mut self, lost: &[Arc<str>]) {
         self.sessions.retain(|id, _| !lost.contains(id));
     }
 
-    /// Whether copies are believed to be there.
-    pub fn is_believed(&self, now: Micros) -> bool {
-        self.present == Some(true) && now < self.expires
+    /// Whether copies are recorded as warm.
+    pub fn is_warm(&self, now: Micros) -> bool {
+        self.present == Some(true) && now < self.expires_at
     }
 
-    /// For how much longer copies will be believed to be there; 0 if they are not.
+    /// Microseconds until the copies are no longer recorded as warm; 0 if they are not.
     pub fn remaining(&self, now: Micros) -> Micros {
-        if self.is_believed(now) {
-            self.expires - now
+        if self.is_warm(now) {
+            self.expires_at - now
         } else {
             0
         }
     }
 
-    /// Whether a load is under way.
+    /// Whether a load is in progress.
     pub fn is_loading(&self, now: Micros) -> bool {
         (self.orders_in_flight > 0 || self.cold_start)
-            && now.saturating_sub(self.load_seen) < LOAD_LOST_AFTER
+            && now.saturating_sub(self.load_seen_at) < LOAD_LOST_AFTER_US
     }
 
-    /// Whether an observation that began at `began` may correct it.
+    /// Whether the record last changed before `began`, so that an observation that began then may correct it.
     pub fn is_older_than(&self, began: Micros) -> bool {
-        self.changed < began
+        self.changed_at < began
     }
 
-    /// Whether a repair from an observation that began at `began` may still go: nothing has happened here since.
+    /// Whether a repair that follows from an observation that began at `began` may still be sent: the record has not
+    /// changed since, no load is in progress, and no copy is recorded as warm.
     pub fn allows_repair(&self, now: Micros, began: Micros) -> bool {
-        self.changed <= began && !self.is_loading(now) && !self.is_believed(now)
+        self.changed_at <= began && !self.is_loading(now) && !self.is_warm(now)
     }
 
-    /// How many copies, where it is known.
+    /// The number of copies, if known.
     pub fn copies(&self) -> Option<u32> {
         self.copies
     }
 
-    /// The size of a copy, 0 if unknown.
+    /// The size of a copy in megabytes, 0 if unknown.
     pub fn copy_mb(&self) -> f64 {
         self.copy_mb
     }
 
-    /// Whether the last that is known comes from an order, and no use has confirmed it.
+    /// Whether the copies come from a load order and no use has confirmed them since.
     pub fn is_ordered_unused(&self) -> bool {
         self.ordered_unused
     }
 
-    /// Whether this router used it within the last `time`.
+    /// Whether this router used the function within the last `time` microseconds.
     pub fn used_within(&self, now: Micros, time: Micros) -> bool {
-        self.last_used.is_some_and(|used| now - used < time)
+        self.last_used_at.is_some_and(|used| now - used < time)
     }
 
-    /// The sessions, and when their prefixes were last known to be there.
+    /// The sessions, and when their prefixes were last known to be cached.
     pub fn sessions(&self) -> impl Iterator<Item = (&Arc<str>, Micros)> {
         self.sessions.iter().map(|(id, used)| (id, *used))
     }
 
-    /// Uses, halved with each `lifetime` that has passed.
+    /// The number of uses at `now`, halved with each `lifetime` since the last use.
     pub fn uses_at(&self, now: Micros, lifetime: Micros) -> f64 {
-        let ago = self.last_used.map_or(Micros::MAX / 2, |used| now - used);
+        let ago = self.last_used_at.map_or(Micros::MAX / 2, |used| now - used);
         self.uses * 0.5f64.powf(ago as f64 / lifetime.max(1) as f64)
     }
 
-    /// Nothing is lost if it is forgotten.
+    /// Whether the record can be removed without losing information.
     pub fn is_idle(&self, now: Micros, lifetime: Micros) -> bool {
-        !self.is_believed(now)
+        !self.is_warm(now)
             && self.orders_in_flight == 0
             && self.dispatches_in_flight == 0
-            && now.saturating_sub(self.changed) > lifetime
+            && now.saturating_sub(self.changed_at) > lifetime
     }
 }
--- a/crates/reconcile/src/drift.rs
+++ b/crates/reconcile/src/drift.rs
@@ -1,30 +1,31 @@
-//! The kinds of difference between what is believed and what a worker holds, and what most likely made each.
+//! The kinds of drift (a difference between the recorded warm copies and what a worker reports) and the most likely
+//! cause of each.
 
 use std::sync::Arc;
 
 use serde::Serialize;
 
-/// How belief and report differ. The names are keys of `/state`.
+/// How the record and the report differ. The names are keys of `/state`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DriftKind {
-    /// Believed, and not there.
+    /// Recorded as warm, but not loaded.
     Phantom,
-    /// There, and not believed.
+    /// Loaded, but not recorded as warm.
     Unseen,
-    /// Of a version that a plan has taken out of service.
+    /// Loaded, but of a version that an upgrade plan has retired.
     OlderVersion,
-    /// All that was believed is of an incarnation that is gone.
+    /// The worker has restarted: all records are about an earlier incarnation.
     OtherIncarnation,
-    /// There, with another number of copies.
+    /// Loaded, but with a different number of copies.
     Miscounted,
-    /// The copy is there and a session's prefix is not.
+    /// The cached prefix of a session is lost.
     PrefixLost,
-    /// Loaded for a router that is gone, or for a plan that has ended.
+    /// Loaded for a router that has left the group, or for an upgrade plan that has ended.
     Orphan,
 }
 
-/// All kinds, in the order of their numbers.
+/// All kinds, in the order of their indexes.
 pub const DRIFT_KINDS: [DriftKind; 7] = [
     DriftKind::Phantom,
     DriftKind::Unseen,
@@ -42,48 +43,48 @@
     }
 }
 
-/// What most likely made a difference.
+/// The most likely cause of a drift.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DriftCause {
-    /// The worker took it out to make place.
+    /// The worker evicted the copy to free memory.
     Evicted,
-    /// Nothing at all is left of what was believed there.
+    /// The worker holds none of several functions that were recorded as warm.
     Flushed,
-    /// An order to load ended well, and nobody has used the copy since.
+    /// A load order of this router succeeded, but the copy is missing before its first use, or was not recorded.
     LostLoad,
-    /// Another router ordered it.
+    /// Another router ordered the load.
     LoadedElsewhere,
-    /// Nobody says who ordered it: an invocation met a cold worker.
+    /// No router is reported as the one that ordered the load: an invocation reached a worker without a copy.
     LoadedOnMiss,
-    /// The worker's process is another one.
+    /// The worker process was restarted.
     Restarted,
-    /// An order to unload had no effect.
+    /// An unload order had no effect.
     LostUnload,
-    /// Some of the copies were evicted, or others loaded.
+    /// Some of the copies were evicted, or further ones were loaded.
     PartlyEvicted,
-    /// The router that ordered it is no member any more.
+    /// The router that ordered the load is no longer a member.
     RouterGone,
-    /// The plan for which it was loaded is over.
+    /// The upgrade plan for which the copy was loaded has ended.
     PlanEnded,
 }
 
 impl DriftCause {
-    /// Whether this is ordinary work of others rather than a fault.
+    /// Whether this is ordinary work of other routers rather than a fault.
     pub fn is_ordinary(self) -> bool {
         matches!(self, DriftCause::LoadedElsewhere | DriftCause::LoadedOnMiss)
     }
 }
 
-/// A difference that was found.
+/// A drift that was found.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Drift {
-    /// How belief and report differ.
+    /// How the record and the report differ.
     pub kind: DriftKind,
-    /// What most likely made it.
+    /// The most likely cause.
     pub cause: DriftCause,
-    /// The worker, as this router knows it.
+    /// This router's name for the worker.
     pub worker: Arc<str>,
-    /// Absent where it is about the whole worker.
+    /// The function; absent if the drift concerns the whole worker.
     pub function: Option<Arc<str>>,
 }
--- a/crates/reconcile/src/lib.rs
+++ b/crates/reconcile/src/lib.rs
@@ -1,25 +1,26 @@
-//! Reconciles the warm index (what a router believes to be loaded at its workers) with what the workers report, and
-//! repairs what differs; free of I/O. Begin reading at [`Reconciler::handle`] in `reconciler.rs`, whose parts are in
-//! `reconciler/`.
+//! Reconciles the warm index (the copies that a router records as warm at its workers) with what the workers report,
+//! and repairs differences, without I/O. Start reading at [`Reconciler::handle`] in `reconciler.rs`; its submodules are
+//! in `reconciler/`.
 //!
-//! * [`observation`]: what a worker reported at one moment, and whether it is consistent with itself.
-//! * `belief`: what this router believes of one function at one worker, when that last changed, and what is loading.
-//! * [`drift`]: the kinds of difference, told apart with their likely cause.
+//! * [`observation`]: what a worker reported at one moment, and whether the report is consistent in itself.
+//! * `copy_record`: what this router knows of one function at one worker, when that last changed, and what is loading.
+//! * [`drift`]: the kinds of drift, each with its likely cause.
 //! * [`polling`]: which member polls which worker, how often, and within which rate limit.
-//! * `repair`: the queue of loads and unloads, within a rate, the busiest first.
+//! * `repair`: the rate-limited queue of loads and unloads; the busiest function is loaded first.
 //!
-//! It never decides where an invocation goes: it corrects what the balancer believes, and asks it for loads.
+//! This crate never decides where an invocation is sent: it corrects the records of the balancer and requests loads
+//! from it.
 
 #![warn(missing_docs)]
 
-mod belief;
+mod copy_record;
 pub mod drift;
 pub mod observation;
 pub mod polling;
 mod reconciler;
 mod repair;
 
-pub use belief::Change;
+pub use copy_record::Change;
 pub use drift::{Drift, DriftCause, DriftKind};
 pub use observation::{FunctionReport, Observation};
 pub use reconciler::{
--- a/crates/reconcile/src/reconciler.rs
+++ b/crates/reconcile/src/reconciler.rs
@@ -1,20 +1,20 @@
-//! [`Reconciler`]: call [`Reconciler::handle`] with each thing that happened, and again with [`Input::Tick`]
-//! at [`Reconciler::next_due`]; what is to be done comes out, in order. It passes events between its parts, each of
-//! which owns its state:
+//! [`Reconciler`]: the caller passes each input to [`Reconciler::handle`], and [`Input::Tick`] at
+//! [`Reconciler::next_due`]; the outputs are returned in the order in which they are to be executed. The reconciler
+//! passes events between its submodules, each of which owns its state:
 //!
 //! * `event`: inputs, outputs and settings.
 //! * `schedule`: when each worker is polled.
-//! * `observations`: the notes by which members share what they heard; a report that began before the last that was
-//!   taken is void.
-//! * `worker_table`, `worker_state`: what is known and believed of each worker.
-//! * `trust`: a report of an earlier incarnation is void, one of a new incarnation takes all belief of the old with it;
-//!   a worker that contradicted itself, or that an invocation refuted, is doubted for a while.
-//! * `comparison`: a report that began before a belief last changed says nothing about it; what is loading is left
-//!   alone; else belief is corrected by each router for itself.
+//! * `observations`: the notes by which members share the reports of workers.
+//! * `worker_table`, `worker_state`: what is known of each worker, and its records of functions. A report that began
+//!   before the last accepted one is void.
+//! * `trust`: a report of an earlier incarnation is void, and a report of a new incarnation invalidates all records of
+//!   the old one; a worker that contradicted itself, or that an invocation refuted, is doubted for a while.
+//! * `comparison`: a report that began before a record last changed says nothing about it; a function that is loading
+//!   is not corrected; otherwise each router corrects its own records.
 //! * `ownership`: which member is first for a worker, and who claims a copy.
-//! * [`crate::repair`]: what costs the worker something is done only by the member that is first for it, from its own
-//!   poll, within a rate, and checked again right before.
-//! * `status`: what is counted and shown; no decision reads it back.
+//! * [`crate::repair`]: repairs take up a worker's resources, so they are sent only by the member that is first for the
+//!   worker, after its own poll, within a rate limit, and are checked again right before.
+//! * `status`: counts and the status of workers; no decision reads them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 use self::schedule::PollSchedule;
 use self::trust::{ReportOrigin, ReportSource};
 use self::worker_table::WorkerTable;
-use crate::belief::{Belief, Change};
+use crate::copy_record::{Change, CopyRecord};
 use crate::observation::Observation;
 use crate::polling::{PollResult, SeededRandom};
 use crate::repair::{Repair, RepairAction, RepairQueue};
@@ -46,7 +46,7 @@
 pub use self::ownership::Claims;
 pub use self::status::{Counts, WorkerStatus};
 
-/// Keeps the warm index of one router true to what its workers report.
+/// Keeps the warm index of one router consistent with what its workers report.
 #[derive(Debug)]
 pub struct Reconciler {
     settings: ReconcilerSettings,
@@ -56,12 +56,12 @@
     ownership: Ownership,
     repairs: RepairQueue,
     random: SeededRandom,
-    /// All that was seen and done since the start.
+    /// Counts of inputs, outputs and drifts since the start.
     pub counts: Counts,
 }
 
 impl Reconciler {
-    /// Knows no workers and no members yet.
+    /// Creates a reconciler without workers or members.
     pub fn new(now: Micros, settings: ReconcilerSettings) -> Self {
         Reconciler {
             now,
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Takes in what happened and appends what is to be done. `now` that goes back counts as unchanged.
+    /// Processes an input and appends the resulting outputs to `out`. If `now` is earlier than before, the time counts as
+    /// unchanged.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match input {
@@ -85,12 +86,12 @@
                 worker,
                 function,
                 change,
-            } => return self.on_change(worker, function, change),
+            } => return self.on_record_change(worker, function, change),
             Input::Reported {
                 worker,
                 began,
                 observation,
-            } => self.on_observed(worker, began, &observation, out),
+            } => self.on_reported(worker, began, &observation, out),
             Input::Unresponsive { worker } => self.on_unresponsive(worker, out),
             Input::NoteReceived {
                 id,
@@ -105,19 +106,20 @@
         self.schedule.poll_due(self.now, &mut self.counts, out);
     }
 
-    /// When [`Input::Tick`] is due; `Micros::MAX` for never.
+    /// When [`Input::Tick`] is due next; `Micros::MAX` for never.
     pub fn next_due(&self) -> Micros {
         self.schedule.next_due().min(self.repairs.next_due())
     }
 
-    /// Another process behind a known name is a worker of its own, which inherits only its earlier incarnations.
+    /// Replaces the workers. A new process under a known name counts as a new worker, which inherits only the earlier
+    /// incarnations and the drift counts.
     fn on_workers(&mut self, listed: &[PolledWorker]) {
-        let named: BTreeSet<&str> = listed.iter().map(|l| &*l.worker).collect();
+        let listed_names: BTreeSet<&str> = listed.iter().map(|l| &*l.worker).collect();
         let gone: Vec<Arc<str>> = self
             .workers
             .iter()
             .map(|(worker, _)| worker.clone())
-            .filter(|worker| !named.contains(&**worker))
+            .filter(|worker| !listed_names.contains(&**worker))
             .collect();
         for worker in gone {
             self.schedule.remove(&worker);
@@ -149,10 +151,10 @@
         }
     }
 
-    fn on_change(&mut self, worker: &str, function: &str, change: Change) {
+    fn on_record_change(&mut self, worker: &str, function: &str, change: Change) {
         if let Some((_, state, budget)) = self.workers.get_mut(worker) {
             let (now, lifetime) = (self.now, self.settings.belief_lifetime);
-            state.change(now, lifetime, function, change, budget, &mut self.counts);
+            state.apply_change(now, lifetime, function, change, budget, &mut self.counts);
         }
     }
 
@@ -161,7 +163,7 @@
             return;
         };
         self.schedule.on_poll_ended(&worker);
-        self.schedule.on_heard(self.now, &worker);
+        self.schedule.on_poll_result(self.now, &worker);
         let (id, version) = (state.id().clone(), state.next_version(false));
         self.counts.silences += 1;
         if self.ownership.has_peers()
@@ -177,7 +179,7 @@
         );
     }
 
-    fn on_observed(
+    fn on_reported(
         &mut self,
         worker: &str,
         began: Micros,
@@ -193,7 +195,7 @@
         let origin = state.accept(began, observation.incarnation, source, &mut self.counts);
         let mut result = PollResult::Changed;
         if let Some(origin) = origin {
-            self.schedule.on_heard(self.now, &worker);
+            self.schedule.on_poll_result(self.now, &worker);
             let version = state.next_version(origin == ReportOrigin::NewIncarnation);
             if self.ownership.has_peers()
                 && let Some(value) = Note::encode_observed(self.now - began, observation)
@@ -232,7 +234,7 @@
             return;
         };
         state.set_version(version);
-        self.schedule.on_heard(self.now, &worker);
+        self.schedule.on_poll_result(self.now, &worker);
         if let Note::Observed { ago, observation } = note {
             let began = self
                 .now
@@ -246,7 +248,7 @@
         }
     }
 
-    /// None for a worker that is not in the list.
+    /// Compares a report with the records. Returns `None` for a worker that is not in the endpoint list.
     fn compare(
         &mut self,
         worker: &Arc<str>,
@@ -277,8 +279,9 @@
         Some(comparison.run(observation))
     }
 
-    /// Lets the next repair go, if its time has come and it is still needed: this router is still first, nothing
-    /// changed since the report that showed it, and what is to be unloaded still nobody claims.
+    /// Sends the next repair if the rate limit allows one and it is still needed: this router is still first for the
+    /// worker, the record has not changed since the report that showed the drift, and a copy to be unloaded is still
+    /// unclaimed.
     fn repair(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let (workers, schedule, ownership) = (&self.workers, &self.schedule, &self.ownership);
@@ -288,8 +291,8 @@
             };
             let function = &repair.function;
             let untouched = state
-                .belief(function)
-                .is_none_or(|belief| belief.allows_repair(now, repair.began));
+                .record(function)
+                .is_none_or(|record| record.allows_repair(now, repair.began));
             schedule.is_first(&repair.worker)
                 && untouched
                 && match &repair.action {
@@ -313,8 +316,8 @@
                 if let Some((_, state, _)) = self.workers.get_mut(&worker) {
                     // If the order is lost, the copy is found again and unloaded after another grace period.
                     state.clear_unclaimed(&function);
-                    if let Some(belief) = state.belief_mut(&function) {
-                        belief.change(now, self.settings.belief_lifetime, Change::Unloaded);
+                    if let Some(record) = state.record_mut(&function) {
+                        record.apply(now, self.settings.belief_lifetime, Change::Unloaded);
                     }
                 }
                 out.push(Output::Unload {
@@ -326,7 +329,7 @@
         }
     }
 
-    /// What each worker reported last, and when that began to be true.
+    /// The last accepted report of each worker, and when its observation began.
     pub fn observed(&self) -> impl Iterator<Item = (&Arc<str>, Micros, &Observation)> {
         self.workers.iter().filter_map(|(worker, state)| {
             let (began, observation) = state.observed()?;
@@ -334,50 +337,51 @@
         })
     }
 
-    /// The name by which all members know a worker of this router.
+    /// The id by which all members know a worker of this router.
     pub fn id_of(&self, worker: &str) -> Option<&Arc<str>> {
         self.workers.get(worker).map(|state| state.id())
     }
 
-    /// This router's name for a worker that all members know by `id`.
+    /// This router's name for the worker that all members know by `id`.
     pub fn worker_of(&self, id: &str) -> Option<&Arc<str>> {
         self.workers.worker_of(id)
     }
 
-    /// Repairs in the queue.
+    /// Number of repairs in the queue.
     pub fn queued_repairs(&self) -> usize {
         self.repairs.len()
     }
 
-    /// Each worker, for whoever operates the router.
+    /// The status of each worker, for operators.
     pub fn worker_statuses(&self) -> impl Iterator<Item = WorkerStatus<'_>> {
         self.workers
             .iter()
             .map(|(worker, state)| WorkerStatus::new(self.now, worker, state, &self.schedule))
     }
 
-    /// Whether this router believes that copies are there.
-    pub fn is_believed(&self, worker: &str, function: &str) -> bool {
-        self.belief(worker, function)
-            .is_some_and(|belief| belief.is_believed(self.now))
+    /// Whether this router records copies of the function as warm at the worker.
+    pub fn is_recorded_warm(&self, worker: &str, function: &str) -> bool {
+        self.record(worker, function)
+            .is_some_and(|record| record.is_warm(self.now))
     }
 
-    /// Whether a load is under way there, as far as this router knows by itself.
+    /// Whether a load of the function is in progress at the worker, from this router's own orders and dispatches.
     pub fn is_loading(&self, worker: &str, function: &str) -> bool {
-        self.belief(worker, function)
-            .is_some_and(|belief| belief.is_loading(self.now))
+        self.record(worker, function)
+            .is_some_and(|record| record.is_loading(self.now))
     }
 
-    /// Whether copies are believed there that this router itself has used so lately that the balancer would still
-    /// believe in them by that use alone: corrected to the same again, it believes in them for no more than twice the
-    /// lifetime of a belief (`BELIEVED_FOR` in `comparison`).
+    /// Whether copies are recorded as warm and this router used them so recently that the balancer would still expect
+    /// them to be warm because of that use alone. If such a record is corrected to the same value, the balancer expects
+    /// the copies for at most twice the lifetime of a record after their last use (`MAX_RECORD_LIFETIMES` in
+    /// `comparison`).
     pub fn used_recently(&self, now: Micros, worker: &str, function: &str) -> bool {
         let lifetime = self.settings.belief_lifetime;
-        self.belief(worker, function)
-            .is_some_and(|belief| belief.is_believed(now) && belief.used_within(now, lifetime))
+        self.record(worker, function)
+            .is_some_and(|record| record.is_warm(now) && record.used_within(now, lifetime))
     }
 
-    fn belief(&self, worker: &str, function: &str) -> Option<&Belief> {
-        self.workers.get(worker)?.belief(function)
+    fn record(&self, worker: &str, function: &str) -> Option<&CopyRecord> {
+        self.workers.get(worker)?.record(function)
     }
 }
--- a/crates/reconcile/src/reconciler/comparison.rs
+++ b/crates/reconcile/src/reconciler/comparison.rs
@@ -1,17 +1,17 @@
-//! One report compared with what is believed: [`Comparison::run`] corrects each belief that the report refutes, queues
-//! repairs, and tells what the poll led to.
+//! Compares one report with the records of a worker: [`Comparison::run`] corrects each record that the report refutes,
+//! queues repairs, and returns the result of the poll.
 //!
 //! Mechanisms:
-//! 1. What is loading, as this router or the worker knows it, is left alone, and so is a belief that changed after
-//!    the report began.
-//! 2. What a doubted worker reports is believed once two reports in a row show it.
-//! 3. What is there and believed is renewed before the belief ends, unless nobody claims it or it is about
-//!    to leave.
-//! 4. A session whose prefix is lost is released: it loses nothing by going elsewhere.
-//! 5. Belief is corrected by each router for itself; repairs are left to the one that is first, by its own poll.
-//! 6. A copy that nobody claims is found once, and unloaded after a grace period, in which an owner may come back.
-//!    It is unloaded only after it has been idle for longer than any router may believe in it: so an unload leaves
-//!    no router with a wrong belief.
+//! 1. A function that is loading, according to this router or the worker, is not corrected, nor is a record that
+//!    changed after the report began.
+//! 2. A difference in the report of a doubted worker is accepted once two successive reports show it.
+//! 3. The record of a loaded copy is renewed before it expires, unless the copy is unclaimed or about to be evicted.
+//! 4. A session whose prefix is lost is released: it loses nothing by moving to another worker.
+//! 5. Each router corrects its own records; only the router that is first for the worker queues repairs, after its own
+//!    poll.
+//! 6. An unclaimed copy is reported once and unloaded after a grace period, within which an owner may return. It is
+//!    unloaded only after it has been idle for longer than any router may record it as warm, so that an unload leaves
+//!    no router with a wrong record.
 
 use std::sync::Arc;
 
@@ -20,53 +20,53 @@
 use super::ownership::{Ownership, UnclaimedReason};
 use super::trust::ReportOrigin;
 use super::worker_state::WorkerState;
-use super::worker_table::BeliefBudget;
+use super::worker_table::RecordBudget;
 use super::{Counts, Output, ReconcilerSettings};
 use crate::drift::{Drift, DriftCause, DriftKind};
 use crate::observation::{Consistency, FunctionReport, Observation};
 use crate::polling::{PollResult, SeededRandom, longest_interval};
 use crate::repair::{Repair, RepairAction, RepairQueue};
 
-/// A function is under load while its uses, halved with each lifetime of a belief, are at least this.
-const UNDER_LOAD: f64 = 1.0;
-/// For so many times the lifetime of a belief after a use, some router may believe in the copy: its last renewal by a
-/// report may have come when it had been idle for almost that long.
-const BELIEVED_FOR: Micros = 2;
+/// A function is under load while its number of uses, halved with each lifetime of a record, is at least this.
+const MIN_USES_UNDER_LOAD: f64 = 1.0;
+/// Number of record lifetimes after a use for which some router may still record the copy as warm: a report may have
+/// renewed the record when the copy had been idle for almost one lifetime.
+const MAX_RECORD_LIFETIMES: Micros = 2;
 
-/// What of the reconciler takes part in a comparison.
+/// The state of the reconciler that a comparison uses, apart from that of the worker.
 pub(super) struct ComparisonContext<'a> {
     pub(super) now: Micros,
     pub(super) settings: &'a ReconcilerSettings,
     pub(super) ownership: &'a Ownership,
-    pub(super) budget: &'a mut BeliefBudget,
+    pub(super) budget: &'a mut RecordBudget,
     pub(super) repairs: &'a mut RepairQueue,
     pub(super) random: &'a mut SeededRandom,
     pub(super) counts: &'a mut Counts,
     pub(super) out: &'a mut Vec<Output>,
 }
 
-/// One report about one worker.
+/// A comparison of one report with the records of one worker.
 pub(super) struct Comparison<'a> {
     pub(super) context: ComparisonContext<'a>,
     pub(super) worker: &'a Arc<str>,
     pub(super) state: &'a mut WorkerState,
     pub(super) began: Micros,
     pub(super) origin: ReportOrigin,
-    /// The report is the answer to a poll of this router, which is first for the worker.
+    /// The report answers a poll of this router, and this router is first for the worker.
     pub(super) may_repair: bool,
 }
 
-/// What a report of copies that are there means for the belief.
+/// The result of comparing reported copies of a function with its record.
 enum PresentOutcome {
-    /// Another number is believed.
+    /// The record has a different number of copies.
     Miscounted,
-    /// The belief is about to end.
+    /// The record is about to expire.
     Renew,
-    /// The belief is right, and its number of copies is noted.
+    /// The record agrees; the number of copies is stored in it.
     Agrees,
-    /// Not believed, and left so: it is to be unloaded, or about to leave.
+    /// Not recorded as warm, and not corrected: the copies are unclaimed or about to be evicted.
     Ignored,
-    /// Not believed.
+    /// Not recorded as warm.
     Unseen,
 }
 
@@ -74,7 +74,7 @@
     pub(super) fn run(mut self, observation: &Observation) -> PollResult {
         let first_output = self.context.out.len();
         let state = &*self.state;
-        let copy_mb = |function: &str| state.belief(function).map_or(0.0, |b| b.copy_mb());
+        let copy_mb = |function: &str| state.record(function).map_or(0.0, |b| b.copy_mb());
         let consistency = observation.consistency(copy_mb, state.memory_mb());
         self.context.counts.contradictions += consistency.contradictions;
         let consistent = Observation {
@@ -88,10 +88,10 @@
         if self.is_new_incarnation() {
             self.report_drift(None, DriftKind::OtherIncarnation, DriftCause::Restarted);
         }
-        self.compare_absent(&consistency, observation.truncated);
+        self.compare_missing(&consistency, observation.truncated);
         for entry in consistency.entries.values().filter(|e| e.copies > 0) {
             let function = entry.function.clone();
-            if self.state.follow(function, self.context.budget) {
+            if self.state.ensure_record(function, self.context.budget) {
                 self.compare_present(entry);
             } else {
                 self.context.counts.beliefs_left_out += 1;
@@ -105,7 +105,7 @@
         }
         let lifetime = self.context.settings.belief_lifetime;
         self.state
-            .forget_idle(self.context.now, lifetime, self.context.budget);
+            .remove_idle_records(self.context.now, lifetime, self.context.budget);
         self.state.on_compared(consistency.contradictions == 0);
         self.result(first_output)
     }
@@ -122,7 +122,8 @@
                     Output::DriftFound(drift) => Some(drift.cause),
                     _ => None,
                 });
-        // Symptom: what other routers load is news all day, and all workers are polled at the shortest interval for ever.
+        // Ordinary causes do not count as drift. Without this, the loads of other routers would keep all workers at the
+        // shortest poll interval permanently.
         if causes.clone().any(|cause| !cause.is_ordinary()) {
             PollResult::Drifted
         } else if causes.next().is_some() || self.state.doubt() > 0 {
@@ -132,32 +133,35 @@
         }
     }
 
-    /// Corrects what is believed and is not among what is there.
-    fn compare_absent(&mut self, consistency: &Consistency, cut: bool) {
-        let (missing, all) = self.missing(consistency, cut);
+    /// Corrects the records of functions that are recorded as warm but not loaded.
+    fn compare_missing(&mut self, consistency: &Consistency, truncated: bool) {
+        let (missing, all) = self.missing(consistency, truncated);
         for function in missing {
-            // That the incarnation is another one was found before, and is no reason for doubt.
+            // A new incarnation explains the difference, so it needs no confirmation by a second report.
             if !self.is_new_incarnation() && !self.is_credible(&function, DriftKind::Phantom) {
                 continue;
             }
-            self.correct_absent(&function, all);
+            self.correct_missing(&function, all);
         }
     }
 
-    /// The functions that are believed and missing, and whether they are several and all that was believed.
-    fn missing(&mut self, consistency: &Consistency, cut: bool) -> (Vec<Arc<str>>, bool) {
+    /// The functions that are recorded as warm but missing from the report, and whether they are more than one and all
+    /// that were recorded as warm.
+    fn missing(&mut self, consistency: &Consistency, truncated: bool) -> (Vec<Arc<str>>, bool) {
         let now = self.context.now;
         let mut missing: Vec<Arc<str>> = Vec::new();
         let mut all = true;
-        for (function, belief) in self.state.believed(now) {
+        for (function, record) in self.state.recorded_warm(now) {
             let entry = consistency.entries.get(&**function);
             if entry.is_some_and(|e| e.copies > 0) {
                 all = false;
-            } else if consistency.unclear.contains(&&**function) || cut && entry.is_none() {
-                // Nothing is known of it.
-            } else if belief.is_loading(now) || entry.is_some_and(|e| e.loading) {
+            } else if consistency.contradictory.contains(&&**function)
+                || truncated && entry.is_none()
+            {
+                // The report says nothing about this function.
+            } else if record.is_loading(now) || entry.is_some_and(|e| e.loading) {
                 self.context.counts.left_under_load += 1;
-            } else if !belief.is_older_than(self.began) {
+            } else if !record.is_older_than(self.began) {
                 self.context.counts.left_belief_newer += 1;
             } else {
                 missing.push(function.clone());
@@ -167,15 +171,15 @@
         (missing, all)
     }
 
-    fn correct_absent(&mut self, function: &Arc<str>, all_missing: bool) {
+    fn correct_missing(&mut self, function: &Arc<str>, all_missing: bool) {
         let (now, lifetime) = (self.context.now, self.context.settings.belief_lifetime);
-        let Some(belief) = self.state.belief_mut(function) else {
+        let Some(record) = self.state.record_mut(function) else {
             return;
         };
-        let sessions: Vec<Arc<str>> = belief.sessions().map(|(id, _)| id.clone()).collect();
-        let ordered_unused = belief.is_ordered_unused();
-        belief.correct(now, self.began, lifetime, 0);
-        let uses = belief.uses_at(now, lifetime);
+        let sessions: Vec<Arc<str>> = record.sessions().map(|(id, _)| id.clone()).collect();
+        let ordered_unused = record.is_ordered_unused();
+        record.correct(now, self.began, lifetime, 0);
+        let uses = record.uses_at(now, lifetime);
         self.push_correction(function, 0);
         self.context.counts.corrected += 1;
         self.release_sessions(function, sessions);
@@ -187,23 +191,23 @@
             };
             self.report_drift(Some(function), DriftKind::Phantom, cause);
         }
-        if self.may_repair && uses >= UNDER_LOAD {
+        if self.may_repair && uses >= MIN_USES_UNDER_LOAD {
             self.queue_repair(function, RepairAction::Load, uses);
         }
     }
 
-    /// Compares what the worker reports to be there.
+    /// Compares the record of a function with a reported entry that has copies.
     fn compare_present(&mut self, entry: &FunctionReport) {
         let now = self.context.now;
         let unclaimed = self.context.ownership.unclaimed_reason(entry);
-        let Some(belief) = self.state.belief(&entry.function) else {
+        let Some(record) = self.state.record(&entry.function) else {
             return;
         };
-        if belief.is_loading(now) || entry.loading {
+        if record.is_loading(now) || entry.loading {
             self.context.counts.left_under_load += 1;
             return;
         }
-        if !belief.is_older_than(self.began) {
+        if !record.is_older_than(self.began) {
             self.context.counts.left_belief_newer += 1;
             return;
         }
@@ -225,8 +229,8 @@
                 self.context.counts.renewed += 1;
             }
             PresentOutcome::Agrees => {
-                if let Some(belief) = self.state.belief_mut(function) {
-                    belief.note_copies(entry.copies);
+                if let Some(record) = self.state.record_mut(function) {
+                    record.set_copy_count(entry.copies);
                 }
             }
             PresentOutcome::Ignored => {}
@@ -234,7 +238,7 @@
                 if self.is_credible(function, DriftKind::Unseen) {
                     self.correct_present(entry);
                     self.context.counts.corrected += 1;
-                    self.report_drift(Some(function), DriftKind::Unseen, self.load_cause(entry));
+                    self.report_drift(Some(function), DriftKind::Unseen, self.unseen_cause(entry));
                 }
             }
         }
@@ -247,33 +251,34 @@
     fn present_outcome(&self, entry: &FunctionReport, is_unclaimed: bool) -> PresentOutcome {
         let (now, lifetime) = (self.context.now, self.context.settings.belief_lifetime);
         let longest = longest_interval(self.context.settings.poll_interval);
-        let Some(belief) = self.state.belief(&entry.function) else {
+        let Some(record) = self.state.record(&entry.function) else {
             return PresentOutcome::Ignored;
         };
-        // It will have left by itself before the worker is polled again.
-        let is_leaving = entry.busy.unwrap_or(0) == 0
+        // An idle copy that the worker will probably evict before it is polled again.
+        let is_eviction_expected = entry.busy.unwrap_or(0) == 0
             && entry
                 .idle
                 .is_some_and(|idle| idle > (lifetime - longest).max(lifetime / 2));
-        if belief.is_believed(now) {
-            if belief.copies().is_some_and(|copies| copies != entry.copies) {
+        if record.is_warm(now) {
+            if record.copies().is_some_and(|copies| copies != entry.copies) {
                 PresentOutcome::Miscounted
-            } else if belief.remaining(now) < longest * 2 && !is_leaving && !is_unclaimed {
+            } else if record.remaining(now) < longest * 2 && !is_eviction_expected && !is_unclaimed
+            {
                 PresentOutcome::Renew
             } else {
                 PresentOutcome::Agrees
             }
-        } else if is_unclaimed || is_leaving {
-            // What is to be unloaded is not for use; whoever uses it claims it.
+        } else if is_unclaimed || is_eviction_expected {
+            // An unclaimed copy is to be unloaded, so it is not offered for use; a use would claim it.
             PresentOutcome::Ignored
         } else {
             PresentOutcome::Unseen
         }
     }
 
-    fn load_cause(&self, entry: &FunctionReport) -> DriftCause {
+    fn unseen_cause(&self, entry: &FunctionReport) -> DriftCause {
         match &entry.ordered_by {
-            Some(by) if self.context.ownership.is_me(by) => DriftCause::LostLoad,
+            Some(by) if self.context.ownership.is_own_name(by) => DriftCause::LostLoad,
             Some(_) => DriftCause::LoadedElsewhere,
             None => DriftCause::LoadedOnMiss,
         }
@@ -281,8 +286,8 @@
 
     fn correct_present(&mut self, entry: &FunctionReport) {
         let (now, lifetime) = (self.context.now, self.context.settings.belief_lifetime);
-        if let Some(belief) = self.state.belief_mut(&entry.function) {
-            belief.correct(now, self.began, lifetime, entry.copies);
+        if let Some(record) = self.state.record_mut(&entry.function) {
+            record.correct(now, self.began, lifetime, entry.copies);
         }
         self.push_correction(&entry.function, entry.copies);
     }
@@ -290,15 +295,15 @@
     /// Releases sessions whose prefix is lost.
     fn compare_prefixes(&mut self, entry: &FunctionReport) {
         let (began, is_new_incarnation) = (self.began, self.is_new_incarnation());
-        let Some(belief) = self.state.belief(&entry.function) else {
+        let Some(record) = self.state.record(&entry.function) else {
             return;
         };
-        // Of a worker that reports nothing of sessions it is known only that a new incarnation has none.
+        // If the worker does not report sessions, only a new incarnation proves that a prefix is lost.
         let is_cached = |id: &Arc<str>| match &entry.sessions {
             Some(cached) => cached.contains(id),
             None => !is_new_incarnation,
         };
-        let lost: Vec<Arc<str>> = belief
+        let lost: Vec<Arc<str>> = record
             .sessions()
             .filter(|(id, used)| *used < began && !is_cached(id))
             .map(|(id, _)| id.clone())
@@ -306,25 +311,27 @@
         if lost.is_empty() || !self.is_credible(&entry.function, DriftKind::PrefixLost) {
             return;
         }
-        if let Some(belief) = self.state.belief_mut(&entry.function) {
-            belief.forget_sessions(&lost);
+        if let Some(record) = self.state.record_mut(&entry.function) {
+            record.remove_sessions(&lost);
         }
         self.release_sessions(&entry.function, lost);
     }
 
-    /// Finds a copy that nobody claims, and queues its unload after the grace period.
-    /// Symptom: a router died, or a plan ended, with copies ordered; they fill memory, and nobody ever invokes them.
+    /// Reports an unclaimed copy, and queues its unload after the grace period. Without this, copies ordered by a router
+    /// that died, or for an upgrade plan that ended, would occupy memory without ever being invoked.
     fn compare_claims(&mut self, entry: &FunctionReport, unclaimed: Option<UnclaimedReason>) {
         let (now, function) = (self.context.now, &entry.function);
         let settings = self.context.settings;
-        // A use is a claim, whoever's: so long as any router may still believe in the copy, it is not touched.
-        let idle_for = settings
-            .grace_period
-            .max(settings.belief_lifetime.saturating_mul(BELIEVED_FOR));
+        // A use by any router is a claim: a copy is not unloaded while some router may still record it as warm.
+        let idle_for = settings.grace_period.max(
+            settings
+                .belief_lifetime
+                .saturating_mul(MAX_RECORD_LIFETIMES),
+        );
         let used = self
             .state
-            .belief(function)
-            .is_some_and(|belief| belief.used_within(now, idle_for));
+            .record(function)
+            .is_some_and(|record| record.used_within(now, idle_for));
         let Some(reason) = unclaimed.filter(|_| !used && entry.busy.unwrap_or(0) == 0) else {
             self.state.clear_unclaimed(function);
             return;
@@ -343,7 +350,7 @@
             self.state.set_unclaimed(now, function, reason);
             self.report_drift(Some(function), kind, cause);
         }
-        // Where the worker does not tell for how long it was idle, it counts from when it was first seen so.
+        // If the worker does not report the idle time, it is counted from when the copy was first found unclaimed.
         let idle = entry.idle.unwrap_or(now - since);
         if now - since >= settings.grace_period && idle >= idle_for {
             let term = entry.term.clone();
@@ -351,7 +358,7 @@
         }
     }
 
-    /// Whether a difference may be believed now; if not, that is counted.
+    /// Whether a difference may be accepted now; if not, it is counted as left because of doubt.
     fn is_credible(&mut self, function: &Arc<str>, kind: DriftKind) -> bool {
         let credible = self.state.is_credible(function, kind);
         self.context.counts.left_doubted += u64::from(!credible);
--- a/crates/reconcile/src/reconciler/event.rs
+++ b/crates/reconcile/src/reconciler/event.rs
@@ -1,58 +1,59 @@
-//! What goes into a reconciler, and what comes out.
+//! The settings, inputs and outputs of a reconciler.
 
 use std::sync::Arc;
 
 use cedarpulley::interface::Micros;
 
 use super::ownership::Claims;
-use crate::belief::Change;
+use crate::copy_record::Change;
 use crate::drift::Drift;
 use crate::observation::Observation;
 
 /// The settings of a reconciler. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct ReconcilerSettings {
-    /// The name by which the members and the workers know this router.
+    /// The name of this router, as the members and the workers know it.
     pub router_name: Arc<str>,
-    /// The usual time between two polls of a worker.
+    /// The base interval between two polls of a worker.
     pub poll_interval: Micros,
-    /// What nobody claims is left alone for this long.
+    /// How long an unclaimed copy is left loaded.
     pub grace_period: Micros,
-    /// The balancer believes in a copy for this long after its last use.
+    /// How long after its last use the balancer expects a copy to be warm.
     pub belief_lifetime: Micros,
-    /// Polls a second, over all workers.
+    /// Polls per second, over all workers.
     pub polls_per_s: f64,
-    /// Repairs a second, over all workers.
+    /// Repairs per second, over all workers.
     pub repairs_per_s: f64,
-    /// Of the random times.
+    /// Seed of the random times.
     pub seed: u64,
 }
 
 /// A worker of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolledWorker {
-    /// As this router knows it.
+    /// This router's name for the worker.
     pub worker: Arc<str>,
-    /// As all members know it; another one once the list tells of another process.
+    /// The id by which all members know the worker; it changes when the list shows a new process.
     pub id: Arc<str>,
-    /// 0: unknown.
+    /// Memory in megabytes; 0 if unknown.
     pub memory_mb: f64,
 }
 
-/// What happened.
+/// An event for the reconciler.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// The endpoint list, whole.
+    /// The complete endpoint list.
     Workers(Vec<PolledWorker>),
-    /// The members that are believed alive, this one among them.
+    /// The members that are considered alive, including this router.
     Members(Vec<Arc<str>>),
-    /// What this router's own orders and dispatches show; what it leads to comes with the next input.
+    /// What the orders and dispatches of this router show about a function. It produces no output by itself; repairs and
+    /// polls that follow from it are put out at the next input.
     BeliefChanged {
         /// The worker.
         worker: &'a str,
         /// The function.
         function: &'a str,
-        /// What became known.
+        /// The change of the record.
         change: Change,
     },
     /// A worker's answer to a poll.
@@ -61,7 +62,7 @@
         worker: &'a str,
         /// When the poll was sent.
         began: Micros,
-        /// What it reported.
+        /// The reported observation.
         observation: Observation,
     },
     /// A worker did not answer a poll.
@@ -69,24 +70,24 @@
         /// The worker.
         worker: &'a str,
     },
-    /// Another member's note.
+    /// A note of another member was received.
     NoteReceived {
-        /// The worker, as all members know it.
+        /// The id by which all members know the worker.
         id: &'a str,
-        /// A later note has a higher version.
+        /// The version of the note; a later note has a higher version.
         version: (u64, u64),
-        /// The longest time it can have been under way.
+        /// The longest time for which the note can have been in transit, in microseconds.
         transit: Micros,
-        /// The note's bytes.
+        /// The encoded note.
         value: &'a [u8],
     },
-    /// What plans claim now.
+    /// The current claims of upgrade plans.
     Claims(Claims),
-    /// Time has passed.
+    /// Time has passed; [`super::Reconciler::next_due`] tells when this input is needed.
     Tick,
 }
 
-/// What is to be done.
+/// An action for the caller to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Poll a worker.
@@ -94,16 +95,16 @@
         /// The worker.
         worker: Arc<str>,
     },
-    /// Correct the balancer: so many copies are there, whatever was believed.
+    /// Set the number of copies in the balancer's record, whatever it was before.
     CorrectCopies {
         /// The worker.
         worker: Arc<str>,
         /// The function.
         function: Arc<str>,
-        /// How many copies.
+        /// Number of loaded copies.
         copies: u32,
     },
-    /// Ask the balancer for a load.
+    /// Request a load from the balancer.
     Load {
         /// The worker.
         worker: Arc<str>,
@@ -116,27 +117,27 @@
         worker: Arc<str>,
         /// The function.
         function: Arc<str>,
-        /// Of the plan for which it was loaded.
+        /// The term of the upgrade plan for which the function was loaded.
         term: Option<Arc<str>>,
     },
-    /// These sessions lose nothing by going elsewhere.
+    /// Release sessions whose prefix is lost: they lose nothing by moving to another worker.
     PrefixLost {
         /// The worker.
         worker: Arc<str>,
         /// The function.
         function: Arc<str>,
-        /// Sessions whose prefix is lost.
+        /// The released sessions.
         sessions: Vec<Arc<str>>,
     },
     /// Send a note to the other members.
     SendNote {
-        /// The worker, as all members know it.
+        /// The id by which all members know the worker.
         id: Arc<str>,
-        /// A later note has a higher version.
+        /// The version of the note; a later note has a higher version.
         version: (u64, u64),
-        /// The note's bytes.
+        /// The encoded note.
         value: Vec<u8>,
     },
-    /// A difference was found.
+    /// A drift was found.
     DriftFound(Drift),
 }
--- a/crates/reconcile/src/reconciler/observations.rs
+++ b/crates/reconcile/src/reconciler/observations.rs
@@ -1,26 +1,29 @@
-//! Notes between the members: what one heard of a worker, encoded for the others.
+//! Notes between the members: the report of a worker that one member polled, encoded for the others.
 //!
 //! Mechanisms:
-//! 1. A note tells for how long its report was under way, so that a receiver knows by its own clock from which
-//!    time it can be at the earliest.
-//! 2. A note is bounded: sessions are left out first, then functions, and that it was cut is told.
+//! 1. A note contains the age of its report when it was sent, so that a receiver can compute with its own clock the
+//!    earliest time at which the observation can have begun.
+//! 2. The size of a note is bounded: sessions are left out first, then functions, and the note is then marked as
+//!    truncated.
 
 use cedarpulley::interface::Micros;
 use serde::{Deserialize, Serialize};
 
 use crate::observation::Observation;
 
-/// Bytes of a note; sessions are left out first, then functions.
+/// Largest size of an encoded note, in bytes; sessions are left out first, then functions.
 const MAX_NOTE_BYTES: usize = 256 << 10;
-/// Functions that a note which was too long still names.
+/// Functions that remain in a note that is too large even without sessions.
 const MAX_TRUNCATED_ENTRIES: usize = 512;
 
-/// What goes from one member to the others. Encoded by postcard: the order of variants and fields is fixed.
+/// A message from one member to the others. Encoded by postcard, so the order of variants and fields is fixed.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Note {
-    /// A report that began so long before the note was sent, in microseconds.
+    /// A report of the worker.
     Observed {
+        /// Microseconds between the beginning of the observation and the sending of the note.
         ago: Micros,
+        /// The reported observation.
         observation: Observation,
     },
     /// The worker did not answer.
@@ -28,23 +31,23 @@
 }
 
 impl Note {
-    /// None for what is no note.
+    /// Decodes a note; `None` if the bytes are malformed.
     pub(super) fn decode(value: &[u8]) -> Option<Note> {
         postcard::from_bytes(value).ok()
     }
 
-    /// The bytes of a note of an unresponsive worker.
+    /// Encodes a note about an unresponsive worker.
     pub(super) fn encode_unresponsive() -> Option<Vec<u8>> {
         postcard::to_stdvec(&Note::Unresponsive).ok()
     }
 
-    /// The bytes of a note of a report, within the bound; None if it cannot be brought there.
+    /// Encodes a note with a report, truncated to the size limit; `None` if it cannot be truncated enough.
     pub(super) fn encode_observed(ago: Micros, observation: &Observation) -> Option<Vec<u8>> {
         let encode = |observation| postcard::to_stdvec(&Note::Observed { ago, observation }).ok();
         let fits = |value: &Vec<u8>| value.len() <= MAX_NOTE_BYTES;
-        let whole = encode(observation.clone())?;
-        if fits(&whole) {
-            return Some(whole);
+        let complete = encode(observation.clone())?;
+        if fits(&complete) {
+            return Some(complete);
         }
         let mut truncated = observation.clone();
         for entry in &mut truncated.entries {
--- a/crates/reconcile/src/reconciler/ownership.rs
+++ b/crates/reconcile/src/reconciler/ownership.rs
@@ -1,10 +1,9 @@
-//! Who owns a worker among the members, and who claims a copy there: a router that is alive, a plan that is under
-//! way, or whoever uses it.
+//! Which member is first for a worker, and whether a copy is claimed: by a router that is alive or by an upgrade plan
+//! in progress. (A use also claims a copy; `comparison` checks that.)
 //!
 //! Mechanisms:
-//! 1. A router that is gone, a plan that has ended, and a version that a plan has taken out of service claim
-//!    nothing.
-//! 2. An owner that has been gone for less than the grace period still counts as one when a repair is about to go.
+//! 1. A router that has left the group, a plan that has ended, and a plan that has retired the version claim nothing.
+//! 2. When a repair is about to be sent, an owner that left less than a grace period ago still counts as an owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,42 +13,43 @@
 use crate::observation::FunctionReport;
 use crate::polling::PollerRank;
 
-/// What plans of upgrades claim.
+/// What upgrade plans claim.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Claims {
-    /// Terms of plans that are under way.
+    /// Terms of plans that are in progress.
     pub terms: BTreeSet<Arc<str>>,
-    /// Functions that are claimed, whatever the term.
+    /// Functions that are claimed regardless of the term.
     pub functions: BTreeSet<Arc<str>>,
-    /// Versions that a plan has taken out of service.
+    /// Functions whose version a plan has retired.
     pub retired: BTreeSet<Arc<str>>,
 }
 
-/// Why nobody claims a copy.
+/// Why a copy is unclaimed.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum UnclaimedReason {
-    /// The router that ordered it is no member.
+    /// The router that ordered the copy is not a member.
     OwnerGone(Arc<str>),
-    /// The plan of this term is not under way.
+    /// The plan of this term is not in progress.
     PlanEnded(Arc<str>),
-    /// A plan has taken the version out of service.
+    /// A plan has retired the version.
     Retired,
 }
 
+/// The members of the group and the claims of upgrade plans, as this router knows them.
 #[derive(Debug)]
 pub(super) struct Ownership {
-    me: Arc<str>,
+    router_name: Arc<str>,
     grace_period: Micros,
     members: Vec<Arc<str>>,
-    /// Members that were alive once, since when they are not.
+    /// Former members, and since when they are no longer considered alive.
     departed: BTreeMap<Arc<str>, Micros>,
     claims: Option<Claims>,
 }
 
 impl Ownership {
-    pub(super) fn new(me: Arc<str>, grace_period: Micros) -> Self {
+    pub(super) fn new(router_name: Arc<str>, grace_period: Micros) -> Self {
         Ownership {
-            me,
+            router_name,
             grace_period,
             members: Vec::new(),
             departed: BTreeMap::new(),
@@ -57,18 +57,20 @@
         }
     }
 
-    /// This router's rank for a worker.
+    /// The rank of this router for a worker.
     pub(super) fn rank(&self, id: &str) -> PollerRank {
-        PollerRank::of(id, &self.me, &self.members)
+        PollerRank::of(id, &self.router_name, &self.members)
     }
 
-    pub(super) fn is_me(&self, member: &str) -> bool {
-        *self.me == *member
+    pub(super) fn is_own_name(&self, member: &str) -> bool {
+        *self.router_name == *member
     }
 
-    /// Whether there are other members.
+    /// Whether the group has other members.
     pub(super) fn has_peers(&self) -> bool {
-        self.members.iter().any(|member| *member != self.me)
+        self.members
+            .iter()
+            .any(|member| *member != self.router_name)
     }
 
     pub(super) fn set_members(&mut self, now: Micros, members: Vec<Arc<str>>) {
@@ -85,7 +87,7 @@
         self.claims = Some(claims);
     }
 
-    /// Why no router and no plan claims a copy, if none does.
+    /// Why no router and no plan claims a copy; `None` if it is claimed.
     pub(super) fn unclaimed_reason(&self, entry: &FunctionReport) -> Option<UnclaimedReason> {
         if let Some(claims) = &self.claims {
             if claims.functions.contains(&entry.function) {
@@ -100,13 +102,16 @@
                 None => {}
             }
         }
-        let owner = entry.ordered_by.as_ref().filter(|by| **by != self.me)?;
-        // Without a group nothing is known of others.
+        let owner = entry
+            .ordered_by
+            .as_ref()
+            .filter(|by| **by != self.router_name)?;
+        // Without a group this router does not know whether other routers are alive.
         let gone = !self.members.is_empty() && !self.members.contains(owner);
         gone.then(|| UnclaimedReason::OwnerGone(owner.clone()))
     }
 
-    /// Whether somebody claims the function by now, though nobody did for this reason.
+    /// Whether `reason`, for which the function was unclaimed, no longer applies at `now`.
     pub(super) fn is_claimed_again(
         &self,
         now: Micros,
@@ -116,11 +121,11 @@
         let claims = self.claims.as_ref();
         match reason {
             UnclaimedReason::OwnerGone(owner) => {
-                let lately = self
+                let left_recently = self
                     .departed
                     .get(owner)
                     .is_some_and(|since| now - since < self.grace_period);
-                self.members.contains(owner) || lately
+                self.members.contains(owner) || left_recently
             }
             UnclaimedReason::PlanEnded(term) => {
                 claims.is_some_and(|c| c.terms.contains(term) || c.functions.contains(function))
--- a/crates/reconcile/src/reconciler/schedule.rs
+++ b/crates/reconcile/src/reconciler/schedule.rs
@@ -1,11 +1,12 @@
-//! When each worker is polled. This type owns the times; which rank this router has for a worker comes from
-//! `ownership`, the interval from [`crate::polling`].
+//! When each worker is polled. [`PollSchedule`] owns the times; the rank of this router for a worker comes from
+//! `ownership`, and the interval from [`crate::polling`].
 //!
 //! Mechanisms:
-//! 1. A router that becomes the first for a worker polls it soon; one that no longer is waits at least as long.
-//! 2. The second in rank, or a later one, polls only once nothing was heard of the worker for as many times the
-//!    takeover time; while a poll of its own is in flight, a router does not poll again until that counts as lost.
-//! 3. When the rate limit is reached, all that is due waits, in order.
+//! 1. A router that becomes first for a worker polls it within about one base interval; a router that gets another
+//!    lower rank waits at least that long.
+//! 2. A router at position n > 0 polls only if no poll of any member had a result for n times the takeover time. While
+//!    a poll is in flight, a router does not poll the worker again until that poll counts as lost.
+//! 3. When the rate limit is reached, all due polls wait, in the order of their times.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,19 +18,22 @@
     PollInterval, PollResult, PollerRank, RateLimit, SeededRandom, takeover_after,
 };
 
-/// An answer that has not come by then never does: whoever polls gives up long before.
-const POLL_LOST_AFTER: Micros = 30_000_000;
+/// A poll without an answer after this long (microseconds) counts as lost: the sender of the poll times out much
+/// earlier.
+const POLL_LOST_AFTER_US: Micros = 30_000_000;
 
+/// The poll times of one worker.
 #[derive(Debug)]
 struct WorkerPolls {
     rank: PollerRank,
     interval: PollInterval,
     due: Micros,
-    last_heard: Micros,
-    /// When the poll that is in flight was sent.
+    last_poll_result_at: Micros,
+    /// When the poll in flight was sent.
     in_flight_since: Option<Micros>,
 }
 
+/// The poll times of all workers, and the rate limit of this router.
 #[derive(Debug)]
 pub(super) struct PollSchedule {
     interval: Micros,
@@ -48,8 +52,8 @@
         }
     }
 
-    /// Adds a worker, polled first within the usual interval; sooner if it has just restarted, as it then holds
-    /// nothing that is worth waiting for.
+    /// Adds a worker. It is polled first within the base interval, or within an eighth of it if it has just restarted,
+    /// because its records are then empty and there is no reason to wait.
     pub(super) fn insert(
         &mut self,
         now: Micros,
@@ -68,7 +72,7 @@
             rank,
             interval: PollInterval::new(self.interval),
             due,
-            last_heard: now,
+            last_poll_result_at: now,
             in_flight_since: None,
         };
         self.by_time.insert((due, worker.clone()));
@@ -81,7 +85,7 @@
         }
     }
 
-    /// This router's rank for a worker of the list.
+    /// The rank of this router for a worker of the endpoint list.
     pub(super) fn rank(&self, worker: &str) -> Option<PollerRank> {
         self.workers.get(worker).map(|polls| polls.rank)
     }
@@ -90,9 +94,11 @@
         self.rank(worker).is_some_and(PollerRank::is_first)
     }
 
-    /// When a worker of the list was last heard of.
-    pub(super) fn last_heard(&self, worker: &str) -> Option<Micros> {
-        self.workers.get(worker).map(|polls| polls.last_heard)
+    /// When a poll of a worker of the endpoint list last had a result, from this router or in a note.
+    pub(super) fn last_poll_result_at(&self, worker: &str) -> Option<Micros> {
+        self.workers
+            .get(worker)
+            .map(|polls| polls.last_poll_result_at)
     }
 
     pub(super) fn set_rank(
@@ -118,21 +124,21 @@
         self.reschedule(worker, due);
     }
 
-    /// The poll in flight ended, with an answer or without.
+    /// The poll in flight ended, with or without an answer.
     pub(super) fn on_poll_ended(&mut self, worker: &str) {
         if let Some(polls) = self.workers.get_mut(worker) {
             polls.in_flight_since = None;
         }
     }
 
-    /// Something was heard of the worker, by a poll or a note.
-    pub(super) fn on_heard(&mut self, now: Micros, worker: &str) {
+    /// Records a poll result, from this router's own poll or from a note of another member.
+    pub(super) fn on_poll_result(&mut self, now: Micros, worker: &str) {
         if let Some(polls) = self.workers.get_mut(worker) {
-            polls.last_heard = now;
+            polls.last_poll_result_at = now;
         }
     }
 
-    /// Sets the time of the next poll after one that led to `result`.
+    /// Sets the time of the next poll after a poll with this result.
     pub(super) fn schedule_next(
         &mut self,
         now: Micros,
@@ -143,11 +149,11 @@
         let Some(polls) = self.workers.get_mut(worker) else {
             return;
         };
-        let due = now + random.jittered(polls.interval.after(result));
+        let due = now + random.jittered(polls.interval.next_interval(result));
         self.reschedule(worker, due);
     }
 
-    /// Sends the polls that are due.
+    /// Sends the due polls, as far as the rate limit allows.
     pub(super) fn poll_due(&mut self, now: Micros, counts: &mut Counts, out: &mut Vec<Output>) {
         while let Some((due, worker)) = self.by_time.first().cloned()
             && due <= now
@@ -158,9 +164,9 @@
             };
             let is_first = polls.rank.is_first();
             let takeover = takeover_after(self.interval);
-            let takeover =
-                polls.last_heard + takeover.saturating_mul(Micros::from(polls.rank.position()));
-            let lost = polls.in_flight_since.map(|sent| sent + POLL_LOST_AFTER);
+            let takeover = polls.last_poll_result_at
+                + takeover.saturating_mul(Micros::from(polls.rank.position()));
+            let lost = polls.in_flight_since.map(|sent| sent + POLL_LOST_AFTER_US);
             let not_before = lost
                 .into_iter()
                 .chain((!is_first).then_some(takeover))
@@ -170,23 +176,23 @@
                 self.reschedule(&worker, later);
                 continue;
             }
-            if !self.rate_limit.take(now) {
+            if !self.rate_limit.try_take(now) {
                 counts.asks_put_off += 1;
                 return;
             }
             polls.in_flight_since = Some(now);
             counts.asks += 1;
             counts.asks_for_another += u64::from(!is_first);
-            self.reschedule(&worker, now + POLL_LOST_AFTER);
+            self.reschedule(&worker, now + POLL_LOST_AFTER_US);
             out.push(Output::Poll { worker });
         }
     }
 
-    /// When a poll is due next; `Micros::MAX` without workers.
+    /// When the next poll is due; `Micros::MAX` without workers.
     pub(super) fn next_due(&self) -> Micros {
-        self.by_time
-            .first()
-            .map_or(Micros::MAX, |(due, _)| (*due).max(self.rate_limit.due()))
+        self.by_time.first().map_or(Micros::MAX, |(due, _)| {
+            (*due).max(self.rate_limit.next_token_at())
+        })
     }
 
     fn reschedule(&mut self, worker: &Arc<str>, due: Micros) {
--- a/crates/reconcile/src/reconciler/status.rs
+++ b/crates/reconcile/src/reconciler/status.rs
@@ -1,9 +1,9 @@
-//! What is counted, and what is shown to whoever operates the router: [`Counts`] grow as things happen,
-//! [`WorkerStatus`] is one worker's part of `/state`. No decision reads anything of it back.
+//! Counts and status for operators: [`Counts`] only grow, and [`WorkerStatus`] is the part of `/state` about one
+//! worker. No decision reads them.
 //!
 //! Mechanisms:
-//! 1. Each kind of difference has its count; what was left alone is counted by the reason.
-//! 2. Of a worker with many functions, the first by name are shown.
+//! 1. Each kind of drift has its own count; differences that are not corrected are counted by reason.
+//! 2. If a worker has many functions, only the first ones by name are shown.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,41 +15,41 @@
 use super::worker_state::{DriftTally, WorkerState};
 use crate::drift::{DRIFT_KINDS, DriftKind};
 
-/// Functions that are shown of a worker.
-const MAX_SHOWN: usize = 100;
+/// Most functions that are shown for a worker.
+const MAX_SHOWN_FUNCTIONS: usize = 100;
 
-/// All that was seen and done since the start. The fields' names are metric names and keys of `/state`.
+/// Counts since the start. The field names are part of metric names and keys of `/state`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// Polls sent.
     pub asks: u64,
-    /// Polls in place of a member before this one in rank.
+    /// Polls sent in place of a member with a lower rank position.
     pub asks_for_another: u64,
-    /// Times that a poll waited for the rate limit.
+    /// Times that due polls were delayed by the rate limit.
     pub asks_put_off: u64,
     /// Polls that were answered.
     pub answers: u64,
     /// Polls without an answer.
     pub silences: u64,
-    /// Notes of other members.
+    /// Notes received from other members.
     pub notes: u64,
-    /// Notes that are malformed.
+    /// Malformed notes.
     pub notes_unreadable: u64,
-    /// Notes older than what was taken already.
+    /// Notes with a version that is not newer than the last accepted one.
     pub notes_old: u64,
-    /// Reports that began before the last that was taken.
+    /// Reports that did not begin after the last accepted report.
     pub void_older: u64,
-    /// Reports of an earlier incarnation.
+    /// Void reports of an earlier or unconfirmed incarnation.
     pub void_of_earlier_process: u64,
-    /// Differences left alone because the belief changed after the report began.
+    /// Differences not corrected because the record changed after the report began.
     pub left_belief_newer: u64,
-    /// Differences left alone because a load was under way.
+    /// Differences not corrected because a load was in progress.
     pub left_under_load: u64,
-    /// Differences left alone because the worker is doubted.
+    /// Differences not corrected because the worker is doubted.
     pub left_doubted: u64,
     /// Contradictions within reports.
     pub contradictions: u64,
-    /// Reports refuted by an invocation's outcome.
+    /// Reports refuted by the outcome of an invocation.
     pub refuted: u64,
     /// Drifts of [`DriftKind::Phantom`].
     pub phantom: u64,
@@ -65,11 +65,11 @@
     pub prefix_lost: u64,
     /// Drifts of [`DriftKind::Orphan`].
     pub orphan: u64,
-    /// Beliefs corrected.
+    /// Records corrected.
     pub corrected: u64,
-    /// Beliefs renewed.
+    /// Records renewed.
     pub renewed: u64,
-    /// Loads asked for.
+    /// Loads requested.
     pub wanted: u64,
     /// Unloads ordered.
     pub unloaded: u64,
@@ -77,7 +77,7 @@
     pub sessions_let_go: u64,
     /// Repairs dropped because the queue was full.
     pub repairs_dropped: u64,
-    /// Beliefs beyond the bound.
+    /// Changes and reported entries that were ignored because the number of records is at its limit.
     pub beliefs_left_out: u64,
 }
 
@@ -96,33 +96,33 @@
     }
 }
 
-/// One worker, as an operator sees it.
+/// The status of one worker, for operators.
 #[derive(Debug, Serialize)]
 pub struct WorkerStatus<'a> {
-    /// As this router knows it.
+    /// This router's name for the worker.
     pub worker: &'a str,
-    /// As all members know it.
+    /// The id by which all members know the worker.
     pub id: &'a str,
-    /// 0: this router polls it.
+    /// The position of this router in the ranking; at 0 it polls the worker.
     pub rank: u32,
-    /// Of its process, where it tells one.
+    /// The incarnation of the worker process, if reported.
     #[serde(rename = "life")]
     pub incarnation: Option<u64>,
-    /// 0: its reports are believed at once.
+    /// The level of doubt; at 0 differences in reports are accepted at once.
     pub doubt: u8,
-    /// Microseconds since something was heard of it.
+    /// Microseconds since the last result of a poll of the worker, from this router or in a note.
     #[serde(rename = "heard_us_ago")]
-    pub last_heard_us_ago: Micros,
-    /// Functions of which copies are believed to be there, the first of them by name.
+    pub last_poll_result_us_ago: Micros,
+    /// Functions that are recorded as warm; the first ones by name if there are many.
     #[serde(rename = "believes")]
-    pub believed: Vec<&'a str>,
-    /// Its reports that were taken in, from own polls or as others noted them.
+    pub recorded_warm: Vec<&'a str>,
+    /// Number of reports, from own polls and from notes of other members, without those older than the last accepted one.
     #[serde(rename = "answers")]
     pub reports: u64,
-    /// Drifts found, by kind.
+    /// Number of drifts found, by kind.
     #[serde(rename = "found")]
     pub drifts: BTreeMap<DriftKind, u64>,
-    /// By which report each kind was found last.
+    /// The number of the report in which each kind was last found.
     #[serde(rename = "found_by")]
     pub last_found_by: BTreeMap<DriftKind, u64>,
 }
@@ -147,11 +147,11 @@
             rank: schedule.rank(worker).map_or(0, |rank| rank.position()),
             incarnation: state.incarnation(),
             doubt: state.doubt(),
-            last_heard_us_ago: now - schedule.last_heard(worker).unwrap_or(now),
-            believed: state
-                .believed(now)
+            last_poll_result_us_ago: now - schedule.last_poll_result_at(worker).unwrap_or(now),
+            recorded_warm: state
+                .recorded_warm(now)
                 .map(|(function, _)| &**function)
-                .take(MAX_SHOWN)
+                .take(MAX_SHOWN_FUNCTIONS)
                 .collect(),
             reports: state.reports(),
             drifts: by_kind(|tally| tally.found),
--- a/crates/reconcile/src/reconciler/trust.rs
+++ b/crates/reconcile/src/reconciler/trust.rs
@@ -1,61 +1,67 @@
-//! Which reports of a worker count: those of its present incarnation, as far as they are not doubted.
+//! Which reports of a worker are accepted: those of its current incarnation, as far as they are not doubted.
 //!
 //! Mechanisms:
-//! 1. A report of an earlier incarnation is void; that such a one is back counts once it was reported twice.
-//! 2. Doubt grows with each contradiction, up to a bound; while it lasts, a difference counts once two reports
-//!    in a row show it.
+//! 1. A report of an earlier incarnation is void. The worker is accepted to be that incarnation again only when two
+//!    successive reports say so.
+//! 2. Doubt increases with each contradiction, up to a bound. While a worker is doubted, a difference is accepted when
+//!    two successive reports show it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use crate::drift::DriftKind;
 
-/// Doubt that one contradiction adds, that one refutation adds, and at most: so many consistent reports lift it.
+/// Levels of doubt: added by a contradiction, added by a refutation, and the largest one. Each consistent report lowers
+/// the level by 1.
 const CONTRADICTION_DOUBT: u8 = 2;
 const REFUTATION_DOUBT: u8 = 1;
 const MAX_DOUBT: u8 = 8;
-/// Earlier incarnations of a worker that are remembered.
-const MAX_FORMER: usize = 8;
+/// Most earlier incarnations of a worker that are remembered.
+const MAX_FORMER_INCARNATIONS: usize = 8;
 
-/// Where a report comes from.
+/// The source of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReportSource {
+    /// The answer to a poll of this router.
     OwnPoll,
+    /// A note of another member.
     PeerNote,
 }
 
-/// Of which incarnation a report that counts is.
+/// The incarnation from which an accepted report originates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReportOrigin {
+    /// The current one, the first one known of the worker, or one that the worker does not report.
     KnownIncarnation,
+    /// A different one from the one before: the worker was restarted.
     NewIncarnation,
 }
 
-/// How far a worker's reports are doubted.
+/// The doubt about the reports of a worker.
 #[derive(Debug, Default)]
 pub(super) struct Doubt {
     level: u8,
-    /// Differences that were reported while it was doubted, and in which report.
+    /// Differences that were reported while the worker was doubted, and the number of the last report with each.
     unconfirmed: BTreeMap<(Arc<str>, DriftKind), u64>,
 }
 
 impl Doubt {
-    /// 0: reports are believed at once.
+    /// The level of doubt; at 0 differences in reports are accepted at once.
     pub(super) fn level(&self) -> u8 {
         self.level
     }
 
-    /// A report contradicted itself, or an earlier one.
+    /// Records that a report contradicted itself or an earlier one.
     pub(super) fn on_contradiction(&mut self) {
         self.add(CONTRADICTION_DOUBT);
     }
 
-    /// An invocation refuted a report.
+    /// Records that an invocation refuted a report.
     pub(super) fn on_refuted(&mut self) {
         self.add(REFUTATION_DOUBT);
     }
 
-    /// True if a difference in the report of this number may be believed now.
+    /// Whether a difference in the report with this number may be accepted now.
     pub(super) fn is_credible(
         &mut self,
         function: &Arc<str>,
@@ -69,7 +75,7 @@
         before.is_some_and(|earlier| earlier + 1 == report)
     }
 
-    /// The report of this number was compared to the end.
+    /// Records that the comparison of the report with this number is complete.
     pub(super) fn on_compared(&mut self, report: u64, was_consistent: bool) {
         self.unconfirmed.retain(|_, last| *last == report);
         if was_consistent {
@@ -82,12 +88,12 @@
     }
 }
 
-/// The process of a worker, and those before it.
+/// The current incarnation of a worker and its earlier ones.
 #[derive(Debug, Default)]
 pub(super) struct Incarnations {
     current: Option<u64>,
     former: Vec<u64>,
-    /// Another than the current one, reported once.
+    /// An incarnation other than the current one that was reported once and awaits confirmation.
     unconfirmed: Option<u64>,
 }
 
@@ -96,7 +102,7 @@
         self.current
     }
 
-    /// All of them as former ones, for another process behind the same name.
+    /// Turns all incarnations into former ones, for a new process under the same name.
     pub(super) fn into_former(mut self) -> Incarnations {
         self.former.extend(self.current);
         Incarnations {
@@ -105,8 +111,8 @@
         }
     }
 
-    /// None if the report is void.
-    /// Symptom: a worker was restarted at the same address, and answers of its old process are still under way.
+    /// Identifies the incarnation of a report; `None` if the report is void. Without this, after a restart at the same
+    /// address, answers of the old process that are still in transit would be accepted.
     pub(super) fn identify(
         &mut self,
         incarnation: Option<u64>,
@@ -122,10 +128,10 @@
         }
         let is_former = self.former.contains(&incarnation);
         if is_former && source == ReportSource::OwnPoll && unconfirmed.is_none() {
-            // It was over, or so it was reported.
+            // An earlier report, or the endpoint list, implied that this incarnation had ended.
             doubt.on_contradiction();
         }
-        // A doubted report, and one that an earlier incarnation is back, counts once it came twice.
+        // A change of incarnation must be reported twice if the worker is doubted or if it returns to an earlier one.
         if (is_former || doubt.level > 0) && unconfirmed != Some(incarnation) {
             self.unconfirmed = Some(incarnation);
             return None;
@@ -133,7 +139,7 @@
         let before = self.current.replace(incarnation);
         self.former.retain(|former| *former != incarnation);
         self.former.extend(before);
-        if self.former.len() > MAX_FORMER {
+        if self.former.len() > MAX_FORMER_INCARNATIONS {
             self.former.remove(0);
         }
         Some(if before.is_some() {
--- a/crates/reconcile/src/reconciler/worker_state.rs
+++ b/crates/reconcile/src/reconciler/worker_state.rs
@@ -1,5 +1,4 @@
-//! What is known of one worker: its incarnations, how far its reports are doubted, and what is believed of its
-//! functions.
+//! What is known of one worker: its incarnations, the doubt about its reports, and the records of its functions.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,33 +7,34 @@
 
 use super::ownership::UnclaimedReason;
 use super::trust::{Doubt, Incarnations, ReportOrigin, ReportSource};
-use super::worker_table::BeliefBudget;
+use super::worker_table::RecordBudget;
 use super::{Counts, PolledWorker};
-use crate::belief::{Belief, Change};
+use crate::copy_record::{Change, CopyRecord};
 use crate::drift::{DRIFT_KINDS, DriftKind};
 use crate::observation::Observation;
 
-/// How often a kind of drift was found, and in which report last.
+/// How often a kind of drift was found, and the number of the report in which it was last found.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DriftTally {
     pub(super) found: u64,
     pub(super) last_report: u64,
 }
 
+/// The state of one worker of the endpoint list.
 #[derive(Debug)]
 pub(super) struct WorkerState {
     id: Arc<str>,
     memory_mb: f64,
     incarnations: Incarnations,
     doubt: Doubt,
-    /// Of the last note about it: changes of its incarnation, and reports.
+    /// Version of the last note about the worker: number of incarnation changes, and number of notes.
     version: (u64, u64),
-    last_began: Micros,
+    last_report_began: Micros,
     reports: u64,
-    beliefs: BTreeMap<Arc<str>, Belief>,
-    /// Copies that nobody claims: since when, and why.
+    records: BTreeMap<Arc<str>, CopyRecord>,
+    /// Functions with unclaimed copies: since when, and why.
     unclaimed: BTreeMap<Arc<str>, (Micros, UnclaimedReason)>,
-    /// The last report of this incarnation, without what contradicts itself.
+    /// The last report of this incarnation, without contradictory entries.
     observed: Option<Observation>,
     drifts: [DriftTally; DRIFT_KINDS.len()],
 }
@@ -47,24 +47,24 @@
             incarnations: Incarnations::default(),
             doubt: Doubt::default(),
             version: (0, 0),
-            last_began: Micros::MIN,
+            last_report_began: Micros::MIN,
             reports: 0,
-            beliefs: BTreeMap::new(),
+            records: BTreeMap::new(),
             unclaimed: BTreeMap::new(),
             observed: None,
             drifts: [DriftTally::default(); DRIFT_KINDS.len()],
         }
     }
 
-    /// Takes over what stays true of the process before it.
-    pub(super) fn inherit(&mut self, before: WorkerState) {
+    /// Takes over from the previous process what remains valid: the incarnations and the drift counts.
+    pub(super) fn inherit_from(&mut self, before: WorkerState) {
         self.incarnations = before.incarnations.into_former();
         for (tally, earlier) in self.drifts.iter_mut().zip(before.drifts) {
             tally.found = earlier.found;
         }
     }
 
-    /// Of which incarnation a report is, unless it is void; what is void is counted.
+    /// The incarnation from which a report originates; `None` if the report is void, which is counted.
     pub(super) fn accept(
         &mut self,
         began: Micros,
@@ -72,7 +72,7 @@
         source: ReportSource,
         counts: &mut Counts,
     ) -> Option<ReportOrigin> {
-        if began <= self.last_began {
+        if began <= self.last_report_began {
             counts.void_older += 1;
             return None;
         }
@@ -86,25 +86,25 @@
         origin
     }
 
-    /// Keeps what was reported last, and when that began.
+    /// Stores the last report and when its observation began.
     pub(super) fn set_observed(&mut self, began: Micros, observation: Observation) {
-        self.last_began = began;
+        self.last_report_began = began;
         self.observed = Some(observation);
     }
 
-    /// The last report, and when it began.
+    /// The last report, and when its observation began.
     pub(super) fn observed(&self) -> Option<(Micros, &Observation)> {
-        Some((self.last_began, self.observed.as_ref()?))
+        Some((self.last_report_began, self.observed.as_ref()?))
     }
 
-    /// The version of the next note about a report, which is taken for given.
+    /// Advances to the version of the next note and returns it.
     pub(super) fn next_version(&mut self, is_new_incarnation: bool) -> (u64, u64) {
         self.version.0 += u64::from(is_new_incarnation);
         self.version.1 += 1;
         self.version
     }
 
-    /// False if a note of this version or a later one was taken already.
+    /// Whether this version is newer than that of the last note sent or accepted.
     pub(super) fn is_newer(&self, version: (u64, u64)) -> bool {
         version > self.version
     }
@@ -113,65 +113,70 @@
         self.version = version;
     }
 
-    /// Applies what this router saw by itself; what is beyond the bound on beliefs is counted.
-    pub(super) fn change(
+    /// Applies a change that this router observed itself; a change for which the limit leaves no record is counted.
+    pub(super) fn apply_change(
         &mut self,
         now: Micros,
         lifetime: Micros,
         function: &str,
         change: Change,
-        budget: &mut BeliefBudget,
+        budget: &mut RecordBudget,
         counts: &mut Counts,
     ) {
-        if !self.follow(function, budget) {
+        if !self.ensure_record(function, budget) {
             counts.beliefs_left_out += 1;
             return;
         }
         let refuted = self
-            .beliefs
+            .records
             .get_mut(function)
-            .is_some_and(|belief| belief.change(now, lifetime, change));
+            .is_some_and(|record| record.apply(now, lifetime, change));
         if refuted {
             counts.refuted += 1;
             self.doubt.on_refuted();
         }
     }
 
-    /// True if what is believed of the function is followed.
-    pub(super) fn follow(
+    /// Creates a record for the function if it has none and the limit allows it. Returns whether it has one.
+    pub(super) fn ensure_record(
         &mut self,
         function: impl AsRef<str> + Into<Arc<str>>,
-        budget: &mut BeliefBudget,
+        budget: &mut RecordBudget,
     ) -> bool {
-        if self.beliefs.contains_key(function.as_ref()) {
+        if self.records.contains_key(function.as_ref()) {
             return true;
         }
         let reserved = budget.reserve();
         if reserved {
-            self.beliefs.insert(function.into(), Belief::default());
+            self.records.insert(function.into(), CopyRecord::default());
         }
         reserved
     }
 
-    /// Forgets beliefs of which nothing is lost.
-    pub(super) fn forget_idle(&mut self, now: Micros, lifetime: Micros, budget: &mut BeliefBudget) {
-        let before = self.beliefs.len();
-        self.beliefs
-            .retain(|_, belief| !belief.is_idle(now, lifetime));
-        budget.release(before - self.beliefs.len());
+    /// Removes the records that contain no information any more.
+    pub(super) fn remove_idle_records(
+        &mut self,
+        now: Micros,
+        lifetime: Micros,
+        budget: &mut RecordBudget,
+    ) {
+        let before = self.records.len();
+        self.records
+            .retain(|_, record| !record.is_idle(now, lifetime));
+        budget.release(before - self.records.len());
     }
 
-    /// True if this difference may be believed now.
+    /// Whether this difference may be accepted now.
     pub(super) fn is_credible(&mut self, function: &Arc<str>, kind: DriftKind) -> bool {
         self.doubt.is_credible(function, kind, self.reports)
     }
 
-    /// The report contradicted itself.
+    /// Records that the report contradicted itself.
     pub(super) fn on_contradiction(&mut self) {
         self.doubt.on_contradiction();
     }
 
-    /// A report was compared to the end.
+    /// Records that the comparison of a report is complete.
     pub(super) fn on_compared(&mut self, was_consistent: bool) {
         self.doubt.on_compared(self.reports, was_consistent);
     }
@@ -182,7 +187,7 @@
         tally.last_report = self.reports;
     }
 
-    /// Since when nobody claims the function's copies for this reason.
+    /// Since when the copies of the function have been unclaimed for this reason.
     pub(super) fn unclaimed_since(
         &self,
         function: &str,
@@ -215,24 +220,27 @@
         self.unclaimed.retain(|function, _| keep(function));
     }
 
-    pub(super) fn belief(&self, function: &str) -> Option<&Belief> {
-        self.beliefs.get(function)
+    pub(super) fn record(&self, function: &str) -> Option<&CopyRecord> {
+        self.records.get(function)
     }
 
-    pub(super) fn belief_mut(&mut self, function: &str) -> Option<&mut Belief> {
-        self.beliefs.get_mut(function)
+    pub(super) fn record_mut(&mut self, function: &str) -> Option<&mut CopyRecord> {
+        self.records.get_mut(function)
     }
 
-    /// Functions of which copies are believed to be there, by name.
-    pub(super) fn believed(&self, now: Micros) -> impl Iterator<Item = (&Arc<str>, &Belief)> {
-        self.beliefs
+    /// Functions that are recorded as warm, in the order of their names.
+    pub(super) fn recorded_warm(
+        &self,
+        now: Micros,
+    ) -> impl Iterator<Item = (&Arc<str>, &CopyRecord)> {
+        self.records
             .iter()
-            .filter(move |(_, belief)| belief.is_believed(now))
+            .filter(move |(_, record)| record.is_warm(now))
     }
 
-    /// Functions whose beliefs are followed.
-    pub(super) fn followed(&self) -> usize {
-        self.beliefs.len()
+    /// Number of functions that have a record.
+    pub(super) fn record_count(&self) -> usize {
+        self.records.len()
     }
 
     pub(super) fn set_memory_mb(&mut self, memory_mb: f64) {
@@ -255,7 +263,7 @@
         self.doubt.level()
     }
 
-    /// Reports that were taken in.
+    /// Number of reports that were not older than the last accepted one.
     pub(super) fn reports(&self) -> u64 {
         self.reports
     }
--- a/crates/reconcile/src/reconciler/worker_table.rs
+++ b/crates/reconcile/src/reconciler/worker_table.rs
@@ -1,5 +1,5 @@
-//! All workers of the endpoint list, and the bound on the beliefs about all of them together: what is beyond is not
-//! followed.
+//! All workers of the endpoint list, and the limit on the number of records of all workers together: functions beyond
+//! the limit get no record.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,35 +7,35 @@
 use super::PolledWorker;
 use super::worker_state::WorkerState;
 
-/// Beliefs over all workers; what is beyond is not followed, and counted.
-const MAX_BELIEFS: usize = 200_000;
+/// Most records of all workers together; functions above the limit get no record, and that is counted.
+const MAX_RECORDS: usize = 200_000;
 
-/// Beliefs of all workers, against their bound.
+/// The number of records of all workers, which is kept within [`MAX_RECORDS`].
 #[derive(Debug, Default)]
-pub(super) struct BeliefBudget(usize);
+pub(super) struct RecordBudget(usize);
 
-impl BeliefBudget {
+impl RecordBudget {
     pub(super) fn reserve(&mut self) -> bool {
-        let fits = self.0 < MAX_BELIEFS;
+        let fits = self.0 < MAX_RECORDS;
         self.0 += usize::from(fits);
         fits
     }
 
-    pub(super) fn release(&mut self, beliefs: usize) {
-        self.0 -= beliefs;
+    pub(super) fn release(&mut self, records: usize) {
+        self.0 -= records;
     }
 }
 
-/// All workers of the list, by this router's name for them.
+/// All workers of the endpoint list, by this router's names for them.
 #[derive(Debug, Default)]
 pub(super) struct WorkerTable {
     workers: BTreeMap<Arc<str>, WorkerState>,
     by_id: BTreeMap<Arc<str>, Arc<str>>,
-    budget: BeliefBudget,
+    budget: RecordBudget,
 }
 
 impl WorkerTable {
-    /// Updates a worker that is known by this name and id; false if there is none.
+    /// Updates the worker with this name and id; returns false if there is none.
     pub(super) fn update(&mut self, listed: &PolledWorker) -> bool {
         let known = self
             .workers
@@ -48,11 +48,11 @@
         true
     }
 
-    /// Adds a worker; `before` is the process that had its name.
+    /// Adds a worker; `before` is the state of the previous process with its name.
     pub(super) fn insert(&mut self, listed: &PolledWorker, before: Option<WorkerState>) {
         let mut state = WorkerState::new(listed);
         if let Some(before) = before {
-            state.inherit(before);
+            state.inherit_from(before);
         }
         self.by_id.insert(listed.id.clone(), listed.worker.clone());
         self.workers.insert(listed.worker.clone(), state);
@@ -61,7 +61,7 @@
     pub(super) fn remove(&mut self, worker: &str) -> Option<WorkerState> {
         let state = self.workers.remove(worker)?;
         self.by_id.remove(state.id());
-        self.budget.release(state.followed());
+        self.budget.release(state.record_count());
         Some(state)
     }
 
@@ -72,7 +72,7 @@
     pub(super) fn get_mut(
         &mut self,
         worker: &str,
-    ) -> Option<(Arc<str>, &mut WorkerState, &mut BeliefBudget)> {
+    ) -> Option<(Arc<str>, &mut WorkerState, &mut RecordBudget)> {
         let name = self.workers.get_key_value(worker)?.0.clone();
         let state = self.workers.get_mut(worker)?;
         Some((name, state, &mut self.budget))
--- a/crates/reconcile/tests/drift_kinds.rs
+++ b/crates/reconcile/tests/drift_kinds.rs
@@ -185,7 +185,9 @@
     let flushed = router.says(&[]);
     let cause = |o: &&Output| **o == found(DriftKind::Phantom, DriftCause::Flushed, "busy");
     assert!(flushed.iter().any(|o| cause(&o)), "{flushed:?}");
-    assert!(!router.reconciler.is_believed("w", "idle") && router.reconciler.counts.wanted >= 1);
+    assert!(
+        !router.reconciler.is_recorded_warm("w", "idle") && router.reconciler.counts.wanted >= 1
+    );
     // Nothing is found twice.
     assert_eq!(router.says(&[]), []);
 }
@@ -202,7 +204,10 @@
         ["a", "b", "c"].map(|f| lately(&router, f)),
         [true, false, false]
     );
-    assert!(router.reconciler.is_believed("w", "b") && router.reconciler.is_believed("w", "c"));
+    assert!(
+        router.reconciler.is_recorded_warm("w", "b")
+            && router.reconciler.is_recorded_warm("w", "c")
+    );
     router.used("b");
     router.says(&[one("a")]);
     assert_eq!(["a", "b"].map(|f| lately(&router, f)), [true, false]);
@@ -210,7 +215,7 @@
     router.pass(KEPT - 8 * S);
     router.says(&[one("a")]);
     router.pass(8 * S);
-    assert!(router.reconciler.is_believed("w", "a") && !lately(&router, "a"));
+    assert!(router.reconciler.is_recorded_warm("w", "a") && !lately(&router, "a"));
 }
 
 #[test]
@@ -341,7 +346,10 @@
         (late, router.reconciler.counts.void_of_earlier_process),
         (vec![], 1)
     );
-    assert!(!router.reconciler.is_believed("w", "a") && router.reconciler.is_believed("w", "b"));
+    assert!(
+        !router.reconciler.is_recorded_warm("w", "a")
+            && router.reconciler.is_recorded_warm("w", "b")
+    );
     // Told by the list, it is asked in haste, and nothing is believed.
     let seat = |w: &str, n: u32| PolledWorker {
         worker: arc(w),
@@ -350,13 +358,13 @@
     };
     router.tell(Input::Workers(vec![seat("w", 2), seat("v", 1)]));
     router.out.clear();
-    assert!(!router.reconciler.is_believed("w", "b"));
+    assert!(!router.reconciler.is_recorded_warm("w", "b"));
     router.pass(S / 4);
     assert!(router.out.contains(&Output::Poll { worker: arc("w") }));
     router.used("c");
     router.answer(router.now, 2, &[one("c"), one("z")]);
     assert!(
-        !router.reconciler.is_believed("w", "z"),
+        !router.reconciler.is_recorded_warm("w", "z"),
         "the list said that this process is gone"
     );
 }
@@ -369,7 +377,8 @@
     router.loaded("a");
     assert_eq!(router.answer(began, 1, &[]), []);
     assert!(
-        router.reconciler.is_believed("w", "a") && router.reconciler.counts.left_belief_newer == 1
+        router.reconciler.is_recorded_warm("w", "a")
+            && router.reconciler.counts.left_belief_newer == 1
     );
     // Nor does one that is older than what was taken already.
     assert_eq!(router.says(&[one("a"), one("b")]).len(), 2);
--- a/crates/reconcile/tests/observation.rs
+++ b/crates/reconcile/tests/observation.rs
@@ -25,7 +25,7 @@
         ["b"]
     );
     assert_eq!(
-        (consistency.unclear, consistency.contradictions),
+        (consistency.contradictory, consistency.contradictions),
         (vec!["a", "c", "d"], 3)
     );
     // The same said twice is no contradiction; more than its memory is.
--- a/crates/reconcile/tests/polling.rs
+++ b/crates/reconcile/tests/polling.rs
@@ -47,12 +47,12 @@
         PollResult::Unresponsive,
     ];
     assert_eq!(
-        results.map(|w| interval.after(w)),
+        results.map(|w| interval.next_interval(w)),
         [1600, 3200, 3200, 100, 200, 800, 3200]
     );
     let mut limit = RateLimit::new(0, 4.0);
-    assert_eq!((0..9).filter(|_| limit.take(0)).count(), 4);
-    assert_eq!(limit.due(), 250_000);
-    assert!(!limit.take(200_000) && limit.take(250_000) && !limit.take(250_000));
-    assert_eq!((0..9).filter(|_| limit.take(90_000_000)).count(), 4);
+    assert_eq!((0..9).filter(|_| limit.try_take(0)).count(), 4);
+    assert_eq!(limit.next_token_at(), 250_000);
+    assert!(!limit.try_take(200_000) && limit.try_take(250_000) && !limit.try_take(250_000));
+    assert_eq!((0..9).filter(|_| limit.try_take(90_000_000)).count(), 4);
 }
