--- a/crates/reconcile/tests/observation.rs
+++ b/crates/reconcile/tests/observation.rs
@@ -1,7 +1,8 @@
-//! Which entries of an observation are consistent.
+//! Tests which entries of an observation are considered consistent.
 
 use cedarpulley_reconcile::{FunctionReport, Observation};
 
+/// Guards against using entries that contradict each other, are implausible, or exceed the memory of the worker.
 #[test]
 fn inconsistent_entries_are_left_out() {
     let busy = FunctionReport {
@@ -15,11 +16,11 @@
         busy,
         FunctionReport::with_copies("d", 99_999),
     ];
-    let said = Observation {
+    let observation = Observation {
         entries,
         ..Observation::default()
     };
-    let consistency = said.consistency(|_| 1.0, 0.0);
+    let consistency = observation.consistency(|_| 1.0, 0.0);
     assert_eq!(
         consistency.entries.keys().copied().collect::<Vec<_>>(),
         ["b"]
@@ -28,11 +29,11 @@
         (consistency.contradictory, consistency.contradictions),
         (vec!["a", "c", "d"], 3)
     );
-    // The same said twice is no contradiction; more than its memory is.
-    let twice = Observation {
+    // An identical entry listed twice is not a contradiction; copies that exceed the worker's memory are.
+    let duplicate = Observation {
         entries: vec![FunctionReport::with_copies("a", 2); 2],
         ..Observation::default()
     };
-    assert_eq!(twice.consistency(|_| 50.0, 100.0).contradictions, 0);
-    assert_eq!(twice.consistency(|_| 80.0, 100.0).contradictions, 1);
+    assert_eq!(duplicate.consistency(|_| 50.0, 100.0).contradictions, 0);
+    assert_eq!(duplicate.consistency(|_| 80.0, 100.0).contradictions, 1);
 }
--- a/crates/reconcile/tests/polling.rs
+++ b/crates/reconcile/tests/polling.rs
@@ -1,4 +1,4 @@
-//! Who polls a worker, at which interval, and within which rate limit.
+//! Tests which member polls a worker, at which interval, and within which rate limit.
 
 use std::sync::Arc;
 
@@ -8,32 +8,41 @@
     (0..n).map(|m| Arc::from(format!("r{m}"))).collect()
 }
 
+/// Guards against workers that no member or several members poll, against an uneven distribution, and against a
+/// departing member that changes the poller of workers that it did not poll.
 #[test]
-fn one_member_polls_each_worker_and_a_departure_moves_only_its_own() {
+fn one_member_polls_each_worker_and_a_departure_moves_only_its_workers() {
     let all = members(9);
     let first = |id: &str, of: &[Arc<str>]| {
         of.iter()
             .position(|m| PollerRank::of(id, m, of).is_first())
-            .expect("one")
+            .expect("one member is first")
     };
-    let mut had = [0; 9];
+    let mut polled_workers = [0; 9];
     for w in 0..900 {
         let id = format!("w{w}");
         let mut ranks: Vec<u32> = all
             .iter()
             .map(|m| PollerRank::of(&id, m, &all).position())
             .collect();
-        let asks = first(&id, &all);
-        had[asks] += 1;
+        let poller = first(&id, &all);
+        polled_workers[poller] += 1;
         ranks.sort();
         assert_eq!(ranks, (0..9).collect::<Vec<u32>>());
-        let left: Vec<Arc<str>> = all.iter().filter(|m| &***m != "r4").cloned().collect();
-        let then = &left[first(&id, &left)];
-        assert!(asks == 4 || *then == all[asks], "only what r4 asked moves");
+        let remaining: Vec<Arc<str>> = all.iter().filter(|m| &***m != "r4").cloned().collect();
+        let new_poller = &remaining[first(&id, &remaining)];
+        assert!(
+            poller == 4 || *new_poller == all[poller],
+            "only the workers that r4 polled move"
+        );
     }
-    assert!(had.iter().all(|n| (60..150).contains(n)), "{had:?}");
+    assert!(
+        polled_workers.iter().all(|n| (60..150).contains(n)),
+        "{polled_workers:?}"
+    );
 }
 
+/// Guards against an interval that does not adapt to the poll results, and against a bucket that exceeds its rate.
 #[test]
 fn the_interval_follows_the_results_and_the_rate_limit_refills() {
     let mut interval = PollInterval::new(800);
--- a/crates/reconcile/tests/simulated.rs
+++ b/crates/reconcile/tests/simulated.rs
@@ -1,34 +1,49 @@
-//! Random interleavings of loads, dispatches, polls, notes and drift: no correction is untrue, nothing is repaired while
-//! its load is under way, nothing is unloaded that a router believes in, and every drift is found within the stated
-//! number of rounds. And the same state machines, 3, 9 and 300 of them: polls per worker do not grow with the routers.
+//! Simulates random interleavings of loads, dispatches, polls, notes and drifts, and checks that no correction is false,
+//! that no function is repaired while it is loading, that no copy is unloaded that a router records as warm, and that
+//! every drift is found within the stated number of rounds. Further tests run 3, 9 and 300 routers and check that the
+//! polls per worker do not grow with the number of routers.
 
-mod world;
+mod simulation;
 
 use cedarpulley_reconcile::DriftKind;
 use proptest::prelude::*;
-use world::*;
+use simulation::*;
 
-/// A worker is asked at least this often, with jitter, message times and one other poll before it.
-const ROUND: i64 = EVERY * 4 + EVERY;
-/// In time, until all routers know: one round, and one more by notes or for what was loading. By reports of the
-/// worker the world itself counts (`world::ROUNDS`).
-const PASSES: i64 = 2;
-/// A doubted worker's difference must be reported twice, and doubt lasts for at most so many reports.
-const PASSES_DOUBTED: i64 = 10;
+/// A worker is polled at least once in this time (microseconds): the longest interval is 4 times the base interval, and
+/// one more covers jitter, message times and one other poll before it.
+const ROUND_TIME: i64 = POLL_INTERVAL * 4 + POLL_INTERVAL;
+/// Rounds of polls until all routers have correct records: one round, and one more for the notes or for functions that
+/// were loading. The simulation itself counts the reports that a correction takes (`simulation::MAX_REPORTS`).
+const CORRECTION_ROUNDS: i64 = 2;
+/// The same with doubted workers: a difference must be reported twice, and doubt lasts for at most this many reports.
+const CORRECTION_ROUNDS_DOUBTED: i64 = 10;
 
+/// One step of a simulated scenario. Numbers are indexes, in the order router, worker, function.
 #[derive(Clone, Debug)]
 enum Step {
+    /// Time passes, in microseconds.
     Pass(i64),
+    /// A router orders a load.
     Order(usize, usize, usize),
+    /// A router dispatches an invocation.
     Dispatch(usize, usize, usize),
+    /// A worker evicts all copies of a function.
     Evict(usize, usize),
+    /// A worker evicts all functions.
     Flush(usize),
+    /// A worker process restarts.
     Restart(usize),
+    /// The number of copies of a loaded function becomes 3.
     More(usize, usize),
+    /// A function is loaded that router `r0` is reported to have ordered, without an event at that router.
     Elsewhere(usize, usize),
+    /// A function is loaded that router `x`, which is not a member, ordered.
     Orphan(usize, usize),
+    /// A router dies.
     Kill(usize),
+    /// A worker stops or resumes answering polls.
     Silent(usize, bool),
+    /// A worker starts or stops reporting false numbers of copies.
     FalseReports(usize, bool),
 }
 
@@ -51,107 +66,119 @@
     prop::collection::vec(step, 10..80)
 }
 
-fn play(world: &mut World, step: &Step) {
+fn apply(simulation: &mut Simulation, step: &Step) {
     match *step {
-        Step::Pass(time) => world.pass(time),
-        Step::Order(r, w, f) => world.order(r, w, &function(f)),
-        Step::Dispatch(r, w, f) => world.dispatch(r, w, &function(f)),
-        Step::Evict(w, f) if world.holds(w, &function(f)) > 0 => world.set(w, &function(f), 0),
-        Step::More(w, f) if world.holds(w, &function(f)) > 0 => world.set(w, &function(f), 3),
+        Step::Pass(time) => simulation.advance(time),
+        Step::Order(r, w, f) => simulation.order_load(r, w, &function_name(f)),
+        Step::Dispatch(r, w, f) => simulation.dispatch(r, w, &function_name(f)),
+        Step::Evict(w, f) if simulation.copies_at(w, &function_name(f)) > 0 => {
+            simulation.set_copies(w, &function_name(f), 0)
+        }
+        Step::More(w, f) if simulation.copies_at(w, &function_name(f)) > 0 => {
+            simulation.set_copies(w, &function_name(f), 3)
+        }
         Step::Evict(..) | Step::More(..) => {}
-        Step::Flush(w) => world.flush(w),
-        Step::Restart(w) => world.restart(w),
-        Step::Elsewhere(w, f) => world.load_by(w, &function(f), "r0"),
-        Step::Orphan(w, f) => world.load_by(w, &function(f), "x"),
-        Step::Kill(r) => world.kill(r),
-        Step::Silent(w, on) => world.workers[w].silent = on,
-        Step::FalseReports(w, on) => world.workers[w].corrupted = on.then_some(3),
+        Step::Flush(w) => simulation.flush(w),
+        Step::Restart(w) => simulation.restart(w),
+        Step::Elsewhere(w, f) => simulation.load_ordered_by(w, &function_name(f), "r0"),
+        Step::Orphan(w, f) => simulation.load_ordered_by(w, &function_name(f), "x"),
+        Step::Kill(r) => simulation.kill(r),
+        Step::Silent(w, on) => simulation.workers[w].silent = on,
+        Step::FalseReports(w, on) => simulation.workers[w].corrupted_one_in = on.then_some(3),
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(25), ..ProptestConfig::default() })]
 
+    /// Guards against records that stay wrong after evictions, restarts, unanswered polls or false reports, and against
+    /// corrections that contradict the state of the worker or newer evidence.
     #[test]
-    fn beliefs_converge_to_the_truth_and_no_correction_is_false(seed in any::<u64>(), routers in 1..4usize, steps in steps()) {
-        let mut world = World::new(seed, 3, 3, 50.0);
-        (routers..3).for_each(|r| world.kill(r));
+    fn records_converge_to_the_state_of_the_workers_and_no_correction_is_false(seed in any::<u64>(), routers in 1..4usize, steps in steps()) {
+        let mut simulation = Simulation::new(seed, 3, 3, 50.0);
+        (routers..3).for_each(|r| simulation.kill(r));
         let mut had_false_reports = false;
         for step in &steps {
             had_false_reports |= matches!(step, Step::FalseReports(_, true));
-            play(&mut world, step);
+            apply(&mut simulation, step);
         }
-        for w in &mut world.workers {
-            (w.silent, w.corrupted) = (false, None);
+        for w in &mut simulation.workers {
+            (w.silent, w.corrupted_one_in) = (false, None);
         }
-        let passes = if had_false_reports || world.routers.iter().any(|r| r.counts.refuted > 0) { PASSES_DOUBTED } else { PASSES };
-        // The last answer of a silent worker may be one slow pace away.
-        world.pass(ROUND + passes * ROUND);
-        prop_assert!(world.violations.is_empty(), "{:?}", world.violations);
-        let differs = world.differs();
-        prop_assert!(differs.is_empty(), "{differs:?}");
+        let rounds = if had_false_reports || simulation.routers.iter().any(|r| r.counts.refuted > 0) { CORRECTION_ROUNDS_DOUBTED } else { CORRECTION_ROUNDS };
+        // An unresponsive worker is polled at the longest interval, so its next poll may be one round away.
+        simulation.advance(ROUND_TIME + rounds * ROUND_TIME);
+        prop_assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
+        let differences = simulation.differences();
+        prop_assert!(differences.is_empty(), "{differences:?}");
     }
 }
 
-/// Without faults no drift is reported, except for what others load.
+/// Guards against drifts that are reported without a fault; only loads of other routers may be reported.
 #[test]
 fn without_drift_nothing_is_reported_or_repaired() {
     for seed in 0..20 {
-        let mut world = World::new(seed, 3, 4, 50.0);
+        let mut simulation = Simulation::new(seed, 3, 4, 50.0);
         for n in 0..200usize {
             let (r, w, f) = (n % 3, n * 7 % 4, n * 5 % 6);
             if n % 2 == 0 {
-                world.order(r, w, &function(f))
+                simulation.order_load(r, w, &function_name(f))
             } else {
-                world.dispatch(r, w, &function(f))
+                simulation.dispatch(r, w, &function_name(f))
             }
-            world.pass(150_000);
+            simulation.advance(150_000);
         }
-        world.pass(10 * S);
-        let drift: Vec<_> = world
-            .found
+        simulation.advance(10 * SECOND);
+        let unexpected: Vec<_> = simulation
+            .drifts
             .iter()
             .filter(|d| d.kind != DriftKind::Unseen)
             .collect();
         assert!(
-            drift.is_empty() && world.wants == 0 && world.unloads.is_empty(),
-            "{drift:?}"
+            unexpected.is_empty()
+                && simulation.requested_loads == 0
+                && simulation.unloads.is_empty(),
+            "{unexpected:?}"
         );
-        assert!(world.violations.is_empty() && world.differs().is_empty());
+        assert!(simulation.violations.is_empty() && simulation.differences().is_empty());
     }
 }
 
-/// Of three routers that all poll, one unloads what a departed one left, once.
+/// Guards against copies of a departed router that are unloaded by several of three routers, or several times.
 #[test]
 fn orphans_are_unloaded_once() {
     for seed in 0..20 {
-        let mut world = World::new(seed, 3, 6, 50.0);
-        (0..6).for_each(|w| world.load_by(w, "left", "x"));
-        world.pass(2 * KEPT + GRACE + 2 * ROUND);
-        assert_eq!(world.unloads.len(), 6);
+        let mut simulation = Simulation::new(seed, 3, 6, 50.0);
+        (0..6).for_each(|w| simulation.load_ordered_by(w, "left", "x"));
+        simulation.advance(2 * RECORD_LIFETIME + GRACE_PERIOD + 2 * ROUND_TIME);
+        assert_eq!(simulation.unloads.len(), 6);
         assert!(
-            world.unloads.values().all(|n| *n == 1) && world.violations.is_empty(),
+            simulation.unloads.values().all(|n| *n == 1) && simulation.violations.is_empty(),
             "{:?}",
-            world.violations
+            simulation.violations
         );
     }
 }
 
-/// Polls of a worker a second over a minute in which drift comes and goes.
+/// Returns the polls per worker and second over a minute with recurring drifts, and the number of phantom drifts found.
 fn polls_per_worker(routers: usize, workers: usize) -> (f64, u64) {
-    let mut world = World::new(11, routers, workers, 50.0);
-    world.pass(10 * S);
-    let before: u64 = world.workers.iter().map(|w| w.polls).sum();
+    let mut simulation = Simulation::new(11, routers, workers, 50.0);
+    simulation.advance(10 * SECOND);
+    let before: u64 = simulation.workers.iter().map(|w| w.polls).sum();
     for n in 0..12usize {
-        (0..8).for_each(|f| world.dispatch(n % routers, (n + f) % workers, &function(f)));
-        world.pass(2 * S);
-        world.flush(n % workers);
-        world.pass(3 * S);
+        (0..8).for_each(|f| simulation.dispatch(n % routers, (n + f) % workers, &function_name(f)));
+        simulation.advance(2 * SECOND);
+        simulation.flush(n % workers);
+        simulation.advance(3 * SECOND);
     }
-    let after: u64 = world.workers.iter().map(|w| w.polls).sum();
-    assert!(world.violations.is_empty(), "{:?}", world.violations);
-    let phantoms = world
-        .found
+    let after: u64 = simulation.workers.iter().map(|w| w.polls).sum();
+    assert!(
+        simulation.violations.is_empty(),
+        "{:?}",
+        simulation.violations
+    );
+    let phantoms = simulation
+        .drifts
         .iter()
         .filter(|d| d.kind == DriftKind::Phantom)
         .count();
@@ -161,12 +188,15 @@
     )
 }
 
+/// Guards against polls per worker that increase with the number of routers.
 #[test]
 fn polls_per_worker_do_not_grow_with_the_routers() {
     let few = polls_per_worker(3, 12);
     for routers in [9, 300] {
         let many = polls_per_worker(routers, 12);
-        println!("asks a worker a second: {few:?} with 3 routers, {many:?} with {routers}");
+        println!(
+            "polls per worker and second, phantoms: {few:?} with 3 routers, {many:?} with {routers}"
+        );
         assert!(
             many.0 < few.0 * 1.5 && many.0 > few.0 / 1.5,
             "{few:?} {many:?}"
@@ -175,13 +205,14 @@
     }
 }
 
-/// More workers than its rate limit lets a router poll: it polls as many as it may, and each of them in turn.
+/// Guards against a router that exceeds its rate limit, or that starves some workers, when more workers are due than the
+/// limit allows.
 #[test]
 fn a_rate_limit_bounds_the_polls_of_a_router() {
-    let mut world = World::new(5, 1, 200, 10.0);
-    world.pass(60 * S);
-    let asked: Vec<u64> = world.workers.iter().map(|w| w.polls).collect();
-    let all: u64 = asked.iter().sum();
-    assert!((560..=610).contains(&all), "{all}");
-    assert!(asked.iter().all(|n| (2..=4).contains(n)), "{asked:?}");
+    let mut simulation = Simulation::new(5, 1, 200, 10.0);
+    simulation.advance(60 * SECOND);
+    let polls: Vec<u64> = simulation.workers.iter().map(|w| w.polls).collect();
+    let total: u64 = polls.iter().sum();
+    assert!((560..=610).contains(&total), "{total}");
+    assert!(polls.iter().all(|n| (2..=4).contains(n)), "{polls:?}");
 }
