--- a/crates/reconcile/src/copy_record.rs
+++ b/crates/reconcile/src/copy_record.rs
@@ -60,21 +60,28 @@
 /// What this router knows of one function at one worker.
 #[derive(Clone, Debug)]
 pub struct CopyRecord {
+    /// Whether copies are loaded; `None` if unknown.
     present: Option<bool>,
+    /// When copies are no longer recorded as warm.
     expires_at: Micros,
     copies: Option<u32>,
+    /// When the record last changed; after a correction, when the observation began.
     changed_at: Micros,
     orders_in_flight: u32,
     dispatches_in_flight: u32,
     /// A dispatch was sent while no copy was recorded as warm. Cleared when a dispatch ends that shows whether copies are
     /// loaded, or when no dispatch is in flight any more.
     cold_start: bool,
+    /// When the last load began, by an order or by a dispatch.
     load_seen_at: Micros,
     last_used_at: Option<Micros>,
     /// Number of uses, halved with each `lifetime` that passes.
     uses: f64,
+    /// The size of a copy in megabytes, 0 if unknown.
     copy_mb: f64,
+    /// The copies come from a load order, and no use has confirmed them since.
     ordered_unused: bool,
+    /// The state of the copies was last set by a report without copies.
     reported_absent: bool,
     /// By session, when its prefix was last known to be cached.
     sessions: BTreeMap<Arc<str>, Micros>,
--- a/crates/reconcile/src/polling.rs
+++ b/crates/reconcile/src/polling.rs
@@ -55,7 +55,7 @@
 /// The result of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollResult {
-    /// The report differs from the record by a fault.
+    /// The report differs from the record because of a fault.
     Drifted,
     /// The report differs in an ordinary way, as when another router loaded a function; or the worker is doubted, or
     /// its report was void.
@@ -150,6 +150,7 @@
         }
     }
 
+    /// Adds the tokens for the time since the last refill.
     fn refill(&mut self, now: Micros) {
         let elapsed_s = (now - self.refilled_at).max(0) as f64 / 1e6;
         self.tokens = (self.tokens + elapsed_s * self.per_s).min(self.per_s.max(1.0));
--- a/crates/reconcile/src/reconciler/comparison.rs
+++ b/crates/reconcile/src/reconciler/comparison.rs
@@ -50,6 +50,7 @@
     pub(super) context: ComparisonContext<'a>,
     pub(super) worker: &'a Arc<str>,
     pub(super) state: &'a mut WorkerState,
+    /// When the observation began.
     pub(super) began: Micros,
     pub(super) origin: ReportOrigin,
     /// The report answers a poll of this router, and this router is first for the worker.
@@ -71,6 +72,7 @@
 }
 
 impl Comparison<'_> {
+    /// Compares the whole report; outputs are appended to those of the context.
     pub(super) fn run(mut self, observation: &Observation) -> PollResult {
         let first_output = self.context.out.len();
         let state = &*self.state;
@@ -114,6 +116,7 @@
         self.origin == ReportOrigin::NewIncarnation
     }
 
+    /// The result of the poll, from the outputs since `first_output`.
     fn result(&self, first_output: usize) -> PollResult {
         let mut causes =
             self.context.out[first_output..]
@@ -171,6 +174,7 @@
         (missing, all)
     }
 
+    /// Corrects the record of a missing function, and queues a load if the function is under load.
     fn correct_missing(&mut self, function: &Arc<str>, all_missing: bool) {
         let (now, lifetime) = (self.context.now, self.context.settings.belief_lifetime);
         let Some(record) = self.state.record_mut(function) else {
@@ -248,6 +252,7 @@
         }
     }
 
+    /// How a reported entry that has copies compares with the record of its function.
     fn present_outcome(&self, entry: &FunctionReport, is_unclaimed: bool) -> PresentOutcome {
         let (now, lifetime) = (self.context.now, self.context.settings.belief_lifetime);
         let longest = longest_interval(self.context.settings.poll_interval);
@@ -276,6 +281,7 @@
         }
     }
 
+    /// The likely cause of a loaded copy that was not recorded as warm.
     fn unseen_cause(&self, entry: &FunctionReport) -> DriftCause {
         match &entry.ordered_by {
             Some(by) if self.context.ownership.is_own_name(by) => DriftCause::LostLoad,
@@ -284,6 +290,7 @@
         }
     }
 
+    /// Sets the record, also in the balancer, to the reported number of copies.
     fn correct_present(&mut self, entry: &FunctionReport) {
         let (now, lifetime) = (self.context.now, self.context.settings.belief_lifetime);
         if let Some(record) = self.state.record_mut(&entry.function) {
--- a/crates/reconcile/src/reconciler/event.rs
+++ b/crates/reconcile/src/reconciler/event.rs
@@ -16,7 +16,7 @@
     pub router_name: Arc<str>,
     /// The base interval between two polls of a worker.
     pub poll_interval: Micros,
-    /// How long an unclaimed copy is left loaded.
+    /// Shortest time for which an unclaimed copy is left loaded.
     pub grace_period: Micros,
     /// How long after its last use the balancer expects a copy to be warm.
     pub belief_lifetime: Micros,
--- a/crates/reconcile/src/reconciler/ownership.rs
+++ b/crates/reconcile/src/reconciler/ownership.rs
@@ -2,7 +2,8 @@
 //! in progress. (A use also claims a copy; `comparison` checks that.)
 //!
 //! Mechanisms:
-//! 1. A router that has left the group, a plan that has ended, and a plan that has retired the version claim nothing.
+//! 1. A copy is unclaimed if a plan has retired its version, if the plan of its term has ended, or if the router that
+//!    ordered it has left the group. A function that a plan claims by name is always claimed.
 //! 2. When a repair is about to be sent, an owner that left less than a grace period ago still counts as an owner.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,6 +48,7 @@
 }
 
 impl Ownership {
+    /// Knows no members and no claims yet.
     pub(super) fn new(router_name: Arc<str>, grace_period: Micros) -> Self {
         Ownership {
             router_name,
@@ -62,6 +64,7 @@
         PollerRank::of(id, &self.router_name, &self.members)
     }
 
+    /// Whether this is the name of this router.
     pub(super) fn is_own_name(&self, member: &str) -> bool {
         *self.router_name == *member
     }
@@ -73,6 +76,7 @@
             .any(|member| *member != self.router_name)
     }
 
+    /// Replaces the members; those that are no longer listed have departed at `now`.
     pub(super) fn set_members(&mut self, now: Micros, members: Vec<Arc<str>>) {
         for member in &self.members {
             if !members.contains(member) {
@@ -83,6 +87,7 @@
         self.members = members;
     }
 
+    /// Replaces the claims of upgrade plans.
     pub(super) fn set_claims(&mut self, claims: Claims) {
         self.claims = Some(claims);
     }
--- a/crates/reconcile/src/reconciler/schedule.rs
+++ b/crates/reconcile/src/reconciler/schedule.rs
@@ -2,8 +2,8 @@
 //! `ownership`, and the interval from [`crate::polling`].
 //!
 //! Mechanisms:
-//! 1. A router that becomes first for a worker polls it within about one base interval; a router that gets another
-//!    lower rank waits at least that long.
+//! 1. A router that becomes first for a worker polls it within about one base interval; with any other change of its
+//!    rank, it waits at least that long.
 //! 2. A router at position n > 0 polls only if no poll of any member had a result for n times the takeover time. While
 //!    a poll is in flight, a router does not poll the worker again until that poll counts as lost.
 //! 3. When the rate limit is reached, all due polls wait, in the order of their times.
--- a/crates/reconcile/src/reconciler/worker_state.rs
+++ b/crates/reconcile/src/reconciler/worker_state.rs
@@ -24,12 +24,15 @@
 #[derive(Debug)]
 pub(super) struct WorkerState {
     id: Arc<str>,
+    /// Memory in megabytes; 0 if unknown.
     memory_mb: f64,
     incarnations: Incarnations,
     doubt: Doubt,
     /// Version of the last note about the worker: number of incarnation changes, and number of notes.
     version: (u64, u64),
+    /// When the observation of the last accepted report began.
     last_report_began: Micros,
+    /// Number of reports, without those older than the last accepted one.
     reports: u64,
     records: BTreeMap<Arc<str>, CopyRecord>,
     /// Functions with unclaimed copies: since when, and why.
@@ -40,6 +43,7 @@
 }
 
 impl WorkerState {
+    /// A worker of which only the entry in the endpoint list is known.
     pub(super) fn new(listed: &PolledWorker) -> WorkerState {
         WorkerState {
             id: listed.id.clone(),
@@ -109,6 +113,7 @@
         version > self.version
     }
 
+    /// Sets the version of the last note about the worker.
     pub(super) fn set_version(&mut self, version: (u64, u64)) {
         self.version = version;
     }
@@ -181,6 +186,7 @@
         self.doubt.on_compared(self.reports, was_consistent);
     }
 
+    /// Counts a drift found in the current report.
     pub(super) fn count_drift(&mut self, kind: DriftKind) {
         let tally = &mut self.drifts[kind.index()];
         tally.found += 1;
@@ -199,10 +205,12 @@
             .map(|(since, _)| *since)
     }
 
+    /// Why the copies of the function are unclaimed; `None` if they were not found unclaimed.
     pub(super) fn unclaimed_reason(&self, function: &str) -> Option<&UnclaimedReason> {
         self.unclaimed.get(function).map(|(_, reason)| reason)
     }
 
+    /// Marks the copies of the function as unclaimed since `now`.
     pub(super) fn set_unclaimed(
         &mut self,
         now: Micros,
@@ -216,6 +224,7 @@
         self.unclaimed.remove(function);
     }
 
+    /// Clears the marks of unclaimed copies for the functions that `keep` rejects.
     pub(super) fn retain_unclaimed(&mut self, keep: impl Fn(&Arc<str>) -> bool) {
         self.unclaimed.retain(|function, _| keep(function));
     }
--- a/crates/reconcile/src/reconciler/worker_table.rs
+++ b/crates/reconcile/src/reconciler/worker_table.rs
@@ -15,12 +15,14 @@
 pub(super) struct RecordBudget(usize);
 
 impl RecordBudget {
+    /// Reserves room for one record; returns false if the limit is reached.
     pub(super) fn reserve(&mut self) -> bool {
         let fits = self.0 < MAX_RECORDS;
         self.0 += usize::from(fits);
         fits
     }
 
+    /// Releases the room of this number of records.
     pub(super) fn release(&mut self, records: usize) {
         self.0 -= records;
     }
@@ -58,6 +60,7 @@
         self.workers.insert(listed.worker.clone(), state);
     }
 
+    /// Removes a worker and releases the room of its records.
     pub(super) fn remove(&mut self, worker: &str) -> Option<WorkerState> {
         let state = self.workers.remove(worker)?;
         self.by_id.remove(state.id());
@@ -69,6 +72,7 @@
         self.workers.get(worker)
     }
 
+    /// The stored name of a worker, its state, and the number of records of all workers.
     pub(super) fn get_mut(
         &mut self,
         worker: &str,
@@ -78,6 +82,7 @@
         Some((name, state, &mut self.budget))
     }
 
+    /// This router's name for the worker with this id.
     pub(super) fn worker_of(&self, id: &str) -> Option<&Arc<str>> {
         self.by_id.get(id)
     }
--- a/crates/reconcile/src/repair.rs
+++ b/crates/reconcile/src/repair.rs
@@ -45,7 +45,9 @@
 #[derive(Debug)]
 pub struct RepairQueue {
     mean_interval: Micros,
+    /// By worker and function.
     queued: BTreeMap<(Arc<str>, Arc<str>), Repair>,
+    /// When the next repair may be sent.
     next_at: Micros,
 }
 
