--- a/crates/reconcile/src/copy_record.rs
+++ b/crates/reconcile/src/copy_record.rs
@@ -69,8 +69,8 @@
     changed_at: Micros,
     orders_in_flight: u32,
     dispatches_in_flight: u32,
-    /// A dispatch was sent while no copy was recorded as warm. Cleared when a dispatch ends that shows whether copies are
-    /// loaded, or when no dispatch is in flight any more.
+    /// A dispatch was sent while no copy was recorded as warm. Cleared when a dispatch ends that shows whether copies
+    /// are loaded, or when no dispatch is in flight any more.
     cold_start: bool,
     /// When the last load began, by an order or by a dispatch.
     load_seen_at: Micros,
--- a/crates/reconcile/src/polling.rs
+++ b/crates/reconcile/src/polling.rs
@@ -1,6 +1,6 @@
 //! Which member polls which worker, and when. [`PollerRank`] is the position of this router among the members that
-//! could poll a worker; [`PollInterval`] is the time until the next poll; [`RateLimit`] bounds the polls of a router per
-//! second.
+//! could poll a worker; [`PollInterval`] is the time until the next poll; [`RateLimit`] bounds the polls of a router
+//! per second.
 //!
 //! Mechanisms:
 //! 1. The ranks come from a rendezvous hash over the members considered alive and the worker's name in the endpoint
@@ -160,8 +160,8 @@
     /// Takes a token if one is available; returns whether it did.
     pub fn try_take(&mut self, now: Micros) -> bool {
         self.refill(now);
-        // The threshold is slightly below 1, because after a wait until `next_token_at` rounding may leave slightly less than a
-        // whole token.
+        // The threshold is slightly below 1, because after a wait until `next_token_at` rounding may leave slightly
+        // less than a whole token.
         let enough = self.tokens >= 0.999;
         if enough {
             self.tokens = (self.tokens - 1.0).max(0.0);
--- a/crates/reconcile/src/reconciler.rs
+++ b/crates/reconcile/src/reconciler.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Processes an input and appends the resulting outputs to `out`. If `now` is earlier than before, the time counts as
-    /// unchanged.
+    /// Processes an input and appends the resulting outputs to `out`. If `now` is earlier than before, the time counts
+    /// as unchanged.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match input {
--- a/crates/reconcile/src/reconciler/comparison.rs
+++ b/crates/reconcile/src/reconciler/comparison.rs
@@ -324,8 +324,8 @@
         self.release_sessions(&entry.function, lost);
     }
 
-    /// Reports an unclaimed copy, and queues its unload after the grace period. Without this, copies ordered by a router
-    /// that died, or for an upgrade plan that ended, would occupy memory without ever being invoked.
+    /// Reports an unclaimed copy, and queues its unload after the grace period. Without this, copies ordered by a
+    /// router that died, or for an upgrade plan that ended, would occupy memory without ever being invoked.
     fn compare_claims(&mut self, entry: &FunctionReport, unclaimed: Option<UnclaimedReason>) {
         let (now, function) = (self.context.now, &entry.function);
         let settings = self.context.settings;
--- a/crates/reconcile/src/reconciler/event.rs
+++ b/crates/reconcile/src/reconciler/event.rs
@@ -46,8 +46,8 @@
     Workers(Vec<PolledWorker>),
     /// The members that are considered alive, including this router.
     Members(Vec<Arc<str>>),
-    /// What the orders and dispatches of this router show about a function. It produces no output by itself; repairs and
-    /// polls that follow from it are put out at the next input.
+    /// What the orders and dispatches of this router show about a function. It produces no output by itself; repairs
+    /// and polls that follow from it are put out at the next input.
     BeliefChanged {
         /// The worker.
         worker: &'a str,
--- a/crates/reconcile/src/reconciler/status.rs
+++ b/crates/reconcile/src/reconciler/status.rs
@@ -116,7 +116,8 @@
     /// Functions that are recorded as warm; the first ones by name if there are many.
     #[serde(rename = "believes")]
     pub recorded_warm: Vec<&'a str>,
-    /// Number of reports, from own polls and from notes of other members, without those older than the last accepted one.
+    /// Number of reports, from own polls and from notes of other members, without those older than the last accepted
+    /// one.
     #[serde(rename = "answers")]
     pub reports: u64,
     /// Number of drifts found, by kind.
--- a/crates/reconcile/src/repair.rs
+++ b/crates/reconcile/src/repair.rs
@@ -1,5 +1,6 @@
-//! The queue of repairs that take up a worker's resources: loads of lost copies, and unloads. A repair is sent each time
-//! the rate limit allows it, for the busiest function first; whether it is still needed is checked again right before.
+//! The queue of repairs that take up a worker's resources: loads of lost copies, and unloads. A repair is sent each
+//! time the rate limit allows it, for the busiest function first; whether it is still needed is checked again right
+//! before.
 //!
 //! Mechanisms:
 //! 1. The queue has at most one repair for each function at a worker.
--- a/crates/reconcile/tests/drift_kinds.rs
+++ b/crates/reconcile/tests/drift_kinds.rs
@@ -525,8 +525,8 @@
     assert_eq!(router.report(&[large]).len(), 2);
 }
 
-/// Guards against a late report of an earlier process that counts as a restart, and against ignoring a worker forever if
-/// its earlier incarnation is the current one.
+/// Guards against a late report of an earlier process that counts as a restart, and against ignoring a worker forever
+/// if its earlier incarnation is the current one.
 #[test]
 fn a_former_incarnation_is_accepted_after_two_reports() {
     let mut router = TestRouter::new();
--- a/crates/reconcile/tests/simulated.rs
+++ b/crates/reconcile/tests/simulated.rs
@@ -1,7 +1,7 @@
-//! Simulates random interleavings of loads, dispatches, polls, notes and drifts, and checks that no correction is false,
-//! that no function is repaired while it is loading, that no copy is unloaded that a router records as warm, and that
-//! every drift is found within the stated number of rounds. Further tests run 3, 9 and 300 routers and check that the
-//! polls per worker do not grow with the number of routers.
+//! Simulates random interleavings of loads, dispatches, polls, notes and drifts, and checks that no correction is
+//! false, that no function is repaired while it is loading, that no copy is unloaded that a router records as warm, and
+//! that every drift is found within the stated number of rounds. Further tests run 3, 9 and 300 routers and check that
+//! the polls per worker do not grow with the number of routers.
 
 mod simulation;
 
@@ -205,8 +205,8 @@
     }
 }
 
-/// Guards against a router that exceeds its rate limit, or that starves some workers, when more workers are due than the
-/// limit allows.
+/// Guards against a router that exceeds its rate limit, or that starves some workers, when more workers are due than
+/// the limit allows.
 #[test]
 fn a_rate_limit_bounds_the_polls_of_a_router() {
     let mut simulation = Simulation::new(5, 1, 200, 10.0);
--- a/crates/reconcile/tests/simulation/mod.rs
+++ b/crates/reconcile/tests/simulation/mod.rs
@@ -17,8 +17,8 @@
 pub const RECORD_LIFETIME: Micros = 30 * SECOND;
 /// How long an unclaimed copy is left loaded.
 pub const GRACE_PERIOD: Micros = 5 * SECOND;
-/// Number of reports after which a drift must be found. Only reports count that began after the drift and after the last
-/// change of the record, while no load was in progress.
+/// Number of reports after which a drift must be found. Only reports count that began after the drift and after the
+/// last change of the record, while no load was in progress.
 pub const MAX_REPORTS: u64 = 1;
 /// The same for a doubted worker, in successive reports.
 pub const MAX_REPORTS_DOUBTED: u64 = 2;
@@ -479,8 +479,8 @@
         }
     }
 
-    /// Passes a report to router `r` with `accept`, and checks that its differences from the records are then corrected:
-    /// at once, or after the second successive report if the worker is doubted.
+    /// Passes a report to router `r` with `accept`, and checks that its differences from the records are then
+    /// corrected: at once, or after the second successive report if the worker is doubted.
     #[allow(
         clippy::too_many_lines,
         reason = "one scenario or table of cases, told in order"
