--- a/crates/emulators/src/broker.rs
+++ b/crates/emulators/src/broker.rs
@@ -1,8 +1,8 @@
-//! A broker that speaks AMQP 0-9-1 as far as a router and a client need it: queues on the default exchange,
-//! prefetch, redelivery, transactions, time to live, dead letters, `connection.blocked`. Messages are in memory.
+//! An emulated broker with the part of AMQP 0-9-1 that routers and clients use: queues on the default exchange,
+//! prefetch, redelivery, transactions, time to live, dead letters and `connection.blocked`. Messages are kept in memory.
 //!
-//! Modules: `connection` moves bytes and heartbeats, `protocol` carries out what peers send, `state` owns queues and
-//! deliveries.
+//! Modules: `connection` reads and writes sockets and sends heartbeats, `protocol` executes the methods that peers send,
+//! `state` owns queues and deliveries.
 
 mod connection;
 mod protocol;
@@ -22,22 +22,22 @@
 use self::state::{ConnectionId, State};
 use crate::{Host, Log, lock};
 
-/// Queue that rejected messages are moved to.
-pub const DEAD: &str = "dead-letters";
+/// Name of the queue that rejected messages are moved to.
+pub const DEAD_LETTER_QUEUE: &str = "dead-letters";
 
-/// Handle of an emulated broker on loopback; clones stand for the same one.
+/// Handle of an emulated broker on loopback; clones refer to the same broker.
 #[derive(Clone)]
 pub struct Broker {
     host: Host,
     log: Log,
-    /// Where it listens.
+    /// The address that the broker listens on.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     listener: Arc<Mutex<Option<Task<()>>>>,
     connections: Arc<Mutex<HashMap<ConnectionId, Task<()>>>>,
 }
 
-/// Empty if the text is too long for a short string.
+/// Converts a text to an AMQP short string; a text that is too long becomes an empty string.
 fn short_string(text: &str) -> ShortString {
     ShortString::try_new(text).unwrap_or_default()
 }
@@ -46,7 +46,7 @@
     /// Starts a broker without queues.
     ///
     /// # Errors
-    /// When its log cannot be created or its address cannot be bound.
+    /// Fails if the log cannot be created or the address cannot be bound.
     pub fn start(host: &Host, name: &str, address: SocketAddr) -> std::io::Result<Broker> {
         let log = host.log(name)?;
         let mut broker = Broker {
@@ -81,22 +81,22 @@
         Ok(address)
     }
 
-    /// Writes buffered log lines out.
+    /// Writes buffered log lines to the log file.
     pub fn flush(&self) {
         self.log.flush();
     }
 
-    /// Creates a queue unless it exists.
+    /// Creates a queue if it does not exist yet.
     pub fn declare(&self, queue: &str) {
         lock(&self.state).declare(queue.to_owned());
     }
 
-    /// Messages ready in a queue.
+    /// Number of messages in a queue that are ready for delivery.
     pub fn ready_messages(&self, queue: &str) -> usize {
         lock(&self.state).ready(queue)
     }
 
-    /// Consumers that acknowledge.
+    /// Number of consumers that acknowledge their deliveries.
     pub fn consumers(&self) -> usize {
         lock(&self.state)
             .connections()
@@ -104,7 +104,7 @@
             .count()
     }
 
-    /// Messages delivered and not yet acknowledged, over all consumers.
+    /// Number of messages that are delivered and not yet acknowledged, over all consumers.
     pub fn unacked(&self) -> usize {
         lock(&self.state)
             .connections()
@@ -112,7 +112,8 @@
             .sum()
     }
 
-    /// Closes the channels of consumers from these addresses; their unacknowledged messages are delivered again.
+    /// Closes the transactional channels (those of routers) whose source address `from` selects. Their unacknowledged
+    /// messages are redelivered.
     pub fn drop_channels(&self, from: impl Fn(&str) -> bool) {
         let mut state = lock(&self.state);
         let ids: Vec<ConnectionId> = state
@@ -135,7 +136,8 @@
         state.deliver_ready();
     }
 
-    /// Breaks the connections from these addresses off.
+    /// Closes the connections whose source address `from` selects, without an AMQP close. Their unacknowledged messages
+    /// are redelivered.
     pub fn drop_connections(&self, from: impl Fn(&str) -> bool) {
         let ids: Vec<ConnectionId> = lock(&self.state)
             .connections()
@@ -148,10 +150,10 @@
         }
     }
 
-    /// Goes away for some time and comes back with its queues.
+    /// Closes all connections, stops listening for the duration `away`, and listens again with the same queues.
     ///
     /// # Errors
-    /// When its address cannot be bound again.
+    /// Fails if the address cannot be bound again.
     pub async fn restart(&self, away: Duration) -> std::io::Result<()> {
         drop(lock(&self.listener).take());
         self.drop_connections(|_| true);
@@ -159,7 +161,7 @@
         self.listen().map(|_| ())
     }
 
-    /// Tells connections that publishing is blocked, or no more.
+    /// Sends `connection.blocked` or `connection.unblocked` to all connections with an open channel.
     pub fn set_blocked(&self, blocked: bool) {
         use connection_class::AMQPMethod as M;
         let mut state = lock(&self.state);
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Sends bytes to all routers as they are, whatever they mean.
+    /// Sends these bytes unchanged to all routers, also if they are not valid AMQP.
     pub fn send_raw(&self, bytes: &[u8]) {
         let mut state = lock(&self.state);
         for connection in state.connections_mut().filter(|c| c.channel.transactional) {
--- a/crates/emulators/src/broker/connection.rs
+++ b/crates/emulators/src/broker/connection.rs
@@ -1,4 +1,4 @@
-//! One connection's socket: bytes in, bytes out, heartbeats.
+//! The socket of one connection: reading, writing and heartbeats.
 
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -13,12 +13,12 @@
 use super::state::ConnectionId;
 use crate::lock;
 
-/// What a client sends first.
+/// The first bytes that an AMQP 0-9-1 client sends.
 const PROTOCOL_HEADER: &[u8; 8] = b"AMQP\x00\x00\x09\x01";
-const READ_BUFFER: usize = 64 * 1024;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
 impl Broker {
-    /// Serves a connection until either side ends it, and forgets it.
+    /// Serves a connection until either side closes it, then removes it.
     pub(super) async fn serve(
         &self,
         id: ConnectionId,
@@ -35,7 +35,7 @@
     }
 
     async fn read(&self, id: ConnectionId, mut stream: &Async<TcpStream>) {
-        let mut buffer = vec![0; READ_BUFFER];
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         let mut reader = FrameReader::new(FRAME_MAX);
         let mut header = Vec::new();
         while let Ok(length) = stream.read(&mut buffer).await {
@@ -74,7 +74,7 @@
         let mut last_sent = Instant::now();
         loop {
             let (bytes, closing) = match lock(&self.state).connection(id) {
-                Some(connection) => (connection.take_out(), connection.closing),
+                Some(connection) => (connection.take_output(), connection.closing),
                 None => return,
             };
             if !bytes.is_empty() {
@@ -88,7 +88,8 @@
                 return;
             }
             let heartbeat = async {
-                // Deliveries to others wake this task too; the heartbeat is due all the same.
+                // Deliveries to other connections wake this task too. Counting from the last write ensures that such
+                // wake-ups do not postpone the heartbeat.
                 Timer::at(last_sent + Duration::from_secs(u64::from(HEARTBEAT_S) / 2)).await;
                 if let Some(connection) = lock(&self.state).connection(id) {
                     connection.send_heartbeat();
--- a/crates/emulators/src/broker/protocol.rs
+++ b/crates/emulators/src/broker/protocol.rs
@@ -1,4 +1,4 @@
-//! What peers ask of the broker: AMQP methods and content frames, carried out on its state.
+//! Executes the AMQP methods and content frames of peers on the state of the broker.
 
 use cedarpulley_amqp::ConnectionError;
 use cedarpulley_amqp::frames::{AMQPFrame, FrameReader};
@@ -11,13 +11,15 @@
     ConnectionId, Consumer, PartialPublication, PendingOperation, Publication, State,
 };
 
+/// Largest frame, in bytes, that the broker negotiates.
 pub(super) const FRAME_MAX: u32 = 128 * 1024;
+/// Heartbeat interval, in seconds, that the broker negotiates.
 pub(super) const HEARTBEAT_S: u16 = 10;
-/// The only channel that peers may open.
-pub(super) const CHANNEL: u16 = 1;
+/// Number of the only channel that peers may open.
+pub(super) const CHANNEL_ID: u16 = 1;
 
 impl State {
-    /// Begins the handshake.
+    /// Begins the handshake by sending `connection.start`.
     pub(super) fn greet(&mut self, id: ConnectionId) {
         let Some(connection) = self.connection(id) else {
             return;
@@ -33,7 +35,7 @@
         connection.wake();
     }
 
-    /// Carries out all whole frames that have been read.
+    /// Executes all complete frames that have been read, and then delivers ready messages.
     pub(super) fn handle_frames(
         &mut self,
         id: ConnectionId,
@@ -44,14 +46,14 @@
                 AMQPFrame::Method(0, AMQPClass::Connection(method)) => {
                     self.handle_connection_method(id, method)?;
                 }
-                AMQPFrame::Method(CHANNEL, method) => self.handle_channel_method(id, method)?,
-                AMQPFrame::Header(CHANNEL, header) => {
+                AMQPFrame::Method(CHANNEL_ID, method) => self.handle_channel_method(id, method)?,
+                AMQPFrame::Header(CHANNEL_ID, header) => {
                     if let Some(incoming) = self.incoming(id) {
                         incoming.header = Some((header.body_size, header.properties));
                     }
                     self.finish_publication(id);
                 }
-                AMQPFrame::Body(CHANNEL, part) => {
+                AMQPFrame::Body(CHANNEL_ID, part) => {
                     if let Some(incoming) = self.incoming(id) {
                         incoming.body.extend_from_slice(&part);
                     }
@@ -119,7 +121,7 @@
                 connection.channel.open = false;
                 self.requeue_unacked(id);
             }
-            // What was on its way as the channel closed is void.
+            // Methods that were in transit when the channel was closed are ignored.
             _ if !connection.channel.open => {}
             AMQPClass::Tx(tx::AMQPMethod::Select(_)) => {
                 connection.channel.transactional = true;
@@ -143,7 +145,8 @@
         Ok(())
     }
 
-    /// False if it closed the channel: the peer is woken with the next delivery.
+    /// Executes a method of the class `basic`. Returns false if that closed the channel; the task that writes to the peer
+    /// is then woken with the next delivery.
     fn handle_basic_method(
         &mut self,
         id: ConnectionId,
@@ -186,7 +189,7 @@
     }
 
     fn handle_declare(&mut self, id: ConnectionId, declare: &queue::Declare) {
-        // A queue without a name gets one.
+        // The broker generates a name for a queue that is declared without one.
         let name = match declare.queue.as_str() {
             "" => format!("replies-of-{id}"),
             name => name.to_owned(),
@@ -202,7 +205,7 @@
         self.declare(name);
     }
 
-    /// False if there is no such queue, and the channel is closed for it.
+    /// Adds a consumer. Returns false, with the channel closed, if the queue does not exist.
     fn handle_consume(&mut self, id: ConnectionId, consume: basic::Consume) -> bool {
         let known = self.add_consumer(consume.queue.as_str(), id);
         let Some(connection) = self.connection(id) else {
@@ -230,7 +233,7 @@
         true
     }
 
-    /// Enqueues a publication whose body is complete, with the commit if the channel is transactional.
+    /// Enqueues the publication if its body is complete. On a transactional channel this takes effect with the commit.
     fn finish_publication(&mut self, id: ConnectionId) {
         let Some(connection) = self.connection(id) else {
             return;
--- a/crates/emulators/src/broker/state.rs
+++ b/crates/emulators/src/broker/state.rs
@@ -10,8 +10,8 @@
 use cedarpulley_amqp::types::ShortString;
 use serde_json::json;
 
-use super::protocol::{CHANNEL, FRAME_MAX};
-use super::{DEAD, short_string};
+use super::protocol::{CHANNEL_ID, FRAME_MAX};
+use super::{DEAD_LETTER_QUEUE, short_string};
 use crate::{Log, unix_time_us};
 
 pub(super) type ConnectionId = u64;
@@ -19,27 +19,27 @@
 
 /// A message in a queue, or delivered and not yet acknowledged.
 pub(super) struct Message {
-    /// Messages are numbered as they come.
+    /// Ids increase in the order in which messages are published.
     id: u64,
     properties: AMQPProperties,
     body: Arc<Vec<u8>>,
     redelivered: bool,
     queue: String,
-    /// In microseconds of Unix time.
+    /// Unix time in microseconds; absent if the message does not expire.
     expires_us: Option<i64>,
 }
 
-/// A message as a client publishes it.
+/// A message that a client publishes.
 pub(super) struct Publication {
     pub(super) queue: String,
     pub(super) properties: AMQPProperties,
     pub(super) body: Vec<u8>,
 }
 
-/// A publication whose frames are still coming in.
+/// A publication whose frames have not all been received yet.
 pub(super) struct PartialPublication {
     pub(super) queue: String,
-    /// Size of the body, and properties.
+    /// Size of the body in bytes, and the properties.
     pub(super) header: Option<(u64, AMQPProperties)>,
     pub(super) body: Vec<u8>,
 }
@@ -52,16 +52,17 @@
     }
 }
 
-/// Takes effect with the transaction's commit.
+/// An operation of a transactional channel that takes effect with the commit.
 pub(super) enum PendingOperation {
     Publish(Box<Publication>),
     Ack(DeliveryTag),
     Reject(DeliveryTag),
 }
 
+/// A consumer of a queue.
 #[derive(Clone)]
 pub(super) struct Consumer {
-    /// It acknowledges nothing.
+    /// The consumer does not acknowledge its deliveries.
     pub(super) no_ack: bool,
     pub(super) tag: ShortString,
 }
@@ -71,7 +72,7 @@
 pub(super) struct Channel {
     pub(super) open: bool,
     pub(super) transactional: bool,
-    /// Most unacknowledged deliveries; 0 for any number.
+    /// Largest number of unacknowledged deliveries; 0 means no limit.
     pub(super) prefetch: usize,
     pub(super) consumer: Option<Consumer>,
     pub(super) next_tag: DeliveryTag,
@@ -90,32 +91,33 @@
     }
 }
 
+/// A connection of a peer, without its socket.
 pub(super) struct Connection {
     /// The peer's IP address.
     pub(super) from: String,
-    /// Bytes to be sent.
-    out: Vec<u8>,
+    /// Bytes that have not been written to the socket yet.
+    output: Vec<u8>,
     wake: smol::channel::Sender<()>,
-    /// Ends once all is sent.
+    /// The connection is closed once all output is written.
     pub(super) closing: bool,
     pub(super) channel: Channel,
 }
 
 impl Connection {
     pub(super) fn send_on_channel(&mut self, method: AMQPClass) {
-        write_method(&mut self.out, CHANNEL, method);
+        write_method(&mut self.output, CHANNEL_ID, method);
     }
 
     pub(super) fn send_on_connection(&mut self, method: AMQPClass) {
-        write_method(&mut self.out, 0, method);
+        write_method(&mut self.output, 0, method);
     }
 
     pub(super) fn send_heartbeat(&mut self) {
-        write(&mut self.out, &cedarpulley_amqp::frames::heartbeat());
+        write(&mut self.output, &cedarpulley_amqp::frames::heartbeat());
     }
 
     pub(super) fn send_bytes(&mut self, bytes: &[u8]) {
-        self.out.extend_from_slice(bytes);
+        self.output.extend_from_slice(bytes);
     }
 
     pub(super) fn close_channel(&mut self, close: channel::Close) {
@@ -123,7 +125,7 @@
         self.channel.open = false;
     }
 
-    /// A new channel; the old one's state is gone.
+    /// Opens the channel with a new state; the state of an earlier channel is dropped.
     pub(super) fn open_channel(&mut self) {
         self.closing = false;
         self.channel = Channel {
@@ -132,11 +134,11 @@
         };
     }
 
-    pub(super) fn take_out(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.out)
+    pub(super) fn take_output(&mut self) -> Vec<u8> {
+        std::mem::take(&mut self.output)
     }
 
-    /// Wakes the task that writes.
+    /// Wakes the task that writes to the socket.
     pub(super) fn wake(&self) {
         let _ = self.wake.try_send(());
     }
@@ -145,15 +147,16 @@
 #[derive(Default)]
 struct Queue {
     ready: VecDeque<Message>,
-    /// In the order of their turns.
+    /// Connections that consume from the queue; the front one receives the next message.
     consumers: VecDeque<ConnectionId>,
 }
 
+/// Queues and connections of a broker.
 pub(super) struct State {
     log: Log,
     queues: HashMap<String, Queue>,
     connections: HashMap<ConnectionId, Connection>,
-    /// Last id given to a connection or message.
+    /// The last id assigned to a connection or message.
     last_id: u64,
 }
 
@@ -191,7 +194,7 @@
         let id = self.next_id();
         let connection = Connection {
             from,
-            out: Vec::new(),
+            output: Vec::new(),
             wake,
             closing: false,
             channel: Channel::default(),
@@ -220,7 +223,7 @@
         self.queues.get(queue).map_or(0, |q| q.ready.len())
     }
 
-    /// False if there is no such queue.
+    /// Returns false if the queue does not exist.
     pub(super) fn add_consumer(&mut self, queue: &str, id: ConnectionId) -> bool {
         let Some(queue) = self.queues.get_mut(queue) else {
             return false;
@@ -235,14 +238,15 @@
         }
     }
 
-    /// Forgets a connection; its unacknowledged messages are delivered again.
+    /// Removes a connection; its unacknowledged messages are redelivered.
     pub(super) fn disconnect(&mut self, id: ConnectionId) {
         self.requeue_unacked(id);
         self.connections.remove(&id);
         self.deliver_ready();
     }
 
-    /// Unacknowledged messages of a connection return to their places in their queues, marked as redelivered.
+    /// Returns the unacknowledged messages of a connection to their original positions in their queues, marked as
+    /// redelivered, and drops its consumer and pending operations.
     pub(super) fn requeue_unacked(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -265,7 +269,7 @@
         }
     }
 
-    /// Puts a message into its queue.
+    /// Appends a message to its queue and logs it as published.
     pub(super) fn enqueue(&mut self, from: &str, publication: Publication) {
         let Publication {
             queue: name,
@@ -297,13 +301,13 @@
             redelivered: false,
             queue: name.clone(),
         };
-        // Without a queue of that name a message is dropped, as on any default exchange.
+        // A message for a queue that does not exist is dropped, as by the default exchange of AMQP.
         if let Some(queue) = self.queues.get_mut(&name) {
             queue.ready.push_back(message);
         }
     }
 
-    /// All operations since the last commit take effect at once.
+    /// Applies all operations since the last commit.
     pub(super) fn commit(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -342,12 +346,12 @@
             "dead",
             json!({"id": correlation_id(&rejected.properties), "from": from}),
         );
-        rejected.queue = DEAD.to_owned();
-        let dead_letters = self.queues.entry(DEAD.to_owned()).or_default();
+        rejected.queue = DEAD_LETTER_QUEUE.to_owned();
+        let dead_letters = self.queues.entry(DEAD_LETTER_QUEUE.to_owned()).or_default();
         dead_letters.ready.push_back(rejected);
     }
 
-    /// Delivers ready messages to consumers below their prefetch limit, in turn.
+    /// Delivers ready messages, round-robin, to consumers below their prefetch limits; drops expired messages.
     pub(super) fn deliver_ready(&mut self) {
         let now = unix_time_us();
         for queue in self.queues.values_mut() {
@@ -404,8 +408,8 @@
             routing_key: short_string(&message.queue),
         });
         write_message(
-            &mut self.out,
-            CHANNEL,
+            &mut self.output,
+            CHANNEL_ID,
             deliver,
             message.properties.clone(),
             &message.body,
--- a/crates/emulators/src/endpoint_list.rs
+++ b/crates/emulators/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The worker list, published as Kubernetes endpoint slices: a listing and a watch. Changes reach each watcher with a
-//! delay that can be set. What is sent to whom is logged.
+//! The emulated endpoint list, published as Kubernetes endpoint slices with a list and a watch request. Changes reach
+//! watchers after a configurable delay. Everything that is sent to a watcher is logged.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -17,30 +17,32 @@
 use crate::http::{Body, Partition, Server, full};
 use crate::{Host, Log, lock};
 
-/// Without changes a watcher gets a bookmark this often.
+/// Interval at which a watcher receives a bookmark while there are no changes.
 const BOOKMARK_INTERVAL: Duration = Duration::from_secs(4);
-/// Changes that are retained; a watch from before them is answered 410 and has to list again.
+/// Number of changes that are retained. A watch that starts before them is answered with status 410 (Gone), and the
+/// watcher has to list again.
 const MAX_RETAINED_CHANGES: usize = 1000;
-/// How often a watch checks for changes.
+/// Interval at which a watch checks for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Resource version of the empty list.
 const FIRST_VERSION: u64 = 100;
 
-/// One worker as the list publishes it.
+/// The entry of one worker in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// Where the worker listens.
+    /// The address that the worker listens on.
     pub address: SocketAddr,
-    /// The zone it is in.
+    /// The zone of the worker.
     pub zone: String,
-    /// Its hardware kind.
+    /// The hardware kind of the worker.
     pub kind: String,
-    /// The cell it belongs to.
+    /// The cell of the worker.
     pub cell: u32,
-    /// It is to be given no new work.
+    /// The worker is draining and must get no new work.
     pub draining: bool,
-    /// How often it has been started; part of its uid.
+    /// How often the worker has been started; part of the published uid.
     pub start: u32,
-    /// When its process began, in microseconds of Unix time; 0 if it was there all along.
+    /// Start of the worker's process, as Unix time in microseconds; 0 if the worker was never restarted.
     pub started_us: i64,
 }
 
@@ -61,6 +63,7 @@
     }
 }
 
+/// A change of the list, with the event that watchers receive.
 struct Change {
     version: u64,
     at: Instant,
@@ -68,6 +71,7 @@
     object: Value,
 }
 
+/// A published entry with the resource version at which it last changed.
 struct PublishedRow {
     version: u64,
     row: EndpointRecord,
@@ -76,23 +80,24 @@
 struct State {
     version: u64,
     rows: BTreeMap<String, PublishedRow>,
-    /// Oldest first.
+    /// The retained changes, oldest first.
     changes: Vec<Change>,
     delay: Duration,
     address_seen: Option<AddressSeen>,
 }
 
-/// The address under which a watcher is to see a worker.
+/// Returns the address at which a watcher sees a worker, given the IP address of the watcher and the worker's own
+/// address.
 type AddressSeen = Arc<dyn Fn(IpAddr, SocketAddr) -> SocketAddr + Send + Sync>;
 
-/// An emulated worker list.
+/// An emulated endpoint list.
 pub struct EndpointList {
-    /// The server that it listens with.
+    /// The HTTP server of the list.
     pub server: Server,
     shared: Shared,
 }
 
-/// What the list's handle and its requests share.
+/// State shared by the handle of the list and its requests.
 #[derive(Clone)]
 struct Shared {
     log: Log,
@@ -123,7 +128,7 @@
     /// Starts an empty list.
     ///
     /// # Errors
-    /// When its log cannot be created or its address cannot be bound.
+    /// Fails if the log cannot be created or the address cannot be bound.
     pub fn start(host: &Host, name: &str, address: SocketAddr) -> std::io::Result<EndpointList> {
         let state = State {
             version: FIRST_VERSION,
@@ -145,7 +150,7 @@
         Ok(EndpointList { server, shared })
     }
 
-    /// Publishes a worker, new or changed.
+    /// Adds a worker to the list or changes its entry.
     pub fn publish(&self, name: &str, row: EndpointRecord) {
         let mut state = lock(&self.shared.state);
         state.version += 1;
@@ -157,7 +162,7 @@
         state.record(WatchEventType::Modified, object);
     }
 
-    /// Withdraws a worker.
+    /// Removes a worker from the list.
     pub fn remove(&self, name: &str) {
         let mut state = lock(&self.shared.state);
         let Some(removed) = state.rows.remove(name) else {
@@ -168,12 +173,12 @@
         state.record(WatchEventType::Deleted, object);
     }
 
-    /// Watchers get changes with this delay.
-    pub fn set_delay(&self, late: Duration) {
-        lock(&self.shared.state).delay = late;
+    /// Sets the delay with which watchers receive changes.
+    pub fn set_delay(&self, delay: Duration) {
+        lock(&self.shared.state).delay = delay;
     }
 
-    /// Watchers see workers under other addresses than the workers' own, which the log keeps naming.
+    /// Publishes other addresses to watchers than the workers' own. The log still contains the workers' own addresses.
     pub fn set_addresses_seen(
         &self,
         address: impl Fn(IpAddr, SocketAddr) -> SocketAddr + Send + Sync + 'static,
@@ -181,7 +186,7 @@
         lock(&self.shared.state).address_seen = Some(Arc::new(address));
     }
 
-    /// Writes buffered log lines out.
+    /// Writes buffered log lines to the log file.
     pub fn flush(&self) {
         self.shared.log.flush();
     }
@@ -200,7 +205,7 @@
         }
     }
 
-    /// An endpoint slice with the address under which this watcher is to see the worker.
+    /// Returns the endpoint slice with the address at which this watcher sees the worker.
     fn as_seen_by(&self, watcher: IpAddr, mut object: Value) -> Value {
         let Some(address_seen) = &self.address_seen else {
             return object;
@@ -219,7 +224,7 @@
 }
 
 impl Shared {
-    /// Logs that a watcher is sent a worker's state.
+    /// Logs that the state of a worker is sent to a watcher.
     fn log_sent(&self, watcher: IpAddr, event: WatchEventType, object: &Value) {
         let endpoint = &object["endpoints"][0];
         let address = format!(
@@ -278,7 +283,7 @@
         full(StatusCode::OK, list.to_string())
     }
 
-    /// A stream of the changes after the version that the watcher has seen.
+    /// Streams the changes after the version that the watcher has seen.
     fn watch(&self, watcher: IpAddr, seen: Option<u64>) -> Response<Body> {
         {
             let state = lock(&self.state);
@@ -302,7 +307,8 @@
         Response::new(StreamBody::new(lines).boxed())
     }
 
-    /// The next watch event, or a bookmark, for a watcher that has seen all up to a version.
+    /// Returns the next watch event, or a bookmark, for a watcher that has seen all changes up to the version `seen`, with
+    /// the version that the watcher has seen afterwards.
     async fn next_line(&self, watcher: IpAddr, seen: u64) -> (u64, Value) {
         let began = Instant::now();
         loop {
--- a/crates/emulators/src/http.rs
+++ b/crates/emulators/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 server on the emulators' executor, whose sockets can be partitioned by zone.
+//! A small HTTP/1.1 server on the executor of the emulators. Its sockets can be partitioned from whole zones.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -24,40 +24,42 @@
 
 use crate::{Host, lock, unix_time_us, zone_of};
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = BoxBody<Bytes, Infallible>;
 
-/// How often a partitioned socket checks whether the partition is healed.
+/// Interval at which a partitioned socket checks whether the partition is healed.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// An answer with this status and body.
+/// Creates a response with this status and body.
 pub fn full(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(Full::new(body.into()).boxed());
     *response.status_mut() = status;
     response
 }
 
-/// Network partition from whole zones: their bytes pass in neither direction. Clones share it.
+/// Network partition of a server from whole zones: bytes to and from a partitioned zone are held back until the
+/// partition is healed. Clones share the state.
 #[derive(Clone, Debug, Default)]
 pub struct Partition {
-    /// A bit for each zone.
+    /// Partitioned zones, one bit each.
     zones: Arc<AtomicU64>,
     history: Arc<Mutex<HashMap<u32, ZonePartition>>>,
 }
 
-/// The last partition from a zone.
+/// The most recent partition from a zone.
 #[derive(Clone, Copy, Debug)]
 struct ZonePartition {
-    /// Microseconds of Unix time.
+    /// Unix time in microseconds.
     began_us: i64,
+    /// Absent while the partition lasts.
     healed: Option<Instant>,
 }
 
-/// What a partition held back has arrived within this time of its end.
+/// Bytes that a partition held back arrive within this time after its end.
 const DELAYED_ARRIVAL: Duration = Duration::from_millis(500);
 
 impl Partition {
-    /// Partitions these zones, a bit each, and heals all others.
+    /// Partitions the server from these zones, one bit each, and heals the partitions from all others.
     pub fn set(&self, zones: u64) {
         let before = self.zones.swap(zones, Ordering::SeqCst);
         let mut history = lock(&self.history);
@@ -65,14 +67,15 @@
             let last = history
                 .get(&zone)
                 .filter(|p| p.healed.is_none_or(|at| at.elapsed() < DELAYED_ARRIVAL));
-            // What the last partition held back may not have arrived yet when the next one begins.
+            // If bytes that the previous partition held back may not have arrived yet, both count as one partition.
             let began_us = last.map_or_else(unix_time_us, |p| p.began_us);
             let healed = (zones & 1 << zone == 0).then(Instant::now);
             history.insert(zone, ZonePartition { began_us, healed });
         }
     }
 
-    /// Since when what arrives from this address now may have been on its way: a partition has just ended.
+    /// If a partition from the zone of this address has just ended: its begin, in microseconds of Unix time. Bytes that
+    /// arrive now may have been sent at any time since then.
     pub fn held_since(&self, from: IpAddr) -> Option<i64> {
         let last = *lock(&self.history).get(&zone_of(from)?)?;
         last.healed
@@ -80,7 +83,8 @@
             .map(|_| last.began_us)
     }
 
-    /// Since when this address may have closed connections unseen: a partition stands, or has just ended.
+    /// If a partition from the zone of this address lasts or has just ended: its begin, in microseconds of Unix time. The
+    /// peer may have closed connections since then without the server having noticed.
     pub fn unseen_since(&self, from: IpAddr) -> Option<i64> {
         let last = *lock(&self.history).get(&zone_of(from)?)?;
         last.healed
@@ -93,7 +97,7 @@
     }
 }
 
-/// A socket that lets nothing pass while its peer's zone is partitioned.
+/// A socket that neither reads nor writes while the zone of its peer is partitioned.
 struct PartitionableStream {
     stream: Async<TcpStream>,
     from: IpAddr,
@@ -152,19 +156,20 @@
     }
 }
 
-/// A server with its connections; dropped, all of it is gone at once, as when a process dies.
+/// A server with its connections. Dropping it closes the listener and all connections at once, as when a process
+/// crashes.
 pub struct Server {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
     _listener: Task<()>,
     _connections: Arc<Mutex<Vec<Task<()>>>>,
 }
 
 impl Server {
-    /// Starts a server whose requests, with the peer's address, go to `handle`.
+    /// Starts a server that passes each request, with the address of the peer, to `handle`.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// Fails if the address cannot be bound.
     pub fn start<F, R>(
         host: &Host,
         address: SocketAddr,
@@ -194,7 +199,7 @@
                         let answer = handle(from, request);
                         async move { Ok::<_, Infallible>(answer.await) }
                     });
-                    // However it ends, the peer has seen it.
+                    // An error only concerns the peer, which notices that the connection ends.
                     let _ = http1::Builder::new()
                         .serve_connection(FuturesIo::new(stream), service)
                         .await;
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,8 +1,8 @@
-//! Emulators of what a router talks to: message broker, workers, function store, worker list. Each writes what crosses
-//! its sockets to a log before it acts on it, and has faults that can be set while it runs. They listen on loopback
-//! only and are never part of a router.
+//! Emulators of the servers that a router talks to: message broker, workers, function store and endpoint list. Each
+//! emulator logs the traffic on its sockets before it acts on it, and supports faults that can be injected while it
+//! runs. Emulators listen on loopback only and are never part of a router.
 //!
-//! [`Host`] runs them: an executor over a few threads, and the folder of their logs.
+//! [`Host`] runs them: it holds an executor with a few threads and the folder for their logs.
 
 #![warn(missing_docs)]
 
@@ -22,32 +22,32 @@
 use async_executor::Executor;
 use serde_json::Value;
 
-/// Locks a mutex, poisoned or not: poison only means that another emulator's task panicked, and the checks after the
-/// scenario show what came of it.
+/// Locks a mutex even if it is poisoned. A poisoned mutex only means that the task of another emulator panicked; the
+/// checks after the scenario show the consequences.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-/// Microseconds of Unix time.
+/// The current Unix time in microseconds.
 pub fn unix_time_us() -> i64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_micros() as i64)
 }
 
-/// What emulators run on: threads of one executor, and the folder that their logs go to.
+/// The environment that emulators run in: the threads of one executor and the folder for their logs.
 #[derive(Clone)]
 pub struct Host {
-    /// Runs the tasks of all emulators.
+    /// The executor for the tasks of all emulators.
     pub executor: Arc<Executor<'static>>,
     logs: Option<PathBuf>,
 }
 
 impl Host {
-    /// Starts the threads. Logs go into the folder, if one is given; without it nothing is logged.
+    /// Starts the threads. Logs are written to the folder `logs`; without a folder nothing is logged.
     ///
     /// # Errors
-    /// When a thread cannot be started or the folder cannot be created.
+    /// Fails if a thread cannot be started or the folder cannot be created.
     pub fn new(threads: usize, logs: Option<&Path>) -> std::io::Result<Self> {
         let executor = Arc::new(Executor::new());
         for n in 0..threads {
@@ -65,10 +65,10 @@
         })
     }
 
-    /// Creates the log `NAME.ndjson` of one emulator.
+    /// Creates the log file `NAME.ndjson` of one emulator.
     ///
     /// # Errors
-    /// When the file cannot be created.
+    /// Fails if the file cannot be created.
     pub fn log(&self, name: &str) -> std::io::Result<Log> {
         let file = match &self.logs {
             Some(folder) => Some(BufWriter::new(File::create(
@@ -82,17 +82,18 @@
     }
 }
 
-/// The log of one emulator: a line of JSON for each event.
+/// The log of one emulator: one line of JSON per event. Clones write to the same file.
 #[derive(Clone)]
 pub struct Log {
     file: Arc<Mutex<Option<BufWriter<File>>>>,
 }
 
 impl Log {
-    /// Writes one event; its name (`what`) and time (`t`, microseconds of Unix time) are added to `fields`, an object.
+    /// Writes one event. `fields` is a JSON object, to which the name of the event (`what`) and its time (`t`, Unix
+    /// time in microseconds) are added.
     ///
     /// # Panics
-    /// When the file cannot be written: nothing could be checked after such a run.
+    /// Panics if the file cannot be written, because the invariants of such a run could not be checked.
     pub fn write(&self, event: &str, mut fields: Value) {
         let mut file = lock(&self.file);
         if let Some(file) = file.as_mut()
@@ -106,10 +107,10 @@
         }
     }
 
-    /// Writes buffered lines out.
+    /// Writes buffered lines to the file.
     ///
     /// # Panics
-    /// When the file cannot be written.
+    /// Panics if the file cannot be written.
     pub fn flush(&self) {
         if let Some(file) = lock(&self.file).as_mut() {
             file.flush().expect("the traffic log can be written");
@@ -117,7 +118,7 @@
     }
 }
 
-/// The zone of an address: routers connect from 127.0.(10 + zone).n; any other address belongs to no zone.
+/// The zone of a source address. Routers connect from 127.0.(10 + zone).n; other addresses belong to no zone.
 pub fn zone_of(ip: IpAddr) -> Option<u32> {
     match ip {
         IpAddr::V4(v4) if v4.octets()[..2] == [127, 0] && v4.octets()[2] >= 10 => {
@@ -127,7 +128,7 @@
     }
 }
 
-/// The address that the n-th router of a zone connects from.
+/// The source address of router number `n` in a zone; see [`zone_of`].
 pub fn router_address(zone: u32, n: u32) -> IpAddr {
     IpAddr::from([127, 0, 10 + zone as u8, 1 + n as u8])
 }
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -1,4 +1,5 @@
-//! The function store that workers load from. It slows down under concurrent fetches and rejects those past a limit.
+//! The emulated function store that workers load from. Concurrent fetches share its bandwidth, and fetches above a
+//! limit are rejected.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -13,32 +14,33 @@
 use crate::http::{Body, Partition, Server, full};
 use crate::{Host, Log, lock};
 
-/// The body of each answer: the time stands for the size, as sending all bytes would only use processor time.
-const BODY_LENGTH: usize = 1024;
-/// A change of its speed takes effect within this time.
-const STEP: Duration = Duration::from_millis(50);
+/// Length in bytes of the body of each response. The duration of a fetch represents the size of the function, because
+/// sending all bytes would only use processor time.
+const BODY_BYTES: usize = 1024;
+/// Step in which fetches advance: a change of the speed takes effect within this time.
+const TIME_STEP: Duration = Duration::from_millis(50);
 
 /// Speed and limits of a store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreProfile {
-    /// Rate of a single fetch.
+    /// Rate of a single fetch, in MB per second.
     pub mb_per_s: f64,
-    /// More concurrent fetches than this share the rate that these would get.
+    /// Number of concurrent fetches that each get the full rate; more fetches share the total rate of this many.
     pub full_rate_fetches: usize,
-    /// Concurrent fetches beyond this are rejected.
+    /// Concurrent fetches above this number are rejected.
     pub max_fetches: usize,
 }
 
-/// An emulated store.
+/// An emulated function store.
 pub struct Store {
-    /// The server that it listens with.
+    /// The HTTP server of the store.
     pub server: Server,
-    /// Fetches that were not rejected.
+    /// Number of fetches that were not rejected.
     pub fetches: Arc<AtomicU64>,
     shared: Arc<Shared>,
 }
 
-/// What the store's handle and its requests share.
+/// State shared by the handle of the store and its requests.
 struct Shared {
     profile: StoreProfile,
     log: Log,
@@ -51,7 +53,7 @@
     /// Starts a store.
     ///
     /// # Errors
-    /// When its log cannot be created or its address cannot be bound.
+    /// Fails if the log cannot be created or the address cannot be bound.
     pub fn start(
         host: &Host,
         name: &str,
@@ -79,19 +81,19 @@
         })
     }
 
-    /// Fetches take this many times as long.
+    /// Sets the factor by which the duration of fetches is multiplied.
     pub fn set_slowdown(&self, times: f64) {
         *lock(&self.shared.slowdown) = times;
     }
 
-    /// Writes buffered log lines out.
+    /// Writes buffered log lines to the log file.
     pub fn flush(&self) {
         self.shared.log.flush();
     }
 }
 
 impl Shared {
-    /// Answers a fetch of `?mb=SIZE` after the time that it takes.
+    /// Responds to a fetch of `?mb=SIZE` after the time that fetching this size takes.
     async fn fetch(&self, from: IpAddr, request: Request<Incoming>) -> Response<Body> {
         let concurrent = self.concurrent.fetch_add(1, Ordering::SeqCst) + 1;
         let mb: f64 = request
@@ -114,15 +116,16 @@
         if rejected {
             full(StatusCode::SERVICE_UNAVAILABLE, "")
         } else {
-            full(StatusCode::OK, vec![0u8; BODY_LENGTH])
+            full(StatusCode::OK, vec![0u8; BODY_BYTES])
         }
     }
 
-    /// Waits in steps: fetches under way slow down and speed up with the rest.
+    /// Waits for `left` seconds of fetching at normal speed, in steps, so that a change of the slowdown also affects
+    /// fetches in progress.
     async fn wait_seconds(&self, mut left: f64) {
         while left > 0.0 {
             let slowdown = *lock(&self.slowdown);
-            let step = (left * slowdown).min(STEP.as_secs_f64());
+            let step = (left * slowdown).min(TIME_STEP.as_secs_f64());
             Timer::after(Duration::from_secs_f64(step)).await;
             left -= step / slowdown;
         }
--- a/crates/emulators/src/worker.rs
+++ b/crates/emulators/src/worker.rs
@@ -1,19 +1,22 @@
-//! A worker: KServe v2 with the model repository extension over HTTP/1.1.
+//! An emulated worker: KServe v2 with the model repository extension over HTTP/1.1.
 //!
-//! Cores are shared among the running invocations. Functions are loaded through the store into bounded memory, each
-//! loaded function has a number of lanes (concurrent invocations), a worker in slow start has only part of its
-//! capacity and crashes when pushed beyond it, and repeats of an idempotency key are not executed within a window.
+//! - The running invocations share the cores.
+//! - Functions are loaded from the store into bounded memory. Each loaded function has a number of lanes, which limits
+//!   its concurrent invocations.
+//! - A worker in slow start has only part of its capacity and crashes when it is overloaded.
+//! - A repeated idempotency key is not executed again within a window.
 //!
-//! Modules, one concern each:
+//! Modules:
 //! 1. `incarnation`: state of one process: loaded functions, memory, slow start, overload. Versions of a model are
-//!    functions side by side (`m/versions/2`).
-//! 2. `routes`, `orders`, `inference`, `answers`: the HTTP endpoints; `in_flight`: what is given back or logged as an
-//!    invocation ends.
+//!    separate functions (`m/versions/2`).
+//! 2. `routes`, `orders`, `inference`, `answers`: the HTTP endpoints. `in_flight`: counts that are decremented, and the
+//!    log line that is written, when an invocation ends.
 //! 3. `execution`: how long an invocation runs, and how the cores are shared.
-//! 4. `idempotency`: keys that a group of workers remembers.
-//! 5. `prefix_cache`: what earlier invocations of a sequence left in a loaded function makes the next one there cheap.
-//! 6. `usage`: running, loading and idle times, as they are billed.
-//! 7. `index`: the repository index; `injected_faults`: faults that make it differ from what routers believe.
+//! 4. `idempotency`: idempotency keys that a group of workers remembers.
+//! 5. `prefix_cache`: prefixes of sequences. An invocation that finds the cached prefix of its sequence needs less work.
+//! 6. `usage`: running, loading and idle times for billing.
+//! 7. `index`: the repository index. `injected_faults`: faults that make the loaded functions or the index differ from
+//!    what routers record.
 
 mod answers;
 mod execution;
@@ -29,7 +32,7 @@
 mod usage;
 
 pub use idempotency::IdempotencyStore;
-pub use index::{LoadedFunctionInfo, Orderer};
+pub use index::{LoadedFunctionInfo, OrderIssuer};
 pub use injected_faults::FalseReport;
 
 use std::collections::HashMap;
@@ -45,12 +48,12 @@
 use crate::http::{Partition, Server};
 use crate::{Host, Log, lock, unix_time_us};
 
-/// Running invocations are advanced, and waiting conditions polled, in steps of this length.
-const STEP: Duration = Duration::from_millis(10);
-/// The listener of a process that ended is closed within this time, however busy the machine.
+/// Step in which running invocations advance, and interval at which conditions are polled.
+const TIME_STEP: Duration = Duration::from_millis(10);
+/// The listener of a crashed process is closed within this time, also on a busy machine.
 const LISTENER_CLOSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What invocations of one trigger type are like.
+/// Properties of the invocations of one trigger type and of the functions that they call.
 #[derive(Clone, Debug)]
 pub struct InvocationProfile {
     /// Mean processor time of an invocation.
@@ -59,39 +62,40 @@
     pub copy_mb: f64,
     /// Time from the end of the fetch until the copy is ready.
     pub start_up_time: Duration,
-    /// Invocations that a copy runs at once.
+    /// Number of invocations that a copy runs concurrently.
     pub lanes: usize,
-    /// For invocations with an idempotency key: how long repeats are not executed again.
+    /// How long a repeated idempotency key is not executed again; absent if the worker ignores idempotency keys.
     pub idempotency_window: Option<Duration>,
-    /// Additional work of an invocation that does not find its sequence's cached prefix.
+    /// Additional processor time of an invocation that does not find the cached prefix of its sequence.
     pub prefix_rebuild_work: Duration,
 }
 
 /// Capacity and limits of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerProfile {
-    /// Cores shared among the running invocations.
+    /// Number of cores, which the running invocations share.
     pub cores: f64,
     /// Memory for loaded functions, in MB.
     pub memory_mb: f64,
-    /// Invocations waiting beyond this are rejected.
+    /// Invocations are rejected while this many are waiting.
     pub max_waiting: usize,
-    /// Loads that may be under way at once.
+    /// Largest number of concurrent loads.
     pub max_loads: usize,
-    /// Whether an invocation of a function that is not loaded loads it.
+    /// Whether an invocation of a function that is not loaded triggers its load.
     pub loads_when_absent: bool,
-    /// Share of the cores that a restarted worker begins with.
+    /// Share of the cores that a worker has right after a restart.
     pub slow_start_share: f64,
-    /// Time over which a restarted worker's share grows to all cores.
+    /// Time over which the share of a restarted worker grows to all cores.
     pub slow_start: Duration,
-    /// During slow start, more work than this multiple of the capacity within `overload_window` crashes the worker.
+    /// During slow start, a worker crashes if more work than this multiple of its capacity arrives within
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// Window over which arriving work is summed for `overload_multiple`.
+    /// Time window over which arriving work is summed for `overload_multiple`.
     pub overload_window: Duration,
 }
 
 impl WorkerProfile {
-    /// A worker that has memory for everything and no slow start.
+    /// Creates the profile of a worker with practically unlimited memory and queue, and without slow start.
     pub fn unlimited(cores: f64) -> Self {
         WorkerProfile {
             cores,
@@ -107,17 +111,18 @@
     }
 }
 
-/// Faults and states of the whole worker that a test sets.
+/// Faults and states of the whole worker that tests set.
 #[derive(Clone, Debug)]
 struct WorkerFaults {
-    /// Requests are accepted and executed, but not answered.
+    /// Invocations are accepted and executed, but not answered.
     hanging: bool,
-    /// Nothing advances.
+    /// Running invocations do not advance.
     paused: bool,
-    /// Factor on the duration of invocations.
+    /// Factor by which the duration of invocations is multiplied.
     slowdown: f64,
-    /// Trigger type whose invocations are not answered.
+    /// Trigger type whose invocations are executed but not answered.
     unanswered_type: Option<String>,
+    /// New invocations and loads are rejected.
     draining: bool,
 }
 
@@ -133,27 +138,30 @@
     }
 }
 
-/// What the worker's handle and its request handlers share.
+/// State shared by the handle of the worker and its request handlers.
 struct WorkerShared {
     name: String,
     host: Host,
     log: Log,
+    /// Seed of the work of invocations and of version faults.
     seed: u64,
     profile: WorkerProfile,
     store: SocketAddr,
+    /// By trigger type.
     programs: HashMap<String, InvocationProfile>,
     idempotency: IdempotencyStore,
     partition: Partition,
     faults: Mutex<WorkerFaults>,
     injected: Mutex<InjectedFaults>,
-    /// State of the present process; none while the worker is down.
+    /// State of the current process; absent while the worker is down.
     incarnation: Mutex<Option<Incarnation>>,
     server: Mutex<Option<Server>>,
+    /// How often a process has been started.
     starts: Mutex<u32>,
 }
 
 impl WorkerShared {
-    /// Reads or changes the present process's state under its lock; none while the worker is down.
+    /// Reads or changes the state of the current process under its lock; returns nothing while the worker is down.
     fn with_incarnation<R>(&self, action: impl FnOnce(&mut Incarnation) -> R) -> Option<R> {
         lock(&self.incarnation).as_mut().map(action)
     }
@@ -169,24 +177,24 @@
             if !faults.hanging && !faults.paused {
                 return;
             }
-            Timer::after(STEP).await;
+            Timer::after(TIME_STEP).await;
         }
     }
 }
 
-/// Handle of an emulated worker; clones stand for the same one.
+/// Handle of an emulated worker; clones refer to the same worker.
 #[derive(Clone)]
 pub struct Worker {
-    /// Where it listens.
+    /// The address that the worker listens on.
     pub address: SocketAddr,
     shared: Arc<WorkerShared>,
 }
 
 impl Worker {
-    /// Starts a worker that is warm, that is: not in slow start. `programs` are by trigger type.
+    /// Starts a worker that is warm, which means that it is not in slow start. The keys of `programs` are trigger types.
     ///
     /// # Errors
-    /// When its log cannot be created or its address cannot be bound.
+    /// Fails if the log cannot be created or the address cannot be bound.
     #[expect(
         clippy::too_many_arguments,
         reason = "callers outside this package name them in this order"
@@ -239,7 +247,7 @@
         Ok(address)
     }
 
-    /// The process ends at once; all its state is lost.
+    /// Ends the process at once; all its state is lost.
     pub fn crash(&self) {
         self.shared.log.write("down", json!({}));
         let server = lock(&self.shared.server).take();
@@ -250,69 +258,70 @@
     /// Starts a new process, in slow start and without loaded functions, at the same address.
     ///
     /// # Errors
-    /// When the address cannot be bound within ten seconds.
+    /// Fails if the address cannot be bound within ten seconds.
     pub fn restart(&self) -> std::io::Result<()> {
         let deadline = Instant::now() + LISTENER_CLOSE_TIMEOUT;
-        // Symptom: `AddrInUse` just after a crash, as the executor has yet to drop the listener.
+        // Without the retries, a restart right after a crash fails with `AddrInUse`, because the executor has not dropped
+        // the listener yet.
         loop {
             match self.start_process(false) {
                 Err(e)
                     if e.kind() == std::io::ErrorKind::AddrInUse && Instant::now() < deadline =>
                 {
-                    std::thread::sleep(STEP);
+                    std::thread::sleep(TIME_STEP);
                 }
                 started => return started.map(|_| lock(&self.shared.faults).draining = false),
             }
         }
     }
 
-    /// How often it has been started.
+    /// How often the worker has been started.
     pub fn starts(&self) -> u32 {
         *lock(&self.shared.starts)
     }
 
-    /// Whether a process of it is listening.
+    /// Whether a process of the worker is listening.
     pub fn is_up(&self) -> bool {
         lock(&self.shared.server).is_some()
     }
 
-    /// While on, invocations are accepted and executed, and none is answered.
+    /// While `on`, invocations are accepted and executed, but not answered.
     pub fn set_hanging(&self, on: bool) {
         lock(&self.shared.faults).hanging = on;
     }
 
-    /// While on, running invocations do not advance.
+    /// While `on`, running invocations do not advance.
     pub fn set_paused(&self, on: bool) {
         lock(&self.shared.faults).paused = on;
     }
 
-    /// Invocations take this many times as long.
+    /// Sets the factor by which the duration of invocations is multiplied.
     pub fn set_slowdown(&self, times: f64) {
         lock(&self.shared.faults).slowdown = times;
     }
 
-    /// Invocations of this trigger type are executed and not answered.
-    pub fn stop_answering(&self, kind: Option<&str>) {
-        lock(&self.shared.faults).unanswered_type = kind.map(str::to_owned);
+    /// Sets the trigger type whose invocations are executed but not answered; `None` answers all.
+    pub fn stop_answering(&self, trigger_type: Option<&str>) {
+        lock(&self.shared.faults).unanswered_type = trigger_type.map(str::to_owned);
     }
 
-    /// Rejects new invocations and loads from now on.
+    /// Rejects new invocations and loads from now on, until the worker is restarted.
     pub fn drain(&self) {
         lock(&self.shared.faults).draining = true;
     }
 
-    /// Partitions it from these zones, a bit each.
+    /// Partitions the worker from these zones, one bit each, and heals the partitions from all others.
     pub fn partition_from(&self, zones: u64) {
         self.shared.partition.set(zones);
     }
 
-    /// Evicts all idle functions.
+    /// Evicts all functions that are idle.
     pub fn evict_all_idle(&self) {
         self.shared
             .remove_idle("evicted", |_| true, &json!({"why": "flush"}));
     }
 
-    /// When its present process began, in microseconds of Unix time; 0 for one that was there all along.
+    /// Start of the current process, as Unix time in microseconds; 0 if the worker was never restarted or is down.
     pub fn began_us(&self) -> i64 {
         self.shared
             .with_incarnation(|incarnation| incarnation.age_since_restart())
@@ -320,7 +329,7 @@
             .map_or(0, |age| unix_time_us() - age.as_micros() as i64)
     }
 
-    /// Writes buffered log lines out.
+    /// Writes buffered log lines to the log file.
     pub fn flush(&self) {
         self.shared.log.flush();
     }
--- a/crates/emulators/src/worker/answers.rs
+++ b/crates/emulators/src/worker/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to invocations: echoed tensors, the load report and how the function and the prefix were met.
+//! Responses to invocations: echoed tensors, the load report, and whether the function was loaded and the prefix cached.
 
 use bytes::Bytes;
 use hyper::header::HeaderValue;
@@ -7,12 +7,12 @@
 
 use super::idempotency::StoredAnswer;
 use super::incarnation::CopyState;
-use super::inference::{Inference, JSON_LENGTH};
+use super::inference::{Inference, JSON_LENGTH_HEADER};
 use super::prefix_cache::PrefixMatch;
 use crate::http::{Body, full};
 
 impl Inference {
-    /// The answer: raw tensors return as they came; of others only the model's name is answered.
+    /// Builds the answer. Raw tensors of the request are echoed; without raw tensors the answer has no outputs.
     pub(super) fn echo(&self) -> StoredAnswer {
         let (request, body) = (&self.request, &self.body);
         let mut outputs = json!([]);
@@ -21,20 +21,21 @@
             .filter(|length| length < &body.len())
             .map(|length| (length, body.slice(length..)));
         if let Some((length, _)) = &raw {
-            let head =
+            let request_json =
                 serde_json::from_slice::<serde_json::Value>(&body[..*length]).unwrap_or_default();
-            outputs = head.get("inputs").cloned().unwrap_or(outputs);
+            outputs = request_json.get("inputs").cloned().unwrap_or(outputs);
         }
-        let head = json!({"model_name": request.function, "id": request.id, "outputs": outputs})
-            .to_string();
+        let response_json =
+            json!({"model_name": request.function, "id": request.id, "outputs": outputs})
+                .to_string();
         match raw {
             None => StoredAnswer {
-                body: Bytes::from(head),
+                body: Bytes::from(response_json),
                 json_length: None,
             },
             Some((_, raw)) => StoredAnswer {
-                body: Bytes::from([head.as_bytes(), &raw].concat()),
-                json_length: Some(head.len()),
+                body: Bytes::from([response_json.as_bytes(), &raw].concat()),
+                json_length: Some(response_json.len()),
             },
         }
     }
@@ -76,7 +77,7 @@
     if let Some(length) = answer.json_length {
         response
             .headers_mut()
-            .insert(JSON_LENGTH, HeaderValue::from(length));
+            .insert(JSON_LENGTH_HEADER, HeaderValue::from(length));
     }
     response
 }
--- a/crates/emulators/src/worker/execution.rs
+++ b/crates/emulators/src/worker/execution.rs
@@ -1,4 +1,4 @@
-//! How long an invocation takes: its drawn work, advanced with its share of the cores.
+//! Duration of an invocation: its work is drawn at random and advances with its share of the cores.
 
 use std::time::{Duration, Instant};
 
@@ -6,13 +6,13 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
 
-use super::{STEP, WorkerShared};
+use super::{TIME_STEP, WorkerShared};
 
-/// Standard deviation of the work's logarithm.
+/// Standard deviation of the logarithm of the work.
 const LOG_DEVIATION: f64 = 0.35;
 
 impl WorkerShared {
-    /// Waits until this much work is done at the pace that cores, slow start and faults allow.
+    /// Waits until this much work is done. How fast it advances depends on the cores, slow start and faults.
     pub(super) async fn execute(&self, work: Duration) {
         let mut left = work.as_secs_f64();
         while left > 0.0 {
@@ -26,9 +26,9 @@
                 .unwrap_or(0.0)
             };
             let step = if pace > 0.0 {
-                STEP.as_secs_f64().min(left / pace)
+                TIME_STEP.as_secs_f64().min(left / pace)
             } else {
-                STEP.as_secs_f64()
+                TIME_STEP.as_secs_f64()
             };
             let began = Instant::now();
             Timer::after(Duration::from_secs_f64(step)).await;
@@ -37,7 +37,8 @@
     }
 }
 
-/// The work of an invocation: log-normal about the mean, and the same for the same invocation wherever it runs.
+/// Draws the work of an invocation from a log-normal distribution with this mean. Every worker with the same seed draws
+/// the same work for the same invocation.
 pub(super) fn draw_work(seed: u64, invocation_id: &str, mean: Duration) -> Duration {
     use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
     let hash = BuildHasherDefault::<DefaultHasher>::default().hash_one((seed, invocation_id));
--- a/crates/emulators/src/worker/idempotency.rs
+++ b/crates/emulators/src/worker/idempotency.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys that a group of workers remembers, so that repeats are answered without a second execution.
+//! Idempotency keys that a group of workers remembers. A repeated invocation is answered without a second execution.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -8,17 +8,17 @@
 
 use crate::lock;
 
-/// The body of an answer, as it is remembered for repeats.
+/// The body of an answer, stored for repeated invocations.
 #[derive(Clone)]
 pub(super) struct StoredAnswer {
     pub(super) body: Bytes,
-    /// Length of the leading JSON where raw tensors follow it.
+    /// Length in bytes of the leading JSON if raw tensors follow it.
     pub(super) json_length: Option<usize>,
 }
 
 struct KeyRecord {
     seen: Instant,
-    /// None until the first execution has ended.
+    /// Absent until the first execution has ended.
     answer: Option<StoredAnswer>,
 }
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Default)]
 pub struct IdempotencyStore(Arc<Mutex<HashMap<String, KeyRecord>>>);
 
-/// What is known of a key.
+/// State of an idempotency key.
 pub(super) enum KeyStatus {
     Unknown,
     Executing,
@@ -34,7 +34,7 @@
 }
 
 impl IdempotencyStore {
-    /// Records a key from now on; none if it is known already.
+    /// Records a key; returns nothing if the key is already known within the window.
     pub(super) fn reserve(&self, key: &str, window: Duration) -> Option<KeyReservation> {
         let mut keys = lock(&self.0);
         keys.retain(|_, record| record.seen.elapsed() < window);
@@ -70,7 +70,8 @@
     }
 }
 
-/// A recorded key whose invocation has not begun: forgotten if it is dropped before, as nothing was executed.
+/// A recorded key whose invocation has not started yet. If the reservation is dropped before the execution starts, the
+/// key is removed, because nothing was executed.
 pub(super) struct KeyReservation {
     keys: IdempotencyStore,
     key: String,
@@ -78,7 +79,7 @@
 }
 
 impl KeyReservation {
-    /// The execution begins: the key stays known.
+    /// Marks the execution as started, so that the key is kept.
     pub(super) fn keep(&mut self) {
         self.executed = true;
     }
--- a/crates/emulators/src/worker/in_flight.rs
+++ b/crates/emulators/src/worker/in_flight.rs
@@ -1,5 +1,5 @@
-//! What holds as long as an invocation is in flight, however it ends: its places in the worker's counts, and the log
-//! line about its outcome.
+//! Guards that live as long as an invocation is in flight. They correct the counts of the worker and log the outcome,
+//! however the invocation ends.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::Log;
 use crate::http::Partition;
 
-/// Writes to the log how an invocation left, also when its connection was closed.
+/// Logs the outcome of an invocation when dropped, also if its connection was closed.
 pub(super) struct OutcomeLog {
     pub(super) log: Log,
     pub(super) partition: Partition,
@@ -32,12 +32,13 @@
     }
 }
 
-/// What an invocation counts as, until this is dropped.
+/// Counts an invocation in one of the counts of the worker until it is dropped.
 pub(super) struct Occupancy {
     worker: Arc<WorkerShared>,
     counter: Counter,
 }
 
+/// A count of the worker.
 pub(super) enum Counter {
     Waiting,
     Running,
@@ -45,7 +46,7 @@
 }
 
 impl Occupancy {
-    /// For a count that the caller has just incremented.
+    /// Creates the guard for a count that the caller has just incremented.
     pub(super) fn new(worker: &Arc<WorkerShared>, counter: Counter) -> Self {
         Occupancy {
             worker: worker.clone(),
--- a/crates/emulators/src/worker/incarnation.rs
+++ b/crates/emulators/src/worker/incarnation.rs
@@ -1,4 +1,4 @@
-//! One process of a worker: which functions it has loaded, how much it runs, and how much it can take.
+//! State of one process of a worker: its loaded functions, the invocations that it runs, and its capacity.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -7,47 +7,48 @@
 use serde_json::json;
 use smol::lock::Semaphore;
 
-use super::index::{LoadedFunctionInfo, Orderer};
+use super::index::{LoadedFunctionInfo, OrderIssuer};
 use super::prefix_cache::{PrefixCache, PrefixMatch, Sequence};
 use super::usage::SharedTime;
 use super::{InvocationProfile, WorkerProfile};
 use crate::Log;
 
+/// State of a function in memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LoadState {
     Loading,
     Ready,
 }
 
-/// A function in memory. One whose load failed is removed at once.
+/// A function in memory. A function whose load failed is removed at once.
 struct LoadedFunction {
-    /// A permit for each invocation that may run at once; none while loading.
+    /// One permit per invocation that may run concurrently; no permits while loading.
     lanes: Arc<Semaphore>,
     copies: usize,
     memory_mb: f64,
-    /// Invocations that wait for it or run on it, and other users.
+    /// Number of invocations that wait for the function or run on it, and of other users (`set_unseen_user`).
     users: usize,
     last_used: Instant,
     state: LoadState,
     active_time: SharedTime,
-    /// Who gave the last order.
-    ordered_by: Orderer,
+    /// The issuer of the last load order.
+    ordered_by: OrderIssuer,
     prefixes: PrefixCache,
 }
 
-/// How an invocation met the function it asked for; the answer's header says it.
+/// State in which an invocation found its function, as reported in the response header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CopyState {
-    /// It was loaded.
+    /// The function was loaded.
     Ready,
     /// This invocation began the load.
     LoadBegun,
-    /// A load was under way.
+    /// A load was in progress.
     LoadAwaited,
 }
 
 impl CopyState {
-    /// As in the `cedarpulley-copy` header.
+    /// The value in the `cedarpulley-copy` header.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             CopyState::Ready => "found",
@@ -57,18 +58,19 @@
     }
 }
 
-/// The result of looking for a function to run on.
+/// The result of looking up a function to run on.
 pub(super) enum Lookup {
     Found {
         lanes: Arc<Semaphore>,
         state: CopyState,
     },
-    /// Neither memory nor a load slot is free.
+    /// Too little memory or no load slot is free, or the worker is down.
     NoCapacity,
+    /// The function is not loaded, and the caller may not load it.
     Absent,
 }
 
-/// Time that a function was used, in byte-microseconds.
+/// Usage of a function by an account, in byte-microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct UsageTotals {
     pub(super) running: u128,
@@ -76,15 +78,19 @@
     pub(super) idle: u128,
 }
 
+/// State of one process of a worker.
 pub(super) struct Incarnation {
-    /// Unlike any other process's.
+    /// Random id that is unique to this process.
     id: u64,
     began: Instant,
-    /// It was there all along: no slow start.
+    /// The process was not started by a restart and has no slow start.
     warm: bool,
     functions: HashMap<String, LoadedFunction>,
+    /// Number of loads in progress.
     loads: usize,
+    /// Number of running invocations.
     running: usize,
+    /// Number of waiting invocations.
     waiting: usize,
     /// Arrivals within the overload window, with their work.
     arrivals: VecDeque<(Instant, Duration)>,
@@ -111,12 +117,12 @@
         self.id
     }
 
-    /// Its age, unless it was there all along.
+    /// Age of the process; absent if it was not started by a restart.
     pub(super) fn age_since_restart(&self) -> Option<Duration> {
         (!self.warm).then(|| self.began.elapsed())
     }
 
-    /// Share of the cores that it has by now: grows to 1 during slow start.
+    /// Share of the cores that are available now; grows to 1 during slow start.
     fn slow_start_progress(&self, profile: &WorkerProfile) -> f64 {
         if self.warm {
             return 1.0;
@@ -125,18 +131,18 @@
         profile.slow_start_share + (1.0 - profile.slow_start_share) * age.min(1.0)
     }
 
-    /// Cores that a single running invocation gets, at most one.
+    /// Number of cores that each running invocation gets, at most one.
     pub(super) fn pace(&self, profile: &WorkerProfile) -> f64 {
         let cores = profile.cores * self.slow_start_progress(profile);
         (cores / self.running.max(1) as f64).min(1.0)
     }
 
-    /// Share of the cores in use, as the load report says it.
+    /// Share of the cores in use, as given in the load report.
     pub(super) fn utilization(&self, profile: &WorkerProfile) -> f64 {
         (self.running as f64 / profile.cores).min(1.0)
     }
 
-    /// Records an arrival; true if it is one too many for a worker in slow start.
+    /// Records an arrival; returns true if it overloads a worker in slow start.
     pub(super) fn overloaded_by(&mut self, work: Duration, profile: &WorkerProfile) -> bool {
         let now = Instant::now();
         self.arrivals.push_back((now, work));
@@ -166,7 +172,7 @@
         self.running + self.waiting
     }
 
-    /// Counts an invocation as waiting; returns how many users its function already had.
+    /// Counts an invocation as waiting; returns the number of users that its function already had.
     pub(super) fn enqueue(&mut self, function: &str) -> usize {
         self.waiting += 1;
         let users = self.functions.get(function).map_or(0, |f| f.users);
@@ -191,7 +197,7 @@
         }
     }
 
-    /// A user of which no router knows comes or goes. False if the function is not ready here.
+    /// Adds, or removes, a user of the function that no router knows of. Returns false if the function is not ready.
     pub(super) fn set_unseen_user(&mut self, function: &str, present: bool) -> bool {
         let Some(function) = self
             .functions
@@ -217,8 +223,8 @@
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Looks a function up; where it is absent and may be loaded, makes room and counts a load that the caller has to
-    /// carry out (`CopyState::LoadBegun`).
+    /// Looks up a function. If it is absent and `may_load` is set, makes room for it and counts a load, which the caller
+    /// has to execute (`CopyState::LoadBegun`).
     pub(super) fn find_or_begin_load(
         &mut self,
         function: &str,
@@ -254,7 +260,7 @@
             last_used: now,
             state: LoadState::Loading,
             active_time: SharedTime::new(now),
-            ordered_by: Orderer::default(),
+            ordered_by: OrderIssuer::default(),
             prefixes: PrefixCache::default(),
         };
         self.functions.insert(function.to_owned(), loading);
@@ -265,7 +271,7 @@
         }
     }
 
-    /// Evicts idle functions, least recently used first, until this much is free.
+    /// Evicts idle functions, least recently used first, until `needed_mb` is free; returns false if that is impossible.
     fn make_room(&mut self, needed_mb: f64, memory_mb: f64, log: &Log) -> bool {
         let mut used = self.memory_used_mb();
         while used + needed_mb > memory_mb {
@@ -289,25 +295,25 @@
         self.functions.values().map(|f| f.memory_mb).sum::<f64>()
     }
 
-    /// One load fewer is under way.
+    /// Counts a load as ended.
     pub(super) fn count_load_ended(&mut self) {
         self.loads = self.loads.saturating_sub(1);
     }
 
-    /// Makes a loaded function ready, or removes it if its load failed, and wakes those who wait for it. Returns the
-    /// number of its lanes and who ordered it; none if it is not here any more.
+    /// Makes a loaded function ready, or removes it if its load failed, and wakes the tasks that wait for it. Returns the
+    /// number of its lanes and the issuer of the order, or nothing if the function is not in memory any more.
     pub(super) fn conclude_load(
         &mut self,
         function: &str,
         program: &InvocationProfile,
         fetched: bool,
         profile: &WorkerProfile,
-    ) -> Option<(usize, Orderer)> {
+    ) -> Option<(usize, OrderIssuer)> {
         let loaded = self.functions.get_mut(function)?;
         loaded.state = LoadState::Ready;
         loaded.active_time.restart();
         let lanes = program.lanes * loaded.copies;
-        // After a failed load all that wait are let go; they find the function absent.
+        // After a failed load all waiting invocations get a permit; they then find the function absent.
         loaded
             .lanes
             .add_permits(if fetched { lanes } else { profile.max_waiting });
@@ -324,13 +330,13 @@
             .is_some_and(|f| f.state == LoadState::Ready)
     }
 
-    pub(super) fn set_orderer(&mut self, function: &str, ordered_by: Orderer) {
+    pub(super) fn set_order_issuer(&mut self, function: &str, ordered_by: OrderIssuer) {
         if let Some(function) = self.functions.get_mut(function) {
             function.ordered_by = ordered_by;
         }
     }
 
-    /// Removes these functions where they are idle; returns their names, sorted.
+    /// Removes the selected functions that are idle; returns their names, sorted.
     pub(super) fn remove_idle(&mut self, selects: impl Fn(&str) -> bool) -> Vec<String> {
         let mut removed: Vec<String> = Vec::new();
         self.functions.retain(|name, f| {
@@ -345,9 +351,9 @@
     }
 
     /// The functions in memory, sorted by name.
-    pub(super) fn held(&self) -> Vec<LoadedFunctionInfo> {
+    pub(super) fn loaded_functions(&self) -> Vec<LoadedFunctionInfo> {
         let mut all: Vec<LoadedFunctionInfo> =
-            self.functions.iter().map(|(n, f)| f.entry(n)).collect();
+            self.functions.iter().map(|(n, f)| f.info(n)).collect();
         all.sort_by(|a, b| a.function.cmp(&b.function));
         all
     }
@@ -362,7 +368,7 @@
         }
     }
 
-    /// The active time of a function, to join or leave it.
+    /// The active time of a function, which invocations join and leave.
     pub(super) fn active_time(&mut self, function: &str) -> Option<&mut SharedTime> {
         Some(&mut self.functions.get_mut(function)?.active_time)
     }
@@ -380,7 +386,7 @@
 }
 
 impl LoadedFunction {
-    fn entry(&self, name: &str) -> LoadedFunctionInfo {
+    fn info(&self, name: &str) -> LoadedFunctionInfo {
         LoadedFunctionInfo {
             function: name.to_owned(),
             state: match self.state {
--- a/crates/emulators/src/worker/index.rs
+++ b/crates/emulators/src/worker/index.rs
@@ -1,4 +1,4 @@
-//! The repository index (`POST /v2/repository/index`): which functions a worker has in memory.
+//! The repository index (`POST /v2/repository/index`), which lists the functions that a worker has in memory.
 
 use std::sync::Arc;
 
@@ -12,54 +12,54 @@
 use super::{Worker, WorkerShared};
 use crate::http::{Body, full};
 
-/// Separates name and version in a function's name, as in paths.
-pub(super) const VERSIONS: &str = "/versions/";
+/// Separates model name and version in the name of a function, as in paths.
+pub(super) const VERSION_SEPARATOR: &str = "/versions/";
 const INCARNATION_HEADER: &str = "cedarpulley-life";
 const MEMORY_HEADER: &str = "cedarpulley-memory-mb";
 const MEMORY_USED_HEADER: &str = "cedarpulley-memory-used-mb";
-const MAX_REQUEST: usize = 64 << 10;
+const MAX_REQUEST_BYTES: usize = 64 << 10;
 
-/// Which router gave an order, and in which term, where the order says so.
+/// The router that issued an order, and its term, if the order names them.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Orderer {
-    /// The router's name.
+pub struct OrderIssuer {
+    /// Name of the router.
     pub router: Option<String>,
-    /// Its leadership term.
+    /// Leadership term of the router.
     pub term: Option<String>,
 }
 
-impl Orderer {
+impl OrderIssuer {
     pub(super) fn of(request: &Request<Incoming>) -> Self {
         let value = |name: &str| Some(header(request, name)).filter(|v| !v.is_empty());
-        Orderer {
+        OrderIssuer {
             router: value("cedarpulley-router"),
             term: value("cedarpulley-term"),
         }
     }
 }
 
-/// A function in memory, with its version.
+/// A function in memory; a version of a model is a function.
 #[derive(Clone, Debug)]
 pub struct LoadedFunctionInfo {
     /// `NAME` or `NAME/versions/VERSION`.
     pub function: String,
     /// "READY" or "LOADING".
     pub state: &'static str,
-    /// Copies of it in memory.
+    /// Number of its copies in memory.
     pub copies: usize,
-    /// Invocations that run on it or wait for it.
+    /// Number of invocations that run on the function or wait for it.
     pub busy: usize,
-    /// Microseconds since its last use; 0 while it is busy.
+    /// Microseconds since the last use; 0 while the function is busy.
     pub idle_us: u64,
-    /// Who gave the last order for it.
-    pub ordered_by: Orderer,
-    /// Sequences whose prefixes it caches.
+    /// The issuer of the last load order for the function.
+    pub ordered_by: OrderIssuer,
+    /// Ids of the sequences whose prefixes are cached.
     pub sequences: Vec<String>,
 }
 
 impl LoadedFunctionInfo {
     fn entry(&self) -> Value {
-        let (name, version) = match self.function.split_once(VERSIONS) {
+        let (name, version) = match self.function.split_once(VERSION_SEPARATOR) {
             Some((name, version)) => (name, Some(version)),
             None => (self.function.as_str(), None),
         };
@@ -85,14 +85,14 @@
 }
 
 impl Worker {
-    /// The functions it has in memory, sorted by name, read directly and not through its index.
+    /// The functions in memory, sorted by name. They are read directly, so a falsified index does not affect them.
     pub fn loaded_functions(&self) -> Vec<LoadedFunctionInfo> {
         self.shared
-            .with_incarnation(|incarnation| incarnation.held())
+            .with_incarnation(|incarnation| incarnation.loaded_functions())
             .unwrap_or_default()
     }
 
-    /// Id of its present process; 0 while there is none.
+    /// Id of the current process; 0 while the worker is down.
     pub fn incarnation_id(&self) -> u64 {
         self.shared
             .with_incarnation(|incarnation| incarnation.id())
@@ -100,13 +100,13 @@
     }
 }
 
-/// Answers with the index, altered by injected faults.
+/// Responds with the index, altered by injected faults.
 pub(super) async fn answer(
     worker: Arc<WorkerShared>,
     from: String,
     request: Request<Incoming>,
 ) -> Response<Body> {
-    let body = Limited::new(request.into_body(), MAX_REQUEST)
+    let body = Limited::new(request.into_body(), MAX_REQUEST_BYTES)
         .collect()
         .await;
     let Ok(body) = body else {
@@ -114,20 +114,20 @@
     };
     let query: Value = serde_json::from_slice(&body.to_bytes()).unwrap_or_default();
     worker.until_responsive().await;
-    // All of one moment.
+    // One lock, so that all values belong to the same moment.
     let snapshot = worker.with_incarnation(|incarnation| {
         (
             incarnation.id(),
             incarnation.memory_used_mb(),
-            incarnation.held(),
+            incarnation.loaded_functions(),
         )
     });
-    let Some((incarnation, memory_used, held)) = snapshot else {
+    let Some((incarnation, memory_used, functions)) = snapshot else {
         return full(StatusCode::SERVICE_UNAVAILABLE, "");
     };
-    let listed = held
+    let listed = functions
         .iter()
-        .filter(|h| query["ready"] != true || h.state == "READY");
+        .filter(|function| query["ready"] != true || function.state == "READY");
     let entries = worker.falsify_index(listed.map(LoadedFunctionInfo::entry).collect());
     worker
         .log
--- a/crates/emulators/src/worker/inference.rs
+++ b/crates/emulators/src/worker/inference.rs
@@ -1,7 +1,7 @@
-//! An invocation on the worker, from its request to its answer.
+//! An invocation on the worker, from its request to its response.
 //!
-//! In this order: body read, overload and draining checked, idempotency key reserved, function looked up or loaded,
-//! lane acquired, executed, answered. [`OutcomeLog`] writes how it ended, however it ends.
+//! Steps: read the body, check overload and draining, reserve the idempotency key, look up or load the function, acquire
+//! a lane, execute, respond. [`OutcomeLog`] logs the outcome, whichever step ends the invocation.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -26,17 +26,17 @@
 use super::prefix_cache::{self, PrefixMatch, Sequence};
 use super::routes::{header, reject};
 use super::usage::{ActiveUse, Usage, report};
-use super::{InvocationProfile, STEP, WorkerShared};
+use super::{InvocationProfile, TIME_STEP, WorkerShared};
 use crate::http::{Body, full};
 use crate::lock;
 
-/// Header of KServe's binary-data extension.
-pub(super) const JSON_LENGTH: &str = "inference-header-content-length";
-const MAX_BODY: usize = 128 << 20;
-/// A repeat waits so long for the answer of the first execution.
+/// Header of the binary data extension of KServe: length in bytes of the leading JSON.
+pub(super) const JSON_LENGTH_HEADER: &str = "inference-header-content-length";
+const MAX_BODY_BYTES: usize = 128 << 20;
+/// How long a repeated invocation waits for the answer of the first execution.
 const REPEAT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the request's headers say.
+/// An inference request, as described by its path and headers.
 pub(super) struct InferenceRequest {
     pub(super) id: String,
     dispatch: String,
@@ -44,7 +44,7 @@
     idempotency_key: String,
     account: String,
     pub(super) function: String,
-    /// Length of the leading JSON where raw tensors follow it.
+    /// Length in bytes of the leading JSON if raw tensors follow it.
     pub(super) json_length: Option<usize>,
     peer: IpAddr,
 }
@@ -58,7 +58,7 @@
             idempotency_key: header(request, "idempotency-key"),
             account: header(request, "cedarpulley-account"),
             function,
-            json_length: header(request, JSON_LENGTH).parse::<usize>().ok(),
+            json_length: header(request, JSON_LENGTH_HEADER).parse::<usize>().ok(),
             peer,
         }
     }
@@ -85,17 +85,17 @@
     sequence: Option<Sequence>,
 }
 
-/// A lane of a ready function, with what the invocation occupies while it has it.
+/// A lane of a ready function, with the guards that the invocation holds as long as it has the lane.
 struct AcquiredLane {
     lane: SemaphoreGuardArc,
     copy: CopyState,
-    /// Users that the function already had.
+    /// Number of users that the function already had.
     concurrency: usize,
     usage: Arc<Mutex<Usage>>,
     user: Occupancy,
 }
 
-/// Answers an inference request.
+/// Responds to an inference request.
 pub(super) async fn infer(
     worker: Arc<WorkerShared>,
     from: SocketAddr,
@@ -117,7 +117,7 @@
         outcome: "closed",
     };
     let (parts, body) = http_request.into_parts();
-    let body = Limited::new(body, MAX_BODY).collect().await;
+    let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
     let (Some(program), Ok(body)) = (program, body) else {
         outcome.outcome = "refused";
         return reject(StatusCode::BAD_REQUEST);
@@ -145,7 +145,7 @@
     inference.run(&mut outcome).await
 }
 
-/// The process ends, and with it the task that calls this.
+/// Ends the process because of an overload. This never returns: the task of the caller is dropped with the process.
 async fn crash_by_overload(worker: &Arc<WorkerShared>) {
     worker.log.write("fell", json!({}));
     let crashing = worker.clone();
@@ -160,7 +160,7 @@
 impl Inference {
     async fn run(&self, outcome: &mut OutcomeLog) -> Response<Body> {
         let (worker, request) = (&self.worker, &self.request);
-        if self.is_turned_away() {
+        if self.is_rejected() {
             outcome.outcome = "refused";
             return reject(StatusCode::SERVICE_UNAVAILABLE);
         }
@@ -189,7 +189,7 @@
         outcome.outcome = "ran";
         let (prefix, malfunction) = self.execute(lane, &usage, reservation.as_mut()).await;
         let answer = self.echo();
-        // A failed execution is not remembered as done.
+        // The answer of a failed execution is not stored for repeats.
         if key_window.is_some() && !malfunction.fails {
             worker
                 .idempotency
@@ -213,14 +213,14 @@
         response
     }
 
-    /// The worker hangs, or does not answer this trigger type.
+    /// Whether a fault suppresses the answer: the worker hangs or does not answer this trigger type.
     fn is_unanswered(&self) -> bool {
         let faults = self.worker.faults();
         faults.hanging || faults.unanswered_type.as_deref() == Some(&self.request.trigger_type)
     }
 
-    /// Draining, down or with too many waiting.
-    fn is_turned_away(&self) -> bool {
+    /// Whether the worker rejects the invocation because it is draining, down, or has too many waiting invocations.
+    fn is_rejected(&self) -> bool {
         let worker = &self.worker;
         let is_full = worker
             .with_incarnation(|incarnation| incarnation.waiting() >= worker.profile.max_waiting)
@@ -239,7 +239,7 @@
         )
     }
 
-    /// The answer to an invocation whose idempotency key is known.
+    /// Responds to an invocation whose idempotency key is already known.
     async fn answer_repeat(&self, window: Duration) -> Response<Body> {
         let (worker, request) = (&self.worker, &self.request);
         worker.log.write(
@@ -254,7 +254,7 @@
                     response = Some(answer_response(answer));
                     break;
                 }
-                KeyStatus::Executing => Timer::after(STEP).await,
+                KeyStatus::Executing => Timer::after(TIME_STEP).await,
                 KeyStatus::Unknown => break,
             };
         }
@@ -264,12 +264,12 @@
                 "the first one has not ended",
             )
         });
-        // It used nothing of its own.
+        // A repeat has no usage of its own.
         report(&mut response, &self.begin_usage());
         response
     }
 
-    /// Finds or loads the function and waits for one of its lanes; the error is the rejection.
+    /// Finds or loads the function and waits for one of its lanes; the error is the response that rejects the invocation.
     async fn acquire_lane(&self, outcome: &mut OutcomeLog) -> Result<AcquiredLane, Response<Body>> {
         let (worker, function) = (&self.worker, &self.request.function);
         let Some(concurrency) =
@@ -316,7 +316,7 @@
         })
     }
 
-    /// Does the invocation's work on its lane.
+    /// Executes the invocation on its lane.
     async fn execute(
         &self,
         lane: SemaphoreGuardArc,
@@ -332,7 +332,7 @@
                 "function": request.function, "session": session,
             }),
         );
-        // As it is when the work begins.
+        // The prefix counts as found if it is cached when the work starts.
         let prefix = self.sequence.as_ref().and_then(|s| self.match_prefix(s));
         let rebuilding = if prefix == Some(PrefixMatch::Rebuilt) {
             self.program.prefix_rebuild_work
@@ -360,7 +360,7 @@
         (prefix, malfunction)
     }
 
-    /// How the sequence's prefix is met; none while the worker is down.
+    /// Looks up the prefix of the sequence and logs the result; returns nothing while the worker is down.
     fn match_prefix(&self, sequence: &Sequence) -> Option<PrefixMatch> {
         let request = &self.request;
         let found = self.worker.with_incarnation(|incarnation| {
--- a/crates/emulators/src/worker/injected_faults.rs
+++ b/crates/emulators/src/worker/injected_faults.rs
@@ -1,5 +1,6 @@
-//! Faults on command that make what a worker has in memory differ from what routers believe: functions evicted
-//! without notice, orders lost, a false index, and versions that fail or are slow. Each that takes effect is logged.
+//! Injected faults that make the loaded functions of a worker differ from what routers record: functions evicted
+//! without notice, lost orders and a falsified index. Also versions that fail or are slow. Each eviction, lost order and
+//! falsified entry is logged.
 
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -9,7 +10,7 @@
 use super::{Worker, WorkerShared};
 use crate::lock;
 
-/// The faults that are set, and how far they have been used up.
+/// The faults that are set; orders that are still to be lost are counted down.
 #[derive(Default)]
 pub(super) struct InjectedFaults {
     loads_to_lose: u32,
@@ -20,26 +21,27 @@
 
 struct FalseIndex {
     report: FalseReport,
-    /// Requests answered with it so far.
+    /// Number of index requests that were answered with the falsified index.
     requests: u64,
 }
 
-/// How the index is falsified: shares of its entries, drawn anew for each answer.
+/// How the index is falsified. Each field but the seed is the share of the entries that is affected, drawn anew for each
+/// answer.
 #[derive(Clone, Debug, Default)]
 pub struct FalseReport {
-    /// Of the draws.
+    /// Seed of the draws.
     pub seed: u64,
-    /// Share left out.
+    /// Share of the entries that is left out.
     pub dropped: f64,
-    /// Share followed by a function that is not loaded, of the same name and another version.
+    /// Share that is followed by an entry for another version of the same name, which is not loaded.
     pub added: f64,
-    /// Share with a copy too many.
+    /// Share that is listed with one copy too many.
     pub miscounted: f64,
-    /// Share listed twice, the second time as unavailable.
+    /// Share that is listed twice, the second time as unavailable.
     pub contradicted: f64,
 }
 
-/// Fault of the functions whose names have this suffix.
+/// Fault of the functions whose names end with a suffix.
 #[derive(Clone, Debug)]
 struct VersionFault {
     suffix: String,
@@ -47,16 +49,16 @@
     slowdown: f64,
 }
 
-/// What a faulty version does to one invocation.
+/// Effect of a version fault on one invocation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Malfunction {
-    /// It fails after its work.
+    /// The invocation fails after its work is done.
     pub(super) fails: bool,
-    /// Factor on its work.
+    /// Factor by which its work is multiplied.
     pub(super) slowdown: f64,
 }
 
-/// Which kind of order a fault concerns.
+/// Kind of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OrderKind {
     Load,
@@ -64,7 +66,7 @@
 }
 
 impl Worker {
-    /// Evicts a function without notice; false if it is not idle here.
+    /// Evicts a function without notice; returns false if the function is not loaded or not idle.
     pub fn evict(&self, function: &str) -> bool {
         self.shared.remove_idle(
             "evicted",
@@ -73,44 +75,47 @@
         ) > 0
     }
 
-    /// Evicts up to this many idle functions, drawn by the seed; returns their names.
-    pub fn evict_idle(&self, seed: u64, most: usize) -> Vec<String> {
+    /// Evicts up to `max_count` idle functions, drawn with this seed; returns their names.
+    pub fn evict_idle(&self, seed: u64, max_count: usize) -> Vec<String> {
         let idle = self
             .loaded_functions()
             .into_iter()
-            .filter(|h| h.busy == 0 && h.state == "READY");
-        let idle: Vec<String> = idle.map(|h| h.function).collect();
+            .filter(|function| function.busy == 0 && function.state == "READY");
+        let idle: Vec<String> = idle.map(|function| function.function).collect();
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let drawn = idle.sample(&mut random, most);
+        let drawn = idle.sample(&mut random, max_count);
         drawn
             .filter(|function| self.evict(function))
             .cloned()
             .collect()
     }
 
-    /// A user of which no router knows comes or goes. False if the function is not ready here.
+    /// Adds, or removes, a user of the function that no router knows of, which keeps the function busy. Returns false if
+    /// the function is not ready at this worker.
     pub fn set_unseen_user(&self, function: &str, on: bool) -> bool {
         self.shared
             .with_incarnation(|incarnation| incarnation.set_unseen_user(function, on))
             .unwrap_or(false)
     }
 
-    /// The next orders, this many of each kind, are answered as if they were carried out, and are not.
+    /// Loses the next `loads` load orders and `unloads` unload orders: the worker answers them with success but does not
+    /// execute them.
     pub fn lose_orders(&self, loads: u32, unloads: u32) {
         let mut injected = lock(&self.shared.injected);
         (injected.loads_to_lose, injected.unloads_to_lose) = (loads, unloads);
     }
 
-    /// Falsifies its index from now on, or no more.
-    pub fn falsify_index(&self, lies: Option<FalseReport>) {
-        lock(&self.shared.injected).false_index = lies.map(|report| FalseIndex {
+    /// Falsifies the index from now on; `None` ends that.
+    pub fn falsify_index(&self, report: Option<FalseReport>) {
+        lock(&self.shared.injected).false_index = report.map(|report| FalseIndex {
             report,
             requests: 0,
         });
     }
 
-    /// Functions whose names have this suffix fail, after their work, for this share of the invocations, and take
-    /// this many times their work. With a share of 0 and a factor of 1 the fault is removed.
+    /// Sets a fault of the functions whose names end with `suffix`: the share `failing_share` of their invocations fails
+    /// after the work is done, and all of them take `slowdown` times their work. A share of 0 with a factor of 1 removes
+    /// the fault.
     pub fn set_version_fault(&self, suffix: &str, failing_share: f64, slowdown: f64) {
         let mut injected = lock(&self.shared.injected);
         injected.version_faults.retain(|f| f.suffix != suffix);
@@ -125,7 +130,7 @@
 }
 
 impl WorkerShared {
-    /// Whether this order is lost; counts and logs it if so.
+    /// Returns whether this order is lost; if so, counts and logs it.
     pub(super) fn loses_order(&self, function: &str, kind: OrderKind) -> bool {
         let mut injected = lock(&self.injected);
         let left = match kind {
@@ -143,7 +148,8 @@
         true
     }
 
-    /// What an invocation suffers: the same for the same invocation and fault.
+    /// Returns the effect of version faults on an invocation. The draw depends only on the worker's seed, the invocation
+    /// and the fault.
     pub(super) fn malfunction_of(&self, function: &str, invocation_id: &str) -> Malfunction {
         use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
         let injected = lock(&self.injected);
@@ -169,7 +175,7 @@
         }
     }
 
-    /// The index as it is answered.
+    /// Returns the index with the entries falsified as injected.
     pub(super) fn falsify_index(&self, entries: Vec<Value>) -> Vec<Value> {
         let (report, requests) = match lock(&self.injected).false_index.as_mut() {
             None => return entries,
--- a/crates/emulators/src/worker/orders.rs
+++ b/crates/emulators/src/worker/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of routers to load and unload functions, and the loading itself.
+//! Orders from routers to load and unload functions, and the execution of loads.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -14,7 +14,7 @@
 use smol_hyper::rt::FuturesIo;
 
 use super::incarnation::{CopyState, Lookup};
-use super::index::{Orderer, VERSIONS};
+use super::index::{OrderIssuer, VERSION_SEPARATOR};
 use super::injected_faults::OrderKind;
 use super::routes::header;
 use super::usage::{Usage, report};
@@ -22,10 +22,10 @@
 use crate::http::{Body, full};
 use crate::lock;
 
-/// A lookup, and the load that the caller has to spawn if it began one.
+/// The result of a lookup, and the load that the caller has to spawn if the lookup began one.
 pub(super) struct Placement {
     pub(super) lookup: Lookup,
-    /// Id of the incarnation to load into.
+    /// Id of the incarnation that the function is loaded into; absent if no load was begun.
     pub(super) load_into: Option<u64>,
 }
 
@@ -35,7 +35,7 @@
             .unwrap_or(false)
     }
 
-    /// Finds a function to run on, or begins its load where that is allowed and there is capacity.
+    /// Finds a function to run on, or begins its load if `may_load` is set and there is capacity.
     pub(super) fn place(
         &self,
         function: &str,
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Loads a function in the background, on the account of this usage.
+    /// Loads a function in the background. The loading time is added to `usage`.
     pub(super) fn spawn_load(
         self: &Arc<Self>,
         into: u64,
@@ -82,7 +82,7 @@
         self.host.executor.spawn(loading).detach();
     }
 
-    /// Fetches a function from the store, starts it up and wakes those who wait for it.
+    /// Fetches a function from the store, waits for its start-up time and wakes the tasks that wait for it.
     async fn load(
         self: Arc<Self>,
         into: u64,
@@ -97,7 +97,8 @@
             Timer::after(program.start_up_time).await;
         }
         self.with_incarnation(|incarnation| {
-            // Symptom: a load of a process that crashed made the next one's copy ready before it was loaded.
+            // Without this check, a load of a crashed process makes the copy of the next process ready before that
+            // copy is loaded.
             if incarnation.id() != into {
                 return;
             }
@@ -117,7 +118,7 @@
         });
     }
 
-    /// Removes these functions where they are idle, with a line in the log for each; returns how many.
+    /// Removes the selected functions that are idle and logs `event` for each; returns their number.
     pub(super) fn remove_idle(
         &self,
         event: &str,
@@ -137,7 +138,7 @@
     }
 }
 
-/// Fetches a function from the store; whether that succeeded.
+/// Fetches a function from the store; returns whether that succeeded.
 async fn fetch(store: SocketAddr, function: &str, mb: f64) -> bool {
     let fetching = async {
         let stream = Async::<std::net::TcpStream>::connect(store).await.ok()?;
@@ -165,14 +166,15 @@
     fetching.await.unwrap_or(false)
 }
 
-/// Names of functions begin with their trigger type.
+/// Returns the trigger type of a function, which is the part of its name before the colon.
 fn trigger_type_of(function: &str) -> &str {
     let name = function
-        .split_once(VERSIONS)
+        .split_once(VERSION_SEPARATOR)
         .map_or(function, |(name, _)| name);
     name.split(':').next().unwrap_or("")
 }
 
+/// The response to a load order that succeeded.
 fn loaded() -> Response<Body> {
     let mut response = full(StatusCode::OK, "");
     response
@@ -181,14 +183,14 @@
     response
 }
 
-/// Answers an order to unload a function: it is removed if it is idle.
+/// Executes an order to unload a function: the function is removed if it is idle.
 pub(super) fn unload(
     worker: &WorkerShared,
     from: IpAddr,
     function: &str,
     request: &Request<Incoming>,
 ) -> Response<Body> {
-    let ordered_by = Orderer::of(request);
+    let ordered_by = OrderIssuer::of(request);
     let fields =
         json!({"from": from.to_string(), "router": ordered_by.router, "term": ordered_by.term});
     worker.log.write(
@@ -201,7 +203,7 @@
     full(StatusCode::OK, "")
 }
 
-fn log_order(worker: &WorkerShared, from: IpAddr, function: &str, ordered_by: &Orderer) {
+fn log_order(worker: &WorkerShared, from: IpAddr, function: &str, ordered_by: &OrderIssuer) {
     worker.log.write(
         "ordered",
         json!({
@@ -211,14 +213,14 @@
     );
 }
 
-/// Answers an order to load a function, once it is ready or its load has failed.
+/// Executes an order to load a function and responds once the function is ready or its load has failed.
 pub(super) async fn load(
     worker: Arc<WorkerShared>,
     from: IpAddr,
     function: String,
     request: Request<Incoming>,
 ) -> Response<Body> {
-    let ordered_by = Orderer::of(&request);
+    let ordered_by = OrderIssuer::of(&request);
     let account = header(&request, "cedarpulley-account");
     log_order(&worker, from, &function, &ordered_by);
     let rejected = |status| {
@@ -231,7 +233,7 @@
     if worker.faults().draining {
         return rejected(StatusCode::SERVICE_UNAVAILABLE);
     }
-    // An order does not say of which trigger type the function is; its name does.
+    // An order does not contain the trigger type; it is derived from the name of the function.
     let Some(program) = worker.programs.get(trigger_type_of(&function)) else {
         return rejected(StatusCode::BAD_REQUEST);
     };
@@ -239,8 +241,8 @@
         return loaded();
     }
     let Placement { lookup, load_into } = worker.place(&function, program, true);
-    if ordered_by != Orderer::default() {
-        worker.with_incarnation(|incarnation| incarnation.set_orderer(&function, ordered_by));
+    if ordered_by != OrderIssuer::default() {
+        worker.with_incarnation(|incarnation| incarnation.set_order_issuer(&function, ordered_by));
     }
     let usage = Usage::begin(&worker, "", &account, &function, program);
     if let Some(into) = load_into {
@@ -249,7 +251,7 @@
     let Lookup::Found { lanes, .. } = lookup else {
         return rejected(StatusCode::INSUFFICIENT_STORAGE);
     };
-    // Acquired and released at once: by then the function is ready, or its load has failed.
+    // A lane can be acquired once the function is ready or its load has failed; it is released at once.
     drop(lanes.acquire().await);
     let mut response = if worker.is_ready(&function) {
         loaded()
--- a/crates/emulators/src/worker/prefix_cache.rs
+++ b/crates/emulators/src/worker/prefix_cache.rs
@@ -1,22 +1,22 @@
-//! Cached prefixes of sequences (as a KV cache): what earlier invocations of a sequence built up in a loaded function
-//! is found there by the next one, or has to be rebuilt at a cost.
+//! Cached prefixes of sequences, as in a KV cache. Earlier invocations of a sequence leave a prefix in the loaded
+//! function. The next invocation finds the prefix there, or has to rebuild it with additional work.
 
 use std::collections::VecDeque;
 
 use hyper::HeaderMap;
 use serde_json::Value;
 
-/// Prefixes that one loaded function caches; the oldest is dropped for a new one.
+/// Number of prefixes that a loaded function caches; beyond it the oldest prefix is dropped.
 const MAX_PREFIXES: usize = 10_000;
 
-/// The sequence that a request belongs to, and whether it starts or ends it.
+/// The sequence of a request, and whether the request starts or ends it.
 pub(super) struct Sequence {
     pub(super) id: String,
     pub(super) start: bool,
     pub(super) end: bool,
 }
 
-/// Reads a request's sequence from its headers, else from the `parameters` of its JSON body.
+/// Reads the sequence of a request from its headers or, if they have none, from the `parameters` of its JSON body.
 pub(super) fn sequence_of(headers: &HeaderMap, json: &[u8]) -> Option<Sequence> {
     let text = |name: &str| {
         headers
@@ -32,7 +32,7 @@
             end: flag("cedarpulley-sequence-end"),
         });
     }
-    // Most requests have no sequence; their bodies are not parsed.
+    // Most requests have no sequence. The search avoids parsing their bodies.
     let key: &[u8] = b"\"sequence_id\"";
     if !json.windows(key.len()).any(|w| w == key) {
         return None;
@@ -45,7 +45,7 @@
         _ => return None,
     };
     let flag = |name: &str| parameters[name].as_bool() == Some(true);
-    // An empty id, or 0, means none.
+    // An empty id or the id 0 means that the request has no sequence.
     let none = id.is_empty() || id == "0";
     (!none).then(|| Sequence {
         id,
@@ -54,16 +54,19 @@
     })
 }
 
-/// How an invocation meets its sequence's prefix.
+/// Whether an invocation finds the prefix of its sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PrefixMatch {
+    /// The prefix is cached.
     Found,
+    /// The invocation starts the sequence.
     Begun,
+    /// The prefix is not cached and has to be rebuilt.
     Rebuilt,
 }
 
 impl PrefixMatch {
-    /// As in the `cedarpulley-prefix` header and in the log.
+    /// The value in the `cedarpulley-prefix` header and in the log.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             PrefixMatch::Found => "found",
@@ -86,7 +89,7 @@
         }
     }
 
-    /// An invocation of the sequence has run here.
+    /// Stores the prefix after an invocation of the sequence has run; drops it if the invocation ended the sequence.
     pub(super) fn update(&mut self, sequence: &Sequence) {
         self.0.retain(|id| *id != sequence.id);
         if !sequence.end {
--- a/crates/emulators/src/worker/routes.rs
+++ b/crates/emulators/src/worker/routes.rs
@@ -1,4 +1,4 @@
-//! The worker's HTTP endpoints: which handler answers which path.
+//! The HTTP endpoints of the worker: dispatches paths to handlers.
 
 use std::net::SocketAddr;
 use std::sync::Weak;
@@ -8,11 +8,11 @@
 use hyper::{Request, Response, StatusCode};
 use percent_encoding::percent_decode_str;
 
-use super::index::VERSIONS;
+use super::index::VERSION_SEPARATOR;
 use super::{WorkerShared, index, inference, orders};
 use crate::http::{Body, full};
 
-/// Answers one request of a router.
+/// Responds to one request of a router.
 pub(super) async fn serve(
     worker: Weak<WorkerShared>,
     from: SocketAddr,
@@ -55,19 +55,21 @@
     }
 }
 
-/// The function that `NAME` or `NAME/versions/VERSION` of a path stands for.
+/// The name of the function for the path segments `NAME` or `NAME/versions/VERSION`.
 fn function_name(segments: &[&str]) -> Option<String> {
     let decoded = |segment: &str| percent_decode_str(segment).decode_utf8_lossy().into_owned();
     match segments {
         [name] => Some(decoded(name)),
-        [name, "versions", version] => {
-            Some(format!("{}{VERSIONS}{}", decoded(name), decoded(version)))
-        }
+        [name, "versions", version] => Some(format!(
+            "{}{VERSION_SEPARATOR}{}",
+            decoded(name),
+            decoded(version)
+        )),
         _ => None,
     }
 }
 
-/// An answer that tells the router that the invocation was not executed.
+/// A response that tells the router that the invocation was not executed.
 pub(super) fn reject(status: StatusCode) -> Response<Body> {
     let mut response = full(status, "");
     response
@@ -76,7 +78,7 @@
     response
 }
 
-/// A request header's value; empty if it is absent or not text.
+/// The value of a request header; empty if the header is absent or not text.
 pub(super) fn header(request: &Request<Incoming>, name: &str) -> String {
     request
         .headers()
--- a/crates/emulators/src/worker/usage.rs
+++ b/crates/emulators/src/worker/usage.rs
@@ -1,5 +1,5 @@
-//! What invocations and load orders used of a worker: running, loading and idle times of loaded functions, written to
-//! the log and sent with the answers.
+//! Usage of a worker by invocations and load orders: running, loading and idle times of loaded functions. The usage is
+//! logged and reported in response headers.
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
@@ -15,11 +15,13 @@
 
 const USAGE_HEADER: &str = "cedarpulley-held";
 
-/// Active time of a loaded function, divided among the invocations that run on it at once.
+/// Active time of a loaded function, divided equally among the invocations that run concurrently.
 pub(super) struct SharedTime {
-    /// Sum over active time, in seconds, each moment divided by how many invocations were active.
+    /// Seconds of active time per invocation: the integral over time of 1 / (number of active invocations).
     per_invocation: f64,
+    /// Number of active invocations.
     active: usize,
+    /// Time up to which `per_invocation` is computed.
     since: Instant,
 }
 
@@ -32,11 +34,12 @@
         }
     }
 
-    /// Counts from now on.
+    /// Starts counting from the current time.
     pub(super) fn restart(&mut self) {
         self.since = Instant::now();
     }
 
+    /// Counts the time since the last update; returns it in seconds.
     fn advance(&mut self) -> f64 {
         let now = Instant::now();
         let elapsed = (now - self.since).as_secs_f64();
@@ -47,7 +50,8 @@
         elapsed
     }
 
-    /// Where a new invocation's part begins, and for how many seconds the function was idle before it.
+    /// Adds an invocation. Returns `per_invocation` at its start, and the number of seconds for which the function was
+    /// idle before.
     fn join(&mut self) -> (f64, f64) {
         let was_idle = self.active == 0;
         let elapsed = self.advance();
@@ -55,7 +59,7 @@
         (self.per_invocation, if was_idle { elapsed } else { 0.0 })
     }
 
-    /// The seconds that fall to an invocation that joined at `began`.
+    /// Removes an invocation; returns its part of the active time in seconds. `began` is `per_invocation` at its start.
     fn leave(&mut self, began: f64) -> f64 {
         self.advance();
         self.active = self.active.saturating_sub(1);
@@ -63,7 +67,7 @@
     }
 }
 
-/// What one invocation, or one load order, used; written to the log when it is dropped. Times in microseconds.
+/// Usage of one invocation or one load order; logged when it is dropped. Times are in microseconds.
 pub(super) struct Usage {
     worker: Arc<WorkerShared>,
     log: Log,
@@ -71,11 +75,12 @@
     invocation_id: String,
     account: String,
     function: String,
+    /// Memory of a copy.
     bytes: u64,
     running: u64,
     loading: u64,
     idle: u64,
-    /// Whether an answer reported it.
+    /// Whether a response reported the usage.
     reported: bool,
 }
 
@@ -119,7 +124,7 @@
         incarnation.usage_mut(&self.account, &self.function).idle += cost;
     }
 
-    /// Microseconds, and byte-microseconds.
+    /// Converts seconds to microseconds and byte-microseconds.
     fn cost(&self, seconds: f64) -> (u64, u128) {
         let time = (seconds * 1e6) as u64;
         (time, u128::from(self.bytes) * u128::from(time))
@@ -139,7 +144,7 @@
     }
 }
 
-/// A function is active for one invocation until this is dropped.
+/// Guard that counts a function as active for one invocation until it is dropped.
 pub(super) struct ActiveUse {
     worker: Arc<WorkerShared>,
     function: String,
@@ -148,7 +153,7 @@
 }
 
 impl ActiveUse {
-    /// None if the function is not in memory any more.
+    /// Returns nothing if the function is not in memory any more.
     pub(super) fn begin(
         worker: &Arc<WorkerShared>,
         function: &str,
@@ -181,8 +186,8 @@
     }
 }
 
-/// Adds the totals of the account and function so far to an answer. Locks one after the other: who ends an execution
-/// holds the incarnation's lock while it takes the usage's.
+/// Adds the totals of the account and function to a response. The two locks are taken one after the other and never
+/// together, because the end of an execution takes the lock of the usage while it holds the lock of the incarnation.
 pub(super) fn report(response: &mut Response<Body>, usage: &Mutex<Usage>) {
     let (worker, account, function) = {
         let usage = lock(usage);
--- a/crates/emulators/tests/worker.rs
+++ b/crates/emulators/tests/worker.rs
@@ -1,4 +1,4 @@
-//! A worker's loaded functions, its index, cached prefixes and injected faults, over its socket.
+//! Tests of an emulated worker over its socket: loaded functions, index, cached prefixes and injected faults.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -12,21 +12,22 @@
 };
 use serde_json::{Value, json};
 
-/// A worker with a store, which runs as long as this lives.
+/// A worker and the store that it loads from. The store runs until this is dropped.
 struct Setup {
     worker: Worker,
     _store: Store,
 }
 
+/// Starts a worker with memory for this many copies.
 fn setup(copies: f64) -> Setup {
     let host = Host::new(2, None).expect("threads");
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let nature = store::StoreProfile {
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let store_profile = store::StoreProfile {
         mb_per_s: 1e6,
         full_rate_fetches: 8,
         max_fetches: 64,
     };
-    let store = Store::start(&host, "store", any, nature).expect("a store");
+    let store = Store::start(&host, "store", any_port, store_profile).expect("a store");
     let program = InvocationProfile {
         mean_work: Duration::from_millis(1),
         copy_mb: 10.0,
@@ -35,7 +36,7 @@
         idempotency_window: None,
         prefix_rebuild_work: Duration::from_millis(1),
     };
-    let nature = WorkerProfile {
+    let profile = WorkerProfile {
         memory_mb: copies * 10.0,
         ..WorkerProfile::unlimited(4.0)
     };
@@ -44,9 +45,9 @@
     let worker = Worker::start(
         &host,
         "worker",
-        any,
+        any_port,
         1,
-        nature,
+        profile,
         store_address,
         programs,
         IdempotencyStore::default(),
@@ -57,6 +58,7 @@
     }
 }
 
+/// A response of the worker.
 struct Answer {
     status: u16,
     head: String,
@@ -97,10 +99,11 @@
     }
 }
 
-fn order(worker: &Worker, function: &str, what: &str, headers: &[(&str, &str)]) -> u16 {
+/// Sends an order (`load` or `unload`); returns the status of the response.
+fn order(worker: &Worker, function: &str, action: &str, headers: &[(&str, &str)]) -> u16 {
     post(
         worker,
-        &format!("/v2/repository/models/{function}/{what}"),
+        &format!("/v2/repository/models/{function}/{action}"),
         headers,
         &json!({}),
     )
@@ -111,7 +114,7 @@
     post(worker, "/v2/repository/index", &[], &json!({}))
 }
 
-/// Status and prefix match of an invocation, as the answer says them.
+/// Sends an invocation; returns the status and the prefix match of the response.
 fn infer(
     worker: &Worker,
     function: &str,
@@ -135,12 +138,12 @@
     worker
         .loaded_functions()
         .into_iter()
-        .map(|h| h.function)
+        .map(|loaded| loaded.function)
         .collect()
 }
 
 #[test]
-fn versions_are_loaded_side_by_side_and_the_index_names_who_ordered_them() {
+fn versions_load_side_by_side_and_the_index_names_the_order_issuer() {
     let setup = setup(4.0);
     let worker = &setup.worker;
     let ordered_by = [("cedarpulley-router", "r1"), ("cedarpulley-term", "7.0")];
@@ -182,7 +185,7 @@
     );
     assert_eq!(entries[0]["parameters"].get("ordered_by"), None);
 
-    // A later order's router and term replace them.
+    // A later order replaces the router and the term.
     let other = [("cedarpulley-router", "r2"), ("cedarpulley-term", "8.0")];
     assert_eq!(order(worker, "chat%3A3/versions/2", "load", &other), 200);
     assert_eq!(
@@ -192,7 +195,7 @@
     assert_eq!(order(worker, "chat%3A3/versions/1", "unload", &other), 200);
     assert_eq!(functions(worker), ["chat:3/versions/2", "chat:4"]);
 
-    // A new process at the same address has nothing loaded.
+    // A new process at the same address has no loaded functions.
     let incarnation = worker.incarnation_id();
     worker.crash();
     worker.restart().expect("up");
@@ -205,8 +208,8 @@
     let setup = setup(4.0);
     let worker = &setup.worker;
     let (old, new) = ("chat%3A1/versions/1", "chat%3A1/versions/2");
-    let on = json!({"sequence_id": "s1"});
-    let none = json!({});
+    let in_sequence = json!({"sequence_id": "s1"});
+    let no_sequence = json!({});
     assert_eq!(
         infer(
             worker,
@@ -217,19 +220,19 @@
         .1,
         "begun"
     );
-    assert_eq!(infer(worker, old, &[], &on).1, "found");
-    // Headers name the sequence as well.
+    assert_eq!(infer(worker, old, &[], &in_sequence).1, "found");
+    // Headers can name the sequence as well.
     let headers = [("cedarpulley-sequence-id", "s1")];
-    assert_eq!(infer(worker, old, &headers, &none).1, "found");
-    // Another function has not cached it; nor is another sequence's found.
-    assert_eq!(infer(worker, new, &[], &on).1, "rebuilt");
+    assert_eq!(infer(worker, old, &headers, &no_sequence).1, "found");
+    // The prefix is not cached in another function, and the prefix of another sequence is not found.
+    assert_eq!(infer(worker, new, &[], &in_sequence).1, "rebuilt");
     assert_eq!(
         infer(worker, old, &[], &json!({"sequence_id": 7})).1,
         "rebuilt"
     );
-    assert_eq!(infer(worker, old, &[], &none).1, "");
+    assert_eq!(infer(worker, old, &[], &no_sequence).1, "");
     assert_eq!(worker.loaded_functions()[0].sequences, ["s1", "7"]);
-    // The sequence's end drops it, an eviction drops all.
+    // The end of a sequence drops its prefix; an eviction drops all prefixes of the function.
     assert_eq!(
         infer(
             worker,
@@ -242,8 +245,8 @@
     );
     assert_eq!(worker.loaded_functions()[0].sequences, ["s1"]);
     assert!(worker.evict("chat:1/versions/1"));
-    assert_eq!(infer(worker, old, &[], &on).1, "rebuilt");
-    assert_eq!(infer(worker, old, &[], &on).1, "found");
+    assert_eq!(infer(worker, old, &[], &in_sequence).1, "rebuilt");
+    assert_eq!(infer(worker, old, &[], &in_sequence).1, "found");
 }
 
 #[test]
@@ -276,7 +279,7 @@
     let drawn = worker.evict_idle(3, 2);
     assert_eq!((drawn.len(), functions(worker).len()), (2, 2));
     assert!(drawn.iter().all(|d| !functions(worker).contains(d)) && !worker.evict(&drawn[0]));
-    // A fifth one takes the place of an idle one.
+    // With memory for four copies, each further load evicts an idle function.
     let _ = ["chat%3A5", "chat%3A6", "chat%3A7"].map(load);
     assert_eq!(functions(worker).len(), 4);
 
@@ -318,21 +321,21 @@
 }
 
 #[test]
-fn a_faulty_version_fails_for_its_share_and_the_other_does_not() {
+fn a_faulty_version_fails_at_its_share_and_other_versions_do_not() {
     let setup = setup(4.0);
     let worker = &setup.worker;
     worker.set_version_fault("/versions/2", 0.5, 1.0);
     let failures = |version: u32| {
         let ids = (0..40).map(|n| format!("i{n}"));
         let path = format!("/v2/models/chat%3A1/versions/{version}/infer");
-        let of = |id: String| {
+        let fails = |id: String| {
             let headers = [
                 ("cedarpulley-trigger-type", "chat"),
                 ("cedarpulley-invocation", id.as_str()),
             ];
             post(worker, &path, &headers, &json!({})).status == 500
         };
-        ids.filter(|id| of(id.clone())).count()
+        ids.filter(|id| fails(id.clone())).count()
     };
     let failed = failures(2);
     assert!((10..30).contains(&failed), "{failed} of 40");
