--- a/crates/emulators/src/broker.rs
+++ b/crates/emulators/src/broker.rs
@@ -1,8 +1,9 @@
 //! An emulated broker with the part of AMQP 0-9-1 that routers and clients use: queues on the default exchange,
-//! prefetch, redelivery, transactions, time to live, dead letters and `connection.blocked`. Messages are kept in memory.
+//! prefetch, redelivery, transactions, time to live, dead letters and `connection.blocked`. Messages are kept in
+//! memory.
 //!
-//! Modules: `connection` reads and writes sockets and sends heartbeats, `protocol` executes the methods that peers send,
-//! `state` owns queues and deliveries.
+//! Modules: `connection` reads and writes sockets and sends heartbeats, `protocol` executes the methods that peers
+//! send, `state` owns queues and deliveries.
 
 mod connection;
 mod protocol;
--- a/crates/emulators/src/broker/protocol.rs
+++ b/crates/emulators/src/broker/protocol.rs
@@ -145,8 +145,8 @@
         Ok(())
     }
 
-    /// Executes a method of the class `basic`. Returns false if that closed the channel; the task that writes to the peer
-    /// is then woken with the next delivery.
+    /// Executes a method of the class `basic`. Returns false if that closed the channel; the task that writes to the
+    /// peer is then woken with the next delivery.
     fn handle_basic_method(
         &mut self,
         id: ConnectionId,
--- a/crates/emulators/src/endpoint_list.rs
+++ b/crates/emulators/src/endpoint_list.rs
@@ -307,8 +307,8 @@
         Response::new(StreamBody::new(lines).boxed())
     }
 
-    /// Returns the next watch event, or a bookmark, for a watcher that has seen all changes up to the version `seen`, with
-    /// the version that the watcher has seen afterwards.
+    /// Returns the next watch event, or a bookmark, for a watcher that has seen all changes up to the version `seen`,
+    /// with the version that the watcher has seen afterwards.
     async fn next_line(&self, watcher: IpAddr, seen: u64) -> (u64, Value) {
         let began = Instant::now();
         loop {
--- a/crates/emulators/src/http.rs
+++ b/crates/emulators/src/http.rs
@@ -83,8 +83,8 @@
             .map(|_| last.began_us)
     }
 
-    /// If a partition from the zone of this address lasts or has just ended: its begin, in microseconds of Unix time. The
-    /// peer may have closed connections since then without the server having noticed.
+    /// If a partition from the zone of this address lasts or has just ended: its begin, in microseconds of Unix time.
+    /// The peer may have closed connections since then without the server having noticed.
     pub fn unseen_since(&self, from: IpAddr) -> Option<i64> {
         let last = *lock(&self.history).get(&zone_of(from)?)?;
         last.healed
--- a/crates/emulators/src/worker.rs
+++ b/crates/emulators/src/worker.rs
@@ -13,7 +13,8 @@
 //!    log line that is written, when an invocation ends.
 //! 3. `execution`: how long an invocation runs, and how the cores are shared.
 //! 4. `idempotency`: idempotency keys that a group of workers remembers.
-//! 5. `prefix_cache`: prefixes of sequences. An invocation that finds the cached prefix of its sequence needs less work.
+//! 5. `prefix_cache`: prefixes of sequences. An invocation that finds the cached prefix of its sequence needs less
+//!    work.
 //! 6. `usage`: running, loading and idle times for billing.
 //! 7. `index`: the repository index. `injected_faults`: faults that make the loaded functions or the index differ from
 //!    what routers record.
@@ -191,7 +192,8 @@
 }
 
 impl Worker {
-    /// Starts a worker that is warm, which means that it is not in slow start. The keys of `programs` are trigger types.
+    /// Starts a worker that is warm, which means that it is not in slow start. The keys of `programs` are trigger
+    /// types.
     ///
     /// # Errors
     /// Fails if the log cannot be created or the address cannot be bound.
@@ -261,8 +263,8 @@
     /// Fails if the address cannot be bound within ten seconds.
     pub fn restart(&self) -> std::io::Result<()> {
         let deadline = Instant::now() + LISTENER_CLOSE_TIMEOUT;
-        // Without the retries, a restart right after a crash fails with `AddrInUse`, because the executor has not dropped
-        // the listener yet.
+        // Without the retries, a restart right after a crash fails with `AddrInUse`, because the executor has not
+        // dropped the listener yet.
         loop {
             match self.start_process(false) {
                 Err(e)
@@ -322,7 +324,7 @@
     }
 
     /// Start of the current process, as Unix time in microseconds; 0 if the worker was never restarted or is down.
-    pub fn began_us(&self) -> i64 {
+    pub fn started_us(&self) -> i64 {
         self.shared
             .with_incarnation(|incarnation| incarnation.age_since_restart())
             .flatten()
--- a/crates/emulators/src/worker/answers.rs
+++ b/crates/emulators/src/worker/answers.rs
@@ -1,4 +1,5 @@
-//! Responses to invocations: echoed tensors, the load report, and whether the function was loaded and the prefix cached.
+//! Responses to invocations: echoed tensors, the load report, and whether the function was loaded and the prefix
+//! cached.
 
 use bytes::Bytes;
 use hyper::header::HeaderValue;
--- a/crates/emulators/src/worker/incarnation.rs
+++ b/crates/emulators/src/worker/incarnation.rs
@@ -223,8 +223,8 @@
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Looks up a function. If it is absent and `may_load` is set, makes room for it and counts a load, which the caller
-    /// has to execute (`CopyState::LoadBegun`).
+    /// Looks up a function. If it is absent and `may_load` is set, makes room for it and counts a load, which the
+    /// caller has to execute (`CopyState::LoadBegun`).
     pub(super) fn find_or_begin_load(
         &mut self,
         function: &str,
@@ -271,7 +271,8 @@
         }
     }
 
-    /// Evicts idle functions, least recently used first, until `needed_mb` is free; returns false if that is impossible.
+    /// Evicts idle functions, least recently used first, until `needed_mb` is free; returns false if that is
+    /// impossible.
     fn make_room(&mut self, needed_mb: f64, memory_mb: f64, log: &Log) -> bool {
         let mut used = self.memory_used_mb();
         while used + needed_mb > memory_mb {
@@ -300,8 +301,8 @@
         self.loads = self.loads.saturating_sub(1);
     }
 
-    /// Makes a loaded function ready, or removes it if its load failed, and wakes the tasks that wait for it. Returns the
-    /// number of its lanes and the issuer of the order, or nothing if the function is not in memory any more.
+    /// Makes a loaded function ready, or removes it if its load failed, and wakes the tasks that wait for it. Returns
+    /// the number of its lanes and the issuer of the order, or nothing if the function is not in memory any more.
     pub(super) fn conclude_load(
         &mut self,
         function: &str,
--- a/crates/emulators/src/worker/inference.rs
+++ b/crates/emulators/src/worker/inference.rs
@@ -1,7 +1,7 @@
 //! An invocation on the worker, from its request to its response.
 //!
-//! Steps: read the body, check overload and draining, reserve the idempotency key, look up or load the function, acquire
-//! a lane, execute, respond. [`OutcomeLog`] logs the outcome, whichever step ends the invocation.
+//! Steps: read the body, check overload and draining, reserve the idempotency key, look up or load the function,
+//! acquire a lane, execute, respond. [`OutcomeLog`] logs the outcome, whichever step ends the invocation.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -269,7 +269,8 @@
         response
     }
 
-    /// Finds or loads the function and waits for one of its lanes; the error is the response that rejects the invocation.
+    /// Finds or loads the function and waits for one of its lanes; the error is the response that rejects the
+    /// invocation.
     async fn acquire_lane(&self, outcome: &mut OutcomeLog) -> Result<AcquiredLane, Response<Body>> {
         let (worker, function) = (&self.worker, &self.request.function);
         let Some(concurrency) =
--- a/crates/emulators/src/worker/injected_faults.rs
+++ b/crates/emulators/src/worker/injected_faults.rs
@@ -1,6 +1,6 @@
 //! Injected faults that make the loaded functions of a worker differ from what routers record: functions evicted
-//! without notice, lost orders and a falsified index. Also versions that fail or are slow. Each eviction, lost order and
-//! falsified entry is logged.
+//! without notice, lost orders and a falsified index. Also versions that fail or are slow. Each eviction, lost order
+//! and falsified entry is logged.
 
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -25,8 +25,8 @@
     requests: u64,
 }
 
-/// How the index is falsified. Each field but the seed is the share of the entries that is affected, drawn anew for each
-/// answer.
+/// How the index is falsified. Each field but the seed is the share of the entries that is affected, drawn anew for
+/// each answer.
 #[derive(Clone, Debug, Default)]
 pub struct FalseReport {
     /// Seed of the draws.
@@ -90,16 +90,16 @@
             .collect()
     }
 
-    /// Adds, or removes, a user of the function that no router knows of, which keeps the function busy. Returns false if
-    /// the function is not ready at this worker.
+    /// Adds, or removes, a user of the function that no router knows of, which keeps the function busy. Returns false
+    /// if the function is not ready at this worker.
     pub fn set_unseen_user(&self, function: &str, on: bool) -> bool {
         self.shared
             .with_incarnation(|incarnation| incarnation.set_unseen_user(function, on))
             .unwrap_or(false)
     }
 
-    /// Loses the next `loads` load orders and `unloads` unload orders: the worker answers them with success but does not
-    /// execute them.
+    /// Loses the next `loads` load orders and `unloads` unload orders: the worker answers them with success but does
+    /// not execute them.
     pub fn lose_orders(&self, loads: u32, unloads: u32) {
         let mut injected = lock(&self.shared.injected);
         (injected.loads_to_lose, injected.unloads_to_lose) = (loads, unloads);
@@ -113,9 +113,9 @@
         });
     }
 
-    /// Sets a fault of the functions whose names end with `suffix`: the share `failing_share` of their invocations fails
-    /// after the work is done, and all of them take `slowdown` times their work. A share of 0 with a factor of 1 removes
-    /// the fault.
+    /// Sets a fault of the functions whose names end with `suffix`: the share `failing_share` of their invocations
+    /// fails after the work is done, and all of them take `slowdown` times their work. A share of 0 with a factor of 1
+    /// removes the fault.
     pub fn set_version_fault(&self, suffix: &str, failing_share: f64, slowdown: f64) {
         let mut injected = lock(&self.shared.injected);
         injected.version_faults.retain(|f| f.suffix != suffix);
@@ -148,8 +148,8 @@
         true
     }
 
-    /// Returns the effect of version faults on an invocation. The draw depends only on the worker's seed, the invocation
-    /// and the fault.
+    /// Returns the effect of version faults on an invocation. The draw depends only on the worker's seed, the
+    /// invocation and the fault.
     pub(super) fn malfunction_of(&self, function: &str, invocation_id: &str) -> Malfunction {
         use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
         let injected = lock(&self.injected);
--- a/crates/test-cluster/src/amqp_client.rs
+++ b/crates/test-cluster/src/amqp_client.rs
@@ -1,5 +1,5 @@
-//! The clients of a scenario that use AMQP: they publish triggers at their times, read the answers and, where the
-//! scenario says so, retry after an answer that was no success.
+//! Clients that use AMQP. They publish triggers when these are due, read the answers and, if the scenario has client
+//! retries, retry after an answer other than success.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -17,103 +17,111 @@
 
 const CONNECT_TIMEOUT_US: i64 = 1_000_000;
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(200);
-/// Bytes that may wait for a broker that reads slowly; beyond, arrivals are not published.
-const MAX_BUFFERED: usize = 8 << 20;
-const READ_BUFFER: usize = 64 * 1024;
-/// Longest wait without an arrival, for heartbeats.
+/// Limit for unsent bytes while the broker reads slowly; above it, arrivals are skipped instead of published.
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Longest wait without an arrival, so that heartbeats are sent in time.
 const IDLE_TICK: Duration = Duration::from_millis(500);
+/// Shortest wait for the next arrival.
 const MIN_WAIT: Duration = Duration::from_micros(200);
 
-/// One invocation as its client sends it.
+/// One invocation that a client sends.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When it is due, from the traffic's beginning.
+    /// When the invocation is due, relative to the start of the traffic.
     pub at: Duration,
-    /// Invocation id; also its idempotency key.
+    /// Id of the invocation, which is also its idempotency key.
     pub id: String,
     /// Trigger type.
     pub trigger_type: String,
-    /// The function that it asks for.
+    /// The function that is called.
     pub function: String,
-    /// The account that it is billed to.
+    /// The account that the invocation is billed to.
     pub account: String,
-    /// Sent over KServe v2 instead of AMQP.
+    /// Whether the invocation is sent over KServe v2 instead of AMQP.
     pub over_kserve: bool,
-    /// The queue that it is published to over AMQP.
+    /// The queue that the trigger is published to over AMQP.
     pub queue: String,
-    /// Its client gives up after this.
+    /// Client timeout in milliseconds.
     pub timeout_ms: u64,
-    /// Memory of a copy of its function, in MB.
+    /// Memory of a copy of the function, in MB.
     pub copy_mb: f64,
-    /// Lanes of a copy of its function.
+    /// Number of lanes of a copy of the function.
     pub lanes: u32,
-    /// The request's body.
+    /// Body of the request.
     pub body: Arc<str>,
-    /// How often its client retries.
+    /// Number of retries that the client still makes.
     pub retries: u32,
-    /// Its place in a session, if it belongs to one.
+    /// Position in a session; absent if the invocation belongs to none.
     pub turn: Option<Turn>,
 }
 
-/// One invocation's place in its session.
+/// Position of an invocation in its session.
 #[derive(Clone, Debug)]
 pub struct Turn {
     /// Id of the session.
     pub session: String,
-    /// It is the first one.
+    /// Whether the invocation is the first of the session.
     pub start: bool,
-    /// It is the last one.
+    /// Whether the invocation is the last of the session.
     pub end: bool,
 }
 
-/// Which function a client asks for as it sends, where that is not the arrival's own: an operator's clients may
-/// choose a version by what is loaded.
+/// Chooses the function of an arrival at the time of sending, in place of [`Arrival::function`]. It simulates clients
+/// that choose a version by the loaded functions.
 pub type FunctionOverride = Arc<dyn Fn(&Arrival) -> String + Send + Sync>;
 
-/// Latencies from when an invocation was due to its answer, in microseconds, of those due at or after the instant.
+/// Latencies in microseconds from the time at which an invocation was due to its answer. Invocations that were due
+/// before the instant are not recorded.
 pub type LatencyRecorder = Arc<Mutex<(hdrhistogram::Histogram<u64>, Instant)>>;
 
-/// The final outcomes that each invocation was answered with, by id, in the order of arrival.
+/// The outcomes in the answers to each invocation, by its id, in the order in which the answers were received.
 pub type Answers = Arc<Mutex<HashMap<String, Vec<String>>>>;
 
 /// A client that publishes over AMQP.
 pub struct AmqpClient {
-    /// The broker's address.
+    /// Address of the broker.
     pub broker: SocketAddr,
-    /// Source address of its connections.
+    /// Source address of the connections.
     pub from: IpAddr,
-    /// Its reply queue.
+    /// Name of the reply queue.
     pub reply_queue: String,
-    /// When the traffic begins.
+    /// Start of the traffic.
     pub began: Instant,
-    /// In the order of their times.
+    /// The invocations to send, in the order in which they are due.
     pub arrivals: Vec<Arrival>,
-    /// Where latencies are recorded, if anywhere.
+    /// Records latencies, if present.
     pub latencies: Option<LatencyRecorder>,
-    /// Where answers are recorded, if anywhere.
+    /// Records answers, if present.
     pub answers: Option<Answers>,
-    /// Overrides the functions that arrivals ask for.
+    /// Overrides the functions of arrivals, if present.
     pub function_override: Option<FunctionOverride>,
 }
 
-/// What a client has sent so far; outlives its connections.
+/// Progress of a client, which is kept when its connection is replaced.
 #[derive(Default)]
 struct Progress {
     /// Index of the next arrival to send.
     next: usize,
-    /// Sent and not answered, by id, where the answer matters to the client.
+    /// Invocations that are sent and not answered, by id. Only invocations whose answers are used, for retries or
+    /// latencies, are kept.
     open: HashMap<String, Arrival>,
 }
 
-/// Empty if the text is too long for a short string.
-fn short_string(s: &str) -> ShortString {
-    ShortString::try_new(s).unwrap_or_default()
+/// Converts a text to an AMQP short string; a text that is too long becomes an empty string.
+fn short_string(text: &str) -> ShortString {
+    ShortString::try_new(text).unwrap_or_default()
 }
 
-fn properties(arrival: &Arrival, asks: Option<&FunctionOverride>, replies: &str) -> AMQPProperties {
+fn properties(
+    arrival: &Arrival,
+    function_override: Option<&FunctionOverride>,
+    reply_queue: &str,
+) -> AMQPProperties {
     let mut headers = FieldTable::default();
-    let text = |s: &str| AMQPValue::LongString(LongString::from(s));
-    let function = asks.map_or_else(|| arrival.function.clone(), |asks| asks(arrival));
+    let text = |value: &str| AMQPValue::LongString(LongString::from(value));
+    let function =
+        function_override.map_or_else(|| arrival.function.clone(), |choose| choose(arrival));
     headers.insert(short_string(trigger::FUNCTION), text(&function));
     headers.insert(
         short_string(trigger::SENT_AT_US),
@@ -143,14 +151,14 @@
         .with_headers(headers)
         .with_correlation_id(short_string(&arrival.id))
         .with_message_id(short_string(&arrival.id))
-        .with_reply_to(short_string(replies))
+        .with_reply_to(short_string(reply_queue))
         .with_expiration(short_string(&arrival.timeout_ms.to_string()))
         .with_type(short_string(&arrival.trigger_type))
         .with_app_id(short_string(&arrival.account))
 }
 
 impl AmqpClient {
-    /// Runs until dropped.
+    /// Publishes arrivals and reads answers until the future is dropped; reconnects after a lost connection.
     pub async fn run(self) {
         let clock = Instant::now();
         let now = || clock.elapsed().as_micros() as i64;
@@ -159,11 +167,11 @@
             let mut connection = Connection::new(now(), self.role(), self.login());
             let stream = connect(self.broker, Some(self.from), CONNECT_TIMEOUT_US).await;
             if let Ok(mut stream) = stream {
-                self.converse(&mut connection, &mut stream, &now, &mut progress)
+                self.run_connection(&mut connection, &mut stream, &now, &mut progress)
                     .await;
             }
             Timer::after(RECONNECT_BACKOFF).await;
-            // What fell due while there was no broker is never sent.
+            // Arrivals that became due while there was no connection are never sent.
             let elapsed = self.began.elapsed();
             while self
                 .arrivals
@@ -193,14 +201,14 @@
     }
 
     /// Sends and receives over one connection until it ends.
-    async fn converse(
+    async fn run_connection(
         &self,
         connection: &mut Connection,
         stream: &mut Stream,
         now: &impl Fn() -> i64,
         progress: &mut Progress,
     ) {
-        let mut buffer = vec![0; READ_BUFFER];
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         let mut events = Vec::new();
         let mut retries: Vec<Arrival> = Vec::new();
         loop {
@@ -215,7 +223,7 @@
                 return;
             }
             let wait = async {
-                Timer::after(self.until_next(progress)).await;
+                Timer::after(self.time_until_next_arrival(progress)).await;
                 None
             };
             let read = async { Some(stream.read(&mut buffer).await) };
@@ -234,7 +242,7 @@
             for event in events.drain(..) {
                 match event {
                     Event::Delivered(message) => {
-                        retries.extend(self.on_answer(&message.properties, progress));
+                        retries.extend(self.handle_answer(&message.properties, progress));
                     }
                     Event::Closed { .. } | Event::ChannelLost { .. } => return,
                     _ => {}
@@ -243,7 +251,7 @@
         }
     }
 
-    /// Publishes retries, and the arrivals whose time has come.
+    /// Publishes retries and all arrivals that are due.
     fn publish_due(
         &self,
         connection: &mut Connection,
@@ -256,7 +264,7 @@
         }
         let elapsed = self.began.elapsed();
         while let Some(arrival) = self.arrivals.get(progress.next).filter(|a| a.at <= elapsed) {
-            if connection.unsent_bytes() < MAX_BUFFERED {
+            if connection.unsent_bytes() < MAX_BUFFERED_BYTES {
                 self.publish(connection, arrival);
                 if arrival.retries > 0 || self.latencies.is_some() {
                     progress.open.insert(arrival.id.clone(), arrival.clone());
@@ -271,7 +279,7 @@
         connection.publish(&arrival.queue, properties, arrival.body.as_bytes());
     }
 
-    fn until_next(&self, progress: &Progress) -> Duration {
+    fn time_until_next_arrival(&self, progress: &Progress) -> Duration {
         self.arrivals.get(progress.next).map_or(IDLE_TICK, |next| {
             (self.began + next.at)
                 .saturating_duration_since(Instant::now())
@@ -279,8 +287,12 @@
         })
     }
 
-    /// Records an answer; the retry, if the client makes one.
-    fn on_answer(&self, properties: &AMQPProperties, progress: &mut Progress) -> Option<Arrival> {
+    /// Records an answer; returns the retry, if the client makes one.
+    fn handle_answer(
+        &self,
+        properties: &AMQPProperties,
+        progress: &mut Progress,
+    ) -> Option<Arrival> {
         let id = properties.correlation_id().as_ref()?.as_str().to_owned();
         let outcome = properties
             .headers()
@@ -295,12 +307,14 @@
                 .push(outcome.to_owned());
         }
         let mut arrival = progress.open.remove(&id)?;
-        if let Some(times) = &self.latencies {
-            let mut times = lock(times);
+        if let Some(latencies) = &self.latencies {
+            let mut latencies = lock(latencies);
             let due = self.began + arrival.at;
-            // From when it was due, so that a late client is not taken for a quick router.
-            if due >= times.1 {
-                times.0.saturating_record(due.elapsed().as_micros() as u64);
+            // Latencies count from the due time, so that the delay of a client that sends late is included.
+            if due >= latencies.1 {
+                latencies
+                    .0
+                    .saturating_record(due.elapsed().as_micros() as u64);
             }
         }
         if outcome == "succeeded" || arrival.retries == 0 {
--- a/crates/test-cluster/src/cluster.rs
+++ b/crates/test-cluster/src/cluster.rs
@@ -1,11 +1,13 @@
-//! A running cluster: emulators in this process, routers as processes, and relays between them where the scenario has
-//! regions. [`Cluster::prepare`] sets all of it up, [`Cluster::start_routers`] starts the routers; then faults are put on
-//! its parts, and [`Cluster::verdict`] has the traffic checked. Dropped, all of it is gone.
+//! A cluster: emulators in this process, routers as processes and, if the scenario has regions, relays between them.
+//! [`Cluster::prepare`] sets up the cluster and [`Cluster::start_routers`] starts the routers. Then faults can be
+//! injected, and [`Cluster::verdict`] checks the traffic. Dropping the cluster stops all of its components.
 //!
 //! Mechanisms:
-//! 1. A router's links (to the broker, the worker list, each worker, each other router) have a relay each; the list
-//!    publishes to every router its own relays' addresses, while the logs name the workers' own.
-//! 2. What a router or a link was kept from is logged before it begins and after it has ended, for the checker.
+//! 1. Each link of a router (to the broker, the endpoint list, each worker and each other router) has its own relay.
+//!    The endpoint list publishes to each router the addresses of that router's relays; the logs contain the addresses
+//!    of the workers.
+//! 2. A fault on a router or a link is logged before it begins and after it has ended, so that the invariant checker
+//!    can take it into account.
 
 mod router_settings;
 mod rules;
@@ -36,44 +38,45 @@
 use crate::scenario::Scenario;
 use crate::until;
 
-/// Routers consume, and their group may vote, within this time of their start; else nothing is played.
+/// Time within which the routers have to consume from the broker, and their group has to be ready to vote, after the
+/// start. Otherwise the scenario is not run.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Name of the broker in the logs and in the table of links.
+/// Name of the broker in the logs and in [`Links`].
 pub const BROKER: &str = "broker";
-/// Name of the worker list in the logs and in the table of links.
+/// Name of the endpoint list in the logs and in [`Links`].
 pub const LIST: &str = "list";
-/// The file with upgrade orders, beside the routers' settings.
-const UPGRADE: &str = "upgrade.toml";
+/// Name of the file with upgrade orders, in the folder of the routers' settings.
+const UPGRADE_FILE: &str = "upgrade.toml";
 
-/// How a cluster's routers are run.
+/// How the routers of a cluster are run.
 pub struct ClusterOptions {
-    /// The folder for logs of traffic, rules, settings and the routers' own logs.
+    /// The folder for traffic logs, checker rules, settings files and the logs of the routers.
     pub folder: PathBuf,
-    /// The routers' program.
+    /// The program of the routers.
     pub program: PathBuf,
-    /// Kind of invariant that one router, or all, break on purpose.
+    /// Kind of invariant that one router or all routers violate on purpose; absent for none.
     pub tamper: Option<String>,
-    /// They keep traces and usage ledgers; an earlier build may not know the settings for these.
+    /// Whether the routers write traces and usage ledgers. An earlier build may not support these settings.
     pub trace: bool,
 }
 
-/// A cluster.
+/// A cluster of routers and emulators.
 pub struct Cluster {
-    /// What the emulators run on.
+    /// The environment that the emulators run in.
     pub host: Host,
-    /// The broker.
+    /// The emulated broker.
     pub broker: Broker,
-    /// The function store.
+    /// The emulated function store.
     pub store: Store,
-    /// The worker list.
+    /// The emulated endpoint list.
     pub list: EndpointList,
-    /// The workers, by number.
+    /// The emulated workers, by number.
     pub workers: Vec<Worker>,
-    /// What the list publishes of each worker, by number.
+    /// The entries of the workers in the endpoint list, by number.
     pub rows: Mutex<Vec<EndpointRecord>>,
     /// The faults on links.
     pub links: Links,
-    /// The log of faults, for the checker.
+    /// The log of faults, which the invariant checker reads.
     pub log: Log,
     /// The routers, by number.
     pub routers: Vec<Mutex<RouterProcess>>,
@@ -81,14 +84,14 @@
     addresses: Vec<IpAddr>,
     /// Regions of the routers, by number.
     regions: Vec<String>,
-    /// Regions of the zones.
+    /// Regions of the zones, by name of the zone.
     zone_regions: HashMap<String, String>,
     kserve_ports: Vec<ReservedPort>,
     /// Empty if the routers form no group.
     peer_ports: Vec<ReservedPort>,
     _relays: Vec<Relay>,
-    out: PathBuf,
-    /// Consumers at the broker once all routers are ready.
+    folder: PathBuf,
+    /// Number of consumers at the broker once all routers are ready.
     expected_consumers: usize,
 }
 
@@ -96,26 +99,26 @@
     format!("worker-{number:02}")
 }
 
-/// The queue of an account's triggers.
+/// Name of the queue for the triggers of an account.
 pub(crate) fn queue(account: &str) -> String {
     format!("triggers-{account}")
 }
 
 impl Cluster {
-    /// Sets up all but the routers' processes. What an earlier run left in the folder is removed.
+    /// Sets up the cluster without starting the routers. Files of an earlier run in the folder are removed.
     ///
     /// # Errors
-    /// When the folder cannot be written to, or loopback addresses cannot be bound.
+    /// Fails if the folder cannot be written to, or loopback addresses cannot be bound.
     pub fn prepare(scenario: &Scenario, options: ClusterOptions) -> Result<Cluster, ClusterError> {
         let folder = options.folder.display().to_string();
         setup::set_up(scenario, &rule_settings(scenario), options)
             .map_err(|source| ClusterError::Setup { folder, source })
     }
 
-    /// Starts all routers and waits until they consume and their group may vote.
+    /// Starts all routers and waits until they consume from the broker and their group may vote.
     ///
     /// # Errors
-    /// When a process cannot be started, or they are not ready in time.
+    /// Fails if a process cannot be started, or the routers are not ready in time.
     pub fn start_routers(&self) -> Result<(), ClusterError> {
         for number in 0..self.routers.len() {
             self.start_router(number, StateAtStart::Kept)?;
@@ -130,48 +133,48 @@
         Ok(())
     }
 
-    /// Whether each router that has a group may vote in it.
+    /// Whether each router of the group may vote; true without a group.
     pub fn all_may_vote(&self) -> bool {
         (0..self.peer_ports.len()).all(|number| self.may_vote(number))
     }
 
-    /// Whether a router may vote: it has forgotten nothing that it promised.
+    /// Whether a router may vote, which requires that it has all records of its earlier promises.
     pub fn may_vote(&self, number: usize) -> bool {
         self.state(number).is_some_and(|s| s["memory"] == "whole")
     }
 
-    /// A router's `/state`, if it answers.
+    /// The response of a router to `GET /state`; absent if the request fails.
     pub fn state(&self, number: usize) -> Option<serde_json::Value> {
         fetch_state(self.peer_address(number)?).ok()
     }
 
-    /// A router's name in the table of links and in the logs: its source address.
+    /// Name of a router in [`Links`] and in the logs, which is its source address.
     pub fn router_name(&self, number: usize) -> String {
         self.addresses[number].to_string()
     }
 
-    /// A worker's name in the table of links and in the logs.
+    /// Name of a worker in [`Links`] and in the logs.
     pub fn worker_name(&self, number: usize) -> String {
         worker_name(number)
     }
 
-    /// Where the routers listen for KServe v2, whether or not the scenario uses it.
-    pub fn listens(&self) -> Vec<SocketAddr> {
+    /// Addresses that the routers listen on for KServe v2, whether or not the scenario uses it.
+    pub fn kserve_addresses(&self) -> Vec<SocketAddr> {
         self.kserve_ports.iter().map(|r| r.address).collect()
     }
 
-    /// Where a router listens for its peers; for [`crate::router_state::state`].
+    /// The address that a router listens on for its peers, for [`fetch_state`]; absent without a group.
     pub fn peer_address(&self, number: usize) -> Option<SocketAddr> {
         self.peer_ports.get(number).map(|r| r.address)
     }
 
-    /// Starts a router unless it runs.
+    /// Starts a router if it is not running.
     ///
     /// # Errors
-    /// When its process cannot be started.
+    /// Fails if its process cannot be started.
     pub fn start_router(&self, number: usize, state: StateAtStart) -> Result<(), ClusterError> {
         let mut router = lock(&self.routers[number]);
-        // Two faults may have killed it; it is started once.
+        // Two overlapping faults may have killed the router, and both restart it; the second restart has no effect.
         if router.is_up() {
             return Ok(());
         }
@@ -182,7 +185,7 @@
             .map_err(|source| ClusterError::Router { number, source })
     }
 
-    /// Kills a router if it runs.
+    /// Kills a router if it is running.
     pub fn kill_router(&self, number: usize) {
         let mut router = lock(&self.routers[number]);
         if router.is_up() {
@@ -192,10 +195,10 @@
         }
     }
 
-    /// Pauses a router, or resumes it.
+    /// Pauses or resumes a router.
     ///
     /// # Errors
-    /// When its process cannot be signalled, or does not stop in time.
+    /// Fails if its process cannot be signalled, or does not stop in time.
     pub fn pause_router(&self, number: usize, on: bool) -> Result<(), ClusterError> {
         let mut router = lock(&self.routers[number]);
         if !router.is_up() || router.is_paused() == on {
@@ -217,15 +220,15 @@
         Ok(())
     }
 
-    /// The file that upgrade orders are written to; the routers' settings name it `upgrade.toml`.
+    /// The file for upgrade orders; the settings of the routers refer to it as `upgrade.toml`.
     pub fn upgrade_file(&self) -> PathBuf {
-        self.out.join("routers").join(UPGRADE)
+        self.folder.join("routers").join(UPGRADE_FILE)
     }
 
-    /// Replaces the upgrade orders atomically. Routers read them at their start, or when signalled.
+    /// Replaces the upgrade orders atomically. Routers read them when they start or receive a reload signal.
     ///
     /// # Errors
-    /// When the file cannot be written.
+    /// Fails if the file cannot be written.
     pub fn write_upgrade(&self, text: &str) -> Result<(), ClusterError> {
         let (file, new) = (
             self.upgrade_file(),
@@ -235,37 +238,38 @@
         written.map_err(ClusterError::file(&file))
     }
 
-    /// Signals a router to read its orders again, if it runs.
+    /// Signals a router, if it is running, to read the upgrade orders again.
     ///
     /// # Errors
-    /// When it cannot be signalled.
+    /// Fails if the router cannot be signalled.
     pub fn signal_reload(&self, number: usize) -> Result<(), ClusterError> {
         let router = lock(&self.routers[number]);
         if !router.is_up() {
             return Ok(());
         }
         router
-            .hang_up()
+            .request_reload()
             .map_err(|source| ClusterError::Router { number, source })
     }
 
-    /// Writes upgrade orders and signals all routers. For the checker, the capacity that these models have now is what
-    /// their floors are a share of.
+    /// Writes upgrade orders and signals all routers. The invariant checker computes the capacity floors of these
+    /// models as a share of their current capacity.
     ///
     /// # Errors
-    /// When the file cannot be written or a router cannot be signalled.
+    /// Fails if the file cannot be written or a router cannot be signalled.
     pub fn order_upgrade(&self, models: &[&str], text: &str) -> Result<(), ClusterError> {
         self.write_upgrade(text)?;
         self.log.write("upgrade", json!({"models": models}));
         (0..self.routers.len()).try_for_each(|number| self.signal_reload(number))
     }
 
-    /// Tells the checker that these models' floors need to hold no longer.
+    /// Logs that the capacity floors of these models do not have to hold any longer.
     pub fn end_upgrade(&self, models: &[&str]) {
         self.log.write("upgrade-over", json!({"models": models}));
     }
 
-    /// Sets a fault on the links between all routers that are named, or one way from the first to the others.
+    /// Sets a fault on all links between the routers in `which`. With `one_way`, only the directions from the first of
+    /// them to the others get the fault.
     pub fn set_peer_faults(&self, which: &[usize], one_way: bool, fault: LinkFault) {
         for (position, one) in which.iter().enumerate() {
             for other in &which[position + 1..] {
@@ -280,7 +284,8 @@
         }
     }
 
-    /// Sets a fault on all links that cross a region's border, both ways. Broker, list and store are in no region.
+    /// Sets a fault on both directions of all links that cross the border of a region. Broker, endpoint list and store
+    /// belong to no region.
     pub fn set_region_fault(&self, region: &str, fault: LinkFault) {
         let rows = lock(&self.rows).clone();
         for (router, own) in self.regions.iter().enumerate() {
@@ -303,7 +308,7 @@
         }
     }
 
-    /// Changes what the list publishes of a worker.
+    /// Changes the entry of a worker in the endpoint list.
     pub fn update_endpoint(&self, worker: usize, change: impl FnOnce(&mut EndpointRecord)) {
         let mut rows = lock(&self.rows);
         change(&mut rows[worker]);
@@ -311,26 +316,27 @@
             .publish(&worker_name(worker), rows[worker].clone());
     }
 
-    /// Withdraws a worker from the list.
+    /// Removes a worker from the endpoint list.
     pub fn withdraw_worker(&self, worker: usize) {
         self.list.remove(&worker_name(worker));
     }
 
-    /// Starts a worker that is down, and publishes its new process.
+    /// Restarts a worker that is down and publishes its new process.
     pub fn restart_worker(&self, worker: usize) {
         if self.workers[worker].is_up() || self.workers[worker].restart().is_err() {
             return;
         }
         let (start, started_us) = (
             self.workers[worker].starts(),
-            self.workers[worker].began_us(),
+            self.workers[worker].started_us(),
         );
         self.update_endpoint(worker, |r| {
             (r.draining, r.start, r.started_us) = (false, start, started_us)
         });
     }
 
-    /// Heals all links, resumes all routers and shuts them down; true if each ended gracefully and in time.
+    /// Heals all links, resumes all routers and shuts them down; returns true if all of them exit gracefully
+    /// within the duration `within`.
     pub fn stop(&self, within: Duration) -> bool {
         self.links.heal();
         for number in 0..self.routers.len() {
@@ -350,26 +356,26 @@
                 graceful &= ended.is_some_and(|status| status.success());
             }
         }
-        // No router outlives the scenario, however it went.
+        // Routers that did not end in time are killed, so that no process outlives the scenario.
         self.routers.iter().for_each(|r| lock(r).kill());
         graceful
     }
 
-    /// Has the invariants checked on what has crossed the sockets so far.
+    /// Checks the invariants on the traffic that is logged so far.
     ///
     /// # Errors
-    /// When the logs cannot be read.
+    /// Fails if the logs cannot be read.
     pub fn verdict(&self) -> Result<Verdict, ClusterError> {
         self.log.flush();
         self.broker.flush();
         self.store.flush();
         self.list.flush();
         self.workers.iter().for_each(Worker::flush);
-        Ok(cedarpulley_invariant_checker::check(&self.out)?)
+        Ok(cedarpulley_invariant_checker::check(&self.folder)?)
     }
 
     /// The folder that the cluster writes to.
     pub fn folder(&self) -> &Path {
-        &self.out
+        &self.folder
     }
 }
--- a/crates/test-cluster/src/cluster/router_settings.rs
+++ b/crates/test-cluster/src/cluster/router_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of one router of a cluster.
+//! Writes the settings file of one router of a cluster.
 
 use std::fmt::{self, Write};
 use std::net::SocketAddr;
@@ -9,33 +9,34 @@
 use super::setup::router_address_of;
 use crate::scenario::Scenario;
 
-/// Group name of all routers of a cluster.
-const GROUP: &str = "fleet";
+/// Group name in the settings of all routers.
+const GROUP_NAME: &str = "fleet";
 
-/// A router as another one's settings name it.
+/// A member of the group, as it is listed in the settings of a router.
 pub(super) struct Member {
     pub(super) name: String,
     pub(super) region: String,
     pub(super) address: SocketAddr,
 }
 
-/// What one router's settings are made of.
+/// The inputs for the settings file of one router.
 pub(super) struct RouterSettings<'a> {
     pub(super) scenario: &'a Scenario,
     /// The router's number.
     pub(super) number: u32,
-    /// The broker, as this router reaches it.
+    /// Address at which this router reaches the broker.
     pub(super) broker: SocketAddr,
-    /// The worker list, as this router reaches it.
+    /// Address at which this router reaches the endpoint list.
     pub(super) list: SocketAddr,
-    /// Where it listens for KServe v2.
+    /// Address that this router listens on for KServe v2.
     pub(super) kserve: SocketAddr,
-    /// All routers of its group, as this router reaches them; empty without a group.
+    /// All routers of the group with the addresses at which this router reaches them; empty without a group.
     pub(super) members: &'a [Member],
+    /// Whether the router writes traces and a usage ledger.
     pub(super) trace: bool,
 }
 
-/// As the routers' settings name it.
+/// Name of an effect in the settings of routers.
 fn effect_name(effect: Effect) -> &'static str {
     match effect {
         Effect::Idempotent => "idempotent",
@@ -45,7 +46,7 @@
 }
 
 impl RouterSettings<'_> {
-    /// The file's text.
+    /// Returns the text of the settings file.
     pub(super) fn to_toml(&self) -> Result<String, fmt::Error> {
         let mut text = String::new();
         self.write_router(&mut text)?;
@@ -86,7 +87,7 @@
         if let Some(offset) = scenario.clock_offsets_ms.get(number as usize) {
             writeln!(text, "[rig]\nclock_offset_ms = {offset}\n")?;
         }
-        // Each scenario leaves its routers' usage ledgers and traces, those of killed ones cut as the kill left them.
+        // The routers of each scenario leave usage ledgers and traces; those of a killed router end at the kill.
         if self.trace {
             writeln!(
                 text,
@@ -180,7 +181,7 @@
         };
         writeln!(
             text,
-            "\n[peers]\nlisten = \"{}\"\ngroup = \"{GROUP}\"",
+            "\n[peers]\nlisten = \"{}\"\ngroup = \"{GROUP_NAME}\"",
             own.address
         )?;
         writeln!(
--- a/crates/test-cluster/src/cluster/setup.rs
+++ b/crates/test-cluster/src/cluster/setup.rs
@@ -1,4 +1,4 @@
-//! Sets a cluster up: emulators, reserved ports, relays, settings files, processes that are not started yet.
+//! Sets up a cluster: emulators, reserved ports, relays, settings files and router processes that are not started yet.
 
 use std::collections::HashMap;
 use std::io;
@@ -21,27 +21,28 @@
 use crate::router_process::RouterProcess;
 use crate::scenario::{Scenario, WorkerGroup};
 
-/// Threads of the emulators and relays.
-const THREADS: usize = 3;
-/// Kinds of tampering that break an invariant only where all routers have them: many overload a worker, a record is
-/// doubted as long as one other doubts it, and votes against a promise, or that nobody persists, count from a majority
-/// on.
-const TAMPER_TOGETHER: [&str; 4] = ["push", "undoubting", "promise", "unkept"];
+/// Number of threads for emulators and relays.
+const EMULATOR_THREADS: usize = 3;
+/// Kinds of tampering that violate an invariant only if all routers apply them: `push` needs many routers to overload a
+/// worker, `undoubting` has no effect while one other router doubts a record, and the votes of `promise` (against an
+/// earlier promise) and `unkept` (not persisted) have an effect only if a majority casts them.
+const TAMPER_KINDS_FOR_ALL_ROUTERS: [&str; 4] = ["push", "undoubting", "promise", "unkept"];
+/// Loopback with a port that the system chooses.
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// The source address of a router.
+/// Source address of a router.
 pub(super) fn router_address_of(scenario: &Scenario, number: u32) -> IpAddr {
     router_address(scenario.zone_of(number), number)
 }
 
-/// Removes what an earlier run left.
-fn prepare_folder(out: &Path) -> io::Result<()> {
+/// Removes the files of an earlier run and creates the folder of the routers.
+fn prepare_folder(folder: &Path) -> io::Result<()> {
     for old in ["traffic", "routers", "traces", "meter"] {
-        if out.join(old).exists() {
-            std::fs::remove_dir_all(out.join(old))?;
+        if folder.join(old).exists() {
+            std::fs::remove_dir_all(folder.join(old))?;
         }
     }
-    std::fs::create_dir_all(out.join("routers"))
+    std::fs::create_dir_all(folder.join("routers"))
 }
 
 /// Starts the emulators and prepares the routers' processes.
@@ -50,10 +51,13 @@
     rules: &RuleSettings,
     options: ClusterOptions,
 ) -> io::Result<Cluster> {
-    let out = &options.folder;
-    prepare_folder(out)?;
-    std::fs::write(out.join("terms.json"), serde_json::to_string_pretty(rules)?)?;
-    let emulators = Emulators::start(scenario, rules, out)?;
+    let folder = &options.folder;
+    prepare_folder(folder)?;
+    std::fs::write(
+        folder.join("terms.json"),
+        serde_json::to_string_pretty(rules)?,
+    )?;
+    let emulators = Emulators::start(scenario, rules, folder)?;
     let log = emulators.host.log("day")?;
     let links = Links::new(Some(log.clone()));
     let ports = RouterPorts::reserve(scenario)?;
@@ -99,7 +103,7 @@
         kserve_ports: ports.kserve,
         peer_ports: ports.peers,
         _relays: relays,
-        out: options.folder,
+        folder: options.folder,
         expected_consumers: consuming_routers * scenario.accounts.len(),
     })
 }
@@ -113,7 +117,7 @@
         .collect()
 }
 
-/// All that routers talk to.
+/// The emulators of a cluster.
 struct Emulators {
     host: Host,
     broker: Broker,
@@ -124,8 +128,8 @@
 }
 
 impl Emulators {
-    fn start(scenario: &Scenario, rules: &RuleSettings, out: &Path) -> io::Result<Self> {
-        let host = Host::new(THREADS, Some(&out.join("traffic")))?;
+    fn start(scenario: &Scenario, rules: &RuleSettings, folder: &Path) -> io::Result<Self> {
+        let host = Host::new(EMULATOR_THREADS, Some(&folder.join("traffic")))?;
         let broker = Broker::start(&host, BROKER, ANY_PORT)?;
         for account in &scenario.accounts {
             broker.declare(&queue(&account.name));
@@ -138,7 +142,8 @@
         let store = Store::start(&host, "store", ANY_PORT, profile)?;
         let list = EndpointList::start(&host, LIST, ANY_PORT)?;
         let programs = programs(scenario);
-        let (memory, mut workers, mut rows) = (IdempotencyStore::default(), Vec::new(), Vec::new());
+        let (idempotency, mut workers, mut rows) =
+            (IdempotencyStore::default(), Vec::new(), Vec::new());
         let groups = scenario.workers.iter();
         for group in groups.flat_map(|group| (0..group.count).map(move |_| group)) {
             let worker = Worker::start(
@@ -149,7 +154,7 @@
                 worker_profile(scenario, rules, group),
                 store.server.address,
                 programs.clone(),
-                memory.clone(),
+                idempotency.clone(),
             )?;
             rows.push(EndpointRecord {
                 address: worker.address,
@@ -176,7 +181,7 @@
     }
 }
 
-/// What invocations of each trigger type are like, by its name.
+/// The invocation profiles by name of the trigger type.
 fn programs(scenario: &Scenario) -> HashMap<String, InvocationProfile> {
     let program = |t: &crate::scenario::TriggerType| InvocationProfile {
         mean_work: Duration::from_secs_f64(t.work_ms / 1e3),
@@ -254,18 +259,18 @@
     }
 }
 
-/// The relays of all routers' links; none without regions.
+/// The relays on the links of all routers; empty if the scenario has no regions.
 struct RelaySet<'a> {
     scenario: &'a Scenario,
     host: &'a Host,
     links: &'a Links,
     relays: Vec<Relay>,
-    /// By router and worker: where the router reaches the worker.
+    /// The address at which a router reaches a worker, by the addresses of both.
     worker_addresses: HashMap<(IpAddr, SocketAddr), SocketAddr>,
 }
 
 impl RelaySet<'_> {
-    /// Where the near side reaches `to`: at a new relay, or directly.
+    /// Returns the address at which the near side reaches `to`: that of a new relay or, without regions, `to` itself.
     fn add(
         &mut self,
         near: IpAddr,
@@ -291,7 +296,7 @@
     }
 }
 
-/// Writes a router's settings, with a relay on each of its links.
+/// Writes the settings of a router and starts a relay on each of its links.
 fn prepare_router(
     scenario: &Scenario,
     options: &ClusterOptions,
@@ -343,11 +348,11 @@
 
 fn router_args(scenario: &Scenario, options: &ClusterOptions, number: usize) -> Vec<String> {
     let mut args = vec!["--log".to_owned(), "json".to_owned()];
-    // One router that tampers is enough to be found, except where all of them together break the invariant.
+    // Only the first router tampers, except for kinds that violate an invariant only if all routers apply them.
     if let Some(kind) = options
         .tamper
         .as_ref()
-        .filter(|kind| number == 0 || TAMPER_TOGETHER.contains(&kind.as_str()))
+        .filter(|kind| number == 0 || TAMPER_KINDS_FOR_ALL_ROUTERS.contains(&kind.as_str()))
     {
         args.extend(["--tamper".to_owned(), kind.clone()]);
     }
--- a/crates/test-cluster/src/error.rs
+++ b/crates/test-cluster/src/error.rs
@@ -1,5 +1,5 @@
-//! Errors of a cluster: a malformed scenario file, a cluster that cannot be set up. An invariant that routers broke is
-//! the checker's finding, and no error.
+//! Errors of a cluster, such as a malformed scenario file or a cluster that cannot be set up. A violated invariant is
+//! not an error but a finding of the invariant checker.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,49 +8,49 @@
 use cedarpulley_errors::Remedy;
 use thiserror::Error;
 
-/// Why a scenario cannot be played.
+/// Reasons why a scenario or a cluster cannot be run.
 #[derive(Debug, Error)]
 pub enum ClusterError {
     /// A file cannot be read or written.
-    #[error("{file}: the day cannot be read, or its part not be written")]
+    #[error("{file}: the file cannot be read or written")]
     File {
         /// The file.
         file: String,
         /// Its cause.
         source: io::Error,
     },
-    /// The scenario is not TOML of its form.
-    #[error("{file}:{line}: it is not written as a day is: {detail}")]
+    /// The scenario is not valid TOML, or its keys or types are wrong.
+    #[error("{file}:{line}: the scenario is malformed: {detail}")]
     MalformedScenario {
         /// The file.
         file: String,
-        /// The line, from 1.
+        /// Number of the line, starting at 1.
         line: usize,
-        /// What the parser says.
+        /// Message of the parser.
         detail: String,
     },
-    /// A value is outside of its range.
-    #[error("{file}: {key}: {value} is out of its range, {within}")]
+    /// A value is out of range.
+    #[error("{file}: {key}: {value} is out of range; the range is {within}")]
     OutOfRange {
         /// The file.
         file: String,
         /// The key.
         key: String,
-        /// Its value.
+        /// The value.
         value: f64,
         /// The range.
         within: &'static str,
     },
-    /// A list needs at least one element.
-    #[error("{file}: {key}: there must be one at least")]
+    /// A list that needs at least one element is empty.
+    #[error("{file}: {key}: at least one is required")]
     Empty {
         /// The file.
         file: String,
         /// The key.
         key: &'static str,
     },
-    /// A name that the scenario does not define.
-    #[error("{file}: {key}: the day has no '{name}'")]
+    /// The scenario refers to a name that it does not define.
+    #[error("{file}: {key}: the scenario does not define '{name}'")]
     UnknownName {
         /// The file.
         file: String,
@@ -59,48 +59,50 @@
         /// The name.
         name: String,
     },
-    /// A key needs another one.
-    #[error("{file}: {key} needs {what}")]
+    /// A key requires another key.
+    #[error("{file}: {key} requires {what}")]
     MissingRequirement {
         /// The file.
         file: String,
         /// The key.
         key: String,
-        /// What it needs.
+        /// The requirement.
         what: &'static str,
     },
     /// Emulators, relays or settings cannot be set up.
-    #[error("{folder}: no fleet can be set up here")]
+    #[error("{folder}: the cluster cannot be set up")]
     Setup {
-        /// The folder.
+        /// The folder of the cluster.
         folder: String,
         /// Its cause.
         source: io::Error,
     },
-    /// A router's process cannot be started or signalled.
-    #[error("router {number} cannot be started or told")]
+    /// The process of a router cannot be started or signalled, or its state cannot be copied.
+    #[error(
+        "router {number}: the process cannot be started or signalled, or its state cannot be copied"
+    )]
     Router {
-        /// The router's number.
+        /// Number of the router.
         number: usize,
         /// Its cause.
         source: io::Error,
     },
-    /// The routers do not consume in time.
-    #[error("the routers did not come up")]
+    /// The routers do not consume from the broker in time.
+    #[error("the routers did not consume from the broker in time")]
     RoutersNotReady,
-    /// The routers' group may not vote in time.
-    #[error("the routers' group does not remember enough to vote")]
+    /// The members of the routers' group may not vote in time, because they have not restored their records.
+    #[error("the group of routers was not ready to vote in time")]
     GroupNotReady,
-    /// A router or worker does not answer.
-    #[error("{address} cannot be asked, or its answer not be read")]
+    /// A request to a router or worker fails.
+    #[error("the request to {address} failed, or its response cannot be read")]
     Request {
         /// Its address.
         address: SocketAddr,
         /// Its cause.
         source: io::Error,
     },
-    /// A router or worker answers without success.
-    #[error("{address} answers with status {status}")]
+    /// A router or worker responds with a status other than success.
+    #[error("{address} responds with status {status}")]
     Status {
         /// Its address.
         address: SocketAddr,
@@ -125,27 +127,27 @@
     fn remedy(&self) -> &'static str {
         match self {
             ClusterError::File { .. } => {
-                "see that its path is right, may be read or written, and has room"
+                "check that the path is correct, that it may be read and written, and that the disk has free space"
             }
             ClusterError::MalformedScenario { .. } => {
-                "write that line as the files in days/ have it"
+                "correct that line; the files in days/ show the format"
             }
-            ClusterError::OutOfRange { .. } => "give that key a value within its range",
-            ClusterError::Empty { .. } => "give the day one of them",
+            ClusterError::OutOfRange { .. } => "set the key to a value within its range",
+            ClusterError::Empty { .. } => "add at least one to the scenario",
             ClusterError::UnknownName { .. } => {
-                "name one that the day has; workers and routers count from 0"
+                "use a name that the scenario defines; workers and routers are numbered from 0"
             }
             ClusterError::MissingRequirement { .. } => {
-                "give the day that as well, or take the key out"
+                "add the requirement to the scenario, or remove the key"
             }
             ClusterError::Setup { .. } => {
-                "give --out a folder that may be written to, and see that loopback is free"
+                "set --out to a folder that may be written to, and check that loopback addresses can be bound"
             }
             ClusterError::Router { .. }
             | ClusterError::RoutersNotReady
-            | ClusterError::GroupNotReady => "see the routers' logs under routers/",
+            | ClusterError::GroupNotReady => "check the routers' logs under routers/",
             ClusterError::Request { .. } | ClusterError::Status { .. } => {
-                "see that the router or worker runs, and that the address is a router's peers.listen or a worker's"
+                "check that the process runs, and that the address is a router's peers.listen or a worker's address"
             }
             ClusterError::Checker(error) => error.remedy(),
         }
--- a/crates/test-cluster/src/kserve_client.rs
+++ b/crates/test-cluster/src/kserve_client.rs
@@ -1,5 +1,6 @@
-//! The clients of a scenario that use KServe v2: each invocation on a connection of its own, to a router drawn by its
-//! number; a router that cannot be connected to is skipped. What crosses is logged as the broker logs its messages.
+//! Clients that use KServe v2. Each invocation uses its own connection to a router that is chosen by the number of the
+//! invocation; a router that cannot be connected to is skipped. Requests and responses are logged in the format of the
+//! emulated broker.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -20,7 +21,7 @@
 
 const CONNECT_TIMEOUT_US: i64 = 300_000;
 
-/// The body with its session, as the protocol's sequence extension names it.
+/// Returns the body of the request, with the session in the parameters of the sequence extension.
 fn body(arrival: &Arrival) -> Bytes {
     let plain = Bytes::copy_from_slice(arrival.body.as_bytes());
     let Some(turn) = &arrival.turn else {
@@ -36,31 +37,31 @@
 }
 
 /// Clients that call routers over KServe v2.
-pub struct Callers {
-    /// The routers' KServe listeners.
+pub struct KserveClients {
+    /// Addresses of the routers' KServe listeners.
     pub routers: Vec<SocketAddr>,
-    /// Source address of the calls.
+    /// Source address of the connections.
     pub from: IpAddr,
-    /// Where calls and answers are logged.
+    /// The log for requests and responses.
     pub log: Log,
-    /// How long they listen beyond the time at which the client gives up.
-    pub listens_on: Duration,
-    /// When the traffic begins.
+    /// How long a client waits for an answer after its timeout.
+    pub listen_after_timeout: Duration,
+    /// Start of the traffic.
     pub began: Instant,
-    /// Where answers are recorded, if anywhere.
+    /// Records answers, if present.
     pub answers: Option<Answers>,
-    /// Overrides the functions that arrivals ask for.
-    pub asks: Option<FunctionOverride>,
+    /// Overrides the functions of arrivals, if present.
+    pub function_override: Option<FunctionOverride>,
 }
 
-/// What a router answered.
+/// Outcome in the answer of a router.
 struct CallOutcome {
     outcome: String,
     reason: String,
 }
 
-impl Callers {
-    /// Starts each call at its time, until all are begun; calls end by themselves.
+impl KserveClients {
+    /// Starts each call when it is due; returns once all calls are started, without waiting for their answers.
     pub async fn run(self: Arc<Self>, executor: Arc<Executor<'static>>, arrivals: Vec<Arrival>) {
         for (number, arrival) in arrivals.into_iter().enumerate() {
             Timer::at(self.began + arrival.at).await;
@@ -71,9 +72,9 @@
     async fn call(self: Arc<Self>, mut arrival: Arrival, number: usize) {
         loop {
             let function = self
-                .asks
+                .function_override
                 .as_ref()
-                .map_or_else(|| arrival.function.clone(), |asks| asks(&arrival));
+                .map_or_else(|| arrival.function.clone(), |choose| choose(&arrival));
             let attempt = Arrival {
                 function,
                 ..arrival.clone()
@@ -87,7 +88,7 @@
         }
     }
 
-    /// One attempt, to the first router that can be connected to; the outcome that it answered.
+    /// Sends an invocation once, to the first router that can be connected to; returns the outcome in its answer.
     async fn attempt(&self, arrival: &Arrival, number: usize) -> Option<String> {
         let timeout_us = arrival.timeout_ms * 1000;
         self.log.write(
@@ -97,7 +98,8 @@
                 "account": arrival.account, "function": arrival.function, "timeout": timeout_us,
             }),
         );
-        let deadline = Instant::now() + Duration::from_micros(timeout_us) + self.listens_on;
+        let deadline =
+            Instant::now() + Duration::from_micros(timeout_us) + self.listen_after_timeout;
         let count = self.routers.len();
         for router in (0..count).map(|skipped| self.routers[(number + skipped) % count]) {
             let Ok(stream) = connect(router, Some(self.from), CONNECT_TIMEOUT_US).await else {
--- a/crates/test-cluster/src/lib.rs
+++ b/crates/test-cluster/src/lib.rs
@@ -1,9 +1,11 @@
-//! A cluster for tests: routers as processes of their own before emulators in this process, in regions, with a relay
-//! on every link between them. For tests and scenarios; never part of a router. It only brings faults about; which
-//! invariants they broke is checked by `cedarpulley-invariant-checker` from the emulators' logs.
+//! Clusters for tests and scenarios: routers run as separate processes, emulators run in this process, and with regions
+//! every link between them has a relay. This crate is never part of a router. It only injects faults; the crate
+//! `cedarpulley-invariant-checker` checks from the logs of the emulators which invariants were violated.
 //!
-//! Begin reading at [`cluster`]; then [`links`] (the faults), [`relay`] (bytes), [`message_relay`] (whole requests),
-//! [`router_process`] (one router), [`scenario`] (what is played), [`error`].
+//! [`cluster`] is the entry point. Other modules: [`links`] (faults on links), [`relay`] (forwards bytes),
+//! [`message_relay`] (forwards complete requests), [`router_process`] (one router), [`scenario`] (scenario files),
+//! [`script`] (timed actions), [`traffic`] with [`amqp_client`] and [`kserve_client`] (clients), [`operator`] (manual
+//! orders), [`router_state`] (state requests) and [`error`].
 
 #![warn(missing_docs)]
 
@@ -24,10 +26,10 @@
 
 use std::time::{Duration, Instant};
 
-/// How often [`until`] checks its condition.
+/// Interval at which [`until`] checks its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until the condition holds; false if it does not within this time.
+/// Waits until the condition holds; returns false if it does not hold within the timeout.
 pub fn until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let deadline = Instant::now() + timeout;
     loop {
--- a/crates/test-cluster/src/links.rs
+++ b/crates/test-cluster/src/links.rs
@@ -1,12 +1,12 @@
-//! Faults on directed links: one table for all relays of a cluster. [`Links::set`] puts a fault on the direction from
-//! one name to another; relays consult it through their `LinkDirection`. Names are those of the emulators' logs: a
-//! router's address, the name of an emulator's log.
+//! Faults on directed links. All relays of a cluster share one table: [`Links::set`] sets the fault of the direction
+//! from one name to another, and relays read it through their `LinkDirection`. The names are those in the logs of the
+//! emulators: the address of a router, or the name of an emulator's log.
 //!
 //! Mechanisms:
-//! 1. A fault belongs to a direction, not to a connection: set from A to B it holds the requests on A's connections
-//!    to B and the answers on B's connections to A.
-//! 2. What a fault keeps from being seen is logged before it begins and after it has ended, for the checker: a `link`
-//!    line says from where to where, and how long things are in flight at most.
+//! 1. A fault belongs to a direction, not to a connection. A fault from A to B affects the requests on connections that
+//!    A opened to B and the responses on connections that B opened to A.
+//! 2. A fault that delays or hides data is logged before it begins and after it has ended. The invariant checker needs
+//!    the `link` lines, which contain both names and the longest time for which data may be in flight.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, Weak};
@@ -18,49 +18,50 @@
 
 use crate::port::Port;
 
-/// What happens on one direction of a link.
+/// Fault on one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LinkFault {
-    /// Nothing: everything passes.
+    /// No fault: all data passes.
     #[default]
     Pass,
-    /// Nothing passes and neither side notices; it arrives when the link is healed.
+    /// Data is held back without either side noticing; it arrives when the link is healed.
     Held,
-    /// Likewise, but what came is lost: a connection that lost something is reset when healed.
+    /// Data is lost without either side noticing. A connection that lost data is reset when the link is healed.
     Lost,
-    /// Delayed by `by` and a drawn part of `spread`; in order.
+    /// Data is delayed by `by` plus a random part of `spread`; the order is kept.
     Delayed {
-        /// Least delay.
+        /// Shortest delay.
         by: Duration,
-        /// Most delay beyond it.
+        /// Longest additional delay.
         spread: Duration,
     },
-    /// Limited in bandwidth.
+    /// The bandwidth is limited.
     Throttled {
-        /// The limit.
+        /// The limit, in bytes per second.
         bytes_per_s: u64,
     },
-    /// Every connection of the link is reset on both sides, new ones as they come. Even if it is healed at once, those
-    /// that were open are reset.
+    /// Every connection of the link, including new ones, is reset on both sides. Connections that were open are reset
+    /// even if the link is healed at once.
     Reset,
-    /// Its connections are dead towards the direction's end, which sees them reset; its beginning sees it when the
+    /// The receiving side of the direction sees its connections reset at once; the sending side sees that only when the
     /// link is healed.
     HalfOpen,
-    /// New connections in this direction are refused; those that are open go on.
+    /// New connections in this direction are refused; open connections are not affected.
     Refused,
-    /// Of whole messages, shares are dropped, duplicated and reordered. Bytes pass.
+    /// Shares of the complete messages are dropped, duplicated and reordered. Relays that forward bytes are not
+    /// affected.
     UnreliableMessages {
-        /// Share dropped.
+        /// Share that is dropped.
         drop: f64,
-        /// Share sent twice.
+        /// Share that is sent twice.
         twice: f64,
-        /// Share sent after a later one.
+        /// Share that is sent after a later message.
         after: f64,
     },
 }
 
 impl LinkFault {
-    /// Whether what arrives may have been sent a while before, and if so for how long at most, where that is known.
+    /// Whether the fault delays data; the inner value is the longest delay, if it is known.
     fn delays(self) -> Option<Option<Duration>> {
         match self {
             LinkFault::Held | LinkFault::Lost | LinkFault::Throttled { .. } => Some(None),
@@ -69,13 +70,13 @@
         }
     }
 
-    /// What comes while it lasts is lost.
+    /// Whether data that is sent during the fault is lost.
     pub(crate) fn loses(self) -> bool {
         matches!(self, LinkFault::Lost | LinkFault::HalfOpen)
     }
 }
 
-/// From one name to another.
+/// Names of both ends of a direction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Endpoints {
     from: String,
@@ -91,16 +92,17 @@
     }
 }
 
+/// The faults of all directions, with the listeners that have to follow them.
 #[derive(Default)]
 struct FaultTable {
     faults: HashMap<Endpoints, LinkFault>,
-    /// How often each direction was reset.
+    /// Number of resets of each direction.
     resets: HashMap<Endpoints, u64>,
-    /// Where relays listen for connections in each direction.
+    /// Ports on which relays accept connections in each direction.
     ports: HashMap<Endpoints, Vec<Weak<Port>>>,
 }
 
-/// The faults of all links; clones share them.
+/// The faults of all links; clones share the same table.
 #[derive(Clone, Default)]
 pub struct Links {
     table: Arc<Mutex<FaultTable>>,
@@ -109,7 +111,7 @@
 }
 
 impl Links {
-    /// Without faults; changes are logged where a log is given.
+    /// Creates a table without faults; changes are written to the log, if one is given.
     pub fn new(log: Option<Log>) -> Self {
         Links {
             log,
@@ -117,15 +119,15 @@
         }
     }
 
-    /// Sets the fault of a direction in place of the one before. New connections are refused, or accepted, when this
-    /// returns.
+    /// Replaces the fault of a direction. When this returns, new connections are already refused or accepted according
+    /// to the new fault.
     pub fn set(&self, from: &str, to: &str, fault: LinkFault) {
         let endpoints = Endpoints::new(from, to);
         if let Some(most_delay) = fault.delays() {
             self.log_change(from, to, "held", true, most_delay);
         }
         if fault == LinkFault::HalfOpen {
-            // What is not seen is that the other side has closed.
+            // The sending side does not see that the receiving side has closed, so the names are swapped.
             self.log_change(to, from, "half-open", true, None);
         }
         let before = {
@@ -191,7 +193,7 @@
         }
     }
 
-    /// From now on the port listens or refuses as the direction's fault says.
+    /// Registers a port, which from now on listens or refuses connections according to the fault of the direction.
     pub(crate) fn register(&self, from: &str, to: &str, port: &Arc<Port>) {
         let endpoints = Endpoints::new(from, to);
         let mut table = lock(&self.table);
@@ -212,7 +214,7 @@
 }
 
 impl LinkDirection {
-    /// Its present fault.
+    /// The current fault of the direction.
     pub(crate) fn fault(&self) -> LinkFault {
         lock(&self.links.table)
             .faults
@@ -221,7 +223,7 @@
             .unwrap_or_default()
     }
 
-    /// How often it was reset.
+    /// Number of resets of the direction.
     pub(crate) fn resets(&self) -> u64 {
         lock(&self.links.table)
             .resets
@@ -230,12 +232,13 @@
             .unwrap_or_default()
     }
 
-    /// Resolves with the next change of any fault. To be taken before the fault is read, so that no change is missed.
+    /// Resolves with the next change of any fault. Callers create the listener before they read the fault, so that no
+    /// change is missed.
     pub(crate) fn changed(&self) -> EventListener {
         self.links.changed.listen()
     }
 
-    /// Waits while it is held; false if what passes here is lost instead.
+    /// Waits while data is held back; returns false if the data is lost instead.
     pub(crate) async fn passes(&self) -> bool {
         loop {
             let changed = self.changed();
--- a/crates/test-cluster/src/message_relay.rs
+++ b/crates/test-cluster/src/message_relay.rs
@@ -1,11 +1,11 @@
-//! The relay's mode for HTTP/1.1: each request and each answer is carried as a whole, so that whole ones can be
+//! The mode of a relay for HTTP/1.1. Requests and responses are forwarded as complete messages, so that messages can be
 //! dropped, duplicated or reordered. Connections are kept alive on both sides.
 //!
 //! Mechanisms:
-//! 1. A request that has come is in flight by itself: it arrives even if its sender has gone, as bytes in a network
-//!    do. Its answer is for its sender alone.
-//! 2. What is dropped leaves its sender waiting, until that gives up or the link is healed.
-//! 3. A reordered request waits until another one has arrived, but for a bounded time.
+//! 1. A request that the relay has received is delivered even if its sender has disconnected, like bytes in a network.
+//!    Its response is delivered to that sender only.
+//! 2. The sender of a dropped message waits until it times out or the link is healed.
+//! 3. A reordered request waits until another request has been delivered, but no longer than one second.
 
 use std::future::pending;
 use std::io;
@@ -32,23 +32,23 @@
 use crate::links::{LinkDirection, LinkFault};
 use crate::relay::{Link, reset};
 
-const MAX_BODY: usize = 64 << 20;
-/// A reordered request waits for a later one no longer.
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// Longest time for which a reordered request waits for a later request.
 const REORDER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Requests in flight at once on one link; beyond, they are dropped and a line is logged.
+/// Largest number of requests in flight on one link; further requests are dropped and logged.
 const MAX_IN_FLIGHT: usize = 1000;
 
 type Answer = Response<Full<Bytes>>;
 
-/// A kept-alive connection onwards.
-struct RemotePeer {
+/// A kept-alive connection to the far side.
+struct RemoteConnection {
     sender: SendRequest<Full<Bytes>>,
     _driver: Task<()>,
     handle: TcpStream,
     link: Arc<Link>,
 }
 
-impl Drop for RemotePeer {
+impl Drop for RemoteConnection {
     fn drop(&mut self) {
         if self.link.is_broken() {
             reset(&self.handle);
@@ -56,17 +56,17 @@
     }
 }
 
-/// The kept-alive connection onwards of one near connection.
-type KeptPeer = Arc<Mutex<Option<RemotePeer>>>;
+/// The kept-alive connection to the far side that belongs to one connection of the near side.
+type KeptConnection = Arc<Mutex<Option<RemoteConnection>>>;
 
-/// Whether a connection has lost something, by direction.
+/// Whether a connection has lost a message, by direction.
 #[derive(Default)]
 struct Losses {
     outbound: AtomicBool,
     inbound: AtomicBool,
 }
 
-/// Counted as in flight while it lives.
+/// Guard that counts a message as in flight until it is dropped.
 struct InFlightMessage(Arc<Link>);
 
 impl InFlightMessage {
@@ -83,7 +83,7 @@
 }
 
 impl Link {
-    /// Waits until no onward connection can stand.
+    /// Waits until connections to the far side are broken by a fault or a reset.
     async fn until_broken(&self) {
         let resets_before = self.resets();
         loop {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Waits as long as a message takes in this direction; false if it is lost.
+    /// Waits for the time that a message takes in this direction; returns false if the message is lost.
     async fn transmit(&self, direction: &LinkDirection, size: usize) -> bool {
         Timer::after(self.delay(direction)).await;
         if let LinkFault::Throttled { bytes_per_s } = direction.fault() {
@@ -107,17 +107,17 @@
         direction.passes().await
     }
 
-    async fn open_peer(self: &Arc<Self>) -> io::Result<RemotePeer> {
+    async fn open_connection(self: &Arc<Self>) -> io::Result<RemoteConnection> {
         let stream = self.connect().await?;
         let handle = stream.get_ref().try_clone()?;
         let (sender, driver) = handshake(FuturesIo::new(stream))
             .await
             .map_err(io::Error::other)?;
         let _driver = self.host.executor.spawn(async move {
-            // Whoever waits on the sender sees how it ended.
+            // An error is returned to the caller that waits for the sender.
             let _ = driver.await;
         });
-        Ok(RemotePeer {
+        Ok(RemoteConnection {
             sender,
             _driver,
             handle,
@@ -127,28 +127,31 @@
 
     async fn exchange(
         self: &Arc<Self>,
-        kept_peer: &KeptPeer,
+        kept_connection: &KeptConnection,
         request: Request<Bytes>,
     ) -> io::Result<Answer> {
         let requesting = async {
-            let mut kept = kept_peer.lock().await;
-            let mut peer = match kept.take().filter(|peer| !peer.sender.is_closed()) {
-                Some(peer) => peer,
-                None => self.open_peer().await?,
+            let mut kept = kept_connection.lock().await;
+            let mut connection = match kept
+                .take()
+                .filter(|connection| !connection.sender.is_closed())
+            {
+                Some(connection) => connection,
+                None => self.open_connection().await?,
             };
-            let answer = peer
+            let answer = connection
                 .sender
                 .send_request(request.map(Full::new))
                 .await
                 .map_err(io::Error::other)?;
             let (mut head, body) = answer.into_parts();
-            let body = Limited::new(body, MAX_BODY)
+            let body = Limited::new(body, MAX_BODY_BYTES)
                 .collect()
                 .await
                 .map_err(io::Error::other)?;
             remove_hop_headers(&mut head.headers);
-            if peer.sender.ready().await.is_ok() {
-                *kept = Some(peer);
+            if connection.sender.ready().await.is_ok() {
+                *kept = Some(connection);
             }
             Ok(Response::from_parts(head, Full::new(body.to_bytes())))
         };
@@ -160,29 +163,29 @@
     }
 }
 
-/// Removes what concerns one connection only.
+/// Removes the headers that concern only one connection.
 fn remove_hop_headers(headers: &mut HeaderMap) {
     headers.remove(CONNECTION);
     headers.remove(TRANSFER_ENCODING);
 }
 
-/// Carries a connection's messages until it ends.
-pub(crate) async fn carry_connection(near: Async<TcpStream>, link: Arc<Link>) {
+/// Forwards the messages of a connection until it ends.
+pub(crate) async fn forward_connection(near: Async<TcpStream>, link: Arc<Link>) {
     let resets_before = link.resets();
     let Ok(handle) = near.get_ref().try_clone() else {
         return;
     };
-    let (kept_peer, losses) = (KeptPeer::default(), Arc::new(Losses::default()));
+    let (kept_connection, losses) = (KeptConnection::default(), Arc::new(Losses::default()));
     let service = service_fn(|request| {
         let exchange = Exchange {
             link: link.clone(),
-            kept_peer: kept_peer.clone(),
+            kept_connection: kept_connection.clone(),
             losses: losses.clone(),
         };
-        exchange.carry(request)
+        exchange.forward(request)
     });
     let serving = async {
-        // However it ends, the near side has seen it.
+        // An error only concerns the near side, which notices that the connection ends.
         let _ = http1::Builder::new()
             .serve_connection(FuturesIo::new(near), service)
             .await;
@@ -205,9 +208,9 @@
                 return true;
             }
             if out_fault == LinkFault::HalfOpen {
-                // The near side sees it when the link is healed.
+                // The near side is reset when the link is healed.
                 losses.outbound.store(true, Ordering::SeqCst);
-                kept_peer.lock().await.take();
+                kept_connection.lock().await.take();
             }
             changed.await;
         }
@@ -217,15 +220,15 @@
     }
 }
 
-/// One request and its answer, on a connection that may have lost others.
+/// One request and its response, on a connection that may have lost other messages.
 struct Exchange {
     link: Arc<Link>,
-    kept_peer: KeptPeer,
+    kept_connection: KeptConnection,
     losses: Arc<Losses>,
 }
 
-/// What happens to one message by [`Fault::Unruly`]. All is drawn in any case, so that one fault's draws do not move
-/// the others'.
+/// Random draws that decide what [`LinkFault::UnreliableMessages`] does to one message. All draws are always made, so
+/// that changing one share does not change the draws of the others.
 struct MessageDraws {
     drop: f64,
     duplicate: f64,
@@ -245,10 +248,10 @@
 }
 
 impl Exchange {
-    /// Puts a request in flight and waits for its answer.
-    async fn carry(self, request: Request<Incoming>) -> io::Result<Answer> {
+    /// Sends a request in a task of its own and waits for its response.
+    async fn forward(self, request: Request<Incoming>) -> io::Result<Answer> {
         let (mut head, body) = request.into_parts();
-        let body = Limited::new(body, MAX_BODY)
+        let body = Limited::new(body, MAX_BODY_BYTES)
             .collect()
             .await
             .map_err(io::Error::other)?
@@ -261,7 +264,7 @@
             .detach();
         match answer.recv().await {
             Ok(answer) => answer,
-            // It or its answer was dropped: what the near side waits for does not come.
+            // The request or its response was dropped, so the near side never receives a response.
             Err(_) => pending().await,
         }
     }
@@ -269,7 +272,7 @@
     async fn transmit(self, request: Request<Bytes>, answer_sender: Sender<io::Result<Answer>>) {
         let link = &self.link;
         let Some(_in_flight) = InFlightMessage::begin(link) else {
-            return tracing::error!("a relay drops a request: too many are in flight");
+            return tracing::error!("a relay drops a request because too many are in flight");
         };
         let draws = MessageDraws::new(link);
         let mut duplicate = None;
@@ -289,14 +292,14 @@
         if !link.transmit(&link.outbound, request.body().len()).await {
             return self.losses.outbound.store(true, Ordering::SeqCst);
         }
-        let answer = link.exchange(&self.kept_peer, request).await;
+        let answer = link.exchange(&self.kept_connection, request).await;
         link.message_arrived.notify(usize::MAX);
         if let Some(duplicate) = duplicate {
             let link = link.clone();
             let executor = link.host.executor.clone();
             let second = async move {
-                // Its answer is for nobody.
-                let _ = link.exchange(&KeptPeer::default(), duplicate).await;
+                // The response to the duplicate is discarded.
+                let _ = link.exchange(&KeptConnection::default(), duplicate).await;
             };
             executor.spawn(second).detach();
         }
--- a/crates/test-cluster/src/operator.rs
+++ b/crates/test-cluster/src/operator.rs
@@ -1,4 +1,5 @@
-//! What an operator orders from workers by hand, past the routers: KServe's model repository extension.
+//! Orders that an operator sends directly to workers, without a router, through the model repository extension of
+//! KServe.
 
 use std::net::SocketAddr;
 
@@ -9,24 +10,24 @@
 use crate::error::ClusterError;
 use crate::router_state::request_body;
 
-/// Loads a function; it is ready when this returns.
+/// Loads a function; the function is ready when this returns.
 ///
 /// # Errors
-/// When the worker does not answer with success.
+/// Fails if the worker does not respond with success.
 pub fn load(worker: SocketAddr, function: &str) -> Result<(), ClusterError> {
     order(worker, function, "load")
 }
 
-/// Unloads a function unless it is busy.
+/// Unloads a function if it is idle.
 ///
 /// # Errors
-/// When the worker does not answer with success; it does so also for a busy function.
+/// Fails if the worker does not respond with success. The response is success also for a busy function.
 pub fn unload(worker: SocketAddr, function: &str) -> Result<(), ClusterError> {
     order(worker, function, "unload")
 }
 
 fn order(worker: SocketAddr, function: &str, action: &str) -> Result<(), ClusterError> {
-    // `m/versions/2` separates model and version as paths do.
+    // The name `m/versions/2` of a version is also its path.
     let path = format!(
         "/v2/repository/models/{}/{action}",
         function.replace(':', "%3A")
--- a/crates/test-cluster/src/port.rs
+++ b/crates/test-cluster/src/port.rs
@@ -1,4 +1,4 @@
-//! TCP ports that are reserved for one owner, and that can listen or refuse at will.
+//! Reserved TCP ports that can switch between listening and refusing connections.
 
 use std::io;
 use std::net::{IpAddr, Shutdown, SocketAddr, TcpListener};
@@ -9,8 +9,10 @@
 use event_listener::Event;
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 
-const BACKLOG: i32 = 1024;
+/// Largest number of connections that wait to be accepted.
+const LISTEN_BACKLOG: i32 = 1024;
 
+/// Creates a socket that is bound to the address with `SO_REUSEADDR`.
 fn bound(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -22,7 +24,8 @@
     Ok(socket)
 }
 
-/// A port that the system gives to nobody else while this lives; whoever sets `SO_REUSEADDR` may listen on it.
+/// A port that the system does not assign to another socket until this is dropped. A socket with `SO_REUSEADDR` may
+/// listen on it.
 #[derive(Debug)]
 pub struct ReservedPort {
     /// The reserved address.
@@ -31,10 +34,10 @@
 }
 
 impl ReservedPort {
-    /// Reserves a free port of this address.
+    /// Reserves a free port of this IP address.
     ///
     /// # Errors
-    /// When there is none, or the address is not this machine's.
+    /// Fails if there is no free port, or the address does not belong to this machine.
     pub fn at(ip: IpAddr) -> io::Result<ReservedPort> {
         let socket = bound(SocketAddr::new(ip, 0))?;
         let address = socket
@@ -48,7 +51,7 @@
     }
 }
 
-/// A reserved port that listens or refuses.
+/// A reserved port that listens for or refuses connections.
 pub(crate) struct Port {
     reserved: ReservedPort,
     listener: Mutex<Option<Arc<Async<TcpListener>>>>,
@@ -56,7 +59,7 @@
 }
 
 impl Port {
-    /// It neither listens nor refuses on purpose until [`Port::set_open`].
+    /// Creates a port that does not listen until [`Port::set_open`] is called.
     pub(crate) fn new(reserved: ReservedPort) -> Self {
         Port {
             reserved,
@@ -65,19 +68,20 @@
         }
     }
 
-    /// Listens or refuses; in force when this returns, as a listener that is shut down refuses at once.
+    /// Starts or stops listening. The change is effective when this returns, because a listener that is shut down
+    /// refuses connections at once.
     pub(crate) fn set_open(&self, open: bool) {
         let mut listener = lock(&self.listener);
         match (open, listener.as_ref()) {
             (false, Some(old)) => {
                 if let Err(e) = SockRef::from(old.as_ref()).shutdown(Shutdown::Both) {
-                    tracing::error!(cause = %e, "a relay does not refuse");
+                    tracing::error!(cause = %e, "a relay cannot close its listener");
                 }
                 *listener = None;
             }
             (true, None) => match self.listen() {
                 Ok(new) => *listener = Some(Arc::new(new)),
-                Err(e) => tracing::error!(cause = %e, "a relay does not listen"),
+                Err(e) => tracing::error!(cause = %e, "a relay cannot listen on its port"),
             },
             _ => {}
         }
@@ -86,11 +90,11 @@
 
     fn listen(&self) -> io::Result<Async<TcpListener>> {
         let socket = bound(self.reserved.address)?;
-        socket.listen(BACKLOG)?;
+        socket.listen(LISTEN_BACKLOG)?;
         Async::new(TcpListener::from(socket))
     }
 
-    /// Waits until it listens.
+    /// Waits until the port listens and returns the listener.
     pub(crate) async fn listener(&self) -> Arc<Async<TcpListener>> {
         loop {
             let changed = self.changed.listen();
--- a/crates/test-cluster/src/relay.rs
+++ b/crates/test-cluster/src/relay.rs
@@ -1,8 +1,8 @@
-//! A relay for one link from one process to another address. [`Relay::start`] listens; each connection that comes is
-//! carried on from the near side's own source address, so that the far side's logs say who it was.
+//! A relay for one link. The near side connects to the relay, which forwards each connection to the far side. The
+//! forwarded connection has the source address of the near side, so that the logs of the far side identify the process.
 //!
-//! The port is reserved by a second socket that never listens, so that refusing and listening again always succeeds.
-//! How a connection's bytes are carried: `byte_relay`; whole requests and answers: [`crate::message_relay`].
+//! A second socket, which never listens, reserves the port, so that the relay can stop listening and always listen
+//! again. The module `byte_relay` forwards bytes; [`crate::message_relay`] forwards complete requests and responses.
 
 mod byte_relay;
 
@@ -26,50 +26,50 @@
 use crate::port::Port;
 pub use crate::port::ReservedPort;
 
-/// Timeout of connections to the far side, in microseconds; as long as any caller here waits.
+/// Timeout of connections to the far side, in microseconds. No caller waits longer.
 const CONNECT_TIMEOUT_US: i64 = 2_000_000;
-/// After a failed accept (out of descriptors) the next attempt waits.
+/// Time until the next attempt after a failed accept, for example without free file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// What a relay carries.
+/// What a relay forwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayMode {
     /// Bytes of any protocol.
     Bytes,
-    /// HTTP/1.1 requests and their answers, each as a whole.
+    /// HTTP/1.1 requests and responses, each as a complete message.
     Messages,
 }
 
-/// The link that a relay stands on.
+/// The link of a relay.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayConfig<'a> {
-    /// What is carried.
+    /// What is forwarded.
     pub mode: RelayMode,
-    /// Name of the side that connects, as in the table of faults.
+    /// Name of the side that connects, as in [`Links`].
     pub near: &'a str,
-    /// Name of the side that is connected to.
+    /// Name of the side that is connected to, as in [`Links`].
     pub far: &'a str,
-    /// Source address of the onward connections; absent: the system's choice.
+    /// Source address of the connections to the far side; absent: chosen by the system.
     pub from: Option<IpAddr>,
-    /// Where the far side listens.
+    /// The address that the far side listens on.
     pub to: SocketAddr,
-    /// Of the draws for delays and message faults.
+    /// Seed of the draws for delays and message faults.
     pub seed: u64,
 }
 
-/// A link between two names of the table of faults, shared by its connections.
+/// A link between two names in [`Links`], shared by its connections.
 pub(crate) struct Link {
     pub(crate) host: Host,
-    /// The near side's requests.
+    /// The direction from the near side to the far side.
     pub(crate) outbound: LinkDirection,
-    /// What comes back.
+    /// The direction from the far side to the near side.
     pub(crate) inbound: LinkDirection,
     to: SocketAddr,
     from: Option<IpAddr>,
     random: Mutex<Pcg64Mcg>,
-    /// Notified for each whole message that has arrived.
+    /// Notified whenever a complete request has been delivered to the far side.
     pub(crate) message_arrived: Event,
-    /// Whole messages that have come and have not been answered or lost.
+    /// Number of complete requests that are received and neither answered nor lost yet.
     pub(crate) in_flight: AtomicUsize,
 }
 
@@ -78,17 +78,17 @@
         connect(self.to, self.from, CONNECT_TIMEOUT_US).await
     }
 
-    /// Within 0 to 1, by the relay's seed.
+    /// Draws a number between 0 and 1 from the generator of the relay.
     pub(crate) fn draw(&self) -> f64 {
         lock(&self.random).random()
     }
 
-    /// Connections that were opened when this count was less have been reset.
+    /// Number of resets of both directions. Connections that were opened before the last reset are reset.
     pub(crate) fn resets(&self) -> u64 {
         self.outbound.resets() + self.inbound.resets()
     }
 
-    /// Whether no onward connection can stand at present.
+    /// Whether a fault currently breaks all connections to the far side.
     pub(crate) fn is_broken(&self) -> bool {
         matches!(
             self.outbound.fault(),
@@ -96,7 +96,7 @@
         ) || self.inbound.fault() == LinkFault::Reset
     }
 
-    /// How much later something arrives that leaves now.
+    /// The delay of data that is sent now.
     pub(crate) fn delay(&self, direction: &LinkDirection) -> Duration {
         match direction.fault() {
             LinkFault::Delayed { by, spread } => by + spread.mul_f64(self.draw()),
@@ -105,9 +105,9 @@
     }
 }
 
-/// Relays connections until it is dropped; then all of them are closed.
+/// Relays connections. Dropping it closes the listener and all connections.
 pub struct Relay {
-    /// Where it listens.
+    /// The address that the relay listens on.
     pub address: SocketAddr,
     link: Arc<Link>,
     _accepting: Task<()>,
@@ -118,7 +118,7 @@
     /// Starts a relay on loopback.
     ///
     /// # Errors
-    /// When no port can be reserved.
+    /// Fails if no port can be reserved.
     pub fn start(host: &Host, links: &Links, config: RelayConfig) -> io::Result<Relay> {
         let RelayConfig {
             mode,
@@ -152,12 +152,13 @@
         })
     }
 
-    /// Whole messages that have come and have not been answered or lost.
+    /// Number of complete requests that are received and neither answered nor lost yet.
     pub fn in_flight(&self) -> usize {
         self.link.in_flight.load(Ordering::SeqCst)
     }
 }
 
+/// Accepts connections and forwards each in a task of its own.
 async fn accept(
     port: Arc<Port>,
     link: Arc<Link>,
@@ -171,11 +172,11 @@
             continue;
         };
         let _ = stream.get_ref().set_nodelay(true);
-        let carried = link.clone();
+        let forwarded = link.clone();
         let task = link.host.executor.spawn(async move {
             match mode {
-                RelayMode::Bytes => byte_relay::carry_connection(stream, &carried).await,
-                RelayMode::Messages => message_relay::carry_connection(stream, carried).await,
+                RelayMode::Bytes => byte_relay::forward_connection(stream, &forwarded).await,
+                RelayMode::Messages => message_relay::forward_connection(stream, forwarded).await,
             }
         });
         let mut connections = lock(&connections);
@@ -184,7 +185,7 @@
     }
 }
 
-/// Closing the stream from now on resets the connection.
+/// Makes closing the stream reset the connection from now on.
 pub(crate) fn reset(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/test-cluster/src/relay/byte_relay.rs
+++ b/crates/test-cluster/src/relay/byte_relay.rs
@@ -1,11 +1,11 @@
-//! One connection carried as bytes.
+//! Forwards one connection as bytes.
 //!
 //! Mechanisms:
-//! 1. Each direction is a reader, a bounded queue of chunks with their due times, and a writer that consults the table
-//!    of faults before each chunk. A full queue stops its reader: TCP's own flow control slows the sender.
-//! 2. The end of a stream travels in the queue behind the bytes before it, and is held or lost as they are.
-//! 3. A connection that lost something is reset when its direction is healed: bytes after a gap would be a fault that
-//!    no network has.
+//! 1. Each direction consists of a reader, a bounded queue of chunks with their due times, and a writer that checks the
+//!    current fault before each chunk. A full queue stops its reader, so that the flow control of TCP slows the sender.
+//! 2. The end of a stream is queued behind the bytes before it, and is held back or lost like them.
+//! 3. A connection that lost bytes is reset when its direction is healed, because no real network delivers a TCP stream
+//!    with a gap.
 
 use std::io;
 use std::net::{Shutdown, TcpStream};
@@ -19,19 +19,23 @@
 use super::{Link, reset};
 use crate::links::{LinkDirection, LinkFault};
 
-/// Read at once at most.
-const CHUNK: usize = 16 * 1024;
-/// Chunks in flight in one direction; a megabyte.
-const QUEUE_LENGTH: usize = 64;
-/// A throttled direction writes this often a second.
+/// Largest number of bytes that are read at once.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Largest number of chunks in flight in one direction; together one MiB.
+const MAX_QUEUED_CHUNKS: usize = 64;
+/// Number of writes per second in a throttled direction.
 const THROTTLED_WRITES_PER_S: u64 = 20;
 
+/// A part of a stream, or its end.
 enum Chunk {
     Bytes(Vec<u8>),
+    /// The sender has closed its side.
     Closed,
+    /// Reading or writing failed.
     Broken,
 }
 
+/// A chunk with the time at which it may be written.
 struct DueChunk {
     due: Instant,
     chunk: Chunk,
@@ -41,10 +45,11 @@
 enum ConnectionEnd {
     Closed,
     Reset,
-    /// One side sees a reset, the other one nothing until the link is healed.
+    /// One side sees a reset at once, the other side only when the link is healed.
     HalfOpen(DeadSide),
 }
 
+/// The side of a half-open connection that is reset at once.
 #[derive(Clone, Copy)]
 enum DeadSide {
     Near,
@@ -76,11 +81,11 @@
         }
     }
 
-    /// Never returns: its last chunk ends the connection.
+    /// Reads chunks until the stream ends. Never returns, because the writer of the last chunk ends the connection.
     async fn read(&self, chunks: Sender<DueChunk>) {
         let mut due = Instant::now();
         loop {
-            let mut buffer = vec![0; CHUNK];
+            let mut buffer = vec![0; CHUNK_BYTES];
             let mut from = self.from;
             let chunk = match from.read(&mut buffer).await {
                 Ok(0) => Chunk::Closed,
@@ -98,7 +103,7 @@
         }
     }
 
-    /// Ok when the end of the stream has been passed on.
+    /// Writes chunks; returns `Ok` when the end of the stream has been forwarded.
     async fn write(
         &self,
         chunks: Receiver<DueChunk>,
@@ -118,7 +123,8 @@
                 Chunk::Bytes(bytes) if !receiver_gone => {
                     if self.send(&bytes).await.is_err() {
                         receiver_gone = true;
-                        // The sender learns it along the opposite direction; if that is full, its bytes show it soon.
+                        // The sender is reset through the opposite direction. If its queue is full, the queued bytes
+                        // fail to be written soon, which has the same effect.
                         let _ = opposite.try_send(DueChunk {
                             due: Instant::now(),
                             chunk: Chunk::Broken,
@@ -155,14 +161,14 @@
         self.has_lost.load(Ordering::SeqCst)
     }
 
-    /// Bytes were lost, and later ones would pass now.
+    /// Whether bytes were lost and the current fault lets later bytes pass.
     fn has_gap(&self, present: LinkFault) -> bool {
         self.has_lost() && !present.loses()
     }
 }
 
-/// Connects onwards as soon as something gets there; none if the connection is lost instead.
-async fn connect_onwards(link: &Link) -> Option<Async<TcpStream>> {
+/// Connects to the far side as soon as the fault lets data pass; returns nothing if the connection is lost instead.
+async fn connect_to_far_side(link: &Link) -> Option<Async<TcpStream>> {
     if link.outbound.passes().await {
         return if link.is_broken() {
             None
@@ -179,13 +185,13 @@
     }
 }
 
-/// Carries a connection until it ends.
-pub(super) async fn carry_connection(near: Async<TcpStream>, link: &Link) {
+/// Forwards a connection until it ends.
+pub(super) async fn forward_connection(near: Async<TcpStream>, link: &Link) {
     let resets_before = link.resets();
-    let Some(far) = connect_onwards(link).await else {
+    let Some(far) = connect_to_far_side(link).await else {
         return reset(near.get_ref());
     };
-    match carry_both_ways(link, &near, &far, resets_before).await {
+    match forward_both_directions(link, &near, &far, resets_before).await {
         ConnectionEnd::Closed => {}
         ConnectionEnd::Reset => {
             reset(near.get_ref());
@@ -200,7 +206,7 @@
     }
 }
 
-async fn carry_both_ways(
+async fn forward_both_directions(
     link: &Link,
     near: &Async<TcpStream>,
     far: &Async<TcpStream>,
@@ -208,8 +214,8 @@
 ) -> ConnectionEnd {
     let outbound = Direction::new(link, &link.outbound, near, far);
     let inbound = Direction::new(link, &link.inbound, far, near);
-    let (outbound_sender, outbound_chunks) = bounded(QUEUE_LENGTH);
-    let (inbound_sender, inbound_chunks) = bounded(QUEUE_LENGTH);
+    let (outbound_sender, outbound_chunks) = bounded(MAX_QUEUED_CHUNKS);
+    let (inbound_sender, inbound_chunks) = bounded(MAX_QUEUED_CHUNKS);
     let reading = future::zip(
         outbound.read(outbound_sender.clone()),
         inbound.read(inbound_sender.clone()),
@@ -218,7 +224,7 @@
         outbound.write(outbound_chunks, inbound_sender),
         inbound.write(inbound_chunks, outbound_sender),
     );
-    let carrying = async {
+    let forwarding = async {
         let ended = writing.or(async {
             reading.await;
             future::pending().await
@@ -246,27 +252,27 @@
             changed.await;
         }
     };
-    broken.or(carrying).await
+    broken.or(forwarding).await
 }
 
-/// Resets the dead side at once, and the living one when the direction is healed. Until then nobody hears what the
-/// living side sends.
+/// Resets the dead side at once and the other side when the direction is healed. Until then the data that the other
+/// side sends is discarded.
 async fn drain_half_open(
     dead: Async<TcpStream>,
-    living: Async<TcpStream>,
+    alive: Async<TcpStream>,
     direction: &LinkDirection,
 ) {
     reset(dead.get_ref());
     drop(dead);
     let draining = async {
-        let (mut stream, mut buffer) = (&living, vec![0; CHUNK]);
+        let (mut stream, mut buffer) = (&alive, vec![0; CHUNK_BYTES]);
         while stream.read(&mut buffer).await.is_ok_and(|n| n > 0) {}
     };
     let healed = async {
         loop {
             let changed = direction.changed();
             if direction.fault() != LinkFault::HalfOpen {
-                return reset(living.get_ref());
+                return reset(alive.get_ref());
             }
             changed.await;
         }
--- a/crates/test-cluster/src/router_process.rs
+++ b/crates/test-cluster/src/router_process.rs
@@ -1,10 +1,12 @@
-//! One router as a process: started from a settings file, its log kept in a file, killed, paused, restarted with its
-//! state kept, removed or older, with a full disk. Dropped, it is killed by its pid: no process outlives the cluster.
+//! The process of one router. It is started from a settings file, and its log is written to a file. It can be killed,
+//! paused, restarted with its state kept, removed or replaced by an older copy, and run with a simulated full disk.
+//! Dropping it kills the process by its pid, so that no process outlives the cluster.
 //!
 //! Mechanisms:
-//! 1. It is started through a shell that ignores SIGXFSZ, which `exec` keeps: a write beyond the file size limit
-//!    then fails as on a full disk instead of ending the process. The limit can be set and lifted while it runs.
-//! 2. Its log goes through a pipe and a thread of this process, so that only its state's disk is full.
+//! 1. The process is started through a shell that ignores SIGXFSZ, and `exec` keeps that. A write beyond the file size
+//!    limit then fails, as on a full disk, instead of ending the process. The limit can be set and lifted at run time.
+//! 2. The log is copied by a pipe and a thread of this process, so that the file size limit affects only the state of
+//!    the router.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -13,35 +15,36 @@
 
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 
-const SHELL: &str = r#"trap "" XFSZ; exec "$0" "$@""#;
+/// Shell command that ignores SIGXFSZ and then replaces itself with the program and its arguments.
+const SHELL_COMMAND: &str = r#"trap "" XFSZ; exec "$0" "$@""#;
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// A process is stopped by its signal within this time, or something is wrong with the machine.
+/// Time within which SIGSTOP has to stop a process; a longer time indicates a problem of the machine.
 const PAUSE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The persisted state that a router finds at its start.
 #[derive(Clone, Copy, Debug)]
 pub enum StateAtStart<'a> {
-    /// As it left it.
+    /// The state that the router left.
     Kept,
-    /// None.
+    /// No state.
     Removed,
     /// An older copy, made by [`RouterProcess::copy_state`].
     Older(&'a Path),
 }
 
-/// A router's process, running or not.
+/// The process of a router, running or not.
 pub struct RouterProcess {
     program: PathBuf,
     args: Vec<String>,
     log: PathBuf,
-    /// Its state folder, which need not exist.
+    /// The state folder of the router, which does not have to exist.
     pub state: PathBuf,
     child: Option<Child>,
     paused: bool,
 }
 
 impl RouterProcess {
-    /// Not running yet. `args` come after `serve`.
+    /// Creates a router that is not running yet. `args` are passed after `serve` and the settings file.
     pub fn new(program: &Path, settings: &Path, state: &Path, args: &[String]) -> RouterProcess {
         let mut all = vec!["serve".to_owned(), settings.display().to_string()];
         all.extend_from_slice(args);
@@ -56,20 +59,20 @@
         }
     }
 
-    /// Whether it has been started and not been seen to end.
+    /// Whether the process has been started and its end has not been observed.
     pub fn is_up(&self) -> bool {
         self.child.is_some()
     }
 
-    /// Its process id while it runs.
+    /// Id of the process; absent while it is not running.
     pub fn pid(&self) -> Option<Pid> {
         Pid::from_raw(self.child.as_ref()?.id() as i32)
     }
 
-    /// Starts it unless it is running.
+    /// Starts the process if it is not running.
     ///
     /// # Errors
-    /// When its state cannot be replaced or the program cannot be started.
+    /// Fails if the state cannot be replaced or the program cannot be started.
     pub fn start(&mut self, state: StateAtStart) -> io::Result<()> {
         if self.child.is_some() {
             return Ok(());
@@ -86,7 +89,7 @@
             .open(&self.log)?;
         let mut command = Command::new("/bin/sh");
         command
-            .args(["-c", SHELL])
+            .args(["-c", SHELL_COMMAND])
             .arg(&self.program)
             .args(&self.args);
         let mut child = command
@@ -98,7 +101,7 @@
         self.child = Some(child);
         self.paused = false;
         if let Some(mut log_pipe) = log_pipe {
-            // Ends with the process.
+            // The thread ends when the process closes the pipe.
             std::thread::Builder::new()
                 .name("router-log".into())
                 .spawn(move || io::copy(&mut log_pipe, &mut log))?;
@@ -106,10 +109,10 @@
         Ok(())
     }
 
-    /// Copies its state folder as it is now, for [`StateAtStart::Older`].
+    /// Copies the current state folder, for [`StateAtStart::Older`].
     ///
     /// # Errors
-    /// When a file cannot be read or written.
+    /// Fails if a file cannot be read or written.
     pub fn copy_state(&self, to: &Path) -> io::Result<()> {
         if to.exists() {
             std::fs::remove_dir_all(to)?;
@@ -117,7 +120,7 @@
         copy_folder(&self.state, to)
     }
 
-    /// Kills it; it has ended when this returns.
+    /// Kills the process; it has ended when this returns.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -125,26 +128,26 @@
         }
     }
 
-    /// Asks it to shut down gracefully.
+    /// Requests a graceful shutdown with SIGTERM.
     ///
     /// # Errors
-    /// When it does not run.
+    /// Fails if the process is not running.
     pub fn terminate(&self) -> io::Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Asks it to read its orders again.
+    /// Requests with SIGHUP that the router reads the upgrade orders again.
     ///
     /// # Errors
-    /// When it does not run.
-    pub fn hang_up(&self) -> io::Result<()> {
+    /// Fails if the process is not running.
+    pub fn request_reload(&self) -> io::Result<()> {
         self.signal(Signal::HUP)
     }
 
-    /// Stops it; it stands still when this returns.
+    /// Pauses the process with SIGSTOP; it is stopped when this returns.
     ///
     /// # Errors
-    /// When it does not run, or does not stop in time.
+    /// Fails if the process is not running or does not stop in time.
     pub fn pause(&mut self) -> io::Result<()> {
         self.signal(Signal::STOP)?;
         self.paused = true;
@@ -158,16 +161,16 @@
         Ok(())
     }
 
-    /// Continues it after a pause.
+    /// Resumes the process after a pause with SIGCONT.
     ///
     /// # Errors
-    /// When it does not run.
+    /// Fails if the process is not running.
     pub fn resume(&mut self) -> io::Result<()> {
         self.paused = false;
         self.signal(Signal::CONT)
     }
 
-    /// Whether it was paused and not resumed.
+    /// Whether the process was paused and not resumed.
     pub fn is_paused(&self) -> bool {
         self.paused
     }
@@ -189,14 +192,15 @@
         }
     }
 
-    /// How it ended; none while it runs, and if it never did.
+    /// Returns the exit status when the process has ended; absent while it is running, was never started, or its end
+    /// was observed before.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
         Some(status)
     }
 
-    /// Waits until it ends by itself; none if it does not within this time.
+    /// Waits until the process ends; returns nothing if it does not end within this time.
     pub fn wait(&mut self, within: Duration) -> Option<ExitStatus> {
         let deadline = Instant::now() + within;
         loop {
@@ -207,10 +211,11 @@
         }
     }
 
-    /// Lets none of its files grow beyond this many bytes, as on a full disk; none lifts the limit.
+    /// Limits the size in bytes of the files that the process writes, which simulates a full disk; `None` lifts the
+    /// limit.
     ///
     /// # Errors
-    /// When it does not run, or the limit cannot be set.
+    /// Fails if the process is not running, or the limit cannot be set.
     pub fn limit_file_size(&self, bytes: Option<u64>) -> io::Result<()> {
         let pid = self.pid().ok_or(io::ErrorKind::NotFound)?;
         let maximum = rustix::process::getrlimit(Resource::Fsize).maximum;
@@ -225,7 +230,7 @@
         Ok(())
     }
 
-    /// What it has logged so far.
+    /// The log of the router so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
@@ -237,7 +242,7 @@
     }
 }
 
-/// A folder that does not exist is copied as an empty one.
+/// Copies a folder recursively. A folder that does not exist is copied as an empty folder.
 fn copy_folder(from: &Path, to: &Path) -> io::Result<()> {
     std::fs::create_dir_all(to)?;
     if !from.exists() {
--- a/crates/test-cluster/src/router_state.rs
+++ b/crates/test-cluster/src/router_state.rs
@@ -1,5 +1,5 @@
-//! HTTP requests to routers and workers: a router's `/state`. What routers did is checked from the emulators' logs:
-//! [`crate::cluster::Fleet::verdict`].
+//! HTTP requests to routers and workers, such as `GET /state` of a router. The behavior of routers is not checked here
+//! but from the logs of the emulators: [`crate::cluster::Cluster::verdict`].
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -17,12 +17,12 @@
 use crate::error::ClusterError;
 
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
-const MAX_BODY: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// `GET /state` of a router's peer listener.
+/// Requests `GET /state` from the peer listener of a router.
 ///
 /// # Errors
-/// When it does not answer in time, with success and in JSON.
+/// Fails if the router does not respond in time with success and JSON.
 pub fn fetch_state(address: SocketAddr) -> Result<Value, ClusterError> {
     let request = Request::get("/state")
         .header("host", address.to_string())
@@ -34,7 +34,7 @@
     })
 }
 
-/// Sends one request on a connection of its own; the body of a successful answer.
+/// Sends one request on a new connection; returns the body of a successful response.
 pub(crate) fn request_body(
     address: SocketAddr,
     request: hyper::http::Result<Request<Full<Bytes>>>,
@@ -50,7 +50,9 @@
         let exchange = async {
             let answer = sender.send_request(request).await.map_err(http_failed)?;
             let status = answer.status();
-            let body = Limited::new(answer.into_body(), MAX_BODY).collect().await;
+            let body = Limited::new(answer.into_body(), MAX_BODY_BYTES)
+                .collect()
+                .await;
             let body = body.map_err(|e| failed(io::Error::other(e)))?;
             if !status.is_success() {
                 return Err(ClusterError::Status {
--- a/crates/test-cluster/src/scenario.rs
+++ b/crates/test-cluster/src/scenario.rs
@@ -1,5 +1,5 @@
-//! A scenario (`days/*.toml`): the cluster, its clients' load and the faults, read from TOML. Everything random in it
-//! is drawn from its seed.
+//! Scenario files (`days/*.toml`), which describe a cluster, the load of its clients and the faults. All random draws
+//! of a scenario use its seed.
 
 mod validation;
 
@@ -10,48 +10,50 @@
 
 use crate::error::ClusterError;
 
-/// A scenario. Keys of the file are the fields' names where nothing else is said.
+/// A scenario. The keys of the file are the names of the fields unless noted otherwise.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// For how long invocations arrive.
+    /// Duration of the load, in seconds.
     pub seconds: f64,
-    /// Arrivals a second, over all fronts.
+    /// Arrivals per second, over all fronts.
     pub rate_per_s: f64,
-    /// Share of the invocations that come over KServe v2; the rest come over AMQP.
+    /// Share of the invocations that are sent over KServe v2; the others are sent over AMQP.
     #[serde(default)]
     pub kserve_part: f64,
     /// Number of routers.
     pub routers: u32,
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// Names of the regions. Routers are assigned to them in turn; a zone belongs to the region of its name, or whose
-    /// name and a dash it begins with. With regions, relays stand on all links of the routers.
+    /// Names of the regions. Routers are assigned to the regions in turn. A zone belongs to the region with the same
+    /// name, or to the region whose name, followed by a dash, its own name starts with. With regions, all links of the
+    /// routers have relays.
     #[serde(default)]
     pub regions: Vec<String>,
-    /// The routers form a group of peers.
+    /// Whether the routers form a group.
     #[serde(default)]
     pub peers: bool,
-    /// The last router is a witness: it takes no invocations.
+    /// Whether the last router is a witness, which accepts no invocations.
     #[serde(default)]
     pub witness: bool,
-    /// FaultKind a busy machine may add to any time that is checked.
+    /// Tolerance for all checked times on a busy machine, in milliseconds.
     #[serde(default)]
     pub leeway_ms: u64,
-    /// Share of the lanes ready when an upgrade is ordered that must be ready in each region until it is over.
+    /// Capacity floor of upgrades: of the lanes that are ready when an upgrade is ordered, the share that must be ready
+    /// in each region until the upgrade is over.
     #[serde(default)]
     pub floor: f64,
-    /// How long routers may not know what a fault took away.
+    /// How long routers may be unaware of capacity that a fault removed, in milliseconds.
     #[serde(default)]
     pub floor_known_ms: u64,
-    /// By router: offset of its wall clock.
+    /// Offset of each router's wall clock in milliseconds, by number of the router.
     #[serde(default)]
     pub clock_offsets_ms: Vec<i64>,
     /// The function store.
     pub store: StoreLimits,
-    /// FaultKind all workers have in common.
+    /// Limits of all workers (key `nature`).
     #[serde(rename = "nature")]
     pub worker_limits: WorkerLimits,
     /// Groups of workers (key `worker`).
@@ -66,11 +68,11 @@
     /// Faults (key `trouble`).
     #[serde(rename = "trouble", default)]
     pub faults: Vec<ScenarioFault>,
-    /// Tables that are handed to each router as they are.
+    /// Tables that are copied to the settings of each router.
     pub settings: RouterTables,
 }
 
-/// Tables of the routers' settings.
+/// Tables that are copied to the settings of the routers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouterTables {
@@ -101,225 +103,226 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreLimits {
-    /// Rate of a single fetch.
+    /// Rate of a single fetch, in MB per second.
     pub mb_per_s: f64,
-    /// More concurrent fetches than this share the rate that these would get.
+    /// Number of concurrent fetches that each get the full rate; more fetches share the total rate of this many.
     pub abreast: usize,
-    /// Concurrent fetches beyond this are rejected.
+    /// Concurrent fetches above this number are rejected.
     pub most: usize,
 }
 
-/// FaultKind all workers have in common beside the figures in the rules.
+/// Limits of all workers, in addition to the values in `[rules]`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerLimits {
-    /// Invocations waiting beyond this are rejected.
+    /// Invocations are rejected while this many are waiting.
     pub most_waiting: usize,
-    /// Loads that may be under way at once.
+    /// Largest number of concurrent loads.
     pub most_loads: usize,
 }
 
-/// Workers that are alike.
+/// A group of workers with the same properties.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerGroup {
-    /// The zone they are in.
+    /// Zone of the workers.
     pub zone: String,
-    /// Their hardware kind.
+    /// Hardware kind of the workers.
     pub kind: String,
-    /// How many.
+    /// Number of workers.
     pub count: u32,
-    /// Cores of each.
+    /// Number of cores of each worker.
     pub cores: f64,
-    /// Memory of each for loaded functions.
+    /// Memory of each worker for loaded functions, in MB.
     pub memory_mb: f64,
 }
 
-/// A trigger type: its rules, its share of the load, and what its functions are like.
+/// A trigger type: its rules, its share of the load, and the properties of its functions.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TriggerType {
-    /// Its name.
+    /// Name of the trigger type.
     pub name: String,
-    /// Whether its invocations may be repeated.
+    /// Effect of the invocations, which says whether they may be executed again.
     pub effect: Effect,
-    /// How long workers remember an idempotency key; 0 if they do not.
+    /// How long workers remember an idempotency key, in milliseconds; 0 if they ignore idempotency keys.
     #[serde(default)]
     pub window_ms: u64,
-    /// FaultKind its group does without a majority; absent, the routers' own default.
+    /// Behavior of the group without a majority; absent: the default of the routers.
     #[serde(default)]
     pub without_majority: Option<String>,
-    /// Its latency objective.
+    /// Latency objective in milliseconds.
     pub latency_objective_ms: u64,
-    /// Its clients give up after this.
+    /// Client timeout in milliseconds.
     pub client_timeout_ms: u64,
-    /// FaultKind an invocation within the objective earns.
+    /// Value of an invocation that is answered within the latency objective.
     pub billed_value: f64,
-    /// Share of all arrivals, relative to the other types' shares.
+    /// Share of all arrivals, relative to the shares of the other trigger types.
     pub part: f64,
-    /// Number of its functions.
+    /// Number of functions.
     pub functions: u32,
-    /// Exponent of the popularity of its functions.
+    /// Exponent of the Zipf distribution by which functions are drawn.
     pub skew: f64,
-    /// Mean work of an invocation.
+    /// Mean work of an invocation, in milliseconds of processor time.
     pub work_ms: f64,
-    /// Memory of a loaded copy.
+    /// Memory of a loaded copy, in MB.
     pub copy_mb: f64,
-    /// Time from the end of the fetch until a copy is ready.
+    /// Time from the end of the fetch until a copy is ready, in milliseconds.
     pub start_up_ms: u64,
-    /// Invocations that a copy runs at once.
+    /// Number of invocations that a copy runs concurrently.
     pub lanes: u32,
-    /// Share of its arrivals that are turns of sessions.
+    /// Share of the arrivals that are turns of sessions.
     #[serde(default)]
     pub sessions: f64,
-    /// Mean number of turns of a session; from one to nearly twice as many.
+    /// Mean number of turns of a session; the number is drawn between one and twice the mean minus one.
     #[serde(default)]
     pub turns: u32,
-    /// Mean time between two turns; from half to one and a half times as long. Clients send a turn at its time whether
-    /// or not the one before is answered.
+    /// Mean time between two turns in milliseconds; the time is drawn between half and one and a half times the mean.
+    /// Clients send a turn when it is due, even if the previous turn is not answered yet.
     #[serde(default)]
     pub pause_ms: u64,
-    /// Additional work of a turn that does not find its session's cached prefix.
+    /// Additional work of a turn that does not find the cached prefix of its session, in milliseconds of processor
+    /// time.
     #[serde(default)]
     pub prefix_ms: u64,
 }
 
-/// An account.
+/// An account and its share of the load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// Its name.
+    /// Name of the account.
     pub name: String,
     /// Its fair share of the capacity.
     pub share: f64,
-    /// Its quota.
+    /// Its quota, in invocations per second.
     pub allowance_per_s: f64,
-    /// Share of all arrivals, relative to the other accounts' shares.
+    /// Share of all arrivals, relative to the shares of the other accounts.
     pub part: f64,
 }
 
-/// Kinds of faults; [`ScenarioFault::size`] means what each says of it.
+/// Kinds of faults. Each kind that uses [`ScenarioFault::size`] describes its meaning.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Workers end, and start again when it is over.
+    /// Workers crash, and are restarted when the fault is over.
     Crash,
-    /// Workers execute and do not answer.
+    /// Workers execute invocations but do not answer.
     Hang,
-    /// Workers are slower; size: how many times.
+    /// Workers are slower; size: factor.
     Slow,
-    /// Workers pause repeatedly; size: seconds of each pause.
+    /// Workers pause repeatedly; size: length of each pause in seconds.
     Pauses,
     /// Workers do not answer one trigger type.
     ClassFail,
-    /// Workers are listed as draining, and end; size: milliseconds of notice.
+    /// Workers are listed as draining and then end; size: time in between, in milliseconds.
     Preempt,
-    /// Workers drain and end one after another; size: seconds between them.
+    /// Workers drain and end one after another; size: seconds between two workers.
     DrainWave,
-    /// Workers of a zone are partitioned from routers of other zones.
+    /// Workers of a zone are partitioned from the routers of other zones.
     ZoneCut,
-    /// The store is slower; size: how many times.
+    /// The store is slower; size: factor.
     StoreSlow,
-    /// Workers evict what is idle.
+    /// Workers evict all idle functions.
     Flush,
-    /// Part of the arrivals asks for one function.
+    /// Part of the arrivals calls one function.
     HotFunction,
-    /// Part of the arrivals asks for functions that nobody asked for before.
+    /// Part of the arrivals calls functions that were not called before.
     Scan,
-    /// Arrivals come at another rate; size: how many times.
+    /// The rate of arrivals changes; size: factor.
     TrafficShift,
     /// The broker closes channels.
     ChannelDrop,
-    /// The broker breaks connections off.
+    /// The broker drops connections.
     ConnectionDrop,
-    /// The broker goes away and comes back.
+    /// The broker stops and is restarted.
     BrokerRestart,
     /// The broker blocks publishing.
     BrokerBlock,
-    /// Routers are killed, and started again when it is over.
+    /// Routers are killed, and restarted when the fault is over.
     RouterKill,
-    /// Routers stand still, and continue when it is over.
+    /// Routers are paused, and resumed when the fault is over.
     RouterPause,
-    /// Routers are killed, and started again with an older copy of their state.
+    /// Routers are killed, and restarted with an older copy of their state.
     StaleState,
-    /// Partition between the routers named; one way: from the first to the others.
+    /// Partition between the routers in `which`; with `one_way`, only from the first to the others.
     PeerCut,
-    /// Partition along a region's border.
+    /// Partition of a region from the other regions.
     RegionCut,
-    /// The worker list is delayed; size: seconds.
+    /// Changes of the endpoint list are delayed; size: seconds.
     ListLate,
-    /// Clients retry; size: how often.
+    /// Clients retry; size: number of retries.
     RetryAbuse,
-    /// One front gets more invocations; size: how many times its share.
+    /// One front gets more invocations; size: factor of its usual share.
     Flood,
 }
 
-/// A fault, when and on what.
+/// A fault with its time and its targets.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScenarioFault {
-    /// Its kind.
+    /// Kind of the fault.
     pub what: FaultKind,
-    /// When it begins.
+    /// When the fault begins, in seconds after the start of the load.
     pub at_s: f64,
-    /// How long it lasts.
+    /// Duration in seconds.
     #[serde(default)]
     pub for_s: f64,
-    /// Workers or routers by number.
+    /// Numbers of the affected workers or routers.
     #[serde(default)]
     pub which: Vec<usize>,
-    /// Share of the workers, arrivals or channels, drawn by the seed.
+    /// Share of the workers, arrivals or channels that are affected; they are drawn with the seed.
     #[serde(default)]
     pub part: f64,
-    /// Factor, seconds or milliseconds: see [`FaultKind`].
+    /// Factor, seconds, milliseconds or number of retries, depending on the [`FaultKind`].
     #[serde(default)]
     pub size: f64,
-    /// The zone it concerns.
+    /// The affected zone.
     #[serde(default)]
     pub zone: Option<String>,
-    /// The region it concerns.
+    /// The affected region.
     #[serde(default)]
     pub region: Option<String>,
-    /// Only from the first router to the others.
+    /// Whether a partition blocks only the direction from the first router to the others.
     #[serde(default)]
     pub one_way: bool,
-    /// FaultKind a partition keeps back is lost with its connection, instead of arriving when it is healed.
+    /// Whether data is lost with its connection during a partition, instead of arriving when the partition is healed.
     #[serde(default)]
     pub lost: bool,
-    /// The trigger type it concerns.
+    /// The affected trigger type.
     #[serde(default)]
     pub trigger: Option<String>,
     /// The front that is flooded.
     #[serde(default)]
     pub front: Option<Front>,
-    /// The account that a flood belongs to; absent: all.
+    /// The account of a flood; absent: all accounts.
     #[serde(default)]
     pub account: Option<String>,
 }
 
-/// Protocol by which invocations come.
+/// Front that receives invocations.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Front {
-    /// Through the broker.
+    /// AMQP, through the broker.
     Amqp,
-    /// Directly to routers.
+    /// KServe v2, directly to routers.
     Kserve,
 }
 
 /// Reads and validates a scenario file.
 ///
 /// # Errors
-/// When it cannot be read, is not of its form, or contradicts itself.
+/// Fails if the file cannot be read, is malformed, or violates a condition.
 pub fn read(path: &Path) -> Result<Scenario, ClusterError> {
     let text = std::fs::read_to_string(path).map_err(ClusterError::file(path))?;
     parse(&path.display().to_string(), &text)
 }
 
-/// Parses and validates a scenario; `file` is named in errors.
+/// Parses and validates a scenario; `file` is the file name in errors.
 ///
 /// # Errors
-/// When it is not of its form, or contradicts itself.
+/// Fails if the text is malformed or violates a condition.
 pub fn parse(file: &str, text: &str) -> Result<Scenario, ClusterError> {
     let scenario: Scenario = toml::from_str(text).map_err(|e| ClusterError::MalformedScenario {
         file: file.to_owned(),
@@ -332,14 +335,15 @@
     Ok(scenario)
 }
 
-/// Whether a zone is in a region, by their names.
+/// Whether a zone belongs to a region, according to their names.
 fn belongs(zone: &str, region: &str) -> bool {
     zone.strip_prefix(region)
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('-'))
 }
 
 impl Scenario {
-    /// Number of a router's zone: routers are assigned to the regions in turn, and in each to its zones.
+    /// Number of the zone of a router. Routers are assigned to the regions in turn, and within a region to its zones in
+    /// turn.
     pub fn zone_of(&self, router: u32) -> u32 {
         if self.regions.is_empty() {
             return router % self.zones.len() as u32;
@@ -354,7 +358,7 @@
         own[router as usize / count % own.len()]
     }
 
-    /// The region of a zone; empty where there are none.
+    /// The region of a zone; empty if the scenario has no regions.
     pub fn region_of(&self, zone: &str) -> &str {
         self.regions
             .iter()
--- a/crates/test-cluster/src/scenario/validation.rs
+++ b/crates/test-cluster/src/scenario/validation.rs
@@ -1,10 +1,11 @@
-//! What a scenario's form cannot say: ranges, and conditions between keys.
+//! Checks of a scenario beyond its format: ranges of values, and conditions between keys.
 
 use std::ops::RangeInclusive;
 
 use super::{FaultKind, Scenario, ScenarioFault, belongs};
 use crate::error::ClusterError;
 
+/// A range with its text for error messages.
 type Range = (RangeInclusive<f64>, &'static str);
 
 const SHARE: Range = (0.0..=1.0, "0 to 1");
@@ -12,21 +13,22 @@
 const SECONDS: Range = (f64::MIN_POSITIVE..=3600.0, "more than 0 and at most 3600");
 const ROUTERS: Range = (1.0..=100.0, "1 to 100");
 const FACTOR: Range = (f64::MIN_POSITIVE..=1000.0, "more than 0 and at most 1000");
-/// A zone partition names them by bits.
+/// Largest number of zones, because a zone partition has one bit per zone in a `u64`.
 const MAX_ZONES: f64 = 60.0;
 
-/// Checks a scenario; the error is the first condition that does not hold.
+/// Checks a scenario; returns an error for the first condition that does not hold.
 pub(super) fn validate(file: &str, scenario: &Scenario) -> Result<(), ClusterError> {
     Validator { file, scenario }.validate()
 }
 
+/// A scenario with the file name for errors.
 struct Validator<'a> {
     file: &'a str,
     scenario: &'a Scenario,
 }
 
 impl Validator<'_> {
-    /// NaN is within no range.
+    /// Checks that a value is within its range; NaN is within no range.
     fn check_range(
         &self,
         key: impl ToString,
@@ -44,6 +46,7 @@
         })
     }
 
+    /// Checks that a requirement of a key holds.
     fn require(
         &self,
         key: impl ToString,
@@ -60,7 +63,7 @@
         })
     }
 
-    /// The name, where one is given, is defined in the scenario.
+    /// Checks that a name, if present, is defined in the scenario.
     fn check_name<T: ToString>(
         &self,
         key: impl ToString,
@@ -119,7 +122,7 @@
         self.check_range("floor", scenario.floor, SHARE)?;
         self.check_range("kserve_part", scenario.kserve_part, SHARE)?;
         self.check_range(
-            "zones: their number",
+            "number of zones",
             scenario.zones.len() as f64,
             (1.0..=MAX_ZONES, "1 to 60"),
         )
@@ -145,7 +148,7 @@
         Ok(())
     }
 
-    /// Each zone is in a region, and each region has a zone.
+    /// Checks that each zone belongs to a region, and that each region has a zone.
     fn check_regions(&self) -> Result<(), ClusterError> {
         let scenario = self.scenario;
         if scenario.regions.is_empty() {
@@ -161,11 +164,15 @@
         self.require(
             format!("zones[{stray}]"),
             has_region(&scenario.zones[stray]),
-            "a region of its name",
+            "a region whose name its own name starts with",
         )?;
         for (number, region) in scenario.regions.iter().enumerate() {
             let has_zone = scenario.zones.iter().any(|zone| belongs(zone, region));
-            self.require(format!("regions[{number}]"), has_zone, "a zone of its name")?;
+            self.require(
+                format!("regions[{number}]"),
+                has_zone,
+                "a zone whose name starts with its own name",
+            )?;
         }
         Ok(())
     }
@@ -175,12 +182,12 @@
         self.require(
             "peers",
             !scenario.peers || !scenario.regions.is_empty(),
-            "regions: peers' links are relayed",
+            "regions, because the links between peers have relays",
         )?;
         self.require(
             "witness",
             !scenario.witness || scenario.peers && scenario.routers > 1,
-            "peers, and another router",
+            "peers and at least two routers",
         )
     }
 
@@ -207,7 +214,7 @@
             self.require(
                 key("what"),
                 fault.front.is_some(),
-                "a front: amqp or kserve",
+                "a front, which is amqp or kserve",
             )?;
             self.check_range(key("size"), fault.size, FACTOR)?;
         }
@@ -223,7 +230,7 @@
         self.require(
             key("what"),
             fault.what != FaultKind::PeerCut || has_two,
-            "peers, and two routers in which",
+            "peers and at least two routers in which",
         )?;
         self.check_name(key("account"), fault.account.as_ref(), |a| {
             scenario.accounts.iter().any(|d| d.name == **a)
--- a/crates/test-cluster/src/script.rs
+++ b/crates/test-cluster/src/script.rs
@@ -1,5 +1,5 @@
-//! What is done to a cluster, and when: actions at their times, or repeatedly in intervals drawn by a seed. Actions are
-//! closures over the cluster, run in the order of their times in the caller's thread.
+//! Scripts of timed actions on a cluster. An action runs once at its time, or repeatedly at random intervals that are
+//! drawn with a seed. Actions are closures that run in the thread of the caller, in the order of their times.
 
 use std::time::{Duration, Instant};
 
@@ -11,9 +11,10 @@
 
 type Action<'a> = Box<dyn FnMut(&Cluster, &mut Pcg64Mcg) + 'a>;
 
+/// One run of an action.
 struct Step {
     at: Duration,
-    /// Index of its action.
+    /// Index of the action.
     action: usize,
 }
 
@@ -25,7 +26,7 @@
 }
 
 impl<'a> Script<'a> {
-    /// Without actions; the seed is that of all draws.
+    /// Creates a script without actions; the seed is used for all draws.
     pub fn new(seed: u64) -> Self {
         Script {
             random: Pcg64Mcg::seed_from_u64(seed),
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Runs an action once, this many milliseconds after the beginning.
+    /// Adds an action that runs once, this many milliseconds after the start of the script.
     pub fn at(mut self, ms: u64, mut action: impl FnMut(&Cluster) + 'a) -> Self {
         self.add_step(Duration::from_millis(ms));
         self.actions
@@ -42,7 +43,8 @@
         self
     }
 
-    /// Runs an action repeatedly between the two times, in exponential intervals of this mean; the action may draw.
+    /// Adds an action that runs repeatedly within the range `ms`, in milliseconds after the start of the script, with
+    /// exponentially distributed intervals of the mean `mean_ms`. The action gets the random generator of the script.
     pub fn repeatedly(
         mut self,
         ms: std::ops::Range<u64>,
@@ -61,7 +63,7 @@
         self
     }
 
-    /// A step of the action that is added next.
+    /// Adds a step for the action that is added next.
     fn add_step(&mut self, at: Duration) {
         self.steps.push(Step {
             at,
--- a/crates/test-cluster/src/traffic.rs
+++ b/crates/test-cluster/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The clients of a scenario: they send its arrivals and collect the answers.
+//! The clients of a scenario, which send the arrivals and collect the answers.
 
 mod arrivals;
 
@@ -12,21 +12,22 @@
 
 use crate::amqp_client::{AmqpClient, Answers, Arrival, FunctionOverride};
 use crate::cluster::Cluster;
-use crate::kserve_client::Callers;
+use crate::kserve_client::KserveClients;
 use crate::scenario::Scenario;
 use crate::until;
 
-/// Clients over AMQP.
-const CLIENTS: u32 = 3;
-/// Clients listen this long after they have given up, to see that no answer comes.
+/// Number of AMQP clients.
+const AMQP_CLIENTS: u32 = 3;
+/// How long KServe clients wait for an answer after their timeout, so that an answer that arrives too late is
+/// recorded.
 const LISTEN_AFTER_TIMEOUT: Duration = Duration::from_secs(1);
 /// The running clients of a scenario; they end when this is dropped.
 pub struct Traffic {
-    /// When they began.
+    /// Start of the traffic.
     pub began: Instant,
-    /// All that they send.
+    /// All arrivals of the scenario.
     pub sent: Vec<Arrival>,
-    /// What was answered so far.
+    /// The answers so far.
     pub answers: Answers,
     _tasks: Vec<Task<()>>,
 }
@@ -37,33 +38,33 @@
         Self::begin_with(scenario, cluster, None)
     }
 
-    /// Starts clients that ask for the functions that `asks` says, where it is given.
+    /// Starts the clients; `function_override`, if present, chooses the functions that they call.
     pub fn begin_with(
         scenario: &Scenario,
         cluster: &Cluster,
-        asks: Option<FunctionOverride>,
+        function_override: Option<FunctionOverride>,
     ) -> Traffic {
         let (began, sent, answers) = (Instant::now(), arrivals(scenario), Answers::default());
-        let mut clients: Vec<Vec<Arrival>> = (0..CLIENTS).map(|_| Vec::new()).collect();
+        let mut clients: Vec<Vec<Arrival>> = (0..AMQP_CLIENTS).map(|_| Vec::new()).collect();
         let mut calls = Vec::new();
         for (n, arrival) in sent.iter().cloned().enumerate() {
             if arrival.over_kserve {
                 calls.push(arrival);
             } else {
-                clients[n % CLIENTS as usize].push(arrival);
+                clients[n % AMQP_CLIENTS as usize].push(arrival);
             }
         }
-        let callers = Callers {
-            routers: cluster.listens(),
+        let kserve_clients = KserveClients {
+            routers: cluster.kserve_addresses(),
             from: [127, 0, 2, 200].into(),
             log: cluster.log.clone(),
-            listens_on: LISTEN_AFTER_TIMEOUT + Duration::from_millis(scenario.leeway_ms),
+            listen_after_timeout: LISTEN_AFTER_TIMEOUT + Duration::from_millis(scenario.leeway_ms),
             began,
             answers: Some(answers.clone()),
-            asks: asks.clone(),
+            function_override: function_override.clone(),
         };
         let executor = &cluster.host.executor;
-        let mut tasks = vec![executor.spawn(Arc::new(callers).run(executor.clone(), calls))];
+        let mut tasks = vec![executor.spawn(Arc::new(kserve_clients).run(executor.clone(), calls))];
         for (n, arrivals) in clients.into_iter().enumerate() {
             let client = AmqpClient {
                 broker: cluster.broker.address,
@@ -73,7 +74,7 @@
                 arrivals,
                 latencies: None,
                 answers: Some(answers.clone()),
-                function_override: asks.clone(),
+                function_override: function_override.clone(),
             };
             tasks.push(executor.spawn(client.run()));
         }
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Waits until each invocation is answered; false if some are not within this time after the last is due.
+    /// Waits until all invocations are answered; returns false if some are not answered within the timeout after the
+    /// last arrival is due.
     pub fn wait_until_answered(&self, timeout: Duration) -> bool {
         let last = self.sent.last().map_or(Duration::ZERO, |a| a.at);
         until(last.saturating_sub(self.began.elapsed()) + timeout, || {
--- a/crates/test-cluster/src/traffic/arrivals.rs
+++ b/crates/test-cluster/src/traffic/arrivals.rs
@@ -1,7 +1,7 @@
-//! The arrivals of a scenario, all drawn by its seed.
+//! The arrivals of a scenario, drawn with its seed.
 //!
-//! The base load, the choice of fronts, sessions and floods have generators of their own: where one is taken out of a
-//! scenario, the draws of the others stay as they are.
+//! The base load, the choice of fronts, the sessions and the floods have separate random generators. Removing one of
+//! them from a scenario does not change the draws of the others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,17 +14,19 @@
 use crate::cluster::queue;
 use crate::scenario::{FaultKind, Front, Scenario, ScenarioFault};
 
-/// Distinguish the generators of the same seed.
-const FRONTS: u64 = 0xca11;
-const FLOODS: u64 = 0xf100d << 8;
-const SESSIONS: u64 = 0x5e55_1011;
+/// Combined with the seed of the scenario; distinguishes the generator of fronts from the others.
+const FRONT_GENERATOR: u64 = 0xca11;
+/// Likewise for floods.
+const FLOOD_GENERATOR: u64 = 0xf100d << 8;
+/// Likewise for sessions.
+const SESSION_GENERATOR: u64 = 0x5e55_1011;
 
-/// Functions of a scan are numbered from here, among as many.
+/// Lowest number of the functions of a scan, and the count of such numbers.
 const SCANNED_FUNCTIONS: u64 = 1_000_000;
-const BODY: &str =
+const REQUEST_BODY: &str =
     r#"{"inputs":[{"name":"drawing","shape":[4],"datatype":"FP32","data":[0.1,0.2,0.3,0.4]}]}"#;
 
-/// All invocations of a scenario, in the order of their times.
+/// All invocations of a scenario, in the order in which they are due.
 pub fn arrivals(scenario: &Scenario) -> Vec<Arrival> {
     let mut all = base_load(scenario);
     if scenario.triggers.iter().any(|t| t.sessions > 0.0) {
@@ -40,6 +42,7 @@
     all
 }
 
+/// Id of the invocation with this number.
 fn invocation_id(number: usize) -> String {
     format!("i{number:06}")
 }
@@ -53,7 +56,7 @@
     })
 }
 
-/// The fault of this kind that lasts at this time.
+/// The fault of this kind that is active at this time, in seconds.
 fn fault_at(scenario: &Scenario, what: FaultKind, at: f64) -> Option<&ScenarioFault> {
     scenario
         .faults
@@ -61,12 +64,13 @@
         .find(|t| t.what == what && (t.at_s..t.at_s + t.for_s).contains(&at))
 }
 
+/// Draws the arrivals without sessions and floods.
 fn base_load(scenario: &Scenario) -> Vec<Arrival> {
     let mut random = Pcg64Mcg::seed_from_u64(scenario.seed);
-    let mut fronts = Pcg64Mcg::seed_from_u64(scenario.seed ^ FRONTS);
+    let mut fronts = Pcg64Mcg::seed_from_u64(scenario.seed ^ FRONT_GENERATOR);
     let mut all = Vec::new();
     let mut at = 0.0;
-    let body: Arc<str> = BODY.into();
+    let body: Arc<str> = REQUEST_BODY.into();
     let trigger_shares: Vec<f64> = scenario.triggers.iter().map(|t| t.part).collect();
     let account_shares: Vec<f64> = scenario.accounts.iter().map(|a| a.part).collect();
     loop {
@@ -110,7 +114,8 @@
     all
 }
 
-/// Adds a flood's arrivals: each like one of the base load, but for its front and account.
+/// Adds the arrivals of a flood. Each copies a random arrival of the base load with another front and, if the flood has
+/// one, another account.
 fn add_flood(
     scenario: &Scenario,
     number: usize,
@@ -118,14 +123,14 @@
     base: &[Arrival],
     all: &mut Vec<Arrival>,
 ) {
-    let mut random = Pcg64Mcg::seed_from_u64(scenario.seed ^ FLOODS ^ number as u64);
+    let mut random = Pcg64Mcg::seed_from_u64(scenario.seed ^ FLOOD_GENERATOR ^ number as u64);
     let over_kserve = flood.front == Some(Front::Kserve);
     let front_share = if over_kserve {
         scenario.kserve_part
     } else {
         1.0 - scenario.kserve_part
     };
-    // Its usual share is there already.
+    // The usual share of the front is part of the base load.
     let Ok(gap) = Exp::new(scenario.rate_per_s * front_share * (flood.size - 1.0)) else {
         return;
     };
@@ -135,8 +140,8 @@
         if at >= (flood.at_s + flood.for_s).min(scenario.seconds) {
             break;
         }
-        let like = base[random.random_range(0..base.len())].clone();
-        let account = flood.account.clone().unwrap_or(like.account);
+        let template = base[random.random_range(0..base.len())].clone();
+        let account = flood.account.clone().unwrap_or(template.account);
         all.push(Arrival {
             at: Duration::from_secs_f64(at),
             id: invocation_id(all.len()),
@@ -144,16 +149,16 @@
             account,
             over_kserve,
             turn: None,
-            ..like
+            ..template
         });
     }
 }
 
-/// Turns part of the arrivals into sessions: of those that belong to sessions, one in as many as a session has turns
-/// begins one; the others are left out in favour of the turns that follow, so that the rate stays what it was. Without
-/// sessions nothing is drawn here.
+/// Replaces part of the arrivals by sessions. The share `sessions` of a trigger type's arrivals is selected. On average
+/// one in `turns` selected arrivals starts a session; the others are dropped in favor of the further turns of sessions,
+/// so that the rate stays about the same. Scenarios without sessions do not call this function.
 fn with_sessions(scenario: &Scenario, singles: Vec<Arrival>) -> Vec<Arrival> {
-    let mut random = Pcg64Mcg::seed_from_u64(scenario.seed ^ SESSIONS);
+    let mut random = Pcg64Mcg::seed_from_u64(scenario.seed ^ SESSION_GENERATOR);
     let (mut all, mut begun) = (Vec::new(), 0);
     for first in singles {
         let trigger = scenario
@@ -174,7 +179,7 @@
         );
         let mut at = first.at;
         for turn in 0..turns {
-            // The scenario may end before the session does.
+            // The scenario may end before the session ends.
             if at.as_secs_f64() >= scenario.seconds {
                 break;
             }
--- a/crates/test-cluster/tests/relays.rs
+++ b/crates/test-cluster/tests/relays.rs
@@ -1,4 +1,4 @@
-//! Each fault of a relay is seen to have its effect, before a plain echo server and a plain HTTP server.
+//! Tests of the faults of a relay, with a plain echo server or a plain HTTP server on the far side.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,52 +15,55 @@
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 
-/// Only a failing test waits so long.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// What must not come is listened for so long; a slow machine only makes it easier to pass.
-const QUIET: Duration = Duration::from_millis(150);
+/// Timeout of waits; only a failing test waits this long.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a test waits to check that no data arrives. A slow machine can only make such a check pass more easily.
+const SILENCE_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Every connection to the echo: its address, and how it ended there once it has; every request to the server.
-type Ends = Arc<Mutex<Vec<(SocketAddr, Option<ErrorKind>)>>>;
+/// For each connection to the echo server, or each request to the HTTP server: the source address and, once the
+/// connection has ended at the echo server, how it ended.
+type SeenConnections = Arc<Mutex<Vec<(SocketAddr, Option<ErrorKind>)>>>;
 
 struct Setup {
     links: Links,
     relay: Relay,
-    ends: Ends,
+    connections: SeenConnections,
     bodies: Receiver<String>,
     _server: Option<Server>,
     _host: Host,
 }
 
-/// An echo or an HTTP server, which hands out what it gets and gives it back.
+/// Starts a relay with an echo server or an HTTP server on its far side. The server sends the received data back and
+/// also to the channel `bodies`.
 fn setup(mode: RelayMode) -> Setup {
-    let (ends, (tell, bodies)) = (Ends::default(), channel());
+    let (connections, (received, bodies)) = (SeenConnections::default(), channel());
     let host = Host::new(2, None).expect("an emulator host");
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let seen = ends.clone();
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let seen = connections.clone();
     let (to, server) = match mode {
         RelayMode::Bytes => {
-            let listener = TcpListener::bind(any).expect("a listener");
+            let listener = TcpListener::bind(any_port).expect("a listener");
             let to = listener.local_addr().expect("an address");
-            std::thread::spawn(move || echoes(&listener, &seen, &tell));
+            std::thread::spawn(move || serve_echo(&listener, &seen, &received));
             (to, None)
         }
         RelayMode::Messages => {
             let handle = move |from: SocketAddr, request: Request<Incoming>| {
-                let (seen, tell) = (seen.clone(), tell.clone());
+                let (seen, received) = (seen.clone(), received.clone());
                 async move {
-                    seen.lock().expect("ends").push((from, None));
+                    seen.lock().expect("connections").push((from, None));
                     let body = request
                         .into_body()
                         .collect()
                         .await
                         .expect("a body")
                         .to_bytes();
-                    let _ = tell.send(String::from_utf8_lossy(&body).into_owned());
+                    let _ = received.send(String::from_utf8_lossy(&body).into_owned());
                     full(StatusCode::OK, body)
                 }
             };
-            let server = Server::start(&host, any, Partition::default(), handle).expect("a server");
+            let server =
+                Server::start(&host, any_port, Partition::default(), handle).expect("a server");
             (server.address, Some(server))
         }
     };
@@ -78,33 +81,33 @@
     Setup {
         links,
         relay,
-        ends,
+        connections,
         bodies,
         _server: server,
         _host: host,
     }
 }
 
-fn echoes(listener: &TcpListener, seen: &Ends, tell: &Sender<String>) {
+fn serve_echo(listener: &TcpListener, seen: &SeenConnections, received: &Sender<String>) {
     for (n, stream) in listener.incoming().flatten().enumerate() {
         let from = stream.peer_addr().expect("a peer");
-        seen.lock().expect("ends").push((from, None));
-        let (seen, tell) = (seen.clone(), tell.clone());
+        seen.lock().expect("connections").push((from, None));
+        let (seen, received) = (seen.clone(), received.clone());
         std::thread::spawn(move || {
-            // A close is told from a reset.
-            let end = echo(stream, &tell).map_or_else(|e| e.kind(), |()| ErrorKind::Other);
-            seen.lock().expect("ends")[n].1 = Some(end);
+            // `ErrorKind::Other` stands for a plain close, in contrast to a reset.
+            let end = echo(stream, &received).map_or_else(|e| e.kind(), |()| ErrorKind::Other);
+            seen.lock().expect("connections")[n].1 = Some(end);
         });
     }
 }
 
-fn echo(mut stream: TcpStream, tell: &Sender<String>) -> std::io::Result<()> {
+fn echo(mut stream: TcpStream, received: &Sender<String>) -> std::io::Result<()> {
     let mut buffer = vec![0; 4096];
     loop {
         match stream.read(&mut buffer)? {
             0 => return Ok(()),
             n => {
-                let _ = tell.send(String::from_utf8_lossy(&buffer[..n]).into_owned());
+                let _ = received.send(String::from_utf8_lossy(&buffer[..n]).into_owned());
                 stream.write_all(&buffer[..n])?;
             }
         }
@@ -114,23 +117,28 @@
 impl Setup {
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.relay.address).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         stream
     }
 
-    /// Connected, and known to reach the far side.
-    fn through(&self) -> TcpStream {
+    /// Connects and checks that the connection reaches the far side.
+    fn connect_through(&self) -> TcpStream {
         let mut stream = self.connect();
         stream.write_all(b"first").expect("written");
-        assert_eq!(said(&mut stream, 5), Ok("first".into()));
+        assert_eq!(read_text(&mut stream, 5), Ok("first".into()));
         stream
     }
 
-    fn ended(&self, n: usize) -> Option<ErrorKind> {
-        self.ends.lock().expect("ends").get(n).and_then(|e| e.1)
+    /// How connection `n` ended at the echo server; absent while it is open.
+    fn end_of(&self, n: usize) -> Option<ErrorKind> {
+        self.connections
+            .lock()
+            .expect("connections")
+            .get(n)
+            .and_then(|e| e.1)
     }
 
-    /// The body comes back.
+    /// Posts a body and returns it once the server has sent it back.
     fn post(&self, stream: &mut TcpStream, body: &str) -> Result<String, ErrorKind> {
         let length = body.len();
         let text =
@@ -138,29 +146,33 @@
         stream.write_all(text.as_bytes()).map_err(|e| e.kind())?;
         let mut answer = String::new();
         while !answer.ends_with(&format!("\r\n\r\n{body}")) {
-            answer.push_str(&said(stream, 1)?);
+            answer.push_str(&read_text(stream, 1)?);
         }
         Ok(body.to_owned())
     }
 }
 
-fn said(stream: &mut TcpStream, length: usize) -> Result<String, ErrorKind> {
+/// Reads exactly this many bytes.
+fn read_text(stream: &mut TcpStream, length: usize) -> Result<String, ErrorKind> {
     let mut buffer = vec![0; length];
     stream.read_exact(&mut buffer).map_err(|e| e.kind())?;
     Ok(String::from_utf8_lossy(&buffer).into_owned())
 }
 
-fn silent(stream: &mut TcpStream) -> bool {
-    stream.set_read_timeout(Some(QUIET)).expect("set");
-    let silent = said(stream, 1) == Err(ErrorKind::WouldBlock);
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
-    silent
+/// Whether no data arrives within `SILENCE_INTERVAL`.
+fn is_silent(stream: &mut TcpStream) -> bool {
+    stream
+        .set_read_timeout(Some(SILENCE_INTERVAL))
+        .expect("set");
+    let is_silent = read_text(stream, 1) == Err(ErrorKind::WouldBlock);
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
+    is_silent
 }
 
-/// Sooner or later it is reset, whatever it still says.
+/// Reads until the connection ends; returns whether it was reset.
 fn is_reset(stream: &mut TcpStream) -> bool {
     loop {
-        match said(stream, 1) {
+        match read_text(stream, 1) {
             Ok(_) => {}
             Err(ErrorKind::ConnectionReset) => return true,
             Err(_) => return false,
@@ -169,131 +181,147 @@
 }
 
 #[test]
-fn bytes_pass_from_the_near_sides_own_address_and_closes_are_passed_on() {
-    let s = setup(RelayMode::Bytes);
-    let stream = s.through();
+fn bytes_are_forwarded_from_the_configured_source_address_and_closes_are_passed_on() {
+    let setup = setup(RelayMode::Bytes);
+    let stream = setup.connect_through();
     assert_eq!(
-        s.ends.lock().expect("ends")[0].0.ip().to_string(),
+        setup.connections.lock().expect("connections")[0]
+            .0
+            .ip()
+            .to_string(),
         "127.0.10.1"
     );
-    assert_eq!(s.ended(0), None);
+    assert_eq!(setup.end_of(0), None);
     drop(stream);
     assert!(
-        until(PATIENCE, || s.ended(0) == Some(ErrorKind::Other)),
+        until(TEST_TIMEOUT, || setup.end_of(0) == Some(ErrorKind::Other)),
         "a plain close"
     );
 }
 
 #[test]
 fn held_bytes_arrive_when_the_link_is_healed_in_either_direction() {
-    let s = setup(RelayMode::Bytes);
+    let setup = setup(RelayMode::Bytes);
     for (from, to) in [("near", "far"), ("far", "near")] {
-        let mut stream = s.through();
-        s.links.set(from, to, LinkFault::Held);
+        let mut stream = setup.connect_through();
+        setup.links.set(from, to, LinkFault::Held);
         stream.write_all(b"held").expect("written");
-        assert!(silent(&mut stream));
-        s.links.heal();
-        assert_eq!(said(&mut stream, 4), Ok("held".into()));
-        // The other direction was whole all along: one that only hears hears on.
-        s.links.set(to, from, LinkFault::Pass);
+        assert!(is_silent(&mut stream));
+        setup.links.heal();
+        assert_eq!(read_text(&mut stream, 4), Ok("held".into()));
+        // The opposite direction had no fault all along; a side that only receives continues to receive.
+        setup.links.set(to, from, LinkFault::Pass);
     }
-    // A connection that comes during it, and one that is closed during it.
-    s.links.set("near", "far", LinkFault::Held);
-    let mut late = s.connect();
+    // A connection that is opened during the fault, and then a connection that is closed during the fault.
+    setup.links.set("near", "far", LinkFault::Held);
+    let mut late = setup.connect();
     late.write_all(b"late").expect("written");
-    assert!(silent(&mut late));
-    let count = s.ends.lock().expect("ends").len();
-    s.links.heal();
-    assert_eq!(said(&mut late, 4), Ok("late".into()));
-    s.links.set("near", "far", LinkFault::Held);
+    assert!(is_silent(&mut late));
+    let count = setup.connections.lock().expect("connections").len();
+    setup.links.heal();
+    assert_eq!(read_text(&mut late, 4), Ok("late".into()));
+    setup.links.set("near", "far", LinkFault::Held);
     late.write_all(b"last words").expect("written");
     drop(late);
-    std::thread::sleep(QUIET);
-    assert_eq!(s.ended(count), None, "its end is held too");
-    s.links.heal();
-    assert!(until(PATIENCE, || s.ended(count).is_some()));
+    std::thread::sleep(SILENCE_INTERVAL);
     assert_eq!(
-        s.bodies.try_iter().last(),
+        setup.end_of(count),
+        None,
+        "the end of the stream is held back too"
+    );
+    setup.links.heal();
+    assert!(until(TEST_TIMEOUT, || setup.end_of(count).is_some()));
+    assert_eq!(
+        setup.bodies.try_iter().last(),
         Some("last words".into()),
-        "they came before it"
+        "the bytes arrive before the end of the stream"
     );
 }
 
 #[test]
 fn lost_bytes_reset_their_connection_when_the_link_is_healed() {
-    let s = setup(RelayMode::Bytes);
-    let (mut speaks, mut idle) = (s.through(), s.through());
-    s.links.set("near", "far", LinkFault::Lost);
-    speaks.write_all(b"lost").expect("written");
-    assert!(silent(&mut speaks));
-    s.links.heal();
-    assert!(is_reset(&mut speaks));
-    assert!(until(PATIENCE, || s.ended(0) == Some(ErrorKind::ConnectionReset)));
+    let setup = setup(RelayMode::Bytes);
+    let (mut sending, mut idle) = (setup.connect_through(), setup.connect_through());
+    setup.links.set("near", "far", LinkFault::Lost);
+    sending.write_all(b"lost").expect("written");
+    assert!(is_silent(&mut sending));
+    setup.links.heal();
+    assert!(is_reset(&mut sending));
+    assert!(until(TEST_TIMEOUT, || setup.end_of(0)
+        == Some(ErrorKind::ConnectionReset)));
     idle.write_all(b"idle").expect("written");
     assert_eq!(
-        said(&mut idle, 4),
+        read_text(&mut idle, 4),
         Ok("idle".into()),
-        "nothing of it was lost"
+        "an idle connection lost no data"
     );
 }
 
 #[test]
-fn a_reset_is_seen_on_both_sides_and_a_refusal_before_any_connection() {
-    let s = setup(RelayMode::Bytes);
-    let mut stream = s.through();
-    s.links.set("near", "far", LinkFault::Refused);
-    let refused = TcpStream::connect(s.relay.address)
+fn resets_reach_both_sides_and_refusals_affect_only_new_connections() {
+    let setup = setup(RelayMode::Bytes);
+    let mut stream = setup.connect_through();
+    setup.links.set("near", "far", LinkFault::Refused);
+    let refused = TcpStream::connect(setup.relay.address)
         .map(drop)
         .map_err(|e| e.kind());
     assert_eq!(refused, Err(ErrorKind::ConnectionRefused));
     stream.write_all(b"stands").expect("written");
-    assert_eq!(said(&mut stream, 6), Ok("stands".into()));
-    s.links.set("near", "far", LinkFault::Reset);
-    assert!(is_reset(&mut stream) && is_reset(&mut s.connect()));
-    assert!(until(PATIENCE, || s.ended(0) == Some(ErrorKind::ConnectionReset)));
-    s.links.heal();
-    // Healed before anyone can have looked.
-    let mut stream = s.through();
-    s.links.set("far", "near", LinkFault::Reset);
-    s.links.heal();
+    assert_eq!(read_text(&mut stream, 6), Ok("stands".into()));
+    setup.links.set("near", "far", LinkFault::Reset);
+    assert!(is_reset(&mut stream) && is_reset(&mut setup.connect()));
+    assert!(until(TEST_TIMEOUT, || setup.end_of(0)
+        == Some(ErrorKind::ConnectionReset)));
+    setup.links.heal();
+    // The fault is healed at once; the open connection is reset nevertheless.
+    let mut stream = setup.connect_through();
+    setup.links.set("far", "near", LinkFault::Reset);
+    setup.links.heal();
     assert!(is_reset(&mut stream));
-    s.through();
+    setup.connect_through();
 }
 
 #[test]
-fn a_half_open_connection_is_dead_to_one_side_until_the_link_is_healed() {
-    let s = setup(RelayMode::Bytes);
-    let mut stream = s.through();
-    s.links.set("near", "far", LinkFault::HalfOpen);
-    assert!(until(PATIENCE, || s.ended(0) == Some(ErrorKind::ConnectionReset)));
+fn a_half_open_connection_is_reset_on_one_side_until_the_link_is_healed() {
+    let setup = setup(RelayMode::Bytes);
+    let mut stream = setup.connect_through();
+    setup.links.set("near", "far", LinkFault::HalfOpen);
+    assert!(until(TEST_TIMEOUT, || setup.end_of(0)
+        == Some(ErrorKind::ConnectionReset)));
     stream.write_all(b"to nobody").expect("written");
-    assert!(silent(&mut stream));
-    s.links.heal();
+    assert!(is_silent(&mut stream));
+    setup.links.heal();
     assert!(is_reset(&mut stream));
-    let mut stream = s.through();
-    s.links.set("far", "near", LinkFault::HalfOpen);
+    let mut stream = setup.connect_through();
+    setup.links.set("far", "near", LinkFault::HalfOpen);
     assert!(is_reset(&mut stream));
-    assert_eq!(s.ended(1), None, "the far side is not told");
-    s.links.heal();
-    assert!(until(PATIENCE, || s.ended(1) == Some(ErrorKind::ConnectionReset)));
+    assert_eq!(
+        setup.end_of(1),
+        None,
+        "the far side does not see the reset yet"
+    );
+    setup.links.heal();
+    assert!(until(TEST_TIMEOUT, || setup.end_of(1)
+        == Some(ErrorKind::ConnectionReset)));
 }
 
-/// At least so late, by the clock; how much later is the machine's affair.
+/// Checks only lower bounds of the delays, because a busy machine may delay more.
 #[test]
 fn delays_and_throttling_keep_the_order_of_bytes() {
-    let s = setup(RelayMode::Bytes);
-    let mut stream = s.through();
+    let setup = setup(RelayMode::Bytes);
+    let mut stream = setup.connect_through();
     let (by, spread) = (Duration::from_millis(60), Duration::from_millis(40));
-    s.links
+    setup
+        .links
         .set("near", "far", LinkFault::Delayed { by, spread });
     let began = Instant::now();
     for piece in [b"one,", b"two,", b"six."] {
         stream.write_all(piece).expect("written");
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(said(&mut stream, 12), Ok("one,two,six.".into()));
+    assert_eq!(read_text(&mut stream, 12), Ok("one,two,six.".into()));
     assert!(began.elapsed() >= by);
-    s.links.set(
+    setup.links.set(
         "near",
         "far",
         LinkFault::Throttled {
@@ -302,64 +330,70 @@
     );
     let began = Instant::now();
     stream.write_all(&[b'x'; 2000]).expect("written");
-    assert_eq!(said(&mut stream, 2000).map(|t| t.len()), Ok(2000));
-    // The last slice need not be waited out.
+    assert_eq!(read_text(&mut stream, 2000).map(|t| t.len()), Ok(2000));
+    // The bytes are written in four slices with 50 ms in between; the wait after the last slice is not included.
     assert!(began.elapsed() >= Duration::from_millis(140));
 }
 
 #[test]
-fn whole_messages_pass_and_are_held_lost_or_reset() {
-    let s = setup(RelayMode::Messages);
-    let mut stream = s.connect();
+fn complete_messages_pass_and_are_held_lost_or_reset() {
+    let setup = setup(RelayMode::Messages);
+    let mut stream = setup.connect();
     for body in ["a", "b"] {
-        assert_eq!(s.post(&mut stream, body), Ok(body.into()));
+        assert_eq!(setup.post(&mut stream, body), Ok(body.into()));
     }
-    let from: Vec<_> = s.ends.lock().expect("ends").iter().map(|e| e.0).collect();
+    let from: Vec<_> = setup
+        .connections
+        .lock()
+        .expect("connections")
+        .iter()
+        .map(|e| e.0)
+        .collect();
     assert!(
         from.len() == 2 && from[0] == from[1],
-        "one connection is kept: {from:?}"
+        "both requests use one kept-alive connection: {from:?}"
     );
-    s.links.set("near", "far", LinkFault::Held);
-    let gone = "POST /x HTTP/1.1\r\nhost: far\r\ncontent-length: 4\r\n\r\nheld";
-    stream.write_all(gone.as_bytes()).expect("written");
-    assert!(until(PATIENCE, || s.relay.in_flight() == 1) && silent(&mut stream));
+    setup.links.set("near", "far", LinkFault::Held);
+    let request = "POST /x HTTP/1.1\r\nhost: far\r\ncontent-length: 4\r\n\r\nheld";
+    stream.write_all(request.as_bytes()).expect("written");
+    assert!(until(TEST_TIMEOUT, || setup.relay.in_flight() == 1) && is_silent(&mut stream));
     drop(stream);
-    s.links.heal();
+    setup.links.heal();
     let got: Vec<String> = (0..3)
-        .map(|_| s.bodies.recv_timeout(PATIENCE).expect("it comes"))
+        .map(|_| setup.bodies.recv_timeout(TEST_TIMEOUT).expect("it comes"))
         .collect();
     assert_eq!(
         got,
         ["a", "b", "held"],
-        "it arrives though its sender has gone"
+        "a held request arrives although its sender has disconnected"
     );
-    // Answers lost: the far side has acted, the near side waits, until the link is whole.
-    let mut stream = s.connect();
-    s.links.set("far", "near", LinkFault::Lost);
-    stream.write_all(gone.as_bytes()).expect("written");
-    assert_eq!(s.bodies.recv_timeout(PATIENCE), Ok("held".into()));
-    assert!(silent(&mut stream));
-    s.links.heal();
+    // Lost responses: the far side has processed the request, and the near side waits until the link is healed.
+    let mut stream = setup.connect();
+    setup.links.set("far", "near", LinkFault::Lost);
+    stream.write_all(request.as_bytes()).expect("written");
+    assert_eq!(setup.bodies.recv_timeout(TEST_TIMEOUT), Ok("held".into()));
+    assert!(is_silent(&mut stream));
+    setup.links.heal();
     assert!(is_reset(&mut stream));
-    let mut stream = s.connect();
-    assert_eq!(s.post(&mut stream, "again"), Ok("again".into()));
-    s.links.set("near", "far", LinkFault::HalfOpen);
-    assert!(silent(&mut stream));
-    s.links.set("near", "far", LinkFault::Reset);
+    let mut stream = setup.connect();
+    assert_eq!(setup.post(&mut stream, "again"), Ok("again".into()));
+    setup.links.set("near", "far", LinkFault::HalfOpen);
+    assert!(is_silent(&mut stream));
+    setup.links.set("near", "far", LinkFault::Reset);
     assert!(is_reset(&mut stream));
 }
 
-/// Each on a connection of its own, so that one that waits holds up none.
+/// Each request uses its own connection, so that a waiting request does not block the others.
 #[test]
-fn whole_messages_are_dropped_duplicated_and_reordered_by_the_seed() {
-    let s = setup(RelayMode::Messages);
-    let ask = |n: usize, s: &Setup| {
-        let mut stream = s.connect();
+fn complete_messages_are_dropped_duplicated_and_reordered() {
+    let setup = setup(RelayMode::Messages);
+    let send_request = |n: usize, setup: &Setup| {
+        let mut stream = setup.connect();
         let text = format!("POST /x HTTP/1.1\r\nhost: far\r\ncontent-length: 2\r\n\r\n{n:02}");
         stream.write_all(text.as_bytes()).expect("written");
         stream
     };
-    s.links.set(
+    setup.links.set(
         "near",
         "far",
         LinkFault::UnreliableMessages {
@@ -368,10 +402,10 @@
             after: 0.0,
         },
     );
-    let kept = ask(1, &s);
-    let twice = [(); 2].map(|()| s.bodies.recv_timeout(PATIENCE).expect("it comes"));
+    let kept = send_request(1, &setup);
+    let twice = [(); 2].map(|()| setup.bodies.recv_timeout(TEST_TIMEOUT).expect("it comes"));
     assert_eq!(twice, ["01", "01"]);
-    s.links.set(
+    setup.links.set(
         "near",
         "far",
         LinkFault::UnreliableMessages {
@@ -380,11 +414,12 @@
             after: 0.0,
         },
     );
-    let mut dropped = ask(2, &s);
-    assert!(silent(&mut dropped));
-    // One waits for a later one but for a bounded time, which a busy machine may let pass: then once more.
-    assert!(until(PATIENCE, || {
-        s.links.set(
+    let mut dropped = send_request(2, &setup);
+    assert!(is_silent(&mut dropped));
+    // A reordered request waits for a later request only for a bounded time. A busy machine may exceed that time, so
+    // the attempt is repeated until the order is reversed.
+    assert!(until(TEST_TIMEOUT, || {
+        setup.links.set(
             "near",
             "far",
             LinkFault::UnreliableMessages {
@@ -393,14 +428,14 @@
                 after: 1.0,
             },
         );
-        let _first = ask(3, &s);
-        let waits = s.bodies.recv_timeout(QUIET).is_err();
-        s.links.heal();
-        let _second = ask(4, &s);
-        let order = [(); 2].map(|()| s.bodies.recv_timeout(PATIENCE).unwrap_or_default());
-        waits && order == ["04", "03"]
+        let _first = send_request(3, &setup);
+        let is_waiting = setup.bodies.recv_timeout(SILENCE_INTERVAL).is_err();
+        setup.links.heal();
+        let _second = send_request(4, &setup);
+        let order = [(); 2].map(|()| setup.bodies.recv_timeout(TEST_TIMEOUT).unwrap_or_default());
+        is_waiting && order == ["04", "03"]
     }));
-    s.links.set(
+    setup.links.set(
         "far",
         "near",
         LinkFault::UnreliableMessages {
@@ -409,8 +444,8 @@
             after: 0.0,
         },
     );
-    let mut unheard = ask(5, &s);
-    assert_eq!(s.bodies.recv_timeout(PATIENCE), Ok("05".into()));
-    assert!(silent(&mut unheard));
+    let mut without_response = send_request(5, &setup);
+    assert_eq!(setup.bodies.recv_timeout(TEST_TIMEOUT), Ok("05".into()));
+    assert!(is_silent(&mut without_response));
     drop(kept);
 }
--- a/crates/test-cluster/tests/router_process.rs
+++ b/crates/test-cluster/tests/router_process.rs
@@ -1,4 +1,4 @@
-//! A router's process is paused, killed and restarted, with a small script in the router's place.
+//! Tests of pausing, killing and restarting the process of a router. A small script takes the place of the router.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -7,9 +7,10 @@
 use cedarpulley_test_cluster::router_process::{RouterProcess, StateAtStart};
 use cedarpulley_test_cluster::until;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of waits; only a failing test waits this long.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Writes lines into its state until it is told to end.
+/// Appends lines to a file in its state folder until it receives SIGTERM. It logs `full` when a write fails.
 const SCRIPT: &str = r#"#!/bin/sh
 trap 'exit 3' TERM
 mkdir -p "${2%.toml}-state"
@@ -31,77 +32,88 @@
     Setup { folder, process }
 }
 
+/// Size of the file that the script writes, in bytes.
 fn size(state: &Path) -> u64 {
     std::fs::metadata(state.join("lines")).map_or(0, |m| m.len())
 }
 
 impl Setup {
+    /// Whether the script writes to its state folder.
     fn grows(&self) -> bool {
         let before = size(&self.process.state);
-        until(PATIENCE, || size(&self.process.state) > before)
+        until(TEST_TIMEOUT, || size(&self.process.state) > before)
     }
 
-    fn older(&self) -> PathBuf {
+    /// Folder for a copy of the state.
+    fn older_copy(&self) -> PathBuf {
         self.folder.path().join("older")
     }
 }
 
 #[test]
 fn a_router_is_paused_resumed_killed_and_shut_down() {
-    let mut s = setup();
-    s.process.start(StateAtStart::Kept).expect("started");
-    assert!(s.grows());
-    s.process.pause().expect("paused");
-    let (still, pid) = (size(&s.process.state), s.process.pid().expect("it runs"));
+    let mut setup = setup();
+    setup.process.start(StateAtStart::Kept).expect("started");
+    assert!(setup.grows());
+    setup.process.pause().expect("paused");
+    let (size_when_paused, pid) = (
+        size(&setup.process.state),
+        setup.process.pid().expect("it runs"),
+    );
     std::thread::sleep(Duration::from_millis(100));
-    assert_eq!(size(&s.process.state), still);
-    s.process.resume().expect("goes on");
-    assert!(s.grows());
-    s.process.kill();
-    assert!(!s.process.is_up() && !Path::new(&format!("/proc/{}", pid.as_raw_nonzero())).exists());
-    s.process.start(StateAtStart::Kept).expect("started");
-    assert!(s.grows());
-    s.process.terminate().expect("told");
-    let status = s.process.wait(PATIENCE).expect("it ends");
-    assert_eq!(status.code(), Some(3), "by itself");
-    // A paused one is killed with the cluster.
-    s.process.start(StateAtStart::Kept).expect("started");
-    assert!(s.grows());
-    s.process.pause().expect("paused");
-    let pid = s.process.pid().expect("it runs").as_raw_nonzero();
-    drop(s);
+    assert_eq!(size(&setup.process.state), size_when_paused);
+    setup.process.resume().expect("resumed");
+    assert!(setup.grows());
+    setup.process.kill();
+    assert!(
+        !setup.process.is_up() && !Path::new(&format!("/proc/{}", pid.as_raw_nonzero())).exists()
+    );
+    setup.process.start(StateAtStart::Kept).expect("started");
+    assert!(setup.grows());
+    setup.process.terminate().expect("signalled");
+    let status = setup.process.wait(TEST_TIMEOUT).expect("it ends");
+    assert_eq!(status.code(), Some(3), "the process handled SIGTERM itself");
+    // A paused process is killed when its handle is dropped.
+    setup.process.start(StateAtStart::Kept).expect("started");
+    assert!(setup.grows());
+    setup.process.pause().expect("paused");
+    let pid = setup.process.pid().expect("it runs").as_raw_nonzero();
+    drop(setup);
     assert!(!Path::new(&format!("/proc/{pid}")).exists());
 }
 
 #[test]
 fn a_router_starts_with_its_state_kept_removed_or_older() {
-    let mut s = setup();
-    s.process.start(StateAtStart::Kept).expect("started");
-    assert!(s.grows());
-    s.process.copy_state(&s.older()).expect("copied");
-    let older = size(&s.older());
-    assert!(older > 0 && until(PATIENCE, || size(&s.process.state) > older));
-    s.process.kill();
-    let last = size(&s.process.state);
-    std::fs::write(s.process.state.join("newer"), "x").expect("written");
+    let mut setup = setup();
+    setup.process.start(StateAtStart::Kept).expect("started");
+    assert!(setup.grows());
+    setup
+        .process
+        .copy_state(&setup.older_copy())
+        .expect("copied");
+    let older = size(&setup.older_copy());
+    assert!(older > 0 && until(TEST_TIMEOUT, || size(&setup.process.state) > older));
+    setup.process.kill();
+    let last = size(&setup.process.state);
+    std::fs::write(setup.process.state.join("newer"), "x").expect("written");
     for (state, least, most) in [
         (StateAtStart::Kept, last, u64::MAX),
-        (StateAtStart::Older(&s.older()), older, last),
+        (StateAtStart::Older(&setup.older_copy()), older, last),
         (StateAtStart::Removed, 0, older),
     ] {
-        // Without a program that could write before it is looked at.
+        // A program that exits without writing, so that the state cannot change before it is checked.
         let mut process = RouterProcess::new(
             Path::new("/bin/true"),
-            &s.folder.path().join("t.toml"),
-            &s.process.state,
+            &setup.folder.path().join("t.toml"),
+            &setup.process.state,
             &[],
         );
         process.start(state).expect("started");
-        process.wait(PATIENCE);
-        let size = size(&s.process.state);
+        process.wait(TEST_TIMEOUT);
+        let size = size(&setup.process.state);
         assert!(size >= least && size < most, "{state:?}: {size}");
         assert_eq!(
-            s.process.state.join("newer").exists(),
+            setup.process.state.join("newer").exists(),
             matches!(state, StateAtStart::Kept)
         );
     }
@@ -109,18 +121,18 @@
 
 #[test]
 fn a_full_disk_stops_writes_to_the_state_but_not_to_the_log() {
-    let mut s = setup();
-    s.process.start(StateAtStart::Kept).expect("started");
-    assert!(s.grows());
-    s.process.limit_file_size(Some(1)).expect("set");
+    let mut setup = setup();
+    setup.process.start(StateAtStart::Kept).expect("started");
+    assert!(setup.grows());
+    setup.process.limit_file_size(Some(1)).expect("set");
     assert!(
-        until(PATIENCE, || s.process.log().contains("full")),
-        "it is told"
+        until(TEST_TIMEOUT, || setup.process.log().contains("full")),
+        "the log contains the failed write"
     );
-    let full = size(&s.process.state);
-    assert!(s.process.is_up() && s.process.ended().is_none());
+    let full = size(&setup.process.state);
+    assert!(setup.process.is_up() && setup.process.ended().is_none());
     std::thread::sleep(Duration::from_millis(100));
-    assert_eq!(size(&s.process.state), full);
-    s.process.limit_file_size(None).expect("lifted");
-    assert!(s.grows());
+    assert_eq!(size(&setup.process.state), full);
+    setup.process.limit_file_size(None).expect("lifted");
+    assert!(setup.grows());
 }
--- a/crates/test-cluster/tests/sessions.rs
+++ b/crates/test-cluster/tests/sessions.rs
@@ -1,15 +1,16 @@
-//! Sessions of a scenario: what their clients send.
+//! Tests of the sessions among the arrivals of a scenario.
 
 use std::collections::BTreeMap;
 
 use cedarpulley_test_cluster::scenario::{self, Scenario};
 use cedarpulley_test_cluster::traffic::arrivals;
 
+/// A scenario whose first trigger type has this share of sessions.
 fn scenario(sessions: f64) -> Scenario {
     let text = include_str!("../../../days/regions.toml");
-    let mut scenario = scenario::parse("regions.toml", text).expect("a day");
-    let t = &mut scenario.triggers[0];
-    (t.sessions, t.turns, t.pause_ms) = (sessions, 5, 400);
+    let mut scenario = scenario::parse("regions.toml", text).expect("a scenario");
+    let trigger = &mut scenario.triggers[0];
+    (trigger.sessions, trigger.turns, trigger.pause_ms) = (sessions, 5, 400);
     scenario
 }
 
@@ -17,20 +18,20 @@
 fn a_session_starts_once_keeps_its_function_and_ends_with_its_last_turn() {
     let (with, without) = (arrivals(&scenario(0.6)), arrivals(&scenario(0.0)));
     assert!(without.iter().all(|a| a.turn.is_none()));
-    let of = |kind: &str| {
+    let in_sessions = |trigger_type: &str| {
         with.iter()
-            .filter(|a| a.trigger_type == kind && a.turn.is_some())
+            .filter(|a| a.trigger_type == trigger_type && a.turn.is_some())
             .count()
     };
     let (some, all) = (
-        of("resize"),
+        in_sessions("resize"),
         with.iter().filter(|a| a.trigger_type == "resize").count(),
     );
     assert!(
-        of("quote") == 0 && (2 * all..5 * all).contains(&(some * 5)),
+        in_sessions("quote") == 0 && (2 * all..5 * all).contains(&(some * 5)),
         "{some} of {all}"
     );
-    // About as many in all as without sessions.
+    // The total number of arrivals is about the same as without sessions.
     assert!(
         (without.len() * 3 / 4..without.len() * 5 / 4).contains(&with.len()),
         "{}",
@@ -58,7 +59,7 @@
         );
         assert!(first.1.start && turns.iter().skip(1).all(|t| !t.1.start));
         assert!(turns.iter().rev().skip(1).all(|t| !t.1.end));
-        // But for one that the scenario's end cuts off.
+        // The end of the scenario may cut off the last turns of a session.
         assert!(last.1.end || last.0.at.as_secs_f64() > scenario(0.6).seconds - 0.6);
     }
 }
@@ -69,7 +70,7 @@
     let bad = text.replacen("work_ms = 60\n", "work_ms = 60\nsessions = 0.5\n", 1);
     assert!(
         scenario::parse("bad", &bad)
-            .expect_err("refused")
+            .expect_err("rejected")
             .to_string()
             .ends_with("turns above 0")
     );
