--- a/crates/emulators/src/broker.rs
+++ b/crates/emulators/src/broker.rs
@@ -151,14 +151,14 @@
         }
     }
 
-    /// Closes all connections, stops listening for the duration `away`, and listens again with the same queues.
+    /// Closes all connections, stops listening for the duration `downtime`, and listens again with the same queues.
     ///
     /// # Errors
     /// Fails if the address cannot be bound again.
-    pub async fn restart(&self, away: Duration) -> std::io::Result<()> {
+    pub async fn restart(&self, downtime: Duration) -> std::io::Result<()> {
         drop(lock(&self.listener).take());
         self.drop_connections(|_| true);
-        Timer::after(away).await;
+        Timer::after(downtime).await;
         self.listen().map(|_| ())
     }
 
--- a/crates/emulators/src/http.rs
+++ b/crates/emulators/src/http.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// If a partition from the zone of this address has just ended: its begin, in microseconds of Unix time. Bytes that
+    /// If a partition from the zone of this address has just ended: its start, in microseconds of Unix time. Bytes that
     /// arrive now may have been sent at any time since then.
     pub fn held_since(&self, from: IpAddr) -> Option<i64> {
         let last = *lock(&self.history).get(&zone_of(from)?)?;
@@ -83,7 +83,7 @@
             .map(|_| last.began_us)
     }
 
-    /// If a partition from the zone of this address lasts or has just ended: its begin, in microseconds of Unix time.
+    /// If a partition from the zone of this address lasts or has just ended: its start, in microseconds of Unix time.
     /// The peer may have closed connections since then without the server having noticed.
     pub fn unseen_since(&self, from: IpAddr) -> Option<i64> {
         let last = *lock(&self.history).get(&zone_of(from)?)?;
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -82,8 +82,8 @@
     }
 
     /// Sets the factor by which the duration of fetches is multiplied.
-    pub fn set_slowdown(&self, times: f64) {
-        *lock(&self.shared.slowdown) = times;
+    pub fn set_slowdown(&self, factor: f64) {
+        *lock(&self.shared.slowdown) = factor;
     }
 
     /// Writes buffered log lines to the log file.
--- a/crates/emulators/src/worker.rs
+++ b/crates/emulators/src/worker.rs
@@ -154,7 +154,8 @@
     partition: Partition,
     faults: Mutex<WorkerFaults>,
     injected: Mutex<InjectedFaults>,
-    /// State of the current process; absent while the worker is down.
+    /// State of the current process; absent after [`Worker::crash`]. After a crash by overload, the old state stays
+    /// until the restart.
     incarnation: Mutex<Option<Incarnation>>,
     server: Mutex<Option<Server>>,
     /// How often a process has been started.
@@ -162,7 +163,8 @@
 }
 
 impl WorkerShared {
-    /// Reads or changes the state of the current process under its lock; returns nothing while the worker is down.
+    /// Reads or changes the state of the current process under its lock; returns nothing if there
+    /// is no state.
     fn with_incarnation<R>(&self, action: impl FnOnce(&mut Incarnation) -> R) -> Option<R> {
         lock(&self.incarnation).as_mut().map(action)
     }
@@ -298,8 +300,8 @@
     }
 
     /// Sets the factor by which the duration of invocations is multiplied.
-    pub fn set_slowdown(&self, times: f64) {
-        lock(&self.shared.faults).slowdown = times;
+    pub fn set_slowdown(&self, factor: f64) {
+        lock(&self.shared.faults).slowdown = factor;
     }
 
     /// Sets the trigger type whose invocations are executed but not answered; `None` answers all.
@@ -323,7 +325,8 @@
             .remove_idle("evicted", |_| true, &json!({"why": "flush"}));
     }
 
-    /// Start of the current process, as Unix time in microseconds; 0 if the worker was never restarted or is down.
+    /// Start of the current process, as Unix time in microseconds; 0 if the worker was never restarted, or
+    /// after [`Worker::crash`].
     pub fn started_us(&self) -> i64 {
         self.shared
             .with_incarnation(|incarnation| incarnation.age_since_restart())
--- a/crates/emulators/src/worker/incarnation.rs
+++ b/crates/emulators/src/worker/incarnation.rs
@@ -31,7 +31,7 @@
     last_used: Instant,
     state: LoadState,
     active_time: SharedTime,
-    /// The issuer of the last load order.
+    /// The issuer of the last load order that named its issuer.
     ordered_by: OrderIssuer,
     prefixes: PrefixCache,
 }
@@ -64,7 +64,7 @@
         lanes: Arc<Semaphore>,
         state: CopyState,
     },
-    /// Too little memory or no load slot is free, or the worker is down.
+    /// Too little memory or no load slot is free, or the worker has no process.
     NoCapacity,
     /// The function is not loaded, and the caller may not load it.
     Absent,
--- a/crates/emulators/src/worker/index.rs
+++ b/crates/emulators/src/worker/index.rs
@@ -51,7 +51,7 @@
     pub busy: usize,
     /// Microseconds since the last use; 0 while the function is busy.
     pub idle_us: u64,
-    /// The issuer of the last load order for the function.
+    /// The issuer of the last load order for the function that named its issuer.
     pub ordered_by: OrderIssuer,
     /// Ids of the sequences whose prefixes are cached.
     pub sequences: Vec<String>,
@@ -92,7 +92,7 @@
             .unwrap_or_default()
     }
 
-    /// Id of the current process; 0 while the worker is down.
+    /// Id of the current process; 0 after [`Worker::crash`].
     pub fn incarnation_id(&self) -> u64 {
         self.shared
             .with_incarnation(|incarnation| incarnation.id())
--- a/crates/emulators/src/worker/inference.rs
+++ b/crates/emulators/src/worker/inference.rs
@@ -361,7 +361,7 @@
         (prefix, malfunction)
     }
 
-    /// Looks up the prefix of the sequence and logs the result; returns nothing while the worker is down.
+    /// Looks up the prefix of the sequence and logs the result; returns nothing if the worker has no process.
     fn match_prefix(&self, sequence: &Sequence) -> Option<PrefixMatch> {
         let request = &self.request;
         let found = self.worker.with_incarnation(|incarnation| {
--- a/crates/emulators/tests/worker.rs
+++ b/crates/emulators/tests/worker.rs
@@ -142,6 +142,7 @@
         .collect()
 }
 
+/// Checks loads and unloads of two versions, the entries and headers of the index, and the state after a restart.
 #[test]
 fn versions_load_side_by_side_and_the_index_names_the_order_issuer() {
     let setup = setup(4.0);
@@ -198,11 +199,12 @@
     // A new process at the same address has no loaded functions.
     let incarnation = worker.incarnation_id();
     worker.crash();
-    worker.restart().expect("up");
+    worker.restart().expect("restarted");
     assert!(functions(worker).is_empty() && worker.incarnation_id() != incarnation);
     assert_eq!(index(worker).body, json!([]));
 }
 
+/// Checks for which requests the prefix of a sequence counts as begun, found or rebuilt.
 #[test]
 fn a_sequence_finds_its_cached_prefix_only_in_the_function_that_ran_it() {
     let setup = setup(4.0);
@@ -249,6 +251,7 @@
     assert_eq!(infer(worker, old, &[], &in_sequence).1, "found");
 }
 
+/// Checks that lost orders, evictions and a falsified index take effect exactly as injected.
 #[test]
 #[expect(
     clippy::too_many_lines,
@@ -320,6 +323,8 @@
     assert_eq!(index(worker).body.as_array().map(Vec::len), Some(4));
 }
 
+/// Checks that the share of failures of a faulty version is about right and the same when repeated, and that neither
+/// another version nor a version without the fault fails.
 #[test]
 fn a_faulty_version_fails_at_its_share_and_other_versions_do_not() {
     let setup = setup(4.0);
--- a/crates/test-cluster/src/links.rs
+++ b/crates/test-cluster/src/links.rs
@@ -123,8 +123,8 @@
     /// to the new fault.
     pub fn set(&self, from: &str, to: &str, fault: LinkFault) {
         let endpoints = Endpoints::new(from, to);
-        if let Some(most_delay) = fault.delays() {
-            self.log_change(from, to, "held", true, most_delay);
+        if let Some(max_delay) = fault.delays() {
+            self.log_change(from, to, "held", true, max_delay);
         }
         if fault == LinkFault::HalfOpen {
             // The sending side does not see that the receiving side has closed, so the names are swapped.
@@ -175,10 +175,10 @@
         to: &str,
         reason: &str,
         on: bool,
-        most_delay: Option<Duration>,
+        max_delay: Option<Duration>,
     ) {
         if let Some(log) = &self.log {
-            let most_us = most_delay.map(|m| m.as_micros() as u64);
+            let most_us = max_delay.map(|m| m.as_micros() as u64);
             log.write(
                 "link",
                 json!({"from": from, "to": to, "why": reason, "on": on, "most_us": most_us}),
--- a/crates/test-cluster/tests/relays.rs
+++ b/crates/test-cluster/tests/relays.rs
@@ -116,7 +116,7 @@
 
 impl Setup {
     fn connect(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.relay.address).expect("it listens");
+        let stream = TcpStream::connect(self.relay.address).expect("the relay listens");
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         stream
     }
@@ -360,7 +360,7 @@
     drop(stream);
     setup.links.heal();
     let got: Vec<String> = (0..3)
-        .map(|_| setup.bodies.recv_timeout(TEST_TIMEOUT).expect("it comes"))
+        .map(|_| setup.bodies.recv_timeout(TEST_TIMEOUT).expect("received"))
         .collect();
     assert_eq!(
         got,
@@ -403,7 +403,7 @@
         },
     );
     let kept = send_request(1, &setup);
-    let twice = [(); 2].map(|()| setup.bodies.recv_timeout(TEST_TIMEOUT).expect("it comes"));
+    let twice = [(); 2].map(|()| setup.bodies.recv_timeout(TEST_TIMEOUT).expect("received"));
     assert_eq!(twice, ["01", "01"]);
     setup.links.set(
         "near",
--- a/crates/test-cluster/tests/router_process.rs
+++ b/crates/test-cluster/tests/router_process.rs
@@ -58,7 +58,7 @@
     setup.process.pause().expect("paused");
     let (size_when_paused, pid) = (
         size(&setup.process.state),
-        setup.process.pid().expect("it runs"),
+        setup.process.pid().expect("the process is running"),
     );
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(size(&setup.process.state), size_when_paused);
@@ -71,13 +71,17 @@
     setup.process.start(StateAtStart::Kept).expect("started");
     assert!(setup.grows());
     setup.process.terminate().expect("signalled");
-    let status = setup.process.wait(TEST_TIMEOUT).expect("it ends");
+    let status = setup.process.wait(TEST_TIMEOUT).expect("the process ends");
     assert_eq!(status.code(), Some(3), "the process handled SIGTERM itself");
     // A paused process is killed when its handle is dropped.
     setup.process.start(StateAtStart::Kept).expect("started");
     assert!(setup.grows());
     setup.process.pause().expect("paused");
-    let pid = setup.process.pid().expect("it runs").as_raw_nonzero();
+    let pid = setup
+        .process
+        .pid()
+        .expect("the process is running")
+        .as_raw_nonzero();
     drop(setup);
     assert!(!Path::new(&format!("/proc/{pid}")).exists());
 }
