--- a/crates/emulators/src/endpoint_list.rs
+++ b/crates/emulators/src/endpoint_list.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, Response, StatusCode};
 use serde_json::{Value, json};
 
-use crate::http::{Body, Partition, Server, full};
+use crate::http::{Body, Partition, Server, response_with};
 use crate::{Host, Log, lock};
 
 /// Interval at which a watcher receives a bookmark while there are no changes.
@@ -280,7 +280,7 @@
             "metadata": {"resourceVersion": state.version.to_string()},
             "items": items,
         });
-        full(StatusCode::OK, list.to_string())
+        response_with(StatusCode::OK, list.to_string())
     }
 
     /// Streams the changes after the version that the watcher has seen.
@@ -292,7 +292,7 @@
                 .first()
                 .map_or(state.version + 1, |change| change.version);
             if seen.is_none_or(|seen| seen + 1 < oldest) {
-                return full(StatusCode::GONE, "");
+                return response_with(StatusCode::GONE, "");
             }
         }
         let list = self.clone();
--- a/crates/emulators/src/http.rs
+++ b/crates/emulators/src/http.rs
@@ -31,7 +31,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Creates a response with this status and body.
-pub fn full(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
+pub fn response_with(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(Full::new(body.into()).boxed());
     *response.status_mut() = status;
     response
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -11,7 +11,7 @@
 use hyper::{Request, Response, StatusCode};
 use serde_json::json;
 
-use crate::http::{Body, Partition, Server, full};
+use crate::http::{Body, Partition, Server, response_with};
 use crate::{Host, Log, lock};
 
 /// Length in bytes of the body of each response. The duration of a fetch represents the size of the function, because
@@ -114,9 +114,9 @@
         }
         self.concurrent.fetch_sub(1, Ordering::SeqCst);
         if rejected {
-            full(StatusCode::SERVICE_UNAVAILABLE, "")
+            response_with(StatusCode::SERVICE_UNAVAILABLE, "")
         } else {
-            full(StatusCode::OK, vec![0u8; BODY_BYTES])
+            response_with(StatusCode::OK, vec![0u8; BODY_BYTES])
         }
     }
 
--- a/crates/emulators/src/worker/answers.rs
+++ b/crates/emulators/src/worker/answers.rs
@@ -10,7 +10,7 @@
 use super::incarnation::CopyState;
 use super::inference::{Inference, JSON_LENGTH_HEADER};
 use super::prefix_cache::PrefixMatch;
-use crate::http::{Body, full};
+use crate::http::{Body, response_with};
 
 impl Inference {
     /// Builds the answer. Raw tensors of the request are echoed; without raw tensors the answer has no outputs.
@@ -74,7 +74,7 @@
 }
 
 pub(super) fn answer_response(answer: StoredAnswer) -> Response<Body> {
-    let mut response = full(StatusCode::OK, answer.body);
+    let mut response = response_with(StatusCode::OK, answer.body);
     if let Some(length) = answer.json_length {
         response
             .headers_mut()
--- a/crates/emulators/src/worker/index.rs
+++ b/crates/emulators/src/worker/index.rs
@@ -10,7 +10,7 @@
 
 use super::routes::header;
 use super::{Worker, WorkerShared};
-use crate::http::{Body, full};
+use crate::http::{Body, response_with};
 
 /// Separates model name and version in the name of a function, as in paths.
 pub(super) const VERSION_SEPARATOR: &str = "/versions/";
@@ -110,7 +110,7 @@
         .collect()
         .await;
     let Ok(body) = body else {
-        return full(StatusCode::BAD_REQUEST, "");
+        return response_with(StatusCode::BAD_REQUEST, "");
     };
     let query: Value = serde_json::from_slice(&body.to_bytes()).unwrap_or_default();
     worker.until_responsive().await;
@@ -123,7 +123,7 @@
         )
     });
     let Some((incarnation, memory_used, functions)) = snapshot else {
-        return full(StatusCode::SERVICE_UNAVAILABLE, "");
+        return response_with(StatusCode::SERVICE_UNAVAILABLE, "");
     };
     let listed = functions
         .iter()
@@ -132,7 +132,7 @@
     worker
         .log
         .write("index", json!({"from": from, "entries": entries.len()}));
-    let mut response = full(StatusCode::OK, Value::from(entries).to_string());
+    let mut response = response_with(StatusCode::OK, Value::from(entries).to_string());
     let figures = [
         (INCARNATION_HEADER, incarnation),
         (MEMORY_HEADER, worker.profile.memory_mb as u64),
--- a/crates/emulators/src/worker/inference.rs
+++ b/crates/emulators/src/worker/inference.rs
@@ -27,7 +27,7 @@
 use super::routes::{header, reject};
 use super::usage::{ActiveUse, Usage, report};
 use super::{InvocationProfile, TIME_STEP, WorkerShared};
-use crate::http::{Body, full};
+use crate::http::{Body, response_with};
 use crate::lock;
 
 /// Header of the binary data extension of KServe: length in bytes of the leading JSON.
@@ -201,7 +201,7 @@
         }
         outcome.outcome = "answered";
         let mut response = if malfunction.fails {
-            full(
+            response_with(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 r#"{"error":"this version errs"}"#,
             )
@@ -259,7 +259,7 @@
             };
         }
         let mut response = response.unwrap_or_else(|| {
-            full(
+            response_with(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 "the first one has not ended",
             )
--- a/crates/emulators/src/worker/injected_faults.rs
+++ b/crates/emulators/src/worker/injected_faults.rs
@@ -92,9 +92,9 @@
 
     /// Adds, or removes, a user of the function that no router knows of, which keeps the function busy. Returns false
     /// if the function is not ready at this worker.
-    pub fn set_unseen_user(&self, function: &str, on: bool) -> bool {
+    pub fn set_unseen_user(&self, function: &str, present: bool) -> bool {
         self.shared
-            .with_incarnation(|incarnation| incarnation.set_unseen_user(function, on))
+            .with_incarnation(|incarnation| incarnation.set_unseen_user(function, present))
             .unwrap_or(false)
     }
 
--- a/crates/emulators/src/worker/orders.rs
+++ b/crates/emulators/src/worker/orders.rs
@@ -19,7 +19,7 @@
 use super::routes::header;
 use super::usage::{Usage, report};
 use super::{InvocationProfile, WorkerShared};
-use crate::http::{Body, full};
+use crate::http::{Body, response_with};
 use crate::lock;
 
 /// The result of a lookup, and the load that the caller has to spawn if the lookup began one.
@@ -176,7 +176,7 @@
 
 /// The response to a load order that succeeded.
 fn loaded() -> Response<Body> {
-    let mut response = full(StatusCode::OK, "");
+    let mut response = response_with(StatusCode::OK, "");
     response
         .headers_mut()
         .insert("cedarpulley-copies", HeaderValue::from_static("1"));
@@ -200,7 +200,7 @@
     if !worker.loses_order(function, OrderKind::Unload) {
         worker.remove_idle("unloaded", |name| name == function, &fields);
     }
-    full(StatusCode::OK, "")
+    response_with(StatusCode::OK, "")
 }
 
 fn log_order(worker: &WorkerShared, from: IpAddr, function: &str, ordered_by: &OrderIssuer) {
@@ -228,7 +228,7 @@
             "order-refused",
             json!({"function": function, "from": from.to_string()}),
         );
-        full(status, "")
+        response_with(status, "")
     };
     if worker.faults().draining {
         return rejected(StatusCode::SERVICE_UNAVAILABLE);
@@ -256,7 +256,7 @@
     let mut response = if worker.is_ready(&function) {
         loaded()
     } else {
-        full(StatusCode::INTERNAL_SERVER_ERROR, "")
+        response_with(StatusCode::INTERNAL_SERVER_ERROR, "")
     };
     report(&mut response, &usage);
     response
--- a/crates/emulators/src/worker/routes.rs
+++ b/crates/emulators/src/worker/routes.rs
@@ -10,7 +10,7 @@
 
 use super::index::VERSION_SEPARATOR;
 use super::{WorkerShared, index, inference, orders};
-use crate::http::{Body, full};
+use crate::http::{Body, response_with};
 
 /// Responds to one request of a router.
 pub(super) async fn serve(
@@ -19,15 +19,15 @@
     request: Request<Incoming>,
 ) -> Response<Body> {
     let Some(worker) = worker.upgrade() else {
-        return full(StatusCode::SERVICE_UNAVAILABLE, "");
+        return response_with(StatusCode::SERVICE_UNAVAILABLE, "");
     };
     let path = request.uri().path().to_owned();
     let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     match segments.as_slice() {
-        ["v2", "health", "live" | "ready"] => full(StatusCode::OK, ""),
+        ["v2", "health", "live" | "ready"] => response_with(StatusCode::OK, ""),
         ["v2", "models", model @ .., "ready"] => {
             let ready = function_name(model).is_some_and(|function| worker.is_ready(&function));
-            full(
+            response_with(
                 if ready {
                     StatusCode::OK
                 } else {
@@ -38,20 +38,20 @@
         }
         ["v2", "models", model @ .., "infer"] => match function_name(model) {
             Some(function) => inference::infer(worker, from, function, request).await,
-            None => full(StatusCode::NOT_FOUND, ""),
+            None => response_with(StatusCode::NOT_FOUND, ""),
         },
         ["v2", "repository", "index"] => {
             index::answer(worker, from.ip().to_string(), request).await
         }
         ["v2", "repository", "models", model @ .., "load"] => match function_name(model) {
             Some(function) => orders::load(worker, from.ip(), function, request).await,
-            None => full(StatusCode::NOT_FOUND, ""),
+            None => response_with(StatusCode::NOT_FOUND, ""),
         },
         ["v2", "repository", "models", model @ .., "unload"] => match function_name(model) {
             Some(function) => orders::unload(&worker, from.ip(), &function, &request),
-            None => full(StatusCode::NOT_FOUND, ""),
+            None => response_with(StatusCode::NOT_FOUND, ""),
         },
-        _ => full(StatusCode::NOT_FOUND, ""),
+        _ => response_with(StatusCode::NOT_FOUND, ""),
     }
 }
 
@@ -71,7 +71,7 @@
 
 /// A response that tells the router that the invocation was not executed.
 pub(super) fn reject(status: StatusCode) -> Response<Body> {
-    let mut response = full(status, "");
+    let mut response = response_with(status, "");
     response
         .headers_mut()
         .insert("cedarpulley-ran", HeaderValue::from_static("no"));
--- a/crates/test-cluster/src/cluster.rs
+++ b/crates/test-cluster/src/cluster.rs
@@ -268,11 +268,11 @@
         self.log.write("upgrade-over", json!({"models": models}));
     }
 
-    /// Sets a fault on all links between the routers in `which`. With `one_way`, only the directions from the first of
+    /// Sets a fault on all links between the given routers. With `one_way`, only the directions from the first of
     /// them to the others get the fault.
-    pub fn set_peer_faults(&self, which: &[usize], one_way: bool, fault: LinkFault) {
-        for (position, one) in which.iter().enumerate() {
-            for other in &which[position + 1..] {
+    pub fn set_peer_faults(&self, routers: &[usize], one_way: bool, fault: LinkFault) {
+        for (position, one) in routers.iter().enumerate() {
+            for other in &routers[position + 1..] {
                 if one_way && position == 0 {
                     self.links
                         .set(&self.router_name(*one), &self.router_name(*other), fault);
--- a/crates/test-cluster/tests/relays.rs
+++ b/crates/test-cluster/tests/relays.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use cedarpulley_emulators::Host;
-use cedarpulley_emulators::http::{Partition, Server, full};
+use cedarpulley_emulators::http::{Partition, Server, response_with};
 use cedarpulley_test_cluster::links::{LinkFault, Links};
 use cedarpulley_test_cluster::relay::{Relay, RelayConfig, RelayMode};
 use cedarpulley_test_cluster::until;
@@ -59,7 +59,7 @@
                         .expect("a body")
                         .to_bytes();
                     let _ = received.send(String::from_utf8_lossy(&body).into_owned());
-                    full(StatusCode::OK, body)
+                    response_with(StatusCode::OK, body)
                 }
             };
             let server =
