--- a/crates/cli/src/emulator.rs
+++ b/crates/cli/src/emulator.rs
@@ -1,4 +1,4 @@
-//! `cedarpulley standin ...`: one emulator of a surrounding system in the foreground, for trials by hand.
+//! `cedarpulley standin ...`: runs one emulator of a surrounding system in the foreground, for manual trials.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
     List(ListArgs),
 }
 
-// The arguments have no doc comments: they would be printed as the subcommands' help.
+// The argument types have no doc comments: clap would print them as the help of the subcommands.
 
 #[derive(Args)]
 pub struct BrokerArgs {
@@ -74,7 +74,7 @@
     logs: Option<PathBuf>,
 }
 
-/// Prints where the emulator listens, and keeps it alive until the process is ended.
+/// Prints the address at which the emulator listens, and keeps it running until the process is killed.
 fn run_forever(name: &str, address: SocketAddr) -> ! {
     print_line!("{name} at {address}");
     loop {
@@ -82,7 +82,7 @@
     }
 }
 
-/// Emulators have no access control: they listen on loopback only.
+/// Rejects addresses outside loopback, as emulators have no access control.
 fn require_loopback(address: SocketAddr) -> Result<SocketAddr, CliError> {
     if address.ip().is_loopback() {
         Ok(address)
@@ -91,6 +91,7 @@
     }
 }
 
+/// The runtime of an emulator, which writes its logs into the folder `logs` if one is given.
 fn host(logs: Option<PathBuf>) -> Result<Host, CliError> {
     Host::new(2, logs.as_deref()).map_err(CliError::EmulatorStart)
 }
@@ -161,7 +162,7 @@
     run_forever("list", list.server.address)
 }
 
-/// The list entry of a worker in service.
+/// The entry of a worker in service in the endpoint list.
 fn in_service(address: SocketAddr) -> EndpointRecord {
     EndpointRecord {
         address,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,10 @@
-//! The command line `cedarpulley`. Exit codes: 0 success; 1 an invariant does not hold or a comparison found a
-//! difference; 2 bad arguments, settings or input, with one line a cause on standard error.
+//! The command line `cedarpulley`.
+//!
+//! Exit codes: 0 on success; 1 if an invariant does not hold or a comparison found a difference; 2 if arguments,
+//! settings or input are invalid, with one line for each cause on standard error.
 
-/// Prints a line on standard output. That its reader has closed it is no error and does not change the exit code.
+/// Prints a line on standard output. Write errors are ignored: a reader that has closed its end of the pipe does not
+/// change the exit code.
 macro_rules! print_line {
     ($($text:tt)*) => {{
         let line = format!($($text)*);
@@ -114,7 +117,8 @@
     let subscriber = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr);
-    // Symptom: the disk of the log is full, saying so on the same log fails too, and the process ends by a panic.
+    // Without this, a full disk of the log ends the process: reporting the failed write goes to the same log, fails
+    // too, and panics.
     let subscriber = subscriber.log_internal_errors(false);
     if json {
         subscriber.json().init()
@@ -123,7 +127,7 @@
     }
 }
 
-/// False if what the command checks does not hold.
+/// Runs a command; false if what it checks does not hold (exit code 1).
 fn execute(command: Command) -> Result<bool, CliError> {
     match command {
         Command::Serve {
@@ -140,7 +144,7 @@
         }),
         Command::Standin { kind } => emulator::run(kind).map(|()| true),
         Command::Day(args) => {
-            fault_named(&args.tamper)?;
+            injected_fault(&args.tamper)?;
             scenario::play(args)
         }
         Command::Measure(args) => measure::run(&args).map(|()| true),
@@ -152,21 +156,21 @@
 
 fn fail(error: &CliError) -> ExitCode {
     match error {
-        // Whole lines already.
+        // Has one complete line for each cause already.
         CliError::Settings(_) => eprintln!("{error}"),
         _ => eprintln!("{}", error.line()),
     }
     ExitCode::from(2)
 }
 
-/// Reads a settings file; `rig` also accepts the settings that only tests write.
+/// Reads a settings file; with `rig`, settings that only tests write are accepted too.
 fn read_settings(path: &Path, rig: bool) -> Result<RouterSettings, CliError> {
     let text = std::fs::read_to_string(path).map_err(CliError::file(path))?;
     settings::read(&path.display().to_string(), &text, rig).map_err(CliError::Settings)
 }
 
-/// The fault that `--tamper` names, if it is given.
-fn fault_named(tamper: &Option<String>) -> Result<Option<InjectedFault>, CliError> {
+/// The fault that `--tamper` names; none if the option is absent.
+fn injected_fault(tamper: &Option<String>) -> Result<Option<InjectedFault>, CliError> {
     match tamper {
         None => Ok(None),
         Some(name) => InjectedFault::from_name(name)
@@ -176,7 +180,7 @@
 }
 
 fn serve(path: &Path, tamper: Option<String>, rig: bool) -> Result<bool, CliError> {
-    let (settings, fault) = (read_settings(path, rig)?, fault_named(&tamper)?);
+    let (settings, fault) = (read_settings(path, rig)?, injected_fault(&tamper)?);
     let router_name = path
         .file_stem()
         .map(|stem| stem.to_string_lossy().into_owned())
@@ -189,7 +193,7 @@
     })
 }
 
-/// Checks the invariants of a run that was left in a folder.
+/// Checks the invariants of an earlier run from the files in its folder.
 fn audit(folder: &Path, json: bool) -> Result<bool, CliError> {
     let verdict = cedarpulley_invariant_checker::check(folder)?;
     scenario::print_verdict(&verdict, json)?;
--- a/crates/cli/src/trace/compare.rs
+++ b/crates/cli/src/trace/compare.rs
@@ -1,5 +1,5 @@
-//! `trace replay --all` and `--against`: every decision of this build, compared with what was recorded or with what
-//! another build decides about the same events.
+//! `trace replay --all` and `--against`: compares every decision of this build with the recorded decision, or with the
+//! decision that another build makes on the same events.
 
 use std::fs::File;
 use std::io::BufReader;
@@ -60,7 +60,7 @@
     comparison
 }
 
-/// Lets another build decide about the same events; it leaves a file for each incarnation in `out`.
+/// Runs `trace redo` of another build on the same events, which writes a file for each incarnation into `out`.
 fn redo_with_build(program: &Path, files: &[PathBuf], out: &Path) -> Result<(), CliError> {
     let output = Command::new(program)
         .args(["trace", "redo", "--out"])
@@ -77,12 +77,12 @@
         first_line: stderr
             .lines()
             .next()
-            .unwrap_or("it said nothing")
+            .unwrap_or("no output on standard error")
             .to_owned(),
     })
 }
 
-/// With what was recorded, or with what another build has left in the folder `redone`.
+/// Compares with the recorded decisions, or with those that another build has written into the folder `redone`.
 fn compare_incarnations(
     files: &[PathBuf],
     redone: Option<&Path>,
@@ -107,7 +107,7 @@
     let result = replay_steps(&mut incarnation.readers, |step| {
         let ReplayStep::Decided {
             at,
-            event: happened,
+            event: own_event,
             recorded,
             replayed,
         } = step
@@ -120,12 +120,12 @@
         };
         let Some((other_at, other_event, other_actions)) = other_decisions.next()? else {
             return Err(Error::OtherBuild {
-                how: "went less far",
+                how: "recorded fewer decisions",
             });
         };
-        if other_at != at || describe_event(&other_event) != describe_event(&happened) {
+        if other_at != at || describe_event(&other_event) != describe_event(&own_event) {
             return Err(Error::OtherBuild {
-                how: "was not told the same",
+                how: "received other events",
             });
         }
         comparison.decision(&other_actions, &replayed);
--- a/crates/cli/src/trace/explain.rs
+++ b/crates/cli/src/trace/explain.rs
@@ -1,4 +1,4 @@
-//! `trace explain`: for each lost or late invocation its one cause, summed by cause and ranked by cost.
+//! `trace explain`: attributes each lost or late invocation to one cause, sums by cause and ranks the causes by cost.
 
 use std::path::PathBuf;
 
@@ -7,10 +7,11 @@
 use super::input::TraceFile;
 use crate::error::CliError;
 
-/// Prints the causes, dearest first, of the invocations in this span of wall time (microseconds since 1970).
+/// Prints the causes of the lost and late invocations in this span of wall time (microseconds since 1970), those with
+/// the highest cost first.
 pub fn explain(files: &[PathBuf], span_us: (i64, i64), json: bool) -> Result<(), CliError> {
     let mut explain = CauseRanker::default();
-    // Sources are numbered on over all files.
+    // Source numbers continue from one file to the next, so that they are unique.
     let mut first_source = 0;
     for path in files {
         let mut file = TraceFile::open(path)?;
--- a/crates/cli/src/trace/input.rs
+++ b/crates/cli/src/trace/input.rs
@@ -1,4 +1,4 @@
-//! Reading trace files: which are meant, their records, and the files of one router's incarnation together.
+//! Reads trace files: finds them in folders, visits their records, and groups the files of one incarnation of a router.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -31,30 +31,32 @@
     }
 }
 
-/// Opens a trace file and reads its head.
+/// Opens a trace file and reads its header.
 pub fn open(file: &Path) -> Result<FileReader, CliError> {
     let input = File::open(file).map_err(CliError::file(file))?;
     Reader::open(BufReader::new(input)).map_err(CliError::trace(file.display()))
 }
 
-/// One record, and the router's incarnation that wrote it.
+/// One record, and the incarnation of a router that wrote it.
 pub struct RecordInFile<'a> {
     /// Index of `source` in the file.
     pub source_index: u32,
+    /// The incarnation that wrote the record.
     pub source: &'a Source,
-    /// By the source's clock, in microseconds.
+    /// Time by the source's clock, in microseconds.
     pub at: i64,
+    /// The record itself.
     pub record: &'a Record,
 }
 
-/// A trace file to be read from its first record to its last.
+/// A trace file that is read once, from its first record to its last.
 pub struct TraceFile<'a> {
     path: &'a Path,
     reader: FileReader,
 }
 
 impl<'a> TraceFile<'a> {
-    /// Opens the file and reads its head.
+    /// Opens the file and reads its header.
     pub fn open(path: &'a Path) -> Result<Self, CliError> {
         let reader = open(path)?;
         Ok(TraceFile { path, reader })
@@ -65,7 +67,7 @@
         &self.reader.sources
     }
 
-    /// Visits every readable record in the file's order; gives the number of damaged blocks.
+    /// Calls `visit` with every readable record in file order; returns the number of damaged blocks.
     pub fn for_each_record(
         &mut self,
         mut visit: impl FnMut(RecordInFile),
@@ -78,14 +80,11 @@
             .map_err(CliError::trace(self.path.display()))?
         {
             match found {
-                BlockRead::Block {
-                    records,
-                    location: place,
-                } => {
-                    let source = &sources[place.source as usize];
+                BlockRead::Block { records, location } => {
+                    let source = &sources[location.source as usize];
                     for (at, record) in &records {
                         visit(RecordInFile {
-                            source_index: place.source,
+                            source_index: location.source,
                             source,
                             at: *at,
                             record,
@@ -101,13 +100,16 @@
 
 /// All files of one incarnation of a router, in the order in which it wrote them.
 pub struct IncarnationFiles {
+    /// Name of the router.
     pub router: String,
-    /// Wall clock at the zero of its own clock, in microseconds since 1970.
+    /// Wall time at the zero of the incarnation's own clock, in microseconds since 1970.
     pub wall_at_zero: i64,
+    /// A reader for each file.
     pub readers: Vec<FileReader>,
 }
 
-/// Sorts the files by router and incarnation. The same router name and start in two folders are two incarnations.
+/// Groups the files by router and incarnation. Files in different folders belong to different incarnations, even with
+/// the same router name and start time.
 pub fn by_incarnation(files: &[PathBuf]) -> Result<Vec<IncarnationFiles>, CliError> {
     let mut incarnations: BTreeMap<(PathBuf, String, i64), Vec<(u64, FileReader)>> =
         BTreeMap::new();
--- a/crates/cli/src/trace/mod.rs
+++ b/crates/cli/src/trace/mod.rs
@@ -1,5 +1,5 @@
-//! `cedarpulley trace ...`: from files alone, what happened and what was decided. One module a job; every function
-//! that a subcommand ends in prints its result on standard output.
+//! `cedarpulley trace ...`: shows from trace files alone what happened and what was decided. Related subcommands share
+//! a module; the function that implements a subcommand prints the result on standard output.
 
 mod compare;
 mod explain;
@@ -95,7 +95,7 @@
     },
 }
 
-/// Seconds, as given on the command line, in microseconds.
+/// Converts seconds, as given on the command line, to microseconds.
 fn micros(seconds: f64) -> i64 {
     (seconds * 1e6) as i64
 }
--- a/crates/cli/src/trace/output.rs
+++ b/crates/cli/src/trace/output.rs
@@ -1,4 +1,4 @@
-//! Writing files so that a half-written one never bears the final name.
+//! Writes files atomically: a partly written file never has the final name.
 
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -6,8 +6,8 @@
 
 use crate::error::CliError;
 
-/// Lets `write` fill a temporary file beside `out`, and renames it to `out` once it is complete; on an error the
-/// temporary file is removed.
+/// Calls `write` on a temporary file in the folder of `out`, and renames that file to `out` once it is complete; removes
+/// it if `write` fails.
 pub fn write_atomically<T>(
     out: &Path,
     write: impl FnOnce(&mut BufWriter<File>) -> Result<T, CliError>,
--- a/crates/cli/src/trace/replay.rs
+++ b/crates/cli/src/trace/replay.rs
@@ -1,4 +1,4 @@
-//! `trace replay` and `trace redo`: this build's decision module, driven with recorded events.
+//! `trace replay` and `trace redo`: feed recorded events to the balancer of this build.
 
 use std::path::{Path, PathBuf};
 
@@ -9,12 +9,12 @@
 use super::output::write_atomically;
 use crate::error::CliError;
 
-/// The file in `folder` that `trace redo` writes for the incarnation with this index in the order of its input.
+/// The file in `folder` that `trace redo` writes for an incarnation, named by the index of the incarnation in the input.
 pub fn redone_file(folder: &Path, incarnation_index: usize) -> PathBuf {
     folder.join(format!("{incarnation_index:05}.trace"))
 }
 
-/// Writes each incarnation anew into the folder `out`, with this build's decisions.
+/// Writes the events of each incarnation into a new file in the folder `out`, with the decisions of this build.
 pub fn redo(files: &[PathBuf], out: &Path) -> Result<(), CliError> {
     std::fs::create_dir_all(out).map_err(CliError::file(out))?;
     for (index, mut incarnation) in by_incarnation(files)?.into_iter().enumerate() {
@@ -37,7 +37,7 @@
     Ok(())
 }
 
-/// Replays each incarnation up to its first decision that differs; true if none does.
+/// Replays each incarnation up to the first decision that differs from the recorded one; true if none differs.
 pub fn replay_until_difference(files: &[PathBuf]) -> Result<bool, CliError> {
     let mut all_same = true;
     for incarnation in by_incarnation(files)? {
--- a/crates/cli/src/trace/rewrite.rs
+++ b/crates/cli/src/trace/rewrite.rs
@@ -1,4 +1,4 @@
-//! `trace cut`, `trace strip` and `trace merge`: new trace files from old ones.
+//! `trace cut`, `trace strip` and `trace merge`: write new trace files from existing ones.
 
 use std::fs::File;
 use std::io::BufWriter;
@@ -16,10 +16,10 @@
 use super::output::write_atomically;
 use crate::error::CliError;
 
-/// Shorter secrets are found by trying. In bytes.
-const LEAST_SECRET: usize = 16;
+/// Shortest secret for pseudonyms, in bytes: shorter secrets can be found by brute force.
+const MIN_SECRET_BYTES: usize = 16;
 
-// No doc comment: it would be printed as the subcommand's help.
+// No doc comment: clap would print it as the help of the subcommand.
 #[derive(Args)]
 pub struct CutArgs {
     file: PathBuf,
@@ -42,7 +42,7 @@
     invocation: Option<String>,
 }
 
-/// Copies the selected part of a file; true if no block of it is damaged.
+/// Copies the selected part of a file; true if no block that was read is damaged.
 pub fn cut(args: CutArgs) -> Result<bool, CliError> {
     let selection = SelectionCriteria {
         from: args.from.map(micros),
@@ -57,20 +57,20 @@
     })
 }
 
-/// Copies a file with pseudonyms, made with the secret in the file `key`, in place of names; true if no block of it
-/// is damaged.
+/// Copies a file and replaces names by pseudonyms, which are derived from the secret in the file `key`; true if no
+/// block of the file is damaged.
 pub fn strip(file: &Path, out: &Path, key: &Path) -> Result<bool, CliError> {
     let secret = std::fs::read(key).map_err(CliError::file(key))?;
-    if secret.len() < LEAST_SECRET {
+    if secret.len() < MIN_SECRET_BYTES {
         return Err(CliError::SecretTooShort {
             file: key.display().to_string(),
             size: secret.len(),
-            least: LEAST_SECRET,
+            least: MIN_SECRET_BYTES,
         });
     }
-    let mut strip = Pseudonymizer::new(&secret);
+    let mut pseudonymizer = Pseudonymizer::new(&secret);
     rewrite_file(file, out, |reader, writer| {
-        rewrite::strip(reader, &mut strip, writer)
+        rewrite::strip(reader, &mut pseudonymizer, writer)
     })
 }
 
@@ -92,8 +92,8 @@
     Ok(result.damaged == 0)
 }
 
-/// Writes one file with the records of all, ordered by their clocks, which are aligned first unless `as_is`; true if
-/// no block is damaged.
+/// Writes the records of all files into one file, ordered by time. The clocks of the files are aligned first, unless
+/// `as_is`. True if no block is damaged.
 pub fn merge(files: &[PathBuf], out: &Path, as_is: bool) -> Result<bool, CliError> {
     let mut readers = Vec::new();
     for file in files {
@@ -113,7 +113,7 @@
     Ok(damaged == 0)
 }
 
-/// How far each file's clock is ahead, in microseconds; 0 where it cannot be estimated.
+/// By how many microseconds the clock of each file is ahead; 0 for a file whose offset cannot be estimated.
 fn estimate_offsets(files: &[PathBuf], readers: &mut [FileReader]) -> Result<Vec<i64>, CliError> {
     let mut offsets = Offsets::default();
     for (reader, file) in readers.iter_mut().zip(files) {
--- a/crates/cli/src/trace/rules.rs
+++ b/crates/cli/src/trace/rules.rs
@@ -1,4 +1,4 @@
-//! `trace rules`: checks the recorded decisions against the rules that a trace can show.
+//! `trace rules`: checks the recorded decisions against those delivery rules that can be checked from a trace.
 
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -8,9 +8,9 @@
 use super::input::TraceFile;
 use crate::error::CliError;
 
-/// Prints what breaks a rule; true if nothing does.
+/// Prints all violations of the rules; true if there are none.
 pub fn check_rules(files: &[PathBuf], json: bool) -> Result<bool, CliError> {
-    // Sources are numbered on over all files.
+    // Source numbers continue from one file to the next, so that they are unique.
     let (mut rules, mut all_sources) = (RuleChecker::default(), HashMap::new());
     for path in files {
         let mut file = TraceFile::open(path)?;
--- a/crates/cli/src/trace/show.rs
+++ b/crates/cli/src/trace/show.rs
@@ -1,4 +1,4 @@
-//! `trace show`: the history of the invocation with a given mark, over all files.
+//! `trace show`: prints the history of one invocation from all files.
 
 use std::path::PathBuf;
 
@@ -7,7 +7,7 @@
 use super::input::TraceFile;
 use crate::error::CliError;
 
-/// Prints, in order of time, all that the files have of the invocation with this mark (correlation id, request id).
+/// Prints all records about the invocation with this name (correlation id or request id), in order of time.
 pub fn show(mark: &str, files: &[PathBuf]) -> Result<(), CliError> {
     let mut lines = Vec::new();
     for path in files {
--- a/crates/cli/src/trace/summary.rs
+++ b/crates/cli/src/trace/summary.rs
@@ -1,4 +1,4 @@
-//! `trace summary` and `trace chart`: counts and times, as text, JSON or a drawing.
+//! `trace summary` and `trace chart`: counts and times, as text, JSON or an SVG chart.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 use super::output::write_atomically;
 use crate::error::CliError;
 
-/// Counts every record of every file, and shows each to `visit` as well.
+/// Counts every record of every file, and passes each to `visit` as well.
 fn count(
     files: &[PathBuf],
     counter: &mut SummaryBuilder,
@@ -41,7 +41,7 @@
     Ok(())
 }
 
-/// Writes the drawing (SVG) to `out` and prints its path.
+/// Writes the chart as SVG to `out` and prints its path.
 pub fn chart(files: &[PathBuf], out: &Path) -> Result<(), CliError> {
     let (mut counter, mut timeline) = (SummaryBuilder::default(), Timeline::default());
     count(files, &mut counter, |entry| {
--- a/crates/cli/src/trace/verify.rs
+++ b/crates/cli/src/trace/verify.rs
@@ -1,4 +1,4 @@
-//! `trace verify`: reads whole files and reports damaged blocks and cut ends.
+//! `trace verify`: reads whole files and reports damaged blocks and truncated ends.
 
 use std::path::{Path, PathBuf};
 
@@ -8,7 +8,7 @@
 use super::input::{FileReader, open};
 use crate::error::CliError;
 
-/// True if no file is damaged or cut.
+/// Reads every file and prints a line for it; true if no file is damaged or truncated.
 pub fn verify(files: &[PathBuf]) -> Result<bool, CliError> {
     let mut all_intact = true;
     for file in files {
