--- a/crates/cli/src/scenario/faults.rs
+++ b/crates/cli/src/scenario/faults.rs
@@ -16,31 +16,31 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// Until the endpoint list has noticed that a worker crashed.
-const CRASH_DETECTED: Duration = Duration::from_millis(800);
-/// How long a worker stays up after the endpoint list said that it drains.
-const DRAIN_LASTS: Duration = Duration::from_secs(2);
+/// Time from the crash of a worker until it is removed from the endpoint list.
+const CRASH_DETECTION_DELAY: Duration = Duration::from_millis(800);
+/// How long a worker keeps running after the endpoint list has published that it drains.
+const DRAIN_DURATION: Duration = Duration::from_secs(2);
 
-/// One fault of a scenario, with what it strikes.
+/// One fault of a scenario, with the workers that it affects.
 pub struct FaultInjection<'a> {
     cluster: &'a Arc<Cluster>,
     fault: &'a ScenarioFault,
     zones: &'a [String],
-    lasts: Duration,
-    /// Indices of the workers that it strikes.
-    struck: Vec<usize>,
+    duration: Duration,
+    /// Indices of the affected workers.
+    affected: Vec<usize>,
     random: Pcg64Mcg,
 }
 
 impl<'a> FaultInjection<'a> {
-    /// Draws the workers that the fault strikes, unless the scenario names them.
+    /// Draws the affected workers at random, unless the scenario names them.
     pub fn new(
         cluster: &'a Arc<Cluster>,
         fault: &'a ScenarioFault,
         zones: &'a [String],
         mut random: Pcg64Mcg,
     ) -> Self {
-        let struck = (0..cluster.workers.len())
+        let affected = (0..cluster.workers.len())
             .filter(|worker| {
                 fault.which.contains(worker)
                     || fault.which.is_empty() && random.random::<f64>() < fault.part
@@ -50,17 +50,17 @@
             cluster,
             fault,
             zones,
-            lasts: Duration::from_secs_f64(fault.for_s),
-            struck,
+            duration: Duration::from_secs_f64(fault.for_s),
+            affected,
             random,
         }
     }
 
-    /// Begins the fault and, if it lasts, ends it.
+    /// Starts the fault and, if it has a duration, ends it.
     pub async fn inject(mut self) {
         match self.fault.what {
             FaultKind::Hang => {
-                self.while_it_lasts(
+                self.apply_for_duration(
                     |worker| worker.set_hanging(true),
                     |worker| worker.set_hanging(false),
                 )
@@ -68,7 +68,7 @@
             }
             FaultKind::Slow => {
                 let factor = self.fault.size;
-                self.while_it_lasts(
+                self.apply_for_duration(
                     |worker| worker.set_slowdown(factor),
                     |worker| worker.set_slowdown(1.0),
                 )
@@ -76,7 +76,7 @@
             }
             FaultKind::ClassFail => {
                 let trigger = self.fault.trigger.as_deref();
-                self.while_it_lasts(
+                self.apply_for_duration(
                     |worker| worker.stop_answering(trigger),
                     |worker| worker.stop_answering(None),
                 )
@@ -87,7 +87,7 @@
             FaultKind::Preempt => self.preempt_workers().await,
             FaultKind::DrainWave => self.drain_workers_in_turn().await,
             FaultKind::ZoneCut => self.cut_zone().await,
-            FaultKind::Flush => self.struck_workers().for_each(Worker::evict_all_idle),
+            FaultKind::Flush => self.affected_workers().for_each(Worker::evict_all_idle),
             FaultKind::StoreSlow => self.slow_store().await,
             FaultKind::ListLate => self.delay_list().await,
             FaultKind::ChannelDrop => self.drop_channels(),
@@ -98,7 +98,7 @@
             FaultKind::RouterPause => self.pause_routers().await,
             FaultKind::StaleState => self.restore_older_state().await,
             FaultKind::PeerCut | FaultKind::RegionCut => self.partition().await,
-            // These are in the arrivals.
+            // These faults are part of the generated arrivals.
             FaultKind::HotFunction
             | FaultKind::Scan
             | FaultKind::TrafficShift
@@ -107,74 +107,78 @@
         }
     }
 
-    fn struck_workers(&self) -> impl Iterator<Item = &Worker> {
-        self.struck
+    fn affected_workers(&self) -> impl Iterator<Item = &Worker> {
+        self.affected
             .iter()
             .map(|worker| &self.cluster.workers[*worker])
     }
 
-    async fn while_it_lasts(&self, begin: impl Fn(&Worker), end: impl Fn(&Worker)) {
-        self.struck_workers().for_each(begin);
-        Timer::after(self.lasts).await;
-        self.struck_workers().for_each(end);
+    /// Calls `start` for each affected worker, and `end` when the duration of the fault is over.
+    async fn apply_for_duration(&self, start: impl Fn(&Worker), end: impl Fn(&Worker)) {
+        self.affected_workers().for_each(start);
+        Timer::after(self.duration).await;
+        self.affected_workers().for_each(end);
     }
 
+    /// Repeatedly pauses the workers for `size` seconds and lets them run for twice as long.
     async fn pause_workers_repeatedly(&self) {
-        let until = Instant::now() + self.lasts;
+        let until = Instant::now() + self.duration;
         while Instant::now() < until {
-            self.struck_workers()
+            self.affected_workers()
                 .for_each(|worker| worker.set_paused(true));
             Timer::after(Duration::from_secs_f64(self.fault.size)).await;
-            self.struck_workers()
+            self.affected_workers()
                 .for_each(|worker| worker.set_paused(false));
             Timer::after(Duration::from_secs_f64(self.fault.size * 2.0)).await;
         }
     }
 
     async fn crash_workers(&self) {
-        self.struck_workers().for_each(Worker::crash);
-        Timer::after(CRASH_DETECTED.min(self.lasts)).await;
+        self.affected_workers().for_each(Worker::crash);
+        Timer::after(CRASH_DETECTION_DELAY.min(self.duration)).await;
         self.remove_from_list();
-        Timer::after(self.lasts.saturating_sub(CRASH_DETECTED)).await;
-        self.start_workers_again();
+        Timer::after(self.duration.saturating_sub(CRASH_DETECTION_DELAY)).await;
+        self.restart_workers();
     }
 
-    /// They are said to drain, crash after the notice period, and come back.
+    /// Publishes the workers as draining, crashes them after the notice period (`size`, in milliseconds), and restarts
+    /// them one duration of the fault later.
     async fn preempt_workers(&self) {
-        for &worker in &self.struck {
+        for &worker in &self.affected {
             self.cluster
                 .update_endpoint(worker, |entry| entry.draining = true);
         }
         Timer::after(Duration::from_secs_f64(self.fault.size / 1e3)).await;
-        self.struck_workers().for_each(Worker::crash);
+        self.affected_workers().for_each(Worker::crash);
         self.remove_from_list();
-        Timer::after(self.lasts).await;
-        self.start_workers_again();
+        Timer::after(self.duration).await;
+        self.restart_workers();
     }
 
     fn remove_from_list(&self) {
-        self.struck
+        self.affected
             .iter()
             .for_each(|worker| self.cluster.withdraw_worker(*worker));
     }
 
-    fn start_workers_again(&self) {
-        self.struck
+    fn restart_workers(&self) {
+        self.affected
             .iter()
             .for_each(|worker| self.cluster.restart_worker(*worker));
     }
 
+    /// Drains and restarts each affected worker; the workers begin to drain `size` seconds apart.
     async fn drain_workers_in_turn(&self) {
-        for &worker in &self.struck {
-            let (cluster, lasts) = (self.cluster.clone(), self.lasts);
+        for &worker in &self.affected {
+            let (cluster, downtime) = (self.cluster.clone(), self.duration);
             let drain_and_restart = async move {
                 cluster.update_endpoint(worker, |entry| entry.draining = true);
-                Timer::after(DRAIN_LASTS / 2).await;
+                Timer::after(DRAIN_DURATION / 2).await;
                 cluster.workers[worker].drain();
-                Timer::after(DRAIN_LASTS / 2).await;
+                Timer::after(DRAIN_DURATION / 2).await;
                 cluster.workers[worker].crash();
                 cluster.withdraw_worker(worker);
-                Timer::after(lasts).await;
+                Timer::after(downtime).await;
                 cluster.restart_worker(worker);
             };
             let executor = &self.cluster.host.executor;
@@ -183,7 +187,7 @@
         }
     }
 
-    /// Workers in the zone hear no router outside of it.
+    /// Partitions the workers in the zone from all routers outside of it.
     async fn cut_zone(&self) {
         let zone = self
             .fault
@@ -199,7 +203,7 @@
         inside
             .iter()
             .for_each(|worker| workers[*worker].partition_from(!(1 << zone)));
-        Timer::after(self.lasts).await;
+        Timer::after(self.duration).await;
         inside
             .iter()
             .for_each(|worker| workers[*worker].partition_from(0));
@@ -207,44 +211,44 @@
 
     async fn slow_store(&self) {
         self.cluster.store.set_slowdown(self.fault.size);
-        Timer::after(self.lasts).await;
+        Timer::after(self.duration).await;
         self.cluster.store.set_slowdown(1.0);
     }
 
     async fn delay_list(&self) {
         let delay = Duration::from_secs_f64(self.fault.size);
         self.cluster.list.set_delay(delay);
-        Timer::after(self.lasts).await;
+        Timer::after(self.duration).await;
         self.cluster.list.set_delay(Duration::ZERO);
     }
 
     async fn restart_broker(&self) {
-        if let Err(error) = self.cluster.broker.restart(self.lasts).await {
-            tracing::error!(cause = %error, "the broker did not come back");
+        if let Err(error) = self.cluster.broker.restart(self.duration).await {
+            tracing::error!(cause = %error, "the broker could not be restarted");
         }
     }
 
     async fn block_broker(&self) {
         self.cluster.broker.set_blocked(true);
-        Timer::after(self.lasts).await;
+        Timer::after(self.duration).await;
         self.cluster.broker.set_blocked(false);
     }
 
     fn drop_channels(&mut self) {
-        let struck = self.draw_clients();
+        let affected = self.draw_clients();
         self.cluster
             .broker
-            .drop_channels(|client| struck[last_octet(client)]);
+            .drop_channels(|client| affected[last_octet(client)]);
     }
 
     fn drop_connections(&mut self) {
-        let struck = self.draw_clients();
-        self.cluster
-            .broker
-            .drop_connections(|client| client.starts_with("127.0.1") && struck[last_octet(client)]);
+        let affected = self.draw_clients();
+        self.cluster.broker.drop_connections(|client| {
+            client.starts_with("127.0.1") && affected[last_octet(client)]
+        });
     }
 
-    /// Whether the fault strikes a client of the broker, by the last octet of the client's address.
+    /// Draws whether the fault affects a client of the broker, for each last octet of a client's address.
     fn draw_clients(&mut self) -> Vec<bool> {
         (0..256)
             .map(|_| self.random.random::<f64>() < self.fault.part)
@@ -256,7 +260,7 @@
         routers
             .iter()
             .for_each(|router| cluster.kill_router(*router));
-        Timer::after(self.lasts).await;
+        Timer::after(self.duration).await;
         routers
             .iter()
             .for_each(|router| log_failure(cluster.start_router(*router, StateAtStart::Kept)));
@@ -267,40 +271,43 @@
         routers
             .iter()
             .for_each(|router| log_failure(cluster.pause_router(*router, true)));
-        Timer::after(self.lasts).await;
+        Timer::after(self.duration).await;
         routers
             .iter()
             .for_each(|router| log_failure(cluster.pause_router(*router, false)));
     }
 
-    /// Copies the routers' state as the fault begins, kills them half of its time later, and starts them with the
-    /// copy at its end.
+    /// Copies the state of the routers when the fault starts, kills the routers after half of its duration, and starts
+    /// them with the copied state at its end.
     async fn restore_older_state(&self) {
         let (cluster, routers) = (self.cluster, &self.fault.which);
         for &router in routers {
-            let copied = lock(&cluster.routers[router]).copy_state(&self.older_state(router));
+            let copied =
+                lock(&cluster.routers[router]).copy_state(&self.older_state_folder(router));
             log_failure(copied.map_err(|source| ClusterError::Router {
                 number: router,
                 source,
             }));
         }
-        Timer::after(self.lasts / 2).await;
+        Timer::after(self.duration / 2).await;
         routers
             .iter()
             .for_each(|router| cluster.kill_router(*router));
-        Timer::after(self.lasts / 2).await;
+        Timer::after(self.duration / 2).await;
         for &router in routers {
-            let copy = self.older_state(router);
+            let copy = self.older_state_folder(router);
             log_failure(cluster.start_router(router, StateAtStart::Older(&copy)));
         }
     }
 
-    fn older_state(&self, router: usize) -> PathBuf {
+    /// The folder for the copied state of a router.
+    fn older_state_folder(&self, router: usize) -> PathBuf {
         self.cluster
             .folder()
             .join(format!("routers/older-state-{router}"))
     }
 
+    /// Holds or loses the messages on the links of a region, or between the routers of the group.
     async fn partition(&self) {
         let fault = self.fault;
         let set_links = |link_fault: LinkFault| match (fault.what, &fault.region) {
@@ -316,11 +323,12 @@
         } else {
             LinkFault::Held
         });
-        Timer::after(self.lasts).await;
+        Timer::after(self.duration).await;
         set_links(LinkFault::Pass);
     }
 }
 
+/// The last octet of an IPv4 address; 0 if there is none.
 fn last_octet(address: &str) -> usize {
     address
         .rsplit('.')
@@ -329,7 +337,7 @@
         .unwrap_or(0) as usize
 }
 
-/// A fault that cannot be injected is logged; the scenario goes on and is judged.
+/// Logs that a fault could not be injected; the scenario continues, and its invariants are checked.
 fn log_failure(result: Result<(), ClusterError>) {
     if let Err(error) = result {
         tracing::error!(cause = error.line(), "a fault could not be injected");
--- a/crates/cli/src/scenario/mod.rs
+++ b/crates/cli/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! `cedarpulley day`: plays a scenario. Starts the emulators in this process and the routers as processes of their
-//! own, sends the clients' invocations, injects the faults at their times, stops all of it and has it judged.
+//! `cedarpulley day`: plays a scenario. Starts the emulators in this process and each router in a process of its own,
+//! sends the invocations of the clients, injects the faults at their times, stops everything and checks the invariants.
 
 mod faults;
 
@@ -19,10 +19,10 @@
 use crate::error::CliError;
 use faults::FaultInjection;
 
-/// Beyond the longest client timeout, until a router that was told to stop is gone.
-const STOP_WITHIN: Duration = Duration::from_secs(6);
+/// Time that a router has to stop, in addition to the longest client timeout.
+const STOP_MARGIN: Duration = Duration::from_secs(6);
 
-// No doc comment: it would be printed as the subcommand's help.
+// No doc comment: clap would print it as the help of the subcommand.
 #[derive(Args)]
 pub struct ScenarioArgs {
     #[arg(value_name = "DAY")]
@@ -43,7 +43,7 @@
     json: bool,
 }
 
-/// Prints a verdict as a table or as JSON, and its conclusion in one line.
+/// Prints a verdict as a table or as JSON, followed by a line that summarizes it.
 pub fn print_verdict(verdict: &Verdict, json: bool) -> Result<(), CliError> {
     if json {
         print_line!("{}", serde_json::to_string_pretty(verdict)?);
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-/// Plays a scenario and leaves traffic and verdict in its folder; true if every invariant holds.
+/// Plays a scenario and writes its logs and the verdict into the folder for its results; true if every invariant holds.
 pub fn play(args: ScenarioArgs) -> Result<bool, CliError> {
     let mut scenario = scenario::read(&args.scenario)?;
     scenario.seed = args.seed.unwrap_or(scenario.seed);
@@ -103,7 +103,7 @@
     Ok(invariants_hold)
 }
 
-/// Runs traffic and faults to their end; false if a router had to be killed.
+/// Runs traffic and faults to their end and stops the routers; false if a router had to be killed.
 async fn run(scenario: &Scenario, cluster: &Arc<Cluster>) -> Result<bool, CliError> {
     cluster.start_routers()?;
     let traffic = Traffic::begin(scenario, cluster);
@@ -119,7 +119,7 @@
             FaultInjection::new(&cluster, &fault, &zones, random)
                 .inject()
                 .await;
-            tracing::info!(what = ?fault.what, "fault over");
+            tracing::info!(what = ?fault.what, "fault ends");
         };
         fault_tasks.push(executor.spawn(task));
     }
@@ -131,7 +131,7 @@
         .max()
         .unwrap_or(0);
     Timer::after(Duration::from_millis(longest_timeout_ms)).await;
-    let stopped = cluster.stop(Duration::from_millis(longest_timeout_ms) + STOP_WITHIN);
+    let stopped = cluster.stop(Duration::from_millis(longest_timeout_ms) + STOP_MARGIN);
     drop((fault_tasks, traffic));
     Ok(stopped)
 }
--- a/crates/cli/src/usage/mod.rs
+++ b/crates/cli/src/usage/mod.rs
@@ -1,4 +1,4 @@
-//! `cedarpulley meter ...`: memory-seconds from usage stores (ledgers).
+//! `cedarpulley meter ...`: reports, merges and reconciles the memory-seconds in usage stores (ledgers).
 
 mod reconcile;
 mod report;
@@ -39,7 +39,7 @@
     },
 }
 
-// No doc comments: they would be printed in the help of `--by`.
+// No doc comments: clap would print them in the help of `--by`.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum GroupBy {
     Tenant,
--- a/crates/cli/src/usage/reconcile.rs
+++ b/crates/cli/src/usage/reconcile.rs
@@ -1,4 +1,5 @@
-//! `meter reconcile`: the usage metered in a scenario, compared with what the emulated workers logged.
+//! `meter reconcile`: compares the usage that routers metered in a scenario with the usage that the emulated workers
+//! logged.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -11,24 +12,24 @@
 use super::stores::{self, expand_folders};
 use crate::error::CliError;
 
-/// Metered and logged usage may differ by this share.
-const MAX_DIFFERENCE: f64 = 0.01;
-/// The aim for the share of usage that no worker reported.
-const MAX_UNCERTAIN: f64 = 0.01;
+/// Largest accepted difference between metered and logged usage, as a share of the greater of the two.
+const MAX_DIFFERENCE_SHARE: f64 = 0.01;
+/// Target for uncertain usage, metered for times that no worker reported, as a share of all logged usage.
+const MAX_UNCERTAIN_SHARE: f64 = 0.01;
 
-/// Tenant, and what its memory was used for.
-type UsageKey = (String, UsageKind);
+/// Tenant, and the kind of use of its memory.
+type TenantUsageKey = (String, UsageKind);
 
-/// What the emulated workers logged, in byte-microseconds.
+/// Usage that the emulated workers logged, in byte-microseconds.
 #[derive(Default)]
 struct LoggedUsage {
-    by_tenant_and_kind: BTreeMap<UsageKey, u128>,
-    /// What their answers did not report at once.
+    by_tenant_and_kind: BTreeMap<TenantUsageKey, u128>,
+    /// Usage that the workers' answers reported late or never.
     unreported: u128,
 }
 
 impl LoggedUsage {
-    /// Reads the logs of all workers, a file each.
+    /// Reads the logs in this folder, one file for each worker.
     fn read(folder: &Path) -> Result<Self, CliError> {
         let mut usage = LoggedUsage::default();
         for entry in std::fs::read_dir(folder).map_err(CliError::file(folder))? {
@@ -45,7 +46,7 @@
         Ok(usage)
     }
 
-    /// Adds a line: bytes, and for how many microseconds they were of each kind.
+    /// Adds a log line, which has a number of bytes and, for each kind of use, the microseconds for which they were held.
     fn add(&mut self, line: &Value) {
         let bytes = u128::from(line["bytes"].as_u64().unwrap_or(0));
         let kinds = [
@@ -66,27 +67,29 @@
     }
 }
 
-/// One tenant and kind; usage in MB-seconds.
+/// Metered and logged usage of one tenant and kind, in MB-seconds.
 struct TenantComparison {
-    key: UsageKey,
+    key: TenantUsageKey,
     metered: f64,
     logged: f64,
-    /// Share of the greater of the two; positive if more was metered.
+    /// Difference as a share of the greater of the two; positive if more was metered.
     difference: f64,
 }
 
-/// Usage in MB-seconds.
+/// The comparison of all tenants and kinds; usage in MB-seconds.
 struct Reconciliation {
-    /// The greatest differences first.
+    /// Sorted by difference, the greatest first.
     rows: Vec<TenantComparison>,
-    /// Metered for times that no worker reported.
+    /// Usage metered for times that no worker reported.
     uncertain: f64,
+    /// Usage that the workers' answers reported late or never.
     unreported: f64,
+    /// All logged usage.
     total_logged: f64,
 }
 
 impl Reconciliation {
-    fn of(metered: &BTreeMap<UsageKey, Usage>, logged: &LoggedUsage) -> Self {
+    fn of(metered: &BTreeMap<TenantUsageKey, Usage>, logged: &LoggedUsage) -> Self {
         let comparable = [UsageKind::Running, UsageKind::Loading, UsageKind::Idle];
         let mut keys: Vec<_> = metered
             .keys()
@@ -96,7 +99,7 @@
             .collect();
         keys.sort();
         keys.dedup();
-        let row = |key: UsageKey| {
+        let row = |key: TenantUsageKey| {
             let metered = metered.get(&key).copied().unwrap_or_default().mb_seconds();
             let byte_us = logged.by_tenant_and_kind.get(&key).copied();
             let logged = byte_us.unwrap_or_default() as f64 / 1e12;
@@ -124,7 +127,7 @@
     fn within_limits(&self) -> bool {
         self.rows
             .iter()
-            .all(|row| row.difference.abs() <= MAX_DIFFERENCE)
+            .all(|row| row.difference.abs() <= MAX_DIFFERENCE_SHARE)
     }
 
     fn print_json(&self) -> Result<(), CliError> {
@@ -172,13 +175,13 @@
                 row.difference * 100.0
             );
         }
-        let above_aim = if self.uncertain > MAX_UNCERTAIN * self.total_logged {
+        let above_target = if self.uncertain > MAX_UNCERTAIN_SHARE * self.total_logged {
             ", above the aim of 1%"
         } else {
             ""
         };
         print_line!(
-            "uncertain {:.3} MB-s, {:.2}% of what was held{above_aim}; told late or never {:.3} MB-s",
+            "uncertain {:.3} MB-s, {:.2}% of what was held{above_target}; told late or never {:.3} MB-s",
             self.uncertain,
             100.0 * self.uncertain / self.total_logged.max(1e-9),
             self.unreported
@@ -186,7 +189,8 @@
     }
 }
 
-/// Compares what the routers metered in the scenario left in this folder; true if no difference exceeds the limit.
+/// Compares metered and logged usage of the scenario whose results are in this folder; true if no difference exceeds
+/// [`MAX_DIFFERENCE_SHARE`].
 pub fn reconcile(folder: &Path, json: bool) -> Result<bool, CliError> {
     let sums = stores::read(&expand_folders(&[folder.join("meter")])?)?.sums();
     let logged = LoggedUsage::read(&folder.join("traffic"))?;
--- a/crates/cli/src/usage/report.rs
+++ b/crates/cli/src/usage/report.rs
@@ -1,4 +1,4 @@
-//! `meter report`: memory-seconds, summed by the columns asked for.
+//! `meter report`: memory-seconds, summed by the columns given with `--by`.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
     Table,
 }
 
-/// Sums by the values of the columns.
+/// Usage by the values of the columns.
 type Rows = BTreeMap<Vec<String>, Usage>;
 
 impl GroupBy {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The column's value; an hour as the second since 1970 at which it begins.
+    /// The column's value; an hour is given as its start in seconds since 1970.
     fn value(self, key: &UsageKey) -> String {
         match self {
             GroupBy::Tenant => key.account.to_string(),
@@ -42,7 +42,7 @@
     }
 }
 
-/// Prints the usage in the files.
+/// Prints the usage in the files, summed by these columns.
 pub fn report(files: &[PathBuf], by: &[GroupBy], format: OutputFormat) -> Result<(), CliError> {
     let sums = stores::read(files)?.sums();
     let rows = sums.group_by(|key| {
@@ -78,7 +78,7 @@
         .zip(values)
         .map(|(column, value)| ((*column).to_owned(), json!(value)))
         .collect();
-    // As text: a JSON number is read as a float, which does not keep all of its digits.
+    // A string, as many readers of JSON parse numbers as floats, which do not keep all digits.
     row.insert("byte_microseconds".into(), json!(sum.byte_us.to_string()));
     row.insert("mb_seconds".into(), json!(sum.mb_seconds()));
     row.insert("count".into(), json!(sum.count));
@@ -104,8 +104,8 @@
 
 fn print_table(columns: &[&str], rows: &Rows, total: &Usage) {
     let padded = |cell: &str| format!("{cell:<20}");
-    let head: String = columns.iter().map(|column| padded(column)).collect();
-    print_line!("{head}{:>16} {:>10}", "MB-s", "count");
+    let header: String = columns.iter().map(|column| padded(column)).collect();
+    print_line!("{header}{:>16} {:>10}", "MB-s", "count");
     for (values, sum) in rows {
         let cells: String = values.iter().map(|value| padded(value)).collect();
         print_line!("{cells}{:>16.3} {:>10}", sum.mb_seconds(), sum.count);
--- a/crates/cli/src/usage/stores.rs
+++ b/crates/cli/src/usage/stores.rs
@@ -1,4 +1,4 @@
-//! Reading and merging usage stores.
+//! Reads and merges usage stores.
 
 use std::path::{Path, PathBuf};
 
@@ -31,11 +31,11 @@
     }
 }
 
-/// The usage in all files together; a store that is given twice counts once.
+/// The usage in all files together; a store that is given more than once counts once.
 pub fn read(files: &[PathBuf]) -> Result<UsageReport, CliError> {
     let mut usage = UsageReport::default();
     for file in files {
-        // Opening a store that is not there would create it.
+        // Opening a store that does not exist would create it.
         if !file.is_file() {
             return Err(CliError::FileNotFound {
                 file: file.display().to_string(),
@@ -50,7 +50,7 @@
     Ok(usage)
 }
 
-/// Merges all files into the store `out`, which is created if need be.
+/// Merges all files into the store `out`, which is created if it does not exist.
 pub fn merge(files: &[PathBuf], out: &Path) -> Result<(), CliError> {
     let usage = read(files)?;
     Ledger::open(out)
