--- a/crates/cli/src/measure/direct.rs
+++ b/crates/cli/src/measure/direct.rs
@@ -1,4 +1,4 @@
-//! The baseline: the same call straight to a worker.
+//! The baseline of the measurement: the same call, sent directly to a worker.
 
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -15,11 +15,12 @@
 use super::BODY;
 use super::latency::histogram;
 
-/// Calls of one run.
+/// Number of calls in one run.
 const CALLS: usize = 3000;
 
-/// Latencies in microseconds of calls without a router, one after the other, spread over the time of the run. Calls
-/// that fail or that the run's end cuts off show in the count only.
+/// Measures calls to a worker without a router, one after the other, spread over the time of the run; returns their
+/// latencies in microseconds. Calls that fail or that are still running at the end of the run are left out, which shows
+/// only in the lower count.
 pub async fn latencies(worker: SocketAddr, seconds: f64) -> Histogram<u64> {
     let mut latencies = histogram();
     let calls = call_repeatedly(worker, seconds, &mut latencies);
@@ -31,6 +32,7 @@
     latencies
 }
 
+/// Records the latency of each call, and ends early if a call fails or the connection is closed.
 async fn call_repeatedly(
     worker: SocketAddr,
     seconds: f64,
@@ -39,7 +41,7 @@
     let stream = Async::<TcpStream>::connect(worker).await.ok()?;
     stream.get_ref().set_nodelay(true).ok()?;
     let (mut sender, connection) = http1::handshake(FuturesIo::new(stream)).await.ok()?;
-    let calling = async {
+    let calls = async {
         let pause = Duration::from_secs_f64(seconds / CALLS as f64 * 0.8);
         for number in 0..CALLS {
             let request = Request::post("/v2/models/warm:0/infer")
@@ -56,9 +58,9 @@
         }
         Some(())
     };
-    let driving_connection = async {
+    let drive_connection = async {
         let _ = connection.await;
         None
     };
-    calling.or(driving_connection).await
+    calls.or(drive_connection).await
 }
--- a/crates/cli/src/measure/surroundings.rs
+++ b/crates/cli/src/measure/environment.rs
@@ -15,18 +15,23 @@
 
 const WORKERS: usize = 4;
 const CLIENTS: usize = 2;
+/// Threads that run the tasks of emulators and clients.
 const THREADS: usize = 3;
 
-/// Emulators in this process. Fields in the order in which they are dropped.
-pub struct Surroundings {
+/// The emulators, which run in this process. Fields are dropped in the order of their declaration.
+pub struct EmulatedEnvironment {
+    /// The emulated workers.
     pub workers: Vec<Worker>,
+    /// Kept alive for the workers, which load from it.
     _store: Store,
+    /// The emulated broker.
     pub broker: Broker,
+    /// Runs the tasks of emulators and clients.
     pub host: Host,
 }
 
-impl Surroundings {
-    /// Starts all of them on free ports.
+impl EmulatedEnvironment {
+    /// Starts all emulators on free ports.
     pub fn start(args: &MeasureArgs) -> Result<Self, CliError> {
         let host = Host::new(THREADS, None).map_err(CliError::EmulatorStart)?;
         let broker =
@@ -61,7 +66,7 @@
             );
             workers.push(worker.map_err(CliError::EmulatorStart)?);
         }
-        Ok(Surroundings {
+        Ok(EmulatedEnvironment {
             workers,
             _store: store,
             broker,
@@ -69,7 +74,7 @@
         })
     }
 
-    /// Starts the clients that publish at the given rate from `began` on. They run until their tasks are dropped.
+    /// Starts the clients, which publish at the given rate from `began` on. They run until their tasks are dropped.
     pub fn start_clients(
         &self,
         args: &MeasureArgs,
--- a/crates/cli/src/measure/latency.rs
+++ b/crates/cli/src/measure/latency.rs
@@ -3,12 +3,12 @@
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-/// An empty histogram of microseconds up to a minute, with three significant digits.
+/// An empty histogram for latencies in microseconds, up to one minute, with three significant digits.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("these bounds are always valid")
 }
 
-/// Count and quantiles as printed.
+/// Count, quantiles and maximum as printed, in microseconds.
 pub fn quantiles(latencies: &Histogram<u64>) -> Value {
     let at = |quantile| latencies.value_at_quantile(quantile);
     json!({
@@ -20,7 +20,7 @@
     })
 }
 
-/// By how much this quantile exceeds that of the baseline, in microseconds.
+/// The difference between this quantile and that of the baseline, in microseconds.
 pub fn added_us(latencies: &Histogram<u64>, baseline: &Histogram<u64>, quantile: f64) -> i64 {
     latencies.value_at_quantile(quantile) as i64 - baseline.value_at_quantile(quantile) as i64
 }
--- a/crates/cli/src/measure/mod.rs
+++ b/crates/cli/src/measure/mod.rs
@@ -1,13 +1,15 @@
-//! `cedarpulley measure`: what one router adds on the warm path, and what limits it. A broker, workers that do no
-//! work, one router process, an open-loop client, and the same call straight to a worker, all on this machine and
-//! none of it logged.
+//! `cedarpulley measure`: measures the latency that one router adds on the warm path, and what limits the router.
+//!
+//! Runs an emulated broker and workers, which do no work by default, one router process and open-loop clients, and
+//! sends the same call directly to a worker as the baseline. All of it runs on this machine, and the emulators write no
+//! logs.
 
 mod direct;
+mod environment;
 mod latency;
 mod open_loop;
 mod resources;
 mod router;
-mod surroundings;
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -23,19 +25,20 @@
 use serde_json::{Value, json};
 
 use crate::error::CliError;
+use environment::EmulatedEnvironment;
 use latency::{added_us, histogram, per_invocation, quantiles};
 use open_loop::OpenLoopClient;
 use resources::{GroupTraffic, ProcessUsage, cpu_between_us};
 use router::{RETAINED_MS, RouterProcess, RouterSettings, free_address};
-use surroundings::Surroundings;
 
 const ANY_PORT: (Ipv4Addr, u16) = (Ipv4Addr::LOCALHOST, 0);
 const QUEUE: &str = "triggers";
 const TRIGGER: &str = "warm";
+/// Number of functions that are called in turn.
 const FUNCTIONS: u64 = 8;
-/// Loads and connections settle in this time; it is not counted.
+/// Copies are loaded and connections opened in this time; calls that are due in it are not counted.
 const WARM_UP: Duration = Duration::from_secs(2);
-/// Longer than any invocation waits here.
+/// Client timeout and latency objective, in milliseconds; longer than any invocation waits in a run.
 const TIMEOUT_MS: u64 = 5_000;
 const BODY: &str =
     r#"{"inputs":[{"name":"x","shape":[4],"datatype":"FP32","data":[0.1,0.2,0.3,0.4]}]}"#;
@@ -45,7 +48,7 @@
     format!("{TRIGGER}:{}", number % FUNCTIONS)
 }
 
-// No doc comment: it would be printed as the subcommand's help.
+// No doc comment: clap would print it as the help of the subcommand.
 #[derive(Args)]
 pub struct MeasureArgs {
     #[arg(long, default_value_t = 1000.0)]
@@ -70,10 +73,10 @@
     peers: usize,
 }
 
-/// Measures at the given rate for the given time, and prints the result as one JSON object.
+/// Measures one run with the given rate and time, and prints the result as one JSON object.
 pub fn run(args: &MeasureArgs) -> Result<(), CliError> {
     std::fs::create_dir_all(&args.folder).map_err(CliError::file(&args.folder))?;
-    let surroundings = Surroundings::start(args)?;
+    let environment = EmulatedEnvironment::start(args)?;
     let mut client_listeners = Vec::new();
     for protocol in [Protocol::Rest, Protocol::Grpc] {
         client_listeners.push((protocol, free_address()?));
@@ -82,10 +85,10 @@
     for _ in 0..args.peers {
         group.push(free_address()?);
     }
-    let witnesses = start_witnesses(args, &surroundings, &group)?;
+    let witnesses = start_witnesses(args, &environment, &group)?;
     let settings = RouterSettings {
-        broker: Some(surroundings.broker.address),
-        workers: &surroundings.workers,
+        broker: Some(environment.broker.address),
+        workers: &environment.workers,
         client_listeners: &client_listeners,
         effect: &args.effect,
         group: (args.peers > 0).then_some((&group, 0)),
@@ -94,7 +97,7 @@
     let router = start_router(args, &settings, "router")?;
     let measurement = Measurement {
         args,
-        surroundings: &surroundings,
+        environment: &environment,
         client_listeners: &client_listeners,
         group: &group,
         witnesses: &witnesses,
@@ -106,17 +109,17 @@
     Ok(())
 }
 
-/// All members of the group but the first.
+/// Starts all members of the group except the first, which is the measured router.
 fn start_witnesses(
     args: &MeasureArgs,
-    surroundings: &Surroundings,
+    environment: &EmulatedEnvironment,
     group: &[SocketAddr],
 ) -> Result<Vec<RouterProcess>, CliError> {
     let mut witnesses = Vec::new();
     for member in 1..group.len() {
         let settings = RouterSettings {
             broker: None,
-            workers: &surroundings.workers,
+            workers: &environment.workers,
             client_listeners: &[],
             effect: &args.effect,
             group: Some((group, member)),
@@ -127,7 +130,7 @@
     Ok(witnesses)
 }
 
-/// Settings and log are left in the folder under this name.
+/// Starts a router; its settings and its log are written into the folder under this name.
 fn start_router(
     args: &MeasureArgs,
     settings: &RouterSettings,
@@ -138,10 +141,10 @@
     RouterProcess::start(&file, &args.folder.join(format!("{name}.log")))
 }
 
-/// A run with everything started.
+/// A run in which emulators and routers have been started.
 struct Measurement<'a> {
     args: &'a MeasureArgs,
-    surroundings: &'a Surroundings,
+    environment: &'a EmulatedEnvironment,
     client_listeners: &'a [(Protocol, SocketAddr)],
     group: &'a [SocketAddr],
     witnesses: &'a [RouterProcess],
@@ -150,18 +153,18 @@
 
 impl Measurement<'_> {
     async fn run(&self) -> Value {
-        let (args, broker) = (self.args, &self.surroundings.broker);
-        self.until_ready().await;
+        let (args, broker) = (self.args, &self.environment.broker);
+        self.wait_until_ready().await;
         let began = Instant::now();
         let times: LatencyRecorder = Arc::new(Mutex::new((histogram(), began + WARM_UP)));
-        // Dropped at the end of this function: the clients stay connected until then.
-        let _clients = self.surroundings.start_clients(args, began, &times);
+        // The clients run until these tasks are dropped at the end of this function.
+        let _clients = self.environment.start_clients(args, began, &times);
         Timer::at(began + WARM_UP).await;
         let group_before = GroupTraffic::of(self.group);
         let witnesses_before_us = self.witnesses_cpu_us();
         let router_before = ProcessUsage::of(self.router_pid);
         let own_before = ProcessUsage::of(std::process::id());
-        let direct = direct::latencies(self.surroundings.workers[0].address, args.seconds).await;
+        let direct = direct::latencies(self.environment.workers[0].address, args.seconds).await;
         Timer::at(began + WARM_UP + Duration::from_secs_f64(args.seconds)).await;
         let router_after = ProcessUsage::of(self.router_pid);
         let left_at_broker = broker.ready_messages(QUEUE);
@@ -192,13 +195,13 @@
         })
     }
 
-    /// Until the router consumes and its group may decide.
-    async fn until_ready(&self) {
-        while self.surroundings.broker.consumers() == 0 {
+    /// Waits until the router consumes from the broker and its group can decide.
+    async fn wait_until_ready(&self) {
+        while self.environment.broker.consumers() == 0 {
             Timer::after(Duration::from_millis(20)).await;
         }
         if !self.group.is_empty() {
-            // A member votes only once everything that it may have forgotten has expired.
+            // After a start, a member votes only once all records that it may have lost have expired.
             Timer::after(Duration::from_millis(RETAINED_MS + RETAINED_MS / 4)).await;
         }
     }
@@ -211,7 +214,7 @@
             .sum()
     }
 
-    /// The listeners for clients one after the other, on the same router.
+    /// Measures the listeners for clients one after the other, on the same router.
     async fn measure_client_listeners(
         &self,
         direct: &Histogram<u64>,
@@ -230,8 +233,8 @@
         address: SocketAddr,
         direct: &Histogram<u64>,
     ) -> Value {
-        let executor = &self.surroundings.host.executor;
-        let lasts = Duration::from_secs_f64(self.args.seconds);
+        let executor = &self.environment.host.executor;
+        let duration = Duration::from_secs_f64(self.args.seconds);
         let client = Arc::new(OpenLoopClient::new(
             protocol,
             address,
@@ -240,10 +243,10 @@
             executor,
         ));
         let counted_from = Instant::now() + WARM_UP;
-        let running = executor.spawn(client.run(WARM_UP + lasts, counted_from));
+        let running = executor.spawn(client.run(WARM_UP + duration, counted_from));
         Timer::at(counted_from).await;
         let before = ProcessUsage::of(self.router_pid);
-        Timer::after(lasts).await;
+        Timer::after(duration).await;
         let after = ProcessUsage::of(self.router_pid);
         let (latencies, failed) = running.await;
         let router_cpu_us = cpu_between_us(before, after);
--- a/crates/cli/src/measure/open_loop.rs
+++ b/crates/cli/src/measure/open_loop.rs
@@ -1,5 +1,6 @@
-//! An open-loop client over REST or gRPC: it sends at a given rate whatever becomes of the earlier calls, and times
-//! each call from when it was due, so that a stalled router does not lower the load that it is measured with.
+//! An open-loop client over REST or gRPC. It sends at a given rate regardless of the results of earlier calls, and
+//! measures each latency from the time at which the call was due, so that a stalled router does not reduce the load with
+//! which it is measured.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -22,7 +23,7 @@
 use super::latency::histogram;
 use super::{BODY, TRIGGER, function};
 
-/// As many as a client library would open; streams beyond their limit wait.
+/// Number of connections over gRPC, as many as a client library would open; streams above their limit wait.
 const GRPC_CONNECTIONS: usize = 4;
 
 /// Lets hyper spawn its tasks on the emulators' executor.
@@ -35,20 +36,20 @@
     }
 }
 
-/// A connection.
+/// A connection to a listener.
 enum Sender {
     Rest(http1::SendRequest<Full<Bytes>>),
     Grpc(http2::SendRequest<Full<Bytes>>),
 }
 
-/// Latencies in microseconds, and how many calls had no success.
+/// Latencies of successful calls in microseconds, and the number of failed calls.
 #[derive(Clone)]
 struct Results {
     latencies: Histogram<u64>,
     failed: u64,
 }
 
-/// Sends to one listener of a router.
+/// A client that sends calls to one listener of a router.
 pub struct OpenLoopClient {
     protocol: Protocol,
     address: SocketAddr,
@@ -56,13 +57,13 @@
     rate: f64,
     lanes: u32,
     executor: Arc<Executor<'static>>,
-    /// REST: connections without a call. gRPC: all connections.
+    /// Idle connections over REST, or all connections over gRPC.
     connections: Mutex<Vec<Sender>>,
     results: Mutex<Results>,
 }
 
 impl OpenLoopClient {
-    /// Connects when the first calls are due.
+    /// Creates a client, which connects when its first calls are due.
     pub fn new(
         protocol: Protocol,
         address: SocketAddr,
@@ -84,17 +85,17 @@
         }
     }
 
-    /// Sends for so long; counts only calls due from `counted_from` on. Gives their latencies in microseconds and
-    /// the number of those that failed.
+    /// Sends calls for this duration. Returns the latencies in microseconds of the successful calls and the number of
+    /// failed calls; only calls that are due at `counted_from` or later are counted.
     pub async fn run(
         self: Arc<Self>,
-        lasts: Duration,
+        duration: Duration,
         counted_from: Instant,
     ) -> (Histogram<u64>, u64) {
         let (began, mut number) = (Instant::now(), 0u64);
         loop {
             let due = began + Duration::from_secs_f64(number as f64 / self.rate);
-            if due > began + lasts {
+            if due > began + duration {
                 break;
             }
             Timer::at(due).await;
@@ -143,7 +144,7 @@
         }
     }
 
-    /// A connection that is open already.
+    /// Takes an idle connection (REST) or shares an open one (gRPC); none if a new connection is needed.
     fn open_connection(&self, number: u64) -> Option<Sender> {
         let mut connections = lock(&self.connections);
         match self.protocol {
@@ -155,6 +156,7 @@
         }
     }
 
+    /// Sends one call; none if it failed.
     async fn call(&self, number: u64) -> Option<()> {
         let sender = match self.open_connection(number) {
             Some(sender) => sender,
--- a/crates/cli/src/measure/resources.rs
+++ b/crates/cli/src/measure/resources.rs
@@ -1,21 +1,21 @@
-//! What processes and groups of routers have used so far.
+//! Resources that processes and groups of routers have used so far.
 
 use std::net::SocketAddr;
 
 use cedarpulley_test_cluster::router_state::fetch_state;
 use serde_json::Value;
 
-/// Use of a process since it began.
+/// Resource usage of a process since its start.
 #[derive(Clone, Copy)]
 pub struct ProcessUsage {
-    /// Processor time of all its threads, in user and kernel mode.
+    /// CPU time of all threads in user and kernel mode, in microseconds.
     pub cpu_us: u64,
-    /// Memory that is resident now.
+    /// Resident memory at the time of the reading, in KiB.
     pub resident_kb: u64,
 }
 
 impl ProcessUsage {
-    /// None if there is no such process.
+    /// Reads the usage of a process; none if the process does not exist.
     pub fn of(pid: u32) -> Option<Self> {
         let stat = procfs::process::Process::new(pid as i32)
             .and_then(|process| process.stat())
@@ -27,22 +27,24 @@
     }
 }
 
-/// Processor time between two readings; 0 if either failed.
+/// CPU time between two readings, in microseconds; 0 if a reading failed.
 pub fn cpu_between_us(before: Option<ProcessUsage>, after: Option<ProcessUsage>) -> u64 {
     before
         .zip(after)
         .map_or(0, |(before, after)| after.cpu_us - before.cpu_us)
 }
 
-/// What all members of a group have sent each other so far.
+/// Traffic that all members of a group have sent to each other so far.
 #[derive(Clone, Copy, Default)]
 pub struct GroupTraffic {
+    /// Bytes sent.
     pub bytes: u64,
+    /// POST requests sent.
     pub posts: u64,
 }
 
 impl GroupTraffic {
-    /// Sums over the members that answer.
+    /// The sum over the members that answer.
     pub fn of(members: &[SocketAddr]) -> Self {
         let states = members
             .iter()
@@ -54,7 +56,7 @@
         })
     }
 
-    /// What was sent since `earlier`.
+    /// The traffic since `earlier`.
     pub fn since(self, earlier: GroupTraffic) -> GroupTraffic {
         GroupTraffic {
             bytes: self.bytes.saturating_sub(earlier.bytes),
--- a/crates/cli/src/measure/router.rs
+++ b/crates/cli/src/measure/router.rs
@@ -1,4 +1,4 @@
-//! The router under measure and the witnesses of its group: settings and processes.
+//! Settings and processes of the measured router and of the witnesses in its group.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -12,18 +12,19 @@
 use super::{ANY_PORT, QUEUE, TIMEOUT_MS, TRIGGER};
 use crate::error::CliError;
 
-/// How long records of the group are retained.
+/// Time for which the group retains records, in milliseconds.
 pub const RETAINED_MS: u64 = 6_000;
-const STOP_WITHIN: Duration = Duration::from_secs(3);
+/// Time that a router has to stop before it is killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A loopback address with a port that is free now.
+/// A loopback address with a port that is free at the time of the call.
 pub fn free_address() -> Result<SocketAddr, CliError> {
     TcpListener::bind(ANY_PORT)
         .and_then(|listener| listener.local_addr())
         .map_err(CliError::RouterStart)
 }
 
-/// A router in a process of its own, stopped when dropped.
+/// A router that runs in its own process and is stopped when dropped.
 pub struct RouterProcess(Child);
 
 impl RouterProcess {
@@ -42,19 +43,20 @@
             .map_err(CliError::RouterStart)
     }
 
-    /// Its process id.
+    /// Process id of the router.
     pub fn pid(&self) -> u32 {
         self.0.id()
     }
 }
 
 impl Drop for RouterProcess {
-    /// Gracefully if it ends by itself soon, as its log then has its counts.
+    /// Requests a graceful shutdown, at which the router writes its counts into its log, and kills the router if it has
+    /// not stopped in time.
     fn drop(&mut self) {
         if let Some(pid) = Pid::from_raw(self.0.id() as i32) {
             let _ = kill_process(pid, Signal::TERM);
         }
-        let until = Instant::now() + STOP_WITHIN;
+        let until = Instant::now() + STOP_TIMEOUT;
         while Instant::now() < until && matches!(self.0.try_wait(), Ok(None)) {
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -63,24 +65,25 @@
     }
 }
 
-/// What goes into a router's settings file.
+/// Contents of the settings file of a router.
 pub struct RouterSettings<'a> {
-    /// None: it does not consume from the broker.
+    /// Address of the broker; none if the router does not consume from it.
     pub broker: Option<SocketAddr>,
     /// The endpoint list.
     pub workers: &'a [Worker],
     /// Listeners for clients over KServe v2.
     pub client_listeners: &'a [(Protocol, SocketAddr)],
-    /// Of all invocations: `idempotent` or `non-idempotent`.
+    /// Effect of all invocations: `idempotent` or `non-idempotent`.
     pub effect: &'a str,
-    /// The members' addresses, and which of them it is; the first is no witness.
+    /// Addresses of the members of the group, and the index of this router among them. All members except the first are
+    /// witnesses.
     pub group: Option<(&'a [SocketAddr], usize)>,
-    /// Whether it writes a trace.
+    /// Whether the router writes a trace.
     pub trace: bool,
 }
 
 impl RouterSettings<'_> {
-    /// The file's text.
+    /// Formats the settings as the text of a settings file.
     pub fn to_toml(&self) -> String {
         let effect = self.effect;
         let mut text = format!(
@@ -108,9 +111,9 @@
             text.push_str(&format!("  {{ address = \"{}\" }},\n", worker.address));
         }
         text.push_str("]\n");
-        if let Some((members, own)) = self.group {
+        if let Some((members, own_index)) = self.group {
             text.push('\n');
-            text.push_str(&group_settings(members, own));
+            text.push_str(&group_settings(members, own_index));
         }
         if self.trace {
             text.push_str("\n[trace]\nfolder = \"traces\"\n");
@@ -119,10 +122,10 @@
     }
 }
 
-fn group_settings(members: &[SocketAddr], own: usize) -> String {
+fn group_settings(members: &[SocketAddr], own_index: usize) -> String {
     let mut text = format!(
-        "[peers]\nlisten = \"{}\"\ngroup = \"measured\"\nname = \"r{own}\"\nkept_ms = {RETAINED_MS}\n\n",
-        members[own]
+        "[peers]\nlisten = \"{}\"\ngroup = \"measured\"\nname = \"r{own_index}\"\nkept_ms = {RETAINED_MS}\n\n",
+        members[own_index]
     );
     for (index, address) in members.iter().enumerate() {
         let witness = index > 0;
--- a/crates/cli/src/trace/output.rs
+++ b/crates/cli/src/trace/output.rs
@@ -7,7 +7,7 @@
 use crate::error::CliError;
 
 /// Calls `write` on a temporary file in the folder of `out`, and renames that file to `out` once it is complete; removes
-/// it if `write` fails.
+/// it if writing fails.
 pub fn write_atomically<T>(
     out: &Path,
     write: impl FnOnce(&mut BufWriter<File>) -> Result<T, CliError>,
