--- a/crates/cli/benches/convergence.rs
+++ b/crates/cli/benches/convergence.rs
@@ -1,5 +1,7 @@
-//! How soon a group is whole again after a cut heals, over processes and under traffic; prints the figures of
-//! `docs/measurements.md`: `cargo bench -p cedarpulley-cli --bench convergence`.
+//! Measures how soon the routers of a group agree again after a partition has healed, with routers in processes of their
+//! own and under traffic. Prints the figures for `docs/measurements.md`.
+//!
+//! Run with `cargo bench -p cedarpulley-cli --bench convergence`.
 
 #[path = "../tests/fleets/mod.rs"]
 mod fleets;
@@ -9,27 +11,32 @@
 use fleets::LONG_MS;
 use sharing::*;
 
+/// Seeds of the runs, one run each.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=5;
 
 fn main() {
     for cut_off in [ONE_OF_THREE, REGION_OF_THREE, ONE_OF_FIVE, REGION_OF_FIVE] {
-        let mut plays = Vec::new();
+        let mut runs = Vec::new();
         for seed in SEEDS {
             let healed = cut_off.plays(seed);
             println!("{cut_off:?}, seed {seed}: {healed:?}");
-            plays.push(healed);
+            runs.push(healed);
         }
-        let figures = |of: fn(&Healed) -> f64| {
-            let mut all: Vec<f64> = plays.iter().map(of).collect();
-            all.sort_by(f64::total_cmp);
-            format!("{:.0} / {:.0} ms", all[all.len() / 2], all[all.len() - 1])
+        let median_and_max = |time_ms: fn(&Healed) -> f64| {
+            let mut sorted: Vec<f64> = runs.iter().map(time_ms).collect();
+            sorted.sort_by(f64::total_cmp);
+            format!(
+                "{:.0} / {:.0} ms",
+                sorted[sorted.len() / 2],
+                sorted[sorted.len() - 1]
+            )
         };
         println!(
             "{cut_off:?} for {LONG_MS} ms, {} plays, p50 / max: all alive {}, believed so {}, held again {}",
-            plays.len(),
-            figures(|h| h.alive),
-            figures(|h| h.believed),
-            figures(|h| h.holds),
+            runs.len(),
+            median_and_max(|healed| healed.alive),
+            median_and_max(|healed| healed.believed),
+            median_and_max(|healed| healed.holds),
         );
     }
 }
