--- a/crates/cli/src/trace/explain.rs
+++ b/crates/cli/src/trace/explain.rs
@@ -1,4 +1,4 @@
-//! `trace explain`: for each lost or late invocation its one cause, summed by cause and ranked by cost.
+//! `trace explain`: attributes each lost or late invocation to one cause, sums by cause and ranks the causes by cost.
 
 use std::path::PathBuf;
 
@@ -7,20 +7,21 @@
 use super::input::TraceFile;
 use crate::error::CliError;
 
-/// Prints the causes, dearest first, of the invocations in this span of wall time (microseconds since 1970).
+/// Prints the causes of the lost and late invocations in this span of wall time (microseconds since 1970), those with
+/// the highest cost first.
 pub fn explain(files: &[PathBuf], span_us: (i64, i64), json: bool) -> Result<(), CliError> {
-    let mut explain = CauseRanker::default();
-    // Sources are numbered on over all files.
+    let mut ranker = CauseRanker::default();
+    // Source numbers continue from one file to the next, so that they are unique.
     let mut first_source = 0;
     for path in files {
         let mut file = TraceFile::open(path)?;
         file.for_each_record(|entry| {
             let source_index = first_source + entry.source_index;
-            explain.record(source_index, entry.source, span_us, entry.at, entry.record);
+            ranker.record(source_index, entry.source, span_us, entry.at, entry.record);
         })?;
         first_source += file.sources().len() as u32;
     }
-    let ranked = explain.ranked();
+    let ranked = ranker.ranked();
     if json {
         print_line!("{}", serde_json::to_string_pretty(&ranked)?);
         return Ok(());
