--- a/crates/invariant-checker/src/check.rs
+++ b/crates/invariant-checker/src/check.rs
@@ -1,4 +1,4 @@
-//! Reads a run's folder and checks all rules.
+//! Reads the output folder of a run and checks all rules and promises.
 
 use std::path::Path;
 
@@ -10,18 +10,20 @@
 use crate::warm_capacity::{floors, prefixes, sessions};
 use crate::{CheckError, history};
 
-/// What the checks are made from.
+/// Input of every check.
 pub(crate) struct Evidence<'a> {
-    /// All lines of all logs, in the order of their times.
+    /// All lines of all logs, ordered by time.
     pub(crate) lines: &'a [LogLine],
+    /// Intervals in which faults delayed or hid events.
     pub(crate) excused: &'a ExcusedIntervals,
+    /// Settings of the rules that were in force for the run.
     pub(crate) settings: &'a RuleSettings,
 }
 
-/// Checks a run from `traffic/` and `terms.json` in its folder.
+/// Checks a run from `traffic/` and `terms.json` in its output folder.
 ///
 /// # Errors
-/// When these cannot be read, or there is no traffic.
+/// Returns an error if these cannot be read or are malformed, or if no traffic was recorded.
 pub fn check(folder: &Path) -> Result<Verdict, CheckError> {
     let settings = read_settings(&folder.join("terms.json"))?;
     let lines = read(&folder.join("traffic"))?;
@@ -31,8 +33,8 @@
         excused: &excused,
         settings: &settings,
     };
-    let mut verdict = Verdict::unbroken();
-    let invocations = history::gather(&evidence, &mut verdict);
+    let mut verdict = Verdict::without_violations();
+    let invocations = history::collect_invocations(&evidence, &mut verdict);
     answers::check(&invocations, &evidence, &mut verdict);
     effects::check(&invocations, &evidence, &mut verdict);
     drains::check(&evidence, &mut verdict);
--- a/crates/invariant-checker/src/error.rs
+++ b/crates/invariant-checker/src/error.rs
@@ -1,8 +1,8 @@
-//! Why a run cannot be checked.
+//! Errors that keep a run from being checked.
 
 use cedarpulley_errors::Remedy;
 
-/// Why there is no verdict.
+/// Reason why a run has no verdict.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
     /// A file or folder cannot be read.
@@ -10,37 +10,37 @@
     Unreadable {
         /// The file or folder.
         file: String,
-        /// Its cause.
+        /// Cause of the error.
         source: std::io::Error,
     },
-    /// The file of the rules' figures is not of its form.
-    #[error("{file} does not hold the figures of the rules")]
+    /// The file with the settings of the rules is malformed.
+    #[error("{file} does not contain the settings of the rules")]
     MalformedRules {
         /// The file.
         file: String,
-        /// Its cause.
+        /// Cause of the error.
         source: serde_json::Error,
     },
-    /// A line other than a log's last is no JSON.
-    #[error("{file}:{line} is not a line of a log")]
+    /// A line is not JSON, and it is not the last line of its log.
+    #[error("{file}:{line} is not valid JSON")]
     MalformedLine {
         /// The log.
         file: String,
-        /// The line, from 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// Its cause.
+        /// Cause of the error.
         source: serde_json::Error,
     },
-    /// A line has no time.
-    #[error("{file}:{line} has no time")]
+    /// A line of a log has no timestamp.
+    #[error("{file}:{line} has no timestamp")]
     MissingTime {
         /// The log.
         file: String,
-        /// The line, from 1.
+        /// Number of the line, from 1.
         line: usize,
     },
     /// The logs are empty.
-    #[error("{folder} has no traffic to judge")]
+    #[error("{folder} contains no recorded traffic")]
     NoTraffic {
         /// The folder of the logs.
         folder: String,
@@ -50,13 +50,15 @@
 impl Remedy for CheckError {
     fn remedy(&self) -> &'static str {
         match self {
-            CheckError::Unreadable { .. } => "name the folder that a day was told to leave (--out)",
+            CheckError::Unreadable { .. } => "give the output folder of a scenario (its --out)",
             CheckError::MalformedRules { .. }
             | CheckError::MalformedLine { .. }
             | CheckError::MissingTime { .. } => {
-                "judge a folder as its day left it; play the day again if it was changed"
+                "check the folder as the scenario wrote it; run the scenario again if a file was changed"
+            }
+            CheckError::NoTraffic { .. } => {
+                "run the scenario again: its emulators recorded no traffic"
             }
-            CheckError::NoTraffic { .. } => "play the day again: its stand-ins wrote nothing",
         }
     }
 }
--- a/crates/invariant-checker/src/excused_intervals.rs
+++ b/crates/invariant-checker/src/excused_intervals.rs
@@ -1,30 +1,35 @@
-//! Intervals for which a router or a link was held up by a fault, read from the cluster's own lines: `router-paused`,
-//! and `link` for a directed link that holds, loses or delays what passes. They are consulted for the few things that
-//! this makes unseeable; where a log has none of these lines, nothing is excused.
+//! Intervals in which a fault paused a router or impaired a link, read from the lines of the test cluster:
+//! `router-paused`, and `link` for a directed link that holds back, loses or delays messages. The checks consult them
+//! only for events whose times the logs cannot show because of the fault. A log without such lines excuses nothing.
 //!
 //! Mechanisms:
-//! 1. What is held arrives within half a second of the end; until then it may be as old as the beginning, or as the
-//!    longest delay where that is known. Faults closer together than that count as one.
-//! 2. A router that is paused, or whose link to or from the broker is held, answers as soon as it is over.
-//! 3. What a worker list sends to a router that is paused, or over a link that is held, is received when it is over.
+//! 1. A delayed message arrives at most half a second after the end of the fault. Until then a message may have been
+//!    sent as early as the beginning of the fault; if the maximum delay is known, at most that long before its arrival.
+//!    Faults that are separated by at most half a second count as one.
+//! 2. A router that is paused, or whose link to or from the broker is held, answers as soon as the fault is over.
+//! 3. A notification of the endpoint list to a router that is paused, or over a link that is held, is received when the
+//!    fault is over.
 
 use std::collections::HashMap;
 
 use crate::traffic_log::LogLine;
 
-/// As in the emulators: what a fault held back has arrived within this time of its end.
+/// Time after the end of a fault within which all messages that it delayed have arrived. The emulators use the same
+/// value.
 const DELAYED_ARRIVAL_US: i64 = 500_000;
-/// Both emulators by the names of their logs.
+/// Name of the log of the broker, which is also its name in `link` lines.
 const BROKER: &str = "broker";
-const WORKER_LIST: &str = "list";
+/// Name of the log of the endpoint list, which is also its name in `link` lines.
+const ENDPOINT_LIST: &str = "list";
 
+/// The duration of a fault, in microseconds of Unix time.
 #[derive(Clone, Copy, Debug)]
 struct Interval {
     began: i64,
-    /// `i64::MAX` while it lasts.
+    /// `i64::MAX` while the fault lasts.
     ended: i64,
-    /// Nothing is held for longer.
-    most_delay: Option<i64>,
+    /// Longest delay of a message, if it is known.
+    max_delay_us: Option<i64>,
 }
 
 impl Interval {
@@ -32,46 +37,51 @@
         self.began <= at && at <= self.ended
     }
 
-    /// What arrives at this time may have been held.
+    /// Whether the fault may have delayed a message that arrived at this time.
     fn may_have_delayed(&self, arrived: i64) -> bool {
         self.began <= arrived && arrived <= self.ended.saturating_add(DELAYED_ARRIVAL_US)
     }
 }
 
-/// What is held on a link.
+/// Effect of a fault on a directed link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum LinkFault {
-    /// What passes.
+    /// Messages are held back or delayed.
     Held,
-    /// That the far side has closed.
+    /// Only the information that the far side closed a connection is held back.
     HalfOpen,
 }
 
+/// Sender, receiver and fault.
 type LinkKey = (String, String, LinkFault);
 
+/// All intervals of pauses and link faults of a run.
 #[derive(Default)]
 pub(crate) struct ExcusedIntervals {
-    /// By router address.
+    /// Pauses by router address.
     paused: HashMap<String, Vec<Interval>>,
     links: HashMap<LinkKey, Vec<Interval>>,
 }
 
-fn begin(intervals: &mut Vec<Interval>, at: i64, most_delay: Option<i64>) {
+/// Records the beginning of a fault.
+fn begin_fault(intervals: &mut Vec<Interval>, at: i64, max_delay_us: Option<i64>) {
     match intervals.last_mut() {
-        // Set anew while it lasts, or nearly so: the longer delay counts.
+        // The fault is set again during the previous interval, or at most `DELAYED_ARRIVAL_US` after it: both become
+        // one interval with the longer maximum delay.
         Some(last) if last.ended == i64::MAX || at - last.ended <= DELAYED_ARRIVAL_US => {
-            last.most_delay = last.most_delay.zip(most_delay).map(|(a, b)| a.max(b));
+            last.max_delay_us = last.max_delay_us.zip(max_delay_us).map(|(a, b)| a.max(b));
             last.ended = i64::MAX;
         }
         _ => intervals.push(Interval {
             began: at,
             ended: i64::MAX,
-            most_delay,
+            max_delay_us,
         }),
     }
 }
 
-fn end(intervals: &mut [Interval], at: i64) {
+/// Records the end of a fault.
+fn end_fault(intervals: &mut [Interval], at: i64) {
     if let Some(last) = intervals.last_mut()
         && last.ended == i64::MAX
     {
@@ -80,20 +90,21 @@
 }
 
 impl ExcusedIntervals {
+    /// Reads the intervals from all lines of a run.
     pub(crate) fn read(lines: &[LogLine]) -> Self {
         let mut excused = ExcusedIntervals::default();
         for line in lines {
             match line.event.as_str() {
                 "router-paused" => {
-                    let paused = excused.paused_mut(line);
+                    let paused = excused.pauses_mut(line);
                     if line.flag("on") {
-                        begin(paused, line.at, None);
+                        begin_fault(paused, line.at, None);
                     } else {
-                        end(paused, line.at);
+                        end_fault(paused, line.at);
                     }
                 }
-                // A new process is not paused.
-                "router-up" => end(excused.paused_mut(line), line.at),
+                // A new router process is not paused.
+                "router-up" => end_fault(excused.pauses_mut(line), line.at),
                 "link" => excused.read_link(line),
                 _ => {}
             }
@@ -101,7 +112,7 @@
         excused
     }
 
-    fn paused_mut(&mut self, line: &LogLine) -> &mut Vec<Interval> {
+    fn pauses_mut(&mut self, line: &LogLine) -> &mut Vec<Interval> {
         self.paused
             .entry(line.text("address").to_owned())
             .or_default()
@@ -120,38 +131,40 @@
         );
         let intervals = self.links.entry(key).or_default();
         if line.flag("on") {
-            begin(intervals, line.at, line.number("most_us"));
+            begin_fault(intervals, line.at, line.number("most_us"));
         } else {
-            end(intervals, line.at);
+            end_fault(intervals, line.at);
         }
     }
 
-    fn on_link(&self, from: &str, to: &str, fault: LinkFault) -> &[Interval] {
+    fn link_faults(&self, from: &str, to: &str, fault: LinkFault) -> &[Interval] {
         self.links
             .get(&(from.to_owned(), to.to_owned(), fault))
             .map_or(&[], Vec::as_slice)
     }
 
-    fn of_paused(&self, router: &str) -> &[Interval] {
+    fn pauses(&self, router: &str) -> &[Interval] {
         self.paused.get(router).map_or(&[], Vec::as_slice)
     }
 
-    /// Since when what arrived there at this time may have been in flight, if a fault held it.
+    /// Returns the earliest time at which a message that arrived at this time may have been sent, if a fault may have
+    /// delayed it.
     pub(crate) fn held_since(&self, from: &str, to: &str, arrived: i64) -> Option<i64> {
-        self.on_link(from, to, LinkFault::Held)
+        self.link_faults(from, to, LinkFault::Held)
             .iter()
             .filter(|held| held.may_have_delayed(arrived))
-            .map(|held| match held.most_delay {
+            .map(|held| match held.max_delay_us {
                 Some(most) => held.began.max(arrived - most),
                 None => held.began,
             })
             .min()
     }
 
-    /// Since when one side may have closed a connection without the other's having seen it at this time.
-    pub(crate) fn unseen_since(&self, from: &str, to: &str, at: i64) -> Option<i64> {
+    /// Returns the earliest time at which one side may have closed a connection without the other side having noticed
+    /// it at the time `at`.
+    pub(crate) fn close_hidden_since(&self, from: &str, to: &str, at: i64) -> Option<i64> {
         let half_open = self
-            .on_link(from, to, LinkFault::HalfOpen)
+            .link_faults(from, to, LinkFault::HalfOpen)
             .iter()
             .filter(|interval| interval.may_have_delayed(at))
             .map(|interval| interval.began)
@@ -162,37 +175,44 @@
             .min()
     }
 
-    /// Whether the router could not give an answer that was due: it was paused, or its link to or from the broker was
-    /// held.
-    pub(crate) fn kept_from_answering(&self, router: &str, due: i64, answerable: i64) -> bool {
+    /// Whether a fault kept the router from sending an answer that was due: the router was paused, or its link to or
+    /// from the broker was held.
+    pub(crate) fn was_kept_from_answering(
+        &self,
+        router: &str,
+        due: i64,
+        min_time_to_answer: i64,
+    ) -> bool {
         [
-            self.on_link(router, BROKER, LinkFault::Held),
-            self.on_link(BROKER, router, LinkFault::Held),
-            self.of_paused(router),
+            self.link_faults(router, BROKER, LinkFault::Held),
+            self.link_faults(BROKER, router, LinkFault::Held),
+            self.pauses(router),
         ]
         .into_iter()
         .flatten()
-        .any(|interval| interval.began < due && interval.ended.saturating_add(answerable) > due)
+        .any(|interval| {
+            interval.began < due && interval.ended.saturating_add(min_time_to_answer) > due
+        })
     }
 
+    /// Whether the router was paused at this time.
     pub(crate) fn was_paused_at(&self, router: &str, at: i64) -> bool {
-        self.of_paused(router)
-            .iter()
-            .any(|paused| paused.covers(at))
+        self.pauses(router).iter().any(|paused| paused.covers(at))
     }
 
-    /// When the router has received what the list sent then, and can have had the grace without being paused.
+    /// Returns the time at which the drain grace begins for a notification that the endpoint list sent at the time
+    /// `sent`: when the router received it, or the end of the last pause that overlaps the grace after that.
     pub(crate) fn notified_at(&self, router: &str, sent: i64, grace: i64) -> i64 {
-        // It arrived when the fault was over.
+        // A notification over a held link arrives when the fault is over.
         let arrived = self
-            .on_link(WORKER_LIST, router, LinkFault::Held)
+            .link_faults(ENDPOINT_LIST, router, LinkFault::Held)
             .iter()
             .filter(|held| held.covers(sent))
             .map(|held| held.ended)
             .max()
             .unwrap_or(sent);
-        // A grace in which it was paused begins again.
-        self.of_paused(router)
+        // The grace starts again at the end of each pause that overlaps it.
+        self.pauses(router)
             .iter()
             .filter(|paused| {
                 paused.began <= arrived.saturating_add(grace) && arrived <= paused.ended
@@ -201,12 +221,13 @@
             .fold(arrived, i64::max)
     }
 
-    /// When the router saw what was given to it then: a paused one did when it was resumed.
-    pub(crate) fn seen_at(&self, router: &str, given: i64) -> i64 {
-        self.of_paused(router)
+    /// Returns the time at which the router processed an invocation that was delivered at the time `delivered`: a
+    /// paused router processes it when it is resumed.
+    pub(crate) fn processed_at(&self, router: &str, delivered: i64) -> i64 {
+        self.pauses(router)
             .iter()
-            .filter(|paused| paused.covers(given))
+            .filter(|paused| paused.covers(delivered))
             .map(|paused| paused.ended)
-            .fold(given, i64::max)
+            .fold(delivered, i64::max)
     }
 }
--- a/crates/invariant-checker/src/history.rs
+++ b/crates/invariant-checker/src/history.rs
@@ -1,4 +1,4 @@
-//! What happened to each invocation, gathered from the lines about it.
+//! The history of each invocation, collected from the lines of the logs that concern it.
 
 use std::collections::BTreeMap;
 
@@ -7,101 +7,106 @@
 use crate::traffic_log::LogLine;
 use crate::verdict::Verdict;
 
-/// Times of two emulators' lines about one moment may be apart by this much: they are written by different threads.
+/// Greatest difference between the timestamps that two emulators record for the same moment: different threads write
+/// them.
 pub(crate) const CLOCK_TOLERANCE_US: i64 = 100_000;
-/// A closed connection is seen on its other side within this time.
+/// Time within which a closed connection is noticed at its other end.
 const CLOSE_SEEN_US: i64 = 500_000;
 
-/// By invocation id.
+/// Histories by invocation id.
 pub(crate) type Invocations = BTreeMap<String, InvocationHistory>;
 
-/// All that the logs say of one invocation. Times are microseconds of Unix time.
+/// All events of one invocation. Times are Unix time in microseconds.
 #[derive(Default)]
 pub(crate) struct InvocationHistory {
     pub(crate) trigger_type: String,
     pub(crate) account: String,
-    /// The queue that it was published to, or `calls`.
+    /// The AMQP queue that it was published to, or `calls` for KServe.
     pub(crate) front: String,
     pub(crate) published: i64,
     pub(crate) timeout_us: Option<i64>,
     pub(crate) deliveries: Vec<Delivery>,
     pub(crate) answers: Vec<Answer>,
+    /// Address of the router that sent the last answer.
     pub(crate) answered_by: String,
+    /// The broker dropped the message after its expiration.
     pub(crate) expired: bool,
     pub(crate) dead_lettered: bool,
-    /// A call's connection that its router broke off.
+    /// The KServe call that ended without an answer, if there was one.
     pub(crate) lost: Option<LostCall>,
+    /// Dispatches in the order in which workers received them.
     pub(crate) dispatches: Vec<Dispatch>,
     pub(crate) executions: usize,
 }
 
+/// A delivery of an invocation to a router.
 pub(crate) struct Delivery {
     pub(crate) at: i64,
 }
 
+/// An answer that a router sent to the client.
 pub(crate) struct Answer {
     pub(crate) at: i64,
     pub(crate) outcome: String,
     pub(crate) reason: String,
 }
 
+/// A KServe call whose connection ended without an answer.
 pub(crate) struct LostCall {
     pub(crate) at: i64,
     pub(crate) router: String,
 }
 
 impl InvocationHistory {
-    /// When its client gives up.
+    /// Time at which the timeout of the client ends; `i64::MAX` without a timeout.
     pub(crate) fn client_deadline(&self) -> i64 {
         self.timeout_us.map_or(i64::MAX, |t| self.published + t)
     }
 }
 
-/// A dispatch as its worker saw it.
+/// A dispatch as its worker recorded it.
 pub(crate) struct Dispatch {
     pub(crate) at: i64,
     pub(crate) router: String,
     number: String,
     worker: String,
-    departure: Option<Departure>,
-    /// A fault held it back: it may have been sent since then.
+    end: Option<DispatchEnd>,
+    /// Earliest time at which it may have been sent, if a fault delayed it.
     held_since: Option<i64>,
-    /// A fault may have hidden since then that its router closed the connection.
-    unseen_since: Option<i64>,
+    /// Earliest time at which its router may have closed the connection while a fault hid this from the worker.
+    close_hidden_since: Option<i64>,
 }
 
-/// How a dispatch left its worker.
-struct Departure {
+/// How a dispatch ended at its worker.
+struct DispatchEnd {
     at: i64,
     how: String,
 }
 
 impl Dispatch {
-    /// Whether it surely was in flight all the time between the two.
-    pub(crate) fn surely_in_flight(&self, since: i64, until: i64, leeway: i64) -> bool {
-        let unseen = self.unseen_since.unwrap_or(i64::MAX);
+    /// Whether the dispatch was certainly in flight during the whole interval from `since` to `until`.
+    pub(crate) fn certainly_in_flight(&self, since: i64, until: i64, leeway: i64) -> bool {
+        let hidden_since = self.close_hidden_since.unwrap_or(i64::MAX);
         let open = self
-            .departure
+            .end
             .as_ref()
-            .is_none_or(|left| left.at.min(unseen) > until + CLOSE_SEEN_US + leeway);
+            .is_none_or(|end| end.at.min(hidden_since) > until + CLOSE_SEEN_US + leeway);
         self.at <= since && open
     }
 
-    /// When it was sent at the earliest.
-    pub(crate) fn earliest_sent(&self) -> i64 {
+    /// Returns the earliest time at which the dispatch may have been sent.
+    pub(crate) fn earliest_send_time(&self) -> i64 {
         self.held_since.unwrap_or(self.at).min(self.at)
     }
 
-    /// The worker did not say, before any work, that it would not execute it.
+    /// Whether the worker may have executed the dispatch: it did not reject it before beginning any work.
     pub(crate) fn may_have_run(&self) -> bool {
-        self.departure
-            .as_ref()
-            .is_none_or(|left| left.how != "refused")
+        self.end.as_ref().is_none_or(|end| end.how != "refused")
     }
 }
 
-/// A fault held back what this line says, as its emulator saw or the cluster's log says: it may have been sent since
-/// then.
+/// Returns the earliest time at which the message that this line records may have been sent, if a fault delayed it. The
+/// fault is recorded by the emulator in the line itself, or by the test cluster in its own log.
 pub(crate) fn held_since(line: &LogLine, excused: &ExcusedIntervals) -> Option<i64> {
     [
         line.number("held_since"),
@@ -112,8 +117,8 @@
     .min()
 }
 
-/// Gathers the lines by invocation, and counts events in the verdict.
-pub(crate) fn gather(evidence: &Evidence, verdict: &mut Verdict) -> Invocations {
+/// Groups the lines by invocation, and counts events in the verdict.
+pub(crate) fn collect_invocations(evidence: &Evidence, verdict: &mut Verdict) -> Invocations {
     let mut invocations = Invocations::new();
     for line in evidence.lines {
         match line.event.as_str() {
@@ -172,30 +177,30 @@
                 router: line.text("from").to_owned(),
                 number: line.text("dispatch").to_owned(),
                 worker: line.source.clone(),
-                departure: None,
+                end: None,
                 held_since: held_since(line, excused),
-                unseen_since: None,
+                close_hidden_since: None,
             }),
-            "left" => self.record_departure(line, excused),
+            "left" => self.record_dispatch_end(line, excused),
             "ran" => self.executions += 1,
             _ => {}
         }
     }
 
-    fn record_departure(&mut self, line: &LogLine, excused: &ExcusedIntervals) {
+    fn record_dispatch_end(&mut self, line: &LogLine, excused: &ExcusedIntervals) {
         let is_same = |dispatch: &&mut Dispatch| {
-            dispatch.departure.is_none()
+            dispatch.end.is_none()
                 && dispatch.worker == line.source
                 && dispatch.router == line.text("from")
                 && dispatch.number == line.text("dispatch")
         };
         if let Some(dispatch) = self.dispatches.iter_mut().find(is_same) {
-            dispatch.departure = Some(Departure {
+            dispatch.end = Some(DispatchEnd {
                 at: line.at,
                 how: line.text("how").to_owned(),
             });
-            let unseen = excused.unseen_since(line.text("from"), &line.source, line.at);
-            dispatch.unseen_since = [line.number("unseen_since"), unseen]
+            let hidden_since = excused.close_hidden_since(line.text("from"), &line.source, line.at);
+            dispatch.close_hidden_since = [line.number("unseen_since"), hidden_since]
                 .into_iter()
                 .flatten()
                 .min();
--- a/crates/invariant-checker/src/lib.rs
+++ b/crates/invariant-checker/src/lib.rs
@@ -1,10 +1,10 @@
-//! Checks the invariants of a run from what crossed the sockets: the emulators' logs and the rules' figures, nothing
-//! else. It shares no code with the router. [`judge`] reads the folder that a scenario has left and gives the
+//! Checks the invariants of a run from its recorded traffic: the logs of the emulators and the settings of the rules,
+//! nothing else. It shares no code with the router. [`check`] reads the output folder of a scenario and returns the
 //! [`Verdict`].
 //!
-//! Modules: `traffic_log` reads the lines, `history` gathers them by invocation, `excused_intervals` says what a fault
-//! kept from being seen; `rules` holds a check for each of the five rules, `warm_capacity` those of upgrades and
-//! sessions.
+//! Modules: `traffic_log` reads the lines of the logs, `history` groups them by invocation, `excused_intervals` tells
+//! when a fault kept events from being observed, `rules` contains a check for each of the five rules, and
+//! `warm_capacity` contains the checks for upgrades and sessions.
 
 #![warn(missing_docs)]
 
--- a/crates/invariant-checker/src/rules.rs
+++ b/crates/invariant-checker/src/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules, each checked from the lines that show it.
+//! The five rules, each checked from the log lines that concern it.
 
 pub(crate) mod answers;
 pub(crate) mod drains;
@@ -6,18 +6,18 @@
 pub(crate) mod load_quota;
 pub(crate) mod overload;
 
-/// The rules by the numbers under which verdicts count their breaks.
+/// The rules. The discriminant is the number under which a verdict counts the violations of the rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Rule {
-    /// Exactly one final answer before the client's timeout.
+    /// Each invocation gets exactly one final answer before the timeout of its client.
     Answers = 1,
-    /// No effect twice.
+    /// No invocation that is not idempotent takes effect twice.
     Effects = 2,
-    /// Nothing new for a draining worker.
+    /// Draining workers receive no new work.
     Drains = 3,
-    /// No overload of a worker in slow start.
+    /// Workers in slow start are not overloaded.
     Overload = 4,
-    /// Load orders within their quota.
+    /// Each router stays within its quota of load orders.
     LoadQuota = 5,
 }
 
--- a/crates/invariant-checker/src/rules/answers.rs
+++ b/crates/invariant-checker/src/rules/answers.rs
@@ -1,5 +1,5 @@
-//! Rule 1: what a router took gets exactly one final answer before the client's timeout, and nothing is dispatched
-//! after it.
+//! Rule 1: an invocation that was delivered to a router gets exactly one final answer before the timeout of its client,
+//! and is not dispatched after that answer.
 
 use super::Rule;
 use crate::check::Evidence;
@@ -7,20 +7,23 @@
 use crate::traffic_log::LogLine;
 use crate::verdict::{Tally, Verdict};
 
-/// A delivery with less time left than this cannot be answered in time by any router.
-const ANSWERABLE_US: i64 = 150_000;
+/// Least time, in microseconds, that a router needs to answer. An invocation that is delivered with less time left may
+/// be answered late.
+const MIN_TIME_TO_ANSWER_US: i64 = 150_000;
 
-/// An interval in which the broker accepted no publishing.
+/// An interval in which the broker blocked publishing.
 struct BlockedInterval {
     began: i64,
     ended: i64,
 }
 
+/// The end of a router process by a kill.
 struct RouterKill<'a> {
     at: i64,
     router: &'a str,
 }
 
+/// Input of the checks of rule 1.
 struct AnswerCheck<'a> {
     evidence: &'a Evidence<'a>,
     blocked: Vec<BlockedInterval>,
@@ -30,8 +33,8 @@
 pub(crate) fn check(invocations: &Invocations, evidence: &Evidence, verdict: &mut Verdict) {
     let check = AnswerCheck {
         evidence,
-        blocked: blocked(evidence.lines),
-        kills: kills(evidence.lines),
+        blocked: blocked_intervals(evidence.lines),
+        kills: router_kills(evidence.lines),
     };
     for (id, invocation) in invocations {
         for answer in &invocation.answers {
@@ -40,7 +43,7 @@
         }
         let Some(first_delivery) = invocation.deliveries.first() else {
             if !invocation.answers.is_empty() {
-                verdict.add_break(Rule::Answers, format!("{id} was answered and never taken"));
+                verdict.add_violation(Rule::Answers, format!("{id} was answered and never taken"));
             }
             continue;
         };
@@ -51,13 +54,13 @@
             1 => check.check_lateness(id, invocation, first_delivery.at, verdict),
             count => {
                 verdict.double_answers += 1;
-                verdict.add_break(Rule::Answers, format!("{id} got {count} answers"));
+                verdict.add_violation(Rule::Answers, format!("{id} got {count} answers"));
             }
         }
     }
 }
 
-fn blocked(lines: &[LogLine]) -> Vec<BlockedInterval> {
+fn blocked_intervals(lines: &[LogLine]) -> Vec<BlockedInterval> {
     let mut intervals: Vec<BlockedInterval> = Vec::new();
     for line in lines.iter().filter(|line| line.event == "blocked") {
         if line.flag("on") {
@@ -72,7 +75,7 @@
     intervals
 }
 
-fn kills(lines: &[LogLine]) -> Vec<RouterKill<'_>> {
+fn router_kills(lines: &[LogLine]) -> Vec<RouterKill<'_>> {
     lines
         .iter()
         .filter(|line| line.event == "router-down")
@@ -84,6 +87,7 @@
 }
 
 impl AnswerCheck<'_> {
+    /// Counts the invocation under its trigger type, account and front.
     fn tally(&self, invocation: &InvocationHistory, verdict: &mut Verdict) {
         verdict.invocations += 1;
         let objective_us = self
@@ -102,7 +106,7 @@
             (&mut verdict.by_front, &invocation.front),
         ] {
             let tally = tallies.entry(name.clone()).or_default();
-            count(tally, invocation, within_objective);
+            count_outcome(tally, invocation, within_objective);
         }
     }
 
@@ -119,10 +123,10 @@
         let late = invocation
             .dispatches
             .iter()
-            .find(|dispatch| dispatch.earliest_sent() > latest);
+            .find(|dispatch| dispatch.earliest_send_time() > latest);
         if let Some(dispatch) = late {
             let late_ms = (dispatch.at - answer.at) / 1000;
-            verdict.add_break(
+            verdict.add_violation(
                 Rule::Answers,
                 format!("{id} was dispatched {late_ms} ms after its answer"),
             );
@@ -136,13 +140,13 @@
         first_delivery: i64,
         verdict: &mut Verdict,
     ) {
-        // The broker took it back, from a router that was killed or lost its channel, and no one had it again before
-        // its client gave up.
+        // The broker requeued the message because its router was killed or lost its channel, and delivered it to no
+        // other router before the timeout of the client.
         if invocation.expired || invocation.dead_lettered {
             return;
         }
         if let Some(lost) = &invocation.lost {
-            // What a router held when it was killed is no longer its duty.
+            // A router need not answer the calls that were open when it was killed.
             let tolerance = CLOCK_TOLERANCE_US + self.evidence.settings.leeway_us;
             let held = first_delivery - tolerance..=lost.at + tolerance;
             if self
@@ -152,17 +156,18 @@
             {
                 return;
             }
-            // A caller has listened until its router was resumed, or nearly.
+            // The router was paused when the timeout of the client ended, and until the client closed the connection
+            // or shortly before.
             let excused = self.evidence.excused;
             if excused.was_paused_at(&lost.router, invocation.client_deadline())
-                && excused.was_paused_at(&lost.router, lost.at - ANSWERABLE_US)
+                && excused.was_paused_at(&lost.router, lost.at - MIN_TIME_TO_ANSWER_US)
             {
                 verdict.held_by_rig += 1;
                 return;
             }
         }
         verdict.unanswered += 1;
-        verdict.add_break(Rule::Answers, format!("{id} was taken and never answered"));
+        verdict.add_violation(Rule::Answers, format!("{id} was taken and never answered"));
     }
 
     fn check_lateness(
@@ -179,23 +184,22 @@
             .last()
             .map_or(first_delivery, |delivery| delivery.at);
         let late = invocation.answers[0].at - deadline - settings.answer_slack_us;
-        let blocked = self
-            .blocked
-            .iter()
-            .any(|blocked| blocked.began < deadline && blocked.ended > deadline - ANSWERABLE_US);
+        let blocked = self.blocked.iter().any(|blocked| {
+            blocked.began < deadline && blocked.ended > deadline - MIN_TIME_TO_ANSWER_US
+        });
         if late > 0 && blocked {
             verdict.held_by_broker += 1;
         } else if late > 0
-            && self.evidence.excused.kept_from_answering(
+            && self.evidence.excused.was_kept_from_answering(
                 &invocation.answered_by,
                 deadline,
-                ANSWERABLE_US,
+                MIN_TIME_TO_ANSWER_US,
             )
         {
             verdict.held_by_rig += 1;
-        } else if late > settings.leeway_us && last_delivery < deadline - ANSWERABLE_US {
+        } else if late > settings.leeway_us && last_delivery < deadline - MIN_TIME_TO_ANSWER_US {
             let late_ms = late / 1000;
-            verdict.add_break(
+            verdict.add_violation(
                 Rule::Answers,
                 format!("{id} was answered {late_ms} ms after its client gave up"),
             );
@@ -203,10 +207,14 @@
     }
 }
 
-fn count(tally: &mut Tally, invocation: &InvocationHistory, within_objective: bool) {
+fn count_outcome(tally: &mut Tally, invocation: &InvocationHistory, within_objective: bool) {
     tally.taken += 1;
     tally.within_objective += u64::from(within_objective);
-    match invocation.answers.first().map(|a| a.outcome.as_str()) {
+    match invocation
+        .answers
+        .first()
+        .map(|answer| answer.outcome.as_str())
+    {
         Some("succeeded") => tally.succeeded += 1,
         Some("throttled") => tally.throttled += 1,
         Some("errored") => tally.errored += 1,
--- a/crates/invariant-checker/src/rules/drains.rs
+++ b/crates/invariant-checker/src/rules/drains.rs
@@ -1,4 +1,5 @@
-//! Rule 3: a router sends a draining worker nothing new once the grace after its notification is over.
+//! Rule 3: a router sends no new work to a draining worker once the drain grace has passed since the router was
+//! notified.
 
 use std::collections::HashMap;
 
@@ -8,17 +9,18 @@
 use crate::traffic_log::LogLine;
 use crate::verdict::Verdict;
 
-/// What the worker list has notified routers of.
+/// Draining workers of which the endpoint list has notified the routers.
 #[derive(Default)]
 struct Notifications {
-    /// Addresses of the workers, by the names of their logs.
+    /// Address of each worker, by the name of its log.
     addresses: HashMap<String, String>,
-    /// By router and worker address: since when the worker is published to it as draining or gone.
+    /// By addresses of router and worker: when the router was first notified that the worker is draining or gone.
     draining: HashMap<(String, String), i64>,
 }
 
 impl Notifications {
-    fn record_sent(&mut self, line: &LogLine) {
+    /// Records a notification about one worker.
+    fn record_notification(&mut self, line: &LogLine) {
         let key = (line.text("to").to_owned(), line.text("worker").to_owned());
         if line.flag("gone") || line.flag("draining") {
             self.draining.entry(key).or_insert(line.at);
@@ -27,7 +29,7 @@
         }
     }
 
-    /// Workers that a complete listing leaves out are gone.
+    /// Records a complete listing: workers that are absent from it are gone.
     fn record_listing(&mut self, line: &LogLine) {
         let listed = line.texts("workers");
         for worker in self.addresses.values() {
@@ -39,12 +41,13 @@
         }
     }
 
-    /// A new process has been notified of nothing.
+    /// Removes the notifications of a router whose process was replaced: the new process has received none.
     fn forget_router(&mut self, router: &str) {
         self.draining.retain(|(to, _), _| to != router);
     }
 
-    /// Since when the sender of a line is notified that its worker is draining or gone.
+    /// Returns when the router that sent the message on this line was notified that the receiving worker is draining or
+    /// gone.
     fn draining_since(&self, line: &LogLine) -> Option<i64> {
         let worker = self.addresses.get(&line.source)?;
         let key = (line.text("from").to_owned(), worker.clone());
@@ -63,10 +66,10 @@
                     .addresses
                     .insert(line.source.clone(), line.text("address").to_owned());
             }
-            "told" => notifications.record_sent(line),
+            "told" => notifications.record_notification(line),
             "router-up" => notifications.forget_router(line.text("address")),
             "listed" => notifications.record_listing(line),
-            // When it was sent is not known: a fault held it back.
+            // A fault delayed the message, so the time at which it was sent is unknown.
             "received" | "ordered" if held_since(line, evidence.excused).is_some() => {}
             "received" | "ordered" => {
                 let Some(sent) = notifications.draining_since(line) else {
@@ -77,7 +80,7 @@
                 if line.at.saturating_sub(notified) > grace {
                     let late_ms = (line.at - notified) / 1000;
                     let worker = &line.source;
-                    verdict.add_break(
+                    verdict.add_violation(
                         Rule::Drains,
                         format!(
                             "{worker} got something from {router} {late_ms} ms after it was told"
--- a/crates/invariant-checker/src/rules/effects.rs
+++ b/crates/invariant-checker/src/rules/effects.rs
@@ -1,4 +1,5 @@
-//! Rule 2: no effect twice, and no dispatch or throttling answer that could lead to it.
+//! Rule 2: no invocation that is not idempotent takes effect twice, and no dispatch or `throttled` answer risks that it
+//! does.
 
 use super::Rule;
 use crate::check::Evidence;
@@ -15,13 +16,13 @@
         let trigger_type = &invocation.trigger_type;
         if rules.effect != Effect::Idempotent && invocation.executions > 1 {
             let times = invocation.executions;
-            verdict.add_break(
+            verdict.add_violation(
                 Rule::Effects,
                 format!("{id} ({trigger_type}) took effect {times} times"),
             );
         }
-        let first_run = invocation.dispatches.iter().find(|d| d.may_have_run());
-        if let Some(first) = first_run {
+        let first_possible_run = invocation.dispatches.iter().find(|d| d.may_have_run());
+        if let Some(first) = first_possible_run {
             check_after_run(id, invocation, rules, first, verdict);
         }
         if !settings.hedged_requests {
@@ -30,7 +31,8 @@
     }
 }
 
-/// What must not follow a dispatch that may have been executed.
+/// Checks what must not follow a dispatch that may have been executed: a further dispatch, or a `throttled` answer,
+/// after which the client may retry.
 fn check_after_run(
     id: &str,
     invocation: &InvocationHistory,
@@ -46,7 +48,7 @@
         Effect::Tokened => later.any(|d| d.at - first.at > rules.window_us),
     };
     if is_repeated {
-        verdict.add_break(
+        verdict.add_violation(
             Rule::Effects,
             format!("{id} ({trigger_type}) was dispatched again though it may have run"),
         );
@@ -56,14 +58,14 @@
         .iter()
         .any(|answer| answer.outcome == "throttled" && answer.at > first.at);
     if rules.effect == Effect::NonIdempotent && throttled {
-        verdict.add_break(
+        verdict.add_violation(
             Rule::Effects,
             format!("{id} ({trigger_type}) was throttled though it may have run"),
         );
     }
 }
 
-/// One router has one dispatch of an invocation in flight, where it sends no hedged requests.
+/// Checks that a router has at most one dispatch of an invocation in flight if it sends no hedged requests.
 fn check_concurrent_dispatches(
     id: &str,
     invocation: &InvocationHistory,
@@ -72,11 +74,12 @@
 ) {
     for pair in invocation.dispatches.windows(2) {
         let (first, second) = (&pair[0], &pair[1]);
-        // Symptom: behind a partition, a worker works on what its router has timed out and sent elsewhere.
+        // Dispatches behind a partition do not count: the worker still executes a dispatch that its router has timed
+        // out and sent to another worker.
         let concurrent =
-            first.surely_in_flight(second.earliest_sent(), second.at, settings.leeway_us);
+            first.certainly_in_flight(second.earliest_send_time(), second.at, settings.leeway_us);
         if concurrent && first.router == second.router {
-            verdict.add_break(
+            verdict.add_violation(
                 Rule::Effects,
                 format!("{id} had two dispatches out at once"),
             );
--- a/crates/invariant-checker/src/rules/load_quota.rs
+++ b/crates/invariant-checker/src/rules/load_quota.rs
@@ -1,4 +1,4 @@
-//! Rule 5: each router gives load orders within its quota.
+//! Rule 5: each router stays within its quota of load orders.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -8,18 +8,19 @@
 use crate::settings::RuleSettings;
 use crate::verdict::Verdict;
 
-/// What one router process took and ordered, by time.
+/// Times of the invocations that one router process accepted and of the load orders that it issued.
 #[derive(Default)]
 struct RouterProcess {
-    taken: VecDeque<i64>,
+    accepted: VecDeque<i64>,
     ordered: VecDeque<i64>,
 }
 
 impl RouterProcess {
-    /// Records an order; how many orders are allowed, where it is one too many.
-    fn order(&mut self, at: i64, settings: &RuleSettings) -> Option<f64> {
+    /// Records a load order. Returns the number of allowed orders if this order exceeds it.
+    fn record_order(&mut self, at: i64, settings: &RuleSettings) -> Option<f64> {
         self.ordered.push_back(at);
-        // At the edge of the window an order counts a little less long, an invocation a little longer.
+        // Timestamps are inexact, so at the edge of the window orders are dropped slightly earlier and invocations
+        // slightly later than exactly at its end.
         let window = settings.load_quota_window_us;
         let tolerance = CLOCK_TOLERANCE_US + settings.leeway_us;
         let older_than = |window: i64| move |t: &i64| at - t > window;
@@ -31,14 +32,14 @@
             self.ordered.pop_front();
         }
         while self
-            .taken
+            .accepted
             .front()
             .is_some_and(older_than(window + tolerance))
         {
-            self.taken.pop_front();
+            self.accepted.pop_front();
         }
-        let allowed =
-            settings.load_quota_base + settings.load_quota_per_invocation * self.taken.len() as f64;
+        let allowed = settings.load_quota_base
+            + settings.load_quota_per_invocation * self.accepted.len() as f64;
         (self.ordered.len() as f64 > allowed).then_some(allowed)
     }
 }
@@ -50,22 +51,22 @@
     let mut routers: HashMap<&str, RouterProcess> = HashMap::new();
     for line in evidence.lines {
         match line.event.as_str() {
-            // A new process knows nothing of what the one before ordered or took.
+            // A new process does not know which orders the previous process issued and which invocations it accepted.
             "router-up" => {
                 routers.remove(line.text("address"));
             }
             "delivered" => {
                 let router = line.text("to");
-                let seen = evidence.excused.seen_at(router, line.at);
-                routers.entry(router).or_default().taken.push_back(seen);
+                let seen = evidence.excused.processed_at(router, line.at);
+                routers.entry(router).or_default().accepted.push_back(seen);
             }
             "ordered" if held_since(line, evidence.excused).is_some() => {}
             "ordered" => {
                 let router = line.text("from");
                 let process = routers.entry(router).or_default();
-                if let Some(allowed) = process.order(line.at, evidence.settings) {
+                if let Some(allowed) = process.record_order(line.at, evidence.settings) {
                     let count = process.ordered.len();
-                    verdict.add_break(
+                    verdict.add_violation(
                         Rule::LoadQuota,
                         format!("{router} gave {count} orders where {allowed:.1} are allowed"),
                     );
--- a/crates/invariant-checker/src/rules/overload.rs
+++ b/crates/invariant-checker/src/rules/overload.rs
@@ -1,4 +1,4 @@
-//! Rule 4: a worker in slow start is not sent, by all routers together, more than a multiple of its capacity.
+//! Rule 4: all routers together do not send to a worker in slow start more than a given multiple of its capacity.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -8,31 +8,33 @@
 use crate::traffic_log::LogLine;
 use crate::verdict::Verdict;
 
+/// A dispatch that a worker received.
 struct Arrival {
     at: i64,
-    /// Processor time in microseconds.
-    work: f64,
+    /// Processor time that it needs, in microseconds.
+    work_us: f64,
 }
 
-/// One process of a worker.
+/// One process of a worker, from its start to its next restart.
 #[derive(Default)]
 struct WorkerProcess {
     cores: f64,
     slow_start_since: Option<i64>,
     arrivals: VecDeque<Arrival>,
-    /// A process is reported once.
+    /// A violation by this process was reported; each process is reported at most once.
     reported: bool,
 }
 
 impl WorkerProcess {
-    /// Records an arrival; how many times its capacity it has been sent, where that is too much.
-    fn receive(&mut self, line: &LogLine, settings: &RuleSettings) -> Option<f64> {
+    /// Records a dispatch. Returns the work within the window as a multiple of the capacity of the worker if it exceeds
+    /// the allowed multiple.
+    fn record_dispatch(&mut self, line: &LogLine, settings: &RuleSettings) -> Option<f64> {
         let since = self
             .slow_start_since
             .filter(|since| line.at - since < settings.slow_start_us)?;
         self.arrivals.push_back(Arrival {
             at: line.at,
-            work: line.float("work"),
+            work_us: line.float("work"),
         });
         while self
             .arrivals
@@ -44,7 +46,7 @@
         let age = (line.at - since) as f64 / settings.slow_start_us.max(1) as f64;
         let progress = settings.slow_start_share + (1.0 - settings.slow_start_share) * age;
         let capacity = self.cores * progress * settings.overload_window_us as f64;
-        let sent: f64 = self.arrivals.iter().map(|arrival| arrival.work).sum();
+        let sent: f64 = self.arrivals.iter().map(|arrival| arrival.work_us).sum();
         if self.reported || sent <= settings.overload_multiple * capacity {
             return None;
         }
@@ -68,10 +70,10 @@
             "received" => {
                 let overload = processes
                     .get_mut(line.source.as_str())
-                    .and_then(|process| process.receive(line, evidence.settings));
+                    .and_then(|process| process.record_dispatch(line, evidence.settings));
                 if let Some(times) = overload {
                     let worker = &line.source;
-                    verdict.add_break(
+                    verdict.add_violation(
                         Rule::Overload,
                         format!("{worker} was sent {times:.1} times what it could do"),
                     );
--- a/crates/invariant-checker/src/settings.rs
+++ b/crates/invariant-checker/src/settings.rs
@@ -1,88 +1,92 @@
-//! The rules' figures that held for a run; `terms.json` in its folder. Field names are its JSON keys.
+//! The settings of the rules that were in force for a run, stored as `terms.json` in its output folder. The serialized
+//! names of the fields are its JSON keys.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether invocations of a trigger type may be executed again.
+/// Whether an invocation of a trigger type may be executed more than once.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// They may.
+    /// It may be executed any number of times.
     Idempotent,
-    /// They may within the window in which workers remember the idempotency key.
+    /// Idempotent by key: it may be dispatched again while workers remember its idempotency key, and is executed once.
     Tokened,
-    /// They may not.
+    /// It must not be executed more than once.
     NonIdempotent,
 }
 
-/// Rules of one trigger type.
+/// Settings of the rules for one trigger type.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct TriggerTypeRules {
-    /// Whether its invocations may be executed again.
+    /// Whether an invocation may be executed more than once.
     pub effect: Effect,
-    /// How long workers remember an idempotency key.
+    /// Time for which workers remember an idempotency key, in microseconds.
     pub window_us: i64,
-    /// Its latency objective.
+    /// Latency objective, in microseconds.
     pub objective_us: i64,
 }
 
-/// The rules' figures.
+/// Settings of all rules.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct RuleSettings {
-    /// Rules by trigger type.
+    /// Settings by name of the trigger type.
     #[serde(rename = "kinds")]
     pub trigger_types: BTreeMap<String, TriggerTypeRules>,
-    /// How late an answer may be after its client's timeout.
+    /// Time by which an answer may be later than the timeout of its client, in microseconds.
     pub answer_slack_us: i64,
-    /// How long a router may still dispatch to a worker after it is notified of its draining.
+    /// Time for which a router may still dispatch to a worker after the router is notified that the worker is draining,
+    /// in microseconds.
     pub drain_grace_us: i64,
-    /// Share of its capacity that a worker begins its slow start with.
+    /// Share of its capacity that a worker has at the beginning of its slow start.
     #[serde(rename = "cold_part")]
     pub slow_start_share: f64,
-    /// Length of the slow start.
+    /// Duration of the slow start, in microseconds.
     #[serde(rename = "cold_for_us")]
     pub slow_start_us: i64,
-    /// Work that a worker in slow start may be sent, as a multiple of its capacity.
+    /// Work that all routers together may send to a worker in slow start, as a multiple of its capacity.
     pub overload_multiple: f64,
-    /// The window over which that work is summed.
+    /// Window over which that work is summed, in microseconds.
     pub overload_window_us: i64,
-    /// The window of the quota for load orders; 0 without a quota.
+    /// Window of the quota for load orders, in microseconds; 0 disables the quota.
     #[serde(rename = "ration_window_us")]
     pub load_quota_window_us: i64,
-    /// Load orders that a router may give within the window in any case.
+    /// Load orders that a router may issue within the window regardless of its traffic.
     #[serde(rename = "ration_few")]
     pub load_quota_base: f64,
-    /// Load orders that it may give beside these for each invocation that it took within the window.
+    /// Further load orders that a router may issue for each invocation that it accepted within the window.
     #[serde(rename = "ration_part")]
     pub load_quota_per_invocation: f64,
-    /// Routers may send hedged requests.
+    /// Whether routers may send hedged requests.
     #[serde(rename = "second_copies")]
     pub hedged_requests: bool,
-    /// What a busy machine may add to any time that is checked; for tests, whose verdicts are counts.
+    /// Time that a busy machine may add to the durations that rules 1, 2, 3 and 5 check, in microseconds. Meant for
+    /// tests whose result is the number of violations.
     #[serde(default)]
     pub leeway_us: i64,
-    /// Regions of the workers, by the names of their logs; all are in one, if none is named.
+    /// Region of each worker, by the name of its log. Workers that are not listed share a region with an empty name.
     #[serde(default)]
     pub regions: BTreeMap<String, String>,
-    /// Share of the lanes ready when a model's upgrade begins that must be ready in each region until it is over.
+    /// Share of the lanes that are ready in a region when the upgrade of a model begins which must stay ready in that
+    /// region until the upgrade is over.
     #[serde(default, rename = "floor_part")]
     pub floor_share: f64,
-    /// How long routers may not know what a fault took away.
+    /// Time for which routers may not know of lanes that were lost by a fault, in microseconds.
     #[serde(default)]
     pub floor_known_us: i64,
-    /// Floors that hold from when they are first reached.
+    /// Floors that apply as soon as they are first reached.
     #[serde(default)]
     pub floors: Vec<Floor>,
 }
 
-/// Least number of ready lanes of a model's versions together, in one region.
+/// Minimum number of ready lanes of all versions of a model together, in one region.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Floor {
-    /// The region.
+    /// Name of the region.
     pub region: String,
-    /// The model, without a version.
+    /// Name of the model, without a version.
     pub model: String,
-    /// The lanes.
+    /// Minimum number of ready lanes.
     pub lanes: u32,
 }
--- a/crates/invariant-checker/src/traffic_log.rs
+++ b/crates/invariant-checker/src/traffic_log.rs
@@ -1,4 +1,4 @@
-//! The lines of the emulators' logs.
+//! Reads the logs that the emulators and the test cluster write: files of JSON lines, one event a line.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -8,37 +8,39 @@
 
 use crate::CheckError;
 
-/// One event of a log.
+/// One line of a log, which records one event.
 pub(crate) struct LogLine {
-    /// Microseconds of Unix time.
+    /// Unix time in microseconds.
     pub(crate) at: i64,
-    /// What happened.
+    /// Kind of the event.
     pub(crate) event: String,
-    /// Name of the emulator that wrote it.
+    /// Name of the log, which is the name of the emulator that wrote it.
     pub(crate) source: String,
     fields: Value,
 }
 
 impl LogLine {
-    /// A text; empty if there is none of this name.
+    /// Returns the value of a text field; empty if the field is absent.
     pub(crate) fn text(&self, name: &str) -> &str {
         self.fields[name].as_str().unwrap_or("")
     }
 
+    /// Returns the value of an integer field, if it is present.
     pub(crate) fn number(&self, name: &str) -> Option<i64> {
         self.fields[name].as_i64()
     }
 
-    /// A figure; 0 if there is none of this name.
+    /// Returns the value of a numeric field; 0 if the field is absent.
     pub(crate) fn float(&self, name: &str) -> f64 {
         self.fields[name].as_f64().unwrap_or(0.0)
     }
 
-    /// False if there is none of this name.
+    /// Returns the value of a boolean field; false if the field is absent.
     pub(crate) fn flag(&self, name: &str) -> bool {
         self.fields[name].as_bool().unwrap_or(false)
     }
 
+    /// Returns the elements of a field that is a list of texts; empty if the field is absent.
     pub(crate) fn texts(&self, name: &str) -> Vec<&str> {
         self.fields[name]
             .as_array()
@@ -48,13 +50,15 @@
             .collect()
     }
 
-    /// The correlation id of its invocation, which dispatches carry within a longer one.
+    /// Returns the correlation id of the invocation. The id of a dispatch is longer and contains it as the second
+    /// part, separated by `|`.
     pub(crate) fn invocation_id(&self) -> &str {
         let id = self.text("id");
         id.split('|').nth(1).unwrap_or(id)
     }
 
-    /// The broker or a caller hands an invocation to a router. Answers are delivered too, to their clients.
+    /// Whether the broker or a KServe client delivers an invocation to a router. Answers are recorded as `delivered`
+    /// too, from queues whose names begin with `replies`.
     pub(crate) fn is_delivery_to_router(&self) -> bool {
         self.event == "delivered" && !self.text("queue").starts_with("replies")
     }
@@ -65,7 +69,7 @@
     move |source| CheckError::Unreadable { file, source }
 }
 
-/// All lines of all logs of a folder, in the order of their times. A last line that was cut off is left out.
+/// Reads all lines of all logs in a folder, ordered by time. A log may end in an incomplete line, which is skipped.
 pub(crate) fn read(folder: &Path) -> Result<Vec<LogLine>, CheckError> {
     let mut files: Vec<PathBuf> = std::fs::read_dir(folder)
         .map_err(unreadable(folder))?
--- a/crates/invariant-checker/src/verdict.rs
+++ b/crates/invariant-checker/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What the checks found, and how it is shown.
+//! The result of the checks, and its output as a table.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
@@ -8,27 +8,29 @@
 use crate::rules::Rule;
 use crate::warm_capacity::{FloorRecord, PrefixCounts, Promise};
 
-/// Breaks that are described one by one.
-pub(crate) const MAX_DESCRIBED: usize = 40;
+/// Maximum number of violations, and of rebuilt prefixes, that are listed individually.
+pub(crate) const MAX_DESCRIPTIONS: usize = 40;
 
-/// What the checks found. Field names are the keys of its JSON.
+/// Result of the checks. The names of the fields are the keys of its JSON.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
-    /// Invocations that a router took.
+    /// Invocations that were delivered to a router.
     pub invocations: u64,
     /// Answers by final outcome.
     pub answers: BTreeMap<String, u64>,
-    /// Taken and never answered.
+    /// Invocations that a router had to answer and that got no answer.
     pub unanswered: u64,
-    /// Answered more than once.
+    /// Invocations that were answered more than once.
     pub double_answers: u64,
-    /// Late because the broker accepted no publishing when they were due: no router could have answered.
+    /// Answers that were late because the broker blocked publishing when they were due, so that no router could have
+    /// answered in time.
     pub held_by_broker: u64,
-    /// Late, or never received by a caller, because their router was paused or partitioned from the broker.
+    /// Answers that were late, or never received by a KServe client, because their router was paused or partitioned
+    /// from the broker.
     pub held_by_rig: u64,
-    /// Breaks by the rule's number.
+    /// Violations by the number of the rule.
     pub rules: BTreeMap<String, u64>,
-    /// Succeeded within their latency objective.
+    /// Invocations that succeeded within their latency objective.
     pub within_objective: u64,
     /// Dispatches that workers received.
     pub dispatches: u64,
@@ -36,58 +38,59 @@
     pub loads: u64,
     /// Redeliveries by the broker.
     pub redelivered: u64,
-    /// Executions.
+    /// Executions by workers.
     pub effects: u64,
-    /// Repeats that workers did not execute.
+    /// Repeated dispatches that workers recognised and did not execute.
     pub repeats_dropped: u64,
-    /// Fetches from the store.
+    /// Fetches of functions from the store.
     pub fetches: u64,
-    /// By trigger type.
+    /// Counts by trigger type.
     pub by_type: BTreeMap<String, Tally>,
-    /// By account.
+    /// Counts by account.
     pub by_account: BTreeMap<String, Tally>,
-    /// By the queue that it was published to, or `calls`.
+    /// Counts by front: the AMQP queue that an invocation was published to, or `calls` for KServe.
     pub by_front: BTreeMap<String, Tally>,
     /// Answers by reason.
     pub by_reason: BTreeMap<String, u64>,
-    /// Descriptions of the first breaks.
+    /// Descriptions of the first violations.
     pub breaks: Vec<String>,
-    /// Breaks of what is promised beyond the rules: `sessions`, `floor` and `terms`.
+    /// Violations of the promises, which hold beside the rules: `sessions`, `floor` and `terms`.
     pub promises: BTreeMap<String, u64>,
-    /// Sessions that ran.
+    /// Sessions that were executed, counted for each model.
     pub sessions: u64,
-    /// How sessions met their cached prefixes.
+    /// How often sessions found their cached prefixes.
     pub prefixes: PrefixCounts,
-    /// How often ready lanes fell below a floor by a fault, not by an order.
+    /// How often ready lanes fell below a floor because of a fault, not because of an order.
     pub floor_lost: u64,
-    /// By model and region, where a floor held.
+    /// Floors by model and region, for those in which a floor applied.
     pub floors: BTreeMap<String, FloorRecord>,
 }
 
 /// Counts of one trigger type, account or front.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Tally {
-    /// Invocations that a router took.
+    /// Invocations that were delivered to a router.
     pub taken: u64,
-    /// Whose first answer is a success.
+    /// Invocations whose first answer is a success.
     pub succeeded: u64,
-    /// Whose first answer is a rejection.
+    /// Invocations whose first answer is a rejection (outcome `throttled`).
     pub throttled: u64,
-    /// Whose first answer is an error.
+    /// Invocations whose first answer is an error.
     pub errored: u64,
-    /// Succeeded within their latency objective.
+    /// Invocations that succeeded within their latency objective.
     pub within_objective: u64,
 }
 
-fn percentage(part: u64, of: u64) -> f64 {
-    if of == 0 {
+/// Returns `part` as a percentage of `total`, or 0 if `total` is 0.
+fn percentage(part: u64, total: u64) -> f64 {
+    if total == 0 {
         0.0
     } else {
-        100.0 * part as f64 / of as f64
+        100.0 * part as f64 / total as f64
     }
 }
 
-/// `a 1, b 2`, with this between name and count.
+/// Formats counts as a list such as `a 1, b 2`, with `prefix` before each name and `separator` between name and count.
 fn counts(counts: &BTreeMap<String, u64>, prefix: &str, separator: &str) -> String {
     let all: Vec<String> = counts
         .iter()
@@ -97,8 +100,8 @@
 }
 
 impl Verdict {
-    /// Nothing broken, with an entry for each rule, promise and outcome.
-    pub(crate) fn unbroken() -> Self {
+    /// Returns a verdict without violations that has an entry for each rule, promise and outcome.
+    pub(crate) fn without_violations() -> Self {
         let zeros = |names: &[&str]| names.iter().map(|name| ((*name).to_owned(), 0)).collect();
         Verdict {
             rules: Rule::ALL
@@ -111,32 +114,32 @@
         }
     }
 
-    /// Breaks of rules and promises together.
+    /// Returns the number of violations of all rules and promises.
     pub fn broken(&self) -> u64 {
         self.rules.values().chain(self.promises.values()).sum()
     }
 
-    /// Counts and describes a break of a rule.
-    pub(crate) fn add_break(&mut self, rule: Rule, description: String) {
+    /// Counts and describes a violation of a rule.
+    pub(crate) fn add_violation(&mut self, rule: Rule, description: String) {
         let number = rule.number();
         *self.rules.entry(number.to_string()).or_default() += 1;
         self.describe(format!("rule {number}: {description}"));
     }
 
-    /// Counts and describes a break of a promise.
-    pub(crate) fn add_broken_promise(&mut self, promise: Promise, description: String) {
+    /// Counts and describes a violation of a promise.
+    pub(crate) fn add_promise_violation(&mut self, promise: Promise, description: String) {
         let name = promise.as_str();
         *self.promises.entry(name.to_owned()).or_default() += 1;
         self.describe(format!("{name}: {description}"));
     }
 
     fn describe(&mut self, description: String) {
-        if self.breaks.len() < MAX_DESCRIBED {
+        if self.breaks.len() < MAX_DESCRIPTIONS {
             self.breaks.push(description);
         }
     }
 
-    /// The line that a run ends on.
+    /// Returns the summary line that ends the output of a run.
     pub fn last_line(&self) -> String {
         let answers: u64 = self.answers.values().sum();
         format!(
@@ -146,7 +149,7 @@
         )
     }
 
-    /// All figures and the descriptions of breaks, in lines.
+    /// Returns all counts and the descriptions of the violations as lines of text.
     pub fn table(&self) -> String {
         let mut text = String::new();
         let written = self
--- a/crates/invariant-checker/src/warm_capacity.rs
+++ b/crates/invariant-checker/src/warm_capacity.rs
@@ -1,7 +1,9 @@
-//! What upgrades promise beyond the rules: sessions that stay on one version, floors of ready lanes, one planner in a
-//! term; and what became of cached prefixes. From the workers' lines alone, and the cluster's `upgrade` lines.
+//! Checks the promises that upgrades keep beside the rules: a session stays on one version of a model, ready lanes stay
+//! above a floor, and one router plans in each term. Also counts how often sessions found their cached prefixes. The
+//! checks of the promises use only the lines of the workers and the `upgrade` lines of the test cluster.
 //!
-//! Functions that differ only in what follows `/versions/` are versions of one model; one without is a version too.
+//! Functions whose names differ only in the part after `/versions/` are versions of one model. A function without this
+//! part is also a version of the model that it names.
 
 pub(crate) mod floors;
 pub(crate) mod prefixes;
@@ -12,14 +14,14 @@
 
 use crate::traffic_log::LogLine;
 
-/// What is promised, by the names under which verdicts count breaks.
+/// The promises. [`Promise::as_str`] is the name under which a verdict counts the violations of the promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Promise {
-    /// A session runs on one version of a model.
+    /// Each session runs on one version of a model.
     Sessions,
-    /// A model's ready lanes never fall below the floor.
+    /// The ready lanes of a model never fall below the floor because of an order or for lack of memory.
     Floor,
-    /// All orders of one term about a model are one router's.
+    /// All orders of one term about a model are issued by one router.
     Terms,
 }
 
@@ -35,14 +37,14 @@
     }
 }
 
-/// The model that a function is a version of.
+/// Returns the name of the model that a function is a version of.
 fn model_of(function: &str) -> &str {
     function
         .split_once("/versions/")
         .map_or(function, |(model, _)| model)
 }
 
-/// Lost by a fault of the test's, not by an order or for want of memory.
+/// Whether an injected fault removed the function from its worker, not an order or a lack of memory.
 fn is_lost_by_fault(line: &LogLine) -> bool {
     matches!(line.event.as_str(), "down" | "fell")
         || line.event == "evicted" && line.text("why") != "room"
--- a/crates/invariant-checker/src/warm_capacity/floors.rs
+++ b/crates/invariant-checker/src/warm_capacity/floors.rs
@@ -1,9 +1,11 @@
-//! Ready lanes of a model in a region never fall below its floor by an order, or for want of memory.
+//! Checks that the ready lanes of a model in a region never fall below its floor because of an order or for lack of
+//! memory.
 //!
-//! Lanes are ready from `loaded` until `unloaded`, `evicted`, or their worker's `down` or `fell`. A floor is given in
-//! lanes and holds from when it is first reached, or as a share of what was ready at the model's `upgrade` line, until
-//! its `upgrade-over`. What an order, or a load that needs memory, takes below a floor breaks it; what a fault takes
-//! away is counted as lost, and routers need not know of it for a stated time.
+//! Lanes are ready from `loaded` until `unloaded` or `evicted`, or until `down` or `fell` of their worker. A floor is
+//! given in lanes and applies as soon as it is first reached; or it is a share of the lanes that are ready at the
+//! `upgrade` line of the model and applies until its `upgrade-over` line. An order, or a load that needs memory,
+//! violates the floor if it reduces the ready lanes below it. Lanes that are removed by a fault are counted as lost,
+//! and routers need not know of the loss for `floor_known_us` microseconds.
 
 use std::collections::BTreeMap;
 
@@ -15,15 +17,16 @@
 use crate::traffic_log::LogLine;
 use crate::verdict::Verdict;
 
-/// A floor of one model in one region, in lanes.
+/// The floor of one model in one region, and the fewest ready lanes, both in lanes.
 #[derive(Clone, Debug, Serialize)]
 pub struct FloorRecord {
-    /// The floor that held last.
+    /// The floor that applied last.
     pub floor: f64,
-    /// Fewest ready lanes while a floor held.
+    /// Fewest ready lanes while a floor applied.
     pub lowest: u64,
 }
 
+/// Lanes that a fault removed.
 struct LostLanes {
     at: i64,
     lanes: i64,
@@ -33,48 +36,55 @@
 #[derive(Default)]
 struct ReadyLanes {
     lanes: i64,
+    /// The floor in lanes, whether or not it applies.
     floor: f64,
-    /// The floor holds: it was reached, or an upgrade is under way.
-    holds: bool,
+    /// Whether the floor applies: it was reached, or an upgrade is in progress.
+    floor_applies: bool,
+    /// Fewest ready lanes while a floor applied.
     lowest: Option<i64>,
     lost_by_faults: Vec<LostLanes>,
 }
 
-/// What removing lanes did to a floor that holds.
+/// Effect of the removal of lanes on a floor that applies.
 enum FloorEffect {
+    /// No effect that is counted.
     None,
-    /// Below it, by a fault.
+    /// The ready lanes fell below the floor because of a fault, or are below it after an order that routers issued when
+    /// they may not have known of a loss.
     Lost,
-    /// Below it, by an order or for want of memory.
-    Broken,
+    /// The ready lanes fell below the floor because of an order or for lack of memory.
+    Violated,
 }
 
 impl ReadyLanes {
     fn is_below_floor(&self, lanes: i64) -> bool {
-        self.holds && (lanes as f64) < self.floor
+        self.floor_applies && (lanes as f64) < self.floor
     }
 
-    fn hold_floor(&mut self, floor: f64) {
-        (self.floor, self.holds) = (floor, true);
+    /// Sets the floor, which applies from now on.
+    fn apply_floor(&mut self, floor: f64) {
+        (self.floor, self.floor_applies) = (floor, true);
         self.lowest = Some(self.lowest.map_or(self.lanes, |l| l.min(self.lanes)));
     }
 
     fn add(&mut self, lanes: i64) {
         self.lanes += lanes;
-        let was_never_held = !self.holds && self.lowest.is_none();
-        if was_never_held && self.floor > 0.0 && self.lanes as f64 >= self.floor {
-            self.hold_floor(self.floor);
+        let has_never_applied = !self.floor_applies && self.lowest.is_none();
+        if has_never_applied && self.floor > 0.0 && self.lanes as f64 >= self.floor {
+            self.apply_floor(self.floor);
         }
     }
 
-    fn remove(&mut self, line: &LogLine, lanes: i64, known_us: i64) -> FloorEffect {
+    /// Removes lanes and returns the effect on the floor. For an order, the lanes that faults removed less than
+    /// `floor_known_us` microseconds ago count as ready, because routers may not know of the loss.
+    fn remove(&mut self, line: &LogLine, lanes: i64, floor_known_us: i64) -> FloorEffect {
         let by_fault = is_lost_by_fault(line);
         let before = self.lanes;
         self.lanes -= lanes;
         if by_fault {
             self.lost_by_faults.push(LostLanes { at: line.at, lanes });
         }
-        if !self.holds {
+        if !self.floor_applies {
             return FloorEffect::None;
         }
         self.lowest = self.lowest.map(|lowest| lowest.min(self.lanes));
@@ -86,14 +96,14 @@
                 FloorEffect::None
             };
         }
-        let unknown: i64 = self
+        let unknown_lost_lanes: i64 = self
             .lost_by_faults
             .iter()
-            .filter(|lost| line.at - lost.at < known_us)
+            .filter(|lost| line.at - lost.at < floor_known_us)
             .map(|lost| lost.lanes)
             .sum();
-        if self.is_below_floor(self.lanes + unknown) {
-            FloorEffect::Broken
+        if self.is_below_floor(self.lanes + unknown_lost_lanes) {
+            FloorEffect::Violated
         } else if is_below {
             FloorEffect::Lost
         } else {
@@ -102,12 +112,12 @@
     }
 }
 
-/// All models in all regions.
+/// State of the check, for all models in all regions.
 struct FloorCheck<'a> {
     settings: &'a RuleSettings,
-    /// By region and model.
+    /// Ready lanes by region and model.
     ready: BTreeMap<(&'a str, &'a str), ReadyLanes>,
-    /// Lanes by worker and function.
+    /// Ready lanes by worker and function.
     loaded: BTreeMap<(&'a str, &'a str), i64>,
 }
 
@@ -160,7 +170,7 @@
             .add(lanes - before);
     }
 
-    /// One function of a worker, or by an empty name all of them.
+    /// Removes one function from a worker, or all its functions if the line names none.
     fn record_removal(&mut self, line: &'a LogLine, verdict: &mut Verdict) {
         let (worker, function) = (line.source.as_str(), line.text("function"));
         let is_removed =
@@ -176,7 +186,7 @@
             match ready.remove(line, lanes, self.settings.floor_known_us) {
                 FloorEffect::None => {}
                 FloorEffect::Lost => verdict.floor_lost += 1,
-                FloorEffect::Broken => verdict.add_broken_promise(
+                FloorEffect::Violated => verdict.add_promise_violation(
                     Promise::Floor,
                     format!(
                         "{model} in {region:?}: {} lanes stand where {:.1} must, as {function} was {}",
@@ -196,10 +206,10 @@
             .filter(|((_, model), _)| models.contains(model))
         {
             if line.event == "upgrade-over" {
-                ready.holds = false;
-            } else if !ready.holds {
-                // An order in mid-upgrade leaves the floor as it is.
-                ready.hold_floor(ready.lanes as f64 * floor_share);
+                ready.floor_applies = false;
+            } else if !ready.floor_applies {
+                // A further order during an upgrade does not change the floor.
+                ready.apply_floor(ready.lanes as f64 * floor_share);
             }
         }
     }
--- a/crates/invariant-checker/src/warm_capacity/prefixes.rs
+++ b/crates/invariant-checker/src/warm_capacity/prefixes.rs
@@ -1,5 +1,8 @@
-//! How sessions met their cached prefixes, and why a prefix had to be rebuilt: where the last turn that was answered
-//! before had run, and what kept this one from going there.
+//! Counts how often the turns of sessions found their cached prefixes, and determines why a prefix was rebuilt.
+//!
+//! The prefix is expected at the worker that ran the last turn of the session that was answered before this turn was
+//! delivered to its router. The cause is what kept this turn from being sent to that worker, or from finding its prefix
+//! there.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -9,90 +12,97 @@
 use crate::check::Evidence;
 use crate::excused_intervals::ExcusedIntervals;
 use crate::traffic_log::LogLine;
-use crate::verdict::{MAX_DESCRIBED, Verdict};
+use crate::verdict::{MAX_DESCRIPTIONS, Verdict};
 
-/// RebuildCause a turn found no prefix, by where the last turn that was answered before it came to its router had run.
+/// Reason why a turn did not find its prefix. "The expected worker" is the worker that ran the last turn of the session
+/// that was answered before this turn was delivered to its router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RebuildCause {
-    /// No turn had been answered by then, or the last one had been.
+    /// No turn of the session had been answered by then, the answered turn was the last of the session, or this turn
+    /// did reach the expected worker.
     OutOfTurn,
-    /// That worker had crashed since, or had lost the function by a fault.
+    /// The expected worker had crashed since, or had lost the function by a fault.
     Died,
-    /// An order had the function unloaded.
+    /// The expected worker had unloaded the function by an order.
     Unloaded,
-    /// It was evicted for want of memory.
+    /// The expected worker had evicted the function for lack of memory.
     Room,
-    /// The router could not reach that worker just then.
+    /// The expected worker was unreachable for the router when the turn was dispatched.
     Cut,
-    /// It was sent there before, and that dispatch came to nothing.
+    /// The turn had been dispatched to the expected worker before, without success.
     Tried,
-    /// All lanes of the function were taken at some time since the router had it.
+    /// All lanes of the function at the expected worker were busy at some time since the turn was delivered to its
+    /// router.
     Busy,
-    /// Its router had other work in flight at that worker, and may have taken the worker for crowded.
+    /// The router had other dispatches in flight at the expected worker, and may have considered it crowded.
     Crowded,
-    /// Another router had answered the turn before, and the gossip of where may have come late.
+    /// Another router had answered the previous turn, and the gossip about its worker may have been received too late.
     Elsewhere,
-    /// Its router had answered the turn before; the function was ready with a free lane all the time, at a worker to
-    /// which that router had sent nothing else, or one thing.
+    /// None of the other causes applies: the same router had answered the previous turn, the function always had a free
+    /// lane at the expected worker, and the router had at most one other dispatch in flight there.
     Astray,
 }
 
-/// How sessions met their prefixes.
+/// How often sessions found their cached prefixes. Field names are the keys of its JSON.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct PrefixCounts {
-    /// First turns.
+    /// First turns, which begin a prefix.
     pub begun: u64,
     /// Turns that found their prefix.
     pub found: u64,
-    /// Turns that did not.
+    /// Turns that did not find their prefix.
     pub rebuilt: u64,
-    /// The rebuilt by cause; each has one.
+    /// Turns that did not find their prefix, by cause; each has exactly one cause.
     pub by: BTreeMap<RebuildCause, u64>,
-    /// Invocations that went astray, with the worker to which they should have gone; the first few.
+    /// The first invocations with the cause [`RebuildCause::Astray`], with the worker that received them and the
+    /// expected worker.
     pub astray: Vec<String>,
 }
 
 impl PrefixCounts {
-    /// How many were rebuilt for this cause.
+    /// Returns how many prefixes were rebuilt for this cause.
     pub fn caused_by(&self, why: RebuildCause) -> u64 {
         self.by.get(&why).copied().unwrap_or(0)
     }
 }
 
-/// From this many dispatches of its own on a router may take a worker for crowded, and not use its free lanes.
-const CROWDED_FROM: usize = 2;
+/// Number of other dispatches of a router in flight at a worker from which on the router may consider the worker
+/// crowded and not use its free lanes.
+const MIN_DISPATCHES_IF_CROWDED: usize = 2;
 
-/// A turn that was answered.
+/// A turn of a session that a worker answered.
 struct AnsweredTurn<'a> {
     at: i64,
-    /// When its router passed the answer on.
-    passed_on: i64,
+    /// When its router sent the answer to the client; `i64::MAX` if it sent none.
+    answer_sent_at: i64,
     worker: &'a str,
     router: &'a str,
     ends_session: bool,
 }
 
+/// The loss of a function at a worker, or of the worker.
 struct Loss {
     at: i64,
     cause: RebuildCause,
 }
 
-/// A function at a worker, or by an empty name all of a worker.
+/// State of a function at a worker. An empty function name stands for the whole worker.
 #[derive(Default)]
 struct FunctionRecord {
     lanes: i64,
-    busy: i64,
-    /// When all of its lanes were busy last; `i64::MAX` while they are.
+    busy_lanes: i64,
+    /// Last time at which all of its lanes were busy; `i64::MAX` while they are.
     last_full: Option<i64>,
     last_loss: Option<Loss>,
 }
 
 impl FunctionRecord {
-    fn change_busy(&mut self, at: i64, change: i64) {
-        let was_full = self.lanes > 0 && self.busy >= self.lanes;
-        self.busy += change;
-        if self.lanes > 0 && self.busy >= self.lanes {
+    /// Changes the number of busy lanes at the time `at`.
+    fn change_busy_lanes(&mut self, at: i64, change: i64) {
+        let was_full = self.lanes > 0 && self.busy_lanes >= self.lanes;
+        self.busy_lanes += change;
+        if self.lanes > 0 && self.busy_lanes >= self.lanes {
             self.last_full = Some(i64::MAX);
         } else if was_full {
             self.last_full = Some(at);
@@ -100,80 +110,84 @@
     }
 }
 
-/// A dispatch in flight, as its router knows it: from when it took the invocation, at the earliest, until it has
-/// answered it.
+/// The time in which a router may consider a dispatch to be in flight: at most from the delivery of the invocation to
+/// the router until its answer.
 struct InFlight<'a> {
     invocation: &'a str,
     since: i64,
     until: i64,
 }
 
+/// The session of a turn, and whether the turn ends it.
 #[derive(Clone, Copy)]
 struct SessionTurn<'a> {
     session: &'a str,
     ends_session: bool,
 }
 
-/// RebuildCause a turn went where it did, and where it should have gone.
+/// The worker that should have received a turn, and the cause to report if the turn does not find its prefix.
 #[derive(Clone, Copy)]
 struct Explanation<'a> {
     cause: RebuildCause,
-    wanted: &'a str,
+    /// Name of the expected worker; empty if there is none.
+    expected_worker: &'a str,
 }
 
-/// What is the same for all lines.
-struct Background<'a> {
+/// Facts from the whole run, collected before the lines are processed in order.
+struct RunFacts<'a> {
     excused: &'a ExcusedIntervals,
-    /// By router and worker.
+    /// Dispatches by router and worker.
     in_flight: HashMap<(&'a str, &'a str), Vec<InFlight<'a>>>,
-    /// When each invocation was answered to its client.
+    /// Time at which each invocation was answered to its client.
     answered: HashMap<&'a str, i64>,
-    /// By invocation.
+    /// Turns by invocation.
     turns: HashMap<&'a str, SessionTurn<'a>>,
 }
 
-/// What is known up to a line.
+/// State after the lines that have been processed so far.
 #[derive(Default)]
-struct Progress<'a> {
-    /// When each invocation came to a router last.
+struct ReplayState<'a> {
+    /// Time at which each invocation was last delivered to a router.
     delivered: HashMap<&'a str, i64>,
-    /// By worker and function.
+    /// Functions by worker and function name.
     functions: HashMap<(&'a str, &'a str), FunctionRecord>,
-    /// The function of each dispatch at a worker, by worker, id and number.
+    /// The function of each dispatch in flight at a worker, by worker, id and number of the dispatch.
     dispatches: HashMap<(&'a str, &'a str, &'a str), &'a str>,
-    /// By session and function, in the order of their answers.
+    /// Answered turns by session and function, in the order of their answers.
     answered_turns: HashMap<(&'a str, &'a str), Vec<AnsweredTurn<'a>>>,
-    /// Workers and the invocations that they have received.
-    tried: HashSet<(&'a str, &'a str)>,
-    /// By worker and invocation, of the last dispatch.
+    /// Pairs of a worker and an invocation that the worker has received.
+    received: HashSet<(&'a str, &'a str)>,
+    /// Explanations of the last dispatch, by worker and invocation.
     explanations: HashMap<(&'a str, &'a str), Explanation<'a>>,
 }
 
+/// Counts the prefixes that were begun, found and rebuilt.
 pub(crate) fn count(evidence: &Evidence, verdict: &mut Verdict) {
-    let background = Background::read(evidence);
-    let mut progress = Progress::default();
+    let facts = RunFacts::read(evidence);
+    let mut state = ReplayState::default();
     for line in evidence.lines {
         match line.event.as_str() {
             "loaded" if line.flag("stands") => {
-                progress.function_mut(line).lanes = line.number("lanes").unwrap_or(1);
+                state.function_mut(line).lanes = line.number("lanes").unwrap_or(1);
             }
             "unloaded" | "evicted" | "down" | "fell" => {
-                progress.function_mut(line).last_loss = Some(Loss {
+                state.function_mut(line).last_loss = Some(Loss {
                     at: line.at,
                     cause: cause_of_loss(line),
                 });
             }
-            "received" => progress.receive(line, &background),
-            "left" => progress.leave(line, &background),
-            "prefix" => progress.count_prefix(line, &mut verdict.prefixes),
+            "received" => state.record_dispatch(line, &facts),
+            "left" => state.record_dispatch_end(line, &facts),
+            "prefix" => state.count_prefix(line, &mut verdict.prefixes),
             _ if line.is_delivery_to_router() => {
-                progress.delivered.insert(line.invocation_id(), line.at);
+                state.delivered.insert(line.invocation_id(), line.at);
             }
             _ => {}
         }
     }
 }
 
+/// Returns the cause that a loss on this line gives for a rebuilt prefix.
 fn cause_of_loss(line: &LogLine) -> RebuildCause {
     if is_lost_by_fault(line) {
         RebuildCause::Died
@@ -184,9 +198,9 @@
     }
 }
 
-impl<'a> Background<'a> {
+impl<'a> RunFacts<'a> {
     fn read(evidence: &Evidence<'a>) -> Self {
-        let (mut came, mut answered) = (HashMap::new(), HashMap::new());
+        let (mut delivered_at, mut answered) = (HashMap::new(), HashMap::new());
         let mut turns = HashMap::new();
         for line in evidence.lines {
             let id = line.invocation_id();
@@ -202,7 +216,7 @@
                     turns.insert(id, turn);
                 }
                 _ if line.is_delivery_to_router() => {
-                    came.insert((line.text("to"), id), line.at);
+                    delivered_at.insert((line.text("to"), id), line.at);
                 }
                 _ => {}
             }
@@ -215,11 +229,14 @@
                 .or_default()
                 .push(InFlight {
                     invocation,
-                    since: came.get(&(router, invocation)).copied().unwrap_or(line.at),
+                    since: delivered_at
+                        .get(&(router, invocation))
+                        .copied()
+                        .unwrap_or(line.at),
                     until: answered.get(invocation).copied().unwrap_or(i64::MAX),
                 });
         }
-        Background {
+        RunFacts {
             excused: evidence.excused,
             in_flight,
             answered,
@@ -227,11 +244,12 @@
         }
     }
 
-    /// Of its router's other invocations, those in flight at that worker at some time since this one came.
-    fn others_in_flight(&self, line: &LogLine, worker: &str, came: i64) -> usize {
+    /// Counts the other invocations of the router that were in flight at `worker` at some time since this invocation
+    /// was delivered.
+    fn others_in_flight(&self, line: &LogLine, worker: &str, delivered_at: i64) -> usize {
         let id = line.invocation_id();
         let is_other = |other: &&InFlight| {
-            other.invocation != id && other.since <= line.at && other.until >= came
+            other.invocation != id && other.since <= line.at && other.until >= delivered_at
         };
         self.in_flight
             .get(&(line.text("from"), worker))
@@ -239,24 +257,24 @@
     }
 }
 
-impl<'a> Progress<'a> {
+impl<'a> ReplayState<'a> {
     fn function_mut(&mut self, line: &'a LogLine) -> &mut FunctionRecord {
         self.functions
             .entry((line.source.as_str(), line.text("function")))
             .or_default()
     }
 
-    fn receive(&mut self, line: &'a LogLine, background: &Background<'a>) {
+    fn record_dispatch(&mut self, line: &'a LogLine, facts: &RunFacts<'a>) {
         let (worker, id) = (line.source.as_str(), line.invocation_id());
-        let explanation = self.explain(line, background);
+        let explanation = self.explain(line, facts);
         self.explanations.insert((worker, id), explanation);
-        self.tried.insert((worker, id));
+        self.received.insert((worker, id));
         let dispatch = (worker, line.text("id"), line.text("dispatch"));
         self.dispatches.insert(dispatch, line.text("function"));
-        self.function_mut(line).change_busy(line.at, 1);
+        self.function_mut(line).change_busy_lanes(line.at, 1);
     }
 
-    fn leave(&mut self, line: &'a LogLine, background: &Background<'a>) {
+    fn record_dispatch_end(&mut self, line: &'a LogLine, facts: &RunFacts<'a>) {
         let worker = line.source.as_str();
         let dispatch = (worker, line.text("id"), line.text("dispatch"));
         let Some(function) = self.dispatches.remove(&dispatch) else {
@@ -265,12 +283,12 @@
         self.functions
             .entry((worker, function))
             .or_default()
-            .change_busy(line.at, -1);
+            .change_busy_lanes(line.at, -1);
         let id = line.invocation_id();
         if line.text("how") != "answered" {
             return;
         }
-        let Some(turn) = background.turns.get(id) else {
+        let Some(turn) = facts.turns.get(id) else {
             return;
         };
         self.answered_turns
@@ -278,42 +296,49 @@
             .or_default()
             .push(AnsweredTurn {
                 at: line.at,
-                passed_on: background.answered.get(id).copied().unwrap_or(i64::MAX),
+                answer_sent_at: facts.answered.get(id).copied().unwrap_or(i64::MAX),
                 worker,
                 router: line.text("from"),
                 ends_session: turn.ends_session,
             });
     }
 
-    /// Where a dispatch should have gone, and why it may not have.
-    fn explain(&self, line: &'a LogLine, background: &Background<'a>) -> Explanation<'a> {
+    /// Determines which worker should have received the dispatch on this line, and why another worker may have received
+    /// it.
+    fn explain(&self, line: &'a LogLine, facts: &RunFacts<'a>) -> Explanation<'a> {
         let (id, function) = (line.invocation_id(), line.text("function"));
-        let came = self.delivered.get(id).copied().unwrap_or(line.at);
-        // A router knows of an answer once it has passed it on.
-        let last = background
+        let delivered_at = self.delivered.get(id).copied().unwrap_or(line.at);
+        // A router knows the worker of a turn at the latest when it has sent the answer to the client.
+        let last = facts
             .turns
             .get(id)
             .and_then(|turn| self.answered_turns.get(&(turn.session, function)))
-            .and_then(|turns| turns.iter().rev().find(|turn| turn.passed_on <= came));
+            .and_then(|turns| {
+                turns
+                    .iter()
+                    .rev()
+                    .find(|turn| turn.answer_sent_at <= delivered_at)
+            });
         let Some(last) = last.filter(|turn| !turn.ends_session) else {
             return Explanation {
                 cause: RebuildCause::OutOfTurn,
-                wanted: "",
+                expected_worker: "",
             };
         };
         Explanation {
-            cause: self.cause(line, last, came, background),
-            wanted: last.worker,
+            cause: self.cause(line, last, delivered_at, facts),
+            expected_worker: last.worker,
         }
     }
 
-    /// RebuildCause a dispatch need not have found the prefix that the session's last answered turn left.
+    /// Determines why a dispatch need not have found the prefix that the last answered turn of the session left. The
+    /// causes are tried in a fixed order, and the first that applies is returned.
     fn cause(
         &self,
         line: &LogLine,
         last: &AnsweredTurn,
-        came: i64,
-        background: &Background,
+        delivered_at: i64,
+        facts: &RunFacts,
     ) -> RebuildCause {
         let (id, function, router) = (
             line.invocation_id(),
@@ -321,32 +346,35 @@
             line.text("from"),
         );
         let record = |function| self.functions.get(&(last.worker, function));
-        let wanted = record(function);
-        let loss = [record(""), wanted]
+        let function_record = record(function);
+        let loss = [record(""), function_record]
             .into_iter()
             .flatten()
             .filter_map(|record| record.last_loss.as_ref())
             .filter(|loss| loss.at > last.at)
             .max_by_key(|loss| (loss.at, loss.cause));
         let is_held = || {
-            let held = background.excused.held_since(router, last.worker, line.at);
+            let held = facts.excused.held_since(router, last.worker, line.at);
             held.is_some()
         };
         if let Some(loss) = loss {
             loss.cause
         } else if last.worker == line.source {
-            // It went where it should. What is not found there was dropped by the session's last turn.
+            // The expected worker received it. A prefix that is missing there was dropped by the last turn of the
+            // session.
             RebuildCause::OutOfTurn
         } else if is_held() {
             RebuildCause::Cut
-        } else if self.tried.contains(&(last.worker, id)) {
+        } else if self.received.contains(&(last.worker, id)) {
             RebuildCause::Tried
-        } else if wanted
+        } else if function_record
             .and_then(|record| record.last_full)
-            .is_some_and(|at| at >= came)
+            .is_some_and(|at| at >= delivered_at)
         {
             RebuildCause::Busy
-        } else if background.others_in_flight(line, last.worker, came) >= CROWDED_FROM {
+        } else if facts.others_in_flight(line, last.worker, delivered_at)
+            >= MIN_DISPATCHES_IF_CROWDED
+        {
             RebuildCause::Crowded
         } else if last.router != router {
             RebuildCause::Elsewhere
@@ -365,11 +393,11 @@
                 let explanation = self.explanations.get(&(worker, id));
                 let cause = explanation.map_or(RebuildCause::OutOfTurn, |e| e.cause);
                 *counts.by.entry(cause).or_default() += 1;
-                if cause == RebuildCause::Astray && counts.astray.len() < MAX_DESCRIBED {
-                    let wanted = explanation.map_or("", |e| e.wanted);
+                if cause == RebuildCause::Astray && counts.astray.len() < MAX_DESCRIPTIONS {
+                    let expected_worker = explanation.map_or("", |e| e.expected_worker);
                     counts
                         .astray
-                        .push(format!("{id} at {worker}, not {wanted}"));
+                        .push(format!("{id} at {worker}, not {expected_worker}"));
                 }
             }
         }
--- a/crates/invariant-checker/src/warm_capacity/sessions.rs
+++ b/crates/invariant-checker/src/warm_capacity/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions stay on one version of a model, and one router plans in a term.
+//! Checks that each session stays on one version of a model and that one router plans in each term.
 
 use std::collections::{HashMap, HashSet};
 
@@ -6,7 +6,7 @@
 use crate::check::Evidence;
 use crate::verdict::Verdict;
 
-/// No session runs on two versions of a model.
+/// Checks that no session ran on two versions of a model.
 pub(crate) fn check_one_version(evidence: &Evidence, verdict: &mut Verdict) {
     let mut versions_run: HashMap<(&str, &str), HashSet<&str>> = HashMap::new();
     for line in evidence
@@ -20,7 +20,7 @@
             .or_default();
         if versions.insert(function) && versions.len() > 1 {
             let worker = &line.source;
-            verdict.add_broken_promise(
+            verdict.add_promise_violation(
                 Promise::Sessions,
                 format!("session {session} ran on {function} as well, at {worker}"),
             );
@@ -29,7 +29,7 @@
     verdict.sessions = versions_run.len() as u64;
 }
 
-/// Orders of one term about one model are of one router.
+/// Checks that all orders of one term about one model were issued by one router.
 pub(crate) fn check_one_planner(evidence: &Evidence, verdict: &mut Verdict) {
     let mut planners: HashMap<(&str, &str), HashSet<&str>> = HashMap::new();
     for line in evidence
@@ -44,7 +44,7 @@
         }
         let routers = planners.entry((model, term)).or_default();
         if routers.insert(router) && routers.len() > 1 {
-            verdict.add_broken_promise(
+            verdict.add_promise_violation(
                 Promise::Terms,
                 format!("{router} gave an order about {model} in term {term}, which is another's"),
             );
