--- a/crates/fuzz/src/amqp.rs
+++ b/crates/fuzz/src/amqp.rs
@@ -1,10 +1,11 @@
-//! Readers of AMQP 0-9-1: what a broker sends, in pieces as they arrive.
+//! Targets for the parsers of AMQP 0-9-1: the bytes that a broker sends, in pieces as they arrive.
 
 use cedarpulley_amqp::connection::Login;
 use cedarpulley_amqp::frames::FrameReader;
 use cedarpulley_amqp::{Connection, Role};
 
-/// Makes a whole frame of most pieces, by their first two bytes, so that more is reached than the first check.
+/// Turns most pieces into a complete frame, whose type and channel are chosen by the first two bytes of the piece.
+/// Without this, nearly all inputs would fail at the first check of the frame reader.
 fn framed(piece: &[u8]) -> Vec<u8> {
     match piece {
         [kind, channel, payload @ ..] if kind % 8 != 0 => {
@@ -18,7 +19,7 @@
     }
 }
 
-/// The frames alone.
+/// The frame reader alone.
 pub fn amqp_frames(pieces: &[Vec<u8>]) {
     let mut reader = FrameReader::new(8192);
     for piece in pieces {
@@ -33,7 +34,7 @@
     }
 }
 
-/// A connection that answers triggers.
+/// A connection that consumes triggers and answers them.
 pub fn amqp_connection(pieces: &[Vec<u8>]) {
     let login = Login {
         virtual_host: "/".into(),
--- a/crates/fuzz/src/kserve.rs
+++ b/crates/fuzz/src/kserve.rs
@@ -1,4 +1,4 @@
-//! Readers of KServe v2: requests of clients over HTTP and gRPC, and responses of workers.
+//! Targets for the parsers of KServe v2: requests of clients over HTTP and gRPC, and responses of workers.
 
 use bytes::Bytes;
 use cedarpulley_kserve::grpc::inference::{ModelInferRequest, ModelInferResponse};
@@ -7,12 +7,13 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use prost::Message;
 
-/// Raw tensors that are converted from typed ones are at most this many times longer than the JSON: texts get four
-/// bytes of length each, and a whole number of one digit and its comma becomes up to eight bytes.
+/// Maximum length of the raw tensors that are converted from a response, as a multiple of the length of the response. A
+/// text gets a length of four bytes, and an integer, which takes at least one digit and a comma in JSON, becomes up to
+/// eight bytes.
 const MAX_RAW_GROWTH: usize = 8;
 
-/// The body of a worker's response to infer: JSON, and raw tensors from `json_length` on. Its conversion has a
-/// bounded size.
+/// The body of a worker's response to an infer request: JSON, followed by raw tensors from `json_length` on. The size
+/// of the converted response is bounded.
 pub fn infer_response(bytes: &[u8], json_length: Option<u16>) {
     let bytes = Bytes::copy_from_slice(bytes);
     let size = bytes.len();
@@ -25,7 +26,7 @@
     }
 }
 
-/// A worker's index. No more is retained than was received.
+/// The repository index of a worker. The retained names are at most twice as long as the received bytes.
 pub fn worker_index(bytes: &[u8]) {
     if let Ok(index) = repository_index::parse(200, &HeaderMap::new(), bytes) {
         let retained: usize = index
@@ -36,11 +37,14 @@
                 model.function.len() + sequences.map(String::len).sum::<usize>()
             })
             .sum();
-        assert!(retained <= 2 * bytes.len(), "more than was received");
+        assert!(
+            retained <= 2 * bytes.len(),
+            "retained more than twice the received bytes"
+        );
     }
 }
 
-/// The body of a gRPC call. What is taken out of its frame has the stated length.
+/// The body of a gRPC call. The message in its frame has the length that the frame header states.
 pub fn grpc_body(bytes: &[u8]) {
     let Ok(message) = grpc::unframe(Bytes::copy_from_slice(bytes)) else {
         return;
@@ -55,7 +59,7 @@
     grpc_message(&message);
 }
 
-/// A gRPC message. A request that can be converted becomes JSON with all raw tensors after it.
+/// A gRPC message. A request that can be converted becomes JSON followed by all its raw tensors.
 pub fn grpc_message(bytes: &[u8]) {
     let Ok(message) = ModelInferRequest::decode(bytes) else {
         return;
@@ -71,9 +75,10 @@
     let _ = ModelInferResponse::decode(bytes);
 }
 
-/// A path, and headers: each has the number of a name, and a value. What is read keeps to its bounds.
+/// The path and the headers of a request. Each header is given as the index of its name and its value. The parsed
+/// values are within their bounds.
 pub fn request_head(path: &str, headers: &[(u8, Vec<u8>)]) {
-    const NAMES: [&str; 8] = [
+    const HEADER_NAMES: [&str; 8] = [
         "cedarpulley-trigger-type",
         "cedarpulley-account",
         "cedarpulley-client-timeout-ms",
@@ -87,15 +92,15 @@
     let mut map = HeaderMap::new();
     for (number, value) in headers {
         if let Ok(value) = HeaderValue::from_bytes(value) {
-            let name = NAMES[*number as usize % NAMES.len()];
+            let name = HEADER_NAMES[*number as usize % HEADER_NAMES.len()];
             map.insert(HeaderName::from_static(name), value);
         }
     }
-    if let Ok(read) = client_requests::parse_infer_headers(&map, 1_000_000) {
+    if let Ok(parsed) = client_requests::parse_infer_headers(&map, 1_000_000) {
         assert!(
-            read.lanes >= 1
-                && read.waited >= 0
-                && read.client_timeout.is_none_or(|timeout| timeout >= 0)
+            parsed.lanes >= 1
+                && parsed.waited >= 0
+                && parsed.client_timeout.is_none_or(|timeout| timeout >= 0)
         );
     }
     if let Ok(Some(timeout)) = grpc::timeout(&map) {
--- a/crates/fuzz/src/lib.rs
+++ b/crates/fuzz/src/lib.rs
@@ -1,10 +1,11 @@
-//! One function for each reader of bytes from outside: it must accept any input without a panic and keep to its
-//! bounds. `tests/targets.rs` calls them with generated inputs; docs/design/plumbing.md describes longer runs.
+//! Fuzz targets: one function for each parser of untrusted bytes. The parser must accept any input without a panic and
+//! must not exceed its bounds. `tests/targets.rs` calls the targets with generated inputs; docs/design/plumbing.md
+//! describes longer runs.
 //!
-//! * [`mod@kserve`], clients and workers that speak KServe v2.
-//! * [`mod@amqp`], brokers.
-//! * [`mod@platform`], the platform's clients, workers and command channel.
-//! * [`mod@trace`], trace files.
+//! * [`mod@kserve`]: KServe v2 requests of clients and responses of workers.
+//! * [`mod@amqp`]: AMQP 0-9-1 frames of a broker.
+//! * [`mod@platform`]: requests of the platform's clients, answers of its workers and responses of its command channel.
+//! * [`mod@trace`]: trace files.
 
 #![warn(missing_docs)]
 
--- a/crates/fuzz/src/platform.rs
+++ b/crates/fuzz/src/platform.rs
@@ -1,4 +1,4 @@
-//! Readers of the platform's protocols.
+//! Targets for the parsers of the platform's protocols.
 
 use cedarpulley_platform::client_protocol::{
     MAX_BODY_BYTES, RequestQueue, RequestRules, TriggerRules,
@@ -7,8 +7,8 @@
 use cedarpulley_platform::discovery::{ResponseReader, WorkerListFollower};
 use cedarpulley_platform::worker_protocol::AnswerReader;
 
-/// What a client sends, in pieces. Nothing is read after a request that is malformed, and what is retained is bounded
-/// however much is sent ahead.
+/// The bytes that a client sends, in pieces. Nothing is parsed after a malformed request, and the retained bytes are
+/// bounded no matter how many requests the client sends ahead.
 pub fn platform_client(pieces: &[Vec<u8>]) {
     let names = Names {
         triggers: vec!["a".into()],
@@ -27,7 +27,7 @@
     let mut queue = RequestQueue::default();
     for piece in pieces.iter().take_while(|piece| piece.len() < 1 << 16) {
         queue.put(0, piece, &rules);
-        // Those that are queued, and one that is being received, with its chunks or its head.
+        // The bound covers the queued requests, and one request that is being received, with its chunks or its headers.
         assert!(queue.bytes() <= 4 * MAX_BODY_BYTES + piece.len());
     }
     let mut ended = false;
@@ -39,7 +39,7 @@
     }
 }
 
-/// What a worker sends. What is read is no longer than what was received.
+/// The bytes that a worker sends. The parsed answers are no longer than the received bytes.
 pub fn platform_worker(bytes: &[u8]) {
     let mut reader = AnswerReader::default();
     reader.put(bytes);
@@ -50,7 +50,8 @@
     assert!(size <= bytes.len());
 }
 
-/// What the command channel sends, and a configuration. A batch that was applied changes nothing when applied again.
+/// The bytes that the command channel sends, and a configuration file. A batch that is applied a second time changes
+/// nothing.
 pub fn platform_channel(bytes: &[u8]) {
     let mut answers = ResponseReader::default();
     answers.put(bytes);
--- a/crates/fuzz/tests/targets.rs
+++ b/crates/fuzz/tests/targets.rs
@@ -1,5 +1,6 @@
-//! Each target runs with a fixed number of inputs, generated from the seed in `.cargo/config.toml`, on every test;
-//! `cargo bolero` runs the same targets for longer.
+//! Runs each fuzz target with a fixed number of inputs, which are generated from the seed in `.cargo/config.toml`.
+//! `cargo bolero` runs the same targets for longer. Guards against parsers that panic or exceed their bounds on
+//! malformed input.
 
 use bolero::check;
 use cedarpulley_fuzz::amqp::{amqp_connection, amqp_frames};
@@ -9,20 +10,20 @@
 use cedarpulley_fuzz::platform::{platform_channel, platform_client, platform_worker};
 use cedarpulley_fuzz::trace::trace_file;
 
-/// Inputs to a target: all targets take some seconds in a debug build.
-const INPUTS: usize = 20_000;
+/// Number of inputs of a target. All targets together take some seconds in a debug build.
+const INPUTS_PER_TARGET: usize = 20_000;
 
 #[test]
 fn fuzz_infer_response() {
     check!()
         .with_type::<(Vec<u8>, Option<u16>)>()
-        .with_iterations(INPUTS)
+        .with_iterations(INPUTS_PER_TARGET)
         .for_each(|(bytes, json_length)| infer_response(bytes, *json_length));
 }
 
 #[test]
 fn fuzz_worker_index() {
-    check!().with_type::<(Vec<u8>, u8, i64, u8)>().with_iterations(INPUTS).for_each(|(raw, kind, n, cut)| {
+    check!().with_type::<(Vec<u8>, u8, i64, u8)>().with_iterations(INPUTS_PER_TARGET).for_each(|(raw, kind, n, cut)| {
         worker_index(raw);
         let states = ["READY", "LOADING", "UNAVAILABLE", "no"];
         let state = states[*kind as usize % states.len()];
@@ -34,19 +35,19 @@
     });
 }
 
-/// Random bytes seldom are JSON: well-formed responses with random numbers and ends.
+/// Random bytes are seldom JSON, so this test generates well-formed responses with random numbers and truncates them.
 #[test]
 fn fuzz_binary_extension() {
-    check!().with_type::<(u8, i16, u16, Vec<u8>, u8)>().with_iterations(INPUTS).for_each(
+    check!().with_type::<(u8, i16, u16, Vec<u8>, u8)>().with_iterations(INPUTS_PER_TARGET).for_each(
         |(kind, size, split, raw, cut)| {
             let types = ["FP32", "INT8", "BYTES", "BOOL", "UINT64", "no"];
             let datatype = types[*kind as usize % types.len()];
-            let head = format!(
+            let json = format!(
                 r#"{{"outputs":[{{"datatype":"{datatype}","shape":[{size}],"parameters":{{"binary_data_size":{size}}}}},
                 {{"datatype":"{datatype}","data":[[{size}],["{kind}"]]}}]}}"#
             );
-            let mut body = [head.as_bytes(), raw].concat();
-            let split = if *kind < 128 { head.len() as u16 } else { *split };
+            let mut body = [json.as_bytes(), raw].concat();
+            let split = if *kind < 128 { json.len() as u16 } else { *split };
             body.truncate(body.len() - (*cut as usize).min(body.len()) / 8);
             infer_response(&body, Some(split));
         },
@@ -57,7 +58,7 @@
 fn fuzz_grpc_frame() {
     check!()
         .with_type::<Vec<u8>>()
-        .with_iterations(INPUTS)
+        .with_iterations(INPUTS_PER_TARGET)
         .for_each(|bytes| grpc_body(bytes));
 }
 
@@ -65,7 +66,7 @@
 fn fuzz_grpc_message() {
     check!()
         .with_type::<Vec<u8>>()
-        .with_iterations(INPUTS)
+        .with_iterations(INPUTS_PER_TARGET)
         .for_each(|bytes| grpc_message(bytes));
 }
 
@@ -73,7 +74,7 @@
 fn fuzz_request_head() {
     check!()
         .with_type::<(String, Vec<(u8, Vec<u8>)>)>()
-        .with_iterations(INPUTS)
+        .with_iterations(INPUTS_PER_TARGET)
         .for_each(|(path, headers)| request_head(path, headers));
 }
 
@@ -81,7 +82,7 @@
 fn fuzz_amqp_frame() {
     check!()
         .with_type::<Vec<Vec<u8>>>()
-        .with_iterations(INPUTS)
+        .with_iterations(INPUTS_PER_TARGET)
         .for_each(|pieces| amqp_frames(pieces));
 }
 
@@ -89,26 +90,26 @@
 fn fuzz_amqp_connection() {
     check!()
         .with_type::<Vec<Vec<u8>>>()
-        .with_iterations(INPUTS)
+        .with_iterations(INPUTS_PER_TARGET)
         .for_each(|pieces| amqp_connection(pieces));
 }
 
 #[test]
 fn fuzz_trace_file() {
-    let kept = std::io::Cursor::new(include_bytes!("../../trace/tests/kept/format-1.trace"));
-    let start = cedarpulley_trace::reader::Reader::open(kept)
+    let file = std::io::Cursor::new(include_bytes!("../../trace/tests/kept/format-1.trace"));
+    let source = cedarpulley_trace::reader::Reader::open(file)
         .expect("a trace")
         .sources
         .swap_remove(0);
     check!()
         .with_type::<(Vec<u8>, bool)>()
-        .with_iterations(INPUTS / 4)
-        .for_each(|(bytes, inside)| {
-            trace_file(bytes, inside.then_some(&start));
+        .with_iterations(INPUTS_PER_TARGET / 4)
+        .for_each(|(bytes, in_block)| {
+            trace_file(bytes, in_block.then_some(&source));
         });
 }
 
-/// Random bytes seldom are requests: pieces of one, cut and joined at random.
+/// Random bytes are seldom requests, so this test joins parts of requests in random order, mixed with random bytes.
 #[test]
 fn fuzz_platform_client() {
     const PARTS: [&[u8]; 12] = [
@@ -127,13 +128,13 @@
     ];
     check!()
         .with_type::<Vec<(u8, Vec<u8>)>>()
-        .with_iterations(INPUTS)
-        .for_each(|drawn| {
-            let piece = |(n, own): &(u8, Vec<u8>)| match PARTS.get(*n as usize % 14) {
+        .with_iterations(INPUTS_PER_TARGET)
+        .for_each(|choices| {
+            let piece = |(n, random): &(u8, Vec<u8>)| match PARTS.get(*n as usize % 14) {
                 Some(part) => part.to_vec(),
-                None => own.clone(),
+                None => random.clone(),
             };
-            platform_client(&drawn.iter().map(piece).collect::<Vec<_>>());
+            platform_client(&choices.iter().map(piece).collect::<Vec<_>>());
         });
 }
 
@@ -141,17 +142,17 @@
 fn fuzz_platform_worker() {
     check!()
         .with_type::<(Vec<u8>, u16, Vec<u8>)>()
-        .with_iterations(INPUTS)
+        .with_iterations(INPUTS_PER_TARGET)
         .for_each(|(id, length, rest)| {
             platform_worker(rest);
-            let head = format!(" ok same=1 {}\r\n", length % 64);
-            platform_worker(&[id, head.as_bytes(), rest].concat());
+            let header = format!(" ok same=1 {}\r\n", length % 64);
+            platform_worker(&[id, header.as_bytes(), rest].concat());
         });
 }
 
 #[test]
 fn fuzz_platform_channel() {
-    check!().with_type::<(Vec<u8>, u8, u8)>().with_iterations(INPUTS).for_each(|(rest, cursor, cut)| {
+    check!().with_type::<(Vec<u8>, u8, u8)>().with_iterations(INPUTS_PER_TARGET).for_each(|(rest, cursor, cut)| {
         platform_channel(rest);
         let server = r#"{"id":"s","state":"leaving","addr":"127.0.0.1:1"}"#;
         let body =
--- a/crates/invariant-checker/src/lib.rs
+++ b/crates/invariant-checker/src/lib.rs
@@ -1,5 +1,5 @@
 //! Checks the invariants of a run from its recorded traffic: the logs of the emulators and the settings of the rules,
-//! nothing else. It shares no code with the router. [`check`] reads the output folder of a scenario and returns the
+//! nothing else. It shares no code with the router. [`check()`] reads the output folder of a scenario and returns the
 //! [`Verdict`].
 //!
 //! Modules: `traffic_log` reads the lines of the logs, `history` groups them by invocation, `excused_intervals` tells
--- a/crates/invariant-checker/tests/rules.rs
+++ b/crates/invariant-checker/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Tests the rules with hand-written logs. Guards against violations that are missed, and against false violations where
-//! a fault kept the logs from showing when a message was sent or a connection was closed.
+//! Tests the rules with hand-written logs. Guards against violations that are missed, and against false violations
+//! where a fault kept the logs from showing when a message was sent or a connection was closed.
 
 use std::path::Path;
 
@@ -254,8 +254,8 @@
     );
 }
 
-/// The router is notified at 2 s, and the drain grace is half a second. The dispatch at 3.9 s violates the rule unless a
-/// fault delayed the notification or the grace.
+/// The router is notified at 2 s, and the drain grace is half a second. The dispatch at 3.9 s violates the rule unless
+/// a fault delayed the notification or restarted the grace.
 #[test]
 fn drain_deadline_starts_when_the_router_is_reachable() {
     let violations = |name: &str, more: Vec<Value>| {
--- a/crates/invariant-checker/tests/warm_capacity.rs
+++ b/crates/invariant-checker/tests/warm_capacity.rs
@@ -1,13 +1,13 @@
-//! Tests the promises of upgrades, and the causes of rebuilt prefixes, with hand-written logs. Guards against violations
-//! that are missed, and against false violations where a fault or an allowed order caused the same lines.
+//! Tests the promises of upgrades, and the causes of rebuilt prefixes, with hand-written logs. Guards against
+//! violations that are missed, and against false violations where a fault or an allowed order caused the same lines.
 
 use std::path::Path;
 
 use cedarpulley_invariant_checker::{RebuildCause, Verdict, check};
 use serde_json::{Value, json};
 
-/// Checks a run with these lines, each with the name of its log. Their times are one second apart, in the order in which
-/// they are given. `settings` are added to those in `terms.json`.
+/// Checks a run with these lines, each with the name of its log. Their times are one second apart, in the order in
+/// which they are given. `settings` are added to those in `terms.json`.
 fn check_lines(name: &str, settings: Value, lines: &[(&str, Value)]) -> Verdict {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let traffic = folder.join("traffic");
@@ -104,9 +104,9 @@
     );
 }
 
-/// The lines of one turn of a session: its delivery to a router, its dispatch to a worker and its answer. `prefix` tells
-/// how the turn found its prefix; if it is empty, the worker did not execute the turn. `dispatch_end` tells how the
-/// dispatch ended.
+/// The lines of one turn of a session: its delivery to a router, its dispatch to a worker and its answer. `prefix`
+/// tells how the turn found its prefix; if it is empty, the worker did not execute the turn. `dispatch_end` tells how
+/// the dispatch ended.
 fn turn<'a>(
     worker: &'a str,
     id: &str,
