--- a/crates/invariant-checker/src/rules/answers.rs
+++ b/crates/invariant-checker/src/rules/answers.rs
@@ -8,7 +8,8 @@
 use crate::verdict::{Tally, Verdict};
 
 /// Least time, in microseconds, that a router needs to answer. An invocation that is delivered with less time left may
-/// be answered late.
+/// be answered late. An answer may also be late if a pause, a held link or blocked publishing ended less than this time
+/// before its deadline.
 const MIN_TIME_TO_ANSWER_US: i64 = 150_000;
 
 /// An interval in which the broker blocked publishing.
--- a/crates/invariant-checker/src/verdict.rs
+++ b/crates/invariant-checker/src/verdict.rs
@@ -60,7 +60,8 @@
     pub sessions: u64,
     /// How often sessions found their cached prefixes.
     pub prefixes: PrefixCounts,
-    /// How often ready lanes fell below a floor because of a fault, not because of an order.
+    /// How often ready lanes were below a floor because of a fault. This includes orders that routers issued when they
+    /// may not have known of lanes that a fault had removed.
     pub floor_lost: u64,
     /// Floors by model and region, for those in which a floor applied.
     pub floors: BTreeMap<String, FloorRecord>,
