--- a/crates/gateway/src/admission_observer.rs
+++ b/crates/gateway/src/admission_observer.rs
@@ -5,7 +5,7 @@
 use cedarpulley::interface::{Action, Event, InvocationIndex, Micros};
 use cedarpulley_router::FrontIndex;
 use cedarpulley_router::admission_control::RejectionReason;
-use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, WorkerUsage};
+use cedarpulley_router::observer::{Names, RouterObserver, SentAnswer, WorkerUsage};
 
 use crate::admission::Admission;
 
@@ -25,7 +25,7 @@
     fn accepted(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {
     }
 
-    fn answered(&mut self, _: Micros, _: AnswerGiven) {}
+    fn answered(&mut self, _: Micros, _: SentAnswer) {}
 
     fn rejected(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: RejectionReason) {}
 
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -12,7 +12,7 @@
 use cedarpulley_router::Input;
 use cedarpulley_router::backoff::Backoff;
 use cedarpulley_router::endpoint_list::{
-    EndpointList, EndpointSlice, ListAction, ListedWorker, SliceEntry, WatchEvent,
+    EndpointList, EndpointListAction, EndpointSlice, ListedWorker, SliceEntry, WatchEvent,
 };
 use futures_lite::FutureExt;
 use http_body_util::{BodyExt, Empty};
@@ -47,19 +47,19 @@
 ) {
     let mut endpoint_list = EndpointList::default();
     let mut backoff = Backoff::new(context.seed ^ 0x11_57);
-    let mut next = ListAction::RequestListing;
+    let mut next = EndpointListAction::RequestListing;
     loop {
         let began = context.clock.now();
         let event = match &next {
-            ListAction::Watch(version) => {
+            EndpointListAction::Watch(version) => {
                 follow_watch(&context, address, *version, &mut endpoint_list, &filter).await
             }
             _ => fetch_list(&context, address).await,
         };
         let failed = matches!(event, WatchEvent::WatchEnded { .. });
         next = apply(&context, &mut endpoint_list, filter(event))
-            .unwrap_or(ListAction::RequestListing);
-        if failed || matches!(next, ListAction::RequestListing) {
+            .unwrap_or(EndpointListAction::RequestListing);
+        if failed || matches!(next, EndpointListAction::RequestListing) {
             let now = context.clock.now();
             Timer::at(context.clock.instant(now + backoff.next_delay(now - began))).await;
         }
@@ -71,11 +71,11 @@
     context: &GatewayContext,
     endpoint_list: &mut EndpointList,
     event: WatchEvent,
-) -> Option<ListAction> {
+) -> Option<EndpointListAction> {
     let mut next = None;
     for step in endpoint_list.handle(context.clock.now(), event) {
         match step {
-            ListAction::UpdateRouter { kind, workers } => {
+            EndpointListAction::UpdateRouter { kind, workers } => {
                 context.feed(Input::EndpointList { kind, workers })
             }
             step => next = Some(step),
@@ -305,9 +305,9 @@
         weight: 1.0,
         started_at: annotations.started_at,
     };
-    let start_mark = endpoint["targetRef"]["uid"]
+    let process_id = endpoint["targetRef"]["uid"]
         .as_str()
         .unwrap_or_default()
         .to_owned();
-    Some(SliceEntry { worker, start_mark })
+    Some(SliceEntry { worker, process_id })
 }
--- a/crates/gateway/src/fault_injection.rs
+++ b/crates/gateway/src/fault_injection.rs
@@ -255,7 +255,7 @@
             }
             (
                 Some(InjectedFault::ExcessOrders),
-                Output::Order {
+                Output::LoadOrder {
                     ticket,
                     function,
                     copies,
@@ -303,7 +303,7 @@
             worker,
             function,
             trigger,
-            call,
+            request,
             ..
         } = output
         else {
@@ -316,28 +316,28 @@
                 self.address.clone(),
             );
             let (worker, function) = (*worker, function.clone());
-            let (trigger, call) = (*trigger as usize, call.clone());
+            let (trigger, request) = (*trigger as usize, request.clone());
             let send = async move {
                 let Some(address) = address_of(worker) else {
                     return;
                 };
                 let headers = worker_requests::InvocationHeaders {
-                    invocation: call.name.as_deref(),
+                    invocation: request.name.as_deref(),
                     dispatch: 99,
                     idempotency_key: None,
                     trigger_type: &context.names.triggers[trigger],
                     account: None,
-                    time_left: call.time_left,
+                    time_left: request.time_left,
                     session: None,
                 };
-                let request = worker_requests::infer(
+                let http_request = worker_requests::infer(
                     &address.to_string(),
                     &function,
                     headers,
-                    call.body.bytes,
-                    call.body.first_part_length,
+                    request.body.bytes,
+                    request.body.first_part_length,
                 );
-                let _ = pool.exchange(address, request, false, || true).await;
+                let _ = pool.exchange(address, http_request, false, || true).await;
             };
             self.context.executor.spawn(send).detach();
         }
--- a/crates/gateway/src/metering.rs
+++ b/crates/gateway/src/metering.rs
@@ -12,7 +12,7 @@
 use cedarpulley::interface::{Action, Event, InvocationIndex, LoadOrderResult, Micros};
 use cedarpulley_router::FrontIndex;
 use cedarpulley_router::admission_control::RejectionReason;
-use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, UsageSource, WorkerUsage};
+use cedarpulley_router::observer::{Names, RouterObserver, SentAnswer, UsageSource, WorkerUsage};
 use cedarpulley_usage_metering::{DispatchUsage, LoadUsage, Meter, Source, UsageDelta};
 use cedarpulley_usage_store::{Ledger, StoreError, WriteSchedule};
 
@@ -182,7 +182,7 @@
     fn accepted(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {
     }
 
-    fn answered(&mut self, _: Micros, _: AnswerGiven) {}
+    fn answered(&mut self, _: Micros, _: SentAnswer) {}
 
     fn rejected(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: RejectionReason) {}
 
@@ -217,7 +217,7 @@
                     totals,
                 });
             }
-            UsageSource::Order(result) => {
+            UsageSource::LoadOrder(result) => {
                 let not_started = matches!(
                     result,
                     LoadOrderResult::Unreachable | LoadOrderResult::NoCapacity
--- a/crates/gateway/src/outputs.rs
+++ b/crates/gateway/src/outputs.rs
@@ -10,7 +10,7 @@
 use cedarpulley_router::core::DispatchRequest;
 use cedarpulley_router::replication::ReplicationRequest;
 use cedarpulley_router::{
-    Answer, Delivery, FrontIndex, Input, OrderTicket, Output, Payload, Ticket,
+    Answer, Delivery, FrontIndex, Input, LoadOrderTicket, Output, Payload, Ticket,
 };
 
 use crate::gateway::Gateway;
@@ -27,16 +27,16 @@
     function: Arc<str>,
     trigger: u32,
     account: u32,
-    call: DispatchRequest,
+    request: DispatchRequest,
 }
 
 /// An order to load copies at a worker or, with `copies` 0, a query for the number of copies.
 struct LoadOrder {
-    ticket: OrderTicket,
+    ticket: LoadOrderTicket,
     function: Arc<str>,
     account: u32,
     copies: u32,
-    within: Micros,
+    timeout: Micros,
     term: Option<Arc<str>>,
 }
 
@@ -55,29 +55,29 @@
                 function,
                 trigger,
                 account,
-                call,
+                request,
             } => self.begin_dispatch(Dispatch {
                 ticket,
                 worker,
                 function,
                 trigger,
                 account,
-                call,
+                request,
             }),
             Output::Cancel(ticket) => self.pool.cancel(ticket),
-            Output::Order {
+            Output::LoadOrder {
                 ticket,
                 function,
                 account,
                 copies,
-                within,
+                timeout,
                 term,
             } => self.spawn(self.clone().order_load(LoadOrder {
                 ticket,
                 function,
                 account,
                 copies,
-                within,
+                timeout,
                 term,
             })),
             Output::Unload {
@@ -192,20 +192,20 @@
             function,
             trigger,
             account,
-            call,
+            request,
         } = dispatch;
         let names = &self.context.names;
         let headers = worker_requests::InvocationHeaders {
-            invocation: call.name.as_deref(),
+            invocation: request.name.as_deref(),
             dispatch: ticket.dispatch,
-            idempotency_key: call.idempotency_key.as_deref(),
+            idempotency_key: request.idempotency_key.as_deref(),
             trigger_type: names
                 .triggers
                 .get(trigger as usize)
                 .map_or("", String::as_str),
             account: names.accounts.get(account as usize).map(String::as_str),
-            time_left: call.time_left,
-            session: call
+            time_left: request.time_left,
+            session: request
                 .session
                 .as_ref()
                 .map(|session| (&*session.id, session.is_first, session.is_last)),
@@ -213,8 +213,8 @@
         let Some(address) = self.address(worker) else {
             return Err(ExchangeError::NoConnection);
         };
-        let (host, body) = (address.to_string(), call.body);
-        let request = worker_requests::infer(
+        let (host, body) = (address.to_string(), request.body);
+        let http_request = worker_requests::infer(
             &host,
             &function,
             headers,
@@ -226,7 +226,9 @@
                 .borrow()
                 .may_send(self.context.clock.now(), ticket)
         };
-        self.pool.exchange(address, request, false, may_send).await
+        self.pool
+            .exchange(address, http_request, false, may_send)
+            .await
     }
 
     async fn order_load(self: Rc<Self>, order: LoadOrder) {
@@ -235,7 +237,7 @@
             function,
             account,
             copies,
-            within,
+            timeout,
             term,
         } = order;
         let Some(address) = self.address(ticket.worker) else {
@@ -260,7 +262,7 @@
                 )
             }
         };
-        let result = self.pool.order(address, request, within).await;
+        let result = self.pool.order(address, request, timeout).await;
         let memory_held = result
             .as_ref()
             .ok()
--- a/crates/gateway/src/peer_requests.rs
+++ b/crates/gateway/src/peer_requests.rs
@@ -20,7 +20,7 @@
         ReplicationRequest::RequestPermission {
             key,
             attempt: dispatch,
-            deduplication_domain: deduplication_scope,
+            deduplication_scope,
             without_majority,
         } => replica::Input::RequestDispatch {
             key,
@@ -31,7 +31,7 @@
         ReplicationRequest::AttemptSent {
             key,
             attempt: dispatch,
-            deduplication_domain: deduplication_scope,
+            deduplication_scope,
         } => replica::Input::Dispatched {
             key,
             dispatch,
--- a/crates/gateway/src/reconciliation.rs
+++ b/crates/gateway/src/reconciliation.rs
@@ -378,11 +378,11 @@
     /// plan unloaded would otherwise be treated as lost and loaded again, in a loop.
     fn restore_copy(&self, worker: Arc<str>, function: Arc<str>) {
         if !self.hooks.is_planned(&function) {
-            let like = function.clone();
+            let similar_function = function.clone();
             self.context.feed(Input::CopyWanted {
                 worker,
                 function,
-                like,
+                similar_function,
                 term: None,
             });
         }
--- a/crates/gateway/src/reconciliation_observer.rs
+++ b/crates/gateway/src/reconciliation_observer.rs
@@ -10,7 +10,7 @@
 use cedarpulley_reconcile::Change;
 use cedarpulley_router::FrontIndex;
 use cedarpulley_router::admission_control::RejectionReason;
-use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, UsageSource, WorkerUsage};
+use cedarpulley_router::observer::{Names, RouterObserver, SentAnswer, UsageSource, WorkerUsage};
 
 use crate::reconciliation::Reconciliation;
 
@@ -153,7 +153,7 @@
     fn accepted(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {
     }
 
-    fn answered(&mut self, _: Micros, _: AnswerGiven) {}
+    fn answered(&mut self, _: Micros, _: SentAnswer) {}
 
     fn rejected(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: RejectionReason) {}
 
--- a/crates/gateway/src/reconciliation_workers.rs
+++ b/crates/gateway/src/reconciliation_workers.rs
@@ -10,20 +10,20 @@
 use cedarpulley_reconcile::PolledWorker;
 use cedarpulley_router::endpoint_list::{ListedWorker, WatchEvent};
 
-/// Start marks of unlisted workers are removed when there are more than twice this number of start marks, and more than
+/// Process ids of unlisted workers are removed when there are more than twice this number of process ids, and more than
 /// twice as many as listed workers. They are kept until then, because an event of the list may contain a worker's start
 /// mark before an update reports the worker in service.
-const MAX_UNLISTED_START_MARKS: usize = 1_000;
+const MAX_UNLISTED_PROCESS_IDS: usize = 1_000;
 
 /// The workers on the endpoint list, by address.
 pub type WorkerListing = Rc<RefCell<BTreeMap<Arc<str>, ListedWorker>>>;
 
-/// Listed workers with their start marks and memory.
+/// Listed workers with their process ids and memory.
 pub(crate) struct WorkerDirectory {
     /// The listed workers.
     listing: WorkerListing,
-    /// By address: the start mark from the endpoint list, which differs between processes at the same address.
-    start_marks: RefCell<HashMap<String, String>>,
+    /// By address: the process id from the endpoint list, which differs between processes at the same address.
+    process_ids: RefCell<HashMap<String, String>>,
     /// By address: the memory in MB that the worker itself reported.
     reported_memory_mb: RefCell<HashMap<String, f64>>,
     /// By kind of worker: the memory in MB, used for workers that have reported none.
@@ -35,7 +35,7 @@
     pub(crate) fn new(memory_mb_by_kind: Vec<f64>) -> Self {
         WorkerDirectory {
             listing: WorkerListing::default(),
-            start_marks: RefCell::default(),
+            process_ids: RefCell::default(),
             reported_memory_mb: RefCell::default(),
             memory_mb_by_kind,
         }
@@ -46,19 +46,19 @@
         self.listing.clone()
     }
 
-    /// Records the start marks in an event of the endpoint list.
+    /// Records the process ids in an event of the endpoint list.
     pub(crate) fn observe_list_event(&self, event: &WatchEvent) {
-        let mut start_marks = self.start_marks.borrow_mut();
+        let mut process_ids = self.process_ids.borrow_mut();
         let slices = match event {
             WatchEvent::Listing { slices, .. } => {
-                start_marks.clear();
+                process_ids.clear();
                 slices.as_slice()
             }
             WatchEvent::Changed(slice) => std::slice::from_ref(slice),
             _ => &[],
         };
         for entry in slices.iter().flat_map(|slice| &slice.entries) {
-            start_marks.insert(entry.worker.address.clone(), entry.start_mark.clone());
+            process_ids.insert(entry.worker.address.clone(), entry.process_id.clone());
         }
     }
 
@@ -91,9 +91,9 @@
         self.reported_memory_mb
             .borrow_mut()
             .retain(|address, _| listing.contains_key(&**address));
-        let mut start_marks = self.start_marks.borrow_mut();
-        if start_marks.len() > 2 * listing.len().max(MAX_UNLISTED_START_MARKS) {
-            start_marks.retain(|address, _| listing.contains_key(&**address));
+        let mut process_ids = self.process_ids.borrow_mut();
+        if process_ids.len() > 2 * listing.len().max(MAX_UNLISTED_PROCESS_IDS) {
+            process_ids.retain(|address, _| listing.contains_key(&**address));
         }
     }
 
@@ -111,10 +111,10 @@
 
     /// The listed workers in the reconciler's form.
     pub(crate) fn polled_workers(&self) -> Vec<PolledWorker> {
-        let start_marks = self.start_marks.borrow();
+        let process_ids = self.process_ids.borrow();
         let reported = self.reported_memory_mb.borrow();
         let polled_worker = |(address, worker): (&Arc<str>, &ListedWorker)| {
-            let mark = start_marks.get(&**address).filter(|m| !m.is_empty());
+            let mark = process_ids.get(&**address).filter(|m| !m.is_empty());
             let id = mark.map_or(address.clone(), |m| Arc::from(m.as_str()));
             let by_kind = self
                 .memory_mb_by_kind
--- a/crates/gateway/src/trace_recorder.rs
+++ b/crates/gateway/src/trace_recorder.rs
@@ -13,7 +13,7 @@
 use cedarpulley::interface::{Action, Event, InvocationIndex, Micros};
 use cedarpulley_router::FrontIndex;
 use cedarpulley_router::admission_control::RejectionReason;
-use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, WorkerUsage};
+use cedarpulley_router::observer::{Names, RouterObserver, SentAnswer, WorkerUsage};
 use cedarpulley_trace::blocks::{BlockBuilder, visit_named_indices};
 use cedarpulley_trace::records::{NameKind, Record};
 use cedarpulley_trace::retention::RetentionLimits;
@@ -219,10 +219,10 @@
         );
     }
 
-    fn answered(&mut self, now: Micros, given: AnswerGiven) {
+    fn answered(&mut self, now: Micros, given: SentAnswer) {
         let mut state = self.0.borrow_mut();
         state.prepare(now);
-        let AnswerGiven {
+        let SentAnswer {
             invocation,
             front,
             outcome,
--- a/crates/gateway/src/upgrades.rs
+++ b/crates/gateway/src/upgrades.rs
@@ -193,7 +193,7 @@
             return;
         }
         match used.source {
-            UsageSource::Order(result) => {
+            UsageSource::LoadOrder(result) => {
                 let load_ended = upgrade::Input::LoadEnded {
                     worker: Name::from(used.worker_name),
                     function: Name::from(used.function),
@@ -295,13 +295,13 @@
                 Output::LoadCopy {
                     worker,
                     function,
-                    similar: like,
+                    similar: similar_function,
                     term,
                 } => {
                     self.context.feed(Input::CopyWanted {
                         worker,
                         function,
-                        like,
+                        similar_function,
                         term: Some(term),
                     });
                 }
--- a/crates/gateway/tests/peer_envelope_bytes.rs
+++ b/crates/gateway/tests/peer_envelope_bytes.rs
@@ -221,11 +221,11 @@
         durability,
         redelivered,
     });
-    let (attempt, deduplication_domain) = (5, 0);
+    let (attempt, deduplication_scope) = (5, 0);
     peers.request(ReplicationRequest::AttemptSent {
         key: key.clone(),
         attempt,
-        deduplication_domain,
+        deduplication_scope,
     });
     peers.request(ReplicationRequest::Answered { key, answer });
     let record = peers.inspect(|state| state.replica.record("k").cloned());
--- a/crates/platform-node/src/node.rs
+++ b/crates/platform-node/src/node.rs
@@ -12,7 +12,7 @@
 use cedarpulley_platform::discovery::{DiscoveryError, EventBatch, ListUpdate};
 use cedarpulley_platform::event_loop_lag::EventLoopLag;
 use cedarpulley_platform::graceful_shutdown::GracefulShutdown;
-use cedarpulley_router::{Input, OrderTicket, Output, Router, Ticket};
+use cedarpulley_router::{Input, LoadOrderTicket, Output, Router, Ticket};
 
 use crate::client_connections::ClientConnections;
 use crate::core_loop::CoreLoop;
@@ -90,7 +90,7 @@
                 worker,
                 function,
                 trigger,
-                call,
+                request,
                 ..
             } => {
                 let attempt = Attempt {
@@ -98,23 +98,23 @@
                     worker,
                     function,
                     trigger,
-                    call,
+                    request,
                 };
                 self.workers.send(self, attempt);
             }
             Output::Cancel(ticket) => self.workers.cancel(self, ticket),
-            Output::Order {
+            Output::LoadOrder {
                 ticket,
                 function,
                 copies,
-                within,
+                timeout,
                 ..
             } => {
                 let order = LoadOrder {
                     ticket,
                     function,
                     copies,
-                    timeout: within,
+                    timeout,
                 };
                 self.workers.order(self, order);
             }
@@ -139,8 +139,10 @@
     }
 
     /// Whether a load order may still be sent; checked right before its first byte is written.
-    pub fn may_send_order(&self, ticket: OrderTicket) -> bool {
-        self.core.router().may_send_order(self.clock.now(), ticket)
+    pub fn may_send_load_order(&self, ticket: LoadOrderTicket) -> bool {
+        self.core
+            .router()
+            .may_send_load_order(self.clock.now(), ticket)
     }
 
     /// The worker's name in the endpoint list, for the log; empty if the worker is not listed.
--- a/crates/platform-node/src/worker_connections/connection.rs
+++ b/crates/platform-node/src/worker_connections/connection.rs
@@ -11,7 +11,7 @@
 use cedarpulley_platform::connection_pool::ConnectionId;
 use cedarpulley_platform::worker_protocol::{Answer, AnswerError, AnswerReader};
 use cedarpulley_router::core::DispatchRequest;
-use cedarpulley_router::{OrderTicket, Ticket};
+use cedarpulley_router::{LoadOrderTicket, Ticket};
 use cedarpulley_startup::ReportField;
 use futures_lite::FutureExt;
 
@@ -21,7 +21,7 @@
     /// An attempt to execute a request.
     Attempt(Ticket),
     /// An order to load copies of a function.
-    LoadOrder(OrderTicket),
+    LoadOrder(LoadOrderTicket),
     /// A health check.
     Probe {
         worker: WorkerIndex,
@@ -61,7 +61,7 @@
     pub function: Arc<str>,
     /// Time until which the worker may answer, in microseconds of the router's clock.
     pub deadline: Micros,
-    pub call: DispatchRequest,
+    pub request: DispatchRequest,
 }
 
 /// A message of which no byte has been sent.
--- a/crates/platform-node/src/worker_connections/mod.rs
+++ b/crates/platform-node/src/worker_connections/mod.rs
@@ -17,7 +17,7 @@
 use cedarpulley_platform::connection_pool::{ConnectionId, ConnectionPool, LateAnswer, Placement};
 use cedarpulley_platform::worker_protocol::{self, Answer};
 use cedarpulley_router::core::DispatchRequest;
-use cedarpulley_router::{OrderTicket, Ticket};
+use cedarpulley_router::{LoadOrderTicket, Ticket};
 use cedarpulley_startup::ReportField;
 
 use crate::node::Node;
@@ -56,12 +56,12 @@
     pub worker: WorkerIndex,
     pub function: Arc<str>,
     pub trigger: u32,
-    pub call: DispatchRequest,
+    pub request: DispatchRequest,
 }
 
 /// An order to load copies of a function.
 pub(crate) struct LoadOrder {
-    pub ticket: OrderTicket,
+    pub ticket: LoadOrderTicket,
     pub function: Arc<str>,
     pub copies: u32,
     /// Time limit for the worker's answer, in microseconds.
@@ -124,13 +124,13 @@
 impl WorkerConnections {
     /// Sends an attempt.
     pub fn send(&self, node: &Rc<Node>, attempt: Attempt) {
-        let call = attempt.call;
-        let id = call.name.as_deref().unwrap_or("").to_owned();
+        let request = attempt.request;
+        let id = request.name.as_deref().unwrap_or("").to_owned();
         let message = Message::Call(OutgoingCall {
             trigger: attempt.trigger,
             function: attempt.function,
-            deadline: node.clock.now() + call.timeout,
-            call,
+            deadline: node.clock.now() + request.timeout,
+            request,
         });
         log_attempt(node, &id, &attempt.ticket, attempt.worker);
         let exchange = Exchange::new(Purpose::Attempt(attempt.ticket), Micros::MAX);
--- a/crates/platform-node/src/worker_connections/sending.rs
+++ b/crates/platform-node/src/worker_connections/sending.rs
@@ -113,7 +113,9 @@
                     && self.node.may_send(ticket)
                     && !self.node.clients.has_disconnected(self.node, &queued.id)
             }
-            Some(Purpose::LoadOrder(ticket)) => !is_retired() && self.node.may_send_order(ticket),
+            Some(Purpose::LoadOrder(ticket)) => {
+                !is_retired() && self.node.may_send_load_order(ticket)
+            }
             // A health check, a cancellation or an order to unload.
             Some(Purpose::Probe { .. }) | None => true,
         }
@@ -132,8 +134,8 @@
             trigger: self.node.workers.protocol().trigger_name(outgoing.trigger),
             function: &outgoing.function,
             time_left: self.time_left(outgoing),
-            idempotency_key: outgoing.call.idempotency_key.as_deref(),
-            body: &outgoing.call.body.bytes,
+            idempotency_key: outgoing.request.idempotency_key.as_deref(),
+            body: &outgoing.request.body.bytes,
         };
         let mut bytes = Vec::new();
         worker_protocol::write_call(&mut bytes, &call);
--- a/crates/router/src/answer_registry.rs
+++ b/crates/router/src/answer_registry.rs
@@ -6,8 +6,8 @@
 //! 1. One delivery of the message and the deliveries that joined it by their idempotency key wait for the answer; all of
 //!    them get the same one. When a front loses its channel, its deliveries no longer wait. The same message, delivered
 //!    again, takes their place.
-//! 2. A record without a waiting delivery is forgotten when its client has given up. If there are too many such records,
-//!    the one that expires first is forgotten; if its message is delivered again, it is treated according to its effect
+//! 2. A record without a waiting delivery is removed when its client has given up. If there are too many such records,
+//!    the one that expires first is evicted; if its message is delivered again, it is treated according to its effect
 //!    alone.
 //! 3. A given answer never changes. Its record is removed once the front reports that the answer was delivered.
 
@@ -26,7 +26,7 @@
 /// Maximum number of deliveries that wait for one answer.
 const MAX_WAITERS: usize = 16;
 
-/// Index of the record of an answer; reused once the record was forgotten.
+/// Index of the record of an answer; reused once the record was removed.
 pub type AnswerSlot = u32;
 
 /// What is known about the answer of a record.
@@ -66,8 +66,8 @@
 pub struct LostDeliveries {
     /// Open invocations that lost their last waiting delivery.
     pub open: Vec<InvocationIndex>,
-    /// Open invocations whose record was forgotten, as there were too many records without a waiting delivery.
-    pub forgotten: Vec<InvocationIndex>,
+    /// Open invocations whose record was evicted, as there were too many records without a waiting delivery.
+    pub evicted: Vec<InvocationIndex>,
 }
 
 /// The answers given or owed, by message and by delivery.
@@ -80,8 +80,8 @@
     by_waiter: HashMap<Delivery, AnswerSlot>,
     /// The records whose last waiting delivery was lost with its front's channel, by expiry.
     orphans: BTreeSet<(Micros, AnswerSlot)>,
-    /// Number of records forgotten before their expiry, as there were too many without a waiting delivery.
-    pub forgotten: u64,
+    /// Number of records evicted before their expiry, as there were too many without a waiting delivery.
+    pub evicted: u64,
 }
 
 impl Default for AnswerRegistry {
@@ -100,7 +100,7 @@
             by_identity: HashMap::new(),
             by_waiter: HashMap::new(),
             orphans: BTreeSet::new(),
-            forgotten: 0,
+            evicted: 0,
         }
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Creates the record of a new invocation. `identity`: the identity of its message, if it has one; an older record of
-    /// the same message is forgotten. `expires_at`: when its client gives up.
+    /// the same message is replaced. `expires_at`: when its client gives up.
     pub fn open(
         &mut self,
         identity: Option<Arc<str>>,
@@ -324,8 +324,8 @@
         while self.orphans.len() > self.max_orphans
             && let Some(&(_, slot)) = self.orphans.first()
         {
-            self.forgotten += 1;
-            result.forgotten.extend(self.invocation(slot));
+            self.evicted += 1;
+            result.evicted.extend(self.invocation(slot));
             self.forget(slot);
         }
         result
--- a/crates/router/src/core/completion.rs
+++ b/crates/router/src/core/completion.rs
@@ -6,7 +6,7 @@
 use super::state::invocation::{Invocation, InvocationHandle};
 use super::{Output, Router};
 use crate::concurrency_limit::{EndedInvocation, LoadSignal};
-use crate::observer::AnswerGiven;
+use crate::observer::SentAnswer;
 use crate::replication::{ReplicationRequest, ReplicationStage};
 use crate::{Answer, AnswerReason, Delivery, FinalOutcome};
 
@@ -44,7 +44,7 @@
         answered: AnsweredInvocation,
         out: &mut Vec<Output>,
     ) {
-        let given = AnswerGiven {
+        let given = SentAnswer {
             invocation: answered.index,
             front: delivery.front,
             outcome: answer.outcome,
--- a/crates/router/src/core/dispatch.rs
+++ b/crates/router/src/core/dispatch.rs
@@ -95,12 +95,12 @@
         let trigger = invocation.request.trigger;
         let effect = self.triggers[trigger as usize].effect;
         let (key, serial) = (replication.key.clone(), attempt.serial);
-        let deduplication_domain = self.workers.deduplication_domain(attempt.worker, effect);
+        let deduplication_scope = self.workers.deduplication_scope(attempt.worker, effect);
         if !attempt.awaits_permission() {
             out.push(Output::Replication(ReplicationRequest::AttemptSent {
                 key,
                 attempt: serial,
-                deduplication_domain,
+                deduplication_scope,
             }));
             return false;
         }
@@ -109,7 +109,7 @@
         out.push(Output::Replication(ReplicationRequest::RequestPermission {
             key,
             attempt: serial,
-            deduplication_domain,
+            deduplication_scope,
             without_majority,
         }));
         true
@@ -130,7 +130,7 @@
             function: request.function.clone(),
             trigger: request.trigger,
             account: request.account,
-            call: dispatch_request(invocation, attempt, self.now),
+            request: dispatch_request(invocation, attempt, self.now),
         });
         self.counts.dispatches += 1;
     }
--- a/crates/router/src/core/load_orders.rs
+++ b/crates/router/src/core/load_orders.rs
@@ -12,7 +12,7 @@
 use super::state::load_orders::LoadOrder;
 use super::state::timers::Timer;
 use super::{Output, Router};
-use crate::OrderTicket;
+use crate::LoadOrderTicket;
 use crate::observer::{UsageSource, WorkerUsage};
 
 /// Load orders.
@@ -25,7 +25,7 @@
         copies: u32,
         out: &mut Vec<Output>,
     ) {
-        let ticket = OrderTicket {
+        let ticket = LoadOrderTicket {
             worker,
             function,
             serial: self.serials.next(),
@@ -38,30 +38,30 @@
             account: profile.account,
             copy_mb: profile.copy_mb,
         };
-        let within = self.settings.order_timeout;
+        let timeout = self.settings.order_timeout;
         self.workers.reserve(worker);
         self.orders.started(ticket, order);
-        self.set_timer(self.now + within, Timer::OrderTimeout(ticket));
+        self.set_timer(self.now + timeout, Timer::OrderTimeout(ticket));
         self.counts.orders += u64::from(order.loads);
-        out.push(Output::Order {
+        out.push(Output::LoadOrder {
             ticket,
             function: self.functions.name(function),
             account: order.account,
             copies,
-            within,
+            timeout,
             term: self.plan_term.clone(),
         });
     }
 
     /// Whether an order may still be sent; the counterpart of [`Router::may_send`] for load orders.
-    pub fn may_send_order(&self, now: Micros, ticket: OrderTicket) -> bool {
+    pub fn may_send_load_order(&self, now: Micros, ticket: LoadOrderTicket) -> bool {
         self.orders.is_in_flight(ticket) && self.workers.accepts(now, ticket.worker)
     }
 
     /// Ends an order; does nothing if it had ended before. `copies` is the number of copies loaded at the worker now.
     pub(super) fn order_ended(
         &mut self,
-        ticket: OrderTicket,
+        ticket: LoadOrderTicket,
         result: LoadOrderResult,
         copies: u32,
         memory_held: Option<MemoryTotals>,
@@ -85,12 +85,12 @@
     }
 
     /// Ends an order whose timeout has passed.
-    pub(super) fn order_timed_out(&mut self, ticket: OrderTicket, out: &mut Vec<Output>) {
+    pub(super) fn order_timed_out(&mut self, ticket: LoadOrderTicket, out: &mut Vec<Output>) {
         self.order_ended(ticket, LoadOrderResult::TimedOut, 0, None, out);
     }
 
     /// Ends an order that need not be sent, as the copy is known to be loaded.
-    pub(super) fn skip_order(&mut self, ticket: OrderTicket, out: &mut Vec<Output>) {
+    pub(super) fn skip_order(&mut self, ticket: LoadOrderTicket, out: &mut Vec<Output>) {
         self.counts.orders = self.counts.orders.saturating_sub(1);
         self.order_ended(ticket, LoadOrderResult::Loaded, 1, None, out);
     }
@@ -98,7 +98,7 @@
     /// Reports to the observers how the load order used its worker.
     fn report_order_use(
         &mut self,
-        ticket: OrderTicket,
+        ticket: LoadOrderTicket,
         order: LoadOrder,
         result: LoadOrderResult,
         memory_held: Option<MemoryTotals>,
@@ -115,7 +115,7 @@
             ends_session: false,
             trigger: profile.map_or(0, |profile| profile.trigger),
             account: order.account,
-            source: UsageSource::Order(result),
+            source: UsageSource::LoadOrder(result),
             took: self.now - order.sent_at,
             copy_mb: order.copy_mb,
             lanes: 1,
@@ -128,12 +128,12 @@
 /// Requests for copies that do not come from the balancer, and reports of workers.
 impl Router {
     /// Passes a request for a copy at a worker to the balancer, which decides whether to order it. The request is
-    /// ignored if this router knows neither `function` nor the similar function `like`.
+    /// ignored if this router knows neither `function` nor the similar function `similar_function`.
     pub(super) fn copy_wanted(
         &mut self,
         worker: &str,
         function: &Arc<str>,
-        like: &str,
+        similar_function: &str,
         term: Option<Arc<str>>,
         out: &mut Vec<Output>,
     ) {
@@ -143,7 +143,7 @@
         let similar = self
             .functions
             .find(function)
-            .or_else(|| self.functions.find(like));
+            .or_else(|| self.functions.find(similar_function));
         let Some(profile) = similar.and_then(|similar| self.functions.profile(similar)) else {
             return;
         };
--- a/crates/router/src/core/messages.rs
+++ b/crates/router/src/core/messages.rs
@@ -13,7 +13,7 @@
 use crate::endpoint_list::ListedWorker;
 use crate::replication::{ReplicationEvent, ReplicationRequest};
 use crate::{
-    Answer, Delivery, FrontIndex, IncomingInvocation, OrderTicket, Payload, Session, Ticket,
+    Answer, Delivery, FrontIndex, IncomingInvocation, LoadOrderTicket, Payload, Session, Ticket,
 };
 
 /// An event that the core handles, see [`Router::handle`](super::Router::handle).
@@ -72,8 +72,8 @@
     },
     /// A load order, or a query for the number of loaded copies, ended.
     OrderEnded {
-        /// The order, as in [`Output::Order`].
-        ticket: OrderTicket,
+        /// The order, as in [`Output::LoadOrder`].
+        ticket: LoadOrderTicket,
         /// How it ended.
         result: LoadOrderResult,
         /// Number of copies that are loaded at the worker now.
@@ -102,7 +102,7 @@
         /// The function to load.
         function: Arc<str>,
         /// A known function with similar invocations, whose properties are used if `function` itself is not known yet.
-        like: Arc<str>,
+        similar_function: Arc<str>,
         /// Term of the upgrade plan that requested it, if one did.
         term: Option<Arc<str>>,
     },
@@ -163,15 +163,15 @@
         /// Account of the invocation.
         account: u32,
         /// Content of the dispatch.
-        call: DispatchRequest,
+        request: DispatchRequest,
     },
     /// Cancel a dispatch. The balancer is notified of its end in the same step, and an answer that the worker still
     /// sends is ignored.
     Cancel(Ticket),
     /// Order a worker to load copies of a function, or, if `copies` is 0, query how many are loaded.
-    Order {
+    LoadOrder {
         /// Identifies the order in [`Input::OrderEnded`].
-        ticket: OrderTicket,
+        ticket: LoadOrderTicket,
         /// The function to load.
         function: Arc<str>,
         /// The account whose invocation requested the function last.
@@ -179,7 +179,7 @@
         /// Number of copies to load; 0 only queries how many are loaded.
         copies: u32,
         /// Timeout of the order.
-        within: Micros,
+        timeout: Micros,
         /// Term of the upgrade plan that requested it, if one did.
         term: Option<Arc<str>>,
     },
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -196,9 +196,9 @@
             Input::CopyWanted {
                 worker,
                 function,
-                like,
+                similar_function,
                 term,
-            } => self.copy_wanted(&worker, &function, &like, term, out),
+            } => self.copy_wanted(&worker, &function, &similar_function, term, out),
             Input::CopyUnwanted {
                 worker,
                 function,
--- a/crates/router/src/core/state/load_orders.rs
+++ b/crates/router/src/core/state/load_orders.rs
@@ -4,7 +4,7 @@
 
 use cedarpulley::interface::{FunctionIndex, Micros};
 
-use crate::OrderTicket;
+use crate::LoadOrderTicket;
 use crate::queueing_delay::QueueingDelay;
 
 /// An order that has not ended.
@@ -22,13 +22,13 @@
 /// Load orders in flight, and the record of loads by which invocations that waited for one are recognised.
 #[derive(Default)]
 pub(crate) struct LoadOrders {
-    in_flight: HashMap<OrderTicket, LoadOrder>,
+    in_flight: HashMap<LoadOrderTicket, LoadOrder>,
     queueing_delay: QueueingDelay,
 }
 
 impl LoadOrders {
     /// Adds an order that is being sent.
-    pub(crate) fn started(&mut self, ticket: OrderTicket, order: LoadOrder) {
+    pub(crate) fn started(&mut self, ticket: LoadOrderTicket, order: LoadOrder) {
         self.in_flight.insert(ticket, order);
         if order.loads {
             self.queueing_delay.load_ordered(ticket.function);
@@ -36,12 +36,12 @@
     }
 
     /// Whether the order has not ended.
-    pub(crate) fn is_in_flight(&self, ticket: OrderTicket) -> bool {
+    pub(crate) fn is_in_flight(&self, ticket: LoadOrderTicket) -> bool {
         self.in_flight.contains_key(&ticket)
     }
 
     /// Ends the order and returns it; returns `None` if it had ended before.
-    pub(crate) fn ended(&mut self, now: Micros, ticket: OrderTicket) -> Option<LoadOrder> {
+    pub(crate) fn ended(&mut self, now: Micros, ticket: LoadOrderTicket) -> Option<LoadOrder> {
         let order = self.in_flight.remove(&ticket)?;
         if order.loads {
             self.queueing_delay.load_ended(now, ticket.function);
--- a/crates/router/src/core/state/observers.rs
+++ b/crates/router/src/core/state/observers.rs
@@ -5,7 +5,7 @@
 use super::invocation::AcceptedRequest;
 use crate::FrontIndex;
 use crate::admission_control::RejectionReason;
-use crate::observer::{AnswerGiven, Names, RouterObserver, WorkerUsage};
+use crate::observer::{Names, RouterObserver, SentAnswer, WorkerUsage};
 
 /// All observers of one router.
 #[derive(Default)]
@@ -36,7 +36,7 @@
         }
     }
 
-    pub(crate) fn answered(&mut self, now: Micros, answer: AnswerGiven) {
+    pub(crate) fn answered(&mut self, now: Micros, answer: SentAnswer) {
         for observer in &mut self.observers {
             observer.answered(now, answer);
         }
--- a/crates/router/src/core/state/timers.rs
+++ b/crates/router/src/core/state/timers.rs
@@ -6,7 +6,7 @@
 use cedarpulley::interface::Micros;
 
 use super::invocation::InvocationHandle;
-use crate::{Delivery, OrderTicket, Ticket};
+use crate::{Delivery, LoadOrderTicket, Ticket};
 
 /// What a timer triggers. Timers are never cancelled: when a timer fires, its handler checks whether it still applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -22,7 +22,7 @@
     /// The answer is due to a delivery that joined the invocation of another delivery.
     JoinedAnswerDue(Delivery),
     /// The timeout of the load order has passed.
-    OrderTimeout(OrderTicket),
+    OrderTimeout(LoadOrderTicket),
 }
 
 /// Generates unique serial numbers for timers, load orders and dispatches.
--- a/crates/router/src/core/state/workers.rs
+++ b/crates/router/src/core/state/workers.rs
@@ -108,7 +108,7 @@
 
     /// Identifies the workers that share the record of idempotency keys with this one: its zone or cell, depending on
     /// the deduplication scope, or 0 if all workers share one record.
-    pub(crate) fn deduplication_domain(&self, worker: WorkerIndex, effect: Effect) -> u32 {
+    pub(crate) fn deduplication_scope(&self, worker: WorkerIndex, effect: Effect) -> u32 {
         let location = self.locations.get(worker as usize);
         let location = location.copied().unwrap_or_default();
         match effect {
--- a/crates/router/src/core/submission.rs
+++ b/crates/router/src/core/submission.rs
@@ -75,7 +75,7 @@
         self.decide(&Event::CopyWanted { worker, function }, &mut wanted);
         for output in wanted {
             match output {
-                Output::Order { ticket, .. } => self.skip_order(ticket, out),
+                Output::LoadOrder { ticket, .. } => self.skip_order(ticket, out),
                 other => out.push(other),
             }
         }
--- a/crates/router/src/core/waiting_deliveries.rs
+++ b/crates/router/src/core/waiting_deliveries.rs
@@ -110,16 +110,16 @@
             return;
         }
         let lost = self.answers.front_lost(front);
-        for index in lost.forgotten {
-            self.answer_record_forgotten(index);
+        for index in lost.evicted {
+            self.answer_record_evicted(index);
         }
         for index in lost.open {
             self.orphan(index, out);
         }
     }
 
-    /// Handles that the invocation's answer record was dropped, as there were too many without a waiting delivery.
-    fn answer_record_forgotten(&mut self, index: InvocationIndex) {
+    /// Handles that the invocation's answer record was evicted, as there were too many without a waiting delivery.
+    fn answer_record_evicted(&mut self, index: InvocationIndex) {
         let Some(invocation) = self.invocations.get_mut(index) else {
             return;
         };
--- a/crates/router/src/endpoint_list.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -9,7 +9,7 @@
 //!    that the publisher restarted with new version numbers. Until then the last view remains in effect.
 //! 3. A worker that is named in several slices has its state in the newest of them; if their versions are equal, the most
 //!    cautious state.
-//! 4. A worker's incarnation is identified by its start mark. A worker with a new start mark has just started, whatever
+//! 4. A worker's incarnation is identified by its process id. A worker with a new process id has just started, whatever
 //!    start time its own clock gives.
 
 use std::collections::{BTreeMap, HashMap};
@@ -46,7 +46,7 @@
     /// The worker.
     pub worker: ListedWorker,
     /// Identifies the incarnation of the worker; changes whenever its process is restarted.
-    pub start_mark: String,
+    pub process_id: String,
 }
 
 /// One slice of the published list.
@@ -90,7 +90,7 @@
 
 /// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ListAction {
+pub enum EndpointListAction {
     /// Pass the workers to the core.
     UpdateRouter {
         /// What `workers` contains.
@@ -107,7 +107,7 @@
 /// An incarnation of a worker.
 #[derive(Debug)]
 struct Incarnation {
-    start_mark: String,
+    process_id: String,
     started_at: Option<Micros>,
 }
 
@@ -129,14 +129,14 @@
     /// Whether there was a view before, so that a worker that it did not contain is new.
     has_view: bool,
     /// Number of events ignored because they were not newer than the known state.
-    pub stale: u64,
+    pub ignored_events: u64,
     /// Number of times that a worker was left out of a view because there were too many workers.
-    pub left_out: u64,
+    pub workers_left_out: u64,
 }
 
 impl EndpointList {
     /// Handles a watch event that was received at `now`, and returns the actions to carry out, in order.
-    pub fn handle(&mut self, now: Micros, event: WatchEvent) -> Vec<ListAction> {
+    pub fn handle(&mut self, now: Micros, event: WatchEvent) -> Vec<EndpointListAction> {
         match event {
             WatchEvent::Listing { version, slices } => self.listing(now, version, slices),
             WatchEvent::Changed(slice) => self.slice_changed(now, slice),
@@ -155,7 +155,7 @@
         now: Micros,
         version: u64,
         slices: Vec<EndpointSlice>,
-    ) -> Vec<ListAction> {
+    ) -> Vec<EndpointListAction> {
         if self.has_listing
             && version < self.version
             && self.stale_listings + 1 < STALE_LISTINGS_AFTER_RESTART
@@ -163,8 +163,8 @@
             // A lagging replica of the publisher may have answered. If its listing were accepted, workers that are long
             // gone would appear again.
             self.stale_listings += 1;
-            self.stale += 1;
-            return vec![ListAction::RequestListing];
+            self.ignored_events += 1;
+            return vec![EndpointListAction::RequestListing];
         }
         self.stale_listings = 0;
         self.has_listing = true;
@@ -175,20 +175,20 @@
             .collect();
         let view = self.view(now);
         self.published = view.clone();
-        let complete = ListAction::UpdateRouter {
+        let complete = EndpointListAction::UpdateRouter {
             kind: EndpointListKind::Complete,
             workers: view.into_values().collect(),
         };
-        vec![complete, ListAction::Watch(version)]
+        vec![complete, EndpointListAction::Watch(version)]
     }
 
-    fn slice_changed(&mut self, now: Micros, slice: EndpointSlice) -> Vec<ListAction> {
+    fn slice_changed(&mut self, now: Micros, slice: EndpointSlice) -> Vec<EndpointListAction> {
         let known = self
             .slices
             .get(&slice.name)
             .map_or(0, |known| known.version);
         if slice.version <= known || !self.has_listing {
-            self.stale += 1;
+            self.ignored_events += 1;
             return Vec::new();
         }
         self.version = self.version.max(slice.version);
@@ -196,10 +196,10 @@
         self.publish_changes(now)
     }
 
-    fn slice_removed(&mut self, now: Micros, name: &str, version: u64) -> Vec<ListAction> {
+    fn slice_removed(&mut self, now: Micros, name: &str, version: u64) -> Vec<EndpointListAction> {
         let known = self.slices.get(name);
         if known.is_none_or(|known| known.version > version) {
-            self.stale += 1;
+            self.ignored_events += 1;
             return Vec::new();
         }
         self.version = self.version.max(version);
@@ -208,21 +208,21 @@
     }
 
     /// Handles the end of the watch, and resumes it if possible.
-    fn watch_ended(&self, too_old: bool) -> Vec<ListAction> {
-        let failed = ListAction::UpdateRouter {
+    fn watch_ended(&self, too_old: bool) -> Vec<EndpointListAction> {
+        let failed = EndpointListAction::UpdateRouter {
             kind: EndpointListKind::Failed,
             workers: Vec::new(),
         };
         let next = if self.has_listing && !too_old {
-            ListAction::Watch(self.version)
+            EndpointListAction::Watch(self.version)
         } else {
-            ListAction::RequestListing
+            EndpointListAction::RequestListing
         };
         vec![failed, next]
     }
 
     /// Passes to the core all workers that changed since its last update, if any.
-    fn publish_changes(&mut self, now: Micros) -> Vec<ListAction> {
+    fn publish_changes(&mut self, now: Micros) -> Vec<EndpointListAction> {
         let view = self.view(now);
         let mut workers: Vec<ListedWorker> = view
             .iter()
@@ -241,7 +241,7 @@
         if workers.is_empty() {
             return Vec::new();
         }
-        vec![ListAction::UpdateRouter {
+        vec![EndpointListAction::UpdateRouter {
             kind: EndpointListKind::Changes,
             workers,
         }]
@@ -250,13 +250,13 @@
     /// Computes the current view: every worker once, by name, with its start time.
     fn view(&mut self, now: Micros) -> BTreeMap<String, ListedWorker> {
         let newest = newest_entries(&self.slices);
-        self.left_out += newest.len().saturating_sub(MAX_WORKERS) as u64;
+        self.workers_left_out += newest.len().saturating_sub(MAX_WORKERS) as u64;
         let mut view = BTreeMap::new();
         for (name, entry) in newest.into_iter().take(MAX_WORKERS) {
             let known = self.incarnations.get(name);
             let started_at = started_at(now, entry, known, self.has_view);
             let incarnation = Incarnation {
-                start_mark: entry.start_mark.clone(),
+                process_id: entry.process_id.clone(),
                 started_at,
             };
             self.incarnations.insert(name.to_owned(), incarnation);
@@ -282,7 +282,7 @@
 ) -> Option<Micros> {
     match known {
         // The process is the same, so its first known start time remains, whatever the list says now.
-        Some(known) if known.start_mark == entry.start_mark => known.started_at,
+        Some(known) if known.process_id == entry.process_id => known.started_at,
         // The start time in the list comes from the worker's clock, which may be wrong. A restarted worker that seems to
         // have run for long would be overloaded while it has no warm copies.
         Some(_) => Some(now),
--- a/crates/router/src/idempotency_keys.rs
+++ b/crates/router/src/idempotency_keys.rs
@@ -61,7 +61,7 @@
     /// Total size of the cached answers, in bytes.
     bytes: usize,
     /// Number of answers evicted before their expiry because the cache was full.
-    pub forgotten: u64,
+    pub evicted: u64,
 }
 
 /// Combines a client's idempotency key with the account, trigger type and function of the invocation.
@@ -113,7 +113,7 @@
             if *expires_at > now && !full {
                 break;
             }
-            self.forgotten += u64::from(*expires_at > now);
+            self.evicted += u64::from(*expires_at > now);
             // If the answer was replaced by a later one for the same key, the later one has its own entry in the
             // eviction order.
             if let Some((expires_at, key)) = self.eviction_order.pop_front()
--- a/crates/router/src/interface.rs
+++ b/crates/router/src/interface.rs
@@ -34,7 +34,7 @@
 
 /// Identifies one load order, or one query for the number of loaded copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct OrderTicket {
+pub struct LoadOrderTicket {
     /// The worker that receives the order.
     pub worker: WorkerIndex,
     /// The function to load.
--- a/crates/router/src/observer.rs
+++ b/crates/router/src/observer.rs
@@ -36,7 +36,7 @@
 
 /// A final answer that was sent to a delivery.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerGiven {
+pub struct SentAnswer {
     /// Index of the invocation; absent if it was answered without the balancer.
     pub invocation: Option<InvocationIndex>,
     /// The front that the answer is sent to.
@@ -88,7 +88,7 @@
     /// A dispatch, with its outcome and the status of the copy that served it.
     Dispatch(DispatchOutcome, CopyStatus),
     /// A load order, with its result.
-    Order(LoadOrderResult),
+    LoadOrder(LoadOrderResult),
 }
 
 /// Receives notifications in the order of the events. The methods are called on the decision path, within
@@ -108,7 +108,7 @@
         redelivered: bool,
     );
     /// A final answer was sent.
-    fn answered(&mut self, now: Micros, answer: AnswerGiven);
+    fn answered(&mut self, now: Micros, answer: SentAnswer);
     /// A request was rejected before its body was read.
     fn rejected(
         &mut self,
--- a/crates/router/src/replication.rs
+++ b/crates/router/src/replication.rs
@@ -91,7 +91,7 @@
         /// Number of the attempt, unique within this process.
         attempt: u64,
         /// The workers that recognise repeats of the attempt.
-        deduplication_domain: u32,
+        deduplication_scope: u32,
         /// Whether the attempt may be sent without a majority.
         without_majority: bool,
     },
@@ -102,7 +102,7 @@
         /// Number of the attempt, unique within this process.
         attempt: u64,
         /// The workers that recognise repeats of the attempt.
-        deduplication_domain: u32,
+        deduplication_scope: u32,
     },
     /// An attempt ended.
     AttemptEnded {
--- a/crates/router/tests/answer_registry.rs
+++ b/crates/router/tests/answer_registry.rs
@@ -46,8 +46,8 @@
         );
     }
     let lost = registry.front_lost(0);
-    assert_eq!((lost.open.len(), lost.forgotten), (4, vec![0, 1]));
-    assert_eq!((registry.len(), registry.forgotten), (2, 2));
+    assert_eq!((lost.open.len(), lost.evicted), (4, vec![0, 1]));
+    assert_eq!((registry.len(), registry.evicted), (2, 2));
     registry.expire(SECOND * 2);
     assert_eq!(registry.len(), 1);
 }
--- a/crates/router/tests/endpoint_list.rs
+++ b/crates/router/tests/endpoint_list.rs
@@ -5,15 +5,15 @@
 use EndpointState::{Draining, Gone, InService};
 use cedarpulley::interface::{EndpointListKind, EndpointState};
 use cedarpulley_router::endpoint_list::{
-    EndpointList, EndpointSlice, ListAction, SliceEntry, WatchEvent,
+    EndpointList, EndpointListAction, EndpointSlice, SliceEntry, WatchEvent,
 };
 use harness::SECOND;
 
-fn entry(port: u16, state: EndpointState, start_mark: &str) -> SliceEntry {
+fn entry(port: u16, state: EndpointState, process_id: &str) -> SliceEntry {
     let worker = harness::listed_worker(&format!("127.0.0.1:{port}"), state);
     SliceEntry {
         worker,
-        start_mark: start_mark.into(),
+        process_id: process_id.into(),
     }
 }
 
@@ -30,9 +30,11 @@
 }
 
 /// The updates passed to the core: their kind, and name and state of each worker.
-fn updates(actions: &[ListAction]) -> Vec<(EndpointListKind, Vec<(String, EndpointState)>)> {
-    let update = |action: &ListAction| match action {
-        ListAction::UpdateRouter { kind, workers } => Some((
+fn updates(
+    actions: &[EndpointListAction],
+) -> Vec<(EndpointListKind, Vec<(String, EndpointState)>)> {
+    let update = |action: &EndpointListAction| match action {
+        EndpointListAction::UpdateRouter { kind, workers } => Some((
             *kind,
             workers
                 .iter()
@@ -57,7 +59,7 @@
             vec![("127.0.0.1:1".into(), Draining)]
         )]
     );
-    assert_eq!(actions[1], ListAction::Watch(7));
+    assert_eq!(actions[1], EndpointListAction::Watch(7));
     // Of two equally new slices, the most cautious state counts.
     let a = slice("a", 9, vec![entry(1, Draining, "x")]);
     let b = slice("b", 9, vec![entry(1, InService, "x")]);
@@ -110,13 +112,19 @@
     );
     // A listing of an older version is requested again, and accepted only when it is the third in a row.
     let stale = || listing(4, vec![slice("a", 4, vec![entry(1, InService, "x")])]);
-    assert_eq!(list.handle(0, stale()), [ListAction::RequestListing]);
-    assert_eq!(list.handle(0, stale()), [ListAction::RequestListing]);
+    assert_eq!(
+        list.handle(0, stale()),
+        [EndpointListAction::RequestListing]
+    );
+    assert_eq!(
+        list.handle(0, stale()),
+        [EndpointListAction::RequestListing]
+    );
     assert_eq!(
         updates(&list.handle(0, stale()))[0].0,
         EndpointListKind::Complete
     );
-    assert_eq!(list.stale, 5);
+    assert_eq!(list.ignored_events, 5);
 }
 
 #[test]
@@ -133,7 +141,7 @@
         WatchEvent::Changed(slice("a", 6, vec![restarted])),
     );
     assert!(
-        matches!(&actions[0], ListAction::UpdateRouter { workers, .. } if workers[0].started_at == Some(9 * SECOND))
+        matches!(&actions[0], EndpointListAction::UpdateRouter { workers, .. } if workers[0].started_at == Some(9 * SECOND))
     );
 }
 
@@ -142,7 +150,7 @@
     let mut list = EndpointList::default();
     assert_eq!(
         list.handle(0, WatchEvent::WatchEnded { too_old: false })[1],
-        ListAction::RequestListing
+        EndpointListAction::RequestListing
     );
     list.handle(
         0,
@@ -151,11 +159,11 @@
     list.handle(0, WatchEvent::Bookmark(40));
     assert_eq!(
         list.handle(0, WatchEvent::WatchEnded { too_old: false })[1],
-        ListAction::Watch(40)
+        EndpointListAction::Watch(40)
     );
     assert_eq!(
         list.handle(0, WatchEvent::WatchEnded { too_old: true })[1],
-        ListAction::RequestListing
+        EndpointListAction::RequestListing
     );
     let removal = list.handle(
         0,
--- a/crates/router/tests/faults.rs
+++ b/crates/router/tests/faults.rs
@@ -364,8 +364,8 @@
                                 router.core.handle(router.now, Input::AnswerDelivered(delivery), &mut Vec::new());
                             }
                         }
-                        Output::Send { ticket, call, trigger, .. } => {
-                            let name = call.name.as_deref().unwrap_or_default().to_owned();
+                        Output::Send { ticket, request, trigger, .. } => {
+                            let name = request.name.as_deref().unwrap_or_default().to_owned();
                             let n = possible_runs.entry(name.clone()).or_insert(0);
                             prop_assert!(trigger != NON_IDEMPOTENT || *n == 0, "{name} sent again");
                             *n += 1;
@@ -628,7 +628,7 @@
             !router
                 .outputs
                 .iter()
-                .any(|output| matches!(output, Output::Order { .. })),
+                .any(|output| matches!(output, Output::LoadOrder { .. })),
             "{:?}",
             router.outputs
         );
