--- a/crates/platform-node/src/discovery.rs
+++ b/crates/platform-node/src/discovery.rs
@@ -10,7 +10,7 @@
 use cedarpulley_errors::Remedy;
 use cedarpulley_net::{Notifier, Stream, connect, duration_from_micros};
 use cedarpulley_platform::discovery::{
-    DiscoveryContact, DiscoveryError, EventBatch, FIRST_POLL_WAIT, LIST_LEASE, ListUpdate,
+    DiscoveryContact, DiscoveryError, EndpointListUpdate, EventBatch, FIRST_POLL_WAIT, LIST_LEASE,
     MAX_BACKOFF, POLL_WAIT, RESPONSE_MARGIN, ResponseReader, Silence, WorkerListFollower,
 };
 use cedarpulley_router::backoff::Backoff;
@@ -69,7 +69,7 @@
         batch: &EventBatch,
         wall_at_zero: Micros,
         max_age: Micros,
-    ) -> Result<Vec<ListUpdate>, DiscoveryError> {
+    ) -> Result<Vec<EndpointListUpdate>, DiscoveryError> {
         self.worker_list
             .borrow_mut()
             .apply_batch(batch, &self.names, wall_at_zero, max_age)
@@ -78,7 +78,7 @@
     /// Records that a response was applied, and logs it if discovery had been reported as unreachable.
     fn record_response(&self, now: Micros) {
         let mut contact = self.contact.get();
-        if let Some(Silence(silence)) = contact.heard(now) {
+        if let Some(Silence(silence)) = contact.record_response(now) {
             tracing::warn!(unheard_ms = silence / 1_000, "discovery is reachable again");
         }
         self.contact.set(contact);
@@ -90,7 +90,7 @@
         let (address, error) = (self.address.get(), error.line());
         tracing::debug!(%address, error, "discovery connection ended");
         let mut contact = self.contact.get();
-        if let Some(Silence(silence)) = contact.failed(now) {
+        if let Some(Silence(silence)) = contact.record_failure(now) {
             let last_event = self.worker_list.borrow().last_cursor();
             let unheard_ms = silence / 1_000;
             tracing::warn!(%address, error, last_event, unheard_ms, "discovery is unreachable");
--- a/crates/platform-node/src/node.rs
+++ b/crates/platform-node/src/node.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use cedarpulley::interface::{Micros, WorkerIndex};
 use cedarpulley_net::{Clock, Stream};
-use cedarpulley_platform::discovery::{DiscoveryError, EventBatch, ListUpdate};
+use cedarpulley_platform::discovery::{DiscoveryError, EndpointListUpdate, EventBatch};
 use cedarpulley_platform::event_loop_lag::EventLoopLag;
 use cedarpulley_platform::graceful_shutdown::GracefulShutdown;
 use cedarpulley_router::{Input, LoadOrderTicket, Output, Router, Ticket};
@@ -181,7 +181,7 @@
     }
 
     /// Applies a change of the endpoint list.
-    fn apply(self: &Rc<Self>, update: ListUpdate) {
+    fn apply(self: &Rc<Self>, update: EndpointListUpdate) {
         for id in &update.retired {
             if let Some(worker) = self.core.router().worker_index(id) {
                 self.workers.retire(worker);
@@ -211,7 +211,7 @@
         loop {
             Timer::after(SWEEP_PERIOD).await;
             let mut lag = self.event_loop_lag.get();
-            lag.beat(self.clock.now());
+            lag.timer_ran(self.clock.now());
             self.event_loop_lag.set(lag);
             self.clients.sweep(&self);
             self.workers.sweep(&self);
@@ -242,7 +242,7 @@
 
     /// Whether the signal to stop has arrived.
     pub fn is_shutting_down(&self) -> bool {
-        self.shutdown.borrow().begun()
+        self.shutdown.borrow().has_begun()
     }
 
     /// Whether a request is accepted whose last byte arrived at `arrived`, in microseconds of the router's clock.
--- a/crates/platform-node/src/signals.rs
+++ b/crates/platform-node/src/signals.rs
@@ -8,7 +8,7 @@
 use async_signal::{Signal, Signals};
 use cedarpulley_errors::Remedy;
 use cedarpulley_net::{Notifier, duration_from_micros};
-use cedarpulley_platform::config::{MAX_RELOADS, RELOAD_PAUSE};
+use cedarpulley_platform::config::{MAX_RELOADS, RELOAD_INTERVAL};
 use futures_lite::{FutureExt, StreamExt};
 
 use crate::config_file::ConfigFile;
@@ -63,6 +63,6 @@
                 tracing::warn!(error = error.line(), "reloading the configuration failed");
             }
         }
-        Timer::after(duration_from_micros(RELOAD_PAUSE)).await;
+        Timer::after(duration_from_micros(RELOAD_INTERVAL)).await;
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -214,8 +214,8 @@
 
 /// Pause before a replaced file that could not be read is read again, in microseconds: it may still be being written.
 /// With [`MAX_RELOADS`] reads in all, the retries last about as long as discovery stays at its old address.
-pub const RELOAD_PAUSE: Micros = 100_000;
-/// Number of times that a replaced file is read before the router ignores it; see [`RELOAD_PAUSE`].
+pub const RELOAD_INTERVAL: Micros = 100_000;
+/// Number of times that a replaced file is read before the router ignores it; see [`RELOAD_INTERVAL`].
 pub const MAX_RELOADS: u32 = 20;
 
 /// The address of the discovery service in the text of a file that replaced an earlier one.
--- a/crates/platform/src/discovery/contact.rs
+++ b/crates/platform/src/discovery/contact.rs
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Records a response; returns the silence that it ends if [`DiscoveryContact::failed`] has reported that silence.
-    pub fn heard(&mut self, now: Micros) -> Option<Silence> {
+    /// Records a response; returns the silence that it ends if [`DiscoveryContact::record_failure`] has reported that silence.
+    pub fn record_response(&mut self, now: Micros) -> Option<Silence> {
         let silence = Silence(now - self.last_response);
         self.last_response = now;
         std::mem::take(&mut self.reported).then_some(silence)
@@ -34,7 +34,7 @@
 
     /// Records a failed poll; returns the silence so far if it has outlasted the lease of the endpoint list and has not
     /// been reported yet.
-    pub fn failed(&mut self, now: Micros) -> Option<Silence> {
+    pub fn record_failure(&mut self, now: Micros) -> Option<Silence> {
         let silence = now - self.last_response;
         if self.reported || silence < LIST_LEASE {
             return None;
--- a/crates/platform/src/discovery/follower.rs
+++ b/crates/platform/src/discovery/follower.rs
@@ -7,7 +7,7 @@
 use cedarpulley::interface::{EndpointListKind, EndpointState, Micros};
 use cedarpulley_router::endpoint_list::ListedWorker;
 
-use super::{DiscoveryError, EventBatch, Result, WorkerEntry, WorkerListEvent};
+use super::{DiscoveryError, EndpointListEvent, EventBatch, Result, WorkerEntry};
 use crate::config::Names;
 
 /// A drain that may be older than the drain grace divided by this number is read as having no grace left: the balancer
@@ -20,7 +20,7 @@
 
 /// A change of the endpoint list, in the types of the router core.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ListUpdate {
+pub struct EndpointListUpdate {
     /// Whether `workers` is the complete list or only the changed workers.
     pub mode: EndpointListKind,
     /// The workers. Their `address` is the id of the worker, not its network address.
@@ -104,7 +104,7 @@
         names: &Names,
         wall_at_zero: Micros,
         max_age: Micros,
-    ) -> Result<Vec<ListUpdate>> {
+    ) -> Result<Vec<EndpointListUpdate>> {
         let context = EntryContext {
             names,
             wall_at_zero,
@@ -129,7 +129,7 @@
             .collect())
     }
 
-    fn apply(&mut self, change: ListChange) -> ListUpdate {
+    fn apply(&mut self, change: ListChange) -> EndpointListUpdate {
         let mut retired = Vec::new();
         if change.mode == EndpointListKind::Complete {
             let is_named = |id: &String| {
@@ -158,7 +158,7 @@
             }
             workers.push(listed);
         }
-        ListUpdate {
+        EndpointListUpdate {
             mode: change.mode,
             workers,
             retired,
@@ -180,7 +180,7 @@
 }
 
 impl EntryContext<'_> {
-    fn resolve_event(&self, event: &WorkerListEvent) -> Result<ListChange> {
+    fn resolve_event(&self, event: &EndpointListEvent) -> Result<ListChange> {
         let workers = event.workers.iter().map(|entry| self.resolve_worker(entry));
         Ok(ListChange {
             mode: if event.is_complete {
--- a/crates/platform/src/discovery/mod.rs
+++ b/crates/platform/src/discovery/mod.rs
@@ -21,9 +21,9 @@
 pub use contact::{DiscoveryContact, Silence};
 pub use error::DiscoveryError;
 pub use events::{
-    Command as WatchEvent, EventBatch, Nodes as WorkerListEvent, Server as WorkerEntry,
+    Command as WatchEvent, EventBatch, Nodes as EndpointListEvent, Server as WorkerEntry,
 };
-pub use follower::{ListUpdate, WorkerListFollower};
+pub use follower::{EndpointListUpdate, WorkerListFollower};
 pub use response_reader::ResponseReader;
 
 /// Longest time for which discovery may hold a poll open while there are no events, in microseconds. The protocol
--- a/crates/platform/src/event_loop_lag.rs
+++ b/crates/platform/src/event_loop_lag.rs
@@ -2,7 +2,7 @@
 //!
 //! A process that shares its core, or that was stopped, reads bytes later than they arrived. Times that are counted
 //! from the read, such as the deadline of a client or the drain grace of a worker, would then end too late. The event
-//! loop calls [`EventLoopLag::beat`] at a fixed period; [`EventLoopLag::lag`] estimates its delay from those calls.
+//! loop calls [`EventLoopLag::timer_ran`] at a fixed period; [`EventLoopLag::lag`] estimates its delay from those calls.
 
 use cedarpulley::interface::Micros;
 
@@ -31,7 +31,7 @@
     }
 
     /// Records that the periodic timer ran at `now`.
-    pub fn beat(&mut self, now: Micros) {
+    pub fn timer_ran(&mut self, now: Micros) {
         self.caught_up_at = self.last_beat;
         self.last_beat = now;
     }
--- a/crates/platform/src/graceful_shutdown.rs
+++ b/crates/platform/src/graceful_shutdown.rs
@@ -32,7 +32,7 @@
     }
 
     /// Whether the signal to stop has arrived.
-    pub fn begun(&self) -> bool {
+    pub fn has_begun(&self) -> bool {
         self.begun_at.is_some()
     }
 
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -3,7 +3,7 @@
 use cedarpulley::interface::{EndpointListKind, EndpointState::Draining, EndpointState::Gone};
 use cedarpulley_platform::config::Names;
 use cedarpulley_platform::discovery::{
-    EventBatch, ListUpdate, POLL_WAIT, ResponseReader, WorkerListFollower,
+    EndpointListUpdate, EventBatch, POLL_WAIT, ResponseReader, WorkerListFollower,
 };
 
 /// The zones and kinds of machine that the settings name.
@@ -34,7 +34,7 @@
 }
 
 /// Applies events, given in JSON, as one batch that was read without delay.
-fn apply_events(follower: &mut WorkerListFollower, events: &[String]) -> Vec<ListUpdate> {
+fn apply_events(follower: &mut WorkerListFollower, events: &[String]) -> Vec<EndpointListUpdate> {
     let text = format!(r#"{{"cursor":0,"cmds":[{}]}}"#, events.join(","));
     follower
         .apply_batch(&batch(&text), &names(), 3_000, 0)
--- a/crates/platform/tests/event_loop_lag.rs
+++ b/crates/platform/tests/event_loop_lag.rs
@@ -11,14 +11,14 @@
 fn event_loop_lag_covers_a_pause_of_the_process() {
     let mut lag = EventLoopLag::new(50 * MILLISECOND, 0);
     for n in 1..=10 {
-        lag.beat(n * 50 * MILLISECOND);
+        lag.timer_ran(n * 50 * MILLISECOND);
         assert_eq!(lag.lag(n * 50 * MILLISECOND + 49 * MILLISECOND), 0);
     }
     // The process was stopped for a second. The lag is reported before the next beat, at that beat, and until the beat
     // after it.
     assert_eq!(lag.lag(1_500 * MILLISECOND), 950 * MILLISECOND);
-    lag.beat(1_500 * MILLISECOND);
+    lag.timer_ran(1_500 * MILLISECOND);
     assert_eq!(lag.lag(1_510 * MILLISECOND), 910 * MILLISECOND);
-    lag.beat(1_550 * MILLISECOND);
+    lag.timer_ran(1_550 * MILLISECOND);
     assert_eq!(lag.lag(1_560 * MILLISECOND), 0);
 }
--- a/crates/platform/tests/graceful_shutdown.rs
+++ b/crates/platform/tests/graceful_shutdown.rs
@@ -11,14 +11,14 @@
 fn graceful_shutdown_accepts_requests_for_a_while_and_exits_when_all_are_answered() {
     let mut shutdown = GracefulShutdown::new(2 * SECOND);
     assert!(
-        !shutdown.begun()
+        !shutdown.has_begun()
             && shutdown.accepts(90 * SECOND)
             && !shutdown.may_exit(90 * SECOND, false)
     );
     shutdown.begin(SECOND);
     shutdown.begin(5 * SECOND);
     assert!(
-        shutdown.begun()
+        shutdown.has_begun()
             && shutdown.accepts(1_700 * MILLISECOND)
             && !shutdown.accepts(1_701 * MILLISECOND)
     );
