--- a/crates/gateway/src/fault_injection.rs
+++ b/crates/gateway/src/fault_injection.rs
@@ -87,9 +87,9 @@
             InjectedFault::UnfencedTakeover => SafetyCheck::FencedTakeover,
             InjectedFault::BrokenPromise => SafetyCheck::KeptPromise,
             InjectedFault::VoteWithoutMemory => SafetyCheck::NoVoteWithoutState,
-            InjectedFault::AbsenceAsProof => SafetyCheck::KnownToBeTaken,
+            InjectedFault::AbsenceAsProof => SafetyCheck::UnknownIsNotDispatched,
             InjectedFault::DeadOwnerAsProof => SafetyCheck::GoneOwnerMayHaveRun,
-            InjectedFault::TrustAfterFullRestart => SafetyCheck::DoubtAfterRestarts,
+            InjectedFault::TrustAfterFullRestart => SafetyCheck::IntentsMayBeLostAfterRestarts,
             InjectedFault::VoteBeforePersisted => SafetyCheck::PersistBeforeVote,
             _ => return None,
         })
--- a/crates/gateway/src/peer_requests.rs
+++ b/crates/gateway/src/peer_requests.rs
@@ -12,7 +12,7 @@
             key,
             durability,
             redelivered,
-        } => replica::Input::Take {
+        } => replica::Input::Announce {
             key,
             durability: replica_durability(durability),
             redelivered,
@@ -50,8 +50,8 @@
             key,
             answer: encode_answer(&answer),
         },
-        ReplicationRequest::AnswerDelivered { key } => replica::Input::Closed { key },
-        ReplicationRequest::Abandoned { key } => replica::Input::Dropped { key },
+        ReplicationRequest::AnswerDelivered { key } => replica::Input::DeliveryFinal { key },
+        ReplicationRequest::Abandoned { key } => replica::Input::Abandoned { key },
     }
 }
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -317,7 +317,7 @@
                 replica::Output::Send { to, message } => {
                     let options = SendOptions {
                         bulk: message.is_bulk(),
-                        recoverable: message.is_made_up_for(),
+                        recoverable: message.is_recoverable(),
                     };
                     self.send(to, PeerMessage::Replica(message), options);
                 }
--- a/crates/gateway/src/shared_state.rs
+++ b/crates/gateway/src/shared_state.rs
@@ -62,8 +62,9 @@
 
     /// Requests the leadership of a key; [`PeerEvent::Decided`] reports whether this member may write in a
     /// term.
-    pub fn lead(&self, key: Key, retention: Micros) {
-        self.0.apply_replica(Input::Lead { key, retention });
+    pub fn request_leadership(&self, key: Key, retention: Micros) {
+        self.0
+            .apply_replica(Input::RequestLeadership { key, retention });
     }
 
     /// Writes a value in a term that this member leads. Within a term, each value extends the previous one
--- a/crates/gateway/src/upgrades.rs
+++ b/crates/gateway/src/upgrades.rs
@@ -287,7 +287,9 @@
         self.alarm.set_deadline(due);
         for output in outputs {
             match output {
-                Output::RequestLeadership { key } => self.shared.lead(key, PLAN_RETENTION),
+                Output::RequestLeadership { key } => {
+                    self.shared.request_leadership(key, PLAN_RETENTION)
+                }
                 Output::Propose { key, ballot, value } => {
                     self.shared
                         .write(key, to_replica(ballot), value, PLAN_RETENTION);
--- a/crates/replica/src/consensus.rs
+++ b/crates/replica/src/consensus.rs
@@ -41,7 +41,7 @@
 use crate::record::{Ballot, Choice, FIRST_BALLOT_NUMBER};
 use crate::settings::SafetyCheck;
 use crate::store::Key;
-use crate::votes::Views;
+use crate::votes::KnownProcesses;
 use crate::wire::RejectionReason;
 use proposal::{Goal, Phase, Proposal};
 
@@ -89,7 +89,7 @@
     }
 
     /// Tries to become the leader of a new term.
-    pub(crate) fn lead(&mut self, cx: &mut Context<'_>, key: Key, retention: Micros) {
+    pub(crate) fn request_leadership(&mut self, cx: &mut Context<'_>, key: Key, retention: Micros) {
         let proposal = Proposal::new(cx, Goal::Lead, None, retention);
         self.propose(cx, key, proposal);
     }
@@ -278,7 +278,7 @@
         key: &Key,
         ballot: Ballot,
         choice: Choice,
-        views: Views,
+        views: KnownProcesses,
     ) {
         if let Some(proposal) = self.proposal_awaiting(key, ballot, None) {
             proposal.votes.put(from.member, from.process, views);
@@ -295,7 +295,7 @@
         key: &Key,
         ballot: Ballot,
         value_hash: u64,
-        views: Views,
+        views: KnownProcesses,
     ) {
         if let Some(proposal) = self.proposal_awaiting(key, ballot, Some(value_hash)) {
             proposal.votes.put(from.member, from.process, views);
--- a/crates/replica/src/events.rs
+++ b/crates/replica/src/events.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// This router took an invocation. [`Output::Decision`] is the answer.
-    Take {
+    Announce {
         /// The invocation's key.
         key: Key,
         /// Whether a dispatch needs a majority.
@@ -60,12 +60,12 @@
         answer: Bytes,
     },
     /// The delivery of the answer is final.
-    Closed {
+    DeliveryFinal {
         /// The invocation's key.
         key: Key,
     },
     /// No client of this router waits for the invocation any more.
-    Dropped {
+    Abandoned {
         /// The invocation's key.
         key: Key,
     },
@@ -90,7 +90,7 @@
         retention: Micros,
     },
     /// Become the leader that writes this key, in a new term.
-    Lead {
+    RequestLeadership {
         /// The choice's key.
         key: Key,
         /// How long the choice is retained, in microseconds.
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -14,7 +14,7 @@
 use crate::recovery::Recovery;
 use crate::settings::{CLOCK_DRIFT_DIVISOR, MAX_TRANSIT_DIVISOR, ReplicaSettings, SafetyCheck};
 use crate::store::{Key, Origin, RecordCopy, Store, StoredRecord};
-use crate::votes::{Views, Votes, process_tag};
+use crate::votes::{KnownProcesses, Votes, process_tag};
 use crate::wire::RecoveryState;
 
 /// The bound of a backoff is doubled at most this number of times.
@@ -168,13 +168,13 @@
         owner.released || self.is_process_gone(owner.ballot.member, owner.ballot.nonce)
     }
 
-    pub(crate) fn views(&self) -> Views {
-        Views(self.peers.iter().map(|p| process_tag(p.nonce)).collect())
+    pub(crate) fn known_processes(&self) -> KnownProcesses {
+        KnownProcesses(self.peers.iter().map(|p| process_tag(p.nonce)).collect())
     }
 
     /// Adds this member's own vote.
     pub(crate) fn add_own_vote(&self, votes: &mut Votes) {
-        votes.put(self.own_index(), self.process(), self.views());
+        votes.put(self.own_index(), self.process(), self.known_processes());
     }
 
     /// The voters whose votes may be counted together.
@@ -212,13 +212,13 @@
     /// Whether a request was in transit for so long that the record stored for it here would expire too early.
     pub(crate) fn arrives_too_late(&self, transit: Micros) -> bool {
         transit > self.settings.retention / MAX_TRANSIT_DIVISOR
-            && !self.is_disabled(SafetyCheck::NotTooLate)
+            && !self.is_disabled(SafetyCheck::RejectLateRequests)
     }
 
     /// Whether the absence of this record at another member still proves that the other member never had it.
     pub(crate) fn absence_is_proof(&self, now: Micros, key: &str) -> bool {
         let until = self.store.get(key).and_then(|stored| stored.proof_until);
-        until.is_some_and(|until| now < until) || self.is_disabled(SafetyCheck::NotTooLate)
+        until.is_some_and(|until| now < until) || self.is_disabled(SafetyCheck::RejectLateRequests)
     }
 
     pub(crate) fn ballot(&self, number: u32) -> Ballot {
--- a/crates/replica/src/ownership/assessment.rs
+++ b/crates/replica/src/ownership/assessment.rs
@@ -75,7 +75,7 @@
         return indeterminate(IndeterminateReason::StateLost);
     }
     let is_proven = invocation.taken && member.absence_is_proof(now, key);
-    if !is_proven && !member.is_disabled(SafetyCheck::KnownToBeTaken) {
+    if !is_proven && !member.is_disabled(SafetyCheck::UnknownIsNotDispatched) {
         return indeterminate(IndeterminateReason::Unknown);
     }
     Assessment::Dispatch { never_permitted }
--- a/crates/replica/src/ownership/claim.rs
+++ b/crates/replica/src/ownership/claim.rs
@@ -8,7 +8,7 @@
 use crate::context::{Context, Sender};
 use crate::record::{Ballot, DispatchId, FIRST_BALLOT_NUMBER, Invocation};
 use crate::store::RecordCopy;
-use crate::votes::{Views, Votes};
+use crate::votes::{KnownProcesses, Votes};
 
 /// The intent of a dispatch that waits for a majority.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -46,7 +46,12 @@
     }
 
     /// Adds a promise, with the record that its voter had stored.
-    pub(super) fn add_vote(&mut self, from: Sender, views: Views, record: Option<&RecordCopy>) {
+    pub(super) fn add_vote(
+        &mut self,
+        from: Sender,
+        views: KnownProcesses,
+        record: Option<&RecordCopy>,
+    ) {
         self.votes.put(from.member, from.process, views);
         self.add_holder(
             from.member,
--- a/crates/replica/src/ownership/claim_table/tests.rs
+++ b/crates/replica/src/ownership/claim_table/tests.rs
@@ -40,7 +40,7 @@
         let (key, dispatch) = (Key::from(format!("k{}", draw % 40)), draw >> 8 & 3);
         let redelivered = draw >> 16 & 1 == 1;
         let input = match draw >> 32 & 15 {
-            0..4 => Input::Take {
+            0..4 => Input::Announce {
                 key,
                 durability: Durability::Majority,
                 redelivered,
@@ -56,8 +56,8 @@
                 dispatch,
                 may_have_run: redelivered,
             },
-            9 => Input::Dropped { key },
-            10 => Input::Closed { key },
+            9 => Input::Abandoned { key },
+            10 => Input::DeliveryFinal { key },
             11 => Input::MemberChanged {
                 member: 1,
                 nonce: 8,
--- a/crates/replica/src/ownership/intents.rs
+++ b/crates/replica/src/ownership/intents.rs
@@ -9,7 +9,7 @@
 use crate::record::{Ballot, DispatchIntent, IntentState, Record};
 use crate::settings::SafetyCheck;
 use crate::store::{Key, StoredRecord};
-use crate::votes::{Views, Votes};
+use crate::votes::{KnownProcesses, Votes};
 use crate::wire::Message;
 
 /// Tells the router whether a dispatch may be sent.
@@ -201,7 +201,7 @@
         key: &Key,
         ballot: Ballot,
         dispatch: u64,
-        views: Views,
+        views: KnownProcesses,
     ) {
         let add_vote = |claim: &mut Claim| {
             let intent = claim.intents.get_mut(&dispatch);
--- a/crates/replica/src/ownership/mod.rs
+++ b/crates/replica/src/ownership/mod.rs
@@ -71,7 +71,7 @@
 
 impl Ownership {
     /// This router has taken an invocation.
-    pub(crate) fn take(
+    pub(crate) fn announce(
         &mut self,
         cx: &mut Context<'_>,
         key: &Key,
@@ -301,13 +301,13 @@
     }
 
     /// The delivery of the answer is final: drops the claim and the details of the record.
-    pub(crate) fn on_closed(&mut self, cx: &mut Context<'_>, key: &Key) {
+    pub(crate) fn on_delivery_final(&mut self, cx: &mut Context<'_>, key: &Key) {
         self.claims.remove(key);
         cx.update_invocation(key, Invocation::close);
     }
 
     /// No client of this router waits for the invocation any more: drops the claim and releases the ownership.
-    pub(crate) fn on_dropped(&mut self, cx: &mut Context<'_>, key: &Key) {
+    pub(crate) fn on_abandoned(&mut self, cx: &mut Context<'_>, key: &Key) {
         let take_intents = |claim: &mut Claim| std::mem::take(&mut claim.intents);
         let intents = self.claims.change(key, take_intents).unwrap_or_default();
         intents::abandon(cx, key, intents.into_keys(), None);
--- a/crates/replica/src/ownership/takeover.rs
+++ b/crates/replica/src/ownership/takeover.rs
@@ -11,7 +11,7 @@
 use crate::record::{Ballot, FIRST_BALLOT_NUMBER, IntentState, Record};
 use crate::settings::SafetyCheck;
 use crate::store::{Key, MergeOutcome, RecordCopy};
-use crate::votes::Views;
+use crate::votes::KnownProcesses;
 use crate::wire::Message;
 
 impl Ownership {
@@ -94,7 +94,7 @@
         key: &Key,
         ballot: Ballot,
         record: Option<&RecordCopy>,
-        views: Views,
+        views: KnownProcesses,
     ) {
         if let Some(record) = record {
             let store = cx.member.store_mut();
--- a/crates/replica/src/recovery.rs
+++ b/crates/replica/src/recovery.rs
@@ -129,7 +129,11 @@
         Progress::Nothing => false,
         Progress::Incomplete => true,
         Progress::Complete { after_restarts } => {
-            if after_restarts && !cx.member.is_disabled(SafetyCheck::DoubtAfterRestarts) {
+            if after_restarts
+                && !cx
+                    .member
+                    .is_disabled(SafetyCheck::IntentsMayBeLostAfterRestarts)
+            {
                 mark_intents_as_possibly_lost(cx);
             }
             cx.emit(Output::Recovered);
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -74,7 +74,7 @@
     }
 
     /// Whether a message may still have an effect here. This is false only for votes that this member no longer needs.
-    pub fn awaits_vote(&self, message: &Message) -> bool {
+    pub fn is_message_relevant(&self, message: &Message) -> bool {
         self.roles.ownership().awaits(message)
     }
 
--- a/crates/replica/src/roles/messages.rs
+++ b/crates/replica/src/roles/messages.rs
@@ -226,7 +226,7 @@
                     key: key.clone(),
                     ballot,
                     dispatch,
-                    views: cx.member.views(),
+                    views: cx.member.known_processes(),
                 };
                 cx.send(from.member, message);
                 return self.on_record_changed(cx, &key);
@@ -254,7 +254,7 @@
             key: key.clone(),
             ballot,
             record,
-            views: cx.member.views(),
+            views: cx.member.known_processes(),
         };
         cx.send(from.member, message);
     }
@@ -275,7 +275,7 @@
             key: key.clone(),
             ballot,
             choice,
-            views: cx.member.views(),
+            views: cx.member.known_processes(),
         };
         self.cast(cx, from.member, &key, message);
     }
@@ -298,7 +298,7 @@
             key: key.clone(),
             ballot,
             value_hash,
-            views: cx.member.views(),
+            views: cx.member.known_processes(),
         };
         self.cast(cx, from.member, &key, message);
     }
--- a/crates/replica/src/roles/mod.rs
+++ b/crates/replica/src/roles/mod.rs
@@ -90,7 +90,9 @@
                 value,
                 retention,
             } => self.consensus.choose(cx, key, value, retention),
-            Input::Lead { key, retention } => self.consensus.lead(cx, key, retention),
+            Input::RequestLeadership { key, retention } => {
+                self.consensus.request_leadership(cx, key, retention)
+            }
             Input::Write {
                 key,
                 ballot,
@@ -132,11 +134,11 @@
     fn route_to_ownership(&mut self, cx: &mut Context<'_>, input: Input) {
         let ownership = &mut self.ownership;
         match input {
-            Input::Take {
+            Input::Announce {
                 key,
                 durability,
                 redelivered,
-            } => ownership.take(cx, &key, durability, redelivered),
+            } => ownership.announce(cx, &key, durability, redelivered),
             Input::RequestDispatch {
                 key,
                 dispatch,
@@ -160,8 +162,8 @@
                 may_have_run,
             } => ownership.on_dispatch_ended(cx, &key, dispatch, may_have_run),
             Input::Answered { key, answer } => ownership.on_answered(cx, &key, answer),
-            Input::Closed { key } => ownership.on_closed(cx, &key),
-            Input::Dropped { key } => ownership.on_dropped(cx, &key),
+            Input::DeliveryFinal { key } => ownership.on_delivery_final(cx, &key),
+            Input::Abandoned { key } => ownership.on_abandoned(cx, &key),
             _ => {}
         }
     }
--- a/crates/replica/src/settings.rs
+++ b/crates/replica/src/settings.rs
@@ -98,9 +98,9 @@
     /// Votes whose voters know different processes of one member are not counted together.
     AgreeingVoters,
     /// An invocation that no member is known to have taken is not dispatched again.
-    KnownToBeTaken,
+    UnknownIsNotDispatched,
     /// After restarts in which intents may have been lost, the absence of an intent proves nothing.
-    DoubtAfterRestarts,
+    IntentsMayBeLostAfterRestarts,
     /// A member that has not answered is assumed to have stored an intent.
     UnansweredMayHold,
     /// A dispatch that may have been permitted for an owner whose process is gone is treated as one that may have run.
@@ -109,7 +109,7 @@
     AdoptAcceptedValue,
     /// Requests that arrive late get no vote. In the last part of a record's retention time, the absence of a record is
     /// no proof, and no new dispatch is permitted.
-    NotTooLate,
+    RejectLateRequests,
     /// A vote on a choice waits until the state that backs it is on disk.
     PersistBeforeVote,
 }
--- a/crates/replica/src/votes.rs
+++ b/crates/replica/src/votes.rs
@@ -8,13 +8,13 @@
 /// The process tag ([`process_tag`]) of each member as the voter knows it, indexed by member. Votes are counted
 /// together only if their voters agree on each other's processes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Views(pub Vec<u32>);
+pub struct KnownProcesses(pub Vec<u32>);
 
 /// A vote: the voter's own process tag, and the process tags of all members as the voter knows them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Vote {
     process: u32,
-    views: Views,
+    views: KnownProcesses,
 }
 
 /// The votes for one request. A majority counts only if its voters agree on each other's processes. Without this rule,
@@ -25,7 +25,7 @@
 
 impl Votes {
     /// Adds a vote, or replaces the voter's earlier one.
-    pub fn put(&mut self, from: MemberIndex, process: u32, views: Views) {
+    pub fn put(&mut self, from: MemberIndex, process: u32, views: KnownProcesses) {
         self.0.insert(from, Vote { process, views });
     }
 
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -8,7 +8,7 @@
 
 use crate::record::{Ballot, Choice};
 use crate::store::{Key, Leaf, Origin, RecordCopy};
-use crate::votes::Views;
+use crate::votes::KnownProcesses;
 
 /// The version of the message format. It is incremented with every change of a message; members of different versions
 /// reject each other's messages.
@@ -78,7 +78,7 @@
         /// The dispatch.
         dispatch: u64,
         /// The processes of all members as the voter knows them.
-        views: Views,
+        views: KnownProcesses,
     },
     /// A new owner requests the promise not to store any intent under a lower ballot.
     Fence {
@@ -100,7 +100,7 @@
         /// The voter's record.
         record: Option<RecordCopy>,
         /// The processes of all members as the voter knows them.
-        views: Views,
+        views: KnownProcesses,
     },
     /// The rejection of a [`Message::StoreIntent`] or [`Message::Fence`].
     Rejected {
@@ -133,7 +133,7 @@
         /// The ballot that the voter has promised, and the value that it has accepted.
         choice: Choice,
         /// The processes of all members as the voter knows them.
-        views: Views,
+        views: KnownProcesses,
     },
     /// Phase 2 of Paxos: a proposer requests that a value be accepted.
     Accept {
@@ -156,7 +156,7 @@
         /// the same term.
         value_hash: u64,
         /// The processes of all members as the voter knows them.
-        views: Views,
+        views: KnownProcesses,
     },
     /// The rejection of a [`Message::Prepare`] or [`Message::Accept`].
     Nack {
@@ -229,7 +229,7 @@
     }
 
     /// Whether the message may be dropped, because a later comparison restores what it would have transferred.
-    pub fn is_made_up_for(&self) -> bool {
+    pub fn is_recoverable(&self) -> bool {
         matches!(self, Message::Update { .. }) || self.is_bulk()
     }
 }
--- a/crates/replica/tests/common/mod.rs
+++ b/crates/replica/tests/common/mod.rs
@@ -13,9 +13,9 @@
 };
 
 /// Microseconds in a millisecond.
-pub const MS: i64 = 1_000;
+pub const MILLISECOND: i64 = 1_000;
 /// Time in microseconds for which records of invocations are retained.
-pub const RETENTION: i64 = 6_000 * MS;
+pub const RETENTION: i64 = 6_000 * MILLISECOND;
 
 /// Settings with one safety check disabled, or none, and a timeout for majorities in microseconds.
 pub fn settings(disabled_check: Option<SafetyCheck>, majority_timeout: i64) -> ReplicaSettings {
@@ -42,7 +42,7 @@
 }
 
 /// A group of replicas in virtual time; vectors are indexed by member.
-pub struct World {
+pub struct ReplicaGroup {
     /// Virtual time in microseconds.
     pub now: i64,
     /// The safety check that is disabled at all replicas.
@@ -52,13 +52,13 @@
     /// The nonce of each member's latest process.
     pub nonces: Vec<u64>,
     /// Messages in transit: sender, receiver, nonce of the sending process, time of sending and the message.
-    pub net: Vec<(MemberIndex, MemberIndex, u64, i64, Message)>,
+    pub in_transit: Vec<(MemberIndex, MemberIndex, u64, i64, Message)>,
     /// Ownership decisions that each replica returned.
     pub decisions: Vec<BTreeMap<Key, Vec<OwnershipDecision>>>,
     /// Answer to each requested dispatch permission, by dispatch.
     pub permissions: Vec<BTreeMap<u64, Result<bool, NoMajorityReason>>>,
     /// Outcomes of the proposals of each replica.
-    pub decided: Vec<BTreeMap<Key, Vec<Outcome>>>,
+    pub outcomes: Vec<BTreeMap<Key, Vec<Outcome>>>,
     /// The last number given to a process (as its nonce) or to a dispatch.
     pub last_id: u64,
     /// Time in microseconds after which a replica stops waiting for a majority.
@@ -78,34 +78,34 @@
 /// A batch of changed records with its serial number; a record of `None` was removed.
 pub type PendingBatch = (u64, Vec<(Key, Option<RecordCopy>)>);
 
-impl World {
+impl ReplicaGroup {
     /// A group whose members have all completed recovery.
-    pub fn new(n: usize, disabled_check: Option<SafetyCheck>) -> World {
-        World::with_majority_timeout(n, disabled_check, 800 * MS)
+    pub fn new(n: usize, disabled_check: Option<SafetyCheck>) -> ReplicaGroup {
+        ReplicaGroup::with_majority_timeout(n, disabled_check, 800 * MILLISECOND)
     }
 
-    /// As [`World::new`], with another timeout for majorities in microseconds.
+    /// As [`ReplicaGroup::new`], with another timeout for majorities in microseconds.
     pub fn with_majority_timeout(
         n: usize,
         disabled_check: Option<SafetyCheck>,
         majority_timeout: i64,
-    ) -> World {
-        let mut w = World::build(n, disabled_check, majority_timeout, false);
-        w.pass(2 * RETENTION);
-        w.net.clear();
+    ) -> ReplicaGroup {
+        let mut w = ReplicaGroup::build(n, disabled_check, majority_timeout, false);
+        w.advance(2 * RETENTION);
+        w.in_transit.clear();
         w
     }
 
     /// A group whose members have just started and are still recovering.
-    pub fn recovering(n: usize, disabled_check: Option<SafetyCheck>) -> World {
-        World::build(n, disabled_check, 800 * MS, false)
+    pub fn recovering(n: usize, disabled_check: Option<SafetyCheck>) -> ReplicaGroup {
+        ReplicaGroup::build(n, disabled_check, 800 * MILLISECOND, false)
     }
 
     /// A group whose members have all completed recovery and persist choices before they vote.
-    pub fn persistent(n: usize, disabled_check: Option<SafetyCheck>) -> World {
-        let mut w = World::build(n, disabled_check, 800 * MS, true);
-        w.pass(2 * RETENTION);
-        w.net.clear();
+    pub fn persistent(n: usize, disabled_check: Option<SafetyCheck>) -> ReplicaGroup {
+        let mut w = ReplicaGroup::build(n, disabled_check, 800 * MILLISECOND, true);
+        w.advance(2 * RETENTION);
+        w.in_transit.clear();
         w
     }
 
@@ -114,16 +114,16 @@
         disabled_check: Option<SafetyCheck>,
         majority_timeout: i64,
         is_persistent: bool,
-    ) -> World {
-        let mut w = World {
+    ) -> ReplicaGroup {
+        let mut w = ReplicaGroup {
             now: 0,
             disabled_check,
             replicas: (0..n).map(|_| None).collect(),
             nonces: vec![0; n],
-            net: Vec::new(),
+            in_transit: Vec::new(),
             decisions: vec![BTreeMap::new(); n],
             permissions: vec![BTreeMap::new(); n],
-            decided: vec![BTreeMap::new(); n],
+            outcomes: vec![BTreeMap::new(); n],
             last_id: 0,
             majority_timeout,
             clock_drift: vec![0; n],
@@ -155,8 +155,8 @@
         ));
         (self.decisions[r], self.permissions[r]) = (BTreeMap::new(), BTreeMap::new());
         for m in 0..n {
-            self.sees(r, m, self.replicas[m].is_some());
-            self.sees(m, r, true);
+            self.report_member(r, m, self.replicas[m].is_some());
+            self.report_member(m, r, true);
         }
     }
 
@@ -190,7 +190,7 @@
                 None => self.disks[r].remove(&key),
             };
         }
-        self.feed(r, Input::Persisted { serial });
+        self.handle(r, Input::Persisted { serial });
     }
 
     /// Restarts a member after a power cut: only the records on its disk are restored.
@@ -227,9 +227,9 @@
     }
 
     /// Reports to `r` whether the present process of `m` is alive.
-    pub fn sees(&mut self, r: usize, m: usize, alive: bool) {
+    pub fn report_member(&mut self, r: usize, m: usize, alive: bool) {
         let (member, nonce) = (m as MemberIndex, self.nonces[m]);
-        self.feed(
+        self.handle(
             r,
             Input::MemberChanged {
                 member,
@@ -240,7 +240,7 @@
     }
 
     /// Passes an input to a replica and records its outputs.
-    pub fn feed(&mut self, r: usize, input: Input) {
+    pub fn handle(&mut self, r: usize, input: Input) {
         let now = self.local_time(r);
         let Some(replica) = self.replicas[r].as_mut() else {
             return;
@@ -250,7 +250,7 @@
         for output in out {
             match output {
                 Output::Send { to, message } => {
-                    self.net
+                    self.in_transit
                         .push((r as MemberIndex, to, self.nonces[r], self.now, message));
                 }
                 Output::Decision { key, decision } => {
@@ -264,7 +264,7 @@
                     self.permissions[r].insert(dispatch, permission);
                 }
                 Output::ProposalEnded { key, outcome } => {
-                    self.decided[r].entry(key).or_default().push(outcome)
+                    self.outcomes[r].entry(key).or_default().push(outcome)
                 }
                 Output::RecordChanged(_) | Output::Recovered => {}
             }
@@ -274,13 +274,13 @@
     /// Delivers the messages in transit that match, and the messages sent in response if they match.
     pub fn deliver(&mut self, selects: impl Fn(MemberIndex, MemberIndex, &Message) -> bool) {
         while let Some(n) = self
-            .net
+            .in_transit
             .iter()
             .position(|(f, t, _, _, m)| selects(*f, *t, m))
         {
-            let (from, to, nonce, sent, message) = self.net.remove(n);
+            let (from, to, nonce, sent, message) = self.in_transit.remove(n);
             let transit = self.now - sent;
-            self.feed(
+            self.handle(
                 to as usize,
                 Input::MessageReceived {
                     from,
@@ -293,31 +293,36 @@
     }
 
     /// Advances the time in steps of 10 ms and delivers all messages.
-    pub fn pass(&mut self, time: i64) {
-        self.pass_delivering(time, |_, _, _| true);
+    pub fn advance(&mut self, time: i64) {
+        self.advance_delivering(time, |_, _, _| true);
     }
 
     /// Advances the time in steps of 10 ms and delivers the messages that match; all others are lost.
-    pub fn pass_delivering(
+    pub fn advance_delivering(
         &mut self,
         time: i64,
         selects: impl Fn(MemberIndex, MemberIndex, &Message) -> bool,
     ) {
         let until = self.now + time;
         while self.now < until {
-            self.now = (self.now + 10 * MS).min(until);
-            (0..self.replicas.len()).for_each(|r| self.feed(r, Input::Tick));
+            self.now = (self.now + 10 * MILLISECOND).min(until);
+            (0..self.replicas.len()).for_each(|r| self.handle(r, Input::Tick));
             self.deliver(&selects);
             // Messages that were not delivered are lost.
-            self.net.clear();
+            self.in_transit.clear();
         }
     }
 
     /// Announces an invocation to a replica; returns its latest decision on the invocation.
-    pub fn take(&mut self, r: usize, key: &str, redelivered: bool) -> Option<OwnershipDecision> {
-        self.feed(
+    pub fn announce(
+        &mut self,
+        r: usize,
+        key: &str,
+        redelivered: bool,
+    ) -> Option<OwnershipDecision> {
+        self.handle(
             r,
-            Input::Take {
+            Input::Announce {
                 key: key.into(),
                 durability: Durability::Majority,
                 redelivered,
@@ -335,7 +340,7 @@
     pub fn request_dispatch(&mut self, r: usize, key: &str) -> u64 {
         self.last_id += 1;
         let dispatch = self.last_id;
-        self.feed(
+        self.handle(
             r,
             Input::RequestDispatch {
                 key: key.into(),
@@ -356,7 +361,7 @@
 
     /// Reports the end of a dispatch.
     pub fn dispatch_ended(&mut self, r: usize, key: &str, dispatch: u64, may_have_run: bool) {
-        self.feed(
+        self.handle(
             r,
             Input::DispatchEnded {
                 key: key.into(),
@@ -368,7 +373,7 @@
 
     /// Reports the answer to an invocation.
     pub fn answered(&mut self, r: usize, key: &str, answer: &'static str) {
-        self.feed(
+        self.handle(
             r,
             Input::Answered {
                 key: key.into(),
--- a/crates/replica/tests/explorer.rs
+++ b/crates/replica/tests/explorer.rs
@@ -137,7 +137,7 @@
     nonces: [u64; MEMBERS],
     /// For each member, the nonce that it knows of each other member and whether it considers that member alive.
     views: [[(u64, bool); MEMBERS]; MEMBERS],
-    net: Vec<MessageInTransit>,
+    in_transit: Vec<MessageInTransit>,
     /// If the broker can deliver the message, whether it was delivered before.
     deliverable: Option<bool>,
     /// The final answer, if given: whether it was a success.
@@ -190,7 +190,7 @@
             routers: Default::default(),
             nonces: [1, 2, 3],
             views: [[(0, false); MEMBERS]; MEMBERS],
-            net: Vec::new(),
+            in_transit: Vec::new(),
             deliverable: Some(false),
             answered: None,
             executions: 0,
@@ -217,7 +217,7 @@
             w.update_replica_hashes(r);
         }
         // Comparisons at the start are not explored.
-        w.net.clear();
+        w.in_transit.clear();
         w
     }
 
@@ -239,8 +239,8 @@
     /// Hash of the whole state, by which states that were already explored are recognized.
     fn state_hash(&self) -> u128 {
         let half = |n: usize| {
-            let net = self
-                .net
+            let in_transit = self
+                .in_transit
                 .iter()
                 .fold(0u64, |sum, sent| sum.wrapping_add(sent.hash[n]));
             let rest = (
@@ -257,7 +257,7 @@
                 self.replica_hashes.map(|m| m[n]),
                 &self.stores,
                 &self.routers,
-                net,
+                in_transit,
                 rest,
             ))
         };
@@ -284,7 +284,7 @@
                 .any(|(r, s, o)| may_run(o) && excluded != (r, s))
     }
 
-    fn feed(&mut self, r: usize, now: i64, input: Input) -> Result<(), String> {
+    fn handle(&mut self, r: usize, now: i64, input: Input) -> Result<(), String> {
         let Some(replica) = self.replicas[r].as_mut() else {
             return Ok(());
         };
@@ -300,8 +300,8 @@
                         continue;
                     }
                     // A second equal message is modelled by the step that duplicates messages.
-                    if self.net.iter().all(|s| s.hash != sent.hash) {
-                        self.net.push(sent);
+                    if self.in_transit.iter().all(|s| s.hash != sent.hash) {
+                        self.in_transit.push(sent);
                     }
                 }
                 Output::Decision { decision, .. } => self.on_decision(r, decision)?,
@@ -333,7 +333,7 @@
                     if reason != NoMajorityReason::OwnedElsewhere {
                         self.answer(r, false)?;
                     } else if !self.routers[r].has_delivery {
-                        self.feed(r, now, Input::Dropped { key: KEY.into() })?;
+                        self.handle(r, now, Input::Abandoned { key: KEY.into() })?;
                     }
                 }
                 Output::ProposalEnded { .. } | Output::RecordChanged(_) | Output::Recovered => {}
@@ -341,8 +341,8 @@
         }
         // Votes that the replica no longer awaits have no effect, and are removed to reduce the number of states.
         if let Some(it) = self.replicas[r].clone() {
-            self.net
-                .retain(|s| s.to as usize != r || it.awaits_vote(&s.message));
+            self.in_transit
+                .retain(|s| s.to as usize != r || it.is_message_relevant(&s.message));
         }
         Ok(())
     }
@@ -382,12 +382,12 @@
         }
         (self.routers[r].has_delivery, self.routers[r].may_dispatch) = (false, false);
         let end = if success {
-            Input::Closed { key: KEY.into() }
+            Input::DeliveryFinal { key: KEY.into() }
         } else {
-            Input::Dropped { key: KEY.into() }
+            Input::Abandoned { key: KEY.into() }
         };
         if self.routers[r].dispatches.is_empty() {
-            self.feed(r, NOW, end)
+            self.handle(r, NOW, end)
         } else {
             Ok(())
         }
@@ -450,7 +450,7 @@
                     w.routers[r]
                         .dispatches
                         .insert(dispatch, DispatchState::Requested);
-                    w.feed(
+                    w.handle(
                         r,
                         NOW,
                         Input::RequestDispatch {
@@ -527,7 +527,7 @@
                     if out {
                         Ok(())
                     } else {
-                        w.feed(r, NOW, Input::Dropped { key: KEY.into() })
+                        w.handle(r, NOW, Input::Abandoned { key: KEY.into() })
                     }
                 });
             }
@@ -541,7 +541,7 @@
             if self.remaining_faults.timeouts > 0 {
                 step(("reaches its timeouts", r, r, 0), &|w| {
                     w.remaining_faults.timeouts -= 1;
-                    w.feed(r, AFTER_TIMEOUTS, Input::Tick)
+                    w.handle(r, AFTER_TIMEOUTS, Input::Tick)
                 });
             }
             for m in (0..MEMBERS).filter(|m| *m != r) {
@@ -654,18 +654,18 @@
                 }
             }
         }
-        for n in 0..self.net.len() {
+        for n in 0..self.in_transit.len() {
             let MessageInTransit {
                 from,
                 to,
                 nonce,
                 ref message,
                 ..
-            } = self.net[n];
+            } = self.in_transit[n];
             if is_running(to as usize) {
                 let deliver_message = |w: &mut GroupState| {
                     let (from, message) = (MemberIndex::from(from), Message::clone(message));
-                    w.feed(
+                    w.handle(
                         to as usize,
                         NOW,
                         Input::MessageReceived {
@@ -677,7 +677,7 @@
                     )
                 };
                 step((label_of(message), to as usize, from as usize, 0), &|w| {
-                    w.net.swap_remove(n);
+                    w.in_transit.swap_remove(n);
                     deliver_message(w)
                 });
                 if self.remaining_faults.duplicates > 0 {
@@ -693,10 +693,10 @@
     /// The broker delivers the message to a router.
     fn deliver(&mut self, r: usize, redelivered: bool) -> Result<(), String> {
         self.routers[r].has_delivery = true;
-        self.feed(
+        self.handle(
             r,
             NOW,
-            Input::Take {
+            Input::Announce {
                 key: KEY.into(),
                 durability: Durability::Majority,
                 redelivered,
@@ -713,7 +713,7 @@
         answer_received: bool,
     ) -> Result<(), String> {
         self.routers[r].dispatches.remove(&dispatch);
-        self.feed(
+        self.handle(
             r,
             NOW,
             Input::DispatchEnded {
@@ -723,7 +723,7 @@
             },
         )?;
         if answer_received {
-            self.feed(
+            self.handle(
                 r,
                 NOW,
                 Input::Answered {
@@ -735,7 +735,7 @@
         match self.routers[r].has_delivery {
             true if answer_received || may_have_run => self.answer(r, answer_received),
             true => Ok(()),
-            false => self.feed(r, NOW, Input::Dropped { key: KEY.into() }),
+            false => self.handle(r, NOW, Input::Abandoned { key: KEY.into() }),
         }
     }
 
@@ -754,7 +754,7 @@
             return Ok(());
         };
         let (from, nonce) = (m as MemberIndex, self.nonces[m]);
-        self.feed(
+        self.handle(
             r,
             NOW,
             Input::MessageReceived {
@@ -769,7 +769,7 @@
     /// Puts the last update of a crashing process in transit, as it may arrive after the crash.
     fn send_last_update(&mut self, r: usize, to: usize) {
         if let Some(message) = self.update_from(r) {
-            self.net.push(MessageInTransit::new(
+            self.in_transit.push(MessageInTransit::new(
                 r,
                 to as MemberIndex,
                 self.nonces[r],
@@ -781,7 +781,7 @@
     /// Sets what member `r` knows of member `m`: its nonce, and whether it is alive.
     fn view(&mut self, r: usize, m: usize, view: (u64, bool)) -> Result<(), String> {
         self.views[r][m] = view;
-        self.feed(
+        self.handle(
             r,
             NOW,
             Input::MemberChanged {
--- a/crates/replica/tests/message_bytes.rs
+++ b/crates/replica/tests/message_bytes.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use cedarpulley_replica::record::Choice;
 use cedarpulley_replica::store::{Origin, Store, leaf};
-use cedarpulley_replica::votes::Views;
+use cedarpulley_replica::votes::KnownProcesses;
 use cedarpulley_replica::wire::RejectionReason;
 use cedarpulley_replica::{
     Ballot, DispatchIntent, IntentState, Invocation, Key, Message, Note, Record, RecordCopy,
@@ -106,8 +106,8 @@
     })
 }
 
-fn views() -> Views {
-    Views(vec![11, 4_000_000_000, 33])
+fn views() -> KnownProcesses {
+    KnownProcesses(vec![11, 4_000_000_000, 33])
 }
 
 fn rejected(reason: RejectionReason, dispatch: Option<u64>, record: Option<RecordCopy>) -> Message {
--- a/crates/replica/tests/persistence.rs
+++ b/crates/replica/tests/persistence.rs
@@ -7,14 +7,14 @@
 
 use bytes::Bytes;
 use cedarpulley_replica::{Ballot, Input, Key, Message, Outcome, RecoveryState, SafetyCheck};
-use common::{MS, RETENTION, World};
+use common::{MILLISECOND, RETENTION, ReplicaGroup};
 
 /// Retention time of choices in microseconds; longer than any run.
 const LONG_RETENTION: i64 = 1_000 * RETENTION;
 
-fn choose(w: &mut World, r: usize, key: &str, value: u64) {
+fn choose(w: &mut ReplicaGroup, r: usize, key: &str, value: u64) {
     let value = Bytes::from(format!("{value:08}"));
-    w.feed(
+    w.handle(
         r,
         Input::Choose {
             key: key.into(),
@@ -24,22 +24,22 @@
     );
 }
 
-fn chosen(w: &World, r: usize, key: &str) -> Option<Bytes> {
-    w.decided[r].get(key)?.iter().rev().find_map(|o| match o {
+fn chosen(w: &ReplicaGroup, r: usize, key: &str) -> Option<Bytes> {
+    w.outcomes[r].get(key)?.iter().rev().find_map(|o| match o {
         Outcome::Chosen(value) => Some(value.clone()),
         _ => None,
     })
 }
 
 /// Writes all changed records of a member to its disk.
-fn write_all(w: &mut World, r: usize) {
+fn write_all(w: &mut ReplicaGroup, r: usize) {
     w.start_batch(r);
     w.commit_batch(r);
 }
 
 #[test]
 fn votes_of_others_and_of_the_proposer_wait_for_the_disk() {
-    let mut w = World::persistent(3, None);
+    let mut w = ReplicaGroup::persistent(3, None);
     choose(&mut w, 0, "s", 1);
     w.deliver(|_, _, _| true);
     assert!((0..3).all(|r| w.replica(r).awaits_batch()) && w.replica(1).counts.votes_deferred == 1);
@@ -57,7 +57,7 @@
     write_all(&mut w, 0);
     assert_eq!(chosen(&w, 0, "s"), Some(Bytes::from("00000001")));
     // A vote whose state is already on disk is sent at once.
-    w.net.clear();
+    w.in_transit.clear();
     choose(&mut w, 2, "s", 2);
     for _ in 0..4 {
         (0..3).for_each(|r| write_all(&mut w, r));
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_hanging_disk_defers_a_bounded_number_of_votes_and_no_invocations() {
-    let mut w = World::persistent(3, None);
+    let mut w = ReplicaGroup::persistent(3, None);
     (0..5_000).for_each(|n| choose(&mut w, 0, &format!("s{n}"), 1));
     w.deliver(|_, to, _| to == 1);
     let counts = w.replica(1).counts;
@@ -82,7 +82,7 @@
         ballot: ballot(&w, "s4999"),
         lifetime: LONG_RETENTION,
     };
-    w.feed(
+    w.handle(
         1,
         Input::MessageReceived {
             from: 0,
@@ -92,13 +92,13 @@
         },
     );
     assert_eq!(w.replica(1).counts.votes_deferred, 5_000);
-    w.take(0, "x", false);
+    w.announce(0, "x", false);
     let dispatch = w.request_dispatch(0, "x");
     w.deliver(|_, to, _| to != 2);
     assert!(w.is_permitted(0, dispatch));
-    w.pass_delivering(1_000 * MS, |_, _, _| false);
+    w.advance_delivering(1_000 * MILLISECOND, |_, _, _| false);
     assert!(matches!(
-        w.decided[0]["s4999"][..],
+        w.outcomes[0]["s4999"][..],
         [Outcome::NoMajority(_)]
     ));
     // The disk works again: a proposal whose votes were not dropped is repeated and decided.
@@ -110,7 +110,7 @@
     assert!(chosen(&w, 0, "s4999").is_some());
 }
 
-fn ballot(w: &World, key: &str) -> Ballot {
+fn ballot(w: &ReplicaGroup, key: &str) -> Ballot {
     match w.replica(0).record(key) {
         Some(cedarpulley_replica::Record::Choice(c)) => c.promised,
         _ => panic!("no ballot is promised"),
@@ -119,18 +119,18 @@
 
 #[test]
 fn a_late_acceptance_is_not_counted_for_the_next_value() {
-    let mut w = World::new(3, None);
-    w.feed(
+    let mut w = ReplicaGroup::new(3, None);
+    w.handle(
         0,
-        Input::Lead {
+        Input::RequestLeadership {
             key: "plan".into(),
             retention: LONG_RETENTION,
         },
     );
     w.deliver(|_, _, _| true);
     let ballot = ballot(&w, "plan");
-    let write = |w: &mut World, value| {
-        w.feed(
+    let write = |w: &mut ReplicaGroup, value| {
+        w.handle(
             0,
             Input::Write {
                 key: "plan".into(),
@@ -145,9 +145,9 @@
     write(&mut w, b"2");
     // No other member has accepted the second value.
     w.deliver(|from, to, m| (from, to) == (1, 0) && matches!(m, Message::Accepted { .. }));
-    assert!(!w.decided[0]["plan"].contains(&Outcome::Written { ballot }));
+    assert!(!w.outcomes[0]["plan"].contains(&Outcome::Written { ballot }));
     w.deliver(|_, _, _| true);
-    assert!(w.decided[0]["plan"].contains(&Outcome::Written { ballot }));
+    assert!(w.outcomes[0]["plan"].contains(&Outcome::Written { ballot }));
 }
 
 /// The outcomes so far, checked for consistency.
@@ -164,9 +164,9 @@
 
 impl Outcomes {
     /// Takes the outcomes from all members; an error describes a contradiction.
-    fn record_outcomes(&mut self, w: &mut World) -> Result<(), String> {
+    fn record_outcomes(&mut self, w: &mut ReplicaGroup) -> Result<(), String> {
         for r in 0..w.replicas.len() {
-            for (key, outcome) in std::mem::take(&mut w.decided[r])
+            for (key, outcome) in std::mem::take(&mut w.outcomes[r])
                 .into_iter()
                 .flat_map(|(k, o)| o.into_iter().map(move |o| (k.clone(), o)))
             {
@@ -217,7 +217,7 @@
         (random >> 33) as usize % bound
     };
     let n = 3 + draw(3);
-    let mut w = World::persistent(n, disabled_check);
+    let mut w = ReplicaGroup::persistent(n, disabled_check);
     let (chosen, written, requested) = Default::default();
     let mut outcomes = Outcomes {
         chosen,
@@ -233,9 +233,9 @@
                 values += 1;
                 choose(&mut w, r, &format!("s{}", draw(4)), values);
             }
-            3 => w.feed(
+            3 => w.handle(
                 r,
-                Input::Lead {
+                Input::RequestLeadership {
                     key: "plan".into(),
                     retention: LONG_RETENTION,
                 },
@@ -245,7 +245,7 @@
                     values += 1;
                     let value = Bytes::from(format!("{values:08}"));
                     outcomes.requested.insert(ballot, value.clone());
-                    w.feed(
+                    w.handle(
                         r,
                         Input::Write {
                             key: "plan".into(),
@@ -263,10 +263,11 @@
                 .filter(|_| draw(2) > 0)
                 .for_each(|r| w.commit_batch(r)),
             12..17 => {
-                for _ in 0..w.net.len() {
-                    let (from, to, nonce, _, message) = w.net.swap_remove(draw(w.net.len()));
+                for _ in 0..w.in_transit.len() {
+                    let (from, to, nonce, _, message) =
+                        w.in_transit.swap_remove(draw(w.in_transit.len()));
                     if draw(10) > 0 {
-                        w.feed(
+                        w.handle(
                             to as usize,
                             Input::MessageReceived {
                                 from,
@@ -279,21 +280,21 @@
                 }
             }
             17 | 18 => {
-                w.now += 50 * MS;
-                (0..n).for_each(|r| w.feed(r, Input::Tick));
+                w.now += 50 * MILLISECOND;
+                (0..n).for_each(|r| w.handle(r, Input::Tick));
             }
             _ if draw(4) > 0 => {}
             // Power cut of all members at once: no member receives a message of a process from before the cut.
             _ => {
-                w.net.clear();
+                w.in_transit.clear();
                 w.replicas.iter_mut().for_each(|replica| *replica = None);
                 (0..n).for_each(|r| w.restart_from_disk(r));
                 outcomes.leads = vec![None; n];
-                let all = |w: &World| {
+                let all = |w: &ReplicaGroup| {
                     (0..n).all(|r| w.replica(r).recovery_state() == RecoveryState::Complete)
                 };
                 for _ in 0..200 {
-                    w.pass(10 * MS);
+                    w.advance(10 * MILLISECOND);
                     if all(&w) {
                         break;
                     }
--- a/crates/replica/tests/random_faults.rs
+++ b/crates/replica/tests/random_faults.rs
@@ -18,7 +18,7 @@
     Ballot, Durability, Input, Key, NoMajorityReason, Outcome, OwnershipDecision, Record,
     RecordCopy, Replica, SafetyCheck,
 };
-use common::{MS, RETENTION, World, group, settings};
+use common::{MILLISECOND, RETENTION, ReplicaGroup, group, settings};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
@@ -33,7 +33,7 @@
 /// Highest drift of a clock in thousandths, in either direction. Two clocks may diverge by at most one sixteenth.
 const MAX_DRIFT_PER_MILLE: i64 = 30;
 /// Timeout for majorities in microseconds.
-const MAJORITY_TIMEOUT: i64 = 800 * MS;
+const MAJORITY_TIMEOUT: i64 = 800 * MILLISECOND;
 
 /// The records with which a process restarts.
 #[derive(Clone, Copy, Debug)]
@@ -109,7 +109,7 @@
         30 => deliver_in_transit
             .prop_map(|(seed, lost, duplicated, held)| Step::DeliverInTransit { seed, lost, duplicated, held }),
         12 => any::<u64>().prop_map(|seed| Step::DeliverInTransit { seed, lost: 0, duplicated: 0, held: 0 }),
-        8 => (1i64..250).prop_map(|ms| Step::Pass(ms * MS)),
+        8 => (1i64..250).prop_map(|ms| Step::Pass(ms * MILLISECOND)),
         2 => (RETENTION / 8..RETENTION).prop_map(Step::Pass),
         24 => (r.clone(), key.clone()).prop_map(|(r, key)| Step::Deliver { r, key }),
         2 => (r.clone(), r.clone(), key.clone()).prop_map(|(r, other, key)| Step::DeliverToTwo { r, other, key }),
@@ -187,7 +187,7 @@
 
 /// One run: the replicas with models of the broker, the routers and the workers.
 struct Run {
-    w: World,
+    w: ReplicaGroup,
     /// Number of members.
     n: usize,
     /// Drift of each member's clock in thousandths.
@@ -245,7 +245,7 @@
 
 impl Run {
     fn new(n: usize) -> Run {
-        let w = World::with_majority_timeout(n, DISABLED_CHECK.get(), MAJORITY_TIMEOUT);
+        let w = ReplicaGroup::with_majority_timeout(n, DISABLED_CHECK.get(), MAJORITY_TIMEOUT);
         let drift = (0..n as i64)
             .map(|r| (r * 17 % (2 * MAX_DRIFT_PER_MILLE + 1)) - MAX_DRIFT_PER_MILLE)
             .collect();
@@ -285,11 +285,11 @@
     }
 
     /// Passes an input to a running replica and handles its outputs.
-    fn feed(&mut self, r: usize, input: Input) {
+    fn handle(&mut self, r: usize, input: Input) {
         if !self.is_running(r) {
             return;
         }
-        self.w.feed(r, input);
+        self.w.handle(r, input);
         for (name, decisions) in std::mem::take(&mut self.w.decisions[r]) {
             let Some(k) = (0..KEYS).find(|k| *key(*k) == *name) else {
                 continue;
@@ -301,7 +301,7 @@
         for (dispatch, permission) in std::mem::take(&mut self.w.permissions[r]) {
             self.on_permission(r, dispatch, permission);
         }
-        for (name, outcomes) in std::mem::take(&mut self.w.decided[r]) {
+        for (name, outcomes) in std::mem::take(&mut self.w.outcomes[r]) {
             outcomes
                 .into_iter()
                 .for_each(|o| self.on_outcome(r, &name, o));
@@ -363,7 +363,7 @@
                 if reason != NoMajorityReason::OwnedElsewhere {
                     self.answer(r, k, None);
                 } else if !self.deliveries[r].contains_key(&k) {
-                    self.feed(r, Input::Dropped { key: key(k) });
+                    self.handle(r, Input::Abandoned { key: key(k) });
                 }
             }
         }
@@ -392,10 +392,10 @@
             return;
         }
         let end = match success {
-            Some(_) if !delivery.taken_back => Input::Closed { key: key(k) },
-            _ => Input::Dropped { key: key(k) },
+            Some(_) if !delivery.taken_back => Input::DeliveryFinal { key: key(k) },
+            _ => Input::Abandoned { key: key(k) },
         };
-        self.feed(r, end);
+        self.handle(r, end);
     }
 
     fn on_outcome(&mut self, r: usize, name: &Key, outcome: Outcome) {
@@ -442,9 +442,9 @@
     /// The broker delivers a message to a router, which announces the invocation.
     fn take(&mut self, r: usize, k: usize, redelivered: bool) {
         self.deliveries[r].insert(k, Delivery::default());
-        self.feed(
+        self.handle(
             r,
-            Input::Take {
+            Input::Announce {
                 key: key(k),
                 durability: Durability::Majority,
                 redelivered,
@@ -464,7 +464,7 @@
         let d = self.dispatches.remove(at);
         let ran = d.state == State::Sent { ran: true };
         let may_have_run = d.state != State::Buffered && (ran || !answer_received);
-        self.feed(
+        self.handle(
             d.r,
             Input::DispatchEnded {
                 key: key(d.key),
@@ -474,7 +474,7 @@
         );
         let answer = Bytes::from(d.dispatch.to_string());
         if ran && answer_received {
-            self.feed(
+            self.handle(
                 d.r,
                 Input::Answered {
                     key: key(d.key),
@@ -486,7 +486,7 @@
             true if ran && answer_received => self.answer(d.r, d.key, Some(answer)),
             true if may_have_run => self.answer(d.r, d.key, None),
             true => {}
-            false => self.feed(d.r, Input::Dropped { key: key(d.key) }),
+            false => self.handle(d.r, Input::Abandoned { key: key(d.key) }),
         }
     }
 
@@ -494,7 +494,7 @@
     fn report_member(&mut self, r: usize, m: usize, nonce: u64, alive: bool) {
         if r != m && nonce >= self.known_nonces[r][m] && self.is_running(r) {
             self.known_nonces[r][m] = nonce;
-            self.feed(
+            self.handle(
                 r,
                 Input::MemberChanged {
                     member: m as MemberIndex,
@@ -514,13 +514,13 @@
                 .wrapping_add(1_442_695_040_888_963_407);
             random >> 33
         };
-        let mut in_transit = std::mem::take(&mut self.w.net);
+        let mut in_transit = std::mem::take(&mut self.w.in_transit);
         while !in_transit.is_empty() {
             let sent = in_transit.swap_remove(draw() as usize % in_transit.len());
             let to = sent.1 as usize;
             let percentile = (draw() % 100) as u8;
             if self.suspended[to] || percentile < held {
-                self.w.net.push(sent);
+                self.w.in_transit.push(sent);
                 continue;
             }
             if (draw() % 100) as u8 >= lost {
@@ -530,7 +530,7 @@
                     self.report_member(to, from as usize, nonce, true);
                 }
                 let transit = self.w.local_time(to) - self.w.local_time_at(to, at);
-                self.feed(
+                self.handle(
                     to,
                     Input::MessageReceived {
                         from,
@@ -541,15 +541,15 @@
                 );
             }
             if ((draw() % 100) as u8) < duplicated {
-                self.w.net.push(sent);
+                self.w.in_transit.push(sent);
             }
         }
     }
 
     /// Advances the time by microseconds.
-    fn pass(&mut self, time: i64) {
+    fn advance(&mut self, time: i64) {
         self.w.now += time;
-        (0..self.n).for_each(|r| self.feed(r, Input::Tick));
+        (0..self.n).for_each(|r| self.handle(r, Input::Tick));
     }
 
     /// Restarts a crashed process. Its records age by the time since they were written.
@@ -594,7 +594,7 @@
         (
             self.w.decisions[r],
             self.w.permissions[r],
-            self.w.decided[r],
+            self.w.outcomes[r],
         ) = Default::default();
     }
 
@@ -612,7 +612,7 @@
                 duplicated,
                 held,
             } => self.deliver_in_transit(seed, [lost, duplicated, held]),
-            Step::Pass(time) => self.pass(time),
+            Step::Pass(time) => self.advance(time),
             Step::Deliver { r, key } => {
                 let r = member_index(r);
                 if let Some(redelivered) = self.deliverable[key]
@@ -657,7 +657,7 @@
                         dispatch,
                         state: State::Requested,
                     });
-                    self.feed(
+                    self.handle(
                         r,
                         Input::RequestDispatch {
                             key: key(k),
@@ -707,7 +707,7 @@
                     self.dispatches
                         .retain(|d| (d.r, d.key, d.state) != (r, k, State::Requested));
                     if !self.has_dispatch(r, k) {
-                        self.feed(r, Input::Dropped { key: key(k) });
+                        self.handle(r, Input::Abandoned { key: key(k) });
                     }
                 }
             }
@@ -733,7 +733,7 @@
             Step::Resume(r) => {
                 let r = member_index(r);
                 self.suspended[r] = false;
-                self.feed(r, Input::Tick);
+                self.handle(r, Input::Tick);
             }
             Step::ReportAlive { r, m } => {
                 let (r, m) = (member_index(r), member_index(m));
@@ -751,7 +751,7 @@
                     format!("c{key}").into(),
                     Bytes::from(self.values.to_string()),
                 );
-                self.feed(
+                self.handle(
                     member_index(r),
                     Input::Choose {
                         key,
@@ -760,9 +760,9 @@
                     },
                 );
             }
-            Step::Lead(r) => self.feed(
+            Step::Lead(r) => self.handle(
                 member_index(r),
-                Input::Lead {
+                Input::RequestLeadership {
                     key: "plan".into(),
                     retention: LONG_RETENTION,
                 },
@@ -773,7 +773,7 @@
                     self.values += 1;
                     let value = Bytes::from(format!("{:08}", self.values));
                     self.term_of_value.insert(value.clone(), ballot);
-                    self.feed(
+                    self.handle(
                         r,
                         Input::Write {
                             key: "plan".into(),
@@ -788,7 +788,7 @@
                 self.values += 1;
                 let (key, version) = (format!("n{key}").into(), (1, self.values));
                 let value = Bytes::from(self.values.to_string());
-                self.feed(
+                self.handle(
                     member_index(r),
                     Input::PublishNote {
                         key,
@@ -859,7 +859,7 @@
                 let (r, m) = (at / self.n, at % self.n);
                 self.report_member(r, m, self.w.nonces[m], true);
             }
-            self.pass(20 * MS);
+            self.advance(20 * MILLISECOND);
             (0..4).for_each(|seed| self.deliver_in_transit(seed, [0; 3]));
             if all_records_agree(self) {
                 return;
--- a/crates/replica/tests/recovery.rs
+++ b/crates/replica/tests/recovery.rs
@@ -9,16 +9,16 @@
     IndeterminateReason, Input, Message, OwnershipDecision, RecoveryState, Replica,
     ReplicaSettings, SafetyCheck,
 };
-use common::{MS, RETENTION, World, group, settings};
+use common::{MILLISECOND, RETENTION, ReplicaGroup, group, settings};
 
 /// Dispatch is allowed, and no earlier dispatch is known.
 const FIRST_DISPATCH: OwnershipDecision = OwnershipDecision::Dispatch {
     first_dispatch_ago: None,
 };
 
-fn note(w: &mut World, r: usize, n: u64) {
+fn note(w: &mut ReplicaGroup, r: usize, n: u64) {
     let (key, value) = (format!("n{n}").into(), Bytes::from(n.to_string()));
-    w.feed(
+    w.handle(
         r,
         Input::PublishNote {
             key,
@@ -31,7 +31,7 @@
 
 /// Delivers the first matching message with the given transit time in microseconds; all others remain in transit.
 fn deliver_late(
-    w: &mut World,
+    w: &mut ReplicaGroup,
     to: usize,
     transit: i64,
     selects: impl Fn(MemberIndex, &Message) -> bool,
@@ -39,11 +39,11 @@
     let fitting = |sent: &(MemberIndex, MemberIndex, u64, i64, Message)| {
         sent.1 == to as u16 && selects(sent.0, &sent.4)
     };
-    let Some(n) = w.net.iter().position(fitting) else {
+    let Some(n) = w.in_transit.iter().position(fitting) else {
         panic!("no matching message is in transit")
     };
-    let (from, _, nonce, _, message) = w.net.remove(n);
-    w.feed(
+    let (from, _, nonce, _, message) = w.in_transit.remove(n);
+    w.handle(
         to,
         Input::MessageReceived {
             from,
@@ -56,19 +56,19 @@
 
 #[test]
 fn a_duplicated_batch_does_not_replace_the_next_one() {
-    let mut w = World::new(3, None);
+    let mut w = ReplicaGroup::new(3, None);
     (0..3_000).for_each(|n| note(&mut w, 0, n));
-    w.net.clear();
+    w.in_transit.clear();
     w.crash(2);
     w.start(2, None);
     // The second batch is lost and the first one arrives twice. Only one of the other two members has any of the
     // records.
     let (mut first, mut lost) = (None, false);
     while w.replica(2).recovery_state() != RecoveryState::Complete && w.now < 4 * RETENTION {
-        w.now += 10 * MS;
-        (0..3).for_each(|r| w.feed(r, Input::Tick));
-        while !w.net.is_empty() {
-            let (from, to, nonce, _, mut message) = w.net.remove(0);
+        w.now += 10 * MILLISECOND;
+        (0..3).for_each(|r| w.handle(r, Input::Tick));
+        while !w.in_transit.is_empty() {
+            let (from, to, nonce, _, mut message) = w.in_transit.remove(0);
             if from != 2 && to != 2 || matches!(message, Message::Update { .. }) {
                 continue;
             }
@@ -79,7 +79,7 @@
                     Some(_) => {}
                 }
             }
-            w.feed(
+            w.handle(
                 to as usize,
                 Input::MessageReceived {
                     from,
@@ -102,21 +102,21 @@
 
 #[test]
 fn a_member_whose_store_was_full_does_not_complete_recovery() {
-    let mut w = World::new(3, None);
+    let mut w = ReplicaGroup::new(3, None);
     for key in ["a", "b", "c"] {
-        w.take(0, key, false);
+        w.announce(0, key, false);
     }
-    w.pass(20 * MS);
+    w.advance(20 * MILLISECOND);
     w.crash(2);
     let small_store = ReplicaSettings {
         max_records: 2,
-        ..settings(None, 800 * MS)
+        ..settings(None, 800 * MILLISECOND)
     };
     w.replicas[2] = Some(Replica::new(w.now, group(3, 2), small_store, 99, None));
     w.nonces[2] = 99;
-    (0..3).for_each(|m| w.sees(2, m, true));
-    (0..2).for_each(|r| w.sees(r, 2, true));
-    w.pass(1_000 * MS);
+    (0..3).for_each(|m| w.report_member(2, m, true));
+    (0..2).for_each(|r| w.report_member(r, 2, true));
+    w.advance(1_000 * MILLISECOND);
     assert_eq!(
         (
             w.replica(2).recovery_state(),
@@ -124,44 +124,44 @@
         ),
         (RecoveryState::Empty, 2)
     );
-    w.pass(2 * RETENTION);
+    w.advance(2 * RETENTION);
     assert_eq!(w.replica(2).recovery_state(), RecoveryState::Complete);
 }
 
 /// Members 0 and 1 store an intent, while member 2 knows only that the invocation was accepted. Then member 0 crashes.
 /// Returns whether the dispatch was permitted.
-fn dispatch_at_two_members(w: &mut World, transit: i64) -> bool {
+fn dispatch_at_two_members(w: &mut ReplicaGroup, transit: i64) -> bool {
     let dispatch = w.request_dispatch(0, "x");
-    w.net.retain(|(_, to, ..)| *to == 1);
+    w.in_transit.retain(|(_, to, ..)| *to == 1);
     deliver_late(w, 1, transit, |_, m| {
         matches!(m, Message::StoreIntent { .. })
     });
     w.deliver(|from, to, _| from == 1 && to == 0);
     let permitted = w.is_permitted(0, dispatch);
     w.crash(0);
-    w.net.clear();
+    w.in_transit.clear();
     permitted
 }
 
 /// The invocation is redelivered to member 2, which received no messages for the time `after`. Returns its decision.
-fn redeliver_to_third(w: &mut World, after: i64) -> Option<OwnershipDecision> {
-    w.pass_delivering(after, |_, _, _| false);
-    w.sees(2, 0, false);
-    w.take(2, "x", true);
+fn redeliver_to_third(w: &mut ReplicaGroup, after: i64) -> Option<OwnershipDecision> {
+    w.advance_delivering(after, |_, _, _| false);
+    w.report_member(2, 0, false);
+    w.announce(2, "x", true);
     w.deliver(|from, to, _| (from, to) != (0, 0));
-    w.pass(300 * MS);
+    w.advance(300 * MILLISECOND);
     w.last_decision(2, "x")
 }
 
 #[test]
 fn a_promise_whose_record_has_expired_is_requested_again() {
-    let mut w = World::new(3, None);
-    w.take(0, "x", false);
-    w.pass(10 * MS);
+    let mut w = ReplicaGroup::new(3, None);
+    w.announce(0, "x", false);
+    w.advance(10 * MILLISECOND);
     // A later record of the same process was in transit for so long that it expires before the first record.
-    w.take(0, "y", false);
-    w.now += 2 * MS;
-    w.feed(0, Input::Tick);
+    w.announce(0, "y", false);
+    w.now += 2 * MILLISECOND;
+    w.handle(0, Input::Tick);
     deliver_late(&mut w, 2, RETENTION * 2 / 3, |_, m| {
         matches!(m, Message::Update { .. })
     });
@@ -178,15 +178,15 @@
 #[test]
 fn an_intent_that_arrives_too_late_gets_no_vote() {
     let play = |disabled_check| {
-        let mut w = World::new(3, disabled_check);
-        w.take(0, "x", false);
-        w.pass_delivering(10 * MS, |_, to, _| to == 2);
+        let mut w = ReplicaGroup::new(3, disabled_check);
+        w.announce(0, "x", false);
+        w.advance_delivering(10 * MILLISECOND, |_, to, _| to == 2);
         let permitted = dispatch_at_two_members(&mut w, RETENTION * 2 / 3);
         (permitted, redeliver_to_third(&mut w, RETENTION / 2))
     };
     assert!(!play(None).0);
     assert_eq!(
-        play(Some(SafetyCheck::NotTooLate)),
+        play(Some(SafetyCheck::RejectLateRequests)),
         (true, Some(FIRST_DISPATCH))
     );
 }
@@ -194,9 +194,9 @@
 #[test]
 fn near_its_expiry_a_record_neither_proves_nor_permits_anything() {
     let play = |disabled_check| {
-        let mut w = World::new(3, disabled_check);
-        w.take(0, "x", false);
-        w.pass_delivering(10 * MS, |_, to, _| to == 2);
+        let mut w = ReplicaGroup::new(3, disabled_check);
+        w.announce(0, "x", false);
+        w.advance_delivering(10 * MILLISECOND, |_, to, _| to == 2);
         assert!(dispatch_at_two_members(&mut w, RETENTION / 20));
         redeliver_to_third(&mut w, RETENTION - RETENTION / 40)
     };
@@ -206,10 +206,13 @@
             IndeterminateReason::Unknown
         ))
     );
-    assert_eq!(play(Some(SafetyCheck::NotTooLate)), Some(FIRST_DISPATCH));
-    let mut w = World::new(3, None);
-    w.take(0, "x", false);
-    w.pass_delivering(RETENTION - 100 * MS, |_, _, _| false);
+    assert_eq!(
+        play(Some(SafetyCheck::RejectLateRequests)),
+        Some(FIRST_DISPATCH)
+    );
+    let mut w = ReplicaGroup::new(3, None);
+    w.announce(0, "x", false);
+    w.advance_delivering(RETENTION - 100 * MILLISECOND, |_, _, _| false);
     let dispatch = w.request_dispatch(0, "x");
     w.deliver(|_, _, _| true);
     assert!(!w.is_permitted(0, dispatch));
@@ -217,17 +220,17 @@
 
 #[test]
 fn a_request_that_arrives_too_late_is_sent_again_at_once() {
-    let mut w = World::new(3, None);
-    w.take(0, "x", false);
+    let mut w = ReplicaGroup::new(3, None);
+    w.announce(0, "x", false);
     let dispatch = w.request_dispatch(0, "x");
     deliver_late(&mut w, 1, RETENTION / 2, |_, m| {
         matches!(m, Message::StoreIntent { .. })
     });
     w.deliver(|from, to, _| from + to == 1);
     assert!(w.is_permitted(0, dispatch));
-    w.feed(0, Input::Dropped { key: "x".into() });
-    w.pass(10 * MS);
-    w.take(2, "x", true);
+    w.handle(0, Input::Abandoned { key: "x".into() });
+    w.advance(10 * MILLISECOND);
+    w.announce(2, "x", true);
     deliver_late(&mut w, 1, RETENTION / 2, |_, m| {
         matches!(m, Message::Fence { .. })
     });
@@ -237,15 +240,15 @@
 
 #[test]
 fn a_long_lived_record_is_learned_after_a_later_invocation_has_expired() {
-    let mut w = World::new(3, None);
+    let mut w = ReplicaGroup::new(3, None);
     note(&mut w, 0, 1);
-    w.pass_delivering(10 * MS, |_, _, _| false);
-    w.take(0, "x", false);
-    w.pass_delivering(20 * MS, |_, _, m| {
+    w.advance_delivering(10 * MILLISECOND, |_, _, _| false);
+    w.announce(0, "x", false);
+    w.advance_delivering(20 * MILLISECOND, |_, _, m| {
         !matches!(m, Message::CompareDigests { .. })
     });
     assert!(w.replica(2).copy(w.now, "x").is_some() && w.replica(2).copy(w.now, "n1").is_none());
-    w.pass_delivering(2 * RETENTION, |_, _, _| false);
-    w.pass(5_000 * MS);
+    w.advance_delivering(2 * RETENTION, |_, _, _| false);
+    w.advance(5_000 * MILLISECOND);
     assert!((1..3).all(|r| w.replica(r).copy(w.now, "n1").is_some()));
 }
--- a/crates/replica/tests/scenarios.rs
+++ b/crates/replica/tests/scenarios.rs
@@ -8,7 +8,7 @@
     Durability, IndeterminateReason, Input, Message, NoMajorityReason, Outcome, OwnershipDecision,
     Record, RecoveryState, ReplicaSettings, SafetyCheck,
 };
-use common::{MS, RETENTION, World, group, settings};
+use common::{MILLISECOND, RETENTION, ReplicaGroup, group, settings};
 
 /// Dispatch is allowed, and no earlier dispatch is known.
 const FIRST_DISPATCH: OwnershipDecision = OwnershipDecision::Dispatch {
@@ -17,34 +17,34 @@
 
 #[test]
 fn a_dispatch_needs_a_majority_and_the_next_router_waits_for_it() {
-    let mut w = World::new(3, None);
-    assert_eq!(w.take(0, "x", false), Some(FIRST_DISPATCH));
+    let mut w = ReplicaGroup::new(3, None);
+    assert_eq!(w.announce(0, "x", false), Some(FIRST_DISPATCH));
     let dispatch = w.request_dispatch(0, "x");
     assert!(!w.is_permitted(0, dispatch));
     w.deliver(|_, to, _| to != 2);
     assert!(w.is_permitted(0, dispatch));
     // Router 0 loses its channel. The message is redelivered to router 2, which waits for the dispatch to end and then
     // returns the same answer.
-    assert_eq!(w.take(2, "x", true), None);
+    assert_eq!(w.announce(2, "x", true), None);
     w.deliver(|_, _, _| true);
     assert_eq!(w.last_decision(2, "x"), Some(OwnershipDecision::Wait));
     w.dispatch_ended(0, "x", dispatch, true);
     w.answered(0, "x", "done");
-    w.pass(20 * MS);
+    w.advance(20 * MILLISECOND);
     assert_eq!(
         w.last_decision(2, "x"),
         Some(OwnershipDecision::Answer(Bytes::from_static(b"done")))
     );
     // A third delivery is answered at once.
     assert_eq!(
-        w.take(1, "x", true),
+        w.announce(1, "x", true),
         Some(OwnershipDecision::Answer(Bytes::from_static(b"done")))
     );
 }
 
 #[test]
 fn a_takeover_dispatches_what_was_never_sent_and_not_what_may_have_run() {
-    let mut w = World::new(3, None);
+    let mut w = ReplicaGroup::new(3, None);
     for (key, ended, want) in [
         ("never", Some(false), FIRST_DISPATCH),
         (
@@ -53,24 +53,24 @@
             OwnershipDecision::Indeterminate(IndeterminateReason::DispatchIndeterminate),
         ),
     ] {
-        w.take(0, key, false);
+        w.announce(0, key, false);
         let dispatch = w.request_dispatch(0, key);
         w.deliver(|_, _, _| true);
         if let Some(may_have_run) = ended {
             w.dispatch_ended(0, key, dispatch, may_have_run);
         }
-        w.feed(0, Input::Dropped { key: key.into() });
-        w.pass(10 * MS);
-        w.take(1, key, true);
+        w.handle(0, Input::Abandoned { key: key.into() });
+        w.advance(10 * MILLISECOND);
+        w.announce(1, key, true);
         w.deliver(|_, _, _| true);
         assert_eq!(w.last_decision(1, key), Some(want), "{key}");
     }
     // The invocation was only queued at a router that crashed: no member has an intent, and at least one member knows
     // that the invocation was accepted.
-    w.take(0, "queued", false);
-    w.pass(10 * MS);
+    w.announce(0, "queued", false);
+    w.advance(10 * MILLISECOND);
     w.crash(0);
-    w.take(1, "queued", true);
+    w.announce(1, "queued", true);
     w.deliver(|_, _, _| true);
     assert_eq!(w.last_decision(1, "queued"), Some(FIRST_DISPATCH));
     let dispatch = w.request_dispatch(1, "queued");
@@ -80,16 +80,16 @@
 
 #[test]
 fn a_permitted_dispatch_of_a_gone_owner_is_indeterminate() {
-    let mut w = World::new(3, None);
-    w.take(0, "x", false);
+    let mut w = ReplicaGroup::new(3, None);
+    w.announce(0, "x", false);
     w.request_dispatch(0, "x");
     w.deliver(|_, _, _| true);
     w.crash(0);
-    w.take(1, "x", true);
+    w.announce(1, "x", true);
     w.deliver(|_, _, _| true);
     // As long as the owner is not known to have crashed, the takeover waits for it.
     assert_eq!(w.last_decision(1, "x"), Some(OwnershipDecision::Wait));
-    w.sees(1, 0, false);
+    w.report_member(1, 0, false);
     assert_eq!(
         w.last_decision(1, "x"),
         Some(OwnershipDecision::Indeterminate(
@@ -100,15 +100,15 @@
 
 #[test]
 fn without_a_majority_only_dispatches_allowed_alone_are_sent() {
-    let mut w = World::new(3, None);
-    w.take(0, "x", false);
+    let mut w = ReplicaGroup::new(3, None);
+    w.announce(0, "x", false);
     let dispatch = w.request_dispatch(0, "x");
-    w.pass_delivering(1_000 * MS, |_, _, _| false);
+    w.advance_delivering(1_000 * MILLISECOND, |_, _, _| false);
     assert_eq!(w.permissions[0][&dispatch], Err(NoMajorityReason::TimedOut));
-    w.take(0, "y", false);
+    w.announce(0, "y", false);
     w.last_id += 1;
     let dispatch = w.last_id;
-    w.feed(
+    w.handle(
         0,
         Input::RequestDispatch {
             key: "y".into(),
@@ -117,24 +117,24 @@
             without_majority: true,
         },
     );
-    w.pass_delivering(1_000 * MS, |_, _, _| false);
+    w.advance_delivering(1_000 * MILLISECOND, |_, _, _| false);
     assert_eq!(w.permissions[0][&dispatch], Ok(true));
     // A router that is known to be alone is denied a majority at once, and so is a router that has just started.
-    w.sees(0, 1, false);
-    w.sees(0, 2, false);
+    w.report_member(0, 1, false);
+    w.report_member(0, 2, false);
     assert_eq!(
-        w.take(0, "z", false),
+        w.announce(0, "z", false),
         Some(OwnershipDecision::NoMajority(NoMajorityReason::Unreachable))
     );
-    let mut w = World::recovering(3, None);
+    let mut w = ReplicaGroup::recovering(3, None);
     assert_eq!(
-        w.take(0, "z", false),
+        w.announce(0, "z", false),
         Some(OwnershipDecision::NoMajority(NoMajorityReason::Recovering))
     );
     // Invocations that need only a local record are accepted all the same.
-    w.feed(
+    w.handle(
         0,
-        Input::Take {
+        Input::Announce {
             key: "t".into(),
             durability: Durability::Local,
             redelivered: false,
@@ -145,11 +145,11 @@
 
 #[test]
 fn the_first_dispatch_of_an_idempotency_key_is_known_at_every_router() {
-    let mut w = World::new(3, None);
-    let take = |w: &mut World, r| {
-        w.feed(
+    let mut w = ReplicaGroup::new(3, None);
+    let take = |w: &mut ReplicaGroup, r| {
+        w.handle(
             r,
-            Input::Take {
+            Input::Announce {
                 key: "t".into(),
                 durability: Durability::Local,
                 redelivered: false,
@@ -158,7 +158,7 @@
         w.last_decision(r, "t")
     };
     assert_eq!(take(&mut w, 0), Some(FIRST_DISPATCH));
-    w.feed(
+    w.handle(
         0,
         Input::Dispatched {
             key: "t".into(),
@@ -166,8 +166,8 @@
             deduplication_scope: 0,
         },
     );
-    w.pass(300 * MS);
-    w.feed(
+    w.advance(300 * MILLISECOND);
+    w.handle(
         1,
         Input::Dispatched {
             key: "t".into(),
@@ -175,16 +175,19 @@
             deduplication_scope: 0,
         },
     );
-    w.pass(200 * MS);
+    w.advance(200 * MILLISECOND);
     let Some(OwnershipDecision::Dispatch {
         first_dispatch_ago: Some(ago),
     }) = take(&mut w, 2)
     else {
         panic!("the first dispatch is not known")
     };
-    assert!((500 * MS..520 * MS).contains(&ago), "{ago}");
+    assert!(
+        (500 * MILLISECOND..520 * MILLISECOND).contains(&ago),
+        "{ago}"
+    );
     w.answered(0, "t", "done");
-    w.pass(10 * MS);
+    w.advance(10 * MILLISECOND);
     assert_eq!(
         take(&mut w, 2),
         Some(OwnershipDecision::Answer(Bytes::from_static(b"done")))
@@ -193,17 +196,17 @@
 
 #[test]
 fn conflicting_answers_are_reported_and_not_dispatched_again() {
-    let mut w = World::new(3, None);
-    w.take(0, "x", false);
+    let mut w = ReplicaGroup::new(3, None);
+    w.announce(0, "x", false);
     let dispatch = w.request_dispatch(0, "x");
     w.deliver(|_, _, _| true);
     w.dispatch_ended(0, "x", dispatch, true);
     // On the two sides of a partition, each router reports its own answer.
     w.answered(0, "x", "one");
     w.answered(1, "x", "other");
-    w.pass(20 * MS);
+    w.advance(20 * MILLISECOND);
     assert!(w.replica(0).conflicts() == 1 && w.replica(2).conflicts() == 1);
-    w.take(2, "x", true);
+    w.announce(2, "x", true);
     w.deliver(|_, _, _| true);
     assert_eq!(
         w.last_decision(2, "x"),
@@ -218,32 +221,32 @@
 #[test]
 fn votes_of_two_processes_of_one_member_do_not_add_up() {
     let play = |disabled_check| {
-        let mut w = World::with_majority_timeout(5, disabled_check, RETENTION);
-        w.take(0, "x", false);
+        let mut w = ReplicaGroup::with_majority_timeout(5, disabled_check, RETENTION);
+        w.announce(0, "x", false);
         w.deliver(|_, _, _| true);
-        w.pass(10 * MS);
+        w.advance(10 * MILLISECOND);
         let dispatch = w.request_dispatch(0, "x");
         // Router 1 fences the invocation. Only member 2 has received the fence, and then restarts without its state.
-        w.take(1, "x", true);
+        w.announce(1, "x", true);
         w.deliver(|from, to, m| matches!(m, Message::Fence { .. }) && to == 2 && from == 1);
         w.deliver(|from, to, m| matches!(m, Message::Fenced { .. }) && (from, to) == (2, 1));
         w.crash(2);
-        let (net, old) = (std::mem::take(&mut w.net), w.nonces[2]);
+        let (in_transit, old) = (std::mem::take(&mut w.in_transit), w.nonces[2]);
         w.start(2, None);
-        w.sees(1, 2, true);
-        w.sees(2, 1, false);
+        w.report_member(1, 2, true);
+        w.report_member(2, 1, false);
         // Member 2 compares records with members that have not received the fence, and completes recovery.
-        w.pass_delivering(350 * MS, |from, to, m| match m {
+        w.advance_delivering(350 * MILLISECOND, |from, to, m| match m {
             Message::CompareDigests { .. } | Message::FetchRecords { .. } => from == 2 && to != 1,
             Message::DifferingGroups { .. } | Message::FetchedRecords { .. } => {
                 to == 2 && from != 1
             }
             _ => false,
         });
-        w.sees(2, 1, true);
+        w.report_member(2, 1, true);
         assert_eq!(w.replica(2).recovery_state(), RecoveryState::Complete);
         assert_ne!(old, w.nonces[2]);
-        w.net = net;
+        w.in_transit = in_transit;
         // The new process of member 2 and member 4 store the intent. Member 3 then promises the fence.
         w.deliver(|from, to, m| {
             matches!(m, Message::StoreIntent { .. }) && from == 0 && (to == 2 || to == 4)
@@ -269,14 +272,16 @@
 #[test]
 fn an_invocation_without_a_known_owner_is_not_dispatched_again() {
     let play = |disabled_check| {
-        let mut w = World::new(3, disabled_check);
-        w.take(0, "x", false);
+        let mut w = ReplicaGroup::new(3, disabled_check);
+        w.announce(0, "x", false);
         let dispatch = w.request_dispatch(0, "x");
         w.deliver(|_, _, _| true);
         assert!(w.is_permitted(0, dispatch));
         // The invocation has run and its router is stopped. All records of it expire before it is redelivered.
-        w.pass_delivering(RETENTION + 10 * MS, |from, to, _| from != 0 && to != 0);
-        w.take(1, "x", true);
+        w.advance_delivering(RETENTION + 10 * MILLISECOND, |from, to, _| {
+            from != 0 && to != 0
+        });
+        w.announce(1, "x", true);
         w.deliver(|from, to, _| from != 0 && to != 0);
         w.last_decision(1, "x")
     };
@@ -287,7 +292,7 @@
         ))
     );
     assert_eq!(
-        play(Some(SafetyCheck::KnownToBeTaken)),
+        play(Some(SafetyCheck::UnknownIsNotDispatched)),
         Some(FIRST_DISPATCH)
     );
 }
@@ -295,9 +300,9 @@
 #[test]
 fn after_a_restart_of_all_members_a_missing_intent_proves_nothing() {
     let play = |disabled_check| {
-        let mut w = World::new(3, disabled_check);
-        w.take(0, "x", false);
-        w.pass(10 * MS);
+        let mut w = ReplicaGroup::new(3, disabled_check);
+        w.announce(0, "x", false);
+        w.advance(10 * MILLISECOND);
         // Stores are written periodically: these copies were written before the intent.
         let stores: Vec<_> = (0..3).map(|r| w.stored_records(r)).collect();
         let dispatch = w.request_dispatch(0, "x");
@@ -306,13 +311,13 @@
         (0..3).for_each(|r| {
             w.crash(r);
         });
-        w.net.clear();
+        w.in_transit.clear();
         for (r, records) in stores.into_iter().enumerate() {
             w.start(r, Some(records));
         }
-        w.pass(500 * MS);
+        w.advance(500 * MILLISECOND);
         assert!((0..3).all(|r| w.replica(r).recovery_state() == RecoveryState::Complete));
-        w.take(1, "x", true);
+        w.announce(1, "x", true);
         w.deliver(|_, _, _| true);
         w.last_decision(1, "x")
     };
@@ -323,7 +328,7 @@
         ))
     );
     assert_eq!(
-        play(Some(SafetyCheck::DoubtAfterRestarts)),
+        play(Some(SafetyCheck::IntentsMayBeLostAfterRestarts)),
         Some(FIRST_DISPATCH)
     );
 }
@@ -331,10 +336,10 @@
 #[test]
 fn a_chosen_value_is_not_replaced_by_later_proposals() {
     let play = |disabled_check| {
-        let mut w = World::new(3, disabled_check);
-        let choose = |w: &mut World, r: usize, value: &'static str| {
+        let mut w = ReplicaGroup::new(3, disabled_check);
+        let choose = |w: &mut ReplicaGroup, r: usize, value: &'static str| {
             let value = Bytes::from_static(value.as_bytes());
-            w.feed(
+            w.handle(
                 r,
                 Input::Choose {
                     key: "s".into(),
@@ -343,7 +348,7 @@
                 },
             );
             w.deliver(|_, _, _| true);
-            w.decided[r].get("s").and_then(|d| d.last()).cloned()
+            w.outcomes[r].get("s").and_then(|d| d.last()).cloned()
         };
         assert_eq!(
             choose(&mut w, 0, "v1"),
@@ -360,24 +365,24 @@
 
 #[test]
 fn a_leader_continues_from_the_last_value_and_an_older_term_cannot_write() {
-    let mut w = World::new(3, None);
-    let lead = |w: &mut World, r: usize| {
-        w.feed(
+    let mut w = ReplicaGroup::new(3, None);
+    let lead = |w: &mut ReplicaGroup, r: usize| {
+        w.handle(
             r,
-            Input::Lead {
+            Input::RequestLeadership {
                 key: "plan".into(),
                 retention: RETENTION,
             },
         );
         w.deliver(|_, _, _| true);
-        match w.decided[r].get("plan").and_then(|d| d.last()).cloned() {
+        match w.outcomes[r].get("plan").and_then(|d| d.last()).cloned() {
             Some(Outcome::Leads { ballot, last }) => (ballot, last),
             other => panic!("{other:?}"),
         }
     };
-    let write = |w: &mut World, r: usize, ballot, step: &'static str| {
+    let write = |w: &mut ReplicaGroup, r: usize, ballot, step: &'static str| {
         let value = Bytes::from_static(step.as_bytes());
-        w.feed(
+        w.handle(
             r,
             Input::Write {
                 key: "plan".into(),
@@ -387,7 +392,7 @@
             },
         );
         w.deliver(|_, _, _| true);
-        w.decided[r]["plan"].last().cloned()
+        w.outcomes[r]["plan"].last().cloned()
     };
     let (first, last) = lead(&mut w, 0);
     assert_eq!(last, None);
@@ -410,10 +415,10 @@
 
 #[test]
 fn a_restarted_member_votes_once_it_has_caught_up() {
-    let mut w = World::new(3, None);
-    let note = |w: &mut World, r: usize, n: u64| {
+    let mut w = ReplicaGroup::new(3, None);
+    let note = |w: &mut ReplicaGroup, r: usize, n: u64| {
         let (key, value) = (format!("n{n}").into(), Bytes::from(n.to_string()));
-        w.feed(
+        w.handle(
             r,
             Input::PublishNote {
                 key,
@@ -424,13 +429,13 @@
         );
     };
     (0..3_000).for_each(|n| note(&mut w, 0, n));
-    w.pass(100 * MS);
+    w.advance(100 * MILLISECOND);
     let records = w.crash(2);
     (3_000..3_100).for_each(|n| note(&mut w, 1, n));
-    w.pass(100 * MS);
+    w.advance(100 * MILLISECOND);
     // With its store, the member fetches only some leaves; without it, a snapshot.
     w.start(2, Some(records));
-    w.pass(600 * MS);
+    w.advance(600 * MILLISECOND);
     assert_eq!(
         (
             w.replica(2).recovery_state(),
@@ -445,7 +450,7 @@
     );
     w.crash(2);
     w.start(2, None);
-    w.pass(900 * MS);
+    w.advance(900 * MILLISECOND);
     assert_eq!(
         (
             w.replica(2).recovery_state(),
@@ -459,24 +464,24 @@
         w.crash(r);
     });
     (0..3).for_each(|r| w.start(r, None));
-    w.pass(RETENTION / 2);
+    w.advance(RETENTION / 2);
     assert!((0..3).all(|r| w.replica(r).recovery_state() == RecoveryState::Empty));
-    w.pass(RETENTION);
+    w.advance(RETENTION);
     assert!((0..3).all(|r| w.replica(r).recovery_state() == RecoveryState::Complete));
 }
 
 #[test]
 fn expired_records_are_not_accepted_again_from_an_absent_member() {
-    let mut w = World::new(3, None);
-    w.take(0, "x", false);
-    w.pass(20 * MS);
+    let mut w = ReplicaGroup::new(3, None);
+    w.announce(0, "x", false);
+    w.advance(20 * MILLISECOND);
     let records = w.crash(2);
-    w.pass(RETENTION);
+    w.advance(RETENTION);
     assert!(w.replica(0).records().next().is_none());
     // The restored records did not age while the member was down.
     w.start(2, Some(records));
     assert_eq!(w.replica(2).records().count(), 1);
-    w.pass(3_000 * MS);
+    w.advance(3_000 * MILLISECOND);
     assert!(w.replica(0).records().next().is_none() && w.replica(1).records().next().is_none());
     let offered =
         w.replica(0).counts.expired_records_received + w.replica(1).counts.expired_records_received;
@@ -485,10 +490,10 @@
 
 #[test]
 fn a_full_store_rejects_new_records_with_its_reason() {
-    let mut w = World::new(3, None);
+    let mut w = ReplicaGroup::new(3, None);
     let small_store = ReplicaSettings {
         max_records: 2,
-        ..settings(None, 800 * MS)
+        ..settings(None, 800 * MILLISECOND)
     };
     w.replicas[1] = Some(cedarpulley_replica::Replica::new(
         w.now,
@@ -498,19 +503,19 @@
         None,
     ));
     w.nonces[1] = 99;
-    (0..3).for_each(|m| w.sees(1, m, true));
-    w.sees(0, 1, true);
-    w.sees(2, 1, true);
-    w.pass(500 * MS);
+    (0..3).for_each(|m| w.report_member(1, m, true));
+    w.report_member(0, 1, true);
+    w.report_member(2, 1, true);
+    w.advance(500 * MILLISECOND);
     for key in ["a", "b", "c"] {
-        w.take(1, key, false);
+        w.announce(1, key, false);
     }
     assert_eq!(
         w.last_decision(1, "c"),
         Some(OwnershipDecision::NoMajority(NoMajorityReason::StoreFull))
     );
     // The other members continue without its vote.
-    w.take(0, "d", false);
+    w.announce(0, "d", false);
     let dispatch = w.request_dispatch(0, "d");
     w.deliver(|_, _, _| true);
     assert!(w.is_permitted(0, dispatch));
--- a/crates/replica/tests/virtual_time/mod.rs
+++ b/crates/replica/tests/virtual_time/mod.rs
@@ -12,12 +12,12 @@
     Durability, Input, Key, Message, Output, RecordCopy, RecoveryState, Replica, ReplicaSettings,
 };
 
-use crate::common::{MS, group};
+use crate::common::{MILLISECOND, group};
 
 /// One-way latency of a link in microseconds.
 const LINK_LATENCY: i64 = 250;
 /// Microseconds in a second.
-const SECOND: i64 = 1_000 * MS;
+const SECOND: i64 = 1_000 * MILLISECOND;
 /// Time in microseconds for which records are retained.
 const RETENTION: i64 = 600 * SECOND;
 
@@ -70,9 +70,9 @@
                 Some(Vec::new()),
             ));
             let settings = membership::FailureDetectorSettings {
-                probe_interval: 250 * MS,
-                answer_timeout: 100 * MS,
-                suspicion_timeout: 1_500 * MS,
+                probe_interval: 250 * MILLISECOND,
+                answer_timeout: 100 * MILLISECOND,
+                suspicion_timeout: 1_500 * MILLISECOND,
                 seed: seed + r as u64,
             };
             sim.members
@@ -88,7 +88,7 @@
     fn connect(&mut self, r: usize) {
         for m in 0..self.replicas.len() {
             let nonce = self.members[m].own_incarnation().nonce;
-            self.feed(
+            self.handle(
                 r,
                 Input::MemberChanged {
                     member: m as MemberIndex,
@@ -97,7 +97,7 @@
                 },
             );
             let nonce = self.members[r].own_incarnation().nonce;
-            self.feed(
+            self.handle(
                 m,
                 Input::MemberChanged {
                     member: r as MemberIndex,
@@ -117,7 +117,7 @@
     }
 
     /// Passes an input to the replica of a member and sends its messages.
-    fn feed(&mut self, r: usize, input: Input) {
+    fn handle(&mut self, r: usize, input: Input) {
         let mut out = Vec::new();
         self.replicas[r].handle(self.now, input, &mut out);
         for output in out {
@@ -171,7 +171,7 @@
                 let Incarnation { nonce, .. } = incarnation;
                 match message {
                     PeerMessage::Replica(message) => {
-                        self.feed(
+                        self.handle(
                             to as usize,
                             Input::MessageReceived {
                                 from,
@@ -197,7 +197,7 @@
             _ if at <= until => {
                 self.now = at;
                 self.feed_membership(r, membership::Input::Tick);
-                self.feed(r, Input::Tick);
+                self.handle(r, Input::Tick);
                 true
             }
             _ => {
@@ -208,14 +208,14 @@
     }
 
     /// Advances the time and handles all events that are due.
-    fn pass(&mut self, time: i64) {
+    fn advance(&mut self, time: i64) {
         let until = self.now + time;
         while self.step(until) {}
     }
 }
 
 fn settings(seed: u64) -> ReplicaSettings {
-    ReplicaSettings::with_defaults(RETENTION, 500 * MS, seed)
+    ReplicaSettings::with_defaults(RETENTION, 500 * MILLISECOND, seed)
 }
 
 /// Cost of a restart of a member until it can vote.
@@ -232,9 +232,9 @@
 /// `with_store` is true, the member restores the other records from its store; otherwise it lacks them as well.
 pub fn catch_up(all: u64, lacking: u64, with_store: bool, answer: usize) -> CatchUp {
     let mut sim = SimulatedGroup::new(3, 1);
-    sim.pass(2 * SECOND);
+    sim.advance(2 * SECOND);
     assert!(sim.replicas.iter().all(|r| r.can_vote()));
-    let take = |n: u64| Input::Take {
+    let take = |n: u64| Input::Announce {
         key: format!("i\norder-{n:08}").into(),
         durability: Durability::Majority,
         redelivered: false,
@@ -242,34 +242,34 @@
     let (mut stored, mut first_lacking): (Vec<(Key, RecordCopy)>, u64) = (Vec::new(), 0);
     for n in 0..all {
         if n == all - lacking {
-            sim.pass(SECOND);
+            sim.advance(SECOND);
             stored = sim.replicas[2]
                 .records()
                 .map(|(k, s)| (k.clone(), s.to_copy(sim.now)))
                 .collect();
             first_lacking = n;
         }
-        sim.feed(0, take(n));
+        sim.handle(0, take(n));
         let key: Key = format!("i\norder-{n:08}").into();
         if answer > 0 {
             let answer = bytes::Bytes::from(vec![7; answer]);
-            sim.feed(
+            sim.handle(
                 0,
                 Input::Answered {
                     key: key.clone(),
                     answer,
                 },
             );
-            sim.feed(0, Input::Dropped { key });
+            sim.handle(0, Input::Abandoned { key });
         } else {
-            sim.feed(0, Input::Closed { key });
+            sim.handle(0, Input::DeliveryFinal { key });
         }
         // Lets the members exchange messages in between, as they do between the routers' own events.
         if n % 1_000 == 999 {
-            sim.pass(10 * MS);
+            sim.advance(10 * MILLISECOND);
         }
     }
-    sim.pass(SECOND);
+    sim.advance(SECOND);
     assert!(first_lacking == all - lacking && sim.replicas[1].records().count() as u64 == all);
     let nonce = 99;
     let restored = with_store.then_some(stored);
@@ -291,9 +291,9 @@
 /// Settings of the failure detector of the restarted member.
 const RESTARTED_MEMBER_SETTINGS: &membership::FailureDetectorSettings =
     &membership::FailureDetectorSettings {
-        probe_interval: 250 * MS,
-        answer_timeout: 100 * MS,
-        suspicion_timeout: 1_500 * MS,
+        probe_interval: 250 * MILLISECOND,
+        answer_timeout: 100 * MILLISECOND,
+        suspicion_timeout: 1_500 * MILLISECOND,
         seed: 9,
     };
 
@@ -304,22 +304,22 @@
     let mut sent = 0;
     for g in 0..groups {
         let mut sim = SimulatedGroup::new(members, g as u64 * 100);
-        sim.pass(2 * SECOND);
+        sim.advance(2 * SECOND);
         let before = sim.bytes;
         let mut serial = 1_000_000;
         for tick in 0..SECONDS * per_second {
             for r in 0..members {
                 serial += 1;
                 let key: Key = format!("i\norder-{serial:08}").into();
-                sim.feed(
+                sim.handle(
                     r,
-                    Input::Take {
+                    Input::Announce {
                         key: key.clone(),
                         durability: Durability::Majority,
                         redelivered: false,
                     },
                 );
-                sim.feed(
+                sim.handle(
                     r,
                     Input::RequestDispatch {
                         key,
@@ -329,10 +329,10 @@
                     },
                 );
             }
-            sim.pass(SECOND / per_second / 2);
+            sim.advance(SECOND / per_second / 2);
             for (r, key, dispatch) in std::mem::take(&mut sim.permitted_dispatches) {
                 let answer = bytes::Bytes::from_static(b"done");
-                sim.feed(
+                sim.handle(
                     r,
                     Input::DispatchEnded {
                         key: key.clone(),
@@ -340,16 +340,16 @@
                         may_have_run: true,
                     },
                 );
-                sim.feed(
+                sim.handle(
                     r,
                     Input::Answered {
                         key: key.clone(),
                         answer,
                     },
                 );
-                sim.feed(r, Input::Closed { key });
+                sim.handle(r, Input::DeliveryFinal { key });
             }
-            sim.pass(SECOND / per_second - SECOND / per_second / 2);
+            sim.advance(SECOND / per_second - SECOND / per_second / 2);
             let _ = tick;
         }
         sent += sim.bytes - before;
@@ -362,18 +362,18 @@
 pub fn work_beside_open(open: u64) -> f64 {
     const INVOCATIONS_PER_ROUND: u64 = 200;
     let mut sim = SimulatedGroup::new(3, 7);
-    sim.pass(2 * SECOND);
+    sim.advance(2 * SECOND);
     let key = |n: u64| -> Key { format!("i\norder-{n:08}").into() };
     let start_invocation = |sim: &mut SimulatedGroup, n: u64| {
-        sim.feed(
+        sim.handle(
             0,
-            Input::Take {
+            Input::Announce {
                 key: key(n),
                 durability: Durability::Majority,
                 redelivered: false,
             },
         );
-        sim.feed(
+        sim.handle(
             0,
             Input::RequestDispatch {
                 key: key(n),
@@ -385,9 +385,9 @@
     };
     for n in 0..open {
         start_invocation(&mut sim, n);
-        sim.pass(MS / 10);
+        sim.advance(MILLISECOND / 10);
     }
-    sim.pass(100 * MS);
+    sim.advance(100 * MILLISECOND);
     assert_eq!(sim.permitted_dispatches.len() as u64, open);
     sim.permitted_dispatches.clear();
     let mut least = f64::MAX;
@@ -396,8 +396,8 @@
         for n in 0..INVOCATIONS_PER_ROUND {
             let n = open + round * INVOCATIONS_PER_ROUND + n;
             start_invocation(&mut sim, n);
-            sim.pass(MS);
-            sim.feed(
+            sim.advance(MILLISECOND);
+            sim.handle(
                 0,
                 Input::DispatchEnded {
                     key: key(n),
@@ -405,15 +405,15 @@
                     may_have_run: true,
                 },
             );
-            sim.feed(
+            sim.handle(
                 0,
                 Input::Answered {
                     key: key(n),
                     answer: bytes::Bytes::from_static(b"done"),
                 },
             );
-            sim.feed(0, Input::Closed { key: key(n) });
-            sim.pass(MS);
+            sim.handle(0, Input::DeliveryFinal { key: key(n) });
+            sim.advance(MILLISECOND);
         }
         assert_eq!(sim.permitted_dispatches.len() as u64, INVOCATIONS_PER_ROUND);
         sim.permitted_dispatches.clear();
--- a/crates/upgrade/tests/sessions.rs
+++ b/crates/upgrade/tests/sessions.rs
@@ -12,18 +12,18 @@
 use cedarpulley_upgrade::sessions::{
     Input, Output, RejectionReason, SessionPlacement, SessionSettings, Sessions,
 };
-use common::{MS, World};
+use common::{MILLISECOND, ReplicaGroup};
 use proptest::prelude::*;
 
 /// Retention of bindings, in microseconds: long compared with a decision of a majority, short compared with a test
 /// case.
-const RETENTION: i64 = 16_000 * MS;
+const RETENTION: i64 = 16_000 * MILLISECOND;
 
 /// Settings with small limits.
 fn session_settings() -> SessionSettings {
     SessionSettings {
         retention: RETENTION,
-        majority_timeout: 1_000 * MS,
+        majority_timeout: 1_000 * MILLISECOND,
         max_sessions: 8,
         max_waiting: 64,
     }
@@ -31,7 +31,7 @@
 
 /// Routers with their sessions and the group that decides on bindings.
 struct Routers {
-    group: World,
+    group: ReplicaGroup,
     /// The sessions of each router.
     sessions: Vec<Sessions>,
     /// Number of tickets given out.
@@ -49,7 +49,7 @@
 impl Routers {
     fn new(n: usize, without: Option<SafetyCheck>) -> Routers {
         Routers {
-            group: World::new(n, without),
+            group: ReplicaGroup::new(n, without),
             sessions: (0..n).map(|_| Sessions::new(session_settings())).collect(),
             tickets: 0,
             session_of_ticket: BTreeMap::new(),
@@ -60,7 +60,7 @@
     }
 
     /// Passes an input to the sessions of router `r` and carries out the outputs.
-    fn feed(&mut self, r: usize, input: Input) -> Vec<Output> {
+    fn handle(&mut self, r: usize, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
         self.sessions[r].handle(self.group.now, input, &mut out);
         for output in &out {
@@ -72,7 +72,7 @@
                 } => {
                     self.binding_requests += 1;
                     let value = Bytes::copy_from_slice(version.as_bytes());
-                    self.group.feed(
+                    self.group.handle(
                         r,
                         Shared::Choose {
                             key: key.clone(),
@@ -101,7 +101,7 @@
     /// Passes the group's new decisions to the sessions of all routers.
     fn deliver_decisions(&mut self) {
         for r in 0..self.sessions.len() {
-            for (key, outcomes) in std::mem::take(&mut self.group.decided[r]) {
+            for (key, outcomes) in std::mem::take(&mut self.group.outcomes[r]) {
                 for outcome in outcomes {
                     let version = match outcome {
                         Outcome::Chosen(v) => Some(Name::from(
@@ -109,7 +109,7 @@
                         )),
                         _ => None,
                     };
-                    self.feed(
+                    self.handle(
                         r,
                         Input::Decided {
                             key: key.clone(),
@@ -127,7 +127,7 @@
         let (ticket, session) = (self.tickets, Name::from(session));
         self.session_of_ticket.insert(ticket, session.clone());
         let proposes = Some(Name::from(proposes));
-        self.feed(
+        self.handle(
             r,
             Input::Arrived {
                 ticket,
@@ -140,13 +140,13 @@
     }
 
     /// Advances the time, with ticks for all members and routers.
-    fn pass(&mut self, duration: i64) {
+    fn advance(&mut self, duration: i64) {
         let until = self.group.now + duration;
         while self.group.now < until {
-            let step = (until - self.group.now).min(500 * MS);
-            self.group.pass(step);
+            let step = (until - self.group.now).min(500 * MILLISECOND);
+            self.group.advance(step);
             (0..self.sessions.len()).for_each(|r| {
-                self.feed(r, Input::Tick);
+                self.handle(r, Input::Tick);
             });
         }
     }
@@ -205,19 +205,21 @@
 fn play(ops: &[Op], without: Option<SafetyCheck>) -> Result<(), String> {
     let mut routers = Routers::new(3, without);
     for op in ops {
-        let in_transit = routers.group.net.len().max(1);
+        let in_transit = routers.group.in_transit.len().max(1);
         let message_index = |n: usize| n % in_transit;
         match *op {
             Op::Arrives(r, s, new) => {
                 routers.arrives(r, ["s", "t"][s as usize], if new { "2" } else { "1" });
             }
-            Op::Delivers(n) | Op::Doubles(n) if routers.group.net.len() > message_index(n) => {
+            Op::Delivers(n) | Op::Doubles(n)
+                if routers.group.in_transit.len() > message_index(n) =>
+            {
                 let (from, to, nonce, sent, message) = match op {
-                    Op::Doubles(_) => routers.group.net[message_index(n)].clone(),
-                    _ => routers.group.net.remove(message_index(n)),
+                    Op::Doubles(_) => routers.group.in_transit[message_index(n)].clone(),
+                    _ => routers.group.in_transit.remove(message_index(n)),
                 };
                 let transit = routers.group.now - sent;
-                routers.group.feed(
+                routers.group.handle(
                     to as usize,
                     Shared::MessageReceived {
                         from,
@@ -227,15 +229,15 @@
                     },
                 );
             }
-            Op::Loses(n) if routers.group.net.len() > message_index(n) => {
-                routers.group.net.remove(message_index(n));
+            Op::Loses(n) if routers.group.in_transit.len() > message_index(n) => {
+                routers.group.in_transit.remove(message_index(n));
             }
             Op::Delivers(_) | Op::Doubles(_) | Op::Loses(_) => {}
             Op::Waits(tenths) => {
-                routers.group.now += i64::from(tenths) * 100 * MS;
-                (0..3).for_each(|r| routers.group.feed(r, Shared::Tick));
+                routers.group.now += i64::from(tenths) * 100 * MILLISECOND;
+                (0..3).for_each(|r| routers.group.handle(r, Shared::Tick));
                 (0..3).for_each(|r| {
-                    routers.feed(r, Input::Tick);
+                    routers.handle(r, Input::Tick);
                 });
             }
             Op::Dies(r, keeps_state) => {
@@ -243,11 +245,11 @@
                 routers.group.start(r, keeps_state.then_some(folder));
                 routers.sessions[r] = Sessions::new(session_settings());
             }
-            Op::Sees(r, m, alive) if r != m => routers.group.sees(r, m, alive),
+            Op::Sees(r, m, alive) if r != m => routers.group.report_member(r, m, alive),
             Op::Sees(..) => {}
             Op::Settles => {
-                (0..9).for_each(|n| routers.group.sees(n / 3, n % 3, true));
-                routers.pass(1_000 * MS);
+                (0..9).for_each(|n| routers.group.report_member(n / 3, n % 3, true));
+                routers.advance(1_000 * MILLISECOND);
             }
         }
         routers.deliver_decisions();
@@ -327,7 +329,7 @@
 fn a_binding_is_cached_and_renewed_in_time() {
     let mut routers = Routers::new(3, None);
     routers.arrives(0, "s", "1");
-    routers.pass(100 * MS);
+    routers.advance(100 * MILLISECOND);
     for _ in 0..20 {
         assert!(matches!(
             routers.arrives(0, "s", "2")[..],
@@ -340,7 +342,7 @@
     );
     // For three times the retention, each invocation is forwarded at once, and no other router changes the binding.
     for n in 0..48 {
-        routers.pass(1_000 * MS);
+        routers.advance(1_000 * MILLISECOND);
         let out = routers.arrives(0, "s", "2");
         assert!(
             out.iter()
@@ -354,7 +356,7 @@
         routers.binding_requests
     );
     routers.arrives(2, "s", "2");
-    routers.pass(100 * MS);
+    routers.advance(100 * MILLISECOND);
     assert!(
         routers.forwarded["s"].iter().all(|entry| &*entry.1 == "1"),
         "{:?}",
@@ -366,10 +368,10 @@
 fn without_a_majority_cached_bindings_serve_and_other_sessions_are_rejected() {
     let mut routers = Routers::new(3, None);
     routers.arrives(0, "s", "1");
-    routers.pass(100 * MS);
+    routers.advance(100 * MILLISECOND);
     (1..3).for_each(|m| {
         routers.group.crash(m);
-        routers.group.sees(0, m, false);
+        routers.group.report_member(0, m, false);
     });
     assert!(matches!(
         routers.arrives(0, "s", "2")[..],
@@ -435,7 +437,7 @@
     let mut routers = Routers::new(1, None);
     for n in 0..20 {
         routers.arrives(0, &format!("s{n}"), "1");
-        routers.pass(MS);
+        routers.advance(MILLISECOND);
     }
     assert_eq!(
         (
