--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -173,7 +173,7 @@
                 model: Name::from(client_requests::split_version(used.function).0),
                 session: Name::from(session),
                 worker: self.id(used.worker_name),
-                ends: used.ends_session,
+                ends_session: used.ends_session,
             };
             self.completed.borrow_mut().push_back(answered);
         }
@@ -202,7 +202,7 @@
         let model = Name::from(client_requests::split_version(function).0);
         for session in sessions {
             let (model, worker, session) = (model.clone(), self.id(worker), session.clone());
-            self.apply(sessions::Input::Lost {
+            self.apply(sessions::Input::PrefixLost {
                 model,
                 session,
                 worker,
@@ -258,10 +258,10 @@
             return Some(request);
         };
         let ticket = self.waiting.issue_ticket();
-        let proposes =
+        let proposed_version =
             upgrades.map(|u| u.propose_version(model, self.draw(&request), session.is_first));
         let place_key = sessions::placement_key(model, &session.id);
-        let placed = self
+        let published_placement = self
             .shared
             .as_ref()
             .and_then(|s| s.latest_note(&place_key))
@@ -274,8 +274,8 @@
             ticket,
             model,
             session,
-            proposes,
-            placed,
+            proposed_version,
+            published_placement,
         });
         None
     }
@@ -318,12 +318,12 @@
             }
             sessions::Output::PublishPlacement {
                 key,
-                placed,
+                placement,
                 retention,
             } => {
                 if let Some(shared) = &self.shared {
-                    let value = Bytes::copy_from_slice(placed.worker.as_bytes());
-                    shared.note(key, (placed.number, 0), value, retention);
+                    let value = Bytes::copy_from_slice(placement.worker.as_bytes());
+                    shared.note(key, (placement.number, 0), value, retention);
                 }
             }
         }
@@ -412,14 +412,14 @@
         }
         for ticket in self.waiting.tickets_of(matches) {
             self.waiting.remove(ticket);
-            self.apply(sessions::Input::Left { ticket });
+            self.apply(sessions::Input::Dropped { ticket });
         }
     }
 
     fn update_workers(&self, kind: EndpointListKind, workers: &[ListedWorker]) {
         for worker in self.workers.apply_update(kind, workers) {
             let worker = self.id(&worker);
-            self.apply(sessions::Input::Gone { worker });
+            self.apply(sessions::Input::WorkerGone { worker });
         }
     }
 }
--- a/crates/upgrade/src/sessions/events.rs
+++ b/crates/upgrade/src/sessions/events.rs
@@ -30,12 +30,12 @@
         /// The session.
         session: Name,
         /// The version to which the session is bound if a majority has no binding; absent where sessions are not bound.
-        proposes: Option<Name>,
+        proposed_version: Option<Name>,
         /// The placement that another router published last.
-        placed: Option<SessionPlacement>,
+        published_placement: Option<SessionPlacement>,
     },
     /// The invocation was dropped while it waited, for example because its front was lost.
-    Left {
+    Dropped {
         /// Its ticket.
         ticket: u64,
     },
@@ -55,10 +55,10 @@
         /// The worker.
         worker: Name,
         /// Whether it was the session's last invocation.
-        ends: bool,
+        ends_session: bool,
     },
     /// The session's prefix is no longer cached on this worker.
-    Lost {
+    PrefixLost {
         /// The model.
         model: Name,
         /// The session.
@@ -67,7 +67,7 @@
         worker: Name,
     },
     /// The worker is gone, or has restarted as a new incarnation.
-    Gone {
+    WorkerGone {
         /// The worker.
         worker: Name,
     },
@@ -129,7 +129,7 @@
         /// The key of the note.
         key: Name,
         /// The placement to publish.
-        placed: SessionPlacement,
+        placement: SessionPlacement,
         /// How long the note is retained.
         retention: Micros,
     },
--- a/crates/upgrade/src/sessions/mod.rs
+++ b/crates/upgrade/src/sessions/mod.rs
@@ -43,8 +43,8 @@
 struct Arrival {
     ticket: u64,
     key: Name,
-    proposes: Option<Name>,
-    placed: Option<SessionPlacement>,
+    proposed_version: Option<Name>,
+    published_placement: Option<SessionPlacement>,
 }
 
 /// The sessions of one router.
@@ -76,29 +76,33 @@
                 ticket,
                 model,
                 session,
-                proposes,
-                placed,
+                proposed_version,
+                published_placement,
             } => {
                 let arrival = Arrival {
                     ticket,
                     key: binding_key(&model, &session),
-                    proposes,
-                    placed,
+                    proposed_version,
+                    published_placement,
                 };
                 self.arrived(now, arrival, out);
             }
-            Input::Left { ticket } => self.left(ticket),
+            Input::Dropped { ticket } => self.dropped(ticket),
             Input::Decided { key, version } => self.decided(&key, version, out),
             Input::Answered {
                 model,
                 session,
                 worker,
-                ends,
+                ends_session,
             } => {
-                let worker = if ends { Name::default() } else { worker };
+                let worker = if ends_session {
+                    Name::default()
+                } else {
+                    worker
+                };
                 self.place(now, &model, &session, worker, out);
             }
-            Input::Lost {
+            Input::PrefixLost {
                 model,
                 session,
                 worker,
@@ -108,7 +112,7 @@
                     self.place(now, &model, &session, Name::default(), out);
                 }
             }
-            Input::Gone { worker } => self.forget_worker(&worker),
+            Input::WorkerGone { worker } => self.forget_worker(&worker),
             Input::Tick => {}
         }
         self.reject_overdue(now, out);
@@ -139,11 +143,14 @@
             self.sessions.make_room(&arrival.key, settings.max_sessions);
         let session = self.sessions.touch(now, &arrival.key);
         let current = session.placement.number;
-        if let Some(placed) = arrival.placed.filter(|placed| placed.number > current) {
-            (session.placement, session.placed_by_other) = (placed, true);
+        if let Some(placement) = arrival
+            .published_placement
+            .filter(|placement| placement.number > current)
+        {
+            (session.placement, session.placed_by_other) = (placement, true);
         }
         let ticket = arrival.ticket;
-        let Some(proposes) = arrival.proposes else {
+        let Some(proposed_version) = arrival.proposed_version else {
             return out.push(session.forward(ticket, None));
         };
         let valid = session
@@ -161,7 +168,7 @@
         let needs_request = valid
             .as_ref()
             .is_none_or(|binding| binding.valid_until - now < settings.retention / 2);
-        if needs_request && let Some(version) = session.request_binding(now, proposes) {
+        if needs_request && let Some(version) = session.request_binding(now, proposed_version) {
             out.push(Output::RequestBinding {
                 key: arrival.key.clone(),
                 version,
@@ -186,7 +193,7 @@
         }
     }
 
-    fn left(&mut self, ticket: u64) {
+    fn dropped(&mut self, ticket: u64) {
         let mut deadlines = self.deadlines.iter();
         let Some(entry) = deadlines.find(|entry| entry.1 == ticket).cloned() else {
             return;
@@ -262,7 +269,7 @@
         self.counts.sessions_moved += 1;
         out.push(Output::PublishPlacement {
             key: placement_key(model, session),
-            placed: known.placement.clone(),
+            placement: known.placement.clone(),
             retention: self.settings.retention,
         });
     }
--- a/crates/upgrade/tests/sessions.rs
+++ b/crates/upgrade/tests/sessions.rs
@@ -122,19 +122,19 @@
     }
 
     /// An invocation of a session arrives at router `r`, which proposes a version.
-    fn arrives(&mut self, r: usize, session: &str, proposes: &str) -> Vec<Output> {
+    fn arrives(&mut self, r: usize, session: &str, proposed_version: &str) -> Vec<Output> {
         self.tickets += 1;
         let (ticket, session) = (self.tickets, Name::from(session));
         self.session_of_ticket.insert(ticket, session.clone());
-        let proposes = Some(Name::from(proposes));
+        let proposed_version = Some(Name::from(proposed_version));
         self.handle(
             r,
             Input::Arrived {
                 ticket,
                 model: "m".into(),
                 session,
-                proposes,
-                placed: None,
+                proposed_version,
+                published_placement: None,
             },
         )
     }
@@ -401,8 +401,8 @@
             ticket,
             model: "m".into(),
             session,
-            proposes: Some("1".into()),
-            placed: None,
+            proposed_version: Some("1".into()),
+            published_placement: None,
         };
         s.handle(0, input, &mut out);
         out
@@ -416,7 +416,7 @@
         }]
     );
     let mut out = Vec::new();
-    s.handle(1, Input::Left { ticket: 0 }, &mut out);
+    s.handle(1, Input::Dropped { ticket: 0 }, &mut out);
     assert_eq!(
         (s.waiting_count(), s.next_due()),
         (1, session_settings().majority_timeout)
@@ -455,7 +455,7 @@
     reason = "one scenario or table of cases, told in order"
 )]
 fn the_worker_that_answered_last_is_preferred_until_it_is_lost() {
-    let preferred_worker = |s: &mut Sessions, placed| {
+    let preferred_worker = |s: &mut Sessions, published_placement| {
         let mut out = Vec::new();
         let (model, session) = ("m".into(), "s".into());
         s.handle(
@@ -464,8 +464,8 @@
                 ticket: 1,
                 model,
                 session,
-                proposes: None,
-                placed,
+                proposed_version: None,
+                published_placement,
             },
             &mut out,
         );
@@ -478,7 +478,7 @@
             other => panic!("{other:?}"),
         }
     };
-    let answered = |s: &mut Sessions, worker: &str, ends| {
+    let answered = |s: &mut Sessions, worker: &str, ends_session| {
         let mut out = Vec::new();
         let (model, session) = ("m".into(), "s".into());
         s.handle(
@@ -487,7 +487,7 @@
                 model,
                 session,
                 worker: worker.into(),
-                ends,
+                ends_session,
             },
             &mut out,
         );
@@ -517,7 +517,7 @@
     );
     s.handle(
         9,
-        Input::Lost {
+        Input::PrefixLost {
             model: "m".into(),
             session: "s".into(),
             worker: "a".into(),
@@ -527,7 +527,7 @@
     assert_eq!(preferred_worker(&mut s, None), Some("b".into()));
     s.handle(
         9,
-        Input::Lost {
+        Input::PrefixLost {
             model: "m".into(),
             session: "s".into(),
             worker: "b".into(),
@@ -536,7 +536,7 @@
     );
     assert_eq!(preferred_worker(&mut s, placement(7, "b")), None);
     answered(&mut s, "c", false);
-    s.handle(9, Input::Gone { worker: "c".into() }, &mut Vec::new());
+    s.handle(9, Input::WorkerGone { worker: "c".into() }, &mut Vec::new());
     assert_eq!(preferred_worker(&mut s, None), None);
     answered(&mut s, "c", false);
     answered(&mut s, "c", true);
