--- a/crates/gateway/src/reconciliation.rs
+++ b/crates/gateway/src/reconciliation.rs
@@ -13,7 +13,7 @@
 use cedarpulley::interface::{EndpointListKind, Micros};
 use cedarpulley_net::DeadlineTimer;
 use cedarpulley_reconcile::{
-    Change, Input as ReconcilerInput, Observation, Output as ReconcilerOutput, Reconciler,
+    CopyChange, Input as ReconcilerInput, Observation, Output as ReconcilerOutput, Reconciler,
     ReconcilerSettings,
 };
 use cedarpulley_router::Input;
@@ -86,7 +86,7 @@
             router_name: own_name.clone(),
             poll_interval: settings.interval,
             grace_period: settings.grace_period,
-            belief_lifetime: record_lifetime,
+            record_lifetime,
             polls_per_s: settings.queries_per_s,
             repairs_per_s: settings.repairs_per_s,
             // A separate seed, so that the balancer's random numbers are the same with and without reconciliation.
@@ -136,12 +136,12 @@
 
     /// Calls `each` for the last report of each worker, with the time at which its query began (microseconds), the
     /// worker's memory (MB, 0 if unknown) and the report; returns the results.
-    pub fn observed<R>(
+    pub fn last_reports<R>(
         &self,
         mut each: impl FnMut(&Arc<str>, Micros, f64, &Observation) -> R,
     ) -> Vec<R> {
         let reconciler = self.reconciler.borrow();
-        let reports = reconciler.observed();
+        let reports = reconciler.last_reports();
         reports
             .map(|(worker, at, observation)| {
                 let memory_mb = self.workers.reported_memory_mb(worker);
@@ -158,10 +158,10 @@
         if reconciler.is_loading(worker, function) {
             return false;
         }
-        let input = ReconcilerInput::BeliefChanged {
+        let input = ReconcilerInput::RecordChanged {
             worker,
             function,
-            change: Change::Corrupted { copies },
+            change: CopyChange::Corrupted { copies },
         };
         reconciler.handle(now, input, &mut Vec::new());
         self.log
@@ -219,9 +219,9 @@
         now: Micros,
         worker: &str,
         function: &str,
-        change: Change,
+        change: CopyChange,
     ) {
-        let input = ReconcilerInput::BeliefChanged {
+        let input = ReconcilerInput::RecordChanged {
             worker,
             function,
             change,
@@ -317,7 +317,7 @@
         let due = {
             let mut reconciler = self.reconciler.borrow_mut();
             reconciler.handle(self.context.clock.now(), input, &mut outputs);
-            self.log.reports(reconciler.observed());
+            self.log.reports(reconciler.last_reports());
             let notes_due = self.notes.as_ref().map(NoteExchange::next_due);
             reconciler.next_due().min(notes_due.unwrap_or(Micros::MAX))
         };
@@ -411,7 +411,7 @@
         }
         self.apply(ReconcilerInput::Reported {
             worker,
-            began,
+            observation_began: began,
             observation,
         });
     }
--- a/crates/gateway/src/reconciliation_observer.rs
+++ b/crates/gateway/src/reconciliation_observer.rs
@@ -7,7 +7,7 @@
 use cedarpulley::interface::{
     Action, CopyStatus, DispatchOutcome, Event, InvocationIndex, LoadOrderResult, Micros,
 };
-use cedarpulley_reconcile::Change;
+use cedarpulley_reconcile::CopyChange;
 use cedarpulley_router::FrontIndex;
 use cedarpulley_router::admission_control::RejectionReason;
 use cedarpulley_router::observer::{Names, RouterObserver, SentAnswer, UsageSource, WorkerUsage};
@@ -48,7 +48,13 @@
 
 impl CoreObserver {
     /// Reports a change of the recorded copies, if the worker and the function are known.
-    fn change(&self, now: Micros, worker: Option<&str>, function: Option<&str>, change: Change) {
+    fn change(
+        &self,
+        now: Micros,
+        worker: Option<&str>,
+        function: Option<&str>,
+        change: CopyChange,
+    ) {
         if let (Some(worker), Some(function)) = (worker, function) {
             self.reconciliation
                 .recorded_copies_changed(now, worker, function, change);
@@ -77,7 +83,7 @@
             Event::DispatchEnded(end) => {
                 let OpenInvocation { function, copy_mb } = self.invocation(end.invocation);
                 let (present, was_present) = copy_evidence(end.outcome, end.copy_status);
-                let ended = Change::DispatchEnded {
+                let ended = CopyChange::DispatchEnded {
                     present,
                     was_present,
                     copy_mb,
@@ -100,7 +106,7 @@
                     | LoadOrderResult::Unreachable
                     | LoadOrderResult::TimedOut => None,
                 };
-                let ended = Change::LoadOrderEnded {
+                let ended = CopyChange::LoadOrderEnded {
                     present,
                     copies: (*copies > 0).then_some(*copies),
                 };
@@ -119,12 +125,12 @@
             } => (
                 *worker,
                 self.invocation(*invocation).function,
-                Change::Dispatched,
+                CopyChange::Dispatched,
             ),
             Action::LoadOrder {
                 worker, function, ..
-            } => (*worker, *function, Change::LoadOrdered),
-            Action::Unload { worker, function } => (*worker, *function, Change::Unloaded),
+            } => (*worker, *function, CopyChange::LoadOrdered),
+            Action::Unload { worker, function } => (*worker, *function, CopyChange::Unloaded),
             _ => return,
         };
         self.change(now, names.worker(worker), names.function(function), change);
@@ -161,7 +167,7 @@
         if let (Some(id), UsageSource::Dispatch(DispatchOutcome::Succeeded, _)) =
             (used.session, used.source)
         {
-            let change = Change::SessionUsed {
+            let change = CopyChange::SessionUsed {
                 id: Arc::from(id),
                 is_last: used.ends_session,
             };
--- a/crates/gateway/src/wiring.rs
+++ b/crates/gateway/src/wiring.rs
@@ -266,7 +266,7 @@
 
 fn connect_upgrades(reconciliation: &Rc<Reconciliation>, upgrades: &Rc<Upgrades>) {
     let source = reconciliation.clone();
-    upgrades.set_holdings_source(Box::new(move || source.observed(to_observed_worker)));
+    upgrades.set_holdings_source(Box::new(move || source.last_reports(to_observed_worker)));
     let claiming_plans = upgrades.clone();
     reconciliation.set_claims_provider(Box::new(move |functions| {
         claims(&claiming_plans, functions)
--- a/crates/reconcile/src/copy_record.rs
+++ b/crates/reconcile/src/copy_record.rs
@@ -1,6 +1,6 @@
 //! The record that this router keeps of one function at one worker: whether copies are warm, and what is loading. It
-//! applies [`Change`]s in the order in which they happened, as the balancer does. A report may correct the record only
-//! if the record [`CopyRecord::is_older_than`] the report.
+//! applies [`CopyChange`]s in the order in which they happened, as the balancer does. A report may correct the record
+//! only if the record [`CopyRecord::is_older_than`] the report.
 //!
 //! Mechanisms:
 //! 1. Every change has a time: an observation that began before a change says nothing about it.
@@ -20,7 +20,7 @@
 
 /// An event that changes what this router knows of a function at a worker.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum CopyChange {
     /// A load order was sent.
     LoadOrdered,
     /// A load order ended.
@@ -112,24 +112,24 @@
 impl CopyRecord {
     /// Applies a change. Returns true if the change refutes the last report of the worker. `lifetime`: how long copies
     /// are recorded as warm after a use, in microseconds.
-    pub fn apply(&mut self, now: Micros, lifetime: Micros, change: Change) -> bool {
+    pub fn apply(&mut self, now: Micros, lifetime: Micros, change: CopyChange) -> bool {
         match change {
-            Change::LoadOrdered => {
+            CopyChange::LoadOrdered => {
                 self.orders_in_flight = self.orders_in_flight.saturating_add(1);
                 (self.load_seen_at, self.changed_at) = (now, now);
             }
-            Change::LoadOrderEnded { present, copies } => {
+            CopyChange::LoadOrderEnded { present, copies } => {
                 self.orders_in_flight = self.orders_in_flight.saturating_sub(1);
                 self.ordered_unused = present == Some(true);
                 self.set(now, lifetime, present, copies);
             }
-            Change::Dispatched => {
+            CopyChange::Dispatched => {
                 if !self.is_warm(now) {
                     (self.cold_start, self.load_seen_at) = (true, now);
                 }
                 self.dispatches_in_flight = self.dispatches_in_flight.saturating_add(1);
             }
-            Change::DispatchEnded {
+            CopyChange::DispatchEnded {
                 present,
                 was_present,
                 copy_mb,
@@ -138,9 +138,9 @@
                 self.on_dispatch_ended(now, lifetime, present, copy_mb);
                 return refuted;
             }
-            Change::SessionUsed { id, is_last } => self.on_session_used(now, id, is_last),
-            Change::Unloaded => self.set(now, lifetime, Some(false), None),
-            Change::Corrupted { copies } => self.set_copies(now, lifetime, copies),
+            CopyChange::SessionUsed { id, is_last } => self.on_session_used(now, id, is_last),
+            CopyChange::Unloaded => self.set(now, lifetime, Some(false), None),
+            CopyChange::Corrupted { copies } => self.set_copies(now, lifetime, copies),
         }
         false
     }
--- a/crates/reconcile/src/lib.rs
+++ b/crates/reconcile/src/lib.rs
@@ -20,7 +20,7 @@
 mod reconciler;
 mod repair;
 
-pub use copy_record::Change;
+pub use copy_record::CopyChange;
 pub use drift::{Drift, DriftCause, DriftKind};
 pub use observation::{FunctionReport, Observation};
 pub use reconciler::{
--- a/crates/reconcile/src/reconciler.rs
+++ b/crates/reconcile/src/reconciler.rs
@@ -27,7 +27,7 @@
 use self::schedule::PollSchedule;
 use self::trust::{ReportOrigin, ReportSource};
 use self::worker_table::WorkerTable;
-use crate::copy_record::{Change, CopyRecord};
+use crate::copy_record::{CopyChange, CopyRecord};
 use crate::observation::Observation;
 use crate::polling::{PollResult, SeededRandom};
 use crate::repair::{Repair, RepairAction, RepairQueue};
@@ -82,16 +82,16 @@
         match input {
             Input::Workers(listed) => self.on_workers(&listed),
             Input::Members(members) => self.on_members(members),
-            Input::BeliefChanged {
+            Input::RecordChanged {
                 worker,
                 function,
                 change,
             } => return self.on_record_change(worker, function, change),
             Input::Reported {
                 worker,
-                began,
+                observation_began,
                 observation,
-            } => self.on_reported(worker, began, &observation, out),
+            } => self.on_reported(worker, observation_began, &observation, out),
             Input::Unresponsive { worker } => self.on_unresponsive(worker, out),
             Input::NoteReceived {
                 id,
@@ -151,9 +151,9 @@
         }
     }
 
-    fn on_record_change(&mut self, worker: &str, function: &str, change: Change) {
+    fn on_record_change(&mut self, worker: &str, function: &str, change: CopyChange) {
         if let Some((_, state, budget)) = self.workers.get_mut(worker) {
-            let (now, lifetime) = (self.now, self.settings.belief_lifetime);
+            let (now, lifetime) = (self.now, self.settings.record_lifetime);
             state.apply_change(now, lifetime, function, change, budget, &mut self.counts);
         }
     }
@@ -317,7 +317,7 @@
                     // If the order is lost, the copy is found again and unloaded after another grace period.
                     state.clear_unclaimed(&function);
                     if let Some(record) = state.record_mut(&function) {
-                        record.apply(now, self.settings.belief_lifetime, Change::Unloaded);
+                        record.apply(now, self.settings.record_lifetime, CopyChange::Unloaded);
                     }
                 }
                 out.push(Output::Unload {
@@ -330,7 +330,7 @@
     }
 
     /// The last accepted report of each worker, and when its observation began.
-    pub fn observed(&self) -> impl Iterator<Item = (&Arc<str>, Micros, &Observation)> {
+    pub fn last_reports(&self) -> impl Iterator<Item = (&Arc<str>, Micros, &Observation)> {
         self.workers.iter().filter_map(|(worker, state)| {
             let (began, observation) = state.observed()?;
             Some((worker, began, observation))
@@ -376,7 +376,7 @@
     /// the copies for at most twice the lifetime of a record after their last use (`MAX_RECORD_LIFETIMES` in
     /// `comparison`).
     pub fn used_recently(&self, now: Micros, worker: &str, function: &str) -> bool {
-        let lifetime = self.settings.belief_lifetime;
+        let lifetime = self.settings.record_lifetime;
         self.record(worker, function)
             .is_some_and(|record| record.is_warm(now) && record.used_within(now, lifetime))
     }
--- a/crates/reconcile/src/reconciler/comparison.rs
+++ b/crates/reconcile/src/reconciler/comparison.rs
@@ -105,7 +105,7 @@
                 entries.get(&**function).is_some_and(|e| e.copies > 0)
             });
         }
-        let lifetime = self.context.settings.belief_lifetime;
+        let lifetime = self.context.settings.record_lifetime;
         self.state
             .remove_idle_records(self.context.now, lifetime, self.context.budget);
         self.state.on_compared(consistency.contradictions == 0);
@@ -176,7 +176,7 @@
 
     /// Corrects the record of a missing function, and queues a load if the function is under load.
     fn correct_missing(&mut self, function: &Arc<str>, all_missing: bool) {
-        let (now, lifetime) = (self.context.now, self.context.settings.belief_lifetime);
+        let (now, lifetime) = (self.context.now, self.context.settings.record_lifetime);
         let Some(record) = self.state.record_mut(function) else {
             return;
         };
@@ -254,7 +254,7 @@
 
     /// How a reported entry that has copies compares with the record of its function.
     fn present_outcome(&self, entry: &FunctionReport, is_unclaimed: bool) -> PresentOutcome {
-        let (now, lifetime) = (self.context.now, self.context.settings.belief_lifetime);
+        let (now, lifetime) = (self.context.now, self.context.settings.record_lifetime);
         let longest = longest_interval(self.context.settings.poll_interval);
         let Some(record) = self.state.record(&entry.function) else {
             return PresentOutcome::Ignored;
@@ -292,7 +292,7 @@
 
     /// Sets the record, also in the balancer, to the reported number of copies.
     fn correct_present(&mut self, entry: &FunctionReport) {
-        let (now, lifetime) = (self.context.now, self.context.settings.belief_lifetime);
+        let (now, lifetime) = (self.context.now, self.context.settings.record_lifetime);
         if let Some(record) = self.state.record_mut(&entry.function) {
             record.correct(now, self.began, lifetime, entry.copies);
         }
@@ -332,7 +332,7 @@
         // A use by any router is a claim: a copy is not unloaded while some router may still record it as warm.
         let idle_for = settings.grace_period.max(
             settings
-                .belief_lifetime
+                .record_lifetime
                 .saturating_mul(MAX_RECORD_LIFETIMES),
         );
         let used = self
--- a/crates/reconcile/src/reconciler/event.rs
+++ b/crates/reconcile/src/reconciler/event.rs
@@ -5,7 +5,7 @@
 use cedarpulley::interface::Micros;
 
 use super::ownership::Claims;
-use crate::copy_record::Change;
+use crate::copy_record::CopyChange;
 use crate::drift::Drift;
 use crate::observation::Observation;
 
@@ -19,7 +19,7 @@
     /// Shortest time for which an unclaimed copy is left loaded.
     pub grace_period: Micros,
     /// How long after its last use the balancer expects a copy to be warm.
-    pub belief_lifetime: Micros,
+    pub record_lifetime: Micros,
     /// Polls per second, over all workers.
     pub polls_per_s: f64,
     /// Repairs per second, over all workers.
@@ -48,20 +48,20 @@
     Members(Vec<Arc<str>>),
     /// What the orders and dispatches of this router show about a function. It produces no output by itself; repairs
     /// and polls that follow from it are put out at the next input.
-    BeliefChanged {
+    RecordChanged {
         /// The worker.
         worker: &'a str,
         /// The function.
         function: &'a str,
         /// The change of the record.
-        change: Change,
+        change: CopyChange,
     },
     /// A worker's answer to a poll.
     Reported {
         /// The worker.
         worker: &'a str,
         /// When the poll was sent.
-        began: Micros,
+        observation_began: Micros,
         /// The reported observation.
         observation: Observation,
     },
--- a/crates/reconcile/src/reconciler/worker_state.rs
+++ b/crates/reconcile/src/reconciler/worker_state.rs
@@ -9,7 +9,7 @@
 use super::trust::{Doubt, Incarnations, ReportOrigin, ReportSource};
 use super::worker_table::RecordBudget;
 use super::{Counts, PolledWorker};
-use crate::copy_record::{Change, CopyRecord};
+use crate::copy_record::{CopyChange, CopyRecord};
 use crate::drift::{DRIFT_KINDS, DriftKind};
 use crate::observation::Observation;
 
@@ -124,7 +124,7 @@
         now: Micros,
         lifetime: Micros,
         function: &str,
-        change: Change,
+        change: CopyChange,
         budget: &mut RecordBudget,
         counts: &mut Counts,
     ) {
--- a/crates/reconcile/tests/drift_kinds.rs
+++ b/crates/reconcile/tests/drift_kinds.rs
@@ -30,7 +30,7 @@
             router_name: arc("r0"),
             poll_interval,
             grace_period,
-            belief_lifetime: RECORD_LIFETIME,
+            record_lifetime: RECORD_LIFETIME,
             polls_per_s: 50.0,
             repairs_per_s: 10.0,
             seed: 3,
@@ -64,8 +64,8 @@
         self.now = until;
     }
 
-    fn change_record(&mut self, function: &str, change: Change) {
-        self.handle(Input::BeliefChanged {
+    fn change_record(&mut self, function: &str, change: CopyChange) {
+        self.handle(Input::RecordChanged {
             worker: "w",
             function,
             change,
@@ -74,10 +74,10 @@
 
     /// A load order for the function succeeds; then a second passes.
     fn complete_load_order(&mut self, function: &str) {
-        self.change_record(function, Change::LoadOrdered);
+        self.change_record(function, CopyChange::LoadOrdered);
         self.change_record(
             function,
-            Change::LoadOrderEnded {
+            CopyChange::LoadOrderEnded {
                 present: Some(true),
                 copies: Some(1),
             },
@@ -92,10 +92,10 @@
 
     /// An invocation runs; then a second passes.
     fn run(&mut self, function: &str, was_present: bool) {
-        self.change_record(function, Change::Dispatched);
+        self.change_record(function, CopyChange::Dispatched);
         self.change_record(
             function,
-            Change::DispatchEnded {
+            CopyChange::DispatchEnded {
                 present: Some(true),
                 was_present,
                 copy_mb: 10.0,
@@ -119,7 +119,7 @@
         };
         self.handle(Input::Reported {
             worker: "w",
-            began,
+            observation_began: began,
             observation,
         });
         self.out
@@ -298,7 +298,7 @@
     for (id, is_last) in [("s1", false), ("s2", false), ("s3", false), ("s3", true)] {
         router.change_record(
             "a",
-            Change::SessionUsed {
+            CopyChange::SessionUsed {
                 id: arc(id),
                 is_last,
             },
@@ -332,7 +332,7 @@
     router.advance(SECOND);
     router.change_record(
         "a",
-        Change::SessionUsed {
+        CopyChange::SessionUsed {
             id: arc("s4"),
             is_last: false,
         },
@@ -424,10 +424,10 @@
     router.run_on_warm_copy("a");
     router.run_on_warm_copy("b");
     router.run_on_warm_copy("c");
-    router.change_record("a", Change::LoadOrdered);
+    router.change_record("a", CopyChange::LoadOrdered);
     router.advance(SECOND);
     // A function whose load has not ended is not recorded as warm even if another copy is loaded.
-    router.change_record("d", Change::LoadOrdered);
+    router.change_record("d", CopyChange::LoadOrdered);
     router.advance(SECOND);
     let loading = FunctionReport {
         loading: true,
@@ -453,12 +453,12 @@
     );
     assert_eq!(router.reconciler.counts.left_under_load, 4);
     // A queued load of a function that has started to load in the meantime is dropped.
-    router.change_record("c", Change::Dispatched);
+    router.change_record("c", CopyChange::Dispatched);
     router.advance(5 * SECOND);
     assert_eq!(router.reconciler.counts.wanted, 0);
     router.change_record(
         "c",
-        Change::DispatchEnded {
+        CopyChange::DispatchEnded {
             present: None,
             was_present: false,
             copy_mb: 0.0,
@@ -466,7 +466,7 @@
     );
     router.change_record(
         "a",
-        Change::LoadOrderEnded {
+        CopyChange::LoadOrderEnded {
             present: Some(true),
             copies: Some(1),
         },
@@ -689,7 +689,7 @@
             router_name: m.clone(),
             poll_interval: 2 * SECOND,
             grace_period: 0,
-            belief_lifetime: 1,
+            record_lifetime: 1,
             polls_per_s: 50.0,
             repairs_per_s: 10.0,
             seed: 3,
@@ -787,10 +787,10 @@
     for n in 0..40 {
         let function = format!("f{n}");
         for _ in 0..=n % 8 {
-            router.change_record(&function, Change::Dispatched);
+            router.change_record(&function, CopyChange::Dispatched);
             router.change_record(
                 &function,
-                Change::DispatchEnded {
+                CopyChange::DispatchEnded {
                     present: Some(true),
                     was_present: true,
                     copy_mb: 1.0,
@@ -851,7 +851,7 @@
             router_name: me.clone(),
             poll_interval: 2 * SECOND,
             grace_period: SECOND,
-            belief_lifetime: SECOND,
+            record_lifetime: SECOND,
             polls_per_s: 5.0,
             repairs_per_s: 1.0,
             seed: 1,
--- a/crates/reconcile/tests/simulation/mod.rs
+++ b/crates/reconcile/tests/simulation/mod.rs
@@ -186,7 +186,7 @@
                 router_name: members[r].clone(),
                 poll_interval: POLL_INTERVAL,
                 grace_period: GRACE_PERIOD,
-                belief_lifetime: RECORD_LIFETIME,
+                record_lifetime: RECORD_LIFETIME,
                 polls_per_s,
                 repairs_per_s: 20.0,
                 seed: seed + r as u64,
@@ -272,7 +272,7 @@
     /// Router `r` orders a load.
     pub fn order_load(&mut self, r: usize, w: usize, f: &str) {
         if self.cores[r].alive {
-            self.change_record(r, w, f, Change::LoadOrdered);
+            self.change_record(r, w, f, CopyChange::LoadOrdered);
             *self.cores[r]
                 .in_progress
                 .entry((w, f.to_owned()))
@@ -292,7 +292,7 @@
     /// Router `r` dispatches an invocation.
     pub fn dispatch(&mut self, r: usize, w: usize, f: &str) {
         if self.cores[r].alive {
-            self.change_record(r, w, f, Change::Dispatched);
+            self.change_record(r, w, f, CopyChange::Dispatched);
             *self.cores[r]
                 .in_progress
                 .entry((w, f.to_owned()))
@@ -322,10 +322,10 @@
     }
 
     /// Passes a change of a record to the reconciler of router `r`.
-    fn change_record(&mut self, r: usize, w: usize, f: &str, change: Change) {
+    fn change_record(&mut self, r: usize, w: usize, f: &str, change: CopyChange) {
         self.handle(
             r,
-            Input::BeliefChanged {
+            Input::RecordChanged {
                 worker: &worker_name(w),
                 function: f,
                 change,
@@ -503,7 +503,7 @@
         };
         let last_report_began = |simulation: &Simulation| {
             simulation.routers[r]
-                .observed()
+                .last_reports()
                 .find(|o| **o.0 == *worker_name(w))
                 .map(|o| o.1)
                 .unwrap_or(Micros::MIN)
@@ -639,7 +639,7 @@
                         router,
                         Input::Reported {
                             worker: &worker_name(w),
-                            began,
+                            observation_began: began,
                             observation,
                         },
                     );
@@ -795,11 +795,11 @@
             None
         };
         let change = match is_order {
-            true => Change::LoadOrderEnded {
+            true => CopyChange::LoadOrderEnded {
                 present: is_loaded,
                 copies: None,
             },
-            false => Change::DispatchEnded {
+            false => CopyChange::DispatchEnded {
                 present: is_loaded,
                 was_present,
                 copy_mb: 10.0,
