--- a/crates/emulators/tests/worker.rs
+++ b/crates/emulators/tests/worker.rs
@@ -255,7 +255,7 @@
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario or table of cases in order"
 )]
 fn injected_faults_make_loaded_functions_and_index_differ_from_orders() {
     let setup = setup(4.0);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,6 +1,6 @@
 //! One router as a process: sockets, timers, signals and configuration around the router core in
-//! `cedarpulley-router`. This package makes no routing decisions: it hands every event to the core and carries
-//! out the core's outputs in order.
+//! `cedarpulley-router`. This package makes no routing decisions: it passes every event to the core and executes
+//! the core's outputs in order.
 //!
 //! Start reading at [`serve`], with `resources` (the files, sockets and state a router needs), `wiring` (builds and
 //! connects the components), `gateway` (the running router), `outputs` and `shutdown`; only these modules depend on all
--- a/crates/gateway/src/metering.rs
+++ b/crates/gateway/src/metering.rs
@@ -51,7 +51,7 @@
     results: SyncSender<Result<(), (UsageDelta, String)>>,
 ) {
     // Used only for its limit on renaming unreadable ledgers.
-    let (mut ledger, mut set_aside_limit) = (None, WriteSchedule::default());
+    let (mut ledger, mut rename_limit) = (None, WriteSchedule::default());
     for delta in deltas {
         let opened = match ledger.take() {
             Some(open) => Ok(open),
@@ -65,7 +65,7 @@
         });
         let result = added.map(|_| ()).map_err(|failed| {
             if let StoreError::Unreadable(_) = &failed
-                && set_aside_limit.may_set_aside()
+                && rename_limit.may_rename_ledger()
             {
                 let other = file.with_extension(format!("unreadable-{:032x}", source));
                 if std::fs::rename(&file, &other).is_ok() {
--- a/crates/gateway/src/reconciliation_observer.rs
+++ b/crates/gateway/src/reconciliation_observer.rs
@@ -38,7 +38,7 @@
 
 impl Reconciliation {
     /// Creates an observer, which the caller registers with the router core.
-    pub fn watch(self: &Rc<Self>) -> Box<dyn RouterObserver> {
+    pub fn observer(self: &Rc<Self>) -> Box<dyn RouterObserver> {
         Box::new(CoreObserver {
             reconciliation: self.clone(),
             open: Vec::new(),
--- a/crates/gateway/src/storage_settings.rs
+++ b/crates/gateway/src/storage_settings.rs
@@ -11,18 +11,18 @@
 /// Reads `[trace]`; absent if no trace is recorded. Relative paths start at `folder`.
 pub(crate) fn trace(section: &Section, folder: &Path) -> Option<TraceSettings> {
     let trace = section.is_present().then(|| {
-        let bounds = RetentionLimits {
+        let retention = RetentionLimits {
             file_bytes: section.integer("file_mb", 1..1 << 16, Some(64)) << 20,
             file_age: section.millis_as_micros("file_minutes", 1..DAY_MS / 60_000 + 1, Some(60))
                 * 60_000,
             budget_bytes: section.integer("budget_mb", 2..1 << 24, Some(1024)) << 20,
         };
-        if bounds.budget_bytes < bounds.file_bytes * 2 {
+        if retention.budget_bytes < retention.file_bytes * 2 {
             section.error("budget_mb", "is below twice file_mb");
         }
         TraceSettings {
             folder: folder.join(section.string("folder", None)),
-            bounds,
+            retention,
         }
     });
     section.check_unknown_keys();
--- a/crates/gateway/src/trace_recorder.rs
+++ b/crates/gateway/src/trace_recorder.rs
@@ -37,7 +37,7 @@
     /// Folder of the trace files.
     pub folder: PathBuf,
     /// Limits on the retained files.
-    pub bounds: RetentionLimits,
+    pub retention: RetentionLimits,
 }
 
 struct RecorderState {
@@ -85,7 +85,7 @@
         let log_failure = |why: &str| tracing::error!(why, "the trace cannot be written");
         let writer = std::thread::Builder::new()
             .name("trace".into())
-            .spawn(move || run_writer(series, start, settings.bounds, received, log_failure))?;
+            .spawn(move || run_writer(series, start, settings.retention, received, log_failure))?;
         Ok(TraceRecorder(Rc::new(RefCell::new(RecorderState {
             block: BlockBuilder::default(),
             messages,
--- a/crates/gateway/src/wiring.rs
+++ b/crates/gateway/src/wiring.rs
@@ -104,10 +104,10 @@
             .clone()
             .zip(resources.upgrade)
             .map(|(shared, settings)| Upgrades::new(context.clone(), shared, settings));
-        let admission = resources.sessions.map(|terms| {
+        let admission = resources.sessions.map(|session_settings| {
             let (shared, upgrades) = (shared.clone(), upgrades.clone());
             let core = core_input_after_admission(gateway.clone());
-            Admission::new(context.clone(), terms, shared, upgrades, core)
+            Admission::new(context.clone(), session_settings, shared, upgrades, core)
         });
         let reconciliation = resources.reconcile.map(|settings| {
             Reconciliation::new(
@@ -246,7 +246,7 @@
         router.borrow_mut().add_observer(admission.observer());
     }
     if let Some(reconciliation) = reconciliation {
-        router.borrow_mut().add_observer(reconciliation.watch());
+        router.borrow_mut().add_observer(reconciliation.observer());
         if let Some(shared) = shared {
             let source = reconciliation.clone();
             shared.add_state_provider("reconcile", move || source.state());
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -54,7 +54,7 @@
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario or table of cases in order"
 )]
 fn recently_used_copy_is_reported_to_the_core_before_each_invocation() {
     let core_inputs: Rc<RefCell<Vec<Input>>> = Rc::default();
--- a/crates/kserve/tests/codec.rs
+++ b/crates/kserve/tests/codec.rs
@@ -17,7 +17,7 @@
 /// Random typed contents with their data type.
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario or table of cases in order"
 )]
 fn typed_contents() -> impl Strategy<Value = (&'static str, InferTensorContents)> {
     let empty = InferTensorContents::default;
@@ -195,7 +195,7 @@
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario or table of cases in order"
 )]
 fn an_inconvertible_tensor_is_an_error_that_names_it() {
     let request_error = |datatype: &str, contents: InferTensorContents| {
--- a/crates/platform/tests/worker_protocol.rs
+++ b/crates/platform/tests/worker_protocol.rs
@@ -94,7 +94,7 @@
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario or table of cases in order"
 )]
 fn exchange_ends_map_to_outcomes() {
     use ExchangeEnd::*;
--- a/crates/reconcile/tests/drift_kinds.rs
+++ b/crates/reconcile/tests/drift_kinds.rs
@@ -582,7 +582,7 @@
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario or table of cases in order"
 )]
 fn an_unclaimed_copy_is_unloaded_after_the_grace_period() {
     let claims = Claims {
--- a/crates/reconcile/tests/simulation/mod.rs
+++ b/crates/reconcile/tests/simulation/mod.rs
@@ -346,7 +346,7 @@
     /// Executes an output of the reconciler of router `r`, and checks the rules about repairs.
     #[allow(
         clippy::too_many_lines,
-        reason = "one scenario or table of cases, told in order"
+        reason = "one scenario or table of cases in order"
     )]
     fn execute(&mut self, r: usize, output: Output) {
         let index_of = |worker: &str| {
@@ -483,7 +483,7 @@
     /// corrected: at once, or after the second successive report if the worker is doubted.
     #[allow(
         clippy::too_many_lines,
-        reason = "one scenario or table of cases, told in order"
+        reason = "one scenario or table of cases in order"
     )]
     fn check_report(
         &mut self,
--- a/crates/replica/src/ownership/claim_table/tests.rs
+++ b/crates/replica/src/ownership/claim_table/tests.rs
@@ -13,7 +13,7 @@
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario or table of cases in order"
 )]
 fn next_due_time_is_the_earliest_of_all_claims() {
     let member = |n: usize| Member {
--- a/crates/upgrade/tests/sessions.rs
+++ b/crates/upgrade/tests/sessions.rs
@@ -452,7 +452,7 @@
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one scenario or table of cases, told in order"
+    reason = "one scenario or table of cases in order"
 )]
 fn the_worker_that_answered_last_is_preferred_until_it_is_lost() {
     let preferred_worker = |s: &mut Sessions, published_placement| {
--- a/crates/upgrade/tests/simulation/mod.rs
+++ b/crates/upgrade/tests/simulation/mod.rs
@@ -340,7 +340,7 @@
     /// `copies_per_worker` copies fit.
     #[allow(
         clippy::too_many_lines,
-        reason = "one scenario or table of cases, told in order"
+        reason = "one scenario or table of cases in order"
     )]
     pub fn new(seed: u64, policy: Policy, workers: usize, copies_per_worker: u32) -> Simulation {
         let region = |n: usize| Name::from(if n.is_multiple_of(2) { "a" } else { "b" });
--- a/crates/upgrade/tests/simulation/network.rs
+++ b/crates/upgrade/tests/simulation/network.rs
@@ -41,7 +41,7 @@
     /// Delivers the events that are due.
     #[expect(
         clippy::too_many_lines,
-        reason = "one scenario or table of cases, told in order"
+        reason = "one scenario or table of cases in order"
     )]
     pub(super) fn deliver_events(&mut self) {
         while let Some(entry) = self.events.first_entry().filter(|e| e.key().0 <= self.now) {
--- a/crates/upgrade/tests/simulation/traffic.rs
+++ b/crates/upgrade/tests/simulation/traffic.rs
@@ -60,7 +60,7 @@
     /// An invocation arrives at a random router of the region, which binds its session and routes it to a version.
     #[expect(
         clippy::too_many_lines,
-        reason = "one scenario or table of cases, told in order"
+        reason = "one scenario or table of cases in order"
     )]
     pub(super) fn invoke(&mut self, region: Name, session: Option<u64>) {
         let routers: Vec<usize> = (0..self.members.len())
@@ -135,7 +135,7 @@
     /// Dispatches the waiting invocations for which a worker has a free lane.
     #[expect(
         clippy::too_many_lines,
-        reason = "one scenario or table of cases, told in order"
+        reason = "one scenario or table of cases in order"
     )]
     pub(super) fn dispatch(&mut self) {
         for invocation in std::mem::take(&mut self.waiting) {
--- a/crates/upgrade/tests/simulation/workers.rs
+++ b/crates/upgrade/tests/simulation/workers.rs
@@ -7,7 +7,7 @@
     /// or that takes lanes below the floor, is a violation.
     #[expect(
         clippy::too_many_lines,
-        reason = "one scenario or table of cases, told in order"
+        reason = "one scenario or table of cases in order"
     )]
     pub(super) fn receive_request(&mut self, request: &CopyRequest) {
         let CopyRequest {
--- a/crates/usage-store/src/write_schedule.rs
+++ b/crates/usage-store/src/write_schedule.rs
@@ -49,7 +49,7 @@
     }
 
     /// Whether a ledger that cannot be read may be renamed now. Returns true only for the first call.
-    pub fn may_set_aside(&mut self) -> bool {
+    pub fn may_rename_ledger(&mut self) -> bool {
         !std::mem::replace(&mut self.ledger_renamed, true)
     }
 }
--- a/crates/usage-store/tests/crash_safety.rs
+++ b/crates/usage-store/tests/crash_safety.rs
@@ -206,8 +206,8 @@
     assert_eq!(
         (
             schedule.failures,
-            schedule.may_set_aside(),
-            schedule.may_set_aside()
+            schedule.may_rename_ledger(),
+            schedule.may_rename_ledger()
         ),
         (4, true, false)
     );
