--- a/crates/usage-metering/src/meter.rs
+++ b/crates/usage-metering/src/meter.rs
@@ -57,7 +57,7 @@
     /// The state of the copy that served it, as the response states it.
     pub copy_status: CopyStatus,
     /// Time from sending to its end, in microseconds.
-    pub took: Micros,
+    pub duration: Micros,
     /// Size of a copy in bytes, as the client states it.
     pub copy_bytes: u64,
     /// Number of invocations that one copy runs at a time.
@@ -78,7 +78,7 @@
     /// Name of the function.
     pub function: &'a str,
     /// Time from sending to its end, in microseconds.
-    pub took: Micros,
+    pub duration: Micros,
     /// Size of a copy in bytes, as the client states it.
     pub copy_bytes: u64,
     /// Whether no load was started, because the worker was unreachable or had no capacity.
@@ -193,7 +193,11 @@
             }
             None => {
                 let bytes = dispatch.copy_bytes / u64::from(dispatch.lanes.max(1));
-                self.record_uncertain(hour, worker_key, byte_microseconds(bytes, dispatch.took));
+                self.record_uncertain(
+                    hour,
+                    worker_key,
+                    byte_microseconds(bytes, dispatch.duration),
+                );
             }
         }
     }
@@ -206,7 +210,7 @@
             Some(totals) => self.record_totals(hour, &worker_key, totals),
             None if load.not_started => {}
             None => {
-                let byte_us = byte_microseconds(load.copy_bytes, load.took);
+                let byte_us = byte_microseconds(load.copy_bytes, load.duration);
                 self.record_uncertain(hour, worker_key, byte_us);
             }
         }
