--- a/crates/amqp/src/trigger.rs
+++ b/crates/amqp/src/trigger.rs
@@ -72,9 +72,9 @@
     /// Number of invocations that one copy runs at a time; at least 1.
     pub lanes: u32,
     /// Whether the client marked the message as its own retry.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// Length of the first part of the body in bytes, if the body has two parts.
-    pub first_part: Option<u32>,
+    pub first_part_length: Option<u32>,
     /// Id of the session, whether the message is its first, and whether it is its last.
     pub session: Option<(String, bool, bool)>,
 }
@@ -205,10 +205,10 @@
         load_hint_us: headers.number(LOAD_HINT_US, MAX_DURATION_US)?,
         copy_mb,
         lanes: headers.number(LANES, MAX_LANES)?.unwrap_or(1).max(1) as u32,
-        first_part: headers
+        first_part_length: headers
             .number(FIRST_PART, message.body.len() as i64)?
             .map(|length| length as u32),
-        repeat: headers.flag(CLIENT_RETRY),
+        client_retry: headers.flag(CLIENT_RETRY),
         session: headers.session()?,
     })
 }
@@ -272,7 +272,7 @@
     reason: &str,
     field: Option<&str>,
     retry_after_us: Option<i64>,
-    first_part: Option<u32>,
+    first_part_length: Option<u32>,
 ) -> AMQPProperties {
     let mut headers = FieldTable::default();
     let mut put = |name: &str, value: &str| {
@@ -292,7 +292,7 @@
             AMQPValue::LongLongInt(us),
         );
     }
-    if let Some(n) = first_part {
+    if let Some(n) = first_part_length {
         headers.insert(
             ShortString::from(FIRST_PART),
             AMQPValue::LongLongInt(i64::from(n)),
--- a/crates/gateway/src/amqp_messages.rs
+++ b/crates/gateway/src/amqp_messages.rs
@@ -40,7 +40,7 @@
         name: identity.clone(),
         identity,
         redelivered: message.redelivered,
-        client_retry: invocation.repeat,
+        client_retry: invocation.client_retry,
         trigger,
         account,
         function: Arc::from(invocation.function),
@@ -61,7 +61,7 @@
         predetermined_answer: None,
         body: Payload {
             bytes: Bytes::new(),
-            first_part_length: invocation.first_part,
+            first_part_length: invocation.first_part_length,
         },
     })
 }
--- a/crates/gateway/src/grpc.rs
+++ b/crates/gateway/src/grpc.rs
@@ -181,7 +181,7 @@
         *reply.status_mut() = StatusCode::UNSUPPORTED_MEDIA_TYPE;
         return reply;
     }
-    let method = match grpc::method(request.uri().path()) {
+    let method = match grpc::parse_method(request.uri().path()) {
         Some(Method::ModelInfer) => return infer(handler, client, request).await,
         Some(method) => method,
         None => return error_response(Code::Unimplemented, "no such method"),
--- a/crates/gateway/src/request_parsing.rs
+++ b/crates/gateway/src/request_parsing.rs
@@ -103,7 +103,7 @@
             .and_then(|value| value.to_str().ok())
             .map(Arc::from),
         redelivered: false,
-        client_retry: metadata.repeat,
+        client_retry: metadata.client_retry,
         trigger,
         account,
         function: Arc::from(function),
--- a/crates/kserve/src/client_requests.rs
+++ b/crates/kserve/src/client_requests.rs
@@ -149,7 +149,7 @@
     /// Number of invocations that one copy runs at a time; at least 1.
     pub lanes: u32,
     /// Whether the client marked the request as its own retry.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// Length of the JSON in bytes if raw tensors follow it in the body.
     pub json_length: Option<u32>,
 }
@@ -194,7 +194,7 @@
         load_hint: number(LOAD_HINT_US, MAX_DURATION_US)?,
         copy_mb: number(COPY_MB, MAX_COPY_MB)?.unwrap_or(0) as f64,
         lanes: number(LANES, MAX_LANES)?.unwrap_or(1).max(1) as u32,
-        repeat: text(CLIENT_RETRY)?.as_deref() == Some("true"),
+        client_retry: text(CLIENT_RETRY)?.as_deref() == Some("true"),
         json_length: number(JSON_LENGTH, i64::from(u32::MAX))?.map(|length| length as u32),
     })
 }
--- a/crates/kserve/src/grpc.rs
+++ b/crates/kserve/src/grpc.rs
@@ -75,7 +75,7 @@
 }
 
 /// Returns the method that a call's path names, or `None` if this server does not offer it.
-pub fn method(path: &str) -> Option<Method> {
+pub fn parse_method(path: &str) -> Option<Method> {
     match path.strip_prefix("/inference.GRPCInferenceService/")? {
         "ServerLive" => Some(Method::ServerLive),
         "ServerReady" => Some(Method::ServerReady),
