--- a/crates/replica/src/events.rs
+++ b/crates/replica/src/events.rs
@@ -14,7 +14,7 @@
 /// An event that a replica handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// This router took an invocation. [`Output::Decision`] is the answer.
+    /// This router has accepted an invocation. [`Output::Decision`] is the answer.
     Announce {
         /// The invocation's key.
         key: Key,
@@ -146,7 +146,7 @@
         /// The message.
         message: Message,
     },
-    /// The decision on an invocation that this router took.
+    /// The decision on an invocation that this router announced.
     Decision {
         /// The invocation's key.
         key: Key,
--- a/crates/replica/src/ownership/mod.rs
+++ b/crates/replica/src/ownership/mod.rs
@@ -70,7 +70,7 @@
 }
 
 impl Ownership {
-    /// This router has taken an invocation.
+    /// This router has accepted an invocation.
     pub(crate) fn announce(
         &mut self,
         cx: &mut Context<'_>,
