--- a/crates/gateway/src/reconciliation.rs
+++ b/crates/gateway/src/reconciliation.rs
@@ -2,7 +2,8 @@
 //! through the pool, exchanges notes with the group, and passes corrections to the router core. It makes no decisions.
 //!
 //! The caller uses [`Reconciliation::observe_list_event`] and [`Reconciliation::list_applied`] for the endpoint list,
-//! `Reconciliation::observer` (in `reconciliation_observer`) for the router core, and calls [`Reconciliation::run`] once.
+//! `Reconciliation::observer` (in `reconciliation_observer`) for the router core, and calls [`Reconciliation::run`]
+//! once.
 
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/platform/src/discovery/contact.rs
+++ b/crates/platform/src/discovery/contact.rs
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Records a response; returns the silence that it ends if [`DiscoveryContact::record_failure`] has reported that silence.
+    /// Records a response; returns the silence that it ends if [`DiscoveryContact::record_failure`] has reported that
+    /// silence.
     pub fn record_response(&mut self, now: Micros) -> Option<Silence> {
         let silence = Silence(now - self.last_response);
         self.last_response = now;
--- a/crates/platform/src/event_loop_lag.rs
+++ b/crates/platform/src/event_loop_lag.rs
@@ -2,7 +2,8 @@
 //!
 //! A process that shares its core, or that was stopped, reads bytes later than they arrived. Times that are counted
 //! from the read, such as the deadline of a client or the drain grace of a worker, would then end too late. The event
-//! loop calls [`EventLoopLag::timer_ran`] at a fixed period; [`EventLoopLag::lag`] estimates its delay from those calls.
+//! loop calls [`EventLoopLag::timer_ran`] at a fixed period; [`EventLoopLag::lag`] estimates its delay from those
+//! calls.
 
 use cedarpulley::interface::Micros;
 
@@ -21,7 +22,8 @@
 }
 
 impl EventLoopLag {
-    /// `period`: time between two runs of the timer, in microseconds. No lag is assumed at `now`, on the router's clock.
+    /// `period`: time between two runs of the timer, in microseconds. No lag is assumed at `now`, on the router's
+    /// clock.
     pub fn new(period: Micros, now: Micros) -> Self {
         EventLoopLag {
             period,
--- a/crates/platform/tests/event_loop_lag.rs
+++ b/crates/platform/tests/event_loop_lag.rs
@@ -14,8 +14,8 @@
         lag.timer_ran(n * 50 * MILLISECOND);
         assert_eq!(lag.lag(n * 50 * MILLISECOND + 49 * MILLISECOND), 0);
     }
-    // The process was stopped for a second. The lag is reported before the next run of the timer, at that run, and until
-    // the run after it.
+    // The process was stopped for a second. The lag is reported before the next run of the timer, at that run, and
+    // until the run after it.
     assert_eq!(lag.lag(1_500 * MILLISECOND), 950 * MILLISECOND);
     lag.timer_ran(1_500 * MILLISECOND);
     assert_eq!(lag.lag(1_510 * MILLISECOND), 910 * MILLISECOND);
