--- a/crates/gateway/src/metering.rs
+++ b/crates/gateway/src/metering.rs
@@ -12,7 +12,7 @@
 use cedarpulley::interface::{Action, Event, InvocationIndex, LoadOrderResult, Micros};
 use cedarpulley_router::FrontIndex;
 use cedarpulley_router::admission_control::RejectionReason;
-use cedarpulley_router::observer::{AnswerGiven, Names, RouterObserver, UsageSource, WorkerUsage};
+use cedarpulley_router::observer::{Names, RouterObserver, SentAnswer, UsageSource, WorkerUsage};
 use cedarpulley_usage_metering::{DispatchUsage, LoadUsage, Meter, Source, UsageDelta};
 use cedarpulley_usage_store::{Ledger, StoreError, WriteSchedule};
 
@@ -51,7 +51,7 @@
     results: SyncSender<Result<(), (UsageDelta, String)>>,
 ) {
     // Used only for its limit on renaming unreadable ledgers.
-    let (mut ledger, mut set_aside_limit) = (None, WriteSchedule::default());
+    let (mut ledger, mut rename_limit) = (None, WriteSchedule::default());
     for delta in deltas {
         let opened = match ledger.take() {
             Some(open) => Ok(open),
@@ -65,7 +65,7 @@
         });
         let result = added.map(|_| ()).map_err(|failed| {
             if let StoreError::Unreadable(_) = &failed
-                && set_aside_limit.may_set_aside()
+                && rename_limit.may_rename_ledger()
             {
                 let other = file.with_extension(format!("unreadable-{:032x}", source));
                 if std::fs::rename(&file, &other).is_ok() {
@@ -182,7 +182,7 @@
     fn accepted(&mut self, _: Micros, _: InvocationIndex, _: FrontIndex, _: Option<&str>, _: bool) {
     }
 
-    fn answered(&mut self, _: Micros, _: AnswerGiven) {}
+    fn answered(&mut self, _: Micros, _: SentAnswer) {}
 
     fn rejected(&mut self, _: Micros, _: FrontIndex, _: u32, _: u32, _: RejectionReason) {}
 
@@ -211,13 +211,13 @@
                     function,
                     outcome,
                     copy_status,
-                    took,
+                    duration: took,
                     copy_bytes,
                     lanes,
                     totals,
                 });
             }
-            UsageSource::Order(result) => {
+            UsageSource::LoadOrder(result) => {
                 let not_started = matches!(
                     result,
                     LoadOrderResult::Unreachable | LoadOrderResult::NoCapacity
@@ -227,7 +227,7 @@
                     worker,
                     account,
                     function,
-                    took,
+                    duration: took,
                     copy_bytes,
                     not_started,
                     totals,
--- a/crates/gateway/src/upgrades.rs
+++ b/crates/gateway/src/upgrades.rs
@@ -193,7 +193,7 @@
             return;
         }
         match used.source {
-            UsageSource::Order(result) => {
+            UsageSource::LoadOrder(result) => {
                 let load_ended = upgrade::Input::LoadEnded {
                     worker: Name::from(used.worker_name),
                     function: Name::from(used.function),
@@ -287,7 +287,9 @@
         self.alarm.set_deadline(due);
         for output in outputs {
             match output {
-                Output::RequestLeadership { key } => self.shared.lead(key, PLAN_RETENTION),
+                Output::RequestLeadership { key } => {
+                    self.shared.request_leadership(key, PLAN_RETENTION)
+                }
                 Output::Propose { key, ballot, value } => {
                     self.shared
                         .write(key, to_replica(ballot), value, PLAN_RETENTION);
@@ -295,13 +297,13 @@
                 Output::LoadCopy {
                     worker,
                     function,
-                    similar: like,
+                    similar: similar_function,
                     term,
                 } => {
                     self.context.feed(Input::CopyWanted {
                         worker,
                         function,
-                        like,
+                        similar_function,
                         term: Some(term),
                     });
                 }
--- a/crates/platform-node/src/node.rs
+++ b/crates/platform-node/src/node.rs
@@ -9,10 +9,10 @@
 use async_io::Timer;
 use cedarpulley::interface::{Micros, WorkerIndex};
 use cedarpulley_net::{Clock, Stream};
-use cedarpulley_platform::discovery::{DiscoveryError, EventBatch, ListUpdate};
+use cedarpulley_platform::discovery::{DiscoveryError, EndpointListUpdate, EventBatch};
 use cedarpulley_platform::event_loop_lag::EventLoopLag;
 use cedarpulley_platform::graceful_shutdown::GracefulShutdown;
-use cedarpulley_router::{Input, OrderTicket, Output, Router, Ticket};
+use cedarpulley_router::{Input, LoadOrderTicket, Output, Router, Ticket};
 
 use crate::client_connections::ClientConnections;
 use crate::core_loop::CoreLoop;
@@ -90,7 +90,7 @@
                 worker,
                 function,
                 trigger,
-                call,
+                request,
                 ..
             } => {
                 let attempt = Attempt {
@@ -98,23 +98,23 @@
                     worker,
                     function,
                     trigger,
-                    call,
+                    request,
                 };
                 self.workers.send(self, attempt);
             }
             Output::Cancel(ticket) => self.workers.cancel(self, ticket),
-            Output::Order {
+            Output::LoadOrder {
                 ticket,
                 function,
                 copies,
-                within,
+                timeout,
                 ..
             } => {
                 let order = LoadOrder {
                     ticket,
                     function,
                     copies,
-                    timeout: within,
+                    timeout,
                 };
                 self.workers.order(self, order);
             }
@@ -139,8 +139,10 @@
     }
 
     /// Whether a load order may still be sent; checked right before its first byte is written.
-    pub fn may_send_order(&self, ticket: OrderTicket) -> bool {
-        self.core.router().may_send_order(self.clock.now(), ticket)
+    pub fn may_send_load_order(&self, ticket: LoadOrderTicket) -> bool {
+        self.core
+            .router()
+            .may_send_load_order(self.clock.now(), ticket)
     }
 
     /// The worker's name in the endpoint list, for the log; empty if the worker is not listed.
@@ -179,7 +181,7 @@
     }
 
     /// Applies a change of the endpoint list.
-    fn apply(self: &Rc<Self>, update: ListUpdate) {
+    fn apply(self: &Rc<Self>, update: EndpointListUpdate) {
         for id in &update.retired {
             if let Some(worker) = self.core.router().worker_index(id) {
                 self.workers.retire(worker);
@@ -209,7 +211,7 @@
         loop {
             Timer::after(SWEEP_PERIOD).await;
             let mut lag = self.event_loop_lag.get();
-            lag.beat(self.clock.now());
+            lag.timer_ran(self.clock.now());
             self.event_loop_lag.set(lag);
             self.clients.sweep(&self);
             self.workers.sweep(&self);
@@ -240,7 +242,7 @@
 
     /// Whether the signal to stop has arrived.
     pub fn is_shutting_down(&self) -> bool {
-        self.shutdown.borrow().begun()
+        self.shutdown.borrow().has_begun()
     }
 
     /// Whether a request is accepted whose last byte arrived at `arrived`, in microseconds of the router's clock.
