--- a/crates/cli/tests/fleets/mod.rs
+++ b/crates/cli/tests/fleets/mod.rs
@@ -1,5 +1,6 @@
-//! Fleets of routers before stand-ins, played with a script of faults, and what each of them must hold.
-#![allow(dead_code)] // Each test file uses its part.
+//! Clusters of routers with emulated brokers and workers, run with a script of faults, and the checks that every run must
+//! pass.
+#![allow(dead_code)] // Each test file uses only some of the items.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -16,18 +17,19 @@
 use cedarpulley_test_cluster::until;
 use smol::lock::Semaphore;
 
+/// Path of the router's executable.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_cedarpulley");
-/// Only a failing test waits so long.
+/// Timeout of a wait for a condition. Only a failing test waits this long.
 pub const PATIENCE: Duration = Duration::from_secs(20);
-/// So many fleets at a time, so that none is late for want of a core.
+/// Limits how many clusters run at the same time, so that none is delayed because processor cores are busy.
 pub static TURNS: Semaphore = Semaphore::new(3);
 
-/// Clients of all types give up after this.
+/// Client timeout of all trigger types, in milliseconds.
 pub const GIVES_UP_MS: u64 = 2_500;
-/// Longer than any client waits.
+/// A time in milliseconds that is longer than any client timeout.
 pub const LONG_MS: u64 = 4_200;
 
-/// A small one of the day with two regions, without its troubles.
+/// A small variant of the scenario with two regions, without its faults; `change` adapts it to a test.
 pub fn day(change: impl FnOnce(&mut Scenario)) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/regions.toml");
     let mut day = scenario::read(&file).expect("a day");
@@ -45,15 +47,15 @@
             t.functions,
         ) = (1000, GIVES_UP_MS, 40.0, 3);
         (t.lanes, t.copy_mb) = (8, 50.0);
-        // Longer than any cut keeps a dispatch.
+        // Longer than any partition delays a dispatch.
         t.window_ms = if t.window_ms > 0 { 30_000 } else { 0 };
     }
-    // Nothing is turned away for want of room.
+    // Workers reject nothing for lack of capacity.
     (day.worker_limits.most_waiting, day.worker_limits.most_loads) = (1000, 100);
     day.settings
         .loads
         .insert("order_answered_within_ms".into(), 20_000.into());
-    // Counts are judged, whatever a busy machine adds to the times.
+    // The tests judge counts, so a busy machine may delay answers by this much.
     day.leeway_ms = 10_000;
     day.settings
         .router
@@ -62,13 +64,17 @@
     day
 }
 
+/// A finished run, with its verdict and what its clients received.
 pub struct Played {
     pub fleet: Cluster,
     pub verdict: Verdict,
+    /// Answers that clients received, by invocation.
     pub answers: HashMap<String, Vec<String>>,
+    /// Number of invocations that clients sent.
     pub sent: usize,
+    /// Whether all routers shut down gracefully.
     pub stopped: bool,
-    /// What each router said of its group at the end.
+    /// The state that each router reported at the end; `None` if it did not respond.
     pub states: Vec<Option<serde_json::Value>>,
     folder: tempfile::TempDir,
 }
@@ -82,11 +88,14 @@
     }
 }
 
+/// Runs the scenario with a script of faults and waits up to `patience` until all clients have their answers.
+///
+/// `tamper` names the safety check that is disabled in one router.
 pub fn play(day: &Scenario, tamper: Option<&str>, script: Script, patience: Duration) -> Played {
     play_from(day, tamper, |_| {}, script, patience)
 }
 
-/// `before`: the routers start.
+/// Like [`play`]; `before` is called before the routers start.
 pub fn play_from(
     day: &Scenario,
     tamper: Option<&str>,
@@ -97,7 +106,7 @@
     play_asking(day, tamper, before, |_| None, script, patience)
 }
 
-/// `asks`: what the clients ask for, where it is not what the day says.
+/// Like [`play_from`]; `asks` may return functions that clients invoke instead of those of the scenario.
 pub fn play_asking(
     day: &Scenario,
     tamper: Option<&str>,
@@ -137,7 +146,7 @@
 }
 
 impl Played {
-    /// What ran at the workers, by identity, of one type.
+    /// How often each invocation of a trigger type ran at the workers, by invocation.
     pub fn effects(&self, kind: &str) -> HashMap<String, usize> {
         let mut ran = HashMap::new();
         for w in 0..self.fleet.workers.len() {
@@ -156,7 +165,7 @@
         ran
     }
 
-    /// So often in the log of a stand-in.
+    /// Number of lines for an event in the log of an emulator.
     pub fn logged(&self, of: &str, what: &str) -> usize {
         let file = self.fleet.folder().join(format!("traffic/{of}.ndjson"));
         let what = format!(r#""what":"{what}""#);
@@ -166,10 +175,12 @@
             .count()
     }
 
+    /// Checks that no rule is broken, that each invocation has one answer, that no non-idempotent invocation ran twice,
+    /// and that the routers shut down gracefully.
     pub fn holds(&self) {
         let table = self.verdict.table();
         assert_eq!(self.verdict.broken(), 0, "{table}");
-        // Of what was sent, some may have expired at the broker before or between routers.
+        // Some messages may have expired at the broker, before any router received them or between two routers.
         let most = self.answers.len() + self.logged(BROKER, "expired");
         assert!(
             !self.answers.is_empty() && most >= self.sent,
@@ -187,14 +198,17 @@
     }
 }
 
+/// The link forwards everything unchanged.
 pub const PASS: LinkFault = LinkFault::Pass;
+/// The link delays messages by 50 ms to 150 ms.
 pub const LATE: LinkFault = LinkFault::Delayed {
     by: Duration::from_millis(50),
     spread: Duration::from_millis(100),
 };
+/// The link forwards 3000 bytes per second.
 pub const SLOW: LinkFault = LinkFault::Throttled { bytes_per_s: 3000 };
 
-/// Of router 1's links, but for a region's.
+/// Which links a fault is set on: links of router 1, or all links of a region.
 #[derive(Clone, Copy)]
 pub enum On {
     Broker,
@@ -203,7 +217,7 @@
     Region(&'static str),
 }
 
-/// What is set on the way there, and on the way back.
+/// Sets the faults of both directions: `out` from the router, `back` towards it. A region has `out` in both.
 pub fn set(fleet: &Cluster, on: On, out: LinkFault, back: LinkFault) {
     let far = match on {
         On::Region(name) => return fleet.set_region_fault(name, out),
@@ -219,14 +233,15 @@
     }
 }
 
-/// Mostly of what must not run twice.
+/// Makes nine in ten invocations non-idempotent.
 pub fn once(day: &mut Scenario) {
     day.triggers
         .iter_mut()
         .for_each(|t| t.part = if t.name == "reserve" { 0.9 } else { 0.05 });
 }
 
-/// Handed out in turn: each router has some, which have run and are not answered.
+/// Makes workers withhold their answers and waits until invocations are unanswered. The broker delivers to the routers in
+/// turn, so each router has some.
 pub fn hold_unanswered(f: &Cluster) {
     f.workers.iter().for_each(|w| w.set_hanging(true));
     assert!(
@@ -235,6 +250,7 @@
     );
 }
 
+/// Makes workers answer again.
 pub fn answer_again(f: &Cluster) {
     f.workers.iter().for_each(|w| w.set_hanging(false));
 }
--- a/crates/cli/tests/reconciled.rs
+++ b/crates/cli/tests/reconciled.rs
@@ -1,6 +1,7 @@
-//! Three routers in two regions whose warm index is held against what workers say: whatever copies do unseen, belief
-//! comes to be what the workers hold, what a dead router left is unloaded, and the rules hold. Counts and what comes
-//! about in the end, never times.
+//! Reconciliation of three routers in two regions with the copies that workers report.
+//!
+//! Guards against records of warm copies that stay wrong after copies were evicted, lost or restarted unnoticed, and
+//! against copies that a dead router left loaded. The tests check counts and final states, never times.
 
 mod fleets;
 
@@ -18,17 +19,19 @@
 use fleets::{PATIENCE, PROGRAM, TURNS, day};
 use serde_json::Value;
 
-/// What is believed outlives the traffic for this long, so that nothing but a correction ends it.
-const KEPT_MS: u64 = 60_000;
-/// Orphans are unloaded after twice the time that copies are believed in.
-const SHORT_KEPT_MS: u64 = 3_000;
+/// Time in milliseconds for which an idle copy stays recorded as warm. It is far longer than the traffic, so that only a
+/// correction ends a record.
+const IDLE_RETENTION_MS: u64 = 60_000;
+/// The same time where orphaned copies must be unloaded during a test, which happens after twice this time.
+const SHORT_IDLE_RETENTION_MS: u64 = 3_000;
 
-fn reconciled(kept_ms: u64, change: impl FnOnce(&mut Scenario)) -> Scenario {
+/// A scenario with reconciliation.
+fn reconciliation_scenario(idle_retention_ms: u64, change: impl FnOnce(&mut Scenario)) -> Scenario {
     day(|d| {
         (d.peers, d.seconds) = (true, 4.0);
         d.settings
             .loads
-            .insert("idle_kept_ms".into(), (kept_ms as i64).into());
+            .insert("idle_kept_ms".into(), (idle_retention_ms as i64).into());
         for (key, value) in [("every_ms", 300), ("grace_ms", 1000)] {
             d.settings.reconcile.insert(key.into(), value.into());
         }
@@ -36,29 +39,35 @@
     })
 }
 
-/// All copies are ordered, and so have somebody's name.
-fn ordered(day: &mut Scenario) {
+/// Workers load only on order, so each copy has the name of the router that ordered it.
+fn load_on_order_only(day: &mut Scenario) {
     day.settings
         .loads
         .insert("loads_when_absent".into(), false.into());
 }
 
-/// Played to the end of its traffic; what happens next is up to the test.
-struct After {
+/// A cluster whose traffic has ended and whose routers still run.
+struct ReconciledCluster {
     fleet: Cluster,
     _folder: tempfile::TempDir,
 }
 
-fn after(day: &Scenario, before: impl FnOnce(&Cluster), meanwhile: impl FnOnce(&Cluster)) -> After {
-    after_tampered(day, None, before, meanwhile)
+/// Runs the traffic of a scenario. `before` is called before the routers start, `meanwhile` during the traffic.
+fn run_traffic(
+    day: &Scenario,
+    before: impl FnOnce(&Cluster),
+    meanwhile: impl FnOnce(&Cluster),
+) -> ReconciledCluster {
+    run_traffic_tampered(day, None, before, meanwhile)
 }
 
-fn after_tampered(
+/// Like [`run_traffic`]; `tamper` names the fault that one router is started with.
+fn run_traffic_tampered(
     day: &Scenario,
     tamper: Option<&str>,
     before: impl FnOnce(&Cluster),
     meanwhile: impl FnOnce(&Cluster),
-) -> After {
+) -> ReconciledCluster {
     let folder = tempfile::tempdir().expect("a folder");
     let (out, tamper) = (folder.path().to_owned(), tamper.map(str::to_owned));
     let launch = ClusterOptions {
@@ -73,12 +82,13 @@
     let traffic = Traffic::begin(day, &fleet);
     meanwhile(&fleet);
     traffic.wait_until_answered(PATIENCE);
-    After {
+    ReconciledCluster {
         fleet,
         _folder: folder,
     }
 }
 
+/// The functions of which a copy is ready.
 fn ready(held: Vec<LoadedFunctionInfo>) -> BTreeSet<String> {
     held.into_iter()
         .filter(|h| h.state == "READY")
@@ -86,8 +96,8 @@
         .collect()
 }
 
-impl After {
-    /// What a router says of a worker, if it answers and knows it.
+impl ReconciledCluster {
+    /// What a router reports of a worker; `None` if the router does not respond or does not know the worker.
     fn of_worker(&self, router: usize, worker: usize) -> Option<Value> {
         let id = format!("{}-", self.fleet.worker_name(worker));
         let state = self.fleet.state(router)?;
@@ -96,10 +106,11 @@
             .find(|w| w["id"].as_str().is_some_and(|i| i.starts_with(&id)))
     }
 
-    fn believes(&self, router: usize, worker: usize) -> Option<BTreeSet<String>> {
-        let said = self.of_worker(router, worker)?;
+    /// The functions that a router records as warm at a worker.
+    fn recorded_warm(&self, router: usize, worker: usize) -> Option<BTreeSet<String>> {
+        let report = self.of_worker(router, worker)?;
         Some(
-            said["believes"]
+            report["believes"]
                 .as_array()?
                 .iter()
                 .filter_map(Value::as_str)
@@ -108,18 +119,19 @@
         )
     }
 
-    /// All that these routers believe in stands, at these workers.
-    fn all_true(&self, routers: &[usize], workers: &[usize]) -> bool {
+    /// Whether all copies that these routers record as warm at these workers are ready there.
+    fn records_match(&self, routers: &[usize], workers: &[usize]) -> bool {
         routers.iter().all(|r| {
             workers.iter().all(|w| {
-                self.believes(*r, *w)
+                self.recorded_warm(*r, *w)
                     .is_some_and(|b| b.is_subset(&ready(self.fleet.workers[*w].loaded_functions())))
             })
         })
     }
 
-    fn comes_true(&self, routers: &[usize], workers: &[usize]) {
-        if !until(PATIENCE, || self.all_true(routers, workers)) {
+    /// Waits until the records of these routers match the copies of these workers.
+    fn wait_until_records_match(&self, routers: &[usize], workers: &[usize]) {
+        if !until(PATIENCE, || self.records_match(routers, workers)) {
             for (r, w) in routers
                 .iter()
                 .flat_map(|r| workers.iter().map(move |w| (*r, *w)))
@@ -130,15 +142,16 @@
                     self.of_worker(r, w)
                 );
             }
-            panic!("belief does not come to be what workers hold");
+            panic!("the records of warm copies do not come to match the workers");
         }
     }
 
+    /// The numbers of all workers.
     fn all(&self) -> Vec<usize> {
         (0..self.fleet.workers.len()).collect()
     }
 
-    /// Of all routers that answer.
+    /// A counter of reconciliation, summed over all routers that respond.
     fn count(&self, name: &str) -> u64 {
         let states = (0..self.fleet.routers.len()).filter_map(|r| self.fleet.state(r));
         states
@@ -157,18 +170,20 @@
         answer
     }
 
-    /// Several routers believe in something there before it is taken away: else a test shows nothing.
-    fn is_believed_in(&self, workers: &[usize]) {
+    /// Waits until each of these workers has ready copies and some router records copies there as warm. Without this, a
+    /// test that takes copies away would show nothing.
+    fn wait_until_recorded(&self, workers: &[usize]) {
         let in_any = |w: &usize| {
-            (0..3).any(|r| self.believes(r, *w).is_some_and(|b| !b.is_empty()))
+            (0..3).any(|r| self.recorded_warm(r, *w).is_some_and(|b| !b.is_empty()))
                 && !ready(self.fleet.workers[*w].loaded_functions()).is_empty()
         };
         assert!(
             until(PATIENCE, || workers.iter().all(in_any)),
-            "there is something to be wrong about"
+            "routers record copies as warm"
         );
     }
 
+    /// The log of an emulated worker.
     fn log(&self, worker: usize) -> Vec<Value> {
         self.fleet.workers[worker].flush();
         lines(
@@ -179,6 +194,7 @@
         )
     }
 
+    /// Number of lines for an event in the log of a worker.
     fn logged(&self, worker: usize, what: &str) -> usize {
         self.log(worker)
             .iter()
@@ -186,7 +202,7 @@
             .count()
     }
 
-    /// Answers of each worker that each router had taken in, where it knows it.
+    /// Number of reports of each worker that each router has processed, by router and worker.
     fn answers(&self) -> BTreeMap<(usize, usize), u64> {
         let all = ROUTERS
             .iter()
@@ -195,45 +211,52 @@
             .collect()
     }
 
-    fn untimely(&self) -> Vec<String> {
+    /// The orders in the logs of all workers that contradict a load in progress.
+    fn untimely_orders(&self) -> Vec<String> {
         self.all()
             .iter()
-            .flat_map(|w| untimely(&self.log(*w)))
+            .flat_map(|w| untimely_orders(&self.log(*w)))
             .collect()
     }
 
+    /// Stops the routers and checks that no rule is broken.
     fn holds(self) {
-        assert!(self.fleet.stop(PATIENCE), "the routers end in good order");
-        assert_eq!(self.untimely(), Vec::<String>::new());
+        assert!(
+            self.fleet.stop(PATIENCE),
+            "the routers shut down gracefully"
+        );
+        assert_eq!(self.untimely_orders(), Vec::<String>::new());
         let verdict = self.fleet.verdict().expect("a verdict");
         assert_eq!(verdict.broken(), 0, "{}", verdict.table());
     }
 }
 
+/// The numbers of all routers.
 const ROUTERS: [usize; 3] = [0, 1, 2];
 
+/// The JSON lines of a log.
 fn lines(file: &Path) -> Vec<Value> {
     let text = std::fs::read_to_string(file).expect("a log");
-    // The last line may be half written.
+    // The last line may be partly written.
     text.lines()
         .filter_map(|l| serde_json::from_str(l).ok())
         .collect()
 }
 
-/// By a worker's log: a router that has a load of its own under way there orders no second one, and nobody orders an
-/// unload of what loads.
-fn untimely(log: &[Value]) -> Vec<String> {
-    let (mut stands, mut loads) = (BTreeSet::new(), BTreeSet::new());
+/// Finds orders in the log of a worker that contradict a load in progress: a second load order by the router whose load
+/// is in progress, or an order by any router to unload a function that is loading.
+fn untimely_orders(log: &[Value]) -> Vec<String> {
+    let (mut warm, mut loading) = (BTreeSet::new(), BTreeSet::new());
     let (mut ordered, mut wrong) = (BTreeMap::<&str, Vec<&str>>::new(), Vec::new());
     for l in log {
         let text = |key: &str| l[key].as_str().unwrap_or_default();
         let (what, function, from) = (text("what"), text("function"), text("from"));
         match what {
-            "ordered" if !stands.contains(function) => {
+            "ordered" if !warm.contains(function) => {
                 let by = ordered.entry(function).or_default();
                 if by.contains(&from) {
                     wrong.push(format!(
-                        "{from} orders {function} again while its load is under way: {l}"
+                        "{from} orders {function} again while its load is in progress: {l}"
                     ));
                 }
                 by.push(from);
@@ -243,22 +266,22 @@
                 let last = by.iter().rposition(|f| from.is_empty() || *f == from);
                 last.map(|n| by.remove(n));
             }
-            "loading" => drop(loads.insert(function)),
-            "unload" if loads.contains(function) => {
+            "loading" => drop(loading.insert(function)),
+            "unload" if loading.contains(function) => {
                 wrong.push(format!(
-                    "{from} has {function} unloaded while it loads: {l}"
+                    "{from} orders {function} unloaded while it loads: {l}"
                 ));
             }
             "loaded" => {
-                loads.remove(function);
+                loading.remove(function);
                 ordered.remove(function);
                 if l["stands"] == true {
-                    stands.insert(function);
+                    warm.insert(function);
                 }
             }
-            "evicted" | "unloaded" => drop(stands.remove(function)),
+            "evicted" | "unloaded" => drop(warm.remove(function)),
             "down" => {
-                (stands, loads) = Default::default();
+                (warm, loading) = Default::default();
                 ordered.clear();
             }
             _ => {}
@@ -267,26 +290,30 @@
     wrong
 }
 
-/// An answer that began after a drift, and after belief last changed, finds it, where no load is under way and the
-/// worker is not doubted.
+/// Number of reports after which a drift must be found, counting reports that began after the drift and after the last
+/// change of the record, if no load is in progress and the worker is not doubted.
 const ROUNDS: u64 = 1;
-/// An answer that began before, and a note of the one before it.
-const UNDER_WAY: u64 = 2;
+/// Further reports that may be processed before a drift is found: one that began before the drift, and a note of the
+/// report before that one.
+const EARLIER_REPORTS: u64 = 2;
 
-/// What came of a router's spoilt beliefs, by its log.
+/// How a router found the records that its tampering falsified, according to its log.
 #[derive(Debug, Default)]
 struct Spoilt {
-    /// By kind.
+    /// Number of drifts that were found, by kind.
     found: BTreeMap<String, u64>,
-    /// Of what was said otherwise and not found.
+    /// Falsified records that the router had not found although enough reports contradicted them.
     late: Vec<String>,
+    /// Largest number of reports that contradicted a record before it was found.
     most_rounds: u64,
+    /// The router falsifies no more records.
     over: bool,
 }
 
+/// Evaluates the log of the router that falsifies its records.
 fn spoilt(log: &[Value]) -> Spoilt {
-    let mut it = Spoilt::default();
-    // By worker and function: how many are believed wrongly, since when, and rounds in which it was said otherwise.
+    let mut result = Spoilt::default();
+    // By worker and function: the falsified number of copies, since when, and how many reports contradicted it.
     let mut open = BTreeMap::<(String, String), (u64, i64, u64)>::new();
     for l in log.iter().map(|l| &l["fields"]) {
         let text = |key: &str| l[key].as_str().unwrap_or_default().to_owned();
@@ -301,7 +328,7 @@
                 open.insert(key, (copies, at.expect("a time"), 0));
             }
             "meddled: changed" => drop(open.remove(&key)),
-            "meddled: no more is spoilt" => it.over = true,
+            "meddled: no more is spoilt" => result.over = true,
             "meddled: heard" => {
                 let said: Vec<(String, u64, bool)> =
                     serde_json::from_str(&text("said")).expect("what it said");
@@ -313,8 +340,9 @@
                     if said.map_or(0, |s| s.1) != o.0 && said.is_none_or(|s| !s.2) {
                         o.2 += 1;
                         if o.2 > ROUNDS {
-                            it.late
-                                .push(format!("{f} at {w}: {} are believed, {said:?}: {l}", o.0));
+                            result
+                                .late
+                                .push(format!("{f} at {w}: {} are recorded, {said:?}: {l}", o.0));
                         }
                     }
                 }
@@ -325,30 +353,36 @@
             }
             "reconcile: drift" => {
                 if let Some((.., rounds)) = open.remove(&key) {
-                    *it.found.entry(text("kind")).or_default() += 1;
-                    it.most_rounds = it.most_rounds.max(rounds);
+                    *result.found.entry(text("kind")).or_default() += 1;
+                    result.most_rounds = result.most_rounds.max(rounds);
                 }
             }
             _ => {}
         }
     }
-    it
+    result
 }
 
 #[test]
-fn spoilt_beliefs_of_a_running_router_are_each_found_in_one_round() {
+fn falsified_records_of_a_running_router_are_each_found_in_one_round() {
     let _turn = TURNS.acquire_blocking();
-    let it = after_tampered(&reconciled(KEPT_MS, |_| {}), Some("spoilt"), |_| {}, |_| {});
-    let file = it.fleet.folder().join("routers/router-0.log");
+    let cluster = run_traffic_tampered(
+        &reconciliation_scenario(IDLE_RETENTION_MS, |_| {}),
+        Some("spoilt"),
+        |_| {},
+        |_| {},
+    );
+    let file = cluster.fleet.folder().join("routers/router-0.log");
     assert!(
         until(PATIENCE, || spoilt(&lines(&file)).over),
-        "it is spoilt to the end"
+        "all records were falsified"
     );
-    it.comes_true(&ROUTERS, &it.all());
+    cluster.wait_until_records_match(&ROUTERS, &cluster.all());
     let found = spoilt(&lines(&file));
     eprintln!("{found:?}");
     assert_eq!((found.late, found.most_rounds), (Vec::new(), ROUNDS));
-    // Copies believed that are not there, of a version nobody has too, copies forgotten, and wrong numbers.
+    // The router records copies that do not exist, also of a version that no worker has, lacks copies that exist, or
+    // records wrong numbers.
     for kind in ["Phantom", "Unseen", "Miscounted"] {
         assert!(
             found.found.get(kind).is_some_and(|n| *n >= 5),
@@ -356,65 +390,74 @@
             found.found
         );
     }
-    it.holds();
+    cluster.holds();
 }
 
 #[test]
-fn repairs_under_a_load_are_seen_in_the_logs() {
+fn repairs_during_a_load_are_detected_in_the_logs() {
     let _turn = TURNS.acquire_blocking();
-    let it = after_tampered(
-        &reconciled(KEPT_MS, ordered),
+    let cluster = run_traffic_tampered(
+        &reconciliation_scenario(IDLE_RETENTION_MS, load_on_order_only),
         Some("orders"),
         |_| {},
         |_| {},
     );
-    assert!(!it.untimely().is_empty(), "many orders for one are noticed");
-    assert!(it.fleet.stop(PATIENCE));
+    assert!(
+        !cluster.untimely_orders().is_empty(),
+        "repeated orders for one load are detected"
+    );
+    assert!(cluster.fleet.stop(PATIENCE));
 }
 
 #[test]
 fn flushes_evictions_and_restarts_at_the_same_address_are_found() {
     let _turn = TURNS.acquire_blocking();
-    // Most sessions have turns left when the traffic ends: their prefixes are believed in.
+    // Most sessions have turns left when the traffic ends, so routers record their prefixes as warm.
     let sessions = |d: &mut Scenario| {
         d.triggers
             .iter_mut()
             .for_each(|t| (t.sessions, t.turns, t.pause_ms) = (0.5, 30, 400));
     };
-    let it = after(&reconciled(KEPT_MS, sessions), |_| {}, |_| {});
-    let all = it.all();
-    it.is_believed_in(&all);
-    it.comes_true(&ROUTERS, &all);
-    // Nothing was wrong, and nothing was taken for it.
-    let before = (it.count("phantom"), it.count("other_incarnation"));
-    it.fleet.workers[0].evict_all_idle();
+    let cluster = run_traffic(
+        &reconciliation_scenario(IDLE_RETENTION_MS, sessions),
+        |_| {},
+        |_| {},
+    );
+    let all = cluster.all();
+    cluster.wait_until_recorded(&all);
+    cluster.wait_until_records_match(&ROUTERS, &all);
+    // Nothing was wrong so far; these counts are the baseline.
+    let before = (cluster.count("phantom"), cluster.count("other_incarnation"));
+    cluster.fleet.workers[0].evict_all_idle();
     let evicted: usize = (1..3)
-        .map(|w| it.fleet.workers[w].evict_idle(7, 2).len())
+        .map(|w| cluster.fleet.workers[w].evict_idle(7, 2).len())
         .sum();
-    let answers = it.answers();
-    it.fleet.workers[3].crash();
-    it.fleet.workers[3].restart().expect("it starts");
+    let answers = cluster.answers();
+    cluster.fleet.workers[3].crash();
+    cluster.fleet.workers[3].restart().expect("it starts");
     assert!(evicted > 0);
-    it.comes_true(&ROUTERS, &all);
-    assert!(it.count("phantom") > before.0 && it.count("other_incarnation") > before.1);
-    // By the answers that were taken in since; what was found before they were counted is not looked at.
+    cluster.wait_until_records_match(&ROUTERS, &all);
+    assert!(cluster.count("phantom") > before.0 && cluster.count("other_incarnation") > before.1);
+    // Counts the reports that were processed since then. Drifts that were found before that count are not examined.
     for ((r, w), before) in answers.into_iter().filter(|a| a.0.1 < 3) {
-        let said = it.of_worker(r, w).expect("it knows it");
-        let by = said["found_by"]["phantom"].as_u64().unwrap_or(0);
+        let report = cluster
+            .of_worker(r, w)
+            .expect("the router knows the worker");
+        let found_by = report["found_by"]["phantom"].as_u64().unwrap_or(0);
         assert!(
-            by <= before + ROUNDS + UNDER_WAY,
-            "router {r}, worker {w}: after {before}: {said}"
+            found_by <= before + ROUNDS + EARLIER_REPORTS,
+            "router {r}, worker {w}: after {before}: {report}"
         );
     }
-    assert!(it.count("prefix_lost") > 0 && it.count("sessions_let_go") > 0);
-    let metrics = it.metrics(0);
+    assert!(cluster.count("prefix_lost") > 0 && cluster.count("sessions_let_go") > 0);
+    let metrics = cluster.metrics(0);
     assert!(
         metrics.contains("cedarpulley_reconcile_answers_total"),
         "{metrics}"
     );
-    // Most of it by one that asked, the rest by its notes.
-    assert!(it.count("notes") > 0 && it.count("corrected") > 0);
-    it.holds();
+    // The router that polled a worker corrects most differences, the others correct theirs from its notes.
+    assert!(cluster.count("notes") > 0 && cluster.count("corrected") > 0);
+    cluster.holds();
 }
 
 #[test]
@@ -432,63 +475,97 @@
             }
         }
     };
-    let it = after(&reconciled(KEPT_MS, ordered), lose, meanwhile);
-    let all = it.all();
-    let lost: usize = all.iter().map(|w| it.logged(*w, "order-lost")).sum();
+    let cluster = run_traffic(
+        &reconciliation_scenario(IDLE_RETENTION_MS, load_on_order_only),
+        lose,
+        meanwhile,
+    );
+    let all = cluster.all();
+    let lost: usize = all.iter().map(|w| cluster.logged(*w, "order-lost")).sum();
     assert!(lost > 0, "orders were lost");
-    it.comes_true(&ROUTERS, &all);
-    it.holds();
+    cluster.wait_until_records_match(&ROUTERS, &all);
+    cluster.holds();
 }
 
 #[test]
-fn what_a_dead_router_ordered_is_unloaded_by_another_though_orders_get_lost() {
+fn copies_ordered_by_a_dead_router_are_unloaded_although_orders_get_lost() {
     let _turn = TURNS.acquire_blocking();
-    let it = after(&reconciled(SHORT_KEPT_MS, ordered), |_| {}, |_| {});
-    let by = |name: &str| {
-        let held = it.fleet.workers.iter().flat_map(|w| w.loaded_functions());
+    let cluster = run_traffic(
+        &reconciliation_scenario(SHORT_IDLE_RETENTION_MS, load_on_order_only),
+        |_| {},
+        |_| {},
+    );
+    let ordered_by = |name: &str| {
+        let held = cluster
+            .fleet
+            .workers
+            .iter()
+            .flat_map(|w| w.loaded_functions());
         held.filter(|h| h.ordered_by.router.as_deref() == Some(name))
             .count()
     };
-    let (dead, others) = (by("r1"), by("r0") + by("r2"));
-    let all: Vec<_> = it
+    let (dead, others) = (ordered_by("r1"), ordered_by("r0") + ordered_by("r2"));
+    let all: Vec<_> = cluster
         .fleet
         .workers
         .iter()
         .map(|w| w.loaded_functions())
         .collect();
-    assert!(dead > 0, "it had copies ordered: {all:?}");
-    it.fleet.workers.iter().for_each(|w| w.lose_orders(0, 1));
-    it.fleet.kill_router(1);
+    assert!(dead > 0, "the dead router had ordered copies: {all:?}");
+    cluster
+        .fleet
+        .workers
+        .iter()
+        .for_each(|w| w.lose_orders(0, 1));
+    cluster.fleet.kill_router(1);
     assert!(
-        until(PATIENCE * 2, || by("r1") == 0),
+        until(PATIENCE * 2, || ordered_by("r1") == 0),
         "{} of {dead} are left",
-        by("r1")
+        ordered_by("r1")
     );
-    assert_eq!(by("r0") + by("r2"), others, "nothing else was touched");
-    let lost: usize = it.all().iter().map(|w| it.logged(*w, "order-lost")).sum();
-    assert!(it.count("orphan") >= dead as u64 && it.count("unloaded") >= (dead + lost) as u64);
-    it.comes_true(&[0, 2], &it.all());
-    it.holds();
+    assert_eq!(
+        ordered_by("r0") + ordered_by("r2"),
+        others,
+        "no other copy was unloaded"
+    );
+    let lost: usize = cluster
+        .all()
+        .iter()
+        .map(|w| cluster.logged(*w, "order-lost"))
+        .sum();
+    assert!(
+        cluster.count("orphan") >= dead as u64 && cluster.count("unloaded") >= (dead + lost) as u64
+    );
+    cluster.wait_until_records_match(&[0, 2], &cluster.all());
+    cluster.holds();
 }
 
 #[test]
-fn each_side_of_a_cut_finds_its_own_and_both_agree_when_it_is_healed() {
+fn each_side_of_a_partition_corrects_its_records_and_both_agree_after_it() {
     let _turn = TURNS.acquire_blocking();
-    let it = after(&reconciled(KEPT_MS, |_| {}), |_| {}, |_| {});
-    let all = it.all();
-    it.is_believed_in(&all);
-    it.fleet.set_region_fault("west", LinkFault::Held);
-    it.fleet.workers.iter().for_each(|w| w.evict_all_idle());
+    let cluster = run_traffic(
+        &reconciliation_scenario(IDLE_RETENTION_MS, |_| {}),
+        |_| {},
+        |_| {},
+    );
+    let all = cluster.all();
+    cluster.wait_until_recorded(&all);
+    cluster.fleet.set_region_fault("west", LinkFault::Held);
+    cluster
+        .fleet
+        .workers
+        .iter()
+        .for_each(|w| w.evict_all_idle());
     // Routers 0 and 2 and the first two workers are in the east.
-    it.comes_true(&[0, 2], &all[..2]);
-    it.comes_true(&[1], &all[2..]);
-    it.fleet.links.heal();
-    it.comes_true(&ROUTERS, &all);
-    it.holds();
+    cluster.wait_until_records_match(&[0, 2], &all[..2]);
+    cluster.wait_until_records_match(&[1], &all[2..]);
+    cluster.fleet.links.heal();
+    cluster.wait_until_records_match(&ROUTERS, &all);
+    cluster.holds();
 }
 
 #[test]
-fn an_index_that_lies_is_noticed_and_in_the_end_belief_is_true() {
+fn a_false_index_is_noticed_and_records_match_in_the_end() {
     let _turn = TURNS.acquire_blocking();
     let lie = |on: bool| {
         move |f: &Cluster| {
@@ -504,35 +581,47 @@
             }
         }
     };
-    let it = after(&reconciled(KEPT_MS, |_| {}), lie(true), |_| {});
-    let lied: usize = it.all().iter().map(|w| it.logged(*w, "lied")).sum();
+    let cluster = run_traffic(
+        &reconciliation_scenario(IDLE_RETENTION_MS, |_| {}),
+        lie(true),
+        |_| {},
+    );
+    let lied: usize = cluster
+        .all()
+        .iter()
+        .map(|w| cluster.logged(*w, "lied"))
+        .sum();
     assert!(
         lied > 0
-            && until(PATIENCE, || it.count("contradictions") > 0
-                && it.count("left_doubted") > 0)
+            && until(PATIENCE, || cluster.count("contradictions") > 0
+                && cluster.count("left_doubted") > 0)
     );
-    lie(false)(&it.fleet);
-    it.comes_true(&ROUTERS, &it.all());
+    lie(false)(&cluster.fleet);
+    cluster.wait_until_records_match(&ROUTERS, &cluster.all());
     assert_eq!(
-        it.count("unloaded"),
+        cluster.count("unloaded"),
         0,
-        "nobody's copies are unloaded for a lie"
+        "no copy is unloaded because of a false report"
     );
-    it.holds();
+    cluster.holds();
 }
 
-/// Without a group each router asks for itself; without the section none does.
+/// Without a group each router polls the workers itself; without the section `reconcile` none does.
 #[test]
-fn it_works_alone_and_is_off_without_its_section() {
+fn reconciliation_works_without_a_group_and_is_off_without_its_section() {
     let _turn = TURNS.acquire_blocking();
-    let alone = after(&reconciled(KEPT_MS, |d| d.peers = false), |_| {}, |_| {});
+    let alone = run_traffic(
+        &reconciliation_scenario(IDLE_RETENTION_MS, |d| d.peers = false),
+        |_| {},
+        |_| {},
+    );
     assert!(until(PATIENCE, || alone
         .all()
         .iter()
         .all(|w| alone.logged(*w, "index") >= 6)));
     alone.holds();
-    let off = after(
-        &reconciled(KEPT_MS, |d| d.settings.reconcile.clear()),
+    let off = run_traffic(
+        &reconciliation_scenario(IDLE_RETENTION_MS, |d| d.settings.reconcile.clear()),
         |_| {},
         |_| {},
     );
--- a/crates/cli/tests/sharing/mod.rs
+++ b/crates/cli/tests/sharing/mod.rs
@@ -1,6 +1,6 @@
-//! Groups of routers that share what must not run twice, cut apart and healed, for the tests in `tests/group.rs` and the
-//! measurement in `benches/convergence.rs`.
-#![allow(dead_code)] // Each target uses its part.
+//! Groups of routers that are partitioned and healed, for the tests in `tests/group.rs` and the measurement in
+//! `benches/convergence.rs`.
+#![allow(dead_code)] // Each target uses only some of the items.
 
 use std::cell::Cell;
 use std::time::Instant;
@@ -14,23 +14,25 @@
 
 use crate::fleets::*;
 
-/// Clients give up after this, and the group remembers for as long: a fleet that starts with nothing votes after it.
+/// Client timeout in milliseconds. The group retains records for about as long, and a member without records votes only
+/// after that time.
 pub const WAITS_MS: u64 = 5_000;
-/// The owner in all that follows, but where it is the one that is tampered with.
+/// The router whose invocations the tests observe, except where another router has a safety check disabled.
 pub const OWNER: usize = 1;
 
-/// In its last eighth what is remembered proves nothing more, and nothing new leaves.
+/// Retention time of records in milliseconds, for clients that wait `waits_ms`. In the last eighth of it records prove
+/// nothing any more and no new dispatch is permitted, so it is a seventh longer than the clients wait.
 pub fn kept(waits_ms: u64) -> i64 {
     (waits_ms + waits_ms / 7 + 1) as i64
 }
 
-/// Of so many routers that share.
+/// A scenario with a group of this many routers; `change` adapts it to a test.
 pub fn shared(routers: u32, change: impl FnOnce(&mut Scenario)) -> Scenario {
     day(|d| {
         once(d);
         (d.routers, d.peers) = (routers, true);
         waits(d, WAITS_MS);
-        // Longer than any step that is held.
+        // Longer than any step that a test holds back.
         d.settings
             .peers
             .insert("copied_within_ms".into(), 3_000.into());
@@ -38,24 +40,25 @@
     })
 }
 
-/// A count in what a router says of its group; 0 while it says nothing.
+/// A counter from the state that a router reports of its group; 0 while the router does not respond.
 pub fn count(f: &Cluster, n: usize, name: &str) -> u64 {
     f.state(n)
         .map_or(0, |s| s["counts"][name].as_u64().unwrap_or(0))
 }
 
-/// All others than the one.
+/// All routers except one.
 pub fn others(f: &Cluster, one: usize) -> Vec<usize> {
     (0..f.routers.len()).filter(|n| *n != one).collect()
 }
 
-/// On what goes from one router to others, by itself.
+/// Sets a fault on the links from one router to others, in this direction only.
 pub fn towards(f: &Cluster, from: usize, to: &[usize], fault: LinkFault) {
     to.iter()
         .for_each(|m| f.links.set(&f.router_name(from), &f.router_name(*m), fault));
 }
 
-/// For so long clients wait, and what is late for them is not given up before.
+/// Sets the client timeout of all types, with a latency objective one second before it, and the retention time of records
+/// that fits. An invocation that is late is not abandoned before the client timeout.
 pub fn waits(d: &mut Scenario, ms: u64) {
     d.triggers
         .iter_mut()
@@ -63,29 +66,33 @@
     d.settings.peers.insert("kept_ms".into(), kept(ms).into());
 }
 
+/// Whether a run shows that the fault of a test came about.
 pub type Shown = fn(&Played) -> bool;
 
+/// When a partition ends, in milliseconds from the start; it begins at 1000 ms.
 pub const CUT_MS: u64 = 1000 + LONG_MS;
-/// Without a majority some are told so.
+/// Some clients were told that the router had no majority.
 pub const LACKING: Shown = |p| p.verdict.by_reason.contains_key("no-majority");
 
+/// Sets a fault on the links between [`OWNER`] and all other routers, in both directions.
 pub fn both_ways(f: &Cluster, fault: LinkFault) {
     let all = others(f, OWNER);
     towards(f, OWNER, &all, fault);
     all.iter().for_each(|m| towards(f, *m, &[OWNER], fault));
 }
 
-/// From a cut's end until all is as before, in milliseconds.
+/// How long the group takes to recover after the end of a partition, in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Healed {
-    /// All hold all for alive.
+    /// Until all routers consider all members alive.
     pub alive: f64,
-    /// All believe so, and act upon it.
+    /// Until the stable view of all routers has all members alive, which is the view that they act upon.
     pub believed: f64,
-    /// Each that was cut off has an intent held again.
+    /// Until each router that was cut off has an intent stored by a majority again.
     pub holds: f64,
 }
 
+/// Waits until the partition is noticed, heals it, and measures how long the group takes to recover.
 pub fn heals(f: &Cluster, cut_off: &[usize]) -> Healed {
     let all = f.routers.len();
     let holds_one_for_dead = |n: &usize| {
@@ -138,11 +145,14 @@
     healed
 }
 
-/// Routers that are cut off from the others of their group, by themselves or with all else in their region.
+/// A partition that separates some routers from the rest of their group.
 #[derive(Clone, Copy, Debug)]
 pub struct CutOff {
+    /// Size of the group.
     pub routers: u32,
+    /// The routers that are cut off.
     pub cut_off: &'static [usize],
+    /// Whether everything else in their region is cut off with them.
     pub region: bool,
 }
 
@@ -168,7 +178,7 @@
 };
 
 impl CutOff {
-    /// Under traffic, with the rules judged.
+    /// Runs the partition under traffic, checks the rules, and returns the recovery times.
     pub fn plays(self, seed: u64) -> Healed {
         let day = shared(self.routers, |d| {
             (d.seed, d.seconds, d.rate_per_s) = (seed, 12.0, 60.0)
--- a/crates/cli/tests/upgrading/mod.rs
+++ b/crates/cli/tests/upgrading/mod.rs
@@ -1,6 +1,6 @@
-//! Fleets whose models are upgraded under load with sessions, for the tests in `tests/upgraded.rs` and the measurement
+//! Clusters whose models are upgraded under load with sessions, for the tests in `tests/upgraded.rs` and the measurement
 //! in `benches/three_ways.rs`.
-#![allow(dead_code)] // Each target uses its part.
+#![allow(dead_code)] // Each target uses only some of the items.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -14,17 +14,20 @@
 
 use crate::fleets::day;
 
-/// Both models that are upgraded.
+/// The models that are upgraded.
 pub const MODELS: [&str; 2] = ["resize:1", "reserve:1"];
-/// Only a failing test waits so long for a plan. Alone it ends within 45 s; where a step waits for a crowded disk for longer
-/// than the lease, another begins only after that and the time in which orders arrive, 12 s a step.
+/// Timeout of a wait for an upgrade plan. Only a failing test waits this long. On an idle machine a plan ends within 45 s.
+/// If a step waits for a busy disk for longer than the lease, the next step begins only after the lease and the time in
+/// which orders arrive have passed, which takes 12 s per step.
 pub const PLANNED: Duration = Duration::from_secs(180);
+/// When the upgrade is ordered, in milliseconds from the start.
 pub const ORDERED_MS: u64 = 2_000;
-/// Of the lanes that stand when an upgrade is ordered.
+/// Fraction of the lanes that are warm when an upgrade is ordered, below which the upgrade must not go.
 pub const FLOOR: f64 = 0.8;
-/// Several of the times in which each worker is asked what it holds.
+/// Time without changes after which the number of copies counts as stable: several poll intervals of the workers.
 pub const SETTLED: Duration = Duration::from_secs(3);
 
+/// A scenario with two models and sessions, in which upgrades are enabled; `change` adapts it to a test.
 pub fn upgrading(change: impl FnOnce(&mut Scenario)) -> Scenario {
     day(|day| {
         (day.seconds, day.rate_per_s, day.peers) = (32.0, 30.0, true);
@@ -36,14 +39,14 @@
             (t.sessions, t.turns, t.pause_ms, t.prefix_ms) = (0.8, 6, 500, 20);
         }
         let table = |text: &str| text.parse::<toml::Table>().expect("a table");
-        // A plan renews and loads within the ration that invocations have, and these are few.
+        // A plan renews and loads copies within the load quota of invocations, and there are few invocations.
         day.settings.loads.insert("ration_few".into(), 60.into());
         day.settings.upgrade = table(
             "order = \"upgrade.toml\"\nlease_ms = 2000\nshown_ms = 500\ncanary_ms = 1500\n\
              canary_most_ms = 4000\npaused_most_ms = 2000\nhold_back_ms = 1000\ngone_after_ms = 6000\n\
              load_within_ms = 10000\nsession_kept_ms = 60000\n",
         );
-        // A crowded machine answers late, and is not to be taken for a fault.
+        // Members answer late on a busy machine, which must not count as a fault.
         day.settings.peers =
             table("answer_ms = 500\nsuspected_ms = 3000\ncopied_within_ms = 2000\n");
         day.settings.reconcile = table("every_ms = 400\ngrace_ms = 3000\nasks_per_s = 100\n");
@@ -51,7 +54,7 @@
     })
 }
 
-/// What stands at all workers.
+/// Number of loaded copies at all workers.
 pub fn copies(f: &Cluster) -> usize {
     f.workers
         .iter()
@@ -60,7 +63,7 @@
         .sum()
 }
 
-/// What stands then the floor is of: nothing is loaded any more, and routers have heard of all.
+/// Waits until no more copies are loaded and the routers know of all of them. The floor is a fraction of these copies.
 pub fn settles(f: &Cluster) {
     let (mut stood, mut since) = (0, Instant::now());
     let settled = until(PLANNED, || {
@@ -73,7 +76,7 @@
     assert!(settled, "{stood} copies, and more are loaded");
 }
 
-/// To the second version, of both models.
+/// Orders the upgrade of both models to version 2, once the number of copies is stable.
 pub fn order(f: &Cluster, drain_limit_ms: u64) {
     settles(f);
     let one = |model: &&str| {
@@ -86,7 +89,7 @@
     f.order_upgrade(&MODELS, &text).expect("ordered");
 }
 
-/// Of each plan that a router shows.
+/// Model and phase of each plan in the state that a router reports.
 pub fn plans(state: &Value) -> Vec<(String, String)> {
     let text = |p: &Value, key: &str| p[key].as_str().unwrap_or_default().to_owned();
     let plans = state["upgrade"]["plans"].as_array();
@@ -97,29 +100,33 @@
         .collect()
 }
 
+/// Whether a router reports a plan for each model and all plans are in such a phase.
 pub fn all(f: &Cluster, n: usize, phase: impl Fn(&str) -> bool) -> bool {
     let plans = f.state(n).map(|s| plans(&s)).unwrap_or_default();
     plans.len() == MODELS.len() && plans.iter().all(|p| phase(&p.1))
 }
 
+/// Whether a plan in this phase has ended.
 pub fn is_over(phase: &str) -> bool {
     matches!(phase, "Done" | "RolledBack" | "Ended")
 }
 
-/// Waits for it; whether it came about shows at the end.
+/// Waits until all routers report that all plans have ended. A timeout is not an error here; the checks at the end of a
+/// test show it.
 pub fn ends(f: &Cluster) {
     let over = |n| all(f, n, is_over);
     until(PLANNED, || (0..f.routers.len()).all(over));
     f.end_upgrade(&MODELS);
 }
 
+/// Writes an empty upgrade file.
 pub fn orders_nothing(f: &Cluster) {
     f.write_upgrade("").expect("an empty file");
 }
 
-/// Longer than the objective, as loads of models are; `upgrading`'s are short.
+/// Load time of a copy that is longer than the latency objective, as it is for models. Loads in [`upgrading`] are short.
 const SLOW_START_UP_MS: u64 = 1_500;
-/// Of models that load slowly, while invocations arrive for `seconds`.
+/// A scenario with models that load slowly, in which invocations arrive for `seconds`.
 pub fn slow_to_load(seed: u64, seconds: f64) -> Scenario {
     upgrading(|day| {
         (day.seed, day.seconds) = (seed, seconds);
@@ -129,7 +136,7 @@
     })
 }
 
-/// Both models at each worker, of the version given.
+/// Loads both models at each of the workers, in the version that `function` names.
 pub fn load_all(at: &[&Worker], function: impl Fn(&str) -> String + Sync) {
     thread::scope(|s| {
         for (worker, model) in at.iter().flat_map(|w| MODELS.map(|m| (w, m))) {
@@ -139,7 +146,7 @@
     });
 }
 
-/// Before the routers start: the old versions stand everywhere, and nothing is ordered.
+/// Loads the old versions at all workers before the routers start, and orders no upgrade.
 pub fn stands_everywhere(f: &Cluster) {
     load_all(&f.workers.iter().collect::<Vec<_>>(), str::to_owned);
     orders_nothing(f);
