--- a/crates/cli/tests/group.rs
+++ b/crates/cli/tests/group.rs
@@ -1,7 +1,8 @@
-//! Routers that share what must not run twice, as processes before stand-ins, while what may fail between them fails:
-//! no rule is broken, each invocation has one answer, and nothing non-idempotent runs twice. That a fault came about
-//! is read from each router's own counts, never from times. Each guard of the shared state is taken out once, and
-//! its absence is caught.
+//! Groups of routers as processes with emulated brokers and workers, under crashes, partitions, lost records and pauses.
+//!
+//! Guards against broken rules, against invocations without exactly one answer, and against non-idempotent invocations that
+//! run twice. That a fault came about is read from the counters of each router, never from times. Each safety check of
+//! the shared state is disabled in one test, which must detect the violation that follows.
 
 use std::cell::Cell;
 use std::collections::HashSet;
@@ -23,37 +24,41 @@
 use fleets::*;
 use sharing::*;
 
-/// As the routers' group calls them.
+/// Names of the members in the state that routers report.
 const NAMES: [&str; 3] = ["r0", "r1", "r2"];
-/// So many are in the middle of a step before the fault comes.
-const SOME: u64 = 3;
+/// Number of invocations that must be in a step before a test injects its fault.
+const MIN_IN_STEP: u64 = 3;
 
-/// So many of its records stand so far.
+/// Number of records of a router that have reached the step `advanced`.
 fn records(f: &Cluster, n: usize, advanced: &str) -> u64 {
     f.state(n)
         .map_or(0, |s| s["records"][advanced].as_u64().unwrap_or(0))
 }
 
-fn comes(what: &str, come: impl Fn() -> bool) {
-    assert!(until(PATIENCE, come), "it did not come about: {what}");
+/// Waits until a condition is met.
+fn wait_for(what: &str, condition: impl Fn() -> bool) {
+    assert!(
+        until(PATIENCE, condition),
+        "timeout while waiting for: {what}"
+    );
 }
 
 impl Played {
-    /// Of all routers together, as they said at the end.
+    /// A counter, summed over all routers as they reported it at the end.
     fn counted(&self, name: &str) -> u64 {
         let count = |s: &Value| s["counts"][name].as_u64().unwrap_or(0);
         self.states.iter().flatten().map(count).sum()
     }
 }
 
-/// How many a router has taken that stand so.
+/// Number of invocations that a router has accepted and that are in the state `how`.
 fn claims(f: &Cluster, n: usize, how: &str) -> u64 {
     f.state(n)
         .map_or(0, |s| s["claims"][how].as_u64().unwrap_or(0))
 }
 
-/// What one router sent of what must not run twice has begun at a worker.
-fn ran_of(f: &Cluster, n: usize) -> usize {
+/// Number of non-idempotent invocations that one router dispatched and that have begun to run at a worker.
+fn dispatched_and_ran(f: &Cluster, n: usize) -> usize {
     f.workers.iter().for_each(|w| w.flush());
     let logs = (0..f.workers.len()).map(|w| {
         f.folder()
@@ -65,52 +70,56 @@
             .filter_map(|l| serde_json::from_str::<Value>(l).ok())
             .collect::<Vec<_>>()
     });
-    let (mut came, mut ran) = (HashSet::new(), HashSet::new());
+    let (mut received, mut ran) = (HashSet::new(), HashSet::new());
     for line in lines {
         let Some(id) = line["id"].as_str().map(str::to_owned) else {
             continue;
         };
         match line["what"].as_str() {
-            Some("received") if line["from"] == f.router_name(n) => came.insert(id),
+            Some("received") if line["from"] == f.router_name(n) => received.insert(id),
             Some("ran") if line["type"] == "reserve" => ran.insert(id),
             _ => false,
         };
     }
-    came.intersection(&ran).count()
+    received.intersection(&ran).count()
 }
 
-/// Started, and heard of.
-fn back(f: &Cluster, n: usize, state: StateAtStart) {
-    f.start_router(n, state).expect("it starts");
-    comes("it is back", || f.state(n).is_some());
+/// Starts a router and waits until it responds.
+fn restart(f: &Cluster, n: usize, state: StateAtStart) {
+    f.start_router(n, state).expect("the router starts");
+    wait_for("the router to respond", || f.state(n).is_some());
 }
 
+/// Makes all workers withhold their answers, or answer again.
 fn hang(f: &Cluster, on: bool) {
     f.workers.iter().for_each(|w| w.set_hanging(on));
 }
 
-const STILL: f64 = 1e6;
-/// So long an owner does not hear of votes. What it asks meanwhile must not count as late: that is after a sixteenth of
-/// what is kept.
-const UNTOLD: LinkFault = LinkFault::Delayed {
+/// Factor by which the store is slowed down so that no load completes.
+const STORE_SLOWDOWN: f64 = 1e6;
+/// Delays votes on their way to the owner. The delay is less than a sixteenth of the retention time, after which the
+/// owner's requests would count as late.
+const DELAYED_VOTES: LinkFault = LinkFault::Delayed {
     by: Duration::from_millis(300),
     spread: Duration::ZERO,
 };
 
-/// No copy is loaded yet, and no worker loads by itself: all that is taken waits until the store goes on.
-fn stalled(d: &mut Scenario) {
+/// Slows the store down and lets workers load only on order, so that accepted invocations wait until
+/// [`restore_store_speed`].
+fn stall_loads(d: &mut Scenario) {
     d.settings
         .loads
         .insert("loads_when_absent".into(), false.into());
-    d.store.mb_per_s /= STILL;
+    d.store.mb_per_s /= STORE_SLOWDOWN;
 }
 
-fn store_goes_on(f: &Cluster) {
-    f.store.set_slowdown(1.0 / STILL);
+/// Ends the slowdown of the store, so that loads complete.
+fn restore_store_speed(f: &Cluster) {
+    f.store.set_slowdown(1.0 / STORE_SLOWDOWN);
 }
 
-/// Longer than a crowded machine takes for any step, where the fault must come about.
-fn patient(d: &mut Scenario) {
+/// Timeouts that are longer than a busy machine needs for any step, for tests in which the fault must come about.
+fn long_timeouts(d: &mut Scenario) {
     waits(d, 2 * WAITS_MS);
     d.settings.peers.insert(
         "copied_within_ms".into(),
@@ -118,23 +127,26 @@
     );
 }
 
-/// All comes within a second, and there is time for each step.
-fn all_at_once(d: &mut Scenario) {
-    patient(d);
+/// All invocations arrive within one second, and the timeouts are long enough for each step.
+fn arrivals_in_one_second(d: &mut Scenario) {
+    long_timeouts(d);
     (d.seconds, d.rate_per_s) = (1.0, 40.0);
 }
 
-/// It has nothing in hand.
+/// Whether a router has no accepted invocations.
 fn idle(f: &Cluster, n: usize) -> bool {
     f.state(n)
         .is_some_and(|s| s["claims"].as_object().is_some_and(|c| c.is_empty()))
 }
 
-/// So many are taken by the one, and nothing of it is asked for yet; the others have heard of them.
-fn taken(f: &Cluster, owner: usize) {
-    comes("messages are taken", || claims(f, owner, "mine") >= SOME);
+/// Waits until the owner has accepted enough invocations and the other routers have their records. The owner has not
+/// requested an intent for any of them yet.
+fn wait_until_accepted(f: &Cluster, owner: usize) {
+    wait_for("accepted messages", || {
+        claims(f, owner, "mine") >= MIN_IN_STEP
+    });
     let known = records(f, owner, "taken");
-    comes("others hear of them", || {
+    wait_for("records at the other routers", || {
         others(f, owner)
             .iter()
             .all(|n| records(f, *n, "taken") >= known)
@@ -142,24 +154,28 @@
     assert_eq!(count(f, owner, "intents"), 0);
 }
 
-/// Between two steps of an invocation's way, where its owner dies.
+/// The step of an invocation after which its owner crashes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum After {
-    /// Nobody else has heard of it.
-    TakenUntold,
-    Taken,
+enum CrashAfter {
+    /// Accepted by the owner; no other router has a record of it.
+    AcceptedUnreplicated,
+    /// Accepted, and recorded by the other routers.
+    Accepted,
+    /// The owner has requested an intent, which reaches no other router.
     Intended,
-    /// Sent without: only where a guard is out.
-    SentUnheld,
-    /// Copied to one of the two others, and sent.
-    CopiedToOne,
-    /// Copied to both others, which the owner is not told: nothing of it is sent.
-    CopiedUntold,
-    /// It ran, and no answer came.
+    /// Dispatched although no majority has the intent: happens only with a safety check disabled.
+    DispatchedWithoutIntent,
+    /// The intent is stored by one of the two other routers, and the invocation is dispatched.
+    StoredByOne,
+    /// The intent is stored by both other routers, but their votes have not reached the owner: nothing is dispatched.
+    StoredUnconfirmed,
+    /// Dispatched and run, without an answer of the worker.
     Dispatched,
+    /// The attempt has ended without an answer, and the other routers know it.
     Ended,
+    /// The owner has the answer, which it cannot send to the broker.
     Answered,
-    /// The broker has the answer; the owner does not know it.
+    /// The broker has the answer, but its acknowledgement has not reached the owner.
     Acknowledged,
 }
 
@@ -167,136 +183,153 @@
     clippy::too_many_lines,
     reason = "one scenario or table of cases, told in order"
 )]
-fn bring(f: &Cluster, after: After, owner: usize) {
+fn advance_to_step(f: &Cluster, after: CrashAfter, owner: usize) {
     let all = others(f, owner);
-    // What ran before was answered.
+    // Invocations that ran before this count have been answered.
     let before = Cell::new(0);
-    let hangs = || {
+    let withhold_answers = || {
         hang(f, true);
-        before.set(ran_of(f, owner) as u64);
+        before.set(dispatched_and_ran(f, owner) as u64);
     };
-    let sent = || {
-        comes("dispatches run", || {
-            ran_of(f, owner) as u64 >= before.get() + SOME
+    let wait_for_dispatches = || {
+        wait_for("dispatched invocations that run", || {
+            dispatched_and_ran(f, owner) as u64 >= before.get() + MIN_IN_STEP
         })
     };
     match after {
-        After::TakenUntold => {
+        CrashAfter::AcceptedUnreplicated => {
             towards(f, owner, &all, LinkFault::Lost);
-            comes("messages are taken", || {
-                claims(f, owner, "mine") >= 2 * SOME
+            wait_for("accepted messages", || {
+                claims(f, owner, "mine") >= 2 * MIN_IN_STEP
             });
         }
-        After::Taken => taken(f, owner),
-        After::Intended => {
-            taken(f, owner);
+        CrashAfter::Accepted => wait_until_accepted(f, owner),
+        CrashAfter::Intended => {
+            wait_until_accepted(f, owner);
             towards(f, owner, &all, LinkFault::Lost);
-            store_goes_on(f);
-            comes("intents", || count(f, owner, "intents") >= SOME);
+            restore_store_speed(f);
+            wait_for("intents", || count(f, owner, "intents") >= MIN_IN_STEP);
         }
-        After::SentUnheld | After::CopiedToOne => {
-            taken(f, owner);
-            hangs();
+        CrashAfter::DispatchedWithoutIntent | CrashAfter::StoredByOne => {
+            wait_until_accepted(f, owner);
+            withhold_answers();
             towards(
                 f,
                 owner,
-                if after == After::SentUnheld {
+                if after == CrashAfter::DispatchedWithoutIntent {
                     &all
                 } else {
                     &all[..1]
                 },
                 LinkFault::Lost,
             );
-            store_goes_on(f);
-            sent();
+            restore_store_speed(f);
+            wait_for_dispatches();
         }
-        After::CopiedUntold => {
-            taken(f, owner);
-            // What has run stays open, too.
+        CrashAfter::StoredUnconfirmed => {
+            wait_until_accepted(f, owner);
+            // Invocations that have run stay open, too.
             hang(f, true);
-            all.iter().for_each(|m| towards(f, *m, &[owner], UNTOLD));
-            store_goes_on(f);
+            all.iter()
+                .for_each(|m| towards(f, *m, &[owner], DELAYED_VOTES));
+            restore_store_speed(f);
             let open = |n: usize| {
                 f.state(n).map_or(0, |s| {
                     s["open"][NAMES[owner]]["intended"].as_u64().unwrap_or(0)
                 })
             };
             let copied = || all.iter().map(|n| open(*n)).min().unwrap_or(0);
-            comes("others hold intents", || copied() >= SOME);
+            wait_for("intents stored by the other routers", || {
+                copied() >= MIN_IN_STEP
+            });
             let copied = copied();
             f.kill_router(owner);
-            let ran = ran_of(f, owner) as u64;
+            let ran = dispatched_and_ran(f, owner) as u64;
             assert!(
                 ran < copied,
-                "its owner had heard of each: {copied} were copied, {ran} ran"
+                "the owner received all votes before it was killed: {copied} intents were stored, {ran} invocations ran"
             );
         }
-        After::Dispatched => {
-            hangs();
-            sent();
+        CrashAfter::Dispatched => {
+            withhold_answers();
+            wait_for_dispatches();
         }
-        After::Ended => {
+        CrashAfter::Ended => {
             f.links.set(&f.router_name(owner), BROKER, LinkFault::Lost);
-            hangs();
-            sent();
+            withhold_answers();
+            wait_for_dispatches();
             for w in 0..f.workers.len() {
                 f.links
                     .set(&f.router_name(owner), &f.worker_name(w), LinkFault::Reset);
             }
-            comes("endings are told", || {
+            wait_for("ended attempts at another router", || {
                 records(f, all[0], "may-have-run") >= 1
             });
         }
-        After::Answered => {
+        CrashAfter::Answered => {
             f.links.set(&f.router_name(owner), BROKER, LinkFault::Lost);
-            comes("answers", || claims(f, owner, "answered") >= SOME);
-            comes("answers are told", || {
-                records(f, all[0], "answered") >= SOME
+            wait_for("answers", || claims(f, owner, "answered") >= MIN_IN_STEP);
+            wait_for("answers known to another router", || {
+                records(f, all[0], "answered") >= MIN_IN_STEP
             });
         }
-        After::Acknowledged => {
-            // Something is out as the link goes, however fast the machine is.
+        CrashAfter::Acknowledged => {
+            // Pauses the workers so that invocations are open when the link is cut, however fast the machine is.
             f.workers.iter().for_each(|w| w.set_paused(true));
-            comes("messages are taken", || claims(f, owner, "mine") >= SOME);
+            wait_for("accepted messages", || {
+                claims(f, owner, "mine") >= MIN_IN_STEP
+            });
             f.links.set(BROKER, &f.router_name(owner), LinkFault::Lost);
             f.workers.iter().for_each(|w| w.set_paused(false));
-            comes("answers", || claims(f, owner, "answered") >= 1);
+            wait_for("answers", || claims(f, owner, "answered") >= 1);
         }
     }
 }
 
-fn waits_for_loads(after: After) -> bool {
-    use After::*;
+/// Whether invocations must not be dispatched before the test reaches the step.
+fn waits_for_loads(after: CrashAfter) -> bool {
+    use CrashAfter::*;
     matches!(
         after,
-        TakenUntold | Taken | Intended | SentUnheld | CopiedToOne | CopiedUntold
+        AcceptedUnreplicated
+            | Accepted
+            | Intended
+            | DispatchedWithoutIntent
+            | StoredByOne
+            | StoredUnconfirmed
     )
 }
 
-/// The owner dies there, for good until nothing is to be judged by it any more.
-fn owner_dies(
-    after: After,
+/// Runs a scenario in which the owner crashes after a step. It restarts late, when no check depends on its absence any
+/// more.
+fn owner_crashes(
+    after: CrashAfter,
     owner: usize,
     tamper: Option<&str>,
     change: fn(&mut Scenario),
 ) -> Played {
     let day = shared(3, |d| {
         if waits_for_loads(after) {
-            stalled(d);
+            stall_loads(d);
         }
         change(d);
     });
     let script = Script::new(1)
-        .at(if after == After::TakenUntold { 0 } else { 1000 }, |f| {
-            bring(f, after, owner)
-        })
+        .at(
+            if after == CrashAfter::AcceptedUnreplicated {
+                0
+            } else {
+                1000
+            },
+            |f| advance_to_step(f, after, owner),
+        )
         .at(1000, |f| f.kill_router(owner))
         .at(1000, |f| {
-            store_goes_on(f);
+            restore_store_speed(f);
             hang(f, false);
             f.links.heal();
         })
-        .at(6000, |f| back(f, owner, StateAtStart::Kept));
+        .at(6000, |f| restart(f, owner, StateAtStart::Kept));
     play(
         &day,
         tamper,
@@ -309,42 +342,47 @@
     )
 }
 
-fn nothing(_: &mut Scenario) {}
+fn unchanged(_: &mut Scenario) {}
 
-const UNSENT: Shown = |p| p.counted("proven_unsent") > 0;
-const UNSURE: Shown = |p| p.counted("takeovers") > 0 && p.verdict.answers["errored"] > 0;
-const KNOWN: Shown = |p| p.counted("answers_known") > 0;
+/// Other routers proved that an invocation was not dispatched.
+const PROVEN_UNSENT: Shown = |p| p.counted("proven_unsent") > 0;
+/// Other routers took over, and answered that an invocation may have run.
+const MAY_HAVE_RUN: Shown = |p| p.counted("takeovers") > 0 && p.verdict.answers["errored"] > 0;
+/// Other routers knew the answer of an invocation.
+const ANSWER_KNOWN: Shown = |p| p.counted("answers_known") > 0;
+/// Invocations succeeded, and the broker received acknowledgements.
 const ANSWERED: Shown = |p| p.verdict.answers["succeeded"] > 0 && p.logged(BROKER, "acked") > 0;
 
 #[rstest]
-#[case(After::TakenUntold, UNSURE)]
-#[case(After::Taken, UNSENT)]
-#[case(After::Intended, UNSENT)]
-#[case(After::CopiedToOne, UNSURE)]
-#[case(After::CopiedUntold, UNSURE)]
-#[case(After::Dispatched, UNSURE)]
-#[case(After::Ended, UNSURE)]
-#[case(After::Answered, KNOWN)]
-#[case(After::Acknowledged, ANSWERED)]
-fn an_owner_that_dies_between_two_steps_runs_nothing_twice(
-    #[case] after: After,
+#[case(CrashAfter::AcceptedUnreplicated, MAY_HAVE_RUN)]
+#[case(CrashAfter::Accepted, PROVEN_UNSENT)]
+#[case(CrashAfter::Intended, PROVEN_UNSENT)]
+#[case(CrashAfter::StoredByOne, MAY_HAVE_RUN)]
+#[case(CrashAfter::StoredUnconfirmed, MAY_HAVE_RUN)]
+#[case(CrashAfter::Dispatched, MAY_HAVE_RUN)]
+#[case(CrashAfter::Ended, MAY_HAVE_RUN)]
+#[case(CrashAfter::Answered, ANSWER_KNOWN)]
+#[case(CrashAfter::Acknowledged, ANSWERED)]
+fn no_invocation_runs_twice_when_its_owner_crashes(
+    #[case] after: CrashAfter,
     #[case] shown: Shown,
 ) {
-    let change = if after == After::CopiedUntold {
-        patient
+    let change = if after == CrashAfter::StoredUnconfirmed {
+        long_timeouts
     } else {
-        nothing
+        unchanged
     };
-    let played = owner_dies(after, OWNER, None, change);
+    let played = owner_crashes(after, OWNER, None, change);
     played.holds();
     assert!(
         shown(&played),
-        "it came about: {}\n{:?}",
+        "the fault did not come about: {}\n{:?}",
         played.verdict.table(),
         played.states
     );
 }
 
+/// Checks that rule 2 is broken: a non-idempotent invocation ran twice.
 fn breaks_rule_2(played: &Played) {
     assert!(
         played.verdict.rules["2"] > 0,
@@ -354,27 +392,29 @@
     );
 }
 
-/// One router sends before a majority holds the intent, takes over by what it knows itself, or takes an owner that is
-/// gone for one that sent nothing.
+/// One router dispatches before a majority stores the intent, takes over by its own records alone, or considers a crashed
+/// owner as one that dispatched nothing.
 #[rstest]
-#[case("unheld", After::SentUnheld, 0)]
-#[case("unfenced", After::CopiedToOne, 2)]
-#[case("gone", After::Dispatched, OWNER)]
-fn a_guard_that_is_out_is_seen_when_the_owner_dies(
+#[case("unheld", CrashAfter::DispatchedWithoutIntent, 0)]
+#[case("unfenced", CrashAfter::StoredByOne, 2)]
+#[case("gone", CrashAfter::Dispatched, OWNER)]
+fn a_disabled_safety_check_is_detected_when_the_owner_crashes(
     #[case] kind: &str,
-    #[case] after: After,
+    #[case] after: CrashAfter,
     #[case] owner: usize,
 ) {
-    let played = owner_dies(after, owner, Some(kind), |d| {
-        patient(d);
+    let played = owner_crashes(after, owner, Some(kind), |d| {
+        long_timeouts(d);
         d.seconds = 4.0;
     });
     breaks_rule_2(&played);
 }
 
+/// Messages between routers were lost.
 const POSTS_LOST: Shown = |p| p.counted("posts_failed") > 0 && p.counted("letters_dropped") > 0;
 
-fn all_unruly(f: &Cluster) {
+/// Makes all links between routers drop, duplicate and delay messages.
+fn all_links_unreliable(f: &Cluster) {
     let fault = LinkFault::UnreliableMessages {
         drop: 0.2,
         twice: 0.2,
@@ -384,12 +424,18 @@
 }
 
 #[derive(Clone, Copy, Debug)]
+/// Which links between routers have a fault.
 enum Cut {
+    /// From the owner to all others.
     OneWayOut,
+    /// From all others to the owner.
     OneWayIn,
+    /// Between the owner and all others.
     BothWays(LinkFault),
+    /// Between the region `west` and the rest.
     West(LinkFault),
-    AllUnruly,
+    /// All links drop, duplicate and delay messages.
+    AllLinksUnreliable,
 }
 
 fn cut(f: &Cluster, cut: Cut) {
@@ -400,7 +446,7 @@
             .for_each(|m| towards(f, *m, &[OWNER], LinkFault::Held)),
         Cut::BothWays(fault) => both_ways(f, fault),
         Cut::West(fault) => f.set_region_fault("west", fault),
-        Cut::AllUnruly => all_unruly(f),
+        Cut::AllLinksUnreliable => all_links_unreliable(f),
     }
 }
 
@@ -411,56 +457,52 @@
 #[case::both_ways_lost(3, Cut::BothWays(LinkFault::Lost), LACKING)]
 #[case::minority_with_the_owner(3, Cut::West(LinkFault::Held), LACKING)]
 #[case::equal_regions(4, Cut::West(LinkFault::Lost), LACKING)]
-#[case::unruly(3, Cut::AllUnruly, POSTS_LOST)]
-fn rules_hold_while_routers_are_cut_apart(
-    #[case] routers: u32,
-    #[case] how: Cut,
-    #[case] shown: Shown,
-) {
+#[case::unreliable(3, Cut::AllLinksUnreliable, POSTS_LOST)]
+fn rules_hold_during_a_partition(#[case] routers: u32, #[case] how: Cut, #[case] shown: Shown) {
     let script = Script::new(1)
         .at(1000, |f| cut(f, how))
         .at(CUT_MS, |f| f.links.heal());
-    let played = play(&shared(routers, nothing), None, script, PATIENCE);
+    let played = play(&shared(routers, unchanged), None, script, PATIENCE);
     played.holds();
     assert!(
         shown(&played),
-        "it came about: {}\n{:?}",
+        "the fault did not come about: {}\n{:?}",
         played.verdict.table(),
         played.states
     );
 }
 
-/// All hold all for alive again, and those that were cut off have intents held.
+/// All routers consider all members alive again, and those that were cut off have intents stored by a majority.
 #[rstest]
 #[case::one_of_three(ONE_OF_THREE)]
 #[case::a_region_of_five(REGION_OF_FIVE)]
-fn a_group_is_whole_again_after_a_cut(#[case] cut_off: CutOff) {
+fn a_group_recovers_after_a_partition(#[case] cut_off: CutOff) {
     cut_off.plays(1);
 }
 
-/// Links of one carry a few messages a second; the other two are a majority and go on.
+/// The links of one member forward only a few messages per second. The other two are a majority and continue.
 #[test]
-fn a_member_that_reads_slowly_stalls_nobody() {
+fn a_member_with_slow_links_does_not_stall_the_others() {
     let held = |f: &Cluster| count(f, 0, "held") + count(f, 2, "held");
     let script = Script::new(1)
         .at(1000, |f| both_ways(f, SLOW))
         .at(2500, |f| {
             let before = held(f);
-            comes("intents are held", || held(f) > before + 2 * SOME);
+            wait_for("stored intents", || held(f) > before + 2 * MIN_IN_STEP);
         })
         .at(CUT_MS, |f| f.links.heal());
-    let played = play(&shared(3, nothing), None, script, PATIENCE);
+    let played = play(&shared(3, unchanged), None, script, PATIENCE);
     played.holds();
     assert!(
         POSTS_LOST(&played) || LACKING(&played),
-        "its links were slow: {:?}",
+        "the slow links had no effect: {:?}",
         played.states
     );
 }
 
-/// Its folder grows old while its disk is full, and is written again once there is room.
+/// While the disk of a member is full, its stored records become outdated. They are written again once there is space.
 #[test]
-fn a_full_disk_of_its_folder_stops_no_member() {
+fn a_full_disk_does_not_stop_a_member() {
     let file = |f: &Cluster| f.folder().join(format!("routers/state-{OWNER}/group.redb"));
     let script = Script::new(1)
         .at(500, |f| {
@@ -470,15 +512,15 @@
         })
         .at(1500, |f| {
             let before = count(f, OWNER, "held");
-            comes("intents are held", || {
-                count(f, OWNER, "held") > before + SOME
+            wait_for("stored intents", || {
+                count(f, OWNER, "held") > before + MIN_IN_STEP
             });
             let full = || {
                 lock(&f.routers[OWNER])
                     .log()
                     .contains("the group's file cannot be written")
             };
-            comes("it was full", full);
+            wait_for("the log entry of the full disk", full);
         })
         .at(2500, |f| {
             let lifted = std::time::SystemTime::now();
@@ -490,28 +532,28 @@
                     .and_then(|m| m.modified())
                     .is_ok_and(|at| at > lifted)
             };
-            comes("it is written again", written);
+            wait_for("the file to be written again", written);
         })
         .at(3500, |f| {
             f.kill_router(OWNER);
-            back(f, OWNER, StateAtStart::Kept);
-            comes("it remembers", || f.may_vote(OWNER));
+            restart(f, OWNER, StateAtStart::Kept);
+            wait_for("the restarted router to vote", || f.may_vote(OWNER));
         });
-    let played = play(&shared(3, nothing), None, script, PATIENCE);
+    let played = play(&shared(3, unchanged), None, script, PATIENCE);
     played.holds();
 }
 
-/// Two equal regions and a witness in one of them: that one goes on, the other one is told that it has no majority.
+/// Of two equal regions, the one with the witness continues, and clients of the other are told that it has no majority.
 #[test]
-fn a_witness_gives_its_region_the_majority_in_a_cut() {
+fn a_witness_gives_its_region_the_majority_in_a_partition() {
     let day = shared(5, |d| d.witness = true);
     let held = |f: &Cluster| count(f, 0, "held") + count(f, 2, "held");
     let script = Script::new(1)
         .at(1000, |f| f.set_region_fault("west", LinkFault::Lost))
-        // By then the others are held for dead.
+        // The others are considered dead by then.
         .at(3500, |f| {
             let before = held(f);
-            comes("intents are held", || held(f) > before + SOME);
+            wait_for("stored intents", || held(f) > before + MIN_IN_STEP);
         })
         .at(CUT_MS, |f| f.links.heal());
     let played = play(&day, None, script, PATIENCE);
@@ -540,18 +582,19 @@
             );
         })
         .at(5000, |f| f.links.heal());
-    let played = play(&shared(3, nothing), None, script, PATIENCE);
+    let played = play(&shared(3, unchanged), None, script, PATIENCE);
     played.holds();
     assert!(POSTS_LOST(&played), "{:?}", played.states);
 }
 
-fn of_others(f: &Cluster, name: &str) -> u64 {
+/// A counter, summed over all routers except the owner.
+fn count_of_others(f: &Cluster, name: &str) -> u64 {
     others(f, OWNER).iter().map(|n| count(f, *n, name)).sum()
 }
 
-/// What it sent lies on its way as others take over; it wakes when they are done with it.
+/// The owner is paused while its dispatches are still in transit, and continues after others have taken over.
 #[test]
-fn an_owner_stopped_over_a_takeover_with_dispatches_in_its_buffers_runs_nothing_twice() {
+fn no_invocation_runs_twice_when_its_owner_is_paused_during_a_takeover() {
     let workers = |f: &Cluster, fault| {
         (0..f.workers.len())
             .for_each(|w| f.links.set(&f.router_name(OWNER), &f.worker_name(w), fault));
@@ -560,75 +603,85 @@
         .at(1000, |f| {
             workers(f, LinkFault::Held);
             let before = count(f, OWNER, "held");
-            comes("leave is given", || {
-                count(f, OWNER, "held") >= before + SOME
+            wait_for("dispatches to be permitted", || {
+                count(f, OWNER, "held") >= before + MIN_IN_STEP
             });
-            f.pause_router(OWNER, true).expect("it stands still");
+            f.pause_router(OWNER, true).expect("the router pauses");
             f.broker
                 .drop_connections(|from| from == f.router_name(OWNER));
-            comes("others take over", || of_others(f, "takeovers") > 0);
+            wait_for("the others to take over", || {
+                count_of_others(f, "takeovers") > 0
+            });
             let dead = |n: &usize| {
                 f.state(*n)
                     .is_some_and(|s| s["members"][OWNER]["standing"] == "dead")
             };
-            comes("its owner is gone", || others(f, OWNER).iter().all(dead));
-            comes("what it had leave for may have run", || {
-                of_others(f, "may_have_run") > 0
+            wait_for("the owner to be considered dead", || {
+                others(f, OWNER).iter().all(dead)
+            });
+            wait_for("permitted dispatches that may have run", || {
+                count_of_others(f, "may_have_run") > 0
             });
             workers(f, LinkFault::Pass);
         })
-        .at(1000, |f| f.pause_router(OWNER, false).expect("it goes on"));
-    let played = play(&shared(3, nothing), None, script, PATIENCE);
+        .at(1000, |f| {
+            f.pause_router(OWNER, false).expect("the router continues")
+        });
+    let played = play(&shared(3, unchanged), None, script, PATIENCE);
     played.holds();
     assert!(played.counted("woken") > 0, "{:?}", played.states);
 }
 
-/// Its intents reach nobody, and others run what it has.
-fn overtaken(f: &Cluster, out: LinkFault) {
-    taken(f, OWNER);
+/// Cuts the owner off from the others, with the fault `out` in its outgoing direction, and waits until it has requested
+/// intents.
+fn request_intents_while_cut_off(f: &Cluster, out: LinkFault) {
+    wait_until_accepted(f, OWNER);
     both_ways(f, LinkFault::Lost);
     towards(f, OWNER, &others(f, OWNER), out);
-    store_goes_on(f);
-    comes("intents", || count(f, OWNER, "intents") >= SOME);
+    restore_store_speed(f);
+    wait_for("intents", || count(f, OWNER, "intents") >= MIN_IN_STEP);
 }
 
-/// The broker sees it gone, and it does not see that.
-fn unheard(f: &Cluster) {
+/// Makes the broker close its connection to the owner without the owner noticing, and waits until others run the owner's
+/// invocations.
+fn lose_broker_unnoticed(f: &Cluster) {
     f.links
         .set(&f.router_name(OWNER), BROKER, LinkFault::HalfOpen);
-    comes("others run what never left", || {
-        of_others(f, "proven_unsent") >= SOME
+    wait_for("others to prove invocations unsent", || {
+        count_of_others(f, "proven_unsent") >= MIN_IN_STEP
     });
 }
 
 #[test]
-fn an_owner_that_wakes_with_late_intents_is_refused() {
+fn intents_of_an_owner_that_continues_late_are_rejected() {
     let script = Script::new(1).at(1000, |f| {
-        overtaken(f, LinkFault::Lost);
-        f.pause_router(OWNER, true).expect("it stands still");
-        unheard(f);
+        request_intents_while_cut_off(f, LinkFault::Lost);
+        f.pause_router(OWNER, true).expect("the router pauses");
+        lose_broker_unnoticed(f);
         both_ways(f, LinkFault::Pass);
-        f.pause_router(OWNER, false).expect("it goes on");
-        comes("it is refused", || count(f, OWNER, "lost_to_others") > 0);
+        f.pause_router(OWNER, false).expect("the router continues");
+        wait_for("late intents to be rejected", || {
+            count(f, OWNER, "lost_to_others") > 0
+        });
         f.links.heal();
     });
-    play(&shared(3, stalled), None, script, PATIENCE).holds();
+    play(&shared(3, stall_loads), None, script, PATIENCE).holds();
 }
 
-/// Intents come through after others have promised not to hold them.
+/// Delivers intents after the other routers have promised not to store them.
 fn late_intents(tamper: Option<&str>) -> Played {
     let script = Script::new(1).at(1000, |f| {
-        overtaken(f, LinkFault::Held);
-        unheard(f);
-        // They say nothing more of it by themselves.
-        comes("others are done", || {
+        request_intents_while_cut_off(f, LinkFault::Held);
+        lose_broker_unnoticed(f);
+        // The others send nothing more about these invocations by themselves.
+        wait_for("the others to have no open invocations", || {
             others(f, OWNER).iter().all(|n| idle(f, *n))
         });
         others(f, OWNER)
             .iter()
             .for_each(|m| towards(f, *m, &[OWNER], LinkFault::Pass));
         towards(f, OWNER, &others(f, OWNER), LinkFault::Pass);
-        comes("it hears of it", || {
+        wait_for("replies to the late intents", || {
             count(f, OWNER, "lost_to_others") + count(f, OWNER, "held") > 0
         });
         f.links.heal();
@@ -639,28 +692,28 @@
         PATIENCE
     };
     let day = shared(3, |d| {
-        stalled(d);
-        all_at_once(d);
+        stall_loads(d);
+        arrivals_in_one_second(d);
     });
     play(&day, tamper, script, patience)
 }
 
 #[test]
-fn intents_that_come_late_are_refused() {
+fn late_intents_are_rejected() {
     let played = late_intents(None);
     played.holds();
     assert!(played.counted("lost_to_others") > 0, "{:?}", played.states);
 }
 
-/// Members hold what they have promised not to hold any more.
+/// Members store intents that they have promised not to store any more.
 #[test]
-fn a_promise_that_is_not_kept_is_seen() {
+fn a_broken_promise_is_detected() {
     breaks_rule_2(&late_intents(Some("promise")));
 }
 
-/// The broker hands out again what a router that lives still works on.
+/// The broker redelivers messages that a running router still works on.
 #[test]
-fn two_routers_given_one_message_answer_it_once() {
+fn a_message_delivered_to_two_routers_is_answered_once() {
     let slow = |d: &mut Scenario| d.triggers.iter_mut().for_each(|t| t.work_ms = 500.0);
     let script = Script::new(4).repeatedly(500..5500, 200.0, |f, random| {
         let router = f.router_name(random.random_range(0..3));
@@ -669,107 +722,114 @@
     let played = play(&shared(3, slow), None, script, PATIENCE);
     played.holds();
     assert!(
-        played.counted("joined") > 0 && KNOWN(&played),
+        played.counted("joined") > 0 && ANSWER_KNOWN(&played),
         "{:?}",
         played.states
     );
 }
 
-/// Of an owner and one other that hold the intents, the other starts anew with nothing, and then the owner dies.
-fn both_holders_die(tamper: Option<&str>) -> Played {
+/// The intents are stored by the owner and one other router. The other one restarts without its records, and then the
+/// owner crashes.
+fn both_holders_crash(tamper: Option<&str>) -> Played {
     let process =
         |f: &Cluster, n: usize, of: usize| f.state(n).map(|s| s["members"][of]["process"].clone());
     let script = Script::new(1)
         .at(1000, |f| {
-            taken(f, OWNER);
+            wait_until_accepted(f, OWNER);
             hang(f, true);
             towards(f, OWNER, &[2], LinkFault::Lost);
-            store_goes_on(f);
-            comes("dispatches run", || ran_of(f, OWNER) as u64 >= SOME);
+            restore_store_speed(f);
+            wait_for("dispatched invocations that run", || {
+                dispatched_and_ran(f, OWNER) as u64 >= MIN_IN_STEP
+            });
             towards(f, OWNER, &[0], LinkFault::Lost);
             towards(f, 0, &[OWNER], LinkFault::Lost);
             f.kill_router(0);
-            back(f, 0, StateAtStart::Removed);
+            restart(f, 0, StateAtStart::Removed);
             let met = |n, of| process(f, of, of).is_some_and(|p| process(f, n, of) == Some(p));
-            comes("the other two know each other", || met(0, 2) && met(2, 0));
+            wait_for("the other two to know each other", || {
+                met(0, 2) && met(2, 0)
+            });
             f.kill_router(OWNER);
             hang(f, false);
             f.links.heal();
         })
-        .at(6000, |f| back(f, OWNER, StateAtStart::Removed));
+        .at(6000, |f| restart(f, OWNER, StateAtStart::Removed));
     let patience = if tamper.is_some() {
         Duration::from_secs(6)
     } else {
         PATIENCE
     };
     let day = shared(3, |d| {
-        stalled(d);
+        stall_loads(d);
         if tamper.is_some() {
-            patient(d);
+            long_timeouts(d);
         }
     });
     play(&day, tamper, script, patience)
 }
 
 #[test]
-fn a_record_whose_holders_both_die_is_not_run_again() {
-    let played = both_holders_die(None);
+fn an_invocation_does_not_run_again_when_both_holders_of_its_record_crash() {
+    let played = both_holders_crash(None);
     played.holds();
     assert!(
-        LACKING(&played) || UNSURE(&played),
+        LACKING(&played) || MAY_HAVE_RUN(&played),
         "{}",
         played.verdict.table()
     );
 }
 
-/// One that remembers nothing votes.
+/// A member that has lost its records votes.
 #[test]
-fn a_vote_without_memory_is_seen() {
-    breaks_rule_2(&both_holders_die(Some("amnesia")));
+fn a_vote_without_records_is_detected() {
+    breaks_rule_2(&both_holders_crash(Some("amnesia")));
 }
 
-/// What each finds when all have died at once.
+/// The stored records that routers find when all restart at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Found {
     Kept,
     Lost,
-    /// Kept, lost, older.
+    /// Router 0 has its records, router 1 has lost them, router 2 has an older copy.
     Mixed,
-    /// From before the intents.
+    /// A copy from before the intents.
     Older,
 }
 
-/// A folder is written behind by some tenths of a second.
-const WRITTEN_MS: u64 = 1000;
+/// Time in milliseconds after which records are certainly stored. They are written some tenths of a second late.
+const STORE_DELAY_MS: u64 = 1000;
 
-fn all_die(found: Found, tamper: Option<&str>) -> Played {
+fn all_crash(found: Found, tamper: Option<&str>) -> Played {
     let older = |f: &Cluster, n: usize| f.folder().join(format!("older-{n}"));
     let start = |f: &Cluster, n: usize| match (found, n) {
-        (Found::Kept, _) | (Found::Mixed, 0) => back(f, n, StateAtStart::Kept),
-        (Found::Lost, _) | (Found::Mixed, 1) => back(f, n, StateAtStart::Removed),
-        _ => back(f, n, StateAtStart::Older(&older(f, n))),
+        (Found::Kept, _) | (Found::Mixed, 0) => restart(f, n, StateAtStart::Kept),
+        (Found::Lost, _) | (Found::Mixed, 1) => restart(f, n, StateAtStart::Removed),
+        _ => restart(f, n, StateAtStart::Older(&older(f, n))),
     };
     let script = Script::new(1)
-        .at(700, |f| taken(f, OWNER))
-        .at(700 + WRITTEN_MS, |f| {
+        .at(700, |f| wait_until_accepted(f, OWNER))
+        .at(700 + STORE_DELAY_MS, |f| {
             (0..3).for_each(|n| {
                 lock(&f.routers[n])
                     .copy_state(&older(f, n))
                     .expect("copied")
             });
             hang(f, true);
-            store_goes_on(f);
-            comes("dispatches run", || ran_of(f, OWNER) as u64 >= SOME);
+            restore_store_speed(f);
+            wait_for("dispatched invocations that run", || {
+                dispatched_and_ran(f, OWNER) as u64 >= MIN_IN_STEP
+            });
             (0..3).for_each(|n| f.kill_router(n));
             hang(f, false);
-            // What remembers something may vote before it is given what was requeued.
+            // Routers with records may vote before requeued messages are delivered to them.
             let waits = matches!(found, Found::Kept | Found::Older);
             if waits {
                 (0..3).for_each(|n| f.links.set(&f.router_name(n), BROKER, LinkFault::Held));
             }
             (0..3).for_each(|n| start(f, n));
             if waits {
-                comes("they may vote", || f.all_may_vote());
+                wait_for("all routers to vote", || f.all_may_vote());
                 f.links.heal();
             }
         });
@@ -779,9 +839,9 @@
         PATIENCE
     };
     let day = shared(3, |d| {
-        stalled(d);
+        stall_loads(d);
         if tamper.is_some() {
-            patient(d);
+            long_timeouts(d);
         }
         d.seconds = 4.0;
     });
@@ -793,41 +853,41 @@
 #[case(Found::Lost)]
 #[case(Found::Mixed)]
 #[case(Found::Older)]
-fn all_that_restart_at_once_run_nothing_twice(#[case] found: Found) {
-    let played = all_die(found, None);
+fn no_invocation_runs_twice_when_all_routers_restart_at_once(#[case] found: Found) {
+    let played = all_crash(found, None);
     played.holds();
     assert!(played.logged(BROKER, "requeued") > 0 && played.verdict.answers["errored"] > 0);
 }
 
-/// All have older folders, and nobody doubts what these do not say.
+/// All routers have older records, and no router treats a missing record as uncertain.
 #[test]
-fn trust_in_older_folders_is_seen() {
-    breaks_rule_2(&all_die(Found::Older, Some("undoubting")));
+fn trust_in_older_records_is_detected() {
+    breaks_rule_2(&all_crash(Found::Older, Some("undoubting")));
 }
 
-/// A copy from before two restarts is put back.
+/// The records of a router are replaced by a copy from before two restarts.
 #[test]
-fn a_stale_folder_put_back_is_told_apart_and_made_up_for() {
+fn restored_old_records_are_recognized_and_caught_up() {
     let copy = |f: &Cluster| f.folder().join("older");
     let script = Script::new(1)
         .at(1500, |f| {
             lock(&f.routers[OWNER])
                 .copy_state(&copy(f))
                 .expect("copied");
-            // One start alone takes the turn that the copy takes, too.
+            // After a single restart, the copy would be started with the same turn as the current records.
             for _ in 0..2 {
                 f.kill_router(OWNER);
-                back(f, OWNER, StateAtStart::Kept);
-                comes("it remembers", || f.may_vote(OWNER));
-                std::thread::sleep(Duration::from_millis(WRITTEN_MS));
+                restart(f, OWNER, StateAtStart::Kept);
+                wait_for("the restarted router to vote", || f.may_vote(OWNER));
+                std::thread::sleep(Duration::from_millis(STORE_DELAY_MS));
             }
         })
         .at(3000, |f| {
             f.kill_router(OWNER);
-            back(f, OWNER, StateAtStart::Older(&copy(f)));
-            comes("it remembers", || f.may_vote(OWNER));
+            restart(f, OWNER, StateAtStart::Older(&copy(f)));
+            wait_for("the restarted router to vote", || f.may_vote(OWNER));
         });
-    let played = play(&shared(3, nothing), None, script, PATIENCE);
+    let played = play(&shared(3, unchanged), None, script, PATIENCE);
     played.holds();
     let older: Vec<bool> = played
         .states
@@ -838,29 +898,29 @@
     assert_eq!(older, [false, true, false]);
 }
 
-/// A file that is none, and another member's: both are put aside, and the member catches up with the others.
+/// A damaged file and the file of another member are renamed, and the member catches up with the others.
 #[test]
-fn damaged_and_foreign_folders_are_set_aside() {
+fn damaged_and_foreign_files_are_renamed() {
     let file =
         |f: &Cluster, n: usize, name: &str| f.folder().join(format!("routers/state-{n}/{name}"));
     let script = Script::new(1)
         .at(1500, |f| {
             f.kill_router(OWNER);
             std::fs::write(file(f, OWNER, "group.redb"), "no file of a group").expect("written");
-            back(f, OWNER, StateAtStart::Kept);
+            restart(f, OWNER, StateAtStart::Kept);
             assert!(file(f, OWNER, "group.damaged-1").exists());
-            comes("it remembers", || f.may_vote(OWNER));
+            wait_for("the restarted router to vote", || f.may_vote(OWNER));
         })
         .at(3000, |f| {
             f.kill_router(OWNER);
             f.kill_router(0);
             std::fs::copy(file(f, 0, "group.redb"), file(f, OWNER, "group.redb")).expect("copied");
-            back(f, 0, StateAtStart::Kept);
-            back(f, OWNER, StateAtStart::Kept);
+            restart(f, 0, StateAtStart::Kept);
+            restart(f, OWNER, StateAtStart::Kept);
             assert!(file(f, OWNER, "group.foreign-1").exists());
-            comes("they remember", || f.all_may_vote());
+            wait_for("all routers to vote", || f.all_may_vote());
         });
-    let played = play(&shared(3, nothing), None, script, PATIENCE);
+    let played = play(&shared(3, unchanged), None, script, PATIENCE);
     played.holds();
     let log = lock(&played.fleet.routers[OWNER]).log();
     assert!(
@@ -874,9 +934,9 @@
     let apart = |d: &mut Scenario| d.clock_offsets_ms = vec![0, 180_000, -180_000];
     let script = Script::new(1)
         .at(1500, |f| f.kill_router(2))
-        .at(1500, |f| back(f, 2, StateAtStart::Kept))
+        .at(1500, |f| restart(f, 2, StateAtStart::Kept))
         .at(3000, |f| f.kill_router(0))
-        .at(3000, |f| back(f, 0, StateAtStart::Kept));
+        .at(3000, |f| restart(f, 0, StateAtStart::Kept));
     let played = play(&shared(3, apart), None, script, PATIENCE);
     played.holds();
     let requeued = played.logged(BROKER, "requeued") > 0;
@@ -887,11 +947,11 @@
     );
 }
 
-/// Cut off, a router does by type what its operator wants, and says so in answers, counts and log.
+/// A router without a majority follows the setting of each trigger type, which shows in answers, counters and the log.
 #[rstest]
 #[case("refuse", "no-majority", "lacking_majority")]
 #[case("alone", "worker-alone", "left_alone")]
-fn without_a_majority_each_type_goes_as_its_operator_wants(
+fn a_router_without_a_majority_follows_the_setting_of_each_type(
     #[case] how: &str,
     #[case] reason: &str,
     #[case] counted: &str,
@@ -922,11 +982,11 @@
     );
 }
 
-/// One that sent alone dies, and nobody else had heard of it.
-fn alone_and_gone(tamper: Option<&str>) -> Played {
+/// A router that dispatched without a majority crashes, and no other router has records of its invocations.
+fn crash_after_dispatch_without_majority(tamper: Option<&str>) -> Played {
     let alone = |d: &mut Scenario| {
         if tamper.is_some() {
-            patient(d);
+            long_timeouts(d);
         }
         d.triggers
             .iter_mut()
@@ -941,15 +1001,15 @@
         .at(0, |f| both_ways(f, LinkFault::Lost))
         .at(1000, |f| {
             hang(f, true);
-            let before = ran_of(f, OWNER) as u64;
-            comes("dispatches run", || {
-                ran_of(f, OWNER) as u64 >= before + SOME
+            let before = dispatched_and_ran(f, OWNER) as u64;
+            wait_for("dispatched invocations that run", || {
+                dispatched_and_ran(f, OWNER) as u64 >= before + MIN_IN_STEP
             });
             f.kill_router(OWNER);
             hang(f, false);
             f.links.heal();
         })
-        .at(5000, |f| back(f, OWNER, StateAtStart::Kept));
+        .at(5000, |f| restart(f, OWNER, StateAtStart::Kept));
     let patience = if tamper.is_some() {
         Duration::from_secs(6)
     } else {
@@ -959,57 +1019,65 @@
 }
 
 #[test]
-fn what_nobody_says_to_have_taken_is_not_run_again() {
-    let played = alone_and_gone(None);
+fn an_invocation_without_records_does_not_run_again() {
+    let played = crash_after_dispatch_without_majority(None);
     played.holds();
-    // Told that it may have run, or, too late for a vote, that there was no majority.
-    assert!(UNSURE(&played), "{:?}", played.states);
+    // Clients are told that the invocation may have run or, too late for a vote, that there was no majority.
+    assert!(MAY_HAVE_RUN(&played), "{:?}", played.states);
 }
 
-/// Silence is taken for proof that nothing was sent.
+/// A missing reply counts as proof that nothing was dispatched.
 #[test]
-fn silence_taken_for_proof_is_seen() {
-    breaks_rule_2(&alone_and_gone(Some("absent")));
+fn a_missing_reply_that_counts_as_proof_is_detected() {
+    breaks_rule_2(&crash_after_dispatch_without_majority(Some("absent")));
 }
 
-/// Cuts, stops and deaths of any router, at once.
+/// Partitions, pauses, crashes and lost records of any router at the same time.
 #[rstest]
 #[case(5, 11)]
 #[case(5, 12)]
 #[case(9, 13)]
-fn rules_hold_in_larger_groups_under_all_faults_at_once(#[case] routers: u32, #[case] seed: u64) {
+fn rules_hold_in_larger_groups_under_combined_faults(#[case] routers: u32, #[case] seed: u64) {
     let n = routers as usize;
     let script = Script::new(seed)
-        // One takeover at least, before what is drawn may leave no majority or no router that counted one.
+        // Forces one takeover, before random faults may leave no majority or no router that counted a takeover.
         .at(700, |f| {
             hang(f, true);
-            comes("messages are taken", || claims(f, OWNER, "mine") >= SOME);
+            wait_for("accepted messages", || {
+                claims(f, OWNER, "mine") >= MIN_IN_STEP
+            });
             f.kill_router(OWNER);
-            comes("others take over", || of_others(f, "takeovers") > 0);
+            wait_for("the others to take over", || {
+                count_of_others(f, "takeovers") > 0
+            });
             hang(f, false);
         })
         .repeatedly(800..5500, 250.0, move |f, random| {
             let (a, b) = (random.random_range(0..n), random.random_range(0..n));
             match random.random_range(0..7) {
                 0 => f.kill_router(a),
-                1 => f.start_router(a, StateAtStart::Kept).expect("it starts"),
-                2 => f.start_router(a, StateAtStart::Removed).expect("it starts"),
-                3 => f.pause_router(a, true).expect("it stands still"),
-                4 => (0..n).for_each(|n| f.pause_router(n, false).expect("it goes on")),
+                1 => f
+                    .start_router(a, StateAtStart::Kept)
+                    .expect("the router starts"),
+                2 => f
+                    .start_router(a, StateAtStart::Removed)
+                    .expect("the router starts"),
+                3 => f.pause_router(a, true).expect("the router pauses"),
+                4 => (0..n).for_each(|n| f.pause_router(n, false).expect("the router continues")),
                 5 if a != b => f.set_peer_faults(&[a, b], random.random(), LinkFault::Lost),
                 _ => f.links.heal(),
             }
         })
         .at(6000, move |f| {
             f.links.heal();
-            (0..n).for_each(|n| f.pause_router(n, false).expect("it goes on"));
-            (0..n).for_each(|n| back(f, n, StateAtStart::Kept));
+            (0..n).for_each(|n| f.pause_router(n, false).expect("the router continues"));
+            (0..n).for_each(|n| restart(f, n, StateAtStart::Kept));
         });
-    let more = shared(routers, |d| d.rate_per_s = 40.0);
-    let played = play(&more, None, script, PATIENCE);
+    let day = shared(routers, |d| d.rate_per_s = 40.0);
+    let played = play(&day, None, script, PATIENCE);
     played.holds();
     assert!(
-        played.logged(BROKER, "requeued") >= SOME as usize,
+        played.logged(BROKER, "requeued") >= MIN_IN_STEP as usize,
         "{:?}",
         played.states
     );
--- a/crates/cli/tests/upgraded.rs
+++ b/crates/cli/tests/upgraded.rs
@@ -1,6 +1,8 @@
-//! Models are upgraded under load with sessions, by routers of a group in two regions, with faults at its steps: no
-//! session is on two versions, no order takes warm lanes below the floor, no term has two planners, nothing that must
-//! not runs twice, and the plan ends or says why not. Rules and counts, never times.
+//! Upgrades of models under load with sessions, by a group of routers in two regions, with faults at each step.
+//!
+//! Guards against sessions that use two versions, orders that take the warm lanes below the floor, two planners in one term,
+//! non-idempotent invocations that run twice, and plans that neither end nor report why. The tests check rules and
+//! counts, never times.
 
 use std::collections::HashSet;
 use std::io::{Read, Write};
@@ -24,9 +26,10 @@
 use fleets::*;
 use upgrading::*;
 
-/// Fleets at a time: each of these is busy for most of a minute, with less than one core.
+/// Limits how many clusters run at the same time. Each is busy for most of a minute and uses less than one core.
 static BUSY: Semaphore = Semaphore::new(2);
 
+/// Runs a scenario in which nothing is ordered at first, and checks the rules.
 fn played(day: &Scenario, script: Script) -> Played {
     let _busy = BUSY.acquire_blocking();
     let played = play_from(day, None, orders_nothing, script, PATIENCE);
@@ -41,7 +44,7 @@
 }
 
 impl Played {
-    /// Of all routers that answered at the end.
+    /// Checks that each router that responded at the end reports all plans in this phase.
     fn ended_as(&self, phase: &str) {
         let states: Vec<_> = self.states.iter().flatten().map(plans).collect();
         let all = |plans: &Vec<(String, String)>| {
@@ -51,7 +54,7 @@
     }
 }
 
-/// A region of the first plan is there, at this router.
+/// Whether the first plan, or a region of it, is in this stage according to a router.
 fn stage(f: &Cluster, n: usize, stage: &str) -> bool {
     let state = f.state(n).unwrap_or_default();
     let regions = state["upgrade"]["plans"][0]["regions"]
@@ -61,7 +64,7 @@
     state["upgrade"]["plans"][0]["phase"] == stage || regions.iter().any(|r| r["stage"] == stage)
 }
 
-/// A step of a plan, as its state calls it, at which something befalls it.
+/// Waits until the plan is in a step, named as in the state that routers report.
 fn reaches(f: &Cluster, step: &str) {
     assert!(
         until(PLANNED, || stage(f, 1, step)),
@@ -70,7 +73,9 @@
     );
 }
 
+/// Time limit of an upgrade for draining, in milliseconds.
 const DRAIN_LIMIT_MS: u64 = 5_000;
+/// A time directly after the upgrade was ordered, in milliseconds from the start.
 const LATER: u64 = ORDERED_MS + 1;
 
 #[test]
@@ -80,13 +85,15 @@
         .at(LATER, ends);
     let played = played(&upgrading(|_| {}), script);
     played.ended_as("Done");
-    // Nothing died, was cut off or short of room. What the operator's limit cuts short is built again elsewhere.
+    // No worker crashed, was cut off or lacked memory, so these causes must not occur. Sessions that exceed the operator's
+    // drain limit rebuild their prefixes at another worker.
     let p = &played.verdict.prefixes;
     for why in [RebuildCause::Died, RebuildCause::Room, RebuildCause::Cut] {
         assert_eq!(p.caused_by(why), 0, "{p:?}");
     }
-    // Only as a function's homes move does a router's module let go of the copies that it knew, and the turn that comes
-    // just then goes to a new home: about once at each router but the first, for both versions of both models.
+    // A router's balancer drops its records of copies only when the preferred workers of a function change. A turn that
+    // arrives at that moment is dispatched to a new preferred worker. This happens about once at each router except the
+    // first, for both versions of both models.
     let moves = (played.fleet.routers.len() - 1) * 2 * MODELS.len();
     assert!(
         p.found > 0 && p.caused_by(RebuildCause::Astray) <= moves as u64,
@@ -94,7 +101,7 @@
     );
 }
 
-/// The planner's way of `benches/three_ways.rs`, with the limit on draining that the other tests have.
+/// The same upgrade as with the planner in `benches/three_ways.rs`, but with the drain limit of the other tests.
 #[test]
 fn promises_hold_where_models_load_slowly() {
     let script = Script::new(1)
@@ -112,18 +119,22 @@
     played.ended_as("Done");
 }
 
+/// A fault during an upgrade.
 #[derive(Clone, Copy)]
 enum Fault {
-    /// Of the router that plans, for longer than its lease.
+    /// The planning router crashes for longer than its lease.
     Dies,
+    /// The planning router is paused for longer than its lease.
     Stands,
-    /// Between the regions.
+    /// A partition between the regions.
     Cut,
+    /// A worker crashes and restarts.
     WorkerDies,
-    /// Orders that reach a worker and come to nothing.
+    /// Workers receive load orders but do not execute them.
     LoadsLost,
 }
 
+/// Injects a fault and ends it.
 fn befalls(f: &Cluster, fault: Fault) {
     let pause = || std::thread::sleep(Duration::from_millis(LONG_MS));
     match fault {
@@ -172,7 +183,7 @@
     played(&upgrading(|_| {}), script).ended_as("Done");
 }
 
-/// All routers are killed, and start again from what they kept.
+/// Kills all routers, restarts them from their stored records, and waits until all may vote.
 fn all_die(f: &Cluster) {
     (0..3).for_each(|n| f.kill_router(n));
     (0..3).for_each(|n| {
@@ -182,12 +193,13 @@
     assert!(until(PLANNED, || f.all_may_vote()), "they remember");
 }
 
-/// Nothing can be written any more by routers that run, until they start again.
+/// Makes all running routers unable to write files, until they restart.
 fn disks_are_full(f: &Cluster) {
     (0..3).for_each(|n| lock(&f.routers[n]).limit_file_size(Some(0)).expect("set"));
 }
 
-/// Many sessions; the canaries stay, so that what is proposed differs from session to session.
+/// A scenario with many sessions in which the canary step lasts until the end, so that the proposed version differs between
+/// sessions.
 fn many_sessions(seconds: f64, turns: u32) -> Scenario {
     upgrading(|day| {
         (day.seconds, day.rate_per_s) = (seconds, 60.0);
@@ -200,7 +212,7 @@
     })
 }
 
-/// Once while bindings are made, and once after a time in which nothing could be written.
+/// All routers crash twice: once while sessions are being bound, and once after a time in which nothing could be written.
 #[test]
 fn sessions_stay_when_all_routers_die_at_once() {
     let bind = |_: &Cluster| std::thread::sleep(Duration::from_millis(1_500));
@@ -228,7 +240,7 @@
     );
 }
 
-/// Sessions of which a turn has run on a new version.
+/// The sessions of which a turn has run on a new version.
 fn sessions_on_new_versions(f: &Cluster) -> HashSet<String> {
     let mut sessions = HashSet::new();
     for (n, worker) in f.workers.iter().enumerate() {
@@ -237,7 +249,7 @@
             .folder()
             .join(format!("traffic/{}.ndjson", f.worker_name(n)));
         let text = std::fs::read_to_string(file).expect("a log");
-        // The last line may be half written.
+        // The last line may be partly written.
         let lines = text
             .lines()
             .filter_map(|l| serde_json::from_str::<Value>(l).ok());
@@ -256,11 +268,13 @@
     sessions
 }
 
-/// So many sessions have begun on a new version while nothing could be written; most go on after the routers' death.
+/// Number of sessions that must begin on a new version while nothing can be written. Most of them continue after all
+/// routers have crashed.
 const BOUND_UNKEPT: usize = 10;
 
-/// Votes that do not wait for their folder: sessions that were bound to the new version meanwhile are not known after a
-/// death of all, and go on on the old one, which is proposed for what had begun before.
+/// Guards against votes that are cast before the state that backs them is on disk. Sessions that were bound to the new
+/// version in that time are unknown after a crash of all routers. They continue on the old version, because it is proposed
+/// for sessions that had begun before.
 #[test]
 fn bindings_that_are_not_kept_are_seen() {
     let new_sessions_begin = |f: &Cluster| {
@@ -299,8 +313,8 @@
     );
 }
 
-/// Sessions wait at a router for a majority that does not come, and its front is lost: what waited comes again, and is
-/// not taken twice.
+/// Sessions wait at a router for a majority that is not available, and the router loses its front. The broker redelivers
+/// the waiting messages, and none may be accepted twice.
 #[test]
 fn what_waits_for_a_majority_as_its_front_is_lost_runs_once() {
     let others = |f: &Cluster, on| {
@@ -323,7 +337,7 @@
     );
 }
 
-/// Ordered straight at a worker; whether it stands then.
+/// Orders a load directly at a worker, without a router. Returns whether the model was loaded.
 fn load_straight(f: &Cluster, worker: usize, model: &str) -> bool {
     let mut stream = TcpStream::connect(f.workers[worker].address).expect("it listens");
     let head = format!("POST /v2/repository/models/{model}/load HTTP/1.1\r\nhost: x\r\n");
@@ -334,14 +348,15 @@
     answer.starts_with("HTTP/1.1 200")
 }
 
-/// Who had this function unloaded at a worker since it was ordered straight there, once for each order.
+/// The routers that ordered this function unloaded at a worker since it was last loaded there directly, one entry for each
+/// order.
 fn unload_orders(f: &Cluster, worker: usize, function: &str) -> Vec<String> {
     f.workers[worker].flush();
     let file = f
         .folder()
         .join(format!("traffic/{}.ndjson", f.worker_name(worker)));
     let text = std::fs::read_to_string(file).expect("a log");
-    // The last line may be half written.
+    // The last line may be partly written.
     let lines: Vec<Value> = text
         .lines()
         .filter_map(|l| serde_json::from_str(l).ok())
@@ -359,8 +374,8 @@
         .collect()
 }
 
-/// A version that its plan has taken out of service stands again: what is idle goes, by one router, though the first
-/// order gets lost; what is used stays until it is not.
+/// A version that a plan has retired is loaded again. One router has its idle copies unloaded, although the first order gets
+/// lost. A copy that is in use stays until it is idle.
 #[test]
 fn an_old_version_that_no_plan_wants_is_unloaded_when_it_is_idle() {
     const OLD: &str = MODELS[0];
@@ -401,7 +416,7 @@
     let found = |s: &Value| s["reconcile"]["counts"]["older_version"].as_u64();
     let found: u64 = played.states.iter().flatten().filter_map(found).sum();
     assert!(found >= 3, "each time it was seen idle: {found}");
-    // Nobody touched what is in service.
+    // No copy of the version in service was unloaded.
     for w in 0..played.fleet.workers.len() {
         let held = played.fleet.workers[w].loaded_functions();
         eprintln!("{w}: {held:?}");
@@ -415,7 +430,7 @@
     }
 }
 
-/// Orders that cannot be read are refused whole, with a line a cause, and those before stay.
+/// An upgrade file with an error is rejected completely, with one log line for each cause, and the earlier orders stay.
 #[test]
 fn a_wrong_file_changes_nothing() {
     let write = |f: &Cluster, text: &str| {
@@ -461,7 +476,7 @@
     play_from(&day, None, orders_nothing, script, PATIENCE).holds();
 }
 
-/// A version that errs goes back by itself, under the same floors.
+/// A new version that returns errors is rolled back automatically, under the same floors.
 #[test]
 fn a_bad_version_goes_back() {
     let script = Script::new(1)
