--- a/crates/cli/tests/discovery_outage.rs
+++ b/crates/cli/tests/discovery_outage.rs
@@ -1,11 +1,11 @@
-//! `cedarpulley node` while discovery is out of reach.
+//! Runs `cedarpulley node` while discovery is unreachable.
 //!
-//! Incident, told by its first tests. Seen: discovery was lost; workers began to drain just after that, stayed up and
-//! turned new work away; the routers went on sending invocations, and an order to load, for as long as the outage lasted.
-//! How it came about: what discovery announces counts as told 7 s after it was lost, heard or not, and new work must end
-//! a grace after that. Cause: a failed poll only made the next one later. Nothing told the core that the list might be out
-//! of date, so every worker in it was good for ever. Proof: these tests, which count what reaches a draining worker once
-//! that time is over. Before the repair the first of 60 invocations went there in each test, and was turned away.
+//! Guards against invocations and load orders that are sent to draining workers for as long as a discovery outage lasts.
+//! Workers began to drain just after discovery was lost; they kept running and rejected new work. An announcement of
+//! discovery counts as received at the latest 7 s after discovery was lost, and new work must stop one drain grace later.
+//! The cause was that a failed poll only delayed the next one: the router core did not learn that the endpoint list might
+//! be out of date, so every listed worker stayed eligible. These tests count what reaches a draining worker after that
+//! time. Before the fix, in each test the first of 60 invocations was sent to that worker and rejected.
 
 use std::io::{BufReader, Write};
 use std::net::TcpListener;
@@ -17,17 +17,18 @@
 mod platform;
 use platform::*;
 
-/// What discovery would have announced counts as told so long after it was lost, at the latest.
-const TOLD_AFTER: Duration = Duration::from_secs(7);
-/// The grace of a draining worker in `platform`'s settings, and what a time limit on sockets grows by.
+/// Time after the loss of discovery at which its announcements count as received at the latest.
+const COUNTS_AS_RECEIVED_AFTER: Duration = Duration::from_secs(7);
+/// Drain grace in the settings of `platform` (500 ms), plus the margin of a time limit on sockets.
 const GRACE: Duration = Duration::from_millis(550);
+/// Invocations sent in each round.
 const REQUESTS: u32 = 60;
 
 fn probes_allowed(config: String) -> String {
     config.replace(r#""cancel":true"#, r#""cancel":true,"probes":true"#)
 }
 
-/// A router with a second worker beside the first one.
+/// Starts a router with two workers.
 fn with_second_worker(part: u16) -> (World, Shared) {
     let (w, at, seen) = (
         World::with(part, probes_allowed),
@@ -44,13 +45,13 @@
     Instant::now()
 }
 
-fn turned_away_since(worker: &Shared, since: Instant) -> usize {
+fn rejected_since(worker: &Shared, since: Instant) -> usize {
     let seen = worker.lock().expect("seen");
     seen.turned_away.iter().filter(|at| **at > since).count()
 }
 
-/// Sends invocations of both kinds, of a function that is loaded and of new ones, and returns how many were served.
-fn served(w: &World, first: u32) -> usize {
+/// Sends invocations of both trigger types, of a loaded function and of new functions, and returns how many succeeded.
+fn successes(w: &World, first: u32) -> usize {
     let ask = |n: u32| {
         let class = if n.is_multiple_of(2) { "plain" } else { "once" };
         let function = if n.is_multiple_of(3) {
@@ -65,18 +66,19 @@
     (first..first + REQUESTS).filter(|n| ask(*n) == 200).count()
 }
 
-/// Loses discovery by `lose`, has the first worker drain just after that, and sees what goes there once it counts as told.
-fn a_worker_that_drains_unheard_gets_nothing_new(part: u16, lose: impl FnOnce(&mut World)) {
+/// Causes an outage of discovery with `lose` and lets the first worker drain just after that. Checks that nothing is
+/// sent to that worker once its draining counts as announced and the drain grace is over.
+fn assert_unannounced_drain_stops_new_work(part: u16, lose: impl FnOnce(&mut World)) {
     let (mut w, second) = with_second_worker(part);
-    assert_eq!(served(&w, 1), REQUESTS as usize);
+    assert_eq!(successes(&w, 1), REQUESTS as usize);
     lose(&mut w);
     let lost = Instant::now();
     drain(&w.seen);
-    thread::sleep((lost + TOLD_AFTER + GRACE).saturating_duration_since(Instant::now()));
+    thread::sleep((lost + COUNTS_AS_RECEIVED_AFTER + GRACE).saturating_duration_since(Instant::now()));
     let told = Instant::now();
-    let served = served(&w, 1_000);
-    assert_eq!(turned_away_since(&w.seen, told), 0, "sends after the grace");
-    assert_eq!(served, REQUESTS as usize);
+    let successes = successes(&w, 1_000);
+    assert_eq!(rejected_since(&w.seen, told), 0, "sends after the grace");
+    assert_eq!(successes, REQUESTS as usize);
     assert!(second.lock().expect("seen").probes > 0);
 }
 
@@ -85,29 +87,29 @@
 }
 
 #[test]
-fn a_worker_that_drains_while_discovery_is_silent_gets_nothing_new() {
-    a_worker_that_drains_unheard_gets_nothing_new(30, lose(Outage::Silent));
+fn a_worker_draining_while_discovery_is_silent_gets_no_new_work() {
+    assert_unannounced_drain_stops_new_work(30, lose(Outage::Silent));
 }
 
 #[test]
-fn a_worker_that_drains_while_discovery_closes_gets_nothing_new() {
-    a_worker_that_drains_unheard_gets_nothing_new(31, lose(Outage::Closes));
+fn a_worker_draining_while_discovery_closes_connections_gets_no_new_work() {
+    assert_unannounced_drain_stops_new_work(31, lose(Outage::Closes));
 }
 
 #[test]
-fn a_worker_that_drains_while_discovery_is_garbled_gets_nothing_new() {
-    a_worker_that_drains_unheard_gets_nothing_new(32, lose(Outage::Garbled));
+fn a_worker_draining_while_discovery_is_unreadable_gets_no_new_work() {
+    assert_unannounced_drain_stops_new_work(32, lose(Outage::Garbled));
 }
 
 #[test]
-fn a_worker_that_drains_while_discovery_is_behind_gets_nothing_new() {
-    a_worker_that_drains_unheard_gets_nothing_new(33, lose(Outage::Behind));
+fn a_worker_draining_while_discovery_lags_gets_no_new_work() {
+    assert_unannounced_drain_stops_new_work(33, lose(Outage::Behind));
 }
 
-/// The configuration names a channel at which nobody listens.
+/// The new configuration names a channel address without a listener.
 #[test]
-fn a_worker_that_drains_after_a_move_to_nowhere_gets_nothing_new() {
-    a_worker_that_drains_unheard_gets_nothing_new(34, |w| {
+fn a_worker_draining_after_discovery_moves_to_a_dead_address_gets_no_new_work() {
+    assert_unannounced_drain_stops_new_work(34, |w| {
         let text = std::fs::read_to_string(&w.file).expect("read");
         let (old, new) = (w.first_channel, own(34));
         let text = text.replace(
@@ -119,25 +121,25 @@
     });
 }
 
-/// A router that starts in an outage knows only what its configuration holds, of whatever age.
+/// A router that starts in an outage knows only the workers of its configuration, which may be of any age.
 #[test]
-fn a_router_that_starts_while_discovery_is_lost_checks_its_workers() {
+fn a_router_started_without_discovery_checks_its_workers() {
     let (mut w, _second) = with_second_worker(35);
-    // What the configuration holds names the first worker alone.
+    // The configuration names only the first worker.
     w.channel.lock().expect("channel").outage = Some(Outage::Closes);
     drain(&w.seen);
     w.node.kill().expect("killed");
     w.node.wait().expect("ended");
     let restarted = Instant::now();
     w.node = start(&w.file, &w.folder, w.address);
-    w.until("it serves again", |w| {
+    w.until("the router serves requests again", |w| {
         w.ask("GET /-/healthy HTTP/1.1\r\n\r\n")
             .is_some_and(|a| a.0 == 200)
     });
     let text = call(&id(1), "plain", GOOD, "", "x").replace("Wait-Ms: 60000", "Wait-Ms: 9000");
     assert_eq!(w.ask(&text).expect("an answer").0, 503);
-    assert_eq!(turned_away_since(&w.seen, restarted), 0);
-    // It is ready again, and used although discovery is not.
+    assert_eq!(rejected_since(&w.seen, restarted), 0);
+    // The worker is ready again, and is used although discovery is still unavailable.
     w.seen.lock().expect("seen").draining = false;
     assert_eq!(
         w.ask(&call(&id(2), "plain", GOOD, "", "x"))
@@ -147,29 +149,29 @@
     );
 }
 
-/// Deep in an outage, a worker that begins to drain gets work for the grace at most.
+/// A worker that begins to drain late in an outage gets new work for at most the drain grace.
 #[test]
-fn a_worker_that_drains_deep_in_an_outage_has_its_grace_and_no_more() {
+fn a_worker_draining_late_in_an_outage_gets_only_its_drain_grace() {
     let (w, second) = with_second_worker(36);
     w.channel.lock().expect("channel").outage = Some(Outage::Silent);
-    thread::sleep(TOLD_AFTER + GRACE);
-    assert_eq!(served(&w, 1), REQUESTS as usize);
+    thread::sleep(COUNTS_AS_RECEIVED_AFTER + GRACE);
+    assert_eq!(successes(&w, 1), REQUESTS as usize);
     let first_to_drain = drain(&w.seen);
     thread::sleep((first_to_drain + GRACE).saturating_duration_since(Instant::now()));
     let told = Instant::now();
-    assert_eq!(served(&w, 1_000), REQUESTS as usize);
-    assert_eq!(turned_away_since(&w.seen, told), 0, "sends after the grace");
-    // Discovery is back, and says that both are in service.
+    assert_eq!(successes(&w, 1_000), REQUESTS as usize);
+    assert_eq!(rejected_since(&w.seen, told), 0, "sends after the grace");
+    // Discovery is available again and announces that the second worker has left.
     w.seen.lock().expect("seen").draining = false;
     drain(&second);
     w.channel.lock().expect("channel").outage = None;
     w.tell(3, "s-2", own(36), "left");
-    assert_eq!(served(&w, 2_000), REQUESTS as usize);
+    assert_eq!(successes(&w, 2_000), REQUESTS as usize);
 }
 
-/// A server that is behind answers each poll: what it did not know is heard late, once it has caught up.
+/// A lagging discovery server answers each poll. Events that it did not have are received late, once it has caught up.
 #[test]
-fn a_drain_heard_from_a_server_that_was_behind_has_no_grace_left() {
+fn a_drain_received_from_a_lagging_server_has_no_grace_left() {
     let patient = |config: String| {
         probes_allowed(config).replace(
             "\"stopSendingWithin\":500000000",
@@ -178,28 +180,28 @@
     };
     let (w, at, second) = (World::with(37, patient), own(37), Shared::default());
     worker(TcpListener::bind(at).expect("bind"), second.clone());
-    // The first worker alone has the function loaded.
-    assert_eq!(served(&w, 1), REQUESTS as usize);
+    // Only the first worker has the function loaded.
+    assert_eq!(successes(&w, 1), REQUESTS as usize);
     w.tell(2, "s-2", at, "active");
     let asked = |w: &World| w.channel.lock().expect("channel").asked.len();
     w.channel.lock().expect("channel").outage = Some(Outage::Behind);
     let before = asked(&w);
-    w.until("it is behind", |w| asked(w) > before + 2);
+    w.until("the discovery server lags", |w| asked(w) > before + 2);
     let drains = event(3, w.workers, "s-1", "leaving");
     w.channel.lock().expect("channel").events.push(drains);
     w.channel.lock().expect("channel").outage = None;
-    w.until("it has caught up", |w| {
+    w.until("the discovery server has caught up", |w| {
         w.channel.lock().expect("channel").asked.contains(&3)
     });
     let told = drain(&w.seen);
-    assert_eq!(served(&w, 1_000), REQUESTS as usize);
-    assert_eq!(turned_away_since(&w.seen, told), 0);
+    assert_eq!(successes(&w, 1_000), REQUESTS as usize);
+    assert_eq!(rejected_since(&w.seen, told), 0);
 }
 
-/// With no connection left a health check ends at once; sent again at once, it would hold up everything else.
+/// Without a free connection a health check ends at once. If it were repeated at once, it would delay all other work.
 #[test]
-fn a_health_check_without_a_connection_holds_up_nobody() {
-    // Objectives beyond the test's patience: what waits for a worker goes on waiting.
+fn a_health_check_without_a_connection_delays_no_other_work() {
+    // Latency objectives above the timeout of the test: invocations that wait for a worker keep waiting.
     let one_connection = |config: String| {
         probes_allowed(config)
             .replace("\"sockets\":256", "\"sockets\":66")
@@ -210,16 +212,16 @@
     let mut kept = w.connect();
     kept.write_all(call(&id(1), "once", KEPT, "", "x").as_bytes())
         .expect("sent");
-    w.until("it is out", |w| w.calls(&id(1)) == 1);
+    w.until("the invocation is dispatched", |w| w.calls(&id(1)) == 1);
     w.tell(2, "s-2", at, "active");
     w.channel.lock().expect("channel").outage = Some(Outage::Closes);
     thread::sleep(Duration::from_millis(2_500));
     drain(&w.seen);
-    // The first worker fails its check on the one connection, and the second one cannot be asked.
+    // The first worker fails its health check on the only connection, and the second worker cannot be checked.
     let text = call(&id(2), "plain", GOOD, "", "x");
     let mut waiting = w.connect();
     waiting.write_all(text.as_bytes()).expect("sent");
-    w.until("it was asked", |w| w.seen.lock().expect("seen").probes > 0);
+    w.until("a health check was received", |w| w.seen.lock().expect("seen").probes > 0);
     thread::sleep(Duration::from_millis(200));
     w.turns();
     w.free(&id(1));
--- a/crates/cli/tests/platform/mod.rs
+++ b/crates/cli/tests/platform/mod.rs
@@ -1,5 +1,5 @@
-//! A running `cedarpulley node` over real sockets, between a small scripted worker, a command channel and clients.
-#![allow(dead_code)] // Each test file uses its part.
+//! Harness that runs `cedarpulley node` over real sockets with scripted workers, a command channel and clients.
+#![allow(dead_code)] // Each test file uses only a part of this module.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,19 +14,26 @@
 use procfs::net::{TcpNetEntry, TcpState};
 use rustix::process::Signal;
 
-/// Long enough for anything here on a loaded machine; only a failing test waits so long.
+/// Timeout of every wait in these tests. It suffices on a loaded machine; only a failing test reaches it.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Functions by which the worker knows how to behave.
+// Names of functions. The scripted worker chooses its behavior by the function that is called.
+
+/// Answered at once and correctly.
 pub const GOOD: &str = "00000000000000a0";
+/// Answered with a line that does not follow the protocol.
 pub const NOISE: &str = "00000000000000a1";
+/// Answered twice, after an answer to a call that was never sent.
 pub const TWICE: &str = "00000000000000a2";
-/// Answered when the test says so.
+/// Answered only after the test has released the call with [`World::free`].
 pub const KEPT: &str = "00000000000000a3";
+/// Answered with an announced body of 3 GiB that is never complete.
 pub const HUGE: &str = "00000000000000a4";
+/// Answered with a body that is shorter than its announced length.
 pub const HALF: &str = "00000000000000a5";
 
-/// An address of this process's own.
+/// Returns an unused loopback address. It is derived from the process id, so that test processes do not collide;
+/// `part` separates the tests.
 pub fn own(part: u16) -> SocketAddr {
     static LAST: AtomicU16 = AtomicU16::new(0);
     let pid = std::process::id();
@@ -37,26 +44,33 @@
     ))
 }
 
-/// What crossed the worker's sockets.
+/// What a scripted worker has received, and the state that the test controls.
 #[derive(Default)]
 pub struct Seen {
+    /// Calls received: id and function.
     pub calls: Vec<(String, String)>,
-    /// The milliseconds that the worker was given, by the id of the call.
+    /// Time limit of each call in milliseconds, by the id of the call.
     pub deadlines: HashMap<String, u64>,
+    /// Ids of cancelled calls.
     pub killed: Vec<String>,
-    /// Of `KEPT`, what may be answered.
+    /// Ids of the calls of `KEPT` that may be answered.
     freed: Vec<String>,
+    /// Number of connections accepted.
     pub connections: usize,
+    /// Load orders received: the fields of each order.
     pub orders: Vec<String>,
-    /// The worker drains: it stays up, is not healthy, and turns new work away.
+    /// The worker drains: it keeps running, fails health checks and rejects new work.
     pub draining: bool,
-    /// Calls and orders to load that were turned away, by the time of their coming.
+    /// Times at which rejected calls and load orders were received.
     pub turned_away: Vec<Instant>,
+    /// Number of health checks received.
     pub probes: usize,
 }
 
+/// State of a scripted worker, shared with the test.
 pub type Shared = Arc<Mutex<Seen>>;
 
+/// Runs a scripted worker that serves all connections of the listener.
 pub fn worker(listener: TcpListener, seen: Shared) {
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -67,6 +81,7 @@
     });
 }
 
+/// Serves one connection of a scripted worker until it is closed.
 pub fn serve(stream: TcpStream, seen: &Shared) {
     let mut lines = BufReader::new(stream.try_clone().expect("clone"));
     let mut out = stream;
@@ -85,7 +100,7 @@
             ["SPAWN", tag, fields] => answer_to_order(tag, fields, seen),
             ["REAP", _] => Vec::new(),
             ["HELO" | "TOP", tag] => answer_to_probe(tag, seen),
-            _ => panic!("the worker was told {line:?}"),
+            _ => panic!("the worker received an unknown request: {line:?}"),
         };
         if out.write_all(&answer).is_err() {
             return;
@@ -101,7 +116,7 @@
     body
 }
 
-/// The answer to a call by what its function asks for; nothing where it comes later, or never.
+/// Returns the answer to a call, according to its function. The answer is empty if it is sent later.
 fn answer_to_call(id: &str, fields: &str, body: &[u8], out: &TcpStream, seen: &Shared) -> Vec<u8> {
     let field = |name| {
         fields
@@ -164,7 +179,7 @@
     format!("{id} refused - 0\r\n\r\n").into_bytes()
 }
 
-/// Whether the worker drains; if so, what has just come counts as turned away.
+/// Returns whether the worker drains. If it does, the request just received is recorded as rejected.
 fn turns_away(seen: &Shared) -> bool {
     let mut seen = seen.lock().expect("seen");
     if seen.draining {
@@ -173,27 +188,27 @@
     seen.draining
 }
 
-/// Counts a probe; whether the worker is healthy.
+/// Counts a health check and returns whether the worker is healthy.
 fn probed(seen: &Shared) -> bool {
     let mut seen = seen.lock().expect("seen");
     seen.probes += 1;
     !seen.draining
 }
 
-/// How a channel is out of reach.
+/// The way in which a discovery channel fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outage {
-    /// Questions stay open for ever, on connections that stay open.
+    /// Requests are never answered, and their connections stay open.
     Silent,
     /// Connections are closed at once.
     Closes,
-    /// Answers cannot be read.
+    /// Answers cannot be parsed.
     Garbled,
-    /// Answers come from a server that is behind, and has no events yet.
+    /// Answers are from a lagging server that has no events yet.
     Behind,
 }
 
-/// What a channel answers that is up and tells nothing.
+/// Returns the answer without events that a channel in this outage sends, if it answers at all.
 fn useless_answer(outage: Outage) -> Option<String> {
     let body = match outage {
         Outage::Silent | Outage::Closes => return None,
@@ -206,19 +221,22 @@
     ))
 }
 
-/// A channel that tells what it is given to tell.
+/// A scripted discovery channel that announces the events set by the test.
 #[derive(Default)]
 pub struct Channel {
+    /// All events so far; the cursor counts them.
     pub events: Vec<String>,
-    /// Breaks off in the middle of the next answer.
+    /// Closes the connection within the next answer.
     pub breaks: bool,
-    /// Leaves the next question open for ever.
+    /// Never answers the next request.
     pub silent: bool,
-    /// Tells nothing for as long as this is set.
+    /// Announces no events while this is set.
     pub outage: Option<Outage>,
+    /// Cursor of each request received.
     pub asked: Vec<u64>,
 }
 
+/// Runs a discovery channel that serves all connections of the listener.
 pub fn channel(listener: TcpListener, shared: Arc<Mutex<Channel>>) {
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -228,6 +246,7 @@
     });
 }
 
+/// Serves one connection of a discovery channel until it is closed.
 pub fn tell(stream: TcpStream, shared: &Mutex<Channel>) {
     let mut lines = BufReader::new(stream.try_clone().expect("clone"));
     let mut out = stream;
@@ -285,18 +304,26 @@
     }
 }
 
+/// A router process with its first worker and its discovery channel.
 pub struct World {
+    /// The router process.
     pub node: Child,
+    /// Address at which the router listens.
     pub address: SocketAddr,
+    /// State of the first worker.
     pub seen: Shared,
     pub channel: Arc<Mutex<Channel>>,
+    /// Address of the first worker.
     pub workers: SocketAddr,
-    /// What is its own on this machine's disk: the configuration; and a folder that stays empty.
+    /// The configuration file of the router.
     pub file: PathBuf,
+    /// The working directory of the router, which must stay empty.
     pub folder: PathBuf,
+    /// Address of the discovery channel in the first configuration.
     pub first_channel: SocketAddr,
 }
 
+/// Returns the discovery event with this number that announces one worker.
 pub fn event(cursor: u64, worker: SocketAddr, id: &str, state: &str) -> String {
     format!(
         r#"{{"cursor":{cursor},"nodes":{{"version":1,"full":false,"servers":[{{"id":"{id}","addr":"{worker}",
@@ -305,7 +332,8 @@
     .replace('\n', "")
 }
 
-/// The configuration of a router, with long times and small limits. `known`: the events of its start.
+/// Returns the configuration of a router, with long times and small limits. `known` holds the discovery events known at
+/// its start.
 pub fn configuration(address: SocketAddr, channel: SocketAddr, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"{address}","seed":"00000000000000ff",
@@ -326,12 +354,13 @@
 }
 
 impl World {
+    /// Starts a router with the default configuration.
     pub fn new(part: u16) -> World {
         World::with(part, |config| config)
     }
 
-    /// With an edited configuration. Its times are long, so that a busy machine brings none of them about: what
-    /// tests wait for comes of what they do.
+    /// Starts a router with an edited configuration and waits until it serves requests. The times in the configuration
+    /// are long, so that none of them expires because the machine is busy: tests cause all that they wait for.
     pub fn with(part: u16, edit: impl FnOnce(String) -> String) -> World {
         let (seen, told) = (Shared::default(), Arc::new(Mutex::new(Channel::default())));
         let (workers, address, first_channel) = (own(part), own(part), own(part));
@@ -372,19 +401,21 @@
         {
             assert!(
                 Instant::now() < until && world.node.try_wait().expect("a state").is_none(),
-                "it does not serve"
+                "the router does not serve requests"
             );
             thread::sleep(Duration::from_millis(10));
         }
         world
     }
 
+    /// Connects to the router.
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).expect("it listens");
         stream.set_read_timeout(Some(PATIENCE)).expect("set");
         stream
     }
 
+    /// Sends a request on a new connection; returns the status, head and body of the answer.
     pub fn ask(&self, text: &str) -> Option<(u16, String, Vec<u8>)> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         stream.set_read_timeout(Some(PATIENCE)).expect("set");
@@ -394,42 +425,43 @@
 
     /// Waits until the router has accepted the connection from this address.
     pub fn accepted(&self, client: SocketAddr) {
-        self.until("it is accepted", |w| {
+        self.until("the connection is accepted", |w| {
             rows(Some(w.address), Some(client))
                 .iter()
                 .any(|r| r.inode != 0)
         });
     }
 
-    /// Waits until the client's closing has arrived on the router's side, read or not.
+    /// Waits until the kernel on the router's side has received the client's FIN, whether or not the router has read it.
     pub fn closing_arrived(&self, client: SocketAddr) {
         let arrived = |w: &World| {
             rows(Some(w.address), Some(client))
                 .iter()
                 .any(|r| r.state == TcpState::CloseWait)
         };
-        self.until("its closing has arrived", arrived);
+        self.until("the FIN of the client is received", arrived);
     }
 
-    /// Waits until bytes from this address lie unread on the router's side.
+    /// Waits until the router's receive buffer holds unread bytes from this address.
     pub fn lies_unread(&self, from: SocketAddr) {
-        self.until("it lies unread", |_| {
+        self.until("the receive buffer holds unread bytes", |_| {
             rows(None, Some(from)).iter().any(|r| r.rx_queue > 0)
         });
     }
 
-    /// The channel tells of a worker, and the router has heard it.
+    /// Announces a worker by a discovery event and waits until the router has received the event.
     pub fn tell(&self, number: u64, id: &str, at: SocketAddr, state: &str) {
         self.channel
             .lock()
             .expect("channel")
             .events
             .push(event(number, at, id, state));
-        self.until("it is told", |w| {
+        self.until("the router has received the event", |w| {
             w.channel.lock().expect("channel").asked.contains(&number)
         });
     }
 
+    /// Returns how often the first worker has received the call with this id.
     pub fn calls(&self, id: &str) -> usize {
         self.seen
             .lock()
@@ -440,25 +472,26 @@
             .count()
     }
 
-    /// What is kept at the worker under this id is answered.
+    /// Lets the worker answer the call of `KEPT` with this id.
     pub fn free(&self, id: &str) {
         self.seen.lock().expect("seen").freed.push(id.to_owned());
     }
 
-    /// The router stands still until it is told to go on, and does nothing any more when this returns.
+    /// Suspends the router process until [`World::goes_on`]. When this returns, the process is suspended.
     pub fn halt(&self) {
         self.signal(Signal::STOP);
         let process = procfs::process::Process::new(self.node.id() as i32).expect("it runs");
-        self.until("it stands", |_| {
+        self.until("the process is suspended", |_| {
             process.stat().expect("a state").state == 'T'
         });
     }
 
+    /// Resumes the router process.
     pub fn goes_on(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// It has gone through all that had come, and waits for what comes next.
+    /// Waits until the router has processed everything that it had received before this call.
     pub fn turns(&self) {
         assert_eq!(
             self.ask("GET /-/healthy HTTP/1.1\r\n\r\n")
@@ -468,12 +501,13 @@
         );
     }
 
+    /// Sends a signal to the router process.
     pub fn signal(&self, signal: Signal) {
         let pid = rustix::process::Pid::from_child(&self.node);
         rustix::process::kill_process(pid, signal).expect("signalled");
     }
 
-    /// Waits for something that must come about.
+    /// Waits until the condition holds, and panics with `what` after [`PATIENCE`].
     pub fn until(&self, what: &str, mut came: impl FnMut(&Self) -> bool) {
         let until = Instant::now() + PATIENCE;
         while !came(self) {
@@ -490,10 +524,11 @@
         let _ = self.node.wait();
         let _ = std::fs::remove_file(&self.file);
         let _ = std::fs::remove_dir_all(&self.folder);
-        assert!(lives || thread::panicking(), "the router has ended");
+        assert!(lives || thread::panicking(), "the router process has exited");
     }
 }
 
+/// Starts a router process with this configuration file.
 pub fn start(file: &Path, folder: &Path, address: SocketAddr) -> Child {
     Command::new(env!("CARGO_BIN_EXE_cedarpulley"))
         .args(["--level", "warn", "node"])
@@ -508,7 +543,8 @@
         .expect("started")
 }
 
-/// A listener whose backlog is full: whoever connects waits until the returned connection is accepted.
+/// Returns a listener whose backlog is full, and the connection that fills it. Further connections are established only
+/// after that connection is accepted.
 pub fn full_listener(at: SocketAddr) -> (TcpListener, TcpStream) {
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
@@ -520,14 +556,14 @@
         .iter()
         .any(|r| r.state == TcpState::Listen && r.rx_queue == 1)
     {
-        assert!(Instant::now() < until, "no room is left");
+        assert!(Instant::now() < until, "the backlog is not full");
         thread::sleep(Duration::from_millis(10));
     }
     (TcpListener::from(socket), first)
 }
 
-/// The rows of the system's table of TCP connections between these two, from the first one's side; none names
-/// any.
+/// Returns the rows of the system's TCP table whose local address is `from` and whose remote address is `to`; `None`
+/// matches every address.
 pub fn rows(from: Option<SocketAddr>, to: Option<SocketAddr>) -> Vec<TcpNetEntry> {
     let mut table = procfs::net::tcp().expect("a table");
     table.retain(|r| {
@@ -536,7 +572,7 @@
     table
 }
 
-/// Status, head and body.
+/// Reads an answer and returns its status, head and body.
 pub fn answer(stream: &mut BufReader<TcpStream>) -> Option<(u16, String, Vec<u8>)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -550,6 +586,7 @@
     Some((head.split(' ').nth(1)?.parse().ok()?, head, body))
 }
 
+/// Returns the text of a request that calls a function.
 pub fn call(id: &str, class: &str, function: &str, extra: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -558,6 +595,7 @@
     )
 }
 
+/// Returns the id of a call in the form that the protocol uses.
 pub fn id(n: u32) -> String {
     format!("{n:016x}")
 }
